--- a/cmd/ravenpond/ci_test.go
+++ b/cmd/ravenpond/ci_test.go
@@ -43,3 +43,41 @@
 		}
 	}
 }
+
+// TestLint plants an unused function and holds that the linter of CI fails on it, unless exactly this finding is listed, and that a
+// listed finding that is gone fails too.
+func TestLint(t *testing.T) {
+	directory := t.TempDir()
+	write := func(name, text string) string {
+		path := filepath.Join(directory, name)
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return path
+	}
+	clean := write("clean.go", "package clean\n\n// Used is exported.\nfunc Used() {}\n")
+	faulty := write("faulty.go", "package faulty\n\nfunc unused() {}\n")
+	finding := faulty + ":3:6: func unused is unused (U1000)"
+	nothing := write("nothing", "")
+	listed := write("listed", "# a comment\n"+finding+"\n")
+	for _, c := range []struct {
+		name, known, source string
+		passes              bool
+	}{
+		{"clean", nothing, clean, true},
+		{"a finding", nothing, faulty, false},
+		{"a listed finding", listed, faulty, true},
+		{"a listed finding that is gone", listed, clean, false},
+		{"a file that is not there", nothing, filepath.Join(directory, "nowhere.go"), false},
+	} {
+		cmd := exec.Command(".ci/lint", c.known, c.source)
+		cmd.Dir = "../.."
+		out, err := cmd.CombinedOutput()
+		if passed := err == nil; passed != c.passes {
+			t.Errorf("%s: passed %v, want %v: %s", c.name, passed, c.passes, out)
+		}
+		if !c.passes && c.source == faulty && !strings.Contains(string(out), finding) {
+			t.Errorf("%s: the finding is not printed: %s", c.name, out)
+		}
+	}
+}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -189,11 +189,6 @@
 	ref   uint64
 }
 
-type tokenName struct {
-	sched string
-	token uint64
-}
-
 type ask struct {
 	rec      Record
 	born     int // of its scheduler, at the time
--- a/internal/decide/desk/line_test.go
+++ b/internal/decide/desk/line_test.go
@@ -161,9 +161,7 @@
 		life := uint32(1)
 		waits, open := map[uint64]ledger.Name{}, map[ledger.Name]Entry{}
 		note := func(e Entry) {
-			if _, ok := waits[e.Ask.Ref]; ok {
-				delete(waits, e.Ask.Ref)
-			}
+			delete(waits, e.Ask.Ref)
 			if e.Why == "" && e.Epoch > 0 {
 				open[e.Name] = e
 			}
--- a/internal/decide/members/members_test.go
+++ b/internal/decide/members/members_test.go
@@ -7,7 +7,6 @@
 
 // wire carries datagrams between detectors by hand.
 type wire struct {
-	to      string
 	sent    []string // addresses
 	last    map[string][]byte
 	changes []string
--- a/internal/decide/parts/parts_test.go
+++ b/internal/decide/parts/parts_test.go
@@ -16,8 +16,7 @@
 	all   []*proc
 	cut   map[[2]int]bool
 	mails []mail
-	worst float64   // the most that was ever sent in a window, as a part of the whole
-	held  []float64 // by process, the largest part it took within the window, as times and parts
+	worst float64 // the most that was ever sent in a window, as a part of the whole
 	log   [][][2]float64
 	plant plant
 }
--- a/internal/decide/zones/zones.go
+++ b/internal/decide/zones/zones.go
@@ -322,10 +322,9 @@
 	Near  bool // the site file says how far zones are: near ones go first
 	Plant bool // careless: what the book last said counts for ever
 
-	level  int // 0 own zone, 1 its region, 2 all
-	lowAt  float64
-	was    map[string]float64 // the parts of zones that were used when this process was sure
-	closed map[string]bool    // in the book, as far as it is known
+	level int // 0 own zone, 1 its region, 2 all
+	lowAt float64
+	was   map[string]float64 // the parts of zones that were used when this process was sure
 }
 
 // Look is which part of each zone's nodes this process sends to now: 0 none, 1 all. waits is how many allocations find no room;
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -39,7 +39,6 @@
 	sentAt float64
 	first  float64 // of the first try that may have run, -1: none
 	group  int     // its node
-	until  float64
 	over   bool
 }
 
--- a/internal/lab/sim/net.go
+++ b/internal/lab/sim/net.go
@@ -127,7 +127,6 @@
 	far  *conn
 	way  *way
 	peer outside.Peer
-	life int
 
 	out     []byte // not handed over yet
 	words   []byte // that come last, and are not counted
--- a/internal/lab/sim/play.go
+++ b/internal/lab/sim/play.go
@@ -107,7 +107,6 @@
 	server *serve.Server
 	lives  int
 	panics int // effects until a shard panics, 0: not planned
-	asked  bool
 }
 
 // Game is how a script is played.
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -134,7 +134,6 @@
 	l net.Listener
 
 	mu     sync.Mutex
-	conns  []net.Conn
 	setUps []uint64
 	ends   []uint64
 	on     map[uint64]net.Conn
