--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -18,12 +18,12 @@
 	"math/rand/v2"
 	"slices"
 
-	"ravenpond/internal/bells"
 	"ravenpond/internal/decide/carry"
 	"ravenpond/internal/decide/news"
 	"ravenpond/internal/decide/parts"
 	"ravenpond/internal/decide/witness"
 	codec "ravenpond/internal/proto/members"
+	"ravenpond/internal/timers"
 )
 
 // Period is the time between two probes of a process that is well, ms.
@@ -171,7 +171,7 @@
 	who   Charter
 	rng   *rand.Rand
 	now   float64
-	bells bells.Heap[due]
+	bells timers.Heap[due]
 
 	version uint64
 	leaving bool
--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -1,9 +1,9 @@
 package engine
 
-import "ravenpond/internal/bells"
+import "ravenpond/internal/timers"
 
 // bell is a time at which something is due.
-type bell = bells.Bell[due]
+type bell = timers.Timer[due]
 
 type due uint8
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -14,11 +14,11 @@
 	"math"
 	"slices"
 
-	"ravenpond/internal/bells"
 	"ravenpond/internal/decide/admit"
 	"ravenpond/internal/decide/doubt"
 	"ravenpond/internal/decide/redial"
 	"ravenpond/internal/decide/stall"
+	"ravenpond/internal/timers"
 	"ravenpond/logic"
 )
 
@@ -203,7 +203,7 @@
 	terms   Terms
 	effects []logic.Effect
 	now     float64
-	bells   bells.Heap[due]
+	bells   timers.Heap[due]
 	pacer   *redial.Pacer
 	door    *admit.Door
 	watch   stall.Watch
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -11,10 +11,10 @@
 	"slices"
 
 	"ravenpond/internal/aside"
-	"ravenpond/internal/bells"
 	"ravenpond/internal/decide/doubt"
 	"ravenpond/internal/decide/stall"
 	"ravenpond/internal/decide/watch"
+	"ravenpond/internal/timers"
 	"ravenpond/logic"
 )
 
@@ -92,7 +92,7 @@
 	now    float64
 	last   float64
 	news   bool
-	bells  bells.Heap[due]
+	bells  timers.Heap[due]
 	allocs map[uint32]*alloc
 	count  uint32
 	probes map[uint32]probe
--- a/internal/bells/bells.go
+++ b/internal/timers/timers.go
@@ -1,24 +1,24 @@
-// Package bells keeps what is due at which time.
-package bells
+// Package timers keeps what is due at which time.
+package timers
 
-// Bell is a time at which something is due: what and which of it.
-type Bell[W any] struct {
+// Timer is a time at which something is due: what and which of it.
+type Timer[W any] struct {
 	At    float64
 	order uint64 // among equals in order of setting
 	What  W
 	Key   uint64
 }
 
-// Heap is a binary heap of what is due. Most bells are never taken back but found stale when they ring, which
+// Heap is a binary heap of what is due. Most timers are never taken back but found stale when they fire, which
 // costs less than keeping places up to date: an allocation sets three in its life.
 type Heap[W any] struct {
-	heap  []Bell[W]
+	heap  []Timer[W]
 	count uint64
 }
 
-func before[W any](x, y *Bell[W]) bool { return x.At < y.At || x.At == y.At && x.order < y.order }
+func before[W any](x, y *Timer[W]) bool { return x.At < y.At || x.At == y.At && x.order < y.order }
 
-// First is when the first bell is due; false if none is set.
+// First is when the first timer is due; false if none is set.
 func (b *Heap[W]) First() (at float64, ok bool) {
 	if len(b.heap) == 0 {
 		return 0, false
@@ -26,10 +26,10 @@
 	return b.heap[0].At, true
 }
 
-// Set sets a bell.
+// Set sets a timer.
 func (b *Heap[W]) Set(at float64, what W, key uint64) {
 	b.count++
-	b.heap = append(b.heap, Bell[W]{at, b.count, what, key})
+	b.heap = append(b.heap, Timer[W]{at, b.count, what, key})
 	i := len(b.heap) - 1
 	for i > 0 {
 		up := (i - 1) / 2
@@ -41,10 +41,10 @@
 	}
 }
 
-// Next takes the first bell that is due.
-func (b *Heap[W]) Next(now float64) (Bell[W], bool) {
+// Next takes the first timer that is due.
+func (b *Heap[W]) Next(now float64) (Timer[W], bool) {
 	if len(b.heap) == 0 || b.heap[0].At > now {
-		return Bell[W]{}, false
+		return Timer[W]{}, false
 	}
 	top, last := b.heap[0], len(b.heap)-1
 	b.heap[0] = b.heap[last]
@@ -64,7 +64,7 @@
 		i = down
 	}
 	if cap(b.heap) > 4096 && len(b.heap) < cap(b.heap)/8 { // a flood's memory is given back
-		b.heap = append(make([]Bell[W], 0, cap(b.heap)/4), b.heap...)
+		b.heap = append(make([]Timer[W], 0, cap(b.heap)/4), b.heap...)
 	}
 	return top, true
 }
--- a/internal/bells/bells_test.go
+++ b/internal/timers/timers_test.go
@@ -1,4 +1,4 @@
-package bells
+package timers
 
 import (
 	"container/heap"
@@ -24,13 +24,13 @@
 	}
 }
 
-// plain is a heap of bells by the standard library, the plain way that Heap is measured against.
-type plain []Bell[int]
+// plain is a heap of timers by the standard library, the plain way that Heap is measured against.
+type plain []Timer[int]
 
 func (p plain) Len() int           { return len(p) }
 func (p plain) Less(i, j int) bool { return before(&p[i], &p[j]) }
 func (p plain) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
-func (p *plain) Push(x any)        { *p = append(*p, x.(Bell[int])) }
+func (p *plain) Push(x any)        { *p = append(*p, x.(Timer[int])) }
 func (p *plain) Pop() any {
 	last := len(*p) - 1
 	x := (*p)[last]
@@ -38,7 +38,7 @@
 	return x
 }
 
-// BenchmarkBells sets three bells an allocation, of which two ring stale, at 10,000 open.
+// BenchmarkBells sets three timers an allocation, of which two ring stale, at 10,000 open.
 func BenchmarkBells(b *testing.B) {
 	at := func(i int) float64 { return float64(i) + float64((i*7919)%5000) }
 	b.Run("own heap", func(b *testing.B) {
@@ -55,9 +55,9 @@
 		var p plain
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
-			heap.Push(&p, Bell[int]{At: at(i), order: uint64(i), Key: uint64(i)})
+			heap.Push(&p, Timer[int]{At: at(i), order: uint64(i), Key: uint64(i)})
 			if i > 30000 {
-				_ = heap.Pop(&p).(Bell[int])
+				_ = heap.Pop(&p).(Timer[int])
 			}
 		}
 	})
