--- a/internal/aside/aside.go
+++ b/internal/besteffort/besteffort.go
@@ -1,6 +1,6 @@
-// Package aside keeps what is only said to people apart from what serves: counts, traces, figures in the log. It guards
+// Package besteffort keeps what is only said to people apart from what serves: counts, traces, figures in the log. It guards
 // against a word that ends a process which holds work.
-package aside
+package besteffort
 
 import (
 	"fmt"
--- a/internal/aside/aside_test.go
+++ b/internal/besteffort/besteffort_test.go
@@ -1,4 +1,4 @@
-package aside
+package besteffort
 
 import (
 	"strings"
@@ -16,7 +16,7 @@
 			t.Error("one of another name is switched off too")
 		}
 	}
-	if ran != 31 || len(told) != 1 || !strings.HasPrefix(told[0], "counts: panic: ") || !strings.Contains(told[0], "aside_test.go") {
+	if ran != 31 || len(told) != 1 || !strings.HasPrefix(told[0], "counts: panic: ") || !strings.Contains(told[0], "besteffort_test.go") {
 		t.Errorf("ran %d, told %q", ran, told)
 	}
 }
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -10,7 +10,7 @@
 	"math"
 	"slices"
 
-	"ravenpond/internal/aside"
+	"ravenpond/internal/besteffort"
 	"ravenpond/internal/decide/doubt"
 	"ravenpond/internal/decide/stall"
 	"ravenpond/internal/decide/watch"
@@ -85,7 +85,7 @@
 	edge   Edge
 	mod    *logic.Scheduler
 	fence  fence
-	words  aside.Fence // what is read for people alone
+	words  besteffort.Fence // what is read for people alone
 	off    off
 	step   float64
 	most   int
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -14,7 +14,7 @@
 
 	"github.com/rs/zerolog"
 
-	"ravenpond/internal/aside"
+	"ravenpond/internal/besteffort"
 	"ravenpond/internal/decide/admit"
 	"ravenpond/internal/decide/budget"
 	"ravenpond/internal/decide/lag"
@@ -59,8 +59,8 @@
 	owed        []word // to owners of whom none is connected
 	report      []float64
 	counts      counts
-	words       aside.Fence // round what is only said to people
-	guests      int         // owners' connections that are not let in
+	words       besteffort.Fence // round what is only said to people
+	guests      int              // owners' connections that are not let in
 	stopped     bool
 	told        float64
 	plan        shutdown.Plan
