--- a/internal/lab/drill/day.go
+++ b/internal/lab/drill/day.go
@@ -8,8 +8,8 @@
 	"io"
 	"slices"
 
-	"ravenpond/internal/sheet"
 	"ravenpond/internal/site"
+	"ravenpond/internal/strictxml"
 )
 
 // DefaultDay is the day that is played if no other is named.
@@ -28,59 +28,59 @@
 	"programs-lost", "pressure"}
 
 // Grammar is a day file's.
-var Grammar = &sheet.Element{Name: "day", Attrs: []sheet.Attr{
-	{Name: "name", Kind: sheet.Name, Must: true},
-	{Name: "lasts", Kind: sheet.Duration, Must: true, Min: 1000, Max: 3600e3},
-	{Name: "settles", Kind: sheet.Duration, Default: "8s", Min: 1, Max: 60e3}, // asks end so long before the day
-	{Name: "schedulers", Kind: sheet.Whole, Must: true, Min: 1, Max: 64},
-	{Name: "rate", Kind: sheet.Number, Must: true, Min: 0.1, Max: 1e5}, // new wants a second
-	{Name: "services", Kind: sheet.Whole, Default: "30", Min: 1, Max: 1e5},
-}, Children: []*sheet.Element{
-	{Name: "fleet", Least: 1, Attrs: []sheet.Attr{
-		{Name: "machine", Kind: sheet.Name, Must: true},
-		{Name: "zone", Kind: sheet.Name, Must: true},
-		{Name: "nodes", Kind: sheet.Whole, Must: true, Min: 1, Max: 10000},
-		{Name: "cells", Kind: sheet.Whole, Default: "2", Min: 1, Max: 1000},
+var Grammar = &strictxml.Element{Name: "day", Attrs: []strictxml.Attr{
+	{Name: "name", Kind: strictxml.Name, Must: true},
+	{Name: "lasts", Kind: strictxml.Duration, Must: true, Min: 1000, Max: 3600e3},
+	{Name: "settles", Kind: strictxml.Duration, Default: "8s", Min: 1, Max: 60e3}, // asks end so long before the day
+	{Name: "schedulers", Kind: strictxml.Whole, Must: true, Min: 1, Max: 64},
+	{Name: "rate", Kind: strictxml.Number, Must: true, Min: 0.1, Max: 1e5}, // new wants a second
+	{Name: "services", Kind: strictxml.Whole, Default: "30", Min: 1, Max: 1e5},
+}, Children: []*strictxml.Element{
+	{Name: "fleet", Least: 1, Attrs: []strictxml.Attr{
+		{Name: "machine", Kind: strictxml.Name, Must: true},
+		{Name: "zone", Kind: strictxml.Name, Must: true},
+		{Name: "nodes", Kind: strictxml.Whole, Must: true, Min: 1, Max: 10000},
+		{Name: "cells", Kind: strictxml.Whole, Default: "2", Min: 1, Max: 1000},
 	}},
-	{Name: "node", Least: 1, Most: 1, Attrs: []sheet.Attr{
-		{Name: "look", Kind: sheet.Duration, Must: true, Min: 0.001, Max: 10e3},
-		{Name: "line", Kind: sheet.Whole, Must: true, Min: 1, Max: 1e5},
-		{Name: "starts", Kind: sheet.Whole, Must: true, Min: 1, Max: 1e4},
-		{Name: "no-program", Kind: sheet.Number, Must: true, Min: 1, Max: 1000},
-		{Name: "programs", Kind: sheet.Whole, Must: true, Min: 0, Max: 1e4},
-		{Name: "cold-from", Kind: sheet.Number, Must: true, Min: 0.01, Max: 1},
-		{Name: "fall", Kind: sheet.Number, Must: true, Min: 1, Max: 1e4},
+	{Name: "node", Least: 1, Most: 1, Attrs: []strictxml.Attr{
+		{Name: "look", Kind: strictxml.Duration, Must: true, Min: 0.001, Max: 10e3},
+		{Name: "line", Kind: strictxml.Whole, Must: true, Min: 1, Max: 1e5},
+		{Name: "starts", Kind: strictxml.Whole, Must: true, Min: 1, Max: 1e4},
+		{Name: "no-program", Kind: strictxml.Number, Must: true, Min: 1, Max: 1000},
+		{Name: "programs", Kind: strictxml.Whole, Must: true, Min: 0, Max: 1e4},
+		{Name: "cold-from", Kind: strictxml.Number, Must: true, Min: 0.01, Max: 1},
+		{Name: "fall", Kind: strictxml.Number, Must: true, Min: 1, Max: 1e4},
 	}},
-	{Name: "list", Least: 1, Most: 1, Attrs: []sheet.Attr{{Name: "lag", Kind: sheet.Duration, Must: true, Min: 0, Max: 60e3}}},
-	{Name: "work", Least: 1, Key: "job-type", Attrs: []sheet.Attr{
-		{Name: "job-type", Kind: sheet.Name, Must: true},
-		{Name: "part", Kind: sheet.Number, Must: true, Min: 0, Max: 1},
-		{Name: "cores", Kind: sheet.Number, Must: true, Min: 0.01, Max: 1e4},
-		{Name: "memory", Kind: sheet.Number, Must: true, Min: 0.01, Max: 1e6},
-		{Name: "start", Kind: sheet.Duration, Must: true, Min: 0.01, Max: 60e3},
-		{Name: "life", Kind: sheet.Duration, Must: true, Min: 1, Max: 3600e3},
-		{Name: "use", Kind: sheet.Number, Must: true, Min: 0.01, Max: 2},
-		{Name: "priority", Kind: sheet.Whole, Default: "0", Min: 0, Max: 9},
+	{Name: "list", Least: 1, Most: 1, Attrs: []strictxml.Attr{{Name: "lag", Kind: strictxml.Duration, Must: true, Min: 0, Max: 60e3}}},
+	{Name: "work", Least: 1, Key: "job-type", Attrs: []strictxml.Attr{
+		{Name: "job-type", Kind: strictxml.Name, Must: true},
+		{Name: "part", Kind: strictxml.Number, Must: true, Min: 0, Max: 1},
+		{Name: "cores", Kind: strictxml.Number, Must: true, Min: 0.01, Max: 1e4},
+		{Name: "memory", Kind: strictxml.Number, Must: true, Min: 0.01, Max: 1e6},
+		{Name: "start", Kind: strictxml.Duration, Must: true, Min: 0.01, Max: 60e3},
+		{Name: "life", Kind: strictxml.Duration, Must: true, Min: 1, Max: 3600e3},
+		{Name: "use", Kind: strictxml.Number, Must: true, Min: 0.01, Max: 2},
+		{Name: "priority", Kind: strictxml.Whole, Default: "0", Min: 0, Max: 9},
 	}},
-	{Name: "window", Key: "name", Attrs: []sheet.Attr{ // a maintenance window in every scheduler's calendar
-		{Name: "name", Kind: sheet.Name, Must: true},
-		{Name: "at", Kind: sheet.Duration, Must: true, Min: 5000, Max: 3600e3}, // the nodes go out
-		{Name: "lead", Kind: sheet.Duration, Default: "4s", Min: 0, Max: 3600e3},
-		{Name: "for", Kind: sheet.Duration, Must: true, Min: 1000, Max: 3600e3},
-		{Name: "cell", Kind: sheet.Name},
-		{Name: "zone", Kind: sheet.Name},
-		{Name: "ending", Kind: sheet.Word, Default: "release", Words: []string{"release", "sweep", "hold"}},
+	{Name: "window", Key: "name", Attrs: []strictxml.Attr{ // a maintenance window in every scheduler's calendar
+		{Name: "name", Kind: strictxml.Name, Must: true},
+		{Name: "at", Kind: strictxml.Duration, Must: true, Min: 5000, Max: 3600e3}, // the nodes go out
+		{Name: "lead", Kind: strictxml.Duration, Default: "4s", Min: 0, Max: 3600e3},
+		{Name: "for", Kind: strictxml.Duration, Must: true, Min: 1000, Max: 3600e3},
+		{Name: "cell", Kind: strictxml.Name},
+		{Name: "zone", Kind: strictxml.Name},
+		{Name: "ending", Kind: strictxml.Word, Default: "release", Words: []string{"release", "sweep", "hold"}},
 	}},
-	{Name: "trouble", Attrs: []sheet.Attr{
-		{Name: "kind", Kind: sheet.Word, Must: true, Words: Troubles},
-		{Name: "at", Kind: sheet.Duration, Must: true, Min: 0, Max: 3600e3},
-		{Name: "for", Kind: sheet.Duration, Default: "5s", Min: 1, Max: 3600e3},
-		{Name: "part", Kind: sheet.Number, Default: "0.3", Min: 0, Max: 1},   // of nodes, schedulers or services
-		{Name: "size", Kind: sheet.Number, Default: "0.8", Min: 0, Max: 100}, // factor, or part that fails
-		{Name: "zone", Kind: sheet.Name},
-		{Name: "job-type", Kind: sheet.Name},
-		{Name: "tenant", Kind: sheet.Name},
-		{Name: "how", Kind: sheet.Word, Default: "keep", Words: []string{"keep", "bit-by-bit", "at-once", "silence", "error"}},
+	{Name: "trouble", Attrs: []strictxml.Attr{
+		{Name: "kind", Kind: strictxml.Word, Must: true, Words: Troubles},
+		{Name: "at", Kind: strictxml.Duration, Must: true, Min: 0, Max: 3600e3},
+		{Name: "for", Kind: strictxml.Duration, Default: "5s", Min: 1, Max: 3600e3},
+		{Name: "part", Kind: strictxml.Number, Default: "0.3", Min: 0, Max: 1},   // of nodes, schedulers or services
+		{Name: "size", Kind: strictxml.Number, Default: "0.8", Min: 0, Max: 100}, // factor, or part that fails
+		{Name: "zone", Kind: strictxml.Name},
+		{Name: "job-type", Kind: strictxml.Name},
+		{Name: "tenant", Kind: strictxml.Name},
+		{Name: "how", Kind: strictxml.Word, Default: "keep", Words: []string{"keep", "bit-by-bit", "at-once", "silence", "error"}},
 	}},
 }}
 
@@ -133,15 +133,15 @@
 }
 
 // ReadDay reads a day for a site and names what is wrong with it.
-func ReadDay(in io.Reader, place *site.Place) (*Day, []sheet.Fault) {
-	top, faults := sheet.Read(in, Grammar)
+func ReadDay(in io.Reader, place *site.Place) (*Day, []strictxml.Fault) {
+	top, faults := strictxml.Read(in, Grammar)
 	if top == nil {
 		return nil, faults
 	}
-	index := func(it *sheet.Item, attr, what string, names []string) int {
+	index := func(it *strictxml.Item, attr, what string, names []string) int {
 		i := slices.Index(names, it.Text(attr))
 		if i < 0 && it.Has(attr) {
-			faults = append(faults, sheet.Fault{Line: it.Line,
+			faults = append(faults, strictxml.Fault{Line: it.Line,
 				Text: fmt.Sprintf("the site has no %s %q", what, it.Text(attr))})
 		}
 		return i
@@ -171,14 +171,14 @@
 		sum += w.Number("part")
 	}
 	if len(faults) == 0 && len(d.works) != len(place.Jobs) {
-		faults = append(faults, sheet.Fault{Line: top.Line, Text: "each job type of the site needs its <work>"})
+		faults = append(faults, strictxml.Fault{Line: top.Line, Text: "each job type of the site needs its <work>"})
 	}
 	if sum < 0.999 || sum > 1.001 {
-		faults = append(faults, sheet.Fault{Line: top.Line, Text: fmt.Sprintf("parts of the works sum to %.4g, not 1", sum)})
+		faults = append(faults, strictxml.Fault{Line: top.Line, Text: fmt.Sprintf("parts of the works sum to %.4g, not 1", sum)})
 	}
 	for _, w := range top.All("window") {
 		if w.Has("cell") == w.Has("zone") {
-			faults = append(faults, sheet.Fault{Line: w.Line, Text: "a window needs a cell or a zone"})
+			faults = append(faults, strictxml.Fault{Line: w.Line, Text: "a window needs a cell or a zone"})
 		}
 		d.windows = append(d.windows, window{w.Text("name"), w.Text("cell"), w.Text("zone"), w.Number("at"), w.Number("lead"),
 			w.Number("for"), w.Word("ending")})
@@ -190,10 +190,10 @@
 			size: t.Number("size"), zone: t.Text("zone"), tenant: t.Text("tenant"),
 			job: index(t, "job-type", "job type", place.Jobs), how: t.Text("how"), line: t.Line}
 		if tr.at > d.lasts {
-			faults = append(faults, sheet.Fault{Line: t.Line, Text: "trouble after the end of the day"})
+			faults = append(faults, strictxml.Fault{Line: t.Line, Text: "trouble after the end of the day"})
 		}
 		if Troubles[tr.kind] == "job-fails" && tr.job < 0 {
-			faults = append(faults, sheet.Fault{Line: t.Line, Text: "job-fails needs a job-type"})
+			faults = append(faults, strictxml.Fault{Line: t.Line, Text: "job-fails needs a job-type"})
 		}
 		d.troubles = append(d.troubles, tr)
 	}
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -9,8 +9,8 @@
 	"testing"
 
 	"ravenpond/internal/lab/spawn"
-	"ravenpond/internal/sheet"
 	"ravenpond/internal/site"
+	"ravenpond/internal/strictxml"
 )
 
 // TestMain lets the test's own program be the scheduler process that a drill starts and kills.
@@ -86,7 +86,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, faults := ReadDay(strings.NewReader(strings.Replace(DefaultDay, c.old, c.new, 1)), place)
 			var all []string
-			for _, f := range append(faults, sheet.Fault{}) {
+			for _, f := range append(faults, strictxml.Fault{}) {
 				all = append(all, f.String())
 			}
 			if got := strings.Join(all, "\n"); !strings.Contains(got, c.fault) {
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -16,7 +16,7 @@
 
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/decide/shift"
-	"ravenpond/internal/sheet"
+	"ravenpond/internal/strictxml"
 	"ravenpond/logic"
 )
 
@@ -33,96 +33,96 @@
 const hour = 3600e3
 
 // Grammar is the site file's.
-var Grammar = &sheet.Element{Name: "site", Attrs: []sheet.Attr{{Name: "name", Kind: sheet.Name, Must: true}},
-	Children: []*sheet.Element{
-		{Name: "cluster", Least: 1, Most: 1, Attrs: []sheet.Attr{
-			{Name: "schedulers", Kind: sheet.Whole, Must: true, Min: 1, Max: 100000},
-			{Name: "list", Kind: sheet.Word, Must: true, Words: []string{"told", "asked"}},
-			{Name: "ask-every", Kind: sheet.Duration, Default: "10s", Min: 100, Max: hour},
-			{Name: "step", Kind: sheet.Duration, Default: "2ms", Min: 0.1, Max: 100},
-			{Name: "tries", Kind: sheet.Whole, Default: "4", Min: 1, Max: 200},
-			{Name: "recall", Kind: sheet.Bool, Default: "true"},
-			{Name: "probe", Kind: sheet.Bool, Default: "true"},
-			{Name: "cores-limit", Kind: sheet.Number, Must: true, Min: 0.1, Max: 100},
-			{Name: "memory-limit", Kind: sheet.Number, Must: true, Min: 0.1, Max: 100},
-			{Name: "list-has-room", Kind: sheet.Bool, Default: "true"},
-			{Name: "reports", Kind: sheet.Word, Default: "asked", Words: []string{"asked", "used"}},
-			{Name: "reports-come", Kind: sheet.Word, Default: "answers", Words: []string{"answers", "probes"}},
-			{Name: "pushes-out", Kind: sheet.Bool, Default: "false"},
-			{Name: "mean-cores", Kind: sheet.Number, Must: true, Min: 1e-6, Max: 1e6},
-			{Name: "mean-memory", Kind: sheet.Number, Must: true, Min: 1e-6, Max: 1e9},
-			{Name: "fleet-price", Kind: sheet.Number, Default: "0", Min: 0, Max: 1e6},
+var Grammar = &strictxml.Element{Name: "site", Attrs: []strictxml.Attr{{Name: "name", Kind: strictxml.Name, Must: true}},
+	Children: []*strictxml.Element{
+		{Name: "cluster", Least: 1, Most: 1, Attrs: []strictxml.Attr{
+			{Name: "schedulers", Kind: strictxml.Whole, Must: true, Min: 1, Max: 100000},
+			{Name: "list", Kind: strictxml.Word, Must: true, Words: []string{"told", "asked"}},
+			{Name: "ask-every", Kind: strictxml.Duration, Default: "10s", Min: 100, Max: hour},
+			{Name: "step", Kind: strictxml.Duration, Default: "2ms", Min: 0.1, Max: 100},
+			{Name: "tries", Kind: strictxml.Whole, Default: "4", Min: 1, Max: 200},
+			{Name: "recall", Kind: strictxml.Bool, Default: "true"},
+			{Name: "probe", Kind: strictxml.Bool, Default: "true"},
+			{Name: "cores-limit", Kind: strictxml.Number, Must: true, Min: 0.1, Max: 100},
+			{Name: "memory-limit", Kind: strictxml.Number, Must: true, Min: 0.1, Max: 100},
+			{Name: "list-has-room", Kind: strictxml.Bool, Default: "true"},
+			{Name: "reports", Kind: strictxml.Word, Default: "asked", Words: []string{"asked", "used"}},
+			{Name: "reports-come", Kind: strictxml.Word, Default: "answers", Words: []string{"answers", "probes"}},
+			{Name: "pushes-out", Kind: strictxml.Bool, Default: "false"},
+			{Name: "mean-cores", Kind: strictxml.Number, Must: true, Min: 1e-6, Max: 1e6},
+			{Name: "mean-memory", Kind: strictxml.Number, Must: true, Min: 1e-6, Max: 1e9},
+			{Name: "fleet-price", Kind: strictxml.Number, Default: "0", Min: 0, Max: 1e6},
 		}},
-		{Name: "rules", Least: 1, Most: 1, Attrs: []sheet.Attr{
-			{Name: "drain-grace", Kind: sheet.Duration, Must: true, Min: 1, Max: hour},
-			{Name: "cold-bears", Kind: sheet.Number, Must: true, Min: 1, Max: 1e6},
-			{Name: "cold-for", Kind: sheet.Duration, Must: true, Min: 1, Max: hour},
-			{Name: "cold-window", Kind: sheet.Duration, Must: true, Min: 1, Max: hour},
-			{Name: "answer-margin", Kind: sheet.Duration, Default: "100ms", Min: 1, Max: 60e3},
-			{Name: "settle", Kind: sheet.Duration, Default: "3s", Min: 1, Max: hour},
+		{Name: "rules", Least: 1, Most: 1, Attrs: []strictxml.Attr{
+			{Name: "drain-grace", Kind: strictxml.Duration, Must: true, Min: 1, Max: hour},
+			{Name: "cold-bears", Kind: strictxml.Number, Must: true, Min: 1, Max: 1e6},
+			{Name: "cold-for", Kind: strictxml.Duration, Must: true, Min: 1, Max: hour},
+			{Name: "cold-window", Kind: strictxml.Duration, Must: true, Min: 1, Max: hour},
+			{Name: "answer-margin", Kind: strictxml.Duration, Default: "100ms", Min: 1, Max: 60e3},
+			{Name: "settle", Kind: strictxml.Duration, Default: "3s", Min: 1, Max: hour},
 		}},
-		{Name: "zone", Least: 1, Key: "name", Attrs: []sheet.Attr{{Name: "name", Kind: sheet.Name, Must: true},
-			{Name: "region", Kind: sheet.Name}, {Name: "hold", Kind: sheet.Word, Words: []string{"open", "closed"}}}},
-		{Name: "way", Attrs: []sheet.Attr{{Name: "from", Kind: sheet.Name, Must: true}, {Name: "to", Kind: sheet.Name, Must: true},
-			{Name: "takes", Kind: sheet.Duration, Must: true, Min: 0, Max: hour}}},
-		{Name: "machine", Least: 1, Key: "kind", Attrs: []sheet.Attr{
-			{Name: "kind", Kind: sheet.Name, Must: true},
-			{Name: "cores", Kind: sheet.Number, Must: true, Min: 0.01, Max: 1e6},
-			{Name: "memory", Kind: sheet.Number, Must: true, Min: 0.01, Max: 1e9},
+		{Name: "zone", Least: 1, Key: "name", Attrs: []strictxml.Attr{{Name: "name", Kind: strictxml.Name, Must: true},
+			{Name: "region", Kind: strictxml.Name}, {Name: "hold", Kind: strictxml.Word, Words: []string{"open", "closed"}}}},
+		{Name: "way", Attrs: []strictxml.Attr{{Name: "from", Kind: strictxml.Name, Must: true}, {Name: "to", Kind: strictxml.Name, Must: true},
+			{Name: "takes", Kind: strictxml.Duration, Must: true, Min: 0, Max: hour}}},
+		{Name: "machine", Least: 1, Key: "kind", Attrs: []strictxml.Attr{
+			{Name: "kind", Kind: strictxml.Name, Must: true},
+			{Name: "cores", Kind: strictxml.Number, Must: true, Min: 0.01, Max: 1e6},
+			{Name: "memory", Kind: strictxml.Number, Must: true, Min: 0.01, Max: 1e9},
 		}},
-		{Name: "job-type", Least: 1, Key: "name", Attrs: []sheet.Attr{
-			{Name: "name", Kind: sheet.Name, Must: true},
-			{Name: "effect", Kind: sheet.Word, Must: true, Words: []string{"restartable", "tokened", "run-once"}},
-			{Name: "group", Kind: sheet.Word, Words: []string{"all", "zone", "cell"}},
-			{Name: "window", Kind: sheet.Duration, Min: 1, Max: 24 * hour},
-			{Name: "target", Kind: sheet.Duration, Must: true, Min: 1, Max: hour},
-			{Name: "expiry", Kind: sheet.Duration, Must: true, Min: 10, Max: hour},
-			{Name: "value", Kind: sheet.Number, Must: true, Min: 0, Max: 1e9},
-			{Name: "machine", Kind: sheet.Name},
-			{Name: "spread", Kind: sheet.Word, Default: "anywhere", Words: []string{"anywhere", "node", "cell", "zone"}},
-			{Name: "most", Kind: sheet.Whole, Min: 1, Max: 1e6},
-			{Name: "drain", Kind: sheet.Word, Words: []string{"early", "late", "run-out"}},
+		{Name: "job-type", Least: 1, Key: "name", Attrs: []strictxml.Attr{
+			{Name: "name", Kind: strictxml.Name, Must: true},
+			{Name: "effect", Kind: strictxml.Word, Must: true, Words: []string{"restartable", "tokened", "run-once"}},
+			{Name: "group", Kind: strictxml.Word, Words: []string{"all", "zone", "cell"}},
+			{Name: "window", Kind: strictxml.Duration, Min: 1, Max: 24 * hour},
+			{Name: "target", Kind: strictxml.Duration, Must: true, Min: 1, Max: hour},
+			{Name: "expiry", Kind: strictxml.Duration, Must: true, Min: 10, Max: hour},
+			{Name: "value", Kind: strictxml.Number, Must: true, Min: 0, Max: 1e9},
+			{Name: "machine", Kind: strictxml.Name},
+			{Name: "spread", Kind: strictxml.Word, Default: "anywhere", Words: []string{"anywhere", "node", "cell", "zone"}},
+			{Name: "most", Kind: strictxml.Whole, Min: 1, Max: 1e6},
+			{Name: "drain", Kind: strictxml.Word, Words: []string{"early", "late", "run-out"}},
 		}},
-		{Name: "tenant", Key: "name", Attrs: []sheet.Attr{
-			{Name: "name", Kind: sheet.Name, Must: true},
-			{Name: "share", Kind: sheet.Number, Must: true, Min: 0, Max: 1},
+		{Name: "tenant", Key: "name", Attrs: []strictxml.Attr{
+			{Name: "name", Kind: strictxml.Name, Must: true},
+			{Name: "share", Kind: strictxml.Number, Must: true, Min: 0, Max: 1},
 		}},
-		{Name: "hosting", Most: 1, Attrs: []sheet.Attr{
-			{Name: "tenants", Kind: sheet.Whole, Must: true, Min: 1, Max: 100000},
-			{Name: "admin", Kind: sheet.Address},
+		{Name: "hosting", Most: 1, Attrs: []strictxml.Attr{
+			{Name: "tenants", Kind: strictxml.Whole, Must: true, Min: 1, Max: 100000},
+			{Name: "admin", Kind: strictxml.Address},
 		}},
-		{Name: "limits", Most: 1, Least: 1, Attrs: []sheet.Attr{
-			{Name: "open", Kind: sheet.Whole, Must: true, Min: 1, Max: 1e7},
-			{Name: "owners", Kind: sheet.Whole, Default: "1000", Min: 1, Max: 1e6},
-			{Name: "owner-queue", Kind: sheet.Whole, Default: "20000", Min: 16, Max: 1e7},
-			{Name: "node-queue", Kind: sheet.Whole, Default: "262144", Min: 4096, Max: 1 << 30},
+		{Name: "limits", Most: 1, Least: 1, Attrs: []strictxml.Attr{
+			{Name: "open", Kind: strictxml.Whole, Must: true, Min: 1, Max: 1e7},
+			{Name: "owners", Kind: strictxml.Whole, Default: "1000", Min: 1, Max: 1e6},
+			{Name: "owner-queue", Kind: strictxml.Whole, Default: "20000", Min: 16, Max: 1e7},
+			{Name: "node-queue", Kind: strictxml.Whole, Default: "262144", Min: 4096, Max: 1 << 30},
 		}},
-		{Name: "drains", Most: 1, Attrs: []sheet.Attr{
-			{Name: "fleet", Kind: sheet.Number, Default: "0.25", Min: 0, Max: 1},
-			{Name: "zone", Kind: sheet.Number, Default: "0.5", Min: 0, Max: 1},
-			{Name: "machine", Kind: sheet.Number, Default: "0.5", Min: 0, Max: 1},
-			{Name: "cold", Kind: sheet.Whole, Default: "20", Min: 1, Max: 1e6},
-			{Name: "margin", Kind: sheet.Number, Default: "1.2", Min: 0.1, Max: 10},
-			{Name: "guard", Kind: sheet.Duration, Default: "5s", Min: 0, Max: hour},
+		{Name: "drains", Most: 1, Attrs: []strictxml.Attr{
+			{Name: "fleet", Kind: strictxml.Number, Default: "0.25", Min: 0, Max: 1},
+			{Name: "zone", Kind: strictxml.Number, Default: "0.5", Min: 0, Max: 1},
+			{Name: "machine", Kind: strictxml.Number, Default: "0.5", Min: 0, Max: 1},
+			{Name: "cold", Kind: strictxml.Whole, Default: "20", Min: 1, Max: 1e6},
+			{Name: "margin", Kind: strictxml.Number, Default: "1.2", Min: 0.1, Max: 10},
+			{Name: "guard", Kind: strictxml.Duration, Default: "5s", Min: 0, Max: hour},
 		}},
-		{Name: "shards", Most: 1, Attrs: []sheet.Attr{
-			{Name: "count", Kind: sheet.Whole, Must: true, Min: 1, Max: 64},
-			{Name: "most", Kind: sheet.Whole, Min: 1, Max: 64},
-			{Name: "connections", Kind: sheet.Word, Default: "shared", Words: []string{"own", "shared", "informed"}},
-			{Name: "place", Kind: sheet.Word, Default: "service", Words: []string{"service", "tenant", "in-turn"}},
+		{Name: "shards", Most: 1, Attrs: []strictxml.Attr{
+			{Name: "count", Kind: strictxml.Whole, Must: true, Min: 1, Max: 64},
+			{Name: "most", Kind: strictxml.Whole, Min: 1, Max: 64},
+			{Name: "connections", Kind: strictxml.Word, Default: "shared", Words: []string{"own", "shared", "informed"}},
+			{Name: "place", Kind: strictxml.Word, Default: "service", Words: []string{"service", "tenant", "in-turn"}},
 		}},
-		{Name: "members", Most: 1, Attrs: []sheet.Attr{
-			{Name: "listen", Kind: sheet.Address, Must: true},
-			{Name: "seeds", Kind: sheet.Text, Must: true},
-			{Name: "key", Kind: sheet.Text, Must: true},
-			{Name: "advertise", Kind: sheet.Address},
-			{Name: "lends", Kind: sheet.Number, Default: "0.5", Min: 0, Max: 1},
-			{Name: "stewards", Kind: sheet.Text},
+		{Name: "members", Most: 1, Attrs: []strictxml.Attr{
+			{Name: "listen", Kind: strictxml.Address, Must: true},
+			{Name: "seeds", Kind: strictxml.Text, Must: true},
+			{Name: "key", Kind: strictxml.Text, Must: true},
+			{Name: "advertise", Kind: strictxml.Address},
+			{Name: "lends", Kind: strictxml.Number, Default: "0.5", Min: 0, Max: 1},
+			{Name: "stewards", Kind: strictxml.Text},
 		}},
-		{Name: "counts", Most: 1, Attrs: []sheet.Attr{{Name: "listen", Kind: sheet.Address, Must: true}}},
-		{Name: "node-list", Least: 1, Most: 1, Attrs: []sheet.Attr{{Name: "address", Kind: sheet.Address, Must: true}}},
-		{Name: "owners", Least: 1, Most: 1, Attrs: []sheet.Attr{{Name: "listen", Kind: sheet.Address, Must: true},
-			{Name: "tls", Kind: sheet.Bool, Default: "false"}}},
+		{Name: "counts", Most: 1, Attrs: []strictxml.Attr{{Name: "listen", Kind: strictxml.Address, Must: true}}},
+		{Name: "node-list", Least: 1, Most: 1, Attrs: []strictxml.Attr{{Name: "address", Kind: strictxml.Address, Must: true}}},
+		{Name: "owners", Least: 1, Most: 1, Attrs: []strictxml.Attr{{Name: "listen", Kind: strictxml.Address, Must: true},
+			{Name: "tls", Kind: strictxml.Bool, Default: "false"}}},
 	}}
 
 // Connections says what the shards of a process share.
@@ -195,13 +195,13 @@
 }
 
 // Read reads a site file and names what is wrong with it.
-func Read(in io.Reader) (*Place, []sheet.Fault) {
-	top, faults := sheet.Read(in, Grammar)
+func Read(in io.Reader) (*Place, []strictxml.Fault) {
+	top, faults := strictxml.Read(in, Grammar)
 	if top == nil {
 		return nil, faults
 	}
-	fault := func(it *sheet.Item, format string, args ...any) {
-		faults = append(faults, sheet.Fault{Line: it.Line, Text: fmt.Sprintf(format, args...)})
+	fault := func(it *strictxml.Item, format string, args ...any) {
+		faults = append(faults, strictxml.Fault{Line: it.Line, Text: fmt.Sprintf(format, args...)})
 	}
 	cl, rules, limits := top.One("cluster"), top.One("rules"), top.One("limits")
 	p := &Place{Held: map[string]string{}, Ways: map[[2]string]float64{}, Name: top.Text("name"), DrainGrace: rules.Number("drain-grace"), Margin: rules.Number("answer-margin"),
@@ -365,7 +365,7 @@
 }
 
 // optional is a number that may be absent.
-func optional(it *sheet.Item, name string) float64 {
+func optional(it *strictxml.Item, name string) float64 {
 	if !it.Has(name) {
 		return 0
 	}
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"ravenpond/internal/sheet"
+	"ravenpond/internal/strictxml"
 )
 
 var update = flag.Bool("update", false, "write site.xsd anew")
@@ -20,10 +20,10 @@
 		t.Errorf("%+v", p)
 	}
 	if *update {
-		if err := os.WriteFile("site.xsd", []byte(sheet.Schema(Grammar)), 0o644); err != nil {
+		if err := os.WriteFile("site.xsd", []byte(strictxml.Schema(Grammar)), 0o644); err != nil {
 			t.Fatal(err)
 		}
-	} else if Schema != sheet.Schema(Grammar) {
+	} else if Schema != strictxml.Schema(Grammar) {
 		t.Error("site.xsd is not what the grammar says: go test ./internal/site -update writes it anew")
 	}
 }
--- a/internal/sheet/schema.go
+++ b/internal/strictxml/schema.go
@@ -1,4 +1,4 @@
-package sheet
+package strictxml
 
 import (
 	"fmt"
--- a/internal/sheet/sheet.go
+++ b/internal/strictxml/strictxml.go
@@ -1,6 +1,6 @@
-// Package sheet reads XML documents strictly against a grammar given as a table, and names every fault with its
+// Package strictxml reads XML documents strictly against a grammar given as a table, and names every fault with its
 // line. The same table gives the XML schema, so that reader and schema can't part.
-package sheet
+package strictxml
 
 import (
 	"encoding/xml"
