--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/ledger/ledger.go
@@ -10,7 +10,7 @@
 	"cmp"
 	"slices"
 
-	"ravenpond/internal/decide/doubt"
+	"ravenpond/internal/decide/outcome"
 	"ravenpond/logic"
 )
 
@@ -296,7 +296,7 @@
 		if en.Shard == shard && !en.Answered && en.Expiry-now < within {
 			l.answered(n, en)
 			o := Orphan{Name: n, Entry: *en, Fate: Fails}
-			if j := &l.jobs[en.Job]; doubt.Withdrawn(j.Effect, j.Group, en.Out, en.MayHave) {
+			if j := &l.jobs[en.Job]; outcome.Withdrawn(j.Effect, j.Group, en.Out, en.MayHave) {
 				o.Fate = Declines
 			}
 			all = append(all, o)
@@ -317,7 +317,7 @@
 		return Continues
 	case !en.Out && !en.MayHave && en.Expiry-now > leastLeft:
 		return Moves
-	case doubt.Withdrawn(j.Effect, j.Group, en.Out, en.MayHave):
+	case outcome.Withdrawn(j.Effect, j.Group, en.Out, en.MayHave):
 		return Declines
 	}
 	return Fails
--- a/internal/decide/doubt/doubt.go
+++ b/internal/decide/outcome/outcome.go
@@ -1,10 +1,10 @@
-// Package doubt decides what may be concluded about a placement try from what was seen of it when connections
+// Package outcome decides what may be concluded about a placement try from what was seen of it when connections
 // break, nodes restart and answers come late. It holds no state: the engine asks at each such moment.
 //
 // The ground rule: a try never ran only if that is proven, and there are three proofs. Its last byte was never
 // handed to the kernel; the node said that it turned it away or handed it back; the node, still in the same life,
 // had not seen it when it was claimed and barred it. All else may have run.
-package doubt
+package outcome
 
 import "ravenpond/logic"
 
--- a/internal/decide/doubt/doubt_test.go
+++ b/internal/decide/outcome/outcome_test.go
@@ -1,4 +1,4 @@
-package doubt
+package outcome
 
 import (
 	"testing"
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -15,7 +15,7 @@
 	"slices"
 
 	"ravenpond/internal/decide/admit"
-	"ravenpond/internal/decide/doubt"
+	"ravenpond/internal/decide/outcome"
 	"ravenpond/internal/decide/redial"
 	"ravenpond/internal/decide/stall"
 	"ravenpond/internal/timers"
@@ -317,7 +317,7 @@
 				e.giveUp(p, logic.Broken)
 			case runs:
 				n := &e.nodes[a.nd]
-				if more := doubt.Longer(e.now-n.lostAt, e.terms.Lives != nil && e.terms.Lives(e.now, n.id, n.life)); more > 0 {
+				if more := outcome.Longer(e.now-n.lostAt, e.terms.Lives != nil && e.terms.Lives(e.now, n.id, n.life)); more > 0 {
 					a.doubtAt = e.now + more
 					e.bells.Set(a.doubtAt, dueDoubt, uint64(a.id))
 					if !n.waited {
@@ -357,9 +357,9 @@
 			e.askClaim(c.name, c.left)
 		}
 	case dueGhost:
-		e.forgetAll(func(g ghost) bool { return e.now-g.sentAt > doubt.RememberFor() })
+		e.forgetAll(func(g ghost) bool { return e.now-g.sentAt > outcome.RememberFor() })
 		if len(e.ghosts) > 0 {
-			e.bells.Set(e.now+doubt.RememberFor()/4, dueGhost, 0)
+			e.bells.Set(e.now+outcome.RememberFor()/4, dueGhost, 0)
 		}
 	}
 }
@@ -468,7 +468,7 @@
 	e.remember(tryName{a.ticket, a.try}, ghost{alloc: a.id, nd: a.nd, job: a.job, tenant: a.tenant,
 		service: a.service, token: a.token, cores: a.cores, memory: a.memory, sentAt: a.sentAt})
 	if e.effects[a.job] != logic.Restartable {
-		e.askClaim(tryName{a.ticket, a.try}, doubt.Claims())
+		e.askClaim(tryName{a.ticket, a.try}, outcome.Claims())
 	}
 	e.settle(p, verdict, logic.NotTold, nil)
 }
@@ -478,17 +478,17 @@
 func (e *Engine) askClaim(name tryName, times int) {
 	if times > 0 {
 		e.claims = append(e.claims, claim{name, times - 1})
-		e.bells.Set(e.now+doubt.ClaimEvery(e.terms.Settle), dueClaim, 0)
+		e.bells.Set(e.now+outcome.ClaimEvery(e.terms.Settle), dueClaim, 0)
 	}
 }
 
 func (e *Engine) remember(name tryName, g ghost) {
 	if len(e.ghosts) == 0 {
-		e.bells.Set(e.now+doubt.RememberFor()/4, dueGhost, 0)
+		e.bells.Set(e.now+outcome.RememberFor()/4, dueGhost, 0)
 	}
 	if _, ok := e.ghosts[name]; !ok {
 		e.nodes[g.nd].ghosts++
-		if doubt.Counts(e.terms.Cluster.JobTypes[g.job].Spread) {
+		if outcome.Counts(e.terms.Cluster.JobTypes[g.job].Spread) {
 			e.ids++
 			g.counts = e.ids
 			e.sched.Found(e.now, g.counts, g.job, g.tenant, g.service, g.cores, g.memory, e.nodes[g.nd].id)
@@ -657,7 +657,7 @@
 		e.disown(a)
 	}
 	jt, verdict := &e.terms.Cluster.JobTypes[a.job], Failed
-	if doubt.Withdrawn(jt.Effect, jt.Group, a.phase == out, a.mayHave) {
+	if outcome.Withdrawn(jt.Effect, jt.Group, a.phase == out, a.mayHave) {
 		verdict = Declined
 	}
 	late := a.late
@@ -763,7 +763,7 @@
 	}
 	if a.owner == nobody { // answered before, or too late to be told
 		e.stats.Late++
-		if doubt.Late(e.effects[a.job], false, false) == doubt.Stop {
+		if outcome.Late(e.effects[a.job], false, false) == outcome.Stop {
 			e.stop(a)
 		} else {
 			e.keep(a)
@@ -784,7 +784,7 @@
 
 // keep holds a running allocation of nobody's for its owner's next ask.
 func (e *Engine) keep(a *alloc) {
-	a.dueAt = e.now + doubt.KeepFor(e.terms.Settle)
+	a.dueAt = e.now + outcome.KeepFor(e.terms.Settle)
 	e.bells.Set(a.dueAt, dueKept, uint64(a.id))
 }
 
@@ -803,13 +803,13 @@
 			p, open = q, true
 		}
 	}
-	switch doubt.Late(e.effects[g.job], open, open && e.allocs[p].phase != waits) {
-	case doubt.Stop:
+	switch outcome.Late(e.effects[g.job], open, open && e.allocs[p].phase != waits) {
+	case outcome.Stop:
 		e.stopLate(name)
-	case doubt.Serve:
+	case outcome.Serve:
 		e.sched.Lapsed(e.now, e.allocs[p].id)
 		e.serveLate(name, p)
-	case doubt.Await:
+	case outcome.Await:
 		a := &e.allocs[p]
 		if a.late.ticket != 0 {
 			e.stopLate(name)
@@ -821,7 +821,7 @@
 		} else if !a.recalled {
 			e.recall(a)
 		}
-	case doubt.Keep:
+	case outcome.Keep:
 		if q := e.adopt(name, g); q >= 0 {
 			e.keep(&e.allocs[q])
 		}
@@ -853,7 +853,7 @@
 // lapseLate decides about a late start whose allocation was answered without it.
 func (e *Engine) lapseLate(name tryName) {
 	if g, ok := e.ghosts[name]; ok && name.ticket != 0 && !g.stopped {
-		if doubt.Late(e.effects[g.job], false, false) == doubt.Stop {
+		if outcome.Late(e.effects[g.job], false, false) == outcome.Stop {
 			e.stopLate(name)
 		} else {
 			if q := e.adopt(name, g); q >= 0 {
@@ -971,7 +971,7 @@
 	}
 	a.phase = held
 	e.pacer.Want(e.now, nd)
-	e.bells.Set(e.now+min(doubt.LinkFor(), timeout), dueLink, tryKey(id, a.try))
+	e.bells.Set(e.now+min(outcome.LinkFor(), timeout), dueLink, tryKey(id, a.try))
 }
 
 func (e *Engine) send(a *alloc, n *node) {
@@ -1034,7 +1034,7 @@
 	}
 	n.probing, n.sent, n.probeAt = true, n.ready, e.now
 	n.probeSeq++
-	e.bells.Set(e.now+doubt.ProbeFor(), dueProbe, uint64(uint32(n.probeSeq))<<32|uint64(uint32(nd)))
+	e.bells.Set(e.now+outcome.ProbeFor(), dueProbe, uint64(uint32(n.probeSeq))<<32|uint64(uint32(nd)))
 	if n.ready {
 		e.edge.Probe(n.id, n.probeSeq)
 	} else {
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"ravenpond/internal/decide/doubt"
 	"ravenpond/internal/decide/handover"
+	"ravenpond/internal/decide/outcome"
 	"ravenpond/logic"
 )
 
@@ -145,7 +145,7 @@
 		return false
 	}
 	if a := &e.allocs[p]; !e.nodes[nd].linked { // the connection broke on the way
-		a.doubtAt = now + doubt.Patience(true)
+		a.doubtAt = now + outcome.Patience(true)
 		e.bells.Set(a.doubtAt, dueDoubt, uint64(a.id))
 	}
 	return true
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"ravenpond/internal/decide/doubt"
+	"ravenpond/internal/decide/outcome"
 	"ravenpond/logic"
 )
 
@@ -193,10 +193,10 @@
 func (e *Engine) lose(nd int) {
 	for i := len(e.nodes[nd].on) - 1; i >= 0; i-- {
 		p := e.nodes[nd].on[i]
-		switch doubt.GoneFrom(false, e.allocs[p].phase != held) {
-		case doubt.MayHave:
+		switch outcome.GoneFrom(false, e.allocs[p].phase != held) {
+		case outcome.MayHave:
 			e.settle(p, logic.Broken, logic.NotTold, nil)
-		case doubt.Never:
+		case outcome.Never:
 			e.settle(p, logic.Unreached, logic.NotTold, nil)
 		}
 	}
@@ -315,10 +315,10 @@
 			}
 			continue
 		}
-		switch doubt.Returned(n.same, a.seen) {
-		case doubt.MayHave:
+		switch outcome.Returned(n.same, a.seen) {
+		case outcome.MayHave:
 			e.settle(p, logic.Broken, logic.NotTold, nil)
-		case doubt.Ask:
+		case outcome.Ask:
 			e.edge.Claim(id, a.ticket, a.try)
 		}
 	}
@@ -386,7 +386,7 @@
 // Unsent says that a try's last byte provably never left this machine. It comes before Unlinked.
 func (e *Engine) Unsent(now float64, id uint32, ticket uint64, try uint8) {
 	e.now, e.news = now, true
-	if p, ok := e.find(ticket, try); ok && e.allocs[p].phase == out && doubt.Broke(false) == doubt.Never {
+	if p, ok := e.find(ticket, try); ok && e.allocs[p].phase == out && outcome.Broke(false) == outcome.Never {
 		e.settle(p, logic.Unreached, logic.NotTold, nil)
 	}
 }
@@ -408,7 +408,7 @@
 	for _, p := range n.on {
 		a := &e.allocs[p]
 		if a.phase == out || a.phase == runs {
-			a.doubtAt = now + doubt.Patience(a.phase == runs)
+			a.doubtAt = now + outcome.Patience(a.phase == runs)
 			e.bells.Set(a.doubtAt, dueDoubt, uint64(a.id))
 		}
 	}
--- a/internal/platform/host/fence.go
+++ b/internal/platform/host/fence.go
@@ -6,7 +6,7 @@
 	"runtime/debug"
 	"slices"
 
-	"ravenpond/internal/decide/doubt"
+	"ravenpond/internal/decide/outcome"
 	"ravenpond/internal/decide/watch"
 	"ravenpond/logic"
 )
@@ -50,7 +50,7 @@
 	if !f.down {
 		return false
 	}
-	h.answerAll(func(a *alloc) bool { return doubt.Untold(f.cl.JobTypes[a.ask.jobType].Effect, a.tries) })
+	h.answerAll(func(a *alloc) bool { return outcome.Untold(f.cl.JobTypes[a.ask.jobType].Effect, a.tries) })
 	if _, start := f.dog.Look(h.now, []float64{h.now}); len(start) == 0 {
 		return true
 	}
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -11,7 +11,7 @@
 	"slices"
 
 	"ravenpond/internal/besteffort"
-	"ravenpond/internal/decide/doubt"
+	"ravenpond/internal/decide/outcome"
 	"ravenpond/internal/decide/stall"
 	"ravenpond/internal/decide/watch"
 	"ravenpond/internal/timers"
@@ -112,7 +112,7 @@
 // New starts a module.
 func New(edge Edge, now float64, seed uint64, cl *logic.Cluster) *Host {
 	h := &Host{edge: edge, step: cl.Step, most: cl.MaxTries, now: now, last: math.Inf(-1), allocs: map[uint32]*alloc{},
-		probes: map[uint32]probe{}, probeFor: doubt.ProbeFor()}
+		probes: map[uint32]probe{}, probeFor: outcome.ProbeFor()}
 	h.words.Tell = func(what, why string) { h.edge.Mode("words: " + what + " switched off: " + why) }
 	h.fence.begin(now, seed, cl)
 	h.mod = logic.New(acts{h}, now, seed, cl)
@@ -127,7 +127,7 @@
 func (h *Host) Patience(ms float64) { h.patience = ms }
 
 // Connects says how long a connection to a node may take to be made, which a probe may have to wait for.
-func (h *Host) Connects(ms float64) { h.probeFor = doubt.ProbeWithin(ms) }
+func (h *Host) Connects(ms float64) { h.probeFor = outcome.ProbeWithin(ms) }
 
 // Round rings what is due and lets the module decide. Rounds come no closer than the step; one that comes too early
 // does nothing.
@@ -331,7 +331,7 @@
 	a.unheard = true
 	if a.stands {
 		h.edge.Cut(id, a.node)
-		h.bells.Set(h.now+doubt.Latest(), dueEnd, tryKey(id, a.tries-1))
+		h.bells.Set(h.now+outcome.Latest(), dueEnd, tryKey(id, a.tries-1))
 		h.tell(func(m *logic.Scheduler) { m.Lapsed(h.now, id) })
 		return
 	}
@@ -469,7 +469,7 @@
 	if a := h.allocs[id]; a != nil && a.stands && !a.unheard {
 		a.unheard, a.moved = true, true
 		h.edge.Move(id) // ends it at its node too: a cut that came first there would leave the owner untold
-		h.bells.Set(h.now+doubt.Latest(), dueEnd, tryKey(id, a.tries-1))
+		h.bells.Set(h.now+outcome.Latest(), dueEnd, tryKey(id, a.tries-1))
 	}
 }
 
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -9,9 +9,9 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/decide/budget"
-	"ravenpond/internal/decide/doubt"
 	"ravenpond/internal/decide/lost"
 	"ravenpond/internal/decide/manners"
+	"ravenpond/internal/decide/outcome"
 	"ravenpond/internal/outside"
 	codec "ravenpond/internal/proto/platform"
 	"ravenpond/logic"
@@ -170,7 +170,7 @@
 	now := s.world.Now()
 	if err != nil {
 		s.trace("dial failed", 0, func(e *zerolog.Event) { e.Str("node", l.peer.name).Err(err) })
-		unmade := doubt.Unmade()
+		unmade := outcome.Unmade()
 		if errors.Is(err, outside.ErrSpent) { // the want is this machine's own, and says nothing of the node
 			s.counts.spent++
 			l.peer.watch.Missed()
@@ -258,7 +258,7 @@
 	}
 	l.given[a.task] = true
 	l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, a.task, codec.Normal) })
-	l.spend(doubt.Linger())
+	l.spend(outcome.Linger())
 }
 
 // spend has nothing new go on the connection, which ends when nothing is open on it, but not before so long.
@@ -372,12 +372,12 @@
 	l.s.trace("link broke", 0, func(e *zerolog.Event) {
 		e.Str("node", l.peer.name).Str("why", why).Int("open", len(l.asks)).Bool("spent", l.spent)
 	})
-	l.finish(func(a *ask) logic.Verdict { return doubt.Cut(a.sent <= handed) })
+	l.finish(func(a *ask) logic.Verdict { return outcome.Cut(a.sent <= handed) })
 }
 
 // spoil ends a connection on which something came that can't be read.
 func (l *link) spoil() {
-	l.finish(func(*ask) logic.Verdict { return doubt.Spoilt() })
+	l.finish(func(*ask) logic.Verdict { return outcome.Spoilt() })
 }
 
 func (l *link) finish(verdict func(*ask) logic.Verdict) {
