--- a/internal/decide/lost/lost.go
+++ b/internal/decide/nodefailure/nodefailure.go
@@ -1,7 +1,7 @@
-// Package lost decides when what stands at a node counts as lost with it. A node that lives sends the end of a task
+// Package nodefailure decides when what stands at a node counts as lost with it. A node that lives sends the end of a task
 // itself; one that died or is cut off can't. Its owner is to hear of the end in time, but a task that is called lost
 // while it runs is work thrown away: only a node that refuses, or that nothing has reached for long, has lost its tasks.
-package lost
+package nodefailure
 
 // Times in milliseconds.
 const (
--- a/internal/decide/lost/lost_test.go
+++ b/internal/decide/nodefailure/nodefailure_test.go
@@ -1,4 +1,4 @@
-package lost
+package nodefailure
 
 import "testing"
 
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/decide/budget"
-	"ravenpond/internal/decide/lost"
 	"ravenpond/internal/decide/manners"
+	"ravenpond/internal/decide/nodefailure"
 	"ravenpond/internal/decide/outcome"
 	"ravenpond/internal/outside"
 	codec "ravenpond/internal/proto/platform"
@@ -25,7 +25,7 @@
 	links         []*link
 	stands        map[*ask]bool
 	cuts          []cutting // ends that the node has not been told on any connection
-	watch         lost.Watch
+	watch         nodefailure.Watch
 }
 
 // cutting is a task that is to end at a node, until it is no use any more to say so.
