--- a/internal/decide/tail/tail.go
+++ b/internal/decide/watchretry/watchretry.go
@@ -1,7 +1,7 @@
-// Package tail decides when the journal service is asked anew: at once after a break, ever more rarely while it can't
+// Package watchretry decides when the journal service is asked anew: at once after a break, ever more rarely while it can't
 // be reached, and after a silence that its count of every second should have broken. It guards against a connection
 // that stays open and tells nothing.
-package tail
+package watchretry
 
 // Times in milliseconds.
 const (
--- a/internal/decide/tail/tail_test.go
+++ b/internal/decide/watchretry/watchretry_test.go
@@ -1,4 +1,4 @@
-package tail
+package watchretry
 
 import "testing"
 
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -7,7 +7,7 @@
 	"strconv"
 
 	"ravenpond/internal/decide/manners"
-	"ravenpond/internal/decide/tail"
+	"ravenpond/internal/decide/watchretry"
 	"ravenpond/internal/outside"
 	codec "ravenpond/internal/proto/platform"
 	"ravenpond/logic"
@@ -19,7 +19,7 @@
 // feed is the connection to the journal service.
 type feed struct {
 	address string
-	watch   tail.Watch
+	watch   watchretry.Watch
 	current *journalWatch
 	pos     uint64 // of the last event that was applied
 	asked   bool   // the module waits for news or for word that there is none
@@ -107,7 +107,7 @@
 	if f.watch.Ask(now) {
 		t := &journalWatch{s: s}
 		f.current = t
-		s.world.Dial(f.address, tail.Reach(), t.made)
+		s.world.Dial(f.address, watchretry.Reach(), t.made)
 	}
 	switch {
 	case f.asked && f.watch.Live(now):
