--- a/internal/decide/desk/desk.go
+++ b/internal/decide/desk/desk.go
@@ -15,7 +15,7 @@
 	"ravenpond/internal/decide/handover"
 	"ravenpond/internal/decide/ledger"
 	"ravenpond/internal/decide/shares"
-	"ravenpond/internal/decide/watch"
+	"ravenpond/internal/decide/watchdog"
 	"ravenpond/logic"
 )
 
@@ -42,7 +42,7 @@
 	terms   Terms
 	ledger  *ledger.Ledger
 	table   *shares.Table
-	dog     *watch.Dog
+	dog     *watchdog.Dog
 	gates   []admit.Gate
 	lost    map[ledger.Name]lost // what ran at a shard that is no more, until it is found
 	lostBy  map[ledger.Try]ledger.Name
@@ -66,7 +66,7 @@
 		weights[i] = 1
 	}
 	d := &Desk{terms: terms, ledger: ledger.Table(terms.Jobs, terms.Epoch), table: shares.New(terms.Way, weights),
-		dog: watch.New(now, terms.Most), gates: make([]admit.Gate, terms.Most), lost: map[ledger.Name]lost{}, lostBy: map[ledger.Try]ledger.Name{},
+		dog: watchdog.New(now, terms.Most), gates: make([]admit.Gate, terms.Most), lost: map[ledger.Name]lost{}, lostBy: map[ledger.Try]ledger.Name{},
 		resting: map[uint64]float64{}, leaves: map[int]bool{}, gone: map[int]bool{}, fresh: map[int]float64{}}
 	d.ledger.Trusted = terms.Trusted
 	if terms.Hosts {
@@ -247,7 +247,7 @@
 	}
 	fence, start = d.dog.Look(now, beats)
 	for i := range beats {
-		if !d.gone[i] && watch.Quiet(now, beats[i]) {
+		if !d.gone[i] && watchdog.Quiet(now, beats[i]) {
 			quiet = append(quiet, i)
 			for _, o := range d.ledger.Overdue(now, i, d.Within()) {
 				answer = append(answer, Fate{Orphan: o})
--- a/internal/decide/watch/watch.go
+++ b/internal/decide/watchdog/watchdog.go
@@ -1,7 +1,7 @@
-// Package watch decides when a shard is to be fenced and started again: it has panicked, or it stands still while the
+// Package watchdog decides when a shard is to be fenced and started again: it has panicked, or it stands still while the
 // process runs. It guards against a shard that holds its share of the allocations and answers none; and against
 // fencing all shards when it was the whole process that stood still.
-package watch
+package watchdog
 
 import "math"
 
--- a/internal/decide/watch/watch_test.go
+++ b/internal/decide/watchdog/watchdog_test.go
@@ -1,4 +1,4 @@
-package watch
+package watchdog
 
 import "testing"
 
--- a/internal/platform/host/fence.go
+++ b/internal/platform/host/fence.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"ravenpond/internal/decide/outcome"
-	"ravenpond/internal/decide/watch"
+	"ravenpond/internal/decide/watchdog"
 	"ravenpond/logic"
 )
 
@@ -16,7 +16,7 @@
 // itself keeps: the list, and what stands at nodes.
 type fence struct {
 	down  bool
-	dog   *watch.Dog
+	dog   *watchdog.Dog
 	seed  uint64
 	lives uint64
 	cl    *logic.Cluster
@@ -24,7 +24,7 @@
 }
 
 func (f *fence) begin(now float64, seed uint64, cl *logic.Cluster) {
-	f.dog, f.seed, f.cl = watch.New(now, 1), seed, cl
+	f.dog, f.seed, f.cl = watchdog.New(now, 1), seed, cl
 	f.list.all = map[uint32]entry{}
 }
 
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -13,7 +13,7 @@
 	"ravenpond/internal/besteffort"
 	"ravenpond/internal/decide/outcome"
 	"ravenpond/internal/decide/stall"
-	"ravenpond/internal/decide/watch"
+	"ravenpond/internal/decide/watchdog"
 	"ravenpond/internal/timers"
 	"ravenpond/logic"
 )
@@ -172,7 +172,7 @@
 		at = h.now
 	}
 	if h.fence.down {
-		at = min(at, h.now+watch.LookEach())
+		at = min(at, h.now+watchdog.LookEach())
 	}
 	return max(at, h.last+h.step, h.stalls.Until())
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -23,7 +23,7 @@
 	"ravenpond/internal/decide/entry"
 	"ravenpond/internal/decide/ledger"
 	"ravenpond/internal/decide/shares"
-	"ravenpond/internal/decide/watch"
+	"ravenpond/internal/decide/watchdog"
 	"ravenpond/internal/engine"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/site"
@@ -250,7 +250,7 @@
 }
 
 // lookEach is how often, in ms, the shards are looked at.
-func (s *Server) lookEach() float64 { return min(watch.LookEach(), s.who.Place.Margin/4) }
+func (s *Server) lookEach() float64 { return min(watchdog.LookEach(), s.who.Place.Margin/4) }
 
 // stood is how long the process has stood still just now: a look at the shards is overdue, or the last was.
 func (s *Server) stood() float64 {
