--- a/internal/decide/stall/stall.go
+++ b/internal/decide/pausedetect/pausedetect.go
@@ -1,7 +1,7 @@
-// Package stall notices that the process stood still and decides how to come back: first hear what came in
+// Package pausedetect notices that the process stood still and decides how to come back: first hear what came in
 // meanwhile, then act. It guards against acting on timers that ran out during the stand-still while the answers
 // that they waited for, and the news of drains, lie unread in the sockets.
-package stall
+package pausedetect
 
 // Times in milliseconds.
 const (
--- a/internal/decide/stall/stall_test.go
+++ b/internal/decide/pausedetect/pausedetect_test.go
@@ -1,4 +1,4 @@
-package stall
+package pausedetect
 
 import "testing"
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -16,8 +16,8 @@
 
 	"ravenpond/internal/decide/admit"
 	"ravenpond/internal/decide/outcome"
+	"ravenpond/internal/decide/pausedetect"
 	"ravenpond/internal/decide/redial"
-	"ravenpond/internal/decide/stall"
 	"ravenpond/internal/timers"
 	"ravenpond/logic"
 )
@@ -206,7 +206,7 @@
 	bells   timers.Heap[due]
 	pacer   *redial.Pacer
 	door    *admit.Door
-	watch   stall.Watch
+	watch   pausedetect.Watch
 	news    bool
 
 	allocs   []alloc
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -12,7 +12,7 @@
 
 	"ravenpond/internal/besteffort"
 	"ravenpond/internal/decide/outcome"
-	"ravenpond/internal/decide/stall"
+	"ravenpond/internal/decide/pausedetect"
 	"ravenpond/internal/decide/watchdog"
 	"ravenpond/internal/timers"
 	"ravenpond/logic"
@@ -96,7 +96,7 @@
 	allocs map[uint32]*alloc
 	count  uint32
 	probes map[uint32]probe
-	stalls stall.Watch
+	stalls pausedetect.Watch
 	open   int
 	stands int
 
