--- a/internal/decide/lag/lag.go
+++ b/internal/decide/overload/overload.go
@@ -1,8 +1,8 @@
-// Package lag follows how far a process is behind with what comes to it, and decides what follows. A process that was
+// Package overload follows how far a process is behind with what comes to it, and decides what follows. A process that was
 // given more than its part of a core can do reads late: answers lie unread while their time-outs run out, and an owner's
 // time runs while its ask does. It guards against trying again what was answered, and against taking what can't be done in
 // time.
-package lag
+package overload
 
 import "math"
 
--- a/internal/decide/lag/lag_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -1,4 +1,4 @@
-package lag
+package overload
 
 import (
 	"math"
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/rs/zerolog"
 
-	"ravenpond/internal/decide/lag"
+	"ravenpond/internal/decide/overload"
 	"ravenpond/internal/facts"
 	"ravenpond/internal/outside"
 	codec "ravenpond/internal/proto/platform"
@@ -267,7 +267,7 @@
 	now := r.w.Now()
 	r.until("a turn has met it", func() bool { r.s.mu.Lock(); defer r.s.mu.Unlock(); return r.s.ticked >= now })
 	r.s.mu.Lock()
-	r.s.lag = lag.Watch{}
+	r.s.lag = overload.Watch{}
 	r.s.mu.Unlock()
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -17,8 +17,8 @@
 	"ravenpond/internal/besteffort"
 	"ravenpond/internal/decide/admit"
 	"ravenpond/internal/decide/budget"
-	"ravenpond/internal/decide/lag"
 	"ravenpond/internal/decide/manners"
+	"ravenpond/internal/decide/overload"
 	"ravenpond/internal/decide/shutdown"
 	"ravenpond/internal/facts"
 	"ravenpond/internal/outside"
@@ -43,7 +43,7 @@
 	host        *host.Host
 	admit       *admit.Door
 	gate        admit.Gate
-	lag         lag.Watch
+	lag         overload.Watch
 	wanted      float64         // when the loop's next turn is due
 	inbox       []*ask          // taken, and not yet the host's
 	inboxAt     float64         // since when asks are taken out of it one after the other, 0: it was empty
@@ -187,7 +187,7 @@
 	s.host.Patience(s.lag.Patience(now))
 	took := 0
 	if now >= s.host.Soonest() { // else no round comes of it
-		took = s.takeIn(now, lag.TakeIn(s.gate.Cost()))
+		took = s.takeIn(now, overload.TakeIn(s.gate.Cost()))
 	}
 	s.host.Round(now)
 	if now >= s.ticked+tickEvery {
