--- a/internal/decide/manners/manners.go
+++ b/internal/decide/connlimits/connlimits.go
@@ -1,6 +1,6 @@
-// Package manners decides what a connection may do, and for how long, before it is closed or passed over. It guards
+// Package connlimits decides what a connection may do, and for how long, before it is closed or passed over. It guards
 // against peers that say nothing, say half, or take nothing, each alone.
-package manners
+package connlimits
 
 // Bounds of a connection that owners opened. Times in milliseconds.
 const (
--- a/internal/decide/manners/manners_test.go
+++ b/internal/decide/connlimits/connlimits_test.go
@@ -1,4 +1,4 @@
-package manners
+package connlimits
 
 import "testing"
 
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strconv"
 
-	"ravenpond/internal/decide/manners"
+	"ravenpond/internal/decide/connlimits"
 	"ravenpond/internal/decide/watchretry"
 	"ravenpond/internal/outside"
 	codec "ravenpond/internal/proto/platform"
@@ -155,7 +155,7 @@
 	default:
 		t.conn = c
 		s.feed.watch.Linked(now)
-		c.Begin(t, manners.Stuck)
+		c.Begin(t, connlimits.Stuck)
 		c.Send(func(b []byte) []byte {
 			return append(strconv.AppendUint(append(b, "tail "...), s.feed.pos, 10), '\n')
 		})
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/decide/budget"
-	"ravenpond/internal/decide/manners"
+	"ravenpond/internal/decide/connlimits"
 	"ravenpond/internal/decide/nodefailure"
 	"ravenpond/internal/decide/outcome"
 	"ravenpond/internal/outside"
@@ -143,7 +143,9 @@
 }
 
 // fresh tells whether a connection may still be used.
-func (s *Server) fresh(l *link, now float64) bool { return manners.Fresh(now-l.idle, s.known.IdleFor) }
+func (s *Server) fresh(l *link, now float64) bool {
+	return connlimits.Fresh(now-l.idle, s.known.IdleFor)
+}
 
 // open tells whether a connection is being made, or its node has not closed it: what is sent on one that is closed may be lost with it, or
 // may not.
@@ -195,7 +197,7 @@
 	l.conn = c
 	l.idle = now
 	l.peer.watch.Heard(now)
-	c.Begin(l, manners.Stuck)
+	c.Begin(l, connlimits.Stuck)
 	for _, a := range slices.Clone(l.asks) {
 		if now >= a.until { // what waited for it longer than it was decided for is void
 			l.drop(a)
@@ -285,7 +287,7 @@
 
 // owes keeps an end until the node can be told.
 func (p *peer) owes(now float64, task uint64) {
-	p.cuts = append(p.cuts[max(0, len(p.cuts)-manners.MostCuts+1):], cutting{task, now + manners.CutFor})
+	p.cuts = append(p.cuts[max(0, len(p.cuts)-connlimits.MostCuts+1):], cutting{task, now + connlimits.CutFor})
 }
 
 func (l *link) tellCuts(now float64) {
@@ -552,7 +554,7 @@
 			l.end(true)
 		case l.free() && !s.fresh(l, now):
 			l.end(true)
-		case len(l.asks) == 0 && l.probe != 0 && manners.Mute(now-l.probeAt):
+		case len(l.asks) == 0 && l.probe != 0 && connlimits.Mute(now-l.probeAt):
 			l.probe = 0
 			l.end(true) // it says nothing: a new one tells whether its node does
 		default:
--- a/internal/platform/owners.go
+++ b/internal/platform/owners.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/decide/admit"
-	"ravenpond/internal/decide/manners"
+	"ravenpond/internal/decide/connlimits"
 	"ravenpond/internal/outside"
 	codec "ravenpond/internal/proto/platform"
 	"ravenpond/logic"
@@ -55,7 +55,7 @@
 		s.guests++
 	}
 	s.owners[o] = true
-	c.Begin(o, manners.Stuck)
+	c.Begin(o, connlimits.Stuck)
 }
 
 // letIn has a guest that said something of use take the place of a connection that does nothing. It tells whether the connection is in.
@@ -67,7 +67,7 @@
 	if len(s.owners)-s.guests >= s.parts.Owners {
 		var idlest *owner
 		for _, x := range s.eachOwner() {
-			if !x.guest && len(x.open) == 0 && len(x.stands) == 0 && len(x.in) == 0 && now-x.usedAt > manners.IdleEnough &&
+			if !x.guest && len(x.open) == 0 && len(x.stands) == 0 && len(x.in) == 0 && now-x.usedAt > connlimits.IdleEnough &&
 				(idlest == nil || x.before(idlest)) {
 				idlest = x
 			}
@@ -112,7 +112,7 @@
 	switch {
 	case !ok:
 		return 0
-	case waits > manners.MostWaits:
+	case waits > connlimits.MostWaits:
 		o.expel("takes nothing")
 		return 0
 	}
@@ -311,7 +311,7 @@
 	}
 	left, okLeft := codec.Number(msg, codec.Left)
 	description, okDesc := codec.Param(msg, codec.Description)
-	if !okLeft || !manners.Means(left, s.known.Expiry[jobType]) || !okDesc || len(description) == 0 {
+	if !okLeft || !connlimits.Means(left, s.known.Expiry[jobType]) || !okDesc || len(description) == 0 {
 		turn(codec.Errored, "time left or description")
 		return
 	}
@@ -338,7 +338,7 @@
 		turn(codec.Busy, "behind")
 		return
 	}
-	if why := s.admit.Enter(tenant, left, manners.LeastLeft, true); why != admit.Taken {
+	if why := s.admit.Enter(tenant, left, connlimits.LeastLeft, true); why != admit.Taken {
 		turn(codec.Busy, why.String())
 		return
 	}
@@ -394,12 +394,12 @@
 func (s *Server) ownersTick(now float64) {
 	for _, o := range s.eachOwner() {
 		switch {
-		case !o.useful && now-o.since > manners.FirstWord:
+		case !o.useful && now-o.since > connlimits.FirstWord:
 			o.expel("says nothing of use")
-		case len(o.in) > 0 && now-o.halfAt > manners.HalfWord:
+		case len(o.in) > 0 && now-o.halfAt > connlimits.HalfWord:
 			o.expel("half a message")
 		case len(s.owed) > 0 && (o.proven || o.asked) && o.listens():
-			for len(s.owed) > 0 && (o.proven || now-s.owed[0].since >= manners.EndWaits) && o.say(s.owed[0].append) {
+			for len(s.owed) > 0 && (o.proven || now-s.owed[0].since >= connlimits.EndWaits) && o.say(s.owed[0].append) {
 				s.owed = s.owed[1:]
 			}
 			if len(s.owed) == 0 {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -17,7 +17,7 @@
 	"ravenpond/internal/besteffort"
 	"ravenpond/internal/decide/admit"
 	"ravenpond/internal/decide/budget"
-	"ravenpond/internal/decide/manners"
+	"ravenpond/internal/decide/connlimits"
 	"ravenpond/internal/decide/overload"
 	"ravenpond/internal/decide/shutdown"
 	"ravenpond/internal/facts"
@@ -430,7 +430,7 @@
 		}
 	}
 	w.since = s.world.Now()
-	s.owed = append(s.owed[max(0, len(s.owed)-manners.MostEnds+1):], w)
+	s.owed = append(s.owed[max(0, len(s.owed)-connlimits.MostEnds+1):], w)
 }
 
 func (s edge) Forget(alloc uint32) {
