--- a/internal/decide/redial/redial.go
+++ b/internal/decide/reconnect/reconnect.go
@@ -1,7 +1,7 @@
-// Package redial decides when to connect to which node: at most so many dials at once, nodes that are wanted now
+// Package reconnect decides when to connect to which node: at most so many dials at once, nodes that are wanted now
 // first, and a node that does not answer ever more rarely. It guards against a storm of dials when thousands of
 // nodes come up or a hall is lost, and against a loop on nodes whose address refuses.
-package redial
+package reconnect
 
 import (
 	"container/heap"
--- a/internal/decide/redial/redial_test.go
+++ b/internal/decide/reconnect/reconnect_test.go
@@ -1,4 +1,4 @@
-package redial
+package reconnect
 
 import "testing"
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -17,7 +17,7 @@
 	"ravenpond/internal/decide/admit"
 	"ravenpond/internal/decide/outcome"
 	"ravenpond/internal/decide/pausedetect"
-	"ravenpond/internal/decide/redial"
+	"ravenpond/internal/decide/reconnect"
 	"ravenpond/internal/timers"
 	"ravenpond/logic"
 )
@@ -204,7 +204,7 @@
 	effects []logic.Effect
 	now     float64
 	bells   timers.Heap[due]
-	pacer   *redial.Pacer
+	pacer   *reconnect.Pacer
 	door    *admit.Door
 	watch   pausedetect.Watch
 	news    bool
@@ -235,7 +235,7 @@
 
 // New starts an engine at a time. The last list known comes next.
 func New(edge Edge, now float64, terms Terms) *Engine {
-	e := &Engine{edge: edge, terms: terms, now: now, pacer: redial.New(terms.Seed),
+	e := &Engine{edge: edge, terms: terms, now: now, pacer: reconnect.New(terms.Seed),
 		door: admit.New(terms.Open, terms.Shares), at: map[uint32]int{}, byToken: map[named]int{}, asks: map[ask]int{},
 		adopted: map[tryName]int{}, ghosts: map[tryName]ghost{}, nodeAt: map[uint32]int{},
 		outs: map[uint32]uint8{}}
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sync"
 
-	"ravenpond/internal/decide/redial"
+	"ravenpond/internal/decide/reconnect"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/list"
@@ -39,7 +39,7 @@
 	told bool
 
 	mu      sync.Mutex
-	pace    *redial.Pacer
+	pace    *reconnect.Pacer
 	waits   []call
 	conn    outside.Conn // nil while there is none
 	dialing bool
@@ -57,7 +57,7 @@
 }
 
 func newLister(s *Server) *lister {
-	return &lister{s: s, told: !s.who.Place.Cluster.AsksForList, pace: redial.New(s.who.Seed + 1)}
+	return &lister{s: s, told: !s.who.Place.Cluster.AsksForList, pace: reconnect.New(s.who.Seed + 1)}
 }
 
 // begin begins the watch where the list tells unasked.
