--- a/internal/decide/members/hear.go
+++ b/internal/decide/members/hear.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"ravenpond/internal/decide/parts"
+	"ravenpond/internal/decide/slowstart"
 	"ravenpond/internal/decide/witness"
 	codec "ravenpond/internal/proto/members"
 )
@@ -136,9 +136,9 @@
 // leased takes leave that came with an answer to a probe sent at a time.
 func (d *Detector) leased(sent float64) {
 	if h := &d.head; d.share != nil && h.place > 0 {
-		d.share.Answered(sent, h.place-1, h.given, parts.Of(h.counted))
+		d.share.Answered(sent, h.place-1, h.given, slowstart.Of(h.counted))
 		if d.lent != nil {
-			d.lent.Answered(sent, h.place-1, h.lent, parts.Of(h.lentCounted))
+			d.lent.Answered(sent, h.place-1, h.lent, slowstart.Of(h.lentCounted))
 		}
 	}
 }
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -20,7 +20,7 @@
 
 	"ravenpond/internal/decide/carry"
 	"ravenpond/internal/decide/news"
-	"ravenpond/internal/decide/parts"
+	"ravenpond/internal/decide/slowstart"
 	"ravenpond/internal/decide/witness"
 	codec "ravenpond/internal/proto/members"
 	"ravenpond/internal/timers"
@@ -228,8 +228,8 @@
 
 	words news.Board
 	nodes witness.Board
-	share *parts.Holder // nil: nothing is shared
-	lent  *parts.Holder // nil: nothing is lent
+	share *slowstart.Holder // nil: nothing is shared
+	lent  *slowstart.Holder // nil: nothing is lent
 
 	// Figures, since the start.
 	Figures Figures
@@ -251,11 +251,11 @@
 		d.who.Life = 1
 	}
 	if who.Places > 0 && who.Places <= mostPlaces {
-		lease := parts.Charter{Places: who.Places, Lease: parts.LeaseFor(who.Places, period), Window: who.Window,
+		lease := slowstart.Charter{Places: who.Places, Lease: slowstart.LeaseFor(who.Places, period), Window: who.Window,
 			Turn: 2 * period * float64(who.Places)}
-		d.share = parts.New(now, lease, who.Place)
+		d.share = slowstart.New(now, lease, who.Place)
 		if lease.Window = who.Open; who.Open > 0 {
-			d.lent = parts.New(now, lease, who.Place)
+			d.lent = slowstart.New(now, lease, who.Place)
 		}
 	}
 	d.me = &member{Member: Member{Name: who.Name, Address: who.Address, State: Alive, Since: now, By: who.Name}, told: 0}
@@ -310,7 +310,7 @@
 	return d.lease(d.lent, now)
 }
 
-func (d *Detector) lease(h *parts.Holder, now float64) (n int, until float64) {
+func (d *Detector) lease(h *slowstart.Holder, now float64) (n int, until float64) {
 	if h == nil || d.taken || d.leaving {
 		return 0, now
 	}
@@ -771,7 +771,7 @@
 	case kind == codec.Ack && d.head.kind == codec.Ping && d.head.place > 0: // not one that is passed on for another
 		given, counted := d.share.Asked(d.now, d.head.place-1)
 		var lent bool
-		var lentCounted parts.Set
+		var lentCounted slowstart.Set
 		if d.lent != nil {
 			lent, lentCounted = d.lent.Asked(d.now, d.head.place-1)
 		}
--- a/internal/decide/parts/parts.go
+++ b/internal/decide/slowstart/slowstart.go
@@ -1,4 +1,4 @@
-// Package parts decides how many schedulers share what a cold node bears while schedulers come, fail, stand still and lose
+// Package slowstart decides how many schedulers share what a cold node bears while schedulers come, fail, stand still and lose
 // each other. What all may send together never passes the whole, whatever views they have; a part that lies idle because
 // its holder is gone goes to the others once the holder provably sends no more. docs/design/members.md has the proof.
 //
@@ -6,7 +6,7 @@
 // half of all places, none of it older than a lease lasts. Whoever gives leave counts its receiver before and after, for
 // as long as a lease and a window last; and says whom it counts. As any two majorities meet, each process that takes part
 // is told by somebody of each other that does.
-package parts
+package slowstart
 
 import (
 	"bytes"
--- a/internal/decide/parts/parts_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -1,4 +1,4 @@
-package parts
+package slowstart
 
 import (
 	"fmt"
