--- a/internal/decide/lend/lend.go
+++ b/internal/decide/quotalease/quotalease.go
@@ -1,8 +1,8 @@
-// Package lend decides how much of a limit that holds for all processes together one of them may use while processes come,
+// Package quotalease decides how much of a limit that holds for all processes together one of them may use while processes come,
 // fail, stand still and lose each other. A part of each limit is divided by place and never lent, so who hears nobody still
 // serves; the rest goes, in equal parts, to those who hold a lease on it (decide/slowstart). What all may use never exceeds the
 // limit: those who hold a lease each reckon with all who do, and who held one reckons with what is still open by it.
-package lend
+package quotalease
 
 import "ravenpond/internal/decide/fair"
 
--- a/internal/decide/lend/lend_test.go
+++ b/internal/decide/quotalease/quotalease_test.go
@@ -1,4 +1,4 @@
-package lend
+package quotalease
 
 import (
 	"math"
