--- a/internal/decide/members/hear.go
+++ b/internal/decide/members/hear.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
+	"ravenpond/internal/decide/reachability"
 	"ravenpond/internal/decide/slowstart"
-	"ravenpond/internal/decide/witness"
 	codec "ravenpond/internal/proto/members"
 )
 
@@ -97,7 +97,7 @@
 
 // Silent takes a question for a node, for the answer to the ping that bears it.
 func (d taker) Silent(node uint32) {
-	if len(d.head.silent) < witness.Most {
+	if len(d.head.silent) < reachability.Most {
 		d.head.silent = append(d.head.silent, node)
 	}
 }
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -20,8 +20,8 @@
 
 	"ravenpond/internal/decide/carry"
 	"ravenpond/internal/decide/news"
+	"ravenpond/internal/decide/reachability"
 	"ravenpond/internal/decide/slowstart"
-	"ravenpond/internal/decide/witness"
 	codec "ravenpond/internal/proto/members"
 	"ravenpond/internal/timers"
 )
@@ -227,7 +227,7 @@
 	whole   carry.Whole
 
 	words news.Board
-	nodes witness.Board
+	nodes reachability.Board
 	share *slowstart.Holder // nil: nothing is shared
 	lent  *slowstart.Holder // nil: nothing is lent
 
--- a/internal/decide/witness/witness.go
+++ b/internal/decide/reachability/reachability.go
@@ -1,10 +1,10 @@
-// Package witness decides whether a node that has fallen silent here is dead, or the way to it is: by what other schedulers hear
+// Package reachability decides whether a node that has fallen silent here is dead, or the way to it is: by what other schedulers hear
 // of it. A word of others never has this process send anything to a node that it does not reach. It may wait longer for what
 // runs there, as the node does run, or give it up sooner, as the node has begun another life.
 //
 // It guards against word that is older than the silence, against a way that is broken for most, which is no death, and against
 // questions and answers without bound.
-package witness
+package reachability
 
 import (
 	"math"
--- a/internal/decide/witness/witness_test.go
+++ b/internal/decide/reachability/reachability_test.go
@@ -1,4 +1,4 @@
-package witness
+package reachability
 
 import (
 	"fmt"
