--- a/internal/decide/degree/degree.go
+++ b/internal/decide/isolation/isolation.go
@@ -1,6 +1,6 @@
-// Package degree decides how far a process is cut off from the others, by how many it knows and how many of them are there.
+// Package isolation decides how far a process is cut off from the others, by how many it knows and how many of them are there.
 // Degrees are entered late and left later, so that none flaps with a suspicion or a single death.
-package degree
+package isolation
 
 // Degree is how far a process is cut off.
 type Degree uint8
--- a/internal/decide/degree/degree_test.go
+++ b/internal/decide/isolation/isolation_test.go
@@ -1,4 +1,4 @@
-package degree
+package isolation
 
 import "testing"
 
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"ravenpond/internal/decide/council"
-	"ravenpond/internal/decide/degree"
+	"ravenpond/internal/decide/isolation"
 	decide "ravenpond/internal/decide/members"
 	"ravenpond/internal/members"
 	"ravenpond/internal/outside"
@@ -35,7 +35,7 @@
 	run     *members.Runner
 	sharers atomic.Int64  // how many share what a cold node bears; 0: this process takes no part
 	until   atomic.Uint64 // bits of until when that holds
-	degree  degree.Gauge
+	degree  isolation.Gauge
 	mu      sync.Mutex
 	life    uint64
 	council Book     // what the council said of itself last
