--- a/internal/decide/carry/carry.go
+++ b/internal/decide/fragment/fragment.go
@@ -1,7 +1,7 @@
-// Package carry cuts messages into parts that fit a datagram and puts them together again. A message of which a part is
+// Package fragment cuts messages into parts that fit a datagram and puts them together again. A message of which a part is
 // lost is lost: who sent it says it again, or something newer. It guards against parts that come twice, late, out of order or
 // never, and against senders that begin many messages and end none.
-package carry
+package fragment
 
 // Bounds of messages.
 const (
--- a/internal/decide/carry/carry_test.go
+++ b/internal/decide/fragment/fragment_test.go
@@ -1,4 +1,4 @@
-package carry
+package fragment
 
 import (
 	"bytes"
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -18,7 +18,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"ravenpond/internal/decide/carry"
+	"ravenpond/internal/decide/fragment"
 	"ravenpond/internal/decide/news"
 	"ravenpond/internal/decide/reachability"
 	"ravenpond/internal/decide/slowstart"
@@ -224,7 +224,7 @@
 
 	carrier Carrier // nil: nothing is carried
 	book    uint64  // the version of the book that this process holds
-	whole   carry.Whole
+	whole   fragment.Whole
 
 	words news.Board
 	nodes reachability.Board
@@ -358,7 +358,7 @@
 		return false
 	}
 	d.count++
-	parts := carry.Cut(body, codec.MostPart)
+	parts := fragment.Cut(body, codec.MostPart)
 	for i, p := range parts {
 		m.counts++
 		b := codec.Begin(nil, d.who.Site, d.who.Name, d.who.Address, d.who.Life, m.counts, m.Life, codec.Carry, d.count, "", 0, "", "")
