--- a/internal/decide/news/news.go
+++ b/internal/decide/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package news decides what schedulers tell each other of the node list: that a node drains or is gone, by which version of
+// Package gossip decides what schedulers tell each other of the node list: that a node drains or is gone, by which version of
 // the list. A scheduler that is cut off from the list learns of it so from those who are not. A word of others makes it
 // more careful alone: it holds a node back until its own list has come as far, and says nothing of one that is ready.
-package news
+package gossip
 
 import (
 	"cmp"
--- a/internal/decide/news/news_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -1,4 +1,4 @@
-package news
+package gossip
 
 import (
 	"fmt"
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -19,7 +19,7 @@
 	"slices"
 
 	"ravenpond/internal/decide/fragment"
-	"ravenpond/internal/decide/news"
+	"ravenpond/internal/decide/gossip"
 	"ravenpond/internal/decide/reachability"
 	"ravenpond/internal/decide/slowstart"
 	codec "ravenpond/internal/proto/members"
@@ -226,7 +226,7 @@
 	book    uint64  // the version of the book that this process holds
 	whole   fragment.Whole
 
-	words news.Board
+	words gossip.Board
 	nodes reachability.Board
 	share *slowstart.Holder // nil: nothing is shared
 	lent  *slowstart.Holder // nil: nothing is lent
