--- a/internal/decide/shift/shift.go
+++ b/internal/decide/drainpace/drainpace.go
@@ -1,7 +1,7 @@
-// Package shift decides how work is moved off nodes that a maintenance window takes out: when each job type's is
+// Package drainpace decides how work is moved off nodes that a maintenance window takes out: when each job type's is
 // moved, and at what pace, so that neither its services nor the rest of the fleet get more starts at once than they
 // bear.
-package shift
+package drainpace
 
 import (
 	"math"
--- a/internal/decide/shift/shift_test.go
+++ b/internal/decide/drainpace/drainpace_test.go
@@ -1,4 +1,4 @@
-package shift
+package drainpace
 
 import (
 	"testing"
--- a/internal/lab/month/month.go
+++ b/internal/lab/month/month.go
@@ -16,7 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"ravenpond/internal/decide/calendar"
-	"ravenpond/internal/decide/shift"
+	"ravenpond/internal/decide/drainpace"
 	"ravenpond/internal/engine"
 	"ravenpond/internal/lab/agenda"
 	"ravenpond/internal/proto/line"
@@ -417,7 +417,7 @@
 	if p.w.Plant == NoGuard {
 		lim.Guard = 0
 	}
-	p.keep = &upkeep.Keeper{Store: p.store, Hands: hand{p}, Limits: lim, Manners: []shift.Manner{shift.Late, shift.Early, shift.RunOut}}
+	p.keep = &upkeep.Keeper{Store: p.store, Hands: hand{p}, Limits: lim, Manners: []drainpace.Manner{drainpace.Late, drainpace.Early, drainpace.RunOut}}
 	p.eng.ListBegin(p.clock(), logic.ListCached)
 	for _, s := range p.w.nodes {
 		p.eng.ListNode(s.id, "x", logic.Ready, 0, 32, 64, s.zone, s.cell, s.kind)
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"ravenpond/internal/decide/calendar"
-	"ravenpond/internal/decide/shift"
+	"ravenpond/internal/decide/drainpace"
 	"ravenpond/internal/strictxml"
 	"ravenpond/logic"
 )
@@ -153,8 +153,8 @@
 	Owners, OwnerQueue int
 	NodeQueue          int
 	Drains             calendar.Limits
-	Manners            []shift.Manner // by job type, how its work leaves a node that is taken out
-	Shards, MostShards int            // at the start, and that may run until the next start
+	Manners            []drainpace.Manner // by job type, how its work leaves a node that is taken out
+	Shards, MostShards int                // at the start, and that may run until the next start
 	Connections        Connections
 	PlaceBy            int // a shares.Way
 	ListAddress        string
@@ -286,9 +286,9 @@
 		if j.Number("expiry") <= p.Margin+4*p.Cluster.Step {
 			fault(j, "<job-type>: expiry within the answer margin: nothing of it could be taken")
 		}
-		manner := shift.Usual(jt.Effect)
+		manner := drainpace.Usual(jt.Effect)
 		if j.Has("drain") {
-			manner = shift.Manner(j.Word("drain"))
+			manner = drainpace.Manner(j.Word("drain"))
 		}
 		p.Manners = append(p.Manners, manner)
 		p.Jobs = append(p.Jobs, j.Text("name"))
--- a/internal/upkeep/upkeep.go
+++ b/internal/upkeep/upkeep.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ravenpond/internal/decide/calendar"
-	"ravenpond/internal/decide/shift"
+	"ravenpond/internal/decide/drainpace"
 	"ravenpond/internal/state/drains"
 )
 
@@ -37,8 +37,8 @@
 	Store   Store
 	Hands   Hands
 	Limits  calendar.Limits
-	Manners []shift.Manner // by job type
-	Load    calendar.Usual // the same at every process that shares the calendar
+	Manners []drainpace.Manner // by job type
+	Load    calendar.Usual     // the same at every process that shares the calendar
 
 	told    map[string]bool // drains announced in this life of the process
 	spared  map[string]bool // and those whose work is left alone, as too much is lost
@@ -173,7 +173,7 @@
 	delete(k.spared, name(v))
 	ms := func(t time.Time) float64 { return float64(t.UnixNano()) / 1e6 }
 	for job, n := range there {
-		if most := shift.Moves(k.Manners[job], ms(now), ms(v.Drain), ms(v.Start), ms(k.last), n, all); most > 0 {
+		if most := drainpace.Moves(k.Manners[job], ms(now), ms(v.Drain), ms(v.Start), ms(k.last), n, all); most > 0 {
 			k.Hands.MoveOff(v.Nodes, job, most)
 		}
 	}
@@ -186,7 +186,7 @@
 		switch v.Ending {
 		case calendar.Sweep:
 			for job, n := range there {
-				if k.Manners[job] != shift.RunOut {
+				if k.Manners[job] != drainpace.RunOut {
 					k.Hands.MoveOff(v.Nodes, job, n)
 				}
 			}
--- a/internal/upkeep/upkeep_test.go
+++ b/internal/upkeep/upkeep_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"ravenpond/internal/decide/calendar"
-	"ravenpond/internal/decide/shift"
+	"ravenpond/internal/decide/drainpace"
 	"ravenpond/internal/state/drains"
 )
 
@@ -74,7 +74,7 @@
 
 func keeper(s Store, h *hands) *Keeper {
 	return &Keeper{Store: s, Hands: h, Limits: calendar.Limits{Fleet: 0.5, Zone: 1, Kind: 1, Margin: 1},
-		Manners: []shift.Manner{shift.Late, shift.RunOut}}
+		Manners: []drainpace.Manner{drainpace.Late, drainpace.RunOut}}
 }
 
 func fleet() (all []calendar.Node) {
