--- a/cmd/ravenpond/tenant.go
+++ b/cmd/ravenpond/tenant.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"ravenpond/internal/decide/fair"
+	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/tenancy"
 	"ravenpond/internal/site"
 	"ravenpond/internal/state/bolt"
@@ -99,7 +99,7 @@
 
 func (c *tenantAdd) Run() error {
 	return c.do(func(*tenants.Store) (tenancy.Change, error) {
-		return tenancy.Change{Kind: tenancy.Add, Limits: tenancy.Limits{Limits: fair.Limits{Share: c.Share, Rate: c.Rate,
+		return tenancy.Change{Kind: tenancy.Add, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: c.Share, Rate: c.Rate,
 			Burst: c.Burst, Open: c.Open, Wait: c.Wait}, Conns: c.Conns, Bytes: c.Bytes}}, nil
 	})
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -20,7 +20,7 @@
 	"google.golang.org/grpc/status"
 
 	"ravenpond/internal/decide/access"
-	"ravenpond/internal/decide/fair"
+	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/tenancy"
 	"ravenpond/internal/keys"
 	pb "ravenpond/internal/proto/admin"
@@ -273,7 +273,7 @@
 }
 
 // What a new tenant has where nothing else is said.
-var usual = tenancy.Limits{Limits: fair.Limits{Share: 1, Burst: 10, Wait: 1000}}
+var usual = tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Burst: 10, Wait: 1000}}
 
 // Add adds a tenant.
 func (s *Server) Add(ctx context.Context, r *pb.AddRequest) (*pb.Tenant, error) {
--- a/internal/decide/desk/line.go
+++ b/internal/decide/desk/line.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"ravenpond/internal/decide/fair"
+	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/ledger"
 	"ravenpond/internal/decide/tenancy"
 )
@@ -21,8 +21,8 @@
 )
 
 type line struct {
-	queue   *fair.Queue
-	fill    *fair.Fill
+	queue   *fairqueue.Queue
+	fill    *fairqueue.Fill
 	urgency []int // by job type
 	ids     uint64
 	waits   map[uint64]waiting
@@ -57,11 +57,11 @@
 	}
 	order := slices.Clone(values)
 	slices.Sort(order)
-	l := &line{fill: fair.NewFill(), waits: map[uint64]waiting{}, by: map[asked]uint64{}}
+	l := &line{fill: fairqueue.NewFill(), waits: map[uint64]waiting{}, by: map[asked]uint64{}}
 	for _, v := range values {
 		l.urgency = append(l.urgency, slices.Index(order, v))
 	}
-	l.queue = fair.New(1, 1, d.terms.Open)
+	l.queue = fairqueue.New(1, 1, d.terms.Open)
 	l.queue.Free(0, 0, leastOpen*d.terms.Most)
 	d.ledger.Count = l.queue.Count
 	d.ledger.Held = func(tenant int, a *ledger.Ask, by float64) {
@@ -104,12 +104,12 @@
 	verdict, back := l.queue.Ask(now, n.Tenant, id, l.urgency[a.Job], a.Cores, a.Memory, a.Expiry-d.terms.Margin)
 	w := waiting{n, a, unread, now}
 	switch verdict {
-	case fair.Declined:
+	case fairqueue.Declined:
 		e.Why, e.Back = "over-share", back
-	case fair.Waits:
+	case fairqueue.Waits:
 		l.keep(id, w)
 		e.Waits = true
-	case fair.Passes:
+	case fairqueue.Passes:
 		return d.place(now, id, w, queue)
 	}
 	return e
--- a/internal/decide/desk/line_test.go
+++ b/internal/decide/desk/line_test.go
@@ -5,7 +5,7 @@
 
 	"pgregory.net/rapid"
 
-	"ravenpond/internal/decide/fair"
+	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/ledger"
 	"ravenpond/internal/decide/tenancy"
 )
@@ -13,7 +13,7 @@
 func hosting(shards, open int) *Desk {
 	d := New(0, Terms{Jobs: jobs, Shards: shards, Most: shards, Open: open, Margin: 100, Epoch: 1, Hosts: true})
 	for i := range 3 {
-		d.Tenant(0, i, tenancy.Duty{Limits: fair.Limits{Share: 1, Wait: 6}, Takes: true})
+		d.Tenant(0, i, tenancy.Duty{Limits: fairqueue.Limits{Share: 1, Wait: 6}, Takes: true})
 	}
 	d.Listed(Room{10, 10}, Room{10, 10}, true)
 	return d
@@ -136,7 +136,7 @@
 		d := hosting(1, 100)
 		full(d)
 		d.Enter(0, of(1, 50), ask(50), 0, calm)
-		all := d.Tenant(1, 1, tenancy.Duty{Limits: fair.Limits{Share: 1, Stop: true}})
+		all := d.Tenant(1, 1, tenancy.Duty{Limits: fairqueue.Limits{Share: 1, Stop: true}})
 		if len(all) != 1 || all[0].Why != "not-taken" {
 			t.Errorf("%+v", all)
 		}
--- a/internal/decide/fair/fair.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -1,4 +1,4 @@
-// Package fair decides whose allocation goes on to be placed next, among tenants that share a scheduler. Each has a share,
+// Package fairqueue decides whose allocation goes on to be placed next, among tenants that share a scheduler. Each has a share,
 // a rate, a number that may be open at once and a bounded line; what is beyond that is declined at once with an honest
 // time to come back. It guards against one tenant's flood starving another's calm work, and against limits that leave
 // machines idle while somebody waits.
@@ -6,7 +6,7 @@
 // Shares are of the dominant resource: an allocation costs the larger of its parts of all cores and of all memory, and
 // each tenant's cost runs on a clock of its own, slower the larger its share. Who is behind goes first. A tenant that was
 // idle begins at the clock of those who were not, so that idle time can be lent but not saved up.
-package fair
+package fairqueue
 
 import (
 	"container/heap"
--- a/internal/decide/fair/fill.go
+++ b/internal/decide/fairqueue/fill.go
@@ -1,4 +1,4 @@
-package fair
+package fairqueue
 
 // Fill decides how much of the machines' room may be taken before asks wait in their tenants' lines. What passes beyond what
 // there is waits behind here, where nobody looks at tenants any more, and calm and flooding alike are refused by nodes and
--- a/internal/decide/fair/fill_test.go
+++ b/internal/decide/fairqueue/fill_test.go
@@ -1,4 +1,4 @@
-package fair
+package fairqueue
 
 import (
 	"fmt"
--- a/internal/decide/quotalease/quotalease.go
+++ b/internal/decide/quotalease/quotalease.go
@@ -4,7 +4,7 @@
 // limit: those who hold a lease each reckon with all who do, and who held one reckons with what is still open by it.
 package quotalease
 
-import "ravenpond/internal/decide/fair"
+import "ravenpond/internal/decide/fairqueue"
 
 // Part is what a process may use of limits at a moment. The zero value is of a process that is alone.
 type Part struct {
@@ -20,7 +20,7 @@
 	if p.Places > 0 && limit > 0 {
 		lent = int(float64(limit)*p.Lends/float64(p.Places)) * p.Places
 	}
-	part := fair.Part(limit-lent, p.Places, p.Index)
+	part := fairqueue.Part(limit-lent, p.Places, p.Index)
 	if p.Sharers > 0 {
 		part += lent / p.Sharers
 	}
--- a/internal/decide/tenancy/tenancy.go
+++ b/internal/decide/tenancy/tenancy.go
@@ -13,7 +13,7 @@
 	"slices"
 
 	"ravenpond/internal/decide/entry"
-	"ravenpond/internal/decide/fair"
+	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/quotalease"
 )
 
@@ -53,7 +53,7 @@
 
 // Limits are a tenant's, over all processes.
 type Limits struct {
-	fair.Limits
+	fairqueue.Limits
 	Conns int     // connections of its owners at once, 0: by its share of the door
 	Bytes float64 // that they may send a second, 0: as many as usual
 }
@@ -328,11 +328,11 @@
 
 // Duty is what a tenant's state asks of those who place for it.
 type Duty struct {
-	Limits fair.Limits  // a process's part of them
-	Door   entry.Limits // likewise
-	Takes  bool         // new asks
-	Answer bool         // what is open is given up and answered at once
-	Stop   bool         // what runs is stopped
+	Limits fairqueue.Limits // a process's part of them
+	Door   entry.Limits     // likewise
+	Takes  bool             // new asks
+	Answer bool             // what is open is given up and answered at once
+	Stop   bool             // what runs is stopped
 }
 
 // Duty gives it for a process that may use such a part of all limits. What connections may do at the door is divided by place and never
@@ -348,7 +348,7 @@
 		d.Takes = d.Takes && d.Limits.Open > 0 // fewer may be open than there are processes, and this is not one of those
 	}
 	if t.Limits.Conns > 0 { // one at least, whatever the sum: who can't come in never hears why
-		d.Door.Conns = max(1, fair.Part(t.Limits.Conns, processes, index))
+		d.Door.Conns = max(1, fairqueue.Part(t.Limits.Conns, processes, index))
 	}
 	d.Door.Bytes /= n
 	d.Limits.Stop = !d.Takes
--- a/internal/decide/tenancy/tenancy_test.go
+++ b/internal/decide/tenancy/tenancy_test.go
@@ -7,11 +7,11 @@
 
 	"pgregory.net/rapid"
 
-	"ravenpond/internal/decide/fair"
+	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/quotalease"
 )
 
-var some = Limits{Limits: fair.Limits{Share: 1, Open: 10, Wait: 100}}
+var some = Limits{Limits: fairqueue.Limits{Share: 1, Open: 10, Wait: 100}}
 
 // at applies changes and gives the last one's outcome.
 func at(b *Book, now float64, all ...Change) (t Tenant, f *Fault) {
@@ -49,8 +49,8 @@
 		{"no name", []Change{{Kind: Add, Limits: some}}, 0, Invalid, true},
 		{"a name of spaces", []Change{{Kind: Add, Name: "a b", Limits: some}}, 0, Invalid, true},
 		{"no share", []Change{{Kind: Add, Name: "a"}}, 0, Invalid, true},
-		{"a rate without a burst", []Change{{Kind: Add, Name: "a", Limits: Limits{Limits: fair.Limits{Share: 1, Rate: 5}}}}, 0, Invalid, true},
-		{"negative open", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: fair.Limits{Share: 1, Open: -1}}}}, Active, Invalid, true},
+		{"a rate without a burst", []Change{{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, Rate: 5}}}}, 0, Invalid, true},
+		{"negative open", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, Open: -1}}}}, Active, Invalid, true},
 		{"negative conns", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: some.Limits, Conns: -1}}}, Active, Invalid, true},
 		{"bytes that are no number", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: some.Limits, Bytes: math.NaN()}}}, Active, Invalid, true},
 		{"no such change", []Change{add, {Kind: 9, Name: "a"}}, Active, Invalid, true},
@@ -118,7 +118,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := New(1)
-			at(b, 0, append([]Change{{Kind: Add, Name: "a", Limits: Limits{Limits: fair.Limits{Share: 1, Rate: 9, Burst: 6, Open: 8, Wait: 5}}}}, c.changes...)...)
+			at(b, 0, append([]Change{{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, Rate: 9, Burst: 6, Open: 8, Wait: 5}}}}, c.changes...)...)
 			a, _ := b.Get("a")
 			open, rate := 0, 0.0
 			for i := range 3 {
@@ -134,7 +134,7 @@
 		})
 	}
 	b := New(1)
-	at(b, 0, Change{Kind: Add, Name: "a", Limits: Limits{Limits: fair.Limits{Share: 2}, Conns: 7, Bytes: 900}})
+	at(b, 0, Change{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 2}, Conns: 7, Bytes: 900}})
 	a, _ := b.Get("a")
 	conns, bytes := 0, 0.0
 	for i := range 3 {
@@ -151,7 +151,7 @@
 		t.Errorf("%d connections where there are more processes than connections", d.Conns)
 	}
 	b = New(1)
-	at(b, 0, Change{Kind: Add, Name: "a", Limits: Limits{Limits: fair.Limits{Share: 1, Open: 1}}})
+	at(b, 0, Change{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, Open: 1}}})
 	a, _ = b.Get("a")
 	if first, second := a.Duty(quotalease.Part{Places: 2, Index: 0}), a.Duty(quotalease.Part{Places: 2, Index: 1}); !first.Takes || second.Takes {
 		t.Error("one that may be open in all is open at none or both of two processes")
--- a/internal/lab/clubs/clubs.go
+++ b/internal/lab/clubs/clubs.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/audit"
-	"ravenpond/internal/decide/fair"
+	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/tenancy"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/serve"
@@ -176,7 +176,7 @@
 			share = day.Wrong
 		}
 		_, fault, err := store.Do(time.Now(), "lab", "", tenancy.Change{Kind: tenancy.Add, Name: name(i),
-			Limits: tenancy.Limits{Limits: fair.Limits{Share: share, Wait: 400}}})
+			Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: share, Wait: 400}}})
 		if fault != nil {
 			return nil, fault
 		} else if err != nil {
--- a/internal/lab/clubs/removals.go
+++ b/internal/lab/clubs/removals.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"ravenpond/internal/audit"
-	"ravenpond/internal/decide/fair"
+	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/tenancy"
 	"ravenpond/internal/lab/spawn"
 	"ravenpond/internal/outside"
@@ -165,7 +165,7 @@
 	}
 	if err := p.with(func(st *tenants.Store) error {
 		for _, name := range names {
-			if err := p.do(st, tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fair.Limits{Share: 1, Wait: 100}}}); err != nil {
+			if err := p.do(st, tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Wait: 100}}}); err != nil {
 				return err
 			}
 			token, err := st.Issue(time.Now(), "lab", name, time.Hour)
--- a/internal/serve/hosting_test.go
+++ b/internal/serve/hosting_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/creachadair/jrpc2"
 
-	"ravenpond/internal/decide/fair"
+	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/tenancy"
 	"ravenpond/internal/keys"
 	"ravenpond/internal/state/bolt"
@@ -47,7 +47,7 @@
 	with(func(st *tenants.Store) {
 		for _, name := range []string{"a", "b"} {
 			if _, fault, err := st.Do(time.Now(), "test", "", tenancy.Change{Kind: tenancy.Add, Name: name,
-				Limits: tenancy.Limits{Limits: fair.Limits{Share: 1, Wait: 50}}}); fault != nil || err != nil {
+				Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Wait: 50}}}); fault != nil || err != nil {
 				t.Fatal(fault, err)
 			}
 			var err error
@@ -217,7 +217,7 @@
 	addr := s.owner[0].Find()
 	with(func(st *tenants.Store) {
 		if _, fault, err := st.Do(time.Now(), "test", "", tenancy.Change{Kind: tenancy.Limit, Name: "a", Limits: tenancy.Limits{
-			Limits: fair.Limits{Share: 1, Wait: 50}, Conns: 2, Bytes: 2000}}); fault != nil || err != nil {
+			Limits: fairqueue.Limits{Share: 1, Wait: 50}, Conns: 2, Bytes: 2000}}); fault != nil || err != nil {
 			t.Fatal(fault, err)
 		}
 	})
--- a/internal/state/tenants/look_test.go
+++ b/internal/state/tenants/look_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"ravenpond/internal/decide/fair"
+	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/tenancy"
 )
 
@@ -22,7 +22,7 @@
 			}
 			for i := range n {
 				if _, fault, err := s.Do(time.Now(), "b", "", tenancy.Change{Kind: tenancy.Add, Name: fmt.Sprint("t", i),
-					Limits: tenancy.Limits{Limits: fair.Limits{Share: 1}}}); fault != nil || err != nil {
+					Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1}}}); fault != nil || err != nil {
 					b.Fatal(fault, err)
 				}
 			}
--- a/internal/state/tenants/tenants_test.go
+++ b/internal/state/tenants/tenants_test.go
@@ -11,7 +11,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"ravenpond/internal/decide/fair"
+	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/tenancy"
 )
 
@@ -28,7 +28,7 @@
 }
 
 func add(name string) tenancy.Change {
-	return tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fair.Limits{Share: 1, Wait: 9}}}
+	return tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Wait: 9}}}
 }
 
 func TestRequests(t *testing.T) {
