--- a/internal/decide/entry/entry.go
+++ b/internal/decide/connadmission/connadmission.go
@@ -1,10 +1,10 @@
-// Package entry decides about the connections at the owners' door of a hosted service: who comes in, who has to go for
+// Package connadmission decides about the connections at the owners' door of a hosted service: who comes in, who has to go for
 // somebody else, and how much of what a tenant sends is read. It guards against callers without a token that fill the door, and
 // against a tenant whose connections or bytes leave none for the others.
 //
 // A caller is a stranger until it has shown a token. Strangers are bounded by themselves, and the one that has waited longest
 // makes way: a caller that shows its token at once is let in whatever the number of those that do not.
-package entry
+package connadmission
 
 import (
 	"math"
--- a/internal/decide/entry/entry_test.go
+++ b/internal/decide/connadmission/connadmission_test.go
@@ -1,4 +1,4 @@
-package entry
+package connadmission
 
 import (
 	"math/rand/v2"
--- a/internal/decide/tenancy/tenancy.go
+++ b/internal/decide/tenancy/tenancy.go
@@ -12,7 +12,7 @@
 	"regexp"
 	"slices"
 
-	"ravenpond/internal/decide/entry"
+	"ravenpond/internal/decide/connadmission"
 	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/quotalease"
 )
@@ -328,18 +328,18 @@
 
 // Duty is what a tenant's state asks of those who place for it.
 type Duty struct {
-	Limits fairqueue.Limits // a process's part of them
-	Door   entry.Limits     // likewise
-	Takes  bool             // new asks
-	Answer bool             // what is open is given up and answered at once
-	Stop   bool             // what runs is stopped
+	Limits fairqueue.Limits     // a process's part of them
+	Door   connadmission.Limits // likewise
+	Takes  bool                 // new asks
+	Answer bool                 // what is open is given up and answered at once
+	Stop   bool                 // what runs is stopped
 }
 
 // Duty gives it for a process that may use such a part of all limits. What connections may do at the door is divided by place and never
 // lent: those of a process that is cut off from the others stay.
 func (t *Tenant) Duty(part quotalease.Part) Duty {
 	processes, index := part.Places, part.Index
-	d := Duty{Limits: t.Limits.Limits, Door: entry.Limits{Share: t.Limits.Share, Conns: t.Limits.Conns, Bytes: t.Limits.Bytes}, Takes: t.State == Active, Answer: t.State >= Removing, Stop: t.State >= Removing && t.Ending == Stop}
+	d := Duty{Limits: t.Limits.Limits, Door: connadmission.Limits{Share: t.Limits.Share, Conns: t.Limits.Conns, Bytes: t.Limits.Bytes}, Takes: t.State == Active, Answer: t.State >= Removing, Stop: t.State >= Removing && t.Ending == Stop}
 	n := float64(max(1, processes))
 	d.Limits.Rate = part.Rate(d.Limits.Rate)
 	d.Limits.Burst = max(1, part.Rate(d.Limits.Burst))
--- a/internal/serve/hosting.go
+++ b/internal/serve/hosting.go
@@ -9,8 +9,8 @@
 
 	"github.com/creachadair/jrpc2"
 
+	"ravenpond/internal/decide/connadmission"
 	"ravenpond/internal/decide/desk"
-	"ravenpond/internal/decide/entry"
 	"ravenpond/internal/decide/quotalease"
 	"ravenpond/internal/decide/tenancy"
 	"ravenpond/internal/engine"
@@ -64,7 +64,7 @@
 	if !s.hosts() {
 		return nil
 	}
-	s.entry = entry.New(s.who.Place.Owners)
+	s.entry = connadmission.New(s.who.Place.Owners)
 	s.clubs.began, s.clubs.left, s.clubs.book = s.w.Now(), map[int]map[int]count{}, tenancy.New(s.who.Place.Hosted)
 	if s.who.Clubs == nil {
 		s.who.Clubs = func() (Clubs, error) { return tenants.Open(s.who.Folder, s.who.Place.Hosted) }
@@ -131,11 +131,11 @@
 	c := &s.clubs
 	c.read, c.book, c.tokens, c.verify = true, st.Book, st.Tokens, verify
 	active := 0
-	doors := map[int]entry.Limits{}
+	doors := map[int]connadmission.Limits{}
 	sharers, _ := c.loan.Now(now)
 	for _, t := range st.Book.All() {
 		if doors[t.Slot] = t.Duty(s.part(sharers)).Door; t.State == tenancy.Removed {
-			doors[t.Slot] = entry.Limits{}
+			doors[t.Slot] = connadmission.Limits{}
 		}
 		if t.State == tenancy.Active {
 			active++
@@ -335,10 +335,10 @@
 	v, back := s.entry.Sent(s.w.Now(), o.id, bytes)
 	s.mu.Unlock()
 	o.holdOff = back
-	if v == entry.End {
+	if v == connadmission.End {
 		o.cut("sent far more than it may")
 	}
-	return v != entry.End
+	return v != connadmission.End
 }
 
 // strangersGo ends callers that show no token in time.
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -19,8 +19,8 @@
 	"ravenpond/internal/besteffort"
 	"ravenpond/internal/control"
 	"ravenpond/internal/decide/calendar"
+	"ravenpond/internal/decide/connadmission"
 	"ravenpond/internal/decide/desk"
-	"ravenpond/internal/decide/entry"
 	"ravenpond/internal/decide/ledger"
 	"ravenpond/internal/decide/shares"
 	"ravenpond/internal/decide/watchdog"
@@ -115,7 +115,7 @@
 	mu       sync.Mutex
 	owners   map[uint32]*owner
 	ownerIDs uint32
-	entry    *entry.Door // where tenants come and go
+	entry    *connadmission.Door // where tenants come and go
 	list     *state.List
 	cells    map[string]int
 	known    map[string]calendar.Node // every node that was ever on the list, until long after it left
