--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -9,7 +9,7 @@
 	"io"
 	"os"
 
-	"ravenpond/internal/facts"
+	"ravenpond/internal/settings"
 	"ravenpond/internal/wire"
 	"ravenpond/logic"
 )
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	known, err := facts.Read(text)
+	known, err := settings.Read(text)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/route/route.go
+++ b/internal/lab/route/route.go
@@ -17,11 +17,11 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/audit"
-	"ravenpond/internal/facts"
 	"ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/platform"
+	"ravenpond/internal/settings"
 )
 
 // Times in ms.
@@ -260,7 +260,7 @@
 }
 
 func (s *sched) configuration() *platform.Configuration {
-	known, err := facts.Read([]byte(s.facts))
+	known, err := settings.Read([]byte(s.facts))
 	if err != nil {
 		s.g.fail(err.Error())
 		return nil
--- a/internal/platform/configuration.go
+++ b/internal/platform/configuration.go
@@ -7,7 +7,7 @@
 	"os"
 	"strconv"
 
-	"ravenpond/internal/facts"
+	"ravenpond/internal/settings"
 )
 
 // Configuration is what the platform tells a scheduler of its place.
@@ -16,7 +16,7 @@
 	Seed                  uint64
 	Cores                 float64
 	MemoryMB, Sockets     int
-	Known                 *facts.Deployment
+	Known                 *settings.Deployment
 	Events                []byte // the journal's, up to now
 }
 
@@ -76,7 +76,7 @@
 	if len(f.Known) == 0 || len(f.Settings) == 0 {
 		return nil, fmt.Errorf("known: %d bytes, settings: %d bytes: both are needed", len(f.Known), len(f.Settings))
 	}
-	known, err := facts.Read(f.Settings)
+	known, err := settings.Read(f.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -14,9 +14,9 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/decide/overload"
-	"ravenpond/internal/facts"
 	"ravenpond/internal/outside"
 	codec "ravenpond/internal/proto/platform"
+	"ravenpond/internal/settings"
 )
 
 // gate holds calls back while it is shut.
@@ -228,7 +228,7 @@
 	r.w.Prompt = true
 	journal, _ := tailed(t)
 	r.node = newTCPNode(t)
-	known, err := facts.Read([]byte(settings))
+	known, err := settings.Read([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -20,10 +20,10 @@
 	"ravenpond/internal/decide/connlimits"
 	"ravenpond/internal/decide/overload"
 	"ravenpond/internal/decide/shutdown"
-	"ravenpond/internal/facts"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/platform/host"
 	codec "ravenpond/internal/proto/platform"
+	"ravenpond/internal/settings"
 	"ravenpond/logic"
 )
 
@@ -34,7 +34,7 @@
 	loop  outside.Loop
 	door  outside.Door
 	parts budget.Parts
-	known *facts.Deployment
+	known *settings.Deployment
 
 	jobs, tenants, zones, kinds map[string]int
 	epoch                       float64 // Unix ms of the world's zero
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -945,7 +945,7 @@
 		}
 	}
 	write(`{"name":"n0","listen":"scheduler:1","seed":"1","limits":{"memory_mb":64,"sockets":256},"journal":"journal:2",` +
-		`"known":{"pos":0,"entries":[]},"settings":` + settings + `}`)
+		`"known":{"pos":0,"entries":[]},"settings":` + settingsText + `}`)
 	r.s.reread(file, "", "")
 	if r.s.feed.address != "journal:2" {
 		t.Errorf("the journal is at %s", r.s.feed.address)
@@ -1050,7 +1050,7 @@
 // TestRead names what a configuration lacks.
 func TestRead(t *testing.T) {
 	good := `{"name":"n3","listen":"10.0.0.4:5060","seed":"8c1f30d27a5be964","limits":{"cores":0.5,"memory_mb":64,"sockets":256},` +
-		`"journal":"10.2.0.1:4222","known":{"pos":0,"entries":[]},"settings":` + settings + `}`
+		`"journal":"10.2.0.1:4222","known":{"pos":0,"entries":[]},"settings":` + settingsText + `}`
 	c, err := Read([]byte(good))
 	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Journal != "10.2.0.1:4222" || c.MemoryMB != 64 || c.Sockets != 256 {
 		t.Errorf("%+v, %v", c, err)
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -15,7 +15,7 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-const settings = `{"instances": 1, "discovery": "ask", "step-ns": 2000000, "kinds": ["std"], "zones": ["east", "west"],
+const settingsText = `{"instances": 1, "discovery": "ask", "step-ns": 2000000, "kinds": ["std"], "zones": ["east", "west"],
  "projects": [{"name": "acme", "portion": 0.5}, {"name": "club", "portion": 0.5}],
  "family-info": {"cores-multiple": 2, "memory-multiple": 1.5, "cpu-of-kind": [32], "mem-of-kind": [64], "kind-by-class": [-1, -1, -1],
   "spread-over": ["silent"], "lists-free": true, "cold-bears": 20, "unit-cores": 1, "mean-memory": 2, "settle-ns": 1500000000},
@@ -46,10 +46,10 @@
 )
 
 // begin starts a scheduler that knows the nodes with these names, at addresses of the same names.
-func begin(t *testing.T, names ...string) *rig { return beginAt(t, settings, entryOf, names...) }
+func begin(t *testing.T, names ...string) *rig { return beginAt(t, settingsText, entryOf, names...) }
 
 // beginAt starts one on other settings, with entries of the list as they want them.
-func beginAt(t *testing.T, settings string, entryOf func(name, address, status string) string, names ...string) *rig {
+func beginAt(t *testing.T, settingsText string, entryOf func(name, address, status string) string, names ...string) *rig {
 	r := &rig{t: t, c: sim.NewClock(7), nodes: map[string]*node{}}
 	r.sched, r.owners = r.c.NewProcess("scheduler"), r.c.NewProcess("owners")
 	r.journal = newJournal(r, "journal:1")
@@ -61,7 +61,7 @@
 	first := event(1, true, all...)
 	r.journal.events = []string{first}
 	c, err := Read([]byte(`{"name":"n0","listen":"scheduler:1","journal":"journal:1","seed":"3","limits":{"cores":1,"memory_mb":64,"sockets":256},` +
-		`"known":{"pos":1,"entries":[` + first + `]},"settings":` + settings + `}`))
+		`"known":{"pos":1,"entries":[` + first + `]},"settings":` + settingsText + `}`))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -72,7 +72,7 @@
 func (p *process) write(journal string) {
 	p.t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"journal":%q,"seed":"3","limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"pos":1,"entries":[%s]},"settings":%s}`,
-		p.door, journal, event(1, true, entryOf("a", p.node.l.Addr().String(), "ready")), settings)
+		p.door, journal, event(1, true, entryOf("a", p.node.l.Addr().String(), "ready")), settingsText)
 	if err := os.WriteFile(p.file+".new", []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"ravenpond/internal/facts"
 	codec "ravenpond/internal/proto/platform"
+	"ravenpond/internal/settings"
 	"ravenpond/logic"
 )
 
@@ -33,7 +33,7 @@
 }
 
 func customerDay(t *testing.T, text string) {
-	known, err := facts.Read([]byte(text))
+	known, err := settings.Read([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/facts/facts.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package facts reads what a deployment hands its schedulers at start, on the bench and on the platform alike.
-package facts
+// Package settings reads what a deployment hands its schedulers at start, on the bench and on the platform alike.
+package settings
 
 import (
 	"encoding/json"
--- a/internal/facts/facts_test.go
+++ b/internal/settings/settings_test.go
@@ -1,4 +1,4 @@
-package facts
+package settings
 
 import (
 	"encoding/json"
