--- a/internal/lab/route/ends.go
+++ b/internal/lab/route/ends.go
@@ -200,7 +200,7 @@
 				delete(o.asks, t.id)
 				t.gone = g.c.True()
 				g.record(audit.Record{Kind: audit.GaveUp, Sched: s.name, Ref: t.id})
-				o.e.send(codec.AppendEnd(nil, t.id, codec.Normal))
+				t.e.send(codec.AppendEnd(nil, t.id, codec.Normal)) // an open set-up belongs to its connection
 			}
 		})
 	}
@@ -267,6 +267,7 @@
 	fails                       int      // of ten tries
 	mute                        int
 	full                        int
+	lateAnswers                 int // of ten tasks that run, those whose end is told before their answer
 	hangs                       bool
 	changes                     int // of its state that were told
 }
@@ -307,7 +308,7 @@
 // begin begins a life of the node.
 func (n *node) begin(cold bool) {
 	n.runs, n.coming, n.conns, n.ends = map[uint64]*run{}, map[uint64]*ear{}, nil, nil
-	n.fails, n.mute, n.full, n.hangs = 0, 0, 0, false
+	n.behaves()
 	word := ""
 	if cold {
 		word = "cold"
@@ -419,6 +420,10 @@
 		if g.rng.IntN(10) < n.mute {
 			return // its answer is lost
 		}
+		if n.lateAnswers > 0 && g.rng.IntN(10) < n.lateAnswers {
+			n.answersAfterEnd(e, t, r)
+			return
+		}
 		r.told = true
 		g.record(audit.Record{Kind: audit.Confirmed, Sched: r.sched, Node: n.id, Ticket: id, Try: try})
 		e.send(codec.AppendAnswer(nil, id, []byte(n.describes(id))))
--- a/internal/lab/route/route_test.go
+++ b/internal/lab/route/route_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"ravenpond/internal/outside"
+	codec "ravenpond/internal/proto/platform"
 )
 
 // TestSeeds plays seeds of the platform's route: no rule breaks, nothing panics, and what can be served is.
@@ -82,6 +83,9 @@
 		{"an owner's close is read late, and nobody asks whether it has left", Plant{World: func(w outside.World) outside.World {
 			return deaf{w, false}
 		}}, "gone"},
+		{"notes are not read, and an end before its answer counts as a reset on its way", Plant{World: func(w outside.World) outside.World {
+			return forgetful{w}
+		}}, "rule 1"},
 		{"words to owners are lost", Plant{World: func(w outside.World) outside.World { return lossy{w} }}, "rule 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -140,6 +144,65 @@
 
 func (l lateEar) Over(err error) { l.d.After(1500, func() { l.Peer.Over(err) }) }
 
+// forgetful hears nodes without their notes, and every end of a task that was cut or ended as a reset that gives no reason.
+type forgetful struct{ outside.World }
+
+func (f forgetful) Dial(address string, within float64, done func(outside.Conn, error)) {
+	f.World.Dial(address, within, func(c outside.Conn, err error) {
+		if err == nil {
+			c = &forgetfulConn{Conn: c}
+		}
+		done(c, err)
+	})
+}
+
+type forgetfulConn struct{ outside.Conn }
+
+func (c *forgetfulConn) Begin(p outside.Peer, stuck float64) {
+	c.Conn.Begin(&forgetfulPeer{Peer: p, answered: map[uint64]bool{}}, stuck)
+}
+
+type forgetfulPeer struct {
+	outside.Peer
+	in       []byte
+	answered map[uint64]bool
+}
+
+func (p *forgetfulPeer) Heard(b []byte) {
+	if b == nil {
+		p.Peer.Heard(nil)
+		return
+	}
+	p.in = append(p.in, b...)
+	var out []byte
+	for {
+		msg, took, err := codec.Next(p.in)
+		if err != nil || took == 0 {
+			break
+		}
+		out = append(out, p.forgets(msg, p.in[:took])...)
+		p.in = p.in[took:]
+	}
+	if len(out) > 0 {
+		p.Peer.Heard(out)
+	}
+}
+
+func (p *forgetfulPeer) forgets(msg, whole []byte) []byte {
+	task := codec.Task(msg)
+	switch cause, _ := codec.CauseOf(msg); codec.Kind(msg) {
+	case codec.Answer:
+		p.answered[task] = true
+	case codec.Note:
+		return nil
+	case codec.End:
+		if !p.answered[task] && (cause == codec.Normal || cause == codec.Reset) {
+			return codec.AppendEnd(nil, task, codec.Reset)
+		}
+	}
+	return whole
+}
+
 // once reaches the first address of a journal service alone.
 type once struct {
 	outside.World
--- /dev/null
+++ b/internal/platform/early_test.go
@@ -0,0 +1,160 @@
+package platform
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	codec "ravenpond/internal/proto/platform"
+)
+
+// earlyEnds are ends that a node sends for a task before its answer.
+var earlyEnds = []struct {
+	name  string
+	cause byte
+	word  string
+	notes bool // before it
+	ran   bool // it is the end of a run
+}{
+	{"cut, sent away, after notes", codec.Reset, "sent_away", true, true},
+	{"cut, sent away", codec.Reset, "sent_away", false, true},
+	{"cut, evicted", codec.Reset, "evicted", false, true},
+	{"cut, pushed out", codec.Reset, "pushed_out", false, true},
+	{"cut, after notes", codec.Reset, "", true, true},
+	{"reset on its way", codec.Reset, "", false, false},
+	{"normal, after notes", codec.Normal, "", true, true},
+	{"normal", codec.Normal, "", false, true},
+	{"cancelled", codec.Elsewhere, "", false, true},
+	{"error", codec.Errored, "", false, false},
+	{"error, after notes", codec.Errored, "", true, true},
+	{"full", codec.Full, "no_cores", false, false},
+	{"full, sent away", codec.Full, "sent_away", false, false},
+}
+
+// afterRun is what a client hears whose task ran and ended without an answer, by job type: marked work is dropped everywhere if it comes
+// again, so a retry of it is as harmless as one of restartable work.
+var afterRun = map[string]string{"batch": "end 42", "marked": "end 42", "single": "end 41"}
+
+// early is what a node sends before its answer: notes, if the task ran for a while, and its end.
+func early(task uint64, cause byte, word string, notes bool) (b []byte) {
+	if notes {
+		b = append(b, message(codec.Note, task, codec.Word, "cores", codec.Figure, "0.6")...)
+	}
+	if word == "" {
+		return append(b, codec.AppendEnd(nil, task, cause)...)
+	}
+	return append(b, message(codec.End, task, codec.Cause, string(rune(cause)), codec.Word, word)...)
+}
+
+// TestEndBeforeAnswer has a node end a task before its answer, which follows late, never, or in the same moment. The end of a run gives the
+// client its final answer at once and no second attempt is made; the late answer reaches nobody, and the node is told to end the task. An
+// attempt that was not a run is followed by another as before, but for run-once work that may have run.
+func TestEndBeforeAnswer(t *testing.T) {
+	for _, c := range earlyEnds {
+		for _, job := range []string{"batch", "marked", "single"} {
+			for _, late := range []float64{0, 1, 1700, -1} {
+				t.Run(fmt.Sprintf("%s, %s, answer after %g", c.name, job, late), func(t *testing.T) {
+					r := begin(t, "a", "b")
+					x := r.dial()
+					attempts, ended := 0, 0.0
+					var first *node
+					for _, n := range r.nodes {
+						n.does = func(e *ear, task uint64) {
+							if attempts++; attempts > 1 {
+								n.answer(e, task)
+								return
+							}
+							first, ended = n, r.c.True()+500
+							answer := codec.AppendAnswer(nil, task, []byte(n.describes(task)))
+							n.p.After(500, func() {
+								b := early(task, c.cause, c.word, c.notes)
+								if late == 0 { // in one piece
+									b = append(b, answer...)
+								}
+								e.send(b)
+							})
+							if late > 0 {
+								n.p.After(500+late, func() { e.send(answer) })
+							}
+						}
+					}
+					x.ask(7, job)
+					r.pass(5000)
+					if !c.ran {
+						mayRetry := job != "single" || c.cause == codec.Full
+						if (attempts > 1) != mayRetry || len(x.got) == 0 {
+							t.Errorf("%d attempts, heard %q", attempts, x.got)
+						}
+						return
+					}
+					x.want("the final answer", "7 "+afterRun[job])
+					if attempts != 1 {
+						t.Errorf("%d attempts after a run", attempts)
+					}
+					if len(x.at) > 0 && x.at[0] > ended+50 {
+						t.Errorf("told %.0f ms after the end", x.at[0]-ended)
+					}
+					if told := slices.Contains(first.ended, 7); told != (late >= 0) {
+						t.Errorf("the node of the late answer is told to end the task: %t", told)
+					}
+					if len(r.s.asks)+len(r.s.tasks) > 0 || r.s.admit.Open() != 0 {
+						t.Errorf("%d requests, %d tasks, %d open are kept", len(r.s.asks), len(r.s.tasks), r.s.admit.Open())
+					}
+				})
+			}
+		}
+	}
+}
+
+// TestNotesOfAnEarlierAttempt holds that notes count for the attempt that is out alone: a refusal of the second is no end of a run, though
+// the first ran before it was given up.
+func TestNotesOfAnEarlierAttempt(t *testing.T) {
+	r := begin(t, "a", "b")
+	x := r.dial()
+	attempts := 0
+	for _, n := range r.nodes {
+		n.does = func(e *ear, task uint64) {
+			switch attempts++; attempts {
+			case 1: // it runs, and says so, but is never answered: it times out
+				e.send(message(codec.Note, task, codec.Word, "cores", codec.Figure, "0.6"))
+			case 2:
+				e.send(codec.AppendEnd(nil, task, codec.Full))
+			default:
+				n.answer(e, task)
+			}
+		}
+	}
+	x.ask(7, "batch")
+	r.pass(5000)
+	if attempts < 3 || len(x.got) != 1 || x.got[0] == "7 end 42" {
+		t.Errorf("%d attempts, heard %q", attempts, x.got)
+	}
+}
+
+// TestEndBeforeAnswerOnLoopback is the same on sockets: notes, the end and the answer come in this order, each read before the next is sent.
+func TestEndBeforeAnswerOnLoopback(t *testing.T) {
+	for _, job := range []string{"batch", "marked", "single"} {
+		t.Run(job, func(t *testing.T) {
+			r := onLoopback(t, nil)
+			x := r.dial()
+			x.ask(7, job)
+			r.until("it is offered", func() bool { return slices.Contains(r.node.took(), 7) })
+			r.node.say(7, early(7, codec.Reset, "sent_away", true))
+			x.hears("7 " + afterRun[job])
+			r.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
+			r.until("the node is told to end it", func() bool { return r.node.ended(7) })
+			r.settledDown()
+			attempts := 0
+			for _, task := range r.node.took() {
+				if task == 7 {
+					attempts++
+				}
+			}
+			if attempts != 1 {
+				t.Errorf("%d attempts", attempts)
+			}
+			x.send(codec.AppendTest(nil, 9, false))
+			x.hears("9 tested 1") // and nothing before it
+		})
+	}
+}
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -64,6 +64,7 @@
 	moved    bool // its owner is to ask again
 	over     bool // the final answer is given, or none is owed any more
 	unheard  bool // the owner is owed no word of its end
+	noted    bool // the node sent notes on the attempt that is out
 	awaiting bool // its outcome is on its way already
 }
 
@@ -290,6 +291,27 @@
 	h.settle(id, a, verdict, why, report)
 }
 
+// EndedEarly says that a node told the end of an attempt before it answered it. Where the task had been running, the request gets its
+// final answer at once and no other attempt; else the outcome is that of an attempt that never started. It tells whether the task had been
+// running, so that an answer may still follow.
+func (h *Host) EndedEarly(now float64, id uint32, attempt uint8, end outcome.EarlyEnd, report []float64) (ran bool) {
+	a := h.allocs[id]
+	if a == nil || !a.out || a.stands || a.tries != int(attempt)+1 || a.awaiting {
+		return false
+	}
+	h.hear(now)
+	end.Noted = a.noted
+	ran = end.Ran()
+	if ran && !a.over {
+		job := h.fence.cl.JobTypes[a.ask.jobType]
+		h.edge.Answer(id, outcome.DeclinedAfterRun(job.Effect, job.Group))
+		h.answered(a)
+		h.tell(func(m *logic.Scheduler) { m.Lapsed(h.now, id) })
+	}
+	h.settle(id, a, end.Unstarted, end.Reason, report)
+	return ran
+}
+
 // Lost says that what stands under a number was lost with its node.
 func (h *Host) Lost(now float64, id uint32) {
 	if a := h.allocs[id]; a != nil && a.stands {
@@ -317,6 +339,7 @@
 func (h *Host) Noted(now float64, id uint32, kind logic.NoteKind, value float64) {
 	if a := h.allocs[id]; a != nil && a.out {
 		h.hear(now)
+		a.noted = true
 		h.tell(func(m *logic.Scheduler) { m.Noted(h.now, id, a.told(), a.node, kind, value) })
 	}
 }
@@ -432,7 +455,7 @@
 		h.edge.Mode(fmt.Sprintf("refused to offer %d while its try %d is out", id, a.tries-1))
 		return
 	}
-	a.node, a.sentAt, a.out = node, h.now, true
+	a.node, a.sentAt, a.out, a.noted = node, h.now, true, false
 	a.tries++
 	key := tryKey(id, a.tries-1)
 	left := a.expiry - h.now
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -255,12 +255,20 @@
 	if l.conn.Unsend(a.sent, a.bytes) {
 		return // nor here
 	}
+	l.expectLate(a.task)
+	l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, a.task, codec.Normal) })
+	l.spend(outcome.Linger())
+}
+
+// expectLate remembers a task whose answer may still come though it is waited for no more.
+func (l *link) expectLate(task uint64) {
 	if l.given == nil {
 		l.given = map[uint64]bool{}
 	}
-	l.given[a.task] = true
-	l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, a.task, codec.Normal) })
-	l.spend(outcome.Linger())
+	l.given[task] = true
+	if len(l.given) > connlimits.MostCuts {
+		l.spend(outcome.Linger())
+	}
 }
 
 // spend has nothing new go on the connection, which ends when nothing is open on it, but not before so long.
@@ -444,8 +452,7 @@
 				s.settled(a, codec.After(cause), codec.Why(msg), s.report)
 			}
 		case a.link == l:
-			l.drop(a)
-			s.settled(a, codec.Before(cause), codec.Why(msg), s.report)
+			l.endedEarly(now, a, cause, codec.Why(msg))
 		case a.stands:
 			s.settled(a, codec.After(cause), codec.Why(msg), s.report)
 		}
@@ -499,6 +506,7 @@
 		if l.given[task] && (a == nil || a.peer != l.peer || !a.stands) { // too late: it must not stand beside another
 			s.cut(l.peer, task)
 		}
+		delete(l.given, task)
 		return nil // else a second copy, or nobody's
 	}
 	l.drop(a)
@@ -527,6 +535,19 @@
 	return nil
 }
 
+// endedEarly takes the end of an attempt that its node has not answered. Where the task had been running, its answer may still follow; the
+// node is then told to end the task, as the client has its final answer.
+func (l *link) endedEarly(now float64, a *ask, cause byte, reason logic.Reason) {
+	l.drop(a)
+	end := outcome.EarlyEnd{Unstarted: codec.Before(cause), Started: codec.After(cause), Reason: reason}
+	l.s.trace("ended early", a.task, func(e *zerolog.Event) { e.Str("node", l.peer.name).Uint8("cause", cause).Uint8("why", uint8(reason)) })
+	l.s.counts.verdicts[end.Unstarted]++
+	if l.s.host.EndedEarly(now, a.alloc, a.try, end, l.s.report) {
+		l.expectLate(a.task)
+	}
+	l.s.wake()
+}
+
 // tether keeps a connection to a node where something stands or is to end, as news of it comes on any.
 func (s *Server) tether(now float64, p *peer) {
 	if p.avail == logic.Gone || len(p.stands) == 0 && len(p.cuts) == 0 || len(p.links) > 0 {
