--- a/internal/decide/desk/line.go
+++ b/internal/decide/shardrouter/line.go
@@ -1,4 +1,4 @@
-package desk
+package shardrouter
 
 import (
 	"math"
--- a/internal/decide/desk/desk.go
+++ b/internal/decide/shardrouter/shardrouter.go
@@ -1,10 +1,10 @@
-// Package desk decides, for a process of several shards, who acts for which allocation: where an ask goes, what becomes of
+// Package shardrouter decides, for a process of several shards, who acts for which allocation: where an ask goes, what becomes of
 // a shard's allocations when it is fenced, leaves or is added, who answers for one that is quiet. It holds the ledger of owners,
 // the table of shards, the watch over them and each one's gate.
 //
 // It is free of I/O and has no goroutines; whoever shares it among cores holds it by one lock for each call. What it
 // decides is to be carried out under the same hold, so that whoever asks next comes after.
-package desk
+package shardrouter
 
 import (
 	"cmp"
--- a/internal/lab/states/world.go
+++ b/internal/lab/states/world.go
@@ -10,9 +10,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ravenpond/internal/decide/desk"
 	"ravenpond/internal/decide/handover"
 	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/decide/shares"
 	"ravenpond/internal/engine"
 	"ravenpond/logic"
@@ -97,7 +97,7 @@
 type play struct {
 	w      World
 	now    float64
-	acts   *desk.Desk
+	acts   *shardrouter.Desk
 	eng    [shards]*engine.Engine
 	life   [shards]uint32
 	lives  uint32
@@ -131,7 +131,7 @@
 // begin makes the world: both shards connected to both nodes, nothing asked yet.
 func (w World) begin() *play {
 	p := &play{w: w, now: start}
-	p.acts = desk.New(start, desk.Terms{Jobs: Jobs, Shards: shards, Most: shards, Open: 10, Margin: margin, Step: 1, Epoch: 1,
+	p.acts = shardrouter.New(start, shardrouter.Terms{Jobs: Jobs, Shards: shards, Most: shards, Open: 10, Margin: margin, Step: 1, Epoch: 1,
 		Trusted: w.Plant == Trust})
 	for n := range nodes {
 		p.past[n], p.bars[n], p.nlife[n] = map[name2]int{}, map[name2]bool{}, 1
@@ -337,9 +337,9 @@
 	e.Give(p.now, service, true, func(g engine.Given) { all = append(all, g) })
 	_, _, _ = p.acts.Resize(p.now, 1) // it is to leave, and called back after
 	defer func() { _, _, _ = p.acts.Resize(p.now, shards) }()
-	var items []desk.Item
+	var items []shardrouter.Item
 	for _, g := range all {
-		items = append(items, desk.Item{Name: name, Epoch: g.Epoch, Runs: g.Runs, Ask: ledger.Ask{Owner: g.Owner, Ref: g.Ref, Job: g.Job,
+		items = append(items, shardrouter.Item{Name: name, Epoch: g.Epoch, Runs: g.Runs, Ask: ledger.Ask{Owner: g.Owner, Ref: g.Ref, Job: g.Job,
 			Service: service, Expiry: g.Expiry}})
 	}
 	for i, f := range p.acts.Hand(p.now, s, items) {
--- a/internal/serve/hosting.go
+++ b/internal/serve/hosting.go
@@ -10,8 +10,8 @@
 	"github.com/creachadair/jrpc2"
 
 	"ravenpond/internal/decide/connadmission"
-	"ravenpond/internal/decide/desk"
 	"ravenpond/internal/decide/quotalease"
+	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/decide/tenancy"
 	"ravenpond/internal/engine"
 	"ravenpond/internal/state/bolt"
@@ -163,7 +163,7 @@
 }
 
 // limit sets all tenants' limits by that part, and gives what waits of those that take nothing any more; under the desk.
-func (s *Server) limit(now float64, sharers int) (declined []desk.Entry) {
+func (s *Server) limit(now float64, sharers int) (declined []shardrouter.Entry) {
 	for _, t := range s.clubs.book.All() {
 		declined = append(declined, s.acts.Tenant(now, t.Slot, t.Duty(s.part(sharers)))...)
 	}
@@ -171,7 +171,7 @@
 }
 
 // lend holds the lease on what is lent of limits against the clock, before anything passes by them; under the desk.
-func (s *Server) lend(now float64) (declined []desk.Entry) {
+func (s *Server) lend(now float64) (declined []shardrouter.Entry) {
 	sharers, turned := s.clubs.loan.Now(now)
 	if !turned {
 		return nil
@@ -185,7 +185,7 @@
 
 func (s *Server) lends() bool { return s.hosts() && s.part(0).Lends > 0 }
 
-func (s *Server) turnAway(declined []desk.Entry) {
+func (s *Server) turnAway(declined []shardrouter.Entry) {
 	for _, e := range declined {
 		s.deliver(s.ownerOf(e), e, nil)
 	}
@@ -213,7 +213,7 @@
 // shareRoom tells the desk how much there is to share, by the list: of nodes that take work, as far as they may be asked for.
 func (s *Server) shareRoom() {
 	cl := &s.who.Place.Cluster
-	var all, unasked desk.Room
+	var all, unasked shardrouter.Room
 	s.mu.Lock()
 	for _, en := range s.list.Entries() {
 		kind := slices.Index(s.who.Place.Kinds, en.Kind)
@@ -380,7 +380,7 @@
 }
 
 // ownerOf gives who asked. One that is gone has nothing to be told; the shard finds that out by itself.
-func (s *Server) ownerOf(e desk.Entry) *owner {
+func (s *Server) ownerOf(e shardrouter.Entry) *owner {
 	if o := s.owner(e.Ask.Owner); o != nil {
 		return o
 	}
@@ -389,7 +389,7 @@
 
 // deliver has an ask go to the shard that the desk gave it to, or answers it. The shard is the one that entered gave, under the same
 // hold of the desk: a later life of it knows nothing of the epoch.
-func (s *Server) deliver(o *owner, e desk.Entry, sh *shard) {
+func (s *Server) deliver(o *owner, e shardrouter.Entry, sh *shard) {
 	a := e.Ask
 	switch {
 	case e.Waits:
@@ -405,7 +405,7 @@
 }
 
 // queueAt tells the desk of a shard's queue; under the desk.
-func (s *Server) queueAt(now float64) desk.Queue {
+func (s *Server) queueAt(now float64) shardrouter.Queue {
 	return func(shard int) (float64, int) {
 		sh := s.shards[shard]
 		return sh.inbox.stuck(now), int(sh.ahead.Load())
@@ -452,7 +452,7 @@
 )
 
 // entered notes where an ask went, and gives the shard; under the desk.
-func (s *Server) entered(o *owner, e desk.Entry) *shard {
+func (s *Server) entered(o *owner, e shardrouter.Entry) *shard {
 	if e.Waits || e.Why != "" {
 		return nil
 	}
@@ -472,7 +472,7 @@
 }
 
 // tellAsk tells a shard of an ask.
-func (s *Server) tellAsk(o *owner, sh *shard, e desk.Entry) {
+func (s *Server) tellAsk(o *owner, sh *shard, e shardrouter.Entry) {
 	a, name := e.Ask, e.Name
 	ok := sh.tell(func(now float64) {
 		if e.Epoch > 0 {
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -1,9 +1,9 @@
 package serve
 
 import (
-	"ravenpond/internal/decide/desk"
 	"ravenpond/internal/decide/handover"
 	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/engine"
 	"ravenpond/internal/site"
 )
@@ -118,9 +118,9 @@
 // hand gives one service's allocations to its next shard: under the desk, so that whoever asks for one of them, or
 // fences one of the two shards, comes before or after.
 func (s *Server) hand(now float64, sh *shard, all []engine.Given) {
-	var items []desk.Item
+	var items []shardrouter.Item
 	for _, g := range all {
-		items = append(items, desk.Item{Name: ledger.Name{Tenant: g.Tenant, Token: g.Token}, Epoch: g.Epoch, Runs: g.Runs,
+		items = append(items, shardrouter.Item{Name: ledger.Name{Tenant: g.Tenant, Token: g.Token}, Epoch: g.Epoch, Runs: g.Runs,
 			Ask: ledger.Ask{Owner: g.Owner, Ref: g.Ref, Job: g.Job, Service: g.Service, Cores: g.Cores, Memory: g.Memory,
 				Expiry: g.Expiry}})
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -20,8 +20,8 @@
 	"ravenpond/internal/control"
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/decide/connadmission"
-	"ravenpond/internal/decide/desk"
 	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/decide/shares"
 	"ravenpond/internal/decide/watchdog"
 	"ravenpond/internal/engine"
@@ -96,9 +96,9 @@
 
 	stoodFor, stoodUntil atomic.Uint64 // bits of how long it stood still last, and until when that matters
 
-	desk    sync.Mutex // held for a few look-ups at a time
-	acts    *desk.Desk // who acts for what
-	shards  []*shard   // the present life of each
+	desk    sync.Mutex        // held for a few look-ups at a time
+	acts    *shardrouter.Desk // who acts for what
+	shards  []*shard          // the present life of each
 	lives   map[uint32]*shard
 	out     map[uint32]bool // nodes that are out for maintenance
 	back    []uint32        // and those that came back, of which the list is not yet told
@@ -187,7 +187,7 @@
 		lives: map[uint32]*shard{}, out: map[uint32]bool{}, counted: map[int]count{}, known: map[string]calendar.Node{}, goneAt: map[string]time.Time{}}
 	s.lister = newLister(s)
 	s.noteFleet(last.Entries())
-	s.acts = desk.New(w.Now(), desk.Terms{Jobs: place.Cluster.JobTypes, Way: shares.Way(place.PlaceBy), Shards: place.Shards,
+	s.acts = shardrouter.New(w.Now(), shardrouter.Terms{Jobs: place.Cluster.JobTypes, Way: shares.Way(place.PlaceBy), Shards: place.Shards,
 		Most: place.MostShards, Open: place.Open, Margin: place.Margin, Step: place.Cluster.Step, Trusted: who.Plant.Trust, Hosts: place.Hosted > 0})
 	var t *trunk
 	for i := range place.Shards {
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -5,9 +5,9 @@
 	"math"
 	"sync/atomic"
 
-	"ravenpond/internal/decide/desk"
 	"ravenpond/internal/decide/handover"
 	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/engine"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/site"
@@ -293,7 +293,7 @@
 }
 
 // carryOut does what the desk decided about allocations whose shard can't go on with them: under the desk. It counts them.
-func (s *Server) carryOut(fates []desk.Fate, why string) (n [4]int) {
+func (s *Server) carryOut(fates []shardrouter.Fate, why string) (n [4]int) {
 	for _, f := range fates {
 		a := f.Entry.Ask
 		n[f.Fate]++
