--- a/internal/decide/ledger/ledger.go
+++ b/internal/decide/shardownership/shardownership.go
@@ -1,10 +1,10 @@
-// Package ledger decides who may act for an allocation. Each open or running allocation has one owner among the
+// Package shardownership decides who may act for an allocation. Each open or running allocation has one owner among the
 // shards and an epoch that is raised at every handover; a try needs the ledger's leave, which only the owner's
 // present epoch gets. What a shard has sent and not proven harmless is held here too, so that another can go on
 // where a shard stopped, or end what must not be tried again.
 //
 // It is a table without goroutines; whoever shares it among cores holds it by one lock for each call.
-package ledger
+package shardownership
 
 import (
 	"cmp"
--- a/internal/decide/ledger/ledger_test.go
+++ b/internal/decide/shardownership/shardownership_test.go
@@ -1,4 +1,4 @@
-package ledger
+package shardownership
 
 import (
 	"testing"
--- a/internal/decide/shardrouter/line.go
+++ b/internal/decide/shardrouter/line.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"ravenpond/internal/decide/fairqueue"
-	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/decide/tenancy"
 )
 
@@ -43,8 +43,8 @@
 }
 
 type waiting struct {
-	name   ledger.Name
-	ask    ledger.Ask
+	name   shardownership.Name
+	ask    shardownership.Ask
 	unread float64
 	since  float64
 }
@@ -64,7 +64,7 @@
 	l.queue = fairqueue.New(1, 1, d.terms.Open)
 	l.queue.Free(0, 0, leastOpen*d.terms.Most)
 	d.ledger.Count = l.queue.Count
-	d.ledger.Held = func(tenant int, a *ledger.Ask, by float64) {
+	d.ledger.Held = func(tenant int, a *shardownership.Ask, by float64) {
 		l.queue.Hold(tenant, a.Cores, a.Memory, by)
 		l.held.Cores, l.held.Memory = l.held.Cores+by*a.Cores, l.held.Memory+by*a.Memory
 	}
@@ -76,8 +76,8 @@
 
 // Entry is what becomes of an ask.
 type Entry struct {
-	Name  ledger.Name
-	Ask   ledger.Ask
+	Name  shardownership.Name
+	Ask   shardownership.Ask
 	Waits bool    // its turn comes, or it is answered later
 	At    int     // the shard that acts for it
 	Epoch uint32  // 0: for another ask of the same key
@@ -86,13 +86,13 @@
 }
 
 // Enter takes an ask, as Ask does, and has it wait for its tenant's turn where tenants come and go.
-func (d *Desk) Enter(now float64, n ledger.Name, a ledger.Ask, unread float64, queue Queue) Entry {
+func (d *Desk) Enter(now float64, n shardownership.Name, a shardownership.Ask, unread float64, queue Queue) Entry {
 	e := Entry{Name: n, Ask: a}
 	l := d.line
 	hosts := l != nil
 	if hosts { // what a shard acts for already goes past the lines
 		_, state := d.ledger.Look(now, n)
-		hosts = state == ledger.New
+		hosts = state == shardownership.New
 	}
 	if !hosts {
 		e.At, e.Epoch, e.Why = d.Ask(now, n, a, unread, queue)
--- a/internal/decide/shardrouter/line_test.go
+++ b/internal/decide/shardrouter/line_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 
 	"ravenpond/internal/decide/fairqueue"
-	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/decide/tenancy"
 )
 
@@ -20,9 +20,11 @@
 }
 
 func TestLine(t *testing.T) {
-	of := func(tenant int, key uint64) ledger.Name { return ledger.Name{Tenant: tenant, Token: key} }
-	ask := func(ref uint64) ledger.Ask {
-		return ledger.Ask{Owner: 1, Ref: ref, Service: ref, Cores: 1, Memory: 1, Expiry: 5000}
+	of := func(tenant int, key uint64) shardownership.Name {
+		return shardownership.Name{Tenant: tenant, Token: key}
+	}
+	ask := func(ref uint64) shardownership.Ask {
+		return shardownership.Ask{Owner: 1, Ref: ref, Service: ref, Cores: 1, Memory: 1, Expiry: 5000}
 	}
 	full := func(d *Desk) { // all ten cores are taken
 		defer func() {
@@ -70,7 +72,7 @@
 				d.Listed(Room{c.all, c.all}, Room{c.unasked, c.unasked}, c.says)
 			}
 			for i := range uint64(2) { // whatever is said, two may be open
-				d.Send(of(0, i), 0, 1, ledger.Try{Node: 1})
+				d.Send(of(0, i), 0, 1, shardownership.Try{Node: 1})
 			}
 			if e := d.Enter(1, of(1, 50), ask(50), 0, calm); e.Waits != c.waits {
 				t.Errorf("%s: %+v", c.name, e)
@@ -159,7 +161,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d, now, ref := hosting(2, 12), 0.0, uint64(0)
 		life := uint32(1)
-		waits, open := map[uint64]ledger.Name{}, map[ledger.Name]Entry{}
+		waits, open := map[uint64]shardownership.Name{}, map[shardownership.Name]Entry{}
 		note := func(e Entry) {
 			delete(waits, e.Ask.Ref)
 			if e.Why == "" && e.Epoch > 0 {
@@ -169,12 +171,12 @@
 		queue := func(int) (float64, int) { return 0, 0 }
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += float64(rapid.IntRange(0, 400).Draw(t, "time"))
-			n := ledger.Name{Tenant: rapid.IntRange(0, 2).Draw(t, "tenant"), Token: uint64(rapid.IntRange(0, 9).Draw(t, "key"))}
+			n := shardownership.Name{Tenant: rapid.IntRange(0, 2).Draw(t, "tenant"), Token: uint64(rapid.IntRange(0, 9).Draw(t, "key"))}
 			switch rapid.IntRange(0, 6).Draw(t, "call") {
 			case 0, 1, 2:
 				ref++
 				size := float64(rapid.IntRange(1, 3).Draw(t, "size"))
-				e := d.Enter(now, n, ledger.Ask{Owner: 1, Ref: ref, Service: n.Token % 3, Cores: size, Memory: 1, Expiry: now + 900}, 0, queue)
+				e := d.Enter(now, n, shardownership.Ask{Owner: 1, Ref: ref, Service: n.Token % 3, Cores: size, Memory: 1, Expiry: now + 900}, 0, queue)
 				if e.Waits {
 					waits[ref] = n
 				} else {
@@ -182,7 +184,7 @@
 				}
 			case 3:
 				if e, ok := open[n]; ok {
-					d.Send(n, e.At, e.Epoch, ledger.Try{Node: 1})
+					d.Send(n, e.At, e.Epoch, shardownership.Try{Node: 1})
 					d.Final(now, n, e.At, e.Epoch, true)
 				}
 			case 4:
@@ -194,7 +196,7 @@
 				shard := rapid.IntRange(0, 1).Draw(t, "shard")
 				for _, f := range d.Fence(now, shard) {
 					e := open[f.Name]
-					if delete(open, f.Name); f.Fate == ledger.Moves {
+					if delete(open, f.Name); f.Fate == shardownership.Moves {
 						e.At, e.Epoch = f.To, f.Epoch
 						open[f.Name] = e
 					}
--- a/internal/decide/shardrouter/shardrouter.go
+++ b/internal/decide/shardrouter/shardrouter.go
@@ -13,7 +13,7 @@
 
 	"ravenpond/internal/decide/admit"
 	"ravenpond/internal/decide/handover"
-	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/decide/shares"
 	"ravenpond/internal/decide/watchdog"
 	"ravenpond/logic"
@@ -40,12 +40,12 @@
 // Desk is the process's.
 type Desk struct {
 	terms   Terms
-	ledger  *ledger.Ledger
+	ledger  *shardownership.Ledger
 	table   *shares.Table
 	dog     *watchdog.Dog
 	gates   []admit.Gate
-	lost    map[ledger.Name]lost // what ran at a shard that is no more, until it is found
-	lostBy  map[ledger.Try]ledger.Name
+	lost    map[shardownership.Name]lost // what ran at a shard that is no more, until it is found
+	lostBy  map[shardownership.Try]shardownership.Name
 	resting map[uint64]float64 // services that get nothing new, until a time
 	leaves  map[int]bool       // shards that are to end
 	gone    map[int]bool       // and those that have, or never began
@@ -54,8 +54,8 @@
 }
 
 type lost struct {
-	ledger.Ask
-	try   ledger.Try
+	shardownership.Ask
+	try   shardownership.Try
 	until float64
 }
 
@@ -65,8 +65,8 @@
 	for i := range weights {
 		weights[i] = 1
 	}
-	d := &Desk{terms: terms, ledger: ledger.Table(terms.Jobs, terms.Epoch), table: shares.New(terms.Way, weights),
-		dog: watchdog.New(now, terms.Most), gates: make([]admit.Gate, terms.Most), lost: map[ledger.Name]lost{}, lostBy: map[ledger.Try]ledger.Name{},
+	d := &Desk{terms: terms, ledger: shardownership.Table(terms.Jobs, terms.Epoch), table: shares.New(terms.Way, weights),
+		dog: watchdog.New(now, terms.Most), gates: make([]admit.Gate, terms.Most), lost: map[shardownership.Name]lost{}, lostBy: map[shardownership.Try]shardownership.Name{},
 		resting: map[uint64]float64{}, leaves: map[int]bool{}, gone: map[int]bool{}, fresh: map[int]float64{}}
 	d.ledger.Trusted = terms.Trusted
 	if terms.Hosts {
@@ -88,13 +88,13 @@
 // Ask finds the shard for an ask: the one that acts for its key already, with an epoch of 0, else the one where its service
 // belongs, under a new epoch. why says why there is none. unread is how long the ask lay on its way, and queue tells of a
 // shard how long it has been at one thing, beyond what is common, and how many asks wait there.
-func (d *Desk) Ask(now float64, n ledger.Name, a ledger.Ask, unread float64,
+func (d *Desk) Ask(now float64, n shardownership.Name, a shardownership.Ask, unread float64,
 	queue func(shard int) (stuck float64, ahead int)) (at int, epoch uint32, why string) {
 	at, known := d.ledger.Look(now, n)
 	switch {
-	case known == ledger.Barring:
+	case known == shardownership.Barring:
 		return 0, 0, "earlier-try-out"
-	case known == ledger.Known:
+	case known == shardownership.Known:
 		return at, 0, ""
 	case d.ledger.Open() >= d.terms.Open:
 		return 0, 0, "full"
@@ -119,17 +119,17 @@
 func (d *Desk) Worked(shard int, took float64, asks int) { d.gates[shard].Worked(took, asks) }
 
 // Send asks leave for a try, Settle notes its outcome, Final asks leave for the final answer, Owned notes who is told from now on.
-func (d *Desk) Send(n ledger.Name, shard int, epoch uint32, try ledger.Try) bool {
+func (d *Desk) Send(n shardownership.Name, shard int, epoch uint32, try shardownership.Try) bool {
 	return d.ledger.Send(n, shard, epoch, try)
 }
 
 // Settle notes a try's outcome; never tells that it is proven not to have run.
-func (d *Desk) Settle(n ledger.Name, shard int, epoch uint32, never bool) {
+func (d *Desk) Settle(n shardownership.Name, shard int, epoch uint32, never bool) {
 	d.ledger.Settle(n, shard, epoch, never)
 }
 
 // Final notes that the final answer leaves, and whether it is that the allocation is served; false if it must not.
-func (d *Desk) Final(now float64, n ledger.Name, shard int, epoch uint32, served bool) bool {
+func (d *Desk) Final(now float64, n shardownership.Name, shard int, epoch uint32, served bool) bool {
 	if !d.ledger.Answer(n, shard, epoch, served) {
 		return false
 	}
@@ -140,12 +140,12 @@
 }
 
 // Owned notes that another ask is the one to be told of an allocation.
-func (d *Desk) Owned(n ledger.Name, shard int, epoch, owner uint32, ref uint64) {
+func (d *Desk) Owned(n shardownership.Name, shard int, epoch, owner uint32, ref uint64) {
 	d.ledger.Owned(n, shard, epoch, owner, ref)
 }
 
 // Adopt gives what a node runs to a shard, and tells who waits to hear of it; false if another acts for it.
-func (d *Desk) Adopt(n ledger.Name, shard int, a ledger.Ask, try ledger.Try) (epoch, owner uint32, ref uint64, ok bool) {
+func (d *Desk) Adopt(n shardownership.Name, shard int, a shardownership.Ask, try shardownership.Try) (epoch, owner uint32, ref uint64, ok bool) {
 	before := d.ledger.Len()
 	if epoch, ok = d.ledger.Found(n, shard, a, try); !ok {
 		return 0, 0, 0, false
@@ -162,18 +162,18 @@
 }
 
 // lose notes that something runs that no shard knows of, unlose that this is over.
-func (d *Desk) lose(now float64, n ledger.Name, a ledger.Ask, try ledger.Try) {
+func (d *Desk) lose(now float64, n shardownership.Name, a shardownership.Ask, try shardownership.Try) {
 	d.lost[n] = lost{a, try, now + findFor}
 	d.lostBy[try] = n
 }
 
-func (d *Desk) unlose(n ledger.Name) {
+func (d *Desk) unlose(n shardownership.Name) {
 	delete(d.lostBy, d.lost[n].try)
 	delete(d.lost, n)
 }
 
 // Ended notes that a try is over which no shard knows of: its owner is to hear how, rather than at last that it was not found.
-func (d *Desk) Ended(try ledger.Try) (a ledger.Ask, ok bool) {
+func (d *Desk) Ended(try shardownership.Try) (a shardownership.Ask, ok bool) {
 	n, ok := d.lostBy[try]
 	if ok {
 		a = d.lost[n].Ask
@@ -183,7 +183,7 @@
 }
 
 // Drop ends an allocation that a shard acts for.
-func (d *Desk) Drop(n ledger.Name, shard int, service uint64, epoch uint32) {
+func (d *Desk) Drop(n shardownership.Name, shard int, service uint64, epoch uint32) {
 	if d.ledger.Drop(n, shard, epoch) {
 		d.table.Leave(shard, service)
 	}
@@ -192,7 +192,7 @@
 // Home is the shard that a try which a node holds belongs to: the one that holds it by that very try, else the one that
 // made it, else, if that one's life is over, where its service belongs; -1 if none lives. Only the first is sure to know
 // of it: one that was handed on may have been lost with the shard that got it, and its maker gave it away for good.
-func (d *Desk) Home(n ledger.Name, ticket uint64, no uint8, service uint64, own int) (at int, knows bool) {
+func (d *Desk) Home(n shardownership.Name, ticket uint64, no uint8, service uint64, own int) (at int, knows bool) {
 	if at, ok := d.ledger.Holder(n, ticket, no); ok && d.table.Lives(at) {
 		return at, true
 	}
@@ -204,7 +204,7 @@
 
 // Fate is what becomes of an allocation whose shard is no more, or gave it away.
 type Fate struct {
-	ledger.Orphan
+	shardownership.Orphan
 	To    int    // the shard that goes on with one that moves
 	Epoch uint32 // and under which epoch
 }
@@ -222,16 +222,16 @@
 		if spread { // its next home must first hear what runs, or the spread would be broken
 			d.resting[service] = now + restFor
 		}
-		if f.Fate == ledger.Moves {
+		if f.Fate == shardownership.Moves {
 			to, ok := 0, false
 			if !spread {
 				to, ok = d.table.Place(service, o.Name.Tenant, false)
 			}
-			if f.Fate = ledger.Declines; ok {
-				f.Fate, f.To, f.Epoch = ledger.Moves, to, d.ledger.Take(o.Name, to, o.Entry.Ask)
+			if f.Fate = shardownership.Declines; ok {
+				f.Fate, f.To, f.Epoch = shardownership.Moves, to, d.ledger.Take(o.Name, to, o.Entry.Ask)
 			}
 		}
-		if f.Fate == ledger.Continues && o.Entry.Served { // else its owner knows already that it was not
+		if f.Fate == shardownership.Continues && o.Entry.Served { // else its owner knows already that it was not
 			d.lose(now, o.Name, o.Entry.Ask, o.Entry.Last)
 		}
 		all = append(all, f)
@@ -241,7 +241,7 @@
 
 // Look takes each shard's last sign of life and how long its events wait. It tells which shards to fence and which to
 // start again, what to answer for those that are quiet, which of those they are, and what ran and was not found again.
-func (d *Desk) Look(now float64, beats, waited []float64) (fence, start, quiet []int, answer []Fate, lost []ledger.Ask) {
+func (d *Desk) Look(now float64, beats, waited []float64) (fence, start, quiet []int, answer []Fate, lost []shardownership.Ask) {
 	for i, w := range waited {
 		d.table.Seen(i, w)
 	}
@@ -266,7 +266,9 @@
 			lost = append(lost, a.Ask)
 		}
 	}
-	slices.SortFunc(lost, func(x, y ledger.Ask) int { return cmp.Or(cmp.Compare(x.Owner, y.Owner), cmp.Compare(x.Ref, y.Ref)) })
+	slices.SortFunc(lost, func(x, y shardownership.Ask) int {
+		return cmp.Or(cmp.Compare(x.Owner, y.Owner), cmp.Compare(x.Ref, y.Ref))
+	})
 	return fence, start, quiet, answer, lost
 }
 
@@ -343,8 +345,8 @@
 
 // Item is one that a shard gives away.
 type Item struct {
-	Name  ledger.Name
-	Ask   ledger.Ask
+	Name  shardownership.Name
+	Ask   shardownership.Ask
 	Epoch uint32
 	Runs  bool
 }
@@ -363,9 +365,9 @@
 	}
 	d.ledger.NextEpoch()
 	for _, it := range items {
-		f := Fate{Orphan: ledger.Orphan{Name: it.Name, Entry: ledger.Entry{Ask: it.Ask}, Fate: ledger.Continues}}
+		f := Fate{Orphan: shardownership.Orphan{Name: it.Name, Entry: shardownership.Entry{Ask: it.Ask}, Fate: shardownership.Continues}}
 		if epoch, ok := d.ledger.Hand(it.Name, from, it.Epoch, to); ok {
-			f.Fate, f.To, f.Epoch = ledger.Moves, to, epoch
+			f.Fate, f.To, f.Epoch = shardownership.Moves, to, epoch
 			d.table.Join(to, service)
 			d.table.Leave(from, service)
 			if it.Runs { // until the other has it
@@ -391,8 +393,8 @@
 	d.dog.Rest(shard)
 	for _, o := range d.ledger.Fence(now, shard, 0) {
 		d.table.Leave(shard, o.Entry.Service)
-		if o.Fate == ledger.Moves { // it never reached the engine
-			o.Fate = ledger.Declines
+		if o.Fate == shardownership.Moves { // it never reached the engine
+			o.Fate = shardownership.Declines
 		}
 		all = append(all, Fate{Orphan: o})
 	}
@@ -409,10 +411,10 @@
 func (d *Desk) Epoch() uint32 { return d.ledger.Epoch }
 
 // Check holds what the shards hold, each by its name and epoch, against what the desk has.
-func (d *Desk) Check(each func(f func(shard int, n ledger.Name, epoch uint32))) error {
-	held, open := map[ledger.Name]bool{}, 0
+func (d *Desk) Check(each func(f func(shard int, n shardownership.Name, epoch uint32))) error {
+	held, open := map[shardownership.Name]bool{}, 0
 	var fault error
-	each(func(shard int, n ledger.Name, epoch uint32) {
+	each(func(shard int, n shardownership.Name, epoch uint32) {
 		held[n] = true
 		if en := d.ledger.Entry(n); fault != nil {
 			return
--- a/internal/decide/shardrouter/shardrouter_test.go
+++ b/internal/decide/shardrouter/shardrouter_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardownership"
 	"ravenpond/logic"
 )
 
@@ -19,10 +19,10 @@
 	return New(0, Terms{Jobs: jobs, Shards: shards, Most: 4, Open: 100, Margin: 200, Step: 1, Epoch: 1})
 }
 
-func name(i int) ledger.Name { return ledger.Name{Token: uint64(i)} }
+func name(i int) shardownership.Name { return shardownership.Name{Token: uint64(i)} }
 
 func (d *Desk) ask(t interface{ Fatalf(string, ...any) }, now float64, i, job int, service uint64) (int, uint32) {
-	at, epoch, why := d.Ask(now, name(i), ledger.Ask{Owner: 1, Ref: uint64(i), Job: job, Service: service, Expiry: now + 5000}, 0, calm)
+	at, epoch, why := d.Ask(now, name(i), shardownership.Ask{Owner: 1, Ref: uint64(i), Job: job, Service: service, Expiry: now + 5000}, 0, calm)
 	if why != "" || epoch == 0 {
 		t.Fatalf("ask %d: epoch %d, %s", i, epoch, why)
 	}
@@ -34,16 +34,16 @@
 		name string
 		job  int
 		do   func(d *Desk, at int, epoch uint32)
-		want ledger.Fate
+		want shardownership.Fate
 	}{
-		{"it waits", 0, func(*Desk, int, uint32) {}, ledger.Moves},
-		{"it waits and must be spread", 1, func(*Desk, int, uint32) {}, ledger.Declines},
-		{"a try is out", 2, func(d *Desk, at int, epoch uint32) { d.Send(name(1), at, epoch, ledger.Try{Node: 3}) }, ledger.Fails},
-		{"one that may be tried again is out", 0, func(d *Desk, at int, epoch uint32) { d.Send(name(1), at, epoch, ledger.Try{Node: 3}) }, ledger.Declines},
+		{"it waits", 0, func(*Desk, int, uint32) {}, shardownership.Moves},
+		{"it waits and must be spread", 1, func(*Desk, int, uint32) {}, shardownership.Declines},
+		{"a try is out", 2, func(d *Desk, at int, epoch uint32) { d.Send(name(1), at, epoch, shardownership.Try{Node: 3}) }, shardownership.Fails},
+		{"one that may be tried again is out", 0, func(d *Desk, at int, epoch uint32) { d.Send(name(1), at, epoch, shardownership.Try{Node: 3}) }, shardownership.Declines},
 		{"it runs", 2, func(d *Desk, at int, epoch uint32) {
-			d.Send(name(1), at, epoch, ledger.Try{Node: 3, Ticket: 9})
+			d.Send(name(1), at, epoch, shardownership.Try{Node: 3, Ticket: 9})
 			d.Final(0, name(1), at, epoch, true)
-		}, ledger.Continues},
+		}, shardownership.Continues},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := begin(3)
@@ -53,17 +53,17 @@
 			if len(all) != 1 || all[0].Fate != c.want {
 				t.Fatalf("%+v", all)
 			}
-			if d.Send(name(1), at, epoch, ledger.Try{}) {
+			if d.Send(name(1), at, epoch, shardownership.Try{}) {
 				t.Error("the fenced shard got leave")
 			}
-			if f := all[0]; c.want == ledger.Moves && (f.To == at || !d.Send(name(1), f.To, f.Epoch, ledger.Try{})) {
+			if f := all[0]; c.want == shardownership.Moves && (f.To == at || !d.Send(name(1), f.To, f.Epoch, shardownership.Try{})) {
 				t.Errorf("moved to %d, which gets no leave", f.To)
 			}
-			if _, _, why := d.Ask(200, name(2), ledger.Ask{Job: c.job, Service: 7, Expiry: 9000}, 0, calm); (why != "") != (c.job == 1) {
+			if _, _, why := d.Ask(200, name(2), shardownership.Ask{Job: c.job, Service: 7, Expiry: 9000}, 0, calm); (why != "") != (c.job == 1) {
 				t.Errorf("an ask of the same service: %q", why)
 			}
-			if c.want == ledger.Continues {
-				if _, epoch, why := d.Ask(6000, name(1), ledger.Ask{Job: c.job, Service: 7, Expiry: 9000}, 0, calm); epoch > 0 || why != "shard-fenced" {
+			if c.want == shardownership.Continues {
+				if _, epoch, why := d.Ask(6000, name(1), shardownership.Ask{Job: c.job, Service: 7, Expiry: 9000}, 0, calm); epoch > 0 || why != "shard-fenced" {
 					t.Errorf("asked for again before it is found: epoch %d, %q", epoch, why)
 				}
 				if home, knows := d.Home(name(1), 9, 0, 7, (at+2)%3); home != (at+2)%3 || knows { // where it was handed on from
@@ -71,7 +71,7 @@
 				}
 				// Found again by another shard, its owner is known.
 				to := (at + 1) % 3
-				if _, owner, ref, ok := d.Adopt(name(1), to, ledger.Ask{Job: c.job, Service: 7}, ledger.Try{Node: 3, Ticket: 9}); !ok || owner != 1 || ref != 1 {
+				if _, owner, ref, ok := d.Adopt(name(1), to, shardownership.Ask{Job: c.job, Service: 7}, shardownership.Try{Node: 3, Ticket: 9}); !ok || owner != 1 || ref != 1 {
 					t.Errorf("found: owner %d, ref %d, %v", owner, ref, ok)
 				}
 				if home, knows := d.Home(name(1), 9, 0, 7, -1); home != to || !knows {
@@ -83,13 +83,13 @@
 	t.Run("over before it is found", func(t *testing.T) {
 		d := begin(2)
 		at, epoch := d.ask(t, 0, 1, 2, 7)
-		d.Send(name(1), at, epoch, ledger.Try{Node: 3, Ticket: 9, No: 1})
+		d.Send(name(1), at, epoch, shardownership.Try{Node: 3, Ticket: 9, No: 1})
 		d.Final(0, name(1), at, epoch, true)
 		d.Fence(100, at)
-		if _, ok := d.Ended(ledger.Try{Node: 3, Ticket: 9}); ok {
+		if _, ok := d.Ended(shardownership.Try{Node: 3, Ticket: 9}); ok {
 			t.Error("another try of it ended it")
 		}
-		if a, ok := d.Ended(ledger.Try{Node: 3, Ticket: 9, No: 1}); !ok || a.Ref != 1 {
+		if a, ok := d.Ended(shardownership.Try{Node: 3, Ticket: 9, No: 1}); !ok || a.Ref != 1 {
 			t.Errorf("%+v, %t", a, ok)
 		}
 		if _, _, _, _, lost := d.Look(101+findFor, []float64{15000, 15000}, []float64{0, 0}); len(lost) > 0 {
@@ -99,7 +99,7 @@
 	t.Run("never found", func(t *testing.T) {
 		d := begin(2)
 		at, epoch := d.ask(t, 0, 1, 2, 7)
-		d.Send(name(1), at, epoch, ledger.Try{})
+		d.Send(name(1), at, epoch, shardownership.Try{})
 		d.Final(0, name(1), at, epoch, true)
 		d.Fence(100, at)
 		if _, _, _, _, lost := d.Look(100+findFor, []float64{15000, 15000}, []float64{0, 0}); len(lost) > 0 {
@@ -120,21 +120,21 @@
 				service++
 			}
 			at, epoch := d.ask(t, 0, 1, 2, service)
-			d.Send(name(1), at, epoch, ledger.Try{Node: 3, Ticket: 9})
+			d.Send(name(1), at, epoch, shardownership.Try{Node: 3, Ticket: 9})
 			d.Final(0, name(1), at, epoch, true)
 			_, _, _ = d.Resize(10, 1)
 			if !d.Goes(at, service, 0) {
 				t.Fatal("a leaving shard keeps what it has")
 			}
 			back(d, at)
-			fates := d.Hand(40, at, []Item{{Name: name(1), Ask: ledger.Ask{Job: 2, Service: service}, Epoch: epoch, Runs: true}})
-			if len(fates) != 1 || fates[0].Fate != ledger.Moves || fates[0].To != at || fates[0].Epoch <= epoch {
+			fates := d.Hand(40, at, []Item{{Name: name(1), Ask: shardownership.Ask{Job: 2, Service: service}, Epoch: epoch, Runs: true}})
+			if len(fates) != 1 || fates[0].Fate != shardownership.Moves || fates[0].To != at || fates[0].Epoch <= epoch {
 				t.Fatalf("%+v", fates)
 			}
-			if _, _, _, ok := d.Adopt(name(1), at, ledger.Ask{Job: 2, Service: service}, ledger.Try{Node: 3, Ticket: 9}); !ok {
+			if _, _, _, ok := d.Adopt(name(1), at, shardownership.Ask{Job: 2, Service: service}, shardownership.Try{Node: 3, Ticket: 9}); !ok {
 				t.Error("it can't have it")
 			}
-			if _, ok := d.Ended(ledger.Try{Node: 3, Ticket: 9}); ok {
+			if _, ok := d.Ended(shardownership.Try{Node: 3, Ticket: 9}); ok {
 				t.Error("it is held, yet counts as lost")
 			}
 		})
@@ -142,10 +142,10 @@
 	t.Run("no shard is left", func(t *testing.T) {
 		d := begin(1)
 		d.ask(t, 0, 1, 0, 7)
-		if all := d.Fence(100, 0); all[0].Fate != ledger.Declines {
+		if all := d.Fence(100, 0); all[0].Fate != shardownership.Declines {
 			t.Errorf("%+v", all)
 		}
-		if _, _, why := d.Ask(200, name(2), ledger.Ask{Expiry: 9000}, 0, calm); why != "no-shard" {
+		if _, _, why := d.Ask(200, name(2), shardownership.Ask{Expiry: 9000}, 0, calm); why != "no-shard" {
 			t.Error(why)
 		}
 	})
@@ -154,15 +154,15 @@
 func TestAsk(t *testing.T) {
 	d := New(0, Terms{Jobs: jobs, Shards: 1, Most: 1, Open: 2, Margin: 200, Epoch: 1})
 	d.ask(t, 0, 1, 0, 7)
-	if at, epoch, why := d.Ask(0, name(1), ledger.Ask{Expiry: 5000}, 0, calm); at != 0 || epoch != 0 || why != "" {
+	if at, epoch, why := d.Ask(0, name(1), shardownership.Ask{Expiry: 5000}, 0, calm); at != 0 || epoch != 0 || why != "" {
 		t.Errorf("a known key: %d, %d, %s", at, epoch, why)
 	}
 	d.Worked(0, 10, 10)
-	if _, _, why := d.Ask(0, name(2), ledger.Ask{Expiry: 5000}, 0, func(int) (float64, int) { return 0, 1000 }); why != "behind" {
+	if _, _, why := d.Ask(0, name(2), shardownership.Ask{Expiry: 5000}, 0, func(int) (float64, int) { return 0, 1000 }); why != "behind" {
 		t.Error(why)
 	}
 	d.ask(t, 300, 3, 0, 7)
-	if _, _, why := d.Ask(300, name(4), ledger.Ask{Expiry: 5000}, 0, calm); why != "full" {
+	if _, _, why := d.Ask(300, name(4), shardownership.Ask{Expiry: 5000}, 0, calm); why != "full" {
 		t.Error(why)
 	}
 }
@@ -173,7 +173,7 @@
 	beats := []float64{4900, 4900}
 	beats[at] = 4000
 	_, _, quiet, answer, _ := d.Look(4900, beats, []float64{0, 0})
-	if !slices.Equal(quiet, []int{at}) || len(answer) != 1 || answer[0].Fate != ledger.Declines {
+	if !slices.Equal(quiet, []int{at}) || len(answer) != 1 || answer[0].Fate != shardownership.Declines {
 		t.Errorf("quiet %v, %+v", quiet, answer)
 	}
 	if d.Final(0, name(1), at, 1, true) {
@@ -238,7 +238,7 @@
 		all := map[int]held{}
 		now, life := 0.0, uint32(1)
 		check := func() {
-			if err := d.Check(func(f func(int, ledger.Name, uint32)) {
+			if err := d.Check(func(f func(int, shardownership.Name, uint32)) {
 				for i, h := range all {
 					f(h.shard, name(i), h.epoch)
 				}
@@ -249,11 +249,11 @@
 		moved := func(fates []Fate) {
 			for _, f := range fates {
 				i := int(f.Name.Token)
-				if h := all[i]; f.Fate == ledger.Moves {
+				if h := all[i]; f.Fate == shardownership.Moves {
 					h.shard, h.epoch = f.To, f.Epoch
 					h.item.Epoch = f.Epoch
 					all[i] = h
-				} else if f.Fate != ledger.Continues {
+				} else if f.Fate != shardownership.Continues {
 					delete(all, i)
 				}
 			}
@@ -266,13 +266,13 @@
 			switch rapid.IntRange(0, 7).Draw(t, "call") {
 			case 0, 1:
 				job, service := rapid.IntRange(0, 2).Draw(t, "job"), uint64(i%3)
-				if at, epoch, why := d.Ask(now, name(i), ledger.Ask{Job: job, Service: service, Expiry: now + 900}, 0, calm); why == "" && epoch > 0 {
-					all[i] = held{at, epoch, Item{Name: name(i), Epoch: epoch, Ask: ledger.Ask{Job: job, Service: service, Expiry: now + 900}}}
+				if at, epoch, why := d.Ask(now, name(i), shardownership.Ask{Job: job, Service: service, Expiry: now + 900}, 0, calm); why == "" && epoch > 0 {
+					all[i] = held{at, epoch, Item{Name: name(i), Epoch: epoch, Ask: shardownership.Ask{Job: job, Service: service, Expiry: now + 900}}}
 				} else if why == "" && ok != (at == h.shard) {
 					t.Fatalf("key %d is at %d, known at %d", i, h.shard, at)
 				}
 			case 2:
-				got := d.Send(name(i), shard, h.epoch, ledger.Try{Node: 1})
+				got := d.Send(name(i), shard, h.epoch, shardownership.Try{Node: 1})
 				if got && (!ok || shard != h.shard) {
 					t.Fatal("leave for a shard that does not act for it")
 				}
@@ -290,7 +290,7 @@
 					fates := d.Fence(now, shard)
 					moved(fates)
 					for _, f := range fates {
-						if f.Fate == ledger.Continues {
+						if f.Fate == shardownership.Continues {
 							delete(all, int(f.Name.Token))
 						}
 					}
@@ -307,7 +307,7 @@
 				if len(items) > 0 { // whether they go or not: the number of shards may have changed since that was asked
 					fates := d.Hand(now, shard, items)
 					for _, f := range fates {
-						if f.Fate == ledger.Continues { // a try was out: dropped, as the engine gives no such
+						if f.Fate == shardownership.Continues { // a try was out: dropped, as the engine gives no such
 							if en := d.ledger.Entry(f.Name); en == nil {
 								delete(all, int(f.Name.Token))
 							}
--- a/internal/lab/states/world.go
+++ b/internal/lab/states/world.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"ravenpond/internal/decide/handover"
-	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/decide/shares"
 	"ravenpond/internal/engine"
@@ -65,7 +65,7 @@
 	}
 }()
 
-var name = ledger.Name{Tenant: 0, Token: token}
+var name = shardownership.Name{Tenant: 0, Token: token}
 
 // msg is a line on its way between a shard and a node.
 type msg struct {
@@ -238,7 +238,7 @@
 func (d edge) Mode(string)          {}
 
 func (d edge) Leave(_ int, _ uint64, epoch uint32, nd uint32, ticket uint64, no uint8) bool {
-	return d.p.acts.Send(name, d.s, epoch, ledger.Try{Node: nd, Ticket: ticket, No: no})
+	return d.p.acts.Send(name, d.s, epoch, shardownership.Try{Node: nd, Ticket: ticket, No: no})
 }
 func (d edge) Known(_ int, _ uint64, epoch uint32, never bool) {
 	d.p.acts.Settle(name, d.s, epoch, never)
@@ -248,7 +248,7 @@
 	if d.dead() {
 		return 0, 0, 0, false
 	}
-	return d.p.acts.Adopt(name, d.s, ledger.Ask{Job: job, Service: service}, ledger.Try{Node: nd, Ticket: ticket, No: no})
+	return d.p.acts.Adopt(name, d.s, shardownership.Ask{Job: job, Service: service}, shardownership.Try{Node: nd, Ticket: ticket, No: no})
 }
 func (d edge) Owned(_ int, _ uint64, epoch uint32, who uint32, ref uint64) {
 	d.p.acts.Owned(name, d.s, epoch, who, ref)
@@ -299,21 +299,21 @@
 	}
 	for _, f := range fates {
 		a := f.Entry.Ask
-		if p.w.Plant == MovesOut && f.Fate != ledger.Moves && f.Fate != ledger.Continues {
+		if p.w.Plant == MovesOut && f.Fate != shardownership.Moves && f.Fate != shardownership.Continues {
 			if to, epoch, why := p.acts.Ask(p.now, name, a, 0, calm); why == "" {
-				f.Fate, f.To, f.Epoch = ledger.Moves, to, epoch
+				f.Fate, f.To, f.Epoch = shardownership.Moves, to, epoch
 			}
 		}
-		if p.w.Plant == Declines && f.Fate == ledger.Fails {
-			f.Fate = ledger.Declines
+		if p.w.Plant == Declines && f.Fate == shardownership.Fails {
+			f.Fate = shardownership.Declines
 		}
 		switch f.Fate {
-		case ledger.Moves:
+		case shardownership.Moves:
 			_ = p.eng[f.To].Allocate(p.now, owner, a.Ref, p.w.Job, 0, service, token, 1, 1, a.Expiry-p.now, f.Epoch)
 			p.news[f.To] = true
-		case ledger.Declines:
+		case shardownership.Declines:
 			p.answered(a.Ref, engine.Declined)
-		case ledger.Fails:
+		case shardownership.Fails:
 			p.answered(a.Ref, engine.Failed)
 		}
 	}
@@ -339,12 +339,12 @@
 	defer func() { _, _, _ = p.acts.Resize(p.now, shards) }()
 	var items []shardrouter.Item
 	for _, g := range all {
-		items = append(items, shardrouter.Item{Name: name, Epoch: g.Epoch, Runs: g.Runs, Ask: ledger.Ask{Owner: g.Owner, Ref: g.Ref, Job: g.Job,
+		items = append(items, shardrouter.Item{Name: name, Epoch: g.Epoch, Runs: g.Runs, Ask: shardownership.Ask{Owner: g.Owner, Ref: g.Ref, Job: g.Job,
 			Service: service, Expiry: g.Expiry}})
 	}
 	for i, f := range p.acts.Hand(p.now, s, items) {
 		g := all[i]
-		if f.Fate != ledger.Moves {
+		if f.Fate != shardownership.Moves {
 			p.fail("the desk does not let go what the engine gave: %+v", f)
 			return
 		}
--- a/internal/serve/check.go
+++ b/internal/serve/check.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardownership"
 )
 
 // Check holds what shards share against what each holds: one owner for each allocation, and nothing that nobody acts
@@ -16,11 +16,11 @@
 			return nil // it will hear of more in a moment
 		}
 	}
-	if err := s.acts.Check(func(f func(shard int, n ledger.Name, epoch uint32)) {
+	if err := s.acts.Check(func(f func(shard int, n shardownership.Name, epoch uint32)) {
 		for _, sh := range s.living() {
 			if !sh.fenced.Load() {
 				sh.eng.Each(func(tenant int, token uint64, epoch uint32, _ bool) {
-					f(sh.index, ledger.Name{Tenant: tenant, Token: token}, epoch)
+					f(sh.index, shardownership.Name{Tenant: tenant, Token: token}, epoch)
 				})
 			}
 		}
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -10,7 +10,7 @@
 	"sync"
 	"sync/atomic"
 
-	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/node"
@@ -363,7 +363,7 @@
 	defer s.desk.Unlock()
 	sh, err := l.of(ticket, true)
 	if sh == nil {
-		if a, ok := s.acts.Ended(ledger.Try{Node: l.nd, Ticket: ticket, No: try}); ok { // its shard was fenced while it ran
+		if a, ok := s.acts.Ended(shardownership.Try{Node: l.nd, Ticket: ticket, No: try}); ok { // its shard was fenced while it ran
 			if o := s.owner(a.Owner); o != nil {
 				o.over(a.Ref, verdict, why)
 			}
@@ -433,7 +433,7 @@
 	if sh != nil && !sh.fenced.Load() {
 		index = sh.index
 	}
-	at, knows := s.acts.Home(ledger.Name{Tenant: tenant, Token: token}, ticket, try, service, index)
+	at, knows := s.acts.Home(shardownership.Name{Tenant: tenant, Token: token}, ticket, try, service, index)
 	own := index >= 0 && at == index // else it was handed over, or its shard's life is over
 	if !own && at >= 0 {
 		sh = s.shards[at]
--- a/internal/serve/owners.go
+++ b/internal/serve/owners.go
@@ -15,7 +15,7 @@
 	"github.com/creachadair/jrpc2"
 
 	"ravenpond/internal/decide/admit"
-	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/engine"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/proto/owners"
@@ -436,8 +436,8 @@
 		o.answer(ask.Ref, engine.Declined, 0, "too-many-bytes", o.holdOff)
 		return nil
 	}
-	name := ledger.Name{Tenant: tenant, Token: Token(ask.Tenant, ask.Key)}
-	a := ledger.Ask{Owner: o.id, Ref: ask.Ref, Job: job, Service: Service(ask.Tenant, ask.Service), Cores: ask.Cores,
+	name := shardownership.Name{Tenant: tenant, Token: Token(ask.Tenant, ask.Key)}
+	a := shardownership.Ask{Owner: o.id, Ref: ask.Ref, Job: job, Service: Service(ask.Tenant, ask.Service), Cores: ask.Cores,
 		Memory: ask.Memory}
 	o.s.allocate(o, name, a, ask.Within, unread)
 	return nil
@@ -445,7 +445,7 @@
 
 // allocate has an ask go to the shard that acts for its key already, else where the desk puts it, or wait for its turn.
 // unread is how long the ask lay on its way beyond what asks always do, in ms.
-func (s *Server) allocate(o *owner, name ledger.Name, a ledger.Ask, left, unread float64) {
+func (s *Server) allocate(o *owner, name shardownership.Name, a shardownership.Ask, left, unread float64) {
 	now := s.w.Now()
 	a.Expiry = now + left
 	s.desk.Lock()
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -2,7 +2,7 @@
 
 import (
 	"ravenpond/internal/decide/handover"
-	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/engine"
 	"ravenpond/internal/site"
@@ -120,15 +120,15 @@
 func (s *Server) hand(now float64, sh *shard, all []engine.Given) {
 	var items []shardrouter.Item
 	for _, g := range all {
-		items = append(items, shardrouter.Item{Name: ledger.Name{Tenant: g.Tenant, Token: g.Token}, Epoch: g.Epoch, Runs: g.Runs,
-			Ask: ledger.Ask{Owner: g.Owner, Ref: g.Ref, Job: g.Job, Service: g.Service, Cores: g.Cores, Memory: g.Memory,
+		items = append(items, shardrouter.Item{Name: shardownership.Name{Tenant: g.Tenant, Token: g.Token}, Epoch: g.Epoch, Runs: g.Runs,
+			Ask: shardownership.Ask{Owner: g.Owner, Ref: g.Ref, Job: g.Job, Service: g.Service, Cores: g.Cores, Memory: g.Memory,
 				Expiry: g.Expiry}})
 	}
 	s.desk.Lock()
 	defer s.desk.Unlock()
 	for i, f := range s.acts.Hand(now, sh.index, items) {
 		g := all[i]
-		if f.Fate != ledger.Moves {
+		if f.Fate != shardownership.Moves {
 			continue // fenced meanwhile
 		}
 		to := s.shards[f.To]
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -20,7 +20,7 @@
 	"ravenpond/internal/control"
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/decide/connadmission"
-	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/decide/shares"
 	"ravenpond/internal/decide/watchdog"
@@ -398,7 +398,7 @@
 	if !l.o.begin(ref, l.o.s.w.Now()+within) {
 		return false
 	}
-	l.o.s.allocate(l.o, ledger.Name{Tenant: tenant, Token: token}, ledger.Ask{Owner: l.o.id, Ref: ref, Job: jobType,
+	l.o.s.allocate(l.o, shardownership.Name{Tenant: tenant, Token: token}, shardownership.Ask{Owner: l.o.id, Ref: ref, Job: jobType,
 		Service: service, Cores: cores, Memory: memory}, within, 0)
 	return true
 }
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 
 	"ravenpond/internal/decide/handover"
-	"ravenpond/internal/decide/ledger"
+	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/engine"
 	"ravenpond/internal/outside"
@@ -198,34 +198,34 @@
 	s := d.sh.s
 	s.desk.Lock()
 	defer s.desk.Unlock()
-	return s.acts.Send(ledger.Name{Tenant: tenant, Token: token}, d.sh.index, epoch,
-		ledger.Try{Node: nd, Ticket: ticket, No: try})
+	return s.acts.Send(shardownership.Name{Tenant: tenant, Token: token}, d.sh.index, epoch,
+		shardownership.Try{Node: nd, Ticket: ticket, No: try})
 }
 
 func (d edge) Known(tenant int, token uint64, epoch uint32, never bool) {
 	s := d.sh.s
 	s.desk.Lock()
-	s.acts.Settle(ledger.Name{Tenant: tenant, Token: token}, d.sh.index, epoch, never)
+	s.acts.Settle(shardownership.Name{Tenant: tenant, Token: token}, d.sh.index, epoch, never)
 	s.desk.Unlock()
 }
 
 func (d edge) Owned(tenant int, token uint64, epoch, owner uint32, ref uint64) {
 	s := d.sh.s
 	s.desk.Lock()
-	s.acts.Owned(ledger.Name{Tenant: tenant, Token: token}, d.sh.index, epoch, owner, ref)
+	s.acts.Owned(shardownership.Name{Tenant: tenant, Token: token}, d.sh.index, epoch, owner, ref)
 	s.desk.Unlock()
 }
 
 func (d edge) Adopt(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32,
 	ticket uint64, try uint8) (epoch, owner uint32, ref uint64, ok bool) {
-	s, n := d.sh.s, ledger.Name{Tenant: tenant, Token: token}
+	s, n := d.sh.s, shardownership.Name{Tenant: tenant, Token: token}
 	s.desk.Lock()
 	defer s.desk.Unlock()
 	if d.dead() {
 		return 0, 0, 0, false
 	}
-	epoch, owner, ref, ok = s.acts.Adopt(n, d.sh.index, ledger.Ask{Job: job, Service: service, Cores: cores, Memory: memory},
-		ledger.Try{Node: nd, Ticket: ticket, No: try})
+	epoch, owner, ref, ok = s.acts.Adopt(n, d.sh.index, shardownership.Ask{Job: job, Service: service, Cores: cores, Memory: memory},
+		shardownership.Try{Node: nd, Ticket: ticket, No: try})
 	if ok && owner > 0 {
 		s.ownedBy(owner, ref, d.sh.index)
 	}
@@ -235,7 +235,7 @@
 func (d edge) Dropped(tenant int, token uint64, service uint64, epoch uint32) {
 	s := d.sh.s
 	s.desk.Lock()
-	s.acts.Drop(ledger.Name{Tenant: tenant, Token: token}, d.sh.index, service, epoch)
+	s.acts.Drop(shardownership.Name{Tenant: tenant, Token: token}, d.sh.index, service, epoch)
 	s.freed()
 	s.desk.Unlock()
 }
@@ -245,7 +245,7 @@
 	s.desk.Lock()
 	defer s.desk.Unlock()
 	defer s.freed()
-	return s.acts.Final(s.w.Now(), ledger.Name{Tenant: tenant, Token: token}, d.sh.index, epoch, served)
+	return s.acts.Final(s.w.Now(), shardownership.Name{Tenant: tenant, Token: token}, d.sh.index, epoch, served)
 }
 
 func (d edge) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
@@ -287,8 +287,8 @@
 	if s.who.Place.Connections == site.Own {
 		sh.trunk.close("shard fenced", false)
 	}
-	s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Int("moved", n[ledger.Moves]).
-		Int("declined", n[ledger.Declines]).Int("failed", n[ledger.Fails]).Int("run", n[ledger.Continues]).
+	s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Int("moved", n[shardownership.Moves]).
+		Int("declined", n[shardownership.Declines]).Int("failed", n[shardownership.Fails]).Int("run", n[shardownership.Continues]).
 		Float64("ms", s.w.Now()-now).Msg("fenced: " + why)
 }
 
@@ -298,18 +298,18 @@
 		a := f.Entry.Ask
 		n[f.Fate]++
 		switch {
-		case f.Fate == ledger.Moves:
+		case f.Fate == shardownership.Moves:
 			s.ownedBy(a.Owner, a.Ref, f.To)
 			s.goOn(s.shards[f.To], engine.Given{Owner: a.Owner, Ref: a.Ref, Job: a.Job, Tenant: f.Name.Tenant, Service: a.Service,
 				Token: f.Name.Token, Cores: a.Cores, Memory: a.Memory, Expiry: a.Expiry, Epoch: f.Epoch})
-		case f.Fate == ledger.Continues:
+		case f.Fate == shardownership.Continues:
 		case s.w.Now() >= a.Expiry: // its owner has given up by itself
 			if x := s.owner(a.Owner); x != nil {
 				x.end(a.Ref)
 			}
-		case f.Fate == ledger.Declines:
+		case f.Fate == shardownership.Declines:
 			s.answer(a.Owner, a.Ref, engine.Declined, 0, why, 0)
-		case f.Fate == ledger.Fails:
+		case f.Fate == shardownership.Fails:
 			s.answer(a.Owner, a.Ref, engine.Failed, 0, why, 0)
 		}
 	}
