--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/decide/book"
-	"ravenpond/internal/decide/council"
+	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/members"
 	"ravenpond/internal/decide/zones"
 	runner "ravenpond/internal/members"
@@ -23,7 +23,7 @@
 
 // Disk keeps what a steward must not forget.
 type Disk interface {
-	Load() (council.Saved, error)
+	Load() (consensus.Saved, error)
 	// Save returns when all is on the disk.
 	Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error
 	Close() error
@@ -68,9 +68,9 @@
 
 	mu   sync.Mutex
 	mail []mail
-	asks []func(*council.Council) // by other goroutines
+	asks []func(*consensus.Council) // by other goroutines
 
-	c      *council.Council // the loop's own
+	c      *consensus.Council // the loop's own
 	holds  uint64
 	site   Site
 	judge  zones.Judge
@@ -81,19 +81,19 @@
 const judgeEach = 100
 
 // Begin runs a process's part in the council of its site on the members' datagrams. A steward's disk is its own from then on.
-func Begin(w outside.World, log zerolog.Logger, all *runner.Runner, who council.Charter, disk Disk, site Site) (*Runner, error) {
+func Begin(w outside.World, log zerolog.Logger, all *runner.Runner, who consensus.Charter, disk Disk, site Site) (*Runner, error) {
 	if site.Far == nil {
 		site.Far = func(string, string) float64 { return 0 }
 	}
 	r := &Runner{w: w, log: log, all: all, disk: disk, site: site, judge: site.Judge}
-	var saved council.Saved
+	var saved consensus.Saved
 	if disk != nil {
 		var err error
 		if saved, err = disk.Load(); err != nil {
 			return nil, fmt.Errorf("council's folder: %w", err)
 		}
 	}
-	c, err := council.New(edge{r}, w.Now(), who, saved)
+	c, err := consensus.New(edge{r}, w.Now(), who, saved)
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 func (r *Runner) View() *View { return r.view.Load() }
 
 // Ask has f called with the council on the loop's goroutine; not if that stands still and too many wait.
-func (r *Runner) Ask(f func(c *council.Council)) {
+func (r *Runner) Ask(f func(c *consensus.Council)) {
 	r.mu.Lock()
 	if len(r.asks) < mostMail {
 		r.asks = append(r.asks, f)
@@ -199,7 +199,7 @@
 		s := sums[zone]
 		b = codec.AppendSum(b, zone, s.Nodes, s.Heard, s.Room, s.Used)
 	}
-	r.Ask(func(c *council.Council) { c.Report(b) })
+	r.Ask(func(c *consensus.Council) { c.Report(b) })
 }
 
 // publish lets traffic see what has changed, and others which version is held.
--- a/internal/decide/council/council.go
+++ b/internal/decide/consensus/consensus.go
@@ -1,4 +1,4 @@
-// Package council has a site's schedulers agree on the book: time and messages of others in, messages, writes and the book out.
+// Package consensus has a site's schedulers agree on the book: time and messages of others in, messages, writes and the book out.
 // A few of them, the stewards, run the published Raft engine (go.etcd.io/raft, which does no I/O); all others follow. No message
 // of it is on the path of a placement.
 //
@@ -9,7 +9,7 @@
 //
 // It guards against messages that are lost, late or twice, stewards that are killed, stopped, cut off or can't write, clocks
 // that run apart, and a steward that lost its disk: that one never votes, as it may have voted already.
-package council
+package consensus
 
 import (
 	"cmp"
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -14,7 +14,7 @@
 
 	"ravenpond/internal/control"
 	"ravenpond/internal/decide/book"
-	"ravenpond/internal/decide/council"
+	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/zones"
 	lab "ravenpond/internal/lab/council"
 	"ravenpond/internal/lab/seeds"
@@ -28,7 +28,7 @@
 	looks   = 50
 	senses  = 250  // between two sums
 	silent  = 1000 // after which a node that is not heard counts as silent
-	stale   = council.Lease*1.03 + 200
+	stale   = consensus.Lease*1.03 + 200
 
 	eachNodes = 10
 	eachRoom  = 640.0 // cores of a zone
@@ -149,7 +149,7 @@
 		return 10
 	}, Judge: zones.Judge{Alone: g.plant.Alone}}
 	var err error
-	who := council.Charter{Zone: x.zone, Life: x.life, Stewards: g.names}
+	who := consensus.Charter{Zone: x.zone, Life: x.life, Stewards: g.names}
 	if x.r, err = lab.Begin(x.p, g.rng.Uint64(), who, x.disk, site); err != nil {
 		g.fail(err.Error())
 		return
@@ -358,7 +358,7 @@
 func (g *play) leads(f func(x *proc)) {
 	for _, x := range g.procs {
 		if x.r != nil && x.disk != nil {
-			x.r.Ask(func(c *council.Council) {
+			x.r.Ask(func(c *consensus.Council) {
 				if c.Leads() {
 					f(x)
 				}
--- a/internal/serve/book.go
+++ b/internal/serve/book.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"ravenpond/internal/control"
-	"ravenpond/internal/decide/council"
+	"ravenpond/internal/decide/consensus"
 	store "ravenpond/internal/state/council"
 )
 
@@ -20,7 +20,7 @@
 	if len(place.Members.Stewards) == 0 {
 		return nil
 	}
-	who := council.Charter{Name: s.who.Name, Zone: s.who.Zone, Life: s.circle.life, Stewards: place.Members.Stewards, Seed: s.who.Seed}
+	who := consensus.Charter{Name: s.who.Name, Zone: s.who.Zone, Life: s.circle.life, Stewards: place.Members.Stewards, Seed: s.who.Seed}
 	switch at := slices.Index(place.Zones, s.who.Zone); {
 	case at >= 0:
 		who.Region = place.Regions[at]
@@ -69,7 +69,7 @@
 	c.mu.Lock()
 	b.Steward, b.Leads, b.Halted, b.Figures = c.council.Steward, c.council.Leads, c.council.Halted, c.council.Figures
 	c.mu.Unlock()
-	s.control.Ask(func(k *council.Council) {
+	s.control.Ask(func(k *consensus.Council) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.council = Book{Steward: slices.Contains(s.who.Place.Members.Stewards, s.who.Name), Leads: k.Leads(), Halted: k.Halted(), Figures: k.Figures}
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"ravenpond/internal/decide/council"
+	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/isolation"
 	decide "ravenpond/internal/decide/members"
 	"ravenpond/internal/members"
@@ -273,7 +273,7 @@
 	Zones          map[string]string
 	Uses           map[string]float64 // parts of zones' nodes that this scheduler sends to
 	Level          int                // how far it looks: 0 its own zone, 1 its region, 2 all
-	Figures        council.Figures
+	Figures        consensus.Figures
 }
 
 // Seen is one of the others.
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"ravenpond/internal/decide/council"
+	"ravenpond/internal/decide/consensus"
 	decide "ravenpond/internal/decide/members"
 	"ravenpond/internal/engine"
 )
@@ -95,8 +95,8 @@
 	for zone, part := range parts {
 		gauge(c.zone, part, zone)
 	}
-	f := make(chan council.Figures, 1)
-	c.s.control.Ask(func(k *council.Council) { f <- k.Figures })
+	f := make(chan consensus.Figures, 1)
+	c.s.control.Ask(func(k *consensus.Council) { f <- k.Figures })
 	select {
 	case f := <-f:
 		counter(c.messages, f.Messages)
