--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -12,7 +12,7 @@
 
 	"github.com/rs/zerolog"
 
-	"ravenpond/internal/decide/book"
+	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/members"
 	"ravenpond/internal/decide/zones"
@@ -32,14 +32,14 @@
 // Site is what the verdicts on zones rest on. Without zones there are none.
 type Site struct {
 	Zones []string
-	Held  map[string]book.State         // by operators
+	Held  map[string]clusterstate.State // by operators
 	Far   func(from, to string) float64 // ms one way; nil: all are as far
 	Judge zones.Judge                   // with what tests plant in it
 }
 
 // View is the book at one moment. It is never changed.
 type View struct {
-	Book *book.Book
+	Book *clusterstate.Book
 	// Sure is until when this process may act by it as it stands, ms of the world's clock; from then on by its careful reading.
 	Sure float64
 }
--- a/internal/decide/book/book.go
+++ b/internal/decide/clusterstate/clusterstate.go
@@ -1,4 +1,4 @@
-// Package book is the small book that a site's schedulers agree on: commands in the order that the council gives them go in,
+// Package clusterstate is the small book that a site's schedulers agree on: commands in the order that the council gives them go in,
 // state and refusals with their reasons come out. The same commands give the same bytes everywhere. It holds which process
 // acts in which life under which epoch, and from which zone; the verdicts on zones; and who takes how much of what must leave
 // a zone.
@@ -6,7 +6,7 @@
 // Whoever proposes may be late, twice, stopped or of an older life: a command names its proposer's life and a number that
 // grows, so one that comes again has no effect, and one about a zone names the version at which it saw that zone's state. No
 // command can make the book hold what it must not; Check says what that is.
-package book
+package clusterstate
 
 import (
 	"cmp"
--- a/internal/decide/book/book_test.go
+++ b/internal/decide/clusterstate/clusterstate_test.go
@@ -1,4 +1,4 @@
-package book
+package clusterstate
 
 import (
 	"bytes"
--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -21,7 +21,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"ravenpond/internal/decide/book"
+	"ravenpond/internal/decide/clusterstate"
 	codec "ravenpond/internal/proto/book"
 )
 
@@ -95,7 +95,7 @@
 	who   Charter
 	rng   *rand.Rand
 	now   float64
-	book  *book.Book
+	book  *clusterstate.Book
 	sure  float64
 	words map[string]word
 
@@ -133,7 +133,7 @@
 	since    uint64 // of the last cut of the log
 	conf     *pb.ConfState
 	Figures  Figures
-	answered func(number uint64, r book.Refusal)
+	answered func(number uint64, r clusterstate.Refusal)
 	leader   string // as far as is known
 	reported func(from string, b []byte)
 }
@@ -150,8 +150,8 @@
 
 // New begins a process's part. saved is what a steward finds on its disk.
 func New(edge Edge, now float64, who Charter, saved Saved) (*Council, error) {
-	c := &Council{edge: edge, who: who, rng: rand.New(rand.NewPCG(who.Seed, 0xb00c)), now: now, book: book.New(), words: map[string]word{},
-		askAt: now, tickAt: now, heard: map[string]bool{}, answered: func(uint64, book.Refusal) {}, reported: func(string, []byte) {}}
+	c := &Council{edge: edge, who: who, rng: rand.New(rand.NewPCG(who.Seed, 0xb00c)), now: now, book: clusterstate.New(), words: map[string]word{},
+		askAt: now, tickAt: now, heard: map[string]bool{}, answered: func(uint64, clusterstate.Refusal) {}, reported: func(string, []byte) {}}
 	c.self = uint64(slices.Index(who.Stewards, who.Name) + 1)
 	if c.self > 0 {
 		if err := c.begin(saved); err != nil {
@@ -184,7 +184,7 @@
 		return fmt.Errorf("council: snapshot: %w", err)
 	}
 	if data := first.GetData(); len(data) > 0 {
-		b, err := book.Read(data)
+		b, err := clusterstate.Read(data)
 		if err != nil {
 			return fmt.Errorf("council: snapshot: %w", err)
 		}
@@ -234,7 +234,7 @@
 func (c *Council) stand() { c.standAt = c.now + campaign*(1+c.rng.Float64()) }
 
 // Book is the book as this process holds it. It must not be changed.
-func (c *Council) Book() *book.Book { return c.book }
+func (c *Council) Book() *clusterstate.Book { return c.book }
 
 // Sure is until when this process may act by it as it stands, ms; in the past: by its careful reading.
 func (c *Council) Sure() float64 { return c.sure }
@@ -246,7 +246,7 @@
 func (c *Council) Halted() string { return c.halted }
 
 // Answered has f told what came of own commands.
-func (c *Council) Answered(f func(number uint64, r book.Refusal)) { c.answered = f }
+func (c *Council) Answered(f func(number uint64, r clusterstate.Refusal)) { c.answered = f }
 
 // Propose brings in a command of this process's own, which is appended by f under a number. It is said again until it is
 // answered. 0: too many wait.
@@ -549,7 +549,7 @@
 	}
 	text := p.got
 	p.from, p.got = "", nil
-	b, err := book.Read(text)
+	b, err := clusterstate.Read(text)
 	if err != nil {
 		c.edge.Mode(fmt.Sprintf("a page of %s is not taken: %v", from, err))
 		return
@@ -560,7 +560,7 @@
 }
 
 // hold takes a later book.
-func (c *Council) hold(b *book.Book) {
+func (c *Council) hold(b *clusterstate.Book) {
 	c.book = b
 	c.lease()
 	if len(c.queue) == 0 {
@@ -619,7 +619,7 @@
 			c.sendAll(rd.Messages)
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			b, err := book.Read(rd.Snapshot.GetData())
+			b, err := clusterstate.Read(rd.Snapshot.GetData())
 			if err != nil {
 				c.halt("a snapshot of the leader can't be read: " + err.Error())
 				return
@@ -718,7 +718,7 @@
 		if err != nil {
 			panic(err)
 		}
-		if refused != book.Taken {
+		if refused != clusterstate.Taken {
 			c.edge.Mode(fmt.Sprintf("command %d refused: %s", e.GetIndex(), refused))
 		}
 	}
--- a/internal/decide/consensus/consensus_test.go
+++ b/internal/decide/consensus/consensus_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"ravenpond/internal/decide/book"
+	"ravenpond/internal/decide/clusterstate"
 	codec "ravenpond/internal/proto/book"
 )
 
@@ -144,14 +144,14 @@
 	x.pass(5000)
 	var got []string
 	c := x.all["d"].c
-	c.Answered(func(number uint64, r book.Refusal) { got = append(got, fmt.Sprint(number, " ", r)) })
-	verdict := func(zone string, to book.State) {
+	c.Answered(func(number uint64, r clusterstate.Refusal) { got = append(got, fmt.Sprint(number, " ", r)) })
+	verdict := func(zone string, to clusterstate.State) {
 		c.Propose(func(b []byte, number uint64) []byte {
 			return codec.AppendCommand(b, "d", 1, number, x.now, codec.Verdict, zone, "", "", c.Book().Zone(zone).Version, uint32(to), "")
 		})
 	}
-	verdict("za", book.Suspect)
-	verdict("zb", book.Closed)
+	verdict("za", clusterstate.Suspect)
+	verdict("zb", clusterstate.Closed)
 	x.mute["d"] = true
 	x.pass(2000)
 	x.mute["d"] = false
@@ -160,7 +160,7 @@
 		t.Errorf("%q, want %q", got, want)
 	}
 	for range 2 * mostQueue {
-		verdict("za", book.Open)
+		verdict("za", clusterstate.Open)
 	}
 	if len(c.queue) != mostQueue {
 		t.Errorf("%d wait", len(c.queue))
@@ -174,13 +174,13 @@
 	l := x.leader()
 	x.all[l].fails = true
 	x.all[l].c.Propose(func(b []byte, number uint64) []byte {
-		return codec.AppendCommand(b, l, 1, number, x.now, codec.Verdict, "za", "", "", 0, uint32(book.Suspect), "")
+		return codec.AppendCommand(b, l, 1, number, x.now, codec.Verdict, "za", "", "", 0, uint32(clusterstate.Suspect), "")
 	})
 	x.pass(8000)
 	if s := x.all[l]; s.c.Halted() == "" || s.c.Leads() {
 		t.Fatalf("its disk is full, and %s goes on", l)
 	}
-	if s := x.all[l].c; s.Book().Zone("za").State != book.Suspect || s.Sure() < x.now {
+	if s := x.all[l].c; s.Book().Zone("za").State != clusterstate.Suspect || s.Sure() < x.now {
 		t.Errorf("it does not follow: version %d, sure for %g", s.Book().Version(), s.Sure()-x.now)
 	}
 	other := map[string]string{"a": "b", "b": "c", "c": "a"}[l]
@@ -200,14 +200,14 @@
 
 // TestPages has one who follows take pages of one book only, and none that is older than its own.
 func TestPages(t *testing.T) {
-	pages := func(b *book.Book) (all [][]byte) {
+	pages := func(b *clusterstate.Book) (all [][]byte) {
 		text := b.Snapshot()
 		for i := 0; i < len(text); i += 40 {
 			all = append(all, codec.AppendMessage(nil, codec.Page, text[i:min(i+40, len(text))], 0, b.Version(), 0, uint64(i), uint64(len(text))))
 		}
 		return all
 	}
-	older, newer := book.New(), book.New()
+	older, newer := clusterstate.New(), clusterstate.New()
 	for v := uint64(1); v < 9; v++ {
 		c := codec.AppendCommand(nil, fmt.Sprint("p", v), 1, 1, 1, codec.Act, fmt.Sprint("p", v), "z", "", 0, 0, "")
 		if v < 5 {
--- a/internal/decide/zones/zones.go
+++ b/internal/decide/zones/zones.go
@@ -14,7 +14,7 @@
 	"math"
 	"slices"
 
-	"ravenpond/internal/decide/book"
+	"ravenpond/internal/decide/clusterstate"
 	codec "ravenpond/internal/proto/book"
 )
 
@@ -54,7 +54,7 @@
 type Proposal struct {
 	Zone  string
 	Seen  uint64 // the version at which its state was written
-	To    book.State
+	To    clusterstate.State
 	Cause string
 }
 
@@ -88,7 +88,7 @@
 
 type proposed struct {
 	seen uint64
-	to   book.State
+	to   clusterstate.State
 	at   float64
 }
 
@@ -108,7 +108,7 @@
 }
 
 // seen is how a zone is seen by the others: lost by at least two of them and more than half, well by more than half.
-func (j *Judge) seen(now float64, b *book.Book, zone string) (how int, lost, of int) {
+func (j *Judge) seen(now float64, b *clusterstate.Book, zone string) (how int, lost, of int) {
 	type votes struct{ lost, well, all int }
 	by := map[string]votes{}
 	for name, r := range j.reports {
@@ -149,10 +149,10 @@
 }
 
 // Decide proposes what the sums ask for. all are the site's zones, held those that an operator holds in a state.
-func (j *Judge) Decide(now float64, b *book.Book, all []string, held map[string]book.State) (out []Proposal) {
+func (j *Judge) Decide(now float64, b *clusterstate.Book, all []string, held map[string]clusterstate.State) (out []Proposal) {
 	closed := 0
 	for _, z := range all {
-		if s := b.Zone(z).State; s == book.Closed || s == book.Returning {
+		if s := b.Zone(z).State; s == clusterstate.Closed || s == clusterstate.Returning {
 			closed++
 		}
 	}
@@ -180,7 +180,7 @@
 			j.begin()
 		}
 		j.proposed[zone] = proposed{z.Version, to, now}
-		if to == book.Closed {
+		if to == clusterstate.Closed {
 			closed++
 		}
 		out = append(out, Proposal{zone, z.Version, to, cause})
@@ -189,43 +189,43 @@
 }
 
 // next is the state that a zone is to have next, if it is another.
-func (j *Judge) next(now float64, z book.Zone, sp spell, held map[string]book.State, closed, all int) (to book.State, cause string) {
+func (j *Judge) next(now float64, z clusterstate.Zone, sp spell, held map[string]clusterstate.State, closed, all int) (to clusterstate.State, cause string) {
 	since := now - sp.at
 	lostFor := func(ms float64) bool { return sp.how < 0 && since >= ms }
 	wellFor := func(ms float64) bool { return sp.how > 0 && since >= ms }
-	if want, ok := held[z.Name]; ok && (want == book.Open || want == book.Closed) {
+	if want, ok := held[z.Name]; ok && (want == clusterstate.Open || want == clusterstate.Closed) {
 		return towards(now, z, want), "held by an operator"
 	}
 	may := float64(closed+1) <= mostClosed*float64(all)
 	switch {
-	case z.State == book.Open && lostFor(suspectFor) && may:
-		return book.Suspect, ""
-	case z.State == book.Suspect && lostFor(suspectFor+closeFor) && may:
-		return book.Closed, ""
-	case z.State == book.Suspect && sp.how >= 0 && since >= calmFor:
-		return book.Open, "heard again"
-	case z.State == book.Closed && wellFor(returnFor) && now >= z.Rest:
-		return book.Returning, "heard again"
-	case z.State == book.Returning && lostFor(closeFor):
-		return book.Closed, ""
-	case z.State == book.Returning && now-z.Since >= steps*stepEach && wellFor(calmFor):
-		return book.Open, "all steps taken"
+	case z.State == clusterstate.Open && lostFor(suspectFor) && may:
+		return clusterstate.Suspect, ""
+	case z.State == clusterstate.Suspect && lostFor(suspectFor+closeFor) && may:
+		return clusterstate.Closed, ""
+	case z.State == clusterstate.Suspect && sp.how >= 0 && since >= calmFor:
+		return clusterstate.Open, "heard again"
+	case z.State == clusterstate.Closed && wellFor(returnFor) && now >= z.Rest:
+		return clusterstate.Returning, "heard again"
+	case z.State == clusterstate.Returning && lostFor(closeFor):
+		return clusterstate.Closed, ""
+	case z.State == clusterstate.Returning && now-z.Since >= steps*stepEach && wellFor(calmFor):
+		return clusterstate.Open, "all steps taken"
 	}
 	return z.State, ""
 }
 
 // towards is the next step from a zone's state to one that an operator wants.
-func towards(now float64, z book.Zone, want book.State) book.State {
+func towards(now float64, z clusterstate.Zone, want clusterstate.State) clusterstate.State {
 	if z.State == want {
 		return want
 	}
 	switch {
-	case z.State == book.Open:
-		return book.Suspect
-	case z.State == book.Suspect || z.State == book.Returning:
+	case z.State == clusterstate.Open:
+		return clusterstate.Suspect
+	case z.State == clusterstate.Suspect || z.State == clusterstate.Returning:
 		return want
 	case now >= z.Rest:
-		return book.Returning
+		return clusterstate.Returning
 	}
 	return z.State
 }
@@ -247,25 +247,25 @@
 
 // Plan divides what leaves closed zones among the others, by the room that is left under the bound and nearness, so that all
 // processes together never bring a taker beyond it: what does not fit is taken by nobody. False if the plan that stands will do.
-func (j *Judge) Plan(now float64, b *book.Book, all []string, far func(from, to string) float64) ([]Share, bool) {
+func (j *Judge) Plan(now float64, b *clusterstate.Book, all []string, far func(from, to string) float64) ([]Share, bool) {
 	rooms := j.rooms(now)
 	for _, z := range all { // what leaves a zone is what was there before it was lost: its work ends there meanwhile
-		if s := b.Zone(z); s.State == book.Open && j.used != nil && now-s.Since > calmFor && j.since[z].how >= 0 {
+		if s := b.Zone(z); s.State == clusterstate.Open && j.used != nil && now-s.Since > calmFor && j.since[z].how >= 0 {
 			j.used[z] = rooms[z].Used
 		}
 	}
 	spare, need := map[string]float64{}, map[string]float64{}
 	for _, z := range all {
 		switch s := rooms[z]; b.Zone(z).State {
-		case book.Open, book.Suspect:
+		case clusterstate.Open, clusterstate.Suspect:
 			spare[z] = max(0, bound*s.Room-s.Used)
-		case book.Closed:
+		case clusterstate.Closed:
 			if need[z] = j.used[z]; need[z] == 0 { // not known here from when it was open: as much as the others use
 				need[z] = max(s.Used, meanUse(rooms, b, all))
 			}
 		}
 	}
-	want := map[book.Way]uint32{}
+	want := map[clusterstate.Way]uint32{}
 	froms := slices.Sorted(maps.Keys(need))
 	for _, from := range froms {
 		left, many := need[from], float64(len(froms))
@@ -274,7 +274,7 @@
 		})
 		for _, to := range tos {
 			if take := math.Floor(min(left, spare[to]/many, codec.MostCores)); take > 0 {
-				want[book.Way{From: from, To: to}] = uint32(take)
+				want[clusterstate.Way{From: from, To: to}] = uint32(take)
 				left -= take
 			}
 		}
@@ -285,7 +285,7 @@
 	}
 	version, held := b.Plan()
 	off, had := uint32(0), 0
-	held(func(w book.Way, cores uint32) bool {
+	held(func(w clusterstate.Way, cores uint32) bool {
 		had++
 		off = max(off, max(cores, want[w])-min(cores, want[w]))
 		return true
@@ -302,10 +302,10 @@
 	return out, true
 }
 
-func meanUse(rooms map[string]Sum, b *book.Book, all []string) float64 {
+func meanUse(rooms map[string]Sum, b *clusterstate.Book, all []string) float64 {
 	sum, n := 0.0, 0.0
 	for _, z := range all {
-		if s := rooms[z]; s.Room > 0 && b.Zone(z).State != book.Closed {
+		if s := rooms[z]; s.Room > 0 && b.Zone(z).State != clusterstate.Closed {
 			sum, n = sum+s.Used, n+1
 		}
 	}
@@ -329,22 +329,22 @@
 
 // Look is which part of each zone's nodes this process sends to now: 0 none, 1 all. waits is how many allocations find no room;
 // own how many cores of its own work run in each zone; mates how many processes act from its zone.
-func (r *Reach) Look(now float64, b *book.Book, sure bool, sums map[string]Sum, waits int, own map[string]float64, mates int) map[string]float64 {
+func (r *Reach) Look(now float64, b *clusterstate.Book, sure bool, sums map[string]Sum, waits int, own map[string]float64, mates int) map[string]float64 {
 	parts := map[string]float64{}
 	r.nearer(now, b, sure, sums, waits)
 	home := b.Zone(r.Own)
 	plan, _ := b.Plan()
-	planned := r.Near && home.State == book.Closed && plan > home.Version
+	planned := r.Near && home.State == clusterstate.Closed && plan > home.Version
 	for _, z := range r.Zones {
 		s := b.Zone(z.Name)
 		part := 1.0
 		switch s.State {
-		case book.Closed:
+		case clusterstate.Closed:
 			part = 0
 			if z.Name == r.Own && !sure && !r.Plant { // cut off with its zone: that is what it can serve
 				part = 1
 			}
-		case book.Returning:
+		case clusterstate.Returning:
 			part = min(1, (1+math.Floor((now-s.Since)/stepEach))/steps)
 			if !sure && !r.Plant {
 				part = min(part, r.was[z.Name])
@@ -387,7 +387,7 @@
 }
 
 // nearer looks further while what is near is full or lost, and comes back when it is not.
-func (r *Reach) nearer(now float64, b *book.Book, sure bool, sums map[string]Sum, waits int) {
+func (r *Reach) nearer(now float64, b *clusterstate.Book, sure bool, sums map[string]Sum, waits int) {
 	if !r.Near || !sure && !r.Plant {
 		return
 	}
@@ -398,7 +398,7 @@
 		room, used := 0.0, 0.0
 		for _, z := range r.Zones {
 			s := b.Zone(z.Name).State
-			if (z.Name == r.Own || !r.beyond(z)) && s != book.Closed && !sums[z.Name].lost() { // what is not heard here has no room
+			if (z.Name == r.Own || !r.beyond(z)) && s != clusterstate.Closed && !sums[z.Name].lost() { // what is not heard here has no room
 				room, used = room+sums[z.Name].Room, used+sums[z.Name].Used
 			}
 		}
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"ravenpond/internal/decide/book"
+	"ravenpond/internal/decide/clusterstate"
 	codec "ravenpond/internal/proto/book"
 )
 
@@ -18,18 +18,18 @@
 type court struct {
 	t       interface{ Fatalf(string, ...any) }
 	j       Judge
-	b       *book.Book
+	b       *clusterstate.Book
 	now     float64
 	numbers uint64
 	lost    map[string]bool            // zones that nobody else hears
 	deaf    map[string]map[string]bool // processes that do not hear a zone
-	held    map[string]book.State
+	held    map[string]clusterstate.State
 	closed  int
 }
 
 // sit begins with two processes in each zone.
 func sit(t interface{ Fatalf(string, ...any) }) *court {
-	x := &court{t: t, b: book.New(), now: 1e6, lost: map[string]bool{}, deaf: map[string]map[string]bool{}}
+	x := &court{t: t, b: clusterstate.New(), now: 1e6, lost: map[string]bool{}, deaf: map[string]map[string]bool{}}
 	for i, z := range append(slices.Clone(names), names...) {
 		p := fmt.Sprint("p", i)
 		_, _ = x.b.Apply(x.b.Version()+1, codec.AppendCommand(nil, p, 1, 1, x.now, codec.Act, p, z, "", 0, 0, ""))
@@ -37,7 +37,7 @@
 	return x
 }
 
-func (x *court) verdict(zone string, seen uint64, to book.State) book.Refusal {
+func (x *court) verdict(zone string, seen uint64, to clusterstate.State) clusterstate.Refusal {
 	x.numbers++
 	r, err := x.b.Apply(x.b.Version()+1, codec.AppendCommand(nil, "p0", 1, 1+x.numbers, x.now, codec.Verdict, zone, "", "", seen, uint32(to), "t"))
 	if err != nil {
@@ -61,7 +61,7 @@
 			x.j.Report(x.now, p.Name, sums)
 		}
 		for _, p := range x.j.Decide(x.now, x.b, names, x.held) {
-			if x.verdict(p.Zone, p.Seen, p.To) == book.Taken && p.To == book.Closed {
+			if x.verdict(p.Zone, p.Seen, p.To) == clusterstate.Taken && p.To == clusterstate.Closed {
 				x.closed++
 			}
 		}
@@ -71,7 +71,7 @@
 	}
 }
 
-func (x *court) want(zone string, s book.State) {
+func (x *court) want(zone string, s clusterstate.State) {
 	if got := x.b.Zone(zone).State; got != s {
 		x.t.Fatalf("zone %s is %s, want %s", zone, got, s)
 	}
@@ -80,19 +80,19 @@
 func TestLostAndBack(t *testing.T) {
 	x := sit(t)
 	x.pass(2000)
-	x.want("a", book.Open)
+	x.want("a", clusterstate.Open)
 	x.lost["a"] = true
 	x.pass(suspectFor + 200)
-	x.want("a", book.Suspect)
+	x.want("a", clusterstate.Suspect)
 	x.pass(closeFor + 200)
-	x.want("a", book.Closed)
+	x.want("a", clusterstate.Closed)
 	x.lost["a"] = false
 	x.pass(returnFor - 300)
-	x.want("a", book.Closed)
+	x.want("a", clusterstate.Closed)
 	x.pass(4000) // its rest
-	x.want("a", book.Returning)
+	x.want("a", clusterstate.Returning)
 	x.pass(steps*stepEach + 500)
-	x.want("a", book.Open)
+	x.want("a", clusterstate.Open)
 }
 
 func TestNoVerdict(t *testing.T) {
@@ -106,7 +106,7 @@
 			x.deaf = deaf
 			x.pass(10000)
 			for _, z := range names {
-				x.want(z, book.Open)
+				x.want(z, clusterstate.Open)
 			}
 		})
 	}
@@ -115,7 +115,7 @@
 	x.pass(suspectFor + 100)
 	x.lost["a"] = false
 	x.pass(calmFor + 400)
-	x.want("a", book.Open)
+	x.want("a", clusterstate.Open)
 	x.lost["a"], x.lost["b"], x.lost["c"] = true, true, true
 	x.pass(10000)
 	if x.closed > 2 {
@@ -125,15 +125,15 @@
 
 func TestHeld(t *testing.T) {
 	x := sit(t)
-	x.held = map[string]book.State{"a": book.Closed, "b": book.Open}
+	x.held = map[string]clusterstate.State{"a": clusterstate.Closed, "b": clusterstate.Open}
 	x.lost["b"] = true
 	x.pass(3000)
-	x.want("a", book.Closed)
-	x.want("b", book.Open)
+	x.want("a", clusterstate.Closed)
+	x.want("b", clusterstate.Open)
 	x.held = nil
 	x.lost["b"] = false
 	x.pass(20000)
-	x.want("a", book.Open)
+	x.want("a", clusterstate.Open)
 }
 
 // TestPlan divides what leaves a zone by what is left near first, and nothing beyond the bound.
@@ -226,7 +226,7 @@
 	want("not sure: nothing is opened", look(false, sums(90, 50, 50, 50), nil), "1 0 0 0 ")
 	x.lost["a"] = true
 	x.pass(1500)
-	x.want("a", book.Closed)
+	x.want("a", clusterstate.Closed)
 	x.numbers++
 	c := codec.AppendCommand(nil, "p0", 1, 1+x.numbers, x.now, codec.Plan, "", "", "", 0, 0, "")
 	c = codec.AppendShare(codec.AppendShare(c, "a", "b", 14), "a", "c", 21)
@@ -241,7 +241,7 @@
 	want("not sure, cut off with its zone", look(false, sums(0, 50, 50, 50), map[string]float64{"b": 7.1}), "1 0 1 0 ")
 	x.lost["a"] = false
 	x.pass(6000)
-	x.want("a", book.Returning)
+	x.want("a", clusterstate.Returning)
 	x.now = x.b.Zone("a").Since
 	want("returning, first step", look(true, sums(10, 10, 10, 10), nil)[:5], "0.25 ")
 	x.now += stepEach
@@ -265,7 +265,7 @@
 			x.pass(rapid.Float64Range(100, 8000).Draw(t, "ms"))
 			closed := 0
 			for _, z := range names {
-				if x.b.Zone(z).State == book.Closed {
+				if x.b.Zone(z).State == clusterstate.Closed {
 					closed++
 				}
 			}
@@ -278,7 +278,7 @@
 		x.now += restsOver
 		x.pass(15000)
 		for _, z := range names {
-			x.want(z, book.Open)
+			x.want(z, clusterstate.Open)
 		}
 	})
 }
--- a/internal/lab/council/council.go
+++ b/internal/lab/council/council.go
@@ -16,7 +16,7 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/control"
-	"ravenpond/internal/decide/book"
+	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/consensus"
 	detector "ravenpond/internal/decide/members"
 	"ravenpond/internal/lab/seeds"
@@ -238,12 +238,12 @@
 		return
 	}
 	g.v.Commands++
-	zone, to := "z"+fmt.Sprint(g.rng.IntN(len(g.procs))), book.State(g.rng.IntN(4))
+	zone, to := "z"+fmt.Sprint(g.rng.IntN(len(g.procs))), clusterstate.State(g.rng.IntN(4))
 	b := x.r.View().Book
 	z := b.Zone(zone)
 	now := x.p.Now()
 	x.r.Ask(func(c *consensus.Council) {
-		c.Answered(func(uint64, book.Refusal) { g.v.Answered++ })
+		c.Answered(func(uint64, clusterstate.Refusal) { g.v.Answered++ })
 		c.Propose(func(b []byte, number uint64) []byte {
 			return codec.AppendCommand(b, x.name, c.Life(), number, now, codec.Verdict, zone, "", "", z.Version, uint32(to), "seed")
 		})
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -13,7 +13,7 @@
 	"slices"
 
 	"ravenpond/internal/control"
-	"ravenpond/internal/decide/book"
+	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/zones"
 	lab "ravenpond/internal/lab/council"
@@ -214,9 +214,9 @@
 		x.sure = sure
 		was := x.surely
 		x.parts = x.reach.Look(x.p.Now(), view.Book, sure, sums, 0, x.own, view.Book.Acting(x.zone))
-		if g.plant.Uncapped && sure && view.Book.Zone(x.zone).State == book.Closed {
+		if g.plant.Uncapped && sure && view.Book.Zone(x.zone).State == clusterstate.Closed {
 			for z := range x.parts {
-				if view.Book.Zone(z).State == book.Open {
+				if view.Book.Zone(z).State == clusterstate.Open {
 					x.parts[z] = 1
 				}
 			}
@@ -256,7 +256,7 @@
 			g.fail(fmt.Sprintf("%s of %s sends to %s, closed for %.0f ms; sure %v", x.name, x.zone, z.Name, g.c.True()-at, sure))
 		}
 		plan, _ := view.Book.Plan()
-		if home := view.Book.Zone(x.zone); home.State == book.Closed && plan > home.Version && z.Name != x.zone && part > 0 { // it keeps to its share
+		if home := view.Book.Zone(x.zone); home.State == clusterstate.Closed && plan > home.Version && z.Name != x.zone && part > 0 { // it keeps to its share
 			if most := float64(view.Book.Share(x.zone, z.Name)) / float64(view.Book.Acting(x.zone)); x.own[z.Name] > most {
 				g.fail(fmt.Sprintf("%s of %s uses %.0f cores of %s, its share is %.0f, and sends more", x.name, x.zone, x.own[z.Name], z.Name, most))
 			}
@@ -270,7 +270,7 @@
 // look holds the verdicts against what has happened.
 func (g *play) look() {
 	now := g.c.True()
-	var newest *book.Book
+	var newest *clusterstate.Book
 	for _, x := range g.procs {
 		if x.r != nil && (newest == nil || x.r.View().Book.Version() > newest.Version()) {
 			newest = x.r.View().Book
@@ -282,7 +282,7 @@
 	closed := 0
 	for _, z := range all {
 		s := newest.Zone(z.Name).State
-		if s == book.Closed {
+		if s == clusterstate.Closed {
 			closed++
 			if _, ok := g.shut[z.Name]; !ok {
 				g.shut[z.Name] = now
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"ravenpond/internal/control"
-	"ravenpond/internal/decide/book"
+	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/zones"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/proto/node"
@@ -41,14 +41,14 @@
 	own    map[string]float64 // cores of own work by zone, as last asked for
 	sure   bool
 	level  int
-	book   *book.Book // by which that is
+	book   *clusterstate.Book // by which that is
 }
 
 // zonesOf is what verdicts on zones rest on, as the site file has it.
 func (s *Server) zonesOf(place *site.Place) control.Site {
-	held := map[string]book.State{}
+	held := map[string]clusterstate.State{}
 	for zone, how := range place.Held {
-		held[zone] = map[string]book.State{"open": book.Open, "closed": book.Closed}[how]
+		held[zone] = map[string]clusterstate.State{"open": clusterstate.Open, "closed": clusterstate.Closed}[how]
 	}
 	return control.Site{Zones: place.Zones, Held: held, Far: func(from, to string) float64 { return place.Ways[[2]string{from, to}] }}
 }
@@ -111,7 +111,7 @@
 		s.control.Report(v.sums)
 	}
 	sure, home := now < view.Sure, view.Book.Zone(v.reach.Own).State
-	if home == book.Closed {
+	if home == clusterstate.Closed {
 		s.countOwn(nodes)
 	}
 	parts := v.reach.Look(now, view.Book, sure, v.sums, 0, v.own, view.Book.Acting(v.reach.Own))
