--- a/cmd/ravenpond/sim.go
+++ b/cmd/ravenpond/sim.go
@@ -15,7 +15,7 @@
 
 	"github.com/google/renameio/v2"
 
-	"ravenpond/internal/decide/members"
+	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/lab/circle"
 	"ravenpond/internal/lab/compare"
 	"ravenpond/internal/lab/route"
@@ -133,7 +133,7 @@
 		}
 		return c.plots(rows)
 	}
-	var plant *members.Plant
+	var plant *membership.Plant
 	for _, p := range circle.Plants {
 		if c.Plant == "list" {
 			fmt.Println(p.Name)
@@ -147,7 +147,7 @@
 	case c.Plant != "" && plant == nil:
 		return fmt.Errorf("no fault %q to plant; --plant list prints them", c.Plant)
 	case plant == nil:
-		plant = &members.Plant{}
+		plant = &membership.Plant{}
 	}
 	a, b, err := span(c.Seeds)
 	if err != nil {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -14,7 +14,7 @@
 
 	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/consensus"
-	"ravenpond/internal/decide/members"
+	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/decide/zones"
 	runner "ravenpond/internal/members"
 	"ravenpond/internal/outside"
@@ -108,7 +108,7 @@
 	})
 	r.view.Store(&View{Book: c.Book(), Sure: math.Inf(-1)})
 	r.loop = w.Loop(r.turn)
-	all.See(func(d *members.Detector) { d.Carries(carrier{r}) })
+	all.See(func(d *membership.Detector) { d.Carries(carrier{r}) })
 	return r, nil
 }
 
@@ -130,7 +130,7 @@
 	if r.over.Swap(true) {
 		return
 	}
-	r.all.See(func(d *members.Detector) { d.Carries(nil) })
+	r.all.See(func(d *membership.Detector) { d.Carries(nil) })
 	r.loop.Wake()
 }
 
@@ -211,7 +211,7 @@
 	r.view.Store(&View{Book: r.c.Book(), Sure: r.c.Sure()})
 	if v := r.c.Book().Version(); v != r.holds {
 		r.holds = v
-		r.all.See(func(d *members.Detector) { d.Holds(v) })
+		r.all.See(func(d *membership.Detector) { d.Holds(v) })
 	}
 }
 
@@ -219,7 +219,7 @@
 type edge struct{ *Runner }
 
 func (e edge) Carry(to string, body []byte) {
-	e.all.See(func(d *members.Detector) { d.Carry(e.w.Now(), to, body) })
+	e.all.See(func(d *membership.Detector) { d.Carry(e.w.Now(), to, body) })
 }
 
 func (e edge) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error {
--- a/internal/decide/members/members.go
+++ b/internal/decide/membership/membership.go
@@ -1,4 +1,4 @@
-// Package members decides who of a site's schedulers is there: datagrams and time in, datagrams and verdicts out. It follows
+// Package membership decides who of a site's schedulers is there: datagrams and time in, datagrams and verdicts out. It follows
 // the published SWIM and Lifeguard papers; docs/design/members.md says which ways were weighed and why each bound holds.
 //
 // Each process probes one other a period, in an order that is shuffled anew each round. One that does not answer is asked
@@ -10,7 +10,7 @@
 //
 // It guards against lost, late, doubled and replayed datagrams, links that are cut one way, processes that stand still,
 // names that come back, and strangers. What it says of others is advice: nothing that may happen once rests on it alone.
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/decide/members/members_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
--- a/internal/lab/circle/circle.go
+++ b/internal/lab/circle/circle.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"slices"
 
-	decide "ravenpond/internal/decide/members"
+	decide "ravenpond/internal/decide/membership"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/members"
 	"ravenpond/internal/outside"
--- a/internal/lab/circle/circle_test.go
+++ b/internal/lab/circle/circle_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	decide "ravenpond/internal/decide/members"
+	decide "ravenpond/internal/decide/membership"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/outside"
 )
@@ -401,7 +401,7 @@
 	for _, p := range Plants {
 		t.Run(p.Name, func(t *testing.T) {
 			if p.Plant.Healthy || p.Plant.Replayed {
-				t.Skip("shown by decide/members and by TestReplayedLeave: seeds take too many")
+				t.Skip("shown by decide/membership and by TestReplayedLeave: seeds take too many")
 			}
 			for from := uint64(0); from < 48; from += 4 {
 				for _, v := range Seeds(t.Context(), from, from+4, 4, p.Plant) {
--- a/internal/lab/circle/measure.go
+++ b/internal/lab/circle/measure.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	decide "ravenpond/internal/decide/members"
+	decide "ravenpond/internal/decide/membership"
 	"ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
 )
--- a/internal/lab/circle/play.go
+++ b/internal/lab/circle/play.go
@@ -6,7 +6,7 @@
 	"io"
 	"runtime/debug"
 
-	decide "ravenpond/internal/decide/members"
+	decide "ravenpond/internal/decide/membership"
 	"ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/outside"
--- a/internal/lab/council/council.go
+++ b/internal/lab/council/council.go
@@ -18,7 +18,7 @@
 	"ravenpond/internal/control"
 	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/consensus"
-	detector "ravenpond/internal/decide/members"
+	detector "ravenpond/internal/decide/membership"
 	"ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/members"
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"sync"
 
-	"ravenpond/internal/decide/members"
+	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/outside"
 	codec "ravenpond/internal/proto/members"
 )
@@ -16,7 +16,7 @@
 
 // Told hears of changes, one call at a time, and must not wait.
 type Told interface {
-	Changed(now float64, m members.Member, was members.State)
+	Changed(now float64, m membership.Member, was membership.State)
 	Taken(now float64, address string)
 	// Hears is what this process hears of a node: its life, and when last.
 	Hears(node uint32) (life uint64, heard float64, ok bool)
@@ -31,13 +31,13 @@
 	loop    outside.Loop
 
 	mu   sync.Mutex
-	d    *members.Detector
+	d    *membership.Detector
 	over bool
 }
 
 // Begin opens the port for datagrams at the charter's address and runs a detector there until End.
 // It is opened at another address if one is given, as where others reach it by a way round.
-func Begin(w outside.World, listen string, who members.Charter, told Told) (*Runner, error) {
+func Begin(w outside.World, listen string, who membership.Charter, told Told) (*Runner, error) {
 	r := &Runner{w: w, told: told}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,7 +50,7 @@
 		who.Address = port.Address()
 	}
 	r.address = who.Address
-	r.d = members.New(edge{r}, w.Now(), who)
+	r.d = membership.New(edge{r}, w.Now(), who)
 	r.loop = w.Loop(r.turn)
 	return r, nil
 }
@@ -82,7 +82,7 @@
 func (r *Runner) Address() string { return r.address }
 
 // See calls f with the detector, which is f's for the call alone.
-func (r *Runner) See(f func(d *members.Detector)) {
+func (r *Runner) See(f func(d *membership.Detector)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.d)
@@ -104,7 +104,7 @@
 
 func (e edge) Send(address string, b []byte) { e.port.Send(address, b) }
 
-func (e edge) Changed(m members.Member, was members.State) { e.told.Changed(e.w.Now(), m, was) }
+func (e edge) Changed(m membership.Member, was membership.State) { e.told.Changed(e.w.Now(), m, was) }
 
 func (e edge) Hears(node uint32) (life uint64, heard float64, ok bool) { return e.told.Hears(node) }
 
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"ravenpond/internal/decide/members"
+	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/outside"
 )
 
 // book writes down what a runner tells.
 type book struct {
 	mu   sync.Mutex
-	told map[string]members.State
+	told map[string]membership.State
 }
 
-func (b *book) Changed(_ float64, m members.Member, _ members.State) {
+func (b *book) Changed(_ float64, m membership.Member, _ membership.State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.told[m.Name] = m.State
@@ -33,8 +33,8 @@
 	var runs []*Runner
 	var books []*book
 	for i := range 4 {
-		b := &book{told: map[string]members.State{}}
-		who := members.Charter{Site: "s", Name: fmt.Sprint("m", i), Life: 1, Key: []byte("key"), Seed: uint64(i)}
+		b := &book{told: map[string]membership.State{}}
+		who := membership.Charter{Site: "s", Name: fmt.Sprint("m", i), Life: 1, Key: []byte("key"), Seed: uint64(i)}
 		if i > 0 {
 			who.Seeds = []string{runs[0].Address()}
 		}
@@ -57,7 +57,7 @@
 		}
 		t.Fatal(what)
 	}
-	holds := func(i int, name string, s members.State) bool {
+	holds := func(i int, name string, s membership.State) bool {
 		books[i].mu.Lock()
 		defer books[i].mu.Unlock()
 		return books[i].told[name] == s
@@ -65,7 +65,7 @@
 	soon("they do not meet", func() bool {
 		for i := range 3 {
 			for j := range 3 {
-				if i != j && !holds(i, fmt.Sprint("m", j), members.Alive) {
+				if i != j && !holds(i, fmt.Sprint("m", j), membership.Alive) {
 					return false
 				}
 			}
@@ -73,9 +73,9 @@
 		return true
 	})
 	runs[1].End()
-	soon("nobody hears that one leaves", func() bool { return holds(0, "m1", members.Left) && holds(2, "m1", members.Left) })
+	soon("nobody hears that one leaves", func() bool { return holds(0, "m1", membership.Left) && holds(2, "m1", membership.Left) })
 	foreign := uint64(0)
-	runs[0].See(func(d *members.Detector) { foreign = d.Figures.Foreign })
+	runs[0].See(func(d *membership.Detector) { foreign = d.Figures.Foreign })
 	if len(books[3].told) > 0 || foreign == 0 {
 		t.Errorf("the stranger knows %v, %d of its datagrams were turned away", books[3].told, foreign)
 	}
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -13,7 +13,7 @@
 
 	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/isolation"
-	decide "ravenpond/internal/decide/members"
+	decide "ravenpond/internal/decide/membership"
 	"ravenpond/internal/members"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/state"
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -12,7 +12,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"ravenpond/internal/decide/consensus"
-	decide "ravenpond/internal/decide/members"
+	decide "ravenpond/internal/decide/membership"
 	"ravenpond/internal/engine"
 )
 
