--- /dev/null
+++ b/internal/platform/clients_test.go
@@ -0,0 +1,237 @@
+package platform
+
+import (
+	"strings"
+	"testing"
+
+	"ravenpond/internal/outside"
+	codec "ravenpond/internal/proto/platform"
+)
+
+// TestOwnerEnds has owners end what they asked for: while it is out, while it stands, by closing.
+func TestOwnerEnds(t *testing.T) {
+	t.Run("out", func(t *testing.T) {
+		r := begin(t, "a")
+		n := r.nodes["a"]
+		n.does = func(*ear, uint64) {}
+		x := r.dial()
+		x.ask(7, "single")
+		r.pass(100)
+		x.send(codec.AppendEnd(nil, 7, codec.Normal))
+		r.pass(3000)
+		x.want("no answer is owed")
+		if len(n.ended) != 1 || r.s.host.Open() != 0 {
+			t.Errorf("the node was told %d times; %d open", len(n.ended), r.s.host.Open())
+		}
+	})
+	t.Run("closed", func(t *testing.T) {
+		r := begin(t, "a")
+		n := r.nodes["a"]
+		n.does = func(*ear, uint64) {}
+		x := r.dial()
+		x.ask(7, "single")
+		r.pass(100)
+		x.conn.End(true, nil)
+		r.pass(300)
+		if len(n.ended) != 1 || r.s.host.Open() != 0 {
+			t.Errorf("the node was told %d times; %d open", len(n.ended), r.s.host.Open())
+		}
+	})
+	t.Run("stands, on another connection", func(t *testing.T) {
+		r := begin(t, "a")
+		n := r.nodes["a"]
+		x := r.dial()
+		x.ask(7, "single")
+		r.pass(100)
+		y := r.dial()
+		y.send(codec.AppendEnd(nil, 7, codec.Normal))
+		r.pass(3000)
+		x.want("its end is not told", "7 served "+n.describes(7))
+		y.want("nor here")
+		if n.stands[7] {
+			t.Error("it still stands")
+		}
+	})
+	t.Run("another's that is out", func(t *testing.T) {
+		r := begin(t, "a")
+		x, y := r.dial(), r.dial()
+		x.ask(7, "single")
+		y.send(codec.AppendEnd(nil, 7, codec.Normal))
+		r.pass(200)
+		x.want("served all the same", "7 served "+r.nodes["a"].describes(7))
+	})
+}
+
+// TestBadClients has clients send what can't be used. Each gets an end or a close within 3 s and is never served, a
+// usual one beside it is.
+func TestBadClients(t *testing.T) {
+	ask := func(more ...any) []byte { return setUp(66, "batch", more...) }
+	for _, c := range []struct {
+		name string
+		sent []byte
+	}{
+		{"nothing", nil},
+		{"noise", []byte("GET / HTTP/1.1\r\n\r\n")},
+		{"a message without end", append([]byte{0x3f, 0xff, codec.SetUp}, make([]byte, 9000)...)},
+		{"a length that is too large", append([]byte{0xff, 0xff, codec.SetUp}, make([]byte, 100)...)},
+		{"a length of nothing", make([]byte, 64)},
+		{"half a set-up", ask()[:40]},
+		{"a job type that is not there", ask(codec.JobType, "none")},
+		{"a tenant that is not there", ask(codec.Tenant, "nobody")},
+		{"no number of a task", setUp(0, "batch")},
+		{"a name that is none", ask(codec.Name, "x")},
+		{"a key that is none", setUp(66, "marked", codec.Key, "zz")},
+		{"no time left", ask(codec.Left, "0")},
+		{"time below zero", ask(codec.Left, "-5")},
+		{"time without end", ask(codec.Left, "1e30")},
+		{"time that is no number", ask(codec.Left, "soon")},
+		{"cores that no machine has", ask(codec.Figures, "cores:1e9;memory:2;service:00000000b4d65521")},
+		{"cores below zero", ask(codec.Figures, "cores:-1;memory:2;service:00000000b4d65521")},
+		{"memory that is no number", ask(codec.Figures, "cores:1;memory:NaN;service:00000000b4d65521")},
+		{"no description", ask(codec.Description, "")},
+		{"a node's answer", codec.AppendAnswer(nil, 66, []byte("x"))},
+		{"a number twice", append(ask(), ask(codec.Description, "other")...)},
+		{"a usual one's number", setUp(7, "batch", codec.Description, "other")},
+		{"ends of what is not there", codec.AppendEnd(nil, 66, codec.Normal)},
+		{"at a node that is not there", ask(codec.Figures, asked+";at:nowhere")},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := begin(t, "a")
+			r.nodes["a"].does = func(e *ear, task uint64) { r.nodes["a"].p.After(400, func() { r.nodes["a"].answer(e, task) }) }
+			x, bad := r.dial(), r.dial()
+			x.ask(7, "single")
+			r.pass(30)
+			if len(c.sent) > 0 {
+				bad.send(c.sent)
+			}
+			r.pass(2900)
+			if got := strings.Join(bad.got, ", "); strings.Contains(got, "served") || !strings.Contains(got, "end") && !bad.ended {
+				t.Errorf("got %q, closed %v", got, bad.ended)
+			}
+			x.want("the usual one", "7 served "+r.nodes["a"].describes(7))
+		})
+	}
+}
+
+// TestFlood has hundreds connect and say nothing: usual owners still get in, and the silent are closed.
+func TestFlood(t *testing.T) {
+	r := begin(t, "a")
+	var silent []*client
+	x := r.dial()
+	x.ask(7, "batch")
+	r.pass(300)
+	for range 20 {
+		for range 20 {
+			c := &client{ear: &ear{}, r: r}
+			c.heard = func([]byte) {}
+			r.owners.Dial(door, 1000, func(conn outside.Conn, err error) {
+				if c.ended = err != nil; err == nil {
+					c.conn = conn
+					conn.Begin(c, 5000)
+				}
+			})
+			silent = append(silent, c)
+		}
+		r.pass(60)
+	}
+	if n, g := len(r.s.owners), r.s.guests; n-g > r.s.parts.Owners || g > r.s.parts.Guests {
+		t.Errorf("%d connections, %d of them not let in; %d and %d are allowed", n, g, r.s.parts.Owners, r.s.parts.Guests)
+	}
+	y := r.dial()
+	y.ask(8, "batch")
+	r.pass(300)
+	y.want("one more owner", "8 served "+r.nodes["a"].describes(8))
+	r.pass(3000)
+	for i, c := range silent {
+		if !c.ended {
+			t.Fatalf("silent one %d is held", i)
+		}
+	}
+	if x.ended {
+		t.Error("an owner that asked once and holds its connection was cut off")
+	}
+}
+
+// TestSlowReader has an owner that takes nothing: it is cut off alone.
+func TestSlowReader(t *testing.T) {
+	r := begin(t, "a")
+	x, slow := r.dial(), r.dial()
+	slow.ask(6, "batch")
+	r.pass(200)
+	var far interface{ Stall(float64) } = slow.conn.(interface{ Stall(float64) })
+	far.Stall(60000)
+	for range 30 {
+		var b []byte
+		for i := range 1000 {
+			b = codec.AppendTest(b, uint64(i+1), false)
+		}
+		slow.send(b)
+		r.pass(20)
+	}
+	x.ask(7, "batch")
+	r.pass(3000)
+	x.want("a usual one", "7 served "+r.nodes["a"].describes(7))
+	if len(r.s.owners) != 1 {
+		t.Errorf("%d connections, want the usual one's alone", len(r.s.owners))
+	}
+}
+
+// TestAnswerBreaksOff has an owner that takes nothing while its task starts: of the answer nothing is handed over before the connection is
+// ended, so the owner knows that it was not served, and the task ends at its node. One whose answer had left stands on.
+func TestAnswerBreaksOff(t *testing.T) {
+	r := begin(t, "a")
+	n, slow := r.nodes["a"], r.dial()
+	slow.ask(6, "single")
+	r.pass(200)
+	slow.want("in time", "6 served "+n.describes(6))
+	slow.conn.(interface{ Stall(float64) }).Stall(60000)
+	var b []byte
+	for i := range 1200 { // more answers than the network takes
+		b = codec.AppendTest(b, uint64(i+1000), false)
+	}
+	slow.send(b)
+	r.pass(50)
+	slow.ask(7, "single")
+	r.pass(200)
+	if !n.stands[7] {
+		t.Fatal("it does not stand: nothing is shown")
+	}
+	r.pass(4000)
+	if len(r.s.owners) != 0 || n.stands[7] || !n.stands[6] {
+		t.Errorf("%d owners; stands: the one whose answer broke off %v, the other %v", len(r.s.owners), n.stands[7], n.stands[6])
+	}
+}
+
+// TestOwedInTime has a task end whose owner's connection has closed, while nothing is served that could prove another: the end is told
+// within a second all the same, on one on which something was asked, and not on one on which nothing was.
+func TestOwedInTime(t *testing.T) {
+	r := begin(t, "a")
+	n, x := r.nodes["a"], r.dial()
+	x.ask(7, "single")
+	r.pass(200)
+	x.conn.End(true, nil)
+	r.pass(50)
+	idle, y := r.dial(), r.dial()
+	idle.send(codec.AppendTest(nil, 9, false))
+	n.does = func(*ear, uint64) {} // it serves nobody any more
+	y.ask(8, "single")
+	r.pass(50)
+	n.conns[0].send(codec.AppendEnd(nil, 7, codec.Normal))
+	r.pass(900)
+	y.want("an owner that asked", "7 end 16")
+	idle.want("one that did not", "9 tested 1")
+}
+
+// TestShares has descriptors so short that set-ups share connections: all are served, and few connections are made.
+func TestShares(t *testing.T) {
+	r := begin(t, "a", "b")
+	r.s.parts.Nodes = 2
+	x := r.dial()
+	for task := range uint64(10) {
+		x.ask(task+1, "batch")
+	}
+	r.pass(1000)
+	if len(x.got) != 10 || strings.Contains(strings.Join(x.got, " "), "end") || r.s.counts.dials > 4 {
+		t.Errorf("%q over %d connections", x.got, r.s.counts.dials)
+	}
+}
--- /dev/null
+++ b/internal/platform/configuration_test.go
@@ -0,0 +1,123 @@
+package platform
+
+import (
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	codec "ravenpond/internal/proto/platform"
+)
+
+// TestOddStarts begins schedulers under what no list of faults names.
+func TestOddStarts(t *testing.T) {
+	t.Run("the journal service is silent", func(t *testing.T) {
+		r := begin(t, "a", "b")
+		r.journal.mute = true
+		r.sched.Kill(false)
+		r.sched.Start()
+		r.start()
+		x := r.dial()
+		x.ask(7, "single")
+		r.pass(3000)
+		if len(x.got) != 1 || !strings.HasPrefix(x.got[0], "7 served") {
+			t.Errorf("%q", x.got)
+		}
+		r.journal.mute = false
+		r.journal.happens(entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
+		r.pass(6000)
+		x.got = nil
+		x.ask(8, "single")
+		r.pass(3000)
+		x.want("all drain, as it hears once it is not silent any more", "8 end 42")
+	})
+	t.Run("known holds gone and draining nodes alone", func(t *testing.T) {
+		r := begin(t, "a", "b")
+		r.sched.Kill(false)
+		r.sched.Start()
+		first := event(1, true, entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
+		r.journal.events = []string{first}
+		r.configuration.Events = []byte(`{"pos":1,"entries":[` + first + `]}`)
+		r.start()
+		x := r.dial()
+		x.send(setUp(6, "batch", codec.Figures, asked+";at:a"))
+		r.pass(200)
+		r.nodes["a"].conns[len(r.nodes["a"].conns)-1].send(message(codec.End, 6, codec.Cause, string(byte(codec.Normal)), codec.Report, "x0:3;x1:9"))
+		x.ask(7, "single")
+		r.pass(6000)
+		x.want("the end of what stood where it drains, and none served", "6 end 16", "7 end 42")
+		r.journal.happens(entryOf("b", "b", "ready"))
+		r.pass(3000)
+		x.got = nil
+		x.ask(8, "single")
+		r.pass(1000)
+		x.want("one is back", "8 served "+r.nodes["b"].describes(8))
+	})
+	t.Run("a node is named twice", func(t *testing.T) {
+		r := begin(t, "a", "b")
+		r.journal.happens(entryOf("a", "a", "ready"), entryOf("a", "a", "draining"), entryOf("a", "a", "draining"))
+		r.pass(2000)
+		x := r.dial()
+		for task := range uint64(6) {
+			x.ask(task+1, "batch")
+		}
+		r.pass(500)
+		if n := len(r.nodes["a"].starts); n != 0 || len(x.got) != 6 {
+			t.Errorf("%d offered to the one that drains, as its last entry says; %q", n, x.got)
+		}
+	})
+	t.Run("the configuration changes while it ends", func(t *testing.T) {
+		r := begin(t, "a")
+		x := r.dial()
+		r.nodes["a"].does = func(*ear, uint64) {}
+		x.ask(7, "single")
+		r.pass(20)
+		r.s.Stop()
+		moved := *r.configuration
+		moved.Journal = "journal:2"
+		r.s.Take(&moved)
+		r.pass(6000)
+		x.want("one answer", "7 end 41")
+		select {
+		case <-r.s.Done():
+		default:
+			t.Error("it does not end")
+		}
+	})
+}
+
+// TestRun names what is wrong, where, and does not start.
+func TestRun(t *testing.T) {
+	t.Setenv("GW_CONFIG", filepath.Join(t.TempDir(), "none.json"))
+	if err := Run(zerolog.Nop()); err == nil || !strings.Contains(err.Error(), "none.json") {
+		t.Errorf("%v", err)
+	}
+}
+
+// TestRead names what a configuration lacks.
+func TestRead(t *testing.T) {
+	good := `{"name":"n3","listen":"10.0.0.4:5060","seed":"8c1f30d27a5be964","limits":{"cores":0.5,"memory_mb":64,"sockets":256},` +
+		`"journal":"10.2.0.1:4222","known":{"pos":0,"entries":[]},"settings":` + settingsText + `}`
+	c, err := Read([]byte(good))
+	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Journal != "10.2.0.1:4222" || c.MemoryMB != 64 || c.Sockets != 256 {
+		t.Errorf("%+v, %v", c, err)
+	}
+	for _, x := range []struct{ old, new, want string }{
+		{`"journal":"10.2.0.1:4222"`, `"journal":"10.2.0.1"`, "journal"},
+		{`"listen":"10.0.0.4:5060",`, ``, "listen"},
+		{`"8c1f30d27a5be964"`, `"xyz"`, "seed"},
+		{`"sockets":256`, `"sockets":0`, "limits"},
+		{`"sockets":256`, `"sockets":31`, "sockets"},
+		{`"memory_mb":64`, `"memory_mb":1e9`, "memory_mb"},
+		{`"conn-idle-ns": 30000000000`, `"conn-idle-ns": 0`, "conn-idle-ns"},
+		{`"name": "marked"`, `"name": "batch"`, "services 1 name"},
+		{`"known":{"pos":0,"entries":[]},`, ``, "known"},
+		{`"effect": "free"`, `"effect": "odd"`, `settings: services 0 (batch) effect: unknown word "odd"`},
+		{`{"name"`, `{`, "invalid"},
+	} {
+		if _, err := Read([]byte(strings.Replace(good, x.old, x.new, 1))); err == nil || !strings.Contains(err.Error(), x.want) {
+			t.Errorf("%s: %v, want %q", x.new, err, x.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/platform/descriptors_test.go
@@ -0,0 +1,198 @@
+package platform
+
+import (
+	"fmt"
+	"testing"
+
+	"ravenpond/internal/outside"
+	codec "ravenpond/internal/proto/platform"
+	"ravenpond/logic"
+)
+
+// open is a node's connections that have not ended.
+func open(n *node) (all []*ear) {
+	for _, e := range n.conns {
+		if !e.ended {
+			all = append(all, e)
+		}
+	}
+	return all
+}
+
+// TestDescriptors fills the door and has something stand at every node, of which there are more than the scheduler may
+// have connections to: it never holds more than it may, calls no node lost or ill, and hears of every end in time.
+func TestDescriptors(t *testing.T) {
+	for _, nodes := range []int{40, 120, 200} {
+		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
+			var names []string
+			for i := range nodes {
+				names = append(names, fmt.Sprint("n", i))
+			}
+			r := begin(t, names...)
+			var doors []*client
+			for range r.s.parts.Owners {
+				x := &client{ear: &ear{}, r: r}
+				x.heard = func([]byte) {}
+				r.owners.Dial(door, 1000, func(c outside.Conn, err error) {
+					if err == nil {
+						x.conn = c
+						c.Begin(x, 5000)
+						x.send(codec.AppendTest(nil, 9, false))
+					}
+				})
+				doors = append(doors, x)
+			}
+			r.pass(100)
+			if len(r.s.owners) != r.s.parts.Owners {
+				t.Fatalf("%d owners' connections", len(r.s.owners))
+			}
+			most, ended := 0, map[uint64]float64{}
+			count := func() {
+				held := 0
+				for _, n := range r.nodes {
+					held += len(open(n))
+				}
+				for _, x := range doors {
+					if !x.ended {
+						held++
+					}
+				}
+				most = max(most, held)
+			}
+			x := doors[0]
+			x.heard = func(msg []byte) {
+				if codec.Kind(msg) == codec.End {
+					ended[codec.Task(msg)] = r.c.True()
+				}
+			}
+			for i, name := range names {
+				x.send(setUp(uint64(1000+i), "single", codec.Figures, asked+";at:"+name))
+				r.nodes[name].stands[uint64(1000+i)] = true
+			}
+			for i := range 200 {
+				x.ask(uint64(1+i), "batch")
+				r.pass(60)
+				count()
+			}
+			ends := r.c.True()
+			for i, name := range names { // on what is open, and on what comes next
+				n, task := r.nodes[name], uint64(1000+i)
+				end := codec.AppendEnd(nil, task, codec.Normal)
+				for _, e := range open(n) {
+					e.send(end)
+				}
+				n.greets = func(e *ear) { e.send(end) }
+			}
+			for range 100 {
+				r.pass(60)
+				count()
+			}
+			if most > r.s.parts.Owners+r.s.parts.Nodes || most > r.configuration.Sockets*98/100-8 {
+				t.Errorf("%d connections at once, %d and %d are allowed of %d descriptors", most, r.s.parts.Owners, r.s.parts.Nodes, r.configuration.Sockets)
+			}
+			late, unheard := 0, 0
+			for i := range names {
+				at, ok := ended[uint64(1000+i)]
+				if !ok {
+					unheard++
+				} else if at > ends+5500 {
+					late++
+				}
+			}
+			if late+unheard > 0 || r.s.counts.verdicts[logic.Broken] > 0 || r.s.counts.spent > 0 {
+				t.Errorf("of %d ends %d came late, %d never; verdicts %v, %d dials found nothing left", nodes, late, unheard, r.s.counts.verdicts,
+					r.s.counts.spent)
+			}
+			for _, p := range r.s.peers {
+				if b, _ := r.s.host.Believes(p.id); b.Ill {
+					t.Errorf("%s is taken for ill", p.name)
+				}
+			}
+			if d := float64(r.s.counts.dials) / (float64(nodes) * 18 / 2); d > 1.3 {
+				t.Errorf("%d dials: %.1f a node in two seconds", r.s.counts.dials, d)
+			}
+		})
+	}
+}
+
+// TestSpent has dials fail for want of descriptors here: no node is blamed, nothing that stands is called lost, and what
+// provably never left is offered again.
+func TestSpent(t *testing.T) {
+	r := begin(t, "a", "b")
+	x := r.dial()
+	x.ask(7, "single")
+	r.pass(200)
+	r.s.world = spent{r.s.world}
+	for _, n := range r.nodes {
+		for _, e := range n.conns {
+			e.conn.(interface{ Reset(bool) }).Reset(true)
+		}
+	}
+	x.ask(8, "single")
+	r.pass(9000)
+	if r.s.counts.spent < 5 || r.s.host.Stands() != 1 || len(x.got) != 2 || x.got[1] != "8 end 42" {
+		t.Errorf("%d spent, %d stand, %q", r.s.counts.spent, r.s.host.Stands(), x.got)
+	}
+	for _, p := range r.s.peers {
+		if b, _ := r.s.host.Believes(p.id); b.Ill || b.Risk > 0 {
+			t.Errorf("%s is blamed: %+v", p.name, b)
+		}
+	}
+}
+
+// spent is a world with no descriptor left for a dial.
+type spent struct{ outside.World }
+
+func (w spent) Dial(_ string, _ float64, done func(outside.Conn, error)) {
+	w.After(0.1, func() { done(nil, fmt.Errorf("socket: %w", outside.ErrSpent)) })
+}
+
+// TestHeld has a client name more than can be held as standing at a node.
+func TestHeld(t *testing.T) {
+	r := begin(t, "a")
+	r.s.parts.Held = 20
+	x := r.dial()
+	for task := range uint64(60) {
+		x.send(setUp(task+1, "batch", codec.Figures, asked+";at:a"))
+	}
+	x.ask(100, "batch")
+	r.pass(500)
+	if len(r.s.asks) != 20 || len(x.got) != 41 || x.got[40] != "100 end 42" {
+		t.Errorf("%d are held, %d turned away", len(r.s.asks), len(x.got))
+	}
+}
+
+// TestFlat replaces nodes, tasks and connections for long: nothing of what is over is kept.
+func TestFlat(t *testing.T) {
+	r := begin(t, "n0")
+	task := uint64(0)
+	for i := range 60 {
+		name, last := fmt.Sprint("n", i+1), fmt.Sprint("n", i)
+		newNode(r, name, name)
+		r.journal.happens(entryOf(name, name, "ready"), entryOf(last, last, "gone"))
+		r.pass(300)
+		x := r.dial()
+		for range 5 {
+			task++
+			x.ask(task, "batch")
+		}
+		r.pass(200)
+		for _, n := range r.nodes {
+			for done := range n.stands {
+				delete(n.stands, done)
+				n.open[done].send(codec.AppendEnd(nil, done, codec.Normal))
+			}
+		}
+		r.pass(200)
+		x.conn.End(true, nil)
+		r.pass(100)
+	}
+	r.pass(3000)
+	if len(r.s.asks)+len(r.s.tasks)+len(r.s.owners) > 0 || len(r.s.peers) > 1 || len(r.s.names) > 1 || r.s.links > 5 {
+		t.Errorf("%d asks, %d tasks, %d owners, %d nodes, %d links are kept", len(r.s.asks), len(r.s.tasks), len(r.s.owners), len(r.s.peers),
+			r.s.links)
+	}
+	if r.s.counts.served != int(task) {
+		t.Errorf("%d of %d served", r.s.counts.served, task)
+	}
+}
--- /dev/null
+++ b/internal/platform/effects.go
@@ -0,0 +1,134 @@
+package platform
+
+import (
+	"github.com/rs/zerolog"
+
+	codec "ravenpond/internal/proto/platform"
+	"ravenpond/logic"
+)
+
+// edge carries out the host's effects.
+type edge struct{ *Server }
+
+func (s edge) Answer(alloc uint32, declined bool) {
+	a := s.asks[alloc]
+	if a == nil || a.answered {
+		return
+	}
+	s.answered(a)
+	cause := byte(codec.Reset)
+	if declined {
+		cause = codec.Busy
+		s.counts.declined++
+	} else {
+		s.counts.failed++
+	}
+	s.trace("answer", a.task, func(e *zerolog.Event) { e.Bool("declined", declined) })
+	if a.owner != nil {
+		a.owner.say(func(b []byte) []byte { return codec.AppendEnd(b, a.task, cause) })
+	}
+}
+
+// abandon gives up an ask whose owner has closed its connection.
+func (s *Server) abandon(a *ask) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !a.answered {
+		s.withdraw(a)
+	}
+}
+
+// answered counts an ask out of those that are open. Its task's number is free from then on, unless it stands.
+func (s *Server) answered(a *ask) {
+	a.answered = true
+	s.admit.Leave(a.tenant)
+	if a.owner != nil {
+		delete(a.owner.open, a.task)
+	}
+}
+
+func (s edge) Over(alloc uint32, v logic.Verdict) {
+	a := s.asks[alloc]
+	if a == nil {
+		return
+	}
+	s.counts.over++
+	s.trace("over", a.task, func(e *zerolog.Event) { e.Uint8("verdict", uint8(v)) })
+	s.released(a, map[logic.Verdict]byte{logic.Ended: codec.Normal, logic.CalledOff: codec.Elsewhere}[v])
+}
+
+func (s edge) Forget(alloc uint32) {
+	a := s.asks[alloc]
+	if a == nil {
+		return
+	}
+	delete(s.asks, alloc)
+	if s.tasks[a.task] == a {
+		delete(s.tasks, a.task)
+	}
+	if a.owner != nil {
+		delete(a.owner.stands, a)
+	}
+	if a.peer != nil {
+		delete(a.peer.stands, a)
+	}
+}
+
+func (s edge) Move(alloc uint32) {
+	if a := s.asks[alloc]; a != nil {
+		s.counts.moved++
+		s.trace("move", a.task, func(e *zerolog.Event) { e.Bool("owner", a.owner != nil).Str("node", a.peer.name) })
+		s.tell(a, word{task: a.task})
+	}
+}
+
+func (s edge) Follow() { s.feed.asked = true }
+
+func (s edge) Mode(line string) { s.log.Info().Str("mode", "module").Msg(line) }
+
+func (s edge) Offer(alloc uint32, try uint8, node uint32, left float64) {
+	a, p := s.asks[alloc], s.peers[node]
+	a.peer, a.try, a.until = p, try, s.world.Now()+left
+	if a.left() { // the host hears of it when it can
+		s.world.After(0, func() { s.abandon(a) })
+		return
+	}
+	s.counts.offers++
+	s.trace("offer", a.task, func(e *zerolog.Event) { e.Str("node", p.name).Uint8("try", try).Float64("left", left) })
+	s.offer(a, p)
+}
+
+func (s edge) GiveUp(alloc uint32, try uint8, _ uint32) {
+	if a := s.asks[alloc]; a != nil && a.try == try {
+		s.trace("give up", a.task, func(e *zerolog.Event) { e.Str("node", a.peer.name).Uint8("try", try) })
+		s.giveUp(a)
+	}
+}
+
+func (s edge) Cut(alloc uint32, _ uint32) {
+	if a := s.asks[alloc]; a != nil && a.peer != nil {
+		s.cut(a.peer, a.task)
+	}
+}
+
+func (s edge) Probe(node, seq uint32) {
+	s.counts.probes++
+	s.probe(s.peers[node], seq)
+}
+
+// settled tells the host how a try, or what stood, has ended.
+func (s *Server) settled(a *ask, v logic.Verdict, why logic.Reason, report []float64) {
+	s.counts.verdicts[v]++
+	s.trace("settled", a.task, func(e *zerolog.Event) {
+		e.Uint8("verdict", uint8(v)).Uint8("why", uint8(why)).Floats64("report", report).Bool("stood", a.stands)
+		if a.peer == nil {
+			return
+		}
+		e.Str("node", a.peer.name)
+		if b, ok := s.host.Believes(a.peer.id); ok {
+			e.Floats64("believed", []float64{b.Cores, b.Memory}).Float64("strain", b.Strain).Float64("risk", b.Risk).Bool("ill", b.Ill)
+		}
+	})
+	s.host.Settled(s.world.Now(), a.alloc, a.try, v, why, report)
+	s.wake()
+}
--- a/internal/platform/nodes.go
+++ b/internal/platform/links.go
@@ -1,39 +1,19 @@
 package platform
 
 import (
-	"cmp"
 	"errors"
-	"maps"
 	"slices"
 
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/decide/budget"
 	"ravenpond/internal/decide/connlimits"
-	"ravenpond/internal/decide/nodefailure"
 	"ravenpond/internal/decide/outcome"
 	"ravenpond/internal/outside"
 	codec "ravenpond/internal/proto/platform"
 	"ravenpond/logic"
 )
 
-// peer is a node. One that comes up at the address of another is a peer of its own: it has its own name.
-type peer struct {
-	id            uint32
-	name, address string
-	avail         logic.Availability
-	links         []*link
-	stands        map[*ask]bool
-	cuts          []cutting // ends that the node has not been told on any connection
-	watch         nodefailure.Watch
-}
-
-// cutting is a task that is to end at a node, until it is no use any more to say so.
-type cutting struct {
-	task  uint64
-	until float64
-}
-
 // link is a connection to a node, or one that is being made. One set-up at a time is open on it while descriptors allow,
 // so that an answer that spoils the connection costs no other.
 type link struct {
@@ -277,27 +257,6 @@
 	l.closeAt = l.s.world.Now() + linger
 }
 
-// cut has what stands at a node end.
-func (s *Server) cut(p *peer, task uint64) {
-	for _, l := range p.links {
-		if l.conn != nil && !l.gone && l.open() {
-			if _, _, ok := l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, task, codec.Elsewhere) }); ok {
-				return
-			}
-		}
-	}
-	now := s.world.Now()
-	p.owes(now, task)
-	if p.avail != logic.Gone {
-		s.tether(now, p)
-	}
-}
-
-// owes keeps an end until the node can be told.
-func (p *peer) owes(now float64, task uint64) {
-	p.cuts = append(p.cuts[max(0, len(p.cuts)-connlimits.MostCuts+1):], cutting{task, now + connlimits.CutFor})
-}
-
 func (l *link) tellCuts(now float64) {
 	cuts := l.peer.cuts
 	l.peer.cuts = nil
@@ -334,48 +293,6 @@
 	l.conn.Send(func(b []byte) []byte { return codec.AppendTest(b, uint64(l.probe), true) })
 }
 
-// Heard takes what a node sends.
-func (l *link) Heard(b []byte) {
-	s := l.s
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if l.gone {
-		return
-	}
-	now := s.world.Now()
-	if b == nil {
-		l.broke("closed")
-		return
-	}
-	l.peer.watch.Heard(now)
-	rest, err := messages(l.in, b, func(msg []byte) error {
-		if l.gone {
-			return nil
-		}
-		return l.message(now, msg)
-	})
-	if l.gone {
-		return
-	}
-	if err != nil {
-		s.counts.spoilt++
-		s.trace("spoilt", 0, func(e *zerolog.Event) { e.Str("node", l.peer.name).Err(err) })
-		l.spoil()
-		return
-	}
-	l.in = rest
-	s.wake()
-}
-
-// Over hears that the connection has ended.
-func (l *link) Over(err error) {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	if !l.gone {
-		l.broke(err.Error())
-	}
-}
-
 // broke ends a connection under what is open on it.
 func (l *link) broke(why string) {
 	handed := l.conn.Handed()
@@ -427,187 +344,3 @@
 	l.s.links--
 	l.peer.links = remove(l.peer.links, l)
 }
-
-// message takes one message of a node. An error means that the connection can't be read any more.
-func (l *link) message(now float64, msg []byte) error {
-	s, task := l.s, codec.Task(msg)
-	s.traceNode(l, msg)
-	switch codec.Kind(msg) {
-	case codec.Answer:
-		return l.answer(now, task, msg)
-	case codec.End:
-		cause, ok := codec.CauseOf(msg)
-		if !ok {
-			return codec.ErrUnreadable
-		}
-		s.report = codec.Load(msg, s.known.Cluster.Report, s.report[:0])
-		a := s.tasks[task]
-		switch {
-		case a == nil || a.peer != l.peer:
-		case a.link == l && cause == codec.Normal && codec.Described(msg): // it stood and ended in one
-			if err := l.answer(now, task, msg); err != nil {
-				return err
-			}
-			if a.stands {
-				s.settled(a, codec.After(cause), codec.Why(msg), s.report)
-			}
-		case a.link == l:
-			l.endedEarly(now, a, cause, codec.Why(msg))
-		case a.stands:
-			s.settled(a, codec.After(cause), codec.Why(msg), s.report)
-		}
-	case codec.Note:
-		kind, value, ok := codec.Noted(msg)
-		if a := s.tasks[task]; ok && a != nil && a.peer == l.peer && (a.stands || a.link == l) {
-			s.host.Noted(now, a.alloc, kind, value)
-		}
-	case codec.Tested:
-		cause, ok := codec.CauseOf(msg)
-		if !ok {
-			return codec.ErrUnreadable
-		}
-		if l.probe != 0 && task == uint64(l.probe) {
-			l.probe, l.idle = 0, now
-			v := logic.Ended
-			if cause == 0 {
-				v = logic.Errored
-			}
-			s.report = codec.Load(msg, s.known.Cluster.Report, s.report[:0])
-			s.host.Probed(now, l.peer.id, uint32(task), v, s.report)
-		}
-	case codec.Progress, codec.EndHeard:
-	default:
-		return codec.ErrUnreadable
-	}
-	return nil
-}
-
-func (s *Server) traceNode(l *link, msg []byte) {
-	s.trace("from node", codec.Task(msg), func(e *zerolog.Event) {
-		cause, _ := codec.CauseOf(msg)
-		word, _ := codec.Param(msg, codec.Word)
-		figure, _ := codec.Param(msg, codec.Figure)
-		report, _ := codec.Param(msg, codec.Report)
-		d, _ := codec.Param(msg, codec.Description)
-		e.Str("node", l.peer.name).Uint8("kind", codec.Kind(msg)).Uint8("cause", cause).Bytes("word", word).
-			Bytes("figure", figure).Bytes("report", report).Bytes("d", d[:min(len(d), 80)])
-	})
-}
-
-// answer takes the word that a task stands. It is the owner's answer only if it is for the try that is out, here.
-func (l *link) answer(now float64, task uint64, msg []byte) error {
-	s := l.s
-	description, ok := codec.Param(msg, codec.Description)
-	if !ok || len(description) == 0 {
-		return codec.ErrUnreadable
-	}
-	a := s.tasks[task]
-	if a == nil || a.link != l {
-		if l.given[task] && (a == nil || a.peer != l.peer || !a.stands) { // too late: it must not stand beside another
-			s.cut(l.peer, task)
-		}
-		delete(l.given, task)
-		return nil // else a second copy, or nobody's
-	}
-	l.drop(a)
-	if !s.host.Started(now, a.alloc, a.try) {
-		s.cut(l.peer, task)
-		return nil
-	}
-	s.answered(a)
-	a.stands = true
-	s.counts.served++
-	s.trace("served", task, nil)
-	o, told := a.owner, uint64(0)
-	if !a.left() {
-		told = o.sends(func(b []byte) []byte { return codec.AppendAnswer(b, task, description) })
-	}
-	if told == 0 {
-		s.withdraw(a)
-		return nil
-	}
-	a.sent = told
-	o.proven = true
-	o.stands[a] = true
-	l.peer.stands[a] = true
-	a.jobType, a.name, a.key, a.description = nil, nil, nil, nil
-	s.wake()
-	return nil
-}
-
-// endedEarly takes the end of an attempt that its node has not answered. Where the task had been running, its answer may still follow; the
-// node is then told to end the task, as the client has its final answer.
-func (l *link) endedEarly(now float64, a *ask, cause byte, reason logic.Reason) {
-	l.drop(a)
-	end := outcome.EarlyEnd{Unstarted: codec.Before(cause), Started: codec.After(cause), Reason: reason}
-	l.s.trace("ended early", a.task, func(e *zerolog.Event) { e.Str("node", l.peer.name).Uint8("cause", cause).Uint8("why", uint8(reason)) })
-	l.s.counts.verdicts[end.Unstarted]++
-	if l.s.host.EndedEarly(now, a.alloc, a.try, end, l.s.report) {
-		l.expectLate(a.task)
-	}
-	l.s.wake()
-}
-
-// tether keeps a connection to a node where something stands or is to end, as news of it comes on any.
-func (s *Server) tether(now float64, p *peer) {
-	if p.avail == logic.Gone || len(p.stands) == 0 && len(p.cuts) == 0 || len(p.links) > 0 {
-		return
-	}
-	s.look(now, p, false)
-}
-
-// look tries a new connection to a node where something stands, or is to end, if it is time to.
-func (s *Server) look(now float64, p *peer, linked bool) {
-	if p.watch.Due(now, linked) && s.room(now, budget.Look, p) {
-		p.watch.Look(now)
-		s.counts.looks++
-		s.dial(p)
-	}
-}
-
-// peerTick looks after the connections to a node.
-func (s *Server) peerTick(now float64, p *peer) {
-	linked := false
-	for _, l := range slices.Clone(p.links) {
-		switch {
-		case l.conn == nil:
-		case l.spent && len(l.asks) == 0 && now >= l.closeAt:
-			l.end(true)
-		case l.free() && !s.fresh(l, now):
-			l.end(true)
-		case len(l.asks) == 0 && l.probe != 0 && connlimits.Mute(now-l.probeAt):
-			l.probe = 0
-			l.end(true) // it says nothing: a new one tells whether its node does
-		default:
-			linked = true
-		}
-	}
-	if len(p.stands) > 0 {
-		if p.avail != logic.Gone {
-			s.look(now, p, linked)
-		}
-		if p.watch.Lost(now, p.avail == logic.Gone, len(p.links) > 0) {
-			s.lose(now, p)
-		}
-	} else {
-		s.tether(now, p)
-	}
-	if p.avail == logic.Gone && len(p.links) == 0 && len(p.stands) == 0 {
-		delete(s.peers, p.id)
-		delete(s.names, p.name)
-	}
-}
-
-// lose ends what stood at a node that is no more. Should it be cut off only and come back, its tasks are to end there.
-func (s *Server) lose(now float64, p *peer) {
-	s.log.Info().Str("mode", "lost").Str("node", p.name).Int("stood", len(p.stands)).Msg("node lost with what stood there")
-	for _, a := range slices.SortedFunc(maps.Keys(p.stands), func(x, y *ask) int { return cmp.Compare(x.alloc, y.alloc) }) {
-		task := a.task
-		s.counts.verdicts[logic.Broken]++
-		s.host.Lost(now, a.alloc)
-		if p.avail != logic.Gone {
-			p.owes(now, task)
-		}
-	}
-	s.wake()
-}
--- /dev/null
+++ b/internal/platform/notify.go
@@ -0,0 +1,43 @@
+package platform
+
+import (
+	"ravenpond/internal/decide/connlimits"
+	codec "ravenpond/internal/proto/platform"
+)
+
+// released tells an owner that what stood is over.
+func (s *Server) released(a *ask, cause byte) {
+	if cause == 0 {
+		cause = codec.Reset
+	}
+	s.tell(a, word{task: a.task, cause: cause})
+}
+
+// word is what an owner is owed about what stood: its end with a cause, or a move.
+type word struct {
+	task  uint64
+	cause byte    // 0: a move
+	since float64 // when it was owed
+}
+
+func (w word) append(b []byte) []byte {
+	if w.cause == 0 {
+		return codec.AppendMove(b, w.task)
+	}
+	return codec.AppendEnd(b, w.task, w.cause)
+}
+
+// tell gives an owner word of what stood: on the connection that it came on, else on another on which something was served, else on
+// the next such; but if there is none in time, as in a flood in which all is declined, on one on which something was asked.
+func (s *Server) tell(a *ask, w word) {
+	if a.owner != nil && a.owner.listens() && a.owner.say(w.append) {
+		return
+	}
+	for _, o := range s.eachOwner() {
+		if o.proven && o.listens() && o.say(w.append) {
+			return
+		}
+	}
+	w.since = s.world.Now()
+	s.owed = append(s.owed[max(0, len(s.owed)-connlimits.MostEnds+1):], w)
+}
--- /dev/null
+++ b/internal/platform/peers.go
@@ -0,0 +1,115 @@
+package platform
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"ravenpond/internal/decide/budget"
+	"ravenpond/internal/decide/connlimits"
+	"ravenpond/internal/decide/nodefailure"
+	codec "ravenpond/internal/proto/platform"
+	"ravenpond/logic"
+)
+
+// peer is a node. One that comes up at the address of another is a peer of its own: it has its own name.
+type peer struct {
+	id            uint32
+	name, address string
+	avail         logic.Availability
+	links         []*link
+	stands        map[*ask]bool
+	cuts          []cutting // ends that the node has not been told on any connection
+	watch         nodefailure.Watch
+}
+
+// cutting is a task that is to end at a node, until it is no use any more to say so.
+type cutting struct {
+	task  uint64
+	until float64
+}
+
+// cut has what stands at a node end.
+func (s *Server) cut(p *peer, task uint64) {
+	for _, l := range p.links {
+		if l.conn != nil && !l.gone && l.open() {
+			if _, _, ok := l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, task, codec.Elsewhere) }); ok {
+				return
+			}
+		}
+	}
+	now := s.world.Now()
+	p.owes(now, task)
+	if p.avail != logic.Gone {
+		s.tether(now, p)
+	}
+}
+
+// owes keeps an end until the node can be told.
+func (p *peer) owes(now float64, task uint64) {
+	p.cuts = append(p.cuts[max(0, len(p.cuts)-connlimits.MostCuts+1):], cutting{task, now + connlimits.CutFor})
+}
+
+// tether keeps a connection to a node where something stands or is to end, as news of it comes on any.
+func (s *Server) tether(now float64, p *peer) {
+	if p.avail == logic.Gone || len(p.stands) == 0 && len(p.cuts) == 0 || len(p.links) > 0 {
+		return
+	}
+	s.look(now, p, false)
+}
+
+// look tries a new connection to a node where something stands, or is to end, if it is time to.
+func (s *Server) look(now float64, p *peer, linked bool) {
+	if p.watch.Due(now, linked) && s.room(now, budget.Look, p) {
+		p.watch.Look(now)
+		s.counts.looks++
+		s.dial(p)
+	}
+}
+
+// peerTick looks after the connections to a node.
+func (s *Server) peerTick(now float64, p *peer) {
+	linked := false
+	for _, l := range slices.Clone(p.links) {
+		switch {
+		case l.conn == nil:
+		case l.spent && len(l.asks) == 0 && now >= l.closeAt:
+			l.end(true)
+		case l.free() && !s.fresh(l, now):
+			l.end(true)
+		case len(l.asks) == 0 && l.probe != 0 && connlimits.Mute(now-l.probeAt):
+			l.probe = 0
+			l.end(true) // it says nothing: a new one tells whether its node does
+		default:
+			linked = true
+		}
+	}
+	if len(p.stands) > 0 {
+		if p.avail != logic.Gone {
+			s.look(now, p, linked)
+		}
+		if p.watch.Lost(now, p.avail == logic.Gone, len(p.links) > 0) {
+			s.lose(now, p)
+		}
+	} else {
+		s.tether(now, p)
+	}
+	if p.avail == logic.Gone && len(p.links) == 0 && len(p.stands) == 0 {
+		delete(s.peers, p.id)
+		delete(s.names, p.name)
+	}
+}
+
+// lose ends what stood at a node that is no more. Should it be cut off only and come back, its tasks are to end there.
+func (s *Server) lose(now float64, p *peer) {
+	s.log.Info().Str("mode", "lost").Str("node", p.name).Int("stood", len(p.stands)).Msg("node lost with what stood there")
+	for _, a := range slices.SortedFunc(maps.Keys(p.stands), func(x, y *ask) int { return cmp.Compare(x.alloc, y.alloc) }) {
+		task := a.task
+		s.counts.verdicts[logic.Broken]++
+		s.host.Lost(now, a.alloc)
+		if p.avail != logic.Gone {
+			p.owes(now, task)
+		}
+	}
+	s.wake()
+}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -17,14 +17,11 @@
 	"ravenpond/internal/besteffort"
 	"ravenpond/internal/decide/admit"
 	"ravenpond/internal/decide/budget"
-	"ravenpond/internal/decide/connlimits"
 	"ravenpond/internal/decide/overload"
 	"ravenpond/internal/decide/shutdown"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/platform/host"
-	codec "ravenpond/internal/proto/platform"
 	"ravenpond/internal/settings"
-	"ravenpond/logic"
 )
 
 // Server is one scheduler on the platform.
@@ -93,16 +90,6 @@
 	answered, stands bool
 }
 
-// counts are figures for the log.
-type counts struct {
-	taken, turned, served, declined, failed, withdrawn, over, moved, found int
-	offers                                                                 int
-	verdicts                                                               [8]int
-	dials, looks, refused, spent, spoilt, expelled, probes                 int
-	behind                                                                 int     // turned away as they could not be done in time
-	lag                                                                    float64 // the most since it was told
-}
-
 // New makes a scheduler from its configuration. Nothing is connected yet.
 func New(world outside.World, log zerolog.Logger, c *Configuration) *Server {
 	s := &Server{world: world, log: log, known: c.Known, parts: budget.Divide(c.Sockets, c.MemoryMB), asks: map[uint32]*ask{},
@@ -256,32 +243,6 @@
 	}
 }
 
-// shutdown goes through what is due for a scheduler that was told to end.
-func (s *Server) shutdown(now float64) {
-	if now >= s.plan.Answer && !s.answeredAll {
-		s.answeredAll = true
-		s.log.Info().Str("mode", "stop").Int("open", s.host.Open()).Int("inbox", len(s.inbox)).Int("stands", s.host.Stands()).
-			Msg("answers what is open")
-		s.takeIn(now, len(s.inbox))
-		s.host.Close(now)
-	}
-	if now >= s.plan.Part && !s.parted {
-		s.parted = true
-		s.door.Close() // who waits at it is let in first, and answered until the end
-		for _, o := range s.eachOwner() {
-			if owed := len(o.open); owed > 0 {
-				s.log.Error().Str("mode", "stop").Int("open", owed).Msg("a connection is ended on which answers are owed")
-			}
-			o.part()
-		}
-	}
-	if now >= s.plan.End && !s.ended {
-		s.ended = true
-		s.log.Info().Str("mode", "stop").Float64("after_ms", math.Round(now-s.told)).Msg("ends")
-		close(s.done)
-	}
-}
-
 func (s *Server) tick(now float64) {
 	s.feedTick(now)
 	for _, p := range s.each() {
@@ -299,42 +260,6 @@
 	return slices.SortedFunc(maps.Values(s.peers), func(x, y *peer) int { return cmp.Compare(x.id, y.id) })
 }
 
-// count tells people how the scheduler fares.
-func (s *Server) count() {
-	c := &s.counts
-	ill, strained := 0, 0
-	for id := range s.peers {
-		if b, ok := s.host.Believes(id); ok && b.Ill {
-			ill++
-		} else if ok && b.Strain > 0.5 {
-			strained++
-		}
-	}
-	reports, cores, memory := s.host.Mistaken()
-	s.log.Info().Str("mode", "counts").Int("open", s.host.Open()).Int("stands", s.host.Stands()).Int("owners", len(s.owners)).
-		Int("links", s.links).Int("nodes", len(s.peers)).Int("taken", c.taken).Int("turned", c.turned).Int("behind", c.behind).
-		Float64("lag_ms", math.Round(c.lag)).Int("served", c.served).
-		Int("declined", c.declined).Int("failed", c.failed).Int("withdrawn", c.withdrawn).Int("over", c.over).Int("moved", c.moved).
-		Int("found", c.found).Int("offers", c.offers).Ints("verdicts", c.verdicts[:]).Int("dials", c.dials).Int("looks", c.looks).
-		Int("refused", c.refused).Int("spent", c.spent).Int("spoilt", c.spoilt).Int("expelled", c.expelled).Int("probes", c.probes).
-		Int("ill", ill).Int("strained", strained).Int("reports", reports).
-		Float64("off_cores", math.Round(cores*10)/10).Float64("off_memory", math.Round(memory*10)/10).Msg("")
-	c.lag = 0
-}
-
-// trace tells of one message or effect, where the log's level wants it.
-func (s *Server) trace(what string, task uint64, f func(*zerolog.Event)) {
-	if e := s.log.Debug(); e.Enabled() {
-		s.words.Do("trace: "+what, func() {
-			e.Float64("at", s.world.Now()+s.epoch).Str("task", fmt.Sprintf("%016x", task))
-			if f != nil {
-				f(e)
-			}
-			e.Msg(what)
-		})
-	}
-}
-
 // number is the module's number of a node, the same at all schedulers: they take turns at a cold node by it.
 func (s *Server) number(name string) uint32 {
 	f := fnv.New32a()
@@ -345,198 +270,3 @@
 	}
 	return n
 }
-
-// edge carries out the host's effects.
-type edge struct{ *Server }
-
-func (s edge) Answer(alloc uint32, declined bool) {
-	a := s.asks[alloc]
-	if a == nil || a.answered {
-		return
-	}
-	s.answered(a)
-	cause := byte(codec.Reset)
-	if declined {
-		cause = codec.Busy
-		s.counts.declined++
-	} else {
-		s.counts.failed++
-	}
-	s.trace("answer", a.task, func(e *zerolog.Event) { e.Bool("declined", declined) })
-	if a.owner != nil {
-		a.owner.say(func(b []byte) []byte { return codec.AppendEnd(b, a.task, cause) })
-	}
-}
-
-// abandon gives up an ask whose owner has closed its connection.
-func (s *Server) abandon(a *ask) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !a.answered {
-		s.withdraw(a)
-	}
-}
-
-// answered counts an ask out of those that are open. Its task's number is free from then on, unless it stands.
-func (s *Server) answered(a *ask) {
-	a.answered = true
-	s.admit.Leave(a.tenant)
-	if a.owner != nil {
-		delete(a.owner.open, a.task)
-	}
-}
-
-func (s edge) Over(alloc uint32, v logic.Verdict) {
-	a := s.asks[alloc]
-	if a == nil {
-		return
-	}
-	s.counts.over++
-	s.trace("over", a.task, func(e *zerolog.Event) { e.Uint8("verdict", uint8(v)) })
-	s.released(a, map[logic.Verdict]byte{logic.Ended: codec.Normal, logic.CalledOff: codec.Elsewhere}[v])
-}
-
-// released tells an owner that what stood is over.
-func (s *Server) released(a *ask, cause byte) {
-	if cause == 0 {
-		cause = codec.Reset
-	}
-	s.tell(a, word{task: a.task, cause: cause})
-}
-
-// word is what an owner is owed about what stood: its end with a cause, or a move.
-type word struct {
-	task  uint64
-	cause byte    // 0: a move
-	since float64 // when it was owed
-}
-
-func (w word) append(b []byte) []byte {
-	if w.cause == 0 {
-		return codec.AppendMove(b, w.task)
-	}
-	return codec.AppendEnd(b, w.task, w.cause)
-}
-
-// tell gives an owner word of what stood: on the connection that it came on, else on another on which something was served, else on
-// the next such; but if there is none in time, as in a flood in which all is declined, on one on which something was asked.
-func (s *Server) tell(a *ask, w word) {
-	if a.owner != nil && a.owner.listens() && a.owner.say(w.append) {
-		return
-	}
-	for _, o := range s.eachOwner() {
-		if o.proven && o.listens() && o.say(w.append) {
-			return
-		}
-	}
-	w.since = s.world.Now()
-	s.owed = append(s.owed[max(0, len(s.owed)-connlimits.MostEnds+1):], w)
-}
-
-func (s edge) Forget(alloc uint32) {
-	a := s.asks[alloc]
-	if a == nil {
-		return
-	}
-	delete(s.asks, alloc)
-	if s.tasks[a.task] == a {
-		delete(s.tasks, a.task)
-	}
-	if a.owner != nil {
-		delete(a.owner.stands, a)
-	}
-	if a.peer != nil {
-		delete(a.peer.stands, a)
-	}
-}
-
-func (s edge) Move(alloc uint32) {
-	if a := s.asks[alloc]; a != nil {
-		s.counts.moved++
-		s.trace("move", a.task, func(e *zerolog.Event) { e.Bool("owner", a.owner != nil).Str("node", a.peer.name) })
-		s.tell(a, word{task: a.task})
-	}
-}
-
-func (s edge) Follow() { s.feed.asked = true }
-
-func (s edge) Mode(line string) { s.log.Info().Str("mode", "module").Msg(line) }
-
-func (s edge) Offer(alloc uint32, try uint8, node uint32, left float64) {
-	a, p := s.asks[alloc], s.peers[node]
-	a.peer, a.try, a.until = p, try, s.world.Now()+left
-	if a.left() { // the host hears of it when it can
-		s.world.After(0, func() { s.abandon(a) })
-		return
-	}
-	s.counts.offers++
-	s.trace("offer", a.task, func(e *zerolog.Event) { e.Str("node", p.name).Uint8("try", try).Float64("left", left) })
-	s.offer(a, p)
-}
-
-func (s edge) GiveUp(alloc uint32, try uint8, _ uint32) {
-	if a := s.asks[alloc]; a != nil && a.try == try {
-		s.trace("give up", a.task, func(e *zerolog.Event) { e.Str("node", a.peer.name).Uint8("try", try) })
-		s.giveUp(a)
-	}
-}
-
-func (s edge) Cut(alloc uint32, _ uint32) {
-	if a := s.asks[alloc]; a != nil && a.peer != nil {
-		s.cut(a.peer, a.task)
-	}
-}
-
-func (s edge) Probe(node, seq uint32) {
-	s.counts.probes++
-	s.probe(s.peers[node], seq)
-}
-
-// settled tells the host how a try, or what stood, has ended.
-func (s *Server) settled(a *ask, v logic.Verdict, why logic.Reason, report []float64) {
-	s.counts.verdicts[v]++
-	s.trace("settled", a.task, func(e *zerolog.Event) {
-		e.Uint8("verdict", uint8(v)).Uint8("why", uint8(why)).Floats64("report", report).Bool("stood", a.stands)
-		if a.peer == nil {
-			return
-		}
-		e.Str("node", a.peer.name)
-		if b, ok := s.host.Believes(a.peer.id); ok {
-			e.Floats64("believed", []float64{b.Cores, b.Memory}).Float64("strain", b.Strain).Float64("risk", b.Risk).Bool("ill", b.Ill)
-		}
-	})
-	s.host.Settled(s.world.Now(), a.alloc, a.try, v, why, report)
-	s.wake()
-}
-
-// messages gives out the messages that came, of which held is the beginning. It returns the part of one that is still to
-// be completed, in memory of its own: an idle connection keeps none.
-func messages(held, b []byte, each func(msg []byte) error) (rest []byte, err error) {
-	if len(held) > 0 {
-		b = append(held, b...)
-	}
-	for {
-		msg, took, err := codec.Next(b)
-		if err == nil && took > 0 {
-			err = each(msg)
-		}
-		if err != nil {
-			return nil, err
-		}
-		if took == 0 {
-			return append([]byte(nil), b...), nil
-		}
-		b = b[took:]
-	}
-}
-
-// remove takes one out of a list without keeping its order.
-func remove[T comparable](list []T, x T) []T {
-	if i := slices.Index(list, x); i >= 0 {
-		list[i] = list[len(list)-1]
-		var zero T
-		list[len(list)-1] = zero
-		list = list[:len(list)-1]
-	}
-	return list
-}
--- /dev/null
+++ b/internal/platform/shutdown.go
@@ -0,0 +1,31 @@
+package platform
+
+import (
+	"math"
+)
+
+// shutdown goes through what is due for a scheduler that was told to end.
+func (s *Server) shutdown(now float64) {
+	if now >= s.plan.Answer && !s.answeredAll {
+		s.answeredAll = true
+		s.log.Info().Str("mode", "stop").Int("open", s.host.Open()).Int("inbox", len(s.inbox)).Int("stands", s.host.Stands()).
+			Msg("answers what is open")
+		s.takeIn(now, len(s.inbox))
+		s.host.Close(now)
+	}
+	if now >= s.plan.Part && !s.parted {
+		s.parted = true
+		s.door.Close() // who waits at it is let in first, and answered until the end
+		for _, o := range s.eachOwner() {
+			if owed := len(o.open); owed > 0 {
+				s.log.Error().Str("mode", "stop").Int("open", owed).Msg("a connection is ended on which answers are owed")
+			}
+			o.part()
+		}
+	}
+	if now >= s.plan.End && !s.ended {
+		s.ended = true
+		s.log.Info().Str("mode", "stop").Float64("after_ms", math.Round(now-s.told)).Msg("ends")
+		close(s.done)
+	}
+}
--- /dev/null
+++ b/internal/platform/telemetry.go
@@ -0,0 +1,68 @@
+package platform
+
+import (
+	"fmt"
+	"math"
+
+	"github.com/rs/zerolog"
+
+	codec "ravenpond/internal/proto/platform"
+)
+
+// counts are figures for the log.
+type counts struct {
+	taken, turned, served, declined, failed, withdrawn, over, moved, found int
+	offers                                                                 int
+	verdicts                                                               [8]int
+	dials, looks, refused, spent, spoilt, expelled, probes                 int
+	behind                                                                 int     // turned away as they could not be done in time
+	lag                                                                    float64 // the most since it was told
+}
+
+// count tells people how the scheduler fares.
+func (s *Server) count() {
+	c := &s.counts
+	ill, strained := 0, 0
+	for id := range s.peers {
+		if b, ok := s.host.Believes(id); ok && b.Ill {
+			ill++
+		} else if ok && b.Strain > 0.5 {
+			strained++
+		}
+	}
+	reports, cores, memory := s.host.Mistaken()
+	s.log.Info().Str("mode", "counts").Int("open", s.host.Open()).Int("stands", s.host.Stands()).Int("owners", len(s.owners)).
+		Int("links", s.links).Int("nodes", len(s.peers)).Int("taken", c.taken).Int("turned", c.turned).Int("behind", c.behind).
+		Float64("lag_ms", math.Round(c.lag)).Int("served", c.served).
+		Int("declined", c.declined).Int("failed", c.failed).Int("withdrawn", c.withdrawn).Int("over", c.over).Int("moved", c.moved).
+		Int("found", c.found).Int("offers", c.offers).Ints("verdicts", c.verdicts[:]).Int("dials", c.dials).Int("looks", c.looks).
+		Int("refused", c.refused).Int("spent", c.spent).Int("spoilt", c.spoilt).Int("expelled", c.expelled).Int("probes", c.probes).
+		Int("ill", ill).Int("strained", strained).Int("reports", reports).
+		Float64("off_cores", math.Round(cores*10)/10).Float64("off_memory", math.Round(memory*10)/10).Msg("")
+	c.lag = 0
+}
+
+// trace tells of one message or effect, where the log's level wants it.
+func (s *Server) trace(what string, task uint64, f func(*zerolog.Event)) {
+	if e := s.log.Debug(); e.Enabled() {
+		s.words.Do("trace: "+what, func() {
+			e.Float64("at", s.world.Now()+s.epoch).Str("task", fmt.Sprintf("%016x", task))
+			if f != nil {
+				f(e)
+			}
+			e.Msg(what)
+		})
+	}
+}
+
+func (s *Server) traceNode(l *link, msg []byte) {
+	s.trace("from node", codec.Task(msg), func(e *zerolog.Event) {
+		cause, _ := codec.CauseOf(msg)
+		word, _ := codec.Param(msg, codec.Word)
+		figure, _ := codec.Param(msg, codec.Figure)
+		report, _ := codec.Param(msg, codec.Report)
+		d, _ := codec.Param(msg, codec.Description)
+		e.Str("node", l.peer.name).Uint8("kind", codec.Kind(msg)).Uint8("cause", cause).Bytes("word", word).
+			Bytes("figure", figure).Bytes("report", report).Bytes("d", d[:min(len(d), 80)])
+	})
+}
