--- a/internal/decide/budget/budget.go
+++ b/internal/decide/budget/budget.go
@@ -1,24 +1,24 @@
-// Package budget divides what a process may use, so that no side takes what another needs: descriptors among owners
+// Package budget divides what a process may use, so that no side takes what another needs: descriptors among clients
 // and nodes, memory among what is open. It guards against clients that connect by hundreds and say nothing, and against
 // tables that grow until the process is killed for its memory.
 package budget
 
 // Parts is what each side may use.
 type Parts struct {
-	Owners  int // connections
+	Clients int // connections
 	Nodes   int
 	Open    int // allocations without a final answer
 	OnOne   int // of them on one connection
 	Held    int // allocations of all kinds, what stands at nodes included
 	SoftCap int // bytes of memory from which the collector works harder
 	Lingers int // connections that were ended here and wait for their peers to close too
-	Guests  int // owners' connections beyond their part, that have said nothing yet or are turned away
+	Guests  int // clients' connections beyond their part, that have said nothing yet or are turned away
 }
 
 const (
-	kept      = 16   // descriptors that are neither owners' nor nodes': standard files, journal, the poller, accepts
+	kept      = 16   // descriptors that are neither clients' nor nodes': standard files, journal, the poller, accepts
 	ending    = 0.06 // part of all that connections hold which are being ended, or are not let in: half of it each
-	owners    = 0.4  // part of the others; usual owners hold a third of all at most
+	clients   = 0.4  // part of the others; usual clients hold a third of all at most
 	soft      = 0.7  // part of the memory
 	openEach  = 16   // allocations open for each MB
 	onOnePart = 0.25 // part of them on one connection
@@ -29,9 +29,9 @@
 func Divide(sockets, memoryMB int) Parts {
 	each := max(1, int(ending/2*float64(sockets)))
 	left := max(8, sockets-kept-2*each)
-	o := int(owners * float64(left))
+	o := int(clients * float64(left))
 	open := max(64, openEach*memoryMB)
-	return Parts{Owners: o, Nodes: left - o, Open: open, OnOne: int(onOnePart * float64(open)), Held: heldTimes * open,
+	return Parts{Clients: o, Nodes: left - o, Open: open, OnOne: int(onOnePart * float64(open)), Held: heldTimes * open,
 		SoftCap: int(soft * float64(memoryMB) * (1 << 20)), Lingers: each, Guests: each}
 }
 
--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -9,11 +9,11 @@
 	"ravenpond/logic"
 )
 
-// left tells whether the owner of an ask has closed its connection: nothing new begins for it, and nothing is said to it, though
+// left tells whether the client of an ask has closed its connection: nothing new begins for it, and nothing is said to it, though
 // what it sent before may not be read yet.
-func (a *ask) left() bool { return a.owner == nil || !a.owner.listens() }
+func (a *ask) left() bool { return a.client == nil || !a.client.listens() }
 
-// withdraw tells the host that an owner wants an ask no more.
+// withdraw tells the host that a client wants an ask no more.
 func (s *Server) withdraw(a *ask) {
 	s.counts.withdrawn++
 	s.trace("withdrawn", a.task, func(e *zerolog.Event) { e.Bool("stood", a.stands) })
@@ -29,7 +29,7 @@
 }
 
 // setUp takes an allocation, or turns it away at once.
-func (o *owner) setUp(now float64, task uint64, msg []byte) {
+func (o *client) setUp(now float64, task uint64, msg []byte) {
 	s := o.s
 	o.s.trace("set-up", task, func(e *zerolog.Event) {
 		for _, c := range []byte{codec.JobType, codec.Left, codec.Tenant, codec.Again, codec.Name, codec.Figures, codec.Key} {
@@ -44,7 +44,7 @@
 		s.trace("turned away", task, func(e *zerolog.Event) { e.Str("why", why) })
 		o.turned = codec.AppendEnd(o.turned, task, cause)
 	}
-	if old := s.tasks[task]; old != nil && !old.answered && old.owner == o {
+	if old := s.tasks[task]; old != nil && !old.answered && old.client == o {
 		o.expel("a number that is open already") // one answer could not be told from the other
 		return
 	}
@@ -119,7 +119,7 @@
 	s.counts.taken++
 	kept := append(append(append(append([]byte{}, jobName...), name...), key...), description...)
 	j, n, k := len(jobName), len(jobName)+len(name), len(jobName)+len(name)+len(key)
-	a := &ask{task: task, tenant: tenant, owner: o, jobType: kept[:j], name: kept[j:n], description: kept[k:], expiry: now + left,
+	a := &ask{task: task, tenant: tenant, client: o, jobType: kept[:j], name: kept[j:n], description: kept[k:], expiry: now + left,
 		jobIs: jobType, service: service, cores: cores, memory: memory}
 	if key != nil {
 		a.key = kept[n:k]
@@ -141,7 +141,7 @@
 }
 
 // found takes what a node holds already. No answer is owed for it, only the news of its end.
-func (o *owner) found(now float64, task uint64, jobType, tenant int, service uint64, cores, memory float64, at string,
+func (o *client) found(now float64, task uint64, jobType, tenant int, service uint64, cores, memory float64, at string,
 	turn func(byte, string)) {
 	s := o.s
 	p := s.names[at]
@@ -156,7 +156,7 @@
 	o.useful = true
 	o.letIn(now)
 	s.counts.found++
-	a := &ask{task: task, tenant: tenant, owner: o, peer: p, answered: true, stands: true}
+	a := &ask{task: task, tenant: tenant, client: o, peer: p, answered: true, stands: true}
 	s.tasks[task] = a
 	o.stands[a], p.stands[a] = true, true
 	a.alloc = s.host.Found(now, jobType, tenant, service, cores, memory, p.id)
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -12,8 +12,8 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// owner is a connection that owners opened.
-type owner struct {
+// client is a connection that clients opened.
+type client struct {
 	s      *Server
 	no     uint64 // in the order of their coming
 	conn   outside.Conn
@@ -32,17 +32,17 @@
 	turned []byte // answers to asks that were turned away, until all that was read is looked at
 }
 
-// came takes an owner's connection. While descriptors are short it is a guest until it says something: then one that does nothing
+// came takes an client's connection. While descriptors are short it is a guest until it says something: then one that does nothing
 // gives way, else it is turned away with an answer. Of guests that say nothing the first one goes.
 func (s *Server) came(c outside.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.world.Now()
-	s.callers++
-	o := &owner{s: s, no: s.callers, conn: c, since: now, usedAt: now, open: map[uint64]*ask{}, stands: map[*ask]bool{}}
-	if len(s.owners)-s.guests >= s.parts.Owners {
+	s.accepted++
+	o := &client{s: s, no: s.accepted, conn: c, since: now, usedAt: now, open: map[uint64]*ask{}, stands: map[*ask]bool{}}
+	if len(s.clients)-s.guests >= s.parts.Clients {
 		if s.guests >= s.parts.Guests {
-			for _, first := range s.eachOwner() {
+			for _, first := range s.eachClient() {
 				if first.guest {
 					first.expel("a guest that says nothing")
 					break
@@ -52,19 +52,19 @@
 		o.guest = true
 		s.guests++
 	}
-	s.owners[o] = true
+	s.clients[o] = true
 	c.Begin(o, connlimits.Stuck)
 }
 
 // letIn has a guest that said something of use take the place of a connection that does nothing. It tells whether the connection is in.
-func (o *owner) letIn(now float64) bool {
+func (o *client) letIn(now float64) bool {
 	s := o.s
 	if !o.guest {
 		return true
 	}
-	if len(s.owners)-s.guests >= s.parts.Owners {
-		var idlest *owner
-		for _, x := range s.eachOwner() {
+	if len(s.clients)-s.guests >= s.parts.Clients {
+		var idlest *client
+		for _, x := range s.eachClient() {
 			if !x.guest && len(x.open) == 0 && len(x.stands) == 0 && len(x.in) == 0 && now-x.usedAt > connlimits.IdleEnough &&
 				(idlest == nil || x.before(idlest)) {
 				idlest = x
@@ -80,13 +80,13 @@
 	return true
 }
 
-// eachOwner is all owners' connections in the order of their coming.
-func (s *Server) eachOwner() []*owner {
-	return slices.SortedFunc(maps.Keys(s.owners), func(x, y *owner) int { return cmp.Compare(x.no, y.no) })
+// eachClient is all client connections in the order of their coming.
+func (s *Server) eachClient() []*client {
+	return slices.SortedFunc(maps.Keys(s.clients), func(x, y *client) int { return cmp.Compare(x.no, y.no) })
 }
 
 // before tells which of two idle connections is given up first.
-func (o *owner) before(x *owner) bool {
+func (o *client) before(x *client) bool {
 	if o.useful != x.useful {
 		return x.useful
 	}
@@ -94,10 +94,10 @@
 }
 
 // listens tells whether what is said on the connection can still be heard: it is open on both sides.
-func (o *owner) listens() bool { return !o.gone && !o.conn.Left() }
+func (o *client) listens() bool { return !o.gone && !o.conn.Left() }
 
 // say sends a message; false if the connection is of no use for that any more.
-func (o *owner) say(message func(b []byte) []byte) bool {
+func (o *client) say(message func(b []byte) []byte) bool {
 	if o.gone {
 		return false
 	}
@@ -105,7 +105,7 @@
 }
 
 // sends is how many bytes were ever sent on the connection with this message; 0 if it is of no use any more.
-func (o *owner) sends(message func(b []byte) []byte) uint64 {
+func (o *client) sends(message func(b []byte) []byte) uint64 {
 	sent, waits, ok := o.conn.Send(message)
 	switch {
 	case !ok:
@@ -118,7 +118,7 @@
 }
 
 // expel ends a connection; what is open on it is given up, as the peer can't be answered or must not be.
-func (o *owner) expel(why string) {
+func (o *client) expel(why string) {
 	if o.gone {
 		return
 	}
@@ -129,18 +129,18 @@
 
 // part is how a connection ends from this side: what was said last is handed over, and what still comes is read to its end, so
 // that the last words are not lost to a reset.
-func (o *owner) part() {
+func (o *client) part() {
 	o.leave()
 	o.conn.End(true, nil)
 }
 
 // leave forgets the connection. Set-ups open on it are given up with it; what stands does not depend on it.
-func (o *owner) leave() {
+func (o *client) leave() {
 	if o.gone {
 		return
 	}
 	o.gone = true
-	delete(o.s.owners, o)
+	delete(o.s.clients, o)
 	if o.guest {
 		o.s.guests--
 	}
@@ -149,7 +149,7 @@
 	}
 	handed := o.conn.Handed()
 	for a := range o.stands {
-		if a.owner = nil; a.sent > handed {
+		if a.client = nil; a.sent > handed {
 			o.unsure = append(o.unsure, a)
 		}
 	}
@@ -157,8 +157,8 @@
 	o.s.wake()
 }
 
-// Heard takes what owners send.
-func (o *owner) Heard(b []byte) {
+// Heard takes what clients send.
+func (o *client) Heard(b []byte) {
 	o.s.mu.Lock()
 	defer o.s.mu.Unlock()
 	if o.gone {
@@ -199,13 +199,13 @@
 }
 
 // Over hears that the connection has ended.
-func (o *owner) Over(error) {
+func (o *client) Over(error) {
 	o.s.mu.Lock()
 	defer o.s.mu.Unlock()
 	o.leave()
 	handed := o.conn.Handed()
 	slices.SortFunc(o.unsure, func(x, y *ask) int { return cmp.Compare(x.alloc, y.alloc) })
-	for _, a := range o.unsure { // whose answer broke off, or never left: their owner can tell that they were not served
+	for _, a := range o.unsure { // whose answer broke off, or never left: their client can tell that they were not served
 		if a.stands && a.sent > handed && o.s.asks[a.alloc] == a {
 			o.s.withdraw(a)
 		}
@@ -213,7 +213,7 @@
 	o.unsure = nil
 }
 
-func (o *owner) message(now float64, msg []byte) {
+func (o *client) message(now float64, msg []byte) {
 	s, task := o.s, codec.Task(msg)
 	switch codec.Kind(msg) {
 	case codec.SetUp:
@@ -224,18 +224,18 @@
 		o.say(func(b []byte) []byte { return codec.AppendTested(b, task, true) })
 	case codec.End:
 		a := s.tasks[task]
-		if a != nil && (a.stands || a.owner == o) { // else long over, or another's
+		if a != nil && (a.stands || a.client == o) { // else long over, or another's
 			s.withdraw(a)
 		}
 	case codec.Progress, codec.EndHeard, codec.Note, codec.Tested:
 	default:
-		o.expel("a message that owners don't send")
+		o.expel("a message that clients don't send")
 	}
 }
 
-// ownersTick ends connections that say nothing or half a message, and tells what could not be told before.
-func (s *Server) ownersTick(now float64) {
-	for _, o := range s.eachOwner() {
+// clientsTick ends connections that say nothing or half a message, and tells what could not be told before.
+func (s *Server) clientsTick(now float64) {
+	for _, o := range s.eachClient() {
 		switch {
 		case !o.useful && now-o.since > connlimits.FirstWord:
 			o.expel("says nothing of use")
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -8,8 +8,8 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestOwnerEnds has owners end what they asked for: while it is out, while it stands, by closing.
-func TestOwnerEnds(t *testing.T) {
+// TestClientEnds has clients end what they asked for: while it is out, while it stands, by closing.
+func TestClientEnds(t *testing.T) {
 	t.Run("out", func(t *testing.T) {
 		r := begin(t, "a")
 		n := r.nodes["a"]
@@ -113,18 +113,18 @@
 	}
 }
 
-// TestFlood has hundreds connect and say nothing: usual owners still get in, and the silent are closed.
+// TestFlood has hundreds connect and say nothing: usual clients still get in, and the silent are closed.
 func TestFlood(t *testing.T) {
 	r := begin(t, "a")
-	var silent []*client
+	var silent []*testClient
 	x := r.dial()
 	x.ask(7, "batch")
 	r.pass(300)
 	for range 20 {
 		for range 20 {
-			c := &client{ear: &ear{}, r: r}
+			c := &testClient{ear: &ear{}, r: r}
 			c.heard = func([]byte) {}
-			r.owners.Dial(door, 1000, func(conn outside.Conn, err error) {
+			r.clients.Dial(door, 1000, func(conn outside.Conn, err error) {
 				if c.ended = err != nil; err == nil {
 					c.conn = conn
 					conn.Begin(c, 5000)
@@ -134,13 +134,13 @@
 		}
 		r.pass(60)
 	}
-	if n, g := len(r.s.owners), r.s.guests; n-g > r.s.parts.Owners || g > r.s.parts.Guests {
-		t.Errorf("%d connections, %d of them not let in; %d and %d are allowed", n, g, r.s.parts.Owners, r.s.parts.Guests)
+	if n, g := len(r.s.clients), r.s.guests; n-g > r.s.parts.Clients || g > r.s.parts.Guests {
+		t.Errorf("%d connections, %d of them not let in; %d and %d are allowed", n, g, r.s.parts.Clients, r.s.parts.Guests)
 	}
 	y := r.dial()
 	y.ask(8, "batch")
 	r.pass(300)
-	y.want("one more owner", "8 served "+r.nodes["a"].describes(8))
+	y.want("one more client", "8 served "+r.nodes["a"].describes(8))
 	r.pass(3000)
 	for i, c := range silent {
 		if !c.ended {
@@ -148,11 +148,11 @@
 		}
 	}
 	if x.ended {
-		t.Error("an owner that asked once and holds its connection was cut off")
+		t.Error("a client that asked once and holds its connection was cut off")
 	}
 }
 
-// TestSlowReader has an owner that takes nothing: it is cut off alone.
+// TestSlowReader has a client that takes nothing: it is cut off alone.
 func TestSlowReader(t *testing.T) {
 	r := begin(t, "a")
 	x, slow := r.dial(), r.dial()
@@ -171,13 +171,13 @@
 	x.ask(7, "batch")
 	r.pass(3000)
 	x.want("a usual one", "7 served "+r.nodes["a"].describes(7))
-	if len(r.s.owners) != 1 {
-		t.Errorf("%d connections, want the usual one's alone", len(r.s.owners))
+	if len(r.s.clients) != 1 {
+		t.Errorf("%d connections, want the usual one's alone", len(r.s.clients))
 	}
 }
 
-// TestAnswerBreaksOff has an owner that takes nothing while its task starts: of the answer nothing is handed over before the connection is
-// ended, so the owner knows that it was not served, and the task ends at its node. One whose answer had left stands on.
+// TestAnswerBreaksOff has a client that takes nothing while its task starts: of the answer nothing is handed over before the connection is
+// ended, so the client knows that it was not served, and the task ends at its node. One whose answer had left stands on.
 func TestAnswerBreaksOff(t *testing.T) {
 	r := begin(t, "a")
 	n, slow := r.nodes["a"], r.dial()
@@ -197,12 +197,12 @@
 		t.Fatal("it does not stand: nothing is shown")
 	}
 	r.pass(4000)
-	if len(r.s.owners) != 0 || n.stands[7] || !n.stands[6] {
-		t.Errorf("%d owners; stands: the one whose answer broke off %v, the other %v", len(r.s.owners), n.stands[7], n.stands[6])
+	if len(r.s.clients) != 0 || n.stands[7] || !n.stands[6] {
+		t.Errorf("%d clients; stands: the one whose answer broke off %v, the other %v", len(r.s.clients), n.stands[7], n.stands[6])
 	}
 }
 
-// TestOwedInTime has a task end whose owner's connection has closed, while nothing is served that could prove another: the end is told
+// TestOwedInTime has a task end whose client's connection has closed, while nothing is served that could prove another: the end is told
 // within a second all the same, on one on which something was asked, and not on one on which nothing was.
 func TestOwedInTime(t *testing.T) {
 	r := begin(t, "a")
@@ -218,7 +218,7 @@
 	r.pass(50)
 	n.conns[0].send(codec.AppendEnd(nil, 7, codec.Normal))
 	r.pass(900)
-	y.want("an owner that asked", "7 end 16")
+	y.want("a client that asked", "7 end 16")
 	idle.want("one that did not", "9 tested 1")
 }
 
--- a/internal/platform/configuration.go
+++ b/internal/platform/configuration.go
@@ -39,7 +39,7 @@
 	return c, nil
 }
 
-// Bounds of the limits that a scheduler can keep: below them there is no room for an owner, a node and the journal service.
+// Bounds of the limits that a scheduler can keep: below them there is no room for a client, a node and the journal service.
 const (
 	leastMB, mostMB           = 8, 1 << 20
 	leastSockets, mostSockets = 32, 1 << 24
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -29,11 +29,11 @@
 				names = append(names, fmt.Sprint("n", i))
 			}
 			r := begin(t, names...)
-			var doors []*client
-			for range r.s.parts.Owners {
-				x := &client{ear: &ear{}, r: r}
+			var doors []*testClient
+			for range r.s.parts.Clients {
+				x := &testClient{ear: &ear{}, r: r}
 				x.heard = func([]byte) {}
-				r.owners.Dial(door, 1000, func(c outside.Conn, err error) {
+				r.clients.Dial(door, 1000, func(c outside.Conn, err error) {
 					if err == nil {
 						x.conn = c
 						c.Begin(x, 5000)
@@ -43,8 +43,8 @@
 				doors = append(doors, x)
 			}
 			r.pass(100)
-			if len(r.s.owners) != r.s.parts.Owners {
-				t.Fatalf("%d owners' connections", len(r.s.owners))
+			if len(r.s.clients) != r.s.parts.Clients {
+				t.Fatalf("%d client connections", len(r.s.clients))
 			}
 			most, ended := 0, map[uint64]float64{}
 			count := func() {
@@ -87,8 +87,8 @@
 				r.pass(60)
 				count()
 			}
-			if most > r.s.parts.Owners+r.s.parts.Nodes || most > r.configuration.Sockets*98/100-8 {
-				t.Errorf("%d connections at once, %d and %d are allowed of %d descriptors", most, r.s.parts.Owners, r.s.parts.Nodes, r.configuration.Sockets)
+			if most > r.s.parts.Clients+r.s.parts.Nodes || most > r.configuration.Sockets*98/100-8 {
+				t.Errorf("%d connections at once, %d and %d are allowed of %d descriptors", most, r.s.parts.Clients, r.s.parts.Nodes, r.configuration.Sockets)
 			}
 			late, unheard := 0, 0
 			for i := range names {
@@ -188,8 +188,8 @@
 		r.pass(100)
 	}
 	r.pass(3000)
-	if len(r.s.asks)+len(r.s.tasks)+len(r.s.owners) > 0 || len(r.s.peers) > 1 || len(r.s.names) > 1 || r.s.links > 5 {
-		t.Errorf("%d asks, %d tasks, %d owners, %d nodes, %d links are kept", len(r.s.asks), len(r.s.tasks), len(r.s.owners), len(r.s.peers),
+	if len(r.s.asks)+len(r.s.tasks)+len(r.s.clients) > 0 || len(r.s.peers) > 1 || len(r.s.names) > 1 || r.s.links > 5 {
+		t.Errorf("%d asks, %d tasks, %d clients, %d nodes, %d links are kept", len(r.s.asks), len(r.s.tasks), len(r.s.clients), len(r.s.peers),
 			r.s.links)
 	}
 	if r.s.counts.served != int(task) {
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -24,12 +24,12 @@
 		s.counts.failed++
 	}
 	s.trace("answer", a.task, func(e *zerolog.Event) { e.Bool("declined", declined) })
-	if a.owner != nil {
-		a.owner.say(func(b []byte) []byte { return codec.AppendEnd(b, a.task, cause) })
+	if a.client != nil {
+		a.client.say(func(b []byte) []byte { return codec.AppendEnd(b, a.task, cause) })
 	}
 }
 
-// abandon gives up an ask whose owner has closed its connection.
+// abandon gives up an ask whose client has closed its connection.
 func (s *Server) abandon(a *ask) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,8 +42,8 @@
 func (s *Server) answered(a *ask) {
 	a.answered = true
 	s.admit.Leave(a.tenant)
-	if a.owner != nil {
-		delete(a.owner.open, a.task)
+	if a.client != nil {
+		delete(a.client.open, a.task)
 	}
 }
 
@@ -66,8 +66,8 @@
 	if s.tasks[a.task] == a {
 		delete(s.tasks, a.task)
 	}
-	if a.owner != nil {
-		delete(a.owner.stands, a)
+	if a.client != nil {
+		delete(a.client.stands, a)
 	}
 	if a.peer != nil {
 		delete(a.peer.stands, a)
@@ -77,7 +77,7 @@
 func (s edge) Move(alloc uint32) {
 	if a := s.asks[alloc]; a != nil {
 		s.counts.moved++
-		s.trace("move", a.task, func(e *zerolog.Event) { e.Bool("owner", a.owner != nil).Str("node", a.peer.name) })
+		s.trace("move", a.task, func(e *zerolog.Event) { e.Bool("owner", a.client != nil).Str("node", a.peer.name) })
 		s.tell(a, word{task: a.task})
 	}
 }
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -25,7 +25,7 @@
 	Cut(alloc uint32, node uint32)               // what stands at a node is to end
 	Answer(alloc uint32, declined bool)          // final, but for served
 	Move(alloc uint32)
-	Over(alloc uint32, verdict logic.Verdict) // what stood has ended, and its owner is owed the news
+	Over(alloc uint32, verdict logic.Verdict) // what stood has ended, and its client is owed the news
 	Forget(alloc uint32)                      // nothing more will be said of it
 	Probe(node, seq uint32)
 	Follow()
@@ -61,9 +61,9 @@
 	before   int  // of them, those that the module in use did not make
 	out      bool // a try has no outcome yet
 	stands   bool // and it started
-	moved    bool // its owner is to ask again
+	moved    bool // its client is to ask again
 	over     bool // the final answer is given, or none is owed any more
-	unheard  bool // the owner is owed no word of its end
+	unheard  bool // the client is owed no word of its end
 	noted    bool // the node sent notes on the attempt that is out
 	awaiting bool // its outcome is on its way already
 }
@@ -344,7 +344,7 @@
 	}
 }
 
-// Withdrawn says that the owner wants the allocation no more, whether it waits or stands; no word of it is owed.
+// Withdrawn says that the client wants the allocation no more, whether it waits or stands; no word of it is owed.
 func (h *Host) Withdrawn(now float64, id uint32) {
 	a := h.allocs[id]
 	if a == nil || a.unheard {
@@ -491,7 +491,7 @@
 func (h acts) Move(id uint32) {
 	if a := h.allocs[id]; a != nil && a.stands && !a.unheard {
 		a.unheard, a.moved = true, true
-		h.edge.Move(id) // ends it at its node too: a cut that came first there would leave the owner untold
+		h.edge.Move(id) // ends it at its node too: a cut that came first there would leave the client untold
 		h.bells.Set(h.now+outcome.Latest(), dueEnd, tryKey(id, a.tries-1))
 	}
 }
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -211,7 +211,7 @@
 	}
 }
 
-// TestWithdrawn has owners give up what waits, what is out and what stands.
+// TestWithdrawn has clients give up what waits, what is out and what stands.
 func TestWithdrawn(t *testing.T) {
 	t.Run("waits", func(t *testing.T) {
 		s := begin(t, 0)
@@ -253,7 +253,7 @@
 	})
 }
 
-// TestMoved ends what stands by its owner, who is to ask again. The node hears of it from there; only one that does not
+// TestMoved ends what stands by its client, who is to ask again. The node hears of it from there; only one that does not
 // confirm is told by the scheduler too.
 func TestMoved(t *testing.T) {
 	for _, c := range []struct {
@@ -272,7 +272,7 @@
 			acts{s.h}.Move(id)
 			s.h.Settled(s.now, id, 0, logic.CalledOff, logic.NotTold, nil)
 		}, "move 1, forget 1"},
-		{"the owner ends it too", func(s *script, id uint32) {
+		{"the client ends it too", func(s *script, id uint32) {
 			s.h.Withdrawn(s.now, id)
 			s.h.Settled(s.now, id, 0, logic.CalledOff, logic.NotTold, nil)
 		}, "move 1, forget 1"},
@@ -437,8 +437,8 @@
 	}
 }
 
-// TestCrossings has what a node or an owner says come in the very moment in which a try's time-out or the expiry falls due, before the turn
-// that meets it and after it. The owner hears once or not at all if it is gone, a start that counts is never given up, one that does not is
+// TestCrossings has what a node or a client says come in the very moment in which a try's time-out or the expiry falls due, before the turn
+// that meets it and after it. The client hears once or not at all if it is gone, a start that counts is never given up, one that does not is
 // no start, and nothing is kept.
 func TestCrossings(t *testing.T) {
 	says := map[string]func(s *script, id uint32) bool{
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -60,7 +60,7 @@
 // cross is met first.
 type world struct {
 	*outside.Real
-	turns, reads, ends, dials, comes *gate // reads and ends are those of owners' connections
+	turns, reads, ends, dials, comes *gate // reads and ends are those of client connections
 	nodes                            *gate // what comes from nodes, and the ends of their connections
 
 	mu   sync.Mutex
@@ -255,7 +255,7 @@
 	r.node.say(1, codec.AppendAnswer(nil, 1, []byte("at a")))
 	x.hears("1 served at a")
 	x.c.Close()
-	r.until("its owner is gone", func() bool { r.s.mu.Lock(); defer r.s.mu.Unlock(); return len(r.s.owners) == 0 })
+	r.until("its client is gone", func() bool { r.s.mu.Lock(); defer r.s.mu.Unlock(); return len(r.s.clients) == 0 })
 	return r
 }
 
@@ -307,34 +307,34 @@
 	})
 }
 
-// tcpOwner is an owner on a connection.
-type tcpOwner struct {
+// tcpClient is a client on a connection.
+type tcpClient struct {
 	r  *real
 	c  *net.TCPConn
 	in []byte
 }
 
-func (r *real) dial() *tcpOwner {
+func (r *real) dial() *tcpClient {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.door)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { c.Close() })
-	return &tcpOwner{r: r, c: c.(*net.TCPConn)}
+	return &tcpClient{r: r, c: c.(*net.TCPConn)}
 }
 
-func (x *tcpOwner) send(b []byte) {
+func (x *tcpClient) send(b []byte) {
 	x.r.t.Helper()
 	if _, err := x.c.Write(b); err != nil {
 		x.r.t.Fatal(err)
 	}
 }
 
-func (x *tcpOwner) ask(task uint64, job string) { x.send(setUp(task, job)) }
+func (x *tcpClient) ask(task uint64, job string) { x.send(setUp(task, job)) }
 
 // next is the next message in words, or how the connection ended.
-func (x *tcpOwner) next() string {
+func (x *tcpClient) next() string {
 	_ = x.c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	b := make([]byte, 4096)
 	for {
@@ -364,7 +364,7 @@
 	}
 }
 
-func (x *tcpOwner) hears(want ...string) {
+func (x *tcpClient) hears(want ...string) {
 	x.r.t.Helper()
 	for _, w := range want {
 		if got := x.next(); got != w {
@@ -373,9 +373,9 @@
 	}
 }
 
-// leaves has an owner go in one of the ways that there are.
-var leaves = map[string]func(x *tcpOwner){
-	"closes": func(x *tcpOwner) { x.c.Close() },
-	"resets": func(x *tcpOwner) { _ = x.c.SetLinger(0); x.c.Close() },
-	"half":   func(x *tcpOwner) { _ = x.c.CloseWrite() },
+// leaves has a client go in one of the ways that there are.
+var leaves = map[string]func(x *tcpClient){
+	"closes": func(x *tcpClient) { x.c.Close() },
+	"resets": func(x *tcpClient) { _ = x.c.SetLinger(0); x.c.Close() },
+	"half":   func(x *tcpClient) { _ = x.c.CloseWrite() },
 }
--- a/internal/platform/loopback_shutdown_test.go
+++ b/internal/platform/loopback_shutdown_test.go
@@ -8,7 +8,7 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestLastWords has requests and other bytes come as a scheduler that was told to end parts with its owners: each that was taken is
+// TestLastWords has requests and other bytes come as a scheduler that was told to end parts with its clients: each that was taken is
 // answered, and what was answered is read whole and without a reset, though its peer sends on.
 func TestLastWords(t *testing.T) {
 	for _, sendsOn := range []bool{false, true} {
@@ -68,7 +68,7 @@
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
 			r := onLoopback(t, nil)
-			var x *tcpOwner
+			var x *tcpClient
 			whole := setUp(7, "batch")
 			want := "7 served at a"
 			switch step {
@@ -89,7 +89,7 @@
 				x.send(whole[:20])
 				r.until("half is read", func() bool {
 					return r.counted(func(s *Server) int {
-						for o := range s.owners {
+						for o := range s.clients {
 							return len(o.in)
 						}
 						return 0
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -12,18 +12,18 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestGone has owners leave at each step of an ask's life, and the news of it be read last: nothing begins for them. In the other
+// TestGone has clients leave at each step of an ask's life, and the news of it be read last: nothing begins for them. In the other
 // order, where the news is read first, the same.
 func TestGone(t *testing.T) {
 	for how, leave := range leaves {
 		for _, readFirst := range []bool{false, true} {
 			name := fmt.Sprintf("%s, news read first %v", how, readFirst)
-			// gone has the owner leave, with the news of it held or read.
-			gone := func(r *real, x *tcpOwner) {
+			// gone has the client leave, with the news of it held or read.
+			gone := func(r *real, x *tcpClient) {
 				r.w.ends.set(!readFirst)
 				leave(x)
 				if readFirst {
-					r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.owners) }) == 0 })
+					r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.clients) }) == 0 })
 				} else {
 					r.until("the news of it is held", func() bool { return r.w.ends.held() > 0 })
 				}
@@ -38,7 +38,7 @@
 				r.w.turns.set(false)
 				r.settledDown()
 				if got := r.node.took(); len(got) != 1 {
-					t.Errorf("set-ups %v: one began for an owner that was gone", got)
+					t.Errorf("set-ups %v: one began for a client that was gone", got)
 				}
 			})
 			t.Run("behind a dial, "+name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 				r.w.dials.set(false)
 				r.settledDown()
 				if got := r.node.took(); len(got) != 1 {
-					t.Errorf("set-ups %v: one was sent for an owner that was gone", got)
+					t.Errorf("set-ups %v: one was sent for a client that was gone", got)
 				}
 			})
 			t.Run("between a refusal and what follows, "+name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 				r.node.say(7, codec.AppendEnd(nil, 7, codec.Full))
 				r.settledDown()
 				if got := r.node.took(); len(got) != 2 {
-					t.Errorf("set-ups %v: another try began for an owner that was gone", got)
+					t.Errorf("set-ups %v: another try began for a client that was gone", got)
 				}
 			})
 			t.Run("before its answer, "+name, func(t *testing.T) {
@@ -86,11 +86,11 @@
 // nothing, and where all are at work it is answered before it is closed. None is closed on a request.
 func TestTurnedAway(t *testing.T) {
 	short := func(c *Configuration) { c.Sockets = 60 }
-	fill := func(r *real) (all []*tcpOwner) {
-		for range r.s.parts.Owners {
+	fill := func(r *real) (all []*tcpClient) {
+		for range r.s.parts.Clients {
 			all = append(all, r.dial())
 		}
-		r.until("all are taken", func() bool { return r.counted(func(s *Server) int { return len(s.owners) }) == len(all) })
+		r.until("all are taken", func() bool { return r.counted(func(s *Server) int { return len(s.clients) }) == len(all) })
 		return all
 	}
 	t.Run("all at work", func(t *testing.T) {
@@ -98,7 +98,7 @@
 		for i, x := range fill(r) {
 			x.ask(uint64(100+i), "batch")
 		}
-		r.until("all are at work", func() bool { return r.counted(func(s *Server) int { return s.admit.Open() }) == r.s.parts.Owners })
+		r.until("all are at work", func() bool { return r.counted(func(s *Server) int { return s.admit.Open() }) == r.s.parts.Clients })
 		x := r.dial()
 		x.ask(7, "batch")
 		x.hears("7 end 42", "closed")
@@ -126,14 +126,14 @@
 	})
 }
 
-// TestEndsAreTold has a task end while the connection that its owner asked on has closed, unread: the owner hears of it on another on which
+// TestEndsAreTold has a task end while the connection that its client asked on has closed, unread: the client hears of it on another on which
 // something was served, and if there is none yet, on the next.
 func TestEndsAreTold(t *testing.T) {
 	for how, leave := range leaves {
 		for _, other := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, another is there %v", how, other), func(t *testing.T) {
 				r := onLoopback(t, nil)
-				serve := func(x *tcpOwner, task uint64) {
+				serve := func(x *tcpClient, task uint64) {
 					x.ask(task, "batch")
 					r.until("it is offered", func() bool { return slices.Contains(r.node.took(), task) })
 					r.node.say(task, codec.AppendAnswer(nil, task, []byte("at a")))
@@ -141,7 +141,7 @@
 				}
 				x := r.dial()
 				serve(x, 7)
-				var y *tcpOwner
+				var y *tcpClient
 				if other {
 					y = r.dial()
 					serve(y, 8)
@@ -199,7 +199,7 @@
 		r := onLoopback(t, nil)
 		closed(r)
 		x := r.dial()
-		x.send(codec.AppendEnd(nil, 1, codec.Normal)) // its owner ends what stands since the beginning
+		x.send(codec.AppendEnd(nil, 1, codec.Normal)) // its client ends what stands since the beginning
 		r.until("its node is told", func() bool { return r.node.ended(1) })
 	})
 }
@@ -216,8 +216,8 @@
 		t.Helper()
 		r.s.mu.Lock()
 		defer r.s.mu.Unlock()
-		if p := r.s.parts; len(r.s.owners)-r.s.guests > p.Owners || r.s.guests > p.Guests || r.s.links > p.Nodes {
-			t.Errorf("%d clients, %d of them guests, %d to nodes; parts %+v", len(r.s.owners), r.s.guests, r.s.links, p)
+		if p := r.s.parts; len(r.s.clients)-r.s.guests > p.Clients || r.s.guests > p.Guests || r.s.links > p.Nodes {
+			t.Errorf("%d clients, %d of them guests, %d to nodes; parts %+v", len(r.s.clients), r.s.guests, r.s.links, p)
 		}
 	}
 	x := r.dial()
@@ -234,7 +234,7 @@
 		within()
 	}
 	r.until("they fill their part", func() bool {
-		return r.counted(func(s *Server) int { return len(s.owners) - s.guests }) == r.s.parts.Owners
+		return r.counted(func(s *Server) int { return len(s.clients) - s.guests }) == r.s.parts.Clients
 	})
 	r.skip(600)
 	r.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
@@ -311,13 +311,13 @@
 	}
 }
 
-// TestGoneEarly has owners leave before their request is taken: while they wait at the door, when they were let in and not read, with half of
+// TestGoneEarly has clients leave before their request is taken: while they wait at the door, when they were let in and not read, with half of
 // the request read, and in one read with it. Nothing begins for them. One that leaves once its task stands leaves it standing.
 func TestGoneEarly(t *testing.T) {
 	whole := setUp(7, "single")
 	for how, leave := range leaves {
-		for step, play := range map[string]func(t *testing.T, r *real, x func() *tcpOwner){
-			"at the door": func(t *testing.T, r *real, dial func() *tcpOwner) {
+		for step, play := range map[string]func(t *testing.T, r *real, x func() *tcpClient){
+			"at the door": func(t *testing.T, r *real, dial func() *tcpClient) {
 				r.w.comes.set(true)
 				dial() // its coming is held, so that the next waits in the kernel
 				r.until("the door is held", func() bool { return r.w.comes.held() > 0 })
@@ -326,7 +326,7 @@
 				leave(x)
 				r.w.comes.set(false)
 			},
-			"let in": func(t *testing.T, r *real, dial func() *tcpOwner) {
+			"let in": func(t *testing.T, r *real, dial func() *tcpClient) {
 				r.w.reads.set(true)
 				r.w.ends.set(true)
 				x := dial()
@@ -336,13 +336,13 @@
 				r.w.reads.set(false)
 				r.until("the news of it is held", func() bool { return r.w.ends.held() > 0 })
 			},
-			"half read": func(t *testing.T, r *real, dial func() *tcpOwner) {
+			"half read": func(t *testing.T, r *real, dial func() *tcpClient) {
 				x := dial()
 				x.send(whole[:30])
 				r.until("half is read", func() bool {
 					return r.counted(func(s *Server) int {
 						n := 0
-						for o := range s.owners {
+						for o := range s.clients {
 							n += len(o.in)
 						}
 						return n
@@ -372,7 +372,7 @@
 				r.w.ends.set(false)
 				r.settledDown()
 				if got := r.node.took(); slices.Contains(got, 7) {
-					t.Errorf("set-ups %v: one began for an owner that was gone", got)
+					t.Errorf("set-ups %v: one began for a client that was gone", got)
 				}
 			})
 		}
@@ -384,7 +384,7 @@
 			r.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 			x.hears("7 served at a")
 			leave(x)
-			r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.owners) }) == 0 })
+			r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.clients) }) == 0 })
 			y := r.dial()
 			y.ask(8, "batch")
 			r.until("the next is offered", func() bool { return slices.Contains(r.node.took(), 8) })
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// answer takes the word that a task stands. It is the owner's answer only if it is for the try that is out, here.
+// answer takes the word that a task stands. It is the client's answer only if it is for the try that is out, here.
 func (l *link) answer(now float64, task uint64, msg []byte) error {
 	s := l.s
 	description, ok := codec.Param(msg, codec.Description)
@@ -128,7 +128,7 @@
 	a.stands = true
 	s.counts.served++
 	s.trace("served", task, nil)
-	o, told := a.owner, uint64(0)
+	o, told := a.client, uint64(0)
 	if !a.left() {
 		told = o.sends(func(b []byte) []byte { return codec.AppendAnswer(b, task, description) })
 	}
--- a/internal/platform/notify.go
+++ b/internal/platform/notify.go
@@ -5,7 +5,7 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// released tells an owner that what stood is over.
+// released tells a client that what stood is over.
 func (s *Server) released(a *ask, cause byte) {
 	if cause == 0 {
 		cause = codec.Reset
@@ -13,7 +13,7 @@
 	s.tell(a, word{task: a.task, cause: cause})
 }
 
-// word is what an owner is owed about what stood: its end with a cause, or a move.
+// word is what a client is owed about what stood: its end with a cause, or a move.
 type word struct {
 	task  uint64
 	cause byte    // 0: a move
@@ -27,13 +27,13 @@
 	return codec.AppendEnd(b, w.task, w.cause)
 }
 
-// tell gives an owner word of what stood: on the connection that it came on, else on another on which something was served, else on
+// tell gives a client word of what stood: on the connection that it came on, else on another on which something was served, else on
 // the next such; but if there is none in time, as in a flood in which all is declined, on one on which something was asked.
 func (s *Server) tell(a *ask, w word) {
-	if a.owner != nil && a.owner.listens() && a.owner.say(w.append) {
+	if a.client != nil && a.client.listens() && a.client.say(w.append) {
 		return
 	}
-	for _, o := range s.eachOwner() {
+	for _, o := range s.eachClient() {
 		if o.proven && o.listens() && o.say(w.append) {
 			return
 		}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is the program's way in and out on the platform: its door for owners, its connections to nodes, the
+// Package platform is the program's way in and out on the platform: its door for clients, its connections to nodes, the
 // journal service that tells the node list, the configuration. It decides nothing of placement; what becomes of an
 // allocation is the host's to say. All of it is guarded by one lock, under which nothing waits.
 package platform
@@ -45,19 +45,19 @@
 	inbox       []*ask          // taken, and not yet the host's
 	inboxAt     float64         // since when asks are taken out of it one after the other, 0: it was empty
 	asks        map[uint32]*ask // by the host's number
-	tasks       map[uint64]*ask // by the owner's
+	tasks       map[uint64]*ask // by the client's
 	names       map[string]*peer
 	peers       map[uint32]*peer
-	owners      map[*owner]bool
-	callers     uint64 // owners' connections ever
+	clients     map[*client]bool
+	accepted    uint64 // client connections ever
 	links       int    // connections to nodes, made or being made
 	feed        feed
 	probes      map[uint64]*link
-	owed        []word // to owners of whom none is connected
+	owed        []word // to clients of whom none is connected
 	report      []float64
 	counts      counts
 	words       besteffort.Fence // round what is only said to people
-	guests      int              // owners' connections that are not let in
+	guests      int              // client connections that are not let in
 	stopped     bool
 	told        float64
 	plan        shutdown.Plan
@@ -74,11 +74,11 @@
 	alloc            uint32
 	task             uint64
 	tenant           int
-	owner            *owner // on whose connection it came; nil once that is gone
-	peer             *peer  // where it was offered last
-	link             *link  // on which that offer is open
+	client           *client // on whose connection it came; nil once that is gone
+	peer             *peer   // where it was offered last
+	link             *link   // on which that offer is open
 	try              uint8
-	sent             uint64 // bytes sent on that connection, this offer included; of what stands, on its owner's, the answer included
+	sent             uint64 // bytes sent on that connection, this offer included; of what stands, on its client's, the answer included
 	bytes            int    // of the offer
 	until            float64
 	expiry           float64
@@ -93,7 +93,7 @@
 // New makes a scheduler from its configuration. Nothing is connected yet.
 func New(world outside.World, log zerolog.Logger, c *Configuration) *Server {
 	s := &Server{world: world, log: log, known: c.Known, parts: budget.Divide(c.Sockets, c.MemoryMB), asks: map[uint32]*ask{},
-		tasks: map[uint64]*ask{}, names: map[string]*peer{}, peers: map[uint32]*peer{}, owners: map[*owner]bool{},
+		tasks: map[uint64]*ask{}, names: map[string]*peer{}, peers: map[uint32]*peer{}, clients: map[*client]bool{},
 		probes: map[uint64]*link{}, done: make(chan struct{}), epoch: float64(outside.Epoch.UnixMilli())}
 	s.jobs, s.tenants = places(c.Known.JobTypes), places(c.Known.Tenants)
 	s.zones, s.kinds = places(c.Known.Zones), places(c.Known.Kinds)
@@ -133,13 +133,13 @@
 	}
 	door, err := s.world.Listen(c.Listen, s.came)
 	if err != nil {
-		return fmt.Errorf("owners' door: %w", err)
+		return fmt.Errorf("client listener: %w", err)
 	}
 	s.door = door
 	s.wanted = s.world.Now()
 	s.loop = s.world.Loop(s.turn)
 	s.log.Info().Str("mode", "start").Str("owners", door.Address()).Int("nodes", len(s.peers)).
-		Int("owner_conns", s.parts.Owners).Int("node_conns", s.parts.Nodes).Int("open_most", s.parts.Open).Msg("open")
+		Int("owner_conns", s.parts.Clients).Int("node_conns", s.parts.Nodes).Int("open_most", s.parts.Open).Msg("open")
 	return nil
 }
 
@@ -248,7 +248,7 @@
 	for _, p := range s.each() {
 		s.peerTick(now, p)
 	}
-	s.ownersTick(now)
+	s.clientsTick(now)
 	if now-s.looked > logEvery {
 		s.looked = now
 		s.words.Do("counts", s.count)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestOutlives has what stands outlive the owner's connection: its end, or that it is to be asked for again, is told on
+// TestOutlives has what stands outlive the client's connection: its end, or that it is to be asked for again, is told on
 // another, or on the next to come.
 func TestOutlives(t *testing.T) {
 	for _, c := range []struct {
@@ -50,7 +50,7 @@
 			x := r.dial()
 			x.ask(7, "batch")
 			r.pass(100)
-			var y *client
+			var y *testClient
 			if c.another {
 				y = r.dial()
 				y.ask(8, "batch")
@@ -110,7 +110,7 @@
 	n := r.nodes["a"]
 	x := r.dial()
 	task := uint64(0)
-	outside.Every(r.owners, 40, func() bool {
+	outside.Every(r.clients, 40, func() bool {
 		task++
 		x.ask(task, "single")
 		return task < 30
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -28,7 +28,7 @@
   {"name": "marked", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "guarded", "worth": 1, "group": "all", "window-ns": 8000000000},
   {"name": "single", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "single_shot", "worth": 1, "group": "all"}]}`
 
-// rig is a scheduler among stand-ins for nodes, owners and the journal service, on a virtual clock and network.
+// rig is a scheduler among stand-ins for nodes, clients and the journal service, on a virtual clock and network.
 type rig struct {
 	t             *testing.T
 	c             *sim.Clock
@@ -37,7 +37,7 @@
 	configuration *Configuration
 	nodes         map[string]*node
 	journal       *journal
-	owners        *sim.Process
+	clients       *sim.Process
 }
 
 const (
@@ -51,7 +51,7 @@
 // beginAt starts one on other settings, with entries of the list as they want them.
 func beginAt(t *testing.T, settingsText string, entryOf func(name, address, status string) string, names ...string) *rig {
 	r := &rig{t: t, c: sim.NewClock(7), nodes: map[string]*node{}}
-	r.sched, r.owners = r.c.NewProcess("scheduler"), r.c.NewProcess("owners")
+	r.sched, r.clients = r.c.NewProcess("scheduler"), r.c.NewProcess("clients")
 	r.journal = newJournal(r, "journal:1")
 	var all []string
 	for _, n := range names {
@@ -185,16 +185,16 @@
 	e.send(codec.AppendAnswer(nil, task, []byte(n.describes(task))))
 }
 
-// client is an owner on a connection.
-type client struct {
+// testClient is a client on a connection.
+type testClient struct {
 	*ear
 	r   *rig
 	got []string // what came, in words
 	at  []float64
 }
 
-func (r *rig) dial() *client {
-	x := &client{ear: &ear{}, r: r}
+func (r *rig) dial() *testClient {
+	x := &testClient{ear: &ear{}, r: r}
 	x.heard = func(msg []byte) {
 		cause, _ := codec.CauseOf(msg)
 		d, _ := codec.Param(msg, codec.Description)
@@ -202,7 +202,7 @@
 			cause), codec.Move: "move"}[codec.Kind(msg)]
 		x.got, x.at = append(x.got, fmt.Sprintf("%d %s", codec.Task(msg), word)), append(x.at, r.c.True())
 	}
-	r.owners.Dial(door, 1000, func(c outside.Conn, err error) {
+	r.clients.Dial(door, 1000, func(c outside.Conn, err error) {
 		if err != nil {
 			x.ended = true
 			return
@@ -214,7 +214,7 @@
 	return x
 }
 
-func (x *client) want(what string, want ...string) {
+func (x *testClient) want(what string, want ...string) {
 	x.r.t.Helper()
 	if strings.Join(x.got, "\n") != strings.Join(want, "\n") {
 		x.r.t.Errorf("%s: %q, want %q", what, x.got, want)
@@ -234,7 +234,7 @@
 
 const asked = "cores:1;memory:2;service:00000000b4d65521"
 
-// setUp is an owner's set-up; more parameters take the place of those with the same code.
+// setUp is a client's set-up; more parameters take the place of those with the same code.
 func setUp(task uint64, job string, more ...any) []byte {
 	params := []any{codec.JobType, job, codec.Left, "2500", codec.Tenant, "acme", codec.Name, fmt.Sprintf("%016x", task), codec.Key,
 		strings.Repeat("5c", 16), codec.Figures, asked, codec.Description, "owner's"}
@@ -248,7 +248,7 @@
 	return message(codec.SetUp, task, params...)
 }
 
-func (x *client) ask(task uint64, job string) { x.send(setUp(task, job)) }
+func (x *testClient) ask(task uint64, job string) { x.send(setUp(task, job)) }
 
 // journal is a stand-in for the journal service.
 type journal struct {
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestCustomers plays a small day of each customer in deploy/sites, by settings as the bench hands them over: names, deadlines, tenants
-// and zones are theirs. Nodes drain, go, come cold and crash, the journal service is silent for a while, owners leave, and the scheduler
-// is told to end. Each owner that stays hears once, in time; nothing has effect twice; drains are kept.
+// and zones are theirs. Nodes drain, go, come cold and crash, the journal service is silent for a while, clients leave, and the scheduler
+// is told to end. Each client that stays hears once, in time; nothing has effect twice; drains are kept.
 func TestCustomers(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*/settings.json")
 	if err != nil || len(files) < 2 {
@@ -46,7 +46,7 @@
 	}
 	r := beginAt(t, text, entry, "s0", "s1", "s2", "s3", "s4", "s5")
 	type request struct {
-		x           *client
+		x           *testClient
 		job         int
 		until       float64
 		left, heard bool
@@ -188,7 +188,7 @@
 			}
 		}
 		if words == 0 && !a.left {
-			t.Errorf("%d (%s) of an owner that stayed was never answered", id, known.JobTypes[a.job])
+			t.Errorf("%d (%s) of a client that stayed was never answered", id, known.JobTypes[a.job])
 		}
 	}
 	if float64(served) < 0.85*float64(count) || count < 200 {
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -31,7 +31,7 @@
 		}
 	}
 	reports, cores, memory := s.host.Mistaken()
-	s.log.Info().Str("mode", "counts").Int("open", s.host.Open()).Int("stands", s.host.Stands()).Int("owners", len(s.owners)).
+	s.log.Info().Str("mode", "counts").Int("open", s.host.Open()).Int("stands", s.host.Stands()).Int("owners", len(s.clients)).
 		Int("links", s.links).Int("nodes", len(s.peers)).Int("taken", c.taken).Int("turned", c.turned).Int("behind", c.behind).
 		Float64("lag_ms", math.Round(c.lag)).Int("served", c.served).
 		Int("declined", c.declined).Int("failed", c.failed).Int("withdrawn", c.withdrawn).Int("over", c.over).Int("moved", c.moved).
