--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -9,12 +9,12 @@
 	"ravenpond/logic"
 )
 
-// left tells whether the client of an ask has closed its connection: nothing new begins for it, and nothing is said to it, though
+// left tells whether the client of a request has closed its connection: nothing new begins for it, and nothing is said to it, though
 // what it sent before may not be read yet.
-func (a *ask) left() bool { return a.client == nil || !a.client.listens() }
+func (a *request) left() bool { return a.client == nil || !a.client.listens() }
 
-// withdraw tells the host that a client wants an ask no more.
-func (s *Server) withdraw(a *ask) {
+// withdraw tells the host that a client wants a request no more.
+func (s *Server) withdraw(a *request) {
 	s.counts.withdrawn++
 	s.trace("withdrawn", a.task, func(e *zerolog.Event) { e.Bool("stood", a.stands) })
 	if !a.answered {
@@ -89,7 +89,7 @@
 		turn(codec.Errored, "time left or description")
 		return
 	}
-	o.useful, o.asked = true, true
+	o.useful, o.requested = true, true
 	if s.stopped && now >= s.plan.Shut {
 		turn(codec.Busy, "ends")
 		return
@@ -102,7 +102,7 @@
 		turn(codec.Busy, "too many on one connection")
 		return
 	}
-	if len(s.asks)+len(s.inbox) >= s.parts.Held {
+	if len(s.requests)+len(s.inbox) >= s.parts.Held {
 		turn(codec.Busy, "too much is held")
 		return
 	}
@@ -119,7 +119,7 @@
 	s.counts.taken++
 	kept := append(append(append(append([]byte{}, jobName...), name...), key...), description...)
 	j, n, k := len(jobName), len(jobName)+len(name), len(jobName)+len(name)+len(key)
-	a := &ask{task: task, tenant: tenant, client: o, jobType: kept[:j], name: kept[j:n], description: kept[k:], expiry: now + left,
+	a := &request{task: task, tenant: tenant, client: o, jobType: kept[:j], name: kept[j:n], description: kept[k:], expiry: now + left,
 		jobIs: jobType, service: service, cores: cores, memory: memory}
 	if key != nil {
 		a.key = kept[n:k]
@@ -149,17 +149,17 @@
 		turn(codec.Reset, "at a node that is not there")
 		return
 	}
-	if len(s.asks) >= s.parts.Held {
+	if len(s.requests) >= s.parts.Held {
 		turn(codec.Busy, "too much is held")
 		return
 	}
 	o.useful = true
 	o.letIn(now)
 	s.counts.found++
-	a := &ask{task: task, tenant: tenant, client: o, peer: p, answered: true, stands: true}
+	a := &request{task: task, tenant: tenant, client: o, peer: p, answered: true, stands: true}
 	s.tasks[task] = a
 	o.stands[a], p.stands[a] = true, true
 	a.alloc = s.host.Found(now, jobType, tenant, service, cores, memory, p.id)
-	s.asks[a.alloc] = a
+	s.requests[a.alloc] = a
 	s.tether(now, p)
 }
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -14,32 +14,32 @@
 
 // client is a connection that clients opened.
 type client struct {
-	s      *Server
-	no     uint64 // in the order of their coming
-	conn   outside.Conn
-	in     []byte // the part of a message that came
-	halfAt float64
-	since  float64
-	usedAt float64
-	open   map[uint64]*ask // without a final answer, by task
-	stands map[*ask]bool
-	unsure []*ask // that stand, whose answers waited to be handed over when it was ended
-	useful bool   // it sent something that is of use
-	asked  bool   // a set-up that could be taken came on it
-	proven bool   // something that came on it was served
-	guest  bool   // it came when there was no room, and has said nothing of use yet
-	gone   bool
-	turned []byte // answers to asks that were turned away, until all that was read is looked at
+	s         *Server
+	no        uint64 // in the order of their coming
+	conn      outside.Conn
+	in        []byte // the part of a message that came
+	halfAt    float64
+	since     float64
+	usedAt    float64
+	open      map[uint64]*request // without a final answer, by task
+	stands    map[*request]bool
+	unsure    []*request // that stand, whose answers waited to be handed over when it was ended
+	useful    bool       // it sent something that is of use
+	requested bool       // a request that could be taken came on it
+	proven    bool       // something that came on it was served
+	guest     bool       // it came when there was no room, and has said nothing of use yet
+	gone      bool
+	turned    []byte // answers to requests that were turned away, until all that was read is looked at
 }
 
-// came takes an client's connection. While descriptors are short it is a guest until it says something: then one that does nothing
+// came takes a client's connection. While descriptors are short it is a guest until it says something: then one that does nothing
 // gives way, else it is turned away with an answer. Of guests that say nothing the first one goes.
 func (s *Server) came(c outside.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.world.Now()
 	s.accepted++
-	o := &client{s: s, no: s.accepted, conn: c, since: now, usedAt: now, open: map[uint64]*ask{}, stands: map[*ask]bool{}}
+	o := &client{s: s, no: s.accepted, conn: c, since: now, usedAt: now, open: map[uint64]*request{}, stands: map[*request]bool{}}
 	if len(s.clients)-s.guests >= s.parts.Clients {
 		if s.guests >= s.parts.Guests {
 			for _, first := range s.eachClient() {
@@ -204,9 +204,9 @@
 	defer o.s.mu.Unlock()
 	o.leave()
 	handed := o.conn.Handed()
-	slices.SortFunc(o.unsure, func(x, y *ask) int { return cmp.Compare(x.alloc, y.alloc) })
+	slices.SortFunc(o.unsure, func(x, y *request) int { return cmp.Compare(x.alloc, y.alloc) })
 	for _, a := range o.unsure { // whose answer broke off, or never left: their client can tell that they were not served
-		if a.stands && a.sent > handed && o.s.asks[a.alloc] == a {
+		if a.stands && a.sent > handed && o.s.requests[a.alloc] == a {
 			o.s.withdraw(a)
 		}
 	}
@@ -220,7 +220,7 @@
 		o.setUp(now, task, msg)
 	case codec.Test:
 		o.useful = true
-		o.letIn(now) // else it may still be when it asks
+		o.letIn(now) // else it may still be when it sends a request
 		o.say(func(b []byte) []byte { return codec.AppendTested(b, task, true) })
 	case codec.End:
 		a := s.tasks[task]
@@ -241,7 +241,7 @@
 			o.expel("says nothing of use")
 		case len(o.in) > 0 && now-o.halfAt > connlimits.HalfWord:
 			o.expel("half a message")
-		case len(s.owed) > 0 && (o.proven || o.asked) && o.listens():
+		case len(s.owed) > 0 && (o.proven || o.requested) && o.listens():
 			for len(s.owed) > 0 && (o.proven || now-s.owed[0].since >= connlimits.EndWaits) && o.say(s.owed[0].append) {
 				s.owed = s.owed[1:]
 			}
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -93,7 +93,7 @@
 		{"a number twice", append(ask(), ask(codec.Description, "other")...)},
 		{"a usual one's number", setUp(7, "batch", codec.Description, "other")},
 		{"ends of what is not there", codec.AppendEnd(nil, 66, codec.Normal)},
-		{"at a node that is not there", ask(codec.Figures, asked+";at:nowhere")},
+		{"at a node that is not there", ask(codec.Figures, figures+";at:nowhere")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := begin(t, "a")
@@ -203,7 +203,7 @@
 }
 
 // TestOwedInTime has a task end whose client's connection has closed, while nothing is served that could prove another: the end is told
-// within a second all the same, on one on which something was asked, and not on one on which nothing was.
+// within a second all the same, on one on which something was requested, and not on one on which nothing was.
 func TestOwedInTime(t *testing.T) {
 	r := begin(t, "a")
 	n, x := r.nodes["a"], r.dial()
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -66,7 +66,7 @@
 				}
 			}
 			for i, name := range names {
-				x.send(setUp(uint64(1000+i), "single", codec.Figures, asked+";at:"+name))
+				x.send(setUp(uint64(1000+i), "single", codec.Figures, figures+";at:"+name))
 				r.nodes[name].stands[uint64(1000+i)] = true
 			}
 			for i := range 200 {
@@ -153,12 +153,12 @@
 	r.s.parts.Held = 20
 	x := r.dial()
 	for task := range uint64(60) {
-		x.send(setUp(task+1, "batch", codec.Figures, asked+";at:a"))
+		x.send(setUp(task+1, "batch", codec.Figures, figures+";at:a"))
 	}
 	x.ask(100, "batch")
 	r.pass(500)
-	if len(r.s.asks) != 20 || len(x.got) != 41 || x.got[40] != "100 end 42" {
-		t.Errorf("%d are held, %d turned away", len(r.s.asks), len(x.got))
+	if len(r.s.requests) != 20 || len(x.got) != 41 || x.got[40] != "100 end 42" {
+		t.Errorf("%d are held, %d turned away", len(r.s.requests), len(x.got))
 	}
 }
 
@@ -188,8 +188,8 @@
 		r.pass(100)
 	}
 	r.pass(3000)
-	if len(r.s.asks)+len(r.s.tasks)+len(r.s.clients) > 0 || len(r.s.peers) > 1 || len(r.s.names) > 1 || r.s.links > 5 {
-		t.Errorf("%d asks, %d tasks, %d clients, %d nodes, %d links are kept", len(r.s.asks), len(r.s.tasks), len(r.s.clients), len(r.s.peers),
+	if len(r.s.requests)+len(r.s.tasks)+len(r.s.clients) > 0 || len(r.s.peers) > 1 || len(r.s.names) > 1 || r.s.links > 5 {
+		t.Errorf("%d asks, %d tasks, %d clients, %d nodes, %d links are kept", len(r.s.requests), len(r.s.tasks), len(r.s.clients), len(r.s.peers),
 			r.s.links)
 	}
 	if r.s.counts.served != int(task) {
--- a/internal/platform/early_test.go
+++ b/internal/platform/early_test.go
@@ -97,8 +97,8 @@
 					if told := slices.Contains(first.ended, 7); told != (late >= 0) {
 						t.Errorf("the node of the late answer is told to end the task: %t", told)
 					}
-					if len(r.s.asks)+len(r.s.tasks) > 0 || r.s.admit.Open() != 0 {
-						t.Errorf("%d requests, %d tasks, %d open are kept", len(r.s.asks), len(r.s.tasks), r.s.admit.Open())
+					if len(r.s.requests)+len(r.s.tasks) > 0 || r.s.admit.Open() != 0 {
+						t.Errorf("%d requests, %d tasks, %d open are kept", len(r.s.requests), len(r.s.tasks), r.s.admit.Open())
 					}
 				})
 			}
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -11,7 +11,7 @@
 type edge struct{ *Server }
 
 func (s edge) Answer(alloc uint32, declined bool) {
-	a := s.asks[alloc]
+	a := s.requests[alloc]
 	if a == nil || a.answered {
 		return
 	}
@@ -29,8 +29,8 @@
 	}
 }
 
-// abandon gives up an ask whose client has closed its connection.
-func (s *Server) abandon(a *ask) {
+// abandon gives up a request whose client has closed its connection.
+func (s *Server) abandon(a *request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !a.answered {
@@ -38,8 +38,8 @@
 	}
 }
 
-// answered counts an ask out of those that are open. Its task's number is free from then on, unless it stands.
-func (s *Server) answered(a *ask) {
+// answered counts a request out of those that are open. Its task's number is free from then on, unless it stands.
+func (s *Server) answered(a *request) {
 	a.answered = true
 	s.admit.Leave(a.tenant)
 	if a.client != nil {
@@ -48,7 +48,7 @@
 }
 
 func (s edge) Over(alloc uint32, v logic.Verdict) {
-	a := s.asks[alloc]
+	a := s.requests[alloc]
 	if a == nil {
 		return
 	}
@@ -58,11 +58,11 @@
 }
 
 func (s edge) Forget(alloc uint32) {
-	a := s.asks[alloc]
+	a := s.requests[alloc]
 	if a == nil {
 		return
 	}
-	delete(s.asks, alloc)
+	delete(s.requests, alloc)
 	if s.tasks[a.task] == a {
 		delete(s.tasks, a.task)
 	}
@@ -75,7 +75,7 @@
 }
 
 func (s edge) Move(alloc uint32) {
-	if a := s.asks[alloc]; a != nil {
+	if a := s.requests[alloc]; a != nil {
 		s.counts.moved++
 		s.trace("move", a.task, func(e *zerolog.Event) { e.Bool("owner", a.client != nil).Str("node", a.peer.name) })
 		s.tell(a, word{task: a.task})
@@ -87,7 +87,7 @@
 func (s edge) Mode(line string) { s.log.Info().Str("mode", "module").Msg(line) }
 
 func (s edge) Offer(alloc uint32, try uint8, node uint32, left float64) {
-	a, p := s.asks[alloc], s.peers[node]
+	a, p := s.requests[alloc], s.peers[node]
 	a.peer, a.try, a.until = p, try, s.world.Now()+left
 	if a.left() { // the host hears of it when it can
 		s.world.After(0, func() { s.abandon(a) })
@@ -99,14 +99,14 @@
 }
 
 func (s edge) GiveUp(alloc uint32, try uint8, _ uint32) {
-	if a := s.asks[alloc]; a != nil && a.try == try {
+	if a := s.requests[alloc]; a != nil && a.try == try {
 		s.trace("give up", a.task, func(e *zerolog.Event) { e.Str("node", a.peer.name).Uint8("try", try) })
 		s.giveUp(a)
 	}
 }
 
 func (s edge) Cut(alloc uint32, _ uint32) {
-	if a := s.asks[alloc]; a != nil && a.peer != nil {
+	if a := s.requests[alloc]; a != nil && a.peer != nil {
 		s.cut(a.peer, a.task)
 	}
 }
@@ -117,7 +117,7 @@
 }
 
 // settled tells the host how a try, or what stood, has ended.
-func (s *Server) settled(a *ask, v logic.Verdict, why logic.Reason, report []float64) {
+func (s *Server) settled(a *request, v logic.Verdict, why logic.Reason, report []float64) {
 	s.counts.verdicts[v]++
 	s.trace("settled", a.task, func(e *zerolog.Event) {
 		e.Uint8("verdict", uint8(v)).Uint8("why", uint8(why)).Floats64("report", report).Bool("stood", a.stands)
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -22,7 +22,7 @@
 	watch   watchretry.Watch
 	current *journalWatch
 	pos     uint64 // of the last event that was applied
-	asked   bool   // the module waits for news or for word that there is none
+	asked   bool   // the module waits for news or for news that there is none
 }
 
 // journalWatch is one connection to it, on which events follow.
@@ -60,7 +60,7 @@
 			if avail == logic.Gone {
 				return // it came and went unseen
 			}
-			p = &peer{id: s.number(name), name: name, stands: map[*ask]bool{}}
+			p = &peer{id: s.number(name), name: name, stands: map[*request]bool{}}
 			s.names[name], s.peers[p.id] = p, p
 		}
 		if named != nil {
--- a/internal/platform/host/fence.go
+++ b/internal/platform/host/fence.go
@@ -50,7 +50,7 @@
 	if !f.down {
 		return false
 	}
-	h.answerAll(func(a *alloc) bool { return outcome.Untold(f.cl.JobTypes[a.ask.jobType].Effect, a.tries) })
+	h.answerAll(func(a *alloc) bool { return outcome.Untold(f.cl.JobTypes[a.request.jobType].Effect, a.tries) })
 	if _, start := f.dog.Look(h.now, []float64{h.now}); len(start) == 0 {
 		return true
 	}
@@ -64,7 +64,7 @@
 		if a := h.allocs[id]; a.stands {
 			a.before = a.tries - 1
 			h.tell(func(m *logic.Scheduler) {
-				m.Found(h.now, id, a.ask.jobType, a.ask.tenant, a.ask.service, a.ask.cores, a.ask.memory, a.node)
+				m.Found(h.now, id, a.request.jobType, a.request.tenant, a.request.service, a.request.cores, a.request.memory, a.node)
 			})
 		}
 	}
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -53,7 +53,7 @@
 func tryKey(alloc uint32, try int) uint64 { return uint64(alloc)<<8 | uint64(uint8(try)) }
 
 type alloc struct {
-	ask      ask
+	request  request
 	node     uint32
 	expiry   float64
 	sentAt   float64
@@ -61,15 +61,15 @@
 	before   int  // of them, those that the module in use did not make
 	out      bool // a try has no outcome yet
 	stands   bool // and it started
-	moved    bool // its client is to ask again
+	moved    bool // its client is to request again
 	over     bool // the final answer is given, or none is owed any more
 	unheard  bool // the client is owed no word of its end
 	noted    bool // the node sent notes on the attempt that is out
 	awaiting bool // its outcome is on its way already
 }
 
-// ask is what an allocation asks for.
-type ask struct {
+// request is what an allocation requests.
+type request struct {
 	jobType, tenant int
 	service         uint64
 	cores, memory   float64
@@ -248,7 +248,7 @@
 func (h *Host) Allocate(now float64, jobType, tenant int, expiry float64, service uint64, cores, memory float64) uint32 {
 	h.hear(now)
 	h.count++
-	h.allocs[h.count] = &alloc{ask: ask{jobType, tenant, service, cores, memory}, expiry: expiry}
+	h.allocs[h.count] = &alloc{request: request{jobType, tenant, service, cores, memory}, expiry: expiry}
 	h.open++
 	h.bells.Set(expiry, dueLapse, uint64(h.count))
 	h.tell(func(m *logic.Scheduler) { m.Allocate(h.now, h.count, jobType, tenant, expiry, service, cores, memory) })
@@ -259,7 +259,7 @@
 func (h *Host) Found(now float64, jobType, tenant int, service uint64, cores, memory float64, node uint32) uint32 {
 	h.hear(now)
 	h.count++
-	h.allocs[h.count] = &alloc{ask: ask{jobType, tenant, service, cores, memory}, node: node, sentAt: h.now, tries: 1, out: true,
+	h.allocs[h.count] = &alloc{request: request{jobType, tenant, service, cores, memory}, node: node, sentAt: h.now, tries: 1, out: true,
 		stands: true, over: true}
 	h.stands++
 	h.tell(func(m *logic.Scheduler) { m.Found(h.now, h.count, jobType, tenant, service, cores, memory, node) })
@@ -303,7 +303,7 @@
 	end.Noted = a.noted
 	ran = end.Ran()
 	if ran && !a.over {
-		job := h.fence.cl.JobTypes[a.ask.jobType]
+		job := h.fence.cl.JobTypes[a.request.jobType]
 		h.edge.Answer(id, outcome.DeclinedAfterRun(job.Effect, job.Group))
 		h.answered(a)
 		h.tell(func(m *logic.Scheduler) { m.Lapsed(h.now, id) })
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -253,7 +253,7 @@
 	})
 }
 
-// TestMoved ends what stands by its client, who is to ask again. The node hears of it from there; only one that does not
+// TestMoved ends what stands by its client, who is to request again. The node hears of it from there; only one that does not
 // confirm is told by the scheduler too.
 func TestMoved(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/platform/links.go
+++ b/internal/platform/links.go
@@ -14,31 +14,31 @@
 	"ravenpond/logic"
 )
 
-// link is a connection to a node, or one that is being made. One set-up at a time is open on it while descriptors allow,
+// link is a connection to a node, or one that is being made. One request at a time is open on it while descriptors allow,
 // so that an answer that spoils the connection costs no other.
 type link struct {
-	s       *Server
-	peer    *peer
-	conn    outside.Conn // nil while it is being made
-	in      []byte
-	asks    []*ask
-	given   map[uint64]bool // given up here: a late answer to them is no one else's
-	probe   uint32          // the probe that is open on it, 0: none
-	probeAt float64
-	idle    float64 // since when nothing is open on it
-	spent   bool    // nothing new goes on it
-	gone    bool
-	closeAt float64
+	s        *Server
+	peer     *peer
+	conn     outside.Conn // nil while it is being made
+	in       []byte
+	requests []*request
+	given    map[uint64]bool // given up here: a late answer to them is no one else's
+	probe    uint32          // the probe that is open on it, 0: none
+	probeAt  float64
+	idle     float64 // since when nothing is open on it
+	spent    bool    // nothing new goes on it
+	gone     bool
+	closeAt  float64
 }
 
-// offer puts a set-up on a connection to its node: one where nothing is open, else a new one, else the least busy.
-func (s *Server) offer(a *ask, p *peer) {
+// offer puts a request on a connection to its node: one where nothing is open, else a new one, else the least busy.
+func (s *Server) offer(a *request, p *peer) {
 	l := s.pick(p)
 	if l == nil {
 		s.world.After(0, func() { s.unsent(a, a.try) })
 		return
 	}
-	l.asks = append(l.asks, a)
+	l.requests = append(l.requests, a)
 	a.link = l
 	if l.conn != nil {
 		l.setUp(a)
@@ -46,7 +46,7 @@
 }
 
 // unsent says that a try never left this machine.
-func (s *Server) unsent(a *ask, try uint8) {
+func (s *Server) unsent(a *request, try uint8) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a.try == try && a.link == nil {
@@ -65,7 +65,7 @@
 			if l.open() {
 				return l
 			}
-		case s.links >= s.parts.Nodes && (shared == nil || len(l.asks) < len(shared.asks)) && l.open():
+		case s.links >= s.parts.Nodes && (shared == nil || len(l.requests) < len(shared.requests)) && l.open():
 			shared = l
 		}
 	}
@@ -131,7 +131,7 @@
 // may not.
 func (l *link) open() bool { return l.conn == nil || !l.conn.Left() }
 
-func (l *link) free() bool { return !l.spent && len(l.asks) == 0 && l.probe == 0 }
+func (l *link) free() bool { return !l.spent && len(l.requests) == 0 && l.probe == 0 }
 
 // dial begins a connection to a node.
 func (s *Server) dial(p *peer) *link {
@@ -162,14 +162,14 @@
 			l.peer.watch.Looked(now, errors.Is(err, outside.ErrRefused))
 		}
 		l.forget()
-		l.settle(func(*ask) logic.Verdict { return unmade }, logic.Unreached)
+		l.settle(func(*request) logic.Verdict { return unmade }, logic.Unreached)
 		return
 	}
 	if l.gone { // its node was taken away meanwhile
 		c.End(false, nil)
 		return
 	}
-	for _, a := range slices.Clone(l.asks) { // before there is a way for them
+	for _, a := range slices.Clone(l.requests) { // before there is a way for them
 		if a.left() {
 			s.withdraw(a)
 		}
@@ -178,7 +178,7 @@
 	l.idle = now
 	l.peer.watch.Heard(now)
 	c.Begin(l, connlimits.Stuck)
-	for _, a := range slices.Clone(l.asks) {
+	for _, a := range slices.Clone(l.requests) {
 		if now >= a.until { // what waited for it longer than it was decided for is void
 			l.drop(a)
 			s.settled(a, logic.Unsent, logic.NotTold, nil)
@@ -200,7 +200,7 @@
 }
 
 // setUp sends what is offered.
-func (l *link) setUp(a *ask) {
+func (l *link) setUp(a *request) {
 	left := a.until - l.s.world.Now()
 	sent, _, ok := l.conn.Send(func(b []byte) []byte {
 		before := len(b)
@@ -215,15 +215,15 @@
 	}
 }
 
-// drop takes an ask off the connection.
-func (l *link) drop(a *ask) {
-	l.asks = remove(l.asks, a)
+// drop takes a request off the connection.
+func (l *link) drop(a *request) {
+	l.requests = remove(l.requests, a)
 	a.link = nil
 	l.idle = l.s.world.Now()
 }
 
-// giveUp has an open set-up waited for no more. The connection is of no further use, as a late answer may come on it.
-func (s *Server) giveUp(a *ask) {
+// giveUp has an open request waited for no more. The connection is of no further use, as a late answer may come on it.
+func (s *Server) giveUp(a *request) {
 	l := a.link
 	if l == nil {
 		return
@@ -297,17 +297,17 @@
 func (l *link) broke(why string) {
 	handed := l.conn.Handed()
 	l.s.trace("link broke", 0, func(e *zerolog.Event) {
-		e.Str("node", l.peer.name).Str("why", why).Int("open", len(l.asks)).Bool("spent", l.spent)
+		e.Str("node", l.peer.name).Str("why", why).Int("open", len(l.requests)).Bool("spent", l.spent)
 	})
-	l.finish(func(a *ask) logic.Verdict { return outcome.Cut(a.sent <= handed) })
+	l.finish(func(a *request) logic.Verdict { return outcome.Cut(a.sent <= handed) })
 }
 
 // spoil ends a connection on which something came that can't be read.
 func (l *link) spoil() {
-	l.finish(func(*ask) logic.Verdict { return outcome.Spoilt() })
+	l.finish(func(*request) logic.Verdict { return outcome.Spoilt() })
 }
 
-func (l *link) finish(verdict func(*ask) logic.Verdict) {
+func (l *link) finish(verdict func(*request) logic.Verdict) {
 	l.forget()
 	l.conn.End(false, nil)
 	l.settle(verdict, logic.Broken)
@@ -316,8 +316,8 @@
 }
 
 // settle gives an outcome to all that was open on a connection that is no more.
-func (l *link) settle(verdict func(*ask) logic.Verdict, probe logic.Verdict) {
-	for _, a := range slices.Clone(l.asks) {
+func (l *link) settle(verdict func(*request) logic.Verdict, probe logic.Verdict) {
+	for _, a := range slices.Clone(l.requests) {
 		v := verdict(a)
 		l.drop(a)
 		l.s.settled(a, v, logic.NotTold, nil)
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -12,7 +12,7 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestGone has clients leave at each step of an ask's life, and the news of it be read last: nothing begins for them. In the other
+// TestGone has clients leave at each step of a request's life, and the news of it be read last: nothing begins for them. In the other
 // order, where the news is read first, the same.
 func TestGone(t *testing.T) {
 	for how, leave := range leaves {
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -147,7 +147,7 @@
 
 // endedEarly takes the end of an attempt that its node has not answered. Where the task had been running, its answer may still follow; the
 // node is then told to end the task, as the client has its final answer.
-func (l *link) endedEarly(now float64, a *ask, cause byte, reason logic.Reason) {
+func (l *link) endedEarly(now float64, a *request, cause byte, reason logic.Reason) {
 	l.drop(a)
 	end := outcome.EarlyEnd{Unstarted: codec.Before(cause), Started: codec.After(cause), Reason: reason}
 	l.s.trace("ended early", a.task, func(e *zerolog.Event) { e.Str("node", l.peer.name).Uint8("cause", cause).Uint8("why", uint8(reason)) })
--- a/internal/platform/notify.go
+++ b/internal/platform/notify.go
@@ -6,7 +6,7 @@
 )
 
 // released tells a client that what stood is over.
-func (s *Server) released(a *ask, cause byte) {
+func (s *Server) released(a *request, cause byte) {
 	if cause == 0 {
 		cause = codec.Reset
 	}
@@ -28,8 +28,8 @@
 }
 
 // tell gives a client word of what stood: on the connection that it came on, else on another on which something was served, else on
-// the next such; but if there is none in time, as in a flood in which all is declined, on one on which something was asked.
-func (s *Server) tell(a *ask, w word) {
+// the next such; but if there is none in time, as in a flood in which all is declined, on one on which something was requested.
+func (s *Server) tell(a *request, w word) {
 	if a.client != nil && a.client.listens() && a.client.say(w.append) {
 		return
 	}
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -18,7 +18,7 @@
 	name, address string
 	avail         logic.Availability
 	links         []*link
-	stands        map[*ask]bool
+	stands        map[*request]bool
 	cuts          []cutting // ends that the node has not been told on any connection
 	watch         nodefailure.Watch
 }
@@ -73,11 +73,11 @@
 	for _, l := range slices.Clone(p.links) {
 		switch {
 		case l.conn == nil:
-		case l.spent && len(l.asks) == 0 && now >= l.closeAt:
+		case l.spent && len(l.requests) == 0 && now >= l.closeAt:
 			l.end(true)
 		case l.free() && !s.fresh(l, now):
 			l.end(true)
-		case len(l.asks) == 0 && l.probe != 0 && connlimits.Mute(now-l.probeAt):
+		case len(l.requests) == 0 && l.probe != 0 && connlimits.Mute(now-l.probeAt):
 			l.probe = 0
 			l.end(true) // it says nothing: a new one tells whether its node does
 		default:
@@ -103,7 +103,7 @@
 // lose ends what stood at a node that is no more. Should it be cut off only and come back, its tasks are to end there.
 func (s *Server) lose(now float64, p *peer) {
 	s.log.Info().Str("mode", "lost").Str("node", p.name).Int("stood", len(p.stands)).Msg("node lost with what stood there")
-	for _, a := range slices.SortedFunc(maps.Keys(p.stands), func(x, y *ask) int { return cmp.Compare(x.alloc, y.alloc) }) {
+	for _, a := range slices.SortedFunc(maps.Keys(p.stands), func(x, y *request) int { return cmp.Compare(x.alloc, y.alloc) }) {
 		task := a.task
 		s.counts.verdicts[logic.Broken]++
 		s.host.Lost(now, a.alloc)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -41,11 +41,11 @@
 	admit       *admit.Door
 	gate        admit.Gate
 	lag         overload.Watch
-	wanted      float64         // when the loop's next turn is due
-	inbox       []*ask          // taken, and not yet the host's
-	inboxAt     float64         // since when asks are taken out of it one after the other, 0: it was empty
-	asks        map[uint32]*ask // by the host's number
-	tasks       map[uint64]*ask // by the client's
+	wanted      float64             // when the loop's next turn is due
+	inbox       []*request          // taken, and not yet the host's
+	inboxAt     float64             // since when requests are taken out of it one after the other, 0: it was empty
+	requests    map[uint32]*request // by the host's number
+	tasks       map[uint64]*request // by the client's
 	names       map[string]*peer
 	peers       map[uint32]*peer
 	clients     map[*client]bool
@@ -69,8 +69,8 @@
 	looked      float64
 }
 
-// ask is an allocation on its way, or what stands for it.
-type ask struct {
+// request is an allocation on its way, or what stands for it.
+type request struct {
 	alloc            uint32
 	task             uint64
 	tenant           int
@@ -92,8 +92,8 @@
 
 // New makes a scheduler from its configuration. Nothing is connected yet.
 func New(world outside.World, log zerolog.Logger, c *Configuration) *Server {
-	s := &Server{world: world, log: log, known: c.Known, parts: budget.Divide(c.Sockets, c.MemoryMB), asks: map[uint32]*ask{},
-		tasks: map[uint64]*ask{}, names: map[string]*peer{}, peers: map[uint32]*peer{}, clients: map[*client]bool{},
+	s := &Server{world: world, log: log, known: c.Known, parts: budget.Divide(c.Sockets, c.MemoryMB), requests: map[uint32]*request{},
+		tasks: map[uint64]*request{}, names: map[string]*peer{}, peers: map[uint32]*peer{}, clients: map[*client]bool{},
 		probes: map[uint64]*link{}, done: make(chan struct{}), epoch: float64(outside.Epoch.UnixMilli())}
 	s.jobs, s.tenants = places(c.Known.JobTypes), places(c.Known.Tenants)
 	s.zones, s.kinds = places(c.Known.Zones), places(c.Known.Kinds)
@@ -201,7 +201,7 @@
 	s.loop.Wake()
 }
 
-// takeIn hands asks of the inbox to the host. News of what is under way came first: it was taken when it was read.
+// takeIn hands requests of the inbox to the host. News of what is under way came first: it was taken when it was read.
 func (s *Server) takeIn(now float64, most int) (took int) {
 	n := 0
 	for ; n < len(s.inbox) && took < most; n++ {
@@ -212,7 +212,7 @@
 		}
 		took++
 		a.alloc = s.host.Allocate(now, a.jobIs, a.tenant, a.expiry, a.service, a.cores, a.memory)
-		s.asks[a.alloc] = a
+		s.requests[a.alloc] = a
 	}
 	if s.inbox = s.inbox[n:]; len(s.inbox) == 0 {
 		s.inbox = nil // a burst's memory is given back
@@ -220,7 +220,7 @@
 	return took
 }
 
-// worked measures a turn: how far behind it shows the process to be, and what asks cost.
+// worked measures a turn: how far behind it shows the process to be, and what requests cost.
 func (s *Server) worked(due, began, ended float64, took int) {
 	tight := s.gate.Tight()
 	s.lag.Turn(due, began, ended)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -24,8 +24,8 @@
 			n.conns[0].send(codec.AppendEnd(nil, 7, codec.Normal))
 			r.pass(3000)
 			x.want("told twice", "9 tested 1", "7 served "+n.describes(7), "7 end 16")
-			if len(r.s.asks)+len(r.s.tasks) > 0 || r.s.admit.Open() != 0 {
-				t.Errorf("%d asks, %d tasks, %d open are kept", len(r.s.asks), len(r.s.tasks), r.s.admit.Open())
+			if len(r.s.requests)+len(r.s.tasks) > 0 || r.s.admit.Open() != 0 {
+				t.Errorf("%d asks, %d tasks, %d open are kept", len(r.s.requests), len(r.s.tasks), r.s.admit.Open())
 			}
 		})
 	}
@@ -87,9 +87,9 @@
 func TestFound(t *testing.T) {
 	r := begin(t, "a")
 	x := r.dial()
-	x.send(setUp(7, "single", codec.Figures, asked+";at:a"))
-	x.send(setUp(7, "single", codec.Figures, asked+";at:a"))
-	x.send(setUp(8, "single", codec.Figures, asked+";at:nowhere"))
+	x.send(setUp(7, "single", codec.Figures, figures+";at:a"))
+	x.send(setUp(7, "single", codec.Figures, figures+";at:a"))
+	x.send(setUp(8, "single", codec.Figures, figures+";at:nowhere"))
 	r.pass(4000)
 	x.want("nothing but for the one nowhere", "8 end 41")
 	if len(r.nodes["a"].conns) == 0 {
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -97,7 +97,7 @@
 		b := setUp(task, known.JobTypes[job], more...)
 		if len(known.Tenants) == 0 { // a customer without tenants names none
 			b = message(codec.SetUp, task, codec.JobType, known.JobTypes[job], codec.Left, fmt.Sprint(int(known.Expiry[job])), codec.Name,
-				fmt.Sprintf("%016x", task), codec.Key, strings.Repeat("5c", 16), codec.Figures, asked, codec.Description, "owner's")
+				fmt.Sprintf("%016x", task), codec.Key, strings.Repeat("5c", 16), codec.Figures, figures, codec.Description, "owner's")
 		}
 		a := &request{x: x, job: job, until: r.c.True() + known.Expiry[job]}
 		all[task] = a
