--- a/internal/decide/budget/budget.go
+++ b/internal/decide/budget/budget.go
@@ -12,7 +12,7 @@
 	Held    int // allocations of all kinds, what stands at nodes included
 	SoftCap int // bytes of memory from which the collector works harder
 	Lingers int // connections that were ended here and wait for their peers to close too
-	Guests  int // clients' connections beyond their part, that have said nothing yet or are turned away
+	Provisional  int // clients' connections beyond their part, that have said nothing yet or are turned away
 }
 
 const (
@@ -32,7 +32,7 @@
 	o := int(clients * float64(left))
 	open := max(64, openEach*memoryMB)
 	return Parts{Clients: o, Nodes: left - o, Open: open, OnOne: int(onOnePart * float64(open)), Held: heldTimes * open,
-		SoftCap: int(soft * float64(memoryMB) * (1 << 20)), Lingers: each, Guests: each}
+		SoftCap: int(soft * float64(memoryMB) * (1 << 20)), Lingers: each, Provisional: each}
 }
 
 // Purpose is what a connection to a node is wanted for.
--- a/internal/decide/budget/budget_test.go
+++ b/internal/decide/budget/budget_test.go
@@ -5,7 +5,7 @@
 func TestDivide(t *testing.T) {
 	for _, c := range []struct{ sockets, memory int }{{256, 32}, {384, 64}, {1024, 192}, {4096, 2048}, {16, 8}} {
 		p := Divide(c.sockets, c.memory)
-		if c.sockets > 100 && (p.Clients+p.Nodes+p.Lingers+p.Guests > c.sockets-kept || p.Lingers < 3 || p.Guests < 3 || p.Clients < c.sockets/3 || p.Nodes < c.sockets/4) {
+		if c.sockets > 100 && (p.Clients+p.Nodes+p.Lingers+p.Provisional > c.sockets-kept || p.Lingers < 3 || p.Provisional < 3 || p.Clients < c.sockets/3 || p.Nodes < c.sockets/4) {
 			t.Errorf("%d sockets: %+v", c.sockets, p)
 		}
 		if p.Clients < 1 || p.Nodes < 1 || p.Open < 64 || p.OnOne > p.Open || p.SoftCap >= c.memory<<20 {
--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -9,9 +9,9 @@
 	"ravenpond/logic"
 )
 
-// left tells whether the client of a request has closed its connection: nothing new begins for it, and nothing is said to it, though
+// clientLeft tells whether the client of a request has closed its connection: nothing new begins for it, and nothing is said to it, though
 // what it sent before may not be read yet.
-func (a *request) left() bool { return a.client == nil || !a.client.listens() }
+func (a *request) clientLeft() bool { return a.client == nil || !a.client.isOpen() }
 
 // withdraw tells the host that a client wants a request no more.
 func (s *Server) withdraw(a *request) {
@@ -28,104 +28,150 @@
 	s.wake()
 }
 
-// setUp takes an allocation, or turns it away at once.
-func (o *client) setUp(now float64, task uint64, msg []byte) {
-	s := o.s
-	o.s.trace("set-up", task, func(e *zerolog.Event) {
-		for _, c := range []byte{codec.JobType, codec.Left, codec.Tenant, codec.Again, codec.Name, codec.Figures, codec.Key} {
-			v, _ := codec.Param(msg, c)
-			e.Bytes("p"+string('0'+c/10)+string('0'+c%10), v)
+// rejection is why a request is not accepted, with the cause that the client hears.
+type rejection struct {
+	cause  byte
+	reason string
+}
+
+// invalid is a rejection of a request that can't be served as it is, busy one of a request that may be repeated.
+func invalid(reason string) *rejection { return &rejection{codec.Errored, reason} }
+func busy(reason string) *rejection    { return &rejection{codec.Busy, reason} }
+
+// requestFields are the fields of a request, checked against the deployment's settings.
+type requestFields struct {
+	task               uint64
+	jobType, tenant    int
+	service            uint64
+	cores, memory      float64
+	runsAt             string // the node that runs the task already, if one does
+	jobName, name, key []byte // parts of the message
+}
+
+// setUp accepts a request, or rejects it at once.
+func (c *client) setUp(now float64, task uint64, msg []byte) {
+	s := c.s
+	s.traceRequest(task, msg)
+	if old := s.tasks[task]; old != nil && !old.answered && old.client == c {
+		c.evict("a number that is open already") // one answer could not be told from the other
+		return
+	}
+	f, why := s.readRequest(task, msg)
+	switch old := s.tasks[task]; {
+	case why != nil:
+	case old != nil:
+		if f.runsAt == "" || !old.stands {
+			why = invalid("a number that is taken")
+		}
+	case !s.fits(f.jobType, f.cores, f.memory):
+		why = invalid("larger than any machine")
+	case f.runsAt != "":
+		why = c.found(now, f)
+	default:
+		why = c.accept(now, f, msg)
+	}
+	if why != nil {
+		s.counts.rejected++
+		s.trace("turned away", task, func(e *zerolog.Event) { e.Str("why", why.reason) })
+		c.rejections = codec.AppendEnd(c.rejections, task, why.cause)
+	}
+}
+
+func (s *Server) traceRequest(task uint64, msg []byte) {
+	s.trace("set-up", task, func(e *zerolog.Event) {
+		for _, code := range []byte{codec.JobType, codec.Left, codec.Tenant, codec.Again, codec.Name, codec.Figures, codec.Key} {
+			v, _ := codec.Param(msg, code)
+			e.Bytes("p"+string('0'+code/10)+string('0'+code%10), v)
 		}
 		v, _ := codec.Param(msg, codec.Description)
 		e.Int("description", len(v)).Bytes("d", v[:min(len(v), 80)])
 	})
-	turn := func(cause byte, why string) {
-		s.counts.turned++
-		s.trace("turned away", task, func(e *zerolog.Event) { e.Str("why", why) })
-		o.turned = codec.AppendEnd(o.turned, task, cause)
-	}
-	if old := s.tasks[task]; old != nil && !old.answered && old.client == o {
-		o.expel("a number that is open already") // one answer could not be told from the other
-		return
-	}
+}
+
+// readRequest reads the fields that every request has, whether its task runs already or not.
+func (s *Server) readRequest(task uint64, msg []byte) (f requestFields, why *rejection) {
+	f.task = task
 	text, _ := codec.Param(msg, codec.Figures)
-	cores, memory, service, at, err := codec.Asked(text)
-	if err != nil {
-		turn(codec.Errored, err.Error())
-		return
-	}
-	jobName, _ := codec.Param(msg, codec.JobType)
-	jobType, ok := s.jobs[string(jobName)]
-	tenantName, has := codec.Param(msg, codec.Tenant)
-	tenant, okTenant := s.tenants[string(tenantName)]
-	if len(s.tenants) == 0 && !has {
+	var err error
+	if f.cores, f.memory, f.service, f.runsAt, err = codec.Asked(text); err != nil {
+		return f, invalid(err.Error())
+	}
+	var okJob, okTenant, okName, okKey bool
+	f.jobName, _ = codec.Param(msg, codec.JobType)
+	f.jobType, okJob = s.jobs[string(f.jobName)]
+	tenant, hasTenant := codec.Param(msg, codec.Tenant)
+	f.tenant, okTenant = s.tenants[string(tenant)]
+	if len(s.tenants) == 0 && !hasTenant {
 		okTenant = true
 	}
-	name, okName := codec.Hex(msg, codec.Name, 16)
-	key, okKey := codec.Hex(msg, codec.Key, 32)
-	if ok && s.known.Cluster.JobTypes[jobType].Effect != logic.Tokened {
-		key, okKey = nil, true
-	}
-	switch {
-	case !ok || !okTenant || !okName || !okKey || task == 0:
-		turn(codec.Errored, "job type, tenant, name, key or number")
-		return
-	case s.tasks[task] != nil:
-		if at == "" || !s.tasks[task].stands {
-			turn(codec.Errored, "a number that is taken")
-		}
-		return
-	case !s.fits(jobType, cores, memory):
-		turn(codec.Errored, "larger than any machine")
-		return
+	f.name, okName = codec.Hex(msg, codec.Name, 16)
+	f.key, okKey = codec.Hex(msg, codec.Key, 32)
+	if okJob && s.known.Cluster.JobTypes[f.jobType].Effect != logic.Tokened {
+		f.key, okKey = nil, true
 	}
-	if at != "" {
-		o.found(now, task, jobType, tenant, service, cores, memory, at, turn)
-		return
+	if !okJob || !okTenant || !okName || !okKey || task == 0 {
+		return f, invalid("job type, tenant, name, key or number")
 	}
+	return f, nil
+}
+
+// accept puts a request into the inbox, if there is room for it and time to serve it.
+func (c *client) accept(now float64, f requestFields, msg []byte) *rejection {
+	s := c.s
 	left, okLeft := codec.Number(msg, codec.Left)
-	description, okDesc := codec.Param(msg, codec.Description)
-	if !okLeft || !connlimits.Means(left, s.known.Expiry[jobType]) || !okDesc || len(description) == 0 {
-		turn(codec.Errored, "time left or description")
-		return
-	}
-	o.useful, o.requested = true, true
-	if s.stopped && now >= s.plan.Shut {
-		turn(codec.Busy, "ends")
-		return
-	}
-	if !o.letIn(now) {
-		turn(codec.Busy, "no room for its connection")
-		return
-	}
-	if len(o.open) >= s.parts.OnOne {
-		turn(codec.Busy, "too many on one connection")
-		return
-	}
-	if len(s.requests)+len(s.inbox) >= s.parts.Held {
-		turn(codec.Busy, "too much is held")
-		return
+	description, okDescription := codec.Param(msg, codec.Description)
+	if !okLeft || !connlimits.Means(left, s.known.Expiry[f.jobType]) || !okDescription || len(description) == 0 {
+		return invalid("time left or description")
 	}
+	c.active, c.requested = true, true
 	left = s.lag.Left(now, left)
-	if !s.gate.Enter(now, s.lag.Behind(now), len(s.inbox)) {
+	if why := c.hasRoom(now, f.tenant, left); why != nil {
+		return why
+	}
+	s.counts.taken++
+	a := &request{task: f.task, tenant: f.tenant, client: c, expiry: now + left, jobIs: f.jobType, service: f.service, cores: f.cores,
+		memory: f.memory}
+	a.keep(f, description)
+	c.open[f.task], s.tasks[f.task] = a, a
+	s.inbox = append(s.inbox, a)
+	return nil
+}
+
+// hasRoom goes through the limits that a new request must keep, those of its connection first.
+func (c *client) hasRoom(now float64, tenant int, left float64) *rejection {
+	s := c.s
+	switch {
+	case s.stopped && now >= s.plan.Shut:
+		return busy("ends")
+	case !c.admit(now):
+		return busy("no room for its connection")
+	case len(c.open) >= s.parts.OnOne:
+		return busy("too many on one connection")
+	case len(s.requests)+len(s.inbox) >= s.parts.Held:
+		return busy("too much is held")
+	case !s.gate.Enter(now, s.lag.Behind(now), len(s.inbox)):
 		s.counts.behind++
-		turn(codec.Busy, "behind")
-		return
+		return busy("behind")
 	}
 	if why := s.admit.Enter(tenant, left, connlimits.LeastLeft, true); why != admit.Taken {
-		turn(codec.Busy, why.String())
-		return
+		return busy(why.String())
 	}
-	s.counts.taken++
-	kept := append(append(append(append([]byte{}, jobName...), name...), key...), description...)
-	j, n, k := len(jobName), len(jobName)+len(name), len(jobName)+len(name)+len(key)
-	a := &request{task: task, tenant: tenant, client: o, jobType: kept[:j], name: kept[j:n], description: kept[k:], expiry: now + left,
-		jobIs: jobType, service: service, cores: cores, memory: memory}
-	if key != nil {
-		a.key = kept[n:k]
-	}
-	o.open[task], s.tasks[task] = a, a
-	s.inbox = append(s.inbox, a)
+	return nil
+}
+
+// keep copies the fields that go on to a node, in one piece of memory.
+func (a *request) keep(f requestFields, description []byte) {
+	kept := make([]byte, 0, len(f.jobName)+len(f.name)+len(f.key)+len(description))
+	part := func(v []byte) []byte {
+		from := len(kept)
+		kept = append(kept, v...)
+		return kept[from:len(kept):len(kept)]
+	}
+	a.jobType, a.name = part(f.jobName), part(f.name)
+	if f.key != nil {
+		a.key = part(f.key)
+	}
+	a.description = part(description)
 }
 
 // fits tells whether some machine could hold so much when it is empty.
@@ -140,26 +186,24 @@
 	return false
 }
 
-// found takes what a node holds already. No answer is owed for it, only the news of its end.
-func (o *client) found(now float64, task uint64, jobType, tenant int, service uint64, cores, memory float64, at string,
-	turn func(byte, string)) {
-	s := o.s
-	p := s.names[at]
-	if p == nil {
-		turn(codec.Reset, "at a node that is not there")
-		return
+// found takes over a task that a node runs already. No answer is owed for it, only its end.
+func (c *client) found(now float64, f requestFields) *rejection {
+	s := c.s
+	node := s.names[f.runsAt]
+	if node == nil {
+		return &rejection{codec.Reset, "at a node that is not there"}
 	}
 	if len(s.requests) >= s.parts.Held {
-		turn(codec.Busy, "too much is held")
-		return
+		return busy("too much is held")
 	}
-	o.useful = true
-	o.letIn(now)
+	c.active = true
+	c.admit(now)
 	s.counts.found++
-	a := &request{task: task, tenant: tenant, client: o, peer: p, answered: true, stands: true}
-	s.tasks[task] = a
-	o.stands[a], p.stands[a] = true, true
-	a.alloc = s.host.Found(now, jobType, tenant, service, cores, memory, p.id)
+	a := &request{task: f.task, tenant: f.tenant, client: c, peer: node, answered: true, stands: true}
+	s.tasks[f.task] = a
+	c.stands[a], node.stands[a] = true, true
+	a.alloc = s.host.Found(now, f.jobType, f.tenant, f.service, f.cores, f.memory, node.id)
 	s.requests[a.alloc] = a
-	s.tether(now, p)
+	s.tether(now, node)
+	return nil
 }
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -12,241 +12,242 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// client is a connection that clients opened.
+// client is a connection that a client opened.
 type client struct {
 	s         *Server
-	no        uint64 // in the order of their coming
+	no        uint64 // counts connections in the order of their acceptance
 	conn      outside.Conn
-	in        []byte // the part of a message that came
+	in        []byte // the received part of an incomplete message
 	halfAt    float64
 	since     float64
 	usedAt    float64
-	open      map[uint64]*request // without a final answer, by task
+	open      map[uint64]*request // requests without a final answer, by task
 	stands    map[*request]bool
-	unsure    []*request // that stand, whose answers waited to be handed over when it was ended
-	useful    bool       // it sent something that is of use
-	requested bool       // a request that could be taken came on it
-	proven    bool       // something that came on it was served
-	guest     bool       // it came when there was no room, and has said nothing of use yet
+	unsure    []*request // whose tasks run, and whose answers were not yet handed to the kernel when the connection was closed
+	active    bool       // a readable request or test came on it
+	requested bool       // a request that could be accepted came on it
+	verified    bool       // a request on it was served
+	provisional     bool       // accepted beyond the limit of connections, and nothing useful has come on it yet
 	gone      bool
-	turned    []byte // answers to requests that were turned away, until all that was read is looked at
+	rejections    []byte // answers to rejected requests, sent together once all that was read is processed
 }
 
-// came takes a client's connection. While descriptors are short it is a guest until it says something: then one that does nothing
-// gives way, else it is turned away with an answer. Of guests that say nothing the first one goes.
-func (s *Server) came(c outside.Conn) {
+// accept takes a client's connection. At the limit of connections it is provisional until something useful comes on it: then an idle
+// connection is evicted for it, or it gets a rejection. When too many provisional connections are silent, the oldest is evicted.
+func (s *Server) accept(conn outside.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.world.Now()
 	s.accepted++
-	o := &client{s: s, no: s.accepted, conn: c, since: now, usedAt: now, open: map[uint64]*request{}, stands: map[*request]bool{}}
-	if len(s.clients)-s.guests >= s.parts.Clients {
-		if s.guests >= s.parts.Guests {
+	c := &client{s: s, no: s.accepted, conn: conn, since: now, usedAt: now, open: map[uint64]*request{}, stands: map[*request]bool{}}
+	if len(s.clients)-s.provisional >= s.parts.Clients {
+		if s.provisional >= s.parts.Provisional {
 			for _, first := range s.eachClient() {
-				if first.guest {
-					first.expel("a guest that says nothing")
+				if first.provisional {
+					first.evict("provisional and silent")
 					break
 				}
 			}
 		}
-		o.guest = true
-		s.guests++
+		c.provisional = true
+		s.provisional++
 	}
-	s.clients[o] = true
-	c.Begin(o, connlimits.Stuck)
+	s.clients[c] = true
+	conn.Begin(c, connlimits.Stuck)
 }
 
-// letIn has a guest that said something of use take the place of a connection that does nothing. It tells whether the connection is in.
-func (o *client) letIn(now float64) bool {
-	s := o.s
-	if !o.guest {
+// admit gives a provisional connection on which something useful came the place of an idle one. It tells whether the connection is admitted.
+func (c *client) admit(now float64) bool {
+	s := c.s
+	if !c.provisional {
 		return true
 	}
-	if len(s.clients)-s.guests >= s.parts.Clients {
+	if len(s.clients)-s.provisional >= s.parts.Clients {
 		var idlest *client
 		for _, x := range s.eachClient() {
-			if !x.guest && len(x.open) == 0 && len(x.stands) == 0 && len(x.in) == 0 && now-x.usedAt > connlimits.IdleEnough &&
-				(idlest == nil || x.before(idlest)) {
+			if !x.provisional && len(x.open) == 0 && len(x.stands) == 0 && len(x.in) == 0 && now-x.usedAt > connlimits.IdleEnough &&
+				(idlest == nil || x.idlerThan(idlest)) {
 				idlest = x
 			}
 		}
 		if idlest == nil {
 			return false
 		}
-		idlest.expel("gives way")
+		idlest.evict("gives way")
 	}
-	o.guest = false
-	s.guests--
+	c.provisional = false
+	s.provisional--
 	return true
 }
 
-// eachClient is all client connections in the order of their coming.
+// eachClient returns all client connections in the order of their acceptance.
 func (s *Server) eachClient() []*client {
 	return slices.SortedFunc(maps.Keys(s.clients), func(x, y *client) int { return cmp.Compare(x.no, y.no) })
 }
 
-// before tells which of two idle connections is given up first.
-func (o *client) before(x *client) bool {
-	if o.useful != x.useful {
-		return x.useful
+// idlerThan tells which of two idle connections is evicted first: an inactive one, then the one idle for longer.
+func (c *client) idlerThan(x *client) bool {
+	if c.active != x.active {
+		return x.active
 	}
-	return o.usedAt < x.usedAt
+	return c.usedAt < x.usedAt
 }
 
-// listens tells whether what is said on the connection can still be heard: it is open on both sides.
-func (o *client) listens() bool { return !o.gone && !o.conn.Left() }
+// isOpen tells whether the connection is open on both sides, so that the client can still receive.
+func (c *client) isOpen() bool { return !c.gone && !c.conn.Left() }
 
-// say sends a message; false if the connection is of no use for that any more.
-func (o *client) say(message func(b []byte) []byte) bool {
-	if o.gone {
+// send sends a message. It returns false if the connection can no longer carry one.
+func (c *client) send(message func(b []byte) []byte) bool {
+	if c.gone {
 		return false
 	}
-	return o.sends(message) > 0
+	return c.sendCounted(message) > 0
 }
 
-// sends is how many bytes were ever sent on the connection with this message; 0 if it is of no use any more.
-func (o *client) sends(message func(b []byte) []byte) uint64 {
-	sent, waits, ok := o.conn.Send(message)
+// sendCounted sends a message and returns how many bytes were sent on the connection since its start, this message included; 0 if the
+// connection can no longer carry one.
+func (c *client) sendCounted(message func(b []byte) []byte) uint64 {
+	sent, waits, ok := c.conn.Send(message)
 	switch {
 	case !ok:
 		return 0
 	case waits > connlimits.MostWaits:
-		o.expel("takes nothing")
+		c.evict("does not read")
 		return 0
 	}
 	return sent
 }
 
-// expel ends a connection; what is open on it is given up, as the peer can't be answered or must not be.
-func (o *client) expel(why string) {
-	if o.gone {
+// evict closes a connection because of what its peer does, or to make room. Open requests on it are withdrawn without an answer.
+func (c *client) evict(why string) {
+	if c.gone {
 		return
 	}
-	o.s.counts.expelled++
-	o.s.trace("expel", 0, func(e *zerolog.Event) { e.Str("why", why).Int("open", len(o.open)) })
-	o.part()
+	c.s.counts.evicted++
+	c.s.trace("expel", 0, func(e *zerolog.Event) { e.Str("why", why).Int("open", len(c.open)) })
+	c.close()
 }
 
-// part is how a connection ends from this side: what was said last is handed over, and what still comes is read to its end, so
-// that the last words are not lost to a reset.
-func (o *client) part() {
-	o.leave()
-	o.conn.End(true, nil)
+// close ends a connection from this side: queued bytes are still sent, and what the client still sends is read and dropped, so that no
+// reset discards the last answers.
+func (c *client) close() {
+	c.forget()
+	c.conn.End(true, nil)
 }
 
-// leave forgets the connection. Set-ups open on it are given up with it; what stands does not depend on it.
-func (o *client) leave() {
-	if o.gone {
+// forget removes the connection. Open requests on it are withdrawn; running tasks do not depend on it.
+func (c *client) forget() {
+	if c.gone {
 		return
 	}
-	o.gone = true
-	delete(o.s.clients, o)
-	if o.guest {
-		o.s.guests--
+	c.gone = true
+	delete(c.s.clients, c)
+	if c.provisional {
+		c.s.provisional--
 	}
-	for _, task := range slices.Sorted(maps.Keys(o.open)) {
-		o.s.withdraw(o.open[task])
+	for _, task := range slices.Sorted(maps.Keys(c.open)) {
+		c.s.withdraw(c.open[task])
 	}
-	handed := o.conn.Handed()
-	for a := range o.stands {
+	handed := c.conn.Handed()
+	for a := range c.stands {
 		if a.client = nil; a.sent > handed {
-			o.unsure = append(o.unsure, a)
+			c.unsure = append(c.unsure, a)
 		}
 	}
-	o.in = nil
-	o.s.wake()
+	c.in = nil
+	c.s.wake()
 }
 
-// Heard takes what clients send.
-func (o *client) Heard(b []byte) {
-	o.s.mu.Lock()
-	defer o.s.mu.Unlock()
-	if o.gone {
+// Heard processes received bytes; nil means that the client has closed its side.
+func (c *client) Heard(b []byte) {
+	c.s.mu.Lock()
+	defer c.s.mu.Unlock()
+	if c.gone {
 		return
 	}
-	now := o.s.world.Now()
+	now := c.s.world.Now()
 	if b == nil {
-		o.part()
+		c.close()
 		return
 	}
-	if len(o.in) == 0 {
-		o.halfAt = now
+	if len(c.in) == 0 {
+		c.halfAt = now
 	}
-	rest, err := messages(o.in, b, func(msg []byte) error {
-		if !o.gone {
-			o.halfAt, o.usedAt = now, now
-			o.message(now, msg)
+	rest, err := messages(c.in, b, func(msg []byte) error {
+		if !c.gone {
+			c.halfAt, c.usedAt = now, now
+			c.message(now, msg)
 		}
 		return nil
 	})
-	answered := len(o.turned) > 0
-	if answered { // together: in a flood most of the work is to turn away
-		turned := o.turned
-		o.turned = nil
-		o.say(func(b []byte) []byte { return append(b, turned...) })
+	answered := len(c.rejections) > 0
+	if answered { // in one write: under overload most of the work is to reject
+		rejections := c.rejections
+		c.rejections = nil
+		c.send(func(b []byte) []byte { return append(b, rejections...) })
 	}
 	switch {
 	case err != nil:
-		o.expel(err.Error())
-	case (o.guest || o.s.parted) && answered && !o.gone: // it was let in to be answered
-		o.expel("no room")
+		c.evict(err.Error())
+	case (c.provisional || c.s.parted) && answered && !c.gone: // it was accepted only to be answered
+		c.evict("no room")
 	}
-	if o.gone {
+	if c.gone {
 		return
 	}
-	o.in = rest
-	o.s.wake()
+	c.in = rest
+	c.s.wake()
 }
 
-// Over hears that the connection has ended.
-func (o *client) Over(error) {
-	o.s.mu.Lock()
-	defer o.s.mu.Unlock()
-	o.leave()
-	handed := o.conn.Handed()
-	slices.SortFunc(o.unsure, func(x, y *request) int { return cmp.Compare(x.alloc, y.alloc) })
-	for _, a := range o.unsure { // whose answer broke off, or never left: their client can tell that they were not served
-		if a.stands && a.sent > handed && o.s.requests[a.alloc] == a {
-			o.s.withdraw(a)
+// Over is called when the connection has ended.
+func (c *client) Over(error) {
+	c.s.mu.Lock()
+	defer c.s.mu.Unlock()
+	c.forget()
+	handed := c.conn.Handed()
+	slices.SortFunc(c.unsure, func(x, y *request) int { return cmp.Compare(x.alloc, y.alloc) })
+	for _, a := range c.unsure { // their answers were not sent whole, so the client knows that it was not served
+		if a.stands && a.sent > handed && c.s.requests[a.alloc] == a {
+			c.s.withdraw(a)
 		}
 	}
-	o.unsure = nil
+	c.unsure = nil
 }
 
-func (o *client) message(now float64, msg []byte) {
-	s, task := o.s, codec.Task(msg)
+func (c *client) message(now float64, msg []byte) {
+	s, task := c.s, codec.Task(msg)
 	switch codec.Kind(msg) {
 	case codec.SetUp:
-		o.setUp(now, task, msg)
+		c.setUp(now, task, msg)
 	case codec.Test:
-		o.useful = true
-		o.letIn(now) // else it may still be when it sends a request
-		o.say(func(b []byte) []byte { return codec.AppendTested(b, task, true) })
+		c.active = true
+		c.admit(now) // if not now, then with its first request
+		c.send(func(b []byte) []byte { return codec.AppendTested(b, task, true) })
 	case codec.End:
 		a := s.tasks[task]
-		if a != nil && (a.stands || a.client == o) { // else long over, or another's
+		if a != nil && (a.stands || a.client == c) { // else it is over, or belongs to another connection
 			s.withdraw(a)
 		}
 	case codec.Progress, codec.EndHeard, codec.Note, codec.Tested:
 	default:
-		o.expel("a message that clients don't send")
+		c.evict("unexpected message type")
 	}
 }
 
-// clientsTick ends connections that say nothing or half a message, and tells what could not be told before.
+// clientsTick evicts connections that stay silent or leave a message incomplete, and sends pending notifications.
 func (s *Server) clientsTick(now float64) {
-	for _, o := range s.eachClient() {
+	for _, c := range s.eachClient() {
 		switch {
-		case !o.useful && now-o.since > connlimits.FirstWord:
-			o.expel("says nothing of use")
-		case len(o.in) > 0 && now-o.halfAt > connlimits.HalfWord:
-			o.expel("half a message")
-		case len(s.owed) > 0 && (o.proven || o.requested) && o.listens():
-			for len(s.owed) > 0 && (o.proven || now-s.owed[0].since >= connlimits.EndWaits) && o.say(s.owed[0].append) {
-				s.owed = s.owed[1:]
+		case !c.active && now-c.since > connlimits.FirstWord:
+			c.evict("silent")
+		case len(c.in) > 0 && now-c.halfAt > connlimits.HalfWord:
+			c.evict("incomplete message")
+		case len(s.pending) > 0 && (c.verified || c.requested) && c.isOpen():
+			for len(s.pending) > 0 && (c.verified || now-s.pending[0].since >= connlimits.EndWaits) && c.send(s.pending[0].append) {
+				s.pending = s.pending[1:]
 			}
-			if len(s.owed) == 0 {
-				s.owed = nil
+			if len(s.pending) == 0 {
+				s.pending = nil
 			}
 		}
 	}
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -134,8 +134,8 @@
 		}
 		r.pass(60)
 	}
-	if n, g := len(r.s.clients), r.s.guests; n-g > r.s.parts.Clients || g > r.s.parts.Guests {
-		t.Errorf("%d connections, %d of them not let in; %d and %d are allowed", n, g, r.s.parts.Clients, r.s.parts.Guests)
+	if n, g := len(r.s.clients), r.s.provisional; n-g > r.s.parts.Clients || g > r.s.parts.Provisional {
+		t.Errorf("%d connections, %d of them not let in; %d and %d are allowed", n, g, r.s.parts.Clients, r.s.parts.Provisional)
 	}
 	y := r.dial()
 	y.ask(8, "batch")
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -25,7 +25,7 @@
 	}
 	s.trace("answer", a.task, func(e *zerolog.Event) { e.Bool("declined", declined) })
 	if a.client != nil {
-		a.client.say(func(b []byte) []byte { return codec.AppendEnd(b, a.task, cause) })
+		a.client.send(func(b []byte) []byte { return codec.AppendEnd(b, a.task, cause) })
 	}
 }
 
@@ -54,7 +54,7 @@
 	}
 	s.counts.over++
 	s.trace("over", a.task, func(e *zerolog.Event) { e.Uint8("verdict", uint8(v)) })
-	s.released(a, map[logic.Verdict]byte{logic.Ended: codec.Normal, logic.CalledOff: codec.Elsewhere}[v])
+	s.notifyEnd(a, map[logic.Verdict]byte{logic.Ended: codec.Normal, logic.CalledOff: codec.Elsewhere}[v])
 }
 
 func (s edge) Forget(alloc uint32) {
@@ -78,7 +78,7 @@
 	if a := s.requests[alloc]; a != nil {
 		s.counts.moved++
 		s.trace("move", a.task, func(e *zerolog.Event) { e.Bool("owner", a.client != nil).Str("node", a.peer.name) })
-		s.tell(a, word{task: a.task})
+		s.notify(a, notification{task: a.task})
 	}
 }
 
@@ -89,7 +89,7 @@
 func (s edge) Offer(alloc uint32, try uint8, node uint32, left float64) {
 	a, p := s.requests[alloc], s.peers[node]
 	a.peer, a.try, a.until = p, try, s.world.Now()+left
-	if a.left() { // the host hears of it when it can
+	if a.clientLeft() { // the host hears of it when it can
 		s.world.After(0, func() { s.abandon(a) })
 		return
 	}
--- a/internal/platform/links.go
+++ b/internal/platform/links.go
@@ -170,7 +170,7 @@
 		return
 	}
 	for _, a := range slices.Clone(l.requests) { // before there is a way for them
-		if a.left() {
+		if a.clientLeft() {
 			s.withdraw(a)
 		}
 	}
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -113,7 +113,7 @@
 		r.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 		x.hears("7 served at a")
 		closed := 0
-		r.until("one has given way", func() bool { return r.counted(func(s *Server) int { return s.counts.expelled }) == 1 })
+		r.until("one has given way", func() bool { return r.counted(func(s *Server) int { return s.counts.evicted }) == 1 })
 		for _, y := range idle {
 			_ = y.c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 			if _, err := y.c.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
@@ -216,8 +216,8 @@
 		t.Helper()
 		r.s.mu.Lock()
 		defer r.s.mu.Unlock()
-		if p := r.s.parts; len(r.s.clients)-r.s.guests > p.Clients || r.s.guests > p.Guests || r.s.links > p.Nodes {
-			t.Errorf("%d clients, %d of them guests, %d to nodes; parts %+v", len(r.s.clients), r.s.guests, r.s.links, p)
+		if p := r.s.parts; len(r.s.clients)-r.s.provisional > p.Clients || r.s.provisional > p.Provisional || r.s.links > p.Nodes {
+			t.Errorf("%d clients, %d of them provisional connections, %d to nodes; parts %+v", len(r.s.clients), r.s.provisional, r.s.links, p)
 		}
 	}
 	x := r.dial()
@@ -234,7 +234,7 @@
 		within()
 	}
 	r.until("they fill their part", func() bool {
-		return r.counted(func(s *Server) int { return len(s.clients) - s.guests }) == r.s.parts.Clients
+		return r.counted(func(s *Server) int { return len(s.clients) - s.provisional }) == r.s.parts.Clients
 	})
 	r.skip(600)
 	r.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -129,15 +129,15 @@
 	s.counts.served++
 	s.trace("served", task, nil)
 	o, told := a.client, uint64(0)
-	if !a.left() {
-		told = o.sends(func(b []byte) []byte { return codec.AppendAnswer(b, task, description) })
+	if !a.clientLeft() {
+		told = o.sendCounted(func(b []byte) []byte { return codec.AppendAnswer(b, task, description) })
 	}
 	if told == 0 {
 		s.withdraw(a)
 		return nil
 	}
 	a.sent = told
-	o.proven = true
+	o.verified = true
 	o.stands[a] = true
 	l.peer.stands[a] = true
 	a.jobType, a.name, a.key, a.description = nil, nil, nil, nil
--- a/internal/platform/notify.go
+++ b/internal/platform/notify.go
@@ -5,39 +5,39 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// released tells a client that what stood is over.
-func (s *Server) released(a *request, cause byte) {
-	if cause == 0 {
-		cause = codec.Reset
-	}
-	s.tell(a, word{task: a.task, cause: cause})
-}
-
-// word is what a client is owed about what stood: its end with a cause, or a move.
-type word struct {
+// notification tells a client what became of its running task: the end, with a cause, or that the task is to be requested anew elsewhere.
+type notification struct {
 	task  uint64
 	cause byte    // 0: a move
-	since float64 // when it was owed
+	since float64 // when the notification became pending, in ms
 }
 
-func (w word) append(b []byte) []byte {
-	if w.cause == 0 {
-		return codec.AppendMove(b, w.task)
+func (n notification) append(b []byte) []byte {
+	if n.cause == 0 {
+		return codec.AppendMove(b, n.task)
+	}
+	return codec.AppendEnd(b, n.task, n.cause)
+}
+
+// notifyEnd notifies a client that its running task is over. Without a cause it counts as a reset.
+func (s *Server) notifyEnd(a *request, cause byte) {
+	if cause == 0 {
+		cause = codec.Reset
 	}
-	return codec.AppendEnd(b, w.task, w.cause)
+	s.notify(a, notification{task: a.task, cause: cause})
 }
 
-// tell gives a client word of what stood: on the connection that it came on, else on another on which something was served, else on
-// the next such; but if there is none in time, as in a flood in which all is declined, on one on which something was requested.
-func (s *Server) tell(a *request, w word) {
-	if a.client != nil && a.client.listens() && a.client.say(w.append) {
+// notify sends a notification on the connection of the request, else on any other verified one. Without an open connection of that kind
+// it stays pending: clientsTick sends it on the next verified one, or after connlimits.EndWaits on one that carried a request.
+func (s *Server) notify(a *request, n notification) {
+	if a.client != nil && a.client.isOpen() && a.client.send(n.append) {
 		return
 	}
-	for _, o := range s.eachClient() {
-		if o.proven && o.listens() && o.say(w.append) {
+	for _, c := range s.eachClient() {
+		if c.verified && c.isOpen() && c.send(n.append) {
 			return
 		}
 	}
-	w.since = s.world.Now()
-	s.owed = append(s.owed[max(0, len(s.owed)-connlimits.MostEnds+1):], w)
+	n.since = s.world.Now()
+	s.pending = append(s.pending[max(0, len(s.pending)-connlimits.MostEnds+1):], n)
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -53,11 +53,11 @@
 	links       int    // connections to nodes, made or being made
 	feed        feed
 	probes      map[uint64]*link
-	owed        []word // to clients of whom none is connected
+	pending        []notification // to clients of whom none is connected
 	report      []float64
 	counts      counts
 	words       besteffort.Fence // round what is only said to people
-	guests      int              // client connections that are not let in
+	provisional      int              // client connections that are not let in
 	stopped     bool
 	told        float64
 	plan        shutdown.Plan
@@ -131,7 +131,7 @@
 	if err := s.begin(now, c); err != nil {
 		return err
 	}
-	door, err := s.world.Listen(c.Listen, s.came)
+	door, err := s.world.Listen(c.Listen, s.accept)
 	if err != nil {
 		return fmt.Errorf("client listener: %w", err)
 	}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -20,7 +20,7 @@
 			if owed := len(o.open); owed > 0 {
 				s.log.Error().Str("mode", "stop").Int("open", owed).Msg("a connection is ended on which answers are owed")
 			}
-			o.part()
+			o.close()
 		}
 	}
 	if now >= s.plan.End && !s.ended {
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -11,10 +11,10 @@
 
 // counts are figures for the log.
 type counts struct {
-	taken, turned, served, declined, failed, withdrawn, over, moved, found int
+	taken, rejected, served, declined, failed, withdrawn, over, moved, found int
 	offers                                                                 int
 	verdicts                                                               [8]int
-	dials, looks, refused, spent, spoilt, expelled, probes                 int
+	dials, looks, refused, spent, spoilt, evicted, probes                 int
 	behind                                                                 int     // turned away as they could not be done in time
 	lag                                                                    float64 // the most since it was told
 }
@@ -32,11 +32,11 @@
 	}
 	reports, cores, memory := s.host.Mistaken()
 	s.log.Info().Str("mode", "counts").Int("open", s.host.Open()).Int("stands", s.host.Stands()).Int("owners", len(s.clients)).
-		Int("links", s.links).Int("nodes", len(s.peers)).Int("taken", c.taken).Int("turned", c.turned).Int("behind", c.behind).
+		Int("links", s.links).Int("nodes", len(s.peers)).Int("taken", c.taken).Int("turned", c.rejected).Int("behind", c.behind).
 		Float64("lag_ms", math.Round(c.lag)).Int("served", c.served).
 		Int("declined", c.declined).Int("failed", c.failed).Int("withdrawn", c.withdrawn).Int("over", c.over).Int("moved", c.moved).
 		Int("found", c.found).Int("offers", c.offers).Ints("verdicts", c.verdicts[:]).Int("dials", c.dials).Int("looks", c.looks).
-		Int("refused", c.refused).Int("spent", c.spent).Int("spoilt", c.spoilt).Int("expelled", c.expelled).Int("probes", c.probes).
+		Int("refused", c.refused).Int("spent", c.spent).Int("spoilt", c.spoilt).Int("expelled", c.evicted).Int("probes", c.probes).
 		Int("ill", ill).Int("strained", strained).Int("reports", reports).
 		Float64("off_cores", math.Round(cores*10)/10).Float64("off_memory", math.Round(memory*10)/10).Msg("")
 	c.lag = 0
