--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -16,7 +16,7 @@
 // withdraw tells the host that a client wants a request no more.
 func (s *Server) withdraw(a *request) {
 	s.counts.withdrawn++
-	s.trace("withdrawn", a.task, func(e *zerolog.Event) { e.Bool("stood", a.stands) })
+	s.trace("withdrawn", a.task, func(e *zerolog.Event) { e.Bool("stood", a.running) })
 	if !a.answered {
 		s.answered(a)
 	}
@@ -60,7 +60,7 @@
 	switch old := s.tasks[task]; {
 	case why != nil:
 	case old != nil:
-		if f.runsAt == "" || !old.stands {
+		if f.runsAt == "" || !old.running {
 			why = invalid("a number that is taken")
 		}
 	case !s.fits(f.jobType, f.cores, f.memory):
@@ -199,9 +199,9 @@
 	c.active = true
 	c.admit(now)
 	s.counts.found++
-	a := &request{task: f.task, tenant: f.tenant, client: c, peer: node, answered: true, stands: true}
+	a := &request{task: f.task, tenant: f.tenant, client: c, peer: node, answered: true, running: true}
 	s.tasks[f.task] = a
-	c.stands[a], node.stands[a] = true, true
+	c.running[a], node.running[a] = true, true
 	a.alloc = s.host.Found(now, f.jobType, f.tenant, f.service, f.cores, f.memory, node.id)
 	s.requests[a.alloc] = a
 	s.tether(now, node)
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -22,7 +22,7 @@
 	since     float64
 	usedAt    float64
 	open      map[uint64]*request // requests without a final answer, by task
-	stands    map[*request]bool
+	running    map[*request]bool
 	unsure    []*request // whose tasks run, and whose answers were not yet handed to the kernel when the connection was closed
 	active    bool       // a readable request or test came on it
 	requested bool       // a request that could be accepted came on it
@@ -39,7 +39,7 @@
 	defer s.mu.Unlock()
 	now := s.world.Now()
 	s.accepted++
-	c := &client{s: s, no: s.accepted, conn: conn, since: now, usedAt: now, open: map[uint64]*request{}, stands: map[*request]bool{}}
+	c := &client{s: s, no: s.accepted, conn: conn, since: now, usedAt: now, open: map[uint64]*request{}, running: map[*request]bool{}}
 	if len(s.clients)-s.provisional >= s.parts.Clients {
 		if s.provisional >= s.parts.Provisional {
 			for _, first := range s.eachClient() {
@@ -65,7 +65,7 @@
 	if len(s.clients)-s.provisional >= s.parts.Clients {
 		var idlest *client
 		for _, x := range s.eachClient() {
-			if !x.provisional && len(x.open) == 0 && len(x.stands) == 0 && len(x.in) == 0 && now-x.usedAt > connlimits.IdleEnough &&
+			if !x.provisional && len(x.open) == 0 && len(x.running) == 0 && len(x.in) == 0 && now-x.usedAt > connlimits.IdleEnough &&
 				(idlest == nil || x.idlerThan(idlest)) {
 				idlest = x
 			}
@@ -149,7 +149,7 @@
 		c.s.withdraw(c.open[task])
 	}
 	handed := c.conn.Handed()
-	for a := range c.stands {
+	for a := range c.running {
 		if a.client = nil; a.sent > handed {
 			c.unsure = append(c.unsure, a)
 		}
@@ -207,7 +207,7 @@
 	handed := c.conn.Handed()
 	slices.SortFunc(c.unsure, func(x, y *request) int { return cmp.Compare(x.alloc, y.alloc) })
 	for _, a := range c.unsure { // their answers were not sent whole, so the client knows that it was not served
-		if a.stands && a.sent > handed && c.s.requests[a.alloc] == a {
+		if a.running && a.sent > handed && c.s.requests[a.alloc] == a {
 			c.s.withdraw(a)
 		}
 	}
@@ -225,7 +225,7 @@
 		c.send(func(b []byte) []byte { return codec.AppendTested(b, task, true) })
 	case codec.End:
 		a := s.tasks[task]
-		if a != nil && (a.stands || a.client == c) { // else it is over, or belongs to another connection
+		if a != nil && (a.running || a.client == c) { // else it is over, or belongs to another connection
 			s.withdraw(a)
 		}
 	case codec.Progress, codec.EndHeard, codec.Note, codec.Tested:
--- a/internal/platform/configuration_test.go
+++ b/internal/platform/configuration_test.go
@@ -46,7 +46,7 @@
 		r.nodes["a"].conns[len(r.nodes["a"].conns)-1].send(message(codec.End, 6, codec.Cause, string(byte(codec.Normal)), codec.Report, "x0:3;x1:9"))
 		x.ask(7, "single")
 		r.pass(6000)
-		x.want("the end of what stood where it drains, and none served", "6 end 16", "7 end 42")
+		x.want("the end of the running task where it drains, and none served", "6 end 16", "7 end 42")
 		r.journal.happens(entryOf("b", "b", "ready"))
 		r.pass(3000)
 		x.got = nil
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// answered counts a request out of those that are open. Its task's number is free from then on, unless it stands.
+// answered counts a request out of those that are open. Its task's number is free from then on, unless the task runs.
 func (s *Server) answered(a *request) {
 	a.answered = true
 	s.admit.Leave(a.tenant)
@@ -67,10 +67,10 @@
 		delete(s.tasks, a.task)
 	}
 	if a.client != nil {
-		delete(a.client.stands, a)
+		delete(a.client.running, a)
 	}
 	if a.peer != nil {
-		delete(a.peer.stands, a)
+		delete(a.peer.running, a)
 	}
 }
 
@@ -86,21 +86,21 @@
 
 func (s edge) Mode(line string) { s.log.Info().Str("mode", "module").Msg(line) }
 
-func (s edge) Offer(alloc uint32, try uint8, node uint32, left float64) {
+func (s edge) Offer(alloc uint32, attempt uint8, node uint32, left float64) {
 	a, p := s.requests[alloc], s.peers[node]
-	a.peer, a.try, a.until = p, try, s.world.Now()+left
+	a.peer, a.attempt, a.until = p, attempt, s.world.Now()+left
 	if a.clientLeft() { // the host hears of it when it can
 		s.world.After(0, func() { s.abandon(a) })
 		return
 	}
 	s.counts.offers++
-	s.trace("offer", a.task, func(e *zerolog.Event) { e.Str("node", p.name).Uint8("try", try).Float64("left", left) })
+	s.trace("offer", a.task, func(e *zerolog.Event) { e.Str("node", p.name).Uint8("try", attempt).Float64("left", left) })
 	s.offer(a, p)
 }
 
-func (s edge) GiveUp(alloc uint32, try uint8, _ uint32) {
-	if a := s.requests[alloc]; a != nil && a.try == try {
-		s.trace("give up", a.task, func(e *zerolog.Event) { e.Str("node", a.peer.name).Uint8("try", try) })
+func (s edge) GiveUp(alloc uint32, attempt uint8, _ uint32) {
+	if a := s.requests[alloc]; a != nil && a.attempt == attempt {
+		s.trace("give up", a.task, func(e *zerolog.Event) { e.Str("node", a.peer.name).Uint8("try", attempt) })
 		s.giveUp(a)
 	}
 }
@@ -116,11 +116,11 @@
 	s.probe(s.peers[node], seq)
 }
 
-// settled tells the host how a try, or what stood, has ended.
+// settled tells the host how an attempt, or a running task, has ended.
 func (s *Server) settled(a *request, v logic.Verdict, why logic.Reason, report []float64) {
 	s.counts.verdicts[v]++
 	s.trace("settled", a.task, func(e *zerolog.Event) {
-		e.Uint8("verdict", uint8(v)).Uint8("why", uint8(why)).Floats64("report", report).Bool("stood", a.stands)
+		e.Uint8("verdict", uint8(v)).Uint8("why", uint8(why)).Floats64("report", report).Bool("stood", a.running)
 		if a.peer == nil {
 			return
 		}
@@ -129,6 +129,6 @@
 			e.Floats64("believed", []float64{b.Cores, b.Memory}).Float64("strain", b.Strain).Float64("risk", b.Risk).Bool("ill", b.Ill)
 		}
 	})
-	s.host.Settled(s.world.Now(), a.alloc, a.try, v, why, report)
+	s.host.Settled(s.world.Now(), a.alloc, a.attempt, v, why, report)
 	s.wake()
 }
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -60,7 +60,7 @@
 			if avail == logic.Gone {
 				return // it came and went unseen
 			}
-			p = &peer{id: s.number(name), name: name, stands: map[*request]bool{}}
+			p = &peer{id: s.number(name), name: name, running: map[*request]bool{}}
 			s.names[name], s.peers[p.id] = p, p
 		}
 		if named != nil {
@@ -85,9 +85,9 @@
 	}
 }
 
-// shed closes idle connections to a node that is gone, unless something stands there; what is open has its say.
+// shed closes idle connections to a node that is gone, unless a task runs there; connections with open requests stay.
 func (s *Server) shed(p *peer) {
-	if len(p.stands) > 0 {
+	if len(p.running) > 0 {
 		return
 	}
 	for _, l := range slices.Clone(p.links) {
--- a/internal/platform/links.go
+++ b/internal/platform/links.go
@@ -35,7 +35,7 @@
 func (s *Server) offer(a *request, p *peer) {
 	l := s.pick(p)
 	if l == nil {
-		s.world.After(0, func() { s.unsent(a, a.try) })
+		s.world.After(0, func() { s.unsent(a, a.attempt) })
 		return
 	}
 	l.requests = append(l.requests, a)
@@ -45,11 +45,11 @@
 	}
 }
 
-// unsent says that a try never left this machine.
-func (s *Server) unsent(a *request, try uint8) {
+// unsent settles an attempt that never left this machine.
+func (s *Server) unsent(a *request, attempt uint8) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a.try == try && a.link == nil {
+	if a.attempt == attempt && a.link == nil {
 		s.settled(a, logic.Unsent, logic.NotTold, nil)
 	}
 }
@@ -108,7 +108,7 @@
 			switch {
 			case p == but:
 				is = 3
-			case len(p.links) > 1 || len(p.stands) == 0:
+			case len(p.links) > 1 || len(p.running) == 0:
 				is = 2
 			}
 			if is > 1 {
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -186,7 +186,7 @@
 	x.want("answer and end", "7 served short", "7 end 16")
 }
 
-// TestNodeLost tells the end of what stood at a node that died or is cut off within 8 s, and not when it is merely a
+// TestNodeLost tells the end of the running task at a node that died or is cut off within 8 s, and not when it is merely a
 // connection that broke.
 func TestNodeLost(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -70,17 +70,17 @@
 			if err := l.answer(now, task, msg); err != nil {
 				return err
 			}
-			if a.stands {
+			if a.running {
 				s.settled(a, codec.After(cause), codec.Why(msg), s.report)
 			}
 		case a.link == l:
 			l.endedEarly(now, a, cause, codec.Why(msg))
-		case a.stands:
+		case a.running:
 			s.settled(a, codec.After(cause), codec.Why(msg), s.report)
 		}
 	case codec.Note:
 		kind, value, ok := codec.Noted(msg)
-		if a := s.tasks[task]; ok && a != nil && a.peer == l.peer && (a.stands || a.link == l) {
+		if a := s.tasks[task]; ok && a != nil && a.peer == l.peer && (a.running || a.link == l) {
 			s.host.Noted(now, a.alloc, kind, value)
 		}
 	case codec.Tested:
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// answer takes the word that a task stands. It is the client's answer only if it is for the try that is out, here.
+// answer processes a node's answer: the task runs. It goes to the client only if it is for the attempt that is out at this node.
 func (l *link) answer(now float64, task uint64, msg []byte) error {
 	s := l.s
 	description, ok := codec.Param(msg, codec.Description)
@@ -113,19 +113,19 @@
 	}
 	a := s.tasks[task]
 	if a == nil || a.link != l {
-		if l.given[task] && (a == nil || a.peer != l.peer || !a.stands) { // too late: it must not stand beside another
+		if l.given[task] && (a == nil || a.peer != l.peer || !a.running) { // too late: it must not run beside another attempt
 			s.cut(l.peer, task)
 		}
 		delete(l.given, task)
 		return nil // else a second copy, or nobody's
 	}
 	l.drop(a)
-	if !s.host.Started(now, a.alloc, a.try) {
+	if !s.host.Started(now, a.alloc, a.attempt) {
 		s.cut(l.peer, task)
 		return nil
 	}
 	s.answered(a)
-	a.stands = true
+	a.running = true
 	s.counts.served++
 	s.trace("served", task, nil)
 	o, told := a.client, uint64(0)
@@ -138,8 +138,8 @@
 	}
 	a.sent = told
 	o.verified = true
-	o.stands[a] = true
-	l.peer.stands[a] = true
+	o.running[a] = true
+	l.peer.running[a] = true
 	a.jobType, a.name, a.key, a.description = nil, nil, nil, nil
 	s.wake()
 	return nil
@@ -152,7 +152,7 @@
 	end := outcome.EarlyEnd{Unstarted: codec.Before(cause), Started: codec.After(cause), Reason: reason}
 	l.s.trace("ended early", a.task, func(e *zerolog.Event) { e.Str("node", l.peer.name).Uint8("cause", cause).Uint8("why", uint8(reason)) })
 	l.s.counts.verdicts[end.Unstarted]++
-	if l.s.host.EndedEarly(now, a.alloc, a.try, end, l.s.report) {
+	if l.s.host.EndedEarly(now, a.alloc, a.attempt, end, l.s.report) {
 		l.expectLate(a.task)
 	}
 	l.s.wake()
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -18,7 +18,7 @@
 	name, address string
 	avail         logic.Availability
 	links         []*link
-	stands        map[*request]bool
+	running        map[*request]bool
 	cuts          []cutting // ends that the node has not been told on any connection
 	watch         nodefailure.Watch
 }
@@ -29,7 +29,7 @@
 	until float64
 }
 
-// cut has what stands at a node end.
+// cut ends a task at a node.
 func (s *Server) cut(p *peer, task uint64) {
 	for _, l := range p.links {
 		if l.conn != nil && !l.gone && l.open() {
@@ -50,15 +50,15 @@
 	p.cuts = append(p.cuts[max(0, len(p.cuts)-connlimits.MostCuts+1):], cutting{task, now + connlimits.CutFor})
 }
 
-// tether keeps a connection to a node where something stands or is to end, as news of it comes on any.
+// tether keeps a connection to a node where a task runs or is to be ended, as news of it may come on any connection.
 func (s *Server) tether(now float64, p *peer) {
-	if p.avail == logic.Gone || len(p.stands) == 0 && len(p.cuts) == 0 || len(p.links) > 0 {
+	if p.avail == logic.Gone || len(p.running) == 0 && len(p.cuts) == 0 || len(p.links) > 0 {
 		return
 	}
 	s.look(now, p, false)
 }
 
-// look tries a new connection to a node where something stands, or is to end, if it is time to.
+// look makes a new connection to a node where a task runs or is to be ended, when one is due.
 func (s *Server) look(now float64, p *peer, linked bool) {
 	if p.watch.Due(now, linked) && s.room(now, budget.Look, p) {
 		p.watch.Look(now)
@@ -84,7 +84,7 @@
 			linked = true
 		}
 	}
-	if len(p.stands) > 0 {
+	if len(p.running) > 0 {
 		if p.avail != logic.Gone {
 			s.look(now, p, linked)
 		}
@@ -94,16 +94,16 @@
 	} else {
 		s.tether(now, p)
 	}
-	if p.avail == logic.Gone && len(p.links) == 0 && len(p.stands) == 0 {
+	if p.avail == logic.Gone && len(p.links) == 0 && len(p.running) == 0 {
 		delete(s.peers, p.id)
 		delete(s.names, p.name)
 	}
 }
 
-// lose ends what stood at a node that is no more. Should it be cut off only and come back, its tasks are to end there.
+// lose ends the running task at a node that is no more. Should it be cut off only and come back, its tasks are to end there.
 func (s *Server) lose(now float64, p *peer) {
-	s.log.Info().Str("mode", "lost").Str("node", p.name).Int("stood", len(p.stands)).Msg("node lost with what stood there")
-	for _, a := range slices.SortedFunc(maps.Keys(p.stands), func(x, y *request) int { return cmp.Compare(x.alloc, y.alloc) }) {
+	s.log.Info().Str("mode", "lost").Str("node", p.name).Int("stood", len(p.running)).Msg("node lost with the running task there")
+	for _, a := range slices.SortedFunc(maps.Keys(p.running), func(x, y *request) int { return cmp.Compare(x.alloc, y.alloc) }) {
 		task := a.task
 		s.counts.verdicts[logic.Broken]++
 		s.host.Lost(now, a.alloc)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -53,11 +53,11 @@
 	links       int    // connections to nodes, made or being made
 	feed        feed
 	probes      map[uint64]*link
-	pending        []notification // to clients of whom none is connected
+	pending     []notification // to clients of whom none is connected
 	report      []float64
 	counts      counts
 	words       besteffort.Fence // round what is only said to people
-	provisional      int              // client connections that are not let in
+	provisional int              // client connections that are not let in
 	stopped     bool
 	told        float64
 	plan        shutdown.Plan
@@ -69,7 +69,7 @@
 	looked      float64
 }
 
-// request is an allocation on its way, or what stands for it.
+// request is what a client asked for, until its final answer, and its running task after that.
 type request struct {
 	alloc            uint32
 	task             uint64
@@ -77,8 +77,8 @@
 	client           *client // on whose connection it came; nil once that is gone
 	peer             *peer   // where it was offered last
 	link             *link   // on which that offer is open
-	try              uint8
-	sent             uint64 // bytes sent on that connection, this offer included; of what stands, on its client's, the answer included
+	attempt              uint8
+	sent             uint64 // bytes sent on that connection, this offer included; once the task runs, on its client's, the answer included
 	bytes            int    // of the offer
 	until            float64
 	expiry           float64
@@ -87,7 +87,8 @@
 	cores, memory    float64
 	jobType, name    []byte
 	key, description []byte
-	answered, stands bool
+	answered         bool
+	running           bool
 }
 
 // New makes a scheduler from its configuration. Nothing is connected yet.
@@ -146,7 +147,7 @@
 // Done is closed when the scheduler has ended as it was told to.
 func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Stop has the scheduler end: it takes what comes for a while yet, answers all that it took, and leaves what stands.
+// Stop begins a planned shutdown: requests are accepted for a short while, all accepted ones are answered, running tasks go on.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
