--- a/internal/decide/shardownership/shardownership.go
+++ b/internal/decide/shardownership/shardownership.go
@@ -1,5 +1,5 @@
 // Package shardownership decides who may act for an allocation. Each open or running allocation has one owner among the
-// shards and an epoch that is raised at every handover; a try needs the ledger's leave, which only the owner's
+// shards and an epoch that is raised at every handover; a try needs the ownership table's leave, which only the owner's
 // present epoch gets. What a shard has sent and not proven harmless is held here too, so that another can go on
 // where a shard stopped, or end what must not be tried again.
 //
@@ -31,7 +31,7 @@
 	Entered       float64 // when it was first given to a shard
 }
 
-// Try is a placement try as the ledger knows it.
+// Try is a placement try as the ownership table knows it.
 type Try struct {
 	Node   uint32
 	Ticket uint64
@@ -59,8 +59,8 @@
 	Barring              // a shard that was fenced may have started it: its outcome is waited for
 )
 
-// Ledger is the table.
-type Ledger struct {
+// Table records which shard acts for each allocation, and by which epoch.
+type Table struct {
 	jobs    []logic.JobType
 	all     map[Name]*Entry
 	barred  map[Name]float64 // those that were fenced with a try out, until its time is over
@@ -72,20 +72,20 @@
 	Held    func(tenant int, ask *Ask, by float64) // and of entries that come and go, by 1 or -1
 }
 
-// Table makes a ledger for job types, with a first epoch.
-func Table(jobs []logic.JobType, epoch uint32) *Ledger {
-	return &Ledger{jobs: jobs, all: map[Name]*Entry{}, barred: map[Name]float64{}, Epoch: epoch}
+// NewTable makes a table for job types, with a first epoch.
+func NewTable(jobs []logic.JobType, epoch uint32) *Table {
+	return &Table{jobs: jobs, all: map[Name]*Entry{}, barred: map[Name]float64{}, Epoch: epoch}
 }
 
 // Len is the number of entries, Open that of those not answered yet.
-func (l *Ledger) Len() int { return len(l.all) }
+func (t *Table) Len() int { return len(t.all) }
 
 // Open is the number of entries that are not answered yet.
-func (l *Ledger) Open() int { return l.open }
+func (t *Table) Open() int { return t.open }
 
 // Uses is the number of a tenant's entries that are not answered and whose owners still wait.
-func (l *Ledger) Uses(now float64, tenant int) (n int) {
-	for name, en := range l.all {
+func (t *Table) Uses(now float64, tenant int) (n int) {
+	for name, en := range t.all {
 		if name.Tenant == tenant && !en.Answered && now < en.Expiry {
 			n++
 		}
@@ -94,60 +94,60 @@
 }
 
 // Entry gives an allocation's entry, nil if there is none.
-func (l *Ledger) Entry(n Name) *Entry { return l.all[n] }
+func (t *Table) Entry(n Name) *Entry { return t.all[n] }
 
 // answered marks an entry.
-func (l *Ledger) answered(n Name, en *Entry) {
+func (t *Table) answered(n Name, en *Entry) {
 	if !en.Answered {
 		en.Answered = true
-		l.count(n, -1)
+		t.count(n, -1)
 	}
 }
 
-func (l *Ledger) hold(n Name, en *Entry, by float64) {
-	if l.Held != nil {
-		l.Held(n.Tenant, &en.Ask, by)
+func (t *Table) hold(n Name, en *Entry, by float64) {
+	if t.Held != nil {
+		t.Held(n.Tenant, &en.Ask, by)
 	}
 }
 
-func (l *Ledger) count(n Name, by int) {
-	l.open += by
-	if l.Count != nil {
-		l.Count(n.Tenant, by)
+func (t *Table) count(n Name, by int) {
+	t.open += by
+	if t.Count != nil {
+		t.Count(n.Tenant, by)
 	}
 }
 
 // Look tells the owner of an allocation.
-func (l *Ledger) Look(now float64, n Name) (shard int, s State) {
-	if en := l.all[n]; en != nil {
+func (t *Table) Look(now float64, n Name) (shard int, s State) {
+	if en := t.all[n]; en != nil {
 		return en.Shard, Known
 	}
-	if now < l.barred[n] {
+	if now < t.barred[n] {
 		return 0, Barring
 	}
 	return 0, New
 }
 
 // Take gives an allocation that nobody acts for to a shard, and returns the epoch that its tries must name.
-func (l *Ledger) Take(n Name, shard int, ask Ask) uint32 {
-	delete(l.barred, n)
+func (t *Table) Take(n Name, shard int, ask Ask) uint32 {
+	delete(t.barred, n)
 	var en *Entry
-	if k := len(l.spare); k > 0 {
-		en, l.spare = l.spare[k-1], l.spare[:k-1]
+	if k := len(t.spare); k > 0 {
+		en, t.spare = t.spare[k-1], t.spare[:k-1]
 	} else {
 		en = new(Entry)
 	}
-	*en = Entry{Ask: ask, Shard: shard, Epoch: l.Epoch}
-	l.all[n] = en
-	l.count(n, 1)
-	l.hold(n, en, 1)
-	return l.Epoch
+	*en = Entry{Ask: ask, Shard: shard, Epoch: t.Epoch}
+	t.all[n] = en
+	t.count(n, 1)
+	t.hold(n, en, 1)
+	return t.Epoch
 }
 
 // Send asks leave for a try. Without it the try must not leave: the shard no longer acts for the allocation.
-func (l *Ledger) Send(n Name, shard int, epoch uint32, try Try) bool {
-	en := l.all[n]
-	if l.Trusted {
+func (t *Table) Send(n Name, shard int, epoch uint32, try Try) bool {
+	en := t.all[n]
+	if t.Trusted {
 		if en != nil {
 			en.Out, en.Last = true, try
 		}
@@ -156,7 +156,7 @@
 	if en == nil || en.Shard != shard || en.Epoch != epoch || en.Out || en.Answered {
 		return false
 	}
-	if j := &l.jobs[en.Job]; en.MayHave && j.Effect == logic.RunOnce {
+	if j := &t.jobs[en.Job]; en.MayHave && j.Effect == logic.RunOnce {
 		return false // whoever asks, a second try is never right
 	}
 	en.Out, en.Last = true, try
@@ -164,35 +164,35 @@
 }
 
 // Settle notes a try's outcome; never tells that it is proven not to have run.
-func (l *Ledger) Settle(n Name, shard int, epoch uint32, never bool) {
-	if en := l.all[n]; en != nil && en.Shard == shard && en.Epoch == epoch {
+func (t *Table) Settle(n Name, shard int, epoch uint32, never bool) {
+	if en := t.all[n]; en != nil && en.Shard == shard && en.Epoch == epoch {
 		en.Out = false
 		en.MayHave = en.MayHave || !never
 	}
 }
 
 // Answer notes that the final answer leaves, and which; false if it must not, since another acts or it was given.
-func (l *Ledger) Answer(n Name, shard int, epoch uint32, served bool) bool {
-	en := l.all[n]
+func (t *Table) Answer(n Name, shard int, epoch uint32, served bool) bool {
+	en := t.all[n]
 	if en == nil || en.Shard != shard || en.Epoch != epoch || en.Answered {
 		return false
 	}
-	l.answered(n, en)
+	t.answered(n, en)
 	en.Served = served
 	return true
 }
 
 // Found gives what a node runs to a shard; false if another acts for it already.
-func (l *Ledger) Found(n Name, shard int, ask Ask, try Try) (epoch uint32, ok bool) {
-	en := l.all[n]
+func (t *Table) Found(n Name, shard int, ask Ask, try Try) (epoch uint32, ok bool) {
+	en := t.all[n]
 	if en != nil && en.Shard != shard {
 		return 0, false
 	}
 	if en == nil {
-		l.Take(n, shard, ask)
-		en = l.all[n]
+		t.Take(n, shard, ask)
+		en = t.all[n]
 	}
-	l.answered(n, en)
+	t.answered(n, en)
 	en.Out, en.Served, en.Last = false, true, try
 	return en.Epoch, true
 }
@@ -200,24 +200,24 @@
 // Hand gives an allocation from one shard to another, under an epoch of which the caller says that it begins with
 // NextEpoch: not while a try is out, nor where an earlier one may have run and it is not answered, as what the
 // present shard still may hear of that would be lost.
-func (l *Ledger) Hand(n Name, from int, epoch uint32, to int) (uint32, bool) {
-	en := l.all[n]
+func (t *Table) Hand(n Name, from int, epoch uint32, to int) (uint32, bool) {
+	en := t.all[n]
 	if en == nil || en.Shard != from || en.Epoch != epoch {
 		return 0, false
 	}
-	if !en.Answered && (en.Out || en.MayHave) && !l.Trusted {
+	if !en.Answered && (en.Out || en.MayHave) && !t.Trusted {
 		return 0, false
 	}
-	en.Shard, en.Epoch = to, l.Epoch
-	return l.Epoch, true
+	en.Shard, en.Epoch = to, t.Epoch
+	return t.Epoch, true
 }
 
 // NextEpoch begins one.
-func (l *Ledger) NextEpoch() { l.Epoch++ }
+func (t *Table) NextEpoch() { t.Epoch++ }
 
 // Holder tells the shard that acts for an allocation by this very try.
-func (l *Ledger) Holder(n Name, ticket uint64, no uint8) (shard int, ok bool) {
-	en := l.all[n]
+func (t *Table) Holder(n Name, ticket uint64, no uint8) (shard int, ok bool) {
+	en := t.all[n]
 	if en == nil || en.Last.Ticket != ticket || en.Last.No != no {
 		return 0, false
 	}
@@ -225,22 +225,22 @@
 }
 
 // Owned notes who is told of an allocation from now on.
-func (l *Ledger) Owned(n Name, shard int, epoch uint32, owner uint32, ref uint64) {
-	if en := l.all[n]; en != nil && en.Shard == shard && en.Epoch == epoch {
+func (t *Table) Owned(n Name, shard int, epoch uint32, owner uint32, ref uint64) {
+	if en := t.all[n]; en != nil && en.Shard == shard && en.Epoch == epoch {
 		en.Owner, en.Ref = owner, ref
 	}
 }
 
 // Drop ends an entry; false if another acts for the allocation.
-func (l *Ledger) Drop(n Name, shard int, epoch uint32) bool {
-	en := l.all[n]
+func (t *Table) Drop(n Name, shard int, epoch uint32) bool {
+	en := t.all[n]
 	if en == nil || en.Shard != shard || en.Epoch != epoch {
 		return false
 	}
-	l.answered(n, en)
-	l.hold(n, en, -1)
-	delete(l.all, n)
-	l.spare = append(l.spare, en)
+	t.answered(n, en)
+	t.hold(n, en, -1)
+	delete(t.all, n)
+	t.spare = append(t.spare, en)
 	return true
 }
 
@@ -262,41 +262,41 @@
 }
 
 // Fence ends all that a shard acts for. From now on it gets no leave for anything; its entries are returned in
-// order of their names. What moves has the next epoch and stays out of the ledger until it is taken again.
+// order of their names. What moves has the next epoch and stays out of the ownership table until it is taken again.
 //
 // A try that is out when its shard is fenced can't be waited for: the one who would hear of it is gone. A
 // restartable allocation is declined, its owner asks again at once; one that must not take effect twice is
 // barred until its try's time is over, unless its group drops the repeat.
-func (l *Ledger) Fence(now float64, shard int, leastLeft float64) []Orphan {
+func (t *Table) Fence(now float64, shard int, leastLeft float64) []Orphan {
 	var all []Orphan
-	for n, en := range l.all {
+	for n, en := range t.all {
 		if en.Shard == shard {
-			all = append(all, Orphan{n, *en, l.fate(now, en, leastLeft)})
+			all = append(all, Orphan{n, *en, t.fate(now, en, leastLeft)})
 		}
 	}
 	slices.SortFunc(all, byName)
 	for _, o := range all {
-		l.answered(o.Name, l.all[o.Name])
-		l.hold(o.Name, l.all[o.Name], -1)
-		l.spare = append(l.spare, l.all[o.Name])
-		delete(l.all, o.Name)
-		if o.Entry.Out && l.jobs[o.Entry.Job].Effect != logic.Restartable {
-			l.barred[o.Name] = max(now, o.Entry.Expiry)
+		t.answered(o.Name, t.all[o.Name])
+		t.hold(o.Name, t.all[o.Name], -1)
+		t.spare = append(t.spare, t.all[o.Name])
+		delete(t.all, o.Name)
+		if o.Entry.Out && t.jobs[o.Entry.Job].Effect != logic.Restartable {
+			t.barred[o.Name] = max(now, o.Entry.Expiry)
 		}
 	}
-	l.Epoch++
+	t.Epoch++
 	return all
 }
 
 // Overdue answers what a shard that gives no sign of life has not answered and whose expiry is within so many ms: an
 // answer may not wait until the shard is fenced, or runs on. The shard keeps what it has out but gets no leave any more.
-func (l *Ledger) Overdue(now float64, shard int, within float64) []Orphan {
+func (t *Table) Overdue(now float64, shard int, within float64) []Orphan {
 	var all []Orphan
-	for n, en := range l.all {
+	for n, en := range t.all {
 		if en.Shard == shard && !en.Answered && en.Expiry-now < within {
-			l.answered(n, en)
+			t.answered(n, en)
 			o := Orphan{Name: n, Entry: *en, Fate: Fails}
-			if j := &l.jobs[en.Job]; outcome.Withdrawn(j.Effect, j.Group, en.Out, en.MayHave) {
+			if j := &t.jobs[en.Job]; outcome.Withdrawn(j.Effect, j.Group, en.Out, en.MayHave) {
 				o.Fate = Declines
 			}
 			all = append(all, o)
@@ -310,8 +310,8 @@
 	return cmp.Or(cmp.Compare(x.Name.Tenant, y.Name.Tenant), cmp.Compare(x.Name.Token, y.Name.Token))
 }
 
-func (l *Ledger) fate(now float64, en *Entry, leastLeft float64) Fate {
-	j := &l.jobs[en.Job]
+func (t *Table) fate(now float64, en *Entry, leastLeft float64) Fate {
+	j := &t.jobs[en.Job]
 	switch {
 	case en.Answered:
 		return Continues
@@ -324,10 +324,10 @@
 }
 
 // Forget drops what is barred no longer.
-func (l *Ledger) Forget(now float64) {
-	for n, until := range l.barred {
+func (t *Table) Forget(now float64) {
+	for n, until := range t.barred {
 		if now > until {
-			delete(l.barred, n)
+			delete(t.barred, n)
 		}
 	}
 }
--- a/internal/decide/shardownership/shardownership_test.go
+++ b/internal/decide/shardownership/shardownership_test.go
@@ -14,26 +14,26 @@
 func TestFate(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(l *Ledger, n Name)
+		do   func(l *Table, n Name)
 		want [4]Fate // by job type
 	}{
-		{"no try yet", func(*Ledger, Name) {}, [4]Fate{Moves, Moves, Moves, Moves}},
-		{"a try out", func(l *Ledger, n Name) { l.Send(n, 1, 1, Try{}) }, [4]Fate{Declines, Fails, Fails, Fails}},
-		{"an earlier one provably never ran", func(l *Ledger, n Name) {
+		{"no try yet", func(*Table, Name) {}, [4]Fate{Moves, Moves, Moves, Moves}},
+		{"a try out", func(l *Table, n Name) { l.Send(n, 1, 1, Try{}) }, [4]Fate{Declines, Fails, Fails, Fails}},
+		{"an earlier one provably never ran", func(l *Table, n Name) {
 			l.Send(n, 1, 1, Try{})
 			l.Settle(n, 1, 1, true)
 		}, [4]Fate{Moves, Moves, Moves, Moves}},
-		{"an earlier one may have run", func(l *Ledger, n Name) {
+		{"an earlier one may have run", func(l *Table, n Name) {
 			l.Send(n, 1, 1, Try{})
 			l.Settle(n, 1, 1, false)
 		}, [4]Fate{Declines, Fails, Declines, Fails}},
-		{"it runs", func(l *Ledger, n Name) {
+		{"it runs", func(l *Table, n Name) {
 			l.Send(n, 1, 1, Try{})
 			l.Answer(n, 1, 1, true)
 		}, [4]Fate{Continues, Continues, Continues, Continues}},
 	} {
 		for job, want := range c.want {
-			l, n := Table(jobs, 1), Name{0, 7}
+			l, n := NewTable(jobs, 1), Name{0, 7}
 			l.Take(n, 1, Ask{Job: job, Expiry: 5000})
 			c.do(l, n)
 			all := l.Fence(1000, 1, 300)
@@ -46,7 +46,7 @@
 		}
 	}
 	t.Run("too late to move", func(t *testing.T) {
-		l, n := Table(jobs, 1), Name{0, 7}
+		l, n := NewTable(jobs, 1), Name{0, 7}
 		l.Take(n, 1, Ask{Job: 3, Expiry: 1200})
 		if all := l.Fence(1000, 1, 300); all[0].Fate != Declines {
 			t.Errorf("%+v", all)
@@ -57,17 +57,17 @@
 func TestHand(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(l *Ledger, n Name)
+		do   func(l *Table, n Name)
 		ok   bool
 	}{
-		{"never tried", func(*Ledger, Name) {}, true},
-		{"a try out", func(l *Ledger, n Name) { l.Send(n, 1, 1, Try{Ticket: 5}) }, false},
-		{"it provably never ran", func(l *Ledger, n Name) { l.Send(n, 1, 1, Try{Ticket: 5}); l.Settle(n, 1, 1, true) }, true},
-		{"it may have run", func(l *Ledger, n Name) { l.Send(n, 1, 1, Try{Ticket: 5}); l.Settle(n, 1, 1, false) }, false},
-		{"it runs", func(l *Ledger, n Name) { l.Send(n, 1, 1, Try{Ticket: 5}); l.Answer(n, 1, 1, true) }, true},
+		{"never tried", func(*Table, Name) {}, true},
+		{"a try out", func(l *Table, n Name) { l.Send(n, 1, 1, Try{Ticket: 5}) }, false},
+		{"it provably never ran", func(l *Table, n Name) { l.Send(n, 1, 1, Try{Ticket: 5}); l.Settle(n, 1, 1, true) }, true},
+		{"it may have run", func(l *Table, n Name) { l.Send(n, 1, 1, Try{Ticket: 5}); l.Settle(n, 1, 1, false) }, false},
+		{"it runs", func(l *Table, n Name) { l.Send(n, 1, 1, Try{Ticket: 5}); l.Answer(n, 1, 1, true) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, n := Table(jobs, 1), Name{0, 7}
+			l, n := NewTable(jobs, 1), Name{0, 7}
 			l.Take(n, 1, Ask{Job: 3, Expiry: 5000, Owner: 4, Ref: 9})
 			c.do(l, n)
 			l.NextEpoch()
@@ -90,7 +90,7 @@
 }
 
 func TestOverdue(t *testing.T) {
-	l := Table(jobs, 1)
+	l := NewTable(jobs, 1)
 	for i, expiry := range []float64{1100, 1100, 5000, 1100} {
 		l.Take(Name{0, uint64(i)}, i/3, Ask{Job: 3, Expiry: expiry})
 	}
@@ -109,7 +109,7 @@
 
 func TestBarring(t *testing.T) {
 	for job, want := range []State{New, Barring, Barring, Barring} {
-		l, n := Table(jobs, 1), Name{0, 7}
+		l, n := NewTable(jobs, 1), Name{0, 7}
 		l.Take(n, 1, Ask{Job: job, Expiry: 5000})
 		l.Send(n, 1, 1, Try{})
 		l.Fence(1000, 1, 300)
@@ -126,12 +126,12 @@
 }
 
 // TestOneOwner draws calls by three shards that believe whatever they were last told: no two tries of one
-// allocation may have leave at once, and no answer may leave twice. The ledger that trusts any epoch must be found.
+// allocation may have leave at once, and no answer may leave twice. The table that trusts any epoch must be found.
 func TestOneOwner(t *testing.T) {
 	found := false
 	for _, trusts := range []bool{false, true} {
 		rapid.Check(t, func(t *rapid.T) {
-			l, n, job := Table(jobs, 1), Name{0, 1}, rapid.IntRange(0, 3).Draw(t, "job")
+			l, n, job := NewTable(jobs, 1), Name{0, 1}, rapid.IntRange(0, 3).Draw(t, "job")
 			l.Trusted = trusts
 			type view struct {
 				epoch uint32
@@ -226,6 +226,6 @@
 		})
 	}
 	if !found {
-		t.Error("the ledger that trusts any epoch was not found")
+		t.Error("the table that trusts any epoch was not found")
 	}
 }
--- a/internal/decide/shardrouter/line.go
+++ b/internal/decide/shardrouter/line.go
@@ -50,10 +50,10 @@
 }
 
 // begin makes the line.
-func (d *Desk) begin() {
-	values := make([]float64, len(d.terms.Jobs))
-	for i := range d.terms.Jobs {
-		values[i] = d.terms.Jobs[i].Value
+func (r *Router) begin() {
+	values := make([]float64, len(r.terms.Jobs))
+	for i := range r.terms.Jobs {
+		values[i] = r.terms.Jobs[i].Value
 	}
 	order := slices.Clone(values)
 	slices.Sort(order)
@@ -61,14 +61,14 @@
 	for _, v := range values {
 		l.urgency = append(l.urgency, slices.Index(order, v))
 	}
-	l.queue = fairqueue.New(1, 1, d.terms.Open)
-	l.queue.Free(0, 0, leastOpen*d.terms.Most)
-	d.ledger.Count = l.queue.Count
-	d.ledger.Held = func(tenant int, a *shardownership.Ask, by float64) {
+	l.queue = fairqueue.New(1, 1, r.terms.Open)
+	l.queue.Free(0, 0, leastOpen*r.terms.Most)
+	r.ownership.Count = l.queue.Count
+	r.ownership.Held = func(tenant int, a *shardownership.Ask, by float64) {
 		l.queue.Hold(tenant, a.Cores, a.Memory, by)
 		l.held.Cores, l.held.Memory = l.held.Cores+by*a.Cores, l.held.Memory+by*a.Memory
 	}
-	d.line = l
+	r.line = l
 }
 
 // Queue tells of a shard how long it has been at one thing, beyond what is common, and how many asks wait there.
@@ -86,22 +86,22 @@
 }
 
 // Enter takes an ask, as Ask does, and has it wait for its tenant's turn where tenants come and go.
-func (d *Desk) Enter(now float64, n shardownership.Name, a shardownership.Ask, unread float64, queue Queue) Entry {
+func (r *Router) Enter(now float64, n shardownership.Name, a shardownership.Ask, unread float64, queue Queue) Entry {
 	e := Entry{Name: n, Ask: a}
-	l := d.line
+	l := r.line
 	hosts := l != nil
 	if hosts { // what a shard acts for already goes past the lines
-		_, state := d.ledger.Look(now, n)
+		_, state := r.ownership.Look(now, n)
 		hosts = state == shardownership.New
 	}
 	if !hosts {
-		e.At, e.Epoch, e.Why = d.Ask(now, n, a, unread, queue)
+		e.At, e.Epoch, e.Why = r.Ask(now, n, a, unread, queue)
 		return e
 	}
 	l.ids++
 	id := l.ids
-	d.free()
-	verdict, back := l.queue.Ask(now, n.Tenant, id, l.urgency[a.Job], a.Cores, a.Memory, a.Expiry-d.terms.Margin)
+	r.free()
+	verdict, back := l.queue.Ask(now, n.Tenant, id, l.urgency[a.Job], a.Cores, a.Memory, a.Expiry-r.terms.Margin)
 	w := waiting{n, a, unread, now}
 	switch verdict {
 	case fairqueue.Declined:
@@ -110,20 +110,20 @@
 		l.keep(id, w)
 		e.Waits = true
 	case fairqueue.Passes:
-		return d.place(now, id, w, queue)
+		return r.place(now, id, w, queue)
 	}
 	return e
 }
 
 // free tells the queue what may still be taken: all but what this process holds, what others do, and the part that is to stay. What
 // others hold may be less than nothing: what this process holds at nodes that take no work any more.
-func (d *Desk) free() {
-	l := d.line
+func (r *Router) free() {
+	l := r.line
 	if l.room.Cores <= 0 || l.room.Memory <= 0 {
 		return
 	}
 	held := max(0, (l.held.Cores+l.others.Cores)/l.room.Cores, (l.held.Memory+l.others.Memory)/l.room.Memory)
-	l.queue.Free(l.fill.Part()-held, 1-held, leastOpen*d.terms.Most)
+	l.queue.Free(l.fill.Part()-held, 1-held, leastOpen*r.terms.Most)
 }
 
 func (l *line) keep(id uint64, w waiting) {
@@ -139,22 +139,22 @@
 }
 
 // place has an ask that passed go to a shard.
-func (d *Desk) place(now float64, id uint64, w waiting, queue Queue) Entry {
-	l, e := d.line, Entry{Name: w.name, Ask: w.ask}
-	e.At, e.Epoch, e.Why = d.Ask(now, w.name, w.ask, w.unread, queue)
-	if e.Why == "behind" && w.ask.Expiry-d.terms.Margin > now+retry {
-		l.queue.Return(now, w.name.Tenant, id, l.urgency[w.ask.Job], w.ask.Cores, w.ask.Memory, w.ask.Expiry-d.terms.Margin)
+func (r *Router) place(now float64, id uint64, w waiting, queue Queue) Entry {
+	l, e := r.line, Entry{Name: w.name, Ask: w.ask}
+	e.At, e.Epoch, e.Why = r.Ask(now, w.name, w.ask, w.unread, queue)
+	if e.Why == "behind" && w.ask.Expiry-r.terms.Margin > now+retry {
+		l.queue.Return(now, w.name.Tenant, id, l.urgency[w.ask.Job], w.ask.Cores, w.ask.Memory, w.ask.Expiry-r.terms.Margin)
 		l.keep(id, w)
 		l.again = now + retry
 		return Entry{Name: w.name, Ask: w.ask, Waits: true}
 	}
-	l.queue.Done(w.name.Tenant) // the ledger counts it now, if a shard has it
+	l.queue.Done(w.name.Tenant) // the ownership table counts it now, if a shard has it
 	return e
 }
 
 // Pump gives the asks whose turn has come, placed or declined, and those whose time is up.
-func (d *Desk) Pump(now float64, queue Queue) (all []Entry) {
-	l := d.line
+func (r *Router) Pump(now float64, queue Queue) (all []Entry) {
+	l := r.line
 	if l == nil || len(l.waits) == 0 {
 		return nil
 	}
@@ -167,7 +167,7 @@
 		return all
 	}
 	l.again = 0
-	d.free()
+	r.free()
 	for {
 		id, ok := l.queue.Next(now, lapsed)
 		if !ok {
@@ -175,7 +175,7 @@
 		}
 		w := l.drop(id)
 		w.unread = 0 // it was read long ago: what it waited here is no sign of a pile before the door
-		e := d.place(now, id, w, queue)
+		e := r.place(now, id, w, queue)
 		if e.Waits {
 			return all
 		}
@@ -184,57 +184,57 @@
 }
 
 // Due is when Pump may have something by time alone, infinite if not.
-func (d *Desk) Due(now float64) float64 {
-	if d.line == nil || len(d.line.waits) == 0 {
+func (r *Router) Due(now float64) float64 {
+	if r.line == nil || len(r.line.waits) == 0 {
 		return math.Inf(1)
 	}
-	due := d.line.queue.Due(now)
-	if d.line.again > 0 {
-		due = min(due, d.line.again)
+	due := r.line.queue.Due(now)
+	if r.line.again > 0 {
+		due = min(due, r.line.again)
 	}
 	return due
 }
 
 // Freed tells whether asks wait, so that what has just ended may let one go on.
-func (d *Desk) Freed(now float64) bool {
-	l := d.line
+func (r *Router) Freed(now float64) bool {
+	l := r.line
 	return l != nil && len(l.waits) > 0 && now >= l.again
 }
 
 // Forgo takes an ask that waits out of its line, as its owner gives it up; false if it does not wait.
-func (d *Desk) Forgo(owner uint32, ref uint64) bool {
-	if d.line == nil {
+func (r *Router) Forgo(owner uint32, ref uint64) bool {
+	if r.line == nil {
 		return false
 	}
-	id, ok := d.line.by[asked{owner, ref}]
+	id, ok := r.line.by[asked{owner, ref}]
 	if ok {
-		d.line.queue.Drop(id)
-		d.line.drop(id)
+		r.line.queue.Drop(id)
+		r.line.drop(id)
 	}
 	return ok
 }
 
 // OwnerGone takes all asks of an owner out of the lines.
-func (d *Desk) OwnerGone(owner uint32) {
-	if d.line == nil {
+func (r *Router) OwnerGone(owner uint32) {
+	if r.line == nil {
 		return
 	}
 	var refs []uint64
-	for k := range d.line.by {
+	for k := range r.line.by {
 		if k.owner == owner {
 			refs = append(refs, k.ref)
 		}
 	}
 	slices.Sort(refs)
 	for _, ref := range refs {
-		d.Forgo(owner, ref)
+		r.Forgo(owner, ref)
 	}
 }
 
 // Tenant takes what a tenant's state asks of this process. What waits of one that takes nothing any more is given back, to be
 // declined at once.
-func (d *Desk) Tenant(now float64, slot int, duty tenancy.Duty) (declined []Entry) {
-	l := d.line
+func (r *Router) Tenant(now float64, slot int, duty tenancy.Duty) (declined []Entry) {
+	l := r.line
 	l.queue.Set(now, slot, duty.Limits)
 	if duty.Takes {
 		return nil
@@ -249,8 +249,8 @@
 // Listed tells how much room there is at the nodes that take work, and how much of it nobody asks for, by the list, if it says so. The
 // list is late, so what other processes hold is no more than the difference of the two over some seconds, and while this one's own
 // load grows or falls the difference says nothing; what it holds it knows itself.
-func (d *Desk) Listed(all, unasked Room, says bool) {
-	l := d.line
+func (r *Router) Listed(all, unasked Room, says bool) {
+	l := r.line
 	if l == nil || !(all.Cores > 0) || !(all.Memory > 0) {
 		return
 	}
@@ -276,14 +276,14 @@
 	toward(&l.others.Cores, all.Cores-unasked.Cores, least.Cores, most.Cores)
 	toward(&l.others.Memory, all.Memory-unasked.Memory, least.Memory, most.Memory)
 	l.room = all
-	l.queue.Room(all.Cores, all.Memory, d.terms.Open)
+	l.queue.Room(all.Cores, all.Memory, r.terms.Open)
 }
 
 // Holds counts what there is of a tenant: asks that wait, allocations that are open, and what ran at a fenced shard and is not
 // found yet.
-func (d *Desk) Holds(slot int) int {
-	n := d.line.queue.Waiting(slot) + d.line.queue.Open(slot)
-	for name := range d.lost {
+func (r *Router) Holds(slot int) int {
+	n := r.line.queue.Waiting(slot) + r.line.queue.Open(slot)
+	for name := range r.lost {
 		if name.Tenant == slot {
 			n++
 		}
@@ -292,17 +292,17 @@
 }
 
 // Longest is how long the oldest ask in the lines has waited, and how many wait.
-func (d *Desk) Longest(now float64) (ms float64, n int) {
-	if d.line == nil {
+func (r *Router) Longest(now float64) (ms float64, n int) {
+	if r.line == nil {
 		return 0, 0
 	}
-	for _, w := range d.line.waits {
+	for _, w := range r.line.waits {
 		ms = max(ms, now-w.since)
 	}
-	return ms, len(d.line.waits)
+	return ms, len(r.line.waits)
 }
 
 // Filled is how much of the room may be taken just now, and how much of it is held by this process.
-func (d *Desk) Filled() (may, held float64) {
-	return d.line.fill.Part(), max(d.line.held.Cores/max(1e-9, d.line.room.Cores), d.line.held.Memory/max(1e-9, d.line.room.Memory))
+func (r *Router) Filled() (may, held float64) {
+	return r.line.fill.Part(), max(r.line.held.Cores/max(1e-9, r.line.room.Cores), r.line.held.Memory/max(1e-9, r.line.room.Memory))
 }
--- a/internal/decide/shardrouter/line_test.go
+++ b/internal/decide/shardrouter/line_test.go
@@ -10,7 +10,7 @@
 	"ravenpond/internal/decide/tenancy"
 )
 
-func hosting(shards, open int) *Desk {
+func hosting(shards, open int) *Router {
 	d := New(0, Terms{Jobs: jobs, Shards: shards, Most: shards, Open: open, Margin: 100, Epoch: 1, Hosts: true})
 	for i := range 3 {
 		d.Tenant(0, i, tenancy.Duty{Limits: fairqueue.Limits{Share: 1, Wait: 6}, Takes: true})
@@ -26,7 +26,7 @@
 	ask := func(ref uint64) shardownership.Ask {
 		return shardownership.Ask{Owner: 1, Ref: ref, Service: ref, Cores: 1, Memory: 1, Expiry: 5000}
 	}
-	full := func(d *Desk) { // all ten cores are taken
+	full := func(d *Router) { // all ten cores are taken
 		defer func() {
 			if e := d.Enter(0, of(2, 90), ask(90), 0, calm); e.Why != "" || e.Waits {
 				t.Fatalf("%+v", e)
@@ -156,7 +156,7 @@
 }
 
 // TestAnyLine draws any order of calls: each ask is placed, declined or given up exactly once, and what the queue counts as open
-// and held is what the ledger has.
+// and held is what the ownership table has.
 func TestAnyLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, now, ref := hosting(2, 12), 0.0, uint64(0)
@@ -222,17 +222,17 @@
 				note(e)
 			}
 			if n := len(d.line.waits); n != len(waits) || n != d.line.queue.Lines() {
-				t.Fatalf("%d wait, the desk has %d, the queue %d", len(waits), n, d.line.queue.Lines())
+				t.Fatalf("%d wait, the router has %d, the queue %d", len(waits), n, d.line.queue.Lines())
 			}
 			if d.line.queue.AllOpen() != d.Open() || d.Open() > 12 {
-				t.Fatalf("the queue has %d open, the ledger %d", d.line.queue.AllOpen(), d.Open())
+				t.Fatalf("the queue has %d open, the ownership table %d", d.line.queue.AllOpen(), d.Open())
 			}
 			held := 0.0
 			for _, e := range open {
 				held += e.Ask.Cores
 			}
 			if held != d.line.held.Cores {
-				t.Fatalf("%g cores are held, the desk counts %g", held, d.line.held.Cores)
+				t.Fatalf("%g cores are held, the router counts %g", held, d.line.held.Cores)
 			}
 		}
 	})
--- a/internal/decide/shardrouter/shardrouter_test.go
+++ b/internal/decide/shardrouter/shardrouter_test.go
@@ -15,14 +15,14 @@
 
 func calm(int) (float64, int) { return 0, 0 }
 
-func begin(shards int) *Desk {
+func begin(shards int) *Router {
 	return New(0, Terms{Jobs: jobs, Shards: shards, Most: 4, Open: 100, Margin: 200, Step: 1, Epoch: 1})
 }
 
 func name(i int) shardownership.Name { return shardownership.Name{Token: uint64(i)} }
 
-func (d *Desk) ask(t interface{ Fatalf(string, ...any) }, now float64, i, job int, service uint64) (int, uint32) {
-	at, epoch, why := d.Ask(now, name(i), shardownership.Ask{Owner: 1, Ref: uint64(i), Job: job, Service: service, Expiry: now + 5000}, 0, calm)
+func (r *Router) ask(t interface{ Fatalf(string, ...any) }, now float64, i, job int, service uint64) (int, uint32) {
+	at, epoch, why := r.Ask(now, name(i), shardownership.Ask{Owner: 1, Ref: uint64(i), Job: job, Service: service, Expiry: now + 5000}, 0, calm)
 	if why != "" || epoch == 0 {
 		t.Fatalf("ask %d: epoch %d, %s", i, epoch, why)
 	}
@@ -33,14 +33,14 @@
 	for _, c := range []struct {
 		name string
 		job  int
-		do   func(d *Desk, at int, epoch uint32)
+		do   func(d *Router, at int, epoch uint32)
 		want shardownership.Fate
 	}{
-		{"it waits", 0, func(*Desk, int, uint32) {}, shardownership.Moves},
-		{"it waits and must be spread", 1, func(*Desk, int, uint32) {}, shardownership.Declines},
-		{"a try is out", 2, func(d *Desk, at int, epoch uint32) { d.Send(name(1), at, epoch, shardownership.Try{Node: 3}) }, shardownership.Fails},
-		{"one that may be tried again is out", 0, func(d *Desk, at int, epoch uint32) { d.Send(name(1), at, epoch, shardownership.Try{Node: 3}) }, shardownership.Declines},
-		{"it runs", 2, func(d *Desk, at int, epoch uint32) {
+		{"it waits", 0, func(*Router, int, uint32) {}, shardownership.Moves},
+		{"it waits and must be spread", 1, func(*Router, int, uint32) {}, shardownership.Declines},
+		{"a try is out", 2, func(d *Router, at int, epoch uint32) { d.Send(name(1), at, epoch, shardownership.Try{Node: 3}) }, shardownership.Fails},
+		{"one that may be tried again is out", 0, func(d *Router, at int, epoch uint32) { d.Send(name(1), at, epoch, shardownership.Try{Node: 3}) }, shardownership.Declines},
+		{"it runs", 2, func(d *Router, at int, epoch uint32) {
 			d.Send(name(1), at, epoch, shardownership.Try{Node: 3, Ticket: 9})
 			d.Final(0, name(1), at, epoch, true)
 		}, shardownership.Continues},
@@ -109,9 +109,9 @@
 			t.Errorf("%+v", lost)
 		}
 	})
-	for title, back := range map[string]func(d *Desk, giver int){
-		"called back after it looked":      func(d *Desk, _ int) { _, _, _ = d.Resize(30, 2) },
-		"the other fenced after it looked": func(d *Desk, giver int) { d.Fence(30, 1-giver) },
+	for title, back := range map[string]func(d *Router, giver int){
+		"called back after it looked":      func(d *Router, _ int) { _, _, _ = d.Resize(30, 2) },
+		"the other fenced after it looked": func(d *Router, giver int) { d.Fence(30, 1-giver) },
 	} {
 		t.Run(title, func(t *testing.T) { // what it gives is its own again, not lost
 			d := begin(2)
@@ -225,7 +225,7 @@
 	}
 }
 
-// TestOneActs draws asks, tries, answers, fences, handovers and changes of number: the desk's books agree at each step, and
+// TestOneActs draws asks, tries, answers, fences, handovers and changes of number: the router's books agree at each step, and
 // one shard at a time has leave.
 func TestOneActs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -308,7 +308,7 @@
 					fates := d.Hand(now, shard, items)
 					for _, f := range fates {
 						if f.Fate == shardownership.Continues { // a try was out: dropped, as the engine gives no such
-							if en := d.ledger.Entry(f.Name); en == nil {
+							if en := d.ownership.Entry(f.Name); en == nil {
 								delete(all, int(f.Name.Token))
 							}
 						}
--- a/internal/lab/states/world.go
+++ b/internal/lab/states/world.go
@@ -97,7 +97,7 @@
 type play struct {
 	w      World
 	now    float64
-	acts   *shardrouter.Desk
+	acts   *shardrouter.Router
 	eng    [shards]*engine.Engine
 	life   [shards]uint32
 	lives  uint32
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -96,9 +96,9 @@
 
 	stoodFor, stoodUntil atomic.Uint64 // bits of how long it stood still last, and until when that matters
 
-	desk    sync.Mutex        // held for a few look-ups at a time
-	acts    *shardrouter.Desk // who acts for what
-	shards  []*shard          // the present life of each
+	desk    sync.Mutex          // held for a few look-ups at a time
+	acts    *shardrouter.Router // who acts for what
+	shards  []*shard            // the present life of each
 	lives   map[uint32]*shard
 	out     map[uint32]bool // nodes that are out for maintenance
 	back    []uint32        // and those that came back, of which the list is not yet told
