--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -32,14 +32,14 @@
 // Site is what the verdicts on zones rest on. Without zones there are none.
 type Site struct {
 	Zones []string
-	Held  map[string]clusterstate.State // by operators
-	Far   func(from, to string) float64 // ms one way; nil: all are as far
-	Judge zones.Judge                   // with what tests plant in it
+	Held  map[string]clusterstate.ZoneState // by operators
+	Far   func(from, to string) float64     // ms one way; nil: all are as far
+	Judge zones.Judge                       // with what tests plant in it
 }
 
 // View is the book at one moment. It is never changed.
 type View struct {
-	Book *clusterstate.Book
+	Book *clusterstate.State
 	// Sure is until when this process may act by it as it stands, ms of the world's clock; from then on by its careful reading.
 	Sure float64
 }
--- a/internal/decide/clusterstate/clusterstate.go
+++ b/internal/decide/clusterstate/clusterstate.go
@@ -1,11 +1,11 @@
-// Package clusterstate is the small book that a site's schedulers agree on: commands in the order that the council gives them go in,
+// Package clusterstate is the small replicated state that a site's schedulers agree on: commands go in, in the order that the consensus gives them,
 // state and refusals with their reasons come out. The same commands give the same bytes everywhere. It holds which process
 // acts in which life under which epoch, and from which zone; the verdicts on zones; and who takes how much of what must leave
 // a zone.
 //
 // Whoever proposes may be late, twice, stopped or of an older life: a command names its proposer's life and a number that
 // grows, so one that comes again has no effect, and one about a zone names the version at which it saw that zone's state. No
-// command can make the book hold what it must not; Check says what that is.
+// command can make the state hold what it must not; Check says what that is.
 package clusterstate
 
 import (
@@ -19,18 +19,18 @@
 	codec "ravenpond/internal/proto/book"
 )
 
-// State is what the book says of a zone.
-type State uint32
+// ZoneState is what the state says of a zone.
+type ZoneState uint32
 
 // States of a zone.
 const (
-	Open      State = iota // work goes there
-	Suspect                // nothing follows yet but care
-	Closed                 // work goes elsewhere
-	Returning              // it is let in by steps
+	Open      ZoneState = iota // work goes there
+	Suspect                    // nothing follows yet but care
+	Closed                     // work goes elsewhere
+	Returning                  // it is let in by steps
 )
 
-func (s State) String() string {
+func (s ZoneState) String() string {
 	return [...]string{"open", "suspect", "closed", "returning", "unknown"}[min(s, 4)]
 }
 
@@ -47,7 +47,7 @@
 	Resting            // a zone that closed again and again stays closed for a while
 	LastOne            // with it no zone would be open
 	TooMuch            // a share twice, of nothing, or of and to the same zone
-	Full               // the book has grown to its bound
+	Full               // the state has grown to its bound
 	Unreadable         // by this version of the program
 )
 
@@ -55,7 +55,7 @@
 	return [...]string{"taken", "older-life", "not-there", "moved", "no-way", "resting", "last-zone", "too-much", "full", "unreadable"}[min(r, 9)]
 }
 
-// Bounds of the book, and times in ms.
+// Bounds of the state, and times in ms.
 const (
 	mostProcesses = 1024
 	mostZones     = 256
@@ -77,10 +77,10 @@
 	refused Refusal
 }
 
-// Zone is what the book says of a zone.
+// Zone is what the state says of a zone.
 type Zone struct {
 	Name     string
-	State    State
+	State    ZoneState
 	Since    float64 // ms
 	Version  uint64  // at which that was written
 	Closings uint32  // lately
@@ -91,8 +91,8 @@
 // Way is from one zone to another.
 type Way struct{ From, To string }
 
-// Book is the book at one version. It is changed by Apply alone.
-type Book struct {
+// State is the state at one version. It is changed by Apply alone.
+type State struct {
 	version   uint64
 	now       float64
 	epochs    uint64
@@ -102,31 +102,31 @@
 	plan      uint64
 }
 
-// New is a book in which nothing stands.
-func New() *Book {
-	return &Book{processes: map[string]Process{}, zones: map[string]Zone{}, shares: map[Way]uint32{}}
+// New is a state in which nothing stands.
+func New() *State {
+	return &State{processes: map[string]Process{}, zones: map[string]Zone{}, shares: map[Way]uint32{}}
 }
 
-// Version is how many commands the book was changed by, in the council's count.
-func (b *Book) Version() uint64 { return b.version }
+// Version is how many commands the state was changed by, in the count of the consensus.
+func (s *State) Version() uint64 { return s.version }
 
 // Now is the latest time that a command named, ms.
-func (b *Book) Now() float64 { return b.now }
+func (s *State) Now() float64 { return s.now }
 
 // Process is what stands of a process.
-func (b *Book) Process(name string) (Process, bool) {
-	p, ok := b.processes[name]
+func (s *State) Process(name string) (Process, bool) {
+	p, ok := s.processes[name]
 	return p, ok
 }
 
 // Processes are all, by name.
-func (b *Book) Processes() []Process {
-	return slices.SortedFunc(maps.Values(b.processes), func(x, y Process) int { return cmp.Compare(x.Name, y.Name) })
+func (s *State) Processes() []Process {
+	return slices.SortedFunc(maps.Values(s.processes), func(x, y Process) int { return cmp.Compare(x.Name, y.Name) })
 }
 
 // Acting is how many processes act from a zone.
-func (b *Book) Acting(zone string) (n int) {
-	for _, p := range b.processes {
+func (s *State) Acting(zone string) (n int) {
+	for _, p := range s.processes {
 		if !p.Out && p.Zone == zone {
 			n++
 		}
@@ -135,41 +135,41 @@
 }
 
 // Zone is what stands of a zone: one of which nothing does is open.
-func (b *Book) Zone(name string) Zone {
-	if z, ok := b.zones[name]; ok {
+func (s *State) Zone(name string) Zone {
+	if z, ok := s.zones[name]; ok {
 		return z
 	}
 	return Zone{Name: name}
 }
 
 // Zones are all of which something stands, by name.
-func (b *Book) Zones() []Zone {
-	return slices.SortedFunc(maps.Values(b.zones), func(x, y Zone) int { return cmp.Compare(x.Name, y.Name) })
+func (s *State) Zones() []Zone {
+	return slices.SortedFunc(maps.Values(s.zones), func(x, y Zone) int { return cmp.Compare(x.Name, y.Name) })
 }
 
 // Share is how many cores of what leaves a zone another takes.
-func (b *Book) Share(from, to string) uint32 { return b.shares[Way{from, to}] }
+func (s *State) Share(from, to string) uint32 { return s.shares[Way{from, to}] }
 
 // Plan is the version at which the shares were written, and all of them in order.
-func (b *Book) Plan() (version uint64, each func(yield func(w Way, part uint32) bool)) {
-	return b.plan, func(yield func(Way, uint32) bool) {
-		for _, w := range b.ways() {
-			if !yield(w, b.shares[w]) {
+func (s *State) Plan() (version uint64, each func(yield func(w Way, part uint32) bool)) {
+	return s.plan, func(yield func(Way, uint32) bool) {
+		for _, w := range s.ways() {
+			if !yield(w, s.shares[w]) {
 				return
 			}
 		}
 	}
 }
 
-func (b *Book) ways() []Way {
-	return slices.SortedFunc(maps.Keys(b.shares), func(x, y Way) int {
+func (s *State) ways() []Way {
+	return slices.SortedFunc(maps.Keys(s.shares), func(x, y Way) int {
 		return cmp.Or(cmp.Compare(x.From, y.From), cmp.Compare(x.To, y.To))
 	})
 }
 
-// Said is what came of the last command that a life of a process proposed; false if none has come.
-func (b *Book) Said(name string, life uint64) (number uint64, refused Refusal, ok bool) {
-	p, ok := b.processes[name]
+// LastResult is what came of the last command that a life of a process proposed; false if none has come.
+func (s *State) LastResult(name string, life uint64) (number uint64, refused Refusal, ok bool) {
+	p, ok := s.processes[name]
 	if !ok || p.speaks != life {
 		return 0, 0, false
 	}
@@ -177,18 +177,18 @@
 }
 
 // Clone is the same book, of its own.
-func (b *Book) Clone() *Book {
-	c := *b
-	c.processes, c.zones, c.shares = maps.Clone(b.processes), maps.Clone(b.zones), maps.Clone(b.shares)
+func (s *State) Clone() *State {
+	c := *s
+	c.processes, c.zones, c.shares = maps.Clone(s.processes), maps.Clone(s.zones), maps.Clone(s.shares)
 	return &c
 }
 
-// Apply changes the book by the next command, which has a later version than all before; none changes the version alone.
-func (b *Book) Apply(version uint64, command []byte) (Refusal, error) {
-	if version <= b.version {
-		return Taken, fmt.Errorf("command of version %d after %d", version, b.version)
+// Apply changes the state by the next command, which has a later version than all before; none changes the version alone.
+func (s *State) Apply(version uint64, command []byte) (Refusal, error) {
+	if version <= s.version {
+		return Taken, fmt.Errorf("command of version %d after %d", version, s.version)
 	}
-	b.version = version
+	s.version = version
 	if len(command) == 0 {
 		return Taken, nil
 	}
@@ -196,25 +196,25 @@
 	var shares []share
 	err := codec.ReadCommand(command, func(from, to string, part uint32) { shares = append(shares, share{Way{from, to}, part}) },
 		func(name string, life, number uint64, at float64, kind uint32, subject, zone, region string, epoch uint64, state uint32, cause string) {
-			p := b.processes[name]
+			p := s.processes[name]
 			if life < p.speaks || life == p.speaks && number <= p.number { // it came before
 				refused = p.refused
 				return
 			}
-			b.now = max(b.now, at) // the council lets no time in that is far from its leader's
+			s.now = max(s.now, at) // the council lets no time in that is far from its leader's
 			switch kind {
 			case codec.Act:
-				refused = b.act(subject, life, zone, region, subject == name)
+				refused = s.act(subject, life, zone, region, subject == name)
 			case codec.Out:
-				refused = b.out(subject, epoch)
+				refused = s.out(subject, epoch)
 			case codec.Verdict:
-				refused = b.verdict(subject, epoch, State(state), cause)
+				refused = s.verdict(subject, epoch, ZoneState(state), cause)
 			case codec.Plan:
-				refused = b.divide(shares)
+				refused = s.divide(shares)
 			}
-			if p, ok := b.processes[name]; ok { // strangers are not kept
+			if p, ok := s.processes[name]; ok { // strangers are not kept
 				p.speaks, p.number, p.refused = life, number, refused
-				b.processes[name] = p
+				s.processes[name] = p
 			}
 		})
 	if err != nil {
@@ -229,8 +229,8 @@
 }
 
 // act has a process act in a life, under an epoch that nobody had before.
-func (b *Book) act(name string, life uint64, zone, region string, own bool) Refusal {
-	p, ok := b.processes[name]
+func (s *State) act(name string, life uint64, zone, region string, own bool) Refusal {
+	p, ok := s.processes[name]
 	switch {
 	case !own:
 		return NotThere // each speaks for itself
@@ -238,77 +238,77 @@
 		return OldLife
 	case ok && life == p.Life && !p.Out && p.Zone == zone && p.Region == region:
 		return Taken
-	case !ok && len(b.processes) >= mostProcesses && !b.forgets():
+	case !ok && len(s.processes) >= mostProcesses && !s.forgets():
 		return Full
 	}
-	b.epochs++
-	p.Name, p.Life, p.Epoch, p.Zone, p.Region, p.Out = name, life, b.epochs, zone, region, false
-	b.processes[name] = p
+	s.epochs++
+	p.Name, p.Life, p.Epoch, p.Zone, p.Region, p.Out = name, life, s.epochs, zone, region, false
+	s.processes[name] = p
 	return Taken
 }
 
 // forgets drops the process that is out under the oldest epoch.
-func (b *Book) forgets() bool {
+func (s *State) forgets() bool {
 	oldest := Process{Epoch: math.MaxUint64}
-	for _, p := range b.processes {
+	for _, p := range s.processes {
 		if p.Out && p.Epoch < oldest.Epoch {
 			oldest = p
 		}
 	}
-	delete(b.processes, oldest.Name)
+	delete(s.processes, oldest.Name)
 	return oldest.Name != ""
 }
 
 // out has a process act no more under an epoch.
-func (b *Book) out(name string, epoch uint64) Refusal {
-	p, ok := b.processes[name]
+func (s *State) out(name string, epoch uint64) Refusal {
+	p, ok := s.processes[name]
 	if !ok || p.Out || p.Epoch != epoch {
 		return NotThere
 	}
 	p.Out = true
-	b.processes[name] = p
+	s.processes[name] = p
 	return Taken
 }
 
 // steps are those that a zone's state may take.
-var steps = map[[2]State]bool{{Open, Suspect}: true, {Suspect, Open}: true, {Suspect, Closed}: true, {Closed, Returning}: true,
+var steps = map[[2]ZoneState]bool{{Open, Suspect}: true, {Suspect, Open}: true, {Suspect, Closed}: true, {Closed, Returning}: true,
 	{Returning, Open}: true, {Returning, Closed}: true}
 
 // verdict changes a zone's state from the one that was written at a version.
-func (b *Book) verdict(name string, seen uint64, to State, cause string) Refusal {
-	z, ok := b.zones[name]
+func (s *State) verdict(name string, seen uint64, to ZoneState, cause string) Refusal {
+	z, ok := s.zones[name]
 	z.Name = name
 	switch {
 	case z.Version != seen:
 		return Moved
-	case name == "" || !steps[[2]State{z.State, to}]:
+	case name == "" || !steps[[2]ZoneState{z.State, to}]:
 		return NoWay
-	case !ok && len(b.zones) >= mostZones:
+	case !ok && len(s.zones) >= mostZones:
 		return Full
-	case z.State == Closed && b.now < z.Rest:
+	case z.State == Closed && s.now < z.Rest:
 		return Resting
-	case to == Closed && !b.another(name):
+	case to == Closed && !s.another(name):
 		return LastOne
 	}
 	if z.State == Open && z.Closings > 0 {
-		z.Closings -= min(z.Closings, uint32((b.now-z.Since)/forgiven))
+		z.Closings -= min(z.Closings, uint32((s.now-z.Since)/forgiven))
 	}
 	if to == Closed {
-		z.Rest = b.now + min(restMost, restFirst*float64(uint64(1)<<min(z.Closings, 16)))
+		z.Rest = s.now + min(restMost, restFirst*float64(uint64(1)<<min(z.Closings, 16)))
 		z.Closings++
 	}
-	z.State, z.Since, z.Version, z.Cause = to, b.now, b.version, cause
-	b.zones[name] = z
+	z.State, z.Since, z.Version, z.Cause = to, s.now, s.version, cause
+	s.zones[name] = z
 	if to == Open { // nothing leaves it any more
-		maps.DeleteFunc(b.shares, func(w Way, _ uint32) bool { return w.From == name })
+		maps.DeleteFunc(s.shares, func(w Way, _ uint32) bool { return w.From == name })
 	}
 	return Taken
 }
 
 // another tells whether some process acts from another zone that is not closed: the last one is never closed.
-func (b *Book) another(but string) bool {
-	for _, p := range b.processes {
-		if !p.Out && p.Zone != but && b.zones[p.Zone].State != Closed {
+func (s *State) another(but string) bool {
+	for _, p := range s.processes {
+		if !p.Out && p.Zone != but && s.zones[p.Zone].State != Closed {
 			return true
 		}
 	}
@@ -316,69 +316,69 @@
 }
 
 // divide takes a plan of who takes how much of whom. What no share names is taken by nobody.
-func (b *Book) divide(shares []share) Refusal {
+func (s *State) divide(shares []share) Refusal {
 	if len(shares) > mostShares {
 		return Full
 	}
 	all := map[Way]uint32{}
-	for _, s := range shares {
-		if _, twice := all[s.way]; twice || s.way.From == s.way.To || s.part == 0 {
+	for _, share := range shares {
+		if _, twice := all[share.way]; twice || share.way.From == share.way.To || share.part == 0 {
 			return TooMuch
 		}
-		all[s.way] = s.part
+		all[share.way] = share.part
 	}
-	b.shares, b.plan = all, b.version
+	s.shares, s.plan = all, s.version
 	return Taken
 }
 
-// ErrBroken is of a book that holds what it must not.
-var ErrBroken = errors.New("the book is broken")
+// ErrInvalid is of a state that holds what it must not.
+var ErrInvalid = errors.New("the state is broken")
 
-// Check holds the book against what must hold of it whatever came in.
-func (b *Book) Check() error {
+// Check holds the state against what must hold of it whatever came in.
+func (s *State) Check() error {
 	epochs := map[uint64]string{}
-	for name, p := range b.processes {
+	for name, p := range s.processes {
 		switch other, twice := epochs[p.Epoch]; {
 		case twice:
-			return fmt.Errorf("%w: %s and %s act under epoch %d", ErrBroken, other, name, p.Epoch)
-		case p.Epoch == 0 || p.Epoch > b.epochs || p.Name != name || p.Life == 0:
-			return fmt.Errorf("%w: process %s: %+v of %d epochs", ErrBroken, name, p, b.epochs)
+			return fmt.Errorf("%w: %s and %s act under epoch %d", ErrInvalid, other, name, p.Epoch)
+		case p.Epoch == 0 || p.Epoch > s.epochs || p.Name != name || p.Life == 0:
+			return fmt.Errorf("%w: process %s: %+v of %d epochs", ErrInvalid, name, p, s.epochs)
 		}
 		epochs[p.Epoch] = name
 	}
-	for name, z := range b.zones {
-		if z.Name != name || z.State > Returning || z.Version == 0 || z.Version > b.version || z.Since > b.now || z.State == Closed && z.Closings == 0 {
-			return fmt.Errorf("%w: zone %s: %+v at version %d", ErrBroken, name, z, b.version)
+	for name, z := range s.zones {
+		if z.Name != name || z.State > Returning || z.Version == 0 || z.Version > s.version || z.Since > s.now || z.State == Closed && z.Closings == 0 {
+			return fmt.Errorf("%w: zone %s: %+v at version %d", ErrInvalid, name, z, s.version)
 		}
 	}
-	for w, cores := range b.shares {
+	for w, cores := range s.shares {
 		if cores == 0 || cores > codec.MostCores || w.From == w.To {
-			return fmt.Errorf("%w: %d cores of what leaves %s to %s", ErrBroken, cores, w.From, w.To)
+			return fmt.Errorf("%w: %d cores of what leaves %s to %s", ErrInvalid, cores, w.From, w.To)
 		}
 	}
 	return nil
 }
 
-// Snapshot is the whole book in bytes, the same for the same book.
-func (b *Book) Snapshot() []byte {
-	out := codec.AppendHead(nil, b.version, b.now, b.epochs, b.plan)
-	for _, p := range b.Processes() {
+// Snapshot is the whole state in bytes, the same for equal states.
+func (s *State) Snapshot() []byte {
+	out := codec.AppendHead(nil, s.version, s.now, s.epochs, s.plan)
+	for _, p := range s.Processes() {
 		out = codec.AppendProcess(out, p.Name, p.Life, p.Epoch, p.Zone, p.Region, p.Out, p.number, uint32(p.refused), p.speaks)
 	}
-	for _, z := range b.Zones() {
+	for _, z := range s.Zones() {
 		out = codec.AppendZone(out, z.Name, uint32(z.State), z.Since, z.Version, z.Closings, z.Rest, z.Cause)
 	}
-	for _, w := range b.ways() {
-		out = codec.AppendHeld(out, w.From, w.To, b.shares[w])
+	for _, w := range s.ways() {
+		out = codec.AppendHeld(out, w.From, w.To, s.shares[w])
 	}
 	return out
 }
 
-// Read reads a snapshot. One that holds what a book must not is not read.
-func Read(snapshot []byte) (*Book, error) {
+// Read reads a snapshot. One that holds what a state must not is not read.
+func Read(snapshot []byte) (*State, error) {
 	b := New()
 	if err := codec.ReadSnapshot(snapshot, taker{b}); err != nil {
-		return nil, fmt.Errorf("book: %w", err)
+		return nil, fmt.Errorf("cluster state: %w", err)
 	}
 	if err := b.Check(); err != nil {
 		return nil, err
@@ -386,7 +386,7 @@
 	return b, nil
 }
 
-type taker struct{ *Book }
+type taker struct{ *State }
 
 func (t taker) Head(version uint64, now float64, epochs, plan uint64) {
 	t.version, t.now, t.epochs, t.plan = version, now, epochs, plan
@@ -397,7 +397,7 @@
 }
 
 func (t taker) Zone(name string, state uint32, since float64, version uint64, closings uint32, rest float64, cause string) {
-	t.zones[name] = Zone{name, State(state), since, version, closings, rest, cause}
+	t.zones[name] = Zone{name, ZoneState(state), since, version, closings, rest, cause}
 }
 
 func (t taker) Held(from, to string, part uint32) { t.shares[Way{from, to}] = part }
--- a/internal/decide/clusterstate/clusterstate_test.go
+++ b/internal/decide/clusterstate/clusterstate_test.go
@@ -14,7 +14,7 @@
 // hand writes commands as processes do.
 type hand struct {
 	t       interface{ Fatalf(string, ...any) }
-	b       *Book
+	b       *State
 	numbers map[string]uint64
 	now     float64
 }
@@ -27,7 +27,7 @@
 	return h
 }
 
-func (h *hand) apply(name string, life uint64, kind uint32, subject, zone string, epoch uint64, to State, shares ...share) Refusal {
+func (h *hand) apply(name string, life uint64, kind uint32, subject, zone string, epoch uint64, to ZoneState, shares ...share) Refusal {
 	h.numbers[name]++
 	c := codec.AppendCommand(nil, name, life, h.numbers[name], h.now, kind, subject, zone, "r", epoch, uint32(to), "for a test")
 	for _, s := range shares {
@@ -44,7 +44,7 @@
 	return h.apply(name, life, codec.Act, name, zone, 0, 0)
 }
 
-func (h *hand) verdict(by, zone string, to State) Refusal {
+func (h *hand) verdict(by, zone string, to ZoneState) Refusal {
 	return h.apply(by, 1, codec.Verdict, zone, "", h.b.Zone(zone).Version, to)
 }
 
@@ -100,7 +100,7 @@
 			t.Errorf("%s: %+v", refused, z)
 		}
 	}
-	if number, refused, ok := h.b.Said("p-a", 1); number != 50 || refused != Taken || !ok {
+	if number, refused, ok := h.b.LastResult("p-a", 1); number != 50 || refused != Taken || !ok {
 		t.Errorf("%d %s %v", number, refused, ok)
 	}
 }
@@ -149,7 +149,7 @@
 	h.verdict("p-a", "b", Open)
 	for range 100 { // quiet, while the clock goes on
 		h.now += forgiven / 10
-		h.verdict("p-a", "a", []State{Suspect, Open}[h.b.Zone("a").State])
+		h.verdict("p-a", "a", []ZoneState{Suspect, Open}[h.b.Zone("a").State])
 	}
 	h.verdict("p-a", "b", Suspect)
 	h.verdict("p-a", "b", Closed)
@@ -192,7 +192,7 @@
 	}
 	twice := codec.AppendProcess(codec.AppendHead(nil, 3, 0, 2, 0), "x", 1, 1, "a", "", false, 0, 0, 0)
 	twice = codec.AppendProcess(twice, "y", 1, 1, "a", "", false, 0, 0, 0)
-	if _, err := Read(twice); !errors.Is(err, ErrBroken) {
+	if _, err := Read(twice); !errors.Is(err, ErrInvalid) {
 		t.Errorf("two under one epoch: %v", err)
 	}
 	if _, err := Read([]byte{8, 99}); !errors.Is(err, codec.ErrNewer) {
--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -95,7 +95,7 @@
 	who   Charter
 	rng   *rand.Rand
 	now   float64
-	book  *clusterstate.Book
+	book  *clusterstate.State
 	sure  float64
 	words map[string]word
 
@@ -234,7 +234,7 @@
 func (c *Council) stand() { c.standAt = c.now + campaign*(1+c.rng.Float64()) }
 
 // Book is the book as this process holds it. It must not be changed.
-func (c *Council) Book() *clusterstate.Book { return c.book }
+func (c *Council) Book() *clusterstate.State { return c.book }
 
 // Sure is until when this process may act by it as it stands, ms; in the past: by its careful reading.
 func (c *Council) Sure() float64 { return c.sure }
@@ -560,13 +560,13 @@
 }
 
 // hold takes a later book.
-func (c *Council) hold(b *clusterstate.Book) {
+func (c *Council) hold(b *clusterstate.State) {
 	c.book = b
 	c.lease()
 	if len(c.queue) == 0 {
 		return
 	}
-	if number, refused, ok := b.Said(c.who.Name, c.who.Life); ok && number >= c.queue[0].number {
+	if number, refused, ok := b.LastResult(c.who.Name, c.who.Life); ok && number >= c.queue[0].number {
 		c.queue = c.queue[1:] // they are said one after the other: it is the first's answer
 		c.sendAt = c.now
 		c.answered(number, refused)
--- a/internal/decide/consensus/consensus_test.go
+++ b/internal/decide/consensus/consensus_test.go
@@ -145,7 +145,7 @@
 	var got []string
 	c := x.all["d"].c
 	c.Answered(func(number uint64, r clusterstate.Refusal) { got = append(got, fmt.Sprint(number, " ", r)) })
-	verdict := func(zone string, to clusterstate.State) {
+	verdict := func(zone string, to clusterstate.ZoneState) {
 		c.Propose(func(b []byte, number uint64) []byte {
 			return codec.AppendCommand(b, "d", 1, number, x.now, codec.Verdict, zone, "", "", c.Book().Zone(zone).Version, uint32(to), "")
 		})
@@ -200,7 +200,7 @@
 
 // TestPages has one who follows take pages of one book only, and none that is older than its own.
 func TestPages(t *testing.T) {
-	pages := func(b *clusterstate.Book) (all [][]byte) {
+	pages := func(b *clusterstate.State) (all [][]byte) {
 		text := b.Snapshot()
 		for i := 0; i < len(text); i += 40 {
 			all = append(all, codec.AppendMessage(nil, codec.Page, text[i:min(i+40, len(text))], 0, b.Version(), 0, uint64(i), uint64(len(text))))
--- a/internal/decide/zones/zones.go
+++ b/internal/decide/zones/zones.go
@@ -54,7 +54,7 @@
 type Proposal struct {
 	Zone  string
 	Seen  uint64 // the version at which its state was written
-	To    clusterstate.State
+	To    clusterstate.ZoneState
 	Cause string
 }
 
@@ -88,7 +88,7 @@
 
 type proposed struct {
 	seen uint64
-	to   clusterstate.State
+	to   clusterstate.ZoneState
 	at   float64
 }
 
@@ -108,7 +108,7 @@
 }
 
 // seen is how a zone is seen by the others: lost by at least two of them and more than half, well by more than half.
-func (j *Judge) seen(now float64, b *clusterstate.Book, zone string) (how int, lost, of int) {
+func (j *Judge) seen(now float64, b *clusterstate.State, zone string) (how int, lost, of int) {
 	type votes struct{ lost, well, all int }
 	by := map[string]votes{}
 	for name, r := range j.reports {
@@ -149,7 +149,7 @@
 }
 
 // Decide proposes what the sums ask for. all are the site's zones, held those that an operator holds in a state.
-func (j *Judge) Decide(now float64, b *clusterstate.Book, all []string, held map[string]clusterstate.State) (out []Proposal) {
+func (j *Judge) Decide(now float64, b *clusterstate.State, all []string, held map[string]clusterstate.ZoneState) (out []Proposal) {
 	closed := 0
 	for _, z := range all {
 		if s := b.Zone(z).State; s == clusterstate.Closed || s == clusterstate.Returning {
@@ -189,7 +189,7 @@
 }
 
 // next is the state that a zone is to have next, if it is another.
-func (j *Judge) next(now float64, z clusterstate.Zone, sp spell, held map[string]clusterstate.State, closed, all int) (to clusterstate.State, cause string) {
+func (j *Judge) next(now float64, z clusterstate.Zone, sp spell, held map[string]clusterstate.ZoneState, closed, all int) (to clusterstate.ZoneState, cause string) {
 	since := now - sp.at
 	lostFor := func(ms float64) bool { return sp.how < 0 && since >= ms }
 	wellFor := func(ms float64) bool { return sp.how > 0 && since >= ms }
@@ -215,7 +215,7 @@
 }
 
 // towards is the next step from a zone's state to one that an operator wants.
-func towards(now float64, z clusterstate.Zone, want clusterstate.State) clusterstate.State {
+func towards(now float64, z clusterstate.Zone, want clusterstate.ZoneState) clusterstate.ZoneState {
 	if z.State == want {
 		return want
 	}
@@ -247,7 +247,7 @@
 
 // Plan divides what leaves closed zones among the others, by the room that is left under the bound and nearness, so that all
 // processes together never bring a taker beyond it: what does not fit is taken by nobody. False if the plan that stands will do.
-func (j *Judge) Plan(now float64, b *clusterstate.Book, all []string, far func(from, to string) float64) ([]Share, bool) {
+func (j *Judge) Plan(now float64, b *clusterstate.State, all []string, far func(from, to string) float64) ([]Share, bool) {
 	rooms := j.rooms(now)
 	for _, z := range all { // what leaves a zone is what was there before it was lost: its work ends there meanwhile
 		if s := b.Zone(z); s.State == clusterstate.Open && j.used != nil && now-s.Since > calmFor && j.since[z].how >= 0 {
@@ -302,7 +302,7 @@
 	return out, true
 }
 
-func meanUse(rooms map[string]Sum, b *clusterstate.Book, all []string) float64 {
+func meanUse(rooms map[string]Sum, b *clusterstate.State, all []string) float64 {
 	sum, n := 0.0, 0.0
 	for _, z := range all {
 		if s := rooms[z]; s.Room > 0 && b.Zone(z).State != clusterstate.Closed {
@@ -329,7 +329,7 @@
 
 // Look is which part of each zone's nodes this process sends to now: 0 none, 1 all. waits is how many allocations find no room;
 // own how many cores of its own work run in each zone; mates how many processes act from its zone.
-func (r *Reach) Look(now float64, b *clusterstate.Book, sure bool, sums map[string]Sum, waits int, own map[string]float64, mates int) map[string]float64 {
+func (r *Reach) Look(now float64, b *clusterstate.State, sure bool, sums map[string]Sum, waits int, own map[string]float64, mates int) map[string]float64 {
 	parts := map[string]float64{}
 	r.nearer(now, b, sure, sums, waits)
 	home := b.Zone(r.Own)
@@ -387,7 +387,7 @@
 }
 
 // nearer looks further while what is near is full or lost, and comes back when it is not.
-func (r *Reach) nearer(now float64, b *clusterstate.Book, sure bool, sums map[string]Sum, waits int) {
+func (r *Reach) nearer(now float64, b *clusterstate.State, sure bool, sums map[string]Sum, waits int) {
 	if !r.Near || !sure && !r.Plant {
 		return
 	}
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -18,12 +18,12 @@
 type court struct {
 	t       interface{ Fatalf(string, ...any) }
 	j       Judge
-	b       *clusterstate.Book
+	b       *clusterstate.State
 	now     float64
 	numbers uint64
 	lost    map[string]bool            // zones that nobody else hears
 	deaf    map[string]map[string]bool // processes that do not hear a zone
-	held    map[string]clusterstate.State
+	held    map[string]clusterstate.ZoneState
 	closed  int
 }
 
@@ -37,7 +37,7 @@
 	return x
 }
 
-func (x *court) verdict(zone string, seen uint64, to clusterstate.State) clusterstate.Refusal {
+func (x *court) verdict(zone string, seen uint64, to clusterstate.ZoneState) clusterstate.Refusal {
 	x.numbers++
 	r, err := x.b.Apply(x.b.Version()+1, codec.AppendCommand(nil, "p0", 1, 1+x.numbers, x.now, codec.Verdict, zone, "", "", seen, uint32(to), "t"))
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (x *court) want(zone string, s clusterstate.State) {
+func (x *court) want(zone string, s clusterstate.ZoneState) {
 	if got := x.b.Zone(zone).State; got != s {
 		x.t.Fatalf("zone %s is %s, want %s", zone, got, s)
 	}
@@ -125,7 +125,7 @@
 
 func TestHeld(t *testing.T) {
 	x := sit(t)
-	x.held = map[string]clusterstate.State{"a": clusterstate.Closed, "b": clusterstate.Open}
+	x.held = map[string]clusterstate.ZoneState{"a": clusterstate.Closed, "b": clusterstate.Open}
 	x.lost["b"] = true
 	x.pass(3000)
 	x.want("a", clusterstate.Closed)
--- a/internal/lab/council/council.go
+++ b/internal/lab/council/council.go
@@ -238,7 +238,7 @@
 		return
 	}
 	g.v.Commands++
-	zone, to := "z"+fmt.Sprint(g.rng.IntN(len(g.procs))), clusterstate.State(g.rng.IntN(4))
+	zone, to := "z"+fmt.Sprint(g.rng.IntN(len(g.procs))), clusterstate.ZoneState(g.rng.IntN(4))
 	b := x.r.View().Book
 	z := b.Zone(zone)
 	now := x.p.Now()
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -270,7 +270,7 @@
 // look holds the verdicts against what has happened.
 func (g *play) look() {
 	now := g.c.True()
-	var newest *clusterstate.Book
+	var newest *clusterstate.State
 	for _, x := range g.procs {
 		if x.r != nil && (newest == nil || x.r.View().Book.Version() > newest.Version()) {
 			newest = x.r.View().Book
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -41,14 +41,14 @@
 	own    map[string]float64 // cores of own work by zone, as last asked for
 	sure   bool
 	level  int
-	book   *clusterstate.Book // by which that is
+	book   *clusterstate.State // by which that is
 }
 
 // zonesOf is what verdicts on zones rest on, as the site file has it.
 func (s *Server) zonesOf(place *site.Place) control.Site {
-	held := map[string]clusterstate.State{}
+	held := map[string]clusterstate.ZoneState{}
 	for zone, how := range place.Held {
-		held[zone] = map[string]clusterstate.State{"open": clusterstate.Open, "closed": clusterstate.Closed}[how]
+		held[zone] = map[string]clusterstate.ZoneState{"open": clusterstate.Open, "closed": clusterstate.Closed}[how]
 	}
 	return control.Site{Zones: place.Zones, Held: held, Far: func(from, to string) float64 { return place.Ways[[2]string{from, to}] }}
 }
