--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,4 +1,4 @@
-// Package control keeps what a site's schedulers agree on, on one goroutine of its own: the council, the book, their timers,
+// Package control keeps what a site's schedulers agree on, on one goroutine of its own: the consensus, the cluster state, their timers,
 // and the messages that members carry. Traffic reads an immutable view by an atomic pointer and waits for nothing here.
 package control
 
@@ -21,9 +21,9 @@
 	codec "ravenpond/internal/proto/book"
 )
 
-// Disk keeps what a steward must not forget.
+// Disk keeps what a voter must not forget.
 type Disk interface {
-	Load() (consensus.Saved, error)
+	Load() (consensus.PersistedState, error)
 	// Save returns when all is on the disk.
 	Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error
 	Close() error
@@ -37,10 +37,10 @@
 	Judge zones.Judge                       // with what tests plant in it
 }
 
-// View is the book at one moment. It is never changed.
+// View is the cluster state at one moment. It is never changed.
 type View struct {
 	Book *clusterstate.State
-	// Sure is until when this process may act by it as it stands, ms of the world's clock; from then on by its careful reading.
+	// Sure is until when this process may act by it as it stands, ms of the world's clock; from then on in degraded mode.
 	Sure float64
 }
 
@@ -61,16 +61,16 @@
 	w    outside.World
 	log  zerolog.Logger
 	all  *runner.Runner
-	disk Disk // nil: no steward
+	disk Disk // nil: not a voter
 	loop outside.Loop
 	view atomic.Pointer[View]
 	over atomic.Bool
 
 	mu   sync.Mutex
 	mail []mail
-	asks []func(*consensus.Council) // by other goroutines
+	asks []func(*consensus.Replica) // by other goroutines
 
-	c      *consensus.Council // the loop's own
+	c      *consensus.Replica // the loop's own
 	holds  uint64
 	site   Site
 	judge  zones.Judge
@@ -80,13 +80,13 @@
 // judgeEach is the time between two looks of the leader at the zones, ms.
 const judgeEach = 100
 
-// Begin runs a process's part in the council of its site on the members' datagrams. A steward's disk is its own from then on.
-func Begin(w outside.World, log zerolog.Logger, all *runner.Runner, who consensus.Charter, disk Disk, site Site) (*Runner, error) {
+// Begin runs a process's part in the consensus of its site on the members' datagrams. A voter's disk is its own from then on.
+func Begin(w outside.World, log zerolog.Logger, all *runner.Runner, who consensus.Config, disk Disk, site Site) (*Runner, error) {
 	if site.Far == nil {
 		site.Far = func(string, string) float64 { return 0 }
 	}
 	r := &Runner{w: w, log: log, all: all, disk: disk, site: site, judge: site.Judge}
-	var saved consensus.Saved
+	var saved consensus.PersistedState
 	if disk != nil {
 		var err error
 		if saved, err = disk.Load(); err != nil {
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	r.c = c
-	c.Reported(func(from string, b []byte) {
+	c.SetReportHandler(func(from string, b []byte) {
 		sums := map[string]zones.Sum{}
 		if codec.ReadSums(b, func(zone string, nodes, heard int, room, used float64) {
 			sums[zone] = zones.Sum{Nodes: nodes, Heard: heard, Room: room, Used: used}
@@ -106,17 +106,17 @@
 			r.judge.Report(r.w.Now(), from, sums)
 		}
 	})
-	r.view.Store(&View{Book: c.Book(), Sure: math.Inf(-1)})
+	r.view.Store(&View{Book: c.State(), Sure: math.Inf(-1)})
 	r.loop = w.Loop(r.turn)
 	all.See(func(d *membership.Detector) { d.Carries(carrier{r}) })
 	return r, nil
 }
 
-// View is the book as this process holds it now.
+// View is the cluster state as this process holds it now.
 func (r *Runner) View() *View { return r.view.Load() }
 
-// Ask has f called with the council on the loop's goroutine; not if that stands still and too many wait.
-func (r *Runner) Ask(f func(c *consensus.Council)) {
+// Ask has f called with the replica on the loop's goroutine; not if that stands still and too many wait.
+func (r *Runner) Ask(f func(c *consensus.Replica)) {
 	r.mu.Lock()
 	if len(r.asks) < mostMail {
 		r.asks = append(r.asks, f)
@@ -150,9 +150,9 @@
 	r.mu.Unlock()
 	for _, m := range mails {
 		if m.body != nil {
-			r.c.Heard(r.w.Now(), m.from, m.body)
+			r.c.OnMessage(r.w.Now(), m.from, m.body)
 		} else {
-			r.c.Ahead(r.w.Now(), m.from, m.version)
+			r.c.OnNewerVersion(r.w.Now(), m.from, m.version)
 		}
 	}
 	for _, f := range asks {
@@ -164,9 +164,9 @@
 	return min(nap, max(0.1, r.c.Next()-r.w.Now()))
 }
 
-// look has the leader judge the zones, and propose to the book what follows.
+// look has the leader judge the zones, and propose what follows.
 func (r *Runner) look(now float64) {
-	if !r.c.Leads() {
+	if !r.c.IsLeader() {
 		r.judge.Forget()
 		return
 	}
@@ -174,7 +174,7 @@
 		return
 	}
 	r.judged = now
-	b := r.c.Book()
+	b := r.c.State()
 	for _, p := range r.judge.Decide(now, b, r.site.Zones, r.site.Held) {
 		r.log.Info().Str("mode", "zones").Str("zone", p.Zone).Stringer("is", b.Zone(p.Zone).State).Stringer("wanted", p.To).Str("cause", p.Cause).Msg("verdict proposed")
 		r.c.Propose(func(out []byte, number uint64) []byte {
@@ -199,26 +199,26 @@
 		s := sums[zone]
 		b = codec.AppendSum(b, zone, s.Nodes, s.Heard, s.Room, s.Used)
 	}
-	r.Ask(func(c *consensus.Council) { c.Report(b) })
+	r.Ask(func(c *consensus.Replica) { c.Report(b) })
 }
 
 // publish lets traffic see what has changed, and others which version is held.
 func (r *Runner) publish() {
 	was := r.view.Load()
-	if was.Book == r.c.Book() && was.Sure == r.c.Sure() {
+	if was.Book == r.c.State() && was.Sure == r.c.LeaseExpiry() {
 		return
 	}
-	r.view.Store(&View{Book: r.c.Book(), Sure: r.c.Sure()})
-	if v := r.c.Book().Version(); v != r.holds {
+	r.view.Store(&View{Book: r.c.State(), Sure: r.c.LeaseExpiry()})
+	if v := r.c.State().Version(); v != r.holds {
 		r.holds = v
 		r.all.See(func(d *membership.Detector) { d.Holds(v) })
 	}
 }
 
-// edge carries out what the council decides.
+// edge executes what the replica decides.
 type edge struct{ *Runner }
 
-func (e edge) Carry(to string, body []byte) {
+func (e edge) Send(to string, body []byte) {
 	e.all.See(func(d *membership.Detector) { d.Carry(e.w.Now(), to, body) })
 }
 
@@ -226,7 +226,7 @@
 	return e.disk.Save(hard, from, entries, snapshot, held)
 }
 
-func (e edge) Mode(line string) { e.log.Info().Str("mode", "council").Msg(line) }
+func (e edge) Log(line string) { e.log.Info().Str("mode", "council").Msg(line) }
 
 // carrier takes what members bring, under their lock: it only puts it down.
 type carrier struct{ *Runner }
--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -1,14 +1,14 @@
-// Package consensus has a site's schedulers agree on the book: time and messages of others in, messages, writes and the book out.
-// A few of them, the stewards, run the published Raft engine (go.etcd.io/raft, which does no I/O); all others follow. No message
-// of it is on the path of a placement.
+// Package consensus replicates the cluster state among a site's schedulers. Time and received messages go in; messages, disk writes and
+// the new state come out. The voters run Raft (go.etcd.io/raft, which does no I/O); all other processes are followers. No placement
+// waits for a message of this package.
 //
-// Whether what a process holds is still so is told by a lease: it asks all stewards again and again for the last command on
-// their disks. Once it holds all that more than half of them name, asked no longer ago than the lease, it holds every command
-// that was agreed on before those asks: that command is on the disks of more than half, so one of those that answered names it
-// or a later one. Until the lease is over it is sure; after that it acts by the last state in its careful reading.
+// A read lease tells a replica whether its state is current. It probes all voters periodically for the last log index on their disks.
+// Once the replica has applied the index that a quorum reported, and those probes were sent within the lease time, it holds every
+// command that was committed before the probes were sent: a committed command is on the disks of a quorum, so at least one voter that
+// answered reported its index or a later one. When the lease expires, the replica acts on its last state in degraded mode.
 //
-// It guards against messages that are lost, late or twice, stewards that are killed, stopped, cut off or can't write, clocks
-// that run apart, and a steward that lost its disk: that one never votes, as it may have voted already.
+// The package tolerates lost, late and duplicate messages, voters that crash, pause, are partitioned or fail to write, clock drift, and
+// a voter that lost its disk: such a voter never votes again, because it may have voted before.
 package consensus
 
 import (
@@ -25,162 +25,163 @@
 	codec "ravenpond/internal/proto/book"
 )
 
-// Lease is how long after its asks a process is sure, in ms.
+// Lease is the validity of a read lease after its probes were sent, in ms.
 const Lease = 2500
 
-// Times in milliseconds, and bounds.
+// Times in milliseconds, sizes in bytes, and limits.
 const (
-	tick      = 100  // of the engine
-	beats     = 2    // ticks between two words of the leader
-	elects    = 10   // ticks without them after which a steward may vote for another
-	campaign  = 1200 // without them a steward stands for leader, after up to as long again
-	askEach   = 500  // between two asks of the stewards
-	again     = 300  // after which a command or a page that did not come is asked for again
-	rate      = 0.01 // by which clocks run apart
-	skew      = 5000 // a command that names a time further from a steward's clock is not taken
-	pageBytes = 1000
-	mostBook  = 56 << 10 // bytes of a book that fits one message
-	mostQueue = 64       // own commands that wait
-	compactAt = 256      // entries after which the log is cut
-	keep      = 64       // entries that are kept for those that lag
-	mostSize  = 16 << 10 // bytes of entries in a message
-
-	mostRaised = 3 // times that a process takes it that its folder was lost: two by one name would go on for ever
+	raftTick         = 100  // between two ticks of Raft
+	heartbeatTicks   = 2    // ticks between two heartbeats of the leader
+	electionTicks    = 10   // ticks without a heartbeat after which a voter may vote for another leader
+	campaignTimeout  = 1200 // time without a heartbeat before a voter campaigns; up to as long again is added at random
+	probeInterval    = 500  // between two probes of the voters
+	retryInterval    = 300  // after which a proposal or a request for a chunk is sent again
+	clockDrift       = 0.01 // relative drift between two clocks that the lease allows for
+	maxClockSkew     = 5000 // a voter rejects a command whose time is further ahead of its clock
+	chunkBytes       = 1000
+	maxStateBytes    = 56 << 10 // of a state that fits one message
+	maxProposals     = 64       // that wait for their results
+	compactThreshold = 256      // log entries after which the log is compacted
+	compactKeep      = 64       // log entries that are kept for lagging voters
+	maxMessageBytes  = 16 << 10 // of log entries in a message
+
+	maxIncarnationRaises = 3 // how often a process raises its incarnation: two processes of one name would do so for ever
 )
 
-// Edge carries out what the council decides.
-type Edge interface {
-	// Carry sends a message to a member, which may be lost.
-	Carry(to string, body []byte)
-	// Save writes what the engine must not forget, and returns when it is on the disk: the hard state, entries from an index on
-	// in place of all that stood there (0: none are), and a snapshot, which holds all entries up to one. What is empty stays as
-	// it is.
+// Effects executes what a replica decides.
+type Effects interface {
+	// Send sends a message to a member. The message may be lost.
+	Send(to string, body []byte)
+	// Save writes Raft's hard state, log entries and snapshot, and returns when they are on the disk. The entries replace all that
+	// are stored from index from on (0: none); the snapshot covers all entries up to index held. Empty arguments leave what is
+	// stored unchanged.
 	Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error
-	Mode(line string)
+	// Log writes a line for operators.
+	Log(line string)
 }
 
-// Saved is what a steward finds on its disk.
-type Saved struct {
+// PersistedState is what a voter finds on its disk when it starts.
+type PersistedState struct {
 	Hard, Snapshot []byte
 	Entries        [][]byte
 }
 
-// Charter says who a process is.
-type Charter struct {
+// Config identifies a replica and the voters of its site.
+type Config struct {
 	Name, Zone, Region string
 	Life               uint64
-	Stewards           []string // names, the same at all
+	Voters             []string // names, the same in all replicas
 	Seed               uint64
-	Plant              Plant
-}
-
-// Plant puts faults into a council, for tests that must find them; the zero value puts none.
-type Plant struct {
-	Unwritten bool // it answers before it has written
-	OldPage   bool // an older book overwrites a newer one
-	OneWord   bool // the word of one steward makes sure
-	Endless   bool // a lease that ends by nothing
-	Forgetful bool // a steward that lost its disk votes
-}
-
-// word is what a steward said when it was asked last.
-type word struct {
-	asked   float64
-	written uint64
-}
-
-// Council is one process's part.
-type Council struct {
-	edge  Edge
-	who   Charter
-	rng   *rand.Rand
-	now   float64
-	book  *clusterstate.State
-	sure  float64
-	words map[string]word
-
-	asks   [8]float64 // when the last rounds of asks were sent, by number
-	asked  uint64
-	askAt  float64
-	tickAt float64
-
-	queue  []waiting // own commands that have no effect yet; the first is on its way
-	number uint64
-	sendAt float64
-	turn   int
-	raised int
-
-	page struct {
+	Faults             Faults
+}
+
+// Faults injects faults for tests that must detect them. The zero value injects none.
+type Faults struct {
+	SendBeforeWrite bool // a voter sends before it has written
+	StaleTransfer   bool // an older state overwrites a newer one
+	SingleVoter     bool // the reply of one voter suffices for a lease
+	EndlessLease    bool // a lease never expires
+	VoteAfterLoss   bool // a voter that lost its disk votes
+}
+
+// probeReply is a voter's latest reply to a probe.
+type probeReply struct {
+	probedAt float64
+	written  uint64
+}
+
+// Replica is one process's replica of the cluster state. It is not safe for concurrent use.
+type Replica struct {
+	effects     Effects
+	config      Config
+	rng         *rand.Rand
+	now         float64
+	state       *clusterstate.State
+	leaseExpiry float64
+	probes      map[string]probeReply
+
+	probeTimes  [8]float64 // when the latest rounds of probes were sent, by number
+	lastProbe   uint64
+	nextProbeAt float64
+	nextTickAt  float64
+
+	proposals         []proposal // without results yet; the first has been sent
+	number            uint64
+	nextSendAt        float64
+	nextVoter         int
+	incarnationRaises int
+
+	transfer struct {
 		from    string
 		version uint64
 		got     []byte
 		at      float64
 		tries   int
 	}
-	shown        []byte // the book in bytes, at a version
-	shownVersion uint64
-	before       []byte // and those shown before
-	beforeIs     uint64
-
-	self     uint64 // among the stewards, from 1; 0: none
-	engine   *raft.RawNode
-	disk     *raft.MemoryStorage
-	fresh    bool // its disk was empty: it waits until all others have said that theirs are
-	heard    map[string]bool
-	halted   string
-	standAt  float64 // when it stands for leader
-	leads    bool
-	since    uint64 // of the last cut of the log
-	conf     *pb.ConfState
-	Figures  Figures
-	answered func(number uint64, r clusterstate.Refusal)
-	leader   string // as far as is known
-	reported func(from string, b []byte)
-}
-
-type waiting struct {
+	snapshot         []byte // the encoded state at a version
+	snapshotVersion  uint64
+	previousSnapshot []byte // the one sent before it
+	previousVersion  uint64
+
+	self           uint64 // Raft ID: position among the voters, from 1; 0: not a voter
+	engine         *raft.RawNode
+	disk           *raft.MemoryStorage
+	emptyDisk      bool // the disk was empty: this voter waits until all others report empty disks
+	answeredVoters map[string]bool
+	haltReason     string
+	campaignAt     float64 // when this voter campaigns
+	isLeader       bool
+	compactedTo    uint64 // index of the last compaction of the log
+	conf           *pb.ConfState
+	Stats          Stats
+	onResult       func(number uint64, r clusterstate.Refusal)
+	leader         string // last known, empty if none
+	onReport       func(from string, b []byte)
+}
+
+type proposal struct {
 	number uint64
 	body   []byte
 }
 
-// Figures count what a council did.
-type Figures struct {
+// Stats counts what a replica did.
+type Stats struct {
 	Messages, Bytes, Writes, Commands, Elections, Pages uint64
 }
 
-// New begins a process's part. saved is what a steward finds on its disk.
-func New(edge Edge, now float64, who Charter, saved Saved) (*Council, error) {
-	c := &Council{edge: edge, who: who, rng: rand.New(rand.NewPCG(who.Seed, 0xb00c)), now: now, book: clusterstate.New(), words: map[string]word{},
-		askAt: now, tickAt: now, heard: map[string]bool{}, answered: func(uint64, clusterstate.Refusal) {}, reported: func(string, []byte) {}}
-	c.self = uint64(slices.Index(who.Stewards, who.Name) + 1)
+// New starts a replica at a time in ms. saved is what a voter finds on its disk; an error means that saved can't be used.
+func New(edge Effects, now float64, who Config, saved PersistedState) (*Replica, error) {
+	c := &Replica{effects: edge, config: who, rng: rand.New(rand.NewPCG(who.Seed, 0xb00c)), now: now, state: clusterstate.New(), probes: map[string]probeReply{},
+		nextProbeAt: now, nextTickAt: now, answeredVoters: map[string]bool{}, onResult: func(uint64, clusterstate.Refusal) {}, onReport: func(string, []byte) {}}
+	c.self = uint64(slices.Index(who.Voters, who.Name) + 1)
 	if c.self > 0 {
-		if err := c.begin(saved); err != nil {
+		if err := c.startVoter(saved); err != nil {
 			return nil, err
 		}
 	}
-	c.act()
+	c.join()
 	return c, nil
 }
 
-// begin begins a steward's engine on what was saved. All stewards begin from the same first snapshot, which holds nothing.
-func (c *Council) begin(saved Saved) error {
-	c.conf = &pb.ConfState{}
-	for i := range c.who.Stewards {
-		c.conf.Voters = append(c.conf.Voters, uint64(i+1))
+// startVoter starts Raft on the saved state. All voters start from the same empty snapshot.
+func (r *Replica) startVoter(saved PersistedState) error {
+	r.conf = &pb.ConfState{}
+	for i := range r.config.Voters {
+		r.conf.Voters = append(r.conf.Voters, uint64(i+1))
 	}
-	c.disk = raft.NewMemoryStorage()
-	first := &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: c.conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
-	c.fresh = len(saved.Hard) == 0 && len(saved.Snapshot) == 0 && len(saved.Entries) == 0
+	r.disk = raft.NewMemoryStorage()
+	first := &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: r.conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
+	r.emptyDisk = len(saved.Hard) == 0 && len(saved.Snapshot) == 0 && len(saved.Entries) == 0
 	if len(saved.Snapshot) > 0 {
 		first = &pb.Snapshot{}
 		if err := proto.Unmarshal(saved.Snapshot, first); err != nil {
 			return fmt.Errorf("council: snapshot: %w", err)
 		}
 	}
-	if !slices.Equal(first.GetMetadata().GetConfState().GetVoters(), c.conf.Voters) {
-		return fmt.Errorf("council: the folder is of %d stewards, the site file names %d", len(first.GetMetadata().GetConfState().GetVoters()), len(c.conf.Voters))
+	if !slices.Equal(first.GetMetadata().GetConfState().GetVoters(), r.conf.Voters) {
+		return fmt.Errorf("council: the folder is of %d stewards, the site file names %d", len(first.GetMetadata().GetConfState().GetVoters()), len(r.conf.Voters))
 	}
-	if err := c.disk.ApplySnapshot(first); err != nil {
+	if err := r.disk.ApplySnapshot(first); err != nil {
 		return fmt.Errorf("council: snapshot: %w", err)
 	}
 	if data := first.GetData(); len(data) > 0 {
@@ -188,15 +189,15 @@
 		if err != nil {
 			return fmt.Errorf("council: snapshot: %w", err)
 		}
-		c.book = b
+		r.state = b
 	}
-	c.since = first.GetMetadata().GetIndex()
+	r.compactedTo = first.GetMetadata().GetIndex()
 	if len(saved.Hard) > 0 {
 		var hard pb.HardState
 		if err := proto.Unmarshal(saved.Hard, &hard); err != nil {
 			return fmt.Errorf("council: state: %w", err)
 		}
-		if err := c.disk.SetHardState(&hard); err != nil {
+		if err := r.disk.SetHardState(&hard); err != nil {
 			return fmt.Errorf("council: state: %w", err)
 		}
 	}
@@ -206,331 +207,335 @@
 		if err := proto.Unmarshal(text, e); err != nil {
 			return fmt.Errorf("council: entry: %w", err)
 		}
-		if e.GetIndex() > c.since {
+		if e.GetIndex() > r.compactedTo {
 			entries = append(entries, e)
 		}
 	}
-	if err := c.disk.Append(entries); err != nil {
+	if err := r.disk.Append(entries); err != nil {
 		return fmt.Errorf("council: entries: %w", err)
 	}
-	return c.run()
+	return r.startRaft()
 }
 
-// run starts the engine on its disk.
-func (c *Council) run() (err error) {
+// startRaft starts Raft on its storage.
+func (r *Replica) startRaft() (err error) {
 	defer func() {
-		if p := recover(); p != nil { // the engine panics on a disk that can't be
+		if p := recover(); p != nil { // Raft panics on inconsistent storage
 			err = fmt.Errorf("council: the folder does not fit together: %v", p)
 		}
 	}()
-	c.engine, err = raft.NewRawNode(&raft.Config{ID: c.self, ElectionTick: elects, HeartbeatTick: beats, Storage: c.disk,
-		Applied: c.since, MaxSizePerMsg: mostSize, MaxInflightMsgs: 16, MaxUncommittedEntriesSize: mostBook, CheckQuorum: true, PreVote: true,
-		Logger: quiet{}})
-	c.stand()
+	r.engine, err = raft.NewRawNode(&raft.Config{ID: r.self, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: r.disk,
+		Applied: r.compactedTo, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: 16, MaxUncommittedEntriesSize: maxStateBytes, CheckQuorum: true, PreVote: true,
+		Logger: silentLogger{}})
+	r.scheduleCampaign()
 	return err
 }
 
-// stand sets the time at which this steward stands for leader, if it hears of none till then.
-func (c *Council) stand() { c.standAt = c.now + campaign*(1+c.rng.Float64()) }
+// scheduleCampaign sets the time at which this voter campaigns unless it hears from a leader before.
+func (r *Replica) scheduleCampaign() { r.campaignAt = r.now + campaignTimeout*(1+r.rng.Float64()) }
 
-// Book is the book as this process holds it. It must not be changed.
-func (c *Council) Book() *clusterstate.State { return c.book }
+// State returns the replicated state. The caller must not change it.
+func (r *Replica) State() *clusterstate.State { return r.state }
 
-// Sure is until when this process may act by it as it stands, ms; in the past: by its careful reading.
-func (c *Council) Sure() float64 { return c.sure }
+// LeaseExpiry returns the time in ms until which the state is known to be current. After it, callers act in degraded mode.
+func (r *Replica) LeaseExpiry() float64 { return r.leaseExpiry }
 
-// Leads tells whether this process is the leader of the stewards, as far as it knows.
-func (c *Council) Leads() bool { return c.leads }
+// IsLeader reports whether this replica believes that it is the leader.
+func (r *Replica) IsLeader() bool { return r.isLeader }
 
-// Halted says why this steward takes no part any more, empty if it does.
-func (c *Council) Halted() string { return c.halted }
+// HaltReason returns why this voter has stopped voting, or an empty string.
+func (r *Replica) HaltReason() string { return r.haltReason }
 
-// Answered has f told what came of own commands.
-func (c *Council) Answered(f func(number uint64, r clusterstate.Refusal)) { c.answered = f }
+// SetResultHandler sets the function that is called with the result of each own proposal.
+func (r *Replica) SetResultHandler(f func(number uint64, refusal clusterstate.Refusal)) {
+	r.onResult = f
+}
 
-// Propose brings in a command of this process's own, which is appended by f under a number. It is said again until it is
-// answered. 0: too many wait.
-func (c *Council) Propose(f func(b []byte, number uint64) []byte) uint64 {
-	if len(c.queue) >= mostQueue {
+// Propose queues a command, which f appends to its argument, and returns the command's number, or 0 if too many are queued. The command
+// is sent repeatedly until its result is known.
+func (r *Replica) Propose(f func(b []byte, number uint64) []byte) uint64 {
+	if len(r.proposals) >= maxProposals {
 		return 0
 	}
-	c.number++
-	c.queue = append(c.queue, waiting{c.number, f(nil, c.number)})
-	if len(c.queue) == 1 {
-		c.sendAt = c.now
+	r.number++
+	r.proposals = append(r.proposals, proposal{r.number, f(nil, r.number)})
+	if len(r.proposals) == 1 {
+		r.nextSendAt = r.now
 	}
-	return c.number
+	return r.number
 }
 
-// Report sends a message of kind Report to the leader, as far as one is known: it is the leader's at once if that is here.
-func (c *Council) Report(b []byte) {
+// Report sends a message of kind Report to the leader, if one is known. On the leader the report handler gets it at once.
+func (r *Replica) Report(b []byte) {
 	switch {
-	case c.leads:
-		c.reported(c.who.Name, b)
-	case c.leader != "":
-		c.hand(c.leader, b)
+	case r.isLeader:
+		r.onReport(r.config.Name, b)
+	case r.leader != "":
+		r.send(r.leader, b)
 	}
 }
 
-// Reported has f take reports while this process leads.
-func (c *Council) Reported(f func(from string, b []byte)) { c.reported = f }
+// SetReportHandler sets the function that receives reports while this replica is the leader.
+func (r *Replica) SetReportHandler(f func(from string, b []byte)) { r.onReport = f }
 
-// Next is when Tick is to be called at the latest.
-func (c *Council) Next() float64 {
-	at := min(c.tickAt, c.askAt)
-	if len(c.queue) > 0 {
-		at = min(at, c.sendAt)
+// Next returns the latest time in ms at which Tick must be called.
+func (r *Replica) Next() float64 {
+	at := min(r.nextTickAt, r.nextProbeAt)
+	if len(r.proposals) > 0 {
+		at = min(at, r.nextSendAt)
 	}
 	return at
 }
 
-// Tick does what is due.
-func (c *Council) Tick(now float64) {
-	c.now = max(c.now, now)
-	if c.now >= c.tickAt {
-		c.tickAt = c.now + tick
-		c.beat()
+// Tick advances the clock and executes what is due.
+func (r *Replica) Tick(now float64) {
+	r.now = max(r.now, now)
+	if r.now >= r.nextTickAt {
+		r.nextTickAt = r.now + raftTick
+		r.tickRaft()
 	}
-	if c.now >= c.askAt {
-		c.askAt = c.now + askEach
-		c.askAll()
+	if r.now >= r.nextProbeAt {
+		r.nextProbeAt = r.now + probeInterval
+		r.probeVoters()
 	}
-	if len(c.queue) > 0 && c.now >= c.sendAt {
-		c.sendAt = c.now + again
-		c.send()
+	if len(r.proposals) > 0 && r.now >= r.nextSendAt {
+		r.nextSendAt = r.now + retryInterval
+		r.sendProposal()
 	}
-	if c.page.from != "" && c.now-c.page.at > again {
-		if c.page.tries++; c.page.tries > 3 {
-			c.page.from = "" // another is asked when it shows that it is ahead
+	if r.transfer.from != "" && r.now-r.transfer.at > retryInterval {
+		if r.transfer.tries++; r.transfer.tries > 3 {
+			r.transfer.from = "" // the next replica that reports a newer version is asked
 		} else {
-			c.fetch()
+			r.requestChunk()
 		}
 	}
-	c.work()
+	r.processReady()
 }
 
-// beat is the engine's time. It stands for leader by this process's own chance, so that a seed plays the same each time.
-func (c *Council) beat() {
-	if !c.serves() {
+// tickRaft ticks Raft. Campaigns are timed by the replica's own random source, so that simulations are reproducible.
+func (r *Replica) tickRaft() {
+	if !r.isVoting() {
 		return
 	}
-	if c.leads {
-		c.engine.Tick()
+	if r.isLeader {
+		r.engine.Tick()
 		return
 	}
-	c.engine.TickQuiesced()
-	if c.now >= c.standAt {
-		c.stand()
-		c.Figures.Elections++
-		_ = c.engine.Campaign() // refused where it may not: then it waits as long again
+	r.engine.TickQuiesced()
+	if r.now >= r.campaignAt {
+		r.scheduleCampaign()
+		r.Stats.Elections++
+		_ = r.engine.Campaign() // an error means that it may not campaign now: the next attempt is scheduled
 	}
 }
 
-// serves tells whether this process's engine takes part.
-func (c *Council) serves() bool {
-	return c.engine != nil && c.halted == "" && (!c.fresh || c.who.Plant.Forgetful)
+// isVoting reports whether this replica is a voter that takes part.
+func (r *Replica) isVoting() bool {
+	return r.engine != nil && r.haltReason == "" && (!r.emptyDisk || r.config.Faults.VoteAfterLoss)
 }
 
-// send says the first of the own commands that wait to a steward, another one each time.
-func (c *Council) send() {
-	w := c.queue[0]
-	if c.serves() {
-		_ = c.engine.Propose(w.body) // dropped where there is no leader: it is said again
+// sendProposal sends the first queued proposal to a voter, to another one at each attempt.
+func (r *Replica) sendProposal() {
+	w := r.proposals[0]
+	if r.isVoting() {
+		_ = r.engine.Propose(w.body) // dropped while there is no leader: it is sent again
 		return
 	}
-	to := c.who.Stewards[c.turn%len(c.who.Stewards)]
-	c.turn++
-	if to != c.who.Name {
-		c.say(to, codec.Proposal, w.body, 0, 0, 0, 0, 0)
+	to := r.config.Voters[r.nextVoter%len(r.config.Voters)]
+	r.nextVoter++
+	if to != r.config.Name {
+		r.sendMessage(to, codec.Proposal, w.body, 0, 0, 0, 0, 0)
 	}
 }
 
-// askAll asks all stewards for the last command on their disks.
-func (c *Council) askAll() {
-	c.asked++
-	c.asks[c.asked%uint64(len(c.asks))] = c.now
-	for _, name := range c.who.Stewards {
+// probeVoters asks all voters for the last log index on their disks.
+func (r *Replica) probeVoters() {
+	r.lastProbe++
+	r.probeTimes[r.lastProbe%uint64(len(r.probeTimes))] = r.now
+	for _, name := range r.config.Voters {
 		switch {
-		case name != c.who.Name:
-			c.say(name, codec.Ask, nil, c.asked, c.book.Version(), 0, 0, 0)
-		case c.serves():
-			c.words[name] = word{c.now, c.written()}
+		case name != r.config.Name:
+			r.sendMessage(name, codec.Ask, nil, r.lastProbe, r.state.Version(), 0, 0, 0)
+		case r.isVoting():
+			r.probes[name] = probeReply{r.now, r.lastWritten()}
 		}
 	}
-	c.lease()
+	r.renewLease()
 }
 
-// written is the last command on this steward's disk, agreed on or not.
-func (c *Council) written() uint64 {
-	last, _ := c.disk.LastIndex()
+// lastWritten returns the last log index on this voter's disk, committed or not.
+func (r *Replica) lastWritten() uint64 {
+	last, _ := r.disk.LastIndex()
 	return last
 }
 
-// lease reckons until when this process is sure.
-func (c *Council) lease() {
+// renewLease extends the lease by the probes that a quorum answered.
+func (r *Replica) renewLease() {
 	var at []float64
-	for _, w := range c.words {
-		if w.written > 1 && w.written <= c.book.Version() { // a disk that holds nothing may have been lost: it says nothing
-			at = append(at, w.asked)
+	for _, w := range r.probes {
+		if w.written > 1 && w.written <= r.state.Version() { // an empty disk may have been lost: it proves nothing
+			at = append(at, w.probedAt)
 		}
 	}
 	slices.SortFunc(at, func(x, y float64) int { return cmp.Compare(y, x) })
-	need := len(c.who.Stewards)/2 + 1
-	if c.who.Plant.OneWord {
+	need := len(r.config.Voters)/2 + 1
+	if r.config.Faults.SingleVoter {
 		need = 1
 	}
 	if len(at) < need {
 		return
 	}
-	until := at[need-1] + Lease*(1-rate)
-	if c.who.Plant.Endless {
+	until := at[need-1] + Lease*(1-clockDrift)
+	if r.config.Faults.EndlessLease {
 		until += 1e9
 	}
-	c.sure = max(c.sure, until)
+	r.leaseExpiry = max(r.leaseExpiry, until)
 }
 
-func (c *Council) say(to string, kind uint32, body []byte, number, version, written, offset, total uint64) {
+// sendMessage encodes and sends a message.
+func (r *Replica) sendMessage(to string, kind uint32, body []byte, number, version, written, offset, total uint64) {
 	b := codec.AppendMessage(nil, kind, body, number, version, written, offset, total)
-	if kind == codec.Word && c.leads {
+	if kind == codec.Word && r.isLeader {
 		b = codec.AppendLeads(b)
 	}
-	c.hand(to, b)
+	r.send(to, b)
 }
 
-func (c *Council) hand(to string, b []byte) {
-	c.Figures.Messages++
-	c.Figures.Bytes += uint64(len(b))
-	c.edge.Carry(to, b)
+func (r *Replica) send(to string, b []byte) {
+	r.Stats.Messages++
+	r.Stats.Bytes += uint64(len(b))
+	r.effects.Send(to, b)
 }
 
-// Heard takes a message of another member.
-func (c *Council) Heard(now float64, from string, b []byte) {
-	c.now = max(c.now, now)
-	_ = codec.ReadMessage(b, func(kind uint32, body []byte, number, version, written, offset, total uint64, leads bool) { // what can't be read is lost
+// OnMessage handles a message of another member. Malformed messages are dropped.
+func (r *Replica) OnMessage(now float64, from string, b []byte) {
+	r.now = max(r.now, now)
+	_ = codec.ReadMessage(b, func(kind uint32, body []byte, number, version, written, offset, total uint64, leads bool) {
 		switch kind {
 		case codec.Council:
-			c.step(from, body)
+			r.stepRaft(from, body)
 		case codec.Ask:
-			if c.engine != nil && c.halted == "" {
-				c.say(from, codec.Word, nil, number, c.book.Version(), c.written(), 0, 0)
+			if r.engine != nil && r.haltReason == "" {
+				r.sendMessage(from, codec.Word, nil, number, r.state.Version(), r.lastWritten(), 0, 0)
 			}
 		case codec.Word:
-			c.told(from, number, version, written)
+			r.onProbeReply(from, number, version, written)
 			if leads {
-				c.leader = from
-			} else if c.leader == from {
-				c.leader = ""
+				r.leader = from
+			} else if r.leader == from {
+				r.leader = ""
 			}
 		case codec.Fetch:
-			c.show(from, number, offset)
+			r.sendChunk(from, number, offset)
 		case codec.Page:
-			c.turned(from, body, version, offset, total)
+			r.onChunk(from, body, version, offset, total)
 		case codec.Proposal:
-			c.taken(body)
+			r.onProposal(body)
 		case codec.Report:
-			if c.leads {
-				c.reported(from, b)
+			if r.isLeader {
+				r.onReport(from, b)
 			}
 		}
 	})
-	c.work()
+	r.processReady()
 }
 
-// step hands a message to the engine, if it is of a steward.
-func (c *Council) step(from string, body []byte) {
-	at := slices.Index(c.who.Stewards, from)
+// stepRaft passes a voter's message to Raft.
+func (r *Replica) stepRaft(from string, body []byte) {
+	at := slices.Index(r.config.Voters, from)
 	var m pb.Message
-	if !c.serves() || at < 0 || proto.Unmarshal(body, &m) != nil || m.GetFrom() != uint64(at+1) || m.GetTo() != c.self || raft.IsLocalMsg(m.GetType()) {
+	if !r.isVoting() || at < 0 || proto.Unmarshal(body, &m) != nil || m.GetFrom() != uint64(at+1) || m.GetTo() != r.self || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
 	switch m.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
-		c.stand()
+		r.scheduleCampaign()
 	}
-	_ = c.engine.Step(&m) // what the engine does not want is as if lost
+	_ = r.engine.Step(&m) // a message that Raft rejects counts as lost
 }
 
-// taken takes another's command, unless it names a time that can't be.
-func (c *Council) taken(body []byte) {
-	if !c.serves() {
+// onProposal proposes another replica's command unless the command's time is implausible.
+func (r *Replica) onProposal(body []byte) {
+	if !r.isVoting() {
 		return
 	}
 	_ = codec.ReadCommand(body, func(string, string, uint32) {},
 		func(_ string, _, _ uint64, at float64, _ uint32, _, _, _ string, _ uint64, _ uint32, _ string) {
-			if at >= c.now-skew*12 && at <= c.now+skew { // an old one may have been said again for long
-				_ = c.engine.Propose(body)
+			if at >= r.now-maxClockSkew*12 && at <= r.now+maxClockSkew { // an old command may have been sent repeatedly for long
+				_ = r.engine.Propose(body)
 			}
 		})
 }
 
-// told takes a steward's word.
-func (c *Council) told(from string, number, version, written uint64) {
-	if slices.Index(c.who.Stewards, from) < 0 {
+// onProbeReply handles a voter's reply to a probe.
+func (r *Replica) onProbeReply(from string, number, version, written uint64) {
+	if slices.Index(r.config.Voters, from) < 0 {
 		return
 	}
-	c.Ahead(c.now, from, version)
-	if number > c.asked || c.asked-number >= uint64(len(c.asks)) {
+	r.OnNewerVersion(r.now, from, version)
+	if number > r.lastProbe || r.lastProbe-number >= uint64(len(r.probeTimes)) {
 		return
 	}
-	c.heard[from] = true
-	if c.fresh && c.halted == "" && !c.who.Plant.Forgetful {
+	r.answeredVoters[from] = true
+	if r.emptyDisk && r.haltReason == "" && !r.config.Faults.VoteAfterLoss {
 		switch {
 		case written > 1:
-			c.halt("its disk was empty, and others hold commands: it may have voted before")
-		case len(c.heard) == len(c.who.Stewards)-1:
-			c.fresh = false
-			c.stand()
+			r.halt("its disk was empty, and others hold commands: it may have voted before")
+		case len(r.answeredVoters) == len(r.config.Voters)-1:
+			r.emptyDisk = false
+			r.scheduleCampaign()
 		}
 	}
-	if asked := c.asks[number%uint64(len(c.asks))]; asked >= c.words[from].asked {
-		c.words[from] = word{asked, written}
-		c.lease()
+	if asked := r.probeTimes[number%uint64(len(r.probeTimes))]; asked >= r.probes[from].probedAt {
+		r.probes[from] = probeReply{asked, written}
+		r.renewLease()
 	}
 }
 
-// halt has this steward take no part any more in this life. It follows from then on.
-func (c *Council) halt(why string) {
-	c.halted, c.leads = why, false
-	delete(c.words, c.who.Name)
-	c.edge.Mode("steward halted: " + why)
+// halt makes this voter a follower for the rest of its incarnation.
+func (r *Replica) halt(why string) {
+	r.haltReason, r.isLeader = why, false
+	delete(r.probes, r.config.Name)
+	r.effects.Log("steward halted: " + why)
 }
 
-// Ahead takes it that another holds a later version of the book.
-func (c *Council) Ahead(now float64, from string, version uint64) {
-	c.now = max(c.now, now)
-	if version <= c.book.Version() || c.page.from != "" || c.serves() {
+// OnNewerVersion tells the replica that another member holds a version. A follower that is behind starts a state transfer.
+func (r *Replica) OnNewerVersion(now float64, from string, version uint64) {
+	r.now = max(r.now, now)
+	if version <= r.state.Version() || r.transfer.from != "" || r.isVoting() {
 		return
 	}
-	c.page.from, c.page.version, c.page.got, c.page.tries = from, 0, nil, 0
-	c.fetch()
+	r.transfer.from, r.transfer.version, r.transfer.got, r.transfer.tries = from, 0, nil, 0
+	r.requestChunk()
 }
 
-func (c *Council) fetch() {
-	c.page.at = c.now
-	c.say(c.page.from, codec.Fetch, nil, c.page.version, 0, 0, uint64(len(c.page.got)), 0)
+// requestChunk asks for the next chunk of the state transfer.
+func (r *Replica) requestChunk() {
+	r.transfer.at = r.now
+	r.sendMessage(r.transfer.from, codec.Fetch, nil, r.transfer.version, 0, 0, uint64(len(r.transfer.got)), 0)
 }
 
-// show answers who fetches: a page of the book that it began with, if that is still shown, else the first of the present one.
-func (c *Council) show(to string, version, offset uint64) {
-	if c.shownVersion != c.book.Version() || c.shown == nil {
-		c.before, c.beforeIs = c.shown, c.shownVersion
-		c.shown, c.shownVersion = c.book.Snapshot(), c.book.Version()
+// sendChunk sends a chunk of the snapshot that the receiver started with, or the first chunk of the current one if that is gone.
+func (r *Replica) sendChunk(to string, version, offset uint64) {
+	if r.snapshotVersion != r.state.Version() || r.snapshot == nil {
+		r.previousSnapshot, r.previousVersion = r.snapshot, r.snapshotVersion
+		r.snapshot, r.snapshotVersion = r.state.Snapshot(), r.state.Version()
 	}
-	text, is := c.shown, c.shownVersion
-	if version == c.beforeIs && c.before != nil {
-		text, is = c.before, c.beforeIs
+	text, is := r.snapshot, r.snapshotVersion
+	if version == r.previousVersion && r.previousSnapshot != nil {
+		text, is = r.previousSnapshot, r.previousVersion
 	}
 	if version != is || offset > uint64(len(text)) {
-		text, is, offset = c.shown, c.shownVersion, 0
+		text, is, offset = r.snapshot, r.snapshotVersion, 0
 	}
-	c.Figures.Pages++
-	c.say(to, codec.Page, text[offset:min(offset+pageBytes, uint64(len(text)))], 0, is, 0, offset, uint64(len(text)))
+	r.Stats.Pages++
+	r.sendMessage(to, codec.Page, text[offset:min(offset+chunkBytes, uint64(len(text)))], 0, is, 0, offset, uint64(len(text)))
 }
 
-// turned takes a page.
-func (c *Council) turned(from string, body []byte, version, offset, total uint64) {
-	p := &c.page
-	if from != p.from || total > mostBook {
+// onChunk handles a chunk of the state transfer.
+func (r *Replica) onChunk(from string, body []byte, version, offset, total uint64) {
+	p := &r.transfer
+	if from != p.from || total > maxStateBytes {
 		return
 	}
 	if version != p.version {
@@ -544,110 +549,111 @@
 	}
 	p.got, p.tries = append(p.got, body...), 0
 	if uint64(len(p.got)) < total {
-		c.fetch()
+		r.requestChunk()
 		return
 	}
 	text := p.got
 	p.from, p.got = "", nil
 	b, err := clusterstate.Read(text)
 	if err != nil {
-		c.edge.Mode(fmt.Sprintf("a page of %s is not taken: %v", from, err))
+		r.effects.Log(fmt.Sprintf("a page of %s is not taken: %v", from, err))
 		return
 	}
-	if b.Version() > c.book.Version() || c.who.Plant.OldPage {
-		c.hold(b)
+	if b.Version() > r.state.Version() || r.config.Faults.StaleTransfer {
+		r.adoptState(b)
 	}
 }
 
-// hold takes a later book.
-func (c *Council) hold(b *clusterstate.State) {
-	c.book = b
-	c.lease()
-	if len(c.queue) == 0 {
+// adoptState replaces the state by a later one and reports the result of the first proposal.
+func (r *Replica) adoptState(b *clusterstate.State) {
+	r.state = b
+	r.renewLease()
+	if len(r.proposals) == 0 {
 		return
 	}
-	if number, refused, ok := b.LastResult(c.who.Name, c.who.Life); ok && number >= c.queue[0].number {
-		c.queue = c.queue[1:] // they are said one after the other: it is the first's answer
-		c.sendAt = c.now
-		c.answered(number, refused)
-	} else if p, there := b.Process(c.who.Name); there && p.Life > c.who.Life && c.raised < mostRaised { // this process's folder was lost
-		c.raised++
-		c.who.Life, c.number, c.queue = p.Life+1, 0, nil
-		c.act()
+	if number, refused, ok := b.LastResult(r.config.Name, r.config.Life); ok && number >= r.proposals[0].number {
+		r.proposals = r.proposals[1:] // proposals are sent one at a time: it is the first one's result
+		r.nextSendAt = r.now
+		r.onResult(number, refused)
+	} else if p, there := b.Process(r.config.Name); there && p.Life > r.config.Life && r.incarnationRaises < maxIncarnationRaises { // this process's data directory was lost
+		r.incarnationRaises++
+		r.config.Life, r.number, r.proposals = p.Life+1, 0, nil
+		r.join()
 	}
 }
 
-// act has this process act in its life: nothing that it proposes has an effect before.
-func (c *Council) act() {
-	c.Propose(func(b []byte, number uint64) []byte {
-		return codec.AppendCommand(b, c.who.Name, c.who.Life, number, c.now, codec.Act, c.who.Name, c.who.Zone, c.who.Region, 0, 0, "")
+// join proposes this process's incarnation. No other proposal of the incarnation has an effect before it.
+func (r *Replica) join() {
+	r.Propose(func(b []byte, number uint64) []byte {
+		return codec.AppendCommand(b, r.config.Name, r.config.Life, number, r.now, codec.Act, r.config.Name, r.config.Zone, r.config.Region, 0, 0, "")
 	})
 }
 
-// Name is this process's.
-func (c *Council) Name() string { return c.who.Name }
+// Name returns the replica's name.
+func (r *Replica) Name() string { return r.config.Name }
 
-// Life is the life in which this process acts.
-func (c *Council) Life() uint64 { return c.who.Life }
+// Life returns the replica's incarnation.
+func (r *Replica) Life() uint64 { return r.config.Life }
 
-// work writes what the engine wants written, sends what it wants sent after that, and applies what is agreed on.
-func (c *Council) work() {
-	if !c.serves() {
+// processReady writes what Raft wants written, then sends its messages, then applies the committed entries.
+func (r *Replica) processReady() {
+	if !r.isVoting() {
 		return
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			c.halt(fmt.Sprint("the engine found itself broken: ", p))
+			r.halt(fmt.Sprint("the engine found itself broken: ", p))
 		}
 	}()
-	for c.engine.HasReady() {
-		rd := c.engine.Ready()
+	for r.engine.HasReady() {
+		rd := r.engine.Ready()
 		if rd.SoftState != nil {
-			if leads := rd.SoftState.RaftState == raft.StateLeader; leads != c.leads {
-				c.leads = leads
-				c.edge.Mode(fmt.Sprintf("leads=%t at version %d", leads, c.book.Version()))
+			if leads := rd.SoftState.RaftState == raft.StateLeader; leads != r.isLeader {
+				r.isLeader = leads
+				r.effects.Log(fmt.Sprintf("leads=%t at version %d", leads, r.state.Version()))
 			}
 		}
-		if c.who.Plant.Unwritten {
-			c.sendAll(rd.Messages)
+		if r.config.Faults.SendBeforeWrite {
+			r.sendRaftMessages(rd.Messages)
 		}
-		if err := c.save(rd); err != nil {
-			c.halt("can't write: " + err.Error())
+		if err := r.save(rd); err != nil {
+			r.halt("can't write: " + err.Error())
 			return
 		}
-		if !c.who.Plant.Unwritten {
-			c.sendAll(rd.Messages)
+		if !r.config.Faults.SendBeforeWrite {
+			r.sendRaftMessages(rd.Messages)
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			b, err := clusterstate.Read(rd.Snapshot.GetData())
 			if err != nil {
-				c.halt("a snapshot of the leader can't be read: " + err.Error())
+				r.halt("a snapshot of the leader can't be read: " + err.Error())
 				return
 			}
-			c.since = rd.Snapshot.GetMetadata().GetIndex()
-			c.hold(b)
+			r.compactedTo = rd.Snapshot.GetMetadata().GetIndex()
+			r.adoptState(b)
 		}
-		c.apply(rd.CommittedEntries)
-		c.engine.Advance(rd)
+		r.apply(rd.CommittedEntries)
+		r.engine.Advance(rd)
 	}
-	c.cut()
+	r.compactLog()
 }
 
-func (c *Council) sendAll(all []*pb.Message) {
+// sendRaftMessages sends Raft's messages to the other voters.
+func (r *Replica) sendRaftMessages(all []*pb.Message) {
 	for _, m := range all {
 		body, err := proto.Marshal(m)
-		if err != nil || m.GetTo() == 0 || m.GetTo() > uint64(len(c.who.Stewards)) {
+		if err != nil || m.GetTo() == 0 || m.GetTo() > uint64(len(r.config.Voters)) {
 			continue
 		}
-		c.say(c.who.Stewards[m.GetTo()-1], codec.Council, body, 0, 0, 0, 0, 0)
-		if m.GetType() == pb.MsgSnap { // whether it came is seen by what its receiver says next
-			c.engine.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
+		r.sendMessage(r.config.Voters[m.GetTo()-1], codec.Council, body, 0, 0, 0, 0, 0)
+		if m.GetType() == pb.MsgSnap { // the receiver's next message shows whether it arrived
+			r.engine.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
 }
 
-// save writes, and only then has the engine's own memory hold it.
-func (c *Council) save(rd raft.Ready) error {
+// save writes to the disk first and to Raft's in-memory storage after that.
+func (r *Replica) save(rd raft.Ready) error {
 	var hard, snapshot []byte
 	var entries [][]byte
 	var from, held uint64
@@ -662,7 +668,7 @@
 			return err
 		}
 	}
-	if snapshot != nil { // what the log held is void
+	if snapshot != nil { // the snapshot replaces the log
 		held = rd.Snapshot.GetMetadata().GetIndex()
 		from = held + 1
 	}
@@ -679,29 +685,29 @@
 	if hard == nil && snapshot == nil && entries == nil {
 		return nil
 	}
-	c.Figures.Writes++
-	if err := c.edge.Save(hard, from, entries, snapshot, held); err != nil {
+	r.Stats.Writes++
+	if err := r.effects.Save(hard, from, entries, snapshot, held); err != nil {
 		return err
 	}
 	if snapshot != nil {
-		if err := c.disk.ApplySnapshot(rd.Snapshot); err != nil {
+		if err := r.disk.ApplySnapshot(rd.Snapshot); err != nil {
 			return err
 		}
 	}
 	if hard != nil {
-		if err := c.disk.SetHardState(rd.HardState); err != nil {
+		if err := r.disk.SetHardState(rd.HardState); err != nil {
 			return err
 		}
 	}
-	return c.disk.Append(rd.Entries)
+	return r.disk.Append(rd.Entries)
 }
 
-// apply changes the book by what is agreed on.
-func (c *Council) apply(entries []*pb.Entry) {
+// apply applies committed entries to the state.
+func (r *Replica) apply(entries []*pb.Entry) {
 	if len(entries) == 0 {
 		return
 	}
-	b := c.book.Clone()
+	b := r.state.Clone()
 	for _, e := range entries {
 		if e.GetIndex() <= b.Version() {
 			continue
@@ -710,7 +716,7 @@
 		if e.GetType() != pb.EntryNormal {
 			command = nil
 		}
-		c.Figures.Commands++
+		r.Stats.Commands++
 		refused, err := b.Apply(e.GetIndex(), command)
 		if err == nil {
 			err = b.Check()
@@ -719,31 +725,31 @@
 			panic(err)
 		}
 		if refused != clusterstate.Taken {
-			c.edge.Mode(fmt.Sprintf("command %d refused: %s", e.GetIndex(), refused))
+			r.effects.Log(fmt.Sprintf("command %d refused: %s", e.GetIndex(), refused))
 		}
 	}
-	c.hold(b)
-	if !c.leads {
+	r.adoptState(b)
+	if !r.isLeader {
 		return
 	}
-	for _, p := range b.Processes() { // they would hear of it with their next ask: what is agreed on is rare, and to be acted on soon
-		if !p.Out && slices.Index(c.who.Stewards, p.Name) < 0 {
-			c.say(p.Name, codec.Word, nil, 0, b.Version(), c.written(), 0, 0)
+	for _, p := range b.Processes() { // followers would learn of it by their next probe; commits are rare and should take effect soon
+		if !p.Out && slices.Index(r.config.Voters, p.Name) < 0 {
+			r.sendMessage(p.Name, codec.Word, nil, 0, b.Version(), r.lastWritten(), 0, 0)
 		}
 	}
 }
 
-// cut takes what is old out of the log, and writes the book in its place.
-func (c *Council) cut() {
-	v := c.book.Version()
-	if v < c.since+compactAt {
+// compactLog replaces old log entries by a snapshot.
+func (r *Replica) compactLog() {
+	v := r.state.Version()
+	if v < r.compactedTo+compactThreshold {
 		return
 	}
-	text := c.book.Snapshot()
-	if len(text) > mostBook {
-		return // it can't be carried: the log stays
+	text := r.state.Snapshot()
+	if len(text) > maxStateBytes {
+		return // the snapshot would not fit a message: the log is kept
 	}
-	snap, err := c.disk.CreateSnapshot(v, c.conf, text)
+	snap, err := r.disk.CreateSnapshot(v, r.conf, text)
 	if err != nil {
 		return
 	}
@@ -751,29 +757,29 @@
 	if err != nil {
 		return
 	}
-	if err := c.edge.Save(nil, 0, nil, whole, v); err != nil {
-		c.halt("can't write: " + err.Error())
+	if err := r.effects.Save(nil, 0, nil, whole, v); err != nil {
+		r.halt("can't write: " + err.Error())
 		return
 	}
-	c.Figures.Writes++
-	c.since = v
-	_ = c.disk.Compact(v - keep)
+	r.Stats.Writes++
+	r.compactedTo = v
+	_ = r.disk.Compact(v - compactKeep)
 }
 
-// quiet keeps the engine's lines out of the log; what must not happen still panics.
-type quiet struct{}
+// silentLogger drops Raft's log lines. Fatal conditions still panic.
+type silentLogger struct{}
 
-func (quiet) Debug(...any)            {}
-func (quiet) Debugf(string, ...any)   {}
-func (quiet) Error(...any)            {}
-func (quiet) Errorf(string, ...any)   {}
-func (quiet) Info(...any)             {}
-func (quiet) Infof(string, ...any)    {}
-func (quiet) Warning(...any)          {}
-func (quiet) Warningf(string, ...any) {}
-func (quiet) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(f string, v ...any) {
+func (silentLogger) Debug(...any)            {}
+func (silentLogger) Debugf(string, ...any)   {}
+func (silentLogger) Error(...any)            {}
+func (silentLogger) Errorf(string, ...any)   {}
+func (silentLogger) Info(...any)             {}
+func (silentLogger) Infof(string, ...any)    {}
+func (silentLogger) Warning(...any)          {}
+func (silentLogger) Warningf(string, ...any) {}
+func (silentLogger) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
+func (silentLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
-func (quiet) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (silentLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (silentLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- a/internal/decide/consensus/consensus_test.go
+++ b/internal/decide/consensus/consensus_test.go
@@ -11,7 +11,7 @@
 	codec "ravenpond/internal/proto/book"
 )
 
-// table is councils that speak by a list of messages, and their disks.
+// table is replicas that exchange a list of messages, and their disks.
 type table struct {
 	t    *testing.T
 	now  float64
@@ -29,14 +29,14 @@
 type seat struct {
 	x     *table
 	name  string
-	c     *Council
-	saved Saved
+	c     *Replica
+	saved PersistedState
 	from  uint64
 	fails bool
 	lines []string
 }
 
-func (s *seat) Carry(to string, body []byte) {
+func (s *seat) Send(to string, body []byte) {
 	s.x.way = append(s.x.way, letter{s.name, to, slices.Clone(body)})
 }
 
@@ -59,20 +59,20 @@
 	return nil
 }
 
-func (s *seat) Mode(line string) { s.lines = append(s.lines, line) }
+func (s *seat) Log(line string) { s.lines = append(s.lines, line) }
 
 func sit(t *testing.T, names ...string) *table {
 	x := &table{t: t, now: 1e6, all: map[string]*seat{}, mute: map[string]bool{}}
 	for i, n := range names {
 		x.all[n] = &seat{x: x, name: n}
-		x.begin(n, 1, uint64(i), Plant{})
+		x.begin(n, 1, uint64(i), Faults{})
 	}
 	return x
 }
 
-func (x *table) begin(name string, life, seed uint64, p Plant) {
+func (x *table) begin(name string, life, seed uint64, p Faults) {
 	x.t.Helper()
-	c, err := New(x.all[name], x.now, Charter{Name: name, Zone: "z" + name, Life: life, Stewards: []string{"a", "b", "c"}, Seed: seed, Plant: p}, x.all[name].saved)
+	c, err := New(x.all[name], x.now, Config{Name: name, Zone: "z" + name, Life: life, Voters: []string{"a", "b", "c"}, Seed: seed, Faults: p}, x.all[name].saved)
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 		x.way = nil
 		for _, l := range way {
 			if s := x.all[l.to]; s != nil && !x.mute[l.from] && !x.mute[l.to] {
-				s.c.Heard(x.now, l.from, l.body)
+				s.c.OnMessage(x.now, l.from, l.body)
 			}
 		}
 		for _, name := range []string{"a", "b", "c", "d"} {
@@ -99,14 +99,14 @@
 
 func (x *table) leader() string {
 	for name, s := range x.all {
-		if s.c.Leads() && !x.mute[name] {
+		if s.c.IsLeader() && !x.mute[name] {
 			return name
 		}
 	}
 	return ""
 }
 
-// TestAgree has three stewards and one who follows agree, lose their leader, and be sure or not as they are cut off.
+// TestAgree has three voters and one follower agree, lose their leader, and hold a lease or not as they are partitioned.
 func TestAgree(t *testing.T) {
 	x := sit(t, "a", "b", "c", "d")
 	x.pass(6000)
@@ -115,39 +115,39 @@
 		t.Fatal("no leader")
 	}
 	for name, s := range x.all {
-		if p, ok := s.c.Book().Process("d"); !ok || p.Zone != "zd" || s.c.Sure() < x.now {
-			t.Errorf("%s: %+v, sure for %g", name, p, s.c.Sure()-x.now)
+		if p, ok := s.c.State().Process("d"); !ok || p.Zone != "zd" || s.c.LeaseExpiry() < x.now {
+			t.Errorf("%s: %+v, sure for %g", name, p, s.c.LeaseExpiry()-x.now)
 		}
 	}
 	x.mute[first] = true
 	x.pass(1.1 * Lease)
-	if s := x.all[first]; s.c.Sure() > x.now || s.c.Leads() {
-		t.Errorf("cut off, %s is sure for %g, leads %v", first, s.c.Sure()-x.now, s.c.Leads())
+	if s := x.all[first]; s.c.LeaseExpiry() > x.now || s.c.IsLeader() {
+		t.Errorf("cut off, %s is sure for %g, leads %v", first, s.c.LeaseExpiry()-x.now, s.c.IsLeader())
 	}
 	x.pass(4000)
 	if second := x.leader(); second == "" || second == first {
 		t.Fatalf("%q leads after %q", second, first)
 	}
-	if s := x.all["d"].c; s.Sure() < x.now {
+	if s := x.all["d"].c; s.LeaseExpiry() < x.now {
 		t.Error("two of three stewards do not make sure")
 	}
 	x.mute[first] = false
 	x.pass(3000)
-	if s := x.all[first]; s.c.Sure() < x.now || s.c.Book().Version() != x.all["d"].c.Book().Version() {
+	if s := x.all[first]; s.c.LeaseExpiry() < x.now || s.c.State().Version() != x.all["d"].c.State().Version() {
 		t.Errorf("back, %s is not", first)
 	}
 }
 
-// TestAnswers has own commands answered once each, with what came of them, though each is said again and again.
+// TestAnswers has own commands answered once each, with what came of them, though each is sent again and again.
 func TestAnswers(t *testing.T) {
 	x := sit(t, "a", "b", "c", "d")
 	x.pass(5000)
 	var got []string
 	c := x.all["d"].c
-	c.Answered(func(number uint64, r clusterstate.Refusal) { got = append(got, fmt.Sprint(number, " ", r)) })
+	c.SetResultHandler(func(number uint64, r clusterstate.Refusal) { got = append(got, fmt.Sprint(number, " ", r)) })
 	verdict := func(zone string, to clusterstate.ZoneState) {
 		c.Propose(func(b []byte, number uint64) []byte {
-			return codec.AppendCommand(b, "d", 1, number, x.now, codec.Verdict, zone, "", "", c.Book().Zone(zone).Version, uint32(to), "")
+			return codec.AppendCommand(b, "d", 1, number, x.now, codec.Verdict, zone, "", "", c.State().Zone(zone).Version, uint32(to), "")
 		})
 	}
 	verdict("za", clusterstate.Suspect)
@@ -159,15 +159,15 @@
 	if want := []string{"2 taken", "3 no-way"}; !slices.Equal(got, want) {
 		t.Errorf("%q, want %q", got, want)
 	}
-	for range 2 * mostQueue {
+	for range 2 * maxProposals {
 		verdict("za", clusterstate.Open)
 	}
-	if len(c.queue) != mostQueue {
-		t.Errorf("%d wait", len(c.queue))
+	if len(c.proposals) != maxProposals {
+		t.Errorf("%d wait", len(c.proposals))
 	}
 }
 
-// TestDisk has a steward that can't write take no part, and one that lost its disk never vote, while both follow.
+// TestDisk has a voter that can't write take no part, and one that lost its disk never vote, while both follow.
 func TestDisk(t *testing.T) {
 	x := sit(t, "a", "b", "c")
 	x.pass(5000)
@@ -177,23 +177,23 @@
 		return codec.AppendCommand(b, l, 1, number, x.now, codec.Verdict, "za", "", "", 0, uint32(clusterstate.Suspect), "")
 	})
 	x.pass(8000)
-	if s := x.all[l]; s.c.Halted() == "" || s.c.Leads() {
+	if s := x.all[l]; s.c.HaltReason() == "" || s.c.IsLeader() {
 		t.Fatalf("its disk is full, and %s goes on", l)
 	}
-	if s := x.all[l].c; s.Book().Zone("za").State != clusterstate.Suspect || s.Sure() < x.now {
-		t.Errorf("it does not follow: version %d, sure for %g", s.Book().Version(), s.Sure()-x.now)
+	if s := x.all[l].c; s.State().Zone("za").State != clusterstate.Suspect || s.LeaseExpiry() < x.now {
+		t.Errorf("it does not follow: version %d, sure for %g", s.State().Version(), s.LeaseExpiry()-x.now)
 	}
 	other := map[string]string{"a": "b", "b": "c", "c": "a"}[l]
 	x.all[l].fails = false
-	x.begin(l, 2, 9, Plant{})
+	x.begin(l, 2, 9, Faults{})
 	x.pass(3000)
 	*x.all[other] = seat{x: x, name: other}
-	x.begin(other, 2, 8, Plant{})
+	x.begin(other, 2, 8, Faults{})
 	x.pass(6000)
-	if s := x.all[other]; !strings.Contains(s.c.Halted(), "disk was empty") || s.c.Sure() < x.now {
-		t.Errorf("lost its disk: halted %q, sure for %g", s.c.Halted(), s.c.Sure()-x.now)
+	if s := x.all[other]; !strings.Contains(s.c.HaltReason(), "disk was empty") || s.c.LeaseExpiry() < x.now {
+		t.Errorf("lost its disk: halted %q, sure for %g", s.c.HaltReason(), s.c.LeaseExpiry()-x.now)
 	}
-	if x.all[l].c.Halted() != "" {
+	if x.all[l].c.HaltReason() != "" {
 		t.Error("still halted in its next life")
 	}
 }
@@ -218,22 +218,22 @@
 	for _, plant := range []bool{false, true} {
 		x := sit(t)
 		x.all["d"] = &seat{x: x, name: "d"}
-		x.begin("d", 1, 1, Plant{OldPage: plant})
+		x.begin("d", 1, 1, Faults{StaleTransfer: plant})
 		c := x.all["d"].c
-		c.Ahead(x.now, "a", 8)
+		c.OnNewerVersion(x.now, "a", 8)
 		for _, p := range append(pages(older)[:1], pages(newer)...) { // its source had a later one meanwhile
-			c.Heard(x.now, "b", pages(older)[0]) // not asked
-			c.Heard(x.now, "a", p)
+			c.OnMessage(x.now, "b", pages(older)[0]) // not asked
+			c.OnMessage(x.now, "a", p)
 		}
-		if c.Book().Version() != 8 {
-			t.Fatalf("version %d of pages of 8", c.Book().Version())
+		if c.State().Version() != 8 {
+			t.Fatalf("version %d of pages of 8", c.State().Version())
 		}
-		c.Ahead(x.now, "b", 99) // who says so holds less
+		c.OnNewerVersion(x.now, "b", 99) // who says so holds less
 		for _, p := range pages(older) {
-			c.Heard(x.now, "b", p)
+			c.OnMessage(x.now, "b", p)
 		}
-		if back := c.Book().Version() == 4; back != plant {
-			t.Errorf("an older book, planted %v: version %d", plant, c.Book().Version())
+		if back := c.State().Version() == 4; back != plant {
+			t.Errorf("an older book, planted %v: version %d", plant, c.State().Version())
 		}
 	}
 }
@@ -241,25 +241,25 @@
 // TestLost has a process that lost its folder act in a life above the one that the book knows.
 func TestLost(t *testing.T) {
 	x := sit(t, "a", "b", "c", "d")
-	x.begin("d", 7, 3, Plant{})
+	x.begin("d", 7, 3, Faults{})
 	x.pass(6000)
-	x.begin("d", 1, 4, Plant{})
+	x.begin("d", 1, 4, Faults{})
 	x.pass(6000)
-	if p, _ := x.all["a"].c.Book().Process("d"); p.Life != 8 || x.all["d"].c.Life() != 8 {
+	if p, _ := x.all["a"].c.State().Process("d"); p.Life != 8 || x.all["d"].c.Life() != 8 {
 		t.Errorf("%+v, it thinks it is in life %d", p, x.all["d"].c.Life())
 	}
 }
 
-// TestFolder refuses a folder of other stewards, and one that does not fit together.
+// TestFolder refuses a folder of other voters, and one that does not fit together.
 func TestFolder(t *testing.T) {
 	x := sit(t, "a", "b", "c")
 	x.pass(5000)
 	saved := x.all["a"].saved
-	for what, s := range map[string]Saved{
+	for what, s := range map[string]PersistedState{
 		"an entry that can't be read": {Hard: saved.Hard, Entries: [][]byte{{0xff}}},
 		"a state without its entries": {Hard: saved.Hard},
 	} {
-		if _, err := New(x.all["a"], x.now, Charter{Name: "a", Life: 2, Stewards: []string{"a", "b", "c"}}, s); err == nil {
+		if _, err := New(x.all["a"], x.now, Config{Name: "a", Life: 2, Voters: []string{"a", "b", "c"}}, s); err == nil {
 			t.Error(what)
 		}
 	}
--- a/internal/lab/council/council.go
+++ b/internal/lab/council/council.go
@@ -46,7 +46,7 @@
 	v      Verdict
 	c      *sim.Clock
 	rng    *rand.Rand
-	plant  consensus.Plant
+	plant  consensus.Faults
 	procs  []*proc
 	names  []string // of the stewards
 	agreed map[uint64][]byte
@@ -73,15 +73,15 @@
 type Disk struct {
 	Full bool // it takes nothing
 
-	saved consensus.Saved
+	saved consensus.PersistedState
 	from  uint64 // of the first entry
 }
 
 var errFull = errors.New("no space left on the disk")
 
 // Load gives what was saved.
-func (d *Disk) Load() (consensus.Saved, error) {
-	return consensus.Saved{Hard: d.saved.Hard, Snapshot: d.saved.Snapshot, Entries: slices.Clone(d.saved.Entries)}, nil
+func (d *Disk) Load() (consensus.PersistedState, error) {
+	return consensus.PersistedState{Hard: d.saved.Hard, Snapshot: d.saved.Snapshot, Entries: slices.Clone(d.saved.Entries)}, nil
 }
 
 // Save keeps it.
@@ -120,9 +120,9 @@
 func (Deaf) Hears(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
 
 // Begin begins the members and the control of a scheduler's life in a process of its name; disk is nil unless it is a steward.
-func Begin(p *sim.Process, seed uint64, who consensus.Charter, disk *Disk, site control.Site) (*control.Runner, error) {
+func Begin(p *sim.Process, seed uint64, who consensus.Config, disk *Disk, site control.Site) (*control.Runner, error) {
 	var seeds []string
-	for _, s := range who.Stewards {
+	for _, s := range who.Voters {
 		seeds = append(seeds, s+":7")
 	}
 	m, err := members.Begin(p, p.Name+":7", detector.Charter{Site: "lab", Name: p.Name, Address: p.Name + ":7", Life: who.Life, Key: []byte("a key"), Seeds: seeds, Seed: seed}, Deaf{})
@@ -138,7 +138,7 @@
 }
 
 // Play plays a seed.
-func Play(seed uint64, plant consensus.Plant) (v Verdict) {
+func Play(seed uint64, plant consensus.Faults) (v Verdict) {
 	g := &play{v: Verdict{Seed: seed}, c: sim.NewClock(seed), rng: rand.New(rand.NewPCG(seed, 0xc0)), plant: plant, agreed: map[uint64][]byte{}}
 	defer func() {
 		if p := recover(); p != nil {
@@ -212,7 +212,7 @@
 	x.life++
 	x.held = 0
 	var err error
-	who := consensus.Charter{Zone: "z" + x.name[1:], Life: x.life, Stewards: x.g.names, Plant: x.g.plant}
+	who := consensus.Config{Zone: "z" + x.name[1:], Life: x.life, Voters: x.g.names, Faults: x.g.plant}
 	if x.r, err = Begin(x.p, x.g.rng.Uint64(), who, x.disk, control.Site{}); err != nil {
 		x.g.fail(err.Error())
 	}
@@ -242,8 +242,8 @@
 	b := x.r.View().Book
 	z := b.Zone(zone)
 	now := x.p.Now()
-	x.r.Ask(func(c *consensus.Council) {
-		c.Answered(func(uint64, clusterstate.Refusal) { g.v.Answered++ })
+	x.r.Ask(func(c *consensus.Replica) {
+		c.SetResultHandler(func(uint64, clusterstate.Refusal) { g.v.Answered++ })
 		c.Propose(func(b []byte, number uint64) []byte {
 			return codec.AppendCommand(b, x.name, c.Life(), number, now, codec.Verdict, zone, "", "", z.Version, uint32(to), "seed")
 		})
@@ -412,7 +412,7 @@
 }
 
 // Seeds plays the seeds from a to b, the latter left out, so many at a time.
-func Seeds(ctx context.Context, a, b uint64, workers int, plant consensus.Plant) []Verdict {
+func Seeds(ctx context.Context, a, b uint64, workers int, plant consensus.Faults) []Verdict {
 	return slices.DeleteFunc(seeds.Each(ctx, a, b, workers, func(seed uint64) Verdict { return Play(seed, plant) }),
 		func(v Verdict) bool { return v.Commands == 0 && v.Broken == "" })
 }
@@ -436,8 +436,8 @@
 	}
 	sum := func(by float64) {
 		for i, x := range g.procs {
-			x.r.Ask(func(k *consensus.Council) {
-				m, b, w := by*float64(k.Figures.Messages), by*float64(k.Figures.Bytes), by*float64(k.Figures.Writes)
+			x.r.Ask(func(k *consensus.Replica) {
+				m, b, w := by*float64(k.Stats.Messages), by*float64(k.Stats.Bytes), by*float64(k.Stats.Writes)
 				if i < len(g.names) {
 					c.Steward, c.StewardBytes, c.Writes = c.Steward+m, c.StewardBytes+b, c.Writes+w
 				} else {
--- a/internal/lab/council/council_test.go
+++ b/internal/lab/council/council_test.go
@@ -11,7 +11,7 @@
 // TestSeeds plays schedulers that agree on a book among kills, stops, cuts, loss and full disks.
 func TestSeeds(t *testing.T) {
 	versions, answered := uint64(0), 0
-	for _, v := range Seeds(context.Background(), 1, 25, runtime.NumCPU(), consensus.Plant{}) {
+	for _, v := range Seeds(context.Background(), 1, 25, runtime.NumCPU(), consensus.Faults{}) {
 		if v.Broken != "" {
 			t.Errorf("seed %d: %.1200s", v.Seed, v.Broken)
 		}
@@ -20,7 +20,7 @@
 	if versions < 500 || answered < 300 {
 		t.Errorf("%d versions, %d answers: the seeds show too little", versions, answered)
 	}
-	if one, two := Play(7, consensus.Plant{}), Play(7, consensus.Plant{}); one != two {
+	if one, two := Play(7, consensus.Faults{}), Play(7, consensus.Faults{}); one != two {
 		t.Errorf("played twice: %+v and %+v", one, two)
 	}
 }
@@ -29,13 +29,13 @@
 func TestPlanted(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		plant consensus.Plant
+		plant consensus.Faults
 		from  uint64 // seeds from here on
 	}{
-		{"answered before it is written", consensus.Plant{Unwritten: true}, 1},
-		{"one steward's word makes sure", consensus.Plant{OneWord: true}, 1},
-		{"a lease that nothing ends", consensus.Plant{Endless: true}, 1},
-		{"a steward that lost its disk votes", consensus.Plant{Forgetful: true}, 14},
+		{"answered before it is written", consensus.Faults{SendBeforeWrite: true}, 1},
+		{"one steward's word makes sure", consensus.Faults{SingleVoter: true}, 1},
+		{"a lease that nothing ends", consensus.Faults{EndlessLease: true}, 1},
+		{"a steward that lost its disk votes", consensus.Faults{VoteAfterLoss: true}, 14},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := c.from; seed < c.from+40; seed++ {
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -149,7 +149,7 @@
 		return 10
 	}, Judge: zones.Judge{Alone: g.plant.Alone}}
 	var err error
-	who := consensus.Charter{Zone: x.zone, Life: x.life, Stewards: g.names}
+	who := consensus.Config{Zone: x.zone, Life: x.life, Voters: g.names}
 	if x.r, err = lab.Begin(x.p, g.rng.Uint64(), who, x.disk, site); err != nil {
 		g.fail(err.Error())
 		return
@@ -358,8 +358,8 @@
 func (g *play) leads(f func(x *proc)) {
 	for _, x := range g.procs {
 		if x.r != nil && x.disk != nil {
-			x.r.Ask(func(c *consensus.Council) {
-				if c.Leads() {
+			x.r.Ask(func(c *consensus.Replica) {
+				if c.IsLeader() {
 					f(x)
 				}
 			})
--- a/internal/serve/book.go
+++ b/internal/serve/book.go
@@ -20,7 +20,7 @@
 	if len(place.Members.Stewards) == 0 {
 		return nil
 	}
-	who := consensus.Charter{Name: s.who.Name, Zone: s.who.Zone, Life: s.circle.life, Stewards: place.Members.Stewards, Seed: s.who.Seed}
+	who := consensus.Config{Name: s.who.Name, Zone: s.who.Zone, Life: s.circle.life, Voters: place.Members.Stewards, Seed: s.who.Seed}
 	switch at := slices.Index(place.Zones, s.who.Zone); {
 	case at >= 0:
 		who.Region = place.Regions[at]
@@ -28,7 +28,7 @@
 		return fmt.Errorf("zone %q: the site file has %q", s.who.Zone, place.Zones)
 	}
 	var disk control.Disk
-	steward := slices.Contains(who.Stewards, who.Name)
+	steward := slices.Contains(who.Voters, who.Name)
 	if steward {
 		open := s.who.Steward
 		if open == nil {
@@ -46,7 +46,7 @@
 	s.control = run
 	s.zones = s.newZones(place)
 	s.every(lookZones, s.lookZones)
-	s.log.Info().Str("mode", "council").Bool("steward", steward).Strs("stewards", who.Stewards).Str("zone", who.Zone).Str("region", who.Region).Msg("agrees")
+	s.log.Info().Str("mode", "council").Bool("steward", steward).Strs("stewards", who.Voters).Str("zone", who.Zone).Str("region", who.Region).Msg("agrees")
 	return nil
 }
 
@@ -69,10 +69,10 @@
 	c.mu.Lock()
 	b.Steward, b.Leads, b.Halted, b.Figures = c.council.Steward, c.council.Leads, c.council.Halted, c.council.Figures
 	c.mu.Unlock()
-	s.control.Ask(func(k *consensus.Council) {
+	s.control.Ask(func(k *consensus.Replica) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.council = Book{Steward: slices.Contains(s.who.Place.Members.Stewards, s.who.Name), Leads: k.Leads(), Halted: k.Halted(), Figures: k.Figures}
+		c.council = Book{Steward: slices.Contains(s.who.Place.Members.Stewards, s.who.Name), Leads: k.IsLeader(), Halted: k.HaltReason(), Figures: k.Stats}
 	})
 	return b
 }
--- a/internal/serve/book_test.go
+++ b/internal/serve/book_test.go
@@ -24,7 +24,7 @@
 	server := <-local
 	s.load(5000, 60, "0001112")
 	stands, goes := make(chan bool), make(chan bool)
-	server.control.Ask(func(*consensus.Council) { close(stands); <-goes })
+	server.control.Ask(func(*consensus.Replica) { close(stands); <-goes })
 	<-stands
 	began := s.w.Now()
 	s.load(2500, 60, "0001112")
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -273,7 +273,7 @@
 	Zones          map[string]string
 	Uses           map[string]float64 // parts of zones' nodes that this scheduler sends to
 	Level          int                // how far it looks: 0 its own zone, 1 its region, 2 all
-	Figures        consensus.Figures
+	Figures        consensus.Stats
 }
 
 // Seen is one of the others.
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -95,8 +95,8 @@
 	for zone, part := range parts {
 		gauge(c.zone, part, zone)
 	}
-	f := make(chan consensus.Figures, 1)
-	c.s.control.Ask(func(k *consensus.Council) { f <- k.Figures })
+	f := make(chan consensus.Stats, 1)
+	c.s.control.Ask(func(k *consensus.Replica) { f <- k.Stats })
 	select {
 	case f := <-f:
 		counter(c.messages, f.Messages)
--- a/internal/state/council/council.go
+++ b/internal/state/council/council.go
@@ -56,7 +56,7 @@
 }
 
 // Load gives all that was saved.
-func (s *Store) Load() (saved consensus.Saved, err error) {
+func (s *Store) Load() (saved consensus.PersistedState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		saved.Hard = append([]byte(nil), tx.Bucket(stateBucket).Get(hardKey)...)
 		saved.Snapshot = append([]byte(nil), tx.Bucket(stateBucket).Get(snapshotKey)...)
