--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -12,22 +12,16 @@
 package consensus
 
 import (
-	"cmp"
-	"fmt"
 	"math/rand/v2"
 	"slices"
 
 	raft "go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
 
 	"ravenpond/internal/decide/clusterstate"
 	codec "ravenpond/internal/proto/book"
 )
 
-// Lease is the validity of a read lease after its probes were sent, in ms.
-const Lease = 2500
-
 // Times in milliseconds, sizes in bytes, and limits.
 const (
 	raftTick         = 100  // between two ticks of Raft
@@ -84,12 +78,6 @@
 	VoteAfterLoss   bool // a voter that lost its disk votes
 }
 
-// probeReply is a voter's latest reply to a probe.
-type probeReply struct {
-	probedAt float64
-	written  uint64
-}
-
 // Replica is one process's replica of the cluster state. It is not safe for concurrent use.
 type Replica struct {
 	effects     Effects
@@ -139,11 +127,6 @@
 	onReport       func(from string, b []byte)
 }
 
-type proposal struct {
-	number uint64
-	body   []byte
-}
-
 // Stats counts what a replica did.
 type Stats struct {
 	Messages, Bytes, Writes, Commands, Elections, Pages uint64
@@ -163,108 +146,15 @@
 	return c, nil
 }
 
-// startVoter starts Raft on the saved state. All voters start from the same empty snapshot.
-func (r *Replica) startVoter(saved PersistedState) error {
-	r.conf = &pb.ConfState{}
-	for i := range r.config.Voters {
-		r.conf.Voters = append(r.conf.Voters, uint64(i+1))
-	}
-	r.disk = raft.NewMemoryStorage()
-	first := &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: r.conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
-	r.emptyDisk = len(saved.Hard) == 0 && len(saved.Snapshot) == 0 && len(saved.Entries) == 0
-	if len(saved.Snapshot) > 0 {
-		first = &pb.Snapshot{}
-		if err := proto.Unmarshal(saved.Snapshot, first); err != nil {
-			return fmt.Errorf("council: snapshot: %w", err)
-		}
-	}
-	if !slices.Equal(first.GetMetadata().GetConfState().GetVoters(), r.conf.Voters) {
-		return fmt.Errorf("council: the folder is of %d stewards, the site file names %d", len(first.GetMetadata().GetConfState().GetVoters()), len(r.conf.Voters))
-	}
-	if err := r.disk.ApplySnapshot(first); err != nil {
-		return fmt.Errorf("council: snapshot: %w", err)
-	}
-	if data := first.GetData(); len(data) > 0 {
-		b, err := clusterstate.Read(data)
-		if err != nil {
-			return fmt.Errorf("council: snapshot: %w", err)
-		}
-		r.state = b
-	}
-	r.compactedTo = first.GetMetadata().GetIndex()
-	if len(saved.Hard) > 0 {
-		var hard pb.HardState
-		if err := proto.Unmarshal(saved.Hard, &hard); err != nil {
-			return fmt.Errorf("council: state: %w", err)
-		}
-		if err := r.disk.SetHardState(&hard); err != nil {
-			return fmt.Errorf("council: state: %w", err)
-		}
-	}
-	var entries []*pb.Entry
-	for _, text := range saved.Entries {
-		e := &pb.Entry{}
-		if err := proto.Unmarshal(text, e); err != nil {
-			return fmt.Errorf("council: entry: %w", err)
-		}
-		if e.GetIndex() > r.compactedTo {
-			entries = append(entries, e)
-		}
-	}
-	if err := r.disk.Append(entries); err != nil {
-		return fmt.Errorf("council: entries: %w", err)
-	}
-	return r.startRaft()
-}
-
-// startRaft starts Raft on its storage.
-func (r *Replica) startRaft() (err error) {
-	defer func() {
-		if p := recover(); p != nil { // Raft panics on inconsistent storage
-			err = fmt.Errorf("council: the folder does not fit together: %v", p)
-		}
-	}()
-	r.engine, err = raft.NewRawNode(&raft.Config{ID: r.self, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: r.disk,
-		Applied: r.compactedTo, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: 16, MaxUncommittedEntriesSize: maxStateBytes, CheckQuorum: true, PreVote: true,
-		Logger: silentLogger{}})
-	r.scheduleCampaign()
-	return err
-}
-
-// scheduleCampaign sets the time at which this voter campaigns unless it hears from a leader before.
-func (r *Replica) scheduleCampaign() { r.campaignAt = r.now + campaignTimeout*(1+r.rng.Float64()) }
-
 // State returns the replicated state. The caller must not change it.
 func (r *Replica) State() *clusterstate.State { return r.state }
 
-// LeaseExpiry returns the time in ms until which the state is known to be current. After it, callers act in degraded mode.
-func (r *Replica) LeaseExpiry() float64 { return r.leaseExpiry }
-
 // IsLeader reports whether this replica believes that it is the leader.
 func (r *Replica) IsLeader() bool { return r.isLeader }
 
 // HaltReason returns why this voter has stopped voting, or an empty string.
 func (r *Replica) HaltReason() string { return r.haltReason }
 
-// SetResultHandler sets the function that is called with the result of each own proposal.
-func (r *Replica) SetResultHandler(f func(number uint64, refusal clusterstate.Refusal)) {
-	r.onResult = f
-}
-
-// Propose queues a command, which f appends to its argument, and returns the command's number, or 0 if too many are queued. The command
-// is sent repeatedly until its result is known.
-func (r *Replica) Propose(f func(b []byte, number uint64) []byte) uint64 {
-	if len(r.proposals) >= maxProposals {
-		return 0
-	}
-	r.number++
-	r.proposals = append(r.proposals, proposal{r.number, f(nil, r.number)})
-	if len(r.proposals) == 1 {
-		r.nextSendAt = r.now
-	}
-	return r.number
-}
-
 // Report sends a message of kind Report to the leader, if one is known. On the leader the report handler gets it at once.
 func (r *Replica) Report(b []byte) {
 	switch {
@@ -312,86 +202,6 @@
 	r.processReady()
 }
 
-// tickRaft ticks Raft. Campaigns are timed by the replica's own random source, so that simulations are reproducible.
-func (r *Replica) tickRaft() {
-	if !r.isVoting() {
-		return
-	}
-	if r.isLeader {
-		r.engine.Tick()
-		return
-	}
-	r.engine.TickQuiesced()
-	if r.now >= r.campaignAt {
-		r.scheduleCampaign()
-		r.Stats.Elections++
-		_ = r.engine.Campaign() // an error means that it may not campaign now: the next attempt is scheduled
-	}
-}
-
-// isVoting reports whether this replica is a voter that takes part.
-func (r *Replica) isVoting() bool {
-	return r.engine != nil && r.haltReason == "" && (!r.emptyDisk || r.config.Faults.VoteAfterLoss)
-}
-
-// sendProposal sends the first queued proposal to a voter, to another one at each attempt.
-func (r *Replica) sendProposal() {
-	w := r.proposals[0]
-	if r.isVoting() {
-		_ = r.engine.Propose(w.body) // dropped while there is no leader: it is sent again
-		return
-	}
-	to := r.config.Voters[r.nextVoter%len(r.config.Voters)]
-	r.nextVoter++
-	if to != r.config.Name {
-		r.sendMessage(to, codec.Proposal, w.body, 0, 0, 0, 0, 0)
-	}
-}
-
-// probeVoters asks all voters for the last log index on their disks.
-func (r *Replica) probeVoters() {
-	r.lastProbe++
-	r.probeTimes[r.lastProbe%uint64(len(r.probeTimes))] = r.now
-	for _, name := range r.config.Voters {
-		switch {
-		case name != r.config.Name:
-			r.sendMessage(name, codec.Ask, nil, r.lastProbe, r.state.Version(), 0, 0, 0)
-		case r.isVoting():
-			r.probes[name] = probeReply{r.now, r.lastWritten()}
-		}
-	}
-	r.renewLease()
-}
-
-// lastWritten returns the last log index on this voter's disk, committed or not.
-func (r *Replica) lastWritten() uint64 {
-	last, _ := r.disk.LastIndex()
-	return last
-}
-
-// renewLease extends the lease by the probes that a quorum answered.
-func (r *Replica) renewLease() {
-	var at []float64
-	for _, w := range r.probes {
-		if w.written > 1 && w.written <= r.state.Version() { // an empty disk may have been lost: it proves nothing
-			at = append(at, w.probedAt)
-		}
-	}
-	slices.SortFunc(at, func(x, y float64) int { return cmp.Compare(y, x) })
-	need := len(r.config.Voters)/2 + 1
-	if r.config.Faults.SingleVoter {
-		need = 1
-	}
-	if len(at) < need {
-		return
-	}
-	until := at[need-1] + Lease*(1-clockDrift)
-	if r.config.Faults.EndlessLease {
-		until += 1e9
-	}
-	r.leaseExpiry = max(r.leaseExpiry, until)
-}
-
 // sendMessage encodes and sends a message.
 func (r *Replica) sendMessage(to string, kind uint32, body []byte, number, version, written, offset, total uint64) {
 	b := codec.AppendMessage(nil, kind, body, number, version, written, offset, total)
@@ -440,346 +250,8 @@
 	r.processReady()
 }
 
-// stepRaft passes a voter's message to Raft.
-func (r *Replica) stepRaft(from string, body []byte) {
-	at := slices.Index(r.config.Voters, from)
-	var m pb.Message
-	if !r.isVoting() || at < 0 || proto.Unmarshal(body, &m) != nil || m.GetFrom() != uint64(at+1) || m.GetTo() != r.self || raft.IsLocalMsg(m.GetType()) {
-		return
-	}
-	switch m.GetType() {
-	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
-		r.scheduleCampaign()
-	}
-	_ = r.engine.Step(&m) // a message that Raft rejects counts as lost
-}
-
-// onProposal proposes another replica's command unless the command's time is implausible.
-func (r *Replica) onProposal(body []byte) {
-	if !r.isVoting() {
-		return
-	}
-	_ = codec.ReadCommand(body, func(string, string, uint32) {},
-		func(_ string, _, _ uint64, at float64, _ uint32, _, _, _ string, _ uint64, _ uint32, _ string) {
-			if at >= r.now-maxClockSkew*12 && at <= r.now+maxClockSkew { // an old command may have been sent repeatedly for long
-				_ = r.engine.Propose(body)
-			}
-		})
-}
-
-// onProbeReply handles a voter's reply to a probe.
-func (r *Replica) onProbeReply(from string, number, version, written uint64) {
-	if slices.Index(r.config.Voters, from) < 0 {
-		return
-	}
-	r.OnNewerVersion(r.now, from, version)
-	if number > r.lastProbe || r.lastProbe-number >= uint64(len(r.probeTimes)) {
-		return
-	}
-	r.answeredVoters[from] = true
-	if r.emptyDisk && r.haltReason == "" && !r.config.Faults.VoteAfterLoss {
-		switch {
-		case written > 1:
-			r.halt("its disk was empty, and others hold commands: it may have voted before")
-		case len(r.answeredVoters) == len(r.config.Voters)-1:
-			r.emptyDisk = false
-			r.scheduleCampaign()
-		}
-	}
-	if asked := r.probeTimes[number%uint64(len(r.probeTimes))]; asked >= r.probes[from].probedAt {
-		r.probes[from] = probeReply{asked, written}
-		r.renewLease()
-	}
-}
-
-// halt makes this voter a follower for the rest of its incarnation.
-func (r *Replica) halt(why string) {
-	r.haltReason, r.isLeader = why, false
-	delete(r.probes, r.config.Name)
-	r.effects.Log("steward halted: " + why)
-}
-
-// OnNewerVersion tells the replica that another member holds a version. A follower that is behind starts a state transfer.
-func (r *Replica) OnNewerVersion(now float64, from string, version uint64) {
-	r.now = max(r.now, now)
-	if version <= r.state.Version() || r.transfer.from != "" || r.isVoting() {
-		return
-	}
-	r.transfer.from, r.transfer.version, r.transfer.got, r.transfer.tries = from, 0, nil, 0
-	r.requestChunk()
-}
-
-// requestChunk asks for the next chunk of the state transfer.
-func (r *Replica) requestChunk() {
-	r.transfer.at = r.now
-	r.sendMessage(r.transfer.from, codec.Fetch, nil, r.transfer.version, 0, 0, uint64(len(r.transfer.got)), 0)
-}
-
-// sendChunk sends a chunk of the snapshot that the receiver started with, or the first chunk of the current one if that is gone.
-func (r *Replica) sendChunk(to string, version, offset uint64) {
-	if r.snapshotVersion != r.state.Version() || r.snapshot == nil {
-		r.previousSnapshot, r.previousVersion = r.snapshot, r.snapshotVersion
-		r.snapshot, r.snapshotVersion = r.state.Snapshot(), r.state.Version()
-	}
-	text, is := r.snapshot, r.snapshotVersion
-	if version == r.previousVersion && r.previousSnapshot != nil {
-		text, is = r.previousSnapshot, r.previousVersion
-	}
-	if version != is || offset > uint64(len(text)) {
-		text, is, offset = r.snapshot, r.snapshotVersion, 0
-	}
-	r.Stats.Pages++
-	r.sendMessage(to, codec.Page, text[offset:min(offset+chunkBytes, uint64(len(text)))], 0, is, 0, offset, uint64(len(text)))
-}
-
-// onChunk handles a chunk of the state transfer.
-func (r *Replica) onChunk(from string, body []byte, version, offset, total uint64) {
-	p := &r.transfer
-	if from != p.from || total > maxStateBytes {
-		return
-	}
-	if version != p.version {
-		if offset != 0 {
-			return
-		}
-		p.version, p.got = version, nil
-	}
-	if offset != uint64(len(p.got)) {
-		return
-	}
-	p.got, p.tries = append(p.got, body...), 0
-	if uint64(len(p.got)) < total {
-		r.requestChunk()
-		return
-	}
-	text := p.got
-	p.from, p.got = "", nil
-	b, err := clusterstate.Read(text)
-	if err != nil {
-		r.effects.Log(fmt.Sprintf("a page of %s is not taken: %v", from, err))
-		return
-	}
-	if b.Version() > r.state.Version() || r.config.Faults.StaleTransfer {
-		r.adoptState(b)
-	}
-}
-
-// adoptState replaces the state by a later one and reports the result of the first proposal.
-func (r *Replica) adoptState(b *clusterstate.State) {
-	r.state = b
-	r.renewLease()
-	if len(r.proposals) == 0 {
-		return
-	}
-	if number, refused, ok := b.LastResult(r.config.Name, r.config.Life); ok && number >= r.proposals[0].number {
-		r.proposals = r.proposals[1:] // proposals are sent one at a time: it is the first one's result
-		r.nextSendAt = r.now
-		r.onResult(number, refused)
-	} else if p, there := b.Process(r.config.Name); there && p.Life > r.config.Life && r.incarnationRaises < maxIncarnationRaises { // this process's data directory was lost
-		r.incarnationRaises++
-		r.config.Life, r.number, r.proposals = p.Life+1, 0, nil
-		r.join()
-	}
-}
-
-// join proposes this process's incarnation. No other proposal of the incarnation has an effect before it.
-func (r *Replica) join() {
-	r.Propose(func(b []byte, number uint64) []byte {
-		return codec.AppendCommand(b, r.config.Name, r.config.Life, number, r.now, codec.Act, r.config.Name, r.config.Zone, r.config.Region, 0, 0, "")
-	})
-}
-
 // Name returns the replica's name.
 func (r *Replica) Name() string { return r.config.Name }
 
 // Life returns the replica's incarnation.
 func (r *Replica) Life() uint64 { return r.config.Life }
-
-// processReady writes what Raft wants written, then sends its messages, then applies the committed entries.
-func (r *Replica) processReady() {
-	if !r.isVoting() {
-		return
-	}
-	defer func() {
-		if p := recover(); p != nil {
-			r.halt(fmt.Sprint("the engine found itself broken: ", p))
-		}
-	}()
-	for r.engine.HasReady() {
-		rd := r.engine.Ready()
-		if rd.SoftState != nil {
-			if leads := rd.SoftState.RaftState == raft.StateLeader; leads != r.isLeader {
-				r.isLeader = leads
-				r.effects.Log(fmt.Sprintf("leads=%t at version %d", leads, r.state.Version()))
-			}
-		}
-		if r.config.Faults.SendBeforeWrite {
-			r.sendRaftMessages(rd.Messages)
-		}
-		if err := r.save(rd); err != nil {
-			r.halt("can't write: " + err.Error())
-			return
-		}
-		if !r.config.Faults.SendBeforeWrite {
-			r.sendRaftMessages(rd.Messages)
-		}
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			b, err := clusterstate.Read(rd.Snapshot.GetData())
-			if err != nil {
-				r.halt("a snapshot of the leader can't be read: " + err.Error())
-				return
-			}
-			r.compactedTo = rd.Snapshot.GetMetadata().GetIndex()
-			r.adoptState(b)
-		}
-		r.apply(rd.CommittedEntries)
-		r.engine.Advance(rd)
-	}
-	r.compactLog()
-}
-
-// sendRaftMessages sends Raft's messages to the other voters.
-func (r *Replica) sendRaftMessages(all []*pb.Message) {
-	for _, m := range all {
-		body, err := proto.Marshal(m)
-		if err != nil || m.GetTo() == 0 || m.GetTo() > uint64(len(r.config.Voters)) {
-			continue
-		}
-		r.sendMessage(r.config.Voters[m.GetTo()-1], codec.Council, body, 0, 0, 0, 0, 0)
-		if m.GetType() == pb.MsgSnap { // the receiver's next message shows whether it arrived
-			r.engine.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
-		}
-	}
-}
-
-// save writes to the disk first and to Raft's in-memory storage after that.
-func (r *Replica) save(rd raft.Ready) error {
-	var hard, snapshot []byte
-	var entries [][]byte
-	var from, held uint64
-	var err error
-	if !raft.IsEmptyHardState(rd.HardState) {
-		if hard, err = proto.Marshal(rd.HardState); err != nil {
-			return err
-		}
-	}
-	if !raft.IsEmptySnap(rd.Snapshot) {
-		if snapshot, err = proto.Marshal(rd.Snapshot); err != nil {
-			return err
-		}
-	}
-	if snapshot != nil { // the snapshot replaces the log
-		held = rd.Snapshot.GetMetadata().GetIndex()
-		from = held + 1
-	}
-	for i, e := range rd.Entries {
-		text, err := proto.Marshal(e)
-		if err != nil {
-			return err
-		}
-		if i == 0 {
-			from = e.GetIndex()
-		}
-		entries = append(entries, text)
-	}
-	if hard == nil && snapshot == nil && entries == nil {
-		return nil
-	}
-	r.Stats.Writes++
-	if err := r.effects.Save(hard, from, entries, snapshot, held); err != nil {
-		return err
-	}
-	if snapshot != nil {
-		if err := r.disk.ApplySnapshot(rd.Snapshot); err != nil {
-			return err
-		}
-	}
-	if hard != nil {
-		if err := r.disk.SetHardState(rd.HardState); err != nil {
-			return err
-		}
-	}
-	return r.disk.Append(rd.Entries)
-}
-
-// apply applies committed entries to the state.
-func (r *Replica) apply(entries []*pb.Entry) {
-	if len(entries) == 0 {
-		return
-	}
-	b := r.state.Clone()
-	for _, e := range entries {
-		if e.GetIndex() <= b.Version() {
-			continue
-		}
-		command := e.GetData()
-		if e.GetType() != pb.EntryNormal {
-			command = nil
-		}
-		r.Stats.Commands++
-		refused, err := b.Apply(e.GetIndex(), command)
-		if err == nil {
-			err = b.Check()
-		}
-		if err != nil {
-			panic(err)
-		}
-		if refused != clusterstate.Taken {
-			r.effects.Log(fmt.Sprintf("command %d refused: %s", e.GetIndex(), refused))
-		}
-	}
-	r.adoptState(b)
-	if !r.isLeader {
-		return
-	}
-	for _, p := range b.Processes() { // followers would learn of it by their next probe; commits are rare and should take effect soon
-		if !p.Out && slices.Index(r.config.Voters, p.Name) < 0 {
-			r.sendMessage(p.Name, codec.Word, nil, 0, b.Version(), r.lastWritten(), 0, 0)
-		}
-	}
-}
-
-// compactLog replaces old log entries by a snapshot.
-func (r *Replica) compactLog() {
-	v := r.state.Version()
-	if v < r.compactedTo+compactThreshold {
-		return
-	}
-	text := r.state.Snapshot()
-	if len(text) > maxStateBytes {
-		return // the snapshot would not fit a message: the log is kept
-	}
-	snap, err := r.disk.CreateSnapshot(v, r.conf, text)
-	if err != nil {
-		return
-	}
-	whole, err := proto.Marshal(snap)
-	if err != nil {
-		return
-	}
-	if err := r.effects.Save(nil, 0, nil, whole, v); err != nil {
-		r.halt("can't write: " + err.Error())
-		return
-	}
-	r.Stats.Writes++
-	r.compactedTo = v
-	_ = r.disk.Compact(v - compactKeep)
-}
-
-// silentLogger drops Raft's log lines. Fatal conditions still panic.
-type silentLogger struct{}
-
-func (silentLogger) Debug(...any)            {}
-func (silentLogger) Debugf(string, ...any)   {}
-func (silentLogger) Error(...any)            {}
-func (silentLogger) Errorf(string, ...any)   {}
-func (silentLogger) Info(...any)             {}
-func (silentLogger) Infof(string, ...any)    {}
-func (silentLogger) Warning(...any)          {}
-func (silentLogger) Warningf(string, ...any) {}
-func (silentLogger) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
-func (silentLogger) Fatalf(f string, v ...any) {
-	panic(fmt.Sprintf(f, v...))
-}
-func (silentLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (silentLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- /dev/null
+++ b/internal/decide/consensus/lease.go
@@ -0,0 +1,83 @@
+package consensus
+
+import (
+	"cmp"
+	"slices"
+
+	codec "ravenpond/internal/proto/book"
+)
+
+// Lease is the validity of a read lease after its probes were sent, in ms.
+const Lease = 2500
+
+// probeReply is a voter's latest reply to a probe.
+type probeReply struct {
+	probedAt float64
+	written  uint64
+}
+
+// LeaseExpiry returns the time in ms until which the state is known to be current. After it, callers act in degraded mode.
+func (r *Replica) LeaseExpiry() float64 { return r.leaseExpiry }
+
+// probeVoters asks all voters for the last log index on their disks.
+func (r *Replica) probeVoters() {
+	r.lastProbe++
+	r.probeTimes[r.lastProbe%uint64(len(r.probeTimes))] = r.now
+	for _, name := range r.config.Voters {
+		switch {
+		case name != r.config.Name:
+			r.sendMessage(name, codec.Ask, nil, r.lastProbe, r.state.Version(), 0, 0, 0)
+		case r.isVoting():
+			r.probes[name] = probeReply{r.now, r.lastWritten()}
+		}
+	}
+	r.renewLease()
+}
+
+// renewLease extends the lease by the probes that a quorum answered.
+func (r *Replica) renewLease() {
+	var at []float64
+	for _, w := range r.probes {
+		if w.written > 1 && w.written <= r.state.Version() { // an empty disk may have been lost: it proves nothing
+			at = append(at, w.probedAt)
+		}
+	}
+	slices.SortFunc(at, func(x, y float64) int { return cmp.Compare(y, x) })
+	need := len(r.config.Voters)/2 + 1
+	if r.config.Faults.SingleVoter {
+		need = 1
+	}
+	if len(at) < need {
+		return
+	}
+	until := at[need-1] + Lease*(1-clockDrift)
+	if r.config.Faults.EndlessLease {
+		until += 1e9
+	}
+	r.leaseExpiry = max(r.leaseExpiry, until)
+}
+
+// onProbeReply handles a voter's reply to a probe.
+func (r *Replica) onProbeReply(from string, number, version, written uint64) {
+	if slices.Index(r.config.Voters, from) < 0 {
+		return
+	}
+	r.OnNewerVersion(r.now, from, version)
+	if number > r.lastProbe || r.lastProbe-number >= uint64(len(r.probeTimes)) {
+		return
+	}
+	r.answeredVoters[from] = true
+	if r.emptyDisk && r.haltReason == "" && !r.config.Faults.VoteAfterLoss {
+		switch {
+		case written > 1:
+			r.halt("its disk was empty, and others hold commands: it may have voted before")
+		case len(r.answeredVoters) == len(r.config.Voters)-1:
+			r.emptyDisk = false
+			r.scheduleCampaign()
+		}
+	}
+	if asked := r.probeTimes[number%uint64(len(r.probeTimes))]; asked >= r.probes[from].probedAt {
+		r.probes[from] = probeReply{asked, written}
+		r.renewLease()
+	}
+}
--- /dev/null
+++ b/internal/decide/consensus/voter.go
@@ -0,0 +1,190 @@
+package consensus
+
+import (
+	"fmt"
+	"slices"
+
+	raft "go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"ravenpond/internal/decide/clusterstate"
+	codec "ravenpond/internal/proto/book"
+)
+
+// startVoter starts Raft on the saved state. All voters start from the same empty snapshot.
+func (r *Replica) startVoter(saved PersistedState) error {
+	r.conf = &pb.ConfState{}
+	for i := range r.config.Voters {
+		r.conf.Voters = append(r.conf.Voters, uint64(i+1))
+	}
+	r.disk = raft.NewMemoryStorage()
+	first := &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: r.conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
+	r.emptyDisk = len(saved.Hard) == 0 && len(saved.Snapshot) == 0 && len(saved.Entries) == 0
+	if len(saved.Snapshot) > 0 {
+		first = &pb.Snapshot{}
+		if err := proto.Unmarshal(saved.Snapshot, first); err != nil {
+			return fmt.Errorf("council: snapshot: %w", err)
+		}
+	}
+	if !slices.Equal(first.GetMetadata().GetConfState().GetVoters(), r.conf.Voters) {
+		return fmt.Errorf("council: the folder is of %d stewards, the site file names %d", len(first.GetMetadata().GetConfState().GetVoters()), len(r.conf.Voters))
+	}
+	if err := r.disk.ApplySnapshot(first); err != nil {
+		return fmt.Errorf("council: snapshot: %w", err)
+	}
+	if data := first.GetData(); len(data) > 0 {
+		b, err := clusterstate.Read(data)
+		if err != nil {
+			return fmt.Errorf("council: snapshot: %w", err)
+		}
+		r.state = b
+	}
+	r.compactedTo = first.GetMetadata().GetIndex()
+	if len(saved.Hard) > 0 {
+		var hard pb.HardState
+		if err := proto.Unmarshal(saved.Hard, &hard); err != nil {
+			return fmt.Errorf("council: state: %w", err)
+		}
+		if err := r.disk.SetHardState(&hard); err != nil {
+			return fmt.Errorf("council: state: %w", err)
+		}
+	}
+	var entries []*pb.Entry
+	for _, text := range saved.Entries {
+		e := &pb.Entry{}
+		if err := proto.Unmarshal(text, e); err != nil {
+			return fmt.Errorf("council: entry: %w", err)
+		}
+		if e.GetIndex() > r.compactedTo {
+			entries = append(entries, e)
+		}
+	}
+	if err := r.disk.Append(entries); err != nil {
+		return fmt.Errorf("council: entries: %w", err)
+	}
+	return r.startRaft()
+}
+
+// startRaft starts Raft on its storage.
+func (r *Replica) startRaft() (err error) {
+	defer func() {
+		if p := recover(); p != nil { // Raft panics on inconsistent storage
+			err = fmt.Errorf("council: the folder does not fit together: %v", p)
+		}
+	}()
+	r.engine, err = raft.NewRawNode(&raft.Config{ID: r.self, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: r.disk,
+		Applied: r.compactedTo, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: 16, MaxUncommittedEntriesSize: maxStateBytes, CheckQuorum: true, PreVote: true,
+		Logger: silentLogger{}})
+	r.scheduleCampaign()
+	return err
+}
+
+// scheduleCampaign sets the time at which this voter campaigns unless it hears from a leader before.
+func (r *Replica) scheduleCampaign() { r.campaignAt = r.now + campaignTimeout*(1+r.rng.Float64()) }
+
+// tickRaft ticks Raft. Campaigns are timed by the replica's own random source, so that simulations are reproducible.
+func (r *Replica) tickRaft() {
+	if !r.isVoting() {
+		return
+	}
+	if r.isLeader {
+		r.engine.Tick()
+		return
+	}
+	r.engine.TickQuiesced()
+	if r.now >= r.campaignAt {
+		r.scheduleCampaign()
+		r.Stats.Elections++
+		_ = r.engine.Campaign() // an error means that it may not campaign now: the next attempt is scheduled
+	}
+}
+
+// isVoting reports whether this replica is a voter that takes part.
+func (r *Replica) isVoting() bool {
+	return r.engine != nil && r.haltReason == "" && (!r.emptyDisk || r.config.Faults.VoteAfterLoss)
+}
+
+// lastWritten returns the last log index on this voter's disk, committed or not.
+func (r *Replica) lastWritten() uint64 {
+	last, _ := r.disk.LastIndex()
+	return last
+}
+
+// stepRaft passes a voter's message to Raft.
+func (r *Replica) stepRaft(from string, body []byte) {
+	at := slices.Index(r.config.Voters, from)
+	var m pb.Message
+	if !r.isVoting() || at < 0 || proto.Unmarshal(body, &m) != nil || m.GetFrom() != uint64(at+1) || m.GetTo() != r.self || raft.IsLocalMsg(m.GetType()) {
+		return
+	}
+	switch m.GetType() {
+	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
+		r.scheduleCampaign()
+	}
+	_ = r.engine.Step(&m) // a message that Raft rejects counts as lost
+}
+
+// halt makes this voter a follower for the rest of its incarnation.
+func (r *Replica) halt(why string) {
+	r.haltReason, r.isLeader = why, false
+	delete(r.probes, r.config.Name)
+	r.effects.Log("steward halted: " + why)
+}
+
+// processReady writes what Raft wants written, then sends its messages, then applies the committed entries.
+func (r *Replica) processReady() {
+	if !r.isVoting() {
+		return
+	}
+	defer func() {
+		if p := recover(); p != nil {
+			r.halt(fmt.Sprint("the engine found itself broken: ", p))
+		}
+	}()
+	for r.engine.HasReady() {
+		rd := r.engine.Ready()
+		if rd.SoftState != nil {
+			if leads := rd.SoftState.RaftState == raft.StateLeader; leads != r.isLeader {
+				r.isLeader = leads
+				r.effects.Log(fmt.Sprintf("leads=%t at version %d", leads, r.state.Version()))
+			}
+		}
+		if r.config.Faults.SendBeforeWrite {
+			r.sendRaftMessages(rd.Messages)
+		}
+		if err := r.save(rd); err != nil {
+			r.halt("can't write: " + err.Error())
+			return
+		}
+		if !r.config.Faults.SendBeforeWrite {
+			r.sendRaftMessages(rd.Messages)
+		}
+		if !raft.IsEmptySnap(rd.Snapshot) {
+			b, err := clusterstate.Read(rd.Snapshot.GetData())
+			if err != nil {
+				r.halt("a snapshot of the leader can't be read: " + err.Error())
+				return
+			}
+			r.compactedTo = rd.Snapshot.GetMetadata().GetIndex()
+			r.adoptState(b)
+		}
+		r.apply(rd.CommittedEntries)
+		r.engine.Advance(rd)
+	}
+	r.compactLog()
+}
+
+// sendRaftMessages sends Raft's messages to the other voters.
+func (r *Replica) sendRaftMessages(all []*pb.Message) {
+	for _, m := range all {
+		body, err := proto.Marshal(m)
+		if err != nil || m.GetTo() == 0 || m.GetTo() > uint64(len(r.config.Voters)) {
+			continue
+		}
+		r.sendMessage(r.config.Voters[m.GetTo()-1], codec.Council, body, 0, 0, 0, 0, 0)
+		if m.GetType() == pb.MsgSnap { // the receiver's next message shows whether it arrived
+			r.engine.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
+		}
+	}
+}
