--- a/internal/decide/quotalease/quotalease_test.go
+++ b/internal/decide/quotalease/quotalease_test.go
@@ -17,7 +17,7 @@
 		share := rapid.IntRange(0, places).Draw(t, "share")
 		whole, rate := 0, 0.0
 		for i := range places {
-			p := Part{Places: places, Index: i, Lends: lends}
+			p := Share{Places: places, Index: i, Lends: lends}
 			if i < share {
 				p.Sharers = rapid.IntRange(share, places).Draw(t, "reckons")
 			}
@@ -28,7 +28,7 @@
 		}
 		all, allRate := 0, 0.0
 		for i := range places {
-			p := Part{Places: places, Index: i, Lends: lends, Sharers: places}
+			p := Share{Places: places, Index: i, Lends: lends, Sharers: places}
 			all, allRate = all+p.Whole(limit), allRate+p.Rate(float64(limit))
 		}
 		if all != limit || math.Abs(allRate-float64(limit)) > 1e-6 {
@@ -40,18 +40,18 @@
 func TestParts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		p      Part
+		p      Share
 		limit  int
 		whole  int
 		second float64
 	}{
-		{"alone in the site", Part{Places: 1, Lends: 0.5, Sharers: 1}, 10, 10, 10},
-		{"all are there", Part{Places: 4, Lends: 0.5, Sharers: 4}, 16, 4, 4},
-		{"one is lost", Part{Places: 4, Lends: 0.5, Sharers: 3}, 24, 7, 7},
-		{"no lease", Part{Places: 4, Lends: 0.5}, 24, 3, 3},
-		{"nothing is lent", Part{Places: 4, Sharers: 2}, 24, 6, 6},
-		{"all is lent, no lease", Part{Places: 4, Lends: 1}, 24, 0, 0},
-		{"too little to be lent", Part{Places: 4, Index: 3, Lends: 0.5, Sharers: 1}, 3, 0, 1.875},
+		{"alone in the site", Share{Places: 1, Lends: 0.5, Sharers: 1}, 10, 10, 10},
+		{"all are there", Share{Places: 4, Lends: 0.5, Sharers: 4}, 16, 4, 4},
+		{"one is lost", Share{Places: 4, Lends: 0.5, Sharers: 3}, 24, 7, 7},
+		{"no lease", Share{Places: 4, Lends: 0.5}, 24, 3, 3},
+		{"nothing is lent", Share{Places: 4, Sharers: 2}, 24, 6, 6},
+		{"all is lent, no lease", Share{Places: 4, Lends: 1}, 24, 0, 0},
+		{"too little to be lent", Share{Places: 4, Index: 3, Lends: 0.5, Sharers: 1}, 3, 0, 1.875},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.p.Whole(c.limit); got != c.whole {
@@ -66,7 +66,7 @@
 
 // TestLoan ends a lease by time alone, and says once that limits are to be set anew.
 func TestLoan(t *testing.T) {
-	var l Loan
+	var l Lease
 	for _, c := range []struct {
 		name    string
 		do      func()
--- a/internal/decide/tenancy/tenancy.go
+++ b/internal/decide/tenancy/tenancy.go
@@ -337,7 +337,7 @@
 
 // Duty gives it for a process that may use such a part of all limits. What connections may do at the door is divided by place and never
 // lent: those of a process that is cut off from the others stay.
-func (t *Tenant) Duty(part quotalease.Part) Duty {
+func (t *Tenant) Duty(part quotalease.Share) Duty {
 	processes, index := part.Places, part.Index
 	d := Duty{Limits: t.Limits.Limits, Door: connadmission.Limits{Share: t.Limits.Share, Conns: t.Limits.Conns, Bytes: t.Limits.Bytes}, Takes: t.State == Active, Answer: t.State >= Removing, Stop: t.State >= Removing && t.Ending == Stop}
 	n := float64(max(1, processes))
--- a/internal/decide/tenancy/tenancy_test.go
+++ b/internal/decide/tenancy/tenancy_test.go
@@ -122,7 +122,7 @@
 			a, _ := b.Get("a")
 			open, rate := 0, 0.0
 			for i := range 3 {
-				d := a.Duty(quotalease.Part{Places: 3, Index: i})
+				d := a.Duty(quotalease.Share{Places: 3, Index: i})
 				if d.Takes != c.takes || d.Answer != c.answer || d.Stop != c.stop || d.Limits.Stop == c.takes {
 					t.Errorf("%+v", d)
 				}
@@ -138,7 +138,7 @@
 	a, _ := b.Get("a")
 	conns, bytes := 0, 0.0
 	for i := range 3 {
-		d := a.Duty(quotalease.Part{Places: 3, Index: i}).Door
+		d := a.Duty(quotalease.Share{Places: 3, Index: i}).Door
 		conns, bytes = conns+d.Conns, bytes+d.Bytes
 		if d.Share != 2 {
 			t.Errorf("share %g at the door", d.Share)
@@ -147,13 +147,13 @@
 	if conns != 7 || bytes != 900 {
 		t.Errorf("all processes let in %d connections and %g bytes a second", conns, bytes)
 	}
-	if d := a.Duty(quotalease.Part{Places: 9, Index: 8}).Door; d.Conns != 1 {
+	if d := a.Duty(quotalease.Share{Places: 9, Index: 8}).Door; d.Conns != 1 {
 		t.Errorf("%d connections where there are more processes than connections", d.Conns)
 	}
 	b = New(1)
 	at(b, 0, Change{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, Open: 1}}})
 	a, _ = b.Get("a")
-	if first, second := a.Duty(quotalease.Part{Places: 2, Index: 0}), a.Duty(quotalease.Part{Places: 2, Index: 1}); !first.Takes || second.Takes {
+	if first, second := a.Duty(quotalease.Share{Places: 2, Index: 0}), a.Duty(quotalease.Share{Places: 2, Index: 1}); !first.Takes || second.Takes {
 		t.Error("one that may be open in all is open at none or both of two processes")
 	}
 }
--- a/internal/serve/hosting.go
+++ b/internal/serve/hosting.go
@@ -48,7 +48,7 @@
 	fault   string
 	pumping bool
 	planned float64 // when lines are looked at again, 0: no plan
-	loan    quotalease.Loan
+	loan    quotalease.Lease
 }
 
 // errNotAllowed says nothing more to who may not.
@@ -154,8 +154,8 @@
 }
 
 // part is what this process may use of all limits where so many share what is lent of them.
-func (s *Server) part(sharers int) quotalease.Part {
-	p := quotalease.Part{Places: s.who.Place.Cluster.Schedulers, Index: s.who.Index, Sharers: sharers}
+func (s *Server) part(sharers int) quotalease.Share {
+	p := quotalease.Share{Places: s.who.Place.Cluster.Schedulers, Index: s.who.Index, Sharers: sharers}
 	if s.who.Place.Members.Listen != "" {
 		p.Lends = s.who.Place.Members.Lends
 	}
