--- a/cmd/ravenpond/sim.go
+++ b/cmd/ravenpond/sim.go
@@ -133,7 +133,7 @@
 		}
 		return c.plots(rows)
 	}
-	var plant *membership.Plant
+	var plant *membership.Faults
 	for _, p := range circle.Plants {
 		if c.Plant == "list" {
 			fmt.Println(p.Name)
@@ -147,7 +147,7 @@
 	case c.Plant != "" && plant == nil:
 		return fmt.Errorf("no fault %q to plant; --plant list prints them", c.Plant)
 	case plant == nil:
-		plant = &membership.Plant{}
+		plant = &membership.Faults{}
 	}
 	a, b, err := span(c.Seeds)
 	if err != nil {
--- a/internal/decide/membership/hear.go
+++ b/internal/decide/membership/hear.go
@@ -10,283 +10,282 @@
 	codec "ravenpond/internal/proto/members"
 )
 
-// Heard takes a datagram that came to this process's address.
+// Heard handles a datagram that arrived at this process's address.
 func (d *Detector) Heard(now float64, b []byte) {
-	d.wake(now)
-	d.head.kind, d.head.place, d.head.silent = 0, 0, d.head.silent[:0]
-	d.page = nil
-	switch err := codec.Open(b, d.who.Key, d.who.Site, d.who.Address, taker{d}); {
+	d.advance(now)
+	d.header.kind, d.header.place, d.header.silent = 0, 0, d.header.silent[:0]
+	d.syncedNames = nil
+	switch err := codec.Open(b, d.config.Key, d.config.Site, d.config.Address, datagramHandler{d}); {
 	case errors.Is(err, codec.ErrForeign):
-		d.Figures.Foreign++
+		d.Stats.Foreign++
 	case err != nil:
-		d.Figures.Bad++ // what was read of it stands: it was sealed
+		d.Stats.Bad++ // what was read before the error is kept: the datagram was authentic
 	}
-	if d.head.kind != 0 {
-		d.Figures.Got++
-		d.act()
+	if d.header.kind != 0 {
+		d.Stats.Got++
+		d.handle()
 	}
 }
 
-// taker takes what a datagram holds.
-type taker struct{ *Detector }
+// datagramHandler receives the decoded parts of a datagram.
+type datagramHandler struct{ *Detector }
 
-// Head holds a datagram against what is known of its sender. Only one that knows this process's life may change
-// anything, and each of its counts counts once: a replay, from this life or an earlier one, is nothing.
-func (d taker) Head(from, address string, life, count, toLife uint64, kind uint32, number uint64, target string, view uint64, after,
+// Head checks a datagram against what is known of its sender. Only a sender that knows this process's incarnation may change anything, and
+// each count is accepted once, so that replays have no effect.
+func (d datagramHandler) Head(from, address string, life, count, toLife uint64, kind uint32, number uint64, target string, view uint64, after,
 	until string) bool {
-	h := &d.head
-	if from == d.who.Name {
-		if address != d.who.Address {
-			d.mine(address, life)
+	h := &d.header
+	if from == d.config.Name {
+		if address != d.config.Address {
+			d.onNameConflict(address, life)
 		}
 		return false
 	}
 	switch {
 	case kind == codec.Hello:
-		d.welcome(from, address, life, number)
+		d.onHello(from, address, life, number)
 		return false
-	case toLife != d.who.Life && !d.who.Plant.Replayed:
-		d.Figures.Stale++
+	case toLife != d.config.Life && !d.config.Faults.Replayed:
+		d.Stats.Stale++
 		return false
 	case kind == codec.Welcome:
 		if d.hellos[address] != number {
-			d.Figures.Stale++
+			d.Stats.Stale++
 			return false
 		}
 		delete(d.hellos, address)
-		if target != "" && view > d.who.Life { // it knows this name by a later life
-			d.raise(view)
+		if target != "" && view > d.config.Life { // the sender knows a later incarnation of this name
+			d.raiseIncarnation(view)
 		}
 	}
-	m := d.all[from]
+	m := d.members[from]
 	switch {
-	case m != nil && !d.who.Plant.Replayed && (life < m.Life || life == m.Life && address != m.Address):
-		d.Figures.Stale++
+	case m != nil && !d.config.Faults.Replayed && (life < m.Life || life == m.Life && address != m.Address):
+		d.Stats.Stale++
 		return false
 	case m == nil:
-		if m = d.add(from, address, life, 0); m == nil {
+		if m = d.addMember(from, address, life, 0); m == nil {
 			return false
 		}
-		d.set(m, Alive, d.who.Name)
-		d.syncAt = math.Inf(-1)
+		d.setState(m, Alive, d.config.Name)
+		d.lastSyncAt = math.Inf(-1)
 	case life > m.Life:
-		d.reborn(m, address, life, 0, Alive, d.who.Name)
+		d.onNewIncarnation(m, address, life, 0, Alive, d.config.Name)
 	}
-	if kind != codec.Welcome && !m.once(count) && !d.who.Plant.Replayed {
-		d.Figures.Stale++
+	if kind != codec.Welcome && !m.acceptCount(count) && !d.config.Faults.Replayed {
+		d.Stats.Stale++
 		return false
 	}
 	m.Heard = d.now
 	h.m, h.kind, h.number, h.view, h.target, h.after, h.until = m, kind, number, view, target, after, until
 	if kind == codec.Page {
-		d.page = map[string]bool{}
+		d.syncedNames = map[string]bool{}
 	}
 	return true
 }
 
-// Lease holds what a datagram says of leave until its kind is done.
-func (d taker) Lease(place int, given bool, counted []byte, lent bool, lentCounted []byte) {
-	d.head.place, d.head.given, d.head.counted, d.head.lent, d.head.lentCounted = place+1, given, counted, lent, lentCounted
-	d.head.m.place = place + 1
+// Lease keeps a datagram's lease fields until its kind is handled.
+func (d datagramHandler) Lease(place int, given bool, counted []byte, lent bool, lentCounted []byte) {
+	d.header.place, d.header.given, d.header.counted, d.header.lent, d.header.lentCounted = place+1, given, counted, lent, lentCounted
+	d.header.m.place = place + 1
 }
 
-// Word takes what another says of a node.
-func (d taker) Word(node uint32, version uint64, gone bool) {
-	d.words.Heard(d.now, node, version, gone)
+// Word handles gossip about a node.
+func (d datagramHandler) Word(node uint32, version uint64, gone bool) {
+	d.nodeGossip.Heard(d.now, node, version, gone)
 }
 
-// Silent takes a question for a node, for the answer to the ping that bears it.
-func (d taker) Silent(node uint32) {
-	if len(d.head.silent) < reachability.Most {
-		d.head.silent = append(d.head.silent, node)
+// Silent keeps a question about a node for the ack of the probe that carries it.
+func (d datagramHandler) Silent(node uint32) {
+	if len(d.header.silent) < reachability.Most {
+		d.header.silent = append(d.header.silent, node)
 	}
 }
 
-// Hears takes what another hears of a node, with its answer to a probe of this process.
-func (d taker) Hears(node uint32, life uint64, ago float64) {
-	h := &d.head
+// Hears handles the sender's answer about a node in an ack of this process's probe.
+func (d datagramHandler) Hears(node uint32, life uint64, ago float64) {
+	h := &d.header
 	if h.kind != codec.Ack {
 		return
 	}
 	if h.number == d.probe.number && d.probe.out {
-		d.nodes.Told(d.probe.sent, node, life, ago)
-	} else if w, ok := d.waits[h.number]; ok {
-		d.nodes.Told(w.sent, node, life, ago)
+		d.nodeReachability.Told(d.probe.sent, node, life, ago)
+	} else if w, ok := d.lateProbes[h.number]; ok {
+		d.nodeReachability.Told(w.sent, node, life, ago)
 	}
 }
 
-// Book takes which version of the book another holds.
-func (d taker) Book(version uint64) {
-	if version > d.book && d.carrier != nil {
-		d.carrier.Ahead(d.head.m.Name, version)
+// Book handles the version of the cluster state that the sender holds.
+func (d datagramHandler) Book(version uint64) {
+	if version > d.stateVersion && d.carrier != nil {
+		d.carrier.Ahead(d.header.m.Name, version)
 	}
 }
 
-// Part takes a part of a message for others of the program.
-func (d taker) Part(index, of int, body []byte) {
-	h := &d.head
+// Part handles a fragment of a message for other parts of the program.
+func (d datagramHandler) Part(index, of int, body []byte) {
+	h := &d.header
 	if h.kind != codec.Carry || d.carrier == nil {
 		return
 	}
-	if all, ok := d.whole.Take(h.m.Name, h.m.Life, h.number, index, of, body); ok {
+	if all, ok := d.reassembler.Take(h.m.Name, h.m.Life, h.number, index, of, body); ok {
 		d.carrier.Carried(h.m.Name, all)
 	}
 }
 
-// leased takes leave that came with an answer to a probe sent at a time.
-func (d *Detector) leased(sent float64) {
-	if h := &d.head; d.share != nil && h.place > 0 {
-		d.share.Answered(sent, h.place-1, h.given, slowstart.Of(h.counted))
-		if d.lent != nil {
-			d.lent.Answered(sent, h.place-1, h.lent, slowstart.Of(h.lentCounted))
+// onLeaseReply handles the lease grants in an ack of a probe that was sent at a time.
+func (d *Detector) onLeaseReply(sent float64) {
+	if h := &d.header; d.slowStart != nil && h.place > 0 {
+		d.slowStart.Answered(sent, h.place-1, h.given, slowstart.Of(h.counted))
+		if d.quota != nil {
+			d.quota.Answered(sent, h.place-1, h.lent, slowstart.Of(h.lentCounted))
 		}
 	}
 }
 
-// once tells whether a count is new. Datagrams may overtake each other, by up to 64.
-func (m *member) once(count uint64) bool {
+// acceptCount reports whether a count is new. Datagrams may be reordered by up to 64.
+func (m *member) acceptCount(count uint64) bool {
 	switch {
-	case count > m.high:
-		if by := count - m.high; by < 64 {
-			m.came = m.came<<by | 1
+	case count > m.highestCount:
+		if by := count - m.highestCount; by < 64 {
+			m.receivedMask = m.receivedMask<<by | 1
 		} else {
-			m.came = 1
+			m.receivedMask = 1
 		}
-		m.high = count
+		m.highestCount = count
 		return true
-	case m.high-count >= 64 || m.came>>(m.high-count)&1 == 1:
+	case m.highestCount-count >= 64 || m.receivedMask>>(m.highestCount-count)&1 == 1:
 		return false
 	}
-	m.came |= 1 << (m.high - count)
+	m.receivedMask |= 1 << (m.highestCount - count)
 	return true
 }
 
-// welcome answers a hello: with this process's life, and with that by which the sender's name is known, if that is later.
-// It changes nothing here, as a hello may be a replay.
-func (d *Detector) welcome(from, address string, life, number uint64) {
-	if d.now-d.greetAt > 1000 {
-		d.greetAt, d.greeted = d.now, 0
+// onHello answers a hello with this process's incarnation, and with the sender's known incarnation if that is later. It changes no state,
+// as a hello may be a replay.
+func (d *Detector) onHello(from, address string, life, number uint64) {
+	if d.now-d.helloWindowAt > 1000 {
+		d.helloWindowAt, d.recentHellos = d.now, 0
 	}
-	if d.greeted++; d.greeted > mostHello {
+	if d.recentHellos++; d.recentHellos > maxHellosPerSecond {
 		return
 	}
 	known, target := uint64(0), ""
-	if m := d.all[from]; m != nil && (m.Life > life || m.Life == life && m.Address != address) {
+	if m := d.members[from]; m != nil && (m.Life > life || m.Life == life && m.Address != address) {
 		known, target = m.Life, from
 	}
-	d.send(address, life, codec.Welcome, number, target, known)
+	d.sendBare(address, life, codec.Welcome, number, target, known)
 }
 
-// raise gives this process a later life than others know of its name.
-func (d *Detector) raise(known uint64) {
-	d.who.Life, d.version = known+1, 0
-	d.renew()
+// raiseIncarnation gives this process a later incarnation than others know of its name.
+func (d *Detector) raiseIncarnation(known uint64) {
+	d.config.Life, d.version = known+1, 0
+	d.announceSelf()
 }
 
-// reborn takes a member's new life.
-func (d *Detector) reborn(m *member, address string, life, version uint64, state State, by string) {
-	d.number(m, life, version)
-	m.Address, m.high, m.came, m.counts, m.accusers = address, 0, 0, 0, nil
-	d.set(m, state, by)
+// onNewIncarnation handles a member's new incarnation.
+func (d *Detector) onNewIncarnation(m *member, address string, life, version uint64, state State, by string) {
+	d.setVersion(m, life, version)
+	m.Address, m.highestCount, m.receivedMask, m.sentCount, m.accusers = address, 0, 0, 0, nil
+	d.setState(m, state, by)
 	if state == Suspect {
-		d.accused(m, by)
+		d.startSuspicion(m, by)
 	}
 }
 
-// mine meets another process that goes by this one's name. The later life has it, and of two alike that at the lower
-// address; the other is out, and says so.
-func (d *Detector) mine(address string, life uint64) {
-	if life < d.who.Life || life == d.who.Life && d.who.Address < address {
+// onNameConflict handles another process that uses this one's name. The later incarnation keeps the name, and of equal ones that at the
+// lower address; the other process takes no part any more.
+func (d *Detector) onNameConflict(address string, life uint64) {
+	if life < d.config.Life || life == d.config.Life && d.config.Address < address {
 		return
 	}
 	if !d.taken {
 		d.taken = true
-		d.edge.Taken(address)
+		d.effects.Taken(address)
 	}
 }
 
-// act does what a datagram asks for, after its news were read.
-func (d *Detector) act() {
-	h := d.head
+// handle executes a datagram after its updates were read.
+func (d *Detector) handle() {
+	h := d.header
 	m := h.m
 	switch h.kind {
-	case codec.Welcome: // it is there: what is held of it here goes to it, and it answers for itself
-		d.count++
-		d.say(m, codec.Ping, d.count, "")
-		d.exchange(m)
+	case codec.Welcome: // the sender is alive: it gets the state that is held of it and can refute it
+		d.sequence++
+		d.sendTo(m, codec.Ping, d.sequence, "")
+		d.sync(m)
 	case codec.Ping:
-		d.say(m, codec.Ack, h.number, "")
-		d.compare(m, h.view)
+		d.sendTo(m, codec.Ack, h.number, "")
+		d.syncIfDifferent(m, h.view)
 	case codec.Ack:
-		d.acked(m, h.number)
-		d.compare(m, h.view)
+		d.onAck(m, h.number)
+		d.syncIfDifferent(m, h.view)
 	case codec.Ask:
-		d.help(m, h.number, h.target)
+		d.onIndirectProbe(m, h.number, h.target)
 	case codec.Nack:
 		if d.probe.out && h.number == d.probe.number {
 			d.probe.nacks++
 		}
 	case codec.Page:
-		d.answer(m, h.number, h.after, h.until)
+		d.onSyncPage(m, h.number, h.after, h.until)
 	}
 }
 
-// acked takes an answer to a ping: one's own, or one made for another.
-func (d *Detector) acked(m *member, number uint64) {
+// onAck handles the ack of an own probe or of an indirect probe for another member.
+func (d *Detector) onAck(m *member, number uint64) {
 	if d.probe.out && number == d.probe.number && !d.probe.answered {
 		d.probe.answered = true
-		d.leased(d.probe.sent)
-		d.health = max(0, d.health-1)
+		d.onLeaseReply(d.probe.sent)
+		d.localHealth = max(0, d.localHealth-1)
 		if m.Name == d.probe.name {
-			if m.lag *= fade; m.lag < reply {
+			if m.lag *= lagDecay; m.lag < ackTimeout {
 				m.lag = 0
 			}
 		}
 		return
 	}
-	if w, ok := d.waits[number]; ok && w.name == m.Name { // late, but there
-		delete(d.waits, number)
-		d.leased(w.sent)
+	if w, ok := d.lateProbes[number]; ok && w.name == m.Name { // late, but alive
+		delete(d.lateProbes, number)
+		d.onLeaseReply(w.sent)
 		m.lag = max(m.lag, d.now-w.sent)
 	}
-	if h, ok := d.helped[number]; ok && h.target == m.Name {
-		delete(d.helped, number)
-		if asker := d.all[h.asker]; asker != nil {
-			d.say(asker, codec.Ack, h.number, "")
+	if h, ok := d.indirectProbes[number]; ok && h.target == m.Name {
+		delete(d.indirectProbes, number)
+		if asker := d.members[h.asker]; asker != nil {
+			d.sendTo(asker, codec.Ack, h.number, "")
 		}
 	}
 }
 
-// help pings a member for another that hears nothing of it.
-func (d *Detector) help(asker *member, number uint64, target string) {
-	m := d.all[target]
-	if m == nil || len(d.helped) >= mostAll {
+// onIndirectProbe probes a member for another that gets no ack from it.
+func (d *Detector) onIndirectProbe(asker *member, number uint64, target string) {
+	m := d.members[target]
+	if m == nil || len(d.indirectProbes) >= maxMembers {
 		return
 	}
-	d.count++
-	d.helped[d.count] = helped{asker: asker.Name, target: target, number: number}
-	d.say(m, codec.Ping, d.count, "")
-	d.bells.Set(d.now+reply, dueNack, d.count)
+	d.sequence++
+	d.indirectProbes[d.sequence] = indirectProbe{asker: asker.Name, target: target, number: number}
+	d.sendTo(m, codec.Ping, d.sequence, "")
+	d.timers.Set(d.now+ackTimeout, dueNack, d.sequence)
 }
 
-// compare begins an exchange of all that is held with one that holds something else.
-func (d *Detector) compare(m *member, view uint64) {
-	if view != d.view && d.now-d.syncAt >= syncEach {
-		d.exchange(m)
+// syncIfDifferent synchronizes the full state with a member whose digest differs.
+func (d *Detector) syncIfDifferent(m *member, view uint64) {
+	if view != d.digest && d.now-d.lastSyncAt >= syncInterval {
+		d.sync(m)
 	}
 }
 
-// exchange sends all that is held, a page at a time; the other answers each with what it holds that is newer, and what is
-// newer here it has read.
-func (d *Detector) exchange(m *member) {
-	d.Figures.Syncs++
-	d.syncAt = d.now
+// sync sends the full state in pages. The receiver reads what is newer and answers each page with what is newer on its side.
+func (d *Detector) sync(m *member) {
+	d.Stats.Syncs++
+	d.lastSyncAt = d.now
 	all := slices.Clone(d.names)
-	at, _ := slices.BinarySearch(all, d.who.Name)
-	all = slices.Insert(all, at, d.who.Name)
+	at, _ := slices.BinarySearch(all, d.config.Name)
+	all = slices.Insert(all, at, d.config.Name)
 	after := ""
-	for range mostPages {
-		until, n := d.sendPage(m, all, after)
+	for range maxSyncPages {
+		until, n := d.sendSyncPage(m, all, after)
 		all, after = all[n:], until
 		if until == "" {
 			return
@@ -294,13 +293,13 @@
 	}
 }
 
-// sendPage sends what fits of the names given, and returns the last of them, empty if that was all.
-func (d *Detector) sendPage(m *member, names []string, after string) (until string, n int) {
-	d.Figures.Pages++
-	d.count++
-	m.counts++
+// sendSyncPage sends the updates of as many names as fit. It returns the last name sent, empty if all were, and their number.
+func (d *Detector) sendSyncPage(m *member, names []string, after string) (until string, n int) {
+	d.Stats.Pages++
+	d.sequence++
+	m.sentCount++
 	begin := func(until string) []byte {
-		return codec.Begin(nil, d.who.Site, d.who.Name, d.who.Address, d.who.Life, m.counts, m.Life, codec.Page, d.count, "", d.view, after, until)
+		return codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.Page, d.sequence, "", d.digest, after, until)
 	}
 	longest := ""
 	for _, name := range names {
@@ -308,9 +307,9 @@
 			longest = name
 		}
 	}
-	b, ok := begin(longest), true // its last name is known only at the end: as much is kept free
+	b, ok := begin(longest), true // the page's last name is not known yet: room for the longest is reserved
 	for n = 0; n < len(names); n++ {
-		if b, ok = item(b, d.held(names[n])); !ok {
+		if b, ok = appendUpdate(b, d.lookup(names[n])); !ok {
 			break
 		}
 	}
@@ -319,40 +318,41 @@
 	}
 	b = begin(until)
 	for _, name := range names[:n] {
-		b, _ = item(b, d.held(name))
+		b, _ = appendUpdate(b, d.lookup(name))
 	}
-	d.out(m.Address, b)
+	d.transmit(m.Address, b)
 	return until, n
 }
 
-func (d *Detector) held(name string) *member {
-	if name == d.who.Name {
-		return d.me
+// lookup returns the member of a name, which may be this process.
+func (d *Detector) lookup(name string) *member {
+	if name == d.config.Name {
+		return d.self
 	}
-	return d.all[name]
+	return d.members[name]
 }
 
-// answer answers a page with what is held of its names, and not of it, that is newer.
-func (d *Detector) answer(m *member, number uint64, after, until string) {
+// onSyncPage answers a page with the updates of its range of names that are newer here or missing in it.
+func (d *Detector) onSyncPage(m *member, number uint64, after, until string) {
 	from, _ := slices.BinarySearch(d.names, after)
 	var b []byte
 	flush := func() {
 		if b != nil {
-			d.out(m.Address, b)
+			d.transmit(m.Address, b)
 			b = nil
 		}
 	}
-	for _, name := range append(slices.Clone(d.names[from:]), d.who.Name) {
-		if name <= after || until != "" && name > until || d.page[name] {
+	for _, name := range append(slices.Clone(d.names[from:]), d.config.Name) {
+		if name <= after || until != "" && name > until || d.syncedNames[name] {
 			continue
 		}
 		for range 2 {
 			if b == nil {
-				m.counts++
-				b = codec.Begin(nil, d.who.Site, d.who.Name, d.who.Address, d.who.Life, m.counts, m.Life, codec.Answered, number, "", d.view, "", "")
+				m.sentCount++
+				b = codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.Answered, number, "", d.digest, "", "")
 			}
 			var ok bool
-			if b, ok = item(b, d.held(name)); ok {
+			if b, ok = appendUpdate(b, d.lookup(name)); ok {
 				break
 			}
 			flush()
@@ -361,101 +361,101 @@
 	flush()
 }
 
-// News takes what another says of a member.
-func (d taker) News(name, address string, life, version uint64, state uint32, by string) {
+// News handles an update of a member.
+func (d datagramHandler) News(name, address string, life, version uint64, state uint32, by string) {
 	to := State(state)
-	if name == d.who.Name {
-		if d.page != nil {
-			d.page[name] = life == d.who.Life && version == d.version && (to < Dead) == !d.leaving
+	if name == d.config.Name {
+		if d.syncedNames != nil {
+			d.syncedNames[name] = life == d.config.Life && version == d.version && (to < Dead) == !d.leaving
 		}
-		d.ofMe(address, life, version, to)
+		d.onSelfUpdate(address, life, version, to)
 		return
 	}
-	m := d.all[name]
+	m := d.members[name]
 	if m == nil {
-		if m = d.add(name, address, life, version); m == nil {
+		if m = d.addMember(name, address, life, version); m == nil {
 			return
 		}
 		switch to {
 		case Suspect:
-			d.set(m, Alive, by)
+			d.setState(m, Alive, by)
 			d.suspect(m, by)
 		default:
-			d.set(m, to, by)
+			d.setState(m, to, by)
 		}
-		d.paged(m, life, version, to)
+		d.markSynced(m, life, version, to)
 		return
 	}
-	d.paged(m, life, version, to)
+	d.markSynced(m, life, version, to)
 	switch {
-	case d.who.Plant.Stale && (life < m.Life || version < m.Version):
-		d.reborn(m, address, life, version, to, by)
+	case d.config.Faults.Stale && (life < m.Life || version < m.Version):
+		d.onNewIncarnation(m, address, life, version, to, by)
 	case life < m.Life || life == m.Life && version < m.Version:
 	case life > m.Life:
-		d.reborn(m, address, life, version, to, by)
+		d.onNewIncarnation(m, address, life, version, to, by)
 	case version > m.Version:
-		d.newer(m, version, to, by)
-	case to <= m.State: // nothing new, but for one who suspects as well
+		d.onNewerVersion(m, version, to, by)
+	case to <= m.State: // nothing new, except for a further accuser
 		if to == Suspect && m.State == Suspect {
-			d.accuse(m, by)
+			d.addAccuser(m, by)
 		}
 	case to == Dead && m.State == Suspect:
-		if !m.hearsay { // where parts come together again, all of one held all of the other for dead
-			d.accuse(m, by)
+		if !m.fromDeathReport { // after a partition heals, each side reports all members of the other as dead
+			d.addAccuser(m, by)
 		}
-	case to == Dead, to == Suspect: // a death that is news here is a suspicion first: it may have been refuted
+	case to == Dead, to == Suspect: // a new report of a death starts a suspicion: the death may have been refuted
 		d.suspect(m, by)
-		m.hearsay = to == Dead
+		m.fromDeathReport = to == Dead
 	default:
-		d.set(m, to, by)
+		d.setState(m, to, by)
 	}
 }
 
-// newer takes a higher version of a member.
-func (d *Detector) newer(m *member, version uint64, to State, by string) {
+// onNewerVersion handles a higher version of a member.
+func (d *Detector) onNewerVersion(m *member, version uint64, to State, by string) {
 	was := m.State
-	d.number(m, m.Life, version)
+	d.setVersion(m, m.Life, version)
 	switch {
 	case to == Alive:
 		if was == Suspect {
-			d.Figures.Refuted++
+			d.Stats.Refuted++
 		}
 		m.accusers = nil
-		d.set(m, Alive, by)
+		d.setState(m, Alive, by)
 	case to == Left:
-		d.set(m, Left, by)
+		d.setState(m, Left, by)
 	case was == Dead && to == Dead:
-		d.set(m, Dead, by)
+		d.setState(m, Dead, by)
 	default:
-		d.set(m, Alive, by)
+		d.setState(m, Alive, by)
 		d.suspect(m, by)
 	}
 }
 
-// paged notes that a page told a name as it is held, or newer: no answer is owed for it.
-func (d *Detector) paged(m *member, life, version uint64, to State) {
-	if d.page != nil {
-		d.page[m.Name] = life > m.Life || life == m.Life && (version > m.Version || version == m.Version && (to >= m.State || m.State < Dead))
+// markSynced notes that the page has a name's present or a newer update, so that the answer can omit it.
+func (d *Detector) markSynced(m *member, life, version uint64, to State) {
+	if d.syncedNames != nil {
+		d.syncedNames[m.Name] = life > m.Life || life == m.Life && (version > m.Version || version == m.Version && (to >= m.State || m.State < Dead))
 	}
 }
 
-// ofMe hears what others say of this process. It answers for itself by a higher version.
-func (d *Detector) ofMe(address string, life, version uint64, to State) {
+// onSelfUpdate handles an update about this process. It refutes a wrong one by a higher version.
+func (d *Detector) onSelfUpdate(address string, life, version uint64, to State) {
 	switch {
-	case life < d.who.Life || d.leaving:
-	case address != d.who.Address:
-		d.mine(address, life)
-	case life > d.who.Life:
-		d.raise(life)
-	case d.who.Plant.Silent:
+	case life < d.config.Life || d.leaving:
+	case address != d.config.Address:
+		d.onNameConflict(address, life)
+	case life > d.config.Life:
+		d.raiseIncarnation(life)
+	case d.config.Faults.Silent:
 	case to != Alive && version >= d.version:
-		if !d.who.Plant.Same {
+		if !d.config.Faults.Same {
 			d.version = version + 1
 		}
-		d.health = min(sick, d.health+1)
-		d.renew()
+		d.localHealth = min(maxLocalHealth, d.localHealth+1)
+		d.announceSelf()
 	case version > d.version:
 		d.version = version
-		d.renew()
+		d.announceSelf()
 	}
 }
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -1,15 +1,15 @@
-// Package membership decides who of a site's schedulers is there: datagrams and time in, datagrams and verdicts out. It follows
-// the published SWIM and Lifeguard papers; docs/design/members.md says which ways were weighed and why each bound holds.
+// Package membership is the failure detector among a site's schedulers. Datagrams and time go in; datagrams and membership changes come
+// out. It follows the SWIM and Lifeguard papers; docs/design/members.md compares the alternatives and derives the limits.
 //
-// Each process probes one other a period, in an order that is shuffled anew each round. One that does not answer is asked
-// for through a few others; then it is suspected, which it may refute by a higher version of itself. A suspicion begins
-// long and shrinks with each other process that suspects on its own account. A process that was late itself, or whose
-// helpers say nothing, takes the fault for its own first: its probes wait longer, and one that stood still accuses nobody.
-// News ride on probes and answers, each a few times; who holds another view than a peer exchanges the whole with it. The
-// dead are asked again, ever more slowly and for ever, so that two halves find each other.
+// Each process probes one member per period, in an order that is shuffled in each round. A member that does not answer is probed
+// indirectly through a few others and then suspected; it refutes the suspicion by a higher version of itself. The time-out of a
+// suspicion starts long and shrinks with each further process that suspects independently. A process that was late itself, or whose
+// helpers are silent, first assumes that it is at fault: its probes wait longer, and after a pause it accuses nobody. Updates are
+// piggybacked on probes and acks, a limited number of times each; a process whose digest differs from a peer's synchronizes its full
+// state with the peer. Dead members are contacted for ever at growing intervals, so that two halves of a partition find each other.
 //
-// It guards against lost, late, doubled and replayed datagrams, links that are cut one way, processes that stand still,
-// names that come back, and strangers. What it says of others is advice: nothing that may happen once rests on it alone.
+// The package tolerates lost, late, duplicate and replayed datagrams, one-way partitions, paused processes, reused names, and datagrams
+// of other sites. Its verdicts are advisory: nothing that must happen at most once may rest on them alone.
 package membership
 
 import (
@@ -26,41 +26,41 @@
 	"ravenpond/internal/timers"
 )
 
-// Period is the time between two probes of a process that is well, ms.
+// Period is the time between two probes of a healthy process, in ms.
 const Period = period
 
-// Times in milliseconds.
+// Times in milliseconds, unless another unit is given.
 const (
-	period     = 200  // between two probes
-	reply      = 80   // that a probe's answer may take before others are asked
-	helpers    = 3    // who are asked
-	sick       = 8    // the most that a process thinks ill of itself; its times grow as many times
-	patience   = 3    // periods that a suspicion lasts at least, times the logarithm of the number of members
-	few        = 1.34 // which is reckoned with where they are few
-	doubtful   = 6    // times as long where nobody else suspects
-	agree      = 3    // others who make it as short as it gets
-	retell     = 3    // times the logarithm of their number that members are told an item
-	syncEach   = 1000 // between two exchanges of all that is held
-	mostPages  = 128  // of such an exchange
-	askFirst   = 500  // between two calls to one who is dead, soon after its death
-	askLast    = 4000 // later
-	askOld     = 600e3
-	askOldest  = 30000 // and after that
-	late       = 250   // by which a process is late that stood still
-	mostHello  = 64    // hellos that are answered a second
-	mostAll    = 4096  // members at most
-	slack      = 1.5   // times its last lag that a slow member's answer is waited for
-	slowest    = 3000  // and for so long it is taken for an answer at all
-	fade       = 0.8   // part of a lag that is kept at each answer in time
-	forget     = 24 * 3600e3
-	mostPlaces = 4096 // of which leave is given: whom one counts has to fit beside the news
-	farewells  = 8    // members who are told at once that one leaves
+	period              = 200  // between two probes
+	ackTimeout          = 80   // time-out of a probe's ack before indirect probes are sent
+	helperCount         = 3    // members that are asked for an indirect probe
+	maxLocalHealth      = 8    // limit of the local health score, by which time-outs are multiplied
+	suspicionPeriods    = 3    // least duration of a suspicion in periods, times the logarithm of the number of members
+	minLogFactor        = 1.34 // least value of that logarithm
+	maxSuspicionFactor  = 6    // factor of a suspicion's duration while nobody else suspects
+	maxAccusers         = 3    // further accusers that shorten a suspicion to its least duration
+	retransmitFactor    = 3    // transmissions of an update, times the logarithm of the number of members
+	syncInterval        = 1000 // between two synchronizations of the full state
+	maxSyncPages        = 128  // of one synchronization
+	contactMinInterval  = 500  // between two contacts of dead members, soon after a death
+	contactMaxInterval  = 4000 // the same, later
+	contactSlowAfter    = 600e3
+	contactSlowInterval = 30000 // between two contacts after that time
+	pauseThreshold      = 250   // lateness of a timer that indicates a pause of the process
+	maxHellosPerSecond  = 64    // hellos that are answered per second
+	maxMembers          = 4096  // limit of the number of members
+	lagFactor           = 1.5   // factor of a slow member's lag that its ack is waited for
+	minLateWait         = 3000  // least time that a late ack is waited for
+	lagDecay            = 0.8   // part of the lag that remains after each ack in time
+	removeAfter         = 24 * 3600e3
+	maxPlaces           = 4096 // limit of the places that share: their set has to fit beside the updates
+	leaveNotices        = 8    // members that are told at once that a process leaves
 )
 
-// State is what is held of a member.
+// State is the state of a member.
 type State uint8
 
-// States, in the order in which they count at one version.
+// States, in the order of their precedence at one version.
 const (
 	Alive   State = codec.Alive
 	Suspect State = codec.Suspect
@@ -72,122 +72,122 @@
 	return [...]string{"unknown", "alive", "suspect", "dead", "left"}[min(s, 5)%5]
 }
 
-// Member is what is held of one.
+// Member is what this process knows of a member.
 type Member struct {
 	Name, Address string
 	Life, Version uint64
 	State         State
-	Since         float64 // of the state, ms
-	By            string  // who says so
-	Heard         float64 // its last own word, ms, 0: none
+	Since         float64 // when the state was entered, ms
+	By            string  // who reported the state
+	Heard         float64 // when its last own datagram arrived, ms; 0: never
 }
 
-// Edge carries out what the detector decides.
-type Edge interface {
-	// Send hands a datagram to the network, which may lose it.
+// Effects executes what the detector decides.
+type Effects interface {
+	// Send sends a datagram, which may be lost.
 	Send(address string, datagram []byte)
-	// Changed tells of a member whose state or life has changed.
+	// Changed reports a member whose state or incarnation has changed.
 	Changed(m Member, was State)
-	// Taken tells that another process goes by this one's name, and where.
+	// Taken reports that another process at an address uses this one's name.
 	Taken(address string)
-	// Hears is what this process hears of a node: in which life, and when last, ms; false if it does not.
+	// Hears returns the incarnation of a node that this process hears and when it was last heard, ms; false if it does not hear it.
 	Hears(node uint32) (life uint64, heard float64, ok bool)
 }
 
-// Carrier takes messages that others of the program send by this one's datagrams.
+// Carrier receives messages that other parts of the program send over the members' datagrams.
 type Carrier interface {
-	// Carried is a whole message, which is the taker's from then on.
+	// Carried delivers a message. The receiver owns its body.
 	Carried(from string, body []byte)
-	// Ahead is that another holds a later version of the book than this process said it does.
+	// Ahead reports a member that holds a later version of the cluster state than this process.
 	Ahead(from string, version uint64)
 }
 
-// Charter says who this process is, and whom it asks first.
-type Charter struct {
+// Config identifies this process and the members that it contacts first.
+type Config struct {
 	Site, Name, Address string
-	Life                uint64 // higher than that of any earlier start; one that is not is raised when others say so
-	Key                 []byte // the site's member key
+	Life                uint64 // incarnation, higher than that of any earlier start; raised if others know a higher one
+	Key                 []byte // secret key of the site's members
 	Seeds               []string
-	Place               int     // among all that share what cold nodes bear, from 0
-	Places              int     // of the site file; 0: nothing is shared
-	Window              float64 // ms in which a node bears what it bears
-	Open                float64 // ms that an allocation may be open: what is lent of limits stays in use for so long; 0: nothing is lent
-	Plant               Plant
-	Seed                uint64 // of the chance by which it chooses
+	Place               int     // index among the processes that share the slow-start budget, from 0
+	Places              int     // number of places in the site file; 0: nothing is shared
+	Window              float64 // of the slow-start budget, ms
+	Open                float64 // longest time that an allocation is open and uses leased quota, ms; 0: no quota is leased
+	Faults              Faults
+	Seed                uint64 // of the random choices
 }
 
-// Plant puts faults into a detector, for tests that must find them; the zero value puts none.
-type Plant struct {
-	Silent   bool // it does not answer for itself
-	Same     bool // it answers for itself without a higher version
-	Stale    bool // older news are taken
-	Replayed bool // what came before is taken again, from any life
-	Healthy  bool // it never takes a fault for its own
-	Grows    bool // parts of those held for dead are taken at once
+// Faults injects faults for tests that must detect them. The zero value injects none.
+type Faults struct {
+	Silent   bool // it does not refute suspicions
+	Same     bool // it refutes suspicions without a higher version
+	Stale    bool // older updates are accepted
+	Replayed bool // replayed datagrams of any incarnation are accepted
+	Healthy  bool // it never lowers its local health
+	Grows    bool // shares of dead members are taken at once
 }
 
 type due uint8
 
 const (
-	dueProbe  due = iota // the next probe
-	dueReply             // an answer to the one that is out
-	dueJudge             // a suspicion's end, by member
-	dueNack              // a ping made for another, by number
-	dueLate              // the end of waiting for a slow one's answer, by number
-	dueCall              // a call to one who is dead or was never met
-	dueForget            // a member that is long gone
+	dueProbe     due = iota // the next probe
+	dueAck                  // the ack of the current probe
+	dueSuspicion            // the end of a suspicion, by member
+	dueNack                 // the ack of an indirect probe for another member, by number
+	dueLate                 // the end of waiting for a late ack, by number
+	dueContact              // contact of a dead or unknown member
+	dueRemoval              // removal of a member that is long gone
 )
 
-// member is one with what the detector keeps of it.
+// member is a member with the detector's bookkeeping.
 type member struct {
 	Member
-	index     uint64
-	high      uint64 // of its counts to this process, and which of the 64 below it came
-	came      uint64
-	counts    uint64 // of datagrams to it
-	suspectAt float64
-	accusers  map[string]bool
-	hearsay   bool    // the suspicion began with word of its death, of which it may know nothing yet
-	place     int     // that it names, counted from 1; 0: none
-	told      int     // times that news of it were sent, -1: none are due
-	lag       float64 // ms that its answers took which came after their time, fading
-}
-
-// helped is a ping made for another.
-type helped struct {
+	index           uint64
+	highestCount    uint64 // highest count received from it
+	receivedMask    uint64 // which of the 64 counts up to it were received
+	sentCount       uint64 // count of datagrams sent to it
+	suspectAt       float64
+	accusers        map[string]bool
+	fromDeathReport bool    // the suspicion began with a report of its death, of which it may not know yet
+	place           int     // its place, from 1; 0: unknown
+	transmissions   int     // of its update so far; -1: no update is queued
+	lag             float64 // decaying latency of its late acks, ms
+}
+
+// indirectProbe is a probe made for another member.
+type indirectProbe struct {
 	asker, target string
-	number        uint64 // of the asker's probe
+	number        uint64 // number of the asker's probe
 }
 
-// waits is a probe that was not answered in time.
-type waits struct {
+// lateProbe is a probe without an ack in time.
+type lateProbe struct {
 	name string
 	sent float64
 }
 
-// Detector is one process's view of all.
+// Detector is one process's failure detector. It is not safe for concurrent use.
 type Detector struct {
-	edge  Edge
-	who   Charter
-	rng   *rand.Rand
-	now   float64
-	bells timers.Heap[due]
-
-	version uint64
-	leaving bool
-	taken   bool
-	all     map[string]*member
-	byIndex map[uint64]*member
-	indices uint64
-	names   []string // of all others, sorted
-	view    uint64   // digest of what is held
-	news    []*member
-	me      *member // news of this process
-	ring    []string
-	at      int
-
-	count uint64 // numbers of probes, pages and hellos
-	probe struct {
+	effects Effects
+	config  Config
+	rng     *rand.Rand
+	now     float64
+	timers  timers.Heap[due]
+
+	version    uint64
+	leaving    bool
+	taken      bool
+	members    map[string]*member
+	byIndex    map[uint64]*member
+	lastIndex  uint64
+	names      []string // of all other members, sorted
+	digest     uint64   // digest of the full state
+	updates    []*member
+	self       *member // this process
+	probeOrder []string
+	probeIndex int
+
+	sequence uint64 // last number of a probe, page, hello or message
+	probe    struct {
 		name     string
 		number   uint64
 		sent     float64
@@ -196,188 +196,191 @@
 		answered bool
 		out      bool
 	}
-	helped  map[uint64]helped
-	waits   map[uint64]waits
-	hellos  map[string]uint64 // the last hello to an address, by its number
-	callAt  int
-	dead    int
-	lastOff float64 // the last death, or the start
-	health  int
-	stoodAt float64 // when it woke last from standing still
-	syncAt  float64
-	greeted float64 // hellos answered lately
-	greetAt float64
-
-	head struct {
-		place        int // of its sender, counted from 1; 0: none
+	indirectProbes map[uint64]indirectProbe
+	lateProbes     map[uint64]lateProbe
+	hellos         map[string]uint64 // number of the last hello to an address
+	contactIndex   int
+	deadCount      int
+	lastDeathAt    float64 // time of the last death, or of the start
+	localHealth    int
+	resumedAt      float64 // when the process last resumed from a pause
+	lastSyncAt     float64
+	recentHellos   float64 // hellos received within the present second
+	helloWindowAt  float64
+
+	header struct {
+		place        int // of the sender, from 1; 0: none
 		given, lent  bool
 		counted      []byte
 		lentCounted  []byte
-		silent       []uint32 // nodes that its sender asks for
+		silent       []uint32 // nodes that the sender can't reach and asks for
 		m            *member
 		kind         uint32
 		number, view uint64
 		target       string
 		after, until string
 	}
-	page map[string]bool // names told by the page that is being read, of which nothing newer is held
+	syncedNames map[string]bool // names in the page that is being read for which this process holds nothing newer
 
-	carrier Carrier // nil: nothing is carried
-	book    uint64  // the version of the book that this process holds
-	whole   fragment.Whole
+	carrier      Carrier // nil: none
+	stateVersion uint64  // version of the cluster state that this process holds
+	reassembler  fragment.Whole
 
-	words gossip.Board
-	nodes reachability.Board
-	share *slowstart.Holder // nil: nothing is shared
-	lent  *slowstart.Holder // nil: nothing is lent
+	nodeGossip       gossip.Board
+	nodeReachability reachability.Board
+	slowStart        *slowstart.Holder // nil: nothing is shared
+	quota            *slowstart.Holder // nil: nothing is lent
 
-	// Figures, since the start.
-	Figures Figures
+	// Stats are totals since the start.
+	Stats Stats
 }
 
-// Figures count what the detector did.
-type Figures struct {
+// Stats counts what a detector did.
+type Stats struct {
 	Sent, Bytes, Got, Foreign, Bad, Stale uint64
 	Probes, Missed, Suspicions, Refuted   uint64
 	Deaths, Stalls, Syncs, Pages          uint64
 }
 
-// New begins a detector that knows nobody yet.
-func New(edge Edge, now float64, who Charter) *Detector {
-	d := &Detector{edge: edge, who: who, rng: rand.New(rand.NewPCG(who.Seed, 0x3e3b)), now: now, all: map[string]*member{},
-		byIndex: map[uint64]*member{}, helped: map[uint64]helped{}, waits: map[uint64]waits{}, hellos: map[string]uint64{}, lastOff: now, syncAt: math.Inf(-1),
-		stoodAt: math.Inf(-1)}
-	if d.who.Life == 0 {
-		d.who.Life = 1
+// New returns a detector without members, started at a time in ms.
+func New(edge Effects, now float64, who Config) *Detector {
+	d := &Detector{effects: edge, config: who, rng: rand.New(rand.NewPCG(who.Seed, 0x3e3b)), now: now, members: map[string]*member{},
+		byIndex: map[uint64]*member{}, indirectProbes: map[uint64]indirectProbe{}, lateProbes: map[uint64]lateProbe{}, hellos: map[string]uint64{}, lastDeathAt: now, lastSyncAt: math.Inf(-1),
+		resumedAt: math.Inf(-1)}
+	if d.config.Life == 0 {
+		d.config.Life = 1
 	}
-	if who.Places > 0 && who.Places <= mostPlaces {
-		lease := slowstart.Charter{Places: who.Places, Lease: slowstart.LeaseFor(who.Places, period), Window: who.Window,
+	if who.Places > 0 && who.Places <= maxPlaces {
+		lease := slowstart.Config{Places: who.Places, Lease: slowstart.LeaseFor(who.Places, period), Window: who.Window,
 			Turn: 2 * period * float64(who.Places)}
-		d.share = slowstart.New(now, lease, who.Place)
+		d.slowStart = slowstart.New(now, lease, who.Place)
 		if lease.Window = who.Open; who.Open > 0 {
-			d.lent = slowstart.New(now, lease, who.Place)
+			d.quota = slowstart.New(now, lease, who.Place)
 		}
 	}
-	d.me = &member{Member: Member{Name: who.Name, Address: who.Address, State: Alive, Since: now, By: who.Name}, told: 0}
-	d.news = append(d.news, d.me)
-	d.view ^= d.me.digest()
-	d.renew()
-	d.bells.Set(now+period*d.rng.Float64(), dueProbe, 0)
-	d.bells.Set(now, dueCall, 0)
+	d.self = &member{Member: Member{Name: who.Name, Address: who.Address, State: Alive, Since: now, By: who.Name}, transmissions: 0}
+	d.updates = append(d.updates, d.self)
+	d.digest ^= d.self.digest()
+	d.announceSelf()
+	d.timers.Set(now+period*d.rng.Float64(), dueProbe, 0)
+	d.timers.Set(now, dueContact, 0)
 	return d
 }
 
-// renew takes this process's own number into its news and the digest.
-func (d *Detector) renew() {
-	d.number(d.me, d.who.Life, d.version)
-	d.tell(d.me)
+// announceSelf updates this process's own version and queues the update.
+func (d *Detector) announceSelf() {
+	d.setVersion(d.self, d.config.Life, d.version)
+	d.queueUpdate(d.self)
 }
 
-// number gives a member another number, in the digest too.
-func (d *Detector) number(m *member, life, version uint64) {
-	d.view ^= m.digest()
+// setVersion sets a member's incarnation and version, and updates the digest.
+func (d *Detector) setVersion(m *member, life, version uint64) {
+	d.digest ^= m.digest()
 	m.Life, m.Version = life, version
-	d.view ^= m.digest()
+	d.digest ^= m.digest()
 }
 
-// Life is the life of this process, as the others know it.
-func (d *Detector) Life() uint64 { return d.who.Life }
+// Life returns this process's incarnation.
+func (d *Detector) Life() uint64 { return d.config.Life }
 
-// Health is how ill this process thinks of itself, from 0 to 8.
-func (d *Detector) Health() int { return d.health }
+// Health returns the local health score: 0 is healthy, 8 the worst.
+func (d *Detector) Health() int { return d.localHealth }
 
-// Taken tells whether another process goes by this one's name, with a later life: this one takes part in nothing more.
+// Taken reports whether another process with a later incarnation uses this one's name. This process then takes no part any more.
 func (d *Detector) Taken() bool { return d.taken }
 
-// All is what is held of the others, by name.
+// All returns all other members, sorted by name.
 func (d *Detector) All() []Member {
 	all := make([]Member, 0, len(d.names))
 	for _, n := range d.names {
-		all = append(all, d.all[n].Member)
+		all = append(all, d.members[n].Member)
 	}
 	return all
 }
 
-// Sharers is how many share what a cold node bears, as far as this process has to reckon with, 0 if it takes no part; and
-// until when that holds at the latest if nobody says anything more.
+// Sharers returns how many processes share the slow-start budget at most, or 0 if this one has no lease on a share, and the time in ms
+// until which this holds without further replies.
 func (d *Detector) Sharers(now float64) (n int, until float64) {
-	return d.lease(d.share, now)
+	return d.sharers(d.slowStart, now)
 }
 
-// Lent is how many share what is lent of limits, as far as this process has to reckon with, 0 if it has no lease on it; and until when
-// that holds at the latest.
+// Lent returns how many processes share the leased quota at most, or 0 if this one has no lease on a share, and the time in ms until
+// which this holds without further replies.
 func (d *Detector) Lent(now float64) (n int, until float64) {
-	return d.lease(d.lent, now)
+	return d.sharers(d.quota, now)
 }
 
-func (d *Detector) lease(h *slowstart.Holder, now float64) (n int, until float64) {
+// sharers returns the number of sharers by a lease and the lease's end.
+func (d *Detector) sharers(h *slowstart.Holder, now float64) (n int, until float64) {
 	if h == nil || d.taken || d.leaving {
 		return 0, now
 	}
-	if d.who.Plant.Grows {
+	if d.config.Faults.Grows {
 		alive, _, _, _ := d.Count()
 		return alive + 1, math.Inf(1)
 	}
 	return h.Sharers(now), h.Until(now)
 }
 
-// NodeLost says that this process hears a node no more, which it knew in such a life: the others are asked for it.
-func (d *Detector) NodeLost(now float64, node uint32, life uint64) { d.nodes.Lost(now, node, life) }
+// NodeLost records that this process no longer hears an incarnation of a node. The others are asked for it.
+func (d *Detector) NodeLost(now float64, node uint32, life uint64) {
+	d.nodeReachability.Lost(now, node, life)
+}
 
-// NodeBack says that it hears a node.
-func (d *Detector) NodeBack(node uint32) { d.nodes.Back(node) }
+// NodeBack records that this process hears a node again.
+func (d *Detector) NodeBack(node uint32) { d.nodeReachability.Back(node) }
 
-// NodeLives tells whether others hear a node that is silent here, in the life in which it was lost.
+// NodeLives reports whether others hear the incarnation of a node that is silent here.
 func (d *Detector) NodeLives(now float64, node uint32, life uint64) bool {
-	return d.nodes.Lives(now, node, life)
+	return d.nodeReachability.Lives(now, node, life)
 }
 
-// NodesEnded gives nodes whose life is over in which they were lost here, each once.
-func (d *Detector) NodesEnded(yield func(node uint32, life uint64)) { d.nodes.Ended(yield) }
+// NodesEnded yields each lost node once whose incarnation has ended according to others.
+func (d *Detector) NodesEnded(yield func(node uint32, life uint64)) { d.nodeReachability.Ended(yield) }
 
-// List tells of an answer of this process's own node list, whose news go to the others.
+// List records an answer of this process's node list. Its changes are gossiped.
 func (d *Detector) List(now float64, version uint64, each func(yield func(node uint32, ready, gone bool))) {
-	d.words.Own(now, version, each)
+	d.nodeGossip.Own(now, version, each)
 }
 
-// Held are the nodes that others say are not ready by a later version of the list than this process's, sorted.
-func (d *Detector) Held(now float64) []uint32 { return d.words.Held(now) }
+// Held returns, sorted, the nodes that are not ready according to others that know a later version of the node list.
+func (d *Detector) Held(now float64) []uint32 { return d.nodeGossip.Held(now) }
 
-// Carries has messages that others send taken by c.
+// Carries sets the receiver of messages.
 func (d *Detector) Carries(c Carrier) { d.carrier = c }
 
-// Holds says which version of the book this process holds; the others hear of it with each probe.
-func (d *Detector) Holds(version uint64) { d.book = version }
+// Holds sets the version of the cluster state that this process holds. Each probe carries it.
+func (d *Detector) Holds(version uint64) { d.stateVersion = version }
 
-// Carry sends a message to another in as many datagrams as it needs, any of which may be lost. It tells whether one by that name
-// is known who may hear it.
+// Carry sends a message to a member in as many datagrams as needed, each of which may be lost. It reports whether the member is known
+// and not gone.
 func (d *Detector) Carry(now float64, to string, body []byte) bool {
 	d.now = max(d.now, now)
-	m := d.all[to]
+	m := d.members[to]
 	if m == nil || m.State >= Dead || d.taken {
 		return false
 	}
-	d.count++
+	d.sequence++
 	parts := fragment.Cut(body, codec.MostPart)
 	for i, p := range parts {
-		m.counts++
-		b := codec.Begin(nil, d.who.Site, d.who.Name, d.who.Address, d.who.Life, m.counts, m.Life, codec.Carry, d.count, "", 0, "", "")
-		d.out(m.Address, codec.Part(b, i, len(parts), p))
+		m.sentCount++
+		b := codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.Carry, d.sequence, "", 0, "", "")
+		d.transmit(m.Address, codec.Part(b, i, len(parts), p))
 	}
 	return len(parts) > 0
 }
 
-// Leaves is how many others give this process leave to take part, and how many it needs.
+// Leaves returns how many others grant this process its lease, and how many grants it needs.
 func (d *Detector) Leaves(now float64) (has, needs int) {
-	if d.share == nil {
+	if d.slowStart == nil {
 		return 0, 0
 	}
-	return d.share.Leaves(now), d.who.Places / 2
+	return d.slowStart.Leaves(now), d.config.Places / 2
 }
 
-// Count is how many others are held in each state.
+// Count returns the number of other members in each state.
 func (d *Detector) Count() (alive, suspect, dead, left int) {
-	for _, m := range d.all {
+	for _, m := range d.members {
 		switch m.State {
 		case Alive:
 			alive++
@@ -392,129 +395,129 @@
 	return
 }
 
-// View is a digest of what is held of all, the same at processes that hold the same.
-func (d *Detector) View() uint64 { return d.view }
+// View returns a digest of the full state, equal in processes whose states are equal.
+func (d *Detector) View() uint64 { return d.digest }
 
-// Next is when Tick is to be called at the latest.
+// Next returns the latest time in ms at which Tick must be called.
 func (d *Detector) Next() float64 {
-	at, _ := d.bells.First() // a probe is always due
+	at, _ := d.timers.First() // a probe is always due
 	return at
 }
 
-// Tick does what is due. One that comes late has the process find out that it stood still.
+// Tick executes what is due. A late call tells the detector that the process was paused.
 func (d *Detector) Tick(now float64) {
-	d.wake(now)
+	d.advance(now)
 	for {
-		b, ok := d.bells.Next(d.now)
+		b, ok := d.timers.Next(d.now)
 		if !ok {
 			return
 		}
 		switch b.What {
 		case dueProbe:
-			d.nextProbe()
-		case dueReply:
+			d.startProbe()
+		case dueAck:
 			if b.Key == d.probe.number && d.probe.out && !d.probe.answered {
-				d.askOthers()
+				d.probeIndirectly()
 			}
-		case dueJudge:
+		case dueSuspicion:
 			if m := d.byIndex[b.Key]; m != nil && m.State == Suspect {
-				d.judge(m)
+				d.evaluateSuspicion(m)
 			}
 		case dueNack:
-			if h, ok := d.helped[b.Key]; ok {
-				delete(d.helped, b.Key)
-				if asker := d.all[h.asker]; asker != nil {
-					d.say(asker, codec.Nack, h.number, "")
+			if h, ok := d.indirectProbes[b.Key]; ok {
+				delete(d.indirectProbes, b.Key)
+				if asker := d.members[h.asker]; asker != nil {
+					d.sendTo(asker, codec.Nack, h.number, "")
 				}
 			}
 		case dueLate:
-			if w, ok := d.waits[b.Key]; ok {
-				delete(d.waits, b.Key)
-				if m := d.all[w.name]; m != nil && m.State == Alive && m.Heard < w.sent {
-					d.suspect(m, d.who.Name)
+			if w, ok := d.lateProbes[b.Key]; ok {
+				delete(d.lateProbes, b.Key)
+				if m := d.members[w.name]; m != nil && m.State == Alive && m.Heard < w.sent {
+					d.suspect(m, d.config.Name)
 				}
 			}
-		case dueCall:
-			d.call()
-		case dueForget:
-			if m := d.byIndex[b.Key]; m != nil && m.State >= Dead && d.now-m.Since >= forget {
-				d.drop(m)
+		case dueContact:
+			d.contactLost()
+		case dueRemoval:
+			if m := d.byIndex[b.Key]; m != nil && m.State >= Dead && d.now-m.Since >= removeAfter {
+				d.removeMember(m)
 			}
 		}
 	}
 }
 
-// wake takes the time, and finds out whether the process stood still: something was due long ago. What came meanwhile lies
-// unread, and is old when it is read, so nobody is accused for it and suspicions begin anew.
-func (d *Detector) wake(now float64) {
+// advance sets the clock and detects a pause of the process: a timer that is long overdue. Datagrams that arrived meanwhile are unread and
+// outdated, so nobody is accused for them and suspicions start again.
+func (d *Detector) advance(now float64) {
 	d.now = max(d.now, now)
-	first, _ := d.bells.First()
-	if d.now-first <= late || d.now-d.stoodAt <= late || d.who.Plant.Healthy {
+	first, _ := d.timers.First()
+	if d.now-first <= pauseThreshold || d.now-d.resumedAt <= pauseThreshold || d.config.Faults.Healthy {
 		return
 	}
-	d.stoodAt = d.now
-	d.Figures.Stalls++
-	d.health = min(sick, d.health+2)
+	d.resumedAt = d.now
+	d.Stats.Stalls++
+	d.localHealth = min(maxLocalHealth, d.localHealth+2)
 	d.probe.out = false
 	for _, n := range d.names {
-		if m := d.all[n]; m.State == Suspect {
+		if m := d.members[n]; m.State == Suspect {
 			m.suspectAt = d.now
 		}
 	}
 }
 
-// slow is a time of this process's own probes: longer, the less it trusts itself.
-func (d *Detector) slow(ms float64) float64 { return ms * float64(1+d.health) }
+// scaled returns a time-out of own probes, multiplied by the local health score.
+func (d *Detector) scaled(ms float64) float64 { return ms * float64(1+d.localHealth) }
 
-// nextProbe ends the last probe and begins one of the next member in the ring.
-func (d *Detector) nextProbe() {
-	d.bells.Set(d.now+d.slow(period)*(0.95+0.1*d.rng.Float64()), dueProbe, 0)
+// startProbe ends the last probe and probes the next member.
+func (d *Detector) startProbe() {
+	d.timers.Set(d.now+d.scaled(period)*(0.95+0.1*d.rng.Float64()), dueProbe, 0)
 	if p := &d.probe; p.out && !p.answered {
-		d.Figures.Missed++
-		if m := d.all[p.name]; m != nil && m.State <= Suspect {
-			d.health = min(sick, d.health+p.asked-p.nacks) // helpers say nothing: it may be me
+		d.Stats.Missed++
+		if m := d.members[p.name]; m != nil && m.State <= Suspect {
+			d.localHealth = min(maxLocalHealth, d.localHealth+p.asked-p.nacks) // silent helpers: this process may be at fault
 			if p.asked == 0 {
-				d.health = min(sick, d.health+1)
+				d.localHealth = min(maxLocalHealth, d.localHealth+1)
 			}
 			if m.lag == 0 {
-				d.suspect(m, d.who.Name)
+				d.suspect(m, d.config.Name)
 			}
-			if len(d.waits) < mostAll {
-				d.waits[p.number] = waits{p.name, p.sent}
-				d.bells.Set(p.sent+max(slowest, slack*m.lag), dueLate, p.number)
+			if len(d.lateProbes) < maxMembers {
+				d.lateProbes[p.number] = lateProbe{p.name, p.sent}
+				d.timers.Set(p.sent+max(minLateWait, lagFactor*m.lag), dueLate, p.number)
 			}
 		}
 	}
 	d.probe.out = false
-	m := d.pick()
+	m := d.nextProbed()
 	if m == nil {
 		return
 	}
-	d.count++
-	d.Figures.Probes++
-	d.probe.name, d.probe.number, d.probe.sent, d.probe.asked, d.probe.nacks = m.Name, d.count, d.now, 0, 0
+	d.sequence++
+	d.Stats.Probes++
+	d.probe.name, d.probe.number, d.probe.sent, d.probe.asked, d.probe.nacks = m.Name, d.sequence, d.now, 0, 0
 	d.probe.answered, d.probe.out = false, true
-	d.say(m, codec.Ping, d.count, "")
-	d.bells.Set(d.now+d.slow(reply), dueReply, d.count)
+	d.sendTo(m, codec.Ping, d.sequence, "")
+	d.timers.Set(d.now+d.scaled(ackTimeout), dueAck, d.sequence)
 }
 
-// pick is the next member of the ring that is not known to be gone.
-func (d *Detector) pick() *member {
-	for range len(d.ring) + 1 {
-		if d.at >= len(d.ring) {
-			d.ring, d.at = d.ring[:0], 0
+// nextProbed returns the next member in the probe order that is not known to be gone, nil if there is none.
+func (d *Detector) nextProbed() *member {
+	for range len(d.probeOrder) + 1 {
+		if d.probeIndex >= len(d.probeOrder) {
+			d.probeOrder, d.probeIndex = d.probeOrder[:0], 0
 			for _, n := range d.names {
-				if m := d.all[n]; m.State <= Suspect {
-					d.ring = append(d.ring, n)
+				if m := d.members[n]; m.State <= Suspect {
+					d.probeOrder = append(d.probeOrder, n)
 				}
 			}
-			d.rng.Shuffle(len(d.ring), func(i, j int) { d.ring[i], d.ring[j] = d.ring[j], d.ring[i] })
-			if len(d.ring) == 0 {
+			d.rng.Shuffle(len(d.probeOrder), func(i, j int) { d.probeOrder[i], d.probeOrder[j] = d.probeOrder[j], d.probeOrder[i] })
+			if len(d.probeOrder) == 0 {
 				return nil
 			}
 		}
-		m := d.all[d.ring[d.at]]
-		d.at++
+		m := d.members[d.probeOrder[d.probeIndex]]
+		d.probeIndex++
 		if m != nil && m.State <= Suspect {
 			return m
 		}
@@ -522,28 +525,28 @@
 	return nil
 }
 
-// askOthers has a few others ping the member that did not answer.
-func (d *Detector) askOthers() {
-	target := d.all[d.probe.name]
+// probeIndirectly asks a few others to probe the member that did not answer.
+func (d *Detector) probeIndirectly() {
+	target := d.members[d.probe.name]
 	if target == nil {
 		return
 	}
-	for _, m := range d.some(helpers, func(m *member) bool { return m.State == Alive && m != target }) {
+	for _, m := range d.sample(helperCount, func(m *member) bool { return m.State == Alive && m != target }) {
 		d.probe.asked++
-		d.say(m, codec.Ask, d.probe.number, target.Name)
+		d.sendTo(m, codec.Ask, d.probe.number, target.Name)
 	}
-	d.say(target, codec.Ping, d.probe.number, "") // and once more: one datagram is easily lost
+	d.sendTo(target, codec.Ping, d.probe.number, "") // once more: a single datagram is easily lost
 }
 
-// some is up to n members of a sort, drawn by chance.
-func (d *Detector) some(n int, sort func(*member) bool) (all []*member) {
+// sample returns up to n random members that satisfy a condition.
+func (d *Detector) sample(n int, sort func(*member) bool) (all []*member) {
 	if len(d.names) == 0 {
 		return nil
 	}
-	const step = 1299709 // a prime beyond any number of members: a walk over all, in an order that hides that of their names
+	const step = 1299709 // a prime above any number of members: visits all in an order unrelated to their names
 	start := d.rng.IntN(len(d.names))
 	for i := range len(d.names) {
-		if m := d.all[d.names[(start+i*step)%len(d.names)]]; sort(m) {
+		if m := d.members[d.names[(start+i*step)%len(d.names)]]; sort(m) {
 			if all = append(all, m); len(all) == n {
 				break
 			}
@@ -552,131 +555,134 @@
 	return all
 }
 
-// suspect takes a member for suspect on somebody's word.
+// suspect suspects a member, or adds an accuser to its suspicion.
 func (d *Detector) suspect(m *member, by string) {
 	if m.State == Suspect {
-		d.accuse(m, by)
+		d.addAccuser(m, by)
 		return
 	}
-	d.Figures.Suspicions++
-	d.set(m, Suspect, by)
-	d.accused(m, by)
+	d.Stats.Suspicions++
+	d.setState(m, Suspect, by)
+	d.startSuspicion(m, by)
 }
 
-// accused begins a suspicion with its first accuser.
-func (d *Detector) accused(m *member, by string) {
-	m.suspectAt, m.accusers, m.hearsay = d.now, map[string]bool{by: true}, false
-	d.judge(m)
+// startSuspicion starts the time-out of a suspicion with its first accuser.
+func (d *Detector) startSuspicion(m *member, by string) {
+	m.suspectAt, m.accusers, m.fromDeathReport = d.now, map[string]bool{by: true}, false
+	d.evaluateSuspicion(m)
 }
 
-// accuse adds an accuser to a suspicion, which ends the sooner.
-func (d *Detector) accuse(m *member, by string) {
-	if by == m.Name || m.accusers[by] || len(m.accusers) > agree {
+// addAccuser adds an accuser to a suspicion, which shortens it.
+func (d *Detector) addAccuser(m *member, by string) {
+	if by == m.Name || m.accusers[by] || len(m.accusers) > maxAccusers {
 		return
 	}
 	m.accusers[by], m.By = true, by
-	d.tell(m) // others hear of each accuser
-	d.judge(m)
+	d.queueUpdate(m) // each accuser is gossiped
+	d.evaluateSuspicion(m)
 }
 
-// judge declares a suspect dead if its time is over, and else comes back when it will be.
-func (d *Detector) judge(m *member) {
+// evaluateSuspicion declares a suspect dead after its time-out, or sets a timer for the rest of it.
+func (d *Detector) evaluateSuspicion(m *member) {
 	least, most := d.Bounds()
 	lasts := most
-	if k := min(agree, d.living()-1); k < 1 {
+	if k := min(maxAccusers, d.presentCount()-1); k < 1 {
 		lasts = least
 	} else {
 		lasts = max(least, most-(most-least)*math.Log(float64(len(m.accusers)))/math.Log(float64(k+1)))
 	}
 	if at := m.suspectAt + lasts; d.now < at {
-		d.bells.Set(at, dueJudge, m.index)
+		d.timers.Set(at, dueSuspicion, m.index)
 		return
 	}
-	d.Figures.Deaths++
+	d.Stats.Deaths++
 	m.accusers = nil
-	d.set(m, Dead, d.who.Name)
+	d.setState(m, Dead, d.config.Name)
 }
 
-// Bounds is how long a suspicion lasts, ms: where enough others share it, and where nobody does.
+// Bounds returns the duration of a suspicion in ms, with enough accusers and with only one.
 func (d *Detector) Bounds() (least, most float64) {
-	least = patience * period * max(few, math.Log10(float64(d.living()+1)))
-	return least, least * doubtful
+	least = suspicionPeriods * period * max(minLogFactor, math.Log10(float64(d.presentCount()+1)))
+	return least, least * maxSuspicionFactor
 }
 
-// living is how many others are not known to be gone.
-func (d *Detector) living() (n int) { return len(d.all) - d.dead }
+// presentCount returns how many others are not known to be gone.
+func (d *Detector) presentCount() (n int) { return len(d.members) - d.deadCount }
 
-// set gives a member another state, and has all hear of it.
-func (d *Detector) set(m *member, to State, by string) {
+// setState changes a member's state and queues the update.
+func (d *Detector) setState(m *member, to State, by string) {
 	was := m.State
-	d.view ^= m.digest()
+	d.digest ^= m.digest()
 	if was >= Dead {
-		d.dead--
+		d.deadCount--
 	}
 	if to >= Dead {
-		d.dead++
-		d.bells.Set(d.now+forget, dueForget, m.index)
+		d.deadCount++
+		d.timers.Set(d.now+removeAfter, dueRemoval, m.index)
 		if to == Dead {
-			d.lastOff = d.now
+			d.lastDeathAt = d.now
 		}
-		if d.share != nil {
-			d.share.Gone(m.place - 1)
+		if d.slowStart != nil {
+			d.slowStart.Gone(m.place - 1)
 		}
-		if d.lent != nil {
-			d.lent.Gone(m.place - 1)
+		if d.quota != nil {
+			d.quota.Gone(m.place - 1)
 		}
 	}
 	if to != was {
 		m.Since = d.now
 	}
 	m.State, m.By = to, by
-	d.view ^= m.digest()
-	d.tell(m)
+	d.digest ^= m.digest()
+	d.queueUpdate(m)
 	if to != was {
-		d.edge.Changed(m.Member, was)
+		d.effects.Changed(m.Member, was)
 	}
 }
 
-// tell has news of a member ride on what is sent.
-func (d *Detector) tell(m *member) {
-	if m.told < 0 {
-		d.news = append(d.news, m)
+// queueUpdate piggybacks an update of a member on the next datagrams.
+func (d *Detector) queueUpdate(m *member) {
+	if m.transmissions < 0 {
+		d.updates = append(d.updates, m)
 	}
-	m.told = 0
+	m.transmissions = 0
 }
 
-// often is how often an item is told.
-func (d *Detector) often() int { return retell * int(math.Ceil(math.Log2(float64(d.living()+2)))) }
+// retransmitLimit returns how often an update is sent.
+func (d *Detector) retransmitLimit() int {
+	return retransmitFactor * int(math.Ceil(math.Log2(float64(d.presentCount()+2))))
+}
 
-// add takes a member in.
-func (d *Detector) add(name, address string, life, version uint64) *member {
-	if len(d.all) >= mostAll {
+// addMember adds a member; nil if there are too many.
+func (d *Detector) addMember(name, address string, life, version uint64) *member {
+	if len(d.members) >= maxMembers {
 		return nil
 	}
-	d.indices++
-	m := &member{Member: Member{Name: name, Address: address, Life: life, Version: version, Since: d.now}, index: d.indices, told: -1}
-	d.all[name], d.byIndex[m.index] = m, m
+	d.lastIndex++
+	m := &member{Member: Member{Name: name, Address: address, Life: life, Version: version, Since: d.now}, index: d.lastIndex, transmissions: -1}
+	d.members[name], d.byIndex[m.index] = m, m
 	at, _ := slices.BinarySearch(d.names, name)
 	d.names = slices.Insert(d.names, at, name)
-	d.view ^= m.digest()
-	if len(d.ring) > 0 { // its turn comes anywhere in the round
-		d.ring = slices.Insert(d.ring, d.at+d.rng.IntN(len(d.ring)-d.at+1), name)
+	d.digest ^= m.digest()
+	if len(d.probeOrder) > 0 { // at a random position of the round
+		d.probeOrder = slices.Insert(d.probeOrder, d.probeIndex+d.rng.IntN(len(d.probeOrder)-d.probeIndex+1), name)
 	}
 	return m
 }
 
-func (d *Detector) drop(m *member) {
-	d.view ^= m.digest()
-	delete(d.all, m.Name)
+// removeMember forgets a member.
+func (d *Detector) removeMember(m *member) {
+	d.digest ^= m.digest()
+	delete(d.members, m.Name)
 	delete(d.byIndex, m.index)
-	d.dead--
+	d.deadCount--
 	if at, ok := slices.BinarySearch(d.names, m.Name); ok {
 		d.names = slices.Delete(d.names, at, at+1)
 	}
-	d.news = slices.DeleteFunc(d.news, func(x *member) bool { return x == m })
+	d.updates = slices.DeleteFunc(d.updates, func(x *member) bool { return x == m })
 }
 
-// digest is a member's part of the view: its number, and whether it is there. Suspicions pass, and are left out.
+// digest returns a member's part of the digest: its versions and whether it is gone. Suspicions are transient and left out.
 func (m *member) digest() uint64 {
 	h := uint64(14695981039346656037)
 	mix := func(v uint64) { h = (h ^ v) * 0x9e3779b97f4a7c15; h ^= h >> 29 }
@@ -693,33 +699,33 @@
 	return h
 }
 
-// call says hello to one of the dead or, while nobody is known, to the seeds in turn. It is never given up.
-func (d *Detector) call() {
-	gap := min(askLast, max(askFirst, (d.now-d.lastOff)/10))
-	if d.now-d.lastOff > askOld {
-		gap = askOldest
+// contactLost sends a hello to one dead member or unknown seed after the other, without end.
+func (d *Detector) contactLost() {
+	gap := min(contactMaxInterval, max(contactMinInterval, (d.now-d.lastDeathAt)/10))
+	if d.now-d.lastDeathAt > contactSlowAfter {
+		gap = contactSlowInterval
 	}
 	var strangers []string
-	for _, a := range d.who.Seeds {
-		if a != d.who.Address && !d.met(a) {
+	for _, a := range d.config.Seeds {
+		if a != d.config.Address && !d.isKnownAddress(a) {
 			strangers = append(strangers, a)
 		}
 	}
 	for _, n := range d.names {
-		if m := d.all[n]; m.State == Dead {
+		if m := d.members[n]; m.State == Dead {
 			strangers = append(strangers, m.Address)
 		}
 	}
 	if len(strangers) > 0 && !d.leaving {
-		d.callAt++
-		d.hello(strangers[d.callAt%len(strangers)])
+		d.contactIndex++
+		d.sendHello(strangers[d.contactIndex%len(strangers)])
 	}
-	d.bells.Set(d.now+gap*(0.8+0.4*d.rng.Float64()), dueCall, 0)
+	d.timers.Set(d.now+gap*(0.8+0.4*d.rng.Float64()), dueContact, 0)
 }
 
-// met tells whether anybody is known at an address, dead or alive.
-func (d *Detector) met(address string) bool {
-	for _, m := range d.all {
+// isKnownAddress reports whether a member at an address is known, dead or alive.
+func (d *Detector) isKnownAddress(address string) bool {
+	for _, m := range d.members {
 		if m.Address == address {
 			return true
 		}
@@ -727,111 +733,115 @@
 	return false
 }
 
-func (d *Detector) hello(address string) {
-	d.count++
-	if len(d.hellos) >= mostAll {
+// sendHello sends a hello to an address.
+func (d *Detector) sendHello(address string) {
+	d.sequence++
+	if len(d.hellos) >= maxMembers {
 		clear(d.hellos)
 	}
-	d.hellos[address] = d.count
-	d.send(address, 0, codec.Hello, d.count, "", d.view)
+	d.hellos[address] = d.sequence
+	d.sendBare(address, 0, codec.Hello, d.sequence, "", d.digest)
 }
 
-// Leave tells that this process ends on purpose.
+// Leave announces that this process ends intentionally.
 func (d *Detector) Leave(now float64) {
 	d.now = max(d.now, now)
 	d.leaving = true
 	d.version++
-	d.view ^= d.me.digest()
-	d.me.State = Left
-	d.view ^= d.me.digest()
-	d.renew()
-	for _, m := range d.some(farewells, func(m *member) bool { return m.State <= Suspect }) {
-		d.count++
-		d.say(m, codec.Ping, d.count, "")
+	d.digest ^= d.self.digest()
+	d.self.State = Left
+	d.digest ^= d.self.digest()
+	d.announceSelf()
+	for _, m := range d.sample(leaveNotices, func(m *member) bool { return m.State <= Suspect }) {
+		d.sequence++
+		d.sendTo(m, codec.Ping, d.sequence, "")
 	}
 }
 
-// say sends something to a member, with news on it. Who is not held for alive hears that first, so that it can refute.
-func (d *Detector) say(m *member, kind uint32, number uint64, target string) {
-	m.counts++
+// sendTo sends a datagram with updates to a member. A member that is not alive here gets this update first, so that it can refute it.
+func (d *Detector) sendTo(m *member, kind uint32, number uint64, target string) {
+	m.sentCount++
 	var first *member
 	if m.State != Alive {
 		first = m
 	}
-	d.sendNews(m.Address, m.Life, m.counts, kind, number, target, first)
+	d.sendWithUpdates(m.Address, m.Life, m.sentCount, kind, number, target, first)
 }
 
-func (d *Detector) sendNews(address string, life, count uint64, kind uint32, number uint64, target string, first *member) {
-	b := codec.Begin(nil, d.who.Site, d.who.Name, d.who.Address, d.who.Life, count, life, kind, number, target, d.view, "", "")
-	b = codec.Book(b, d.book)
+// sendWithUpdates sends a datagram with leases, reachability and as many updates as fit.
+func (d *Detector) sendWithUpdates(address string, life, count uint64, kind uint32, number uint64, target string, first *member) {
+	b := codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, count, life, kind, number, target, d.digest, "", "")
+	b = codec.Book(b, d.stateVersion)
 	switch {
-	case d.share == nil || d.leaving || d.taken:
+	case d.slowStart == nil || d.leaving || d.taken:
 	case kind == codec.Ping:
-		b = codec.Lease(b, d.who.Place, false, nil, false, nil)
-	case kind == codec.Ack && d.head.kind == codec.Ping && d.head.place > 0: // not one that is passed on for another
-		given, counted := d.share.Asked(d.now, d.head.place-1)
+		b = codec.Lease(b, d.config.Place, false, nil, false, nil)
+	case kind == codec.Ack && d.header.kind == codec.Ping && d.header.place > 0: // not an ack that is forwarded for another member
+		given, counted := d.slowStart.Asked(d.now, d.header.place-1)
 		var lent bool
 		var lentCounted slowstart.Set
-		if d.lent != nil {
-			lent, lentCounted = d.lent.Asked(d.now, d.head.place-1)
+		if d.quota != nil {
+			lent, lentCounted = d.quota.Asked(d.now, d.header.place-1)
 		}
-		b = codec.Lease(b, d.who.Place, given, counted.Bytes(), lent, lentCounted.Bytes())
+		b = codec.Lease(b, d.config.Place, given, counted.Bytes(), lent, lentCounted.Bytes())
 	}
 	switch {
 	case kind == codec.Ping:
-		d.nodes.Ask(d.now, func(node uint32) (ok bool) {
+		d.nodeReachability.Ask(d.now, func(node uint32) (ok bool) {
 			b, ok = codec.Silent(b, node)
 			return ok
 		})
-	case kind == codec.Ack && d.head.kind == codec.Ping:
-		for _, node := range d.head.silent {
-			if life, heard, ok := d.edge.Hears(node); ok {
+	case kind == codec.Ack && d.header.kind == codec.Ping:
+		for _, node := range d.header.silent {
+			if life, heard, ok := d.effects.Hears(node); ok {
 				b, _ = codec.Hears(b, node, life, d.now-heard)
 			}
 		}
 	}
 	if first != nil {
-		b, _ = item(b, first)
+		b, _ = appendUpdate(b, first)
 	}
-	slices.SortStableFunc(d.news, func(x, y *member) int { return cmp.Compare(x.told, y.told) })
-	most, kept := d.often(), d.news[:0]
+	slices.SortStableFunc(d.updates, func(x, y *member) int { return cmp.Compare(x.transmissions, y.transmissions) })
+	most, kept := d.retransmitLimit(), d.updates[:0]
 	full := false
-	for _, m := range d.news {
+	for _, m := range d.updates {
 		if !full && m != first {
 			var ok bool
-			if b, ok = item(b, m); ok {
-				m.told++
+			if b, ok = appendUpdate(b, m); ok {
+				m.transmissions++
 			} else {
 				full = true
 			}
 		}
-		if m.told >= most {
-			m.told = -1
+		if m.transmissions >= most {
+			m.transmissions = -1
 		} else {
 			kept = append(kept, m)
 		}
 	}
-	clear(d.news[len(kept):])
-	d.news = kept
-	d.words.Ride(most, func(node uint32, version uint64, gone bool) (ok bool) {
+	clear(d.updates[len(kept):])
+	d.updates = kept
+	d.nodeGossip.Ride(most, func(node uint32, version uint64, gone bool) (ok bool) {
 		b, ok = codec.Word(b, node, version, gone)
 		return ok
 	})
-	d.out(address, b)
+	d.transmit(address, b)
 }
 
-func item(b []byte, m *member) ([]byte, bool) {
+// appendUpdate appends a member's update; false if it does not fit.
+func appendUpdate(b []byte, m *member) ([]byte, bool) {
 	return codec.News(b, m.Name, m.Address, m.Life, m.Version, uint32(m.State), m.By)
 }
 
-// send sends what has no count and no news: to one whose life is not known to know this one's.
-func (d *Detector) send(address string, life uint64, kind uint32, number uint64, target string, view uint64) {
-	d.out(address, codec.Begin(nil, d.who.Site, d.who.Name, d.who.Address, d.who.Life, 0, life, kind, number, target, view, "", ""))
+// sendBare sends a datagram without count and updates, to a process that may not know this one's incarnation.
+func (d *Detector) sendBare(address string, life uint64, kind uint32, number uint64, target string, view uint64) {
+	d.transmit(address, codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, 0, life, kind, number, target, view, "", ""))
 }
 
-func (d *Detector) out(address string, b []byte) {
-	b = codec.Seal(b, d.who.Key, address)
-	d.Figures.Sent++
-	d.Figures.Bytes += uint64(len(b))
-	d.edge.Send(address, b)
+// transmit seals and sends a datagram.
+func (d *Detector) transmit(address string, b []byte) {
+	b = codec.Seal(b, d.config.Key, address)
+	d.Stats.Sent++
+	d.Stats.Bytes += uint64(len(b))
+	d.effects.Send(address, b)
 }
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -24,13 +24,13 @@
 
 func (w *wire) Hears(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
 
-func detector(name string, plant Plant, seeds ...string) (*Detector, *wire) {
+func detector(name string, plant Faults, seeds ...string) (*Detector, *wire) {
 	w := &wire{last: map[string][]byte{}}
-	return New(w, 1000, Charter{Site: "s", Name: name, Address: name + ":1", Life: 1, Key: []byte("k"), Seeds: seeds, Seed: 1, Plant: plant}), w
+	return New(w, 1000, Config{Site: "s", Name: name, Address: name + ":1", Life: 1, Key: []byte("k"), Seeds: seeds, Seed: 1, Faults: plant}), w
 }
 
 // meet has two detectors know each other.
-func meet(t *testing.T, plant Plant) (a, b *Detector, wa, wb *wire) {
+func meet(t *testing.T, plant Faults) (a, b *Detector, wa, wb *wire) {
 	a, wa = detector("a", plant, "b:1")
 	b, wb = detector("b", plant)
 	a.Tick(1001)                  // hello
@@ -49,30 +49,30 @@
 // TestStood has a process stand still with a probe out: when it wakes it accuses nobody, unless it trusts itself always.
 func TestStood(t *testing.T) {
 	for _, healthy := range []bool{false, true} {
-		a, _, wa, _ := meet(t, Plant{Healthy: healthy})
+		a, _, wa, _ := meet(t, Faults{Healthy: healthy})
 		now := a.Next()
-		for a.Figures.Probes == 0 {
+		for a.Stats.Probes == 0 {
 			now = a.Next()
 			a.Tick(now)
 		}
 		a.Tick(now + 5000) // no answer was read, as nothing was
-		if n := len(wa.changes); healthy && n < 2 || !healthy && n > 1 || !healthy && (a.Figures.Stalls != 1 || a.Health() < 2) {
-			t.Errorf("healthy %t: %q, %d stalls, health %d", healthy, wa.changes, a.Figures.Stalls, a.Health())
+		if n := len(wa.changes); healthy && n < 2 || !healthy && n > 1 || !healthy && (a.Stats.Stalls != 1 || a.Health() < 2) {
+			t.Errorf("healthy %t: %q, %d stalls, health %d", healthy, wa.changes, a.Stats.Stalls, a.Health())
 		}
 	}
 }
 
 // TestHello holds that a hello changes nothing, whoever says it and however often, and that its answers are bounded.
 func TestHello(t *testing.T) {
-	a, wa := detector("a", Plant{}, "b:1")
-	b, wb := detector("b", Plant{})
+	a, wa := detector("a", Faults{}, "b:1")
+	b, wb := detector("b", Faults{})
 	a.Tick(1001)
 	hello := wa.last["b:1"]
 	view := b.View()
 	for i := range 1000 {
 		b.Heard(1002+float64(i)/10, hello)
 	}
-	if alive, _, _, _ := b.Count(); alive != 0 || b.View() != view || len(wb.sent) > mostHello || len(wb.sent) == 0 {
+	if alive, _, _, _ := b.Count(); alive != 0 || b.View() != view || len(wb.sent) > maxHellosPerSecond || len(wb.sent) == 0 {
 		t.Errorf("%d known, %d answers", alive, len(wb.sent))
 	}
 }
@@ -85,7 +85,7 @@
 		want  bool
 	}{{1, true}, {1, false}, {3, true}, {2, true}, {2, false}, {3, false}, {80, true}, {17, true}, {16, false}, {17, false}, {79, true},
 		{1000, true}, {80, false}, {937, true}, {936, false}} {
-		if got := m.once(c.count); got != c.want {
+		if got := m.acceptCount(c.count); got != c.want {
 			t.Errorf("count %d: %t", c.count, got)
 		}
 	}
@@ -93,19 +93,19 @@
 
 // TestBounds holds that a suspicion shrinks with each who shares it, and never below what is promised.
 func TestBounds(t *testing.T) {
-	a, _, _, _ := meet(t, Plant{})
+	a, _, _, _ := meet(t, Faults{})
 	for i := range 30 {
-		if m := a.add(fmt.Sprint("x", i), fmt.Sprintf("x%d:1", i), 1, 0); m != nil {
-			a.set(m, Alive, "a")
+		if m := a.addMember(fmt.Sprint("x", i), fmt.Sprintf("x%d:1", i), 1, 0); m != nil {
+			a.setState(m, Alive, "a")
 		}
 	}
 	least, most := a.Bounds()
-	if least < 800 || most != doubtful*least {
+	if least < 800 || most != maxSuspicionFactor*least {
 		t.Fatalf("%g, %g", least, most)
 	}
-	for accusers := 1; accusers <= agree+1; accusers++ {
+	for accusers := 1; accusers <= maxAccusers+1; accusers++ {
 		least, most = a.Bounds() // of those who are left
-		x := a.all[fmt.Sprint("x", accusers)]
+		x := a.members[fmt.Sprint("x", accusers)]
 		a.now = 5000
 		a.suspect(x, "a")
 		for i := 1; i < accusers; i++ {
@@ -114,10 +114,10 @@
 		at := 5000.0
 		for ; x.State == Suspect; at += 10 {
 			a.now = at
-			a.judge(x)
+			a.evaluateSuspicion(x)
 		}
 		lasted := at - 10 - 5000
-		if accusers == 1 && lasted < most-20 || accusers == agree+1 && lasted > least+20 || lasted < least-20 {
+		if accusers == 1 && lasted < most-20 || accusers == maxAccusers+1 && lasted > least+20 || lasted < least-20 {
 			t.Errorf("%d accusers: %g ms", accusers, lasted)
 		}
 	}
--- a/internal/decide/slowstart/slowstart.go
+++ b/internal/decide/slowstart/slowstart.go
@@ -61,8 +61,8 @@
 	return n
 }
 
-// Charter says what is shared and how leases last. It has to be the same at all processes of a site.
-type Charter struct {
+// Config says what is shared and how leases last. It has to be the same at all processes of a site.
+type Config struct {
 	Places int     // of the site file: as many schedulers may take part
 	Lease  float64 // ms
 	Window float64 // ms in which a node bears what it bears
@@ -90,7 +90,7 @@
 
 // Holder is one process's part in this.
 type Holder struct {
-	who   Charter
+	who   Config
 	place int
 	born  float64
 	from  []leave // by place
@@ -99,7 +99,7 @@
 
 // New begins a process's part. It knows of no leave that it gave before its start, so it counts all places, and gives no
 // leave until any that it may have forgotten is over. A place of no number that the site file has takes no part.
-func New(now float64, who Charter, place int) *Holder {
+func New(now float64, who Config, place int) *Holder {
 	h := &Holder{who: who, place: place, born: now, from: make([]leave, who.Places), to: make([]given, who.Places)}
 	for i := range h.to {
 		h.to[i] = given{counted: true, since: now, last: now}
--- a/internal/decide/slowstart/slowstart_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -11,7 +11,7 @@
 // as much as it may at any moment; what all send within a window is held against the whole.
 type world struct {
 	rng   *rand.Rand
-	who   Charter
+	who   Config
 	now   float64
 	all   []*proc
 	cut   map[[2]int]bool
@@ -55,7 +55,7 @@
 func (p *proc) clock(now float64) float64 { return p.base + (now-p.began)*p.rate }
 
 func newWorld(seed uint64, places, procs int, pl plant) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 5)), who: Charter{Places: places, Lease: LeaseFor(places, 200), Window: 1500},
+	w := &world{rng: rand.New(rand.NewPCG(seed, 5)), who: Config{Places: places, Lease: LeaseFor(places, 200), Window: 1500},
 		cut: map[[2]int]bool{}, plant: pl}
 	for i := range procs {
 		p := &proc{place: i}
@@ -294,7 +294,7 @@
 	for places := 1; places <= 6; places++ {
 		for a := range 1 << places {
 			for b := range 1 << places {
-				who := Charter{Places: places, Lease: 1000, Window: 100}
+				who := Config{Places: places, Lease: 1000, Window: 100}
 				begin := func(place int, view int) *Holder {
 					h := New(0, who, place)
 					for k := range places {
@@ -322,14 +322,14 @@
 
 // TestStrangers holds that places beyond those of the site file take no part, and are given nothing.
 func TestStrangers(t *testing.T) {
-	h := New(0, Charter{Places: 3, Lease: 1000, Window: 100}, 3)
+	h := New(0, Config{Places: 3, Lease: 1000, Window: 100}, 3)
 	for k := range 3 {
 		h.Answered(9000, k, true, Set{7})
 	}
 	if n := h.Sharers(9001); n != 0 {
 		t.Errorf("a fourth of three reckons with %d", n)
 	}
-	h = New(0, Charter{Places: 3, Lease: 1000, Window: 100}, 0)
+	h = New(0, Config{Places: 3, Lease: 1000, Window: 100}, 0)
 	if leave, _ := h.Asked(9000, 3); leave {
 		t.Error("a fourth of three has leave")
 	}
--- a/internal/lab/circle/circle.go
+++ b/internal/lab/circle/circle.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"slices"
 
-	decide "ravenpond/internal/decide/membership"
+	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/members"
 	"ravenpond/internal/outside"
@@ -22,7 +22,7 @@
 	// Wrap changes the world that detectors run in, to plant faults; nil changes nothing.
 	Wrap func(outside.World) outside.World
 
-	Plant decide.Plant
+	Plant membership.Faults
 
 	Wrong   []string // deaths of those who lived, in words
 	forgive float64  // until then a death of one who lives is to be expected
@@ -35,7 +35,7 @@
 var windows = [2]float64{2500, 6000}
 
 // shares are how many share each at a process.
-func shares(d *decide.Detector, now float64) (all [2]int) {
+func shares(d *membership.Detector, now float64) (all [2]int) {
 	all[0], _ = d.Sharers(now)
 	all[1], _ = d.Lent(now)
 	return all
@@ -70,10 +70,10 @@
 
 // Begin begins so many processes in worlds that are wrapped.
 func Begin(seed uint64, n int, wrap func(outside.World) outside.World) *Circle {
-	return begin(seed, n, wrap, decide.Plant{})
+	return begin(seed, n, wrap, membership.Faults{})
 }
 
-func begin(seed uint64, n int, wrap func(outside.World) outside.World, plant decide.Plant) *Circle {
+func begin(seed uint64, n int, wrap func(outside.World) outside.World, plant membership.Faults) *Circle {
 	c := &Circle{Plant: plant, took: [2][][][2]float64{make([][][2]float64, n), make([][][2]float64, n)}, Clock: sim.NewClock(seed), Rng: rand.New(rand.NewPCG(seed, 0xc1)), Wrap: wrap}
 	for i := range n {
 		name := fmt.Sprintf("m%03d", i)
@@ -99,8 +99,8 @@
 	if p.c.Wrap != nil {
 		w = p.c.Wrap(w)
 	}
-	run, err := members.Begin(w, p.Addr, decide.Charter{Site: "lab", Name: p.Name, Address: p.Addr, Life: p.Life, Key: p.Key, Seeds: seeds,
-		Seed: p.c.Rng.Uint64(), Place: p.place, Places: len(p.c.took[0]), Window: windows[0], Open: windows[1], Plant: p.c.Plant}, told{p})
+	run, err := members.Begin(w, p.Addr, membership.Config{Site: "lab", Name: p.Name, Address: p.Addr, Life: p.Life, Key: p.Key, Seeds: seeds,
+		Seed: p.c.Rng.Uint64(), Place: p.place, Places: len(p.c.took[0]), Window: windows[0], Open: windows[1], Faults: p.c.Plant}, told{p})
 	if err != nil {
 		panic(err)
 	}
@@ -124,9 +124,9 @@
 
 type told struct{ p *Process }
 
-func (t told) Changed(_ float64, m decide.Member, was decide.State) {
+func (t told) Changed(_ float64, m membership.Member, was membership.State) {
 	c := t.p.c
-	if m.State != decide.Dead {
+	if m.State != membership.Dead {
 		return
 	}
 	now := c.Clock.True()
@@ -163,7 +163,7 @@
 	for i, p := range c.All {
 		var all [2]int
 		if p.Dead == 0 && !p.Paused {
-			p.Run.See(func(d *decide.Detector) { all = shares(d, p.P.Now()) })
+			p.Run.See(func(d *membership.Detector) { all = shares(d, p.P.Now()) })
 		}
 		for what, n := range all {
 			took := &c.took[what][i]
@@ -186,7 +186,7 @@
 // Used is the part of what a cold node bears, and of what is lent, that all together may use now.
 func (c *Circle) Used() (used [2]float64) {
 	for _, p := range c.Living() {
-		p.Run.See(func(d *decide.Detector) {
+		p.Run.See(func(d *membership.Detector) {
 			for what, n := range shares(d, p.P.Now()) {
 				if n > 0 {
 					used[what] += 1 / float64(n)
@@ -215,10 +215,10 @@
 	for i, p := range living {
 		var got []string
 		var v uint64
-		p.Run.See(func(d *decide.Detector) {
+		p.Run.See(func(d *membership.Detector) {
 			v = d.View()
 			for _, m := range d.All() {
-				if m.State == decide.Alive {
+				if m.State == membership.Alive {
 					got = append(got, m.Name)
 				}
 			}
@@ -280,9 +280,9 @@
 // Sent is what all processes that live have sent, datagrams and bytes.
 func (c *Circle) Sent() (datagrams, bytes uint64) {
 	for _, p := range c.Living() {
-		p.Run.See(func(d *decide.Detector) {
-			datagrams += d.Figures.Sent
-			bytes += d.Figures.Bytes
+		p.Run.See(func(d *membership.Detector) {
+			datagrams += d.Stats.Sent
+			bytes += d.Stats.Bytes
 		})
 	}
 	return
--- a/internal/lab/circle/circle_test.go
+++ b/internal/lab/circle/circle_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	decide "ravenpond/internal/decide/membership"
+	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/outside"
 )
@@ -83,7 +83,7 @@
 				c := begun(t, 3, n)
 				p := c.All[n-1]
 				var least float64
-				p.Run.See(func(d *decide.Detector) { least, _ = d.Bounds() })
+				p.Run.See(func(d *membership.Detector) { least, _ = d.Bounds() })
 				p.Pause()
 				from := c.Clock.True()
 				c.Pass(ms)
@@ -215,9 +215,9 @@
 	p.Kill()
 	c.Pass(1500)
 	for _, q := range c.Living() {
-		q.Run.See(func(d *decide.Detector) {
+		q.Run.See(func(d *membership.Detector) {
 			for _, m := range d.All() {
-				if m.Name == p.Name && m.State != decide.Left {
+				if m.Name == p.Name && m.State != membership.Left {
 					t.Errorf("%s holds it for %s", q.Name, m.State)
 				}
 			}
@@ -263,7 +263,7 @@
 	c.Pass(500)
 	p.Start()
 	settles(t, c, 8000)
-	p.Run.See(func(d *decide.Detector) {
+	p.Run.See(func(d *membership.Detector) {
 		if d.Life() <= 4 {
 			t.Errorf("it goes on as life %d", d.Life())
 		}
@@ -279,7 +279,7 @@
 	if c.All[2].TakenBy != "twin:1" || twin.TakenBy != "" {
 		t.Errorf("the first is told of %q, the second of %q", c.All[2].TakenBy, twin.TakenBy)
 	}
-	c.All[2].Run.See(func(d *decide.Detector) {
+	c.All[2].Run.See(func(d *membership.Detector) {
 		if !d.Taken() {
 			t.Error("the first goes on under a name that is another's")
 		}
@@ -322,8 +322,8 @@
 	settles(t, c, 1000)
 	foreign := uint64(0)
 	for _, p := range c.All {
-		p.Run.See(func(d *decide.Detector) {
-			foreign += d.Figures.Foreign
+		p.Run.See(func(d *membership.Detector) {
+			foreign += d.Stats.Foreign
 			if len(d.All()) != 4 {
 				t.Errorf("%s knows of %d", p.Name, len(d.All()))
 			}
@@ -386,12 +386,12 @@
 
 // TestSeeds plays seeds of many faults one upon another.
 func TestSeeds(t *testing.T) {
-	for _, v := range Seeds(t.Context(), 0, 48, 4, decide.Plant{}) {
+	for _, v := range Seeds(t.Context(), 0, 48, 4, membership.Faults{}) {
 		if v.Broken != "" {
 			t.Errorf("seed %d, %d processes: %.600s", v.Seed, v.Processes, v.Broken)
 		}
 	}
-	if a, b := Play(5, decide.Plant{}), Play(5, decide.Plant{}); a != b {
+	if a, b := Play(5, membership.Faults{}), Play(5, membership.Faults{}); a != b {
 		t.Errorf("played twice: %+v, %+v", a, b)
 	}
 }
@@ -421,7 +421,7 @@
 func TestReplayedLeave(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		kept := map[string][][]byte{}
-		c := begin(15, 3, func(w outside.World) outside.World { return &replayer{w, kept} }, decide.Plant{Replayed: taken})
+		c := begin(15, 3, func(w outside.World) outside.World { return &replayer{w, kept} }, membership.Faults{Replayed: taken})
 		c.Pass(20000)
 		c.All[2].Kill()
 		again, err := c.All[0].P.Datagrams("again:1", func([]byte) {})
@@ -436,7 +436,7 @@
 			}
 			c.Pass(1000)
 		}
-		c.All[0].Run.See(func(d *decide.Detector) {
+		c.All[0].Run.See(func(d *membership.Detector) {
 			if n, _ := d.Sharers(c.All[0].P.Now()); n != 2 && !taken || n == 2 && taken {
 				t.Errorf("replays taken %t: %d share", taken, n)
 			}
--- a/internal/lab/circle/measure.go
+++ b/internal/lab/circle/measure.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	decide "ravenpond/internal/decide/membership"
+	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
 )
@@ -123,7 +123,7 @@
 // that enough others share. It is a mean; the tail is the round in which all probe all once.
 func (c *Circle) bound() float64 {
 	least, _ := c.bounds()
-	return math.E/(math.E-1)*decide.Period + decide.Period + least
+	return math.E/(math.E-1)*membership.Period + membership.Period + least
 }
 
 func measure(seed uint64, n int, loss float64) (m measured) {
--- a/internal/lab/circle/play.go
+++ b/internal/lab/circle/play.go
@@ -6,7 +6,7 @@
 	"io"
 	"runtime/debug"
 
-	decide "ravenpond/internal/decide/membership"
+	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/outside"
@@ -29,7 +29,7 @@
 }
 
 // Play plays a seed: three to sixty processes, and faults of many kinds one upon another.
-func Play(seed uint64, plant decide.Plant) (v Verdict) {
+func Play(seed uint64, plant membership.Faults) (v Verdict) {
 	v.Seed = seed
 	defer func() {
 		if p := recover(); p != nil {
@@ -234,12 +234,12 @@
 
 // bounds are those of a suspicion now.
 func (c *Circle) bounds() (least, most float64) {
-	c.Living()[0].Run.See(func(d *decide.Detector) { least, most = d.Bounds() })
+	c.Living()[0].Run.See(func(d *membership.Detector) { least, most = d.Bounds() })
 	return
 }
 
 // Seeds plays the seeds from a to b, the latter left out, so many at a time, in their order.
-func Seeds(ctx context.Context, a, b uint64, workers int, plant decide.Plant) []Verdict {
+func Seeds(ctx context.Context, a, b uint64, workers int, plant membership.Faults) []Verdict {
 	return seeds.Each(ctx, a, b, workers, func(seed uint64) Verdict { return Play(seed, plant) })
 }
 
@@ -266,12 +266,12 @@
 // Plants are faults that the seeds must find.
 var Plants = []struct {
 	Name  string
-	Plant decide.Plant
+	Plant membership.Faults
 }{
-	{"a suspect does not answer for itself", decide.Plant{Silent: true}},
-	{"a suspect answers without a higher version", decide.Plant{Same: true}},
-	{"older news are taken", decide.Plant{Stale: true}},
-	{"replays are taken", decide.Plant{Replayed: true}},
-	{"who stood still accuses others", decide.Plant{Healthy: true}},
-	{"parts grow at once", decide.Plant{Grows: true}},
+	{"a suspect does not answer for itself", membership.Faults{Silent: true}},
+	{"a suspect answers without a higher version", membership.Faults{Same: true}},
+	{"older news are taken", membership.Faults{Stale: true}},
+	{"replays are taken", membership.Faults{Replayed: true}},
+	{"who stood still accuses others", membership.Faults{Healthy: true}},
+	{"parts grow at once", membership.Faults{Grows: true}},
 }
--- a/internal/lab/council/council.go
+++ b/internal/lab/council/council.go
@@ -18,7 +18,7 @@
 	"ravenpond/internal/control"
 	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/consensus"
-	detector "ravenpond/internal/decide/membership"
+	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/members"
@@ -111,7 +111,7 @@
 type Deaf struct{}
 
 // Changed hears nothing.
-func (Deaf) Changed(float64, detector.Member, detector.State) {}
+func (Deaf) Changed(float64, membership.Member, membership.State) {}
 
 // Taken hears nothing.
 func (Deaf) Taken(float64, string) {}
@@ -125,7 +125,7 @@
 	for _, s := range who.Voters {
 		seeds = append(seeds, s+":7")
 	}
-	m, err := members.Begin(p, p.Name+":7", detector.Charter{Site: "lab", Name: p.Name, Address: p.Name + ":7", Life: who.Life, Key: []byte("a key"), Seeds: seeds, Seed: seed}, Deaf{})
+	m, err := members.Begin(p, p.Name+":7", membership.Config{Site: "lab", Name: p.Name, Address: p.Name + ":7", Life: who.Life, Key: []byte("a key"), Seeds: seeds, Seed: seed}, Deaf{})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -37,7 +37,7 @@
 
 // Begin opens the port for datagrams at the charter's address and runs a detector there until End.
 // It is opened at another address if one is given, as where others reach it by a way round.
-func Begin(w outside.World, listen string, who membership.Charter, told Told) (*Runner, error) {
+func Begin(w outside.World, listen string, who membership.Config, told Told) (*Runner, error) {
 	r := &Runner{w: w, told: told}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -34,7 +34,7 @@
 	var books []*book
 	for i := range 4 {
 		b := &book{told: map[string]membership.State{}}
-		who := membership.Charter{Site: "s", Name: fmt.Sprint("m", i), Life: 1, Key: []byte("key"), Seed: uint64(i)}
+		who := membership.Config{Site: "s", Name: fmt.Sprint("m", i), Life: 1, Key: []byte("key"), Seed: uint64(i)}
 		if i > 0 {
 			who.Seeds = []string{runs[0].Address()}
 		}
@@ -75,7 +75,7 @@
 	runs[1].End()
 	soon("nobody hears that one leaves", func() bool { return holds(0, "m1", membership.Left) && holds(2, "m1", membership.Left) })
 	foreign := uint64(0)
-	runs[0].See(func(d *membership.Detector) { foreign = d.Figures.Foreign })
+	runs[0].See(func(d *membership.Detector) { foreign = d.Stats.Foreign })
 	if len(books[3].told) > 0 || foreign == 0 {
 		t.Errorf("the stranger knows %v, %d of its datagrams were turned away", books[3].told, foreign)
 	}
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -13,7 +13,7 @@
 
 	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/isolation"
-	decide "ravenpond/internal/decide/membership"
+	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/members"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/state"
@@ -72,7 +72,7 @@
 	if s.lends() {
 		open = s.longest()
 	}
-	run, err := members.Begin(s.w, m.Listen, decide.Charter{Open: open, Site: s.who.Place.Name, Name: s.who.Name, Address: m.Others, Life: uint64(life), Key: key,
+	run, err := members.Begin(s.w, m.Listen, membership.Config{Open: open, Site: s.who.Place.Name, Name: s.who.Name, Address: m.Others, Life: uint64(life), Key: key,
 		Seeds: m.Seeds, Seed: s.who.Seed, Place: s.who.Index, Places: cl.Schedulers, Window: cl.FallWindow + leaseSpan}, changes{s})
 	if err != nil {
 		return err
@@ -89,7 +89,7 @@
 // changes logs what changes in the view.
 type changes struct{ s *Server }
 
-func (c changes) Changed(now float64, m decide.Member, was decide.State) {
+func (c changes) Changed(now float64, m membership.Member, was membership.State) {
 	c.s.log.Info().Str("mode", "members").Str("member", m.Name).Str("address", m.Address).Uint64("life", m.Life).Uint64("version", m.Version).
 		Stringer("was", was).Stringer("is", m.State).Str("by", m.By).Float64("unix_ms", now+float64(outside.Epoch.UnixMilli())).Msg("member")
 }
@@ -121,7 +121,7 @@
 	}
 	c.links[l.nd] = l
 	c.linksMu.Unlock()
-	c.run.See(func(d *decide.Detector) { d.NodeBack(l.nd) })
+	c.run.See(func(d *membership.Detector) { d.NodeBack(l.nd) })
 }
 
 func (s *Server) missed(l *link) {
@@ -137,7 +137,7 @@
 	c.linksMu.Unlock()
 	if last {
 		now := s.w.Now()
-		c.run.See(func(d *decide.Detector) { d.NodeLost(now, l.nd, l.life) })
+		c.run.See(func(d *membership.Detector) { d.NodeLost(now, l.nd, l.life) })
 	}
 }
 
@@ -146,7 +146,7 @@
 	if s.circle.run == nil {
 		return false
 	}
-	s.circle.run.See(func(d *decide.Detector) { lives = d.NodeLives(now, nd, life) })
+	s.circle.run.See(func(d *membership.Detector) { lives = d.NodeLives(now, nd, life) })
 	return lives
 }
 
@@ -158,7 +158,7 @@
 	var until, lentUntil float64
 	var held []uint32
 	var ended []func(sh *shard, now float64)
-	c.run.See(func(d *decide.Detector) {
+	c.run.See(func(d *membership.Detector) {
 		n, until = d.Sharers(now + leaseEarly)
 		a, suspect, dead, _ := d.Count()
 		alive, known = a, a+suspect+dead
@@ -229,7 +229,7 @@
 		return
 	}
 	now := s.w.Now()
-	s.circle.run.See(func(d *decide.Detector) {
+	s.circle.run.See(func(d *membership.Detector) {
 		d.List(now, version, func(yield func(node uint32, ready, gone bool)) {
 			for _, en := range entries {
 				yield(en.ID, logic.Availability(en.Avail) == logic.Ready, logic.Availability(en.Avail) == logic.Gone)
@@ -258,7 +258,7 @@
 	Health, Share         int
 	Leaves, Needs         int
 	Taken                 bool
-	Figures               decide.Figures
+	Figures               membership.Stats
 	Members               []Seen
 	Book                  *Book `json:",omitempty"`
 }
@@ -286,8 +286,8 @@
 func (s *Server) writeMembers() {
 	now := s.w.Now()
 	v := View{Name: s.who.Name, At: s.w.Wall(), Share: s.sharing(now), Degree: s.circle.degree.Now().String()}
-	s.circle.run.See(func(d *decide.Detector) {
-		v.Address, v.Life, v.Health, v.Taken, v.Figures = s.circle.run.Address(), d.Life(), d.Health(), d.Taken(), d.Figures
+	s.circle.run.See(func(d *membership.Detector) {
+		v.Address, v.Life, v.Health, v.Taken, v.Figures = s.circle.run.Address(), d.Life(), d.Health(), d.Taken(), d.Stats
 		v.Leaves, v.Needs = d.Leaves(now)
 		for _, m := range d.All() {
 			x := Seen{Name: m.Name, Address: m.Address, State: m.State.String(), By: m.By, Life: m.Life, Version: m.Version, Since: (now - m.Since) / 1000}
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -12,7 +12,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"ravenpond/internal/decide/consensus"
-	decide "ravenpond/internal/decide/membership"
+	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/engine"
 )
 
@@ -75,14 +75,14 @@
 	gauge(c.tries, float64(st.Tries))
 	gauge(c.shards, float64(n))
 	if c.s.circle.run != nil {
-		c.s.circle.run.See(func(d *decide.Detector) {
+		c.s.circle.run.See(func(d *membership.Detector) {
 			alive, suspect, dead, left := d.Count()
 			for state, v := range map[string]int{"alive": alive, "suspect": suspect, "dead": dead, "left": left} {
 				gauge(c.members, float64(v), state)
 			}
-			counter(c.datagrams, d.Figures.Sent, "sent")
-			counter(c.datagrams, d.Figures.Got, "got")
-			counter(c.deaths, d.Figures.Deaths)
+			counter(c.datagrams, d.Stats.Sent, "sent")
+			counter(c.datagrams, d.Stats.Got, "got")
+			counter(c.deaths, d.Stats.Deaths)
 		})
 	}
 	if c.s.control == nil {
