--- /dev/null
+++ b/internal/decide/membership/member.go
@@ -0,0 +1,163 @@
+package membership
+
+import (
+	"slices"
+
+	codec "ravenpond/internal/proto/members"
+)
+
+// State is the state of a member.
+type State uint8
+
+// States, in the order of their precedence at one version.
+const (
+	Alive   State = codec.Alive
+	Suspect State = codec.Suspect
+	Dead    State = codec.Dead
+	Left    State = codec.Left
+)
+
+func (s State) String() string {
+	return [...]string{"unknown", "alive", "suspect", "dead", "left"}[min(s, 5)%5]
+}
+
+// Member is what this process knows of a member.
+type Member struct {
+	Name, Address string
+	Life, Version uint64
+	State         State
+	Since         float64 // when the state was entered, ms
+	By            string  // who reported the state
+	Heard         float64 // when its last own datagram arrived, ms; 0: never
+}
+
+// member is a member with the detector's bookkeeping.
+type member struct {
+	Member
+	index           uint64
+	highestCount    uint64 // highest count received from it
+	receivedMask    uint64 // which of the 64 counts up to it were received
+	sentCount       uint64 // count of datagrams sent to it
+	suspectAt       float64
+	accusers        map[string]bool
+	fromDeathReport bool    // the suspicion began with a report of its death, of which it may not know yet
+	place           int     // its place, from 1; 0: unknown
+	transmissions   int     // of its update so far; -1: no update is queued
+	lag             float64 // decaying latency of its late acks, ms
+}
+
+// setVersion sets a member's incarnation and version, and updates the digest.
+func (d *Detector) setVersion(m *member, life, version uint64) {
+	d.digest ^= m.digest()
+	m.Life, m.Version = life, version
+	d.digest ^= m.digest()
+}
+
+// All returns all other members, sorted by name.
+func (d *Detector) All() []Member {
+	all := make([]Member, 0, len(d.names))
+	for _, n := range d.names {
+		all = append(all, d.members[n].Member)
+	}
+	return all
+}
+
+// Count returns the number of other members in each state.
+func (d *Detector) Count() (alive, suspect, dead, left int) {
+	for _, m := range d.members {
+		switch m.State {
+		case Alive:
+			alive++
+		case Suspect:
+			suspect++
+		case Dead:
+			dead++
+		case Left:
+			left++
+		}
+	}
+	return
+}
+
+// View returns a digest of the full state, equal in processes whose states are equal.
+func (d *Detector) View() uint64 { return d.digest }
+
+// presentCount returns how many others are not known to be gone.
+func (d *Detector) presentCount() (n int) { return len(d.members) - d.deadCount }
+
+// setState changes a member's state and queues the update.
+func (d *Detector) setState(m *member, to State, by string) {
+	was := m.State
+	d.digest ^= m.digest()
+	if was >= Dead {
+		d.deadCount--
+	}
+	if to >= Dead {
+		d.deadCount++
+		d.timers.Set(d.now+removeAfter, dueRemoval, m.index)
+		if to == Dead {
+			d.lastDeathAt = d.now
+		}
+		if d.slowStart != nil {
+			d.slowStart.Gone(m.place - 1)
+		}
+		if d.quota != nil {
+			d.quota.Gone(m.place - 1)
+		}
+	}
+	if to != was {
+		m.Since = d.now
+	}
+	m.State, m.By = to, by
+	d.digest ^= m.digest()
+	d.queueUpdate(m)
+	if to != was {
+		d.effects.Changed(m.Member, was)
+	}
+}
+
+// addMember adds a member; nil if there are too many.
+func (d *Detector) addMember(name, address string, life, version uint64) *member {
+	if len(d.members) >= maxMembers {
+		return nil
+	}
+	d.lastIndex++
+	m := &member{Member: Member{Name: name, Address: address, Life: life, Version: version, Since: d.now}, index: d.lastIndex, transmissions: -1}
+	d.members[name], d.byIndex[m.index] = m, m
+	at, _ := slices.BinarySearch(d.names, name)
+	d.names = slices.Insert(d.names, at, name)
+	d.digest ^= m.digest()
+	if len(d.probeOrder) > 0 { // at a random position of the round
+		d.probeOrder = slices.Insert(d.probeOrder, d.probeIndex+d.rng.IntN(len(d.probeOrder)-d.probeIndex+1), name)
+	}
+	return m
+}
+
+// removeMember forgets a member.
+func (d *Detector) removeMember(m *member) {
+	d.digest ^= m.digest()
+	delete(d.members, m.Name)
+	delete(d.byIndex, m.index)
+	d.deadCount--
+	if at, ok := slices.BinarySearch(d.names, m.Name); ok {
+		d.names = slices.Delete(d.names, at, at+1)
+	}
+	d.updates = slices.DeleteFunc(d.updates, func(x *member) bool { return x == m })
+}
+
+// digest returns a member's part of the digest: its versions and whether it is gone. Suspicions are transient and left out.
+func (m *member) digest() uint64 {
+	h := uint64(14695981039346656037)
+	mix := func(v uint64) { h = (h ^ v) * 0x9e3779b97f4a7c15; h ^= h >> 29 }
+	for i := range len(m.Name) {
+		mix(uint64(m.Name[i]))
+	}
+	mix(m.Life)
+	mix(m.Version)
+	there := uint64(0)
+	if m.State >= Dead {
+		there = uint64(m.State)
+	}
+	mix(there)
+	return h
+}
--- /dev/null
+++ b/internal/decide/membership/probe.go
@@ -0,0 +1,147 @@
+package membership
+
+import (
+	codec "ravenpond/internal/proto/members"
+)
+
+// Period is the time between two probes of a healthy process, in ms.
+const Period = period
+
+// indirectProbe is a probe made for another member.
+type indirectProbe struct {
+	asker, target string
+	number        uint64 // number of the asker's probe
+}
+
+// lateProbe is a probe without an ack in time.
+type lateProbe struct {
+	name string
+	sent float64
+}
+
+// scaled returns a time-out of own probes, multiplied by the local health score.
+func (d *Detector) scaled(ms float64) float64 { return ms * float64(1+d.localHealth) }
+
+// startProbe ends the last probe and probes the next member.
+func (d *Detector) startProbe() {
+	d.timers.Set(d.now+d.scaled(period)*(0.95+0.1*d.rng.Float64()), dueProbe, 0)
+	if p := &d.probe; p.out && !p.answered {
+		d.Stats.Missed++
+		if m := d.members[p.name]; m != nil && m.State <= Suspect {
+			d.localHealth = min(maxLocalHealth, d.localHealth+p.asked-p.nacks) // silent helpers: this process may be at fault
+			if p.asked == 0 {
+				d.localHealth = min(maxLocalHealth, d.localHealth+1)
+			}
+			if m.lag == 0 {
+				d.suspect(m, d.config.Name)
+			}
+			if len(d.lateProbes) < maxMembers {
+				d.lateProbes[p.number] = lateProbe{p.name, p.sent}
+				d.timers.Set(p.sent+max(minLateWait, lagFactor*m.lag), dueLate, p.number)
+			}
+		}
+	}
+	d.probe.out = false
+	m := d.nextProbed()
+	if m == nil {
+		return
+	}
+	d.sequence++
+	d.Stats.Probes++
+	d.probe.name, d.probe.number, d.probe.sent, d.probe.asked, d.probe.nacks = m.Name, d.sequence, d.now, 0, 0
+	d.probe.answered, d.probe.out = false, true
+	d.sendTo(m, codec.Ping, d.sequence, "")
+	d.timers.Set(d.now+d.scaled(ackTimeout), dueAck, d.sequence)
+}
+
+// nextProbed returns the next member in the probe order that is not known to be gone, nil if there is none.
+func (d *Detector) nextProbed() *member {
+	for range len(d.probeOrder) + 1 {
+		if d.probeIndex >= len(d.probeOrder) {
+			d.probeOrder, d.probeIndex = d.probeOrder[:0], 0
+			for _, n := range d.names {
+				if m := d.members[n]; m.State <= Suspect {
+					d.probeOrder = append(d.probeOrder, n)
+				}
+			}
+			d.rng.Shuffle(len(d.probeOrder), func(i, j int) { d.probeOrder[i], d.probeOrder[j] = d.probeOrder[j], d.probeOrder[i] })
+			if len(d.probeOrder) == 0 {
+				return nil
+			}
+		}
+		m := d.members[d.probeOrder[d.probeIndex]]
+		d.probeIndex++
+		if m != nil && m.State <= Suspect {
+			return m
+		}
+	}
+	return nil
+}
+
+// probeIndirectly asks a few others to probe the member that did not answer.
+func (d *Detector) probeIndirectly() {
+	target := d.members[d.probe.name]
+	if target == nil {
+		return
+	}
+	for _, m := range d.sample(helperCount, func(m *member) bool { return m.State == Alive && m != target }) {
+		d.probe.asked++
+		d.sendTo(m, codec.Ask, d.probe.number, target.Name)
+	}
+	d.sendTo(target, codec.Ping, d.probe.number, "") // once more: a single datagram is easily lost
+}
+
+// sample returns up to n random members that satisfy a condition.
+func (d *Detector) sample(n int, sort func(*member) bool) (all []*member) {
+	if len(d.names) == 0 {
+		return nil
+	}
+	const step = 1299709 // a prime above any number of members: visits all in an order unrelated to their names
+	start := d.rng.IntN(len(d.names))
+	for i := range len(d.names) {
+		if m := d.members[d.names[(start+i*step)%len(d.names)]]; sort(m) {
+			if all = append(all, m); len(all) == n {
+				break
+			}
+		}
+	}
+	return all
+}
+
+// onAck handles the ack of an own probe or of an indirect probe for another member.
+func (d *Detector) onAck(m *member, number uint64) {
+	if d.probe.out && number == d.probe.number && !d.probe.answered {
+		d.probe.answered = true
+		d.onLeaseReply(d.probe.sent)
+		d.localHealth = max(0, d.localHealth-1)
+		if m.Name == d.probe.name {
+			if m.lag *= lagDecay; m.lag < ackTimeout {
+				m.lag = 0
+			}
+		}
+		return
+	}
+	if w, ok := d.lateProbes[number]; ok && w.name == m.Name { // late, but alive
+		delete(d.lateProbes, number)
+		d.onLeaseReply(w.sent)
+		m.lag = max(m.lag, d.now-w.sent)
+	}
+	if h, ok := d.indirectProbes[number]; ok && h.target == m.Name {
+		delete(d.indirectProbes, number)
+		if asker := d.members[h.asker]; asker != nil {
+			d.sendTo(asker, codec.Ack, h.number, "")
+		}
+	}
+}
+
+// onIndirectProbe probes a member for another that gets no ack from it.
+func (d *Detector) onIndirectProbe(asker *member, number uint64, target string) {
+	m := d.members[target]
+	if m == nil || len(d.indirectProbes) >= maxMembers {
+		return
+	}
+	d.sequence++
+	d.indirectProbes[d.sequence] = indirectProbe{asker: asker.Name, target: target, number: number}
+	d.sendTo(m, codec.Ping, d.sequence, "")
+	d.timers.Set(d.now+ackTimeout, dueNack, d.sequence)
+}
--- /dev/null
+++ b/internal/decide/membership/receive.go
@@ -0,0 +1,176 @@
+package membership
+
+import (
+	"errors"
+	"math"
+
+	"ravenpond/internal/decide/reachability"
+	codec "ravenpond/internal/proto/members"
+)
+
+// Heard handles a datagram that arrived at this process's address.
+func (d *Detector) Heard(now float64, b []byte) {
+	d.advance(now)
+	d.header.kind, d.header.place, d.header.silent = 0, 0, d.header.silent[:0]
+	d.syncedNames = nil
+	switch err := codec.Open(b, d.config.Key, d.config.Site, d.config.Address, datagramHandler{d}); {
+	case errors.Is(err, codec.ErrForeign):
+		d.Stats.Foreign++
+	case err != nil:
+		d.Stats.Bad++ // what was read before the error is kept: the datagram was authentic
+	}
+	if d.header.kind != 0 {
+		d.Stats.Got++
+		d.handle()
+	}
+}
+
+// datagramHandler receives the decoded parts of a datagram.
+type datagramHandler struct{ *Detector }
+
+// Head checks a datagram against what is known of its sender. Only a sender that knows this process's incarnation may change anything, and
+// each count is accepted once, so that replays have no effect.
+func (d datagramHandler) Head(from, address string, life, count, toLife uint64, kind uint32, number uint64, target string, view uint64, after,
+	until string) bool {
+	h := &d.header
+	if from == d.config.Name {
+		if address != d.config.Address {
+			d.onNameConflict(address, life)
+		}
+		return false
+	}
+	switch {
+	case kind == codec.Hello:
+		d.onHello(from, address, life, number)
+		return false
+	case toLife != d.config.Life && !d.config.Faults.Replayed:
+		d.Stats.Stale++
+		return false
+	case kind == codec.Welcome:
+		if d.hellos[address] != number {
+			d.Stats.Stale++
+			return false
+		}
+		delete(d.hellos, address)
+		if target != "" && view > d.config.Life { // the sender knows a later incarnation of this name
+			d.raiseIncarnation(view)
+		}
+	}
+	m := d.members[from]
+	switch {
+	case m != nil && !d.config.Faults.Replayed && (life < m.Life || life == m.Life && address != m.Address):
+		d.Stats.Stale++
+		return false
+	case m == nil:
+		if m = d.addMember(from, address, life, 0); m == nil {
+			return false
+		}
+		d.setState(m, Alive, d.config.Name)
+		d.lastSyncAt = math.Inf(-1)
+	case life > m.Life:
+		d.onNewIncarnation(m, address, life, 0, Alive, d.config.Name)
+	}
+	if kind != codec.Welcome && !m.acceptCount(count) && !d.config.Faults.Replayed {
+		d.Stats.Stale++
+		return false
+	}
+	m.Heard = d.now
+	h.m, h.kind, h.number, h.view, h.target, h.after, h.until = m, kind, number, view, target, after, until
+	if kind == codec.Page {
+		d.syncedNames = map[string]bool{}
+	}
+	return true
+}
+
+// Lease keeps a datagram's lease fields until its kind is handled.
+func (d datagramHandler) Lease(place int, given bool, counted []byte, lent bool, lentCounted []byte) {
+	d.header.place, d.header.given, d.header.counted, d.header.lent, d.header.lentCounted = place+1, given, counted, lent, lentCounted
+	d.header.m.place = place + 1
+}
+
+// Word handles gossip about a node.
+func (d datagramHandler) Word(node uint32, version uint64, gone bool) {
+	d.nodeGossip.Heard(d.now, node, version, gone)
+}
+
+// Silent keeps a question about a node for the ack of the probe that carries it.
+func (d datagramHandler) Silent(node uint32) {
+	if len(d.header.silent) < reachability.Most {
+		d.header.silent = append(d.header.silent, node)
+	}
+}
+
+// Hears handles the sender's answer about a node in an ack of this process's probe.
+func (d datagramHandler) Hears(node uint32, life uint64, ago float64) {
+	h := &d.header
+	if h.kind != codec.Ack {
+		return
+	}
+	if h.number == d.probe.number && d.probe.out {
+		d.nodeReachability.Told(d.probe.sent, node, life, ago)
+	} else if w, ok := d.lateProbes[h.number]; ok {
+		d.nodeReachability.Told(w.sent, node, life, ago)
+	}
+}
+
+// Book handles the version of the cluster state that the sender holds.
+func (d datagramHandler) Book(version uint64) {
+	if version > d.stateVersion && d.carrier != nil {
+		d.carrier.Ahead(d.header.m.Name, version)
+	}
+}
+
+// Part handles a fragment of a message for other parts of the program.
+func (d datagramHandler) Part(index, of int, body []byte) {
+	h := &d.header
+	if h.kind != codec.Carry || d.carrier == nil {
+		return
+	}
+	if all, ok := d.reassembler.Take(h.m.Name, h.m.Life, h.number, index, of, body); ok {
+		d.carrier.Carried(h.m.Name, all)
+	}
+}
+
+// acceptCount reports whether a count is new. Datagrams may be reordered by up to 64.
+func (m *member) acceptCount(count uint64) bool {
+	switch {
+	case count > m.highestCount:
+		if by := count - m.highestCount; by < 64 {
+			m.receivedMask = m.receivedMask<<by | 1
+		} else {
+			m.receivedMask = 1
+		}
+		m.highestCount = count
+		return true
+	case m.highestCount-count >= 64 || m.receivedMask>>(m.highestCount-count)&1 == 1:
+		return false
+	}
+	m.receivedMask |= 1 << (m.highestCount - count)
+	return true
+}
+
+// handle executes a datagram after its updates were read.
+func (d *Detector) handle() {
+	h := d.header
+	m := h.m
+	switch h.kind {
+	case codec.Welcome: // the sender is alive: it gets the state that is held of it and can refute it
+		d.sequence++
+		d.sendTo(m, codec.Ping, d.sequence, "")
+		d.sync(m)
+	case codec.Ping:
+		d.sendTo(m, codec.Ack, h.number, "")
+		d.syncIfDifferent(m, h.view)
+	case codec.Ack:
+		d.onAck(m, h.number)
+		d.syncIfDifferent(m, h.view)
+	case codec.Ask:
+		d.onIndirectProbe(m, h.number, h.target)
+	case codec.Nack:
+		if d.probe.out && h.number == d.probe.number {
+			d.probe.nacks++
+		}
+	case codec.Page:
+		d.onSyncPage(m, h.number, h.after, h.until)
+	}
+}
--- /dev/null
+++ b/internal/decide/membership/send.go
@@ -0,0 +1,144 @@
+package membership
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"ravenpond/internal/decide/fragment"
+	"ravenpond/internal/decide/slowstart"
+	codec "ravenpond/internal/proto/members"
+)
+
+// Carrier receives messages that other parts of the program send over the members' datagrams.
+type Carrier interface {
+	// Carried delivers a message. The receiver owns its body.
+	Carried(from string, body []byte)
+	// Ahead reports a member that holds a later version of the cluster state than this process.
+	Ahead(from string, version uint64)
+}
+
+// Carries sets the receiver of messages.
+func (d *Detector) Carries(c Carrier) { d.carrier = c }
+
+// Holds sets the version of the cluster state that this process holds. Each probe carries it.
+func (d *Detector) Holds(version uint64) { d.stateVersion = version }
+
+// Carry sends a message to a member in as many datagrams as needed, each of which may be lost. It reports whether the member is known
+// and not gone.
+func (d *Detector) Carry(now float64, to string, body []byte) bool {
+	d.now = max(d.now, now)
+	m := d.members[to]
+	if m == nil || m.State >= Dead || d.taken {
+		return false
+	}
+	d.sequence++
+	parts := fragment.Cut(body, codec.MostPart)
+	for i, p := range parts {
+		m.sentCount++
+		b := codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.Carry, d.sequence, "", 0, "", "")
+		d.transmit(m.Address, codec.Part(b, i, len(parts), p))
+	}
+	return len(parts) > 0
+}
+
+// queueUpdate piggybacks an update of a member on the next datagrams.
+func (d *Detector) queueUpdate(m *member) {
+	if m.transmissions < 0 {
+		d.updates = append(d.updates, m)
+	}
+	m.transmissions = 0
+}
+
+// retransmitLimit returns how often an update is sent.
+func (d *Detector) retransmitLimit() int {
+	return retransmitFactor * int(math.Ceil(math.Log2(float64(d.presentCount()+2))))
+}
+
+// sendTo sends a datagram with updates to a member. A member that is not alive here gets this update first, so that it can refute it.
+func (d *Detector) sendTo(m *member, kind uint32, number uint64, target string) {
+	m.sentCount++
+	var first *member
+	if m.State != Alive {
+		first = m
+	}
+	d.sendWithUpdates(m.Address, m.Life, m.sentCount, kind, number, target, first)
+}
+
+// sendWithUpdates sends a datagram with leases, reachability and as many updates as fit.
+func (d *Detector) sendWithUpdates(address string, life, count uint64, kind uint32, number uint64, target string, first *member) {
+	b := codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, count, life, kind, number, target, d.digest, "", "")
+	b = codec.Book(b, d.stateVersion)
+	switch {
+	case d.slowStart == nil || d.leaving || d.taken:
+	case kind == codec.Ping:
+		b = codec.Lease(b, d.config.Place, false, nil, false, nil)
+	case kind == codec.Ack && d.header.kind == codec.Ping && d.header.place > 0: // not an ack that is forwarded for another member
+		given, counted := d.slowStart.Asked(d.now, d.header.place-1)
+		var lent bool
+		var lentCounted slowstart.Set
+		if d.quota != nil {
+			lent, lentCounted = d.quota.Asked(d.now, d.header.place-1)
+		}
+		b = codec.Lease(b, d.config.Place, given, counted.Bytes(), lent, lentCounted.Bytes())
+	}
+	switch {
+	case kind == codec.Ping:
+		d.nodeReachability.Ask(d.now, func(node uint32) (ok bool) {
+			b, ok = codec.Silent(b, node)
+			return ok
+		})
+	case kind == codec.Ack && d.header.kind == codec.Ping:
+		for _, node := range d.header.silent {
+			if life, heard, ok := d.effects.Hears(node); ok {
+				b, _ = codec.Hears(b, node, life, d.now-heard)
+			}
+		}
+	}
+	if first != nil {
+		b, _ = appendUpdate(b, first)
+	}
+	slices.SortStableFunc(d.updates, func(x, y *member) int { return cmp.Compare(x.transmissions, y.transmissions) })
+	most, kept := d.retransmitLimit(), d.updates[:0]
+	full := false
+	for _, m := range d.updates {
+		if !full && m != first {
+			var ok bool
+			if b, ok = appendUpdate(b, m); ok {
+				m.transmissions++
+			} else {
+				full = true
+			}
+		}
+		if m.transmissions >= most {
+			m.transmissions = -1
+		} else {
+			kept = append(kept, m)
+		}
+	}
+	clear(d.updates[len(kept):])
+	d.updates = kept
+	d.nodeGossip.Ride(most, func(node uint32, version uint64, gone bool) (ok bool) {
+		b, ok = codec.Word(b, node, version, gone)
+		return ok
+	})
+	d.transmit(address, b)
+}
+
+// appendUpdate appends a member's update; false if it does not fit.
+func appendUpdate(b []byte, m *member) ([]byte, bool) {
+	return codec.News(b, m.Name, m.Address, m.Life, m.Version, uint32(m.State), m.By)
+}
+
+// sendBare sends a datagram without count and updates, to a process that may not know this one's incarnation.
+func (d *Detector) sendBare(address string, life uint64, kind uint32, number uint64, target string, view uint64) {
+	d.transmit(address, codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, 0, life, kind, number, target, view, "", ""))
+}
+
+// transmit seals and sends a datagram.
+func (d *Detector) transmit(address string, b []byte) {
+	b = codec.Seal(b, d.config.Key, address)
+	d.Stats.Sent++
+	d.Stats.Bytes += uint64(len(b))
+	d.effects.Send(address, b)
+}
--- /dev/null
+++ b/internal/decide/membership/share.go
@@ -0,0 +1,49 @@
+package membership
+
+import (
+	"math"
+
+	"ravenpond/internal/decide/slowstart"
+)
+
+// Sharers returns how many processes share the slow-start budget at most, or 0 if this one has no lease on a share, and the time in ms
+// until which this holds without further replies.
+func (d *Detector) Sharers(now float64) (n int, until float64) {
+	return d.sharers(d.slowStart, now)
+}
+
+// Lent returns how many processes share the leased quota at most, or 0 if this one has no lease on a share, and the time in ms until
+// which this holds without further replies.
+func (d *Detector) Lent(now float64) (n int, until float64) {
+	return d.sharers(d.quota, now)
+}
+
+// sharers returns the number of sharers by a lease and the lease's end.
+func (d *Detector) sharers(h *slowstart.Holder, now float64) (n int, until float64) {
+	if h == nil || d.taken || d.leaving {
+		return 0, now
+	}
+	if d.config.Faults.Grows {
+		alive, _, _, _ := d.Count()
+		return alive + 1, math.Inf(1)
+	}
+	return h.Sharers(now), h.Until(now)
+}
+
+// Leaves returns how many others grant this process its lease, and how many grants it needs.
+func (d *Detector) Leaves(now float64) (has, needs int) {
+	if d.slowStart == nil {
+		return 0, 0
+	}
+	return d.slowStart.Leaves(now), d.config.Places / 2
+}
+
+// onLeaseReply handles the lease grants in an ack of a probe that was sent at a time.
+func (d *Detector) onLeaseReply(sent float64) {
+	if h := &d.header; d.slowStart != nil && h.place > 0 {
+		d.slowStart.Answered(sent, h.place-1, h.given, slowstart.Of(h.counted))
+		if d.quota != nil {
+			d.quota.Answered(sent, h.place-1, h.lent, slowstart.Of(h.lentCounted))
+		}
+	}
+}
--- /dev/null
+++ b/internal/decide/membership/sync.go
@@ -0,0 +1,106 @@
+package membership
+
+import (
+	"slices"
+
+	codec "ravenpond/internal/proto/members"
+)
+
+// syncIfDifferent synchronizes the full state with a member whose digest differs.
+func (d *Detector) syncIfDifferent(m *member, view uint64) {
+	if view != d.digest && d.now-d.lastSyncAt >= syncInterval {
+		d.sync(m)
+	}
+}
+
+// sync sends the full state in pages. The receiver reads what is newer and answers each page with what is newer on its side.
+func (d *Detector) sync(m *member) {
+	d.Stats.Syncs++
+	d.lastSyncAt = d.now
+	all := slices.Clone(d.names)
+	at, _ := slices.BinarySearch(all, d.config.Name)
+	all = slices.Insert(all, at, d.config.Name)
+	after := ""
+	for range maxSyncPages {
+		until, n := d.sendSyncPage(m, all, after)
+		all, after = all[n:], until
+		if until == "" {
+			return
+		}
+	}
+}
+
+// sendSyncPage sends the updates of as many names as fit. It returns the last name sent, empty if all were, and their number.
+func (d *Detector) sendSyncPage(m *member, names []string, after string) (until string, n int) {
+	d.Stats.Pages++
+	d.sequence++
+	m.sentCount++
+	begin := func(until string) []byte {
+		return codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.Page, d.sequence, "", d.digest, after, until)
+	}
+	longest := ""
+	for _, name := range names {
+		if len(name) > len(longest) {
+			longest = name
+		}
+	}
+	b, ok := begin(longest), true // the page's last name is not known yet: room for the longest is reserved
+	for n = 0; n < len(names); n++ {
+		if b, ok = appendUpdate(b, d.lookup(names[n])); !ok {
+			break
+		}
+	}
+	if n < len(names) && n > 0 {
+		until = names[n-1]
+	}
+	b = begin(until)
+	for _, name := range names[:n] {
+		b, _ = appendUpdate(b, d.lookup(name))
+	}
+	d.transmit(m.Address, b)
+	return until, n
+}
+
+// lookup returns the member of a name, which may be this process.
+func (d *Detector) lookup(name string) *member {
+	if name == d.config.Name {
+		return d.self
+	}
+	return d.members[name]
+}
+
+// onSyncPage answers a page with the updates of its range of names that are newer here or missing in it.
+func (d *Detector) onSyncPage(m *member, number uint64, after, until string) {
+	from, _ := slices.BinarySearch(d.names, after)
+	var b []byte
+	flush := func() {
+		if b != nil {
+			d.transmit(m.Address, b)
+			b = nil
+		}
+	}
+	for _, name := range append(slices.Clone(d.names[from:]), d.config.Name) {
+		if name <= after || until != "" && name > until || d.syncedNames[name] {
+			continue
+		}
+		for range 2 {
+			if b == nil {
+				m.sentCount++
+				b = codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.Answered, number, "", d.digest, "", "")
+			}
+			var ok bool
+			if b, ok = appendUpdate(b, d.lookup(name)); ok {
+				break
+			}
+			flush()
+		}
+	}
+	flush()
+}
+
+// markSynced notes that the page has a name's present or a newer update, so that the answer can omit it.
+func (d *Detector) markSynced(m *member, life, version uint64, to State) {
+	if d.syncedNames != nil {
+		d.syncedNames[m.Name] = life > m.Life || life == m.Life && (version > m.Version || version == m.Version && (to >= m.State || m.State < Dead))
+	}
+}
--- /dev/null
+++ b/internal/decide/membership/update.go
@@ -0,0 +1,121 @@
+package membership
+
+// raiseIncarnation gives this process a later incarnation than others know of its name.
+func (d *Detector) raiseIncarnation(known uint64) {
+	d.config.Life, d.version = known+1, 0
+	d.announceSelf()
+}
+
+// onNewIncarnation handles a member's new incarnation.
+func (d *Detector) onNewIncarnation(m *member, address string, life, version uint64, state State, by string) {
+	d.setVersion(m, life, version)
+	m.Address, m.highestCount, m.receivedMask, m.sentCount, m.accusers = address, 0, 0, 0, nil
+	d.setState(m, state, by)
+	if state == Suspect {
+		d.startSuspicion(m, by)
+	}
+}
+
+// onNameConflict handles another process that uses this one's name. The later incarnation keeps the name, and of equal ones that at the
+// lower address; the other process takes no part any more.
+func (d *Detector) onNameConflict(address string, life uint64) {
+	if life < d.config.Life || life == d.config.Life && d.config.Address < address {
+		return
+	}
+	if !d.taken {
+		d.taken = true
+		d.effects.Taken(address)
+	}
+}
+
+// News handles an update of a member.
+func (d datagramHandler) News(name, address string, life, version uint64, state uint32, by string) {
+	to := State(state)
+	if name == d.config.Name {
+		if d.syncedNames != nil {
+			d.syncedNames[name] = life == d.config.Life && version == d.version && (to < Dead) == !d.leaving
+		}
+		d.onSelfUpdate(address, life, version, to)
+		return
+	}
+	m := d.members[name]
+	if m == nil {
+		if m = d.addMember(name, address, life, version); m == nil {
+			return
+		}
+		switch to {
+		case Suspect:
+			d.setState(m, Alive, by)
+			d.suspect(m, by)
+		default:
+			d.setState(m, to, by)
+		}
+		d.markSynced(m, life, version, to)
+		return
+	}
+	d.markSynced(m, life, version, to)
+	switch {
+	case d.config.Faults.Stale && (life < m.Life || version < m.Version):
+		d.onNewIncarnation(m, address, life, version, to, by)
+	case life < m.Life || life == m.Life && version < m.Version:
+	case life > m.Life:
+		d.onNewIncarnation(m, address, life, version, to, by)
+	case version > m.Version:
+		d.onNewerVersion(m, version, to, by)
+	case to <= m.State: // nothing new, except for a further accuser
+		if to == Suspect && m.State == Suspect {
+			d.addAccuser(m, by)
+		}
+	case to == Dead && m.State == Suspect:
+		if !m.fromDeathReport { // after a partition heals, each side reports all members of the other as dead
+			d.addAccuser(m, by)
+		}
+	case to == Dead, to == Suspect: // a new report of a death starts a suspicion: the death may have been refuted
+		d.suspect(m, by)
+		m.fromDeathReport = to == Dead
+	default:
+		d.setState(m, to, by)
+	}
+}
+
+// onNewerVersion handles a higher version of a member.
+func (d *Detector) onNewerVersion(m *member, version uint64, to State, by string) {
+	was := m.State
+	d.setVersion(m, m.Life, version)
+	switch {
+	case to == Alive:
+		if was == Suspect {
+			d.Stats.Refuted++
+		}
+		m.accusers = nil
+		d.setState(m, Alive, by)
+	case to == Left:
+		d.setState(m, Left, by)
+	case was == Dead && to == Dead:
+		d.setState(m, Dead, by)
+	default:
+		d.setState(m, Alive, by)
+		d.suspect(m, by)
+	}
+}
+
+// onSelfUpdate handles an update about this process. It refutes a wrong one by a higher version.
+func (d *Detector) onSelfUpdate(address string, life, version uint64, to State) {
+	switch {
+	case life < d.config.Life || d.leaving:
+	case address != d.config.Address:
+		d.onNameConflict(address, life)
+	case life > d.config.Life:
+		d.raiseIncarnation(life)
+	case d.config.Faults.Silent:
+	case to != Alive && version >= d.version:
+		if !d.config.Faults.Same {
+			d.version = version + 1
+		}
+		d.localHealth = min(maxLocalHealth, d.localHealth+1)
+		d.announceSelf()
+	case version > d.version:
+		d.version = version
+		d.announceSelf()
+	}
+}
