--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -14,22 +14,22 @@
 
 // client is a connection that a client opened.
 type client struct {
-	s         *Server
-	no        uint64 // counts connections in the order of their acceptance
-	conn      outside.Conn
-	in        []byte // the received part of an incomplete message
-	halfAt    float64
-	since     float64
-	usedAt    float64
-	open      map[uint64]*request // requests without a final answer, by task
-	running    map[*request]bool
-	unsure    []*request // whose tasks run, and whose answers were not yet handed to the kernel when the connection was closed
-	active    bool       // a readable request or test came on it
-	requested bool       // a request that could be accepted came on it
+	s           *Server
+	no          uint64 // counts connections in the order of their acceptance
+	conn        outside.Conn
+	in          []byte // the received part of an incomplete message
+	halfAt      float64
+	since       float64
+	usedAt      float64
+	open        map[uint64]*request // requests without a final answer, by task
+	running     map[*request]bool
+	unsure      []*request // whose tasks run, and whose answers were not yet handed to the kernel when the connection was closed
+	active      bool       // a readable request or test came on it
+	requested   bool       // a request that could be accepted came on it
 	verified    bool       // a request on it was served
-	provisional     bool       // accepted beyond the limit of connections, and nothing useful has come on it yet
-	gone      bool
-	rejections    []byte // answers to rejected requests, sent together once all that was read is processed
+	provisional bool       // accepted beyond the limit of connections, and nothing useful has come on it yet
+	gone        bool
+	rejections  []byte // answers to rejected requests, sent together once all that was read is processed
 }
 
 // accept takes a client's connection. At the limit of connections it is provisional until something useful comes on it: then an idle
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -18,7 +18,7 @@
 	name, address string
 	avail         logic.Availability
 	links         []*link
-	running        map[*request]bool
+	running       map[*request]bool
 	cuts          []cutting // ends that the node has not been told on any connection
 	watch         nodefailure.Watch
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -77,7 +77,7 @@
 	client           *client // on whose connection it came; nil once that is gone
 	peer             *peer   // where it was offered last
 	link             *link   // on which that offer is open
-	attempt              uint8
+	attempt          uint8
 	sent             uint64 // bytes sent on that connection, this offer included; once the task runs, on its client's, the answer included
 	bytes            int    // of the offer
 	until            float64
@@ -88,7 +88,7 @@
 	jobType, name    []byte
 	key, description []byte
 	answered         bool
-	running           bool
+	running          bool
 }
 
 // New makes a scheduler from its configuration. Nothing is connected yet.
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -12,11 +12,11 @@
 // counts are figures for the log.
 type counts struct {
 	taken, rejected, served, declined, failed, withdrawn, over, moved, found int
-	offers                                                                 int
-	verdicts                                                               [8]int
-	dials, looks, refused, spent, spoilt, evicted, probes                 int
-	behind                                                                 int     // turned away as they could not be done in time
-	lag                                                                    float64 // the most since it was told
+	offers                                                                   int
+	verdicts                                                                 [8]int
+	dials, looks, refused, spent, spoilt, evicted, probes                    int
+	behind                                                                   int     // turned away as they could not be done in time
+	lag                                                                      float64 // the most since it was told
 }
 
 // count tells people how the scheduler fares.
