--- a/logic/logic.go
+++ b/logic/logic.go
@@ -873,7 +873,7 @@
 	}
 	for _, n := range a.erred {
 		past := &s.nodes[n].past[a.job]
-		*past = (*past | *past + 1) & (1<<outcomes - 1) // the latest failure counts as a success
+		*past = (*past | (*past + 1)) & (1<<outcomes - 1) // the latest failure counts as a success
 	}
 	a.erred = a.erred[:0]
 	a.unfit = true
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -621,6 +621,29 @@
 	}
 }
 
+// TestClearAfterSuccess has nodes serve others between an allocation's error there and the moment in which it is found at fault itself: the
+// error is taken back, and the successes since stay.
+func TestClearAfterSuccess(t *testing.T) {
+	for successes := range 3 {
+		x := start(t, cluster(), 4)
+		x.ask(1, 0, 5)
+		for try := range 3 {
+			x.settle(1, uint8(try), Errored, NotTold)
+			for i := range x.s.nodes {
+				for range successes {
+					x.s.nodes[i].judge(0, 1)
+				}
+			}
+		}
+		x.settle(1, 3, Errored, NotTold)
+		for i := range x.s.nodes {
+			if risk := x.s.nodes[i].risk(0); risk != 0 {
+				t.Errorf("%d successes since: risk %v of node %d, want 0", successes, risk, i)
+			}
+		}
+	}
+}
+
 // A scheduler that stood still finds the answers behind its timers: no node is held silent for that.
 func TestStoodStill(t *testing.T) {
 	x := start(t, cluster(), 1)
