--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -11,7 +11,6 @@
 	"os"
 	"os/signal"
 	"runtime"
-	"runtime/pprof"
 	"strings"
 	"syscall"
 	"time"
@@ -81,19 +80,20 @@
 }
 
 type serveCommand struct {
-	Site        string `required:"" type:"existingfile" help:"The site file."`
-	State       string `required:"" type:"path" help:"Folder for what outlives the process."`
-	Name        string `default:"s0" help:"The scheduler's name, the same at each start."`
-	Index       int    `default:"0" help:"Its number among all schedulers, from 0."`
-	Seed        uint64 `default:"0" help:"Seed of its chance; 0 draws one."`
-	Owners      string `help:"Listen for owners here instead of where the site file says."`
-	AddressFile string `type:"path" help:"Write the owners' address to this file once they may connect."`
-	Log         string `enum:"json,plain" default:"json" help:"Form of the log: json or plain."`
-	Keys        string `type:"path" help:"Folder of keys of the administration, where the site file has its address."`
-	KeyName     string `default:"server" help:"Name of the server's certificate there."`
-	Profile     string `type:"path" help:"Write a CPU profile of the whole run to this file."`
-	Level       string `enum:"debug,info,warn" default:"info" help:"debug adds a line for each try."`
-	Zone        string `help:"The zone in which the scheduler runs, one of the site file's."`
+	Site          string `required:"" type:"existingfile" help:"The site file."`
+	State         string `required:"" type:"path" help:"Folder for what outlives the process."`
+	Name          string `default:"s0" help:"The scheduler's name, the same at each start."`
+	Index         int    `default:"0" help:"Its number among all schedulers, from 0."`
+	Seed          uint64 `default:"0" help:"Seed of its chance; 0 draws one."`
+	Owners        string `help:"Listen for owners here instead of where the site file says."`
+	AddressFile   string `type:"path" help:"Write the owners' address to this file once they may connect."`
+	Log           string `enum:"json,plain" default:"json" help:"Form of the log: json or plain."`
+	Keys          string `type:"path" help:"Folder of keys of the administration, where the site file has its address."`
+	KeyName       string `default:"server" help:"Name of the server's certificate there."`
+	Profile       string `type:"path" xor:"profile" help:"Write a CPU profile of the whole run to this file."`
+	Level         string `enum:"debug,info,warn" default:"info" help:"debug adds a line for each try."`
+	ProfileWindow string `type:"path" xor:"profile" help:"Write a CPU profile of the time between two signals SIGUSR1 to this file, and a heap profile beside it."`
+	Zone          string `help:"The zone in which the scheduler runs, one of the site file's."`
 }
 
 func logger(form, level string, out io.Writer) (zerolog.Logger, error) {
@@ -128,15 +128,23 @@
 		seed = rand.Uint64()
 	}
 	if c.Profile != "" {
-		f, err := os.Create(c.Profile)
+		ended, err := profileWhole(c.Profile)
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		if err := pprof.StartCPUProfile(f); err != nil {
-			return err
-		}
-		defer pprof.StopCPUProfile()
+		defer ended()
+	}
+	if c.ProfileWindow != "" {
+		windowed := make(chan struct{})
+		window, closeWindow := context.WithCancel(ctx)
+		go func() {
+			defer close(windowed)
+			profileWindow(window, c.ProfileWindow, func(err error) { log.Error().Str("mode", "profile").Err(err).Msg("not written") })
+		}()
+		defer func() {
+			closeWindow()
+			<-windowed
+		}()
 	}
 	var secure *tls.Config
 	if place.AdminListen != "" || place.OwnersSecure {
--- a/internal/outside/real.go
+++ b/internal/outside/real.go
@@ -31,6 +31,10 @@
 	// Lingers is how many connections that ended softly are kept at most until their peers close too, 64 if it is 0. Beyond
 	// that the oldest of them is closed for good.
 	Lingers int
+	// ListAddress is the node list's, whose connection is counted apart from those to nodes.
+	ListAddress string
+
+	traffic [kinds]traffic
 
 	start  time.Time
 	base   float64
@@ -206,7 +210,7 @@
 			done(nil, err)
 			return
 		}
-		done(r.conn(c), nil)
+		done(r.conn(c, r.dialedTo(address)), nil)
 	})
 }
 
@@ -280,7 +284,7 @@
 		if r.Secure != nil {
 			r.shake(c, under, came)
 		} else {
-			came(r.conn(c))
+			came(r.conn(c, &r.traffic[Taken]))
 		}
 	}
 	r.goes(func() {
@@ -347,7 +351,7 @@
 			c.Close()
 			return
 		}
-		came(r.conn(s))
+		came(r.conn(s, &r.traffic[Taken]))
 	})
 	if !ok {
 		under.done(c)
@@ -359,6 +363,7 @@
 type conn struct {
 	r     *Real
 	c     net.Conn
+	count *traffic
 	wake  chan struct{}
 	wrote chan struct{} // closed when all is written and the connection closed
 	stuck time.Duration
@@ -378,8 +383,8 @@
 	lingers bool // half closed: its peer is waited for
 }
 
-func (r *Real) conn(c net.Conn) *conn {
-	n := &conn{r: r, c: c, wake: make(chan struct{}, 1), wrote: make(chan struct{})}
+func (r *Real) conn(c net.Conn, count *traffic) *conn {
+	n := &conn{r: r, c: c, count: count, wake: make(chan struct{}, 1), wrote: make(chan struct{})}
 	if s, ok := c.(syscall.Conn); ok && r.Prompt {
 		n.raw, _ = s.SyscallConn()
 	}
@@ -389,6 +394,7 @@
 		c.Close()
 	} else {
 		r.conns[n] = true
+		count.begun()
 	}
 	r.mu.Unlock()
 	return n
@@ -429,7 +435,7 @@
 		c.drain()
 		c.c.Close()
 		c.r.mu.Lock()
-		delete(c.r.conns, c)
+		c.r.forget(c)
 		c.r.mu.Unlock()
 	})
 	if !ok {
@@ -493,6 +499,7 @@
 		return ErrEnded
 	}
 	if len(b) > 0 {
+		c.count.received(len(b))
 		p.Heard(b)
 	}
 	if errors.Is(err, io.EOF) {
@@ -608,6 +615,7 @@
 	for {
 		_ = c.c.SetWriteDeadline(time.Now().Add(c.stuck))
 		n, err := c.c.Write(b)
+		c.count.sent(n)
 		b = b[n:]
 		slow := n > 0 && errors.Is(err, os.ErrDeadlineExceeded)
 		c.mu.Lock()
@@ -634,6 +642,7 @@
 		again = false
 		err := c.raw.Write(func(fd uintptr) bool {
 			n, err := syscall.Write(int(fd), c.queue)
+			c.count.sent(n)
 			again = err == syscall.EINTR
 			if n > 0 {
 				c.handed += uint64(n)
@@ -652,7 +661,8 @@
 func (c *conn) close(soft bool, last []byte) {
 	if len(last) > 0 {
 		_ = c.c.SetWriteDeadline(time.Now().Add(farewell))
-		_, _ = c.c.Write(last) // the peer may be gone: then nobody is left to be told
+		n, _ := c.c.Write(last) // the peer may be gone: then nobody is left to be told
+		c.count.sent(n)
 	}
 	if half, ok := c.c.(interface{ CloseWrite() error }); ok && soft && half.CloseWrite() == nil {
 		c.mu.Lock()
@@ -673,6 +683,7 @@
 	before := len(c.queue)
 	c.queue = appendTo(c.queue)
 	c.sent += uint64(len(c.queue) - before)
+	c.count.sentMessages.Add(1)
 	if c.raw != nil && c.begun && !c.writes {
 		if c.push(); len(c.queue) > 0 {
 			c.writes = c.r.goes(c.write)
@@ -722,7 +733,7 @@
 	case first && !begun:
 		c.c.Close()
 		c.r.mu.Lock()
-		delete(c.r.conns, c)
+		c.r.forget(c)
 		c.r.mu.Unlock()
 	case first && !writes:
 		c.close(soft, last)
@@ -763,6 +774,7 @@
 			n, _, err := c.ReadFromUDPAddrPort(b)
 			switch {
 			case err == nil && n <= MostDatagram:
+				p.r.traffic[Packet].received(n)
 				heard(b[:n])
 			case errors.Is(err, net.ErrClosed) || r.ctx.Err() != nil:
 				return
@@ -785,7 +797,9 @@
 		return // as if lost: an address that is none is found when the site file is read
 	}
 	_ = p.c.SetWriteDeadline(time.Now().Add(sendFor))
-	_, _ = p.c.WriteToUDPAddrPort(b, at)
+	n, _ := p.c.WriteToUDPAddrPort(b, at)
+	p.r.traffic[Packet].sentMessages.Add(1)
+	p.r.traffic[Packet].sent(n)
 }
 
 // sendFor bounds how long a datagram waits for a place in the kernel's queue.
--- /dev/null
+++ b/internal/outside/traffic.go
@@ -0,0 +1,77 @@
+package outside
+
+import "sync/atomic"
+
+// Kind tells connections apart by what they are for.
+type Kind uint8
+
+// Kinds of connections.
+const (
+	Taken  Kind = iota // connections that were let in at a door
+	Dialed             // connections that were made, as to nodes
+	Listed             // the connection to the node list, where the world is told its address
+	Packet             // datagrams
+	kinds
+)
+
+// String is the kind in counts.
+func (k Kind) String() string { return [...]string{"taken", "dialed", "list", "datagrams"}[k] }
+
+// Flow is what passed over all connections of a kind since the start.
+type Flow struct {
+	Kind              Kind
+	SentMessages      uint64 // calls of Send
+	SentBytes         uint64 // handed to the network
+	ReceivedMessages  uint64 // datagrams, or reads of a connection, each of which may hold several lines or a part of one
+	ReceivedBytes     uint64
+	OpenedConnections uint64 // since the start
+	OpenConnections   int64  // now; of datagrams there are none
+}
+
+// traffic counts the flow of one kind.
+type traffic struct {
+	sentMessages, sentBytes, receivedMessages, receivedBytes, opened atomic.Uint64
+	open                                                             atomic.Int64
+}
+
+func (t *traffic) sent(bytes int) { t.sentBytes.Add(uint64(max(0, bytes))) }
+
+func (t *traffic) received(bytes int) {
+	t.receivedMessages.Add(1)
+	t.receivedBytes.Add(uint64(bytes))
+}
+
+func (t *traffic) begun() {
+	t.opened.Add(1)
+	t.open.Add(1)
+}
+
+func (t *traffic) flow(kind Kind) Flow {
+	return Flow{Kind: kind, SentMessages: t.sentMessages.Load(), SentBytes: t.sentBytes.Load(), ReceivedMessages: t.receivedMessages.Load(),
+		ReceivedBytes: t.receivedBytes.Load(), OpenedConnections: t.opened.Load(), OpenConnections: t.open.Load()}
+}
+
+// Flows tells what passed since the start, by kind.
+func (r *Real) Flows() []Flow {
+	all := make([]Flow, 0, kinds)
+	for kind := range kinds {
+		all = append(all, r.traffic[kind].flow(kind))
+	}
+	return all
+}
+
+// dialedTo is the count of a connection that is made to an address.
+func (r *Real) dialedTo(address string) *traffic {
+	if address == r.ListAddress && address != "" {
+		return &r.traffic[Listed]
+	}
+	return &r.traffic[Dialed]
+}
+
+// forget drops an ended connection from those that are closed with the world; under the world's lock.
+func (r *Real) forget(c *conn) {
+	if r.conns[c] {
+		delete(r.conns, c)
+		c.count.open.Add(-1)
+	}
+}
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"ravenpond/internal/decide/consensus"
@@ -31,7 +32,9 @@
 	answers, offers, open, tries, shards *prometheus.Desc
 	members, datagrams, deaths           *prometheus.Desc
 	version, sure, messages, writes      *prometheus.Desc
-	zone                                 *prometheus.Desc
+	zone, cpu                            *prometheus.Desc
+	traffic, trafficBytes                *prometheus.Desc
+	connections, opened                  *prometheus.Desc
 }
 
 func newCounts(s *Server) *counts {
@@ -52,6 +55,12 @@
 		messages:  d("book_messages_total", "Messages sent for the book."),
 		writes:    d("book_writes_total", "Writes of a steward."),
 		zone:      d("zone_part", "Part of a zone's nodes that is sent to.", "zone"),
+		cpu:       d("cpu_seconds_total", "CPU time of the process, user and system."),
+
+		traffic:      d("traffic_messages_total", "Messages handed over, and reads that brought something, by kind of connection.", "kind", "way"),
+		trafficBytes: d("traffic_bytes_total", "Bytes of connections and datagrams.", "kind", "way"),
+		connections:  d("connections", "Open connections.", "kind"),
+		opened:       d("connections_total", "Connections that were ever open.", "kind"),
 	}
 }
 
@@ -71,6 +80,7 @@
 		counter(c.answers, v, became)
 	}
 	counter(c.offers, st.Offers)
+	c.collectProcess(out)
 	gauge(c.open, float64(st.Open))
 	gauge(c.tries, float64(st.Tries))
 	gauge(c.shards, float64(n))
@@ -148,7 +158,9 @@
 		return "", nil, fmt.Errorf("counts: %w", err)
 	}
 	reg := prometheus.NewRegistry()
-	if err := reg.Register(newCounts(s)); err != nil {
+	err = errors.Join(reg.Register(newCounts(s)), reg.Register(collectors.NewGoCollector()),
+		reg.Register(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{})))
+	if err != nil {
 		l.Close()
 		return "", nil, fmt.Errorf("counts: %w", err)
 	}
--- /dev/null
+++ b/internal/serve/metrics_process.go
@@ -0,0 +1,37 @@
+package serve
+
+import (
+	"syscall"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"ravenpond/internal/outside"
+)
+
+// flower is a world that counts what passes through it, as that of sockets does.
+type flower interface{ Flows() []outside.Flow }
+
+// collectProcess tells what the process as a whole used: CPU time, finer than the kernel's ticks, and its traffic.
+func (c *counts) collectProcess(out chan<- prometheus.Metric) {
+	var used syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &used) == nil {
+		seconds := float64(used.Utime.Nano()+used.Stime.Nano()) / 1e9
+		out <- prometheus.MustNewConstMetric(c.cpu, prometheus.CounterValue, seconds)
+	}
+	world, ok := c.s.w.(flower)
+	if !ok {
+		return
+	}
+	for _, flow := range world.Flows() {
+		kind := flow.Kind.String()
+		for _, way := range []struct {
+			name            string
+			messages, bytes uint64
+		}{{"sent", flow.SentMessages, flow.SentBytes}, {"received", flow.ReceivedMessages, flow.ReceivedBytes}} {
+			out <- prometheus.MustNewConstMetric(c.traffic, prometheus.CounterValue, float64(way.messages), kind, way.name)
+			out <- prometheus.MustNewConstMetric(c.trafficBytes, prometheus.CounterValue, float64(way.bytes), kind, way.name)
+		}
+		out <- prometheus.MustNewConstMetric(c.connections, prometheus.GaugeValue, float64(flow.OpenConnections), kind)
+		out <- prometheus.MustNewConstMetric(c.opened, prometheus.CounterValue, float64(flow.OpenedConnections), kind)
+	}
+}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -125,7 +125,7 @@
 // Run runs a scheduler on sockets until the context ends. All that was open is answered then.
 func Run(ctx context.Context, who Scheduler) error {
 	w := outside.NewReal()
-	w.Connect, w.Secure = who.Connect, who.Secure
+	w.Connect, w.Secure, w.ListAddress = who.Connect, who.Secure, who.Place.ListAddress
 	defer w.Close(2 * time.Second)
 	s, err := Begin(w, who)
 	if err != nil {
