--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -62,7 +62,11 @@
 		Removals removalsCommand `cmd:"" help:"Remove tenants under load while the scheduler is killed."`
 		Grow     growCommand     `cmd:"" help:"Play calm days of growing size and print what they cost."`
 		States   statesCommand   `cmd:"" help:"Explore exhaustively what can become of one allocation in a small world."`
+		Scale    scaleCommand    `cmd:"" help:"Measure real schedulers beside thousands of hollow nodes and hundreds of hollow schedulers on loopback."`
 		Shrink   shrinkCommand   `cmd:"" help:"Take out of a script that breaks something what it does not need for that."`
+
+		ScaleNodes      scaleNodesCommand      `cmd:"" hidden:"" help:"Hollow nodes of a scale run; orders come on standard input."`
+		ScaleSchedulers scaleSchedulersCommand `cmd:"" hidden:"" help:"Hollow schedulers of a scale run; orders come on standard input."`
 	} `cmd:"" help:"Measurements and experiments."`
 }
 
--- /dev/null
+++ b/internal/lab/scale/churn.go
@@ -0,0 +1,92 @@
+package scale
+
+import (
+	"cmp"
+	"context"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"ravenpond/internal/lab/scale/hollow"
+	"ravenpond/internal/lab/scale/result"
+)
+
+// What befalls nodes in a day of the whole cluster, and how much faster it is played.
+const (
+	restartsPerDay = 2400
+	failuresPerDay = 75 // half of them hang, half vanish for the rest of the phase
+	churnFaster    = 100
+	secondsPerDay  = 86_400
+	awayFor        = time.Second
+	hangFor        = 5 * time.Second
+)
+
+// mishap is what befalls one node.
+type mishap struct {
+	at    time.Duration // since the begin of the phase
+	place int
+	do    hollow.Action
+}
+
+// drawMishaps writes the script of a phase from a seed: restarts, hangs and failures at times drawn evenly, nodes drawn
+// evenly, no node twice.
+func drawMishaps(seed uint64, nodes int, last time.Duration) (script []mishap) {
+	random := rand.New(rand.NewPCG(seed, 0xc4))
+	places := random.Perm(nodes)
+	draw := func(perDay float64, acts ...mishap) {
+		n := int(perDay*churnFaster/secondsPerDay*last.Seconds() + random.Float64())
+		for range min(n, len(places)) {
+			at := time.Duration(random.Float64() * float64(last))
+			for _, act := range acts {
+				script = append(script, mishap{at: at + act.at, place: places[0], do: act.do})
+			}
+			places = places[1:]
+		}
+	}
+	draw(restartsPerDay, mishap{do: hollow.StopNodes}, mishap{at: awayFor, do: hollow.ReturnNodes})
+	draw(failuresPerDay/2, mishap{do: hollow.HangNodes}, mishap{at: hangFor, do: hollow.ResumeNodes})
+	draw(failuresPerDay/2, mishap{do: hollow.StopNodes})
+	slices.SortStableFunc(script, func(a, b mishap) int { return cmp.Compare(a.at, b.at) })
+	return script
+}
+
+// churn plays a script of mishaps, and brings back at its end who has vanished.
+func churn(ctx context.Context, r *Rig) ([]result.Reading, error) {
+	began := time.Now()
+	gone := map[int]bool{}
+	restarts := 0
+	for _, m := range drawMishaps(r.Seed+uint64(r.Run), r.Sizes.Nodes, r.Last) {
+		if err := pause(ctx, time.Until(began.Add(m.at))); err != nil {
+			return nil, err
+		}
+		if err := r.befall(m); err != nil {
+			return nil, err
+		}
+		switch m.do {
+		case hollow.StopNodes:
+			gone[m.place] = true
+		case hollow.ReturnNodes:
+			delete(gone, m.place)
+			restarts++
+		}
+	}
+	for place := range gone {
+		if err := r.befall(mishap{place: place, do: hollow.ReturnNodes}); err != nil {
+			return nil, err
+		}
+	}
+	return []result.Reading{{Part: PartNews, Name: "node restarts", Unit: result.Count, Value: float64(restarts)},
+		{Part: PartNews, Name: "nodes that vanished", Unit: result.Count, Value: float64(len(gone))}}, nil
+}
+
+// befall plays one mishap. The list tells of nodes that are away.
+func (r *Rig) befall(m mishap) error {
+	_, err := r.orderNodes(hollow.Order{Do: m.do, First: m.place, Last: m.place + 1})
+	switch m.do {
+	case hollow.StopNodes:
+		r.tellList(m.place, m.place+1, hollow.Gone)
+	case hollow.ReturnNodes:
+		r.tellList(m.place, m.place+1, hollow.Ready)
+	}
+	return err
+}
--- /dev/null
+++ b/internal/lab/scale/clients.go
@@ -0,0 +1,162 @@
+package scale
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"ravenpond/internal/outside"
+	"ravenpond/internal/proto/owners"
+)
+
+// Times of clients in ms, and sizes.
+const (
+	clientDial    = 2000
+	clientStuck   = 5000
+	clientsEach   = 4 // connections to each real process
+	services      = 50
+	taskCores     = 0.1
+	taskMemory    = 0.1
+	mostLatencyUs = 60_000_000
+	histogramKeep = 3 // digits
+)
+
+// client is a connection that asks for tasks.
+type client struct {
+	real  int // process that it asks
+	world outside.World
+	conn  outside.Conn
+	in    owners.Splitter
+	tally *tally
+
+	mu   sync.Mutex
+	refs uint64
+	open map[uint64]time.Time // when what is not answered yet was meant to be asked for
+}
+
+// tally is what became of asks, each counted at its answer.
+type tally struct {
+	mu             sync.Mutex
+	asked          int
+	served, others int
+	starts         *hdrhistogram.Histogram // us from when an ask was meant to be made until it is served
+}
+
+func newTally() *tally {
+	return &tally{starts: hdrhistogram.New(1, mostLatencyUs, histogramKeep)}
+}
+
+// reset begins to count anew.
+func (t *tally) reset() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.asked, t.served, t.others = 0, 0, 0
+	t.starts.Reset()
+}
+
+// counts gives asks and answers so far.
+func (t *tally) counts() (asked, served, others int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.asked, t.served, t.others
+}
+
+// quantileMs is a quantile of the starts' time.
+func (t *tally) quantileMs(percent float64) float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return float64(t.starts.ValueAtQuantile(percent)) / 1e3
+}
+
+// dial connects a client to a real process.
+func dial(w outside.World, real int, address string, t *tally) (*client, error) {
+	c := &client{real: real, world: w, tally: t, open: map[uint64]time.Time{}}
+	done := make(chan error, 1)
+	w.Dial(address, clientDial, func(conn outside.Conn, err error) {
+		if err == nil {
+			c.conn = conn
+			conn.Begin(c, clientStuck)
+		}
+		done <- err
+	})
+	if err := <-done; err != nil {
+		return nil, fmt.Errorf("client: %w", err)
+	}
+	return c, nil
+}
+
+// ask asks for a task, which was meant to be done at a time.
+func (c *client) ask(meant time.Time, job string, number, teams int) {
+	c.mu.Lock()
+	c.refs++
+	ref := c.refs
+	c.open[ref] = meant
+	c.mu.Unlock()
+	c.tally.mu.Lock()
+	c.tally.asked++
+	c.tally.mu.Unlock()
+	body := fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"allocate","params":{"ref":%d,"tenant":"%s","key":"k%s%d","job-type":"%s","service":"s%d","cores":%g,"memory":%g}}`,
+		ref, teamName(number%teams), job, number, job, number%services, taskCores, taskMemory)
+	c.conn.Send(func(b []byte) []byte { return owners.Append(b, body) })
+}
+
+// Heard takes answers.
+func (c *client) Heard(b []byte) {
+	if c.in.Feed(b, c.answered) != nil {
+		c.conn.End(false, nil)
+	}
+}
+
+// Over meets the end of the connection.
+func (c *client) Over(error) {}
+
+func (c *client) answered(body []byte) error {
+	var message struct {
+		Method string
+		Params struct {
+			Ref    uint64
+			Answer string
+		}
+	}
+	if err := json.Unmarshal(body, &message); err != nil {
+		return err
+	}
+	if message.Method != "answer" {
+		return nil
+	}
+	c.mu.Lock()
+	meant, ok := c.open[message.Params.Ref]
+	delete(c.open, message.Params.Ref)
+	c.mu.Unlock()
+	if !ok {
+		return nil
+	}
+	c.tally.mu.Lock()
+	defer c.tally.mu.Unlock()
+	if message.Params.Answer != "served" {
+		c.tally.others++
+		return nil
+	}
+	c.tally.served++
+	return c.tally.starts.RecordValue(min(mostLatencyUs, max(1, time.Since(meant).Microseconds())))
+}
+
+// arrivals asks the clients in turn at a rate, open loop, until it is told to stop or so many are asked (0: no bound).
+func arrivals(stop <-chan struct{}, clients []*client, job string, perSecond float64, first, most, teams int, random *rand.Rand) (next int) {
+	at := time.Now()
+	number := first
+	for ; most == 0 || number < first+most; number++ {
+		at = at.Add(time.Duration(random.ExpFloat64() / perSecond * 1e9))
+		select {
+		case <-stop:
+			return number
+		case <-time.After(time.Until(at)):
+		}
+		clients[number%len(clients)].ask(at, job, number, teams)
+	}
+	return number
+}
--- /dev/null
+++ b/internal/lab/scale/hollow/list.go
@@ -0,0 +1,177 @@
+package hollow
+
+import (
+	"errors"
+	"fmt"
+	"sync"
+
+	"ravenpond/internal/outside"
+	"ravenpond/internal/proto/line"
+	"ravenpond/internal/proto/list"
+)
+
+// Entry is a node as the list tells it.
+type Entry struct {
+	ID            uint32
+	Address, Zone string
+	Availability  int // a place in list.Availabilities
+	StartedAt     float64
+	Cores, Memory float64 // that are free
+}
+
+// Places in list.Availabilities.
+const (
+	Gone = iota
+	Ready
+)
+
+// List is the node list of a run: it tells all entries to who watches it, and each change at once.
+type List struct {
+	door outside.Door
+
+	mu       sync.Mutex
+	entries  []Entry
+	version  uint64
+	changed  map[uint64][]int // places of the entries that a version changed
+	watchers map[*watcher]bool
+}
+
+// listStuckMs ends a connection that takes nothing for so long.
+const listStuckMs = 10_000
+
+// StartList tells entries on loopback.
+func StartList(w outside.World, entries []Entry) (*List, error) {
+	l := &List{entries: entries, version: 1, changed: map[uint64][]int{}, watchers: map[*watcher]bool{}}
+	var err error
+	l.door, err = w.Listen("127.0.0.1:0", func(conn outside.Conn) { conn.Begin(&watcher{list: l, conn: conn}, listStuckMs) })
+	if err != nil {
+		return nil, fmt.Errorf("list: %w", err)
+	}
+	return l, nil
+}
+
+// Address is where the list listens.
+func (l *List) Address() string { return l.door.Address() }
+
+// Change alters the entries from one place to another and tells all watchers.
+func (l *List) Change(first, last int, alter func(*Entry)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.version++
+	for i := first; i < last; i++ {
+		alter(&l.entries[i])
+		l.changed[l.version] = append(l.changed[l.version], i)
+	}
+	for w := range l.watchers {
+		w.tellChanges(w.told)
+	}
+}
+
+// watcher is a scheduler's connection. Its fields beside the splitter are under the list's lock.
+type watcher struct {
+	list    *List
+	conn    outside.Conn
+	in      line.Splitter
+	greeted bool
+	told    uint64 // the version that was told last
+}
+
+// Heard takes what a scheduler sends.
+func (w *watcher) Heard(b []byte) {
+	if !w.greeted {
+		head, after, err := w.in.Greeting(b, list.Opening)
+		if err != nil {
+			w.conn.End(false, list.AppendBye(nil, err.Error()))
+		}
+		if err != nil || head == nil {
+			return
+		}
+		w.greeted, b = true, after
+		w.conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.Opening) })
+	}
+	if err := w.in.Feed(b, func(fields [][]byte) error { return list.DecodeScheduler(fields, w) }); err != nil {
+		w.conn.End(true, list.AppendBye(nil, err.Error()))
+	}
+}
+
+// Over meets the end of the connection.
+func (w *watcher) Over(error) {
+	w.list.mu.Lock()
+	delete(w.list.watchers, w)
+	w.list.mu.Unlock()
+}
+
+// tellWhole tells all entries that are not gone; under the list's lock.
+func (w *watcher) tellWhole() {
+	l := w.list
+	w.told = l.version
+	w.conn.Send(func(b []byte) []byte {
+		b = list.AppendBegin(b, list.Whole, l.version)
+		for i := range l.entries {
+			if l.entries[i].Availability != Gone {
+				b = l.entries[i].append(b)
+			}
+		}
+		return list.AppendEnd(b)
+	})
+}
+
+// tellChanges tells what changed since a version; under the list's lock.
+func (w *watcher) tellChanges(since uint64) {
+	l := w.list
+	w.told = l.version
+	w.conn.Send(func(b []byte) []byte {
+		b = list.AppendBegin(b, list.Changes, l.version)
+		for version := since + 1; version <= l.version; version++ {
+			for _, i := range l.changed[version] {
+				b = l.entries[i].append(b)
+			}
+		}
+		return list.AppendEnd(b)
+	})
+}
+
+func (e *Entry) append(b []byte) []byte {
+	return list.AppendEntry(b, e.ID, e.Address, e.Availability, e.StartedAt, e.Cores, e.Memory, e.Zone, e.Zone, "plain")
+}
+
+// Whole tells all.
+func (w *watcher) Whole() error {
+	w.list.mu.Lock()
+	defer w.list.mu.Unlock()
+	w.tellWhole()
+	return nil
+}
+
+// Watch tells what changed since a version, or all where that is not known, and from then on each change.
+func (w *watcher) Watch(since uint64) error {
+	l := w.list
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.watchers[w] = true
+	if since == 0 || since > l.version {
+		w.tellWhole()
+	} else {
+		w.tellChanges(since)
+	}
+	return nil
+}
+
+// Unwatch ends the watch.
+func (w *watcher) Unwatch() error {
+	w.list.mu.Lock()
+	defer w.list.mu.Unlock()
+	delete(w.list.watchers, w)
+	return nil
+}
+
+// Out tells of a maintenance window, of which a run has none.
+func (w *watcher) Out(uint32, float64) error { return nil }
+
+// Back tells of the end of one.
+func (w *watcher) Back(uint32) error { return nil }
+
+var errFarewell = errors.New("farewell")
+
+// Bye ends the connection.
+func (w *watcher) Bye(why string) error { return fmt.Errorf("%w: %s", errFarewell, why) }
--- /dev/null
+++ b/internal/lab/scale/hollow/nodes.go
@@ -0,0 +1,201 @@
+package hollow
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"time"
+
+	"ravenpond/internal/audit"
+	"ravenpond/internal/outside"
+	"ravenpond/internal/standin"
+)
+
+// Fleet says which nodes a process holds: Count of them, from the place First among all nodes of the run.
+type Fleet struct {
+	First, Count int
+	Nodes        int // of the run
+	Zones        int // of the run; racks of nodes are dealt out to them in turn
+	Teams        int
+	Seed         uint64
+	Cores        float64 // of a node; it has twice as much memory in GiB
+	ShortLife    float64 // mean ms that a task of the first job type runs; those of the second run until the end
+}
+
+// Sizes of a node's model.
+const (
+	perWorld     = 250  // nodes that share a lock
+	lookMs       = 0.02 // to look at one offer
+	startMs      = 0.5  // to start a task where its program is held
+	foreverMs    = 1e12
+	waitingTasks = 4000
+	startsAtOnce = 64
+	keptPrograms = 4
+	returnTries  = 50
+	returnPause  = 20 * time.Millisecond
+)
+
+// Addresses of nodes: each has a loopback address of its own, so that thousands of listeners and connections do not share
+// the ports of one.
+const (
+	firstNodeNet   = 16
+	nodesPerSubnet = 200
+	subnetsPerNet  = 200
+)
+
+// NodeAddress is where the node at a place among all is listening; the port is left to the machine.
+func NodeAddress(place int) string {
+	subnet := place / nodesPerSubnet
+	return fmt.Sprintf("127.%d.%d.%d:0", firstNodeNet+subnet/subnetsPerNet, subnet%subnetsPerNet, place%nodesPerSubnet+1)
+}
+
+// ZoneName is the name of a zone by its number.
+func ZoneName(zone int) string { return fmt.Sprintf("z%02d", zone) }
+
+// mostRack is how many nodes stand in a rack; fewer where else a zone had none.
+const mostRack = 40
+
+// RackSize is how many nodes of a run stand in a rack.
+func RackSize(nodes, zones int) int { return min(mostRack, max(1, nodes/zones)) }
+
+// NodeZone is the number of the zone of the node at a place among all.
+func NodeZone(place, nodes, zones int) int { return place / RackSize(nodes, zones) % zones }
+
+// NodeID is the number of the node at a place among all.
+func NodeID(place int) uint32 { return uint32(place + 1) }
+
+// fleet is the nodes of a process, which share a world by groups.
+type fleet struct {
+	Fleet
+	nodes  []*standin.Node
+	worlds []*standin.World // of each node
+	random *rand.Rand
+}
+
+// RunNodes runs the nodes of a fleet until its orders end.
+func RunNodes(ctx context.Context, in io.Reader, out io.Writer) error {
+	lines := newLines(in)
+	f := &fleet{}
+	if err := lines.plan(&f.Fleet); err != nil {
+		return err
+	}
+	f.random = rand.New(rand.NewPCG(f.Seed, 0x5ca1e))
+	real := outside.NewReal()
+	defer real.Close(time.Second)
+	if err := f.start(real); err != nil {
+		return err
+	}
+	return lines.follow(ctx, out, f.do)
+}
+
+func (f *fleet) start(real *outside.Real) error {
+	model := standin.Make{Cores: f.Cores, Memory: 2 * f.Cores, CoresLimit: 4, MemoryLimit: 4, Look: lookMs, Line: waitingTasks,
+		Starts: startsAtOnce, NoProgram: 1, Programs: keptPrograms, ColdFrom: 1, ColdFor: 1, Fall: foreverMs, FallFor: 1, Bears: 1 << 30,
+		Work: []standin.Work{{Start: startMs, Life: f.ShortLife, Use: 0.5}, {Start: startMs, Life: foreverMs, Use: 0.5}}}
+	var world *standin.World
+	var group *standin.Group
+	for i := range f.Count {
+		if i%perWorld == 0 {
+			world, group = standin.NewWorld(real), standin.NewGroup()
+			world.Trace.Each = func(*audit.Record) {} // nothing audits it
+		}
+		place := f.First + i
+		zone := ZoneName(NodeZone(place, f.Nodes, f.Zones))
+		n := &standin.Node{ID: NodeID(place), Zone: zone, Cell: zone, Kind: "plain", Jobs: len(model.Work), Tenants: f.Teams}
+		if err := world.StartNode(n, model, group, f.random.Uint64(), false, NodeAddress(place)); err != nil {
+			return err
+		}
+		f.nodes, f.worlds = append(f.nodes, n), append(f.worlds, world)
+	}
+	return nil
+}
+
+func (f *fleet) do(order Order) (Reply, error) {
+	switch order.Do {
+	case Addresses:
+		var all []string
+		for _, n := range f.nodes {
+			all = append(all, n.Address())
+		}
+		return Reply{Addresses: all}, nil
+	case Connections:
+		return f.count(func(n *standin.Node) int { return n.Connections() }), nil
+	case AwaitConnections:
+		return f.await(order)
+	case Tasks:
+		return f.count(func(n *standin.Node) int { return n.Machine.Holds() }), nil
+	case StopNodes:
+		return f.each(order, func(n *standin.Node, now float64) error { n.Die(now); return nil })
+	case HangNodes:
+		return f.each(order, func(n *standin.Node, _ float64) error { n.Machine.Hang = true; return nil })
+	case ResumeNodes:
+		return f.each(order, func(n *standin.Node, _ float64) error { n.Machine.Hang = false; return nil })
+	case ReturnNodes:
+		return f.bring(order)
+	}
+	return Reply{}, fmt.Errorf("%w %q", errUnknownAction, order.Do)
+}
+
+func (f *fleet) count(of func(n *standin.Node) int) (reply Reply) {
+	for i, n := range f.nodes {
+		f.worlds[i].At(func(float64) { reply.Count += of(n) })
+	}
+	return reply
+}
+
+// chosen gives the ordered nodes: those of a zone, or of places of the process.
+func (f *fleet) chosen(order Order) (places []int, err error) {
+	for i, n := range f.nodes {
+		if order.Name != "" && n.Zone == order.Name || order.Name == "" && i >= order.First && i < order.Last {
+			places = append(places, i)
+		}
+	}
+	if order.Name == "" && len(places) != order.Last-order.First {
+		return nil, fmt.Errorf("nodes %d to %d of %d", order.First, order.Last, len(f.nodes))
+	}
+	return places, nil
+}
+
+// each does something to the ordered nodes, and tells when the last was done.
+func (f *fleet) each(order Order, do func(n *standin.Node, now float64) error) (Reply, error) {
+	places, err := f.chosen(order)
+	for _, i := range places {
+		f.worlds[i].At(func(now float64) { err = errors.Join(err, do(f.nodes[i], now)) })
+	}
+	return Reply{At: unixMs(), Count: len(places)}, err
+}
+
+// bring has nodes that were stopped listen again. An address may be taken for a moment yet.
+func (f *fleet) bring(order Order) (Reply, error) {
+	places, err := f.chosen(order)
+	if err != nil {
+		return Reply{}, err
+	}
+	for _, i := range places {
+		err := f.nodes[i].Return()
+		for try := 1; err != nil && try < returnTries; try++ {
+			time.Sleep(returnPause)
+			err = f.nodes[i].Return()
+		}
+		if err != nil {
+			return Reply{}, err
+		}
+	}
+	return Reply{At: unixMs(), Count: len(places)}, nil
+}
+
+// await waits until as many schedulers as ordered are connected to each of the ordered nodes.
+func (f *fleet) await(order Order) (Reply, error) {
+	places, err := f.chosen(order)
+	if err != nil {
+		return Reply{}, err
+	}
+	return await(places, order.Within, func(i int) (is bool) {
+		f.worlds[i].At(func(float64) { is = f.nodes[i].Connections() >= order.Count })
+		return is
+	})
+}
+
+func unixMs() float64 { return float64(time.Now().UnixMicro()) / 1e3 }
--- /dev/null
+++ b/internal/lab/scale/hollow/silence.go
@@ -0,0 +1,77 @@
+package hollow
+
+import (
+	"slices"
+	"sync/atomic"
+
+	"ravenpond/internal/decide/council"
+	"ravenpond/internal/outside"
+)
+
+// silencer is a world whose datagrams can be lost from a moment on, as those of a process that is killed.
+type silencer struct {
+	outside.World
+	silent atomic.Bool
+}
+
+// Datagrams takes datagrams; none leaves once the world is silent.
+func (s *silencer) Datagrams(address string, heard func(b []byte)) (outside.Port, error) {
+	port, err := s.World.Datagrams(address, heard)
+	if err != nil {
+		return nil, err
+	}
+	return &silencedPort{port, s}, nil
+}
+
+type silencedPort struct {
+	outside.Port
+	world *silencer
+}
+
+// Send hands a datagram to the network unless the world is silent.
+func (p *silencedPort) Send(to string, b []byte) {
+	if !p.world.silent.Load() {
+		p.Port.Send(to, b)
+	}
+}
+
+// memoryDisk is a hollow steward's, which outlives its lives but not the process. One goroutine at a time uses it.
+type memoryDisk struct {
+	saved council.Saved
+	from  uint64 // number of the first entry
+}
+
+// Load gives what was saved.
+func (d *memoryDisk) Load() (council.Saved, error) {
+	return council.Saved{Hard: d.saved.Hard, Snapshot: d.saved.Snapshot, Entries: slices.Clone(d.saved.Entries)}, nil
+}
+
+// Save keeps it, and drops the entries that a snapshot holds.
+func (d *memoryDisk) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error {
+	if hard != nil {
+		d.saved.Hard = slices.Clone(hard)
+	}
+	if snapshot != nil {
+		d.saved.Snapshot = slices.Clone(snapshot)
+	}
+	if from > 0 {
+		d.put(from, entries)
+	}
+	if drop := min(uint64(len(d.saved.Entries)), held+1-min(held+1, d.from)); drop > 0 {
+		d.saved.Entries, d.from = slices.Clone(d.saved.Entries[drop:]), d.from+drop
+	}
+	return nil
+}
+
+func (d *memoryDisk) put(from uint64, entries [][]byte) {
+	if len(d.saved.Entries) == 0 || from < d.from {
+		d.from, d.saved.Entries = from, nil
+	}
+	d.saved.Entries = d.saved.Entries[:min(len(d.saved.Entries), int(from-d.from))]
+	for _, entry := range entries {
+		d.saved.Entries = append(d.saved.Entries, slices.Clone(entry))
+	}
+}
+
+// Close lets it go.
+func (d *memoryDisk) Close() error { return nil }
--- /dev/null
+++ b/internal/lab/scale/measure.go
@@ -0,0 +1,190 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"ravenpond/internal/lab/scale/result"
+)
+
+// Parts and names of readings beside those of profiles.
+const (
+	PartProcess = "process"
+	PartClients = "clients"
+	PartNews    = "news"
+
+	NameCPU           = "cpu"
+	NameCPUPerAttempt = "cpu per attempt"
+	NameResident      = "resident"
+	NameHeap          = "heap"
+	NameDescriptors   = "descriptors"
+	NameGoroutines    = "goroutines"
+	NameConnections   = "connections"
+	NameAttempts      = "attempts"
+	NameTasks         = "tasks held"
+	NameMessagesSent  = "messages sent"
+	NameMessagesGot   = "messages received"
+	NameBytesSent     = "bytes sent"
+	NameBytesGot      = "bytes received"
+	NameP50, NameP99  = "start p50", "start p99"
+	NameP999          = "start p99.9"
+	NameServed        = "served"
+	NameNotServed     = "not served"
+	gaugeResident     = "process_resident_memory_bytes"
+	gaugeHeap         = "go_memstats_heap_alloc_bytes"
+	gaugeHeapInUse    = "go_memstats_heap_inuse_bytes"
+	gaugeDescriptors  = "process_open_fds"
+	gaugeGoroutines   = "go_goroutines"
+)
+
+// kinds of connections, as the page of counts names them.
+var kinds = []string{"dialed", "taken", "list", "datagrams"}
+
+// Phase is one measurement: its name, how many starts a second are asked of each real process, and what happens meanwhile,
+// which may tell readings of its own.
+type Phase struct {
+	Scenario string
+	Starts   float64
+	During   func(ctx context.Context, r *Rig) ([]result.Reading, error) // nil: nothing
+}
+
+// Measure plays a phase: it warms up, measures and gives a result a real process.
+func (r *Rig) Measure(ctx context.Context, phase Phase) ([]*result.Result, error) {
+	stop, stopped := make(chan struct{}), sync.WaitGroup{}
+	if phase.Starts > 0 {
+		stopped.Go(func() {
+			next := arrivals(stop, r.clients, shortJob, phase.Starts*float64(r.Real), r.asked, 0, r.Sizes.Teams, r.random)
+			r.asked = next
+		})
+	}
+	results, err := r.window(ctx, phase)
+	close(stop)
+	stopped.Wait()
+	return results, err
+}
+
+func (r *Rig) window(ctx context.Context, phase Phase) ([]*result.Result, error) {
+	if err := pause(ctx, r.Warm); err != nil {
+		return nil, err
+	}
+	r.tally.reset()
+	before, began, err := r.scrapeAll(ctx), time.Now(), error(nil)
+	for _, p := range r.real {
+		if err := p.window(true); err != nil {
+			return nil, err
+		}
+	}
+	var own []result.Reading
+	if phase.During != nil {
+		if own, err = phase.During(ctx, r); err != nil {
+			return nil, fmt.Errorf("%s: %w", phase.Scenario, err)
+		}
+	}
+	if err := pause(ctx, time.Until(began.Add(r.Last))); err != nil {
+		return nil, err
+	}
+	seconds := time.Since(began).Seconds()
+	after := r.scrapeAll(ctx)
+	clients := r.clientReadings(phase)
+	var results []*result.Result
+	for i, p := range r.real {
+		if before[i] == nil || after[i] == nil {
+			return nil, fmt.Errorf("%s: counts not read", p.name)
+		}
+		if err := p.window(false); err != nil {
+			return nil, err
+		}
+		res := r.result(phase, p, seconds)
+		res.Readings = append(compare(before[i], after[i], seconds), clients...)
+		res.Readings = append(res.Readings, own...)
+		if parts, err := profiled(p.profile, seconds); err == nil {
+			res.Readings = append(res.Readings, parts...)
+		} else if phase.Scenario != Restart { // a process that was killed meanwhile has none
+			return nil, err
+		}
+		results = append(results, res)
+	}
+	return results, nil
+}
+
+func pause(ctx context.Context, last time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(last):
+		return nil
+	}
+}
+
+// scrapeAll reads the counts of all real processes; nil where that failed.
+func (r *Rig) scrapeAll(ctx context.Context) (pages []scrape) {
+	for _, p := range r.real {
+		page, err := fetch(ctx, p.counts)
+		if err != nil {
+			page = nil
+		}
+		pages = append(pages, page)
+	}
+	return pages
+}
+
+func (r *Rig) result(phase Phase, p *process, seconds float64) *result.Result {
+	sizes := r.Sizes
+	sizes.StartsPerSecond = phase.Starts
+	return &result.Result{Schema: result.Schema, Machine: machine(), Commit: r.Commit, Seed: r.Seed, Scenario: phase.Scenario, Dimension: r.Dimension,
+		Process: p.name, Run: r.Run, Sizes: sizes, Seconds: seconds}
+}
+
+// compare reads what a process used between two pages of counts, and what it holds at the second.
+func compare(before, after scrape, seconds float64) (all []result.Reading) {
+	add := func(part, name, unit string, value float64) {
+		all = append(all, result.Reading{Part: part, Name: name, Unit: unit, Value: value})
+	}
+	cpu := after.of("cpu_seconds_total") - before.of("cpu_seconds_total")
+	attempts := after.of("tries_total") - before.of("tries_total")
+	add(PartProcess, NameCPU, result.Cores, cpu/seconds)
+	add(PartProcess, NameAttempts, result.Attempts, attempts)
+	if attempts > 0 {
+		add(PartProcess, NameCPUPerAttempt, result.Microseconds, cpu*1e6/attempts)
+	}
+	add(PartProcess, NameResident, result.Bytes, after[gaugeResident])
+	add(PartProcess, NameHeap, result.Bytes, after[gaugeHeap])
+	add(PartProcess, "heap in use", result.Bytes, after[gaugeHeapInUse])
+	add(PartProcess, NameDescriptors, result.Descriptors, after[gaugeDescriptors])
+	add(PartProcess, NameGoroutines, result.Goroutines, after[gaugeGoroutines])
+	add(PartProcess, NameTasks, result.Count, after.of("tries_held"))
+	for _, kind := range kinds {
+		add(kind, NameConnections, result.Connections, after.of("connections", "kind", kind))
+		for _, flow := range []struct{ count, way, name, unit string }{
+			{"traffic_messages_total", "sent", NameMessagesSent, result.MessagesRate}, {"traffic_messages_total", "received", NameMessagesGot, result.MessagesRate},
+			{"traffic_bytes_total", "sent", NameBytesSent, result.BytesPerSec}, {"traffic_bytes_total", "received", NameBytesGot, result.BytesPerSec}} {
+			labels := []string{"kind", kind, "way", flow.way}
+			add(kind, flow.name, flow.unit, (after.of(flow.count, labels...)-before.of(flow.count, labels...))/seconds)
+		}
+	}
+	return all
+}
+
+// clientReadings tells what became of the starts; of all real processes together.
+func (r *Rig) clientReadings(phase Phase) []result.Reading {
+	if phase.Starts == 0 {
+		return nil
+	}
+	_, served, others := r.tally.counts()
+	readings := []result.Reading{{Part: PartClients, Name: NameServed, Unit: result.Count, Value: float64(served)},
+		{Part: PartClients, Name: NameNotServed, Unit: result.Count, Value: float64(others)}}
+	for _, q := range []struct {
+		name    string
+		percent float64
+	}{{NameP50, 50}, {NameP99, 99}, {NameP999, 99.9}} {
+		readings = append(readings, result.Reading{Part: PartClients, Name: q.name, Unit: result.Milliseconds, Value: r.tally.quantileMs(q.percent)})
+	}
+	return readings
+}
+
+// sorted gives the keys of a map in order.
+func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- /dev/null
+++ b/internal/lab/scale/process.go
@@ -0,0 +1,168 @@
+package scale
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"syscall"
+	"time"
+
+	"ravenpond/internal/lab/scale/hollow"
+	"ravenpond/internal/lab/spawn"
+)
+
+// process is a real scheduler process.
+type process struct {
+	name    string
+	place   int // among all schedulers
+	rig     *Rig
+	log     *os.File
+	cmd     *exec.Cmd
+	owners  string // address of the owners' door
+	counts  string // address of the page of counts
+	from    int64  // where the log of the present life begins
+	profile string
+}
+
+// realName is the name of a real scheduler by its number.
+func realName(number int) string { return fmt.Sprintf("s%d", number) }
+
+func newProcess(r *Rig, place int) (*process, error) {
+	p := &process{name: realName(place), place: place, rig: r}
+	p.profile = filepath.Join(r.Dir, p.name+".cpu")
+	var err error
+	p.log, err = os.Create(filepath.Join(r.Dir, p.name+".log"))
+	return p, err
+}
+
+// start starts the process, for the first time or again, and waits until owners may connect.
+func (p *process) start(ctx context.Context) error {
+	r := p.rig
+	site := filepath.Join(r.Dir, p.name+".xml")
+	if err := os.WriteFile(site, []byte(r.site()), 0o640); err != nil {
+		return err
+	}
+	state := filepath.Join(r.Dir, p.name)
+	if err := os.MkdirAll(state, 0o750); err != nil {
+		return err
+	}
+	end, err := p.log.Seek(0, 2)
+	if err != nil {
+		return err
+	}
+	p.from = end
+	file := filepath.Join(r.Dir, p.name+".address")
+	zone := hollow.ZoneName(p.place % r.Sizes.Zones)
+	command := append(slices.Clone(r.Command), "serve", "--site", site, "--state", state, "--name", p.name, "--index", fmt.Sprint(p.place), "--zone", zone,
+		"--seed", fmt.Sprint(r.Seed*1000+uint64(p.place)+1), "--address-file", file, "--profile-window", p.profile)
+	if p.cmd, p.owners, err = spawn.Scheduler(ctx, command, p.log, file); err != nil {
+		return err
+	}
+	return p.findCounts()
+}
+
+// logLine is what the rig reads of a line in a log.
+type logLine struct {
+	Mode, Address, Member, Is string
+	Parts                     map[string]float64
+	At                        float64 `json:"unix_ms"`
+}
+
+// eachLine calls for each line of the log in the present life until it is told to stop.
+func (p *process) eachLine(line func(logLine) (more bool)) error {
+	f, err := os.Open(p.log.Name())
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	if _, err := f.Seek(p.from, 0); err != nil {
+		return err
+	}
+	lines := bufio.NewScanner(f)
+	lines.Buffer(nil, longestAnswer)
+	for lines.Scan() {
+		var l logLine
+		if json.Unmarshal(lines.Bytes(), &l) == nil && !line(l) {
+			return nil
+		}
+	}
+	return lines.Err()
+}
+
+var errNoCounts = errors.New("no page of counts in the log")
+
+// findCounts reads the address of the page of counts from the log.
+func (p *process) findCounts() error {
+	p.counts = ""
+	err := p.eachLine(func(l logLine) bool {
+		if l.Mode == "counts" && l.Address != "" {
+			p.counts = l.Address
+		}
+		return p.counts == ""
+	})
+	if err == nil && p.counts == "" {
+		err = fmt.Errorf("%s: %w", p.name, errNoCounts)
+	}
+	return err
+}
+
+// awaitLog waits until a line of the log fits, and gives when that was, in unix ms.
+func (p *process) awaitLog(within time.Duration, since float64, fits func(logLine) bool) (at float64, err error) {
+	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(look) {
+		err := p.eachLine(func(l logLine) bool {
+			if l.At >= since && fits(l) {
+				at = l.At
+			}
+			return at == 0
+		})
+		if err != nil || at > 0 {
+			return at, err
+		}
+	}
+	return 0, fmt.Errorf("%s: %w", p.name, errNotWithin)
+}
+
+// window begins or ends the profiles of a window. After the end it waits for them.
+func (p *process) window(begins bool) error {
+	if begins {
+		_ = os.Remove(p.profile + heapSuffix)
+		return p.cmd.Process.Signal(syscall.SIGUSR1)
+	}
+	if err := p.cmd.Process.Signal(syscall.SIGUSR1); err != nil {
+		return err
+	}
+	for end := time.Now().Add(profileWithin); time.Now().Before(end); time.Sleep(look) {
+		if _, err := os.Stat(p.profile + heapSuffix); err == nil {
+			return nil
+		}
+	}
+	return fmt.Errorf("%s: profile %w", p.name, errNotWithin)
+}
+
+// kill ends the process at once.
+func (p *process) kill() {
+	if p.cmd == nil {
+		return
+	}
+	_ = p.cmd.Process.Kill()
+	_ = p.cmd.Wait()
+	p.cmd = nil
+}
+
+// end has the process end by itself, and kills one that stays.
+func (p *process) end() error {
+	defer p.log.Close()
+	if p.cmd == nil {
+		return nil
+	}
+	_ = p.cmd.Process.Signal(syscall.SIGTERM)
+	limit := time.AfterFunc(endWithin, func() { _ = p.cmd.Process.Kill() })
+	defer limit.Stop()
+	return p.cmd.Wait()
+}
