--- a/cmd/ravenpond/scale.go
+++ b/cmd/ravenpond/scale.go
@@ -99,8 +99,17 @@
 	return hollow.RunNodes(ctx, os.Stdin, os.Stdout)
 }
 
-type scaleSchedulersCommand struct{}
+type scaleSchedulersCommand struct {
+	Profile string `type:"path" help:"Write a CPU profile of the whole run to this file."`
+}
 
-func (scaleSchedulersCommand) Run(ctx context.Context) error {
+func (c *scaleSchedulersCommand) Run(ctx context.Context) error {
+	if c.Profile != "" {
+		ended, err := profileWhole(c.Profile)
+		if err != nil {
+			return err
+		}
+		defer ended()
+	}
 	return hollow.RunSchedulers(ctx, os.Stdin, os.Stdout)
 }
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -30,9 +30,16 @@
 	Warm      time.Duration
 	Last      time.Duration // of each measurement
 	Commit    string
+	Profile   bool // CPU and heap by part of the program
+	Plant     Plant
 	Dir       string // for logs and state
 }
 
+// Plant puts faults into a run, for tests whose check must find them; the zero value puts none.
+type Plant struct {
+	OwnConnections bool // a real process connects to each node once more than it has to
+}
+
 const (
 	nodeCores      = 64
 	shortLifeMs    = 2000
@@ -182,7 +189,8 @@
 	return nil
 }
 
-// settle waits until each real process is connected to all nodes and knows all schedulers.
+// settle waits until each real process is connected to all nodes and knows all schedulers. Where the latter does not come
+// about in time, as on a machine that many hollow schedulers fill, the run goes on: how many are known is in its results.
 func (r *Rig) settle(ctx context.Context) error {
 	for _, p := range r.real {
 		var page scrape
@@ -194,6 +202,9 @@
 			if r.settled(page) {
 				break
 			}
+			if time.Now().After(end) && page.of("connections", "kind", heldKind) >= float64(r.Sizes.Nodes) {
+				break
+			}
 			if time.Now().After(end) {
 				return fmt.Errorf("%s: %.0f of %d nodes connected, %.0f of %d other schedulers alive: %w", p.name, page.of("connections", "kind", heldKind),
 					r.Sizes.Nodes, page.of("members", "state", "alive"), r.Sizes.Schedulers-1, errNotWithin)
