--- a/cmd/ravenpond/scale.go
+++ b/cmd/ravenpond/scale.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"runtime/debug"
 	"time"
 
 	"ravenpond/internal/lab/scale"
@@ -56,7 +57,7 @@
 		}
 		for run := c.FirstRun; run < c.FirstRun+c.Runs && ctx.Err() == nil; run++ {
 			t := scale.Trial{Command: []string{self}, Sizes: c.changed(sizes), Dimension: c.Dimension, Run: run, Seed: c.Seed + uint64(run) - 1, Real: c.Real,
-				Warm: c.Warm, Last: c.Last, Commit: c.Commit}
+				Warm: c.Warm, Last: c.Last, Commit: c.Commit, Profile: true}
 			t.Dir = filepath.Join(c.Logs, fmt.Sprintf("%s-n%d-s%d-t%d-%d", c.Dimension, t.Sizes.Nodes, t.Sizes.Schedulers, t.Sizes.RunningTasks, run))
 			if err := os.MkdirAll(t.Dir, 0o750); err != nil {
 				return err
@@ -93,9 +94,14 @@
 	return sizes
 }
 
+// hollowGC is how much hollow processes let the heap grow, in percent: they have memory to spare and share their cores with
+// what is measured.
+const hollowGC = 400
+
 type scaleNodesCommand struct{}
 
 func (scaleNodesCommand) Run(ctx context.Context) error {
+	debug.SetGCPercent(hollowGC)
 	return hollow.RunNodes(ctx, os.Stdin, os.Stdout)
 }
 
@@ -111,5 +117,6 @@
 		}
 		defer ended()
 	}
+	debug.SetGCPercent(hollowGC)
 	return hollow.RunSchedulers(ctx, os.Stdin, os.Stdout)
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -74,7 +74,9 @@
 	}
 	r.tally.reset()
 	before, began, err := r.scrapeAll(ctx), time.Now(), error(nil)
+	var lives []int
 	for _, p := range r.real {
+		lives = append(lives, p.lives)
 		if err := p.window(true); err != nil {
 			return nil, err
 		}
@@ -96,13 +98,17 @@
 		if before[i] == nil || after[i] == nil {
 			return nil, fmt.Errorf("%s: counts not read", p.name)
 		}
+		if p.lives != lives[i] { // its counts began anew
+			before[i] = scrape{}
+		}
+		watched := p.watched
 		if err := p.window(false); err != nil {
 			return nil, err
 		}
 		res := r.result(phase, p, seconds)
 		res.Readings = append(compare(before[i], after[i], seconds), clients...)
 		res.Readings = append(res.Readings, own...)
-		if r.Profile {
+		if watched {
 			parts, err := profiled(p.profile, seconds)
 			if err != nil {
 				return nil, err
--- a/internal/lab/scale/phases.go
+++ b/internal/lab/scale/phases.go
@@ -61,8 +61,8 @@
 	for i, c := range r.nodes {
 		local := order
 		if order.Name == "" {
-			first := i * mostNodesPerChild
-			local.First, local.Last = max(0, order.First-first), min(mostNodesPerChild, order.Last-first)
+			first := i * r.nodesPerChild()
+			local.First, local.Last = max(0, order.First-first), min(r.nodesPerChild(), order.Last-first)
 			if local.Last <= local.First {
 				continue
 			}
@@ -228,7 +228,7 @@
 func restartAll(ctx context.Context, r *Rig) ([]result.Reading, error) {
 	var tasks []float64
 	for _, page := range r.scrapeAll(ctx) {
-		tasks = append(tasks, page.of("tries_held"))
+		tasks = append(tasks, min(float64(r.Sizes.RunningTasks), page.of("tries_held"))) // short tasks end meanwhile
 	}
 	for _, p := range r.real {
 		p.kill()
@@ -262,7 +262,8 @@
 		}
 		readings = append(readings, since(goal.name, reply.At, at))
 	}
-	return readings, nil
+	r.clients = nil // their connections ended with the processes
+	return readings, r.connectClients(ctx)
 }
 
 // awaitCounts waits until the counts of all real processes fit, and tells when the last did.
