--- a/cmd/ravenpond/scale.go
+++ b/cmd/ravenpond/scale.go
@@ -16,7 +16,7 @@
 
 type scaleCommand struct {
 	Dimension  string        `arg:"" enum:"nodes,schedulers,tasks,off-axis" help:"What is varied: nodes, schedulers, tasks, or off-axis for the points off the axes."`
-	Phases     []string      `default:"rest,starts" help:"What is played at each point, in order: rest, starts, churn, rack, zone, restart, news."`
+	Phases     []string      `default:"rest,starts" help:"What is played at each point, in order: rest, starts, churn, rack, zone, restart, propagation."`
 	Sizes      []int         `help:"Only the points of these sizes of the dimension; without it all."`
 	Nodes      int           `help:"Nodes at each point, instead of those of the plan."`
 	Schedulers int           `help:"Schedulers at each point, instead of those of the plan."`
--- a/internal/lab/scale/churn.go
+++ b/internal/lab/scale/faults.go
@@ -11,7 +11,7 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// What befalls nodes in a day of the whole cluster, and how much faster it is played.
+// Faults of nodes in a day of the whole cluster, and how much faster it is played.
 const (
 	restartsPerDay = 2400
 	failuresPerDay = 75 // half of them hang, half vanish for the rest of the phase
@@ -21,45 +21,45 @@
 	hangFor        = 5 * time.Second
 )
 
-// mishap is what befalls one node.
-type mishap struct {
+// nodeFault is a fault of one node.
+type nodeFault struct {
 	at    time.Duration // since the begin of the phase
 	place int
 	do    hollow.Action
 }
 
-// drawMishaps writes the script of a phase from a seed: restarts, hangs and failures at times drawn evenly, nodes drawn
+// drawFaults writes the script of a phase from a seed: restarts, hangs and failures at times drawn evenly, nodes drawn
 // evenly, no node twice.
-func drawMishaps(seed uint64, nodes int, last time.Duration) (script []mishap) {
+func drawFaults(seed uint64, nodes int, last time.Duration) (script []nodeFault) {
 	random := rand.New(rand.NewPCG(seed, 0xc4))
 	places := random.Perm(nodes)
-	draw := func(perDay float64, acts ...mishap) {
+	draw := func(perDay float64, acts ...nodeFault) {
 		n := int(perDay*churnFaster/secondsPerDay*last.Seconds() + random.Float64())
 		for range min(n, len(places)) {
 			at := time.Duration(random.Float64() * float64(last))
 			for _, act := range acts {
-				script = append(script, mishap{at: at + act.at, place: places[0], do: act.do})
+				script = append(script, nodeFault{at: at + act.at, place: places[0], do: act.do})
 			}
 			places = places[1:]
 		}
 	}
-	draw(restartsPerDay, mishap{do: hollow.StopNodes}, mishap{at: awayFor, do: hollow.ReturnNodes})
-	draw(failuresPerDay/2, mishap{do: hollow.HangNodes}, mishap{at: hangFor, do: hollow.ResumeNodes})
-	draw(failuresPerDay/2, mishap{do: hollow.StopNodes})
-	slices.SortStableFunc(script, func(a, b mishap) int { return cmp.Compare(a.at, b.at) })
+	draw(restartsPerDay, nodeFault{do: hollow.StopNodes}, nodeFault{at: awayFor, do: hollow.ReturnNodes})
+	draw(failuresPerDay/2, nodeFault{do: hollow.HangNodes}, nodeFault{at: hangFor, do: hollow.ResumeNodes})
+	draw(failuresPerDay/2, nodeFault{do: hollow.StopNodes})
+	slices.SortStableFunc(script, func(a, b nodeFault) int { return cmp.Compare(a.at, b.at) })
 	return script
 }
 
-// churn plays a script of mishaps, and brings back at its end who has vanished.
+// churn injects the faults of a script, and restarts at its end the nodes that vanished.
 func churn(ctx context.Context, r *Rig) ([]result.Reading, error) {
 	began := time.Now()
 	gone := map[int]bool{}
 	restarts := 0
-	for _, m := range drawMishaps(r.Seed+uint64(r.Run), r.Sizes.Nodes, r.Last) {
+	for _, m := range drawFaults(r.Seed+uint64(r.Run), r.Sizes.Nodes, r.Last) {
 		if err := pause(ctx, time.Until(began.Add(m.at))); err != nil {
 			return nil, err
 		}
-		if err := r.befall(m); err != nil {
+		if err := r.inject(m); err != nil {
 			return nil, err
 		}
 		switch m.do {
@@ -71,16 +71,16 @@
 		}
 	}
 	for place := range gone {
-		if err := r.befall(mishap{place: place, do: hollow.ReturnNodes}); err != nil {
+		if err := r.inject(nodeFault{place: place, do: hollow.ReturnNodes}); err != nil {
 			return nil, err
 		}
 	}
-	return []result.Reading{{Part: PartNews, Name: "node restarts", Unit: result.Count, Value: float64(restarts)},
-		{Part: PartNews, Name: "nodes that vanished", Unit: result.Count, Value: float64(len(gone))}}, nil
+	return []result.Reading{{Part: PartPropagation, Name: "node restarts", Unit: result.Count, Value: float64(restarts)},
+		{Part: PartPropagation, Name: "nodes that vanished", Unit: result.Count, Value: float64(len(gone))}}, nil
 }
 
-// befall plays one mishap. The list tells of nodes that are away.
-func (r *Rig) befall(m mishap) error {
+// inject carries out one fault. The list tells of nodes that are away.
+func (r *Rig) inject(m nodeFault) error {
 	_, err := r.orderNodes(hollow.Order{Do: m.do, First: m.place, Last: m.place + 1})
 	switch m.do {
 	case hollow.StopNodes:
--- a/internal/lab/scale/hollow/silence.go
+++ b/internal/lab/scale/hollow/disk.go
@@ -4,7 +4,7 @@
 	"slices"
 	"sync/atomic"
 
-	"ravenpond/internal/decide/council"
+	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/outside"
 )
 
@@ -35,15 +35,15 @@
 	}
 }
 
-// memoryDisk is a hollow steward's, which outlives its lives but not the process. One goroutine at a time uses it.
+// memoryDisk is a hollow voter's, which outlives its incarnations but not the process. One goroutine at a time uses it.
 type memoryDisk struct {
-	saved council.Saved
+	saved consensus.PersistedState
 	from  uint64 // number of the first entry
 }
 
 // Load gives what was saved.
-func (d *memoryDisk) Load() (council.Saved, error) {
-	return council.Saved{Hard: d.saved.Hard, Snapshot: d.saved.Snapshot, Entries: slices.Clone(d.saved.Entries)}, nil
+func (d *memoryDisk) Load() (consensus.PersistedState, error) {
+	return consensus.PersistedState{Hard: d.saved.Hard, Snapshot: d.saved.Snapshot, Entries: slices.Clone(d.saved.Entries)}, nil
 }
 
 // Save keeps it, and drops the entries that a snapshot holds.
@@ -55,7 +55,7 @@
 		d.saved.Snapshot = slices.Clone(snapshot)
 	}
 	if from > 0 {
-		d.put(from, entries)
+		d.overwrite(from, entries)
 	}
 	if drop := min(uint64(len(d.saved.Entries)), held+1-min(held+1, d.from)); drop > 0 {
 		d.saved.Entries, d.from = slices.Clone(d.saved.Entries[drop:]), d.from+drop
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func (d *memoryDisk) put(from uint64, entries [][]byte) {
+func (d *memoryDisk) overwrite(from uint64, entries [][]byte) {
 	if len(d.saved.Entries) == 0 || from < d.from {
 		d.from, d.saved.Entries = from, nil
 	}
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -50,7 +50,7 @@
 
 // TestNodes takes nodes away and brings them back, by places and by zone.
 func TestNodes(t *testing.T) {
-	order, end := talk(t, RunNodes, Fleet{Count: 30, Nodes: 30, Zones: 3, Teams: 1, Seed: 1, Cores: 4, ShortLife: 10})
+	order, end := talk(t, RunNodes, NodesPlan{Count: 30, Nodes: 30, Zones: 3, Teams: 1, Seed: 1, Cores: 4, ShortLife: 10})
 	defer end()
 	addresses := order(Order{Do: Addresses}).Addresses
 	if len(addresses) != 30 || !strings.HasPrefix(addresses[29], "127.16.0.30:") {
@@ -76,7 +76,7 @@
 
 // TestSchedulers has hollow schedulers meet, close a zone and open it, miss one that is gone, and meet again after a restart.
 func TestSchedulers(t *testing.T) {
-	order, end := talk(t, RunSchedulers, Circle{Site: "s", Key: "a key of some length", Count: 5, Places: 5, Zones: 4, Regions: 2, Seed: 3, NodesPerZone: 10})
+	order, end := talk(t, RunSchedulers, SchedulersPlan{Site: "s", Key: "a key of some length", Count: 5, Places: 5, Zones: 4, Regions: 2, Seed: 3, NodesPerZone: 10})
 	defer end()
 	meet := func(others int) {
 		t.Helper()
--- a/internal/lab/scale/hollow/nodes.go
+++ b/internal/lab/scale/hollow/nodes.go
@@ -13,8 +13,8 @@
 	"ravenpond/internal/standin"
 )
 
-// Fleet says which nodes a process holds: Count of them, from the place First among all nodes of the run.
-type Fleet struct {
+// NodesPlan says which nodes a process holds: Count of them, from the place First among all nodes of the run.
+type NodesPlan struct {
 	First, Count int
 	Nodes        int // of the run
 	Zones        int // of the run; racks of nodes are dealt out to them in turn
@@ -66,118 +66,118 @@
 // NodeID is the number of the node at a place among all.
 func NodeID(place int) uint32 { return uint32(place + 1) }
 
-// fleet is the nodes of a process, which share a world by groups.
-type fleet struct {
-	Fleet
+// nodeHost is the nodes of a process, which share a world by groups.
+type nodeHost struct {
+	NodesPlan
 	nodes  []*standin.Node
 	worlds []*standin.World // of each node
 	random *rand.Rand
 }
 
-// RunNodes runs the nodes of a fleet until its orders end.
+// RunNodes runs the nodes of a process until their orders end.
 func RunNodes(ctx context.Context, in io.Reader, out io.Writer) error {
-	lines := newLines(in)
-	f := &fleet{}
-	if err := lines.plan(&f.Fleet); err != nil {
+	orders := newInput(in)
+	h := &nodeHost{}
+	if err := orders.plan(&h.NodesPlan); err != nil {
 		return err
 	}
-	f.random = rand.New(rand.NewPCG(f.Seed, 0x5ca1e))
+	h.random = rand.New(rand.NewPCG(h.Seed, 0x5ca1e))
 	real := outside.NewReal()
 	defer real.Close(time.Second)
-	if err := f.start(real); err != nil {
+	if err := h.start(real); err != nil {
 		return err
 	}
-	return lines.follow(ctx, out, f.do)
+	return orders.follow(ctx, out, h.do)
 }
 
-func (f *fleet) start(real *outside.Real) error {
-	model := standin.Make{Cores: f.Cores, Memory: 2 * f.Cores, CoresLimit: 4, MemoryLimit: 4, Look: lookMs, Line: waitingTasks,
+func (h *nodeHost) start(real *outside.Real) error {
+	model := standin.Make{Cores: h.Cores, Memory: 2 * h.Cores, CoresLimit: 4, MemoryLimit: 4, Look: lookMs, Line: waitingTasks,
 		Starts: startsAtOnce, NoProgram: 1, Programs: keptPrograms, ColdFrom: 1, ColdFor: 1, Fall: foreverMs, FallFor: 1, Bears: 1 << 30,
-		Work: []standin.Work{{Start: startMs, Life: f.ShortLife, Use: 0.5}, {Start: startMs, Life: foreverMs, Use: 0.5}}}
+		Work: []standin.Work{{Start: startMs, Life: h.ShortLife, Use: 0.5}, {Start: startMs, Life: foreverMs, Use: 0.5}}}
 	var world *standin.World
 	var group *standin.Group
-	for i := range f.Count {
+	for i := range h.Count {
 		if i%perWorld == 0 {
 			world, group = standin.NewWorld(real), standin.NewGroup()
 			world.Trace.Each = func(*audit.Record) {} // nothing audits it
 		}
-		place := f.First + i
-		zone := ZoneName(NodeZone(place, f.Nodes, f.Zones))
-		n := &standin.Node{ID: NodeID(place), Zone: zone, Cell: zone, Kind: "plain", Jobs: len(model.Work), Tenants: f.Teams}
-		if err := world.StartNode(n, model, group, f.random.Uint64(), false, NodeAddress(place)); err != nil {
+		place := h.First + i
+		zone := ZoneName(NodeZone(place, h.Nodes, h.Zones))
+		n := &standin.Node{ID: NodeID(place), Zone: zone, Cell: zone, Kind: "plain", Jobs: len(model.Work), Tenants: h.Teams}
+		if err := world.StartNode(n, model, group, h.random.Uint64(), false, NodeAddress(place)); err != nil {
 			return err
 		}
-		f.nodes, f.worlds = append(f.nodes, n), append(f.worlds, world)
+		h.nodes, h.worlds = append(h.nodes, n), append(h.worlds, world)
 	}
 	return nil
 }
 
-func (f *fleet) do(order Order) (Reply, error) {
+func (h *nodeHost) do(order Order) (Reply, error) {
 	switch order.Do {
 	case Addresses:
 		var all []string
-		for _, n := range f.nodes {
+		for _, n := range h.nodes {
 			all = append(all, n.Address())
 		}
 		return Reply{Addresses: all}, nil
 	case Connections:
-		return f.count(func(n *standin.Node) int { return n.Connections() }), nil
+		return h.count(func(n *standin.Node) int { return n.Connections() }), nil
 	case AwaitConnections:
-		return f.await(order)
+		return h.await(order)
 	case Tasks:
-		return f.count(func(n *standin.Node) int { return n.Machine.Holds() }), nil
+		return h.count(func(n *standin.Node) int { return n.Machine.Holds() }), nil
 	case StopNodes:
-		return f.each(order, func(n *standin.Node, now float64) error { n.Die(now); return nil })
+		return h.each(order, func(n *standin.Node, now float64) error { n.Die(now); return nil })
 	case HangNodes:
-		return f.each(order, func(n *standin.Node, _ float64) error { n.Machine.Hang = true; return nil })
+		return h.each(order, func(n *standin.Node, _ float64) error { n.Machine.Hang = true; return nil })
 	case ResumeNodes:
-		return f.each(order, func(n *standin.Node, _ float64) error { n.Machine.Hang = false; return nil })
+		return h.each(order, func(n *standin.Node, _ float64) error { n.Machine.Hang = false; return nil })
 	case ReturnNodes:
-		return f.bring(order)
+		return h.restart(order)
 	}
 	return Reply{}, fmt.Errorf("%w %q", errUnknownAction, order.Do)
 }
 
-func (f *fleet) count(of func(n *standin.Node) int) (reply Reply) {
-	for i, n := range f.nodes {
-		f.worlds[i].At(func(float64) { reply.Count += of(n) })
+func (h *nodeHost) count(of func(n *standin.Node) int) (reply Reply) {
+	for i, n := range h.nodes {
+		h.worlds[i].At(func(float64) { reply.Count += of(n) })
 	}
 	return reply
 }
 
 // chosen gives the ordered nodes: those of a zone, or of places of the process.
-func (f *fleet) chosen(order Order) (places []int, err error) {
-	for i, n := range f.nodes {
+func (h *nodeHost) chosen(order Order) (places []int, err error) {
+	for i, n := range h.nodes {
 		if order.Name != "" && n.Zone == order.Name || order.Name == "" && i >= order.First && i < order.Last {
 			places = append(places, i)
 		}
 	}
 	if order.Name == "" && len(places) != order.Last-order.First {
-		return nil, fmt.Errorf("nodes %d to %d of %d", order.First, order.Last, len(f.nodes))
+		return nil, fmt.Errorf("nodes %d to %d of %d", order.First, order.Last, len(h.nodes))
 	}
 	return places, nil
 }
 
 // each does something to the ordered nodes, and tells when the last was done.
-func (f *fleet) each(order Order, do func(n *standin.Node, now float64) error) (Reply, error) {
-	places, err := f.chosen(order)
+func (h *nodeHost) each(order Order, do func(n *standin.Node, now float64) error) (Reply, error) {
+	places, err := h.chosen(order)
 	for _, i := range places {
-		f.worlds[i].At(func(now float64) { err = errors.Join(err, do(f.nodes[i], now)) })
+		h.worlds[i].At(func(now float64) { err = errors.Join(err, do(h.nodes[i], now)) })
 	}
 	return Reply{At: unixMs(), Count: len(places)}, err
 }
 
-// bring has nodes that were stopped listen again. An address may be taken for a moment yet.
-func (f *fleet) bring(order Order) (Reply, error) {
-	places, err := f.chosen(order)
+// restart has nodes that were stopped listen again. An address may be taken for a moment yet.
+func (h *nodeHost) restart(order Order) (Reply, error) {
+	places, err := h.chosen(order)
 	if err != nil {
 		return Reply{}, err
 	}
 	for _, i := range places {
-		err := f.nodes[i].Return()
+		err := h.nodes[i].Return()
 		for try := 1; err != nil && try < returnTries; try++ {
 			time.Sleep(returnPause)
-			err = f.nodes[i].Return()
+			err = h.nodes[i].Return()
 		}
 		if err != nil {
 			return Reply{}, err
@@ -187,13 +187,13 @@
 }
 
 // await waits until as many schedulers as ordered are connected to each of the ordered nodes.
-func (f *fleet) await(order Order) (Reply, error) {
-	places, err := f.chosen(order)
+func (h *nodeHost) await(order Order) (Reply, error) {
+	places, err := h.chosen(order)
 	if err != nil {
 		return Reply{}, err
 	}
 	return await(places, order.Within, func(i int) (is bool) {
-		f.worlds[i].At(func(float64) { is = f.nodes[i].Connections() >= order.Count })
+		h.worlds[i].At(func(float64) { is = h.nodes[i].Connections() >= order.Count })
 		return is
 	})
 }
--- a/internal/lab/scale/hollow/order.go
+++ b/internal/lab/scale/hollow/order.go
@@ -29,10 +29,10 @@
 	Tasks            Action = "tasks"             // count what nodes hold
 	AwaitMember      Action = "await-member"      // until all hold a member in a state; At is when the last did
 	StopMember       Action = "stop-member"       // the last hollow scheduler is gone without a word
-	AwaitZone        Action = "await-zone"        // until the book has a zone in a state at all; At is when the last did
+	AwaitZone        Action = "await-zone"        // until the replicated state has a zone in a state at all; At is when the last did
 	LoseZone         Action = "lose-zone"         // hollow schedulers report that they hear none of its nodes
 	FindZone         Action = "find-zone"         // they hear it again
-	Restart          Action = "restart"           // all hollow schedulers end at once and begin in a later life
+	Restart          Action = "restart"           // all hollow schedulers end at once and begin in a later incarnation
 	Known            Action = "known"             // count the members that the first hollow scheduler holds for alive
 )
 
@@ -54,13 +54,13 @@
 	At        float64  `json:",omitempty"` // unix ms
 }
 
-// lines is the input of a hollow process.
-type lines struct{ *bufio.Scanner }
+// input is the input of a hollow process.
+type input struct{ *bufio.Scanner }
 
-func newLines(in io.Reader) lines { return lines{bufio.NewScanner(in)} }
+func newInput(in io.Reader) input { return input{bufio.NewScanner(in)} }
 
 // plan reads the first line.
-func (l lines) plan(into any) error {
+func (l input) plan(into any) error {
 	if !l.Scan() {
 		return errors.Join(errors.New("no plan"), l.Err())
 	}
@@ -71,7 +71,7 @@
 }
 
 // follow carries out orders until the input or the context ends.
-func (l lines) follow(ctx context.Context, out io.Writer, do func(Order) (Reply, error)) error {
+func (l input) follow(ctx context.Context, out io.Writer, do func(Order) (Reply, error)) error {
 	answers := json.NewEncoder(out)
 	for l.Scan() && ctx.Err() == nil {
 		var order Order
--- a/internal/lab/scale/hollow/schedulers.go
+++ b/internal/lab/scale/hollow/schedulers.go
@@ -10,16 +10,16 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/control"
-	"ravenpond/internal/decide/book"
-	"ravenpond/internal/decide/council"
-	decide "ravenpond/internal/decide/members"
+	"ravenpond/internal/decide/clusterstate"
+	"ravenpond/internal/decide/consensus"
+	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/decide/zones"
 	"ravenpond/internal/members"
 	"ravenpond/internal/outside"
 )
 
-// Circle says which hollow schedulers a process holds: all of them, by the names h0000 and on.
-type Circle struct {
+// SchedulersPlan says which hollow schedulers a process holds: all of them, by the names h0000 and on.
+type SchedulersPlan struct {
 	Site, Key    string
 	Count        int
 	First        int // place of the first among all schedulers, after the real ones
@@ -32,7 +32,7 @@
 
 // Times and sizes of hollow schedulers.
 const (
-	Seeds         = 3 // hollow schedulers that all others ask first, and that keep the book
+	Seeds         = 3 // hollow schedulers that all others ask first, and that keep the replicated state
 	reportEachMs  = 250
 	coldWindowMs  = 550 // a node's window of the rig's site file, with what a lease adds
 	lookedAt      = 6   // nodes of a zone that a report is about, as a real scheduler's
@@ -47,23 +47,23 @@
 // RegionName is the region of a zone by its number.
 func RegionName(zone, regions int) string { return fmt.Sprintf("r%d", zone%regions) }
 
-// scheduler is a hollow one: it knows the others and the book, and reports on zones, but places nothing.
+// scheduler is a hollow one: it knows the others and the replicated state, and reports on zones, but places nothing.
 type scheduler struct {
-	circle  *circle
-	name    string
-	life    uint64
-	world   *silencer
-	members *members.Runner
-	control *control.Runner
-	ended   chan struct{}
+	host        *schedulerHost
+	name        string
+	incarnation uint64
+	world       *silencer
+	members     *members.Runner
+	control     *control.Runner
+	ended       chan struct{}
 }
 
-// circle is all hollow schedulers of the process.
-type circle struct {
-	Circle
+// schedulerHost is all hollow schedulers of the process.
+type schedulerHost struct {
+	SchedulersPlan
 	world *outside.Real
 	seeds []string
-	disks [Seeds]memoryDisk // of the stewards
+	disks [Seeds]memoryDisk // of the voters
 
 	mu   sync.Mutex
 	all  []*scheduler
@@ -72,100 +72,100 @@
 
 // RunSchedulers runs hollow schedulers until the orders end.
 func RunSchedulers(ctx context.Context, in io.Reader, out io.Writer) error {
-	lines := newLines(in)
-	c := &circle{world: outside.NewReal(), lost: map[string]bool{}}
-	defer c.world.Close(time.Second)
-	if err := lines.plan(&c.Circle); err != nil {
+	orders := newInput(in)
+	h := &schedulerHost{world: outside.NewReal(), lost: map[string]bool{}}
+	defer h.world.Close(time.Second)
+	if err := orders.plan(&h.SchedulersPlan); err != nil {
 		return err
 	}
-	if err := c.startAll(1); err != nil {
+	if err := h.startAll(1); err != nil {
 		return err
 	}
-	return lines.follow(ctx, out, c.do)
+	return orders.follow(ctx, out, h.do)
 }
 
-// startAll starts all in a life. The addresses of the first are kept, as they are the seeds.
-func (c *circle) startAll(life uint64) error {
-	all := make([]*scheduler, 0, c.Count)
-	for i := range c.Count {
+// startAll starts all in an incarnation. The addresses of the first are kept, as they are the seeds.
+func (h *schedulerHost) startAll(incarnation uint64) error {
+	all := make([]*scheduler, 0, h.Count)
+	for i := range h.Count {
 		listen := "127.0.0.1:0"
-		if i < len(c.seeds) {
-			listen = c.seeds[i]
+		if i < len(h.seeds) {
+			listen = h.seeds[i]
 		}
-		s, err := c.startOne(i, life, listen)
+		s, err := h.startOne(i, incarnation, listen)
 		if err != nil {
 			return err
 		}
-		if i < Seeds && life == 1 {
-			c.seeds = append(c.seeds, s.members.Address())
+		if i < Seeds && incarnation == 1 {
+			h.seeds = append(h.seeds, s.members.Address())
 		}
 		all = append(all, s)
 		if i%startTogether == startTogether-1 {
 			time.Sleep(startPause)
 		}
 	}
-	c.mu.Lock()
-	c.all = all
-	c.mu.Unlock()
+	h.mu.Lock()
+	h.all = all
+	h.mu.Unlock()
 	return nil
 }
 
-func (c *circle) startOne(number int, life uint64, listen string) (*scheduler, error) {
-	s := &scheduler{circle: c, name: SchedulerName(number), life: life, world: &silencer{World: c.world}, ended: make(chan struct{})}
-	seeds := c.seeds
+func (h *schedulerHost) startOne(number int, incarnation uint64, listen string) (*scheduler, error) {
+	s := &scheduler{host: h, name: SchedulerName(number), incarnation: incarnation, world: &silencer{World: h.world}, ended: make(chan struct{})}
+	seeds := h.seeds
 	if len(seeds) == 0 { // the first of all asks nobody but itself
 		seeds = []string{"127.0.0.1:1"}
 	}
-	run, err := members.Begin(s.world, listen, decide.Charter{Site: c.Site, Name: s.name, Life: life, Key: []byte(c.Key), Seeds: seeds,
-		Seed: c.Seed*10_007 + uint64(number), Place: c.First + number, Places: c.Places, Window: coldWindowMs}, hearsNothing{})
+	run, err := members.Begin(s.world, listen, membership.Config{Site: h.Site, Name: s.name, Life: incarnation, Key: []byte(h.Key), Seeds: seeds,
+		Seed: h.Seed*10_007 + uint64(number), Place: h.First + number, Places: h.Places, Window: coldWindowMs}, hearsNothing{})
 	if err != nil {
 		return nil, err
 	}
 	s.members = run
-	zone := number % c.Zones
-	who := council.Charter{Name: s.name, Zone: ZoneName(zone), Region: RegionName(zone, c.Regions), Life: life, Stewards: StewardNames(), Seed: c.Seed + uint64(number)}
+	zone := number % h.Zones
+	who := consensus.Config{Name: s.name, Zone: ZoneName(zone), Region: RegionName(zone, h.Regions), Life: incarnation, Voters: VoterNames(), Seed: h.Seed + uint64(number)}
 	var disk control.Disk
 	if number < Seeds {
-		disk = &c.disks[number]
+		disk = &h.disks[number]
 	}
 	site := control.Site{}
-	for zone := range c.Zones {
+	for zone := range h.Zones {
 		site.Zones = append(site.Zones, ZoneName(zone))
 	}
 	if s.control, err = control.Begin(s.world, zerolog.Nop(), run, who, disk, site); err != nil {
 		return nil, err
 	}
-	outside.Every(c.world, reportEachMs, s.report)
+	outside.Every(h.world, reportEachMs, s.report)
 	return s, nil
 }
 
-// StewardNames are the hollow schedulers that keep the book.
-func StewardNames() (names []string) {
+// VoterNames are the hollow schedulers that keep the replicated state.
+func VoterNames() (names []string) {
 	for i := range Seeds {
 		names = append(names, SchedulerName(i))
 	}
 	return names
 }
 
-// report tells the leader of the book what the scheduler would hear of zones, until it ends.
+// report tells the leader of the replicated state what the scheduler would hear of zones, until it ends.
 func (s *scheduler) report() bool {
 	select {
 	case <-s.ended:
 		return false
 	default:
 	}
-	c := s.circle
+	h := s.host
 	sums := map[string]zones.Sum{}
-	c.mu.Lock()
-	for zone := range c.Zones {
+	h.mu.Lock()
+	for zone := range h.Zones {
 		name := ZoneName(zone)
-		sum := zones.Sum{Nodes: min(lookedAt, c.NodesPerZone), Room: float64(c.NodesPerZone) * roomOfNode}
-		if !c.lost[name] {
+		sum := zones.Sum{Nodes: min(lookedAt, h.NodesPerZone), Room: float64(h.NodesPerZone) * roomOfNode}
+		if !h.lost[name] {
 			sum.Heard = sum.Nodes
 		}
 		sums[name] = sum
 	}
-	c.mu.Unlock()
+	h.mu.Unlock()
 	s.control.Report(sums)
 	return true
 }
@@ -181,59 +181,59 @@
 // hearsNothing is told of changes by the detector; orders ask it instead.
 type hearsNothing struct{}
 
-func (hearsNothing) Changed(float64, decide.Member, decide.State) {}
-func (hearsNothing) Taken(float64, string)                        {}
-func (hearsNothing) Hears(uint32) (uint64, float64, bool)         { return 0, 0, false }
+func (hearsNothing) Changed(float64, membership.Member, membership.State) {}
+func (hearsNothing) Taken(float64, string)                                {}
+func (hearsNothing) Hears(uint32) (uint64, float64, bool)                 { return 0, 0, false }
 
-func (c *circle) do(order Order) (Reply, error) {
-	c.mu.Lock()
-	all := c.all
-	c.mu.Unlock()
+func (h *schedulerHost) do(order Order) (Reply, error) {
+	h.mu.Lock()
+	all := h.all
+	h.mu.Unlock()
 	switch order.Do {
 	case Addresses:
-		return Reply{Addresses: c.seeds}, nil
+		return Reply{Addresses: h.seeds}, nil
 	case Known:
 		return Reply{Count: known(all[0])}, nil
 	case LoseZone, FindZone:
-		c.mu.Lock()
-		c.lost[order.Name] = order.Do == LoseZone
-		c.mu.Unlock()
+		h.mu.Lock()
+		h.lost[order.Name] = order.Do == LoseZone
+		h.mu.Unlock()
 		return Reply{At: unixMs()}, nil
 	case StopMember:
 		last := all[len(all)-1]
 		last.end()
-		c.mu.Lock()
-		c.all = all[:len(all)-1]
-		c.mu.Unlock()
+		h.mu.Lock()
+		h.all = all[:len(all)-1]
+		h.mu.Unlock()
 		return Reply{At: unixMs()}, nil
 	case AwaitMember:
 		return await(all, order.Within, func(s *scheduler) bool { return s.holds(order.Name, order.State) })
 	case AwaitZone:
 		return await(all, order.Within, func(s *scheduler) bool { return s.zoneIs(order.Name, order.State) })
 	case Restart:
-		return c.restart(all)
+		return h.restart(all)
 	}
 	return Reply{}, fmt.Errorf("%w %q", errUnknownAction, order.Do)
 }
 
-func (c *circle) restart(all []*scheduler) (Reply, error) {
+func (h *schedulerHost) restart(all []*scheduler) (Reply, error) {
 	for _, s := range all {
 		s.end()
 	}
 	at := unixMs()
-	if err := c.startAll(all[0].life + 1); err != nil {
+	if err := h.startAll(all[0].incarnation + 1); err != nil {
 		return Reply{}, err
 	}
 	return Reply{At: at}, nil
 }
 
 func known(s *scheduler) (alive int) {
-	s.members.See(func(d *decide.Detector) { alive, _, _, _ = d.Count() })
+	s.members.See(func(d *membership.Detector) { alive, _, _, _ = d.Count() })
 	return alive
 }
 
 func (s *scheduler) holds(name, state string) (is bool) {
-	s.members.See(func(d *decide.Detector) {
+	s.members.See(func(d *membership.Detector) {
 		for _, m := range d.All() {
 			if m.Name == name {
 				is = m.State.String() == state
@@ -244,6 +244,6 @@
 }
 
 func (s *scheduler) zoneIs(name, state string) bool {
-	var is book.State = s.control.View().Book.Zone(name).State
+	var is clusterstate.ZoneState = s.control.View().Book.Zone(name).State
 	return is.String() == state
 }
--- a/internal/lab/scale/limits.go
+++ b/internal/lab/scale/limits.go
@@ -3,10 +3,7 @@
 import (
 	"bytes"
 	"fmt"
-	"os"
 	"runtime"
-	"strconv"
-	"strings"
 	"syscall"
 
 	"golang.org/x/sys/unix"
@@ -87,18 +84,3 @@
 	}
 	return m
 }
-
-// residentOf is the resident memory of a process in bytes, 0 if it can't be told.
-func residentOf(pid int) float64 {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if err != nil {
-		return 0
-	}
-	_, after, _ := strings.Cut(string(text), "VmRSS:")
-	fields := strings.Fields(after)
-	if len(fields) == 0 {
-		return 0
-	}
-	kib, _ := strconv.ParseFloat(fields[0], 64)
-	return kib * 1024
-}
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -13,9 +13,9 @@
 
 // Parts and names of readings beside those of profiles.
 const (
-	PartProcess = "process"
-	PartClients = "clients"
-	PartNews    = "news"
+	PartProcess     = "process"
+	PartClients     = "clients"
+	PartPropagation = "propagation"
 
 	NameCPU           = "cpu"
 	NameCPUPerAttempt = "cpu per attempt"
@@ -74,9 +74,9 @@
 	}
 	r.tally.reset()
 	before, began, err := r.scrapeAll(ctx), time.Now(), error(nil)
-	var lives []int
+	var incarnations []int
 	for _, p := range r.real {
-		lives = append(lives, p.lives)
+		incarnations = append(incarnations, p.incarnation)
 		if err := p.window(true); err != nil {
 			return nil, err
 		}
@@ -98,7 +98,7 @@
 		if before[i] == nil || after[i] == nil {
 			return nil, fmt.Errorf("%s: counts not read", p.name)
 		}
-		if p.lives != lives[i] { // its counts began anew
+		if p.incarnation != incarnations[i] { // its counts began anew
 			before[i] = scrape{}
 		}
 		watched := p.watched
--- a/internal/lab/scale/phases.go
+++ b/internal/lab/scale/phases.go
@@ -11,13 +11,13 @@
 
 // Scenarios.
 const (
-	Rest    = "rest"    // nothing is asked
-	Starts  = "starts"  // starts are asked at a rate
-	Churn   = "churn"   // and nodes restart and fail by a script
-	Rack    = "rack"    // a rack of nodes is lost and comes back
-	Zone    = "zone"    // a zone is lost and comes back
-	Restart = "restart" // all schedulers are restarted at once
-	News    = "news"    // the list, the members and a verdict change
+	Rest        = "rest"        // nothing is asked
+	Starts      = "starts"      // starts are asked at a rate
+	Churn       = "churn"       // and nodes restart and fail by a script
+	Rack        = "rack"        // a rack of nodes is lost and comes back
+	Zone        = "zone"        // a zone is lost and comes back
+	Restart     = "restart"     // all schedulers are restarted at once
+	Propagation = "propagation" // the list, the members and a verdict change
 )
 
 // StartsPerSecond is what a real process is asked for under load: its share of 30 of 2,200.
@@ -25,7 +25,7 @@
 
 // Times of phases.
 const (
-	newsWithin    = 20 * time.Second
+	changeWithin  = 20 * time.Second
 	verdictWithin = 30 * time.Second
 	lostFor       = 4 * time.Second
 	settleAgain   = 60 * time.Second
@@ -34,13 +34,13 @@
 // Phases gives the phases of a scenario by name.
 func Phases(names []string) (phases []Phase, err error) {
 	all := map[string]Phase{
-		Rest:    {Scenario: Rest},
-		Starts:  {Scenario: Starts, Starts: StartsPerSecond},
-		Churn:   {Scenario: Churn, Starts: StartsPerSecond, During: churn},
-		Rack:    {Scenario: Rack, Starts: StartsPerSecond, During: rackLost},
-		Zone:    {Scenario: Zone, Starts: StartsPerSecond, During: zoneLost},
-		Restart: {Scenario: Restart, During: restartAll},
-		News:    {Scenario: News, During: news},
+		Rest:        {Scenario: Rest},
+		Starts:      {Scenario: Starts, Starts: StartsPerSecond},
+		Churn:       {Scenario: Churn, Starts: StartsPerSecond, During: churn},
+		Rack:        {Scenario: Rack, Starts: StartsPerSecond, During: rackLost},
+		Zone:        {Scenario: Zone, Starts: StartsPerSecond, During: zoneLost},
+		Restart:     {Scenario: Restart, During: restartAll},
+		Propagation: {Scenario: Propagation, During: propagation},
 	}
 	for _, name := range names {
 		phase, ok := all[name]
@@ -53,7 +53,7 @@
 }
 
 func since(name string, from, to float64) result.Reading {
-	return result.Reading{Part: PartNews, Name: name, Unit: result.Milliseconds, Value: to - from}
+	return result.Reading{Part: PartPropagation, Name: name, Unit: result.Milliseconds, Value: to - from}
 }
 
 // orderNodes gives an order to the nodes at places among all, or of a zone, and tells when the last process had done it.
@@ -81,12 +81,12 @@
 	r.list.Change(first, last, func(e *hollow.Entry) { e.Availability = availability })
 }
 
-// news changes the list, the members and the verdict on a zone, and reads how long each takes to the last process. That
+// propagation changes the list, the members and the verdict on a zone, and reads how long each takes to the last process. That
 // the configuration changes while a process runs is not there: a process reads it at its start, but for the count of
 // shards.
-func news(ctx context.Context, r *Rig) ([]result.Reading, error) {
+func propagation(ctx context.Context, r *Rig) ([]result.Reading, error) {
 	var readings []result.Reading
-	for _, step := range []func(*Rig) ([]result.Reading, error){listNews, memberNews, verdictNews} {
+	for _, step := range []func(*Rig) ([]result.Reading, error){listChange, memberFailure, zoneVerdict} {
 		some, err := step(r)
 		if err != nil {
 			return nil, err
@@ -96,32 +96,32 @@
 	return readings, ctx.Err()
 }
 
-// listNews has the list tell a node more, and waits until each real process is connected to it.
-func listNews(r *Rig) ([]result.Reading, error) {
+// listChange has the list tell a node more, and waits until each real process is connected to it.
+func listChange(r *Rig) ([]result.Reading, error) {
 	last := r.entries - 1
 	told := float64(time.Now().UnixMicro()) / 1e3
 	r.tellList(last, last+1, hollow.Ready)
-	at, err := r.orderNodes(hollow.Order{Do: hollow.AwaitConnections, First: last, Last: last + 1, Count: r.Real, Within: ms(newsWithin)})
+	at, err := r.orderNodes(hollow.Order{Do: hollow.AwaitConnections, First: last, Last: last + 1, Count: r.Real, Within: ms(changeWithin)})
 	if err != nil {
 		return nil, err
 	}
 	return []result.Reading{since("list", told, at)}, nil
 }
 
-// memberNews takes a hollow scheduler away, and waits until all hold it for dead.
-func memberNews(r *Rig) ([]result.Reading, error) {
+// memberFailure takes a hollow scheduler away, and waits until all hold it for dead.
+func memberFailure(r *Rig) ([]result.Reading, error) {
 	gone := hollow.SchedulerName(r.Sizes.Schedulers - r.Real - 1)
 	stopped, err := r.schedulers.order(hollow.Order{Do: hollow.StopMember})
 	if err != nil {
 		return nil, err
 	}
-	known, err := r.schedulers.order(hollow.Order{Do: hollow.AwaitMember, Name: gone, State: "dead", Within: ms(newsWithin)})
+	known, err := r.schedulers.order(hollow.Order{Do: hollow.AwaitMember, Name: gone, State: "dead", Within: ms(changeWithin)})
 	if err != nil {
 		return nil, err
 	}
 	last := known.At
 	for _, p := range r.real {
-		at, err := p.awaitLog(newsWithin, stopped.At, func(l logLine) bool { return l.Mode == "members" && l.Member == gone && l.Is == "dead" })
+		at, err := p.awaitLog(changeWithin, stopped.At, func(l logLine) bool { return l.Mode == "members" && l.Member == gone && l.Is == "dead" })
 		if err != nil {
 			return nil, err
 		}
@@ -130,8 +130,8 @@
 	return []result.Reading{since("members", stopped.At, last)}, nil
 }
 
-// verdictNews has a zone hang and come back, and waits for both verdicts.
-func verdictNews(r *Rig) ([]result.Reading, error) {
+// zoneVerdict has a zone hang and come back, and waits for both verdicts.
+func zoneVerdict(r *Rig) ([]result.Reading, error) {
 	return r.loseZone(hollow.HangNodes, hollow.ResumeNodes)
 }
 
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -19,17 +19,17 @@
 
 // process is a real scheduler process.
 type process struct {
-	name    string
-	place   int // among all schedulers
-	rig     *Rig
-	log     *os.File
-	cmd     *exec.Cmd
-	owners  string // address of the owners' door
-	counts  string // address of the page of counts
-	from    int64  // where the log of the present life begins
-	profile string
-	watched bool // profiles of a window of this life have begun
-	lives   int
+	name        string
+	place       int // among all schedulers
+	rig         *Rig
+	log         *os.File
+	cmd         *exec.Cmd
+	owners      string // address of the owners' door
+	counts      string // address of the page of counts
+	from        int64  // where the log of the present incarnation begins
+	profile     string
+	watched     bool // profiles of a window of this incarnation have begun
+	incarnation int
 }
 
 // realName is the name of a real scheduler by its number.
@@ -47,7 +47,7 @@
 	return p, err
 }
 
-// state is the folder for what outlives a life of the process.
+// state is the folder for what outlives an incarnation of the process.
 func (p *process) state() string { return filepath.Join(p.rig.Dir, p.name) }
 
 // start starts the process, for the first time or again, and waits until owners may connect.
@@ -76,7 +76,7 @@
 		return err
 	}
 	p.watched = false
-	p.lives++
+	p.incarnation++
 	return p.findCounts()
 }
 
@@ -87,7 +87,7 @@
 	At                        float64 `json:"unix_ms"`
 }
 
-// eachLine calls for each line of the log in the present life until it is told to stop.
+// eachLine calls for each line of the log in the present incarnation until it is told to stop.
 func (p *process) eachLine(line func(logLine) (more bool)) error {
 	f, err := os.Open(p.log.Name())
 	if err != nil {
--- a/internal/lab/scale/profile.go
+++ b/internal/lab/scale/profile.go
@@ -17,10 +17,10 @@
 	partList     = "list"
 	partZones    = "zones"
 	partLinks    = "links"
-	partOwners   = "owners"
+	partClients  = "client listener"
 	partEngine   = "engine"
 	partLogic    = "logic"
-	partDesk     = "desk"
+	partRouter   = "shard router"
 	partCounts   = "counts"
 	partSockets  = "sockets"
 	partRuntime  = "runtime"
@@ -34,16 +34,17 @@
 // rules are tried in their order on each frame, from the innermost out; the first that fits a frame has the sample. What is
 // below them (sockets, the runtime) belongs to who called it.
 var rules = []rule{
-	{"ravenpond/internal/decide/members", partMembers}, {"ravenpond/internal/proto/members", partMembers}, {"ravenpond/internal/members", partMembers},
-	{"ravenpond/internal/decide/parts", partMembers}, {"internal/serve/members.go", partMembers},
-	{"ravenpond/internal/decide/council", partControl}, {"ravenpond/internal/decide/book", partControl}, {"ravenpond/internal/control", partControl},
+	{"ravenpond/internal/decide/membership", partMembers}, {"ravenpond/internal/proto/members", partMembers}, {"ravenpond/internal/members", partMembers},
+	{"ravenpond/internal/decide/slowstart", partMembers}, {"ravenpond/internal/decide/gossip", partMembers}, {"ravenpond/internal/decide/reachability", partMembers},
+	{"ravenpond/internal/decide/quotalease", partMembers}, {"internal/serve/members.go", partMembers},
+	{"ravenpond/internal/decide/consensus", partControl}, {"ravenpond/internal/decide/clusterstate", partControl}, {"ravenpond/internal/control", partControl},
 	{"ravenpond/internal/proto/book", partControl}, {"go.etcd.io/raft", partControl}, {"internal/serve/book.go", partControl},
 	{"ravenpond/internal/decide/zones", partZones}, {"internal/serve/zones.go", partZones},
 	{"internal/serve/list.go", partList}, {"ravenpond/internal/proto/list", partList}, {"ravenpond/internal/state.", partList}, {"internal/state/state.go", partList},
 	{"internal/serve/link.go", partLinks}, {"internal/serve/trunk.go", partLinks}, {"ravenpond/internal/proto/node", partLinks},
 	{"ravenpond/logic", partLogic}, {"ravenpond/internal/engine", partEngine},
-	{"ravenpond/internal/decide/desk", partDesk}, {"ravenpond/internal/decide/ledger", partDesk}, {"ravenpond/internal/decide/shares", partDesk},
-	{"internal/serve/owners.go", partOwners}, {"ravenpond/internal/proto/owners", partOwners}, {"internal/serve/metrics", partCounts},
+	{"ravenpond/internal/decide/shardrouter", partRouter}, {"ravenpond/internal/decide/shardownership", partRouter}, {"ravenpond/internal/decide/shares", partRouter},
+	{"internal/serve/owners.go", partClients}, {"ravenpond/internal/proto/owners", partClients}, {"internal/serve/metrics", partCounts},
 	{"prometheus", partCounts},
 }
 
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -109,7 +109,7 @@
 		if err != nil {
 			return err
 		}
-		plan := hollow.Fleet{First: first, Count: min(r.nodesPerChild(), total-first), Nodes: r.Sizes.Nodes, Zones: r.Sizes.Zones, Teams: r.Sizes.Teams,
+		plan := hollow.NodesPlan{First: first, Count: min(r.nodesPerChild(), total-first), Nodes: r.Sizes.Nodes, Zones: r.Sizes.Zones, Teams: r.Sizes.Teams,
 			Seed: r.Seed + uint64(first), Cores: nodeCores, ShortLife: shortLifeMs}
 		c, err := startChild(r.Command, NodesCommand, plan, log)
 		if err != nil {
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	plan := hollow.Circle{Site: siteName, Key: memberKey[:len(memberKey)-1], Count: r.Sizes.Schedulers - r.Real, First: r.Real, Places: r.Sizes.Schedulers,
+	plan := hollow.SchedulersPlan{Site: siteName, Key: memberKey[:len(memberKey)-1], Count: r.Sizes.Schedulers - r.Real, First: r.Real, Places: r.Sizes.Schedulers,
 		Zones: r.Sizes.Zones, Regions: r.Sizes.Regions, Seed: r.Seed, NodesPerZone: r.Sizes.Nodes / r.Sizes.Zones}
 	if r.schedulers, err = startChild(r.Command, SchedulersCommand, plan, log); err != nil {
 		return err
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -50,7 +50,7 @@
 		value(PartProcess, NameHeap)/(1<<20), value(PartProcess, NameDescriptors), value(PartProcess, NameGoroutines), value(PartClients, NameP50),
 		value(PartClients, NameP99), value(PartClients, NameP999), value(PartClients, NameServed), value(PartClients, NameNotServed))
 	for _, reading := range r.Readings {
-		if reading.Part == PartNews {
+		if reading.Part == PartPropagation {
 			fmt.Fprintf(out, "    %s: %.0f %s\n", reading.Name, reading.Value, reading.Unit)
 		}
 	}
--- a/internal/lab/scale/site.go
+++ b/internal/lab/scale/site.go
@@ -42,7 +42,7 @@
 		fmt.Fprintf(&teams, `<tenant name="%s" share="%.6f"/>`, teamName(team), 0.999/float64(r.Sizes.Teams))
 	}
 	return fmt.Sprintf(siteText, siteName, r.Sizes.Schedulers, zones.String(), nodeCores, 2*nodeCores, teams.String(), r.shards(),
-		strings.Join(r.seeds, " "), r.keyFile(), strings.Join(hollow.StewardNames(), " "), r.list.Address())
+		strings.Join(r.seeds, " "), r.keyFile(), strings.Join(hollow.VoterNames(), " "), r.list.Address())
 }
 
 // shards is the element of the site file that a planted fault needs.
--- a/internal/lab/scale/verdict_test.go
+++ b/internal/lab/scale/verdict_test.go
@@ -104,11 +104,11 @@
 	}
 }
 
-// TestMishaps draws the same script from the same seed, with as many restarts as the rate has.
-func TestMishaps(t *testing.T) {
+// TestFaults draws the same script from the same seed, with as many restarts as the rate has.
+func TestFaults(t *testing.T) {
 	const last = 100e9 // ns
-	script := drawMishaps(3, 500, last)
-	if !slices.Equal(script, drawMishaps(3, 500, last)) || slices.Equal(script, drawMishaps(4, 500, last)) {
+	script := drawFaults(3, 500, last)
+	if !slices.Equal(script, drawFaults(3, 500, last)) || slices.Equal(script, drawFaults(4, 500, last)) {
 		t.Error("a script is its seed's")
 	}
 	counts := map[string]int{}
