--- a/internal/decide/budget/budget.go
+++ b/internal/decide/budget/budget.go
@@ -5,14 +5,14 @@
 
 // Parts is what each side may use.
 type Parts struct {
-	Clients int // connections
-	Nodes   int
-	Open    int // allocations without a final answer
-	OnOne   int // of them on one connection
-	Held    int // allocations of all kinds, what stands at nodes included
-	SoftCap int // bytes of memory from which the collector works harder
-	Lingers int // connections that were ended here and wait for their peers to close too
-	Provisional  int // clients' connections beyond their part, that have said nothing yet or are turned away
+	Clients     int // connections
+	Nodes       int
+	Open        int // allocations without a final answer
+	OnOne       int // of them on one connection
+	Held        int // allocations of all kinds, what stands at nodes included
+	SoftCap     int // bytes of memory from which the collector works harder
+	Lingers     int // connections that were ended here and wait for their peers to close too
+	Provisional int // clients' connections beyond their part, that have said nothing yet or are turned away
 }
 
 const (
