--- /dev/null
+++ b/internal/lab/procs/result.go
@@ -0,0 +1,93 @@
+package procs
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"ravenpond/internal/audit"
+)
+
+// Result is what came of a rig.
+type Result struct {
+	Breaks  []audit.Break
+	Answers map[string]int
+	Starts  []float64     // ms from ask to answer of those served at their first ask, sorted
+	CPU     time.Duration // of all schedulers together, of all their lives
+	Near    float64       // part of the tries that ran in the zone of their scheduler
+	Value   float64       // part of the value served in time that was first asked for while a script was played
+	Late    []float64     // start times of those, sorted
+}
+
+// End waits until all asks are answered or overdue, ends all and audits.
+func (r *Rig) End() Result {
+	r.stop()
+	time.Sleep(3600 * time.Millisecond)
+	r.mu.Lock()
+	records := slices.Clone(r.trace)
+	r.mu.Unlock()
+	slices.SortStableFunc(records, func(a, b audit.Record) int { return cmp.Compare(a.At, b.At) })
+	res := Result{Breaks: audit.Check(records, r.rules), Answers: map[string]int{}}
+	wanted, served := 0.0, 0.0
+	for _, x := range r.all {
+		for _, t := range x.owner.Tallies() {
+			res.Answers[t.Word]++
+			if t.At >= r.from && t.At < r.until {
+				value := r.place.Cluster.JobTypes[t.Job].Value
+				if wanted += value; t.Word == "served" && t.InTime {
+					served += value
+				}
+				if t.Word == "served" {
+					res.Late = append(res.Late, t.Took)
+				}
+			}
+			if t.Word == "served" && t.First {
+				res.Starts = append(res.Starts, t.Took)
+			}
+		}
+	}
+	slices.Sort(res.Starts)
+	slices.Sort(res.Late)
+	res.Value = served / max(1e-9, wanted)
+	zones := map[string]string{}
+	for i, x := range r.all {
+		zones[x.name] = r.zoneOf(i)
+	}
+	ran, near := 0, 0
+	for _, x := range records {
+		if x.Kind == audit.Ran {
+			if ran++; r.rules.Nodes[x.Node].Zone == zones[x.Sched] {
+				near++
+			}
+		}
+	}
+	res.Near = float64(near) / float64(max(1, ran))
+	r.close()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	res.CPU = r.cpu
+	return res
+}
+
+func (r *Rig) close() {
+	r.stop()
+	for i, x := range r.all {
+		r.Stop(i, false)
+		r.Kill(i)
+		x.free.Close()
+		x.relay.Close()
+		for _, y := range []*relay{x.toList, x.toOwner} {
+			if y != nil {
+				y.close()
+			}
+		}
+		if x.log != nil {
+			x.log.Close()
+		}
+	}
+	for _, x := range r.relays {
+		x.close()
+	}
+	r.asks.Wait()
+	r.real.Close(time.Second)
+}
--- /dev/null
+++ b/internal/lab/procs/site.go
@@ -0,0 +1,138 @@
+package procs
+
+import (
+	"cmp"
+	"fmt"
+	"strings"
+	"time"
+
+	"ravenpond/internal/audit"
+	"ravenpond/internal/serve"
+	"ravenpond/internal/site"
+	"ravenpond/internal/standin"
+)
+
+const siteText = `<site name="rig">
+  <cluster schedulers="%d" list="told" tries="4" cores-limit="2" memory-limit="1.5" mean-cores="1" mean-memory="2"/>
+  <rules drain-grace="600ms" cold-bears="%d" cold-for="3s" cold-window="1s" answer-margin="200ms" settle="600ms"/>
+  %s
+  <machine kind="plain" cores="%d" memory="%d"/>
+  <job-type name="free" effect="restartable" target="800ms" expiry="3s" value="1"/>
+  <job-type name="keyed" effect="tokened" group="zone" window="1500ms" target="1s" expiry="3s" value="2" spread="node" most="3"/>
+  <job-type name="once" effect="run-once" target="1s" expiry="1500ms" value="3"/>
+  <tenant name="t" share="1"/>
+  <limits open="5000"/>
+  %s
+  <node-list address="%s"/>
+  <owners listen="127.0.0.1:0"/>
+</site>`
+
+// fleet starts the stand-ins of nodes and list.
+func (r *Rig) fleet() error {
+	bears := max(12, r.Schedulers)
+	text := fmt.Sprintf(siteText, r.Schedulers, bears, r.zones(), r.cores(), 2*r.cores(), "", "127.0.0.1:1")
+	place, faults := site.Read(strings.NewReader(text))
+	if len(faults) > 0 {
+		return fmt.Errorf("site of the rig: %s", faults[0])
+	}
+	r.place = place
+	r.rules = audit.Rules{Nodes: map[uint32]audit.Stand{}, Grace: place.DrainGrace, ColdBears: bears, ColdFor: place.Cluster.ColdFor,
+		ColdWindow: place.Cluster.FallWindow, Slack: 500,
+		Jobs: []audit.Job{{}, {Effect: audit.Tokened, Group: 1, Window: 1500, Spread: 1, Most: 3}, {Effect: audit.RunOnce}}}
+	mk := standin.Make{Cores: float64(r.cores()), Memory: 2 * float64(r.cores()), CoresLimit: 2, MemoryLimit: 1.5, Look: 4, Line: 200, Starts: 16, NoProgram: 3, Programs: 8,
+		ColdFrom: 0.5, ColdFor: place.Cluster.ColdFor, Fall: 1e9, FallFor: 1000, Bears: bears}
+	for job := range 3 {
+		mk.Work = append(mk.Work, standin.Work{Start: 10, Life: 2500, Use: 0.5, Priority: job, Token: job == 1})
+	}
+	var groups []*standin.Group
+	for range place.Zones {
+		groups = append(groups, standin.NewGroup())
+	}
+	for i := range r.Nodes {
+		zone := i % len(place.Zones)
+		n := &standin.Node{ID: uint32(i + 1), Zone: place.Zones[zone], Cell: place.Zones[zone], Kind: "plain", Jobs: 3, Tenants: 1}
+		if err := r.w.StartNode(n, mk, groups[zone], r.Seed+uint64(i), false, ""); err != nil {
+			return err
+		}
+		if r.Relays {
+			if err := r.reach(n); err != nil {
+				return err
+			}
+		}
+		r.nodes = append(r.nodes, n)
+		r.rules.Nodes[n.ID] = audit.Stand{Zone: n.Zone, Cell: n.Cell}
+	}
+	var err error
+	if r.list, err = r.w.StartList(50, r.nodes, ""); err != nil || !r.Relays {
+		return err
+	}
+	for _, x := range r.all {
+		is := func([]byte) (string, bool) { return x.name, true }
+		if x.toList, err = newRelay(r.list.Address, is, r.way("list")); err != nil {
+			return err
+		}
+		if x.toOwner, err = newRelay(func() string {
+			x.mu.Lock()
+			defer x.mu.Unlock()
+			return x.address
+		}, is, r.way("owner")); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// zones are what the site file says of them.
+func (r *Rig) zones() string {
+	var b strings.Builder
+	names := []string{"east", "west", "north", "south", "inner", "outer"}[:max(2, r.Zones)]
+	for i, z := range names {
+		fmt.Fprintf(&b, `<zone name="%s" region="r%d"/>`, z, i/2)
+	}
+	for i, from := range names {
+		for j, to := range names[:i] {
+			if ms := 10; r.Near {
+				if i/2 == j/2 {
+					ms = 1
+				}
+				fmt.Fprintf(&b, `<way from="%s" to="%s" takes="%dms"/>`, from, to, ms)
+			}
+		}
+	}
+	return b.String()
+}
+
+func (r *Rig) cores() int { return cmp.Or(r.Cores, 64) }
+
+func (r *Rig) zoneOf(i int) string { return r.place.Zones[i%len(r.place.Zones)] }
+
+// stewards names them, as the site file does.
+func (r *Rig) stewards() string {
+	if r.Stewards == 0 {
+		return ""
+	}
+	var names []string
+	for _, x := range r.all[:r.Stewards] {
+		names = append(names, x.name)
+	}
+	return fmt.Sprintf(` stewards="%s"`, strings.Join(names, " "))
+}
+
+// load asks at the plan's rate, each owner in turn, until the rig ends.
+func (r *Rig) load() {
+	tick := time.NewTicker(time.Duration(1e9 / r.Rate))
+	defer tick.Stop()
+	for i := 0; ; i++ {
+		select {
+		case <-r.ctx.Done():
+			return
+		case <-tick.C:
+		}
+		job := i % 3
+		key, service := fmt.Sprint("k", i), fmt.Sprint("v", job, i%23)
+		jt := r.place.Cluster.JobTypes[job]
+		r.all[i%len(r.all)].owner.Ask(&standin.Want{Key: key, Tenant: "t", JobType: r.place.Jobs[job], Service: service, Job: job,
+			Effect: int(jt.Effect), Token: serve.Token("t", key), ServiceKey: serve.Service("t", service), Cores: 1, Memory: 1,
+			Within: r.place.Expiry[job], Target: jt.Target, Until: r.w.Now() + r.place.Expiry[job]})
+	}
+}
