--- a/internal/lab/month/month.go
+++ b/internal/lab/month/month.go
@@ -4,7 +4,6 @@
 package month
 
 import (
-	"bytes"
 	"cmp"
 	"fmt"
 	"math"
@@ -16,13 +15,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"ravenpond/internal/decide/calendar"
-	"ravenpond/internal/decide/drainpace"
-	"ravenpond/internal/engine"
 	"ravenpond/internal/lab/agenda"
-	"ravenpond/internal/proto/line"
-	"ravenpond/internal/proto/node"
 	"ravenpond/internal/standin"
-	"ravenpond/internal/upkeep"
 	"ravenpond/logic"
 )
 
@@ -87,39 +81,6 @@
 	nextID uint64
 }
 
-// spot is a node.
-type spot struct {
-	w    *world
-	id   uint32
-	m    *standin.Machine
-	out  [][2]float64 // true times at which it is out, from drain to end
-	lost bool
-	life uint64
-	zone int
-	cell int
-	kind int
-}
-
-// proc is a scheduler process.
-type proc struct {
-	w       *world
-	index   int
-	skew    float64
-	eng     *engine.Engine
-	keep    *upkeep.Keeper
-	store   *memory
-	out     map[uint32]bool
-	down    bool
-	life    uint32
-	next    float64
-	keepAt  float64
-	refs    uint64
-	moved   int
-	lostNow map[string]bool
-	stuck   float64 // it stands still until then
-	blind   float64 // until then it could not act on its tries that were out: it was down or stood still
-}
-
 func (w *world) after(ms float64, run func()) {
 	w.events.Add(w.now+ms, run)
 }
@@ -354,16 +315,6 @@
 	}
 }
 
-// late notes what comes to a node that is out.
-func (s *spot) late(what string, ticket uint64) {
-	for _, o := range s.out {
-		if s.w.now > o[0]+grace+float64(guard)/1e6 && s.w.now < o[1]-float64(guard)/1e6 {
-			s.w.fail(&s.w.rep.Late, "%s of %x at node %d, out for %.1f s", what, ticket, s.id, (s.w.now-o[0])/1000)
-			return
-		}
-	}
-}
-
 // lose takes a hall away for a while; the lists hear of it seconds later.
 func (w *world) lose(zone int) {
 	w.rep.Lost++
@@ -396,210 +347,3 @@
 		tell(logic.Ready)
 	})
 }
-
-func (p *proc) clock() float64 { return p.w.now + p.skew + 1e6 } // engines begin well above 0
-
-// start begins a life of the process: its store is what outlived the last.
-func (p *proc) start() {
-	p.down, p.blind = false, p.w.now+6000
-	p.life++
-	p.out = map[uint32]bool{}
-	p.w.rep.Restarts += int(min(1, p.life-1))
-	cl := &logic.Cluster{Schedulers: p.w.Processes, Index: p.index, AskEvery: 1e12, Step: 2, MaxTries: 4, MayRecall: true, MayProbe: true,
-		KindCores: []float64{32, 32}, KindMemory: []float64{64, 64}, CoresLimit: 2, MemoryLimit: 2, Report: []string{"x0", "x1"},
-		ReportsCome: true, ColdBears: 100, ColdFor: 8000, FallWindow: 1000, MeanCores: 1, MeanMemory: 2, JobTypes: []logic.JobType{
-			{Effect: logic.Restartable, Target: 2000, Value: 1, Kind: -1},
-			{Effect: logic.Tokened, Group: logic.GroupAll, Window: 8000, Target: 2000, Value: 2, Kind: -1},
-			{Effect: logic.RunOnce, Target: 2000, Value: 3, Kind: -1}}}
-	p.eng = engine.New(hand{p}, p.clock(), engine.Terms{Cluster: cl, Shares: []float64{1}, Open: 500, Margin: 100, Settle: 3000,
-		Life: p.life, Seed: p.w.rng.Uint64()})
-	lim := limits
-	if p.w.Plant == NoGuard {
-		lim.Guard = 0
-	}
-	p.keep = &upkeep.Keeper{Store: p.store, Hands: hand{p}, Limits: lim, Manners: []drainpace.Manner{drainpace.Late, drainpace.Early, drainpace.RunOut}}
-	p.eng.ListBegin(p.clock(), logic.ListCached)
-	for _, s := range p.w.nodes {
-		p.eng.ListNode(s.id, "x", logic.Ready, 0, 32, 64, s.zone, s.cell, s.kind)
-	}
-	p.eng.ListEnd()
-	p.tick() // what an earlier life took out is known before anything is placed
-	p.next, p.keepAt = p.w.now, p.w.now+1000
-}
-
-// stop kills the process; its connections break, what it ran runs on.
-func (p *proc) stop() {
-	p.down, p.blind = true, math.Inf(1)
-	p.w.note("process %d down", p.index)
-}
-
-func (p *proc) list(zone int, avail logic.Availability) {
-	if p.down {
-		return
-	}
-	p.eng.ListBegin(p.clock(), logic.ListChanges)
-	for _, s := range p.w.nodes {
-		if s.zone == zone {
-			p.eng.ListNode(s.id, "x", avail, 0, 32, 64, s.zone, s.cell, s.kind)
-			id := strconv.Itoa(int(s.id))
-			if delete(p.lostNow, id); avail == logic.Gone {
-				p.lostNow[id] = true
-			}
-		}
-	}
-	p.eng.ListEnd()
-}
-
-// tick is the keeper's look, by the process's own clock.
-func (p *proc) tick() {
-	now := begin.Add(time.Duration((p.w.now + p.skew) * 1e6))
-	if err := p.keep.Tick(now, p.w.fleet, p.lostNow); err != nil {
-		panic(err) // the store is in memory
-	}
-}
-
-func (p *proc) ask() {
-	p.refs++
-	p.w.nextID++
-	job := p.w.rng.IntN(jobs)
-	_ = p.eng.Allocate(p.clock(), 1, p.refs, job, 0, uint64(p.w.rng.IntN(12)), p.w.nextID, 1, 2, 8000, 1) // refs are never reused
-	p.next = p.w.now
-}
-
-// hand is a process's edge and its keeper's hands. What it sends is encoded, travels, and is decoded at the node.
-type hand struct{ p *proc }
-
-// send carries a line to a node.
-func (h hand) send(nd uint32, b []byte) {
-	s, life := h.p.w.nodes[nd-1], h.p.life
-	h.p.w.wire(func() {
-		if !s.lost && h.p.life == life {
-			s.hear(h.p, b)
-		}
-	})
-}
-
-func (h hand) Dial(nd uint32, _ string) {
-	p, s, life := h.p, h.p.w.nodes[nd-1], h.p.life
-	p.w.wire(func() {
-		if p.down || p.life != life {
-			return
-		}
-		if s.lost {
-			p.eng.DialFailed(p.clock(), nd, "refused")
-			return
-		}
-		p.eng.Linked(p.clock(), nd, s.life, 0)
-		var b []byte
-		s.m.Held(p.w.now, p.name(), func(ticket uint64, try uint8, runs bool, job, tenant int, service, token uint64, cores, memory float64) {
-			state := 0
-			if runs {
-				state = 1
-			}
-			b = node.AppendHeld(b, ticket, try, state, job, tenant, service, token, cores, memory)
-		})
-		p.hear(s, node.AppendHeldAll(b))
-	})
-}
-
-func (p *proc) name() string { return strconv.Itoa(p.index) }
-
-func (h hand) Hang(uint32, string) {}
-func (h hand) Offer(nd uint32, ticket uint64, try uint8, epoch uint32, timeout float64, jobType, tenant int, service, token uint64,
-	cores, memory float64) {
-	h.p.w.rep.Offers++
-	h.p.w.note("offer %d %x.%d to %d", h.p.index, ticket, try, nd)
-	h.send(nd, node.AppendOffer(nil, ticket, try, epoch, h.p.clock(), timeout, jobType, tenant, service, token, cores, memory))
-}
-func (h hand) Recall(nd uint32, ticket uint64, try uint8) {
-	if h.p.w.Plant != NoRecall {
-		h.send(nd, node.AppendRecall(nil, ticket, try))
-	}
-}
-func (h hand) Stop(nd uint32, ticket uint64, try uint8) {
-	h.send(nd, node.AppendStop(nil, ticket, try))
-}
-func (h hand) Claim(nd uint32, ticket uint64, try uint8) {
-	h.send(nd, node.AppendClaim(nil, ticket, try))
-}
-func (h hand) Probe(nd uint32, seq uint64) { h.send(nd, node.AppendProbe(nil, seq)) }
-func (h hand) Follow(bool)                 {}
-func (h hand) Reload()                     {}
-func (h hand) Leave(int, uint64, uint32, uint32, uint64, uint8) bool {
-	return true
-}
-func (h hand) Lapsed(uint32, uint64)                     {}
-func (h hand) Owned(int, uint64, uint32, uint32, uint64) {}
-func (h hand) Known(int, uint64, uint32, bool)           {}
-func (h hand) Adopt(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
-	return 1, 0, 0, true
-}
-func (h hand) Dropped(int, uint64, uint64, uint32)  {}
-func (h hand) Final(int, uint64, uint32, bool) bool { return true }
-func (h hand) Answer(_ uint32, ref uint64, a engine.Answer, _ uint32, _ string, _ float64) {
-	h.p.w.note("answer %d %d %s", h.p.index, ref, a)
-}
-func (h hand) Over(uint32, uint64, logic.Verdict, logic.Reason) {}
-func (h hand) Mode(l string)                                    { h.p.w.note("%d %s", h.p.index, l) }
-
-// Out and the others are the keeper's hands.
-func (h hand) Out(nodes []string, out bool) {
-	var ids []uint32
-	for _, n := range nodes {
-		id, _ := strconv.Atoi(n)
-		ids = append(ids, uint32(id))
-		if delete(h.p.out, uint32(id)); out {
-			h.p.out[uint32(id)] = true
-		}
-	}
-	h.p.eng.Calendar(h.p.clock(), ids, out)
-}
-
-func (h hand) Running(nodes []string) (there []int, all int) {
-	there = make([]int, jobs)
-	for _, n := range nodes {
-		id, _ := strconv.Atoi(n)
-		h.p.eng.Running(uint32(id), there)
-	}
-	return there, h.p.eng.Stats().Tries
-}
-
-func (h hand) MoveOff(nodes []string, job, most int) (n int) {
-	may := make([]bool, jobs)
-	may[job] = true
-	for _, name := range nodes {
-		id, _ := strconv.Atoi(name)
-		n += h.p.eng.MoveOff(h.p.clock(), uint32(id), may, most-n)
-	}
-	h.p.moved += n
-	return n
-}
-
-// hear decodes what came to a node.
-func (s *spot) hear(p *proc, b []byte) {
-	in := line.NewReader(bytes.NewReader(b))
-	for {
-		fields, err := in.Next()
-		if err != nil {
-			return
-		}
-		if err := node.DecodeScheduler(fields, arrival{s, p}); err != nil {
-			panic(err) // our own codec
-		}
-	}
-}
-
-// hear decodes what came to a process.
-func (p *proc) hear(s *spot, b []byte) {
-	in := line.NewReader(bytes.NewReader(b))
-	var buf [node.MaxReport]float64
-	for {
-		fields, err := in.Next()
-		if err != nil {
-			return
-		}
-		if err := node.DecodeNode(fields, reply{p, s}, buf[:]); err != nil {
-			p.w.note("%d faults node %d: %v", p.index, s.id, err)
-		}
-	}
-}
--- /dev/null
+++ b/internal/lab/month/process.go
@@ -0,0 +1,121 @@
+package month
+
+import (
+	"bytes"
+	"math"
+	"strconv"
+	"time"
+
+	"ravenpond/internal/decide/drainpace"
+	"ravenpond/internal/engine"
+	"ravenpond/internal/proto/line"
+	"ravenpond/internal/proto/node"
+	"ravenpond/internal/upkeep"
+	"ravenpond/logic"
+)
+
+// proc is a scheduler process.
+type proc struct {
+	w       *world
+	index   int
+	skew    float64
+	eng     *engine.Engine
+	keep    *upkeep.Keeper
+	store   *memory
+	out     map[uint32]bool
+	down    bool
+	life    uint32
+	next    float64
+	keepAt  float64
+	refs    uint64
+	moved   int
+	lostNow map[string]bool
+	stuck   float64 // it stands still until then
+	blind   float64 // until then it could not act on its tries that were out: it was down or stood still
+}
+
+func (p *proc) clock() float64 { return p.w.now + p.skew + 1e6 } // engines begin well above 0
+
+// start begins a life of the process: its store is what outlived the last.
+func (p *proc) start() {
+	p.down, p.blind = false, p.w.now+6000
+	p.life++
+	p.out = map[uint32]bool{}
+	p.w.rep.Restarts += int(min(1, p.life-1))
+	cl := &logic.Cluster{Schedulers: p.w.Processes, Index: p.index, AskEvery: 1e12, Step: 2, MaxTries: 4, MayRecall: true, MayProbe: true,
+		KindCores: []float64{32, 32}, KindMemory: []float64{64, 64}, CoresLimit: 2, MemoryLimit: 2, Report: []string{"x0", "x1"},
+		ReportsCome: true, ColdBears: 100, ColdFor: 8000, FallWindow: 1000, MeanCores: 1, MeanMemory: 2, JobTypes: []logic.JobType{
+			{Effect: logic.Restartable, Target: 2000, Value: 1, Kind: -1},
+			{Effect: logic.Tokened, Group: logic.GroupAll, Window: 8000, Target: 2000, Value: 2, Kind: -1},
+			{Effect: logic.RunOnce, Target: 2000, Value: 3, Kind: -1}}}
+	p.eng = engine.New(hand{p}, p.clock(), engine.Terms{Cluster: cl, Shares: []float64{1}, Open: 500, Margin: 100, Settle: 3000,
+		Life: p.life, Seed: p.w.rng.Uint64()})
+	lim := limits
+	if p.w.Plant == NoGuard {
+		lim.Guard = 0
+	}
+	p.keep = &upkeep.Keeper{Store: p.store, Hands: hand{p}, Limits: lim, Manners: []drainpace.Manner{drainpace.Late, drainpace.Early, drainpace.RunOut}}
+	p.eng.ListBegin(p.clock(), logic.ListCached)
+	for _, s := range p.w.nodes {
+		p.eng.ListNode(s.id, "x", logic.Ready, 0, 32, 64, s.zone, s.cell, s.kind)
+	}
+	p.eng.ListEnd()
+	p.tick() // what an earlier life took out is known before anything is placed
+	p.next, p.keepAt = p.w.now, p.w.now+1000
+}
+
+// stop kills the process; its connections break, what it ran runs on.
+func (p *proc) stop() {
+	p.down, p.blind = true, math.Inf(1)
+	p.w.note("process %d down", p.index)
+}
+
+func (p *proc) list(zone int, avail logic.Availability) {
+	if p.down {
+		return
+	}
+	p.eng.ListBegin(p.clock(), logic.ListChanges)
+	for _, s := range p.w.nodes {
+		if s.zone == zone {
+			p.eng.ListNode(s.id, "x", avail, 0, 32, 64, s.zone, s.cell, s.kind)
+			id := strconv.Itoa(int(s.id))
+			if delete(p.lostNow, id); avail == logic.Gone {
+				p.lostNow[id] = true
+			}
+		}
+	}
+	p.eng.ListEnd()
+}
+
+// tick is the keeper's look, by the process's own clock.
+func (p *proc) tick() {
+	now := begin.Add(time.Duration((p.w.now + p.skew) * 1e6))
+	if err := p.keep.Tick(now, p.w.fleet, p.lostNow); err != nil {
+		panic(err) // the store is in memory
+	}
+}
+
+func (p *proc) ask() {
+	p.refs++
+	p.w.nextID++
+	job := p.w.rng.IntN(jobs)
+	_ = p.eng.Allocate(p.clock(), 1, p.refs, job, 0, uint64(p.w.rng.IntN(12)), p.w.nextID, 1, 2, 8000, 1) // refs are never reused
+	p.next = p.w.now
+}
+
+func (p *proc) name() string { return strconv.Itoa(p.index) }
+
+// hear decodes what came to a process.
+func (p *proc) hear(s *spot, b []byte) {
+	in := line.NewReader(bytes.NewReader(b))
+	var buf [node.MaxReport]float64
+	for {
+		fields, err := in.Next()
+		if err != nil {
+			return
+		}
+		if err := node.DecodeNode(fields, reply{p, s}, buf[:]); err != nil {
+			p.w.note("%d faults node %d: %v", p.index, s.id, err)
+		}
+	}
+}
