--- a/internal/besteffort/besteffort.go
+++ b/internal/besteffort/besteffort.go
@@ -1,5 +1,5 @@
-// Package besteffort keeps what is only said to people apart from what serves: counts, traces, figures in the log. It guards
-// against a word that ends a process which holds work.
+// Package besteffort runs diagnostics that may fail: statistics, traces, log lines. A panic in one of them does not end a process that
+// holds work.
 package besteffort
 
 import (
@@ -8,21 +8,21 @@
 	"sync"
 )
 
-// Fence runs what is only said. What panics is told once, with its stack, and is not run again. The zero value works;
-// it may be used by several goroutines.
-type Fence struct {
-	// Tell says what was switched off and why. It may be nil.
+// Guard runs diagnostics. One that panics is reported once, with its stack, and not run again. The zero value is ready to use. A Guard is
+// safe for concurrent use.
+type Guard struct {
+	// Tell reports which diagnostic was switched off and why. It may be nil.
 	Tell func(what, why string)
 
 	mu  sync.Mutex
 	off map[string]bool
 }
 
-// Do runs something said under a name, unless one of that name has panicked. It reports whether it went through.
-func (f *Fence) Do(what string, say func()) (ok bool) {
-	f.mu.Lock()
-	off := f.off[what]
-	f.mu.Unlock()
+// Do runs the diagnostic of a name unless it has panicked before. It reports whether it completed.
+func (g *Guard) Do(what string, say func()) (ok bool) {
+	g.mu.Lock()
+	off := g.off[what]
+	g.mu.Unlock()
 	if off {
 		return false
 	}
@@ -31,15 +31,15 @@
 		if p == nil {
 			return
 		}
-		f.mu.Lock()
-		first := !f.off[what]
-		if f.off == nil {
-			f.off = map[string]bool{}
+		g.mu.Lock()
+		first := !g.off[what]
+		if g.off == nil {
+			g.off = map[string]bool{}
 		}
-		f.off[what] = true
-		f.mu.Unlock()
-		if first && f.Tell != nil {
-			f.Tell(what, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
+		g.off[what] = true
+		g.mu.Unlock()
+		if first && g.Tell != nil {
+			g.Tell(what, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
 		}
 	}()
 	say()
--- a/internal/decide/fragment/fragment.go
+++ b/internal/decide/fragment/fragment.go
@@ -1,17 +1,17 @@
-// Package fragment cuts messages into parts that fit a datagram and puts them together again. A message of which a part is
-// lost is lost: who sent it says it again, or something newer. It guards against parts that come twice, late, out of order or
-// never, and against senders that begin many messages and end none.
+// Package fragment splits messages into fragments that fit a datagram and reassembles them. A message of which a fragment is lost is lost;
+// its sender sends it again, or something newer. The package tolerates duplicate, late, reordered and missing fragments, and limits what
+// senders of many incomplete messages can occupy.
 package fragment
 
-// Bounds of messages.
+// Limits.
 const (
-	MostParts = 64 // of a message: so many datagrams may overtake each other
-	atOnce    = 8  // messages of a sender that are not whole yet
-	mostFrom  = 512
+	MostParts = 64  // fragments of a message; datagrams may be reordered by as many
+	atOnce    = 8   // incomplete messages of a sender
+	mostFrom  = 512 // senders
 )
 
-// Cut cuts a message into parts of so many bytes at most; none if it is too long.
-func Cut(body []byte, most int) (parts [][]byte) {
+// Split splits a message into fragments of at most that many bytes. It returns nil if there would be more than MostParts.
+func Split(body []byte, most int) (parts [][]byte) {
 	if len(body) > MostParts*most {
 		return nil
 	}
@@ -21,17 +21,17 @@
 	return append(parts, body)
 }
 
-// Whole puts messages together. Its zero value holds nothing.
-type Whole struct {
+// Reassembler reassembles messages. Its zero value is ready to use.
+type Reassembler struct {
 	from  map[string]*sender
-	order []string // in which senders were first heard
+	order []string // senders, the one heard first in front
 }
 
 type sender struct {
 	life     uint64
 	messages []*message // the oldest first
-	done     uint64     // the highest number that was whole, and which of the 64 below it
-	below    uint64
+	done     uint64     // the highest number of a complete message
+	below    uint64     // bit set of the 64 numbers below it that are complete
 }
 
 type message struct {
@@ -40,13 +40,13 @@
 	left   int
 }
 
-// Take takes a part of a message, which a life of its sender numbers; the whole message when it is the last that was
-// missing. Its bytes are copied.
-func (w *Whole) Take(from string, life, number uint64, index, of int, body []byte) ([]byte, bool) {
+// Add adds a fragment of a message that an incarnation of its sender has numbered. It returns the message if this was the last missing
+// fragment. The bytes are copied.
+func (r *Reassembler) Add(from string, life, number uint64, index, of int, body []byte) ([]byte, bool) {
 	if of > MostParts || index < 0 || index >= of {
 		return nil, false
 	}
-	s := w.sender(from, life)
+	s := r.sender(from, life)
 	if s == nil || s.was(number) {
 		return nil, false
 	}
@@ -57,7 +57,7 @@
 		}
 	}
 	if m == nil {
-		if len(s.messages) == atOnce { // the oldest lacks a part that is lost
+		if len(s.messages) == atOnce { // the oldest one lacks a lost fragment
 			s.messages = append(s.messages[:0], s.messages[1:]...)
 		}
 		m = &message{number: number, parts: make([][]byte, of), left: of}
@@ -78,20 +78,21 @@
 	return all, true
 }
 
-func (w *Whole) sender(from string, life uint64) *sender {
-	s := w.from[from]
+// sender returns what is kept of a sender's incarnation, nil if it is outdated.
+func (r *Reassembler) sender(from string, life uint64) *sender {
+	s := r.from[from]
 	switch {
 	case s == nil:
-		if w.from == nil {
-			w.from = map[string]*sender{}
+		if r.from == nil {
+			r.from = map[string]*sender{}
 		}
-		if len(w.order) == mostFrom {
-			delete(w.from, w.order[0])
-			w.order = append(w.order[:0], w.order[1:]...)
+		if len(r.order) == mostFrom {
+			delete(r.from, r.order[0])
+			r.order = append(r.order[:0], r.order[1:]...)
 		}
 		s = &sender{life: life}
-		w.from[from] = s
-		w.order = append(w.order, from)
+		r.from[from] = s
+		r.order = append(r.order, from)
 	case life < s.life:
 		return nil
 	case life > s.life:
@@ -100,10 +101,12 @@
 	return s
 }
 
+// was reports whether a message was complete before.
 func (s *sender) was(number uint64) bool {
 	return number <= s.done && (s.done-number >= 64 || number == s.done || s.below>>(s.done-number-1)&1 == 1)
 }
 
+// end records a complete message.
 func (s *sender) end(m *message) {
 	if by := m.number - s.done; m.number > s.done {
 		if by < 64 {
--- a/internal/decide/fragment/fragment_test.go
+++ b/internal/decide/fragment/fragment_test.go
@@ -16,13 +16,13 @@
 			index, of int
 			body      []byte
 		}
-		var w Whole
+		var w Reassembler
 		var way []part
 		sent, lost := map[uint64][]byte{}, map[uint64]bool{}
 		for number := uint64(1); number <= uint64(rapid.IntRange(1, 5).Draw(t, "messages")); number++ {
 			body := bytes.Repeat([]byte{byte(number)}, rapid.IntRange(0, 30).Draw(t, "bytes"))
 			sent[number] = body
-			parts := Cut(body, 7)
+			parts := Split(body, 7)
 			for i, p := range parts {
 				for range rapid.IntRange(0, 2).Draw(t, "times") {
 					way = append(way, part{number, i, len(parts), p})
@@ -32,7 +32,7 @@
 		}
 		got := map[uint64]int{}
 		for _, p := range rapid.Permutation(way).Draw(t, "way") {
-			if body, ok := w.Take("a", 1, p.number, p.index, p.of, p.body); ok {
+			if body, ok := w.Add("a", 1, p.number, p.index, p.of, p.body); ok {
 				if got[p.number]++; got[p.number] > 1 || !bytes.Equal(body, sent[p.number]) {
 					t.Fatalf("message %d came %d times as %v, sent as %v", p.number, got[p.number], body, sent[p.number])
 				}
@@ -47,24 +47,24 @@
 }
 
 func TestBounds(t *testing.T) {
-	var w Whole
-	if Cut(make([]byte, MostParts*10+1), 10) != nil || len(Cut(nil, 10)) != 1 {
+	var w Reassembler
+	if Split(make([]byte, MostParts*10+1), 10) != nil || len(Split(nil, 10)) != 1 {
 		t.Error("cut what is too long, or nothing into nothing")
 	}
 	for n := uint64(1); n <= 100; n++ { // begun and never ended
-		w.Take("a", 1, n, 0, 2, nil)
+		w.Add("a", 1, n, 0, 2, nil)
 	}
 	if got := len(w.from["a"].messages); got != atOnce {
 		t.Errorf("%d messages are kept", got)
 	}
-	if _, ok := w.Take("a", 2, 1, 0, 1, []byte("x")); !ok {
+	if _, ok := w.Add("a", 2, 1, 0, 1, []byte("x")); !ok {
 		t.Error("a message of the next life")
 	}
-	if _, ok := w.Take("a", 1, 200, 0, 1, nil); ok {
+	if _, ok := w.Add("a", 1, 200, 0, 1, nil); ok {
 		t.Error("a message of the life before")
 	}
 	for i := range mostFrom + 50 {
-		w.Take(string(rune(i+1000)), 1, 1, 0, 2, nil)
+		w.Add(string(rune(i+1000)), 1, 1, 0, 2, nil)
 	}
 	if len(w.from) > mostFrom {
 		t.Errorf("%d senders are kept", len(w.from))
--- a/internal/decide/gossip/gossip.go
+++ b/internal/decide/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip decides what schedulers tell each other of the node list: that a node drains or is gone, by which version of
-// the list. A scheduler that is cut off from the list learns of it so from those who are not. A word of others makes it
-// more careful alone: it holds a node back until its own list has come as far, and says nothing of one that is ready.
+// Package gossip decides which changes of the node list schedulers gossip: that a node drains or is gone, and by which version of the
+// list. A scheduler that can't reach the list service learns of them from others. Gossip only makes it more cautious: it places nothing new
+// on such a node until its own list has the same version. Nothing is gossiped about ready nodes.
 package gossip
 
 import (
@@ -9,102 +9,104 @@
 )
 
 const (
-	believed = 60000 // ms that a word counts which the own list never comes to: its version may be nobody's
-	most     = 4096  // words that are kept
+	believed = 60000 // ms for which an update is believed whose version the own list never reaches
+	most     = 4096  // updates that are kept
 )
 
-// word is that by a version of the list a node is not ready.
-type word struct {
-	node    uint32
-	version uint64
-	gone    bool
-	at      float64
-	told    int
-	heard   bool // from others, ahead of the own list
+// update says that a node is not ready by a version of the list.
+type update struct {
+	node          uint32
+	version       uint64
+	gone          bool
+	at            float64
+	transmissions int
+	received      bool // received from others, ahead of the own list
 }
 
-// Board keeps words. The zero value has none.
-type Board struct {
-	own   uint64
-	words map[uint32]*word
-	order []*word // that are still told
+// Store keeps updates. Its zero value is empty.
+type Store struct {
+	own     uint64
+	updates map[uint32]*update
+	order   []*update // that are still sent
 }
 
-// Own takes an answer of the own list: the version it brings, and each node that it names.
-func (b *Board) Own(now float64, version uint64, each func(yield func(node uint32, ready, gone bool))) {
-	b.own = max(b.own, version)
+// OnList handles an answer of the own list: its version and each node in it.
+func (s *Store) OnList(now float64, version uint64, each func(yield func(node uint32, ready, gone bool))) {
+	s.own = max(s.own, version)
 	each(func(node uint32, ready, gone bool) {
-		if w := b.words[node]; w != nil && w.version > version {
+		if w := s.updates[node]; w != nil && w.version > version {
 			return // others are ahead
 		}
 		if ready {
-			b.drop(node)
+			s.drop(node)
 			return
 		}
-		if w := b.words[node]; w == nil || w.gone != gone {
-			b.put(&word{node: node, version: version, gone: gone, at: now})
+		if w := s.updates[node]; w == nil || w.gone != gone {
+			s.put(&update{node: node, version: version, gone: gone, at: now})
 		}
 	})
-	for node, w := range b.words {
-		if w.heard && w.version <= b.own { // the own list has said whatever it has to say of it
-			b.drop(node)
+	for node, w := range s.updates {
+		if w.received && w.version <= s.own { // the own list is as recent
+			s.drop(node)
 		}
 	}
 }
 
-// Heard takes a word of another scheduler. It tells whether that is news here.
-func (b *Board) Heard(now float64, node uint32, version uint64, gone bool) bool {
-	if w := b.words[node]; version <= b.own || w != nil && w.version >= version || len(b.words) >= most {
+// OnUpdate handles an update from another scheduler and reports whether it is new.
+func (s *Store) OnUpdate(now float64, node uint32, version uint64, gone bool) bool {
+	if w := s.updates[node]; version <= s.own || w != nil && w.version >= version || len(s.updates) >= most {
 		return false
 	}
-	b.put(&word{node: node, version: version, gone: gone, at: now, heard: true})
+	s.put(&update{node: node, version: version, gone: gone, at: now, received: true})
 	return true
 }
 
-func (b *Board) put(w *word) {
-	if b.words == nil {
-		b.words = map[uint32]*word{}
+// put stores an update in place of an earlier one.
+func (s *Store) put(w *update) {
+	if s.updates == nil {
+		s.updates = map[uint32]*update{}
 	}
-	b.drop(w.node)
-	b.words[w.node] = w
-	b.order = append(b.order, w)
-	if len(b.order) > most {
-		b.order = slices.Delete(b.order, 0, len(b.order)-most)
+	s.drop(w.node)
+	s.updates[w.node] = w
+	s.order = append(s.order, w)
+	if len(s.order) > most {
+		s.order = slices.Delete(s.order, 0, len(s.order)-most)
 	}
 }
 
-func (b *Board) drop(node uint32) {
-	if w := b.words[node]; w != nil {
-		delete(b.words, node)
-		b.order = slices.DeleteFunc(b.order, func(x *word) bool { return x == w })
+// drop removes the update of a node.
+func (s *Store) drop(node uint32) {
+	if w := s.updates[node]; w != nil {
+		delete(s.updates, node)
+		s.order = slices.DeleteFunc(s.order, func(x *update) bool { return x == w })
 	}
 }
 
-// Ride gives words to be told, least told first, until one does not fit. Each is given so many times in all.
-func (b *Board) Ride(often int, fits func(node uint32, version uint64, gone bool) bool) {
-	if len(b.order) == 0 {
+// Piggyback passes updates to fits, the least sent first, until one does not fit. Each is sent so many times in total.
+func (s *Store) Piggyback(often int, fits func(node uint32, version uint64, gone bool) bool) {
+	if len(s.order) == 0 {
 		return
 	}
-	slices.SortStableFunc(b.order, func(x, y *word) int { return cmp.Compare(x.told, y.told) })
-	kept, full := b.order[:0], false
-	for _, w := range b.order {
+	slices.SortStableFunc(s.order, func(x, y *update) int { return cmp.Compare(x.transmissions, y.transmissions) })
+	kept, full := s.order[:0], false
+	for _, w := range s.order {
 		if !full {
 			if full = !fits(w.node, w.version, w.gone); !full {
-				w.told++
+				w.transmissions++
 			}
 		}
-		if w.told < often {
+		if w.transmissions < often {
 			kept = append(kept, w)
 		}
 	}
-	clear(b.order[len(kept):])
-	b.order = kept
+	clear(s.order[len(kept):])
+	s.order = kept
 }
 
-// Held are the nodes that get nothing new on the word of others, sorted.
-func (b *Board) Held(now float64) (nodes []uint32) {
-	for node, w := range b.words {
-		if w.heard && w.version > b.own && now-w.at < believed {
+// Unready returns, sorted, the nodes that are not ready according to others.
+func (s *Store) Unready(now float64) (nodes []uint32) {
+	for node, w := range s.updates {
+		if w.received && w.version > s.own && now-w.at < believed {
 			nodes = append(nodes, node)
 		}
 	}
--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -11,30 +11,30 @@
 	ready, gone bool
 }
 
-func own(b *Board, now float64, version uint64, all ...entry) {
-	b.Own(now, version, func(yield func(uint32, bool, bool)) {
+func own(b *Store, now float64, version uint64, all ...entry) {
+	b.OnList(now, version, func(yield func(uint32, bool, bool)) {
 		for _, e := range all {
 			yield(e.node, e.ready, e.gone)
 		}
 	})
 }
 
-func held(t *testing.T, what string, b *Board, now float64, want ...uint32) {
+func held(t *testing.T, what string, b *Store, now float64, want ...uint32) {
 	t.Helper()
-	if got := b.Held(now); fmt.Sprint(got) != fmt.Sprint(want) {
+	if got := b.Unready(now); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("%s: %v are held, want %v", what, got, want)
 	}
 }
 
 // TestCareful holds that others' words hold nodes back until the own list has come as far, and never set one free.
 func TestCareful(t *testing.T) {
-	var b Board
+	var b Store
 	own(&b, 0, 10, entry{1, true, false}, entry{2, false, false})
 	held(t, "own list alone", &b, 0)
-	if b.Heard(1, 1, 9, false) || b.Heard(1, 1, 10, false) {
+	if b.OnUpdate(1, 1, 9, false) || b.OnUpdate(1, 1, 10, false) {
 		t.Error("older news are taken")
 	}
-	if !b.Heard(1, 1, 12, false) || b.Heard(1, 1, 12, false) || b.Heard(1, 1, 11, true) {
+	if !b.OnUpdate(1, 1, 12, false) || b.OnUpdate(1, 1, 12, false) || b.OnUpdate(1, 1, 11, true) {
 		t.Error("newer news count once, and older ones after them not")
 	}
 	held(t, "one drains by a later version", &b, 1, 1)
@@ -42,7 +42,7 @@
 	held(t, "the own list is behind still, and has it ready", &b, 2, 1)
 	own(&b, 3, 13)
 	held(t, "it has come further, and says nothing of it", &b, 3)
-	b.Heard(4, 3, 20, true)
+	b.OnUpdate(4, 3, 20, true)
 	held(t, "gone", &b, 4, 3)
 	held(t, "a version that never comes", &b, 4+believed, []uint32{}...)
 	own(&b, 5, 20, entry{3, true, false})
@@ -51,11 +51,11 @@
 
 // TestRide holds that each word is told as often as it is to be, least told first, and no more once it is lifted.
 func TestRide(t *testing.T) {
-	var b Board
+	var b Store
 	own(&b, 0, 5, entry{1, false, false}, entry{2, false, true}, entry{3, false, false})
 	counts := map[uint32]int{}
 	ride := func(room int) {
-		b.Ride(3, func(node uint32, _ uint64, _ bool) bool {
+		b.Piggyback(3, func(node uint32, _ uint64, _ bool) bool {
 			if room--; room < 0 {
 				return false
 			}
@@ -84,11 +84,11 @@
 
 // TestBounded holds that a liar fills no more than its bound.
 func TestBounded(t *testing.T) {
-	var b Board
+	var b Store
 	for i := range uint32(3 * most) {
-		b.Heard(0, i, 9, false)
+		b.OnUpdate(0, i, 9, false)
 	}
-	if len(b.words) > most || len(b.order) > most {
-		t.Errorf("%d words, %d told", len(b.words), len(b.order))
+	if len(b.updates) > most || len(b.order) > most {
+		t.Errorf("%d words, %d told", len(b.updates), len(b.order))
 	}
 }
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -159,10 +159,10 @@
 
 	carrier      Carrier // nil: none
 	stateVersion uint64  // version of the cluster state that this process holds
-	reassembler  fragment.Whole
+	reassembler  fragment.Reassembler
 
-	nodeGossip       gossip.Board
-	nodeReachability reachability.Board
+	nodeGossip       gossip.Store
+	nodeReachability reachability.Tracker
 	slowStart        *slowstart.Holder // nil: nothing is shared
 	quota            *slowstart.Holder // nil: nothing is lent
 
--- a/internal/decide/membership/receive.go
+++ b/internal/decide/membership/receive.go
@@ -90,12 +90,12 @@
 
 // Word handles gossip about a node.
 func (d datagramHandler) Word(node uint32, version uint64, gone bool) {
-	d.nodeGossip.Heard(d.now, node, version, gone)
+	d.nodeGossip.OnUpdate(d.now, node, version, gone)
 }
 
 // Silent keeps a question about a node for the ack of the probe that carries it.
 func (d datagramHandler) Silent(node uint32) {
-	if len(d.header.silent) < reachability.Most {
+	if len(d.header.silent) < reachability.MaxQuestions {
 		d.header.silent = append(d.header.silent, node)
 	}
 }
@@ -107,9 +107,9 @@
 		return
 	}
 	if h.number == d.probe.number && d.probe.out {
-		d.nodeReachability.Told(d.probe.sent, node, life, ago)
+		d.nodeReachability.OnAnswer(d.probe.sent, node, life, ago)
 	} else if w, ok := d.lateProbes[h.number]; ok {
-		d.nodeReachability.Told(w.sent, node, life, ago)
+		d.nodeReachability.OnAnswer(w.sent, node, life, ago)
 	}
 }
 
@@ -126,7 +126,7 @@
 	if h.kind != codec.Carry || d.carrier == nil {
 		return
 	}
-	if all, ok := d.reassembler.Take(h.m.Name, h.m.Life, h.number, index, of, body); ok {
+	if all, ok := d.reassembler.Add(h.m.Name, h.m.Life, h.number, index, of, body); ok {
 		d.carrier.Carried(h.m.Name, all)
 	}
 }
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -33,7 +33,7 @@
 		return false
 	}
 	d.sequence++
-	parts := fragment.Cut(body, codec.MostPart)
+	parts := fragment.Split(body, codec.MostPart)
 	for i, p := range parts {
 		m.sentCount++
 		b := codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.Carry, d.sequence, "", 0, "", "")
@@ -84,7 +84,7 @@
 	}
 	switch {
 	case kind == codec.Ping:
-		d.nodeReachability.Ask(d.now, func(node uint32) (ok bool) {
+		d.nodeReachability.Questions(d.now, func(node uint32) (ok bool) {
 			b, ok = codec.Silent(b, node)
 			return ok
 		})
@@ -118,7 +118,7 @@
 	}
 	clear(d.updates[len(kept):])
 	d.updates = kept
-	d.nodeGossip.Ride(most, func(node uint32, version uint64, gone bool) (ok bool) {
+	d.nodeGossip.Piggyback(most, func(node uint32, version uint64, gone bool) (ok bool) {
 		b, ok = codec.Word(b, node, version, gone)
 		return ok
 	})
--- a/internal/decide/nodefailure/nodefailure.go
+++ b/internal/decide/nodefailure/nodefailure.go
@@ -12,8 +12,8 @@
 	failing = 2000 // while looks have failed for so long: one look may have met a lost packet
 )
 
-// Watch follows one node. The zero value has heard nothing.
-type Watch struct {
+// Detector follows one node. The zero value has heard nothing.
+type Detector struct {
 	heard   float64 // the last word, or connection made
 	looked  float64
 	since   float64 // of the first look that failed, 0: none has
@@ -22,10 +22,10 @@
 }
 
 // Heard says that something came from the node, or that it took a connection.
-func (w *Watch) Heard(now float64) { w.heard, w.since, w.looking = now, 0, false }
+func (w *Detector) Heard(now float64) { w.heard, w.since, w.looking = now, 0, false }
 
 // Looked says that a look came to nothing.
-func (w *Watch) Looked(now float64, refusal bool) {
+func (w *Detector) Looked(now float64, refusal bool) {
 	w.looking = false
 	if w.since == 0 {
 		w.since, w.refuses = now, true
@@ -34,22 +34,22 @@
 }
 
 // Missed says that a look could not be made here: it says nothing of the node.
-func (w *Watch) Missed() { w.looking = false }
+func (w *Detector) Missed() { w.looking = false }
 
 // Due tells whether to try a new connection now, where something stands at the node: none is open, or all are quiet.
-func (w *Watch) Due(now float64, linked bool) bool {
+func (w *Detector) Due(now float64, linked bool) bool {
 	return !w.looking && now-w.looked >= again && (!linked || w.since > 0 || now-max(w.heard, w.looked) >= quiet)
 }
 
 // Look says that one is tried.
-func (w *Watch) Look(now float64) { w.looking, w.looked = true, now }
+func (w *Detector) Look(now float64) { w.looking, w.looked = true, now }
 
 // Since is how long ago the node was last looked for, or heard.
-func (w *Watch) Since(now float64) float64 { return now - max(w.looked, w.heard) }
+func (w *Detector) Since(now float64) float64 { return now - max(w.looked, w.heard) }
 
 // Lost tells whether what stands there has ended. gone tells that the list no longer has the node: it is not looked
 // for any more, as its address may be another's, and ends with its last connection.
-func (w *Watch) Lost(now float64, gone, linked bool) bool {
+func (w *Detector) Lost(now float64, gone, linked bool) bool {
 	if gone && !linked {
 		return true
 	}
--- a/internal/decide/nodefailure/nodefailure_test.go
+++ b/internal/decide/nodefailure/nodefailure_test.go
@@ -20,7 +20,7 @@
 		{"the list has it no more", func(int) bool { return false }, 0, true, 1000, 1100},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var w Watch
+			var w Detector
 			w.Heard(1000)
 			looks, lostAt := 0, 0.0
 			for now := 1000.0; now < 20000 && lostAt == 0; now += 100 {
@@ -47,7 +47,7 @@
 
 // TestLook looks for a node that is quiet, not for one that is heard.
 func TestLook(t *testing.T) {
-	var w Watch
+	var w Detector
 	looks := 0
 	for now := 1000.0; now < 11000; now += 100 {
 		w.Heard(now)
@@ -73,7 +73,7 @@
 
 // TestMissed has looks fail for want of descriptors here: the node is not called lost by that, and is looked for again.
 func TestMissed(t *testing.T) {
-	var w Watch
+	var w Detector
 	w.Heard(1000)
 	looks := 0
 	for now := 1000.0; now < 21000; now += 100 {
--- a/internal/decide/overload/overload.go
+++ b/internal/decide/overload/overload.go
@@ -15,18 +15,18 @@
 	leastIn = 4   // but so many asks at least
 )
 
-// Watch follows the turns of a process's loop. Its zero value has seen none.
-type Watch struct{ worst, at float64 }
+// Monitor follows the turns of a process's loop. Its zero value has seen none.
+type Monitor struct{ worst, at float64 }
 
 // Turn says that a turn was due, began and ended then: what came before it began lay unread for as long as it was late, at
 // least, and what came while it ran until it ended.
-func (w *Watch) Turn(due, began, ended float64) {
+func (w *Monitor) Turn(due, began, ended float64) {
 	w.worst = max(w.Behind(ended), began-due, ended-began)
 	w.at = ended
 }
 
 // Behind is how long what comes now is likely to lie unread, in ms.
-func (w *Watch) Behind(now float64) float64 {
+func (w *Monitor) Behind(now float64) float64 {
 	if w.worst == 0 {
 		return 0
 	}
@@ -34,7 +34,7 @@
 }
 
 // Patience is how long, in ms, a time-out that runs out now waits yet for an answer that may lie unread.
-func (w *Watch) Patience(now float64) float64 {
+func (w *Monitor) Patience(now float64) float64 {
 	if b := w.Behind(now); b > noticed {
 		return min(b, most)
 	}
@@ -43,7 +43,7 @@
 
 // Left is what is left, of the time in ms that an owner said it would wait, to an ask that is read now: it lay unread for a
 // while, and its answer has to wait for its turn as well.
-func (w *Watch) Left(now, said float64) float64 {
+func (w *Monitor) Left(now, said float64) float64 {
 	if b := w.Behind(now); b > noticed {
 		return max(said/2, said-2*b)
 	}
--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -18,14 +18,14 @@
 		{"woken before it was due", 100, 90, 91, 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var w Watch
+			var w Monitor
 			w.Turn(c.due, c.began, c.ended)
 			if got := w.Behind(c.ended + c.after); math.Abs(got-c.want) > 1e-9 {
 				t.Errorf("behind %g, want %g", got, c.want)
 			}
 		})
 	}
-	var w Watch
+	var w Monitor
 	w.Turn(0, 80, 80)
 	w.Turn(80, 81, 81)
 	if got := w.Behind(81); got < 79 {
@@ -45,7 +45,7 @@
 		{"never seen", 0, 0, 1000, 1000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var w Watch
+			var w Monitor
 			if c.behind > 0 {
 				w.Turn(0, c.behind, c.behind)
 			}
--- a/internal/decide/pausedetect/pausedetect.go
+++ b/internal/decide/pausedetect/pausedetect.go
@@ -10,15 +10,15 @@
 	most    = 400 // and the longest, where news doesn't cease
 )
 
-// Watch follows the times of rounds.
-type Watch struct {
+// Detector follows the times of rounds.
+type Detector struct {
 	last, since, until float64
 	started            bool
 }
 
 // Round is told the time of each round, and whether there was news since the last. It returns how long the
 // process stood still when it first notices, else 0, and whether this round may act.
-func (w *Watch) Round(now float64, news bool) (stood float64, act bool) {
+func (w *Detector) Round(now float64, news bool) (stood float64, act bool) {
 	gap := now - w.last
 	w.last = now
 	if !w.started {
@@ -39,4 +39,4 @@
 }
 
 // Until is when acting begins again; in the past while the process runs as usual.
-func (w *Watch) Until() float64 { return w.until }
+func (w *Detector) Until() float64 { return w.until }
--- a/internal/decide/pausedetect/pausedetect_test.go
+++ b/internal/decide/pausedetect/pausedetect_test.go
@@ -16,7 +16,7 @@
 		{"news without end", 3000, 1e9, true, most - settle},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var w Watch
+			var w Detector
 			w.Round(1000, false)
 			begin := 1000 + c.gap
 			stood, act := w.Round(begin, true)
--- a/internal/decide/reachability/reachability.go
+++ b/internal/decide/reachability/reachability.go
@@ -1,9 +1,9 @@
-// Package reachability decides whether a node that has fallen silent here is dead, or the way to it is: by what other schedulers hear
-// of it. A word of others never has this process send anything to a node that it does not reach. It may wait longer for what
-// runs there, as the node does run, or give it up sooner, as the node has begun another life.
+// Package reachability decides by indirect probing whether an unreachable node is dead or only the network path to it is broken: other
+// schedulers say when they heard it last. Their answers never cause anything to be sent to the node. The process may wait longer for tasks
+// there, because the node runs, or give them up sooner, because the node has started a new incarnation.
 //
-// It guards against word that is older than the silence, against a way that is broken for most, which is no death, and against
-// questions and answers without bound.
+// The package ignores answers that are older than the silence, tolerates paths that are broken for most schedulers, and limits questions
+// and answers.
 package reachability
 
 import (
@@ -11,34 +11,35 @@
 	"slices"
 )
 
-// Most is how many nodes are asked for in one datagram, and answered in one.
-const Most = 16
+// MaxQuestions is the number of nodes that one datagram asks for or answers for at most.
+const MaxQuestions = 16
 
 const (
-	fresh  = 3000  // ms for which word that a node lives counts, from when it was heard there
-	asks   = 60000 // ms for which a node is asked for after it fell silent
-	sooner = 200   // ms by which word has to be later than the silence: what was under way then is no sign of life after it
-	most   = 4096  // nodes that are silent here at once and asked for
+	fresh  = 3000  // ms for which an answer that a node is reachable counts, from when it was heard
+	asks   = 60000 // ms for which a node is asked for after it became unreachable
+	sooner = 200   // ms by which an answer has to be later than the loss: what was in flight then proves nothing
+	most   = 4096  // unreachable nodes at once
 )
 
-// silent is a node that this process has lost.
+// silent is a node that this process can't reach.
 type silent struct {
 	node  uint32
 	life  uint64
 	since float64
-	heard float64 // the last time that another heard it in that life, by this process's clock, 0: none did
-	other uint64  // another life in which others hear it, 0: none
-	asked uint64  // turn in which it was last asked for
+	heard float64 // when another last heard this incarnation, by this process's clock; 0: never
+	other uint64  // another incarnation that others hear; 0: none
+	asked uint64  // round in which it was last asked for
 }
 
-// Board keeps what is silent here and what others say of it. The zero value has nothing.
-type Board struct {
+// Tracker keeps the unreachable nodes and what others say of them. Its zero value is empty.
+type Tracker struct {
 	all  []*silent // by node
 	turn uint64
 }
 
-func (b *Board) find(node uint32) (int, bool) {
-	return slices.BinarySearchFunc(b.all, node, func(s *silent, node uint32) int {
+// find returns a node's position, or where it would be.
+func (t *Tracker) find(node uint32) (int, bool) {
+	return slices.BinarySearchFunc(t.all, node, func(s *silent, node uint32) int {
 		switch {
 		case s.node < node:
 			return -1
@@ -49,49 +50,49 @@
 	})
 }
 
-// Lost says that this process hears a node no more, which it knew in such a life.
-func (b *Board) Lost(now float64, node uint32, life uint64) {
-	i, ok := b.find(node)
+// OnUnreachable records that this process no longer hears an incarnation of a node.
+func (t *Tracker) OnUnreachable(now float64, node uint32, life uint64) {
+	i, ok := t.find(node)
 	switch {
 	case ok:
-		*b.all[i] = silent{node: node, life: life, since: now}
-	case len(b.all) < most:
-		b.all = slices.Insert(b.all, i, &silent{node: node, life: life, since: now})
+		*t.all[i] = silent{node: node, life: life, since: now}
+	case len(t.all) < most:
+		t.all = slices.Insert(t.all, i, &silent{node: node, life: life, since: now})
 	}
 }
 
-// Back says that it hears the node again.
-func (b *Board) Back(node uint32) {
-	if i, ok := b.find(node); ok {
-		b.all = slices.Delete(b.all, i, i+1)
+// OnReachable records that this process hears the node again.
+func (t *Tracker) OnReachable(node uint32) {
+	if i, ok := t.find(node); ok {
+		t.all = slices.Delete(t.all, i, i+1)
 	}
 }
 
-// Ask gives the nodes to ask another for, those first that were asked for longest ago.
-func (b *Board) Ask(now float64, yield func(node uint32) bool) {
-	b.all = slices.DeleteFunc(b.all, func(s *silent) bool { return now-s.since >= asks })
-	if len(b.all) == 0 {
+// Questions yields the nodes to ask another scheduler for, the least recently asked first.
+func (t *Tracker) Questions(now float64, yield func(node uint32) bool) {
+	t.all = slices.DeleteFunc(t.all, func(s *silent) bool { return now-s.since >= asks })
+	if len(t.all) == 0 {
 		return
 	}
-	b.turn++
-	order := slices.Clone(b.all)
+	t.turn++
+	order := slices.Clone(t.all)
 	slices.SortStableFunc(order, func(x, y *silent) int { return int(int64(x.asked) - int64(y.asked)) })
-	for _, s := range order[:min(Most, len(order))] {
+	for _, s := range order[:min(MaxQuestions, len(order))] {
 		if !yield(s.node) {
 			return
 		}
-		s.asked = b.turn
+		s.asked = t.turn
 	}
 }
 
-// Told takes another's answer: it heard the node in such a life so many ms before it answered a question that was sent at a time of
-// this process's clock. So it heard it no earlier than so long before that.
-func (b *Board) Told(sent float64, node uint32, life uint64, ago float64) {
-	i, ok := b.find(node)
+// OnAnswer handles an answer: another scheduler heard an incarnation of the node ago ms before it answered a question that was sent at a
+// time of this process's clock. So it heard the node no earlier than ago ms before that time.
+func (t *Tracker) OnAnswer(sent float64, node uint32, life uint64, ago float64) {
+	i, ok := t.find(node)
 	if !ok || !(ago >= 0) || math.IsInf(ago, 1) || life == 0 {
 		return
 	}
-	s := b.all[i]
+	s := t.all[i]
 	if at := sent - ago; at <= s.since+sooner {
 		return
 	} else if life == s.life {
@@ -101,17 +102,16 @@
 	}
 }
 
-// Lives tells whether others hear a node that is silent here, in the life in which it was lost: the way to it is broken, and what it runs
-// goes on.
-func (b *Board) Lives(now float64, node uint32, life uint64) bool {
-	i, ok := b.find(node)
-	return ok && b.all[i].life == life && b.all[i].other == 0 && b.all[i].heard > 0 && now-b.all[i].heard < fresh
+// IsReachable reports whether others hear the incarnation of a node that this process can't reach: only the path is broken, and the node's
+// tasks go on.
+func (t *Tracker) IsReachable(now float64, node uint32, life uint64) bool {
+	i, ok := t.find(node)
+	return ok && t.all[i].life == life && t.all[i].other == 0 && t.all[i].heard > 0 && now-t.all[i].heard < fresh
 }
 
-// Ended gives the nodes that others hear in another life than that in which they were lost here: what they ran then is over. Each is given
-// once.
-func (b *Board) Ended(yield func(node uint32, life uint64)) {
-	b.all = slices.DeleteFunc(b.all, func(s *silent) bool {
+// Ended yields each node once that others hear in another incarnation than the lost one. The tasks of the lost incarnation have ended.
+func (t *Tracker) Ended(yield func(node uint32, life uint64)) {
+	t.all = slices.DeleteFunc(t.all, func(s *silent) bool {
 		if s.other != 0 {
 			yield(s.node, s.life)
 		}
@@ -119,5 +119,5 @@
 	})
 }
 
-// Silent is how many nodes are asked for.
-func (b *Board) Silent() int { return len(b.all) }
+// Unreachable returns the number of unreachable nodes.
+func (t *Tracker) Unreachable() int { return len(t.all) }
--- a/internal/decide/reachability/reachability_test.go
+++ b/internal/decide/reachability/reachability_test.go
@@ -8,34 +8,34 @@
 func TestWord(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		do    func(b *Board)
+		do    func(b *Tracker)
 		now   float64
 		lives bool
 		ended string
 	}{
-		{"nobody says anything", func(*Board) {}, 2000, false, ""},
-		{"another heard it since", func(b *Board) { b.Told(1800, 7, 5, 100) }, 2000, true, ""},
-		{"before it fell silent", func(b *Board) { b.Told(1800, 7, 5, 900) }, 2000, false, ""},
-		{"just as it fell silent", func(b *Board) { b.Told(1800, 7, 5, 650) }, 2000, false, ""},
-		{"long ago", func(b *Board) { b.Told(1800, 7, 5, 100) }, 5000, false, ""},
-		{"older word after newer", func(b *Board) { b.Told(4000, 7, 5, 0); b.Told(4500, 7, 5, 3000) }, 5000, true, ""},
-		{"of another node", func(b *Board) { b.Told(1800, 8, 5, 100) }, 2000, false, ""},
-		{"in another life", func(b *Board) { b.Told(1800, 7, 6, 100) }, 2000, false, "7:5 "},
-		{"in another life, before it fell silent", func(b *Board) { b.Told(1800, 7, 6, 900) }, 2000, false, ""},
-		{"both", func(b *Board) { b.Told(1800, 7, 5, 100); b.Told(1900, 7, 6, 100) }, 2000, false, "7:5 "},
-		{"of no life", func(b *Board) { b.Told(1800, 7, 0, 100) }, 2000, false, ""},
-		{"from the time to come", func(b *Board) { b.Told(1800, 7, 5, -1e9) }, 2000, false, ""},
-		{"it is back", func(b *Board) { b.Told(1800, 7, 5, 100); b.Back(7) }, 2000, false, ""},
-		{"lost again", func(b *Board) { b.Told(1800, 7, 5, 100); b.Lost(1900, 7, 5) }, 2000, false, ""},
+		{"nobody says anything", func(*Tracker) {}, 2000, false, ""},
+		{"another heard it since", func(b *Tracker) { b.OnAnswer(1800, 7, 5, 100) }, 2000, true, ""},
+		{"before it fell silent", func(b *Tracker) { b.OnAnswer(1800, 7, 5, 900) }, 2000, false, ""},
+		{"just as it fell silent", func(b *Tracker) { b.OnAnswer(1800, 7, 5, 650) }, 2000, false, ""},
+		{"long ago", func(b *Tracker) { b.OnAnswer(1800, 7, 5, 100) }, 5000, false, ""},
+		{"older word after newer", func(b *Tracker) { b.OnAnswer(4000, 7, 5, 0); b.OnAnswer(4500, 7, 5, 3000) }, 5000, true, ""},
+		{"of another node", func(b *Tracker) { b.OnAnswer(1800, 8, 5, 100) }, 2000, false, ""},
+		{"in another life", func(b *Tracker) { b.OnAnswer(1800, 7, 6, 100) }, 2000, false, "7:5 "},
+		{"in another life, before it fell silent", func(b *Tracker) { b.OnAnswer(1800, 7, 6, 900) }, 2000, false, ""},
+		{"both", func(b *Tracker) { b.OnAnswer(1800, 7, 5, 100); b.OnAnswer(1900, 7, 6, 100) }, 2000, false, "7:5 "},
+		{"of no life", func(b *Tracker) { b.OnAnswer(1800, 7, 0, 100) }, 2000, false, ""},
+		{"from the time to come", func(b *Tracker) { b.OnAnswer(1800, 7, 5, -1e9) }, 2000, false, ""},
+		{"it is back", func(b *Tracker) { b.OnAnswer(1800, 7, 5, 100); b.OnReachable(7) }, 2000, false, ""},
+		{"lost again", func(b *Tracker) { b.OnAnswer(1800, 7, 5, 100); b.OnUnreachable(1900, 7, 5) }, 2000, false, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := &Board{}
-			b.Lost(1000, 7, 5)
+			b := &Tracker{}
+			b.OnUnreachable(1000, 7, 5)
 			c.do(b)
-			if got := b.Lives(c.now, 7, 5); got != c.lives {
+			if got := b.IsReachable(c.now, 7, 5); got != c.lives {
 				t.Errorf("lives %t", got)
 			}
-			if b.Lives(c.now, 7, 4) {
+			if b.IsReachable(c.now, 7, 4) {
 				t.Error("it lives in a life in which it was not lost")
 			}
 			ended := ""
@@ -51,26 +51,26 @@
 
 // TestAsks asks for all nodes in turn, so many at a time, and for none that was lost too long ago.
 func TestAsks(t *testing.T) {
-	b := &Board{}
+	b := &Tracker{}
 	for i := range 5000 {
-		b.Lost(float64(i), uint32(i), 1)
+		b.OnUnreachable(float64(i), uint32(i), 1)
 	}
-	if b.Silent() != most {
-		t.Errorf("%d are asked for", b.Silent())
+	if b.Unreachable() != most {
+		t.Errorf("%d are asked for", b.Unreachable())
 	}
 	seen := map[uint32]int{}
-	for range most / Most {
+	for range most / MaxQuestions {
 		n := 0
-		b.Ask(5000, func(node uint32) bool { seen[node]++; n++; return true })
-		if n != Most {
+		b.Questions(5000, func(node uint32) bool { seen[node]++; n++; return true })
+		if n != MaxQuestions {
 			t.Fatalf("%d in one datagram", n)
 		}
 	}
 	if len(seen) != most {
 		t.Errorf("%d of %d were asked for in their turns", len(seen), most)
 	}
-	b.Ask(asks+float64(most)/2, func(uint32) bool { return false })
-	if b.Silent() != most/2-1 {
-		t.Errorf("%d are asked for after a minute", b.Silent())
+	b.Questions(asks+float64(most)/2, func(uint32) bool { return false })
+	if b.Unreachable() != most/2-1 {
+		t.Errorf("%d are asked for after a minute", b.Unreachable())
 	}
 }
--- a/internal/decide/shardrouter/shardrouter.go
+++ b/internal/decide/shardrouter/shardrouter.go
@@ -42,7 +42,7 @@
 	terms     Terms
 	ownership *shardownership.Table
 	table     *shares.Table
-	dog       *watchdog.Dog
+	dog       *watchdog.Watchdog
 	gates     []admit.Gate
 	lost      map[shardownership.Name]lost // what ran at a shard that is no more, until it is found
 	lostBy    map[shardownership.Try]shardownership.Name
--- a/internal/decide/watchdog/watchdog.go
+++ b/internal/decide/watchdog/watchdog.go
@@ -19,8 +19,8 @@
 // LookEach is how often Look is to be called.
 func LookEach() float64 { return lookEach }
 
-// Dog watches the shards of a process.
-type Dog struct {
+// Watchdog watches the shards of a process.
+type Watchdog struct {
 	last   float64
 	shards []shard
 }
@@ -34,8 +34,8 @@
 }
 
 // New watches so many shards from a time on.
-func New(now float64, shards int) *Dog {
-	d := &Dog{last: now, shards: make([]shard, shards)}
+func New(now float64, shards int) *Watchdog {
+	d := &Watchdog{last: now, shards: make([]shard, shards)}
 	for i := range d.shards {
 		d.shards[i].beat, d.shards[i].began = now, now
 	}
@@ -44,7 +44,7 @@
 
 // Look takes the time of each shard's last sign of life. It returns the shards to be fenced, and those to be
 // started again.
-func (d *Dog) Look(now float64, beats []float64) (fence, start []int) {
+func (d *Watchdog) Look(now float64, beats []float64) (fence, start []int) {
 	paused := now-d.last > stood
 	d.last = now
 	for i := range d.shards {
@@ -69,7 +69,7 @@
 }
 
 // Fence notes that a shard was fenced, as after a panic, and plans its next start.
-func (d *Dog) Fence(now float64, at int) {
+func (d *Watchdog) Fence(now float64, at int) {
 	s := &d.shards[at]
 	if s.fenced {
 		return
@@ -83,14 +83,14 @@
 }
 
 // Rest takes a shard out of the watch: it has ended, or has not begun. Begin takes it in.
-func (d *Dog) Rest(at int) { d.shards[at].rests = true }
+func (d *Watchdog) Rest(at int) { d.shards[at].rests = true }
 
 // Begin notes that a shard begins.
-func (d *Dog) Begin(now float64, at int) { d.shards[at] = shard{beat: now, began: now} }
+func (d *Watchdog) Begin(now float64, at int) { d.shards[at] = shard{beat: now, began: now} }
 
 // Quiet tells whether a shard has given no sign of life for longer than its housekeeping comes: what is about to
 // expire there can't wait for it.
 func Quiet(now, beat float64) bool { return now-beat > quiet }
 
 // Fenced tells whether a shard is.
-func (d *Dog) Fenced(at int) bool { return d.shards[at].fenced }
+func (d *Watchdog) Fenced(at int) bool { return d.shards[at].fenced }
--- a/internal/decide/watchretry/watchretry.go
+++ b/internal/decide/watchretry/watchretry.go
@@ -13,8 +13,8 @@
 	failing = 1200 // without a word from it, a call counts as failed
 )
 
-// Watch follows one journal service. Its zero value asks at once.
-type Watch struct {
+// Retrier follows one journal service. Its zero value asks at once.
+type Retrier struct {
 	asking, linked bool
 	fails          int
 	at             float64 // the next time to ask
@@ -25,7 +25,7 @@
 }
 
 // Ask tells whether to connect now; it counts as under way then.
-func (w *Watch) Ask(now float64) bool {
+func (w *Retrier) Ask(now float64) bool {
 	if w.asking || w.linked || now < w.at {
 		return false
 	}
@@ -34,38 +34,38 @@
 }
 
 // Linked says that the connection is made.
-func (w *Watch) Linked(now float64) {
+func (w *Retrier) Linked(now float64) {
 	w.asking, w.linked, w.told, w.since, w.came = false, true, false, now, now
 }
 
 // Came says that something came, which need not be a whole line.
-func (w *Watch) Came(now float64) { w.came = now }
+func (w *Retrier) Came(now float64) { w.came = now }
 
 // Heard says that a line came that could be read.
-func (w *Watch) Heard(now float64) {
+func (w *Retrier) Heard(now float64) {
 	w.heard, w.since, w.came, w.told, w.fails = now, now, now, true, 0
 }
 
 // Broke says that the connection is no more, or was not made.
-func (w *Watch) Broke(now float64) {
+func (w *Retrier) Broke(now float64) {
 	w.asking, w.linked, w.told = false, false, false
 	w.at = now + min(first*float64(int(1)<<min(w.fails, 6)), longest)
 	w.fails++
 }
 
 // Moved says that the service has another address, which is asked at once.
-func (w *Watch) Moved(now float64) { *w = Watch{at: now, heard: w.heard} }
+func (w *Retrier) Moved(now float64) { *w = Retrier{at: now, heard: w.heard} }
 
 // Silent tells whether the connection is to be given up.
-func (w *Watch) Silent(now float64) bool {
+func (w *Retrier) Silent(now float64) bool {
 	return w.linked && (now-w.came > silent || now-w.since > whole)
 }
 
 // Live tells whether the service is heard as it should be: a connection that has told nothing yet may lack any number of events.
-func (w *Watch) Live(now float64) bool { return w.linked && w.told && now-w.heard <= silent }
+func (w *Retrier) Live(now float64) bool { return w.linked && w.told && now-w.heard <= silent }
 
 // Failing tells whether a call for news is to be answered as failed.
-func (w *Watch) Failing(now float64) bool { return !w.Live(now) && now-w.heard > failing }
+func (w *Retrier) Failing(now float64) bool { return !w.Live(now) && now-w.heard > failing }
 
 // Reach is how long a connection may take.
 func Reach() float64 { return reach }
--- a/internal/decide/watchretry/watchretry_test.go
+++ b/internal/decide/watchretry/watchretry_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestWatch(t *testing.T) {
-	var w Watch
+	var w Retrier
 	if !w.Ask(10) || w.Ask(11) {
 		t.Fatal("asks at once, and once")
 	}
@@ -40,7 +40,7 @@
 // TestSilentAnew has a service take connections and say nothing: no call is answered as if there were no news, however often it is
 // connected anew.
 func TestSilentAnew(t *testing.T) {
-	var w Watch
+	var w Retrier
 	w.Ask(0)
 	w.Linked(10)
 	w.Heard(20)
@@ -81,7 +81,7 @@
 		{"it never ends", 100, 1e9, true},
 		{"silence in its midst", 2500, 3000, true},
 	} {
-		var w Watch
+		var w Retrier
 		w.Ask(0)
 		w.Linked(0)
 		next, silent := 0.0, false
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -206,7 +206,7 @@
 	bells   timers.Heap[due]
 	pacer   *reconnect.Pacer
 	door    *admit.Door
-	watch   pausedetect.Watch
+	watch   pausedetect.Detector
 	news    bool
 
 	allocs   []alloc
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -19,7 +19,7 @@
 // feed is the connection to the journal service.
 type feed struct {
 	address string
-	watch   watchretry.Watch
+	watch   watchretry.Retrier
 	current *journalWatch
 	pos     uint64 // of the last event that was applied
 	asked   bool   // the module waits for news or for news that there is none
--- a/internal/platform/host/fence.go
+++ b/internal/platform/host/fence.go
@@ -16,7 +16,7 @@
 // itself keeps: the list, and what stands at nodes.
 type fence struct {
 	down  bool
-	dog   *watchdog.Dog
+	dog   *watchdog.Watchdog
 	seed  uint64
 	lives uint64
 	cl    *logic.Cluster
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -86,7 +86,7 @@
 	edge   Edge
 	mod    *logic.Scheduler
 	fence  fence
-	words  besteffort.Fence // what is read for people alone
+	words  besteffort.Guard // what is read for people alone
 	off    off
 	step   float64
 	most   int
@@ -97,7 +97,7 @@
 	allocs map[uint32]*alloc
 	count  uint32
 	probes map[uint32]probe
-	stalls pausedetect.Watch
+	stalls pausedetect.Detector
 	open   int
 	stands int
 
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -267,7 +267,7 @@
 	now := r.w.Now()
 	r.until("a turn has met it", func() bool { r.s.mu.Lock(); defer r.s.mu.Unlock(); return r.s.ticked >= now })
 	r.s.mu.Lock()
-	r.s.lag = overload.Watch{}
+	r.s.lag = overload.Monitor{}
 	r.s.mu.Unlock()
 }
 
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -20,7 +20,7 @@
 	links         []*link
 	running       map[*request]bool
 	cuts          []cutting // ends that the node has not been told on any connection
-	watch         nodefailure.Watch
+	watch         nodefailure.Detector
 }
 
 // cutting is a task that is to end at a node, until it is no use any more to say so.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -40,7 +40,7 @@
 	host        *host.Host
 	admit       *admit.Door
 	gate        admit.Gate
-	lag         overload.Watch
+	lag         overload.Monitor
 	wanted      float64             // when the loop's next turn is due
 	inbox       []*request          // taken, and not yet the host's
 	inboxAt     float64             // since when requests are taken out of it one after the other, 0: it was empty
@@ -56,7 +56,7 @@
 	pending     []notification // to clients of whom none is connected
 	report      []float64
 	counts      counts
-	words       besteffort.Fence // round what is only said to people
+	words       besteffort.Guard // round what is only said to people
 	provisional int              // client connections that are not let in
 	stopped     bool
 	told        float64
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -84,7 +84,7 @@
 
 // Server is one running scheduler process.
 type Server struct {
-	words  besteffort.Fence // round what is only said to people
+	words  besteffort.Guard // round what is only said to people
 	who    Scheduler
 	w      outside.World
 	log    zerolog.Logger
@@ -183,7 +183,7 @@
 	say := func(what, why string) {
 		who.Log.Error().Str("mode", "words").Str("what", what).Str("why", why).Msg("switched off")
 	}
-	s = &Server{words: besteffort.Fence{Tell: say}, who: who, w: w, log: who.Log, folder: folder, list: last, owners: map[uint32]*owner{}, cells: map[string]int{},
+	s = &Server{words: besteffort.Guard{Tell: say}, who: who, w: w, log: who.Log, folder: folder, list: last, owners: map[uint32]*owner{}, cells: map[string]int{},
 		lives: map[uint32]*shard{}, out: map[uint32]bool{}, counted: map[int]count{}, known: map[string]calendar.Node{}, goneAt: map[string]time.Time{}}
 	s.lister = newLister(s)
 	s.noteFleet(last.Entries())
