--- /dev/null
+++ b/internal/lab/drill/calendar.go
@@ -0,0 +1,87 @@
+package drill
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"time"
+
+	"ravenpond/internal/audit"
+	"ravenpond/internal/decide/calendar"
+	"ravenpond/internal/state/drains"
+)
+
+// schedule puts the day's windows into a scheduler's calendar, before its first life begins.
+func (p *player) schedule(folder string) error {
+	if len(p.Day.windows) == 0 || drains.Any(folder) {
+		return nil
+	}
+	store, err := drains.Open(folder)
+	if err != nil {
+		return err
+	}
+	return errors.Join(store.Add(p.calendar(), time.Now()), store.Close())
+}
+
+// calendar holds the day's windows.
+func (p *player) calendar() *calendar.Calendar {
+	cal := &calendar.Calendar{}
+	for _, w := range p.Day.windows {
+		win := calendar.Window{ID: w.name, Reach: calendar.Cell, Place: w.cell, Start: p.wall(w.at), Last: time.Duration(w.last * 1e6),
+			Lead: time.Duration(w.lead * 1e6), End: calendar.Ending(w.ending)}
+		if w.zone != "" {
+			win.Reach, win.Place = calendar.Zone, w.zone
+		}
+		cal.Windows = append(cal.Windows, win)
+	}
+	return cal
+}
+
+// checkWindows refuses a day whose windows the calendar would not keep: what is out is then known beforehand.
+func (p *player) checkWindows() error {
+	if len(p.Day.windows) == 0 {
+		return nil
+	}
+	var fleet []calendar.Node
+	for _, n := range p.nodes {
+		kind := slices.Index(p.Place.Kinds, n.Kind)
+		fleet = append(fleet, calendar.Node{ID: strconv.FormatUint(uint64(n.ID), 10), Zone: n.Zone, Cell: n.Cell, Kind: n.Kind,
+			Cores: p.Place.Cluster.KindCores[kind], Memory: p.Place.Cluster.KindMemory[kind]})
+	}
+	cal := p.calendar()
+	for _, v := range calendar.Plan(cal, fleet, p.Place.Drains, nil, p.dawn.Add(-time.Hour), p.dawn.Add(24*time.Hour)) {
+		if v.Outcome != calendar.Kept || len(v.Nodes) == 0 {
+			return fmt.Errorf("window %s of the day: %s, %d nodes, %s", v.Window, v.Outcome, len(v.Nodes), v.Why)
+		}
+	}
+	return nil
+}
+
+// wall is a time of the day on the wall clock, in whole seconds as a calendar has them.
+func (p *player) wall(ms float64) time.Time {
+	return p.dawn.Add(time.Duration(ms * 1e6)).UTC().Truncate(time.Second)
+}
+
+// windows records when the calendar takes nodes out and brings them back.
+func (p *player) windows() {
+	for _, w := range p.Day.windows {
+		mark := func(at time.Time, word string) {
+			p.goes(func() {
+				if !p.sleep(float64(time.Until(at)) / 1e6) {
+					return
+				}
+				p.Say("%6.1f s  window %s: %s", p.w.Now()/1000, w.name, word)
+				p.mu.Lock()
+				defer p.mu.Unlock()
+				for _, n := range p.nodes {
+					if w.cell != "" && n.Cell == w.cell || w.zone != "" && n.Zone == w.zone {
+						p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.Scheduled, Node: n.ID, Word: word})
+					}
+				}
+			})
+		}
+		mark(p.wall(w.at-w.lead), "out") // from here on the grace runs
+		mark(p.wall(w.at+w.last).Add(-time.Second), "back")
+	}
+}
--- /dev/null
+++ b/internal/lab/drill/report.go
@@ -0,0 +1,118 @@
+package drill
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+
+	"ravenpond/internal/audit"
+	"ravenpond/internal/standin"
+)
+
+// Result is what came of it.
+type Result struct {
+	Breaks  []audit.Break
+	Records int
+	rows    []row
+}
+
+// rules are the site's, as the auditor takes them.
+func (p *player) rules() audit.Rules {
+	cl := &p.Place.Cluster
+	r := audit.Rules{Nodes: map[uint32]audit.Stand{}, Grace: p.Place.DrainGrace, Asks: cl.AsksForList,
+		AskEvery: cl.AskEvery, ColdBears: int(cl.ColdBears), ColdFor: cl.ColdFor, ColdWindow: cl.FallWindow, Slack: slack}
+	for _, w := range p.Day.works {
+		r.Jobs = append(r.Jobs, audit.Job{Effect: w.effect, Group: w.group, Window: w.window, Spread: w.spread, Most: w.most})
+	}
+	for _, n := range p.nodes {
+		r.Nodes[n.ID] = audit.Stand{Zone: n.Zone, Cell: n.Cell}
+	}
+	return r
+}
+
+// row is a line of the table: the asks made within a time.
+type row struct {
+	name                                  string
+	asks, served, declined, failed, other int
+	first, inTime                         int
+	took                                  []float64
+}
+
+// table counts asks by the trouble in which they were made.
+func (p *player) table() []row {
+	rows := []row{{name: "whole day"}}
+	for _, w := range p.Day.windows {
+		rows = append(rows, row{name: "window " + w.name})
+	}
+	for _, tr := range p.Day.troubles {
+		rows = append(rows, row{name: fmt.Sprintf("%s, %.0f s", Troubles[tr.kind], tr.at/1000)})
+	}
+	for _, o := range p.owners {
+		for _, t := range o.Tallies() {
+			rows[0].add(t)
+			for i, w := range p.Day.windows {
+				if t.At >= w.at-w.lead && t.At < w.at+w.last {
+					rows[i+1].add(t)
+				}
+			}
+			for i, tr := range p.Day.troubles {
+				if t.At >= tr.at && t.At < tr.at+tr.last+2000 {
+					rows[i+1+len(p.Day.windows)].add(t)
+				}
+			}
+		}
+	}
+	return rows
+}
+
+func (r *row) add(t standin.Tally) {
+	r.asks++
+	switch t.Word {
+	case "served":
+		r.served++
+		r.took = append(r.took, t.Took)
+	case "declined":
+		r.declined++
+	case "failed":
+		r.failed++
+	default:
+		r.other++
+	}
+	if t.First {
+		r.first++
+	}
+	if t.InTime {
+		r.inTime++
+	}
+}
+
+// Print writes the table and the verdict; its last line counts the broken rules.
+func (r *Result) Print(out io.Writer) error {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%-22s %6s %6s %8s %6s %7s %8s %8s %8s\n", "trouble", "asks", "served", "declined", "failed",
+		"cut off", "in time", "p50 ms", "p95 ms")
+	for _, row := range r.rows {
+		slices.Sort(row.took)
+		share := "-"
+		if row.first > 0 {
+			share = fmt.Sprintf("%.0f%%", 100*float64(row.inTime)/float64(row.first))
+		}
+		fmt.Fprintf(&b, "%-22s %6d %6d %8d %6d %7d %8s %8s %8s\n", row.name, row.asks, row.served, row.declined,
+			row.failed, row.other, share, quantile(row.took, 0.5), quantile(row.took, 0.95))
+	}
+	fmt.Fprintf(&b, "%d records audited\n", r.Records)
+	for _, br := range r.Breaks {
+		fmt.Fprintf(&b, "%s\n", br)
+	}
+	fmt.Fprintf(&b, "broken rules: %d\n", len(r.Breaks))
+	_, err := io.WriteString(out, b.String())
+	return err
+}
+
+func quantile(sorted []float64, q float64) string {
+	if len(sorted) == 0 {
+		return "-"
+	}
+	return fmt.Sprintf("%.0f", sorted[int(q*float64(len(sorted)-1))])
+}
