--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -21,45 +21,45 @@
 	ahead     = 0.02  // of the clock that an idle tenant may be behind the others: one burst of its own goes first
 )
 
-// Limits are a tenant's.
+// Limits are the limits of a tenant.
 type Limits struct {
 	Share float64 // above 0; only the proportion to others matters
-	Rate  float64 // asks a second that may pass, 0: as many as its share brings
-	Burst float64 // asks that may pass at once after a calm time, at least 1 where there is a rate
-	Open  int     // that may be open at once, 0: as many as there is room for
-	Wait  int     // that may wait in its line
+	Rate  float64 // requests per second that may pass; 0: as many as its share allows
+	Burst float64 // requests that may pass at once after an idle time, at least 1 if there is a rate
+	Open  int     // requests that may be open at once; 0: as many as there is room for
+	Wait  int     // requests that may wait in its queue
 	Stop  bool    // nothing new passes or waits: paused, or being removed
 }
 
-// Answer is what becomes of an ask.
+// Answer is the decision about a request.
 type Answer uint8
 
 const (
 	Passes   Answer = iota // it goes on to be placed
-	Waits                  // it stands in its tenant's line
+	Waits                  // it waits in its tenant's queue
 	Declined               // it does neither: come back later
 )
 
-// ask is one that waits.
-type ask struct {
+// request is a request that waits.
+type request struct {
 	id      uint64
 	tenant  int
-	urgency int // higher goes first in its tenant's line
+	urgency int // higher goes first in its tenant's queue
 	order   uint64
 	cost    float64
 	expiry  float64
 	place   int
-	gone    bool // out of its line; it is left among the expiries until they come to it
+	gone    bool // removed from its queue; it stays in the expiry heap until its expiry
 }
 
-// expiries are all asks that wait, the first to expire first: one that stands behind more urgent ones expires too.
-type expiries []*ask
+// expiryHeap holds all waiting requests by expiry, because one behind more urgent ones expires too.
+type expiryHeap []*request
 
-func (e expiries) Len() int           { return len(e) }
-func (e expiries) Less(i, j int) bool { return e[i].expiry < e[j].expiry }
-func (e expiries) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *expiries) Push(x any)        { *e = append(*e, x.(*ask)) }
-func (e *expiries) Pop() any {
+func (e expiryHeap) Len() int           { return len(e) }
+func (e expiryHeap) Less(i, j int) bool { return e[i].expiry < e[j].expiry }
+func (e expiryHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *expiryHeap) Push(x any)        { *e = append(*e, x.(*request)) }
+func (e *expiryHeap) Pop() any {
 	old := *e
 	a := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -67,67 +67,70 @@
 	return a
 }
 
-// turns are the tenants of which something waits and may pass, who is furthest behind first: with thousands of tenants nobody
-// looks at each for each ask. Those whose rate or number does not let them pass stand aside until it does.
-type turns struct {
+// tenantHeap holds the tenants with waiting requests that may pass, by virtual clock, so that no request has to visit thousands of
+// tenants. A tenant whose rate or limit lets nothing pass is left out until it does.
+type tenantHeap struct {
 	q  *Queue
 	at []int
 }
 
-func (t turns) Len() int { return len(t.at) }
-func (t turns) Less(i, j int) bool {
+func (t tenantHeap) Len() int { return len(t.at) }
+func (t tenantHeap) Less(i, j int) bool {
 	x, y := &t.q.tenants[t.at[i]], &t.q.tenants[t.at[j]]
 	return x.clock < y.clock || x.clock == y.clock && t.at[i] < t.at[j]
 }
-func (t turns) Swap(i, j int) {
+func (t tenantHeap) Swap(i, j int) {
 	t.at[i], t.at[j] = t.at[j], t.at[i]
 	t.q.tenants[t.at[i]].turn, t.q.tenants[t.at[j]].turn = i+1, j+1
 }
-func (t *turns) Push(x any) {
+func (t *tenantHeap) Push(x any) {
 	t.at = append(t.at, x.(int))
 	t.q.tenants[x.(int)].turn = len(t.at)
 }
-func (t *turns) Pop() any {
+func (t *tenantHeap) Pop() any {
 	last := t.at[len(t.at)-1]
 	t.at = t.at[:len(t.at)-1]
 	t.q.tenants[last].turn = 0
 	return last
 }
 
-// slows are tenants that wait for a token of their rate, by when it comes.
-type slow struct {
+// tokenWait is a tenant that waits for the next token of its rate limit.
+type tokenWait struct {
 	at     float64
 	tenant int
 }
-type slows []slow
 
-func (s slows) Len() int           { return len(s) }
-func (s slows) Less(i, j int) bool { return s[i].at < s[j].at }
-func (s slows) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
-func (s *slows) Push(x any)        { *s = append(*s, x.(slow)) }
-func (s *slows) Pop() any {
+// tokenHeap holds the tenants that wait for tokens, by the time of the next token.
+type tokenHeap []tokenWait
+
+func (s tokenHeap) Len() int           { return len(s) }
+func (s tokenHeap) Less(i, j int) bool { return s[i].at < s[j].at }
+func (s tokenHeap) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
+func (s *tokenHeap) Push(x any)        { *s = append(*s, x.(tokenWait)) }
+func (s *tokenHeap) Pop() any {
 	old := *s
 	x := old[len(old)-1]
 	*s = old[:len(old)-1]
 	return x
 }
 
-type line []*ask
+// tenantQueue holds the waiting requests of a tenant, by urgency and order of arrival.
+type tenantQueue []*request
 
-func (l line) Len() int { return len(l) }
-func (l line) Less(i, j int) bool {
+func (l tenantQueue) Len() int { return len(l) }
+func (l tenantQueue) Less(i, j int) bool {
 	return l[i].urgency > l[j].urgency || l[i].urgency == l[j].urgency && l[i].order < l[j].order
 }
-func (l line) Swap(i, j int) {
+func (l tenantQueue) Swap(i, j int) {
 	l[i], l[j] = l[j], l[i]
 	l[i].place, l[j].place = i, j
 }
-func (l *line) Push(x any) {
-	a := x.(*ask)
+func (l *tenantQueue) Push(x any) {
+	a := x.(*request)
 	a.place = len(*l)
 	*l = append(*l, a)
 }
-func (l *line) Pop() any {
+func (l *tenantQueue) Pop() any {
 	old := *l
 	a := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -135,6 +138,7 @@
 	return a
 }
 
+// tenant is a tenant's limits and state.
 type tenant struct {
 	Limits
 	known   bool
@@ -142,7 +146,7 @@
 	open    int
 	tokens  float64
 	filled  float64 // when they were last
-	line    line
+	queue   tenantQueue
 	gap     float64 // ms between passings lately, 0: not known
 	passed  float64 // the last
 	waiting float64 // since when something does
@@ -152,7 +156,7 @@
 	slow    bool    // it waits for a token
 }
 
-// Queue is the lines of all tenants.
+// Queue holds the queues of all tenants.
 type Queue struct {
 	cores, memory float64 // of all machines
 	window        int     // that may be open at once, of all tenants together
@@ -164,17 +168,17 @@
 	open          int
 	clock         float64 // of the one that passed last
 	order, before uint64  // of the next that comes, and of the next that comes back
-	waits         map[uint64]*ask
-	ends          expiries
-	under, over   turns // of tenants that hold less than their share, and of the others
+	waits         map[uint64]*request
+	expiries      expiryHeap
+	under, over   tenantHeap // of tenants that hold less than their share, and of the others
 	shares        float64
 	calm          float64 // when one that holds less than its share last asked
-	slows         slows
+	tokenWaits    tokenHeap
 }
 
 // New makes a queue in front of machines of so much room altogether; so many may be open at once.
 func New(cores, memory float64, window int) *Queue {
-	q := &Queue{free: math.Inf(1), there: math.Inf(1), cores: max(cores, 1e-9), memory: max(memory, 1e-9), window: window, waits: map[uint64]*ask{},
+	q := &Queue{free: math.Inf(1), there: math.Inf(1), cores: max(cores, 1e-9), memory: max(memory, 1e-9), window: window, waits: map[uint64]*request{},
 		order: 1 << 62, before: 1 << 62}
 	q.under.q, q.over.q = q, q
 	q.calm, q.last = math.Inf(-1), math.Inf(-1)
@@ -198,8 +202,8 @@
 	trickle    = 20    // ms between two that pass although there is nothing left: answers are quick, so a number alone holds nobody
 )
 
-// shut tells whether nothing of who holds more than its share, or less, may pass for want of room.
-func (q *Queue) shut(now float64, over bool) bool {
+// isFull reports whether there is no room for requests of tenants above their share (over), or below it.
+func (q *Queue) isFull(now float64, over bool) bool {
 	left := q.there // a calm tenant is not held back for what makes others slow
 	if over {
 		left = min(left, q.free)
@@ -210,8 +214,8 @@
 	return q.open >= q.window || left <= 0 && (q.open >= q.least || now-q.last < trickle)
 }
 
-// beyond tells whether a tenant holds its share of all, or more.
-func (q *Queue) beyond(n *tenant) bool { return n.held*q.shares >= n.Share }
+// exceedsShare reports whether a tenant holds its share or more.
+func (q *Queue) exceedsShare(n *tenant) bool { return n.held*q.shares >= n.Share }
 
 // Hold notes that a tenant holds so much more, or less.
 func (q *Queue) Hold(t int, cores, memory, by float64) {
@@ -219,7 +223,7 @@
 		q.tenants = append(q.tenants, tenant{})
 	}
 	q.tenants[t].held += by * max(cores/q.cores, memory/q.memory)
-	q.line(t)
+	q.enqueueTenant(t)
 }
 
 // Set adds a tenant or changes its limits. What is open beyond a smaller one stays; what waits beyond it does too.
@@ -233,7 +237,7 @@
 		n.Stop = true // counts for nothing yet
 		n.tokens = math.Inf(1)
 	}
-	q.fill(now, n)
+	q.refill(now, n)
 	if !n.Stop {
 		q.shares -= n.Share
 	}
@@ -241,7 +245,7 @@
 		q.shares += l.Share
 	}
 	n.tokens = min(n.tokens, n.most())
-	q.line(t)
+	q.enqueueTenant(t)
 }
 
 func (t *tenant) most() float64 {
@@ -251,16 +255,16 @@
 	return max(1, t.Burst)
 }
 
-// fill adds the tokens that time has brought.
-func (q *Queue) fill(now float64, t *tenant) {
+// refill adds the tokens that time has brought.
+func (q *Queue) refill(now float64, t *tenant) {
 	if t.Rate > 0 {
 		t.tokens = min(t.most(), t.tokens+(now-t.filled)/1000*t.Rate)
 	}
 	t.filled = now
 }
 
-// may tells whether a tenant's next may pass now.
-func (t *tenant) may() bool {
+// mayPass tells whether a tenant's next may pass now.
+func (t *tenant) mayPass() bool {
 	return !t.Stop && t.tokens >= 1 && (t.Open <= 0 || t.open < t.Open)
 }
 
@@ -274,29 +278,29 @@
 	if n.Stop {
 		return Declined, mostBack
 	}
-	q.fill(now, n)
+	q.refill(now, n)
 	cost := max(cores/q.cores, memory/q.memory)
-	over := q.beyond(n)
+	over := q.exceedsShare(n)
 	if !over {
 		q.calm = now
 	}
-	if len(n.line) == 0 && n.may() && !q.shut(now, over) {
+	if len(n.queue) == 0 && n.mayPass() && !q.isFull(now, over) {
 		q.wake(n)
-		q.pass(now, n, cost)
+		q.charge(now, n, cost)
 		return Passes, 0
 	}
-	if len(n.line) >= n.Wait {
-		return Declined, q.back(now, n, len(n.line))
+	if len(n.queue) >= n.Wait {
+		return Declined, q.back(now, n, len(n.queue))
 	}
 	if turn := q.turn(now, n, urgency); now+turn >= expiry {
 		return Declined, min(mostBack, max(leastBack, turn))
 	}
-	if len(n.line) == 0 {
+	if len(n.queue) == 0 {
 		q.wake(n)
 		n.waiting = now
 	}
 	q.order++
-	q.put(&ask{id: id, tenant: t, urgency: urgency, order: q.order, cost: cost, expiry: expiry})
+	q.put(&request{id: id, tenant: t, urgency: urgency, order: q.order, cost: cost, expiry: expiry})
 	return Waits, 0
 }
 
@@ -308,33 +312,33 @@
 	q.free, q.there = q.free+cost, q.there+cost
 	n.clock -= cost / max(n.Share, 1e-9)
 	n.tokens = min(n.most(), n.tokens+1)
-	if len(n.line) == 0 {
+	if len(n.queue) == 0 {
 		n.waiting = now
 	}
-	q.put(&ask{id: id, tenant: t, urgency: urgency, order: q.before, cost: cost, expiry: expiry})
+	q.put(&request{id: id, tenant: t, urgency: urgency, order: q.before, cost: cost, expiry: expiry})
 	q.before--
 	q.Done(t)
 }
 
-func (q *Queue) put(a *ask) {
-	heap.Push(&q.tenants[a.tenant].line, a)
-	heap.Push(&q.ends, a)
+func (q *Queue) put(a *request) {
+	heap.Push(&q.tenants[a.tenant].queue, a)
+	heap.Push(&q.expiries, a)
 	q.waits[a.id] = a
-	q.line(a.tenant)
+	q.enqueueTenant(a.tenant)
 }
 
-// line gives a tenant its place among the turns, as its line, its clock or its limits changed.
-func (q *Queue) line(t int) {
+// enqueueTenant updates a tenant's position in the heaps after a change of its queue, clock or limits.
+func (q *Queue) enqueueTenant(t int) {
 	n := &q.tenants[t]
-	wants := len(n.line) > 0 && !n.Stop && (n.Limits.Open <= 0 || n.open < n.Limits.Open)
+	wants := len(n.queue) > 0 && !n.Stop && (n.Limits.Open <= 0 || n.open < n.Limits.Open)
 	if wants && n.tokens < 1 {
 		wants = false
 		if !n.slow {
 			n.slow = true
-			heap.Push(&q.slows, slow{n.filled + (1-n.tokens)/n.Rate*1000, t})
+			heap.Push(&q.tokenWaits, tokenWait{n.filled + (1-n.tokens)/n.Rate*1000, t})
 		}
 	}
-	over := q.beyond(n)
+	over := q.exceedsShare(n)
 	if n.turn > 0 && (!wants || over != n.over) {
 		heap.Remove(q.turns(n.over), n.turn-1)
 	}
@@ -346,7 +350,7 @@
 	}
 }
 
-func (q *Queue) turns(over bool) *turns {
+func (q *Queue) turns(over bool) *tenantHeap {
 	if over {
 		return &q.over
 	}
@@ -355,7 +359,7 @@
 
 // wake puts the clock of a tenant that was idle to that of the others, but for a little.
 func (q *Queue) wake(n *tenant) {
-	if n.open == 0 && len(n.line) == 0 {
+	if n.open == 0 && len(n.queue) == 0 {
 		n.clock = max(n.clock, q.clock-ahead/max(n.Share, 1e-9))
 	}
 }
@@ -363,7 +367,7 @@
 // turn foretells when the next ask of an urgency would pass, in ms from now, by the pace of its tenant.
 func (q *Queue) turn(now float64, n *tenant, urgency int) float64 {
 	before := 0
-	for _, a := range n.line {
+	for _, a := range n.queue {
 		if a.urgency >= urgency {
 			before++
 		}
@@ -391,15 +395,15 @@
 	return min(mostBack, max(leastBack, half))
 }
 
-// pass notes that an ask of a tenant goes on.
-func (q *Queue) pass(now float64, n *tenant, cost float64) {
+// charge records that a request of a tenant passes.
+func (q *Queue) charge(now float64, n *tenant, cost float64) {
 	n.open++
 	q.open++
 	q.free, q.there = q.free-cost, q.there-cost
 	n.tokens--
 	q.clock = max(q.clock, n.clock)
 	n.clock += cost / max(n.Share, 1e-9)
-	if n.passed > 0 && (len(n.line) > 0 || n.gap > 0) {
+	if n.passed > 0 && (len(n.queue) > 0 || n.gap > 0) {
 		since := now - max(n.passed, n.waiting)
 		n.gap += recall * (max(0.01, since) - n.gap)
 	}
@@ -408,8 +412,8 @@
 
 // Lapse gives the asks whose time is up, to be answered: whoever holds the queue calls it by Due.
 func (q *Queue) Lapse(now float64, lapsed func(id uint64)) {
-	for len(q.ends) > 0 && (q.ends[0].gone || q.ends[0].expiry <= now) {
-		if a := heap.Pop(&q.ends).(*ask); !a.gone {
+	for len(q.expiries) > 0 && (q.expiries[0].gone || q.expiries[0].expiry <= now) {
+		if a := heap.Pop(&q.expiries).(*request); !a.gone {
 			lapsed(q.take(&q.tenants[a.tenant], a.place))
 		}
 	}
@@ -419,59 +423,59 @@
 // Asks that expired are given by lapsed, to be answered.
 func (q *Queue) Next(now float64, lapsed func(id uint64)) (id uint64, ok bool) {
 	q.Lapse(now, lapsed)
-	for len(q.slows) > 0 && q.slows[0].at <= now {
-		t := heap.Pop(&q.slows).(slow).tenant
+	for len(q.tokenWaits) > 0 && q.tokenWaits[0].at <= now {
+		t := heap.Pop(&q.tokenWaits).(tokenWait).tenant
 		q.tenants[t].slow = false
-		q.fill(now, &q.tenants[t])
+		q.refill(now, &q.tenants[t])
 		if n := &q.tenants[t]; n.tokens < 1 && n.tokens > 1-1e-9 { // but for rounding it is there
 			n.tokens = 1
 		}
-		q.line(t)
+		q.enqueueTenant(t)
 	}
 	turns := &q.under
 	if len(turns.at) == 0 {
 		turns = &q.over
 	}
-	if len(turns.at) == 0 || q.shut(now, turns == &q.over) {
+	if len(turns.at) == 0 || q.isFull(now, turns == &q.over) {
 		return 0, false
 	}
 	t := turns.at[0]
 	n := &q.tenants[t]
-	q.fill(now, n)
-	cost := n.line[0].cost
+	q.refill(now, n)
+	cost := n.queue[0].cost
 	id = q.take(n, 0)
-	q.pass(now, n, cost)
-	if len(n.line) == 0 {
+	q.charge(now, n, cost)
+	if len(n.queue) == 0 {
 		n.waiting = 0
 	}
-	q.line(t)
+	q.enqueueTenant(t)
 	return id, true
 }
 
 func (q *Queue) take(n *tenant, place int) uint64 {
-	a := n.line[place]
-	heap.Remove(&n.line, place)
+	a := n.queue[place]
+	heap.Remove(&n.queue, place)
 	delete(q.waits, a.id)
 	a.gone = true
-	if len(q.ends) > 64 && len(q.ends) > 4*len(q.waits) { // those that left their lines early are not kept for long
-		q.ends = slices.DeleteFunc(q.ends, func(a *ask) bool { return a.gone })
-		heap.Init(&q.ends)
+	if len(q.expiries) > 64 && len(q.expiries) > 4*len(q.waits) { // those that left their lines early are not kept for long
+		q.expiries = slices.DeleteFunc(q.expiries, func(a *request) bool { return a.gone })
+		heap.Init(&q.expiries)
 	}
-	q.line(a.tenant)
+	q.enqueueTenant(a.tenant)
 	return a.id
 }
 
 // Due is when Next may have something by time alone: a rate brings a token, or an ask expires. Infinite if neither.
 func (q *Queue) Due(now float64) float64 {
-	for len(q.ends) > 0 && q.ends[0].gone {
-		heap.Pop(&q.ends)
+	for len(q.expiries) > 0 && q.expiries[0].gone {
+		heap.Pop(&q.expiries)
 	}
 	due := math.Inf(1)
-	if len(q.ends) > 0 {
-		due = q.ends[0].expiry
+	if len(q.expiries) > 0 {
+		due = q.expiries[0].expiry
 	}
-	if len(q.slows) > 0 {
-		due = min(due, q.slows[0].at)
+	if len(q.tokenWaits) > 0 {
+		due = min(due, q.tokenWaits[0].at)
 	}
 	return max(due, now)
 }
@@ -489,7 +493,7 @@
 // Empty takes all that waits out of a tenant's line, in its order: to be answered, as the tenant is removed.
 func (q *Queue) Empty(t int, each func(id uint64)) {
 	if t < len(q.tenants) {
-		for n := &q.tenants[t]; len(n.line) > 0; {
+		for n := &q.tenants[t]; len(n.queue) > 0; {
 			each(q.take(n, 0))
 		}
 	}
@@ -505,7 +509,7 @@
 	}
 	q.tenants[t].open += by
 	q.open += by
-	q.line(t)
+	q.enqueueTenant(t)
 }
 
 // AllOpen counts those of all tenants.
@@ -518,7 +522,7 @@
 func (q *Queue) Open(t int) int { return q.tenants[t].open }
 
 // Waiting is the length of its line.
-func (q *Queue) Waiting(t int) int { return len(q.tenants[t].line) }
+func (q *Queue) Waiting(t int) int { return len(q.tenants[t].queue) }
 
 // Part is a process's part of a limit that holds for all processes together, by its number among them. The parts sum up to
 // the limit, so no process needs to ask another, and what all let pass never exceeds it. While a process is down its
