--- /dev/null
+++ b/internal/audit/record.go
@@ -0,0 +1,101 @@
+package audit
+
+import (
+	"cmp"
+	"encoding/json"
+	"io"
+	"slices"
+	"sync"
+)
+
+// Kind says what a record is of.
+type Kind uint8
+
+const (
+	Born      Kind = iota // a scheduler process began
+	Killed                // it was killed, or ended
+	Paused                // it was made to stand still
+	Resumed               // and runs on
+	Asked                 // an owner asked: At, Sched, Owner, Ref, Token, Job, Until
+	Answered              // an owner heard the final answer: Word
+	GaveUp                // an owner withdrew, or its connection ended
+	Told                  // the list told a scheduler of a node: Word is its availability
+	Heard                 // the list answered a scheduler, whatever it told; Word tells a call that failed
+	Listed                // the list itself learned of a node: Word is its availability
+	Scheduled             // the calendar takes a node out, or Word says that it is back
+	NodeBorn              // a node began a life: cold if Word says so
+	NodeFell              // a node was pushed over
+	Linked                // a scheduler's connection to a node stands
+	Unlinked              // and is no more
+	Offered               // a node received an offer: Ticket, Try, Token, Service, Job, Until
+	Recalled              // a node received a recall
+	Ran                   // a try began to run
+	Confirmed             // and its scheduler was told so
+	Concluded             // a node told a try's outcome: Word
+)
+
+var kindNames = [...]string{"born", "killed", "paused", "resumed", "asked", "answered", "gave-up", "told", "heard",
+	"listed", "scheduled", "node-born", "node-fell", "linked", "unlinked", "offered", "recalled", "ran", "confirmed",
+	"concluded"}
+
+func (k Kind) String() string { return kindNames[k] }
+
+// MarshalText writes the kind's name.
+func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
+
+// Record is one thing that passed. Times are ms of the holder's clock.
+type Record struct {
+	At      float64
+	Kind    Kind
+	Sched   string `json:",omitempty"`
+	Node    uint32 `json:",omitempty"`
+	Owner   int    `json:",omitempty"`
+	Ref     uint64 `json:",omitempty"`
+	Ticket  uint64 `json:",omitempty"`
+	Try     uint8  `json:",omitempty"`
+	Job     int    `json:",omitempty"`
+	Token   uint64 `json:",omitempty"`
+	Service uint64 `json:",omitempty"`
+	Until   float64
+	Sent    float64 `json:",omitempty"` // when an offer was sent, as far as its node can tell
+	Word    string  `json:",omitempty"`
+}
+
+// Trace gathers records from many goroutines.
+type Trace struct {
+	Each func(*Record) // is given each record instead of the trace, if it is set before the first
+
+	mu  sync.Mutex
+	all []Record
+}
+
+// Add adds a record.
+func (t *Trace) Add(r Record) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.Each != nil {
+		t.Each(&r)
+	} else {
+		t.all = append(t.all, r)
+	}
+}
+
+// Records returns a copy in order of time.
+func (t *Trace) Records() []Record {
+	t.mu.Lock()
+	all := slices.Clone(t.all)
+	t.mu.Unlock()
+	slices.SortStableFunc(all, func(x, y Record) int { return cmp.Compare(x.At, y.At) })
+	return all
+}
+
+// Write writes records as JSON, one a line.
+func Write(w io.Writer, records []Record) error {
+	enc := json.NewEncoder(w)
+	for i := range records {
+		if err := enc.Encode(&records[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
