--- /dev/null
+++ b/internal/decide/workingset/widen.go
@@ -0,0 +1,52 @@
+package workingset
+
+// Times in ms.
+const (
+	widenEvery  = 250     // between two doublings
+	holdAtFirst = 30_000  // without a shortage, until a set narrows by half
+	holdAtMost  = 480_000 // the hold doubles up to this while shortages come back soon after it narrowed
+	soonHolds   = 4       // holds within which that is soon
+)
+
+// widener is how many times its usual size the set has for one machine kind, because nothing in it fits.
+type widener struct {
+	factor     float64 // 0 counts as 1
+	widenedAt  float64
+	shortAt    float64 // of the last shortage
+	narrowedAt float64
+	hold       float64
+}
+
+func (w *widener) times() float64 { return max(1, w.factor) }
+
+// onShortage widens, unless that was done a moment ago or all nodes are in the set already.
+func (w *widener) onShortage(now float64, hasAll bool, plant Plant) {
+	w.shortAt = now
+	switch {
+	case hasAll:
+		return
+	case now-w.widenedAt < widenEvery && w.factor > 1 && !plant.WidensUnbounded:
+		return
+	}
+	switch {
+	case w.hold == 0 || w.narrowedAt > 0 && now-w.narrowedAt >= 2*soonHolds*holdAtMost:
+		w.hold = holdAtFirst
+	case w.narrowedAt > 0 && now-w.narrowedAt < soonHolds*w.hold && !plant.Flaps:
+		w.hold = min(holdAtMost, 2*w.hold)
+		w.narrowedAt = 0 // one return counts once
+	}
+	w.factor, w.widenedAt = 2*w.times(), now
+}
+
+// narrows tells whether it is time to narrow.
+func (w *widener) narrows(now float64, plant Plant) bool {
+	if plant.Flaps {
+		return w.factor > 1 && now-w.shortAt >= widenEvery
+	}
+	return w.factor > 1 && now-max(w.shortAt, w.narrowedAt) >= w.hold
+}
+
+func (w *widener) narrow(now float64) {
+	w.factor = max(1, w.factor/2)
+	w.narrowedAt = now
+}
--- /dev/null
+++ b/internal/decide/workingset/workingset.go
@@ -0,0 +1,452 @@
+// Package workingset decides which nodes a scheduler works with: to which it keeps connections, which the placement
+// module is shown. The size of the set follows from the scheduler's own load. Schedulers share nodes out by rendezvous
+// hashing, so that every node is in about as many sets as every other and a scheduler that comes or goes moves its
+// share of the nodes alone. A set that lacks room widens at a bounded rate and narrows late.
+//
+// Times are milliseconds on the caller's clock. docs/design/workingset.md has the arithmetic.
+package workingset
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// Config is what a set is started with.
+type Config struct {
+	Key        string  // of the site, so that two sites share their nodes out apart
+	Own        string  // name of this scheduler
+	Schedulers int     // the site has, until members are known
+	Least      int     // nodes in a set
+	Coverage   float64 // sets that each node is in at least
+	Spare      float64 // nodes for each machine that own tasks would fill
+	Plant      Plant
+}
+
+// Plant puts faults into a set, for tests that must find them.
+type Plant struct {
+	ForgetsSet      bool // a change of members empties the set
+	SkipsNodes      bool // some nodes are in no scheduler's set
+	WidensUnbounded bool // without pace
+	Flaps           bool // narrows as soon as nothing is short
+}
+
+const (
+	nodesPerStart  = 2    // for each start a second: one task starts in some tenths of a second
+	perStratum     = 3    // nodes of each zone and kind at least
+	settleFor      = 3000 // ms that members must stay the same before nodes are shared out anew
+	reachableLeast = 0.75 // part of the size below which unreachable nodes are replaced
+)
+
+// State is what the node list says of a node.
+type State uint8
+
+// States of a node.
+const (
+	Ready State = iota
+	Draining
+)
+
+// Node is an entry of the node list.
+type Node struct {
+	ID         uint32
+	Zone, Kind int
+	State      State
+}
+
+// AnyKind is the machine kind of a task that runs on every kind.
+const AnyKind = -1
+
+// record is what the set keeps of each node of the list.
+type record struct {
+	id       uint32
+	stratum  *stratum
+	position float64
+	state    State
+	in       bool
+	down     bool // it can't be reached
+}
+
+// stratum is the nodes of one zone and machine kind, by position.
+type stratum struct {
+	zone, kind int
+	nodes      []*record
+}
+
+// Reason is why a node leaves the set.
+type Reason uint8
+
+// Reasons to leave.
+const (
+	Reassigned Reason = iota // members or nodes have changed
+	Narrowed                 // fewer nodes are needed
+)
+
+func (r Reason) String() string { return [...]string{"reassigned", "narrowed"}[r] }
+
+// Departure is a node that leaves, and why.
+type Departure struct {
+	ID  uint32
+	Why Reason
+}
+
+// Change is what a step changes.
+type Change struct {
+	Enter []uint32
+	Leave []Departure
+}
+
+// Set is the working set of one scheduler.
+type Set struct {
+	config  Config
+	view    view
+	nodes   map[uint32]*record
+	strata  []*stratum // by zone and kind
+	ready   int
+	size    int     // nodes in the set
+	usual   float64 // size that the last change was made for
+	load    Load
+	sizer   sizer
+	wide    []widener // by machine kind
+	short   []bool    // by machine kind, since the last step
+	tokens  float64   // nodes that widening may add now
+	stepped float64
+
+	dirty        bool // something changed since the last step, or the set is wider than usual
+	known        bool // the members are
+	reassigned   bool // nodes were shared out anew since the last step
+	pending      []string
+	pendingSince float64
+}
+
+// New starts an empty set that knows nothing of the other schedulers.
+func New(now float64, config Config) *Set {
+	config.Least = max(1, config.Least)
+	s := &Set{config: config, nodes: map[uint32]*record{}, stepped: now}
+	s.sizer.began = now
+	s.view = newView(config.Key, config.Own, nil)
+	return s
+}
+
+// PutNode takes an entry of the node list.
+func (s *Set) PutNode(n Node) {
+	r := s.nodes[n.ID]
+	if r == nil {
+		r = &record{id: n.ID, stratum: s.stratumOf(n.Zone, n.Kind), position: s.position(n.ID), state: Draining}
+		s.nodes[n.ID] = r
+		r.stratum.insert(r)
+	} else if r.stratum.zone != n.Zone || r.stratum.kind != n.Kind {
+		r.stratum.remove(r)
+		r.stratum = s.stratumOf(n.Zone, n.Kind)
+		r.stratum.insert(r)
+		s.dirty = true
+	}
+	if r.state == n.State {
+		return
+	}
+	r.state, s.dirty = n.State, true
+	if n.State == Ready {
+		s.ready++
+	} else {
+		s.ready--
+	}
+}
+
+// RemoveNode takes a node off the list: it is in no set from now on.
+func (s *Set) RemoveNode(id uint32) {
+	r := s.nodes[id]
+	if r == nil {
+		return
+	}
+	delete(s.nodes, id)
+	r.stratum.remove(r)
+	s.dirty = true
+	if r.state == Ready {
+		s.ready--
+	}
+	if r.in {
+		s.size--
+	}
+}
+
+// Nodes gives the nodes of the list, in no order.
+func (s *Set) Nodes(yield func(id uint32) bool) {
+	for id := range s.nodes {
+		if !yield(id) {
+			return
+		}
+	}
+}
+
+// Has tells whether a node is in the set.
+func (s *Set) Has(id uint32) bool {
+	r := s.nodes[id]
+	return r != nil && r.in
+}
+
+// Size is how many nodes are in the set.
+func (s *Set) Size() int { return s.size }
+
+// SetMembers says which schedulers are there. Nodes are shared out anew once that has been the same for a while.
+func (s *Set) SetMembers(now float64, names []string) {
+	sorted := withName(names, s.config.Own)
+	switch {
+	case s.known && slices.Equal(sorted, s.view.names):
+		s.pending = nil
+	case !slices.Equal(sorted, s.pending):
+		s.pending, s.pendingSince = sorted, now
+	}
+}
+
+// SetLoad says what the scheduler's own load is.
+func (s *Set) SetLoad(load Load) { s.load = load }
+
+// SetReachable says whether a node of the set can be reached.
+func (s *Set) SetReachable(id uint32, reachable bool) {
+	if r := s.nodes[id]; r != nil && r.in && r.down == reachable {
+		r.down, s.dirty = !reachable, true
+	}
+}
+
+// OnShortage says that a task for a kind of machine finds no node in the set, AnyKind for all kinds.
+func (s *Set) OnShortage(kind int) {
+	for k := range s.short {
+		s.short[k] = s.short[k] || kind == AnyKind || kind == k
+	}
+	s.dirty = true
+}
+
+// Step decides what changes now. It is to be called some times a second.
+func (s *Set) Step(now float64) Change {
+	s.applyMembers(now)
+	size := s.usualSize(now)
+	s.refill(now, size)
+	if !s.dirty && size == s.usual {
+		return Change{}
+	}
+	s.usual, s.dirty = size, false
+	s.widen(now, size)
+	var change Change
+	var extra []*record
+	for _, st := range s.strata {
+		usual, most := s.reach(st, size)
+		s.compare(st, usual, most, &change, &extra)
+	}
+	s.admit(extra, &change)
+	s.reassigned = false
+	s.dirty = s.dirty || slices.ContainsFunc(s.wide, func(w widener) bool { return w.factor > 1 })
+	return change
+}
+
+// applyMembers shares nodes out among other schedulers than before, once these are settled.
+func (s *Set) applyMembers(now float64) {
+	if s.pending == nil || now-s.pendingSince < settleFor {
+		return
+	}
+	s.view = newView(s.config.Key, s.config.Own, s.pending)
+	s.pending, s.known, s.reassigned, s.dirty = nil, true, true, true
+	for _, r := range s.nodes {
+		r.position = s.position(r.id)
+		if s.config.Plant.ForgetsSet && r.in {
+			r.in = false
+			s.size--
+		}
+	}
+	for _, st := range s.strata {
+		st.sort()
+	}
+}
+
+// position is where this scheduler stands among those that want a node. As long as it knows of no other, it takes a
+// place by chance, as if the site's schedulers were all there.
+func (s *Set) position(id uint32) float64 {
+	node := hashOfNode(id)
+	if s.config.Plant.SkipsNodes && node%10 == 0 {
+		return math.Inf(1)
+	}
+	if s.known {
+		return s.view.position(node)
+	}
+	return fraction(mix(node^s.view.own)) * s.schedulers()
+}
+
+// schedulers is among how many nodes are shared out.
+func (s *Set) schedulers() float64 {
+	if s.known {
+		return s.view.schedulers()
+	}
+	return float64(max(1, s.config.Schedulers))
+}
+
+// usualSize is how many nodes the scheduler's own load and the coverage of all nodes need. A scheduler that is cut off
+// from more than half of the others does not cover their nodes for them.
+func (s *Set) usualSize(now float64) float64 {
+	need := s.config.Spare*s.load.Machines + nodesPerStart*s.load.Starts
+	size := s.sizer.size(now, need, float64(s.config.Least))
+	sharers := max(s.schedulers(), float64(s.config.Schedulers)/2)
+	return max(size, s.config.Coverage*float64(s.ready)/sharers)
+}
+
+// refill gives widening leave for more nodes: a usual set a second, half of one at once.
+func (s *Set) refill(now, size float64) {
+	s.tokens = min(size/2, s.tokens+size*(now-s.stepped)/1000)
+	s.stepped = now
+	if s.config.Plant.WidensUnbounded {
+		s.tokens = math.Inf(1)
+	}
+}
+
+// widen widens for the kinds of machines that are short, or of which too few can be reached, and narrows for those
+// that have not been short for long.
+func (s *Set) widen(now, size float64) {
+	for kind := range s.wide {
+		w := &s.wide[kind]
+		usual, inside, reachable, all := s.count(kind, size)
+		if s.short[kind] || inside > 0 && float64(reachable) < reachableLeast*float64(min(usual, inside)) {
+			w.onShortage(now, inside >= all, s.config.Plant)
+		} else if w.narrows(now, s.config.Plant) && s.mayNarrow(kind, size) {
+			w.narrow(now)
+		}
+		s.short[kind] = false
+	}
+}
+
+// count counts ready nodes of a kind: how many are usual in a set, are in it, of these can be reached, and are there.
+func (s *Set) count(kind int, size float64) (usual, inside, reachable, all int) {
+	for _, st := range s.strata {
+		if st.kind != kind {
+			continue
+		}
+		limit, _ := s.reach(st, size)
+		place := 0
+		for _, r := range st.nodes {
+			if r.state != Ready {
+				continue
+			}
+			all++
+			if r.position < limit || place < perStratum {
+				usual++
+			}
+			place++
+			if r.in {
+				inside++
+				if !r.down {
+					reachable++
+				}
+			}
+		}
+	}
+	return usual, inside, reachable, all
+}
+
+// mayNarrow tells whether enough reachable nodes of a kind would be left by half as wide a set.
+func (s *Set) mayNarrow(kind int, size float64) bool {
+	usual, left := 0, 0
+	for _, st := range s.strata {
+		if st.kind != kind {
+			continue
+		}
+		limit, most := s.reach(st, size)
+		for _, r := range st.nodes {
+			if r.state != Ready {
+				continue
+			}
+			if r.position < limit {
+				usual++
+			}
+			if r.position < max(limit, most/2) && !r.down {
+				left++
+			}
+		}
+	}
+	return float64(left) >= reachableLeast*float64(usual)
+}
+
+// reach gives the positions below which nodes of a stratum are in a set of the usual size, and of the present one.
+func (s *Set) reach(st *stratum, size float64) (usual, most float64) {
+	usual = size * s.schedulers() / float64(max(1, s.ready))
+	return usual, usual * s.wide[st.kind].times()
+}
+
+// compare finds what enters and leaves in a stratum. Nodes beyond the usual size are gathered in extra, as these enter
+// at a bounded rate. A draining node stays if it is in the set, as it is told to end, and enters none.
+func (s *Set) compare(st *stratum, usual, most float64, change *Change, extra *[]*record) {
+	place := 0
+	for _, r := range st.nodes {
+		if r.state != Ready {
+			continue
+		}
+		wanted := place < perStratum && !math.IsInf(r.position, 1) || r.position < most
+		switch {
+		case wanted == r.in:
+		case !wanted:
+			s.leave(r, change)
+		case place < perStratum || r.position < usual:
+			s.enter(r, change)
+		default:
+			*extra = append(*extra, r)
+		}
+		place++
+	}
+}
+
+// admit lets extra nodes enter, those first of which this scheduler wants most, as many as the pace allows.
+func (s *Set) admit(extra []*record, change *Change) {
+	slices.SortFunc(extra, func(x, y *record) int {
+		return cmp.Or(cmp.Compare(x.position, y.position), cmp.Compare(x.id, y.id))
+	})
+	for _, r := range extra {
+		if s.tokens < 1 {
+			return
+		}
+		s.tokens--
+		s.enter(r, change)
+	}
+}
+
+func (s *Set) enter(r *record, change *Change) {
+	r.in, r.down = true, false
+	s.size++
+	change.Enter = append(change.Enter, r.id)
+}
+
+func (s *Set) leave(r *record, change *Change) {
+	why := Narrowed
+	if s.reassigned {
+		why = Reassigned
+	}
+	r.in, r.down = false, false
+	s.size--
+	change.Leave = append(change.Leave, Departure{r.id, why})
+}
+
+// stratumOf finds or makes the stratum of a zone and kind.
+func (s *Set) stratumOf(zone, kind int) *stratum {
+	for len(s.wide) <= kind {
+		s.wide, s.short = append(s.wide, widener{}), append(s.short, false)
+	}
+	for _, st := range s.strata {
+		if st.zone == zone && st.kind == kind {
+			return st
+		}
+	}
+	st := &stratum{zone: zone, kind: kind}
+	s.strata = append(s.strata, st)
+	return st
+}
+
+func comparePosition(x, y *record) int {
+	return cmp.Or(cmp.Compare(x.position, y.position), cmp.Compare(x.id, y.id))
+}
+
+func (st *stratum) insert(r *record) {
+	at, _ := slices.BinarySearchFunc(st.nodes, r, comparePosition)
+	st.nodes = slices.Insert(st.nodes, at, r)
+}
+
+func (st *stratum) remove(r *record) {
+	at, _ := slices.BinarySearchFunc(st.nodes, r, comparePosition)
+	st.nodes = slices.Delete(st.nodes, at, at+1)
+}
+
+func (st *stratum) sort() { slices.SortFunc(st.nodes, comparePosition) }
--- /dev/null
+++ b/internal/decide/workingset/workingset_test.go
@@ -0,0 +1,500 @@
+package workingset
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+const (
+	zones = 3
+	kinds = 2
+)
+
+// cluster is the working sets of several schedulers on one clock.
+type cluster struct {
+	now   float64
+	names []string
+	sets  []*Set
+	nodes int
+}
+
+func nodeOf(i int) Node { return Node{ID: uint32(i + 1), Zone: i % zones, Kind: i / zones % kinds} }
+
+// newCluster makes schedulers that know each other and a list of nodes.
+func newCluster(schedulers, nodes int, config Config) *cluster {
+	c := &cluster{nodes: nodes}
+	for i := range schedulers {
+		c.names = append(c.names, fmt.Sprintf("scheduler%d", i))
+	}
+	for _, name := range c.names {
+		c.sets = append(c.sets, c.newSet(name, config))
+	}
+	c.run(2 * settleFor)
+	return c
+}
+
+// oneOf makes the set of one of several schedulers, which stay.
+func oneOf(schedulers, nodes int, config Config) (*cluster, *Set) {
+	c := &cluster{nodes: nodes}
+	for i := range schedulers {
+		c.names = append(c.names, fmt.Sprintf("scheduler%d", i))
+	}
+	s := c.newSet(c.names[0], config)
+	c.sets = []*Set{s}
+	c.run(2 * settleFor)
+	return c, s
+}
+
+func (c *cluster) newSet(name string, config Config) *Set {
+	config.Own, config.Schedulers = name, len(c.names)
+	s := New(c.now, config)
+	for i := range c.nodes {
+		s.PutNode(nodeOf(i))
+	}
+	return s
+}
+
+// run lets time pass; each set hears of the members.
+func (c *cluster) run(ms float64) (changes []Change) {
+	for end := c.now + ms; c.now < end; c.now += 100 {
+		for _, s := range c.sets {
+			s.SetMembers(c.now, c.names)
+			changes = append(changes, s.Step(c.now))
+		}
+	}
+	return changes
+}
+
+// coverage is in how many sets each node is, the least and the most.
+func (c *cluster) coverage() (least, most int) {
+	least = math.MaxInt
+	for i := range c.nodes {
+		n := 0
+		for _, s := range c.sets {
+			if s.Has(nodeOf(i).ID) {
+				n++
+			}
+		}
+		least, most = min(least, n), max(most, n)
+	}
+	return least, most
+}
+
+// bound is the largest size that is to be expected of a set: four standard deviations of a binomial count above its mean.
+func bound(mean float64) float64 { return mean + 4*math.Sqrt(mean) + zones*kinds*perStratum }
+
+// checkSizes tells what is wrong with the sizes and the coverage of a cluster's sets.
+func (c *cluster) checkSizes(mean float64) error {
+	for _, s := range c.sets {
+		if float64(s.Size()) > bound(mean) || float64(s.Size()) < mean-4*math.Sqrt(mean) {
+			return fmt.Errorf("%s has %d nodes, about %.0f are expected", s.config.Own, s.Size(), mean)
+		}
+	}
+	each := mean * float64(len(c.sets)) / float64(c.nodes)
+	least, most := c.coverage()
+	if least < int(each) || most > int(each)+2 {
+		return fmt.Errorf("nodes are in %d to %d sets, %.1f are expected", least, most, each)
+	}
+	return nil
+}
+
+func TestSizesAndCoverage(t *testing.T) {
+	for _, test := range []struct {
+		schedulers, nodes, least int
+		coverage, mean           float64
+	}{
+		{30, 1300, 480, 1, 480},
+		{30, 14000, 480, 1, 480},
+		{30, 14000, 100, 1, 14000.0 / 30},
+		{30, 14000, 100, 2, 14000.0 / 15},
+		{100, 1300, 100, 1, 100},
+		{100, 14000, 200, 1, 200},
+		{30, 300, 480, 1, 300},
+	} {
+		c := newCluster(test.schedulers, test.nodes, Config{Least: test.least, Coverage: test.coverage})
+		if err := c.checkSizes(test.mean); err != nil {
+			t.Errorf("%d schedulers, %d nodes: %v", test.schedulers, test.nodes, err)
+		}
+		for _, change := range c.run(5000) {
+			if len(change.Enter)+len(change.Leave) > 0 {
+				t.Errorf("%d schedulers, %d nodes: %v changes with nothing to cause it", test.schedulers, test.nodes, change)
+			}
+		}
+	}
+}
+
+func TestSkippedNodesAreFound(t *testing.T) {
+	c := newCluster(30, 1300, Config{Least: 480, Coverage: 1, Plant: Plant{SkipsNodes: true}})
+	if c.checkSizes(480) == nil {
+		t.Error("nodes in no set pass the check")
+	}
+}
+
+// memberChange has one of the schedulers go, or a new one come, and tells which part of the sets changes.
+func memberChange(joins bool, plant Plant) (part float64, least int) {
+	const schedulers, nodes = 30, 1300
+	c := newCluster(schedulers, nodes, Config{Least: 480, Coverage: 1, Plant: plant})
+	if joins {
+		c.names = append(c.names, "another")
+	} else {
+		c.names, c.sets = c.names[:schedulers-1], c.sets[:schedulers-1]
+	}
+	before := 0
+	for _, s := range c.sets {
+		before += s.Size()
+	}
+	moved := 0
+	for _, change := range c.run(2 * settleFor) {
+		moved += len(change.Enter) + len(change.Leave)
+	}
+	least, _ = c.coverage()
+	return float64(moved) / float64(before), least
+}
+
+func TestMemberChangeMovesItsShare(t *testing.T) {
+	for _, joins := range []bool{false, true} {
+		part, least := memberChange(joins, Plant{})
+		if part > 2.0/30 || least < 9 {
+			t.Errorf("joins %t: %.3f of the sets change, nodes in %d sets at least", joins, part, least)
+		}
+	}
+	if part, _ := memberChange(false, Plant{ForgetsSet: true}); part <= 2.0/30 {
+		t.Errorf("sets that are forgotten pass the check: %.3f change", part)
+	}
+}
+
+// TestMembersSettle has a scheduler come and go faster than the others take notice.
+func TestMembersSettle(t *testing.T) {
+	c := newCluster(10, 500, Config{Least: 100, Coverage: 1})
+	all := c.names
+	for i := range 40 {
+		c.names = all[:len(all)-i%2]
+		for _, change := range c.run(settleFor / 3) {
+			if len(change.Enter)+len(change.Leave) > 0 {
+				t.Fatalf("%v after a member that flaps", change)
+			}
+		}
+	}
+}
+
+func TestNodeChangeMovesLittle(t *testing.T) {
+	c := newCluster(30, 1300, Config{Least: 480, Coverage: 1})
+	moved := 0
+	for _, s := range c.sets {
+		s.RemoveNode(nodeOf(700).ID)
+	}
+	for _, change := range c.run(1000) {
+		moved += len(change.Enter) + len(change.Leave)
+	}
+	if moved > 60 {
+		t.Errorf("%d changes in 30 sets after one node of 1300 left", moved)
+	}
+}
+
+// TestEveryStratum has few nodes of one kind: each set holds some of each zone and kind.
+func TestEveryStratum(t *testing.T) {
+	s := New(0, Config{Own: "a", Schedulers: 30, Least: 20, Coverage: 1})
+	for i := range 1300 {
+		s.PutNode(Node{ID: uint32(i), Zone: i % zones})
+	}
+	for i := range 5 {
+		s.PutNode(Node{ID: uint32(2000 + i), Kind: 1})
+	}
+	s.Step(100)
+	rare := 0
+	for i := range 5 {
+		if s.Has(uint32(2000 + i)) {
+			rare++
+		}
+	}
+	if rare < perStratum {
+		t.Errorf("%d nodes of the rare kind", rare)
+	}
+}
+
+func TestSizeFollowsLoad(t *testing.T) {
+	c, s := oneOf(30, 5000, Config{Least: 100, Spare: 8})
+	sizes := map[float64]int{}
+	for _, machines := range []float64{0, 50, 51, 100, 0} {
+		s.SetLoad(Load{Machines: machines})
+		c.run(1000)
+		sizes[machines] = s.Size()
+	}
+	if sizes[50] < 400 || sizes[50] != sizes[51] || sizes[100] < 800 || sizes[0] != sizes[100] {
+		t.Errorf("sizes by load: %v", sizes)
+	}
+	c.run(2*sizeWindow + 1000)
+	if s.Size() > 150 {
+		t.Errorf("%d nodes long after the load went", s.Size())
+	}
+}
+
+// shortage has nothing fit for a while, and tells how many nodes entered in the worst second and how long it took
+// until the set had doubled.
+func shortage(plant Plant) (worst int, doubled float64) {
+	c, s := oneOf(30, 14000, Config{Least: 480, Coverage: 1, Plant: plant})
+	usual, began := s.Size(), c.now
+	var entered []int
+	for range 50 {
+		s.OnShortage(AnyKind)
+		n := len(s.Step(c.now).Enter)
+		entered = append(entered, n)
+		if doubled == 0 && s.Size() >= 3*usual/2 {
+			doubled = c.now - began + 100
+		}
+		c.now += 100
+	}
+	for i := range entered[9:] {
+		sum := 0
+		for _, n := range entered[i : i+10] {
+			sum += n
+		}
+		worst = max(worst, sum)
+	}
+	return worst, doubled
+}
+
+func TestWidensAtABoundedRate(t *testing.T) {
+	worst, doubled := shortage(Plant{})
+	if worst > 480*3/2+10 || doubled == 0 || doubled > 1000 {
+		t.Errorf("%d nodes in the worst second, half as many again after %.0f ms", worst, doubled)
+	}
+	if worst, _ := shortage(Plant{WidensUnbounded: true}); worst <= 480*3/2+10 {
+		t.Errorf("unbounded widening passes the check: %d in a second", worst)
+	}
+}
+
+// TestShortKindWidensAlone has a kind of machine be short.
+func TestShortKindWidensAlone(t *testing.T) {
+	c, s := oneOf(30, 1300, Config{Least: 60, Coverage: 1})
+	for range 50 { // as the pace is 60 nodes a second
+		s.OnShortage(1)
+		s.Step(c.now)
+		c.now += 300
+	}
+	var inside [kinds]int
+	for i := range c.nodes {
+		if n := nodeOf(i); s.Has(n.ID) {
+			inside[n.Kind]++
+		}
+	}
+	if inside[0] > 60 || inside[1] < 600 {
+		t.Errorf("%v nodes by kind", inside)
+	}
+}
+
+// pulses has a shortage come each few seconds, and tells how often nodes entered, beside the nodes of the set at most.
+func pulses(every, total float64, plant Plant) (entered, most int) {
+	c, s := oneOf(30, 1300, Config{Least: 100, Coverage: 1, Plant: plant})
+	usual := s.Size()
+	next := c.now
+	for end := c.now + total; c.now < end; c.now += 100 {
+		if c.now >= next {
+			s.OnShortage(AnyKind)
+			next += every
+		}
+		entered += len(s.Step(c.now).Enter)
+		most = max(most, s.Size())
+	}
+	return entered, most - usual
+}
+
+func TestDoesNotFlap(t *testing.T) {
+	for _, every := range []float64{2000, 40_000, 70_000} {
+		entered, extra := pulses(every, 20*60_000, Plant{})
+		if entered > 6*max(extra, 100) {
+			t.Errorf("a shortage each %.0f ms: %d entered, the set was at most %d beyond its usual size", every, entered, extra)
+		}
+	}
+	if entered, extra := pulses(2000, 20*60_000, Plant{Flaps: true}); entered <= 6*max(extra, 100) {
+		t.Errorf("a set that flaps passes the check: %d entered, %d beyond", entered, extra)
+	}
+}
+
+func TestNarrowsAfterAShortage(t *testing.T) {
+	c, s := oneOf(30, 1300, Config{Least: 100, Coverage: 1})
+	usual := s.Size()
+	s.OnShortage(AnyKind)
+	c.run(1000)
+	if s.Size() < 3*usual/2 {
+		t.Fatalf("%d nodes after a shortage, %d before", s.Size(), usual)
+	}
+	c.run(holdAtFirst + 1000)
+	if s.Size() != usual {
+		t.Errorf("%d nodes after the hold, %d before the shortage", s.Size(), usual)
+	}
+}
+
+// TestLostNodesAreReplaced has all nodes of a set be lost at once: others take their place within a second, and the
+// set does not go back to those that are lost.
+func TestLostNodesAreReplaced(t *testing.T) {
+	c, s := oneOf(30, 1300, Config{Least: 100, Coverage: 1})
+	lost := map[uint32]bool{}
+	for i := range c.nodes {
+		if id := nodeOf(i).ID; s.Has(id) {
+			lost[id] = true
+			s.SetReachable(id, false)
+		}
+	}
+	reachable := func() (n int) {
+		for i := range c.nodes {
+			if id := nodeOf(i).ID; s.Has(id) && !lost[id] {
+				n++
+			}
+		}
+		return n
+	}
+	c.run(1000)
+	if n := reachable(); n < 70 {
+		t.Errorf("%d reachable nodes after a second", n)
+	}
+	c.run(5 * holdAtFirst)
+	if n := reachable(); n < 70 {
+		t.Errorf("%d reachable nodes after minutes", n)
+	}
+	for id := range lost {
+		s.SetReachable(id, true)
+	}
+	c.run(holdAtMost * 3)
+	if s.Size() > 130 {
+		t.Errorf("%d nodes long after all came back", s.Size())
+	}
+}
+
+// TestDrainingStays has a node of the set drain: it stays until it is gone, and one outside does not enter.
+func TestDrainingStays(t *testing.T) {
+	c, s := oneOf(2, 40, Config{Least: 10, Coverage: 1})
+	for i := range c.nodes {
+		n := nodeOf(i)
+		was := s.Has(n.ID)
+		n.State = Draining
+		s.PutNode(n)
+		c.run(200)
+		if s.Has(n.ID) != was {
+			t.Fatalf("node %d: in the set %t, %t when it drains", n.ID, was, s.Has(n.ID))
+		}
+		s.PutNode(nodeOf(i))
+		c.run(200)
+	}
+	for i := range c.nodes {
+		s.RemoveNode(nodeOf(i).ID)
+	}
+	if s.Size() != 0 || len(s.nodes) != 0 {
+		t.Errorf("%d in the set, %d known after all left", s.Size(), len(s.nodes))
+	}
+}
+
+// TestRandomHistories plays random events; what the changes tell and what the set holds stay the same.
+func TestRandomHistories(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := New(0, Config{Own: "a", Schedulers: 5, Least: 8, Coverage: 1, Spare: 4})
+		now, told := 0.0, map[uint32]bool{}
+		listed := map[uint32]State{}
+		for range rapid.IntRange(1, 120).Draw(t, "events") {
+			id := uint32(rapid.IntRange(1, 60).Draw(t, "node"))
+			switch rapid.IntRange(0, 8).Draw(t, "event") {
+			case 0, 1, 2:
+				n := Node{ID: id, Zone: rapid.IntRange(0, 2).Draw(t, "zone"), Kind: rapid.IntRange(0, 1).Draw(t, "kind"),
+					State: State(rapid.IntRange(0, 1).Draw(t, "state"))}
+				s.PutNode(n)
+				listed[id] = n.State
+			case 3:
+				s.RemoveNode(id)
+				delete(listed, id)
+				delete(told, id)
+			case 4:
+				s.SetMembers(now, []string{"a", "b", "c", "d"}[:rapid.IntRange(0, 4).Draw(t, "members")])
+			case 5:
+				s.OnShortage(rapid.IntRange(-1, 1).Draw(t, "kind"))
+			case 6:
+				s.SetReachable(id, rapid.Bool().Draw(t, "reachable"))
+			case 7:
+				s.SetLoad(Load{Machines: rapid.Float64Range(0, 20).Draw(t, "machines")})
+			}
+			now += rapid.Float64Range(0, 40_000).Draw(t, "passes")
+			change := s.Step(now)
+			for _, id := range change.Enter {
+				if state, ok := listed[id]; told[id] || !ok || state != Ready {
+					t.Fatalf("%d enters, in the set %t, listed %t %d", id, told[id], ok, state)
+				}
+				told[id] = true
+			}
+			for _, left := range change.Leave {
+				if !told[left.ID] {
+					t.Fatalf("%d leaves and is not in the set", left.ID)
+				}
+				delete(told, left.ID)
+			}
+			if len(told) != s.Size() {
+				t.Fatalf("%d told, size %d", len(told), s.Size())
+			}
+			ready := 0
+			for _, state := range listed {
+				if state == Ready {
+					ready++
+				}
+			}
+			if ready != s.ready || ready > 0 && s.Size() == 0 {
+				t.Fatalf("%d ready, counted %d, %d in the set", ready, s.ready, s.Size())
+			}
+		}
+	})
+}
+
+// TestSameHistorySameSet: the order in which the list names nodes and members does not matter.
+func TestSameHistorySameSet(t *testing.T) {
+	build := func(reverse bool) (in []uint32) {
+		names := []string{"a", "b", "c", "d"}
+		s := New(0, Config{Own: "b", Schedulers: 4, Least: 20})
+		order := make([]int, 200)
+		for i := range order {
+			order[i] = i
+		}
+		if reverse {
+			slices.Reverse(order)
+			slices.Reverse(names)
+		}
+		for _, i := range order {
+			s.PutNode(nodeOf(i))
+		}
+		s.SetMembers(0, names)
+		s.Step(0)
+		s.Step(settleFor)
+		for i := range 200 {
+			if s.Has(nodeOf(i).ID) {
+				in = append(in, nodeOf(i).ID)
+			}
+		}
+		return in
+	}
+	if x, y := build(false), build(true); !slices.Equal(x, y) {
+		t.Errorf("%v and %v", x, y)
+	}
+}
+
+func BenchmarkStepAtRest(b *testing.B) {
+	c := newCluster(1, 14000, Config{Least: 480})
+	b.ReportAllocs()
+	for b.Loop() {
+		c.now += 100
+		c.sets[0].Step(c.now)
+	}
+}
+
+func BenchmarkMemberChange(b *testing.B) {
+	c := newCluster(1, 14000, Config{Least: 480})
+	var names []string
+	for i := range 30 {
+		names = append(names, fmt.Sprint(i))
+	}
+	s := c.sets[0]
+	for i := 0; b.Loop(); i++ {
+		s.SetMembers(c.now, names[:29+i%2])
+		c.now += settleFor
+		s.Step(c.now)
+	}
+}
