--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -119,6 +119,11 @@
 			{Name: "lends", Kind: strictxml.Number, Default: "0.5", Min: 0, Max: 1},
 			{Name: "stewards", Kind: strictxml.Text},
 		}},
+		{Name: "working-set", Most: 1, Attrs: []strictxml.Attr{
+			{Name: "nodes-least", Kind: strictxml.Whole, Must: true, Min: 1, Max: 1e6},
+			{Name: "sets-least", Kind: strictxml.Number, Default: "1", Min: 0, Max: 1e5},
+			{Name: "spare", Kind: strictxml.Number, Default: "8", Min: 1, Max: 1e5},
+		}},
 		{Name: "counts", Most: 1, Attrs: []strictxml.Attr{{Name: "listen", Kind: strictxml.Address, Must: true}}},
 		{Name: "node-list", Least: 1, Most: 1, Attrs: []strictxml.Attr{{Name: "address", Kind: strictxml.Address, Must: true}}},
 		{Name: "owners", Least: 1, Most: 1, Attrs: []strictxml.Attr{{Name: "listen", Kind: strictxml.Address, Must: true},
@@ -162,6 +167,14 @@
 	CountsListen       string // where counts are shown over HTTP, empty: nowhere
 	OwnersSecure       bool   // the owners' door speaks TLS
 	Members            Members
+	WorkingSet         WorkingSet
+}
+
+// WorkingSet says how many nodes a scheduler works with, if Least is not 0; else with all.
+type WorkingSet struct {
+	Least    int     // nodes in a scheduler's set
+	Coverage float64 // sets that each node is in at least
+	Spare    float64 // nodes for each machine that a scheduler's own tasks would fill
 }
 
 // Members says how schedulers know each other, if Listen is not empty.
@@ -322,6 +335,12 @@
 			fault(m, "<members>: seeds: at least one address is expected")
 		}
 	}
+	if w := top.One("working-set"); w != nil {
+		p.WorkingSet = WorkingSet{Least: w.Int("nodes-least"), Coverage: w.Number("sets-least"), Spare: w.Number("spare")}
+		if p.Connections == Own {
+			fault(w, "<working-set>: shards with connections of their own have no set in common")
+		}
+	}
 	sum := 0.0
 	for _, t := range top.All("tenant") {
 		p.Tenants = append(p.Tenants, t.Text("name"))
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -50,6 +50,8 @@
 		{"cut off", `</site>`, ``, "not well-formed"},
 		{"twice the attribute", `cores="16"`, `cores="16" cores="16"`, `line 9: <machine>: attribute "cores" twice`},
 		{"doctype", `<site name`, `<!DOCTYPE site><site name`, "document type"},
+		{"working set of own connections", `<limits`, `<working-set nodes-least="9"/><shards count="2" connections="own"/><limits`,
+			"no set in common"},
 		{"no port", `127.0.0.1:7420`, `127.0.0.1`, "host:port"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -75,6 +77,20 @@
 	})
 }
 
+func TestWorkingSet(t *testing.T) {
+	p, _ := Read(strings.NewReader(Example))
+	if p.WorkingSet != (WorkingSet{}) {
+		t.Errorf("a working set without the element: %+v", p.WorkingSet)
+	}
+	p, faults := Read(strings.NewReader(strings.Replace(Example, `<limits`, `<working-set nodes-least="480" spare="6.5"/><limits`, 1)))
+	if len(faults) > 0 {
+		t.Fatal(faults)
+	}
+	if want := (WorkingSet{Least: 480, Coverage: 1, Spare: 6.5}); p.WorkingSet != want {
+		t.Errorf("%+v, want %+v", p.WorkingSet, want)
+	}
+}
+
 // FuzzRead reads any text as a site file: faults or a place, never both or neither, and no panic.
 func FuzzRead(f *testing.F) {
 	f.Add(Example)
