--- a/internal/decide/reconnect/reconnect.go
+++ b/internal/decide/reconnect/reconnect.go
@@ -83,10 +83,13 @@
 	p.retry(now, nd, n)
 }
 
-// Linked says that a dial made a connection.
+// Linked says that there is a connection, made by a dial or found: none is planned any more.
 func (p *Pacer) Linked(now float64, nd int) {
 	n := p.peer(nd)
 	p.done(n)
+	if n.place >= 0 {
+		p.remove(nd)
+	}
 	n.linked, n.linkedAt, n.wanted = true, now, false
 }
 
--- a/internal/decide/reconnect/reconnect_test.go
+++ b/internal/decide/reconnect/reconnect_test.go
@@ -76,3 +76,18 @@
 		}
 	})
 }
+
+// TestFoundConnection has a node be connected without a dial of this pacer's: it is not dialled, and is once that
+// connection breaks.
+func TestFoundConnection(t *testing.T) {
+	p := New(1)
+	p.Keep(0, 3, true)
+	p.Linked(1, 3)
+	if nd, ok := p.Next(2); ok {
+		t.Fatalf("node %d is dialled, and is connected", nd)
+	}
+	p.Broken(5000, 3)
+	if nd, ok := p.Next(5000 + longest); !ok || nd != 3 {
+		t.Errorf("node %d, %t after its connection broke", nd, ok)
+	}
+}
