--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -126,6 +126,7 @@
 	expiry         float64 // the owner's
 	sentAt         float64
 	dueAt          float64 // the time-out of the try
+	waitsSince     float64 // without an attempt
 	doubtAt        float64 // end of waiting for word of it, 0: not in doubt
 	nd             int
 	place          int // among its node's
@@ -165,6 +166,8 @@
 	same     bool    // it came back in the life in which it was left
 	linked   bool
 	ready    bool // and has told all that it holds
+	heldAll  bool // it has told that at least once
+	released bool // it is outside the working set and nothing stands there
 	probing  bool
 	sent     bool // the probe is on its way
 	probeSeq uint64
@@ -416,6 +419,9 @@
 	a, n := &e.allocs[p], &e.nodes[nd]
 	a.nd, a.place = nd, len(n.on)
 	n.on = append(n.on, p)
+	if n.released {
+		e.retain(e.now, nd)
+	}
 }
 
 func (e *Engine) pull(p int) {
@@ -434,7 +440,7 @@
 	ran := a.phase == runs
 	e.pull(p)
 	nd, id, try, took := e.nodes[a.nd].id, a.id, a.moduleTry(), e.now-a.sentAt
-	a.phase, a.doubtAt = waits, 0
+	a.phase, a.doubtAt, a.waitsSince = waits, 0, e.now
 	never := verdict == logic.Refused || verdict == logic.Unreached || verdict == logic.Unsent
 	a.mayHave = a.mayHave || !never
 	e.edge.Known(a.tenant, a.token, a.epoch, never)
@@ -600,7 +606,7 @@
 	p, a := e.take()
 	a.job, a.tenant, a.service, a.token, a.epoch = jobType, tenant, service, token, epoch
 	e.own(p, owner, ref)
-	a.cores, a.memory, a.expiry = cores, memory, now+left
+	a.cores, a.memory, a.expiry, a.waitsSince = cores, memory, now+left, now
 	e.byToken[name] = p
 	e.sched.Allocate(now, a.id, jobType, tenant, a.expiry-e.terms.Margin, service, cores, memory)
 	return nil
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -87,6 +87,7 @@
 	byCalendar = 1 << iota
 	byWord
 	byZone
+	bySet
 )
 
 func (e *Engine) keepOut(now float64, ids []uint32, why uint8, takes bool) {
@@ -183,7 +184,7 @@
 func (e *Engine) turn(nd int, avail logic.Availability) {
 	n := &e.nodes[nd]
 	n.avail = avail
-	e.pacer.Keep(e.now, nd, avail != logic.Gone)
+	e.pacer.Keep(e.now, nd, avail != logic.Gone && !n.released)
 	if avail == logic.Gone && !n.linked {
 		e.lose(nd)
 	}
@@ -305,7 +306,7 @@
 		return
 	}
 	n := &e.nodes[nd]
-	n.ready = true
+	n.ready, n.heldAll = true, true
 	for i := len(n.on) - 1; i >= 0; i-- {
 		p := n.on[i]
 		a := &e.allocs[p]
--- /dev/null
+++ b/internal/engine/workingset.go
@@ -0,0 +1,97 @@
+package engine
+
+import "ravenpond/logic"
+
+// A scheduler with a working set shows its module nodes of that set alone. The engine hears of these, and of nodes
+// outside on which something of its own stands: these get nothing new and are released once nothing is left there.
+
+// EnterNodes opens news of nodes that the list has had for a while and that the engine is to know from now on; ListNode
+// follows for each, and no ListEnd. New says that they came to the list just now: the module paces them as cold.
+func (e *Engine) EnterNodes(now float64, isNew bool) {
+	e.now, e.news = now, true
+	e.page++
+	kind := logic.ListCached
+	if isNew {
+		kind = logic.ListChanges
+	}
+	e.sched.ListBegin(now, kind)
+}
+
+// SetAside has nodes be outside the working set, where they get nothing new, or inside again.
+func (e *Engine) SetAside(now float64, ids []uint32, aside bool) {
+	if !aside {
+		for _, id := range ids {
+			if nd, ok := e.nodeAt[id]; ok {
+				e.retain(now, nd)
+			}
+		}
+	}
+	e.keepOut(now, ids, bySet, aside)
+}
+
+// retain keeps a node connected that may have been released.
+func (e *Engine) retain(now float64, nd int) {
+	n := &e.nodes[nd]
+	n.released = false
+	e.pacer.Keep(now, nd, n.avail != logic.Gone)
+}
+
+// Release lets go of a node that is set aside if nothing stands there: it is not kept connected any more. It tells
+// whether it did.
+func (e *Engine) Release(now float64, id uint32) bool {
+	nd, ok := e.nodeAt[id]
+	if !ok {
+		return true
+	}
+	n := &e.nodes[nd]
+	if !n.heldAll || e.outs[id]&bySet == 0 || len(n.on) > 0 || n.ghosts > 0 || n.probing {
+		return false
+	}
+	e.abandon(now, nd)
+	return true
+}
+
+// Abandon lets go of a node whatever stands there: a fault, for tests that must find it.
+func (e *Engine) Abandon(now float64, id uint32) {
+	if nd, ok := e.nodeAt[id]; ok {
+		e.abandon(now, nd)
+	}
+}
+
+func (e *Engine) abandon(now float64, nd int) {
+	e.nodes[nd].released = true
+	e.pacer.Keep(now, nd, false)
+}
+
+// Demand is what an engine's tasks ask for, and which of them find no node.
+type Demand struct {
+	Cores, Memory float64 // of all tasks that run or have an attempt out
+	Offers        uint64  // since the start
+	Short         []bool  // by machine kind, the last for tasks that run on any: one waits for longer than the patience
+}
+
+// Demand sums up what tasks ask for. A task is short of nodes if it has waited for longer than the patience, in ms,
+// since it came or since its last attempt ended.
+func (e *Engine) Demand(now, patience float64) Demand {
+	d := Demand{Offers: e.stats.Offers, Short: make([]bool, len(e.terms.Cluster.KindCores)+1)}
+	for p := range e.allocs {
+		a := &e.allocs[p]
+		switch {
+		case a.phase != waits:
+			d.Cores, d.Memory = d.Cores+a.cores, d.Memory+a.memory
+		case !a.answered && now-a.waitsSince > patience && e.holds(p):
+			kind := e.terms.Cluster.JobTypes[a.job].Kind
+			if kind < 0 {
+				kind = len(d.Short) - 1
+			}
+			d.Short[kind] = true
+		}
+	}
+	return d
+}
+
+// holds tells whether a place is in use by an allocation.
+func (e *Engine) holds(place int) bool {
+	p, ok := e.at[e.allocs[place].id]
+	return ok && p == place
+}
--- /dev/null
+++ b/internal/engine/workingset_test.go
@@ -0,0 +1,160 @@
+package engine
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"ravenpond/logic"
+)
+
+// dials is which nodes were dialled since the last look.
+func (s *script) dials() (nodes []string) {
+	for _, line := range s.lines {
+		if strings.HasPrefix(line, "dial ") {
+			nodes = append(nodes, line)
+		}
+	}
+	s.lines = nil
+	return nodes
+}
+
+// setAsideAll sets all nodes aside and tells which the engine releases.
+func (s *script) setAsideAll() (released []uint32) {
+	all := []uint32{1, 2, 3, 4}
+	s.e.SetAside(s.now, all, true)
+	for _, id := range all {
+		if s.e.Release(s.now, id) {
+			released = append(released, id)
+		}
+	}
+	return released
+}
+
+// TestReleaseKeepsTheWayToATask runs a task at a node that is set aside: the node is kept connected until the task ends.
+func TestReleaseKeepsTheWayToATask(t *testing.T) {
+	for _, abandons := range []bool{false, true} {
+		s := begin(t, false)
+		if err := s.e.Allocate(s.now, 1, 1, restartable, 0, 7, 7, 1, 1, 5000, 1); err != nil {
+			t.Fatal(err)
+		}
+		s.e.Round(s.now)
+		nd := s.last.nd
+		if err := s.e.Started(s.now, nd, s.last.ticket, s.last.try, 100); err != nil {
+			t.Fatal(err)
+		}
+		if released := s.setAsideAll(); len(released) != 3 || slices.Contains(released, nd) {
+			t.Fatalf("%v released while a task runs at %d", released, nd)
+		}
+		if abandons {
+			s.e.Abandon(s.now, nd)
+		}
+		s.pass(5000)
+		s.dials()
+		for _, id := range []uint32{1, 2, 3, 4} {
+			s.e.Unlinked(s.now, id, "broken")
+		}
+		s.pass(200)
+		if redialled := len(s.dials()); (redialled == 1) == abandons {
+			t.Fatalf("%d nodes dialled again, way given up: %t", redialled, abandons)
+		}
+		if abandons {
+			continue
+		}
+		s.e.Linked(s.now, nd, 1, 0)
+		if err := s.e.Held(s.now, nd, s.last.ticket, s.last.try, true, restartable, 0, 7, 7, 1, 1); err != nil {
+			t.Fatal(err)
+		}
+		s.e.HeldAll(s.now, nd)
+		if err := s.e.Settled(s.now, nd, s.last.ticket, s.last.try, logic.Ended, logic.NotTold, nil); err != nil {
+			t.Fatal(err)
+		}
+		s.e.Round(s.now)
+		if !s.e.Release(s.now, nd) {
+			t.Error("not released after the task ended")
+		}
+	}
+}
+
+// TestSetAsideGetsNothing sets nodes aside and takes one back, which is not paced as cold.
+func TestSetAsideGetsNothing(t *testing.T) {
+	s := begin(t, false)
+	s.setAsideAll()
+	for ref := range uint64(10) {
+		if err := s.e.Allocate(s.now, 1, ref+1, restartable, 0, ref, ref, 1, 1, 5000, 1); err != nil {
+			t.Fatal(err)
+		}
+	}
+	s.now += 20
+	s.e.Round(s.now)
+	if len(s.seen) > 0 {
+		t.Fatalf("offers to nodes set aside: %v", s.seen)
+	}
+	if d := s.e.Demand(s.now+150, 100); !d.Short[len(d.Short)-1] || d.Cores != 0 {
+		t.Errorf("no shortage while nothing can be placed: %+v", d)
+	}
+	s.e.SetAside(s.now, []uint32{2}, false)
+	s.now += 30
+	s.e.Round(s.now)
+	if s.seen[2] == 0 || len(s.seen) != 1 {
+		t.Errorf("offers %v after node 2 came back", s.seen)
+	}
+	if d := s.e.Demand(s.now, 100); d.Cores == 0 {
+		t.Errorf("nothing counts as asked for: %+v", d)
+	}
+}
+
+// TestReleasedIsDialledAgain has a node that was released enter the set anew.
+func TestReleasedIsDialledAgain(t *testing.T) {
+	s := begin(t, false)
+	if released := s.setAsideAll(); len(released) != 4 {
+		t.Fatalf("%v released", released)
+	}
+	s.e.Unlinked(s.now, 3, "left the working set")
+	s.pass(1000)
+	s.e.ListBegin(s.now, logic.ListChanges) // news of a node that was released does not keep it
+	s.e.ListNode(3, "a", logic.Ready, 0, 8, 32, 1, 1, 0)
+	s.e.ListEnd()
+	s.pass(1000)
+	if dialled := s.dials(); len(dialled) > 0 {
+		t.Fatalf("%v while outside the set", dialled)
+	}
+	s.e.SetAside(s.now, []uint32{3}, false)
+	s.pass(20)
+	if dialled := s.dials(); !slices.Equal(dialled, []string{"dial 3"}) {
+		t.Errorf("dialled %v", dialled)
+	}
+}
+
+// TestEnterNodes has a node be told of that the list has had for long, and one that is new to the list: the new one
+// is paced as cold.
+func TestEnterNodes(t *testing.T) {
+	for _, isNew := range []bool{false, true} {
+		s := begin(t, false)
+		s.setAsideAll()
+		s.e.EnterNodes(s.now, isNew)
+		s.e.ListNode(9, "b", logic.Ready, 0, 16, 32, 0, 0, 0)
+		s.e.Linked(s.now, 9, 1, 0)
+		s.e.HeldAll(s.now, 9)
+		s.now += 30 // the cold budget of 20 is under that
+		for ref := range uint64(40) {
+			if err := s.e.Allocate(s.now, 1, ref+1, restartable, 0, ref, ref, 0.1, 0.1, 5000, 1); err != nil {
+				t.Fatal(err)
+			}
+		}
+		offered := map[uint64]bool{}
+		for range 200 {
+			s.now += 10
+			s.e.Round(s.now)
+			if s.last.ticket != 0 && !offered[s.last.ticket] {
+				offered[s.last.ticket] = true
+			}
+			for ticket := range offered {
+				_ = s.e.Started(s.now, 9, ticket, 0, 10)
+			}
+		}
+		if (s.seen[9] > 20) == isNew {
+			t.Errorf("new %t: %d offers within 2 s", isNew, s.seen[9])
+		}
+	}
+}
