--- a/internal/decide/workingset/size.go
+++ b/internal/decide/workingset/size.go
@@ -8,22 +8,21 @@
 	Starts   float64 // it places a second
 }
 
-const (
-	sizeStep   = 1.25   // between two sizes: smaller changes of the load change nothing
-	sizeWindow = 30_000 // ms: the largest need of this window and the one before counts
-)
+// sizeStep is between two sizes: smaller changes of the load change nothing.
+const sizeStep = 1.25
 
 // sizer turns a scheduler's load into a size that grows at once and shrinks late.
 type sizer struct {
+	window            float64 // ms: the largest need of the present window and the one before counts
 	began             float64 // ms: the start of the present window
 	current, previous float64 // largest need in this window and in the one before
 }
 
 // size takes the need at a time and gives the size, at least the least one.
 func (s *sizer) size(now, need, least float64) float64 {
-	if now >= s.began+sizeWindow {
+	if now >= s.began+s.window {
 		s.previous = s.current
-		if now >= s.began+2*sizeWindow { // nothing was asked for a whole window
+		if now >= s.began+2*s.window { // nothing was asked for a whole window
 			s.previous = need
 		}
 		s.began, s.current = now, 0
--- a/internal/decide/workingset/widen.go
+++ b/internal/decide/workingset/widen.go
@@ -1,15 +1,14 @@
 package workingset
 
-// Times in ms.
 const (
-	widenEvery  = 250     // between two doublings
-	holdAtFirst = 30_000  // without a shortage, until a set narrows by half
-	holdAtMost  = 480_000 // the hold doubles up to this while shortages come back soon after it narrowed
-	soonHolds   = 4       // holds within which that is soon
+	widenEvery = 250 // ms between two doublings
+	mostHolds  = 16  // times that the hold grows at most, doubled while shortages come back soon after narrowing
+	soonHolds  = 4   // holds within which that is soon
 )
 
 // widener is how many times its usual size the set has for one machine kind, because nothing in it fits.
 type widener struct {
+	first      float64 // ms without a shortage until the set narrows by half, at first
 	factor     float64 // 0 counts as 1
 	widenedAt  float64
 	shortAt    float64 // of the last shortage
@@ -29,10 +28,10 @@
 		return
 	}
 	switch {
-	case w.hold == 0 || w.narrowedAt > 0 && now-w.narrowedAt >= 2*soonHolds*holdAtMost:
-		w.hold = holdAtFirst
+	case w.hold == 0 || w.narrowedAt > 0 && now-w.narrowedAt >= 2*soonHolds*mostHolds*w.first:
+		w.hold = w.first
 	case w.narrowedAt > 0 && now-w.narrowedAt < soonHolds*w.hold && !plant.Flaps:
-		w.hold = min(holdAtMost, 2*w.hold)
+		w.hold = min(mostHolds*w.first, 2*w.hold)
 		w.narrowedAt = 0 // one return counts once
 	}
 	w.factor, w.widenedAt = 2*w.times(), now
--- a/internal/decide/workingset/workingset.go
+++ b/internal/decide/workingset/workingset.go
@@ -20,7 +20,11 @@
 	Least      int     // nodes in a set
 	Coverage   float64 // sets that each node is in at least
 	Spare      float64 // nodes for each machine that own tasks would fill
-	Plant      Plant
+	PerStratum int     // nodes of each zone and machine kind at least
+	// NarrowAfter is for how long, in ms, a set must have been larger than needed before it shrinks. Members count as
+	// settled after a tenth of it.
+	NarrowAfter float64
+	Plant       Plant
 }
 
 // Plant puts faults into a set, for tests that must find them.
@@ -33,8 +37,7 @@
 
 const (
 	nodesPerStart  = 2    // for each start a second: one task starts in some tenths of a second
-	perStratum     = 3    // nodes of each zone and kind at least
-	settleFor      = 3000 // ms that members must stay the same before nodes are shared out anew
+	settlePart     = 0.1  // of NarrowAfter that members must stay the same before nodes are shared out anew
 	reachableLeast = 0.75 // part of the size below which unreachable nodes are replaced
 )
 
@@ -123,7 +126,7 @@
 func New(now float64, config Config) *Set {
 	config.Least = max(1, config.Least)
 	s := &Set{config: config, nodes: map[uint32]*record{}, stepped: now}
-	s.sizer.began = now
+	s.sizer = sizer{window: config.NarrowAfter, began: now}
 	s.view = newView(config.Key, config.Own, nil)
 	return s
 }
@@ -240,7 +243,7 @@
 
 // applyMembers shares nodes out among other schedulers than before, once these are settled.
 func (s *Set) applyMembers(now float64) {
-	if s.pending == nil || now-s.pendingSince < settleFor {
+	if s.pending == nil || now-s.pendingSince < settlePart*s.config.NarrowAfter {
 		return
 	}
 	s.view = newView(s.config.Key, s.config.Own, s.pending)
@@ -324,7 +327,7 @@
 				continue
 			}
 			all++
-			if r.position < limit || place < perStratum {
+			if r.position < limit || place < s.config.PerStratum {
 				usual++
 			}
 			place++
@@ -376,12 +379,12 @@
 		if r.state != Ready {
 			continue
 		}
-		wanted := place < perStratum && !math.IsInf(r.position, 1) || r.position < most
+		wanted := place < s.config.PerStratum && !math.IsInf(r.position, 1) || r.position < most
 		switch {
 		case wanted == r.in:
 		case !wanted:
 			s.leave(r, change)
-		case place < perStratum || r.position < usual:
+		case place < s.config.PerStratum || r.position < usual:
 			s.enter(r, change)
 		default:
 			*extra = append(*extra, r)
@@ -423,7 +426,7 @@
 // stratumOf finds or makes the stratum of a zone and kind.
 func (s *Set) stratumOf(zone, kind int) *stratum {
 	for len(s.wide) <= kind {
-		s.wide, s.short = append(s.wide, widener{}), append(s.short, false)
+		s.wide, s.short = append(s.wide, widener{first: s.config.NarrowAfter}), append(s.short, false)
 	}
 	for _, st := range s.strata {
 		if st.zone == zone && st.kind == kind {
--- a/internal/decide/workingset/workingset_test.go
+++ b/internal/decide/workingset/workingset_test.go
@@ -10,8 +10,11 @@
 )
 
 const (
-	zones = 3
-	kinds = 2
+	zones       = 3
+	kinds       = 2
+	perStratum  = 3
+	narrowAfter = 30_000
+	settleFor   = settlePart * narrowAfter
 )
 
 // cluster is the working sets of several schedulers on one clock.
@@ -50,7 +53,7 @@
 }
 
 func (c *cluster) newSet(name string, config Config) *Set {
-	config.Own, config.Schedulers = name, len(c.names)
+	config.Own, config.Schedulers, config.PerStratum, config.NarrowAfter = name, len(c.names), perStratum, narrowAfter
 	s := New(c.now, config)
 	for i := range c.nodes {
 		s.PutNode(nodeOf(i))
@@ -197,7 +200,7 @@
 
 // TestEveryStratum has few nodes of one kind: each set holds some of each zone and kind.
 func TestEveryStratum(t *testing.T) {
-	s := New(0, Config{Own: "a", Schedulers: 30, Least: 20, Coverage: 1})
+	s := New(0, Config{Own: "a", Schedulers: 30, Least: 20, Coverage: 1, PerStratum: perStratum, NarrowAfter: narrowAfter})
 	for i := range 1300 {
 		s.PutNode(Node{ID: uint32(i), Zone: i % zones})
 	}
@@ -227,7 +230,7 @@
 	if sizes[50] < 400 || sizes[50] != sizes[51] || sizes[100] < 800 || sizes[0] != sizes[100] {
 		t.Errorf("sizes by load: %v", sizes)
 	}
-	c.run(2*sizeWindow + 1000)
+	c.run(2*narrowAfter + 1000)
 	if s.Size() > 150 {
 		t.Errorf("%d nodes long after the load went", s.Size())
 	}
@@ -323,7 +326,7 @@
 	if s.Size() < 3*usual/2 {
 		t.Fatalf("%d nodes after a shortage, %d before", s.Size(), usual)
 	}
-	c.run(holdAtFirst + 1000)
+	c.run(narrowAfter + 1000)
 	if s.Size() != usual {
 		t.Errorf("%d nodes after the hold, %d before the shortage", s.Size(), usual)
 	}
@@ -352,14 +355,14 @@
 	if n := reachable(); n < 70 {
 		t.Errorf("%d reachable nodes after a second", n)
 	}
-	c.run(5 * holdAtFirst)
+	c.run(5 * narrowAfter)
 	if n := reachable(); n < 70 {
 		t.Errorf("%d reachable nodes after minutes", n)
 	}
 	for id := range lost {
 		s.SetReachable(id, true)
 	}
-	c.run(holdAtMost * 3)
+	c.run(3 * mostHolds * narrowAfter)
 	if s.Size() > 130 {
 		t.Errorf("%d nodes long after all came back", s.Size())
 	}
@@ -391,7 +394,7 @@
 // TestRandomHistories plays random events; what the changes tell and what the set holds stay the same.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(0, Config{Own: "a", Schedulers: 5, Least: 8, Coverage: 1, Spare: 4})
+		s := New(0, Config{Own: "a", Schedulers: 5, Least: 8, Coverage: 1, Spare: 4, PerStratum: 1, NarrowAfter: narrowAfter})
 		now, told := 0.0, map[uint32]bool{}
 		listed := map[uint32]State{}
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
@@ -449,7 +452,7 @@
 func TestSameHistorySameSet(t *testing.T) {
 	build := func(reverse bool) (in []uint32) {
 		names := []string{"a", "b", "c", "d"}
-		s := New(0, Config{Own: "b", Schedulers: 4, Least: 20})
+		s := New(0, Config{Own: "b", Schedulers: 4, Least: 20, PerStratum: perStratum, NarrowAfter: narrowAfter})
 		order := make([]int, 200)
 		for i := range order {
 			order[i] = i
