--- a/internal/decide/workingset/workingset.go
+++ b/internal/decide/workingset/workingset.go
@@ -14,13 +14,14 @@
 
 // Config is what a set is started with.
 type Config struct {
-	Key        string  // of the site, so that two sites share their nodes out apart
-	Own        string  // name of this scheduler
-	Schedulers int     // the site has, until members are known
-	Least      int     // nodes in a set
-	Coverage   float64 // sets that each node is in at least
-	Spare      float64 // nodes for each machine that own tasks would fill
-	PerStratum int     // nodes of each zone and machine kind at least
+	Key        string   // of the site, so that two sites share their nodes out apart
+	Own        string   // name of this scheduler
+	Schedulers int      // the site has, until members are known
+	Members    []string // names of all schedulers, if these are known from the start
+	Least      int      // nodes in a set
+	Coverage   float64  // sets that each node is in at least
+	Spare      float64  // nodes for each machine that own tasks would fill
+	PerStratum int      // nodes of each zone and machine kind at least
 	// NarrowAfter is for how long, in ms, a set must have been larger than needed before it shrinks. Members count as
 	// settled after a tenth of it.
 	NarrowAfter float64
@@ -127,14 +128,15 @@
 	config.Least = max(1, config.Least)
 	s := &Set{config: config, nodes: map[uint32]*record{}, stepped: now}
 	s.sizer = sizer{window: config.NarrowAfter, began: now}
-	s.view = newView(config.Key, config.Own, nil)
+	s.view = newView(config.Key, config.Own, config.Members)
+	s.known = len(config.Members) > 0
 	return s
 }
 
-// PutNode takes an entry of the node list.
-func (s *Set) PutNode(n Node) {
+// PutNode takes an entry of the node list. It tells whether the node was not on it before.
+func (s *Set) PutNode(n Node) (isNew bool) {
 	r := s.nodes[n.ID]
-	if r == nil {
+	if isNew = r == nil; isNew {
 		r = &record{id: n.ID, stratum: s.stratumOf(n.Zone, n.Kind), position: s.position(n.ID), state: Draining}
 		s.nodes[n.ID] = r
 		r.stratum.insert(r)
@@ -145,7 +147,7 @@
 		s.dirty = true
 	}
 	if r.state == n.State {
-		return
+		return isNew
 	}
 	r.state, s.dirty = n.State, true
 	if n.State == Ready {
@@ -153,6 +155,7 @@
 	} else {
 		s.ready--
 	}
+	return isNew
 }
 
 // RemoveNode takes a node off the list: it is in no set from now on.
@@ -181,6 +184,9 @@
 	}
 }
 
+// Lists tells whether a node is on the list.
+func (s *Set) Lists(id uint32) bool { return s.nodes[id] != nil }
+
 // Has tells whether a node is in the set.
 func (s *Set) Has(id uint32) bool {
 	r := s.nodes[id]
--- a/internal/engine/workingset.go
+++ b/internal/engine/workingset.go
@@ -44,7 +44,7 @@
 		return true
 	}
 	n := &e.nodes[nd]
-	if !n.heldAll || e.outs[id]&bySet == 0 || len(n.on) > 0 || n.ghosts > 0 || n.probing {
+	if !n.heldAll && n.avail != logic.Gone || e.outs[id]&bySet == 0 || len(n.on) > 0 || n.ghosts > 0 || n.probing {
 		return false
 	}
 	e.abandon(now, nd)
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -43,6 +43,7 @@
 
 	mu      sync.Mutex
 	marks   []mark
+	visit   visitPhase
 	shut    bool
 	why     string
 	hearing [][]*shard        // who waits to be told what the node holds, first the one of the next HELD-ALL
@@ -51,8 +52,11 @@
 }
 
 // newLink greets a node over a connection that was just made.
-func newLink(t *trunk, nd uint32, address string, conn outside.Conn) {
+func newLink(t *trunk, nd uint32, address string, conn outside.Conn, visits bool) {
 	l := &link{s: t.s, t: t, nd: nd, address: address, conn: conn, foreign: map[uint64]*shard{}}
+	if visits {
+		l.visit = visiting
+	}
 	l.heardAt.Store(math.Float64bits(t.s.w.Now()))
 	conn.Begin(l, node.Stuck)
 	conn.Send(func(b []byte) []byte {
@@ -117,7 +121,10 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.dialing, l.nd)
+	visits := l.visits()
+	if !visits {
+		delete(t.dialing, l.nd)
+	}
 	if t.closed {
 		return errors.New("not wanted any more")
 	}
@@ -129,10 +136,8 @@
 	l.life = life
 	l.hearing = [][]*shard{slices.Clone(t.shards)}
 	l.mu.Unlock()
-	t.links[l.nd] = l
-	l.s.met(l)
-	for _, sh := range t.shards {
-		l.tellLinked(sh)
+	if !visits {
+		t.add(l)
 	}
 	outside.Every(l.s.w, node.PingEvery, l.ping)
 	return nil
@@ -161,17 +166,21 @@
 	if !l.shut {
 		l.shut, l.why = true, "peer closed: "+err.Error()
 	}
-	why, life := l.why, l.life
+	why, life, visit := l.why, l.life, l.visit
 	handed := l.conn.Handed()
 	unsent := slices.DeleteFunc(l.marks, func(m mark) bool { return m.end <= handed })
 	l.mu.Unlock()
-	if life == 0 {
+	if life == 0 || visit == visiting {
 		t.failed(l.nd, errors.New(why))
 		return
 	}
+	if visit == visited {
+		return
+	}
 	t.mu.Lock()
 	delete(t.links, l.nd)
 	l.s.missed(l)
+	l.s.set.onConnection(l.nd, false)
 	for _, sh := range t.shards {
 		sh.tell(func(now float64) {
 			if sh.links[l.nd] != l {
@@ -427,6 +436,11 @@
 	if jobType >= len(s.who.Place.Jobs) || tenant >= len(s.who.Place.Tenants) {
 		return fmt.Errorf("held try %x of unknown job type %d or tenant %d", ticket, jobType, tenant)
 	}
+	if l.visits() {
+		if err := l.stay(); err != nil {
+			return err
+		}
+	}
 	s.desk.Lock()
 	sh := s.lives[uint32(ticket>>32)]
 	index := -1
@@ -477,6 +491,9 @@
 }
 
 func (l *link) HeldAll() error {
+	if l.visits() && l.leave() {
+		return nil
+	}
 	l.mu.Lock()
 	if len(l.hearing) == 0 {
 		l.mu.Unlock()
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -334,6 +334,10 @@
 
 // toAll tells news of the list to every shard: whichever asked, all may know.
 func (s *Server) toAll(kind logic.ListKind, entries []listEntry) {
+	if s.set != nil && kind != logic.ListFailed {
+		s.set.onList(kind, entries)
+		return
+	}
 	for _, sh := range s.allShards() {
 		sh.hearList(kind, entries)
 	}
@@ -341,10 +345,14 @@
 
 // lastListTo tells a new shard what is known of the list, even if that is nothing.
 func (s *Server) lastListTo(sh *shard) {
-	s.mu.Lock()
-	entries := s.indexed(s.list.Entries())
-	s.mu.Unlock()
-	sh.hearList(logic.ListCached, entries)
+	if s.set != nil {
+		s.set.tellNew(sh)
+	} else {
+		s.mu.Lock()
+		entries := s.indexed(s.list.Entries())
+		s.mu.Unlock()
+		sh.hearList(logic.ListCached, entries)
+	}
 	s.desk.Lock()
 	var out []uint32
 	for id := range s.out {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -24,6 +24,7 @@
 	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/decide/shares"
 	"ravenpond/internal/decide/watchdog"
+	"ravenpond/internal/decide/workingset"
 	"ravenpond/internal/engine"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/site"
@@ -31,6 +32,7 @@
 	"ravenpond/internal/state/bolt"
 	"ravenpond/internal/state/drains"
 	"ravenpond/internal/upkeep"
+	"ravenpond/logic"
 )
 
 // Scheduler says which scheduler is to be run, and where.
@@ -77,6 +79,10 @@
 	Again bool                          // owners are told each answer twice
 
 	Drains func(upkeep.Hands) upkeep.Hands // wraps what carries out maintenance windows
+
+	WorkingSet    workingset.Plant
+	AbandonsTasks bool // nodes that leave the working set are hung up on, whatever runs there
+	SkipsVisits   bool // nodes outside the working set are not asked what they hold
 }
 
 // saveEvery is how often, in ms, a changed list is put on the disk; what is lost in between is asked for again.
@@ -108,6 +114,8 @@
 	circle  circle          // the other schedulers, where the site file has members
 	control *control.Runner // what they agree on, where it names stewards
 	zones   *zonesView      // and what follows for zones
+	set     *nodeSet        // the nodes that the shards work with; nil: all
+	trunk   *trunk          // the connections that shards share, if they do
 
 	countsAt  string // where counts are shown
 	countsEnd func()
@@ -198,7 +206,7 @@
 		if i == 0 || place.Connections == site.Own {
 			t = newTrunk(s, i)
 		}
-		sh.trunk = t
+		sh.trunk, s.trunk = t, t
 		sh.trunk.set(sh)
 		s.shards = append(s.shards, sh)
 		s.lives[sh.life] = sh
@@ -207,6 +215,9 @@
 	if err := bolt.Unheld(context.Background(), atStart, s.outAtStart); err != nil {
 		return nil, fmt.Errorf("drains: %w", err)
 	}
+	if s.set = newNodeSet(s); s.set != nil {
+		s.set.onList(logic.ListCached, s.indexed(last.Entries()))
+	}
 	for _, sh := range s.shards {
 		s.lastListTo(sh)
 	}
@@ -225,6 +236,9 @@
 		sh.begin()
 	}
 	s.lister.begin()
+	if s.set != nil {
+		s.set.begin()
+	}
 	s.every(saveEvery, func() {
 		if err := s.save(); err != nil {
 			s.log.Error().Str("mode", "state").Err(err).Msg("list not saved")
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -148,15 +148,20 @@
 func (sh *shard) hearList(kind logic.ListKind, entries []listEntry) {
 	sh.tell(func(now float64) {
 		sh.eng.ListBegin(now, kind)
-		for i := range entries {
-			en := &entries[i]
-			sh.eng.ListNode(en.ID, en.Address, logic.Availability(en.Avail), en.StartedAt, en.FreeCores, en.FreeMemory,
-				en.zone, en.cell, en.kind)
-		}
+		sh.tellNodes(entries)
 		sh.eng.ListEnd()
 	})
 }
 
+// tellNodes tells the engine entries of the node list.
+func (sh *shard) tellNodes(entries []listEntry) {
+	for i := range entries {
+		en := &entries[i]
+		sh.eng.ListNode(en.ID, en.Address, logic.Availability(en.Avail), en.StartedAt, en.FreeCores, en.FreeMemory,
+			en.zone, en.cell, en.kind)
+	}
+}
+
 // listEntry is an entry with its places as small indices.
 type listEntry struct {
 	state.Entry
--- a/internal/serve/trunk.go
+++ b/internal/serve/trunk.go
@@ -57,20 +57,63 @@
 	}
 	t.dialing[nd] = true
 	t.mu.Unlock()
+	t.connect(nd, address, false)
+}
+
+// visit connects to a node that the shards do not know, to hear whether it holds something of this scheduler's.
+func (t *trunk) visit(nd uint32, address string) {
+	t.mu.Lock()
+	busy := t.closed || t.dialing[nd] || t.links[nd] != nil
+	if !busy {
+		t.dialing[nd] = true
+	}
+	t.mu.Unlock()
+	if busy {
+		t.s.set.onVisitFailed(nd)
+		return
+	}
+	t.connect(nd, address, true)
+}
+
+func (t *trunk) connect(nd uint32, address string, visits bool) {
 	t.s.w.Dial(address, dialFor, func(conn outside.Conn, err error) {
 		if err != nil {
 			t.failed(nd, err)
 			return
 		}
-		newLink(t, nd, address, conn)
+		newLink(t, nd, address, conn, visits)
 	})
 }
 
+// add has the shards hear of a connection; under the lock.
+func (t *trunk) add(l *link) {
+	t.links[l.nd] = l
+	t.s.met(l)
+	t.s.set.onConnection(l.nd, true)
+	for _, sh := range t.shards {
+		l.tellLinked(sh)
+	}
+}
+
+// hangUp ends the connection to a node, if there is one.
+func (t *trunk) hangUp(nd uint32, why string) {
+	t.mu.Lock()
+	l := t.links[nd]
+	t.mu.Unlock()
+	if l != nil {
+		l.end(why, true)
+	}
+}
+
 // failed tells that a node was not reached.
 func (t *trunk) failed(nd uint32, err error) {
 	t.mu.Lock()
 	delete(t.dialing, nd)
 	t.mu.Unlock()
+	if t.s.set != nil {
+		t.s.set.onConnection(nd, false)
+		t.s.set.onVisitFailed(nd)
+	}
 	for _, sh := range t.all() {
 		sh.tell(func(now float64) { sh.eng.DialFailed(now, nd, err.Error()) })
 	}
--- /dev/null
+++ b/internal/serve/workingset_test.go
@@ -0,0 +1,262 @@
+package serve
+
+import (
+	"context"
+	"fmt"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"ravenpond/internal/audit"
+	"ravenpond/internal/site"
+)
+
+const (
+	setNodes      = 60
+	setSchedulers = 5
+	setLeast      = 12 // a node is in one set in the mean
+)
+
+// setStage is a stage with one of five schedulers, each of which works with a fifth of the nodes.
+func setStage(t *testing.T, p Plant) (s *stage, v *nodeSet, address string) {
+	t.Helper()
+	s = newStage(t, setSchedulers, setNodes, false)
+	began := make(chan *nodeSet, 1)
+	s.tune = func(who *Scheduler) { who.Local = func(l *Local) { began <- l.s.set } }
+	s.start(0, s.setPlace(), p)
+	v = <-began
+	waitFor(t, "a settled set", func() bool { return v.settled() })
+	return s, v, s.owner[0].Find()
+}
+
+// setPlace is the stage's site with a working set.
+func (s *stage) setPlace() site.Place {
+	place := *s.place
+	place.Cluster.ColdFor = 50 // the nodes are warm from the start
+	place.WorkingSet = site.WorkingSet{Least: setLeast, Coverage: 1, Spare: 1, PerStratum: 2, NarrowAfter: 1000}
+	return place
+}
+
+// settled tells that all nodes outside have been visited, and left where nothing stands.
+func (v *nodeSet) settled() bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for _, state := range v.shown {
+		if state == nodeAside {
+			return false
+		}
+	}
+	return v.set.Size() > 0 && v.visits.Left() == 0
+}
+
+// share has the set be shared out among others than before.
+func (v *nodeSet) share(names ...string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.set.SetMembers(v.s.w.Now(), names)
+}
+
+func (v *nodeSet) size() int {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.set.Size()
+}
+
+// linked counts nodes that are connected to a scheduler.
+func (s *stage) linked(sched string) (n int) {
+	s.w.At(func(float64) {
+		for _, node := range s.nodes {
+			if node.Linked(sched) {
+				n++
+			}
+		}
+	})
+	return n
+}
+
+// TestWorkingSetConnections loads a scheduler with a working set: it visits every node once, keeps as many connections
+// as its set has nodes, and breaks no rule.
+func TestWorkingSetConnections(t *testing.T) {
+	t.Parallel()
+	s, v, _ := setStage(t, Plant{})
+	s.load(6000, 5, "0012") // so few that its load asks for no larger set
+	waitFor(t, "idle connections to end", func() bool { return v.settled() && s.linked("s0") == v.size() })
+	if size := v.size(); size < setLeast/2 || size > 3*setLeast {
+		t.Errorf("%d nodes in the set", size)
+	}
+	met := map[uint32]bool{}
+	for _, r := range s.w.Trace.Records() {
+		if r.Kind == audit.Linked {
+			met[r.Node] = true
+		}
+	}
+	if len(met) != setNodes {
+		t.Errorf("%d of %d nodes were connected or visited", len(met), setNodes)
+	}
+	if breaks, served := s.breaks(); len(breaks) > 0 || served < 25 {
+		t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
+	}
+}
+
+// tasksOutside runs tasks and has the nodes be shared out anew, until the tasks have ended.
+//
+// It tells of how many tasks the owner heard that they ended, and of how many that they were lost.
+func tasksOutside(t *testing.T, p Plant) (ended, lost int, v *nodeSet, s *stage) {
+	s, v, address := setStage(t, p)
+	c := connect(t, address)
+	const tasks = 30
+	for ref := range uint64(tasks) {
+		if err := c.ask(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	count := func(what string) int { return strings.Count(strings.Join(c.heard(), "\n"), what) }
+	waitFor(t, "tasks to run", func() bool { return count(`"served"`) == tasks })
+	v.share("x", "y", "z", "w")
+	for end := time.Now().Add(12 * time.Second); count("over") < tasks && time.Now().Before(end); { // lost ones take 8 s
+		time.Sleep(10 * time.Millisecond)
+	}
+	return count(`"ended"`), tasks - count(`"ended"`), v, s
+}
+
+// TestTaskOutsideTheSet runs tasks at nodes that leave the set: each is heard to end, and only then is its node left.
+func TestTaskOutsideTheSet(t *testing.T) {
+	t.Parallel()
+	ended, lost, v, s := tasksOutside(t, Plant{})
+	if lost > 0 {
+		t.Errorf("%d tasks ended, %d were lost", ended, lost)
+	}
+	waitFor(t, "idle connections to end", func() bool { return v.settled() && s.linked("s0") == v.size() })
+}
+
+// TestAbandonedTaskIsFound plants a scheduler that hangs up on nodes outside its set whatever runs there.
+func TestAbandonedTaskIsFound(t *testing.T) {
+	t.Parallel()
+	if _, lost, _, _ := tasksOutside(t, Plant{AbandonsTasks: true}); lost == 0 {
+		t.Error("tasks without a way home are not found")
+	}
+}
+
+// TestNodeOutsideTheSetDies has a node die that left the set while tasks run there: their owner hears of it within the
+// patience that a broken connection has.
+func TestNodeOutsideTheSetDies(t *testing.T) {
+	t.Parallel()
+	s, v, address := setStage(t, Plant{})
+	c := connect(t, address)
+	for ref := range uint64(30) {
+		if err := c.ask(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.heard(), "\n"), `"served"`) == 30 })
+	before := map[uint32]bool{}
+	v.mu.Lock()
+	for id, state := range v.shown {
+		before[id] = state == nodeInside
+	}
+	v.mu.Unlock()
+	v.share("x", "y", "z", "w")
+	time.Sleep(300 * time.Millisecond)
+	died := 0
+	s.w.At(func(now float64) {
+		for _, n := range s.nodes {
+			if before[n.ID] && !v.has(n.ID) && n.Machine.Holds() > 0 {
+				died += n.Machine.Holds()
+				n.Die(now)
+			}
+		}
+	})
+	at := time.Now()
+	if died == 0 {
+		t.Fatal("no task at a node outside the set")
+	}
+	waitFor(t, "the owner to hear of all", func() bool { return strings.Count(strings.Join(c.heard(), "\n"), "over") == 30 })
+	if lost := strings.Count(strings.Join(c.heard(), "\n"), `"lost"`); lost != died || time.Since(at) > 8500*time.Millisecond {
+		t.Errorf("%d tasks were at nodes that died, %d are told lost after %v", died, lost, time.Since(at))
+	}
+}
+
+// againElsewhere runs tasks, starts the scheduler anew with a set of other nodes, and asks for the same tasks again. It
+// tells how often they were started in all.
+func againElsewhere(t *testing.T, p Plant) (tasks, starts int) {
+	s := newStage(t, setSchedulers, setNodes, false)
+	place := s.setPlace()
+	place.ListAddress = s.list.Address()
+	for _, n := range s.nodes { // work runs long enough
+		n.Machine.Work[2].Life = 20_000
+	}
+	run := func(index int) (string, *nodeSet, func()) {
+		ctx, stop := context.WithCancel(s.ctx)
+		ready, began, done := make(chan string, 1), make(chan *nodeSet, 1), make(chan error, 1)
+		go func() {
+			done <- Run(ctx, Scheduler{Place: &place, Name: "s0", Index: index, Folder: filepath.Join(s.dir, "s0"), Seed: uint64(index + 1),
+				Log: zerolog.Nop(), Plant: p, Ready: func(a string) { ready <- a }, Local: func(l *Local) { began <- l.s.set }})
+		}()
+		return <-ready, <-began, func() {
+			stop()
+			if err := <-done; err != nil {
+				t.Error(err)
+			}
+		}
+	}
+	tasks = 20
+	askAll := func(address string) {
+		c := connect(t, address)
+		for ref := range uint64(tasks) {
+			if err := c.ask(ref+1, "once", fmt.Sprint("task", ref)); err != nil {
+				t.Fatal(err)
+			}
+		}
+		waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.heard(), "\n"), `"served"`) == tasks })
+	}
+	address, v, end := run(0)
+	waitFor(t, "a settled set", v.settled)
+	askAll(address)
+	end()
+	address, _, end = run(3)
+	time.Sleep(time.Duration(s.place.Settle) * time.Millisecond) // as owners do
+	askAll(address)
+	end()
+	for _, r := range s.w.Trace.Records() {
+		if r.Kind == audit.Ran {
+			starts++
+		}
+	}
+	return tasks, starts
+}
+
+// TestTasksOfAnEarlierLife has a scheduler find what it left running at nodes that are not in its set any more: it does
+// not start it a second time. One that does not visit these nodes does.
+func TestTasksOfAnEarlierLife(t *testing.T) {
+	t.Parallel()
+	if tasks, starts := againElsewhere(t, Plant{}); starts != tasks {
+		t.Errorf("%d starts of %d tasks", starts, tasks)
+	}
+	if tasks, starts := againElsewhere(t, Plant{SkipsVisits: true}); starts == tasks {
+		t.Error("no second start is seen where nodes outside are not visited")
+	}
+}
+
+// TestWidensWhenNothingFits fills the set: tasks find nodes beyond it in time.
+func TestWidensWhenNothingFits(t *testing.T) {
+	t.Parallel()
+	s, v, address := setStage(t, Plant{})
+	usual := v.size()
+	c := connect(t, address)
+	const tasks = 40
+	for ref := range uint64(tasks) { // each takes more than half of a node: the set holds as many as it has nodes
+		_, err := c.Call(s.ctx, "allocate", map[string]any{"ref": ref + 1, "tenant": "t", "key": fmt.Sprint("large", ref), "job-type": "free",
+			"service": "large", "cores": 40, "memory": 1})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	served := func() int { return strings.Count(strings.Join(c.heard(), "\n"), `"served"`) }
+	waitFor(t, "tasks to run", func() bool { return served() == tasks })
+	if size := v.size(); size <= usual {
+		t.Errorf("%d nodes, %d before", size, usual)
+	}
+}
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -147,7 +147,9 @@
 		sum.Room += n.cores * s.who.Place.Cluster.CoresLimit
 		sum.Used += max(0, n.cores-n.free)
 		sums[n.zone] = sum
-		by[n.zone] = append(by[n.zone], n)
+		if s.set.has(n.id) {
+			by[n.zone] = append(by[n.zone], n)
+		}
 	}
 	kept := map[uint32]float64{}
 	for zone, all := range by {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -233,6 +233,12 @@
 	l.page = nil
 }
 
+// Entry returns the entry of a node, if it is on the list.
+func (l *List) Entry(id uint32) (Entry, bool) {
+	entry, ok := l.entries[id]
+	return entry, ok
+}
+
 // Entries returns all entries by id.
 func (l *List) Entries() []Entry {
 	all := make([]Entry, 0, len(l.entries))
