--- a/cmd/ravenpond/sim.go
+++ b/cmd/ravenpond/sim.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"runtime"
@@ -29,6 +30,7 @@
 	Plant   string `help:"Plant a fault that must be found; list prints them."`
 	Most    int    `default:"0" help:"Stop after so many that broke something."`
 	Quiet   bool   `help:"No progress."`
+	Set     int    `help:"Schedulers work with a set of so many nodes at least; 0: with all."`
 
 	Platform bool `help:"Play the platform's route instead of the program's own protocols."`
 }
@@ -62,16 +64,16 @@
 		}
 		return nil
 	}
-	var progress *os.File
+	var progress io.Writer
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 && !c.Quiet {
 		progress = os.Stderr
 	}
-	var sum sim.Sum
-	if progress != nil {
-		sum = sim.Seeds(ctx, a, b, c.Workers, plant, c.Most, progress)
-	} else {
-		sum = sim.Seeds(ctx, a, b, c.Workers, plant, c.Most, nil)
-	}
+	sum := sim.SeedsWith(ctx, a, b, c.Workers, plant, c.Most, progress, func(s sim.Script) sim.Script {
+		if c.Set > 0 {
+			return s.WithSet(c.Set)
+		}
+		return s
+	})
 	sum.Print(os.Stdout)
 	if len(sum.Broken) > 0 && plant == nil {
 		return errors.New("something broke")
--- a/internal/decide/workingset/workingset.go
+++ b/internal/decide/workingset/workingset.go
@@ -21,6 +21,7 @@
 	Least      int      // nodes in a set
 	Coverage   float64  // sets that each node is in at least
 	Spare      float64  // nodes for each machine that own tasks would fill
+	PerStart   float64  // nodes for each start a second
 	PerStratum int      // nodes of each zone and machine kind at least
 	// NarrowAfter is for how long, in ms, a set must have been larger than needed before it shrinks. Members count as
 	// settled after a tenth of it.
@@ -37,7 +38,6 @@
 }
 
 const (
-	nodesPerStart  = 2    // for each start a second: one task starts in some tenths of a second
 	settlePart     = 0.1  // of NarrowAfter that members must stay the same before nodes are shared out anew
 	reachableLeast = 0.75 // part of the size below which unreachable nodes are replaced
 )
@@ -290,7 +290,7 @@
 // usualSize is how many nodes the scheduler's own load and the coverage of all nodes need. A scheduler that is cut off
 // from more than half of the others does not cover their nodes for them.
 func (s *Set) usualSize(now float64) float64 {
-	need := s.config.Spare*s.load.Machines + nodesPerStart*s.load.Starts
+	need := s.config.Spare*s.load.Machines + s.config.PerStart*s.load.Starts
 	size := s.sizer.size(now, need, float64(s.config.Least))
 	sharers := max(s.schedulers(), float64(s.config.Schedulers)/2)
 	return max(size, s.config.Coverage*float64(s.ready)/sharers)
--- a/internal/lab/sim/play.go
+++ b/internal/lab/sim/play.go
@@ -121,6 +121,7 @@
 	Uses     func(now float64, tenant string, open []int) // is told, of each scheduler, how many of a limited tenant are open
 	Life     float64                                      // ms that work runs, if not the usual
 	Settles  float64                                      // ms after the last ask, if not the usual
+	Working  *site.WorkingSet                             // instead of the script's
 	Lenient  bool                                         // goes on when a rule breaks, and counts: for policies that keep few
 }
 
@@ -327,6 +328,7 @@
 	if st.Members {
 		place.Members = site.Members{Listen: fmt.Sprint("10.0.0.", 1+s.index, ":1"), Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, Lends: 0.5}
 	}
+	place.WorkingSet = st.workingSet()
 	place.Cluster.JobTypes = slices.Clone(place.Cluster.JobTypes)
 	if st.plant.Place != nil {
 		st.plant.Place(&place)
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -22,6 +22,12 @@
 // Seeds plays the scripts of the seeds from a to b, the latter left out, on so many cores; it stops after so many that
 // broke, if that is not 0.
 func Seeds(ctx context.Context, a, b uint64, workers int, plant *Plant, most int, progress io.Writer) Sum {
+	return SeedsWith(ctx, a, b, workers, plant, most, progress, func(s Script) Script { return s })
+}
+
+// SeedsWith plays the scripts of the seeds after a change that is the same for all.
+func SeedsWith(ctx context.Context, a, b uint64, workers int, plant *Plant, most int, progress io.Writer,
+	change func(Script) Script) Sum {
 	var mu sync.Mutex
 	next, done := a, map[uint64]Verdict{}
 	broken, began := 0, time.Now()
@@ -37,7 +43,7 @@
 				seed := next
 				next++
 				mu.Unlock()
-				v := Play(Draw(seed), plant, nil)
+				v := Play(change(Draw(seed)), plant, nil)
 				mu.Lock()
 				done[seed] = v
 				if v.Broken != "" {
--- a/internal/lab/sim/script.go
+++ b/internal/lab/sim/script.go
@@ -33,6 +33,7 @@
 	Lasts      float64
 	Hosted     bool // tenants come and go
 	Members    bool // schedulers know each other
+	Set        int  // nodes in a scheduler's working set at least, 0: it works with all
 	Faults     []Fault
 }
 
@@ -182,6 +183,9 @@
 	if s.Members {
 		b.WriteString("members true\n")
 	}
+	if s.Set > 0 {
+		fmt.Fprintf(&b, "set %d\n", s.Set)
+	}
 	for _, f := range s.Faults {
 		a, z := f.A, f.B
 		if a == "" {
@@ -229,7 +233,8 @@
 		}
 		seen[word] = true
 		into, ok := map[string][]any{"seed": {&s.Seed}, "nodes": {&s.Nodes}, "schedulers": {&s.Schedulers}, "shards": {&s.Shards, &s.Share},
-			"asked": {&s.Asks}, "cold": {&s.Cold}, "rate": {&s.Rate}, "lasts": {&s.Lasts}, "hosted": {&s.Hosted}, "members": {&s.Members}}[word]
+			"asked": {&s.Asks}, "cold": {&s.Cold}, "rate": {&s.Rate}, "lasts": {&s.Lasts}, "hosted": {&s.Hosted}, "members": {&s.Members},
+			"set": {&s.Set}}[word]
 		switch {
 		case word == "fault":
 			var f Fault
@@ -257,6 +262,8 @@
 		return fmt.Errorf("script: 1 to 2000 nodes, 1 to 4096 schedulers and 1 to %d shards are expected", mostShards)
 	case !(s.Rate > 0) || !(s.Lasts > 0) || s.Rate > 1e5 || s.Lasts > 1e8:
 		return errors.New("script: rate and lasts above 0 are expected")
+	case s.Set < 0 || s.Set > 0 && s.Share == "own":
+		return errors.New("script: a set of 0 nodes or more is expected, of shards that share connections")
 	case s.Share != "shared" && s.Share != "own" && s.Share != "informed":
 		return fmt.Errorf("script: shards share %q: shared, own or informed is expected", s.Share)
 	}
@@ -316,6 +323,7 @@
 		func(t *Script) { t.Hosted = false },
 		func(t *Script) { t.Members = false },
 		func(t *Script) { t.Share = "shared" },
+		func(t *Script) { t.Set = 0 },
 	} {
 		for range 6 {
 			t := s
--- /dev/null
+++ b/internal/lab/sim/workingset.go
@@ -0,0 +1,24 @@
+package sim
+
+import "ravenpond/internal/site"
+
+// workingSet is the working set of the script's schedulers: so small and quick to change that a script of seconds sees
+// nodes enter and leave it.
+func (st *stage) workingSet() site.WorkingSet {
+	switch {
+	case st.game.Working != nil:
+		return *st.game.Working
+	case st.Set == 0:
+		return site.WorkingSet{}
+	}
+	return site.WorkingSet{Least: st.Set, Spare: 1, PerStart: 0.02, PerStratum: 1, NarrowAfter: 400}
+}
+
+// WithSet gives a drawn script's schedulers a working set of so many nodes.
+func (s Script) WithSet(nodes int) Script {
+	s.Set = nodes
+	if s.Share == "own" {
+		s.Share = "shared"
+	}
+	return s
+}
--- a/internal/serve/workingset.go
+++ b/internal/serve/workingset.go
@@ -62,7 +62,7 @@
 	}
 	config := workingset.Config{Key: place.Name, Own: s.who.Name, Schedulers: place.Cluster.Schedulers,
 		Least: place.WorkingSet.Least, Coverage: place.WorkingSet.Coverage, Spare: place.WorkingSet.Spare,
-		PerStratum: place.WorkingSet.PerStratum, NarrowAfter: place.WorkingSet.NarrowAfter, Plant: s.who.Plant.WorkingSet}
+		PerStart: place.WorkingSet.PerStart, PerStratum: place.WorkingSet.PerStratum, NarrowAfter: place.WorkingSet.NarrowAfter, Plant: s.who.Plant.WorkingSet}
 	if place.Members.Listen == "" { // the others are known by their number alone
 		config.Own = fmt.Sprint("place ", s.who.Index)
 		for i := range place.Cluster.Schedulers {
--- a/internal/serve/workingset_test.go
+++ b/internal/serve/workingset_test.go
@@ -36,7 +36,7 @@
 func (s *stage) setPlace() site.Place {
 	place := *s.place
 	place.Cluster.ColdFor = 50 // the nodes are warm from the start
-	place.WorkingSet = site.WorkingSet{Least: setLeast, Coverage: 1, Spare: 1, PerStratum: 2, NarrowAfter: 1000}
+	place.WorkingSet = site.WorkingSet{Least: setLeast, Coverage: 1, Spare: 1, PerStart: 1, PerStratum: 2, NarrowAfter: 1000}
 	return place
 }
 
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -123,6 +123,7 @@
 			{Name: "nodes-least", Kind: strictxml.Whole, Must: true, Min: 1, Max: 1e6},
 			{Name: "sets-least", Kind: strictxml.Number, Default: "1", Min: 0, Max: 1e5},
 			{Name: "spare", Kind: strictxml.Number, Default: "8", Min: 1, Max: 1e5},
+			{Name: "per-start", Kind: strictxml.Number, Default: "1", Min: 0, Max: 1e3},
 			{Name: "spread-least", Kind: strictxml.Whole, Default: "3", Min: 1, Max: 1e4},
 			{Name: "narrow-after", Kind: strictxml.Duration, Default: "30s", Min: 100, Max: hour},
 		}},
@@ -177,6 +178,7 @@
 	Least       int     // nodes in a scheduler's set
 	Coverage    float64 // sets that each node is in at least
 	Spare       float64 // nodes for each machine that a scheduler's own tasks would fill
+	PerStart    float64 // nodes for each start a second
 	PerStratum  int     // nodes of each zone and machine kind in a set at least
 	NarrowAfter float64 // ms that a set must have been larger than needed before it shrinks
 }
@@ -341,7 +343,7 @@
 	}
 	if w := top.One("working-set"); w != nil {
 		p.WorkingSet = WorkingSet{Least: w.Int("nodes-least"), Coverage: w.Number("sets-least"), Spare: w.Number("spare"),
-			PerStratum: w.Int("spread-least"), NarrowAfter: w.Number("narrow-after")}
+			PerStart: w.Number("per-start"), PerStratum: w.Int("spread-least"), NarrowAfter: w.Number("narrow-after")}
 		if p.Connections == Own {
 			fault(w, "<working-set>: shards with connections of their own have no set in common")
 		}
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -86,7 +86,7 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	if want := (WorkingSet{Least: 480, Coverage: 1, Spare: 6.5, PerStratum: 3, NarrowAfter: 30000}); p.WorkingSet != want {
+	if want := (WorkingSet{Least: 480, Coverage: 1, Spare: 6.5, PerStart: 1, PerStratum: 3, NarrowAfter: 30000}); p.WorkingSet != want {
 		t.Errorf("%+v, want %+v", p.WorkingSet, want)
 	}
 }
