--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -88,6 +88,9 @@
 // saveEvery is how often, in ms, a changed list is put on the disk; what is lost in between is asked for again.
 const saveEvery = 1000
 
+// nodesSaved is how many nodes' entries are saved in that time where a scheduler works with some of its nodes.
+const nodesSaved = 1000
+
 // Server is one running scheduler process.
 type Server struct {
 	words  besteffort.Guard // round what is only said to people
@@ -125,6 +128,7 @@
 	ownerIDs uint32
 	entry    *connadmission.Door // where tenants come and go
 	list     *state.List
+	savedAt  float64 // when the list was last saved
 	cells    map[string]int
 	known    map[string]calendar.Node // every node that was ever on the list, until long after it left
 	goneAt   map[string]time.Time
@@ -240,6 +244,9 @@
 		s.set.begin()
 	}
 	s.every(saveEvery, func() {
+		if s.saveWaits() {
+			return
+		}
 		if err := s.save(); err != nil {
 			s.log.Error().Str("mode", "state").Err(err).Msg("list not saved")
 		}
@@ -372,12 +379,21 @@
 	})
 }
 
+// saveWaits tells whether a list that is changed is not to be saved yet. A scheduler that works with some of its nodes
+// does not spend more on saving them all the more there are.
+func (s *Server) saveWaits() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.set != nil && s.w.Now()-s.savedAt < saveEvery*float64(s.list.Len())/nodesSaved
+}
+
 func (s *Server) save() error {
 	s.mu.Lock()
 	var text []byte
 	if s.list.Changed() {
 		text = s.list.Text()
 	}
+	s.savedAt = s.w.Now()
 	s.mu.Unlock()
 	if text == nil {
 		return nil
--- a/internal/serve/workingset.go
+++ b/internal/serve/workingset.go
@@ -75,6 +75,7 @@
 
 // begin begins the steps.
 func (v *nodeSet) begin() {
+	v.s.soon(v.beginVisits) // owners ask again at once for what an earlier incarnation left running
 	v.s.every(stepSet, v.step)
 	v.s.every(releaseNodes, v.releaseIdle)
 }
@@ -103,6 +104,7 @@
 	}
 	v.partWith(gone)
 	v.apply(now, v.set.Step(now))
+	v.visitOthers()
 }
 
 // partWith sets nodes aside that left the list: they are forgotten once nothing stands there.
@@ -200,11 +202,8 @@
 	}
 	v.takeHooks(now)
 	v.apply(now, v.set.Step(now))
-	visits := v.nextVisits(now)
 	v.mu.Unlock()
-	for _, entry := range visits {
-		v.s.trunk.visit(entry.ID, entry.Address)
-	}
+	v.beginVisits()
 	v.s.tellShards(func(sh *shard, now float64) {
 		demand := sh.eng.Demand(now, shortAfter)
 		v.hookMu.Lock()
@@ -327,6 +326,19 @@
 	})
 }
 
+// beginVisits begins as many visits as may be under way: at each step, and when one ends.
+func (v *nodeSet) beginVisits() {
+	if v.s.over.Load() {
+		return
+	}
+	v.mu.Lock()
+	visits := v.nextVisits(v.s.w.Now())
+	v.mu.Unlock()
+	for _, entry := range visits {
+		v.s.trunk.visit(entry.ID, entry.Address)
+	}
+}
+
 // nextVisits gives the nodes to visit now.
 func (v *nodeSet) nextVisits(now float64) (entries []listEntry) {
 	for id, ok := v.visits.Next(now); ok; id, ok = v.visits.Next(now) {
@@ -349,6 +361,14 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.visits.Failed(v.s.w.Now(), id)
+	v.visitOthers()
+}
+
+// visitOthers has visits begin in the place of one that has ended; under the lock.
+func (v *nodeSet) visitOthers() {
+	if v.visits.Left() > 0 {
+		v.s.soon(v.beginVisits)
+	}
 }
 
 // endVisit says that a node told all it holds: nothing. It tells whether the shards know the node all the same.
@@ -356,6 +376,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.visits.Drop(id)
+	v.visitOthers()
 	_, known = v.shown[id]
 	return known
 }
@@ -366,6 +387,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.visits.Drop(id)
+	v.visitOthers()
 	if _, known := v.shown[id]; known {
 		return true
 	}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -233,6 +233,9 @@
 	l.page = nil
 }
 
+// Len is how many nodes are on the list.
+func (l *List) Len() int { return len(l.entries) }
+
 // Entry returns the entry of a node, if it is on the list.
 func (l *List) Entry(id uint32) (Entry, bool) {
 	entry, ok := l.entries[id]
