--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -425,6 +425,8 @@
 	P99      time.Duration `default:"50ms" help:"The service: start p99 at most."`
 	Served   float64       `default:"0.99" help:"The service: part of the asks served at least."`
 	Shards   int           `default:"1" help:"Shards of the scheduler."`
+	Set      int           `help:"The scheduler works with a set of so many nodes at least; 0: with all."`
+	Known    int           `default:"30" help:"Schedulers that share the nodes out, where they work with sets."`
 	Mute     bool          `help:"Nodes never answer, so that allocations stay open until their expiry."`
 	Out      string        `type:"path" help:"Folder for logs; without it a new one in the temporary folder."`
 }
@@ -445,8 +447,11 @@
 	if c.Shards > 1 {
 		site = withShards(site, c.Shards, "shared", "service")
 	}
+	if c.Set > 0 {
+		site = load.WithSet(site, c.Known, c.Set)
+	}
 	trial := func(rate float64) (*load.Figures, error) {
-		return load.Run(ctx, load.Trial{Command: []string{self}, Site: site, Nodes: c.Nodes, Owners: c.Owners, Seed: c.Seed,
+		return load.Run(ctx, load.Trial{Command: []string{self}, Site: site, Nodes: c.Nodes, Set: c.Set, Owners: c.Owners, Seed: c.Seed,
 			Burst: load.Burst{Every: c.Every, Last: c.Burst, Times: c.Times}, Rate: rate, Warm: c.Warm, Last: c.Last,
 			Services: c.Services, Life: float64(c.Life) / 1e6, Mute: c.Mute, Out: c.Out, Profile: c.Profile})
 	}
