--- a/cmd/ravenpond/sim.go
+++ b/cmd/ravenpond/sim.go
@@ -37,7 +37,7 @@
 
 func (c *runCommand) Run(ctx context.Context) error {
 	if c.Plant == "list" {
-		for _, p := range slices.Concat(sim.Plants, sim.Missed) {
+		for _, p := range slices.Concat(sim.Plants, sim.Missed, sim.SetPlants) {
 			fmt.Println(p.Name)
 		}
 		return nil
@@ -85,7 +85,7 @@
 	if name == "" {
 		return nil, nil
 	}
-	all := slices.Concat(sim.Plants, sim.Missed)
+	all := slices.Concat(sim.Plants, sim.Missed, sim.SetPlants)
 	for i := range all {
 		if all[i].Name == name {
 			return &all[i], nil
--- a/internal/lab/sim/play.go
+++ b/internal/lab/sim/play.go
@@ -65,6 +65,7 @@
 	Steps  uint64
 	Asks   int
 	Served int
+	Lost   int     // tasks that owners were told are lost
 	Rules  int     // broken, where it goes on
 	Ms     float64 // of virtual time
 }
@@ -145,6 +146,9 @@
 			st.fail(0, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
 		}
 		v = st.v
+		for _, o := range st.owners {
+			v.Lost += o.LostWork()
+		}
 		v.Script, v.Trace, v.Steps, v.Ms = s, st.c.trace.Sum64(), st.c.steps, st.c.now
 	}()
 	if err := st.build(); err != nil {
--- a/internal/lab/sim/workingset.go
+++ b/internal/lab/sim/workingset.go
@@ -1,6 +1,16 @@
 package sim
 
-import "ravenpond/internal/site"
+import (
+	"ravenpond/internal/serve"
+	"ravenpond/internal/site"
+)
+
+// SetPlants are faults of the working set that scripts with a set are to find; those that break no rule are found by
+// the tests of the decision.
+var SetPlants = []Plant{
+	{Name: "a running task has no way home", Serve: serve.Plant{AbandonsTasks: true}},
+	{Name: "nodes outside the set are not visited", Serve: serve.Plant{SkipsVisits: true}},
+}
 
 // workingSet is the working set of the script's schedulers: so small and quick to change that a script of seconds sees
 // nodes enter and leave it.
--- a/internal/standin/owners.go
+++ b/internal/standin/owners.go
@@ -55,6 +55,8 @@
 	runs   map[uint64]*Want
 	tally  []Tally
 	orphan []*Want // wanted while there is no connection
+
+	lostWork int // ends that it was told of as lost
 }
 
 // StartOwner connects an owner and keeps it connected.
@@ -260,6 +262,9 @@
 	o.mu.Lock()
 	want := o.runs[news.Ref]
 	delete(o.runs, news.Ref)
+	if news.How == "lost" {
+		o.lostWork++
+	}
 	o.mu.Unlock()
 	if want == nil {
 		return nil
@@ -297,6 +302,13 @@
 	}
 }
 
+// LostWork is of how many tasks it was told that they are lost.
+func (o *Owner) LostWork() int {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.lostWork
+}
+
 // Tallies returns what became of all asks.
 func (o *Owner) Tallies() []Tally {
 	o.mu.Lock()
