--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -10,6 +10,7 @@
 	"fmt"
 	"math"
 	"net"
+	"runtime/debug"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -67,6 +68,8 @@
 	Secure *tls.Config
 	// MemberKey is the site's member key, that in the site file's place if it is nil.
 	MemberKey []byte
+	// Rest is called, if it is set, when the visits of a start are over: much memory may be given back then.
+	Rest func()
 	// Local is called once, if it is set, with a way to ask without a socket.
 	Local func(*Local)
 }
@@ -139,6 +142,9 @@
 	w := outside.NewReal()
 	w.Connect, w.Secure, w.ListAddress = who.Connect, who.Secure, who.Place.ListAddress
 	defer w.Close(2 * time.Second)
+	if who.Rest == nil {
+		who.Rest = debug.FreeOSMemory
+	}
 	s, err := Begin(w, who)
 	if err != nil {
 		return err
--- a/internal/serve/workingset.go
+++ b/internal/serve/workingset.go
@@ -18,6 +18,7 @@
 	stepSet      = 100  // between two steps
 	measureLoad  = 1000 // between two measures of the own load
 	releaseNodes = 1000 // between two looks at which nodes outside can be released
+	restAfter    = 5000 // after the last visit: its timers are over by then
 	shortAfter   = 100  // for which a task must have found no node
 )
 
@@ -41,6 +42,7 @@
 	shown    map[uint32]shownState
 	newSince map[uint32]float64 // nodes that came to the list a short while ago
 	load     loadMeter
+	visiting bool // at the last step
 
 	hookMu    sync.Mutex
 	reachable map[uint32]bool // news of connections since the last step
@@ -202,8 +204,13 @@
 	}
 	v.takeHooks(now)
 	v.apply(now, v.set.Step(now))
+	rests := v.visiting && v.visits.Left() == 0
+	v.visiting = v.visits.Left() > 0
 	v.mu.Unlock()
 	v.beginVisits()
+	if rests && v.s.who.Rest != nil {
+		v.s.w.After(restAfter, v.s.who.Rest)
+	}
 	v.s.tellShards(func(sh *shard, now float64) {
 		demand := sh.eng.Demand(now, shortAfter)
 		v.hookMu.Lock()
