--- a/cmd/ravenpond/herd.go
+++ b/cmd/ravenpond/herd.go
@@ -8,6 +8,7 @@
 
 	"ravenpond/internal/lab/herd"
 	"ravenpond/internal/lab/sim"
+	"ravenpond/internal/site"
 )
 
 type herdCommand struct {
@@ -20,6 +21,8 @@
 	Seeds      int      `default:"5" help:"How many of each policy."`
 	Workers    int      `default:"0" help:"Seeds at a time; 0: one a core."`
 	Policies   []string `help:"design (the module), random, least-loaded, best-of-two, careful, true-state; all without."`
+	Set        int      `help:"Schedulers work with a set of so many nodes at least; 0: with all."`
+	Spare      float64  `default:"8" help:"Where they do: nodes for each machine that own work would fill."`
 	Members    bool     `help:"Schedulers know each other."`
 	Fault      []string `sep:"none" help:"What goes wrong, as in lab run's scripts: 'MS KIND WHO OTHER FOR-MS SIZE', - for none. May be given again."`
 }
@@ -34,6 +37,9 @@
 	}
 	s := herd.Scene{Schedulers: c.Schedulers, Nodes: c.Nodes, Filled: c.Filled, Life: c.Life * 1000, Lasts: c.Lasts * 1000, Services: c.Services,
 		Members: c.Members}
+	if c.Set > 0 {
+		s.Working = &site.WorkingSet{Least: c.Set, Coverage: 1, Spare: c.Spare, PerStart: 1, PerStratum: 3, NarrowAfter: 30_000}
+	}
 	for _, text := range c.Fault {
 		f, err := sim.ParseFault(text)
 		if err != nil {
--- a/internal/lab/herd/virtual.go
+++ b/internal/lab/herd/virtual.go
@@ -13,6 +13,7 @@
 	"ravenpond/internal/lab/baseline"
 	runs "ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
+	"ravenpond/internal/site"
 	"ravenpond/internal/standin"
 )
 
@@ -28,6 +29,7 @@
 	Services          int     // of each job type
 	Members           bool
 	Faults            []sim.Fault
+	Working           *site.WorkingSet // of each scheduler; nil: all nodes
 }
 
 // Of the laboratory's nodes and work: room for so many allocations of mean size.
@@ -43,7 +45,7 @@
 func Virtual(s Scene, policy string, seed uint64) (*Watch, error) {
 	w := &Watch{}
 	var nodes []*standin.Node
-	g := sim.Game{Lenient: true, Settles: 500, Life: s.Life, Services: s.Services,
+	g := sim.Game{Lenient: true, Settles: 500, Life: s.Life, Services: s.Services, Working: s.Working,
 		Script: sim.Script{Seed: seed, Nodes: s.Nodes, Schedulers: s.Schedulers, Shards: 1, Share: "shared", Rate: s.rate(), Lasts: s.Lasts,
 			Members: s.Members, Faults: s.Faults}}
 	if err := g.Script.Check(); err != nil {
