--- a/internal/serve/workingset_test.go
+++ b/internal/serve/workingset_test.go
@@ -260,3 +260,28 @@
 		t.Errorf("%d nodes, %d before", size, usual)
 	}
 }
+
+// TestWholeSetDies has all nodes of the set die at once: what is asked for right after starts elsewhere in time.
+func TestWholeSetDies(t *testing.T) {
+	t.Parallel()
+	s, v, address := setStage(t, Plant{})
+	c := connect(t, address)
+	s.w.At(func(now float64) {
+		for _, n := range s.nodes {
+			if v.has(n.ID) {
+				n.Die(now)
+			}
+		}
+	})
+	began := time.Now()
+	const tasks = 20
+	for ref := range uint64(tasks) {
+		if err := c.ask(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.heard(), "\n"), `"served"`) == tasks })
+	if took := time.Since(began); took > 1800*time.Millisecond {
+		t.Errorf("%d tasks run %v after their scheduler's set died", tasks, took)
+	}
+}
