--- /dev/null
+++ b/internal/outside/datagrams.go
@@ -0,0 +1,73 @@
+package outside
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"time"
+)
+
+// port takes datagrams on a goroutine of its own.
+type port struct {
+	r *Real
+	c *net.UDPConn
+}
+
+// Datagrams takes datagrams at an address of digits and a port.
+func (r *Real) Datagrams(address string, heard func(b []byte)) (Port, error) {
+	at, err := net.ResolveUDPAddr("udp", address)
+	if err != nil {
+		return nil, fmt.Errorf("datagrams: %w", err)
+	}
+	c, err := net.ListenUDP("udp", at)
+	if err != nil {
+		return nil, fmt.Errorf("datagrams: %w", err)
+	}
+	p := &port{r, c}
+	r.mu.Lock()
+	r.ports[p] = true
+	r.mu.Unlock()
+	ok := r.goes(func() {
+		b := make([]byte, MostDatagram+1) // one that is longer shows
+		for {
+			n, _, err := c.ReadFromUDPAddrPort(b)
+			switch {
+			case err == nil && n <= MostDatagram:
+				p.r.traffic[Packet].received(n)
+				heard(b[:n])
+			case errors.Is(err, net.ErrClosed) || r.ctx.Err() != nil:
+				return
+			case err != nil: // a port that nobody listens at answers so
+				time.Sleep(time.Millisecond)
+			}
+		}
+	})
+	if !ok {
+		c.Close()
+	}
+	return p, nil
+}
+
+func (p *port) Address() string { return p.c.LocalAddr().String() }
+
+func (p *port) Send(to string, b []byte) {
+	at, err := netip.ParseAddrPort(to)
+	if err != nil || len(b) > MostDatagram {
+		return // as if lost: an address that is none is found when the site file is read
+	}
+	_ = p.c.SetWriteDeadline(time.Now().Add(sendFor))
+	n, _ := p.c.WriteToUDPAddrPort(b, at)
+	p.r.traffic[Packet].sentMessages.Add(1)
+	p.r.traffic[Packet].sent(n)
+}
+
+// sendFor bounds how long a datagram waits for a place in the kernel's queue.
+const sendFor = 5 * time.Millisecond
+
+func (p *port) Close() {
+	p.r.mu.Lock()
+	delete(p.r.ports, p)
+	p.r.mu.Unlock()
+	p.c.Close()
+}
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -75,12 +75,6 @@
 	cores, memory   float64
 }
 
-// off sums up how far belief was from reports.
-type off struct {
-	reports       int
-	cores, memory float64
-}
-
 // Host is one module with what the wire's side of it would keep.
 type Host struct {
 	edge   Edge
@@ -409,30 +403,6 @@
 	}
 }
 
-// Believes is what the module holds of a node.
-func (h *Host) Believes(node uint32) (b logic.Belief, ok bool) {
-	h.words.Do("beliefs", func() { b, ok = h.mod.Believes(node) })
-	return b, ok
-}
-
-// Mistaken is by how many free cores and how much memory the module's belief was off at reports since it was last
-// called, in the mean, and how many reports there were.
-func (h *Host) Mistaken() (reports int, cores, memory float64) {
-	m := h.off
-	h.off = off{}
-	n := float64(max(1, m.reports))
-	return m.reports, m.cores / n, m.memory / n
-}
-
-// weigh holds belief against a report that is about to be told.
-func (h *Host) weigh(node uint32, report []float64) {
-	h.words.Do("mistakes", func() {
-		if c, m, ok := h.mod.Mistaken(h.now, node, report); ok {
-			h.off = off{h.off.reports + 1, h.off.cores + math.Abs(c), h.off.memory + math.Abs(m)}
-		}
-	})
-}
-
 // Probed says how a probe went.
 func (h *Host) Probed(now float64, node, seq uint32, verdict logic.Verdict, report []float64) {
 	if p, ok := h.probes[node]; ok && p.seq == seq {
@@ -442,74 +412,3 @@
 		h.tell(func(m *logic.Scheduler) { m.Probed(h.now, node, verdict, h.now-p.at, report) })
 	}
 }
-
-// acts carries out what the module decides.
-type acts struct{ *Host }
-
-func (h acts) Offer(id, node uint32, timeout float64) {
-	a := h.allocs[id]
-	if a == nil {
-		return // an id that was never given, or is long over: there is nobody to tell
-	}
-	if a.out {
-		h.edge.Mode(fmt.Sprintf("refused to offer %d while its try %d is out", id, a.tries-1))
-		return
-	}
-	a.node, a.sentAt, a.out, a.noted = node, h.now, true, false
-	a.tries++
-	key := tryKey(id, a.tries-1)
-	left := a.expiry - h.now
-	if timeout > 0 {
-		left = min(left, timeout)
-	}
-	if a.over || left <= 0 || a.tries > h.most {
-		a.awaiting = true
-		h.bells.Set(h.now+h.step, dueUnsent, key)
-		return
-	}
-	h.bells.Set(h.now+left, dueTry, key)
-	h.edge.Offer(id, uint8(a.tries-1), node, left)
-}
-
-func (h acts) Decline(id uint32, _ float64) { h.answer(id, true) }
-func (h acts) Fail(id uint32)               { h.answer(id, false) }
-
-func (h acts) answer(id uint32, declined bool) {
-	if a := h.allocs[id]; a != nil && !a.over {
-		h.answered(a)
-		h.edge.Answer(id, declined)
-		h.bells.Set(h.now+h.step, dueSweep, uint64(id))
-	}
-}
-
-func (h acts) Recall(id uint32, try uint8) {
-	if a := h.allocs[id]; a != nil && a.told() == try {
-		h.callOff(id, a)
-	}
-}
-
-func (h acts) Move(id uint32) {
-	if a := h.allocs[id]; a != nil && a.stands && !a.unheard {
-		a.unheard, a.moved = true, true
-		h.edge.Move(id) // ends it at its node too: a cut that came first there would leave the client untold
-		h.bells.Set(h.now+outcome.Latest(), dueEnd, tryKey(id, a.tries-1))
-	}
-}
-
-func (h acts) Probe(node uint32) {
-	h.count++ // probes and allocations share numbers, so that a late answer never fits a later probe
-	p := probe{seq: h.count, at: h.now}
-	h.probes[node] = p
-	h.bells.Set(h.now+h.probeFor, dueProbe, uint64(node)<<32|uint64(p.seq))
-	h.edge.Probe(node, p.seq)
-}
-
-func (h acts) Follow(active bool) {
-	if active {
-		h.edge.Follow()
-	}
-}
-
-func (h acts) Reload()                        { h.edge.Follow() }
-func (h acts) Wake(delay float64, key uint64) { h.bells.Set(h.now+max(0, delay), dueWake, key) }
-func (h acts) Log(line string)                { h.edge.Mode(line) }
