--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -61,6 +61,7 @@
 		Clubs    clubsCommand    `cmd:"" help:"Measure tenants beside one that floods, with and without their lines."`
 		Removals removalsCommand `cmd:"" help:"Remove tenants under load while the scheduler is killed."`
 		Grow     growCommand     `cmd:"" help:"Play calm days of growing size and print what they cost."`
+		ScaleFit scaleFitCommand `cmd:"" help:"Fit lines and models to the results of scale runs."`
 		States   statesCommand   `cmd:"" help:"Explore exhaustively what can become of one allocation in a small world."`
 		Scale    scaleCommand    `cmd:"" help:"Measure real schedulers beside thousands of hollow nodes and hundreds of hollow schedulers on loopback."`
 		Shrink   shrinkCommand   `cmd:"" help:"Take out of a script that breaks something what it does not need for that."`
