--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -50,21 +50,22 @@
 		Cores coresCommand `cmd:"" help:"Measure several shards, and check that none ever shares an allocation."`
 		Month monthCommand `cmd:"" help:"Run a month of maintenance windows on a virtual clock."`
 
-		Run      runCommand      `cmd:"" help:"Run the program on a virtual clock and network under faults drawn from seeds."`
-		Members  circleCommand   `cmd:"" help:"Play or measure schedulers that know each other, on a virtual clock and network."`
-		Procs    procsCommand    `cmd:"" help:"Play a script of faults for many scheduler processes on loopback."`
-		Herd     herdCommand     `cmd:"" help:"How evenly many schedulers load nodes, beside baselines; simulated."`
-		Draw     drawCommand     `cmd:"" help:"Print the script of a seed."`
-		Replay   replayCommand   `cmd:"" help:"Play a script."`
-		Compare  compareCommand  `cmd:"" help:"Compare two placement policies on the same days."`
-		Order    orderCommand    `cmd:"" help:"Put the placement policies in order on days of each trouble."`
-		Clubs    clubsCommand    `cmd:"" help:"Measure tenants beside one that floods, with and without their lines."`
-		Removals removalsCommand `cmd:"" help:"Remove tenants under load while the scheduler is killed."`
-		Grow     growCommand     `cmd:"" help:"Play calm days of growing size and print what they cost."`
-		ScaleFit scaleFitCommand `cmd:"" help:"Fit lines and models to the results of scale runs."`
-		States   statesCommand   `cmd:"" help:"Explore exhaustively what can become of one allocation in a small world."`
-		Scale    scaleCommand    `cmd:"" help:"Measure real schedulers beside thousands of hollow nodes and hundreds of hollow schedulers on loopback."`
-		Shrink   shrinkCommand   `cmd:"" help:"Take out of a script that breaks something what it does not need for that."`
+		Run      runCommand          `cmd:"" help:"Run the program on a virtual clock and network under faults drawn from seeds."`
+		Members  circleCommand       `cmd:"" help:"Play or measure schedulers that know each other, on a virtual clock and network."`
+		Procs    procsCommand        `cmd:"" help:"Play a script of faults for many scheduler processes on loopback."`
+		Herd     herdCommand         `cmd:"" help:"How evenly many schedulers load nodes, beside baselines; simulated."`
+		Draw     drawCommand         `cmd:"" help:"Print the script of a seed."`
+		Replay   replayCommand       `cmd:"" help:"Play a script."`
+		Compare  compareCommand      `cmd:"" help:"Compare two placement policies on the same days."`
+		Order    orderCommand        `cmd:"" help:"Put the placement policies in order on days of each trouble."`
+		Clubs    clubsCommand        `cmd:"" help:"Measure tenants beside one that floods, with and without their lines."`
+		Removals removalsCommand     `cmd:"" help:"Remove tenants under load while the scheduler is killed."`
+		Grow     growCommand         `cmd:"" help:"Play calm days of growing size and print what they cost."`
+		ScaleFit scaleFitCommand     `cmd:"" help:"Fit lines and models to the results of scale runs."`
+		Regions  scaleRegionsCommand `cmd:"" name:"scale-regions" help:"Cut regions from each other for an hour; simulated."`
+		States   statesCommand       `cmd:"" help:"Explore exhaustively what can become of one allocation in a small world."`
+		Scale    scaleCommand        `cmd:"" help:"Measure real schedulers beside thousands of hollow nodes and hundreds of hollow schedulers on loopback."`
+		Shrink   shrinkCommand       `cmd:"" help:"Take out of a script that breaks something what it does not need for that."`
 
 		ScaleNodes      scaleNodesCommand      `cmd:"" hidden:"" help:"Hollow nodes of a scale run; orders come on standard input."`
 		ScaleSchedulers scaleSchedulersCommand `cmd:"" hidden:"" help:"Hollow schedulers of a scale run; orders come on standard input."`
--- /dev/null
+++ b/internal/decide/gossip/footprint.go
@@ -0,0 +1,4 @@
+package gossip
+
+// Len is how many updates are kept.
+func (s *Store) Len() int { return len(s.updates) }
--- /dev/null
+++ b/internal/lab/scale/regions/reading.go
@@ -0,0 +1,147 @@
+package regions
+
+import (
+	"ravenpond/internal/control"
+	"ravenpond/internal/decide/membership"
+)
+
+// Phase is a part of a run.
+type Phase string
+
+// Phases, in their order.
+const (
+	Before Phase = "before"
+	During Phase = "cut"
+	Healed Phase = "healed"
+)
+
+// Structure is something in a process that may grow.
+type Structure int
+
+// Structures. Bytes are those of records and texts, without what maps and the allocator add.
+const (
+	Members Structure = iota
+	MemberBytes
+	Accusers
+	Timers
+	Probes  // pings for others and probes that were not answered
+	Hellos  // addresses whose answer to a hello is awaited
+	Updates // of members and nodes, that are still told
+	UnreachableNodes
+	Fragments // messages of which parts are missing
+	FragmentBytes
+	PendingMessages
+	PendingMessageBytes
+	PendingCalls
+	Proposals
+	ProposalBytes
+	LogEntries
+	LogBytes
+	DiskEntries
+	DiskBytes
+	SnapshotBytes
+	TransferBytes
+	Reports // of processes, at the leader
+	ReportBytes
+	Verdicts // records on zones, at the leader
+	structures
+)
+
+var structureNames = [structures]string{"members", "member bytes", "accusers", "timers", "probes", "hellos", "updates", "unreachable nodes",
+	"fragments", "fragment bytes", "pending messages", "pending message bytes", "pending calls", "proposals", "proposal bytes",
+	"log entries", "log bytes", "disk entries", "disk bytes", "snapshot bytes", "transfer bytes", "reports", "report bytes", "verdicts"}
+
+func (s Structure) String() string { return structureNames[s] }
+
+// IsBytes tells whether a structure is counted in bytes.
+func (s Structure) IsBytes() bool {
+	switch s {
+	case MemberBytes, FragmentBytes, PendingMessageBytes, ProposalBytes, LogBytes, DiskBytes, SnapshotBytes, TransferBytes, ReportBytes:
+		return true
+	}
+	return false
+}
+
+// Reading is what was read of one process.
+type Reading struct {
+	Process            string          `json:"process"`
+	Sizes              [structures]int `json:"sizes"` // by Structure
+	DatagramsPerSecond float64         `json:"datagramsPerSecond"`
+	BytesPerSecond     float64         `json:"bytesPerSecond"` // of datagrams
+	Alive              int             `json:"alive"`          // others that are held for alive
+	Version            uint64          `json:"version"`        // of the cluster state
+	LeaseValid         bool            `json:"leaseValid"`     // it may act on the cluster state as it stands
+}
+
+// Total is the sum of a reading's structures that are counted in bytes, in bytes.
+func (r *Reading) Total() (bytes int) {
+	for s := range structures {
+		if s.IsBytes() {
+			bytes += r.Sizes[s]
+		}
+	}
+	return bytes
+}
+
+// Minute is one reading of all processes.
+type Minute struct {
+	Phase    Phase     `json:"phase"`
+	Seconds  float64   `json:"seconds"` // from the cut on
+	Readings []Reading `json:"readings"`
+}
+
+// read reads all processes.
+func (s *site) read(phase Phase) {
+	m := Minute{Phase: phase, Seconds: (s.clock.True() - s.cutAt) / 1000, Readings: make([]Reading, len(s.processes))}
+	if phase == Before {
+		m.Seconds = (s.clock.True() - float64(s.config.Warm.Milliseconds())) / 1000
+	}
+	for i, p := range s.processes {
+		p.read(&m.Readings[i])
+	}
+	s.clock.Until(s.clock.True() + readTakes)
+	s.report.Minutes = append(s.report.Minutes, m)
+}
+
+// read fills in a reading; control's part comes with the next turn of its loop.
+func (p *process) read(r *Reading) {
+	r.Process = p.name
+	view := p.control.View()
+	r.Version, r.LeaseValid = view.Book.Version(), p.world.Now() < view.Sure
+	p.readMembers(r)
+	if p.disk != nil {
+		r.Sizes[DiskEntries], r.Sizes[DiskBytes] = p.disk.size()
+	}
+	p.control.Measure(func(f control.Footprint) { r.takeControl(f, p.hoard) })
+}
+
+func (p *process) readMembers(r *Reading) {
+	p.members.See(func(d *membership.Detector) {
+		f := d.Footprint()
+		r.Sizes[Members], r.Sizes[MemberBytes], r.Sizes[Accusers] = f.Members, f.MemberBytes, f.Accusers
+		r.Sizes[Timers] = f.Timers
+		r.Sizes[Probes] = f.IndirectProbes + f.LateProbes
+		r.Sizes[Hellos] = f.Hellos
+		r.Sizes[Updates] = f.Updates + f.NodeUpdates
+		r.Sizes[UnreachableNodes] = f.UnreachableNodes
+		r.Sizes[Fragments], r.Sizes[FragmentBytes] = f.Fragments.Messages, f.Fragments.Bytes
+		r.Alive, _, _, _ = d.Count()
+		if seconds := (p.site.clock.True() - p.readAt) / 1000; seconds > 0 {
+			r.DatagramsPerSecond = float64(d.Stats.Sent-p.sent) / seconds
+			r.BytesPerSecond = float64(d.Stats.Bytes-p.sentBytes) / seconds
+		}
+		p.sent, p.sentBytes, p.readAt = d.Stats.Sent, d.Stats.Bytes, p.site.clock.True()
+	})
+}
+
+func (r *Reading) takeControl(f control.Footprint, hoard *hoarder) {
+	r.Sizes[PendingMessages], r.Sizes[PendingMessageBytes], r.Sizes[PendingCalls] = f.PendingMessages, f.PendingMessageBytes, f.PendingCalls
+	if hoard != nil {
+		r.Sizes[PendingMessages] += len(hoard.mail)
+	}
+	c := f.Replica
+	r.Sizes[Proposals], r.Sizes[ProposalBytes] = c.Proposals, c.ProposalBytes
+	r.Sizes[LogEntries], r.Sizes[LogBytes] = c.LogEntries, c.LogBytes
+	r.Sizes[SnapshotBytes], r.Sizes[TransferBytes] = c.SnapshotBytes, c.TransferBytes
+	r.Sizes[Reports], r.Sizes[ReportBytes], r.Sizes[Verdicts] = f.Judge.Reports, f.Judge.ReportBytes, f.Judge.Verdicts
+}
--- /dev/null
+++ b/internal/lab/scale/regions/regions.go
@@ -0,0 +1,261 @@
+// Package regions plays a site whose regions are cut from each other for long, on the laboratory's clock and network: each
+// scheduler runs the program's own members, control with its consensus and cluster state, and zones code. It reads, each virtual minute
+// and for each process, the size of every structure that may grow and what the process sends, and after the heal how long it
+// takes until all hold one view again. All of its figures are simulated.
+package regions
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"strings"
+	"time"
+
+	"ravenpond/internal/decide/consensus"
+	"ravenpond/internal/lab/sim"
+	codec "ravenpond/internal/proto/book"
+)
+
+// Times of the program's parts and of the reading, in ms.
+const (
+	senseEach    = 250.0 // between two looks of a process at the zones, as `serve` has it
+	silentAfter  = 1000.0
+	readEach     = 60e3 // between two readings
+	readTakes    = 20.0 // until all loops have answered a reading
+	pollEach     = 50.0 // between two looks whether views are one
+	dayInMs      = 24 * 3600e3
+	breakEach    = 1000.0 // between two looks whether the run is broken off
+	useSwing     = 600e3  // in which the use of zones goes up and down
+	regionsApart = 20.0   // up to which a datagram between regions takes longer
+	fillEach     = 100.0  // between two groups of processes that are not played and join the state
+	fillAtOnce   = 20     // of a group
+)
+
+// Config is what is played.
+type Config struct {
+	Seed      uint64
+	Processes int
+	Regions   int
+	Zones     int
+	Voters    int
+	// CutRegions are cut from all others: the last ones by number.
+	CutRegions int
+	Warm       time.Duration // before the cut
+	Cut        time.Duration
+	Settle     time.Duration // at most, from the heal on, until all hold one view
+	// CommandsPerDay is at which rate processes, in turn, put a command into the cluster state that changes nothing in it.
+	CommandsPerDay float64
+	// Absent is how many processes stand in the cluster state that are not played, to grow it without their cost.
+	Absent int
+	// AbsentNameBytes is how long their names are at least.
+	AbsentNameBytes int
+	// Restart has one process of the cut-off regions, which is no voter, start again in the midst of the cut.
+	Restart bool
+
+	Plant Plant
+}
+
+// Plant puts a fault into the run, for tests that must find it; the zero value puts none.
+type Plant struct {
+	KeptLog   bool // voters' disks keep the entries that a snapshot holds
+	StuckLoop bool // one process's control takes none of its messages
+	Unhealed  bool // the ways stay cut at the heal
+}
+
+// Default is the hour that docs/performance.md tells of.
+func Default() Config {
+	return Config{Seed: 1, Processes: 60, Regions: 6, Zones: 14, Voters: 5, CutRegions: 3, Warm: 5 * time.Minute, Cut: time.Hour,
+		Settle: 10 * time.Minute, CommandsPerDay: 7400, Restart: true}
+}
+
+// ErrConfig is returned, wrapped, for a configuration that can't be played.
+var ErrConfig = errors.New("configuration of cut regions")
+
+func (c Config) check() error {
+	switch {
+	case c.Voters < 1 || c.Processes < c.Voters:
+		return fmt.Errorf("%w: %d processes, %d of them voters", ErrConfig, c.Processes, c.Voters)
+	case c.Regions < 2 || c.Zones < c.Regions:
+		return fmt.Errorf("%w: %d zones in %d regions", ErrConfig, c.Zones, c.Regions)
+	case c.CutRegions < 1 || c.CutRegions >= c.Regions:
+		return fmt.Errorf("%w: %d of %d regions are cut off", ErrConfig, c.CutRegions, c.Regions)
+	case c.Processes <= c.Zones && c.Restart:
+		return fmt.Errorf("%w: %d processes in %d zones leave none to start again", ErrConfig, c.Processes, c.Zones)
+	case c.Cut < time.Minute || c.Warm < time.Minute:
+		return fmt.Errorf("%w: a minute before the cut and of it are needed", ErrConfig)
+	}
+	return nil
+}
+
+// site is a run.
+type site struct {
+	ctx       context.Context // of the run, which is one call
+	config    Config
+	clock     *sim.Clock
+	rng       *rand.Rand
+	zones     []zone
+	processes []*process
+	voters    []string
+	cutAt     float64 // true time of the cut, infinite before it
+	healedAt  float64 // true time of the heal, infinite before it
+	turn      int     // of the process that proposes next
+	restarted *process
+	report    Report
+}
+
+// zone is one of the site's.
+type zone struct {
+	name   string
+	region int
+	cut    bool // its region is among those cut off
+}
+
+// Run plays a configuration. It returns an error that wraps ErrConfig if it can't be played, and the context's if that ends
+// before the run does.
+func Run(ctx context.Context, config Config) (*Report, error) {
+	if err := config.check(); err != nil {
+		return nil, err
+	}
+	s := &site{ctx: ctx, config: config, clock: sim.NewClock(config.Seed), rng: rand.New(rand.NewPCG(config.Seed, 0x4e61)), cutAt: math.Inf(1),
+		healedAt: math.Inf(1), report: Report{Config: config}}
+	s.build()
+	for _, p := range s.processes {
+		if err := p.start(); err != nil {
+			return nil, err
+		}
+	}
+	s.fillState(0)
+	s.play()
+	return &s.report, ctx.Err()
+}
+
+// build lays out zones and processes: zones go round the regions, processes round the zones.
+func (s *site) build() {
+	for i := range s.config.Zones {
+		region := i % s.config.Regions
+		s.zones = append(s.zones, zone{name: fmt.Sprintf("zone-%02d", i+1), region: region, cut: region >= s.config.Regions-s.config.CutRegions})
+	}
+	for i := range s.config.Processes {
+		s.processes = append(s.processes, s.newProcess(i))
+	}
+	for _, p := range s.processes[:s.config.Voters] {
+		s.voters = append(s.voters, p.name)
+	}
+	for _, p := range s.processes {
+		for _, q := range s.processes {
+			if p.index < q.index && p.zone.region != q.zone.region {
+				s.clock.Slow(p.name, q.name, regionsApart)
+			}
+		}
+	}
+}
+
+// fillState has processes that are not played join the state, a few at a time, from one on.
+func (s *site) fillState(from int) {
+	if from >= s.config.Absent {
+		return
+	}
+	until := min(s.config.Absent, from+fillAtOnce)
+	led := false
+	for _, p := range s.processes[:s.config.Voters] {
+		p.control.Ask(func(c *consensus.Replica) {
+			if !c.IsLeader() {
+				return
+			}
+			led = true
+			for i := from; i < until; i++ {
+				c.OnMessage(p.world.Now(), p.name, s.absentJoins(i, p.world.Now()))
+			}
+		})
+	}
+	s.clock.At(s.clock.True()+fillEach, func() {
+		if led {
+			from = until
+		}
+		s.fillState(from)
+	})
+}
+
+// absentJoins is the message by which a process that is not played joins.
+func (s *site) absentJoins(index int, now float64) []byte {
+	name, zone := fmt.Sprintf("absent-%04d", index), s.zones[index%len(s.zones)]
+	name += strings.Repeat("x", max(0, s.config.AbsentNameBytes-len(name)))
+	command := codec.AppendCommand(nil, name, 1, 1, now, codec.Act, name, zone.name, regionName(zone.region), 0, 0, "")
+	return codec.AppendMessage(nil, codec.Proposal, command, 0, 0, 0, 0, 0)
+}
+
+// play runs the three phases, with a reading each minute.
+func (s *site) play() {
+	s.command()
+	s.pass(Before, float64(s.config.Warm.Milliseconds()))
+	s.cut(true)
+	cut := float64(s.config.Cut.Milliseconds())
+	if s.config.Restart {
+		s.clock.At(s.clock.True()+cut/2, s.restart)
+	}
+	s.pass(During, cut)
+	s.cut(false)
+	s.settle()
+}
+
+// pass lets time go by with a reading at the end of each minute.
+func (s *site) pass(phase Phase, ms float64) {
+	for end := s.clock.True() + ms; s.clock.True() < end && s.ctx.Err() == nil; {
+		s.until(min(end, s.clock.True()+readEach))
+		s.read(phase)
+	}
+}
+
+// until lets time go by, in steps after which it may be broken off.
+func (s *site) until(at float64) {
+	for s.clock.True() < at && s.ctx.Err() == nil {
+		s.clock.Until(min(at, s.clock.True()+breakEach))
+	}
+}
+
+// cut cuts all ways between the two groups of regions, or heals them.
+func (s *site) cut(is bool) {
+	for _, p := range s.processes {
+		for _, q := range s.processes {
+			if p.index < q.index && p.zone.cut != q.zone.cut {
+				s.clock.Cut(p.name, q.name, is || s.config.Plant.Unhealed)
+			}
+		}
+	}
+	if is {
+		s.cutAt = s.clock.True()
+		return
+	}
+	s.healedAt = s.clock.True()
+}
+
+// isCut tells whether two zones are cut from each other now, and since when.
+func (s *site) isCut(a, b *zone) (since float64, is bool) {
+	now := s.clock.True()
+	return s.cutAt, a.cut != b.cut && now >= s.cutAt && now < s.healedAt
+}
+
+// restart has one process of the cut-off regions start again.
+func (s *site) restart() {
+	for _, p := range s.processes[s.config.Voters:] {
+		if p.zone.cut {
+			s.restarted = p
+			p.restart()
+			return
+		}
+	}
+}
+
+// command has the next process propose a command, and so on at the configured rate.
+func (s *site) command() {
+	if s.config.CommandsPerDay <= 0 {
+		return
+	}
+	s.clock.At(s.clock.True()+dayInMs/s.config.CommandsPerDay, func() {
+		s.processes[s.turn%len(s.processes)].propose()
+		s.turn++
+		s.command()
+	})
+}
--- /dev/null
+++ b/internal/lab/scale/regions/regions_test.go
@@ -0,0 +1,165 @@
+package regions
+
+import (
+	"context"
+	"errors"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"ravenpond/internal/lab/scale/result"
+)
+
+// small is a run that fits CI: fewer processes, a cut of minutes, and so many commands that the log is cut within it.
+func small() Config {
+	c := Default()
+	c.Processes, c.Zones = 7, 6 // three of them in the regions that are cut off
+	c.Warm, c.Cut, c.Settle = time.Minute, 4*time.Minute, time.Minute
+	c.CommandsPerDay = 6 * 86400
+	return c
+}
+
+func run(t *testing.T, c Config) *Report {
+	t.Helper()
+	r, err := Run(t.Context(), c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+// TestRegions cuts half of the regions off: no structure passes its bound, and views are one again after the heal.
+func TestRegions(t *testing.T) {
+	t.Parallel()
+	r := run(t, small())
+	for _, v := range r.Check() {
+		t.Error(v)
+	}
+	for _, m := range r.moments()[:3] {
+		if !m.Reached {
+			t.Errorf("%s: not after the heal", m.name)
+		}
+	}
+	during := r.phase(During)
+	if len(r.phase(Before)) != 1 || len(during) != 4 || len(r.phase(Healed)) != 1 {
+		t.Fatalf("%d minutes", len(r.Minutes))
+	}
+	for i, reading := range during[len(during)-1].Readings { // each holds those on its own side for alive, and no others
+		want := 3
+		if region := i % r.Config.Zones % r.Config.Regions; region >= r.Config.Regions-r.Config.CutRegions {
+			want = 2
+		}
+		if reading.Alive != want {
+			t.Errorf("%s holds %d for alive in the cut, want %d", reading.Process, reading.Alive, want)
+		}
+	}
+	if entries := most(during, LogEntries); entries < 250 {
+		t.Errorf("the log was never full: %d entries", entries)
+	}
+	if bytes := most(during, DiskBytes); bytes == 0 {
+		t.Error("nothing is on a disk")
+	}
+	var text strings.Builder
+	if err := r.WriteMarkdown(&text); err != nil || !strings.Contains(text.String(), "| log entries |") {
+		t.Errorf("%v\n%s", err, text.String())
+	}
+	path := filepath.Join(t.TempDir(), "result.json")
+	if err := r.Result(result.Machine{}, "").Write(path); err != nil {
+		t.Fatal(err)
+	}
+	read, err := result.Read(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if v, ok := read.Value("cut", "log entries, most"); !ok || v != float64(most(during, LogEntries)) {
+		t.Errorf("log entries in the result: %v", v)
+	}
+	if err := r.WriteMinutes(filepath.Join(t.TempDir(), "minutes.json")); err != nil {
+		t.Error(err)
+	}
+}
+
+// TestPlanted plants leaks, and looks that the check names each.
+func TestPlanted(t *testing.T) {
+	t.Parallel()
+	for _, c := range []struct {
+		name  string
+		plant Plant
+		found Structure
+	}{
+		{"disks keep what a snapshot holds", Plant{KeptLog: true}, DiskEntries},
+		{"a loop takes none of its messages", Plant{StuckLoop: true}, PendingMessages},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			config := small()
+			config.Plant = c.plant
+			violations := run(t, config).Check()
+			if !slices.ContainsFunc(violations, func(v Violation) bool { return v.Structure == c.found }) {
+				t.Errorf("%s is not named by %v", c.found, violations)
+			}
+			for _, v := range violations {
+				t.Log("found:", v)
+			}
+		})
+	}
+	t.Run("ways stay cut", func(t *testing.T) {
+		t.Parallel()
+		config := small()
+		config.Cut, config.Plant = time.Minute, Plant{Unhealed: true}
+		if heal := run(t, config).Heal; heal.Members.Reached || heal.State.Reached {
+			t.Errorf("views are one though the ways are cut: %+v", heal)
+		}
+	})
+}
+
+// TestGrowth finds a structure without a bound of its own that grows all through the cut, and takes one that does not for sound.
+func TestGrowth(t *testing.T) {
+	config := small()
+	steady, growing := &Report{Config: config}, &Report{Config: config}
+	for i := range 60 {
+		for _, r := range []*Report{steady, growing} {
+			m := Minute{Phase: During, Seconds: float64(60 * i), Readings: make([]Reading, config.Processes)}
+			m.Readings[3].Sizes[Probes] = 5 + i%7
+			if r == growing {
+				m.Readings[3].Sizes[Probes] = 5 + i
+			}
+			r.Minutes = append(r.Minutes, m)
+		}
+	}
+	if v := steady.Check(); len(v) > 0 {
+		t.Errorf("steady: %v", v)
+	}
+	if v := growing.Check(); len(v) != 1 || v[0].Structure != Probes || !v[0].Growth {
+		t.Errorf("growing: %v", v)
+	}
+}
+
+// TestBrokenOff ends a run whose context is over.
+func TestBrokenOff(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if _, err := Run(ctx, Default()); !errors.Is(err, context.Canceled) {
+		t.Errorf("%v", err)
+	}
+}
+
+// TestConfig refuses what can't be played.
+func TestConfig(t *testing.T) {
+	for _, change := range []func(*Config){
+		func(c *Config) { c.Processes = 3 },
+		func(c *Config) { c.Voters = 0 },
+		func(c *Config) { c.Zones = 2 },
+		func(c *Config) { c.CutRegions = 6 },
+		func(c *Config) { c.Processes = 6 },
+		func(c *Config) { c.Cut = time.Second },
+	} {
+		config := small()
+		change(&config)
+		if _, err := Run(t.Context(), config); !errors.Is(err, ErrConfig) {
+			t.Errorf("%+v: %v", config, err)
+		}
+	}
+}
