--- a/internal/decide/shardownership/shardownership.go
+++ b/internal/decide/shardownership/shardownership.go
@@ -163,6 +163,12 @@
 	return true
 }
 
+// ActsFor tells whether a shard acts for an allocation under an epoch.
+func (t *Table) ActsFor(n Name, shard int, epoch uint32) bool {
+	en := t.all[n]
+	return en != nil && en.Shard == shard && en.Epoch == epoch
+}
+
 // Settle notes a try's outcome; never tells that it is proven not to have run.
 func (t *Table) Settle(n Name, shard int, epoch uint32, never bool) {
 	if en := t.all[n]; en != nil && en.Shard == shard && en.Epoch == epoch {
--- a/internal/decide/shardrouter/shardrouter.go
+++ b/internal/decide/shardrouter/shardrouter.go
@@ -123,6 +123,11 @@
 	return r.ownership.Send(n, shard, epoch, try)
 }
 
+// ActsFor tells whether a shard acts for an allocation under an epoch.
+func (r *Router) ActsFor(n shardownership.Name, shard int, epoch uint32) bool {
+	return r.ownership.ActsFor(n, shard, epoch)
+}
+
 // Settle notes a try's outcome; never tells that it is proven not to have run.
 func (r *Router) Settle(n shardownership.Name, shard int, epoch uint32, never bool) {
 	r.ownership.Settle(n, shard, epoch, never)
--- a/internal/decide/shardrouter/shardrouter_test.go
+++ b/internal/decide/shardrouter/shardrouter_test.go
@@ -329,3 +329,21 @@
 		}
 	})
 }
+
+// TestEndsBeforeItsRequestArrives has a node tell of an attempt that ran and ended while a request for the same key is on
+// its way to its shard: the shard does not act for the request any more.
+func TestEndsBeforeItsRequestArrives(t *testing.T) {
+	r := begin(2)
+	at, epoch := r.ask(t, 0, 1, 0, 7)
+	if !r.ActsFor(name(1), at, epoch) || r.ActsFor(name(1), 1-at, epoch) || r.ActsFor(name(2), at, epoch) {
+		t.Fatal("the shard acts for the request alone")
+	}
+	found, _, _, ok := r.Adopt(name(1), at, shardownership.Ask{Service: 7}, shardownership.Try{Node: 3, Ticket: 9})
+	if !ok {
+		t.Fatal("what runs is not adopted")
+	}
+	r.Drop(name(1), at, 7, found)
+	if r.ActsFor(name(1), at, epoch) {
+		t.Error("the shard acts for a request that an ended attempt took the place of")
+	}
+}
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -161,7 +161,7 @@
 			}
 		} else {
 			_ = to.eng.Allocate(now, g.Owner, g.Ref, g.Job, g.Tenant, g.Service, g.Token, g.Cores, g.Memory, g.Expiry-now,
-				g.Epoch) // the ask was free at this owner, and still is
+				s.epochNow(shardownership.Name{Tenant: g.Tenant, Token: g.Token}, to, g.Epoch)) // the ask was free at this owner, and still is
 		}
 		if s.owner(g.Owner) == nil {
 			to.eng.OwnerGone(now, g.Owner)
