--- a/internal/lab/scale/phases.go
+++ b/internal/lab/scale/phases.go
@@ -152,11 +152,15 @@
 	if err != nil {
 		return nil, err
 	}
+	connected, err := r.orderNodes(hollow.Order{Do: hollow.AwaitConnections, Name: zone, Count: r.Real, Within: ms(settleAgain)})
+	if err != nil {
+		return nil, err
+	}
 	open, err := r.awaitVerdict(zone, "open", found, func(part float64) bool { return part == 1 })
 	if err != nil {
 		return nil, err
 	}
-	return []result.Reading{since("zone closed", lost, closed), since("zone open", found, open)}, nil
+	return []result.Reading{since("zone closed", lost, closed), since("zone connected", found, connected), since("zone open", found, open)}, nil
 }
 
 // turnZone has nodes and hollow schedulers lose or find a zone, and tells when.
@@ -211,16 +215,7 @@
 
 // zoneLost takes all nodes of a zone away and brings them back cold.
 func zoneLost(_ context.Context, r *Rig) ([]result.Reading, error) {
-	readings, err := r.loseZone(hollow.StopNodes, hollow.ReturnNodes)
-	if err != nil {
-		return nil, err
-	}
-	began := float64(time.Now().UnixMicro()) / 1e3
-	at, err := r.orderNodes(hollow.Order{Do: hollow.AwaitConnections, Name: hollow.ZoneName(r.Sizes.Zones - 1), Count: r.Real, Within: ms(settleAgain)})
-	if err != nil {
-		return nil, err
-	}
-	return append(readings, since("zone connected after it was open", began, at)), nil
+	return r.loseZone(hollow.StopNodes, hollow.ReturnNodes)
 }
 
 // restartAll kills all schedulers, hollow ones too, starts them again and reads how long it takes until each real process
--- a/internal/lab/scale/result/result.go
+++ b/internal/lab/scale/result/result.go
@@ -89,7 +89,7 @@
 
 // Write leaves the result in a file, whole or not at all.
 func (r *Result) Write(path string) error {
-	text, err := json.MarshalIndent(r, "", "  ")
+	text, err := json.Marshal(r)
 	if err != nil {
 		return fmt.Errorf("result of the scale run: %w", err)
 	}
