--- a/cmd/ravenpond/scale.go
+++ b/cmd/ravenpond/scale.go
@@ -27,6 +27,9 @@
 	Warm       time.Duration `default:"4s" help:"Before each measurement."`
 	Last       time.Duration `default:"8s" help:"Length of each measurement, at least."`
 	Seed       uint64        `default:"1" help:"Seed of the first run; each run has the next."`
+	Variant    string        `help:"Name of what is set apart by --elements; it is added to the scenario."`
+	Elements   string        `help:"More elements of the site file."`
+	Connected  int           `help:"Nodes that a real process is connected to before it is measured; 0: all."`
 	Commit     string        `help:"Commit that is measured, for the result files."`
 	Out        string        `type:"path" default:"docs/scale" help:"Folder of the result files."`
 	Logs       string        `type:"path" help:"Folder for logs; without it a new one in the temporary folder."`
@@ -57,7 +60,8 @@
 		}
 		for run := c.FirstRun; run < c.FirstRun+c.Runs && ctx.Err() == nil; run++ {
 			t := scale.Trial{Command: []string{self}, Sizes: c.changed(sizes), Dimension: c.Dimension, Run: run, Seed: c.Seed + uint64(run) - 1, Real: c.Real,
-				Warm: c.Warm, Last: c.Last, Commit: c.Commit, Profile: true}
+				Warm: c.Warm, Last: c.Last, Commit: c.Commit, Profile: true,
+				Variant: c.Variant, Elements: c.Elements, Connected: c.Connected}
 			t.Dir = filepath.Join(c.Logs, fmt.Sprintf("%s-n%d-s%d-t%d-%d", c.Dimension, t.Sizes.Nodes, t.Sizes.Schedulers, t.Sizes.RunningTasks, run))
 			if err := os.MkdirAll(t.Dir, 0o750); err != nil {
 				return err
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -144,7 +144,11 @@
 func (r *Rig) result(phase Phase, p *process, seconds float64) *result.Result {
 	sizes := r.Sizes
 	sizes.StartsPerSecond = phase.Starts
-	return &result.Result{Schema: result.Schema, Machine: machine(), Commit: r.Commit, Seed: r.Seed, Scenario: phase.Scenario, Dimension: r.Dimension,
+	scenario := phase.Scenario
+	if r.Variant != "" {
+		scenario += "-" + r.Variant
+	}
+	return &result.Result{Schema: result.Schema, Machine: machine(), Commit: r.Commit, Seed: r.Seed, Scenario: scenario, Dimension: r.Dimension,
 		Process: p.name, Run: r.Run, Sizes: sizes, Seconds: seconds}
 }
 
--- a/internal/lab/scale/phases.go
+++ b/internal/lab/scale/phases.go
@@ -243,7 +243,7 @@
 	}{
 		{"all tasks known", func(place int, page scrape) bool { return page.of("tries_held") >= tasks[place] }},
 		{"all nodes connected", func(_ int, page scrape) bool {
-			return page.of("connections", "kind", heldKind) >= float64(r.Sizes.Nodes)
+			return page.of("connections", "kind", heldKind) >= r.connected()
 		}},
 		{"all schedulers known", func(_ int, page scrape) bool {
 			return page.of("members", "state", "alive") >= float64(r.Sizes.Schedulers-1)
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -32,6 +32,12 @@
 	Commit    string
 	Profile   bool // CPU and heap by part of the program
 	Plant     Plant
+
+	// Variant names what is set apart from the plan by Elements, more elements of the site file; it is added to the scenario.
+	Variant  string
+	Elements string
+	// Connected is how many nodes a real process has to be connected to before it is measured; 0: all.
+	Connected int
 	Dir       string // for logs and state
 }
 
@@ -202,12 +208,12 @@
 			if r.settled(page) {
 				break
 			}
-			if time.Now().After(end) && page.of("connections", "kind", heldKind) >= float64(r.Sizes.Nodes) {
+			if time.Now().After(end) && page.of("connections", "kind", heldKind) >= r.connected() {
 				break
 			}
 			if time.Now().After(end) {
-				return fmt.Errorf("%s: %.0f of %d nodes connected, %.0f of %d other schedulers alive: %w", p.name, page.of("connections", "kind", heldKind),
-					r.Sizes.Nodes, page.of("members", "state", "alive"), r.Sizes.Schedulers-1, errNotWithin)
+				return fmt.Errorf("%s: %.0f of %.0f nodes connected, %.0f of %d other schedulers alive: %w", p.name, page.of("connections", "kind", heldKind),
+					r.connected(), page.of("members", "state", "alive"), r.Sizes.Schedulers-1, errNotWithin)
 			}
 			time.Sleep(scrapeAgain)
 		}
@@ -215,8 +221,16 @@
 	return ctx.Err()
 }
 
+// connected is how many nodes a real process has to be connected to.
+func (r *Rig) connected() float64 {
+	if r.Connected > 0 {
+		return float64(r.Connected)
+	}
+	return float64(r.Sizes.Nodes)
+}
+
 func (r *Rig) settled(page scrape) bool {
-	return page.of("connections", "kind", heldKind) >= float64(r.Sizes.Nodes) && page.of("members", "state", "alive") >= float64(r.Sizes.Schedulers-1)
+	return page.of("connections", "kind", heldKind) >= r.connected() && page.of("members", "state", "alive") >= float64(r.Sizes.Schedulers-1)
 }
 
 // fill starts the tasks that run until the end, and waits for them.
--- a/internal/lab/scale/site.go
+++ b/internal/lab/scale/site.go
@@ -23,7 +23,8 @@
   <job-type name="stay" effect="restartable" target="1s" expiry="20s" value="1"/>
   %s
   <limits open="200000" owner-queue="200000"/>
-  %s<members listen="127.0.0.1:0" seeds="%s" key="%s" lends="0" stewards="%s"/>
+  %s%s
+  <members listen="127.0.0.1:0" seeds="%s" key="%s" lends="0" stewards="%s"/>
   <counts listen="127.0.0.1:0"/>
   <node-list address="%s"/>
   <owners listen="127.0.0.1:0"/>
@@ -41,7 +42,7 @@
 	for team := range r.Sizes.Teams {
 		fmt.Fprintf(&teams, `<tenant name="%s" share="%.6f"/>`, teamName(team), 0.999/float64(r.Sizes.Teams))
 	}
-	return fmt.Sprintf(siteText, siteName, r.Sizes.Schedulers, zones.String(), nodeCores, 2*nodeCores, teams.String(), r.shards(),
+	return fmt.Sprintf(siteText, siteName, r.Sizes.Schedulers, zones.String(), nodeCores, 2*nodeCores, teams.String(), r.shards(), r.Elements,
 		strings.Join(r.seeds, " "), r.keyFile(), strings.Join(hollow.VoterNames(), " "), r.list.Address())
 }
 
@@ -50,6 +51,5 @@
 	if !r.Plant.OwnConnections {
 		return ""
 	}
-	return `<shards count="2" connections="own"/>
-  `
+	return `<shards count="2" connections="own"/>`
 }
