--- /dev/null
+++ b/internal/decide/workingset/widen_test.go
@@ -0,0 +1,135 @@
+package workingset
+
+import "testing"
+
+// shortage has nothing fit for a while, and tells how many nodes entered in the worst second and how long it took
+// until the set had doubled.
+func shortage(plant Plant) (worst int, doubled float64) {
+	c, s := oneOf(30, 14000, Config{Least: 480, Coverage: 1, Plant: plant})
+	usual, began := s.Size(), c.now
+	var entered []int
+	for range 50 {
+		s.OnShortage(AnyKind)
+		n := len(s.Step(c.now).Enter)
+		entered = append(entered, n)
+		if doubled == 0 && s.Size() >= 3*usual/2 {
+			doubled = c.now - began + 100
+		}
+		c.now += 100
+	}
+	for i := range entered[9:] {
+		sum := 0
+		for _, n := range entered[i : i+10] {
+			sum += n
+		}
+		worst = max(worst, sum)
+	}
+	return worst, doubled
+}
+
+func TestWidensAtABoundedRate(t *testing.T) {
+	worst, doubled := shortage(Plant{})
+	if worst > 480*3/2+10 || doubled == 0 || doubled > 1000 {
+		t.Errorf("%d nodes in the worst second, half as many again after %.0f ms", worst, doubled)
+	}
+	if worst, _ := shortage(Plant{WidensUnbounded: true}); worst <= 480*3/2+10 {
+		t.Errorf("unbounded widening passes the check: %d in a second", worst)
+	}
+}
+
+// TestShortKindWidensAlone has a kind of machine be short.
+func TestShortKindWidensAlone(t *testing.T) {
+	c, s := oneOf(30, 1300, Config{Least: 60, Coverage: 1})
+	for range 50 { // as the pace is 60 nodes a second
+		s.OnShortage(1)
+		s.Step(c.now)
+		c.now += 300
+	}
+	var inside [kinds]int
+	for i := range c.nodes {
+		if n := nodeOf(i); s.Has(n.ID) {
+			inside[n.Kind]++
+		}
+	}
+	if inside[0] > 60 || inside[1] < 600 {
+		t.Errorf("%v nodes by kind", inside)
+	}
+}
+
+// pulses has a shortage come each few seconds, and tells how often nodes entered, beside the nodes of the set at most.
+func pulses(every, total float64, plant Plant) (entered, most int) {
+	c, s := oneOf(30, 1300, Config{Least: 100, Coverage: 1, Plant: plant})
+	usual := s.Size()
+	next := c.now
+	for end := c.now + total; c.now < end; c.now += 100 {
+		if c.now >= next {
+			s.OnShortage(AnyKind)
+			next += every
+		}
+		entered += len(s.Step(c.now).Enter)
+		most = max(most, s.Size())
+	}
+	return entered, most - usual
+}
+
+func TestDoesNotFlap(t *testing.T) {
+	for _, every := range []float64{2000, 40_000, 70_000} {
+		entered, extra := pulses(every, 20*60_000, Plant{})
+		if entered > 6*max(extra, 100) {
+			t.Errorf("a shortage each %.0f ms: %d entered, the set was at most %d beyond its usual size", every, entered, extra)
+		}
+	}
+	if entered, extra := pulses(2000, 20*60_000, Plant{Flaps: true}); entered <= 6*max(extra, 100) {
+		t.Errorf("a set that flaps passes the check: %d entered, %d beyond", entered, extra)
+	}
+}
+
+func TestNarrowsAfterAShortage(t *testing.T) {
+	c, s := oneOf(30, 1300, Config{Least: 100, Coverage: 1})
+	usual := s.Size()
+	s.OnShortage(AnyKind)
+	c.run(1000)
+	if s.Size() < 3*usual/2 {
+		t.Fatalf("%d nodes after a shortage, %d before", s.Size(), usual)
+	}
+	c.run(narrowAfter + 1000)
+	if s.Size() != usual {
+		t.Errorf("%d nodes after the hold, %d before the shortage", s.Size(), usual)
+	}
+}
+
+// TestLostNodesAreReplaced has all nodes of a set be lost at once: others take their place within a second, and the
+// set does not go back to those that are lost.
+func TestLostNodesAreReplaced(t *testing.T) {
+	c, s := oneOf(30, 1300, Config{Least: 100, Coverage: 1})
+	lost := map[uint32]bool{}
+	for i := range c.nodes {
+		if id := nodeOf(i).ID; s.Has(id) {
+			lost[id] = true
+			s.SetReachable(id, false)
+		}
+	}
+	reachable := func() (n int) {
+		for i := range c.nodes {
+			if id := nodeOf(i).ID; s.Has(id) && !lost[id] {
+				n++
+			}
+		}
+		return n
+	}
+	c.run(1000)
+	if n := reachable(); n < 70 {
+		t.Errorf("%d reachable nodes after a second", n)
+	}
+	c.run(5 * narrowAfter)
+	if n := reachable(); n < 70 {
+		t.Errorf("%d reachable nodes after minutes", n)
+	}
+	for id := range lost {
+		s.SetReachable(id, true)
+	}
+	c.run(3 * mostHolds * narrowAfter)
+	if s.Size() > 130 {
+		t.Errorf("%d nodes long after all came back", s.Size())
+	}
+}
--- a/internal/serve/hosting.go
+++ b/internal/serve/hosting.go
@@ -10,7 +10,6 @@
 
 	"ravenpond/internal/decide/connadmission"
 	"ravenpond/internal/decide/quotalease"
-	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/decide/tenancy"
 	"ravenpond/internal/engine"
@@ -392,17 +391,6 @@
 	}
 }
 
-// epochNow gives the epoch of a request that reaches its shard: 0 if the shard does not act for it any more. While it was
-// on its way, a node may have told of an earlier attempt that ran, which took its place, and that this has ended.
-func (s *Server) epochNow(name shardownership.Name, sh *shard, epoch uint32) uint32 {
-	s.desk.Lock()
-	defer s.desk.Unlock()
-	if !s.acts.ActsFor(name, sh.index, epoch) {
-		return 0
-	}
-	return epoch
-}
-
 // forgo answers an ask that waits for its turn as its owner gives it up; false if it does not wait.
 func (s *Server) forgo(o *owner, ref uint64) bool {
 	s.desk.Lock()
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -204,3 +204,14 @@
 		} // else it has just ended, which needs nothing
 	})
 }
+
+// epochNow gives the epoch of a request that reaches its shard: 0 if the shard does not act for it any more. While it was
+// on its way, a node may have told of an earlier attempt that ran, which took its place, and that this has ended.
+func (s *Server) epochNow(name shardownership.Name, sh *shard, epoch uint32) uint32 {
+	s.desk.Lock()
+	defer s.desk.Unlock()
+	if !s.acts.ActsFor(name, sh.index, epoch) {
+		return 0
+	}
+	return epoch
+}
--- a/internal/serve/visit.go
+++ b/internal/serve/visit.go
@@ -71,3 +71,76 @@
 	}
 	return true
 }
+
+// beginVisits begins as many visits as may be under way: at each step, and when one ends.
+func (v *nodeSet) beginVisits() {
+	if v.s.over.Load() {
+		return
+	}
+	v.mu.Lock()
+	visits := v.nextVisits(v.s.w.Now())
+	v.mu.Unlock()
+	for _, entry := range visits {
+		v.s.trunk.visit(entry.ID, entry.Address)
+	}
+}
+
+// nextVisits gives the nodes to visit now.
+func (v *nodeSet) nextVisits(now float64) (entries []listEntry) {
+	for id, ok := v.visits.Next(now); ok; id, ok = v.visits.Next(now) {
+		if _, known := v.shown[id]; known { // its connection will tell
+			v.visits.Drop(id)
+			continue
+		}
+		entry := v.entriesOf([]uint32{id})
+		if len(entry) == 0 {
+			v.visits.Drop(id)
+			continue
+		}
+		entries = append(entries, entry...)
+	}
+	return entries
+}
+
+// onVisitFailed says that a node was not reached; it is visited again if that was a visit.
+func (v *nodeSet) onVisitFailed(id uint32) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.visits.Failed(v.s.w.Now(), id)
+	v.visitOthers()
+}
+
+// visitOthers has visits begin in the place of one that has ended; under the lock.
+func (v *nodeSet) visitOthers() {
+	if v.visits.Left() > 0 {
+		v.s.soon(v.beginVisits)
+	}
+}
+
+// endVisit says that a node told all it holds: nothing. It tells whether the shards know the node all the same.
+func (v *nodeSet) endVisit(id uint32) (known bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.visits.Drop(id)
+	v.visitOthers()
+	_, known = v.shown[id]
+	return known
+}
+
+// keepFound has the shards know a node outside the set that holds something of this scheduler's. It tells whether the
+// node is on the list.
+func (v *nodeSet) keepFound(id uint32) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.visits.Drop(id)
+	v.visitOthers()
+	if _, known := v.shown[id]; known {
+		return true
+	}
+	if len(v.entriesOf([]uint32{id})) == 0 {
+		return false
+	}
+	v.shown[id] = nodeAside
+	v.introduce([]uint32{id}, false, true)
+	return true
+}
