--- a/internal/lab/scale/regions/report.go
+++ b/internal/lab/scale/regions/report.go
@@ -159,7 +159,7 @@
 	for quarter := range 4 {
 		from, to := quarter*len(during)/4, (quarter+1)*len(during)/4
 		if from < to {
-			name := fmt.Sprintf("cut, %.0f to %.0f min", r.Config.Cut.Minutes()*float64(quarter)/4, r.Config.Cut.Minutes()*float64(quarter+1)/4)
+			name := fmt.Sprintf("cut, %.4g to %.4g min", r.Config.Cut.Minutes()*float64(quarter)/4, r.Config.Cut.Minutes()*float64(quarter+1)/4)
 			columns = append(columns, column{name, during[from:to]})
 		}
 	}
