--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -144,6 +144,7 @@
 	linked   bool
 	ready    bool // and has told all that it holds
 	heldAll  bool // it has told that at least once
+	delayed  bool // its start counts as later than the list has it
 	released bool // it is outside the working set and nothing stands there
 	probing  bool
 	sent     bool // the probe is on its way
@@ -198,6 +199,7 @@
 	outs     map[uint32]uint8 // nodes that are kept out, known or not, and why
 	page     int
 	listKind logic.ListKind
+	entering bool // the news is of nodes that enter the working set
 	stats    Stats
 }
 
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -11,7 +11,7 @@
 // ListBegin opens news of the node list; ListNode and ListEnd follow, as the module is told them.
 func (e *Engine) ListBegin(now float64, kind logic.ListKind) {
 	e.now, e.news = now, true
-	e.listKind = kind
+	e.listKind, e.entering = kind, false
 	e.page++
 	e.sched.ListBegin(now, kind)
 }
@@ -41,7 +41,13 @@
 	if since < n.began+sameStart { // of an earlier life, or the same start by another clock
 		since = n.began
 	}
+	if n.delayed = n.delayed && since < n.last.since+sameStart; n.delayed {
+		since += clockSlack
+	}
 	n.last = entry{avail, since, freeCores, freeMemory, zone, cell, kind}
+	if e.entering {
+		e.delayStart(n)
+	}
 	e.hear(nd)
 }
 
--- a/internal/engine/workingset.go
+++ b/internal/engine/workingset.go
@@ -8,7 +8,7 @@
 // EnterNodes opens news of nodes that the list has had for a while and that the engine is to know from now on; ListNode
 // follows for each, and no ListEnd. New says that they came to the list just now: the module paces them as cold.
 func (e *Engine) EnterNodes(now float64, isNew bool) {
-	e.now, e.news = now, true
+	e.now, e.news, e.entering = now, true, true
 	e.page++
 	kind := logic.ListCached
 	if isNew {
@@ -22,13 +22,28 @@
 	if !aside {
 		for _, id := range ids {
 			if nd, ok := e.nodeAt[id]; ok {
+				e.now = now
 				e.retain(now, nd)
+				e.delayStart(&e.nodes[nd])
 			}
 		}
 	}
 	e.keepOut(now, ids, bySet, aside)
 }
 
+// clockSlack is by how much, in ms, the clocks of schedulers and of the list may differ.
+const clockSlack = 500
+
+// delayStart has a node that started a short while ago, by the list's clock, count as started a little later. The module
+// would take a node that enters now for warm as soon as its time as a cold one is over by that clock; a node that the list
+// names for the first time it takes for cold from that moment on.
+func (e *Engine) delayStart(n *node) {
+	start := n.last.since
+	if start > 0 && !n.delayed && e.now-start < e.terms.Cluster.ColdFor+clockSlack {
+		n.delayed, n.last.since = true, start+clockSlack
+	}
+}
+
 // retain keeps a node connected that may have been released.
 func (e *Engine) retain(now float64, nd int) {
 	n := &e.nodes[nd]
--- a/internal/engine/workingset_test.go
+++ b/internal/engine/workingset_test.go
@@ -158,3 +158,44 @@
 		}
 	}
 }
+
+// offersAfter lets a node of the set that began a life at a time get as much as it may for a while, and tells how much
+// that is.
+func (s *script) offersAfter(start, wait float64) int {
+	s.now = start + wait
+	for ref := range uint64(40) {
+		if err := s.e.Allocate(s.now, 1, ref+1, restartable, 0, ref, ref, 0.1, 0.1, 5000, 1); err != nil {
+			s.t.Fatal(err)
+		}
+	}
+	for range 20 {
+		s.pass(10)
+		for ref := range uint32(60) {
+			_ = s.e.Started(s.now, 9, 1<<32|uint64(ref), 0, 10)
+		}
+	}
+	return s.seen[9]
+}
+
+// TestStartByAnotherClock has a node enter the set right before its time as a cold one is over by the list's clock: it is
+// paced for as long as clocks may differ.
+func TestStartByAnotherClock(t *testing.T) {
+	const coldFor, coldBears = 8000, 20
+	for _, back := range []bool{false, true} { // from outside, where the engine knows it
+		s := begin(t, false)
+		s.setAsideAll()
+		s.pass(10_000)
+		start := s.now - coldFor + 20
+		if back {
+			s.e.SetAside(s.now, []uint32{9}, true)
+		}
+		s.e.EnterNodes(s.now, false)
+		s.e.ListNode(9, "b", logic.Ready, start, 16, 32, 0, 0, 0)
+		s.e.Linked(s.now, 9, 1, 0)
+		s.e.HeldAll(s.now, 9)
+		s.e.SetAside(s.now, []uint32{9}, false)
+		if offers := s.offersAfter(start, coldFor+30); offers == 0 || offers > coldBears {
+			t.Errorf("known before %t: %d offers to a node that may be cold", back, offers)
+		}
+	}
+}
