--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -244,6 +244,9 @@
 		e.hear(nd)
 	}
 	n.linked, n.ready, n.same, n.life = true, false, n.life == life, life
+	if !n.same && now-n.last.since < e.terms.Cluster.ColdFor {
+		e.reconsiderHeld(n)
+	}
 	for _, p := range n.on {
 		e.allocs[p].seen = false
 	}
@@ -252,6 +255,16 @@
 	}
 }
 
+// reconsiderHeld takes back attempts that wait for the connection to a node that turns out to have just started: the module
+// chose it as a warm one, and is to decide anew.
+func (e *Engine) reconsiderHeld(n *node) {
+	for _, p := range n.on {
+		if a := &e.allocs[p]; a.phase == held && !a.recalled {
+			e.unsend(a)
+		}
+	}
+}
+
 // Held is one thing that a node holds for this scheduler, told before anything else on a connection.
 func (e *Engine) Held(now float64, id uint32, ticket uint64, try uint8, runsNow bool, jobType, tenant int,
 	service, token uint64, cores, memory float64) error {
--- a/internal/engine/workingset_test.go
+++ b/internal/engine/workingset_test.go
@@ -199,3 +199,28 @@
 		}
 	}
 }
+
+// TestHeldForANodeThatJustStarted has attempts wait for the connection to a warm node that was started anew meanwhile, of
+// an engine that takes no part in cold nodes: none is sent.
+func TestHeldForANodeThatJustStarted(t *testing.T) {
+	s := begin(t, false)
+	s.pass(10_000)
+	s.e.Sharing(0)
+	s.e.SetAside(s.now, []uint32{2, 3, 4}, true)
+	s.e.Unlinked(s.now, 1, "restart")
+	for ref := range uint64(40) {
+		if err := s.e.Allocate(s.now, 1, ref+1, restartable, 0, ref, ref, 0.1, 0.1, 5000, 1); err != nil {
+			t.Fatal(err)
+		}
+	}
+	s.pass(20)
+	if held := len(s.e.nodes[s.e.nodeAt[1]].on); held == 0 {
+		t.Fatal("no attempt waits for the node")
+	}
+	s.e.Linked(s.now, 1, 2, s.now-5)
+	s.e.HeldAll(s.now, 1)
+	s.pass(200)
+	if s.seen[1] > 0 {
+		t.Errorf("%d offers to a cold node", s.seen[1])
+	}
+}
