--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -42,6 +42,9 @@
 	sure   bool
 	level  int
 	book   *clusterstate.State // by which that is
+
+	nodes   []seen // of the list that are ready, at a revision of it; under the lock of the list
+	nodesAt uint64
 }
 
 // zonesOf is what verdicts on zones rest on, as the site file has it.
@@ -71,11 +74,16 @@
 	lot   float64 // from 0 to 1, the same at all: by it a zone that returns is let in
 }
 
-// ready is the nodes that the list has ready, by their numbers.
-func (s *Server) ready() (all []seen) {
+// ready returns the nodes that the list has ready, by their numbers. The slice is shared by all calls until the list changes and must not
+// be modified.
+func (s *Server) ready() []seen {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	place := s.who.Place
+	v, revision := s.zones, s.list.Revision()
+	if v.nodes != nil && v.nodesAt == revision {
+		return v.nodes
+	}
+	place, all := s.who.Place, make([]seen, 0, s.list.Len())
 	for _, en := range s.list.Entries() {
 		if logic.Availability(en.Avail) != logic.Ready {
 			continue
@@ -86,6 +94,7 @@
 		}
 		all = append(all, n)
 	}
+	v.nodes, v.nodesAt = all, revision
 	return all
 }
 
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -5,8 +5,10 @@
 import (
 	"bufio"
 	"bytes"
+	"cmp"
 	"errors"
 	"fmt"
+	"maps"
 	"os"
 	"path/filepath"
 	"slices"
@@ -187,6 +189,9 @@
 	entries map[uint32]Entry
 	dirty   bool
 	page    map[uint32]bool
+
+	revision uint64  // counts changes of entries
+	sorted   []Entry // by id, nil after a change
 }
 
 // NewList makes an empty list.
@@ -212,7 +217,7 @@
 	if old, ok := l.entries[en.ID]; ok && old == en {
 		return
 	}
-	l.dirty = true
+	l.changed()
 	if en.Avail == 0 {
 		delete(l.entries, en.ID)
 		return
@@ -226,7 +231,7 @@
 		for id := range l.entries {
 			if !l.page[id] {
 				delete(l.entries, id)
-				l.dirty = true
+				l.changed()
 			}
 		}
 	}
@@ -242,19 +247,21 @@
 	return entry, ok
 }
 
-// Entries returns all entries by id.
+func (l *List) changed() {
+	l.dirty = true
+	l.revision++
+	l.sorted = nil
+}
+
+// Revision differs from an earlier one if an entry has changed since.
+func (l *List) Revision() uint64 { return l.revision }
+
+// Entries returns all entries by id. The slice is shared by all calls until the next change and must not be modified.
 func (l *List) Entries() []Entry {
-	all := make([]Entry, 0, len(l.entries))
-	for _, en := range l.entries {
-		all = append(all, en)
+	if l.sorted == nil {
+		l.sorted = slices.SortedFunc(maps.Values(l.entries), func(x, y Entry) int { return cmp.Compare(x.ID, y.ID) })
 	}
-	slices.SortFunc(all, func(x, y Entry) int {
-		if x.ID < y.ID {
-			return -1
-		}
-		return 1
-	})
-	return all
+	return l.sorted
 }
 
 // Changed tells whether there is something to save, once.
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -152,3 +152,44 @@
 		t.Error("shown where there is no folder")
 	}
 }
+
+// TestEntries holds the sorted entries to the list through puts, removals and whole answers; without a change they are not made anew.
+func TestEntries(t *testing.T) {
+	l := NewList()
+	ids := func() (all []uint32) {
+		for _, en := range l.Entries() {
+			all = append(all, en.ID)
+		}
+		return all
+	}
+	put := func(kind int, version uint64, entries ...Entry) {
+		t.Helper()
+		if err := l.Begin(kind, version); err != nil {
+			t.Fatal(err)
+		}
+		for _, en := range entries {
+			l.Put(en)
+		}
+		l.End()
+	}
+	put(list.Whole, 1, Entry{ID: 7, Avail: 1}, Entry{ID: 3, Avail: 1}, Entry{ID: 5, Avail: 1})
+	if got := ids(); !slices.Equal(got, []uint32{3, 5, 7}) {
+		t.Fatalf("entries %v", got)
+	}
+	before, revision := l.Entries(), l.Revision()
+	put(list.Changes, 2, Entry{ID: 5, Avail: 1}) // says nothing new
+	if l.Revision() != revision || &before[0] != &l.Entries()[0] {
+		t.Error("made anew without a change")
+	}
+	put(list.Changes, 3, Entry{ID: 5, Avail: 0}, Entry{ID: 4, Avail: 1, FreeCores: 2})
+	if got := ids(); !slices.Equal(got, []uint32{3, 4, 7}) || l.Revision() == revision {
+		t.Errorf("entries %v after a change, revision %d", got, l.Revision())
+	}
+	if before[1].ID != 5 {
+		t.Error("a slice that was given out has changed")
+	}
+	put(list.Whole, 4, Entry{ID: 9, Avail: 1})
+	if got := ids(); !slices.Equal(got, []uint32{9}) {
+		t.Errorf("entries %v after a whole answer", got)
+	}
+}
