--- a/internal/lab/sim/strikes.go
+++ b/internal/lab/sim/strikes.go
@@ -10,6 +10,7 @@
 
 	"ravenpond/internal/audit"
 	"ravenpond/internal/decide/calendar"
+	"ravenpond/internal/engine"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/standin"
 )
@@ -200,3 +201,37 @@
 		})
 	}
 }
+
+const planned = "of the script"
+
+// panicky lets a shard panic in the midst of its effects.
+type panicky struct {
+	engine.Edge
+	s *sched
+}
+
+func (e panicky) due() {
+	if e.s.panics > 0 {
+		if e.s.panics--; e.s.panics == 0 {
+			panic(planned)
+		}
+	}
+}
+
+func (e panicky) Leave(tenant int, token uint64, epoch uint32, nd uint32, ticket uint64, try uint8) bool {
+	e.due()
+	ok := e.Edge.Leave(tenant, token, epoch, nd, ticket, try)
+	e.due()
+	return ok
+}
+
+func (e panicky) Known(tenant int, token uint64, epoch uint32, never bool) {
+	e.due()
+	e.Edge.Known(tenant, token, epoch, never)
+	e.due()
+}
+
+func (e panicky) Final(tenant int, token uint64, epoch uint32, served bool) bool {
+	e.due()
+	return e.Edge.Final(tenant, token, epoch, served)
+}
