--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -36,10 +36,10 @@
 	a.phase, a.doubtAt, a.waitsSince = waits, 0, e.now
 	never := verdict == logic.Refused || verdict == logic.Unreached || verdict == logic.Unsent
 	a.mayHave = a.mayHave || !never
-	e.edge.Known(a.tenant, a.token, a.epoch, never)
+	e.edge.RecordOutcome(a.tenant, a.token, a.epoch, never)
 	over := ran || a.answered
 	if ran && a.owner != nobody {
-		e.edge.Over(a.owner, a.ref, verdict, why)
+		e.edge.NotifyEnd(a.owner, a.ref, verdict, why)
 	}
 	if over {
 		late := a.late
@@ -85,8 +85,8 @@
 	}
 }
 
-// Started is a node's word that a try runs. An error is the peer's fault: its connection should end.
-func (e *Engine) Started(now float64, nd uint32, ticket uint64, try uint8, took float64) error {
+// OnStarted is a node's word that a try runs. An error is the peer's fault: its connection should end.
+func (e *Engine) OnStarted(now float64, nd uint32, ticket uint64, try uint8, took float64) error {
 	e.now, e.news = now, true
 	name := tryName{ticket, try}
 	if p, ok := e.find(ticket, try); ok {
@@ -121,7 +121,7 @@
 		e.answer(a, Served, e.nodes[a.nd].id, "", 0)
 	}
 	if a.owner == nobody { // answered before, or too late to be told
-		e.stats.Late++
+		e.stats.LateStarts++
 		if outcome.Late(e.effects[a.job], false, false) == outcome.Stop {
 			e.stop(a)
 		} else {
@@ -143,12 +143,12 @@
 
 // keep holds a running allocation of nobody's for its owner's next ask.
 func (e *Engine) keep(a *alloc) {
-	a.dueAt = e.now + outcome.KeepFor(e.terms.Settle)
+	a.dueAt = e.now + outcome.KeepFor(e.terms.SettleTime)
 	e.bells.Set(a.dueAt, dueKept, uint64(a.id))
 }
 
-// Settled is a node's word on a try's outcome; never tells that the node proves that it never ran.
-func (e *Engine) Settled(now float64, nd uint32, ticket uint64, try uint8, verdict logic.Verdict, why logic.Reason,
+// OnOutcome is a node's word on a try's outcome; never tells that the node proves that it never ran.
+func (e *Engine) OnOutcome(now float64, nd uint32, ticket uint64, try uint8, verdict logic.Verdict, why logic.Reason,
 	report []float64) error {
 	e.now, e.news = now, true
 	if p, ok := e.find(ticket, try); ok {
@@ -173,8 +173,8 @@
 	return e.unknown(ticket, try)
 }
 
-// Noted is a node's word on a running allocation. One that has just ended may still be named.
-func (e *Engine) Noted(now float64, nd uint32, ticket uint64, try uint8, kind logic.NoteKind, value float64) error {
+// OnNote is a node's word on a running allocation. One that has just ended may still be named.
+func (e *Engine) OnNote(now float64, nd uint32, ticket uint64, try uint8, kind logic.NoteKind, value float64) error {
 	e.now, e.news = now, true
 	if p, ok := e.find(ticket, try); ok && e.nodes[e.allocs[p].nd].id == nd {
 		a := &e.allocs[p]
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// Hint is a load report that another engine heard from a node.
-func (e *Engine) Hint(now float64, nd uint32, report []float64) {
+// OnSharedReport is a load report that another engine heard from a node.
+func (e *Engine) OnSharedReport(now float64, nd uint32, report []float64) {
 	e.now = now
 	e.sched.Settled(now, 0, nd, 0, 0, true, logic.NotTold, logic.Ended, report) // no allocation has the number 0
 }
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -17,8 +17,8 @@
 	s.last.nd, s.last.ticket, s.last.try = nd, ticket, try
 }
 func (s *silent) Answer(uint32, uint64, Answer, uint32, string, float64) {}
-func (s *silent) Over(uint32, uint64, logic.Verdict, logic.Reason)       {}
-func (s *silent) Mode(string)                                            {}
+func (s *silent) NotifyEnd(uint32, uint64, logic.Verdict, logic.Reason)  {}
+func (s *silent) Log(string)                                             {}
 func (s *silent) Dial(uint32, string)                                    {}
 
 const benchNodes = 130
@@ -33,15 +33,15 @@
 // BenchmarkEngine is the whole life of an allocation through the engine, one a round of 1 ms.
 func BenchmarkEngine(b *testing.B) {
 	s := &silent{}
-	e := New(s, 1, Terms{Cluster: benchCluster(), Shares: []float64{1}, Open: 1000, Margin: 100, Settle: 3000, Life: 1, Seed: 1})
-	e.ListBegin(1, logic.ListCached)
+	e := New(s, 1, Config{Cluster: benchCluster(), Shares: []float64{1}, MaxOpen: 1000, AnswerMargin: 100, SettleTime: 3000, Incarnation: 1, Seed: 1})
+	e.BeginList(1, logic.ListCached)
 	for i := range uint32(benchNodes) {
-		e.ListNode(i+1, "a", logic.Ready, 0, 64, 128, int(i%2), int(i%2), 0)
+		e.AddListNode(i+1, "a", logic.Ready, 0, 64, 128, int(i%2), int(i%2), 0)
 	}
-	e.ListEnd()
+	e.EndList()
 	for i := range uint32(benchNodes) {
-		e.Linked(1, i+1, 1, 0)
-		e.HeldAll(1, i+1)
+		e.OnConnected(1, i+1, 1, 0)
+		e.OnHeldAll(1, i+1)
 	}
 	report := []float64{64, 128}
 	now := 100.0
@@ -52,8 +52,8 @@
 			b.Fatal(err)
 		}
 		e.Round(now)
-		if e.Started(now, s.last.nd, s.last.ticket, s.last.try, 1) != nil ||
-			e.Settled(now, s.last.nd, s.last.ticket, s.last.try, logic.Ended, logic.NotTold, report) != nil {
+		if e.OnStarted(now, s.last.nd, s.last.ticket, s.last.try, 1) != nil ||
+			e.OnOutcome(now, s.last.nd, s.last.ticket, s.last.try, logic.Ended, logic.NotTold, report) != nil {
 			b.Fatal("lost")
 		}
 	}
@@ -102,7 +102,7 @@
 	const many = 100000
 	for b.Loop() {
 		s := &silent{}
-		e := New(s, 1, Terms{Cluster: benchCluster(), Shares: []float64{1}, Open: many, Margin: 100, Settle: 3000, Life: 1, Seed: 1})
+		e := New(s, 1, Config{Cluster: benchCluster(), Shares: []float64{1}, MaxOpen: many, AnswerMargin: 100, SettleTime: 3000, Incarnation: 1, Seed: 1})
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
--- a/internal/engine/dump.go
+++ b/internal/engine/dump.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// Dump appends what the engine holds, times counted from now, so that two engines that will go on alike look alike. What
+// AppendState appends what the engine holds, times counted from now, so that two engines that will go on alike look alike. What
 // the module holds beside is not in it. It is for whoever explores what an engine can come to.
-func (e *Engine) Dump(b []byte) []byte {
+func (e *Engine) AppendState(b []byte) []byte {
 	num := func(vs ...float64) {
 		for _, v := range vs {
 			b = binary.LittleEndian.AppendUint64(b, math.Float64bits(v))
@@ -58,6 +58,6 @@
 		num(float64(n.avail), float64(n.life))
 		flag(n.out, n.same, n.linked, n.ready, n.probing)
 	}
-	num(float64(len(e.soon)), float64(len(e.claims)), e.Next()-e.now)
+	num(float64(len(e.soon)), float64(len(e.claims)), e.NextRound()-e.now)
 	return b
 }
--- a/internal/engine/early_test.go
+++ b/internal/engine/early_test.go
@@ -36,13 +36,13 @@
 				if job == zoned && (s.last.nd-1)/2 != (first.nd-1)/2 {
 					t.Errorf("keyed work went on from node %d to node %d in another zone", first.nd, s.last.nd)
 				}
-				if err := s.e.Started(s.now, first.nd, first.ticket, first.try, 10); err == nil {
+				if err := s.e.OnStarted(s.now, first.nd, first.ticket, first.try, 10); err == nil {
 					t.Error("a start after the end of the same attempt is no fault of its node")
 				}
 				if got := s.look(); strings.Contains(got, "answer") {
 					t.Errorf("the late start answers: %q", got)
 				}
-				if err := s.e.Started(s.now, s.last.nd, s.last.ticket, s.last.try, 10); err != nil {
+				if err := s.e.OnStarted(s.now, s.last.nd, s.last.ticket, s.last.try, 10); err != nil {
 					t.Error(err)
 				}
 				s.pass(4000)
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -33,7 +33,7 @@
 
 func (e *Engine) send(a *alloc, n *node) {
 	a.phase = out
-	if !e.edge.Leave(a.tenant, a.token, a.epoch, n.id, a.ticket, a.try) {
+	if !e.edge.PermitAttempt(a.tenant, a.token, a.epoch, n.id, a.ticket, a.try) {
 		a.phase = held // never sent, and no other try will be either
 		e.unsend(a)
 		return
@@ -100,12 +100,12 @@
 	}
 }
 
-func (h host) Follow(active bool) { h.e.edge.Follow(active) }
+func (h host) Follow(active bool) { h.e.edge.WatchList(active) }
 
-func (h host) Reload() { h.e.edge.Reload() }
+func (h host) Reload() { h.e.edge.ReloadList() }
 
 func (h host) Wake(delay float64, key uint64) {
 	h.e.bells.Set(h.e.now+math.Max(0, delay), dueWake, key)
 }
 
-func (h host) Log(line string) { h.e.edge.Mode(line) }
+func (h host) Log(line string) { h.e.edge.Log(line) }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -29,13 +29,13 @@
 
 func (a Answer) String() string { return [...]string{"served", "declined", "failed"}[a] }
 
-// Edge carries out effects in the order of its calls. It must not call the engine back from inside a call, and
+// Effects carries out effects in the order of its calls. It must not call the engine back from inside a call, and
 // must not block.
-type Edge interface {
+type Effects interface {
 	// Dial connects to a node; Linked or DialFailed follows.
 	Dial(nd uint32, address string)
-	// Hang closes the connection to a node; Unlinked follows.
-	Hang(nd uint32, why string)
+	// Disconnect closes the connection to a node; Unlinked follows.
+	Disconnect(nd uint32, why string)
 
 	Offer(nd uint32, ticket uint64, try uint8, epoch uint32, timeout float64, jobType, tenant int,
 		service, token uint64, cores, memory float64)
@@ -44,49 +44,49 @@
 	Claim(nd uint32, ticket uint64, try uint8)
 	Probe(nd uint32, seq uint64)
 
-	Follow(active bool)
-	Reload()
+	WatchList(active bool)
+	ReloadList()
 
-	// Leave asks whether a try may be sent: not if another acts for the allocation by now.
-	Leave(tenant int, token uint64, epoch uint32, nd uint32, ticket uint64, try uint8) bool
-	// Known tells a try's outcome, and whether it proves that it never ran.
-	Known(tenant int, token uint64, epoch uint32, never bool)
-	// Adopt asks whether what a node runs by a try is to be kept, under which epoch, and who was told that it is served.
-	Adopt(tenant int, token uint64, jobType int, service uint64, cores, memory float64, nd uint32, ticket uint64,
+	// PermitAttempt asks whether a try may be sent: not if another acts for the allocation by now.
+	PermitAttempt(tenant int, token uint64, epoch uint32, nd uint32, ticket uint64, try uint8) bool
+	// RecordOutcome tells a try's outcome, and whether it proves that it never ran.
+	RecordOutcome(tenant int, token uint64, epoch uint32, never bool)
+	// RecoverTask asks whether what a node runs by a try is to be kept, under which epoch, and who was told that it is served.
+	RecoverTask(tenant int, token uint64, jobType int, service uint64, cores, memory float64, nd uint32, ticket uint64,
 		try uint8) (epoch, owner uint32, ref uint64, ok bool)
-	// Owned tells that another ask is the one to be told of what runs.
-	Owned(tenant int, token uint64, epoch uint32, owner uint32, ref uint64)
-	// Dropped ends an allocation.
-	Dropped(tenant int, token uint64, service uint64, epoch uint32)
+	// SetClient tells that another ask is the one to be told of what runs.
+	SetClient(tenant int, token uint64, epoch uint32, owner uint32, ref uint64)
+	// ReleaseTask ends an allocation.
+	ReleaseTask(tenant int, token uint64, service uint64, epoch uint32)
 
-	// Final asks whether the final answer may be given, and notes which it is: not if another acts for the allocation.
-	Final(tenant int, token uint64, epoch uint32, served bool) bool
+	// PermitAnswer asks whether the final answer may be given, and notes which it is: not if another acts for the allocation.
+	PermitAnswer(tenant int, token uint64, epoch uint32, served bool) bool
 	// Answer gives an owner the final answer to its ask, Over the end of one that was served.
 	Answer(owner uint32, ref uint64, answer Answer, nd uint32, why string, holdOff float64)
-	Over(owner uint32, ref uint64, verdict logic.Verdict, why logic.Reason)
-	// Lapsed tells that an ask's time was up before it could be answered: nothing is sent for it.
-	Lapsed(owner uint32, ref uint64)
+	NotifyEnd(owner uint32, ref uint64, verdict logic.Verdict, why logic.Reason)
+	// ExpireRequest tells that an ask's time was up before it could be answered: nothing is sent for it.
+	ExpireRequest(owner uint32, ref uint64)
 
-	Mode(line string)
+	Log(line string)
 }
 
-// Terms are what an engine is started with.
-type Terms struct {
-	Cluster *logic.Cluster
-	Shares  []float64 // of the tenants
-	Open    int       // allocations open at once
-	Margin  float64   // an answer leaves so long before the owner's time is up
-	Settle  float64   // owners wait so long where a second start could do harm
-	Life    uint32    // of this scheduler process, higher at each start
-	Seed    uint64
-	Clock   float64 // wall clock in ms at the engine's time 0
-	Policy  Policy  // instead of the module, for comparisons; nil else
-	// Lives tells whether others hear a node in a life in which it was lost here; nil: nobody is asked.
-	Lives func(now float64, nd uint32, life uint64) bool
+// Config are what an engine is started with.
+type Config struct {
+	Cluster        *logic.Cluster
+	Shares         []float64 // of the tenants
+	MaxOpen        int       // allocations open at once
+	AnswerMargin   float64   // an answer leaves so long before the owner's time is up
+	SettleTime     float64   // owners wait so long where a second start could do harm
+	Incarnation    uint32    // of this scheduler process, higher at each start
+	Seed           uint64
+	WallClockStart float64       // wall clock in ms at the engine's time 0
+	NewPolicy      PolicyFactory // instead of the module, for comparisons; nil else
+	// AliveAtPeers tells whether others hear a node in a life in which it was lost here; nil: nobody is asked.
+	AliveAtPeers func(now float64, nd uint32, life uint64) bool
 }
 
-// Policy makes what decides.
-type Policy func(host logic.Host, now float64, seed uint64, cl *logic.Cluster) logic.Told
+// PolicyFactory makes what decides.
+type PolicyFactory func(host logic.Host, now float64, seed uint64, cl *logic.Cluster) logic.Told
 
 type phase uint8
 
@@ -173,9 +173,9 @@
 
 // Engine is one scheduler.
 type Engine struct {
-	edge    Edge
+	edge    Effects
 	sched   logic.Told
-	terms   Terms
+	terms   Config
 	effects []logic.Effect
 	now     float64
 	bells   timers.Heap[due]
@@ -205,21 +205,21 @@
 
 // Stats are counts since the start.
 type Stats struct {
-	Taken, Refused, Served, Declined, Failed, Offers, Found, Late, Lapsed uint64
-	Open, Tries, Ghosts                                                   int
+	Admitted, Rejected, Served, Declined, Failed, Offers, Recovered, LateStarts, Expired uint64
+	Open, Held, Abandoned                                                                int
 }
 
 // New starts an engine at a time. The last list known comes next.
-func New(edge Edge, now float64, terms Terms) *Engine {
+func New(edge Effects, now float64, terms Config) *Engine {
 	e := &Engine{edge: edge, terms: terms, now: now, pacer: reconnect.New(terms.Seed),
-		door: admit.New(terms.Open, terms.Shares), at: map[uint32]int{}, byToken: map[named]int{}, asks: map[ask]int{},
+		door: admit.New(terms.MaxOpen, terms.Shares), at: map[uint32]int{}, byToken: map[named]int{}, asks: map[ask]int{},
 		adopted: map[tryName]int{}, ghosts: map[tryName]ghost{}, nodeAt: map[uint32]int{},
 		outs: map[uint32]uint8{}}
 	for _, jt := range terms.Cluster.JobTypes {
 		e.effects = append(e.effects, jt.Effect)
 	}
-	if terms.Policy != nil {
-		e.sched = terms.Policy(host{e}, now, terms.Seed, terms.Cluster)
+	if terms.NewPolicy != nil {
+		e.sched = terms.NewPolicy(host{e}, now, terms.Seed, terms.Cluster)
 	} else {
 		e.sched = logic.New(host{e}, now, terms.Seed, terms.Cluster)
 	}
@@ -229,7 +229,7 @@
 // Stats returns the counts.
 func (e *Engine) Stats() Stats {
 	s := e.stats
-	s.Open, s.Tries, s.Ghosts = e.door.Open(), len(e.at), len(e.ghosts)
+	s.Open, s.Held, s.Abandoned = e.door.Open(), len(e.at), len(e.ghosts)
 	return s
 }
 
@@ -239,7 +239,7 @@
 	stood, act := e.watch.Round(now, e.news)
 	e.news = false
 	if stood > 0 {
-		e.edge.Mode(fmt.Sprintf("stall: stood still %.0f ms, %d open, reads before it acts", stood, e.door.Open()))
+		e.edge.Log(fmt.Sprintf("stall: stood still %.0f ms, %d open, reads before it acts", stood, e.door.Open()))
 	}
 	if !act {
 		return
@@ -264,8 +264,8 @@
 	}
 }
 
-// Next is when Round is to be called at the latest, unless there is news before.
-func (e *Engine) Next() float64 {
+// NextRound is when Round is to be called at the latest, unless there is news before.
+func (e *Engine) NextRound() float64 {
 	if len(e.soon) > 0 {
 		return max(e.now, e.watch.Until())
 	}
@@ -293,12 +293,12 @@
 				e.giveUp(p, logic.Broken)
 			case runs:
 				n := &e.nodes[a.nd]
-				if more := outcome.Longer(e.now-n.lostAt, e.terms.Lives != nil && e.terms.Lives(e.now, n.id, n.life)); more > 0 {
+				if more := outcome.Longer(e.now-n.lostAt, e.terms.AliveAtPeers != nil && e.terms.AliveAtPeers(e.now, n.id, n.life)); more > 0 {
 					a.doubtAt = e.now + more
 					e.bells.Set(a.doubtAt, dueDoubt, uint64(a.id))
 					if !n.waited {
 						n.waited = true
-						e.edge.Mode(fmt.Sprintf("node %d: silent here for %.1f s, others hear it: what runs there is waited for", n.id, (e.now-n.lostAt)/1000))
+						e.edge.Log(fmt.Sprintf("node %d: silent here for %.1f s, others hear it: what runs there is waited for", n.id, (e.now-n.lostAt)/1000))
 					}
 					return
 				}
@@ -352,7 +352,7 @@
 	}
 	e.ids++
 	a := &e.allocs[p]
-	*a = alloc{id: e.ids, nd: -1, ticket: uint64(e.terms.Life)<<32 | uint64(e.ids)}
+	*a = alloc{id: e.ids, nd: -1, ticket: uint64(e.terms.Incarnation)<<32 | uint64(e.ids)}
 	e.at[a.id] = p
 	return p, a
 }
@@ -367,7 +367,7 @@
 		delete(e.byToken, name)
 	}
 	delete(e.adopted, tryName{a.ticket, a.try})
-	e.edge.Dropped(a.tenant, a.token, a.service, a.epoch)
+	e.edge.ReleaseTask(a.tenant, a.token, a.service, a.epoch)
 	e.free = append(e.free, p)
 	a.phase = waits
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -26,16 +26,16 @@
 		{"left, node stays away", true, nil, [4]string{"offer 1.1", "offer 1.1", "offer 1.1", "answer 1 failed"}},
 		{"left, node says it never saw it", true, func(s *script) {
 			s.link(s.last.nd, 1)
-			s.e.ClaimedOver(s.now, s.last.nd, s.last.ticket, s.last.try, logic.Refused, logic.NotTold)
+			s.e.OnClaimOutcome(s.now, s.last.nd, s.last.ticket, s.last.try, logic.Refused, logic.NotTold)
 		}, [4]string{"claim 1.0, offer 1.1", "claim 1.0, offer 1.1", "claim 1.0, offer 1.1", "claim 1.0, offer 1.1"}},
 		{"left, node comes back in another life", true, func(s *script) { s.link(s.last.nd, 2) },
 			[4]string{"offer 1.1", "offer 1.1", "offer 1.1", "answer 1 failed"}},
 		{"left, node holds it and it runs", true, func(s *script) {
-			s.e.Linked(s.now, s.last.nd, 1, 0)
-			if err := s.e.Held(s.now, s.last.nd, s.last.ticket, s.last.try, true, 0, 0, 99, 1001, 1, 2); err != nil {
+			s.e.OnConnected(s.now, s.last.nd, 1, 0)
+			if err := s.e.OnHeld(s.now, s.last.nd, s.last.ticket, s.last.try, true, 0, 0, 99, 1001, 1, 2); err != nil {
 				s.t.Fatal(err)
 			}
-			s.e.HeldAll(s.now, s.last.nd)
+			s.e.OnHeldAll(s.now, s.last.nd)
 		}, [4]string{"answer 1 served", "answer 1 served", "answer 1 served", "answer 1 served"}},
 	} {
 		for job, want := range c.want {
@@ -82,7 +82,7 @@
 			nd, ticket := s.last.nd, s.last.ticket
 			s.pass(c.wait)
 			s.look()
-			if err := s.e.Started(s.now, nd, ticket, 0, c.wait); err != nil {
+			if err := s.e.OnStarted(s.now, nd, ticket, 0, c.wait); err != nil {
 				t.Fatal(err)
 			}
 			if c.want == "answer 2 served" {
@@ -104,7 +104,7 @@
 		s.ask(1, once, 5000)
 		s.pass(6000)
 		s.look()
-		if err := s.e.Started(s.now, s.last.nd, s.last.ticket, 0, 6000); err != nil {
+		if err := s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 6000); err != nil {
 			t.Fatal(err)
 		}
 		s.pass(9000)
@@ -118,7 +118,7 @@
 		s.ask(1, once, 2000)
 		s.look()
 		s.now += 2500 // stood still beyond the expiry: the owner has given up, nothing more is sent to it
-		if err := s.e.Started(s.now, s.last.nd, s.last.ticket, 0, 10); err != nil {
+		if err := s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 10); err != nil {
 			t.Fatal(err)
 		}
 		s.pass(500)
@@ -133,7 +133,7 @@
 			s.pass(10)
 			for nd := range uint32(4) {
 				if s.e.pacer.Dialling(int(nd)) {
-					s.e.DialFailed(s.now, nd+1, "refused")
+					s.e.OnDialFailed(s.now, nd+1, "refused")
 				}
 			}
 		}
@@ -167,7 +167,7 @@
 		s.look()
 		_ = s.e.Allocate(s.now, 8, 9, once, 0, 99, 1001, 1, 2, 5000, 1)
 		s.want("while open", s.look(), "answer 9 declined")
-		_ = s.e.Started(s.now, s.last.nd, s.last.ticket, 0, 10)
+		_ = s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 10)
 		s.want("its start", s.look(), "answer 1 served")
 		_ = s.e.Allocate(s.now, 8, 10, once, 0, 99, 1001, 1, 2, 5000, 1)
 		s.want("while it runs", s.look(), "answer 10 served")
@@ -202,24 +202,24 @@
 		name string
 		do   func(s *script) error
 	}{
-		{"unknown try", func(s *script) error { return s.e.Started(s.now, s.last.nd, s.last.ticket, 9, 1) }},
-		{"another node's try", func(s *script) error { return s.e.Started(s.now, s.last.nd%4+1, s.last.ticket, 0, 1) }},
+		{"unknown try", func(s *script) error { return s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 9, 1) }},
+		{"another node's try", func(s *script) error { return s.e.OnStarted(s.now, s.last.nd%4+1, s.last.ticket, 0, 1) }},
 		{"second start", func(s *script) error {
-			_ = s.e.Started(s.now, s.last.nd, s.last.ticket, 0, 1)
-			return s.e.Started(s.now, s.last.nd, s.last.ticket, 0, 1)
+			_ = s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 1)
+			return s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 1)
 		}},
 		{"second outcome", func(s *script) error {
-			_ = s.e.Started(s.now, s.last.nd, s.last.ticket, 0, 1)
+			_ = s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 1)
 			_ = s.settled(logic.Ended)
 			return s.settled(logic.Ended)
 		}},
 		{"refused after its start", func(s *script) error {
-			_ = s.e.Started(s.now, s.last.nd, s.last.ticket, 0, 1)
+			_ = s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 1)
 			return s.settled(logic.Refused)
 		}},
-		{"report never asked for", func(s *script) error { return s.e.Reported(s.now, 1, 1<<40, nil) }},
+		{"report never asked for", func(s *script) error { return s.e.OnProbeReport(s.now, 1, 1<<40, nil) }},
 		{"held, of an unknown job type", func(s *script) error {
-			return s.e.Held(s.now, 1, 5, 0, true, 17, 0, 1, 1, 1, 1)
+			return s.e.OnHeld(s.now, 1, 5, 0, true, 17, 0, 1, 1, 1, 1)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -234,17 +234,17 @@
 
 func TestRestart(t *testing.T) {
 	s := begin(t, true)
-	s.e.Linked(s.now, 2, 1, 0)
+	s.e.OnConnected(s.now, 2, 1, 0)
 	for i, runs := range []bool{true, false} { // of an earlier life of this scheduler
-		if err := s.e.Held(s.now, 2, uint64(77+i), 1, runs, once, 0, 99, uint64(1001+i), 1, 2); err != nil {
+		if err := s.e.OnHeld(s.now, 2, uint64(77+i), 1, runs, once, 0, 99, uint64(1001+i), 1, 2); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.e.HeldAll(s.now, 2)
+	s.e.OnHeldAll(s.now, 2)
 	s.want("what waits is recalled", s.look(), "recall 78.1")
 	_ = s.e.Allocate(s.now, 7, 1, once, 0, 99, 1001, 1, 2, 5000, 1)
 	s.want("what runs is found", s.look(), "answer 1 served")
-	if err := s.e.Settled(s.now, 2, 77, 1, logic.Ended, logic.NotTold, nil); err != nil {
+	if err := s.e.OnOutcome(s.now, 2, 77, 1, logic.Ended, logic.NotTold, nil); err != nil {
 		t.Fatal(err)
 	}
 	s.want("its end", s.look(), fmt.Sprintf("over 1 %d", logic.Ended))
@@ -258,7 +258,7 @@
 	s.now += 3000
 	s.e.Round(s.now) // the try's time is up, but first what came in meanwhile is heard
 	s.want("at once", s.look(), "")
-	if err := s.e.Started(s.now, nd, s.last.ticket, 0, 30); err != nil {
+	if err := s.e.OnStarted(s.now, nd, s.last.ticket, 0, 30); err != nil {
 		t.Fatal(err)
 	}
 	s.pass(200)
@@ -279,7 +279,7 @@
 	}
 	runs := ask(1, once)
 	nd := s.last.nd
-	if err := s.e.Started(s.now, nd, runs, 0, 1); err != nil {
+	if err := s.e.OnStarted(s.now, nd, runs, 0, 1); err != nil {
 		t.Fatal(err)
 	}
 	out := ask(2, once)
@@ -287,44 +287,44 @@
 	if err := s.e.Allocate(s.now, 1, 3, restartable, 0, 9, 3, 1, 2, 3000, 1); err != nil { // no round: it waits
 		t.Fatal(err)
 	}
-	parts := s.e.Parts(nil, true, func(uint64, int) bool { return true })
+	parts := s.e.CountByService(nil, true, func(uint64, int) bool { return true })
 	if len(parts) != 1 || parts[0].Waits != 1 || parts[0].Runs != 1 || parts[0].Out != 1 || !parts[0].Goes {
 		t.Fatalf("%+v", parts)
 	}
-	var given []Given
-	s.e.Give(s.now, 9, true, func(g Given) { given = append(given, g) })
+	var given []Transfer
+	s.e.TransferOut(s.now, 9, true, func(g Transfer) { given = append(given, g) })
 	if len(given) != 2 {
 		t.Fatalf("%+v", given)
 	}
 	for _, g := range given {
-		if !g.Runs {
-			if err := to.e.Allocate(to.now, g.Owner, g.Ref, g.Job, g.Tenant, g.Service, g.Token, g.Cores, g.Memory,
-				g.Expiry-to.now, 2); err != nil {
+		if !g.Running {
+			if err := to.e.Allocate(to.now, g.Client, g.RequestID, g.JobClass, g.Tenant, g.Service, g.Token, g.Cores, g.Memory,
+				g.Deadline-to.now, 2); err != nil {
 				t.Fatal(err)
 			}
-		} else if !to.e.Receive(to.now, g) || g.Ticket != runs || g.Node != nd {
+		} else if !to.e.TransferIn(to.now, g) || g.Ticket != runs || g.Node != nd {
 			t.Errorf("not taken: %+v", g)
 		}
 	}
 	s.look()
 	s.pass(50)
 	to.pass(50)
-	if got := s.e.Stats(); got.Open != 1 || got.Tries != 1 || s.e.Idle() {
+	if got := s.e.Stats(); got.Open != 1 || got.Held != 1 || s.e.IsIdle() {
 		t.Errorf("the giver holds %+v", got)
 	}
-	if got := to.e.Stats(); got.Open != 1 || got.Tries != 2 {
+	if got := to.e.Stats(); got.Open != 1 || got.Held != 2 {
 		t.Errorf("the receiver holds %+v", got)
 	}
-	if err := s.e.Settled(s.now, outAt, out, 0, logic.Refused, logic.NotTold, nil); err != nil {
+	if err := s.e.OnOutcome(s.now, outAt, out, 0, logic.Refused, logic.NotTold, nil); err != nil {
 		t.Error(err)
 	}
-	if err := s.e.Settled(s.now, nd, runs, 0, logic.Ended, logic.NotTold, nil); err == nil {
+	if err := s.e.OnOutcome(s.now, nd, runs, 0, logic.Ended, logic.NotTold, nil); err == nil {
 		t.Error("the giver still knows what it gave")
 	}
-	if err := to.e.Settled(to.now, nd, runs, 0, logic.Ended, logic.NotTold, nil); err != nil {
+	if err := to.e.OnOutcome(to.now, nd, runs, 0, logic.Ended, logic.NotTold, nil); err != nil {
 		t.Error(err)
 	}
-	if to.e.Receive(to.now, Given{Runs: true, Node: 77}) {
+	if to.e.TransferIn(to.now, Transfer{Running: true, Node: 77}) {
 		t.Error("taken at a node that is not known")
 	}
 	if err := to.e.Withdraw(to.now, 1, 3); err != nil {
@@ -336,16 +336,16 @@
 // its decision: nothing leaves for that node.
 func TestNoticeBeforeSend(t *testing.T) {
 	notices := map[string]func(s *script, nd uint32){
-		"calendar": func(s *script, nd uint32) { s.e.Calendar(s.now, []uint32{nd}, true) },
+		"calendar": func(s *script, nd uint32) { s.e.SetMaintenance(s.now, []uint32{nd}, true) },
 		"list": func(s *script, nd uint32) {
-			s.e.ListBegin(s.now, logic.ListChanges)
-			s.e.ListNode(nd, "a", logic.Draining, 0, 16, 32, 0, 0, 0)
-			s.e.ListEnd()
+			s.e.BeginList(s.now, logic.ListChanges)
+			s.e.AddListNode(nd, "a", logic.Draining, 0, 16, 32, 0, 0, 0)
+			s.e.EndList()
 		},
 		"list, gone": func(s *script, nd uint32) {
-			s.e.ListBegin(s.now, logic.ListChanges)
-			s.e.ListNode(nd, "a", logic.Gone, 0, 16, 32, 0, 0, 0)
-			s.e.ListEnd()
+			s.e.BeginList(s.now, logic.ListChanges)
+			s.e.AddListNode(nd, "a", logic.Gone, 0, 16, 32, 0, 0, 0)
+			s.e.EndList()
 		},
 	}
 	for name, notice := range notices {
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -8,24 +8,24 @@
 	"ravenpond/logic"
 )
 
-// Given is an allocation that one engine gives to another: all that is needed to go on with it.
-type Given struct {
-	Owner          uint32
-	Ref            uint64
-	Job, Tenant    int
-	Service, Token uint64
-	Cores, Memory  float64
-	Expiry         float64
-	Epoch          uint32 // under which it was held
-	Runs           bool   // at the node, by the try
-	Node           uint32
-	Ticket         uint64
-	Try            uint8
+// Transfer is an allocation that one engine gives to another: all that is needed to go on with it.
+type Transfer struct {
+	Client           uint32
+	RequestID        uint64
+	JobClass, Tenant int
+	Service, Token   uint64
+	Cores, Memory    float64
+	Deadline         float64
+	Epoch            uint32 // under which it was held
+	Running          bool   // at the node, by the try
+	Node             uint32
+	Ticket           uint64
+	Attempt          uint8
 }
 
-// Parts counts what the engine holds, by service in their order; goes tells which belong to another. runsGo tells
+// CountByService counts what the engine holds, by service in their order; goes tells which belong to another. runsGo tells
 // that what runs can be given at all.
-func (e *Engine) Parts(into []handover.Part, runsGo bool, goes func(service uint64, tenant int) bool) []handover.Part {
+func (e *Engine) CountByService(into []handover.Part, runsGo bool, goes func(service uint64, tenant int) bool) []handover.Part {
 	at := map[uint64]int{}
 	part := func(service uint64, tenant, job int) *handover.Part {
 		i, ok := at[service]
@@ -82,8 +82,8 @@
 	return false
 }
 
-// Give takes what can go of a service out of this engine and hands it over by give.
-func (e *Engine) Give(now float64, service uint64, runsGo bool, give func(Given)) {
+// TransferOut takes what can go of a service out of this engine and hands it over by give.
+func (e *Engine) TransferOut(now float64, service uint64, runsGo bool, give func(Transfer)) {
 	e.now, e.news = now, true
 	var all []int
 	for p := range e.allocs {
@@ -94,11 +94,11 @@
 	}
 	for _, p := range all {
 		a := &e.allocs[p]
-		g := Given{Owner: a.owner, Ref: a.ref, Job: a.job, Tenant: a.tenant, Service: a.service, Token: a.token,
-			Cores: a.cores, Memory: a.memory, Expiry: a.expiry, Epoch: a.epoch, Runs: a.phase == runs, Ticket: a.ticket,
-			Try: a.try}
+		g := Transfer{Client: a.owner, RequestID: a.ref, JobClass: a.job, Tenant: a.tenant, Service: a.service, Token: a.token,
+			Cores: a.cores, Memory: a.memory, Deadline: a.expiry, Epoch: a.epoch, Running: a.phase == runs, Ticket: a.ticket,
+			Attempt: a.try}
 		id, try := a.id, a.moduleTry()
-		if g.Runs {
+		if g.Running {
 			g.Node = e.nodes[a.nd].id
 			e.pull(p)
 			e.unhold(p)
@@ -125,19 +125,19 @@
 	a.phase = waits
 }
 
-// Receive takes one that runs from another engine. Edge.Adopt must know it as this engine's; false if it can't be
+// TransferIn takes one that runs from another engine. Edge.Adopt must know it as this engine's; false if it can't be
 // taken, as its node is not known here.
-func (e *Engine) Receive(now float64, g Given) bool {
+func (e *Engine) TransferIn(now float64, g Transfer) bool {
 	e.now, e.news = now, true
 	nd, ok := e.nodeAt[g.Node]
 	if !ok {
 		return false
 	}
-	name := tryName{g.Ticket, g.Try}
-	if _, ok := e.find(g.Ticket, g.Try); ok { // its node was faster in telling what it holds
+	name := tryName{g.Ticket, g.Attempt}
+	if _, ok := e.find(g.Ticket, g.Attempt); ok { // its node was faster in telling what it holds
 		return true
 	}
-	gh := ghost{nd: nd, job: g.Job, tenant: g.Tenant, service: g.Service, token: g.Token, cores: g.Cores,
+	gh := ghost{nd: nd, job: g.JobClass, tenant: g.Tenant, service: g.Service, token: g.Token, cores: g.Cores,
 		memory: g.Memory, sentAt: now, started: true}
 	e.remember(name, gh)
 	p := e.adopt(name, gh)
@@ -151,8 +151,8 @@
 	return true
 }
 
-// Each tells what the engine holds: allocations that wait, are out or run, for whoever checks that nobody else does.
-func (e *Engine) Each(f func(tenant int, token uint64, epoch uint32, answered bool)) {
+// ForEachAllocation tells what the engine holds: allocations that wait, are out or run, for whoever checks that nobody else does.
+func (e *Engine) ForEachAllocation(f func(tenant int, token uint64, epoch uint32, answered bool)) {
 	for p := range e.allocs {
 		a := &e.allocs[p]
 		if q, ok := e.at[a.id]; ok && q == p {
@@ -161,15 +161,15 @@
 	}
 }
 
-// Knows tells whether a try is known, if only as one that was given up.
-func (e *Engine) Knows(ticket uint64, try uint8) bool {
+// KnowsAttempt tells whether a try is known, if only as one that was given up.
+func (e *Engine) KnowsAttempt(ticket uint64, try uint8) bool {
 	_, ok := e.find(ticket, try)
 	_, ghost := e.ghosts[tryName{ticket, try}]
 	return ok || ghost
 }
 
-// Limit changes how many allocations may be open.
-func (e *Engine) Limit(open int) { e.door.Limit(open) }
+// SetOpenLimit changes how many allocations may be open.
+func (e *Engine) SetOpenLimit(open int) { e.door.Limit(open) }
 
 // Sharing tells the module how many share what a cold node bears; 0: this one takes no part. A policy that knows of no
 // such thing goes on as it began.
@@ -179,5 +179,5 @@
 	}
 }
 
-// Idle tells that the engine holds nothing and need hear of nothing more.
-func (e *Engine) Idle() bool { return len(e.at) == 0 && len(e.ghosts) == 0 }
+// IsIdle tells that the engine holds nothing and need hear of nothing more.
+func (e *Engine) IsIdle() bool { return len(e.at) == 0 && len(e.ghosts) == 0 }
--- a/internal/engine/late.go
+++ b/internal/engine/late.go
@@ -38,7 +38,7 @@
 func (e *Engine) askClaim(name tryName, times int) {
 	if times > 0 {
 		e.claims = append(e.claims, claim{name, times - 1})
-		e.bells.Set(e.now+outcome.ClaimEvery(e.terms.Settle), dueClaim, 0)
+		e.bells.Set(e.now+outcome.ClaimEvery(e.terms.SettleTime), dueClaim, 0)
 	}
 }
 
@@ -89,7 +89,7 @@
 func (e *Engine) startedLate(name tryName, g ghost) {
 	g.started = true
 	e.ghosts[name] = g
-	e.stats.Late++
+	e.stats.LateStarts++
 	p, open := e.at[g.alloc]
 	open = open && !e.allocs[p].answered && e.now < e.allocs[p].expiry
 	if q, ok := e.byToken[named{g.tenant, g.token}]; ok && (!open || q != p) {
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -8,16 +8,16 @@
 	"ravenpond/logic"
 )
 
-// ListBegin opens news of the node list; ListNode and ListEnd follow, as the module is told them.
-func (e *Engine) ListBegin(now float64, kind logic.ListKind) {
+// BeginList opens news of the node list; ListNode and ListEnd follow, as the module is told them.
+func (e *Engine) BeginList(now float64, kind logic.ListKind) {
 	e.now, e.news = now, true
 	e.listKind, e.entering = kind, false
 	e.page++
 	e.sched.ListBegin(now, kind)
 }
 
-// ListNode is one entry; startedAt is on the wall clock, 0 for long ago.
-func (e *Engine) ListNode(id uint32, address string, avail logic.Availability, startedAt, freeCores,
+// AddListNode is one entry; startedAt is on the wall clock, 0 for long ago.
+func (e *Engine) AddListNode(id uint32, address string, avail logic.Availability, startedAt, freeCores,
 	freeMemory float64, zone, cell, kind int) {
 	nd, ok := e.nodeAt[id]
 	if !ok {
@@ -26,17 +26,17 @@
 		}
 		nd = len(e.nodes)
 		e.nodeAt[id] = nd
-		e.nodes = append(e.nodes, node{id: id, probeSeq: uint64(e.terms.Life) << 24, out: e.outs[id] != 0}) // above any earlier life's
+		e.nodes = append(e.nodes, node{id: id, probeSeq: uint64(e.terms.Incarnation) << 24, out: e.outs[id] != 0}) // above any earlier life's
 	}
 	n := &e.nodes[nd]
 	n.page = e.page
 	if n.address != address && n.linked {
-		e.edge.Hang(id, "moved to another address")
+		e.edge.Disconnect(id, "moved to another address")
 	}
 	n.address = address
 	since := 0.0
 	if startedAt > 0 {
-		since = max(0, startedAt-e.terms.Clock) // one who started before this clock's zero started long ago
+		since = max(0, startedAt-e.terms.WallClockStart) // one who started before this clock's zero started long ago
 	}
 	if since < n.began+sameStart { // of an earlier life, or the same start by another clock
 		since = n.began
@@ -73,20 +73,20 @@
 	e.sched.ListNode(e.now, n.id, avail, l.since, l.freeCores, l.freeMemory, l.zone, l.cell, l.kind)
 }
 
-// Calendar takes nodes out for maintenance, or brings them back, whatever the list says of them. Tries that are out to
+// SetMaintenance takes nodes out for maintenance, or brings them back, whatever the list says of them. Tries that are out to
 // a node taken out are recalled: they come back, or run after all, but are never doubled. A node brought back that
 // the list has as ready is ready again; if it was started anew meanwhile, the list says so and it is paced as cold.
-func (e *Engine) Calendar(now float64, ids []uint32, out bool) {
+func (e *Engine) SetMaintenance(now float64, ids []uint32, out bool) {
 	e.keepOut(now, ids, byCalendar, out)
 }
 
-// Warned keeps nodes out, or no longer, that others say drain or are gone, ahead of the list here. What is on its way to
+// SetWarned keeps nodes out, or no longer, that others say drain or are gone, ahead of the list here. What is on its way to
 // them goes on: the list says what becomes of it.
-func (e *Engine) Warned(now float64, ids []uint32, out bool) { e.keepOut(now, ids, byWord, out) }
+func (e *Engine) SetWarned(now float64, ids []uint32, out bool) { e.keepOut(now, ids, byWord, out) }
 
-// Zoned keeps nodes out, or no longer, whose zone this scheduler sends nothing to. What is on its way to them, or runs there, goes
+// SetZoneClosed keeps nodes out, or no longer, whose zone this scheduler sends nothing to. What is on its way to them, or runs there, goes
 // on: it may run, so nothing of it is started elsewhere that must not be.
-func (e *Engine) Zoned(now float64, ids []uint32, out bool) { e.keepOut(now, ids, byZone, out) }
+func (e *Engine) SetZoneClosed(now float64, ids []uint32, out bool) { e.keepOut(now, ids, byZone, out) }
 
 // Why a node is kept out, whatever the list says.
 const (
@@ -134,8 +134,8 @@
 	}
 }
 
-// Running counts what runs at a node, by job type.
-func (e *Engine) Running(id uint32, byJob []int) {
+// CountRunning counts what runs at a node, by job type.
+func (e *Engine) CountRunning(id uint32, byJob []int) {
 	nd, ok := e.nodeAt[id]
 	if !ok {
 		return
@@ -147,8 +147,8 @@
 	}
 }
 
-// Cores is how many cores the allocations ask for that are out to a node, or run there.
-func (e *Engine) Cores(id uint32) (sum float64) {
+// CoresAt is how many cores the allocations ask for that are out to a node, or run there.
+func (e *Engine) CoresAt(id uint32) (sum float64) {
 	if nd, ok := e.nodeAt[id]; ok {
 		for _, p := range e.nodes[nd].on {
 			sum += e.allocs[p].cores
@@ -157,9 +157,9 @@
 	return sum
 }
 
-// MoveOff stops up to so many of what runs at a node, of the job types that may be; their owners ask again. It
+// MigrateFrom stops up to so many of what runs at a node, of the job types that may be; their owners ask again. It
 // returns how many it stopped.
-func (e *Engine) MoveOff(now float64, id uint32, may []bool, most int) (stopped int) {
+func (e *Engine) MigrateFrom(now float64, id uint32, may []bool, most int) (stopped int) {
 	e.now, e.news = now, true
 	nd, ok := e.nodeAt[id]
 	if !ok {
@@ -174,8 +174,8 @@
 	return stopped
 }
 
-// ListEnd closes the news.
-func (e *Engine) ListEnd() {
+// EndList closes the news.
+func (e *Engine) EndList() {
 	if e.listKind == logic.ListFull || e.listKind == logic.ListCached {
 		for nd := range e.nodes {
 			if e.nodes[nd].page != e.page {
@@ -209,8 +209,8 @@
 	}
 }
 
-// DialFailed says that no connection to a node could be made.
-func (e *Engine) DialFailed(now float64, id uint32, why string) {
+// OnDialFailed says that no connection to a node could be made.
+func (e *Engine) OnDialFailed(now float64, id uint32, why string) {
 	e.now, e.news = now, true
 	nd, ok := e.nodeAt[id]
 	if !ok {
@@ -228,9 +228,9 @@
 	}
 }
 
-// Linked says that a node is connected, in which life it is and since when, 0 if it did not say. Held and HeldAll
+// OnConnected says that a node is connected, in which life it is and since when, 0 if it did not say. Held and HeldAll
 // follow. A life that began after what the list knows of is news before anything is sent: the node may be cold.
-func (e *Engine) Linked(now float64, id uint32, life uint64, since float64) {
+func (e *Engine) OnConnected(now float64, id uint32, life uint64, since float64) {
 	e.now, e.news = now, true
 	nd, ok := e.nodeAt[id]
 	if !ok {
@@ -265,8 +265,8 @@
 	}
 }
 
-// Held is one thing that a node holds for this scheduler, told before anything else on a connection.
-func (e *Engine) Held(now float64, id uint32, ticket uint64, try uint8, runsNow bool, jobType, tenant int,
+// OnHeld is one thing that a node holds for this scheduler, told before anything else on a connection.
+func (e *Engine) OnHeld(now float64, id uint32, ticket uint64, try uint8, runsNow bool, jobType, tenant int,
 	service, token uint64, cores, memory float64) error {
 	e.now, e.news = now, true
 	nd, ok := e.nodeAt[id]
@@ -317,8 +317,8 @@
 	return nil
 }
 
-// HeldAll closes what a node holds: now it may be sent to.
-func (e *Engine) HeldAll(now float64, id uint32) {
+// OnHeldAll closes what a node holds: now it may be sent to.
+func (e *Engine) OnHeldAll(now float64, id uint32) {
 	e.now, e.news = now, true
 	nd, ok := e.nodeAt[id]
 	if !ok {
@@ -365,8 +365,8 @@
 	}
 }
 
-// ClaimedHeld is a node's answer to a claim: it holds the try, which runs or not.
-func (e *Engine) ClaimedHeld(now float64, id uint32, ticket uint64, try uint8, runsNow bool) {
+// OnClaimHeld is a node's answer to a claim: it holds the try, which runs or not.
+func (e *Engine) OnClaimHeld(now float64, id uint32, ticket uint64, try uint8, runsNow bool) {
 	e.now, e.news = now, true
 	name := tryName{ticket, try}
 	if p, ok := e.find(ticket, try); ok && e.nodes[e.allocs[p].nd].id == id {
@@ -386,8 +386,8 @@
 	}
 }
 
-// ClaimedOver is a node's answer to a claim: the try's outcome, which it may have told before.
-func (e *Engine) ClaimedOver(now float64, id uint32, ticket uint64, try uint8, verdict logic.Verdict,
+// OnClaimOutcome is a node's answer to a claim: the try's outcome, which it may have told before.
+func (e *Engine) OnClaimOutcome(now float64, id uint32, ticket uint64, try uint8, verdict logic.Verdict,
 	why logic.Reason) {
 	e.now, e.news = now, true
 	if p, ok := e.find(ticket, try); ok && e.nodes[e.allocs[p].nd].id == id {
@@ -403,16 +403,16 @@
 	}
 }
 
-// Unsent says that a try's last byte provably never left this machine. It comes before Unlinked.
-func (e *Engine) Unsent(now float64, id uint32, ticket uint64, try uint8) {
+// OnUnsent says that a try's last byte provably never left this machine. It comes before Unlinked.
+func (e *Engine) OnUnsent(now float64, id uint32, ticket uint64, try uint8) {
 	e.now, e.news = now, true
 	if p, ok := e.find(ticket, try); ok && e.allocs[p].phase == out && outcome.Broke(false) == outcome.Never {
 		e.settle(p, logic.Unreached, logic.NotTold, nil)
 	}
 }
 
-// Unlinked says that a node's connection is no more.
-func (e *Engine) Unlinked(now float64, id uint32, why string) {
+// OnDisconnected says that a node's connection is no more.
+func (e *Engine) OnDisconnected(now float64, id uint32, why string) {
 	e.now, e.news = now, true
 	nd, ok := e.nodeAt[id]
 	if !ok || !e.nodes[nd].linked {
@@ -437,9 +437,9 @@
 	}
 }
 
-// Ended says, on the word of others, that the life of a node is over in which it was lost here: what it ran then is over too, and what
+// OnIncarnationEnded says, on the word of others, that the life of a node is over in which it was lost here: what it ran then is over too, and what
 // it was offered may have run.
-func (e *Engine) Ended(now float64, id uint32, life uint64) {
+func (e *Engine) OnIncarnationEnded(now float64, id uint32, life uint64) {
 	e.now, e.news = now, true
 	nd, ok := e.nodeAt[id]
 	if !ok || e.nodes[nd].linked || e.nodes[nd].life != life {
@@ -453,11 +453,11 @@
 		}
 	}
 	e.forgetAll(func(g ghost) bool { return g.nd == nd })
-	e.edge.Mode(fmt.Sprintf("node %d: others hear it in a later life, %d that were with it are over", id, over))
+	e.edge.Log(fmt.Sprintf("node %d: others hear it in a later life, %d that were with it are over", id, over))
 }
 
-// Reported is a node's answer to a probe.
-func (e *Engine) Reported(now float64, id uint32, seq uint64, report []float64) error {
+// OnProbeReport is a node's answer to a probe.
+func (e *Engine) OnProbeReport(now float64, id uint32, seq uint64, report []float64) error {
 	e.now, e.news = now, true
 	nd, ok := e.nodeAt[id]
 	if !ok {
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -31,12 +31,12 @@
 		return
 	}
 	if e.now >= a.expiry { // stood still: the owner has given up by itself, and nothing more is sent for it
-		e.stats.Lapsed++
-		e.edge.Lapsed(a.owner, a.ref)
+		e.stats.Expired++
+		e.edge.ExpireRequest(a.owner, a.ref)
 		e.disown(a)
 		return
 	}
-	if !e.edge.Final(a.tenant, a.token, a.epoch, answer == Served) {
+	if !e.edge.PermitAnswer(a.tenant, a.token, a.epoch, answer == Served) {
 		e.disown(a)
 		return
 	}
@@ -68,26 +68,26 @@
 		return nil
 	}
 	if epoch == 0 { // meant for one that was here a moment ago
-		e.stats.Refused++
+		e.stats.Rejected++
 		e.edge.Answer(owner, ref, Declined, 0, "just-ended", 0)
 		return nil
 	}
-	least := e.terms.Margin + 4*e.terms.Cluster.Step
+	least := e.terms.AnswerMargin + 4*e.terms.Cluster.Step
 	if why := e.door.Enter(tenant, left, least, e.fits(jobType, cores, memory)); why != admit.Taken {
-		e.stats.Refused++
-		if e.edge.Final(tenant, token, epoch, false) {
+		e.stats.Rejected++
+		if e.edge.PermitAnswer(tenant, token, epoch, false) {
 			e.edge.Answer(owner, ref, Declined, 0, why.String(), 0)
 		}
-		e.edge.Dropped(tenant, token, service, epoch)
+		e.edge.ReleaseTask(tenant, token, service, epoch)
 		return nil
 	}
-	e.stats.Taken++
+	e.stats.Admitted++
 	p, a := e.take()
 	a.job, a.tenant, a.service, a.token, a.epoch = jobType, tenant, service, token, epoch
 	e.own(p, owner, ref)
 	a.cores, a.memory, a.expiry, a.waitsSince = cores, memory, now+left, now
 	e.byToken[name] = p
-	e.sched.Allocate(now, a.id, jobType, tenant, a.expiry-e.terms.Margin, service, cores, memory)
+	e.sched.Allocate(now, a.id, jobType, tenant, a.expiry-e.terms.AnswerMargin, service, cores, memory)
 	return nil
 }
 
@@ -98,14 +98,14 @@
 	case a.phase == runs:
 		e.disown(a)
 		e.own(p, owner, ref)
-		e.edge.Owned(a.tenant, a.token, a.epoch, owner, ref)
+		e.edge.SetClient(a.tenant, a.token, a.epoch, owner, ref)
 		e.stats.Served++
 		e.edge.Answer(owner, ref, Served, e.nodes[a.nd].id, "runs", 0)
 	case !a.answered:
-		e.stats.Refused++
+		e.stats.Rejected++
 		e.edge.Answer(owner, ref, Declined, 0, "open-already", 0)
 	default: // answered, and a try of it is still out: its outcome decides what a next ask may do
-		e.stats.Refused++
+		e.stats.Rejected++
 		e.edge.Answer(owner, ref, Declined, 0, "earlier-try-out", 0)
 	}
 }
@@ -163,8 +163,8 @@
 	e.lapseLate(late)
 }
 
-// OwnerGone ends all open asks of an owner whose connection is gone; what runs goes on for nobody.
-func (e *Engine) OwnerGone(now float64, owner uint32) {
+// OnClientDisconnected ends all open asks of an owner whose connection is gone; what runs goes on for nobody.
+func (e *Engine) OnClientDisconnected(now float64, owner uint32) {
 	e.now, e.news = now, true
 	for p := range e.allocs {
 		a := &e.allocs[p]
@@ -197,7 +197,7 @@
 	if p, ok := e.adopted[tryName{ticket, try}]; ok {
 		return p, true
 	}
-	if uint32(ticket>>32) != e.terms.Life {
+	if uint32(ticket>>32) != e.terms.Incarnation {
 		return 0, false
 	}
 	p, ok := e.at[uint32(ticket)]
@@ -215,7 +215,7 @@
 //
 // It returns -1 and stops it if another acts for it by now.
 func (e *Engine) adopt(name tryName, g ghost) int {
-	epoch, owner, ref, ok := e.edge.Adopt(g.tenant, g.token, g.job, g.service, g.cores, g.memory,
+	epoch, owner, ref, ok := e.edge.RecoverTask(g.tenant, g.token, g.job, g.service, g.cores, g.memory,
 		e.nodes[g.nd].id, name.ticket, name.try)
 	if !ok {
 		e.stopLate(name)
@@ -232,7 +232,7 @@
 	e.byToken[named{a.tenant, a.token}] = p
 	a.seen = true
 	e.own(p, owner, ref)
-	e.stats.Found++
+	e.stats.Recovered++
 	e.sched.Found(e.now, a.id, a.job, a.tenant, a.service, a.cores, a.memory, e.nodes[g.nd].id)
 	return p
 }
--- a/internal/engine/script_test.go
+++ b/internal/engine/script_test.go
@@ -28,13 +28,13 @@
 
 func (s *script) Dial(nd uint32, _ string) { s.say("dial %d", nd) }
 
-func (s *script) Hang(nd uint32, why string) { s.say("hang %d", nd) }
+func (s *script) Disconnect(nd uint32, why string) { s.say("hang %d", nd) }
 
-func (s *script) Follow(bool) {}
+func (s *script) WatchList(bool) {}
 
-func (s *script) Reload() {}
+func (s *script) ReloadList() {}
 
-func (s *script) Mode(line string) { s.say("mode %s", line) }
+func (s *script) Log(line string) { s.say("mode %s", line) }
 
 func (s *script) Probe(nd uint32, seq uint64) {}
 
@@ -58,23 +58,23 @@
 	s.say("answer %d %s", ref, answer)
 }
 
-func (s *script) Over(owner uint32, ref uint64, verdict logic.Verdict, _ logic.Reason) {
+func (s *script) NotifyEnd(owner uint32, ref uint64, verdict logic.Verdict, _ logic.Reason) {
 	s.say("over %d %d", ref, verdict)
 }
 
-func (s *script) Leave(int, uint64, uint32, uint32, uint64, uint8) bool { return true }
+func (s *script) PermitAttempt(int, uint64, uint32, uint32, uint64, uint8) bool { return true }
 
-func (s *script) Lapsed(uint32, uint64) {}
+func (s *script) ExpireRequest(uint32, uint64) {}
 
-func (s *script) Owned(int, uint64, uint32, uint32, uint64) {}
+func (s *script) SetClient(int, uint64, uint32, uint32, uint64) {}
 
-func (s *script) Known(int, uint64, uint32, bool) {}
+func (s *script) RecordOutcome(int, uint64, uint32, bool) {}
 
-func (s *script) Dropped(int, uint64, uint64, uint32) {}
+func (s *script) ReleaseTask(int, uint64, uint64, uint32) {}
 
-func (s *script) Final(int, uint64, uint32, bool) bool { return true }
+func (s *script) PermitAnswer(int, uint64, uint32, bool) bool { return true }
 
-func (s *script) Adopt(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
+func (s *script) RecoverTask(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
 	return 1, nobody, 0, true
 }
 
@@ -89,12 +89,12 @@
 			{Effect: logic.Tokened, Group: logic.GroupZone, Window: 8000, Target: 700, Value: 2, Kind: -1},
 			{Effect: logic.Tokened, Group: logic.GroupAll, Window: 8000, Target: 700, Value: 2, Kind: -1},
 			{Effect: logic.RunOnce, Target: 2000, Value: 3, Kind: -1}}}
-	s.e = New(s, s.now, Terms{Cluster: cl, Shares: []float64{0.5, 0.5}, Open: 100, Margin: 100, Settle: 3000, Life: 1, Seed: 5})
-	s.e.ListBegin(s.now, logic.ListCached)
+	s.e = New(s, s.now, Config{Cluster: cl, Shares: []float64{0.5, 0.5}, MaxOpen: 100, AnswerMargin: 100, SettleTime: 3000, Incarnation: 1, Seed: 5})
+	s.e.BeginList(s.now, logic.ListCached)
 	for i := range uint32(4) {
-		s.e.ListNode(i+1, "a", logic.Ready, 0, 16, 32, int(i/2), int(i/2), 0)
+		s.e.AddListNode(i+1, "a", logic.Ready, 0, 16, 32, int(i/2), int(i/2), 0)
 	}
-	s.e.ListEnd()
+	s.e.EndList()
 	s.e.Round(s.now)
 	for i := range uint32(4) {
 		if !dark {
@@ -106,8 +106,8 @@
 }
 
 func (s *script) link(nd uint32, life uint64) {
-	s.e.Linked(s.now, nd, life, 0)
-	s.e.HeldAll(s.now, nd)
+	s.e.OnConnected(s.now, nd, life, 0)
+	s.e.OnHeldAll(s.now, nd)
 }
 
 // pass lets time pass in steps of 10 ms.
@@ -146,13 +146,13 @@
 }
 
 func (s *script) settled(v logic.Verdict) error {
-	return s.e.Settled(s.now, s.last.nd, s.last.ticket, s.last.try, v, logic.NotTold, []float64{16, 32})
+	return s.e.OnOutcome(s.now, s.last.nd, s.last.ticket, s.last.try, v, logic.NotTold, []float64{16, 32})
 }
 
 // broken breaks the connection of the last offer; left tells whether the offer may have got through.
 func (s *script) broken(left bool) {
 	if !left {
-		s.e.Unsent(s.now, s.last.nd, s.last.ticket, s.last.try)
+		s.e.OnUnsent(s.now, s.last.nd, s.last.ticket, s.last.try)
 	}
-	s.e.Unlinked(s.now, s.last.nd, "test")
+	s.e.OnDisconnected(s.now, s.last.nd, "test")
 }
--- a/internal/engine/tenant.go
+++ b/internal/engine/tenant.go
@@ -1,8 +1,8 @@
 package engine
 
-// Evict ends what there is of a tenant: what is open is given up and answered at once, as its effect allows, and what runs is
+// EvictTenant ends what there is of a tenant: what is open is given up and answered at once, as its effect allows, and what runs is
 // stopped if that is wanted. It may be called again, for what was found or came since. It returns what is left.
-func (e *Engine) Evict(now float64, tenant int, stop bool) (left int) {
+func (e *Engine) EvictTenant(now float64, tenant int, stop bool) (left int) {
 	e.now, e.news = now, true
 	for p := range e.allocs {
 		a := &e.allocs[p]
--- a/internal/engine/windows_test.go
+++ b/internal/engine/windows_test.go
@@ -18,7 +18,7 @@
 			want  string
 		}{
 			{"handed back", func(s *script) error { return s.settled(logic.Refused) }, "offer 1.1"},
-			{"runs after all", func(s *script) error { return s.e.Started(s.now, s.last.nd, s.last.ticket, s.last.try, 9) },
+			{"runs after all", func(s *script) error { return s.e.OnStarted(s.now, s.last.nd, s.last.ticket, s.last.try, 9) },
 				"answer 1 served"},
 		} {
 			t.Run(fmt.Sprintf("%s/%d", c.name, job), func(t *testing.T) {
@@ -26,7 +26,7 @@
 				s.ask(1, job, 5000)
 				s.look()
 				gone := s.last.nd
-				s.e.Calendar(s.now, []uint32{gone}, true)
+				s.e.SetMaintenance(s.now, []uint32{gone}, true)
 				s.pass(300)
 				s.want("at the opening", s.look(), "recall 1.0")
 				if err := c.comes(s); err != nil {
@@ -43,9 +43,9 @@
 						t.Fatal("offered to the node that is out")
 					}
 				}
-				s.e.ListBegin(s.now, logic.ListChanges) // news that it is ready changes nothing
-				s.e.ListNode(gone, "a", logic.Ready, 0, 16, 32, 0, 0, 0)
-				s.e.ListEnd()
+				s.e.BeginList(s.now, logic.ListChanges) // news that it is ready changes nothing
+				s.e.AddListNode(gone, "a", logic.Ready, 0, 16, 32, 0, 0, 0)
+				s.e.EndList()
 				before := s.seen[gone]
 				for ref := range uint64(20) {
 					s.ask(40+ref, restartable, 5000)
@@ -53,10 +53,10 @@
 				if s.seen[gone] != before {
 					t.Error("offered to the node that is out, once the list had it ready")
 				}
-				s.e.Calendar(s.now, []uint32{gone}, false)
+				s.e.SetMaintenance(s.now, []uint32{gone}, false)
 				for ref := range uint64(60) {
 					s.ask(70+ref, restartable, 5000)
-					_ = s.e.Started(s.now, s.last.nd, s.last.ticket, s.last.try, 5)
+					_ = s.e.OnStarted(s.now, s.last.nd, s.last.ticket, s.last.try, 5)
 				}
 				if s.seen[gone] == before {
 					t.Error("not offered to again once it is back")
@@ -68,15 +68,15 @@
 		s := begin(t, false)
 		for ref, job := range []int{restartable, zoned, once} {
 			s.ask(uint64(ref+1), job, 5000)
-			if err := s.e.Started(s.now, s.last.nd, s.last.ticket, 0, 5); err != nil {
+			if err := s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 5); err != nil {
 				t.Fatal(err)
 			}
 		}
 		s.look()
 		stopped := 0
 		for nd := range uint32(4) {
-			stopped += s.e.MoveOff(s.now, nd+1, []bool{true, true, true, false}, 9)
-			stopped += s.e.MoveOff(s.now, nd+1, []bool{true, true, true, false}, 9) // each once
+			stopped += s.e.MigrateFrom(s.now, nd+1, []bool{true, true, true, false}, 9)
+			stopped += s.e.MigrateFrom(s.now, nd+1, []bool{true, true, true, false}, 9) // each once
 		}
 		if stopped != 2 || strings.Contains(s.look(), "stop 3.0") {
 			t.Errorf("%d stopped", stopped)
@@ -93,7 +93,7 @@
 		follow := &follows{script: s}
 		s.e.edge = follow
 		if calendar {
-			s.e.Calendar(s.now, []uint32{1}, true)
+			s.e.SetMaintenance(s.now, []uint32{1}, true)
 		}
 		for s.now < 30000 && follow.at == 0 {
 			s.pass(10)
@@ -110,4 +110,4 @@
 	at float64
 }
 
-func (f *follows) Follow(bool) { f.at = f.now }
+func (f *follows) WatchList(bool) { f.at = f.now }
--- a/internal/engine/workingset.go
+++ b/internal/engine/workingset.go
@@ -5,9 +5,9 @@
 // A scheduler with a working set shows its module nodes of that set alone. The engine hears of these, and of nodes
 // outside on which something of its own stands: these get nothing new and are released once nothing is left there.
 
-// EnterNodes opens news of nodes that the list has had for a while and that the engine is to know from now on; ListNode
+// BeginWorkingSet opens news of nodes that the list has had for a while and that the engine is to know from now on; ListNode
 // follows for each, and no ListEnd. New says that they came to the list just now: the module paces them as cold.
-func (e *Engine) EnterNodes(now float64, isNew bool) {
+func (e *Engine) BeginWorkingSet(now float64, isNew bool) {
 	e.now, e.news, e.entering = now, true, true
 	e.page++
 	kind := logic.ListCached
@@ -17,8 +17,8 @@
 	e.sched.ListBegin(now, kind)
 }
 
-// SetAside has nodes be outside the working set, where they get nothing new, or inside again.
-func (e *Engine) SetAside(now float64, ids []uint32, aside bool) {
+// SetOutsideWorkingSet has nodes be outside the working set, where they get nothing new, or inside again.
+func (e *Engine) SetOutsideWorkingSet(now float64, ids []uint32, aside bool) {
 	if !aside {
 		for _, id := range ids {
 			if nd, ok := e.nodeAt[id]; ok {
@@ -66,8 +66,8 @@
 	return true
 }
 
-// Abandon lets go of a node whatever stands there: a fault, for tests that must find it.
-func (e *Engine) Abandon(now float64, id uint32) {
+// ForceRelease lets go of a node whatever stands there: a fault, for tests that must find it.
+func (e *Engine) ForceRelease(now float64, id uint32) {
 	if nd, ok := e.nodeAt[id]; ok {
 		e.abandon(now, nd)
 	}
--- a/internal/engine/workingset_test.go
+++ b/internal/engine/workingset_test.go
@@ -22,7 +22,7 @@
 // setAsideAll sets all nodes aside and tells which the engine releases.
 func (s *script) setAsideAll() (released []uint32) {
 	all := []uint32{1, 2, 3, 4}
-	s.e.SetAside(s.now, all, true)
+	s.e.SetOutsideWorkingSet(s.now, all, true)
 	for _, id := range all {
 		if s.e.Release(s.now, id) {
 			released = append(released, id)
@@ -40,19 +40,19 @@
 		}
 		s.e.Round(s.now)
 		nd := s.last.nd
-		if err := s.e.Started(s.now, nd, s.last.ticket, s.last.try, 100); err != nil {
+		if err := s.e.OnStarted(s.now, nd, s.last.ticket, s.last.try, 100); err != nil {
 			t.Fatal(err)
 		}
 		if released := s.setAsideAll(); len(released) != 3 || slices.Contains(released, nd) {
 			t.Fatalf("%v released while a task runs at %d", released, nd)
 		}
 		if abandons {
-			s.e.Abandon(s.now, nd)
+			s.e.ForceRelease(s.now, nd)
 		}
 		s.pass(5000)
 		s.dials()
 		for _, id := range []uint32{1, 2, 3, 4} {
-			s.e.Unlinked(s.now, id, "broken")
+			s.e.OnDisconnected(s.now, id, "broken")
 		}
 		s.pass(200)
 		if redialled := len(s.dials()); (redialled == 1) == abandons {
@@ -61,12 +61,12 @@
 		if abandons {
 			continue
 		}
-		s.e.Linked(s.now, nd, 1, 0)
-		if err := s.e.Held(s.now, nd, s.last.ticket, s.last.try, true, restartable, 0, 7, 7, 1, 1); err != nil {
+		s.e.OnConnected(s.now, nd, 1, 0)
+		if err := s.e.OnHeld(s.now, nd, s.last.ticket, s.last.try, true, restartable, 0, 7, 7, 1, 1); err != nil {
 			t.Fatal(err)
 		}
-		s.e.HeldAll(s.now, nd)
-		if err := s.e.Settled(s.now, nd, s.last.ticket, s.last.try, logic.Ended, logic.NotTold, nil); err != nil {
+		s.e.OnHeldAll(s.now, nd)
+		if err := s.e.OnOutcome(s.now, nd, s.last.ticket, s.last.try, logic.Ended, logic.NotTold, nil); err != nil {
 			t.Fatal(err)
 		}
 		s.e.Round(s.now)
@@ -93,7 +93,7 @@
 	if d := s.e.Demand(s.now+150, 100); !d.Short[len(d.Short)-1] || d.Cores != 0 {
 		t.Errorf("no shortage while nothing can be placed: %+v", d)
 	}
-	s.e.SetAside(s.now, []uint32{2}, false)
+	s.e.SetOutsideWorkingSet(s.now, []uint32{2}, false)
 	s.now += 30
 	s.e.Round(s.now)
 	if s.seen[2] == 0 || len(s.seen) != 1 {
@@ -110,16 +110,16 @@
 	if released := s.setAsideAll(); len(released) != 4 {
 		t.Fatalf("%v released", released)
 	}
-	s.e.Unlinked(s.now, 3, "left the working set")
+	s.e.OnDisconnected(s.now, 3, "left the working set")
 	s.pass(1000)
-	s.e.ListBegin(s.now, logic.ListChanges) // news of a node that was released does not keep it
-	s.e.ListNode(3, "a", logic.Ready, 0, 8, 32, 1, 1, 0)
-	s.e.ListEnd()
+	s.e.BeginList(s.now, logic.ListChanges) // news of a node that was released does not keep it
+	s.e.AddListNode(3, "a", logic.Ready, 0, 8, 32, 1, 1, 0)
+	s.e.EndList()
 	s.pass(1000)
 	if dialled := s.dials(); len(dialled) > 0 {
 		t.Fatalf("%v while outside the set", dialled)
 	}
-	s.e.SetAside(s.now, []uint32{3}, false)
+	s.e.SetOutsideWorkingSet(s.now, []uint32{3}, false)
 	s.pass(20)
 	if dialled := s.dials(); !slices.Equal(dialled, []string{"dial 3"}) {
 		t.Errorf("dialled %v", dialled)
@@ -132,10 +132,10 @@
 	for _, isNew := range []bool{false, true} {
 		s := begin(t, false)
 		s.setAsideAll()
-		s.e.EnterNodes(s.now, isNew)
-		s.e.ListNode(9, "b", logic.Ready, 0, 16, 32, 0, 0, 0)
-		s.e.Linked(s.now, 9, 1, 0)
-		s.e.HeldAll(s.now, 9)
+		s.e.BeginWorkingSet(s.now, isNew)
+		s.e.AddListNode(9, "b", logic.Ready, 0, 16, 32, 0, 0, 0)
+		s.e.OnConnected(s.now, 9, 1, 0)
+		s.e.OnHeldAll(s.now, 9)
 		s.now += 30 // the cold budget of 20 is under that
 		for ref := range uint64(40) {
 			if err := s.e.Allocate(s.now, 1, ref+1, restartable, 0, ref, ref, 0.1, 0.1, 5000, 1); err != nil {
@@ -150,7 +150,7 @@
 				offered[s.last.ticket] = true
 			}
 			for ticket := range offered {
-				_ = s.e.Started(s.now, 9, ticket, 0, 10)
+				_ = s.e.OnStarted(s.now, 9, ticket, 0, 10)
 			}
 		}
 		if (s.seen[9] > 20) == isNew {
@@ -171,7 +171,7 @@
 	for range 20 {
 		s.pass(10)
 		for ref := range uint32(60) {
-			_ = s.e.Started(s.now, 9, 1<<32|uint64(ref), 0, 10)
+			_ = s.e.OnStarted(s.now, 9, 1<<32|uint64(ref), 0, 10)
 		}
 	}
 	return s.seen[9]
@@ -187,13 +187,13 @@
 		s.pass(10_000)
 		start := s.now - coldFor + 20
 		if back {
-			s.e.SetAside(s.now, []uint32{9}, true)
+			s.e.SetOutsideWorkingSet(s.now, []uint32{9}, true)
 		}
-		s.e.EnterNodes(s.now, false)
-		s.e.ListNode(9, "b", logic.Ready, start, 16, 32, 0, 0, 0)
-		s.e.Linked(s.now, 9, 1, 0)
-		s.e.HeldAll(s.now, 9)
-		s.e.SetAside(s.now, []uint32{9}, false)
+		s.e.BeginWorkingSet(s.now, false)
+		s.e.AddListNode(9, "b", logic.Ready, start, 16, 32, 0, 0, 0)
+		s.e.OnConnected(s.now, 9, 1, 0)
+		s.e.OnHeldAll(s.now, 9)
+		s.e.SetOutsideWorkingSet(s.now, []uint32{9}, false)
 		if offers := s.offersAfter(start, coldFor+30); offers == 0 || offers > coldBears {
 			t.Errorf("known before %t: %d offers to a node that may be cold", back, offers)
 		}
@@ -206,8 +206,8 @@
 	s := begin(t, false)
 	s.pass(10_000)
 	s.e.Sharing(0)
-	s.e.SetAside(s.now, []uint32{2, 3, 4}, true)
-	s.e.Unlinked(s.now, 1, "restart")
+	s.e.SetOutsideWorkingSet(s.now, []uint32{2, 3, 4}, true)
+	s.e.OnDisconnected(s.now, 1, "restart")
 	for ref := range uint64(40) {
 		if err := s.e.Allocate(s.now, 1, ref+1, restartable, 0, ref, ref, 0.1, 0.1, 5000, 1); err != nil {
 			t.Fatal(err)
@@ -217,8 +217,8 @@
 	if held := len(s.e.nodes[s.e.nodeAt[1]].on); held == 0 {
 		t.Fatal("no attempt waits for the node")
 	}
-	s.e.Linked(s.now, 1, 2, s.now-5)
-	s.e.HeldAll(s.now, 1)
+	s.e.OnConnected(s.now, 1, 2, s.now-5)
+	s.e.OnHeldAll(s.now, 1)
 	s.pass(200)
 	if s.seen[1] > 0 {
 		t.Errorf("%d offers to a cold node", s.seen[1])
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -24,7 +24,7 @@
 // Policies are the names of what can be compared: the module's design and the baselines.
 var Policies = append([]string{"design"}, baseline.Names...)
 
-func policy(name string) (engine.Policy, error) {
+func policy(name string) (engine.PolicyFactory, error) {
 	switch {
 	case name == "design":
 		return nil, nil
@@ -83,7 +83,7 @@
 const target = 800 // ms, of all job types of the laboratory's site
 
 // play plays a day.
-func play(s sim.Script, p engine.Policy) (*Figures, error) {
+func play(s sim.Script, p engine.PolicyFactory) (*Figures, error) {
 	n := int((s.Lasts+10000)/bucket) + 1
 	f := &Figures{refusedAt: make([]float64, n), servedAt: make([]float64, n), askedAt: make([]float64, n)}
 	asked := map[askName]float64{}
--- a/internal/lab/compare/order.go
+++ b/internal/lab/compare/order.go
@@ -53,7 +53,7 @@
 
 // Orders plays so many days of each trouble with every policy and puts them in order.
 func Orders(ctx context.Context, days, nodes int, load float64, workers int) (all []Order, err error) {
-	var made []engine.Policy
+	var made []engine.PolicyFactory
 	for _, name := range Policies {
 		p, err := policy(name)
 		if err != nil {
--- a/internal/lab/cores/harm.go
+++ b/internal/lab/cores/harm.go
@@ -9,18 +9,18 @@
 
 // harmed lets a shard panic or stand still now and then, in the middle of what it does.
 type harmed struct {
-	engine.Edge
+	engine.Effects
 	b    *bench
 	rng  *rand.Rand
 	next time.Time
 }
 
-func (b *bench) harm(e engine.Edge) engine.Edge {
+func (b *bench) harm(e engine.Effects) engine.Effects {
 	life := b.lives.Add(1)
 	if b.Harm == 0 {
 		return e
 	}
-	h := &harmed{Edge: e, b: b, rng: rand.New(rand.NewPCG(b.Seed, uint64(life)+100))}
+	h := &harmed{Effects: e, b: b, rng: rand.New(rand.NewPCG(b.Seed, uint64(life)+100))}
 	h.next = time.Now().Add(time.Duration(h.rng.ExpFloat64() * float64(b.Harm) * float64(b.Shards)))
 	return h
 }
@@ -35,9 +35,9 @@
 	return true
 }
 
-// Leave is where a shard stands still: longer than the watchdog allows, so that it is fenced and wakes up later with
+// PermitAttempt is where a shard stands still: longer than the watchdog allows, so that it is fenced and wakes up later with
 // a try in hand. Sometimes it has leave for it already, and sometimes it panics with that.
-func (h *harmed) Leave(tenant int, token uint64, epoch uint32, nd uint32, ticket uint64, try uint8) bool {
+func (h *harmed) PermitAttempt(tenant int, token uint64, epoch uint32, nd uint32, ticket uint64, try uint8) bool {
 	harm, kind := h.due(), h.rng.IntN(8)
 	if h.b.Trust { // what is left out guards against that alone
 		kind = 0
@@ -45,7 +45,7 @@
 	if harm && kind < 2 {
 		time.Sleep(2400 * time.Millisecond)
 	}
-	ok := h.Edge.Leave(tenant, token, epoch, nd, ticket, try)
+	ok := h.Effects.PermitAttempt(tenant, token, epoch, nd, ticket, try)
 	if harm && kind == 2 {
 		time.Sleep(2400 * time.Millisecond)
 	} else if harm && kind > 2 {
@@ -54,10 +54,10 @@
 	return ok
 }
 
-// Known is where it panics with an outcome in hand.
-func (h *harmed) Known(tenant int, token uint64, epoch uint32, never bool) {
+// RecordOutcome is where it panics with an outcome in hand.
+func (h *harmed) RecordOutcome(tenant int, token uint64, epoch uint32, never bool) {
 	if h.rng.IntN(4) == 0 && h.due() {
 		panic("planted, with an outcome")
 	}
-	h.Edge.Known(tenant, token, epoch, never)
+	h.Effects.RecordOutcome(tenant, token, epoch, never)
 }
--- a/internal/lab/herd/virtual.go
+++ b/internal/lab/herd/virtual.go
@@ -61,7 +61,7 @@
 			return 0
 		})
 	case slices.Contains(baseline.Names, policy):
-		g.Policy = engine.Policy(baseline.Made(policy))
+		g.Policy = engine.PolicyFactory(baseline.Made(policy))
 	default:
 		return nil, fmt.Errorf("no policy %q; there are %v", policy, Names)
 	}
--- a/internal/lab/month/edge.go
+++ b/internal/lab/month/edge.go
@@ -28,10 +28,10 @@
 			return
 		}
 		if s.lost {
-			p.eng.DialFailed(p.clock(), nd, "refused")
+			p.eng.OnDialFailed(p.clock(), nd, "refused")
 			return
 		}
-		p.eng.Linked(p.clock(), nd, s.life, 0)
+		p.eng.OnConnected(p.clock(), nd, s.life, 0)
 		var b []byte
 		s.m.Held(p.w.now, p.name(), func(ticket uint64, try uint8, runs bool, job, tenant int, service, token uint64, cores, memory float64) {
 			state := 0
@@ -44,7 +44,7 @@
 	})
 }
 
-func (h hand) Hang(uint32, string) {}
+func (h hand) Disconnect(uint32, string) {}
 
 func (h hand) Offer(nd uint32, ticket uint64, try uint8, epoch uint32, timeout float64, jobType, tenant int, service, token uint64,
 	cores, memory float64) {
@@ -69,35 +69,35 @@
 
 func (h hand) Probe(nd uint32, seq uint64) { h.send(nd, node.AppendProbe(nil, seq)) }
 
-func (h hand) Follow(bool) {}
+func (h hand) WatchList(bool) {}
 
-func (h hand) Reload() {}
+func (h hand) ReloadList() {}
 
-func (h hand) Leave(int, uint64, uint32, uint32, uint64, uint8) bool {
+func (h hand) PermitAttempt(int, uint64, uint32, uint32, uint64, uint8) bool {
 	return true
 }
 
-func (h hand) Lapsed(uint32, uint64) {}
+func (h hand) ExpireRequest(uint32, uint64) {}
 
-func (h hand) Owned(int, uint64, uint32, uint32, uint64) {}
+func (h hand) SetClient(int, uint64, uint32, uint32, uint64) {}
 
-func (h hand) Known(int, uint64, uint32, bool) {}
+func (h hand) RecordOutcome(int, uint64, uint32, bool) {}
 
-func (h hand) Adopt(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
+func (h hand) RecoverTask(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
 	return 1, 0, 0, true
 }
 
-func (h hand) Dropped(int, uint64, uint64, uint32) {}
+func (h hand) ReleaseTask(int, uint64, uint64, uint32) {}
 
-func (h hand) Final(int, uint64, uint32, bool) bool { return true }
+func (h hand) PermitAnswer(int, uint64, uint32, bool) bool { return true }
 
 func (h hand) Answer(_ uint32, ref uint64, a engine.Answer, _ uint32, _ string, _ float64) {
 	h.p.w.note("answer %d %d %s", h.p.index, ref, a)
 }
 
-func (h hand) Over(uint32, uint64, logic.Verdict, logic.Reason) {}
+func (h hand) NotifyEnd(uint32, uint64, logic.Verdict, logic.Reason) {}
 
-func (h hand) Mode(l string) { h.p.w.note("%d %s", h.p.index, l) }
+func (h hand) Log(l string) { h.p.w.note("%d %s", h.p.index, l) }
 
 // Out and the others are the keeper's hands.
 func (h hand) Out(nodes []string, out bool) {
@@ -109,16 +109,16 @@
 			h.p.out[uint32(id)] = true
 		}
 	}
-	h.p.eng.Calendar(h.p.clock(), ids, out)
+	h.p.eng.SetMaintenance(h.p.clock(), ids, out)
 }
 
 func (h hand) Running(nodes []string) (there []int, all int) {
 	there = make([]int, jobs)
 	for _, n := range nodes {
 		id, _ := strconv.Atoi(n)
-		h.p.eng.Running(uint32(id), there)
+		h.p.eng.CountRunning(uint32(id), there)
 	}
-	return there, h.p.eng.Stats().Tries
+	return there, h.p.eng.Stats().Held
 }
 
 func (h hand) MoveOff(nodes []string, job, most int) (n int) {
@@ -126,7 +126,7 @@
 	may[job] = true
 	for _, name := range nodes {
 		id, _ := strconv.Atoi(name)
-		n += h.p.eng.MoveOff(h.p.clock(), uint32(id), may, most-n)
+		n += h.p.eng.MigrateFrom(h.p.clock(), uint32(id), may, most-n)
 	}
 	h.p.moved += n
 	return n
--- a/internal/lab/month/month.go
+++ b/internal/lab/month/month.go
@@ -279,7 +279,7 @@
 		}
 		if w.now >= p.next {
 			p.eng.Round(p.clock())
-			p.next = w.now + max(step, min(100, p.eng.Next()-p.clock()))
+			p.next = w.now + max(step, min(100, p.eng.NextRound()-p.clock()))
 		}
 	}
 	if math.Mod(w.now, 500) < step {
@@ -327,7 +327,7 @@
 		s.m.Restart(w.now, true)
 		for _, p := range w.procs {
 			if !p.down {
-				p.eng.Unlinked(p.clock(), s.id, "lost")
+				p.eng.OnDisconnected(p.clock(), s.id, "lost")
 			}
 		}
 	}
--- a/internal/lab/month/peers.go
+++ b/internal/lab/month/peers.go
@@ -78,27 +78,27 @@
 }
 
 func (r reply) Started(t uint64, n uint8, took float64) error {
-	return r.p.eng.Started(r.p.clock(), r.s.id, t, n, took)
+	return r.p.eng.OnStarted(r.p.clock(), r.s.id, t, n, took)
 }
 func (r reply) Settled(t uint64, n uint8, outcome, reason int, report []float64) error {
-	return r.p.eng.Settled(r.p.clock(), r.s.id, t, n, node.Verdicts[outcome], logic.Reason(reason), report)
+	return r.p.eng.OnOutcome(r.p.clock(), r.s.id, t, n, node.Verdicts[outcome], logic.Reason(reason), report)
 }
 func (r reply) Noted(uint64, uint8, int, float64) error { return nil }
 func (r reply) Reported(seq uint64, report []float64) error {
-	return r.p.eng.Reported(r.p.clock(), r.s.id, seq, report)
+	return r.p.eng.OnProbeReport(r.p.clock(), r.s.id, seq, report)
 }
 func (r reply) Claimed(t uint64, n uint8, claim, reason int) error {
 	if claim < node.ClaimedOutcome {
-		r.p.eng.ClaimedHeld(r.p.clock(), r.s.id, t, n, claim == node.ClaimedRuns)
+		r.p.eng.OnClaimHeld(r.p.clock(), r.s.id, t, n, claim == node.ClaimedRuns)
 	} else {
-		r.p.eng.ClaimedOver(r.p.clock(), r.s.id, t, n, node.Verdicts[claim-node.ClaimedOutcome], logic.Reason(reason))
+		r.p.eng.OnClaimOutcome(r.p.clock(), r.s.id, t, n, node.Verdicts[claim-node.ClaimedOutcome], logic.Reason(reason))
 	}
 	return nil
 }
 func (r reply) Held(t uint64, n uint8, state, job, tenant int, service, token uint64, cores, memory float64) error {
-	return r.p.eng.Held(r.p.clock(), r.s.id, t, n, state == 1, job, tenant, service, token, cores, memory)
+	return r.p.eng.OnHeld(r.p.clock(), r.s.id, t, n, state == 1, job, tenant, service, token, cores, memory)
 }
-func (r reply) HeldAll() error   { r.p.eng.HeldAll(r.p.clock(), r.s.id); return nil }
+func (r reply) HeldAll() error   { r.p.eng.OnHeldAll(r.p.clock(), r.s.id); return nil }
 func (r reply) Pong() error      { return nil }
 func (r reply) Bye(string) error { return nil }
 
--- a/internal/lab/month/process.go
+++ b/internal/lab/month/process.go
@@ -48,18 +48,18 @@
 			{Effect: logic.Restartable, Target: 2000, Value: 1, Kind: -1},
 			{Effect: logic.Tokened, Group: logic.GroupAll, Window: 8000, Target: 2000, Value: 2, Kind: -1},
 			{Effect: logic.RunOnce, Target: 2000, Value: 3, Kind: -1}}}
-	p.eng = engine.New(hand{p}, p.clock(), engine.Terms{Cluster: cl, Shares: []float64{1}, Open: 500, Margin: 100, Settle: 3000,
-		Life: p.life, Seed: p.w.rng.Uint64()})
+	p.eng = engine.New(hand{p}, p.clock(), engine.Config{Cluster: cl, Shares: []float64{1}, MaxOpen: 500, AnswerMargin: 100, SettleTime: 3000,
+		Incarnation: p.life, Seed: p.w.rng.Uint64()})
 	lim := limits
 	if p.w.Plant == NoGuard {
 		lim.Guard = 0
 	}
 	p.keep = &upkeep.Keeper{Store: p.store, Hands: hand{p}, Limits: lim, Manners: []drainpace.Manner{drainpace.Late, drainpace.Early, drainpace.RunOut}}
-	p.eng.ListBegin(p.clock(), logic.ListCached)
+	p.eng.BeginList(p.clock(), logic.ListCached)
 	for _, s := range p.w.nodes {
-		p.eng.ListNode(s.id, "x", logic.Ready, 0, 32, 64, s.zone, s.cell, s.kind)
+		p.eng.AddListNode(s.id, "x", logic.Ready, 0, 32, 64, s.zone, s.cell, s.kind)
 	}
-	p.eng.ListEnd()
+	p.eng.EndList()
 	p.tick() // what an earlier life took out is known before anything is placed
 	p.next, p.keepAt = p.w.now, p.w.now+1000
 }
@@ -74,17 +74,17 @@
 	if p.down {
 		return
 	}
-	p.eng.ListBegin(p.clock(), logic.ListChanges)
+	p.eng.BeginList(p.clock(), logic.ListChanges)
 	for _, s := range p.w.nodes {
 		if s.zone == zone {
-			p.eng.ListNode(s.id, "x", avail, 0, 32, 64, s.zone, s.cell, s.kind)
+			p.eng.AddListNode(s.id, "x", avail, 0, 32, 64, s.zone, s.cell, s.kind)
 			id := strconv.Itoa(int(s.id))
 			if delete(p.lostNow, id); avail == logic.Gone {
 				p.lostNow[id] = true
 			}
 		}
 	}
-	p.eng.ListEnd()
+	p.eng.EndList()
 }
 
 // tick is the keeper's look, by the process's own clock.
--- a/internal/lab/sim/plant.go
+++ b/internal/lab/sim/plant.go
@@ -19,53 +19,53 @@
 }
 
 // edged wraps the effects of a shard.
-func edged(f func(e engine.Edge) engine.Edge) serve.Plant { return serve.Plant{Edge: f} }
+func edged(f func(e engine.Effects) engine.Effects) serve.Plant { return serve.Plant{Edge: f} }
 
-type adopts struct{ engine.Edge }
+type adopts struct{ engine.Effects }
 
-func (e adopts) Adopt(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
+func (e adopts) RecoverTask(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
 	try uint8) (uint32, uint32, uint64, bool) {
-	epoch, owner, ref, ok := e.Edge.Adopt(tenant, token, job, service, cores, memory, nd, ticket, try)
+	epoch, owner, ref, ok := e.Effects.RecoverTask(tenant, token, job, service, cores, memory, nd, ticket, try)
 	if !ok {
 		return 1, 0, 0, true
 	}
 	return epoch, owner, ref, ok
 }
 
-type denies struct{ engine.Edge }
+type denies struct{ engine.Effects }
 
-func (e denies) Adopt(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
+func (e denies) RecoverTask(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
 	return 0, 0, 0, false
 }
 
-type never struct{ engine.Edge }
+type never struct{ engine.Effects }
 
-func (e never) Known(tenant int, token uint64, epoch uint32, _ bool) {
-	e.Edge.Known(tenant, token, epoch, true)
+func (e never) RecordOutcome(tenant int, token uint64, epoch uint32, _ bool) {
+	e.Effects.RecordOutcome(tenant, token, epoch, true)
 }
 
-type forgets struct{ engine.Edge }
+type forgets struct{ engine.Effects }
 
-func (e forgets) Dropped(tenant int, token uint64, service uint64, epoch uint32) {
+func (e forgets) ReleaseTask(tenant int, token uint64, service uint64, epoch uint32) {
 	if token%16 > 0 {
-		e.Edge.Dropped(tenant, token, service, epoch)
+		e.Effects.ReleaseTask(tenant, token, service, epoch)
 	}
 }
 
-type softens struct{ engine.Edge }
+type softens struct{ engine.Effects }
 
 func (e softens) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
 	if answer == engine.Failed {
 		answer = engine.Declined
 	}
-	e.Edge.Answer(owner, ref, answer, nd, why, holdOff)
+	e.Effects.Answer(owner, ref, answer, nd, why, holdOff)
 }
 
-type swallows struct{ engine.Edge }
+type swallows struct{ engine.Effects }
 
 func (e swallows) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
 	if answer != engine.Failed {
-		e.Edge.Answer(owner, ref, answer, nd, why, holdOff)
+		e.Effects.Answer(owner, ref, answer, nd, why, holdOff)
 	}
 }
 
@@ -74,7 +74,7 @@
 // once what may have run.
 var Missed = []Plant{
 	{Name: "no epoch is checked", Serve: serve.Plant{Trust: true}},
-	{Name: "every outcome counts as never ran", Serve: edged(func(e engine.Edge) engine.Edge { return never{e} })},
+	{Name: "every outcome counts as never ran", Serve: edged(func(e engine.Effects) engine.Effects { return never{e} })},
 }
 
 // Plants are faults that the laboratory is to find.
@@ -95,11 +95,11 @@
 	}}},
 	{Name: "answers come at the expiry", Place: func(p *site.Place) { p.Margin = 0.4 }},
 	{Name: "answers are given twice", Serve: serve.Plant{Again: true}},
-	{Name: "failed ones get no answer", Serve: edged(func(e engine.Edge) engine.Edge { return swallows{e} })},
-	{Name: "what may have run is declined", Serve: edged(func(e engine.Edge) engine.Edge { return softens{e} })},
-	{Name: "found ones are adopted unasked", Serve: edged(func(e engine.Edge) engine.Edge { return adopts{e} })},
-	{Name: "found ones are not taken", Serve: edged(func(e engine.Edge) engine.Edge { return denies{e} })},
-	{Name: "the ledger keeps what has ended", Serve: edged(func(e engine.Edge) engine.Edge { return forgets{e} })},
+	{Name: "failed ones get no answer", Serve: edged(func(e engine.Effects) engine.Effects { return swallows{e} })},
+	{Name: "what may have run is declined", Serve: edged(func(e engine.Effects) engine.Effects { return softens{e} })},
+	{Name: "found ones are adopted unasked", Serve: edged(func(e engine.Effects) engine.Effects { return adopts{e} })},
+	{Name: "found ones are not taken", Serve: edged(func(e engine.Effects) engine.Effects { return denies{e} })},
+	{Name: "the ledger keeps what has ended", Serve: edged(func(e engine.Effects) engine.Effects { return forgets{e} })},
 	{Name: "the life is used before it is on the disk", Lazy: true},
 	{Name: "a pause is not read", Club: func(t *tenancy.Tenant) {
 		if t.State == tenancy.Paused {
--- a/internal/lab/sim/play.go
+++ b/internal/lab/sim/play.go
@@ -111,7 +111,7 @@
 	Script
 	Plant    *Plant                                       // a fault in the program, or none
 	Out      io.Writer                                    // is given the trace in words, if it is not nil
-	Policy   engine.Policy                                // instead of the module
+	Policy   engine.PolicyFactory                         // instead of the module
 	Seen     func(*audit.Record)                          // is given each record
 	Moment   func(now float64, nodes []*standin.Node)     // is shown the nodes, each 50 ms
 	Services int                                          // of each job type, if not the usual
@@ -335,7 +335,7 @@
 	}
 	p := st.plant.Serve
 	wrap := p.Edge
-	p.Edge = func(e engine.Edge) engine.Edge {
+	p.Edge = func(e engine.Effects) engine.Effects {
 		if wrap != nil {
 			e = wrap(e)
 		}
--- a/internal/lab/sim/strikes.go
+++ b/internal/lab/sim/strikes.go
@@ -206,7 +206,7 @@
 
 // panicky lets a shard panic in the midst of its effects.
 type panicky struct {
-	engine.Edge
+	engine.Effects
 	s *sched
 }
 
@@ -218,20 +218,20 @@
 	}
 }
 
-func (e panicky) Leave(tenant int, token uint64, epoch uint32, nd uint32, ticket uint64, try uint8) bool {
+func (e panicky) PermitAttempt(tenant int, token uint64, epoch uint32, nd uint32, ticket uint64, try uint8) bool {
 	e.due()
-	ok := e.Edge.Leave(tenant, token, epoch, nd, ticket, try)
+	ok := e.Effects.PermitAttempt(tenant, token, epoch, nd, ticket, try)
 	e.due()
 	return ok
 }
 
-func (e panicky) Known(tenant int, token uint64, epoch uint32, never bool) {
+func (e panicky) RecordOutcome(tenant int, token uint64, epoch uint32, never bool) {
 	e.due()
-	e.Edge.Known(tenant, token, epoch, never)
+	e.Effects.RecordOutcome(tenant, token, epoch, never)
 	e.due()
 }
 
-func (e panicky) Final(tenant int, token uint64, epoch uint32, served bool) bool {
+func (e panicky) PermitAnswer(tenant int, token uint64, epoch uint32, served bool) bool {
 	e.due()
-	return e.Edge.Final(tenant, token, epoch, served)
+	return e.Effects.PermitAnswer(tenant, token, epoch, served)
 }
--- a/internal/lab/states/explore.go
+++ b/internal/lab/states/explore.go
@@ -57,7 +57,7 @@
 		}
 	}
 	for i, e := range p.old {
-		if e.Next() <= p.now {
+		if e.NextRound() <= p.now {
 			add(func() { e.Round(p.now) }, "fenced shard %d goes on", i)
 		}
 	}
@@ -196,14 +196,14 @@
 	var err error
 	switch m.kind {
 	case 'S':
-		err = e.Started(p.now, nd, m.ticket, m.try, 1)
+		err = e.OnStarted(p.now, nd, m.ticket, m.try, 1)
 	case 'E':
-		err = e.Settled(p.now, nd, m.ticket, m.try, verdicts[m.out], logic.NotTold, nil)
+		err = e.OnOutcome(p.now, nd, m.ticket, m.try, verdicts[m.out], logic.NotTold, nil)
 	case 'C':
 		if m.out >= 3 {
-			e.ClaimedHeld(p.now, nd, m.ticket, m.try, m.out == 4)
+			e.OnClaimHeld(p.now, nd, m.ticket, m.try, m.out == 4)
 		} else {
-			e.ClaimedOver(p.now, nd, m.ticket, m.try, verdicts[m.out], logic.NotTold)
+			e.OnClaimOutcome(p.now, nd, m.ticket, m.try, verdicts[m.out], logic.NotTold)
 		}
 	}
 	p.news[s] = true
@@ -215,7 +215,7 @@
 // cut breaks a connection. What was not handed to the network has left by then: all of it may have arrived or not.
 func (p *play) cut(s, n int) {
 	p.up[s][n], p.to[s][n], p.from[s][n] = false, nil, nil
-	p.eng[s].Unlinked(p.now, uint32(n+1), "cut")
+	p.eng[s].OnDisconnected(p.now, uint32(n+1), "cut")
 	p.news[s] = true
 }
 
@@ -234,7 +234,7 @@
 func (p *play) due() float64 {
 	next := start + 1e6
 	for s := range shards {
-		if at := p.eng[s].Next(); at > p.now {
+		if at := p.eng[s].NextRound(); at > p.now {
 			next = min(next, at)
 		}
 	}
--- a/internal/lab/states/world.go
+++ b/internal/lab/states/world.go
@@ -149,14 +149,14 @@
 	cl := &logic.Cluster{Schedulers: shards, Index: s, AskEvery: 1e6, Step: 1, MaxTries: 4, MayRecall: true, KindCores: []float64{8},
 		KindMemory: []float64{8}, CoresLimit: 1, MemoryLimit: 1, Report: []string{"x0", "x1"}, ReportsCome: true, ColdBears: 100,
 		ColdFor: 10, FallWindow: 10, MeanCores: 1, MeanMemory: 1, JobTypes: Jobs}
-	p.eng[s] = engine.New(edge{p, s, p.life[s]}, p.now, engine.Terms{Cluster: cl, Shares: []float64{1}, Open: 10, Margin: margin,
-		Settle: 300, Life: p.lives, Seed: uint64(p.lives)})
+	p.eng[s] = engine.New(edge{p, s, p.life[s]}, p.now, engine.Config{Cluster: cl, Shares: []float64{1}, MaxOpen: 10, AnswerMargin: margin,
+		SettleTime: 300, Incarnation: p.lives, Seed: uint64(p.lives)})
 	e := p.eng[s]
-	e.ListBegin(p.now, logic.ListCached)
+	e.BeginList(p.now, logic.ListCached)
 	for n := range nodes {
-		e.ListNode(uint32(n+1), "n", logic.Ready, 0, 8, 8, 0, n, 0) // one zone, two cells
+		e.AddListNode(uint32(n+1), "n", logic.Ready, 0, 8, 8, 0, n, 0) // one zone, two cells
 	}
-	e.ListEnd()
+	e.EndList()
 	for n := range nodes {
 		p.connect(s, n)
 	}
@@ -167,7 +167,7 @@
 func (p *play) connect(s, n int) {
 	p.up[s][n], p.to[s][n], p.from[s][n] = true, nil, nil
 	e := p.eng[s]
-	e.Linked(p.now, uint32(n+1), p.nlife[n], 0)
+	e.OnConnected(p.now, uint32(n+1), p.nlife[n], 0)
 	for _, t := range p.at[n] {
 		if t.shard != s { // the other shard's connection carries it, unless that shard's life is over
 			if uint32(t.ticket>>32) == p.life[t.shard] {
@@ -177,9 +177,9 @@
 		if at, _ := p.acts.Home(name, t.ticket, t.try, service, -1); at != s {
 			continue
 		}
-		_ = e.Held(p.now, uint32(n+1), t.ticket, t.try, t.runs, p.w.Job, 0, service, token, 1, 1)
+		_ = e.OnHeld(p.now, uint32(n+1), t.ticket, t.try, t.runs, p.w.Job, 0, service, token, 1, 1)
 	}
-	e.HeldAll(p.now, uint32(n+1))
+	e.OnHeldAll(p.now, uint32(n+1))
 }
 
 func (p *play) round(s int) {
@@ -203,8 +203,8 @@
 	}
 }
 
-func (d edge) Dial(uint32, string) {}
-func (d edge) Hang(uint32, string) {}
+func (d edge) Dial(uint32, string)       {}
+func (d edge) Disconnect(uint32, string) {}
 func (d edge) Offer(nd uint32, ticket uint64, no uint8, epoch uint32, timeout float64, _, _ int, _, _ uint64, _, _ float64) {
 	p := d.p
 	for n := range nodes { // never two tries out: one that is held, on its way, or told of by a word on its way
@@ -233,33 +233,33 @@
 	d.send(nd, msg{kind: 'c', ticket: ticket, try: no})
 }
 func (d edge) Probe(uint32, uint64) {}
-func (d edge) Follow(bool)          {}
-func (d edge) Reload()              {}
-func (d edge) Mode(string)          {}
+func (d edge) WatchList(bool)       {}
+func (d edge) ReloadList()          {}
+func (d edge) Log(string)           {}
 
-func (d edge) Leave(_ int, _ uint64, epoch uint32, nd uint32, ticket uint64, no uint8) bool {
+func (d edge) PermitAttempt(_ int, _ uint64, epoch uint32, nd uint32, ticket uint64, no uint8) bool {
 	return d.p.acts.Send(name, d.s, epoch, shardownership.Try{Node: nd, Ticket: ticket, No: no})
 }
-func (d edge) Known(_ int, _ uint64, epoch uint32, never bool) {
+func (d edge) RecordOutcome(_ int, _ uint64, epoch uint32, never bool) {
 	d.p.acts.Settle(name, d.s, epoch, never)
 }
-func (d edge) Adopt(_ int, _ uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
+func (d edge) RecoverTask(_ int, _ uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
 	no uint8) (epoch, who uint32, ref uint64, ok bool) {
 	if d.dead() {
 		return 0, 0, 0, false
 	}
 	return d.p.acts.Adopt(name, d.s, shardownership.Ask{Job: job, Service: service}, shardownership.Try{Node: nd, Ticket: ticket, No: no})
 }
-func (d edge) Owned(_ int, _ uint64, epoch uint32, who uint32, ref uint64) {
+func (d edge) SetClient(_ int, _ uint64, epoch uint32, who uint32, ref uint64) {
 	d.p.acts.Owned(name, d.s, epoch, who, ref)
 }
-func (d edge) Dropped(_ int, _ uint64, service uint64, epoch uint32) {
+func (d edge) ReleaseTask(_ int, _ uint64, service uint64, epoch uint32) {
 	d.p.acts.Drop(name, d.s, service, epoch)
 }
-func (d edge) Final(_ int, _ uint64, epoch uint32, served bool) bool {
+func (d edge) PermitAnswer(_ int, _ uint64, epoch uint32, served bool) bool {
 	return d.p.acts.Final(d.p.now, name, d.s, epoch, served)
 }
-func (d edge) Lapsed(uint32, uint64) {
+func (d edge) ExpireRequest(uint32, uint64) {
 	if !d.dead() {
 		d.p.fail("an ask lapsed though nothing stood still")
 	}
@@ -269,7 +269,7 @@
 		d.p.answered(ref, a)
 	}
 }
-func (d edge) Over(uint32, uint64, logic.Verdict, logic.Reason) {
+func (d edge) NotifyEnd(uint32, uint64, logic.Verdict, logic.Reason) {
 	if !d.dead() {
 		d.p.overs++
 	}
@@ -328,19 +328,19 @@
 // hand gives the allocation from one shard to the other, as when it leaves.
 func (p *play) hand(s int) {
 	to, e := 1-s, p.eng[s]
-	parts := e.Parts(nil, true, func(uint64, int) bool { return true })
+	parts := e.CountByService(nil, true, func(uint64, int) bool { return true })
 	var g handover.Giver
 	if give, _ := g.Next(p.now, parts); len(give) == 0 {
 		return
 	}
-	var all []engine.Given
-	e.Give(p.now, service, true, func(g engine.Given) { all = append(all, g) })
+	var all []engine.Transfer
+	e.TransferOut(p.now, service, true, func(g engine.Transfer) { all = append(all, g) })
 	_, _, _ = p.acts.Resize(p.now, 1) // it is to leave, and called back after
 	defer func() { _, _, _ = p.acts.Resize(p.now, shards) }()
 	var items []shardrouter.Item
 	for _, g := range all {
-		items = append(items, shardrouter.Item{Name: name, Epoch: g.Epoch, Runs: g.Runs, Ask: shardownership.Ask{Owner: g.Owner, Ref: g.Ref, Job: g.Job,
-			Service: service, Expiry: g.Expiry}})
+		items = append(items, shardrouter.Item{Name: name, Epoch: g.Epoch, Runs: g.Running, Ask: shardownership.Ask{Owner: g.Client, Ref: g.RequestID, Job: g.JobClass,
+			Service: service, Expiry: g.Deadline}})
 	}
 	for i, f := range p.acts.Hand(p.now, s, items) {
 		g := all[i]
@@ -349,22 +349,22 @@
 			return
 		}
 		to, g.Epoch = f.To, f.Epoch
-		if !g.Runs {
-			_ = p.eng[to].Allocate(p.now, g.Owner, g.Ref, g.Job, g.Tenant, g.Service, g.Token, g.Cores, g.Memory, g.Expiry-p.now, g.Epoch)
+		if !g.Running {
+			_ = p.eng[to].Allocate(p.now, g.Client, g.RequestID, g.JobClass, g.Tenant, g.Service, g.Token, g.Cores, g.Memory, g.Deadline-p.now, g.Epoch)
 			continue
 		}
-		if !p.eng[to].Receive(p.now, g) {
+		if !p.eng[to].TransferIn(p.now, g) {
 			p.fail("what runs was not taken over")
 		}
 		n := int(g.Node) - 1
 		for i := range p.at[n] { // its words go to the other shard from now on
-			if t := &p.at[n][i]; t.ticket == g.Ticket && t.try == g.Try {
+			if t := &p.at[n][i]; t.ticket == g.Ticket && t.try == g.Attempt {
 				t.shard = to
 			}
 		}
 		rest := p.from[s][n][:0]
 		for _, m := range p.from[s][n] {
-			if m.ticket == g.Ticket && m.try == g.Try {
+			if m.ticket == g.Ticket && m.try == g.Attempt {
 				p.from[to][n] = append(p.from[to][n], m)
 			} else {
 				rest = append(rest, m)
@@ -382,7 +382,7 @@
 func (p *play) print() uint64 {
 	b := make([]byte, 0, 512)
 	for s := range shards {
-		b = append(p.eng[s].Dump(b), b2(p.news[s]))
+		b = append(p.eng[s].AppendState(b), b2(p.news[s]))
 		for n := range nodes {
 			b = append(b, byte(n), b2(p.up[s][n]))
 			for _, q := range [][]msg{p.to[s][n], p.from[s][n]} {
@@ -404,7 +404,7 @@
 		}
 	}
 	for _, e := range p.old {
-		b = e.Dump(b)
+		b = e.AppendState(b)
 	}
 	home, _ := p.acts.Home(name, 0, 255, service, -1)
 	b = append(b, byte(home), byte(p.acts.Open()), byte(p.acts.Epoch()))
--- a/internal/serve/check.go
+++ b/internal/serve/check.go
@@ -19,7 +19,7 @@
 	if err := s.acts.Check(func(f func(shard int, n shardownership.Name, epoch uint32)) {
 		for _, sh := range s.living() {
 			if !sh.fenced.Load() {
-				sh.eng.Each(func(tenant int, token uint64, epoch uint32, _ bool) {
+				sh.eng.ForEachAllocation(func(tenant int, token uint64, epoch uint32, _ bool) {
 					f(sh.index, shardownership.Name{Tenant: tenant, Token: token}, epoch)
 				})
 			}
@@ -53,7 +53,7 @@
 	s.desk.Lock()
 	defer s.desk.Unlock()
 	for _, sh := range s.living() {
-		if sh.eng.Knows(ticket, try) {
+		if sh.eng.KnowsAttempt(ticket, try) {
 			return true
 		}
 	}
--- a/internal/serve/drains.go
+++ b/internal/serve/drains.go
@@ -219,10 +219,10 @@
 	}
 	for _, sh := range shards {
 		sh.tell(func(float64) {
-			c := count{sh.life, map[uint32][]int{}, sh.eng.Stats().Tries}
+			c := count{sh.life, map[uint32][]int{}, sh.eng.Stats().Held}
 			for _, id := range ids {
 				c.at[id] = make([]int, len(s.who.Place.Jobs))
-				sh.eng.Running(id, c.at[id])
+				sh.eng.CountRunning(id, c.at[id])
 			}
 			s.desk.Lock()
 			s.counted[sh.index] = c
@@ -288,7 +288,7 @@
 	h.s.marked = 0 // the list hears at the end of this look
 	h.s.desk.Unlock()
 	for _, sh := range h.s.allShards() {
-		sh.tell(func(now float64) { sh.eng.Calendar(now, all, out) })
+		sh.tell(func(now float64) { sh.eng.SetMaintenance(now, all, out) })
 	}
 }
 
@@ -328,7 +328,7 @@
 			if byJob := c.at[id]; byJob != nil {
 				part = min(left, byJob[job])
 			}
-			if part > 0 && sh.tell(func(now float64) { sh.eng.MoveOff(now, id, may, part) }) {
+			if part > 0 && sh.tell(func(now float64) { sh.eng.MigrateFrom(now, id, may, part) }) {
 				left -= part
 			}
 		}
@@ -336,4 +336,4 @@
 	return most - left
 }
 
-func (h drainHands) Mode(line string) { h.s.log.Info().Str("mode", "drains").Msg(line) }
+func (h drainHands) Log(line string) { h.s.log.Info().Str("mode", "drains").Msg(line) }
--- a/internal/serve/hosting.go
+++ b/internal/serve/hosting.go
@@ -253,7 +253,7 @@
 		}
 		for _, sh := range shards {
 			sh.tell(func(now float64) {
-				n := sh.eng.Evict(now, t.Slot, t.Ending == tenancy.Stop)
+				n := sh.eng.EvictTenant(now, t.Slot, t.Ending == tenancy.Stop)
 				s.desk.Lock()
 				if s.clubs.left[t.Slot] == nil {
 					s.clubs.left[t.Slot] = map[int]count{}
@@ -383,7 +383,7 @@
 			o.answer(a.Ref, engine.Declined, 0, "open-already", 0)
 		}
 		if s.owner(a.Owner) == nil && s.hosts() { // it waited in a line, and its owner has left meanwhile
-			sh.eng.OwnerGone(now, a.Owner)
+			sh.eng.OnClientDisconnected(now, a.Owner)
 		}
 	})
 	if !ok && e.Epoch == 0 { // the shard was fenced a moment ago; what was taken for it, its fence has answered or moved
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -186,10 +186,10 @@
 			delete(sh.links, l.nd)
 			for _, m := range unsent {
 				if uint32(m.ticket>>32) == sh.life {
-					sh.eng.Unsent(now, l.nd, m.ticket, m.try)
+					sh.eng.OnUnsent(now, l.nd, m.ticket, m.try)
 				}
 			}
-			sh.eng.Unlinked(now, l.nd, why)
+			sh.eng.OnDisconnected(now, l.nd, why)
 		})
 	}
 	t.mu.Unlock()
@@ -199,7 +199,7 @@
 func (l *link) tellLinked(sh *shard) {
 	sh.tell(func(now float64) {
 		sh.links[l.nd] = l
-		sh.eng.Linked(now, l.nd, l.life, l.since)
+		sh.eng.OnConnected(now, l.nd, l.life, l.since)
 	})
 }
 
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -66,7 +66,7 @@
 
 func (l *link) Started(ticket uint64, try uint8, took float64) error {
 	return l.event(ticket, false, func(sh *shard, now float64) error {
-		return sh.eng.Started(now, l.nd, ticket, try, took)
+		return sh.eng.OnStarted(now, l.nd, ticket, try, took)
 	})
 }
 
@@ -91,7 +91,7 @@
 		return err
 	}
 	l.pass(sh, ticket, func(sh *shard, now float64) error {
-		return sh.eng.Settled(now, l.nd, ticket, try, verdict, why, report)
+		return sh.eng.OnOutcome(now, l.nd, ticket, try, verdict, why, report)
 	})
 	return nil
 }
@@ -100,7 +100,7 @@
 func (l *link) inform(ticket uint64, report []float64) {
 	for _, sh := range l.t.all() {
 		if uint32(ticket>>32) != sh.life {
-			sh.tell(func(now float64) { sh.eng.Hint(now, l.nd, report) })
+			sh.tell(func(now float64) { sh.eng.OnSharedReport(now, l.nd, report) })
 		}
 	}
 }
@@ -108,9 +108,9 @@
 func (l *link) Claimed(ticket uint64, try uint8, claim, reason int) error {
 	return l.event(ticket, false, func(sh *shard, now float64) error {
 		if claim < node.ClaimedOutcome {
-			sh.eng.ClaimedHeld(now, l.nd, ticket, try, claim == node.ClaimedRuns)
+			sh.eng.OnClaimHeld(now, l.nd, ticket, try, claim == node.ClaimedRuns)
 		} else {
-			sh.eng.ClaimedOver(now, l.nd, ticket, try, node.Verdicts[claim-node.ClaimedOutcome], logic.Reason(reason))
+			sh.eng.OnClaimOutcome(now, l.nd, ticket, try, node.Verdicts[claim-node.ClaimedOutcome], logic.Reason(reason))
 		}
 		return nil
 	})
@@ -118,7 +118,7 @@
 
 func (l *link) Noted(ticket uint64, try uint8, kind int, value float64) error {
 	return l.event(ticket, false, func(sh *shard, now float64) error {
-		return sh.eng.Noted(now, l.nd, ticket, try, logic.NoteKind(kind), value)
+		return sh.eng.OnNote(now, l.nd, ticket, try, logic.NoteKind(kind), value)
 	})
 }
 
@@ -130,7 +130,7 @@
 	for _, sh := range l.t.all() {
 		if sh.index == int(seq&0xff) {
 			sh.tell(func(now float64) {
-				if err := sh.eng.Reported(now, l.nd, seq>>8, report); err != nil {
+				if err := sh.eng.OnProbeReport(now, l.nd, seq>>8, report); err != nil {
 					l.end(err.Error(), false)
 				}
 			})
@@ -193,7 +193,7 @@
 		if own {
 			delete(sh.moved, ticket)
 		}
-		err := sh.eng.Held(now, l.nd, ticket, try, state == 1, jobType, tenant, service, token, cores, memory)
+		err := sh.eng.OnHeld(now, l.nd, ticket, try, state == 1, jobType, tenant, service, token, cores, memory)
 		if err != nil {
 			l.end(err.Error(), false)
 		}
@@ -214,7 +214,7 @@
 	l.hearing, l.told = l.hearing[1:], true
 	l.mu.Unlock()
 	for _, sh := range who {
-		sh.tell(func(now float64) { sh.eng.HeldAll(now, l.nd) })
+		sh.tell(func(now float64) { sh.eng.OnHeldAll(now, l.nd) })
 	}
 	return nil
 }
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -360,7 +360,7 @@
 	}
 	s.desk.Unlock()
 	slices.Sort(out)
-	sh.tell(func(now float64) { sh.eng.Calendar(now, out, true) })
+	sh.tell(func(now float64) { sh.eng.SetMaintenance(now, out, true) })
 	s.warn(sh)
 	s.zones.tell(sh)
 }
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -166,7 +166,7 @@
 		held = d.Held(now)
 		lent, lentUntil = d.Lent(now + leaseEarly)
 		d.NodesEnded(func(node uint32, life uint64) {
-			ended = append(ended, func(sh *shard, now float64) { sh.eng.Ended(now, node, life) })
+			ended = append(ended, func(sh *shard, now float64) { sh.eng.OnIncarnationEnded(now, node, life) })
 		})
 	})
 	for _, tell := range ended {
@@ -208,8 +208,8 @@
 	gone := slices.DeleteFunc(slices.Clone(was), func(id uint32) bool { return slices.Contains(nodes, id) })
 	s.log.Info().Str("mode", "members").Int("held", len(nodes)).Int("freed", len(gone)).Msg("nodes held back on the word of others")
 	s.tellShards(func(sh *shard, now float64) {
-		sh.eng.Warned(now, gone, false)
-		sh.eng.Warned(now, nodes, true)
+		sh.eng.SetWarned(now, gone, false)
+		sh.eng.SetWarned(now, nodes, true)
 	})
 }
 
@@ -219,7 +219,7 @@
 	held := s.circle.held
 	s.circle.mu.Unlock()
 	if len(held) > 0 {
-		sh.tell(func(now float64) { sh.eng.Warned(now, held, true) })
+		sh.tell(func(now float64) { sh.eng.SetWarned(now, held, true) })
 	}
 }
 
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -76,13 +76,13 @@
 		out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
 	st, n := c.s.stats()
-	for became, v := range map[string]uint64{"taken": st.Taken, "refused": st.Refused, "served": st.Served, "declined": st.Declined, "failed": st.Failed, "lapsed": st.Lapsed} {
+	for became, v := range map[string]uint64{"taken": st.Admitted, "refused": st.Rejected, "served": st.Served, "declined": st.Declined, "failed": st.Failed, "lapsed": st.Expired} {
 		counter(c.answers, v, became)
 	}
 	counter(c.offers, st.Offers)
 	c.collectProcess(out)
 	gauge(c.open, float64(st.Open))
-	gauge(c.tries, float64(st.Tries))
+	gauge(c.tries, float64(st.Held))
 	gauge(c.shards, float64(n))
 	if c.s.circle.run != nil {
 		c.s.circle.run.See(func(d *membership.Detector) {
@@ -132,15 +132,15 @@
 		select {
 		case st := <-told:
 			shards++
-			sum.Taken += st.Taken
-			sum.Refused += st.Refused
+			sum.Admitted += st.Admitted
+			sum.Rejected += st.Rejected
 			sum.Served += st.Served
 			sum.Declined += st.Declined
 			sum.Failed += st.Failed
-			sum.Lapsed += st.Lapsed
+			sum.Expired += st.Expired
 			sum.Offers += st.Offers
 			sum.Open += st.Open
-			sum.Tries += st.Tries
+			sum.Held += st.Held
 		case <-late:
 			return sum, shards
 		}
--- a/internal/serve/owners.go
+++ b/internal/serve/owners.go
@@ -134,7 +134,7 @@
 	shards := s.living()
 	s.desk.Unlock()
 	for _, sh := range shards {
-		sh.tell(func(now float64) { sh.eng.OwnerGone(now, o.id) })
+		sh.tell(func(now float64) { sh.eng.OnClientDisconnected(now, o.id) })
 	}
 }
 
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -27,7 +27,7 @@
 		}
 	}
 	for _, sh := range shards {
-		sh.tell(func(float64) { sh.eng.Limit(open) })
+		sh.tell(func(float64) { sh.eng.SetOpenLimit(open) })
 	}
 	s.log.Info().Str("mode", "shards").Int("shards", n).Ints("begin", begin).Ints("leave", leave).Msg("number changes")
 	return nil
@@ -95,7 +95,7 @@
 	s.desk.Lock()
 	leaves := s.acts.Leaving(sh.index)
 	s.desk.Unlock()
-	parts := sh.eng.Parts(nil, runsGo, func(service uint64, tenant int) bool {
+	parts := sh.eng.CountByService(nil, runsGo, func(service uint64, tenant int) bool {
 		s.desk.Lock()
 		defer s.desk.Unlock()
 		return s.acts.Goes(sh.index, service, tenant)
@@ -105,11 +105,11 @@
 	s.acts.Rest(now, rest)
 	s.desk.Unlock()
 	for _, service := range services {
-		var all []engine.Given
-		sh.eng.Give(now, service, runsGo, func(g engine.Given) { all = append(all, g) })
+		var all []engine.Transfer
+		sh.eng.TransferOut(now, service, runsGo, func(g engine.Transfer) { all = append(all, g) })
 		s.hand(now, sh, all)
 	}
-	return leaves && sh.eng.Idle()
+	return leaves && sh.eng.IsIdle()
 }
 
 // onTheWay is how long, in ms, after a handover a word for the giver may still wait in a queue of somebody who stood still.
@@ -117,12 +117,12 @@
 
 // hand gives one service's allocations to its next shard: under the desk, so that whoever asks for one of them, or
 // fences one of the two shards, comes before or after.
-func (s *Server) hand(now float64, sh *shard, all []engine.Given) {
+func (s *Server) hand(now float64, sh *shard, all []engine.Transfer) {
 	var items []shardrouter.Item
 	for _, g := range all {
-		items = append(items, shardrouter.Item{Name: shardownership.Name{Tenant: g.Tenant, Token: g.Token}, Epoch: g.Epoch, Runs: g.Runs,
-			Ask: shardownership.Ask{Owner: g.Owner, Ref: g.Ref, Job: g.Job, Service: g.Service, Cores: g.Cores, Memory: g.Memory,
-				Expiry: g.Expiry}})
+		items = append(items, shardrouter.Item{Name: shardownership.Name{Tenant: g.Tenant, Token: g.Token}, Epoch: g.Epoch, Runs: g.Running,
+			Ask: shardownership.Ask{Owner: g.Client, Ref: g.RequestID, Job: g.JobClass, Service: g.Service, Cores: g.Cores, Memory: g.Memory,
+				Expiry: g.Deadline}})
 	}
 	s.desk.Lock()
 	defer s.desk.Unlock()
@@ -133,9 +133,9 @@
 		}
 		to := s.shards[f.To]
 		g.Epoch = f.Epoch
-		s.ownedBy(g.Owner, g.Ref, f.To)
+		s.ownedBy(g.Client, g.RequestID, f.To)
 		s.goOn(to, g)
-		if !g.Runs {
+		if !g.Running {
 			sh.gave[0].Add(1)
 			continue
 		}
@@ -151,20 +151,20 @@
 }
 
 // goOn has a shard go on with what another gave or lost. An owner that left meanwhile told this shard before it knew.
-func (s *Server) goOn(to *shard, g engine.Given) {
+func (s *Server) goOn(to *shard, g engine.Transfer) {
 	to.tell(func(now float64) {
-		if g.Runs {
+		if g.Running {
 			delete(to.moved, g.Ticket) // it is back: a word of it is for nobody else now, or the two would pass it on for good
-			if !to.eng.Receive(now, g) && !to.fenced.Load() {
+			if !to.eng.TransferIn(now, g) && !to.fenced.Load() {
 				s.log.Warn().Str("mode", "shards").Int("shard", to.index).Uint32("node", g.Node).
 					Msg("what runs not taken over; its node will tell of it")
 			}
 		} else {
-			_ = to.eng.Allocate(now, g.Owner, g.Ref, g.Job, g.Tenant, g.Service, g.Token, g.Cores, g.Memory, g.Expiry-now,
+			_ = to.eng.Allocate(now, g.Client, g.RequestID, g.JobClass, g.Tenant, g.Service, g.Token, g.Cores, g.Memory, g.Deadline-now,
 				s.epochNow(shardownership.Name{Tenant: g.Tenant, Token: g.Token}, to, g.Epoch)) // the ask was free at this owner, and still is
 		}
-		if s.owner(g.Owner) == nil {
-			to.eng.OwnerGone(now, g.Owner)
+		if s.owner(g.Client) == nil {
+			to.eng.OnClientDisconnected(now, g.Client)
 		}
 	})
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -47,7 +47,7 @@
 	Ready  func(owners string) // called once when owners may connect
 
 	Plant  Plant
-	Policy engine.Policy // instead of the module, for comparisons
+	Policy engine.PolicyFactory // instead of the module, for comparisons
 
 	// Resize takes wanted numbers of shards while the scheduler runs.
 	Resize <-chan int
@@ -76,10 +76,10 @@
 
 // Plant puts faults into a scheduler, for tests and experiments that must find them; the zero value puts none.
 type Plant struct {
-	Edge  func(engine.Edge) engine.Edge // wraps the effects of each shard's each life
-	News  func(*state.Entry)            // changes what the list tells
-	Trust bool                          // leave is given to any epoch
-	Again bool                          // owners are told each answer twice
+	Edge  func(engine.Effects) engine.Effects // wraps the effects of each shard's each life
+	News  func(*state.Entry)                  // changes what the list tells
+	Trust bool                                // leave is given to any epoch
+	Again bool                                // owners are told each answer twice
 
 	Drains func(upkeep.Hands) upkeep.Hands // wraps what carries out maintenance windows
 
@@ -350,7 +350,7 @@
 			sum.Served += st.Served
 			sum.Declined += st.Declined
 			sum.Failed += st.Failed
-			sum.Refused += st.Refused
+			sum.Rejected += st.Rejected
 			sum.Offers += st.Offers
 		})
 		if !told {
@@ -379,7 +379,7 @@
 		s.over.Store(true)
 		s.closeAll()
 		s.log.Info().Str("mode", "serve").Uint64("served", st.Served).Uint64("declined", st.Declined).
-			Uint64("failed", st.Failed).Uint64("not_taken", st.Refused).Uint64("offers", st.Offers).Msg("scheduler ends")
+			Uint64("failed", st.Failed).Uint64("not_taken", st.Rejected).Uint64("offers", st.Offers).Msg("scheduler ends")
 		then(errors.Join(s.save(), s.folder.Close()))
 		return false
 	})
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -148,37 +148,37 @@
 
 // planted wraps an edge.
 type planted struct {
-	engine.Edge
-	answer func(e engine.Edge, owner uint32, ref uint64, answer engine.Answer, nd uint32)
-	offer  func(e engine.Edge, nd uint32, ticket uint64, try uint8, job int, send func(nd uint32, try uint8))
+	engine.Effects
+	answer func(e engine.Effects, owner uint32, ref uint64, answer engine.Answer, nd uint32)
+	offer  func(e engine.Effects, nd uint32, ticket uint64, try uint8, job int, send func(nd uint32, try uint8))
 }
 
 func (p planted) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
 	if p.answer == nil {
-		p.Edge.Answer(owner, ref, answer, nd, why, holdOff)
+		p.Effects.Answer(owner, ref, answer, nd, why, holdOff)
 	} else {
-		p.answer(p.Edge, owner, ref, answer, nd)
+		p.answer(p.Effects, owner, ref, answer, nd)
 	}
 }
 
 func (p planted) Offer(nd uint32, ticket uint64, try uint8, epoch uint32, timeout float64, job, tenant int,
 	service, token uint64, cores, memory float64) {
 	send := func(nd uint32, try uint8) {
-		p.Edge.Offer(nd, ticket, try, epoch, timeout, job, tenant, service, token, cores, memory)
+		p.Effects.Offer(nd, ticket, try, epoch, timeout, job, tenant, service, token, cores, memory)
 	}
 	if p.offer == nil {
 		send(nd, try)
 	} else {
-		p.offer(p.Edge, nd, ticket, try, job, send)
+		p.offer(p.Effects, nd, ticket, try, job, send)
 	}
 }
 
-func offering(f func(e engine.Edge, nd uint32, ticket uint64, try uint8, job int, send func(nd uint32, try uint8))) Plant {
-	return Plant{Edge: func(e engine.Edge) engine.Edge { return planted{Edge: e, offer: f} }}
+func offering(f func(e engine.Effects, nd uint32, ticket uint64, try uint8, job int, send func(nd uint32, try uint8))) Plant {
+	return Plant{Edge: func(e engine.Effects) engine.Effects { return planted{Effects: e, offer: f} }}
 }
 
-func answering(f func(e engine.Edge, owner uint32, ref uint64, answer engine.Answer, nd uint32)) Plant {
-	return Plant{Edge: func(e engine.Edge) engine.Edge { return planted{Edge: e, answer: f} }}
+func answering(f func(e engine.Effects, owner uint32, ref uint64, answer engine.Answer, nd uint32)) Plant {
+	return Plant{Edge: func(e engine.Effects) engine.Effects { return planted{Effects: e, answer: f} }}
 }
 
 // TestPlanted puts faults into schedulers, two for each rule at least; the auditor must name the rule. Without a
@@ -214,18 +214,18 @@
 		{name: "none, all cold", jobs: "0012", cold: true},
 		{name: "an answer given twice", rule: 1, jobs: "0", Plant: Plant{Again: true}},
 		{name: "no answer", rule: 1, jobs: "0", Plant: answering(
-			func(e engine.Edge, owner uint32, ref uint64, a engine.Answer, nd uint32) {
+			func(e engine.Effects, owner uint32, ref uint64, a engine.Answer, nd uint32) {
 				if ref%5 != 0 {
 					e.Answer(owner, ref, a, nd, "", 0)
 				}
 			})},
 		{name: "a second try while one is out", rule: 2, jobs: "0", Plant: offering(
-			func(_ engine.Edge, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
+			func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
 				send(nd, try)
 				send(nd%4+1, try+1)
 			})},
 		{name: "a run-once one declined that may have run", rule: 2, jobs: "2", trouble: mute, Plant: answering(
-			func(e engine.Edge, owner uint32, ref uint64, a engine.Answer, nd uint32) {
+			func(e engine.Effects, owner uint32, ref uint64, a engine.Answer, nd uint32) {
 				if a == engine.Failed {
 					a = engine.Declined
 				}
@@ -238,7 +238,7 @@
 			p.Cluster.JobTypes[1].Effect = 0
 		}},
 		{name: "a late send to a draining node", rule: 3, jobs: "0", trouble: drain, longer: 2000, Plant: offering(
-			func(_ engine.Edge, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
+			func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
 				if time.Since(lastLate) > 300*time.Millisecond { // each costs the connection, as the engine knows nothing of it
 					nd, lastLate = 1, time.Now()
 				}
@@ -251,12 +251,12 @@
 			}
 		}}},
 		{name: "too many offers to a cold node", rule: 4, jobs: "0", cold: true, Plant: offering(
-			func(_ engine.Edge, _ uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) { send(1, try) })},
+			func(_ engine.Effects, _ uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) { send(1, try) })},
 		{name: "more expected of a cold node than it bears", rule: 4, jobs: "0", cold: true, place: func(p *site.Place) {
 			p.Cluster.ColdBears, p.Cluster.KindCores = 500, []float64{320}
 		}},
 		{name: "a service all at one node", rule: 5, jobs: "1", Plant: offering(
-			func(_ engine.Edge, _ uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) { send(2, try) })},
+			func(_ engine.Effects, _ uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) { send(2, try) })},
 		{name: "a most that is too high", rule: 5, jobs: "1", place: func(p *site.Place) {
 			p.Cluster.JobTypes[1].Most = 50
 		}},
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -55,13 +55,13 @@
 	cl.Index = s.who.Index*place.MostShards + index
 	now := s.w.Now()
 	sh.beat.Store(math.Float64bits(now))
-	var out engine.Edge = edge{sh}
+	var out engine.Effects = edge{sh}
 	if s.who.Plant.Edge != nil {
 		out = s.who.Plant.Edge(out)
 	}
-	sh.eng = engine.New(out, now, engine.Terms{Cluster: &cl, Shares: place.Shares,
-		Open: s.acts.OpenEach(place.Shards), Margin: place.Margin, Settle: place.Settle,
-		Policy: s.who.Policy, Life: life, Seed: s.who.Seed + uint64(life)*0x9e3779b97f4a7c15, Clock: float64(outside.Epoch.UnixMilli()), Lives: s.nodeLives})
+	sh.eng = engine.New(out, now, engine.Config{Cluster: &cl, Shares: place.Shares,
+		MaxOpen: s.acts.OpenEach(place.Shards), AnswerMargin: place.Margin, SettleTime: place.Settle,
+		NewPolicy: s.who.Policy, Incarnation: life, Seed: s.who.Seed + uint64(life)*0x9e3779b97f4a7c15, WallClockStart: float64(outside.Epoch.UnixMilli()), AliveAtPeers: s.nodeLives})
 	if s.who.Place.Members.Listen != "" {
 		sh.eng.Sharing(0) // until the others have given leave
 	}
@@ -128,7 +128,7 @@
 	sh.eng.Round(sh.last)
 	sh.inbox.done()
 	sh.worked(began)
-	return min(1000, max(0, sh.eng.Next()-sh.last))
+	return min(1000, max(0, sh.eng.NextRound()-sh.last))
 }
 
 // worked tells the gate what the round took.
@@ -147,9 +147,9 @@
 // hearList tells the shard news of the node list.
 func (sh *shard) hearList(kind logic.ListKind, entries []listEntry) {
 	sh.tell(func(now float64) {
-		sh.eng.ListBegin(now, kind)
+		sh.eng.BeginList(now, kind)
 		sh.tellNodes(entries)
-		sh.eng.ListEnd()
+		sh.eng.EndList()
 	})
 }
 
@@ -157,7 +157,7 @@
 func (sh *shard) tellNodes(entries []listEntry) {
 	for i := range entries {
 		en := &entries[i]
-		sh.eng.ListNode(en.ID, en.Address, logic.Availability(en.Avail), en.StartedAt, en.FreeCores, en.FreeMemory,
+		sh.eng.AddListNode(en.ID, en.Address, logic.Availability(en.Avail), en.StartedAt, en.FreeCores, en.FreeMemory,
 			en.zone, en.cell, en.kind)
 	}
 }
@@ -179,13 +179,13 @@
 	}
 }
 
-func (d edge) Hang(nd uint32, why string) {
+func (d edge) Disconnect(nd uint32, why string) {
 	if l := d.sh.links[nd]; l != nil && !d.dead() {
 		l.end(why, false)
 	}
 }
 
-func (d edge) Follow(active bool) {
+func (d edge) WatchList(active bool) {
 	if active {
 		d.sh.s.lister.call(watchCall)
 	} else {
@@ -193,13 +193,13 @@
 	}
 }
 
-func (d edge) Reload() { d.sh.s.lister.call(wholeCall) }
+func (d edge) ReloadList() { d.sh.s.lister.call(wholeCall) }
 
-func (d edge) Mode(line string) {
+func (d edge) Log(line string) {
 	d.sh.s.log.Info().Str("mode", "engine").Int("shard", d.sh.index).Msg(line)
 }
 
-func (d edge) Leave(tenant int, token uint64, epoch uint32, nd uint32, ticket uint64, try uint8) bool {
+func (d edge) PermitAttempt(tenant int, token uint64, epoch uint32, nd uint32, ticket uint64, try uint8) bool {
 	s := d.sh.s
 	s.desk.Lock()
 	defer s.desk.Unlock()
@@ -207,21 +207,21 @@
 		shardownership.Try{Node: nd, Ticket: ticket, No: try})
 }
 
-func (d edge) Known(tenant int, token uint64, epoch uint32, never bool) {
+func (d edge) RecordOutcome(tenant int, token uint64, epoch uint32, never bool) {
 	s := d.sh.s
 	s.desk.Lock()
 	s.acts.Settle(shardownership.Name{Tenant: tenant, Token: token}, d.sh.index, epoch, never)
 	s.desk.Unlock()
 }
 
-func (d edge) Owned(tenant int, token uint64, epoch, owner uint32, ref uint64) {
+func (d edge) SetClient(tenant int, token uint64, epoch, owner uint32, ref uint64) {
 	s := d.sh.s
 	s.desk.Lock()
 	s.acts.Owned(shardownership.Name{Tenant: tenant, Token: token}, d.sh.index, epoch, owner, ref)
 	s.desk.Unlock()
 }
 
-func (d edge) Adopt(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32,
+func (d edge) RecoverTask(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32,
 	ticket uint64, try uint8) (epoch, owner uint32, ref uint64, ok bool) {
 	s, n := d.sh.s, shardownership.Name{Tenant: tenant, Token: token}
 	s.desk.Lock()
@@ -237,7 +237,7 @@
 	return epoch, owner, ref, ok
 }
 
-func (d edge) Dropped(tenant int, token uint64, service uint64, epoch uint32) {
+func (d edge) ReleaseTask(tenant int, token uint64, service uint64, epoch uint32) {
 	s := d.sh.s
 	s.desk.Lock()
 	s.acts.Drop(shardownership.Name{Tenant: tenant, Token: token}, d.sh.index, service, epoch)
@@ -245,7 +245,7 @@
 	s.desk.Unlock()
 }
 
-func (d edge) Final(tenant int, token uint64, epoch uint32, served bool) bool {
+func (d edge) PermitAnswer(tenant int, token uint64, epoch uint32, served bool) bool {
 	s := d.sh.s
 	s.desk.Lock()
 	defer s.desk.Unlock()
@@ -259,7 +259,7 @@
 	}
 }
 
-func (d edge) Over(owner uint32, ref uint64, verdict logic.Verdict, why logic.Reason) {
+func (d edge) NotifyEnd(owner uint32, ref uint64, verdict logic.Verdict, why logic.Reason) {
 	if d.dead() {
 		return
 	}
@@ -268,7 +268,7 @@
 	}
 }
 
-func (d edge) Lapsed(owner uint32, ref uint64) {
+func (d edge) ExpireRequest(owner uint32, ref uint64) {
 	if o := d.sh.s.owner(owner); o != nil && !d.dead() {
 		o.end(ref)
 	}
@@ -305,8 +305,8 @@
 		switch {
 		case f.Fate == shardownership.Moves:
 			s.ownedBy(a.Owner, a.Ref, f.To)
-			s.goOn(s.shards[f.To], engine.Given{Owner: a.Owner, Ref: a.Ref, Job: a.Job, Tenant: f.Name.Tenant, Service: a.Service,
-				Token: f.Name.Token, Cores: a.Cores, Memory: a.Memory, Expiry: a.Expiry, Epoch: f.Epoch})
+			s.goOn(s.shards[f.To], engine.Transfer{Client: a.Owner, RequestID: a.Ref, JobClass: a.Job, Tenant: f.Name.Tenant, Service: a.Service,
+				Token: f.Name.Token, Cores: a.Cores, Memory: a.Memory, Deadline: a.Expiry, Epoch: f.Epoch})
 		case f.Fate == shardownership.Continues:
 		case s.w.Now() >= a.Expiry: // its owner has given up by itself
 			if x := s.owner(a.Owner); x != nil {
--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -38,11 +38,11 @@
 			place := *s.place
 			place.Shards, place.MostShards, place.Connections = 3, 3, c.share
 			var offers, lives atomic.Int32
-			s.start(0, place, Plant{Edge: func(e engine.Edge) engine.Edge {
+			s.start(0, place, Plant{Edge: func(e engine.Effects) engine.Effects {
 				if lives.Add(1) != 2 { // the second shard's first life alone
 					return e
 				}
-				return planted{Edge: e, offer: func(_ engine.Edge, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
+				return planted{Effects: e, offer: func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
 					send(nd, try)
 					if offers.Add(1) == 25 {
 						c.harm()
@@ -287,11 +287,11 @@
 	var lives atomic.Int32
 	resize := make(chan int, 1)
 	s.tune = func(who *Scheduler) { who.Resize, who.Log = resize, zerolog.New(&log) }
-	s.start(0, place, Plant{Edge: func(e engine.Edge) engine.Edge {
+	s.start(0, place, Plant{Edge: func(e engine.Effects) engine.Effects {
 		if lives.Add(1) != 2 {
 			return e
 		}
-		return planted{Edge: e, offer: func(_ engine.Edge, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
+		return planted{Effects: e, offer: func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
 			if fence.Load() {
 				panic("planted")
 			}
--- a/internal/serve/trunk.go
+++ b/internal/serve/trunk.go
@@ -115,7 +115,7 @@
 		t.s.set.onVisitFailed(nd)
 	}
 	for _, sh := range t.all() {
-		sh.tell(func(now float64) { sh.eng.DialFailed(now, nd, err.Error()) })
+		sh.tell(func(now float64) { sh.eng.OnDialFailed(now, nd, err.Error()) })
 	}
 	t.s.log.Debug().Uint32("node", nd).Err(err).Msg("no connection")
 }
--- a/internal/serve/workingset.go
+++ b/internal/serve/workingset.go
@@ -177,7 +177,7 @@
 		}
 	}
 	entries := v.entriesOf(ids)
-	sh.tell(func(now float64) { sh.eng.SetAside(now, outside, true) })
+	sh.tell(func(now float64) { sh.eng.SetOutsideWorkingSet(now, outside, true) })
 	sh.hearList(logic.ListCached, entries)
 }
 
@@ -316,7 +316,7 @@
 // setAside has all shards set nodes aside, or no longer.
 func (v *nodeSet) setAside(ids []uint32, out bool) {
 	if len(ids) > 0 {
-		v.s.tellShards(func(sh *shard, now float64) { sh.eng.SetAside(now, ids, out) })
+		v.s.tellShards(func(sh *shard, now float64) { sh.eng.SetOutsideWorkingSet(now, ids, out) })
 	}
 }
 
@@ -327,8 +327,8 @@
 	}
 	entries := v.entriesOf(ids)
 	v.s.tellShards(func(sh *shard, now float64) {
-		sh.eng.SetAside(now, ids, outside)
-		sh.eng.EnterNodes(now, isNew)
+		sh.eng.SetOutsideWorkingSet(now, ids, outside)
+		sh.eng.BeginWorkingSet(now, isNew)
 		sh.tellNodes(entries)
 	})
 }
@@ -395,7 +395,7 @@
 // letGo has a shard release a node.
 func (v *nodeSet) letGo(sh *shard, now float64, id uint32) bool {
 	if v.s.who.Plant.AbandonsTasks {
-		sh.eng.Abandon(now, id)
+		sh.eng.ForceRelease(now, id)
 		return true
 	}
 	return sh.eng.Release(now, id)
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -142,8 +142,8 @@
 	freed := slices.DeleteFunc(slices.Clone(v.out), func(id uint32) bool { _, is := slices.BinarySearch(out, id); return is })
 	v.out = out
 	s.tellShards(func(sh *shard, now float64) {
-		sh.eng.Zoned(now, freed, false)
-		sh.eng.Zoned(now, out, true)
+		sh.eng.SetZoneClosed(now, freed, false)
+		sh.eng.SetZoneClosed(now, out, true)
 	})
 }
 
@@ -196,7 +196,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for _, n := range nodes {
-			sum[n.zone] += sh.eng.Cores(n.id)
+			sum[n.zone] += sh.eng.CoresAt(n.id)
 		}
 		if left--; left == 0 {
 			v.mu.Lock()
@@ -214,7 +214,7 @@
 	v.mu.Lock()
 	out := slices.Clone(v.out)
 	v.mu.Unlock()
-	sh.tell(func(now float64) { sh.eng.Zoned(now, out, true) })
+	sh.tell(func(now float64) { sh.eng.SetZoneClosed(now, out, true) })
 }
 
 // shown is which parts of zones are used, and how far this scheduler looks.
--- a/internal/upkeep/upkeep.go
+++ b/internal/upkeep/upkeep.go
@@ -20,7 +20,7 @@
 	Running(nodes []string) (there []int, all int)
 	// MoveOff stops up to so many allocations of a job type at nodes.
 	MoveOff(nodes []string, job, most int) int
-	Mode(line string)
+	Log(line string)
 }
 
 // Store keeps what was begun.
@@ -143,7 +143,7 @@
 	if !k.told[name(v)] { // after a restart it is announced again: to do so twice changes nothing, not to would
 		k.Hands.Out(v.Nodes, true)
 		k.told[name(v)] = true
-		k.Hands.Mode(fmt.Sprintf("window %s: %d nodes drain until %s", v.Window, len(v.Nodes), v.End.UTC().Format(time.RFC3339)))
+		k.Hands.Log(fmt.Sprintf("window %s: %d nodes drain until %s", v.Window, len(v.Nodes), v.End.UTC().Format(time.RFC3339)))
 		if err := reach(drains.Announced); err != nil {
 			return err
 		}
@@ -154,7 +154,7 @@
 		left += n
 	}
 	if left == 0 && b.Stage < drains.Emptied {
-		k.Hands.Mode(fmt.Sprintf("window %s: empty after %.0f s", v.Window, now.Sub(b.At[drains.Opened]).Seconds()))
+		k.Hands.Log(fmt.Sprintf("window %s: empty after %.0f s", v.Window, now.Sub(b.At[drains.Opened]).Seconds()))
 		if err := reach(drains.Emptied); err != nil {
 			return err
 		}
@@ -166,7 +166,7 @@
 	if why := k.world(v); why != "" { // nothing new goes there, but what runs stays while the rest has no room for it
 		if !k.spared[name(v)] {
 			k.spared[name(v)] = true
-			k.Hands.Mode(fmt.Sprintf("window %s: work is left where it is: %s", v.Window, why))
+			k.Hands.Log(fmt.Sprintf("window %s: work is left where it is: %s", v.Window, why))
 		}
 		return nil
 	}
@@ -215,6 +215,6 @@
 	if cancelled {
 		word = "cancelled"
 	}
-	k.Hands.Mode(fmt.Sprintf("window %s: %s, %d nodes back, %d allocations still there", v.Window, word, len(back), left))
+	k.Hands.Log(fmt.Sprintf("window %s: %s, %d nodes back, %d allocations still there", v.Window, word, len(back), left))
 	return nil
 }
--- a/internal/upkeep/upkeep_test.go
+++ b/internal/upkeep/upkeep_test.go
@@ -57,7 +57,7 @@
 	return 0
 }
 
-func (h *hands) Mode(line string) { h.lines = append(h.lines, line) }
+func (h *hands) Log(line string) { h.lines = append(h.lines, line) }
 
 func world(t *testing.T, windows ...calendar.Window) (string, *drains.Store, *Keeper, *hands) {
 	dir := t.TempDir()
