--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -113,7 +113,7 @@
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		if e.door.Open() != many {
+		if e.admission.Open() != many {
 			b.Fatal("not all open")
 		}
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/many, "B/open")
@@ -125,25 +125,25 @@
 func BenchmarkTries(b *testing.B) {
 	const many = 10000
 	b.Run("table and map", func(b *testing.B) {
-		table, at := make([]alloc, many), map[uint32]int{}
+		table, at := make([]allocation, many), map[uint32]int{}
 		for i := range many {
 			at[uint32(i)] = i
 		}
 		sum := 0.0
 		for i := uint32(0); b.Loop(); i++ {
-			sum += table[at[i*7919%many]].expiry
+			sum += table[at[i*7919%many]].deadline
 		}
 	})
 	b.Run("map of pointers with a lock", func(b *testing.B) {
 		var mu sync.RWMutex
-		at := map[uint64]*alloc{}
+		at := map[uint64]*allocation{}
 		for i := range uint64(many) {
-			at[1<<32|i] = &alloc{}
+			at[1<<32|i] = &allocation{}
 		}
 		sum := 0.0
 		for i := uint64(0); b.Loop(); i++ {
 			mu.RLock()
-			sum += at[1<<32|i*7919%many].expiry
+			sum += at[1<<32|i*7919%many].deadline
 			mu.RUnlock()
 		}
 	})
--- a/internal/engine/dump.go
+++ b/internal/engine/dump.go
@@ -31,33 +31,33 @@
 		}
 	}
 	var live []int
-	for p := range e.allocs {
-		if q, ok := e.at[e.allocs[p].id]; ok && q == p {
+	for p := range e.allocations {
+		if q, ok := e.byID[e.allocations[p].id]; ok && q == p {
 			live = append(live, p)
 		}
 	}
-	slices.SortFunc(live, func(x, y int) int { return cmp.Compare(e.allocs[x].ticket, e.allocs[y].ticket) })
+	slices.SortFunc(live, func(x, y int) int { return cmp.Compare(e.allocations[x].ticket, e.allocations[y].ticket) })
 	for _, p := range live {
-		a := &e.allocs[p]
-		num(float64(a.id), float64(a.try), float64(a.phase), float64(a.owner), float64(a.ref), float64(a.ticket), float64(a.epoch),
-			rel(a.expiry), rel(a.dueAt), rel(a.doubtAt), float64(a.nd), float64(a.late.ticket), float64(a.late.try))
-		flag(a.answered, a.recalled, a.tried, a.found, a.stopping, a.mayHave, a.seen)
+		a := &e.allocations[p]
+		num(float64(a.id), float64(a.attempt), float64(a.phase), float64(a.client), float64(a.requestID), float64(a.ticket), float64(a.epoch),
+			rel(a.deadline), rel(a.dueAt), rel(a.confirmBy), float64(a.nodeIndex), float64(a.lateStart.ticket), float64(a.lateStart.number))
+		flag(a.answered, a.recalled, a.attempted, a.recovered, a.stopping, a.mayHaveRun, a.reported)
 	}
-	var names []tryName
-	for name := range e.ghosts {
+	var names []attemptID
+	for name := range e.abandoned {
 		names = append(names, name)
 	}
-	slices.SortFunc(names, tryName.compare)
+	slices.SortFunc(names, attemptID.compare)
 	for _, name := range names {
-		g := e.ghosts[name]
-		num(float64(name.ticket), float64(name.try), float64(g.alloc), float64(g.nd), float64(g.counts), rel(g.sentAt))
+		g := e.abandoned[name]
+		num(float64(name.ticket), float64(name.number), float64(g.allocationID), float64(g.nodeIndex), float64(g.policyID), rel(g.sentAt))
 		flag(g.started, g.stopped)
 	}
 	for i := range e.nodes {
 		n := &e.nodes[i]
-		num(float64(n.avail), float64(n.life))
-		flag(n.out, n.same, n.linked, n.ready, n.probing)
+		num(float64(n.availability), float64(n.incarnation))
+		flag(n.excluded, n.sameIncarnation, n.connected, n.ready, n.probing)
 	}
-	num(float64(len(e.soon)), float64(len(e.claims)), e.NextRound()-e.now)
+	num(float64(len(e.deferred)), float64(len(e.claims)), e.NextRound()-e.now)
 	return b
 }
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -6,106 +6,108 @@
 	"ravenpond/internal/decide/outcome"
 )
 
-// host carries out what the module decides.
-type host struct{ e *Engine }
+// policyEffects carries out what the module decides.
+type policyEffects struct{ e *Engine }
 
-func (h host) Offer(id, nodeID uint32, timeout float64) {
+func (h policyEffects) Offer(id, nodeID uint32, timeout float64) {
 	e := h.e
-	p := e.at[id]
-	a := &e.allocs[p]
-	nd := e.nodeAt[nodeID]
-	if a.tried {
-		a.try++
+	p := e.byID[id]
+	a := &e.allocations[p]
+	nd := e.nodeIndex[nodeID]
+	if a.attempted {
+		a.attempt++
 	}
-	a.tried = true
-	a.sentAt, a.recalled, a.doubtAt = e.now, false, 0
-	a.dueAt = min(e.now+timeout, a.expiry)
+	a.attempted = true
+	a.sentAt, a.recalled, a.confirmBy = e.now, false, 0
+	a.dueAt = min(e.now+timeout, a.deadline)
 	e.stats.Offers++
-	e.put(p, nd)
+	e.attach(p, nd)
 	if n := &e.nodes[nd]; n.ready {
-		e.send(a, n)
+		e.sendOffer(a, n)
 		return
 	}
-	a.phase = held
+	a.phase = phaseConnecting
 	e.pacer.Want(e.now, nd)
-	e.bells.Set(e.now+min(outcome.LinkFor(), timeout), dueLink, tryKey(id, a.try))
+	e.timers.Set(e.now+min(outcome.LinkFor(), timeout), timerConnect, attemptTimerKey(id, a.attempt))
 }
 
-func (e *Engine) send(a *alloc, n *node) {
-	a.phase = out
-	if !e.edge.PermitAttempt(a.tenant, a.token, a.epoch, n.id, a.ticket, a.try) {
-		a.phase = held // never sent, and no other try will be either
-		e.unsend(a)
+func (e *Engine) sendOffer(a *allocation, n *node) {
+	a.phase = phaseInFlight
+	if !e.effects.PermitAttempt(a.tenant, a.token, a.epoch, n.id, a.ticket, a.attempt) {
+		a.phase = phaseConnecting // never sent, and no other try will be either
+		e.cancelUnsent(a)
 		return
 	}
-	e.bells.Set(a.dueAt, dueTry, tryKey(a.id, a.try))
-	e.edge.Offer(n.id, a.ticket, a.try, a.epoch, a.dueAt-e.now, a.job, a.tenant, a.service, a.token, a.cores, a.memory)
+	e.timers.Set(a.dueAt, timerAttempt, attemptTimerKey(a.id, a.attempt))
+	e.effects.Offer(n.id, a.ticket, a.attempt, a.epoch, a.dueAt-e.now, a.jobClass, a.tenant, a.service, a.token, a.cores, a.memory)
 }
 
-func (h host) Decline(id uint32, holdOff float64) { h.e.final(id, Declined, holdOff) }
+func (h policyEffects) Decline(id uint32, holdOff float64) {
+	h.e.giveFinalAnswer(id, Declined, holdOff)
+}
 
-func (h host) Fail(id uint32) { h.e.final(id, Failed, 0) }
+func (h policyEffects) Fail(id uint32) { h.e.giveFinalAnswer(id, Failed, 0) }
 
-func (e *Engine) final(id uint32, answer Answer, holdOff float64) {
-	p, ok := e.at[id]
-	if !ok || e.allocs[p].answered {
+func (e *Engine) giveFinalAnswer(id uint32, answer Answer, holdOff float64) {
+	p, ok := e.byID[id]
+	if !ok || e.allocations[p].answered {
 		return
 	}
-	a := &e.allocs[p]
+	a := &e.allocations[p]
 	e.answer(a, answer, 0, "", holdOff)
-	late := a.late
-	a.late = tryName{}
-	if a.phase == waits {
-		e.drop(p)
+	late := a.lateStart
+	a.lateStart = attemptID{}
+	if a.phase == phaseWaiting {
+		e.forgetAllocation(p)
 	}
-	e.lapseLate(late)
+	e.resolveLateStart(late)
 }
 
-func (h host) Recall(id uint32, try uint8) {
+func (h policyEffects) Recall(id uint32, try uint8) {
 	e := h.e
-	p, ok := e.at[id]
-	if !ok || e.allocs[p].try != try {
+	p, ok := e.byID[id]
+	if !ok || e.allocations[p].attempt != try {
 		return
 	}
-	switch a := &e.allocs[p]; a.phase {
-	case held:
-		e.unsend(a)
-	case out:
+	switch a := &e.allocations[p]; a.phase {
+	case phaseConnecting:
+		e.cancelUnsent(a)
+	case phaseInFlight:
 		if !a.recalled {
 			e.recall(a)
 		}
 	}
 }
 
-func (h host) Move(id uint32) {
-	if p, ok := h.e.at[id]; ok && h.e.allocs[p].phase == runs {
-		h.e.stop(&h.e.allocs[p])
+func (h policyEffects) Move(id uint32) {
+	if p, ok := h.e.byID[id]; ok && h.e.allocations[p].phase == phaseRunning {
+		h.e.stop(&h.e.allocations[p])
 	}
 }
 
-func (h host) Probe(nodeID uint32) {
+func (h policyEffects) Probe(nodeID uint32) {
 	e := h.e
-	nd := e.nodeAt[nodeID]
+	nd := e.nodeIndex[nodeID]
 	n := &e.nodes[nd]
 	if n.probing {
 		return
 	}
-	n.probing, n.sent, n.probeAt = true, n.ready, e.now
+	n.probing, n.probeSent, n.probeStartedAt = true, n.ready, e.now
 	n.probeSeq++
-	e.bells.Set(e.now+outcome.ProbeFor(), dueProbe, uint64(uint32(n.probeSeq))<<32|uint64(uint32(nd)))
+	e.timers.Set(e.now+outcome.ProbeFor(), timerProbe, uint64(uint32(n.probeSeq))<<32|uint64(uint32(nd)))
 	if n.ready {
-		e.edge.Probe(n.id, n.probeSeq)
+		e.effects.Probe(n.id, n.probeSeq)
 	} else {
 		e.pacer.Want(e.now, nd)
 	}
 }
 
-func (h host) Follow(active bool) { h.e.edge.WatchList(active) }
+func (h policyEffects) Follow(active bool) { h.e.effects.WatchList(active) }
 
-func (h host) Reload() { h.e.edge.ReloadList() }
+func (h policyEffects) Reload() { h.e.effects.ReloadList() }
 
-func (h host) Wake(delay float64, key uint64) {
-	h.e.bells.Set(h.e.now+math.Max(0, delay), dueWake, key)
+func (h policyEffects) Wake(delay float64, key uint64) {
+	h.e.timers.Set(h.e.now+math.Max(0, delay), timerPolicyWake, key)
 }
 
-func (h host) Log(line string) { h.e.edge.Log(line) }
+func (h policyEffects) Log(line string) { h.e.effects.Log(line) }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -91,116 +91,116 @@
 type phase uint8
 
 const (
-	waits phase = iota // no try is out
-	held               // a try waits for its node's connection and was never sent
-	out                // a try is out
-	runs
+	phaseWaiting    phase = iota // no try is out
+	phaseConnecting              // a try waits for its node's connection and was never sent
+	phaseInFlight                // a try is out
+	phaseRunning
 )
 
 const (
-	nobody = 0 // the owner of what nobody waits for
+	noClient = 0 // the owner of what nobody waits for
 )
 
-type alloc struct {
-	id             uint32
-	try            uint8
-	phase          phase
-	answered       bool
-	recalled       bool
-	tried          bool // its first try was sent
-	found          bool // the module knows its running try as the first
-	stopping       bool
-	mayHave        bool // an earlier try may have run
-	seen           bool // named by its node since it came back
-	job, tenant    int
-	owner          uint32
-	ref            uint64
-	ticket         uint64 // of the try that is out or runs
-	epoch          uint32
-	service, token uint64
-	cores, memory  float64
-	expiry         float64 // the owner's
-	sentAt         float64
-	dueAt          float64 // the time-out of the try
-	waitsSince     float64 // without an attempt
-	doubtAt        float64 // end of waiting for word of it, 0: not in doubt
-	nd             int
-	place          int // among its node's
-	late           tryName
+type allocation struct {
+	id               uint32
+	attempt          uint8
+	phase            phase
+	answered         bool
+	recalled         bool
+	attempted        bool // its first try was sent
+	recovered        bool // the module knows its running try as the first
+	stopping         bool
+	mayHaveRun       bool // an earlier try may have run
+	reported         bool // named by its node since it came back
+	jobClass, tenant int
+	client           uint32
+	requestID        uint64
+	ticket           uint64 // of the try that is out or runs
+	epoch            uint32
+	service, token   uint64
+	cores, memory    float64
+	deadline         float64 // the owner's
+	sentAt           float64
+	dueAt            float64 // the time-out of the try
+	waitingSince     float64 // without an attempt
+	confirmBy        float64 // end of waiting for word of it, 0: not in doubt
+	nodeIndex        int
+	positionAtNode   int // among its node's
+	lateStart        attemptID
 }
 
 type node struct {
-	id       uint32
-	address  string
-	avail    logic.Availability
-	last     entry
-	out      bool // for maintenance
-	page     int
-	life     uint64
-	began    float64 // the start of its life as it said itself, later than what the list knew then
-	lostAt   float64 // when its connection ended last
-	waited   bool    // and what ran there was waited for longer since, on the word of others
-	same     bool    // it came back in the life in which it was left
-	linked   bool
-	ready    bool // and has told all that it holds
-	heldAll  bool // it has told that at least once
-	delayed  bool // its start counts as later than the list has it
-	released bool // it is outside the working set and nothing stands there
-	probing  bool
-	sent     bool // the probe is on its way
-	probeSeq uint64
-	probeAt  float64
-	on       []int // places of allocations with a try here
-	ghosts   int
+	id              uint32
+	address         string
+	availability    logic.Availability
+	listed          listEntry
+	excluded        bool // for maintenance
+	listGeneration  int
+	incarnation     uint64
+	startedAt       float64 // the start of its life as it said itself, later than what the list knew then
+	lostAt          float64 // when its connection ended last
+	graceExtended   bool    // and what ran there was waited for longer since, on the word of others
+	sameIncarnation bool    // it came back in the life in which it was left
+	connected       bool
+	ready           bool // and has told all that it holds
+	everReady       bool // it has told that at least once
+	startDelayed    bool // its start counts as later than the list has it
+	released        bool // it is outside the working set and nothing stands there
+	probing         bool
+	probeSent       bool // the probe is on its way
+	probeSeq        uint64
+	probeStartedAt  float64
+	allocations     []int // places of allocations with a try here
+	abandoned       int
 }
 
-type named struct {
+type idempotencyKey struct {
 	tenant int
 	token  uint64
 }
 
-// ask is an owner's reference to what it asked for.
-type ask struct {
-	owner uint32
-	ref   uint64
+// requestKey is an owner's reference to what it asked for.
+type requestKey struct {
+	client    uint32
+	requestID uint64
 }
 
-type settlement struct {
-	id      uint32
-	try     uint8
-	verdict logic.Verdict
+type deferredOutcome struct {
+	allocationID uint32
+	attempt      uint8
+	verdict      logic.Verdict
 }
 
 // Engine is one scheduler.
 type Engine struct {
-	edge    Effects
-	sched   logic.Told
-	terms   Config
-	effects []logic.Effect
-	now     float64
-	bells   timers.Heap[due]
-	pacer   *reconnect.Pacer
-	door    *admit.Door
-	watch   pausedetect.Detector
-	news    bool
-
-	allocs   []alloc
-	free     []int
-	at       map[uint32]int    // places of allocations by the module's id
-	byToken  map[named]int     // the open or running one of a token
-	asks     map[ask]int       // what owners were not yet told the end of
-	adopted  map[tryName]int   // running ones whose ticket is not their id's
-	ghosts   map[tryName]ghost // given up tries
-	claims   []claim
-	ids      uint32
-	soon     []settlement // outcomes known while the module decides
-	nodes    []node
-	nodeAt   map[uint32]int
-	outs     map[uint32]uint8 // nodes that are kept out, known or not, and why
-	page     int
-	listKind logic.ListKind
-	entering bool // the news is of nodes that enter the working set
-	stats    Stats
+	effects       Effects
+	policy        logic.Told
+	config        Config
+	jobEffects    []logic.Effect
+	now           float64
+	timers        timers.Heap[timerKind]
+	pacer         *reconnect.Pacer
+	admission     *admit.Door
+	pauseDetector pausedetect.Detector
+	hasEvents     bool
+
+	allocations    []allocation
+	free           []int
+	byID           map[uint32]int                 // places of allocations by the module's id
+	byKey          map[idempotencyKey]int         // the open or running one of a token
+	requests       map[requestKey]int             // what owners were not yet told the end of
+	recovered      map[attemptID]int              // running ones whose ticket is not their id's
+	abandoned      map[attemptID]abandonedAttempt // given up tries
+	claims         []pendingClaim
+	lastID         uint32
+	deferred       []deferredOutcome // outcomes known while the module decides
+	nodes          []node
+	nodeIndex      map[uint32]int
+	exclusions     map[uint32]uint8 // nodes that are kept out, known or not, and why
+	listGeneration int
+	listKind       logic.ListKind
+	enteringNodes  bool // the news is of nodes that enter the working set
+	stats          Stats
 }
 
 // Stats are counts since the start.
@@ -211,17 +211,17 @@
 
 // New starts an engine at a time. The last list known comes next.
 func New(edge Effects, now float64, terms Config) *Engine {
-	e := &Engine{edge: edge, terms: terms, now: now, pacer: reconnect.New(terms.Seed),
-		door: admit.New(terms.MaxOpen, terms.Shares), at: map[uint32]int{}, byToken: map[named]int{}, asks: map[ask]int{},
-		adopted: map[tryName]int{}, ghosts: map[tryName]ghost{}, nodeAt: map[uint32]int{},
-		outs: map[uint32]uint8{}}
+	e := &Engine{effects: edge, config: terms, now: now, pacer: reconnect.New(terms.Seed),
+		admission: admit.New(terms.MaxOpen, terms.Shares), byID: map[uint32]int{}, byKey: map[idempotencyKey]int{}, requests: map[requestKey]int{},
+		recovered: map[attemptID]int{}, abandoned: map[attemptID]abandonedAttempt{}, nodeIndex: map[uint32]int{},
+		exclusions: map[uint32]uint8{}}
 	for _, jt := range terms.Cluster.JobTypes {
-		e.effects = append(e.effects, jt.Effect)
+		e.jobEffects = append(e.jobEffects, jt.Effect)
 	}
 	if terms.NewPolicy != nil {
-		e.sched = terms.NewPolicy(host{e}, now, terms.Seed, terms.Cluster)
+		e.policy = terms.NewPolicy(policyEffects{e}, now, terms.Seed, terms.Cluster)
 	} else {
-		e.sched = logic.New(host{e}, now, terms.Seed, terms.Cluster)
+		e.policy = logic.New(policyEffects{e}, now, terms.Seed, terms.Cluster)
 	}
 	return e
 }
@@ -229,145 +229,145 @@
 // Stats returns the counts.
 func (e *Engine) Stats() Stats {
 	s := e.stats
-	s.Open, s.Held, s.Abandoned = e.door.Open(), len(e.at), len(e.ghosts)
+	s.Open, s.Held, s.Abandoned = e.admission.Open(), len(e.byID), len(e.abandoned)
 	return s
 }
 
 // Round acts on what is due and lets the module decide on the news since the last.
 func (e *Engine) Round(now float64) {
 	e.now = now
-	stood, act := e.watch.Round(now, e.news)
-	e.news = false
+	stood, act := e.pauseDetector.Round(now, e.hasEvents)
+	e.hasEvents = false
 	if stood > 0 {
-		e.edge.Log(fmt.Sprintf("stall: stood still %.0f ms, %d open, reads before it acts", stood, e.door.Open()))
+		e.effects.Log(fmt.Sprintf("stall: stood still %.0f ms, %d open, reads before it acts", stood, e.admission.Open()))
 	}
 	if !act {
 		return
 	}
 	for {
-		b, ok := e.bells.Next(now)
+		b, ok := e.timers.Next(now)
 		if !ok {
 			break
 		}
-		e.ring(b)
+		e.fire(b)
 	}
-	for i := 0; i < len(e.soon); i++ {
-		s := e.soon[i]
-		if p, ok := e.at[s.id]; ok && e.allocs[p].try == s.try && e.allocs[p].phase == held {
-			e.settle(p, s.verdict, logic.NotTold, nil)
+	for i := 0; i < len(e.deferred); i++ {
+		s := e.deferred[i]
+		if p, ok := e.byID[s.allocationID]; ok && e.allocations[p].attempt == s.attempt && e.allocations[p].phase == phaseConnecting {
+			e.completeAttempt(p, s.verdict, logic.NotTold, nil)
 		}
 	}
-	e.soon = e.soon[:0]
-	e.sched.Decide(now)
+	e.deferred = e.deferred[:0]
+	e.policy.Decide(now)
 	for nd, ok := e.pacer.Next(now); ok; nd, ok = e.pacer.Next(now) {
-		e.edge.Dial(e.nodes[nd].id, e.nodes[nd].address)
+		e.effects.Dial(e.nodes[nd].id, e.nodes[nd].address)
 	}
 }
 
 // NextRound is when Round is to be called at the latest, unless there is news before.
 func (e *Engine) NextRound() float64 {
-	if len(e.soon) > 0 {
-		return max(e.now, e.watch.Until())
+	if len(e.deferred) > 0 {
+		return max(e.now, e.pauseDetector.Until())
 	}
 	at := e.pacer.Due()
-	if first, ok := e.bells.First(); ok {
+	if first, ok := e.timers.First(); ok {
 		at = min(at, first)
 	}
-	return max(at, e.watch.Until())
+	return max(at, e.pauseDetector.Until())
 }
 
-func (e *Engine) ring(b bell) {
+func (e *Engine) fire(b timer) {
 	switch b.What {
-	case dueWake:
-		e.sched.Woken(e.now, b.Key)
-	case dueTry:
-		if p, ok := e.at[uint32(b.Key)]; ok {
-			if a := &e.allocs[p]; a.phase == out && a.dueAt == b.At && a.try == uint8(b.Key>>32) {
-				e.giveUp(p, logic.TimedOut)
+	case timerPolicyWake:
+		e.policy.Woken(e.now, b.Key)
+	case timerAttempt:
+		if p, ok := e.byID[uint32(b.Key)]; ok {
+			if a := &e.allocations[p]; a.phase == phaseInFlight && a.dueAt == b.At && a.attempt == uint8(b.Key>>32) {
+				e.abandonAttempt(p, logic.TimedOut)
 			}
 		}
-	case dueDoubt:
-		if p, ok := e.at[uint32(b.Key)]; ok && e.allocs[p].doubtAt == b.At {
-			switch a := &e.allocs[p]; a.phase {
-			case out:
-				e.giveUp(p, logic.Broken)
-			case runs:
-				n := &e.nodes[a.nd]
-				if more := outcome.Longer(e.now-n.lostAt, e.terms.AliveAtPeers != nil && e.terms.AliveAtPeers(e.now, n.id, n.life)); more > 0 {
-					a.doubtAt = e.now + more
-					e.bells.Set(a.doubtAt, dueDoubt, uint64(a.id))
-					if !n.waited {
-						n.waited = true
-						e.edge.Log(fmt.Sprintf("node %d: silent here for %.1f s, others hear it: what runs there is waited for", n.id, (e.now-n.lostAt)/1000))
+	case timerConfirm:
+		if p, ok := e.byID[uint32(b.Key)]; ok && e.allocations[p].confirmBy == b.At {
+			switch a := &e.allocations[p]; a.phase {
+			case phaseInFlight:
+				e.abandonAttempt(p, logic.Broken)
+			case phaseRunning:
+				n := &e.nodes[a.nodeIndex]
+				if more := outcome.Longer(e.now-n.lostAt, e.config.AliveAtPeers != nil && e.config.AliveAtPeers(e.now, n.id, n.incarnation)); more > 0 {
+					a.confirmBy = e.now + more
+					e.timers.Set(a.confirmBy, timerConfirm, uint64(a.id))
+					if !n.graceExtended {
+						n.graceExtended = true
+						e.effects.Log(fmt.Sprintf("node %d: silent here for %.1f s, others hear it: what runs there is waited for", n.id, (e.now-n.lostAt)/1000))
 					}
 					return
 				}
-				e.settle(p, logic.Broken, logic.NotTold, nil)
+				e.completeAttempt(p, logic.Broken, logic.NotTold, nil)
 			}
 		}
-	case dueKept:
-		if p, ok := e.at[uint32(b.Key)]; ok {
-			if a := &e.allocs[p]; a.phase == runs && a.owner == nobody && a.dueAt == b.At {
+	case timerKeep:
+		if p, ok := e.byID[uint32(b.Key)]; ok {
+			if a := &e.allocations[p]; a.phase == phaseRunning && a.client == noClient && a.dueAt == b.At {
 				e.stop(a)
 			}
 		}
-	case dueProbe:
+	case timerProbe:
 		if n := &e.nodes[int(uint32(b.Key))]; n.probing && uint32(n.probeSeq) == uint32(b.Key>>32) {
 			verdict := logic.TimedOut
-			if !n.sent {
+			if !n.probeSent {
 				verdict = logic.Unreached
 			}
-			e.probed(int(uint32(b.Key)), verdict, nil)
+			e.completeProbe(int(uint32(b.Key)), verdict, nil)
 		}
-	case dueLink:
-		if p, ok := e.at[uint32(b.Key)]; ok && e.allocs[p].phase == held && e.allocs[p].try == uint8(b.Key>>32) {
-			e.settle(p, logic.Unreached, logic.NotTold, nil)
+	case timerConnect:
+		if p, ok := e.byID[uint32(b.Key)]; ok && e.allocations[p].phase == phaseConnecting && e.allocations[p].attempt == uint8(b.Key>>32) {
+			e.completeAttempt(p, logic.Unreached, logic.NotTold, nil)
 		}
-	case dueClaim: // all are as long after their try as any other: the first is the one that is due
+	case timerClaim: // all are as long after their try as any other: the first is the one that is due
 		c := e.claims[0]
 		e.claims = e.claims[1:]
-		if g, ok := e.ghosts[c.name]; ok && !g.started {
-			if e.nodes[g.nd].ready {
-				e.edge.Claim(e.nodes[g.nd].id, c.name.ticket, c.name.try)
+		if g, ok := e.abandoned[c.attempt]; ok && !g.started {
+			if e.nodes[g.nodeIndex].ready {
+				e.effects.Claim(e.nodes[g.nodeIndex].id, c.attempt.ticket, c.attempt.number)
 			}
-			e.askClaim(c.name, c.left)
+			e.scheduleClaim(c.attempt, c.remaining)
 		}
-	case dueGhost:
-		e.forgetAll(func(g ghost) bool { return e.now-g.sentAt > outcome.RememberFor() })
-		if len(e.ghosts) > 0 {
-			e.bells.Set(e.now+outcome.RememberFor()/4, dueGhost, 0)
+	case timerForget:
+		e.forgetMatching(func(g abandonedAttempt) bool { return e.now-g.sentAt > outcome.RememberFor() })
+		if len(e.abandoned) > 0 {
+			e.timers.Set(e.now+outcome.RememberFor()/4, timerForget, 0)
 		}
 	}
 }
 
-func tryKey(id uint32, try uint8) uint64 { return uint64(try)<<32 | uint64(id) }
+func attemptTimerKey(id uint32, try uint8) uint64 { return uint64(try)<<32 | uint64(id) }
 
-// take makes room for an allocation and gives it an id.
-func (e *Engine) take() (int, *alloc) {
+// newAllocation makes room for an allocation and gives it an id.
+func (e *Engine) newAllocation() (int, *allocation) {
 	var p int
 	if n := len(e.free); n > 0 {
 		p, e.free = e.free[n-1], e.free[:n-1]
 	} else {
-		p, e.allocs = len(e.allocs), append(e.allocs, alloc{})
+		p, e.allocations = len(e.allocations), append(e.allocations, allocation{})
 	}
-	e.ids++
-	a := &e.allocs[p]
-	*a = alloc{id: e.ids, nd: -1, ticket: uint64(e.terms.Incarnation)<<32 | uint64(e.ids)}
-	e.at[a.id] = p
+	e.lastID++
+	a := &e.allocations[p]
+	*a = allocation{id: e.lastID, nodeIndex: -1, ticket: uint64(e.config.Incarnation)<<32 | uint64(e.lastID)}
+	e.byID[a.id] = p
 	return p, a
 }
 
-// drop forgets an allocation that is answered and has nothing out.
-func (e *Engine) drop(p int) {
-	a := &e.allocs[p]
-	delete(e.at, a.id)
-	e.disown(a)
-	name := named{a.tenant, a.token}
-	if e.byToken[name] == p {
-		delete(e.byToken, name)
+// forgetAllocation forgets an allocation that is answered and has nothing out.
+func (e *Engine) forgetAllocation(p int) {
+	a := &e.allocations[p]
+	delete(e.byID, a.id)
+	e.clearClient(a)
+	name := idempotencyKey{a.tenant, a.token}
+	if e.byKey[name] == p {
+		delete(e.byKey, name)
 	}
-	delete(e.adopted, tryName{a.ticket, a.try})
-	e.edge.ReleaseTask(a.tenant, a.token, a.service, a.epoch)
+	delete(e.recovered, attemptID{a.ticket, a.attempt})
+	e.effects.ReleaseTask(a.tenant, a.token, a.service, a.epoch)
 	e.free = append(e.free, p)
-	a.phase = waits
+	a.phase = phaseWaiting
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -143,7 +143,7 @@
 				t.Errorf("ask %d declined %d times in %q", ref+1, n, got)
 			}
 		}
-		if len(s.e.at) != 0 || s.e.door.Open() != 0 || len(s.e.byToken) != 0 || len(s.e.asks) != 0 {
+		if len(s.e.byID) != 0 || s.e.admission.Open() != 0 || len(s.e.byKey) != 0 || len(s.e.requests) != 0 {
 			t.Errorf("left over: %+v", s.e.Stats())
 		}
 	})
@@ -355,7 +355,7 @@
 				s.ask(1, job, 5000)
 				var nd uint32
 				for i := range s.e.nodes {
-					if len(s.e.nodes[i].on) > 0 {
+					if len(s.e.nodes[i].allocations) > 0 {
 						nd = s.e.nodes[i].id
 					}
 				}
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -34,19 +34,19 @@
 			at[service] = i
 			into = append(into, handover.Part{Service: service, Goes: goes(service, tenant)})
 		}
-		if e.terms.Cluster.JobTypes[job].Spread != logic.Anywhere {
+		if e.config.Cluster.JobTypes[job].Spread != logic.Anywhere {
 			into[i].Whole = true
 		}
 		return &into[i]
 	}
-	for p := range e.allocs {
-		a := &e.allocs[p]
-		if q, ok := e.at[a.id]; !ok || q != p {
+	for p := range e.allocations {
+		a := &e.allocations[p]
+		if q, ok := e.byID[a.id]; !ok || q != p {
 			continue
 		}
-		switch pt := part(a.service, a.tenant, a.job); {
-		case e.mayGo(a, runsGo):
-			if a.phase == runs {
+		switch pt := part(a.service, a.tenant, a.jobClass); {
+		case e.isTransferable(a, runsGo):
+			if a.phase == phaseRunning {
 				pt.Runs++
 			} else {
 				pt.Waits++
@@ -55,9 +55,9 @@
 			pt.Out++
 		}
 	}
-	for _, g := range e.ghosts { // counts alone: the order has no effect
+	for _, g := range e.abandoned { // counts alone: the order has no effect
 		if !g.started || !g.stopped {
-			part(g.service, g.tenant, g.job).Out++
+			part(g.service, g.tenant, g.jobClass).Out++
 		}
 	}
 	slices.SortFunc(into, func(x, y handover.Part) int {
@@ -69,93 +69,93 @@
 	return into
 }
 
-// mayGo tells whether an allocation can be given away: it waits and was never out but for tries that provably never
+// isTransferable tells whether an allocation can be given away: it waits and was never out but for tries that provably never
 // ran, or it runs at a node that can be spoken to.
-func (e *Engine) mayGo(a *alloc, runsGo bool) bool {
+func (e *Engine) isTransferable(a *allocation, runsGo bool) bool {
 	switch a.phase {
-	case waits:
-		return !a.answered && !a.mayHave && a.late.ticket == 0
-	case runs:
-		kept := a.owner == nobody && a.dueAt > e.now // and stopped then, which is known here alone
-		return runsGo && e.nodes[a.nd].ready && !a.stopping && !kept && a.late.ticket == 0
+	case phaseWaiting:
+		return !a.answered && !a.mayHaveRun && a.lateStart.ticket == 0
+	case phaseRunning:
+		kept := a.client == noClient && a.dueAt > e.now // and stopped then, which is known here alone
+		return runsGo && e.nodes[a.nodeIndex].ready && !a.stopping && !kept && a.lateStart.ticket == 0
 	}
 	return false
 }
 
 // TransferOut takes what can go of a service out of this engine and hands it over by give.
 func (e *Engine) TransferOut(now float64, service uint64, runsGo bool, give func(Transfer)) {
-	e.now, e.news = now, true
+	e.now, e.hasEvents = now, true
 	var all []int
-	for p := range e.allocs {
-		a := &e.allocs[p]
-		if q, ok := e.at[a.id]; ok && q == p && a.service == service && e.mayGo(a, runsGo) {
+	for p := range e.allocations {
+		a := &e.allocations[p]
+		if q, ok := e.byID[a.id]; ok && q == p && a.service == service && e.isTransferable(a, runsGo) {
 			all = append(all, p)
 		}
 	}
 	for _, p := range all {
-		a := &e.allocs[p]
-		g := Transfer{Client: a.owner, RequestID: a.ref, JobClass: a.job, Tenant: a.tenant, Service: a.service, Token: a.token,
-			Cores: a.cores, Memory: a.memory, Deadline: a.expiry, Epoch: a.epoch, Running: a.phase == runs, Ticket: a.ticket,
-			Attempt: a.try}
-		id, try := a.id, a.moduleTry()
+		a := &e.allocations[p]
+		g := Transfer{Client: a.client, RequestID: a.requestID, JobClass: a.jobClass, Tenant: a.tenant, Service: a.service, Token: a.token,
+			Cores: a.cores, Memory: a.memory, Deadline: a.deadline, Epoch: a.epoch, Running: a.phase == phaseRunning, Ticket: a.ticket,
+			Attempt: a.attempt}
+		id, try := a.id, a.policyAttempt()
 		if g.Running {
-			g.Node = e.nodes[a.nd].id
-			e.pull(p)
-			e.unhold(p)
-			e.sched.Settled(now, id, g.Node, try, now-a.sentAt, true, logic.NotTold, logic.Ended, nil)
+			g.Node = e.nodes[a.nodeIndex].id
+			e.detach(p)
+			e.forgetTransferred(p)
+			e.policy.Settled(now, id, g.Node, try, now-a.sentAt, true, logic.NotTold, logic.Ended, nil)
 		} else {
-			e.door.Leave(a.tenant)
-			e.unhold(p)
-			e.sched.Lapsed(now, id)
+			e.admission.Leave(a.tenant)
+			e.forgetTransferred(p)
+			e.policy.Lapsed(now, id)
 		}
 		give(g)
 	}
 }
 
-// unhold forgets an allocation that another acts for from now on.
-func (e *Engine) unhold(p int) {
-	a := &e.allocs[p]
-	delete(e.at, a.id)
-	e.disown(a)
-	if name := (named{a.tenant, a.token}); e.byToken[name] == p {
-		delete(e.byToken, name)
+// forgetTransferred forgets an allocation that another acts for from now on.
+func (e *Engine) forgetTransferred(p int) {
+	a := &e.allocations[p]
+	delete(e.byID, a.id)
+	e.clearClient(a)
+	if name := (idempotencyKey{a.tenant, a.token}); e.byKey[name] == p {
+		delete(e.byKey, name)
 	}
-	delete(e.adopted, tryName{a.ticket, a.try})
+	delete(e.recovered, attemptID{a.ticket, a.attempt})
 	e.free = append(e.free, p)
-	a.phase = waits
+	a.phase = phaseWaiting
 }
 
 // TransferIn takes one that runs from another engine. Edge.Adopt must know it as this engine's; false if it can't be
 // taken, as its node is not known here.
 func (e *Engine) TransferIn(now float64, g Transfer) bool {
-	e.now, e.news = now, true
-	nd, ok := e.nodeAt[g.Node]
+	e.now, e.hasEvents = now, true
+	nd, ok := e.nodeIndex[g.Node]
 	if !ok {
 		return false
 	}
-	name := tryName{g.Ticket, g.Attempt}
-	if _, ok := e.find(g.Ticket, g.Attempt); ok { // its node was faster in telling what it holds
+	name := attemptID{g.Ticket, g.Attempt}
+	if _, ok := e.findAttempt(g.Ticket, g.Attempt); ok { // its node was faster in telling what it holds
 		return true
 	}
-	gh := ghost{nd: nd, job: g.JobClass, tenant: g.Tenant, service: g.Service, token: g.Token, cores: g.Cores,
+	gh := abandonedAttempt{nodeIndex: nd, jobClass: g.JobClass, tenant: g.Tenant, service: g.Service, token: g.Token, cores: g.Cores,
 		memory: g.Memory, sentAt: now, started: true}
-	e.remember(name, gh)
-	p := e.adopt(name, gh)
+	e.rememberAbandoned(name, gh)
+	p := e.recoverTask(name, gh)
 	if p < 0 {
 		return false
 	}
-	if a := &e.allocs[p]; !e.nodes[nd].linked { // the connection broke on the way
-		a.doubtAt = now + outcome.Patience(true)
-		e.bells.Set(a.doubtAt, dueDoubt, uint64(a.id))
+	if a := &e.allocations[p]; !e.nodes[nd].connected { // the connection broke on the way
+		a.confirmBy = now + outcome.Patience(true)
+		e.timers.Set(a.confirmBy, timerConfirm, uint64(a.id))
 	}
 	return true
 }
 
 // ForEachAllocation tells what the engine holds: allocations that wait, are out or run, for whoever checks that nobody else does.
 func (e *Engine) ForEachAllocation(f func(tenant int, token uint64, epoch uint32, answered bool)) {
-	for p := range e.allocs {
-		a := &e.allocs[p]
-		if q, ok := e.at[a.id]; ok && q == p {
+	for p := range e.allocations {
+		a := &e.allocations[p]
+		if q, ok := e.byID[a.id]; ok && q == p {
 			f(a.tenant, a.token, a.epoch, a.answered)
 		}
 	}
@@ -163,21 +163,21 @@
 
 // KnowsAttempt tells whether a try is known, if only as one that was given up.
 func (e *Engine) KnowsAttempt(ticket uint64, try uint8) bool {
-	_, ok := e.find(ticket, try)
-	_, ghost := e.ghosts[tryName{ticket, try}]
+	_, ok := e.findAttempt(ticket, try)
+	_, ghost := e.abandoned[attemptID{ticket, try}]
 	return ok || ghost
 }
 
 // SetOpenLimit changes how many allocations may be open.
-func (e *Engine) SetOpenLimit(open int) { e.door.Limit(open) }
+func (e *Engine) SetOpenLimit(open int) { e.admission.Limit(open) }
 
 // Sharing tells the module how many share what a cold node bears; 0: this one takes no part. A policy that knows of no
 // such thing goes on as it began.
 func (e *Engine) Sharing(schedulers int) {
-	if m, ok := e.sched.(interface{ Sharing(int) }); ok {
+	if m, ok := e.policy.(interface{ Sharing(int) }); ok {
 		m.Sharing(schedulers)
 	}
 }
 
 // IsIdle tells that the engine holds nothing and need hear of nothing more.
-func (e *Engine) IsIdle() bool { return len(e.at) == 0 && len(e.ghosts) == 0 }
+func (e *Engine) IsIdle() bool { return len(e.byID) == 0 && len(e.abandoned) == 0 }
--- a/internal/engine/late.go
+++ b/internal/engine/late.go
@@ -8,164 +8,164 @@
 	"ravenpond/logic"
 )
 
-type tryName struct {
+type attemptID struct {
 	ticket uint64
-	try    uint8
+	number uint8
 }
 
-// ghost is a try that was given up but may still be heard of.
-type ghost struct {
-	alloc         uint32 // its allocation, if that is still open
-	nd            int
-	job, tenant   int
-	service       uint64
-	token         uint64
-	cores, memory float64
-	sentAt        float64
-	started       bool
-	stopped       bool
-	counts        uint32 // by this number the module counts it for its service's spread, 0: it does not
+// abandonedAttempt is a try that was given up but may still be heard of.
+type abandonedAttempt struct {
+	allocationID     uint32 // its allocation, if that is still open
+	nodeIndex        int
+	jobClass, tenant int
+	service          uint64
+	token            uint64
+	cores, memory    float64
+	sentAt           float64
+	started          bool
+	stopped          bool
+	policyID         uint32 // by this number the module counts it for its service's spread, 0: it does not
 }
 
-// claim is a given up try that is to be claimed, and how often after that.
-type claim struct {
-	name tryName
-	left int
+// pendingClaim is a given up try that is to be claimed, and how often after that.
+type pendingClaim struct {
+	attempt   attemptID
+	remaining int
 }
 
-// askClaim has a given up try claimed after a while, some times: if it runs after all, its owner's next ask must
+// scheduleClaim has a given up try claimed after a while, some times: if it runs after all, its owner's next ask must
 // find that out rather than start a second.
-func (e *Engine) askClaim(name tryName, times int) {
+func (e *Engine) scheduleClaim(name attemptID, times int) {
 	if times > 0 {
-		e.claims = append(e.claims, claim{name, times - 1})
-		e.bells.Set(e.now+outcome.ClaimEvery(e.terms.SettleTime), dueClaim, 0)
+		e.claims = append(e.claims, pendingClaim{name, times - 1})
+		e.timers.Set(e.now+outcome.ClaimEvery(e.config.SettleTime), timerClaim, 0)
 	}
 }
 
-func (e *Engine) remember(name tryName, g ghost) {
-	if len(e.ghosts) == 0 {
-		e.bells.Set(e.now+outcome.RememberFor()/4, dueGhost, 0)
+func (e *Engine) rememberAbandoned(name attemptID, g abandonedAttempt) {
+	if len(e.abandoned) == 0 {
+		e.timers.Set(e.now+outcome.RememberFor()/4, timerForget, 0)
 	}
-	if _, ok := e.ghosts[name]; !ok {
-		e.nodes[g.nd].ghosts++
-		if outcome.Counts(e.terms.Cluster.JobTypes[g.job].Spread) {
-			e.ids++
-			g.counts = e.ids
-			e.sched.Found(e.now, g.counts, g.job, g.tenant, g.service, g.cores, g.memory, e.nodes[g.nd].id)
+	if _, ok := e.abandoned[name]; !ok {
+		e.nodes[g.nodeIndex].abandoned++
+		if outcome.Counts(e.config.Cluster.JobTypes[g.jobClass].Spread) {
+			e.lastID++
+			g.policyID = e.lastID
+			e.policy.Found(e.now, g.policyID, g.jobClass, g.tenant, g.service, g.cores, g.memory, e.nodes[g.nodeIndex].id)
 		}
 	}
-	e.ghosts[name] = g
+	e.abandoned[name] = g
 }
 
-func (e *Engine) forget(name tryName) {
-	if g, ok := e.ghosts[name]; ok {
-		e.nodes[g.nd].ghosts--
-		delete(e.ghosts, name)
-		if g.counts > 0 {
-			e.sched.Settled(e.now, g.counts, e.nodes[g.nd].id, 0, e.now-g.sentAt, true, logic.NotTold, logic.Ended, nil)
+func (e *Engine) forgetAbandoned(name attemptID) {
+	if g, ok := e.abandoned[name]; ok {
+		e.nodes[g.nodeIndex].abandoned--
+		delete(e.abandoned, name)
+		if g.policyID > 0 {
+			e.policy.Settled(e.now, g.policyID, e.nodes[g.nodeIndex].id, 0, e.now-g.sentAt, true, logic.NotTold, logic.Ended, nil)
 		}
 	}
 }
 
-// forgetAll forgets those that are meant, in the order of their names: the module hears of them.
-func (e *Engine) forgetAll(meant func(ghost) bool) {
-	var names []tryName
-	for name, g := range e.ghosts {
+// forgetMatching forgets those that are meant, in the order of their names: the module hears of them.
+func (e *Engine) forgetMatching(meant func(abandonedAttempt) bool) {
+	var names []attemptID
+	for name, g := range e.abandoned {
 		if meant(g) {
 			names = append(names, name)
 		}
 	}
-	slices.SortFunc(names, tryName.compare)
+	slices.SortFunc(names, attemptID.compare)
 	for _, name := range names {
-		e.forget(name)
+		e.forgetAbandoned(name)
 	}
 }
 
-func (x tryName) compare(y tryName) int {
-	return cmp.Or(cmp.Compare(x.ticket, y.ticket), cmp.Compare(x.try, y.try))
+func (x attemptID) compare(y attemptID) int {
+	return cmp.Or(cmp.Compare(x.ticket, y.ticket), cmp.Compare(x.number, y.number))
 }
 
-// startedLate meets the start of a try that had been given up.
-func (e *Engine) startedLate(name tryName, g ghost) {
+// handleLateStart meets the start of a try that had been given up.
+func (e *Engine) handleLateStart(name attemptID, g abandonedAttempt) {
 	g.started = true
-	e.ghosts[name] = g
+	e.abandoned[name] = g
 	e.stats.LateStarts++
-	p, open := e.at[g.alloc]
-	open = open && !e.allocs[p].answered && e.now < e.allocs[p].expiry
-	if q, ok := e.byToken[named{g.tenant, g.token}]; ok && (!open || q != p) {
-		if a := &e.allocs[q]; a.phase == runs { // it runs elsewhere by now
-			e.stopLate(name)
+	p, open := e.byID[g.allocationID]
+	open = open && !e.allocations[p].answered && e.now < e.allocations[p].deadline
+	if q, ok := e.byKey[idempotencyKey{g.tenant, g.token}]; ok && (!open || q != p) {
+		if a := &e.allocations[q]; a.phase == phaseRunning { // it runs elsewhere by now
+			e.stopAbandoned(name)
 			return
-		} else if !a.answered && e.now < a.expiry { // asked for again
+		} else if !a.answered && e.now < a.deadline { // asked for again
 			p, open = q, true
 		}
 	}
-	switch outcome.Late(e.effects[g.job], open, open && e.allocs[p].phase != waits) {
+	switch outcome.Late(e.jobEffects[g.jobClass], open, open && e.allocations[p].phase != phaseWaiting) {
 	case outcome.Stop:
-		e.stopLate(name)
+		e.stopAbandoned(name)
 	case outcome.Serve:
-		e.sched.Lapsed(e.now, e.allocs[p].id)
-		e.serveLate(name, p)
+		e.policy.Lapsed(e.now, e.allocations[p].id)
+		e.answerWithLateStart(name, p)
 	case outcome.Await:
-		a := &e.allocs[p]
-		if a.late.ticket != 0 {
-			e.stopLate(name)
+		a := &e.allocations[p]
+		if a.lateStart.ticket != 0 {
+			e.stopAbandoned(name)
 			return
 		}
-		a.late = name
-		if a.phase == held {
-			e.unsend(a)
+		a.lateStart = name
+		if a.phase == phaseConnecting {
+			e.cancelUnsent(a)
 		} else if !a.recalled {
 			e.recall(a)
 		}
 	case outcome.Keep:
-		if q := e.adopt(name, g); q >= 0 {
-			e.keep(&e.allocs[q])
+		if q := e.recoverTask(name, g); q >= 0 {
+			e.keepForRetry(&e.allocations[q])
 		}
 	}
 }
 
-// serveLate answers the allocation at p, of which nothing is out, with a start that had been given up.
-func (e *Engine) serveLate(name tryName, p int) {
-	a := &e.allocs[p]
-	g := e.ghosts[name]
-	owner, ref := a.owner, a.ref
-	e.answer(a, Served, e.nodes[g.nd].id, "late", 0)
-	if a.owner == nobody { // too late after all
-		owner = nobody
+// answerWithLateStart answers the allocation at p, of which nothing is out, with a start that had been given up.
+func (e *Engine) answerWithLateStart(name attemptID, p int) {
+	a := &e.allocations[p]
+	g := e.abandoned[name]
+	owner, ref := a.client, a.requestID
+	e.answer(a, Served, e.nodes[g.nodeIndex].id, "late", 0)
+	if a.client == noClient { // too late after all
+		owner = noClient
 	}
-	a.late = tryName{}
-	e.disown(a)
-	e.drop(p)
-	q := e.adopt(name, g)
+	a.lateStart = attemptID{}
+	e.clearClient(a)
+	e.forgetAllocation(p)
+	q := e.recoverTask(name, g)
 	if q < 0 {
 		return
 	}
-	e.own(q, owner, ref)
-	if owner == nobody {
-		e.keep(&e.allocs[q])
+	e.setClient(q, owner, ref)
+	if owner == noClient {
+		e.keepForRetry(&e.allocations[q])
 	}
 }
 
-// lapseLate decides about a late start whose allocation was answered without it.
-func (e *Engine) lapseLate(name tryName) {
-	if g, ok := e.ghosts[name]; ok && name.ticket != 0 && !g.stopped {
-		if outcome.Late(e.effects[g.job], false, false) == outcome.Stop {
-			e.stopLate(name)
+// resolveLateStart decides about a late start whose allocation was answered without it.
+func (e *Engine) resolveLateStart(name attemptID) {
+	if g, ok := e.abandoned[name]; ok && name.ticket != 0 && !g.stopped {
+		if outcome.Late(e.jobEffects[g.jobClass], false, false) == outcome.Stop {
+			e.stopAbandoned(name)
 		} else {
-			if q := e.adopt(name, g); q >= 0 {
-				e.keep(&e.allocs[q])
+			if q := e.recoverTask(name, g); q >= 0 {
+				e.keepForRetry(&e.allocations[q])
 			}
 		}
 	}
 }
 
-func (e *Engine) stopLate(name tryName) {
-	if g, ok := e.ghosts[name]; ok {
+func (e *Engine) stopAbandoned(name attemptID) {
+	if g, ok := e.abandoned[name]; ok {
 		g.stopped = true
-		e.ghosts[name] = g
-		if e.nodes[g.nd].linked {
-			e.edge.Stop(e.nodes[g.nd].id, name.ticket, name.try)
+		e.abandoned[name] = g
+		if e.nodes[g.nodeIndex].connected {
+			e.effects.Stop(e.nodes[g.nodeIndex].id, name.ticket, name.number)
 		}
 	}
 }
--- a/internal/engine/script_test.go
+++ b/internal/engine/script_test.go
@@ -75,7 +75,7 @@
 func (s *script) PermitAnswer(int, uint64, uint32, bool) bool { return true }
 
 func (s *script) RecoverTask(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
-	return 1, nobody, 0, true
+	return 1, noClient, 0, true
 }
 
 // begin starts an engine with four nodes, two to a zone, all connected unless dark.
--- a/internal/engine/windows_test.go
+++ b/internal/engine/windows_test.go
@@ -89,9 +89,9 @@
 	asked := map[bool]float64{}
 	for _, calendar := range []bool{false, true} {
 		s := begin(t, false)
-		s.e.terms.Cluster.AsksForList = true
+		s.e.config.Cluster.AsksForList = true
 		follow := &follows{script: s}
-		s.e.edge = follow
+		s.e.effects = follow
 		if calendar {
 			s.e.SetMaintenance(s.now, []uint32{1}, true)
 		}
--- a/internal/engine/workingset.go
+++ b/internal/engine/workingset.go
@@ -8,27 +8,27 @@
 // BeginWorkingSet opens news of nodes that the list has had for a while and that the engine is to know from now on; ListNode
 // follows for each, and no ListEnd. New says that they came to the list just now: the module paces them as cold.
 func (e *Engine) BeginWorkingSet(now float64, isNew bool) {
-	e.now, e.news, e.entering = now, true, true
-	e.page++
+	e.now, e.hasEvents, e.enteringNodes = now, true, true
+	e.listGeneration++
 	kind := logic.ListCached
 	if isNew {
 		kind = logic.ListChanges
 	}
-	e.sched.ListBegin(now, kind)
+	e.policy.ListBegin(now, kind)
 }
 
 // SetOutsideWorkingSet has nodes be outside the working set, where they get nothing new, or inside again.
 func (e *Engine) SetOutsideWorkingSet(now float64, ids []uint32, aside bool) {
 	if !aside {
 		for _, id := range ids {
-			if nd, ok := e.nodeAt[id]; ok {
+			if nd, ok := e.nodeIndex[id]; ok {
 				e.now = now
 				e.retain(now, nd)
 				e.delayStart(&e.nodes[nd])
 			}
 		}
 	}
-	e.keepOut(now, ids, bySet, aside)
+	e.setExcluded(now, ids, excludedWorkingSet, aside)
 }
 
 // clockSlack is by how much, in ms, the clocks of schedulers and of the list may differ.
@@ -38,9 +38,9 @@
 // would take a node that enters now for warm as soon as its time as a cold one is over by that clock; a node that the list
 // names for the first time it takes for cold from that moment on.
 func (e *Engine) delayStart(n *node) {
-	start := n.last.since
-	if start > 0 && !n.delayed && e.now-start < e.terms.Cluster.ColdFor+clockSlack {
-		n.delayed, n.last.since = true, start+clockSlack
+	start := n.listed.startedAt
+	if start > 0 && !n.startDelayed && e.now-start < e.config.Cluster.ColdFor+clockSlack {
+		n.startDelayed, n.listed.startedAt = true, start+clockSlack
 	}
 }
 
@@ -48,32 +48,32 @@
 func (e *Engine) retain(now float64, nd int) {
 	n := &e.nodes[nd]
 	n.released = false
-	e.pacer.Keep(now, nd, n.avail != logic.Gone)
+	e.pacer.Keep(now, nd, n.availability != logic.Gone)
 }
 
 // Release lets go of a node that is set aside if nothing stands there: it is not kept connected any more. It tells
 // whether it did.
 func (e *Engine) Release(now float64, id uint32) bool {
-	nd, ok := e.nodeAt[id]
+	nd, ok := e.nodeIndex[id]
 	if !ok {
 		return true
 	}
 	n := &e.nodes[nd]
-	if !n.heldAll && n.avail != logic.Gone || e.outs[id]&bySet == 0 || len(n.on) > 0 || n.ghosts > 0 || n.probing {
+	if !n.everReady && n.availability != logic.Gone || e.exclusions[id]&excludedWorkingSet == 0 || len(n.allocations) > 0 || n.abandoned > 0 || n.probing {
 		return false
 	}
-	e.abandon(now, nd)
+	e.release(now, nd)
 	return true
 }
 
 // ForceRelease lets go of a node whatever stands there: a fault, for tests that must find it.
 func (e *Engine) ForceRelease(now float64, id uint32) {
-	if nd, ok := e.nodeAt[id]; ok {
-		e.abandon(now, nd)
+	if nd, ok := e.nodeIndex[id]; ok {
+		e.release(now, nd)
 	}
 }
 
-func (e *Engine) abandon(now float64, nd int) {
+func (e *Engine) release(now float64, nd int) {
 	e.nodes[nd].released = true
 	e.pacer.Keep(now, nd, false)
 }
@@ -88,14 +88,14 @@
 // Demand sums up what tasks ask for. A task is short of nodes if it has waited for longer than the patience, in ms,
 // since it came or since its last attempt ended.
 func (e *Engine) Demand(now, patience float64) Demand {
-	d := Demand{Offers: e.stats.Offers, Short: make([]bool, len(e.terms.Cluster.KindCores)+1)}
-	for p := range e.allocs {
-		a := &e.allocs[p]
+	d := Demand{Offers: e.stats.Offers, Short: make([]bool, len(e.config.Cluster.KindCores)+1)}
+	for p := range e.allocations {
+		a := &e.allocations[p]
 		switch {
-		case a.phase != waits:
+		case a.phase != phaseWaiting:
 			d.Cores, d.Memory = d.Cores+a.cores, d.Memory+a.memory
-		case !a.answered && now-a.waitsSince > patience && e.holds(p):
-			kind := e.terms.Cluster.JobTypes[a.job].Kind
+		case !a.answered && now-a.waitingSince > patience && e.isInUse(p):
+			kind := e.config.Cluster.JobTypes[a.jobClass].Kind
 			if kind < 0 {
 				kind = len(d.Short) - 1
 			}
@@ -105,8 +105,8 @@
 	return d
 }
 
-// holds tells whether a place is in use by an allocation.
-func (e *Engine) holds(place int) bool {
-	p, ok := e.at[e.allocs[place].id]
+// isInUse tells whether a place is in use by an allocation.
+func (e *Engine) isInUse(place int) bool {
+	p, ok := e.byID[e.allocations[place].id]
 	return ok && p == place
 }
--- a/internal/engine/workingset_test.go
+++ b/internal/engine/workingset_test.go
@@ -214,7 +214,7 @@
 		}
 	}
 	s.pass(20)
-	if held := len(s.e.nodes[s.e.nodeAt[1]].on); held == 0 {
+	if held := len(s.e.nodes[s.e.nodeIndex[1]].allocations); held == 0 {
 		t.Fatal("no attempt waits for the node")
 	}
 	s.e.OnConnected(s.now, 1, 2, s.now-5)
