--- a/internal/lab/cores/check.go
+++ b/internal/lab/cores/check.go
@@ -174,7 +174,7 @@
 		return err
 	}
 	l := state.NewList()
-	if err := l.Begin(list.Whole, 1); err != nil {
+	if err := l.Begin(list.KindFull, 1); err != nil {
 		return err
 	}
 	for i := range n {
--- a/internal/lab/cores/peer.go
+++ b/internal/lab/cores/peer.go
@@ -37,13 +37,13 @@
 func (b *bench) node(nd uint32, conn net.Conn) {
 	defer conn.Close()
 	in := line.NewReader(conn)
-	head, err := in.Greeting(node.Opening)
+	head, err := in.Greeting(node.GreetingLine)
 	if err != nil {
 		return
 	}
 	p := &peer{b: b, nd: nd, sched: head.Get("Scheduler"), conn: conn, wake: make(chan struct{}, 1),
 		rng: rand.New(rand.NewPCG(b.Seed, uint64(nd)))}
-	p.queue = line.AppendGreeting(nil, node.Opening, "Node", strconv.Itoa(int(nd)+1), "Life", "1")
+	p.queue = line.AppendGreeting(nil, node.GreetingLine, "Node", strconv.Itoa(int(nd)+1), "Life", "1")
 	p.queue = node.AppendHeldAll(p.queue)
 	done := make(chan struct{})
 	go func() { defer close(done); p.write() }()
@@ -81,7 +81,7 @@
 		for _, o := range p.held {
 			if now.After(o.ends) {
 				p.b.over(o.token, p.nd, o.ticket, o.try)
-				p.queue = node.AppendSettled(p.queue, o.ticket, o.try, node.Ended, 0, []float64{900, 1800})
+				p.queue = node.AppendOutcome(p.queue, o.ticket, o.try, node.OutcomeEnded, 0, []float64{900, 1800})
 			} else {
 				left = append(left, o)
 			}
@@ -115,7 +115,7 @@
 	return strconv.FormatUint(ticket, 16) + "." + strconv.Itoa(int(try))
 }
 
-func (p *peer) Offer(ticket uint64, try uint8, epoch uint32, _, timeout float64, job, tenant int, service, token uint64,
+func (p *peer) OnOffer(ticket uint64, try uint8, epoch uint32, _, timeout float64, job, tenant int, service, token uint64,
 	_, _ float64) error {
 	b, now := p.b, time.Now()
 	b.mu.Lock()
@@ -140,7 +140,7 @@
 	b.mu.Unlock()
 	p.say(func(q []byte) []byte {
 		if turned {
-			return node.AppendSettled(q, ticket, try, node.Refused, 1+p.rng.IntN(2), []float64{900, 1800})
+			return node.AppendOutcome(q, ticket, try, node.OutcomeRefused, 1+p.rng.IntN(2), []float64{900, 1800})
 		}
 		p.held = append(p.held, offer{ticket, try, job, tenant, service, token, now.Add(time.Duration(60+p.rng.IntN(40)) * time.Millisecond)})
 		return node.AppendStarted(q, ticket, try, 1)
@@ -148,9 +148,9 @@
 	return nil
 }
 
-func (p *peer) Recall(uint64, uint8) error { return nil } // all starts at once: there is nothing to hand back
+func (p *peer) OnRecall(uint64, uint8) error { return nil } // all starts at once: there is nothing to hand back
 
-func (p *peer) Stop(ticket uint64, try uint8) error {
+func (p *peer) OnStop(ticket uint64, try uint8) error {
 	p.mu.Lock()
 	for i := range p.held {
 		if p.held[i].ticket == ticket && p.held[i].try == try {
@@ -162,29 +162,29 @@
 	return nil
 }
 
-func (p *peer) Claim(ticket uint64, try uint8) error {
+func (p *peer) OnClaim(ticket uint64, try uint8) error {
 	p.say(func(q []byte) []byte {
 		for _, o := range p.held {
 			if o.ticket == ticket && o.try == try {
-				return node.AppendClaimed(q, ticket, try, node.ClaimedRuns, 0)
+				return node.AppendClaimAnswer(q, ticket, try, node.ClaimRunning, 0)
 			}
 		}
-		return node.AppendClaimed(q, ticket, try, node.ClaimedOutcome+node.Unknown, 0)
+		return node.AppendClaimAnswer(q, ticket, try, node.ClaimOutcome+node.OutcomeUnknown, 0)
 	})
 	return nil
 }
 
-func (p *peer) Probe(seq uint64) error {
-	p.say(func(q []byte) []byte { return node.AppendReported(q, seq, []float64{900, 1800}) })
+func (p *peer) OnProbe(seq uint64) error {
+	p.say(func(q []byte) []byte { return node.AppendReport(q, seq, []float64{900, 1800}) })
 	return nil
 }
 
-func (p *peer) Ping(float64) error {
+func (p *peer) OnPing(float64) error {
 	p.say(node.AppendPong)
 	return nil
 }
 
-func (p *peer) Tell() error {
+func (p *peer) OnResync() error {
 	p.say(func(q []byte) []byte {
 		for _, o := range p.held {
 			q = node.AppendHeld(q, o.ticket, o.try, 1, o.job, o.tenant, o.service, o.token, 1, 2)
@@ -194,4 +194,4 @@
 	return nil
 }
 
-func (p *peer) Bye(why string) error { return fmt.Errorf("farewell: %s", why) }
+func (p *peer) OnBye(why string) error { return fmt.Errorf("farewell: %s", why) }
--- a/internal/lab/month/peers.go
+++ b/internal/lab/month/peers.go
@@ -18,22 +18,25 @@
 	p *proc
 }
 
-func (a arrival) Offer(ticket uint64, try uint8, epoch uint32, _, timeout float64, job, tenant int, service, token uint64,
+func (a arrival) OnOffer(ticket uint64, try uint8, epoch uint32, _, timeout float64, job, tenant int, service, token uint64,
 	cores, memory float64) error {
 	a.s.late("offer", ticket)
 	a.s.m.Offer(a.s.w.now, a.p.name(), ticket, try, epoch, timeout, job, tenant, service, token, cores, memory)
 	return nil
 }
-func (a arrival) Recall(t uint64, n uint8) error {
+func (a arrival) OnRecall(t uint64, n uint8) error {
 	a.s.m.Recall(a.s.w.now, a.p.name(), t, n)
 	return nil
 }
-func (a arrival) Stop(t uint64, n uint8) error  { a.s.m.Stop(a.s.w.now, a.p.name(), t, n); return nil }
-func (a arrival) Claim(t uint64, n uint8) error { a.s.m.Claim(a.s.w.now, a.p.name(), t, n); return nil }
-func (a arrival) Probe(seq uint64) error        { a.s.m.Probe(a.s.w.now, a.p.name(), seq); return nil }
-func (a arrival) Ping(float64) error            { return nil }
-func (a arrival) Tell() error                   { return nil }
-func (a arrival) Bye(string) error              { return nil }
+func (a arrival) OnStop(t uint64, n uint8) error { a.s.m.Stop(a.s.w.now, a.p.name(), t, n); return nil }
+func (a arrival) OnClaim(t uint64, n uint8) error {
+	a.s.m.Claim(a.s.w.now, a.p.name(), t, n)
+	return nil
+}
+func (a arrival) OnProbe(seq uint64) error { a.s.m.Probe(a.s.w.now, a.p.name(), seq); return nil }
+func (a arrival) OnPing(float64) error     { return nil }
+func (a arrival) OnResync() error          { return nil }
+func (a arrival) OnBye(string) error       { return nil }
 
 // say carries a node's word to a process, encoded.
 func (s *spot) say(sched string, b []byte) {
@@ -53,14 +56,14 @@
 	s.say(sched, node.AppendStarted(nil, ticket, try, took))
 }
 func (s *spot) Settled(sched string, ticket uint64, try uint8, outcome, reason int, report []float64) {
-	s.say(sched, node.AppendSettled(nil, ticket, try, outcome, reason, report))
+	s.say(sched, node.AppendOutcome(nil, ticket, try, outcome, reason, report))
 }
 func (s *spot) Noted(string, uint64, uint8, int, float64) {}
 func (s *spot) Reported(sched string, seq uint64, report []float64) {
-	s.say(sched, node.AppendReported(nil, seq, report))
+	s.say(sched, node.AppendReport(nil, seq, report))
 }
 func (s *spot) Claimed(sched string, ticket uint64, try uint8, claim, reason int) {
-	s.say(sched, node.AppendClaimed(nil, ticket, try, claim, reason))
+	s.say(sched, node.AppendClaimAnswer(nil, ticket, try, claim, reason))
 }
 func (s *spot) Ran(sched string, ticket uint64, try uint8) {
 	s.w.rep.Starts++
@@ -77,30 +80,30 @@
 	s *spot
 }
 
-func (r reply) Started(t uint64, n uint8, took float64) error {
+func (r reply) OnStarted(t uint64, n uint8, took float64) error {
 	return r.p.eng.OnStarted(r.p.clock(), r.s.id, t, n, took)
 }
-func (r reply) Settled(t uint64, n uint8, outcome, reason int, report []float64) error {
+func (r reply) OnOutcome(t uint64, n uint8, outcome, reason int, report []float64) error {
 	return r.p.eng.OnOutcome(r.p.clock(), r.s.id, t, n, node.Verdicts[outcome], logic.Reason(reason), report)
 }
-func (r reply) Noted(uint64, uint8, int, float64) error { return nil }
-func (r reply) Reported(seq uint64, report []float64) error {
+func (r reply) OnNote(uint64, uint8, int, float64) error { return nil }
+func (r reply) OnReport(seq uint64, report []float64) error {
 	return r.p.eng.OnProbeReport(r.p.clock(), r.s.id, seq, report)
 }
-func (r reply) Claimed(t uint64, n uint8, claim, reason int) error {
-	if claim < node.ClaimedOutcome {
-		r.p.eng.OnClaimHeld(r.p.clock(), r.s.id, t, n, claim == node.ClaimedRuns)
+func (r reply) OnClaimAnswer(t uint64, n uint8, claim, reason int) error {
+	if claim < node.ClaimOutcome {
+		r.p.eng.OnClaimHeld(r.p.clock(), r.s.id, t, n, claim == node.ClaimRunning)
 	} else {
-		r.p.eng.OnClaimOutcome(r.p.clock(), r.s.id, t, n, node.Verdicts[claim-node.ClaimedOutcome], logic.Reason(reason))
+		r.p.eng.OnClaimOutcome(r.p.clock(), r.s.id, t, n, node.Verdicts[claim-node.ClaimOutcome], logic.Reason(reason))
 	}
 	return nil
 }
-func (r reply) Held(t uint64, n uint8, state, job, tenant int, service, token uint64, cores, memory float64) error {
+func (r reply) OnHeld(t uint64, n uint8, state, job, tenant int, service, token uint64, cores, memory float64) error {
 	return r.p.eng.OnHeld(r.p.clock(), r.s.id, t, n, state == 1, job, tenant, service, token, cores, memory)
 }
-func (r reply) HeldAll() error   { r.p.eng.OnHeldAll(r.p.clock(), r.s.id); return nil }
-func (r reply) Pong() error      { return nil }
-func (r reply) Bye(string) error { return nil }
+func (r reply) OnHeldAll() error   { r.p.eng.OnHeldAll(r.p.clock(), r.s.id); return nil }
+func (r reply) OnPong() error      { return nil }
+func (r reply) OnBye(string) error { return nil }
 
 // memory is a store that outlives its process, as the one on disk does.
 type memory struct {
--- a/internal/lab/month/process.go
+++ b/internal/lab/month/process.go
@@ -108,7 +108,7 @@
 // hear decodes what came to a process.
 func (p *proc) hear(s *spot, b []byte) {
 	in := line.NewReader(bytes.NewReader(b))
-	var buf [node.MaxReport]float64
+	var buf [node.MaxReportValues]float64
 	for {
 		fields, err := in.Next()
 		if err != nil {
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -133,7 +133,7 @@
 			}
 			conn.Begin(h, 1000)
 			conn.Send(func(b []byte) []byte {
-				return list.AppendWatch(line.AppendGreeting(b, list.Opening, "Scheduler", "s0"), since)
+				return list.AppendWatch(line.AppendGreeting(b, list.GreetingLine, "Scheduler", "s0"), since)
 			})
 		})
 		return h
--- a/internal/lab/scale/hollow/list.go
+++ b/internal/lab/scale/hollow/list.go
@@ -79,7 +79,7 @@
 // Heard takes what a scheduler sends.
 func (w *watcher) Heard(b []byte) {
 	if !w.greeted {
-		head, after, err := w.in.Greeting(b, list.Opening)
+		head, after, err := w.in.Greeting(b, list.GreetingLine)
 		if err != nil {
 			w.conn.End(false, list.AppendBye(nil, err.Error()))
 		}
@@ -87,7 +87,7 @@
 			return
 		}
 		w.greeted, b = true, after
-		w.conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.Opening) })
+		w.conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.GreetingLine) })
 	}
 	if err := w.in.Feed(b, func(fields [][]byte) error { return list.DecodeScheduler(fields, w) }); err != nil {
 		w.conn.End(true, list.AppendBye(nil, err.Error()))
@@ -106,7 +106,7 @@
 	l := w.list
 	w.told = l.version
 	w.conn.Send(func(b []byte) []byte {
-		b = list.AppendBegin(b, list.Whole, l.version)
+		b = list.AppendBegin(b, list.KindFull, l.version)
 		for i := range l.entries {
 			if l.entries[i].Availability != Gone {
 				b = l.entries[i].append(b)
@@ -121,7 +121,7 @@
 	l := w.list
 	w.told = l.version
 	w.conn.Send(func(b []byte) []byte {
-		b = list.AppendBegin(b, list.Changes, l.version)
+		b = list.AppendBegin(b, list.KindChanges, l.version)
 		for version := since + 1; version <= l.version; version++ {
 			for _, i := range l.changed[version] {
 				b = l.entries[i].append(b)
@@ -135,16 +135,16 @@
 	return list.AppendEntry(b, e.ID, e.Address, e.Availability, e.StartedAt, e.Cores, e.Memory, e.Zone, e.Zone, "plain")
 }
 
-// Whole tells all.
-func (w *watcher) Whole() error {
+// OnFullRequest tells all.
+func (w *watcher) OnFullRequest() error {
 	w.list.mu.Lock()
 	defer w.list.mu.Unlock()
 	w.tellWhole()
 	return nil
 }
 
-// Watch tells what changed since a version, or all where that is not known, and from then on each change.
-func (w *watcher) Watch(since uint64) error {
+// OnWatch tells what changed since a version, or all where that is not known, and from then on each change.
+func (w *watcher) OnWatch(since uint64) error {
 	l := w.list
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,21 +157,21 @@
 	return nil
 }
 
-// Unwatch ends the watch.
-func (w *watcher) Unwatch() error {
+// OnUnwatch ends the watch.
+func (w *watcher) OnUnwatch() error {
 	w.list.mu.Lock()
 	defer w.list.mu.Unlock()
 	delete(w.list.watchers, w)
 	return nil
 }
 
-// Out tells of a maintenance window, of which a run has none.
-func (w *watcher) Out(uint32, float64) error { return nil }
+// OnMaintenance tells of a maintenance window, of which a run has none.
+func (w *watcher) OnMaintenance(uint32, float64) error { return nil }
 
-// Back tells of the end of one.
-func (w *watcher) Back(uint32) error { return nil }
+// OnMaintenanceEnd tells of the end of one.
+func (w *watcher) OnMaintenanceEnd(uint32) error { return nil }
 
 var errFarewell = errors.New("farewell")
 
-// Bye ends the connection.
-func (w *watcher) Bye(why string) error { return fmt.Errorf("%w: %s", errFarewell, why) }
+// OnBye ends the connection.
+func (w *watcher) OnBye(why string) error { return fmt.Errorf("%w: %s", errFarewell, why) }
--- a/internal/lab/sim/agree_test.go
+++ b/internal/lab/sim/agree_test.go
@@ -28,7 +28,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.head {
-		head, after, err := t.in.Greeting(b, node.Opening)
+		head, after, err := t.in.Greeting(b, node.GreetingLine)
 		if err != nil || head == nil {
 			return
 		}
@@ -68,7 +68,7 @@
 		}
 		c.Begin(t, 1000)
 		say := func(b []byte) { c.Send(func(q []byte) []byte { return append(q, b...) }) }
-		say(line.AppendGreeting(nil, node.Opening, "Scheduler", "s", "Life", "1", "Node", "7"))
+		say(line.AppendGreeting(nil, node.GreetingLine, "Scheduler", "s", "Life", "1", "Node", "7"))
 		zero := w.Now()
 		offer := func(ticket uint64, epoch uint32, late, timeout float64, job int, token uint64, cores float64) {
 			say(node.AppendOffer(nil, ticket, 0, epoch, w.Now()-zero-late, timeout, job, 0, 9, token, cores, 1))
@@ -117,7 +117,7 @@
 			if says {
 				head = append(head, "Sent", fmt.Sprintf("%.3f", 5000+w.Now()))
 			}
-			say(line.AppendGreeting(nil, node.Opening, head...))
+			say(line.AppendGreeting(nil, node.GreetingLine, head...))
 			sent := 5000 + w.Now() + 30
 			w.After(4000, func() { say(node.AppendOffer(nil, 1, 0, 5, sent, 1500, 0, 0, 9, 11, 1, 1)) })
 		})
--- a/internal/lab/sim/play.go
+++ b/internal/lab/sim/play.go
@@ -273,7 +273,7 @@
 // known is the list as it is at the beginning.
 func (st *stage) known() []byte {
 	l := state.NewList()
-	if l.Begin(list.Whole, 0) != nil {
+	if l.Begin(list.KindFull, 0) != nil {
 		return nil
 	}
 	for _, n := range st.nodes {
--- a/internal/proto/line/line.go
+++ b/internal/proto/line/line.go
@@ -24,42 +24,42 @@
 // ErrTooLong is returned when a peer sends more than a message may hold without ending it.
 var ErrTooLong = errors.New("message too long")
 
-// bound stops a stream that sends more than a message may hold before a message ended: a line without end would
+// limitedReader stops a stream that sends more than a message may hold before a message ended: a line without end would
 // otherwise fill the memory.
-type bound struct {
-	r    io.Reader
-	left int
+type limitedReader struct {
+	source    io.Reader
+	remaining int
 }
 
-func (b *bound) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+func (b *limitedReader) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
 		return 0, ErrTooLong
 	}
-	n, err := b.r.Read(p[:min(len(p), b.left)])
-	b.left -= n
+	n, err := b.source.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
 	return n, err
 }
 
 // Reader reads messages.
 type Reader struct {
-	raw    *bound
-	buf    *bufio.Reader
+	source *limitedReader
+	buffer *bufio.Reader
 	text   *textproto.Reader
 	fields [][]byte
 }
 
 // NewReader reads from r, which is not read by anyone else after.
 func NewReader(r io.Reader) *Reader {
-	raw := &bound{r: r, left: MaxLine + readAhead}
+	raw := &limitedReader{source: r, remaining: MaxLine + readAhead}
 	buf := bufio.NewReaderSize(raw, readAhead)
-	return &Reader{raw: raw, buf: buf, text: textproto.NewReader(buf)}
+	return &Reader{source: raw, buffer: buf, text: textproto.NewReader(buf)}
 }
 
 // Next returns the fields of the next line. They hold until the next call. It returns io.EOF between messages
 // and io.ErrUnexpectedEOF inside one.
 func (r *Reader) Next() ([][]byte, error) {
-	r.raw.left = MaxLine + readAhead
-	text, err := r.buf.ReadSlice('\n')
+	r.source.remaining = MaxLine + readAhead
+	text, err := r.buffer.ReadSlice('\n')
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull), err == nil && len(text) > MaxLine:
 		return nil, ErrTooLong
@@ -97,34 +97,34 @@
 
 // Splitter takes a stream in the pieces in which it comes: a greeting first, then lines.
 type Splitter struct {
-	rest   []byte // of a message that is not complete
-	fields [][]byte
+	partial []byte // of a message that is not complete
+	fields  [][]byte
 }
 
 // Greeting takes a piece of the opening, which must be want, with its header block. The header is nil until it is
 // complete; what comes after it is to be fed.
 func (s *Splitter) Greeting(b []byte, want string) (head textproto.MIMEHeader, after []byte, err error) {
-	s.rest = append(s.rest, b...)
-	if first := bytes.IndexByte(s.rest, '\n'); first >= 0 { // a wrong opening is not waited out
-		if got := bytes.TrimSuffix(s.rest[:first], []byte("\r")); string(got) != want {
+	s.partial = append(s.partial, b...)
+	if first := bytes.IndexByte(s.partial, '\n'); first >= 0 { // a wrong opening is not waited out
+		if got := bytes.TrimSuffix(s.partial[:first], []byte("\r")); string(got) != want {
 			return nil, nil, fmt.Errorf("greeting: %.40q, expected %q", got, want)
 		}
 	}
-	end := bytes.Index(s.rest, []byte("\n\r\n")) + 3
-	if lf := bytes.Index(s.rest, []byte("\n\n")) + 2; lf > 1 && (end < 3 || lf < end) {
+	end := bytes.Index(s.partial, []byte("\n\r\n")) + 3
+	if lf := bytes.Index(s.partial, []byte("\n\n")) + 2; lf > 1 && (end < 3 || lf < end) {
 		end = lf
 	}
 	if end < 3 {
-		if len(s.rest) > MaxHeader*MaxLine {
+		if len(s.partial) > MaxHeader*MaxLine {
 			return nil, nil, ErrTooLong
 		}
 		return nil, nil, nil
 	}
-	if head, err = NewReader(bytes.NewReader(s.rest[:end])).Greeting(want); err != nil {
+	if head, err = NewReader(bytes.NewReader(s.partial[:end])).Greeting(want); err != nil {
 		return nil, nil, err
 	}
-	after = bytes.Clone(s.rest[end:])
-	s.rest = s.rest[:0]
+	after = bytes.Clone(s.partial[end:])
+	s.partial = s.partial[:0]
 	return head, after, nil
 }
 
@@ -134,15 +134,15 @@
 	for len(b) > 0 {
 		end := bytes.IndexByte(b, '\n')
 		if end < 0 {
-			if s.rest = append(s.rest, b...); len(s.rest) > MaxLine {
+			if s.partial = append(s.partial, b...); len(s.partial) > MaxLine {
 				return ErrTooLong
 			}
 			return nil
 		}
 		text := b[:end]
-		if len(s.rest) > 0 {
-			s.rest = append(s.rest, text...)
-			text = s.rest
+		if len(s.partial) > 0 {
+			s.partial = append(s.partial, text...)
+			text = s.partial
 		}
 		if len(text) >= MaxLine {
 			return ErrTooLong
@@ -155,20 +155,20 @@
 		if err = each(s.fields); err != nil {
 			return err
 		}
-		s.rest = s.rest[:0]
+		s.partial = s.partial[:0]
 	}
 	return nil
 }
 
-// Inside tells whether the stream stands inside a message.
-func (s *Splitter) Inside() bool { return len(s.rest) > 0 }
+// InsideMessage tells whether the stream stands inside a message.
+func (s *Splitter) InsideMessage() bool { return len(s.partial) > 0 }
 
 // Buffered tells how many bytes are at hand without another read.
-func (r *Reader) Buffered() int { return r.buf.Buffered() }
+func (r *Reader) Buffered() int { return r.buffer.Buffered() }
 
 // Greeting reads the opening line, which must be want, and the header block after it.
 func (r *Reader) Greeting(want string) (textproto.MIMEHeader, error) {
-	r.raw.left = MaxHeader*MaxLine + readAhead
+	r.source.remaining = MaxHeader*MaxLine + readAhead
 	got, err := r.text.ReadLineBytes()
 	if err != nil {
 		return nil, fmt.Errorf("greeting: %w", err)
@@ -197,39 +197,39 @@
 
 // Fields takes fields one by one and keeps the first fault, so that a decoder reads like the grammar.
 type Fields struct {
-	rest [][]byte
-	err  error
+	remaining [][]byte
+	err       error
 }
 
-// Take starts on the fields after the word of a line.
-func Take(fields [][]byte) Fields { return Fields{rest: fields[1:]} }
+// NewFields starts on the fields after the word of a line.
+func NewFields(fields [][]byte) Fields { return Fields{remaining: fields[1:]} }
 
-// Left is the number of fields not yet taken.
-func (f *Fields) Left() int { return len(f.rest) }
+// Remaining is the number of fields not yet taken.
+func (f *Fields) Remaining() int { return len(f.remaining) }
 
 // End returns the first fault; fields left over are one.
 func (f *Fields) End() error {
-	if f.err == nil && len(f.rest) > 0 {
-		return fmt.Errorf("%d fields too many", len(f.rest))
+	if f.err == nil && len(f.remaining) > 0 {
+		return fmt.Errorf("%d fields too many", len(f.remaining))
 	}
 	return f.err
 }
 
 func (f *Fields) next() []byte {
-	if len(f.rest) == 0 {
+	if len(f.remaining) == 0 {
 		if f.err == nil {
 			f.err = errors.New("too few fields")
 		}
 		return nil
 	}
-	s := f.rest[0]
-	f.rest = f.rest[1:]
+	s := f.remaining[0]
+	f.remaining = f.remaining[1:]
 	return s
 }
 
-// fault keeps the first fault. The field is copied only here: a string made of it in the calls below stays on the
+// recordError keeps the first fault. The field is copied only here: a string made of it in the calls below stays on the
 // stack, so that decoding allocates nothing.
-func (f *Fields) fault(what string, got []byte, bad bool) {
+func (f *Fields) recordError(what string, got []byte, bad bool) {
 	if bad && f.err == nil {
 		f.err = fmt.Errorf("bad %s %.24q", what, bytes.Clone(got))
 	}
@@ -239,7 +239,7 @@
 func (f *Fields) Uint(what string, bits int) uint64 {
 	s := f.next()
 	v, err := strconv.ParseUint(string(s), 10, bits)
-	f.fault(what, s, err != nil)
+	f.recordError(what, s, err != nil)
 	return v
 }
 
@@ -247,7 +247,7 @@
 func (f *Fields) Hex(what string) uint64 {
 	s := f.next()
 	v, err := strconv.ParseUint(string(s), 16, 64)
-	f.fault(what, s, err != nil)
+	f.recordError(what, s, err != nil)
 	return v
 }
 
@@ -255,27 +255,27 @@
 func (f *Fields) Float(what string) float64 {
 	s := f.next()
 	v, err := strconv.ParseFloat(string(s), 64)
-	f.fault(what, s, err != nil || math.IsNaN(v) || math.IsInf(v, 0))
+	f.recordError(what, s, err != nil || math.IsNaN(v) || math.IsInf(v, 0))
 	return v
 }
 
-// Word takes one of the words and returns its place.
-func (f *Fields) Word(what string, words []string) int {
+// Keyword takes one of the words and returns its place.
+func (f *Fields) Keyword(what string, keywords []string) int {
 	s := f.next()
-	for i, w := range words {
+	for i, w := range keywords {
 		if string(s) == w {
 			return i
 		}
 	}
-	f.fault(what, s, true)
+	f.recordError(what, s, true)
 	return 0
 }
 
 // Text takes a field as it stands.
 func (f *Fields) Text() string { return string(f.next()) }
 
-// Number appends a space and a float with at most three decimals, enough for milliseconds and shares.
-func Number(b []byte, v float64) []byte {
+// AppendNumber appends a space and a float with at most three decimals, enough for milliseconds and shares.
+func AppendNumber(b []byte, v float64) []byte {
 	b = append(b, ' ')
 	if v == math.Trunc(v) && math.Abs(v) < 1e15 {
 		return strconv.AppendInt(b, int64(v), 10)
@@ -283,17 +283,17 @@
 	return strconv.AppendFloat(b, v, 'f', 3, 64)
 }
 
-// Int appends a space and an unsigned decimal.
-func Int(b []byte, v uint64) []byte { return strconv.AppendUint(append(b, ' '), v, 10) }
+// AppendInt appends a space and an unsigned decimal.
+func AppendInt(b []byte, v uint64) []byte { return strconv.AppendUint(append(b, ' '), v, 10) }
 
-// HexInt appends a space and 64 bits in hexadecimal.
-func HexInt(b []byte, v uint64) []byte { return strconv.AppendUint(append(b, ' '), v, 16) }
+// AppendHex appends a space and 64 bits in hexadecimal.
+func AppendHex(b []byte, v uint64) []byte { return strconv.AppendUint(append(b, ' '), v, 16) }
 
-// Word appends a space and a word.
-func Word(b []byte, s string) []byte { return append(append(b, ' '), s...) }
+// AppendText appends a space and a word.
+func AppendText(b []byte, s string) []byte { return append(append(b, ' '), s...) }
 
-// Reason makes a text fit one field: spaces become dashes, and what no field may hold a question mark.
-func Reason(s string) string {
+// EscapeText makes a text fit one field: spaces become dashes, and what no field may hold a question mark.
+func EscapeText(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/internal/proto/line/line_test.go
+++ b/internal/proto/line/line_test.go
@@ -32,7 +32,7 @@
 			return lines, err
 		}
 	}
-	if s.Inside() {
+	if s.InsideMessage() {
 		return lines, io.ErrUnexpectedEOF
 	}
 	return lines, io.EOF
--- a/internal/proto/list/list_test.go
+++ b/internal/proto/list/list_test.go
@@ -9,25 +9,25 @@
 // ear writes down what it hears as it would be said.
 type ear struct{ b []byte }
 
-func (e *ear) Whole() error             { e.b = AppendWhole(e.b); return nil }
-func (e *ear) Watch(since uint64) error { e.b = AppendWatch(e.b, since); return nil }
-func (e *ear) Unwatch() error           { e.b = AppendUnwatch(e.b); return nil }
-func (e *ear) Out(id uint32, lasts float64) error {
-	e.b = AppendOut(e.b, id, lasts)
+func (e *ear) OnFullRequest() error       { e.b = AppendFullRequest(e.b); return nil }
+func (e *ear) OnWatch(since uint64) error { e.b = AppendWatch(e.b, since); return nil }
+func (e *ear) OnUnwatch() error           { e.b = AppendUnwatch(e.b); return nil }
+func (e *ear) OnMaintenance(id uint32, lasts float64) error {
+	e.b = AppendMaintenance(e.b, id, lasts)
 	return nil
 }
-func (e *ear) Back(id uint32) error { e.b = AppendBack(e.b, id); return nil }
-func (e *ear) Bye(why string) error { e.b = AppendBye(e.b, why); return nil }
-func (e *ear) Begin(kind int, version uint64) error {
+func (e *ear) OnMaintenanceEnd(id uint32) error { e.b = AppendMaintenanceEnd(e.b, id); return nil }
+func (e *ear) OnBye(why string) error           { e.b = AppendBye(e.b, why); return nil }
+func (e *ear) OnBegin(kind int, version uint64) error {
 	e.b = AppendBegin(e.b, kind, version)
 	return nil
 }
-func (e *ear) Entry(id uint32, address string, avail int, started, cores, memory float64, zone, cell, kind string) error {
+func (e *ear) OnEntry(id uint32, address string, avail int, started, cores, memory float64, zone, cell, kind string) error {
 	e.b = AppendEntry(e.b, id, address, avail, started, cores, memory, zone, cell, kind)
 	return nil
 }
-func (e *ear) End() error              { e.b = AppendEnd(e.b); return nil }
-func (e *ear) Failed(why string) error { e.b = AppendFailed(e.b, why); return nil }
+func (e *ear) OnEnd() error              { e.b = AppendEnd(e.b); return nil }
+func (e *ear) OnFailed(why string) error { e.b = AppendFailed(e.b, why); return nil }
 
 // again decodes a line and says it again: decoded anew it must be the same, whatever the line was.
 func again(t *testing.T, text []byte, decode func([][]byte, *ear) error) {
@@ -55,7 +55,7 @@
 }
 
 func TestMarks(t *testing.T) {
-	b := AppendBack(AppendOut(nil, 7, 60000), 8)
+	b := AppendMaintenanceEnd(AppendMaintenance(nil, 7, 60000), 8)
 	var e ear
 	for _, text := range bytes.Split(bytes.TrimSpace(b), []byte("\n")) {
 		if err := DecodeScheduler(bytes.Fields(text), &e); err != nil {
--- a/internal/proto/node/node_test.go
+++ b/internal/proto/node/node_test.go
@@ -20,42 +20,42 @@
 	h.lines = append(h.lines, fmt.Sprintf(format, args...))
 	return nil
 }
-func (h *heard) Offer(ticket uint64, try uint8, epoch uint32, sent, timeout float64, jobType, tenant int,
+func (h *heard) OnOffer(ticket uint64, try uint8, epoch uint32, sent, timeout float64, jobType, tenant int,
 	service, token uint64, cores, memory float64) error {
 	return h.put("offer %x %d %d %g %g %d %d %x %x %g %g", ticket, try, epoch, sent, timeout, jobType, tenant, service, token, cores, memory)
 }
-func (h *heard) Recall(t uint64, n uint8) error { return h.put("recall %x %d", t, n) }
-func (h *heard) Stop(t uint64, n uint8) error   { return h.put("stop %x %d", t, n) }
-func (h *heard) Claim(t uint64, n uint8) error  { return h.put("claim %x %d", t, n) }
-func (h *heard) Probe(seq uint64) error         { return h.put("probe %d", seq) }
-func (h *heard) Ping(sent float64) error        { return h.put("ping %g", sent) }
-func (h *heard) Tell() error                    { return h.put("tell") }
-func (h *heard) Pong() error                    { return h.put("pong") }
-func (h *heard) HeldAll() error                 { return h.put("held-all") }
-func (h *heard) Bye(why string) error           { return h.put("bye %s", why) }
-func (h *heard) Started(t uint64, n uint8, took float64) error {
+func (h *heard) OnRecall(t uint64, n uint8) error { return h.put("recall %x %d", t, n) }
+func (h *heard) OnStop(t uint64, n uint8) error   { return h.put("stop %x %d", t, n) }
+func (h *heard) OnClaim(t uint64, n uint8) error  { return h.put("claim %x %d", t, n) }
+func (h *heard) OnProbe(seq uint64) error         { return h.put("probe %d", seq) }
+func (h *heard) OnPing(sent float64) error        { return h.put("ping %g", sent) }
+func (h *heard) OnResync() error                  { return h.put("tell") }
+func (h *heard) OnPong() error                    { return h.put("pong") }
+func (h *heard) OnHeldAll() error                 { return h.put("held-all") }
+func (h *heard) OnBye(why string) error           { return h.put("bye %s", why) }
+func (h *heard) OnStarted(t uint64, n uint8, took float64) error {
 	return h.put("started %x %d %g", t, n, took)
 }
-func (h *heard) Settled(t uint64, n uint8, o, r int, report []float64) error {
+func (h *heard) OnOutcome(t uint64, n uint8, o, r int, report []float64) error {
 	return h.put("settled %x %d %d %d %v", t, n, o, r, report)
 }
-func (h *heard) Noted(t uint64, n uint8, k int, v float64) error {
+func (h *heard) OnNote(t uint64, n uint8, k int, v float64) error {
 	return h.put("noted %x %d %d %g", t, n, k, v)
 }
-func (h *heard) Reported(seq uint64, report []float64) error {
+func (h *heard) OnReport(seq uint64, report []float64) error {
 	return h.put("reported %d %v", seq, report)
 }
-func (h *heard) Claimed(t uint64, n uint8, c, r int) error {
+func (h *heard) OnClaimAnswer(t uint64, n uint8, c, r int) error {
 	return h.put("claimed %x %d %d %d", t, n, c, r)
 }
-func (h *heard) Held(t uint64, n uint8, state, job, tenant int, service, token uint64, cores, memory float64) error {
+func (h *heard) OnHeld(t uint64, n uint8, state, job, tenant int, service, token uint64, cores, memory float64) error {
 	return h.put("held %x %d %d %d %d %x %x %g %g", t, n, state, job, tenant, service, token, cores, memory)
 }
 
 // hear decodes a stream as one side does.
 func hear(stream []byte, scheduler bool) ([]string, error) {
 	h, in := &heard{}, line.NewReader(bytes.NewReader(stream))
-	var buf [MaxReport]float64
+	var buf [MaxReportValues]float64
 	for {
 		fields, err := in.Next()
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -80,25 +80,25 @@
 		a, c, d := num("a"), num("c"), num("d")
 		job, tenant, epoch := small("job"), small("tenant"), rapid.Uint32().Draw(t, "epoch")
 		service, token := rapid.Uint64().Draw(t, "service"), rapid.Uint64().Draw(t, "token")
-		outcome, reason := small("o")%len(Outcomes), small("r")%len(Reasons)
-		claim, note := small("cl")%len(Claims), small("n")%len(Notes)
+		outcome, reason := small("o")%len(OutcomeNames), small("r")%len(ReasonNames)
+		claim, note := small("cl")%len(ClaimNames), small("n")%len(NoteNames)
 		want := &heard{}
 		var b []byte
 		b = AppendOffer(b, ticket, try, epoch, d, a, job, tenant, service, token, c, d)
 		b = AppendBye(AppendPing(AppendProbe(AppendClaim(AppendStop(AppendRecall(b, ticket, try), ticket, try),
 			ticket, try), token), c), "all is said")
-		_ = want.Offer(ticket, try, epoch, d, a, job, tenant, service, token, c, d)
-		_, _, _ = want.Recall(ticket, try), want.Stop(ticket, try), want.Claim(ticket, try)
-		_, _, _ = want.Probe(token), want.Ping(c), want.Bye("all-is-said")
+		_ = want.OnOffer(ticket, try, epoch, d, a, job, tenant, service, token, c, d)
+		_, _, _ = want.OnRecall(ticket, try), want.OnStop(ticket, try), want.OnClaim(ticket, try)
+		_, _, _ = want.OnProbe(token), want.OnPing(c), want.OnBye("all-is-said")
 		n := &heard{}
 		x := AppendHeldAll(AppendHeld(nil, ticket, try, claim%2, job, tenant, service, token, c, d))
-		x = AppendSettled(AppendStarted(x, ticket, try, a), ticket, try, outcome, reason, []float64{c, -d})
-		x = AppendPong(AppendClaimed(AppendReported(AppendNoted(x, ticket, try, note, d), token, []float64{a}), ticket, try, claim, reason))
-		_ = n.Held(ticket, try, claim%2, job, tenant, service, token, c, d)
-		_, _ = n.HeldAll(), n.Started(ticket, try, a)
-		_ = n.Settled(ticket, try, outcome, reason, []float64{c, -d})
-		_, _ = n.Noted(ticket, try, note, d), n.Reported(token, []float64{a})
-		_, _ = n.Claimed(ticket, try, claim, reason), n.Pong()
+		x = AppendOutcome(AppendStarted(x, ticket, try, a), ticket, try, outcome, reason, []float64{c, -d})
+		x = AppendPong(AppendClaimAnswer(AppendReport(AppendNote(x, ticket, try, note, d), token, []float64{a}), ticket, try, claim, reason))
+		_ = n.OnHeld(ticket, try, claim%2, job, tenant, service, token, c, d)
+		_, _ = n.OnHeldAll(), n.OnStarted(ticket, try, a)
+		_ = n.OnOutcome(ticket, try, outcome, reason, []float64{c, -d})
+		_, _ = n.OnNote(ticket, try, note, d), n.OnReport(token, []float64{a})
+		_, _ = n.OnClaimAnswer(ticket, try, claim, reason), n.OnPong()
 		for _, side := range []struct {
 			stream []byte
 			want   []string
@@ -140,13 +140,13 @@
 		t.Error("a report of five values passes")
 	}
 	t.Run("endless header", func(t *testing.T) {
-		head := Opening + "\r\n" + strings.Repeat("A: "+strings.Repeat("x", 500)+"\r\n", 1000)
-		if _, err := line.NewReader(strings.NewReader(head)).Greeting(Opening); err == nil {
+		head := GreetingLine + "\r\n" + strings.Repeat("A: "+strings.Repeat("x", 500)+"\r\n", 1000)
+		if _, err := line.NewReader(strings.NewReader(head)).Greeting(GreetingLine); err == nil {
 			t.Error("passes")
 		}
 	})
 	t.Run("other version", func(t *testing.T) {
-		if _, err := line.NewReader(strings.NewReader("RAVENPOND-NODE 2\r\n\r\n")).Greeting(Opening); err == nil {
+		if _, err := line.NewReader(strings.NewReader("RAVENPOND-NODE 2\r\n\r\n")).Greeting(GreetingLine); err == nil {
 			t.Error("passes")
 		}
 	})
@@ -193,7 +193,7 @@
 	n int
 }
 
-func (c *count) Offer(uint64, uint8, uint32, float64, float64, int, int, uint64, uint64, float64, float64) error {
+func (c *count) OnOffer(uint64, uint8, uint32, float64, float64, int, int, uint64, uint64, float64, float64) error {
 	c.n++
 	return nil
 }
--- a/internal/serve/drains.go
+++ b/internal/serve/drains.go
@@ -192,10 +192,10 @@
 	s.desk.Lock()
 	defer s.desk.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(s.out)) {
-		b = list.AppendOut(b, id, markFor)
+		b = list.AppendMaintenance(b, id, markFor)
 	}
 	for _, id := range s.back {
-		b = list.AppendBack(b, id)
+		b = list.AppendMaintenanceEnd(b, id)
 	}
 	s.back = nil
 	return b
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -35,7 +35,7 @@
 	since   float64 // when that began by our clock, 0: it did not say
 	conn    outside.Conn
 	in      line.Splitter
-	buf     [node.MaxReport]float64
+	buf     [node.MaxReportValues]float64
 	heardAt atomic.Uint64 // bits of the time
 
 	mu      sync.Mutex
@@ -55,12 +55,12 @@
 		l.visit = visiting
 	}
 	l.heardAt.Store(math.Float64bits(t.s.w.Now()))
-	conn.Begin(l, node.Stuck)
+	conn.Begin(l, node.WriteTimeout)
 	conn.Send(func(b []byte) []byte {
-		return line.AppendGreeting(b, node.Opening, "Scheduler", t.name, "Node", strconv.FormatUint(uint64(nd), 10),
+		return line.AppendGreeting(b, node.GreetingLine, "Scheduler", t.name, "Node", strconv.FormatUint(uint64(nd), 10),
 			"Sent", strconv.FormatFloat(t.s.w.Now(), 'f', 3, 64)) // so that the first offer can't lie on the way unseen
 	})
-	t.s.w.After(node.Handshake, func() {
+	t.s.w.After(node.HandshakeTimeout, func() {
 		if !l.greeted() {
 			l.end("greeting: none in time", false)
 		}
@@ -81,7 +81,7 @@
 	}
 	l.heardAt.Store(math.Float64bits(l.s.w.Now()))
 	if l.life == 0 { // set here alone
-		head, after, err := l.in.Greeting(b, node.Opening)
+		head, after, err := l.in.Greeting(b, node.GreetingLine)
 		if err == nil && head == nil {
 			return
 		}
@@ -136,7 +136,7 @@
 	if !visits {
 		t.add(l)
 	}
-	outside.Every(l.s.w, node.PingEvery, l.ping)
+	outside.Every(l.s.w, node.PingInterval, l.ping)
 	return nil
 }
 
@@ -148,8 +148,8 @@
 	if shut {
 		return false
 	}
-	if l.s.w.Now()-math.Float64frombits(l.heardAt.Load()) > node.Silent {
-		l.end(fmt.Sprintf("silent for %d ms", node.Silent), false)
+	if l.s.w.Now()-math.Float64frombits(l.heardAt.Load()) > node.SilenceTimeout {
+		l.end(fmt.Sprintf("silent for %d ms", node.SilenceTimeout), false)
 		return false
 	}
 	l.add(func(b []byte) []byte { return node.AppendPing(b, l.s.w.Now()) })
@@ -209,7 +209,7 @@
 	l.mu.Lock()
 	l.hearing = append(l.hearing, []*shard{sh})
 	l.mu.Unlock()
-	l.add(node.AppendTell)
+	l.add(node.AppendResync)
 }
 
 // end ends the link for a reason; the first one counts.
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -64,13 +64,13 @@
 	hear(sh)
 }
 
-func (l *link) Started(ticket uint64, try uint8, took float64) error {
+func (l *link) OnStarted(ticket uint64, try uint8, took float64) error {
 	return l.event(ticket, false, func(sh *shard, now float64) error {
 		return sh.eng.OnStarted(now, l.nd, ticket, try, took)
 	})
 }
 
-func (l *link) Settled(ticket uint64, try uint8, outcome, reason int, report []float64) error {
+func (l *link) OnOutcome(ticket uint64, try uint8, outcome, reason int, report []float64) error {
 	if n := len(report); n != 0 && n != len(l.s.who.Place.Cluster.Report) {
 		return fmt.Errorf("report of %d values, expected %d", n, len(l.s.who.Place.Cluster.Report))
 	}
@@ -105,24 +105,24 @@
 	}
 }
 
-func (l *link) Claimed(ticket uint64, try uint8, claim, reason int) error {
+func (l *link) OnClaimAnswer(ticket uint64, try uint8, claim, reason int) error {
 	return l.event(ticket, false, func(sh *shard, now float64) error {
-		if claim < node.ClaimedOutcome {
-			sh.eng.OnClaimHeld(now, l.nd, ticket, try, claim == node.ClaimedRuns)
+		if claim < node.ClaimOutcome {
+			sh.eng.OnClaimHeld(now, l.nd, ticket, try, claim == node.ClaimRunning)
 		} else {
-			sh.eng.OnClaimOutcome(now, l.nd, ticket, try, node.Verdicts[claim-node.ClaimedOutcome], logic.Reason(reason))
+			sh.eng.OnClaimOutcome(now, l.nd, ticket, try, node.Verdicts[claim-node.ClaimOutcome], logic.Reason(reason))
 		}
 		return nil
 	})
 }
 
-func (l *link) Noted(ticket uint64, try uint8, kind int, value float64) error {
+func (l *link) OnNote(ticket uint64, try uint8, kind int, value float64) error {
 	return l.event(ticket, false, func(sh *shard, now float64) error {
 		return sh.eng.OnNote(now, l.nd, ticket, try, logic.NoteKind(kind), value)
 	})
 }
 
-func (l *link) Reported(seq uint64, report []float64) error {
+func (l *link) OnReport(seq uint64, report []float64) error {
 	if len(report) != len(l.s.who.Place.Cluster.Report) {
 		return fmt.Errorf("report of %d values, expected %d", len(report), len(l.s.who.Place.Cluster.Report))
 	}
@@ -140,8 +140,8 @@
 	return errors.New("report for a probe never sent")
 }
 
-// Held goes to the shard whose try it is; one of a life that is over to the shard that has its service now.
-func (l *link) Held(ticket uint64, try uint8, state, jobType, tenant int, service, token uint64,
+// OnHeld goes to the shard whose try it is; one of a life that is over to the shard that has its service now.
+func (l *link) OnHeld(ticket uint64, try uint8, state, jobType, tenant int, service, token uint64,
 	cores, memory float64) error {
 	s := l.s
 	if jobType >= len(s.who.Place.Jobs) || tenant >= len(s.who.Place.Tenants) {
@@ -201,7 +201,7 @@
 	return nil
 }
 
-func (l *link) HeldAll() error {
+func (l *link) OnHeldAll() error {
 	if l.visits() && l.leave() {
 		return nil
 	}
@@ -219,6 +219,6 @@
 	return nil
 }
 
-func (l *link) Pong() error { return nil }
+func (l *link) OnPong() error { return nil }
 
-func (l *link) Bye(why string) error { return fmt.Errorf("%w: %s", errBye, why) }
+func (l *link) OnBye(why string) error { return fmt.Errorf("%w: %s", errBye, why) }
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -151,7 +151,7 @@
 		l.owe()
 		l.mu.Unlock()
 		conn.Begin(l, listStuck)
-		conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.Opening, "Scheduler", l.s.who.Name) })
+		conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.GreetingLine, "Scheduler", l.s.who.Name) })
 	})
 }
 
@@ -183,7 +183,7 @@
 				defer l.s.mu.Unlock()
 				return list.AppendWatch(b, l.s.list.Version)
 			case wholeCall:
-				return list.AppendWhole(b)
+				return list.AppendFullRequest(b)
 			case unwatchCall:
 				return list.AppendUnwatch(b)
 			default:
@@ -198,7 +198,7 @@
 func (l *lister) Heard(b []byte) {
 	l.mu.Lock()
 	if !l.greeted {
-		head, after, err := l.in.Greeting(b, list.Opening)
+		head, after, err := l.in.Greeting(b, list.GreetingLine)
 		if err != nil {
 			l.conn.End(false, nil)
 		}
@@ -267,8 +267,8 @@
 
 var errOrder = errors.New("list answer out of order")
 
-// Begin opens an answer.
-func (l *lister) Begin(kind int, version uint64) error {
+// OnBegin opens an answer.
+func (l *lister) OnBegin(kind int, version uint64) error {
 	if l.open {
 		return errOrder
 	}
@@ -276,8 +276,8 @@
 	return nil
 }
 
-// Entry is one node of it.
-func (l *lister) Entry(id uint32, address string, avail int, startedAt, cores, memory float64,
+// OnEntry is one node of it.
+func (l *lister) OnEntry(id uint32, address string, avail int, startedAt, cores, memory float64,
 	zone, cell, kind string) error {
 	if !l.open || len(l.entries) >= maxEntries {
 		return errOrder
@@ -287,8 +287,8 @@
 	return nil
 }
 
-// End closes it; only now it counts.
-func (l *lister) End() error {
+// OnEnd closes it; only now it counts.
+func (l *lister) OnEnd() error {
 	if !l.open {
 		return errOrder
 	}
@@ -311,15 +311,15 @@
 	s.mu.Unlock()
 	s.tellOthers(l.version, l.entries)
 	kind := logic.ListFull
-	if l.kind == list.Changes {
+	if l.kind == list.KindChanges {
 		kind = logic.ListChanges
 	}
 	s.toAll(kind, entries)
 	return nil
 }
 
-// Failed tells that a call has failed.
-func (l *lister) Failed(string) error {
+// OnFailed tells that a call has failed.
+func (l *lister) OnFailed(string) error {
 	l.mu.Lock()
 	l.settled()
 	l.mu.Unlock()
@@ -327,8 +327,8 @@
 	return nil
 }
 
-// Bye is the list's farewell.
-func (l *lister) Bye(why string) error { return fmt.Errorf("%w: %s", errBye, why) }
+// OnBye is the list's farewell.
+func (l *lister) OnBye(why string) error { return fmt.Errorf("%w: %s", errBye, why) }
 
 func (s *Server) listFailed() { s.toAll(logic.ListFailed, nil) }
 
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -329,14 +329,14 @@
 
 // TestBadPeers puts bad nodes beside good ones: each bad connection ends with its reason, and nothing else suffers.
 func TestBadPeers(t *testing.T) {
-	hello := node.Opening + "\r\nNode: ID\r\nLife: 3\r\n\r\n"
+	hello := node.GreetingLine + "\r\nNode: ID\r\nLife: 3\r\n\r\n"
 	s := newStage(t, 1, 4, false)
 	cases := []struct {
 		name, say, why string
 		then           func(net.Conn)
 	}{
 		{"endless line", hello + "HELD-ALL\n" + strings.Repeat("x", 100000), "too-long", nil},
-		{"endless header", node.Opening + "\r\n" + strings.Repeat("X-A: "+strings.Repeat("y", 900)+"\r\n", 300), "", nil},
+		{"endless header", node.GreetingLine + "\r\n" + strings.Repeat("X-A: "+strings.Repeat("y", 900)+"\r\n", 300), "", nil},
 		{"another node", strings.ReplaceAll(hello, "ID", "999"), "", nil},
 		{"wrong number", hello + "HELD-ALL\nSTARTED zz 0 1\n", "bad-ticket", nil},
 		{"unknown try", hello + "HELD-ALL\nSTARTED ff 0 1\n", "unknown-try", nil},
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -118,7 +118,7 @@
 			en.seenAt, changed = now, true
 			next[n.ID] = en
 			if !known || old.avail != en.avail {
-				l.w.Trace.Add(audit.Record{At: now, Kind: audit.Listed, Node: n.ID, Word: list.Availabilities[en.avail]})
+				l.w.Trace.Add(audit.Record{At: now, Kind: audit.Listed, Node: n.ID, Word: list.AvailabilityNames[en.avail]})
 			}
 		}
 	})
@@ -180,7 +180,7 @@
 // Heard takes what a scheduler sends.
 func (c *watcher) Heard(b []byte) {
 	if c.sched == "" {
-		head, after, err := c.in.Greeting(b, list.Opening)
+		head, after, err := c.in.Greeting(b, list.GreetingLine)
 		if err != nil {
 			c.conn.End(false, list.AppendBye(nil, err.Error()))
 			return
@@ -189,7 +189,7 @@
 			return
 		}
 		c.sched, b = head.Get("Scheduler"), after
-		c.conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.Opening) })
+		c.conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.GreetingLine) })
 		outside.Every(c.l.w, look, func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -230,21 +230,21 @@
 	if c.told != nil && v.version <= c.told.version && !called {
 		return true
 	}
-	kind, old := list.Whole, map[uint32]entry{}
+	kind, old := list.KindFull, map[uint32]entry{}
 	if c.told != nil {
-		kind, old = list.Changes, c.told.entries
+		kind, old = list.KindChanges, c.told.entries
 		if v.version < c.told.version {
 			v = *c.told
 		}
 	}
 	b, told := list.AppendBegin(nil, kind, v.version), []audit.Record(nil)
 	put := func(id uint32, en entry) {
-		if en.avail == 0 && kind == list.Whole {
+		if en.avail == 0 && kind == list.KindFull {
 			told = append(told, audit.Record{Kind: audit.Told, Sched: c.sched, Node: id, Word: "gone"}) // by its absence
 			return
 		}
 		b = list.AppendEntry(b, id, en.address, en.avail, en.started, en.cores, en.memory, en.zone, en.cell, en.kind)
-		told = append(told, audit.Record{Kind: audit.Told, Sched: c.sched, Node: id, Word: list.Availabilities[en.avail]})
+		told = append(told, audit.Record{Kind: audit.Told, Sched: c.sched, Node: id, Word: list.AvailabilityNames[en.avail]})
 	}
 	for _, id := range slices.Sorted(maps.Keys(v.entries)) {
 		if was, ok := old[id]; !ok || was != v.entries[id] {
@@ -274,20 +274,20 @@
 	return nil
 }
 
-// Watch answers with all that changed; a version that this connection was not told begins anew.
-func (c *watcher) Watch(since uint64) error {
+// OnWatch answers with all that changed; a version that this connection was not told begins anew.
+func (c *watcher) OnWatch(since uint64) error {
 	return c.call(true, c.told == nil || c.told.version != since)
 }
-func (c *watcher) Whole() error { return c.call(false, true) }
-func (c *watcher) Unwatch() error {
+func (c *watcher) OnFullRequest() error { return c.call(false, true) }
+func (c *watcher) OnUnwatch() error {
 	c.mu.Lock()
 	c.watches = false
 	c.mu.Unlock()
 	return nil
 }
 
-// Out and Back are a scheduler's word of its maintenance windows.
-func (c *watcher) Out(id uint32, lasts float64) error {
+// OnMaintenance and Back are a scheduler's word of its maintenance windows.
+func (c *watcher) OnMaintenance(id uint32, lasts float64) error {
 	c.l.Set(func(l *List) {
 		if l.marks[id] == nil {
 			l.marks[id] = map[string]float64{}
@@ -297,9 +297,9 @@
 	return nil
 }
 
-func (c *watcher) Back(id uint32) error {
+func (c *watcher) OnMaintenanceEnd(id uint32) error {
 	c.l.Set(func(l *List) { delete(l.marks[id], c.sched) })
 	return nil
 }
 
-func (c *watcher) Bye(why string) error { return fmt.Errorf("farewell: %s", why) }
+func (c *watcher) OnBye(why string) error { return fmt.Errorf("farewell: %s", why) }
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -113,7 +113,7 @@
 	m.now, m.draining, m.sends, m.nextAway = now, true, sends, now
 	for i := len(m.line) - 1; i >= 0; i-- {
 		if t := m.line[i]; !t.isProbe {
-			m.settle(t, node.Refused, 4)
+			m.settle(t, node.OutcomeRefused, 4)
 		}
 	}
 	for atOnce && len(m.order) > 0 {
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -160,13 +160,13 @@
 // came takes a connection; who it is from is told by its greeting.
 func (n *Node) came(conn outside.Conn) {
 	p := &peer{n: n, conn: conn, heard: n.w.Now()}
-	conn.Begin(p, node.Stuck)
-	outside.Every(n.w, node.Handshake, func() bool {
+	conn.Begin(p, node.WriteTimeout)
+	outside.Every(n.w, node.HandshakeTimeout, func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		silent := float64(node.Silent)
+		silent := float64(node.SilenceTimeout)
 		if p.sched == "" {
-			silent = node.Handshake
+			silent = node.HandshakeTimeout
 		}
 		if !p.ended && n.w.Now()-p.heard >= silent {
 			p.finish("silent")
@@ -181,7 +181,7 @@
 	p.heard = p.n.w.Now()
 	p.mu.Unlock()
 	if p.sched == "" {
-		head, after, err := p.in.Greeting(b, node.Opening)
+		head, after, err := p.in.Greeting(b, node.GreetingLine)
 		if err == nil && head == nil {
 			return
 		}
@@ -230,7 +230,7 @@
 		n.conns[sched] = p
 		n.rec(audit.Linked, sched, 0, 0, "")
 		p.add(func(b []byte) []byte {
-			return line.AppendGreeting(b, node.Opening, "Node", strconv.FormatUint(uint64(n.ID), 10),
+			return line.AppendGreeting(b, node.GreetingLine, "Node", strconv.FormatUint(uint64(n.ID), 10),
 				"Life", strconv.FormatUint(n.life, 10), "Up", strconv.FormatFloat(n.Machine.Up(now), 'f', 3, 64))
 		})
 		p.tell(now)
@@ -265,8 +265,8 @@
 	p.add(func(queue []byte) []byte { return node.AppendHeldAll(append(queue, b...)) })
 }
 
-// Tell tells again all that is held.
-func (p *peer) Tell() error { return p.event(p.tell) }
+// OnResync tells again all that is held.
+func (p *peer) OnResync() error { return p.event(p.tell) }
 
 func (p *peer) end(why string) {
 	p.mu.Lock()
@@ -316,7 +316,7 @@
 	}
 }
 
-func (p *peer) Offer(ticket uint64, try uint8, epoch uint32, sent, timeout float64, job, tenant int,
+func (p *peer) OnOffer(ticket uint64, try uint8, epoch uint32, sent, timeout float64, job, tenant int,
 	service, token uint64, cores, memory float64) error {
 	if job >= p.n.Jobs || tenant >= p.n.Tenants {
 		return fmt.Errorf("unknown job type %d or tenant %d", job, tenant)
@@ -331,31 +331,31 @@
 	})
 }
 
-func (p *peer) Recall(ticket uint64, try uint8) error {
+func (p *peer) OnRecall(ticket uint64, try uint8) error {
 	return p.event(func(now float64) {
 		p.n.rec(audit.Recalled, p.sched, ticket, try, "")
 		p.n.Machine.Recall(now, p.sched, ticket, try)
 	})
 }
 
-func (p *peer) Stop(ticket uint64, try uint8) error {
+func (p *peer) OnStop(ticket uint64, try uint8) error {
 	return p.event(func(now float64) { p.n.Machine.Stop(now, p.sched, ticket, try) })
 }
 
-func (p *peer) Claim(ticket uint64, try uint8) error {
+func (p *peer) OnClaim(ticket uint64, try uint8) error {
 	return p.event(func(now float64) { p.n.Machine.Claim(now, p.sched, ticket, try) })
 }
 
-func (p *peer) Probe(seq uint64) error {
+func (p *peer) OnProbe(seq uint64) error {
 	return p.event(func(now float64) { p.n.Machine.Probe(now, p.sched, seq) })
 }
 
-func (p *peer) Ping(sent float64) error {
+func (p *peer) OnPing(sent float64) error {
 	p.lag.Waited(p.n.w.Now(), sent, 0, 0)
 	return p.event(func(float64) { p.add(node.AppendPong) })
 }
 
-func (p *peer) Bye(why string) error { return fmt.Errorf("farewell: %s", why) }
+func (p *peer) OnBye(why string) error { return fmt.Errorf("farewell: %s", why) }
 
 // say speaks to a scheduler, if it is connected and the answer is not to be lost.
 func (n *Node) say(sched string, mayLose bool, b func([]byte) []byte) bool {
@@ -378,30 +378,30 @@
 
 // Settled tells an outcome; a lost one is not counted as told.
 func (n *Node) Settled(sched string, ticket uint64, try uint8, outcome, reason int, report []float64) {
-	n.rec(audit.Concluded, sched, ticket, try, node.Outcomes[outcome])
-	n.say(sched, outcome == node.Errored, func(b []byte) []byte {
-		return node.AppendSettled(b, ticket, try, outcome, reason, report)
+	n.rec(audit.Concluded, sched, ticket, try, node.OutcomeNames[outcome])
+	n.say(sched, outcome == node.OutcomeErrored, func(b []byte) []byte {
+		return node.AppendOutcome(b, ticket, try, outcome, reason, report)
 	})
 }
 
 // Noted tells of a running allocation.
 func (n *Node) Noted(sched string, ticket uint64, try uint8, kind int, value float64) {
-	n.say(sched, false, func(b []byte) []byte { return node.AppendNoted(b, ticket, try, kind, value) })
+	n.say(sched, false, func(b []byte) []byte { return node.AppendNote(b, ticket, try, kind, value) })
 }
 
 // Reported answers a probe.
 func (n *Node) Reported(sched string, seq uint64, report []float64) {
-	n.say(sched, false, func(b []byte) []byte { return node.AppendReported(b, seq, report) })
+	n.say(sched, false, func(b []byte) []byte { return node.AppendReport(b, seq, report) })
 }
 
 // Claimed answers a claim. One that proves that a try never ran concludes it.
 func (n *Node) Claimed(sched string, ticket uint64, try uint8, claim, reason int) {
-	if claim == node.ClaimedRuns {
+	if claim == node.ClaimRunning {
 		n.rec(audit.Confirmed, sched, ticket, try, "")
-	} else if claim >= node.ClaimedOutcome {
-		n.rec(audit.Concluded, sched, ticket, try, node.Claims[claim])
+	} else if claim >= node.ClaimOutcome {
+		n.rec(audit.Concluded, sched, ticket, try, node.ClaimNames[claim])
 	}
-	n.say(sched, false, func(b []byte) []byte { return node.AppendClaimed(b, ticket, try, claim, reason) })
+	n.say(sched, false, func(b []byte) []byte { return node.AppendClaimAnswer(b, ticket, try, claim, reason) })
 }
 
 // Ran is the moment of a try's effect.
--- a/internal/standin/offers.go
+++ b/internal/standin/offers.go
@@ -23,11 +23,11 @@
 	m.tasks[n] = t
 	switch {
 	case m.bars[n], epoch < m.epochs[epochOf(t)]: // given up before it came, or of an owner that lost it
-		m.settle(t, node.Refused, 4)
+		m.settle(t, node.OutcomeRefused, 4)
 	case m.draining:
-		m.settle(t, node.Refused, 4)
+		m.settle(t, node.OutcomeRefused, 4)
 	case len(m.line) >= m.Line:
-		m.settle(t, node.Refused, 3)
+		m.settle(t, node.OutcomeRefused, 3)
 	default:
 		m.epochs[epochOf(t)] = epoch
 		m.enter(t)
@@ -61,7 +61,7 @@
 	m.Tick(now)
 	n := name{sched, ticket, try}
 	if t := m.tasks[n]; t != nil && t.stage != running {
-		m.settle(t, node.Refused, 0)
+		m.settle(t, node.OutcomeRefused, 0)
 	} else if t == nil {
 		if _, ok := m.past[n]; !ok { // not seen yet: it will be turned away
 			m.bars[n] = true
@@ -75,9 +75,9 @@
 	switch t := m.tasks[name{sched, ticket, try}]; {
 	case t == nil:
 	case t.stage == running:
-		m.settle(t, node.Stopped, 0)
+		m.settle(t, node.OutcomeStopped, 0)
 	default:
-		m.settle(t, node.Refused, 0)
+		m.settle(t, node.OutcomeRefused, 0)
 	}
 }
 
@@ -86,9 +86,9 @@
 	m.Tick(now)
 	n := name{sched, ticket, try}
 	if t := m.tasks[n]; t != nil {
-		claim := node.ClaimedWaits
+		claim := node.ClaimWaiting
 		if t.stage == running {
-			claim = node.ClaimedRuns
+			claim = node.ClaimRunning
 		}
 		m.voice.Claimed(sched, ticket, try, claim, 0)
 		return
@@ -97,13 +97,13 @@
 	switch {
 	case ok:
 	case len(m.past) >= rememberMost:
-		p.outcome = node.Unknown
+		p.outcome = node.OutcomeUnknown
 	default:
 		m.bars[n] = true
-		p = memory{now, node.Barred, 0}
+		p = memory{now, node.OutcomeBarred, 0}
 		m.past[n] = p
 	}
-	m.voice.Claimed(sched, ticket, try, node.ClaimedOutcome+p.outcome, p.reason)
+	m.voice.Claimed(sched, ticket, try, node.ClaimOutcome+p.outcome, p.reason)
 }
 
 // Probe puts a probe into the line of offers.
--- a/internal/standin/progress.go
+++ b/internal/standin/progress.go
@@ -74,7 +74,7 @@
 		}
 	case starting:
 		if m.now > t.until {
-			m.settle(t, node.Refused, 4)
+			m.settle(t, node.OutcomeRefused, 4)
 			return
 		}
 		if m.BadJob == t.job && m.rng.Float64() < m.BadPart {
@@ -89,7 +89,7 @@
 		m.voice.Started(t.sched, t.ticket, t.try, took)
 		m.starts()
 	case running:
-		m.settle(t, node.Ended, 0)
+		m.settle(t, node.OutcomeEnded, 0)
 	}
 }
 
@@ -98,9 +98,9 @@
 	m.voice.Ran(t.sched, t.ticket, t.try)
 	if m.BadQuiet {
 		m.drop(t)
-		m.past[t.name] = memory{m.now, node.Unknown, 0}
+		m.past[t.name] = memory{m.now, node.OutcomeUnknown, 0}
 	} else {
-		m.settle(t, node.Errored, 0)
+		m.settle(t, node.OutcomeErrored, 0)
 	}
 	m.starts()
 }
@@ -108,14 +108,14 @@
 func (m *Machine) look(t *task) {
 	w := m.Work[t.job]
 	if m.now > t.until {
-		m.settle(t, node.Refused, 4)
+		m.settle(t, node.OutcomeRefused, 4)
 		return
 	}
 	if w.Token {
 		if h := m.group.holders[t.token]; h != nil && h.m == m && h.name != t.name && h.stage != running {
-			h.m.settle(h, node.Refused, 0) // a copy that nobody waits for gives way
+			h.m.settle(h, node.OutcomeRefused, 0) // a copy that nobody waits for gives way
 		} else if h != nil && h.name != t.name {
-			m.settle(t, node.Refused, 4)
+			m.settle(t, node.OutcomeRefused, 4)
 			return
 		}
 	}
@@ -127,7 +127,7 @@
 		m.away(m.order[i], 6)
 	}
 	if why := m.full(t); why > 0 {
-		m.settle(t, node.Refused, why)
+		m.settle(t, node.OutcomeRefused, why)
 		return
 	}
 	t.stage = starting
@@ -197,9 +197,9 @@
 // away ends an accepted task that has to go: one that does not run yet is handed back.
 func (m *Machine) away(t *task, why int) {
 	if t.stage == running {
-		m.settle(t, node.Lost, why)
+		m.settle(t, node.OutcomeLost, why)
 	} else {
-		m.settle(t, node.Refused, 4)
+		m.settle(t, node.OutcomeRefused, 4)
 	}
 }
 
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -203,7 +203,7 @@
 		return fmt.Errorf("list version %d after %d", version, l.Version)
 	}
 	l.Version, l.page = version, nil
-	if kind == list.Whole {
+	if kind == list.KindFull {
 		l.page = map[uint32]bool{}
 	}
 	return nil
@@ -273,7 +273,7 @@
 
 // Text is the list as the file holds it.
 func (l *List) Text() []byte {
-	b := list.AppendBegin(nil, list.Whole, l.Version)
+	b := list.AppendBegin(nil, list.KindFull, l.Version)
 	for _, en := range l.Entries() {
 		b = list.AppendEntry(b, en.ID, en.Address, en.Avail, en.StartedAt, en.FreeCores, en.FreeMemory,
 			en.Zone, en.Cell, en.Kind)
@@ -311,11 +311,11 @@
 // loader reads a list back.
 type loader struct{ l *List }
 
-func (r loader) Begin(kind int, version uint64) error { return r.l.Begin(kind, version) }
-func (r loader) End() error                           { r.l.End(); return nil }
-func (r loader) Failed(string) error                  { return errors.New("a failure in a saved list") }
-func (r loader) Bye(string) error                     { return errors.New("a farewell in a saved list") }
-func (r loader) Entry(id uint32, address string, avail int, startedAt, cores, memory float64,
+func (r loader) OnBegin(kind int, version uint64) error { return r.l.Begin(kind, version) }
+func (r loader) OnEnd() error                           { r.l.End(); return nil }
+func (r loader) OnFailed(string) error                  { return errors.New("a failure in a saved list") }
+func (r loader) OnBye(string) error                     { return errors.New("a farewell in a saved list") }
+func (r loader) OnEntry(id uint32, address string, avail int, startedAt, cores, memory float64,
 	zone, cell, kind string) error {
 	r.l.Put(Entry{id, address, avail, startedAt, cores, memory, zone, cell, kind})
 	return nil
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -50,10 +50,10 @@
 		return nil
 	}
 	a, b := Entry{ID: 1, Address: "x:1", Avail: 1, Zone: "z", Cell: "c", Kind: "k"}, Entry{ID: 2, Address: "x:2", Avail: 2, Zone: "z", Cell: "c", Kind: "k"}
-	if put(list.Whole, 5, a, b) != nil || put(list.Changes, 6, Entry{ID: 1}) != nil {
+	if put(list.KindFull, 5, a, b) != nil || put(list.KindChanges, 6, Entry{ID: 1}) != nil {
 		t.Fatal("not taken")
 	}
-	if err := put(list.Changes, 4, a); err == nil {
+	if err := put(list.KindChanges, 4, a); err == nil {
 		t.Error("older news taken: it would bring back what is gone")
 	}
 	if err := f.SaveList(l.Text()); err != nil {
@@ -101,7 +101,7 @@
 	folder := On(m)
 	_, _ = folder.NextLife()
 	l := NewList()
-	_ = l.Begin(list.Whole, 3)
+	_ = l.Begin(list.KindFull, 3)
 	l.Put(Entry{ID: 7, Address: "a:1", Avail: 1, Zone: "z", Cell: "c", Kind: "k"})
 	l.End()
 	_ = folder.SaveList(l.Text())
@@ -172,23 +172,23 @@
 		}
 		l.End()
 	}
-	put(list.Whole, 1, Entry{ID: 7, Avail: 1}, Entry{ID: 3, Avail: 1}, Entry{ID: 5, Avail: 1})
+	put(list.KindFull, 1, Entry{ID: 7, Avail: 1}, Entry{ID: 3, Avail: 1}, Entry{ID: 5, Avail: 1})
 	if got := ids(); !slices.Equal(got, []uint32{3, 5, 7}) {
 		t.Fatalf("entries %v", got)
 	}
 	before, revision := l.Entries(), l.Revision()
-	put(list.Changes, 2, Entry{ID: 5, Avail: 1}) // says nothing new
+	put(list.KindChanges, 2, Entry{ID: 5, Avail: 1}) // says nothing new
 	if l.Revision() != revision || &before[0] != &l.Entries()[0] {
 		t.Error("made anew without a change")
 	}
-	put(list.Changes, 3, Entry{ID: 5, Avail: 0}, Entry{ID: 4, Avail: 1, FreeCores: 2})
+	put(list.KindChanges, 3, Entry{ID: 5, Avail: 0}, Entry{ID: 4, Avail: 1, FreeCores: 2})
 	if got := ids(); !slices.Equal(got, []uint32{3, 4, 7}) || l.Revision() == revision {
 		t.Errorf("entries %v after a change, revision %d", got, l.Revision())
 	}
 	if before[1].ID != 5 {
 		t.Error("a slice that was given out has changed")
 	}
-	put(list.Whole, 4, Entry{ID: 9, Avail: 1})
+	put(list.KindFull, 4, Entry{ID: 9, Avail: 1})
 	if got := ids(); !slices.Equal(got, []uint32{9}) {
 		t.Errorf("entries %v after a whole answer", got)
 	}
