--- a/cmd/ravenpond/drain.go
+++ b/cmd/ravenpond/drain.go
@@ -279,7 +279,7 @@
 	fmt.Printf("%d nodes on the last list; usual load: %s\n", len(fleet), whose)
 	out := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "WINDOW\tCALENDAR\tVERDICT\tDRAINS FROM\tOUT\tBACK\tNODES\tMOST OUT\tWHY")
-	for _, v := range calendar.Plan(cal, fleet, place.Drains, load, from, from.AddDate(0, 0, c.Days)) {
+	for _, v := range calendar.Plan(cal, fleet, place.Maintenance, load, from, from.AddDate(0, 0, c.Days)) {
 		const at = "2 Jan 15:04"
 		if v.Outcome == calendar.Refused {
 			fmt.Fprintf(out, "%s\t%s\trefused\t\t\t\t%d\t\t%s\n", v.Window, v.Nominal.Format(at), len(v.Nodes), v.Why)
@@ -292,13 +292,13 @@
 }
 
 // lastFleet is the fleet of a scheduler's last list, read beside a scheduler that may be running.
-func lastFleet(folder string, place *site.Place) (fleet []calendar.Node, err error) {
+func lastFleet(folder string, place *site.Config) (fleet []calendar.Node, err error) {
 	l, err := state.ReadList(folder)
 	if err != nil || l == nil {
 		return nil, err
 	}
 	for _, en := range l.Entries() {
-		if kind := slices.Index(place.Kinds, en.Kind); kind >= 0 {
+		if kind := slices.Index(place.MachineKinds, en.Kind); kind >= 0 {
 			fleet = append(fleet, calendar.Node{ID: strconv.FormatUint(uint64(en.ID), 10), Zone: en.Zone, Cell: en.Cell, Kind: en.Kind,
 				Cores: place.Cluster.KindCores[kind], Memory: place.Cluster.KindMemory[kind]})
 		}
--- a/cmd/ravenpond/herd.go
+++ b/cmd/ravenpond/herd.go
@@ -38,7 +38,7 @@
 	s := herd.Scene{Schedulers: c.Schedulers, Nodes: c.Nodes, Filled: c.Filled, Life: c.Life * 1000, Lasts: c.Lasts * 1000, Services: c.Services,
 		Members: c.Members}
 	if c.Set > 0 {
-		s.Working = &site.WorkingSet{Least: c.Set, Coverage: 1, Spare: c.Spare, PerStart: 1, PerStratum: 3, NarrowAfter: 30_000}
+		s.Working = &site.WorkingSet{MinNodes: c.Set, Coverage: 1, SpareFactor: c.Spare, NodesPerStart: 1, MinPerStratum: 3, NarrowAfter: 30_000}
 	}
 	for _, text := range c.Fault {
 		f, err := sim.ParseFault(text)
--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -123,7 +123,7 @@
 	}
 	first := *place
 	if c.Owners != "" {
-		place.OwnersListen = c.Owners
+		place.ClientsListen = c.Owners
 	}
 	log, err := logger(c.Log, c.Level, os.Stderr)
 	if err != nil {
@@ -153,7 +153,7 @@
 		}()
 	}
 	var secure *tls.Config
-	if place.AdminListen != "" || place.OwnersSecure {
+	if place.AdminListen != "" || place.ClientsTLS {
 		if c.Keys == "" {
 			return errors.New("the site file wants TLS, for owners or for the administration: --keys is expected")
 		}
@@ -161,7 +161,7 @@
 		if err != nil {
 			return err
 		}
-		if place.OwnersSecure {
+		if place.ClientsTLS {
 			secure = guard.Server()
 		}
 		ended, err := c.administer(ctx, place, guard, log.With().Str("scheduler", c.Name).Logger())
@@ -184,8 +184,8 @@
 
 // administer looks after the keys, and serves the administration API where it has an address, until the scheduler ends; ended
 // waits for that.
-func (c *serveCommand) administer(ctx context.Context, place *site.Place, guard *keys.Guard, log zerolog.Logger) (ended func(), err error) {
-	api := &admin.Server{Open: func() (*tenants.Store, error) { return tenants.Open(c.State, place.Hosted) }, Guard: guard, Log: log, Now: time.Now}
+func (c *serveCommand) administer(ctx context.Context, place *site.Config, guard *keys.Guard, log zerolog.Logger) (ended func(), err error) {
+	api := &admin.Server{Open: func() (*tenants.Store, error) { return tenants.Open(c.State, place.MaxHostedTenants) }, Guard: guard, Log: log, Now: time.Now}
 	ctx, stop := context.WithCancel(ctx)
 	done, ready := make(chan error, 1), make(chan struct{})
 	go func() {
@@ -212,7 +212,7 @@
 }
 
 // reread follows the count of shards in the site file, which is read anew at each SIGHUP, until the context ends.
-func (c *serveCommand) reread(ctx context.Context, first *site.Place, log zerolog.Logger, resize chan<- int) {
+func (c *serveCommand) reread(ctx context.Context, first *site.Config, log zerolog.Logger, resize chan<- int) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
@@ -248,7 +248,7 @@
 		return err
 	}
 	fmt.Printf("%s: site %s, %d job types, %d tenants, %d machine kinds: no faults\n", c.File, place.Name,
-		len(place.Jobs), len(place.Tenants), len(place.Kinds))
+		len(place.JobClasses), len(place.Tenants), len(place.MachineKinds))
 	return nil
 }
 
--- a/cmd/ravenpond/tenant.go
+++ b/cmd/ravenpond/tenant.go
@@ -42,10 +42,10 @@
 	if err != nil {
 		return err
 	}
-	if place.Hosted == 0 {
+	if place.MaxHostedTenants == 0 {
 		return fmt.Errorf("site file %s: no <hosting>: its tenants are named there, and do not come and go", f.Site)
 	}
-	return withStore(func() (*tenants.Store, error) { return tenants.Open(f.State, place.Hosted) }, do)
+	return withStore(func() (*tenants.Store, error) { return tenants.Open(f.State, place.MaxHostedTenants) }, do)
 }
 
 // who names the person at the command line, for the record.
--- a/internal/lab/clubs/clubs.go
+++ b/internal/lab/clubs/clubs.go
@@ -133,7 +133,7 @@
 	time.Sleep(opening - 300*time.Millisecond) // connections, and the pace of the first moments
 	var owners []*standin.Owner
 	for i := range day.Tenants {
-		o := &standin.Owner{ID: i, Sched: "s0", Find: func() string { return addr }, Settle: place.Settle, Token: tokens[i]}
+		o := &standin.Owner{ID: i, Sched: "s0", Find: func() string { return addr }, Settle: place.SettleTime, Token: tokens[i]}
 		owners = append(owners, o)
 		w.StartOwner(o, uint64(i))
 	}
@@ -207,7 +207,7 @@
 }
 
 // ask asks for a tenant at a rate, whatever becomes of it; nothing is asked for twice.
-func ask(w *standin.World, place *site.Place, o *standin.Owner, i int, rate float64, end time.Time, seed uint64) {
+func ask(w *standin.World, place *site.Config, o *standin.Owner, i int, rate float64, end time.Time, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(i)+40))
 	at := time.Now()
 	for n := 0; ; n++ {
@@ -222,9 +222,9 @@
 		}
 		key, service, tenant := fmt.Sprint("k", n), fmt.Sprint("v", job, n%3), name(i)
 		jt := place.Cluster.JobTypes[job]
-		o.Ask(&standin.Want{Key: key, Tenant: tenant, JobType: place.Jobs[job], Service: service, Job: job, Effect: int(jt.Effect),
+		o.Ask(&standin.Want{Key: key, Tenant: tenant, JobType: place.JobClasses[job], Service: service, Job: job, Effect: int(jt.Effect),
 			Token: serve.Token(tenant, key), ServiceKey: serve.Service(tenant, service), Cores: 1, Memory: 2,
-			Within: place.Expiry[job], Target: jt.Target, Until: w.Now() + 50})
+			Within: place.Deadlines[job], Target: jt.Target, Until: w.Now() + 50})
 	}
 }
 
--- a/internal/lab/drill/calendar.go
+++ b/internal/lab/drill/calendar.go
@@ -45,12 +45,12 @@
 	}
 	var fleet []calendar.Node
 	for _, n := range p.nodes {
-		kind := slices.Index(p.Place.Kinds, n.Kind)
+		kind := slices.Index(p.Place.MachineKinds, n.Kind)
 		fleet = append(fleet, calendar.Node{ID: strconv.FormatUint(uint64(n.ID), 10), Zone: n.Zone, Cell: n.Cell, Kind: n.Kind,
 			Cores: p.Place.Cluster.KindCores[kind], Memory: p.Place.Cluster.KindMemory[kind]})
 	}
 	cal := p.calendar()
-	for _, v := range calendar.Plan(cal, fleet, p.Place.Drains, nil, p.dawn.Add(-time.Hour), p.dawn.Add(24*time.Hour)) {
+	for _, v := range calendar.Plan(cal, fleet, p.Place.Maintenance, nil, p.dawn.Add(-time.Hour), p.dawn.Add(24*time.Hour)) {
 		if v.Outcome != calendar.Kept || len(v.Nodes) == 0 {
 			return fmt.Errorf("window %s of the day: %s, %d nodes, %s", v.Window, v.Outcome, len(v.Nodes), v.Why)
 		}
--- a/internal/lab/drill/day.go
+++ b/internal/lab/drill/day.go
@@ -29,58 +29,58 @@
 
 // Grammar is a day file's.
 var Grammar = &strictxml.Element{Name: "day", Attrs: []strictxml.Attr{
-	{Name: "name", Kind: strictxml.Name, Must: true},
-	{Name: "lasts", Kind: strictxml.Duration, Must: true, Min: 1000, Max: 3600e3},
+	{Name: "name", Kind: strictxml.Name, Required: true},
+	{Name: "lasts", Kind: strictxml.Duration, Required: true, Min: 1000, Max: 3600e3},
 	{Name: "settles", Kind: strictxml.Duration, Default: "8s", Min: 1, Max: 60e3}, // asks end so long before the day
-	{Name: "schedulers", Kind: strictxml.Whole, Must: true, Min: 1, Max: 64},
-	{Name: "rate", Kind: strictxml.Number, Must: true, Min: 0.1, Max: 1e5}, // new wants a second
-	{Name: "services", Kind: strictxml.Whole, Default: "30", Min: 1, Max: 1e5},
+	{Name: "schedulers", Kind: strictxml.Integer, Required: true, Min: 1, Max: 64},
+	{Name: "rate", Kind: strictxml.Number, Required: true, Min: 0.1, Max: 1e5}, // new wants a second
+	{Name: "services", Kind: strictxml.Integer, Default: "30", Min: 1, Max: 1e5},
 }, Children: []*strictxml.Element{
-	{Name: "fleet", Least: 1, Attrs: []strictxml.Attr{
-		{Name: "machine", Kind: strictxml.Name, Must: true},
-		{Name: "zone", Kind: strictxml.Name, Must: true},
-		{Name: "nodes", Kind: strictxml.Whole, Must: true, Min: 1, Max: 10000},
-		{Name: "cells", Kind: strictxml.Whole, Default: "2", Min: 1, Max: 1000},
+	{Name: "fleet", MinOccurs: 1, Attrs: []strictxml.Attr{
+		{Name: "machine", Kind: strictxml.Name, Required: true},
+		{Name: "zone", Kind: strictxml.Name, Required: true},
+		{Name: "nodes", Kind: strictxml.Integer, Required: true, Min: 1, Max: 10000},
+		{Name: "cells", Kind: strictxml.Integer, Default: "2", Min: 1, Max: 1000},
 	}},
-	{Name: "node", Least: 1, Most: 1, Attrs: []strictxml.Attr{
-		{Name: "look", Kind: strictxml.Duration, Must: true, Min: 0.001, Max: 10e3},
-		{Name: "line", Kind: strictxml.Whole, Must: true, Min: 1, Max: 1e5},
-		{Name: "starts", Kind: strictxml.Whole, Must: true, Min: 1, Max: 1e4},
-		{Name: "no-program", Kind: strictxml.Number, Must: true, Min: 1, Max: 1000},
-		{Name: "programs", Kind: strictxml.Whole, Must: true, Min: 0, Max: 1e4},
-		{Name: "cold-from", Kind: strictxml.Number, Must: true, Min: 0.01, Max: 1},
-		{Name: "fall", Kind: strictxml.Number, Must: true, Min: 1, Max: 1e4},
+	{Name: "node", MinOccurs: 1, MaxOccurs: 1, Attrs: []strictxml.Attr{
+		{Name: "look", Kind: strictxml.Duration, Required: true, Min: 0.001, Max: 10e3},
+		{Name: "line", Kind: strictxml.Integer, Required: true, Min: 1, Max: 1e5},
+		{Name: "starts", Kind: strictxml.Integer, Required: true, Min: 1, Max: 1e4},
+		{Name: "no-program", Kind: strictxml.Number, Required: true, Min: 1, Max: 1000},
+		{Name: "programs", Kind: strictxml.Integer, Required: true, Min: 0, Max: 1e4},
+		{Name: "cold-from", Kind: strictxml.Number, Required: true, Min: 0.01, Max: 1},
+		{Name: "fall", Kind: strictxml.Number, Required: true, Min: 1, Max: 1e4},
 	}},
-	{Name: "list", Least: 1, Most: 1, Attrs: []strictxml.Attr{{Name: "lag", Kind: strictxml.Duration, Must: true, Min: 0, Max: 60e3}}},
-	{Name: "work", Least: 1, Key: "job-type", Attrs: []strictxml.Attr{
-		{Name: "job-type", Kind: strictxml.Name, Must: true},
-		{Name: "part", Kind: strictxml.Number, Must: true, Min: 0, Max: 1},
-		{Name: "cores", Kind: strictxml.Number, Must: true, Min: 0.01, Max: 1e4},
-		{Name: "memory", Kind: strictxml.Number, Must: true, Min: 0.01, Max: 1e6},
-		{Name: "start", Kind: strictxml.Duration, Must: true, Min: 0.01, Max: 60e3},
-		{Name: "life", Kind: strictxml.Duration, Must: true, Min: 1, Max: 3600e3},
-		{Name: "use", Kind: strictxml.Number, Must: true, Min: 0.01, Max: 2},
-		{Name: "priority", Kind: strictxml.Whole, Default: "0", Min: 0, Max: 9},
+	{Name: "list", MinOccurs: 1, MaxOccurs: 1, Attrs: []strictxml.Attr{{Name: "lag", Kind: strictxml.Duration, Required: true, Min: 0, Max: 60e3}}},
+	{Name: "work", MinOccurs: 1, Key: "job-type", Attrs: []strictxml.Attr{
+		{Name: "job-type", Kind: strictxml.Name, Required: true},
+		{Name: "part", Kind: strictxml.Number, Required: true, Min: 0, Max: 1},
+		{Name: "cores", Kind: strictxml.Number, Required: true, Min: 0.01, Max: 1e4},
+		{Name: "memory", Kind: strictxml.Number, Required: true, Min: 0.01, Max: 1e6},
+		{Name: "start", Kind: strictxml.Duration, Required: true, Min: 0.01, Max: 60e3},
+		{Name: "life", Kind: strictxml.Duration, Required: true, Min: 1, Max: 3600e3},
+		{Name: "use", Kind: strictxml.Number, Required: true, Min: 0.01, Max: 2},
+		{Name: "priority", Kind: strictxml.Integer, Default: "0", Min: 0, Max: 9},
 	}},
 	{Name: "window", Key: "name", Attrs: []strictxml.Attr{ // a maintenance window in every scheduler's calendar
-		{Name: "name", Kind: strictxml.Name, Must: true},
-		{Name: "at", Kind: strictxml.Duration, Must: true, Min: 5000, Max: 3600e3}, // the nodes go out
+		{Name: "name", Kind: strictxml.Name, Required: true},
+		{Name: "at", Kind: strictxml.Duration, Required: true, Min: 5000, Max: 3600e3}, // the nodes go out
 		{Name: "lead", Kind: strictxml.Duration, Default: "4s", Min: 0, Max: 3600e3},
-		{Name: "for", Kind: strictxml.Duration, Must: true, Min: 1000, Max: 3600e3},
+		{Name: "for", Kind: strictxml.Duration, Required: true, Min: 1000, Max: 3600e3},
 		{Name: "cell", Kind: strictxml.Name},
 		{Name: "zone", Kind: strictxml.Name},
-		{Name: "ending", Kind: strictxml.Word, Default: "release", Words: []string{"release", "sweep", "hold"}},
+		{Name: "ending", Kind: strictxml.Enum, Default: "release", Values: []string{"release", "sweep", "hold"}},
 	}},
 	{Name: "trouble", Attrs: []strictxml.Attr{
-		{Name: "kind", Kind: strictxml.Word, Must: true, Words: Troubles},
-		{Name: "at", Kind: strictxml.Duration, Must: true, Min: 0, Max: 3600e3},
+		{Name: "kind", Kind: strictxml.Enum, Required: true, Values: Troubles},
+		{Name: "at", Kind: strictxml.Duration, Required: true, Min: 0, Max: 3600e3},
 		{Name: "for", Kind: strictxml.Duration, Default: "5s", Min: 1, Max: 3600e3},
 		{Name: "part", Kind: strictxml.Number, Default: "0.3", Min: 0, Max: 1},   // of nodes, schedulers or services
 		{Name: "size", Kind: strictxml.Number, Default: "0.8", Min: 0, Max: 100}, // factor, or part that fails
 		{Name: "zone", Kind: strictxml.Name},
 		{Name: "job-type", Kind: strictxml.Name},
 		{Name: "tenant", Kind: strictxml.Name},
-		{Name: "how", Kind: strictxml.Word, Default: "keep", Words: []string{"keep", "bit-by-bit", "at-once", "silence", "error"}},
+		{Name: "how", Kind: strictxml.Enum, Default: "keep", Values: []string{"keep", "bit-by-bit", "at-once", "silence", "error"}},
 	}},
 }}
 
@@ -133,7 +133,7 @@
 }
 
 // ReadDay reads a day for a site and names what is wrong with it.
-func ReadDay(in io.Reader, place *site.Place) (*Day, []strictxml.Fault) {
+func ReadDay(in io.Reader, place *site.Config) (*Day, []strictxml.Fault) {
 	top, faults := strictxml.Read(in, Grammar)
 	if top == nil {
 		return nil, faults
@@ -146,49 +146,49 @@
 		}
 		return i
 	}
-	n := top.One("node")
+	n := top.Child("node")
 	d := &Day{Name: top.Text("name"), lasts: top.Number("lasts"), settles: top.Number("settles"),
 		rate: top.Number("rate"), schedulers: top.Int("schedulers"), services: top.Int("services"),
 		look: n.Number("look"), line: n.Int("line"), starts: n.Int("starts"), keeps: n.Int("programs"),
 		noProgram: n.Number("no-program"), coldFrom: n.Number("cold-from"), fall: n.Number("fall"),
-		lag: top.One("list").Number("lag")}
-	for _, f := range top.All("fleet") {
+		lag: top.Child("list").Number("lag")}
+	for _, f := range top.Children("fleet") {
 		index(f, "zone", "zone", place.Zones)
-		d.fleets = append(d.fleets, fleet{index(f, "machine", "machine kind", place.Kinds), f.Int("cells"),
+		d.fleets = append(d.fleets, fleet{index(f, "machine", "machine kind", place.MachineKinds), f.Int("cells"),
 			f.Int("nodes"), f.Text("zone")})
 	}
 	sum := 0.0
-	for _, w := range top.All("work") {
-		job := index(w, "job-type", "job type", place.Jobs)
+	for _, w := range top.Children("work") {
+		job := index(w, "job-type", "job type", place.JobClasses)
 		if job < 0 {
 			continue
 		}
 		jt := place.Cluster.JobTypes[job]
 		d.works = append(d.works, work{job: job, part: w.Number("part"), cores: w.Number("cores"),
 			memory: w.Number("memory"), start: w.Number("start"), life: w.Number("life"), use: w.Number("use"),
-			priority: w.Int("priority"), name: w.Text("job-type"), within: place.Expiry[job], target: jt.Target,
+			priority: w.Int("priority"), name: w.Text("job-type"), within: place.Deadlines[job], target: jt.Target,
 			effect: int(jt.Effect), spread: int(jt.Spread), most: jt.Most, group: int(jt.Group), window: jt.Window})
 		sum += w.Number("part")
 	}
-	if len(faults) == 0 && len(d.works) != len(place.Jobs) {
+	if len(faults) == 0 && len(d.works) != len(place.JobClasses) {
 		faults = append(faults, strictxml.Fault{Line: top.Line, Text: "each job type of the site needs its <work>"})
 	}
 	if sum < 0.999 || sum > 1.001 {
 		faults = append(faults, strictxml.Fault{Line: top.Line, Text: fmt.Sprintf("parts of the works sum to %.4g, not 1", sum)})
 	}
-	for _, w := range top.All("window") {
+	for _, w := range top.Children("window") {
 		if w.Has("cell") == w.Has("zone") {
 			faults = append(faults, strictxml.Fault{Line: w.Line, Text: "a window needs a cell or a zone"})
 		}
 		d.windows = append(d.windows, window{w.Text("name"), w.Text("cell"), w.Text("zone"), w.Number("at"), w.Number("lead"),
-			w.Number("for"), w.Word("ending")})
+			w.Number("for"), w.EnumIndex("ending")})
 	}
-	for _, t := range top.All("trouble") {
+	for _, t := range top.Children("trouble") {
 		index(t, "zone", "zone", place.Zones)
 		index(t, "tenant", "tenant", place.Tenants)
-		tr := trouble{kind: t.Word("kind"), at: t.Number("at"), last: t.Number("for"), part: t.Number("part"),
+		tr := trouble{kind: t.EnumIndex("kind"), at: t.Number("at"), last: t.Number("for"), part: t.Number("part"),
 			size: t.Number("size"), zone: t.Text("zone"), tenant: t.Text("tenant"),
-			job: index(t, "job-type", "job type", place.Jobs), how: t.Text("how"), line: t.Line}
+			job: index(t, "job-type", "job type", place.JobClasses), how: t.Text("how"), line: t.Line}
 		if tr.at > d.lasts {
 			faults = append(faults, strictxml.Fault{Line: t.Line, Text: "trouble after the end of the day"})
 		}
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -22,7 +22,7 @@
 // Drill is what is to be played.
 type Drill struct {
 	Day     *Day
-	Place   *site.Place
+	Place   *site.Config
 	Site    string   // text of the site file, without the listeners
 	Command []string // that runs a scheduler; flags follow
 	Seed    uint64
@@ -115,7 +115,7 @@
 			return err
 		}
 		for t := range p.Place.Tenants {
-			o := &standin.Owner{ID: i*len(p.Place.Tenants) + t, Sched: pr.name, Find: pr.where, Settle: p.Place.Settle}
+			o := &standin.Owner{ID: i*len(p.Place.Tenants) + t, Sched: pr.name, Find: pr.where, Settle: p.Place.SettleTime}
 			p.owners = append(p.owners, o)
 			p.w.StartOwner(o, p.rng.Uint64())
 		}
@@ -147,8 +147,8 @@
 	}
 	p.seq++
 	cell := fmt.Sprintf("%s-%d", f.zone, i%f.cells)
-	n := &standin.Node{ID: p.seq*2654435761 | 1, Zone: f.zone, Cell: cell, Kind: p.Place.Kinds[f.kind],
-		Jobs: len(p.Place.Jobs), Tenants: len(p.Place.Tenants)}
+	n := &standin.Node{ID: p.seq*2654435761 | 1, Zone: f.zone, Cell: cell, Kind: p.Place.MachineKinds[f.kind],
+		Jobs: len(p.Place.JobClasses), Tenants: len(p.Place.Tenants)}
 	group := f.zone // one for all job types: the narrowest that any names
 	for _, w := range d.works {
 		if w.effect == audit.Tokened && w.group == 2 {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -167,7 +167,7 @@
 // visitsOf is ample time for visits to so many nodes on loopback.
 func visitsOf(nodes int) time.Duration { return time.Duration(nodes) * time.Millisecond }
 
-func fleet(w *standin.World, place *site.Place, tr Trial) ([]*standin.Node, error) {
+func fleet(w *standin.World, place *site.Config, tr Trial) ([]*standin.Node, error) {
 	mk := standin.Make{Cores: 64, Memory: 128, CoresLimit: 4, MemoryLimit: 4, Look: 0.02, Line: 4000, Starts: 64,
 		NoProgram: 1, Programs: 4, ColdFrom: 1, ColdFor: 1, Fall: 1e12, FallFor: 1, Bears: 1 << 30,
 		Work: []standin.Work{{Start: 0.5, Life: tr.Life, Use: 0.5}}}
--- a/internal/lab/procs/procs.go
+++ b/internal/lab/procs/procs.go
@@ -39,7 +39,7 @@
 	ctx   context.Context
 	real  *outside.Real
 	w     *standin.World
-	place *site.Place
+	place *site.Config
 	rules audit.Rules
 	nodes []*standin.Node
 	list  *standin.List
@@ -104,7 +104,7 @@
 		return r, err
 	}
 	for i, x := range r.all {
-		x.owner = &standin.Owner{ID: i, Sched: x.name, Settle: r.place.Settle, Find: func() string {
+		x.owner = &standin.Owner{ID: i, Sched: x.name, Settle: r.place.SettleTime, Find: func() string {
 			x.mu.Lock()
 			defer x.mu.Unlock()
 			if x.cmd == nil {
--- a/internal/lab/procs/site.go
+++ b/internal/lab/procs/site.go
@@ -131,8 +131,8 @@
 		job := i % 3
 		key, service := fmt.Sprint("k", i), fmt.Sprint("v", job, i%23)
 		jt := r.place.Cluster.JobTypes[job]
-		r.all[i%len(r.all)].owner.Ask(&standin.Want{Key: key, Tenant: "t", JobType: r.place.Jobs[job], Service: service, Job: job,
+		r.all[i%len(r.all)].owner.Ask(&standin.Want{Key: key, Tenant: "t", JobType: r.place.JobClasses[job], Service: service, Job: job,
 			Effect: int(jt.Effect), Token: serve.Token("t", key), ServiceKey: serve.Service("t", service), Cores: 1, Memory: 1,
-			Within: r.place.Expiry[job], Target: jt.Target, Until: r.w.Now() + r.place.Expiry[job]})
+			Within: r.place.Deadlines[job], Target: jt.Target, Until: r.w.Now() + r.place.Deadlines[job]})
 	}
 }
--- a/internal/lab/sim/clubs.go
+++ b/internal/lab/sim/clubs.go
@@ -145,7 +145,7 @@
 }
 
 // longest is the longest expiry that owners ask for, ms.
-func (st *stage) longest() float64 { return slices.Max(st.place.Expiry) }
+func (st *stage) longest() float64 { return slices.Max(st.place.Deadlines) }
 
 // overshoot holds what all schedulers have open of a tenant against its limit.
 func (st *stage) overshoot() {
--- a/internal/lab/sim/lend_test.go
+++ b/internal/lab/sim/lend_test.go
@@ -30,7 +30,7 @@
 	}{
 		{name: "killed", faults: append(parts, Fault{At: 8000, Kind: "kill", A: "s2", For: 9000}), all: 12, dead: 10, back: 12, apart: 6},
 		{name: "stopped", faults: append(parts, Fault{At: 8000, Kind: "pause", A: "s2", For: 9000}), all: 12, dead: 10, back: 12, apart: 6},
-		{name: "lent nothing", faults: append(parts, Fault{At: 8000, Kind: "kill", A: "s2", For: 9000}), plant: &Plant{Place: func(p *site.Place) { p.Members.Lends = 0 }},
+		{name: "lent nothing", faults: append(parts, Fault{At: 8000, Kind: "kill", A: "s2", For: 9000}), plant: &Plant{Place: func(p *site.Config) { p.Members.LeasedPart = 0 }},
 			all: 12, dead: 8, back: 12, apart: 12},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/lab/sim/plant.go
+++ b/internal/lab/sim/plant.go
@@ -12,7 +12,7 @@
 // Plant is a fault in the program that must be found.
 type Plant struct {
 	Name  string
-	Place func(*site.Place) // what the scheduler takes the site for
+	Place func(*site.Config) // what the scheduler takes the site for
 	Serve serve.Plant
 	Lazy  bool                  // the disk keeps nothing for a second
 	Club  func(*tenancy.Tenant) // what it takes a tenant for
@@ -79,13 +79,13 @@
 
 // Plants are faults that the laboratory is to find.
 var Plants = []Plant{
-	{Name: "run-once ones are tried again", Place: func(p *site.Place) { p.Cluster.JobTypes[2].Effect = logic.Restartable }},
-	{Name: "tokens are taken for harmless", Place: func(p *site.Place) { p.Cluster.JobTypes[1].Effect = logic.Restartable }},
-	{Name: "the window of tokened tries is too long", Place: func(p *site.Place) {
+	{Name: "run-once ones are tried again", Place: func(p *site.Config) { p.Cluster.JobTypes[2].Effect = logic.Restartable }},
+	{Name: "tokens are taken for harmless", Place: func(p *site.Config) { p.Cluster.JobTypes[1].Effect = logic.Restartable }},
+	{Name: "the window of tokened tries is too long", Place: func(p *site.Config) {
 		p.Cluster.JobTypes[1].Window, p.Cluster.JobTypes[3].Window = 60000, 60000
-		p.Expiry[1], p.Expiry[3] = 60000, 60000
+		p.Deadlines[1], p.Deadlines[3] = 60000, 60000
 	}},
-	{Name: "cold nodes are taken to bear more", Place: func(p *site.Place) {
+	{Name: "cold nodes are taken to bear more", Place: func(p *site.Config) {
 		p.Cluster.ColdBears, p.Cluster.KindCores = 500, []float64{160}
 	}},
 	{Name: "word of drains is lost", Serve: serve.Plant{News: func(en *state.Entry) {
@@ -93,7 +93,7 @@
 			en.Avail = 1
 		}
 	}}},
-	{Name: "answers come at the expiry", Place: func(p *site.Place) { p.Margin = 0.4 }},
+	{Name: "answers come at the expiry", Place: func(p *site.Config) { p.AnswerMargin = 0.4 }},
 	{Name: "answers are given twice", Serve: serve.Plant{Again: true}},
 	{Name: "failed ones get no answer", Serve: edged(func(e engine.Effects) engine.Effects { return swallows{e} })},
 	{Name: "what may have run is declined", Serve: edged(func(e engine.Effects) engine.Effects { return softens{e} })},
@@ -112,5 +112,5 @@
 		}
 	}},
 	{Name: "a removal lets what runs go on", Club: func(t *tenancy.Tenant) { t.Ending = tenancy.RunOut }},
-	{Name: "the spread is not kept", Place: func(p *site.Place) { p.Cluster.JobTypes[1].Most = 50 }},
+	{Name: "the spread is not kept", Place: func(p *site.Config) { p.Cluster.JobTypes[1].Most = 50 }},
 }
--- a/internal/lab/sim/play.go
+++ b/internal/lab/sim/play.go
@@ -75,7 +75,7 @@
 	rng    *rand.Rand
 	plant  *Plant
 	watch  *audit.Watch
-	place  *site.Place
+	place  *site.Config
 	nodes  []*standin.Node
 	hosts  map[string]*Process
 	list   *standin.List
@@ -247,7 +247,7 @@
 		st.scheds = append(st.scheds, s)
 		s.start()
 		for range ownersEach {
-			o := &standin.Owner{ID: len(st.owners), Sched: s.name, Settle: place.Settle, Find: func() string {
+			o := &standin.Owner{ID: len(st.owners), Sched: s.name, Settle: place.SettleTime, Find: func() string {
 				if s.p.dead {
 					return ""
 				}
@@ -324,9 +324,9 @@
 	s.lives++
 	st.w.Trace.Add(audit.Record{At: st.c.now, Kind: audit.Born, Sched: s.name})
 	place := *st.place
-	place.OwnersListen = s.name + ":1"
+	place.ClientsListen = s.name + ":1"
 	if st.Members {
-		place.Members = site.Members{Listen: fmt.Sprint("10.0.0.", 1+s.index, ":1"), Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, Lends: 0.5}
+		place.Members = site.Members{Listen: fmt.Sprint("10.0.0.", 1+s.index, ":1"), Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, LeasedPart: 0.5}
 	}
 	place.WorkingSet = st.workingSet()
 	place.Cluster.JobTypes = slices.Clone(place.Cluster.JobTypes)
@@ -406,9 +406,9 @@
 		if st.Hosted {
 			st.wanted[token] = wanted{tenant, st.c.now}
 		}
-		o.Ask(&standin.Want{Key: key, Tenant: tenant, JobType: st.place.Jobs[job], Service: service, Job: job,
+		o.Ask(&standin.Want{Key: key, Tenant: tenant, JobType: st.place.JobClasses[job], Service: service, Job: job,
 			Effect: rulesOfJobs[job].Effect, Token: token, ServiceKey: serve.Service(tenant, service),
-			Cores: 0.5 + st.rng.Float64(), Memory: 1, Within: st.place.Expiry[job], Target: 800, Until: st.Lasts})
+			Cores: 0.5 + st.rng.Float64(), Memory: 1, Within: st.place.Deadlines[job], Target: 800, Until: st.Lasts})
 	}
 	st.c.at(nil, st.c.now+st.rng.ExpFloat64()*1000/(st.Rate*st.flood), st.ask)
 }
--- a/internal/lab/sim/workingset.go
+++ b/internal/lab/sim/workingset.go
@@ -21,7 +21,7 @@
 	case st.Set == 0:
 		return site.WorkingSet{}
 	}
-	return site.WorkingSet{Least: st.Set, Spare: 1, PerStart: 0.02, PerStratum: 1, NarrowAfter: 400}
+	return site.WorkingSet{MinNodes: st.Set, SpareFactor: 1, NodesPerStart: 0.02, MinPerStratum: 1, NarrowAfter: 400}
 }
 
 // WithSet gives a drawn script's schedulers a working set of so many nodes.
--- a/internal/lab/sim/workingset_test.go
+++ b/internal/lab/sim/workingset_test.go
@@ -24,7 +24,7 @@
 // longWork is a script of work that runs longer than a scheduler waits for a node that is gone, with sets that follow
 // the load: they grow and shrink with bursts, and begin small again when a scheduler comes back.
 func longWork(seed uint64) Game {
-	working := site.WorkingSet{Least: 2, Spare: 3, PerStart: 0.2, PerStratum: 1, NarrowAfter: 400}
+	working := site.WorkingSet{MinNodes: 2, SpareFactor: 3, NodesPerStart: 0.2, MinPerStratum: 1, NarrowAfter: 400}
 	faults := []Fault{{At: 2000, Kind: "flood", For: 1500, Size: 4}, {At: 9000, Kind: "kill", A: "s0", For: 300},
 		{At: 13_000, Kind: "flood", For: 1500, Size: 4}, {At: 20_000, Kind: "kill", A: "s1", For: 300}}
 	return Game{Life: 10_000, Settles: 20_000, Working: &working, Script: Script{Seed: seed, Nodes: 12, Schedulers: 2, Shards: 1,
@@ -44,7 +44,7 @@
 		}
 		tokens, runs := map[attempt]uint64{}, map[uint64]int{}
 		g := longWork(seed)
-		g.Working.Least, g.Plant = least, plant
+		g.Working.MinNodes, g.Plant = least, plant
 		g.Seen = func(r *audit.Record) {
 			a := attempt{r.Ticket, r.Try}
 			switch r.Kind {
--- a/internal/serve/book.go
+++ b/internal/serve/book.go
@@ -17,10 +17,10 @@
 		return err
 	}
 	place := s.who.Place
-	if len(place.Members.Stewards) == 0 {
+	if len(place.Members.Voters) == 0 {
 		return nil
 	}
-	who := consensus.Config{Name: s.who.Name, Zone: s.who.Zone, Life: s.circle.life, Voters: place.Members.Stewards, Seed: s.who.Seed}
+	who := consensus.Config{Name: s.who.Name, Zone: s.who.Zone, Life: s.circle.life, Voters: place.Members.Voters, Seed: s.who.Seed}
 	switch at := slices.Index(place.Zones, s.who.Zone); {
 	case at >= 0:
 		who.Region = place.Regions[at]
@@ -72,7 +72,7 @@
 	s.control.Ask(func(k *consensus.Replica) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.council = Book{Steward: slices.Contains(s.who.Place.Members.Stewards, s.who.Name), Leads: k.IsLeader(), Halted: k.HaltReason(), Figures: k.Stats}
+		c.council = Book{Steward: slices.Contains(s.who.Place.Members.Voters, s.who.Name), Leads: k.IsLeader(), Halted: k.HaltReason(), Figures: k.Stats}
 	})
 	return b
 }
--- a/internal/serve/book_test.go
+++ b/internal/serve/book_test.go
@@ -19,7 +19,7 @@
 		who.Local = func(l *Local) { local <- l.s }
 	}
 	place := *s.place
-	place.Members = site.Members{Listen: "127.0.0.1:0", Seeds: []string{"127.0.0.1:9"}, Stewards: []string{"s0", "s1", "s2"}}
+	place.Members = site.Members{Listen: "127.0.0.1:0", Seeds: []string{"127.0.0.1:9"}, Voters: []string{"s0", "s1", "s2"}}
 	s.start(0, place, Plant{})
 	server := <-local
 	s.load(5000, 60, "0001112")
--- a/internal/serve/drains.go
+++ b/internal/serve/drains.go
@@ -33,7 +33,7 @@
 	if s.who.Plant.Drains != nil {
 		hands = s.who.Plant.Drains(hands)
 	}
-	k := &upkeep.Keeper{Hands: hands, Limits: place.Drains, Manners: place.Manners}
+	k := &upkeep.Keeper{Hands: hands, Limits: place.Maintenance, Manners: place.DrainManners}
 	h := &drainHours{}
 	lastFault := ""
 	look := func() {
@@ -120,7 +120,7 @@
 // must hold a node that is away when it opens and comes back before it ends. Under the lock.
 func (s *Server) noteFleet(entries []state.Entry) {
 	for _, en := range entries {
-		kind := slices.Index(s.who.Place.Kinds, en.Kind)
+		kind := slices.Index(s.who.Place.MachineKinds, en.Kind)
 		if kind < 0 || en.Avail == 0 {
 			continue
 		}
@@ -221,7 +221,7 @@
 		sh.tell(func(float64) {
 			c := count{sh.life, map[uint32][]int{}, sh.eng.Stats().Held}
 			for _, id := range ids {
-				c.at[id] = make([]int, len(s.who.Place.Jobs))
+				c.at[id] = make([]int, len(s.who.Place.JobClasses))
 				sh.eng.CountRunning(id, c.at[id])
 			}
 			s.desk.Lock()
@@ -295,7 +295,7 @@
 // Running sums what the shards counted at the last look. What none has counted since its node went out, or since its
 // life began, is not known: such a node is not empty.
 func (h drainHands) Running(nodes []string) (there []int, all int) {
-	there = make([]int, len(h.s.who.Place.Jobs))
+	there = make([]int, len(h.s.who.Place.JobClasses))
 	h.s.desk.Lock()
 	defer h.s.desk.Unlock()
 	for _, sh := range h.s.living() {
@@ -316,7 +316,7 @@
 
 // MoveOff has the shards stop work at nodes, each its part of the number.
 func (h drainHands) MoveOff(nodes []string, job, most int) int {
-	may := make([]bool, len(h.s.who.Place.Jobs))
+	may := make([]bool, len(h.s.who.Place.JobClasses))
 	may[job] = true
 	left := most
 	for _, sh := range h.s.allShards() {
--- a/internal/serve/drains_test.go
+++ b/internal/serve/drains_test.go
@@ -108,7 +108,7 @@
 			for addr() == "" {
 				time.Sleep(10 * time.Millisecond)
 			}
-			o := &standin.Owner{Sched: "s0", Find: addr, Settle: s.place.Settle}
+			o := &standin.Owner{Sched: "s0", Find: addr, Settle: s.place.SettleTime}
 			s.owner = append(s.owner, o)
 			s.w.StartOwner(o, 0)
 			killed := make(chan struct{})
--- a/internal/serve/hosting.go
+++ b/internal/serve/hosting.go
@@ -56,17 +56,17 @@
 // errTooMany is told to who has shown a good token.
 var errTooMany = jrpc2.Errorf(jrpc2.Code(-32002), "as many connections as may be")
 
-func (s *Server) hosts() bool { return s.who.Place.Hosted > 0 }
+func (s *Server) hosts() bool { return s.who.Place.MaxHostedTenants > 0 }
 
 // keepClubs looks at the store from now on.
 func (s *Server) keepClubs() error {
 	if !s.hosts() {
 		return nil
 	}
-	s.entry = connadmission.New(s.who.Place.Owners)
-	s.clubs.began, s.clubs.left, s.clubs.book = s.w.Now(), map[int]map[int]count{}, tenancy.New(s.who.Place.Hosted)
+	s.entry = connadmission.New(s.who.Place.MaxClients)
+	s.clubs.began, s.clubs.left, s.clubs.book = s.w.Now(), map[int]map[int]count{}, tenancy.New(s.who.Place.MaxHostedTenants)
 	if s.who.Clubs == nil {
-		s.who.Clubs = func() (Clubs, error) { return tenants.Open(s.who.Folder, s.who.Place.Hosted) }
+		s.who.Clubs = func() (Clubs, error) { return tenants.Open(s.who.Folder, s.who.Place.MaxHostedTenants) }
 	}
 	if err := bolt.Unheld(context.Background(), atStart, s.clubsOnce); err != nil { // a store that is damaged is to be seen at the start
 		return err
@@ -156,7 +156,7 @@
 func (s *Server) part(sharers int) quotalease.Share {
 	p := quotalease.Share{Places: s.who.Place.Cluster.Schedulers, Index: s.who.Index, Sharers: sharers}
 	if s.who.Place.Members.Listen != "" {
-		p.Lends = s.who.Place.Members.Lends
+		p.Lends = s.who.Place.Members.LeasedPart
 	}
 	return p
 }
@@ -180,7 +180,7 @@
 }
 
 // longest is the longest that an allocation may be open where limits are lent, ms: for so long what was lent stays in use.
-func (s *Server) longest() float64 { return slices.Max(s.who.Place.Expiry) }
+func (s *Server) longest() float64 { return slices.Max(s.who.Place.Deadlines) }
 
 func (s *Server) lends() bool { return s.hosts() && s.part(0).Lends > 0 }
 
@@ -215,7 +215,7 @@
 	var all, unasked shardrouter.Room
 	s.mu.Lock()
 	for _, en := range s.list.Entries() {
-		kind := slices.Index(s.who.Place.Kinds, en.Kind)
+		kind := slices.Index(s.who.Place.MachineKinds, en.Kind)
 		if kind < 0 || en.Avail != 1 {
 			continue
 		}
--- a/internal/serve/hosting_test.go
+++ b/internal/serve/hosting_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	s = newStage(t, 1, 4, false)
 	place := *s.place
-	place.Shards, place.MostShards, place.Hosted = 2, 2, 4
+	place.Shards, place.MaxShards, place.MaxHostedTenants = 2, 2, 4
 	place.Tenants, place.Shares = make([]string, 4), []float64{1, 1, 1, 1}
 	folder := filepath.Join(s.dir, "s0")
 	with = func(do func(st *tenants.Store)) {
@@ -310,7 +310,7 @@
 	t.Parallel()
 	s := newStage(t, 1, 2, false)
 	place := *s.place
-	place.Hosted, place.Tenants, place.Shares = 2, make([]string, 2), []float64{1, 1}
+	place.MaxHostedTenants, place.Tenants, place.Shares = 2, make([]string, 2), []float64{1, 1}
 	st, err := tenants.Open(filepath.Join(s.dir, "s0"), 2)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -75,7 +75,7 @@
 		return fmt.Errorf("report of %d values, expected %d", n, len(l.s.who.Place.Cluster.Report))
 	}
 	report = slices.Clone(report)
-	if l.s.who.Place.Connections == site.Informed && len(report) > 0 {
+	if l.s.who.Place.Connections == site.SharedReports && len(report) > 0 {
 		l.inform(ticket, report)
 	}
 	s, verdict, why := l.s, node.Verdicts[outcome], logic.Reason(reason)
@@ -144,7 +144,7 @@
 func (l *link) OnHeld(ticket uint64, try uint8, state, jobType, tenant int, service, token uint64,
 	cores, memory float64) error {
 	s := l.s
-	if jobType >= len(s.who.Place.Jobs) || tenant >= len(s.who.Place.Tenants) {
+	if jobType >= len(s.who.Place.JobClasses) || tenant >= len(s.who.Place.Tenants) {
 		return fmt.Errorf("held try %x of unknown job type %d or tenant %d", ticket, jobType, tenant)
 	}
 	if l.visits() {
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -374,7 +374,7 @@
 		if s.who.Plant.News != nil {
 			s.who.Plant.News(&en)
 		}
-		zone, kind := slices.Index(s.who.Place.Zones, en.Zone), slices.Index(s.who.Place.Kinds, en.Kind)
+		zone, kind := slices.Index(s.who.Place.Zones, en.Zone), slices.Index(s.who.Place.MachineKinds, en.Kind)
 		if en.Avail != 0 && (zone < 0 || kind < 0) {
 			skipped++
 			continue
--- a/internal/serve/metrics_test.go
+++ b/internal/serve/metrics_test.go
@@ -20,7 +20,7 @@
 		who.Ready = ready
 	}
 	place := *s.place
-	place.CountsListen = "127.0.0.1:0"
+	place.StatsListen = "127.0.0.1:0"
 	s.start(0, place, Plant{})
 	address := <-at
 	s.load(4000, 60, "0001112")
--- a/internal/serve/owners.go
+++ b/internal/serve/owners.go
@@ -64,7 +64,7 @@
 	s.mu.Lock()
 	s.ownerIDs++
 	o := &owner{s: s, id: s.ownerIDs, conn: conn, asks: map[uint64]asked{}}
-	in, out := len(s.owners) < s.who.Place.Owners, uint32(0)
+	in, out := len(s.owners) < s.who.Place.MaxClients, uint32(0)
 	if s.hosts() {
 		in, out = s.entry.Came(s.w.Now(), o.id)
 	}
@@ -80,7 +80,7 @@
 		goes.cut("a stranger makes way for the next")
 	}
 	if !in {
-		s.log.Warn().Str("mode", "owners").Int("most", s.who.Place.Owners).Msg("one turned away")
+		s.log.Warn().Str("mode", "owners").Int("most", s.who.Place.MaxClients).Msg("one turned away")
 		conn.End(false, nil)
 		return
 	}
@@ -288,7 +288,7 @@
 // send queues a message.
 func (o *owner) send(body []byte) {
 	if _, waits, ok := o.conn.Send(func(b []byte) []byte { return owners.Append(b, body) }); ok &&
-		waits > o.s.who.Place.OwnerQueue*answerBytes {
+		waits > o.s.who.Place.ClientQueue*answerBytes {
 		o.cut("slow reader: answers queue up")
 	}
 }
@@ -383,7 +383,7 @@
 		return err
 	}
 	place := o.s.who.Place
-	tenant, job := slices.Index(place.Tenants, ask.Tenant), slices.Index(place.Jobs, ask.JobType)
+	tenant, job := slices.Index(place.Tenants, ask.Tenant), slices.Index(place.JobClasses, ask.JobType)
 	removed := false
 	if o.s.hosts() {
 		var err error
@@ -415,7 +415,7 @@
 		return jrpc2.Errorf(jrpc2.InvalidParams, "%s", fault)
 	}
 	if ask.Within == 0 {
-		ask.Within = place.Expiry[job]
+		ask.Within = place.Deadlines[job]
 	}
 	// An ask that lay unread, as while the process stood still, has less time left. Clocks need not agree.
 	unread := 0.0
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -38,7 +38,7 @@
 
 // Scheduler says which scheduler is to be run, and where.
 type Scheduler struct {
-	Place  *site.Place
+	Place  *site.Config
 	Name   string // by which nodes know it, the same at each start
 	Index  int    // among all schedulers, from 0
 	Folder string
@@ -205,15 +205,15 @@
 		lives: map[uint32]*shard{}, out: map[uint32]bool{}, counted: map[int]count{}, known: map[string]calendar.Node{}, goneAt: map[string]time.Time{}}
 	s.lister = newLister(s)
 	s.noteFleet(last.Entries())
-	s.acts = shardrouter.New(w.Now(), shardrouter.Terms{Jobs: place.Cluster.JobTypes, Way: shares.Way(place.PlaceBy), Shards: place.Shards,
-		Most: place.MostShards, Open: place.Open, Margin: place.Margin, Step: place.Cluster.Step, Trusted: who.Plant.Trust, Hosts: place.Hosted > 0})
+	s.acts = shardrouter.New(w.Now(), shardrouter.Terms{Jobs: place.Cluster.JobTypes, Way: shares.Way(place.ShardBy), Shards: place.Shards,
+		Most: place.MaxShards, Open: place.MaxOpen, Margin: place.AnswerMargin, Step: place.Cluster.Step, Trusted: who.Plant.Trust, Hosts: place.MaxHostedTenants > 0})
 	var t *trunk
 	for i := range place.Shards {
 		sh, err := s.newShard(i)
 		if err != nil {
 			return nil, err
 		}
-		if i == 0 || place.Connections == site.Own {
+		if i == 0 || place.Connections == site.OwnConnections {
 			t = newTrunk(s, i)
 		}
 		sh.trunk, s.trunk = t, t
@@ -237,7 +237,7 @@
 	if err := s.keepBook(); err != nil {
 		return nil, err
 	}
-	if s.door, err = w.Listen(place.OwnersListen, s.came); err != nil {
+	if s.door, err = w.Listen(place.ClientsListen, s.came); err != nil {
 		return nil, fmt.Errorf("owners' door: %w", err)
 	}
 	s.log.Info().Str("mode", "serve").Uint32("life", s.acts.Epoch()).Int("nodes", len(last.Entries())).
@@ -264,7 +264,7 @@
 	s.handsOver()
 	s.looked.Store(math.Float64bits(w.Now()))
 	s.every(s.lookEach(), s.watch)
-	if s.countsAt, s.countsEnd, err = s.showCounts(who.Place.CountsListen); err != nil {
+	if s.countsAt, s.countsEnd, err = s.showCounts(who.Place.StatsListen); err != nil {
 		return nil, err
 	}
 	if who.Ready != nil {
@@ -277,7 +277,7 @@
 }
 
 // lookEach is how often, in ms, the shards are looked at.
-func (s *Server) lookEach() float64 { return min(watchdog.LookEach(), s.who.Place.Margin/4) }
+func (s *Server) lookEach() float64 { return min(watchdog.LookEach(), s.who.Place.AnswerMargin/4) }
 
 // stood is how long the process has stood still just now: a look at the shards is overdue, or the last was.
 func (s *Server) stood() float64 {
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -44,7 +44,7 @@
 	w     *standin.World
 	ctx   context.Context
 	stop  context.CancelFunc
-	place *site.Place
+	place *site.Config
 	nodes []*standin.Node
 	list  *standin.List
 	rules audit.Rules
@@ -95,7 +95,7 @@
 }
 
 // start runs a scheduler with an owner at it.
-func (s *stage) start(i int, place site.Place, p Plant) {
+func (s *stage) start(i int, place site.Config, p Plant) {
 	place.ListAddress = s.list.Address()
 	name, ready := fmt.Sprintf("s%d", i), make(chan string, 1)
 	s.w.Trace.Add(audit.Record{At: s.w.Now(), Kind: audit.Born, Sched: name})
@@ -113,7 +113,7 @@
 		}
 	}()
 	addr := <-ready
-	o := &standin.Owner{ID: i, Sched: name, Find: func() string { return addr }, Settle: place.Settle}
+	o := &standin.Owner{ID: i, Sched: name, Find: func() string { return addr }, Settle: place.SettleTime}
 	s.owner = append(s.owner, o)
 	s.w.StartOwner(o, uint64(i))
 }
@@ -125,9 +125,9 @@
 		job := int(jobs[s.keys%len(jobs)] - '0')
 		key, service := fmt.Sprint("k", s.keys), fmt.Sprint("v", job, s.keys%5)
 		jt := s.place.Cluster.JobTypes[job]
-		s.owner[s.keys%len(s.owner)].Ask(&standin.Want{Key: key, Tenant: "t", JobType: s.place.Jobs[job], Service: service,
+		s.owner[s.keys%len(s.owner)].Ask(&standin.Want{Key: key, Tenant: "t", JobType: s.place.JobClasses[job], Service: service,
 			Job: job, Effect: int(jt.Effect), Token: Token("t", key), ServiceKey: Service("t", service), Cores: 1, Memory: 1,
-			Within: s.place.Expiry[job], Target: jt.Target, Until: end})
+			Within: s.place.Deadlines[job], Target: jt.Target, Until: end})
 		time.Sleep(time.Duration(1e9 / rate))
 	}
 }
@@ -205,7 +205,7 @@
 		cold    bool
 		trouble func(s *stage)
 		longer  float64 // ms that the day lasts beyond the others'
-		place   func(p *site.Place)
+		place   func(p *site.Config)
 		Plant   Plant
 	}{
 		{name: "none", jobs: "0012"},
@@ -231,10 +231,10 @@
 				}
 				e.Answer(owner, ref, a, nd, "", 0)
 			})},
-		{name: "a try after the window", rule: 2, jobs: "1", trouble: mute, place: func(p *site.Place) {
-			p.Cluster.JobTypes[1].Window, p.Expiry[1] = 60000, 6000
+		{name: "a try after the window", rule: 2, jobs: "1", trouble: mute, place: func(p *site.Config) {
+			p.Cluster.JobTypes[1].Window, p.Deadlines[1] = 60000, 6000
 		}},
-		{name: "tokens taken for harmless", rule: 2, jobs: "1", trouble: mute, place: func(p *site.Place) {
+		{name: "tokens taken for harmless", rule: 2, jobs: "1", trouble: mute, place: func(p *site.Config) {
 			p.Cluster.JobTypes[1].Effect = 0
 		}},
 		{name: "a late send to a draining node", rule: 3, jobs: "0", trouble: drain, longer: 2000, Plant: offering(
@@ -252,12 +252,12 @@
 		}}},
 		{name: "too many offers to a cold node", rule: 4, jobs: "0", cold: true, Plant: offering(
 			func(_ engine.Effects, _ uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) { send(1, try) })},
-		{name: "more expected of a cold node than it bears", rule: 4, jobs: "0", cold: true, place: func(p *site.Place) {
+		{name: "more expected of a cold node than it bears", rule: 4, jobs: "0", cold: true, place: func(p *site.Config) {
 			p.Cluster.ColdBears, p.Cluster.KindCores = 500, []float64{320}
 		}},
 		{name: "a service all at one node", rule: 5, jobs: "1", Plant: offering(
 			func(_ engine.Effects, _ uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) { send(2, try) })},
-		{name: "a most that is too high", rule: 5, jobs: "1", place: func(p *site.Place) {
+		{name: "a most that is too high", rule: 5, jobs: "1", place: func(p *site.Config) {
 			p.Cluster.JobTypes[1].Most = 50
 		}},
 	} {
@@ -266,10 +266,10 @@
 			s := newStage(t, 1, 8, c.cold)
 			place := *s.place
 			place.Cluster.JobTypes = append(place.Cluster.JobTypes[:0:0], place.Cluster.JobTypes...)
-			place.Expiry = append(place.Expiry[:0:0], place.Expiry...)
+			place.Deadlines = append(place.Deadlines[:0:0], place.Deadlines...)
 			if c.place != nil {
 				c.place(&place)
-				s.place.Expiry = place.Expiry
+				s.place.Deadlines = place.Deadlines
 			}
 			s.start(0, place, c.Plant)
 			s.load(2200, 50, c.jobs) // a scheduler without a last list paces all nodes at first
@@ -410,7 +410,7 @@
 	here, there := net.Pipe() // nobody reads there
 	defer there.Close()
 	w.Connect = func(context.Context, string) (net.Conn, error) { return here, nil }
-	s := &Server{who: Scheduler{Place: &site.Place{NodeQueue: 100}}, w: w}
+	s := &Server{who: Scheduler{Place: &site.Config{NodeQueue: 100}}, w: w}
 	made := make(chan *link, 1)
 	w.Dial("", 1000, func(conn outside.Conn, _ error) {
 		l := &link{s: s, t: &trunk{s: s, dialing: map[uint32]bool{}}, conn: conn}
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -51,8 +51,8 @@
 	sh := &shard{s: s, index: index, life: life, links: map[uint32]*link{}, moved: map[uint64]*shard{}}
 	place := s.who.Place
 	cl := place.Cluster
-	cl.Schedulers *= place.MostShards // each module instance that may run counts where cold nodes' budget is shared out
-	cl.Index = s.who.Index*place.MostShards + index
+	cl.Schedulers *= place.MaxShards // each module instance that may run counts where cold nodes' budget is shared out
+	cl.Index = s.who.Index*place.MaxShards + index
 	now := s.w.Now()
 	sh.beat.Store(math.Float64bits(now))
 	var out engine.Effects = edge{sh}
@@ -60,7 +60,7 @@
 		out = s.who.Plant.Edge(out)
 	}
 	sh.eng = engine.New(out, now, engine.Config{Cluster: &cl, Shares: place.Shares,
-		MaxOpen: s.acts.OpenEach(place.Shards), AnswerMargin: place.Margin, SettleTime: place.Settle,
+		MaxOpen: s.acts.OpenEach(place.Shards), AnswerMargin: place.AnswerMargin, SettleTime: place.SettleTime,
 		NewPolicy: s.who.Policy, Incarnation: life, Seed: s.who.Seed + uint64(life)*0x9e3779b97f4a7c15, WallClockStart: float64(outside.Epoch.UnixMilli()), AliveAtPeers: s.nodeLives})
 	if s.who.Place.Members.Listen != "" {
 		sh.eng.Sharing(0) // until the others have given leave
@@ -121,7 +121,7 @@
 	if sh.s.circle.run != nil {
 		if n := sh.s.sharing(sh.last); n != sh.sharing {
 			sh.sharing = n
-			sh.eng.Sharing(n * sh.s.who.Place.MostShards)
+			sh.eng.Sharing(n * sh.s.who.Place.MaxShards)
 		}
 	}
 	sh.beat.Store(math.Float64bits(sh.last))
@@ -289,7 +289,7 @@
 	for _, x := range seconds {
 		x.o.answer(x.ref, engine.Declined, 0, "shard-fenced", 0)
 	}
-	if s.who.Place.Connections == site.Own {
+	if s.who.Place.Connections == site.OwnConnections {
 		sh.trunk.close("shard fenced", false)
 	}
 	s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Int("moved", n[shardownership.Moves]).
@@ -364,7 +364,7 @@
 	if err != nil {
 		return err
 	}
-	if s.who.Place.Connections == site.Own {
+	if s.who.Place.Connections == site.OwnConnections {
 		sh.trunk = newTrunk(s, index)
 		sh.trunk.set(sh)
 	}
@@ -381,7 +381,7 @@
 	s.acts.Started(index, sh.life)
 	s.desk.Unlock()
 	s.lastListTo(sh)
-	if s.who.Place.Connections != site.Own {
+	if s.who.Place.Connections != site.OwnConnections {
 		sh.trunk.replay(sh)
 	}
 	sh.begin()
--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -23,20 +23,20 @@
 func TestFencedShard(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		share site.Connections
+		share site.ConnectionMode
 		harm  func()
 	}{
-		{"panics, shared connections", site.Shared, func() { panic("planted") }},
-		{"panics, own connections", site.Own, func() { panic("planted") }},
-		{"panics, informed", site.Informed, func() { panic("planted") }},
-		{"stands still, shared connections", site.Shared, func() { time.Sleep(4 * time.Second) }},
-		{"stands still, own connections", site.Own, func() { time.Sleep(4 * time.Second) }},
+		{"panics, shared connections", site.SharedConnections, func() { panic("planted") }},
+		{"panics, own connections", site.OwnConnections, func() { panic("planted") }},
+		{"panics, informed", site.SharedReports, func() { panic("planted") }},
+		{"stands still, shared connections", site.SharedConnections, func() { time.Sleep(4 * time.Second) }},
+		{"stands still, own connections", site.OwnConnections, func() { time.Sleep(4 * time.Second) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newStage(t, 1, 8, false)
 			place := *s.place
-			place.Shards, place.MostShards, place.Connections = 3, 3, c.share
+			place.Shards, place.MaxShards, place.Connections = 3, 3, c.share
 			var offers, lives atomic.Int32
 			s.start(0, place, Plant{Edge: func(e engine.Effects) engine.Effects {
 				if lives.Add(1) != 2 { // the second shard's first life alone
@@ -104,7 +104,7 @@
 func TestSameKey(t *testing.T) {
 	s := newStage(t, 1, 8, false)
 	place := *s.place
-	place.Shards, place.MostShards = 4, 4
+	place.Shards, place.MaxShards = 4, 4
 	s.start(0, place, Plant{})
 	addr := s.owner[0].Find()
 	time.Sleep(1800 * time.Millisecond)
@@ -233,19 +233,19 @@
 func TestResize(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		share site.Connections
+		share site.ConnectionMode
 		sizes []int
 	}{
-		{"one to four, shared connections", site.Shared, []int{4}},
-		{"four to one, shared connections", site.Shared, []int{4, 1}},
-		{"to and fro, informed", site.Informed, []int{3, 1, 4, 2}},
-		{"four to one, own connections", site.Own, []int{4, 1}},
+		{"one to four, shared connections", site.SharedConnections, []int{4}},
+		{"four to one, shared connections", site.SharedConnections, []int{4, 1}},
+		{"to and fro, informed", site.SharedReports, []int{3, 1, 4, 2}},
+		{"four to one, own connections", site.OwnConnections, []int{4, 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newStage(t, 1, 8, false)
 			place := *s.place
-			place.Shards, place.MostShards, place.Connections = 1, 4, c.share
+			place.Shards, place.MaxShards, place.Connections = 1, 4, c.share
 			var log lines
 			resize := make(chan int, 1)
 			s.tune = func(who *Scheduler) { who.Resize, who.Log = resize, zerolog.New(&log) }
@@ -263,10 +263,10 @@
 			for i, n := range c.sizes[1:] {
 				left += max(0, c.sizes[i]-n)
 			}
-			if got := log.count("shard left"); got != left && c.share != site.Own {
+			if got := log.count("shard left"); got != left && c.share != site.OwnConnections {
 				t.Errorf("%d shards left, want %d\n%s", got, left, log.text())
 			}
-			if gave := log.count("shard left") - log.count(`"runs_given":0,`); left > 0 && c.share != site.Own && gave == 0 {
+			if gave := log.count("shard left") - log.count(`"runs_given":0,`); left > 0 && c.share != site.OwnConnections && gave == 0 {
 				t.Errorf("no shard that left gave what ran\n%s", log.text())
 			}
 			if log.count("not taken over") > 0 || log.count("fenced") > 0 {
@@ -281,7 +281,7 @@
 func TestReceiverFenced(t *testing.T) {
 	s := newStage(t, 1, 8, false)
 	place := *s.place
-	place.Shards, place.MostShards = 1, 2
+	place.Shards, place.MaxShards = 1, 2
 	var log lines
 	var fence atomic.Bool
 	var lives atomic.Int32
@@ -350,7 +350,7 @@
 func TestResizeRefused(t *testing.T) {
 	s := newStage(t, 1, 2, false)
 	place := *s.place
-	place.MostShards = 2
+	place.MaxShards = 2
 	var log lines
 	resize := make(chan int)
 	s.tune = func(who *Scheduler) { who.Resize, who.Log = resize, zerolog.New(&log) }
--- a/internal/serve/workingset.go
+++ b/internal/serve/workingset.go
@@ -59,12 +59,12 @@
 // newNodeSet gives the working set of a process, nil if the site file asks for none.
 func newNodeSet(s *Server) *nodeSet {
 	place := s.who.Place
-	if place.WorkingSet.Least == 0 {
+	if place.WorkingSet.MinNodes == 0 {
 		return nil
 	}
 	config := workingset.Config{Key: place.Name, Own: s.who.Name, Schedulers: place.Cluster.Schedulers,
-		Least: place.WorkingSet.Least, Coverage: place.WorkingSet.Coverage, Spare: place.WorkingSet.Spare,
-		PerStart: place.WorkingSet.PerStart, PerStratum: place.WorkingSet.PerStratum, NarrowAfter: place.WorkingSet.NarrowAfter, Plant: s.who.Plant.WorkingSet}
+		Least: place.WorkingSet.MinNodes, Coverage: place.WorkingSet.Coverage, Spare: place.WorkingSet.SpareFactor,
+		PerStart: place.WorkingSet.NodesPerStart, PerStratum: place.WorkingSet.MinPerStratum, NarrowAfter: place.WorkingSet.NarrowAfter, Plant: s.who.Plant.WorkingSet}
 	if place.Members.Listen == "" { // the others are known by their number alone
 		config.Own = fmt.Sprint("place ", s.who.Index)
 		for i := range place.Cluster.Schedulers {
--- a/internal/serve/workingset_test.go
+++ b/internal/serve/workingset_test.go
@@ -33,10 +33,10 @@
 }
 
 // setPlace is the stage's site with a working set.
-func (s *stage) setPlace() site.Place {
+func (s *stage) setPlace() site.Config {
 	place := *s.place
 	place.Cluster.ColdFor = 50 // the nodes are warm from the start
-	place.WorkingSet = site.WorkingSet{Least: setLeast, Coverage: 1, Spare: 1, PerStart: 1, PerStratum: 2, NarrowAfter: 1000}
+	place.WorkingSet = site.WorkingSet{MinNodes: setLeast, Coverage: 1, SpareFactor: 1, NodesPerStart: 1, MinPerStratum: 2, NarrowAfter: 1000}
 	return place
 }
 
@@ -217,7 +217,7 @@
 	askAll(address)
 	end()
 	address, _, end = run(3)
-	time.Sleep(time.Duration(s.place.Settle) * time.Millisecond) // as owners do
+	time.Sleep(time.Duration(s.place.SettleTime) * time.Millisecond) // as owners do
 	askAll(address)
 	end()
 	for _, r := range s.w.Trace.Records() {
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -48,17 +48,17 @@
 }
 
 // zonesOf is what verdicts on zones rest on, as the site file has it.
-func (s *Server) zonesOf(place *site.Place) control.Site {
+func (s *Server) zonesOf(place *site.Config) control.Site {
 	held := map[string]clusterstate.ZoneState{}
-	for zone, how := range place.Held {
+	for zone, how := range place.ZoneHolds {
 		held[zone] = map[string]clusterstate.ZoneState{"open": clusterstate.Open, "closed": clusterstate.Closed}[how]
 	}
-	return control.Site{Zones: place.Zones, Held: held, Far: func(from, to string) float64 { return place.Ways[[2]string{from, to}] }}
+	return control.Site{Zones: place.Zones, Held: held, Far: func(from, to string) float64 { return place.RouteLatency[[2]string{from, to}] }}
 }
 
-func (s *Server) newZones(place *site.Place) *zonesView {
+func (s *Server) newZones(place *site.Config) *zonesView {
 	v := &zonesView{s: s, pinged: map[uint32]float64{}, sums: map[string]zones.Sum{}, own: map[string]float64{}, sure: true,
-		reach: zones.Reach{Own: s.who.Zone, Near: len(place.Ways) > 0}}
+		reach: zones.Reach{Own: s.who.Zone, Near: len(place.RouteLatency) > 0}}
 	for i, z := range place.Zones {
 		v.reach.Zones = append(v.reach.Zones, zones.Place{Name: z, Region: place.Regions[i]})
 	}
@@ -89,7 +89,7 @@
 			continue
 		}
 		n := seen{id: en.ID, zone: en.Zone, free: en.FreeCores, lot: lot("", en.ID)}
-		if k := slices.Index(place.Kinds, en.Kind); k >= 0 {
+		if k := slices.Index(place.MachineKinds, en.Kind); k >= 0 {
 			n.cores = place.Cluster.KindCores[k]
 		}
 		all = append(all, n)
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -16,7 +16,7 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	if p.Cluster.JobTypes[1].Window != 7000 || p.Cluster.JobTypes[2].Kind != 1 || p.Expiry[0] != 5000 {
+	if p.Cluster.JobTypes[1].Window != 7000 || p.Cluster.JobTypes[2].Kind != 1 || p.Deadlines[0] != 5000 {
 		t.Errorf("%+v", p)
 	}
 	if *update {
@@ -86,7 +86,7 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	if want := (WorkingSet{Least: 480, Coverage: 1, Spare: 6.5, PerStart: 1, PerStratum: 3, NarrowAfter: 30000}); p.WorkingSet != want {
+	if want := (WorkingSet{MinNodes: 480, Coverage: 1, SpareFactor: 6.5, NodesPerStart: 1, MinPerStratum: 3, NarrowAfter: 30000}); p.WorkingSet != want {
 		t.Errorf("%+v, want %+v", p.WorkingSet, want)
 	}
 }
--- a/internal/strictxml/schema.go
+++ b/internal/strictxml/schema.go
@@ -24,60 +24,60 @@
 	return strings.ReplaceAll(b.String(), "\\\\", "\\")
 }
 
-func writeElement(b *strings.Builder, e *Element, in string, top bool) {
+func writeElement(b *strings.Builder, e *Element, indent string, top bool) {
 	occurs := ""
 	if !top {
-		most := "unbounded"
-		if e.Most > 0 {
-			most = fmt.Sprint(e.Most)
+		maxOccurs := "unbounded"
+		if e.MaxOccurs > 0 {
+			maxOccurs = fmt.Sprint(e.MaxOccurs)
 		}
-		occurs = fmt.Sprintf(" minOccurs=\"%d\" maxOccurs=%q", e.Least, most)
+		occurs = fmt.Sprintf(" minOccurs=\"%d\" maxOccurs=%q", e.MinOccurs, maxOccurs)
 	}
-	fmt.Fprintf(b, "%s<xs:element name=%q%s>\n%s  <xs:complexType>\n", in, e.Name, occurs, in)
+	fmt.Fprintf(b, "%s<xs:element name=%q%s>\n%s  <xs:complexType>\n", indent, e.Name, occurs, indent)
 	if len(e.Children) > 0 {
-		fmt.Fprintf(b, "%s    <xs:choice minOccurs=\"0\" maxOccurs=\"unbounded\">\n", in)
+		fmt.Fprintf(b, "%s    <xs:choice minOccurs=\"0\" maxOccurs=\"unbounded\">\n", indent)
 		for _, c := range e.Children {
-			writeElement(b, c, in+"      ", true)
+			writeElement(b, c, indent+"      ", true)
 		}
-		fmt.Fprintf(b, "%s    </xs:choice>\n", in)
+		fmt.Fprintf(b, "%s    </xs:choice>\n", indent)
 	}
 	for _, a := range e.Attrs {
-		writeAttr(b, a, in+"    ")
+		writeAttr(b, a, indent+"    ")
 	}
-	fmt.Fprintf(b, "%s  </xs:complexType>\n", in)
+	fmt.Fprintf(b, "%s  </xs:complexType>\n", indent)
 	for _, c := range e.Children {
 		if c.Key != "" {
 			fmt.Fprintf(b, "%s  <xs:unique name=\"%s-%s\"><xs:selector xpath=%q/><xs:field xpath=\"@%s\"/></xs:unique>\n",
-				in, e.Name, c.Name, c.Name, c.Key)
+				indent, e.Name, c.Name, c.Name, c.Key)
 		}
 	}
-	fmt.Fprintf(b, "%s</xs:element>\n", in)
+	fmt.Fprintf(b, "%s</xs:element>\n", indent)
 }
 
-func writeAttr(b *strings.Builder, a Attr, in string) {
+func writeAttr(b *strings.Builder, a Attr, indent string) {
 	use := ""
-	if a.Must {
+	if a.Required {
 		use = " use=\"required\""
 	}
-	base := map[Kind]string{Name: "name", Duration: "duration", Number: "xs:decimal", Whole: "xs:integer",
-		Bool: "xs:string", Word: "xs:string", Address: "address", Text: "xs:string"}[a.Kind]
+	base := map[Kind]string{Name: "name", Duration: "duration", Number: "xs:decimal", Integer: "xs:integer",
+		Bool: "xs:string", Enum: "xs:string", Address: "address", Text: "xs:string"}[a.Kind]
 	var limits strings.Builder
 	switch {
-	case a.Kind == Word || a.Kind == Bool:
-		words := a.Words
+	case a.Kind == Enum || a.Kind == Bool:
+		values := a.Values
 		if a.Kind == Bool {
-			words = []string{"true", "false"}
+			values = []string{"true", "false"}
 		}
-		for _, w := range words {
+		for _, w := range values {
 			fmt.Fprintf(&limits, "<xs:enumeration value=%q/>", w)
 		}
-	case (a.Kind == Number || a.Kind == Whole) && (a.Min != 0 || a.Max != 0):
-		fmt.Fprintf(&limits, "<xs:minInclusive value=%q/><xs:maxInclusive value=%q/>", a.show(a.Min), a.show(a.Max))
+	case (a.Kind == Number || a.Kind == Integer) && (a.Min != 0 || a.Max != 0):
+		fmt.Fprintf(&limits, "<xs:minInclusive value=%q/><xs:maxInclusive value=%q/>", a.format(a.Min), a.format(a.Max))
 	}
 	if limits.Len() == 0 {
-		fmt.Fprintf(b, "%s<xs:attribute name=%q type=%q%s/>\n", in, a.Name, base, use)
+		fmt.Fprintf(b, "%s<xs:attribute name=%q type=%q%s/>\n", indent, a.Name, base, use)
 		return
 	}
 	fmt.Fprintf(b, "%s<xs:attribute name=%q%s><xs:simpleType><xs:restriction base=%q>%s</xs:restriction>"+
-		"</xs:simpleType></xs:attribute>\n", in, a.Name, use, base, limits.String())
+		"</xs:simpleType></xs:attribute>\n", indent, a.Name, use, base, limits.String())
 }
--- a/internal/strictxml/strictxml.go
+++ b/internal/strictxml/strictxml.go
@@ -20,9 +20,9 @@
 	Name     Kind = iota // letters, digits, dots, dashes, underscores
 	Duration             // a number and ms, s, m or h
 	Number               // a decimal number
-	Whole                // a whole number
+	Integer              // a whole number
 	Bool
-	Word
+	Enum
 	Address // host:port
 	Text    // anything but nothing
 )
@@ -32,19 +32,19 @@
 	Name     string
 	Kind     Kind
 	Default  string // "" with Must false: absent
-	Must     bool
+	Required bool
 	Min, Max float64 // both 0: none
-	Words    []string
+	Values   []string
 }
 
 // Element is one element: its attributes and children, and the attribute that no two of its siblings share.
 type Element struct {
-	Name     string
-	Attrs    []Attr
-	Children []*Element
-	Least    int // times it must appear
-	Most     int // times it may appear, 0 for any number
-	Key      string
+	Name      string
+	Attrs     []Attr
+	Children  []*Element
+	MinOccurs int // times it must appear
+	MaxOccurs int // times it may appear, 0 for any number
+	Key       string
 }
 
 // Fault is what is wrong, and in which line.
@@ -67,8 +67,8 @@
 const maxBytes = 4 << 20
 
 type reader struct {
-	dec    *xml.Decoder
-	faults []Fault
+	decoder *xml.Decoder
+	faults  []Fault
 }
 
 func (r *reader) fault(line int, format string, args ...any) {
@@ -76,16 +76,16 @@
 }
 
 func (r *reader) line() int {
-	line, _ := r.dec.InputPos()
+	line, _ := r.decoder.InputPos()
 	return line
 }
 
 // Read reads a document whose root is the element. The item is nil if there are faults.
 func Read(in io.Reader, root *Element) (*Item, []Fault) {
-	r := &reader{dec: xml.NewDecoder(io.LimitReader(in, maxBytes))}
-	var top *Item
+	r := &reader{decoder: xml.NewDecoder(io.LimitReader(in, maxBytes))}
+	var item *Item
 	for {
-		tok, err := r.dec.Token()
+		tok, err := r.decoder.Token()
 		if errors.Is(err, io.EOF) {
 			break
 		}
@@ -95,11 +95,11 @@
 		}
 		switch t := tok.(type) {
 		case xml.StartElement:
-			if top != nil || t.Name.Local != root.Name {
+			if item != nil || t.Name.Local != root.Name {
 				r.fault(r.line(), "root <%s>, expected one <%s>", t.Name.Local, root.Name)
 				return nil, r.faults
 			}
-			if top = r.element(t, root); top == nil {
+			if item = r.element(t, root); item == nil {
 				return nil, r.faults
 			}
 		case xml.CharData:
@@ -108,13 +108,13 @@
 			r.fault(r.line(), "document type declarations are not read")
 		}
 	}
-	if top == nil && len(r.faults) == 0 {
+	if item == nil && len(r.faults) == 0 {
 		r.fault(1, "no <%s>", root.Name)
 	}
 	if len(r.faults) > 0 {
 		return nil, r.faults
 	}
-	return top, nil
+	return item, nil
 }
 
 func (r *reader) text(t xml.CharData) {
@@ -148,14 +148,14 @@
 		if _, ok := it.attrs[a.Name]; ok {
 			continue
 		}
-		if a.Must {
+		if a.Required {
 			r.fault(it.Line, "<%s>: attribute %q is missing", rule.Name, a.Name)
 		} else if a.Default != "" {
 			it.attrs[a.Name] = a.Default
 		}
 	}
 	for {
-		tok, err := r.dec.Token()
+		tok, err := r.decoder.Token()
 		if err != nil {
 			r.fault(r.line(), "<%s>: not well-formed: %v", rule.Name, err)
 			return nil
@@ -167,7 +167,7 @@
 			child := rule.child(t.Name.Local)
 			if child == nil {
 				r.fault(r.line(), "<%s>: unknown element <%s>", rule.Name, t.Name.Local)
-				if r.dec.Skip() != nil {
+				if r.decoder.Skip() != nil {
 					return nil
 				}
 				continue
@@ -178,13 +178,13 @@
 			}
 			it.children = append(it.children, sub)
 		case xml.EndElement:
-			r.counts(it)
+			r.checkOccurrences(it)
 			return it
 		}
 	}
 }
 
-func (r *reader) counts(it *Item) {
+func (r *reader) checkOccurrences(it *Item) {
 	for _, c := range it.rule.Children {
 		seen, keys := 0, map[string]int{}
 		for _, sub := range it.children {
@@ -192,8 +192,8 @@
 				continue
 			}
 			seen++
-			if c.Most > 0 && seen > c.Most {
-				r.fault(sub.Line, "<%s>: <%s> more than %d times", it.rule.Name, c.Name, c.Most)
+			if c.MaxOccurs > 0 && seen > c.MaxOccurs {
+				r.fault(sub.Line, "<%s>: <%s> more than %d times", it.rule.Name, c.Name, c.MaxOccurs)
 			}
 			if key, ok := sub.attrs[c.Key]; ok && c.Key != "" {
 				if first := keys[key]; first > 0 {
@@ -203,7 +203,7 @@
 				}
 			}
 		}
-		if seen < c.Least {
+		if seen < c.MinOccurs {
 			r.fault(it.Line, "<%s>: <%s> is missing", it.rule.Name, c.Name)
 		}
 	}
@@ -239,13 +239,13 @@
 			return errors.New("true or false is expected")
 		}
 		return nil
-	case Word:
-		for _, w := range a.Words {
+	case Enum:
+		for _, w := range a.Values {
 			if s == w {
 				return nil
 			}
 		}
-		return fmt.Errorf("one of %s is expected", strings.Join(a.Words, ", "))
+		return fmt.Errorf("one of %s is expected", strings.Join(a.Values, ", "))
 	case Text:
 		if strings.TrimSpace(s) == "" {
 			return errors.New("some text is expected")
@@ -259,12 +259,12 @@
 		}
 		return errors.New("host:port is expected")
 	}
-	v, err := a.value(s)
+	v, err := a.parse(s)
 	if err != nil {
 		return err
 	}
 	if (a.Min != 0 || a.Max != 0) && (v < a.Min || v > a.Max) {
-		return fmt.Errorf("outside %s to %s", a.show(a.Min), a.show(a.Max))
+		return fmt.Errorf("outside %s to %s", a.format(a.Min), a.format(a.Max))
 	}
 	return nil
 }
@@ -273,7 +273,7 @@
 	return !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.ContainsRune(".-_", c))
 }
 
-func (a *Attr) value(s string) (float64, error) {
+func (a *Attr) parse(s string) (float64, error) {
 	switch a.Kind {
 	case Duration:
 		d, err := time.ParseDuration(s)
@@ -281,7 +281,7 @@
 			return 0, errors.New("a duration with its unit (ms, s, m, h) is expected")
 		}
 		return float64(d) / float64(time.Millisecond), nil
-	case Whole:
+	case Integer:
 		v, err := strconv.ParseInt(s, 10, 53)
 		if err != nil {
 			return 0, errors.New("a whole number is expected")
@@ -295,7 +295,7 @@
 	return v, nil
 }
 
-func (a *Attr) show(v float64) string {
+func (a *Attr) format(v float64) string {
 	if a.Kind == Duration {
 		return (time.Duration(v * float64(time.Millisecond))).String()
 	}
@@ -310,7 +310,7 @@
 
 // Number is an attribute's number, a duration's ms; 0 if absent.
 func (it *Item) Number(name string) float64 {
-	v, _ := it.rule.attr(name).value(it.attrs[name]) // checked when it was read
+	v, _ := it.rule.attr(name).parse(it.attrs[name]) // checked when it was read
 	return v
 }
 
@@ -320,9 +320,9 @@
 // Bool is a truth.
 func (it *Item) Bool(name string) bool { return it.attrs[name] == "true" }
 
-// Word is the place of an attribute's word in the grammar.
-func (it *Item) Word(name string) int {
-	for i, w := range it.rule.attr(name).Words {
+// EnumIndex is the place of an attribute's word in the grammar.
+func (it *Item) EnumIndex(name string) int {
+	for i, w := range it.rule.attr(name).Values {
 		if w == it.attrs[name] {
 			return i
 		}
@@ -330,8 +330,8 @@
 	return 0
 }
 
-// All are the children of a name, in order.
-func (it *Item) All(name string) []*Item {
+// Children are the children of a name, in order.
+func (it *Item) Children(name string) []*Item {
 	var all []*Item
 	for _, c := range it.children {
 		if c.rule.Name == name {
@@ -341,8 +341,8 @@
 	return all
 }
 
-// One is the first child of a name, nil if there is none.
-func (it *Item) One(name string) *Item {
+// Child is the first child of a name, nil if there is none.
+func (it *Item) Child(name string) *Item {
 	for _, c := range it.children {
 		if c.rule.Name == name {
 			return c
