--- a/cmd/ravenpond/admin.go
+++ b/cmd/ravenpond/admin.go
@@ -37,7 +37,7 @@
 
 // call makes a call and says what went wrong in a line.
 func (f adminFlags) call(ctx context.Context, do func(ctx context.Context, c pb.TenantsClient) error) error {
-	creds, err := keys.Client(f.Keys, f.As)
+	creds, err := keys.ClientCredentials(f.Keys, f.As)
 	if err != nil {
 		return err
 	}
--- a/cmd/ravenpond/keys.go
+++ b/cmd/ravenpond/keys.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	w := keys.Whom{Name: c.Name, Hosts: c.Host, Tenant: c.Tenant, Lasts: c.Last}
+	w := keys.Subject{Name: c.Name, Hosts: c.Host, Tenant: c.Tenant, Lifetime: c.Last}
 	if c.Role != "" {
 		if w.Role, err = access.RoleOf(c.Role); err != nil {
 			return err
--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -162,7 +162,7 @@
 			return err
 		}
 		if place.ClientsTLS {
-			secure = guard.Server()
+			secure = guard.ServerConfig()
 		}
 		ended, err := c.administer(ctx, place, guard, log.With().Str("scheduler", c.Name).Logger())
 		if err != nil {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -38,24 +38,24 @@
 }
 
 const (
-	mostMessage = 64 << 10
-	mostStreams = 64 // calls at once on a connection
-	mostConns   = 256
-	shakeFor    = 3 * time.Second
-	mostPage    = 1000
-	usualPage   = 100
-	openTimes   = 10 // a store that somebody else has just now is tried, 0.2 s each
+	maxMessageBytes  = 64 << 10
+	maxStreams       = 64 // calls at once on a connection
+	maxConnections   = 256
+	handshakeTimeout = 3 * time.Second
+	maxPageSize      = 1000
+	defaultPageSize  = 100
+	openAttempts     = 10 // a store that somebody else has just now is tried, 0.2 s each
 )
 
 // Serve serves on an address until the context ends; ready is called with the address when callers may come.
 func (s *Server) Serve(ctx context.Context, address string, ready func(string)) error {
-	door, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("administration: %w", err)
 	}
-	g := grpc.NewServer(grpc.Creds(s.Guard.Credentials()), grpc.MaxRecvMsgSize(mostMessage), grpc.MaxConcurrentStreams(mostStreams),
-		grpc.ConnectionTimeout(shakeFor), grpc.UnaryInterceptor(s.log))
-	pb.RegisterTenantsServer(g, s)
+	grpcServer := grpc.NewServer(grpc.Creds(s.Guard.Credentials()), grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(maxStreams),
+		grpc.ConnectionTimeout(handshakeTimeout), grpc.UnaryInterceptor(s.log))
+	pb.RegisterTenantsServer(grpcServer, s)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -66,15 +66,15 @@
 			}
 			s.Log.WithLevel(level).Str("mode", "keys").Msg(line)
 		})
-		limit := time.AfterFunc(time.Second, g.Stop)
-		g.GracefulStop()
+		limit := time.AfterFunc(time.Second, grpcServer.Stop)
+		grpcServer.GracefulStop()
 		limit.Stop()
 	}()
-	s.Log.Info().Str("mode", "admin").Str("address", door.Addr().String()).Msg("administration begins")
+	s.Log.Info().Str("mode", "admin").Str("address", listener.Addr().String()).Msg("administration begins")
 	if ready != nil {
-		ready(door.Addr().String())
+		ready(listener.Addr().String())
 	}
-	err = g.Serve(&bounded{Listener: door, room: make(chan struct{}, mostConns)})
+	err = grpcServer.Serve(&boundedListener{Listener: listener, slots: make(chan struct{}, maxConnections)})
 	<-done
 	if ctx.Err() != nil {
 		return nil
@@ -82,36 +82,36 @@
 	return err
 }
 
-// bounded accepts so many connections at once; more are closed at once, before any of their bytes is read.
-type bounded struct {
+// boundedListener accepts so many connections at once; more are closed at once, before any of their bytes is read.
+type boundedListener struct {
 	net.Listener
-	room chan struct{}
+	slots chan struct{}
 }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
-	b    *bounded
-	once sync.Once
+	listener *boundedListener
+	once     sync.Once
 }
 
-func (c *counted) Close() error {
-	c.once.Do(func() { <-c.b.room })
+func (c *countedConn) Close() error {
+	c.once.Do(func() { <-c.listener.slots })
 	return c.Conn.Close()
 }
 
-func (b *bounded) Accept() (net.Conn, error) {
+func (b *boundedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := b.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case b.room <- struct{}{}:
+		case b.slots <- struct{}{}:
 		default:
 			c.Close()
 			continue
 		}
-		return &counted{Conn: c, b: b}, nil
+		return &countedConn{Conn: c, listener: b}, nil
 	}
 }
 
@@ -138,13 +138,13 @@
 	if !ok || len(info.State.PeerCertificates) == 0 {
 		return access.Caller{}, errors.New("no certificate")
 	}
-	return keys.Caller(info.State.PeerCertificates[0])
+	return keys.CallerOf(info.State.PeerCertificates[0])
 }
 
 var errNotAllowed = status.Error(codes.PermissionDenied, "not allowed")
 
-// may gives the caller, if they may do something.
-func may(ctx context.Context, act access.Act, tenant string) (access.Caller, error) {
+// authorize gives the caller, if they may do something.
+func authorize(ctx context.Context, act access.Act, tenant string) (access.Caller, error) {
 	who, err := caller(ctx)
 	if err != nil || !who.May(act, tenant) {
 		return who, errNotAllowed
@@ -152,10 +152,10 @@
 	return who, nil
 }
 
-// with does something with the store, waiting for whoever has it just now.
-func (s *Server) with(ctx context.Context, do func(st *tenants.Store) error) error {
+// withStore does something with the store, waiting for whoever has it just now.
+func (s *Server) withStore(ctx context.Context, use func(st *tenants.Store) error) error {
 	var st *tenants.Store
-	err := bolt.Unheld(ctx, openTimes, func() (err error) { st, err = s.Open(); return err })
+	err := bolt.Unheld(ctx, openAttempts, func() (err error) { st, err = s.Open(); return err })
 	switch {
 	case ctx.Err() != nil:
 		if err == nil {
@@ -168,11 +168,11 @@
 		s.Log.Error().Str("mode", "admin").Err(err).Send()
 		return status.Error(codes.Internal, "the store can't be opened")
 	}
-	return errors.Join(do(st), st.Close())
+	return errors.Join(use(st), st.Close())
 }
 
-// faulty is an error with field and reason.
-func faulty(f *tenancy.Fault) error {
+// statusError is an error with field and reason.
+func statusError(f *tenancy.Fault) error {
 	code := [...]codes.Code{tenancy.Invalid: codes.InvalidArgument, tenancy.Unknown: codes.NotFound, tenancy.Exists: codes.AlreadyExists,
 		tenancy.Stale: codes.Aborted, tenancy.Barred: codes.FailedPrecondition, tenancy.NoRoom: codes.ResourceExhausted}[f.Sort]
 	st, err := status.New(code, f.Error()).WithDetails(&errdetails.BadRequest{
@@ -183,23 +183,23 @@
 	return st.Err()
 }
 
-func invalid(field, text string) error {
-	return faulty(&tenancy.Fault{Field: field, Sort: tenancy.Invalid, Text: text})
+func invalidArgument(field, text string) error {
+	return statusError(&tenancy.Fault{Field: field, Sort: tenancy.Invalid, Text: text})
 }
 
-// mostID is how long a request id may be.
-const mostID = 100
+// maxRequestIDBytes is how long a request id may be.
+const maxRequestIDBytes = 100
 
 // change carries a change out.
 func (s *Server) change(ctx context.Context, act access.Act, request string, c tenancy.Change, limits func(*tenancy.Limits)) (out *pb.Tenant, err error) {
-	who, err := may(ctx, act, c.Name)
+	who, err := authorize(ctx, act, c.Name)
 	if err != nil {
 		return nil, err
 	}
-	if len(request) > mostID {
-		return nil, invalid("request_id", fmt.Sprintf("at most %d bytes are expected", mostID))
+	if len(request) > maxRequestIDBytes {
+		return nil, invalidArgument("request_id", fmt.Sprintf("at most %d bytes are expected", maxRequestIDBytes))
 	}
-	err = s.with(ctx, func(st *tenants.Store) error {
+	err = s.withStore(ctx, func(st *tenants.Store) error {
 		if c.Kind == tenancy.Limit {
 			all, err := st.Read()
 			if err != nil {
@@ -214,20 +214,20 @@
 		t, fault, err := st.Do(s.Now(), who.Name, request, c)
 		switch {
 		case errors.Is(err, tenants.ErrRequest):
-			return invalid("request_id", "it was used for another change")
+			return invalidArgument("request_id", "it was used for another change")
 		case err != nil:
 			return err
 		case fault != nil:
-			return faulty(fault)
+			return statusError(fault)
 		}
-		out = told(&t)
+		out = tenantMessage(&t)
 		return nil
 	})
-	return out, s.plain(err)
+	return out, s.publicError(err)
 }
 
-// plain keeps what went wrong inside from the caller.
-func (s *Server) plain(err error) error {
+// publicError keeps what went wrong inside from the caller.
+func (s *Server) publicError(err error) error {
 	var st interface{ GRPCStatus() *status.Status }
 	switch {
 	case err == nil:
@@ -239,15 +239,15 @@
 	return status.Error(codes.Internal, "failed inside; its log says why")
 }
 
-func told(t *tenancy.Tenant) *pb.Tenant {
+func tenantMessage(t *tenancy.Tenant) *pb.Tenant {
 	l, open, wait, conns := t.Limits, int64(t.Limits.Open), int64(t.Limits.Wait), int64(t.Limits.Conns)
 	return &pb.Tenant{Name: t.Name, State: pb.State(t.State), Ending: pb.Ending(t.Ending), Version: t.Version, ChangedMs: t.Changed,
 		Limits: &pb.Limits{Share: &l.Share, Rate: &l.Rate, Burst: &l.Burst, Open: &open, Wait: &wait, Conns: &conns,
 			Bytes: &l.Bytes}}
 }
 
-// limited puts the limits that a message sets over others.
-func limited(m *pb.Limits) func(*tenancy.Limits) {
+// applyLimits puts the limits that a message sets over others.
+func applyLimits(m *pb.Limits) func(*tenancy.Limits) {
 	return func(l *tenancy.Limits) {
 		if m == nil {
 			return
@@ -273,16 +273,16 @@
 }
 
 // What a new tenant has where nothing else is said.
-var usual = tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Burst: 10, Wait: 1000}}
+var defaultLimits = tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Burst: 10, Wait: 1000}}
 
 // Add adds a tenant.
 func (s *Server) Add(ctx context.Context, r *pb.AddRequest) (*pb.Tenant, error) {
-	return s.change(ctx, access.Shape, r.RequestId, tenancy.Change{Kind: tenancy.Add, Name: r.Name, Limits: usual}, limited(r.Limits))
+	return s.change(ctx, access.Shape, r.RequestId, tenancy.Change{Kind: tenancy.Add, Name: r.Name, Limits: defaultLimits}, applyLimits(r.Limits))
 }
 
 // Limit changes limits.
 func (s *Server) Limit(ctx context.Context, r *pb.LimitRequest) (*pb.Tenant, error) {
-	return s.change(ctx, access.Shape, r.RequestId, tenancy.Change{Kind: tenancy.Limit, Name: r.Name, Version: r.Version}, limited(r.Limits))
+	return s.change(ctx, access.Shape, r.RequestId, tenancy.Change{Kind: tenancy.Limit, Name: r.Name, Version: r.Version}, applyLimits(r.Limits))
 }
 
 // Pause pauses a tenant.
@@ -298,7 +298,7 @@
 // Remove removes a tenant.
 func (s *Server) Remove(ctx context.Context, r *pb.RemoveRequest) (*pb.Tenant, error) {
 	if r.Ending < 0 || r.Ending > pb.Ending_STOP {
-		return nil, invalid("ending", "RUN_OUT or STOP is expected")
+		return nil, invalidArgument("ending", "RUN_OUT or STOP is expected")
 	}
 	return s.change(ctx, access.Shape, r.RequestId, tenancy.Change{Kind: tenancy.Remove, Name: r.Name, Version: r.Version,
 		Ending: tenancy.Ending(r.Ending)}, nil)
@@ -306,30 +306,30 @@
 
 // Get gives a tenant.
 func (s *Server) Get(ctx context.Context, r *pb.GetRequest) (out *pb.Tenant, err error) {
-	if _, err := may(ctx, access.See, r.Name); err != nil {
+	if _, err := authorize(ctx, access.See, r.Name); err != nil {
 		return nil, err
 	}
-	err = s.with(ctx, func(st *tenants.Store) error {
+	err = s.withStore(ctx, func(st *tenants.Store) error {
 		all, err := st.Read()
 		if err != nil {
 			return err
 		}
 		t, ok := all.Book.Get(r.Name)
 		if !ok {
-			return faulty(&tenancy.Fault{Field: "name", Sort: tenancy.Unknown, Text: fmt.Sprintf("no tenant %.70q", r.Name)})
+			return statusError(&tenancy.Fault{Field: "name", Sort: tenancy.Unknown, Text: fmt.Sprintf("no tenant %.70q", r.Name)})
 		}
-		out = told(&t)
+		out = tenantMessage(&t)
 		return nil
 	})
-	return out, s.plain(err)
+	return out, s.publicError(err)
 }
 
-func page(size int32) (int, error) {
+func pageSize(size int32) (int, error) {
 	switch {
 	case size == 0:
-		return usualPage, nil
-	case size < 0 || size > mostPage:
-		return 0, invalid("page_size", fmt.Sprintf("1 to %d is expected", mostPage))
+		return defaultPageSize, nil
+	case size < 0 || size > maxPageSize:
+		return 0, invalidArgument("page_size", fmt.Sprintf("1 to %d is expected", maxPageSize))
 	}
 	return int(size), nil
 }
@@ -341,12 +341,12 @@
 	if err != nil {
 		return nil, errNotAllowed
 	}
-	size, err := page(r.PageSize)
+	size, err := pageSize(r.PageSize)
 	if err != nil {
 		return nil, err
 	}
 	out := &pb.ListResponse{}
-	err = s.with(ctx, func(st *tenants.Store) error {
+	err = s.withStore(ctx, func(st *tenants.Store) error {
 		all, err := st.Read()
 		if err != nil {
 			return err
@@ -359,33 +359,33 @@
 				out.NextPageToken = out.Tenants[size-1].Name
 				break
 			}
-			out.Tenants = append(out.Tenants, told(&t))
+			out.Tenants = append(out.Tenants, tenantMessage(&t))
 		}
 		return nil
 	})
-	return out, s.plain(err)
+	return out, s.publicError(err)
 }
 
 // IssueToken makes a token.
 func (s *Server) IssueToken(ctx context.Context, r *pb.IssueTokenRequest) (out *pb.IssueTokenResponse, err error) {
-	who, err := may(ctx, access.Token, r.Name)
+	who, err := authorize(ctx, access.Token, r.Name)
 	if err != nil {
 		return nil, err
 	}
 	const most = 10 * 365 * 24 * 3600
 	if r.LastsS < 1 || r.LastsS > most {
-		return nil, invalid("lasts_s", fmt.Sprintf("1 to %d is expected", most))
+		return nil, invalidArgument("lasts_s", fmt.Sprintf("1 to %d is expected", most))
 	}
-	err = s.with(ctx, func(st *tenants.Store) error {
+	err = s.withStore(ctx, func(st *tenants.Store) error {
 		shown, err := st.Issue(s.Now(), who.Name, r.Name, time.Duration(r.LastsS)*time.Second)
 		var fault *tenancy.Fault
 		if errors.As(err, &fault) {
-			return faulty(fault)
+			return statusError(fault)
 		}
 		out = &pb.IssueTokenResponse{Token: shown}
 		return err
 	})
-	return out, s.plain(err)
+	return out, s.publicError(err)
 }
 
 // RevokeToken ends one. Whose it is decides who may: a token of another tenant's is as one that is not there.
@@ -394,7 +394,7 @@
 	if err != nil {
 		return nil, errNotAllowed
 	}
-	err = s.with(ctx, func(st *tenants.Store) error {
+	err = s.withStore(ctx, func(st *tenants.Store) error {
 		all, err := st.Read()
 		if err != nil {
 			return err
@@ -402,24 +402,24 @@
 		if k, ok := all.Tokens[r.Id]; !who.May(access.Token, k.Tenant) {
 			return errNotAllowed
 		} else if !ok {
-			return faulty(&tenancy.Fault{Field: "id", Sort: tenancy.Unknown, Text: "no such token"})
+			return statusError(&tenancy.Fault{Field: "id", Sort: tenancy.Unknown, Text: "no such token"})
 		}
 		return st.Revoke(s.Now(), who.Name, r.Id)
 	})
-	return &pb.RevokeTokenResponse{}, s.plain(err)
+	return &pb.RevokeTokenResponse{}, s.publicError(err)
 }
 
 // Records gives a page of the record of changes.
 func (s *Server) Records(ctx context.Context, r *pb.RecordsRequest) (*pb.RecordsResponse, error) {
-	if _, err := may(ctx, access.Record, ""); err != nil {
+	if _, err := authorize(ctx, access.Record, ""); err != nil {
 		return nil, err
 	}
-	size, err := page(r.PageSize)
+	size, err := pageSize(r.PageSize)
 	if err != nil {
 		return nil, err
 	}
 	out := &pb.RecordsResponse{}
-	err = s.with(ctx, func(st *tenants.Store) error {
+	err = s.withStore(ctx, func(st *tenants.Store) error {
 		err := st.Records(max(1, r.From), func(n uint64, rec tenants.Record) error {
 			if len(out.Records) == size {
 				if out.Next == 0 {
@@ -437,7 +437,7 @@
 		return err
 	})
 	if err != nil {
-		return nil, s.plain(err)
+		return nil, s.publicError(err)
 	}
 	return out, nil
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -33,7 +33,7 @@
 	addr  string
 }
 
-var people = []keys.Whom{{Name: "op", Role: access.Operator}, {Name: "eye", Role: access.Reader},
+var people = []keys.Subject{{Name: "op", Role: access.Operator}, {Name: "eye", Role: access.Reader},
 	{Name: "boss", Role: access.TenantAdmin, Tenant: "a"}, {Name: "clerk", Role: access.TenantReader, Tenant: "a"}}
 
 func begin(t *testing.T) *office {
@@ -43,7 +43,7 @@
 	if o.ca, err = keys.Init(filepath.Join(o.dir, "keys"), time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	o.issue(keys.Whom{Name: "server", Hosts: []string{"127.0.0.1"}})
+	o.issue(keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}})
 	for _, w := range people {
 		o.issue(w)
 	}
@@ -65,10 +65,10 @@
 	return o
 }
 
-func (o *office) issue(w keys.Whom) {
+func (o *office) issue(w keys.Subject) {
 	o.t.Helper()
-	if w.Lasts == 0 {
-		w.Lasts = time.Hour
+	if w.Lifetime == 0 {
+		w.Lifetime = time.Hour
 	}
 	if _, err := o.ca.Issue(time.Now(), w); err != nil {
 		o.t.Fatal(err)
@@ -77,7 +77,7 @@
 
 func (o *office) as(name string) pb.TenantsClient {
 	o.t.Helper()
-	creds, err := keys.Client(filepath.Join(o.dir, "keys"), name)
+	creds, err := keys.ClientCredentials(filepath.Join(o.dir, "keys"), name)
 	if err != nil {
 		o.t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 	o := begin(t)
 	op, share := o.as("op"), 3.0
 	first, err := op.Add(soon(t), &pb.AddRequest{Name: "a", Limits: &pb.Limits{Share: &share}, RequestId: "r1"})
-	if err != nil || first.Limits.GetShare() != 3 || first.Limits.GetWait() != int64(usual.Wait) || first.State != pb.State_ACTIVE {
+	if err != nil || first.Limits.GetShare() != 3 || first.Limits.GetWait() != int64(defaultLimits.Wait) || first.State != pb.State_ACTIVE {
 		t.Fatal(first, err)
 	}
 	if again, err := op.Add(soon(t), &pb.AddRequest{Name: "a", Limits: &pb.Limits{Share: &share}, RequestId: "r1"}); err != nil || again.Version != first.Version {
@@ -212,7 +212,7 @@
 		}, codes.InvalidArgument, "lasts_s"},
 		{"a page of a million", func() error { _, err := op.List(soon(t), &pb.ListRequest{PageSize: 1e6}); return err }, codes.InvalidArgument, "page_size"},
 		{"a message too large", func() error {
-			_, err := op.Get(soon(t), &pb.GetRequest{Name: strings.Repeat("x", mostMessage)})
+			_, err := op.Get(soon(t), &pb.GetRequest{Name: strings.Repeat("x", maxMessageBytes)})
 			return err
 		}, codes.ResourceExhausted, ""},
 		{"no time left", func() error {
@@ -270,12 +270,12 @@
 func TestWhoIsLetIn(t *testing.T) {
 	o := begin(t)
 	folder := filepath.Join(o.dir, "keys")
-	o.issue(keys.Whom{Name: "late", Role: access.Operator, Lasts: time.Millisecond})
+	o.issue(keys.Subject{Name: "late", Role: access.Operator, Lifetime: time.Millisecond})
 	foreign, err := keys.Init(filepath.Join(o.dir, "foreign"), time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := foreign.Issue(time.Now(), keys.Whom{Name: "op", Role: access.Operator, Lasts: time.Hour}); err != nil {
+	if _, err := foreign.Issue(time.Now(), keys.Subject{Name: "op", Role: access.Operator, Lifetime: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	pair := func(dir, name string) tls.Certificate {
@@ -323,8 +323,8 @@
 	if err := o.ca.Revoke(time.Now(), "eye"); err != nil {
 		t.Fatal(err)
 	}
-	o.issue(keys.Whom{Name: "server", Hosts: []string{"127.0.0.1"}}) // by the new key
-	o.issue(keys.Whom{Name: "new", Role: access.Operator})
+	o.issue(keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}}) // by the new key
+	o.issue(keys.Subject{Name: "new", Role: access.Operator})
 	refused := false
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end) && !refused; time.Sleep(20 * time.Millisecond) {
 		if _, err := op.List(soon(t), &pb.ListRequest{}); err != nil {
@@ -369,7 +369,7 @@
 	if _, err := op.List(soon(t), &pb.ListRequest{}); err != nil {
 		t.Errorf("a standing connection: %v", err)
 	}
-	ctx, stop := context.WithTimeout(context.Background(), 4*shakeFor)
+	ctx, stop := context.WithTimeout(context.Background(), 4*handshakeTimeout)
 	defer stop()
 	if _, err := o.as("eye").List(ctx, &pb.ListRequest{}, grpc.WaitForReady(true)); err != nil {
 		t.Errorf("a new one, when the silent have been given up: %v", err)
--- a/internal/keys/guard.go
+++ b/internal/keys/guard.go
@@ -21,19 +21,19 @@
 type Guard struct {
 	folder, name string
 
-	mu      sync.Mutex
-	conf    *tls.Config
-	revoked map[string]bool
-	conns   map[*watched]*x509.Certificate
-	shaking chan struct{} // one for each handshake under way
+	mu         sync.Mutex
+	tlsConfig  *tls.Config
+	revoked    map[string]bool
+	conns      map[*trackedConn]*x509.Certificate
+	handshakes chan struct{} // one for each handshake under way
 }
 
-// mostHandshakes is how many may be under way: who begins them and never ends costs no more than that.
-const mostHandshakes = 16
+// maxHandshakes is how many may be under way: who begins them and never ends costs no more than that.
+const maxHandshakes = 16
 
 // NewGuard makes one for the server whose certificate is NAME.pem in a folder.
 func NewGuard(folder, name string) (*Guard, error) {
-	g := &Guard{folder: folder, name: name, conns: map[*watched]*x509.Certificate{}, shaking: make(chan struct{}, mostHandshakes)}
+	g := &Guard{folder: folder, name: name, conns: map[*trackedConn]*x509.Certificate{}, handshakes: make(chan struct{}, maxHandshakes)}
 	return g, g.Load()
 }
 
@@ -52,11 +52,11 @@
 	for _, c := range cas {
 		pool.AddCert(c)
 	}
-	ders, err := blocks(path(crlFile), "X509 CRL")
+	lists, err := readPEM(path(crlFile), "X509 CRL")
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	list, err := x509.ParseRevocationList(ders[0])
+	list, err := x509.ParseRevocationList(lists[0])
 	if err != nil {
 		return fmt.Errorf("keys: %s: %w", crlFile, err)
 	}
@@ -71,7 +71,7 @@
 	for _, e := range list.RevokedCertificateEntries {
 		revoked[e.SerialNumber.String()] = true
 	}
-	conf := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, ClientCAs: pool,
+	tlsConfig := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, ClientCAs: pool,
 		ClientAuth: tls.RequireAndVerifyClientCert, NextProtos: []string{"h2"}, SessionTicketsDisabled: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
 			if len(s.PeerCertificates) == 0 || revoked[s.PeerCertificates[0].SerialNumber.String()] {
@@ -80,28 +80,28 @@
 			return nil
 		}}
 	g.mu.Lock()
-	g.conf, g.revoked = conf, revoked
+	g.tlsConfig, g.revoked = tlsConfig, revoked
 	g.mu.Unlock()
 	return nil
 }
 
-// Server is the TLS of a server that asks nobody for a certificate, with the one that was read last.
-func (g *Guard) Server() *tls.Config {
+// ServerConfig is the TLS of a server that asks nobody for a certificate, with the one that was read last.
+func (g *Guard) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			return &g.conf.Certificates[0], nil
+			return &g.tlsConfig.Certificates[0], nil
 		}}
 }
 
-// lookEach is how often files are read again.
-const lookEach = time.Second
+// reloadInterval is how often files are read again.
+const reloadInterval = time.Second
 
 // Watch reads the files again each second, and ends connections that are not good any more, until the context ends. say gets a
 // line when that changes something or a file can't be read.
-func (g *Guard) Watch(ctx context.Context, now func() time.Time, say func(fault bool, line string)) {
-	tick := time.NewTicker(lookEach)
+func (g *Guard) Watch(ctx context.Context, now func() time.Time, report func(fault bool, line string)) {
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	last := ""
 	for {
@@ -115,29 +115,29 @@
 			fault = err.Error()
 		}
 		if fault != last && fault != "" {
-			say(true, fault+"; those read before hold")
+			report(true, fault+"; those read before hold")
 		}
 		last = fault
-		if n := g.Sweep(now()); n > 0 {
-			say(false, fmt.Sprintf("%d connections ended: their certificates are not good any more", n))
+		if n := g.CloseInvalid(now()); n > 0 {
+			report(false, fmt.Sprintf("%d connections ended: their certificates are not good any more", n))
 		}
 	}
 }
 
-// Sweep ends connections whose certificate was revoked or has expired, and tells how many.
-func (g *Guard) Sweep(now time.Time) (ended int) {
+// CloseInvalid ends connections whose certificate was revoked or has expired, and tells how many.
+func (g *Guard) CloseInvalid(now time.Time) (ended int) {
 	g.mu.Lock()
-	var bad []*watched
+	var invalid []*trackedConn
 	for c, cert := range g.conns {
 		if g.revoked[cert.SerialNumber.String()] || now.After(cert.NotAfter) {
-			bad = append(bad, c)
+			invalid = append(invalid, c)
 		}
 	}
 	g.mu.Unlock()
-	for _, c := range bad {
+	for _, c := range invalid {
 		c.Close()
 	}
-	return len(bad)
+	return len(invalid)
 }
 
 // Credentials are for a gRPC server.
@@ -146,35 +146,35 @@
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			return g.conf, nil
+			return g.tlsConfig, nil
 		}}
-	return guarded{credentials.NewTLS(conf), g}
+	return guardedCredentials{credentials.NewTLS(conf), g}
 }
 
-type guarded struct {
+type guardedCredentials struct {
 	credentials.TransportCredentials
-	g *Guard
+	guard *Guard
 }
 
-// watched is a connection that the guard knows until it closes.
-type watched struct {
+// trackedConn is a connection that the guard knows until it closes.
+type trackedConn struct {
 	net.Conn
-	g *Guard
+	guard *Guard
 }
 
-func (w *watched) Close() error {
-	w.g.mu.Lock()
-	delete(w.g.conns, w)
-	w.g.mu.Unlock()
+func (w *trackedConn) Close() error {
+	w.guard.mu.Lock()
+	delete(w.guard.conns, w)
+	w.guard.mu.Unlock()
 	return w.Conn.Close()
 }
 
 var errBusy = errors.New("too many handshakes under way")
 
-func (c guarded) ServerHandshake(raw net.Conn) (net.Conn, credentials.AuthInfo, error) {
+func (c guardedCredentials) ServerHandshake(raw net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	select {
-	case c.g.shaking <- struct{}{}:
-		defer func() { <-c.g.shaking }()
+	case c.guard.handshakes <- struct{}{}:
+		defer func() { <-c.guard.handshakes }()
 	default:
 		raw.Close()
 		return nil, nil, errBusy
@@ -184,23 +184,23 @@
 		return nil, nil, err
 	}
 	certs := info.(credentials.TLSInfo).State.PeerCertificates
-	w := &watched{conn, c.g}
-	c.g.mu.Lock()
-	c.g.conns[w] = certs[0]
-	c.g.mu.Unlock()
+	w := &trackedConn{conn, c.guard}
+	c.guard.mu.Lock()
+	c.guard.conns[w] = certs[0]
+	c.guard.mu.Unlock()
 	return w, info, nil
 }
 
-func (c guarded) ClientHandshake(context.Context, string, net.Conn) (net.Conn, credentials.AuthInfo, error) {
+func (c guardedCredentials) ClientHandshake(context.Context, string, net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	return nil, nil, errors.New("keys: a server's credentials")
 }
 
-func (c guarded) Clone() credentials.TransportCredentials {
-	return guarded{c.TransportCredentials.Clone(), c.g}
+func (c guardedCredentials) Clone() credentials.TransportCredentials {
+	return guardedCredentials{c.TransportCredentials.Clone(), c.guard}
 }
 
-// Caller is who a certificate says it is for.
-func Caller(c *x509.Certificate) (access.Caller, error) {
+// CallerOf is who a certificate says it is for.
+func CallerOf(c *x509.Certificate) (access.Caller, error) {
 	s := c.Subject
 	if len(s.OrganizationalUnit) != 1 {
 		return access.Caller{}, errors.New("certificate without a role")
@@ -219,8 +219,8 @@
 	return who, nil
 }
 
-// Client is a person's side: NAME.pem and NAME.key in a folder that has the authority's ca.pem.
-func Client(folder, name string) (credentials.TransportCredentials, error) {
+// ClientCredentials is a person's side: NAME.pem and NAME.key in a folder that has the authority's ca.pem.
+func ClientCredentials(folder, name string) (credentials.TransportCredentials, error) {
 	path := func(name string) string { return filepath.Join(folder, name) }
 	cert, err := tls.LoadX509KeyPair(path(name+".pem"), path(name+".key"))
 	if err != nil {
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -28,15 +28,15 @@
 
 // Files of a folder.
 const (
-	caFile  = "ca.pem"
-	caKey   = "ca.key"
-	crlFile = "crl.pem"
+	caFile    = "ca.pem"
+	caKeyFile = "ca.key"
+	crlFile   = "crl.pem"
 )
 
 const (
-	authorityLasts = 5 * 365 * 24 * time.Hour
-	skew           = 5 * time.Minute // by which clocks may differ
-	crlLasts       = 365 * 24 * time.Hour
+	authorityLifetime = 5 * 365 * 24 * time.Hour
+	clockSkew         = 5 * time.Minute // by which clocks may differ
+	crlLifetime       = 365 * 24 * time.Hour
 )
 
 // Authority is a folder with its key.
@@ -47,7 +47,7 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	if _, err := os.Stat(filepath.Join(folder, caKey)); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := os.Stat(filepath.Join(folder, caKeyFile)); !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("keys: %s has an authority already (or: %v)", folder, err)
 	}
 	a := &Authority{folder}
@@ -56,7 +56,7 @@
 
 // Open opens one.
 func Open(folder string) (*Authority, error) {
-	if _, err := os.Stat(filepath.Join(folder, caKey)); err != nil {
+	if _, err := os.Stat(filepath.Join(folder, caKeyFile)); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
 	return &Authority{folder}, nil
@@ -69,12 +69,12 @@
 	if err != nil {
 		return err
 	}
-	serial, err := number()
+	serial, err := newSerial()
 	if err != nil {
 		return err
 	}
 	made := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: "ravenpond authority " + now.UTC().Format(time.DateOnly)},
-		NotBefore: now.Add(-skew), NotAfter: now.Add(authorityLasts), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
+		NotBefore: now.Add(-clockSkew), NotAfter: now.Add(authorityLifetime), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 	der, err := x509.CreateCertificate(rand.Reader, made, made, key.Public(), key)
 	if err != nil {
@@ -83,13 +83,15 @@
 	if err := a.write(caFile, append(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), older...), 0o644); err != nil {
 		return err
 	}
-	if err := a.writeKey(caKey, key); err != nil {
+	if err := a.writeKey(caKeyFile, key); err != nil {
 		return err
 	}
 	return a.writeCRL(now, revoked)
 }
 
-func number() (*big.Int, error) { return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120)) }
+func newSerial() (*big.Int, error) {
+	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
+}
 
 func (a *Authority) write(name string, b []byte, mode os.FileMode) error {
 	return renameio.WriteFile(filepath.Join(a.folder, name), b, mode)
@@ -103,8 +105,8 @@
 	return a.write(name, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), 0o600)
 }
 
-// blocks reads the PEM blocks of a kind in a file.
-func blocks(path, kind string) (all [][]byte, err error) {
+// readPEM reads the PEM blocks of a kind in a file.
+func readPEM(path, kind string) (all [][]byte, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -127,17 +129,17 @@
 // signer gives the authority's key and the certificate that goes with it: after a rotation that was killed halfway the newest
 // may not.
 func (a *Authority) signer() (*x509.Certificate, crypto.Signer, error) {
-	keys, err := blocks(filepath.Join(a.folder, caKey), "PRIVATE KEY")
+	keys, err := readPEM(filepath.Join(a.folder, caKeyFile), "PRIVATE KEY")
 	if err != nil {
 		return nil, nil, err
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(keys[0])
 	if err != nil {
-		return nil, nil, fmt.Errorf("%s: %w", caKey, err)
+		return nil, nil, fmt.Errorf("%s: %w", caKeyFile, err)
 	}
 	key, ok := parsed.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, fmt.Errorf("%s: an ECDSA key is expected", caKey)
+		return nil, nil, fmt.Errorf("%s: an ECDSA key is expected", caKeyFile)
 	}
 	certs, err := Certificates(filepath.Join(a.folder, caFile))
 	if err != nil {
@@ -148,12 +150,12 @@
 			return c, key, nil
 		}
 	}
-	return nil, nil, fmt.Errorf("%s: none of %d certificates goes with %s", caFile, len(certs), caKey)
+	return nil, nil, fmt.Errorf("%s: none of %d certificates goes with %s", caFile, len(certs), caKeyFile)
 }
 
 // Certificates reads those of a file.
 func Certificates(path string) (all []*x509.Certificate, err error) {
-	ders, err := blocks(path, "CERTIFICATE")
+	ders, err := readPEM(path, "CERTIFICATE")
 	if err != nil {
 		return nil, err
 	}
@@ -167,21 +169,21 @@
 	return all, nil
 }
 
-// Whom is who a certificate is for.
-type Whom struct {
-	Name   string   // of the files, and of the person or server
-	Hosts  []string // of a server; none: a person
-	Role   access.Role
-	Tenant string
-	Lasts  time.Duration
+// Subject is who a certificate is for.
+type Subject struct {
+	Name     string   // of the files, and of the person or server
+	Hosts    []string // of a server; none: a person
+	Role     access.Role
+	Tenant   string
+	Lifetime time.Duration
 }
 
 // Issue makes a key and a certificate and writes them into the folder.
-func (a *Authority) Issue(now time.Time, w Whom) (*x509.Certificate, error) {
+func (a *Authority) Issue(now time.Time, w Subject) (*x509.Certificate, error) {
 	switch {
 	case w.Name == "" || w.Name != filepath.Base(w.Name) || w.Name == "ca" || w.Name == "crl" || w.Name[0] == '.':
 		return nil, fmt.Errorf("keys: name %q: a plain word is expected, not ca or crl", w.Name)
-	case w.Lasts <= 0:
+	case w.Lifetime <= 0:
 		return nil, errors.New("keys: a time above 0 is expected")
 	case len(w.Hosts) == 0 && w.Role == access.Nobody:
 		return nil, errors.New("keys: a person has a role, a server has hosts")
@@ -196,12 +198,12 @@
 	if err != nil {
 		return nil, err
 	}
-	serial, err := number()
+	serial, err := newSerial()
 	if err != nil {
 		return nil, err
 	}
-	made := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: w.Name}, NotBefore: now.Add(-skew),
-		NotAfter: minTime(now.Add(w.Lasts), ca.NotAfter), KeyUsage: x509.KeyUsageDigitalSignature}
+	made := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: w.Name}, NotBefore: now.Add(-clockSkew),
+		NotAfter: earlier(now.Add(w.Lifetime), ca.NotAfter), KeyUsage: x509.KeyUsageDigitalSignature}
 	if len(w.Hosts) > 0 {
 		made.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}
 		for _, h := range w.Hosts {
@@ -231,7 +233,7 @@
 	return x509.ParseCertificate(der)
 }
 
-func minTime(x, y time.Time) time.Time {
+func earlier(x, y time.Time) time.Time {
 	if x.Before(y) {
 		return x
 	}
@@ -260,7 +262,7 @@
 
 // revoked reads the list of what was revoked.
 func (a *Authority) revoked() ([]x509.RevocationListEntry, error) {
-	ders, err := blocks(filepath.Join(a.folder, crlFile), "X509 CRL")
+	ders, err := readPEM(filepath.Join(a.folder, crlFile), "X509 CRL")
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
@@ -276,8 +278,8 @@
 	if err != nil {
 		return err
 	}
-	der, err := x509.CreateRevocationList(rand.Reader, &x509.RevocationList{Number: big.NewInt(now.UnixNano()), ThisUpdate: now.Add(-skew),
-		NextUpdate: now.Add(crlLasts), RevokedCertificateEntries: entries}, ca, key)
+	der, err := x509.CreateRevocationList(rand.Reader, &x509.RevocationList{Number: big.NewInt(now.UnixNano()), ThisUpdate: now.Add(-clockSkew),
+		NextUpdate: now.Add(crlLifetime), RevokedCertificateEntries: entries}, ca, key)
 	if err != nil {
 		return err
 	}
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -44,19 +44,19 @@
 	}
 	for _, c := range []struct {
 		name string
-		whom Whom
+		whom Subject
 		ok   bool
 	}{
-		{"an operator", Whom{Name: "ana", Role: access.Operator, Lasts: time.Hour}, true},
-		{"a tenant's", Whom{Name: "bob", Role: access.TenantAdmin, Tenant: "a", Lasts: time.Hour}, true},
-		{"a server", Whom{Name: "server", Hosts: []string{"127.0.0.1", "a.example"}, Lasts: time.Hour}, true},
-		{"longer than the authority", Whom{Name: "eva", Role: access.Reader, Lasts: 10 * authorityLasts}, true},
-		{"no role", Whom{Name: "x", Lasts: time.Hour}, false},
-		{"a tenant's without a tenant", Whom{Name: "x", Role: access.TenantReader, Lasts: time.Hour}, false},
-		{"an operator of a tenant", Whom{Name: "x", Role: access.Operator, Tenant: "a", Lasts: time.Hour}, false},
-		{"over before it begins", Whom{Name: "x", Role: access.Operator}, false},
-		{"in another folder", Whom{Name: "../x", Role: access.Operator, Lasts: time.Hour}, false},
-		{"over the authority's own", Whom{Name: "ca", Role: access.Operator, Lasts: time.Hour}, false},
+		{"an operator", Subject{Name: "ana", Role: access.Operator, Lifetime: time.Hour}, true},
+		{"a tenant's", Subject{Name: "bob", Role: access.TenantAdmin, Tenant: "a", Lifetime: time.Hour}, true},
+		{"a server", Subject{Name: "server", Hosts: []string{"127.0.0.1", "a.example"}, Lifetime: time.Hour}, true},
+		{"longer than the authority", Subject{Name: "eva", Role: access.Reader, Lifetime: 10 * authorityLifetime}, true},
+		{"no role", Subject{Name: "x", Lifetime: time.Hour}, false},
+		{"a tenant's without a tenant", Subject{Name: "x", Role: access.TenantReader, Lifetime: time.Hour}, false},
+		{"an operator of a tenant", Subject{Name: "x", Role: access.Operator, Tenant: "a", Lifetime: time.Hour}, false},
+		{"over before it begins", Subject{Name: "x", Role: access.Operator}, false},
+		{"in another folder", Subject{Name: "../x", Role: access.Operator, Lifetime: time.Hour}, false},
+		{"over the authority's own", Subject{Name: "ca", Role: access.Operator, Lifetime: time.Hour}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := a.Issue(now, c.whom)
@@ -66,13 +66,13 @@
 			if err != nil {
 				return
 			}
-			if !trusted(t, dir, got) || got.NotAfter.After(now.Add(authorityLasts)) {
+			if !trusted(t, dir, got) || got.NotAfter.After(now.Add(authorityLifetime)) {
 				t.Errorf("until %s, trusted %t", got.NotAfter, trusted(t, dir, got))
 			}
 			if len(c.whom.Hosts) > 0 {
 				return
 			}
-			if who, err := Caller(got); err != nil || who.Role != c.whom.Role || who.Tenant != c.whom.Tenant || who.Name != c.whom.Name {
+			if who, err := CallerOf(got); err != nil || who.Role != c.whom.Role || who.Tenant != c.whom.Tenant || who.Name != c.whom.Name {
 				t.Errorf("%+v, %v", who, err)
 			}
 			if info, err := os.Stat(filepath.Join(dir, c.whom.Name+".key")); err != nil || info.Mode().Perm() != 0o600 {
@@ -87,23 +87,23 @@
 func TestRotate(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		a, dir := authority(t)
-		old, err := a.Issue(now, Whom{Name: "ana", Role: access.Operator, Lasts: time.Hour})
+		old, err := a.Issue(now, Subject{Name: "ana", Role: access.Operator, Lifetime: time.Hour})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := a.Revoke(now, "ana"); err != nil {
 			t.Fatal(err)
 		}
-		key, _ := os.ReadFile(filepath.Join(dir, caKey))
+		key, _ := os.ReadFile(filepath.Join(dir, caKeyFile))
 		if err := a.Rotate(now.Add(time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		if killed { // the new certificate was written, the new key was not
-			if err := os.WriteFile(filepath.Join(dir, caKey), key, 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, caKeyFile), key, 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
-		young, err := a.Issue(now, Whom{Name: "eva", Role: access.Operator, Lasts: time.Hour})
+		young, err := a.Issue(now, Subject{Name: "eva", Role: access.Operator, Lifetime: time.Hour})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,7 +116,7 @@
 		}
 	}
 	a, dir := authority(t)
-	if err := a.Rotate(now.Add(authorityLasts + time.Hour)); err != nil {
+	if err := a.Rotate(now.Add(authorityLifetime + time.Hour)); err != nil {
 		t.Fatal(err)
 	}
 	if cas, _ := Certificates(filepath.Join(dir, caFile)); len(cas) != 1 {
--- a/internal/lab/clubs/handshakes.go
+++ b/internal/lab/clubs/handshakes.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if _, err := ca.Issue(time.Now(), keys.Whom{Name: "server", Hosts: []string{"127.0.0.1"}, Lasts: time.Hour}); err != nil {
+	if _, err := ca.Issue(time.Now(), keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}, Lifetime: time.Hour}); err != nil {
 		return nil, nil, err
 	}
 	guard, err := keys.NewGuard(folder, "server")
@@ -36,7 +36,7 @@
 		pool.AddCert(c)
 	}
 	d := tls.Dialer{Config: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}}
-	return guard.Server(), func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }, nil
+	return guard.ServerConfig(), func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }, nil
 }
 
 // comesBack is how long who is cut off in a handshake waits before the next.
--- a/internal/serve/hosting_test.go
+++ b/internal/serve/hosting_test.go
@@ -328,7 +328,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ca.Issue(time.Now(), keys.Whom{Name: "server", Hosts: []string{"127.0.0.1"}, Lasts: time.Hour}); err != nil {
+	if _, err := ca.Issue(time.Now(), keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}, Lifetime: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	guard, err := keys.NewGuard(dir, "server")
@@ -336,7 +336,7 @@
 		t.Fatal(err)
 	}
 	s := newStage(t, 1, 4, false)
-	s.tune = func(who *Scheduler) { who.Secure = guard.Server() }
+	s.tune = func(who *Scheduler) { who.Secure = guard.ServerConfig() }
 	s.start(0, *s.place, Plant{})
 	time.Sleep(1800 * time.Millisecond)
 	addr := s.owner[0].Find()
@@ -363,7 +363,7 @@
 	}
 	for _, again := range []bool{false, true} { // with the certificate of the start, and with another that was put there since
 		if again {
-			if _, err := ca.Issue(time.Now(), keys.Whom{Name: "server", Hosts: []string{"127.0.0.1"}, Lasts: time.Hour}); err != nil {
+			if _, err := ca.Issue(time.Now(), keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}, Lifetime: time.Hour}); err != nil {
 				t.Fatal(err)
 			}
 			if err := guard.Load(); err != nil {
