--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -58,7 +58,7 @@
 
 // Runner is control that runs.
 type Runner struct {
-	w    outside.World
+	w    outside.Environment
 	log  zerolog.Logger
 	all  *runner.Runner
 	disk Disk // nil: not a voter
@@ -81,7 +81,7 @@
 const judgeEach = 100
 
 // Begin runs a process's part in the consensus of its site on the members' datagrams. A voter's disk is its own from then on.
-func Begin(w outside.World, log zerolog.Logger, all *runner.Runner, who consensus.Config, disk Disk, site Site) (*Runner, error) {
+func Begin(w outside.Environment, log zerolog.Logger, all *runner.Runner, who consensus.Config, disk Disk, site Site) (*Runner, error) {
 	if site.Far == nil {
 		site.Far = func(string, string) float64 { return 0 }
 	}
@@ -107,7 +107,7 @@
 		}
 	})
 	r.view.Store(&View{Book: c.State(), Sure: math.Inf(-1)})
-	r.loop = w.Loop(r.turn)
+	r.loop = w.StartLoop(r.turn)
 	all.See(func(d *membership.Detector) { d.Carries(carrier{r}) })
 	return r, nil
 }
--- a/internal/lab/circle/circle.go
+++ b/internal/lab/circle/circle.go
@@ -20,7 +20,7 @@
 	Rng   *rand.Rand
 	All   []*Process
 	// Wrap changes the world that detectors run in, to plant faults; nil changes nothing.
-	Wrap func(outside.World) outside.World
+	Wrap func(outside.Environment) outside.Environment
 
 	Plant membership.Faults
 
@@ -69,11 +69,11 @@
 func New(seed uint64, n int) *Circle { return Begin(seed, n, nil) }
 
 // Begin begins so many processes in worlds that are wrapped.
-func Begin(seed uint64, n int, wrap func(outside.World) outside.World) *Circle {
+func Begin(seed uint64, n int, wrap func(outside.Environment) outside.Environment) *Circle {
 	return begin(seed, n, wrap, membership.Faults{})
 }
 
-func begin(seed uint64, n int, wrap func(outside.World) outside.World, plant membership.Faults) *Circle {
+func begin(seed uint64, n int, wrap func(outside.Environment) outside.Environment, plant membership.Faults) *Circle {
 	c := &Circle{Plant: plant, took: [2][][][2]float64{make([][][2]float64, n), make([][][2]float64, n)}, Clock: sim.NewClock(seed), Rng: rand.New(rand.NewPCG(seed, 0xc1)), Wrap: wrap}
 	for i := range n {
 		name := fmt.Sprintf("m%03d", i)
@@ -95,7 +95,7 @@
 	for i := range min(3, len(p.c.All)) {
 		seeds = append(seeds, p.c.All[i].Addr)
 	}
-	w := outside.World(p.P)
+	w := outside.Environment(p.P)
 	if p.c.Wrap != nil {
 		w = p.c.Wrap(w)
 	}
--- a/internal/lab/circle/circle_test.go
+++ b/internal/lab/circle/circle_test.go
@@ -304,7 +304,7 @@
 	c := begun(t, 13, 5)
 	foe := &Process{c: c, Name: "foe", P: c.Clock.NewProcess("foe"), Key: []byte("some other key"), Addr: "foe:1"}
 	foe.Start()
-	noise, err := foe.P.Datagrams("noise:1", func([]byte) {})
+	noise, err := foe.P.ListenPacket("noise:1", func([]byte) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -336,12 +336,12 @@
 
 // replayer keeps every datagram that a process hears, to bring it again later.
 type replayer struct {
-	outside.World
+	outside.Environment
 	kept map[string][][]byte
 }
 
-func (r *replayer) Datagrams(address string, heard func([]byte)) (outside.Port, error) {
-	return r.World.Datagrams(address, func(b []byte) {
+func (r *replayer) ListenPacket(address string, heard func([]byte)) (outside.PacketConn, error) {
+	return r.Environment.ListenPacket(address, func(b []byte) {
 		r.kept[address] = append(r.kept[address], append([]byte(nil), b...))
 		heard(b)
 	})
@@ -351,7 +351,7 @@
 // changes by it, at a price of a hash each.
 func TestReplay(t *testing.T) {
 	kept := map[string][][]byte{}
-	c := Begin(14, 5, func(w outside.World) outside.World { return &replayer{w, kept} })
+	c := Begin(14, 5, func(w outside.Environment) outside.Environment { return &replayer{w, kept} })
 	c.Until(5000)
 	c.Pass(3000)
 	c.All[4].Kill()
@@ -361,7 +361,7 @@
 	c.All[3].Kill() // and stays so
 	c.Pass(7000)
 	deaths := len(c.deaths)
-	sender, err := c.All[0].P.Datagrams("again:1", func([]byte) {})
+	sender, err := c.All[0].P.ListenPacket("again:1", func([]byte) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -421,10 +421,10 @@
 func TestReplayedLeave(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		kept := map[string][][]byte{}
-		c := begin(15, 3, func(w outside.World) outside.World { return &replayer{w, kept} }, membership.Faults{Replayed: taken})
+		c := begin(15, 3, func(w outside.Environment) outside.Environment { return &replayer{w, kept} }, membership.Faults{Replayed: taken})
 		c.Pass(20000)
 		c.All[2].Kill()
-		again, err := c.All[0].P.Datagrams("again:1", func([]byte) {})
+		again, err := c.All[0].P.ListenPacket("again:1", func([]byte) {})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/circle/play.go
+++ b/internal/lab/circle/play.go
@@ -40,7 +40,7 @@
 	sizes := []int{3, 3, 4, 5, 5, 7, 9, 9, 12, 20, 35, 60}
 	n := sizes[int(seed)%len(sizes)]
 	v.Processes = n
-	c := begin(seed, n, func(w outside.World) outside.World {
+	c := begin(seed, n, func(w outside.Environment) outside.Environment {
 		if old == nil {
 			old = &again{}
 		}
@@ -114,12 +114,12 @@
 }
 
 type recorder struct {
-	outside.World
+	outside.Environment
 	*again
 }
 
-func (r recorder) Datagrams(address string, f func([]byte)) (outside.Port, error) {
-	return r.World.Datagrams(address, func(b []byte) {
+func (r recorder) ListenPacket(address string, f func([]byte)) (outside.PacketConn, error) {
+	return r.Environment.ListenPacket(address, func(b []byte) {
 		if len(r.kept) < 4000 {
 			r.kept = append(r.kept, heard{address, append([]byte(nil), b...)})
 		}
@@ -222,7 +222,7 @@
 
 // replay brings again some of what was heard before.
 func (c *Circle) replay(p *Process, old *again, most int) {
-	port, err := p.P.Datagrams(fmt.Sprint("again-", c.Rng.Uint64(), ":1"), func([]byte) {})
+	port, err := p.P.ListenPacket(fmt.Sprint("again-", c.Rng.Uint64(), ":1"), func([]byte) {})
 	if err != nil {
 		return
 	}
--- a/internal/lab/clubs/clubs.go
+++ b/internal/lab/clubs/clubs.go
@@ -331,7 +331,7 @@
 		w := outside.NewReal()
 		w.Dial(addr, 500, func(conn outside.Conn, err error) {
 			if err == nil {
-				conn.Begin(nobody{}, 500)
+				conn.Start(nobody{}, 500)
 				conn.Send(func(b []byte) []byte { return append(b, "Content-Length: 9\r\n\r\n"...) })
 			}
 		})
@@ -342,5 +342,5 @@
 
 type nobody struct{}
 
-func (nobody) Heard([]byte) {}
-func (nobody) Over(error)   {}
+func (nobody) OnData([]byte) {}
+func (nobody) OnClose(error) {}
--- a/internal/lab/route/ends.go
+++ b/internal/lab/route/ends.go
@@ -24,7 +24,7 @@
 	over  bool
 }
 
-func (e *ear) Heard(b []byte) {
+func (e *ear) OnData(b []byte) {
 	e.in = append(e.in, b...)
 	for !e.over {
 		msg, took, err := codec.Next(e.in)
@@ -37,7 +37,7 @@
 	}
 }
 
-func (e *ear) Over(err error) {
+func (e *ear) OnClose(err error) {
 	e.over = true
 	if e.gone != nil {
 		e.gone(err)
@@ -133,7 +133,7 @@
 			return
 		}
 		e.conn = c
-		c.Begin(e, 3000)
+		c.Start(e, 3000)
 		e.send(codec.AppendTest(nil, 1, false))
 		if then != nil {
 			then()
@@ -335,7 +335,7 @@
 		}
 	}
 	n.conns = append(n.conns, e)
-	c.Begin(e, 3000)
+	c.Start(e, 3000)
 	ends := n.ends
 	n.ends = nil
 	for _, id := range ends {
--- a/internal/lab/route/gone.go
+++ b/internal/lab/route/gone.go
@@ -14,12 +14,12 @@
 
 // watched is a scheduler's world in which each set-up that it sends is seen as it is sent.
 type watched struct {
-	outside.World
+	outside.Environment
 	g *play
 }
 
 func (w watched) Dial(address string, within float64, done func(outside.Conn, error)) {
-	w.World.Dial(address, within, func(c outside.Conn, err error) {
+	w.Environment.Dial(address, within, func(c outside.Conn, err error) {
 		if err == nil {
 			c = &sends{Conn: c, g: w.g}
 		}
@@ -62,6 +62,6 @@
 				t.gone = o.g.c.True()
 			}
 		}
-		e.conn.End(true, nil)
+		e.conn.Close(true, nil)
 	}
 }
--- a/internal/lab/route/route.go
+++ b/internal/lab/route/route.go
@@ -59,11 +59,11 @@
 
 // Plant is a fault planted in the program, to see that it is found.
 type Plant struct {
-	World func(outside.World) outside.World // what a scheduler runs in
-	Busy  bool                              // each seed gives one scheduler far more than it can do, not one in four
-	Loose bool                              // what is sent leaves by writers, in their turn
-	Known func(events []byte) []byte        // what it is told at a start
-	Trace io.Writer                         // is given what passed, in words, if it is not nil
+	World func(outside.Environment) outside.Environment // what a scheduler runs in
+	Busy  bool                                          // each seed gives one scheduler far more than it can do, not one in four
+	Loose bool                                          // what is sent leaves by writers, in their turn
+	Known func(events []byte) []byte                    // what it is told at a start
+	Trace io.Writer                                     // is given what passed, in words, if it is not nil
 }
 
 // Verdict is what came of a seed.
@@ -224,7 +224,7 @@
 		s.journal.hush(2000 * g.rng.Float64())
 	}
 	c := s.configuration()
-	world := outside.World(s.p)
+	world := outside.Environment(s.p)
 	if g.World != nil {
 		world = g.World(world)
 	}
@@ -357,7 +357,7 @@
 	if _, err := j.p.Listen(j.address, func(c outside.Conn) {
 		x := &tail{j: j, conn: c}
 		j.conns = append(j.conns, x)
-		c.Begin(x, 5000)
+		c.Start(x, 5000)
 	}); err != nil {
 		j.g.fail(err.Error())
 	}
@@ -409,9 +409,9 @@
 	x.conn.Send(func(b []byte) []byte { return append(append(b, line...), '\n') })
 }
 
-func (x *tail) Over(error) { x.over = true }
+func (x *tail) OnClose(error) { x.over = true }
 
-func (x *tail) Heard(b []byte) {
+func (x *tail) OnData(b []byte) {
 	var from int
 	if n, _ := fmt.Sscanf(string(b), "tail %d", &from); n != 1 || x.j.g.c.True() < x.j.silent {
 		return
--- a/internal/lab/route/route_test.go
+++ b/internal/lab/route/route_test.go
@@ -73,20 +73,20 @@
 		{"gone and draining nodes are left out of what is known", Plant{Known: func(b []byte) []byte {
 			return []byte(strings.NewReplacer(`"draining"`, `"ready"`, `"gone"`, `"ready"`).Replace(string(b)))
 		}}, "rule 3"},
-		{"the journal can't be reached at a second address", Plant{World: func(w outside.World) outside.World { return &once{World: w} }}, "rule"},
-		{"what is sent in a flood leaves when its writer has its turn, after others", Plant{Busy: true, World: func(w outside.World) outside.World {
+		{"the journal can't be reached at a second address", Plant{World: func(w outside.Environment) outside.Environment { return &once{Environment: w} }}, "rule"},
+		{"what is sent in a flood leaves when its writer has its turn, after others", Plant{Busy: true, World: func(w outside.Environment) outside.Environment {
 			return slow{w}
 		}}, "rule"},
-		{"owners' connections are ended while asks are open on them", Plant{World: func(w outside.World) outside.World {
+		{"owners' connections are ended while asks are open on them", Plant{World: func(w outside.Environment) outside.Environment {
 			return curt{w}
 		}}, "rule 1"},
-		{"an owner's close is read late, and nobody asks whether it has left", Plant{World: func(w outside.World) outside.World {
+		{"an owner's close is read late, and nobody asks whether it has left", Plant{World: func(w outside.Environment) outside.Environment {
 			return deaf{w, false}
 		}}, "gone"},
-		{"notes are not read, and an end before its answer counts as a reset on its way", Plant{World: func(w outside.World) outside.World {
+		{"notes are not read, and an end before its answer counts as a reset on its way", Plant{World: func(w outside.Environment) outside.Environment {
 			return forgetful{w}
 		}}, "rule 1"},
-		{"words to owners are lost", Plant{World: func(w outside.World) outside.World { return lossy{w} }}, "rule 1"},
+		{"words to owners are lost", Plant{World: func(w outside.Environment) outside.Environment { return lossy{w} }}, "rule 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(40) {
@@ -106,7 +106,7 @@
 // TestReadLate has owners' closes read 1.5 s late: what began for them after they left is nothing, as the scheduler asks whether they have.
 func TestReadLate(t *testing.T) {
 	for seed := range uint64(20) {
-		if v := Play(seed+1, Plant{World: func(w outside.World) outside.World { return deaf{w, true} }}); strings.Contains(v.Broken, "gone") {
+		if v := Play(seed+1, Plant{World: func(w outside.Environment) outside.Environment { return deaf{w, true} }}); strings.Contains(v.Broken, "gone") {
 			t.Errorf("seed %d: %s", v.Seed, v.Broken)
 		}
 	}
@@ -114,12 +114,12 @@
 
 // deaf has owners' closes read 1.5 s late, and tells whether they have left, or does not.
 type deaf struct {
-	outside.World
+	outside.Environment
 	knows bool
 }
 
-func (d deaf) Listen(address string, came func(outside.Conn)) (outside.Door, error) {
-	return d.World.Listen(address, func(c outside.Conn) { came(&late{Conn: c, d: d}) })
+func (d deaf) Listen(address string, came func(outside.Conn)) (outside.Listener, error) {
+	return d.Environment.Listen(address, func(c outside.Conn) { came(&late{Conn: c, d: d}) })
 }
 
 type late struct {
@@ -127,28 +127,28 @@
 	d deaf
 }
 
-func (l *late) Left() bool { return l.d.knows && l.Conn.Left() }
+func (l *late) PeerClosed() bool { return l.d.knows && l.Conn.PeerClosed() }
 
-func (l *late) Begin(p outside.Peer, stuck float64) { l.Conn.Begin(lateEar{p, l.d}, stuck) }
+func (l *late) Start(p outside.ConnHandler, stuck float64) { l.Conn.Start(lateEar{p, l.d}, stuck) }
 
 type lateEar struct {
-	outside.Peer
+	outside.ConnHandler
 	d deaf
 }
 
-func (l lateEar) Heard(b []byte) {
+func (l lateEar) OnData(b []byte) {
 	if b != nil {
-		l.Peer.Heard(b)
+		l.ConnHandler.OnData(b)
 	}
 }
 
-func (l lateEar) Over(err error) { l.d.After(1500, func() { l.Peer.Over(err) }) }
+func (l lateEar) OnClose(err error) { l.d.After(1500, func() { l.ConnHandler.OnClose(err) }) }
 
 // forgetful hears nodes without their notes, and every end of a task that was cut or ended as a reset that gives no reason.
-type forgetful struct{ outside.World }
+type forgetful struct{ outside.Environment }
 
 func (f forgetful) Dial(address string, within float64, done func(outside.Conn, error)) {
-	f.World.Dial(address, within, func(c outside.Conn, err error) {
+	f.Environment.Dial(address, within, func(c outside.Conn, err error) {
 		if err == nil {
 			c = &forgetfulConn{Conn: c}
 		}
@@ -158,19 +158,19 @@
 
 type forgetfulConn struct{ outside.Conn }
 
-func (c *forgetfulConn) Begin(p outside.Peer, stuck float64) {
-	c.Conn.Begin(&forgetfulPeer{Peer: p, answered: map[uint64]bool{}}, stuck)
+func (c *forgetfulConn) Start(p outside.ConnHandler, stuck float64) {
+	c.Conn.Start(&forgetfulPeer{ConnHandler: p, answered: map[uint64]bool{}}, stuck)
 }
 
 type forgetfulPeer struct {
-	outside.Peer
+	outside.ConnHandler
 	in       []byte
 	answered map[uint64]bool
 }
 
-func (p *forgetfulPeer) Heard(b []byte) {
+func (p *forgetfulPeer) OnData(b []byte) {
 	if b == nil {
-		p.Peer.Heard(nil)
+		p.ConnHandler.OnData(nil)
 		return
 	}
 	p.in = append(p.in, b...)
@@ -184,7 +184,7 @@
 		p.in = p.in[took:]
 	}
 	if len(out) > 0 {
-		p.Peer.Heard(out)
+		p.ConnHandler.OnData(out)
 	}
 }
 
@@ -205,7 +205,7 @@
 
 // once reaches the first address of a journal service alone.
 type once struct {
-	outside.World
+	outside.Environment
 	journal string
 }
 
@@ -216,16 +216,16 @@
 		}
 		address = o.journal
 	}
-	o.World.Dial(address, within, done)
+	o.Environment.Dial(address, within, done)
 }
 
 // slow has connections hand over what is sent 200 ms later where several wait.
-type slow struct{ outside.World }
+type slow struct{ outside.Environment }
 
 func (s slow) Dial(address string, within float64, done func(outside.Conn, error)) {
-	s.World.Dial(address, within, func(c outside.Conn, err error) {
+	s.Environment.Dial(address, within, func(c outside.Conn, err error) {
 		if err == nil {
-			c = &behind{Conn: c, w: s.World}
+			c = &behind{Conn: c, w: s.Environment}
 		}
 		done(c, err)
 	})
@@ -233,7 +233,7 @@
 
 type behind struct {
 	outside.Conn
-	w    outside.World
+	w    outside.Environment
 	sent uint64
 }
 
@@ -247,10 +247,10 @@
 func (b *behind) Unsend(uint64, int) bool { return false }
 
 // curt ends a connection to owners after some messages, whatever is open on it.
-type curt struct{ outside.World }
+type curt struct{ outside.Environment }
 
-func (c curt) Listen(address string, came func(outside.Conn)) (outside.Door, error) {
-	return c.World.Listen(address, func(x outside.Conn) { came(&short{Conn: x}) })
+func (c curt) Listen(address string, came func(outside.Conn)) (outside.Listener, error) {
+	return c.Environment.Listen(address, func(x outside.Conn) { came(&short{Conn: x}) })
 }
 
 type short struct {
@@ -260,16 +260,16 @@
 
 func (s *short) Send(f func([]byte) []byte) (uint64, int, bool) {
 	if s.n++; s.n%30 == 0 {
-		s.Conn.End(true, nil)
+		s.Conn.Close(true, nil)
 	}
 	return s.Conn.Send(f)
 }
 
 // lossy hands over every hundredth message to owners to nobody.
-type lossy struct{ outside.World }
+type lossy struct{ outside.Environment }
 
-func (l lossy) Listen(address string, came func(outside.Conn)) (outside.Door, error) {
-	return l.World.Listen(address, func(c outside.Conn) { came(&losing{Conn: c}) })
+func (l lossy) Listen(address string, came func(outside.Conn)) (outside.Listener, error) {
+	return l.Environment.Listen(address, func(c outside.Conn) { came(&losing{Conn: c}) })
 }
 
 type losing struct {
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -28,7 +28,7 @@
 // client is a connection that asks for tasks.
 type client struct {
 	real  int // process that it asks
-	world outside.World
+	world outside.Environment
 	conn  outside.Conn
 	in    owners.Splitter
 	tally *tally
@@ -73,13 +73,13 @@
 }
 
 // dial connects a client to a real process.
-func dial(w outside.World, real int, address string, t *tally) (*client, error) {
+func dial(w outside.Environment, real int, address string, t *tally) (*client, error) {
 	c := &client{real: real, world: w, tally: t, open: map[uint64]time.Time{}}
 	done := make(chan error, 1)
 	w.Dial(address, clientDial, func(conn outside.Conn, err error) {
 		if err == nil {
 			c.conn = conn
-			conn.Begin(c, clientStuck)
+			conn.Start(c, clientStuck)
 		}
 		done <- err
 	})
@@ -104,15 +104,15 @@
 	c.conn.Send(func(b []byte) []byte { return owners.Append(b, body) })
 }
 
-// Heard takes answers.
-func (c *client) Heard(b []byte) {
+// OnData takes answers.
+func (c *client) OnData(b []byte) {
 	if c.in.Feed(b, c.answered) != nil {
-		c.conn.End(false, nil)
+		c.conn.Close(false, nil)
 	}
 }
 
-// Over meets the end of the connection.
-func (c *client) Over(error) {}
+// OnClose meets the end of the connection.
+func (c *client) OnClose(error) {}
 
 func (c *client) answered(body []byte) error {
 	var message struct {
--- a/internal/lab/scale/hollow/disk.go
+++ b/internal/lab/scale/hollow/disk.go
@@ -10,13 +10,13 @@
 
 // silencer is a world whose datagrams can be lost from a moment on, as those of a process that is killed.
 type silencer struct {
-	outside.World
+	outside.Environment
 	silent atomic.Bool
 }
 
-// Datagrams takes datagrams; none leaves once the world is silent.
-func (s *silencer) Datagrams(address string, heard func(b []byte)) (outside.Port, error) {
-	port, err := s.World.Datagrams(address, heard)
+// ListenPacket takes datagrams; none leaves once the world is silent.
+func (s *silencer) ListenPacket(address string, heard func(b []byte)) (outside.PacketConn, error) {
+	port, err := s.Environment.ListenPacket(address, heard)
 	if err != nil {
 		return nil, err
 	}
@@ -24,14 +24,14 @@
 }
 
 type silencedPort struct {
-	outside.Port
+	outside.PacketConn
 	world *silencer
 }
 
 // Send hands a datagram to the network unless the world is silent.
 func (p *silencedPort) Send(to string, b []byte) {
 	if !p.world.silent.Load() {
-		p.Port.Send(to, b)
+		p.PacketConn.Send(to, b)
 	}
 }
 
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -111,8 +111,8 @@
 // hearer gathers what the list says.
 type hearer struct{ came chan string }
 
-func (h *hearer) Heard(b []byte) { h.came <- string(b) }
-func (h *hearer) Over(error)     { close(h.came) }
+func (h *hearer) OnData(b []byte) { h.came <- string(b) }
+func (h *hearer) OnClose(error)   { close(h.came) }
 
 // TestList tells a watcher all, each change, and who comes back what has changed since.
 func TestList(t *testing.T) {
@@ -131,7 +131,7 @@
 				close(h.came)
 				return
 			}
-			conn.Begin(h, 1000)
+			conn.Start(h, 1000)
 			conn.Send(func(b []byte) []byte {
 				return list.AppendWatch(line.AppendGreeting(b, list.GreetingLine, "Scheduler", "s0"), since)
 			})
--- a/internal/lab/scale/hollow/list.go
+++ b/internal/lab/scale/hollow/list.go
@@ -27,7 +27,7 @@
 
 // List is the node list of a run: it tells all entries to who watches it, and each change at once.
 type List struct {
-	door outside.Door
+	door outside.Listener
 
 	mu       sync.Mutex
 	entries  []Entry
@@ -40,10 +40,10 @@
 const listStuckMs = 10_000
 
 // StartList tells entries on loopback.
-func StartList(w outside.World, entries []Entry) (*List, error) {
+func StartList(w outside.Environment, entries []Entry) (*List, error) {
 	l := &List{entries: entries, version: 1, changed: map[uint64][]int{}, watchers: map[*watcher]bool{}}
 	var err error
-	l.door, err = w.Listen("127.0.0.1:0", func(conn outside.Conn) { conn.Begin(&watcher{list: l, conn: conn}, listStuckMs) })
+	l.door, err = w.Listen("127.0.0.1:0", func(conn outside.Conn) { conn.Start(&watcher{list: l, conn: conn}, listStuckMs) })
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
@@ -76,12 +76,12 @@
 	told    uint64 // the version that was told last
 }
 
-// Heard takes what a scheduler sends.
-func (w *watcher) Heard(b []byte) {
+// OnData takes what a scheduler sends.
+func (w *watcher) OnData(b []byte) {
 	if !w.greeted {
 		head, after, err := w.in.Greeting(b, list.GreetingLine)
 		if err != nil {
-			w.conn.End(false, list.AppendBye(nil, err.Error()))
+			w.conn.Close(false, list.AppendBye(nil, err.Error()))
 		}
 		if err != nil || head == nil {
 			return
@@ -90,12 +90,12 @@
 		w.conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.GreetingLine) })
 	}
 	if err := w.in.Feed(b, func(fields [][]byte) error { return list.DecodeScheduler(fields, w) }); err != nil {
-		w.conn.End(true, list.AppendBye(nil, err.Error()))
+		w.conn.Close(true, list.AppendBye(nil, err.Error()))
 	}
 }
 
-// Over meets the end of the connection.
-func (w *watcher) Over(error) {
+// OnClose meets the end of the connection.
+func (w *watcher) OnClose(error) {
 	w.list.mu.Lock()
 	delete(w.list.watchers, w)
 	w.list.mu.Unlock()
--- a/internal/lab/scale/hollow/schedulers.go
+++ b/internal/lab/scale/hollow/schedulers.go
@@ -111,7 +111,7 @@
 }
 
 func (h *schedulerHost) startOne(number int, incarnation uint64, listen string) (*scheduler, error) {
-	s := &scheduler{host: h, name: SchedulerName(number), incarnation: incarnation, world: &silencer{World: h.world}, ended: make(chan struct{})}
+	s := &scheduler{host: h, name: SchedulerName(number), incarnation: incarnation, world: &silencer{Environment: h.world}, ended: make(chan struct{})}
 	seeds := h.seeds
 	if len(seeds) == 0 { // the first of all asks nobody but itself
 		seeds = []string{"127.0.0.1:1"}
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -275,7 +275,7 @@
 func (r *Rig) End() error {
 	var errs []error
 	for _, c := range r.clients {
-		c.conn.End(false, nil)
+		c.conn.Close(false, nil)
 	}
 	for _, p := range r.real {
 		if err := p.end(); err != nil {
--- a/internal/lab/sim/agree_test.go
+++ b/internal/lab/sim/agree_test.go
@@ -22,9 +22,9 @@
 	head  bool
 }
 
-func (t *talk) Over(error) {}
+func (t *talk) OnClose(error) {}
 
-func (t *talk) Heard(b []byte) {
+func (t *talk) OnData(b []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.head {
@@ -51,7 +51,7 @@
 
 // converse plays one script to a stand-in node: offers that fit and do not, a recall, a claim, a stop, a probe, an offer of
 // an older epoch and one that lay on its way for too long.
-func converse(w outside.World, address string) (*talk, error) {
+func converse(w outside.Environment, address string) (*talk, error) {
 	sw := standin.NewWorld(w)
 	n := &standin.Node{ID: 7, Zone: "z", Cell: "c", Kind: "k", Jobs: 2, Tenants: 1}
 	mk := standin.Make{Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, Look: 2, Line: 4, Starts: 2, NoProgram: 2, Programs: 3,
@@ -66,7 +66,7 @@
 			t.heard = append(t.heard, err.Error())
 			return
 		}
-		c.Begin(t, 1000)
+		c.Start(t, 1000)
 		say := func(b []byte) { c.Send(func(q []byte) []byte { return append(q, b...) }) }
 		say(line.AppendGreeting(nil, node.GreetingLine, "Scheduler", "s", "Life", "1", "Node", "7"))
 		zero := w.Now()
@@ -98,7 +98,7 @@
 func TestFirstIsLate(t *testing.T) {
 	for _, says := range []bool{true, false} {
 		c := NewClock(1)
-		w := outside.World(c.NewProcess("n"))
+		w := outside.Environment(c.NewProcess("n"))
 		n := &standin.Node{ID: 7, Zone: "z", Cell: "c", Kind: "k", Jobs: 1, Tenants: 1}
 		mk := standin.Make{Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, Look: 2, Line: 4, Starts: 2, Fall: 1e9, FallFor: 1, Bears: 1 << 20,
 			Work: []standin.Work{{Start: 5, Life: 400, Use: 0.5}}}
@@ -111,7 +111,7 @@
 				t.Error(err)
 				return
 			}
-			conn.Begin(x, 1000)
+			conn.Start(x, 1000)
 			say := func(b []byte) { conn.Send(func(q []byte) []byte { return append(q, b...) }) }
 			head := []string{"Scheduler", "s", "Life", "1", "Node", "7"}
 			if says {
--- a/internal/lab/sim/datagrams.go
+++ b/internal/lab/sim/datagrams.go
@@ -29,8 +29,8 @@
 	life    int
 }
 
-// Datagrams takes datagrams at an address.
-func (p *Process) Datagrams(address string, heard func(b []byte)) (outside.Port, error) {
+// ListenPacket takes datagrams at an address.
+func (p *Process) ListenPacket(address string, heard func(b []byte)) (outside.PacketConn, error) {
 	if x := p.c.ports[address]; x != nil && !x.p.dead && x.life == x.p.life {
 		return nil, errTaken
 	}
@@ -41,7 +41,7 @@
 
 func (x *port) Address() string { return x.address }
 
-func (x *port) Close() {
+func (x *port) StopAccepting() {
 	if x.p.c.ports[x.address] == x {
 		delete(x.p.c.ports, x.address)
 	}
@@ -51,7 +51,7 @@
 func (x *port) Send(to string, b []byte) {
 	c := x.p.c
 	y := c.ports[to]
-	if y == nil || len(b) > outside.MostDatagram || !x.p.effect() {
+	if y == nil || len(b) > outside.MaxDatagram || !x.p.effect() {
 		return
 	}
 	w, l := c.road(x.p.Name, y.p.Name), c.lanes[[2]string{x.p.Name, y.p.Name}]
--- a/internal/lab/sim/net.go
+++ b/internal/lab/sim/net.go
@@ -53,7 +53,7 @@
 
 func (d *door) Address() string { return d.address }
 
-func (d *door) Close() {
+func (d *door) StopAccepting() {
 	if d.p.c.doors[d.address] == d {
 		delete(d.p.c.doors, d.address)
 	}
@@ -62,7 +62,7 @@
 var errTaken = errors.New("address is taken")
 
 // Listen takes connections at an address, which is any name.
-func (p *Process) Listen(address string, came func(outside.Conn)) (outside.Door, error) {
+func (p *Process) Listen(address string, came func(outside.Conn)) (outside.Listener, error) {
 	if p.c.doors[address] != nil {
 		return nil, errTaken
 	}
@@ -126,7 +126,7 @@
 	p    *Process
 	far  *conn
 	way  *way
-	peer outside.Peer
+	peer outside.ConnHandler
 
 	out     []byte // not handed over yet
 	words   []byte // that come last, and are not counted
@@ -157,8 +157,8 @@
 	f    func()
 }
 
-// Begin starts it.
-func (x *conn) Begin(p outside.Peer, stuck float64) {
+// Start starts it.
+func (x *conn) Start(p outside.ConnHandler, stuck float64) {
 	x.peer, x.stuck, x.moved = p, stuck, x.p.c.now
 	if len(x.early) > 0 {
 		x.p.c.at(x.p, x.p.c.now, func() { // before all that came later
@@ -193,8 +193,8 @@
 	return x.sent, len(x.out), true
 }
 
-// Handed is what was handed over.
-func (x *conn) Handed() uint64 { return x.counted }
+// HandedOver is what was handed over.
+func (x *conn) HandedOver() uint64 { return x.counted }
 
 // Unsend takes back the last message, if none of it was handed over.
 func (x *conn) Unsend(sent uint64, n int) bool {
@@ -206,8 +206,8 @@
 	return true
 }
 
-// Left tells whether the other end's close has come.
-func (x *conn) Left() bool { return x.left || x.gone }
+// PeerClosed tells whether the other end's close has come.
+func (x *conn) PeerClosed() bool { return x.left || x.gone }
 
 // count has this end know what was handed over: who has a writer of its own hears of it in its turn.
 func (x *conn) count() {
@@ -218,12 +218,12 @@
 	x.p.c.at(x.p, x.p.c.now, func() { x.counted = x.handed })
 }
 
-// End ends it.
-func (x *conn) End(soft bool, last []byte) {
+// Close ends it.
+func (x *conn) Close(soft bool, last []byte) {
 	if x.shut || x.gone {
 		return
 	}
-	x.shut, x.why = true, outside.ErrEnded
+	x.shut, x.why = true, outside.ErrClosed
 	if !soft {
 		x.sent -= uint64(len(x.out))
 		x.out = nil
@@ -292,7 +292,7 @@
 	case x.shut && len(x.out) == 0 && x.flight == 0:
 		x.finish()
 	case len(x.out) > 0 && x.stuck > 0 && c.now-x.moved >= x.stuck:
-		x.over(outside.ErrStuck)
+		x.over(outside.ErrStalled)
 	case len(x.out) > 0:
 		c.at(nil, c.now+probe, x.move)
 	}
@@ -337,7 +337,7 @@
 	x.far.took(len(piece))
 	if !x.shut {
 		x.p.c.note("%s<%s %d\n", x.p.Name, x.far.p.Name, len(piece))
-		x.peer.Heard(piece)
+		x.peer.OnData(piece)
 	}
 }
 
@@ -380,7 +380,7 @@
 		far.left = true
 		far.in(func() {
 			if !far.shut {
-				far.peer.Heard(nil)
+				far.peer.OnData(nil)
 			}
 			far.over(io.EOF)
 		})
@@ -402,7 +402,7 @@
 	x.forget()
 	c := x.p.c
 	if x.peer != nil && !x.p.dead {
-		c.at(x.p, c.now, func() { x.peer.Over(why) })
+		c.at(x.p, c.now, func() { x.peer.OnClose(why) })
 	}
 }
 
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -195,8 +195,8 @@
 // Now is the process's clock.
 func (p *Process) Now() float64 { return p.base + (p.c.now-p.began)*(1+p.drift) }
 
-// Wall is the machine's clock.
-func (p *Process) Wall() time.Time {
+// WallClock is the machine's clock.
+func (p *Process) WallClock() time.Time {
 	ms := day + p.c.now*(1+p.drift) + p.err
 	return outside.Epoch.Add(time.Duration(ms * 1e6))
 }
@@ -226,8 +226,8 @@
 	gen   int // of the plan for the next turn
 }
 
-// Loop calls turn as it asks for and when woken.
-func (p *Process) Loop(turn func() float64) outside.Loop {
+// StartLoop calls turn as it asks for and when woken.
+func (p *Process) StartLoop(turn func() float64) outside.Loop {
 	l := &loop{p: p, turn: turn}
 	l.Wake()
 	return l
@@ -241,7 +241,7 @@
 	l.p.c.at(l.p, l.p.c.now+0.002+0.02*l.p.rng.Float64(), l.run)
 }
 
-func (l *loop) Ended() bool { return l.ended }
+func (l *loop) HasEnded() bool { return l.ended }
 
 func (l *loop) run() {
 	if l.ended {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -12,7 +12,7 @@
 )
 
 // No datagram that the codec makes is too long for a world's port: this does not compile else.
-const _ = uint(outside.MostDatagram - codec.Most)
+const _ = uint(outside.MaxDatagram - codec.Most)
 
 // Told hears of changes, one call at a time, and must not wait.
 type Told interface {
@@ -24,9 +24,9 @@
 
 // Runner is a detector that runs.
 type Runner struct {
-	w       outside.World
+	w       outside.Environment
 	told    Told
-	port    outside.Port
+	port    outside.PacketConn
 	address string
 	loop    outside.Loop
 
@@ -37,11 +37,11 @@
 
 // Begin opens the port for datagrams at the charter's address and runs a detector there until End.
 // It is opened at another address if one is given, as where others reach it by a way round.
-func Begin(w outside.World, listen string, who membership.Config, told Told) (*Runner, error) {
+func Begin(w outside.Environment, listen string, who membership.Config, told Told) (*Runner, error) {
 	r := &Runner{w: w, told: told}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	port, err := w.Datagrams(listen, r.heard)
+	port, err := w.ListenPacket(listen, r.heard)
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
@@ -51,7 +51,7 @@
 	}
 	r.address = who.Address
 	r.d = membership.New(edge{r}, w.Now(), who)
-	r.loop = w.Loop(r.turn)
+	r.loop = w.StartLoop(r.turn)
 	return r, nil
 }
 
@@ -96,7 +96,7 @@
 		r.over = true
 	}
 	r.mu.Unlock()
-	r.port.Close()
+	r.port.StopAccepting()
 	r.loop.Wake()
 }
 
--- a/internal/outside/connections.go
+++ b/internal/outside/connections.go
@@ -40,7 +40,7 @@
 
 func (r *Real) conn(c net.Conn, count *traffic) *conn {
 	n := &conn{r: r, c: c, count: count, wake: make(chan struct{}, 1), wrote: make(chan struct{})}
-	if s, ok := c.(syscall.Conn); ok && r.Prompt {
+	if s, ok := c.(syscall.Conn); ok && r.WriteThrough {
 		n.raw, _ = s.SyscallConn()
 	}
 	r.mu.Lock()
@@ -60,7 +60,7 @@
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, readPrompt); return &b }}
 
-func (c *conn) Begin(p Peer, stuck float64) {
+func (c *conn) Start(p ConnHandler, stuck float64) {
 	c.mu.Lock()
 	c.begun, c.stuck = true, time.Duration(stuck*1e6)
 	c.writes = c.raw == nil || len(c.queue) > 0 // what was sent before it was begun is left for a writer
@@ -73,7 +73,7 @@
 		c.mu.Lock()
 		err = c.why
 		c.mu.Unlock()
-		p.Over(err)
+		p.OnClose(err)
 		c.drain()
 		c.c.Close()
 		c.r.mu.Lock()
@@ -86,7 +86,7 @@
 }
 
 // read hands over what comes until the connection ends.
-func (c *conn) read(p Peer) error {
+func (c *conn) read(p ConnHandler) error {
 	if c.raw == nil {
 		b := make([]byte, readAtOnce)
 		for {
@@ -133,19 +133,19 @@
 }
 
 // took hands over what was read; an error says that nothing more is.
-func (c *conn) took(p Peer, b []byte, err error) error {
+func (c *conn) took(p ConnHandler, b []byte, err error) error {
 	c.mu.Lock()
 	shut := c.shut
 	c.mu.Unlock()
 	if shut {
-		return ErrEnded
+		return ErrClosed
 	}
 	if len(b) > 0 {
 		c.count.received(len(b))
-		p.Heard(b)
+		p.OnData(b)
 	}
 	if errors.Is(err, io.EOF) {
-		p.Heard(nil)
+		p.OnData(nil)
 		return io.EOF
 	}
 	if err != nil {
@@ -185,7 +185,7 @@
 	if r.closed {
 		return false
 	}
-	most := r.Lingers
+	most := r.MaxLingering
 	if most == 0 {
 		most = mostLinger
 	}
@@ -197,8 +197,8 @@
 	return true
 }
 
-// Left asks the kernel: it knows of a peer's end whatever lies unread before it.
-func (c *conn) Left() bool {
+// PeerClosed asks the kernel: it knows of a peer's end whatever lies unread before it.
+func (c *conn) PeerClosed() bool {
 	c.mu.Lock()
 	left := c.shut
 	c.mu.Unlock()
@@ -339,7 +339,7 @@
 	return sent, waits, true
 }
 
-func (c *conn) Handed() uint64 {
+func (c *conn) HandedOver() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.handed + uint64(c.inHand)
@@ -356,7 +356,7 @@
 	return true
 }
 
-func (c *conn) End(soft bool, last []byte) { c.stop(soft, last, ErrEnded) }
+func (c *conn) Close(soft bool, last []byte) { c.stop(soft, last, ErrClosed) }
 
 // stop ends the connection; the first reason counts.
 func (c *conn) stop(soft bool, last []byte, why error) {
--- a/internal/outside/connections_test.go
+++ b/internal/outside/connections_test.go
@@ -11,11 +11,11 @@
 
 // nearFar gives both ends of a prompt connection on loopback, the far one from outside. The near one's peer is held in its first Heard
 // until hold is closed.
-func nearFar(t *testing.T, r *Real, p Peer, stuck float64) (Conn, *net.TCPConn) {
+func nearFar(t *testing.T, r *Real, p ConnHandler, stuck float64) (Conn, *net.TCPConn) {
 	t.Helper()
-	r.Prompt = true
+	r.WriteThrough = true
 	made := make(chan Conn, 1)
-	d, err := r.Listen("127.0.0.1:0", func(c Conn) { c.Begin(p, stuck); made <- c })
+	d, err := r.Listen("127.0.0.1:0", func(c Conn) { c.Start(p, stuck); made <- c })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,9 +38,9 @@
 	return &held{make(chan string, 100), make(chan struct{}), make(chan error, 1)}
 }
 
-func (h *held) Heard(b []byte) { h.in <- string(b); <-h.hold }
+func (h *held) OnData(b []byte) { h.in <- string(b); <-h.hold }
 
-func (h *held) Over(err error) { h.over <- err }
+func (h *held) OnClose(err error) { h.over <- err }
 
 // until waits for something that comes to be.
 func until(t *testing.T, what string, is func() bool) {
@@ -67,14 +67,14 @@
 			_, _ = there.Write([]byte("first"))
 			<-h.in // its reader is held from here on
 			_, _ = there.Write([]byte("unread"))
-			if c.Left() {
+			if c.PeerClosed() {
 				t.Error("left, and it is there")
 			}
 			go_(there)
-			until(t, "left", c.Left)
+			until(t, "left", c.PeerClosed)
 			close(h.hold)
 			<-h.over
-			if !c.Left() {
+			if !c.PeerClosed() {
 				t.Error("it is back")
 			}
 		})
@@ -92,13 +92,13 @@
 		<-h.in
 		_, _ = there.Write([]byte("unread"))
 		c.Send(func(b []byte) []byte { return append(b, "answer"...) })
-		c.End(true, []byte(", bye"))
+		c.Close(true, []byte(", bye"))
 		if how.sendsOn {
 			_, _ = there.Write([]byte("after the end"))
 		}
 		if how.readsLast {
 			close(h.hold)
-			if err := <-h.over; err != ErrEnded {
+			if err := <-h.over; err != ErrClosed {
 				t.Error(err)
 			}
 			until(t, "it waits for its peer", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.linger) == 1 })
@@ -109,7 +109,7 @@
 		}
 		if !how.readsLast {
 			close(h.hold)
-			if err := <-h.over; err != ErrEnded {
+			if err := <-h.over; err != ErrClosed {
 				t.Error(err)
 			}
 		}
@@ -123,12 +123,12 @@
 func TestLingers(t *testing.T) {
 	r := NewReal()
 	defer r.Close(5 * time.Second)
-	r.Lingers = 2
+	r.MaxLingering = 2
 	var all []*net.TCPConn
 	for range 5 {
 		e := newEar()
 		c, there := nearFar(t, r, e, 1000)
-		c.End(true, nil)
+		c.Close(true, nil)
 		<-e.over
 		all = append(all, there)
 	}
@@ -146,7 +146,7 @@
 func TestDoorLetsIn(t *testing.T) {
 	r := NewReal()
 	defer r.Close(5 * time.Second)
-	r.Prompt = true
+	r.WriteThrough = true
 	hold, heard := make(chan struct{}), make(chan string, 1<<16) // those that only look are heard as well
 	came := make(chan bool, 100)
 	d, err := r.Listen("127.0.0.1:0", func(c Conn) {
@@ -155,7 +155,7 @@
 		default: // those that only look whether it is closed
 		}
 		<-hold
-		c.Begin(&ear{heard, make(chan error, 1)}, 1000)
+		c.Start(&ear{heard, make(chan error, 1)}, 1000)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -172,7 +172,7 @@
 			<-came // the others wait behind it
 		}
 	}
-	d.Close()
+	d.StopAccepting()
 	close(hold)
 	for i := range n {
 		select {
@@ -205,7 +205,7 @@
 	c := <-made
 	e := newEar()
 	const stuck = 200
-	c.Begin(e, stuck)
+	c.Start(e, stuck)
 	text := strings.Repeat("x", 30)
 	began := time.Now()
 	c.Send(func(b []byte) []byte { return append(b, text...) })
@@ -230,9 +230,9 @@
 func TestCloseHandsOver(t *testing.T) {
 	r := NewReal()
 	c, there := pipe(t, r)
-	c.Begin(newEar(), 5000)
+	c.Start(newEar(), 5000)
 	c.Send(func(b []byte) []byte { return append(b, "answer"...) })
-	c.End(true, []byte(", bye"))
+	c.Close(true, []byte(", bye"))
 	closed := make(chan struct{})
 	go func() { r.Close(10 * time.Second); close(closed) }()
 	<-r.ctx.Done()
--- a/internal/outside/doors.go
+++ b/internal/outside/doors.go
@@ -20,8 +20,8 @@
 
 func (d *door) Address() string { return d.l.Addr().String() }
 
-// Close has the door's goroutine let in who waits, then close it.
-func (d *door) Close() {
+// StopAccepting has the door's goroutine let in who waits, then close it.
+func (d *door) StopAccepting() {
 	d.closing.Store(true)
 	_ = d.l.SetDeadline(time.Unix(1, 0)) // wakes it
 }
@@ -43,7 +43,7 @@
 }
 
 // Listen takes connections on a goroutine of its own until the door is closed.
-func (r *Real) Listen(address string, came func(Conn)) (Door, error) {
+func (r *Real) Listen(address string, came func(Conn)) (Listener, error) {
 	var lc net.ListenConfig
 	l, err := lc.Listen(r.ctx, "tcp", address)
 	if err != nil {
@@ -60,10 +60,10 @@
 	r.mu.Unlock()
 	under := &shaking{}
 	in := func(c net.Conn) {
-		if r.Secure != nil {
+		if r.TLS != nil {
 			r.shake(c, under, came)
 		} else {
-			came(r.conn(c, &r.traffic[Taken]))
+			came(r.conn(c, &r.traffic[Accepted]))
 		}
 	}
 	r.goes(func() {
@@ -117,14 +117,14 @@
 	ok := r.goes(func() {
 		ctx, stop := context.WithTimeout(r.ctx, shakeFor)
 		defer stop()
-		s := tls.Server(c, r.Secure)
+		s := tls.Server(c, r.TLS)
 		err := s.HandshakeContext(ctx)
 		under.done(c)
 		if err != nil {
 			c.Close()
 			return
 		}
-		came(r.conn(s, &r.traffic[Taken]))
+		came(r.conn(s, &r.traffic[Accepted]))
 	})
 	if !ok {
 		under.done(c)
--- a/internal/outside/outside.go
+++ b/internal/outside/outside.go
@@ -11,35 +11,35 @@
 // Epoch is the zero of every scheduler's clock: all share it, as turns at cold nodes are told by it.
 var Epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// World is where a process runs. Functions given to it are called on goroutines of the world's choosing, never from
+// Environment is where a process runs. Functions given to it are called on goroutines of the world's choosing, never from
 // inside the call that gave them; those of one connection or loop, one at a time.
-type World interface {
+type Environment interface {
 	// Now is ms since the Epoch. It only grows, whatever the machine's clock does.
 	Now() float64
-	// Wall is what the machine's clock shows. It may jump.
-	Wall() time.Time
+	// WallClock is what the machine's clock shows. It may jump.
+	WallClock() time.Time
 	// After calls f once, in so many ms.
 	After(ms float64, f func()) Timer
-	// Loop calls turn again and again: in as many ms as it returned last, or sooner when woken. A negative number
+	// StartLoop calls turn again and again: in as many ms as it returned last, or sooner when woken. A negative number
 	// ends the loop.
-	Loop(turn func() (wait float64)) Loop
+	StartLoop(turn func() (wait float64)) Loop
 	// Dial connects, or gives up after so many ms, and says which. The connection is to be begun or ended then.
 	Dial(address string, within float64, done func(Conn, error))
 	// Listen takes connections, each of which is to be begun or ended.
-	Listen(address string, came func(Conn)) (Door, error)
-	// Datagrams takes datagrams at an address, each of which holds for the call alone.
-	Datagrams(address string, heard func(b []byte)) (Port, error)
+	Listen(address string, came func(Conn)) (Listener, error)
+	// ListenPacket takes datagrams at an address, each of which holds for the call alone.
+	ListenPacket(address string, heard func(b []byte)) (PacketConn, error)
 }
 
-// MostDatagram is the most bytes of a datagram; longer ones are not sent.
-const MostDatagram = 1400
+// MaxDatagram is the most bytes of a datagram; longer ones are not sent.
+const MaxDatagram = 1400
 
-// Port sends and takes datagrams. They may be lost, doubled, late and out of order.
-type Port interface {
+// PacketConn sends and takes datagrams. They may be lost, doubled, late and out of order.
+type PacketConn interface {
 	Address() string
 	// Send hands one to the network. It never waits, and does not say whether it came.
 	Send(to string, b []byte)
-	Close()
+	StopAccepting()
 }
 
 // Timer is a call to come.
@@ -51,63 +51,63 @@
 // Loop is a loop that runs.
 type Loop interface {
 	Wake()
-	// Ended tells whether it has.
-	Ended() bool
+	// HasEnded tells whether it has.
+	HasEnded() bool
 }
 
-// Door is a listener.
-type Door interface {
+// Listener is a listener.
+type Listener interface {
 	Address() string
-	// Close has nobody come any more, once all have been given over who were let in before: closed on them they would be reset,
+	// StopAccepting has nobody come any more, once all have been given over who were let in before: closed on them they would be reset,
 	// with what they sent.
-	Close()
+	StopAccepting()
 }
 
-// Peer hears a connection.
-type Peer interface {
-	// Heard takes bytes as they come, which hold for the call alone; none tell that the peer has sent its last, and may
+// ConnHandler hears a connection.
+type ConnHandler interface {
+	// OnData takes bytes as they come, which hold for the call alone; none tell that the peer has sent its last, and may
 	// still hear last words. Nothing more is heard once the connection was ended.
-	Heard(b []byte)
-	// Over is the last call: nothing more is handed over, and Sent is final.
-	Over(err error)
+	OnData(b []byte)
+	// OnClose is the last call: nothing more is handed over, and Sent is final.
+	OnClose(err error)
 }
 
 // Conn is a connection whose sender never waits.
 type Conn interface {
-	// Begin starts it. A peer that takes nothing for so many ms ends it.
-	Begin(p Peer, stuck float64)
+	// Start starts it. A peer that takes nothing for so many ms ends it.
+	Start(p ConnHandler, stuck float64)
 	// Send lets a message be appended to what waits. It returns how many bytes were ever sent so, and how many wait; false
 	// if the connection is being ended.
 	Send(appendTo func(b []byte) []byte) (sent uint64, waits int, ok bool)
-	// Handed is how many bytes were handed over to the network, or may have been by now.
-	Handed() uint64
+	// HandedOver is how many bytes were handed over to the network, or may have been by now.
+	HandedOver() uint64
 	// Unsend takes back the message that was sent last, of n bytes, the last of which was the sent-th, if none of it was
 	// handed over.
 	Unsend(sent uint64, n int) bool
-	// Left tells whether the peer has closed its side, or broken the connection, though what it sent before may still lie
+	// PeerClosed tells whether the peer has closed its side, or broken the connection, though what it sent before may still lie
 	// unread. It says no where that can't be known.
-	Left() bool
-	// End ends it: first what waits is handed over, if soft, then the last words, as far as the peer still listens. A soft
+	PeerClosed() bool
+	// Close ends it: first what waits is handed over, if soft, then the last words, as far as the peer still listens. A soft
 	// end destroys nothing that was handed over: what the peer still sends is read and dropped until it closes as well, or
 	// for a while.
-	End(soft bool, last []byte)
+	Close(soft bool, last []byte)
 }
 
 // Errors of connections.
 var (
-	ErrEnded = errors.New("ended here")
-	ErrStuck = errors.New("peer takes nothing")
+	ErrClosed  = errors.New("ended here")
+	ErrStalled = errors.New("peer takes nothing")
 	// ErrRefused is in the error of a dial to where nobody listens.
 	ErrRefused = errors.New("refused")
-	// ErrSpent is in the error of a dial for which this machine lacked something, as descriptors or ports.
-	ErrSpent = errors.New("nothing left here to connect with")
+	// ErrExhausted is in the error of a dial for which this machine lacked something, as descriptors or ports.
+	ErrExhausted = errors.New("nothing left here to connect with")
 )
 
 // Every calls f every so many ms until it returns false, the first time after as many.
-func Every(w World, ms float64, f func() bool) {
-	w.After(ms, func() {
+func Every(e Environment, ms float64, f func() bool) {
+	e.After(ms, func() {
 		if f() {
-			Every(w, ms, f)
+			Every(e, ms, f)
 		}
 	})
 }
--- a/internal/outside/real.go
+++ b/internal/outside/real.go
@@ -16,19 +16,19 @@
 type Real struct {
 	// Connect makes connections, over TCP if it is nil.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
-	// Secure is the TLS that connections which are taken speak, none if it is nil.
-	Secure *tls.Config
-	// Prompt has what is sent leave with the call that sends it, as far as the network takes it at once, so that nothing
+	// TLS is the TLS that connections which are taken speak, none if it is nil.
+	TLS *tls.Config
+	// WriteThrough has what is sent leave with the call that sends it, as far as the network takes it at once, so that nothing
 	// leaves later than it was decided; a writer is there only for what is left. Without it writers gather what is sent in a
 	// moment, which costs less where many messages share a connection. Not for TLS.
-	Prompt bool
-	// Lingers is how many connections that ended softly are kept at most until their peers close too, 64 if it is 0. Beyond
+	WriteThrough bool
+	// MaxLingering is how many connections that ended softly are kept at most until their peers close too, 64 if it is 0. Beyond
 	// that the oldest of them is closed for good.
-	Lingers int
-	// ListAddress is the node list's, whose connection is counted apart from those to nodes.
-	ListAddress string
+	MaxLingering int
+	// EndpointListAddress is the node list's, whose connection is counted apart from those to nodes.
+	EndpointListAddress string
 
-	traffic [kinds]traffic
+	traffic [numKinds]traffic
 
 	start  time.Time
 	base   float64
@@ -72,7 +72,7 @@
 		d.l.Close()
 	}
 	for c := range conns {
-		c.End(false, nil)
+		c.Close(false, nil)
 	}
 	for _, c := range linger { // all is said on these; on others that end softly it is handed over yet
 		c.c.Close()
@@ -106,8 +106,8 @@
 // Now is ms since the Epoch.
 func (r *Real) Now() float64 { return r.base + float64(time.Since(r.start))/1e6 }
 
-// Wall is the machine's clock.
-func (r *Real) Wall() time.Time { return time.Now() }
+// WallClock is the machine's clock.
+func (r *Real) WallClock() time.Time { return time.Now() }
 
 // Dial connects on a goroutine of its own.
 func (r *Real) Dial(address string, within float64, done func(Conn, error)) {
@@ -137,7 +137,7 @@
 	}
 	for _, own := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, own) {
-			return fmt.Errorf("%w: %w", ErrSpent, err)
+			return fmt.Errorf("%w: %w", ErrExhausted, err)
 		}
 	}
 	return err
--- a/internal/outside/real_test.go
+++ b/internal/outside/real_test.go
@@ -20,8 +20,8 @@
 
 func newEar() *ear { return &ear{make(chan string, 100), make(chan error, 2)} }
 
-func (e *ear) Heard(b []byte) { e.heard <- string(b) }
-func (e *ear) Over(err error) { e.over <- err }
+func (e *ear) OnData(b []byte)   { e.heard <- string(b) }
+func (e *ear) OnClose(err error) { e.over <- err }
 
 // pipe gives a connection and its far end.
 func pipe(t *testing.T, r *Real) (Conn, net.Conn) {
@@ -39,7 +39,7 @@
 	r := NewReal()
 	defer r.Close(time.Second)
 	c, there := pipe(t, r)
-	c.Begin(newEar(), 1000)
+	c.Start(newEar(), 1000)
 	const lines = 3000
 	go func() {
 		for i := range lines {
@@ -48,7 +48,7 @@
 				time.Sleep(10 * time.Microsecond)
 			}
 		}
-		c.End(true, []byte("bye\n"))
+		c.Close(true, []byte("bye\n"))
 	}()
 	in := bufio.NewReader(there)
 	for i := range lines {
@@ -67,7 +67,7 @@
 	defer r.Close(time.Second)
 	c, there := pipe(t, r)
 	e := newEar()
-	c.Begin(e, 1000)
+	c.Start(e, 1000)
 	first, _, ok := c.Send(func(b []byte) []byte { return append(b, "0123456789"...) })
 	if !ok || first != 10 {
 		t.Fatalf("sent %d, %v", first, ok)
@@ -80,11 +80,11 @@
 	if !ok || second != 11 || waits != 1 {
 		t.Fatalf("sent %d, %d wait, %v", second, waits, ok)
 	}
-	c.End(false, nil)
-	if err := <-e.over; err != ErrEnded {
+	c.Close(false, nil)
+	if err := <-e.over; err != ErrClosed {
 		t.Error(err)
 	}
-	if h := c.Handed(); h != 4 {
+	if h := c.HandedOver(); h != 4 {
 		t.Errorf("%d bytes handed over, want 4", h)
 	}
 	if _, _, ok := c.Send(func(b []byte) []byte { return append(b, "y"...) }); ok {
@@ -108,7 +108,7 @@
 			defer r.Close(time.Second)
 			conn, there := pipe(t, r)
 			e := newEar()
-			conn.Begin(e, 50)
+			conn.Start(e, 50)
 			go func() { _, _ = there.Write([]byte("hello")) }()
 			if got := <-e.heard; got != "hello" {
 				t.Errorf("heard %q", got)
@@ -129,8 +129,8 @@
 	stopped := r.After(20, func() { calls.Add(1) })
 	stopped.Stop()
 	Every(r, 1, func() bool { turns.Add(1); return true })
-	l := r.Loop(func() float64 { turns.Add(1); return 1 })
-	d, err := r.Listen("127.0.0.1:0", func(c Conn) { c.Begin(newEar(), 100) })
+	l := r.StartLoop(func() float64 { turns.Add(1); return 1 })
+	d, err := r.Listen("127.0.0.1:0", func(c Conn) { c.Start(newEar(), 100) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,13 +140,13 @@
 			t.Error(err)
 			return
 		}
-		c.Begin(e, 100)
+		c.Start(e, 100)
 	})
 	time.Sleep(50 * time.Millisecond)
 	r.Close(5 * time.Second)
 	after := turns.Load()
-	if !l.Ended() || after < 5 || calls.Load() > 0 {
-		t.Errorf("loop ended %v, %d turns, %d calls", l.Ended(), after, calls.Load())
+	if !l.HasEnded() || after < 5 || calls.Load() > 0 {
+		t.Errorf("loop ended %v, %d turns, %d calls", l.HasEnded(), after, calls.Load())
 	}
 	select {
 	case <-e.over:
@@ -157,7 +157,7 @@
 	if turns.Load() != after {
 		t.Error("turned after the end")
 	}
-	if l := r.Loop(func() float64 { return 0 }); !l.Ended() {
+	if l := r.StartLoop(func() float64 { return 0 }); !l.HasEnded() {
 		t.Error("a loop began after the end")
 	}
 }
@@ -180,7 +180,7 @@
 // in order, and that what has not left can be taken back.
 func TestPrompt(t *testing.T) {
 	r := NewReal()
-	r.Prompt = true
+	r.WriteThrough = true
 	defer r.Close(time.Second)
 	came := make(chan net.Conn, 1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -198,13 +198,13 @@
 	c, there := <-made, <-came
 	defer there.Close()
 	e := newEar()
-	c.Begin(e, 5000)
+	c.Start(e, 5000)
 	line := func(n int) func([]byte) []byte {
 		return func(b []byte) []byte { return append(b, strings.Repeat("x", n)...) }
 	}
 	sent, waits, ok := c.Send(line(10))
-	if !ok || waits != 0 || c.Handed() != sent {
-		t.Fatalf("sent %d, %d wait, %d handed over, %v", sent, waits, c.Handed(), ok)
+	if !ok || waits != 0 || c.HandedOver() != sent {
+		t.Fatalf("sent %d, %d wait, %d handed over, %v", sent, waits, c.HandedOver(), ok)
 	}
 	if c.Unsend(sent, 10) {
 		t.Error("took back what had left")
@@ -214,7 +214,7 @@
 	if waits == 0 {
 		t.Fatal("all was taken at once: nothing is shown")
 	}
-	until(t, "a writer has it in hand", func() bool { return c.Handed() == all }) // else it takes what follows with it
+	until(t, "a writer has it in hand", func() bool { return c.HandedOver() == all }) // else it takes what follows with it
 	after, _, _ := c.Send(line(7))
 	if c.Unsend(all, big) {
 		t.Error("took back what others follow")
@@ -227,7 +227,7 @@
 		n, _ := io.Copy(io.Discard, there)
 		got <- n
 	}()
-	for c.Handed() < all {
+	for c.HandedOver() < all {
 		time.Sleep(time.Millisecond)
 	}
 	for i := range 100 { // its writer may have ended or not
@@ -236,8 +236,8 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	c.End(true, []byte("bye"))
-	if err := <-e.over; err != ErrEnded {
+	c.Close(true, []byte("bye"))
+	if err := <-e.over; err != ErrClosed {
 		t.Error(err)
 	}
 	if n := <-got; n != int64(all)+100+3 {
@@ -248,10 +248,10 @@
 // TestPromptEnds ends prompt connections from both sides and by their peers, many at once: each is over, once.
 func TestPromptEnds(t *testing.T) {
 	r := NewReal()
-	r.Prompt = true
+	r.WriteThrough = true
 	overs := make(chan error, 400)
 	d, err := r.Listen("127.0.0.1:0", func(c Conn) {
-		c.Begin(&ear{make(chan string, 100), overs}, 1000)
+		c.Start(&ear{make(chan string, 100), overs}, 1000)
 		c.Send(func(b []byte) []byte { return append(b, "hello"...) })
 	})
 	if err != nil {
@@ -263,9 +263,9 @@
 				t.Error(err)
 				return
 			}
-			c.Begin(&ear{make(chan string, 100), overs}, 1000)
+			c.Start(&ear{make(chan string, 100), overs}, 1000)
 			c.Send(func(b []byte) []byte { return append(b, "x"...) })
-			c.End(i%2 == 0, nil)
+			c.Close(i%2 == 0, nil)
 		})
 	}
 	for range 200 {
@@ -284,7 +284,7 @@
 // TestEarly holds that what is sent on a prompt connection before it has begun leaves with its beginning.
 func TestEarly(t *testing.T) {
 	r := NewReal()
-	r.Prompt = true
+	r.WriteThrough = true
 	defer r.Close(time.Second)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -300,7 +300,7 @@
 	defer there.Close()
 	c := <-made
 	c.Send(func(b []byte) []byte { return append(b, "early"...) })
-	c.Begin(newEar(), 1000)
+	c.Start(newEar(), 1000)
 	_ = there.SetReadDeadline(time.Now().Add(5 * time.Second))
 	got := make([]byte, 5)
 	if _, err := io.ReadFull(there, got); err != nil || string(got) != "early" {
--- a/internal/outside/timers.go
+++ b/internal/outside/timers.go
@@ -54,10 +54,10 @@
 	}
 }
 
-func (l *loop) Ended() bool { return l.ended.Load() }
+func (l *loop) HasEnded() bool { return l.ended.Load() }
 
-// Loop runs turn on a goroutine of its own.
-func (r *Real) Loop(turn func() (wait float64)) Loop {
+// StartLoop runs turn on a goroutine of its own.
+func (r *Real) StartLoop(turn func() (wait float64)) Loop {
 	l := &loop{wake: make(chan struct{}, 1)}
 	ok := r.goes(func() {
 		defer l.ended.Store(true)
--- a/internal/outside/traffic.go
+++ b/internal/outside/traffic.go
@@ -2,24 +2,24 @@
 
 import "sync/atomic"
 
-// Kind tells connections apart by what they are for.
-type Kind uint8
+// ConnKind tells connections apart by what they are for.
+type ConnKind uint8
 
 // Kinds of connections.
 const (
-	Taken  Kind = iota // connections that were let in at a door
-	Dialed             // connections that were made, as to nodes
-	Listed             // the connection to the node list, where the world is told its address
-	Packet             // datagrams
-	kinds
+	Accepted     ConnKind = iota // connections that were let in at a door
+	Dialed                       // connections that were made, as to nodes
+	EndpointList                 // the connection to the node list, where the world is told its address
+	Datagram                     // datagrams
+	numKinds
 )
 
 // String is the kind in counts.
-func (k Kind) String() string { return [...]string{"taken", "dialed", "list", "datagrams"}[k] }
+func (k ConnKind) String() string { return [...]string{"taken", "dialed", "list", "datagrams"}[k] }
 
-// Flow is what passed over all connections of a kind since the start.
-type Flow struct {
-	Kind              Kind
+// Traffic is what passed over all connections of a kind since the start.
+type Traffic struct {
+	Kind              ConnKind
 	SentMessages      uint64 // calls of Send
 	SentBytes         uint64 // handed to the network
 	ReceivedMessages  uint64 // datagrams, or reads of a connection, each of which may hold several lines or a part of one
@@ -46,15 +46,15 @@
 	t.open.Add(1)
 }
 
-func (t *traffic) flow(kind Kind) Flow {
-	return Flow{Kind: kind, SentMessages: t.sentMessages.Load(), SentBytes: t.sentBytes.Load(), ReceivedMessages: t.receivedMessages.Load(),
+func (t *traffic) flow(kind ConnKind) Traffic {
+	return Traffic{Kind: kind, SentMessages: t.sentMessages.Load(), SentBytes: t.sentBytes.Load(), ReceivedMessages: t.receivedMessages.Load(),
 		ReceivedBytes: t.receivedBytes.Load(), OpenedConnections: t.opened.Load(), OpenConnections: t.open.Load()}
 }
 
-// Flows tells what passed since the start, by kind.
-func (r *Real) Flows() []Flow {
-	all := make([]Flow, 0, kinds)
-	for kind := range kinds {
+// Traffic tells what passed since the start, by kind.
+func (r *Real) Traffic() []Traffic {
+	all := make([]Traffic, 0, numKinds)
+	for kind := range numKinds {
 		all = append(all, r.traffic[kind].flow(kind))
 	}
 	return all
@@ -62,8 +62,8 @@
 
 // dialedTo is the count of a connection that is made to an address.
 func (r *Real) dialedTo(address string) *traffic {
-	if address == r.ListAddress && address != "" {
-		return &r.traffic[Listed]
+	if address == r.EndpointListAddress && address != "" {
+		return &r.traffic[EndpointList]
 	}
 	return &r.traffic[Dialed]
 }
--- a/internal/outside/traffic_test.go
+++ b/internal/outside/traffic_test.go
@@ -8,8 +8,8 @@
 // listener hears a connection and counts the bytes.
 type listener struct{ came chan int }
 
-func (l *listener) Heard(b []byte) { l.came <- len(b) }
-func (l *listener) Over(error)     {}
+func (l *listener) OnData(b []byte) { l.came <- len(b) }
+func (l *listener) OnClose(error)   {}
 
 // TestFlows counts what passes over a connection that is let in, one that is made, and datagrams, each by its kind.
 func TestFlows(t *testing.T) {
@@ -17,13 +17,13 @@
 	defer w.Close(time.Second)
 	there, here := &listener{make(chan int, 10)}, &listener{make(chan int, 10)}
 	door, err := w.Listen("127.0.0.1:0", func(c Conn) {
-		c.Begin(there, 1000)
+		c.Start(there, 1000)
 		c.Send(func(b []byte) []byte { return append(b, "hello"...) })
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.ListAddress = door.Address()
+	w.EndpointListAddress = door.Address()
 	made := make(chan Conn, 1)
 	w.Dial(door.Address(), 1000, func(c Conn, err error) {
 		if err != nil {
@@ -31,7 +31,7 @@
 			close(made)
 			return
 		}
-		c.Begin(here, 1000)
+		c.Start(here, 1000)
 		made <- c
 	})
 	conn := <-made
@@ -43,33 +43,33 @@
 		t.Fatalf("%d bytes came back", got)
 	}
 	packets := make(chan int, 1)
-	port, err := w.Datagrams("127.0.0.1:0", func(b []byte) { packets <- len(b) })
+	port, err := w.ListenPacket("127.0.0.1:0", func(b []byte) { packets <- len(b) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	port.Send(port.Address(), make([]byte, 100))
 	<-packets
-	want := []Flow{
-		{Kind: Taken, SentMessages: 1, SentBytes: 5, ReceivedMessages: 1, ReceivedBytes: 3, OpenedConnections: 1, OpenConnections: 1},
+	want := []Traffic{
+		{Kind: Accepted, SentMessages: 1, SentBytes: 5, ReceivedMessages: 1, ReceivedBytes: 3, OpenedConnections: 1, OpenConnections: 1},
 		{Kind: Dialed},
-		{Kind: Listed, SentMessages: 1, SentBytes: 3, ReceivedMessages: 1, ReceivedBytes: 5, OpenedConnections: 1, OpenConnections: 1},
-		{Kind: Packet, SentMessages: 1, SentBytes: 100, ReceivedMessages: 1, ReceivedBytes: 100},
+		{Kind: EndpointList, SentMessages: 1, SentBytes: 3, ReceivedMessages: 1, ReceivedBytes: 5, OpenedConnections: 1, OpenConnections: 1},
+		{Kind: Datagram, SentMessages: 1, SentBytes: 100, ReceivedMessages: 1, ReceivedBytes: 100},
 	}
 	if !same(w, want) {
-		t.Errorf("flows %+v, want %+v", w.Flows(), want)
+		t.Errorf("flows %+v, want %+v", w.Traffic(), want)
 	}
-	conn.End(false, nil)
-	want[Taken].OpenConnections, want[Listed].OpenConnections = 0, 0
+	conn.Close(false, nil)
+	want[Accepted].OpenConnections, want[EndpointList].OpenConnections = 0, 0
 	if !same(w, want) {
-		t.Errorf("flows after the end %+v, want %+v", w.Flows(), want)
+		t.Errorf("flows after the end %+v, want %+v", w.Traffic(), want)
 	}
 }
 
 // same waits until flows are as they should be: a byte may be read before its writer has counted it.
-func same(w *Real, want []Flow) bool {
+func same(w *Real, want []Traffic) bool {
 	for range 500 {
 		equal := true
-		for i, f := range w.Flows() {
+		for i, f := range w.Traffic() {
 			equal = equal && f == want[i]
 		}
 		if equal {
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -53,7 +53,7 @@
 		s.provisional++
 	}
 	s.clients[c] = true
-	conn.Begin(c, connlimits.Stuck)
+	conn.Start(c, connlimits.Stuck)
 }
 
 // admit gives a provisional connection on which something useful came the place of an idle one. It tells whether the connection is admitted.
@@ -94,7 +94,7 @@
 }
 
 // isOpen tells whether the connection is open on both sides, so that the client can still receive.
-func (c *client) isOpen() bool { return !c.gone && !c.conn.Left() }
+func (c *client) isOpen() bool { return !c.gone && !c.conn.PeerClosed() }
 
 // send sends a message. It returns false if the connection can no longer carry one.
 func (c *client) send(message func(b []byte) []byte) bool {
@@ -132,7 +132,7 @@
 // reset discards the last answers.
 func (c *client) close() {
 	c.forget()
-	c.conn.End(true, nil)
+	c.conn.Close(true, nil)
 }
 
 // forget removes the connection. Open requests on it are withdrawn; running tasks do not depend on it.
@@ -148,7 +148,7 @@
 	for _, task := range slices.Sorted(maps.Keys(c.open)) {
 		c.s.withdraw(c.open[task])
 	}
-	handed := c.conn.Handed()
+	handed := c.conn.HandedOver()
 	for a := range c.running {
 		if a.client = nil; a.sent > handed {
 			c.unsure = append(c.unsure, a)
@@ -158,8 +158,8 @@
 	c.s.wake()
 }
 
-// Heard processes received bytes; nil means that the client has closed its side.
-func (c *client) Heard(b []byte) {
+// OnData processes received bytes; nil means that the client has closed its side.
+func (c *client) OnData(b []byte) {
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
 	if c.gone {
@@ -199,12 +199,12 @@
 	c.s.wake()
 }
 
-// Over is called when the connection has ended.
-func (c *client) Over(error) {
+// OnClose is called when the connection has ended.
+func (c *client) OnClose(error) {
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
 	c.forget()
-	handed := c.conn.Handed()
+	handed := c.conn.HandedOver()
 	slices.SortFunc(c.unsure, func(x, y *request) int { return cmp.Compare(x.alloc, y.alloc) })
 	for _, a := range c.unsure { // their answers were not sent whole, so the client knows that it was not served
 		if a.running && a.sent > handed && c.s.requests[a.alloc] == a {
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -31,7 +31,7 @@
 		x := r.dial()
 		x.ask(7, "single")
 		r.pass(100)
-		x.conn.End(true, nil)
+		x.conn.Close(true, nil)
 		r.pass(300)
 		if len(n.ended) != 1 || r.s.host.Open() != 0 {
 			t.Errorf("the node was told %d times; %d open", len(n.ended), r.s.host.Open())
@@ -127,7 +127,7 @@
 			r.clients.Dial(door, 1000, func(conn outside.Conn, err error) {
 				if c.ended = err != nil; err == nil {
 					c.conn = conn
-					conn.Begin(c, 5000)
+					conn.Start(c, 5000)
 				}
 			})
 			silent = append(silent, c)
@@ -209,7 +209,7 @@
 	n, x := r.nodes["a"], r.dial()
 	x.ask(7, "single")
 	r.pass(200)
-	x.conn.End(true, nil)
+	x.conn.Close(true, nil)
 	r.pass(50)
 	idle, y := r.dial(), r.dial()
 	idle.send(codec.AppendTest(nil, 9, false))
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -36,7 +36,7 @@
 				r.clients.Dial(door, 1000, func(c outside.Conn, err error) {
 					if err == nil {
 						x.conn = c
-						c.Begin(x, 5000)
+						c.Start(x, 5000)
 						x.send(codec.AppendTest(nil, 9, false))
 					}
 				})
@@ -141,10 +141,10 @@
 }
 
 // spent is a world with no descriptor left for a dial.
-type spent struct{ outside.World }
+type spent struct{ outside.Environment }
 
 func (w spent) Dial(_ string, _ float64, done func(outside.Conn, error)) {
-	w.After(0.1, func() { done(nil, fmt.Errorf("socket: %w", outside.ErrSpent)) })
+	w.After(0.1, func() { done(nil, fmt.Errorf("socket: %w", outside.ErrExhausted)) })
 }
 
 // TestHeld has a client name more than can be held as standing at a node.
@@ -184,7 +184,7 @@
 			}
 		}
 		r.pass(200)
-		x.conn.End(true, nil)
+		x.conn.Close(true, nil)
 		r.pass(100)
 	}
 	r.pass(3000)
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -132,7 +132,7 @@
 	if f.current != nil {
 		f.current.gone = true
 		if f.current.conn != nil {
-			f.current.conn.End(false, nil)
+			f.current.conn.Close(false, nil)
 		}
 	}
 	f.address = address
@@ -147,7 +147,7 @@
 	now := s.world.Now()
 	switch {
 	case t.gone && err == nil:
-		c.End(false, nil)
+		c.Close(false, nil)
 	case t.gone:
 	case err != nil:
 		t.gone = true
@@ -155,7 +155,7 @@
 	default:
 		t.conn = c
 		s.feed.watch.Linked(now)
-		c.Begin(t, connlimits.Stuck)
+		c.Start(t, connlimits.Stuck)
 		c.Send(func(b []byte) []byte {
 			return append(strconv.AppendUint(append(b, "tail "...), s.feed.pos, 10), '\n')
 		})
@@ -168,11 +168,11 @@
 		return
 	}
 	t.gone, t.in = true, nil
-	t.conn.End(false, nil)
+	t.conn.Close(false, nil)
 	t.s.feed.watch.Broke(now)
 }
 
-func (t *journalWatch) Heard(b []byte) {
+func (t *journalWatch) OnData(b []byte) {
 	s := t.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -210,7 +210,7 @@
 	s.wake()
 }
 
-func (t *journalWatch) Over(error) {
+func (t *journalWatch) OnClose(error) {
 	t.s.mu.Lock()
 	defer t.s.mu.Unlock()
 	t.end(t.s.world.Now())
--- a/internal/platform/journal_test.go
+++ b/internal/platform/journal_test.go
@@ -25,7 +25,7 @@
 			r.journal.events = append(r.journal.events, event(2, false, gone, come))
 			r.journal.tell(r.journal.events[1][:40])
 			for _, x := range r.journal.conns {
-				x.conn.End(true, nil)
+				x.conn.Close(true, nil)
 			}
 		}, 300},
 		{"noise", func(r *rig) {
--- a/internal/platform/links.go
+++ b/internal/platform/links.go
@@ -129,7 +129,7 @@
 
 // open tells whether a connection is being made, or its node has not closed it: what is sent on one that is closed may be lost with it, or
 // may not.
-func (l *link) open() bool { return l.conn == nil || !l.conn.Left() }
+func (l *link) open() bool { return l.conn == nil || !l.conn.PeerClosed() }
 
 func (l *link) free() bool { return !l.spent && len(l.requests) == 0 && l.probe == 0 }
 
@@ -153,7 +153,7 @@
 	if err != nil {
 		s.trace("dial failed", 0, func(e *zerolog.Event) { e.Str("node", l.peer.name).Err(err) })
 		unmade := outcome.Unmade()
-		if errors.Is(err, outside.ErrSpent) { // the want is this machine's own, and says nothing of the node
+		if errors.Is(err, outside.ErrExhausted) { // the want is this machine's own, and says nothing of the node
 			s.counts.spent++
 			l.peer.watch.Missed()
 			unmade = logic.Unsent
@@ -166,7 +166,7 @@
 		return
 	}
 	if l.gone { // its node was taken away meanwhile
-		c.End(false, nil)
+		c.Close(false, nil)
 		return
 	}
 	for _, a := range slices.Clone(l.requests) { // before there is a way for them
@@ -177,7 +177,7 @@
 	l.conn = c
 	l.idle = now
 	l.peer.watch.Heard(now)
-	c.Begin(l, connlimits.Stuck)
+	c.Start(l, connlimits.Stuck)
 	for _, a := range slices.Clone(l.requests) {
 		if now >= a.until { // what waited for it longer than it was decided for is void
 			l.drop(a)
@@ -295,7 +295,7 @@
 
 // broke ends a connection under what is open on it.
 func (l *link) broke(why string) {
-	handed := l.conn.Handed()
+	handed := l.conn.HandedOver()
 	l.s.trace("link broke", 0, func(e *zerolog.Event) {
 		e.Str("node", l.peer.name).Str("why", why).Int("open", len(l.requests)).Bool("spent", l.spent)
 	})
@@ -309,7 +309,7 @@
 
 func (l *link) finish(verdict func(*request) logic.Verdict) {
 	l.forget()
-	l.conn.End(false, nil)
+	l.conn.Close(false, nil)
 	l.settle(verdict, logic.Broken)
 	l.s.tether(l.s.world.Now(), l.peer)
 	l.s.wake()
@@ -331,7 +331,7 @@
 func (l *link) end(soft bool) {
 	l.forget()
 	if l.conn != nil {
-		l.conn.End(soft, nil)
+		l.conn.Close(soft, nil)
 	}
 }
 
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -75,11 +75,11 @@
 
 func (w *world) gates() []*gate { return []*gate{w.turns, w.reads, w.ends, w.dials, w.comes, w.nodes} }
 
-func (w *world) Loop(turn func() float64) outside.Loop {
-	return w.Real.Loop(func() float64 { w.turns.pass(); return turn() })
+func (w *world) StartLoop(turn func() float64) outside.Loop {
+	return w.Real.StartLoop(func() float64 { w.turns.pass(); return turn() })
 }
 
-func (w *world) Listen(address string, came func(outside.Conn)) (outside.Door, error) {
+func (w *world) Listen(address string, came func(outside.Conn)) (outside.Listener, error) {
 	return w.Real.Listen(address, func(c outside.Conn) { w.comes.pass(); came(heldConn{c, w.reads, w.ends}) })
 }
 
@@ -99,25 +99,25 @@
 	reads, ends *gate
 }
 
-func (c heldConn) Begin(p outside.Peer, stuck float64) {
-	c.Conn.Begin(heldPeer{p, c.reads, c.ends}, stuck)
+func (c heldConn) Start(p outside.ConnHandler, stuck float64) {
+	c.Conn.Start(heldPeer{p, c.reads, c.ends}, stuck)
 }
 
 type heldPeer struct {
-	outside.Peer
+	outside.ConnHandler
 	reads, ends *gate
 }
 
-func (p heldPeer) Heard(b []byte) {
+func (p heldPeer) OnData(b []byte) {
 	if b == nil {
 		p.ends.pass()
 	} else {
 		p.reads.pass()
 	}
-	p.Peer.Heard(b)
+	p.ConnHandler.OnData(b)
 }
 
-func (p heldPeer) Over(err error) { p.ends.pass(); p.Peer.Over(err) }
+func (p heldPeer) OnClose(err error) { p.ends.pass(); p.ConnHandler.OnClose(err) }
 
 // real is a scheduler on loopback with one node and a journal service.
 type real struct {
@@ -225,7 +225,7 @@
 func onLoopback(t *testing.T, change func(*Configuration)) *real {
 	r := &real{t: t, w: &world{Real: outside.NewReal(), turns: newGate(), reads: newGate(), ends: newGate(), dials: newGate(), comes: newGate(),
 		nodes: newGate()}}
-	r.w.Prompt = true
+	r.w.WriteThrough = true
 	journal, _ := tailed(t)
 	r.node = newTCPNode(t)
 	known, err := settings.Read([]byte(settingsText))
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -176,7 +176,7 @@
 				left := 0
 				for _, p := range s.peers {
 					for _, l := range p.links {
-						if l.conn != nil && l.conn.Left() {
+						if l.conn != nil && l.conn.PeerClosed() {
 							left++
 						}
 					}
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -23,14 +23,14 @@
 		{"error", func(_ *node, e *ear, task uint64) { e.send(codec.AppendEnd(nil, task, codec.Errored)) }, "again", "end 41"},
 		{"broken on its way", func(_ *node, e *ear, task uint64) { e.send(codec.AppendEnd(nil, task, codec.Reset)) }, "again", "end 41"},
 		{"a normal end", func(_ *node, e *ear, task uint64) { e.send(codec.AppendEnd(nil, task, codec.Normal)) }, "end 42", "end 41"},
-		{"closed under it", func(_ *node, e *ear, _ uint64) { e.conn.End(true, nil) }, "again", "end 41"},
+		{"closed under it", func(_ *node, e *ear, _ uint64) { e.conn.Close(true, nil) }, "again", "end 41"},
 		{"noise", func(_ *node, e *ear, _ uint64) { e.send([]byte("\x00\x40\xf3 noise, noise and more noise")) }, "again", "end 41"},
 		{"an answer said to be huge", func(_ *node, e *ear, _ uint64) { e.send([]byte("\xff\xff\x09")) }, "again", "end 41"},
 		{"without a description", func(_ *node, e *ear, task uint64) { e.send(message(codec.Answer, task)) }, "again", "end 41"},
 		{"cut short", func(n *node, e *ear, task uint64) {
 			b := codec.AppendAnswer(nil, task, []byte(n.describes(task)))
 			e.send(b[:len(b)-3])
-			e.conn.End(true, nil)
+			e.conn.Close(true, nil)
 		}, "again", "end 41"},
 		{"never", func(*node, *ear, uint64) {}, "again", "end 41"},
 		{"doubled", func(n *node, e *ear, task uint64) { n.answer(e, task); n.answer(e, task) }, "served", "served"},
@@ -133,7 +133,7 @@
 // TestUnmade offers run-once work to a node that refuses connections: it provably never ran, and goes elsewhere.
 func TestUnmade(t *testing.T) {
 	r := begin(t, "a", "b")
-	r.nodes["a"].door.Close()
+	r.nodes["a"].door.StopAccepting()
 	x := r.dial()
 	for task := range uint64(8) {
 		x.ask(task+1, "single")
@@ -198,7 +198,7 @@
 		{"without power", func(r *rig, n *node) { n.p.Kill(true) }, true},
 		{"a connection reset", func(r *rig, n *node) {
 			for _, e := range n.conns {
-				e.conn.End(false, nil)
+				e.conn.Close(false, nil)
 			}
 		}, false},
 		{"quiet", func(*rig, *node) {}, false},
@@ -235,7 +235,7 @@
 	x := r.dial()
 	x.ask(7, "batch")
 	r.pass(100)
-	old.door.Close() // its process lives on for a while, at a connection that stands
+	old.door.StopAccepting() // its process lives on for a while, at a connection that stands
 	newNode(r, "b", "a")
 	r.journal.happens(entryOf("a", "a", "gone"), entryOf("b", "a", "ready"))
 	r.pass(100)
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -8,8 +8,8 @@
 	"ravenpond/logic"
 )
 
-// Heard takes what a node sends.
-func (l *link) Heard(b []byte) {
+// OnData takes what a node sends.
+func (l *link) OnData(b []byte) {
 	s := l.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,8 +41,8 @@
 	s.wake()
 }
 
-// Over hears that the connection has ended.
-func (l *link) Over(err error) {
+// OnClose hears that the connection has ended.
+func (l *link) OnClose(err error) {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
 	if !l.gone {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -26,10 +26,10 @@
 
 // Server is one scheduler on the platform.
 type Server struct {
-	world outside.World
+	world outside.Environment
 	log   zerolog.Logger
 	loop  outside.Loop
-	door  outside.Door
+	door  outside.Listener
 	parts budget.Parts
 	known *settings.Deployment
 
@@ -92,7 +92,7 @@
 }
 
 // New makes a scheduler from its configuration. Nothing is connected yet.
-func New(world outside.World, log zerolog.Logger, c *Configuration) *Server {
+func New(world outside.Environment, log zerolog.Logger, c *Configuration) *Server {
 	s := &Server{world: world, log: log, known: c.Known, parts: budget.Divide(c.Sockets, c.MemoryMB), requests: map[uint32]*request{},
 		tasks: map[uint64]*request{}, names: map[string]*peer{}, peers: map[uint32]*peer{}, clients: map[*client]bool{},
 		probes: map[uint64]*link{}, done: make(chan struct{}), epoch: float64(outside.Epoch.UnixMilli())}
@@ -138,7 +138,7 @@
 	}
 	s.door = door
 	s.wanted = s.world.Now()
-	s.loop = s.world.Loop(s.turn)
+	s.loop = s.world.StartLoop(s.turn)
 	s.log.Info().Str("mode", "start").Str("owners", door.Address()).Int("nodes", len(s.peers)).
 		Int("owner_conns", s.parts.Clients).Int("node_conns", s.parts.Nodes).Int("open_most", s.parts.Open).Msg("open")
 	return nil
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -56,7 +56,7 @@
 				y.ask(8, "batch")
 				r.pass(100)
 			}
-			x.conn.End(true, nil)
+			x.conn.Close(true, nil)
 			r.pass(100)
 			c.ends(r)
 			r.pass(100)
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -97,7 +97,7 @@
 	ended bool
 }
 
-func (e *ear) Heard(b []byte) {
+func (e *ear) OnData(b []byte) {
 	e.in = append(e.in, b...)
 	for {
 		msg, took, err := codec.Next(e.in)
@@ -110,7 +110,7 @@
 	}
 }
 
-func (e *ear) Over(error) { e.ended = true }
+func (e *ear) OnClose(error) { e.ended = true }
 
 func (e *ear) send(b []byte) { e.conn.Send(func(x []byte) []byte { return append(x, b...) }) }
 
@@ -119,7 +119,7 @@
 	r      *rig
 	name   string
 	p      *sim.Process
-	door   outside.Door
+	door   outside.Listener
 	conns  []*ear
 	starts map[uint64]int // set-ups that were taken, by task
 	open   map[uint64]*ear
@@ -143,7 +143,7 @@
 		e := &ear{conn: c}
 		e.heard = func(msg []byte) { n.message(e, msg) }
 		n.conns = append(n.conns, e)
-		c.Begin(e, 5000)
+		c.Start(e, 5000)
 		if n.greets != nil {
 			n.greets(e)
 		}
@@ -208,7 +208,7 @@
 			return
 		}
 		x.conn = c
-		c.Begin(x, 5000)
+		c.Start(x, 5000)
 	})
 	r.pass(50)
 	return x
@@ -256,7 +256,7 @@
 	p      *sim.Process
 	events []string
 	conns  []*tailer
-	door   outside.Door
+	door   outside.Listener
 	mute   bool // says nothing at all
 	tails  []string
 }
@@ -272,7 +272,7 @@
 	d, err := j.p.Listen(address, func(c outside.Conn) {
 		x := &tailer{j: j, conn: c}
 		j.conns = append(j.conns, x)
-		c.Begin(x, 5000)
+		c.Start(x, 5000)
 	})
 	if err != nil {
 		r.t.Fatal(err)
@@ -294,9 +294,9 @@
 	return e.Pos
 }
 
-func (x *tailer) Over(error) { x.over = true }
+func (x *tailer) OnClose(error) { x.over = true }
 
-func (x *tailer) Heard(b []byte) {
+func (x *tailer) OnData(b []byte) {
 	line := strings.TrimSpace(string(b))
 	if line == "" {
 		return
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -25,10 +25,10 @@
 	}
 	log = log.With().Str("scheduler", c.Name).Logger()
 	world := outside.NewReal()
-	world.Prompt = true // what is decided leaves at once, however many wait for their turn
+	world.WriteThrough = true // what is decided leaves at once, however many wait for their turn
 	defer world.Close(time.Second)
 	s := New(world, log, c)
-	world.Lingers = s.parts.Lingers
+	world.MaxLingering = s.parts.Lingers
 	runtime.GOMAXPROCS(1) // the machine is one core; more threads at work only wait for each other
 	debug.SetMemoryLimit(int64(s.parts.SoftCap))
 	if err := s.Start(c); err != nil {
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -15,7 +15,7 @@
 	}
 	if now >= s.plan.Part && !s.parted {
 		s.parted = true
-		s.door.Close() // who waits at it is let in first, and answered until the end
+		s.door.StopAccepting() // who waits at it is let in first, and answered until the end
 		for _, o := range s.eachClient() {
 			if owed := len(o.open); owed > 0 {
 				s.log.Error().Str("mode", "stop").Int("open", owed).Msg("a connection is ended on which answers are owed")
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -108,7 +108,7 @@
 				for _, o := range all {
 					o.left = o.left || o.x == y && !o.heard
 				}
-				y.conn.End(true, nil)
+				y.conn.Close(true, nil)
 			})
 			x = r.dial()
 		}
--- a/internal/serve/drains.go
+++ b/internal/serve/drains.go
@@ -88,7 +88,7 @@
 	defer store.Close()
 	k.Store = store
 	fleet, lost := s.fleet()
-	now := s.w.Wall()
+	now := s.w.WallClock()
 	measured, published, err := store.Load()
 	if err != nil {
 		return err
@@ -143,7 +143,7 @@
 	for _, en := range entries {
 		here[strconv.FormatUint(uint64(en.ID), 10)] = true
 	}
-	now := s.w.Wall()
+	now := s.w.WallClock()
 	for id, n := range s.known {
 		if !here[id] {
 			lost[id] = true
--- a/internal/serve/hosting.go
+++ b/internal/serve/hosting.go
@@ -192,7 +192,7 @@
 
 // cutForeign ends connections whose token is not good any more, by the store or by time.
 func (s *Server) cutForeign() {
-	now := s.w.Wall()
+	now := s.w.WallClock()
 	for _, o := range s.connected() {
 		o.mu.Lock()
 		id := o.token
@@ -245,7 +245,7 @@
 			continue
 		}
 		if s.gone(t.Slot, shards) && now-s.clubs.began > foundAfter {
-			if _, err := store.Finish(s.w.Wall(), t.Name); err != nil {
+			if _, err := store.Finish(s.w.WallClock(), t.Name); err != nil {
 				return err
 			}
 			s.log.Info().Str("mode", "tenants").Str("tenant", t.Name).Msg("removed: nothing is left of it")
--- a/internal/serve/hosting_admit.go
+++ b/internal/serve/hosting_admit.go
@@ -22,7 +22,7 @@
 	if verify == nil {
 		return errNotAllowed
 	}
-	tenant, ok := verify(s.w.Wall(), ask.Token)
+	tenant, ok := verify(s.w.WallClock(), ask.Token)
 	o.mu.Lock()
 	own := o.tenant
 	o.mu.Unlock()
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -55,7 +55,7 @@
 		l.visit = visiting
 	}
 	l.heardAt.Store(math.Float64bits(t.s.w.Now()))
-	conn.Begin(l, node.WriteTimeout)
+	conn.Start(l, node.WriteTimeout)
 	conn.Send(func(b []byte) []byte {
 		return line.AppendGreeting(b, node.GreetingLine, "Scheduler", t.name, "Node", strconv.FormatUint(uint64(nd), 10),
 			"Sent", strconv.FormatFloat(t.s.w.Now(), 'f', 3, 64)) // so that the first offer can't lie on the way unseen
@@ -73,8 +73,8 @@
 	return l.life > 0
 }
 
-// Heard takes what the node sends.
-func (l *link) Heard(b []byte) {
+// OnData takes what the node sends.
+func (l *link) OnData(b []byte) {
 	if len(b) == 0 {
 		l.end("peer closed: EOF", false)
 		return
@@ -156,15 +156,15 @@
 	return true
 }
 
-// Over meets the end of the connection: the shards hear which tries never left.
-func (l *link) Over(err error) {
+// OnClose meets the end of the connection: the shards hear which tries never left.
+func (l *link) OnClose(err error) {
 	t := l.t
 	l.mu.Lock()
 	if !l.shut {
 		l.shut, l.why = true, "peer closed: "+err.Error()
 	}
 	why, life, visit := l.why, l.life, l.visit
-	handed := l.conn.Handed()
+	handed := l.conn.HandedOver()
 	unsent := slices.DeleteFunc(l.marks, func(m mark) bool { return m.end <= handed })
 	l.mu.Unlock()
 	if life == 0 || visit == visiting {
@@ -221,7 +221,7 @@
 	}
 	l.mu.Unlock()
 	if first {
-		l.conn.End(soft, node.AppendBye(nil, why))
+		l.conn.Close(soft, node.AppendBye(nil, why))
 	}
 }
 
@@ -237,7 +237,7 @@
 			m.end = math.MaxUint64
 		}
 		if len(l.marks) >= marksKept { // those that have left need no mark
-			handed := l.conn.Handed()
+			handed := l.conn.HandedOver()
 			l.marks = slices.DeleteFunc(l.marks, func(m mark) bool { return m.end <= handed })
 		}
 		l.marks = append(l.marks, m)
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -140,7 +140,7 @@
 		l.mu.Lock()
 		l.dialing = false
 		if err == nil && l.over {
-			conn.End(false, nil)
+			conn.Close(false, nil)
 		}
 		if err != nil || l.over {
 			l.mu.Unlock()
@@ -150,7 +150,7 @@
 		l.conn, l.in, l.greeted, l.open = conn, line.Splitter{}, false, false
 		l.owe()
 		l.mu.Unlock()
-		conn.Begin(l, listStuck)
+		conn.Start(l, listStuck)
 		conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.GreetingLine, "Scheduler", l.s.who.Name) })
 	})
 }
@@ -159,7 +159,7 @@
 func (l *lister) owe() {
 	l.settled()
 	conn := l.conn
-	l.answer = l.s.w.After(listAnswer, func() { conn.End(false, nil) })
+	l.answer = l.s.w.After(listAnswer, func() { conn.Close(false, nil) })
 }
 
 func (l *lister) settled() {
@@ -194,13 +194,13 @@
 	l.waits = l.waits[:0]
 }
 
-// Heard takes what the list sends.
-func (l *lister) Heard(b []byte) {
+// OnData takes what the list sends.
+func (l *lister) OnData(b []byte) {
 	l.mu.Lock()
 	if !l.greeted {
 		head, after, err := l.in.Greeting(b, list.GreetingLine)
 		if err != nil {
-			l.conn.End(false, nil)
+			l.conn.Close(false, nil)
 		}
 		if err != nil || head == nil {
 			l.mu.Unlock()
@@ -213,12 +213,12 @@
 	conn := l.conn
 	l.mu.Unlock()
 	if err := l.in.Feed(b, func(fields [][]byte) error { return list.DecodeList(fields, l) }); err != nil {
-		conn.End(false, list.AppendBye(nil, err.Error()))
+		conn.Close(false, list.AppendBye(nil, err.Error()))
 	}
 }
 
-// Over meets the end of the connection.
-func (l *lister) Over(err error) {
+// OnClose meets the end of the connection.
+func (l *lister) OnClose(err error) {
 	l.mu.Lock()
 	l.settled()
 	l.conn, l.greeted = nil, false
@@ -257,7 +257,7 @@
 	l.settled()
 	l.mu.Unlock()
 	if conn != nil {
-		conn.End(false, list.AppendBye(nil, "scheduler ends"))
+		conn.Close(false, list.AppendBye(nil, "scheduler ends"))
 	}
 }
 
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -285,7 +285,7 @@
 
 func (s *Server) writeMembers() {
 	now := s.w.Now()
-	v := View{Name: s.who.Name, At: s.w.Wall(), Share: s.sharing(now), Degree: s.circle.degree.Now().String()}
+	v := View{Name: s.who.Name, At: s.w.WallClock(), Share: s.sharing(now), Degree: s.circle.degree.Now().String()}
 	s.circle.run.See(func(d *membership.Detector) {
 		v.Address, v.Life, v.Health, v.Taken, v.Figures = s.circle.run.Address(), d.Life(), d.Health(), d.Taken(), d.Stats
 		v.Leaves, v.Needs = d.Leaves(now)
--- a/internal/serve/metrics_process.go
+++ b/internal/serve/metrics_process.go
@@ -9,7 +9,7 @@
 )
 
 // flower is a world that counts what passes through it, as that of sockets does.
-type flower interface{ Flows() []outside.Flow }
+type flower interface{ Traffic() []outside.Traffic }
 
 // collectProcess tells what the process as a whole used: CPU time, finer than the kernel's ticks, and its traffic.
 func (c *counts) collectProcess(out chan<- prometheus.Metric) {
@@ -22,7 +22,7 @@
 	if !ok {
 		return
 	}
-	for _, flow := range world.Flows() {
+	for _, flow := range world.Traffic() {
 		kind := flow.Kind.String()
 		for _, way := range []struct {
 			name            string
--- a/internal/serve/owners.go
+++ b/internal/serve/owners.go
@@ -81,10 +81,10 @@
 	}
 	if !in {
 		s.log.Warn().Str("mode", "owners").Int("most", s.who.Place.MaxClients).Msg("one turned away")
-		conn.End(false, nil)
+		conn.Close(false, nil)
 		return
 	}
-	conn.Begin(o, ownerStuck)
+	conn.Start(o, ownerStuck)
 }
 
 // connected gives the owners in order of their coming.
@@ -109,8 +109,8 @@
 	return false
 }
 
-// Heard takes what an owner sends.
-func (o *owner) Heard(b []byte) {
+// OnData takes what an owner sends.
+func (o *owner) OnData(b []byte) {
 	if !o.may(len(b)) {
 		return
 	}
@@ -119,8 +119,8 @@
 	}
 }
 
-// Over meets the end of the connection: what was open for it is given up.
-func (o *owner) Over(err error) {
+// OnClose meets the end of the connection: what was open for it is given up.
+func (o *owner) OnClose(err error) {
 	s := o.s
 	o.cut(err.Error())
 	s.mu.Lock()
@@ -277,7 +277,7 @@
 	if first {
 		o.s.log.Debug().Uint32("owner", o.id).Str("why", why).Msg("owner's connection ends")
 		if o.conn != nil {
-			o.conn.End(false, nil)
+			o.conn.Close(false, nil)
 		}
 	}
 }
@@ -421,7 +421,7 @@
 	unread := 0.0
 	if ask.SentAt > 0 {
 		o.mu.Lock()
-		unread = o.lag.Waited(o.s.w.Now(), ask.SentAt, float64(o.s.w.Wall().UnixMilli()), o.s.stood())
+		unread = o.lag.Waited(o.s.w.Now(), ask.SentAt, float64(o.s.w.WallClock().UnixMilli()), o.s.stood())
 		o.mu.Unlock()
 		ask.Within -= unread
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -98,10 +98,10 @@
 type Server struct {
 	words  besteffort.Guard // round what is only said to people
 	who    Scheduler
-	w      outside.World
+	w      outside.Environment
 	log    zerolog.Logger
 	folder *state.Folder
-	door   outside.Door
+	door   outside.Listener
 	lister *lister
 	over   atomic.Bool   // it ends: nothing new is begun
 	looked atomic.Uint64 // bits of the time of the last look at the shards
@@ -140,7 +140,7 @@
 // Run runs a scheduler on sockets until the context ends. All that was open is answered then.
 func Run(ctx context.Context, who Scheduler) error {
 	w := outside.NewReal()
-	w.Connect, w.Secure, w.ListAddress = who.Connect, who.Secure, who.Place.ListAddress
+	w.Connect, w.TLS, w.EndpointListAddress = who.Connect, who.Secure, who.Place.ListAddress
 	defer w.Close(2 * time.Second)
 	if who.Rest == nil {
 		who.Rest = debug.FreeOSMemory
@@ -166,7 +166,7 @@
 }
 
 // Begin starts a scheduler in a world.
-func Begin(w outside.World, who Scheduler) (s *Server, err error) {
+func Begin(w outside.Environment, who Scheduler) (s *Server, err error) {
 	var folder *state.Folder
 	if who.Disk != nil {
 		folder = state.On(who.Disk)
@@ -326,7 +326,7 @@
 
 // End answers all that is open and ends the scheduler; then is called when that is done.
 func (s *Server) End(then func(error)) {
-	s.door.Close()
+	s.door.StopAccepting()
 	s.countsEnd()
 	if s.control != nil {
 		s.control.End()
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -414,7 +414,7 @@
 	made := make(chan *link, 1)
 	w.Dial("", 1000, func(conn outside.Conn, _ error) {
 		l := &link{s: s, t: &trunk{s: s, dialing: map[uint32]bool{}}, conn: conn}
-		conn.Begin(l, 1000)
+		conn.Start(l, 1000)
 		made <- l
 	})
 	l := <-made
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -66,7 +66,7 @@
 		sh.eng.Sharing(0) // until the others have given leave
 	}
 	sh.inbox = &inbox{wake: func() { sh.loop.Wake() }}
-	sh.loop = s.w.Loop(sh.turn)
+	sh.loop = s.w.StartLoop(sh.turn)
 	return sh, nil
 }
 
--- a/internal/serve/visit.go
+++ b/internal/serve/visit.go
@@ -67,7 +67,7 @@
 	l.shut, l.why = true, "visit ends"
 	l.mu.Unlock()
 	if first {
-		l.conn.End(true, node.AppendBye(nil, "visit ends"))
+		l.conn.Close(true, node.AppendBye(nil, "visit ends"))
 	}
 	return true
 }
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -17,7 +17,7 @@
 // List is the node list: it looks at its nodes ten times a second and tells what it saw a while ago.
 type List struct {
 	w       *World
-	door    outside.Door
+	door    outside.Listener
 	mu      sync.Mutex
 	nodes   []*Node
 	ghosts  map[uint32]entry // addresses that nobody answers at
@@ -175,14 +175,14 @@
 
 const listStuck = 2000
 
-func (l *List) came(conn outside.Conn) { conn.Begin(&watcher{l: l, conn: conn}, listStuck) }
+func (l *List) came(conn outside.Conn) { conn.Start(&watcher{l: l, conn: conn}, listStuck) }
 
-// Heard takes what a scheduler sends.
-func (c *watcher) Heard(b []byte) {
+// OnData takes what a scheduler sends.
+func (c *watcher) OnData(b []byte) {
 	if c.sched == "" {
 		head, after, err := c.in.Greeting(b, list.GreetingLine)
 		if err != nil {
-			c.conn.End(false, list.AppendBye(nil, err.Error()))
+			c.conn.Close(false, list.AppendBye(nil, err.Error()))
 			return
 		}
 		if head == nil {
@@ -194,19 +194,19 @@
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if c.watches && !c.over && !c.tell(false) {
-				c.conn.End(false, nil)
+				c.conn.Close(false, nil)
 				return false
 			}
 			return !c.over
 		})
 	}
 	if err := c.in.Feed(b, func(fields [][]byte) error { return list.DecodeScheduler(fields, c) }); err != nil {
-		c.conn.End(true, list.AppendBye(nil, err.Error()))
+		c.conn.Close(true, list.AppendBye(nil, err.Error()))
 	}
 }
 
-// Over meets the end of the connection.
-func (c *watcher) Over(error) {
+// OnClose meets the end of the connection.
+func (c *watcher) OnClose(error) {
 	c.mu.Lock()
 	c.over = true
 	c.mu.Unlock()
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -19,17 +19,17 @@
 
 // World is what the stand-ins of one process share: a clock, a lock over all machines and a trace.
 type World struct {
-	outside.World
+	outside.Environment
 	start float64
 	mu    sync.Mutex
 	Trace audit.Trace
 }
 
 // NewWorld starts the clock.
-func NewWorld(w outside.World) *World { return &World{World: w, start: w.Now()} }
+func NewWorld(w outside.Environment) *World { return &World{Environment: w, start: w.Now()} }
 
 // Now is ms since the start.
-func (w *World) Now() float64 { return w.World.Now() - w.start }
+func (w *World) Now() float64 { return w.Environment.Now() - w.start }
 
 // At runs f under the lock over all machines.
 func (w *World) At(f func(now float64)) {
@@ -49,7 +49,7 @@
 	Lost       bool // it is not there
 	w          *World
 	life       uint64
-	door       outside.Door
+	door       outside.Listener
 	address    string
 	Listed     string // the address that the list tells, where the node is reached by a way round; empty: its own
 	conns      map[string]*peer
@@ -91,7 +91,7 @@
 		return fmt.Errorf("node %d: %w", n.ID, err)
 	}
 	n.address = n.door.Address()
-	n.loop = w.Loop(n.turn)
+	n.loop = w.StartLoop(n.turn)
 	return nil
 }
 
@@ -102,7 +102,7 @@
 	word := ""
 	if cold {
 		word = "cold"
-		n.StartedAt = float64(n.w.Wall().UnixMilli())
+		n.StartedAt = float64(n.w.WallClock().UnixMilli())
 	}
 	n.w.Trace.Add(audit.Record{At: now, Kind: audit.NodeBorn, Node: n.ID, Word: word})
 }
@@ -135,9 +135,9 @@
 func (n *Node) Die(now float64) {
 	n.Lost, n.unread = true, nil
 	n.Machine.Restart(now, true)
-	n.door.Close()
+	n.door.StopAccepting()
 	for _, p := range n.all() {
-		p.conn.End(false, nil)
+		p.conn.Close(false, nil)
 	}
 }
 
@@ -160,7 +160,7 @@
 // came takes a connection; who it is from is told by its greeting.
 func (n *Node) came(conn outside.Conn) {
 	p := &peer{n: n, conn: conn, heard: n.w.Now()}
-	conn.Begin(p, node.WriteTimeout)
+	conn.Start(p, node.WriteTimeout)
 	outside.Every(n.w, node.HandshakeTimeout, func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -175,8 +175,8 @@
 	})
 }
 
-// Heard takes what a scheduler sends.
-func (p *peer) Heard(b []byte) {
+// OnData takes what a scheduler sends.
+func (p *peer) OnData(b []byte) {
 	p.mu.Lock()
 	p.heard = p.n.w.Now()
 	p.mu.Unlock()
@@ -238,8 +238,8 @@
 	return err
 }
 
-// Over meets the end of the connection.
-func (p *peer) Over(err error) {
+// OnClose meets the end of the connection.
+func (p *peer) OnClose(err error) {
 	p.end(err.Error())
 	n := p.n
 	n.w.At(func(float64) {
@@ -277,7 +277,7 @@
 func (p *peer) finish(why string) {
 	if !p.ended {
 		p.ended = true
-		p.conn.End(true, node.AppendBye(nil, why))
+		p.conn.Close(true, node.AppendBye(nil, why))
 	}
 }
 
@@ -414,7 +414,7 @@
 	for _, p := range n.all() {
 		p.end("fell over")
 	}
-	n.door.Close()
+	n.door.StopAccepting()
 }
 
 // Linked tells whether a scheduler is connected under a name. Under the world's lock.
--- a/internal/standin/owners.go
+++ b/internal/standin/owners.go
@@ -89,7 +89,7 @@
 		late := o.orphan
 		o.orphan = nil
 		o.mu.Unlock()
-		conn.Begin(&session{o: o, conn: conn}, ownerStuck)
+		conn.Start(&session{o: o, conn: conn}, ownerStuck)
 		if o.Token != "" {
 			o.call(conn, "authenticate", map[string]any{"token": o.Token})
 		}
@@ -106,15 +106,15 @@
 	in   owners.Splitter
 }
 
-// Heard takes what the scheduler sends.
-func (s *session) Heard(b []byte) {
+// OnData takes what the scheduler sends.
+func (s *session) OnData(b []byte) {
 	if err := s.in.Feed(b, s.o.notified); err != nil {
-		s.conn.End(false, nil)
+		s.conn.Close(false, nil)
 	}
 }
 
-// Over meets the end of the connection.
-func (s *session) Over(error) {
+// OnClose meets the end of the connection.
+func (s *session) OnClose(error) {
 	s.o.lost()
 	s.o.w.After(ownerAgain, s.o.connect)
 }
@@ -199,7 +199,7 @@
 	o.mu.Unlock()
 	o.call(conn, "allocate", map[string]any{"ref": ref, "tenant": want.Tenant, "key": want.Key,
 		"job-type": want.JobType, "service": want.Service, "cores": want.Cores, "memory": want.Memory,
-		"within-ms": want.Within, "sent-at-ms": o.w.Wall().UnixMilli()})
+		"within-ms": want.Within, "sent-at-ms": o.w.WallClock().UnixMilli()})
 	o.w.After(want.Within+1500, func() { o.overdue(ref) })
 }
 
