--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -24,7 +24,7 @@
 
 // instance hosts one scheduler and writes what it decides as actions.
 type instance struct {
-	sched logic.Told
+	sched logic.EventHandler
 	out   *wire.Writer
 	who   uint16
 	jobs  int    // number of job types
@@ -139,31 +139,31 @@
 }
 
 // tell turns one event into a call.
-func (h *host) tell(s logic.Told, code byte, now float64, r []byte) error {
+func (h *host) tell(s logic.EventHandler, code byte, now float64, r []byte) error {
 	switch code {
 	case wire.Echo:
-		s.Probed(now, wire.U32(r, 3), logic.Verdict(wire.U16(r, 7)), ms(r, 9), h.load(r, 17))
+		s.OnProbeResult(now, wire.U32(r, 3), logic.Verdict(wire.U16(r, 7)), ms(r, 9), h.load(r, 17))
 	case wire.Lapsed:
-		s.Lapsed(now, wire.U32(r, 3))
+		s.OnExpired(now, wire.U32(r, 3))
 	case wire.Confirmed:
-		s.Started(now, wire.U32(r, 3), r[15], ms(r, 7))
+		s.OnStarted(now, wire.U32(r, 3), r[15], ms(r, 7))
 	case wire.Task:
-		s.Allocate(now, wire.U32(r, 3), int(r[7]), int(wire.U16(r, 8)), ms(r, 18), wire.U64(r, 34),
+		s.OnRequest(now, wire.U32(r, 3), int(r[7]), int(wire.U16(r, 8)), ms(r, 18), wire.U64(r, 34),
 			wire.F32(r, 42), wire.F32(r, 46))
 	case wire.Found:
-		s.Found(now, wire.U32(r, 3), int(r[7]), int(wire.U16(r, 8)), wire.U64(r, 34), wire.F32(r, 42),
+		s.OnRecovered(now, wire.U32(r, 3), int(r[7]), int(wire.U16(r, 8)), wire.U64(r, 34), wire.F32(r, 42),
 			wire.F32(r, 46), wire.U32(r, 51))
 	case wire.Settled:
 		verdict := wire.U16(r, 25)
 		if verdict > uint16(logic.Unsent) {
 			return fmt.Errorf("unknown outcome %d", verdict)
 		}
-		s.Settled(now, wire.U32(r, 3), wire.U32(r, 7), r[11], ms(r, 12), r[20] != 0,
+		s.OnOutcome(now, wire.U32(r, 3), wire.U32(r, 7), r[11], ms(r, 12), r[20] != 0,
 			logic.Reason(wire.U32(r, 21)), logic.Verdict(verdict), h.load(r, 27))
 	case wire.Signal:
-		s.Noted(now, wire.U32(r, 3), r[11], wire.U32(r, 12), logic.NoteKind(r[16]), wire.F32(r, 7))
+		s.OnTaskMetric(now, wire.U32(r, 3), r[11], wire.U32(r, 12), logic.NoteKind(r[16]), wire.F32(r, 7))
 	case wire.Bell:
-		s.Woken(now, wire.U64(r, 3))
+		s.OnTimer(now, wire.U64(r, 3))
 	case wire.Sync:
 		return h.list(s, now, r[3], wire.U32(r, 8))
 	}
@@ -176,12 +176,12 @@
 	availabilities = [...]logic.Availability{logic.Gone, logic.Ready, logic.Draining}
 )
 
-func (h *host) list(s logic.Told, now float64, mode byte, page uint32) error {
+func (h *host) list(s logic.EventHandler, now float64, mode byte, page uint32) error {
 	if int(mode) >= len(listKinds) {
 		return fmt.Errorf("unknown list mode %d", mode)
 	}
 	kind := listKinds[mode]
-	s.ListBegin(now, kind)
+	s.OnListBegin(now, kind)
 	if kind != logic.ListFailed {
 		if page >= uint32(len(h.tables)) {
 			return fmt.Errorf("impossible list number %d", page)
@@ -190,11 +190,11 @@
 			if int(e[16]) >= len(availabilities) {
 				return fmt.Errorf("unknown availability %d", e[16])
 			}
-			s.ListNode(now, wire.U32(e, 17), availabilities[e[16]], ms(e, 8), wire.F32(e, 4), wire.F32(e, 0),
+			s.OnListNode(now, wire.U32(e, 17), availabilities[e[16]], ms(e, 8), wire.F32(e, 4), wire.F32(e, 0),
 				int(e[27]), int(wire.U16(e, 25)), int(e[28]))
 		}
 	}
-	s.ListEnd(now)
+	s.OnListEnd(now)
 	return nil
 }
 
@@ -219,41 +219,41 @@
 	call()
 }
 
-func (i *instance) Offer(alloc, node uint32, timeout float64) {
+func (i *instance) StartAttempt(alloc, node uint32, timeout float64) {
 	r := i.out.Action(wire.Bind, i.who)
 	wire.Put32(r, 3, alloc)
 	wire.Put32(r, 7, node)
 	wire.Put64(r, 11, ns(timeout))
 }
 
-func (i *instance) Decline(alloc uint32, holdOff float64) {
+func (i *instance) Shed(alloc uint32, holdOff float64) {
 	r := i.out.Action(wire.Refuse, i.who)
 	wire.Put32(r, 3, alloc)
 	wire.Put64(r, 7, ns(holdOff))
 }
 
-func (i *instance) Fail(alloc uint32) { i.named(wire.Lose, alloc) }
-func (i *instance) Move(alloc uint32) { i.named(wire.Shift, alloc) }
-func (i *instance) Probe(node uint32) { i.named(wire.Test, node) }
-func (i *instance) Reload()           { i.out.Action(wire.Reload, i.who) }
+func (i *instance) Fail(alloc uint32)    { i.named(wire.Lose, alloc) }
+func (i *instance) Migrate(alloc uint32) { i.named(wire.Shift, alloc) }
+func (i *instance) Probe(node uint32)    { i.named(wire.Test, node) }
+func (i *instance) ReloadList()          { i.out.Action(wire.Reload, i.who) }
 
 // named writes an action whose one field is an id.
 func (i *instance) named(code byte, id uint32) { wire.Put32(i.out.Action(code, i.who), 3, id) }
 
-func (i *instance) Recall(alloc uint32, try uint8) {
+func (i *instance) Cancel(alloc uint32, try uint8) {
 	r := i.out.Action(wire.Recall, i.who)
 	wire.Put32(r, 3, alloc)
 	r[7] = try
 }
 
-func (i *instance) Follow(active bool) {
+func (i *instance) WatchList(active bool) {
 	r := i.out.Action(wire.Follow, i.who)
 	if active {
 		r[3] = 1
 	}
 }
 
-func (i *instance) Wake(delay float64, key uint64) {
+func (i *instance) SetTimer(delay float64, key uint64) {
 	r := i.out.Action(wire.Defer, i.who)
 	wire.Put64(r, 3, ns(delay))
 	wire.Put64(r, 11, key)
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -44,18 +44,18 @@
 	if over {
 		late := a.lateStart
 		e.forgetAllocation(p)
-		e.policy.Settled(e.now, id, nd, try, took, true, why, verdict, report)
+		e.policy.OnOutcome(e.now, id, nd, try, took, true, why, verdict, report)
 		e.resolveLateStart(late)
 		return
 	}
 	if a.lateStart.ticket != 0 { // the earlier one runs: it serves, and the module need not try again
 		late := a.lateStart
-		e.policy.Lapsed(e.now, id)
-		e.policy.Settled(e.now, id, nd, try, took, true, why, verdict, report)
+		e.policy.OnExpired(e.now, id)
+		e.policy.OnOutcome(e.now, id, nd, try, took, true, why, verdict, report)
 		e.answerWithLateStart(late, p)
 		return
 	}
-	e.policy.Settled(e.now, id, nd, try, took, false, why, verdict, report)
+	e.policy.OnOutcome(e.now, id, nd, try, took, false, why, verdict, report)
 }
 
 // abandonAttempt ends a try without word from its node; what may yet be heard of it is remembered.
@@ -116,7 +116,7 @@
 	a.phase, a.confirmBy = phaseRunning, 0
 	late := a.lateStart
 	a.lateStart = attemptID{}
-	e.policy.Started(e.now, a.id, a.policyAttempt(), took)
+	e.policy.OnStarted(e.now, a.id, a.policyAttempt(), took)
 	if !a.answered {
 		e.answer(a, Served, e.nodes[a.nodeIndex].id, "", 0)
 	}
@@ -178,7 +178,7 @@
 	e.now, e.hasEvents = now, true
 	if p, ok := e.findAttempt(ticket, try); ok && e.nodes[e.allocations[p].nodeIndex].id == nd {
 		a := &e.allocations[p]
-		e.policy.Noted(now, a.id, a.policyAttempt(), nd, kind, value)
+		e.policy.OnTaskMetric(now, a.id, a.policyAttempt(), nd, kind, value)
 	}
 	return nil
 }
@@ -186,7 +186,7 @@
 // OnSharedReport is a load report that another engine heard from a node.
 func (e *Engine) OnSharedReport(now float64, nd uint32, report []float64) {
 	e.now = now
-	e.policy.Settled(now, 0, nd, 0, 0, true, logic.NotTold, logic.Ended, report) // no allocation has the number 0
+	e.policy.OnOutcome(now, 0, nd, 0, 0, true, logic.NotTold, logic.Ended, report) // no allocation has the number 0
 }
 
 // policyAttempt is the number by which the module knows the try: what was found is its first.
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -62,38 +62,38 @@
 // bare is a host that only keeps the last offer.
 type bare struct{ nd, alloc uint32 }
 
-func (h *bare) Offer(alloc, nd uint32, _ float64) { h.alloc, h.nd = alloc, nd }
-func (h *bare) Decline(uint32, float64)           {}
-func (h *bare) Fail(uint32)                       {}
-func (h *bare) Recall(uint32, uint8)              {}
-func (h *bare) Move(uint32)                       {}
-func (h *bare) Probe(uint32)                      {}
-func (h *bare) Follow(bool)                       {}
-func (h *bare) Reload()                           {}
-func (h *bare) Wake(float64, uint64)              {}
-func (h *bare) Log(string)                        {}
+func (h *bare) StartAttempt(alloc, nd uint32, _ float64) { h.alloc, h.nd = alloc, nd }
+func (h *bare) Shed(uint32, float64)                     {}
+func (h *bare) Fail(uint32)                              {}
+func (h *bare) Cancel(uint32, uint8)                     {}
+func (h *bare) Migrate(uint32)                           {}
+func (h *bare) Probe(uint32)                             {}
+func (h *bare) WatchList(bool)                           {}
+func (h *bare) ReloadList()                              {}
+func (h *bare) SetTimer(float64, uint64)                 {}
+func (h *bare) Log(string)                               {}
 
 // BenchmarkModule is the same calls on the module alone, with the timers that the engine would ring.
 func BenchmarkModule(b *testing.B) {
 	h := &bare{}
 	s := logic.New(h, 1, 1, benchCluster())
-	s.ListBegin(1, logic.ListCached)
+	s.OnListBegin(1, logic.ListCached)
 	for i := range uint32(benchNodes) {
-		s.ListNode(1, i+1, logic.Ready, 0, 64, 128, int(i%2), int(i%2), 0)
+		s.OnListNode(1, i+1, logic.Ready, 0, 64, 128, int(i%2), int(i%2), 0)
 	}
-	s.ListEnd(1)
+	s.OnListEnd(1)
 	report := []float64{64, 128}
 	now := 100.0
 	b.ReportAllocs()
 	for i := uint32(1); b.Loop(); i++ {
 		now++
 		if i%100 == 0 {
-			s.Woken(now, 0)
+			s.OnTimer(now, 0)
 		}
-		s.Allocate(now, i, 0, 0, now+4900, uint64(i%50), 0.5, 1)
+		s.OnRequest(now, i, 0, 0, now+4900, uint64(i%50), 0.5, 1)
 		s.Decide(now)
-		s.Started(now, i, 0, 1)
-		s.Settled(now, i, h.nd, 0, 1, true, logic.NotTold, logic.Ended, report)
+		s.OnStarted(now, i, 0, 1)
+		s.OnOutcome(now, i, h.nd, 0, 1, true, logic.NotTold, logic.Ended, report)
 	}
 }
 
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -9,7 +9,7 @@
 // policyEffects carries out what the module decides.
 type policyEffects struct{ e *Engine }
 
-func (h policyEffects) Offer(id, nodeID uint32, timeout float64) {
+func (h policyEffects) StartAttempt(id, nodeID uint32, timeout float64) {
 	e := h.e
 	p := e.byID[id]
 	a := &e.allocations[p]
@@ -42,7 +42,7 @@
 	e.effects.Offer(n.id, a.ticket, a.attempt, a.epoch, a.dueAt-e.now, a.jobClass, a.tenant, a.service, a.token, a.cores, a.memory)
 }
 
-func (h policyEffects) Decline(id uint32, holdOff float64) {
+func (h policyEffects) Shed(id uint32, holdOff float64) {
 	h.e.giveFinalAnswer(id, Declined, holdOff)
 }
 
@@ -63,7 +63,7 @@
 	e.resolveLateStart(late)
 }
 
-func (h policyEffects) Recall(id uint32, try uint8) {
+func (h policyEffects) Cancel(id uint32, try uint8) {
 	e := h.e
 	p, ok := e.byID[id]
 	if !ok || e.allocations[p].attempt != try {
@@ -79,7 +79,7 @@
 	}
 }
 
-func (h policyEffects) Move(id uint32) {
+func (h policyEffects) Migrate(id uint32) {
 	if p, ok := h.e.byID[id]; ok && h.e.allocations[p].phase == phaseRunning {
 		h.e.stop(&h.e.allocations[p])
 	}
@@ -102,11 +102,11 @@
 	}
 }
 
-func (h policyEffects) Follow(active bool) { h.e.effects.WatchList(active) }
+func (h policyEffects) WatchList(active bool) { h.e.effects.WatchList(active) }
 
-func (h policyEffects) Reload() { h.e.effects.ReloadList() }
+func (h policyEffects) ReloadList() { h.e.effects.ReloadList() }
 
-func (h policyEffects) Wake(delay float64, key uint64) {
+func (h policyEffects) SetTimer(delay float64, key uint64) {
 	h.e.timers.Set(h.e.now+math.Max(0, delay), timerPolicyWake, key)
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -86,7 +86,7 @@
 }
 
 // PolicyFactory makes what decides.
-type PolicyFactory func(host logic.Host, now float64, seed uint64, cl *logic.Cluster) logic.Told
+type PolicyFactory func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler
 
 type phase uint8
 
@@ -174,7 +174,7 @@
 // Engine is one scheduler.
 type Engine struct {
 	effects       Effects
-	policy        logic.Told
+	policy        logic.EventHandler
 	config        Config
 	jobEffects    []logic.Effect
 	now           float64
@@ -279,7 +279,7 @@
 func (e *Engine) fire(b timer) {
 	switch b.What {
 	case timerPolicyWake:
-		e.policy.Woken(e.now, b.Key)
+		e.policy.OnTimer(e.now, b.Key)
 	case timerAttempt:
 		if p, ok := e.byID[uint32(b.Key)]; ok {
 			if a := &e.allocations[p]; a.phase == phaseInFlight && a.dueAt == b.At && a.attempt == uint8(b.Key>>32) {
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -102,11 +102,11 @@
 			g.Node = e.nodes[a.nodeIndex].id
 			e.detach(p)
 			e.forgetTransferred(p)
-			e.policy.Settled(now, id, g.Node, try, now-a.sentAt, true, logic.NotTold, logic.Ended, nil)
+			e.policy.OnOutcome(now, id, g.Node, try, now-a.sentAt, true, logic.NotTold, logic.Ended, nil)
 		} else {
 			e.admission.Leave(a.tenant)
 			e.forgetTransferred(p)
-			e.policy.Lapsed(now, id)
+			e.policy.OnExpired(now, id)
 		}
 		give(g)
 	}
--- a/internal/engine/late.go
+++ b/internal/engine/late.go
@@ -51,7 +51,7 @@
 		if outcome.Counts(e.config.Cluster.JobTypes[g.jobClass].Spread) {
 			e.lastID++
 			g.policyID = e.lastID
-			e.policy.Found(e.now, g.policyID, g.jobClass, g.tenant, g.service, g.cores, g.memory, e.nodes[g.nodeIndex].id)
+			e.policy.OnRecovered(e.now, g.policyID, g.jobClass, g.tenant, g.service, g.cores, g.memory, e.nodes[g.nodeIndex].id)
 		}
 	}
 	e.abandoned[name] = g
@@ -62,7 +62,7 @@
 		e.nodes[g.nodeIndex].abandoned--
 		delete(e.abandoned, name)
 		if g.policyID > 0 {
-			e.policy.Settled(e.now, g.policyID, e.nodes[g.nodeIndex].id, 0, e.now-g.sentAt, true, logic.NotTold, logic.Ended, nil)
+			e.policy.OnOutcome(e.now, g.policyID, e.nodes[g.nodeIndex].id, 0, e.now-g.sentAt, true, logic.NotTold, logic.Ended, nil)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	case outcome.Stop:
 		e.stopAbandoned(name)
 	case outcome.Serve:
-		e.policy.Lapsed(e.now, e.allocations[p].id)
+		e.policy.OnExpired(e.now, e.allocations[p].id)
 		e.answerWithLateStart(name, p)
 	case outcome.Await:
 		a := &e.allocations[p]
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -13,7 +13,7 @@
 	e.now, e.hasEvents = now, true
 	e.listKind, e.enteringNodes = kind, false
 	e.listGeneration++
-	e.policy.ListBegin(now, kind)
+	e.policy.OnListBegin(now, kind)
 }
 
 // AddListNode is one entry; startedAt is on the wall clock, 0 for long ago.
@@ -70,7 +70,7 @@
 		avail = logic.Draining
 	}
 	e.setAvailability(nd, avail)
-	e.policy.ListNode(e.now, n.id, avail, l.startedAt, l.freeCores, l.freeMemory, l.zone, l.cell, l.kind)
+	e.policy.OnListNode(e.now, n.id, avail, l.startedAt, l.freeCores, l.freeMemory, l.zone, l.cell, l.kind)
 }
 
 // SetMaintenance takes nodes out for maintenance, or brings them back, whatever the list says of them. Tries that are out to
@@ -102,8 +102,8 @@
 
 func (e *Engine) setExcluded(now float64, ids []uint32, why uint8, takes bool) {
 	e.now, e.hasEvents = now, true
-	e.policy.ListBegin(now, logic.ListChanges) // without an end: to the module that would be a word of the list itself,
-	for _, id := range ids {                   // and it would take longer to ask for the next
+	e.policy.OnListBegin(now, logic.ListChanges) // without an end: to the module that would be a word of the list itself,
+	for _, id := range ids {                     // and it would take longer to ask for the next
 		if takes {
 			e.exclusions[id] |= why
 		} else if e.exclusions[id] &^= why; e.exclusions[id] == 0 {
@@ -187,7 +187,7 @@
 			}
 		}
 	}
-	e.policy.ListEnd(e.now)
+	e.policy.OnListEnd(e.now)
 }
 
 // setAvailability follows a node's availability: what is on the list is kept connected.
@@ -244,7 +244,7 @@
 	n := &e.nodes[nd]
 	if since > n.listed.startedAt+startTolerance && now-since < e.config.Cluster.ColdFor { // to the module a later start is a cold one
 		n.startedAt, n.listed.startedAt = since, since
-		e.policy.ListBegin(now, logic.ListChanges) // without an end, as it is no word of the list
+		e.policy.OnListBegin(now, logic.ListChanges) // without an end, as it is no word of the list
 		e.updatePolicy(nd)
 	}
 	n.connected, n.ready, n.sameIncarnation, n.incarnation = true, false, n.incarnation == life, life
@@ -480,5 +480,5 @@
 func (e *Engine) completeProbe(nd int, verdict logic.Verdict, report []float64) {
 	n := &e.nodes[nd]
 	n.probing = false
-	e.policy.Probed(e.now, n.id, verdict, e.now-n.probeStartedAt, report)
+	e.policy.OnProbeResult(e.now, n.id, verdict, e.now-n.probeStartedAt, report)
 }
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -87,7 +87,7 @@
 	e.setClient(p, owner, ref)
 	a.cores, a.memory, a.deadline, a.waitingSince = cores, memory, now+left, now
 	e.byKey[name] = p
-	e.policy.Allocate(now, a.id, jobType, tenant, a.deadline-e.config.AnswerMargin, service, cores, memory)
+	e.policy.OnRequest(now, a.id, jobType, tenant, a.deadline-e.config.AnswerMargin, service, cores, memory)
 	return nil
 }
 
@@ -149,7 +149,7 @@
 	a.lateStart = attemptID{}
 	e.answer(a, verdict, 0, "withdrawn", 0)
 	e.clearClient(a)
-	e.policy.Lapsed(e.now, a.id)
+	e.policy.OnExpired(e.now, a.id)
 	switch a.phase {
 	case phaseInFlight:
 		if !a.recalled {
@@ -233,6 +233,6 @@
 	a.reported = true
 	e.setClient(p, owner, ref)
 	e.stats.Recovered++
-	e.policy.Found(e.now, a.id, a.jobClass, a.tenant, a.service, a.cores, a.memory, e.nodes[g.nodeIndex].id)
+	e.policy.OnRecovered(e.now, a.id, a.jobClass, a.tenant, a.service, a.cores, a.memory, e.nodes[g.nodeIndex].id)
 	return p
 }
--- a/internal/engine/workingset.go
+++ b/internal/engine/workingset.go
@@ -14,7 +14,7 @@
 	if isNew {
 		kind = logic.ListChanges
 	}
-	e.policy.ListBegin(now, kind)
+	e.policy.OnListBegin(now, kind)
 }
 
 // SetOutsideWorkingSet has nodes be outside the working set, where they get nothing new, or inside again.
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -44,7 +44,7 @@
 
 // Policy is one of them.
 type Policy struct {
-	host   logic.Host
+	host   logic.Effects
 	cl     *logic.Cluster
 	rng    *rand.Rand
 	name   string
@@ -60,8 +60,8 @@
 
 // Seeing gives what makes a policy that takes the least loaded node by the true state, which no scheduler has: the best that knowledge
 // alone could bring.
-func Seeing(load func(node uint32) float64) func(host logic.Host, now float64, seed uint64, cl *logic.Cluster) logic.Told {
-	return func(host logic.Host, now float64, seed uint64, cl *logic.Cluster) logic.Told {
+func Seeing(load func(node uint32) float64) func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
+	return func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
 		p := Made("least-loaded")(host, now, seed, cl).(*Policy)
 		p.sees = load
 		return p
@@ -69,22 +69,22 @@
 }
 
 // Made gives what makes a policy of a name.
-func Made(name string) func(host logic.Host, now float64, seed uint64, cl *logic.Cluster) logic.Told {
-	return func(host logic.Host, now float64, seed uint64, cl *logic.Cluster) logic.Told {
+func Made(name string) func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
+	return func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
 		p := &Policy{host: host, cl: cl, rng: rand.New(rand.NewPCG(seed, 77)), name: name, now: now, at: map[uint32]int{},
 			allocs: map[uint32]*alloc{}}
-		host.Follow(true)
+		host.WatchList(true)
 		return p
 	}
 }
 
-// ListBegin and the others are what a policy hears.
-func (p *Policy) ListBegin(now float64, kind logic.ListKind) {
+// OnListBegin and the others are what a policy hears.
+func (p *Policy) OnListBegin(now float64, kind logic.ListKind) {
 	p.now, p.kind, p.page = now, kind, map[uint32]bool{}
 }
 
-// ListNode is one node of the list.
-func (p *Policy) ListNode(now float64, id uint32, avail logic.Availability, since, cores, memory float64, zone, cell, kind int) {
+// OnListNode is one node of the list.
+func (p *Policy) OnListNode(now float64, id uint32, avail logic.Availability, since, cores, memory float64, zone, cell, kind int) {
 	i, ok := p.at[id]
 	if !ok {
 		i = len(p.nodes)
@@ -97,11 +97,11 @@
 	n.own, n.since = [2]float64{}, since
 }
 
-// ListEnd ends it.
-func (p *Policy) ListEnd(now float64) {
+// OnListEnd ends it.
+func (p *Policy) OnListEnd(now float64) {
 	p.now = now
 	if p.kind == logic.ListFailed {
-		p.host.Wake(500, 1)
+		p.host.SetTimer(500, 1)
 		return
 	}
 	if p.kind == logic.ListFull {
@@ -112,41 +112,41 @@
 		}
 	}
 	if p.cl.AsksForList {
-		p.host.Wake(p.cl.AskEvery/3, 1)
+		p.host.SetTimer(p.cl.AskEvery/3, 1)
 	}
 }
 
-// Woken asks for the list again.
-func (p *Policy) Woken(now float64, key uint64) {
+// OnTimer asks for the list again.
+func (p *Policy) OnTimer(now float64, key uint64) {
 	p.now = now
 	if key == 1 {
-		p.host.Reload()
+		p.host.ReloadList()
 	}
 }
 
-// Allocate takes an allocation.
-func (p *Policy) Allocate(now float64, id uint32, job, _ int, expiry float64, service uint64, cores, memory float64) {
+// OnRequest takes an allocation.
+func (p *Policy) OnRequest(now float64, id uint32, job, _ int, expiry float64, service uint64, cores, memory float64) {
 	p.now = now
 	p.allocs[id] = &alloc{id: id, job: job, svc: service, expiry: expiry, size: [2]float64{cores, memory}, nd: -1, first: -1}
 	p.waits = append(p.waits, id)
 }
 
-// Found takes what runs already.
-func (p *Policy) Found(now float64, id uint32, job, _ int, service uint64, cores, memory float64, nd uint32) {
+// OnRecovered takes what runs already.
+func (p *Policy) OnRecovered(now float64, id uint32, job, _ int, service uint64, cores, memory float64, nd uint32) {
 	p.now = now
 	p.allocs[id] = &alloc{id: id, job: job, svc: service, size: [2]float64{cores, memory}, nd: p.at[nd], over: true, first: -1}
 }
 
-// Started notes a start.
-func (p *Policy) Started(now float64, id uint32, _ uint8, _ float64) {
+// OnStarted notes a start.
+func (p *Policy) OnStarted(now float64, id uint32, _ uint8, _ float64) {
 	p.now = now
 	if a := p.allocs[id]; a != nil {
 		a.over = true
 	}
 }
 
-// Settled notes an outcome.
-func (p *Policy) Settled(now float64, id uint32, _ uint32, _ uint8, _ float64, over bool, why logic.Reason, v logic.Verdict, _ []float64) {
+// OnOutcome notes an outcome.
+func (p *Policy) OnOutcome(now float64, id uint32, _ uint32, _ uint8, _ float64, over bool, why logic.Reason, v logic.Verdict, _ []float64) {
 	p.now = now
 	a := p.allocs[id]
 	if a == nil {
@@ -171,14 +171,14 @@
 	p.waits = append(p.waits, id)
 }
 
-// Noted, Probed and the like say nothing to these policies.
-func (p *Policy) Noted(float64, uint32, uint8, uint32, logic.NoteKind, float64) {}
+// OnTaskMetric, Probed and the like say nothing to these policies.
+func (p *Policy) OnTaskMetric(float64, uint32, uint8, uint32, logic.NoteKind, float64) {}
 
-// Probed is not asked for.
-func (p *Policy) Probed(float64, uint32, logic.Verdict, float64, []float64) {}
+// OnProbeResult is not asked for.
+func (p *Policy) OnProbeResult(float64, uint32, logic.Verdict, float64, []float64) {}
 
-// Lapsed ends an allocation that was answered without the policy.
-func (p *Policy) Lapsed(now float64, id uint32) {
+// OnExpired ends an allocation that was answered without the policy.
+func (p *Policy) OnExpired(now float64, id uint32) {
 	p.now = now
 	if a := p.allocs[id]; a != nil {
 		if a.over = true; a.nd < 0 {
@@ -206,7 +206,7 @@
 			if harm {
 				p.host.Fail(id)
 			} else {
-				p.host.Decline(id, 200)
+				p.host.Shed(id, 200)
 			}
 			continue
 		}
@@ -224,10 +224,10 @@
 		if j.Effect == logic.RunOnce || int(a.try) == p.cl.MaxTries {
 			timeout = a.expiry - now
 		}
-		p.host.Offer(id, n.id, timeout)
+		p.host.StartAttempt(id, n.id, timeout)
 	}
 	if len(p.waits) > 0 {
-		p.host.Wake(max(1, soonest-now), 2)
+		p.host.SetTimer(max(1, soonest-now), 2)
 	}
 }
 
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -12,16 +12,18 @@
 	declined, failed int
 }
 
-func (d *desk) Offer(alloc, node uint32, _ float64) { d.offers[alloc] = append(d.offers[alloc], node) }
-func (d *desk) Decline(uint32, float64)             { d.declined++ }
-func (d *desk) Fail(uint32)                         { d.failed++ }
-func (d *desk) Recall(uint32, uint8)                {}
-func (d *desk) Move(uint32)                         {}
-func (d *desk) Probe(uint32)                        {}
-func (d *desk) Follow(bool)                         {}
-func (d *desk) Reload()                             {}
-func (d *desk) Wake(float64, uint64)                {}
-func (d *desk) Log(string)                          {}
+func (d *desk) StartAttempt(alloc, node uint32, _ float64) {
+	d.offers[alloc] = append(d.offers[alloc], node)
+}
+func (d *desk) Shed(uint32, float64)     { d.declined++ }
+func (d *desk) Fail(uint32)              { d.failed++ }
+func (d *desk) Cancel(uint32, uint8)     {}
+func (d *desk) Migrate(uint32)           {}
+func (d *desk) Probe(uint32)             {}
+func (d *desk) WatchList(bool)           {}
+func (d *desk) ReloadList()              {}
+func (d *desk) SetTimer(float64, uint64) {}
+func (d *desk) Log(string)               {}
 
 func TestPolicies(t *testing.T) {
 	cl := &logic.Cluster{MaxTries: 3, KindCores: []float64{10}, KindMemory: []float64{10}, JobTypes: []logic.JobType{
@@ -31,14 +33,14 @@
 		t.Run(name, func(t *testing.T) {
 			d := &desk{offers: map[uint32][]uint32{}}
 			p := Made(name)(d, 0, 1, cl)
-			p.ListBegin(0, logic.ListFull)
+			p.OnListBegin(0, logic.ListFull)
 			for i := range uint32(6) {
-				p.ListNode(0, i+1, logic.Ready, 0, float64(i), 10, int(i/3), 0, 0) // the last has the most room
+				p.OnListNode(0, i+1, logic.Ready, 0, float64(i), 10, int(i/3), 0, 0) // the last has the most room
 			}
-			p.ListNode(0, 7, logic.Draining, 0, 10, 10, 0, 0, 0)
-			p.ListEnd(0)
+			p.OnListNode(0, 7, logic.Draining, 0, 10, 10, 0, 0, 0)
+			p.OnListEnd(0)
 			for job := range 3 {
-				p.Allocate(0, uint32(job+1), job, 0, 5000, 9, 1, 1)
+				p.OnRequest(0, uint32(job+1), job, 0, 5000, 9, 1, 1)
 			}
 			p.Decide(0)
 			first := d.offers[2][0]
@@ -46,7 +48,7 @@
 				t.Errorf("offered to %d", d.offers[1][0])
 			}
 			for id := range uint32(3) {
-				p.Settled(100, id+1, d.offers[id+1][0], 0, 100, false, logic.NotTold, logic.TimedOut, nil)
+				p.OnOutcome(100, id+1, d.offers[id+1][0], 0, 100, false, logic.NotTold, logic.TimedOut, nil)
 			}
 			p.Decide(100)
 			if len(d.offers[1]) != 2 || len(d.offers[2]) != 2 || len(d.offers[3]) != 1 || d.failed != 1 {
@@ -55,12 +57,12 @@
 			if second := d.offers[2][1]; (first-1)/3 != (second-1)/3 || second == first {
 				t.Errorf("tokened at %d, then %d", first, second)
 			}
-			p.Settled(1500, 2, d.offers[2][1], 1, 100, false, logic.NotTold, logic.TimedOut, nil)
+			p.OnOutcome(1500, 2, d.offers[2][1], 1, 100, false, logic.NotTold, logic.TimedOut, nil)
 			p.Decide(1500)
 			if d.failed != 2 {
 				t.Error("tokened tried after its window")
 			}
-			p.Settled(1600, 1, d.offers[1][1], 1, 100, false, logic.NoCores, logic.Refused, nil)
+			p.OnOutcome(1600, 1, d.offers[1][1], 1, 100, false, logic.NoCores, logic.Refused, nil)
 			p.Decide(6000)
 			if d.declined != 1 {
 				t.Errorf("%d declined after the expiry", d.declined)
--- a/internal/platform/host/actions.go
+++ b/internal/platform/host/actions.go
@@ -9,7 +9,7 @@
 // acts carries out what the module decides.
 type acts struct{ *Host }
 
-func (h acts) Offer(id, node uint32, timeout float64) {
+func (h acts) StartAttempt(id, node uint32, timeout float64) {
 	a := h.allocs[id]
 	if a == nil {
 		return // an id that was never given, or is long over: there is nobody to tell
@@ -34,7 +34,7 @@
 	h.edge.Offer(id, uint8(a.tries-1), node, left)
 }
 
-func (h acts) Decline(id uint32, _ float64) { h.answer(id, true) }
+func (h acts) Shed(id uint32, _ float64) { h.answer(id, true) }
 
 func (h acts) Fail(id uint32) { h.answer(id, false) }
 
@@ -46,13 +46,13 @@
 	}
 }
 
-func (h acts) Recall(id uint32, try uint8) {
+func (h acts) Cancel(id uint32, try uint8) {
 	if a := h.allocs[id]; a != nil && a.told() == try {
 		h.callOff(id, a)
 	}
 }
 
-func (h acts) Move(id uint32) {
+func (h acts) Migrate(id uint32) {
 	if a := h.allocs[id]; a != nil && a.stands && !a.unheard {
 		a.unheard, a.moved = true, true
 		h.edge.Move(id) // ends it at its node too: a cut that came first there would leave the client untold
@@ -68,14 +68,14 @@
 	h.edge.Probe(node, p.seq)
 }
 
-func (h acts) Follow(active bool) {
+func (h acts) WatchList(active bool) {
 	if active {
 		h.edge.Follow()
 	}
 }
 
-func (h acts) Reload() { h.edge.Follow() }
+func (h acts) ReloadList() { h.edge.Follow() }
 
-func (h acts) Wake(delay float64, key uint64) { h.bells.Set(h.now+max(0, delay), dueWake, key) }
+func (h acts) SetTimer(delay float64, key uint64) { h.bells.Set(h.now+max(0, delay), dueWake, key) }
 
 func (h acts) Log(line string) { h.edge.Mode(line) }
--- a/internal/platform/host/fence.go
+++ b/internal/platform/host/fence.go
@@ -64,7 +64,7 @@
 		if a := h.allocs[id]; a.stands {
 			a.before = a.tries - 1
 			h.tell(func(m *logic.Scheduler) {
-				m.Found(h.now, id, a.request.jobType, a.request.tenant, a.request.service, a.request.cores, a.request.memory, a.node)
+				m.OnRecovered(h.now, id, a.request.jobType, a.request.tenant, a.request.service, a.request.cores, a.request.memory, a.node)
 			})
 		}
 	}
@@ -145,11 +145,11 @@
 // then, so that it is paced for as long as it may be cold.
 func (l *list) retell(now float64) func(*logic.Scheduler) {
 	return func(m *logic.Scheduler) {
-		m.ListBegin(now, logic.ListCached)
+		m.OnListBegin(now, logic.ListCached)
 		for _, id := range slices.Sorted(maps.Keys(l.all)) {
 			e := l.all[id]
-			m.ListNode(now, id, e.avail, max(e.since, e.entered), e.freeCores, e.freeMemory, e.zone, e.cell, e.kind)
+			m.OnListNode(now, id, e.avail, max(e.since, e.entered), e.freeCores, e.freeMemory, e.zone, e.cell, e.kind)
 		}
-		m.ListEnd(now)
+		m.OnListEnd(now)
 	}
 }
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -181,12 +181,12 @@
 	id, try := uint32(key>>8), int(uint8(key))
 	switch what {
 	case dueWake:
-		h.tell(func(m *logic.Scheduler) { m.Woken(h.now, key) })
+		h.tell(func(m *logic.Scheduler) { m.OnTimer(h.now, key) })
 	case dueProbe, dueProbeLate:
 		node := uint32(key >> 32)
 		if p, ok := h.probes[node]; ok && p.seq == uint32(key) {
 			delete(h.probes, node)
-			h.tell(func(m *logic.Scheduler) { m.Probed(h.now, node, logic.TimedOut, h.now-p.at, nil) })
+			h.tell(func(m *logic.Scheduler) { m.OnProbeResult(h.now, node, logic.TimedOut, h.now-p.at, nil) })
 		}
 	case dueLapse:
 		if a := h.allocs[uint32(key)]; a != nil && !a.over {
@@ -222,20 +222,20 @@
 func (h *Host) ListBegin(now float64, kind logic.ListKind) {
 	h.hear(now)
 	h.fence.list.begin(kind)
-	h.tell(func(m *logic.Scheduler) { m.ListBegin(h.now, kind) })
+	h.tell(func(m *logic.Scheduler) { m.OnListBegin(h.now, kind) })
 }
 
 func (h *Host) ListNode(node uint32, avail logic.Availability, since, freeCores, freeMemory float64, zone, cell, kind int) {
 	h.fence.list.node(h.now, node, entry{avail, since, freeCores, freeMemory, zone, cell, kind, 0})
 	h.tell(func(m *logic.Scheduler) {
-		m.ListNode(h.now, node, avail, since, freeCores, freeMemory, zone, cell, kind)
+		m.OnListNode(h.now, node, avail, since, freeCores, freeMemory, zone, cell, kind)
 	})
 }
 
 func (h *Host) ListEnd() {
 	h.fence.list.end()
 	h.prune()
-	h.tell(func(m *logic.Scheduler) { m.ListEnd(h.now) })
+	h.tell(func(m *logic.Scheduler) { m.OnListEnd(h.now) })
 }
 
 // Allocate takes an allocation and gives it a number.
@@ -245,7 +245,7 @@
 	h.allocs[h.count] = &alloc{request: request{jobType, tenant, service, cores, memory}, expiry: expiry}
 	h.open++
 	h.bells.Set(expiry, dueLapse, uint64(h.count))
-	h.tell(func(m *logic.Scheduler) { m.Allocate(h.now, h.count, jobType, tenant, expiry, service, cores, memory) })
+	h.tell(func(m *logic.Scheduler) { m.OnRequest(h.now, h.count, jobType, tenant, expiry, service, cores, memory) })
 	return h.count
 }
 
@@ -256,7 +256,7 @@
 	h.allocs[h.count] = &alloc{request: request{jobType, tenant, service, cores, memory}, node: node, sentAt: h.now, tries: 1, out: true,
 		stands: true, over: true}
 	h.stands++
-	h.tell(func(m *logic.Scheduler) { m.Found(h.now, h.count, jobType, tenant, service, cores, memory, node) })
+	h.tell(func(m *logic.Scheduler) { m.OnRecovered(h.now, h.count, jobType, tenant, service, cores, memory, node) })
 	return h.count
 }
 
@@ -271,7 +271,7 @@
 	a.stands = true
 	h.stands++
 	h.answered(a)
-	h.tell(func(m *logic.Scheduler) { m.Started(h.now, id, a.told(), h.now-a.sentAt) })
+	h.tell(func(m *logic.Scheduler) { m.OnStarted(h.now, id, a.told(), h.now-a.sentAt) })
 	return true
 }
 
@@ -300,7 +300,7 @@
 		job := h.fence.cl.JobTypes[a.request.jobType]
 		h.edge.Answer(id, outcome.DeclinedAfterRun(job.Effect, job.Group))
 		h.answered(a)
-		h.tell(func(m *logic.Scheduler) { m.Lapsed(h.now, id) })
+		h.tell(func(m *logic.Scheduler) { m.OnExpired(h.now, id) })
 	}
 	h.settle(id, a, end.Unstarted, end.Reason, report)
 	return ran
@@ -324,7 +324,7 @@
 	a.out, a.stands, a.awaiting = false, false, false
 	h.weigh(a.node, report)
 	h.tell(func(m *logic.Scheduler) {
-		m.Settled(h.now, id, a.node, a.told(), h.now-a.sentAt, a.over, why, v, report)
+		m.OnOutcome(h.now, id, a.node, a.told(), h.now-a.sentAt, a.over, why, v, report)
 	})
 	h.sweep(id, a)
 }
@@ -334,7 +334,7 @@
 	if a := h.allocs[id]; a != nil && a.out {
 		h.hear(now)
 		a.noted = true
-		h.tell(func(m *logic.Scheduler) { m.Noted(h.now, id, a.told(), a.node, kind, value) })
+		h.tell(func(m *logic.Scheduler) { m.OnTaskMetric(h.now, id, a.told(), a.node, kind, value) })
 	}
 }
 
@@ -349,7 +349,7 @@
 	if a.stands {
 		h.edge.Cut(id, a.node)
 		h.bells.Set(h.now+outcome.Latest(), dueEnd, tryKey(id, a.tries-1))
-		h.tell(func(m *logic.Scheduler) { m.Lapsed(h.now, id) })
+		h.tell(func(m *logic.Scheduler) { m.OnExpired(h.now, id) })
 		return
 	}
 	if !a.over {
@@ -360,7 +360,7 @@
 // lapse ends an allocation that the module has not answered. A try that is out is called off.
 func (h *Host) lapse(id uint32, a *alloc) {
 	h.answered(a)
-	h.tell(func(m *logic.Scheduler) { m.Lapsed(h.now, id) })
+	h.tell(func(m *logic.Scheduler) { m.OnExpired(h.now, id) })
 	h.callOff(id, a)
 	h.sweep(id, a)
 }
@@ -409,6 +409,6 @@
 		h.hear(now)
 		delete(h.probes, node)
 		h.weigh(node, report)
-		h.tell(func(m *logic.Scheduler) { m.Probed(h.now, node, verdict, h.now-p.at, report) })
+		h.tell(func(m *logic.Scheduler) { m.OnProbeResult(h.now, node, verdict, h.now-p.at, report) })
 	}
 }
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -269,7 +269,7 @@
 		}, "move 1, forget 1"},
 		{"the node says nothing", func(*script, uint32) {}, "move 1, cut 1, forget 1"},
 		{"asked twice", func(s *script, id uint32) {
-			acts{s.h}.Move(id)
+			acts{s.h}.Migrate(id)
 			s.h.Settled(s.now, id, 0, logic.CalledOff, logic.NotTold, nil)
 		}, "move 1, forget 1"},
 		{"the client ends it too", func(s *script, id uint32) {
@@ -281,11 +281,11 @@
 			s := begin(t, 4)
 			id := s.ask(restartable)
 			s.pass(10)
-			acts{s.h}.Move(id)
+			acts{s.h}.Migrate(id)
 			s.want("not before it stands", "offer 1.0")
 			s.h.Started(s.now, id, 0)
 			s.pass(10)
-			acts{s.h}.Move(id)
+			acts{s.h}.Migrate(id)
 			c.words(s, id)
 			s.pass(3000)
 			s.want("moved", c.want)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,33 +28,33 @@
 // quiet is a host that only listens.
 type quiet struct{ offers int }
 
-func (q *quiet) Offer(uint32, uint32, float64) { q.offers++ }
-func (q *quiet) Decline(uint32, float64)       {}
-func (q *quiet) Fail(uint32)                   {}
-func (q *quiet) Recall(uint32, uint8)          {}
-func (q *quiet) Move(uint32)                   {}
-func (q *quiet) Probe(uint32)                  {}
-func (q *quiet) Follow(bool)                   {}
-func (q *quiet) Reload()                       {}
-func (q *quiet) Wake(float64, uint64)          {}
-func (q *quiet) Log(string)                    {}
+func (q *quiet) StartAttempt(uint32, uint32, float64) { q.offers++ }
+func (q *quiet) Shed(uint32, float64)                 {}
+func (q *quiet) Fail(uint32)                          {}
+func (q *quiet) Cancel(uint32, uint8)                 {}
+func (q *quiet) Migrate(uint32)                       {}
+func (q *quiet) Probe(uint32)                         {}
+func (q *quiet) WatchList(bool)                       {}
+func (q *quiet) ReloadList()                          {}
+func (q *quiet) SetTimer(float64, uint64)             {}
+func (q *quiet) Log(string)                           {}
 
 // play has a module of a deployment place some work.
 func play(d *Deployment) (offers int) {
 	q := &quiet{}
 	now := 1e6
 	s := logic.New(q, now, 7, d.Cluster)
-	s.ListBegin(now, logic.ListCached)
+	s.OnListBegin(now, logic.ListCached)
 	for i := range 6 {
-		s.ListNode(now, uint32(10+i), logic.Ready, float64(i%2)*now, 30, 60, i%2, i, i%len(d.Cluster.KindCores))
+		s.OnListNode(now, uint32(10+i), logic.Ready, float64(i%2)*now, 30, 60, i%2, i, i%len(d.Cluster.KindCores))
 	}
-	s.ListEnd(now)
+	s.OnListEnd(now)
 	for i := range 30 {
 		j := i % len(d.JobTypes)
 		now += 300
-		s.Allocate(now, uint32(i), j, 0, now+d.Expiry[j], uint64(i%3), 1, 2)
+		s.OnRequest(now, uint32(i), j, 0, now+d.Expiry[j], uint64(i%3), 1, 2)
 		s.Decide(now)
-		s.Woken(now, 0)
+		s.OnTimer(now, 0)
 		s.Decide(now)
 	}
 	return q.offers
--- a/logic/belief_test.go
+++ b/logic/belief_test.go
@@ -25,7 +25,7 @@
 			if _, _, ok := x.s.Mistaken(x.now, 11, []float64{1, 1}); ok {
 				t.Error("an unknown node")
 			}
-			x.s.Probed(x.now, 10, Ended, 1, []float64{30, 60})
+			x.s.OnProbeResult(x.now, 10, Ended, 1, []float64{30, 60})
 			if _, _, ok := x.s.Mistaken(x.now, 10, []float64{1, 1}); ok {
 				t.Error("a report no newer than the last")
 			}
@@ -38,7 +38,7 @@
 			if !ok || cores != c.off || memory != c.offM {
 				t.Errorf("%g cores, %g memory, %t; want %g, %g", cores, memory, ok, c.off, c.offM)
 			}
-			x.s.Probed(x.now, 10, Ended, 1, report)
+			x.s.OnProbeResult(x.now, 10, Ended, 1, report)
 			held := 0.0
 			if c.after < reportLag {
 				held = 1
@@ -59,12 +59,12 @@
 	if _, ok := x.s.Believes(11); ok {
 		t.Error("an unknown node")
 	}
-	x.s.Probed(x.now, 10, Ended, 1, []float64{30, 60})
+	x.s.OnProbeResult(x.now, 10, Ended, 1, []float64{30, 60})
 	x.ask(1, 0, 5)
 	x.settle(1, 0, Errored, NotTold)
 	x.ask(2, 0, 5)
-	x.s.Started(x.now, 2, 0, 10)
-	x.s.Noted(x.now, 2, 0, 10, ServedShare, 0)
+	x.s.OnStarted(x.now, 2, 0, 10)
+	x.s.OnTaskMetric(x.now, 2, 0, 10, ServedShare, 0)
 	if b, ok := x.s.Believes(10); !ok || b.Risk != 0.25 || b.Strain != 0.5 {
 		t.Errorf("%+v", b)
 	}
@@ -76,8 +76,8 @@
 	for _, avail := range []Availability{Draining, Gone} {
 		x := start(t, cluster(), 1)
 		x.change(11, avail, 0)
-		x.s.Found(x.now, 5, 0, 0, 9, 1, 2, 11)
-		x.s.Settled(x.now, 5, 11, 0, 100, true, NotTold, Ended, []float64{30, 60})
+		x.s.OnRecovered(x.now, 5, 0, 0, 9, 1, 2, 11)
+		x.s.OnOutcome(x.now, 5, 11, 0, 100, true, NotTold, Ended, []float64{30, 60})
 		if b, ok := x.s.Believes(11); !ok || b.Cores != 31 || b.Risk != 0 { // one of them given back since it was measured
 			t.Errorf("named as %d: %+v, %t", avail, b, ok)
 		}
@@ -113,17 +113,17 @@
 				}
 			},
 			"list": func(*rapid.T) {
-				x.s.ListBegin(x.now, ListKind(rapid.IntRange(0, int(ListFailed)).Draw(rt, "kind")))
+				x.s.OnListBegin(x.now, ListKind(rapid.IntRange(0, int(ListFailed)).Draw(rt, "kind")))
 				for range rapid.IntRange(0, 4).Draw(rt, "nodes") {
 					since := rapid.SampledFrom([]float64{0, x.now - 100, x.now + 50}).Draw(rt, "since")
 					x.node(node(), Availability(rapid.IntRange(0, int(Draining)).Draw(rt, "state")), since)
 				}
-				x.s.ListEnd(x.now)
+				x.s.OnListEnd(x.now)
 			},
 			"found": func(*rapid.T) {
 				ids++
 				found[ids] = node()
-				x.s.Found(x.now, ids, rapid.IntRange(0, 2).Draw(rt, "job"), 0, 9, 1, 2, found[ids])
+				x.s.OnRecovered(x.now, ids, rapid.IntRange(0, 2).Draw(rt, "job"), 0, 9, 1, 2, found[ids])
 			},
 			"ask": func(*rapid.T) {
 				ids++
@@ -132,18 +132,18 @@
 			"started": func(*rapid.T) {
 				id := rapid.Uint32Range(1, 20).Draw(rt, "alloc")
 				if i, ok := x.s.allocAt[id]; ok && x.s.allocs[i].out && !x.s.allocs[i].placed {
-					x.s.Started(x.now, id, uint8(x.s.allocs[i].tries-1), 50)
+					x.s.OnStarted(x.now, id, uint8(x.s.allocs[i].tries-1), 50)
 				}
 			},
 			"settled": func(*rapid.T) {
 				id := rapid.Uint32Range(1, 20).Draw(rt, "alloc")
 				if i, ok := x.s.allocAt[id]; ok && x.s.allocs[i].out {
 					a := &x.s.allocs[i]
-					x.s.Settled(x.now, id, x.s.nodes[a.nd].id, uint8(a.tries-1), 50, a.over,
+					x.s.OnOutcome(x.now, id, x.s.nodes[a.nd].id, uint8(a.tries-1), 50, a.over,
 						Reason(rapid.IntRange(0, int(SentAway)).Draw(rt, "why")), verdict(), report())
 				}
 			},
-			"probed": func(*rapid.T) { x.s.Probed(x.now, node(), verdict(), 5, report()) },
+			"probed": func(*rapid.T) { x.s.OnProbeResult(x.now, node(), verdict(), 5, report()) },
 			"pass":   func(*rapid.T) { x.pass(rapid.Float64Range(1, 1500).Draw(rt, "ms")) },
 			"": func(*rapid.T) {
 				for id := uint32(9); id < 18; id++ {
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -46,16 +46,16 @@
 }
 
 // Host, as far as it matters here.
-func (p *party) Decline(uint32, float64) {}
-func (p *party) Fail(uint32)             {}
-func (p *party) Recall(uint32, uint8)    {}
-func (p *party) Move(uint32)             {}
-func (p *party) Probe(uint32)            {}
-func (p *party) Follow(bool)             {}
-func (p *party) Reload()                 {}
-func (p *party) Wake(float64, uint64)    {}
-func (p *party) Log(string)              {}
-func (p *party) Offer(alloc, node uint32, _ float64) {
+func (p *party) Shed(uint32, float64)     {}
+func (p *party) Fail(uint32)              {}
+func (p *party) Cancel(uint32, uint8)     {}
+func (p *party) Migrate(uint32)           {}
+func (p *party) Probe(uint32)             {}
+func (p *party) WatchList(bool)           {}
+func (p *party) ReloadList()              {}
+func (p *party) SetTimer(float64, uint64) {}
+func (p *party) Log(string)               {}
+func (p *party) StartAttempt(alloc, node uint32, _ float64) {
 	g := p.together
 	g.sends[node] = append(g.sends[node], g.now+g.way())
 	try := uint8(0)
@@ -76,11 +76,11 @@
 	p.seed++
 	p.s = New(p, g.now, p.seed, &cl)
 	p.out = nil
-	p.s.ListBegin(g.now, ListCached)
+	p.s.OnListBegin(g.now, ListCached)
 	for id, since := range p.started {
-		p.s.ListNode(g.now, id, Ready, since, 40, 80, int(id)%3, int(id)%5, 0)
+		p.s.OnListNode(g.now, id, Ready, since, 40, 80, int(id)%3, int(id)%5, 0)
 	}
-	p.s.ListEnd(g.now)
+	p.s.OnListEnd(g.now)
 }
 
 // TestColdSum drives 3 to 30 schedulers that hear of starts at times of their own, are restarted in the ramp, and whose offers take
@@ -121,20 +121,20 @@
 						return false
 					}
 					p.started[v.node] = max(p.started[v.node], v.said)
-					p.s.ListBegin(g.now, ListChanges)
-					p.s.ListNode(g.now, v.node, Ready, v.said, 40, 80, int(v.node)%3, int(v.node)%5, 0)
-					p.s.ListEnd(g.now)
+					p.s.OnListBegin(g.now, ListChanges)
+					p.s.OnListNode(g.now, v.node, Ready, v.said, 40, 80, int(v.node)%3, int(v.node)%5, 0)
+					p.s.OnListEnd(g.now)
 					return true
 				})
 				for _, o := range slices.Clone(p.out) {
 					if o.at <= g.now && o.at > g.now-50 {
-						p.s.Settled(g.now, o.alloc, o.node, o.try, 100, false, LongLine, o.v, nil)
+						p.s.OnOutcome(g.now, o.alloc, o.node, o.try, 100, false, LongLine, o.v, nil)
 					}
 				}
 				g.ids++
-				p.s.Allocate(g.now, g.ids, 0, 0, g.now+5000, uint64(g.ids%7), 0.1, 0.1)
-				p.s.Woken(g.now, keyTick)
-				p.s.Woken(g.now, keyScan)
+				p.s.OnRequest(g.now, g.ids, 0, 0, g.now+5000, uint64(g.ids%7), 0.1, 0.1)
+				p.s.OnTimer(g.now, keyTick)
+				p.s.OnTimer(g.now, keyScan)
 				p.s.Decide(g.now)
 			}
 		}
--- a/logic/full_test.go
+++ b/logic/full_test.go
@@ -18,18 +18,18 @@
 		cl.JobTypes[2].Spread, cl.JobTypes[2].Most, cl.JobTypes[2].Value = PerNode, 1, 0.5
 		cl.FleetPrice = float64(seed % 2)
 		x := start(t, cl, 3)
-		x.s.ListBegin(x.now, ListChanges)
-		x.s.ListNode(x.now, 13, Ready, 0, 64, 128, 0, 0, 1)
-		x.s.ListEnd(x.now)
+		x.s.OnListBegin(x.now, ListChanges)
+		x.s.OnListNode(x.now, 13, Ready, 0, 64, 128, 0, 0, 1)
+		x.s.OnListEnd(x.now)
 		x.s.nodes[3].recentUntil, x.s.nodes[3].heard = 0, x.now
 		for id := uint32(1); id < 120; id++ {
 			x.now += 100 * rng.Float64()
 			size := float64(1 + rng.IntN(12))
-			x.s.Allocate(x.now, id, rng.IntN(3), 0, x.now+3000+4000*rng.Float64(), uint64(1+rng.IntN(5)), size, 2*size*rng.Float64())
+			x.s.OnRequest(x.now, id, rng.IntN(3), 0, x.now+3000+4000*rng.Float64(), uint64(1+rng.IntN(5)), size, 2*size*rng.Float64())
 			if rng.IntN(3) == 0 {
-				x.s.Woken(x.now, keyTick)
+				x.s.OnTimer(x.now, keyTick)
 			}
-			x.s.Woken(x.now, keyScan)
+			x.s.OnTimer(x.now, keyScan)
 			x.s.Decide(x.now)
 			spared += len(x.s.waiting) - len(x.s.full)
 			for _, i := range x.s.waiting {
@@ -54,11 +54,11 @@
 				nd := x.s.nodes[a.nd].id
 				try := uint8(a.tries - 1)
 				if !a.placed && rng.IntN(2) == 0 {
-					x.s.Started(x.now, a.id, try, 50)
+					x.s.OnStarted(x.now, a.id, try, 50)
 				} else {
 					v := []Verdict{Ended, Refused, Errored, TimedOut, Unreached}[rng.IntN(5)]
 					report := []float64{40 * rng.Float64(), 80 * rng.Float64()}
-					x.s.Settled(x.now, a.id, nd, try, 50, false, []Reason{NotTold, NoCores, NoMemory, NotHere}[rng.IntN(4)], v, report)
+					x.s.OnOutcome(x.now, a.id, nd, try, 50, false, []Reason{NotTold, NoCores, NoMemory, NotHere}[rng.IntN(4)], v, report)
 				}
 			}
 		}
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -11,16 +11,16 @@
 
 func (b *book) add(f string, args ...any) { b.lines = append(b.lines, fmt.Sprintf(f, args...)) }
 
-func (b *book) Offer(alloc, node uint32, _ float64) { b.add("offer %d %d", alloc, node) }
-func (b *book) Decline(alloc uint32, _ float64)     { b.add("decline %d", alloc) }
-func (b *book) Fail(alloc uint32)                   { b.add("fail %d", alloc) }
-func (b *book) Recall(alloc uint32, try uint8)      { b.add("recall %d %d", alloc, try) }
-func (b *book) Move(alloc uint32)                   { b.add("move %d", alloc) }
-func (b *book) Probe(node uint32)                   { b.add("probe %d", node) }
-func (b *book) Follow(active bool)                  { b.add("follow") }
-func (b *book) Reload()                             { b.add("reload") }
-func (b *book) Wake(float64, uint64)                {}
-func (b *book) Log(line string)                     { b.add("log %s", line) }
+func (b *book) StartAttempt(alloc, node uint32, _ float64) { b.add("offer %d %d", alloc, node) }
+func (b *book) Shed(alloc uint32, _ float64)               { b.add("decline %d", alloc) }
+func (b *book) Fail(alloc uint32)                          { b.add("fail %d", alloc) }
+func (b *book) Cancel(alloc uint32, try uint8)             { b.add("recall %d %d", alloc, try) }
+func (b *book) Migrate(alloc uint32)                       { b.add("move %d", alloc) }
+func (b *book) Probe(node uint32)                          { b.add("probe %d", node) }
+func (b *book) WatchList(active bool)                      { b.add("follow") }
+func (b *book) ReloadList()                                { b.add("reload") }
+func (b *book) SetTimer(float64, uint64)                   {}
+func (b *book) Log(line string)                            { b.add("log %s", line) }
 
 // count is the number of lines that begin so.
 func (b *book) count(prefix string) int {
@@ -67,11 +67,11 @@
 func start(t *testing.T, cl *Cluster, nodes int) *bench {
 	x := &bench{t: t, b: &book{}, now: t0}
 	x.s = New(x.b, t0, 7, cl)
-	x.s.ListBegin(t0, ListCached)
+	x.s.OnListBegin(t0, ListCached)
 	for i := range nodes {
 		x.node(uint32(10+i), Ready, 0)
 	}
-	x.s.ListEnd(t0)
+	x.s.OnListEnd(t0)
 	for i := range x.s.nodes {
 		x.s.nodes[i].heard = t0
 	}
@@ -80,25 +80,25 @@
 
 func (x *bench) node(id uint32, avail Availability, since float64) {
 	i := int(id - 10)
-	x.s.ListNode(x.now, id, avail, since, 40, 80, i/4, i/2, 0)
+	x.s.OnListNode(x.now, id, avail, since, 40, 80, i/4, i/2, 0)
 }
 
 // change tells of one node's new state.
 func (x *bench) change(id uint32, avail Availability, since float64) {
-	x.s.ListBegin(x.now, ListChanges)
+	x.s.OnListBegin(x.now, ListChanges)
 	x.node(id, avail, since)
-	x.s.ListEnd(x.now)
+	x.s.OnListEnd(x.now)
 }
 
 // ask hands in an allocation of 1 core and 2 memory with 5 s to go.
 func (x *bench) ask(id uint32, jobType int, service uint64) {
-	x.s.Allocate(x.now, id, jobType, 0, x.now+5000, service, 1, 2)
+	x.s.OnRequest(x.now, id, jobType, 0, x.now+5000, service, 1, 2)
 	x.s.Decide(x.now)
 }
 
 // settle reports an outcome of the last offer of an allocation.
 func (x *bench) settle(id uint32, try uint8, v Verdict, why Reason) {
-	x.s.Settled(x.now, id, x.b.last(), try, 100, false, why, v, nil)
+	x.s.OnOutcome(x.now, id, x.b.last(), try, 100, false, why, v, nil)
 	x.s.Decide(x.now)
 }
 
@@ -106,8 +106,8 @@
 func (x *bench) pass(ms float64) {
 	for end := x.now + ms; x.now < end; {
 		x.now = min(x.now+tickEvery, end)
-		x.s.Woken(x.now, keyTick)
-		x.s.Woken(x.now, keyScan)
+		x.s.OnTimer(x.now, keyTick)
+		x.s.OnTimer(x.now, keyScan)
 		x.s.Decide(x.now)
 	}
 }
--- a/logic/iface.go
+++ b/logic/iface.go
@@ -4,34 +4,34 @@
 // fractions on the caller's clock, which only moves forward. Calls come one at a time; Decide closes each
 // round of calls that share a time.
 
-// Host carries out what the module decides, in the order of its calls.
-type Host interface {
-	Offer(alloc uint32, node uint32, timeout float64) // a placement try
-	Decline(alloc uint32, holdOff float64)            // final: asking again does no harm
-	Fail(alloc uint32)                                // final: promises nothing
-	Recall(alloc uint32, try uint8)
-	Move(alloc uint32)
+// Effects carries out what the module decides, in the order of its calls.
+type Effects interface {
+	StartAttempt(alloc uint32, node uint32, timeout float64) // a placement try
+	Shed(alloc uint32, holdOff float64)                      // final: asking again does no harm
+	Fail(alloc uint32)                                       // final: promises nothing
+	Cancel(alloc uint32, try uint8)
+	Migrate(alloc uint32)
 	Probe(node uint32)
-	Follow(active bool) // a watch on the node list
-	Reload()            // the whole node list, once
-	Wake(delay float64, key uint64)
+	WatchList(active bool) // a watch on the node list
+	ReloadList()           // the whole node list, once
+	SetTimer(delay float64, key uint64)
 	Log(line string)
 }
 
-// Told is all that the module hears.
-type Told interface {
-	ListBegin(now float64, kind ListKind)
-	ListNode(now float64, node uint32, avail Availability, since, freeCores, freeMemory float64, zone, cell, kind int)
-	ListEnd(now float64)
-	Allocate(now float64, alloc uint32, jobType, tenant int, expiry float64, service uint64, cores, memory float64)
-	Found(now float64, alloc uint32, jobType, tenant int, service uint64, cores, memory float64, node uint32)
-	Started(now float64, alloc uint32, try uint8, took float64)
-	Settled(now float64, alloc uint32, node uint32, try uint8, took float64, over bool, why Reason, verdict Verdict,
+// EventHandler is all that the module hears.
+type EventHandler interface {
+	OnListBegin(now float64, kind ListKind)
+	OnListNode(now float64, node uint32, avail Availability, since, freeCores, freeMemory float64, zone, cell, kind int)
+	OnListEnd(now float64)
+	OnRequest(now float64, alloc uint32, jobType, tenant int, expiry float64, service uint64, cores, memory float64)
+	OnRecovered(now float64, alloc uint32, jobType, tenant int, service uint64, cores, memory float64, node uint32)
+	OnStarted(now float64, alloc uint32, try uint8, took float64)
+	OnOutcome(now float64, alloc uint32, node uint32, try uint8, took float64, over bool, why Reason, verdict Verdict,
 		report []float64)
-	Noted(now float64, alloc uint32, try uint8, node uint32, kind NoteKind, value float64)
-	Lapsed(now float64, alloc uint32)
-	Probed(now float64, node uint32, verdict Verdict, took float64, report []float64)
-	Woken(now float64, key uint64)
+	OnTaskMetric(now float64, alloc uint32, try uint8, node uint32, kind NoteKind, value float64)
+	OnExpired(now float64, alloc uint32)
+	OnProbeResult(now float64, node uint32, verdict Verdict, took float64, report []float64)
+	OnTimer(now float64, key uint64)
 	Decide(now float64)
 }
 
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -151,7 +151,7 @@
 
 // Scheduler is the decision module of one scheduler.
 type Scheduler struct {
-	host                        Host
+	host                        Effects
 	rng                         pcg
 	now, born                   float64
 	cl                          *Cluster
@@ -198,7 +198,7 @@
 }
 
 // New starts a scheduler that knows nothing yet; its last list comes next.
-func New(host Host, now float64, seed uint64, cl *Cluster) *Scheduler {
+func New(host Effects, now float64, seed uint64, cl *Cluster) *Scheduler {
 	s := &Scheduler{host: host, rng: pcg{seed}, now: now, born: now, cl: cl,
 		asked: [2]float64{20, 20}, used: [2]float64{12, 14}, // a weak first guess of use
 		bigPart: [2]float64{0, 1}, x0: slices.Index(cl.Report, "x0"), x1: slices.Index(cl.Report, "x1"),
@@ -214,7 +214,7 @@
 		s.jobs = append(s.jobs, j)
 	}
 	s.callAt = now + s.rng.float()*min(cl.AskEvery/3, followEach*float64(cl.Schedulers))
-	host.Wake(tickEvery*s.rng.float(), keyTick)
+	host.SetTimer(tickEvery*s.rng.float(), keyTick)
 	return s
 }
 
@@ -227,7 +227,7 @@
 	}
 }
 
-func (s *Scheduler) ListBegin(now float64, kind ListKind) {
+func (s *Scheduler) OnListBegin(now float64, kind ListKind) {
 	s.now, s.listKind = now, kind
 	s.page++
 	if kind == ListCached {
@@ -235,7 +235,7 @@
 	}
 }
 
-func (s *Scheduler) ListNode(now float64, id uint32, avail Availability, since, freeCores, freeMemory float64,
+func (s *Scheduler) OnListNode(now float64, id uint32, avail Availability, since, freeCores, freeMemory float64,
 	zone, cell, kind int) {
 	i, ok := s.nodeAt[id]
 	if !ok {
@@ -279,7 +279,7 @@
 	}
 }
 
-func (s *Scheduler) ListEnd(now float64) {
+func (s *Scheduler) OnListEnd(now float64) {
 	if s.listKind == ListFailed {
 		s.fails++
 		s.callAt = now + followAgain*float64(min(s.fails, 4))*(0.5+s.rng.float())
@@ -390,7 +390,7 @@
 	s.freeAlloc = append(s.freeAlloc, i)
 }
 
-func (s *Scheduler) Allocate(now float64, id uint32, jobType, _ int, expiry float64, svcKey uint64,
+func (s *Scheduler) OnRequest(now float64, id uint32, jobType, _ int, expiry float64, svcKey uint64,
 	cores, memory float64) {
 	s.now = now
 	i := s.take(id, jobType, svcKey, cores, memory)
@@ -402,12 +402,12 @@
 		s.bigValue = s.jobs[jobType].Value
 	}
 	s.waiting = append(s.waiting, i)
-	s.host.Wake(s.allocs[i].expiry-now, keyAlloc+uint64(id))
+	s.host.SetTimer(s.allocs[i].expiry-now, keyAlloc+uint64(id))
 	s.credit = min(s.credit+1, float64(len(s.nodes)))
 	s.scanAt = now
 }
 
-func (s *Scheduler) Found(now float64, id uint32, jobType, _ int, svcKey uint64, cores, memory float64,
+func (s *Scheduler) OnRecovered(now float64, id uint32, jobType, _ int, svcKey uint64, cores, memory float64,
 	nodeID uint32) {
 	s.now = now
 	n, ok := s.nodeAt[nodeID]
@@ -466,7 +466,7 @@
 	s.scanAt = now + scanEvery
 	if len(left) > 0 && !s.scanSet {
 		s.scanSet = true
-		s.host.Wake(scanEvery, keyScan)
+		s.host.SetTimer(scanEvery, keyScan)
 	}
 	if short := len(left) > 2*len(s.jobs); short != s.short && (short || len(left) == 0) {
 		s.short = short
@@ -507,7 +507,7 @@
 func (s *Scheduler) answer(a *alloc) {
 	j := &s.jobs[a.job]
 	if j.Effect == Restartable || !a.out && (!a.doubt || j.Effect == Tokened && j.Group == GroupAll) {
-		s.host.Decline(a.id, 0)
+		s.host.Shed(a.id, 0)
 	} else {
 		s.host.Fail(a.id)
 	}
@@ -802,7 +802,7 @@
 	s.act(nd, s.now, a.cores, a.memory)
 	nd.unanswered = append(nd.unanswered, s.allocAt[a.id])
 	nd.offers = append(nd.offers[max(0, len(nd.offers)-max(1, s.share)):], s.now) // before news of a start too
-	s.host.Offer(a.id, nd.id, wait)
+	s.host.StartAttempt(a.id, nd.id, wait)
 	return pass
 }
 
@@ -913,7 +913,7 @@
 	}
 }
 
-func (s *Scheduler) Started(now float64, id uint32, try uint8, took float64) {
+func (s *Scheduler) OnStarted(now float64, id uint32, try uint8, took float64) {
 	s.now = now
 	i, ok := s.allocAt[id]
 	if !ok {
@@ -929,7 +929,7 @@
 	s.jobs[a.job].starts.add(took)
 }
 
-func (s *Scheduler) Settled(now float64, id uint32, nodeID uint32, try uint8, took float64, over bool,
+func (s *Scheduler) OnOutcome(now float64, id uint32, nodeID uint32, try uint8, took float64, over bool,
 	why Reason, verdict Verdict, report []float64) {
 	s.now = now
 	if n, ok := s.nodeAt[nodeID]; ok {
@@ -958,8 +958,8 @@
 	return nd.strain * max(0, 1-(s.now-nd.strainAt)/strainFor)
 }
 
-// Noted learns what part of their asks tasks use, and how well they are served.
-func (s *Scheduler) Noted(now float64, id uint32, _ uint8, _ uint32, kind NoteKind, value float64) {
+// OnTaskMetric learns what part of their asks tasks use, and how well they are served.
+func (s *Scheduler) OnTaskMetric(now float64, id uint32, _ uint8, _ uint32, kind NoteKind, value float64) {
 	s.now = now
 	if i, ok := s.allocAt[id]; ok && s.allocs[i].placed && kind == ServedShare {
 		nd := &s.nodes[s.allocs[i].nd]
@@ -977,7 +977,7 @@
 	}
 }
 
-func (s *Scheduler) Lapsed(now float64, id uint32) {
+func (s *Scheduler) OnExpired(now float64, id uint32) {
 	s.now = now
 	if i, ok := s.allocAt[id]; ok {
 		s.allocs[i].over = true // a waiting one is dropped at the next scan
@@ -985,7 +985,7 @@
 	}
 }
 
-func (s *Scheduler) Probed(now float64, nodeID uint32, verdict Verdict, took float64, report []float64) {
+func (s *Scheduler) OnProbeResult(now float64, nodeID uint32, verdict Verdict, took float64, report []float64) {
 	s.now = now
 	n, ok := s.nodeAt[nodeID]
 	if !ok {
@@ -1000,19 +1000,19 @@
 	}
 }
 
-func (s *Scheduler) Woken(now float64, key uint64) {
+func (s *Scheduler) OnTimer(now float64, key uint64) {
 	s.now = now
 	switch key {
 	case keyTick:
 		s.tickDue = true
-		s.host.Wake(tickEvery, keyTick)
+		s.host.SetTimer(tickEvery, keyTick)
 	case keyScan:
 		s.scanSet = false
 	default:
 		if i, ok := s.allocAt[uint32(key-keyAlloc)]; ok && !s.allocs[i].over {
 			a := &s.allocs[i]
 			if a.out && s.cl.MayRecall {
-				s.host.Recall(a.id, uint8(a.tries-1))
+				s.host.Cancel(a.id, uint8(a.tries-1))
 			}
 			s.answer(a)
 			s.scanAt = now
@@ -1041,7 +1041,7 @@
 	s.refresh()
 	if s.cl.AsksForList && s.now >= s.callAt {
 		s.callAt = s.now + 2*followAgain*(1+s.rng.float())
-		s.host.Follow(true)
+		s.host.WatchList(true)
 	}
 }
 
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -95,7 +95,7 @@
 			x := start(t, cluster(), c.nodes)
 			x.ask(1, 2, 5)
 			c.run(x)
-			x.s.Woken(x.now, keyAlloc+1)
+			x.s.OnTimer(x.now, keyAlloc+1)
 			x.s.Decide(x.now)
 			offers := x.b.count("offer")
 			x.expect(c.want, 1)
@@ -121,8 +121,8 @@
 		{"ready", func(x *bench) {}, 1},
 		{"draining", func(x *bench) { x.change(10, Draining, 0) }, 0},
 		{"gone", func(x *bench) { x.change(10, Gone, 0) }, 0},
-		{"missing", func(x *bench) { x.s.ListBegin(x.now, ListFull); x.s.ListEnd(x.now) }, 0},
-		{"call failed", func(x *bench) { x.s.ListBegin(x.now, ListFailed); x.s.ListEnd(x.now) }, 1},
+		{"missing", func(x *bench) { x.s.OnListBegin(x.now, ListFull); x.s.OnListEnd(x.now) }, 0},
+		{"call failed", func(x *bench) { x.s.OnListBegin(x.now, ListFailed); x.s.OnListEnd(x.now) }, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := start(t, cluster(), 1)
@@ -156,9 +156,9 @@
 				x.pass(c.after)
 				kind = ListChanges
 			}
-			x.s.ListBegin(x.now, kind)
+			x.s.OnListBegin(x.now, kind)
 			x.node(10, Ready, x.now-c.since)
-			x.s.ListEnd(x.now)
+			x.s.OnListEnd(x.now)
 			x.s.nodes[0].heard = x.now
 			if c.since > 0 {
 				x.pass(c.after)
@@ -166,7 +166,7 @@
 			for id := range uint32(9) {
 				x.ask(id, 0, 5)
 				if c.v == Refused {
-					x.s.Settled(x.now, id, 10, 0, 5, false, NotHere, Refused, nil)
+					x.s.OnOutcome(x.now, id, 10, 0, 5, false, NotHere, Refused, nil)
 					x.s.nodes[0].restUntil = 0
 					x.s.Decide(x.now)
 				}
@@ -191,12 +191,12 @@
 			cl := cluster()
 			cl.JobTypes[0].Spread, cl.JobTypes[0].Most = c.place, c.most
 			x := start(t, cl, 8)
-			x.s.Found(x.now, 99, 0, 0, 5, 1, 2, 10)
+			x.s.OnRecovered(x.now, 99, 0, 0, 5, 1, 2, 10)
 			for id := range uint32(20) {
 				x.ask(id, 0, 5)
 			}
 			x.expect("offer", c.want)
-			x.s.Settled(x.now, 99, 10, 0, 9, true, Evicted, Broken, nil)
+			x.s.OnOutcome(x.now, 99, 10, 0, 9, true, Evicted, Broken, nil)
 			x.pass(100)
 			x.expect("offer", min(c.want+1, 20))
 		})
@@ -216,7 +216,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			x := start(t, cluster(), 1)
 			if !math.IsNaN(c.cores) {
-				x.s.Probed(x.now, 10, Ended, 1, []float64{c.cores, c.memory})
+				x.s.OnProbeResult(x.now, 10, Ended, 1, []float64{c.cores, c.memory})
 			}
 			x.ask(1, 0, 5)
 			x.expect("offer", c.want)
@@ -235,7 +235,7 @@
 			x := start(t, cluster(), 1)
 			x.ask(1, 0, 5)
 			x.now += c.gap
-			x.s.Probed(x.now, 10, Ended, 1, []float64{30, 70})
+			x.s.OnProbeResult(x.now, 10, Ended, 1, []float64{30, 70})
 			if cores, _ := x.s.taken(&x.s.nodes[0]); cores != c.want {
 				t.Errorf("%v cores taken, want %v", cores, c.want)
 			}
@@ -249,7 +249,7 @@
 	cl.ListsFree = false
 	x := start(t, cl, 12)
 	for id := range uint32(2) { // the service runs on node 10 and on node 14, zones 0 and 1
-		x.s.Found(x.now, id, 0, 0, 5, 1, 2, 10+4*id)
+		x.s.OnRecovered(x.now, id, 0, 0, 5, 1, 2, 10+4*id)
 	}
 	a := &x.s.allocs[x.s.take(9, 0, 5, 1, 2)]
 	x.s.survey()
@@ -316,8 +316,8 @@
 				for try := uint8(0); x.b.count("offer") > before; try++ {
 					before = x.b.count("offer")
 					if x.b.last() != 10 {
-						x.s.Started(x.now, id, try, 50)
-						x.s.Settled(x.now, id, 11, try, 100, true, NotTold, Ended, nil)
+						x.s.OnStarted(x.now, id, try, 50)
+						x.s.OnOutcome(x.now, id, 11, try, 100, true, NotTold, Ended, nil)
 						break
 					}
 					why := c.then
@@ -355,17 +355,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := start(t, cluster(), 4)
-			x.s.Found(x.now, 1000, 0, 0, 7, 1, 2, 10)
+			x.s.OnRecovered(x.now, 1000, 0, 0, 7, 1, 2, 10)
 			for _, v := range c.served {
-				x.s.Noted(x.now, 1000, 0, 10, ServedShare, v)
+				x.s.OnTaskMetric(x.now, 1000, 0, 10, ServedShare, v)
 			}
 			x.now += c.after
 			used := false
 			for id := range uint32(40) {
 				x.ask(id, 0, uint64(id))
 				used = used || x.b.last() == 10
-				x.s.Started(x.now, id, 0, 50)
-				x.s.Settled(x.now, id, x.b.last(), 0, 100, true, NotTold, Ended, nil)
+				x.s.OnStarted(x.now, id, 0, 50)
+				x.s.OnOutcome(x.now, id, x.b.last(), 0, 100, true, NotTold, Ended, nil)
 			}
 			if x.expect("offer", 40); used != c.want {
 				t.Errorf("the node is used: %t", used)
@@ -429,7 +429,7 @@
 			x.s.nodes[0].heard = -1
 			x.ask(0, 0, 5)
 			if c.answer {
-				x.s.Started(x.now, 0, 0, 100)
+				x.s.OnStarted(x.now, 0, 0, 100)
 			}
 			for id := uint32(1); id < 20; id++ {
 				x.ask(id, 0, 5)
@@ -451,7 +451,7 @@
 			cl := cluster()
 			cl.FleetPrice = c.price
 			x := start(t, cl, 4)
-			x.s.Probed(x.now, 10, Ended, 1, []float64{30, c.free})
+			x.s.OnProbeResult(x.now, 10, Ended, 1, []float64{30, c.free})
 			for id := range uint32(6) {
 				x.ask(id, 0, uint64(id))
 			}
@@ -477,11 +477,11 @@
 	}{{"room", 75, 0, false, false}, {"short", -10, 0, true, false}, {"short, more valuable", -10, 1, true, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			x := start(t, cluster(), 8)
-			x.s.Allocate(x.now, 99, 2, 0, x.now+5000, 7, 20, 32) // a large one is seen
-			x.s.Lapsed(x.now, 99)
+			x.s.OnRequest(x.now, 99, 2, 0, x.now+5000, 7, 20, 32) // a large one is seen
+			x.s.OnExpired(x.now, 99)
 			x.s.bigPart = [2]float64{100, 400}
 			for i := range x.s.nodes {
-				x.s.Probed(x.now, uint32(10+i), Ended, 1, []float64{20, c.free})
+				x.s.OnProbeResult(x.now, uint32(10+i), Ended, 1, []float64{20, c.free})
 			}
 			for id := range uint32(8 * window) {
 				x.ask(id, c.jobType, uint64(id))
@@ -515,7 +515,7 @@
 			cl.ReportsCome, cl.ListsFree = c.come, false
 			x := start(t, cl, 2)
 			for id := uint32(10); id < 12; id++ {
-				x.s.Probed(x.now, id, Ended, 1, []float64{20, 40})
+				x.s.OnProbeResult(x.now, id, Ended, 1, []float64{20, 40})
 			}
 			x.s.credit, x.s.scanAt = 2, 0
 			if !c.fresh {
@@ -525,8 +525,8 @@
 			x.expect("probe", c.probes)
 			x.expect("offer", (2-c.probes)/2)
 			if c.answer && c.probes > 0 { // node 10 turns out full
-				x.s.Probed(x.now, 10, Ended, 1, []float64{-40, 40})
-				x.s.Probed(x.now, 11, Ended, 1, []float64{20, 40})
+				x.s.OnProbeResult(x.now, 10, Ended, 1, []float64{-40, 40})
+				x.s.OnProbeResult(x.now, 11, Ended, 1, []float64{20, 40})
 				x.s.Decide(x.now)
 				x.expect("offer 1 11", 1)
 			}
@@ -555,7 +555,7 @@
 					x.s.nodes[i].judge(0, 0)
 				}
 			}
-			x.s.Probed(x.now, 10, Ended, 1, nil)
+			x.s.OnProbeResult(x.now, 10, Ended, 1, nil)
 			x.pass(c.later)
 			used := false
 			for id := range uint32(18) {
@@ -649,8 +649,8 @@
 	x := start(t, cluster(), 1)
 	x.ask(1, 0, 5)
 	x.now += 4000
-	x.s.Woken(x.now, keyTick) // in the same round, before the answer
-	x.s.Started(x.now, 1, 0, 150)
+	x.s.OnTimer(x.now, keyTick) // in the same round, before the answer
+	x.s.OnStarted(x.now, 1, 0, 150)
 	x.s.Decide(x.now)
 	x.expect("probe", 0)
 	if x.s.nodes[0].ill {
@@ -674,7 +674,7 @@
 				t.Errorf("ill: %t", nd.ill)
 			}
 			x.pass(1200)
-			x.s.Probed(x.now, nd.id, Ended, 1, nil)
+			x.s.OnProbeResult(x.now, nd.id, Ended, 1, nil)
 			if nd.ill {
 				t.Error("a node that answers stays ill")
 			}
@@ -702,8 +702,8 @@
 					continue // a failure comes once for each call
 				}
 				calls = x.b.count("follow")
-				x.s.ListBegin(x.now, c.news)
-				x.s.ListEnd(x.now)
+				x.s.OnListBegin(x.now, c.news)
+				x.s.OnListEnd(x.now)
 			}
 			if n := x.b.count("follow"); n < c.least || n > c.most {
 				t.Errorf("%d calls, want %d to %d", n, c.least, c.most)
@@ -719,22 +719,22 @@
 		cl   func(*Cluster)
 		tell func(*bench)
 	}{
-		{"a list with no nodes", func(*Cluster) {}, func(x *bench) { x.s.ListBegin(x.now, ListFull); x.s.ListEnd(x.now) }},
+		{"a list with no nodes", func(*Cluster) {}, func(x *bench) { x.s.OnListBegin(x.now, ListFull); x.s.OnListEnd(x.now) }},
 		{"no reports", func(cl *Cluster) { cl.Report, cl.ReportsCome = nil, false }, func(*bench) {}},
 		{"one scheduler", func(cl *Cluster) { cl.Schedulers = 1 }, func(*bench) {}},
 		{"a number past all others", func(cl *Cluster) { cl.Schedulers, cl.Index, cl.ColdBears = 9, 60000, 3 }, func(*bench) {}},
 		{"outcomes for what is long over", func(*Cluster) {}, func(x *bench) {
-			x.s.Settled(x.now, 7, 10, 3, 5, true, NotTold, Ended, []float64{1})
-			x.s.Started(x.now, 7, 0, 5)
-			x.s.Lapsed(x.now, 7)
-			x.s.Noted(x.now, 7, 0, 99, MemoryUsed, 3)
-			x.s.Probed(x.now, 99, Ended, 1, nil)
-			x.s.Woken(x.now, keyAlloc+7)
+			x.s.OnOutcome(x.now, 7, 10, 3, 5, true, NotTold, Ended, []float64{1})
+			x.s.OnStarted(x.now, 7, 0, 5)
+			x.s.OnExpired(x.now, 7)
+			x.s.OnTaskMetric(x.now, 7, 0, 99, MemoryUsed, 3)
+			x.s.OnProbeResult(x.now, 99, Ended, 1, nil)
+			x.s.OnTimer(x.now, keyAlloc+7)
 		}},
 		{"a kind without figures", func(*Cluster) {}, func(x *bench) {
-			x.s.ListBegin(x.now, ListChanges)
-			x.s.ListNode(x.now, 50, Ready, 0, 0, 0, 9, 99, 7)
-			x.s.ListEnd(x.now)
+			x.s.OnListBegin(x.now, ListChanges)
+			x.s.OnListNode(x.now, 50, Ready, 0, 0, 0, 9, 99, 7)
+			x.s.OnListEnd(x.now)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -747,7 +747,7 @@
 			x.change(10, Gone, 0)
 			x.change(10, Ready, x.now) // back under its id, cold
 			x.pass(cl.ColdFor + 1000)
-			x.s.Settled(x.now, 1, 10, 0, 5, true, NotTold, Broken, nil)
+			x.s.OnOutcome(x.now, 1, 10, 0, 5, true, NotTold, Broken, nil)
 			x.ask(2, 0, 5)
 			x.pass(200)
 			x.expect("offer 2 ", 1)
--- a/logic/speed_test.go
+++ b/logic/speed_test.go
@@ -14,24 +14,24 @@
 			cl.JobTypes[2].Value = 0.5
 			h := &book{}
 			s := New(h, t0, 7, cl)
-			s.ListBegin(t0, ListCached)
+			s.OnListBegin(t0, ListCached)
 			for i := range 400 {
-				s.ListNode(t0, uint32(10+i), Ready, 0, 40, 80, i/100, i/10, 0)
+				s.OnListNode(t0, uint32(10+i), Ready, 0, 40, 80, i/100, i/10, 0)
 			}
-			s.ListEnd(t0)
+			s.OnListEnd(t0)
 			now := t0
 			for i := range c.waits {
-				s.Allocate(now, uint32(1e6+i), 2, 0, now+1e12, uint64(i), c.cores, 2)
+				s.OnRequest(now, uint32(1e6+i), 2, 0, now+1e12, uint64(i), c.cores, 2)
 			}
 			for id := uint32(1); b.Loop(); id++ {
 				now += 2
 				h.lines = h.lines[:0]
-				s.Allocate(now, id, 0, 0, now+5000, uint64(id%40), 1, 2)
+				s.OnRequest(now, id, 0, 0, now+5000, uint64(id%40), 1, 2)
 				s.Decide(now)
-				s.Started(now, id, 0, 50)
+				s.OnStarted(now, id, 0, 50)
 				if id > 500 {
 					nd := s.nodes[s.allocs[s.allocAt[id-500]].nd].id
-					s.Settled(now, id-500, nd, 0, 1000, false, NotTold, Ended, nil)
+					s.OnOutcome(now, id-500, nd, 0, 1000, false, NotTold, Ended, nil)
 				}
 			}
 		})
