--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -131,7 +131,7 @@
 	for int(who) >= len(h.insts) {
 		h.insts = append(h.insts, nil)
 	}
-	inst := &instance{out: h.out, who: who, jobs: len(cl.JobTypes), round: h.round}
+	inst := &instance{out: h.out, who: who, jobs: len(cl.JobClasses), round: h.round}
 	inst.guard(func() { inst.sched = logic.New(inst, now, wire.U64(rec, 3), cl) })
 	h.insts[who] = inst
 	h.heard = append(h.heard, inst)
@@ -142,7 +142,7 @@
 func (h *host) tell(s logic.EventHandler, code byte, now float64, r []byte) error {
 	switch code {
 	case wire.Echo:
-		s.OnProbeResult(now, wire.U32(r, 3), logic.Verdict(wire.U16(r, 7)), ms(r, 9), h.load(r, 17))
+		s.OnProbeResult(now, wire.U32(r, 3), logic.Outcome(wire.U16(r, 7)), ms(r, 9), h.load(r, 17))
 	case wire.Lapsed:
 		s.OnExpired(now, wire.U32(r, 3))
 	case wire.Confirmed:
@@ -155,13 +155,13 @@
 			wire.F32(r, 46), wire.U32(r, 51))
 	case wire.Settled:
 		verdict := wire.U16(r, 25)
-		if verdict > uint16(logic.Unsent) {
+		if verdict > uint16(logic.NotSent) {
 			return fmt.Errorf("unknown outcome %d", verdict)
 		}
 		s.OnOutcome(now, wire.U32(r, 3), wire.U32(r, 7), r[11], ms(r, 12), r[20] != 0,
-			logic.Reason(wire.U32(r, 21)), logic.Verdict(verdict), h.load(r, 27))
+			logic.Reason(wire.U32(r, 21)), logic.Outcome(verdict), h.load(r, 27))
 	case wire.Signal:
-		s.OnTaskMetric(now, wire.U32(r, 3), r[11], wire.U32(r, 12), logic.NoteKind(r[16]), wire.F32(r, 7))
+		s.OnTaskMetric(now, wire.U32(r, 3), r[11], wire.U32(r, 12), logic.TaskMetric(r[16]), wire.F32(r, 7))
 	case wire.Bell:
 		s.OnTimer(now, wire.U64(r, 3))
 	case wire.Sync:
@@ -173,7 +173,7 @@
 // listKinds and availabilities give the module's word for each of the wire's numbers.
 var (
 	listKinds      = [...]logic.ListKind{logic.ListFull, logic.ListCached, logic.ListChanges, logic.ListFailed}
-	availabilities = [...]logic.Availability{logic.Gone, logic.Ready, logic.Draining}
+	availabilities = [...]logic.Availability{logic.Unavailable, logic.Ready, logic.Draining}
 )
 
 func (h *host) list(s logic.EventHandler, now float64, mode byte, page uint32) error {
--- a/internal/decide/drainpace/drainpace.go
+++ b/internal/decide/drainpace/drainpace.go
@@ -27,8 +27,8 @@
 
 // Usual is the manner of a job type that the site says nothing of. What must not take effect twice in a way that
 // nobody can undo is stopped by no window.
-func Usual(effect logic.Effect) Manner {
-	if effect == logic.RunOnce {
+func Usual(effect logic.RetrySemantics) Manner {
+	if effect == logic.AtMostOnce {
 		return RunOut
 	}
 	return Late
--- a/internal/decide/drainpace/drainpace_test.go
+++ b/internal/decide/drainpace/drainpace_test.go
@@ -40,7 +40,7 @@
 			}
 		})
 	}
-	if Usual(logic.RunOnce) != RunOut || Usual(logic.Restartable) != Late {
+	if Usual(logic.AtMostOnce) != RunOut || Usual(logic.Restartable) != Late {
 		t.Error("usual manners")
 	}
 	if n := Moves(Early, 100e3, 0, 200e3, 0, 1000, 100); n > 10 {
--- a/internal/decide/outcome/early.go
+++ b/internal/decide/outcome/early.go
@@ -4,8 +4,8 @@
 
 // EarlyEnd is an end that a node sent for an attempt which it has not answered yet. The answer may be late or lost.
 type EarlyEnd struct {
-	Unstarted logic.Verdict // what the cause says of an attempt that never started
-	Started   logic.Verdict // what it says of a task that was running
+	Unstarted logic.Outcome // what the cause says of an attempt that never started
+	Started   logic.Outcome // what it says of a task that was running
 	Reason    logic.Reason
 	Noted     bool // the node sent notes on the task, which it does only while the task runs
 }
@@ -18,15 +18,15 @@
 		return true
 	}
 	switch e.Unstarted {
-	case logic.Refused, logic.Unsent:
+	case logic.Rejected, logic.NotSent:
 		return false
 	}
 	switch e.Started {
-	case logic.Ended, logic.CalledOff:
+	case logic.Completed, logic.Cancelled:
 		return true
 	}
 	switch e.Reason {
-	case logic.Evicted, logic.PushedOut, logic.SentAway:
+	case logic.Evicted, logic.Preempted, logic.Displaced:
 		return true
 	}
 	return false
@@ -35,6 +35,6 @@
 // DeclinedAfterRun tells whether a client whose task ran and ended before it was answered may hear that a retry does no harm; else it
 // hears that the request failed. No other attempt is made for the request in either case: the client is owed the end of the run within a
 // second, and an answer for a second run would follow it or stand in its place.
-func DeclinedAfterRun(effect logic.Effect, group logic.Group) bool {
+func DeclinedAfterRun(effect logic.RetrySemantics, group logic.IdempotencyScope) bool {
 	return Withdrawn(effect, group, false, true)
 }
--- a/internal/decide/outcome/early_test.go
+++ b/internal/decide/outcome/early_test.go
@@ -9,20 +9,20 @@
 // TestEarlyEnd goes through each cause that a node may give for an attempt that it has not answered, with each reason, with and without
 // notes before it.
 func TestEarlyEnd(t *testing.T) {
-	removed := map[logic.Reason]bool{logic.Evicted: true, logic.PushedOut: true, logic.SentAway: true}
+	removed := map[logic.Reason]bool{logic.Evicted: true, logic.Preempted: true, logic.Displaced: true}
 	for _, cause := range []struct {
 		name               string
-		unstarted, started logic.Verdict
+		unstarted, started logic.Outcome
 		neverRan, ran      bool // what the cause alone proves
 	}{
-		{"full", logic.Refused, logic.Broken, true, false},
-		{"never left", logic.Unsent, logic.Broken, true, false},
-		{"error", logic.Errored, logic.Broken, false, false},
-		{"reset", logic.Broken, logic.Broken, false, false},
-		{"normal end", logic.Broken, logic.Ended, false, true},
-		{"cancelled", logic.Broken, logic.CalledOff, false, true},
+		{"full", logic.Rejected, logic.ConnectionLost, true, false},
+		{"never left", logic.NotSent, logic.ConnectionLost, true, false},
+		{"error", logic.Errored, logic.ConnectionLost, false, false},
+		{"reset", logic.ConnectionLost, logic.ConnectionLost, false, false},
+		{"normal end", logic.ConnectionLost, logic.Completed, false, true},
+		{"cancelled", logic.ConnectionLost, logic.Cancelled, false, true},
 	} {
-		for reason := logic.NotTold; reason <= logic.SentAway; reason++ {
+		for reason := logic.ReasonUnknown; reason <= logic.Displaced; reason++ {
 			for _, noted := range []bool{false, true} {
 				end := EarlyEnd{Unstarted: cause.unstarted, Started: cause.started, Reason: reason, Noted: noted}
 				want := noted || cause.ran || !cause.neverRan && removed[reason]
@@ -37,15 +37,15 @@
 // TestDeclinedAfterRun has a client hear that a retry is harmless only where a second effect can't come of it.
 func TestDeclinedAfterRun(t *testing.T) {
 	for _, c := range []struct {
-		effect logic.Effect
-		group  logic.Group
+		effect logic.RetrySemantics
+		group  logic.IdempotencyScope
 		want   bool
 	}{
-		{logic.Restartable, logic.GroupAll, true},
-		{logic.Restartable, logic.GroupZone, true},
-		{logic.Tokened, logic.GroupAll, true},
-		{logic.Tokened, logic.GroupZone, false},
-		{logic.RunOnce, logic.GroupAll, false},
+		{logic.Restartable, logic.ScopeAll, true},
+		{logic.Restartable, logic.ScopeZone, true},
+		{logic.Idempotent, logic.ScopeAll, true},
+		{logic.Idempotent, logic.ScopeZone, false},
+		{logic.AtMostOnce, logic.ScopeAll, false},
 	} {
 		if got := DeclinedAfterRun(c.effect, c.group); got != c.want {
 			t.Errorf("effect %d, group %d: %t", c.effect, c.group, got)
--- a/internal/decide/outcome/outcome.go
+++ b/internal/decide/outcome/outcome.go
@@ -90,7 +90,7 @@
 // Late decides about a late start. open tells that the owner still waits, out that another try is out.
 // A restartable allocation is stopped once answered, as its owner starts another at once. One that must not
 // take effect twice is kept: stopping it would waste the effect, and the owner's next ask finds it running.
-func Late(effect logic.Effect, open, out bool) Do {
+func Late(effect logic.RetrySemantics, open, out bool) Do {
 	switch {
 	case open && !out:
 		return Serve
@@ -110,18 +110,20 @@
 
 // Counts tells whether a try that was given up goes on to count where it was sent, until its node says what became of it: as
 // long as it may run there, one more of its service could be one too many.
-func Counts(spread logic.Place) bool { return spread != logic.Anywhere }
+func Counts(spread logic.SpreadScope) bool { return spread != logic.Anywhere }
 
 // Withdrawn tells whether an owner that gives up may be told that asking again does no harm. A restartable one
 // always may; any other only if nothing is out and no earlier try may have run, or its group drops the repeat
 // wherever it goes.
-func Withdrawn(effect logic.Effect, group logic.Group, out, mayHave bool) bool {
-	return effect == logic.Restartable || !out && (!mayHave || effect == logic.Tokened && group == logic.GroupAll)
+func Withdrawn(effect logic.RetrySemantics, group logic.IdempotencyScope, out, mayHave bool) bool {
+	return effect == logic.Restartable || !out && (!mayHave || effect == logic.Idempotent && group == logic.ScopeAll)
 }
 
 // Untold tells whether an allocation may be declined as harmless when whoever knew the outcomes of its tries is lost: of
 // those that are tried nobody can tell any more which provably never ran.
-func Untold(effect logic.Effect, tries int) bool { return effect == logic.Restartable || tries == 0 }
+func Untold(effect logic.RetrySemantics, tries int) bool {
+	return effect == logic.Restartable || tries == 0
+}
 
 const (
 	linkFor  = 250 // an offer waits so long for a connection to its node
@@ -146,19 +148,19 @@
 
 // Cut is the outcome of a try whose connection ended under it, to a node that can't be asked what became of it: it
 // never ran only if not all of it was handed over.
-func Cut(whole bool) logic.Verdict {
+func Cut(whole bool) logic.Outcome {
 	if whole {
-		return logic.Broken
+		return logic.ConnectionLost
 	}
-	return logic.Unreached
+	return logic.Unreachable
 }
 
 // Unmade is the outcome of a try for which no connection came: not a byte of it left.
-func Unmade() logic.Verdict { return logic.Unreached }
+func Unmade() logic.Outcome { return logic.Unreachable }
 
 // Spoilt is the outcome of a try whose answer, or whose connection, can't be read any more: its node had it and took
 // it up.
-func Spoilt() logic.Verdict { return logic.Broken }
+func Spoilt() logic.Outcome { return logic.ConnectionLost }
 
 const (
 	latest = 1000 // a task that its owner ended counts as ended so long after its node was told
--- a/internal/decide/outcome/outcome_test.go
+++ b/internal/decide/outcome/outcome_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestLate(t *testing.T) {
-	for _, effect := range []logic.Effect{logic.Restartable, logic.Tokened, logic.RunOnce} {
+	for _, effect := range []logic.RetrySemantics{logic.Restartable, logic.Idempotent, logic.AtMostOnce} {
 		answered := Keep
 		if effect == logic.Restartable {
 			answered = Stop
@@ -50,18 +50,18 @@
 func TestWithdrawn(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		effect       logic.Effect
-		group        logic.Group
+		effect       logic.RetrySemantics
+		group        logic.IdempotencyScope
 		out, mayHave bool
 		want         bool
 	}{
-		{"restartable, out", logic.Restartable, logic.GroupAll, true, true, true},
-		{"run-once, nothing sent", logic.RunOnce, logic.GroupAll, false, false, true},
-		{"run-once, out", logic.RunOnce, logic.GroupAll, true, false, false},
-		{"run-once, may have run", logic.RunOnce, logic.GroupAll, false, true, false},
-		{"tokened everywhere, may have run", logic.Tokened, logic.GroupAll, false, true, true},
-		{"tokened everywhere, out", logic.Tokened, logic.GroupAll, true, false, false},
-		{"tokened in a zone, may have run", logic.Tokened, logic.GroupZone, false, true, false},
+		{"restartable, out", logic.Restartable, logic.ScopeAll, true, true, true},
+		{"run-once, nothing sent", logic.AtMostOnce, logic.ScopeAll, false, false, true},
+		{"run-once, out", logic.AtMostOnce, logic.ScopeAll, true, false, false},
+		{"run-once, may have run", logic.AtMostOnce, logic.ScopeAll, false, true, false},
+		{"tokened everywhere, may have run", logic.Idempotent, logic.ScopeAll, false, true, true},
+		{"tokened everywhere, out", logic.Idempotent, logic.ScopeAll, true, false, false},
+		{"tokened in a zone, may have run", logic.Idempotent, logic.ScopeZone, false, true, false},
 	} {
 		if got := Withdrawn(c.effect, c.group, c.out, c.mayHave); got != c.want {
 			t.Errorf("%s: %t", c.name, got)
--- a/internal/decide/shardownership/shardownership.go
+++ b/internal/decide/shardownership/shardownership.go
@@ -61,7 +61,7 @@
 
 // Table records which shard acts for each allocation, and by which epoch.
 type Table struct {
-	jobs    []logic.JobType
+	jobs    []logic.JobClass
 	all     map[Name]*Entry
 	barred  map[Name]float64 // those that were fenced with a try out, until its time is over
 	spare   []*Entry
@@ -73,7 +73,7 @@
 }
 
 // NewTable makes a table for job types, with a first epoch.
-func NewTable(jobs []logic.JobType, epoch uint32) *Table {
+func NewTable(jobs []logic.JobClass, epoch uint32) *Table {
 	return &Table{jobs: jobs, all: map[Name]*Entry{}, barred: map[Name]float64{}, Epoch: epoch}
 }
 
@@ -156,7 +156,7 @@
 	if en == nil || en.Shard != shard || en.Epoch != epoch || en.Out || en.Answered {
 		return false
 	}
-	if j := &t.jobs[en.Job]; en.MayHave && j.Effect == logic.RunOnce {
+	if j := &t.jobs[en.Job]; en.MayHave && j.Semantics == logic.AtMostOnce {
 		return false // whoever asks, a second try is never right
 	}
 	en.Out, en.Last = true, try
@@ -286,7 +286,7 @@
 		t.hold(o.Name, t.all[o.Name], -1)
 		t.spare = append(t.spare, t.all[o.Name])
 		delete(t.all, o.Name)
-		if o.Entry.Out && t.jobs[o.Entry.Job].Effect != logic.Restartable {
+		if o.Entry.Out && t.jobs[o.Entry.Job].Semantics != logic.Restartable {
 			t.barred[o.Name] = max(now, o.Entry.Expiry)
 		}
 	}
@@ -302,7 +302,7 @@
 		if en.Shard == shard && !en.Answered && en.Expiry-now < within {
 			t.answered(n, en)
 			o := Orphan{Name: n, Entry: *en, Fate: Fails}
-			if j := &t.jobs[en.Job]; outcome.Withdrawn(j.Effect, j.Group, en.Out, en.MayHave) {
+			if j := &t.jobs[en.Job]; outcome.Withdrawn(j.Semantics, j.IdempotencyScope, en.Out, en.MayHave) {
 				o.Fate = Declines
 			}
 			all = append(all, o)
@@ -323,7 +323,7 @@
 		return Continues
 	case !en.Out && !en.MayHave && en.Expiry-now > leastLeft:
 		return Moves
-	case outcome.Withdrawn(j.Effect, j.Group, en.Out, en.MayHave):
+	case outcome.Withdrawn(j.Semantics, j.IdempotencyScope, en.Out, en.MayHave):
 		return Declines
 	}
 	return Fails
--- a/internal/decide/shardownership/shardownership_test.go
+++ b/internal/decide/shardownership/shardownership_test.go
@@ -8,8 +8,8 @@
 	"ravenpond/logic"
 )
 
-var jobs = []logic.JobType{{Effect: logic.Restartable}, {Effect: logic.Tokened, Group: logic.GroupZone},
-	{Effect: logic.Tokened, Group: logic.GroupAll}, {Effect: logic.RunOnce}}
+var jobs = []logic.JobClass{{Semantics: logic.Restartable}, {Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone},
+	{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeAll}, {Semantics: logic.AtMostOnce}}
 
 func TestFate(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/decide/shardrouter/line.go
+++ b/internal/decide/shardrouter/line.go
@@ -53,7 +53,7 @@
 func (r *Router) begin() {
 	values := make([]float64, len(r.terms.Jobs))
 	for i := range r.terms.Jobs {
-		values[i] = r.terms.Jobs[i].Value
+		values[i] = r.terms.Jobs[i].PriorityWeight
 	}
 	order := slices.Clone(values)
 	slices.Sort(order)
--- a/internal/decide/shardrouter/shardrouter.go
+++ b/internal/decide/shardrouter/shardrouter.go
@@ -27,7 +27,7 @@
 
 // Terms are what a router begins with.
 type Terms struct {
-	Jobs         []logic.JobType
+	Jobs         []logic.JobClass
 	Way          shares.Way
 	Shards, Most int     // that begin, and that may run
 	Open         int     // allocations open at once, of all shards together
--- a/internal/decide/shardrouter/shardrouter_test.go
+++ b/internal/decide/shardrouter/shardrouter_test.go
@@ -10,8 +10,8 @@
 	"ravenpond/logic"
 )
 
-var jobs = []logic.JobType{{Effect: logic.Restartable}, {Effect: logic.Tokened, Group: logic.GroupZone, Spread: logic.PerNode, Most: 3},
-	{Effect: logic.RunOnce}}
+var jobs = []logic.JobClass{{Semantics: logic.Restartable}, {Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone, Spread: logic.PerNode, MaxPerScope: 3},
+	{Semantics: logic.AtMostOnce}}
 
 func calm(int) (float64, int) { return 0, 0 }
 
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -28,13 +28,13 @@
 }
 
 // completeAttempt ends a try and tells the module.
-func (e *Engine) completeAttempt(p int, verdict logic.Verdict, why logic.Reason, report []float64) {
+func (e *Engine) completeAttempt(p int, verdict logic.Outcome, why logic.Reason, report []float64) {
 	a := &e.allocations[p]
 	ran := a.phase == phaseRunning
 	e.detach(p)
 	nd, id, try, took := e.nodes[a.nodeIndex].id, a.id, a.policyAttempt(), e.now-a.sentAt
 	a.phase, a.confirmBy, a.waitingSince = phaseWaiting, 0, e.now
-	never := verdict == logic.Refused || verdict == logic.Unreached || verdict == logic.Unsent
+	never := verdict == logic.Rejected || verdict == logic.Unreachable || verdict == logic.NotSent
 	a.mayHaveRun = a.mayHaveRun || !never
 	e.effects.RecordOutcome(a.tenant, a.token, a.epoch, never)
 	over := ran || a.answered
@@ -59,7 +59,7 @@
 }
 
 // abandonAttempt ends a try without word from its node; what may yet be heard of it is remembered.
-func (e *Engine) abandonAttempt(p int, verdict logic.Verdict) {
+func (e *Engine) abandonAttempt(p int, verdict logic.Outcome) {
 	a := &e.allocations[p]
 	if !a.recalled {
 		e.recall(a)
@@ -69,13 +69,13 @@
 	if e.jobEffects[a.jobClass] != logic.Restartable {
 		e.scheduleClaim(attemptID{a.ticket, a.attempt}, outcome.Claims())
 	}
-	e.completeAttempt(p, verdict, logic.NotTold, nil)
+	e.completeAttempt(p, verdict, logic.ReasonUnknown, nil)
 }
 
 // cancelUnsent ends a try that waits for its node's connection: it must not leave any more, even if that comes right now.
 func (e *Engine) cancelUnsent(a *allocation) {
 	a.recalled = true
-	e.deferred = append(e.deferred, deferredOutcome{a.id, a.attempt, logic.Unsent})
+	e.deferred = append(e.deferred, deferredOutcome{a.id, a.attempt, logic.NotSent})
 }
 
 func (e *Engine) recall(a *allocation) {
@@ -148,7 +148,7 @@
 }
 
 // OnOutcome is a node's word on a try's outcome; never tells that the node proves that it never ran.
-func (e *Engine) OnOutcome(now float64, nd uint32, ticket uint64, try uint8, verdict logic.Verdict, why logic.Reason,
+func (e *Engine) OnOutcome(now float64, nd uint32, ticket uint64, try uint8, verdict logic.Outcome, why logic.Reason,
 	report []float64) error {
 	e.now, e.hasEvents = now, true
 	if p, ok := e.findAttempt(ticket, try); ok {
@@ -156,7 +156,7 @@
 		if e.nodes[a.nodeIndex].id != nd {
 			return e.errUnknownAttempt(ticket, try)
 		}
-		if a.phase == phaseRunning && verdict == logic.Refused {
+		if a.phase == phaseRunning && verdict == logic.Rejected {
 			return errors.New("try refused after its start")
 		}
 		e.completeAttempt(p, verdict, why, report)
@@ -174,7 +174,7 @@
 }
 
 // OnNote is a node's word on a running allocation. One that has just ended may still be named.
-func (e *Engine) OnNote(now float64, nd uint32, ticket uint64, try uint8, kind logic.NoteKind, value float64) error {
+func (e *Engine) OnNote(now float64, nd uint32, ticket uint64, try uint8, kind logic.TaskMetric, value float64) error {
 	e.now, e.hasEvents = now, true
 	if p, ok := e.findAttempt(ticket, try); ok && e.nodes[e.allocations[p].nodeIndex].id == nd {
 		a := &e.allocations[p]
@@ -186,7 +186,7 @@
 // OnSharedReport is a load report that another engine heard from a node.
 func (e *Engine) OnSharedReport(now float64, nd uint32, report []float64) {
 	e.now = now
-	e.policy.OnOutcome(now, 0, nd, 0, 0, true, logic.NotTold, logic.Ended, report) // no allocation has the number 0
+	e.policy.OnOutcome(now, 0, nd, 0, 0, true, logic.ReasonUnknown, logic.Completed, report) // no allocation has the number 0
 }
 
 // policyAttempt is the number by which the module knows the try: what was found is its first.
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -17,17 +17,17 @@
 	s.last.nd, s.last.ticket, s.last.try = nd, ticket, try
 }
 func (s *silent) Answer(uint32, uint64, Answer, uint32, string, float64) {}
-func (s *silent) NotifyEnd(uint32, uint64, logic.Verdict, logic.Reason)  {}
+func (s *silent) NotifyEnd(uint32, uint64, logic.Outcome, logic.Reason)  {}
 func (s *silent) Log(string)                                             {}
 func (s *silent) Dial(uint32, string)                                    {}
 
 const benchNodes = 130
 
 func benchCluster() *logic.Cluster {
-	return &logic.Cluster{Schedulers: 1, AskEvery: 1e9, Step: 1, MaxTries: 4, MayRecall: true, MayProbe: true,
-		KindCores: []float64{64}, KindMemory: []float64{128}, CoresLimit: 4, MemoryLimit: 4, ListsFree: true,
-		Report: []string{"x0", "x1"}, ReportsCome: true, ColdBears: 1000, ColdFor: 1, FallWindow: 1, MeanCores: 1,
-		MeanMemory: 2, JobTypes: []logic.JobType{{Target: 1000, Value: 1, Kind: -1}}}
+	return &logic.Cluster{Schedulers: 1, ListMaxSilence: 1e9, MinRoundInterval: 1, MaxAttempts: 4, CanCancel: true, CanProbe: true,
+		KindCores: []float64{64}, KindMemory: []float64{128}, CoresOvercommit: 4, MemoryOvercommit: 4, ListsReportLoad: true,
+		ReportFields: []string{"x0", "x1"}, ReportsPiggybacked: true, SlowStartLimit: 1000, SlowStartDuration: 1, SlowStartWindow: 1, MeanCores: 1,
+		MeanMemory: 2, JobClasses: []logic.JobClass{{LatencyObjective: 1000, PriorityWeight: 1, NodeKind: -1}}}
 }
 
 // BenchmarkEngine is the whole life of an allocation through the engine, one a round of 1 ms.
@@ -53,7 +53,7 @@
 		}
 		e.Round(now)
 		if e.OnStarted(now, s.last.nd, s.last.ticket, s.last.try, 1) != nil ||
-			e.OnOutcome(now, s.last.nd, s.last.ticket, s.last.try, logic.Ended, logic.NotTold, report) != nil {
+			e.OnOutcome(now, s.last.nd, s.last.ticket, s.last.try, logic.Completed, logic.ReasonUnknown, report) != nil {
 			b.Fatal("lost")
 		}
 	}
@@ -93,7 +93,7 @@
 		s.OnRequest(now, i, 0, 0, now+4900, uint64(i%50), 0.5, 1)
 		s.Decide(now)
 		s.OnStarted(now, i, 0, 1)
-		s.OnOutcome(now, i, h.nd, 0, 1, true, logic.NotTold, logic.Ended, report)
+		s.OnOutcome(now, i, h.nd, 0, 1, true, logic.ReasonUnknown, logic.Completed, report)
 	}
 }
 
--- a/internal/engine/early_test.go
+++ b/internal/engine/early_test.go
@@ -12,7 +12,7 @@
 // that was not answered is owed no end, so work that may be repeated gets another attempt, keyed work inside its zone alone; run-once work
 // fails. The first attempt's start may still come: it serves nobody, and the connection on which it came is ended.
 func TestEndBeforeStart(t *testing.T) {
-	for _, verdict := range []logic.Verdict{logic.Ended, logic.Errored, logic.Broken, logic.CalledOff} {
+	for _, verdict := range []logic.Outcome{logic.Completed, logic.Errored, logic.ConnectionLost, logic.Cancelled} {
 		for job, retried := range []bool{restartable: true, zoned: true, everywhere: true, once: false} {
 			t.Run(fmt.Sprintf("verdict %d, job %d", verdict, job), func(t *testing.T) {
 				s := begin(t, false)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -63,7 +63,7 @@
 	PermitAnswer(tenant int, token uint64, epoch uint32, served bool) bool
 	// Answer gives an owner the final answer to its ask, Over the end of one that was served.
 	Answer(owner uint32, ref uint64, answer Answer, nd uint32, why string, holdOff float64)
-	NotifyEnd(owner uint32, ref uint64, verdict logic.Verdict, why logic.Reason)
+	NotifyEnd(owner uint32, ref uint64, verdict logic.Outcome, why logic.Reason)
 	// ExpireRequest tells that an ask's time was up before it could be answered: nothing is sent for it.
 	ExpireRequest(owner uint32, ref uint64)
 
@@ -168,7 +168,7 @@
 type deferredOutcome struct {
 	allocationID uint32
 	attempt      uint8
-	verdict      logic.Verdict
+	verdict      logic.Outcome
 }
 
 // Engine is one scheduler.
@@ -176,7 +176,7 @@
 	effects       Effects
 	policy        logic.EventHandler
 	config        Config
-	jobEffects    []logic.Effect
+	jobEffects    []logic.RetrySemantics
 	now           float64
 	timers        timers.Heap[timerKind]
 	pacer         *reconnect.Pacer
@@ -215,8 +215,8 @@
 		admission: admit.New(terms.MaxOpen, terms.Shares), byID: map[uint32]int{}, byKey: map[idempotencyKey]int{}, requests: map[requestKey]int{},
 		recovered: map[attemptID]int{}, abandoned: map[attemptID]abandonedAttempt{}, nodeIndex: map[uint32]int{},
 		exclusions: map[uint32]uint8{}}
-	for _, jt := range terms.Cluster.JobTypes {
-		e.jobEffects = append(e.jobEffects, jt.Effect)
+	for _, jt := range terms.Cluster.JobClasses {
+		e.jobEffects = append(e.jobEffects, jt.Semantics)
 	}
 	if terms.NewPolicy != nil {
 		e.policy = terms.NewPolicy(policyEffects{e}, now, terms.Seed, terms.Cluster)
@@ -254,7 +254,7 @@
 	for i := 0; i < len(e.deferred); i++ {
 		s := e.deferred[i]
 		if p, ok := e.byID[s.allocationID]; ok && e.allocations[p].attempt == s.attempt && e.allocations[p].phase == phaseConnecting {
-			e.completeAttempt(p, s.verdict, logic.NotTold, nil)
+			e.completeAttempt(p, s.verdict, logic.ReasonUnknown, nil)
 		}
 	}
 	e.deferred = e.deferred[:0]
@@ -290,7 +290,7 @@
 		if p, ok := e.byID[uint32(b.Key)]; ok && e.allocations[p].confirmBy == b.At {
 			switch a := &e.allocations[p]; a.phase {
 			case phaseInFlight:
-				e.abandonAttempt(p, logic.Broken)
+				e.abandonAttempt(p, logic.ConnectionLost)
 			case phaseRunning:
 				n := &e.nodes[a.nodeIndex]
 				if more := outcome.Longer(e.now-n.lostAt, e.config.AliveAtPeers != nil && e.config.AliveAtPeers(e.now, n.id, n.incarnation)); more > 0 {
@@ -302,7 +302,7 @@
 					}
 					return
 				}
-				e.completeAttempt(p, logic.Broken, logic.NotTold, nil)
+				e.completeAttempt(p, logic.ConnectionLost, logic.ReasonUnknown, nil)
 			}
 		}
 	case timerKeep:
@@ -315,13 +315,13 @@
 		if n := &e.nodes[int(uint32(b.Key))]; n.probing && uint32(n.probeSeq) == uint32(b.Key>>32) {
 			verdict := logic.TimedOut
 			if !n.probeSent {
-				verdict = logic.Unreached
+				verdict = logic.Unreachable
 			}
 			e.completeProbe(int(uint32(b.Key)), verdict, nil)
 		}
 	case timerConnect:
 		if p, ok := e.byID[uint32(b.Key)]; ok && e.allocations[p].phase == phaseConnecting && e.allocations[p].attempt == uint8(b.Key>>32) {
-			e.completeAttempt(p, logic.Unreached, logic.NotTold, nil)
+			e.completeAttempt(p, logic.Unreachable, logic.ReasonUnknown, nil)
 		}
 	case timerClaim: // all are as long after their try as any other: the first is the one that is due
 		c := e.claims[0]
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -26,7 +26,7 @@
 		{"left, node stays away", true, nil, [4]string{"offer 1.1", "offer 1.1", "offer 1.1", "answer 1 failed"}},
 		{"left, node says it never saw it", true, func(s *script) {
 			s.link(s.last.nd, 1)
-			s.e.OnClaimOutcome(s.now, s.last.nd, s.last.ticket, s.last.try, logic.Refused, logic.NotTold)
+			s.e.OnClaimOutcome(s.now, s.last.nd, s.last.ticket, s.last.try, logic.Rejected, logic.ReasonUnknown)
 		}, [4]string{"claim 1.0, offer 1.1", "claim 1.0, offer 1.1", "claim 1.0, offer 1.1", "claim 1.0, offer 1.1"}},
 		{"left, node comes back in another life", true, func(s *script) { s.link(s.last.nd, 2) },
 			[4]string{"offer 1.1", "offer 1.1", "offer 1.1", "answer 1 failed"}},
@@ -92,7 +92,7 @@
 			}
 			s.want("then", s.look(), c.want)
 			if c.want == "recall 1.1" { // handed back: the late one serves
-				if err := s.settled(logic.Refused); err != nil {
+				if err := s.settled(logic.Rejected); err != nil {
 					t.Fatal(err)
 				}
 				s.want("then", s.look(), "answer 1 served")
@@ -185,7 +185,7 @@
 				t.Fatal(err)
 			}
 			s.want("out", s.look(), want)
-			if err := s.settled(logic.Refused); err != nil {
+			if err := s.settled(logic.Rejected); err != nil {
 				t.Fatal(err)
 			}
 			s.pass(100)
@@ -210,12 +210,12 @@
 		}},
 		{"second outcome", func(s *script) error {
 			_ = s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 1)
-			_ = s.settled(logic.Ended)
-			return s.settled(logic.Ended)
+			_ = s.settled(logic.Completed)
+			return s.settled(logic.Completed)
 		}},
 		{"refused after its start", func(s *script) error {
 			_ = s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 1)
-			return s.settled(logic.Refused)
+			return s.settled(logic.Rejected)
 		}},
 		{"report never asked for", func(s *script) error { return s.e.OnProbeReport(s.now, 1, 1<<40, nil) }},
 		{"held, of an unknown job type", func(s *script) error {
@@ -244,10 +244,10 @@
 	s.want("what waits is recalled", s.look(), "recall 78.1")
 	_ = s.e.Allocate(s.now, 7, 1, once, 0, 99, 1001, 1, 2, 5000, 1)
 	s.want("what runs is found", s.look(), "answer 1 served")
-	if err := s.e.OnOutcome(s.now, 2, 77, 1, logic.Ended, logic.NotTold, nil); err != nil {
+	if err := s.e.OnOutcome(s.now, 2, 77, 1, logic.Completed, logic.ReasonUnknown, nil); err != nil {
 		t.Fatal(err)
 	}
-	s.want("its end", s.look(), fmt.Sprintf("over 1 %d", logic.Ended))
+	s.want("its end", s.look(), fmt.Sprintf("over 1 %d", logic.Completed))
 }
 
 func TestStandStill(t *testing.T) {
@@ -315,13 +315,13 @@
 	if got := to.e.Stats(); got.Open != 1 || got.Held != 2 {
 		t.Errorf("the receiver holds %+v", got)
 	}
-	if err := s.e.OnOutcome(s.now, outAt, out, 0, logic.Refused, logic.NotTold, nil); err != nil {
+	if err := s.e.OnOutcome(s.now, outAt, out, 0, logic.Rejected, logic.ReasonUnknown, nil); err != nil {
 		t.Error(err)
 	}
-	if err := s.e.OnOutcome(s.now, nd, runs, 0, logic.Ended, logic.NotTold, nil); err == nil {
+	if err := s.e.OnOutcome(s.now, nd, runs, 0, logic.Completed, logic.ReasonUnknown, nil); err == nil {
 		t.Error("the giver still knows what it gave")
 	}
-	if err := to.e.OnOutcome(to.now, nd, runs, 0, logic.Ended, logic.NotTold, nil); err != nil {
+	if err := to.e.OnOutcome(to.now, nd, runs, 0, logic.Completed, logic.ReasonUnknown, nil); err != nil {
 		t.Error(err)
 	}
 	if to.e.TransferIn(to.now, Transfer{Running: true, Node: 77}) {
@@ -344,7 +344,7 @@
 		},
 		"list, gone": func(s *script, nd uint32) {
 			s.e.BeginList(s.now, logic.ListChanges)
-			s.e.AddListNode(nd, "a", logic.Gone, 0, 16, 32, 0, 0, 0)
+			s.e.AddListNode(nd, "a", logic.Unavailable, 0, 16, 32, 0, 0, 0)
 			s.e.EndList()
 		},
 	}
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -34,7 +34,7 @@
 			at[service] = i
 			into = append(into, handover.Part{Service: service, Goes: goes(service, tenant)})
 		}
-		if e.config.Cluster.JobTypes[job].Spread != logic.Anywhere {
+		if e.config.Cluster.JobClasses[job].Spread != logic.Anywhere {
 			into[i].Whole = true
 		}
 		return &into[i]
@@ -102,7 +102,7 @@
 			g.Node = e.nodes[a.nodeIndex].id
 			e.detach(p)
 			e.forgetTransferred(p)
-			e.policy.OnOutcome(now, id, g.Node, try, now-a.sentAt, true, logic.NotTold, logic.Ended, nil)
+			e.policy.OnOutcome(now, id, g.Node, try, now-a.sentAt, true, logic.ReasonUnknown, logic.Completed, nil)
 		} else {
 			e.admission.Leave(a.tenant)
 			e.forgetTransferred(p)
@@ -171,11 +171,11 @@
 // SetOpenLimit changes how many allocations may be open.
 func (e *Engine) SetOpenLimit(open int) { e.admission.Limit(open) }
 
-// Sharing tells the module how many share what a cold node bears; 0: this one takes no part. A policy that knows of no
+// SetSchedulerCount tells the module how many share what a cold node bears; 0: this one takes no part. A policy that knows of no
 // such thing goes on as it began.
-func (e *Engine) Sharing(schedulers int) {
-	if m, ok := e.policy.(interface{ Sharing(int) }); ok {
-		m.Sharing(schedulers)
+func (e *Engine) SetSchedulerCount(schedulers int) {
+	if m, ok := e.policy.(interface{ SetSchedulerCount(int) }); ok {
+		m.SetSchedulerCount(schedulers)
 	}
 }
 
--- a/internal/engine/late.go
+++ b/internal/engine/late.go
@@ -48,7 +48,7 @@
 	}
 	if _, ok := e.abandoned[name]; !ok {
 		e.nodes[g.nodeIndex].abandoned++
-		if outcome.Counts(e.config.Cluster.JobTypes[g.jobClass].Spread) {
+		if outcome.Counts(e.config.Cluster.JobClasses[g.jobClass].Spread) {
 			e.lastID++
 			g.policyID = e.lastID
 			e.policy.OnRecovered(e.now, g.policyID, g.jobClass, g.tenant, g.service, g.cores, g.memory, e.nodes[g.nodeIndex].id)
@@ -62,7 +62,7 @@
 		e.nodes[g.nodeIndex].abandoned--
 		delete(e.abandoned, name)
 		if g.policyID > 0 {
-			e.policy.OnOutcome(e.now, g.policyID, e.nodes[g.nodeIndex].id, 0, e.now-g.sentAt, true, logic.NotTold, logic.Ended, nil)
+			e.policy.OnOutcome(e.now, g.policyID, e.nodes[g.nodeIndex].id, 0, e.now-g.sentAt, true, logic.ReasonUnknown, logic.Completed, nil)
 		}
 	}
 }
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -21,7 +21,7 @@
 	freeMemory float64, zone, cell, kind int) {
 	nd, ok := e.nodeIndex[id]
 	if !ok {
-		if avail == logic.Gone {
+		if avail == logic.Unavailable {
 			return
 		}
 		nd = len(e.nodes)
@@ -115,7 +115,7 @@
 			continue
 		}
 		e.nodes[nd].excluded = out
-		if e.nodes[nd].availability != logic.Gone {
+		if e.nodes[nd].availability != logic.Unavailable {
 			e.updatePolicy(nd)
 		}
 		if out && why == excludedMaintenance {
@@ -131,7 +131,7 @@
 		case phaseConnecting:
 			e.cancelUnsent(a)
 		case phaseInFlight:
-			if !a.recalled && e.config.Cluster.MayRecall {
+			if !a.recalled && e.config.Cluster.CanCancel {
 				e.recall(a)
 			}
 		}
@@ -183,7 +183,7 @@
 	if e.listKind == logic.ListFull || e.listKind == logic.ListCached {
 		for nd := range e.nodes {
 			if e.nodes[nd].listGeneration != e.listGeneration {
-				e.setAvailability(nd, logic.Gone)
+				e.setAvailability(nd, logic.Unavailable)
 			}
 		}
 	}
@@ -194,8 +194,8 @@
 func (e *Engine) setAvailability(nd int, avail logic.Availability) {
 	n := &e.nodes[nd]
 	n.availability = avail
-	e.pacer.Keep(e.now, nd, avail != logic.Gone && !n.released)
-	if avail == logic.Gone && !n.connected {
+	e.pacer.Keep(e.now, nd, avail != logic.Unavailable && !n.released)
+	if avail == logic.Unavailable && !n.connected {
 		e.endRemoved(nd)
 	}
 }
@@ -206,9 +206,9 @@
 		p := e.nodes[nd].allocations[i]
 		switch outcome.GoneFrom(false, e.allocations[p].phase != phaseConnecting) {
 		case outcome.MayHave:
-			e.completeAttempt(p, logic.Broken, logic.NotTold, nil)
+			e.completeAttempt(p, logic.ConnectionLost, logic.ReasonUnknown, nil)
 		case outcome.Never:
-			e.completeAttempt(p, logic.Unreached, logic.NotTold, nil)
+			e.completeAttempt(p, logic.Unreachable, logic.ReasonUnknown, nil)
 		}
 	}
 }
@@ -224,11 +224,11 @@
 	n := &e.nodes[nd]
 	for i := len(n.allocations) - 1; i >= 0; i-- { // what was to wait for the connection was never sent
 		if p := n.allocations[i]; e.allocations[p].phase == phaseConnecting {
-			e.completeAttempt(p, logic.Unreached, logic.NotTold, nil)
+			e.completeAttempt(p, logic.Unreachable, logic.ReasonUnknown, nil)
 		}
 	}
 	if n.probing && !n.probeSent {
-		e.completeProbe(nd, logic.Unreached, nil)
+		e.completeProbe(nd, logic.Unreachable, nil)
 	}
 }
 
@@ -242,13 +242,13 @@
 	}
 	e.pacer.Linked(now, nd)
 	n := &e.nodes[nd]
-	if since > n.listed.startedAt+startTolerance && now-since < e.config.Cluster.ColdFor { // to the module a later start is a cold one
+	if since > n.listed.startedAt+startTolerance && now-since < e.config.Cluster.SlowStartDuration { // to the module a later start is a cold one
 		n.startedAt, n.listed.startedAt = since, since
 		e.policy.OnListBegin(now, logic.ListChanges) // without an end, as it is no word of the list
 		e.updatePolicy(nd)
 	}
 	n.connected, n.ready, n.sameIncarnation, n.incarnation = true, false, n.incarnation == life, life
-	if !n.sameIncarnation && now-n.listed.startedAt < e.config.Cluster.ColdFor {
+	if !n.sameIncarnation && now-n.listed.startedAt < e.config.Cluster.SlowStartDuration {
 		e.reconsiderHeld(n)
 	}
 	for _, p := range n.allocations {
@@ -341,7 +341,7 @@
 		}
 		switch outcome.Returned(n.sameIncarnation, a.reported) {
 		case outcome.MayHave:
-			e.completeAttempt(p, logic.Broken, logic.NotTold, nil)
+			e.completeAttempt(p, logic.ConnectionLost, logic.ReasonUnknown, nil)
 		case outcome.Ask:
 			e.effects.Claim(id, a.ticket, a.attempt)
 		}
@@ -391,12 +391,12 @@
 }
 
 // OnClaimOutcome is a node's answer to a claim: the try's outcome, which it may have told before.
-func (e *Engine) OnClaimOutcome(now float64, id uint32, ticket uint64, try uint8, verdict logic.Verdict,
+func (e *Engine) OnClaimOutcome(now float64, id uint32, ticket uint64, try uint8, verdict logic.Outcome,
 	why logic.Reason) {
 	e.now, e.hasEvents = now, true
 	if p, ok := e.findAttempt(ticket, try); ok && e.nodes[e.allocations[p].nodeIndex].id == id {
-		if e.allocations[p].phase == phaseRunning && verdict == logic.Refused {
-			verdict = logic.Broken // it can't be so: the node forgot what it started
+		if e.allocations[p].phase == phaseRunning && verdict == logic.Rejected {
+			verdict = logic.ConnectionLost // it can't be so: the node forgot what it started
 		}
 		e.completeAttempt(p, verdict, why, nil)
 	} else if g, ok := e.abandoned[attemptID{ticket, try}]; ok && e.nodes[g.nodeIndex].id == id {
@@ -411,7 +411,7 @@
 func (e *Engine) OnUnsent(now float64, id uint32, ticket uint64, try uint8) {
 	e.now, e.hasEvents = now, true
 	if p, ok := e.findAttempt(ticket, try); ok && e.allocations[p].phase == phaseInFlight && outcome.Broke(false) == outcome.Never {
-		e.completeAttempt(p, logic.Unreached, logic.NotTold, nil)
+		e.completeAttempt(p, logic.Unreachable, logic.ReasonUnknown, nil)
 	}
 }
 
@@ -425,7 +425,7 @@
 	n := &e.nodes[nd]
 	n.connected, n.ready, n.lostAt, n.graceExtended = false, false, now, false
 	e.pacer.Broken(now, nd)
-	if n.availability == logic.Gone {
+	if n.availability == logic.Unavailable {
 		e.endRemoved(nd)
 		return
 	}
@@ -437,7 +437,7 @@
 		}
 	}
 	if n.probing && n.probeSent {
-		e.completeProbe(nd, logic.Broken, nil)
+		e.completeProbe(nd, logic.ConnectionLost, nil)
 	}
 }
 
@@ -452,7 +452,7 @@
 	n, over := &e.nodes[nd], 0
 	for i := len(n.allocations) - 1; i >= 0; i-- {
 		if p := n.allocations[i]; e.allocations[p].phase != phaseConnecting { // that was never sent
-			e.completeAttempt(p, logic.Broken, logic.NotTold, nil)
+			e.completeAttempt(p, logic.ConnectionLost, logic.ReasonUnknown, nil)
 			over++
 		}
 	}
@@ -472,12 +472,12 @@
 		return fmt.Errorf("report %d for a probe never sent", seq)
 	}
 	if n.probing && seq == n.probeSeq {
-		e.completeProbe(nd, logic.Ended, report)
+		e.completeProbe(nd, logic.Completed, report)
 	}
 	return nil
 }
 
-func (e *Engine) completeProbe(nd int, verdict logic.Verdict, report []float64) {
+func (e *Engine) completeProbe(nd int, verdict logic.Outcome, report []float64) {
 	n := &e.nodes[nd]
 	n.probing = false
 	e.policy.OnProbeResult(e.now, n.id, verdict, e.now-n.probeStartedAt, report)
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -72,7 +72,7 @@
 		e.effects.Answer(owner, ref, Declined, 0, "just-ended", 0)
 		return nil
 	}
-	least := e.config.AnswerMargin + 4*e.config.Cluster.Step
+	least := e.config.AnswerMargin + 4*e.config.Cluster.MinRoundInterval
 	if why := e.admission.Enter(tenant, left, least, e.fits(jobType, cores, memory)); why != admit.Taken {
 		e.stats.Rejected++
 		if e.effects.PermitAnswer(tenant, token, epoch, false) {
@@ -114,8 +114,8 @@
 func (e *Engine) fits(jobType int, cores, memory float64) bool {
 	cl := e.config.Cluster
 	for k := range cl.KindCores {
-		if kind := cl.JobTypes[jobType].Kind; (kind < 0 || kind == k) &&
-			cores <= cl.KindCores[k]*cl.CoresLimit && memory <= cl.KindMemory[k]*cl.MemoryLimit {
+		if kind := cl.JobClasses[jobType].NodeKind; (kind < 0 || kind == k) &&
+			cores <= cl.KindCores[k]*cl.CoresOvercommit && memory <= cl.KindMemory[k]*cl.MemoryOvercommit {
 			return true
 		}
 	}
@@ -141,8 +141,8 @@
 	if !answer {
 		e.clearClient(a)
 	}
-	jt, verdict := &e.config.Cluster.JobTypes[a.jobClass], Failed
-	if outcome.Withdrawn(jt.Effect, jt.Group, a.phase == phaseInFlight, a.mayHaveRun) {
+	jt, verdict := &e.config.Cluster.JobClasses[a.jobClass], Failed
+	if outcome.Withdrawn(jt.Semantics, jt.IdempotencyScope, a.phase == phaseInFlight, a.mayHaveRun) {
 		verdict = Declined
 	}
 	late := a.lateStart
--- a/internal/engine/script_test.go
+++ b/internal/engine/script_test.go
@@ -58,7 +58,7 @@
 	s.say("answer %d %s", ref, answer)
 }
 
-func (s *script) NotifyEnd(owner uint32, ref uint64, verdict logic.Verdict, _ logic.Reason) {
+func (s *script) NotifyEnd(owner uint32, ref uint64, verdict logic.Outcome, _ logic.Reason) {
 	s.say("over %d %d", ref, verdict)
 }
 
@@ -81,14 +81,14 @@
 // begin starts an engine with four nodes, two to a zone, all connected unless dark.
 func begin(t *testing.T, dark bool) *script {
 	s := &script{t: t, seen: map[uint32]int{}, now: 1000}
-	cl := &logic.Cluster{Schedulers: 1, AskEvery: 10000, Step: 2, MaxTries: 4, MayRecall: true, MayProbe: true,
-		KindCores: []float64{16}, KindMemory: []float64{32}, CoresLimit: 2, MemoryLimit: 1.5, ListsFree: true,
-		Report: []string{"x0", "x1"}, ReportsCome: true, ColdBears: 20, ColdFor: 8000, FallWindow: 2000,
-		MeanCores: 1, MeanMemory: 2, JobTypes: []logic.JobType{
-			{Effect: logic.Restartable, Target: 700, Value: 1, Kind: -1},
-			{Effect: logic.Tokened, Group: logic.GroupZone, Window: 8000, Target: 700, Value: 2, Kind: -1},
-			{Effect: logic.Tokened, Group: logic.GroupAll, Window: 8000, Target: 700, Value: 2, Kind: -1},
-			{Effect: logic.RunOnce, Target: 2000, Value: 3, Kind: -1}}}
+	cl := &logic.Cluster{Schedulers: 1, ListMaxSilence: 10000, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true,
+		KindCores: []float64{16}, KindMemory: []float64{32}, CoresOvercommit: 2, MemoryOvercommit: 1.5, ListsReportLoad: true,
+		ReportFields: []string{"x0", "x1"}, ReportsPiggybacked: true, SlowStartLimit: 20, SlowStartDuration: 8000, SlowStartWindow: 2000,
+		MeanCores: 1, MeanMemory: 2, JobClasses: []logic.JobClass{
+			{Semantics: logic.Restartable, LatencyObjective: 700, PriorityWeight: 1, NodeKind: -1},
+			{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone, IdempotencyWindow: 8000, LatencyObjective: 700, PriorityWeight: 2, NodeKind: -1},
+			{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeAll, IdempotencyWindow: 8000, LatencyObjective: 700, PriorityWeight: 2, NodeKind: -1},
+			{Semantics: logic.AtMostOnce, LatencyObjective: 2000, PriorityWeight: 3, NodeKind: -1}}}
 	s.e = New(s, s.now, Config{Cluster: cl, Shares: []float64{0.5, 0.5}, MaxOpen: 100, AnswerMargin: 100, SettleTime: 3000, Incarnation: 1, Seed: 5})
 	s.e.BeginList(s.now, logic.ListCached)
 	for i := range uint32(4) {
@@ -145,8 +145,8 @@
 	}
 }
 
-func (s *script) settled(v logic.Verdict) error {
-	return s.e.OnOutcome(s.now, s.last.nd, s.last.ticket, s.last.try, v, logic.NotTold, []float64{16, 32})
+func (s *script) settled(v logic.Outcome) error {
+	return s.e.OnOutcome(s.now, s.last.nd, s.last.ticket, s.last.try, v, logic.ReasonUnknown, []float64{16, 32})
 }
 
 // broken breaks the connection of the last offer; left tells whether the offer may have got through.
--- a/internal/engine/windows_test.go
+++ b/internal/engine/windows_test.go
@@ -17,7 +17,7 @@
 			comes func(s *script) error
 			want  string
 		}{
-			{"handed back", func(s *script) error { return s.settled(logic.Refused) }, "offer 1.1"},
+			{"handed back", func(s *script) error { return s.settled(logic.Rejected) }, "offer 1.1"},
 			{"runs after all", func(s *script) error { return s.e.OnStarted(s.now, s.last.nd, s.last.ticket, s.last.try, 9) },
 				"answer 1 served"},
 		} {
@@ -89,7 +89,7 @@
 	asked := map[bool]float64{}
 	for _, calendar := range []bool{false, true} {
 		s := begin(t, false)
-		s.e.config.Cluster.AsksForList = true
+		s.e.config.Cluster.PollsList = true
 		follow := &follows{script: s}
 		s.e.effects = follow
 		if calendar {
--- a/internal/engine/workingset.go
+++ b/internal/engine/workingset.go
@@ -39,7 +39,7 @@
 // names for the first time it takes for cold from that moment on.
 func (e *Engine) delayStart(n *node) {
 	start := n.listed.startedAt
-	if start > 0 && !n.startDelayed && e.now-start < e.config.Cluster.ColdFor+clockSlack {
+	if start > 0 && !n.startDelayed && e.now-start < e.config.Cluster.SlowStartDuration+clockSlack {
 		n.startDelayed, n.listed.startedAt = true, start+clockSlack
 	}
 }
@@ -48,7 +48,7 @@
 func (e *Engine) retain(now float64, nd int) {
 	n := &e.nodes[nd]
 	n.released = false
-	e.pacer.Keep(now, nd, n.availability != logic.Gone)
+	e.pacer.Keep(now, nd, n.availability != logic.Unavailable)
 }
 
 // Release lets go of a node that is set aside if nothing stands there: it is not kept connected any more. It tells
@@ -59,7 +59,7 @@
 		return true
 	}
 	n := &e.nodes[nd]
-	if !n.everReady && n.availability != logic.Gone || e.exclusions[id]&excludedWorkingSet == 0 || len(n.allocations) > 0 || n.abandoned > 0 || n.probing {
+	if !n.everReady && n.availability != logic.Unavailable || e.exclusions[id]&excludedWorkingSet == 0 || len(n.allocations) > 0 || n.abandoned > 0 || n.probing {
 		return false
 	}
 	e.release(now, nd)
@@ -95,7 +95,7 @@
 		case a.phase != phaseWaiting:
 			d.Cores, d.Memory = d.Cores+a.cores, d.Memory+a.memory
 		case !a.answered && now-a.waitingSince > patience && e.isInUse(p):
-			kind := e.config.Cluster.JobTypes[a.jobClass].Kind
+			kind := e.config.Cluster.JobClasses[a.jobClass].NodeKind
 			if kind < 0 {
 				kind = len(d.Short) - 1
 			}
--- a/internal/engine/workingset_test.go
+++ b/internal/engine/workingset_test.go
@@ -66,7 +66,7 @@
 			t.Fatal(err)
 		}
 		s.e.OnHeldAll(s.now, nd)
-		if err := s.e.OnOutcome(s.now, nd, s.last.ticket, s.last.try, logic.Ended, logic.NotTold, nil); err != nil {
+		if err := s.e.OnOutcome(s.now, nd, s.last.ticket, s.last.try, logic.Completed, logic.ReasonUnknown, nil); err != nil {
 			t.Fatal(err)
 		}
 		s.e.Round(s.now)
@@ -205,7 +205,7 @@
 func TestHeldForANodeThatJustStarted(t *testing.T) {
 	s := begin(t, false)
 	s.pass(10_000)
-	s.e.Sharing(0)
+	s.e.SetSchedulerCount(0)
 	s.e.SetOutsideWorkingSet(s.now, []uint32{2, 3, 4}, true)
 	s.e.OnDisconnected(s.now, 1, "restart")
 	for ref := range uint64(40) {
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -111,8 +111,8 @@
 			}
 		}
 	}
-	if p.cl.AsksForList {
-		p.host.SetTimer(p.cl.AskEvery/3, 1)
+	if p.cl.PollsList {
+		p.host.SetTimer(p.cl.ListMaxSilence/3, 1)
 	}
 }
 
@@ -146,7 +146,7 @@
 }
 
 // OnOutcome notes an outcome.
-func (p *Policy) OnOutcome(now float64, id uint32, _ uint32, _ uint8, _ float64, over bool, why logic.Reason, v logic.Verdict, _ []float64) {
+func (p *Policy) OnOutcome(now float64, id uint32, _ uint32, _ uint8, _ float64, over bool, why logic.Reason, v logic.Outcome, _ []float64) {
 	p.now = now
 	a := p.allocs[id]
 	if a == nil {
@@ -155,7 +155,7 @@
 	if a.nd >= 0 {
 		n := &p.nodes[a.nd]
 		n.own[0], n.own[1] = n.own[0]-a.size[0], n.own[1]-a.size[1]
-		if why == logic.NoCores || why == logic.NoMemory || why == logic.LongLine {
+		if why == logic.InsufficientCores || why == logic.InsufficientMemory || why == logic.QueueFull {
 			n.refuse = now + 200
 		}
 	}
@@ -163,7 +163,7 @@
 		delete(p.allocs, id)
 		return
 	}
-	never := v == logic.Refused || v == logic.Unreached || v == logic.Unsent
+	never := v == logic.Rejected || v == logic.Unreachable || v == logic.NotSent
 	if !never && a.first < 0 {
 		a.first, a.group = a.sentAt, a.nd
 	}
@@ -172,10 +172,10 @@
 }
 
 // OnTaskMetric, Probed and the like say nothing to these policies.
-func (p *Policy) OnTaskMetric(float64, uint32, uint8, uint32, logic.NoteKind, float64) {}
+func (p *Policy) OnTaskMetric(float64, uint32, uint8, uint32, logic.TaskMetric, float64) {}
 
 // OnProbeResult is not asked for.
-func (p *Policy) OnProbeResult(float64, uint32, logic.Verdict, float64, []float64) {}
+func (p *Policy) OnProbeResult(float64, uint32, logic.Outcome, float64, []float64) {}
 
 // OnExpired ends an allocation that was answered without the policy.
 func (p *Policy) OnExpired(now float64, id uint32) {
@@ -198,10 +198,10 @@
 		if a == nil || a.over || a.nd >= 0 {
 			continue
 		}
-		j := &p.cl.JobTypes[a.job]
-		harm := a.first >= 0 && (j.Effect == logic.RunOnce || j.Effect == logic.Tokened && j.Group != logic.GroupAll)
-		late := a.first >= 0 && (j.Effect == logic.RunOnce || j.Effect == logic.Tokened && now+50 > a.first+j.Window)
-		if now >= a.expiry || int(a.try) >= p.cl.MaxTries || late {
+		j := &p.cl.JobClasses[a.job]
+		harm := a.first >= 0 && (j.Semantics == logic.AtMostOnce || j.Semantics == logic.Idempotent && j.IdempotencyScope != logic.ScopeAll)
+		late := a.first >= 0 && (j.Semantics == logic.AtMostOnce || j.Semantics == logic.Idempotent && now+50 > a.first+j.IdempotencyWindow)
+		if now >= a.expiry || int(a.try) >= p.cl.MaxAttempts || late {
 			delete(p.allocs, id)
 			if harm {
 				p.host.Fail(id)
@@ -221,7 +221,7 @@
 		a.nd, a.sentAt, a.tried = i, now, append(a.tried, i)
 		a.try++
 		timeout := min(1200, a.expiry-now)
-		if j.Effect == logic.RunOnce || int(a.try) == p.cl.MaxTries {
+		if j.Semantics == logic.AtMostOnce || int(a.try) == p.cl.MaxAttempts {
 			timeout = a.expiry - now
 		}
 		p.host.StartAttempt(id, n.id, timeout)
@@ -232,7 +232,7 @@
 }
 
 // spread tells whether a node may take another task of a service by the spread that its job type asks for.
-func (p *Policy) spread(a *alloc, j *logic.JobType, i int) bool {
+func (p *Policy) spread(a *alloc, j *logic.JobClass, i int) bool {
 	if j.Spread == logic.Anywhere {
 		return true
 	}
@@ -246,24 +246,24 @@
 			there++
 		}
 	}
-	return there < j.Most
+	return there < j.MaxPerScope
 }
 
 // choose draws a node for an allocation, -1 if there is none.
 func (p *Policy) choose(a *alloc) int {
-	j := &p.cl.JobTypes[a.job]
+	j := &p.cl.JobClasses[a.job]
 	var may []int
 	for i := range p.nodes {
 		n := &p.nodes[i]
-		if !n.ready || p.now < n.refuse || j.Kind >= 0 && n.kind != j.Kind || slices.Contains(a.tried, i) {
+		if !n.ready || p.now < n.refuse || j.NodeKind >= 0 && n.kind != j.NodeKind || slices.Contains(a.tried, i) {
 			continue
 		}
-		if p.name == "careful" && (p.now-n.since < p.cl.ColdFor || !p.spread(a, j, i)) {
+		if p.name == "careful" && (p.now-n.since < p.cl.SlowStartDuration || !p.spread(a, j, i)) {
 			continue
 		}
-		if a.first >= 0 && j.Effect == logic.Tokened {
+		if a.first >= 0 && j.Semantics == logic.Idempotent {
 			g := &p.nodes[a.group]
-			if j.Group == logic.GroupZone && g.zone != n.zone || j.Group == logic.GroupCell && g.cell != n.cell {
+			if j.IdempotencyScope == logic.ScopeZone && g.zone != n.zone || j.IdempotencyScope == logic.ScopeCell && g.cell != n.cell {
 				continue
 			}
 		}
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -26,9 +26,9 @@
 func (d *desk) Log(string)               {}
 
 func TestPolicies(t *testing.T) {
-	cl := &logic.Cluster{MaxTries: 3, KindCores: []float64{10}, KindMemory: []float64{10}, JobTypes: []logic.JobType{
-		{Effect: logic.Restartable, Kind: -1}, {Effect: logic.Tokened, Group: logic.GroupZone, Window: 1000, Kind: -1},
-		{Effect: logic.RunOnce, Kind: -1}}}
+	cl := &logic.Cluster{MaxAttempts: 3, KindCores: []float64{10}, KindMemory: []float64{10}, JobClasses: []logic.JobClass{
+		{Semantics: logic.Restartable, NodeKind: -1}, {Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone, IdempotencyWindow: 1000, NodeKind: -1},
+		{Semantics: logic.AtMostOnce, NodeKind: -1}}}
 	for _, name := range Names {
 		t.Run(name, func(t *testing.T) {
 			d := &desk{offers: map[uint32][]uint32{}}
@@ -48,7 +48,7 @@
 				t.Errorf("offered to %d", d.offers[1][0])
 			}
 			for id := range uint32(3) {
-				p.OnOutcome(100, id+1, d.offers[id+1][0], 0, 100, false, logic.NotTold, logic.TimedOut, nil)
+				p.OnOutcome(100, id+1, d.offers[id+1][0], 0, 100, false, logic.ReasonUnknown, logic.TimedOut, nil)
 			}
 			p.Decide(100)
 			if len(d.offers[1]) != 2 || len(d.offers[2]) != 2 || len(d.offers[3]) != 1 || d.failed != 1 {
@@ -57,12 +57,12 @@
 			if second := d.offers[2][1]; (first-1)/3 != (second-1)/3 || second == first {
 				t.Errorf("tokened at %d, then %d", first, second)
 			}
-			p.OnOutcome(1500, 2, d.offers[2][1], 1, 100, false, logic.NotTold, logic.TimedOut, nil)
+			p.OnOutcome(1500, 2, d.offers[2][1], 1, 100, false, logic.ReasonUnknown, logic.TimedOut, nil)
 			p.Decide(1500)
 			if d.failed != 2 {
 				t.Error("tokened tried after its window")
 			}
-			p.OnOutcome(1600, 1, d.offers[1][1], 1, 100, false, logic.NoCores, logic.Refused, nil)
+			p.OnOutcome(1600, 1, d.offers[1][1], 1, 100, false, logic.InsufficientCores, logic.Rejected, nil)
 			p.Decide(6000)
 			if d.declined != 1 {
 				t.Errorf("%d declined after the expiry", d.declined)
--- a/internal/lab/clubs/clubs.go
+++ b/internal/lab/clubs/clubs.go
@@ -221,10 +221,10 @@
 			job = 1
 		}
 		key, service, tenant := fmt.Sprint("k", n), fmt.Sprint("v", job, n%3), name(i)
-		jt := place.Cluster.JobTypes[job]
-		o.Ask(&standin.Want{Key: key, Tenant: tenant, JobType: place.JobClasses[job], Service: service, Job: job, Effect: int(jt.Effect),
+		jt := place.Cluster.JobClasses[job]
+		o.Ask(&standin.Want{Key: key, Tenant: tenant, JobType: place.JobClasses[job], Service: service, Job: job, Effect: int(jt.Semantics),
 			Token: serve.Token(tenant, key), ServiceKey: serve.Service(tenant, service), Cores: 1, Memory: 2,
-			Within: place.Deadlines[job], Target: jt.Target, Until: w.Now() + 50})
+			Within: place.Deadlines[job], Target: jt.LatencyObjective, Until: w.Now() + 50})
 	}
 }
 
--- a/internal/lab/drill/day.go
+++ b/internal/lab/drill/day.go
@@ -163,11 +163,11 @@
 		if job < 0 {
 			continue
 		}
-		jt := place.Cluster.JobTypes[job]
+		jt := place.Cluster.JobClasses[job]
 		d.works = append(d.works, work{job: job, part: w.Number("part"), cores: w.Number("cores"),
 			memory: w.Number("memory"), start: w.Number("start"), life: w.Number("life"), use: w.Number("use"),
-			priority: w.Int("priority"), name: w.Text("job-type"), within: place.Deadlines[job], target: jt.Target,
-			effect: int(jt.Effect), spread: int(jt.Spread), most: jt.Most, group: int(jt.Group), window: jt.Window})
+			priority: w.Int("priority"), name: w.Text("job-type"), within: place.Deadlines[job], target: jt.LatencyObjective,
+			effect: int(jt.Semantics), spread: int(jt.Spread), most: jt.MaxPerScope, group: int(jt.IdempotencyScope), window: jt.IdempotencyWindow})
 		sum += w.Number("part")
 	}
 	if len(faults) == 0 && len(d.works) != len(place.JobClasses) {
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -137,10 +137,10 @@
 
 func (p *player) addNode(f fleet, i int, cold bool) error {
 	cl, d := &p.Place.Cluster, p.Day
-	mk := standin.Make{Cores: cl.KindCores[f.kind], Memory: cl.KindMemory[f.kind], CoresLimit: cl.CoresLimit,
-		MemoryLimit: cl.MemoryLimit, Look: d.look, Line: d.line, Starts: d.starts, NoProgram: d.noProgram,
-		Programs: d.keeps, ColdFrom: d.coldFrom, ColdFor: cl.ColdFor, Fall: d.fall, FallFor: cl.FallWindow,
-		Bears: int(cl.ColdBears), CountsUse: cl.CountsUse, PushesOut: cl.Displaces}
+	mk := standin.Make{Cores: cl.KindCores[f.kind], Memory: cl.KindMemory[f.kind], CoresLimit: cl.CoresOvercommit,
+		MemoryLimit: cl.MemoryOvercommit, Look: d.look, Line: d.line, Starts: d.starts, NoProgram: d.noProgram,
+		Programs: d.keeps, ColdFrom: d.coldFrom, ColdFor: cl.SlowStartDuration, Fall: d.fall, FallFor: cl.SlowStartWindow,
+		Bears: int(cl.SlowStartLimit), CountsUse: cl.ReportsMeasureUse, PushesOut: cl.Preempts}
 	for _, w := range d.works {
 		mk.Work = append(mk.Work, standin.Work{Start: w.start, Life: w.life, Use: w.use, Priority: w.priority,
 			Token: w.effect == audit.Tokened})
--- a/internal/lab/month/edge.go
+++ b/internal/lab/month/edge.go
@@ -95,7 +95,7 @@
 	h.p.w.note("answer %d %d %s", h.p.index, ref, a)
 }
 
-func (h hand) NotifyEnd(uint32, uint64, logic.Verdict, logic.Reason) {}
+func (h hand) NotifyEnd(uint32, uint64, logic.Outcome, logic.Reason) {}
 
 func (h hand) Log(l string) { h.p.w.note("%d %s", h.p.index, l) }
 
--- a/internal/lab/month/month.go
+++ b/internal/lab/month/month.go
@@ -336,7 +336,7 @@
 			w.after(500+w.rng.Float64()*3000, func() { p.list(zone, avail) })
 		}
 	}
-	tell(logic.Gone)
+	tell(logic.Unavailable)
 	w.after(6000, func() {
 		for _, s := range w.nodes {
 			if s.zone == zone {
--- a/internal/lab/month/process.go
+++ b/internal/lab/month/process.go
@@ -42,12 +42,12 @@
 	p.life++
 	p.out = map[uint32]bool{}
 	p.w.rep.Restarts += int(min(1, p.life-1))
-	cl := &logic.Cluster{Schedulers: p.w.Processes, Index: p.index, AskEvery: 1e12, Step: 2, MaxTries: 4, MayRecall: true, MayProbe: true,
-		KindCores: []float64{32, 32}, KindMemory: []float64{64, 64}, CoresLimit: 2, MemoryLimit: 2, Report: []string{"x0", "x1"},
-		ReportsCome: true, ColdBears: 100, ColdFor: 8000, FallWindow: 1000, MeanCores: 1, MeanMemory: 2, JobTypes: []logic.JobType{
-			{Effect: logic.Restartable, Target: 2000, Value: 1, Kind: -1},
-			{Effect: logic.Tokened, Group: logic.GroupAll, Window: 8000, Target: 2000, Value: 2, Kind: -1},
-			{Effect: logic.RunOnce, Target: 2000, Value: 3, Kind: -1}}}
+	cl := &logic.Cluster{Schedulers: p.w.Processes, Index: p.index, ListMaxSilence: 1e12, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true,
+		KindCores: []float64{32, 32}, KindMemory: []float64{64, 64}, CoresOvercommit: 2, MemoryOvercommit: 2, ReportFields: []string{"x0", "x1"},
+		ReportsPiggybacked: true, SlowStartLimit: 100, SlowStartDuration: 8000, SlowStartWindow: 1000, MeanCores: 1, MeanMemory: 2, JobClasses: []logic.JobClass{
+			{Semantics: logic.Restartable, LatencyObjective: 2000, PriorityWeight: 1, NodeKind: -1},
+			{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeAll, IdempotencyWindow: 8000, LatencyObjective: 2000, PriorityWeight: 2, NodeKind: -1},
+			{Semantics: logic.AtMostOnce, LatencyObjective: 2000, PriorityWeight: 3, NodeKind: -1}}}
 	p.eng = engine.New(hand{p}, p.clock(), engine.Config{Cluster: cl, Shares: []float64{1}, MaxOpen: 500, AnswerMargin: 100, SettleTime: 3000,
 		Incarnation: p.life, Seed: p.w.rng.Uint64()})
 	lim := limits
@@ -79,7 +79,7 @@
 		if s.zone == zone {
 			p.eng.AddListNode(s.id, "x", avail, 0, 32, 64, s.zone, s.cell, s.kind)
 			id := strconv.Itoa(int(s.id))
-			if delete(p.lostNow, id); avail == logic.Gone {
+			if delete(p.lostNow, id); avail == logic.Unavailable {
 				p.lostNow[id] = true
 			}
 		}
--- a/internal/lab/procs/result.go
+++ b/internal/lab/procs/result.go
@@ -33,7 +33,7 @@
 		for _, t := range x.owner.Tallies() {
 			res.Answers[t.Word]++
 			if t.At >= r.from && t.At < r.until {
-				value := r.place.Cluster.JobTypes[t.Job].Value
+				value := r.place.Cluster.JobClasses[t.Job].PriorityWeight
 				if wanted += value; t.Word == "served" && t.InTime {
 					served += value
 				}
--- a/internal/lab/sim/plant.go
+++ b/internal/lab/sim/plant.go
@@ -79,14 +79,14 @@
 
 // Plants are faults that the laboratory is to find.
 var Plants = []Plant{
-	{Name: "run-once ones are tried again", Place: func(p *site.Config) { p.Cluster.JobTypes[2].Effect = logic.Restartable }},
-	{Name: "tokens are taken for harmless", Place: func(p *site.Config) { p.Cluster.JobTypes[1].Effect = logic.Restartable }},
+	{Name: "run-once ones are tried again", Place: func(p *site.Config) { p.Cluster.JobClasses[2].Semantics = logic.Restartable }},
+	{Name: "tokens are taken for harmless", Place: func(p *site.Config) { p.Cluster.JobClasses[1].Semantics = logic.Restartable }},
 	{Name: "the window of tokened tries is too long", Place: func(p *site.Config) {
-		p.Cluster.JobTypes[1].Window, p.Cluster.JobTypes[3].Window = 60000, 60000
+		p.Cluster.JobClasses[1].IdempotencyWindow, p.Cluster.JobClasses[3].IdempotencyWindow = 60000, 60000
 		p.Deadlines[1], p.Deadlines[3] = 60000, 60000
 	}},
 	{Name: "cold nodes are taken to bear more", Place: func(p *site.Config) {
-		p.Cluster.ColdBears, p.Cluster.KindCores = 500, []float64{160}
+		p.Cluster.SlowStartLimit, p.Cluster.KindCores = 500, []float64{160}
 	}},
 	{Name: "word of drains is lost", Serve: serve.Plant{News: func(en *state.Entry) {
 		if en.Avail == 2 {
@@ -112,5 +112,5 @@
 		}
 	}},
 	{Name: "a removal lets what runs go on", Club: func(t *tenancy.Tenant) { t.Ending = tenancy.RunOut }},
-	{Name: "the spread is not kept", Place: func(p *site.Config) { p.Cluster.JobTypes[1].Most = 50 }},
+	{Name: "the spread is not kept", Place: func(p *site.Config) { p.Cluster.JobClasses[1].MaxPerScope = 50 }},
 }
--- a/internal/lab/sim/play.go
+++ b/internal/lab/sim/play.go
@@ -202,13 +202,13 @@
 	}
 	st.place = place
 	rules := audit.Rules{Nodes: map[uint32]audit.Stand{}, Jobs: rulesOfJobs, Grace: place.DrainGrace, Asks: st.Asks,
-		AskEvery: place.Cluster.AskEvery, ColdBears: int(place.Cluster.ColdBears), ColdFor: place.Cluster.ColdFor,
-		ColdWindow: place.Cluster.FallWindow, Slack: slack}
+		AskEvery: place.Cluster.ListMaxSilence, ColdBears: int(place.Cluster.SlowStartLimit), ColdFor: place.Cluster.SlowStartDuration,
+		ColdWindow: place.Cluster.SlowStartWindow, Slack: slack}
 	st.watch = audit.NewWatch(rules)
 	st.w = standin.NewWorld(st.host("world"))
 	st.w.Trace.Each = st.record
 	mk := standin.Make{Cores: 16, Memory: 32, CoresLimit: 2, MemoryLimit: 1.5, Look: 4, Line: 30, Starts: 6, NoProgram: 3,
-		Programs: 6, ColdFrom: 0.4, ColdFor: place.Cluster.ColdFor, Fall: 1e9, FallFor: 1000, Bears: 8}
+		Programs: 6, ColdFrom: 0.4, ColdFor: place.Cluster.SlowStartDuration, Fall: 1e9, FallFor: 1000, Bears: 8}
 	life := 1500.0
 	if st.game.Life > 0 {
 		life = st.game.Life
@@ -329,7 +329,7 @@
 		place.Members = site.Members{Listen: fmt.Sprint("10.0.0.", 1+s.index, ":1"), Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, LeasedPart: 0.5}
 	}
 	place.WorkingSet = st.workingSet()
-	place.Cluster.JobTypes = slices.Clone(place.Cluster.JobTypes)
+	place.Cluster.JobClasses = slices.Clone(place.Cluster.JobClasses)
 	if st.plant.Place != nil {
 		st.plant.Place(&place)
 	}
--- a/internal/lab/states/explore.go
+++ b/internal/lab/states/explore.go
@@ -173,7 +173,7 @@
 	}
 	t.runs = true
 	p.ran++
-	if p.ran > 1 && Jobs[p.w.Job].Effect == logic.RunOnce && p.overs == 0 {
+	if p.ran > 1 && Jobs[p.w.Job].Semantics == logic.AtMostOnce && p.overs == 0 {
 		p.fail("run-once allocation started %d times", p.ran)
 	}
 	p.say(t.shard, n, msg{kind: 'S', ticket: t.ticket, try: t.try})
@@ -186,7 +186,7 @@
 	p.say(t.shard, n, msg{kind: 'E', ticket: t.ticket, try: t.try, out: out})
 }
 
-var verdicts = [...]logic.Verdict{logic.Refused, logic.Ended, logic.Broken}
+var verdicts = [...]logic.Outcome{logic.Rejected, logic.Completed, logic.ConnectionLost}
 
 // hear lets a shard hear the next word of a node. A word for a life that is over goes nowhere.
 func (p *play) hear(s, n int) {
@@ -198,12 +198,12 @@
 	case 'S':
 		err = e.OnStarted(p.now, nd, m.ticket, m.try, 1)
 	case 'E':
-		err = e.OnOutcome(p.now, nd, m.ticket, m.try, verdicts[m.out], logic.NotTold, nil)
+		err = e.OnOutcome(p.now, nd, m.ticket, m.try, verdicts[m.out], logic.ReasonUnknown, nil)
 	case 'C':
 		if m.out >= 3 {
 			e.OnClaimHeld(p.now, nd, m.ticket, m.try, m.out == 4)
 		} else {
-			e.OnClaimOutcome(p.now, nd, m.ticket, m.try, verdicts[m.out], logic.NotTold)
+			e.OnClaimOutcome(p.now, nd, m.ticket, m.try, verdicts[m.out], logic.ReasonUnknown)
 		}
 	}
 	p.news[s] = true
--- a/internal/lab/states/world.go
+++ b/internal/lab/states/world.go
@@ -39,11 +39,11 @@
 )
 
 // Jobs are the job types by their effect.
-var Jobs = []logic.JobType{
-	{Effect: logic.Restartable, Target: 300, Value: 1, Kind: -1},
-	{Effect: logic.Tokened, Group: logic.GroupZone, Window: 900, Target: 300, Value: 1, Kind: -1},
-	{Effect: logic.Tokened, Group: logic.GroupAll, Window: 900, Target: 300, Value: 1, Kind: -1},
-	{Effect: logic.RunOnce, Target: 300, Value: 1, Kind: -1},
+var Jobs = []logic.JobClass{
+	{Semantics: logic.Restartable, LatencyObjective: 300, PriorityWeight: 1, NodeKind: -1},
+	{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone, IdempotencyWindow: 900, LatencyObjective: 300, PriorityWeight: 1, NodeKind: -1},
+	{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeAll, IdempotencyWindow: 900, LatencyObjective: 300, PriorityWeight: 1, NodeKind: -1},
+	{Semantics: logic.AtMostOnce, LatencyObjective: 300, PriorityWeight: 1, NodeKind: -1},
 }
 
 const (
@@ -146,9 +146,9 @@
 func (p *play) shard(s int) {
 	p.lives++
 	p.life[s] = p.lives
-	cl := &logic.Cluster{Schedulers: shards, Index: s, AskEvery: 1e6, Step: 1, MaxTries: 4, MayRecall: true, KindCores: []float64{8},
-		KindMemory: []float64{8}, CoresLimit: 1, MemoryLimit: 1, Report: []string{"x0", "x1"}, ReportsCome: true, ColdBears: 100,
-		ColdFor: 10, FallWindow: 10, MeanCores: 1, MeanMemory: 1, JobTypes: Jobs}
+	cl := &logic.Cluster{Schedulers: shards, Index: s, ListMaxSilence: 1e6, MinRoundInterval: 1, MaxAttempts: 4, CanCancel: true, KindCores: []float64{8},
+		KindMemory: []float64{8}, CoresOvercommit: 1, MemoryOvercommit: 1, ReportFields: []string{"x0", "x1"}, ReportsPiggybacked: true, SlowStartLimit: 100,
+		SlowStartDuration: 10, SlowStartWindow: 10, MeanCores: 1, MeanMemory: 1, JobClasses: Jobs}
 	p.eng[s] = engine.New(edge{p, s, p.life[s]}, p.now, engine.Config{Cluster: cl, Shares: []float64{1}, MaxOpen: 10, AnswerMargin: margin,
 		SettleTime: 300, Incarnation: p.lives, Seed: uint64(p.lives)})
 	e := p.eng[s]
@@ -269,7 +269,7 @@
 		d.p.answered(ref, a)
 	}
 }
-func (d edge) NotifyEnd(uint32, uint64, logic.Verdict, logic.Reason) {
+func (d edge) NotifyEnd(uint32, uint64, logic.Outcome, logic.Reason) {
 	if !d.dead() {
 		d.p.overs++
 	}
@@ -284,7 +284,7 @@
 		p.fail("ask %d answered twice", ref)
 	case p.now > p.expiryOf[ref]:
 		p.fail("ask %d answered after its expiry", ref)
-	case a == engine.Declined && p.ran > 0 && Jobs[p.w.Job].Effect == logic.RunOnce && ref == 1 && p.overs == 0:
+	case a == engine.Declined && p.ran > 0 && Jobs[p.w.Job].Semantics == logic.AtMostOnce && ref == 1 && p.overs == 0:
 		p.fail("run-once ask declined though it ran")
 	}
 }
--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -106,7 +106,7 @@
 	}
 	f.name, okName = codec.Hex(msg, codec.Name, 16)
 	f.key, okKey = codec.Hex(msg, codec.Key, 32)
-	if okJob && s.known.Cluster.JobTypes[f.jobType].Effect != logic.Tokened {
+	if okJob && s.known.Cluster.JobClasses[f.jobType].Semantics != logic.Idempotent {
 		f.key, okKey = nil, true
 	}
 	if !okJob || !okTenant || !okName || !okKey || task == 0 {
@@ -178,8 +178,8 @@
 func (s *Server) fits(jobType int, cores, memory float64) bool {
 	cl := s.known.Cluster
 	for i := range cl.KindCores {
-		if k := cl.JobTypes[jobType].Kind; (k < 0 || k == i) && cores <= cl.KindCores[i]*cl.CoresLimit &&
-			memory <= cl.KindMemory[i]*cl.MemoryLimit {
+		if k := cl.JobClasses[jobType].NodeKind; (k < 0 || k == i) && cores <= cl.KindCores[i]*cl.CoresOvercommit &&
+			memory <= cl.KindMemory[i]*cl.MemoryOvercommit {
 			return true
 		}
 	}
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -99,12 +99,12 @@
 					late++
 				}
 			}
-			if late+unheard > 0 || r.s.counts.verdicts[logic.Broken] > 0 || r.s.counts.spent > 0 {
+			if late+unheard > 0 || r.s.counts.verdicts[logic.ConnectionLost] > 0 || r.s.counts.spent > 0 {
 				t.Errorf("of %d ends %d came late, %d never; verdicts %v, %d dials found nothing left", nodes, late, unheard, r.s.counts.verdicts,
 					r.s.counts.spent)
 			}
 			for _, p := range r.s.peers {
-				if b, _ := r.s.host.Believes(p.id); b.Ill {
+				if b, _ := r.s.host.Believes(p.id); b.Unhealthy {
 					t.Errorf("%s is taken for ill", p.name)
 				}
 			}
@@ -134,7 +134,7 @@
 		t.Errorf("%d spent, %d stand, %q", r.s.counts.spent, r.s.host.Stands(), x.got)
 	}
 	for _, p := range r.s.peers {
-		if b, _ := r.s.host.Believes(p.id); b.Ill || b.Risk > 0 {
+		if b, _ := r.s.host.Believes(p.id); b.Unhealthy || b.FailureRate > 0 {
 			t.Errorf("%s is blamed: %+v", p.name, b)
 		}
 	}
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -47,14 +47,14 @@
 	}
 }
 
-func (s edge) Over(alloc uint32, v logic.Verdict) {
+func (s edge) Over(alloc uint32, v logic.Outcome) {
 	a := s.requests[alloc]
 	if a == nil {
 		return
 	}
 	s.counts.over++
 	s.trace("over", a.task, func(e *zerolog.Event) { e.Uint8("verdict", uint8(v)) })
-	s.notifyEnd(a, map[logic.Verdict]byte{logic.Ended: codec.Normal, logic.CalledOff: codec.Elsewhere}[v])
+	s.notifyEnd(a, map[logic.Outcome]byte{logic.Completed: codec.Normal, logic.Cancelled: codec.Elsewhere}[v])
 }
 
 func (s edge) Forget(alloc uint32) {
@@ -117,7 +117,7 @@
 }
 
 // settled tells the host how an attempt, or a running task, has ended.
-func (s *Server) settled(a *request, v logic.Verdict, why logic.Reason, report []float64) {
+func (s *Server) settled(a *request, v logic.Outcome, why logic.Reason, report []float64) {
 	s.counts.verdicts[v]++
 	s.trace("settled", a.task, func(e *zerolog.Event) {
 		e.Uint8("verdict", uint8(v)).Uint8("why", uint8(why)).Floats64("report", report).Bool("stood", a.running)
@@ -126,7 +126,7 @@
 		}
 		e.Str("node", a.peer.name)
 		if b, ok := s.host.Believes(a.peer.id); ok {
-			e.Floats64("believed", []float64{b.Cores, b.Memory}).Float64("strain", b.Strain).Float64("risk", b.Risk).Bool("ill", b.Ill)
+			e.Floats64("believed", []float64{b.Cores, b.Memory}).Float64("strain", b.Degradation).Float64("risk", b.FailureRate).Bool("ill", b.Unhealthy)
 		}
 	})
 	s.host.Settled(s.world.Now(), a.alloc, a.attempt, v, why, report)
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -43,7 +43,7 @@
 	}
 	s.feed.pos = max(s.feed.pos, last)
 	for _, p := range s.peers {
-		if p.avail == logic.Gone {
+		if p.avail == logic.Unavailable {
 			delete(s.peers, p.id)
 			delete(s.names, p.name)
 		}
@@ -57,7 +57,7 @@
 	return func(name, address, zone, kind string, cell int, avail logic.Availability, since, freeCores, freeMemory float64) {
 		p := s.names[name]
 		if p == nil {
-			if avail == logic.Gone {
+			if avail == logic.Unavailable {
 				return // it came and went unseen
 			}
 			p = &peer{id: s.number(name), name: name, running: map[*request]bool{}}
@@ -73,7 +73,7 @@
 			p.address = address
 		}
 		p.avail = avail
-		if avail == logic.Gone {
+		if avail == logic.Unavailable {
 			s.shed(p)
 		}
 		z, okZone := s.zones[zone]
@@ -249,7 +249,7 @@
 		if whole {
 			for _, p := range s.each() {
 				if !named[p] {
-					p.avail = logic.Gone
+					p.avail = logic.Unavailable
 					s.shed(p)
 				}
 			}
--- a/internal/platform/host/beliefs.go
+++ b/internal/platform/host/beliefs.go
@@ -14,7 +14,7 @@
 
 // Believes is what the module holds of a node.
 func (h *Host) Believes(node uint32) (b logic.Belief, ok bool) {
-	h.words.Do("beliefs", func() { b, ok = h.mod.Believes(node) })
+	h.words.Do("beliefs", func() { b, ok = h.mod.NodeBelief(node) })
 	return b, ok
 }
 
@@ -30,7 +30,7 @@
 // weigh holds belief against a report that is about to be told.
 func (h *Host) weigh(node uint32, report []float64) {
 	h.words.Do("mistakes", func() {
-		if c, m, ok := h.mod.Mistaken(h.now, node, report); ok {
+		if c, m, ok := h.mod.BeliefError(h.now, node, report); ok {
 			h.off = off{h.off.reports + 1, h.off.cores + math.Abs(c), h.off.memory + math.Abs(m)}
 		}
 	})
--- a/internal/platform/host/fence.go
+++ b/internal/platform/host/fence.go
@@ -50,7 +50,7 @@
 	if !f.down {
 		return false
 	}
-	h.answerAll(func(a *alloc) bool { return outcome.Untold(f.cl.JobTypes[a.request.jobType].Effect, a.tries) })
+	h.answerAll(func(a *alloc) bool { return outcome.Untold(f.cl.JobClasses[a.request.jobType].Semantics, a.tries) })
 	if _, start := f.dog.Look(h.now, []float64{h.now}); len(start) == 0 {
 		return true
 	}
@@ -102,7 +102,7 @@
 func (l *list) node(now float64, id uint32, e entry) {
 	was, ok := l.all[id]
 	e.entered = was.entered
-	if !ok && l.kind != logic.ListCached || ok && (was.avail == logic.Gone && e.avail != logic.Gone || e.since > was.since) {
+	if !ok && l.kind != logic.ListCached || ok && (was.avail == logic.Unavailable && e.avail != logic.Unavailable || e.since > was.since) {
 		e.entered = now // it may be cold, whatever its start is said to be
 	}
 	l.all[id] = e
@@ -113,7 +113,7 @@
 	if l.kind == logic.ListFull || l.kind == logic.ListCached {
 		for id, e := range l.all {
 			if !l.named[id] {
-				e.avail = logic.Gone
+				e.avail = logic.Unavailable
 				l.all[id] = e
 			}
 		}
@@ -121,7 +121,7 @@
 	l.named = nil
 	l.gone = 0
 	for _, e := range l.all {
-		if e.avail == logic.Gone {
+		if e.avail == logic.Unavailable {
 			l.gone++
 		}
 	}
@@ -137,7 +137,7 @@
 	for _, a := range h.allocs {
 		holds[a.node] = holds[a.node] || a.out
 	}
-	maps.DeleteFunc(l.all, func(id uint32, e entry) bool { return e.avail == logic.Gone && !holds[id] })
+	maps.DeleteFunc(l.all, func(id uint32, e entry) bool { return e.avail == logic.Unavailable && !holds[id] })
 	l.gone = 0
 }
 
--- a/internal/platform/host/fence_test.go
+++ b/internal/platform/host/fence_test.go
@@ -90,7 +90,7 @@
 		}
 	}
 	m.look()
-	m.h.Settled(m.now, stood, 0, logic.Ended, logic.NotTold, []float64{30, 60})
+	m.h.Settled(m.now, stood, 0, logic.Completed, logic.ReasonUnknown, []float64{30, 60})
 	if got := m.look(); got != fmt.Sprintf("over %d 0, forget %d", stood, stood) {
 		t.Errorf("the end of what stood before: %q", got)
 	}
@@ -101,7 +101,7 @@
 	m := mined(t, 4)
 	id := m.ask(restartable)
 	m.pass(10)
-	m.settle(id, logic.Refused, logic.NoCores)
+	m.settle(id, logic.Rejected, logic.InsufficientCores)
 	if m.offer.try != 1 || !m.h.Started(m.now, id, 1) {
 		t.Fatal("no second try")
 	}
@@ -109,7 +109,7 @@
 	m.ask(restartable)
 	m.pass(1000)
 	m.look()
-	m.h.Settled(m.now, id, 1, logic.Ended, logic.NotTold, nil)
+	m.h.Settled(m.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
 	m.pass(50)
 	if got := m.look(); got != fmt.Sprintf("over %d 0, forget %d", id, id) || m.h.Stands() != 0 {
 		t.Errorf("%q, %d stand", got, m.h.Stands())
@@ -141,7 +141,7 @@
 	m := mined(t, 2)
 	m.h.ListBegin(m.now, logic.ListChanges)
 	m.h.ListNode(100, logic.Draining, 0, 32, 64, 0, 0, 0)
-	m.h.ListNode(101, logic.Gone, 0, 32, 64, 0, 0, 0)
+	m.h.ListNode(101, logic.Unavailable, 0, 32, 64, 0, 0, 0)
 	m.h.ListNode(102, logic.Ready, 0, 32, 64, 0, 0, 0)
 	m.h.ListEnd()
 	m.pass(3000)
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -25,7 +25,7 @@
 	Cut(alloc uint32, node uint32)               // what stands at a node is to end
 	Answer(alloc uint32, declined bool)          // final, but for served
 	Move(alloc uint32)
-	Over(alloc uint32, verdict logic.Verdict) // what stood has ended, and its client is owed the news
+	Over(alloc uint32, verdict logic.Outcome) // what stood has ended, and its client is owed the news
 	Forget(alloc uint32)                      // nothing more will be said of it
 	Probe(node, seq uint32)
 	Follow()
@@ -106,7 +106,7 @@
 
 // New starts a module.
 func New(edge Edge, now float64, seed uint64, cl *logic.Cluster) *Host {
-	h := &Host{edge: edge, step: cl.Step, most: cl.MaxTries, now: now, last: math.Inf(-1), allocs: map[uint32]*alloc{},
+	h := &Host{edge: edge, step: cl.MinRoundInterval, most: cl.MaxAttempts, now: now, last: math.Inf(-1), allocs: map[uint32]*alloc{},
 		probes: map[uint32]probe{}, probeFor: outcome.ProbeFor()}
 	h.words.Tell = func(what, why string) { h.edge.Mode("words: " + what + " switched off: " + why) }
 	h.fence.begin(now, seed, cl)
@@ -196,25 +196,25 @@
 	case dueTry, dueTryLate:
 		if a := h.allocs[id]; a != nil && a.out && !a.stands && !a.awaiting && a.tries == try+1 {
 			h.edge.GiveUp(id, uint8(try), a.node)
-			h.settle(id, a, logic.TimedOut, logic.NotTold, nil)
+			h.settle(id, a, logic.TimedOut, logic.ReasonUnknown, nil)
 		}
 	case dueSweep:
 		if a := h.allocs[uint32(key)]; a != nil {
 			h.sweep(uint32(key), a)
 		}
 	case dueUnsent:
-		h.late(id, try, logic.Unsent)
+		h.late(id, try, logic.NotSent)
 	case dueCalled, dueEnd:
 		if a := h.allocs[id]; a != nil && a.moved && a.out && a.tries == try+1 {
 			h.edge.Cut(id, a.node)
 		}
-		h.late(id, try, logic.CalledOff)
+		h.late(id, try, logic.Cancelled)
 	}
 }
 
-func (h *Host) late(id uint32, try int, v logic.Verdict) {
+func (h *Host) late(id uint32, try int, v logic.Outcome) {
 	if a := h.allocs[id]; a != nil && a.out && a.tries == try+1 {
-		h.settle(id, a, v, logic.NotTold, nil)
+		h.settle(id, a, v, logic.ReasonUnknown, nil)
 	}
 }
 
@@ -276,7 +276,7 @@
 }
 
 // Settled says how a try, or what stood by it, has ended.
-func (h *Host) Settled(now float64, id uint32, try uint8, verdict logic.Verdict, why logic.Reason, report []float64) {
+func (h *Host) Settled(now float64, id uint32, try uint8, verdict logic.Outcome, why logic.Reason, report []float64) {
 	a := h.allocs[id]
 	if a == nil || !a.out || a.tries != int(try)+1 || a.awaiting {
 		return
@@ -297,8 +297,8 @@
 	end.Noted = a.noted
 	ran = end.Ran()
 	if ran && !a.over {
-		job := h.fence.cl.JobTypes[a.request.jobType]
-		h.edge.Answer(id, outcome.DeclinedAfterRun(job.Effect, job.Group))
+		job := h.fence.cl.JobClasses[a.request.jobType]
+		h.edge.Answer(id, outcome.DeclinedAfterRun(job.Semantics, job.IdempotencyScope))
 		h.answered(a)
 		h.tell(func(m *logic.Scheduler) { m.OnExpired(h.now, id) })
 	}
@@ -310,11 +310,11 @@
 func (h *Host) Lost(now float64, id uint32) {
 	if a := h.allocs[id]; a != nil && a.stands {
 		h.hear(now)
-		h.settle(id, a, logic.Broken, logic.NotTold, nil)
+		h.settle(id, a, logic.ConnectionLost, logic.ReasonUnknown, nil)
 	}
 }
 
-func (h *Host) settle(id uint32, a *alloc, v logic.Verdict, why logic.Reason, report []float64) {
+func (h *Host) settle(id uint32, a *alloc, v logic.Outcome, why logic.Reason, report []float64) {
 	if a.stands {
 		h.stands--
 		if !a.unheard {
@@ -330,7 +330,7 @@
 }
 
 // Noted says what a node tells of a task.
-func (h *Host) Noted(now float64, id uint32, kind logic.NoteKind, value float64) {
+func (h *Host) Noted(now float64, id uint32, kind logic.TaskMetric, value float64) {
 	if a := h.allocs[id]; a != nil && a.out {
 		h.hear(now)
 		a.noted = true
@@ -404,7 +404,7 @@
 }
 
 // Probed says how a probe went.
-func (h *Host) Probed(now float64, node, seq uint32, verdict logic.Verdict, report []float64) {
+func (h *Host) Probed(now float64, node, seq uint32, verdict logic.Outcome, report []float64) {
 	if p, ok := h.probes[node]; ok && p.seq == seq {
 		h.hear(now)
 		delete(h.probes, node)
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -33,7 +33,7 @@
 func (s *script) GiveUp(id uint32, try uint8, _ uint32) { s.say("give up %d.%d", id, try) }
 func (s *script) Cut(id, _ uint32)                      { s.say("cut %d", id) }
 func (s *script) Move(id uint32)                        { s.say("move %d", id) }
-func (s *script) Over(id uint32, v logic.Verdict)       { s.say("over %d %d", id, v) }
+func (s *script) Over(id uint32, v logic.Outcome)       { s.say("over %d %d", id, v) }
 func (s *script) Forget(id uint32)                      { s.say("forget %d", id) }
 func (s *script) Probe(_, seq uint32)                   { s.probe = seq }
 func (s *script) Follow()                               {}
@@ -52,14 +52,14 @@
 // begin starts a host of some nodes, in two zones in turn.
 func begin(t *testing.T, nodes int) *script {
 	s := &script{t: t, now: 1e6}
-	cl := &logic.Cluster{Schedulers: 1, Step: 2, MaxTries: 4, MayRecall: true, MayProbe: true, KindCores: []float64{32},
-		KindMemory: []float64{64}, CoresLimit: 2, MemoryLimit: 1.5, Report: []string{"x0", "x1"}, ReportsCome: true, ColdBears: 20,
-		ColdFor: 9000, FallWindow: 2000, MeanCores: 1, MeanMemory: 2}
-	for _, e := range []logic.Effect{logic.Restartable, logic.Tokened, logic.RunOnce} {
-		cl.JobTypes = append(cl.JobTypes, logic.JobType{Effect: e, Group: logic.GroupZone, Window: 8000, Target: 700, Value: 1,
-			Kind: -1, Most: 1})
+	cl := &logic.Cluster{Schedulers: 1, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true, KindCores: []float64{32},
+		KindMemory: []float64{64}, CoresOvercommit: 2, MemoryOvercommit: 1.5, ReportFields: []string{"x0", "x1"}, ReportsPiggybacked: true, SlowStartLimit: 20,
+		SlowStartDuration: 9000, SlowStartWindow: 2000, MeanCores: 1, MeanMemory: 2}
+	for _, e := range []logic.RetrySemantics{logic.Restartable, logic.Idempotent, logic.AtMostOnce} {
+		cl.JobClasses = append(cl.JobClasses, logic.JobClass{Semantics: e, IdempotencyScope: logic.ScopeZone, IdempotencyWindow: 8000, LatencyObjective: 700, PriorityWeight: 1,
+			NodeKind: -1, MaxPerScope: 1})
 	}
-	cl.JobTypes[tokened].Spread = logic.PerNode
+	cl.JobClasses[tokened].Spread = logic.PerNode
 	s.h = New(s, s.now, 5, cl)
 	s.h.ListBegin(s.now, logic.ListCached)
 	for i := range nodes {
@@ -95,7 +95,7 @@
 	return s.h.Allocate(s.now, job, 0, s.now+2500, 9, 1, 2)
 }
 
-func (s *script) settle(id uint32, v logic.Verdict, why logic.Reason) {
+func (s *script) settle(id uint32, v logic.Outcome, why logic.Reason) {
 	s.now += 5
 	s.h.Settled(s.now, id, s.offer.try, v, why, nil)
 	s.pass(20)
@@ -106,14 +106,14 @@
 func TestOutcomes(t *testing.T) {
 	const again, failed = "offer 1.1", "answer 1 failed, forget 1"
 	for _, c := range []struct {
-		verdict logic.Verdict
+		verdict logic.Outcome
 		nodes   int
 		want    [3]string // by job type
 	}{
-		{logic.Refused, 4, [3]string{again, again, again}},
-		{logic.Unreached, 4, [3]string{again, again, again}},
-		{logic.Unsent, 4, [3]string{again, again, again}},
-		{logic.Broken, 4, [3]string{again, again, failed}},
+		{logic.Rejected, 4, [3]string{again, again, again}},
+		{logic.Unreachable, 4, [3]string{again, again, again}},
+		{logic.NotSent, 4, [3]string{again, again, again}},
+		{logic.ConnectionLost, 4, [3]string{again, again, failed}},
 		{logic.Errored, 4, [3]string{again, again, failed}},
 		{logic.TimedOut, 4, [3]string{again, again, failed}},
 	} {
@@ -123,7 +123,7 @@
 				id := s.ask(job)
 				s.pass(10)
 				s.want("first", "offer 1.0")
-				s.settle(id, c.verdict, logic.NoCores)
+				s.settle(id, c.verdict, logic.InsufficientCores)
 				s.want("then", want)
 			})
 		}
@@ -133,16 +133,16 @@
 // TestDeclined declines what provably never ran when its time is up, and fails what may have.
 func TestDeclined(t *testing.T) {
 	for _, c := range []struct {
-		verdict logic.Verdict
+		verdict logic.Outcome
 		job     int
 		want    string
-	}{{logic.Unreached, runOnce, "declined"}, {logic.Broken, tokened, "failed"}, {logic.Broken, restartable, "declined"}} {
+	}{{logic.Unreachable, runOnce, "declined"}, {logic.ConnectionLost, tokened, "failed"}, {logic.ConnectionLost, restartable, "declined"}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			s := begin(t, 1)
 			id := s.ask(c.job)
 			s.pass(10)
 			s.look()
-			s.settle(id, c.verdict, logic.NotTold)
+			s.settle(id, c.verdict, logic.ReasonUnknown)
 			s.pass(2600)
 			if got := s.look(); !strings.Contains(got, "answer 1 "+c.want) || strings.Count(got, "answer") != 1 ||
 				!strings.HasSuffix(got, "forget 1") {
@@ -158,19 +158,19 @@
 	id := s.ask(restartable)
 	s.pass(10)
 	s.want("first", "offer 1.0")
-	s.settle(id, logic.Errored, logic.NotTold)
+	s.settle(id, logic.Errored, logic.ReasonUnknown)
 	s.want("second", "offer 1.1")
 	if s.h.Started(s.now, id, 0) {
 		t.Error("the first try started after its outcome")
 	}
-	s.h.Settled(s.now, id, 0, logic.Refused, logic.NotTold, nil)
+	s.h.Settled(s.now, id, 0, logic.Rejected, logic.ReasonUnknown, nil)
 	s.pass(20)
 	s.want("an outcome told twice", "")
 	if !s.h.Started(s.now, id, 1) || s.h.Started(s.now, id, 1) {
 		t.Error("the second try starts, once")
 	}
-	s.h.Settled(s.now, id, 1, logic.Ended, logic.NotTold, nil)
-	s.h.Settled(s.now, id, 1, logic.Ended, logic.NotTold, nil)
+	s.h.Settled(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
+	s.h.Settled(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
 	s.h.Lost(s.now, id)
 	s.pass(3000)
 	s.want("its end", "over 1 0, forget 1")
@@ -247,7 +247,7 @@
 		s.pass(10)
 		s.h.Started(s.now, id, 0)
 		s.h.Withdrawn(s.now, id)
-		s.h.Settled(s.now, id, 0, logic.CalledOff, logic.NotTold, nil)
+		s.h.Settled(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		s.pass(3000)
 		s.want("once", "offer 1.0, cut 1, forget 1")
 	})
@@ -262,19 +262,19 @@
 		want  string
 	}{
 		{"the node confirms", func(s *script, id uint32) {
-			s.h.Settled(s.now, id, 0, logic.CalledOff, logic.NotTold, nil)
+			s.h.Settled(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 		{"it ended meanwhile", func(s *script, id uint32) {
-			s.h.Settled(s.now, id, 0, logic.Ended, logic.NotTold, nil)
+			s.h.Settled(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 		{"the node says nothing", func(*script, uint32) {}, "move 1, cut 1, forget 1"},
 		{"asked twice", func(s *script, id uint32) {
 			acts{s.h}.Migrate(id)
-			s.h.Settled(s.now, id, 0, logic.CalledOff, logic.NotTold, nil)
+			s.h.Settled(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 		{"the client ends it too", func(s *script, id uint32) {
 			s.h.Withdrawn(s.now, id)
-			s.h.Settled(s.now, id, 0, logic.CalledOff, logic.NotTold, nil)
+			s.h.Settled(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -300,11 +300,11 @@
 		end  func(s *script, id uint32)
 		want string
 	}{
-		{"it ends", func(s *script, id uint32) { s.h.Settled(s.now, id, 0, logic.Ended, logic.NotTold, nil) }, "over 1 0, forget 1"},
+		{"it ends", func(s *script, id uint32) { s.h.Settled(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil) }, "over 1 0, forget 1"},
 		{"its node is lost", func(s *script, id uint32) { s.h.Lost(s.now, id) }, "over 1 5, forget 1"},
 		{"it starts, which it can't", func(s *script, id uint32) { s.h.Started(s.now, id, 0) }, ""},
 		{"it is told as of another try", func(s *script, id uint32) {
-			s.h.Settled(s.now, id, 1, logic.Ended, logic.NotTold, nil)
+			s.h.Settled(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
 		}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -342,7 +342,7 @@
 	id := s.ask(restartable)
 	for range 6 {
 		s.pass(20)
-		s.h.Settled(s.now, id, s.offer.try, logic.Errored, logic.NotTold, nil)
+		s.h.Settled(s.now, id, s.offer.try, logic.Errored, logic.ReasonUnknown, nil)
 	}
 	s.pass(20)
 	s.want("four tries", "offer 1.0, offer 1.1, offer 1.2, offer 1.3, answer 1 declined, forget 1")
@@ -356,7 +356,7 @@
 		s.pass(10)
 		s.h.Started(s.now, id, 0)
 		s.pass(1000)
-		s.h.Settled(s.now, id, 0, logic.Ended, logic.NotTold, []float64{free, 50})
+		s.h.Settled(s.now, id, 0, logic.Completed, logic.ReasonUnknown, []float64{free, 50})
 		s.pass(1000)
 	}
 	if n, cores, memory := s.h.Mistaken(); n != 2 || cores != 5 || memory != 0 {
--- a/internal/platform/host/host_timing_test.go
+++ b/internal/platform/host/host_timing_test.go
@@ -82,11 +82,11 @@
 	says := map[string]func(s *script, id uint32) bool{
 		"started": func(s *script, id uint32) bool { return s.h.Started(s.now, id, s.offer.try) },
 		"refused": func(s *script, id uint32) bool {
-			s.h.Settled(s.now, id, s.offer.try, logic.Refused, 0, nil)
+			s.h.Settled(s.now, id, s.offer.try, logic.Rejected, 0, nil)
 			return false
 		},
 		"broken": func(s *script, id uint32) bool {
-			s.h.Settled(s.now, id, s.offer.try, logic.Broken, 0, nil)
+			s.h.Settled(s.now, id, s.offer.try, logic.ConnectionLost, 0, nil)
 			return false
 		},
 		"withdrawn": func(s *script, id uint32) bool { s.h.Withdrawn(s.now, id); return false },
@@ -136,7 +136,7 @@
 							t.Errorf("started at its expiry: %q", said)
 						}
 						if stands {
-							s.h.Settled(s.now, id, s.offer.try, logic.Ended, 0, nil)
+							s.h.Settled(s.now, id, s.offer.try, logic.Completed, 0, nil)
 							s.pass(100)
 						}
 						if len(s.h.allocs) > 0 || s.h.Open() != 0 || s.h.Stands() != 0 {
--- a/internal/platform/links.go
+++ b/internal/platform/links.go
@@ -50,7 +50,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a.attempt == attempt && a.link == nil {
-		s.settled(a, logic.Unsent, logic.NotTold, nil)
+		s.settled(a, logic.NotSent, logic.ReasonUnknown, nil)
 	}
 }
 
@@ -156,13 +156,13 @@
 		if errors.Is(err, outside.ErrExhausted) { // the want is this machine's own, and says nothing of the node
 			s.counts.spent++
 			l.peer.watch.Missed()
-			unmade = logic.Unsent
+			unmade = logic.NotSent
 		} else {
 			s.counts.refused++
 			l.peer.watch.Looked(now, errors.Is(err, outside.ErrRefused))
 		}
 		l.forget()
-		l.settle(func(*request) logic.Verdict { return unmade }, logic.Unreached)
+		l.settle(func(*request) logic.Outcome { return unmade }, logic.Unreachable)
 		return
 	}
 	if l.gone { // its node was taken away meanwhile
@@ -181,7 +181,7 @@
 	for _, a := range slices.Clone(l.requests) {
 		if now >= a.until { // what waited for it longer than it was decided for is void
 			l.drop(a)
-			s.settled(a, logic.Unsent, logic.NotTold, nil)
+			s.settled(a, logic.NotSent, logic.ReasonUnknown, nil)
 			continue
 		}
 		l.setUp(a)
@@ -299,28 +299,28 @@
 	l.s.trace("link broke", 0, func(e *zerolog.Event) {
 		e.Str("node", l.peer.name).Str("why", why).Int("open", len(l.requests)).Bool("spent", l.spent)
 	})
-	l.finish(func(a *request) logic.Verdict { return outcome.Cut(a.sent <= handed) })
+	l.finish(func(a *request) logic.Outcome { return outcome.Cut(a.sent <= handed) })
 }
 
 // spoil ends a connection on which something came that can't be read.
 func (l *link) spoil() {
-	l.finish(func(*request) logic.Verdict { return outcome.Spoilt() })
+	l.finish(func(*request) logic.Outcome { return outcome.Spoilt() })
 }
 
-func (l *link) finish(verdict func(*request) logic.Verdict) {
+func (l *link) finish(verdict func(*request) logic.Outcome) {
 	l.forget()
 	l.conn.Close(false, nil)
-	l.settle(verdict, logic.Broken)
+	l.settle(verdict, logic.ConnectionLost)
 	l.s.tether(l.s.world.Now(), l.peer)
 	l.s.wake()
 }
 
 // settle gives an outcome to all that was open on a connection that is no more.
-func (l *link) settle(verdict func(*request) logic.Verdict, probe logic.Verdict) {
+func (l *link) settle(verdict func(*request) logic.Outcome, probe logic.Outcome) {
 	for _, a := range slices.Clone(l.requests) {
 		v := verdict(a)
 		l.drop(a)
-		l.s.settled(a, v, logic.NotTold, nil)
+		l.s.settled(a, v, logic.ReasonUnknown, nil)
 	}
 	if l.probe != 0 {
 		l.s.host.Probed(l.s.world.Now(), l.peer.id, l.probe, probe, nil)
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -142,7 +142,7 @@
 	if len(x.got) != 8 || strings.Contains(strings.Join(x.got, " "), "end") {
 		t.Errorf("%q, want eight served", x.got)
 	}
-	if r.s.counts.verdicts[logic.Unreached] == 0 {
+	if r.s.counts.verdicts[logic.Unreachable] == 0 {
 		t.Error("the node that refuses was never tried")
 	}
 }
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -62,7 +62,7 @@
 		if !ok {
 			return codec.ErrUnreadable
 		}
-		s.report = codec.Load(msg, s.known.Cluster.Report, s.report[:0])
+		s.report = codec.Load(msg, s.known.Cluster.ReportFields, s.report[:0])
 		a := s.tasks[task]
 		switch {
 		case a == nil || a.peer != l.peer:
@@ -90,11 +90,11 @@
 		}
 		if l.probe != 0 && task == uint64(l.probe) {
 			l.probe, l.idle = 0, now
-			v := logic.Ended
+			v := logic.Completed
 			if cause == 0 {
 				v = logic.Errored
 			}
-			s.report = codec.Load(msg, s.known.Cluster.Report, s.report[:0])
+			s.report = codec.Load(msg, s.known.Cluster.ReportFields, s.report[:0])
 			s.host.Probed(now, l.peer.id, uint32(task), v, s.report)
 		}
 	case codec.Progress, codec.EndHeard:
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -40,7 +40,7 @@
 	}
 	now := s.world.Now()
 	p.owes(now, task)
-	if p.avail != logic.Gone {
+	if p.avail != logic.Unavailable {
 		s.tether(now, p)
 	}
 }
@@ -52,7 +52,7 @@
 
 // tether keeps a connection to a node where a task runs or is to be ended, as news of it may come on any connection.
 func (s *Server) tether(now float64, p *peer) {
-	if p.avail == logic.Gone || len(p.running) == 0 && len(p.cuts) == 0 || len(p.links) > 0 {
+	if p.avail == logic.Unavailable || len(p.running) == 0 && len(p.cuts) == 0 || len(p.links) > 0 {
 		return
 	}
 	s.look(now, p, false)
@@ -85,16 +85,16 @@
 		}
 	}
 	if len(p.running) > 0 {
-		if p.avail != logic.Gone {
+		if p.avail != logic.Unavailable {
 			s.look(now, p, linked)
 		}
-		if p.watch.Lost(now, p.avail == logic.Gone, len(p.links) > 0) {
+		if p.watch.Lost(now, p.avail == logic.Unavailable, len(p.links) > 0) {
 			s.lose(now, p)
 		}
 	} else {
 		s.tether(now, p)
 	}
-	if p.avail == logic.Gone && len(p.links) == 0 && len(p.running) == 0 {
+	if p.avail == logic.Unavailable && len(p.links) == 0 && len(p.running) == 0 {
 		delete(s.peers, p.id)
 		delete(s.names, p.name)
 	}
@@ -105,9 +105,9 @@
 	s.log.Info().Str("mode", "lost").Str("node", p.name).Int("stood", len(p.running)).Msg("node lost with the running task there")
 	for _, a := range slices.SortedFunc(maps.Keys(p.running), func(x, y *request) int { return cmp.Compare(x.alloc, y.alloc) }) {
 		task := a.task
-		s.counts.verdicts[logic.Broken]++
+		s.counts.verdicts[logic.ConnectionLost]++
 		s.host.Lost(now, a.alloc)
-		if p.avail != logic.Gone {
+		if p.avail != logic.Unavailable {
 			p.owes(now, task)
 		}
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -107,8 +107,8 @@
 	}
 	s.admit = admit.New(min(s.parts.Open, c.Known.OpenMost), shares)
 	soonest := math.Inf(1)
-	for _, j := range c.Known.Cluster.JobTypes {
-		soonest = min(soonest, j.Target)
+	for _, j := range c.Known.Cluster.JobClasses {
+		soonest = min(soonest, j.LatencyObjective)
 	}
 	s.gate = admit.Within(soonest)
 	return s
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -63,7 +63,7 @@
 			if at, ok := drains[n.name]; ok && r.c.True() > at+500+50 {
 				t.Errorf("%s was sent %d %g ms after it was told to drain", n.name, task, r.c.True()-at)
 			}
-			if known.Cluster.JobTypes[a.job].Effect == logic.RunOnce && a.barred {
+			if known.Cluster.JobClasses[a.job].Semantics == logic.AtMostOnce && a.barred {
 				t.Errorf("%d, which may have run, is tried again", task)
 			}
 			if rng.IntN(8) == 0 {
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -24,9 +24,9 @@
 	c := &s.counts
 	ill, strained := 0, 0
 	for id := range s.peers {
-		if b, ok := s.host.Believes(id); ok && b.Ill {
+		if b, ok := s.host.Believes(id); ok && b.Unhealthy {
 			ill++
-		} else if ok && b.Strain > 0.5 {
+		} else if ok && b.Degradation > 0.5 {
 			strained++
 		}
 	}
--- a/internal/proto/node/node.go
+++ b/internal/proto/node/node.go
@@ -63,8 +63,8 @@
 )
 
 // Verdicts gives the module's word for each outcome: what must not be tried again unless it provably never ran rests on it.
-var Verdicts = [...]logic.Verdict{OutcomeEnded: logic.Ended, OutcomeErrored: logic.Errored, OutcomeRefused: logic.Refused, OutcomeBarred: logic.Refused,
-	OutcomeLost: logic.Broken, OutcomeStopped: logic.CalledOff, OutcomeUnknown: logic.Broken}
+var Verdicts = [...]logic.Outcome{OutcomeEnded: logic.Completed, OutcomeErrored: logic.Errored, OutcomeRefused: logic.Rejected, OutcomeBarred: logic.Rejected,
+	OutcomeLost: logic.ConnectionLost, OutcomeStopped: logic.Cancelled, OutcomeUnknown: logic.ConnectionLost}
 
 // SchedulerHandler is what a node hears.
 type SchedulerHandler interface {
--- a/internal/proto/platform/platform.go
+++ b/internal/proto/platform/platform.go
@@ -263,43 +263,43 @@
 			return logic.Reason(i)
 		}
 	}
-	return logic.NotTold
+	return logic.ReasonUnknown
 }
 
 // Noted reads a note: its kind and figure; false if it is none that is known.
-func Noted(msg []byte) (logic.NoteKind, float64, bool) {
+func Noted(msg []byte) (logic.TaskMetric, float64, bool) {
 	v, _ := Param(msg, Word)
 	for i, w := range notes {
 		if i > 0 && string(v) == w {
 			f, ok := Number(msg, Figure)
-			return logic.NoteKind(i), f, ok || i == int(logic.Runs)
+			return logic.TaskMetric(i), f, ok || i == int(logic.TaskRunning)
 		}
 	}
 	return 0, 0, false
 }
 
 // Before is what an end by a node tells about a try that it had not answered. Only two causes prove that it never ran.
-func Before(cause byte) logic.Verdict {
+func Before(cause byte) logic.Outcome {
 	switch cause {
 	case Full:
-		return logic.Refused
+		return logic.Rejected
 	case Moot:
-		return logic.Unsent
+		return logic.NotSent
 	case Errored:
 		return logic.Errored
 	}
-	return logic.Broken
+	return logic.ConnectionLost
 }
 
 // After is what it tells about a task that stood.
-func After(cause byte) logic.Verdict {
+func After(cause byte) logic.Outcome {
 	switch cause {
 	case Normal:
-		return logic.Ended
+		return logic.Completed
 	case Elsewhere:
-		return logic.CalledOff
+		return logic.Cancelled
 	}
-	return logic.Broken
+	return logic.ConnectionLost
 }
 
 // begin appends a message's head; close sets its length. A message that would be too long is left out: what its parts
--- a/internal/proto/platform/platform_test.go
+++ b/internal/proto/platform/platform_test.go
@@ -174,24 +174,24 @@
 // TestVerdicts holds what a node's words prove: two causes prove that a try never ran, and those alone.
 func TestVerdicts(t *testing.T) {
 	for cause := range 256 {
-		want := logic.Broken
+		want := logic.ConnectionLost
 		switch cause {
 		case 34:
-			want = logic.Refused
+			want = logic.Rejected
 		case 102:
-			want = logic.Unsent
+			want = logic.NotSent
 		case 47:
 			want = logic.Errored
 		}
 		if got := Before(byte(cause)); got != want {
 			t.Errorf("before, cause %d: %d, want %d", cause, got, want)
 		}
-		want = logic.Broken
+		want = logic.ConnectionLost
 		switch cause {
 		case 16:
-			want = logic.Ended
+			want = logic.Completed
 		case 31:
-			want = logic.CalledOff
+			want = logic.Cancelled
 		}
 		if got := After(byte(cause)); got != want {
 			t.Errorf("after, cause %d: %d, want %d", cause, got, want)
@@ -204,7 +204,7 @@
 	}
 	for i, w := range []string{"x", "runs", "cores", "memory", "served", "pressure"} {
 		kind, v, ok := Noted(message(Note, Word, w, Figure, "0.5"))
-		if ok != (i > 0) || ok && (kind != logic.NoteKind(i) || v != 0.5) {
+		if ok != (i > 0) || ok && (kind != logic.TaskMetric(i) || v != 0.5) {
 			t.Errorf("%s: %d %g %v", w, kind, v, ok)
 		}
 	}
--- a/internal/serve/hosting.go
+++ b/internal/serve/hosting.go
@@ -219,16 +219,16 @@
 		if kind < 0 || en.Avail != 1 {
 			continue
 		}
-		cores, memory := cl.KindCores[kind]*cl.CoresLimit, cl.KindMemory[kind]*cl.MemoryLimit
+		cores, memory := cl.KindCores[kind]*cl.CoresOvercommit, cl.KindMemory[kind]*cl.MemoryOvercommit
 		all.Cores, all.Memory = all.Cores+cores, all.Memory+memory
-		if cl.ListsFree { // what the list says is free is of the machine, not of what may be asked for
+		if cl.ListsReportLoad { // what the list says is free is of the machine, not of what may be asked for
 			cores, memory = cores-cl.KindCores[kind]+en.FreeCores, memory-cl.KindMemory[kind]+en.FreeMemory
 		}
 		unasked.Cores, unasked.Memory = unasked.Cores+max(0, cores), unasked.Memory+max(0, memory)
 	}
 	s.mu.Unlock()
 	s.desk.Lock()
-	s.acts.Listed(all, unasked, cl.ListsFree)
+	s.acts.Listed(all, unasked, cl.ListsReportLoad)
 	s.desk.Unlock()
 }
 
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -71,8 +71,8 @@
 }
 
 func (l *link) OnOutcome(ticket uint64, try uint8, outcome, reason int, report []float64) error {
-	if n := len(report); n != 0 && n != len(l.s.who.Place.Cluster.Report) {
-		return fmt.Errorf("report of %d values, expected %d", n, len(l.s.who.Place.Cluster.Report))
+	if n := len(report); n != 0 && n != len(l.s.who.Place.Cluster.ReportFields) {
+		return fmt.Errorf("report of %d values, expected %d", n, len(l.s.who.Place.Cluster.ReportFields))
 	}
 	report = slices.Clone(report)
 	if l.s.who.Place.Connections == site.SharedReports && len(report) > 0 {
@@ -118,13 +118,13 @@
 
 func (l *link) OnNote(ticket uint64, try uint8, kind int, value float64) error {
 	return l.event(ticket, false, func(sh *shard, now float64) error {
-		return sh.eng.OnNote(now, l.nd, ticket, try, logic.NoteKind(kind), value)
+		return sh.eng.OnNote(now, l.nd, ticket, try, logic.TaskMetric(kind), value)
 	})
 }
 
 func (l *link) OnReport(seq uint64, report []float64) error {
-	if len(report) != len(l.s.who.Place.Cluster.Report) {
-		return fmt.Errorf("report of %d values, expected %d", len(report), len(l.s.who.Place.Cluster.Report))
+	if len(report) != len(l.s.who.Place.Cluster.ReportFields) {
+		return fmt.Errorf("report of %d values, expected %d", len(report), len(l.s.who.Place.Cluster.ReportFields))
 	}
 	report = slices.Clone(report)
 	for _, sh := range l.t.all() {
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -57,7 +57,7 @@
 }
 
 func newLister(s *Server) *lister {
-	return &lister{s: s, told: !s.who.Place.Cluster.AsksForList, pace: reconnect.New(s.who.Seed + 1)}
+	return &lister{s: s, told: !s.who.Place.Cluster.PollsList, pace: reconnect.New(s.who.Seed + 1)}
 }
 
 // begin begins the watch where the list tells unasked.
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -73,7 +73,7 @@
 		open = s.longest()
 	}
 	run, err := members.Begin(s.w, m.Listen, membership.Config{Open: open, Site: s.who.Place.Name, Name: s.who.Name, Address: m.Advertise, Life: uint64(life), Key: key,
-		Seeds: m.Seeds, Seed: s.who.Seed, Place: s.who.Index, Places: cl.Schedulers, Window: cl.FallWindow + leaseSpan}, changes{s})
+		Seeds: m.Seeds, Seed: s.who.Seed, Place: s.who.Index, Places: cl.Schedulers, Window: cl.SlowStartWindow + leaseSpan}, changes{s})
 	if err != nil {
 		return err
 	}
@@ -232,7 +232,7 @@
 	s.circle.run.See(func(d *membership.Detector) {
 		d.List(now, version, func(yield func(node uint32, ready, gone bool)) {
 			for _, en := range entries {
-				yield(en.ID, logic.Availability(en.Avail) == logic.Ready, logic.Availability(en.Avail) == logic.Gone)
+				yield(en.ID, logic.Availability(en.Avail) == logic.Ready, logic.Availability(en.Avail) == logic.Unavailable)
 			}
 		})
 	})
--- a/internal/serve/owners.go
+++ b/internal/serve/owners.go
@@ -50,9 +50,9 @@
 }
 
 // Words of the protocol for an allocation's end.
-var ends = [...]string{logic.Ended: "ended", logic.Errored: "error", logic.Refused: "refused",
-	logic.TimedOut: "timed-out", logic.Unreached: "unreached", logic.Broken: "lost", logic.CalledOff: "stopped",
-	logic.Unsent: "unsent"}
+var ends = [...]string{logic.Completed: "ended", logic.Errored: "error", logic.Rejected: "refused",
+	logic.TimedOut: "timed-out", logic.Unreachable: "unreached", logic.ConnectionLost: "lost", logic.Cancelled: "stopped",
+	logic.NotSent: "unsent"}
 
 var reasons = [...]string{"", "no-cores", "no-memory", "long-line", "not-here", "evicted", "pushed-out", "sent-away"}
 
@@ -324,7 +324,7 @@
 	}
 }
 
-func (o *owner) over(ref uint64, verdict logic.Verdict, why logic.Reason) {
+func (o *owner) over(ref uint64, verdict logic.Outcome, why logic.Reason) {
 	o.end(ref)
 	if o.sink != nil {
 		o.sink.Over(ref)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -205,8 +205,8 @@
 		lives: map[uint32]*shard{}, out: map[uint32]bool{}, counted: map[int]count{}, known: map[string]calendar.Node{}, goneAt: map[string]time.Time{}}
 	s.lister = newLister(s)
 	s.noteFleet(last.Entries())
-	s.acts = shardrouter.New(w.Now(), shardrouter.Terms{Jobs: place.Cluster.JobTypes, Way: shares.Way(place.ShardBy), Shards: place.Shards,
-		Most: place.MaxShards, Open: place.MaxOpen, Margin: place.AnswerMargin, Step: place.Cluster.Step, Trusted: who.Plant.Trust, Hosts: place.MaxHostedTenants > 0})
+	s.acts = shardrouter.New(w.Now(), shardrouter.Terms{Jobs: place.Cluster.JobClasses, Way: shares.Way(place.ShardBy), Shards: place.Shards,
+		Most: place.MaxShards, Open: place.MaxOpen, Margin: place.AnswerMargin, Step: place.Cluster.MinRoundInterval, Trusted: who.Plant.Trust, Hosts: place.MaxHostedTenants > 0})
 	var t *trunk
 	for i := range place.Shards {
 		sh, err := s.newShard(i)
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -124,10 +124,10 @@
 		s.keys++
 		job := int(jobs[s.keys%len(jobs)] - '0')
 		key, service := fmt.Sprint("k", s.keys), fmt.Sprint("v", job, s.keys%5)
-		jt := s.place.Cluster.JobTypes[job]
+		jt := s.place.Cluster.JobClasses[job]
 		s.owner[s.keys%len(s.owner)].Ask(&standin.Want{Key: key, Tenant: "t", JobType: s.place.JobClasses[job], Service: service,
-			Job: job, Effect: int(jt.Effect), Token: Token("t", key), ServiceKey: Service("t", service), Cores: 1, Memory: 1,
-			Within: s.place.Deadlines[job], Target: jt.Target, Until: end})
+			Job: job, Effect: int(jt.Semantics), Token: Token("t", key), ServiceKey: Service("t", service), Cores: 1, Memory: 1,
+			Within: s.place.Deadlines[job], Target: jt.LatencyObjective, Until: end})
 		time.Sleep(time.Duration(1e9 / rate))
 	}
 }
@@ -232,10 +232,10 @@
 				e.Answer(owner, ref, a, nd, "", 0)
 			})},
 		{name: "a try after the window", rule: 2, jobs: "1", trouble: mute, place: func(p *site.Config) {
-			p.Cluster.JobTypes[1].Window, p.Deadlines[1] = 60000, 6000
+			p.Cluster.JobClasses[1].IdempotencyWindow, p.Deadlines[1] = 60000, 6000
 		}},
 		{name: "tokens taken for harmless", rule: 2, jobs: "1", trouble: mute, place: func(p *site.Config) {
-			p.Cluster.JobTypes[1].Effect = 0
+			p.Cluster.JobClasses[1].Semantics = 0
 		}},
 		{name: "a late send to a draining node", rule: 3, jobs: "0", trouble: drain, longer: 2000, Plant: offering(
 			func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
@@ -253,19 +253,19 @@
 		{name: "too many offers to a cold node", rule: 4, jobs: "0", cold: true, Plant: offering(
 			func(_ engine.Effects, _ uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) { send(1, try) })},
 		{name: "more expected of a cold node than it bears", rule: 4, jobs: "0", cold: true, place: func(p *site.Config) {
-			p.Cluster.ColdBears, p.Cluster.KindCores = 500, []float64{320}
+			p.Cluster.SlowStartLimit, p.Cluster.KindCores = 500, []float64{320}
 		}},
 		{name: "a service all at one node", rule: 5, jobs: "1", Plant: offering(
 			func(_ engine.Effects, _ uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) { send(2, try) })},
 		{name: "a most that is too high", rule: 5, jobs: "1", place: func(p *site.Config) {
-			p.Cluster.JobTypes[1].Most = 50
+			p.Cluster.JobClasses[1].MaxPerScope = 50
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newStage(t, 1, 8, c.cold)
 			place := *s.place
-			place.Cluster.JobTypes = append(place.Cluster.JobTypes[:0:0], place.Cluster.JobTypes...)
+			place.Cluster.JobClasses = append(place.Cluster.JobClasses[:0:0], place.Cluster.JobClasses...)
 			place.Deadlines = append(place.Deadlines[:0:0], place.Deadlines...)
 			if c.place != nil {
 				c.place(&place)
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -63,7 +63,7 @@
 		MaxOpen: s.acts.OpenEach(place.Shards), AnswerMargin: place.AnswerMargin, SettleTime: place.SettleTime,
 		NewPolicy: s.who.Policy, Incarnation: life, Seed: s.who.Seed + uint64(life)*0x9e3779b97f4a7c15, WallClockStart: float64(outside.Epoch.UnixMilli()), AliveAtPeers: s.nodeLives})
 	if s.who.Place.Members.Listen != "" {
-		sh.eng.Sharing(0) // until the others have given leave
+		sh.eng.SetSchedulerCount(0) // until the others have given leave
 	}
 	sh.inbox = &inbox{wake: func() { sh.loop.Wake() }}
 	sh.loop = s.w.StartLoop(sh.turn)
@@ -93,7 +93,7 @@
 			wait = -1
 		}
 	}()
-	w, step := sh.s.w, sh.s.who.Place.Cluster.Step
+	w, step := sh.s.w, sh.s.who.Place.Cluster.MinRoundInterval
 	began := w.Now()
 	switch rest := sh.last + step - began; {
 	case sh.fenced.Load() || sh.s.over.Load():
@@ -121,7 +121,7 @@
 	if sh.s.circle.run != nil {
 		if n := sh.s.sharing(sh.last); n != sh.sharing {
 			sh.sharing = n
-			sh.eng.Sharing(n * sh.s.who.Place.MaxShards)
+			sh.eng.SetSchedulerCount(n * sh.s.who.Place.MaxShards)
 		}
 	}
 	sh.beat.Store(math.Float64bits(sh.last))
@@ -259,7 +259,7 @@
 	}
 }
 
-func (d edge) NotifyEnd(owner uint32, ref uint64, verdict logic.Verdict, why logic.Reason) {
+func (d edge) NotifyEnd(owner uint32, ref uint64, verdict logic.Outcome, why logic.Reason) {
 	if d.dead() {
 		return
 	}
@@ -345,7 +345,7 @@
 	s.desk.Unlock()
 	for _, a := range lost {
 		if o := s.owner(a.Owner); o != nil {
-			o.over(a.Ref, logic.Broken, logic.NotTold)
+			o.over(a.Ref, logic.ConnectionLost, logic.ReasonUnknown)
 		}
 	}
 	for _, sh := range stuck {
--- a/internal/serve/workingset.go
+++ b/internal/serve/workingset.go
@@ -94,7 +94,7 @@
 	var known []listEntry
 	for _, entry := range entries {
 		v.takeEntry(now, kind, entry)
-		if logic.Availability(entry.Avail) == logic.Gone {
+		if logic.Availability(entry.Avail) == logic.Unavailable {
 			gone = append(gone, entry.ID)
 		}
 		if _, ok := v.shown[entry.ID]; ok {
@@ -124,7 +124,7 @@
 // takeEntry takes an entry of the list into the set.
 func (v *nodeSet) takeEntry(now float64, kind logic.ListKind, entry listEntry) {
 	avail := logic.Availability(entry.Avail)
-	if avail == logic.Gone {
+	if avail == logic.Unavailable {
 		v.set.RemoveNode(entry.ID)
 		v.visits.Drop(entry.ID)
 		delete(v.newSince, entry.ID)
@@ -274,8 +274,8 @@
 	cluster := &v.s.who.Place.Cluster
 	cores, memory := 0.0, 0.0
 	for kind := range cluster.KindCores {
-		cores += cluster.KindCores[kind] * cluster.CoresLimit
-		memory += cluster.KindMemory[kind] * cluster.MemoryLimit
+		cores += cluster.KindCores[kind] * cluster.CoresOvercommit
+		memory += cluster.KindMemory[kind] * cluster.MemoryOvercommit
 	}
 	kinds := float64(len(cluster.KindCores))
 	v.set.SetLoad(workingset.Load{Machines: kinds * max(sum.Cores/cores, sum.Memory/memory), Starts: v.load.starts})
@@ -291,7 +291,7 @@
 	for _, id := range change.Enter {
 		if _, ok := v.shown[id]; ok {
 			back = append(back, id)
-		} else if since, isNew := v.newSince[id]; isNew && now-since < v.s.who.Place.Cluster.ColdFor {
+		} else if since, isNew := v.newSince[id]; isNew && now-since < v.s.who.Place.Cluster.SlowStartDuration {
 			fresh = append(fresh, id)
 		} else {
 			warm = append(warm, id)
@@ -303,7 +303,7 @@
 	v.introduce(fresh, true, false)
 	v.introduce(warm, false, false)
 	for id, since := range v.newSince {
-		if now-since >= v.s.who.Place.Cluster.ColdFor {
+		if now-since >= v.s.who.Place.Cluster.SlowStartDuration {
 			delete(v.newSince, id)
 		}
 	}
--- a/internal/serve/workingset_test.go
+++ b/internal/serve/workingset_test.go
@@ -35,7 +35,7 @@
 // setPlace is the stage's site with a working set.
 func (s *stage) setPlace() site.Config {
 	place := *s.place
-	place.Cluster.ColdFor = 50 // the nodes are warm from the start
+	place.Cluster.SlowStartDuration = 50 // the nodes are warm from the start
 	place.WorkingSet = site.WorkingSet{MinNodes: setLeast, Coverage: 1, SpareFactor: 1, NodesPerStart: 1, MinPerStratum: 2, NarrowAfter: 1000}
 	return place
 }
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -153,7 +153,7 @@
 	by := map[string][]seen{}
 	for _, n := range nodes {
 		sum := sums[n.zone]
-		sum.Room += n.cores * s.who.Place.Cluster.CoresLimit
+		sum.Room += n.cores * s.who.Place.Cluster.CoresOvercommit
 		sum.Used += max(0, n.cores-n.free)
 		sums[n.zone] = sum
 		if s.set.has(n.id) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -151,14 +151,14 @@
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	cl := &logic.Cluster{
-		Schedulers: f.Instances, Index: f.Index, AsksForList: f.Discovery == "ask", AskEvery: f.Rules.AskEvery / nsPerMs,
-		Step: f.Step / nsPerMs, MaxTries: f.Limits.MaxTries,
-		MayRecall: f.Limits.Cancel, MayProbe: f.Limits.Probes, KindCores: f.Info.KindCores,
-		KindMemory: f.Info.KindMemory, CoresLimit: f.Info.CoresLimit, MemoryLimit: f.Info.MemoryLimit,
-		ListsFree: f.Info.ListsFree, CountsUse: f.Info.MeasuredBy == "used", Report: f.Report.Fields,
-		ReportsCome: f.Report.How == "piggyback", ColdBears: f.Info.ColdBears, ColdFor: f.Rules.ColdFor / nsPerMs,
-		FallWindow: f.Rules.FallWindow / nsPerMs,
-		Displaces:  f.Info.Displaces, MeanCores: f.Info.MeanCores, MeanMemory: f.Info.MeanMemory,
+		Schedulers: f.Instances, Index: f.Index, PollsList: f.Discovery == "ask", ListMaxSilence: f.Rules.AskEvery / nsPerMs,
+		MinRoundInterval: f.Step / nsPerMs, MaxAttempts: f.Limits.MaxTries,
+		CanCancel: f.Limits.Cancel, CanProbe: f.Limits.Probes, KindCores: f.Info.KindCores,
+		KindMemory: f.Info.KindMemory, CoresOvercommit: f.Info.CoresLimit, MemoryOvercommit: f.Info.MemoryLimit,
+		ListsReportLoad: f.Info.ListsFree, ReportsMeasureUse: f.Info.MeasuredBy == "used", ReportFields: f.Report.Fields,
+		ReportsPiggybacked: f.Report.How == "piggyback", SlowStartLimit: f.Info.ColdBears, SlowStartDuration: f.Rules.ColdFor / nsPerMs,
+		SlowStartWindow: f.Rules.FallWindow / nsPerMs,
+		Preempts:        f.Info.Displaces, MeanCores: f.Info.MeanCores, MeanMemory: f.Info.MeanMemory,
 		FleetPrice: f.Prices.Fleet,
 	}
 	d := &Deployment{Cluster: cl, Zones: f.Zones, Kinds: f.Kinds, IdleFor: f.Limits.IdleFor / nsPerMs,
@@ -174,7 +174,7 @@
 			return nil, fmt.Errorf("%seffect: %w", of, err)
 		}
 		group := 0
-		if effect == int(logic.Tokened) {
+		if effect == int(logic.Idempotent) {
 			if group, err = word(c.Group, "all", "zone", "cell"); err != nil {
 				return nil, fmt.Errorf("%sgroup: %w", of, err)
 			}
@@ -183,11 +183,11 @@
 		if err != nil {
 			return nil, fmt.Errorf("family-info.spread-over %d: %w", i, err)
 		}
-		cl.JobTypes = append(cl.JobTypes, logic.JobType{
-			Effect: logic.Effect(effect), Group: logic.Group(group), Window: c.Window / nsPerMs,
-			Target: c.Target / nsPerMs, Value: c.Worth,
-			Kind: at(f.Info.Kinds, i, -1), Spread: logic.Place(spread),
-			Most: at(f.Info.Most, i, 1),
+		cl.JobClasses = append(cl.JobClasses, logic.JobClass{
+			Semantics: logic.RetrySemantics(effect), IdempotencyScope: logic.IdempotencyScope(group), IdempotencyWindow: c.Window / nsPerMs,
+			LatencyObjective: c.Target / nsPerMs, PriorityWeight: c.Worth,
+			NodeKind: at(f.Info.Kinds, i, -1), Spread: logic.SpreadScope(spread),
+			MaxPerScope: at(f.Info.Most, i, 1),
 		})
 	}
 	return d, nil
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -228,13 +228,13 @@
 		ClientQueue: limits.Int("owner-queue"), NodeQueue: limits.Int("node-queue"),
 		ListAddress: root.Child("node-list").Text("address"), ClientsListen: root.Child("owners").Text("listen"), ClientsTLS: root.Child("owners").Bool("tls")}
 	p.Cluster = logic.Cluster{
-		Schedulers: cluster.Int("schedulers"), AsksForList: cluster.Text("list") == "asked", AskEvery: cluster.Number("ask-every"),
-		Step: cluster.Number("step"), MaxTries: cluster.Int("tries"), MayRecall: cluster.Bool("recall"), MayProbe: cluster.Bool("probe"),
-		CoresLimit: cluster.Number("cores-limit"), MemoryLimit: cluster.Number("memory-limit"),
-		ListsFree: cluster.Bool("list-has-room"), CountsUse: cluster.Text("reports") == "used", Report: []string{"x0", "x1"},
-		ReportsCome: cluster.Text("reports-come") == "answers", ColdBears: rules.Number("cold-bears"),
-		ColdFor: rules.Number("cold-for"), FallWindow: rules.Number("cold-window"),
-		Displaces: cluster.Bool("pushes-out"), MeanCores: cluster.Number("mean-cores"), MeanMemory: cluster.Number("mean-memory"),
+		Schedulers: cluster.Int("schedulers"), PollsList: cluster.Text("list") == "asked", ListMaxSilence: cluster.Number("ask-every"),
+		MinRoundInterval: cluster.Number("step"), MaxAttempts: cluster.Int("tries"), CanCancel: cluster.Bool("recall"), CanProbe: cluster.Bool("probe"),
+		CoresOvercommit: cluster.Number("cores-limit"), MemoryOvercommit: cluster.Number("memory-limit"),
+		ListsReportLoad: cluster.Bool("list-has-room"), ReportsMeasureUse: cluster.Text("reports") == "used", ReportFields: []string{"x0", "x1"},
+		ReportsPiggybacked: cluster.Text("reports-come") == "answers", SlowStartLimit: rules.Number("cold-bears"),
+		SlowStartDuration: rules.Number("cold-for"), SlowStartWindow: rules.Number("cold-window"),
+		Preempts: cluster.Bool("pushes-out"), MeanCores: cluster.Number("mean-cores"), MeanMemory: cluster.Number("mean-memory"),
 		FleetPrice: cluster.Number("fleet-price"),
 	}
 	for _, z := range root.Children("zone") {
@@ -281,38 +281,38 @@
 		p.Cluster.KindMemory = append(p.Cluster.KindMemory, m.Number("memory"))
 	}
 	for _, j := range root.Children("job-type") {
-		jt := logic.JobType{Effect: logic.Effect(j.EnumIndex("effect")), Group: logic.Group(j.EnumIndex("group")),
-			Window: optional(j, "window"), Target: j.Number("target"), Value: j.Number("value"), Kind: -1,
-			Spread: logic.Place(j.EnumIndex("spread")), Most: 1}
+		jt := logic.JobClass{Semantics: logic.RetrySemantics(j.EnumIndex("effect")), IdempotencyScope: logic.IdempotencyScope(j.EnumIndex("group")),
+			IdempotencyWindow: optional(j, "window"), LatencyObjective: j.Number("target"), PriorityWeight: j.Number("value"), NodeKind: -1,
+			Spread: logic.SpreadScope(j.EnumIndex("spread")), MaxPerScope: 1}
 		if name := j.Text("machine"); name != "" {
 			k, ok := kinds[name]
 			if !ok {
 				fault(j, "<job-type>: no <machine> of kind %q", name)
 			}
-			jt.Kind = k
+			jt.NodeKind = k
 		}
-		if tokened := jt.Effect == logic.Tokened; tokened != j.Has("group") || tokened != j.Has("window") {
+		if tokened := jt.Semantics == logic.Idempotent; tokened != j.Has("group") || tokened != j.Has("window") {
 			fault(j, "<job-type>: group and window stand where the effect is tokened, and only there")
 		}
 		if spread := jt.Spread != logic.Anywhere; spread != j.Has("most") {
 			fault(j, "<job-type>: most stands where there is a spread, and only there")
 		} else if spread {
-			jt.Most = j.Int("most")
+			jt.MaxPerScope = j.Int("most")
 		}
 		if j.Number("target") > j.Number("expiry") {
 			fault(j, "<job-type>: target delay beyond the expiry")
 		}
-		if j.Number("expiry") <= p.AnswerMargin+4*p.Cluster.Step {
+		if j.Number("expiry") <= p.AnswerMargin+4*p.Cluster.MinRoundInterval {
 			fault(j, "<job-type>: expiry within the answer margin: nothing of it could be taken")
 		}
-		manner := drainpace.Usual(jt.Effect)
+		manner := drainpace.Usual(jt.Semantics)
 		if j.Has("drain") {
 			manner = drainpace.Manner(j.EnumIndex("drain"))
 		}
 		p.DrainManners = append(p.DrainManners, manner)
 		p.JobClasses = append(p.JobClasses, j.Text("name"))
 		p.Deadlines = append(p.Deadlines, j.Number("expiry"))
-		p.Cluster.JobTypes = append(p.Cluster.JobTypes, jt)
+		p.Cluster.JobClasses = append(p.Cluster.JobClasses, jt)
 	}
 	if c := root.Child("counts"); c != nil {
 		p.StatsListen = c.Text("listen")
@@ -367,8 +367,8 @@
 	if sum > 1+1e-9 {
 		fault(root, "shares of the tenants sum to %g, over 1", sum)
 	}
-	if p.Cluster.AsksForList && p.Cluster.AskEvery < 4*p.DrainGrace/2 {
-		fault(cluster, "<cluster>: ask-every %g ms leaves no time to ask again within the drain grace", p.Cluster.AskEvery)
+	if p.Cluster.PollsList && p.Cluster.ListMaxSilence < 4*p.DrainGrace/2 {
+		fault(cluster, "<cluster>: ask-every %g ms leaves no time to ask again within the drain grace", p.Cluster.ListMaxSilence)
 	}
 	if len(p.Zones) > 255 || len(p.MachineKinds) > 255 {
 		fault(root, "at most 255 zones and machine kinds")
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -16,7 +16,7 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	if p.Cluster.JobTypes[1].Window != 7000 || p.Cluster.JobTypes[2].Kind != 1 || p.Deadlines[0] != 5000 {
+	if p.Cluster.JobClasses[1].IdempotencyWindow != 7000 || p.Cluster.JobClasses[2].NodeKind != 1 || p.Deadlines[0] != 5000 {
 		t.Errorf("%+v", p)
 	}
 	if *update {
--- a/logic/belief_test.go
+++ b/logic/belief_test.go
@@ -22,11 +22,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := start(t, cluster(), 1)
-			if _, _, ok := x.s.Mistaken(x.now, 11, []float64{1, 1}); ok {
+			if _, _, ok := x.s.BeliefError(x.now, 11, []float64{1, 1}); ok {
 				t.Error("an unknown node")
 			}
-			x.s.OnProbeResult(x.now, 10, Ended, 1, []float64{30, 60})
-			if _, _, ok := x.s.Mistaken(x.now, 10, []float64{1, 1}); ok {
+			x.s.OnProbeResult(x.now, 10, Completed, 1, []float64{30, 60})
+			if _, _, ok := x.s.BeliefError(x.now, 10, []float64{1, 1}); ok {
 				t.Error("a report no newer than the last")
 			}
 			x.now += reportLag
@@ -34,19 +34,19 @@
 			x.expect("offer 1 10", 1)
 			x.now += c.after
 			report := []float64{c.cores, c.memory}
-			cores, memory, ok := x.s.Mistaken(x.now, 10, report)
+			cores, memory, ok := x.s.BeliefError(x.now, 10, report)
 			if !ok || cores != c.off || memory != c.offM {
 				t.Errorf("%g cores, %g memory, %t; want %g, %g", cores, memory, ok, c.off, c.offM)
 			}
-			x.s.OnProbeResult(x.now, 10, Ended, 1, report)
+			x.s.OnProbeResult(x.now, 10, Completed, 1, report)
 			held := 0.0
 			if c.after < reportLag {
 				held = 1
 			}
-			if b, ok := x.s.Believes(10); !ok || b.Cores != c.cores-held || b.Ill || b.Strain != 0 {
+			if b, ok := x.s.NodeBelief(10); !ok || b.Cores != c.cores-held || b.Unhealthy || b.Degradation != 0 {
 				t.Errorf("then %+v", b)
 			}
-			if _, _, ok := x.s.Mistaken(x.now, 10, nil); ok {
+			if _, _, ok := x.s.BeliefError(x.now, 10, nil); ok {
 				t.Error("no report")
 			}
 		})
@@ -56,16 +56,16 @@
 // TestBelieves tells health as it was judged.
 func TestBelieves(t *testing.T) {
 	x := start(t, cluster(), 1)
-	if _, ok := x.s.Believes(11); ok {
+	if _, ok := x.s.NodeBelief(11); ok {
 		t.Error("an unknown node")
 	}
-	x.s.OnProbeResult(x.now, 10, Ended, 1, []float64{30, 60})
+	x.s.OnProbeResult(x.now, 10, Completed, 1, []float64{30, 60})
 	x.ask(1, 0, 5)
-	x.settle(1, 0, Errored, NotTold)
+	x.settle(1, 0, Errored, ReasonUnknown)
 	x.ask(2, 0, 5)
 	x.s.OnStarted(x.now, 2, 0, 10)
 	x.s.OnTaskMetric(x.now, 2, 0, 10, ServedShare, 0)
-	if b, ok := x.s.Believes(10); !ok || b.Risk != 0.25 || b.Strain != 0.5 {
+	if b, ok := x.s.NodeBelief(10); !ok || b.FailureRate != 0.25 || b.Degradation != 0.5 {
 		t.Errorf("%+v", b)
 	}
 }
@@ -73,15 +73,15 @@
 // TestNeverReady has nodes named that this scheduler has never seen ready, with tasks from before a restart whose ends
 // bring reports: all that is offered to be read can be read.
 func TestNeverReady(t *testing.T) {
-	for _, avail := range []Availability{Draining, Gone} {
+	for _, avail := range []Availability{Draining, Unavailable} {
 		x := start(t, cluster(), 1)
 		x.change(11, avail, 0)
 		x.s.OnRecovered(x.now, 5, 0, 0, 9, 1, 2, 11)
-		x.s.OnOutcome(x.now, 5, 11, 0, 100, true, NotTold, Ended, []float64{30, 60})
-		if b, ok := x.s.Believes(11); !ok || b.Cores != 31 || b.Risk != 0 { // one of them given back since it was measured
+		x.s.OnOutcome(x.now, 5, 11, 0, 100, true, ReasonUnknown, Completed, []float64{30, 60})
+		if b, ok := x.s.NodeBelief(11); !ok || b.Cores != 31 || b.FailureRate != 0 { // one of them given back since it was measured
 			t.Errorf("named as %d: %+v, %t", avail, b, ok)
 		}
-		x.s.Mistaken(x.now+2*reportLag, 11, []float64{30, 60})
+		x.s.BeliefError(x.now+2*reportLag, 11, []float64{30, 60})
 	}
 }
 
@@ -105,7 +105,7 @@
 			}
 			return []float64{rapid.Float64Range(-5, 40).Draw(rt, "cores"), rapid.Float64Range(-5, 80).Draw(rt, "memory")}
 		}
-		verdict := func() Verdict { return Verdict(rapid.IntRange(0, int(Unsent)).Draw(rt, "verdict")) }
+		verdict := func() Outcome { return Outcome(rapid.IntRange(0, int(NotSent)).Draw(rt, "verdict")) }
 		rt.Repeat(map[string]func(*rapid.T){
 			"restart": func(*rapid.T) {
 				if rapid.IntRange(0, 5).Draw(rt, "really") == 0 {
@@ -140,16 +140,16 @@
 				if i, ok := x.s.allocAt[id]; ok && x.s.allocs[i].out {
 					a := &x.s.allocs[i]
 					x.s.OnOutcome(x.now, id, x.s.nodes[a.nd].id, uint8(a.tries-1), 50, a.over,
-						Reason(rapid.IntRange(0, int(SentAway)).Draw(rt, "why")), verdict(), report())
+						Reason(rapid.IntRange(0, int(Displaced)).Draw(rt, "why")), verdict(), report())
 				}
 			},
 			"probed": func(*rapid.T) { x.s.OnProbeResult(x.now, node(), verdict(), 5, report()) },
 			"pass":   func(*rapid.T) { x.pass(rapid.Float64Range(1, 1500).Draw(rt, "ms")) },
 			"": func(*rapid.T) {
 				for id := uint32(9); id < 18; id++ {
-					x.s.Believes(id)
-					x.s.Mistaken(x.now, id, []float64{1, 1})
-					x.s.Mistaken(x.now, id, nil)
+					x.s.NodeBelief(id)
+					x.s.BeliefError(x.now, id, []float64{1, 1})
+					x.s.BeliefError(x.now, id, nil)
 				}
 			},
 		})
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -42,7 +42,7 @@
 	alloc uint32
 	node  uint32
 	try   uint8
-	v     Verdict
+	v     Outcome
 }
 
 // Host, as far as it matters here.
@@ -64,7 +64,7 @@
 			try = o.try + 1
 		}
 	}
-	v := rapid.SampledFrom([]Verdict{Ended, Refused, TimedOut, Errored, Broken, Unreached}).Draw(g.t, "verdict")
+	v := rapid.SampledFrom([]Outcome{Completed, Rejected, TimedOut, Errored, ConnectionLost, Unreachable}).Draw(g.t, "verdict")
 	p.out = append(p.out, offered{g.now + rapid.Float64Range(5, 900).Draw(g.t, "takes"), alloc, node, try, v})
 }
 
@@ -91,9 +91,9 @@
 		n := rapid.IntRange(3, 30).Draw(rt, "schedulers")
 		g := &together{t: rt, cl: *cluster(), now: t0, sends: map[uint32][]float64{}}
 		g.cl.Schedulers = n
-		g.cl.AsksForList = rapid.Bool().Draw(rt, "asks")
-		g.cl.ColdBears = float64(rapid.IntRange(2, 60).Draw(rt, "bears"))
-		g.cl.FallWindow = rapid.SampledFrom([]float64{500, 1000, 2000, 3000}).Draw(rt, "window")
+		g.cl.PollsList = rapid.Bool().Draw(rt, "asks")
+		g.cl.SlowStartLimit = float64(rapid.IntRange(2, 60).Draw(rt, "bears"))
+		g.cl.SlowStartWindow = rapid.SampledFrom([]float64{500, 1000, 2000, 3000}).Draw(rt, "window")
 		g.way = func() float64 { return rapid.Float64Range(0, reportLag).Draw(rt, "way") }
 		const nodes = 4
 		for i := range n {
@@ -128,7 +128,7 @@
 				})
 				for _, o := range slices.Clone(p.out) {
 					if o.at <= g.now && o.at > g.now-50 {
-						p.s.OnOutcome(g.now, o.alloc, o.node, o.try, 100, false, LongLine, o.v, nil)
+						p.s.OnOutcome(g.now, o.alloc, o.node, o.try, 100, false, QueueFull, o.v, nil)
 					}
 				}
 				g.ids++
@@ -138,22 +138,22 @@
 				p.s.Decide(g.now)
 			}
 		}
-		most := g.cl.ColdBears + 2*math.Sqrt(g.cl.ColdBears) + 2
+		most := g.cl.SlowStartLimit + 2*math.Sqrt(g.cl.SlowStartLimit) + 2
 		sent := 0
 		for id, at := range g.sends {
 			slices.Sort(at)
 			for i, j := 0, 0; j < len(at); j++ {
-				for at[j]-at[i] > g.cl.FallWindow {
+				for at[j]-at[i] > g.cl.SlowStartWindow {
 					i++
 				}
-				if k := j - i + 1; float64(k) > most && at[j] < cold[id]+g.cl.ColdFor {
-					rt.Fatalf("node %d: %d offers by %d schedulers within %g ms, %g are borne", id, k, n, g.cl.FallWindow, g.cl.ColdBears)
+				if k := j - i + 1; float64(k) > most && at[j] < cold[id]+g.cl.SlowStartDuration {
+					rt.Fatalf("node %d: %d offers by %d schedulers within %g ms, %g are borne", id, k, n, g.cl.SlowStartWindow, g.cl.SlowStartLimit)
 				}
 			}
 			sent += len(at)
 		}
-		if sent == 0 && float64(n) <= g.cl.ColdBears/2 {
-			rt.Fatalf("nothing was sent: nothing is shown (%s)", fmt.Sprint(n, g.cl.ColdBears))
+		if sent == 0 && float64(n) <= g.cl.SlowStartLimit/2 {
+			rt.Fatalf("nothing was sent: nothing is shown (%s)", fmt.Sprint(n, g.cl.SlowStartLimit))
 		}
 	})
 }
--- a/logic/full_test.go
+++ b/logic/full_test.go
@@ -13,9 +13,9 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		cl := cluster()
-		cl.ColdBears = 0
-		cl.JobTypes[1].Kind, cl.JobTypes[1].Value = 0, 0.5
-		cl.JobTypes[2].Spread, cl.JobTypes[2].Most, cl.JobTypes[2].Value = PerNode, 1, 0.5
+		cl.SlowStartLimit = 0
+		cl.JobClasses[1].NodeKind, cl.JobClasses[1].PriorityWeight = 0, 0.5
+		cl.JobClasses[2].Spread, cl.JobClasses[2].MaxPerScope, cl.JobClasses[2].PriorityWeight = PerNode, 1, 0.5
 		cl.FleetPrice = float64(seed % 2)
 		x := start(t, cl, 3)
 		x.s.OnListBegin(x.now, ListChanges)
@@ -56,9 +56,9 @@
 				if !a.placed && rng.IntN(2) == 0 {
 					x.s.OnStarted(x.now, a.id, try, 50)
 				} else {
-					v := []Verdict{Ended, Refused, Errored, TimedOut, Unreached}[rng.IntN(5)]
+					v := []Outcome{Completed, Rejected, Errored, TimedOut, Unreachable}[rng.IntN(5)]
 					report := []float64{40 * rng.Float64(), 80 * rng.Float64()}
-					x.s.OnOutcome(x.now, a.id, nd, try, 50, false, []Reason{NotTold, NoCores, NoMemory, NotHere}[rng.IntN(4)], v, report)
+					x.s.OnOutcome(x.now, a.id, nd, try, 50, false, []Reason{ReasonUnknown, InsufficientCores, InsufficientMemory, NotAccepting}[rng.IntN(4)], v, report)
 				}
 			}
 		}
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -46,13 +46,13 @@
 
 // cluster is a deployment of three job types, one of each effect, on machines of one kind.
 func cluster() *Cluster {
-	return &Cluster{Schedulers: 2, AskEvery: 10000, Step: 2, MaxTries: 4, MayRecall: true,
-		MayProbe: true, ReportsCome: true, KindCores: []float64{40, 64}, KindMemory: []float64{80, 128}, CoresLimit: 2,
-		MemoryLimit: 1.5, ListsFree: true, Report: []string{"x0", "x1"}, ColdBears: 8, ColdFor: 10000,
-		FallWindow: 2000, MeanCores: 1, MeanMemory: 2, JobTypes: []JobType{
-			{Effect: Restartable, Target: 700, Value: 1, Kind: -1},
-			{Effect: Tokened, Group: GroupZone, Window: 3000, Target: 700, Value: 5, Kind: -1},
-			{Effect: RunOnce, Target: 4000, Value: 3, Kind: -1},
+	return &Cluster{Schedulers: 2, ListMaxSilence: 10000, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true,
+		CanProbe: true, ReportsPiggybacked: true, KindCores: []float64{40, 64}, KindMemory: []float64{80, 128}, CoresOvercommit: 2,
+		MemoryOvercommit: 1.5, ListsReportLoad: true, ReportFields: []string{"x0", "x1"}, SlowStartLimit: 8, SlowStartDuration: 10000,
+		SlowStartWindow: 2000, MeanCores: 1, MeanMemory: 2, JobClasses: []JobClass{
+			{Semantics: Restartable, LatencyObjective: 700, PriorityWeight: 1, NodeKind: -1},
+			{Semantics: Idempotent, IdempotencyScope: ScopeZone, IdempotencyWindow: 3000, LatencyObjective: 700, PriorityWeight: 5, NodeKind: -1},
+			{Semantics: AtMostOnce, LatencyObjective: 4000, PriorityWeight: 3, NodeKind: -1},
 		}}
 }
 
@@ -97,7 +97,7 @@
 }
 
 // settle reports an outcome of the last offer of an allocation.
-func (x *bench) settle(id uint32, try uint8, v Verdict, why Reason) {
+func (x *bench) settle(id uint32, try uint8, v Outcome, why Reason) {
 	x.s.OnOutcome(x.now, id, x.b.last(), try, 100, false, why, v, nil)
 	x.s.Decide(x.now)
 }
--- a/logic/iface.go
+++ b/logic/iface.go
@@ -26,75 +26,75 @@
 	OnRequest(now float64, alloc uint32, jobType, tenant int, expiry float64, service uint64, cores, memory float64)
 	OnRecovered(now float64, alloc uint32, jobType, tenant int, service uint64, cores, memory float64, node uint32)
 	OnStarted(now float64, alloc uint32, try uint8, took float64)
-	OnOutcome(now float64, alloc uint32, node uint32, try uint8, took float64, over bool, why Reason, verdict Verdict,
+	OnOutcome(now float64, alloc uint32, node uint32, try uint8, took float64, over bool, why Reason, verdict Outcome,
 		report []float64)
-	OnTaskMetric(now float64, alloc uint32, try uint8, node uint32, kind NoteKind, value float64)
+	OnTaskMetric(now float64, alloc uint32, try uint8, node uint32, kind TaskMetric, value float64)
 	OnExpired(now float64, alloc uint32)
-	OnProbeResult(now float64, node uint32, verdict Verdict, took float64, report []float64)
+	OnProbeResult(now float64, node uint32, verdict Outcome, took float64, report []float64)
 	OnTimer(now float64, key uint64)
 	Decide(now float64)
 }
 
 // Cluster is what is known of a deployment at start.
 type Cluster struct {
-	Schedulers  int
-	Index       int     // of this one among them, from 0
-	AsksForList bool    // the node list answers only when asked
-	AskEvery    float64 // unheard for so long, an asking scheduler counts as told
-	Step        float64 // the least time between two rounds
-	MaxTries    int
-	MayRecall   bool
-	MayProbe    bool
-	JobTypes    []JobType
-	KindCores   []float64 // by machine kind
-	KindMemory  []float64
-	CoresLimit  float64 // a node accepts until asked for so many times its cores
-	MemoryLimit float64
-	ListsFree   bool // list entries carry what nobody has asked for
-	CountsUse   bool // reports subtract use, not asks
-	Report      []string
-	ReportsCome bool // inside answers, not only in probes
-	ColdBears   float64
-	ColdFor     float64
-	FallWindow  float64
-	Displaces   bool    // nodes push out lower priorities
-	MeanCores   float64 // of an allocation of size 1
-	MeanMemory  float64
-	FleetPrice  float64 // of machines in use beyond those needed
+	Schedulers         int
+	Index              int     // of this one among them, from 0
+	PollsList          bool    // the node list answers only when asked
+	ListMaxSilence     float64 // unheard for so long, an asking scheduler counts as told
+	MinRoundInterval   float64 // the least time between two rounds
+	MaxAttempts        int
+	CanCancel          bool
+	CanProbe           bool
+	JobClasses         []JobClass
+	KindCores          []float64 // by machine kind
+	KindMemory         []float64
+	CoresOvercommit    float64 // a node accepts until asked for so many times its cores
+	MemoryOvercommit   float64
+	ListsReportLoad    bool // list entries carry what nobody has asked for
+	ReportsMeasureUse  bool // reports subtract use, not asks
+	ReportFields       []string
+	ReportsPiggybacked bool // inside answers, not only in probes
+	SlowStartLimit     float64
+	SlowStartDuration  float64
+	SlowStartWindow    float64
+	Preempts           bool    // nodes push out lower priorities
+	MeanCores          float64 // of an allocation of size 1
+	MeanMemory         float64
+	FleetPrice         float64 // of machines in use beyond those needed
 }
 
-// JobType is one kind of work.
-type JobType struct {
-	Effect Effect
-	Group  Group
-	Window float64 // how long a tokened type's group remembers, from the first doubtful try
-	Target float64 // target delay
-	Value  float64 // of one second of an allocation of mean size
-	Kind   int     // machine kind that it needs, or -1
-	Spread Place
-	Most   int // allocations of a service in one such place
+// JobClass is one kind of work.
+type JobClass struct {
+	Semantics         RetrySemantics
+	IdempotencyScope  IdempotencyScope
+	IdempotencyWindow float64 // how long a tokened type's group remembers, from the first doubtful try
+	LatencyObjective  float64 // target delay
+	PriorityWeight    float64 // of one second of an allocation of mean size
+	NodeKind          int     // machine kind that it needs, or -1
+	Spread            SpreadScope
+	MaxPerScope       int // allocations of a service in one such place
 }
 
-type Effect uint8
+type RetrySemantics uint8
 
 const (
-	Restartable Effect = iota
-	Tokened
-	RunOnce
+	Restartable RetrySemantics = iota
+	Idempotent
+	AtMostOnce
 )
 
-type Group uint8
+type IdempotencyScope uint8
 
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	ScopeAll IdempotencyScope = iota
+	ScopeZone
+	ScopeCell
 )
 
-type Place uint8
+type SpreadScope uint8
 
 const (
-	Anywhere Place = iota
+	Anywhere SpreadScope = iota
 	PerNode
 	PerCell
 	PerZone
@@ -112,41 +112,41 @@
 type Availability uint8
 
 const (
-	Gone Availability = iota
+	Unavailable Availability = iota
 	Ready
 	Draining
 )
 
-type Verdict uint8
+type Outcome uint8
 
 const (
-	Ended Verdict = iota
+	Completed Outcome = iota
 	Errored
-	Refused
+	Rejected
 	TimedOut
-	Unreached
-	Broken
-	CalledOff
-	Unsent
+	Unreachable
+	ConnectionLost
+	Cancelled
+	NotSent
 )
 
 type Reason uint8
 
 const (
-	NotTold Reason = iota
-	NoCores
-	NoMemory
-	LongLine
-	NotHere
+	ReasonUnknown Reason = iota
+	InsufficientCores
+	InsufficientMemory
+	QueueFull
+	NotAccepting
 	Evicted
-	PushedOut
-	SentAway
+	Preempted
+	Displaced
 )
 
-type NoteKind uint8
+type TaskMetric uint8
 
 const (
-	Runs NoteKind = iota + 1
+	TaskRunning TaskMetric = iota + 1
 	CoresUsed
 	MemoryUsed
 	ServedShare
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -80,7 +80,7 @@
 // stage is a link of the chain: forward on the way to a node, back with what came of the try.
 type stage struct {
 	forward func(*Scheduler, *alloc) step
-	back    func(*Scheduler, *alloc, *node, Verdict, Reason)
+	back    func(*Scheduler, *alloc, *node, Outcome, Reason)
 }
 
 // chain in the order of the forward way.
@@ -145,7 +145,7 @@
 
 // job is a job type with what decisions need of it.
 type job struct {
-	JobType
+	JobClass
 	starts bins
 }
 
@@ -201,29 +201,29 @@
 func New(host Effects, now float64, seed uint64, cl *Cluster) *Scheduler {
 	s := &Scheduler{host: host, rng: pcg{seed}, now: now, born: now, cl: cl,
 		asked: [2]float64{20, 20}, used: [2]float64{12, 14}, // a weak first guess of use
-		bigPart: [2]float64{0, 1}, x0: slices.Index(cl.Report, "x0"), x1: slices.Index(cl.Report, "x1"),
+		bigPart: [2]float64{0, 1}, x0: slices.Index(cl.ReportFields, "x0"), x1: slices.Index(cl.ReportFields, "x1"),
 		nodeAt: map[uint32]int{}, allocAt: map[uint32]int{}, svcAt: map[uint64]int{}, listAt: now}
 	s.rng.next()
-	s.share = int(cl.ColdBears) / max(1, cl.Schedulers)
-	if half := int(cl.ColdBears) / 2; half > 0 {
+	s.share = int(cl.SlowStartLimit) / max(1, cl.Schedulers)
+	if half := int(cl.SlowStartLimit) / 2; half > 0 {
 		s.every = uint64(cl.Schedulers+half-1) / uint64(half)
 	}
-	for _, jt := range cl.JobTypes {
-		j := job{JobType: jt}
-		j.starts.add(jt.Target)
+	for _, jt := range cl.JobClasses {
+		j := job{JobClass: jt}
+		j.starts.add(jt.LatencyObjective)
 		s.jobs = append(s.jobs, j)
 	}
-	s.callAt = now + s.rng.float()*min(cl.AskEvery/3, followEach*float64(cl.Schedulers))
+	s.callAt = now + s.rng.float()*min(cl.ListMaxSilence/3, followEach*float64(cl.Schedulers))
 	host.SetTimer(tickEvery*s.rng.float(), keyTick)
 	return s
 }
 
-// Sharing says how many share what a cold node bears, where that changes; 0: this scheduler takes no part.
+// SetSchedulerCount says how many share what a cold node bears, where that changes; 0: this scheduler takes no part.
 // Where all together take turns, the turns of those who take no part lapse.
-func (s *Scheduler) Sharing(schedulers int) {
+func (s *Scheduler) SetSchedulerCount(schedulers int) {
 	s.apart = schedulers == 0
 	if s.share > 0 && schedulers > 0 {
-		s.share = int(s.cl.ColdBears) / min(schedulers, s.cl.Schedulers)
+		s.share = int(s.cl.SlowStartLimit) / min(schedulers, s.cl.Schedulers)
 	}
 }
 
@@ -241,10 +241,10 @@
 	if !ok {
 		i = len(s.nodes)
 		s.nodeAt[id] = i
-		s.nodes = append(s.nodes, node{id: id, avail: Gone, heard: -1, past: s.unblamed()})
+		s.nodes = append(s.nodes, node{id: id, avail: Unavailable, heard: -1, past: s.unblamed()})
 	}
 	nd := &s.nodes[i]
-	fresh := !ok && s.listKind != ListCached || nd.avail == Gone && ok || since > nd.since && ok
+	fresh := !ok && s.listKind != ListCached || nd.avail == Unavailable && ok || since > nd.since && ok
 	nd.page, nd.zone, nd.cell, nd.kind = s.page, zone, cell, kind
 	if kind < len(s.cl.KindCores) {
 		nd.cores, nd.memory, nd.summed = s.cl.KindCores[kind], s.cl.KindMemory[kind], false
@@ -253,7 +253,7 @@
 		s.enter(nd, since, fresh)
 	}
 	nd.avail, nd.since = avail, since
-	if s.cl.ListsFree && avail == Ready {
+	if s.cl.ListsReportLoad && avail == Ready {
 		lag := float64(listLag)
 		if s.listKind == ListCached {
 			lag = keepActs
@@ -270,12 +270,12 @@
 func (s *Scheduler) enter(nd *node, since float64, fresh bool) {
 	nd.past, nd.ill, nd.restUntil, nd.away = s.unblamed(), false, 0, 0
 	if since > 0 { // 0: long ago
-		nd.recentUntil = max(nd.recentUntil, since+s.cl.ColdFor)
+		nd.recentUntil = max(nd.recentUntil, since+s.cl.SlowStartDuration)
 	}
 	if fresh {
 		nd.known, nd.measured, nd.heard = false, 0, -1
 		nd.acts, nd.summed = nd.acts[:0], false
-		nd.recentUntil = max(nd.recentUntil, s.now+s.cl.ColdFor)
+		nd.recentUntil = max(nd.recentUntil, s.now+s.cl.SlowStartDuration)
 	}
 }
 
@@ -293,12 +293,12 @@
 			s.host.Log(fmt.Sprintf("list: back after %d failed calls, %.1f s", s.fails, (now-s.listAt)/1000))
 		}
 		s.fails, s.listAt = 0, now
-		s.callAt = now + s.cl.AskEvery*0.7 // silence on a watch: ask again well before it counts as told
+		s.callAt = now + s.cl.ListMaxSilence*0.7 // silence on a watch: ask again well before it counts as told
 	}
 	if s.listKind != ListChanges {
 		for i := range s.nodes {
 			if s.nodes[i].page != s.page {
-				s.nodes[i].avail = Gone
+				s.nodes[i].avail = Unavailable
 			}
 		}
 	}
@@ -323,7 +323,7 @@
 		return 0, 0, false
 	}
 	c, m = report[s.x0], report[s.x1]
-	if s.cl.CountsUse { // what is in use tells what was asked, by the usual use
+	if s.cl.ReportsMeasureUse { // what is in use tells what was asked, by the usual use
 		c = nd.cores - (nd.cores-c)/s.usual(0)
 		m = nd.memory - (nd.memory-m)/s.usual(1)
 	}
@@ -394,12 +394,12 @@
 	cores, memory float64) {
 	s.now = now
 	i := s.take(id, jobType, svcKey, cores, memory)
-	s.allocs[i].expiry = expiry - 2*s.cl.Step // the answer is there before the owner's time is up
+	s.allocs[i].expiry = expiry - 2*s.cl.MinRoundInterval // the answer is there before the owner's time is up
 	s.bigPart[1] += memory
 	if (cores/s.cl.MeanCores+memory/s.cl.MeanMemory)/2 >= large { // of mean sizes
 		s.bigPart[0] += memory
-		s.big, s.bigKind = [2]float64{max(cores, s.big[0]), max(memory, s.big[1])}, s.jobs[jobType].Kind
-		s.bigValue = s.jobs[jobType].Value
+		s.big, s.bigKind = [2]float64{max(cores, s.big[0]), max(memory, s.big[1])}, s.jobs[jobType].NodeKind
+		s.bigValue = s.jobs[jobType].PriorityWeight
 	}
 	s.waiting = append(s.waiting, i)
 	s.host.SetTimer(s.allocs[i].expiry-now, keyAlloc+uint64(id))
@@ -450,7 +450,7 @@
 		return
 	}
 	slices.SortStableFunc(s.waiting, func(x, y int) int { // among equals in order of arrival
-		return cmp.Compare(s.jobs[s.allocs[y].job].Value, s.jobs[s.allocs[x].job].Value)
+		return cmp.Compare(s.jobs[s.allocs[y].job].PriorityWeight, s.jobs[s.allocs[x].job].PriorityWeight)
 	})
 	s.survey()
 	s.full = s.full[:0]
@@ -494,7 +494,7 @@
 }
 
 // owedBack: an allocation that came back without being placed goes on or gets its answer at once.
-func (s *Scheduler) owedBack(a *alloc, _ *node, _ Verdict, _ Reason) {
+func (s *Scheduler) owedBack(a *alloc, _ *node, _ Outcome, _ Reason) {
 	if !a.over && s.licence(a) == end {
 		s.answer(a)
 	} else if !a.over {
@@ -506,7 +506,7 @@
 // answer gives the final answer: declined where trying again does no harm, else failed.
 func (s *Scheduler) answer(a *alloc) {
 	j := &s.jobs[a.job]
-	if j.Effect == Restartable || !a.out && (!a.doubt || j.Effect == Tokened && j.Group == GroupAll) {
+	if j.Semantics == Restartable || !a.out && (!a.doubt || j.Semantics == Idempotent && j.IdempotencyScope == ScopeAll) {
 		s.host.Shed(a.id, 0)
 	} else {
 		s.host.Fail(a.id)
@@ -517,16 +517,16 @@
 // licence says whether the job type allows another try.
 func (s *Scheduler) licence(a *alloc) step {
 	j := &s.jobs[a.job]
-	late := j.Effect == Tokened && s.now >= a.doubtAt+j.Window-s.cl.Step
-	if a.out || a.tries >= s.cl.MaxTries || a.doubt && (j.Effect == RunOnce || late) {
+	late := j.Semantics == Idempotent && s.now >= a.doubtAt+j.IdempotencyWindow-s.cl.MinRoundInterval
+	if a.out || a.tries >= s.cl.MaxAttempts || a.doubt && (j.Semantics == AtMostOnce || late) {
 		return end
 	}
 	return pass
 }
 
 // licenceBack notes a try that may have run. Only three outcomes prove that it never did.
-func (s *Scheduler) licenceBack(a *alloc, _ *node, v Verdict, _ Reason) {
-	if v != Refused && v != Unreached && v != Unsent && !a.doubt {
+func (s *Scheduler) licenceBack(a *alloc, _ *node, v Outcome, _ Reason) {
+	if v != Rejected && v != Unreachable && v != NotSent && !a.doubt {
 		a.doubt, a.doubtAt, a.doubtNd = true, a.sentAt, a.nd
 	}
 }
@@ -535,7 +535,7 @@
 // the least flaw are in it: sound ones, else shut, else ill; no flaw filters out every node.
 func (s *Scheduler) choice(a *alloc) step {
 	kept, least, barred := s.scores[:0], math.MaxInt, false
-	w := want{s.jobs[a.job].Kind, a.cores, a.memory}
+	w := want{s.jobs[a.job].NodeKind, a.cores, a.memory}
 	// In a round nodes only fill, and who comes later is worth no more: a look for each of hundreds that wait
 	// would take longer than their owners do.
 	if slices.ContainsFunc(s.full, func(f want) bool { return f.covers(w) }) {
@@ -599,7 +599,7 @@
 // It guards against draws on what a large fleet looked like long ago, as own allocations pay for few probes;
 // a node that does not answer in time is drawn on what is known.
 func (s *Scheduler) asks(a *alloc, best []scored) bool {
-	if s.cl.ReportsCome || !s.cl.MayProbe {
+	if s.cl.ReportsPiggybacked || !s.cl.CanProbe {
 		return false
 	}
 	first, wait := a.askedAt == 0, false
@@ -621,8 +621,8 @@
 // and the guards that the rules need at each send.
 func (s *Scheduler) admits(a *alloc, nd *node) bool {
 	j := &s.jobs[a.job]
-	if s.now < nd.restUntil || len(nd.unanswered) >= window || j.Kind >= 0 && nd.kind != j.Kind ||
-		nd.home && nd.known && j.Value < s.bigValue && !s.room(nd, a.cores+s.big[0], a.memory+s.big[1]) {
+	if s.now < nd.restUntil || len(nd.unanswered) >= window || j.NodeKind >= 0 && nd.kind != j.NodeKind ||
+		nd.home && nd.known && j.PriorityWeight < s.bigValue && !s.room(nd, a.cores+s.big[0], a.memory+s.big[1]) {
 		return false
 	}
 	if nd.heard < 0 && len(nd.unanswered) > 0 || s.now < nd.recentUntil && !s.bears(nd) {
@@ -634,7 +634,7 @@
 // room tells whether a node accepts so much more.
 func (s *Scheduler) room(nd *node, cores, memory float64) bool {
 	c, m := s.taken(nd)
-	return c+cores <= nd.cores*s.cl.CoresLimit && m+memory <= nd.memory*s.cl.MemoryLimit
+	return c+cores <= nd.cores*s.cl.CoresOvercommit && m+memory <= nd.memory*s.cl.MemoryOvercommit
 }
 
 // bears tells whether a cold node may get one more offer. All schedulers together keep within what it bears:
@@ -642,7 +642,7 @@
 // they take turns of a window each, half of what is borne to a turn, as a window may touch two turns.
 // What was sent before a restart of this scheduler is forgotten but still counts.
 func (s *Scheduler) bears(nd *node) bool {
-	span := s.cl.FallWindow + reportLag
+	span := s.cl.SlowStartWindow + reportLag
 	from, most := s.now-span, s.share
 	if most == 0 {
 		turn := math.Floor(s.now / span)
@@ -661,9 +661,9 @@
 	if slices.Contains(a.tried, i) {
 		return false
 	}
-	if a.doubt && j.Effect == Tokened {
+	if a.doubt && j.Semantics == Idempotent {
 		d := &s.nodes[a.doubtNd]
-		if j.Group == GroupZone && d.zone != nd.zone || j.Group == GroupCell && d.cell != nd.cell {
+		if j.IdempotencyScope == ScopeZone && d.zone != nd.zone || j.IdempotencyScope == ScopeCell && d.cell != nd.cell {
 			return false
 		}
 	}
@@ -674,7 +674,7 @@
 				together += h.n
 			}
 		}
-		if together >= j.Most {
+		if together >= j.MaxPerScope {
 			return false
 		}
 	}
@@ -761,7 +761,7 @@
 			need = [2]float64{need[0] + c, need[1] + m}
 			c, m = s.taken(nd)
 			asked = [2]float64{asked[0] + c, asked[1] + m}
-			room = [2]float64{room[0] + nd.cores*s.cl.CoresLimit, room[1] + nd.memory*s.cl.MemoryLimit}
+			room = [2]float64{room[0] + nd.cores*s.cl.CoresOvercommit, room[1] + nd.memory*s.cl.MemoryOvercommit}
 		}
 	}
 	s.mean /= max(1, float64(len(s.byLoad)))
@@ -778,7 +778,7 @@
 		}
 	}
 	homes := 0.0
-	if !s.cl.Displaces && (asked[0] > homesFrom*room[0] || asked[1] > homesFrom*room[1]) {
+	if !s.cl.Preempts && (asked[0] > homesFrom*room[0] || asked[1] > homesFrom*room[1]) {
 		homes = 2 * s.bigPart[0] / s.bigPart[1] * float64(len(s.byLoad))
 	}
 	for i := range s.nodes {
@@ -791,7 +791,7 @@
 func (s *Scheduler) offer(a *alloc) step {
 	nd := &s.nodes[a.nd]
 	left, wait := a.expiry-s.now, a.expiry-s.now
-	if s.jobs[a.job].Effect != RunOnce && a.tries+1 < s.cl.MaxTries {
+	if s.jobs[a.job].Semantics != AtMostOnce && a.tries+1 < s.cl.MaxAttempts {
 		if p := max(leastWait, 2*s.jobs[a.job].starts.quantile(0.95)); p+leastWait/2 < left {
 			wait = p
 		}
@@ -812,11 +812,11 @@
 }
 
 // offerBack takes the try off its node's counts.
-func (s *Scheduler) offerBack(a *alloc, nd *node, v Verdict, _ Reason) {
+func (s *Scheduler) offerBack(a *alloc, nd *node, v Outcome, _ Reason) {
 	s.place(a, -1)
 	a.out = false
 	s.heardOf(a, nd)
-	if v == Refused || v == Unreached || v == Unsent {
+	if v == Rejected || v == Unreachable || v == NotSent {
 		s.act(nd, a.sentAt, -a.cores, -a.memory) // as if never sent
 	} else if a.placed {
 		s.act(nd, s.now, -a.cores, -a.memory)
@@ -828,20 +828,20 @@
 }
 
 // choiceBack learns of the node from the outcome.
-func (s *Scheduler) choiceBack(a *alloc, nd *node, v Verdict, why Reason) {
+func (s *Scheduler) choiceBack(a *alloc, nd *node, v Outcome, why Reason) {
 	if a.placed {
 		return
 	}
 	switch v {
-	case Refused:
+	case Rejected:
 		s.hear(nd, true)
 		switch why {
-		case NoCores, NoMemory: // it has less than thought: believe it until the next report
+		case InsufficientCores, InsufficientMemory: // it has less than thought: believe it until the next report
 			s.believe(nd, a, why)
-		case LongLine:
+		case QueueFull:
 			nd.restUntil = s.now + lineRest
-		case NotHere, NotTold: // it drains unheard of, or holds a copy: it won't have this one
-			if why == NotTold && nd.away == 0 {
+		case NotAccepting, ReasonUnknown: // it drains unheard of, or holds a copy: it won't have this one
+			if why == ReasonUnknown && nd.away == 0 {
 				break // for want of room, as far as anybody knows
 			}
 			a.tried = append(a.tried, a.nd)
@@ -849,10 +849,10 @@
 				nd.restUntil = s.now + min(awayRest, lineRest*float64(int(1)<<min(nd.away-2, 8)))
 			}
 		}
-	case Unreached:
+	case Unreachable:
 		s.hear(nd, false)
 		a.tried = append(a.tried, a.nd)
-	case TimedOut, Errored, Broken:
+	case TimedOut, Errored, ConnectionLost:
 		a.tried = append(a.tried, a.nd)
 		if !a.unfit {
 			nd.judge(a.job, 0)
@@ -884,10 +884,10 @@
 // has just emptied, for one report.
 func (s *Scheduler) believe(nd *node, a *alloc, why Reason) {
 	c, m := s.taken(nd)
-	if why == NoCores {
-		c = max(c, nd.cores*s.cl.CoresLimit-a.cores*0.99)
+	if why == InsufficientCores {
+		c = max(c, nd.cores*s.cl.CoresOvercommit-a.cores*0.99)
 	} else {
-		m = max(m, nd.memory*s.cl.MemoryLimit-a.memory*0.99)
+		m = max(m, nd.memory*s.cl.MemoryOvercommit-a.memory*0.99)
 	}
 	nd.free, nd.measured, nd.known, nd.summed = [2]float64{nd.cores - c, nd.memory - m}, s.now, true, false
 }
@@ -930,7 +930,7 @@
 }
 
 func (s *Scheduler) OnOutcome(now float64, id uint32, nodeID uint32, try uint8, took float64, over bool,
-	why Reason, verdict Verdict, report []float64) {
+	why Reason, verdict Outcome, report []float64) {
 	s.now = now
 	if n, ok := s.nodeAt[nodeID]; ok {
 		s.report(&s.nodes[n], report)
@@ -959,7 +959,7 @@
 }
 
 // OnTaskMetric learns what part of their asks tasks use, and how well they are served.
-func (s *Scheduler) OnTaskMetric(now float64, id uint32, _ uint8, _ uint32, kind NoteKind, value float64) {
+func (s *Scheduler) OnTaskMetric(now float64, id uint32, _ uint8, _ uint32, kind TaskMetric, value float64) {
 	s.now = now
 	if i, ok := s.allocAt[id]; ok && s.allocs[i].placed && kind == ServedShare {
 		nd := &s.nodes[s.allocs[i].nd]
@@ -985,7 +985,7 @@
 	}
 }
 
-func (s *Scheduler) OnProbeResult(now float64, nodeID uint32, verdict Verdict, took float64, report []float64) {
+func (s *Scheduler) OnProbeResult(now float64, nodeID uint32, verdict Outcome, took float64, report []float64) {
 	s.now = now
 	n, ok := s.nodeAt[nodeID]
 	if !ok {
@@ -994,8 +994,8 @@
 	nd := &s.nodes[n]
 	nd.probing = false
 	s.scanAt = now
-	s.hear(nd, verdict == Ended)
-	if verdict == Ended {
+	s.hear(nd, verdict == Completed)
+	if verdict == Completed {
 		s.report(nd, report)
 	}
 }
@@ -1011,7 +1011,7 @@
 	default:
 		if i, ok := s.allocAt[uint32(key-keyAlloc)]; ok && !s.allocs[i].over {
 			a := &s.allocs[i]
-			if a.out && s.cl.MayRecall {
+			if a.out && s.cl.CanCancel {
 				s.host.Cancel(a.id, uint8(a.tries-1))
 			}
 			s.answer(a)
@@ -1028,7 +1028,7 @@
 			continue
 		}
 		if !nd.probing && s.now-nd.probedAt > illProbe && (nd.ill || s.silent(nd)) {
-			s.hear(nd, !s.cl.MayProbe)
+			s.hear(nd, !s.cl.CanProbe)
 			s.probe(nd)
 		}
 		if s.now > nd.forgetAt {
@@ -1039,7 +1039,7 @@
 		}
 	}
 	s.refresh()
-	if s.cl.AsksForList && s.now >= s.callAt {
+	if s.cl.PollsList && s.now >= s.callAt {
 		s.callAt = s.now + 2*followAgain*(1+s.rng.float())
 		s.host.WatchList(true)
 	}
@@ -1056,7 +1056,7 @@
 
 // refresh probes for reports, the oldest first, as far as own allocations have paid for it.
 func (s *Scheduler) refresh() {
-	for ; !s.cl.ReportsCome && s.credit >= 1; s.credit-- {
+	for ; !s.cl.ReportsPiggybacked && s.credit >= 1; s.credit-- {
 		oldest := -1
 		for i := range s.nodes {
 			if nd := &s.nodes[i]; nd.avail == Ready && !nd.probing &&
@@ -1072,7 +1072,7 @@
 }
 
 func (s *Scheduler) probe(nd *node) {
-	if s.cl.MayProbe && !nd.probing {
+	if s.cl.CanProbe && !nd.probing {
 		nd.probing, nd.probedAt = true, s.now
 		s.host.Probe(nd.id)
 	}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -14,34 +14,34 @@
 	for _, c := range []struct {
 		name    string
 		jobType int
-		v       Verdict
+		v       Outcome
 		want    string
 	}{
 		{"restartable error", 0, Errored, again},
-		{"restartable refused", 0, Refused, again},
+		{"restartable refused", 0, Rejected, again},
 		{"restartable timeout", 0, TimedOut, again},
-		{"restartable unreached", 0, Unreached, again},
-		{"restartable broken", 0, Broken, again},
-		{"restartable recalled", 0, CalledOff, again},
-		{"restartable unsent", 0, Unsent, again},
-		{"tokened refused", 1, Refused, again},
+		{"restartable unreached", 0, Unreachable, again},
+		{"restartable broken", 0, ConnectionLost, again},
+		{"restartable recalled", 0, Cancelled, again},
+		{"restartable unsent", 0, NotSent, again},
+		{"tokened refused", 1, Rejected, again},
 		{"tokened timeout", 1, TimedOut, again},
-		{"tokened broken", 1, Broken, again},
-		{"run-once ended", 2, Ended, fail},
+		{"tokened broken", 1, ConnectionLost, again},
+		{"run-once ended", 2, Completed, fail},
 		{"run-once error", 2, Errored, fail},
-		{"run-once refused", 2, Refused, again},
+		{"run-once refused", 2, Rejected, again},
 		{"run-once timeout", 2, TimedOut, fail},
-		{"run-once unreached", 2, Unreached, again},
-		{"run-once broken", 2, Broken, fail},
-		{"run-once recalled", 2, CalledOff, fail},
-		{"run-once unsent", 2, Unsent, again},
+		{"run-once unreached", 2, Unreachable, again},
+		{"run-once broken", 2, ConnectionLost, fail},
+		{"run-once recalled", 2, Cancelled, fail},
+		{"run-once unsent", 2, NotSent, again},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := start(t, cluster(), 12)
 			x.ask(1, c.jobType, 5)
 			first := x.s.nodes[x.s.nodeAt[x.b.last()]].zone
 			x.expect("offer", 1)
-			x.settle(1, 0, c.v, NoCores)
+			x.settle(1, 0, c.v, InsufficientCores)
 			if c.want == fail {
 				x.expect(fail, 1)
 				x.expect("offer", 1)
@@ -49,7 +49,7 @@
 			}
 			x.expect("offer 1 ", 2)
 			second := x.s.nodes[x.s.nodeAt[x.b.last()]].zone
-			if c.jobType == 1 && c.v != Refused && second != first {
+			if c.jobType == 1 && c.v != Rejected && second != first {
 				t.Errorf("a tokened try that may have run left its group: zone %d after %d", second, first)
 			}
 		})
@@ -67,7 +67,7 @@
 			x := start(t, cluster(), 12)
 			x.ask(1, 1, 5)
 			x.now += c.after
-			x.settle(1, 0, TimedOut, NotTold)
+			x.settle(1, 0, TimedOut, ReasonUnknown)
 			x.expect("offer", c.offers)
 			x.expect("fail", 2-c.offers)
 			x.expect("decline", 0)
@@ -87,7 +87,7 @@
 		{"expiry while waiting", 0, func(x *bench) { x.now += 4996 }, "decline 1"},
 		{"tries used up", 12, func(x *bench) {
 			for try := range uint8(4) {
-				x.settle(1, try, Refused, LongLine)
+				x.settle(1, try, Rejected, QueueFull)
 			}
 		}, "decline 1"},
 	} {
@@ -100,7 +100,7 @@
 			offers := x.b.count("offer")
 			x.expect(c.want, 1)
 			if len(x.s.allocs) > 0 && x.s.allocs[0].out {
-				x.settle(1, 0, CalledOff, NotTold)
+				x.settle(1, 0, Cancelled, ReasonUnknown)
 			}
 			x.pass(1000)
 			x.expect("offer", offers)
@@ -120,7 +120,7 @@
 	}{
 		{"ready", func(x *bench) {}, 1},
 		{"draining", func(x *bench) { x.change(10, Draining, 0) }, 0},
-		{"gone", func(x *bench) { x.change(10, Gone, 0) }, 0},
+		{"gone", func(x *bench) { x.change(10, Unavailable, 0) }, 0},
 		{"missing", func(x *bench) { x.s.OnListBegin(x.now, ListFull); x.s.OnListEnd(x.now) }, 0},
 		{"call failed", func(x *bench) { x.s.OnListBegin(x.now, ListFailed); x.s.OnListEnd(x.now) }, 1},
 	} {
@@ -140,14 +140,14 @@
 		name  string
 		since float64 // before the list came
 		after float64
-		v     Verdict
+		v     Outcome
 		want  int
 	}{
-		{"cold", 0, 5000, Refused, 4},
-		{"cold, starts", 0, 5000, Ended, 4},
-		{"restarted scheduler", 5000, 0, Ended, 0},
-		{"restarted, later", 5000, 2600, Ended, 4},
-		{"warm", 20000, 0, Ended, window},
+		{"cold", 0, 5000, Rejected, 4},
+		{"cold, starts", 0, 5000, Completed, 4},
+		{"restarted scheduler", 5000, 0, Completed, 0},
+		{"restarted, later", 5000, 2600, Completed, 4},
+		{"warm", 20000, 0, Completed, window},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := start(t, cluster(), 0)
@@ -165,8 +165,8 @@
 			}
 			for id := range uint32(9) {
 				x.ask(id, 0, 5)
-				if c.v == Refused {
-					x.s.OnOutcome(x.now, id, 10, 0, 5, false, NotHere, Refused, nil)
+				if c.v == Rejected {
+					x.s.OnOutcome(x.now, id, 10, 0, 5, false, NotAccepting, Rejected, nil)
 					x.s.nodes[0].restUntil = 0
 					x.s.Decide(x.now)
 				}
@@ -180,7 +180,7 @@
 func TestSpread(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		place Place
+		place SpreadScope
 		most  int
 		want  int
 	}{
@@ -189,14 +189,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cl := cluster()
-			cl.JobTypes[0].Spread, cl.JobTypes[0].Most = c.place, c.most
+			cl.JobClasses[0].Spread, cl.JobClasses[0].MaxPerScope = c.place, c.most
 			x := start(t, cl, 8)
 			x.s.OnRecovered(x.now, 99, 0, 0, 5, 1, 2, 10)
 			for id := range uint32(20) {
 				x.ask(id, 0, 5)
 			}
 			x.expect("offer", c.want)
-			x.s.OnOutcome(x.now, 99, 10, 0, 9, true, Evicted, Broken, nil)
+			x.s.OnOutcome(x.now, 99, 10, 0, 9, true, Evicted, ConnectionLost, nil)
 			x.pass(100)
 			x.expect("offer", min(c.want+1, 20))
 		})
@@ -216,7 +216,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			x := start(t, cluster(), 1)
 			if !math.IsNaN(c.cores) {
-				x.s.OnProbeResult(x.now, 10, Ended, 1, []float64{c.cores, c.memory})
+				x.s.OnProbeResult(x.now, 10, Completed, 1, []float64{c.cores, c.memory})
 			}
 			x.ask(1, 0, 5)
 			x.expect("offer", c.want)
@@ -235,7 +235,7 @@
 			x := start(t, cluster(), 1)
 			x.ask(1, 0, 5)
 			x.now += c.gap
-			x.s.OnProbeResult(x.now, 10, Ended, 1, []float64{30, 70})
+			x.s.OnProbeResult(x.now, 10, Completed, 1, []float64{30, 70})
 			if cores, _ := x.s.taken(&x.s.nodes[0]); cores != c.want {
 				t.Errorf("%v cores taken, want %v", cores, c.want)
 			}
@@ -246,7 +246,7 @@
 // Net benefit against values worked out by hand: zones of four nodes, cells of two.
 func TestBenefit(t *testing.T) {
 	cl := cluster()
-	cl.ListsFree = false
+	cl.ListsReportLoad = false
 	x := start(t, cl, 12)
 	for id := range uint32(2) { // the service runs on node 10 and on node 14, zones 0 and 1
 		x.s.OnRecovered(x.now, id, 0, 0, 5, 1, 2, 10+4*id)
@@ -278,8 +278,8 @@
 		after float64
 		want  int
 	}{
-		{"no reason told", NotTold, 0, window}, {"line too long", LongLine, lineRest - 1, window - 1},
-		{"line too long, later", LongLine, lineRest + 1, window},
+		{"no reason told", ReasonUnknown, 0, window}, {"line too long", QueueFull, lineRest - 1, window - 1},
+		{"line too long, later", QueueFull, lineRest + 1, window},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := start(t, cluster(), 1)
@@ -287,7 +287,7 @@
 				x.ask(id, 0, 5)
 			}
 			x.expect("offer", window)
-			x.settle(0, 0, Refused, c.why)
+			x.settle(0, 0, Rejected, c.why)
 			x.s.Decide(x.now + scanEvery)
 			x.s.Decide(x.now + max(2*scanEvery, c.after))
 			if got := len(x.s.nodes[0].unanswered); got != c.want {
@@ -306,7 +306,7 @@
 		first     Reason
 		then      Reason
 		least, to int // offers to it within 3 s of one allocation each 20 ms
-	}{{"not here", NotHere, NotHere, 3, 8}, {"not here, then no reason", NotHere, NotTold, 3, 8}, {"no reason", NotTold, NotTold, 20, 600}} {
+	}{{"not here", NotAccepting, NotAccepting, 3, 8}, {"not here, then no reason", NotAccepting, ReasonUnknown, 3, 8}, {"no reason", ReasonUnknown, ReasonUnknown, 20, 600}} {
 		t.Run(c.name, func(t *testing.T) {
 			x := start(t, cluster(), 2)
 			offers := 0
@@ -317,21 +317,21 @@
 					before = x.b.count("offer")
 					if x.b.last() != 10 {
 						x.s.OnStarted(x.now, id, try, 50)
-						x.s.OnOutcome(x.now, id, 11, try, 100, true, NotTold, Ended, nil)
+						x.s.OnOutcome(x.now, id, 11, try, 100, true, ReasonUnknown, Completed, nil)
 						break
 					}
 					why := c.then
 					if offers++; offers == 1 {
 						why = c.first
 					}
-					x.settle(id, try, Refused, why)
+					x.settle(id, try, Rejected, why)
 				}
 				x.now += scanEvery
 			}
 			if offers < c.least || offers > c.to {
 				t.Errorf("%d offers to the node, want %d to %d", offers, c.least, c.to)
 			}
-			x.change(10, Gone, 0)
+			x.change(10, Unavailable, 0)
 			x.change(10, Ready, x.now)
 			if x.s.nodes[0].restUntil > x.now || x.s.nodes[0].away > 0 {
 				t.Error("it still rests after its return")
@@ -365,7 +365,7 @@
 				x.ask(id, 0, uint64(id))
 				used = used || x.b.last() == 10
 				x.s.OnStarted(x.now, id, 0, 50)
-				x.s.OnOutcome(x.now, id, x.b.last(), 0, 100, true, NotTold, Ended, nil)
+				x.s.OnOutcome(x.now, id, x.b.last(), 0, 100, true, ReasonUnknown, Completed, nil)
 			}
 			if x.expect("offer", 40); used != c.want {
 				t.Errorf("the node is used: %t", used)
@@ -384,7 +384,7 @@
 	}{{300, 49, true}, {230, 90, true}, {1000, 3, false}, {5000, 2, false}, {40, 1, false}, {40, 0, false}} {
 		t.Run(fmt.Sprint(c.schedulers, c.bears), func(t *testing.T) {
 			cl := cluster()
-			cl.Schedulers, cl.ColdBears, cl.FallWindow = c.schedulers, c.bears, 2000
+			cl.Schedulers, cl.SlowStartLimit, cl.SlowStartWindow = c.schedulers, c.bears, 2000
 			var at []float64 // offers of all
 			for cl.Index = range c.schedulers {
 				x := start(t, cl, 0)
@@ -403,7 +403,7 @@
 			}
 			slices.Sort(at)
 			for i, j := 0, 0; j < len(at); j++ {
-				for at[j]-at[i] > cl.FallWindow {
+				for at[j]-at[i] > cl.SlowStartWindow {
 					i++
 				}
 				if n := j - i + 1; float64(n) > c.bears {
@@ -424,7 +424,7 @@
 	}{{"no cold share", 0, false, 1}, {"a large one", 100, false, 1}, {"heard from", 0, true, window + 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			cl := cluster()
-			cl.ColdBears = c.bears
+			cl.SlowStartLimit = c.bears
 			x := start(t, cl, 1)
 			x.s.nodes[0].heard = -1
 			x.ask(0, 0, 5)
@@ -451,7 +451,7 @@
 			cl := cluster()
 			cl.FleetPrice = c.price
 			x := start(t, cl, 4)
-			x.s.OnProbeResult(x.now, 10, Ended, 1, []float64{30, c.free})
+			x.s.OnProbeResult(x.now, 10, Completed, 1, []float64{30, c.free})
 			for id := range uint32(6) {
 				x.ask(id, 0, uint64(id))
 			}
@@ -481,7 +481,7 @@
 			x.s.OnExpired(x.now, 99)
 			x.s.bigPart = [2]float64{100, 400}
 			for i := range x.s.nodes {
-				x.s.OnProbeResult(x.now, uint32(10+i), Ended, 1, []float64{20, c.free})
+				x.s.OnProbeResult(x.now, uint32(10+i), Completed, 1, []float64{20, c.free})
 			}
 			for id := range uint32(8 * window) {
 				x.ask(id, c.jobType, uint64(id))
@@ -512,10 +512,10 @@
 		{"reports come", true, false, true, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			cl := cluster()
-			cl.ReportsCome, cl.ListsFree = c.come, false
+			cl.ReportsPiggybacked, cl.ListsReportLoad = c.come, false
 			x := start(t, cl, 2)
 			for id := uint32(10); id < 12; id++ {
-				x.s.OnProbeResult(x.now, id, Ended, 1, []float64{20, 40})
+				x.s.OnProbeResult(x.now, id, Completed, 1, []float64{20, 40})
 			}
 			x.s.credit, x.s.scanAt = 2, 0
 			if !c.fresh {
@@ -525,8 +525,8 @@
 			x.expect("probe", c.probes)
 			x.expect("offer", (2-c.probes)/2)
 			if c.answer && c.probes > 0 { // node 10 turns out full
-				x.s.OnProbeResult(x.now, 10, Ended, 1, []float64{-40, 40})
-				x.s.OnProbeResult(x.now, 11, Ended, 1, []float64{20, 40})
+				x.s.OnProbeResult(x.now, 10, Completed, 1, []float64{-40, 40})
+				x.s.OnProbeResult(x.now, 11, Completed, 1, []float64{20, 40})
 				x.s.Decide(x.now)
 				x.expect("offer 1 11", 1)
 			}
@@ -555,7 +555,7 @@
 					x.s.nodes[i].judge(0, 0)
 				}
 			}
-			x.s.OnProbeResult(x.now, 10, Ended, 1, nil)
+			x.s.OnProbeResult(x.now, 10, Completed, 1, nil)
 			x.pass(c.later)
 			used := false
 			for id := range uint32(18) {
@@ -573,15 +573,15 @@
 // What tells of a job type's failures at a node, and what tells of its reach.
 func TestOutcomesJudge(t *testing.T) {
 	for _, c := range []struct {
-		v    Verdict
+		v    Outcome
 		risk bool
 		ill  bool
-	}{{TimedOut, true, false}, {Errored, true, false}, {Broken, true, false}, {Refused, false, false},
-		{Unreached, false, true}, {Unsent, false, false}, {CalledOff, false, false}} {
+	}{{TimedOut, true, false}, {Errored, true, false}, {ConnectionLost, true, false}, {Rejected, false, false},
+		{Unreachable, false, true}, {NotSent, false, false}, {Cancelled, false, false}} {
 		t.Run(fmt.Sprint(c.v), func(t *testing.T) {
 			x := start(t, cluster(), 1)
 			x.ask(1, 0, 5)
-			x.settle(1, 0, c.v, NotTold)
+			x.settle(1, 0, c.v, ReasonUnknown)
 			nd := &x.s.nodes[0]
 			if got := nd.risk(0) > 0; got != c.risk || nd.ill != c.ill || nd.risk(1) > 0 {
 				t.Errorf("risk %v, of another type %v, ill %t", nd.risk(0), nd.risk(1), nd.ill)
@@ -596,7 +596,7 @@
 	for _, c := range []struct {
 		name   string
 		before int // failures of the job type at each node
-		v      Verdict
+		v      Outcome
 		tries  int
 		want   float64 // risk of all nodes together
 	}{{"errs everywhere", 0, Errored, 4, 0}, {"errs at two", 0, Errored, 2, 0.5}, {"times out everywhere", 0, TimedOut, 4, 1},
@@ -608,7 +608,7 @@
 			}
 			x.ask(1, 0, 5)
 			for try := range c.tries {
-				x.settle(1, uint8(try), c.v, NotTold)
+				x.settle(1, uint8(try), c.v, ReasonUnknown)
 			}
 			risk := 0.0
 			for i := range x.s.nodes {
@@ -628,14 +628,14 @@
 		x := start(t, cluster(), 4)
 		x.ask(1, 0, 5)
 		for try := range 3 {
-			x.settle(1, uint8(try), Errored, NotTold)
+			x.settle(1, uint8(try), Errored, ReasonUnknown)
 			for i := range x.s.nodes {
 				for range successes {
 					x.s.nodes[i].judge(0, 1)
 				}
 			}
 		}
-		x.settle(1, 3, Errored, NotTold)
+		x.settle(1, 3, Errored, ReasonUnknown)
 		for i := range x.s.nodes {
 			if risk := x.s.nodes[i].risk(0); risk != 0 {
 				t.Errorf("%d successes since: risk %v of node %d, want 0", successes, risk, i)
@@ -674,7 +674,7 @@
 				t.Errorf("ill: %t", nd.ill)
 			}
 			x.pass(1200)
-			x.s.OnProbeResult(x.now, nd.id, Ended, 1, nil)
+			x.s.OnProbeResult(x.now, nd.id, Completed, 1, nil)
 			if nd.ill {
 				t.Error("a node that answers stays ill")
 			}
@@ -694,7 +694,7 @@
 	}{{"pushed", false, ListChanges, 0, 0}, {"watch stands", true, ListChanges, 1, 1}, {"calls fail", true, ListFailed, 2, 8}} {
 		t.Run(c.name, func(t *testing.T) {
 			cl := cluster()
-			cl.AsksForList = c.asks
+			cl.PollsList = c.asks
 			x := start(t, cl, 2)
 			for calls := 0; x.now < t0+9000; {
 				x.pass(1000)
@@ -720,15 +720,15 @@
 		tell func(*bench)
 	}{
 		{"a list with no nodes", func(*Cluster) {}, func(x *bench) { x.s.OnListBegin(x.now, ListFull); x.s.OnListEnd(x.now) }},
-		{"no reports", func(cl *Cluster) { cl.Report, cl.ReportsCome = nil, false }, func(*bench) {}},
+		{"no reports", func(cl *Cluster) { cl.ReportFields, cl.ReportsPiggybacked = nil, false }, func(*bench) {}},
 		{"one scheduler", func(cl *Cluster) { cl.Schedulers = 1 }, func(*bench) {}},
-		{"a number past all others", func(cl *Cluster) { cl.Schedulers, cl.Index, cl.ColdBears = 9, 60000, 3 }, func(*bench) {}},
+		{"a number past all others", func(cl *Cluster) { cl.Schedulers, cl.Index, cl.SlowStartLimit = 9, 60000, 3 }, func(*bench) {}},
 		{"outcomes for what is long over", func(*Cluster) {}, func(x *bench) {
-			x.s.OnOutcome(x.now, 7, 10, 3, 5, true, NotTold, Ended, []float64{1})
+			x.s.OnOutcome(x.now, 7, 10, 3, 5, true, ReasonUnknown, Completed, []float64{1})
 			x.s.OnStarted(x.now, 7, 0, 5)
 			x.s.OnExpired(x.now, 7)
 			x.s.OnTaskMetric(x.now, 7, 0, 99, MemoryUsed, 3)
-			x.s.OnProbeResult(x.now, 99, Ended, 1, nil)
+			x.s.OnProbeResult(x.now, 99, Completed, 1, nil)
 			x.s.OnTimer(x.now, keyAlloc+7)
 		}},
 		{"a kind without figures", func(*Cluster) {}, func(x *bench) {
@@ -744,10 +744,10 @@
 			c.tell(x)
 			x.ask(1, 0, 5)
 			x.pass(200)
-			x.change(10, Gone, 0)
+			x.change(10, Unavailable, 0)
 			x.change(10, Ready, x.now) // back under its id, cold
-			x.pass(cl.ColdFor + 1000)
-			x.s.OnOutcome(x.now, 1, 10, 0, 5, true, NotTold, Broken, nil)
+			x.pass(cl.SlowStartDuration + 1000)
+			x.s.OnOutcome(x.now, 1, 10, 0, 5, true, ReasonUnknown, ConnectionLost, nil)
 			x.ask(2, 0, 5)
 			x.pass(200)
 			x.expect("offer 2 ", 1)
@@ -763,7 +763,7 @@
 		for id := range uint32(200) {
 			x.ask(id, int(id)%3, uint64(id%7))
 			if id%3 == 0 {
-				x.settle(id, 0, TimedOut, NotTold)
+				x.settle(id, 0, TimedOut, ReasonUnknown)
 			}
 			x.pass(10)
 		}
--- a/logic/speed_test.go
+++ b/logic/speed_test.go
@@ -11,7 +11,7 @@
 	}{{"room", 0, 1}, {"500 wait", 500, 100}} {
 		b.Run(c.name, func(b *testing.B) {
 			cl := cluster()
-			cl.JobTypes[2].Value = 0.5
+			cl.JobClasses[2].PriorityWeight = 0.5
 			h := &book{}
 			s := New(h, t0, 7, cl)
 			s.OnListBegin(t0, ListCached)
@@ -31,7 +31,7 @@
 				s.OnStarted(now, id, 0, 50)
 				if id > 500 {
 					nd := s.nodes[s.allocs[s.allocAt[id-500]].nd].id
-					s.OnOutcome(now, id-500, nd, 0, 1000, false, NotTold, Ended, nil)
+					s.OnOutcome(now, id-500, nd, 0, 1000, false, ReasonUnknown, Completed, nil)
 				}
 			}
 		})
