--- a/logic/belief.go
+++ b/logic/belief.go
@@ -10,15 +10,15 @@
 
 // NodeBelief tells what is believed of a node, if anything is.
 func (s *Scheduler) NodeBelief(id uint32) (b Belief, ok bool) {
-	n, ok := s.nodeAt[id]
-	if !ok || !s.nodes[n].known {
+	n, ok := s.nodeIndex[id]
+	if !ok || !s.nodes[n].reported {
 		return b, false
 	}
 	nd := &s.nodes[n]
-	c, m := s.taken(nd)
-	b = Belief{Cores: nd.cores - c, Memory: nd.memory - m, Degradation: s.strain(nd), Unhealthy: nd.ill}
-	for job := range s.jobs {
-		b.FailureRate = max(b.FailureRate, nd.risk(job))
+	c, m := s.allocatedOn(nd)
+	b = Belief{Cores: nd.cores - c, Memory: nd.memory - m, Degradation: s.degradation(nd), Unhealthy: nd.unhealthy}
+	for job := range s.classes {
+		b.FailureRate = max(b.FailureRate, nd.failureRate(job))
 	}
 	return b, true
 }
@@ -26,18 +26,18 @@
 // BeliefError is by how much more free cores and memory were believed than a report says that is about to be told: the
 // last report with own binds and ends up to the time of this one. What others did since is in it.
 func (s *Scheduler) BeliefError(now float64, id uint32, report []float64) (cores, memory float64, ok bool) {
-	n, ok := s.nodeAt[id]
+	n, ok := s.nodeIndex[id]
 	if !ok {
 		return 0, 0, false
 	}
-	nd, at := &s.nodes[n], now-reportLag
-	c, m, ok := s.told(nd, report)
-	if !ok || !nd.known || at <= nd.measured {
+	nd, at := &s.nodes[n], now-reportDelay
+	c, m, ok := s.decodeReport(nd, report)
+	if !ok || !nd.reported || at <= nd.measuredAt {
 		return 0, 0, false
 	}
-	cores, memory = nd.free[0]-c, nd.free[1]-m
-	for _, x := range nd.acts {
-		if x.at > nd.measured && x.at <= at {
+	cores, memory = nd.reportedFree[0]-c, nd.reportedFree[1]-m
+	for _, x := range nd.changes {
+		if x.at > nd.measuredAt && x.at <= at {
 			cores -= x.cores
 			memory -= x.memory
 		}
--- a/logic/full_test.go
+++ b/logic/full_test.go
@@ -12,53 +12,53 @@
 	spared, sent := 0, 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		cl := cluster()
+		cl := testCluster()
 		cl.SlowStartLimit = 0
 		cl.JobClasses[1].NodeKind, cl.JobClasses[1].PriorityWeight = 0, 0.5
 		cl.JobClasses[2].Spread, cl.JobClasses[2].MaxPerScope, cl.JobClasses[2].PriorityWeight = PerNode, 1, 0.5
 		cl.FleetPrice = float64(seed % 2)
-		x := start(t, cl, 3)
-		x.s.OnListBegin(x.now, ListChanges)
-		x.s.OnListNode(x.now, 13, Ready, 0, 64, 128, 0, 0, 1)
-		x.s.OnListEnd(x.now)
-		x.s.nodes[3].recentUntil, x.s.nodes[3].heard = 0, x.now
+		x := newHarness(t, cl, 3)
+		x.scheduler.OnListBegin(x.now, ListChanges)
+		x.scheduler.OnListNode(x.now, 13, Ready, 0, 64, 128, 0, 0, 1)
+		x.scheduler.OnListEnd(x.now)
+		x.scheduler.nodes[3].warmingUntil, x.scheduler.nodes[3].lastHeard = 0, x.now
 		for id := uint32(1); id < 120; id++ {
 			x.now += 100 * rng.Float64()
 			size := float64(1 + rng.IntN(12))
-			x.s.OnRequest(x.now, id, rng.IntN(3), 0, x.now+3000+4000*rng.Float64(), uint64(1+rng.IntN(5)), size, 2*size*rng.Float64())
+			x.scheduler.OnRequest(x.now, id, rng.IntN(3), 0, x.now+3000+4000*rng.Float64(), uint64(1+rng.IntN(5)), size, 2*size*rng.Float64())
 			if rng.IntN(3) == 0 {
-				x.s.OnTimer(x.now, keyTick)
+				x.scheduler.OnTimer(x.now, timerTick)
 			}
-			x.s.OnTimer(x.now, keyScan)
-			x.s.Decide(x.now)
-			spared += len(x.s.waiting) - len(x.s.full)
-			for _, i := range x.s.waiting {
-				a := &x.s.allocs[i]
-				for n := range x.s.nodes {
-					if nd := &x.s.nodes[n]; nd.avail == Ready && x.s.admits(a, nd) && x.s.permits(a, n, nd) {
+			x.scheduler.OnTimer(x.now, timerScan)
+			x.scheduler.Decide(x.now)
+			spared += len(x.scheduler.waiting) - len(x.scheduler.unplaceable)
+			for _, i := range x.scheduler.waiting {
+				a := &x.scheduler.allocations[i]
+				for n := range x.scheduler.nodes {
+					if nd := &x.scheduler.nodes[n]; nd.availability == Ready && x.scheduler.nodeAccepts(a, nd) && x.scheduler.allocationAllows(a, n, nd) {
 						t.Fatalf("seed %d: %d waits, and node %d would take it", seed, a.id, nd.id)
 					}
 				}
 			}
-			for n := range x.s.nodes {
-				nd := &x.s.nodes[n]
-				c, m := x.s.taken(nd)
-				nd.summed = false
-				if c2, m2 := x.s.taken(nd); c != c2 || m != m2 {
+			for n := range x.scheduler.nodes {
+				nd := &x.scheduler.nodes[n]
+				c, m := x.scheduler.allocatedOn(nd)
+				nd.allocatedValid = false
+				if c2, m2 := x.scheduler.allocatedOn(nd); c != c2 || m != m2 {
 					t.Fatalf("seed %d: node %d holds %g and %g, kept as %g and %g", seed, nd.id, c2, m2, c, m)
 				}
 			}
-			if out := slices.DeleteFunc(slices.Clone(x.s.allocs), func(a alloc) bool { return !a.out }); len(out) > 0 {
+			if out := slices.DeleteFunc(slices.Clone(x.scheduler.allocations), func(a allocation) bool { return !a.inFlight }); len(out) > 0 {
 				sent++
 				a := out[rng.IntN(len(out))]
-				nd := x.s.nodes[a.nd].id
-				try := uint8(a.tries - 1)
-				if !a.placed && rng.IntN(2) == 0 {
-					x.s.OnStarted(x.now, a.id, try, 50)
+				nd := x.scheduler.nodes[a.node].id
+				try := uint8(a.attempts - 1)
+				if !a.running && rng.IntN(2) == 0 {
+					x.scheduler.OnStarted(x.now, a.id, try, 50)
 				} else {
 					v := []Outcome{Completed, Rejected, Errored, TimedOut, Unreachable}[rng.IntN(5)]
 					report := []float64{40 * rng.Float64(), 80 * rng.Float64()}
-					x.s.OnOutcome(x.now, a.id, nd, try, 50, false, []Reason{ReasonUnknown, InsufficientCores, InsufficientMemory, NotAccepting}[rng.IntN(4)], v, report)
+					x.scheduler.OnOutcome(x.now, a.id, nd, try, 50, false, []Reason{ReasonUnknown, InsufficientCores, InsufficientMemory, NotAccepting}[rng.IntN(4)], v, report)
 				}
 			}
 		}
@@ -72,13 +72,13 @@
 func TestLead(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
-		all := make([]scored, rng.IntN(12))
+		all := make([]candidate, rng.IntN(12))
 		for i := range all {
-			all[i] = scored{i, float64(rng.IntN(4))}
+			all[i] = candidate{i, float64(rng.IntN(4))}
 		}
 		want := slices.Clone(all)
-		slices.SortStableFunc(want, func(x, y scored) int { return int(y.score - x.score) })
-		lead(all, 3)
+		slices.SortStableFunc(want, func(x, y candidate) int { return int(y.score - x.score) })
+		selectTop(all, 3)
 		if n := min(3, len(all)); !slices.Equal(all[:n], want[:n]) {
 			t.Fatalf("%v, want %v first", all, want)
 		}
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -6,24 +6,24 @@
 	"testing"
 )
 
-// book is a host that writes down what the module asks for.
-type book struct{ lines []string }
-
-func (b *book) add(f string, args ...any) { b.lines = append(b.lines, fmt.Sprintf(f, args...)) }
-
-func (b *book) StartAttempt(alloc, node uint32, _ float64) { b.add("offer %d %d", alloc, node) }
-func (b *book) Shed(alloc uint32, _ float64)               { b.add("decline %d", alloc) }
-func (b *book) Fail(alloc uint32)                          { b.add("fail %d", alloc) }
-func (b *book) Cancel(alloc uint32, try uint8)             { b.add("recall %d %d", alloc, try) }
-func (b *book) Migrate(alloc uint32)                       { b.add("move %d", alloc) }
-func (b *book) Probe(node uint32)                          { b.add("probe %d", node) }
-func (b *book) WatchList(active bool)                      { b.add("follow") }
-func (b *book) ReloadList()                                { b.add("reload") }
-func (b *book) SetTimer(float64, uint64)                   {}
-func (b *book) Log(line string)                            { b.add("log %s", line) }
+// recorder is a host that writes down what the module asks for.
+type recorder struct{ lines []string }
+
+func (b *recorder) record(f string, args ...any) { b.lines = append(b.lines, fmt.Sprintf(f, args...)) }
+
+func (b *recorder) StartAttempt(alloc, node uint32, _ float64) { b.record("offer %d %d", alloc, node) }
+func (b *recorder) Shed(alloc uint32, _ float64)               { b.record("decline %d", alloc) }
+func (b *recorder) Fail(alloc uint32)                          { b.record("fail %d", alloc) }
+func (b *recorder) Cancel(alloc uint32, try uint8)             { b.record("recall %d %d", alloc, try) }
+func (b *recorder) Migrate(alloc uint32)                       { b.record("move %d", alloc) }
+func (b *recorder) Probe(node uint32)                          { b.record("probe %d", node) }
+func (b *recorder) WatchList(active bool)                      { b.record("follow") }
+func (b *recorder) ReloadList()                                { b.record("reload") }
+func (b *recorder) SetTimer(float64, uint64)                   {}
+func (b *recorder) Log(line string)                            { b.record("log %s", line) }
 
 // count is the number of lines that begin so.
-func (b *book) count(prefix string) int {
+func (b *recorder) count(prefix string) int {
 	n := 0
 	for _, l := range b.lines {
 		if strings.HasPrefix(l, prefix) {
@@ -33,8 +33,8 @@
 	return n
 }
 
-// last is the node of the last offer, or 0.
-func (b *book) last() uint32 {
+// lastNode is the node of the last offer, or 0.
+func (b *recorder) lastNode() uint32 {
 	var alloc, node uint32
 	for _, l := range b.lines {
 		_, _ = fmt.Sscanf(l, "offer %d %d", &alloc, &node)
@@ -42,10 +42,10 @@
 	return node
 }
 
-const t0 = 1e6 // the start of a test's clock, ms
+const testStart = 1e6 // the start of a test's clock, ms
 
-// cluster is a deployment of three job types, one of each effect, on machines of one kind.
-func cluster() *Cluster {
+// testCluster is a deployment of three job types, one of each effect, on machines of one kind.
+func testCluster() *Cluster {
 	return &Cluster{Schedulers: 2, ListMaxSilence: 10000, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true,
 		CanProbe: true, ReportsPiggybacked: true, KindCores: []float64{40, 64}, KindMemory: []float64{80, 128}, CoresOvercommit: 2,
 		MemoryOvercommit: 1.5, ListsReportLoad: true, ReportFields: []string{"x0", "x1"}, SlowStartLimit: 8, SlowStartDuration: 10000,
@@ -56,65 +56,65 @@
 		}}
 }
 
-// bench is a scheduler at work with its book; nodes are numbered from 10, two to a cell, two cells to a zone.
-type bench struct {
-	t   *testing.T
-	b   *book
-	s   *Scheduler
-	now float64
+// harness is a scheduler at work with its book; nodes are numbered from 10, two to a cell, two cells to a zone.
+type harness struct {
+	t         *testing.T
+	effects   *recorder
+	scheduler *Scheduler
+	now       float64
 }
 
-func start(t *testing.T, cl *Cluster, nodes int) *bench {
-	x := &bench{t: t, b: &book{}, now: t0}
-	x.s = New(x.b, t0, 7, cl)
-	x.s.OnListBegin(t0, ListCached)
+func newHarness(t *testing.T, cl *Cluster, nodes int) *harness {
+	x := &harness{t: t, effects: &recorder{}, now: testStart}
+	x.scheduler = New(x.effects, testStart, 7, cl)
+	x.scheduler.OnListBegin(testStart, ListCached)
 	for i := range nodes {
 		x.node(uint32(10+i), Ready, 0)
 	}
-	x.s.OnListEnd(t0)
-	for i := range x.s.nodes {
-		x.s.nodes[i].heard = t0
+	x.scheduler.OnListEnd(testStart)
+	for i := range x.scheduler.nodes {
+		x.scheduler.nodes[i].lastHeard = testStart
 	}
 	return x
 }
 
-func (x *bench) node(id uint32, avail Availability, since float64) {
+func (x *harness) node(id uint32, avail Availability, since float64) {
 	i := int(id - 10)
-	x.s.OnListNode(x.now, id, avail, since, 40, 80, i/4, i/2, 0)
+	x.scheduler.OnListNode(x.now, id, avail, since, 40, 80, i/4, i/2, 0)
 }
 
-// change tells of one node's new state.
-func (x *bench) change(id uint32, avail Availability, since float64) {
-	x.s.OnListBegin(x.now, ListChanges)
+// updateNode tells of one node's new state.
+func (x *harness) updateNode(id uint32, avail Availability, since float64) {
+	x.scheduler.OnListBegin(x.now, ListChanges)
 	x.node(id, avail, since)
-	x.s.OnListEnd(x.now)
+	x.scheduler.OnListEnd(x.now)
 }
 
-// ask hands in an allocation of 1 core and 2 memory with 5 s to go.
-func (x *bench) ask(id uint32, jobType int, service uint64) {
-	x.s.OnRequest(x.now, id, jobType, 0, x.now+5000, service, 1, 2)
-	x.s.Decide(x.now)
+// request hands in an allocation of 1 core and 2 memory with 5 s to go.
+func (x *harness) request(id uint32, jobType int, service uint64) {
+	x.scheduler.OnRequest(x.now, id, jobType, 0, x.now+5000, service, 1, 2)
+	x.scheduler.Decide(x.now)
 }
 
-// settle reports an outcome of the last offer of an allocation.
-func (x *bench) settle(id uint32, try uint8, v Outcome, why Reason) {
-	x.s.OnOutcome(x.now, id, x.b.last(), try, 100, false, why, v, nil)
-	x.s.Decide(x.now)
+// complete reports an outcome of the last offer of an allocation.
+func (x *harness) complete(id uint32, try uint8, v Outcome, why Reason) {
+	x.scheduler.OnOutcome(x.now, id, x.effects.lastNode(), try, 100, false, why, v, nil)
+	x.scheduler.Decide(x.now)
 }
 
-// pass lets time go by, with the module's housekeeping.
-func (x *bench) pass(ms float64) {
+// advance lets time go by, with the module's housekeeping.
+func (x *harness) advance(ms float64) {
 	for end := x.now + ms; x.now < end; {
-		x.now = min(x.now+tickEvery, end)
-		x.s.OnTimer(x.now, keyTick)
-		x.s.OnTimer(x.now, keyScan)
-		x.s.Decide(x.now)
+		x.now = min(x.now+tickInterval, end)
+		x.scheduler.OnTimer(x.now, timerTick)
+		x.scheduler.OnTimer(x.now, timerScan)
+		x.scheduler.Decide(x.now)
 	}
 }
 
-func (x *bench) expect(prefix string, n int) {
+func (x *harness) expect(prefix string, n int) {
 	x.t.Helper()
-	if got := x.b.count(prefix); got != n {
-		x.t.Errorf("%q: %d times, want %d, in %q", prefix, got, n, x.b.lines)
+	if got := x.effects.count(prefix); got != n {
+		x.t.Errorf("%q: %d times, want %d, in %q", prefix, got, n, x.effects.lines)
 	}
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -37,18 +37,18 @@
 		{"run-once unsent", 2, NotSent, again},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 12)
-			x.ask(1, c.jobType, 5)
-			first := x.s.nodes[x.s.nodeAt[x.b.last()]].zone
+			x := newHarness(t, testCluster(), 12)
+			x.request(1, c.jobType, 5)
+			first := x.scheduler.nodes[x.scheduler.nodeIndex[x.effects.lastNode()]].zone
 			x.expect("offer", 1)
-			x.settle(1, 0, c.v, InsufficientCores)
+			x.complete(1, 0, c.v, InsufficientCores)
 			if c.want == fail {
 				x.expect(fail, 1)
 				x.expect("offer", 1)
 				return
 			}
 			x.expect("offer 1 ", 2)
-			second := x.s.nodes[x.s.nodeAt[x.b.last()]].zone
+			second := x.scheduler.nodes[x.scheduler.nodeIndex[x.effects.lastNode()]].zone
 			if c.jobType == 1 && c.v != Rejected && second != first {
 				t.Errorf("a tokened try that may have run left its group: zone %d after %d", second, first)
 			}
@@ -64,10 +64,10 @@
 		offers int
 	}{{"inside", 2900, 2}, {"past", 3000, 1}} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 12)
-			x.ask(1, 1, 5)
+			x := newHarness(t, testCluster(), 12)
+			x.request(1, 1, 5)
 			x.now += c.after
-			x.settle(1, 0, TimedOut, ReasonUnknown)
+			x.complete(1, 0, TimedOut, ReasonUnknown)
 			x.expect("offer", c.offers)
 			x.expect("fail", 2-c.offers)
 			x.expect("decline", 0)
@@ -80,31 +80,31 @@
 	for _, c := range []struct {
 		name  string
 		nodes int
-		run   func(*bench)
+		run   func(*harness)
 		want  string
 	}{
-		{"expiry with a try out", 12, func(x *bench) { x.now += 4996 }, "fail 1"},
-		{"expiry while waiting", 0, func(x *bench) { x.now += 4996 }, "decline 1"},
-		{"tries used up", 12, func(x *bench) {
+		{"expiry with a try out", 12, func(x *harness) { x.now += 4996 }, "fail 1"},
+		{"expiry while waiting", 0, func(x *harness) { x.now += 4996 }, "decline 1"},
+		{"tries used up", 12, func(x *harness) {
 			for try := range uint8(4) {
-				x.settle(1, try, Rejected, QueueFull)
+				x.complete(1, try, Rejected, QueueFull)
 			}
 		}, "decline 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), c.nodes)
-			x.ask(1, 2, 5)
+			x := newHarness(t, testCluster(), c.nodes)
+			x.request(1, 2, 5)
 			c.run(x)
-			x.s.OnTimer(x.now, keyAlloc+1)
-			x.s.Decide(x.now)
-			offers := x.b.count("offer")
+			x.scheduler.OnTimer(x.now, timerDeadline+1)
+			x.scheduler.Decide(x.now)
+			offers := x.effects.count("offer")
 			x.expect(c.want, 1)
-			if len(x.s.allocs) > 0 && x.s.allocs[0].out {
-				x.settle(1, 0, Cancelled, ReasonUnknown)
+			if len(x.scheduler.allocations) > 0 && x.scheduler.allocations[0].inFlight {
+				x.complete(1, 0, Cancelled, ReasonUnknown)
 			}
-			x.pass(1000)
+			x.advance(1000)
 			x.expect("offer", offers)
-			if n := x.b.count("fail") + x.b.count("decline"); n != 1 {
+			if n := x.effects.count("fail") + x.effects.count("decline"); n != 1 {
 				t.Errorf("%d final answers", n)
 			}
 		})
@@ -115,19 +115,19 @@
 func TestDrains(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		tell func(*bench)
+		tell func(*harness)
 		want int
 	}{
-		{"ready", func(x *bench) {}, 1},
-		{"draining", func(x *bench) { x.change(10, Draining, 0) }, 0},
-		{"gone", func(x *bench) { x.change(10, Unavailable, 0) }, 0},
-		{"missing", func(x *bench) { x.s.OnListBegin(x.now, ListFull); x.s.OnListEnd(x.now) }, 0},
-		{"call failed", func(x *bench) { x.s.OnListBegin(x.now, ListFailed); x.s.OnListEnd(x.now) }, 1},
+		{"ready", func(x *harness) {}, 1},
+		{"draining", func(x *harness) { x.updateNode(10, Draining, 0) }, 0},
+		{"gone", func(x *harness) { x.updateNode(10, Unavailable, 0) }, 0},
+		{"missing", func(x *harness) { x.scheduler.OnListBegin(x.now, ListFull); x.scheduler.OnListEnd(x.now) }, 0},
+		{"call failed", func(x *harness) { x.scheduler.OnListBegin(x.now, ListFailed); x.scheduler.OnListEnd(x.now) }, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 1)
+			x := newHarness(t, testCluster(), 1)
 			c.tell(x)
-			x.ask(1, 0, 5)
+			x.request(1, 0, 5)
 			x.expect("offer", c.want)
 		})
 	}
@@ -147,28 +147,28 @@
 		{"cold, starts", 0, 5000, Completed, 4},
 		{"restarted scheduler", 5000, 0, Completed, 0},
 		{"restarted, later", 5000, 2600, Completed, 4},
-		{"warm", 20000, 0, Completed, window},
+		{"warm", 20000, 0, Completed, maxUnanswered},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 0)
+			x := newHarness(t, testCluster(), 0)
 			kind := ListCached
 			if c.since == 0 {
-				x.pass(c.after)
+				x.advance(c.after)
 				kind = ListChanges
 			}
-			x.s.OnListBegin(x.now, kind)
+			x.scheduler.OnListBegin(x.now, kind)
 			x.node(10, Ready, x.now-c.since)
-			x.s.OnListEnd(x.now)
-			x.s.nodes[0].heard = x.now
+			x.scheduler.OnListEnd(x.now)
+			x.scheduler.nodes[0].lastHeard = x.now
 			if c.since > 0 {
-				x.pass(c.after)
+				x.advance(c.after)
 			}
 			for id := range uint32(9) {
-				x.ask(id, 0, 5)
+				x.request(id, 0, 5)
 				if c.v == Rejected {
-					x.s.OnOutcome(x.now, id, 10, 0, 5, false, NotAccepting, Rejected, nil)
-					x.s.nodes[0].restUntil = 0
-					x.s.Decide(x.now)
+					x.scheduler.OnOutcome(x.now, id, 10, 0, 5, false, NotAccepting, Rejected, nil)
+					x.scheduler.nodes[0].backoffUntil = 0
+					x.scheduler.Decide(x.now)
 				}
 			}
 			x.expect("offer", c.want)
@@ -188,16 +188,16 @@
 		{"zone", PerZone, 1, 1}, {"anywhere", Anywhere, 1, 20},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cl := cluster()
+			cl := testCluster()
 			cl.JobClasses[0].Spread, cl.JobClasses[0].MaxPerScope = c.place, c.most
-			x := start(t, cl, 8)
-			x.s.OnRecovered(x.now, 99, 0, 0, 5, 1, 2, 10)
+			x := newHarness(t, cl, 8)
+			x.scheduler.OnRecovered(x.now, 99, 0, 0, 5, 1, 2, 10)
 			for id := range uint32(20) {
-				x.ask(id, 0, 5)
+				x.request(id, 0, 5)
 			}
 			x.expect("offer", c.want)
-			x.s.OnOutcome(x.now, 99, 10, 0, 9, true, Evicted, ConnectionLost, nil)
-			x.pass(100)
+			x.scheduler.OnOutcome(x.now, 99, 10, 0, 9, true, Evicted, ConnectionLost, nil)
+			x.advance(100)
 			x.expect("offer", min(c.want+1, 20))
 		})
 	}
@@ -214,11 +214,11 @@
 		{"over its memory", 40, -39, 0}, {"unheard", math.NaN(), 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 1)
+			x := newHarness(t, testCluster(), 1)
 			if !math.IsNaN(c.cores) {
-				x.s.OnProbeResult(x.now, 10, Completed, 1, []float64{c.cores, c.memory})
+				x.scheduler.OnProbeResult(x.now, 10, Completed, 1, []float64{c.cores, c.memory})
 			}
-			x.ask(1, 0, 5)
+			x.request(1, 0, 5)
 			x.expect("offer", c.want)
 		})
 	}
@@ -230,13 +230,13 @@
 		name string
 		gap  float64 // from the bind to the report's arrival
 		want float64
-	}{{"bind not in the report", reportLag / 2, 11}, {"bind in the report", reportLag * 2, 10}} {
+	}{{"bind not in the report", reportDelay / 2, 11}, {"bind in the report", reportDelay * 2, 10}} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 1)
-			x.ask(1, 0, 5)
+			x := newHarness(t, testCluster(), 1)
+			x.request(1, 0, 5)
 			x.now += c.gap
-			x.s.OnProbeResult(x.now, 10, Completed, 1, []float64{30, 70})
-			if cores, _ := x.s.taken(&x.s.nodes[0]); cores != c.want {
+			x.scheduler.OnProbeResult(x.now, 10, Completed, 1, []float64{30, 70})
+			if cores, _ := x.scheduler.allocatedOn(&x.scheduler.nodes[0]); cores != c.want {
 				t.Errorf("%v cores taken, want %v", cores, c.want)
 			}
 		})
@@ -245,25 +245,27 @@
 
 // Net benefit against values worked out by hand: zones of four nodes, cells of two.
 func TestBenefit(t *testing.T) {
-	cl := cluster()
+	cl := testCluster()
 	cl.ListsReportLoad = false
-	x := start(t, cl, 12)
+	x := newHarness(t, cl, 12)
 	for id := range uint32(2) { // the service runs on node 10 and on node 14, zones 0 and 1
-		x.s.OnRecovered(x.now, id, 0, 0, 5, 1, 2, 10+4*id)
+		x.scheduler.OnRecovered(x.now, id, 0, 0, 5, 1, 2, 10+4*id)
+	}
+	a := &x.scheduler.allocations[x.scheduler.track(9, 0, 5, 1, 2)]
+	x.scheduler.survey()
+	fetch := func(i int) float64 {
+		return min(maxFetchCost, 12*fetchCostPerRank*hashFraction(5, x.scheduler.nodes[i].id))
 	}
-	a := &x.s.allocs[x.s.take(9, 0, 5, 1, 2)]
-	x.s.survey()
-	fetch := func(i int) float64 { return min(fetchMost, 12*fetchStep*lot(5, x.s.nodes[i].id)) }
 	for _, c := range []struct {
 		name string
 		nd   int
 		want float64
 	}{
-		{"holds it", 0, gPlain * (0 + 7) / 2}, {"same cell", 1, gPlain*(1+7)/2 - fetch(1)},
-		{"same zone", 2, gPlain*(3+7)/2 - fetch(2)}, {"third zone", 8, gPlain*(7+7)/2 - fetch(8)},
+		{"holds it", 0, diversityWeight * (0 + 7) / 2}, {"same cell", 1, diversityWeight*(1+7)/2 - fetch(1)},
+		{"same zone", 2, diversityWeight*(3+7)/2 - fetch(2)}, {"third zone", 8, diversityWeight*(7+7)/2 - fetch(8)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := x.s.benefit(a, c.nd, 0.25); math.Abs(got-(c.want-0.25)) > 1e-9 {
+			if got := x.scheduler.netBenefit(a, c.nd, 0.25); math.Abs(got-(c.want-0.25)) > 1e-9 {
 				t.Errorf("benefit %v, want %v", got, c.want-0.25)
 			}
 		})
@@ -278,19 +280,19 @@
 		after float64
 		want  int
 	}{
-		{"no reason told", ReasonUnknown, 0, window}, {"line too long", QueueFull, lineRest - 1, window - 1},
-		{"line too long, later", QueueFull, lineRest + 1, window},
+		{"no reason told", ReasonUnknown, 0, maxUnanswered}, {"line too long", QueueFull, queueFullBackoff - 1, maxUnanswered - 1},
+		{"line too long, later", QueueFull, queueFullBackoff + 1, maxUnanswered},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 1)
+			x := newHarness(t, testCluster(), 1)
 			for id := range uint32(40) {
-				x.ask(id, 0, 5)
+				x.request(id, 0, 5)
 			}
-			x.expect("offer", window)
-			x.settle(0, 0, Rejected, c.why)
-			x.s.Decide(x.now + scanEvery)
-			x.s.Decide(x.now + max(2*scanEvery, c.after))
-			if got := len(x.s.nodes[0].unanswered); got != c.want {
+			x.expect("offer", maxUnanswered)
+			x.complete(0, 0, Rejected, c.why)
+			x.scheduler.Decide(x.now + scanInterval)
+			x.scheduler.Decide(x.now + max(2*scanInterval, c.after))
+			if got := len(x.scheduler.nodes[0].unanswered); got != c.want {
 				t.Errorf("%d unanswered, want %d", got, c.want)
 			}
 		})
@@ -308,32 +310,32 @@
 		least, to int // offers to it within 3 s of one allocation each 20 ms
 	}{{"not here", NotAccepting, NotAccepting, 3, 8}, {"not here, then no reason", NotAccepting, ReasonUnknown, 3, 8}, {"no reason", ReasonUnknown, ReasonUnknown, 20, 600}} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 2)
+			x := newHarness(t, testCluster(), 2)
 			offers := 0
 			for id := range uint32(150) {
-				before := x.b.count("offer")
-				x.ask(id, 0, uint64(id))
-				for try := uint8(0); x.b.count("offer") > before; try++ {
-					before = x.b.count("offer")
-					if x.b.last() != 10 {
-						x.s.OnStarted(x.now, id, try, 50)
-						x.s.OnOutcome(x.now, id, 11, try, 100, true, ReasonUnknown, Completed, nil)
+				before := x.effects.count("offer")
+				x.request(id, 0, uint64(id))
+				for try := uint8(0); x.effects.count("offer") > before; try++ {
+					before = x.effects.count("offer")
+					if x.effects.lastNode() != 10 {
+						x.scheduler.OnStarted(x.now, id, try, 50)
+						x.scheduler.OnOutcome(x.now, id, 11, try, 100, true, ReasonUnknown, Completed, nil)
 						break
 					}
 					why := c.then
 					if offers++; offers == 1 {
 						why = c.first
 					}
-					x.settle(id, try, Rejected, why)
+					x.complete(id, try, Rejected, why)
 				}
-				x.now += scanEvery
+				x.now += scanInterval
 			}
 			if offers < c.least || offers > c.to {
 				t.Errorf("%d offers to the node, want %d to %d", offers, c.least, c.to)
 			}
-			x.change(10, Unavailable, 0)
-			x.change(10, Ready, x.now)
-			if x.s.nodes[0].restUntil > x.now || x.s.nodes[0].away > 0 {
+			x.updateNode(10, Unavailable, 0)
+			x.updateNode(10, Ready, x.now)
+			if x.scheduler.nodes[0].backoffUntil > x.now || x.scheduler.nodes[0].rejections > 0 {
 				t.Error("it still rests after its return")
 			}
 		})
@@ -350,22 +352,22 @@
 		want   bool // whether the node is used
 	}{
 		{"nothing told", nil, 0, true}, {"served in full", []float64{1, 1}, 0, true}, {"not served", []float64{0}, 0, false},
-		{"half served", []float64{0.5, 0.5}, 0, false}, {"forgotten", []float64{0, 0}, strainFor + 1, true},
+		{"half served", []float64{0.5, 0.5}, 0, false}, {"forgotten", []float64{0, 0}, degradationDecay + 1, true},
 		{"served again", []float64{0, 0, 1, 1, 1, 1, 1, 1, 1, 1}, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 4)
-			x.s.OnRecovered(x.now, 1000, 0, 0, 7, 1, 2, 10)
+			x := newHarness(t, testCluster(), 4)
+			x.scheduler.OnRecovered(x.now, 1000, 0, 0, 7, 1, 2, 10)
 			for _, v := range c.served {
-				x.s.OnTaskMetric(x.now, 1000, 0, 10, ServedShare, v)
+				x.scheduler.OnTaskMetric(x.now, 1000, 0, 10, ServedShare, v)
 			}
 			x.now += c.after
 			used := false
 			for id := range uint32(40) {
-				x.ask(id, 0, uint64(id))
-				used = used || x.b.last() == 10
-				x.s.OnStarted(x.now, id, 0, 50)
-				x.s.OnOutcome(x.now, id, x.b.last(), 0, 100, true, ReasonUnknown, Completed, nil)
+				x.request(id, 0, uint64(id))
+				used = used || x.effects.lastNode() == 10
+				x.scheduler.OnStarted(x.now, id, 0, 50)
+				x.scheduler.OnOutcome(x.now, id, x.effects.lastNode(), 0, 100, true, ReasonUnknown, Completed, nil)
 			}
 			if x.expect("offer", 40); used != c.want {
 				t.Errorf("the node is used: %t", used)
@@ -383,17 +385,17 @@
 		reach      bool // whether each has a turn within a minute
 	}{{300, 49, true}, {230, 90, true}, {1000, 3, false}, {5000, 2, false}, {40, 1, false}, {40, 0, false}} {
 		t.Run(fmt.Sprint(c.schedulers, c.bears), func(t *testing.T) {
-			cl := cluster()
+			cl := testCluster()
 			cl.Schedulers, cl.SlowStartLimit, cl.SlowStartWindow = c.schedulers, c.bears, 2000
 			var at []float64 // offers of all
 			for cl.Index = range c.schedulers {
-				x := start(t, cl, 0)
-				x.change(10, Ready, t0)
-				x.s.nodes[0].recentUntil = math.Inf(1)
+				x := newHarness(t, cl, 0)
+				x.updateNode(10, Ready, testStart)
+				x.scheduler.nodes[0].warmingUntil = math.Inf(1)
 				sent := len(at)
-				for x.now = t0; x.now < t0+60000; x.now += 500 {
-					if x.s.now = x.now; x.s.bears(&x.s.nodes[0]) {
-						x.s.nodes[0].offers = append(x.s.nodes[0].offers, x.now)
+				for x.now = testStart; x.now < testStart+60000; x.now += 500 {
+					if x.scheduler.now = x.now; x.scheduler.slowStartAllows(&x.scheduler.nodes[0]) {
+						x.scheduler.nodes[0].sentAttempts = append(x.scheduler.nodes[0].sentAttempts, x.now)
 						at = append(at, x.now)
 					}
 				}
@@ -421,18 +423,18 @@
 		bears  float64
 		answer bool
 		want   int
-	}{{"no cold share", 0, false, 1}, {"a large one", 100, false, 1}, {"heard from", 0, true, window + 1}} {
+	}{{"no cold share", 0, false, 1}, {"a large one", 100, false, 1}, {"heard from", 0, true, maxUnanswered + 1}} {
 		t.Run(c.name, func(t *testing.T) {
-			cl := cluster()
+			cl := testCluster()
 			cl.SlowStartLimit = c.bears
-			x := start(t, cl, 1)
-			x.s.nodes[0].heard = -1
-			x.ask(0, 0, 5)
+			x := newHarness(t, cl, 1)
+			x.scheduler.nodes[0].lastHeard = -1
+			x.request(0, 0, 5)
 			if c.answer {
-				x.s.OnStarted(x.now, 0, 0, 100)
+				x.scheduler.OnStarted(x.now, 0, 0, 100)
 			}
 			for id := uint32(1); id < 20; id++ {
-				x.ask(id, 0, 5)
+				x.request(id, 0, 5)
 			}
 			x.expect("offer", c.want)
 		})
@@ -448,15 +450,15 @@
 		empty bool    // whether an empty one is used
 	}{{"ease", 0.2, 60, false}, {"crowded", 0.2, -10, true}, {"no price", 0, 60, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			cl := cluster()
+			cl := testCluster()
 			cl.FleetPrice = c.price
-			x := start(t, cl, 4)
-			x.s.OnProbeResult(x.now, 10, Completed, 1, []float64{30, c.free})
+			x := newHarness(t, cl, 4)
+			x.scheduler.OnProbeResult(x.now, 10, Completed, 1, []float64{30, c.free})
 			for id := range uint32(6) {
-				x.ask(id, 0, uint64(id))
+				x.request(id, 0, uint64(id))
 			}
 			used := false
-			for _, nd := range x.s.nodes[1:] {
+			for _, nd := range x.scheduler.nodes[1:] {
 				used = used || len(nd.unanswered) > 0
 			}
 			if used != c.empty {
@@ -476,19 +478,19 @@
 		used    bool // whether they take small ones
 	}{{"room", 75, 0, false, false}, {"short", -10, 0, true, false}, {"short, more valuable", -10, 1, true, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 8)
-			x.s.OnRequest(x.now, 99, 2, 0, x.now+5000, 7, 20, 32) // a large one is seen
-			x.s.OnExpired(x.now, 99)
-			x.s.bigPart = [2]float64{100, 400}
-			for i := range x.s.nodes {
-				x.s.OnProbeResult(x.now, uint32(10+i), Completed, 1, []float64{20, c.free})
+			x := newHarness(t, testCluster(), 8)
+			x.scheduler.OnRequest(x.now, 99, 2, 0, x.now+5000, 7, 20, 32) // a large one is seen
+			x.scheduler.OnExpired(x.now, 99)
+			x.scheduler.largeMemory = [2]float64{100, 400}
+			for i := range x.scheduler.nodes {
+				x.scheduler.OnProbeResult(x.now, uint32(10+i), Completed, 1, []float64{20, c.free})
 			}
-			for id := range uint32(8 * window) {
-				x.ask(id, c.jobType, uint64(id))
+			for id := range uint32(8 * maxUnanswered) {
+				x.request(id, c.jobType, uint64(id))
 			}
 			homes, used := 0, false
-			for _, nd := range x.s.nodes {
-				if nd.home {
+			for _, nd := range x.scheduler.nodes {
+				if nd.reservedForLarge {
 					homes++
 					used = used || len(nd.unanswered) > 0
 				}
@@ -511,27 +513,27 @@
 	}{{"old", false, false, true, 2}, {"no answer", false, false, false, 2}, {"young", false, true, true, 0},
 		{"reports come", true, false, true, 0}} {
 		t.Run(c.name, func(t *testing.T) {
-			cl := cluster()
+			cl := testCluster()
 			cl.ReportsPiggybacked, cl.ListsReportLoad = c.come, false
-			x := start(t, cl, 2)
+			x := newHarness(t, cl, 2)
 			for id := uint32(10); id < 12; id++ {
-				x.s.OnProbeResult(x.now, id, Completed, 1, []float64{20, 40})
+				x.scheduler.OnProbeResult(x.now, id, Completed, 1, []float64{20, 40})
 			}
-			x.s.credit, x.s.scanAt = 2, 0
+			x.scheduler.probeCredit, x.scheduler.scanAt = 2, 0
 			if !c.fresh {
 				x.now += 20000
 			}
-			x.ask(1, 0, 5)
+			x.request(1, 0, 5)
 			x.expect("probe", c.probes)
 			x.expect("offer", (2-c.probes)/2)
 			if c.answer && c.probes > 0 { // node 10 turns out full
-				x.s.OnProbeResult(x.now, 10, Completed, 1, []float64{-40, 40})
-				x.s.OnProbeResult(x.now, 11, Completed, 1, []float64{20, 40})
-				x.s.Decide(x.now)
+				x.scheduler.OnProbeResult(x.now, 10, Completed, 1, []float64{-40, 40})
+				x.scheduler.OnProbeResult(x.now, 11, Completed, 1, []float64{20, 40})
+				x.scheduler.Decide(x.now)
 				x.expect("offer 1 11", 1)
 			}
-			x.now += askFor
-			x.s.Decide(x.now)
+			x.now += probeWait
+			x.scheduler.Decide(x.now)
 			x.expect("offer", 1)
 		})
 	}
@@ -547,20 +549,20 @@
 		later   float64
 		want    bool // whether the first node is used
 	}{{"none fails", 0, 0, 0, true}, {"one fails", 1, 0, 0, false}, {"serves others", 1, 1, 0, true},
-		{"forgotten", 1, 0, forgetEvery*outcomes + 1000, true}, {"all fail", 4, 0, 0, true}} {
+		{"forgotten", 1, 0, failureDecayInterval*historyLength + 1000, true}, {"all fail", 4, 0, 0, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 4)
+			x := newHarness(t, testCluster(), 4)
 			for i := range c.bad {
-				for range outcomes {
-					x.s.nodes[i].judge(0, 0)
+				for range historyLength {
+					x.scheduler.nodes[i].recordOutcome(0, 0)
 				}
 			}
-			x.s.OnProbeResult(x.now, 10, Completed, 1, nil)
-			x.pass(c.later)
+			x.scheduler.OnProbeResult(x.now, 10, Completed, 1, nil)
+			x.advance(c.later)
 			used := false
 			for id := range uint32(18) {
-				x.ask(id, c.jobType, uint64(id))
-				used = used || x.b.last() == 10
+				x.request(id, c.jobType, uint64(id))
+				used = used || x.effects.lastNode() == 10
 			}
 			x.expect("offer", 18)
 			if used != c.want {
@@ -579,12 +581,12 @@
 	}{{TimedOut, true, false}, {Errored, true, false}, {ConnectionLost, true, false}, {Rejected, false, false},
 		{Unreachable, false, true}, {NotSent, false, false}, {Cancelled, false, false}} {
 		t.Run(fmt.Sprint(c.v), func(t *testing.T) {
-			x := start(t, cluster(), 1)
-			x.ask(1, 0, 5)
-			x.settle(1, 0, c.v, ReasonUnknown)
-			nd := &x.s.nodes[0]
-			if got := nd.risk(0) > 0; got != c.risk || nd.ill != c.ill || nd.risk(1) > 0 {
-				t.Errorf("risk %v, of another type %v, ill %t", nd.risk(0), nd.risk(1), nd.ill)
+			x := newHarness(t, testCluster(), 1)
+			x.request(1, 0, 5)
+			x.complete(1, 0, c.v, ReasonUnknown)
+			nd := &x.scheduler.nodes[0]
+			if got := nd.failureRate(0) > 0; got != c.risk || nd.unhealthy != c.ill || nd.failureRate(1) > 0 {
+				t.Errorf("risk %v, of another type %v, ill %t", nd.failureRate(0), nd.failureRate(1), nd.unhealthy)
 			}
 		})
 	}
@@ -602,17 +604,17 @@
 	}{{"errs everywhere", 0, Errored, 4, 0}, {"errs at two", 0, Errored, 2, 0.5}, {"times out everywhere", 0, TimedOut, 4, 1},
 		{"after failures of others", 1, Errored, 4, 1}} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 4)
+			x := newHarness(t, testCluster(), 4)
 			for i := range 4 * c.before {
-				x.s.nodes[i%4].judge(0, 0)
+				x.scheduler.nodes[i%4].recordOutcome(0, 0)
 			}
-			x.ask(1, 0, 5)
+			x.request(1, 0, 5)
 			for try := range c.tries {
-				x.settle(1, uint8(try), c.v, ReasonUnknown)
+				x.complete(1, uint8(try), c.v, ReasonUnknown)
 			}
 			risk := 0.0
-			for i := range x.s.nodes {
-				risk += x.s.nodes[i].risk(0)
+			for i := range x.scheduler.nodes {
+				risk += x.scheduler.nodes[i].failureRate(0)
 			}
 			if risk != c.want {
 				t.Errorf("risk %v, want %v", risk, c.want)
@@ -625,19 +627,19 @@
 // error is taken back, and the successes since stay.
 func TestClearAfterSuccess(t *testing.T) {
 	for successes := range 3 {
-		x := start(t, cluster(), 4)
-		x.ask(1, 0, 5)
+		x := newHarness(t, testCluster(), 4)
+		x.request(1, 0, 5)
 		for try := range 3 {
-			x.settle(1, uint8(try), Errored, ReasonUnknown)
-			for i := range x.s.nodes {
+			x.complete(1, uint8(try), Errored, ReasonUnknown)
+			for i := range x.scheduler.nodes {
 				for range successes {
-					x.s.nodes[i].judge(0, 1)
+					x.scheduler.nodes[i].recordOutcome(0, 1)
 				}
 			}
 		}
-		x.settle(1, 3, Errored, ReasonUnknown)
-		for i := range x.s.nodes {
-			if risk := x.s.nodes[i].risk(0); risk != 0 {
+		x.complete(1, 3, Errored, ReasonUnknown)
+		for i := range x.scheduler.nodes {
+			if risk := x.scheduler.nodes[i].failureRate(0); risk != 0 {
 				t.Errorf("%d successes since: risk %v of node %d, want 0", successes, risk, i)
 			}
 		}
@@ -646,14 +648,14 @@
 
 // A scheduler that stood still finds the answers behind its timers: no node is held silent for that.
 func TestStoodStill(t *testing.T) {
-	x := start(t, cluster(), 1)
-	x.ask(1, 0, 5)
+	x := newHarness(t, testCluster(), 1)
+	x.request(1, 0, 5)
 	x.now += 4000
-	x.s.OnTimer(x.now, keyTick) // in the same round, before the answer
-	x.s.OnStarted(x.now, 1, 0, 150)
-	x.s.Decide(x.now)
+	x.scheduler.OnTimer(x.now, timerTick) // in the same round, before the answer
+	x.scheduler.OnStarted(x.now, 1, 0, 150)
+	x.scheduler.Decide(x.now)
 	x.expect("probe", 0)
-	if x.s.nodes[0].ill {
+	if x.scheduler.nodes[0].unhealthy {
 		t.Error("a node was held silent while the scheduler stood still")
 	}
 }
@@ -666,16 +668,16 @@
 		ill   bool
 	}{{"answers soon", 500, false}, {"silent", 4000, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			x := start(t, cluster(), 2)
-			x.ask(1, 0, 5)
-			nd := &x.s.nodes[x.s.nodeAt[x.b.last()]]
-			x.pass(c.quiet)
-			if nd.ill != c.ill {
-				t.Errorf("ill: %t", nd.ill)
-			}
-			x.pass(1200)
-			x.s.OnProbeResult(x.now, nd.id, Completed, 1, nil)
-			if nd.ill {
+			x := newHarness(t, testCluster(), 2)
+			x.request(1, 0, 5)
+			nd := &x.scheduler.nodes[x.scheduler.nodeIndex[x.effects.lastNode()]]
+			x.advance(c.quiet)
+			if nd.unhealthy != c.ill {
+				t.Errorf("ill: %t", nd.unhealthy)
+			}
+			x.advance(1200)
+			x.scheduler.OnProbeResult(x.now, nd.id, Completed, 1, nil)
+			if nd.unhealthy {
 				t.Error("a node that answers stays ill")
 			}
 		})
@@ -693,19 +695,19 @@
 		most  int
 	}{{"pushed", false, ListChanges, 0, 0}, {"watch stands", true, ListChanges, 1, 1}, {"calls fail", true, ListFailed, 2, 8}} {
 		t.Run(c.name, func(t *testing.T) {
-			cl := cluster()
+			cl := testCluster()
 			cl.PollsList = c.asks
-			x := start(t, cl, 2)
-			for calls := 0; x.now < t0+9000; {
-				x.pass(1000)
-				if n := x.b.count("follow"); c.news == ListFailed && n == calls {
+			x := newHarness(t, cl, 2)
+			for calls := 0; x.now < testStart+9000; {
+				x.advance(1000)
+				if n := x.effects.count("follow"); c.news == ListFailed && n == calls {
 					continue // a failure comes once for each call
 				}
-				calls = x.b.count("follow")
-				x.s.OnListBegin(x.now, c.news)
-				x.s.OnListEnd(x.now)
+				calls = x.effects.count("follow")
+				x.scheduler.OnListBegin(x.now, c.news)
+				x.scheduler.OnListEnd(x.now)
 			}
-			if n := x.b.count("follow"); n < c.least || n > c.most {
+			if n := x.effects.count("follow"); n < c.least || n > c.most {
 				t.Errorf("%d calls, want %d to %d", n, c.least, c.most)
 			}
 		})
@@ -717,39 +719,39 @@
 	for _, c := range []struct {
 		name string
 		cl   func(*Cluster)
-		tell func(*bench)
+		tell func(*harness)
 	}{
-		{"a list with no nodes", func(*Cluster) {}, func(x *bench) { x.s.OnListBegin(x.now, ListFull); x.s.OnListEnd(x.now) }},
-		{"no reports", func(cl *Cluster) { cl.ReportFields, cl.ReportsPiggybacked = nil, false }, func(*bench) {}},
-		{"one scheduler", func(cl *Cluster) { cl.Schedulers = 1 }, func(*bench) {}},
-		{"a number past all others", func(cl *Cluster) { cl.Schedulers, cl.Index, cl.SlowStartLimit = 9, 60000, 3 }, func(*bench) {}},
-		{"outcomes for what is long over", func(*Cluster) {}, func(x *bench) {
-			x.s.OnOutcome(x.now, 7, 10, 3, 5, true, ReasonUnknown, Completed, []float64{1})
-			x.s.OnStarted(x.now, 7, 0, 5)
-			x.s.OnExpired(x.now, 7)
-			x.s.OnTaskMetric(x.now, 7, 0, 99, MemoryUsed, 3)
-			x.s.OnProbeResult(x.now, 99, Completed, 1, nil)
-			x.s.OnTimer(x.now, keyAlloc+7)
+		{"a list with no nodes", func(*Cluster) {}, func(x *harness) { x.scheduler.OnListBegin(x.now, ListFull); x.scheduler.OnListEnd(x.now) }},
+		{"no reports", func(cl *Cluster) { cl.ReportFields, cl.ReportsPiggybacked = nil, false }, func(*harness) {}},
+		{"one scheduler", func(cl *Cluster) { cl.Schedulers = 1 }, func(*harness) {}},
+		{"a number past all others", func(cl *Cluster) { cl.Schedulers, cl.Index, cl.SlowStartLimit = 9, 60000, 3 }, func(*harness) {}},
+		{"outcomes for what is long over", func(*Cluster) {}, func(x *harness) {
+			x.scheduler.OnOutcome(x.now, 7, 10, 3, 5, true, ReasonUnknown, Completed, []float64{1})
+			x.scheduler.OnStarted(x.now, 7, 0, 5)
+			x.scheduler.OnExpired(x.now, 7)
+			x.scheduler.OnTaskMetric(x.now, 7, 0, 99, MemoryUsed, 3)
+			x.scheduler.OnProbeResult(x.now, 99, Completed, 1, nil)
+			x.scheduler.OnTimer(x.now, timerDeadline+7)
 		}},
-		{"a kind without figures", func(*Cluster) {}, func(x *bench) {
-			x.s.OnListBegin(x.now, ListChanges)
-			x.s.OnListNode(x.now, 50, Ready, 0, 0, 0, 9, 99, 7)
-			x.s.OnListEnd(x.now)
+		{"a kind without figures", func(*Cluster) {}, func(x *harness) {
+			x.scheduler.OnListBegin(x.now, ListChanges)
+			x.scheduler.OnListNode(x.now, 50, Ready, 0, 0, 0, 9, 99, 7)
+			x.scheduler.OnListEnd(x.now)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cl := cluster()
+			cl := testCluster()
 			c.cl(cl)
-			x := start(t, cl, 1)
+			x := newHarness(t, cl, 1)
 			c.tell(x)
-			x.ask(1, 0, 5)
-			x.pass(200)
-			x.change(10, Unavailable, 0)
-			x.change(10, Ready, x.now) // back under its id, cold
-			x.pass(cl.SlowStartDuration + 1000)
-			x.s.OnOutcome(x.now, 1, 10, 0, 5, true, ReasonUnknown, ConnectionLost, nil)
-			x.ask(2, 0, 5)
-			x.pass(200)
+			x.request(1, 0, 5)
+			x.advance(200)
+			x.updateNode(10, Unavailable, 0)
+			x.updateNode(10, Ready, x.now) // back under its id, cold
+			x.advance(cl.SlowStartDuration + 1000)
+			x.scheduler.OnOutcome(x.now, 1, 10, 0, 5, true, ReasonUnknown, ConnectionLost, nil)
+			x.request(2, 0, 5)
+			x.advance(200)
 			x.expect("offer 2 ", 1)
 		})
 	}
@@ -759,15 +761,15 @@
 func TestDeterminism(t *testing.T) {
 	var runs [2][]string
 	for r := range runs {
-		x := start(t, cluster(), 12)
+		x := newHarness(t, testCluster(), 12)
 		for id := range uint32(200) {
-			x.ask(id, int(id)%3, uint64(id%7))
+			x.request(id, int(id)%3, uint64(id%7))
 			if id%3 == 0 {
-				x.settle(id, 0, TimedOut, ReasonUnknown)
+				x.complete(id, 0, TimedOut, ReasonUnknown)
 			}
-			x.pass(10)
+			x.advance(10)
 		}
-		runs[r] = x.b.lines
+		runs[r] = x.effects.lines
 	}
 	if !reflect.DeepEqual(runs[0], runs[1]) {
 		t.Error("two runs differ")
--- a/logic/speed_test.go
+++ b/logic/speed_test.go
@@ -10,16 +10,16 @@
 		cores float64
 	}{{"room", 0, 1}, {"500 wait", 500, 100}} {
 		b.Run(c.name, func(b *testing.B) {
-			cl := cluster()
+			cl := testCluster()
 			cl.JobClasses[2].PriorityWeight = 0.5
-			h := &book{}
-			s := New(h, t0, 7, cl)
-			s.OnListBegin(t0, ListCached)
+			h := &recorder{}
+			s := New(h, testStart, 7, cl)
+			s.OnListBegin(testStart, ListCached)
 			for i := range 400 {
-				s.OnListNode(t0, uint32(10+i), Ready, 0, 40, 80, i/100, i/10, 0)
+				s.OnListNode(testStart, uint32(10+i), Ready, 0, 40, 80, i/100, i/10, 0)
 			}
-			s.OnListEnd(t0)
-			now := t0
+			s.OnListEnd(testStart)
+			now := testStart
 			for i := range c.waits {
 				s.OnRequest(now, uint32(1e6+i), 2, 0, now+1e12, uint64(i), c.cores, 2)
 			}
@@ -30,7 +30,7 @@
 				s.Decide(now)
 				s.OnStarted(now, id, 0, 50)
 				if id > 500 {
-					nd := s.nodes[s.allocs[s.allocAt[id-500]].nd].id
+					nd := s.nodes[s.allocations[s.allocationIndex[id-500]].node].id
 					s.OnOutcome(now, id-500, nd, 0, 1000, false, ReasonUnknown, Completed, nil)
 				}
 			}
