--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -24,28 +24,28 @@
 
 // instance hosts one scheduler and writes what it decides as actions.
 type instance struct {
-	sched logic.EventHandler
-	out   *wire.Writer
-	who   uint16
-	jobs  int    // number of job types
-	round uint64 // the last batch with an event of this instance
+	scheduler  logic.EventHandler
+	out        *wire.Writer
+	number     uint16
+	jobClasses int    // number of job types
+	round      uint64 // the last batch with an event of this instance
 }
 
 const nsPerMs = 1e6
 
-type host struct {
-	in     *wire.Reader
-	out    *wire.Writer
-	insts  []*instance // by number; nil where none lives
-	tables [16][]byte
-	round  uint64
-	heard  []*instance // instances with an event in this batch, in order of the first
-	report [4]float64
+type server struct {
+	in           *wire.Reader
+	out          *wire.Writer
+	instances    []*instance // by number; nil where none lives
+	lists        [16][]byte
+	round        uint64
+	active       []*instance // instances with an event in this batch, in order of the first
+	reportBuffer [4]float64
 }
 
 // serve answers batch after batch until the input ends.
 func serve(in io.Reader, out *bufio.Writer) error {
-	h := &host{in: wire.NewReader(in), out: wire.NewWriter(out)}
+	h := &server{in: wire.NewReader(in), out: wire.NewWriter(out)}
 	for {
 		clock, records, err := h.in.Next()
 		if errors.Is(err, io.EOF) {
@@ -55,16 +55,16 @@
 			return err
 		}
 		h.round++
-		h.heard = h.heard[:0]
+		h.active = h.active[:0]
 		now := float64(clock) / nsPerMs
 		for i := range records {
-			if err := h.event(now, h.in.Record(i)); err != nil {
+			if err := h.handleRecord(now, h.in.Record(i)); err != nil {
 				return fmt.Errorf("record %d: %w", i, err)
 			}
 		}
-		for _, inst := range h.heard {
-			if h.insts[inst.who] == inst {
-				inst.guard(func() { inst.sched.Decide(now) })
+		for _, inst := range h.active {
+			if h.instances[inst.number] == inst {
+				inst.recoverPanic(func() { inst.scheduler.Decide(now) })
 			}
 		}
 		if err := h.out.Flush(); err != nil {
@@ -76,49 +76,49 @@
 	}
 }
 
-// event hands one record to the instance it is for.
-func (h *host) event(now float64, rec []byte) error {
+// handleRecord hands one record to the instance it is for.
+func (h *server) handleRecord(now float64, rec []byte) error {
 	code := rec[0]
 	if code == wire.Table {
-		page := wire.U32(rec, 1)
-		if page >= uint32(len(h.tables)) {
+		page := wire.Uint32(rec, 1)
+		if page >= uint32(len(h.lists)) {
 			return fmt.Errorf("impossible list number %d", page)
 		}
 		entries, err := h.in.Tail(rec, 5, wire.EntrySize)
 		if err != nil {
 			return err
 		}
-		h.tables[page] = append(h.tables[page][:0], entries...)
+		h.lists[page] = append(h.lists[page][:0], entries...)
 		return nil
 	}
-	who := wire.U16(rec, 1)
+	who := wire.Uint16(rec, 1)
 	if code == wire.Create {
 		return h.create(now, who, rec)
 	}
 	if code > wire.Bell {
 		return fmt.Errorf("unknown event code %d", code)
 	}
-	if int(who) >= len(h.insts) || h.insts[who] == nil {
+	if int(who) >= len(h.instances) || h.instances[who] == nil {
 		return nil // news for an instance that is no more
 	}
-	inst := h.insts[who]
+	inst := h.instances[who]
 	if code == wire.Down {
-		h.insts[who] = nil
+		h.instances[who] = nil
 		return nil
 	}
 	if inst.round != h.round {
 		inst.round = h.round
-		h.heard = append(h.heard, inst)
+		h.active = append(h.active, inst)
 	}
-	if (code == wire.Task || code == wire.Found) && int(rec[7]) >= inst.jobs {
+	if (code == wire.Task || code == wire.Found) && int(rec[7]) >= inst.jobClasses {
 		return fmt.Errorf("unknown job type %d", rec[7])
 	}
 	var err error
-	inst.guard(func() { err = h.tell(inst.sched, code, now, rec) })
+	inst.recoverPanic(func() { err = h.dispatch(inst.scheduler, code, now, rec) })
 	return err
 }
 
-func (h *host) create(now float64, who uint16, rec []byte) error {
+func (h *server) create(now float64, who uint16, rec []byte) error {
 	text, err := h.in.Tail(rec, 11, 1)
 	if err != nil {
 		return err
@@ -128,44 +128,44 @@
 		return err
 	}
 	cl := known.Cluster
-	for int(who) >= len(h.insts) {
-		h.insts = append(h.insts, nil)
+	for int(who) >= len(h.instances) {
+		h.instances = append(h.instances, nil)
 	}
-	inst := &instance{out: h.out, who: who, jobs: len(cl.JobClasses), round: h.round}
-	inst.guard(func() { inst.sched = logic.New(inst, now, wire.U64(rec, 3), cl) })
-	h.insts[who] = inst
-	h.heard = append(h.heard, inst)
+	inst := &instance{out: h.out, number: who, jobClasses: len(cl.JobClasses), round: h.round}
+	inst.recoverPanic(func() { inst.scheduler = logic.New(inst, now, wire.Uint64(rec, 3), cl) })
+	h.instances[who] = inst
+	h.active = append(h.active, inst)
 	return nil
 }
 
-// tell turns one event into a call.
-func (h *host) tell(s logic.EventHandler, code byte, now float64, r []byte) error {
+// dispatch turns one event into a call.
+func (h *server) dispatch(s logic.EventHandler, code byte, now float64, r []byte) error {
 	switch code {
 	case wire.Echo:
-		s.OnProbeResult(now, wire.U32(r, 3), logic.Outcome(wire.U16(r, 7)), ms(r, 9), h.load(r, 17))
+		s.OnProbeResult(now, wire.Uint32(r, 3), logic.Outcome(wire.Uint16(r, 7)), milliseconds(r, 9), h.loadReport(r, 17))
 	case wire.Lapsed:
-		s.OnExpired(now, wire.U32(r, 3))
+		s.OnExpired(now, wire.Uint32(r, 3))
 	case wire.Confirmed:
-		s.OnStarted(now, wire.U32(r, 3), r[15], ms(r, 7))
+		s.OnStarted(now, wire.Uint32(r, 3), r[15], milliseconds(r, 7))
 	case wire.Task:
-		s.OnRequest(now, wire.U32(r, 3), int(r[7]), int(wire.U16(r, 8)), ms(r, 18), wire.U64(r, 34),
-			wire.F32(r, 42), wire.F32(r, 46))
+		s.OnRequest(now, wire.Uint32(r, 3), int(r[7]), int(wire.Uint16(r, 8)), milliseconds(r, 18), wire.Uint64(r, 34),
+			wire.Float32(r, 42), wire.Float32(r, 46))
 	case wire.Found:
-		s.OnRecovered(now, wire.U32(r, 3), int(r[7]), int(wire.U16(r, 8)), wire.U64(r, 34), wire.F32(r, 42),
-			wire.F32(r, 46), wire.U32(r, 51))
+		s.OnRecovered(now, wire.Uint32(r, 3), int(r[7]), int(wire.Uint16(r, 8)), wire.Uint64(r, 34), wire.Float32(r, 42),
+			wire.Float32(r, 46), wire.Uint32(r, 51))
 	case wire.Settled:
-		verdict := wire.U16(r, 25)
+		verdict := wire.Uint16(r, 25)
 		if verdict > uint16(logic.NotSent) {
 			return fmt.Errorf("unknown outcome %d", verdict)
 		}
-		s.OnOutcome(now, wire.U32(r, 3), wire.U32(r, 7), r[11], ms(r, 12), r[20] != 0,
-			logic.Reason(wire.U32(r, 21)), logic.Outcome(verdict), h.load(r, 27))
+		s.OnOutcome(now, wire.Uint32(r, 3), wire.Uint32(r, 7), r[11], milliseconds(r, 12), r[20] != 0,
+			logic.Reason(wire.Uint32(r, 21)), logic.Outcome(verdict), h.loadReport(r, 27))
 	case wire.Signal:
-		s.OnTaskMetric(now, wire.U32(r, 3), r[11], wire.U32(r, 12), logic.TaskMetric(r[16]), wire.F32(r, 7))
+		s.OnTaskMetric(now, wire.Uint32(r, 3), r[11], wire.Uint32(r, 12), logic.TaskMetric(r[16]), wire.Float32(r, 7))
 	case wire.Bell:
-		s.OnTimer(now, wire.U64(r, 3))
+		s.OnTimer(now, wire.Uint64(r, 3))
 	case wire.Sync:
-		return h.list(s, now, r[3], wire.U32(r, 8))
+		return h.dispatchList(s, now, r[3], wire.Uint32(r, 8))
 	}
 	return nil // a peer's message: this service has none
 }
@@ -176,89 +176,89 @@
 	availabilities = [...]logic.Availability{logic.Unavailable, logic.Ready, logic.Draining}
 )
 
-func (h *host) list(s logic.EventHandler, now float64, mode byte, page uint32) error {
+func (h *server) dispatchList(s logic.EventHandler, now float64, mode byte, page uint32) error {
 	if int(mode) >= len(listKinds) {
 		return fmt.Errorf("unknown list mode %d", mode)
 	}
 	kind := listKinds[mode]
 	s.OnListBegin(now, kind)
 	if kind != logic.ListFailed {
-		if page >= uint32(len(h.tables)) {
+		if page >= uint32(len(h.lists)) {
 			return fmt.Errorf("impossible list number %d", page)
 		}
-		for e := h.tables[page]; len(e) >= wire.EntrySize; e = e[wire.EntrySize:] {
+		for e := h.lists[page]; len(e) >= wire.EntrySize; e = e[wire.EntrySize:] {
 			if int(e[16]) >= len(availabilities) {
 				return fmt.Errorf("unknown availability %d", e[16])
 			}
-			s.OnListNode(now, wire.U32(e, 17), availabilities[e[16]], ms(e, 8), wire.F32(e, 4), wire.F32(e, 0),
-				int(e[27]), int(wire.U16(e, 25)), int(e[28]))
+			s.OnListNode(now, wire.Uint32(e, 17), availabilities[e[16]], milliseconds(e, 8), wire.Float32(e, 4), wire.Float32(e, 0),
+				int(e[27]), int(wire.Uint16(e, 25)), int(e[28]))
 		}
 	}
 	s.OnListEnd(now)
 	return nil
 }
 
-func ms(b []byte, at int) float64 { return float64(wire.U64(b, at)) / nsPerMs }
+func milliseconds(b []byte, at int) float64 { return float64(wire.Uint64(b, at)) / nsPerMs }
 
-// load reads the load report at the given place; the slice holds until the next call.
-func (h *host) load(b []byte, at int) []float64 {
-	n := min(int(b[at]), len(h.report))
+// loadReport reads the load report at the given place; the slice holds until the next call.
+func (h *server) loadReport(b []byte, at int) []float64 {
+	n := min(int(b[at]), len(h.reportBuffer))
 	for i := range n {
-		h.report[i] = wire.F32(b, at+1+4*i)
+		h.reportBuffer[i] = wire.Float32(b, at+1+4*i)
 	}
-	return h.report[:n]
+	return h.reportBuffer[:n]
 }
 
-// guard reports a panic in a decision as the wire asks.
-func (i *instance) guard(call func()) {
+// recoverPanic reports a panic in a decision as the wire asks.
+func (i *instance) recoverPanic(call func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			i.out.Text(wire.Fault, i.who, fmt.Sprint("panic in a decision: ", p))
+			i.out.Text(wire.Fault, i.number, fmt.Sprint("panic in a decision: ", p))
 		}
 	}()
 	call()
 }
 
 func (i *instance) StartAttempt(alloc, node uint32, timeout float64) {
-	r := i.out.Action(wire.Bind, i.who)
-	wire.Put32(r, 3, alloc)
-	wire.Put32(r, 7, node)
-	wire.Put64(r, 11, ns(timeout))
+	r := i.out.Action(wire.Bind, i.number)
+	wire.PutUint32(r, 3, alloc)
+	wire.PutUint32(r, 7, node)
+	wire.PutUint64(r, 11, nanoseconds(timeout))
 }
 
 func (i *instance) Shed(alloc uint32, holdOff float64) {
-	r := i.out.Action(wire.Refuse, i.who)
-	wire.Put32(r, 3, alloc)
-	wire.Put64(r, 7, ns(holdOff))
+	r := i.out.Action(wire.Refuse, i.number)
+	wire.PutUint32(r, 3, alloc)
+	wire.PutUint64(r, 7, nanoseconds(holdOff))
 }
 
-func (i *instance) Fail(alloc uint32)    { i.named(wire.Lose, alloc) }
-func (i *instance) Migrate(alloc uint32) { i.named(wire.Shift, alloc) }
-func (i *instance) Probe(node uint32)    { i.named(wire.Test, node) }
-func (i *instance) ReloadList()          { i.out.Action(wire.Reload, i.who) }
+func (i *instance) Fail(alloc uint32)    { i.writeID(wire.Lose, alloc) }
+func (i *instance) Migrate(alloc uint32) { i.writeID(wire.Shift, alloc) }
+func (i *instance) Probe(node uint32)    { i.writeID(wire.Test, node) }
+func (i *instance) ReloadList()          { i.out.Action(wire.Reload, i.number) }
 
-// named writes an action whose one field is an id.
-func (i *instance) named(code byte, id uint32) { wire.Put32(i.out.Action(code, i.who), 3, id) }
+// writeID writes an action whose one field is an id.
+func (i *instance) writeID(code byte, id uint32) { wire.PutUint32(i.out.Action(code, i.number), 3, id) }
 
 func (i *instance) Cancel(alloc uint32, try uint8) {
-	r := i.out.Action(wire.Recall, i.who)
-	wire.Put32(r, 3, alloc)
+	r := i.out.Action(wire.Recall, i.number)
+	wire.PutUint32(r, 3, alloc)
 	r[7] = try
 }
 
 func (i *instance) WatchList(active bool) {
-	r := i.out.Action(wire.Follow, i.who)
+	r := i.out.Action(wire.Follow, i.number)
 	if active {
 		r[3] = 1
 	}
 }
 
 func (i *instance) SetTimer(delay float64, key uint64) {
-	r := i.out.Action(wire.Defer, i.who)
-	wire.Put64(r, 3, ns(delay))
-	wire.Put64(r, 11, key)
+	r := i.out.Action(wire.Defer, i.number)
+	wire.PutUint64(r, 3, nanoseconds(delay))
+	wire.PutUint64(r, 11, key)
 }
 
-func (i *instance) Log(line string) { i.out.Text(wire.Log, i.who, line) }
+func (i *instance) Log(line string) { i.out.Text(wire.Log, i.number, line) }
 
-func ns(ms float64) uint64 { return uint64(max(0, ms) * nsPerMs) }
+func nanoseconds(ms float64) uint64 { return uint64(max(0, ms) * nsPerMs) }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -10,7 +10,7 @@
 	"ravenpond/internal/wire"
 )
 
-const factsText = `{"instances": 1, "discovery": "push", "new-key": [1], "step-ns": 2000000,
+const settingsText = `{"instances": 1, "discovery": "push", "new-key": [1], "step-ns": 2000000,
  "family-info": {"unit-cores": 1, "mean-memory": 2, "cores-multiple": 2, "memory-multiple": 1.5, "cpu-of-kind": [32], "mem-of-kind": [64],
   "kind-by-class": [-1], "spread-over": ["silent"], "lists-free": true, "cold-bears": 10},
  "policy-limits": {"max-attempts": 3, "probes": true, "cancel": true},
@@ -48,8 +48,8 @@
 }
 
 func TestServe(t *testing.T) {
-	tail := factsText + entry(77)
-	n := uint32(len(factsText))
+	tail := settingsText + entry(77)
+	n := uint32(len(settingsText))
 	create := record(wire.Create, uint16(0), uint64(5), uint32(0), n)
 	table := record(wire.Table, uint32(0), n, uint32(1))
 	sync := record(wire.Sync, uint16(0), byte(1), uint32(1), uint32(0))
@@ -99,7 +99,7 @@
 			var binds []uint32
 			for b := out.Bytes()[8:]; len(b) >= 24; b = b[24:] {
 				if b[0] == wire.Bind {
-					binds = append(binds, wire.U32(b, 7))
+					binds = append(binds, wire.Uint32(b, 7))
 				}
 			}
 			if len(binds) != len(c.binds) || len(binds) > 0 && binds[0] != c.binds[0] {
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -12,67 +12,67 @@
 	"ravenpond/logic"
 )
 
-// Names of the policies.
-var Names = []string{"random", "least-loaded", "best-of-two", "careful"}
+// PolicyNames of the policies.
+var PolicyNames = []string{"random", "least-loaded", "best-of-two", "careful"}
 
 type node struct {
-	id     uint32
-	ready  bool
-	zone   int
-	cell   int
-	kind   int
-	since  float64
-	room   [2]float64 // by the list
-	own    [2]float64 // asked for by us since then, out or running
-	refuse float64    // no room until then
+	id        uint32
+	ready     bool
+	zone      int
+	cell      int
+	kind      int
+	startedAt float64
+	free      [2]float64 // by the list
+	reserved  [2]float64 // asked for by us since then, out or running
+	fullUntil float64    // no room until then
 }
 
-type alloc struct {
-	id     uint32
-	job    int
-	svc    uint64
-	expiry float64
-	size   [2]float64
-	nd     int // where its try is, -1: none
-	try    uint8
-	tried  []int
-	sentAt float64
-	first  float64 // of the first try that may have run, -1: none
-	group  int     // its node
-	over   bool
+type allocation struct {
+	id              uint32
+	class           int
+	service         uint64
+	deadline        float64
+	size            [2]float64
+	node            int // where its try is, -1: none
+	attempts        uint8
+	triedNodes      []int
+	sentAt          float64
+	mayHaveRunSince float64 // of the first try that may have run, -1: none
+	mayHaveRunNode  int     // its node
+	answered        bool
 }
 
 // Policy is one of them.
 type Policy struct {
-	host   logic.Effects
-	cl     *logic.Cluster
-	rng    *rand.Rand
-	name   string
-	now    float64
-	nodes  []node
-	at     map[uint32]int
-	allocs map[uint32]*alloc
-	waits  []uint32
-	page   map[uint32]bool
-	kind   logic.ListKind
-	sees   func(node uint32) float64 // the load as it is, for who sees the true state; nil: by the list and its own
+	effects     logic.Effects
+	cluster     *logic.Cluster
+	random      *rand.Rand
+	name        string
+	now         float64
+	nodes       []node
+	nodeIndex   map[uint32]int
+	allocations map[uint32]*allocation
+	waiting     []uint32
+	listed      map[uint32]bool
+	listKind    logic.ListKind
+	trueLoad    func(node uint32) float64 // the load as it is, for who sees the true state; nil: by the list and its own
 }
 
-// Seeing gives what makes a policy that takes the least loaded node by the true state, which no scheduler has: the best that knowledge
+// LeastLoadedByTrueLoad gives what makes a policy that takes the least loaded node by the true state, which no scheduler has: the best that knowledge
 // alone could bring.
-func Seeing(load func(node uint32) float64) func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
+func LeastLoadedByTrueLoad(load func(node uint32) float64) func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
 	return func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
-		p := Made("least-loaded")(host, now, seed, cl).(*Policy)
-		p.sees = load
+		p := Factory("least-loaded")(host, now, seed, cl).(*Policy)
+		p.trueLoad = load
 		return p
 	}
 }
 
-// Made gives what makes a policy of a name.
-func Made(name string) func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
+// Factory gives what makes a policy of a name.
+func Factory(name string) func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
 	return func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
-		p := &Policy{host: host, cl: cl, rng: rand.New(rand.NewPCG(seed, 77)), name: name, now: now, at: map[uint32]int{},
-			allocs: map[uint32]*alloc{}}
+		p := &Policy{effects: host, cluster: cl, random: rand.New(rand.NewPCG(seed, 77)), name: name, now: now, nodeIndex: map[uint32]int{},
+			allocations: map[uint32]*allocation{}}
 		host.WatchList(true)
 		return p
 	}
@@ -80,39 +80,39 @@
 
 // OnListBegin and the others are what a policy hears.
 func (p *Policy) OnListBegin(now float64, kind logic.ListKind) {
-	p.now, p.kind, p.page = now, kind, map[uint32]bool{}
+	p.now, p.listKind, p.listed = now, kind, map[uint32]bool{}
 }
 
 // OnListNode is one node of the list.
 func (p *Policy) OnListNode(now float64, id uint32, avail logic.Availability, since, cores, memory float64, zone, cell, kind int) {
-	i, ok := p.at[id]
+	i, ok := p.nodeIndex[id]
 	if !ok {
 		i = len(p.nodes)
-		p.at[id] = i
+		p.nodeIndex[id] = i
 		p.nodes = append(p.nodes, node{id: id})
 	}
 	n := &p.nodes[i]
-	p.page[id] = true
-	n.ready, n.zone, n.cell, n.kind, n.room = avail == logic.Ready, zone, cell, kind, [2]float64{cores, memory}
-	n.own, n.since = [2]float64{}, since
+	p.listed[id] = true
+	n.ready, n.zone, n.cell, n.kind, n.free = avail == logic.Ready, zone, cell, kind, [2]float64{cores, memory}
+	n.reserved, n.startedAt = [2]float64{}, since
 }
 
 // OnListEnd ends it.
 func (p *Policy) OnListEnd(now float64) {
 	p.now = now
-	if p.kind == logic.ListFailed {
-		p.host.SetTimer(500, 1)
+	if p.listKind == logic.ListFailed {
+		p.effects.SetTimer(500, 1)
 		return
 	}
-	if p.kind == logic.ListFull {
+	if p.listKind == logic.ListFull {
 		for i := range p.nodes {
-			if !p.page[p.nodes[i].id] {
+			if !p.listed[p.nodes[i].id] {
 				p.nodes[i].ready = false
 			}
 		}
 	}
-	if p.cl.PollsList {
-		p.host.SetTimer(p.cl.ListMaxSilence/3, 1)
+	if p.cluster.PollsList {
+		p.effects.SetTimer(p.cluster.ListMaxSilence/3, 1)
 	}
 }
 
@@ -120,55 +120,55 @@
 func (p *Policy) OnTimer(now float64, key uint64) {
 	p.now = now
 	if key == 1 {
-		p.host.ReloadList()
+		p.effects.ReloadList()
 	}
 }
 
 // OnRequest takes an allocation.
 func (p *Policy) OnRequest(now float64, id uint32, job, _ int, expiry float64, service uint64, cores, memory float64) {
 	p.now = now
-	p.allocs[id] = &alloc{id: id, job: job, svc: service, expiry: expiry, size: [2]float64{cores, memory}, nd: -1, first: -1}
-	p.waits = append(p.waits, id)
+	p.allocations[id] = &allocation{id: id, class: job, service: service, deadline: expiry, size: [2]float64{cores, memory}, node: -1, mayHaveRunSince: -1}
+	p.waiting = append(p.waiting, id)
 }
 
 // OnRecovered takes what runs already.
 func (p *Policy) OnRecovered(now float64, id uint32, job, _ int, service uint64, cores, memory float64, nd uint32) {
 	p.now = now
-	p.allocs[id] = &alloc{id: id, job: job, svc: service, size: [2]float64{cores, memory}, nd: p.at[nd], over: true, first: -1}
+	p.allocations[id] = &allocation{id: id, class: job, service: service, size: [2]float64{cores, memory}, node: p.nodeIndex[nd], answered: true, mayHaveRunSince: -1}
 }
 
 // OnStarted notes a start.
 func (p *Policy) OnStarted(now float64, id uint32, _ uint8, _ float64) {
 	p.now = now
-	if a := p.allocs[id]; a != nil {
-		a.over = true
+	if a := p.allocations[id]; a != nil {
+		a.answered = true
 	}
 }
 
 // OnOutcome notes an outcome.
 func (p *Policy) OnOutcome(now float64, id uint32, _ uint32, _ uint8, _ float64, over bool, why logic.Reason, v logic.Outcome, _ []float64) {
 	p.now = now
-	a := p.allocs[id]
+	a := p.allocations[id]
 	if a == nil {
 		return
 	}
-	if a.nd >= 0 {
-		n := &p.nodes[a.nd]
-		n.own[0], n.own[1] = n.own[0]-a.size[0], n.own[1]-a.size[1]
+	if a.node >= 0 {
+		n := &p.nodes[a.node]
+		n.reserved[0], n.reserved[1] = n.reserved[0]-a.size[0], n.reserved[1]-a.size[1]
 		if why == logic.InsufficientCores || why == logic.InsufficientMemory || why == logic.QueueFull {
-			n.refuse = now + 200
+			n.fullUntil = now + 200
 		}
 	}
-	if over || a.over {
-		delete(p.allocs, id)
+	if over || a.answered {
+		delete(p.allocations, id)
 		return
 	}
 	never := v == logic.Rejected || v == logic.Unreachable || v == logic.NotSent
-	if !never && a.first < 0 {
-		a.first, a.group = a.sentAt, a.nd
+	if !never && a.mayHaveRunSince < 0 {
+		a.mayHaveRunSince, a.mayHaveRunNode = a.sentAt, a.node
 	}
-	a.nd = -1
-	p.waits = append(p.waits, id)
+	a.node = -1
+	p.waiting = append(p.waiting, id)
 }
 
 // OnTaskMetric, Probed and the like say nothing to these policies.
@@ -180,9 +180,9 @@
 // OnExpired ends an allocation that was answered without the policy.
 func (p *Policy) OnExpired(now float64, id uint32) {
 	p.now = now
-	if a := p.allocs[id]; a != nil {
-		if a.over = true; a.nd < 0 {
-			delete(p.allocs, id)
+	if a := p.allocations[id]; a != nil {
+		if a.answered = true; a.node < 0 {
+			delete(p.allocations, id)
 		}
 	}
 }
@@ -190,59 +190,59 @@
 // Decide offers what waits.
 func (p *Policy) Decide(now float64) {
 	p.now = now
-	waits := p.waits
-	p.waits = nil
+	waits := p.waiting
+	p.waiting = nil
 	soonest := math.Inf(1)
 	for _, id := range waits {
-		a := p.allocs[id]
-		if a == nil || a.over || a.nd >= 0 {
+		a := p.allocations[id]
+		if a == nil || a.answered || a.node >= 0 {
 			continue
 		}
-		j := &p.cl.JobClasses[a.job]
-		harm := a.first >= 0 && (j.Semantics == logic.AtMostOnce || j.Semantics == logic.Idempotent && j.IdempotencyScope != logic.ScopeAll)
-		late := a.first >= 0 && (j.Semantics == logic.AtMostOnce || j.Semantics == logic.Idempotent && now+50 > a.first+j.IdempotencyWindow)
-		if now >= a.expiry || int(a.try) >= p.cl.MaxAttempts || late {
-			delete(p.allocs, id)
+		j := &p.cluster.JobClasses[a.class]
+		harm := a.mayHaveRunSince >= 0 && (j.Semantics == logic.AtMostOnce || j.Semantics == logic.Idempotent && j.IdempotencyScope != logic.ScopeAll)
+		late := a.mayHaveRunSince >= 0 && (j.Semantics == logic.AtMostOnce || j.Semantics == logic.Idempotent && now+50 > a.mayHaveRunSince+j.IdempotencyWindow)
+		if now >= a.deadline || int(a.attempts) >= p.cluster.MaxAttempts || late {
+			delete(p.allocations, id)
 			if harm {
-				p.host.Fail(id)
+				p.effects.Fail(id)
 			} else {
-				p.host.Shed(id, 200)
+				p.effects.Shed(id, 200)
 			}
 			continue
 		}
 		i := p.choose(a)
 		if i < 0 {
-			p.waits = append(p.waits, id)
-			soonest = min(soonest, a.expiry, now+50)
+			p.waiting = append(p.waiting, id)
+			soonest = min(soonest, a.deadline, now+50)
 			continue
 		}
 		n := &p.nodes[i]
-		n.own[0], n.own[1] = n.own[0]+a.size[0], n.own[1]+a.size[1]
-		a.nd, a.sentAt, a.tried = i, now, append(a.tried, i)
-		a.try++
-		timeout := min(1200, a.expiry-now)
-		if j.Semantics == logic.AtMostOnce || int(a.try) == p.cl.MaxAttempts {
-			timeout = a.expiry - now
+		n.reserved[0], n.reserved[1] = n.reserved[0]+a.size[0], n.reserved[1]+a.size[1]
+		a.node, a.sentAt, a.triedNodes = i, now, append(a.triedNodes, i)
+		a.attempts++
+		timeout := min(1200, a.deadline-now)
+		if j.Semantics == logic.AtMostOnce || int(a.attempts) == p.cluster.MaxAttempts {
+			timeout = a.deadline - now
 		}
-		p.host.StartAttempt(id, n.id, timeout)
+		p.effects.StartAttempt(id, n.id, timeout)
 	}
-	if len(p.waits) > 0 {
-		p.host.SetTimer(max(1, soonest-now), 2)
+	if len(p.waiting) > 0 {
+		p.effects.SetTimer(max(1, soonest-now), 2)
 	}
 }
 
-// spread tells whether a node may take another task of a service by the spread that its job type asks for.
-func (p *Policy) spread(a *alloc, j *logic.JobClass, i int) bool {
+// spreadAllows tells whether a node may take another task of a service by the spread that its job type asks for.
+func (p *Policy) spreadAllows(a *allocation, j *logic.JobClass, i int) bool {
 	if j.Spread == logic.Anywhere {
 		return true
 	}
 	n, there := &p.nodes[i], 0
-	for _, o := range p.allocs { // a count: the order has no effect
-		if o.svc != a.svc || o.nd < 0 || o.id == a.id {
+	for _, o := range p.allocations { // a count: the order has no effect
+		if o.service != a.service || o.node < 0 || o.id == a.id {
 			continue
 		}
-		m := &p.nodes[o.nd]
-		if o.nd == i || j.Spread == logic.PerCell && m.cell == n.cell || j.Spread == logic.PerZone && m.zone == n.zone {
+		m := &p.nodes[o.node]
+		if o.node == i || j.Spread == logic.PerCell && m.cell == n.cell || j.Spread == logic.PerZone && m.zone == n.zone {
 			there++
 		}
 	}
@@ -250,19 +250,19 @@
 }
 
 // choose draws a node for an allocation, -1 if there is none.
-func (p *Policy) choose(a *alloc) int {
-	j := &p.cl.JobClasses[a.job]
+func (p *Policy) choose(a *allocation) int {
+	j := &p.cluster.JobClasses[a.class]
 	var may []int
 	for i := range p.nodes {
 		n := &p.nodes[i]
-		if !n.ready || p.now < n.refuse || j.NodeKind >= 0 && n.kind != j.NodeKind || slices.Contains(a.tried, i) {
+		if !n.ready || p.now < n.fullUntil || j.NodeKind >= 0 && n.kind != j.NodeKind || slices.Contains(a.triedNodes, i) {
 			continue
 		}
-		if p.name == "careful" && (p.now-n.since < p.cl.SlowStartDuration || !p.spread(a, j, i)) {
+		if p.name == "careful" && (p.now-n.startedAt < p.cluster.SlowStartDuration || !p.spreadAllows(a, j, i)) {
 			continue
 		}
-		if a.first >= 0 && j.Semantics == logic.Idempotent {
-			g := &p.nodes[a.group]
+		if a.mayHaveRunSince >= 0 && j.Semantics == logic.Idempotent {
+			g := &p.nodes[a.mayHaveRunNode]
 			if j.IdempotencyScope == logic.ScopeZone && g.zone != n.zone || j.IdempotencyScope == logic.ScopeCell && g.cell != n.cell {
 				continue
 			}
@@ -274,15 +274,15 @@
 	}
 	load := func(i int) float64 {
 		n := &p.nodes[i]
-		if p.sees != nil {
-			return p.sees(n.id)
+		if p.trueLoad != nil {
+			return p.trueLoad(n.id)
 		}
-		return max((n.own[0]-n.room[0])/p.cl.KindCores[n.kind], (n.own[1]-n.room[1])/p.cl.KindMemory[n.kind])
+		return max((n.reserved[0]-n.free[0])/p.cluster.KindCores[n.kind], (n.reserved[1]-n.free[1])/p.cluster.KindMemory[n.kind])
 	}
-	x := may[p.rng.IntN(len(may))]
+	x := may[p.random.IntN(len(may))]
 	switch p.name {
 	case "best-of-two", "careful":
-		if y := may[p.rng.IntN(len(may))]; load(y) < load(x) {
+		if y := may[p.random.IntN(len(may))]; load(y) < load(x) {
 			x = y
 		}
 	case "least-loaded":
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -6,33 +6,33 @@
 	"ravenpond/logic"
 )
 
-// desk writes down what a policy wants.
-type desk struct {
+// recorder writes down what a policy wants.
+type recorder struct {
 	offers           map[uint32][]uint32
 	declined, failed int
 }
 
-func (d *desk) StartAttempt(alloc, node uint32, _ float64) {
+func (d *recorder) StartAttempt(alloc, node uint32, _ float64) {
 	d.offers[alloc] = append(d.offers[alloc], node)
 }
-func (d *desk) Shed(uint32, float64)     { d.declined++ }
-func (d *desk) Fail(uint32)              { d.failed++ }
-func (d *desk) Cancel(uint32, uint8)     {}
-func (d *desk) Migrate(uint32)           {}
-func (d *desk) Probe(uint32)             {}
-func (d *desk) WatchList(bool)           {}
-func (d *desk) ReloadList()              {}
-func (d *desk) SetTimer(float64, uint64) {}
-func (d *desk) Log(string)               {}
+func (d *recorder) Shed(uint32, float64)     { d.declined++ }
+func (d *recorder) Fail(uint32)              { d.failed++ }
+func (d *recorder) Cancel(uint32, uint8)     {}
+func (d *recorder) Migrate(uint32)           {}
+func (d *recorder) Probe(uint32)             {}
+func (d *recorder) WatchList(bool)           {}
+func (d *recorder) ReloadList()              {}
+func (d *recorder) SetTimer(float64, uint64) {}
+func (d *recorder) Log(string)               {}
 
 func TestPolicies(t *testing.T) {
 	cl := &logic.Cluster{MaxAttempts: 3, KindCores: []float64{10}, KindMemory: []float64{10}, JobClasses: []logic.JobClass{
 		{Semantics: logic.Restartable, NodeKind: -1}, {Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone, IdempotencyWindow: 1000, NodeKind: -1},
 		{Semantics: logic.AtMostOnce, NodeKind: -1}}}
-	for _, name := range Names {
+	for _, name := range PolicyNames {
 		t.Run(name, func(t *testing.T) {
-			d := &desk{offers: map[uint32][]uint32{}}
-			p := Made(name)(d, 0, 1, cl)
+			d := &recorder{offers: map[uint32][]uint32{}}
+			p := Factory(name)(d, 0, 1, cl)
 			p.OnListBegin(0, logic.ListFull)
 			for i := range uint32(6) {
 				p.OnListNode(0, i+1, logic.Ready, 0, float64(i), 10, int(i/3), 0, 0) // the last has the most room
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -22,14 +22,14 @@
 )
 
 // Policies are the names of what can be compared: the module's design and the baselines.
-var Policies = append([]string{"design"}, baseline.Names...)
+var Policies = append([]string{"design"}, baseline.PolicyNames...)
 
 func policy(name string) (engine.PolicyFactory, error) {
 	switch {
 	case name == "design":
 		return nil, nil
-	case slices.Contains(baseline.Names, name):
-		return baseline.Made(name), nil
+	case slices.Contains(baseline.PolicyNames, name):
+		return baseline.Factory(name), nil
 	}
 	return nil, fmt.Errorf("no policy %q: %v are there", name, Policies)
 }
--- a/internal/lab/herd/virtual.go
+++ b/internal/lab/herd/virtual.go
@@ -18,7 +18,7 @@
 )
 
 // Names of what decides: the module, the baselines, and one that sees the true state.
-var Names = append(append([]string{"design"}, baseline.Names...), "true-state")
+var Names = append(append([]string{"design"}, baseline.PolicyNames...), "true-state")
 
 // Scene is what is played.
 type Scene struct {
@@ -54,14 +54,14 @@
 	switch {
 	case policy == "design":
 	case policy == "true-state":
-		g.Policy = baseline.Seeing(func(node uint32) float64 {
+		g.Policy = baseline.LeastLoadedByTrueLoad(func(node uint32) float64 {
 			if i := int(node) - 1; i >= 0 && i < len(nodes) {
 				return nodes[i].Machine.Asked()
 			}
 			return 0
 		})
-	case slices.Contains(baseline.Names, policy):
-		g.Policy = engine.PolicyFactory(baseline.Made(policy))
+	case slices.Contains(baseline.PolicyNames, policy):
+		g.Policy = engine.PolicyFactory(baseline.Factory(policy))
 	default:
 		return nil, fmt.Errorf("no policy %q; there are %v", policy, Names)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -54,18 +54,18 @@
 
 // Reader takes batches off a stream. Its buffer is reused: records and tails hold until the next call of Next.
 type Reader struct {
-	in    *bufio.Reader
-	frame []byte
-	count int
+	source  *bufio.Reader
+	frame   []byte
+	records int
 }
 
-func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, 1<<16)} }
+func NewReader(in io.Reader) *Reader { return &Reader{source: bufio.NewReaderSize(in, 1<<16)} }
 
 // Next reads one batch and returns its clock in nanoseconds and its number of records. The error is io.EOF
 // only where the stream ends between two batches.
 func (r *Reader) Next() (clock uint64, records int, err error) {
 	var head [batchHeader]byte
-	if n, err := io.ReadFull(r.in, head[:]); err != nil {
+	if n, err := io.ReadFull(r.source, head[:]); err != nil {
 		if n == 0 && err == io.EOF {
 			return 0, 0, io.EOF
 		}
@@ -82,11 +82,11 @@
 		step := min(body-len(r.frame), 1<<20)
 		at := len(r.frame)
 		r.frame = append(r.frame, make([]byte, step)...)
-		if n, err := io.ReadFull(r.in, r.frame[at:]); err != nil {
+		if n, err := io.ReadFull(r.source, r.frame[at:]); err != nil {
 			return 0, 0, fmt.Errorf("truncated batch: %d of %d bytes", batchHeader+at+n, size)
 		}
 	}
-	r.count = count
+	r.records = count
 	return binary.BigEndian.Uint64(head[4:]), count, nil
 }
 
@@ -96,8 +96,8 @@
 // Tail is the part of the tail that the field at the given place of a record names: count items of the given
 // size in bytes.
 func (r *Reader) Tail(record []byte, at, size int) ([]byte, error) {
-	tail := r.frame[r.count*EventSize:]
-	from, count := uint64(U32(record, at)), uint64(U32(record, at+4))
+	tail := r.frame[r.records*EventSize:]
+	from, count := uint64(Uint32(record, at)), uint64(Uint32(record, at+4))
 	if from+count*uint64(size) > uint64(len(tail)) {
 		return nil, fmt.Errorf("impossible tail reference: %d items of %d bytes at %d, tail of %d bytes",
 			count, size, from, len(tail))
@@ -105,49 +105,51 @@
 	return tail[from : from+count*uint64(size)], nil
 }
 
-func U16(b []byte, at int) uint16  { return binary.BigEndian.Uint16(b[at:]) }
-func U32(b []byte, at int) uint32  { return binary.BigEndian.Uint32(b[at:]) }
-func U64(b []byte, at int) uint64  { return binary.BigEndian.Uint64(b[at:]) }
-func F32(b []byte, at int) float64 { return float64(math.Float32frombits(U32(b, at))) }
+func Uint16(b []byte, at int) uint16   { return binary.BigEndian.Uint16(b[at:]) }
+func Uint32(b []byte, at int) uint32   { return binary.BigEndian.Uint32(b[at:]) }
+func Uint64(b []byte, at int) uint64   { return binary.BigEndian.Uint64(b[at:]) }
+func Float32(b []byte, at int) float64 { return float64(math.Float32frombits(Uint32(b, at))) }
 
 // Writer gathers the actions of one reply and sends them in one write.
 type Writer struct {
-	out         io.Writer
+	destination io.Writer
 	frame, tail []byte
-	count       int
+	records     int
 }
 
-func NewWriter(out io.Writer) *Writer { return &Writer{out: out, frame: make([]byte, replyHeader)} }
+func NewWriter(out io.Writer) *Writer {
+	return &Writer{destination: out, frame: make([]byte, replyHeader)}
+}
 
 // Action adds a record of an instance and returns its bytes for the fields, zeroed.
-func (w *Writer) Action(code byte, who uint16) []byte {
+func (w *Writer) Action(code byte, instance uint16) []byte {
 	at := len(w.frame)
 	w.frame = append(w.frame, make([]byte, actionSize)...)
-	w.count++
+	w.records++
 	record := w.frame[at:]
 	record[0] = code
-	Put16(record, 1, who)
+	PutUint16(record, 1, instance)
 	return record
 }
 
 // Text adds a record whose field at byte 3 is a text in the tail.
-func (w *Writer) Text(code byte, who uint16, text string) {
-	record := w.Action(code, who)
-	Put32(record, 3, uint32(len(w.tail)))
-	Put32(record, 7, uint32(len(text)))
+func (w *Writer) Text(code byte, instance uint16, text string) {
+	record := w.Action(code, instance)
+	PutUint32(record, 3, uint32(len(w.tail)))
+	PutUint32(record, 7, uint32(len(text)))
 	w.tail = append(w.tail, text...)
 }
 
 // Flush sends the reply and starts the next.
 func (w *Writer) Flush() error {
 	w.frame = append(w.frame, w.tail...)
-	Put32(w.frame, 0, uint32(w.count))
-	Put32(w.frame, 4, uint32(len(w.frame)))
-	_, err := w.out.Write(w.frame)
-	w.frame, w.tail, w.count = w.frame[:replyHeader], w.tail[:0], 0
+	PutUint32(w.frame, 0, uint32(w.records))
+	PutUint32(w.frame, 4, uint32(len(w.frame)))
+	_, err := w.destination.Write(w.frame)
+	w.frame, w.tail, w.records = w.frame[:replyHeader], w.tail[:0], 0
 	return err
 }
 
-func Put16(b []byte, at int, v uint16) { binary.BigEndian.PutUint16(b[at:], v) }
-func Put32(b []byte, at int, v uint32) { binary.BigEndian.PutUint32(b[at:], v) }
-func Put64(b []byte, at int, v uint64) { binary.BigEndian.PutUint64(b[at:], v) }
+func PutUint16(b []byte, at int, v uint16) { binary.BigEndian.PutUint16(b[at:], v) }
+func PutUint32(b []byte, at int, v uint32) { binary.BigEndian.PutUint32(b[at:], v) }
+func PutUint64(b []byte, at int, v uint64) { binary.BigEndian.PutUint64(b[at:], v) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -58,7 +58,7 @@
 	if _, _, err := r.Next(); err != nil {
 		t.Fatal(err)
 	}
-	if rec := r.Record(0); rec[0] != Bell || U16(rec, 1) != 3 || U64(rec, 3) != 0x4d {
+	if rec := r.Record(0); rec[0] != Bell || Uint16(rec, 1) != 3 || Uint64(rec, 3) != 0x4d {
 		t.Errorf("record %x", rec)
 	}
 	for _, c := range []struct {
@@ -83,9 +83,9 @@
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	r := w.Action(Bind, 3)
-	Put32(r, 3, 0x5d3a91c4)
-	Put32(r, 7, 0x03124a07)
-	Put64(r, 11, 0x04c4b400)
+	PutUint32(r, 3, 0x5d3a91c4)
+	PutUint32(r, 7, 0x03124a07)
+	PutUint64(r, 11, 0x04c4b400)
 	w.Text(Log, 5, "hi")
 	for range 2 { // the second reply is empty
 		if err := w.Flush(); err != nil {
