--- a/internal/decide/clusterstate/clusterstate.go
+++ b/internal/decide/clusterstate/clusterstate.go
@@ -39,16 +39,16 @@
 
 // Refusals.
 const (
-	Taken      Refusal = iota
-	OldLife            // a later life of the subject acts
-	NotThere           // no such process, or it is out
-	Moved              // the zone's state is not the one that the proposer saw
-	NoWay              // no such step between states
-	Resting            // a zone that closed again and again stays closed for a while
-	LastOne            // with it no zone would be open
-	TooMuch            // a share twice, of nothing, or of and to the same zone
-	Full               // the state has grown to its bound
-	Unreadable         // by this version of the program
+	Accepted          Refusal = iota
+	StaleIncarnation          // a later life of the subject acts
+	UnknownProcess            // no such process, or it is out
+	StaleZoneVersion          // the zone's state is not the one that the proposer saw
+	InvalidTransition         // no such step between states
+	HoldDown                  // a zone that closed again and again stays closed for a while
+	LastOpenZone              // with it no zone would be open
+	InvalidShare              // a share twice, of nothing, or of and to the same zone
+	LimitReached              // the state has grown to its bound
+	Malformed                 // by this version of the program
 )
 
 func (r Refusal) String() string {
@@ -57,54 +57,54 @@
 
 // Bounds of the state, and times in ms.
 const (
-	mostProcesses = 1024
-	mostZones     = 256
-	mostShares    = 2048
+	maxProcesses = 1024
+	maxZones     = 256
+	maxShares    = 2048
 
-	restFirst = 5000 // that a zone stays closed after its first closing, doubling with each that follows
-	restMost  = 640e3
-	forgiven  = 600e3 // open for so long, one closing is forgotten
+	minHoldDown  = 5000 // that a zone stays closed after its first closing, doubling with each that follows
+	maxHoldDown  = 640e3
+	closingDecay = 600e3 // open for so long, one closing is forgotten
 )
 
 // Process is one that acts, or did.
 type Process struct {
 	Name, Zone, Region string
-	Life, Epoch        uint64
-	Out                bool
+	Incarnation, Epoch uint64
+	Inactive           bool
 
-	number  uint64 // of its last command, proposed in the life speaks
-	speaks  uint64
-	refused Refusal
+	commandNumber      uint64 // of its last command, proposed in the life speaks
+	commandIncarnation uint64
+	commandRefusal     Refusal
 }
 
 // Zone is what the state says of a zone.
 type Zone struct {
-	Name     string
-	State    ZoneState
-	Since    float64 // ms
-	Version  uint64  // at which that was written
-	Closings uint32  // lately
-	Rest     float64 // until when it stays closed
-	Cause    string
+	Name           string
+	State          ZoneState
+	Since          float64 // ms
+	Version        uint64  // at which that was written
+	RecentClosings uint32  // lately
+	ClosedUntil    float64 // until when it stays closed
+	Cause          string
 }
 
-// Way is from one zone to another.
-type Way struct{ From, To string }
+// Route is from one zone to another.
+type Route struct{ From, To string }
 
 // State is the state at one version. It is changed by Apply alone.
 type State struct {
-	version   uint64
-	now       float64
-	epochs    uint64
-	processes map[string]Process
-	zones     map[string]Zone
-	shares    map[Way]uint32
-	plan      uint64
+	version     uint64
+	now         float64
+	lastEpoch   uint64
+	processes   map[string]Process
+	zones       map[string]Zone
+	shares      map[Route]uint32
+	planVersion uint64
 }
 
 // New is a state in which nothing stands.
 func New() *State {
-	return &State{processes: map[string]Process{}, zones: map[string]Zone{}, shares: map[Way]uint32{}}
+	return &State{processes: map[string]Process{}, zones: map[string]Zone{}, shares: map[Route]uint32{}}
 }
 
 // Version is how many commands the state was changed by, in the count of the consensus.
@@ -124,10 +124,10 @@
 	return slices.SortedFunc(maps.Values(s.processes), func(x, y Process) int { return cmp.Compare(x.Name, y.Name) })
 }
 
-// Acting is how many processes act from a zone.
-func (s *State) Acting(zone string) (n int) {
+// ActiveProcesses is how many processes act from a zone.
+func (s *State) ActiveProcesses(zone string) (n int) {
 	for _, p := range s.processes {
-		if !p.Out && p.Zone == zone {
+		if !p.Inactive && p.Zone == zone {
 			n++
 		}
 	}
@@ -148,32 +148,32 @@
 }
 
 // Share is how many cores of what leaves a zone another takes.
-func (s *State) Share(from, to string) uint32 { return s.shares[Way{from, to}] }
+func (s *State) Share(from, to string) uint32 { return s.shares[Route{from, to}] }
 
 // Plan is the version at which the shares were written, and all of them in order.
-func (s *State) Plan() (version uint64, each func(yield func(w Way, part uint32) bool)) {
-	return s.plan, func(yield func(Way, uint32) bool) {
-		for _, w := range s.ways() {
-			if !yield(w, s.shares[w]) {
+func (s *State) Plan() (version uint64, shares func(yield func(route Route, cores uint32) bool)) {
+	return s.planVersion, func(yield func(Route, uint32) bool) {
+		for _, route := range s.sortedRoutes() {
+			if !yield(route, s.shares[route]) {
 				return
 			}
 		}
 	}
 }
 
-func (s *State) ways() []Way {
-	return slices.SortedFunc(maps.Keys(s.shares), func(x, y Way) int {
+func (s *State) sortedRoutes() []Route {
+	return slices.SortedFunc(maps.Keys(s.shares), func(x, y Route) int {
 		return cmp.Or(cmp.Compare(x.From, y.From), cmp.Compare(x.To, y.To))
 	})
 }
 
 // LastResult is what came of the last command that a life of a process proposed; false if none has come.
-func (s *State) LastResult(name string, life uint64) (number uint64, refused Refusal, ok bool) {
+func (s *State) LastResult(name string, incarnation uint64) (number uint64, refusal Refusal, ok bool) {
 	p, ok := s.processes[name]
-	if !ok || p.speaks != life {
+	if !ok || p.commandIncarnation != incarnation {
 		return 0, 0, false
 	}
-	return p.number, p.refused, true
+	return p.commandNumber, p.commandRefusal, true
 }
 
 // Clone is the same book, of its own.
@@ -186,72 +186,72 @@
 // Apply changes the state by the next command, which has a later version than all before; none changes the version alone.
 func (s *State) Apply(version uint64, command []byte) (Refusal, error) {
 	if version <= s.version {
-		return Taken, fmt.Errorf("command of version %d after %d", version, s.version)
+		return Accepted, fmt.Errorf("command of version %d after %d", version, s.version)
 	}
 	s.version = version
 	if len(command) == 0 {
-		return Taken, nil
+		return Accepted, nil
 	}
-	refused := Unreadable
-	var shares []share
-	err := codec.ReadCommand(command, func(from, to string, part uint32) { shares = append(shares, share{Way{from, to}, part}) },
-		func(name string, life, number uint64, at float64, kind uint32, subject, zone, region string, epoch uint64, state uint32, cause string) {
+	refusal := Malformed
+	var shares []plannedShare
+	err := codec.ReadCommand(command, func(from, to string, cores uint32) { shares = append(shares, plannedShare{Route{from, to}, cores}) },
+		func(name string, incarnation, number uint64, at float64, kind uint32, subject, zone, region string, epoch uint64, state uint32, cause string) {
 			p := s.processes[name]
-			if life < p.speaks || life == p.speaks && number <= p.number { // it came before
-				refused = p.refused
+			if incarnation < p.commandIncarnation || incarnation == p.commandIncarnation && number <= p.commandNumber { // it came before
+				refusal = p.commandRefusal
 				return
 			}
 			s.now = max(s.now, at) // the council lets no time in that is far from its leader's
 			switch kind {
 			case codec.Act:
-				refused = s.act(subject, life, zone, region, subject == name)
+				refusal = s.activate(subject, incarnation, zone, region, subject == name)
 			case codec.Out:
-				refused = s.out(subject, epoch)
+				refusal = s.deactivate(subject, epoch)
 			case codec.Verdict:
-				refused = s.verdict(subject, epoch, ZoneState(state), cause)
+				refusal = s.setZoneState(subject, epoch, ZoneState(state), cause)
 			case codec.Plan:
-				refused = s.divide(shares)
+				refusal = s.setPlan(shares)
 			}
 			if p, ok := s.processes[name]; ok { // strangers are not kept
-				p.speaks, p.number, p.refused = life, number, refused
+				p.commandIncarnation, p.commandNumber, p.commandRefusal = incarnation, number, refusal
 				s.processes[name] = p
 			}
 		})
 	if err != nil {
-		return Unreadable, nil // all read it alike
+		return Malformed, nil // all read it alike
 	}
-	return refused, nil
+	return refusal, nil
 }
 
-type share struct {
-	way  Way
-	part uint32
+type plannedShare struct {
+	route Route
+	cores uint32
 }
 
-// act has a process act in a life, under an epoch that nobody had before.
-func (s *State) act(name string, life uint64, zone, region string, own bool) Refusal {
+// activate has a process act in a life, under an epoch that nobody had before.
+func (s *State) activate(name string, incarnation uint64, zone, region string, bySubject bool) Refusal {
 	p, ok := s.processes[name]
 	switch {
-	case !own:
-		return NotThere // each speaks for itself
-	case ok && life < p.Life:
-		return OldLife
-	case ok && life == p.Life && !p.Out && p.Zone == zone && p.Region == region:
-		return Taken
-	case !ok && len(s.processes) >= mostProcesses && !s.forgets():
-		return Full
+	case !bySubject:
+		return UnknownProcess // each speaks for itself
+	case ok && incarnation < p.Incarnation:
+		return StaleIncarnation
+	case ok && incarnation == p.Incarnation && !p.Inactive && p.Zone == zone && p.Region == region:
+		return Accepted
+	case !ok && len(s.processes) >= maxProcesses && !s.evictInactive():
+		return LimitReached
 	}
-	s.epochs++
-	p.Name, p.Life, p.Epoch, p.Zone, p.Region, p.Out = name, life, s.epochs, zone, region, false
+	s.lastEpoch++
+	p.Name, p.Incarnation, p.Epoch, p.Zone, p.Region, p.Inactive = name, incarnation, s.lastEpoch, zone, region, false
 	s.processes[name] = p
-	return Taken
+	return Accepted
 }
 
-// forgets drops the process that is out under the oldest epoch.
-func (s *State) forgets() bool {
+// evictInactive drops the process that is out under the oldest epoch.
+func (s *State) evictInactive() bool {
 	oldest := Process{Epoch: math.MaxUint64}
 	for _, p := range s.processes {
-		if p.Out && p.Epoch < oldest.Epoch {
+		if p.Inactive && p.Epoch < oldest.Epoch {
 			oldest = p
 		}
 	}
@@ -259,76 +259,76 @@
 	return oldest.Name != ""
 }
 
-// out has a process act no more under an epoch.
-func (s *State) out(name string, epoch uint64) Refusal {
+// deactivate has a process act no more under an epoch.
+func (s *State) deactivate(name string, epoch uint64) Refusal {
 	p, ok := s.processes[name]
-	if !ok || p.Out || p.Epoch != epoch {
-		return NotThere
+	if !ok || p.Inactive || p.Epoch != epoch {
+		return UnknownProcess
 	}
-	p.Out = true
+	p.Inactive = true
 	s.processes[name] = p
-	return Taken
+	return Accepted
 }
 
-// steps are those that a zone's state may take.
-var steps = map[[2]ZoneState]bool{{Open, Suspect}: true, {Suspect, Open}: true, {Suspect, Closed}: true, {Closed, Returning}: true,
+// transitions are those that a zone's state may take.
+var transitions = map[[2]ZoneState]bool{{Open, Suspect}: true, {Suspect, Open}: true, {Suspect, Closed}: true, {Closed, Returning}: true,
 	{Returning, Open}: true, {Returning, Closed}: true}
 
-// verdict changes a zone's state from the one that was written at a version.
-func (s *State) verdict(name string, seen uint64, to ZoneState, cause string) Refusal {
-	z, ok := s.zones[name]
-	z.Name = name
+// setZoneState changes a zone's state from the one that was written at a version.
+func (s *State) setZoneState(name string, seen uint64, to ZoneState, cause string) Refusal {
+	zone, ok := s.zones[name]
+	zone.Name = name
 	switch {
-	case z.Version != seen:
-		return Moved
-	case name == "" || !steps[[2]ZoneState{z.State, to}]:
-		return NoWay
-	case !ok && len(s.zones) >= mostZones:
-		return Full
-	case z.State == Closed && s.now < z.Rest:
-		return Resting
-	case to == Closed && !s.another(name):
-		return LastOne
+	case zone.Version != seen:
+		return StaleZoneVersion
+	case name == "" || !transitions[[2]ZoneState{zone.State, to}]:
+		return InvalidTransition
+	case !ok && len(s.zones) >= maxZones:
+		return LimitReached
+	case zone.State == Closed && s.now < zone.ClosedUntil:
+		return HoldDown
+	case to == Closed && !s.hasOtherOpenZone(name):
+		return LastOpenZone
 	}
-	if z.State == Open && z.Closings > 0 {
-		z.Closings -= min(z.Closings, uint32((s.now-z.Since)/forgiven))
+	if zone.State == Open && zone.RecentClosings > 0 {
+		zone.RecentClosings -= min(zone.RecentClosings, uint32((s.now-zone.Since)/closingDecay))
 	}
 	if to == Closed {
-		z.Rest = s.now + min(restMost, restFirst*float64(uint64(1)<<min(z.Closings, 16)))
-		z.Closings++
+		zone.ClosedUntil = s.now + min(maxHoldDown, minHoldDown*float64(uint64(1)<<min(zone.RecentClosings, 16)))
+		zone.RecentClosings++
 	}
-	z.State, z.Since, z.Version, z.Cause = to, s.now, s.version, cause
-	s.zones[name] = z
+	zone.State, zone.Since, zone.Version, zone.Cause = to, s.now, s.version, cause
+	s.zones[name] = zone
 	if to == Open { // nothing leaves it any more
-		maps.DeleteFunc(s.shares, func(w Way, _ uint32) bool { return w.From == name })
+		maps.DeleteFunc(s.shares, func(route Route, _ uint32) bool { return route.From == name })
 	}
-	return Taken
+	return Accepted
 }
 
-// another tells whether some process acts from another zone that is not closed: the last one is never closed.
-func (s *State) another(but string) bool {
+// hasOtherOpenZone tells whether some process acts from another zone that is not closed: the last one is never closed.
+func (s *State) hasOtherOpenZone(except string) bool {
 	for _, p := range s.processes {
-		if !p.Out && p.Zone != but && s.zones[p.Zone].State != Closed {
+		if !p.Inactive && p.Zone != except && s.zones[p.Zone].State != Closed {
 			return true
 		}
 	}
 	return false
 }
 
-// divide takes a plan of who takes how much of whom. What no share names is taken by nobody.
-func (s *State) divide(shares []share) Refusal {
-	if len(shares) > mostShares {
-		return Full
+// setPlan takes a plan of who takes how much of whom. What no share names is taken by nobody.
+func (s *State) setPlan(shares []plannedShare) Refusal {
+	if len(shares) > maxShares {
+		return LimitReached
 	}
-	all := map[Way]uint32{}
+	planned := map[Route]uint32{}
 	for _, share := range shares {
-		if _, twice := all[share.way]; twice || share.way.From == share.way.To || share.part == 0 {
-			return TooMuch
+		if _, twice := planned[share.route]; twice || share.route.From == share.route.To || share.cores == 0 {
+			return InvalidShare
 		}
-		all[share.way] = share.part
+		planned[share.route] = share.cores
 	}
-	s.shares, s.plan = all, s.version
-	return Taken
+	s.shares, s.planVersion = planned, s.version
+	return Accepted
 }
 
 // ErrInvalid is of a state that holds what it must not.
@@ -341,19 +341,19 @@
 		switch other, twice := epochs[p.Epoch]; {
 		case twice:
 			return fmt.Errorf("%w: %s and %s act under epoch %d", ErrInvalid, other, name, p.Epoch)
-		case p.Epoch == 0 || p.Epoch > s.epochs || p.Name != name || p.Life == 0:
-			return fmt.Errorf("%w: process %s: %+v of %d epochs", ErrInvalid, name, p, s.epochs)
+		case p.Epoch == 0 || p.Epoch > s.lastEpoch || p.Name != name || p.Incarnation == 0:
+			return fmt.Errorf("%w: process %s: %+v of %d epochs", ErrInvalid, name, p, s.lastEpoch)
 		}
 		epochs[p.Epoch] = name
 	}
 	for name, z := range s.zones {
-		if z.Name != name || z.State > Returning || z.Version == 0 || z.Version > s.version || z.Since > s.now || z.State == Closed && z.Closings == 0 {
+		if z.Name != name || z.State > Returning || z.Version == 0 || z.Version > s.version || z.Since > s.now || z.State == Closed && z.RecentClosings == 0 {
 			return fmt.Errorf("%w: zone %s: %+v at version %d", ErrInvalid, name, z, s.version)
 		}
 	}
-	for w, cores := range s.shares {
-		if cores == 0 || cores > codec.MostCores || w.From == w.To {
-			return fmt.Errorf("%w: %d cores of what leaves %s to %s", ErrInvalid, cores, w.From, w.To)
+	for route, cores := range s.shares {
+		if cores == 0 || cores > codec.MostCores || route.From == route.To {
+			return fmt.Errorf("%w: %d cores of what leaves %s to %s", ErrInvalid, cores, route.From, route.To)
 		}
 	}
 	return nil
@@ -361,15 +361,15 @@
 
 // Snapshot is the whole state in bytes, the same for equal states.
 func (s *State) Snapshot() []byte {
-	out := codec.AppendHead(nil, s.version, s.now, s.epochs, s.plan)
+	out := codec.AppendHead(nil, s.version, s.now, s.lastEpoch, s.planVersion)
 	for _, p := range s.Processes() {
-		out = codec.AppendProcess(out, p.Name, p.Life, p.Epoch, p.Zone, p.Region, p.Out, p.number, uint32(p.refused), p.speaks)
+		out = codec.AppendProcess(out, p.Name, p.Incarnation, p.Epoch, p.Zone, p.Region, p.Inactive, p.commandNumber, uint32(p.commandRefusal), p.commandIncarnation)
 	}
 	for _, z := range s.Zones() {
-		out = codec.AppendZone(out, z.Name, uint32(z.State), z.Since, z.Version, z.Closings, z.Rest, z.Cause)
+		out = codec.AppendZone(out, z.Name, uint32(z.State), z.Since, z.Version, z.RecentClosings, z.ClosedUntil, z.Cause)
 	}
-	for _, w := range s.ways() {
-		out = codec.AppendHeld(out, w.From, w.To, s.shares[w])
+	for _, route := range s.sortedRoutes() {
+		out = codec.AppendHeld(out, route.From, route.To, s.shares[route])
 	}
 	return out
 }
@@ -377,7 +377,7 @@
 // Read reads a snapshot. One that holds what a state must not is not read.
 func Read(snapshot []byte) (*State, error) {
 	b := New()
-	if err := codec.ReadSnapshot(snapshot, taker{b}); err != nil {
+	if err := codec.ReadSnapshot(snapshot, snapshotHandler{b}); err != nil {
 		return nil, fmt.Errorf("cluster state: %w", err)
 	}
 	if err := b.Check(); err != nil {
@@ -386,18 +386,18 @@
 	return b, nil
 }
 
-type taker struct{ *State }
+type snapshotHandler struct{ *State }
 
-func (t taker) Head(version uint64, now float64, epochs, plan uint64) {
-	t.version, t.now, t.epochs, t.plan = version, now, epochs, plan
+func (t snapshotHandler) Head(version uint64, now float64, epochs, plan uint64) {
+	t.version, t.now, t.lastEpoch, t.planVersion = version, now, epochs, plan
 }
 
-func (t taker) Process(name string, life, epoch uint64, zone, region string, out bool, number uint64, refused uint32, speaks uint64) {
+func (t snapshotHandler) Process(name string, life, epoch uint64, zone, region string, out bool, number uint64, refused uint32, speaks uint64) {
 	t.processes[name] = Process{name, zone, region, life, epoch, out, number, speaks, Refusal(refused)}
 }
 
-func (t taker) Zone(name string, state uint32, since float64, version uint64, closings uint32, rest float64, cause string) {
+func (t snapshotHandler) Zone(name string, state uint32, since float64, version uint64, closings uint32, rest float64, cause string) {
 	t.zones[name] = Zone{name, ZoneState(state), since, version, closings, rest, cause}
 }
 
-func (t taker) Held(from, to string, part uint32) { t.shares[Way{from, to}] = part }
+func (t snapshotHandler) Held(from, to string, part uint32) { t.shares[Route{from, to}] = part }
--- a/internal/decide/clusterstate/clusterstate_test.go
+++ b/internal/decide/clusterstate/clusterstate_test.go
@@ -11,176 +11,176 @@
 	codec "ravenpond/internal/proto/book"
 )
 
-// hand writes commands as processes do.
-type hand struct {
+// proposer writes commands as processes do.
+type proposer struct {
 	t       interface{ Fatalf(string, ...any) }
-	b       *State
+	state   *State
 	numbers map[string]uint64
 	now     float64
 }
 
-func begin(t *testing.T, zones ...string) *hand {
-	h := &hand{t: t, b: New(), numbers: map[string]uint64{}, now: 1e6}
+func newProposer(t *testing.T, zones ...string) *proposer {
+	h := &proposer{t: t, state: New(), numbers: map[string]uint64{}, now: 1e6}
 	for _, z := range zones {
-		h.act("p-"+z, 1, z)
+		h.activate("p-"+z, 1, z)
 	}
 	return h
 }
 
-func (h *hand) apply(name string, life uint64, kind uint32, subject, zone string, epoch uint64, to ZoneState, shares ...share) Refusal {
+func (h *proposer) apply(name string, incarnation uint64, kind uint32, subject, zone string, epoch uint64, to ZoneState, shares ...plannedShare) Refusal {
 	h.numbers[name]++
-	c := codec.AppendCommand(nil, name, life, h.numbers[name], h.now, kind, subject, zone, "r", epoch, uint32(to), "for a test")
+	c := codec.AppendCommand(nil, name, incarnation, h.numbers[name], h.now, kind, subject, zone, "r", epoch, uint32(to), "for a test")
 	for _, s := range shares {
-		c = codec.AppendShare(c, s.way.From, s.way.To, s.part)
+		c = codec.AppendShare(c, s.route.From, s.route.To, s.cores)
 	}
-	refused, err := h.b.Apply(h.b.Version()+1, c)
+	refused, err := h.state.Apply(h.state.Version()+1, c)
 	if err != nil {
 		h.t.Fatalf("%v", err)
 	}
 	return refused
 }
 
-func (h *hand) act(name string, life uint64, zone string) Refusal {
-	return h.apply(name, life, codec.Act, name, zone, 0, 0)
+func (h *proposer) activate(name string, incarnation uint64, zone string) Refusal {
+	return h.apply(name, incarnation, codec.Act, name, zone, 0, 0)
 }
 
-func (h *hand) verdict(by, zone string, to ZoneState) Refusal {
-	return h.apply(by, 1, codec.Verdict, zone, "", h.b.Zone(zone).Version, to)
+func (h *proposer) setZoneState(by, zone string, to ZoneState) Refusal {
+	return h.apply(by, 1, codec.Verdict, zone, "", h.state.Zone(zone).Version, to)
 }
 
-func (h *hand) want(what string, got, want Refusal) {
+func (h *proposer) expect(what string, got, want Refusal) {
 	if got != want {
 		h.t.Fatalf("%s: %s, want %s", what, got, want)
 	}
 }
 
 func TestProcesses(t *testing.T) {
-	h := begin(t, "a", "b")
-	p, _ := h.b.Process("p-a")
-	if p.Epoch != 1 || p.Life != 1 || p.Zone != "a" {
+	h := newProposer(t, "a", "b")
+	p, _ := h.state.Process("p-a")
+	if p.Epoch != 1 || p.Incarnation != 1 || p.Zone != "a" {
 		t.Errorf("%+v", p)
 	}
-	h.want("the same again", h.act("p-a", 1, "a"), Taken)
-	if again, _ := h.b.Process("p-a"); again.Epoch != 1 {
+	h.expect("the same again", h.activate("p-a", 1, "a"), Accepted)
+	if again, _ := h.state.Process("p-a"); again.Epoch != 1 {
 		t.Errorf("an epoch for nothing: %+v", again)
 	}
-	h.want("a later life", h.act("p-a", 3, "a"), Taken)
-	if p, _ = h.b.Process("p-a"); p.Epoch != 3 {
+	h.expect("a later life", h.activate("p-a", 3, "a"), Accepted)
+	if p, _ = h.state.Process("p-a"); p.Epoch != 3 {
 		t.Errorf("%+v", p)
 	}
-	h.want("out under an older epoch", h.apply("p-b", 1, codec.Out, "p-a", "", 1, 0), NotThere)
-	h.want("out", h.apply("p-b", 1, codec.Out, "p-a", "", 3, 0), Taken)
-	h.want("out twice", h.apply("p-b", 1, codec.Out, "p-a", "", 3, 0), NotThere)
-	h.want("back", h.act("p-a", 4, "a"), Taken)
-	if p, _ = h.b.Process("p-a"); p.Out || p.Epoch != 4 {
+	h.expect("out under an older epoch", h.apply("p-b", 1, codec.Out, "p-a", "", 1, 0), UnknownProcess)
+	h.expect("out", h.apply("p-b", 1, codec.Out, "p-a", "", 3, 0), Accepted)
+	h.expect("out twice", h.apply("p-b", 1, codec.Out, "p-a", "", 3, 0), UnknownProcess)
+	h.expect("back", h.activate("p-a", 4, "a"), Accepted)
+	if p, _ = h.state.Process("p-a"); p.Inactive || p.Epoch != 4 {
 		t.Errorf("%+v", p)
 	}
-	version := h.b.Version()
-	h.want("for another", h.apply("p-b", 1, codec.Act, "p-a", "z", 0, 0), NotThere)
+	version := h.state.Version()
+	h.expect("for another", h.apply("p-b", 1, codec.Act, "p-a", "z", 0, 0), UnknownProcess)
 	old := codec.AppendCommand(nil, "p-a", 3, 99, h.now, codec.Act, "p-a", "z", "", 0, 0, "")
-	if _, err := h.b.Apply(version+2, old); err != nil {
+	if _, err := h.state.Apply(version+2, old); err != nil {
 		t.Fatal(err)
 	}
-	if p, _ = h.b.Process("p-a"); p.Zone != "a" || p.Life != 4 {
+	if p, _ = h.state.Process("p-a"); p.Zone != "a" || p.Incarnation != 4 {
 		t.Errorf("an older life has spoken: %+v", p)
 	}
-	if _, err := h.b.Apply(version, nil); err == nil {
+	if _, err := h.state.Apply(version, nil); err == nil {
 		t.Error("an older version was applied")
 	}
 }
 
 // TestAgain has a command come again: it has no effect, and says what it said.
 func TestAgain(t *testing.T) {
-	h := begin(t, "a", "b")
+	h := newProposer(t, "a", "b")
 	c := codec.AppendCommand(nil, "p-a", 1, 50, h.now, codec.Verdict, "b", "", "", 0, uint32(Suspect), "x")
 	for range 3 {
-		before := h.b.Zone("b")
-		refused, _ := h.b.Apply(h.b.Version()+1, c)
-		if z := h.b.Zone("b"); refused != Taken || z.State != Suspect || before.Version != 0 && z != before {
+		before := h.state.Zone("b")
+		refused, _ := h.state.Apply(h.state.Version()+1, c)
+		if z := h.state.Zone("b"); refused != Accepted || z.State != Suspect || before.Version != 0 && z != before {
 			t.Errorf("%s: %+v", refused, z)
 		}
 	}
-	if number, refused, ok := h.b.LastResult("p-a", 1); number != 50 || refused != Taken || !ok {
+	if number, refused, ok := h.state.LastResult("p-a", 1); number != 50 || refused != Accepted || !ok {
 		t.Errorf("%d %s %v", number, refused, ok)
 	}
 }
 
 func TestVerdicts(t *testing.T) {
-	h := begin(t, "a", "b")
-	h.want("closed at once", h.verdict("p-a", "b", Closed), NoWay)
-	h.want("suspect", h.verdict("p-a", "b", Suspect), Taken)
-	h.want("by one who saw it open", h.apply("p-a", 1, codec.Verdict, "b", "", 0, Suspect), Moved)
-	h.want("closed", h.verdict("p-a", "b", Closed), Taken)
-	h.want("suspect", h.verdict("p-b", "a", Suspect), Taken)
-	h.want("the last one", h.verdict("p-b", "a", Closed), LastOne)
-	h.want("before its rest is over", h.verdict("p-a", "b", Returning), Resting)
-	h.now += restFirst
-	h.want("returning", h.verdict("p-a", "b", Returning), Taken)
-	h.want("open", h.verdict("p-a", "b", Open), Taken)
-	h.want("a name of its own", h.verdict("p-a", "", Suspect), NoWay)
+	h := newProposer(t, "a", "b")
+	h.expect("closed at once", h.setZoneState("p-a", "b", Closed), InvalidTransition)
+	h.expect("suspect", h.setZoneState("p-a", "b", Suspect), Accepted)
+	h.expect("by one who saw it open", h.apply("p-a", 1, codec.Verdict, "b", "", 0, Suspect), StaleZoneVersion)
+	h.expect("closed", h.setZoneState("p-a", "b", Closed), Accepted)
+	h.expect("suspect", h.setZoneState("p-b", "a", Suspect), Accepted)
+	h.expect("the last one", h.setZoneState("p-b", "a", Closed), LastOpenZone)
+	h.expect("before its rest is over", h.setZoneState("p-a", "b", Returning), HoldDown)
+	h.now += minHoldDown
+	h.expect("returning", h.setZoneState("p-a", "b", Returning), Accepted)
+	h.expect("open", h.setZoneState("p-a", "b", Open), Accepted)
+	h.expect("a name of its own", h.setZoneState("p-a", "", Suspect), InvalidTransition)
 }
 
 // TestComesAndGoes has a zone be lost and be back each 5 s for ten minutes, each time proposed at once: the rests that double
 // bound the verdicts. Quiet for long, it is forgiven.
 func TestComesAndGoes(t *testing.T) {
-	h := begin(t, "a", "b")
+	h := newProposer(t, "a", "b")
 	closings, from := 0, h.now
 	for ; h.now < from+600e3; h.now += 250 {
 		lost := int((h.now-from)/5000)%2 == 0
-		switch z := h.b.Zone("b"); {
+		switch z := h.state.Zone("b"); {
 		case lost && (z.State == Open || z.State == Returning):
 			if z.State == Open {
-				h.verdict("p-a", "b", Suspect)
+				h.setZoneState("p-a", "b", Suspect)
 			}
-			if h.verdict("p-a", "b", Closed) == Taken {
+			if h.setZoneState("p-a", "b", Closed) == Accepted {
 				closings++
 			}
 		case !lost && z.State == Closed:
-			if h.verdict("p-a", "b", Returning) == Taken {
-				h.verdict("p-a", "b", Open)
+			if h.setZoneState("p-a", "b", Returning) == Accepted {
+				h.setZoneState("p-a", "b", Open)
 			}
 		}
 	}
 	if closings < 4 || closings > 8 {
 		t.Errorf("%d closings", closings)
 	}
-	h.now += restMost
-	h.verdict("p-a", "b", Returning)
-	h.verdict("p-a", "b", Open)
+	h.now += maxHoldDown
+	h.setZoneState("p-a", "b", Returning)
+	h.setZoneState("p-a", "b", Open)
 	for range 100 { // quiet, while the clock goes on
-		h.now += forgiven / 10
-		h.verdict("p-a", "a", []ZoneState{Suspect, Open}[h.b.Zone("a").State])
+		h.now += closingDecay / 10
+		h.setZoneState("p-a", "a", []ZoneState{Suspect, Open}[h.state.Zone("a").State])
 	}
-	h.verdict("p-a", "b", Suspect)
-	h.verdict("p-a", "b", Closed)
-	if z := h.b.Zone("b"); z.Rest-h.b.Now() != restFirst {
-		t.Errorf("not forgiven: rests %g ms, %+v", z.Rest-h.b.Now(), z)
+	h.setZoneState("p-a", "b", Suspect)
+	h.setZoneState("p-a", "b", Closed)
+	if z := h.state.Zone("b"); z.ClosedUntil-h.state.Now() != minHoldDown {
+		t.Errorf("not forgiven: rests %g ms, %+v", z.ClosedUntil-h.state.Now(), z)
 	}
 }
 
 func TestPlan(t *testing.T) {
-	h := begin(t, "a", "b", "c")
-	plan := func(shares ...share) Refusal { return h.apply("p-a", 1, codec.Plan, "", "", 0, 0, shares...) }
-	h.want("a plan", plan(share{Way{"a", "b"}, 400}, share{Way{"a", "c"}, 600}), Taken)
-	h.want("of nothing", plan(share{Way{"a", "b"}, 0}), TooMuch)
-	h.want("more than a zone has", plan(share{Way{"a", "b"}, codec.MostCores + 1}), Unreadable)
-	h.want("to itself", plan(share{Way{"a", "a"}, 1}), TooMuch)
-	h.want("twice", plan(share{Way{"a", "b"}, 1}, share{Way{"a", "b"}, 1}), TooMuch)
-	if h.b.Share("a", "c") != 600 {
+	h := newProposer(t, "a", "b", "c")
+	plan := func(shares ...plannedShare) Refusal { return h.apply("p-a", 1, codec.Plan, "", "", 0, 0, shares...) }
+	h.expect("a plan", plan(plannedShare{Route{"a", "b"}, 400}, plannedShare{Route{"a", "c"}, 600}), Accepted)
+	h.expect("of nothing", plan(plannedShare{Route{"a", "b"}, 0}), InvalidShare)
+	h.expect("more than a zone has", plan(plannedShare{Route{"a", "b"}, codec.MostCores + 1}), Malformed)
+	h.expect("to itself", plan(plannedShare{Route{"a", "a"}, 1}), InvalidShare)
+	h.expect("twice", plan(plannedShare{Route{"a", "b"}, 1}, plannedShare{Route{"a", "b"}, 1}), InvalidShare)
+	if h.state.Share("a", "c") != 600 {
 		t.Error("a refused plan has changed the one that stands")
 	}
-	h.verdict("p-b", "a", Suspect)
-	h.verdict("p-b", "a", Open)
-	if h.b.Share("a", "c") != 0 {
+	h.setZoneState("p-b", "a", Suspect)
+	h.setZoneState("p-b", "a", Open)
+	if h.state.Share("a", "c") != 0 {
 		t.Error("something still leaves a zone that is open")
 	}
 }
 
 func TestRead(t *testing.T) {
-	h := begin(t, "a", "b")
-	h.verdict("p-a", "b", Suspect)
-	h.apply("p-a", 1, codec.Plan, "", "", 0, 0, share{Way{"a", "b"}, 7})
-	text := h.b.Snapshot()
+	h := newProposer(t, "a", "b")
+	h.setZoneState("p-a", "b", Suspect)
+	h.apply("p-a", 1, codec.Plan, "", "", 0, 0, plannedShare{Route{"a", "b"}, 7})
+	text := h.state.Snapshot()
 	again, err := Read(text)
 	if err != nil || !bytes.Equal(again.Snapshot(), text) {
 		t.Errorf("%v", err)
@@ -245,10 +245,10 @@
 			if err := one.Check(); err != nil {
 				t.Fatal(err)
 			}
-			if one.epochs < last {
-				t.Fatalf("%d epochs after %d", one.epochs, last)
+			if one.lastEpoch < last {
+				t.Fatalf("%d epochs after %d", one.lastEpoch, last)
 			}
-			last = one.epochs
+			last = one.lastEpoch
 		}
 	})
 }
--- a/internal/decide/consensus/consensus_test.go
+++ b/internal/decide/consensus/consensus_test.go
@@ -245,7 +245,7 @@
 	x.pass(6000)
 	x.begin("d", 1, 4, Faults{})
 	x.pass(6000)
-	if p, _ := x.all["a"].c.State().Process("d"); p.Life != 8 || x.all["d"].c.Life() != 8 {
+	if p, _ := x.all["a"].c.State().Process("d"); p.Incarnation != 8 || x.all["d"].c.Life() != 8 {
 		t.Errorf("%+v, it thinks it is in life %d", p, x.all["d"].c.Life())
 	}
 }
@@ -277,8 +277,8 @@
 	delete(x.mute, "d")
 	x.pass(5000)
 	for _, name := range []string{"a", "b", "c", "d"} {
-		if p, ok := x.all[name].c.State().Process("d"); !ok || p.Life != 1 {
-			t.Errorf("in %s's state d acts in incarnation %d, %v", name, p.Life, ok)
+		if p, ok := x.all[name].c.State().Process("d"); !ok || p.Incarnation != 1 {
+			t.Errorf("in %s's state d acts in incarnation %d, %v", name, p.Incarnation, ok)
 		}
 	}
 	if n := len(x.all["d"].c.proposals); n > 0 {
--- a/internal/decide/consensus/storage.go
+++ b/internal/decide/consensus/storage.go
@@ -84,7 +84,7 @@
 		if err != nil {
 			panic(err)
 		}
-		if refused != clusterstate.Taken {
+		if refused != clusterstate.Accepted {
 			r.effects.Log(fmt.Sprintf("command %d refused: %s", e.GetIndex(), refused))
 		}
 	}
@@ -93,7 +93,7 @@
 		return
 	}
 	for _, p := range b.Processes() { // followers would learn of it by their next probe; commits are rare and should take effect soon
-		if !p.Out && slices.Index(r.config.Voters, p.Name) < 0 {
+		if !p.Inactive && slices.Index(r.config.Voters, p.Name) < 0 {
 			r.sendMessage(p.Name, codec.Word, nil, 0, b.Version(), r.lastWritten(), 0, 0)
 		}
 	}
--- a/internal/decide/consensus/transfer.go
+++ b/internal/decide/consensus/transfer.go
@@ -83,9 +83,9 @@
 		r.proposals = r.proposals[1:] // proposals are sent one at a time: it is the first one's result
 		r.nextSendAt = r.now
 		r.onResult(number, refused)
-	} else if p, there := b.Process(r.config.Name); there && p.Life > r.config.Life && r.incarnationRaises < maxIncarnationRaises { // this process's data directory was lost
+	} else if p, there := b.Process(r.config.Name); there && p.Incarnation > r.config.Life && r.incarnationRaises < maxIncarnationRaises { // this process's data directory was lost
 		r.incarnationRaises++
-		r.config.Life, r.number, r.proposals = p.Life+1, 0, nil
+		r.config.Life, r.number, r.proposals = p.Incarnation+1, 0, nil
 		r.join()
 	}
 }
--- a/internal/decide/zones/zones.go
+++ b/internal/decide/zones/zones.go
@@ -114,7 +114,7 @@
 	for name, r := range j.reports {
 		p, ok := b.Process(name)
 		s, about := r.sums[zone]
-		if !ok || p.Out || p.Zone == zone || now-r.at > fresh || !about || s.Nodes == 0 {
+		if !ok || p.Inactive || p.Zone == zone || now-r.at > fresh || !about || s.Nodes == 0 {
 			continue
 		}
 		v := by[p.Zone]
@@ -204,7 +204,7 @@
 		return clusterstate.Closed, ""
 	case z.State == clusterstate.Suspect && sp.how >= 0 && since >= calmFor:
 		return clusterstate.Open, "heard again"
-	case z.State == clusterstate.Closed && wellFor(returnFor) && now >= z.Rest:
+	case z.State == clusterstate.Closed && wellFor(returnFor) && now >= z.ClosedUntil:
 		return clusterstate.Returning, "heard again"
 	case z.State == clusterstate.Returning && lostFor(closeFor):
 		return clusterstate.Closed, ""
@@ -224,7 +224,7 @@
 		return clusterstate.Suspect
 	case z.State == clusterstate.Suspect || z.State == clusterstate.Returning:
 		return want
-	case now >= z.Rest:
+	case now >= z.ClosedUntil:
 		return clusterstate.Returning
 	}
 	return z.State
@@ -265,7 +265,7 @@
 			}
 		}
 	}
-	want := map[clusterstate.Way]uint32{}
+	want := map[clusterstate.Route]uint32{}
 	froms := slices.Sorted(maps.Keys(need))
 	for _, from := range froms {
 		left, many := need[from], float64(len(froms))
@@ -274,7 +274,7 @@
 		})
 		for _, to := range tos {
 			if take := math.Floor(min(left, spare[to]/many, codec.MostCores)); take > 0 {
-				want[clusterstate.Way{From: from, To: to}] = uint32(take)
+				want[clusterstate.Route{From: from, To: to}] = uint32(take)
 				left -= take
 			}
 		}
@@ -285,7 +285,7 @@
 	}
 	version, held := b.Plan()
 	off, had := uint32(0), 0
-	held(func(w clusterstate.Way, cores uint32) bool {
+	held(func(w clusterstate.Route, cores uint32) bool {
 		had++
 		off = max(off, max(cores, want[w])-min(cores, want[w]))
 		return true
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -61,7 +61,7 @@
 			x.j.Report(x.now, p.Name, sums)
 		}
 		for _, p := range x.j.Decide(x.now, x.b, names, x.held) {
-			if x.verdict(p.Zone, p.Seen, p.To) == clusterstate.Taken && p.To == clusterstate.Closed {
+			if x.verdict(p.Zone, p.Seen, p.To) == clusterstate.Accepted && p.To == clusterstate.Closed {
 				x.closed++
 			}
 		}
--- a/internal/lab/council/council.go
+++ b/internal/lab/council/council.go
@@ -182,8 +182,8 @@
 		for _, x := range g.procs {
 			if b := x.r.View().Book; b.Now() > 0 {
 				for _, y := range g.procs {
-					if p, ok := b.Process(y.name); !ok || p.Life != y.life {
-						g.fail(fmt.Sprintf("%s holds %s in life %d, it acts in %d", x.name, y.name, p.Life, y.life))
+					if p, ok := b.Process(y.name); !ok || p.Incarnation != y.life {
+						g.fail(fmt.Sprintf("%s holds %s in life %d, it acts in %d", x.name, y.name, p.Incarnation, y.life))
 					}
 				}
 			}
--- a/internal/lab/scale/regions/heal.go
+++ b/internal/lab/scale/regions/heal.go
@@ -92,5 +92,5 @@
 		return false
 	}
 	p, ok := s.processes[0].control.View().Book.Process(s.restarted.name)
-	return ok && p.Life == s.restarted.incarnation && !p.Out
+	return ok && p.Incarnation == s.restarted.incarnation && !p.Inactive
 }
--- a/internal/lab/scale/regions/process.go
+++ b/internal/lab/scale/regions/process.go
@@ -131,7 +131,7 @@
 	p.control.Report(sums)
 	p.tellNodes(silent)
 	view, now := p.control.View(), p.world.Now()
-	p.reach.Look(now, view.Book, now < view.Sure, sums, 0, nil, view.Book.Acting(p.zone.name))
+	p.reach.Look(now, view.Book, now < view.Sure, sums, 0, nil, view.Book.ActiveProcesses(p.zone.name))
 }
 
 // tellNodes tells the detector which nodes are lost, or back, when that has changed.
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -213,7 +213,7 @@
 		}
 		x.sure = sure
 		was := x.surely
-		x.parts = x.reach.Look(x.p.Now(), view.Book, sure, sums, 0, x.own, view.Book.Acting(x.zone))
+		x.parts = x.reach.Look(x.p.Now(), view.Book, sure, sums, 0, x.own, view.Book.ActiveProcesses(x.zone))
 		if g.plant.Uncapped && sure && view.Book.Zone(x.zone).State == clusterstate.Closed {
 			for z := range x.parts {
 				if view.Book.Zone(z).State == clusterstate.Open {
@@ -257,7 +257,7 @@
 		}
 		plan, _ := view.Book.Plan()
 		if home := view.Book.Zone(x.zone); home.State == clusterstate.Closed && plan > home.Version && z.Name != x.zone && part > 0 { // it keeps to its share
-			if most := float64(view.Book.Share(x.zone, z.Name)) / float64(view.Book.Acting(x.zone)); x.own[z.Name] > most {
+			if most := float64(view.Book.Share(x.zone, z.Name)) / float64(view.Book.ActiveProcesses(x.zone)); x.own[z.Name] > most {
 				g.fail(fmt.Sprintf("%s of %s uses %.0f cores of %s, its share is %.0f, and sends more", x.name, x.zone, x.own[z.Name], z.Name, most))
 			}
 		}
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -123,7 +123,7 @@
 	if home == clusterstate.Closed {
 		s.countOwn(nodes)
 	}
-	parts := v.reach.Look(now, view.Book, sure, v.sums, 0, v.own, view.Book.Acting(v.reach.Own))
+	parts := v.reach.Look(now, view.Book, sure, v.sums, 0, v.own, view.Book.ActiveProcesses(v.reach.Own))
 	if !maps.Equal(parts, v.parts) || sure != v.sure || v.reach.Level() != v.level {
 		s.log.Info().Str("mode", "zones").Interface("parts", parts).Bool("sure", sure).Int("level", v.reach.Level()).Uint64("version", view.Book.Version()).
 			Float64("unix_ms", now+float64(outside.Epoch.UnixMilli())).Msg("sends to")
