--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -100,7 +100,7 @@
 	r.c = c
 	c.SetReportHandler(func(from string, b []byte) {
 		sums := map[string]zones.Sum{}
-		if codec.ReadSums(b, func(zone string, nodes, heard int, room, used float64) {
+		if codec.ReadZoneSummaries(b, func(zone string, nodes, heard int, room, used float64) {
 			sums[zone] = zones.Sum{Nodes: nodes, Heard: heard, Room: room, Used: used}
 		}) == nil {
 			r.judge.Report(r.w.Now(), from, sums)
@@ -178,12 +178,12 @@
 	for _, p := range r.judge.Decide(now, b, r.site.Zones, r.site.Held) {
 		r.log.Info().Str("mode", "zones").Str("zone", p.Zone).Stringer("is", b.Zone(p.Zone).State).Stringer("wanted", p.To).Str("cause", p.Cause).Msg("verdict proposed")
 		r.c.Propose(func(out []byte, number uint64) []byte {
-			return codec.AppendCommand(out, r.c.Name(), r.c.Life(), number, now, codec.Verdict, p.Zone, "", "", p.Seen, uint32(p.To), p.Cause)
+			return codec.AppendCommand(out, r.c.Name(), r.c.Life(), number, now, codec.CommandSetZoneState, p.Zone, "", "", p.Seen, uint32(p.To), p.Cause)
 		})
 	}
 	if plan, ok := r.judge.Plan(now, b, r.site.Zones, r.site.Far); ok {
 		r.c.Propose(func(out []byte, number uint64) []byte {
-			out = codec.AppendCommand(out, r.c.Name(), r.c.Life(), number, now, codec.Plan, "", "", "", 0, 0, "")
+			out = codec.AppendCommand(out, r.c.Name(), r.c.Life(), number, now, codec.CommandSetPlan, "", "", "", 0, 0, "")
 			for _, s := range plan {
 				out = codec.AppendShare(out, s.From, s.To, s.Cores)
 			}
@@ -194,10 +194,10 @@
 
 // Report tells the leader what this process hears of the zones.
 func (r *Runner) Report(sums map[string]zones.Sum) {
-	b := codec.AppendMessage(nil, codec.Report, nil, 0, 0, 0, 0, 0)
+	b := codec.AppendMessage(nil, codec.MessageZoneReport, nil, 0, 0, 0, 0, 0)
 	for _, zone := range slices.Sorted(maps.Keys(sums)) {
 		s := sums[zone]
-		b = codec.AppendSum(b, zone, s.Nodes, s.Heard, s.Room, s.Used)
+		b = codec.AppendZoneSummary(b, zone, s.Nodes, s.Heard, s.Room, s.Used)
 	}
 	r.Ask(func(c *consensus.Replica) { c.Report(b) })
 }
--- a/internal/decide/clusterstate/clusterstate.go
+++ b/internal/decide/clusterstate/clusterstate.go
@@ -203,13 +203,13 @@
 			}
 			s.now = max(s.now, at) // the council lets no time in that is far from its leader's
 			switch kind {
-			case codec.Act:
+			case codec.CommandActivate:
 				refusal = s.activate(subject, incarnation, zone, region, subject == name)
-			case codec.Out:
+			case codec.CommandDeactivate:
 				refusal = s.deactivate(subject, epoch)
-			case codec.Verdict:
+			case codec.CommandSetZoneState:
 				refusal = s.setZoneState(subject, epoch, ZoneState(state), cause)
-			case codec.Plan:
+			case codec.CommandSetPlan:
 				refusal = s.setPlan(shares)
 			}
 			if p, ok := s.processes[name]; ok { // strangers are not kept
@@ -352,7 +352,7 @@
 		}
 	}
 	for route, cores := range s.shares {
-		if cores == 0 || cores > codec.MostCores || route.From == route.To {
+		if cores == 0 || cores > codec.MaxCores || route.From == route.To {
 			return fmt.Errorf("%w: %d cores of what leaves %s to %s", ErrInvalid, cores, route.From, route.To)
 		}
 	}
@@ -369,7 +369,7 @@
 		out = codec.AppendZone(out, z.Name, uint32(z.State), z.Since, z.Version, z.RecentClosings, z.ClosedUntil, z.Cause)
 	}
 	for _, route := range s.sortedRoutes() {
-		out = codec.AppendHeld(out, route.From, route.To, s.shares[route])
+		out = codec.AppendPlanShare(out, route.From, route.To, s.shares[route])
 	}
 	return out
 }
@@ -388,16 +388,16 @@
 
 type snapshotHandler struct{ *State }
 
-func (t snapshotHandler) Head(version uint64, now float64, epochs, plan uint64) {
+func (t snapshotHandler) OnHeader(version uint64, now float64, epochs, plan uint64) {
 	t.version, t.now, t.lastEpoch, t.planVersion = version, now, epochs, plan
 }
 
-func (t snapshotHandler) Process(name string, life, epoch uint64, zone, region string, out bool, number uint64, refused uint32, speaks uint64) {
+func (t snapshotHandler) OnProcess(name string, life, epoch uint64, zone, region string, out bool, number uint64, refused uint32, speaks uint64) {
 	t.processes[name] = Process{name, zone, region, life, epoch, out, number, speaks, Refusal(refused)}
 }
 
-func (t snapshotHandler) Zone(name string, state uint32, since float64, version uint64, closings uint32, rest float64, cause string) {
+func (t snapshotHandler) OnZone(name string, state uint32, since float64, version uint64, closings uint32, rest float64, cause string) {
 	t.zones[name] = Zone{name, ZoneState(state), since, version, closings, rest, cause}
 }
 
-func (t snapshotHandler) Held(from, to string, part uint32) { t.shares[Route{from, to}] = part }
+func (t snapshotHandler) OnPlanShare(from, to string, part uint32) { t.shares[Route{from, to}] = part }
--- a/internal/decide/clusterstate/clusterstate_test.go
+++ b/internal/decide/clusterstate/clusterstate_test.go
@@ -41,11 +41,11 @@
 }
 
 func (h *proposer) activate(name string, incarnation uint64, zone string) Refusal {
-	return h.apply(name, incarnation, codec.Act, name, zone, 0, 0)
+	return h.apply(name, incarnation, codec.CommandActivate, name, zone, 0, 0)
 }
 
 func (h *proposer) setZoneState(by, zone string, to ZoneState) Refusal {
-	return h.apply(by, 1, codec.Verdict, zone, "", h.state.Zone(zone).Version, to)
+	return h.apply(by, 1, codec.CommandSetZoneState, zone, "", h.state.Zone(zone).Version, to)
 }
 
 func (h *proposer) expect(what string, got, want Refusal) {
@@ -68,16 +68,16 @@
 	if p, _ = h.state.Process("p-a"); p.Epoch != 3 {
 		t.Errorf("%+v", p)
 	}
-	h.expect("out under an older epoch", h.apply("p-b", 1, codec.Out, "p-a", "", 1, 0), UnknownProcess)
-	h.expect("out", h.apply("p-b", 1, codec.Out, "p-a", "", 3, 0), Accepted)
-	h.expect("out twice", h.apply("p-b", 1, codec.Out, "p-a", "", 3, 0), UnknownProcess)
+	h.expect("out under an older epoch", h.apply("p-b", 1, codec.CommandDeactivate, "p-a", "", 1, 0), UnknownProcess)
+	h.expect("out", h.apply("p-b", 1, codec.CommandDeactivate, "p-a", "", 3, 0), Accepted)
+	h.expect("out twice", h.apply("p-b", 1, codec.CommandDeactivate, "p-a", "", 3, 0), UnknownProcess)
 	h.expect("back", h.activate("p-a", 4, "a"), Accepted)
 	if p, _ = h.state.Process("p-a"); p.Inactive || p.Epoch != 4 {
 		t.Errorf("%+v", p)
 	}
 	version := h.state.Version()
-	h.expect("for another", h.apply("p-b", 1, codec.Act, "p-a", "z", 0, 0), UnknownProcess)
-	old := codec.AppendCommand(nil, "p-a", 3, 99, h.now, codec.Act, "p-a", "z", "", 0, 0, "")
+	h.expect("for another", h.apply("p-b", 1, codec.CommandActivate, "p-a", "z", 0, 0), UnknownProcess)
+	old := codec.AppendCommand(nil, "p-a", 3, 99, h.now, codec.CommandActivate, "p-a", "z", "", 0, 0, "")
 	if _, err := h.state.Apply(version+2, old); err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 // TestAgain has a command come again: it has no effect, and says what it said.
 func TestAgain(t *testing.T) {
 	h := newProposer(t, "a", "b")
-	c := codec.AppendCommand(nil, "p-a", 1, 50, h.now, codec.Verdict, "b", "", "", 0, uint32(Suspect), "x")
+	c := codec.AppendCommand(nil, "p-a", 1, 50, h.now, codec.CommandSetZoneState, "b", "", "", 0, uint32(Suspect), "x")
 	for range 3 {
 		before := h.state.Zone("b")
 		refused, _ := h.state.Apply(h.state.Version()+1, c)
@@ -109,7 +109,7 @@
 	h := newProposer(t, "a", "b")
 	h.expect("closed at once", h.setZoneState("p-a", "b", Closed), InvalidTransition)
 	h.expect("suspect", h.setZoneState("p-a", "b", Suspect), Accepted)
-	h.expect("by one who saw it open", h.apply("p-a", 1, codec.Verdict, "b", "", 0, Suspect), StaleZoneVersion)
+	h.expect("by one who saw it open", h.apply("p-a", 1, codec.CommandSetZoneState, "b", "", 0, Suspect), StaleZoneVersion)
 	h.expect("closed", h.setZoneState("p-a", "b", Closed), Accepted)
 	h.expect("suspect", h.setZoneState("p-b", "a", Suspect), Accepted)
 	h.expect("the last one", h.setZoneState("p-b", "a", Closed), LastOpenZone)
@@ -160,10 +160,12 @@
 
 func TestPlan(t *testing.T) {
 	h := newProposer(t, "a", "b", "c")
-	plan := func(shares ...plannedShare) Refusal { return h.apply("p-a", 1, codec.Plan, "", "", 0, 0, shares...) }
+	plan := func(shares ...plannedShare) Refusal {
+		return h.apply("p-a", 1, codec.CommandSetPlan, "", "", 0, 0, shares...)
+	}
 	h.expect("a plan", plan(plannedShare{Route{"a", "b"}, 400}, plannedShare{Route{"a", "c"}, 600}), Accepted)
 	h.expect("of nothing", plan(plannedShare{Route{"a", "b"}, 0}), InvalidShare)
-	h.expect("more than a zone has", plan(plannedShare{Route{"a", "b"}, codec.MostCores + 1}), Malformed)
+	h.expect("more than a zone has", plan(plannedShare{Route{"a", "b"}, codec.MaxCores + 1}), Malformed)
 	h.expect("to itself", plan(plannedShare{Route{"a", "a"}, 1}), InvalidShare)
 	h.expect("twice", plan(plannedShare{Route{"a", "b"}, 1}, plannedShare{Route{"a", "b"}, 1}), InvalidShare)
 	if h.state.Share("a", "c") != 600 {
@@ -179,7 +181,7 @@
 func TestRead(t *testing.T) {
 	h := newProposer(t, "a", "b")
 	h.setZoneState("p-a", "b", Suspect)
-	h.apply("p-a", 1, codec.Plan, "", "", 0, 0, plannedShare{Route{"a", "b"}, 7})
+	h.apply("p-a", 1, codec.CommandSetPlan, "", "", 0, 0, plannedShare{Route{"a", "b"}, 7})
 	text := h.state.Snapshot()
 	again, err := Read(text)
 	if err != nil || !bytes.Equal(again.Snapshot(), text) {
@@ -209,13 +211,13 @@
 		last, now := uint64(0), 1e6
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			now += rapid.Float64Range(-1000, 20000).Draw(t, "passes")
-			kind := rapid.SampledFrom([]uint32{codec.Act, codec.Act, codec.Out, codec.Verdict, codec.Verdict, codec.Plan, 77}).Draw(t, "kind")
+			kind := rapid.SampledFrom([]uint32{codec.CommandActivate, codec.CommandActivate, codec.CommandDeactivate, codec.CommandSetZoneState, codec.CommandSetZoneState, codec.CommandSetPlan, 77}).Draw(t, "kind")
 			name, subject := rapid.SampledFrom(names).Draw(t, "by"), rapid.SampledFrom(append(names, zones...)).Draw(t, "subject")
 			epoch := rapid.Uint64Range(0, 9).Draw(t, "epoch")
-			if kind == codec.Verdict && rapid.Bool().Draw(t, "seen") {
+			if kind == codec.CommandSetZoneState && rapid.Bool().Draw(t, "seen") {
 				epoch = one.Zone(subject).Version
 			}
-			if kind == codec.Act && rapid.Bool().Draw(t, "own") {
+			if kind == codec.CommandActivate && rapid.Bool().Draw(t, "own") {
 				subject = name
 			}
 			at := rapid.SampledFrom([]float64{now, now, now, 0, math.Inf(1), math.NaN(), 1e300}).Draw(t, "at")
--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -207,8 +207,8 @@
 // sendMessage encodes and sends a message.
 func (r *Replica) sendMessage(to string, kind uint32, body []byte, number, version, written, offset, total uint64) {
 	b := codec.AppendMessage(nil, kind, body, number, version, written, offset, total)
-	if kind == codec.Word && r.isLeader {
-		b = codec.AppendLeads(b)
+	if kind == codec.MessageProbeReply && r.isLeader {
+		b = codec.AppendLeaderFlag(b)
 	}
 	r.send(to, b)
 }
@@ -224,26 +224,26 @@
 	r.now = max(r.now, now)
 	_ = codec.ReadMessage(b, func(kind uint32, body []byte, number, version, written, offset, total uint64, leads bool) {
 		switch kind {
-		case codec.Council:
+		case codec.MessageRaft:
 			r.stepRaft(from, body)
-		case codec.Ask:
+		case codec.MessageProbe:
 			if r.engine != nil && r.haltReason == "" {
-				r.sendMessage(from, codec.Word, nil, number, r.state.Version(), r.lastWritten(), 0, 0)
+				r.sendMessage(from, codec.MessageProbeReply, nil, number, r.state.Version(), r.lastWritten(), 0, 0)
 			}
-		case codec.Word:
+		case codec.MessageProbeReply:
 			r.onProbeReply(from, number, version, written)
 			if leads {
 				r.leader = from
 			} else if r.leader == from {
 				r.leader = ""
 			}
-		case codec.Fetch:
+		case codec.MessageFetchChunk:
 			r.sendChunk(from, number, offset)
-		case codec.Page:
+		case codec.MessageChunk:
 			r.onChunk(from, body, version, offset, total)
-		case codec.Proposal:
+		case codec.MessageProposal:
 			r.onProposal(body)
-		case codec.Report:
+		case codec.MessageZoneReport:
 			if r.isLeader {
 				r.onReport(from, b)
 			}
--- a/internal/decide/consensus/consensus_test.go
+++ b/internal/decide/consensus/consensus_test.go
@@ -147,7 +147,7 @@
 	c.SetResultHandler(func(number uint64, r clusterstate.Refusal) { got = append(got, fmt.Sprint(number, " ", r)) })
 	verdict := func(zone string, to clusterstate.ZoneState) {
 		c.Propose(func(b []byte, number uint64) []byte {
-			return codec.AppendCommand(b, "d", 1, number, x.now, codec.Verdict, zone, "", "", c.State().Zone(zone).Version, uint32(to), "")
+			return codec.AppendCommand(b, "d", 1, number, x.now, codec.CommandSetZoneState, zone, "", "", c.State().Zone(zone).Version, uint32(to), "")
 		})
 	}
 	verdict("za", clusterstate.Suspect)
@@ -174,7 +174,7 @@
 	l := x.leader()
 	x.all[l].fails = true
 	x.all[l].c.Propose(func(b []byte, number uint64) []byte {
-		return codec.AppendCommand(b, l, 1, number, x.now, codec.Verdict, "za", "", "", 0, uint32(clusterstate.Suspect), "")
+		return codec.AppendCommand(b, l, 1, number, x.now, codec.CommandSetZoneState, "za", "", "", 0, uint32(clusterstate.Suspect), "")
 	})
 	x.pass(8000)
 	if s := x.all[l]; s.c.HaltReason() == "" || s.c.IsLeader() {
@@ -203,13 +203,13 @@
 	pages := func(b *clusterstate.State) (all [][]byte) {
 		text := b.Snapshot()
 		for i := 0; i < len(text); i += 40 {
-			all = append(all, codec.AppendMessage(nil, codec.Page, text[i:min(i+40, len(text))], 0, b.Version(), 0, uint64(i), uint64(len(text))))
+			all = append(all, codec.AppendMessage(nil, codec.MessageChunk, text[i:min(i+40, len(text))], 0, b.Version(), 0, uint64(i), uint64(len(text))))
 		}
 		return all
 	}
 	older, newer := clusterstate.New(), clusterstate.New()
 	for v := uint64(1); v < 9; v++ {
-		c := codec.AppendCommand(nil, fmt.Sprint("p", v), 1, 1, 1, codec.Act, fmt.Sprint("p", v), "z", "", 0, 0, "")
+		c := codec.AppendCommand(nil, fmt.Sprint("p", v), 1, 1, 1, codec.CommandActivate, fmt.Sprint("p", v), "z", "", 0, 0, "")
 		if v < 5 {
 			_, _ = older.Apply(v, c)
 		}
@@ -295,9 +295,9 @@
 	x.pass(3000)
 	leader := x.all[x.leader()].c
 	before := leader.State().Version()
-	command := codec.AppendCommand(nil, "d", 1, 1, x.now, codec.Act, "d", "zd", "", 0, 0, "")
+	command := codec.AppendCommand(nil, "d", 1, 1, x.now, codec.CommandActivate, "d", "zd", "", 0, 0, "")
 	for range 20 {
-		leader.OnMessage(x.now, "d", codec.AppendMessage(nil, codec.Proposal, command, 0, 0, 0, 0, 0))
+		leader.OnMessage(x.now, "d", codec.AppendMessage(nil, codec.MessageProposal, command, 0, 0, 0, 0, 0))
 		x.pass(100)
 	}
 	if after := leader.State().Version(); before == 0 || after != before {
--- a/internal/decide/consensus/lease.go
+++ b/internal/decide/consensus/lease.go
@@ -26,7 +26,7 @@
 	for _, name := range r.config.Voters {
 		switch {
 		case name != r.config.Name:
-			r.sendMessage(name, codec.Ask, nil, r.lastProbe, r.state.Version(), 0, 0, 0)
+			r.sendMessage(name, codec.MessageProbe, nil, r.lastProbe, r.state.Version(), 0, 0, 0)
 		case r.isVoting():
 			r.probes[name] = probeReply{r.now, r.lastWritten()}
 		}
--- a/internal/decide/consensus/proposals.go
+++ b/internal/decide/consensus/proposals.go
@@ -45,7 +45,7 @@
 	to := r.config.Voters[r.nextVoter%len(r.config.Voters)]
 	r.nextVoter++
 	if to != r.config.Name {
-		r.sendMessage(to, codec.Proposal, w.body, 0, 0, 0, 0, 0)
+		r.sendMessage(to, codec.MessageProposal, w.body, 0, 0, 0, 0, 0)
 	}
 }
 
@@ -70,6 +70,6 @@
 // join proposes this process's incarnation. No other proposal of the incarnation has an effect before it.
 func (r *Replica) join() {
 	r.Propose(func(b []byte, number uint64) []byte {
-		return codec.AppendCommand(b, r.config.Name, r.config.Life, number, r.now, codec.Act, r.config.Name, r.config.Zone, r.config.Region, 0, 0, "")
+		return codec.AppendCommand(b, r.config.Name, r.config.Life, number, r.now, codec.CommandActivate, r.config.Name, r.config.Zone, r.config.Region, 0, 0, "")
 	})
 }
--- a/internal/decide/consensus/storage.go
+++ b/internal/decide/consensus/storage.go
@@ -94,7 +94,7 @@
 	}
 	for _, p := range b.Processes() { // followers would learn of it by their next probe; commits are rare and should take effect soon
 		if !p.Inactive && slices.Index(r.config.Voters, p.Name) < 0 {
-			r.sendMessage(p.Name, codec.Word, nil, 0, b.Version(), r.lastWritten(), 0, 0)
+			r.sendMessage(p.Name, codec.MessageProbeReply, nil, 0, b.Version(), r.lastWritten(), 0, 0)
 		}
 	}
 }
--- a/internal/decide/consensus/transfer.go
+++ b/internal/decide/consensus/transfer.go
@@ -20,7 +20,7 @@
 // requestChunk asks for the next chunk of the state transfer.
 func (r *Replica) requestChunk() {
 	r.transfer.at = r.now
-	r.sendMessage(r.transfer.from, codec.Fetch, nil, r.transfer.version, 0, 0, uint64(len(r.transfer.got)), 0)
+	r.sendMessage(r.transfer.from, codec.MessageFetchChunk, nil, r.transfer.version, 0, 0, uint64(len(r.transfer.got)), 0)
 }
 
 // sendChunk sends a chunk of the snapshot that the receiver started with, or the first chunk of the current one if that is gone.
@@ -37,7 +37,7 @@
 		text, is, offset = r.snapshot, r.snapshotVersion, 0
 	}
 	r.Stats.Pages++
-	r.sendMessage(to, codec.Page, text[offset:min(offset+chunkBytes, uint64(len(text)))], 0, is, 0, offset, uint64(len(text)))
+	r.sendMessage(to, codec.MessageChunk, text[offset:min(offset+chunkBytes, uint64(len(text)))], 0, is, 0, offset, uint64(len(text)))
 }
 
 // onChunk handles a chunk of the state transfer.
--- a/internal/decide/zones/zones.go
+++ b/internal/decide/zones/zones.go
@@ -273,7 +273,7 @@
 			return cmp.Or(cmp.Compare(far(from, x), far(from, y)), cmp.Compare(x, y))
 		})
 		for _, to := range tos {
-			if take := math.Floor(min(left, spare[to]/many, codec.MostCores)); take > 0 {
+			if take := math.Floor(min(left, spare[to]/many, codec.MaxCores)); take > 0 {
 				want[clusterstate.Route{From: from, To: to}] = uint32(take)
 				left -= take
 			}
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -32,14 +32,14 @@
 	x := &court{t: t, b: clusterstate.New(), now: 1e6, lost: map[string]bool{}, deaf: map[string]map[string]bool{}}
 	for i, z := range append(slices.Clone(names), names...) {
 		p := fmt.Sprint("p", i)
-		_, _ = x.b.Apply(x.b.Version()+1, codec.AppendCommand(nil, p, 1, 1, x.now, codec.Act, p, z, "", 0, 0, ""))
+		_, _ = x.b.Apply(x.b.Version()+1, codec.AppendCommand(nil, p, 1, 1, x.now, codec.CommandActivate, p, z, "", 0, 0, ""))
 	}
 	return x
 }
 
 func (x *court) verdict(zone string, seen uint64, to clusterstate.ZoneState) clusterstate.Refusal {
 	x.numbers++
-	r, err := x.b.Apply(x.b.Version()+1, codec.AppendCommand(nil, "p0", 1, 1+x.numbers, x.now, codec.Verdict, zone, "", "", seen, uint32(to), "t"))
+	r, err := x.b.Apply(x.b.Version()+1, codec.AppendCommand(nil, "p0", 1, 1+x.numbers, x.now, codec.CommandSetZoneState, zone, "", "", seen, uint32(to), "t"))
 	if err != nil {
 		x.t.Fatalf("%v", err)
 	}
@@ -228,7 +228,7 @@
 	x.pass(1500)
 	x.want("a", clusterstate.Closed)
 	x.numbers++
-	c := codec.AppendCommand(nil, "p0", 1, 1+x.numbers, x.now, codec.Plan, "", "", "", 0, 0, "")
+	c := codec.AppendCommand(nil, "p0", 1, 1+x.numbers, x.now, codec.CommandSetPlan, "", "", "", 0, 0, "")
 	c = codec.AppendShare(codec.AppendShare(c, "a", "b", 14), "a", "c", 21)
 	if _, err := x.b.Apply(x.b.Version()+1, c); err != nil {
 		t.Fatal(err)
--- a/internal/lab/council/council.go
+++ b/internal/lab/council/council.go
@@ -245,7 +245,7 @@
 	x.r.Ask(func(c *consensus.Replica) {
 		c.SetResultHandler(func(uint64, clusterstate.Refusal) { g.v.Answered++ })
 		c.Propose(func(b []byte, number uint64) []byte {
-			return codec.AppendCommand(b, x.name, c.Life(), number, now, codec.Verdict, zone, "", "", z.Version, uint32(to), "seed")
+			return codec.AppendCommand(b, x.name, c.Life(), number, now, codec.CommandSetZoneState, zone, "", "", z.Version, uint32(to), "seed")
 		})
 	})
 }
--- a/internal/lab/scale/regions/process.go
+++ b/internal/lab/scale/regions/process.go
@@ -160,7 +160,7 @@
 func (p *process) propose() {
 	p.control.Ask(func(c *consensus.Replica) {
 		number := c.Propose(func(b []byte, number uint64) []byte {
-			return codec.AppendCommand(b, p.name, c.Life(), number, p.world.Now(), codec.Act, p.name, p.zone.name, regionName(p.zone.region), 0, 0, "")
+			return codec.AppendCommand(b, p.name, c.Life(), number, p.world.Now(), codec.CommandActivate, p.name, p.zone.name, regionName(p.zone.region), 0, 0, "")
 		})
 		if number == 0 {
 			p.refused++
--- a/internal/lab/scale/regions/regions.go
+++ b/internal/lab/scale/regions/regions.go
@@ -182,8 +182,8 @@
 func (s *site) absentJoins(index int, now float64) []byte {
 	name, zone := fmt.Sprintf("absent-%04d", index), s.zones[index%len(s.zones)]
 	name += strings.Repeat("x", max(0, s.config.AbsentNameBytes-len(name)))
-	command := codec.AppendCommand(nil, name, 1, 1, now, codec.Act, name, zone.name, regionName(zone.region), 0, 0, "")
-	return codec.AppendMessage(nil, codec.Proposal, command, 0, 0, 0, 0, 0)
+	command := codec.AppendCommand(nil, name, 1, 1, now, codec.CommandActivate, name, zone.name, regionName(zone.region), 0, 0, "")
+	return codec.AppendMessage(nil, codec.MessageProposal, command, 0, 0, 0, 0, 0)
 }
 
 // play runs the three phases, with a reading each minute.
--- a/internal/proto/book/book.go
+++ b/internal/proto/book/book.go
@@ -13,36 +13,36 @@
 
 // Kinds of messages.
 const (
-	Council  = 1
-	Ask      = 2
-	Word     = 3
-	Fetch    = 4
-	Page     = 5
-	Proposal = 6
-	Report   = 7
+	MessageRaft       = 1
+	MessageProbe      = 2
+	MessageProbeReply = 3
+	MessageFetchChunk = 4
+	MessageChunk      = 5
+	MessageProposal   = 6
+	MessageZoneReport = 7
 )
 
 // Kinds of commands.
 const (
-	Act     = 1 // a process acts in a new life
-	Out     = 2 // a process is out
-	Verdict = 3 // on a zone
-	Plan    = 4 // who takes how much of whom
+	CommandActivate     = 1 // a process acts in a new life
+	CommandDeactivate   = 2 // a process is out
+	CommandSetZoneState = 3 // on a zone
+	CommandSetPlan      = 4 // who takes how much of whom
 )
 
 const (
-	form       = 1
-	longest    = 64 // of a name
-	longCause  = 200
-	mostShares = 4096
+	snapshotFormat = 1
+	maxNameBytes   = 64 // of a name
+	maxCauseBytes  = 200
+	maxShares      = 4096
 
-	MostCores = 1 << 20 // of a share
+	MaxCores = 1 << 20 // of a share
 )
 
 // Errors of reading.
 var (
-	ErrBad   = field.ErrBad
-	ErrNewer = errors.New("written by a later version")
+	ErrMalformed = field.ErrBad
+	ErrNewer     = errors.New("written by a later version")
 )
 
 // AppendMessage appends a message to another member. Fields that a kind does not have are empty.
@@ -58,17 +58,17 @@
 	return field.Whole(b, 7, total)
 }
 
-// AppendLeads says in a word that the sender leads the stewards.
-func AppendLeads(b []byte) []byte { return field.Whole(b, 8, 1) }
+// AppendLeaderFlag says in a word that the sender leads the stewards.
+func AppendLeaderFlag(b []byte) []byte { return field.Whole(b, 8, 1) }
 
-// AppendSum appends what is heard of a zone to a report.
-func AppendSum(b []byte, zone string, nodes, heard int, room, used float64) []byte {
-	s := field.Whole(field.Whole(field.Text(nil, 1, zone), 2, uint64(nodes)), 3, uint64(heard))
-	return field.Bytes(b, 9, field.Real(field.Real(s, 4, room), 5, used))
+// AppendZoneSummary appends what is heard of a zone to a report.
+func AppendZoneSummary(b []byte, zone string, nodes, reachable int, capacity, used float64) []byte {
+	s := field.Whole(field.Whole(field.Text(nil, 1, zone), 2, uint64(nodes)), 3, uint64(reachable))
+	return field.Bytes(b, 9, field.Real(field.Real(s, 4, capacity), 5, used))
 }
 
-// ReadSums gives what a report says of each zone to f.
-func ReadSums(b []byte, f func(zone string, nodes, heard int, room, used float64)) error {
+// ReadZoneSummaries gives what a report says of each zone to f.
+func ReadZoneSummaries(b []byte, handle func(zone string, nodes, reachable int, capacity, used float64)) error {
 	return field.Each(b, func(at protowire.Number, _ uint64, x []byte) bool {
 		if at != 9 {
 			return true
@@ -81,19 +81,19 @@
 			} else if int(at) < len(v) {
 				v[at] = n
 			}
-			return len(y) <= longest
+			return len(y) <= maxNameBytes
 		})
-		room, used := math.Float64frombits(v[4]), math.Float64frombits(v[5])
-		if err != nil || zone == "" || v[2] > math.MaxInt32 || v[3] > v[2] || !(room >= 0 && room < 1e12 && used >= 0 && used < 1e12) {
+		capacity, used := math.Float64frombits(v[4]), math.Float64frombits(v[5])
+		if err != nil || zone == "" || v[2] > math.MaxInt32 || v[3] > v[2] || !(capacity >= 0 && capacity < 1e12 && used >= 0 && used < 1e12) {
 			return false
 		}
-		f(zone, int(v[2]), int(v[3]), room, used)
+		handle(zone, int(v[2]), int(v[3]), capacity, used)
 		return true
 	})
 }
 
 // ReadMessage gives a message's fields to f.
-func ReadMessage(b []byte, f func(kind uint32, body []byte, number, version, written, offset, total uint64, leads bool)) error {
+func ReadMessage(b []byte, handle func(kind uint32, body []byte, number, version, written, offset, total uint64, leads bool)) error {
 	var v [9]uint64
 	var body []byte
 	err := field.Each(b, func(at protowire.Number, n uint64, x []byte) bool {
@@ -104,18 +104,18 @@
 		}
 		return true
 	})
-	if err != nil || v[1] < Council || v[1] > Report {
-		return ErrBad
+	if err != nil || v[1] < MessageRaft || v[1] > MessageZoneReport {
+		return ErrMalformed
 	}
-	f(uint32(v[1]), body, v[3], v[4], v[5], v[6], v[7], v[8] != 0)
+	handle(uint32(v[1]), body, v[3], v[4], v[5], v[6], v[7], v[8] != 0)
 	return nil
 }
 
 // AppendCommand appends a command. Shares follow by AppendShare.
-func AppendCommand(b []byte, name string, life, number uint64, at float64, kind uint32, subject, zone, region string, epoch uint64,
+func AppendCommand(b []byte, name string, incarnation, number uint64, at float64, kind uint32, subject, zone, region string, epoch uint64,
 	state uint32, cause string) []byte {
 	b = field.Text(b, 1, name)
-	b = field.Whole(b, 2, life)
+	b = field.Whole(b, 2, incarnation)
 	b = field.Whole(b, 3, number)
 	b = field.Real(b, 4, at)
 	b = field.Whole(b, 5, uint64(kind))
@@ -128,14 +128,16 @@
 }
 
 // AppendShare appends a share to a command (or, as the book's, to a snapshot).
-func AppendShare(b []byte, from, to string, part uint32) []byte { return share(b, 12, from, to, part) }
+func AppendShare(b []byte, from, to string, cores uint32) []byte {
+	return appendShare(b, 12, from, to, cores)
+}
 
-func share(b []byte, as protowire.Number, from, to string, part uint32) []byte {
-	return field.Bytes(b, as, field.Whole(field.Text(field.Text(nil, 1, from), 2, to), 3, uint64(part)))
+func appendShare(b []byte, number protowire.Number, from, to string, cores uint32) []byte {
+	return field.Bytes(b, number, field.Whole(field.Text(field.Text(nil, 1, from), 2, to), 3, uint64(cores)))
 }
 
 // ReadCommand gives a command's fields to f, its shares before to each.
-func ReadCommand(b []byte, each func(from, to string, part uint32), f func(name string, life, number uint64, at float64, kind uint32,
+func ReadCommand(b []byte, each func(from, to string, part uint32), handle func(name string, life, number uint64, at float64, kind uint32,
 	subject, zone, region string, epoch uint64, state uint32, cause string)) error {
 	var v [13]uint64
 	var s [13]string
@@ -144,23 +146,23 @@
 		switch {
 		case at == 12:
 			shares++
-			return shares <= mostShares && readShare(x, each)
+			return shares <= maxShares && readShare(x, each)
 		case int(at) < len(v):
 			v[at], s[at] = n, string(x)
 		}
-		return len(x) <= longest || at == 11 && len(x) <= longCause
+		return len(x) <= maxNameBytes || at == 11 && len(x) <= maxCauseBytes
 	})
 	when := math.Float64frombits(v[4])
 	if err != nil || s[1] == "" || v[2] == 0 || v[5] == 0 || v[5] > math.MaxUint32 || v[10] > math.MaxUint32 || math.IsNaN(when) || math.IsInf(when, 0) {
-		return ErrBad
+		return ErrMalformed
 	}
-	f(s[1], v[2], v[3], when, uint32(v[5]), s[6], s[7], s[8], v[9], uint32(v[10]), s[11])
+	handle(s[1], v[2], v[3], when, uint32(v[5]), s[6], s[7], s[8], v[9], uint32(v[10]), s[11])
 	return nil
 }
 
-func readShare(b []byte, each func(from, to string, part uint32)) bool {
+func readShare(b []byte, each func(from, to string, cores uint32)) bool {
 	var from, to string
-	var part uint64
+	var cores uint64
 	err := field.Each(b, func(at protowire.Number, n uint64, x []byte) bool {
 		switch at {
 		case 1:
@@ -168,20 +170,20 @@
 		case 2:
 			to = string(x)
 		case 3:
-			part = n
+			cores = n
 		}
-		return len(x) <= longest
+		return len(x) <= maxNameBytes
 	})
-	if err != nil || from == "" || to == "" || part > MostCores {
+	if err != nil || from == "" || to == "" || cores > MaxCores {
 		return false
 	}
-	each(from, to, uint32(part))
+	each(from, to, uint32(cores))
 	return true
 }
 
 // AppendHead appends the head of a snapshot; AppendProcess, AppendZone and AppendHeld follow, each in its order.
 func AppendHead(b []byte, version uint64, now float64, epochs, plan uint64) []byte {
-	b = field.Whole(b, 1, form)
+	b = field.Whole(b, 1, snapshotFormat)
 	b = field.Whole(b, 2, version)
 	b = field.Real(b, 3, now)
 	b = field.Whole(b, 4, epochs)
@@ -189,35 +191,37 @@
 }
 
 // AppendProcess appends a process to a snapshot.
-func AppendProcess(b []byte, name string, life, epoch uint64, zone, region string, out bool, number uint64, refused uint32, speaks uint64) []byte {
-	p := field.Whole(field.Whole(field.Text(nil, 1, name), 2, life), 3, epoch)
+func AppendProcess(b []byte, name string, incarnation, epoch uint64, zone, region string, inactive bool, number uint64, refused uint32, commandIncarnation uint64) []byte {
+	p := field.Whole(field.Whole(field.Text(nil, 1, name), 2, incarnation), 3, epoch)
 	p = field.Text(field.Text(p, 4, zone), 5, region)
-	if out {
+	if inactive {
 		p = field.Whole(p, 6, 1)
 	}
-	return field.Bytes(b, 5, field.Whole(field.Whole(field.Whole(p, 7, number), 8, uint64(refused)), 9, speaks))
+	return field.Bytes(b, 5, field.Whole(field.Whole(field.Whole(p, 7, number), 8, uint64(refused)), 9, commandIncarnation))
 }
 
 // AppendZone appends a zone to a snapshot.
-func AppendZone(b []byte, name string, state uint32, since float64, version uint64, closings uint32, rest float64, cause string) []byte {
+func AppendZone(b []byte, name string, state uint32, since float64, version uint64, closings uint32, closedUntil float64, cause string) []byte {
 	z := field.Real(field.Whole(field.Text(nil, 1, name), 2, uint64(state)), 3, since)
-	z = field.Real(field.Whole(field.Whole(z, 4, version), 5, uint64(closings)), 6, rest)
+	z = field.Real(field.Whole(field.Whole(z, 4, version), 5, uint64(closings)), 6, closedUntil)
 	return field.Bytes(b, 6, field.Text(z, 7, cause))
 }
 
-// AppendHeld appends a share of the plan to a snapshot.
-func AppendHeld(b []byte, from, to string, part uint32) []byte { return share(b, 7, from, to, part) }
+// AppendPlanShare appends a share of the plan to a snapshot.
+func AppendPlanShare(b []byte, from, to string, cores uint32) []byte {
+	return appendShare(b, 7, from, to, cores)
+}
 
-// Taker takes what a snapshot holds, its head first.
-type Taker interface {
-	Head(version uint64, now float64, epochs, plan uint64)
-	Process(name string, life, epoch uint64, zone, region string, out bool, number uint64, refused uint32, speaks uint64)
-	Zone(name string, state uint32, since float64, version uint64, closings uint32, rest float64, cause string)
-	Held(from, to string, part uint32)
+// SnapshotHandler takes what a snapshot holds, its head first.
+type SnapshotHandler interface {
+	OnHeader(version uint64, now float64, epochs, plan uint64)
+	OnProcess(name string, life, epoch uint64, zone, region string, out bool, number uint64, refused uint32, speaks uint64)
+	OnZone(name string, state uint32, since float64, version uint64, closings uint32, rest float64, cause string)
+	OnPlanShare(from, to string, part uint32)
 }
 
 // ReadSnapshot gives what a snapshot holds to t.
-func ReadSnapshot(b []byte, t Taker) error {
+func ReadSnapshot(b []byte, handler SnapshotHandler) error {
 	var v [9]uint64
 	if err := field.Each(b, func(at protowire.Number, n uint64, _ []byte) bool {
 		if int(at) < len(v) {
@@ -228,12 +232,12 @@
 		return err
 	}
 	switch {
-	case v[1] > form:
+	case v[1] > snapshotFormat:
 		return ErrNewer
 	case v[1] == 0:
-		return ErrBad
+		return ErrMalformed
 	}
-	t.Head(v[2], math.Float64frombits(v[3]), v[4], v[8])
+	handler.OnHeader(v[2], math.Float64frombits(v[3]), v[4], v[8])
 	return field.Each(b, func(at protowire.Number, _ uint64, x []byte) bool {
 		var n [10]uint64
 		var s [10]string
@@ -241,7 +245,7 @@
 			return true
 		}
 		if at == 7 {
-			return readShare(x, t.Held)
+			return readShare(x, handler.OnPlanShare)
 		}
 		if field.Each(x, func(f protowire.Number, v uint64, y []byte) bool {
 			if int(f) < len(n) {
@@ -252,9 +256,9 @@
 			return false
 		}
 		if at == 5 {
-			t.Process(s[1], n[2], n[3], s[4], s[5], n[6] != 0, n[7], uint32(n[8]), n[9])
+			handler.OnProcess(s[1], n[2], n[3], s[4], s[5], n[6] != 0, n[7], uint32(n[8]), n[9])
 		} else {
-			t.Zone(s[1], uint32(n[2]), math.Float64frombits(n[3]), n[4], uint32(n[5]), math.Float64frombits(n[6]), s[7])
+			handler.OnZone(s[1], uint32(n[2]), math.Float64frombits(n[3]), n[4], uint32(n[5]), math.Float64frombits(n[6]), s[7])
 		}
 		return true
 	})
