--- a/internal/decide/membership/probe.go
+++ b/internal/decide/membership/probe.go
@@ -86,7 +86,7 @@
 	}
 	for _, m := range d.sample(helperCount, func(m *member) bool { return m.State == Alive && m != target }) {
 		d.probe.asked++
-		d.sendTo(m, codec.Ask, d.probe.number, target.Name)
+		d.sendTo(m, codec.PingRequest, d.probe.number, target.Name)
 	}
 	d.sendTo(target, codec.Ping, d.probe.number, "") // once more: a single datagram is easily lost
 }
--- a/internal/decide/membership/receive.go
+++ b/internal/decide/membership/receive.go
@@ -28,10 +28,11 @@
 // datagramHandler receives the decoded parts of a datagram.
 type datagramHandler struct{ *Detector }
 
-// Head checks a datagram against what is known of its sender. Only a sender that knows this process's incarnation may change anything, and
+// OnHeader checks a datagram against what is known of its sender. Only a sender that knows this process's incarnation may change anything, and
 // each count is accepted once, so that replays have no effect.
-func (d datagramHandler) Head(from, address string, life, count, toLife uint64, kind uint32, number uint64, target string, view uint64, after,
-	until string) bool {
+func (d datagramHandler) OnHeader(from, address string, life, count, toLife uint64, kind uint32, number uint64, target string, view uint64, after,
+	until string,
+) bool {
 	h := &d.header
 	if from == d.config.Name {
 		if address != d.config.Address {
@@ -76,32 +77,32 @@
 	}
 	m.Heard = d.now
 	h.m, h.kind, h.number, h.view, h.target, h.after, h.until = m, kind, number, view, target, after, until
-	if kind == codec.Page {
+	if kind == codec.SyncChunk {
 		d.syncedNames = map[string]bool{}
 	}
 	return true
 }
 
-// Lease keeps a datagram's lease fields until its kind is handled.
-func (d datagramHandler) Lease(place int, given bool, counted []byte, lent bool, lentCounted []byte) {
+// OnLease keeps a datagram's lease fields until its kind is handled.
+func (d datagramHandler) OnLease(place int, given bool, counted []byte, lent bool, lentCounted []byte) {
 	d.header.place, d.header.given, d.header.counted, d.header.lent, d.header.lentCounted = place+1, given, counted, lent, lentCounted
 	d.header.m.place = place + 1
 }
 
-// Word handles gossip about a node.
-func (d datagramHandler) Word(node uint32, version uint64, gone bool) {
+// OnNodeState handles gossip about a node.
+func (d datagramHandler) OnNodeState(node uint32, version uint64, gone bool) {
 	d.nodeGossip.OnUpdate(d.now, node, version, gone)
 }
 
-// Silent keeps a question about a node for the ack of the probe that carries it.
-func (d datagramHandler) Silent(node uint32) {
+// OnNodeQuery keeps a question about a node for the ack of the probe that carries it.
+func (d datagramHandler) OnNodeQuery(node uint32) {
 	if len(d.header.silent) < reachability.MaxQuestions {
 		d.header.silent = append(d.header.silent, node)
 	}
 }
 
-// Hears handles the sender's answer about a node in an ack of this process's probe.
-func (d datagramHandler) Hears(node uint32, life uint64, ago float64) {
+// OnNodeReply handles the sender's answer about a node in an ack of this process's probe.
+func (d datagramHandler) OnNodeReply(node uint32, life uint64, ago float64) {
 	h := &d.header
 	if h.kind != codec.Ack {
 		return
@@ -113,17 +114,17 @@
 	}
 }
 
-// Book handles the version of the cluster state that the sender holds.
-func (d datagramHandler) Book(version uint64) {
+// OnStateVersion handles the version of the cluster state that the sender holds.
+func (d datagramHandler) OnStateVersion(version uint64) {
 	if version > d.stateVersion && d.carrier != nil {
 		d.carrier.Ahead(d.header.m.Name, version)
 	}
 }
 
-// Part handles a fragment of a message for other parts of the program.
-func (d datagramHandler) Part(index, of int, body []byte) {
+// OnFragment handles a fragment of a message for other parts of the program.
+func (d datagramHandler) OnFragment(index, of int, body []byte) {
 	h := &d.header
-	if h.kind != codec.Carry || d.carrier == nil {
+	if h.kind != codec.Fragment || d.carrier == nil {
 		return
 	}
 	if all, ok := d.reassembler.Add(h.m.Name, h.m.Life, h.number, index, of, body); ok {
@@ -164,13 +165,13 @@
 	case codec.Ack:
 		d.onAck(m, h.number)
 		d.syncIfDifferent(m, h.view)
-	case codec.Ask:
+	case codec.PingRequest:
 		d.onIndirectProbe(m, h.number, h.target)
 	case codec.Nack:
 		if d.probe.out && h.number == d.probe.number {
 			d.probe.nacks++
 		}
-	case codec.Page:
+	case codec.SyncChunk:
 		d.onSyncPage(m, h.number, h.after, h.until)
 	}
 }
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -33,11 +33,11 @@
 		return false
 	}
 	d.sequence++
-	parts := fragment.Split(body, codec.MostPart)
+	parts := fragment.Split(body, codec.MaxFragmentBytes)
 	for i, p := range parts {
 		m.sentCount++
-		b := codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.Carry, d.sequence, "", 0, "", "")
-		d.transmit(m.Address, codec.Part(b, i, len(parts), p))
+		b := codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.Fragment, d.sequence, "", 0, "", "")
+		d.transmit(m.Address, codec.AppendFragment(b, i, len(parts), p))
 	}
 	return len(parts) > 0
 }
@@ -67,12 +67,12 @@
 
 // sendWithUpdates sends a datagram with leases, reachability and as many updates as fit.
 func (d *Detector) sendWithUpdates(address string, life, count uint64, kind uint32, number uint64, target string, first *member) {
-	b := codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, count, life, kind, number, target, d.digest, "", "")
-	b = codec.Book(b, d.stateVersion)
+	b := codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, count, life, kind, number, target, d.digest, "", "")
+	b = codec.AppendStateVersion(b, d.stateVersion)
 	switch {
 	case d.slowStart == nil || d.leaving || d.taken:
 	case kind == codec.Ping:
-		b = codec.Lease(b, d.config.Place, false, nil, false, nil)
+		b = codec.AppendLease(b, d.config.Place, false, nil, false, nil)
 	case kind == codec.Ack && d.header.kind == codec.Ping && d.header.place > 0: // not an ack that is forwarded for another member
 		given, counted := d.slowStart.Asked(d.now, d.header.place-1)
 		var lent bool
@@ -80,18 +80,18 @@
 		if d.quota != nil {
 			lent, lentCounted = d.quota.Asked(d.now, d.header.place-1)
 		}
-		b = codec.Lease(b, d.config.Place, given, counted.Bytes(), lent, lentCounted.Bytes())
+		b = codec.AppendLease(b, d.config.Place, given, counted.Bytes(), lent, lentCounted.Bytes())
 	}
 	switch {
 	case kind == codec.Ping:
 		d.nodeReachability.Questions(d.now, func(node uint32) (ok bool) {
-			b, ok = codec.Silent(b, node)
+			b, ok = codec.AppendNodeQuery(b, node)
 			return ok
 		})
 	case kind == codec.Ack && d.header.kind == codec.Ping:
 		for _, node := range d.header.silent {
 			if life, heard, ok := d.effects.Hears(node); ok {
-				b, _ = codec.Hears(b, node, life, d.now-heard)
+				b, _ = codec.AppendNodeReply(b, node, life, d.now-heard)
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 	clear(d.updates[len(kept):])
 	d.updates = kept
 	d.nodeGossip.Piggyback(most, func(node uint32, version uint64, gone bool) (ok bool) {
-		b, ok = codec.Word(b, node, version, gone)
+		b, ok = codec.AppendNodeState(b, node, version, gone)
 		return ok
 	})
 	d.transmit(address, b)
@@ -127,12 +127,12 @@
 
 // appendUpdate appends a member's update; false if it does not fit.
 func appendUpdate(b []byte, m *member) ([]byte, bool) {
-	return codec.News(b, m.Name, m.Address, m.Life, m.Version, uint32(m.State), m.By)
+	return codec.AppendMember(b, m.Name, m.Address, m.Life, m.Version, uint32(m.State), m.By)
 }
 
 // sendBare sends a datagram without count and updates, to a process that may not know this one's incarnation.
 func (d *Detector) sendBare(address string, life uint64, kind uint32, number uint64, target string, view uint64) {
-	d.transmit(address, codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, 0, life, kind, number, target, view, "", ""))
+	d.transmit(address, codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, 0, life, kind, number, target, view, "", ""))
 }
 
 // transmit seals and sends a datagram.
--- a/internal/decide/membership/sync.go
+++ b/internal/decide/membership/sync.go
@@ -36,7 +36,7 @@
 	d.sequence++
 	m.sentCount++
 	begin := func(until string) []byte {
-		return codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.Page, d.sequence, "", d.digest, after, until)
+		return codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.SyncChunk, d.sequence, "", d.digest, after, until)
 	}
 	longest := ""
 	for _, name := range names {
@@ -86,7 +86,7 @@
 		for range 2 {
 			if b == nil {
 				m.sentCount++
-				b = codec.Begin(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.Answered, number, "", d.digest, "", "")
+				b = codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.SyncReply, number, "", d.digest, "", "")
 			}
 			var ok bool
 			if b, ok = appendUpdate(b, d.lookup(name)); ok {
--- a/internal/decide/membership/update.go
+++ b/internal/decide/membership/update.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// News handles an update of a member.
-func (d datagramHandler) News(name, address string, life, version uint64, state uint32, by string) {
+// OnMember handles an update of a member.
+func (d datagramHandler) OnMember(name, address string, life, version uint64, state uint32, by string) {
 	to := State(state)
 	if name == d.config.Name {
 		if d.syncedNames != nil {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -12,7 +12,7 @@
 )
 
 // No datagram that the codec makes is too long for a world's port: this does not compile else.
-const _ = uint(outside.MaxDatagram - codec.Most)
+const _ = uint(outside.MaxDatagram - codec.MaxDatagramBytes)
 
 // Told hears of changes, one call at a time, and must not wait.
 type Told interface {
--- a/internal/proto/members/members.go
+++ b/internal/proto/members/members.go
@@ -14,20 +14,20 @@
 	"ravenpond/internal/proto/field"
 )
 
-// Most is the most bytes of a datagram: it fits a usual network's packet whole.
-const Most = 1400
+// MaxDatagramBytes is the most bytes of a datagram: it fits a usual network's packet whole.
+const MaxDatagramBytes = 1400
 
 // Kinds of datagrams.
 const (
-	Hello    = 1 // of one that does not know the receiver's life; changes nothing
-	Welcome  = 2 // its answer
-	Ping     = 3
-	Ack      = 4
-	Ask      = 5 // for a ping of another
-	Nack     = 6 // no answer came to that
-	Page     = 7 // a part of what the sender holds of all
-	Answered = 8 // what the receiver of a page holds that is newer
-	Carry    = 9 // a part of a message of those who agree on the book
+	Hello       = 1 // of one that does not know the receiver's life; changes nothing
+	Welcome     = 2 // its answer
+	Ping        = 3
+	Ack         = 4
+	PingRequest = 5 // for a ping of another
+	Nack        = 6 // no answer came to that
+	SyncChunk   = 7 // a part of what the sender holds of all
+	SyncReply   = 8 // what the receiver of a page holds that is newer
+	Fragment    = 9 // a part of a message of those who agree on the book
 )
 
 // States of a member, in the order in which they count at one version.
@@ -39,45 +39,46 @@
 )
 
 const (
-	sealed  = 16 // bytes of the HMAC
-	longest = 64 // of a name or address
+	sealBytes    = 16 // bytes of the HMAC
+	maxNameBytes = 64 // of a name or address
 
-	mostPlaces = 100000
+	maxPlaces = 100000
 )
 
 // Errors of datagrams.
 var (
-	ErrForeign = errors.New("not sealed with this site's key for this receiver")
-	ErrBad     = field.ErrBad // sealed, but not a datagram of members
+	ErrForeign   = errors.New("not sealed with this site's key for this receiver")
+	ErrMalformed = field.ErrBad // sealed, but not a datagram of members
 )
 
-// Taker takes what a datagram holds, its head first.
-type Taker interface {
-	Head(from, address string, life, count, toLife uint64, kind uint32, number uint64, target string, view uint64, after, until string) bool
-	News(name, address string, life, version uint64, state uint32, by string)
-	// Lease comes before the news: the sender's place, whether it gives leave, and whom it counts, for cold nodes and for
+// DatagramHandler takes what a datagram holds, its head first.
+type DatagramHandler interface {
+	OnHeader(from, address string, life, count, toLife uint64, kind uint32, number uint64, target string, view uint64, after, until string) bool
+	OnMember(name, address string, life, version uint64, state uint32, by string)
+	// OnLease comes before the news: the sender's place, whether it gives leave, and whom it counts, for cold nodes and for
 	// what is lent of limits.
-	Lease(place int, given bool, counted []byte, lent bool, lentCounted []byte)
-	// Word is that a node is not ready by a version of the node list.
-	Word(node uint32, version uint64, gone bool)
-	// Book is the version of the book that the sender holds.
-	Book(version uint64)
-	// Part is a part of a message that a member carries for others of the program: the datagram's number is the message's.
-	Part(index, of int, body []byte)
-	// Silent asks what is heard of a node; Hears answers: its life, and how long ago it was heard, ms.
-	Silent(node uint32)
-	Hears(node uint32, life uint64, ago float64)
+	OnLease(place int, given bool, counted []byte, lent bool, lentCounted []byte)
+	// OnNodeState is that a node is not ready by a version of the node list.
+	OnNodeState(node uint32, version uint64, gone bool)
+	// OnStateVersion is the version of the book that the sender holds.
+	OnStateVersion(version uint64)
+	// OnFragment is a part of a message that a member carries for others of the program: the datagram's number is the message's.
+	OnFragment(index, of int, body []byte)
+	// OnNodeQuery asks what is heard of a node; Hears answers: its life, and how long ago it was heard, ms.
+	OnNodeQuery(node uint32)
+	OnNodeReply(node uint32, life uint64, ago float64)
 }
 
-// Begin appends the head of a datagram. Fields that a kind does not have are empty.
-func Begin(b []byte, site, from, address string, life, count, toLife uint64, kind uint32, number uint64, target string, view uint64,
-	after, until string) []byte {
+// AppendHeader appends the head of a datagram. Fields that a kind does not have are empty.
+func AppendHeader(b []byte, site, from, address string, incarnation, count, receiverIncarnation uint64, kind uint32, number uint64, target string, view uint64,
+	after, until string,
+) []byte {
 	b = field.Text(b, 1, site)
 	b = field.Text(b, 2, from)
 	b = field.Text(b, 3, address)
-	b = field.Whole(b, 4, life)
+	b = field.Whole(b, 4, incarnation)
 	b = field.Whole(b, 5, count)
-	b = field.Whole(b, 6, toLife)
+	b = field.Whole(b, 6, receiverIncarnation)
 	b = field.Whole(b, 7, uint64(kind))
 	b = field.Whole(b, 8, number)
 	b = field.Text(b, 9, target)
@@ -88,86 +89,86 @@
 	return field.Text(b, 12, until)
 }
 
-// Lease appends a sender's place, counted from 0, and with an answer whether it gives leave and whom it counts, for cold nodes
+// AppendLease appends a sender's place, counted from 0, and with an answer whether it gives leave and whom it counts, for cold nodes
 // and for what is lent of limits.
-func Lease(b []byte, place int, given bool, counted []byte, lent bool, lentCounted []byte) []byte {
+func AppendLease(b []byte, place int, given bool, counted []byte, leased bool, leaseCounted []byte) []byte {
 	b = field.Whole(b, 14, uint64(place+1))
-	b = leave(b, 15, given, 16, counted)
-	return leave(b, 18, lent, 19, lentCounted)
+	b = appendPermit(b, 15, given, 16, counted)
+	return appendPermit(b, 18, leased, 19, leaseCounted)
 }
 
-func leave(b []byte, yes protowire.Number, given bool, whom protowire.Number, counted []byte) []byte {
+func appendPermit(b []byte, givenField protowire.Number, given bool, countedField protowire.Number, counted []byte) []byte {
 	if given {
-		b = field.Whole(b, yes, 1)
+		b = field.Whole(b, givenField, 1)
 	}
 	if len(counted) > 0 {
-		b = field.Bytes(b, whom, counted)
+		b = field.Bytes(b, countedField, counted)
 	}
 	return b
 }
 
-// Book appends the version of the book that the sender holds.
-func Book(b []byte, version uint64) []byte { return field.Whole(b, 22, version) }
+// AppendStateVersion appends the version of the book that the sender holds.
+func AppendStateVersion(b []byte, version uint64) []byte { return field.Whole(b, 22, version) }
 
-// MostPart is the most bytes of a part, beside the longest head.
-const MostPart = Most - sealed - 6*(longest+3) - 12*11
+// MaxFragmentBytes is the most bytes of a part, beside the longest head.
+const MaxFragmentBytes = MaxDatagramBytes - sealBytes - 6*(maxNameBytes+3) - 12*11
 
-// Part appends a part of a message.
-func Part(b []byte, index, of int, body []byte) []byte {
+// AppendFragment appends a part of a message.
+func AppendFragment(b []byte, index, of int, body []byte) []byte {
 	p := field.Whole(field.Whole(nil, 1, uint64(index)), 2, uint64(of))
 	return field.Bytes(b, 23, field.Bytes(p, 3, body))
 }
 
-// News appends an item if it fits; false if it does not.
-func News(b []byte, name, address string, life, version uint64, state uint32, by string) ([]byte, bool) {
+// AppendMember appends an item if it fits; false if it does not.
+func AppendMember(b []byte, name, address string, incarnation, version uint64, state uint32, by string) ([]byte, bool) {
 	var item []byte
 	item = field.Text(item, 1, name)
 	item = field.Text(item, 2, address)
-	item = field.Whole(item, 3, life)
+	item = field.Whole(item, 3, incarnation)
 	item = field.Whole(item, 4, version)
 	item = field.Whole(item, 5, uint64(state))
 	item = field.Text(item, 6, by)
-	return part(b, 13, item)
+	return appendIfFits(b, 13, item)
 }
 
-// part appends a message as a field if it fits.
-func part(b []byte, as protowire.Number, message []byte) ([]byte, bool) {
+// appendIfFits appends a message as a field if it fits.
+func appendIfFits(b []byte, number protowire.Number, message []byte) ([]byte, bool) {
 	const length = 2 // bytes that say how long it is, at most
-	if len(b)+protowire.SizeTag(as)+length+len(message)+sealed > Most {
+	if len(b)+protowire.SizeTag(number)+length+len(message)+sealBytes > MaxDatagramBytes {
 		return b, false
 	}
-	return field.Bytes(b, as, message), true
+	return field.Bytes(b, number, message), true
 }
 
-func seal(b, key []byte, to string) []byte {
+func computeSeal(b, key []byte, to string) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write([]byte(to))
 	h.Write([]byte{0})
 	h.Write(b)
-	return h.Sum(nil)[:sealed]
+	return h.Sum(nil)[:sealBytes]
 }
 
 // Seal ends a datagram for the receiver at an address.
-func Seal(b, key []byte, to string) []byte { return append(b, seal(b, key, to)...) }
+func Seal(b, key []byte, receiver string) []byte { return append(b, computeSeal(b, key, receiver)...) }
 
 // Open reads a datagram that came to an address. Nothing of one that does not bear the seal is given to the taker, and
 // nothing after its head if that says so.
-func Open(b, key []byte, site, to string, t Taker) error {
-	if len(b) <= sealed || len(b) > Most {
+func Open(b, key []byte, site, receiver string, handler DatagramHandler) error {
+	if len(b) <= sealBytes || len(b) > MaxDatagramBytes {
 		return ErrForeign
 	}
-	body := b[:len(b)-sealed]
-	if !hmac.Equal(b[len(body):], seal(body, key, to)) {
+	body := b[:len(b)-sealBytes]
+	if !hmac.Equal(b[len(body):], computeSeal(body, key, receiver)) {
 		return ErrForeign
 	}
-	var s, from, address, target, after, until string
-	var life, count, toLife, kind, number, view, place, given, lent uint64
-	var counted, lentCounted []byte
+	var fromSite, from, address, target, after, until string
+	var incarnation, count, receiverIncarnation, kind, number, view, place, given, leased uint64
+	var counted, leaseCounted []byte
 	err := field.Each(body, func(at protowire.Number, v uint64, x []byte) bool {
 		var into *string
 		switch at {
 		case 1:
-			into = &s
+			into = &fromSite
 		case 2:
 			into = &from
 		case 3:
@@ -179,11 +180,11 @@
 		case 12:
 			into = &until
 		case 4:
-			life = v
+			incarnation = v
 		case 5:
 			count = v
 		case 6:
-			toLife = v
+			receiverIncarnation = v
 		case 7:
 			kind = v
 		case 8:
@@ -197,12 +198,12 @@
 		case 16:
 			counted = x
 		case 18:
-			lent = v
+			leased = v
 		case 19:
-			lentCounted = x
+			leaseCounted = x
 		}
 		if into != nil {
-			if len(x) > longest {
+			if len(x) > maxNameBytes {
 				return false
 			}
 			*into = string(x)
@@ -212,40 +213,40 @@
 	switch {
 	case err != nil:
 		return err
-	case s != site:
+	case fromSite != site:
 		return ErrForeign
-	case from == "" || address == "" || life == 0 || kind < Hello || kind > Carry || place > mostPlaces:
-		return ErrBad
+	case from == "" || address == "" || incarnation == 0 || kind < Hello || kind > Fragment || place > maxPlaces:
+		return ErrMalformed
 	}
-	if !t.Head(from, address, life, count, toLife, uint32(kind), number, target, view, after, until) {
+	if !handler.OnHeader(from, address, incarnation, count, receiverIncarnation, uint32(kind), number, target, view, after, until) {
 		return nil
 	}
 	if place > 0 {
-		t.Lease(int(place-1), given != 0, counted, lent != 0, lentCounted)
+		handler.OnLease(int(place-1), given != 0, counted, leased != 0, leaseCounted)
 	}
 	return field.Each(body, func(at protowire.Number, v uint64, x []byte) bool {
 		switch at {
 		case 13:
-			return item(x, t)
+			return readMember(x, handler)
 		case 17:
-			return word(x, t)
+			return readNodeState(x, handler)
 		case 20:
 			if v > math.MaxUint32 {
 				return false
 			}
-			t.Silent(uint32(v))
+			handler.OnNodeQuery(uint32(v))
 		case 21:
-			return hears(x, t)
+			return readNodeReply(x, handler)
 		case 22:
-			t.Book(v)
+			handler.OnStateVersion(v)
 		case 23:
-			return parts(x, t)
+			return readFragment(x, handler)
 		}
 		return true
 	})
 }
 
-func parts(b []byte, t Taker) bool {
+func readFragment(b []byte, t DatagramHandler) bool {
 	var index, of uint64
 	var body []byte
 	err := field.Each(b, func(at protowire.Number, v uint64, x []byte) bool {
@@ -262,12 +263,12 @@
 	if err != nil || of == 0 || of > math.MaxInt16 || index >= of {
 		return false
 	}
-	t.Part(int(index), int(of), body)
+	t.OnFragment(int(index), int(of), body)
 	return true
 }
 
-// numbers reads a message of three numbers, the first of which names a node.
-func numbers(b []byte) (node uint32, second, third uint64, ok bool) {
+// readNodeNumbers reads a message of three numbers, the first of which names a node.
+func readNodeNumbers(b []byte) (node uint32, second, third uint64, ok bool) {
 	var all [3]uint64
 	err := field.Each(b, func(at protowire.Number, v uint64, _ []byte) bool {
 		if at >= 1 && int(at) <= len(all) {
@@ -278,61 +279,61 @@
 	return uint32(all[0]), all[1], all[2], err == nil && all[0] <= math.MaxUint32
 }
 
-func word(b []byte, t Taker) bool {
-	node, version, gone, ok := numbers(b)
+func readNodeState(b []byte, t DatagramHandler) bool {
+	node, version, removed, ok := readNodeNumbers(b)
 	if ok {
-		t.Word(node, version, gone != 0)
+		t.OnNodeState(node, version, removed != 0)
 	}
 	return ok
 }
 
-// Silent appends a question for a node if it fits; false if it does not.
-func Silent(b []byte, node uint32) ([]byte, bool) {
+// AppendNodeQuery appends a question for a node if it fits; false if it does not.
+func AppendNodeQuery(b []byte, node uint32) ([]byte, bool) {
 	q := protowire.AppendVarint(protowire.AppendTag(nil, 20, protowire.VarintType), uint64(node))
-	if len(b)+len(q)+sealed > Most {
+	if len(b)+len(q)+sealBytes > MaxDatagramBytes {
 		return b, false
 	}
 	return append(b, q...), true
 }
 
-// Hears appends what is heard of a node if it fits; false if it does not.
-func Hears(b []byte, node uint32, life uint64, ago float64) ([]byte, bool) {
+// AppendNodeReply appends what is heard of a node if it fits; false if it does not.
+func AppendNodeReply(b []byte, node uint32, incarnation uint64, ago float64) ([]byte, bool) {
 	h := field.Whole(nil, 1, uint64(node))
-	h = protowire.AppendFixed64(protowire.AppendTag(h, 2, protowire.Fixed64Type), life)
+	h = protowire.AppendFixed64(protowire.AppendTag(h, 2, protowire.Fixed64Type), incarnation)
 	h = field.Whole(h, 3, uint64(min(max(0, math.Ceil(ago)), math.MaxUint32)))
-	return part(b, 21, h)
+	return appendIfFits(b, 21, h)
 }
 
-func hears(b []byte, t Taker) bool {
-	node, life, ago, ok := numbers(b)
-	if ok = ok && life > 0 && ago <= math.MaxUint32; ok {
-		t.Hears(node, life, float64(ago))
+func readNodeReply(b []byte, t DatagramHandler) bool {
+	node, incarnation, ago, ok := readNodeNumbers(b)
+	if ok = ok && incarnation > 0 && ago <= math.MaxUint32; ok {
+		t.OnNodeReply(node, incarnation, float64(ago))
 	}
 	return ok
 }
 
-// Word appends a word of a node if it fits; false if it does not.
-func Word(b []byte, node uint32, version uint64, gone bool) ([]byte, bool) {
+// AppendNodeState appends a word of a node if it fits; false if it does not.
+func AppendNodeState(b []byte, node uint32, version uint64, removed bool) ([]byte, bool) {
 	w := field.Whole(field.Whole(nil, 1, uint64(node)), 2, version)
-	if gone {
+	if removed {
 		w = field.Whole(w, 3, 1)
 	}
-	return part(b, 17, w)
+	return appendIfFits(b, 17, w)
 }
 
-func item(b []byte, t Taker) bool {
+func readMember(b []byte, t DatagramHandler) bool {
 	var name, address, by string
-	var life, version, state uint64
+	var incarnation, version, state uint64
 	err := field.Each(b, func(at protowire.Number, v uint64, x []byte) bool {
 		switch {
-		case len(x) > longest:
+		case len(x) > maxNameBytes:
 			return false
 		case at == 1:
 			name = string(x)
 		case at == 2:
 			address = string(x)
 		case at == 3:
-			life = v
+			incarnation = v
 		case at == 4:
 			version = v
 		case at == 5:
@@ -342,9 +343,9 @@
 		}
 		return true
 	})
-	if err != nil || name == "" || address == "" || life == 0 || state < Alive || state > Left {
+	if err != nil || name == "" || address == "" || incarnation == 0 || state < Alive || state > Left {
 		return false
 	}
-	t.News(name, address, life, version, uint32(state), by)
+	t.OnMember(name, address, incarnation, version, uint32(state), by)
 	return true
 }
--- a/internal/proto/members/members_test.go
+++ b/internal/proto/members/members_test.go
@@ -6,57 +6,60 @@
 	"testing"
 )
 
-// taker writes down what it is given.
-type taker struct {
+// recorder writes down what it is given.
+type recorder struct {
 	lines []string
 	stop  bool
 }
 
-func (t *taker) Head(from, address string, life, count, toLife uint64, kind uint32, number uint64, target string, view uint64, after,
-	until string) bool {
+func (t *recorder) OnHeader(from, address string, life, count, toLife uint64, kind uint32, number uint64, target string, view uint64, after,
+	until string,
+) bool {
 	t.lines = append(t.lines, fmt.Sprint(from, address, life, count, toLife, kind, number, target, view, after, until))
 	return !t.stop
 }
 
-func (t *taker) Lease(place int, given bool, counted []byte, lent bool, lentCounted []byte) {
+func (t *recorder) OnLease(place int, given bool, counted []byte, lent bool, lentCounted []byte) {
 	t.lines = append(t.lines, fmt.Sprint("place ", place, given, counted, lent, lentCounted))
 }
 
-func (t *taker) Word(node uint32, version uint64, gone bool) {
+func (t *recorder) OnNodeState(node uint32, version uint64, gone bool) {
 	t.lines = append(t.lines, fmt.Sprint("word ", node, version, gone))
 }
 
-func (t *taker) Book(version uint64) { t.lines = append(t.lines, fmt.Sprint("book ", version)) }
+func (t *recorder) OnStateVersion(version uint64) {
+	t.lines = append(t.lines, fmt.Sprint("book ", version))
+}
 
-func (t *taker) Part(index, of int, body []byte) {
+func (t *recorder) OnFragment(index, of int, body []byte) {
 	t.lines = append(t.lines, fmt.Sprint("part ", index, of, len(body)))
 }
 
-func (t *taker) Silent(node uint32) { t.lines = append(t.lines, fmt.Sprint("silent ", node)) }
+func (t *recorder) OnNodeQuery(node uint32) { t.lines = append(t.lines, fmt.Sprint("silent ", node)) }
 
-func (t *taker) Hears(node uint32, life uint64, ago float64) {
+func (t *recorder) OnNodeReply(node uint32, life uint64, ago float64) {
 	t.lines = append(t.lines, fmt.Sprint("hears ", node, life, ago))
 }
 
-func (t *taker) News(name, address string, life, version uint64, state uint32, by string) {
+func (t *recorder) OnMember(name, address string, life, version uint64, state uint32, by string) {
 	t.lines = append(t.lines, fmt.Sprint(name, address, life, version, state, by))
 }
 
 var key = []byte("a member key of some length")
 
 func datagram() []byte {
-	b := Begin(nil, "site", "s1", "1.2.3.4:5", 7, 9, 3, Ping, 11, "s2", 0xfeed, "a", "b")
-	b = Lease(b, 4, true, []byte{3, 1}, true, []byte{5})
-	b, _ = News(b, "s3", "1.2.3.5:5", 4, 6, Suspect, "s1")
-	b, _ = News(b, "s4", "1.2.3.6:5", 1, 0, Alive, "")
-	b, _ = Word(b, 1<<32-1, 77, true)
-	b, _ = Silent(b, 1<<32-1)
-	b, _ = Hears(b, 7, 1<<63, 1234.5)
+	b := AppendHeader(nil, "site", "s1", "1.2.3.4:5", 7, 9, 3, Ping, 11, "s2", 0xfeed, "a", "b")
+	b = AppendLease(b, 4, true, []byte{3, 1}, true, []byte{5})
+	b, _ = AppendMember(b, "s3", "1.2.3.5:5", 4, 6, Suspect, "s1")
+	b, _ = AppendMember(b, "s4", "1.2.3.6:5", 1, 0, Alive, "")
+	b, _ = AppendNodeState(b, 1<<32-1, 77, true)
+	b, _ = AppendNodeQuery(b, 1<<32-1)
+	b, _ = AppendNodeReply(b, 7, 1<<63, 1234.5)
 	return b
 }
 
 func TestBothWays(t *testing.T) {
-	var x taker
+	var x recorder
 	if err := Open(Seal(datagram(), key, "9.9.9.9:1"), key, "site", "9.9.9.9:1", &x); err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +68,7 @@
 	if got := strings.Join(x.lines, "\n"); got != want {
 		t.Errorf("%s\nwant\n%s", got, want)
 	}
-	x = taker{stop: true}
+	x = recorder{stop: true}
 	if err := Open(Seal(datagram(), key, "r"), key, "site", "r", &x); err != nil || len(x.lines) != 1 {
 		t.Errorf("%v, %q: nothing after a head that is turned away", err, x.lines)
 	}
@@ -86,13 +89,15 @@
 		{"another site", good, string(key), "other", "r"},
 		{"nothing", nil, string(key), "site", "r"},
 		{"cut short", good[:len(good)-1], string(key), "site", "r"},
-		{"too long", Seal(append(datagram(), make([]byte, Most)...), key, "r"), string(key), "site", "r"},
-		{"no sender", Seal(Begin(nil, "site", "", "a", 1, 1, 1, Ping, 1, "", 0, "", ""), key, "r"), string(key), "site", "r"},
-		{"no life", Seal(Begin(nil, "site", "s", "a", 0, 1, 1, Ping, 1, "", 0, "", ""), key, "r"), string(key), "site", "r"},
-		{"a name too long", Seal(Begin(nil, "site", strings.Repeat("s", 65), "a", 1, 1, 1, Ping, 1, "", 0, "", ""), key, "r"), string(key),
-			"site", "r"},
+		{"too long", Seal(append(datagram(), make([]byte, MaxDatagramBytes)...), key, "r"), string(key), "site", "r"},
+		{"no sender", Seal(AppendHeader(nil, "site", "", "a", 1, 1, 1, Ping, 1, "", 0, "", ""), key, "r"), string(key), "site", "r"},
+		{"no life", Seal(AppendHeader(nil, "site", "s", "a", 0, 1, 1, Ping, 1, "", 0, "", ""), key, "r"), string(key), "site", "r"},
+		{
+			"a name too long", Seal(AppendHeader(nil, "site", strings.Repeat("s", 65), "a", 1, 1, 1, Ping, 1, "", 0, "", ""), key, "r"), string(key),
+			"site", "r",
+		},
 	} {
-		var x taker
+		var x recorder
 		if err := Open(c.b, []byte(c.key), c.site, c.to, &x); err == nil || len(x.lines) > 0 {
 			t.Errorf("%s: %v, %q", c.name, err, x.lines)
 		}
@@ -100,7 +105,7 @@
 	for i := range good {
 		bad := append([]byte{}, good...)
 		bad[i] ^= 1
-		if err := Open(bad, key, "site", "r", &taker{}); err == nil {
+		if err := Open(bad, key, "site", "r", &recorder{}); err == nil {
 			t.Errorf("byte %d changed, and taken", i)
 		}
 	}
@@ -110,36 +115,36 @@
 func TestFits(t *testing.T) {
 	b, n := datagram(), 0
 	for ok := true; ok; n++ {
-		b, ok = News(b, fmt.Sprint("scheduler-", n), "127.0.0.1:12345", 1, 2, Alive, "scheduler-1")
+		b, ok = AppendMember(b, fmt.Sprint("scheduler-", n), "127.0.0.1:12345", 1, 2, Alive, "scheduler-1")
 	}
-	if b = Seal(b, key, "r"); len(b) > Most || n < 20 {
+	if b = Seal(b, key, "r"); len(b) > MaxDatagramBytes || n < 20 {
 		t.Errorf("%d items in %d bytes", n, len(b))
 	}
-	if err := Open(b, key, "site", "r", &taker{}); err != nil {
+	if err := Open(b, key, "site", "r", &recorder{}); err != nil {
 		t.Error(err)
 	}
 }
 
 func FuzzOpen(f *testing.F) {
 	f.Add(datagram())
-	f.Fuzz(func(_ *testing.T, b []byte) { _ = Open(Seal(b, key, "r"), key, "site", "r", &taker{}) })
+	f.Fuzz(func(_ *testing.T, b []byte) { _ = Open(Seal(b, key, "r"), key, "site", "r", &recorder{}) })
 }
 
 // TestPart holds that the longest part fits a datagram with the longest head, and comes out as it went in.
 func TestPart(t *testing.T) {
-	long := strings.Repeat("x", longest)
-	b := Begin(nil, long, long, long, 1<<63, 1<<63, 1<<63, Carry, 1<<63, long, 1<<63, long, long)
-	b = Part(Book(b, 1<<63), 62, 64, make([]byte, MostPart))
-	if b = Seal(b, key, "9.9.9.9:1"); len(b) > Most {
+	long := strings.Repeat("x", maxNameBytes)
+	b := AppendHeader(nil, long, long, long, 1<<63, 1<<63, 1<<63, Fragment, 1<<63, long, 1<<63, long, long)
+	b = AppendFragment(AppendStateVersion(b, 1<<63), 62, 64, make([]byte, MaxFragmentBytes))
+	if b = Seal(b, key, "9.9.9.9:1"); len(b) > MaxDatagramBytes {
 		t.Errorf("%d bytes", len(b))
 	}
-	var x taker
+	var x recorder
 	if err := Open(b, key, long, "9.9.9.9:1", &x); err != nil || len(x.lines) != 3 || x.lines[1] != fmt.Sprint("book ", uint64(1<<63)) ||
-		x.lines[2] != fmt.Sprint("part ", 62, 64, MostPart) {
+		x.lines[2] != fmt.Sprint("part ", 62, 64, MaxFragmentBytes) {
 		t.Errorf("%q, %v", x.lines, err)
 	}
-	bad := Part(Begin(nil, "s", "a", "b", 1, 1, 1, Carry, 1, "", 0, "", ""), 3, 3, nil)
-	if err := Open(Seal(bad, key, "c"), key, "s", "c", &taker{}); err != ErrBad {
+	bad := AppendFragment(AppendHeader(nil, "s", "a", "b", 1, 1, 1, Fragment, 1, "", 0, "", ""), 3, 3, nil)
+	if err := Open(Seal(bad, key, "c"), key, "s", "c", &recorder{}); err != ErrMalformed {
 		t.Errorf("a part beyond the last: %v", err)
 	}
 }
