--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -179,15 +179,19 @@
 
 // New returns a detector without members, started at a time in ms.
 func New(edge Effects, now float64, who Config) *Detector {
-	d := &Detector{effects: edge, config: who, rng: rand.New(rand.NewPCG(who.Seed, 0x3e3b)), now: now, members: map[string]*member{},
+	d := &Detector{
+		effects: edge, config: who, rng: rand.New(rand.NewPCG(who.Seed, 0x3e3b)), now: now, members: map[string]*member{},
 		byIndex: map[uint64]*member{}, indirectProbes: map[uint64]indirectProbe{}, lateProbes: map[uint64]lateProbe{}, hellos: map[string]uint64{}, lastDeathAt: now, lastSyncAt: math.Inf(-1),
-		resumedAt: math.Inf(-1)}
+		resumedAt: math.Inf(-1),
+	}
 	if d.config.Life == 0 {
 		d.config.Life = 1
 	}
 	if who.Places > 0 && who.Places <= maxPlaces {
-		lease := slowstart.Config{Places: who.Places, Lease: slowstart.LeaseFor(who.Places, period), Window: who.Window,
-			Turn: 2 * period * float64(who.Places)}
+		lease := slowstart.Config{
+			Places: who.Places, Lease: slowstart.LeaseFor(who.Places, period), Window: who.Window,
+			Turn: 2 * period * float64(who.Places),
+		}
 		d.slowStart = slowstart.New(now, lease, who.Place)
 		if lease.Window = who.Open; who.Open > 0 {
 			d.quota = slowstart.New(now, lease, who.Place)
@@ -231,7 +235,7 @@
 		if !ok {
 			return
 		}
-		switch b.What {
+		switch b.Kind {
 		case dueProbe:
 			d.startProbe()
 		case dueAck:
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -211,10 +211,12 @@
 
 // New starts an engine at a time. The last list known comes next.
 func New(edge Effects, now float64, terms Config) *Engine {
-	e := &Engine{effects: edge, config: terms, now: now, pacer: reconnect.New(terms.Seed),
+	e := &Engine{
+		effects: edge, config: terms, now: now, pacer: reconnect.New(terms.Seed),
 		admission: admit.New(terms.MaxOpen, terms.Shares), byID: map[uint32]int{}, byKey: map[idempotencyKey]int{}, requests: map[requestKey]int{},
 		recovered: map[attemptID]int{}, abandoned: map[attemptID]abandonedAttempt{}, nodeIndex: map[uint32]int{},
-		exclusions: map[uint32]uint8{}}
+		exclusions: map[uint32]uint8{},
+	}
 	for _, jt := range terms.Cluster.JobClasses {
 		e.jobEffects = append(e.jobEffects, jt.Semantics)
 	}
@@ -277,7 +279,7 @@
 }
 
 func (e *Engine) fire(b timer) {
-	switch b.What {
+	switch b.Kind {
 	case timerPolicyWake:
 		e.policy.OnTimer(e.now, b.Key)
 	case timerAttempt:
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -106,8 +106,10 @@
 
 // New starts a module.
 func New(edge Edge, now float64, seed uint64, cl *logic.Cluster) *Host {
-	h := &Host{edge: edge, step: cl.MinRoundInterval, most: cl.MaxAttempts, now: now, last: math.Inf(-1), allocs: map[uint32]*alloc{},
-		probes: map[uint32]probe{}, probeFor: outcome.ProbeFor()}
+	h := &Host{
+		edge: edge, step: cl.MinRoundInterval, most: cl.MaxAttempts, now: now, last: math.Inf(-1), allocs: map[uint32]*alloc{},
+		probes: map[uint32]probe{}, probeFor: outcome.ProbeFor(),
+	}
 	h.words.Tell = func(what, why string) { h.edge.Mode("words: " + what + " switched off: " + why) }
 	h.fence.begin(now, seed, cl)
 	h.mod = logic.New(acts{h}, now, seed, cl)
@@ -145,11 +147,11 @@
 		if !ok {
 			break
 		}
-		if late, ok := waits[b.What]; ok && h.patience > 0 {
+		if late, ok := waits[b.Kind]; ok && h.patience > 0 {
 			h.bells.Set(h.now+h.patience, late, b.Key)
 			continue
 		}
-		h.ring(b.What, b.Key)
+		h.ring(b.Kind, b.Key)
 	}
 	h.tell(func(m *logic.Scheduler) { m.Decide(h.now) })
 }
@@ -253,8 +255,10 @@
 func (h *Host) Found(now float64, jobType, tenant int, service uint64, cores, memory float64, node uint32) uint32 {
 	h.hear(now)
 	h.count++
-	h.allocs[h.count] = &alloc{request: request{jobType, tenant, service, cores, memory}, node: node, sentAt: h.now, tries: 1, out: true,
-		stands: true, over: true}
+	h.allocs[h.count] = &alloc{
+		request: request{jobType, tenant, service, cores, memory}, node: node, sentAt: h.now, tries: 1, out: true,
+		stands: true, over: true,
+	}
 	h.stands++
 	h.tell(func(m *logic.Scheduler) { m.OnRecovered(h.now, h.count, jobType, tenant, service, cores, memory, node) })
 	return h.count
--- a/internal/proto/book/book.go
+++ b/internal/proto/book/book.go
@@ -41,41 +41,41 @@
 
 // Errors of reading.
 var (
-	ErrMalformed = field.ErrBad
+	ErrMalformed = field.ErrMalformed
 	ErrNewer     = errors.New("written by a later version")
 )
 
 // AppendMessage appends a message to another member. Fields that a kind does not have are empty.
 func AppendMessage(b []byte, kind uint32, body []byte, number, version, written, offset, total uint64) []byte {
-	b = field.Whole(b, 1, uint64(kind))
+	b = field.AppendUint(b, 1, uint64(kind))
 	if len(body) > 0 {
-		b = field.Bytes(b, 2, body)
+		b = field.AppendBytes(b, 2, body)
 	}
-	b = field.Whole(b, 3, number)
-	b = field.Whole(b, 4, version)
-	b = field.Whole(b, 5, written)
-	b = field.Whole(b, 6, offset)
-	return field.Whole(b, 7, total)
+	b = field.AppendUint(b, 3, number)
+	b = field.AppendUint(b, 4, version)
+	b = field.AppendUint(b, 5, written)
+	b = field.AppendUint(b, 6, offset)
+	return field.AppendUint(b, 7, total)
 }
 
 // AppendLeaderFlag says in a word that the sender leads the stewards.
-func AppendLeaderFlag(b []byte) []byte { return field.Whole(b, 8, 1) }
+func AppendLeaderFlag(b []byte) []byte { return field.AppendUint(b, 8, 1) }
 
 // AppendZoneSummary appends what is heard of a zone to a report.
 func AppendZoneSummary(b []byte, zone string, nodes, reachable int, capacity, used float64) []byte {
-	s := field.Whole(field.Whole(field.Text(nil, 1, zone), 2, uint64(nodes)), 3, uint64(reachable))
-	return field.Bytes(b, 9, field.Real(field.Real(s, 4, capacity), 5, used))
+	s := field.AppendUint(field.AppendUint(field.AppendString(nil, 1, zone), 2, uint64(nodes)), 3, uint64(reachable))
+	return field.AppendBytes(b, 9, field.AppendFloat(field.AppendFloat(s, 4, capacity), 5, used))
 }
 
 // ReadZoneSummaries gives what a report says of each zone to f.
 func ReadZoneSummaries(b []byte, handle func(zone string, nodes, reachable int, capacity, used float64)) error {
-	return field.Each(b, func(at protowire.Number, _ uint64, x []byte) bool {
+	return field.ForEach(b, func(at protowire.Number, _ uint64, x []byte) bool {
 		if at != 9 {
 			return true
 		}
 		var v [6]uint64
 		zone := ""
-		err := field.Each(x, func(at protowire.Number, n uint64, y []byte) bool {
+		err := field.ForEach(x, func(at protowire.Number, n uint64, y []byte) bool {
 			if at == 1 {
 				zone = string(y)
 			} else if int(at) < len(v) {
@@ -96,7 +96,7 @@
 func ReadMessage(b []byte, handle func(kind uint32, body []byte, number, version, written, offset, total uint64, leads bool)) error {
 	var v [9]uint64
 	var body []byte
-	err := field.Each(b, func(at protowire.Number, n uint64, x []byte) bool {
+	err := field.ForEach(b, func(at protowire.Number, n uint64, x []byte) bool {
 		if at == 2 {
 			body = x
 		} else if int(at) < len(v) {
@@ -113,18 +113,19 @@
 
 // AppendCommand appends a command. Shares follow by AppendShare.
 func AppendCommand(b []byte, name string, incarnation, number uint64, at float64, kind uint32, subject, zone, region string, epoch uint64,
-	state uint32, cause string) []byte {
-	b = field.Text(b, 1, name)
-	b = field.Whole(b, 2, incarnation)
-	b = field.Whole(b, 3, number)
-	b = field.Real(b, 4, at)
-	b = field.Whole(b, 5, uint64(kind))
-	b = field.Text(b, 6, subject)
-	b = field.Text(b, 7, zone)
-	b = field.Text(b, 8, region)
-	b = field.Whole(b, 9, epoch)
-	b = field.Whole(b, 10, uint64(state))
-	return field.Text(b, 11, cause)
+	state uint32, cause string,
+) []byte {
+	b = field.AppendString(b, 1, name)
+	b = field.AppendUint(b, 2, incarnation)
+	b = field.AppendUint(b, 3, number)
+	b = field.AppendFloat(b, 4, at)
+	b = field.AppendUint(b, 5, uint64(kind))
+	b = field.AppendString(b, 6, subject)
+	b = field.AppendString(b, 7, zone)
+	b = field.AppendString(b, 8, region)
+	b = field.AppendUint(b, 9, epoch)
+	b = field.AppendUint(b, 10, uint64(state))
+	return field.AppendString(b, 11, cause)
 }
 
 // AppendShare appends a share to a command (or, as the book's, to a snapshot).
@@ -133,16 +134,17 @@
 }
 
 func appendShare(b []byte, number protowire.Number, from, to string, cores uint32) []byte {
-	return field.Bytes(b, number, field.Whole(field.Text(field.Text(nil, 1, from), 2, to), 3, uint64(cores)))
+	return field.AppendBytes(b, number, field.AppendUint(field.AppendString(field.AppendString(nil, 1, from), 2, to), 3, uint64(cores)))
 }
 
 // ReadCommand gives a command's fields to f, its shares before to each.
 func ReadCommand(b []byte, each func(from, to string, part uint32), handle func(name string, life, number uint64, at float64, kind uint32,
-	subject, zone, region string, epoch uint64, state uint32, cause string)) error {
+	subject, zone, region string, epoch uint64, state uint32, cause string),
+) error {
 	var v [13]uint64
 	var s [13]string
 	shares := 0
-	err := field.Each(b, func(at protowire.Number, n uint64, x []byte) bool {
+	err := field.ForEach(b, func(at protowire.Number, n uint64, x []byte) bool {
 		switch {
 		case at == 12:
 			shares++
@@ -163,7 +165,7 @@
 func readShare(b []byte, each func(from, to string, cores uint32)) bool {
 	var from, to string
 	var cores uint64
-	err := field.Each(b, func(at protowire.Number, n uint64, x []byte) bool {
+	err := field.ForEach(b, func(at protowire.Number, n uint64, x []byte) bool {
 		switch at {
 		case 1:
 			from = string(x)
@@ -183,28 +185,28 @@
 
 // AppendHead appends the head of a snapshot; AppendProcess, AppendZone and AppendHeld follow, each in its order.
 func AppendHead(b []byte, version uint64, now float64, epochs, plan uint64) []byte {
-	b = field.Whole(b, 1, snapshotFormat)
-	b = field.Whole(b, 2, version)
-	b = field.Real(b, 3, now)
-	b = field.Whole(b, 4, epochs)
-	return field.Whole(b, 8, plan)
+	b = field.AppendUint(b, 1, snapshotFormat)
+	b = field.AppendUint(b, 2, version)
+	b = field.AppendFloat(b, 3, now)
+	b = field.AppendUint(b, 4, epochs)
+	return field.AppendUint(b, 8, plan)
 }
 
 // AppendProcess appends a process to a snapshot.
 func AppendProcess(b []byte, name string, incarnation, epoch uint64, zone, region string, inactive bool, number uint64, refused uint32, commandIncarnation uint64) []byte {
-	p := field.Whole(field.Whole(field.Text(nil, 1, name), 2, incarnation), 3, epoch)
-	p = field.Text(field.Text(p, 4, zone), 5, region)
+	p := field.AppendUint(field.AppendUint(field.AppendString(nil, 1, name), 2, incarnation), 3, epoch)
+	p = field.AppendString(field.AppendString(p, 4, zone), 5, region)
 	if inactive {
-		p = field.Whole(p, 6, 1)
+		p = field.AppendUint(p, 6, 1)
 	}
-	return field.Bytes(b, 5, field.Whole(field.Whole(field.Whole(p, 7, number), 8, uint64(refused)), 9, commandIncarnation))
+	return field.AppendBytes(b, 5, field.AppendUint(field.AppendUint(field.AppendUint(p, 7, number), 8, uint64(refused)), 9, commandIncarnation))
 }
 
 // AppendZone appends a zone to a snapshot.
 func AppendZone(b []byte, name string, state uint32, since float64, version uint64, closings uint32, closedUntil float64, cause string) []byte {
-	z := field.Real(field.Whole(field.Text(nil, 1, name), 2, uint64(state)), 3, since)
-	z = field.Real(field.Whole(field.Whole(z, 4, version), 5, uint64(closings)), 6, closedUntil)
-	return field.Bytes(b, 6, field.Text(z, 7, cause))
+	z := field.AppendFloat(field.AppendUint(field.AppendString(nil, 1, name), 2, uint64(state)), 3, since)
+	z = field.AppendFloat(field.AppendUint(field.AppendUint(z, 4, version), 5, uint64(closings)), 6, closedUntil)
+	return field.AppendBytes(b, 6, field.AppendString(z, 7, cause))
 }
 
 // AppendPlanShare appends a share of the plan to a snapshot.
@@ -223,7 +225,7 @@
 // ReadSnapshot gives what a snapshot holds to t.
 func ReadSnapshot(b []byte, handler SnapshotHandler) error {
 	var v [9]uint64
-	if err := field.Each(b, func(at protowire.Number, n uint64, _ []byte) bool {
+	if err := field.ForEach(b, func(at protowire.Number, n uint64, _ []byte) bool {
 		if int(at) < len(v) {
 			v[at] = n
 		}
@@ -238,7 +240,7 @@
 		return ErrMalformed
 	}
 	handler.OnHeader(v[2], math.Float64frombits(v[3]), v[4], v[8])
-	return field.Each(b, func(at protowire.Number, _ uint64, x []byte) bool {
+	return field.ForEach(b, func(at protowire.Number, _ uint64, x []byte) bool {
 		var n [10]uint64
 		var s [10]string
 		if at != 5 && at != 6 && at != 7 {
@@ -247,7 +249,7 @@
 		if at == 7 {
 			return readShare(x, handler.OnPlanShare)
 		}
-		if field.Each(x, func(f protowire.Number, v uint64, y []byte) bool {
+		if field.ForEach(x, func(f protowire.Number, v uint64, y []byte) bool {
 			if int(f) < len(n) {
 				n[f], s[f] = v, string(y)
 			}
--- a/internal/proto/field/field.go
+++ b/internal/proto/field/field.go
@@ -8,43 +8,43 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// ErrBad is of bytes that are no fields.
-var ErrBad = errors.New("can't be read")
+// ErrMalformed is of bytes that are no fields.
+var ErrMalformed = errors.New("can't be read")
 
-// Text appends a text, Whole a whole number and Real a decimal one, unless they are empty or 0.
-func Text(b []byte, field protowire.Number, s string) []byte {
+// AppendString appends a text, Whole a whole number and Real a decimal one, unless they are empty or 0.
+func AppendString(b []byte, field protowire.Number, s string) []byte {
 	if s == "" {
 		return b
 	}
 	return protowire.AppendString(protowire.AppendTag(b, field, protowire.BytesType), s)
 }
 
-func Whole(b []byte, field protowire.Number, v uint64) []byte {
+func AppendUint(b []byte, field protowire.Number, v uint64) []byte {
 	if v == 0 {
 		return b
 	}
 	return protowire.AppendVarint(protowire.AppendTag(b, field, protowire.VarintType), v)
 }
 
-func Real(b []byte, field protowire.Number, v float64) []byte {
+func AppendFloat(b []byte, field protowire.Number, v float64) []byte {
 	if v == 0 {
 		return b
 	}
 	return protowire.AppendFixed64(protowire.AppendTag(b, field, protowire.Fixed64Type), math.Float64bits(v))
 }
 
-// Bytes appends bytes, a message's among them, empty ones too.
-func Bytes(b []byte, field protowire.Number, m []byte) []byte {
+// AppendBytes appends bytes, a message's among them, empty ones too.
+func AppendBytes(b []byte, field protowire.Number, m []byte) []byte {
 	return protowire.AppendBytes(protowire.AppendTag(b, field, protowire.BytesType), m)
 }
 
-// Each gives each field of a message: numbers of either kind in v, all else in x. Unknown ones are given too. What each says
+// ForEach gives each field of a message: numbers of either kind in v, all else in x. Unknown ones are given too. What each says
 // is no field of the message makes it bad.
-func Each(b []byte, each func(field protowire.Number, v uint64, x []byte) bool) error {
+func ForEach(b []byte, handle func(field protowire.Number, v uint64, x []byte) bool) error {
 	for len(b) > 0 {
 		field, kind, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return ErrBad
+			return ErrMalformed
 		}
 		b = b[n:]
 		var v uint64
@@ -57,10 +57,10 @@
 		case protowire.BytesType:
 			x, n = protowire.ConsumeBytes(b)
 		default:
-			return ErrBad
+			return ErrMalformed
 		}
-		if n < 0 || !each(field, v, x) {
-			return ErrBad
+		if n < 0 || !handle(field, v, x) {
+			return ErrMalformed
 		}
 		b = b[n:]
 	}
--- a/internal/proto/members/members.go
+++ b/internal/proto/members/members.go
@@ -48,7 +48,7 @@
 // Errors of datagrams.
 var (
 	ErrForeign   = errors.New("not sealed with this site's key for this receiver")
-	ErrMalformed = field.ErrBad // sealed, but not a datagram of members
+	ErrMalformed = field.ErrMalformed // sealed, but not a datagram of members
 )
 
 // DatagramHandler takes what a datagram holds, its head first.
@@ -73,61 +73,61 @@
 func AppendHeader(b []byte, site, from, address string, incarnation, count, receiverIncarnation uint64, kind uint32, number uint64, target string, view uint64,
 	after, until string,
 ) []byte {
-	b = field.Text(b, 1, site)
-	b = field.Text(b, 2, from)
-	b = field.Text(b, 3, address)
-	b = field.Whole(b, 4, incarnation)
-	b = field.Whole(b, 5, count)
-	b = field.Whole(b, 6, receiverIncarnation)
-	b = field.Whole(b, 7, uint64(kind))
-	b = field.Whole(b, 8, number)
-	b = field.Text(b, 9, target)
+	b = field.AppendString(b, 1, site)
+	b = field.AppendString(b, 2, from)
+	b = field.AppendString(b, 3, address)
+	b = field.AppendUint(b, 4, incarnation)
+	b = field.AppendUint(b, 5, count)
+	b = field.AppendUint(b, 6, receiverIncarnation)
+	b = field.AppendUint(b, 7, uint64(kind))
+	b = field.AppendUint(b, 8, number)
+	b = field.AppendString(b, 9, target)
 	if view != 0 {
 		b = protowire.AppendFixed64(protowire.AppendTag(b, 10, protowire.Fixed64Type), view)
 	}
-	b = field.Text(b, 11, after)
-	return field.Text(b, 12, until)
+	b = field.AppendString(b, 11, after)
+	return field.AppendString(b, 12, until)
 }
 
 // AppendLease appends a sender's place, counted from 0, and with an answer whether it gives leave and whom it counts, for cold nodes
 // and for what is lent of limits.
 func AppendLease(b []byte, place int, given bool, counted []byte, leased bool, leaseCounted []byte) []byte {
-	b = field.Whole(b, 14, uint64(place+1))
+	b = field.AppendUint(b, 14, uint64(place+1))
 	b = appendPermit(b, 15, given, 16, counted)
 	return appendPermit(b, 18, leased, 19, leaseCounted)
 }
 
 func appendPermit(b []byte, givenField protowire.Number, given bool, countedField protowire.Number, counted []byte) []byte {
 	if given {
-		b = field.Whole(b, givenField, 1)
+		b = field.AppendUint(b, givenField, 1)
 	}
 	if len(counted) > 0 {
-		b = field.Bytes(b, countedField, counted)
+		b = field.AppendBytes(b, countedField, counted)
 	}
 	return b
 }
 
 // AppendStateVersion appends the version of the book that the sender holds.
-func AppendStateVersion(b []byte, version uint64) []byte { return field.Whole(b, 22, version) }
+func AppendStateVersion(b []byte, version uint64) []byte { return field.AppendUint(b, 22, version) }
 
 // MaxFragmentBytes is the most bytes of a part, beside the longest head.
 const MaxFragmentBytes = MaxDatagramBytes - sealBytes - 6*(maxNameBytes+3) - 12*11
 
 // AppendFragment appends a part of a message.
 func AppendFragment(b []byte, index, of int, body []byte) []byte {
-	p := field.Whole(field.Whole(nil, 1, uint64(index)), 2, uint64(of))
-	return field.Bytes(b, 23, field.Bytes(p, 3, body))
+	p := field.AppendUint(field.AppendUint(nil, 1, uint64(index)), 2, uint64(of))
+	return field.AppendBytes(b, 23, field.AppendBytes(p, 3, body))
 }
 
 // AppendMember appends an item if it fits; false if it does not.
 func AppendMember(b []byte, name, address string, incarnation, version uint64, state uint32, by string) ([]byte, bool) {
 	var item []byte
-	item = field.Text(item, 1, name)
-	item = field.Text(item, 2, address)
-	item = field.Whole(item, 3, incarnation)
-	item = field.Whole(item, 4, version)
-	item = field.Whole(item, 5, uint64(state))
-	item = field.Text(item, 6, by)
+	item = field.AppendString(item, 1, name)
+	item = field.AppendString(item, 2, address)
+	item = field.AppendUint(item, 3, incarnation)
+	item = field.AppendUint(item, 4, version)
+	item = field.AppendUint(item, 5, uint64(state))
+	item = field.AppendString(item, 6, by)
 	return appendIfFits(b, 13, item)
 }
 
@@ -137,7 +137,7 @@
 	if len(b)+protowire.SizeTag(number)+length+len(message)+sealBytes > MaxDatagramBytes {
 		return b, false
 	}
-	return field.Bytes(b, number, message), true
+	return field.AppendBytes(b, number, message), true
 }
 
 func computeSeal(b, key []byte, to string) []byte {
@@ -164,7 +164,7 @@
 	var fromSite, from, address, target, after, until string
 	var incarnation, count, receiverIncarnation, kind, number, view, place, given, leased uint64
 	var counted, leaseCounted []byte
-	err := field.Each(body, func(at protowire.Number, v uint64, x []byte) bool {
+	err := field.ForEach(body, func(at protowire.Number, v uint64, x []byte) bool {
 		var into *string
 		switch at {
 		case 1:
@@ -224,7 +224,7 @@
 	if place > 0 {
 		handler.OnLease(int(place-1), given != 0, counted, leased != 0, leaseCounted)
 	}
-	return field.Each(body, func(at protowire.Number, v uint64, x []byte) bool {
+	return field.ForEach(body, func(at protowire.Number, v uint64, x []byte) bool {
 		switch at {
 		case 13:
 			return readMember(x, handler)
@@ -249,7 +249,7 @@
 func readFragment(b []byte, t DatagramHandler) bool {
 	var index, of uint64
 	var body []byte
-	err := field.Each(b, func(at protowire.Number, v uint64, x []byte) bool {
+	err := field.ForEach(b, func(at protowire.Number, v uint64, x []byte) bool {
 		switch at {
 		case 1:
 			index = v
@@ -270,7 +270,7 @@
 // readNodeNumbers reads a message of three numbers, the first of which names a node.
 func readNodeNumbers(b []byte) (node uint32, second, third uint64, ok bool) {
 	var all [3]uint64
-	err := field.Each(b, func(at protowire.Number, v uint64, _ []byte) bool {
+	err := field.ForEach(b, func(at protowire.Number, v uint64, _ []byte) bool {
 		if at >= 1 && int(at) <= len(all) {
 			all[at-1] = v
 		}
@@ -298,9 +298,9 @@
 
 // AppendNodeReply appends what is heard of a node if it fits; false if it does not.
 func AppendNodeReply(b []byte, node uint32, incarnation uint64, ago float64) ([]byte, bool) {
-	h := field.Whole(nil, 1, uint64(node))
+	h := field.AppendUint(nil, 1, uint64(node))
 	h = protowire.AppendFixed64(protowire.AppendTag(h, 2, protowire.Fixed64Type), incarnation)
-	h = field.Whole(h, 3, uint64(min(max(0, math.Ceil(ago)), math.MaxUint32)))
+	h = field.AppendUint(h, 3, uint64(min(max(0, math.Ceil(ago)), math.MaxUint32)))
 	return appendIfFits(b, 21, h)
 }
 
@@ -314,9 +314,9 @@
 
 // AppendNodeState appends a word of a node if it fits; false if it does not.
 func AppendNodeState(b []byte, node uint32, version uint64, removed bool) ([]byte, bool) {
-	w := field.Whole(field.Whole(nil, 1, uint64(node)), 2, version)
+	w := field.AppendUint(field.AppendUint(nil, 1, uint64(node)), 2, version)
 	if removed {
-		w = field.Whole(w, 3, 1)
+		w = field.AppendUint(w, 3, 1)
 	}
 	return appendIfFits(b, 17, w)
 }
@@ -324,7 +324,7 @@
 func readMember(b []byte, t DatagramHandler) bool {
 	var name, address, by string
 	var incarnation, version, state uint64
-	err := field.Each(b, func(at protowire.Number, v uint64, x []byte) bool {
+	err := field.ForEach(b, func(at protowire.Number, v uint64, x []byte) bool {
 		switch {
 		case len(x) > maxNameBytes:
 			return false
--- a/internal/timers/timers_test.go
+++ b/internal/timers/timers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestBells(t *testing.T) {
+func TestHeap(t *testing.T) {
 	var b Heap[int]
 	for i := range 1000 {
 		b.Set(float64((i*7919)%500), 0, uint64(i))
@@ -24,22 +24,22 @@
 	}
 }
 
-// plain is a heap of timers by the standard library, the plain way that Heap is measured against.
-type plain []Timer[int]
+// standardHeap is a heap of timers by the standard library, the plain way that Heap is measured against.
+type standardHeap []Timer[int]
 
-func (p plain) Len() int           { return len(p) }
-func (p plain) Less(i, j int) bool { return before(&p[i], &p[j]) }
-func (p plain) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
-func (p *plain) Push(x any)        { *p = append(*p, x.(Timer[int])) }
-func (p *plain) Pop() any {
+func (p standardHeap) Len() int           { return len(p) }
+func (p standardHeap) Less(i, j int) bool { return before(&p[i], &p[j]) }
+func (p standardHeap) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
+func (p *standardHeap) Push(x any)        { *p = append(*p, x.(Timer[int])) }
+func (p *standardHeap) Pop() any {
 	last := len(*p) - 1
 	x := (*p)[last]
 	*p = (*p)[:last]
 	return x
 }
 
-// BenchmarkBells sets three timers an allocation, of which two ring stale, at 10,000 open.
-func BenchmarkBells(b *testing.B) {
+// BenchmarkHeap sets three timers an allocation, of which two ring stale, at 10,000 open.
+func BenchmarkHeap(b *testing.B) {
 	at := func(i int) float64 { return float64(i) + float64((i*7919)%5000) }
 	b.Run("own heap", func(b *testing.B) {
 		var own Heap[int]
@@ -52,7 +52,7 @@
 		}
 	})
 	b.Run("container/heap", func(b *testing.B) {
-		var p plain
+		var p standardHeap
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
 			heap.Push(&p, Timer[int]{At: at(i), order: uint64(i), Key: uint64(i)})
