--- a/cmd/ravenpond/deploy_test.go
+++ b/cmd/ravenpond/deploy_test.go
@@ -57,8 +57,10 @@
 // TestRunPath holds that nothing on the platform's route starts programs or speaks to Unix sockets, and that nothing hands
 // one descriptor to another in the kernel.
 func TestRunPath(t *testing.T) {
-	for _, dir := range []string{"internal/platform", "internal/platform/host", "internal/proto/platform", "internal/settings", "internal/outside",
-		"internal/timers", "internal/besteffort", "logic"} {
+	for _, dir := range []string{
+		"internal/platform", "internal/platform/host", "internal/proto/platform", "internal/settings", "internal/outside",
+		"internal/timers", "internal/besteffort", "logic",
+	} {
 		files, err := filepath.Glob(filepath.Join("../..", dir, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %d files, %v", dir, len(files), err)
--- a/cmd/ravenpond/drain.go
+++ b/cmd/ravenpond/drain.go
@@ -106,8 +106,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("--start: %w", err)
 	}
-	w := calendar.Window{ID: c.ID, Start: start, Last: c.Last, Rule: c.Rule, Lead: c.Lead, Slack: c.Slack,
-		Priority: c.Priority, Added: time.Now().UTC().Truncate(time.Second)}
+	w := calendar.Window{
+		ID: c.ID, Start: start, Last: c.Last, Rule: c.Rule, Lead: c.Lead, Slack: c.Slack,
+		Priority: c.Priority, Added: time.Now().UTC().Truncate(time.Second),
+	}
 	w.End = calendar.Ending(slices.Index([]string{"release", "sweep", "hold"}, c.Ending))
 	places := 0
 	for reach, place := range []string{c.Node, c.Cell, c.Zone} {
@@ -299,8 +301,10 @@
 	}
 	for _, en := range l.Entries() {
 		if kind := slices.Index(place.MachineKinds, en.Kind); kind >= 0 {
-			fleet = append(fleet, calendar.Node{ID: strconv.FormatUint(uint64(en.ID), 10), Zone: en.Zone, Cell: en.Cell, Kind: en.Kind,
-				Cores: place.Cluster.KindCores[kind], Memory: place.Cluster.KindMemory[kind]})
+			fleet = append(fleet, calendar.Node{
+				ID: strconv.FormatUint(uint64(en.ID), 10), Zone: en.Zone, Cell: en.Cell, Kind: en.Kind,
+				Cores: place.Cluster.KindCores[kind], Memory: place.Cluster.KindMemory[kind],
+			})
 		}
 	}
 	return fleet, nil
--- a/cmd/ravenpond/herd.go
+++ b/cmd/ravenpond/herd.go
@@ -35,8 +35,10 @@
 	if len(c.Policies) == 0 {
 		c.Policies = herd.Names
 	}
-	s := herd.Scene{Schedulers: c.Schedulers, Nodes: c.Nodes, Filled: c.Filled, Life: c.Life * 1000, Lasts: c.Lasts * 1000, Services: c.Services,
-		Members: c.Members}
+	s := herd.Scene{
+		Schedulers: c.Schedulers, Nodes: c.Nodes, Filled: c.Filled, Life: c.Life * 1000, Lasts: c.Lasts * 1000, Services: c.Services,
+		Members: c.Members,
+	}
 	if c.Set > 0 {
 		s.Working = &site.WorkingSet{MinNodes: c.Set, Coverage: 1, SpareFactor: c.Spare, NodesPerStart: 1, MinPerStratum: 3, NarrowAfter: 30_000}
 	}
--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -173,12 +173,14 @@
 	var failed error
 	resize := make(chan int)
 	go c.reread(ctx, &first, log, resize)
-	who := serve.Scheduler{Resize: resize, Secure: secure, Place: place, Name: c.Name, Index: c.Index, Folder: c.State, Seed: seed, Zone: c.Zone,
+	who := serve.Scheduler{
+		Resize: resize, Secure: secure, Place: place, Name: c.Name, Index: c.Index, Folder: c.State, Seed: seed, Zone: c.Zone,
 		Log: log.With().Str("scheduler", c.Name).Logger(), Ready: func(owners string) {
 			if c.AddressFile != "" {
 				failed = renameio.WriteFile(c.AddressFile, []byte(owners+"\n"), 0o640)
 			}
-		}}
+		},
+	}
 	return errors.Join(serve.Run(ctx, who), failed)
 }
 
@@ -315,8 +317,10 @@
 		say = func(string, ...any) {}
 	}
 	say("day %s, seed %d, logs and trace in %s", plan.Name, c.Seed, c.Out)
-	res, err := drill.Play(ctx, drill.Drill{Day: plan, Place: place, Site: text, Command: []string{self}, Seed: c.Seed,
-		Out: c.Out, Say: say})
+	res, err := drill.Play(ctx, drill.Drill{
+		Day: plan, Place: place, Site: text, Command: []string{self}, Seed: c.Seed,
+		Out: c.Out, Say: say,
+	})
 	if err != nil {
 		return err
 	}
@@ -385,8 +389,10 @@
 	if err != nil {
 		return err
 	}
-	t := cores.Table{Command: []string{self}, Counts: c.Counts, Nodes: c.Nodes, Rate: c.Rate, Flood: c.Flood, Last: c.Last,
-		Asks: c.Asks, Cores: runtime.NumCPU(), Out: out}
+	t := cores.Table{
+		Command: []string{self}, Counts: c.Counts, Nodes: c.Nodes, Rate: c.Rate, Flood: c.Flood, Last: c.Last,
+		Asks: c.Asks, Cores: runtime.NumCPU(), Out: out,
+	}
 	if c.Tables {
 		if err := t.Sockets(ctx, os.Stdout); err != nil {
 			return err
@@ -453,9 +459,11 @@
 		site = load.WithSet(site, c.Known, c.Set)
 	}
 	trial := func(rate float64) (*load.Figures, error) {
-		return load.Run(ctx, load.Trial{Command: []string{self}, Site: site, Nodes: c.Nodes, Set: c.Set, Owners: c.Owners, Seed: c.Seed,
+		return load.Run(ctx, load.Trial{
+			Command: []string{self}, Site: site, Nodes: c.Nodes, Set: c.Set, Owners: c.Owners, Seed: c.Seed,
 			Burst: load.Burst{Every: c.Every, Last: c.Burst, Times: c.Times}, Rate: rate, Warm: c.Warm, Last: c.Last,
-			Services: c.Services, Life: float64(c.Life) / 1e6, Mute: c.Mute, Out: c.Out, Profile: c.Profile})
+			Services: c.Services, Life: float64(c.Life) / 1e6, Mute: c.Mute, Out: c.Out, Profile: c.Profile,
+		})
 	}
 	load.Head(os.Stdout)
 	if c.Ramp && len(c.Rates) > 0 {
--- a/cmd/ravenpond/procs.go
+++ b/cmd/ravenpond/procs.go
@@ -48,8 +48,10 @@
 	} else if err := os.MkdirAll(c.Out, 0o750); err != nil {
 		return err
 	}
-	r, err := procs.Begin(ctx, procs.Plan{Command: []string{self}, Schedulers: c.Schedulers, Nodes: c.Nodes, Rate: c.Rate, Seed: c.Seed, Dir: c.Out,
-		Apart: c.Apart, Relays: procs.NeedRelays(steps), Zones: min(6, c.Zones), Cores: c.Cores, Near: c.Near, Stewards: c.Stewards})
+	r, err := procs.Begin(ctx, procs.Plan{
+		Command: []string{self}, Schedulers: c.Schedulers, Nodes: c.Nodes, Rate: c.Rate, Seed: c.Seed, Dir: c.Out,
+		Apart: c.Apart, Relays: procs.NeedRelays(steps), Zones: min(6, c.Zones), Cores: c.Cores, Near: c.Near, Stewards: c.Stewards,
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/ravenpond/scale.go
+++ b/cmd/ravenpond/scale.go
@@ -59,9 +59,11 @@
 			continue
 		}
 		for run := c.FirstRun; run < c.FirstRun+c.Runs && ctx.Err() == nil; run++ {
-			t := scale.Trial{Command: []string{self}, Sizes: c.changed(sizes), Dimension: c.Dimension, Run: run, Seed: c.Seed + uint64(run) - 1, Real: c.Real,
+			t := scale.Trial{
+				Command: []string{self}, Sizes: c.changed(sizes), Dimension: c.Dimension, Run: run, Seed: c.Seed + uint64(run) - 1, Real: c.Real,
 				Warm: c.Warm, Last: c.Last, Commit: c.Commit, Profile: true,
-				Variant: c.Variant, Elements: c.Elements, Connected: c.Connected}
+				Variant: c.Variant, Elements: c.Elements, Connected: c.Connected,
+			}
 			t.Dir = filepath.Join(c.Logs, fmt.Sprintf("%s-n%d-s%d-t%d-%d", c.Dimension, t.Sizes.Nodes, t.Sizes.Schedulers, t.Sizes.RunningTasks, run))
 			if err := os.MkdirAll(t.Dir, 0o750); err != nil {
 				return err
--- a/cmd/ravenpond/scalefit_test.go
+++ b/cmd/ravenpond/scalefit_test.go
@@ -21,8 +21,10 @@
 		t.Errorf("an unknown dimension: %v", err)
 	}
 	for run, nodes := range []int{500, 2000, 6000, 14000} {
-		r := &result.Result{Schema: result.Schema, Scenario: "rest", Dimension: "nodes", Run: run, Sizes: result.Sizes{Nodes: nodes},
-			Readings: []result.Reading{{Part: "process", Name: "resident", Unit: result.Bytes, Value: 1000 * float64(nodes)}}}
+		r := &result.Result{
+			Schema: result.Schema, Scenario: "rest", Dimension: "nodes", Run: run, Sizes: result.Sizes{Nodes: nodes},
+			Readings: []result.Reading{{Part: "process", Name: "resident", Unit: result.Bytes, Value: 1000 * float64(nodes)}},
+		}
 		if err := r.Write(filepath.Join(folder, r.Scenario+string(rune('a'+run))+".json")); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/ravenpond/scaleregions.go
+++ b/cmd/ravenpond/scaleregions.go
@@ -34,8 +34,10 @@
 // Run prints the table; all of its figures are simulated. A bound that was broken is an error.
 func (c *scaleRegionsCommand) Run(ctx context.Context) error {
 	began := time.Now()
-	report, err := regions.Run(ctx, regions.Config{Seed: c.Seed, Processes: c.Processes, Regions: c.Regions, Zones: c.Zones, Voters: c.Voters,
-		CutRegions: c.CutRegions, Warm: c.Warm, Cut: c.Cut, Settle: c.Settle, CommandsPerDay: c.CommandsPerDay, Absent: c.Absent, AbsentNameBytes: c.AbsentName, Restart: c.Restart})
+	report, err := regions.Run(ctx, regions.Config{
+		Seed: c.Seed, Processes: c.Processes, Regions: c.Regions, Zones: c.Zones, Voters: c.Voters,
+		CutRegions: c.CutRegions, Warm: c.Warm, Cut: c.Cut, Settle: c.Settle, CommandsPerDay: c.CommandsPerDay, Absent: c.Absent, AbsentNameBytes: c.AbsentName, Restart: c.Restart,
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/ravenpond/tenant.go
+++ b/cmd/ravenpond/tenant.go
@@ -99,8 +99,10 @@
 
 func (c *tenantAdd) Run() error {
 	return c.do(func(*tenants.Store) (tenancy.Change, error) {
-		return tenancy.Change{Kind: tenancy.Add, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: c.Share, Rate: c.Rate,
-			Burst: c.Burst, Open: c.Open, Wait: c.Wait}, Conns: c.Conns, Bytes: c.Bytes}}, nil
+		return tenancy.Change{Kind: tenancy.Add, Limits: tenancy.Limits{Limits: fairqueue.Limits{
+			Share: c.Share, Rate: c.Rate,
+			Burst: c.Burst, Open: c.Open, Wait: c.Wait,
+		}, Conns: c.Conns, Bytes: c.Bytes}}, nil
 	})
 }
 
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -70,15 +70,21 @@
 		{"news of unknown things", frame(tail, create, table, sync, record(wire.Lapsed, uint16(0), uint32(1)),
 			record(wire.Echo, uint16(0), uint32(1)), record(wire.Bell, uint16(4), uint64(0))), nil, ""},
 		{"unknown code", frame(tail, record(13, uint16(0))), nil, "unknown event code 13"},
-		{"facts that do not parse", frame("{", record(wire.Create, uint16(0), uint64(5), uint32(0), uint32(1))), nil,
-			"facts do not parse"},
-		{"facts without job types", frame("{}", record(wire.Create, uint16(0), uint64(5), uint32(0), uint32(2))), nil,
-			"0 job types"},
+		{
+			"facts that do not parse", frame("{", record(wire.Create, uint16(0), uint64(5), uint32(0), uint32(1))), nil,
+			"facts do not parse",
+		},
+		{
+			"facts without job types", frame("{}", record(wire.Create, uint16(0), uint64(5), uint32(0), uint32(2))), nil,
+			"0 job types",
+		},
 		{"a word out of place", frame(strings.Replace(tail, `"free", "worth`, `"tree", "worth`, 1), create), nil, "unknown word"},
 		{"list beyond the tail", frame("", table), nil, "impossible tail reference"},
 		{"list number out of range", frame(tail, record(wire.Table, uint32(16), n, uint32(1))), nil, "list number 16"},
-		{"unknown job type", frame(tail, create, table, sync, record(wire.Task, uint16(0), uint32(9), byte(7))), nil,
-			"unknown job type 7"},
+		{
+			"unknown job type", frame(tail, create, table, sync, record(wire.Task, uint16(0), uint32(9), byte(7))), nil,
+			"unknown job type 7",
+		},
 		{"cut off", frame(tail, create)[:100], nil, "truncated batch"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -173,10 +173,13 @@
 
 // statusError is an error with field and reason.
 func statusError(f *tenancy.Fault) error {
-	code := [...]codes.Code{tenancy.Invalid: codes.InvalidArgument, tenancy.Unknown: codes.NotFound, tenancy.Exists: codes.AlreadyExists,
-		tenancy.Stale: codes.Aborted, tenancy.Barred: codes.FailedPrecondition, tenancy.NoRoom: codes.ResourceExhausted}[f.Sort]
+	code := [...]codes.Code{
+		tenancy.Invalid: codes.InvalidArgument, tenancy.Unknown: codes.NotFound, tenancy.Exists: codes.AlreadyExists,
+		tenancy.Stale: codes.Aborted, tenancy.Barred: codes.FailedPrecondition, tenancy.NoRoom: codes.ResourceExhausted,
+	}[f.Sort]
 	st, err := status.New(code, f.Error()).WithDetails(&errdetails.BadRequest{
-		FieldViolations: []*errdetails.BadRequest_FieldViolation{{Field: f.Field, Description: f.Text}}})
+		FieldViolations: []*errdetails.BadRequest_FieldViolation{{Field: f.Field, Description: f.Text}},
+	})
 	if err != nil {
 		return status.Error(code, f.Error())
 	}
@@ -241,9 +244,13 @@
 
 func tenantMessage(t *tenancy.Tenant) *pb.Tenant {
 	l, open, wait, conns := t.Limits, int64(t.Limits.Open), int64(t.Limits.Wait), int64(t.Limits.Conns)
-	return &pb.Tenant{Name: t.Name, State: pb.State(t.State), Ending: pb.Ending(t.Ending), Version: t.Version, ChangedMs: t.Changed,
-		Limits: &pb.Limits{Share: &l.Share, Rate: &l.Rate, Burst: &l.Burst, Open: &open, Wait: &wait, Conns: &conns,
-			Bytes: &l.Bytes}}
+	return &pb.Tenant{
+		Name: t.Name, State: pb.State(t.State), Ending: pb.Ending(t.Ending), Version: t.Version, ChangedMs: t.Changed,
+		Limits: &pb.Limits{
+			Share: &l.Share, Rate: &l.Rate, Burst: &l.Burst, Open: &open, Wait: &wait, Conns: &conns,
+			Bytes: &l.Bytes,
+		},
+	}
 }
 
 // applyLimits puts the limits that a message sets over others.
@@ -300,8 +307,10 @@
 	if r.Ending < 0 || r.Ending > pb.Ending_STOP {
 		return nil, invalidArgument("ending", "RUN_OUT or STOP is expected")
 	}
-	return s.change(ctx, access.Shape, r.RequestId, tenancy.Change{Kind: tenancy.Remove, Name: r.Name, Version: r.Version,
-		Ending: tenancy.Ending(r.Ending)}, nil)
+	return s.change(ctx, access.Shape, r.RequestId, tenancy.Change{
+		Kind: tenancy.Remove, Name: r.Name, Version: r.Version,
+		Ending: tenancy.Ending(r.Ending),
+	}, nil)
 }
 
 // Get gives a tenant.
@@ -427,8 +436,10 @@
 				}
 				return nil
 			}
-			out.Records = append(out.Records, &pb.Record{Number: n, AtMs: float64(rec.At.UnixMilli()), By: rec.By, What: rec.What,
-				Tenant: rec.Whom, After: string(rec.Now)})
+			out.Records = append(out.Records, &pb.Record{
+				Number: n, AtMs: float64(rec.At.UnixMilli()), By: rec.By, What: rec.What,
+				Tenant: rec.Whom, After: string(rec.Now),
+			})
 			return nil
 		})
 		if errors.Is(err, tenants.ErrCut) {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -33,8 +33,12 @@
 	addr  string
 }
 
-var people = []keys.Subject{{Name: "op", Role: access.Operator}, {Name: "eye", Role: access.Reader},
-	{Name: "boss", Role: access.TenantAdmin, Tenant: "a"}, {Name: "clerk", Role: access.TenantReader, Tenant: "a"}}
+var people = []keys.Subject{
+	{Name: "op", Role: access.Operator},
+	{Name: "eye", Role: access.Reader},
+	{Name: "boss", Role: access.TenantAdmin, Tenant: "a"},
+	{Name: "clerk", Role: access.TenantReader, Tenant: "a"},
+}
 
 func begin(t *testing.T) *office {
 	t.Helper()
@@ -50,8 +54,10 @@
 	if o.guard, err = keys.NewGuard(filepath.Join(o.dir, "keys"), "server"); err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{Open: func() (*tenants.Store, error) { return tenants.Open(filepath.Join(o.dir, "state"), 8) }, Guard: o.guard,
-		Log: zerolog.Nop(), Now: time.Now}
+	s := &Server{
+		Open: func() (*tenants.Store, error) { return tenants.Open(filepath.Join(o.dir, "state"), 8) }, Guard: o.guard,
+		Log: zerolog.Nop(), Now: time.Now,
+	}
 	ctx, stop := context.WithCancel(context.Background())
 	ready, ended := make(chan string, 1), make(chan error, 1)
 	go func() { ended <- s.Serve(ctx, "127.0.0.1:0", func(a string) { ready <- a }) }()
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -71,8 +71,10 @@
 
 // NewWatch begins with none.
 func NewWatch(rules Rules) *Watch {
-	return &Watch{c: &checker{rules: rules, scheds: map[string]*sched{}, asks: map[askName]*ask{}, nodes: map[uint32]*node{},
-		listed: map[uint32]float64{}, windows: map[uint32]float64{}}}
+	return &Watch{c: &checker{
+		rules: rules, scheds: map[string]*sched{}, asks: map[askName]*ask{}, nodes: map[uint32]*node{},
+		listed: map[uint32]float64{}, windows: map[uint32]float64{},
+	}}
 }
 
 // Add takes the next record and tells how many rules are broken by now.
@@ -160,8 +162,10 @@
 func (c *checker) sched(name string) *sched {
 	s := c.scheds[name]
 	if s == nil {
-		s = &sched{tries: map[uint64][]*place{}, byToken: map[uint64][]uint64{}, told: map[uint32]told{},
-			answers: map[uint64]float64{}}
+		s = &sched{
+			tries: map[uint64][]*place{}, byToken: map[uint64][]uint64{}, told: map[uint32]told{},
+			answers: map[uint64]float64{},
+		}
 		c.scheds[name] = s
 	}
 	return s
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -5,20 +5,25 @@
 	"testing"
 )
 
-var rules = Rules{Jobs: []Job{{}, {Effect: Tokened, Group: 1, Window: 5000, Spread: 3, Most: 2}, {Effect: RunOnce}},
+var rules = Rules{
+	Jobs:  []Job{{}, {Effect: Tokened, Group: 1, Window: 5000, Spread: 3, Most: 2}, {Effect: RunOnce}},
 	Nodes: map[uint32]Stand{1: {"a", "a1"}, 2: {"a", "a2"}, 3: {"b", "b1"}}, Grace: 2000, Asks: true, AskEvery: 8000, ColdBears: 2,
-	ColdFor: 10000, ColdWindow: 1000, Slack: 100}
+	ColdFor: 10000, ColdWindow: 1000, Slack: 100,
+}
 
 func born(at float64) Record { return Record{At: at, Kind: Born, Sched: "s"} }
 func offer(at float64, nd uint32, ticket uint64, try uint8, job int) Record {
 	return Record{At: at, Kind: Offered, Sched: "s.1", Node: nd, Ticket: ticket, Try: try, Job: job, Token: ticket, Service: 9, Until: at + 1000}
 }
+
 func done(at float64, nd uint32, ticket uint64, word string) Record {
 	return Record{At: at, Kind: Concluded, Sched: "s.1", Node: nd, Ticket: ticket, Word: word}
 }
+
 func asked(at float64, until float64) Record {
 	return Record{At: at, Kind: Asked, Sched: "s", Owner: 1, Ref: 7, Token: 5, Job: 2, Until: until}
 }
+
 func answered(at float64, word string) Record {
 	return Record{At: at, Kind: Answered, Sched: "s", Owner: 1, Ref: 7, Word: word}
 }
@@ -36,8 +41,12 @@
 	}{
 		{"an answer in time", []Record{asked(10, 900), answered(800, "served")}, nil},
 		{"late", []Record{asked(10, 900), answered(1000, "served")}, []int{1}},
-		{"late, it stood still", []Record{asked(10, 900), {At: 500, Kind: Paused, Sched: "s"}, {At: 980, Kind: Resumed, Sched: "s"},
-			answered(1000, "served")}, nil},
+		{"late, it stood still", []Record{
+			asked(10, 900),
+			{At: 500, Kind: Paused, Sched: "s"},
+			{At: 980, Kind: Resumed, Sched: "s"},
+			answered(1000, "served"),
+		}, nil},
 		{"none", []Record{asked(10, 900), {At: 2000, Kind: Heard, Sched: "s"}}, []int{1}},
 		{"none, it was killed", []Record{asked(10, 900), {At: 100, Kind: Killed, Sched: "s"}, {At: 2000, Kind: Heard, Sched: "s"}}, nil},
 		{"none, given up", []Record{asked(10, 900), {At: 100, Kind: GaveUp, Owner: 1, Ref: 7}, {At: 2000, Kind: Heard, Sched: "s"}}, nil},
@@ -46,16 +55,21 @@
 		{"declined though it may have run", []Record{asked(10, 900), offer(20, 1, 5, 0, 2), answered(800, "declined")}, []int{2}},
 		{"declined, handed back", []Record{asked(10, 900), offer(20, 1, 5, 0, 2), done(30, 1, 5, "refused"), answered(800, "declined")}, nil},
 		{"tries in order", []Record{offer(20, 1, 5, 0, 0), done(30, 1, 5, "refused"), offer(40, 2, 5, 1, 0)}, nil},
-		{"an earlier one that comes after", []Record{offer(900, 2, 5, 1, 0), {At: 950, Sent: 20, Kind: Offered, Sched: "s.1", Node: 1,
-			Ticket: 5, Token: 5, Service: 9, Until: 1020}}, nil},
+		{"an earlier one that comes after", []Record{offer(900, 2, 5, 1, 0), {
+			At: 950, Sent: 20, Kind: Offered, Sched: "s.1", Node: 1,
+			Ticket: 5, Token: 5, Service: 9, Until: 1020,
+		}}, nil},
 		{"two tries out", []Record{offer(20, 1, 5, 0, 0), offer(40, 2, 5, 1, 0)}, []int{2}},
 		{"run-once after an error", []Record{offer(20, 1, 5, 0, 2), done(30, 1, 5, "error"), offer(40, 2, 5, 1, 2)}, []int{2}},
 		{"run-once after its time-out", []Record{offer(20, 1, 5, 0, 2), offer(1500, 2, 5, 1, 2)}, []int{2}},
 		{"tokened in its group", []Record{offer(20, 1, 5, 0, 1), offer(1500, 2, 5, 1, 1)}, nil},
 		{"tokened outside its group", []Record{offer(20, 1, 5, 0, 1), offer(1500, 3, 5, 1, 1)}, []int{2}},
 		{"tokened after its window", []Record{offer(20, 1, 5, 0, 1), offer(6000, 2, 5, 1, 1)}, []int{2}},
-		{"taken back after it ran", []Record{offer(20, 1, 5, 0, 0), {At: 30, Kind: Ran, Sched: "s.1", Node: 1, Ticket: 5},
-			done(40, 1, 5, "refused")}, []int{2}},
+		{"taken back after it ran", []Record{
+			offer(20, 1, 5, 0, 0),
+			{At: 30, Kind: Ran, Sched: "s.1", Node: 1, Ticket: 5},
+			done(40, 1, 5, "refused"),
+		}, []int{2}},
 		{"within the grace", []Record{told(10, "draining"), offer(2000, 1, 5, 0, 0)}, nil},
 		{"past the grace", []Record{told(10, "draining"), told(1500, "gone"), offer(2300, 1, 5, 0, 0)}, []int{3}},
 		{"ready again", []Record{told(10, "draining"), told(1500, "ready"), offer(2300, 1, 5, 0, 0)}, nil},
@@ -63,12 +77,21 @@
 		{"silence counts as told", []Record{heard, listed, offer(15500, 1, 5, 0, 0)}, []int{3}},
 		{"silence after a failed call", []Record{heard, {At: 4000, Kind: Heard, Sched: "s", Word: "failed"}, listed, offer(15500, 1, 5, 0, 0)}, nil},
 		{"out by the calendar", []Record{{At: 10, Kind: Scheduled, Node: 1, Word: "out"}, offer(2300, 1, 5, 0, 0)}, []int{3}},
-		{"back by the calendar", []Record{{At: 10, Kind: Scheduled, Node: 1, Word: "out"}, {At: 2000, Kind: Scheduled, Node: 1, Word: "back"},
-			offer(2300, 1, 5, 0, 0)}, nil},
-		{"a cold node", []Record{{At: 10, Kind: NodeBorn, Node: 1, Word: "cold"}, offer(20, 1, 5, 0, 0), offer(30, 1, 6, 0, 0),
-			offer(1100, 1, 7, 0, 0)}, nil},
-		{"too much for a cold node", []Record{{At: 10, Kind: NodeBorn, Node: 1, Word: "cold"}, offer(20, 1, 5, 0, 0), offer(30, 1, 6, 0, 0),
-			offer(900, 1, 7, 0, 0)}, []int{4}},
+		{"back by the calendar", []Record{
+			{At: 10, Kind: Scheduled, Node: 1, Word: "out"},
+			{At: 2000, Kind: Scheduled, Node: 1, Word: "back"},
+			offer(2300, 1, 5, 0, 0),
+		}, nil},
+		{"a cold node", []Record{
+			{At: 10, Kind: NodeBorn, Node: 1, Word: "cold"},
+			offer(20, 1, 5, 0, 0), offer(30, 1, 6, 0, 0),
+			offer(1100, 1, 7, 0, 0),
+		}, nil},
+		{"too much for a cold node", []Record{
+			{At: 10, Kind: NodeBorn, Node: 1, Word: "cold"},
+			offer(20, 1, 5, 0, 0), offer(30, 1, 6, 0, 0),
+			offer(900, 1, 7, 0, 0),
+		}, []int{4}},
 		{"pushed over", []Record{{At: 10, Kind: NodeFell, Node: 1}}, []int{4}},
 		{"too many in a zone", []Record{offer(20, 1, 5, 0, 1), offer(30, 2, 6, 0, 1), offer(40, 1, 7, 0, 1)}, []int{5}},
 		{"too many while time is left", []Record{offer(20, 1, 5, 0, 1), offer(30, 2, 6, 0, 1), offer(900, 1, 7, 0, 1)}, []int{5}},
--- a/internal/audit/offers.go
+++ b/internal/audit/offers.go
@@ -52,8 +52,10 @@
 		c.fail(3, r.At, "offer to node %d, which the calendar took out %.0f ms ago", r.Node, r.At-since)
 	}
 	c.coldOffer(r)
-	p := &place{ticket: r.Ticket, try: r.Try, node: r.Node, token: r.Token, service: r.Service, job: r.Job, at: r.At,
-		until: r.Until}
+	p := &place{
+		ticket: r.Ticket, try: r.Try, node: r.Node, token: r.Token, service: r.Service, job: r.Job, at: r.At,
+		until: r.Until,
+	}
 	c.spread(r, s, p)
 	if len(tries) == 0 {
 		s.byToken[r.Token] = append(s.byToken[r.Token], r.Ticket)
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -34,9 +34,11 @@
 	Concluded             // a node told a try's outcome: Word
 )
 
-var kindNames = [...]string{"born", "killed", "paused", "resumed", "asked", "answered", "gave-up", "told", "heard",
+var kindNames = [...]string{
+	"born", "killed", "paused", "resumed", "asked", "answered", "gave-up", "told", "heard",
 	"listed", "scheduled", "node-born", "node-fell", "linked", "unlinked", "offered", "recalled", "ran", "confirmed",
-	"concluded"}
+	"concluded",
+}
 
 func (k Kind) String() string { return kindNames[k] }
 
--- a/internal/decide/budget/budget.go
+++ b/internal/decide/budget/budget.go
@@ -31,8 +31,10 @@
 	left := max(8, sockets-kept-2*each)
 	o := int(clients * float64(left))
 	open := max(64, openEach*memoryMB)
-	return Parts{Clients: o, Nodes: left - o, Open: open, OnOne: int(onOnePart * float64(open)), Held: heldTimes * open,
-		SoftCap: int(soft * float64(memoryMB) * (1 << 20)), Lingers: each, Provisional: each}
+	return Parts{
+		Clients: o, Nodes: left - o, Open: open, OnOne: int(onOnePart * float64(open)), Held: heldTimes * open,
+		SoftCap: int(soft * float64(memoryMB) * (1 << 20)), Lingers: each, Provisional: each,
+	}
 }
 
 // Purpose is what a connection to a node is wanted for.
--- a/internal/decide/calendar/calendar_test.go
+++ b/internal/decide/calendar/calendar_test.go
@@ -14,8 +14,10 @@
 // fleet is three zones of eight nodes each, one of a kind "rare" in the first and the second.
 func fleet() (all []Node) {
 	for i := range 24 {
-		n := Node{ID: fmt.Sprintf("n%02d", i), Zone: fmt.Sprintf("z%d", i/8), Cell: fmt.Sprintf("c%d", i/4), Kind: "plain",
-			Cores: 10, Memory: 20}
+		n := Node{
+			ID: fmt.Sprintf("n%02d", i), Zone: fmt.Sprintf("z%d", i/8), Cell: fmt.Sprintf("c%d", i/4), Kind: "plain",
+			Cores: 10, Memory: 20,
+		}
 		if i == 0 || i == 12 {
 			n.Kind = "rare"
 		}
@@ -49,27 +51,64 @@
 		because string
 	}{
 		{"one", Calendar{Windows: []Window{win("a", "c0", at(0, 10, 0), 0, 0)}}, nil, "a kept 0", ""},
-		{"two that are too much for their zone", Calendar{Windows: []Window{
-			win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 11, 0), 0, 0)}}, nil,
-			"a kept 0, b refused 0", "33% of the fleet would be out"},
-		{"the later one has slack", Calendar{Windows: []Window{
-			win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 11, 0), 3*time.Hour, 0)}}, nil,
-			"a kept 0, b postponed 75", "33% of the fleet would be out"},
-		{"the later one has priority", Calendar{Windows: []Window{
-			win("a", "c0", at(0, 10, 0), 4*time.Hour, 0), win("b", "c1", at(0, 11, 0), 0, 5)}}, nil,
-			"a postponed 195, b kept 0", "33% of the fleet would be out"},
-		{"back to back, closer than the guard", Calendar{Windows: []Window{
-			win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 12, 0), time.Hour, 0)}}, nil,
-			"a kept 0, b postponed 15", ""},
-		{"five at once", Calendar{Windows: []Window{win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c2", at(0, 10, 0), 0, 0),
-			win("c", "c4", at(0, 10, 0), 0, 0), win("d", "c1", at(0, 10, 0), 9*time.Hour, 0), win("e", "c3", at(0, 10, 0), 0, 9)}}, nil,
-			"a refused 0, b refused 0, c refused 0, d postponed 135, e kept 0", "of the fleet would be out"},
-		{"the last of a kind", Calendar{Windows: []Window{
-			win("a", "n00", at(0, 10, 0), 0, 0), win("b", "n12", at(0, 10, 0), 0, 0)}}, nil,
-			"a kept 0, b refused 0", "100% of machine kind rare"},
-		{"on a deadline", Calendar{Windows: []Window{win("a", "c0", at(6, 20, 0), 5*time.Hour, 0)},
-			Protected: []Protected{{ID: "contest", Start: at(6, 21, 0), Last: time.Hour, Lead: 2 * time.Hour, Tail: 30 * time.Minute}}}, nil,
-			"a postponed 165", "contest is protected from Sun 8 Mar 19:00"},
+		{
+			"two that are too much for their zone",
+			Calendar{Windows: []Window{
+				win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 11, 0), 0, 0),
+			}},
+			nil,
+			"a kept 0, b refused 0", "33% of the fleet would be out",
+		},
+		{
+			"the later one has slack",
+			Calendar{Windows: []Window{
+				win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 11, 0), 3*time.Hour, 0),
+			}},
+			nil,
+			"a kept 0, b postponed 75", "33% of the fleet would be out",
+		},
+		{
+			"the later one has priority",
+			Calendar{Windows: []Window{
+				win("a", "c0", at(0, 10, 0), 4*time.Hour, 0), win("b", "c1", at(0, 11, 0), 0, 5),
+			}},
+			nil,
+			"a postponed 195, b kept 0", "33% of the fleet would be out",
+		},
+		{
+			"back to back, closer than the guard",
+			Calendar{Windows: []Window{
+				win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 12, 0), time.Hour, 0),
+			}},
+			nil,
+			"a kept 0, b postponed 15", "",
+		},
+		{
+			"five at once",
+			Calendar{Windows: []Window{
+				win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c2", at(0, 10, 0), 0, 0),
+				win("c", "c4", at(0, 10, 0), 0, 0), win("d", "c1", at(0, 10, 0), 9*time.Hour, 0), win("e", "c3", at(0, 10, 0), 0, 9),
+			}},
+			nil,
+			"a refused 0, b refused 0, c refused 0, d postponed 135, e kept 0", "of the fleet would be out",
+		},
+		{
+			"the last of a kind",
+			Calendar{Windows: []Window{
+				win("a", "n00", at(0, 10, 0), 0, 0), win("b", "n12", at(0, 10, 0), 0, 0),
+			}},
+			nil,
+			"a kept 0, b refused 0", "100% of machine kind rare",
+		},
+		{
+			"on a deadline",
+			Calendar{
+				Windows:   []Window{win("a", "c0", at(6, 20, 0), 5*time.Hour, 0)},
+				Protected: []Protected{{ID: "contest", Start: at(6, 21, 0), Last: time.Hour, Lead: 2 * time.Hour, Tail: 30 * time.Minute}},
+			},
+			nil,
+			"a postponed 165", "contest is protected from Sun 8 Mar 19:00",
+		},
 		{"no room at that hour", Calendar{Windows: []Window{win("a", "c0", at(0, 10, 0), 3*time.Hour, 0)}}, func(l *Load) {
 			for i := range 24 * 7 {
 				part := 0.3
@@ -79,12 +118,19 @@
 				l.Seen(monday.Add(time.Duration(i)*time.Hour), part, 0.3)
 			}
 		}, "a postponed 135", "on Mon 2 Mar 11:00 usually"},
-		{"too many cold at once", Calendar{Windows: []Window{
-			win("a", "c0", at(0, 10, 0), 0, 0), {ID: "b", Reach: Cell, Place: "c2", Start: at(0, 11, 0), Last: time.Hour}}}, nil,
-			"a kept 0, b refused 0", "of the fleet"},
+		{
+			"too many cold at once",
+			Calendar{Windows: []Window{
+				win("a", "c0", at(0, 10, 0), 0, 0), {ID: "b", Reach: Cell, Place: "c2", Start: at(0, 11, 0), Last: time.Hour},
+			}},
+			nil,
+			"a kept 0, b refused 0", "of the fleet",
+		},
 		{"a place that is not there", Calendar{Windows: []Window{win("a", "c99", at(0, 10, 0), 0, 0)}}, nil, "a kept 0", ""},
-		{"cancelled", Calendar{Windows: []Window{{ID: "a", Reach: Cell, Place: "c0", Start: at(0, 10, 0), Last: time.Hour,
-			Rule: "FREQ=DAILY;COUNT=3", Except: []time.Time{at(1, 10, 0)}}}}, nil, "a kept 0, a kept 0", ""},
+		{"cancelled", Calendar{Windows: []Window{{
+			ID: "a", Reach: Cell, Place: "c0", Start: at(0, 10, 0), Last: time.Hour,
+			Rule: "FREQ=DAILY;COUNT=3", Except: []time.Time{at(1, 10, 0)},
+		}}}, nil, "a kept 0, a kept 0", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := c.cal.Check(); err != nil {
@@ -137,8 +183,10 @@
 	if err != nil {
 		t.Skip("no time zones on this machine")
 	}
-	cal := Calendar{Windows: []Window{{ID: "a", Reach: OneNode, Place: "n05", Last: time.Hour, Rule: "FREQ=DAILY;COUNT=3",
-		Start: time.Date(2026, 3, 28, 2, 30, 0, 0, zone)}}}
+	cal := Calendar{Windows: []Window{{
+		ID: "a", Reach: OneNode, Place: "n05", Last: time.Hour, Rule: "FREQ=DAILY;COUNT=3",
+		Start: time.Date(2026, 3, 28, 2, 30, 0, 0, zone),
+	}}}
 	var got []string
 	for _, v := range Plan(&cal, fleet(), limits, nil, monday, monday.AddDate(0, 2, 0)) {
 		got = append(got, v.Start.In(zone).Format("2 15:04"))
@@ -147,8 +195,10 @@
 	if s := strings.Join(got, ", "); s != "28 02:30, 29 03:30, 30 02:30" {
 		t.Error(s)
 	}
-	across := Calendar{Windows: []Window{{ID: "a", Reach: OneNode, Place: "n05", Last: 4 * time.Hour,
-		Start: time.Date(2026, 10, 25, 1, 0, 0, 0, zone)}}}
+	across := Calendar{Windows: []Window{{
+		ID: "a", Reach: OneNode, Place: "n05", Last: 4 * time.Hour,
+		Start: time.Date(2026, 10, 25, 1, 0, 0, 0, zone),
+	}}}
 	if v := Plan(&across, fleet(), limits, nil, monday, monday.AddDate(1, 0, 0)); v[0].End.Sub(v[0].Start) != 4*time.Hour {
 		t.Errorf("%s long across the change", v[0].End.Sub(v[0].Start))
 	}
--- a/internal/decide/calendar/load.go
+++ b/internal/decide/calendar/load.go
@@ -45,8 +45,10 @@
 	w := csv.NewWriter(out)
 	_ = w.Write(tableHead)
 	for i, v := range l {
-		_ = w.Write([]string{time.Weekday(i / 24).String(), strconv.Itoa(i % 24), strconv.FormatFloat(v[0], 'g', -1, 64),
-			strconv.FormatFloat(v[1], 'g', -1, 64)}) // the first error is kept
+		_ = w.Write([]string{
+			time.Weekday(i / 24).String(), strconv.Itoa(i % 24), strconv.FormatFloat(v[0], 'g', -1, 64),
+			strconv.FormatFloat(v[1], 'g', -1, 64),
+		}) // the first error is kept
 	}
 	w.Flush()
 	return w.Error()
--- a/internal/decide/clusterstate/clusterstate.go
+++ b/internal/decide/clusterstate/clusterstate.go
@@ -271,8 +271,10 @@
 }
 
 // transitions are those that a zone's state may take.
-var transitions = map[[2]ZoneState]bool{{Open, Suspect}: true, {Suspect, Open}: true, {Suspect, Closed}: true, {Closed, Returning}: true,
-	{Returning, Open}: true, {Returning, Closed}: true}
+var transitions = map[[2]ZoneState]bool{
+	{Open, Suspect}: true, {Suspect, Open}: true, {Suspect, Closed}: true, {Closed, Returning}: true,
+	{Returning, Open}: true, {Returning, Closed}: true,
+}
 
 // setZoneState changes a zone's state from the one that was written at a version.
 func (s *State) setZoneState(name string, seen uint64, to ZoneState, cause string) Refusal {
--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -136,8 +136,10 @@
 
 // New starts a replica at a time in ms. saved is what a voter finds on its disk; an error means that saved can't be used.
 func New(edge Effects, now float64, who Config, saved PersistedState) (*Replica, error) {
-	c := &Replica{effects: edge, config: who, rng: rand.New(rand.NewPCG(who.Seed, 0xb00c)), now: now, state: clusterstate.New(), probes: map[string]probeReply{},
-		nextProbeAt: now, nextTickAt: now, answeredVoters: map[string]bool{}, onResult: func(uint64, clusterstate.Refusal) {}, onReport: func(string, []byte) {}}
+	c := &Replica{
+		effects: edge, config: who, rng: rand.New(rand.NewPCG(who.Seed, 0xb00c)), now: now, state: clusterstate.New(), probes: map[string]probeReply{},
+		nextProbeAt: now, nextTickAt: now, answeredVoters: map[string]bool{}, onResult: func(uint64, clusterstate.Refusal) {}, onReport: func(string, []byte) {},
+	}
 	c.self = uint64(slices.Index(who.Voters, who.Name) + 1)
 	if c.self > 0 {
 		if err := c.startVoter(saved); err != nil {
--- a/internal/decide/consensus/voter.go
+++ b/internal/decide/consensus/voter.go
@@ -73,9 +73,11 @@
 			err = fmt.Errorf("council: the folder does not fit together: %v", p)
 		}
 	}()
-	r.engine, err = raft.NewRawNode(&raft.Config{ID: r.self, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: r.disk,
+	r.engine, err = raft.NewRawNode(&raft.Config{
+		ID: r.self, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: r.disk,
 		Applied: r.compactedTo, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: 16, MaxUncommittedEntriesSize: maxStateBytes, CheckQuorum: true, PreVote: true,
-		Logger: silentLogger{}})
+		Logger: silentLogger{},
+	})
 	r.scheduleCampaign()
 	return err
 }
--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -80,8 +80,10 @@
 
 // New makes a queue in front of machines of so much room altogether; so many may be open at once.
 func New(cores, memory float64, window int) *Queue {
-	q := &Queue{free: math.Inf(1), there: math.Inf(1), cores: max(cores, 1e-9), memory: max(memory, 1e-9), window: window, waits: map[uint64]*request{},
-		order: 1 << 62, before: 1 << 62}
+	q := &Queue{
+		free: math.Inf(1), there: math.Inf(1), cores: max(cores, 1e-9), memory: max(memory, 1e-9), window: window, waits: map[uint64]*request{},
+		order: 1 << 62, before: 1 << 62,
+	}
 	q.under.q, q.over.q = q, q
 	q.calm, q.last = math.Inf(-1), math.Inf(-1)
 	return q
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -193,9 +193,11 @@
 		q := New(10, 10, window)
 		limits := make([]Limits, 3)
 		set := func(now float64, i int) {
-			limits[i] = Limits{Share: rapid.Float64Range(0.1, 5).Draw(t, "share"), Rate: float64(rapid.IntRange(0, 50).Draw(t, "rate")),
+			limits[i] = Limits{
+				Share: rapid.Float64Range(0.1, 5).Draw(t, "share"), Rate: float64(rapid.IntRange(0, 50).Draw(t, "rate")),
 				Burst: float64(rapid.IntRange(0, 4).Draw(t, "burst")), Open: rapid.IntRange(0, 4).Draw(t, "open"),
-				Wait: rapid.IntRange(0, 5).Draw(t, "wait"), Stop: rapid.IntRange(0, 9).Draw(t, "stop") == 0}
+				Wait: rapid.IntRange(0, 5).Draw(t, "wait"), Stop: rapid.IntRange(0, 9).Draw(t, "stop") == 0,
+			}
 			q.Set(now, i, limits[i])
 		}
 		for i := range limits {
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handover/handover_test.go
@@ -16,10 +16,15 @@
 		{"only out", []Part{{Service: 1, Out: 2, Goes: true}}, nil, nil},
 		{"whole and at rest", []Part{{Service: 1, Waits: 1, Runs: 3, Whole: true, Goes: true}}, []uint64{1}, nil},
 		{"whole with one out for long", []Part{{Service: 1, Runs: 3, Out: 1, Whole: true, Goes: true}}, nil, []uint64{1}},
-		{"paced", []Part{{Service: 1, Runs: most - 1, Goes: true}, {Service: 2, Runs: 2, Goes: true},
-			{Service: 3, Runs: 1, Goes: true}}, []uint64{1, 3}, nil},
-		{"one that is large goes all the same", []Part{{Service: 1, Runs: 3 * most, Goes: true},
-			{Service: 2, Runs: 1, Goes: true}}, []uint64{1}, nil},
+		{"paced", []Part{
+			{Service: 1, Runs: most - 1, Goes: true},
+			{Service: 2, Runs: 2, Goes: true},
+			{Service: 3, Runs: 1, Goes: true},
+		}, []uint64{1, 3}, nil},
+		{"one that is large goes all the same", []Part{
+			{Service: 1, Runs: 3 * most, Goes: true},
+			{Service: 2, Runs: 1, Goes: true},
+		}, []uint64{1}, nil},
 		{"nothing left", []Part{{Service: 1, Goes: true}}, nil, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -83,8 +83,23 @@
 	for _, c := range []struct {
 		count uint64
 		want  bool
-	}{{1, true}, {1, false}, {3, true}, {2, true}, {2, false}, {3, false}, {80, true}, {17, true}, {16, false}, {17, false}, {79, true},
-		{1000, true}, {80, false}, {937, true}, {936, false}} {
+	}{
+		{1, true},
+		{1, false},
+		{3, true},
+		{2, true},
+		{2, false},
+		{3, false},
+		{80, true},
+		{17, true},
+		{16, false},
+		{17, false},
+		{79, true},
+		{1000, true},
+		{80, false},
+		{937, true},
+		{936, false},
+	} {
 		if got := m.acceptCount(c.count); got != c.want {
 			t.Errorf("count %d: %t", c.count, got)
 		}
--- a/internal/decide/reconnect/reconnect.go
+++ b/internal/decide/reconnect/reconnect.go
@@ -179,14 +179,17 @@
 	x, y := &d.of[d.order[i]], &d.of[d.order[j]]
 	return x.at < y.at || x.at == y.at && x.order < y.order
 }
+
 func (d *due) Swap(i, j int) {
 	d.order[i], d.order[j] = d.order[j], d.order[i]
 	d.of[d.order[i]].place, d.of[d.order[j]].place = i, j
 }
+
 func (d *due) Push(x any) {
 	d.of[x.(int)].place = len(d.order)
 	d.order = append(d.order, x.(int))
 }
+
 func (d *due) Pop() any {
 	nd := d.order[len(d.order)-1]
 	d.order = d.order[:len(d.order)-1]
--- a/internal/decide/shardownership/shardownership_test.go
+++ b/internal/decide/shardownership/shardownership_test.go
@@ -8,8 +8,12 @@
 	"ravenpond/logic"
 )
 
-var jobs = []logic.JobClass{{Semantics: logic.Restartable}, {Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone},
-	{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeAll}, {Semantics: logic.AtMostOnce}}
+var jobs = []logic.JobClass{
+	{Semantics: logic.Restartable},
+	{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone},
+	{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeAll},
+	{Semantics: logic.AtMostOnce},
+}
 
 func TestFate(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/decide/shardrouter/shardrouter.go
+++ b/internal/decide/shardrouter/shardrouter.go
@@ -65,9 +65,11 @@
 	for i := range weights {
 		weights[i] = 1
 	}
-	d := &Router{terms: terms, ownership: shardownership.NewTable(terms.Jobs, terms.Epoch), table: shares.New(terms.Way, weights),
+	d := &Router{
+		terms: terms, ownership: shardownership.NewTable(terms.Jobs, terms.Epoch), table: shares.New(terms.Way, weights),
 		dog: watchdog.New(now, terms.Most), gates: make([]admit.Gate, terms.Most), lost: map[shardownership.Name]lost{}, lostBy: map[shardownership.Try]shardownership.Name{},
-		resting: map[uint64]float64{}, leaves: map[int]bool{}, gone: map[int]bool{}, fresh: map[int]float64{}}
+		resting: map[uint64]float64{}, leaves: map[int]bool{}, gone: map[int]bool{}, fresh: map[int]float64{},
+	}
 	d.ownership.Trusted = terms.Trusted
 	if terms.Hosts {
 		d.begin()
@@ -89,7 +91,8 @@
 // belongs, under a new epoch. why says why there is none. unread is how long the ask lay on its way, and queue tells of a
 // shard how long it has been at one thing, beyond what is common, and how many asks wait there.
 func (r *Router) Ask(now float64, n shardownership.Name, a shardownership.Ask, unread float64,
-	queue func(shard int) (stuck float64, ahead int)) (at int, epoch uint32, why string) {
+	queue func(shard int) (stuck float64, ahead int),
+) (at int, epoch uint32, why string) {
 	at, known := r.ownership.Look(now, n)
 	switch {
 	case known == shardownership.Barring:
--- a/internal/decide/shardrouter/shardrouter_test.go
+++ b/internal/decide/shardrouter/shardrouter_test.go
@@ -10,8 +10,11 @@
 	"ravenpond/logic"
 )
 
-var jobs = []logic.JobClass{{Semantics: logic.Restartable}, {Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone, Spread: logic.PerNode, MaxPerScope: 3},
-	{Semantics: logic.AtMostOnce}}
+var jobs = []logic.JobClass{
+	{Semantics: logic.Restartable},
+	{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone, Spread: logic.PerNode, MaxPerScope: 3},
+	{Semantics: logic.AtMostOnce},
+}
 
 func calm(int) (float64, int) { return 0, 0 }
 
--- a/internal/decide/slowstart/slowstart_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -55,8 +55,10 @@
 func (p *proc) clock(now float64) float64 { return p.base + (now-p.began)*p.rate }
 
 func newWorld(seed uint64, places, procs int, pl plant) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 5)), who: Config{Places: places, Lease: LeaseFor(places, 200), Window: 1500},
-		cut: map[[2]int]bool{}, plant: pl}
+	w := &world{
+		rng: rand.New(rand.NewPCG(seed, 5)), who: Config{Places: places, Lease: LeaseFor(places, 200), Window: 1500},
+		cut: map[[2]int]bool{}, plant: pl,
+	}
 	for i := range procs {
 		p := &proc{place: i}
 		w.all = append(w.all, p)
--- a/internal/decide/tenancy/tenancy_test.go
+++ b/internal/decide/tenancy/tenancy_test.go
@@ -175,8 +175,10 @@
 			} else {
 				limits := some
 				limits.Open = rapid.IntRange(-1, 5).Draw(t, "open")
-				got, f := b.Apply(now, Change{Kind: Kind(rapid.IntRange(1, 5).Draw(t, "kind")), Name: name, Limits: limits,
-					Ending: Ending(rapid.IntRange(0, 1).Draw(t, "ending")), Version: uint64(rapid.IntRange(0, 3).Draw(t, "version"))})
+				got, f := b.Apply(now, Change{
+					Kind: Kind(rapid.IntRange(1, 5).Draw(t, "kind")), Name: name, Limits: limits,
+					Ending: Ending(rapid.IntRange(0, 1).Draw(t, "ending")), Version: uint64(rapid.IntRange(0, 3).Draw(t, "version")),
+				})
 				if f == nil {
 					after = got
 				} else if now, _ := b.Get(name); was && now != before {
--- a/internal/decide/workingset/workingset_test.go
+++ b/internal/decide/workingset/workingset_test.go
@@ -269,8 +269,10 @@
 			id := uint32(rapid.IntRange(1, 60).Draw(t, "node"))
 			switch rapid.IntRange(0, 8).Draw(t, "event") {
 			case 0, 1, 2:
-				n := Node{ID: id, Zone: rapid.IntRange(0, 2).Draw(t, "zone"), Kind: rapid.IntRange(0, 1).Draw(t, "kind"),
-					State: State(rapid.IntRange(0, 1).Draw(t, "state"))}
+				n := Node{
+					ID: id, Zone: rapid.IntRange(0, 2).Draw(t, "zone"), Kind: rapid.IntRange(0, 1).Draw(t, "kind"),
+					State: State(rapid.IntRange(0, 1).Draw(t, "state")),
+				}
 				s.PutNode(n)
 				listed[id] = n.State
 			case 3:
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -64,8 +64,10 @@
 	if !a.recalled {
 		e.recall(a)
 	}
-	e.rememberAbandoned(attemptID{a.ticket, a.attempt}, abandonedAttempt{allocationID: a.id, nodeIndex: a.nodeIndex, jobClass: a.jobClass, tenant: a.tenant,
-		service: a.service, token: a.token, cores: a.cores, memory: a.memory, sentAt: a.sentAt})
+	e.rememberAbandoned(attemptID{a.ticket, a.attempt}, abandonedAttempt{
+		allocationID: a.id, nodeIndex: a.nodeIndex, jobClass: a.jobClass, tenant: a.tenant,
+		service: a.service, token: a.token, cores: a.cores, memory: a.memory, sentAt: a.sentAt,
+	})
 	if e.jobEffects[a.jobClass] != logic.Restartable {
 		e.scheduleClaim(attemptID{a.ticket, a.attempt}, outcome.Claims())
 	}
@@ -149,7 +151,8 @@
 
 // OnOutcome is a node's word on a try's outcome; never tells that the node proves that it never ran.
 func (e *Engine) OnOutcome(now float64, nd uint32, ticket uint64, try uint8, verdict logic.Outcome, why logic.Reason,
-	report []float64) error {
+	report []float64,
+) error {
 	e.now, e.hasEvents = now, true
 	if p, ok := e.findAttempt(ticket, try); ok {
 		a := &e.allocations[p]
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -24,10 +24,12 @@
 const benchNodes = 130
 
 func benchCluster() *logic.Cluster {
-	return &logic.Cluster{Schedulers: 1, ListMaxSilence: 1e9, MinRoundInterval: 1, MaxAttempts: 4, CanCancel: true, CanProbe: true,
+	return &logic.Cluster{
+		Schedulers: 1, ListMaxSilence: 1e9, MinRoundInterval: 1, MaxAttempts: 4, CanCancel: true, CanProbe: true,
 		KindCores: []float64{64}, KindMemory: []float64{128}, CoresOvercommit: 4, MemoryOvercommit: 4, ListsReportLoad: true,
 		ReportFields: []string{"x0", "x1"}, ReportsPiggybacked: true, SlowStartLimit: 1000, SlowStartDuration: 1, SlowStartWindow: 1, MeanCores: 1,
-		MeanMemory: 2, JobClasses: []logic.JobClass{{LatencyObjective: 1000, PriorityWeight: 1, NodeKind: -1}}}
+		MeanMemory: 2, JobClasses: []logic.JobClass{{LatencyObjective: 1000, PriorityWeight: 1, NodeKind: -1}},
+	}
 }
 
 // BenchmarkEngine is the whole life of an allocation through the engine, one a round of 1 ms.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -28,8 +28,10 @@
 			s.link(s.last.nd, 1)
 			s.e.OnClaimOutcome(s.now, s.last.nd, s.last.ticket, s.last.try, logic.Rejected, logic.ReasonUnknown)
 		}, [4]string{"claim 1.0, offer 1.1", "claim 1.0, offer 1.1", "claim 1.0, offer 1.1", "claim 1.0, offer 1.1"}},
-		{"left, node comes back in another life", true, func(s *script) { s.link(s.last.nd, 2) },
-			[4]string{"offer 1.1", "offer 1.1", "offer 1.1", "answer 1 failed"}},
+		{
+			"left, node comes back in another life", true, func(s *script) { s.link(s.last.nd, 2) },
+			[4]string{"offer 1.1", "offer 1.1", "offer 1.1", "answer 1 failed"},
+		},
 		{"left, node holds it and it runs", true, func(s *script) {
 			s.e.OnConnected(s.now, s.last.nd, 1, 0)
 			if err := s.e.OnHeld(s.now, s.last.nd, s.last.ticket, s.last.try, true, 0, 0, 99, 1001, 1, 2); err != nil {
@@ -175,8 +177,10 @@
 }
 
 func TestWithdraw(t *testing.T) {
-	for job, want := range [4]string{"answer 1 declined, recall 1.0", "answer 1 failed, recall 1.0",
-		"answer 1 failed, recall 1.0", "answer 1 failed, recall 1.0"} {
+	for job, want := range [4]string{
+		"answer 1 declined, recall 1.0", "answer 1 failed, recall 1.0",
+		"answer 1 failed, recall 1.0", "answer 1 failed, recall 1.0",
+	} {
 		t.Run(fmt.Sprint(job), func(t *testing.T) {
 			s := begin(t, false)
 			s.ask(1, job, 5000)
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -94,9 +94,11 @@
 	}
 	for _, p := range all {
 		a := &e.allocations[p]
-		g := Transfer{Client: a.client, RequestID: a.requestID, JobClass: a.jobClass, Tenant: a.tenant, Service: a.service, Token: a.token,
+		g := Transfer{
+			Client: a.client, RequestID: a.requestID, JobClass: a.jobClass, Tenant: a.tenant, Service: a.service, Token: a.token,
 			Cores: a.cores, Memory: a.memory, Deadline: a.deadline, Epoch: a.epoch, Running: a.phase == phaseRunning, Ticket: a.ticket,
-			Attempt: a.attempt}
+			Attempt: a.attempt,
+		}
 		id, try := a.id, a.policyAttempt()
 		if g.Running {
 			g.Node = e.nodes[a.nodeIndex].id
@@ -137,8 +139,10 @@
 	if _, ok := e.findAttempt(g.Ticket, g.Attempt); ok { // its node was faster in telling what it holds
 		return true
 	}
-	gh := abandonedAttempt{nodeIndex: nd, jobClass: g.JobClass, tenant: g.Tenant, service: g.Service, token: g.Token, cores: g.Cores,
-		memory: g.Memory, sentAt: now, started: true}
+	gh := abandonedAttempt{
+		nodeIndex: nd, jobClass: g.JobClass, tenant: g.Tenant, service: g.Service, token: g.Token, cores: g.Cores,
+		memory: g.Memory, sentAt: now, started: true,
+	}
 	e.rememberAbandoned(name, gh)
 	p := e.recoverTask(name, gh)
 	if p < 0 {
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -18,7 +18,8 @@
 
 // AddListNode is one entry; startedAt is on the wall clock, 0 for long ago.
 func (e *Engine) AddListNode(id uint32, address string, avail logic.Availability, startedAt, freeCores,
-	freeMemory float64, zone, cell, kind int) {
+	freeMemory float64, zone, cell, kind int,
+) {
 	nd, ok := e.nodeIndex[id]
 	if !ok {
 		if avail == logic.Unavailable {
@@ -271,7 +272,8 @@
 
 // OnHeld is one thing that a node holds for this scheduler, told before anything else on a connection.
 func (e *Engine) OnHeld(now float64, id uint32, ticket uint64, try uint8, runsNow bool, jobType, tenant int,
-	service, token uint64, cores, memory float64) error {
+	service, token uint64, cores, memory float64,
+) error {
 	e.now, e.hasEvents = now, true
 	nd, ok := e.nodeIndex[id]
 	if !ok {
@@ -295,8 +297,10 @@
 	}
 	g, known := e.abandoned[name]
 	if !known {
-		g = abandonedAttempt{nodeIndex: nd, jobClass: jobType, tenant: tenant, service: service, token: token, cores: cores,
-			memory: memory, sentAt: now}
+		g = abandonedAttempt{
+			nodeIndex: nd, jobClass: jobType, tenant: tenant, service: service, token: token, cores: cores,
+			memory: memory, sentAt: now,
+		}
 		if p, ok := e.byKey[idempotencyKey{tenant, token}]; ok {
 			g.allocationID = e.allocations[p].id
 		}
@@ -392,7 +396,8 @@
 
 // OnClaimOutcome is a node's answer to a claim: the try's outcome, which it may have told before.
 func (e *Engine) OnClaimOutcome(now float64, id uint32, ticket uint64, try uint8, verdict logic.Outcome,
-	why logic.Reason) {
+	why logic.Reason,
+) {
 	e.now, e.hasEvents = now, true
 	if p, ok := e.findAttempt(ticket, try); ok && e.nodes[e.allocations[p].nodeIndex].id == id {
 		if e.allocations[p].phase == phaseRunning && verdict == logic.Rejected {
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -57,7 +57,8 @@
 // Allocate takes an ask under an epoch of the one who says which engine acts for it: left is the time that its owner
 // still waits, counted from now. An error means that it was not understood as a new one, and no answer follows.
 func (e *Engine) Allocate(now float64, owner uint32, ref uint64, jobType, tenant int, service, token uint64,
-	cores, memory, left float64, epoch uint32) error {
+	cores, memory, left float64, epoch uint32,
+) error {
 	e.now, e.hasEvents = now, true
 	if _, ok := e.requests[requestKey{owner, ref}]; ok {
 		return fmt.Errorf("ask %d is not over", ref)
--- a/internal/engine/script_test.go
+++ b/internal/engine/script_test.go
@@ -81,14 +81,17 @@
 // begin starts an engine with four nodes, two to a zone, all connected unless dark.
 func begin(t *testing.T, dark bool) *script {
 	s := &script{t: t, seen: map[uint32]int{}, now: 1000}
-	cl := &logic.Cluster{Schedulers: 1, ListMaxSilence: 10000, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true,
+	cl := &logic.Cluster{
+		Schedulers: 1, ListMaxSilence: 10000, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true,
 		KindCores: []float64{16}, KindMemory: []float64{32}, CoresOvercommit: 2, MemoryOvercommit: 1.5, ListsReportLoad: true,
 		ReportFields: []string{"x0", "x1"}, ReportsPiggybacked: true, SlowStartLimit: 20, SlowStartDuration: 8000, SlowStartWindow: 2000,
 		MeanCores: 1, MeanMemory: 2, JobClasses: []logic.JobClass{
 			{Semantics: logic.Restartable, LatencyObjective: 700, PriorityWeight: 1, NodeKind: -1},
 			{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone, IdempotencyWindow: 8000, LatencyObjective: 700, PriorityWeight: 2, NodeKind: -1},
 			{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeAll, IdempotencyWindow: 8000, LatencyObjective: 700, PriorityWeight: 2, NodeKind: -1},
-			{Semantics: logic.AtMostOnce, LatencyObjective: 2000, PriorityWeight: 3, NodeKind: -1}}}
+			{Semantics: logic.AtMostOnce, LatencyObjective: 2000, PriorityWeight: 3, NodeKind: -1},
+		},
+	}
 	s.e = New(s, s.now, Config{Cluster: cl, Shares: []float64{0.5, 0.5}, MaxOpen: 100, AnswerMargin: 100, SettleTime: 3000, Incarnation: 1, Seed: 5})
 	s.e.BeginList(s.now, logic.ListCached)
 	for i := range uint32(4) {
--- a/internal/engine/windows_test.go
+++ b/internal/engine/windows_test.go
@@ -18,8 +18,10 @@
 			want  string
 		}{
 			{"handed back", func(s *script) error { return s.settled(logic.Rejected) }, "offer 1.1"},
-			{"runs after all", func(s *script) error { return s.e.OnStarted(s.now, s.last.nd, s.last.ticket, s.last.try, 9) },
-				"answer 1 served"},
+			{
+				"runs after all", func(s *script) error { return s.e.OnStarted(s.now, s.last.nd, s.last.ticket, s.last.try, 9) },
+				"answer 1 served",
+			},
 		} {
 			t.Run(fmt.Sprintf("%s/%d", c.name, job), func(t *testing.T) {
 				s := begin(t, false)
--- a/internal/keys/guard.go
+++ b/internal/keys/guard.go
@@ -71,14 +71,16 @@
 	for _, e := range list.RevokedCertificateEntries {
 		revoked[e.SerialNumber.String()] = true
 	}
-	tlsConfig := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, ClientCAs: pool,
+	tlsConfig := &tls.Config{
+		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, ClientCAs: pool,
 		ClientAuth: tls.RequireAndVerifyClientCert, NextProtos: []string{"h2"}, SessionTicketsDisabled: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
 			if len(s.PeerCertificates) == 0 || revoked[s.PeerCertificates[0].SerialNumber.String()] {
 				return errors.New("certificate was revoked")
 			}
 			return nil
-		}}
+		},
+	}
 	g.mu.Lock()
 	g.tlsConfig, g.revoked = tlsConfig, revoked
 	g.mu.Unlock()
@@ -87,12 +89,14 @@
 
 // ServerConfig is the TLS of a server that asks nobody for a certificate, with the one that was read last.
 func (g *Guard) ServerConfig() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true,
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			return &g.tlsConfig.Certificates[0], nil
-		}}
+		},
+	}
 }
 
 // reloadInterval is how often files are read again.
@@ -142,12 +146,14 @@
 
 // Credentials are for a gRPC server.
 func (g *Guard) Credentials() credentials.TransportCredentials {
-	conf := &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"},
+	conf := &tls.Config{
+		MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			return g.tlsConfig, nil
-		}}
+		},
+	}
 	return guardedCredentials{credentials.NewTLS(conf), g}
 }
 
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -73,9 +73,11 @@
 	if err != nil {
 		return err
 	}
-	made := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: "ravenpond authority " + now.UTC().Format(time.DateOnly)},
+	made := &x509.Certificate{
+		SerialNumber: serial, Subject: pkix.Name{CommonName: "ravenpond authority " + now.UTC().Format(time.DateOnly)},
 		NotBefore: now.Add(-clockSkew), NotAfter: now.Add(authorityLifetime), IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true,
-		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
+		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign,
+	}
 	der, err := x509.CreateCertificate(rand.Reader, made, made, key.Public(), key)
 	if err != nil {
 		return err
@@ -202,8 +204,10 @@
 	if err != nil {
 		return nil, err
 	}
-	made := &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: w.Name}, NotBefore: now.Add(-clockSkew),
-		NotAfter: earlier(now.Add(w.Lifetime), ca.NotAfter), KeyUsage: x509.KeyUsageDigitalSignature}
+	made := &x509.Certificate{
+		SerialNumber: serial, Subject: pkix.Name{CommonName: w.Name}, NotBefore: now.Add(-clockSkew),
+		NotAfter: earlier(now.Add(w.Lifetime), ca.NotAfter), KeyUsage: x509.KeyUsageDigitalSignature,
+	}
 	if len(w.Hosts) > 0 {
 		made.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}
 		for _, h := range w.Hosts {
@@ -278,8 +282,10 @@
 	if err != nil {
 		return err
 	}
-	der, err := x509.CreateRevocationList(rand.Reader, &x509.RevocationList{Number: big.NewInt(now.UnixNano()), ThisUpdate: now.Add(-clockSkew),
-		NextUpdate: now.Add(crlLifetime), RevokedCertificateEntries: entries}, ca, key)
+	der, err := x509.CreateRevocationList(rand.Reader, &x509.RevocationList{
+		Number: big.NewInt(now.UnixNano()), ThisUpdate: now.Add(-clockSkew),
+		NextUpdate: now.Add(crlLifetime), RevokedCertificateEntries: entries,
+	}, ca, key)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -71,8 +71,10 @@
 // Factory gives what makes a policy of a name.
 func Factory(name string) func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
 	return func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
-		p := &Policy{effects: host, cluster: cl, random: rand.New(rand.NewPCG(seed, 77)), name: name, now: now, nodeIndex: map[uint32]int{},
-			allocations: map[uint32]*allocation{}}
+		p := &Policy{
+			effects: host, cluster: cl, random: rand.New(rand.NewPCG(seed, 77)), name: name, now: now, nodeIndex: map[uint32]int{},
+			allocations: map[uint32]*allocation{},
+		}
 		host.WatchList(true)
 		return p
 	}
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -27,8 +27,10 @@
 
 func TestPolicies(t *testing.T) {
 	cl := &logic.Cluster{MaxAttempts: 3, KindCores: []float64{10}, KindMemory: []float64{10}, JobClasses: []logic.JobClass{
-		{Semantics: logic.Restartable, NodeKind: -1}, {Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone, IdempotencyWindow: 1000, NodeKind: -1},
-		{Semantics: logic.AtMostOnce, NodeKind: -1}}}
+		{Semantics: logic.Restartable, NodeKind: -1},
+		{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone, IdempotencyWindow: 1000, NodeKind: -1},
+		{Semantics: logic.AtMostOnce, NodeKind: -1},
+	}}
 	for _, name := range PolicyNames {
 		t.Run(name, func(t *testing.T) {
 			d := &recorder{offers: map[uint32][]uint32{}}
--- a/internal/lab/circle/circle.go
+++ b/internal/lab/circle/circle.go
@@ -99,8 +99,10 @@
 	if p.c.Wrap != nil {
 		w = p.c.Wrap(w)
 	}
-	run, err := members.Begin(w, p.Addr, membership.Config{Site: "lab", Name: p.Name, Address: p.Addr, Life: p.Life, Key: p.Key, Seeds: seeds,
-		Seed: p.c.Rng.Uint64(), Place: p.place, Places: len(p.c.took[0]), Window: windows[0], Open: windows[1], Faults: p.c.Plant}, told{p})
+	run, err := members.Begin(w, p.Addr, membership.Config{
+		Site: "lab", Name: p.Name, Address: p.Addr, Life: p.Life, Key: p.Key, Seeds: seeds,
+		Seed: p.c.Rng.Uint64(), Place: p.place, Places: len(p.c.took[0]), Window: windows[0], Open: windows[1], Faults: p.c.Plant,
+	}, told{p})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/lab/circle/circle_test.go
+++ b/internal/lab/circle/circle_test.go
@@ -124,8 +124,10 @@
 		does func(*sim.Lane)
 	}{
 		{"one hears the other, who does not", func(p, q *Process) bool { return p.Name == a && q.Name == b }, func(l *sim.Lane) { l.Cut = true }},
-		{"two can't hear each other", func(p, q *Process) bool { return p.Name == a && q.Name == b || p.Name == b && q.Name == a },
-			func(l *sim.Lane) { l.Cut = true }},
+		{
+			"two can't hear each other", func(p, q *Process) bool { return p.Name == a && q.Name == b || p.Name == b && q.Name == a },
+			func(l *sim.Lane) { l.Cut = true },
+		},
 		{"one loses 30% of all", func(p, q *Process) bool { return p.Name == a || q.Name == a }, func(l *sim.Lane) { l.Loss = 0.3 }},
 		{"all lose 5%", func(p, q *Process) bool { return true }, func(l *sim.Lane) { l.Loss = 0.05 }},
 		{"much comes twice", func(p, q *Process) bool { return true }, func(l *sim.Lane) { l.Twice = 0.5 }},
--- a/internal/lab/clubs/clubs.go
+++ b/internal/lab/clubs/clubs.go
@@ -175,8 +175,10 @@
 		if i == 0 && day.Wrong > 0 {
 			share = day.Wrong
 		}
-		_, fault, err := store.Do(time.Now(), "lab", "", tenancy.Change{Kind: tenancy.Add, Name: name(i),
-			Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: share, Wait: 400}}})
+		_, fault, err := store.Do(time.Now(), "lab", "", tenancy.Change{
+			Kind: tenancy.Add, Name: name(i),
+			Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: share, Wait: 400}},
+		})
 		if fault != nil {
 			return nil, fault
 		} else if err != nil {
@@ -190,8 +192,10 @@
 }
 
 func fleet(w *standin.World, day Day) (nodes []*standin.Node, err error) {
-	mk := standin.Make{Cores: cores, Memory: 2 * cores, CoresLimit: 1, MemoryLimit: 1, Look: 1, Line: 4000, Starts: 64, NoProgram: 1,
-		Programs: 64, ColdFrom: 1, ColdFor: 1, Fall: 1e12, FallFor: 1, Bears: 1 << 30}
+	mk := standin.Make{
+		Cores: cores, Memory: 2 * cores, CoresLimit: 1, MemoryLimit: 1, Look: 1, Line: 4000, Starts: 64, NoProgram: 1,
+		Programs: 64, ColdFrom: 1, ColdFor: 1, Fall: 1e12, FallFor: 1, Bears: 1 << 30,
+	}
 	for job := range 2 {
 		mk.Work = append(mk.Work, standin.Work{Start: 2, Life: lasts, Use: 0.5, Priority: job})
 	}
@@ -222,9 +226,11 @@
 		}
 		key, service, tenant := fmt.Sprint("k", n), fmt.Sprint("v", job, n%3), name(i)
 		jt := place.Cluster.JobClasses[job]
-		o.Ask(&standin.Want{Key: key, Tenant: tenant, JobType: place.JobClasses[job], Service: service, Job: job, Effect: int(jt.Semantics),
+		o.Ask(&standin.Want{
+			Key: key, Tenant: tenant, JobType: place.JobClasses[job], Service: service, Job: job, Effect: int(jt.Semantics),
 			Token: serve.Token(tenant, key), ServiceKey: serve.Service(tenant, service), Cores: 1, Memory: 2,
-			Within: place.Deadlines[job], Target: jt.LatencyObjective, Until: w.Now() + 50})
+			Within: place.Deadlines[job], Target: jt.LatencyObjective, Until: w.Now() + 50,
+		})
 	}
 }
 
--- a/internal/lab/clubs/removals.go
+++ b/internal/lab/clubs/removals.go
@@ -196,10 +196,12 @@
 			job := n % 2
 			key, service := fmt.Sprint("k", n), fmt.Sprint("v", job)
 			p.w.After(float64(rng.IntN(int(at[i])+400)), func() { // up to a moment after the removal
-				o.Ask(&standin.Want{Key: key, Tenant: name, JobType: p.place.JobClasses[job], Service: service, Job: job,
+				o.Ask(&standin.Want{
+					Key: key, Tenant: name, JobType: p.place.JobClasses[job], Service: service, Job: job,
 					Effect: int(p.place.Cluster.JobClasses[job].Semantics), Token: serve.Token(name, key),
 					ServiceKey: serve.Service(name, service), Cores: 1, Memory: 2, Within: p.place.Deadlines[job], Target: 1000,
-					Until: p.w.Now() + 20}) // not again: after a removal the token is gone, and what is asked without one is not taken
+					Until: p.w.Now() + 20,
+				}) // not again: after a removal the token is gone, and what is asked without one is not taken
 			})
 		}
 	}
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -175,8 +175,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Comparison{A: a, B: b, Days: len(seeds), Nodes: nodes, Load: load, a: make([]*Figures, len(seeds)),
-		b: make([]*Figures, len(seeds)), days: make([]sim.Script, len(seeds))}
+	c := &Comparison{
+		A: a, B: b, Days: len(seeds), Nodes: nodes, Load: load, a: make([]*Figures, len(seeds)),
+		b: make([]*Figures, len(seeds)), days: make([]sim.Script, len(seeds)),
+	}
 	var mu sync.Mutex
 	var failed error
 	next := 0
--- a/internal/lab/compare/report.go
+++ b/internal/lab/compare/report.go
@@ -56,7 +56,8 @@
 		into *template.HTML
 		draw func(p *plot.Plot) error
 	}{
-		{&data.Latency, c.latency}, {&data.Paired, c.paired},
+		{&data.Latency, c.latency},
+		{&data.Paired, c.paired},
 		{&data.Refusals, func(p *plot.Plot) error {
 			p.Title.Text, p.Y.Label.Text = "refusals", "a second"
 			return c.overTime(p, worst, func(f *Figures) []float64 { return f.refusedAt })
--- a/internal/lab/cores/check.go
+++ b/internal/lab/cores/check.go
@@ -113,7 +113,8 @@
 	local, ended := make(chan *serve.Local, 1), make(chan error, 1)
 	var nodes sync.WaitGroup
 	go func() {
-		ended <- serve.Run(ctx, serve.Scheduler{Place: place, Name: "s", Folder: dir, Seed: tr.Seed, Log: zerolog.Nop(),
+		ended <- serve.Run(ctx, serve.Scheduler{
+			Place: place, Name: "s", Folder: dir, Seed: tr.Seed, Log: zerolog.Nop(),
 			Plant: serve.Plant{Edge: b.harm, Trust: tr.Trust}, Local: func(l *serve.Local) { local <- l }, Resize: resize,
 			Connect: func(_ context.Context, address string) (net.Conn, error) {
 				nd, err := strconv.Atoi(address)
@@ -123,7 +124,8 @@
 				here, there := net.Pipe()
 				nodes.Go(func() { b.node(uint32(nd), there) })
 				return here, nil
-			}})
+			},
+		})
 	}()
 	var l *serve.Local
 	select {
@@ -179,8 +181,10 @@
 	}
 	for i := range n {
 		zone := []string{"one", "two"}[i%2]
-		l.Put(state.Entry{ID: uint32(i + 1), Address: strconv.Itoa(i), Avail: 1, FreeCores: 1000, FreeMemory: 2000,
-			Zone: zone, Cell: zone, Kind: "plain"})
+		l.Put(state.Entry{
+			ID: uint32(i + 1), Address: strconv.Itoa(i), Avail: 1, FreeCores: 1000, FreeMemory: 2000,
+			Zone: zone, Cell: zone, Kind: "plain",
+		})
 	}
 	l.End()
 	if err := f.SaveList(l.Text()); err != nil {
@@ -256,8 +260,10 @@
 	var all [owners]*sink
 	var conns [owners]*serve.LocalOwner
 	for i := range all {
-		all[i] = &sink{b: b, asked: map[uint64]time.Time{}, answers: map[uint64]engine.Answer{},
-			room: make(chan struct{}, max(1, b.Window/owners))}
+		all[i] = &sink{
+			b: b, asked: map[uint64]time.Time{}, answers: map[uint64]engine.Answer{},
+			room: make(chan struct{}, max(1, b.Window/owners)),
+		}
 		conns[i] = l.Owner(all[i])
 	}
 	one := func(i int, ref uint64, key uint64, job int) {
--- a/internal/lab/cores/check_test.go
+++ b/internal/lab/cores/check_test.go
@@ -27,8 +27,10 @@
 				asks, harm = 20000, 150*time.Millisecond
 			}
 			for seed := uint64(3); ; seed++ {
-				v, err := Check(context.Background(), Trial{Shards: c.shards, Connect: c.connect, Asks: asks, Window: 400, Nodes: 8,
-					Twice: 0.1, Harm: harm, Resize: c.resize, Trust: c.trust, Seed: seed})
+				v, err := Check(context.Background(), Trial{
+					Shards: c.shards, Connect: c.connect, Asks: asks, Window: 400, Nodes: 8,
+					Twice: 0.1, Harm: harm, Resize: c.resize, Trust: c.trust, Seed: seed,
+				})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/lab/cores/cores.go
+++ b/internal/lab/cores/cores.go
@@ -41,8 +41,10 @@
 			if n == 1 && way != Ways[0] {
 				continue // one shard shares with nobody
 			}
-			tr := load.Trial{Command: t.Command, Site: withShards(n, way), Nodes: t.Nodes, Owners: 4, Rate: t.Rate,
-				Warm: time.Second, Last: t.Last, Services: 200, Life: 300, Out: t.Out}
+			tr := load.Trial{
+				Command: t.Command, Site: withShards(n, way), Nodes: t.Nodes, Owners: 4, Rate: t.Rate,
+				Warm: time.Second, Last: t.Last, Services: 200, Life: 300, Out: t.Out,
+			}
 			calm, err := load.Run(ctx, tr)
 			if err != nil {
 				return err
@@ -125,8 +127,10 @@
 		"resizes", "lives", "seconds")
 	for i, n := range counts {
 		way := Ways[1-i%2]
-		v, err := Check(ctx, Trial{Shards: n, Connect: way, Asks: asks, Window: 1200, Nodes: 16, Twice: 0.1,
-			Harm: 2 * time.Second, Resize: time.Second, Seed: seed + uint64(i)})
+		v, err := Check(ctx, Trial{
+			Shards: n, Connect: way, Asks: asks, Window: 1200, Nodes: 16, Twice: 0.1,
+			Harm: 2 * time.Second, Resize: time.Second, Seed: seed + uint64(i),
+		})
 		if err != nil {
 			return 0, err
 		}
--- a/internal/lab/cores/peer.go
+++ b/internal/lab/cores/peer.go
@@ -41,8 +41,10 @@
 	if err != nil {
 		return
 	}
-	p := &peer{b: b, nd: nd, sched: head.Get("Scheduler"), conn: conn, wake: make(chan struct{}, 1),
-		rng: rand.New(rand.NewPCG(b.Seed, uint64(nd)))}
+	p := &peer{
+		b: b, nd: nd, sched: head.Get("Scheduler"), conn: conn, wake: make(chan struct{}, 1),
+		rng: rand.New(rand.NewPCG(b.Seed, uint64(nd))),
+	}
 	p.queue = line.AppendGreeting(nil, node.GreetingLine, "Node", strconv.Itoa(int(nd)+1), "Life", "1")
 	p.queue = node.AppendHeldAll(p.queue)
 	done := make(chan struct{})
@@ -116,7 +118,8 @@
 }
 
 func (p *peer) OnOffer(ticket uint64, try uint8, epoch uint32, _, timeout float64, job, tenant int, service, token uint64,
-	_, _ float64) error {
+	_, _ float64,
+) error {
 	b, now := p.b, time.Now()
 	b.mu.Lock()
 	seen := b.epochs[p.nd][token]
--- a/internal/lab/drill/calendar.go
+++ b/internal/lab/drill/calendar.go
@@ -28,8 +28,10 @@
 func (p *player) calendar() *calendar.Calendar {
 	cal := &calendar.Calendar{}
 	for _, w := range p.Day.windows {
-		win := calendar.Window{ID: w.name, Reach: calendar.Cell, Place: w.cell, Start: p.wall(w.at), Last: time.Duration(w.last * 1e6),
-			Lead: time.Duration(w.lead * 1e6), End: calendar.Ending(w.ending)}
+		win := calendar.Window{
+			ID: w.name, Reach: calendar.Cell, Place: w.cell, Start: p.wall(w.at), Last: time.Duration(w.last * 1e6),
+			Lead: time.Duration(w.lead * 1e6), End: calendar.Ending(w.ending),
+		}
 		if w.zone != "" {
 			win.Reach, win.Place = calendar.Zone, w.zone
 		}
@@ -46,8 +48,10 @@
 	var fleet []calendar.Node
 	for _, n := range p.nodes {
 		kind := slices.Index(p.Place.MachineKinds, n.Kind)
-		fleet = append(fleet, calendar.Node{ID: strconv.FormatUint(uint64(n.ID), 10), Zone: n.Zone, Cell: n.Cell, Kind: n.Kind,
-			Cores: p.Place.Cluster.KindCores[kind], Memory: p.Place.Cluster.KindMemory[kind]})
+		fleet = append(fleet, calendar.Node{
+			ID: strconv.FormatUint(uint64(n.ID), 10), Zone: n.Zone, Cell: n.Cell, Kind: n.Kind,
+			Cores: p.Place.Cluster.KindCores[kind], Memory: p.Place.Cluster.KindMemory[kind],
+		})
 	}
 	cal := p.calendar()
 	for _, v := range calendar.Plan(cal, fleet, p.Place.Maintenance, nil, p.dawn.Add(-time.Hour), p.dawn.Add(24*time.Hour)) {
--- a/internal/lab/drill/day.go
+++ b/internal/lab/drill/day.go
@@ -23,9 +23,11 @@
 var DefaultSite string
 
 // Troubles in the order of their numbers.
-var Troubles = []string{"list-away", "list-behind", "demand", "flood", "hang", "answers-lost", "job-fails",
+var Troubles = []string{
+	"list-away", "list-behind", "demand", "flood", "hang", "answers-lost", "job-fails",
 	"reports-late", "neighbours", "hall-lost", "restart", "drain", "grow", "kill", "stand-still", "services-stop",
-	"programs-lost", "pressure"}
+	"programs-lost", "pressure",
+}
 
 // Grammar is a day file's.
 var Grammar = &strictxml.Element{Name: "day", Attrs: []strictxml.Attr{
@@ -141,21 +143,27 @@
 	index := func(it *strictxml.Item, attr, what string, names []string) int {
 		i := slices.Index(names, it.Text(attr))
 		if i < 0 && it.Has(attr) {
-			faults = append(faults, strictxml.Fault{Line: it.Line,
-				Text: fmt.Sprintf("the site has no %s %q", what, it.Text(attr))})
+			faults = append(faults, strictxml.Fault{
+				Line: it.Line,
+				Text: fmt.Sprintf("the site has no %s %q", what, it.Text(attr)),
+			})
 		}
 		return i
 	}
 	n := top.Child("node")
-	d := &Day{Name: top.Text("name"), lasts: top.Number("lasts"), settles: top.Number("settles"),
+	d := &Day{
+		Name: top.Text("name"), lasts: top.Number("lasts"), settles: top.Number("settles"),
 		rate: top.Number("rate"), schedulers: top.Int("schedulers"), services: top.Int("services"),
 		look: n.Number("look"), line: n.Int("line"), starts: n.Int("starts"), keeps: n.Int("programs"),
 		noProgram: n.Number("no-program"), coldFrom: n.Number("cold-from"), fall: n.Number("fall"),
-		lag: top.Child("list").Number("lag")}
+		lag: top.Child("list").Number("lag"),
+	}
 	for _, f := range top.Children("fleet") {
 		index(f, "zone", "zone", place.Zones)
-		d.fleets = append(d.fleets, fleet{index(f, "machine", "machine kind", place.MachineKinds), f.Int("cells"),
-			f.Int("nodes"), f.Text("zone")})
+		d.fleets = append(d.fleets, fleet{
+			index(f, "machine", "machine kind", place.MachineKinds), f.Int("cells"),
+			f.Int("nodes"), f.Text("zone"),
+		})
 	}
 	sum := 0.0
 	for _, w := range top.Children("work") {
@@ -164,10 +172,12 @@
 			continue
 		}
 		jt := place.Cluster.JobClasses[job]
-		d.works = append(d.works, work{job: job, part: w.Number("part"), cores: w.Number("cores"),
+		d.works = append(d.works, work{
+			job: job, part: w.Number("part"), cores: w.Number("cores"),
 			memory: w.Number("memory"), start: w.Number("start"), life: w.Number("life"), use: w.Number("use"),
 			priority: w.Int("priority"), name: w.Text("job-type"), within: place.Deadlines[job], target: jt.LatencyObjective,
-			effect: int(jt.Semantics), spread: int(jt.Spread), most: jt.MaxPerScope, group: int(jt.IdempotencyScope), window: jt.IdempotencyWindow})
+			effect: int(jt.Semantics), spread: int(jt.Spread), most: jt.MaxPerScope, group: int(jt.IdempotencyScope), window: jt.IdempotencyWindow,
+		})
 		sum += w.Number("part")
 	}
 	if len(faults) == 0 && len(d.works) != len(place.JobClasses) {
@@ -180,15 +190,19 @@
 		if w.Has("cell") == w.Has("zone") {
 			faults = append(faults, strictxml.Fault{Line: w.Line, Text: "a window needs a cell or a zone"})
 		}
-		d.windows = append(d.windows, window{w.Text("name"), w.Text("cell"), w.Text("zone"), w.Number("at"), w.Number("lead"),
-			w.Number("for"), w.EnumIndex("ending")})
+		d.windows = append(d.windows, window{
+			w.Text("name"), w.Text("cell"), w.Text("zone"), w.Number("at"), w.Number("lead"),
+			w.Number("for"), w.EnumIndex("ending"),
+		})
 	}
 	for _, t := range top.Children("trouble") {
 		index(t, "zone", "zone", place.Zones)
 		index(t, "tenant", "tenant", place.Tenants)
-		tr := trouble{kind: t.EnumIndex("kind"), at: t.Number("at"), last: t.Number("for"), part: t.Number("part"),
+		tr := trouble{
+			kind: t.EnumIndex("kind"), at: t.Number("at"), last: t.Number("for"), part: t.Number("part"),
 			size: t.Number("size"), zone: t.Text("zone"), tenant: t.Text("tenant"),
-			job: index(t, "job-type", "job type", place.JobClasses), how: t.Text("how"), line: t.Line}
+			job: index(t, "job-type", "job type", place.JobClasses), how: t.Text("how"), line: t.Line,
+		}
 		if tr.at > d.lasts {
 			faults = append(faults, strictxml.Fault{Line: t.Line, Text: "trouble after the end of the day"})
 		}
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -42,8 +42,10 @@
 		t.Fatal(faults)
 	}
 	dir := t.TempDir()
-	res, err := Play(context.Background(), Drill{Day: day, Place: place, Site: DefaultSite, Command: []string{os.Args[0]},
-		Seed: 2, Out: dir, Say: func(string, ...any) {}})
+	res, err := Play(context.Background(), Drill{
+		Day: day, Place: place, Site: DefaultSite, Command: []string{os.Args[0]},
+		Seed: 2, Out: dir, Say: func(string, ...any) {},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/drill/report.go
+++ b/internal/lab/drill/report.go
@@ -20,8 +20,10 @@
 // rules are the site's, as the auditor takes them.
 func (p *player) rules() audit.Rules {
 	cl := &p.Place.Cluster
-	r := audit.Rules{Nodes: map[uint32]audit.Stand{}, Grace: p.Place.DrainGrace, Asks: cl.PollsList,
-		AskEvery: cl.ListMaxSilence, ColdBears: int(cl.SlowStartLimit), ColdFor: cl.SlowStartDuration, ColdWindow: cl.SlowStartWindow, Slack: slack}
+	r := audit.Rules{
+		Nodes: map[uint32]audit.Stand{}, Grace: p.Place.DrainGrace, Asks: cl.PollsList,
+		AskEvery: cl.ListMaxSilence, ColdBears: int(cl.SlowStartLimit), ColdFor: cl.SlowStartDuration, ColdWindow: cl.SlowStartWindow, Slack: slack,
+	}
 	for _, w := range p.Day.works {
 		r.Jobs = append(r.Jobs, audit.Job{Effect: w.effect, Group: w.group, Window: w.window, Spread: w.spread, Most: w.most})
 	}
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -60,8 +60,10 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	real := outside.NewReal()
-	p := &player{Drill: d, ctx: ctx, real: real, w: standin.NewWorld(real), rng: rand.New(rand.NewPCG(d.Seed, 3)),
-		groups: map[string]*standin.Group{}, dawn: time.Now().Add(time.Second), rate: 1, flood: map[string]float64{}}
+	p := &player{
+		Drill: d, ctx: ctx, real: real, w: standin.NewWorld(real), rng: rand.New(rand.NewPCG(d.Seed, 3)),
+		groups: map[string]*standin.Group{}, dawn: time.Now().Add(time.Second), rate: 1, flood: map[string]float64{},
+	}
 	if err := p.begin(); err != nil {
 		stop()
 		p.end()
@@ -137,18 +139,24 @@
 
 func (p *player) addNode(f fleet, i int, cold bool) error {
 	cl, d := &p.Place.Cluster, p.Day
-	mk := standin.Make{Cores: cl.KindCores[f.kind], Memory: cl.KindMemory[f.kind], CoresLimit: cl.CoresOvercommit,
+	mk := standin.Make{
+		Cores: cl.KindCores[f.kind], Memory: cl.KindMemory[f.kind], CoresLimit: cl.CoresOvercommit,
 		MemoryLimit: cl.MemoryOvercommit, Look: d.look, Line: d.line, Starts: d.starts, NoProgram: d.noProgram,
 		Programs: d.keeps, ColdFrom: d.coldFrom, ColdFor: cl.SlowStartDuration, Fall: d.fall, FallFor: cl.SlowStartWindow,
-		Bears: int(cl.SlowStartLimit), CountsUse: cl.ReportsMeasureUse, PushesOut: cl.Preempts}
+		Bears: int(cl.SlowStartLimit), CountsUse: cl.ReportsMeasureUse, PushesOut: cl.Preempts,
+	}
 	for _, w := range d.works {
-		mk.Work = append(mk.Work, standin.Work{Start: w.start, Life: w.life, Use: w.use, Priority: w.priority,
-			Token: w.effect == audit.Tokened})
+		mk.Work = append(mk.Work, standin.Work{
+			Start: w.start, Life: w.life, Use: w.use, Priority: w.priority,
+			Token: w.effect == audit.Tokened,
+		})
 	}
 	p.seq++
 	cell := fmt.Sprintf("%s-%d", f.zone, i%f.cells)
-	n := &standin.Node{ID: p.seq*2654435761 | 1, Zone: f.zone, Cell: cell, Kind: p.Place.MachineKinds[f.kind],
-		Jobs: len(p.Place.JobClasses), Tenants: len(p.Place.Tenants)}
+	n := &standin.Node{
+		ID: p.seq*2654435761 | 1, Zone: f.zone, Cell: cell, Kind: p.Place.MachineKinds[f.kind],
+		Jobs: len(p.Place.JobClasses), Tenants: len(p.Place.Tenants),
+	}
 	group := f.zone // one for all job types: the narrowest that any names
 	for _, w := range d.works {
 		if w.effect == audit.Tokened && w.group == 2 {
--- a/internal/lab/herd/virtual.go
+++ b/internal/lab/herd/virtual.go
@@ -45,9 +45,13 @@
 func Virtual(s Scene, policy string, seed uint64) (*Watch, error) {
 	w := &Watch{}
 	var nodes []*standin.Node
-	g := sim.Game{Lenient: true, Settles: 500, Life: s.Life, Services: s.Services, Working: s.Working,
-		Script: sim.Script{Seed: seed, Nodes: s.Nodes, Schedulers: s.Schedulers, Shards: 1, Share: "shared", Rate: s.rate(), Lasts: s.Lasts,
-			Members: s.Members, Faults: s.Faults}}
+	g := sim.Game{
+		Lenient: true, Settles: 500, Life: s.Life, Services: s.Services, Working: s.Working,
+		Script: sim.Script{
+			Seed: seed, Nodes: s.Nodes, Schedulers: s.Schedulers, Shards: 1, Share: "shared", Rate: s.rate(), Lasts: s.Lasts,
+			Members: s.Members, Faults: s.Faults,
+		},
+	}
 	if err := g.Script.Check(); err != nil {
 		return nil, err
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -140,9 +140,11 @@
 			key, service := fmt.Sprint("k", n), fmt.Sprint("s", n%tr.Services)
 			token := serve.Token("t", key)
 			meant[token] = begin + at*1000
-			asking[n%tr.Owners].Ask(&standin.Want{Key: key, Tenant: "t", JobType: "work", Service: service,
+			asking[n%tr.Owners].Ask(&standin.Want{
+				Key: key, Tenant: "t", JobType: "work", Service: service,
 				Token: token, ServiceKey: serve.Service("t", service), Cores: 0.5, Memory: 1,
-				Within: 5000, Target: 1000, Until: w.Now() + 50}) // soon unwanted: nothing is asked twice
+				Within: 5000, Target: 1000, Until: w.Now() + 50,
+			}) // soon unwanted: nothing is asked twice
 		}
 	}
 	ask(tr.Warm)
@@ -151,8 +153,10 @@
 	ask(tr.Last)
 	to, asked := w.Now(), n-before
 	spent := cpu(cmd.Process.Pid) - used
-	f := &Figures{Asked: asked, CPU: spent, PerAlloc: spent / time.Duration(max(1, asked)), Peak: peak(cmd.Process.Pid), Resident: resident(cmd.Process.Pid),
-		Offer: hdrhistogram.New(1, 1e7, 3), Start: hdrhistogram.New(1, 1e7, 3)}
+	f := &Figures{
+		Asked: asked, CPU: spent, PerAlloc: spent / time.Duration(max(1, asked)), Peak: peak(cmd.Process.Pid), Resident: resident(cmd.Process.Pid),
+		Offer: hdrhistogram.New(1, 1e7, 3), Start: hdrhistogram.New(1, 1e7, 3),
+	}
 	time.Sleep(700 * time.Millisecond)
 	f.read(w.Trace.Records(), meant, from, to)
 	_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -168,9 +172,11 @@
 func visitsOf(nodes int) time.Duration { return time.Duration(nodes) * time.Millisecond }
 
 func fleet(w *standin.World, place *site.Config, tr Trial) ([]*standin.Node, error) {
-	mk := standin.Make{Cores: 64, Memory: 128, CoresLimit: 4, MemoryLimit: 4, Look: 0.02, Line: 4000, Starts: 64,
+	mk := standin.Make{
+		Cores: 64, Memory: 128, CoresLimit: 4, MemoryLimit: 4, Look: 0.02, Line: 4000, Starts: 64,
 		NoProgram: 1, Programs: 4, ColdFrom: 1, ColdFor: 1, Fall: 1e12, FallFor: 1, Bears: 1 << 30,
-		Work: []standin.Work{{Start: 0.5, Life: tr.Life, Use: 0.5}}}
+		Work: []standin.Work{{Start: 0.5, Life: tr.Life, Use: 0.5}},
+	}
 	group := standin.NewGroup()
 	var nodes []*standin.Node
 	for i := range tr.Nodes {
--- a/internal/lab/month/edge.go
+++ b/internal/lab/month/edge.go
@@ -47,7 +47,8 @@
 func (h hand) Disconnect(uint32, string) {}
 
 func (h hand) Offer(nd uint32, ticket uint64, try uint8, epoch uint32, timeout float64, jobType, tenant int, service, token uint64,
-	cores, memory float64) {
+	cores, memory float64,
+) {
 	h.p.w.rep.Offers++
 	h.p.w.note("offer %d %x.%d to %d", h.p.index, ticket, try, nd)
 	h.send(nd, node.AppendOffer(nil, ticket, try, epoch, h.p.clock(), timeout, jobType, tenant, service, token, cores, memory))
--- a/internal/lab/month/month.go
+++ b/internal/lab/month/month.go
@@ -123,25 +123,33 @@
 		for c := range cells {
 			for i := range each {
 				s := &spot{w: w, id: uint32(len(w.nodes) + 1), zone: z, cell: z*cells + c, kind: (c + i) % 2, life: 1}
-				mk := standin.Make{Cores: 32, Memory: 64, CoresLimit: 2, MemoryLimit: 2, Look: 150, Line: 30, Starts: 3, NoProgram: 4,
-					Programs: 6, ColdFrom: 0.2, ColdFor: 8000, Fall: 1e9, FallFor: 1000, Bears: 1 << 30}
+				mk := standin.Make{
+					Cores: 32, Memory: 64, CoresLimit: 2, MemoryLimit: 2, Look: 150, Line: 30, Starts: 3, NoProgram: 4,
+					Programs: 6, ColdFrom: 0.2, ColdFor: 8000, Fall: 1e9, FallFor: 1000, Bears: 1 << 30,
+				}
 				for job := range jobs { // run-once ones start so slowly that a try waits for seconds
 					mk.Work = append(mk.Work, standin.Work{Start: 150 + 1650*float64(job/2), Life: 30000, Use: 0.5})
 				}
 				s.m = standin.NewMachine(mk, s, standin.NewGroup(), w.rng.Uint64(), 0, false)
 				w.nodes = append(w.nodes, s)
-				w.fleet = append(w.fleet, calendar.Node{ID: strconv.Itoa(int(s.id)), Zone: fmt.Sprint("z", z), Cell: fmt.Sprint("c", s.cell),
-					Kind: fmt.Sprint("k", s.kind), Cores: 32, Memory: 64})
+				w.fleet = append(w.fleet, calendar.Node{
+					ID: strconv.Itoa(int(s.id)), Zone: fmt.Sprint("z", z), Cell: fmt.Sprint("c", s.cell),
+					Kind: fmt.Sprint("k", s.kind), Cores: 32, Memory: 64,
+				})
 			}
 		}
 	}
-	w.cal = &calendar.Calendar{Protected: []calendar.Protected{{ID: "deadline", Start: begin.Add((6*24 + 18) * time.Hour),
-		Last: 5 * time.Hour, Lead: time.Hour, Rule: "FREQ=WEEKLY"}}}
+	w.cal = &calendar.Calendar{Protected: []calendar.Protected{{
+		ID: "deadline", Start: begin.Add((6*24 + 18) * time.Hour),
+		Last: 5 * time.Hour, Lead: time.Hour, Rule: "FREQ=WEEKLY",
+	}}}
 	for i := range w.Days * 6 { // most near others, so that many meet, some back to back: a length and a lead apart
 		start := begin.Add(time.Duration(w.rng.IntN(w.Days)) * 24 * time.Hour).Add(time.Duration(w.rng.IntN(4)) * 21 * time.Minute)
-		win := calendar.Window{ID: fmt.Sprintf("w%03d", i), Reach: calendar.Cell, Place: fmt.Sprint("c", w.rng.IntN(zones*cells)),
+		win := calendar.Window{
+			ID: fmt.Sprintf("w%03d", i), Reach: calendar.Cell, Place: fmt.Sprint("c", w.rng.IntN(zones*cells)),
 			Start: start, Last: 20 * time.Minute, Lead: time.Minute, Slack: time.Duration(w.rng.IntN(3)) * 30 * time.Minute,
-			Priority: w.rng.IntN(3), End: calendar.Ending(w.rng.IntN(2))}
+			Priority: w.rng.IntN(3), End: calendar.Ending(w.rng.IntN(2)),
+		}
 		if w.rng.IntN(3) == 0 {
 			win.Reach, win.Place = calendar.OneNode, strconv.Itoa(1+w.rng.IntN(len(w.nodes)))
 		}
@@ -169,8 +177,10 @@
 		}
 	}
 	for i := range w.Processes {
-		p := &proc{w: w, index: i, skew: (2*w.rng.Float64() - 1) * skew, store: &memory{cal: w.calendarFor(i)},
-			lostNow: map[string]bool{}}
+		p := &proc{
+			w: w, index: i, skew: (2*w.rng.Float64() - 1) * skew, store: &memory{cal: w.calendarFor(i)},
+			lostNow: map[string]bool{},
+		}
 		w.procs = append(w.procs, p)
 		p.start()
 	}
--- a/internal/lab/month/peers.go
+++ b/internal/lab/month/peers.go
@@ -19,16 +19,20 @@
 }
 
 func (a arrival) OnOffer(ticket uint64, try uint8, epoch uint32, _, timeout float64, job, tenant int, service, token uint64,
-	cores, memory float64) error {
+	cores, memory float64,
+) error {
 	a.s.late("offer", ticket)
 	a.s.m.Offer(a.s.w.now, a.p.name(), ticket, try, epoch, timeout, job, tenant, service, token, cores, memory)
 	return nil
 }
+
 func (a arrival) OnRecall(t uint64, n uint8) error {
 	a.s.m.Recall(a.s.w.now, a.p.name(), t, n)
 	return nil
 }
+
 func (a arrival) OnStop(t uint64, n uint8) error { a.s.m.Stop(a.s.w.now, a.p.name(), t, n); return nil }
+
 func (a arrival) OnClaim(t uint64, n uint8) error {
 	a.s.m.Claim(a.s.w.now, a.p.name(), t, n)
 	return nil
@@ -55,6 +59,7 @@
 func (s *spot) Started(sched string, ticket uint64, try uint8, took float64) {
 	s.say(sched, node.AppendStarted(nil, ticket, try, took))
 }
+
 func (s *spot) Settled(sched string, ticket uint64, try uint8, outcome, reason int, report []float64) {
 	s.say(sched, node.AppendOutcome(nil, ticket, try, outcome, reason, report))
 }
@@ -62,9 +67,11 @@
 func (s *spot) Reported(sched string, seq uint64, report []float64) {
 	s.say(sched, node.AppendReport(nil, seq, report))
 }
+
 func (s *spot) Claimed(sched string, ticket uint64, try uint8, claim, reason int) {
 	s.say(sched, node.AppendClaimAnswer(nil, ticket, try, claim, reason))
 }
+
 func (s *spot) Ran(sched string, ticket uint64, try uint8) {
 	s.w.rep.Starts++
 	s.w.note("ran %s %x.%d at %d", sched, ticket, try, s.id)
@@ -83,6 +90,7 @@
 func (r reply) OnStarted(t uint64, n uint8, took float64) error {
 	return r.p.eng.OnStarted(r.p.clock(), r.s.id, t, n, took)
 }
+
 func (r reply) OnOutcome(t uint64, n uint8, outcome, reason int, report []float64) error {
 	return r.p.eng.OnOutcome(r.p.clock(), r.s.id, t, n, node.Verdicts[outcome], logic.Reason(reason), report)
 }
@@ -90,6 +98,7 @@
 func (r reply) OnReport(seq uint64, report []float64) error {
 	return r.p.eng.OnProbeReport(r.p.clock(), r.s.id, seq, report)
 }
+
 func (r reply) OnClaimAnswer(t uint64, n uint8, claim, reason int) error {
 	if claim < node.ClaimOutcome {
 		r.p.eng.OnClaimHeld(r.p.clock(), r.s.id, t, n, claim == node.ClaimRunning)
@@ -98,6 +107,7 @@
 	}
 	return nil
 }
+
 func (r reply) OnHeld(t uint64, n uint8, state, job, tenant int, service, token uint64, cores, memory float64) error {
 	return r.p.eng.OnHeld(r.p.clock(), r.s.id, t, n, state == 1, job, tenant, service, token, cores, memory)
 }
--- a/internal/lab/month/process.go
+++ b/internal/lab/month/process.go
@@ -42,14 +42,19 @@
 	p.life++
 	p.out = map[uint32]bool{}
 	p.w.rep.Restarts += int(min(1, p.life-1))
-	cl := &logic.Cluster{Schedulers: p.w.Processes, Index: p.index, ListMaxSilence: 1e12, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true,
+	cl := &logic.Cluster{
+		Schedulers: p.w.Processes, Index: p.index, ListMaxSilence: 1e12, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true,
 		KindCores: []float64{32, 32}, KindMemory: []float64{64, 64}, CoresOvercommit: 2, MemoryOvercommit: 2, ReportFields: []string{"x0", "x1"},
 		ReportsPiggybacked: true, SlowStartLimit: 100, SlowStartDuration: 8000, SlowStartWindow: 1000, MeanCores: 1, MeanMemory: 2, JobClasses: []logic.JobClass{
 			{Semantics: logic.Restartable, LatencyObjective: 2000, PriorityWeight: 1, NodeKind: -1},
 			{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeAll, IdempotencyWindow: 8000, LatencyObjective: 2000, PriorityWeight: 2, NodeKind: -1},
-			{Semantics: logic.AtMostOnce, LatencyObjective: 2000, PriorityWeight: 3, NodeKind: -1}}}
-	p.eng = engine.New(hand{p}, p.clock(), engine.Config{Cluster: cl, Shares: []float64{1}, MaxOpen: 500, AnswerMargin: 100, SettleTime: 3000,
-		Incarnation: p.life, Seed: p.w.rng.Uint64()})
+			{Semantics: logic.AtMostOnce, LatencyObjective: 2000, PriorityWeight: 3, NodeKind: -1},
+		},
+	}
+	p.eng = engine.New(hand{p}, p.clock(), engine.Config{
+		Cluster: cl, Shares: []float64{1}, MaxOpen: 500, AnswerMargin: 100, SettleTime: 3000,
+		Incarnation: p.life, Seed: p.w.rng.Uint64(),
+	})
 	lim := limits
 	if p.w.Plant == NoGuard {
 		lim.Guard = 0
--- a/internal/lab/procs/procs.go
+++ b/internal/lab/procs/procs.go
@@ -64,8 +64,10 @@
 func Begin(ctx context.Context, p Plan) (r *Rig, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	real := outside.NewReal()
-	r = &Rig{Plan: p, ctx: ctx, stop: stop, real: real, w: standin.NewWorld(real), rng: rand.New(rand.NewPCG(p.Seed, 0x916)), lanes: map[[2]int]Lane{},
-		ways: map[wayOf][2]Way{}}
+	r = &Rig{
+		Plan: p, ctx: ctx, stop: stop, real: real, w: standin.NewWorld(real), rng: rand.New(rand.NewPCG(p.Seed, 0x916)), lanes: map[[2]int]Lane{},
+		ways: map[wayOf][2]Way{},
+	}
 	r.w.Trace.Each = r.record
 	defer func() {
 		if err != nil {
--- a/internal/lab/procs/site.go
+++ b/internal/lab/procs/site.go
@@ -36,11 +36,15 @@
 		return fmt.Errorf("site of the rig: %s", faults[0])
 	}
 	r.place = place
-	r.rules = audit.Rules{Nodes: map[uint32]audit.Stand{}, Grace: place.DrainGrace, ColdBears: bears, ColdFor: place.Cluster.SlowStartDuration,
+	r.rules = audit.Rules{
+		Nodes: map[uint32]audit.Stand{}, Grace: place.DrainGrace, ColdBears: bears, ColdFor: place.Cluster.SlowStartDuration,
 		ColdWindow: place.Cluster.SlowStartWindow, Slack: 500,
-		Jobs: []audit.Job{{}, {Effect: audit.Tokened, Group: 1, Window: 1500, Spread: 1, Most: 3}, {Effect: audit.RunOnce}}}
-	mk := standin.Make{Cores: float64(r.cores()), Memory: 2 * float64(r.cores()), CoresLimit: 2, MemoryLimit: 1.5, Look: 4, Line: 200, Starts: 16, NoProgram: 3, Programs: 8,
-		ColdFrom: 0.5, ColdFor: place.Cluster.SlowStartDuration, Fall: 1e9, FallFor: 1000, Bears: bears}
+		Jobs: []audit.Job{{}, {Effect: audit.Tokened, Group: 1, Window: 1500, Spread: 1, Most: 3}, {Effect: audit.RunOnce}},
+	}
+	mk := standin.Make{
+		Cores: float64(r.cores()), Memory: 2 * float64(r.cores()), CoresLimit: 2, MemoryLimit: 1.5, Look: 4, Line: 200, Starts: 16, NoProgram: 3, Programs: 8,
+		ColdFrom: 0.5, ColdFor: place.Cluster.SlowStartDuration, Fall: 1e9, FallFor: 1000, Bears: bears,
+	}
 	for job := range 3 {
 		mk.Work = append(mk.Work, standin.Work{Start: 10, Life: 2500, Use: 0.5, Priority: job, Token: job == 1})
 	}
@@ -131,8 +135,10 @@
 		job := i % 3
 		key, service := fmt.Sprint("k", i), fmt.Sprint("v", job, i%23)
 		jt := r.place.Cluster.JobClasses[job]
-		r.all[i%len(r.all)].owner.Ask(&standin.Want{Key: key, Tenant: "t", JobType: r.place.JobClasses[job], Service: service, Job: job,
+		r.all[i%len(r.all)].owner.Ask(&standin.Want{
+			Key: key, Tenant: "t", JobType: r.place.JobClasses[job], Service: service, Job: job,
 			Effect: int(jt.Semantics), Token: serve.Token("t", key), ServiceKey: serve.Service("t", service), Cores: 1, Memory: 1,
-			Within: r.place.Deadlines[job], Target: jt.LatencyObjective, Until: r.w.Now() + r.place.Deadlines[job]})
+			Within: r.place.Deadlines[job], Target: jt.LatencyObjective, Until: r.w.Now() + r.place.Deadlines[job],
+		})
 	}
 }
--- a/internal/lab/route/ends.go
+++ b/internal/lab/route/ends.go
@@ -285,8 +285,10 @@
 func (n *node) describes(id uint64) string { return fmt.Sprintf("%s holds %x\x00\xff", n.name, id) }
 
 func (g *play) addNode(name, address string, cold bool) *node {
-	n := &node{g: g, id: uint32(len(g.nodes) + 1), name: name, address: address, cell: len(g.nodes) % 3, zone: []string{"east", "west"}[len(g.nodes)%2],
-		status: "ready"}
+	n := &node{
+		g: g, id: uint32(len(g.nodes) + 1), name: name, address: address, cell: len(g.nodes) % 3, zone: []string{"east", "west"}[len(g.nodes)%2],
+		status: "ready",
+	}
 	if cold {
 		n.since = g.unix()
 	}
@@ -392,8 +394,10 @@
 	try := t.tries
 	t.tries++
 	r := &run{sched: t.s.name, e: e, at: g.c.True(), try: try}
-	g.record(audit.Record{Kind: audit.Offered, Sched: t.s.name, Node: n.id, Ticket: id, Try: try, Job: t.job, Token: t.key, Service: t.service,
-		Until: g.c.True() + left})
+	g.record(audit.Record{
+		Kind: audit.Offered, Sched: t.s.name, Node: n.id, Ticket: id, Try: try, Job: t.job, Token: t.key, Service: t.service,
+		Until: g.c.True() + left,
+	})
 	draw := g.rng.IntN(10)
 	switch {
 	case draw < n.full || len(n.runs) >= 28 || n.runs[id] != nil:
--- a/internal/lab/route/route.go
+++ b/internal/lab/route/route.go
@@ -102,8 +102,10 @@
 
 // Play plays a seed.
 func Play(seed uint64, plant Plant) (v Verdict) {
-	g := &play{v: Verdict{Seed: seed}, c: sim.NewClock(seed), rng: rand.New(rand.NewPCG(seed, 0x70a7e)), Plant: plant,
-		tasks: map[uint64]*task{}, reports: "piggyback"}
+	g := &play{
+		v: Verdict{Seed: seed}, c: sim.NewClock(seed), rng: rand.New(rand.NewPCG(seed, 0x70a7e)), Plant: plant,
+		tasks: map[uint64]*task{}, reports: "piggyback",
+	}
 	defer func() {
 		if p := recover(); p != nil {
 			g.fail(fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
@@ -116,8 +118,10 @@
 	if plant.Busy || seed%4 == 0 {
 		g.busy, g.v.Flood = g.drawFlood(), true
 	}
-	g.rules = audit.Rules{Jobs: jobs, Nodes: map[uint32]audit.Stand{}, Grace: grace, ColdBears: bears, ColdFor: coldFor, ColdWindow: window,
-		Slack: slack}
+	g.rules = audit.Rules{
+		Jobs: jobs, Nodes: map[uint32]audit.Stand{}, Grace: grace, ColdBears: bears, ColdFor: coldFor, ColdWindow: window,
+		Slack: slack,
+	}
 	if g.busy != nil {
 		g.rules.Slack = busySlack
 	}
@@ -269,8 +273,10 @@
 	if s.g.Known != nil {
 		events = s.g.Known(events)
 	}
-	return &platform.Configuration{Name: s.name, Listen: s.name + ":1", Journal: s.journal.address, Seed: s.g.rng.Uint64(), MemoryMB: 64, Sockets: 200,
-		Known: known, Events: events}
+	return &platform.Configuration{
+		Name: s.name, Listen: s.name + ":1", Journal: s.journal.address, Seed: s.g.rng.Uint64(), MemoryMB: 64, Sockets: 200,
+		Known: known, Events: events,
+	}
 }
 
 // kill ends its life, and begins the next after a while.
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -75,8 +75,10 @@
 			return nil, err
 		}
 	}
-	return []result.Reading{{Part: PartPropagation, Name: "node restarts", Unit: result.Count, Value: float64(restarts)},
-		{Part: PartPropagation, Name: "nodes that vanished", Unit: result.Count, Value: float64(len(gone))}}, nil
+	return []result.Reading{
+		{Part: PartPropagation, Name: "node restarts", Unit: result.Count, Value: float64(restarts)},
+		{Part: PartPropagation, Name: "nodes that vanished", Unit: result.Count, Value: float64(len(gone))},
+	}, nil
 }
 
 // inject carries out one fault. The list tells of nodes that are away.
--- a/internal/lab/scale/fit/series_test.go
+++ b/internal/lab/scale/fit/series_test.go
@@ -156,8 +156,10 @@
 	if err := WriteMarkdown(&text, all, map[string]float64{"nodes": 60000, "schedulers": 100}); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"### rest", "7777 at 6000", "nodes 4000, schedulers 200", "| all together | control memory | B |", "extrapolated",
-		"no slope told from zero"} {
+	for _, want := range []string{
+		"### rest", "7777 at 6000", "nodes 4000, schedulers 200", "| all together | control memory | B |", "extrapolated",
+		"no slope told from zero",
+	} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("%q is not in\n%s", want, text.String())
 		}
--- a/internal/lab/scale/hollow/nodes.go
+++ b/internal/lab/scale/hollow/nodes.go
@@ -91,9 +91,11 @@
 }
 
 func (h *nodeHost) start(real *outside.Real) error {
-	model := standin.Make{Cores: h.Cores, Memory: 2 * h.Cores, CoresLimit: 4, MemoryLimit: 4, Look: lookMs, Line: waitingTasks,
+	model := standin.Make{
+		Cores: h.Cores, Memory: 2 * h.Cores, CoresLimit: 4, MemoryLimit: 4, Look: lookMs, Line: waitingTasks,
 		Starts: startsAtOnce, NoProgram: 1, Programs: keptPrograms, ColdFrom: 1, ColdFor: 1, Fall: foreverMs, FallFor: 1, Bears: 1 << 30,
-		Work: []standin.Work{{Start: startMs, Life: h.ShortLife, Use: 0.5}, {Start: startMs, Life: foreverMs, Use: 0.5}}}
+		Work: []standin.Work{{Start: startMs, Life: h.ShortLife, Use: 0.5}, {Start: startMs, Life: foreverMs, Use: 0.5}},
+	}
 	var world *standin.World
 	var group *standin.Group
 	for i := range h.Count {
--- a/internal/lab/scale/hollow/schedulers.go
+++ b/internal/lab/scale/hollow/schedulers.go
@@ -116,8 +116,10 @@
 	if len(seeds) == 0 { // the first of all asks nobody but itself
 		seeds = []string{"127.0.0.1:1"}
 	}
-	run, err := members.Begin(s.world, listen, membership.Config{Site: h.Site, Name: s.name, Life: incarnation, Key: []byte(h.Key), Seeds: seeds,
-		Seed: h.Seed*10_007 + uint64(number), Place: h.First + number, Places: h.Places, Window: coldWindowMs}, hearsNothing{})
+	run, err := members.Begin(s.world, listen, membership.Config{
+		Site: h.Site, Name: s.name, Life: incarnation, Key: []byte(h.Key), Seeds: seeds,
+		Seed: h.Seed*10_007 + uint64(number), Place: h.First + number, Places: h.Places, Window: coldWindowMs,
+	}, hearsNothing{})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -148,8 +148,10 @@
 	if r.Variant != "" {
 		scenario += "-" + r.Variant
 	}
-	return &result.Result{Schema: result.Schema, Machine: machine(), Commit: r.Commit, Seed: r.Seed, Scenario: scenario, Dimension: r.Dimension,
-		Process: p.name, Run: r.Run, Sizes: sizes, Seconds: seconds}
+	return &result.Result{
+		Schema: result.Schema, Machine: machine(), Commit: r.Commit, Seed: r.Seed, Scenario: scenario, Dimension: r.Dimension,
+		Process: p.name, Run: r.Run, Sizes: sizes, Seconds: seconds,
+	}
 }
 
 // compare reads what a process used between two pages of counts, and what it holds at the second.
@@ -174,8 +176,11 @@
 	for _, kind := range kinds {
 		add(kind, NameConnections, result.Connections, after.of("connections", "kind", kind))
 		for _, flow := range []struct{ count, way, name, unit string }{
-			{"traffic_messages_total", "sent", NameMessagesSent, result.MessagesRate}, {"traffic_messages_total", "received", NameMessagesGot, result.MessagesRate},
-			{"traffic_bytes_total", "sent", NameBytesSent, result.BytesPerSec}, {"traffic_bytes_total", "received", NameBytesGot, result.BytesPerSec}} {
+			{"traffic_messages_total", "sent", NameMessagesSent, result.MessagesRate},
+			{"traffic_messages_total", "received", NameMessagesGot, result.MessagesRate},
+			{"traffic_bytes_total", "sent", NameBytesSent, result.BytesPerSec},
+			{"traffic_bytes_total", "received", NameBytesGot, result.BytesPerSec},
+		} {
 			labels := []string{"kind", kind, "way", flow.way}
 			add(kind, flow.name, flow.unit, (after.of(flow.count, labels...)-before.of(flow.count, labels...))/seconds)
 		}
@@ -189,8 +194,10 @@
 		return nil
 	}
 	_, served, others := r.tally.counts()
-	readings := []result.Reading{{Part: PartClients, Name: NameServed, Unit: result.Count, Value: float64(served)},
-		{Part: PartClients, Name: NameNotServed, Unit: result.Count, Value: float64(others)}}
+	readings := []result.Reading{
+		{Part: PartClients, Name: NameServed, Unit: result.Count, Value: float64(served)},
+		{Part: PartClients, Name: NameNotServed, Unit: result.Count, Value: float64(others)},
+	}
 	for _, q := range []struct {
 		name    string
 		percent float64
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -28,8 +28,10 @@
 
 // Base is the point at which the dimensions meet.
 func Base() result.Sizes {
-	return result.Sizes{Nodes: baseNodes, Schedulers: baseSchedulers, RunningTasks: baseTasks, Teams: teams, Zones: zones, Regions: regions,
-		ConfigChangesPerDay: configChanges}
+	return result.Sizes{
+		Nodes: baseNodes, Schedulers: baseSchedulers, RunningTasks: baseTasks, Teams: teams, Zones: zones, Regions: regions,
+		ConfigChangesPerDay: configChanges,
+	}
 }
 
 // tasksOver are the running tasks over all 30 schedulers.
--- a/internal/lab/scale/regions/reading.go
+++ b/internal/lab/scale/regions/reading.go
@@ -47,9 +47,11 @@
 	structures
 )
 
-var structureNames = [structures]string{"members", "member bytes", "accusers", "timers", "probes", "hellos", "updates", "unreachable nodes",
+var structureNames = [structures]string{
+	"members", "member bytes", "accusers", "timers", "probes", "hellos", "updates", "unreachable nodes",
 	"fragments", "fragment bytes", "pending messages", "pending message bytes", "pending calls", "proposals", "proposal bytes",
-	"log entries", "log bytes", "disk entries", "disk bytes", "snapshot bytes", "transfer bytes", "reports", "report bytes", "verdicts"}
+	"log entries", "log bytes", "disk entries", "disk bytes", "snapshot bytes", "transfer bytes", "reports", "report bytes", "verdicts",
+}
 
 func (s Structure) String() string { return structureNames[s] }
 
--- a/internal/lab/scale/regions/regions.go
+++ b/internal/lab/scale/regions/regions.go
@@ -66,8 +66,10 @@
 
 // Default is the hour that docs/performance.md tells of.
 func Default() Config {
-	return Config{Seed: 1, Processes: 60, Regions: 6, Zones: 14, Voters: 5, CutRegions: 3, Warm: 5 * time.Minute, Cut: time.Hour,
-		Settle: 10 * time.Minute, CommandsPerDay: 7400, Restart: true}
+	return Config{
+		Seed: 1, Processes: 60, Regions: 6, Zones: 14, Voters: 5, CutRegions: 3, Warm: 5 * time.Minute, Cut: time.Hour,
+		Settle: 10 * time.Minute, CommandsPerDay: 7400, Restart: true,
+	}
 }
 
 // ErrConfig is returned, wrapped, for a configuration that can't be played.
@@ -118,8 +120,10 @@
 	if err := config.check(); err != nil {
 		return nil, err
 	}
-	s := &site{ctx: ctx, config: config, clock: sim.NewClock(config.Seed), rng: rand.New(rand.NewPCG(config.Seed, 0x4e61)), cutAt: math.Inf(1),
-		healedAt: math.Inf(1), report: Report{Config: config}}
+	s := &site{
+		ctx: ctx, config: config, clock: sim.NewClock(config.Seed), rng: rand.New(rand.NewPCG(config.Seed, 0x4e61)), cutAt: math.Inf(1),
+		healedAt: math.Inf(1), report: Report{Config: config},
+	}
 	s.build()
 	for _, p := range s.processes {
 		if err := p.start(); err != nil {
--- a/internal/lab/scale/regions/report.go
+++ b/internal/lab/scale/regions/report.go
@@ -32,9 +32,11 @@
 // Result is the run in the form of the scale runs' results: by phase the mean over processes of each size at the phase's last
 // reading, the most that any process held in the phase, and the traffic; and the times of the heal that were reached.
 func (r *Report) Result(machine result.Machine, commit string) *result.Result {
-	out := &result.Result{Schema: result.Schema, Machine: machine, Commit: commit, Seed: r.Config.Seed, Scenario: Scenario, Dimension: "schedulers",
+	out := &result.Result{
+		Schema: result.Schema, Machine: machine, Commit: commit, Seed: r.Config.Seed, Scenario: Scenario, Dimension: "schedulers",
 		Process: "mean of all", Run: 1, Seconds: r.Config.Cut.Seconds(),
-		Sizes: result.Sizes{Schedulers: r.Config.Processes, Zones: r.Config.Zones, Regions: r.Config.Regions, ConfigChangesPerDay: r.Config.CommandsPerDay}}
+		Sizes: result.Sizes{Schedulers: r.Config.Processes, Zones: r.Config.Zones, Regions: r.Config.Regions, ConfigChangesPerDay: r.Config.CommandsPerDay},
+	}
 	add := func(part, name, unit string, value float64) {
 		out.Readings = append(out.Readings, result.Reading{Part: part, Name: name, Unit: unit, Value: value})
 	}
--- a/internal/lab/scale/result/result_test.go
+++ b/internal/lab/scale/result/result_test.go
@@ -11,10 +11,12 @@
 // TestFile writes a result and reads it back, and refuses another schema.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "run.json")
-	wrote := &Result{Schema: Schema, Machine: Machine{CPUs: 8, MemoryBytes: 1 << 34, GoVersion: "go", Kernel: "k"},
+	wrote := &Result{
+		Schema: Schema, Machine: Machine{CPUs: 8, MemoryBytes: 1 << 34, GoVersion: "go", Kernel: "k"},
 		Commit: "abc", Seed: 7, Scenario: "rest", Dimension: "nodes", Process: "s0", Run: 2,
 		Sizes:   Sizes{Nodes: 500, Schedulers: 30, RunningTasks: 10, Teams: 72, Zones: 14, Regions: 6, ConfigChangesPerDay: 7400, StartsPerSecond: 73},
-		Seconds: 8, Readings: []Reading{{Part: "control", Name: "cpu", Unit: Cores, Value: 0.02}}}
+		Seconds: 8, Readings: []Reading{{Part: "control", Name: "cpu", Unit: Cores, Value: 0.02}},
+	}
 	if err := wrote.Write(path); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -117,8 +117,10 @@
 		if err != nil {
 			return err
 		}
-		plan := hollow.NodesPlan{First: first, Count: min(r.nodesPerChild(), total-first), Nodes: r.Sizes.Nodes, Zones: r.Sizes.Zones, Teams: r.Sizes.Teams,
-			Seed: r.Seed + uint64(first), Cores: nodeCores, ShortLife: shortLifeMs}
+		plan := hollow.NodesPlan{
+			First: first, Count: min(r.nodesPerChild(), total-first), Nodes: r.Sizes.Nodes, Zones: r.Sizes.Zones, Teams: r.Sizes.Teams,
+			Seed: r.Seed + uint64(first), Cores: nodeCores, ShortLife: shortLifeMs,
+		}
 		c, err := startChild(r.Command, NodesCommand, plan, log)
 		if err != nil {
 			return err
@@ -133,8 +135,10 @@
 		}
 		for _, address := range reply.Addresses {
 			place := len(entries)
-			entries = append(entries, hollow.Entry{ID: hollow.NodeID(place), Address: address, Availability: hollow.Ready, Cores: nodeCores, Memory: 2 * nodeCores,
-				Zone: hollow.ZoneName(hollow.NodeZone(place, r.Sizes.Nodes, r.Sizes.Zones))})
+			entries = append(entries, hollow.Entry{
+				ID: hollow.NodeID(place), Address: address, Availability: hollow.Ready, Cores: nodeCores, Memory: 2 * nodeCores,
+				Zone: hollow.ZoneName(hollow.NodeZone(place, r.Sizes.Nodes, r.Sizes.Zones)),
+			})
 		}
 	}
 	if len(entries) != total {
@@ -160,8 +164,10 @@
 	if err != nil {
 		return err
 	}
-	plan := hollow.SchedulersPlan{Site: siteName, Key: memberKey[:len(memberKey)-1], Count: r.Sizes.Schedulers - r.Real, First: r.Real, Places: r.Sizes.Schedulers,
-		Zones: r.Sizes.Zones, Regions: r.Sizes.Regions, Seed: r.Seed, NodesPerZone: r.Sizes.Nodes / r.Sizes.Zones}
+	plan := hollow.SchedulersPlan{
+		Site: siteName, Key: memberKey[:len(memberKey)-1], Count: r.Sizes.Schedulers - r.Real, First: r.Real, Places: r.Sizes.Schedulers,
+		Zones: r.Sizes.Zones, Regions: r.Sizes.Regions, Seed: r.Seed, NodesPerZone: r.Sizes.Nodes / r.Sizes.Zones,
+	}
 	if r.schedulers, err = startChild(r.Command, SchedulersCommand, plan, log); err != nil {
 		return err
 	}
--- a/internal/lab/scale/verdict.go
+++ b/internal/lab/scale/verdict.go
@@ -23,8 +23,10 @@
 
 // DefaultBounds are those of the test that runs with every change: about half as much again as was counted.
 func DefaultBounds() Bounds {
-	return Bounds{SpareDescriptors: 30, GoroutinesPerNode: 2, SpareGoroutines: 60, RestMessages: 0.55, RestLookMessages: 2.5, RestBytes: 32,
-		MemberMessages: 40, MemberBytes: 250, AttemptsPerStart: 1.5, MessagesPerStart: 2, BytesPerStart: 150}
+	return Bounds{
+		SpareDescriptors: 30, GoroutinesPerNode: 2, SpareGoroutines: 60, RestMessages: 0.55, RestLookMessages: 2.5, RestBytes: 32,
+		MemberMessages: 40, MemberBytes: 250, AttemptsPerStart: 1.5, MessagesPerStart: 2, BytesPerStart: 150,
+	}
 }
 
 // lookedAt is how many nodes of each zone a process looks at.
--- a/internal/lab/scale/verdict_test.go
+++ b/internal/lab/scale/verdict_test.go
@@ -18,13 +18,17 @@
 	sizes := Base()
 	sizes.Nodes = nodes
 	n := float64(nodes)
-	rest = &result.Result{Scenario: Rest, Sizes: sizes, Seconds: 3, Readings: []result.Reading{reading(heldKind, NameConnections, n), reading("taken", NameConnections, 4),
+	rest = &result.Result{Scenario: Rest, Sizes: sizes, Seconds: 3, Readings: []result.Reading{
+		reading(heldKind, NameConnections, n), reading("taken", NameConnections, 4),
 		reading("list", NameConnections, 1), reading(PartProcess, NameDescriptors, n+19), reading(PartProcess, NameGoroutines, 2*n+26),
 		reading(heldKind, NameMessagesSent, 2.2*n), reading(heldKind, NameBytesSent, 46*n), reading("datagrams", NameMessagesSent, 20),
-		reading("datagrams", NameBytesSent, 2200), reading(PartProcess, NameAttempts, 0)}}
-	starts = &result.Result{Scenario: Starts, Sizes: sizes, Seconds: 3, Readings: []result.Reading{reading(heldKind, NameConnections, n),
+		reading("datagrams", NameBytesSent, 2200), reading(PartProcess, NameAttempts, 0),
+	}}
+	starts = &result.Result{Scenario: Starts, Sizes: sizes, Seconds: 3, Readings: []result.Reading{
+		reading(heldKind, NameConnections, n),
 		reading(PartProcess, NameGoroutines, 2*n+26), reading(heldKind, NameMessagesSent, 2.2*n+30), reading(heldKind, NameBytesSent, 46*n+2760),
-		reading(PartProcess, NameAttempts, 90), reading(PartClients, NameServed, 90)}}
+		reading(PartProcess, NameAttempts, 90), reading(PartClients, NameServed, 90),
+	}}
 	return rest, starts
 }
 
--- a/internal/lab/sim/agree_test.go
+++ b/internal/lab/sim/agree_test.go
@@ -54,9 +54,11 @@
 func converse(w outside.Environment, address string) (*talk, error) {
 	sw := standin.NewWorld(w)
 	n := &standin.Node{ID: 7, Zone: "z", Cell: "c", Kind: "k", Jobs: 2, Tenants: 1}
-	mk := standin.Make{Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, Look: 2, Line: 4, Starts: 2, NoProgram: 2, Programs: 3,
+	mk := standin.Make{
+		Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, Look: 2, Line: 4, Starts: 2, NoProgram: 2, Programs: 3,
 		ColdFrom: 1, ColdFor: 1, Fall: 1e9, FallFor: 1, Bears: 1 << 20,
-		Work: []standin.Work{{Start: 5, Life: 400, Use: 0.5}, {Start: 150, Life: 400, Use: 0.5, Token: true}}}
+		Work: []standin.Work{{Start: 5, Life: 400, Use: 0.5}, {Start: 150, Life: 400, Use: 0.5, Token: true}},
+	}
 	if err := sw.StartNode(n, mk, standin.NewGroup(), 3, false, address); err != nil {
 		return nil, err
 	}
@@ -100,8 +102,10 @@
 		c := NewClock(1)
 		w := outside.Environment(c.NewProcess("n"))
 		n := &standin.Node{ID: 7, Zone: "z", Cell: "c", Kind: "k", Jobs: 1, Tenants: 1}
-		mk := standin.Make{Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, Look: 2, Line: 4, Starts: 2, Fall: 1e9, FallFor: 1, Bears: 1 << 20,
-			Work: []standin.Work{{Start: 5, Life: 400, Use: 0.5}}}
+		mk := standin.Make{
+			Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, Look: 2, Line: 4, Starts: 2, Fall: 1e9, FallFor: 1, Bears: 1 << 20,
+			Work: []standin.Work{{Start: 5, Life: 400, Use: 0.5}},
+		}
 		if err := standin.NewWorld(w).StartNode(n, mk, standin.NewGroup(), 3, false, "n:1"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/sim/clubs.go
+++ b/internal/lab/sim/clubs.go
@@ -117,8 +117,10 @@
 		})
 	case "tenant-limit":
 		l := limit{open: max(1, int(f.Size))}
-		l.from = st.longest() + takesUp + st.turn(tenancy.Change{Kind: tenancy.Limit, Name: f.A, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Open: l.open,
-			Wait: 20}}})
+		l.from = st.longest() + takesUp + st.turn(tenancy.Change{Kind: tenancy.Limit, Name: f.A, Limits: tenancy.Limits{Limits: fairqueue.Limits{
+			Share: 1, Open: l.open,
+			Wait: 20,
+		}}})
 		for _, s := range st.scheds {
 			if s.p.paused { // it hears of the change when it wakes
 				l.from = math.Inf(1)
@@ -174,8 +176,10 @@
 }
 
 // harmless are faults that keep nobody from stopping what runs.
-var harmless = []string{"jump", "list-away", "list-behind", "errors", "flood", "withdraw", "window", "drain", "tenant-limit", "tenant-pause",
-	"tenant-remove"}
+var harmless = []string{
+	"jump", "list-away", "list-behind", "errors", "flood", "withdraw", "window", "drain", "tenant-limit", "tenant-pause",
+	"tenant-remove",
+}
 
 // calm tells whether nothing goes wrong in a time between schedulers and nodes.
 func (st *stage) calm(from, to float64) bool {
--- a/internal/lab/sim/lend_test.go
+++ b/internal/lab/sim/lend_test.go
@@ -30,12 +30,16 @@
 	}{
 		{name: "killed", faults: append(parts, Fault{At: 8000, Kind: "kill", A: "s2", For: 9000}), all: 12, dead: 10, back: 12, apart: 6},
 		{name: "stopped", faults: append(parts, Fault{At: 8000, Kind: "pause", A: "s2", For: 9000}), all: 12, dead: 10, back: 12, apart: 6},
-		{name: "lent nothing", faults: append(parts, Fault{At: 8000, Kind: "kill", A: "s2", For: 9000}), plant: &Plant{Place: func(p *site.Config) { p.Members.LeasedPart = 0 }},
-			all: 12, dead: 8, back: 12, apart: 12},
+		{
+			name: "lent nothing", faults: append(parts, Fault{At: 8000, Kind: "kill", A: "s2", For: 9000}), plant: &Plant{Place: func(p *site.Config) { p.Members.LeasedPart = 0 }},
+			all: 12, dead: 8, back: 12, apart: 12,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := Script{Seed: 3, Nodes: 4, Schedulers: 3, Shards: 1, Share: "shared", Rate: 90, Lasts: 40000, Members: true, Hosted: true,
-				Faults: append([]Fault{{At: 10, Kind: "tenant-limit", A: "a", Size: may}}, c.faults...)}
+			s := Script{
+				Seed: 3, Nodes: 4, Schedulers: 3, Shards: 1, Share: "shared", Rate: 90, Lasts: 40000, Members: true, Hosted: true,
+				Faults: append([]Fault{{At: 10, Kind: "tenant-limit", A: "a", Size: may}}, c.faults...),
+			}
 			for i := range s.Schedulers {
 				for n := range s.Nodes { // each start takes long enough to fill the limit
 					s.Faults = append(s.Faults, Fault{At: 5, Kind: "slow", A: fmt.Sprint("s", i), B: fmt.Sprint("n", n+1), For: 50000, Size: 300})
--- a/internal/lab/sim/plant.go
+++ b/internal/lab/sim/plant.go
@@ -24,7 +24,8 @@
 type adopts struct{ engine.Effects }
 
 func (e adopts) RecoverTask(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
-	try uint8) (uint32, uint32, uint64, bool) {
+	try uint8,
+) (uint32, uint32, uint64, bool) {
 	epoch, owner, ref, ok := e.Effects.RecoverTask(tenant, token, job, service, cores, memory, nd, ticket, try)
 	if !ok {
 		return 1, 0, 0, true
--- a/internal/lab/sim/play.go
+++ b/internal/lab/sim/play.go
@@ -49,8 +49,12 @@
 </site>`
 
 // jobs by their names: effect, group, and what the rules ask.
-var rulesOfJobs = []audit.Job{{}, {Effect: audit.Tokened, Group: 1, Window: 1500, Spread: 1, Most: 3}, {Effect: audit.RunOnce},
-	{Effect: audit.Tokened, Window: 1500}}
+var rulesOfJobs = []audit.Job{
+	{},
+	{Effect: audit.Tokened, Group: 1, Window: 1500, Spread: 1, Most: 3},
+	{Effect: audit.RunOnce},
+	{Effect: audit.Tokened, Window: 1500},
+}
 
 // Verdict is what came of a script.
 type Verdict struct {
@@ -133,9 +137,11 @@
 	if plant == nil {
 		plant = &Plant{}
 	}
-	st := &stage{Script: s, game: g, c: NewClock(s.Seed), plant: plant, hosts: map[string]*Process{}, flood: 1, deaf: map[int]float64{},
+	st := &stage{
+		Script: s, game: g, c: NewClock(s.Seed), plant: plant, hosts: map[string]*Process{}, flood: 1, deaf: map[int]float64{},
 		wanted: map[uint64]wanted{}, asked: map[[2]uint64]wanted{}, shut: map[string]float64{}, gone: map[string]float64{}, limits: map[string]limit{},
-		rng: rand.New(rand.NewPCG(s.Seed, 0x57a6e))}
+		rng: rand.New(rand.NewPCG(s.Seed, 0x57a6e)),
+	}
 	st.c.out = out
 	defer func() {
 		if p := recover(); p != nil {
@@ -201,14 +207,18 @@
 		return fmt.Errorf("site: %s", faults[0])
 	}
 	st.place = place
-	rules := audit.Rules{Nodes: map[uint32]audit.Stand{}, Jobs: rulesOfJobs, Grace: place.DrainGrace, Asks: st.Asks,
+	rules := audit.Rules{
+		Nodes: map[uint32]audit.Stand{}, Jobs: rulesOfJobs, Grace: place.DrainGrace, Asks: st.Asks,
 		AskEvery: place.Cluster.ListMaxSilence, ColdBears: int(place.Cluster.SlowStartLimit), ColdFor: place.Cluster.SlowStartDuration,
-		ColdWindow: place.Cluster.SlowStartWindow, Slack: slack}
+		ColdWindow: place.Cluster.SlowStartWindow, Slack: slack,
+	}
 	st.watch = audit.NewWatch(rules)
 	st.w = standin.NewWorld(st.host("world"))
 	st.w.Trace.Each = st.record
-	mk := standin.Make{Cores: 16, Memory: 32, CoresLimit: 2, MemoryLimit: 1.5, Look: 4, Line: 30, Starts: 6, NoProgram: 3,
-		Programs: 6, ColdFrom: 0.4, ColdFor: place.Cluster.SlowStartDuration, Fall: 1e9, FallFor: 1000, Bears: 8}
+	mk := standin.Make{
+		Cores: 16, Memory: 32, CoresLimit: 2, MemoryLimit: 1.5, Look: 4, Line: 30, Starts: 6, NoProgram: 3,
+		Programs: 6, ColdFrom: 0.4, ColdFor: place.Cluster.SlowStartDuration, Fall: 1e9, FallFor: 1000, Bears: 8,
+	}
 	life := 1500.0
 	if st.game.Life > 0 {
 		life = st.game.Life
@@ -218,8 +228,10 @@
 	}
 	groups := []*standin.Group{standin.NewGroup(), standin.NewGroup()}
 	for i := range st.Nodes {
-		n := &standin.Node{ID: uint32(i + 1), Zone: place.Zones[i%2], Cell: place.Zones[i%2], Kind: "plain", Jobs: len(rulesOfJobs),
-			Tenants: max(2, len(place.Tenants))}
+		n := &standin.Node{
+			ID: uint32(i + 1), Zone: place.Zones[i%2], Cell: place.Zones[i%2], Kind: "plain", Jobs: len(rulesOfJobs),
+			Tenants: max(2, len(place.Tenants)),
+		}
 		name := fmt.Sprint("n", i+1)
 		if err := st.on(name).StartNode(n, mk, groups[i%2], st.rng.Uint64(), st.Cold, name+":1"); err != nil {
 			return err
@@ -277,8 +289,10 @@
 		return nil
 	}
 	for _, n := range st.nodes {
-		l.Put(state.Entry{ID: n.ID, Address: n.Address(), Avail: 1, FreeCores: 32, FreeMemory: 48, Zone: n.Zone, Cell: n.Cell,
-			Kind: n.Kind})
+		l.Put(state.Entry{
+			ID: n.ID, Address: n.Address(), Avail: 1, FreeCores: 32, FreeMemory: 48, Zone: n.Zone, Cell: n.Cell,
+			Kind: n.Kind,
+		})
 	}
 	l.End()
 	return l.Text()
@@ -342,10 +356,12 @@
 		return panicky{e, s}
 	}
 	var err error
-	s.server, err = serve.Begin(s.p, serve.Scheduler{Place: &place, Name: s.name, Index: s.index, Disk: s.disk,
+	s.server, err = serve.Begin(s.p, serve.Scheduler{
+		Place: &place, Name: s.name, Index: s.index, Disk: s.disk,
 		Windows: func() (serve.Windows, error) { return s.store.open(), nil },
 		Clubs:   func() (serve.Clubs, error) { return s.clubs, nil }, MemberKey: []byte("the laboratory's member key"), Seed: st.Seed + uint64(s.index)*977 + uint64(s.lives)*7919,
-		Log: st.logger(s), Plant: p, Policy: st.game.Policy})
+		Log: st.logger(s), Plant: p, Policy: st.game.Policy,
+	})
 	if err != nil && !s.p.dead {
 		st.fail(0, fmt.Sprintf("scheduler %s does not begin: %v", s.name, err))
 	}
@@ -406,9 +422,11 @@
 		if st.Hosted {
 			st.wanted[token] = wanted{tenant, st.c.now}
 		}
-		o.Ask(&standin.Want{Key: key, Tenant: tenant, JobType: st.place.JobClasses[job], Service: service, Job: job,
+		o.Ask(&standin.Want{
+			Key: key, Tenant: tenant, JobType: st.place.JobClasses[job], Service: service, Job: job,
 			Effect: rulesOfJobs[job].Effect, Token: token, ServiceKey: serve.Service(tenant, service),
-			Cores: 0.5 + st.rng.Float64(), Memory: 1, Within: st.place.Deadlines[job], Target: 800, Until: st.Lasts})
+			Cores: 0.5 + st.rng.Float64(), Memory: 1, Within: st.place.Deadlines[job], Target: 800, Until: st.Lasts,
+		})
 	}
 	st.c.at(nil, st.c.now+st.rng.ExpFloat64()*1000/(st.Rate*st.flood), st.ask)
 }
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -27,7 +27,8 @@
 
 // SeedsWith plays the scripts of the seeds after a change that is the same for all.
 func SeedsWith(ctx context.Context, a, b uint64, workers int, plant *Plant, most int, progress io.Writer,
-	change func(Script) Script) Sum {
+	change func(Script) Script,
+) Sum {
 	var mu sync.Mutex
 	next, done := a, map[uint64]Verdict{}
 	broken, began := 0, time.Now()
--- a/internal/lab/sim/script.go
+++ b/internal/lab/sim/script.go
@@ -88,9 +88,11 @@
 // Draw draws a script.
 func Draw(seed uint64) Script {
 	rng := rand.New(rand.NewPCG(seed, 0xfa17))
-	s := Script{Seed: seed, Nodes: 4 + rng.IntN(4), Schedulers: 1 + rng.IntN(2), Shards: 1 + rng.IntN(3), Asks: rng.IntN(2) == 0,
+	s := Script{
+		Seed: seed, Nodes: 4 + rng.IntN(4), Schedulers: 1 + rng.IntN(2), Shards: 1 + rng.IntN(3), Asks: rng.IntN(2) == 0,
 		Cold: rng.IntN(4) == 0, Rate: 15 + 25*rng.Float64(), Lasts: 5000 + 4000*rng.Float64(),
-		Share: []string{"shared", "shared", "own", "informed"}[rng.IntN(4)]}
+		Share: []string{"shared", "shared", "own", "informed"}[rng.IntN(4)],
+	}
 	all := 0
 	for _, k := range kinds {
 		all += k.often
@@ -103,8 +105,10 @@
 				break
 			}
 		}
-		f := Fault{At: float64(rng.IntN(int(s.Lasts))), Kind: k.name, For: whole(k.least + (k.top-k.least)*rng.Float64()*rng.Float64()),
-			Size: whole(k.low + (k.high-k.low)*rng.Float64())}
+		f := Fault{
+			At: float64(rng.IntN(int(s.Lasts))), Kind: k.name, For: whole(k.least + (k.top-k.least)*rng.Float64()*rng.Float64()),
+			Size: whole(k.low + (k.high-k.low)*rng.Float64()),
+		}
 		if k.high <= 1 {
 			f.Size = float64(int(100*(k.low+(k.high-k.low)*rng.Float64()))) / 100
 		}
@@ -142,8 +146,10 @@
 	of := kinds[len(kinds)-3:]
 	for range 1 + rng.IntN(3) {
 		k := of[rng.IntN(len(of))]
-		s.Faults = append(s.Faults, Fault{At: float64(rng.IntN(int(s.Lasts))), Kind: k.name, A: clubNames[rng.IntN(len(clubNames))],
-			For: whole(k.least + (k.top-k.least)*rng.Float64()), Size: float64(int(100*(k.low+(k.high-k.low)*rng.Float64()))) / 100})
+		s.Faults = append(s.Faults, Fault{
+			At: float64(rng.IntN(int(s.Lasts))), Kind: k.name, A: clubNames[rng.IntN(len(clubNames))],
+			For: whole(k.least + (k.top-k.least)*rng.Float64()), Size: float64(int(100*(k.low+(k.high-k.low)*rng.Float64()))) / 100,
+		})
 	}
 }
 
@@ -156,8 +162,10 @@
 	s.Schedulers = 3
 	for range rng.IntN(4) {
 		a := rng.IntN(3)
-		f := Fault{At: float64(rng.IntN(int(s.Lasts))), Kind: "deaf", A: fmt.Sprint("s", a), B: fmt.Sprint("s", (a+1+rng.IntN(2))%3),
-			For: whole(500 + 7500*rng.Float64()), Size: float64(int(60*rng.Float64())) / 100}
+		f := Fault{
+			At: float64(rng.IntN(int(s.Lasts))), Kind: "deaf", A: fmt.Sprint("s", a), B: fmt.Sprint("s", (a+1+rng.IntN(2))%3),
+			For: whole(500 + 7500*rng.Float64()), Size: float64(int(60*rng.Float64())) / 100,
+		}
 		if rng.IntN(2) == 0 {
 			f.Kind = "lossy"
 		}
@@ -232,9 +240,11 @@
 			return s, fmt.Errorf("script, line %d: %s stands twice", n, word)
 		}
 		seen[word] = true
-		into, ok := map[string][]any{"seed": {&s.Seed}, "nodes": {&s.Nodes}, "schedulers": {&s.Schedulers}, "shards": {&s.Shards, &s.Share},
+		into, ok := map[string][]any{
+			"seed": {&s.Seed}, "nodes": {&s.Nodes}, "schedulers": {&s.Schedulers}, "shards": {&s.Shards, &s.Share},
 			"asked": {&s.Asks}, "cold": {&s.Cold}, "rate": {&s.Rate}, "lasts": {&s.Lasts}, "hosted": {&s.Hosted}, "members": {&s.Members},
-			"set": {&s.Set}}[word]
+			"set": {&s.Set},
+		}[word]
 		switch {
 		case word == "fault":
 			var f Fault
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -65,9 +65,11 @@
 // TestPlants plants faults in the program: each must be found within some seeds. Those that take many begin near one that
 // finds them; lab run --plant tells after how many that is from the first.
 func TestPlants(t *testing.T) {
-	from := map[string]uint64{"found ones are adopted unasked": 250, "word of drains is lost": 66, "tokens are taken for harmless": 18,
+	from := map[string]uint64{
+		"found ones are adopted unasked": 250, "word of drains is lost": 66, "tokens are taken for harmless": 18,
 		"the life is used before it is on the disk": 2570, "the window of tokened tries is too long": 12, "answers come at the expiry": 74,
-		"a removal lets what runs go on": 50, "a removed tenant is only paused": 50}
+		"a removal lets what runs go on": 50, "a removed tenant is only paused": 50,
+	}
 	for i := range Plants {
 		p := &Plants[i]
 		t.Run(p.Name, func(t *testing.T) {
@@ -139,8 +141,10 @@
 // TestKillAtEachStep kills a scheduler after each of its first effects in turn.
 func TestKillAtEachStep(t *testing.T) {
 	for n := 1; n < 120; n += 10 {
-		s := Script{Seed: uint64(n), Nodes: 3, Schedulers: 1, Shards: 2, Share: "shared", Rate: 60, Lasts: 2500,
-			Faults: []Fault{{At: 900, Kind: "kill-in", A: "s0", For: 400, Size: float64(n)}}}
+		s := Script{
+			Seed: uint64(n), Nodes: 3, Schedulers: 1, Shards: 2, Share: "shared", Rate: 60, Lasts: 2500,
+			Faults: []Fault{{At: 900, Kind: "kill-in", A: "s0", For: 400, Size: float64(n)}},
+		}
 		if v := Play(s, nil, nil); v.Broken != "" {
 			t.Errorf("after %d effects: %s", n, v.Broken)
 		}
--- a/internal/lab/sim/strikes.go
+++ b/internal/lab/sim/strikes.go
@@ -165,8 +165,10 @@
 func (st *stage) window(n *standin.Node, f Fault) {
 	c := st.c
 	start := outside.Epoch.Add(time.Duration((day + c.now + f.Size + 1500) * 1e6)).Truncate(time.Second)
-	w := calendar.Window{ID: fmt.Sprintf("w%.0f", f.At), Reach: calendar.OneNode, Place: strconv.Itoa(int(n.ID)), Start: start,
-		Last: time.Duration(max(1, f.For/1000)) * time.Second, Lead: time.Duration(math.Ceil(f.Size/1000)) * time.Second, Added: start}
+	w := calendar.Window{
+		ID: fmt.Sprintf("w%.0f", f.At), Reach: calendar.OneNode, Place: strconv.Itoa(int(n.ID)), Start: start,
+		Last: time.Duration(max(1, f.For/1000)) * time.Second, Lead: time.Duration(math.Ceil(f.Size/1000)) * time.Second, Added: start,
+	}
 	for _, s := range st.scheds {
 		s.store.cal.Windows = append(s.store.cal.Windows, w)
 	}
--- a/internal/lab/sim/workingset_test.go
+++ b/internal/lab/sim/workingset_test.go
@@ -25,10 +25,16 @@
 // the load: they grow and shrink with bursts, and begin small again when a scheduler comes back.
 func longWork(seed uint64) Game {
 	working := site.WorkingSet{MinNodes: 2, SpareFactor: 3, NodesPerStart: 0.2, MinPerStratum: 1, NarrowAfter: 400}
-	faults := []Fault{{At: 2000, Kind: "flood", For: 1500, Size: 4}, {At: 9000, Kind: "kill", A: "s0", For: 300},
-		{At: 13_000, Kind: "flood", For: 1500, Size: 4}, {At: 20_000, Kind: "kill", A: "s1", For: 300}}
-	return Game{Life: 10_000, Settles: 20_000, Working: &working, Script: Script{Seed: seed, Nodes: 12, Schedulers: 2, Shards: 1,
-		Share: "shared", Rate: 8, Lasts: 28_000, Faults: faults}}
+	faults := []Fault{
+		{At: 2000, Kind: "flood", For: 1500, Size: 4},
+		{At: 9000, Kind: "kill", A: "s0", For: 300},
+		{At: 13_000, Kind: "flood", For: 1500, Size: 4},
+		{At: 20_000, Kind: "kill", A: "s1", For: 300},
+	}
+	return Game{Life: 10_000, Settles: 20_000, Working: &working, Script: Script{
+		Seed: seed, Nodes: 12, Schedulers: 2, Shards: 1,
+		Share: "shared", Rate: 8, Lasts: 28_000, Faults: faults,
+	}}
 }
 
 // harm is what a scheduler without a way to its work does: it tells that work is lost that runs, and starts work that
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -39,8 +39,10 @@
 
 // NewClock begins a world.
 func NewClock(seed uint64) *Clock {
-	c := &Clock{rng: rand.New(rand.NewPCG(seed, 0x51)), doors: map[string]*door{}, ways: map[[2]string]*way{},
-		ports: map[string]*port{}, lanes: map[[2]string]*Lane{}}
+	c := &Clock{
+		rng: rand.New(rand.NewPCG(seed, 0x51)), doors: map[string]*door{}, ways: map[[2]string]*way{},
+		ports: map[string]*port{}, lanes: map[[2]string]*Lane{},
+	}
 	c.trace.Reset()
 	return c
 }
--- a/internal/lab/states/explore.go
+++ b/internal/lab/states/explore.go
@@ -98,8 +98,10 @@
 	p.asks++
 	ref := uint64(p.asks)
 	p.expiryOf[ref] = p.now + expiry
-	at, epoch, why := p.acts.Ask(p.now, name, shardownership.Ask{Owner: owner, Ref: ref, Job: p.w.Job, Service: service, Cores: 1, Memory: 1,
-		Expiry: p.now + expiry}, 0, calm)
+	at, epoch, why := p.acts.Ask(p.now, name, shardownership.Ask{
+		Owner: owner, Ref: ref, Job: p.w.Job, Service: service, Cores: 1, Memory: 1,
+		Expiry: p.now + expiry,
+	}, 0, calm)
 	if why != "" {
 		p.answered(ref, engine.Declined)
 		return
--- a/internal/lab/states/world.go
+++ b/internal/lab/states/world.go
@@ -131,8 +131,10 @@
 // begin makes the world: both shards connected to both nodes, nothing asked yet.
 func (w World) begin() *play {
 	p := &play{w: w, now: start}
-	p.acts = shardrouter.New(start, shardrouter.Terms{Jobs: Jobs, Shards: shards, Most: shards, Open: 10, Margin: margin, Step: 1, Epoch: 1,
-		Trusted: w.Plant == Trust})
+	p.acts = shardrouter.New(start, shardrouter.Terms{
+		Jobs: Jobs, Shards: shards, Most: shards, Open: 10, Margin: margin, Step: 1, Epoch: 1,
+		Trusted: w.Plant == Trust,
+	})
 	for n := range nodes {
 		p.past[n], p.bars[n], p.nlife[n] = map[name2]int{}, map[name2]bool{}, 1
 	}
@@ -146,11 +148,15 @@
 func (p *play) shard(s int) {
 	p.lives++
 	p.life[s] = p.lives
-	cl := &logic.Cluster{Schedulers: shards, Index: s, ListMaxSilence: 1e6, MinRoundInterval: 1, MaxAttempts: 4, CanCancel: true, KindCores: []float64{8},
+	cl := &logic.Cluster{
+		Schedulers: shards, Index: s, ListMaxSilence: 1e6, MinRoundInterval: 1, MaxAttempts: 4, CanCancel: true, KindCores: []float64{8},
 		KindMemory: []float64{8}, CoresOvercommit: 1, MemoryOvercommit: 1, ReportFields: []string{"x0", "x1"}, ReportsPiggybacked: true, SlowStartLimit: 100,
-		SlowStartDuration: 10, SlowStartWindow: 10, MeanCores: 1, MeanMemory: 1, JobClasses: Jobs}
-	p.eng[s] = engine.New(edge{p, s, p.life[s]}, p.now, engine.Config{Cluster: cl, Shares: []float64{1}, MaxOpen: 10, AnswerMargin: margin,
-		SettleTime: 300, Incarnation: p.lives, Seed: uint64(p.lives)})
+		SlowStartDuration: 10, SlowStartWindow: 10, MeanCores: 1, MeanMemory: 1, JobClasses: Jobs,
+	}
+	p.eng[s] = engine.New(edge{p, s, p.life[s]}, p.now, engine.Config{
+		Cluster: cl, Shares: []float64{1}, MaxOpen: 10, AnswerMargin: margin,
+		SettleTime: 300, Incarnation: p.lives, Seed: uint64(p.lives),
+	})
 	e := p.eng[s]
 	e.BeginList(p.now, logic.ListCached)
 	for n := range nodes {
@@ -223,12 +229,15 @@
 	}
 	d.send(nd, msg{kind: 'o', ticket: ticket, try: no, epoch: epoch, until: p.now + timeout, ask: p.asks})
 }
+
 func (d edge) Recall(nd uint32, ticket uint64, no uint8) {
 	d.send(nd, msg{kind: 'r', ticket: ticket, try: no})
 }
+
 func (d edge) Stop(nd uint32, ticket uint64, no uint8) {
 	d.send(nd, msg{kind: 's', ticket: ticket, try: no})
 }
+
 func (d edge) Claim(nd uint32, ticket uint64, no uint8) {
 	d.send(nd, msg{kind: 'c', ticket: ticket, try: no})
 }
@@ -240,35 +249,44 @@
 func (d edge) PermitAttempt(_ int, _ uint64, epoch uint32, nd uint32, ticket uint64, no uint8) bool {
 	return d.p.acts.Send(name, d.s, epoch, shardownership.Try{Node: nd, Ticket: ticket, No: no})
 }
+
 func (d edge) RecordOutcome(_ int, _ uint64, epoch uint32, never bool) {
 	d.p.acts.Settle(name, d.s, epoch, never)
 }
+
 func (d edge) RecoverTask(_ int, _ uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
-	no uint8) (epoch, who uint32, ref uint64, ok bool) {
+	no uint8,
+) (epoch, who uint32, ref uint64, ok bool) {
 	if d.dead() {
 		return 0, 0, 0, false
 	}
 	return d.p.acts.Adopt(name, d.s, shardownership.Ask{Job: job, Service: service}, shardownership.Try{Node: nd, Ticket: ticket, No: no})
 }
+
 func (d edge) SetClient(_ int, _ uint64, epoch uint32, who uint32, ref uint64) {
 	d.p.acts.Owned(name, d.s, epoch, who, ref)
 }
+
 func (d edge) ReleaseTask(_ int, _ uint64, service uint64, epoch uint32) {
 	d.p.acts.Drop(name, d.s, service, epoch)
 }
+
 func (d edge) PermitAnswer(_ int, _ uint64, epoch uint32, served bool) bool {
 	return d.p.acts.Final(d.p.now, name, d.s, epoch, served)
 }
+
 func (d edge) ExpireRequest(uint32, uint64) {
 	if !d.dead() {
 		d.p.fail("an ask lapsed though nothing stood still")
 	}
 }
+
 func (d edge) Answer(_ uint32, ref uint64, a engine.Answer, _ uint32, _ string, _ float64) {
 	if !d.dead() {
 		d.p.answered(ref, a)
 	}
 }
+
 func (d edge) NotifyEnd(uint32, uint64, logic.Outcome, logic.Reason) {
 	if !d.dead() {
 		d.p.overs++
@@ -339,8 +357,10 @@
 	defer func() { _, _, _ = p.acts.Resize(p.now, shards) }()
 	var items []shardrouter.Item
 	for _, g := range all {
-		items = append(items, shardrouter.Item{Name: name, Epoch: g.Epoch, Runs: g.Running, Ask: shardownership.Ask{Owner: g.Client, Ref: g.RequestID, Job: g.JobClass,
-			Service: service, Expiry: g.Deadline}})
+		items = append(items, shardrouter.Item{Name: name, Epoch: g.Epoch, Runs: g.Running, Ask: shardownership.Ask{
+			Owner: g.Client, Ref: g.RequestID, Job: g.JobClass,
+			Service: service, Expiry: g.Deadline,
+		}})
 	}
 	for i, f := range p.acts.Hand(p.now, s, items) {
 		g := all[i]
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -93,9 +93,11 @@
 
 // Play plays a seed.
 func Play(seed uint64, plant Plant) (v Verdict) {
-	g := &play{v: Verdict{Seed: seed}, plant: plant, c: sim.NewClock(seed), rng: rand.New(rand.NewPCG(seed, 0x20e5)), dead: map[string]bool{}, quiet: map[string]int{},
+	g := &play{
+		v: Verdict{Seed: seed}, plant: plant, c: sim.NewClock(seed), rng: rand.New(rand.NewPCG(seed, 0x20e5)), dead: map[string]bool{}, quiet: map[string]int{},
 		cuts: map[[2]string]bool{}, broken: map[[2]string]bool{}, lately: map[[2]string]float64{}, shut: map[string]float64{}, used: map[string]float64{}, lostAt: map[string]float64{},
-		may: func(string) bool { return false }}
+		may: func(string) bool { return false },
+	}
 	defer func() {
 		if p := recover(); p != nil {
 			g.fail(fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
--- a/internal/outside/real.go
+++ b/internal/outside/real.go
@@ -49,8 +49,10 @@
 func NewReal() *Real {
 	now := time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Real{start: now, base: float64(now.Sub(Epoch)) / 1e6, ctx: ctx, cancel: cancel, timers: map[*timer]bool{},
-		doors: map[*door]bool{}, ports: map[*port]bool{}, conns: map[*conn]bool{}}
+	return &Real{
+		start: now, base: float64(now.Sub(Epoch)) / 1e6, ctx: ctx, cancel: cancel, timers: map[*timer]bool{},
+		doors: map[*door]bool{}, ports: map[*port]bool{}, conns: map[*conn]bool{},
+	}
 }
 
 // Close ends all that runs in the world and waits for it: timers are stopped, doors and connections closed. A loop's
@@ -113,8 +115,10 @@
 func (r *Real) Dial(address string, within float64, done func(Conn, error)) {
 	connect := r.Connect
 	if connect == nil {
-		d := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second,
-			Count: 3}}
+		d := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{
+			Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second,
+			Count: 3,
+		}}
 		connect = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 	}
 	r.goes(func() {
--- a/internal/outside/traffic.go
+++ b/internal/outside/traffic.go
@@ -47,8 +47,10 @@
 }
 
 func (t *traffic) flow(kind ConnKind) Traffic {
-	return Traffic{Kind: kind, SentMessages: t.sentMessages.Load(), SentBytes: t.sentBytes.Load(), ReceivedMessages: t.receivedMessages.Load(),
-		ReceivedBytes: t.receivedBytes.Load(), OpenedConnections: t.opened.Load(), OpenConnections: t.open.Load()}
+	return Traffic{
+		Kind: kind, SentMessages: t.sentMessages.Load(), SentBytes: t.sentBytes.Load(), ReceivedMessages: t.receivedMessages.Load(),
+		ReceivedBytes: t.receivedBytes.Load(), OpenedConnections: t.opened.Load(), OpenConnections: t.open.Load(),
+	}
 }
 
 // Traffic tells what passed since the start, by kind.
--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -129,8 +129,10 @@
 		return why
 	}
 	s.counts.taken++
-	a := &request{task: f.task, tenant: f.tenant, client: c, expiry: now + left, jobIs: f.jobType, service: f.service, cores: f.cores,
-		memory: f.memory}
+	a := &request{
+		task: f.task, tenant: f.tenant, client: c, expiry: now + left, jobIs: f.jobType, service: f.service, cores: f.cores,
+		memory: f.memory,
+	}
 	a.keep(f, description)
 	c.open[f.task], s.tasks[f.task] = a, a
 	s.inbox = append(s.inbox, a)
--- a/internal/platform/configuration.go
+++ b/internal/platform/configuration.go
@@ -83,6 +83,8 @@
 	if err := known.OnSockets(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return &Configuration{Name: f.Name, Listen: f.Listen, Journal: f.Journal, Seed: seed, Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: known, Events: f.Known}, nil
+	return &Configuration{
+		Name: f.Name, Listen: f.Listen, Journal: f.Journal, Seed: seed, Cores: f.Limits.Cores,
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: known, Events: f.Known,
+	}, nil
 }
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -52,12 +52,16 @@
 // begin starts a host of some nodes, in two zones in turn.
 func begin(t *testing.T, nodes int) *script {
 	s := &script{t: t, now: 1e6}
-	cl := &logic.Cluster{Schedulers: 1, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true, KindCores: []float64{32},
+	cl := &logic.Cluster{
+		Schedulers: 1, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true, KindCores: []float64{32},
 		KindMemory: []float64{64}, CoresOvercommit: 2, MemoryOvercommit: 1.5, ReportFields: []string{"x0", "x1"}, ReportsPiggybacked: true, SlowStartLimit: 20,
-		SlowStartDuration: 9000, SlowStartWindow: 2000, MeanCores: 1, MeanMemory: 2}
+		SlowStartDuration: 9000, SlowStartWindow: 2000, MeanCores: 1, MeanMemory: 2,
+	}
 	for _, e := range []logic.RetrySemantics{logic.Restartable, logic.Idempotent, logic.AtMostOnce} {
-		cl.JobClasses = append(cl.JobClasses, logic.JobClass{Semantics: e, IdempotencyScope: logic.ScopeZone, IdempotencyWindow: 8000, LatencyObjective: 700, PriorityWeight: 1,
-			NodeKind: -1, MaxPerScope: 1})
+		cl.JobClasses = append(cl.JobClasses, logic.JobClass{
+			Semantics: e, IdempotencyScope: logic.ScopeZone, IdempotencyWindow: 8000, LatencyObjective: 700, PriorityWeight: 1,
+			NodeKind: -1, MaxPerScope: 1,
+		})
 	}
 	cl.JobClasses[tokened].Spread = logic.PerNode
 	s.h = New(s, s.now, 5, cl)
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -223,8 +223,10 @@
 
 // onLoopback starts a scheduler that may use its nodes at once.
 func onLoopback(t *testing.T, change func(*Configuration)) *real {
-	r := &real{t: t, w: &world{Real: outside.NewReal(), turns: newGate(), reads: newGate(), ends: newGate(), dials: newGate(), comes: newGate(),
-		nodes: newGate()}}
+	r := &real{t: t, w: &world{
+		Real: outside.NewReal(), turns: newGate(), reads: newGate(), ends: newGate(), dials: newGate(), comes: newGate(),
+		nodes: newGate(),
+	}}
 	r.w.WriteThrough = true
 	journal, _ := tailed(t)
 	r.node = newTCPNode(t)
@@ -232,8 +234,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.configuration = &Configuration{Name: "n0", Listen: "127.0.0.1:0", Journal: journal, Seed: 3, MemoryMB: 64, Sockets: 256, Known: known,
-		Events: []byte(`{"pos":1,"entries":[` + event(1, true, entryOf("a", r.node.l.Addr().String(), "ready")) + `]}`)}
+	r.configuration = &Configuration{
+		Name: "n0", Listen: "127.0.0.1:0", Journal: journal, Seed: 3, MemoryMB: 64, Sockets: 256, Known: known,
+		Events: []byte(`{"pos":1,"entries":[` + event(1, true, entryOf("a", r.node.l.Addr().String(), "ready")) + `]}`),
+	}
 	if change != nil {
 		change(r.configuration)
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -93,9 +93,11 @@
 
 // New makes a scheduler from its configuration. Nothing is connected yet.
 func New(world outside.Environment, log zerolog.Logger, c *Configuration) *Server {
-	s := &Server{world: world, log: log, known: c.Known, parts: budget.Divide(c.Sockets, c.MemoryMB), requests: map[uint32]*request{},
+	s := &Server{
+		world: world, log: log, known: c.Known, parts: budget.Divide(c.Sockets, c.MemoryMB), requests: map[uint32]*request{},
 		tasks: map[uint64]*request{}, names: map[string]*peer{}, peers: map[uint32]*peer{}, clients: map[*client]bool{},
-		probes: map[uint64]*link{}, done: make(chan struct{}), epoch: float64(outside.Epoch.UnixMilli())}
+		probes: map[uint64]*link{}, done: make(chan struct{}), epoch: float64(outside.Epoch.UnixMilli()),
+	}
 	s.jobs, s.tenants = places(c.Known.JobTypes), places(c.Known.Tenants)
 	s.zones, s.kinds = places(c.Known.Zones), places(c.Known.Kinds)
 	s.words.Tell = func(what, why string) {
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -131,8 +131,10 @@
 }
 
 func newNode(r *rig, name, address string) *node {
-	n := &node{r: r, name: name, p: r.c.NewProcess("node-" + name), starts: map[uint64]int{}, open: map[uint64]*ear{},
-		stands: map[uint64]bool{}}
+	n := &node{
+		r: r, name: name, p: r.c.NewProcess("node-" + name), starts: map[uint64]int{}, open: map[uint64]*ear{},
+		stands: map[uint64]bool{},
+	}
 	r.nodes[name] = n
 	n.listen(address)
 	return n
@@ -236,8 +238,10 @@
 
 // setUp is a client's set-up; more parameters take the place of those with the same code.
 func setUp(task uint64, job string, more ...any) []byte {
-	params := []any{codec.JobType, job, codec.Left, "2500", codec.Tenant, "acme", codec.Name, fmt.Sprintf("%016x", task), codec.Key,
-		strings.Repeat("5c", 16), codec.Figures, figures, codec.Description, "owner's"}
+	params := []any{
+		codec.JobType, job, codec.Left, "2500", codec.Tenant, "acme", codec.Name, fmt.Sprintf("%016x", task), codec.Key,
+		strings.Repeat("5c", 16), codec.Figures, figures, codec.Description, "owner's",
+	}
 	for i := 0; i < len(more); i += 2 {
 		for j := 0; j < len(params); j += 2 {
 			if params[j] == more[i] {
--- a/internal/proto/admin/gen/main.go
+++ b/internal/proto/admin/gen/main.go
@@ -38,8 +38,10 @@
 	for _, p := range paths {
 		names = append(names, filepath.Base(p))
 	}
-	files, err := (&protocompile.Compiler{Resolver: &protocompile.SourceResolver{ImportPaths: []string{folder}},
-		SourceInfoMode: protocompile.SourceInfoStandard}).Compile(context.Background(), names...)
+	files, err := (&protocompile.Compiler{
+		Resolver:       &protocompile.SourceResolver{ImportPaths: []string{folder}},
+		SourceInfoMode: protocompile.SourceInfoStandard,
+	}).Compile(context.Background(), names...)
 	if err != nil {
 		return err
 	}
--- a/internal/proto/ics/ics.go
+++ b/internal/proto/ics/ics.go
@@ -177,12 +177,16 @@
 	}
 	lead := r.duration(propLead)
 	if strings.EqualFold(r.text(ical.PropCategories), protected) {
-		c.Protected = append(c.Protected, calendar.Protected{ID: id, Start: start, Last: last, Rule: rule, Lead: lead,
-			Tail: r.duration(propTail)})
+		c.Protected = append(c.Protected, calendar.Protected{
+			ID: id, Start: start, Last: last, Rule: rule, Lead: lead,
+			Tail: r.duration(propTail),
+		})
 		return
 	}
-	w := calendar.Window{ID: id, Reach: calendar.Reach(r.word(propReach, reaches)), Place: r.text(propPlace), Start: start,
-		Last: last, Rule: rule, Lead: lead, Slack: r.duration(propSlack), End: calendar.Ending(r.word(propEnding, endings))}
+	w := calendar.Window{
+		ID: id, Reach: calendar.Reach(r.word(propReach, reaches)), Place: r.text(propPlace), Start: start,
+		Last: last, Rule: rule, Lead: lead, Slack: r.duration(propSlack), End: calendar.Ending(r.word(propEnding, endings)),
+	}
 	if s := r.text(propPriority); s != "" {
 		w.Priority, err = strconv.Atoi(s)
 		r.fault(propPriority, err)
--- a/internal/proto/ics/ics_test.go
+++ b/internal/proto/ics/ics_test.go
@@ -17,12 +17,16 @@
 	}
 	start := time.Date(2026, 3, 28, 2, 30, 0, 0, zone)
 	in := calendar.Calendar{Windows: []calendar.Window{
-		{ID: "weekly", Reach: calendar.Zone, Place: "quay", Start: start, Last: 2 * time.Hour, Rule: "FREQ=WEEKLY;COUNT=5",
+		{
+			ID: "weekly", Reach: calendar.Zone, Place: "quay", Start: start, Last: 2 * time.Hour, Rule: "FREQ=WEEKLY;COUNT=5",
 			Lead: 10 * time.Minute, Slack: 3 * time.Hour, Priority: 4, Added: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
-			End: calendar.Hold, Except: []time.Time{start.AddDate(0, 0, 7)}},
+			End: calendar.Hold, Except: []time.Time{start.AddDate(0, 0, 7)},
+		},
 		{ID: "once", Place: "7", Start: time.Date(2026, 4, 1, 0, 0, 0, 0, time.UTC), Last: time.Hour},
-	}, Protected: []calendar.Protected{{ID: "contest, \"final\"", Start: start, Last: time.Hour, Lead: time.Hour, Tail: time.Minute,
-		Rule: "FREQ=YEARLY"}}}
+	}, Protected: []calendar.Protected{{
+		ID: "contest, \"final\"", Start: start, Last: time.Hour, Lead: time.Hour, Tail: time.Minute,
+		Rule: "FREQ=YEARLY",
+	}}}
 	var b bytes.Buffer
 	if err := Encode(&b, &in, start); err != nil {
 		t.Fatal(err)
--- a/internal/proto/list/list.go
+++ b/internal/proto/list/list.go
@@ -75,7 +75,8 @@
 
 // AppendEntry appends a node; startedAt is in ms of the wall clock, 0 for long ago.
 func AppendEntry(b []byte, id uint32, address string, availability int, startedAt, freeCores, freeMemory float64,
-	zone, cell, kind string) []byte {
+	zone, cell, kind string,
+) []byte {
 	b = line.AppendInt(append(b, "NODE"...), uint64(id))
 	b = line.AppendText(b, address)
 	b = line.AppendText(b, AvailabilityNames[availability])
--- a/internal/proto/list/list_test.go
+++ b/internal/proto/list/list_test.go
@@ -22,6 +22,7 @@
 	e.b = AppendBegin(e.b, kind, version)
 	return nil
 }
+
 func (e *ear) OnEntry(id uint32, address string, avail int, started, cores, memory float64, zone, cell, kind string) error {
 	e.b = AppendEntry(e.b, id, address, avail, started, cores, memory, zone, cell, kind)
 	return nil
@@ -41,8 +42,10 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, s := range []string{"WHOLE", "WATCH 7", "UNWATCH", "OUT 3 60000", "BACK 3", "BYE x", "LIST whole 9", "END", "FAILED out",
-		"NODE 3 127.0.0.1:5 ready 0 1.5 2 east east-1 small", "OUT 99999999999 1", "NODE 1 a b c"} {
+	for _, s := range []string{
+		"WHOLE", "WATCH 7", "UNWATCH", "OUT 3 60000", "BACK 3", "BYE x", "LIST whole 9", "END", "FAILED out",
+		"NODE 3 127.0.0.1:5 ready 0 1.5 2 east east-1 small", "OUT 99999999999 1", "NODE 1 a b c",
+	} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/proto/node/node.go
+++ b/internal/proto/node/node.go
@@ -63,8 +63,10 @@
 )
 
 // Verdicts gives the module's word for each outcome: what must not be tried again unless it provably never ran rests on it.
-var Verdicts = [...]logic.Outcome{OutcomeEnded: logic.Completed, OutcomeErrored: logic.Errored, OutcomeRefused: logic.Rejected, OutcomeBarred: logic.Rejected,
-	OutcomeLost: logic.ConnectionLost, OutcomeStopped: logic.Cancelled, OutcomeUnknown: logic.ConnectionLost}
+var Verdicts = [...]logic.Outcome{
+	OutcomeEnded: logic.Completed, OutcomeErrored: logic.Errored, OutcomeRefused: logic.Rejected, OutcomeBarred: logic.Rejected,
+	OutcomeLost: logic.ConnectionLost, OutcomeStopped: logic.Cancelled, OutcomeUnknown: logic.ConnectionLost,
+}
 
 // SchedulerHandler is what a node hears.
 type SchedulerHandler interface {
@@ -95,7 +97,8 @@
 // AppendOffer appends an offer: the node may start it within the timeout, in ms from when it was sent by the
 // scheduler's clock, which a node follows as docs/protocols/node.md has it.
 func AppendOffer(b []byte, ticket uint64, try uint8, epoch uint32, sent, timeout float64, jobType, tenant int,
-	service, token uint64, cores, memory float64) []byte {
+	service, token uint64, cores, memory float64,
+) []byte {
 	b = appendAttempt(b, "OFFER", ticket, try)
 	b = line.AppendInt(b, uint64(epoch))
 	b = line.AppendNumber(line.AppendNumber(b, sent), timeout)
@@ -193,7 +196,8 @@
 
 // AppendHeld tells one thing that the node holds for the scheduler.
 func AppendHeld(b []byte, ticket uint64, try uint8, state, jobType, tenant int, service, token uint64,
-	cores, memory float64) []byte {
+	cores, memory float64,
+) []byte {
 	b = line.AppendText(appendAttempt(b, "HELD", ticket, try), StateNames[state])
 	return append(appendTask(b, jobType, tenant, service, token, cores, memory), '\n')
 }
--- a/internal/proto/node/node_test.go
+++ b/internal/proto/node/node_test.go
@@ -20,8 +20,10 @@
 	h.lines = append(h.lines, fmt.Sprintf(format, args...))
 	return nil
 }
+
 func (h *heard) OnOffer(ticket uint64, try uint8, epoch uint32, sent, timeout float64, jobType, tenant int,
-	service, token uint64, cores, memory float64) error {
+	service, token uint64, cores, memory float64,
+) error {
 	return h.put("offer %x %d %d %g %g %d %d %x %x %g %g", ticket, try, epoch, sent, timeout, jobType, tenant, service, token, cores, memory)
 }
 func (h *heard) OnRecall(t uint64, n uint8) error { return h.put("recall %x %d", t, n) }
@@ -36,18 +38,23 @@
 func (h *heard) OnStarted(t uint64, n uint8, took float64) error {
 	return h.put("started %x %d %g", t, n, took)
 }
+
 func (h *heard) OnOutcome(t uint64, n uint8, o, r int, report []float64) error {
 	return h.put("settled %x %d %d %d %v", t, n, o, r, report)
 }
+
 func (h *heard) OnNote(t uint64, n uint8, k int, v float64) error {
 	return h.put("noted %x %d %d %g", t, n, k, v)
 }
+
 func (h *heard) OnReport(seq uint64, report []float64) error {
 	return h.put("reported %d %v", seq, report)
 }
+
 func (h *heard) OnClaimAnswer(t uint64, n uint8, c, r int) error {
 	return h.put("claimed %x %d %d %d", t, n, c, r)
 }
+
 func (h *heard) OnHeld(t uint64, n uint8, state, job, tenant int, service, token uint64, cores, memory float64) error {
 	return h.put("held %x %d %d %d %d %x %x %g %g", t, n, state, job, tenant, service, token, cores, memory)
 }
--- a/internal/proto/platform/list_test.go
+++ b/internal/proto/platform/list_test.go
@@ -36,12 +36,16 @@
 		want       string // calls, or what the error says
 		bad        bool
 	}{
-		{"an event", `{"pos":41,"hosts":{"index":7,"snapshot":false,"endpoints":[` + node + `]}}`, true, 41,
-			"event 41 false, s-1 127.0.0.9:5060 east std 2 1 7 1.5 -2", false},
+		{
+			"an event", `{"pos":41,"hosts":{"index":7,"snapshot":false,"endpoints":[` + node + `]}}`, true, 41,
+			"event 41 false, s-1 127.0.0.9:5060 east std 2 1 7 1.5 -2", false,
+		},
 		{"the whole list", `{"pos":1,"hosts":{"snapshot":true,"endpoints":[]}}`, true, 1, "event 1 true", false},
 		{"an event that was told before", `{"pos":41,"hosts":{"endpoints":[` + node + `]}}`, false, 41, "event 41 false", false},
-		{"gone without an address", `{"pos":2,"hosts":{"endpoints":[{"name":"s-1","status":"gone"}]}}`, true, 2,
-			"event 2 false, s-1    0 0 0 0 0", false},
+		{
+			"gone without an address", `{"pos":2,"hosts":{"endpoints":[{"name":"s-1","status":"gone"}]}}`, true, 2,
+			"event 2 false, s-1    0 0 0 0 0", false,
+		},
 		{"a count as an object", `{"pos":41}`, true, 41, "", false},
 		{"a count alone", " 41\r", true, 41, "", false},
 		{"torn", `{"pos":41,"hosts":{"index":7,"snap`, true, 0, "event of the journal", true},
--- a/internal/proto/platform/platform_test.go
+++ b/internal/proto/platform/platform_test.go
@@ -63,8 +63,11 @@
 		{"set-up", func(b []byte) []byte {
 			return AppendSetUp(b, 7, text("batch"), text("00ab"), text("5c"), text("d\r\n"), 1499.7)
 		}, SetUp, map[byte]string{JobType: "batch", Left: "1499", Name: "00ab", Key: "5c", Description: "d\r\n"}},
-		{"set-up without a key", func(b []byte) []byte { return AppendSetUp(b, 7, text("x"), text("y"), nil, text("z"), -3) },
-			SetUp, map[byte]string{JobType: "x", Left: "1", Name: "y", Description: "z"}},
+		{
+			"set-up without a key", func(b []byte) []byte { return AppendSetUp(b, 7, text("x"), text("y"), nil, text("z"), -3) },
+			SetUp,
+			map[byte]string{JobType: "x", Left: "1", Name: "y", Description: "z"},
+		},
 		{"answer", func(b []byte) []byte { return AppendAnswer(b, 7, text("d")) }, Answer, map[byte]string{Description: "d"}},
 		{"end", func(b []byte) []byte { return AppendEnd(b, 7, Moot) }, End, map[byte]string{Cause: "\x66"}},
 		{"test for a report", func(b []byte) []byte { return AppendTest(b, 7, true) }, Test, map[byte]string{Cause: "\x01"}},
@@ -106,8 +109,10 @@
 	if _, ok := CauseOf(message(End, Cause, "ab")); ok {
 		t.Error("a cause of two bytes")
 	}
-	for text, want := range map[string]bool{"1": true, "1.5e3": true, "-2": true, "": false, "NaN": false, "inf": false, "1e999": false,
-		"0x10": false, "7 ": false, strings.Repeat("1", 33): false} {
+	for text, want := range map[string]bool{
+		"1": true, "1.5e3": true, "-2": true, "": false, "NaN": false, "inf": false, "1e999": false,
+		"0x10": false, "7 ": false, strings.Repeat("1", 33): false,
+	} {
 		if _, ok := Number(message(SetUp, Left, text), Left); ok != want {
 			t.Errorf("number %q: %v", text, ok)
 		}
--- a/internal/serve/book.go
+++ b/internal/serve/book.go
@@ -56,8 +56,10 @@
 		return nil
 	}
 	view := s.control.View()
-	b := &Book{Version: view.Book.Version(), Digest: fmt.Sprintf("%016x", xxhash.Sum64(view.Book.Snapshot())), Sure: (view.Sure - now) / 1000,
-		Zones: map[string]string{}}
+	b := &Book{
+		Version: view.Book.Version(), Digest: fmt.Sprintf("%016x", xxhash.Sum64(view.Book.Snapshot())), Sure: (view.Sure - now) / 1000,
+		Zones: map[string]string{},
+	}
 	if p, ok := view.Book.Process(s.who.Name); ok {
 		b.Epoch = p.Epoch
 	}
--- a/internal/serve/drains.go
+++ b/internal/serve/drains.go
@@ -125,8 +125,10 @@
 			continue
 		}
 		id := strconv.FormatUint(uint64(en.ID), 10)
-		s.known[id] = calendar.Node{ID: id, Zone: en.Zone, Cell: en.Cell, Kind: en.Kind,
-			Cores: s.who.Place.Cluster.KindCores[kind], Memory: s.who.Place.Cluster.KindMemory[kind]}
+		s.known[id] = calendar.Node{
+			ID: id, Zone: en.Zone, Cell: en.Cell, Kind: en.Kind,
+			Cores: s.who.Place.Cluster.KindCores[kind], Memory: s.who.Place.Cluster.KindMemory[kind],
+		}
 		delete(s.goneAt, id)
 	}
 }
--- a/internal/serve/hosting_test.go
+++ b/internal/serve/hosting_test.go
@@ -46,8 +46,10 @@
 	tokens = map[string]string{}
 	with(func(st *tenants.Store) {
 		for _, name := range []string{"a", "b"} {
-			if _, fault, err := st.Do(time.Now(), "test", "", tenancy.Change{Kind: tenancy.Add, Name: name,
-				Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Wait: 50}}}); fault != nil || err != nil {
+			if _, fault, err := st.Do(time.Now(), "test", "", tenancy.Change{
+				Kind: tenancy.Add, Name: name,
+				Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Wait: 50}},
+			}); fault != nil || err != nil {
 				t.Fatal(fault, err)
 			}
 			var err error
@@ -72,8 +74,10 @@
 }
 
 func (c *client) askFor(tenant string, ref uint64, job string) error {
-	_, err := c.Call(context.Background(), "allocate", map[string]any{"ref": ref, "tenant": tenant, "key": fmt.Sprint(tenant, ref),
-		"job-type": job, "service": "s" + tenant, "cores": 1, "memory": 1})
+	_, err := c.Call(context.Background(), "allocate", map[string]any{
+		"ref": ref, "tenant": tenant, "key": fmt.Sprint(tenant, ref),
+		"job-type": job, "service": "s" + tenant, "cores": 1, "memory": 1,
+	})
 	return err
 }
 
@@ -217,7 +221,8 @@
 	addr := s.owner[0].Find()
 	with(func(st *tenants.Store) {
 		if _, fault, err := st.Do(time.Now(), "test", "", tenancy.Change{Kind: tenancy.Limit, Name: "a", Limits: tenancy.Limits{
-			Limits: fairqueue.Limits{Share: 1, Wait: 50}, Conns: 2, Bytes: 2000}}); fault != nil || err != nil {
+			Limits: fairqueue.Limits{Share: 1, Wait: 50}, Conns: 2, Bytes: 2000,
+		}}); fault != nil || err != nil {
 			t.Fatal(fault, err)
 		}
 	})
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -252,7 +252,8 @@
 const marksKept = 64
 
 func (d edge) Offer(nd uint32, ticket uint64, try uint8, epoch uint32, timeout float64, jobType, tenant int,
-	service, token uint64, cores, memory float64) {
+	service, token uint64, cores, memory float64,
+) {
 	s := d.sh.s
 	s.log.Debug().Uint64("allocation", ticket).Uint8("try", try).Uint32("node", nd).Int("tenant", tenant).Msg("offer")
 	// A shard that stood still with leave in hand may have been fenced meanwhile and its allocation answered for, after
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -142,7 +142,8 @@
 
 // OnHeld goes to the shard whose try it is; one of a life that is over to the shard that has its service now.
 func (l *link) OnHeld(ticket uint64, try uint8, state, jobType, tenant int, service, token uint64,
-	cores, memory float64) error {
+	cores, memory float64,
+) error {
 	s := l.s
 	if jobType >= len(s.who.Place.JobClasses) || tenant >= len(s.who.Place.Tenants) {
 		return fmt.Errorf("held try %x of unknown job type %d or tenant %d", ticket, jobType, tenant)
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -278,12 +278,15 @@
 
 // OnEntry is one node of it.
 func (l *lister) OnEntry(id uint32, address string, avail int, startedAt, cores, memory float64,
-	zone, cell, kind string) error {
+	zone, cell, kind string,
+) error {
 	if !l.open || len(l.entries) >= maxEntries {
 		return errOrder
 	}
-	l.entries = append(l.entries, state.Entry{ID: id, Address: address, Avail: avail, StartedAt: startedAt,
-		FreeCores: cores, FreeMemory: memory, Zone: zone, Cell: cell, Kind: kind})
+	l.entries = append(l.entries, state.Entry{
+		ID: id, Address: address, Avail: avail, StartedAt: startedAt,
+		FreeCores: cores, FreeMemory: memory, Zone: zone, Cell: cell, Kind: kind,
+	})
 	return nil
 }
 
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -72,8 +72,10 @@
 	if s.lends() {
 		open = s.longest()
 	}
-	run, err := members.Begin(s.w, m.Listen, membership.Config{Open: open, Site: s.who.Place.Name, Name: s.who.Name, Address: m.Advertise, Life: uint64(life), Key: key,
-		Seeds: m.Seeds, Seed: s.who.Seed, Place: s.who.Index, Places: cl.Schedulers, Window: cl.SlowStartWindow + leaseSpan}, changes{s})
+	run, err := members.Begin(s.w, m.Listen, membership.Config{
+		Open: open, Site: s.who.Place.Name, Name: s.who.Name, Address: m.Advertise, Life: uint64(life), Key: key,
+		Seeds: m.Seeds, Seed: s.who.Seed, Place: s.who.Index, Places: cl.Schedulers, Window: cl.SlowStartWindow + leaseSpan,
+	}, changes{s})
 	if err != nil {
 		return err
 	}
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -41,7 +41,8 @@
 	d := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("ravenpond_"+name, help, labels, prometheus.Labels{"scheduler": s.who.Name})
 	}
-	return &counts{s: s,
+	return &counts{
+		s:         s,
 		answers:   d("allocations_total", "Allocations by what became of them.", "became"),
 		offers:    d("tries_total", "Placement tries that were sent."),
 		open:      d("allocations_open", "Allocations without a final answer."),
@@ -166,8 +167,10 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{MaxRequestsInFlight: mostScrapes, Timeout: headerWithin}))
-	srv := &http.Server{Handler: mux, ReadHeaderTimeout: headerWithin, ReadTimeout: headerWithin, WriteTimeout: 2 * headerWithin,
-		IdleTimeout: 30 * time.Second, MaxHeaderBytes: mostHeader}
+	srv := &http.Server{
+		Handler: mux, ReadHeaderTimeout: headerWithin, ReadTimeout: headerWithin, WriteTimeout: 2 * headerWithin,
+		IdleTimeout: 30 * time.Second, MaxHeaderBytes: mostHeader,
+	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/serve/owners.go
+++ b/internal/serve/owners.go
@@ -50,9 +50,11 @@
 }
 
 // Words of the protocol for an allocation's end.
-var ends = [...]string{logic.Completed: "ended", logic.Errored: "error", logic.Rejected: "refused",
+var ends = [...]string{
+	logic.Completed: "ended", logic.Errored: "error", logic.Rejected: "refused",
 	logic.TimedOut: "timed-out", logic.Unreachable: "unreached", logic.ConnectionLost: "lost", logic.Cancelled: "stopped",
-	logic.NotSent: "unsent"}
+	logic.NotSent: "unsent",
+}
 
 var reasons = [...]string{"", "no-cores", "no-memory", "long-line", "not-here", "evicted", "pushed-out", "sent-away"}
 
@@ -437,8 +439,10 @@
 		return nil
 	}
 	name := shardownership.Name{Tenant: tenant, Token: Token(ask.Tenant, ask.Key)}
-	a := shardownership.Ask{Owner: o.id, Ref: ask.Ref, Job: job, Service: Service(ask.Tenant, ask.Service), Cores: ask.Cores,
-		Memory: ask.Memory}
+	a := shardownership.Ask{
+		Owner: o.id, Ref: ask.Ref, Job: job, Service: Service(ask.Tenant, ask.Service), Cores: ask.Cores,
+		Memory: ask.Memory,
+	}
 	o.s.allocate(o, name, a, ask.Within, unread)
 	return nil
 }
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -120,9 +120,13 @@
 func (s *Server) hand(now float64, sh *shard, all []engine.Transfer) {
 	var items []shardrouter.Item
 	for _, g := range all {
-		items = append(items, shardrouter.Item{Name: shardownership.Name{Tenant: g.Tenant, Token: g.Token}, Epoch: g.Epoch, Runs: g.Running,
-			Ask: shardownership.Ask{Owner: g.Client, Ref: g.RequestID, Job: g.JobClass, Service: g.Service, Cores: g.Cores, Memory: g.Memory,
-				Expiry: g.Deadline}})
+		items = append(items, shardrouter.Item{
+			Name: shardownership.Name{Tenant: g.Tenant, Token: g.Token}, Epoch: g.Epoch, Runs: g.Running,
+			Ask: shardownership.Ask{
+				Owner: g.Client, Ref: g.RequestID, Job: g.JobClass, Service: g.Service, Cores: g.Cores, Memory: g.Memory,
+				Expiry: g.Deadline,
+			},
+		})
 	}
 	s.desk.Lock()
 	defer s.desk.Unlock()
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -201,12 +201,16 @@
 	say := func(what, why string) {
 		who.Log.Error().Str("mode", "words").Str("what", what).Str("why", why).Msg("switched off")
 	}
-	s = &Server{words: besteffort.Guard{Tell: say}, who: who, w: w, log: who.Log, folder: folder, list: last, owners: map[uint32]*owner{}, cells: map[string]int{},
-		lives: map[uint32]*shard{}, out: map[uint32]bool{}, counted: map[int]count{}, known: map[string]calendar.Node{}, goneAt: map[string]time.Time{}}
+	s = &Server{
+		words: besteffort.Guard{Tell: say}, who: who, w: w, log: who.Log, folder: folder, list: last, owners: map[uint32]*owner{}, cells: map[string]int{},
+		lives: map[uint32]*shard{}, out: map[uint32]bool{}, counted: map[int]count{}, known: map[string]calendar.Node{}, goneAt: map[string]time.Time{},
+	}
 	s.lister = newLister(s)
 	s.noteFleet(last.Entries())
-	s.acts = shardrouter.New(w.Now(), shardrouter.Terms{Jobs: place.Cluster.JobClasses, Way: shares.Way(place.ShardBy), Shards: place.Shards,
-		Most: place.MaxShards, Open: place.MaxOpen, Margin: place.AnswerMargin, Step: place.Cluster.MinRoundInterval, Trusted: who.Plant.Trust, Hosts: place.MaxHostedTenants > 0})
+	s.acts = shardrouter.New(w.Now(), shardrouter.Terms{
+		Jobs: place.Cluster.JobClasses, Way: shares.Way(place.ShardBy), Shards: place.Shards,
+		Most: place.MaxShards, Open: place.MaxOpen, Margin: place.AnswerMargin, Step: place.Cluster.MinRoundInterval, Trusted: who.Plant.Trust, Hosts: place.MaxHostedTenants > 0,
+	})
 	var t *trunk
 	for i := range place.Shards {
 		sh, err := s.newShard(i)
@@ -434,8 +438,10 @@
 	if !l.o.begin(ref, l.o.s.w.Now()+within) {
 		return false
 	}
-	l.o.s.allocate(l.o, shardownership.Name{Tenant: tenant, Token: token}, shardownership.Ask{Owner: l.o.id, Ref: ref, Job: jobType,
-		Service: service, Cores: cores, Memory: memory}, within, 0)
+	l.o.s.allocate(l.o, shardownership.Name{Tenant: tenant, Token: token}, shardownership.Ask{
+		Owner: l.o.id, Ref: ref, Job: jobType,
+		Service: service, Cores: cores, Memory: memory,
+	}, within, 0)
 	return true
 }
 
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -63,11 +63,18 @@
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	real := outside.NewReal()
 	s := &stage{t: t, dir: t.TempDir(), real: real, w: standin.NewWorld(real), ctx: ctx, stop: stop, place: place}
-	s.rules = audit.Rules{Nodes: map[uint32]audit.Stand{}, Grace: place.DrainGrace, ColdBears: 12, ColdFor: 6000,
-		ColdWindow: 1000, Slack: 400, Jobs: []audit.Job{{}, {Effect: audit.Tokened, Group: 1, Window: 1500, Spread: 1, Most: 3},
-			{Effect: audit.RunOnce}}}
-	mk := standin.Make{Cores: 32, Memory: 64, CoresLimit: 2, MemoryLimit: 1.5, Look: 4, Line: 50, Starts: 8, NoProgram: 3,
-		Programs: 8, ColdFrom: 0.5, ColdFor: 6000, Fall: 1e9, FallFor: 1000, Bears: 12}
+	s.rules = audit.Rules{
+		Nodes: map[uint32]audit.Stand{}, Grace: place.DrainGrace, ColdBears: 12, ColdFor: 6000,
+		ColdWindow: 1000, Slack: 400, Jobs: []audit.Job{
+			{},
+			{Effect: audit.Tokened, Group: 1, Window: 1500, Spread: 1, Most: 3},
+			{Effect: audit.RunOnce},
+		},
+	}
+	mk := standin.Make{
+		Cores: 32, Memory: 64, CoresLimit: 2, MemoryLimit: 1.5, Look: 4, Line: 50, Starts: 8, NoProgram: 3,
+		Programs: 8, ColdFrom: 0.5, ColdFor: 6000, Fall: 1e9, FallFor: 1000, Bears: 12,
+	}
 	for job := range 3 {
 		mk.Work = append(mk.Work, standin.Work{Start: 10, Life: 2500, Use: 0.5, Priority: job, Token: job == 1})
 	}
@@ -103,8 +110,10 @@
 	s.ran.Add(1)
 	go func() {
 		defer s.ran.Done()
-		who := Scheduler{Place: &place, Name: name, Index: i, Folder: folder, Seed: uint64(i + 1), Log: zerolog.Nop(),
-			Ready: func(a string) { ready <- a }, Plant: p}
+		who := Scheduler{
+			Place: &place, Name: name, Index: i, Folder: folder, Seed: uint64(i + 1), Log: zerolog.Nop(),
+			Ready: func(a string) { ready <- a }, Plant: p,
+		}
 		if s.tune != nil {
 			s.tune(&who)
 		}
@@ -125,9 +134,11 @@
 		job := int(jobs[s.keys%len(jobs)] - '0')
 		key, service := fmt.Sprint("k", s.keys), fmt.Sprint("v", job, s.keys%5)
 		jt := s.place.Cluster.JobClasses[job]
-		s.owner[s.keys%len(s.owner)].Ask(&standin.Want{Key: key, Tenant: "t", JobType: s.place.JobClasses[job], Service: service,
+		s.owner[s.keys%len(s.owner)].Ask(&standin.Want{
+			Key: key, Tenant: "t", JobType: s.place.JobClasses[job], Service: service,
 			Job: job, Effect: int(jt.Semantics), Token: Token("t", key), ServiceKey: Service("t", service), Cores: 1, Memory: 1,
-			Within: s.place.Deadlines[job], Target: jt.LatencyObjective, Until: end})
+			Within: s.place.Deadlines[job], Target: jt.LatencyObjective, Until: end,
+		})
 		time.Sleep(time.Duration(1e9 / rate))
 	}
 }
@@ -162,7 +173,8 @@
 }
 
 func (p planted) Offer(nd uint32, ticket uint64, try uint8, epoch uint32, timeout float64, job, tenant int,
-	service, token uint64, cores, memory float64) {
+	service, token uint64, cores, memory float64,
+) {
 	send := func(nd uint32, try uint8) {
 		p.Effects.Offer(nd, ticket, try, epoch, timeout, job, tenant, service, token, cores, memory)
 	}
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -59,9 +59,11 @@
 	if s.who.Plant.Edge != nil {
 		out = s.who.Plant.Edge(out)
 	}
-	sh.eng = engine.New(out, now, engine.Config{Cluster: &cl, Shares: place.Shares,
+	sh.eng = engine.New(out, now, engine.Config{
+		Cluster: &cl, Shares: place.Shares,
 		MaxOpen: s.acts.OpenEach(place.Shards), AnswerMargin: place.AnswerMargin, SettleTime: place.SettleTime,
-		NewPolicy: s.who.Policy, Incarnation: life, Seed: s.who.Seed + uint64(life)*0x9e3779b97f4a7c15, WallClockStart: float64(outside.Epoch.UnixMilli()), AliveAtPeers: s.nodeLives})
+		NewPolicy: s.who.Policy, Incarnation: life, Seed: s.who.Seed + uint64(life)*0x9e3779b97f4a7c15, WallClockStart: float64(outside.Epoch.UnixMilli()), AliveAtPeers: s.nodeLives,
+	})
 	if s.who.Place.Members.Listen != "" {
 		sh.eng.SetSchedulerCount(0) // until the others have given leave
 	}
@@ -222,7 +224,8 @@
 }
 
 func (d edge) RecoverTask(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32,
-	ticket uint64, try uint8) (epoch, owner uint32, ref uint64, ok bool) {
+	ticket uint64, try uint8,
+) (epoch, owner uint32, ref uint64, ok bool) {
 	s, n := d.sh.s, shardownership.Name{Tenant: tenant, Token: token}
 	s.desk.Lock()
 	defer s.desk.Unlock()
@@ -305,8 +308,10 @@
 		switch {
 		case f.Fate == shardownership.Moves:
 			s.ownedBy(a.Owner, a.Ref, f.To)
-			s.goOn(s.shards[f.To], engine.Transfer{Client: a.Owner, RequestID: a.Ref, JobClass: a.Job, Tenant: f.Name.Tenant, Service: a.Service,
-				Token: f.Name.Token, Cores: a.Cores, Memory: a.Memory, Deadline: a.Expiry, Epoch: f.Epoch})
+			s.goOn(s.shards[f.To], engine.Transfer{
+				Client: a.Owner, RequestID: a.Ref, JobClass: a.Job, Tenant: f.Name.Tenant, Service: a.Service,
+				Token: f.Name.Token, Cores: a.Cores, Memory: a.Memory, Deadline: a.Expiry, Epoch: f.Epoch,
+			})
 		case f.Fate == shardownership.Continues:
 		case s.w.Now() >= a.Expiry: // its owner has given up by itself
 			if x := s.owner(a.Owner); x != nil {
--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -1,6 +1,7 @@
 package serve
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"strings"
@@ -12,8 +13,6 @@
 	"ravenpond/internal/engine"
 	"ravenpond/internal/site"
 
-	"context"
-
 	"github.com/creachadair/jrpc2"
 	"github.com/creachadair/jrpc2/channel"
 	"github.com/rs/zerolog"
@@ -88,8 +87,10 @@
 }
 
 func (c *client) ask(ref uint64, job, key string) error {
-	_, err := c.Call(context.Background(), "allocate", map[string]any{"ref": ref, "tenant": "t", "key": key,
-		"job-type": job, "service": "s" + key, "cores": 1, "memory": 1})
+	_, err := c.Call(context.Background(), "allocate", map[string]any{
+		"ref": ref, "tenant": "t", "key": key,
+		"job-type": job, "service": "s" + key, "cores": 1, "memory": 1,
+	})
 	return err
 }
 
--- a/internal/serve/workingset.go
+++ b/internal/serve/workingset.go
@@ -62,17 +62,21 @@
 	if place.WorkingSet.MinNodes == 0 {
 		return nil
 	}
-	config := workingset.Config{Key: place.Name, Own: s.who.Name, Schedulers: place.Cluster.Schedulers,
+	config := workingset.Config{
+		Key: place.Name, Own: s.who.Name, Schedulers: place.Cluster.Schedulers,
 		Least: place.WorkingSet.MinNodes, Coverage: place.WorkingSet.Coverage, Spare: place.WorkingSet.SpareFactor,
-		PerStart: place.WorkingSet.NodesPerStart, PerStratum: place.WorkingSet.MinPerStratum, NarrowAfter: place.WorkingSet.NarrowAfter, Plant: s.who.Plant.WorkingSet}
+		PerStart: place.WorkingSet.NodesPerStart, PerStratum: place.WorkingSet.MinPerStratum, NarrowAfter: place.WorkingSet.NarrowAfter, Plant: s.who.Plant.WorkingSet,
+	}
 	if place.Members.Listen == "" { // the others are known by their number alone
 		config.Own = fmt.Sprint("place ", s.who.Index)
 		for i := range place.Cluster.Schedulers {
 			config.Members = append(config.Members, fmt.Sprint("place ", i))
 		}
 	}
-	return &nodeSet{s: s, set: workingset.New(s.w.Now(), config), shown: map[uint32]shownState{},
-		newSince: map[uint32]float64{}, reachable: map[uint32]bool{}, demands: map[int]engine.Demand{}}
+	return &nodeSet{
+		s: s, set: workingset.New(s.w.Now(), config), shown: map[uint32]shownState{},
+		newSince: map[uint32]float64{}, reachable: map[uint32]bool{}, demands: map[int]engine.Demand{},
+	}
 }
 
 // begin begins the steps.
--- a/internal/serve/workingset_test.go
+++ b/internal/serve/workingset_test.go
@@ -192,8 +192,10 @@
 		ctx, stop := context.WithCancel(s.ctx)
 		ready, began, done := make(chan string, 1), make(chan *nodeSet, 1), make(chan error, 1)
 		go func() {
-			done <- Run(ctx, Scheduler{Place: &place, Name: "s0", Index: index, Folder: filepath.Join(s.dir, "s0"), Seed: uint64(index + 1),
-				Log: zerolog.Nop(), Plant: p, Ready: func(a string) { ready <- a }, Local: func(l *Local) { began <- l.s.set }})
+			done <- Run(ctx, Scheduler{
+				Place: &place, Name: "s0", Index: index, Folder: filepath.Join(s.dir, "s0"), Seed: uint64(index + 1),
+				Log: zerolog.Nop(), Plant: p, Ready: func(a string) { ready <- a }, Local: func(l *Local) { began <- l.s.set },
+			})
 		}()
 		return <-ready, <-began, func() {
 			stop()
@@ -248,8 +250,10 @@
 	c := connect(t, address)
 	const tasks = 40
 	for ref := range uint64(tasks) { // each takes more than half of a node: the set holds as many as it has nodes
-		_, err := c.Call(s.ctx, "allocate", map[string]any{"ref": ref + 1, "tenant": "t", "key": fmt.Sprint("large", ref), "job-type": "free",
-			"service": "large", "cores": 40, "memory": 1})
+		_, err := c.Call(s.ctx, "allocate", map[string]any{
+			"ref": ref + 1, "tenant": "t", "key": fmt.Sprint("large", ref), "job-type": "free",
+			"service": "large", "cores": 40, "memory": 1,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -57,8 +57,10 @@
 }
 
 func (s *Server) newZones(place *site.Config) *zonesView {
-	v := &zonesView{s: s, pinged: map[uint32]float64{}, sums: map[string]zones.Sum{}, own: map[string]float64{}, sure: true,
-		reach: zones.Reach{Own: s.who.Zone, Near: len(place.RouteLatency) > 0}}
+	v := &zonesView{
+		s: s, pinged: map[uint32]float64{}, sums: map[string]zones.Sum{}, own: map[string]float64{}, sure: true,
+		reach: zones.Reach{Own: s.who.Zone, Near: len(place.RouteLatency) > 0},
+	}
 	for i, z := range place.Zones {
 		v.reach.Zones = append(v.reach.Zones, zones.Place{Name: z, Region: place.Regions[i]})
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -161,8 +161,10 @@
 		Preempts:        f.Info.Displaces, MeanCores: f.Info.MeanCores, MeanMemory: f.Info.MeanMemory,
 		FleetPrice: f.Prices.Fleet,
 	}
-	d := &Deployment{Cluster: cl, Zones: f.Zones, Kinds: f.Kinds, IdleFor: f.Limits.IdleFor / nsPerMs,
-		ConnectFor: f.Limits.ConnectFor / nsPerMs, Settle: f.Info.Settle / nsPerMs, OpenMost: f.Limits.Open}
+	d := &Deployment{
+		Cluster: cl, Zones: f.Zones, Kinds: f.Kinds, IdleFor: f.Limits.IdleFor / nsPerMs,
+		ConnectFor: f.Limits.ConnectFor / nsPerMs, Settle: f.Info.Settle / nsPerMs, OpenMost: f.Limits.Open,
+	}
 	for _, p := range f.Projects {
 		d.Tenants, d.Shares = append(d.Tenants, p.Name), append(d.Shares, p.Portion)
 	}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -33,7 +33,8 @@
 const hour = 3600e3
 
 // Grammar is the site file's.
-var Grammar = &strictxml.Element{Name: "site", Attrs: []strictxml.Attr{{Name: "name", Kind: strictxml.Name, Required: true}},
+var Grammar = &strictxml.Element{
+	Name: "site", Attrs: []strictxml.Attr{{Name: "name", Kind: strictxml.Name, Required: true}},
 	Children: []*strictxml.Element{
 		{Name: "cluster", MinOccurs: 1, MaxOccurs: 1, Attrs: []strictxml.Attr{
 			{Name: "schedulers", Kind: strictxml.Integer, Required: true, Min: 1, Max: 100000},
@@ -61,10 +62,16 @@
 			{Name: "answer-margin", Kind: strictxml.Duration, Default: "100ms", Min: 1, Max: 60e3},
 			{Name: "settle", Kind: strictxml.Duration, Default: "3s", Min: 1, Max: hour},
 		}},
-		{Name: "zone", MinOccurs: 1, Key: "name", Attrs: []strictxml.Attr{{Name: "name", Kind: strictxml.Name, Required: true},
-			{Name: "region", Kind: strictxml.Name}, {Name: "hold", Kind: strictxml.Enum, Values: []string{"open", "closed"}}}},
-		{Name: "way", Attrs: []strictxml.Attr{{Name: "from", Kind: strictxml.Name, Required: true}, {Name: "to", Kind: strictxml.Name, Required: true},
-			{Name: "takes", Kind: strictxml.Duration, Required: true, Min: 0, Max: hour}}},
+		{Name: "zone", MinOccurs: 1, Key: "name", Attrs: []strictxml.Attr{
+			{Name: "name", Kind: strictxml.Name, Required: true},
+			{Name: "region", Kind: strictxml.Name},
+			{Name: "hold", Kind: strictxml.Enum, Values: []string{"open", "closed"}},
+		}},
+		{Name: "way", Attrs: []strictxml.Attr{
+			{Name: "from", Kind: strictxml.Name, Required: true},
+			{Name: "to", Kind: strictxml.Name, Required: true},
+			{Name: "takes", Kind: strictxml.Duration, Required: true, Min: 0, Max: hour},
+		}},
 		{Name: "machine", MinOccurs: 1, Key: "kind", Attrs: []strictxml.Attr{
 			{Name: "kind", Kind: strictxml.Name, Required: true},
 			{Name: "cores", Kind: strictxml.Number, Required: true, Min: 0.01, Max: 1e6},
@@ -129,9 +136,12 @@
 		}},
 		{Name: "counts", MaxOccurs: 1, Attrs: []strictxml.Attr{{Name: "listen", Kind: strictxml.Address, Required: true}}},
 		{Name: "node-list", MinOccurs: 1, MaxOccurs: 1, Attrs: []strictxml.Attr{{Name: "address", Kind: strictxml.Address, Required: true}}},
-		{Name: "owners", MinOccurs: 1, MaxOccurs: 1, Attrs: []strictxml.Attr{{Name: "listen", Kind: strictxml.Address, Required: true},
-			{Name: "tls", Kind: strictxml.Bool, Default: "false"}}},
-	}}
+		{Name: "owners", MinOccurs: 1, MaxOccurs: 1, Attrs: []strictxml.Attr{
+			{Name: "listen", Kind: strictxml.Address, Required: true},
+			{Name: "tls", Kind: strictxml.Bool, Default: "false"},
+		}},
+	},
+}
 
 // ConnectionMode says what the shards of a process share.
 type ConnectionMode int
@@ -223,10 +233,12 @@
 		faults = append(faults, strictxml.Fault{Line: it.Line, Text: fmt.Sprintf(format, args...)})
 	}
 	cluster, rules, limits := root.Child("cluster"), root.Child("rules"), root.Child("limits")
-	p := &Config{ZoneHolds: map[string]string{}, RouteLatency: map[[2]string]float64{}, Name: root.Text("name"), DrainGrace: rules.Number("drain-grace"), AnswerMargin: rules.Number("answer-margin"),
+	p := &Config{
+		ZoneHolds: map[string]string{}, RouteLatency: map[[2]string]float64{}, Name: root.Text("name"), DrainGrace: rules.Number("drain-grace"), AnswerMargin: rules.Number("answer-margin"),
 		SettleTime: rules.Number("settle"), MaxOpen: limits.Int("open"), MaxClients: limits.Int("owners"),
 		ClientQueue: limits.Int("owner-queue"), NodeQueue: limits.Int("node-queue"),
-		ListAddress: root.Child("node-list").Text("address"), ClientsListen: root.Child("owners").Text("listen"), ClientsTLS: root.Child("owners").Bool("tls")}
+		ListAddress: root.Child("node-list").Text("address"), ClientsListen: root.Child("owners").Text("listen"), ClientsTLS: root.Child("owners").Bool("tls"),
+	}
 	p.Cluster = logic.Cluster{
 		Schedulers: cluster.Int("schedulers"), PollsList: cluster.Text("list") == "asked", ListMaxSilence: cluster.Number("ask-every"),
 		MinRoundInterval: cluster.Number("step"), MaxAttempts: cluster.Int("tries"), CanCancel: cluster.Bool("recall"), CanProbe: cluster.Bool("probe"),
@@ -258,8 +270,10 @@
 	}
 	p.Maintenance = calendar.Limits{Fleet: 0.25, Zone: 0.5, Kind: 0.5, Cold: 20, Margin: 1.2, Guard: 5 * time.Second}
 	if d := root.Child("drains"); d != nil {
-		p.Maintenance = calendar.Limits{Fleet: d.Number("fleet"), Zone: d.Number("zone"), Kind: d.Number("machine"),
-			Cold: d.Int("cold"), Margin: d.Number("margin"), Guard: time.Duration(d.Number("guard") * 1e6)}
+		p.Maintenance = calendar.Limits{
+			Fleet: d.Number("fleet"), Zone: d.Number("zone"), Kind: d.Number("machine"),
+			Cold: d.Int("cold"), Margin: d.Number("margin"), Guard: time.Duration(d.Number("guard") * 1e6),
+		}
 	}
 	p.Maintenance.ColdFor = time.Duration(rules.Number("cold-for") * 1e6)
 	p.Shards, p.MaxShards, p.Connections = 1, 1, SharedConnections
@@ -281,9 +295,11 @@
 		p.Cluster.KindMemory = append(p.Cluster.KindMemory, m.Number("memory"))
 	}
 	for _, j := range root.Children("job-type") {
-		jt := logic.JobClass{Semantics: logic.RetrySemantics(j.EnumIndex("effect")), IdempotencyScope: logic.IdempotencyScope(j.EnumIndex("group")),
+		jt := logic.JobClass{
+			Semantics: logic.RetrySemantics(j.EnumIndex("effect")), IdempotencyScope: logic.IdempotencyScope(j.EnumIndex("group")),
 			IdempotencyWindow: optional(j, "window"), LatencyObjective: j.Number("target"), PriorityWeight: j.Number("value"), NodeKind: -1,
-			Spread: logic.SpreadScope(j.EnumIndex("spread")), MaxPerScope: 1}
+			Spread: logic.SpreadScope(j.EnumIndex("spread")), MaxPerScope: 1,
+		}
 		if name := j.Text("machine"); name != "" {
 			k, ok := kinds[name]
 			if !ok {
@@ -342,8 +358,10 @@
 		}
 	}
 	if w := root.Child("working-set"); w != nil {
-		p.WorkingSet = WorkingSet{MinNodes: w.Int("nodes-least"), Coverage: w.Number("sets-least"), SpareFactor: w.Number("spare"),
-			NodesPerStart: w.Number("per-start"), MinPerStratum: w.Int("spread-least"), NarrowAfter: w.Number("narrow-after")}
+		p.WorkingSet = WorkingSet{
+			MinNodes: w.Int("nodes-least"), Coverage: w.Number("sets-least"), SpareFactor: w.Number("spare"),
+			NodesPerStart: w.Number("per-start"), MinPerStratum: w.Int("spread-least"), NarrowAfter: w.Number("narrow-after"),
+		}
 		if p.Connections == OwnConnections {
 			fault(w, "<working-set>: shards with connections of their own have no set in common")
 		}
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -50,8 +50,10 @@
 		{"cut off", `</site>`, ``, "not well-formed"},
 		{"twice the attribute", `cores="16"`, `cores="16" cores="16"`, `line 9: <machine>: attribute "cores" twice`},
 		{"doctype", `<site name`, `<!DOCTYPE site><site name`, "document type"},
-		{"working set of own connections", `<limits`, `<working-set nodes-least="9"/><shards count="2" connections="own"/><limits`,
-			"no set in common"},
+		{
+			"working set of own connections", `<limits`, `<working-set nodes-least="9"/><shards count="2" connections="own"/><limits`,
+			"no set in common",
+		},
 		{"no port", `127.0.0.1:7420`, `127.0.0.1`, "host:port"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -254,7 +254,8 @@
 func (p *peer) tell(now float64) {
 	var b []byte
 	p.n.Machine.Held(now, p.sched, func(ticket uint64, try uint8, runs bool, job, tenant int, service, token uint64,
-		cores, memory float64) {
+		cores, memory float64,
+	) {
 		state := 0
 		if runs {
 			state = 1
@@ -317,15 +318,18 @@
 }
 
 func (p *peer) OnOffer(ticket uint64, try uint8, epoch uint32, sent, timeout float64, job, tenant int,
-	service, token uint64, cores, memory float64) error {
+	service, token uint64, cores, memory float64,
+) error {
 	if job >= p.n.Jobs || tenant >= p.n.Tenants {
 		return fmt.Errorf("unknown job type %d or tenant %d", job, tenant)
 	}
 	came := p.n.w.Now()
 	late := p.lag.Waited(came, sent, 0, 0)
 	timeout -= late // it may be too late by now: then it is turned away
-	p.n.w.Trace.Add(audit.Record{At: came, Kind: audit.Offered, Sched: p.sched, Node: p.n.ID, Ticket: ticket,
-		Try: try, Job: job, Token: token, Service: service, Until: came + timeout, Sent: came - late})
+	p.n.w.Trace.Add(audit.Record{
+		At: came, Kind: audit.Offered, Sched: p.sched, Node: p.n.ID, Ticket: ticket,
+		Try: try, Job: job, Token: token, Service: service, Until: came + timeout, Sent: came - late,
+	})
 	return p.event(func(now float64) {
 		p.n.Machine.Offer(now, p.sched, ticket, try, epoch, timeout-(now-came), job, tenant, service, token, cores, memory)
 	})
--- a/internal/standin/offers.go
+++ b/internal/standin/offers.go
@@ -8,14 +8,17 @@
 
 // Offer takes an offer into the line.
 func (m *Machine) Offer(now float64, sched string, ticket uint64, try uint8, epoch uint32, timeout float64,
-	job, tenant int, service, token uint64, cores, memory float64) {
+	job, tenant int, service, token uint64, cores, memory float64,
+) {
 	m.Tick(now)
 	if m.down {
 		return
 	}
 	n := name{sched, ticket, try}
-	t := &task{name: n, m: m, job: job, tenant: tenant, service: service, token: token, cores: cores, memory: memory,
-		epoch: epoch, came: now, until: now + timeout}
+	t := &task{
+		name: n, m: m, job: job, tenant: tenant, service: service, token: token, cores: cores, memory: memory,
+		epoch: epoch, came: now, until: now + timeout,
+	}
 	m.overdriven()
 	if m.down {
 		return
@@ -114,7 +117,8 @@
 
 // Held calls for each thing held for a scheduler, in order of coming.
 func (m *Machine) Held(now float64, sched string, each func(ticket uint64, try uint8, runs bool, job, tenant int,
-	service, token uint64, cores, memory float64)) {
+	service, token uint64, cores, memory float64),
+) {
 	m.Tick(now)
 	for _, all := range [][]*task{m.order, m.line} {
 		for _, t := range all {
--- a/internal/standin/owners.go
+++ b/internal/standin/owners.go
@@ -194,12 +194,16 @@
 		want.since = now
 	}
 	// recorded before it is sent: an answer can't come before its ask, and the time is counted from here
-	o.w.Trace.Add(audit.Record{At: now, Kind: audit.Asked, Sched: o.Sched, Owner: o.ID, Ref: ref, Job: want.Job,
-		Token: want.Token, Service: want.ServiceKey, Until: now + want.Within})
+	o.w.Trace.Add(audit.Record{
+		At: now, Kind: audit.Asked, Sched: o.Sched, Owner: o.ID, Ref: ref, Job: want.Job,
+		Token: want.Token, Service: want.ServiceKey, Until: now + want.Within,
+	})
 	o.mu.Unlock()
-	o.call(conn, "allocate", map[string]any{"ref": ref, "tenant": want.Tenant, "key": want.Key,
+	o.call(conn, "allocate", map[string]any{
+		"ref": ref, "tenant": want.Tenant, "key": want.Key,
 		"job-type": want.JobType, "service": want.Service, "cores": want.Cores, "memory": want.Memory,
-		"within-ms": want.Within, "sent-at-ms": o.w.WallClock().UnixMilli()})
+		"within-ms": want.Within, "sent-at-ms": o.w.WallClock().UnixMilli(),
+	})
 	o.w.After(want.Within+1500, func() { o.overdue(ref) })
 }
 
@@ -287,8 +291,10 @@
 		return
 	}
 	took := now - want.askedAt
-	o.tally = append(o.tally, Tally{At: want.askedAt, Took: took, Job: want.Job, Tenant: want.Tenant, Word: word,
-		First: want.asks == 1, InTime: word == "served" && want.asks == 1 && took <= want.Target})
+	o.tally = append(o.tally, Tally{
+		At: want.askedAt, Took: took, Job: want.Job, Tenant: want.Tenant, Word: word,
+		First: want.asks == 1, InTime: word == "served" && want.asks == 1 && took <= want.Target,
+	})
 	if word == "served" {
 		want.running = true
 		o.runs[ref] = want
--- a/internal/state/council/council.go
+++ b/internal/state/council/council.go
@@ -31,7 +31,8 @@
 
 // Open opens the store in a folder, or makes it for a site.
 func Open(folder, site string) (*Store, error) {
-	db, err := bolt.Open(filepath.Join(folder, "council.db"), bolt.Shape{Format: Format, Buckets: [][]byte{stateBucket, logBucket},
+	db, err := bolt.Open(filepath.Join(folder, "council.db"), bolt.Shape{
+		Format: Format, Buckets: [][]byte{stateBucket, logBucket},
 		Check: func(tx *bbolt.Tx) error {
 			if was := tx.Bucket(stateBucket).Get(siteKey); was != nil && string(was) != site {
 				return fmt.Errorf("it is of site %q, not %q", was, site)
@@ -44,7 +45,8 @@
 				last = binary.BigEndian.Uint64(k)
 				return nil
 			})
-		}})
+		},
+	})
 	if err != nil {
 		return nil, fmt.Errorf("council: %w", err)
 	}
--- a/internal/state/drains/drains.go
+++ b/internal/state/drains/drains.go
@@ -69,7 +69,8 @@
 
 // Open opens the store in a folder, or makes it. A damaged or later one is refused, not guessed at.
 func Open(folder string) (*Store, error) {
-	db, err := bolt.Open(filepath.Join(folder, "drains.db"), bolt.Shape{Format: Format, Buckets: [][]byte{eventBucket, begunBucket},
+	db, err := bolt.Open(filepath.Join(folder, "drains.db"), bolt.Shape{
+		Format: Format, Buckets: [][]byte{eventBucket, begunBucket},
 		Check: func(tx *bbolt.Tx) error {
 			if _, err := calendarOf(tx); err != nil {
 				return err
@@ -79,7 +80,8 @@
 			}
 			_, _, err := loadOf(tx)
 			return err
-		}})
+		},
+	})
 	if err != nil {
 		return nil, fmt.Errorf("drains: %w", err)
 	}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -314,9 +314,12 @@
 func (r loader) OnBegin(kind int, version uint64) error { return r.l.Begin(kind, version) }
 func (r loader) OnEnd() error                           { r.l.End(); return nil }
 func (r loader) OnFailed(string) error                  { return errors.New("a failure in a saved list") }
-func (r loader) OnBye(string) error                     { return errors.New("a farewell in a saved list") }
+
+func (r loader) OnBye(string) error { return errors.New("a farewell in a saved list") }
+
 func (r loader) OnEntry(id uint32, address string, avail int, startedAt, cores, memory float64,
-	zone, cell, kind string) error {
+	zone, cell, kind string,
+) error {
 	r.l.Put(Entry{id, address, avail, startedAt, cores, memory, zone, cell, kind})
 	return nil
 }
--- a/internal/state/tenants/look_test.go
+++ b/internal/state/tenants/look_test.go
@@ -21,8 +21,10 @@
 				b.Fatal(err)
 			}
 			for i := range n {
-				if _, fault, err := s.Do(time.Now(), "b", "", tenancy.Change{Kind: tenancy.Add, Name: fmt.Sprint("t", i),
-					Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1}}}); fault != nil || err != nil {
+				if _, fault, err := s.Do(time.Now(), "b", "", tenancy.Change{
+					Kind: tenancy.Add, Name: fmt.Sprint("t", i),
+					Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1}},
+				}); fault != nil || err != nil {
 					b.Fatal(fault, err)
 				}
 			}
--- a/internal/state/tenants/tenants.go
+++ b/internal/state/tenants/tenants.go
@@ -66,12 +66,14 @@
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return nil, fmt.Errorf("tenants: %w", err)
 	}
-	db, err := bolt.Open(file(folder), bolt.Shape{Format: Format,
+	db, err := bolt.Open(file(folder), bolt.Shape{
+		Format:  Format,
 		Buckets: [][]byte{tenantBucket, requestBucket, tokenBucket, recordBucket, headBucket},
 		Check: func(tx *bbolt.Tx) error {
 			_, err := bookOf(tx, slots)
 			return err
-		}})
+		},
+	})
 	if err != nil {
 		return nil, fmt.Errorf("tenants: %w", err)
 	}
--- a/internal/strictxml/schema.go
+++ b/internal/strictxml/schema.go
@@ -59,8 +59,10 @@
 	if a.Required {
 		use = " use=\"required\""
 	}
-	base := map[Kind]string{Name: "name", Duration: "duration", Number: "xs:decimal", Integer: "xs:integer",
-		Bool: "xs:string", Enum: "xs:string", Address: "address", Text: "xs:string"}[a.Kind]
+	base := map[Kind]string{
+		Name: "name", Duration: "duration", Number: "xs:decimal", Integer: "xs:integer",
+		Bool: "xs:string", Enum: "xs:string", Address: "address", Text: "xs:string",
+	}[a.Kind]
 	var limits strings.Builder
 	switch {
 	case a.Kind == Enum || a.Kind == Bool:
--- a/internal/strictxml/strictxml.go
+++ b/internal/strictxml/strictxml.go
@@ -297,7 +297,7 @@
 
 func (a *Attr) format(v float64) string {
 	if a.Kind == Duration {
-		return (time.Duration(v * float64(time.Millisecond))).String()
+		return time.Duration(v * float64(time.Millisecond)).String()
 	}
 	return strconv.FormatFloat(v, 'f', -1, 64)
 }
--- a/internal/upkeep/upkeep_test.go
+++ b/internal/upkeep/upkeep_test.go
@@ -73,8 +73,10 @@
 }
 
 func keeper(s Store, h *hands) *Keeper {
-	return &Keeper{Store: s, Hands: h, Limits: calendar.Limits{Fleet: 0.5, Zone: 1, Kind: 1, Margin: 1},
-		Manners: []drainpace.Manner{drainpace.Late, drainpace.RunOut}}
+	return &Keeper{
+		Store: s, Hands: h, Limits: calendar.Limits{Fleet: 0.5, Zone: 1, Kind: 1, Margin: 1},
+		Manners: []drainpace.Manner{drainpace.Late, drainpace.RunOut},
+	}
 }
 
 func fleet() (all []calendar.Node) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -66,8 +66,10 @@
 		size        int
 		want        string
 	}{
-		{"all", "00000000 00000003", 1, "abc"}, {"part", "00000001 00000001", 1, "b"},
-		{"past the end", "00000001 00000003", 1, ""}, {"entries past the end", "00000000 00000001", EntrySize, ""},
+		{"all", "00000000 00000003", 1, "abc"},
+		{"part", "00000001 00000001", 1, "b"},
+		{"past the end", "00000001 00000003", 1, ""},
+		{"entries past the end", "00000000 00000001", EntrySize, ""},
 		{"overflow", "ffffffff ffffffff", EntrySize, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -46,14 +46,16 @@
 
 // testCluster is a deployment of three job types, one of each effect, on machines of one kind.
 func testCluster() *Cluster {
-	return &Cluster{Schedulers: 2, ListMaxSilence: 10000, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true,
+	return &Cluster{
+		Schedulers: 2, ListMaxSilence: 10000, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true,
 		CanProbe: true, ReportsPiggybacked: true, KindCores: []float64{40, 64}, KindMemory: []float64{80, 128}, CoresOvercommit: 2,
 		MemoryOvercommit: 1.5, ListsReportLoad: true, ReportFields: []string{"x0", "x1"}, SlowStartLimit: 8, SlowStartDuration: 10000,
 		SlowStartWindow: 2000, MeanCores: 1, MeanMemory: 2, JobClasses: []JobClass{
 			{Semantics: Restartable, LatencyObjective: 700, PriorityWeight: 1, NodeKind: -1},
 			{Semantics: Idempotent, IdempotencyScope: ScopeZone, IdempotencyWindow: 3000, LatencyObjective: 700, PriorityWeight: 5, NodeKind: -1},
 			{Semantics: AtMostOnce, LatencyObjective: 4000, PriorityWeight: 3, NodeKind: -1},
-		}}
+		},
+	}
 }
 
 // harness is a scheduler at work with its book; nodes are numbered from 10, two to a cell, two cells to a zone.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -199,10 +199,12 @@
 
 // New starts a scheduler that knows nothing yet; its last list comes next.
 func New(host Effects, now float64, seed uint64, cl *Cluster) *Scheduler {
-	s := &Scheduler{effects: host, random: pcg{seed}, now: now, startedAt: now, cluster: cl,
+	s := &Scheduler{
+		effects: host, random: pcg{seed}, now: now, startedAt: now, cluster: cl,
 		asked: [2]float64{20, 20}, used: [2]float64{12, 14}, // a weak first guess of use
 		largeMemory: [2]float64{0, 1}, coresField: slices.Index(cl.ReportFields, "x0"), memoryField: slices.Index(cl.ReportFields, "x1"),
-		nodeIndex: map[uint32]int{}, allocationIndex: map[uint32]int{}, serviceIndex: map[uint64]int{}, lastListAt: now}
+		nodeIndex: map[uint32]int{}, allocationIndex: map[uint32]int{}, serviceIndex: map[uint64]int{}, lastListAt: now,
+	}
 	s.random.next()
 	s.slowStartShare = int(cl.SlowStartLimit) / max(1, cl.Schedulers)
 	if half := int(cl.SlowStartLimit) / 2; half > 0 {
@@ -236,7 +238,8 @@
 }
 
 func (s *Scheduler) OnListNode(now float64, id uint32, avail Availability, since, freeCores, freeMemory float64,
-	zone, cell, kind int) {
+	zone, cell, kind int,
+) {
 	i, ok := s.nodeIndex[id]
 	if !ok {
 		i = len(s.nodes)
@@ -393,7 +396,8 @@
 }
 
 func (s *Scheduler) OnRequest(now float64, id uint32, jobType, _ int, expiry float64, svcKey uint64,
-	cores, memory float64) {
+	cores, memory float64,
+) {
 	s.now = now
 	i := s.track(id, jobType, svcKey, cores, memory)
 	s.allocations[i].deadline = expiry - 2*s.cluster.MinRoundInterval // the answer is there before the owner's time is up
@@ -410,7 +414,8 @@
 }
 
 func (s *Scheduler) OnRecovered(now float64, id uint32, jobType, _ int, svcKey uint64, cores, memory float64,
-	nodeID uint32) {
+	nodeID uint32,
+) {
 	s.now = now
 	n, ok := s.nodeIndex[nodeID]
 	if !ok {
@@ -934,7 +939,8 @@
 }
 
 func (s *Scheduler) OnOutcome(now float64, id uint32, nodeID uint32, try uint8, took float64, over bool,
-	why Reason, verdict Outcome, report []float64) {
+	why Reason, verdict Outcome, report []float64,
+) {
 	s.now = now
 	if n, ok := s.nodeIndex[nodeID]; ok {
 		s.report(&s.nodes[n], report)
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -184,8 +184,11 @@
 		most  int
 		want  int
 	}{
-		{"machine", PerNode, 1, 7}, {"machine of two", PerNode, 2, 15}, {"cell", PerCell, 1, 3},
-		{"zone", PerZone, 1, 1}, {"anywhere", Anywhere, 1, 20},
+		{"machine", PerNode, 1, 7},
+		{"machine of two", PerNode, 2, 15},
+		{"cell", PerCell, 1, 3},
+		{"zone", PerZone, 1, 1},
+		{"anywhere", Anywhere, 1, 20},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cl := testCluster()
@@ -210,8 +213,11 @@
 		cores, memory float64 // free, as reported
 		want          int
 	}{
-		{"empty", 40, 80, 1}, {"over its cores", -39.5, 80, 0}, {"just fits", -39, 80, 1},
-		{"over its memory", 40, -39, 0}, {"unheard", math.NaN(), 0, 1},
+		{"empty", 40, 80, 1},
+		{"over its cores", -39.5, 80, 0},
+		{"just fits", -39, 80, 1},
+		{"over its memory", 40, -39, 0},
+		{"unheard", math.NaN(), 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newHarness(t, testCluster(), 1)
@@ -261,8 +267,10 @@
 		nd   int
 		want float64
 	}{
-		{"holds it", 0, diversityWeight * (0 + 7) / 2}, {"same cell", 1, diversityWeight*(1+7)/2 - fetch(1)},
-		{"same zone", 2, diversityWeight*(3+7)/2 - fetch(2)}, {"third zone", 8, diversityWeight*(7+7)/2 - fetch(8)},
+		{"holds it", 0, diversityWeight * (0 + 7) / 2},
+		{"same cell", 1, diversityWeight*(1+7)/2 - fetch(1)},
+		{"same zone", 2, diversityWeight*(3+7)/2 - fetch(2)},
+		{"third zone", 8, diversityWeight*(7+7)/2 - fetch(8)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := x.scheduler.netBenefit(a, c.nd, 0.25); math.Abs(got-(c.want-0.25)) > 1e-9 {
@@ -280,7 +288,8 @@
 		after float64
 		want  int
 	}{
-		{"no reason told", ReasonUnknown, 0, maxUnanswered}, {"line too long", QueueFull, queueFullBackoff - 1, maxUnanswered - 1},
+		{"no reason told", ReasonUnknown, 0, maxUnanswered},
+		{"line too long", QueueFull, queueFullBackoff - 1, maxUnanswered - 1},
 		{"line too long, later", QueueFull, queueFullBackoff + 1, maxUnanswered},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -351,8 +360,11 @@
 		after  float64
 		want   bool // whether the node is used
 	}{
-		{"nothing told", nil, 0, true}, {"served in full", []float64{1, 1}, 0, true}, {"not served", []float64{0}, 0, false},
-		{"half served", []float64{0.5, 0.5}, 0, false}, {"forgotten", []float64{0, 0}, degradationDecay + 1, true},
+		{"nothing told", nil, 0, true},
+		{"served in full", []float64{1, 1}, 0, true},
+		{"not served", []float64{0}, 0, false},
+		{"half served", []float64{0.5, 0.5}, 0, false},
+		{"forgotten", []float64{0, 0}, degradationDecay + 1, true},
 		{"served again", []float64{0, 0, 1, 1, 1, 1, 1, 1, 1, 1}, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -510,8 +522,12 @@
 		come, fresh bool // reports come by themselves, are young
 		answer      bool
 		probes      int
-	}{{"old", false, false, true, 2}, {"no answer", false, false, false, 2}, {"young", false, true, true, 0},
-		{"reports come", true, false, true, 0}} {
+	}{
+		{"old", false, false, true, 2},
+		{"no answer", false, false, false, 2},
+		{"young", false, true, true, 0},
+		{"reports come", true, false, true, 0},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			cl := testCluster()
 			cl.ReportsPiggybacked, cl.ListsReportLoad = c.come, false
@@ -548,8 +564,13 @@
 		jobType int
 		later   float64
 		want    bool // whether the first node is used
-	}{{"none fails", 0, 0, 0, true}, {"one fails", 1, 0, 0, false}, {"serves others", 1, 1, 0, true},
-		{"forgotten", 1, 0, failureDecayInterval*historyLength + 1000, true}, {"all fail", 4, 0, 0, true}} {
+	}{
+		{"none fails", 0, 0, 0, true},
+		{"one fails", 1, 0, 0, false},
+		{"serves others", 1, 1, 0, true},
+		{"forgotten", 1, 0, failureDecayInterval*historyLength + 1000, true},
+		{"all fail", 4, 0, 0, true},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newHarness(t, testCluster(), 4)
 			for i := range c.bad {
@@ -578,8 +599,15 @@
 		v    Outcome
 		risk bool
 		ill  bool
-	}{{TimedOut, true, false}, {Errored, true, false}, {ConnectionLost, true, false}, {Rejected, false, false},
-		{Unreachable, false, true}, {NotSent, false, false}, {Cancelled, false, false}} {
+	}{
+		{TimedOut, true, false},
+		{Errored, true, false},
+		{ConnectionLost, true, false},
+		{Rejected, false, false},
+		{Unreachable, false, true},
+		{NotSent, false, false},
+		{Cancelled, false, false},
+	} {
 		t.Run(fmt.Sprint(c.v), func(t *testing.T) {
 			x := newHarness(t, testCluster(), 1)
 			x.request(1, 0, 5)
@@ -601,8 +629,12 @@
 		v      Outcome
 		tries  int
 		want   float64 // risk of all nodes together
-	}{{"errs everywhere", 0, Errored, 4, 0}, {"errs at two", 0, Errored, 2, 0.5}, {"times out everywhere", 0, TimedOut, 4, 1},
-		{"after failures of others", 1, Errored, 4, 1}} {
+	}{
+		{"errs everywhere", 0, Errored, 4, 0},
+		{"errs at two", 0, Errored, 2, 0.5},
+		{"times out everywhere", 0, TimedOut, 4, 1},
+		{"after failures of others", 1, Errored, 4, 1},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newHarness(t, testCluster(), 4)
 			for i := range 4 * c.before {
