--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -131,7 +131,9 @@
 
 // Stats counts what a replica did.
 type Stats struct {
-	Messages, Bytes, Writes, Commands, Elections, Pages uint64
+	Messages, Bytes, Writes, Commands, Elections uint64
+
+	Pages uint64 `json:"Pages"` // chunks of snapshots sent; the key stays, members.json has it
 }
 
 // New starts a replica at a time in ms. saved is what a voter finds on its disk; an error means that saved can't be used.
