--- a/cmd/ravenpond/drain.go
+++ b/cmd/ravenpond/drain.go
@@ -45,7 +45,7 @@
 // withStore opens a store, again while somebody else has it, does something with it and closes it.
 func withStore[S io.Closer](open func() (S, error), do func(S) error) (err error) {
 	var s S
-	if err = bolt.Unheld(context.Background(), openTimes, func() error { s, err = open(); return err }); err != nil {
+	if err = bolt.RetryWhileLocked(context.Background(), openTimes, func() error { s, err = open(); return err }); err != nil {
 		return err
 	}
 	return errors.Join(do(s), s.Close())
--- a/cmd/ravenpond/tenant.go
+++ b/cmd/ravenpond/tenant.go
@@ -223,7 +223,7 @@
 func (c *tenantCopy) Run() error {
 	return c.with(func(s *tenants.Store) (err error) {
 		for _, folder := range c.To { // one that can't be written keeps none of the others from it
-			err = errors.Join(err, bolt.Unheld(context.Background(), openTimes, func() error { return s.CopyTo(folder) }))
+			err = errors.Join(err, bolt.RetryWhileLocked(context.Background(), openTimes, func() error { return s.CopyTo(folder) }))
 		}
 		return err
 	})
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -155,14 +155,14 @@
 // withStore does something with the store, waiting for whoever has it just now.
 func (s *Server) withStore(ctx context.Context, use func(st *tenants.Store) error) error {
 	var st *tenants.Store
-	err := bolt.Unheld(ctx, openAttempts, func() (err error) { st, err = s.Open(); return err })
+	err := bolt.RetryWhileLocked(ctx, openAttempts, func() (err error) { st, err = s.Open(); return err })
 	switch {
 	case ctx.Err() != nil:
 		if err == nil {
 			err = st.Close()
 		}
 		return errors.Join(status.FromContextError(ctx.Err()).Err(), err)
-	case errors.Is(err, bolt.ErrHeld):
+	case errors.Is(err, bolt.ErrLocked):
 		return status.Error(codes.Unavailable, "the store is held; try again")
 	case err != nil:
 		s.Log.Error().Str("mode", "admin").Err(err).Send()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -21,36 +21,36 @@
 	codec "ravenpond/internal/proto/book"
 )
 
-// Disk keeps what a voter must not forget.
-type Disk interface {
+// Storage keeps what a voter must not forget.
+type Storage interface {
 	Load() (consensus.PersistedState, error)
 	// Save returns when all is on the disk.
 	Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error
 	Close() error
 }
 
-// Site is what the verdicts on zones rest on. Without zones there are none.
-type Site struct {
-	Zones []string
-	Held  map[string]clusterstate.ZoneState // by operators
-	Far   func(from, to string) float64     // ms one way; nil: all are as far
-	Judge zones.Judge                       // with what tests plant in it
+// ZoneConfig is what the verdicts on zones rest on. Without zones there are none.
+type ZoneConfig struct {
+	Zones     []string
+	Overrides map[string]clusterstate.ZoneState // by operators
+	Latency   func(from, to string) float64     // ms one way; nil: all are as far
+	Judge     zones.Judge                       // with what tests plant in it
 }
 
 // View is the cluster state at one moment. It is never changed.
 type View struct {
-	Book *clusterstate.State
-	// Sure is until when this process may act by it as it stands, ms of the world's clock; from then on in degraded mode.
-	Sure float64
+	State *clusterstate.State
+	// LeaseExpiry is until when this process may act by it as it stands, ms of the world's clock; from then on in degraded mode.
+	LeaseExpiry float64
 }
 
-// mostMail is how many messages wait at most; more are lost, as others are on their way.
-const mostMail = 1024
+// maxPendingMessages is how many messages wait at most; more are lost, as others are on their way.
+const maxPendingMessages = 1024
 
-// nap is the longest the loop sleeps, ms.
-const nap = 1000
+// maxSleep is the longest the loop sleeps, ms.
+const maxSleep = 1000
 
-type mail struct {
+type message struct {
 	from    string
 	body    []byte
 	version uint64 // that it holds, where it says no more
@@ -58,132 +58,132 @@
 
 // Runner is control that runs.
 type Runner struct {
-	w    outside.Environment
-	log  zerolog.Logger
-	all  *runner.Runner
-	disk Disk // nil: not a voter
-	loop outside.Loop
-	view atomic.Pointer[View]
-	over atomic.Bool
-
-	mu   sync.Mutex
-	mail []mail
-	asks []func(*consensus.Replica) // by other goroutines
-
-	c      *consensus.Replica // the loop's own
-	holds  uint64
-	site   Site
-	judge  zones.Judge
-	judged float64
-}
-
-// judgeEach is the time between two looks of the leader at the zones, ms.
-const judgeEach = 100
-
-// Begin runs a process's part in the consensus of its site on the members' datagrams. A voter's disk is its own from then on.
-func Begin(w outside.Environment, log zerolog.Logger, all *runner.Runner, who consensus.Config, disk Disk, site Site) (*Runner, error) {
-	if site.Far == nil {
-		site.Far = func(string, string) float64 { return 0 }
-	}
-	r := &Runner{w: w, log: log, all: all, disk: disk, site: site, judge: site.Judge}
+	environment outside.Environment
+	log         zerolog.Logger
+	members     *runner.Runner
+	storage     Storage // nil: not a voter
+	loop        outside.Loop
+	view        atomic.Pointer[View]
+	stopped     atomic.Bool
+
+	mu       sync.Mutex
+	messages []message
+	calls    []func(*consensus.Replica) // by other goroutines
+
+	replica          *consensus.Replica // the loop's own
+	announcedVersion uint64
+	zoneConfig       ZoneConfig
+	judge            zones.Judge
+	evaluatedAt      float64
+}
+
+// evaluateInterval is the time between two looks of the leader at the zones, ms.
+const evaluateInterval = 100
+
+// Start runs a process's part in the consensus of its site on the members' datagrams. A voter's disk is its own from then on.
+func Start(environment outside.Environment, log zerolog.Logger, members *runner.Runner, config consensus.Config, storage Storage, zoneConfig ZoneConfig) (*Runner, error) {
+	if zoneConfig.Latency == nil {
+		zoneConfig.Latency = func(string, string) float64 { return 0 }
+	}
+	runner := &Runner{environment: environment, log: log, members: members, storage: storage, zoneConfig: zoneConfig, judge: zoneConfig.Judge}
 	var saved consensus.PersistedState
-	if disk != nil {
+	if storage != nil {
 		var err error
-		if saved, err = disk.Load(); err != nil {
+		if saved, err = storage.Load(); err != nil {
 			return nil, fmt.Errorf("council's folder: %w", err)
 		}
 	}
-	c, err := consensus.New(edge{r}, w.Now(), who, saved)
+	replica, err := consensus.New(effects{runner}, environment.Now(), config, saved)
 	if err != nil {
 		return nil, err
 	}
-	r.c = c
-	c.SetReportHandler(func(from string, b []byte) {
+	runner.replica = replica
+	replica.SetReportHandler(func(from string, b []byte) {
 		sums := map[string]zones.Sum{}
 		if codec.ReadZoneSummaries(b, func(zone string, nodes, heard int, room, used float64) {
 			sums[zone] = zones.Sum{Nodes: nodes, Heard: heard, Room: room, Used: used}
 		}) == nil {
-			r.judge.Report(r.w.Now(), from, sums)
+			runner.judge.Report(runner.environment.Now(), from, sums)
 		}
 	})
-	r.view.Store(&View{Book: c.State(), Sure: math.Inf(-1)})
-	r.loop = w.StartLoop(r.turn)
-	all.See(func(d *membership.Detector) { d.Carries(carrier{r}) })
-	return r, nil
+	runner.view.Store(&View{State: replica.State(), LeaseExpiry: math.Inf(-1)})
+	runner.loop = environment.StartLoop(runner.step)
+	members.WithDetector(func(d *membership.Detector) { d.Carries(messageHandler{runner}) })
+	return runner, nil
 }
 
 // View is the cluster state as this process holds it now.
 func (r *Runner) View() *View { return r.view.Load() }
 
-// Ask has f called with the replica on the loop's goroutine; not if that stands still and too many wait.
-func (r *Runner) Ask(f func(c *consensus.Replica)) {
+// Enqueue has f called with the replica on the loop's goroutine; not if that stands still and too many wait.
+func (r *Runner) Enqueue(f func(c *consensus.Replica)) {
 	r.mu.Lock()
-	if len(r.asks) < mostMail {
-		r.asks = append(r.asks, f)
+	if len(r.calls) < maxPendingMessages {
+		r.calls = append(r.calls, f)
 	}
 	r.mu.Unlock()
 	r.loop.Wake()
 }
 
-// End ends it: the loop's last turn lets the disk go.
-func (r *Runner) End() {
-	if r.over.Swap(true) {
+// Stop ends it: the loop's last turn lets the disk go.
+func (r *Runner) Stop() {
+	if r.stopped.Swap(true) {
 		return
 	}
-	r.all.See(func(d *membership.Detector) { d.Carries(nil) })
+	r.members.WithDetector(func(d *membership.Detector) { d.Carries(nil) })
 	r.loop.Wake()
 }
 
-func (r *Runner) turn() (wait float64) {
-	if r.over.Load() {
-		if r.disk != nil {
-			if err := r.disk.Close(); err != nil {
+func (r *Runner) step() (wait float64) {
+	if r.stopped.Load() {
+		if r.storage != nil {
+			if err := r.storage.Close(); err != nil {
 				r.log.Error().Str("mode", "council").Err(err).Msg("disk")
 			}
-			r.disk = nil
+			r.storage = nil
 		}
 		return -1
 	}
 	r.mu.Lock()
-	mails, asks := r.mail, r.asks
-	r.mail, r.asks = nil, nil
+	messages, calls := r.messages, r.calls
+	r.messages, r.calls = nil, nil
 	r.mu.Unlock()
-	for _, m := range mails {
+	for _, m := range messages {
 		if m.body != nil {
-			r.c.OnMessage(r.w.Now(), m.from, m.body)
+			r.replica.OnMessage(r.environment.Now(), m.from, m.body)
 		} else {
-			r.c.OnNewerVersion(r.w.Now(), m.from, m.version)
+			r.replica.OnNewerVersion(r.environment.Now(), m.from, m.version)
 		}
 	}
-	for _, f := range asks {
-		f(r.c)
+	for _, f := range calls {
+		f(r.replica)
 	}
-	r.c.Tick(r.w.Now())
-	r.look(r.w.Now())
+	r.replica.Tick(r.environment.Now())
+	r.evaluateZones(r.environment.Now())
 	r.publish()
-	return min(nap, max(0.1, r.c.Next()-r.w.Now()))
+	return min(maxSleep, max(0.1, r.replica.Next()-r.environment.Now()))
 }
 
-// look has the leader judge the zones, and propose what follows.
-func (r *Runner) look(now float64) {
-	if !r.c.IsLeader() {
+// evaluateZones has the leader judge the zones, and propose what follows.
+func (r *Runner) evaluateZones(now float64) {
+	if !r.replica.IsLeader() {
 		r.judge.Forget()
 		return
 	}
-	if len(r.site.Zones) == 0 || now < r.judged+judgeEach {
+	if len(r.zoneConfig.Zones) == 0 || now < r.evaluatedAt+evaluateInterval {
 		return
 	}
-	r.judged = now
-	b := r.c.State()
-	for _, p := range r.judge.Decide(now, b, r.site.Zones, r.site.Held) {
-		r.log.Info().Str("mode", "zones").Str("zone", p.Zone).Stringer("is", b.Zone(p.Zone).State).Stringer("wanted", p.To).Str("cause", p.Cause).Msg("verdict proposed")
-		r.c.Propose(func(out []byte, number uint64) []byte {
-			return codec.AppendCommand(out, r.c.Name(), r.c.Life(), number, now, codec.CommandSetZoneState, p.Zone, "", "", p.Seen, uint32(p.To), p.Cause)
+	r.evaluatedAt = now
+	state := r.replica.State()
+	for _, proposal := range r.judge.Decide(now, state, r.zoneConfig.Zones, r.zoneConfig.Overrides) {
+		r.log.Info().Str("mode", "zones").Str("zone", proposal.Zone).Stringer("is", state.Zone(proposal.Zone).State).Stringer("wanted", proposal.To).Str("cause", proposal.Cause).Msg("verdict proposed")
+		r.replica.Propose(func(out []byte, number uint64) []byte {
+			return codec.AppendCommand(out, r.replica.Name(), r.replica.Incarnation(), number, now, codec.CommandSetZoneState, proposal.Zone, "", "", proposal.Seen, uint32(proposal.To), proposal.Cause)
 		})
 	}
-	if plan, ok := r.judge.Plan(now, b, r.site.Zones, r.site.Far); ok {
-		r.c.Propose(func(out []byte, number uint64) []byte {
-			out = codec.AppendCommand(out, r.c.Name(), r.c.Life(), number, now, codec.CommandSetPlan, "", "", "", 0, 0, "")
+	if plan, ok := r.judge.Plan(now, state, r.zoneConfig.Zones, r.zoneConfig.Latency); ok {
+		r.replica.Propose(func(out []byte, number uint64) []byte {
+			out = codec.AppendCommand(out, r.replica.Name(), r.replica.Incarnation(), number, now, codec.CommandSetPlan, "", "", "", 0, 0, "")
 			for _, s := range plan {
 				out = codec.AppendShare(out, s.From, s.To, s.Cores)
 			}
@@ -199,48 +199,50 @@
 		s := sums[zone]
 		b = codec.AppendZoneSummary(b, zone, s.Nodes, s.Heard, s.Room, s.Used)
 	}
-	r.Ask(func(c *consensus.Replica) { c.Report(b) })
+	r.Enqueue(func(c *consensus.Replica) { c.Report(b) })
 }
 
 // publish lets traffic see what has changed, and others which version is held.
 func (r *Runner) publish() {
-	was := r.view.Load()
-	if was.Book == r.c.State() && was.Sure == r.c.LeaseExpiry() {
+	previous := r.view.Load()
+	if previous.State == r.replica.State() && previous.LeaseExpiry == r.replica.LeaseExpiry() {
 		return
 	}
-	r.view.Store(&View{Book: r.c.State(), Sure: r.c.LeaseExpiry()})
-	if v := r.c.State().Version(); v != r.holds {
-		r.holds = v
-		r.all.See(func(d *membership.Detector) { d.Holds(v) })
+	r.view.Store(&View{State: r.replica.State(), LeaseExpiry: r.replica.LeaseExpiry()})
+	if v := r.replica.State().Version(); v != r.announcedVersion {
+		r.announcedVersion = v
+		r.members.WithDetector(func(d *membership.Detector) { d.Holds(v) })
 	}
 }
 
-// edge executes what the replica decides.
-type edge struct{ *Runner }
+// effects executes what the replica decides.
+type effects struct{ *Runner }
 
-func (e edge) Send(to string, body []byte) {
-	e.all.See(func(d *membership.Detector) { d.Carry(e.w.Now(), to, body) })
+func (e effects) Send(to string, body []byte) {
+	e.members.WithDetector(func(d *membership.Detector) { d.Carry(e.environment.Now(), to, body) })
 }
 
-func (e edge) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error {
-	return e.disk.Save(hard, from, entries, snapshot, held)
+func (e effects) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error {
+	return e.storage.Save(hard, from, entries, snapshot, held)
 }
 
-func (e edge) Log(line string) { e.log.Info().Str("mode", "council").Msg(line) }
+func (e effects) Log(line string) { e.log.Info().Str("mode", "council").Msg(line) }
 
-// carrier takes what members bring, under their lock: it only puts it down.
-type carrier struct{ *Runner }
+// messageHandler takes what members bring, under their lock: it only puts it down.
+type messageHandler struct{ *Runner }
 
-func (c carrier) Carried(from string, body []byte) {
-	c.put(mail{from: from, body: body})
+func (c messageHandler) Carried(from string, body []byte) {
+	c.enqueueMessage(message{from: from, body: body})
 }
 
-func (c carrier) Ahead(from string, version uint64) { c.put(mail{from: from, version: version}) }
+func (c messageHandler) Ahead(from string, version uint64) {
+	c.enqueueMessage(message{from: from, version: version})
+}
 
-func (r *Runner) put(m mail) {
+func (r *Runner) enqueueMessage(m message) {
 	r.mu.Lock()
-	if len(r.mail) < mostMail {
-		r.mail = append(r.mail, m)
+	if len(r.messages) < maxPendingMessages {
+		r.messages = append(r.messages, m)
 	}
 	r.mu.Unlock()
 	r.loop.Wake()
--- a/internal/control/footprint.go
+++ b/internal/control/footprint.go
@@ -6,7 +6,7 @@
 )
 
 // MaxPendingMessages is how many messages, and how many calls, wait for the loop at most.
-const MaxPendingMessages = mostMail
+const MaxPendingMessages = maxPendingMessages
 
 // Footprint is the size of what control holds, by structure.
 type Footprint struct {
@@ -22,12 +22,12 @@
 func (r *Runner) Measure(f func(Footprint)) {
 	var footprint Footprint
 	r.mu.Lock()
-	footprint.PendingMessages, footprint.PendingCalls = len(r.mail), len(r.asks)
-	for _, m := range r.mail {
+	footprint.PendingMessages, footprint.PendingCalls = len(r.messages), len(r.calls)
+	for _, m := range r.messages {
 		footprint.PendingMessageBytes += len(m.body)
 	}
 	r.mu.Unlock()
-	r.Ask(func(c *consensus.Replica) {
+	r.Enqueue(func(c *consensus.Replica) {
 		footprint.Replica = c.Footprint()
 		footprint.Judge = r.judge.Footprint()
 		f(footprint)
--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -65,7 +65,7 @@
 // Config identifies a replica and the voters of its site.
 type Config struct {
 	Name, Zone, Region string
-	Life               uint64
+	Incarnation        uint64
 	Voters             []string // names, the same in all replicas
 	Seed               uint64
 	Faults             Faults
@@ -96,7 +96,7 @@
 	nextTickAt  float64
 
 	proposals         []proposal // without results yet; the first has been sent
-	number            uint64
+	lastProposal      uint64
 	nextSendAt        float64
 	nextVoter         int
 	incarnationRaises int
@@ -113,16 +113,16 @@
 	previousSnapshot []byte // the one sent before it
 	previousVersion  uint64
 
-	self           uint64 // Raft ID: position among the voters, from 1; 0: not a voter
+	raftID         uint64 // Raft ID: position among the voters, from 1; 0: not a voter
 	engine         *raft.RawNode
-	disk           *raft.MemoryStorage
-	emptyDisk      bool // the disk was empty: this voter waits until all others report empty disks
+	storage        *raft.MemoryStorage
+	diskWasEmpty   bool // the disk was empty: this voter waits until all others report empty disks
 	answeredVoters map[string]bool
 	haltReason     string
 	campaignAt     float64 // when this voter campaigns
 	isLeader       bool
 	compactedTo    uint64 // index of the last compaction of the log
-	conf           *pb.ConfState
+	confState      *pb.ConfState
 	Stats          Stats
 	onResult       func(number uint64, r clusterstate.Refusal)
 	leader         string // last known, empty if none
@@ -133,23 +133,23 @@
 type Stats struct {
 	Messages, Bytes, Writes, Commands, Elections uint64
 
-	Pages uint64 `json:"Pages"` // chunks of snapshots sent; the key stays, members.json has it
+	Chunks uint64 `json:"Pages"` // chunks of snapshots sent; the key stays, members.json has it
 }
 
 // New starts a replica at a time in ms. saved is what a voter finds on its disk; an error means that saved can't be used.
-func New(edge Effects, now float64, who Config, saved PersistedState) (*Replica, error) {
-	c := &Replica{
-		effects: edge, config: who, rng: rand.New(rand.NewPCG(who.Seed, 0xb00c)), now: now, state: clusterstate.New(), probes: map[string]probeReply{},
+func New(effects Effects, now float64, config Config, saved PersistedState) (*Replica, error) {
+	replica := &Replica{
+		effects: effects, config: config, rng: rand.New(rand.NewPCG(config.Seed, 0xb00c)), now: now, state: clusterstate.New(), probes: map[string]probeReply{},
 		nextProbeAt: now, nextTickAt: now, answeredVoters: map[string]bool{}, onResult: func(uint64, clusterstate.Refusal) {}, onReport: func(string, []byte) {},
 	}
-	c.self = uint64(slices.Index(who.Voters, who.Name) + 1)
-	if c.self > 0 {
-		if err := c.startVoter(saved); err != nil {
+	replica.raftID = uint64(slices.Index(config.Voters, config.Name) + 1)
+	if replica.raftID > 0 {
+		if err := replica.startVoter(saved); err != nil {
 			return nil, err
 		}
 	}
-	c.join()
-	return c, nil
+	replica.join()
+	return replica, nil
 }
 
 // State returns the replicated state. The caller must not change it.
@@ -259,5 +259,5 @@
 // Name returns the replica's name.
 func (r *Replica) Name() string { return r.config.Name }
 
-// Life returns the replica's incarnation.
-func (r *Replica) Life() uint64 { return r.config.Life }
+// Incarnation returns the replica's incarnation.
+func (r *Replica) Incarnation() uint64 { return r.config.Incarnation }
--- a/internal/decide/consensus/consensus_test.go
+++ b/internal/decide/consensus/consensus_test.go
@@ -11,36 +11,36 @@
 	codec "ravenpond/internal/proto/book"
 )
 
-// table is replicas that exchange a list of messages, and their disks.
-type table struct {
-	t    *testing.T
-	now  float64
-	all  map[string]*seat
-	mute map[string]bool // whose messages are lost, both ways
-	way  []letter
+// cluster is replicas that exchange a list of messages, and their disks.
+type cluster struct {
+	t           *testing.T
+	now         float64
+	nodes       map[string]*testNode
+	partitioned map[string]bool // whose messages are lost, both ways
+	inFlight    []message
 }
 
-type letter struct {
+type message struct {
 	from, to string
 	body     []byte
 }
 
-// seat is one at the table.
-type seat struct {
-	x     *table
-	name  string
-	c     *Replica
-	saved PersistedState
-	from  uint64
-	fails bool
-	lines []string
+// testNode is one at the table.
+type testNode struct {
+	cluster *cluster
+	name    string
+	replica *Replica
+	saved   PersistedState
+	from    uint64
+	fails   bool
+	lines   []string
 }
 
-func (s *seat) Send(to string, body []byte) {
-	s.x.way = append(s.x.way, letter{s.name, to, slices.Clone(body)})
+func (s *testNode) Send(to string, body []byte) {
+	s.cluster.inFlight = append(s.cluster.inFlight, message{s.name, to, slices.Clone(body)})
 }
 
-func (s *seat) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, _ uint64) error {
+func (s *testNode) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, _ uint64) error {
 	if s.fails {
 		return errors.New("no space")
 	}
@@ -59,47 +59,47 @@
 	return nil
 }
 
-func (s *seat) Log(line string) { s.lines = append(s.lines, line) }
+func (s *testNode) Log(line string) { s.lines = append(s.lines, line) }
 
-func sit(t *testing.T, names ...string) *table {
-	x := &table{t: t, now: 1e6, all: map[string]*seat{}, mute: map[string]bool{}}
+func newCluster(t *testing.T, names ...string) *cluster {
+	x := &cluster{t: t, now: 1e6, nodes: map[string]*testNode{}, partitioned: map[string]bool{}}
 	for i, n := range names {
-		x.all[n] = &seat{x: x, name: n}
-		x.begin(n, 1, uint64(i), Faults{})
+		x.nodes[n] = &testNode{cluster: x, name: n}
+		x.start(n, 1, uint64(i), Faults{})
 	}
 	return x
 }
 
-func (x *table) begin(name string, life, seed uint64, p Faults) {
+func (x *cluster) start(name string, incarnation, seed uint64, p Faults) {
 	x.t.Helper()
-	c, err := New(x.all[name], x.now, Config{Name: name, Zone: "z" + name, Life: life, Voters: []string{"a", "b", "c"}, Seed: seed, Faults: p}, x.all[name].saved)
+	c, err := New(x.nodes[name], x.now, Config{Name: name, Zone: "z" + name, Incarnation: incarnation, Voters: []string{"a", "b", "c"}, Seed: seed, Faults: p}, x.nodes[name].saved)
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	x.all[name].c = c
+	x.nodes[name].replica = c
 }
 
-// pass lets time go by, and messages come after a millisecond.
-func (x *table) pass(ms float64) {
+// advance lets time go by, and messages come after a millisecond.
+func (x *cluster) advance(ms float64) {
 	for end := x.now + ms; x.now < end; x.now++ {
-		way := x.way
-		x.way = nil
+		way := x.inFlight
+		x.inFlight = nil
 		for _, l := range way {
-			if s := x.all[l.to]; s != nil && !x.mute[l.from] && !x.mute[l.to] {
-				s.c.OnMessage(x.now, l.from, l.body)
+			if s := x.nodes[l.to]; s != nil && !x.partitioned[l.from] && !x.partitioned[l.to] {
+				s.replica.OnMessage(x.now, l.from, l.body)
 			}
 		}
 		for _, name := range []string{"a", "b", "c", "d"} {
-			if s := x.all[name]; s != nil && !x.mute["stopped "+name] && x.now >= s.c.Next() {
-				s.c.Tick(x.now)
+			if s := x.nodes[name]; s != nil && !x.partitioned["stopped "+name] && x.now >= s.replica.Next() {
+				s.replica.Tick(x.now)
 			}
 		}
 	}
 }
 
-func (x *table) leader() string {
-	for name, s := range x.all {
-		if s.c.IsLeader() && !x.mute[name] {
+func (x *cluster) leader() string {
+	for name, s := range x.nodes {
+		if s.replica.IsLeader() && !x.partitioned[name] {
 			return name
 		}
 	}
@@ -108,42 +108,42 @@
 
 // TestAgree has three voters and one follower agree, lose their leader, and hold a lease or not as they are partitioned.
 func TestAgree(t *testing.T) {
-	x := sit(t, "a", "b", "c", "d")
-	x.pass(6000)
+	x := newCluster(t, "a", "b", "c", "d")
+	x.advance(6000)
 	first := x.leader()
 	if first == "" {
 		t.Fatal("no leader")
 	}
-	for name, s := range x.all {
-		if p, ok := s.c.State().Process("d"); !ok || p.Zone != "zd" || s.c.LeaseExpiry() < x.now {
-			t.Errorf("%s: %+v, sure for %g", name, p, s.c.LeaseExpiry()-x.now)
+	for name, s := range x.nodes {
+		if p, ok := s.replica.State().Process("d"); !ok || p.Zone != "zd" || s.replica.LeaseExpiry() < x.now {
+			t.Errorf("%s: %+v, sure for %g", name, p, s.replica.LeaseExpiry()-x.now)
 		}
 	}
-	x.mute[first] = true
-	x.pass(1.1 * Lease)
-	if s := x.all[first]; s.c.LeaseExpiry() > x.now || s.c.IsLeader() {
-		t.Errorf("cut off, %s is sure for %g, leads %v", first, s.c.LeaseExpiry()-x.now, s.c.IsLeader())
+	x.partitioned[first] = true
+	x.advance(1.1 * Lease)
+	if s := x.nodes[first]; s.replica.LeaseExpiry() > x.now || s.replica.IsLeader() {
+		t.Errorf("cut off, %s is sure for %g, leads %v", first, s.replica.LeaseExpiry()-x.now, s.replica.IsLeader())
 	}
-	x.pass(4000)
+	x.advance(4000)
 	if second := x.leader(); second == "" || second == first {
 		t.Fatalf("%q leads after %q", second, first)
 	}
-	if s := x.all["d"].c; s.LeaseExpiry() < x.now {
+	if s := x.nodes["d"].replica; s.LeaseExpiry() < x.now {
 		t.Error("two of three stewards do not make sure")
 	}
-	x.mute[first] = false
-	x.pass(3000)
-	if s := x.all[first]; s.c.LeaseExpiry() < x.now || s.c.State().Version() != x.all["d"].c.State().Version() {
+	x.partitioned[first] = false
+	x.advance(3000)
+	if s := x.nodes[first]; s.replica.LeaseExpiry() < x.now || s.replica.State().Version() != x.nodes["d"].replica.State().Version() {
 		t.Errorf("back, %s is not", first)
 	}
 }
 
 // TestAnswers has own commands answered once each, with what came of them, though each is sent again and again.
 func TestAnswers(t *testing.T) {
-	x := sit(t, "a", "b", "c", "d")
-	x.pass(5000)
+	x := newCluster(t, "a", "b", "c", "d")
+	x.advance(5000)
 	var got []string
-	c := x.all["d"].c
+	c := x.nodes["d"].replica
 	c.SetResultHandler(func(number uint64, r clusterstate.Refusal) { got = append(got, fmt.Sprint(number, " ", r)) })
 	verdict := func(zone string, to clusterstate.ZoneState) {
 		c.Propose(func(b []byte, number uint64) []byte {
@@ -152,10 +152,10 @@
 	}
 	verdict("za", clusterstate.Suspect)
 	verdict("zb", clusterstate.Closed)
-	x.mute["d"] = true
-	x.pass(2000)
-	x.mute["d"] = false
-	x.pass(3000)
+	x.partitioned["d"] = true
+	x.advance(2000)
+	x.partitioned["d"] = false
+	x.advance(3000)
 	if want := []string{"2 taken", "3 no-way"}; !slices.Equal(got, want) {
 		t.Errorf("%q, want %q", got, want)
 	}
@@ -169,31 +169,31 @@
 
 // TestDisk has a voter that can't write take no part, and one that lost its disk never vote, while both follow.
 func TestDisk(t *testing.T) {
-	x := sit(t, "a", "b", "c")
-	x.pass(5000)
+	x := newCluster(t, "a", "b", "c")
+	x.advance(5000)
 	l := x.leader()
-	x.all[l].fails = true
-	x.all[l].c.Propose(func(b []byte, number uint64) []byte {
+	x.nodes[l].fails = true
+	x.nodes[l].replica.Propose(func(b []byte, number uint64) []byte {
 		return codec.AppendCommand(b, l, 1, number, x.now, codec.CommandSetZoneState, "za", "", "", 0, uint32(clusterstate.Suspect), "")
 	})
-	x.pass(8000)
-	if s := x.all[l]; s.c.HaltReason() == "" || s.c.IsLeader() {
+	x.advance(8000)
+	if s := x.nodes[l]; s.replica.HaltReason() == "" || s.replica.IsLeader() {
 		t.Fatalf("its disk is full, and %s goes on", l)
 	}
-	if s := x.all[l].c; s.State().Zone("za").State != clusterstate.Suspect || s.LeaseExpiry() < x.now {
+	if s := x.nodes[l].replica; s.State().Zone("za").State != clusterstate.Suspect || s.LeaseExpiry() < x.now {
 		t.Errorf("it does not follow: version %d, sure for %g", s.State().Version(), s.LeaseExpiry()-x.now)
 	}
 	other := map[string]string{"a": "b", "b": "c", "c": "a"}[l]
-	x.all[l].fails = false
-	x.begin(l, 2, 9, Faults{})
-	x.pass(3000)
-	*x.all[other] = seat{x: x, name: other}
-	x.begin(other, 2, 8, Faults{})
-	x.pass(6000)
-	if s := x.all[other]; !strings.Contains(s.c.HaltReason(), "disk was empty") || s.c.LeaseExpiry() < x.now {
-		t.Errorf("lost its disk: halted %q, sure for %g", s.c.HaltReason(), s.c.LeaseExpiry()-x.now)
+	x.nodes[l].fails = false
+	x.start(l, 2, 9, Faults{})
+	x.advance(3000)
+	*x.nodes[other] = testNode{cluster: x, name: other}
+	x.start(other, 2, 8, Faults{})
+	x.advance(6000)
+	if s := x.nodes[other]; !strings.Contains(s.replica.HaltReason(), "disk was empty") || s.replica.LeaseExpiry() < x.now {
+		t.Errorf("lost its disk: halted %q, sure for %g", s.replica.HaltReason(), s.replica.LeaseExpiry()-x.now)
 	}
-	if x.all[l].c.HaltReason() != "" {
+	if x.nodes[l].replica.HaltReason() != "" {
 		t.Error("still halted in its next life")
 	}
 }
@@ -216,10 +216,10 @@
 		_, _ = newer.Apply(v, c)
 	}
 	for _, plant := range []bool{false, true} {
-		x := sit(t)
-		x.all["d"] = &seat{x: x, name: "d"}
-		x.begin("d", 1, 1, Faults{StaleTransfer: plant})
-		c := x.all["d"].c
+		x := newCluster(t)
+		x.nodes["d"] = &testNode{cluster: x, name: "d"}
+		x.start("d", 1, 1, Faults{StaleTransfer: plant})
+		c := x.nodes["d"].replica
 		c.OnNewerVersion(x.now, "a", 8)
 		for _, p := range append(pages(older)[:1], pages(newer)...) { // its source had a later one meanwhile
 			c.OnMessage(x.now, "b", pages(older)[0]) // not asked
@@ -240,26 +240,26 @@
 
 // TestLost has a process that lost its folder act in a life above the one that the book knows.
 func TestLost(t *testing.T) {
-	x := sit(t, "a", "b", "c", "d")
-	x.begin("d", 7, 3, Faults{})
-	x.pass(6000)
-	x.begin("d", 1, 4, Faults{})
-	x.pass(6000)
-	if p, _ := x.all["a"].c.State().Process("d"); p.Incarnation != 8 || x.all["d"].c.Life() != 8 {
-		t.Errorf("%+v, it thinks it is in life %d", p, x.all["d"].c.Life())
+	x := newCluster(t, "a", "b", "c", "d")
+	x.start("d", 7, 3, Faults{})
+	x.advance(6000)
+	x.start("d", 1, 4, Faults{})
+	x.advance(6000)
+	if p, _ := x.nodes["a"].replica.State().Process("d"); p.Incarnation != 8 || x.nodes["d"].replica.Incarnation() != 8 {
+		t.Errorf("%+v, it thinks it is in life %d", p, x.nodes["d"].replica.Incarnation())
 	}
 }
 
 // TestFolder refuses a folder of other voters, and one that does not fit together.
 func TestFolder(t *testing.T) {
-	x := sit(t, "a", "b", "c")
-	x.pass(5000)
-	saved := x.all["a"].saved
+	x := newCluster(t, "a", "b", "c")
+	x.advance(5000)
+	saved := x.nodes["a"].saved
 	for what, s := range map[string]PersistedState{
 		"an entry that can't be read": {Hard: saved.Hard, Entries: [][]byte{{0xff}}},
 		"a state without its entries": {Hard: saved.Hard},
 	} {
-		if _, err := New(x.all["a"], x.now, Config{Name: "a", Life: 2, Voters: []string{"a", "b", "c"}}, s); err == nil {
+		if _, err := New(x.nodes["a"], x.now, Config{Name: "a", Incarnation: 2, Voters: []string{"a", "b", "c"}}, s); err == nil {
 			t.Error(what)
 		}
 	}
@@ -268,37 +268,37 @@
 // TestOldProposal has a follower start where it reaches no voter, for longer than voters accept a command's time: it still joins once
 // it reaches them.
 func TestOldProposal(t *testing.T) {
-	x := sit(t, "a", "b", "c")
-	x.pass(4000)
-	x.all["d"] = &seat{x: x, name: "d"}
-	x.begin("d", 1, 9, Faults{})
-	x.mute["d"] = true
-	x.pass(2 * maxCommandAge)
-	delete(x.mute, "d")
-	x.pass(5000)
+	x := newCluster(t, "a", "b", "c")
+	x.advance(4000)
+	x.nodes["d"] = &testNode{cluster: x, name: "d"}
+	x.start("d", 1, 9, Faults{})
+	x.partitioned["d"] = true
+	x.advance(2 * maxCommandAge)
+	delete(x.partitioned, "d")
+	x.advance(5000)
 	for _, name := range []string{"a", "b", "c", "d"} {
-		if p, ok := x.all[name].c.State().Process("d"); !ok || p.Incarnation != 1 {
+		if p, ok := x.nodes[name].replica.State().Process("d"); !ok || p.Incarnation != 1 {
 			t.Errorf("in %s's state d acts in incarnation %d, %v", name, p.Incarnation, ok)
 		}
 	}
-	if n := len(x.all["d"].c.proposals); n > 0 {
+	if n := len(x.nodes["d"].replica.proposals); n > 0 {
 		t.Errorf("%d proposals of d still wait", n)
 	}
 }
 
 // TestRepeatedProposal repeats a command whose result is in the state: it makes no version.
 func TestRepeatedProposal(t *testing.T) {
-	x := sit(t, "a", "b", "c")
-	x.pass(4000)
-	x.all["d"] = &seat{x: x, name: "d"}
-	x.begin("d", 1, 9, Faults{})
-	x.pass(3000)
-	leader := x.all[x.leader()].c
+	x := newCluster(t, "a", "b", "c")
+	x.advance(4000)
+	x.nodes["d"] = &testNode{cluster: x, name: "d"}
+	x.start("d", 1, 9, Faults{})
+	x.advance(3000)
+	leader := x.nodes[x.leader()].replica
 	before := leader.State().Version()
 	command := codec.AppendCommand(nil, "d", 1, 1, x.now, codec.CommandActivate, "d", "zd", "", 0, 0, "")
 	for range 20 {
 		leader.OnMessage(x.now, "d", codec.AppendMessage(nil, codec.MessageProposal, command, 0, 0, 0, 0, 0))
-		x.pass(100)
+		x.advance(100)
 	}
 	if after := leader.State().Version(); before == 0 || after != before {
 		t.Errorf("from version %d to %d", before, after)
--- a/internal/decide/consensus/footprint.go
+++ b/internal/decide/consensus/footprint.go
@@ -36,15 +36,15 @@
 	for _, w := range r.proposals {
 		f.ProposalBytes += len(w.body)
 	}
-	if r.disk == nil {
+	if r.storage == nil {
 		return f
 	}
-	first, errFirst := r.disk.FirstIndex()
-	last, errLast := r.disk.LastIndex()
+	first, errFirst := r.storage.FirstIndex()
+	last, errLast := r.storage.LastIndex()
 	if errFirst != nil || errLast != nil || last < first {
 		return f
 	}
-	entries, err := r.disk.Entries(first, last+1, math.MaxUint64)
+	entries, err := r.storage.Entries(first, last+1, math.MaxUint64)
 	if err != nil {
 		return f
 	}
--- a/internal/decide/consensus/lease.go
+++ b/internal/decide/consensus/lease.go
@@ -36,21 +36,21 @@
 
 // renewLease extends the lease by the probes that a quorum answered.
 func (r *Replica) renewLease() {
-	var at []float64
-	for _, w := range r.probes {
-		if w.written > 1 && w.written <= r.state.Version() { // an empty disk may have been lost: it proves nothing
-			at = append(at, w.probedAt)
+	var probedAt []float64
+	for _, reply := range r.probes {
+		if reply.written > 1 && reply.written <= r.state.Version() { // an empty disk may have been lost: it proves nothing
+			probedAt = append(probedAt, reply.probedAt)
 		}
 	}
-	slices.SortFunc(at, func(x, y float64) int { return cmp.Compare(y, x) })
+	slices.SortFunc(probedAt, func(x, y float64) int { return cmp.Compare(y, x) })
 	need := len(r.config.Voters)/2 + 1
 	if r.config.Faults.SingleVoter {
 		need = 1
 	}
-	if len(at) < need {
+	if len(probedAt) < need {
 		return
 	}
-	until := at[need-1] + Lease*(1-clockDrift)
+	until := probedAt[need-1] + Lease*(1-clockDrift)
 	if r.config.Faults.EndlessLease {
 		until += 1e9
 	}
@@ -67,17 +67,17 @@
 		return
 	}
 	r.answeredVoters[from] = true
-	if r.emptyDisk && r.haltReason == "" && !r.config.Faults.VoteAfterLoss {
+	if r.diskWasEmpty && r.haltReason == "" && !r.config.Faults.VoteAfterLoss {
 		switch {
 		case written > 1:
 			r.halt("its disk was empty, and others hold commands: it may have voted before")
 		case len(r.answeredVoters) == len(r.config.Voters)-1:
-			r.emptyDisk = false
+			r.diskWasEmpty = false
 			r.scheduleCampaign()
 		}
 	}
-	if asked := r.probeTimes[number%uint64(len(r.probeTimes))]; asked >= r.probes[from].probedAt {
-		r.probes[from] = probeReply{asked, written}
+	if probedAt := r.probeTimes[number%uint64(len(r.probeTimes))]; probedAt >= r.probes[from].probedAt {
+		r.probes[from] = probeReply{probedAt, written}
 		r.renewLease()
 	}
 }
--- a/internal/decide/consensus/proposals.go
+++ b/internal/decide/consensus/proposals.go
@@ -24,28 +24,28 @@
 	if len(r.proposals) >= maxProposals {
 		return 0
 	}
-	r.number++
-	r.proposals = append(r.proposals, proposal{number: r.number, encode: f, body: f(nil, r.number), encoded: r.now})
+	r.lastProposal++
+	r.proposals = append(r.proposals, proposal{number: r.lastProposal, encode: f, body: f(nil, r.lastProposal), encoded: r.now})
 	if len(r.proposals) == 1 {
 		r.nextSendAt = r.now
 	}
-	return r.number
+	return r.lastProposal
 }
 
 // sendProposal sends the first queued proposal to a voter, to another one at each attempt.
 func (r *Replica) sendProposal() {
-	w := &r.proposals[0]
-	if r.now-w.encoded >= renewAge { // the number stays: whichever form is committed first has the effect, the other none
-		w.body, w.encoded = w.encode(nil, w.number), r.now
+	first := &r.proposals[0]
+	if r.now-first.encoded >= renewAge { // the number stays: whichever form is committed first has the effect, the other none
+		first.body, first.encoded = first.encode(nil, first.number), r.now
 	}
 	if r.isVoting() {
-		_ = r.engine.Propose(w.body) // dropped while there is no leader: it is sent again
+		_ = r.engine.Propose(first.body) // dropped while there is no leader: it is sent again
 		return
 	}
 	to := r.config.Voters[r.nextVoter%len(r.config.Voters)]
 	r.nextVoter++
 	if to != r.config.Name {
-		r.sendMessage(to, codec.MessageProposal, w.body, 0, 0, 0, 0, 0)
+		r.sendMessage(to, codec.MessageProposal, first.body, 0, 0, 0, 0, 0)
 	}
 }
 
@@ -57,8 +57,8 @@
 		return
 	}
 	_ = codec.ReadCommand(body, func(string, string, uint32) {},
-		func(name string, life, number uint64, at float64, _ uint32, _, _, _ string, _ uint64, _ uint32, _ string) {
-			if last, _, ok := r.state.LastResult(name, life); ok && number <= last {
+		func(name string, incarnation, number uint64, at float64, _ uint32, _, _, _ string, _ uint64, _ uint32, _ string) {
+			if last, _, ok := r.state.LastResult(name, incarnation); ok && number <= last {
 				return
 			}
 			if at >= r.now-maxCommandAge && at <= r.now+maxClockSkew { // an old command may have been sent repeatedly for long
@@ -70,6 +70,6 @@
 // join proposes this process's incarnation. No other proposal of the incarnation has an effect before it.
 func (r *Replica) join() {
 	r.Propose(func(b []byte, number uint64) []byte {
-		return codec.AppendCommand(b, r.config.Name, r.config.Life, number, r.now, codec.CommandActivate, r.config.Name, r.config.Zone, r.config.Region, 0, 0, "")
+		return codec.AppendCommand(b, r.config.Name, r.config.Incarnation, number, r.now, codec.CommandActivate, r.config.Name, r.config.Zone, r.config.Region, 0, 0, "")
 	})
 }
--- a/internal/decide/consensus/storage.go
+++ b/internal/decide/consensus/storage.go
@@ -50,16 +50,16 @@
 		return err
 	}
 	if snapshot != nil {
-		if err := r.disk.ApplySnapshot(rd.Snapshot); err != nil {
+		if err := r.storage.ApplySnapshot(rd.Snapshot); err != nil {
 			return err
 		}
 	}
 	if hard != nil {
-		if err := r.disk.SetHardState(rd.HardState); err != nil {
+		if err := r.storage.SetHardState(rd.HardState); err != nil {
 			return err
 		}
 	}
-	return r.disk.Append(rd.Entries)
+	return r.storage.Append(rd.Entries)
 }
 
 // apply applies committed entries to the state.
@@ -67,9 +67,9 @@
 	if len(entries) == 0 {
 		return
 	}
-	b := r.state.Clone()
+	state := r.state.Clone()
 	for _, e := range entries {
-		if e.GetIndex() <= b.Version() {
+		if e.GetIndex() <= state.Version() {
 			continue
 		}
 		command := e.GetData()
@@ -77,24 +77,24 @@
 			command = nil
 		}
 		r.Stats.Commands++
-		refused, err := b.Apply(e.GetIndex(), command)
+		refusal, err := state.Apply(e.GetIndex(), command)
 		if err == nil {
-			err = b.Check()
+			err = state.Check()
 		}
 		if err != nil {
 			panic(err)
 		}
-		if refused != clusterstate.Accepted {
-			r.effects.Log(fmt.Sprintf("command %d refused: %s", e.GetIndex(), refused))
+		if refusal != clusterstate.Accepted {
+			r.effects.Log(fmt.Sprintf("command %d refused: %s", e.GetIndex(), refusal))
 		}
 	}
-	r.adoptState(b)
+	r.adoptState(state)
 	if !r.isLeader {
 		return
 	}
-	for _, p := range b.Processes() { // followers would learn of it by their next probe; commits are rare and should take effect soon
+	for _, p := range state.Processes() { // followers would learn of it by their next probe; commits are rare and should take effect soon
 		if !p.Inactive && slices.Index(r.config.Voters, p.Name) < 0 {
-			r.sendMessage(p.Name, codec.MessageProbeReply, nil, 0, b.Version(), r.lastWritten(), 0, 0)
+			r.sendMessage(p.Name, codec.MessageProbeReply, nil, 0, state.Version(), r.lastWritten(), 0, 0)
 		}
 	}
 }
@@ -109,19 +109,19 @@
 	if len(text) > maxStateBytes {
 		return // the snapshot would not fit a message: the log is kept
 	}
-	snap, err := r.disk.CreateSnapshot(v, r.conf, text)
+	snap, err := r.storage.CreateSnapshot(v, r.confState, text)
 	if err != nil {
 		return
 	}
-	whole, err := proto.Marshal(snap)
+	encoded, err := proto.Marshal(snap)
 	if err != nil {
 		return
 	}
-	if err := r.effects.Save(nil, 0, nil, whole, v); err != nil {
+	if err := r.effects.Save(nil, 0, nil, encoded, v); err != nil {
 		r.halt("can't write: " + err.Error())
 		return
 	}
 	r.Stats.Writes++
 	r.compactedTo = v
-	_ = r.disk.Compact(v - compactKeep)
+	_ = r.storage.Compact(v - compactKeep)
 }
--- a/internal/decide/consensus/transfer.go
+++ b/internal/decide/consensus/transfer.go
@@ -29,63 +29,63 @@
 		r.previousSnapshot, r.previousVersion = r.snapshot, r.snapshotVersion
 		r.snapshot, r.snapshotVersion = r.state.Snapshot(), r.state.Version()
 	}
-	text, is := r.snapshot, r.snapshotVersion
+	text, textVersion := r.snapshot, r.snapshotVersion
 	if version == r.previousVersion && r.previousSnapshot != nil {
-		text, is = r.previousSnapshot, r.previousVersion
+		text, textVersion = r.previousSnapshot, r.previousVersion
 	}
-	if version != is || offset > uint64(len(text)) {
-		text, is, offset = r.snapshot, r.snapshotVersion, 0
+	if version != textVersion || offset > uint64(len(text)) {
+		text, textVersion, offset = r.snapshot, r.snapshotVersion, 0
 	}
-	r.Stats.Pages++
-	r.sendMessage(to, codec.MessageChunk, text[offset:min(offset+chunkBytes, uint64(len(text)))], 0, is, 0, offset, uint64(len(text)))
+	r.Stats.Chunks++
+	r.sendMessage(to, codec.MessageChunk, text[offset:min(offset+chunkBytes, uint64(len(text)))], 0, textVersion, 0, offset, uint64(len(text)))
 }
 
 // onChunk handles a chunk of the state transfer.
 func (r *Replica) onChunk(from string, body []byte, version, offset, total uint64) {
-	p := &r.transfer
-	if from != p.from || total > maxStateBytes {
+	transfer := &r.transfer
+	if from != transfer.from || total > maxStateBytes {
 		return
 	}
-	if version != p.version {
+	if version != transfer.version {
 		if offset != 0 {
 			return
 		}
-		p.version, p.got = version, nil
+		transfer.version, transfer.got = version, nil
 	}
-	if offset != uint64(len(p.got)) {
+	if offset != uint64(len(transfer.got)) {
 		return
 	}
-	p.got, p.tries = append(p.got, body...), 0
-	if uint64(len(p.got)) < total {
+	transfer.got, transfer.tries = append(transfer.got, body...), 0
+	if uint64(len(transfer.got)) < total {
 		r.requestChunk()
 		return
 	}
-	text := p.got
-	p.from, p.got = "", nil
-	b, err := clusterstate.Read(text)
+	text := transfer.got
+	transfer.from, transfer.got = "", nil
+	state, err := clusterstate.Read(text)
 	if err != nil {
 		r.effects.Log(fmt.Sprintf("a page of %s is not taken: %v", from, err))
 		return
 	}
-	if b.Version() > r.state.Version() || r.config.Faults.StaleTransfer {
-		r.adoptState(b)
+	if state.Version() > r.state.Version() || r.config.Faults.StaleTransfer {
+		r.adoptState(state)
 	}
 }
 
 // adoptState replaces the state by a later one and reports the result of the first proposal.
-func (r *Replica) adoptState(b *clusterstate.State) {
-	r.state = b
+func (r *Replica) adoptState(state *clusterstate.State) {
+	r.state = state
 	r.renewLease()
 	if len(r.proposals) == 0 {
 		return
 	}
-	if number, refused, ok := b.LastResult(r.config.Name, r.config.Life); ok && number >= r.proposals[0].number {
+	if number, refusal, ok := state.LastResult(r.config.Name, r.config.Incarnation); ok && number >= r.proposals[0].number {
 		r.proposals = r.proposals[1:] // proposals are sent one at a time: it is the first one's result
 		r.nextSendAt = r.now
-		r.onResult(number, refused)
-	} else if p, there := b.Process(r.config.Name); there && p.Incarnation > r.config.Life && r.incarnationRaises < maxIncarnationRaises { // this process's data directory was lost
+		r.onResult(number, refusal)
+	} else if p, there := state.Process(r.config.Name); there && p.Incarnation > r.config.Incarnation && r.incarnationRaises < maxIncarnationRaises { // this process's data directory was lost
 		r.incarnationRaises++
-		r.config.Life, r.number, r.proposals = p.Incarnation+1, 0, nil
+		r.config.Incarnation, r.lastProposal, r.proposals = p.Incarnation+1, 0, nil
 		r.join()
 	}
 }
--- a/internal/decide/consensus/voter.go
+++ b/internal/decide/consensus/voter.go
@@ -14,23 +14,23 @@
 
 // startVoter starts Raft on the saved state. All voters start from the same empty snapshot.
 func (r *Replica) startVoter(saved PersistedState) error {
-	r.conf = &pb.ConfState{}
+	r.confState = &pb.ConfState{}
 	for i := range r.config.Voters {
-		r.conf.Voters = append(r.conf.Voters, uint64(i+1))
+		r.confState.Voters = append(r.confState.Voters, uint64(i+1))
 	}
-	r.disk = raft.NewMemoryStorage()
-	first := &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: r.conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
-	r.emptyDisk = len(saved.Hard) == 0 && len(saved.Snapshot) == 0 && len(saved.Entries) == 0
+	r.storage = raft.NewMemoryStorage()
+	first := &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: r.confState, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
+	r.diskWasEmpty = len(saved.Hard) == 0 && len(saved.Snapshot) == 0 && len(saved.Entries) == 0
 	if len(saved.Snapshot) > 0 {
 		first = &pb.Snapshot{}
 		if err := proto.Unmarshal(saved.Snapshot, first); err != nil {
 			return fmt.Errorf("council: snapshot: %w", err)
 		}
 	}
-	if !slices.Equal(first.GetMetadata().GetConfState().GetVoters(), r.conf.Voters) {
-		return fmt.Errorf("council: the folder is of %d stewards, the site file names %d", len(first.GetMetadata().GetConfState().GetVoters()), len(r.conf.Voters))
+	if !slices.Equal(first.GetMetadata().GetConfState().GetVoters(), r.confState.Voters) {
+		return fmt.Errorf("council: the folder is of %d stewards, the site file names %d", len(first.GetMetadata().GetConfState().GetVoters()), len(r.confState.Voters))
 	}
-	if err := r.disk.ApplySnapshot(first); err != nil {
+	if err := r.storage.ApplySnapshot(first); err != nil {
 		return fmt.Errorf("council: snapshot: %w", err)
 	}
 	if data := first.GetData(); len(data) > 0 {
@@ -46,7 +46,7 @@
 		if err := proto.Unmarshal(saved.Hard, &hard); err != nil {
 			return fmt.Errorf("council: state: %w", err)
 		}
-		if err := r.disk.SetHardState(&hard); err != nil {
+		if err := r.storage.SetHardState(&hard); err != nil {
 			return fmt.Errorf("council: state: %w", err)
 		}
 	}
@@ -60,7 +60,7 @@
 			entries = append(entries, e)
 		}
 	}
-	if err := r.disk.Append(entries); err != nil {
+	if err := r.storage.Append(entries); err != nil {
 		return fmt.Errorf("council: entries: %w", err)
 	}
 	return r.startRaft()
@@ -74,7 +74,7 @@
 		}
 	}()
 	r.engine, err = raft.NewRawNode(&raft.Config{
-		ID: r.self, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: r.disk,
+		ID: r.raftID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: r.storage,
 		Applied: r.compactedTo, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: 16, MaxUncommittedEntriesSize: maxStateBytes, CheckQuorum: true, PreVote: true,
 		Logger: silentLogger{},
 	})
@@ -104,20 +104,20 @@
 
 // isVoting reports whether this replica is a voter that takes part.
 func (r *Replica) isVoting() bool {
-	return r.engine != nil && r.haltReason == "" && (!r.emptyDisk || r.config.Faults.VoteAfterLoss)
+	return r.engine != nil && r.haltReason == "" && (!r.diskWasEmpty || r.config.Faults.VoteAfterLoss)
 }
 
 // lastWritten returns the last log index on this voter's disk, committed or not.
 func (r *Replica) lastWritten() uint64 {
-	last, _ := r.disk.LastIndex()
+	last, _ := r.storage.LastIndex()
 	return last
 }
 
 // stepRaft passes a voter's message to Raft.
 func (r *Replica) stepRaft(from string, body []byte) {
-	at := slices.Index(r.config.Voters, from)
+	voter := slices.Index(r.config.Voters, from)
 	var m pb.Message
-	if !r.isVoting() || at < 0 || proto.Unmarshal(body, &m) != nil || m.GetFrom() != uint64(at+1) || m.GetTo() != r.self || raft.IsLocalMsg(m.GetType()) {
+	if !r.isVoting() || voter < 0 || proto.Unmarshal(body, &m) != nil || m.GetFrom() != uint64(voter+1) || m.GetTo() != r.raftID || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
 	switch m.GetType() {
@@ -128,10 +128,10 @@
 }
 
 // halt makes this voter a follower for the rest of its incarnation.
-func (r *Replica) halt(why string) {
-	r.haltReason, r.isLeader = why, false
+func (r *Replica) halt(reason string) {
+	r.haltReason, r.isLeader = reason, false
 	delete(r.probes, r.config.Name)
-	r.effects.Log("steward halted: " + why)
+	r.effects.Log("steward halted: " + reason)
 }
 
 // processReady writes what Raft wants written, then sends its messages, then applies the committed entries.
--- a/internal/lab/circle/circle.go
+++ b/internal/lab/circle/circle.go
@@ -99,7 +99,7 @@
 	if p.c.Wrap != nil {
 		w = p.c.Wrap(w)
 	}
-	run, err := members.Begin(w, p.Addr, membership.Config{
+	run, err := members.Start(w, p.Addr, membership.Config{
 		Site: "lab", Name: p.Name, Address: p.Addr, Life: p.Life, Key: p.Key, Seeds: seeds,
 		Seed: p.c.Rng.Uint64(), Place: p.place, Places: len(p.c.took[0]), Window: windows[0], Open: windows[1], Faults: p.c.Plant,
 	}, told{p})
@@ -126,7 +126,7 @@
 
 type told struct{ p *Process }
 
-func (t told) Changed(_ float64, m membership.Member, was membership.State) {
+func (t told) OnChange(_ float64, m membership.Member, was membership.State) {
 	c := t.p.c
 	if m.State != membership.Dead {
 		return
@@ -138,9 +138,9 @@
 	}
 }
 
-func (t told) Hears(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
+func (t told) LastHeard(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
 
-func (t told) Taken(_ float64, address string) { t.p.TakenBy = address }
+func (t told) OnNameTaken(_ float64, address string) { t.p.TakenBy = address }
 
 // Named is the process of a name.
 func (c *Circle) Named(name string) *Process {
@@ -165,7 +165,7 @@
 	for i, p := range c.All {
 		var all [2]int
 		if p.Dead == 0 && !p.Paused {
-			p.Run.See(func(d *membership.Detector) { all = shares(d, p.P.Now()) })
+			p.Run.WithDetector(func(d *membership.Detector) { all = shares(d, p.P.Now()) })
 		}
 		for what, n := range all {
 			took := &c.took[what][i]
@@ -188,7 +188,7 @@
 // Used is the part of what a cold node bears, and of what is lent, that all together may use now.
 func (c *Circle) Used() (used [2]float64) {
 	for _, p := range c.Living() {
-		p.Run.See(func(d *membership.Detector) {
+		p.Run.WithDetector(func(d *membership.Detector) {
 			for what, n := range shares(d, p.P.Now()) {
 				if n > 0 {
 					used[what] += 1 / float64(n)
@@ -217,7 +217,7 @@
 	for i, p := range living {
 		var got []string
 		var v uint64
-		p.Run.See(func(d *membership.Detector) {
+		p.Run.WithDetector(func(d *membership.Detector) {
 			v = d.View()
 			for _, m := range d.All() {
 				if m.State == membership.Alive {
@@ -282,7 +282,7 @@
 // Sent is what all processes that live have sent, datagrams and bytes.
 func (c *Circle) Sent() (datagrams, bytes uint64) {
 	for _, p := range c.Living() {
-		p.Run.See(func(d *membership.Detector) {
+		p.Run.WithDetector(func(d *membership.Detector) {
 			datagrams += d.Stats.Sent
 			bytes += d.Stats.Bytes
 		})
--- a/internal/lab/circle/circle_test.go
+++ b/internal/lab/circle/circle_test.go
@@ -83,7 +83,7 @@
 				c := begun(t, 3, n)
 				p := c.All[n-1]
 				var least float64
-				p.Run.See(func(d *membership.Detector) { least, _ = d.Bounds() })
+				p.Run.WithDetector(func(d *membership.Detector) { least, _ = d.Bounds() })
 				p.Pause()
 				from := c.Clock.True()
 				c.Pass(ms)
@@ -213,11 +213,11 @@
 func TestLeaves(t *testing.T) {
 	c := begun(t, 8, 9)
 	p := c.All[5]
-	p.Run.End()
+	p.Run.Stop()
 	p.Kill()
 	c.Pass(1500)
 	for _, q := range c.Living() {
-		q.Run.See(func(d *membership.Detector) {
+		q.Run.WithDetector(func(d *membership.Detector) {
 			for _, m := range d.All() {
 				if m.Name == p.Name && m.State != membership.Left {
 					t.Errorf("%s holds it for %s", q.Name, m.State)
@@ -265,7 +265,7 @@
 	c.Pass(500)
 	p.Start()
 	settles(t, c, 8000)
-	p.Run.See(func(d *membership.Detector) {
+	p.Run.WithDetector(func(d *membership.Detector) {
 		if d.Life() <= 4 {
 			t.Errorf("it goes on as life %d", d.Life())
 		}
@@ -281,7 +281,7 @@
 	if c.All[2].TakenBy != "twin:1" || twin.TakenBy != "" {
 		t.Errorf("the first is told of %q, the second of %q", c.All[2].TakenBy, twin.TakenBy)
 	}
-	c.All[2].Run.See(func(d *membership.Detector) {
+	c.All[2].Run.WithDetector(func(d *membership.Detector) {
 		if !d.Taken() {
 			t.Error("the first goes on under a name that is another's")
 		}
@@ -324,7 +324,7 @@
 	settles(t, c, 1000)
 	foreign := uint64(0)
 	for _, p := range c.All {
-		p.Run.See(func(d *membership.Detector) {
+		p.Run.WithDetector(func(d *membership.Detector) {
 			foreign += d.Stats.Foreign
 			if len(d.All()) != 4 {
 				t.Errorf("%s knows of %d", p.Name, len(d.All()))
@@ -438,7 +438,7 @@
 			}
 			c.Pass(1000)
 		}
-		c.All[0].Run.See(func(d *membership.Detector) {
+		c.All[0].Run.WithDetector(func(d *membership.Detector) {
 			if n, _ := d.Sharers(c.All[0].P.Now()); n != 2 && !taken || n == 2 && taken {
 				t.Errorf("replays taken %t: %d share", taken, n)
 			}
--- a/internal/lab/circle/play.go
+++ b/internal/lab/circle/play.go
@@ -190,7 +190,7 @@
 		later(func() { c.lanes(from, sim.Lane{}) })
 	case 8: // one leaves on purpose
 		if p.Dead == 0 && !p.Paused {
-			p.Run.End()
+			p.Run.Stop()
 			p.Kill()
 			later(func() {
 				if p.Dead > 0 {
@@ -234,7 +234,7 @@
 
 // bounds are those of a suspicion now.
 func (c *Circle) bounds() (least, most float64) {
-	c.Living()[0].Run.See(func(d *membership.Detector) { least, most = d.Bounds() })
+	c.Living()[0].Run.WithDetector(func(d *membership.Detector) { least, most = d.Bounds() })
 	return
 }
 
--- a/internal/lab/clubs/removals.go
+++ b/internal/lab/clubs/removals.go
@@ -262,7 +262,7 @@
 
 func (p *removing) with(do func(st *tenants.Store) error) error {
 	var st *tenants.Store
-	err := bolt.Unheld(context.Background(), 100, func() (err error) { st, err = tenants.Open(p.state(), p.Rounds*p.Each); return err })
+	err := bolt.RetryWhileLocked(context.Background(), 100, func() (err error) { st, err = tenants.Open(p.state(), p.Rounds*p.Each); return err })
 	if err != nil {
 		return err
 	}
--- a/internal/lab/cores/check.go
+++ b/internal/lab/cores/check.go
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	l := state.NewList()
+	l := state.NewNodeList()
 	if err := l.Begin(list.KindFull, 1); err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 		})
 	}
 	l.End()
-	if err := f.SaveList(l.Text()); err != nil {
+	if err := f.SaveList(l.Encode()); err != nil {
 		return err
 	}
 	return f.Close()
--- a/internal/lab/council/council.go
+++ b/internal/lab/council/council.go
@@ -110,31 +110,31 @@
 // Deaf hears of no member and of no node.
 type Deaf struct{}
 
-// Changed hears nothing.
-func (Deaf) Changed(float64, membership.Member, membership.State) {}
+// OnChange hears nothing.
+func (Deaf) OnChange(float64, membership.Member, membership.State) {}
 
-// Taken hears nothing.
-func (Deaf) Taken(float64, string) {}
+// OnNameTaken hears nothing.
+func (Deaf) OnNameTaken(float64, string) {}
 
-// Hears hears of no node.
-func (Deaf) Hears(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
+// LastHeard hears of no node.
+func (Deaf) LastHeard(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
 
 // Begin begins the members and the control of a scheduler's life in a process of its name; disk is nil unless it is a steward.
-func Begin(p *sim.Process, seed uint64, who consensus.Config, disk *Disk, site control.Site) (*control.Runner, error) {
+func Begin(p *sim.Process, seed uint64, who consensus.Config, disk *Disk, site control.ZoneConfig) (*control.Runner, error) {
 	var seeds []string
 	for _, s := range who.Voters {
 		seeds = append(seeds, s+":7")
 	}
-	m, err := members.Begin(p, p.Name+":7", membership.Config{Site: "lab", Name: p.Name, Address: p.Name + ":7", Life: who.Life, Key: []byte("a key"), Seeds: seeds, Seed: seed}, Deaf{})
+	m, err := members.Start(p, p.Name+":7", membership.Config{Site: "lab", Name: p.Name, Address: p.Name + ":7", Life: who.Incarnation, Key: []byte("a key"), Seeds: seeds, Seed: seed}, Deaf{})
 	if err != nil {
 		return nil, err
 	}
-	var d control.Disk
+	var d control.Storage
 	if disk != nil {
 		d = disk
 	}
 	who.Name, who.Seed = p.Name, seed+1
-	return control.Begin(p, zerolog.Nop(), m, who, d, site)
+	return control.Start(p, zerolog.Nop(), m, who, d, site)
 }
 
 // Play plays a seed.
@@ -180,7 +180,7 @@
 	}
 	if g.v.Broken == "" {
 		for _, x := range g.procs {
-			if b := x.r.View().Book; b.Now() > 0 {
+			if b := x.r.View().State; b.Now() > 0 {
 				for _, y := range g.procs {
 					if p, ok := b.Process(y.name); !ok || p.Incarnation != y.life {
 						g.fail(fmt.Sprintf("%s holds %s in life %d, it acts in %d", x.name, y.name, p.Incarnation, y.life))
@@ -201,7 +201,7 @@
 func (g *play) all() (s string) {
 	for _, x := range g.procs {
 		if x.r != nil {
-			s += fmt.Sprintf(" %s version %d sure %.0f", x.name, x.r.View().Book.Version(), x.r.View().Sure-x.p.Now())
+			s += fmt.Sprintf(" %s version %d sure %.0f", x.name, x.r.View().State.Version(), x.r.View().LeaseExpiry-x.p.Now())
 		}
 	}
 	return s
@@ -212,8 +212,8 @@
 	x.life++
 	x.held = 0
 	var err error
-	who := consensus.Config{Zone: "z" + x.name[1:], Life: x.life, Voters: x.g.names, Faults: x.g.plant}
-	if x.r, err = Begin(x.p, x.g.rng.Uint64(), who, x.disk, control.Site{}); err != nil {
+	who := consensus.Config{Zone: "z" + x.name[1:], Incarnation: x.life, Voters: x.g.names, Faults: x.g.plant}
+	if x.r, err = Begin(x.p, x.g.rng.Uint64(), who, x.disk, control.ZoneConfig{}); err != nil {
 		x.g.fail(err.Error())
 	}
 }
@@ -239,13 +239,13 @@
 	}
 	g.v.Commands++
 	zone, to := "z"+fmt.Sprint(g.rng.IntN(len(g.procs))), clusterstate.ZoneState(g.rng.IntN(4))
-	b := x.r.View().Book
+	b := x.r.View().State
 	z := b.Zone(zone)
 	now := x.p.Now()
-	x.r.Ask(func(c *consensus.Replica) {
+	x.r.Enqueue(func(c *consensus.Replica) {
 		c.SetResultHandler(func(uint64, clusterstate.Refusal) { g.v.Answered++ })
 		c.Propose(func(b []byte, number uint64) []byte {
-			return codec.AppendCommand(b, x.name, c.Life(), number, now, codec.CommandSetZoneState, zone, "", "", z.Version, uint32(to), "seed")
+			return codec.AppendCommand(b, x.name, c.Incarnation(), number, now, codec.CommandSetZoneState, zone, "", "", z.Version, uint32(to), "seed")
 		})
 	})
 }
@@ -374,12 +374,12 @@
 			continue
 		}
 		view := x.r.View()
-		v := view.Book.Version()
+		v := view.State.Version()
 		if v < x.held {
 			g.fail(fmt.Sprintf("%s went back from version %d to %d", x.name, x.held, v))
 		}
 		if x.held = v; v > 0 {
-			text := view.Book.Snapshot()
+			text := view.State.Snapshot()
 			if was, ok := g.agreed[v]; ok && !bytes.Equal(was, text) {
 				g.fail(fmt.Sprintf("%s holds another book of version %d than was held before", x.name, v))
 			}
@@ -389,7 +389,7 @@
 				g.v.Versions = v
 			}
 		}
-		if x.p.Now() < view.Sure { // it holds all that was held anywhere before its lease began
+		if x.p.Now() < view.LeaseExpiry { // it holds all that was held anywhere before its lease began
 			for k := len(g.first) - 1; k >= 0; k-- {
 				if m := g.first[k]; m.at < now-stale {
 					if m.version > v {
@@ -436,7 +436,7 @@
 	}
 	sum := func(by float64) {
 		for i, x := range g.procs {
-			x.r.Ask(func(k *consensus.Replica) {
+			x.r.Enqueue(func(k *consensus.Replica) {
 				m, b, w := by*float64(k.Stats.Messages), by*float64(k.Stats.Bytes), by*float64(k.Stats.Writes)
 				if i < len(g.names) {
 					c.Steward, c.StewardBytes, c.Writes = c.Steward+m, c.StewardBytes+b, c.Writes+w
--- a/internal/lab/scale/hollow/schedulers.go
+++ b/internal/lab/scale/hollow/schedulers.go
@@ -116,7 +116,7 @@
 	if len(seeds) == 0 { // the first of all asks nobody but itself
 		seeds = []string{"127.0.0.1:1"}
 	}
-	run, err := members.Begin(s.world, listen, membership.Config{
+	run, err := members.Start(s.world, listen, membership.Config{
 		Site: h.Site, Name: s.name, Life: incarnation, Key: []byte(h.Key), Seeds: seeds,
 		Seed: h.Seed*10_007 + uint64(number), Place: h.First + number, Places: h.Places, Window: coldWindowMs,
 	}, hearsNothing{})
@@ -125,16 +125,16 @@
 	}
 	s.members = run
 	zone := number % h.Zones
-	who := consensus.Config{Name: s.name, Zone: ZoneName(zone), Region: RegionName(zone, h.Regions), Life: incarnation, Voters: VoterNames(), Seed: h.Seed + uint64(number)}
-	var disk control.Disk
+	who := consensus.Config{Name: s.name, Zone: ZoneName(zone), Region: RegionName(zone, h.Regions), Incarnation: incarnation, Voters: VoterNames(), Seed: h.Seed + uint64(number)}
+	var disk control.Storage
 	if number < Seeds {
 		disk = &h.disks[number]
 	}
-	site := control.Site{}
+	site := control.ZoneConfig{}
 	for zone := range h.Zones {
 		site.Zones = append(site.Zones, ZoneName(zone))
 	}
-	if s.control, err = control.Begin(s.world, zerolog.Nop(), run, who, disk, site); err != nil {
+	if s.control, err = control.Start(s.world, zerolog.Nop(), run, who, disk, site); err != nil {
 		return nil, err
 	}
 	outside.Every(h.world, reportEachMs, s.report)
@@ -176,16 +176,16 @@
 func (s *scheduler) end() {
 	s.world.silent.Store(true)
 	close(s.ended)
-	s.control.End()
-	s.members.End()
+	s.control.Stop()
+	s.members.Stop()
 }
 
 // hearsNothing is told of changes by the detector; orders ask it instead.
 type hearsNothing struct{}
 
-func (hearsNothing) Changed(float64, membership.Member, membership.State) {}
-func (hearsNothing) Taken(float64, string)                                {}
-func (hearsNothing) Hears(uint32) (uint64, float64, bool)                 { return 0, 0, false }
+func (hearsNothing) OnChange(float64, membership.Member, membership.State) {}
+func (hearsNothing) OnNameTaken(float64, string)                           {}
+func (hearsNothing) LastHeard(uint32) (uint64, float64, bool)              { return 0, 0, false }
 
 func (h *schedulerHost) do(order Order) (Reply, error) {
 	h.mu.Lock()
@@ -230,12 +230,12 @@
 }
 
 func known(s *scheduler) (alive int) {
-	s.members.See(func(d *membership.Detector) { alive, _, _, _ = d.Count() })
+	s.members.WithDetector(func(d *membership.Detector) { alive, _, _, _ = d.Count() })
 	return alive
 }
 
 func (s *scheduler) holds(name, state string) (is bool) {
-	s.members.See(func(d *membership.Detector) {
+	s.members.WithDetector(func(d *membership.Detector) {
 		for _, m := range d.All() {
 			if m.Name == name {
 				is = m.State.String() == state
@@ -246,6 +246,6 @@
 }
 
 func (s *scheduler) zoneIs(name, state string) bool {
-	var is clusterstate.ZoneState = s.control.View().Book.Zone(name).State
+	var is clusterstate.ZoneState = s.control.View().State.Zone(name).State
 	return is.String() == state
 }
--- a/internal/lab/scale/regions/heal.go
+++ b/internal/lab/scale/regions/heal.go
@@ -46,7 +46,7 @@
 	var view uint64
 	for i, p := range s.processes {
 		agrees := false
-		p.members.See(func(d *membership.Detector) {
+		p.members.WithDetector(func(d *membership.Detector) {
 			if i == 0 {
 				view = d.View()
 			}
@@ -64,10 +64,10 @@
 }
 
 func (s *site) stateAgrees() bool {
-	version := s.processes[0].control.View().Book.Version()
+	version := s.processes[0].control.View().State.Version()
 	for _, p := range s.processes {
 		view := p.control.View()
-		if view.Book.Version() != version || p.world.Now() >= view.Sure {
+		if view.State.Version() != version || p.world.Now() >= view.LeaseExpiry {
 			return false
 		}
 	}
@@ -78,7 +78,7 @@
 	if !s.stateAgrees() {
 		return false
 	}
-	b := s.processes[0].control.View().Book
+	b := s.processes[0].control.View().State
 	for _, z := range s.zones {
 		if b.Zone(z.name).State != clusterstate.Open {
 			return false
@@ -91,6 +91,6 @@
 	if s.restarted == nil {
 		return false
 	}
-	p, ok := s.processes[0].control.View().Book.Process(s.restarted.name)
+	p, ok := s.processes[0].control.View().State.Process(s.restarted.name)
 	return ok && p.Incarnation == s.restarted.incarnation && !p.Inactive
 }
--- a/internal/lab/scale/regions/process.go
+++ b/internal/lab/scale/regions/process.go
@@ -67,19 +67,19 @@
 		seeds = append(seeds, name+memberPort)
 	}
 	var err error
-	p.members, err = members.Begin(p.world, p.name+memberPort, membership.Config{
+	p.members, err = members.Start(p.world, p.name+memberPort, membership.Config{
 		Site: "lab", Name: p.name, Address: p.name + memberPort, Life: p.incarnation, Key: memberKey, Seeds: seeds, Seed: p.site.rng.Uint64(),
 		Place: p.index, Places: len(p.site.processes), Window: windowOfCold, Open: openFor,
 	}, listener{p})
 	if err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
-	var disk control.Disk
+	var disk control.Storage
 	if p.disk != nil {
 		disk = p.disk
 	}
-	p.control, err = control.Begin(p.world, zerolog.Nop(), p.members, consensus.Config{
-		Name: p.name, Zone: p.zone.name, Region: regionName(p.zone.region), Life: p.incarnation, Voters: p.site.voters, Seed: p.site.rng.Uint64(),
+	p.control, err = control.Start(p.world, zerolog.Nop(), p.members, consensus.Config{
+		Name: p.name, Zone: p.zone.name, Region: regionName(p.zone.region), Incarnation: p.incarnation, Voters: p.site.voters, Seed: p.site.rng.Uint64(),
 	}, disk, p.site.verdicts())
 	if err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
@@ -105,7 +105,7 @@
 // stick plants a fault: a carrier that puts messages down and never takes them up.
 func (p *process) stick() {
 	p.hoard = &hoarder{}
-	p.members.See(func(d *membership.Detector) { d.Carries(p.hoard) })
+	p.members.WithDetector(func(d *membership.Detector) { d.Carries(p.hoard) })
 }
 
 // senseLater looks at the zones again and again until the process is killed.
@@ -131,7 +131,7 @@
 	p.control.Report(sums)
 	p.tellNodes(silent)
 	view, now := p.control.View(), p.world.Now()
-	p.reach.Look(now, view.Book, now < view.Sure, sums, 0, nil, view.Book.ActiveProcesses(p.zone.name))
+	p.reach.Look(now, view.State, now < view.LeaseExpiry, sums, 0, nil, view.State.ActiveProcesses(p.zone.name))
 }
 
 // tellNodes tells the detector which nodes are lost, or back, when that has changed.
@@ -140,7 +140,7 @@
 		return
 	}
 	p.silent = silent
-	p.members.See(func(d *membership.Detector) {
+	p.members.WithDetector(func(d *membership.Detector) {
 		for i, z := range p.site.zones {
 			for n := range nodesLookedAt {
 				node := uint32(i*nodesLookedAt + n)
@@ -158,9 +158,9 @@
 
 // propose brings in a command that changes nothing but the state's version: that this process acts as it does.
 func (p *process) propose() {
-	p.control.Ask(func(c *consensus.Replica) {
+	p.control.Enqueue(func(c *consensus.Replica) {
 		number := c.Propose(func(b []byte, number uint64) []byte {
-			return codec.AppendCommand(b, p.name, c.Life(), number, p.world.Now(), codec.CommandActivate, p.name, p.zone.name, regionName(p.zone.region), 0, 0, "")
+			return codec.AppendCommand(b, p.name, c.Incarnation(), number, p.world.Now(), codec.CommandActivate, p.name, p.zone.name, regionName(p.zone.region), 0, 0, "")
 		})
 		if number == 0 {
 			p.refused++
@@ -171,14 +171,14 @@
 // listener hears what members tell.
 type listener struct{ *process }
 
-// Changed hears nothing: views are read when they are compared.
-func (listener) Changed(float64, membership.Member, membership.State) {}
+// OnChange hears nothing: views are read when they are compared.
+func (listener) OnChange(float64, membership.Member, membership.State) {}
 
-// Taken hears nothing: no name is taken twice.
-func (listener) Taken(float64, string) {}
+// OnNameTaken hears nothing: no name is taken twice.
+func (listener) OnNameTaken(float64, string) {}
 
-// Hears is what this process hears of a node.
-func (l listener) Hears(node uint32) (life uint64, heard float64, ok bool) {
+// LastHeard is what this process hears of a node.
+func (l listener) LastHeard(node uint32) (life uint64, heard float64, ok bool) {
 	at := int(node) / nodesLookedAt
 	if at >= len(l.site.zones) {
 		return 0, 0, false
@@ -205,7 +205,7 @@
 }
 
 // verdicts is what the verdicts on zones rest on: zones of one region are near.
-func (s *site) verdicts() control.Site {
+func (s *site) verdicts() control.ZoneConfig {
 	regions := map[string]int{}
 	var names []string
 	for _, z := range s.zones {
@@ -218,7 +218,7 @@
 		}
 		return regionsApart
 	}
-	return control.Site{Zones: names, Far: far}
+	return control.ZoneConfig{Zones: names, Latency: far}
 }
 
 func regionName(region int) string { return fmt.Sprintf("region-%d", region+1) }
--- a/internal/lab/scale/regions/reading.go
+++ b/internal/lab/scale/regions/reading.go
@@ -109,7 +109,7 @@
 func (p *process) read(r *Reading) {
 	r.Process = p.name
 	view := p.control.View()
-	r.Version, r.LeaseValid = view.Book.Version(), p.world.Now() < view.Sure
+	r.Version, r.LeaseValid = view.State.Version(), p.world.Now() < view.LeaseExpiry
 	p.readMembers(r)
 	if p.disk != nil {
 		r.Sizes[DiskEntries], r.Sizes[DiskBytes] = p.disk.size()
@@ -118,7 +118,7 @@
 }
 
 func (p *process) readMembers(r *Reading) {
-	p.members.See(func(d *membership.Detector) {
+	p.members.WithDetector(func(d *membership.Detector) {
 		f := d.Footprint()
 		r.Sizes[Members], r.Sizes[MemberBytes], r.Sizes[Accusers] = f.Members, f.MemberBytes, f.Accusers
 		r.Sizes[Timers] = f.Timers
--- a/internal/lab/scale/regions/regions.go
+++ b/internal/lab/scale/regions/regions.go
@@ -164,7 +164,7 @@
 	until := min(s.config.Absent, from+fillAtOnce)
 	led := false
 	for _, p := range s.processes[:s.config.Voters] {
-		p.control.Ask(func(c *consensus.Replica) {
+		p.control.Enqueue(func(c *consensus.Replica) {
 			if !c.IsLeader() {
 				return
 			}
--- a/internal/lab/sim/disk.go
+++ b/internal/lab/sim/disk.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// Show replaces a file that nothing rests on.
-func (d *Disk) Show(name string, text []byte) error {
+// WriteUnsynced replaces a file that nothing rests on.
+func (d *Disk) WriteUnsynced(name string, text []byte) error {
 	d.files[name] = append([]byte(nil), text...)
 	return nil
 }
--- a/internal/lab/sim/play.go
+++ b/internal/lab/sim/play.go
@@ -251,7 +251,7 @@
 		s.disk.Lazy = st.plant.Lazy
 		s.clubs = newClubs(st)
 		if !st.Cold {
-			if err := state.On(s.disk).SaveList(st.known()); err != nil {
+			if err := state.NewFolder(s.disk).SaveList(st.known()); err != nil {
 				return err
 			}
 		}
@@ -284,7 +284,7 @@
 
 // known is the list as it is at the beginning.
 func (st *stage) known() []byte {
-	l := state.NewList()
+	l := state.NewNodeList()
 	if l.Begin(list.KindFull, 0) != nil {
 		return nil
 	}
@@ -295,7 +295,7 @@
 		})
 	}
 	l.End()
-	return l.Text()
+	return l.Encode()
 }
 
 func (st *stage) record(r *audit.Record) {
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -144,14 +144,14 @@
 	for _, z := range all {
 		names = append(names, z.Name)
 	}
-	site := control.Site{Zones: names, Far: func(from, to string) float64 {
+	site := control.ZoneConfig{Zones: names, Latency: func(from, to string) float64 {
 		if (from < "c") == (to < "c") {
 			return 1
 		}
 		return 10
 	}, Judge: zones.Judge{Alone: g.plant.Alone}}
 	var err error
-	who := consensus.Config{Zone: x.zone, Life: x.life, Voters: g.names}
+	who := consensus.Config{Zone: x.zone, Incarnation: x.life, Voters: g.names}
 	if x.r, err = lab.Begin(x.p, g.rng.Uint64(), who, x.disk, site); err != nil {
 		g.fail(err.Error())
 		return
@@ -208,17 +208,17 @@
 			continue
 		}
 		view := x.r.View()
-		sure := x.p.Now() < view.Sure
+		sure := x.p.Now() < view.LeaseExpiry
 		sums := x.sums()
 		if x.sure { // what it sent to when it was sure last
 			x.surely = x.parts
 		}
 		x.sure = sure
 		was := x.surely
-		x.parts = x.reach.Look(x.p.Now(), view.Book, sure, sums, 0, x.own, view.Book.ActiveProcesses(x.zone))
-		if g.plant.Uncapped && sure && view.Book.Zone(x.zone).State == clusterstate.Closed {
+		x.parts = x.reach.Look(x.p.Now(), view.State, sure, sums, 0, x.own, view.State.ActiveProcesses(x.zone))
+		if g.plant.Uncapped && sure && view.State.Zone(x.zone).State == clusterstate.Closed {
 			for z := range x.parts {
-				if view.Book.Zone(z).State == clusterstate.Open {
+				if view.State.Zone(z).State == clusterstate.Open {
 					x.parts[z] = 1
 				}
 			}
@@ -257,9 +257,9 @@
 		if at, ok := g.shut[z.Name]; ok && part > 0 && g.c.True()-at > stale && (sure || z.Name != x.zone && was[z.Name] == 0) {
 			g.fail(fmt.Sprintf("%s of %s sends to %s, closed for %.0f ms; sure %v", x.name, x.zone, z.Name, g.c.True()-at, sure))
 		}
-		plan, _ := view.Book.Plan()
-		if home := view.Book.Zone(x.zone); home.State == clusterstate.Closed && plan > home.Version && z.Name != x.zone && part > 0 { // it keeps to its share
-			if most := float64(view.Book.Share(x.zone, z.Name)) / float64(view.Book.ActiveProcesses(x.zone)); x.own[z.Name] > most {
+		plan, _ := view.State.Plan()
+		if home := view.State.Zone(x.zone); home.State == clusterstate.Closed && plan > home.Version && z.Name != x.zone && part > 0 { // it keeps to its share
+			if most := float64(view.State.Share(x.zone, z.Name)) / float64(view.State.ActiveProcesses(x.zone)); x.own[z.Name] > most {
 				g.fail(fmt.Sprintf("%s of %s uses %.0f cores of %s, its share is %.0f, and sends more", x.name, x.zone, x.own[z.Name], z.Name, most))
 			}
 		}
@@ -274,8 +274,8 @@
 	now := g.c.True()
 	var newest *clusterstate.State
 	for _, x := range g.procs {
-		if x.r != nil && (newest == nil || x.r.View().Book.Version() > newest.Version()) {
-			newest = x.r.View().Book
+		if x.r != nil && (newest == nil || x.r.View().State.Version() > newest.Version()) {
+			newest = x.r.View().State
 		}
 	}
 	if newest == nil {
@@ -314,7 +314,7 @@
 // left tells whether all who run and are not cut off with a zone send nothing there.
 func (g *play) left(zone string) bool {
 	for _, x := range g.procs {
-		knows := x.r != nil && !x.p.Paused() && x.r.View().Book.Version() > 0 // who has just begun hears of it first
+		knows := x.r != nil && !x.p.Paused() && x.r.View().State.Version() > 0 // who has just begun hears of it first
 		if knows && !(x.zone == zone && !g.dead[zone]) && x.parts[zone] > 0 {
 			return false
 		}
@@ -326,7 +326,7 @@
 // sends tells whether all send to their own zones again, wholly.
 func (g *play) sends() bool {
 	for _, x := range g.procs {
-		if x.r == nil || x.parts[x.zone] < 1 || x.p.Now() >= x.r.View().Sure {
+		if x.r == nil || x.parts[x.zone] < 1 || x.p.Now() >= x.r.View().LeaseExpiry {
 			return false
 		}
 	}
@@ -360,7 +360,7 @@
 func (g *play) leads(f func(x *proc)) {
 	for _, x := range g.procs {
 		if x.r != nil && x.disk != nil {
-			x.r.Ask(func(c *consensus.Replica) {
+			x.r.Enqueue(func(c *consensus.Replica) {
 				if c.IsLeader() {
 					f(x)
 				}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -14,66 +14,66 @@
 // No datagram that the codec makes is too long for a world's port: this does not compile else.
 const _ = uint(outside.MaxDatagram - codec.MaxDatagramBytes)
 
-// Told hears of changes, one call at a time, and must not wait.
-type Told interface {
-	Changed(now float64, m membership.Member, was membership.State)
-	Taken(now float64, address string)
-	// Hears is what this process hears of a node: its life, and when last.
-	Hears(node uint32) (life uint64, heard float64, ok bool)
+// EventHandler hears of changes, one call at a time, and must not wait.
+type EventHandler interface {
+	OnChange(now float64, m membership.Member, was membership.State)
+	OnNameTaken(now float64, address string)
+	// LastHeard is what this process hears of a node: its life, and when last.
+	LastHeard(node uint32) (life uint64, heard float64, ok bool)
 }
 
 // Runner is a detector that runs.
 type Runner struct {
-	w       outside.Environment
-	told    Told
-	port    outside.PacketConn
-	address string
-	loop    outside.Loop
-
-	mu   sync.Mutex
-	d    *membership.Detector
-	over bool
+	environment outside.Environment
+	handler     EventHandler
+	port        outside.PacketConn
+	address     string
+	loop        outside.Loop
+
+	mu       sync.Mutex
+	detector *membership.Detector
+	stopped  bool
 }
 
-// Begin opens the port for datagrams at the charter's address and runs a detector there until End.
+// Start opens the port for datagrams at the charter's address and runs a detector there until End.
 // It is opened at another address if one is given, as where others reach it by a way round.
-func Begin(w outside.Environment, listen string, who membership.Config, told Told) (*Runner, error) {
-	r := &Runner{w: w, told: told}
+func Start(environment outside.Environment, listen string, config membership.Config, handler EventHandler) (*Runner, error) {
+	r := &Runner{environment: environment, handler: handler}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	port, err := w.ListenPacket(listen, r.heard)
+	port, err := environment.ListenPacket(listen, r.onDatagram)
 	if err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	r.port = port
-	if who.Address == "" { // where a port was left to the machine, the others are told which it is
-		who.Address = port.Address()
+	if config.Address == "" { // where a port was left to the machine, the others are told which it is
+		config.Address = port.Address()
 	}
-	r.address = who.Address
-	r.d = membership.New(edge{r}, w.Now(), who)
-	r.loop = w.StartLoop(r.turn)
+	r.address = config.Address
+	r.detector = membership.New(effects{r}, environment.Now(), config)
+	r.loop = environment.StartLoop(r.step)
 	return r, nil
 }
 
-func (r *Runner) turn() (wait float64) {
+func (r *Runner) step() (wait float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over {
+	if r.stopped {
 		return -1
 	}
-	r.d.Tick(r.w.Now())
-	return max(0.1, r.d.Next()-r.w.Now())
+	r.detector.Tick(r.environment.Now())
+	return max(0.1, r.detector.Next()-r.environment.Now())
 }
 
-func (r *Runner) heard(b []byte) {
+func (r *Runner) onDatagram(datagram []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over {
+	if r.stopped {
 		return
 	}
-	before := r.d.Next()
-	r.d.Heard(r.w.Now(), b)
-	if r.d.Next() < before {
+	before := r.detector.Next()
+	r.detector.Heard(r.environment.Now(), datagram)
+	if r.detector.Next() < before {
 		r.loop.Wake()
 	}
 }
@@ -81,31 +81,35 @@
 // Address is where others reach it.
 func (r *Runner) Address() string { return r.address }
 
-// See calls f with the detector, which is f's for the call alone.
-func (r *Runner) See(f func(d *membership.Detector)) {
+// WithDetector calls f with the detector, which is f's for the call alone.
+func (r *Runner) WithDetector(f func(d *membership.Detector)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(r.d)
+	f(r.detector)
 }
 
-// End tells the others that this process leaves, and ends.
-func (r *Runner) End() {
+// Stop tells the others that this process leaves, and ends.
+func (r *Runner) Stop() {
 	r.mu.Lock()
-	if !r.over {
-		r.d.Leave(r.w.Now())
-		r.over = true
+	if !r.stopped {
+		r.detector.Leave(r.environment.Now())
+		r.stopped = true
 	}
 	r.mu.Unlock()
 	r.port.StopAccepting()
 	r.loop.Wake()
 }
 
-type edge struct{ *Runner }
+type effects struct{ *Runner }
 
-func (e edge) Send(address string, b []byte) { e.port.Send(address, b) }
+func (e effects) Send(address string, b []byte) { e.port.Send(address, b) }
 
-func (e edge) Changed(m membership.Member, was membership.State) { e.told.Changed(e.w.Now(), m, was) }
+func (e effects) Changed(m membership.Member, was membership.State) {
+	e.handler.OnChange(e.environment.Now(), m, was)
+}
 
-func (e edge) Hears(node uint32) (life uint64, heard float64, ok bool) { return e.told.Hears(node) }
+func (e effects) Hears(node uint32) (life uint64, heard float64, ok bool) {
+	return e.handler.LastHeard(node)
+}
 
-func (e edge) Taken(address string) { e.told.Taken(e.w.Now(), address) }
+func (e effects) Taken(address string) { e.handler.OnNameTaken(e.environment.Now(), address) }
--- a/internal/serve/book.go
+++ b/internal/serve/book.go
@@ -20,26 +20,26 @@
 	if len(place.Members.Voters) == 0 {
 		return nil
 	}
-	who := consensus.Config{Name: s.who.Name, Zone: s.who.Zone, Life: s.circle.life, Voters: place.Members.Voters, Seed: s.who.Seed}
+	who := consensus.Config{Name: s.who.Name, Zone: s.who.Zone, Incarnation: s.circle.life, Voters: place.Members.Voters, Seed: s.who.Seed}
 	switch at := slices.Index(place.Zones, s.who.Zone); {
 	case at >= 0:
 		who.Region = place.Regions[at]
 	case s.who.Zone != "":
 		return fmt.Errorf("zone %q: the site file has %q", s.who.Zone, place.Zones)
 	}
-	var disk control.Disk
+	var disk control.Storage
 	steward := slices.Contains(who.Voters, who.Name)
 	if steward {
 		open := s.who.Steward
 		if open == nil {
-			open = func() (control.Disk, error) { return store.Open(s.who.Folder, place.Name) }
+			open = func() (control.Storage, error) { return store.Open(s.who.Folder, place.Name) }
 		}
 		var err error
 		if disk, err = open(); err != nil {
 			return err
 		}
 	}
-	run, err := control.Begin(s.w, s.log, s.circle.run, who, disk, s.zonesOf(place))
+	run, err := control.Start(s.w, s.log, s.circle.run, who, disk, s.zonesOf(place))
 	if err != nil {
 		return err
 	}
@@ -57,13 +57,13 @@
 	}
 	view := s.control.View()
 	b := &Book{
-		Version: view.Book.Version(), Digest: fmt.Sprintf("%016x", xxhash.Sum64(view.Book.Snapshot())), Sure: (view.Sure - now) / 1000,
+		Version: view.State.Version(), Digest: fmt.Sprintf("%016x", xxhash.Sum64(view.State.Snapshot())), Sure: (view.LeaseExpiry - now) / 1000,
 		Zones: map[string]string{},
 	}
-	if p, ok := view.Book.Process(s.who.Name); ok {
+	if p, ok := view.State.Process(s.who.Name); ok {
 		b.Epoch = p.Epoch
 	}
-	for _, z := range view.Book.Zones() {
+	for _, z := range view.State.Zones() {
 		b.Zones[z.Name] = z.State.String()
 	}
 	b.Uses, b.Level = s.zones.shown()
@@ -71,7 +71,7 @@
 	c.mu.Lock()
 	b.Steward, b.Leads, b.Halted, b.Figures = c.council.Steward, c.council.Leads, c.council.Halted, c.council.Figures
 	c.mu.Unlock()
-	s.control.Ask(func(k *consensus.Replica) {
+	s.control.Enqueue(func(k *consensus.Replica) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.council = Book{Steward: slices.Contains(s.who.Place.Members.Voters, s.who.Name), Leads: k.IsLeader(), Halted: k.HaltReason(), Figures: k.Stats}
--- a/internal/serve/book_test.go
+++ b/internal/serve/book_test.go
@@ -24,7 +24,7 @@
 	server := <-local
 	s.load(5000, 60, "0001112")
 	stands, goes := make(chan bool), make(chan bool)
-	server.control.Ask(func(*consensus.Replica) { close(stands); <-goes })
+	server.control.Enqueue(func(*consensus.Replica) { close(stands); <-goes })
 	<-stands
 	began := s.w.Now()
 	s.load(2500, 60, "0001112")
@@ -42,8 +42,8 @@
 	if served < 60 || served < asked*9/10 {
 		t.Errorf("%d of %d were served while control stood still", served, asked)
 	}
-	if view.Book.Version() != 0 || view.Sure > server.w.Now() {
-		t.Errorf("sure of version %d without the other stewards, for %g", view.Book.Version(), view.Sure)
+	if view.State.Version() != 0 || view.LeaseExpiry > server.w.Now() {
+		t.Errorf("sure of version %d without the other stewards, for %g", view.State.Version(), view.LeaseExpiry)
 	}
 	if parts, _ := server.zones.shown(); len(parts) != len(place.Zones) || parts[place.Zones[1]] != 1 {
 		t.Errorf("without a book it sends to %v", parts)
--- a/internal/serve/hosting.go
+++ b/internal/serve/hosting.go
@@ -68,7 +68,7 @@
 	if s.who.Clubs == nil {
 		s.who.Clubs = func() (Clubs, error) { return tenants.Open(s.who.Folder, s.who.Place.MaxHostedTenants) }
 	}
-	if err := bolt.Unheld(context.Background(), atStart, s.clubsOnce); err != nil { // a store that is damaged is to be seen at the start
+	if err := bolt.RetryWhileLocked(context.Background(), atStart, s.clubsOnce); err != nil { // a store that is damaged is to be seen at the start
 		return err
 	}
 	s.every(lookClubs, func() {
@@ -85,7 +85,7 @@
 // clubsLook looks once and logs a fault when it is a new one; what was known holds meanwhile.
 func (s *Server) clubsLook() {
 	fault := ""
-	if err := s.clubsOnce(); err != nil && !errors.Is(err, bolt.ErrHeld) {
+	if err := s.clubsOnce(); err != nil && !errors.Is(err, bolt.ErrLocked) {
 		fault = err.Error()
 	}
 	if fault != "" && fault != s.clubs.fault {
--- a/internal/serve/hosting_test.go
+++ b/internal/serve/hosting_test.go
@@ -32,7 +32,7 @@
 	with = func(do func(st *tenants.Store)) {
 		for {
 			st, err := tenants.Open(folder, 4)
-			if errors.Is(err, bolt.ErrHeld) {
+			if errors.Is(err, bolt.ErrLocked) {
 				continue
 			}
 			if err != nil {
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -63,7 +63,7 @@
 	if len(key) < leastKey {
 		return fmt.Errorf("member key %s: %d bytes, at least %d are expected", m.Key, len(key), leastKey)
 	}
-	life, err := s.folder.NextLife()
+	life, err := s.folder.NextIncarnation()
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
@@ -72,7 +72,7 @@
 	if s.lends() {
 		open = s.longest()
 	}
-	run, err := members.Begin(s.w, m.Listen, membership.Config{
+	run, err := members.Start(s.w, m.Listen, membership.Config{
 		Open: open, Site: s.who.Place.Name, Name: s.who.Name, Address: m.Advertise, Life: uint64(life), Key: key,
 		Seeds: m.Seeds, Seed: s.who.Seed, Place: s.who.Index, Places: cl.Schedulers, Window: cl.SlowStartWindow + leaseSpan,
 	}, changes{s})
@@ -91,17 +91,17 @@
 // changes logs what changes in the view.
 type changes struct{ s *Server }
 
-func (c changes) Changed(now float64, m membership.Member, was membership.State) {
+func (c changes) OnChange(now float64, m membership.Member, was membership.State) {
 	c.s.log.Info().Str("mode", "members").Str("member", m.Name).Str("address", m.Address).Uint64("life", m.Life).Uint64("version", m.Version).
 		Stringer("was", was).Stringer("is", m.State).Str("by", m.By).Float64("unix_ms", now+float64(outside.Epoch.UnixMilli())).Msg("member")
 }
 
-func (c changes) Taken(_ float64, address string) {
+func (c changes) OnNameTaken(_ float64, address string) {
 	c.s.log.Error().Str("mode", "members").Str("at", address).Msg("another scheduler goes by this one's name: this one takes no part in cold nodes")
 }
 
-// Hears is what this process hears of a node.
-func (c changes) Hears(node uint32) (life uint64, heard float64, ok bool) {
+// LastHeard is what this process hears of a node.
+func (c changes) LastHeard(node uint32) (life uint64, heard float64, ok bool) {
 	c.s.circle.linksMu.Lock()
 	defer c.s.circle.linksMu.Unlock()
 	l := c.s.circle.links[node]
@@ -123,7 +123,7 @@
 	}
 	c.links[l.nd] = l
 	c.linksMu.Unlock()
-	c.run.See(func(d *membership.Detector) { d.NodeBack(l.nd) })
+	c.run.WithDetector(func(d *membership.Detector) { d.NodeBack(l.nd) })
 }
 
 func (s *Server) missed(l *link) {
@@ -139,7 +139,7 @@
 	c.linksMu.Unlock()
 	if last {
 		now := s.w.Now()
-		c.run.See(func(d *membership.Detector) { d.NodeLost(now, l.nd, l.life) })
+		c.run.WithDetector(func(d *membership.Detector) { d.NodeLost(now, l.nd, l.life) })
 	}
 }
 
@@ -148,7 +148,7 @@
 	if s.circle.run == nil {
 		return false
 	}
-	s.circle.run.See(func(d *membership.Detector) { lives = d.NodeLives(now, nd, life) })
+	s.circle.run.WithDetector(func(d *membership.Detector) { lives = d.NodeLives(now, nd, life) })
 	return lives
 }
 
@@ -160,7 +160,7 @@
 	var until, lentUntil float64
 	var held []uint32
 	var ended []func(sh *shard, now float64)
-	c.run.See(func(d *membership.Detector) {
+	c.run.WithDetector(func(d *membership.Detector) {
 		n, until = d.Sharers(now + leaseEarly)
 		a, suspect, dead, _ := d.Count()
 		alive, known = a, a+suspect+dead
@@ -231,7 +231,7 @@
 		return
 	}
 	now := s.w.Now()
-	s.circle.run.See(func(d *membership.Detector) {
+	s.circle.run.WithDetector(func(d *membership.Detector) {
 		d.List(now, version, func(yield func(node uint32, ready, gone bool)) {
 			for _, en := range entries {
 				yield(en.ID, logic.Availability(en.Avail) == logic.Ready, logic.Availability(en.Avail) == logic.Unavailable)
@@ -288,7 +288,7 @@
 func (s *Server) writeMembers() {
 	now := s.w.Now()
 	v := View{Name: s.who.Name, At: s.w.WallClock(), Share: s.sharing(now), Degree: s.circle.degree.Now().String()}
-	s.circle.run.See(func(d *membership.Detector) {
+	s.circle.run.WithDetector(func(d *membership.Detector) {
 		v.Address, v.Life, v.Health, v.Taken, v.Figures = s.circle.run.Address(), d.Life(), d.Health(), d.Taken(), d.Stats
 		v.Leaves, v.Needs = d.Leaves(now)
 		for _, m := range d.All() {
@@ -302,7 +302,7 @@
 	v.Book = s.bookView(now)
 	b, err := json.MarshalIndent(v, "", " ")
 	if err == nil {
-		err = s.folder.Show(MembersFile, b)
+		err = s.folder.WriteUnsynced(MembersFile, b)
 	}
 	if err != nil {
 		s.log.Error().Str("mode", "members").Err(err).Msg("view not written")
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -86,7 +86,7 @@
 	gauge(c.tries, float64(st.Held))
 	gauge(c.shards, float64(n))
 	if c.s.circle.run != nil {
-		c.s.circle.run.See(func(d *membership.Detector) {
+		c.s.circle.run.WithDetector(func(d *membership.Detector) {
 			alive, suspect, dead, left := d.Count()
 			for state, v := range map[string]int{"alive": alive, "suspect": suspect, "dead": dead, "left": left} {
 				gauge(c.members, float64(v), state)
@@ -100,14 +100,14 @@
 		return
 	}
 	view := c.s.control.View()
-	gauge(c.version, float64(view.Book.Version()))
-	gauge(c.sure, (view.Sure-c.s.w.Now())/1000)
+	gauge(c.version, float64(view.State.Version()))
+	gauge(c.sure, (view.LeaseExpiry-c.s.w.Now())/1000)
 	parts, _ := c.s.zones.shown()
 	for zone, part := range parts {
 		gauge(c.zone, part, zone)
 	}
 	f := make(chan consensus.Stats, 1)
-	c.s.control.Ask(func(k *consensus.Replica) { f <- k.Stats })
+	c.s.control.Enqueue(func(k *consensus.Replica) { f <- k.Stats })
 	select {
 	case f := <-f:
 		counter(c.messages, f.Messages)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -58,7 +58,7 @@
 	Disk    state.Disk
 	Windows func() (Windows, error)
 	// Steward opens what a steward of the book must not forget; nil: that in the folder.
-	Steward func() (control.Disk, error)
+	Steward func() (control.Storage, error)
 	// Clubs opens the store of tenants where they come and go; nil: that in the folder.
 	Clubs func() (Clubs, error)
 
@@ -130,7 +130,7 @@
 	owners   map[uint32]*owner
 	ownerIDs uint32
 	entry    *connadmission.Door // where tenants come and go
-	list     *state.List
+	list     *state.NodeList
 	savedAt  float64 // when the list was last saved
 	cells    map[string]int
 	known    map[string]calendar.Node // every node that was ever on the list, until long after it left
@@ -169,7 +169,7 @@
 func Begin(w outside.Environment, who Scheduler) (s *Server, err error) {
 	var folder *state.Folder
 	if who.Disk != nil {
-		folder = state.On(who.Disk)
+		folder = state.NewFolder(who.Disk)
 	} else if folder, err = state.Open(who.Folder); err != nil {
 		return nil, err
 	}
@@ -195,7 +195,7 @@
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	if last == nil {
-		last = state.NewList()
+		last = state.NewNodeList()
 	}
 	place := who.Place
 	say := func(what, why string) {
@@ -226,7 +226,7 @@
 		s.lives[sh.life] = sh
 		s.acts.Started(i, sh.life)
 	}
-	if err := bolt.Unheld(context.Background(), atStart, s.outAtStart); err != nil {
+	if err := bolt.RetryWhileLocked(context.Background(), atStart, s.outAtStart); err != nil {
 		return nil, fmt.Errorf("drains: %w", err)
 	}
 	if s.set = newNodeSet(s); s.set != nil {
@@ -333,10 +333,10 @@
 	s.door.StopAccepting()
 	s.countsEnd()
 	if s.control != nil {
-		s.control.End()
+		s.control.Stop()
 	}
 	if s.circle.run != nil {
-		s.circle.run.End()
+		s.circle.run.Stop()
 	}
 	var sum engine.Stats
 	var mu sync.Mutex
@@ -400,8 +400,8 @@
 func (s *Server) save() error {
 	s.mu.Lock()
 	var text []byte
-	if s.list.Changed() {
-		text = s.list.Text()
+	if s.list.TakeChanged() {
+		text = s.list.Encode()
 	}
 	s.savedAt = s.w.Now()
 	s.mu.Unlock()
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -44,7 +44,7 @@
 
 // newShard makes a shard in a life of its own. It does not turn before it is begun.
 func (s *Server) newShard(index int) (*shard, error) {
-	life, err := s.folder.NextLife()
+	life, err := s.folder.NextIncarnation()
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
--- a/internal/serve/workingset.go
+++ b/internal/serve/workingset.go
@@ -228,7 +228,7 @@
 	if v.s.circle.run == nil {
 		return nil, false
 	}
-	v.s.circle.run.See(func(d *membership.Detector) {
+	v.s.circle.run.WithDetector(func(d *membership.Detector) {
 		for _, m := range d.All() {
 			if m.State == membership.Alive || m.State == membership.Suspect {
 				names = append(names, m.Name)
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -48,12 +48,12 @@
 }
 
 // zonesOf is what verdicts on zones rest on, as the site file has it.
-func (s *Server) zonesOf(place *site.Config) control.Site {
+func (s *Server) zonesOf(place *site.Config) control.ZoneConfig {
 	held := map[string]clusterstate.ZoneState{}
 	for zone, how := range place.ZoneHolds {
 		held[zone] = map[string]clusterstate.ZoneState{"open": clusterstate.Open, "closed": clusterstate.Closed}[how]
 	}
-	return control.Site{Zones: place.Zones, Held: held, Far: func(from, to string) float64 { return place.RouteLatency[[2]string{from, to}] }}
+	return control.ZoneConfig{Zones: place.Zones, Overrides: held, Latency: func(from, to string) float64 { return place.RouteLatency[[2]string{from, to}] }}
 }
 
 func (s *Server) newZones(place *site.Config) *zonesView {
@@ -109,25 +109,25 @@
 func (s *Server) lookZones() {
 	v, now := s.zones, s.w.Now()
 	view := s.control.View()
-	if now < v.summed+sumZones && view.Book == v.book && (now < view.Sure) == v.sure { // by this loop alone
+	if now < v.summed+sumZones && view.State == v.book && (now < view.LeaseExpiry) == v.sure { // by this loop alone
 		return
 	}
 	nodes := s.ready()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.book = view.Book
+	v.book = view.State
 	if now >= v.summed+sumZones {
 		v.summed = now
 		v.sums = s.sumZones(now, nodes)
 		s.control.Report(v.sums)
 	}
-	sure, home := now < view.Sure, view.Book.Zone(v.reach.Own).State
+	sure, home := now < view.LeaseExpiry, view.State.Zone(v.reach.Own).State
 	if home == clusterstate.Closed {
 		s.countOwn(nodes)
 	}
-	parts := v.reach.Look(now, view.Book, sure, v.sums, 0, v.own, view.Book.ActiveProcesses(v.reach.Own))
+	parts := v.reach.Look(now, view.State, sure, v.sums, 0, v.own, view.State.ActiveProcesses(v.reach.Own))
 	if !maps.Equal(parts, v.parts) || sure != v.sure || v.reach.Level() != v.level {
-		s.log.Info().Str("mode", "zones").Interface("parts", parts).Bool("sure", sure).Int("level", v.reach.Level()).Uint64("version", view.Book.Version()).
+		s.log.Info().Str("mode", "zones").Interface("parts", parts).Bool("sure", sure).Int("level", v.reach.Level()).Uint64("version", view.State.Version()).
 			Float64("unix_ms", now+float64(outside.Epoch.UnixMilli())).Msg("sends to")
 	}
 	v.parts, v.sure, v.level = parts, sure, v.reach.Level()
--- a/internal/state/bolt/bolt.go
+++ b/internal/state/bolt/bolt.go
@@ -22,7 +22,7 @@
 var (
 	ErrDamaged = errors.New("store is damaged")
 	ErrNewer   = errors.New("store was written by a later version")
-	ErrHeld    = errors.New("store is held by another process")
+	ErrLocked  = errors.New("store is held by another process")
 )
 
 var (
@@ -30,67 +30,67 @@
 	formatKey  = []byte("format")
 )
 
-// Shape is what a store of this program is like.
-type Shape struct {
+// Schema is what a store of this program is like.
+type Schema struct {
 	Format  byte     // its version; a later one is refused
 	Buckets [][]byte // that it must have
 	Check   func(tx *bbolt.Tx) error
 }
 
-// held is how long one waits for another process that has the store.
-const held = 200 * time.Millisecond
+// lockTimeout is how long one waits for another process that has the store.
+const lockTimeout = 200 * time.Millisecond
 
-// sound are the files that this process has found sound, as they were then. Stores are opened for a look at a time, twice a
+// checked are the files that this process has found sound, as they were then. Stores are opened for a look at a time, twice a
 // second: one that nobody has written to since is not walked again.
-var sound struct {
+var checked struct {
 	sync.Mutex
 	as map[string]os.FileInfo
 }
 
-// settled is how old a file's time must be to tell it from what is written next: its clock ticks in steps.
-const settled = time.Second
+// minFileAge is how old a file's time must be to tell it from what is written next: its clock ticks in steps.
+const minFileAge = time.Second
 
-// unchanged tells whether a file is as it was when it was found sound.
-func unchanged(path string, now os.FileInfo) bool {
-	sound.Lock()
-	defer sound.Unlock()
-	then := sound.as[path]
-	return then != nil && now != nil && os.SameFile(then, now) && then.Size() == now.Size() && then.ModTime().Equal(now.ModTime())
+// isUnchanged tells whether a file is as it was when it was found sound.
+func isUnchanged(path string, current os.FileInfo) bool {
+	checked.Lock()
+	defer checked.Unlock()
+	previous := checked.as[path]
+	return previous != nil && current != nil && os.SameFile(previous, current) && previous.Size() == current.Size() && previous.ModTime().Equal(current.ModTime())
 }
 
-// found notes a file as it was before it was walked.
-func found(path string, then os.FileInfo) {
-	sound.Lock()
-	defer sound.Unlock()
-	if sound.as == nil {
-		sound.as = map[string]os.FileInfo{}
+// recordChecked notes a file as it was before it was walked.
+func recordChecked(path string, info os.FileInfo) {
+	checked.Lock()
+	defer checked.Unlock()
+	if checked.as == nil {
+		checked.as = map[string]os.FileInfo{}
 	}
-	if delete(sound.as, path); then != nil && time.Since(then.ModTime()) > settled {
-		sound.as[path] = then
+	if delete(checked.as, path); info != nil && time.Since(info.ModTime()) > minFileAge {
+		checked.as[path] = info
 	}
 }
 
 // Open opens a store, or makes it. Every page and, by the shape's check, every record is read before it is used, once for
 // each change of the file.
-func Open(path string, shape Shape) (db *bbolt.DB, err error) {
+func Open(path string, schema Schema) (db *bbolt.DB, err error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o750); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	before, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	walk := !unchanged(path, before)
-	if walk {
-		if err := walked(path); err != nil {
+	full := !isUnchanged(path, info)
+	if full {
+		if err := checkFile(path); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	err = guarded(func() error {
-		db, err = bbolt.Open(path, 0o640, &bbolt.Options{Timeout: held})
+	err = recoverFaults(func() error {
+		db, err = bbolt.Open(path, 0o640, &bbolt.Options{Timeout: lockTimeout})
 		switch {
 		case errors.Is(err, bolterrors.ErrTimeout):
-			return ErrHeld
+			return ErrLocked
 		case errors.Is(err, bolterrors.ErrVersionMismatch):
 			return ErrNewer
 		case err != nil:
@@ -101,32 +101,32 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	fresh := false
-	if err = guarded(func() error { return db.View(func(tx *bbolt.Tx) error { return shape.verify(tx, walk, &fresh) }) }); err == nil && fresh {
-		err = db.Update(shape.make)
+	empty := false
+	if err = recoverFaults(func() error { return db.View(func(tx *bbolt.Tx) error { return schema.verify(tx, full, &empty) }) }); err == nil && empty {
+		err = db.Update(schema.create)
 	}
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
 	}
-	if walk {
-		found(path, before)
+	if full {
+		recordChecked(path, info)
 	}
 	return db, nil
 }
 
-// Unheld does something with a store, again while another process has it, so many times at most. Each opening waits a moment
+// RetryWhileLocked does something with a store, again while another process has it, so many times at most. Each opening waits a moment
 // for whoever has it.
-func Unheld(ctx context.Context, times int, do func() error) (err error) {
-	for range times {
-		if err = do(); !errors.Is(err, ErrHeld) || ctx.Err() != nil {
+func RetryWhileLocked(ctx context.Context, attempts int, do func() error) (err error) {
+	for range attempts {
+		if err = do(); !errors.Is(err, ErrLocked) || ctx.Err() != nil {
 			break
 		}
 	}
 	return err
 }
 
-// walked reads a file that is there, while nobody writes to it. Whoever does so before it is opened again writes what is sound.
-func walked(path string) error {
+// checkFile reads a file that is there, while nobody writes to it. Whoever does so before it is opened again writes what is sound.
+func checkFile(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -134,28 +134,28 @@
 		return err
 	}
 	defer f.Close() // which gives up the lock
-	for end := time.Now().Add(held); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
 			break
 		} else if !errors.Is(err, syscall.EWOULDBLOCK) {
 			return err
-		} else if time.Now().After(end) {
-			return ErrHeld
+		} else if time.Now().After(deadline) {
+			return ErrLocked
 		}
 	}
-	b, err := io.ReadAll(f)
-	if err != nil || len(b) == 0 { // nothing was written yet
+	content, err := io.ReadAll(f)
+	if err != nil || len(content) == 0 { // nothing was written yet
 		return err
 	}
-	if err := Sound(b); err != nil {
+	if err := CheckPages(content); err != nil {
 		return fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	return nil
 }
 
-// guarded calls what reads a file that may be damaged after all: the library panics on pages that make no sense, and a page
+// recoverFaults calls what reads a file that may be damaged after all: the library panics on pages that make no sense, and a page
 // beyond the end of the mapped file faults.
-func guarded(f func() error) (err error) {
+func recoverFaults(f func() error) (err error) {
 	before := debug.SetPanicOnFault(true)
 	defer func() {
 		debug.SetPanicOnFault(before)
@@ -166,15 +166,15 @@
 	return f()
 }
 
-func (s *Shape) verify(tx *bbolt.Tx, walk bool, fresh *bool) error {
-	if !walk {
+func (s *Schema) verify(tx *bbolt.Tx, full bool, empty *bool) error {
+	if !full {
 		return nil
 	}
 	for fault := range tx.Check() {
 		return fmt.Errorf("%w: %w", ErrDamaged, fault)
 	}
 	meta := tx.Bucket(metaBucket)
-	if *fresh = meta == nil; *fresh {
+	if *empty = meta == nil; *empty {
 		return nil
 	}
 	switch v := meta.Get(formatKey); {
@@ -194,8 +194,8 @@
 	return nil
 }
 
-// make makes all buckets or none.
-func (s *Shape) make(tx *bbolt.Tx) error {
+// create makes all buckets or none.
+func (s *Schema) create(tx *bbolt.Tx) error {
 	for _, name := range append([][]byte{metaBucket}, s.Buckets...) {
 		if _, err := tx.CreateBucket(name); err != nil {
 			return err
--- a/internal/state/bolt/bolt_test.go
+++ b/internal/state/bolt/bolt_test.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/bbolt"
 )
 
-var shape = Shape{Format: 2, Buckets: [][]byte{[]byte("things")}, Check: func(tx *bbolt.Tx) error {
+var shape = Schema{Format: 2, Buckets: [][]byte{[]byte("things")}, Check: func(tx *bbolt.Tx) error {
 	return tx.Bucket([]byte("things")).ForEach(func(k, v []byte) error {
 		if len(v) == 0 || v[0] != 'v' {
 			return fmt.Errorf("%q: bad record", k)
@@ -82,7 +82,7 @@
 			if err != nil {
 				return
 			}
-			if _, err := Open(path, shape); !errors.Is(err, ErrHeld) {
+			if _, err := Open(path, shape); !errors.Is(err, ErrLocked) {
 				t.Errorf("opened twice: %v", err)
 			}
 			if err := db.Close(); err != nil {
--- a/internal/state/council/council.go
+++ b/internal/state/council/council.go
@@ -31,7 +31,7 @@
 
 // Open opens the store in a folder, or makes it for a site.
 func Open(folder, site string) (*Store, error) {
-	db, err := bolt.Open(filepath.Join(folder, "council.db"), bolt.Shape{
+	db, err := bolt.Open(filepath.Join(folder, "council.db"), bolt.Schema{
 		Format: Format, Buckets: [][]byte{stateBucket, logBucket},
 		Check: func(tx *bbolt.Tx) error {
 			if was := tx.Bucket(stateBucket).Get(siteKey); was != nil && string(was) != site {
--- a/internal/state/drains/drains.go
+++ b/internal/state/drains/drains.go
@@ -26,7 +26,7 @@
 var (
 	ErrDamaged = bolt.ErrDamaged
 	ErrNewer   = bolt.ErrNewer
-	ErrHeld    = bolt.ErrHeld
+	ErrHeld    = bolt.ErrLocked
 	ErrNone    = errors.New("no such window")
 )
 
@@ -69,7 +69,7 @@
 
 // Open opens the store in a folder, or makes it. A damaged or later one is refused, not guessed at.
 func Open(folder string) (*Store, error) {
-	db, err := bolt.Open(filepath.Join(folder, "drains.db"), bolt.Shape{
+	db, err := bolt.Open(filepath.Join(folder, "drains.db"), bolt.Schema{
 		Format: Format, Buckets: [][]byte{eventBucket, begunBucket},
 		Check: func(tx *bbolt.Tx) error {
 			if _, err := calendarOf(tx); err != nil {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -30,7 +30,7 @@
 var (
 	ErrDamaged = errors.New("file is damaged")
 	ErrNewer   = errors.New("file was written by a later version")
-	ErrHeld    = errors.New("folder is held by another process")
+	ErrLocked  = errors.New("folder is held by another process")
 )
 
 // Disk keeps files by name.
@@ -40,40 +40,42 @@
 	// Write replaces a file as a whole: after a crash at any moment it is the old or the new one, and once Write has
 	// returned the new one.
 	Write(name string, text []byte) error
-	// Show replaces a file that people read and nothing rests on: who reads it finds the old or the new one, whole, but it need not
+	// WriteUnsynced replaces a file that people read and nothing rests on: who reads it finds the old or the new one, whole, but it need not
 	// outlive the machine, so nobody waits for the disk.
-	Show(name string, text []byte) error
+	WriteUnsynced(name string, text []byte) error
 	Close() error
 }
 
 // Folder is a scheduler's folder.
 type Folder struct{ disk Disk }
 
-// On keeps a folder on a disk.
-func On(disk Disk) *Folder { return &Folder{disk} }
+// NewFolder keeps a folder on a disk.
+func NewFolder(disk Disk) *Folder { return &Folder{disk} }
 
 // Open makes the folder if need be and holds it until Close or the end of the process.
 func Open(path string) (*Folder, error) {
-	disk, err := hold(path)
+	disk, err := lockDirectory(path)
 	if err != nil {
 		return nil, err
 	}
-	return On(disk), nil
+	return NewFolder(disk), nil
 }
 
-// Show replaces a file that people read and nothing rests on.
-func (f *Folder) Show(name string, text []byte) error { return f.disk.Show(name, text) }
+// WriteUnsynced replaces a file that people read and nothing rests on.
+func (f *Folder) WriteUnsynced(name string, text []byte) error {
+	return f.disk.WriteUnsynced(name, text)
+}
 
 // Close lets the folder go.
 func (f *Folder) Close() error { return f.disk.Close() }
 
-// files is the disk of the machine.
-type files struct {
+// directory is the disk of the machine.
+type directory struct {
 	path string
 	lock *os.File
 }
 
-func hold(path string) (*files, error) {
+func lockDirectory(path string) (*directory, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
@@ -83,14 +85,14 @@
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, fmt.Errorf("state folder %s: %w", path, ErrHeld)
+		return nil, fmt.Errorf("state folder %s: %w", path, ErrLocked)
 	}
-	return &files{path, lock}, nil
+	return &directory{path, lock}, nil
 }
 
-func (f *files) Close() error { return f.lock.Close() }
+func (f *directory) Close() error { return f.lock.Close() }
 
-func (f *files) Read(name string) ([]byte, error) {
+func (f *directory) Read(name string) ([]byte, error) {
 	text, err := os.ReadFile(filepath.Join(f.path, name))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -98,7 +100,7 @@
 	return text, err
 }
 
-func (f *files) Show(name string, text []byte) error {
+func (f *directory) WriteUnsynced(name string, text []byte) error {
 	path := filepath.Join(f.path, name)
 	if err := os.WriteFile(path+".new", text, 0o640); err != nil {
 		return fmt.Errorf("showing %s: %w", path, err)
@@ -109,7 +111,7 @@
 	return nil
 }
 
-func (f *files) Write(name string, text []byte) error {
+func (f *directory) Write(name string, text []byte) error {
 	path := filepath.Join(f.path, name)
 	if err := renameio.WriteFile(path, text, 0o640); err != nil {
 		return fmt.Errorf("writing %s: %w", path, err)
@@ -154,24 +156,24 @@
 	return body, nil
 }
 
-// NextLife raises the number of this scheduler's life and returns it, on the disk before it is used: tickets of
+// NextIncarnation raises the number of this scheduler's life and returns it, on the disk before it is used: tickets of
 // two lives must never be the same.
-func (f *Folder) NextLife() (uint32, error) {
+func (f *Folder) NextIncarnation() (uint32, error) {
 	body, err := f.read("life")
 	if err != nil {
 		return 0, err
 	}
-	life := uint64(0)
+	incarnation := uint64(0)
 	if body != nil {
-		if life, err = strconv.ParseUint(strings.TrimSpace(string(body)), 10, 32); err != nil {
+		if incarnation, err = strconv.ParseUint(strings.TrimSpace(string(body)), 10, 32); err != nil {
 			return 0, fmt.Errorf("life: %w", ErrDamaged)
 		}
 	}
-	life++
-	if life >= 1<<32 {
+	incarnation++
+	if incarnation >= 1<<32 {
 		return 0, errors.New("life: numbers are used up")
 	}
-	return uint32(life), f.write("life", strconv.AppendUint(nil, life, 10))
+	return uint32(incarnation), f.write("life", strconv.AppendUint(nil, incarnation, 10))
 }
 
 // Entry is a node as the list last told it.
@@ -183,100 +185,100 @@
 	Zone, Cell, Kind                 string
 }
 
-// List is the node list as a scheduler holds it. Changes apply only to the version that they follow.
-type List struct {
+// NodeList is the node list as a scheduler holds it. Changes apply only to the version that they follow.
+type NodeList struct {
 	Version uint64
 	entries map[uint32]Entry
 	dirty   bool
-	page    map[uint32]bool
+	present map[uint32]bool
 
 	revision uint64  // counts changes of entries
 	sorted   []Entry // by id, nil after a change
 }
 
-// NewList makes an empty list.
-func NewList() *List { return &List{entries: map[uint32]Entry{}} }
+// NewNodeList makes an empty list.
+func NewNodeList() *NodeList { return &NodeList{entries: map[uint32]Entry{}} }
 
 // Begin opens an answer. News older than what is held is refused: it would bring back nodes that are gone.
-func (l *List) Begin(kind int, version uint64) error {
+func (l *NodeList) Begin(kind int, version uint64) error {
 	if version < l.Version {
 		return fmt.Errorf("list version %d after %d", version, l.Version)
 	}
-	l.Version, l.page = version, nil
+	l.Version, l.present = version, nil
 	if kind == list.KindFull {
-		l.page = map[uint32]bool{}
+		l.present = map[uint32]bool{}
 	}
 	return nil
 }
 
 // Put takes one entry. One without a change makes nothing to save.
-func (l *List) Put(en Entry) {
-	if l.page != nil {
-		l.page[en.ID] = true
+func (l *NodeList) Put(entry Entry) {
+	if l.present != nil {
+		l.present[entry.ID] = true
 	}
-	if old, ok := l.entries[en.ID]; ok && old == en {
+	if old, ok := l.entries[entry.ID]; ok && old == entry {
 		return
 	}
-	l.changed()
-	if en.Avail == 0 {
-		delete(l.entries, en.ID)
+	l.markChanged()
+	if entry.Avail == 0 {
+		delete(l.entries, entry.ID)
 		return
 	}
-	l.entries[en.ID] = en
+	l.entries[entry.ID] = entry
 }
 
 // End closes an answer: what a whole list does not name is gone.
-func (l *List) End() {
-	if l.page != nil {
+func (l *NodeList) End() {
+	if l.present != nil {
 		for id := range l.entries {
-			if !l.page[id] {
+			if !l.present[id] {
 				delete(l.entries, id)
-				l.changed()
+				l.markChanged()
 			}
 		}
 	}
-	l.page = nil
+	l.present = nil
 }
 
 // Len is how many nodes are on the list.
-func (l *List) Len() int { return len(l.entries) }
+func (l *NodeList) Len() int { return len(l.entries) }
 
 // Entry returns the entry of a node, if it is on the list.
-func (l *List) Entry(id uint32) (Entry, bool) {
+func (l *NodeList) Entry(id uint32) (Entry, bool) {
 	entry, ok := l.entries[id]
 	return entry, ok
 }
 
-func (l *List) changed() {
+func (l *NodeList) markChanged() {
 	l.dirty = true
 	l.revision++
 	l.sorted = nil
 }
 
 // Revision differs from an earlier one if an entry has changed since.
-func (l *List) Revision() uint64 { return l.revision }
+func (l *NodeList) Revision() uint64 { return l.revision }
 
 // Entries returns all entries by id. The slice is shared by all calls until the next change and must not be modified.
-func (l *List) Entries() []Entry {
+func (l *NodeList) Entries() []Entry {
 	if l.sorted == nil {
 		l.sorted = slices.SortedFunc(maps.Values(l.entries), func(x, y Entry) int { return cmp.Compare(x.ID, y.ID) })
 	}
 	return l.sorted
 }
 
-// Changed tells whether there is something to save, once.
-func (l *List) Changed() bool {
-	was := l.dirty
+// TakeChanged tells whether there is something to save, once.
+func (l *NodeList) TakeChanged() bool {
+	changed := l.dirty
 	l.dirty = false
-	return was
+	return changed
 }
 
-// Text is the list as the file holds it.
-func (l *List) Text() []byte {
+// Encode is the list as the file holds it.
+func (l *NodeList) Encode() []byte {
 	b := list.AppendBegin(nil, list.KindFull, l.Version)
-	for _, en := range l.Entries() {
-		b = list.AppendEntry(b, en.ID, en.Address, en.Avail, en.StartedAt, en.FreeCores, en.FreeMemory,
-			en.Zone, en.Cell, en.Kind)
+	for _, entry := range l.Entries() {
+		b = list.AppendEntry(b, entry.ID, entry.Address, entry.Avail, entry.StartedAt, entry.FreeCores, entry.FreeMemory,
+			entry.Zone, entry.Cell, entry.Kind)
 	}
 	return list.AppendEnd(b)
 }
@@ -285,20 +287,22 @@
 func (f *Folder) SaveList(text []byte) error { return f.write("nodes", text) }
 
 // ReadList reads the last list of a folder that another process may hold, nil if there never was one.
-func ReadList(folder string) (*List, error) { return On(&files{path: folder}).LoadList() }
+func ReadList(folder string) (*NodeList, error) {
+	return NewFolder(&directory{path: folder}).LoadList()
+}
 
 // LoadList reads the last list, nil if there never was one.
-func (f *Folder) LoadList() (*List, error) {
+func (f *Folder) LoadList() (*NodeList, error) {
 	body, err := f.read("nodes")
 	if err != nil || body == nil {
 		return nil, err
 	}
-	l := NewList()
+	l := NewNodeList()
 	in := line.NewReader(bufio.NewReader(bytes.NewReader(body)))
-	for l.page != nil || l.Version == 0 && len(l.entries) == 0 {
+	for l.present != nil || l.Version == 0 && len(l.entries) == 0 {
 		fields, err := in.Next()
 		if err == nil {
-			err = list.DecodeList(fields, loader{l})
+			err = list.DecodeList(fields, listDecoder{l})
 		}
 		if err != nil {
 			return nil, fmt.Errorf("nodes: %w: %w", ErrDamaged, err)
@@ -308,18 +312,18 @@
 	return l, nil
 }
 
-// loader reads a list back.
-type loader struct{ l *List }
+// listDecoder reads a list back.
+type listDecoder struct{ list *NodeList }
 
-func (r loader) OnBegin(kind int, version uint64) error { return r.l.Begin(kind, version) }
-func (r loader) OnEnd() error                           { r.l.End(); return nil }
-func (r loader) OnFailed(string) error                  { return errors.New("a failure in a saved list") }
+func (r listDecoder) OnBegin(kind int, version uint64) error { return r.list.Begin(kind, version) }
+func (r listDecoder) OnEnd() error                           { r.list.End(); return nil }
+func (r listDecoder) OnFailed(string) error                  { return errors.New("a failure in a saved list") }
 
-func (r loader) OnBye(string) error { return errors.New("a farewell in a saved list") }
+func (r listDecoder) OnBye(string) error { return errors.New("a farewell in a saved list") }
 
-func (r loader) OnEntry(id uint32, address string, avail int, startedAt, cores, memory float64,
+func (r listDecoder) OnEntry(id uint32, address string, avail int, startedAt, cores, memory float64,
 	zone, cell, kind string,
 ) error {
-	r.l.Put(Entry{id, address, avail, startedAt, cores, memory, zone, cell, kind})
+	r.list.Put(Entry{id, address, avail, startedAt, cores, memory, zone, cell, kind})
 	return nil
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -24,11 +24,11 @@
 func TestLife(t *testing.T) {
 	f := open(t)
 	for want := uint32(1); want < 4; want++ {
-		if got, err := f.NextLife(); got != want || err != nil {
+		if got, err := f.NextIncarnation(); got != want || err != nil {
 			t.Fatalf("%d, %v, want %d", got, err, want)
 		}
 	}
-	if _, err := Open(f.disk.(*files).path); !errors.Is(err, ErrHeld) {
+	if _, err := Open(f.disk.(*directory).path); !errors.Is(err, ErrLocked) {
 		t.Errorf("second holder: %v", err)
 	}
 }
@@ -38,7 +38,7 @@
 	if l, err := f.LoadList(); l != nil || err != nil {
 		t.Fatalf("none kept: %v, %v", l, err)
 	}
-	l := NewList()
+	l := NewNodeList()
 	put := func(kind int, version uint64, entries ...Entry) error {
 		if err := l.Begin(kind, version); err != nil {
 			return err
@@ -56,14 +56,14 @@
 	if err := put(list.KindChanges, 4, a); err == nil {
 		t.Error("older news taken: it would bring back what is gone")
 	}
-	if err := f.SaveList(l.Text()); err != nil {
+	if err := f.SaveList(l.Encode()); err != nil {
 		t.Fatal(err)
 	}
 	back, err := f.LoadList()
 	if err != nil || len(back.Entries()) != 1 || back.Entries()[0] != b || back.Version != 6 {
 		t.Errorf("%+v, %v", back, err)
 	}
-	path := filepath.Join(f.disk.(*files).path, "nodes")
+	path := filepath.Join(f.disk.(*directory).path, "nodes")
 	good, _ := os.ReadFile(path)
 	for _, c := range []struct {
 		name, text string
@@ -86,39 +86,39 @@
 	}
 }
 
-// memory is a disk of files.
-type memory map[string][]byte
+// memoryDisk is a disk of files.
+type memoryDisk map[string][]byte
 
-func (m memory) Read(name string) ([]byte, error)    { return m[name], nil }
-func (m memory) Show(name string, text []byte) error { m[name] = text; return nil }
+func (m memoryDisk) Read(name string) ([]byte, error)             { return m[name], nil }
+func (m memoryDisk) WriteUnsynced(name string, text []byte) error { m[name] = text; return nil }
 
-func (m memory) Write(name string, text []byte) error { m[name] = slices.Clone(text); return nil }
-func (m memory) Close() error                         { return nil }
+func (m memoryDisk) Write(name string, text []byte) error { m[name] = slices.Clone(text); return nil }
+func (m memoryDisk) Close() error                         { return nil }
 
 // FuzzFolder reads any bytes as the files of a folder: a plain error, or what can be written and read again.
 func FuzzFolder(f *testing.F) {
-	m := memory{}
-	folder := On(m)
-	_, _ = folder.NextLife()
-	l := NewList()
+	m := memoryDisk{}
+	folder := NewFolder(m)
+	_, _ = folder.NextIncarnation()
+	l := NewNodeList()
 	_ = l.Begin(list.KindFull, 3)
 	l.Put(Entry{ID: 7, Address: "a:1", Avail: 1, Zone: "z", Cell: "c", Kind: "k"})
 	l.End()
-	_ = folder.SaveList(l.Text())
+	_ = folder.SaveList(l.Encode())
 	f.Add(m["life"], m["nodes"])
 	f.Add(m["life"][:20], bytes.Replace(m["nodes"], []byte("a:1"), []byte("b:1"), 1))
 	f.Fuzz(func(t *testing.T, life, nodes []byte) {
-		m := memory{"life": life, "nodes": nodes}
-		folder := On(m)
-		if first, err := folder.NextLife(); err == nil {
-			if second, err := folder.NextLife(); err != nil || second != first+1 {
+		m := memoryDisk{"life": life, "nodes": nodes}
+		folder := NewFolder(m)
+		if first, err := folder.NextIncarnation(); err == nil {
+			if second, err := folder.NextIncarnation(); err != nil || second != first+1 {
 				t.Errorf("life %d after %d, %v", second, first, err)
 			}
 		} else if !bytes.Equal(m["life"], life) {
 			t.Error("a damaged file was written over")
 		}
 		if l, err := folder.LoadList(); err == nil && l != nil {
-			if err := folder.SaveList(l.Text()); err != nil {
+			if err := folder.SaveList(l.Encode()); err != nil {
 				t.Fatal(err)
 			}
 			again, err := folder.LoadList()
@@ -138,7 +138,7 @@
 	}
 	defer f.Close()
 	for _, text := range []string{"a long first one", "short"} {
-		if err := f.Show("view.json", []byte(text)); err != nil {
+		if err := f.WriteUnsynced("view.json", []byte(text)); err != nil {
 			t.Fatal(err)
 		}
 		if b, err := os.ReadFile(filepath.Join(path, "view.json")); err != nil || string(b) != text {
@@ -148,14 +148,14 @@
 	if _, err := os.Stat(filepath.Join(path, "view.json.new")); !os.IsNotExist(err) {
 		t.Errorf("left behind: %v", err)
 	}
-	if err := f.Show("none/view.json", nil); err == nil {
+	if err := f.WriteUnsynced("none/view.json", nil); err == nil {
 		t.Error("shown where there is no folder")
 	}
 }
 
 // TestEntries holds the sorted entries to the list through puts, removals and whole answers; without a change they are not made anew.
 func TestEntries(t *testing.T) {
-	l := NewList()
+	l := NewNodeList()
 	ids := func() (all []uint32) {
 		for _, en := range l.Entries() {
 			all = append(all, en.ID)
--- a/internal/state/tenants/copy_test.go
+++ b/internal/state/tenants/copy_test.go
@@ -94,7 +94,7 @@
 	for _, c := range []struct {
 		name, folder string
 		want         error
-	}{{"another store", foreign, ErrForeign}, {"held", held, bolt.ErrHeld}, {"no key", keyless, ErrForeign}, {"its own", from, nil}} {
+	}{{"another store", foreign, ErrForeign}, {"held", held, bolt.ErrLocked}, {"no key", keyless, ErrForeign}, {"its own", from, nil}} {
 		if err := s.CopyTo(c.folder); err == nil || c.want != nil && !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", c.name, err)
 		}
--- a/internal/state/tenants/tenants.go
+++ b/internal/state/tenants/tenants.go
@@ -66,7 +66,7 @@
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return nil, fmt.Errorf("tenants: %w", err)
 	}
-	db, err := bolt.Open(file(folder), bolt.Shape{
+	db, err := bolt.Open(file(folder), bolt.Schema{
 		Format:  Format,
 		Buckets: [][]byte{tenantBucket, requestBucket, tokenBucket, recordBucket, headBucket},
 		Check: func(tx *bbolt.Tx) error {
