--- a/internal/serve/book.go
+++ b/internal/serve/book.go
@@ -8,7 +8,7 @@
 
 	"ravenpond/internal/control"
 	"ravenpond/internal/decide/consensus"
-	store "ravenpond/internal/state/council"
+	store "ravenpond/internal/state/raftstore"
 )
 
 // keepBook begins to know the others, and to agree with them on the book where the site file names stewards.
--- a/internal/state/council/council.go
+++ b/internal/state/raftstore/council.go
@@ -1,7 +1,7 @@
 // Package council keeps what a steward of the book must not forget, in a store that survives crashes: nothing that it has
 // answered for is lost, wherever its process is killed. A store that is damaged, of a later form or of another site is
 // refused.
-package council
+package raftstore
 
 import (
 	"encoding/binary"
