--- a/internal/decide/calendar/calendar.go
+++ b/internal/decide/calendar/calendar.go
@@ -177,16 +177,16 @@
 
 // Verdict is decided for one occurrence of a window.
 type Verdict struct {
-	Window  string
-	Nominal time.Time // start as the calendar has it
-	Outcome Outcome
-	Drain   time.Time // from here on nothing new
-	Start   time.Time // the nodes are out from here
-	End     time.Time // to here
-	Nodes   []string  // that it drains, by name
-	Why     string    // for a person
-	Out     float64   // part of the fleet out in it at most, others included
-	Ending  Ending
+	Window  string    `json:"Window"`
+	Nominal time.Time `json:"Nominal"` // start as the calendar has it
+	Outcome Outcome   `json:"Outcome"`
+	Drain   time.Time `json:"Drain"` // from here on nothing new
+	Start   time.Time `json:"Start"` // the nodes are out from here
+	End     time.Time `json:"End"`   // to here
+	Nodes   []string  `json:"Nodes"` // that it drains, by name
+	Why     string    `json:"Why"`   // for a person
+	Out     float64   `json:"Out"`   // part of the fleet out in it at most, others included
+	Ending  Ending    `json:"Ending"`
 }
 
 // occurrence is a window's on the way to its verdict.
--- a/internal/state/drains/drains.go
+++ b/internal/state/drains/drains.go
@@ -53,9 +53,9 @@
 // Begun is a drain that was begun, as it was decided then: a later change of the calendar or the fleet does not
 // change it.
 type Begun struct {
-	Verdict calendar.Verdict
-	Stage   Stage
-	At      map[Stage]time.Time
+	Verdict calendar.Verdict    `json:"Verdict"`
+	Stage   Stage               `json:"Stage"`
+	At      map[Stage]time.Time `json:"At"`
 }
 
 // Store is the store of one scheduler process.
--- a/internal/state/tenants/tenants.go
+++ b/internal/state/tenants/tenants.go
@@ -128,9 +128,9 @@
 
 // Head names the last change: what was read at another head may be old.
 type Head struct {
-	Count uint64
-	Mac   []byte // of the last record
-	Sum   []byte // of the two before, so that records can't be cut off unseen
+	Count uint64 `json:"Count"`
+	Mac   []byte `json:"Mac"` // of the last record
+	Sum   []byte `json:"Sum"` // of the two before, so that records can't be cut off unseen
 }
 
 func (s *Store) head(tx *bbolt.Tx) (h Head, err error) {
@@ -196,12 +196,12 @@
 
 // Record is one change, as it is kept.
 type Record struct {
-	At     time.Time
-	By     string
-	What   string // add, limit, pause, resume, remove, finish, issue, revoke
-	Whom   string // the tenant
-	Now    json.RawMessage
-	Before []byte // the code of the record before it
+	At     time.Time       `json:"At"`
+	By     string          `json:"By"`
+	What   string          `json:"What"` // add, limit, pause, resume, remove, finish, issue, revoke
+	Whom   string          `json:"Whom"` // the tenant
+	Now    json.RawMessage `json:"Now"`
+	Before []byte          `json:"Before"` // the code of the record before it
 }
 
 // note adds a record, in the transaction of the change.
@@ -271,10 +271,10 @@
 
 // answer is what was said to a request.
 type answer struct {
-	At      time.Time
-	Content []byte
-	Tenant  tenancy.Tenant
-	Fault   *tenancy.Fault
+	At      time.Time      `json:"At"`
+	Content []byte         `json:"Content"`
+	Tenant  tenancy.Tenant `json:"Tenant"`
+	Fault   *tenancy.Fault `json:"Fault"`
 }
 
 // Do carries a change out, on the disk before it returns. A request that was made before, by its id, changes nothing and has
@@ -401,9 +401,9 @@
 
 // Token is what a tenant's programs show at the owners' door; of the secret only a code is kept.
 type Token struct {
-	Tenant  string
-	Code    []byte
-	Expires time.Time
+	Tenant  string    `json:"Tenant"`
+	Code    []byte    `json:"Code"`
+	Expires time.Time `json:"Expires"`
 }
 
 const (
