--- a/cmd/ravenpond/drain.go
+++ b/cmd/ravenpond/drain.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.with(func(s *drains.Store) error { return s.Add(cal, time.Now()) }); err != nil {
+	if err := c.with(func(s *drains.Store) error { return s.AddEvents(cal, time.Now()) }); err != nil {
 		return err
 	}
 	fmt.Printf("%d windows, %d protected times added\n", len(cal.Windows), len(cal.Protected))
@@ -162,8 +162,8 @@
 	if err != nil {
 		return err
 	}
-	var begun []drains.Begun
-	if err := c.with(func(s *drains.Store) error { begun, err = s.Begun(); return err }); err != nil {
+	var begun []drains.Drain
+	if err := c.with(func(s *drains.Store) error { begun, err = s.Drains(); return err }); err != nil {
 		return err
 	}
 	found := false
@@ -182,7 +182,7 @@
 		}
 	}
 	if !found {
-		return fmt.Errorf("%q: %w", c.ID, drains.ErrNone)
+		return fmt.Errorf("%q: %w", c.ID, drains.ErrNotFound)
 	}
 	return nil
 }
@@ -201,7 +201,7 @@
 			return fmt.Errorf("--start: %w", err)
 		}
 	}
-	return c.with(func(s *drains.Store) error { return s.Cancel(c.ID, start, time.Now()) })
+	return c.with(func(s *drains.Store) error { return s.CancelWindow(c.ID, start, time.Now()) })
 }
 
 type drainUsual struct {
@@ -212,11 +212,11 @@
 
 func (c *drainUsual) Run() error {
 	if c.Clear {
-		return c.with(func(s *drains.Store) error { return s.Publish(nil) })
+		return c.with(func(s *drains.Store) error { return s.PublishLoad(nil) })
 	}
 	if c.File == "" {
 		return c.with(func(s *drains.Store) error {
-			measured, _, err := s.Load()
+			measured, _, err := s.Loads()
 			if err != nil {
 				return err
 			}
@@ -232,7 +232,7 @@
 	if err != nil {
 		return err
 	}
-	return c.with(func(s *drains.Store) error { return s.Publish(table) })
+	return c.with(func(s *drains.Store) error { return s.PublishLoad(table) })
 }
 
 // opened gives a file to read, - for standard input.
@@ -272,7 +272,7 @@
 	var load calendar.Usual
 	var whose string
 	if err := c.with(func(s *drains.Store) error {
-		measured, published, err := s.Load()
+		measured, published, err := s.Loads()
 		load, whose = calendar.Known(measured, published, place.Cluster.Schedulers)
 		return err
 	}); err != nil {
--- a/cmd/ravenpond/tenant.go
+++ b/cmd/ravenpond/tenant.go
@@ -70,7 +70,7 @@
 			return err
 		}
 		c.Name, c.Version = f.Name, f.Version
-		t, fault, err := s.Do(time.Now(), who(), f.Request, c)
+		t, fault, err := s.Apply(time.Now(), who(), f.Request, c)
 		if err != nil {
 			return err
 		}
@@ -123,7 +123,7 @@
 		if err != nil {
 			return tenancy.Change{}, err
 		}
-		t, _ := all.Book.Get(c.Name) // none: the change itself says so
+		t, _ := all.Tenants.Get(c.Name) // none: the change itself says so
 		l := t.Limits
 		set(&l.Share, c.Share)
 		set(&l.Rate, c.Rate)
@@ -184,7 +184,7 @@
 		}
 		out := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 		fmt.Fprintln(out, "tenant\tstate\tshare\trate\tburst\topen\twait\tconns\tbytes\ttokens\tversion\tsince")
-		for _, t := range all.Book.All() {
+		for _, t := range all.Tenants.All() {
 			if t.State == tenancy.Removed && !c.All {
 				continue
 			}
@@ -207,7 +207,7 @@
 		return errors.New("--last: a time above 0 is expected")
 	}
 	return c.with(func(s *tenants.Store) error {
-		shown, err := s.Issue(time.Now(), who(), c.Name, c.Last)
+		shown, err := s.IssueToken(time.Now(), who(), c.Name, c.Last)
 		if err == nil {
 			fmt.Println(shown)
 		}
@@ -235,7 +235,7 @@
 }
 
 func (c *tenantRevoke) Run() error {
-	return c.with(func(s *tenants.Store) error { return s.Revoke(time.Now(), who(), c.ID) })
+	return c.with(func(s *tenants.Store) error { return s.RevokeToken(time.Now(), who(), c.ID) })
 }
 
 type tenantLog struct {
@@ -248,7 +248,7 @@
 		out := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 		fmt.Fprintln(out, "no\tat\tby\twhat\ttenant\tafter it")
 		err := s.Records(c.From, func(n uint64, r tenants.Record) error {
-			_, err := fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%s\t%s\n", n, r.At.UTC().Format(time.RFC3339), r.By, r.What, r.Whom, json.RawMessage(r.Now))
+			_, err := fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%s\t%s\n", n, r.At.UTC().Format(time.RFC3339), r.Actor, r.Action, r.Tenant, json.RawMessage(r.After))
 			return err
 		})
 		return errors.Join(out.Flush(), err)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -208,15 +208,15 @@
 			if err != nil {
 				return err
 			}
-			t, _ := all.Book.Get(c.Name)
+			t, _ := all.Tenants.Get(c.Name)
 			c.Limits = t.Limits
 		}
 		if limits != nil {
 			limits(&c.Limits)
 		}
-		t, fault, err := st.Do(s.Now(), who.Name, request, c)
+		t, fault, err := st.Apply(s.Now(), who.Name, request, c)
 		switch {
-		case errors.Is(err, tenants.ErrRequest):
+		case errors.Is(err, tenants.ErrRequestReused):
 			return invalidArgument("request_id", "it was used for another change")
 		case err != nil:
 			return err
@@ -323,7 +323,7 @@
 		if err != nil {
 			return err
 		}
-		t, ok := all.Book.Get(r.Name)
+		t, ok := all.Tenants.Get(r.Name)
 		if !ok {
 			return statusError(&tenancy.Fault{Field: "name", Sort: tenancy.Unknown, Text: fmt.Sprintf("no tenant %.70q", r.Name)})
 		}
@@ -360,7 +360,7 @@
 		if err != nil {
 			return err
 		}
-		for _, t := range all.Book.All() {
+		for _, t := range all.Tenants.All() {
 			if t.Name <= r.PageToken || !who.Sees(t.Name) || t.State == tenancy.Removed && !r.Removed {
 				continue
 			}
@@ -386,7 +386,7 @@
 		return nil, invalidArgument("lasts_s", fmt.Sprintf("1 to %d is expected", most))
 	}
 	err = s.withStore(ctx, func(st *tenants.Store) error {
-		shown, err := st.Issue(s.Now(), who.Name, r.Name, time.Duration(r.LastsS)*time.Second)
+		shown, err := st.IssueToken(s.Now(), who.Name, r.Name, time.Duration(r.LastsS)*time.Second)
 		var fault *tenancy.Fault
 		if errors.As(err, &fault) {
 			return statusError(fault)
@@ -413,7 +413,7 @@
 		} else if !ok {
 			return statusError(&tenancy.Fault{Field: "id", Sort: tenancy.Unknown, Text: "no such token"})
 		}
-		return st.Revoke(s.Now(), who.Name, r.Id)
+		return st.RevokeToken(s.Now(), who.Name, r.Id)
 	})
 	return &pb.RevokeTokenResponse{}, s.publicError(err)
 }
@@ -437,12 +437,12 @@
 				return nil
 			}
 			out.Records = append(out.Records, &pb.Record{
-				Number: n, AtMs: float64(rec.At.UnixMilli()), By: rec.By, What: rec.What,
-				Tenant: rec.Whom, After: string(rec.Now),
+				Number: n, AtMs: float64(rec.At.UnixMilli()), By: rec.Actor, What: rec.Action,
+				Tenant: rec.Tenant, After: string(rec.After),
 			})
 			return nil
 		})
-		if errors.Is(err, tenants.ErrCut) {
+		if errors.Is(err, tenants.ErrTampered) {
 			return status.Error(codes.DataLoss, err.Error())
 		}
 		return err
--- a/internal/lab/clubs/clubs.go
+++ b/internal/lab/clubs/clubs.go
@@ -175,7 +175,7 @@
 		if i == 0 && day.Wrong > 0 {
 			share = day.Wrong
 		}
-		_, fault, err := store.Do(time.Now(), "lab", "", tenancy.Change{
+		_, fault, err := store.Apply(time.Now(), "lab", "", tenancy.Change{
 			Kind: tenancy.Add, Name: name(i),
 			Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: share, Wait: 400}},
 		})
@@ -184,7 +184,7 @@
 		} else if err != nil {
 			return nil, err
 		}
-		if tokens[i], err = store.Issue(time.Now(), "lab", name(i), time.Hour); err != nil {
+		if tokens[i], err = store.IssueToken(time.Now(), "lab", name(i), time.Hour); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/clubs/removals.go
+++ b/internal/lab/clubs/removals.go
@@ -146,7 +146,7 @@
 		if err != nil {
 			return err
 		}
-		for _, t := range all.Book.All() {
+		for _, t := range all.Tenants.All() {
 			if out.Tenants++; t.State != tenancy.Removed {
 				out.NotRemoved++
 			}
@@ -168,7 +168,7 @@
 			if err := p.do(st, tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Wait: 100}}}); err != nil {
 				return err
 			}
-			token, err := st.Issue(time.Now(), "lab", name, time.Hour)
+			token, err := st.IssueToken(time.Now(), "lab", name, time.Hour)
 			if err != nil {
 				return err
 			}
@@ -234,7 +234,7 @@
 				return err
 			}
 			for _, name := range names {
-				if t, _ := all.Book.Get(name); t.State != tenancy.Removed {
+				if t, _ := all.Tenants.Get(name); t.State != tenancy.Removed {
 					left++
 				}
 			}
@@ -251,7 +251,7 @@
 }
 
 func (p *removing) do(st *tenants.Store, c tenancy.Change) error {
-	_, fault, err := st.Do(time.Now(), "lab", "", c)
+	_, fault, err := st.Apply(time.Now(), "lab", "", c)
 	if fault != nil {
 		return fault
 	}
--- a/internal/lab/drill/calendar.go
+++ b/internal/lab/drill/calendar.go
@@ -14,14 +14,14 @@
 
 // schedule puts the day's windows into a scheduler's calendar, before its first life begins.
 func (p *player) schedule(folder string) error {
-	if len(p.Day.windows) == 0 || drains.Any(folder) {
+	if len(p.Day.windows) == 0 || drains.Exists(folder) {
 		return nil
 	}
 	store, err := drains.Open(folder)
 	if err != nil {
 		return err
 	}
-	return errors.Join(store.Add(p.calendar(), time.Now()), store.Close())
+	return errors.Join(store.AddEvents(p.calendar(), time.Now()), store.Close())
 }
 
 // calendar holds the day's windows.
--- a/internal/lab/month/peers.go
+++ b/internal/lab/month/peers.go
@@ -118,38 +118,38 @@
 // memory is a store that outlives its process, as the one on disk does.
 type memory struct {
 	cal   *calendar.Calendar
-	begun []drains.Begun
+	begun []drains.Drain
 }
 
 func (m *memory) Calendar() (*calendar.Calendar, error) { return m.cal, nil }
 
 func (m *memory) find(window string, nominal time.Time) int {
-	return slices.IndexFunc(m.begun, func(b drains.Begun) bool {
+	return slices.IndexFunc(m.begun, func(b drains.Drain) bool {
 		return b.Verdict.Window == window && b.Verdict.Nominal.Equal(nominal)
 	})
 }
 
-func (m *memory) Begin(v calendar.Verdict, now time.Time) (drains.Begun, bool, error) {
+func (m *memory) BeginDrain(v calendar.Verdict, now time.Time) (drains.Drain, bool, error) {
 	if i := m.find(v.Window, v.Nominal); i >= 0 {
 		return m.begun[i], false, nil
 	}
-	b := drains.Begun{Verdict: v, Stage: drains.Opened, At: map[drains.Stage]time.Time{drains.Opened: now}}
+	b := drains.Drain{Verdict: v, Stage: drains.Opened, ReachedAt: map[drains.Stage]time.Time{drains.Opened: now}}
 	m.begun = append(m.begun, b)
 	return b, true, nil
 }
 
-func (m *memory) Reach(window string, nominal time.Time, stage drains.Stage, now time.Time) error {
+func (m *memory) AdvanceDrain(window string, nominal time.Time, stage drains.Stage, now time.Time) error {
 	i := m.find(window, nominal)
 	if i < 0 {
 		return errors.New("never begun")
 	}
 	if stage > m.begun[i].Stage {
-		m.begun[i].Stage, m.begun[i].At[stage] = stage, now
+		m.begun[i].Stage, m.begun[i].ReachedAt[stage] = stage, now
 	}
 	return nil
 }
 
-func (m *memory) Open() (open []drains.Begun, err error) {
+func (m *memory) UnfinishedDrains() (open []drains.Drain, err error) {
 	for _, b := range m.begun {
 		if b.Stage < drains.Closed {
 			open = append(open, b)
@@ -158,4 +158,4 @@
 	return open, nil
 }
 
-func (m *memory) Forget(time.Time) error { return nil }
+func (m *memory) DeleteClosed(time.Time) error { return nil }
--- a/internal/lab/sim/clubs.go
+++ b/internal/lab/sim/clubs.go
@@ -47,17 +47,17 @@
 	c.count++
 }
 
-func (c *clubs) Close() error           { return nil }
-func (c *clubs) Stamp() (uint64, error) { return c.count, nil }
+func (c *clubs) Close() error                 { return nil }
+func (c *clubs) Fingerprint() (uint64, error) { return c.count, nil }
 
 // Read gives what is kept, as a planted fault has the program take it.
 func (c *clubs) Read() (tenants.State, error) {
-	s := tenants.State{Book: tenancy.New(c.book.Slots()), Tokens: map[string]tenants.Token{}, Count: c.count}
+	s := tenants.State{Tenants: tenancy.New(c.book.Slots()), Tokens: map[string]tenants.Token{}, Changes: c.count}
 	for _, t := range c.book.All() {
 		if c.st.plant.Club != nil {
 			c.st.plant.Club(&t)
 		}
-		if err := s.Book.Put(t); err != nil {
+		if err := s.Tenants.Put(t); err != nil {
 			return s, err
 		}
 		s.Tokens[tokenOf(t.Name)[:12]] = tenants.Token{Tenant: t.Name, Expires: time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)}
@@ -65,7 +65,7 @@
 	return s, nil
 }
 
-func (c *clubs) Verifier(known map[string]tenants.Token) func(time.Time, string) (string, bool) {
+func (c *clubs) TokenVerifier(known map[string]tenants.Token) func(time.Time, string) (string, bool) {
 	return func(_ time.Time, shown string) (string, bool) {
 		if len(shown) < 12 || shown != tokenOf(known[shown[:12]].Tenant) {
 			return "", false
@@ -74,7 +74,7 @@
 	}
 }
 
-func (c *clubs) Finish(_ time.Time, name string) (bool, error) {
+func (c *clubs) FinishRemoval(_ time.Time, name string) (bool, error) {
 	_, ok := c.book.Finish(c.st.c.now, name)
 	if ok {
 		c.count++
--- a/internal/lab/sim/store.go
+++ b/internal/lab/sim/store.go
@@ -13,7 +13,7 @@
 type store struct {
 	p     *Process
 	cal   calendar.Calendar
-	begun []drains.Begun
+	begun []drains.Drain
 }
 
 func newStore(p *Process) *store { return &store{p: p} }
@@ -30,13 +30,13 @@
 // Calendar gives all windows.
 func (s *store) Calendar() (*calendar.Calendar, error) { return &s.cal, nil }
 
-// Load knows of no load.
-func (s *store) Load() (*calendar.Load, *calendar.Table, error) { return &calendar.Load{}, nil, nil }
+// Loads knows of no load.
+func (s *store) Loads() (*calendar.Load, *calendar.Table, error) { return &calendar.Load{}, nil, nil }
 
-// Measured keeps nothing.
-func (s *store) Measured(*calendar.Load) error { return nil }
+// SaveMeasuredLoad keeps nothing.
+func (s *store) SaveMeasuredLoad(*calendar.Load) error { return nil }
 
-func (s *store) find(window string, nominal time.Time) *drains.Begun {
+func (s *store) find(window string, nominal time.Time) *drains.Drain {
 	for i := range s.begun {
 		if v := &s.begun[i].Verdict; v.Window == window && v.Nominal.Equal(nominal) {
 			return &s.begun[i]
@@ -45,13 +45,13 @@
 	return nil
 }
 
-// Begin notes that a drain begins, once. A process killed in the midst of it has or has not.
-func (s *store) Begin(v calendar.Verdict, now time.Time) (drains.Begun, bool, error) {
+// BeginDrain notes that a drain begins, once. A process killed in the midst of it has or has not.
+func (s *store) BeginDrain(v calendar.Verdict, now time.Time) (drains.Drain, bool, error) {
 	if b := s.find(v.Window, v.Nominal); b != nil {
 		return *b, false, nil
 	}
 	alive := s.p.effect()
-	b := drains.Begun{Verdict: v, Stage: drains.Opened, At: map[drains.Stage]time.Time{drains.Opened: now}}
+	b := drains.Drain{Verdict: v, Stage: drains.Opened, ReachedAt: map[drains.Stage]time.Time{drains.Opened: now}}
 	if alive || s.p.c.rng.IntN(2) == 0 {
 		s.begun = append(s.begun, b)
 	}
@@ -61,8 +61,8 @@
 	return b, true, nil
 }
 
-// Reach notes a stage.
-func (s *store) Reach(window string, nominal time.Time, stage drains.Stage, now time.Time) error {
+// AdvanceDrain notes a stage.
+func (s *store) AdvanceDrain(window string, nominal time.Time, stage drains.Stage, now time.Time) error {
 	b := s.find(window, nominal)
 	switch {
 	case b == nil:
@@ -70,13 +70,13 @@
 	case !s.p.effect():
 		return errKilled
 	case stage > b.Stage:
-		b.Stage, b.At[stage] = stage, now
+		b.Stage, b.ReachedAt[stage] = stage, now
 	}
 	return nil
 }
 
-// Open gives drains begun and not closed.
-func (s *store) Open() (open []drains.Begun, err error) {
+// UnfinishedDrains gives drains begun and not closed.
+func (s *store) UnfinishedDrains() (open []drains.Drain, err error) {
 	for _, b := range s.begun {
 		if b.Stage < drains.Closed {
 			open = append(open, b)
@@ -85,5 +85,5 @@
 	return open, nil
 }
 
-// Forget forgets nothing: a script is short.
-func (s *store) Forget(time.Time) error { return nil }
+// DeleteClosed forgets nothing: a script is short.
+func (s *store) DeleteClosed(time.Time) error { return nil }
--- a/internal/serve/drains.go
+++ b/internal/serve/drains.go
@@ -17,8 +17,8 @@
 // Windows is the store of maintenance windows, opened for one look at a time.
 type Windows interface {
 	upkeep.Store
-	Load() (measured *calendar.Load, published *calendar.Table, err error)
-	Measured(*calendar.Load) error
+	Loads() (measured *calendar.Load, published *calendar.Table, err error)
+	SaveMeasuredLoad(*calendar.Load) error
 	Close() error
 }
 
@@ -38,7 +38,7 @@
 	lastFault := ""
 	look := func() {
 		fault := ""
-		if err := s.drainsOnce(k, h); err != nil && !errors.Is(err, drains.ErrHeld) { // the command line has it just now
+		if err := s.drainsOnce(k, h); err != nil && !errors.Is(err, drains.ErrLocked) { // the command line has it just now
 			fault = err.Error()
 		}
 		if fault != lastFault && fault != "" { // windows are not carried out meanwhile; placing goes on
@@ -59,7 +59,7 @@
 		return err
 	}
 	defer store.Close()
-	open, err := store.Open()
+	open, err := store.UnfinishedDrains()
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 	k.Store = store
 	fleet, lost := s.fleet()
 	now := s.w.WallClock()
-	measured, published, err := store.Load()
+	measured, published, err := store.Loads()
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 		h.measured.Seen(now, cores, memory)
 	}
 	if now.Sub(h.kept) > keepLoad {
-		if err := store.Measured(h.measured); err != nil {
+		if err := store.SaveMeasuredLoad(h.measured); err != nil {
 			return err
 		}
 		h.kept = now
--- a/internal/serve/drains_test.go
+++ b/internal/serve/drains_test.go
@@ -74,7 +74,7 @@
 	}
 	defer store.Close()
 	w := calendar.Window{ID: "w", Start: start, Last: last, Lead: lead, Reach: calendar.OneNode, Place: node, Added: start}
-	if err := store.Add(&calendar.Calendar{Windows: []calendar.Window{w}}, start); err != nil {
+	if err := store.AddEvents(&calendar.Calendar{Windows: []calendar.Window{w}}, start); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -148,7 +148,7 @@
 				t.Fatal(err)
 			}
 			defer store.Close()
-			begun, err := store.Begun()
+			begun, err := store.Drains()
 			if err != nil || len(begun) != 1 || begun[0].Stage < drains.Announced {
 				t.Errorf("%+v, %v", begun, err)
 			}
--- a/internal/serve/hosting.go
+++ b/internal/serve/hosting.go
@@ -22,10 +22,10 @@
 
 // Clubs is that store.
 type Clubs interface {
-	Stamp() (uint64, error)
+	Fingerprint() (uint64, error)
 	Read() (tenants.State, error)
-	Verifier(known map[string]tenants.Token) func(now time.Time, shown string) (tenant string, ok bool)
-	Finish(now time.Time, name string) (bool, error)
+	TokenVerifier(known map[string]tenants.Token) func(now time.Time, shown string) (tenant string, ok bool)
+	FinishRemoval(now time.Time, name string) (bool, error)
 	Close() error
 }
 
@@ -100,7 +100,7 @@
 		return err
 	}
 	defer store.Close()
-	stamp, err := store.Stamp()
+	stamp, err := store.Fingerprint()
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 			return err
 		}
 		s.clubs.stamp = stamp
-		s.turnClubs(st, store.Verifier(st.Tokens))
+		s.turnClubs(st, store.TokenVerifier(st.Tokens))
 	}
 	s.shareRoom()
 	s.words.Do("lines", func() {
@@ -128,11 +128,11 @@
 	now := s.w.Now()
 	s.desk.Lock()
 	c := &s.clubs
-	c.read, c.book, c.tokens, c.verify = true, st.Book, st.Tokens, verify
+	c.read, c.book, c.tokens, c.verify = true, st.Tenants, st.Tokens, verify
 	active := 0
 	doors := map[int]connadmission.Limits{}
 	sharers, _ := c.loan.Now(now)
-	for _, t := range st.Book.All() {
+	for _, t := range st.Tenants.All() {
 		if doors[t.Slot] = t.Duty(s.part(sharers)).Door; t.State == tenancy.Removed {
 			doors[t.Slot] = connadmission.Limits{}
 		}
@@ -148,7 +148,7 @@
 	}
 	s.mu.Unlock()
 	s.turnAway(declined)
-	s.log.Info().Str("mode", "tenants").Uint64("changes", st.Count).Int("active", active).Int("turned_away", len(declined)).Msg("tenants read")
+	s.log.Info().Str("mode", "tenants").Uint64("changes", st.Changes).Int("active", active).Int("turned_away", len(declined)).Msg("tenants read")
 	s.cutForeign()
 }
 
@@ -245,7 +245,7 @@
 			continue
 		}
 		if s.gone(t.Slot, shards) && now-s.clubs.began > foundAfter {
-			if _, err := store.Finish(s.w.WallClock(), t.Name); err != nil {
+			if _, err := store.FinishRemoval(s.w.WallClock(), t.Name); err != nil {
 				return err
 			}
 			s.log.Info().Str("mode", "tenants").Str("tenant", t.Name).Msg("removed: nothing is left of it")
--- a/internal/serve/hosting_test.go
+++ b/internal/serve/hosting_test.go
@@ -46,14 +46,14 @@
 	tokens = map[string]string{}
 	with(func(st *tenants.Store) {
 		for _, name := range []string{"a", "b"} {
-			if _, fault, err := st.Do(time.Now(), "test", "", tenancy.Change{
+			if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{
 				Kind: tenancy.Add, Name: name,
 				Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Wait: 50}},
 			}); fault != nil || err != nil {
 				t.Fatal(fault, err)
 			}
 			var err error
-			if tokens[name], err = st.Issue(time.Now(), "test", name, time.Hour); err != nil {
+			if tokens[name], err = st.IssueToken(time.Now(), "test", name, time.Hour); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -133,7 +133,7 @@
 	}
 	change := func(k tenancy.Kind, e tenancy.Ending) {
 		with(func(st *tenants.Store) {
-			if _, fault, err := st.Do(time.Now(), "test", "", tenancy.Change{Kind: k, Name: "a", Ending: e}); fault != nil || err != nil {
+			if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{Kind: k, Name: "a", Ending: e}); fault != nil || err != nil {
 				t.Fatal(fault, err)
 			}
 		})
@@ -199,7 +199,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				a, _ := all.Book.Get("a")
+				a, _ := all.Tenants.Get("a")
 				state = a.State
 			})
 			if state == tenancy.Removed {
@@ -220,7 +220,7 @@
 	s, with, tokens := hosted(t)
 	addr := s.owner[0].Find()
 	with(func(st *tenants.Store) {
-		if _, fault, err := st.Do(time.Now(), "test", "", tenancy.Change{Kind: tenancy.Limit, Name: "a", Limits: tenancy.Limits{
+		if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{Kind: tenancy.Limit, Name: "a", Limits: tenancy.Limits{
 			Limits: fairqueue.Limits{Share: 1, Wait: 50}, Conns: 2, Bytes: 2000,
 		}}); fault != nil || err != nil {
 			t.Fatal(fault, err)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -180,7 +180,7 @@
 	}()
 	if who.Windows == nil {
 		who.Windows = func() (Windows, error) {
-			if !drains.Any(who.Folder) {
+			if !drains.Exists(who.Folder) {
 				return nil, nil
 			}
 			return drains.Open(who.Folder)
--- a/internal/state/drains/drains.go
+++ b/internal/state/drains/drains.go
@@ -24,18 +24,18 @@
 
 // Errors of opening a store.
 var (
-	ErrDamaged = bolt.ErrDamaged
-	ErrNewer   = bolt.ErrNewer
-	ErrHeld    = bolt.ErrLocked
-	ErrNone    = errors.New("no such window")
+	ErrDamaged  = bolt.ErrDamaged
+	ErrNewer    = bolt.ErrNewer
+	ErrLocked   = bolt.ErrLocked
+	ErrNotFound = errors.New("no such window")
 )
 
 var (
-	eventBucket = []byte("events")
-	begunBucket = []byte("begun")
-	loadBucket  = []byte("load") // made when it is first needed: stores of earlier versions lack it
-	measuredKey = []byte("measured")
-	usualKey    = []byte("usual")
+	eventBucket  = []byte("events")
+	drainBucket  = []byte("begun")
+	loadBucket   = []byte("load") // made when it is first needed: stores of earlier versions lack it
+	measuredKey  = []byte("measured")
+	publishedKey = []byte("usual")
 )
 
 // Stage is how far a drain has come. It only grows.
@@ -50,19 +50,19 @@
 
 func (s Stage) String() string { return [...]string{"", "opened", "announced", "emptied", "closed"}[s] }
 
-// Begun is a drain that was begun, as it was decided then: a later change of the calendar or the fleet does not
+// Drain is a drain that was begun, as it was decided then: a later change of the calendar or the fleet does not
 // change it.
-type Begun struct {
-	Verdict calendar.Verdict    `json:"Verdict"`
-	Stage   Stage               `json:"Stage"`
-	At      map[Stage]time.Time `json:"At"`
+type Drain struct {
+	Verdict   calendar.Verdict    `json:"Verdict"`
+	Stage     Stage               `json:"Stage"`
+	ReachedAt map[Stage]time.Time `json:"At"`
 }
 
 // Store is the store of one scheduler process.
 type Store struct{ db *bbolt.DB }
 
-// Any tells whether a folder has a store.
-func Any(folder string) bool {
+// Exists tells whether a folder has a store.
+func Exists(folder string) bool {
 	_, err := os.Stat(filepath.Join(folder, "drains.db"))
 	return err == nil
 }
@@ -70,15 +70,15 @@
 // Open opens the store in a folder, or makes it. A damaged or later one is refused, not guessed at.
 func Open(folder string) (*Store, error) {
 	db, err := bolt.Open(filepath.Join(folder, "drains.db"), bolt.Schema{
-		Format: Format, Buckets: [][]byte{eventBucket, begunBucket},
+		Format: Format, Buckets: [][]byte{eventBucket, drainBucket},
 		Check: func(tx *bbolt.Tx) error {
-			if _, err := calendarOf(tx); err != nil {
+			if _, err := readCalendar(tx); err != nil {
 				return err
 			}
-			if _, err := begunOf(tx); err != nil {
+			if _, err := readDrains(tx); err != nil {
 				return err
 			}
-			_, _, err := loadOf(tx)
+			_, _, err := readLoad(tx)
 			return err
 		},
 	})
@@ -94,13 +94,13 @@
 // Calendar gives all windows and protected times.
 func (s *Store) Calendar() (c *calendar.Calendar, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		c, err = calendarOf(tx)
+		c, err = readCalendar(tx)
 		return err
 	})
 	return c, err
 }
 
-func calendarOf(tx *bbolt.Tx) (*calendar.Calendar, error) {
+func readCalendar(tx *bbolt.Tx) (*calendar.Calendar, error) {
 	all := &calendar.Calendar{}
 	err := tx.Bucket(eventBucket).ForEach(func(_, text []byte) error {
 		c, err := ics.Decode(bytes.NewReader(text))
@@ -114,8 +114,8 @@
 	return all, err
 }
 
-// Add puts windows and protected times into the store, all or none. One of a name that is there replaces it.
-func (s *Store) Add(c *calendar.Calendar, now time.Time) error {
+// AddEvents puts windows and protected times into the store, all or none. One of a name that is there replaces it.
+func (s *Store) AddEvents(c *calendar.Calendar, now time.Time) error {
 	if err := c.Check(); err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 				return err
 			}
 		}
-		all, err := calendarOf(tx)
+		all, err := readCalendar(tx)
 		if err != nil {
 			return err
 		}
@@ -146,14 +146,14 @@
 	})
 }
 
-// Cancel takes a window out of the calendar, or one start of it if that is given. A drain that was begun goes on
+// CancelWindow takes a window out of the calendar, or one start of it if that is given. A drain that was begun goes on
 // until it is closed.
-func (s *Store) Cancel(id string, start, now time.Time) error {
+func (s *Store) CancelWindow(id string, start, now time.Time) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		events := tx.Bucket(eventBucket)
 		text := events.Get([]byte(id))
 		if text == nil {
-			return fmt.Errorf("%q: %w", id, ErrNone)
+			return fmt.Errorf("%q: %w", id, ErrNotFound)
 		}
 		if start.IsZero() {
 			return events.Delete([]byte(id))
@@ -174,16 +174,16 @@
 	})
 }
 
-// Load gives the load that this process measured, and the one that was published for all, nil if none was.
-func (s *Store) Load() (measured *calendar.Load, usual *calendar.Table, err error) {
+// Loads gives the load that this process measured, and the one that was published for all, nil if none was.
+func (s *Store) Loads() (measured *calendar.Load, published *calendar.Table, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		measured, usual, err = loadOf(tx)
+		measured, published, err = readLoad(tx)
 		return err
 	})
-	return measured, usual, err
+	return measured, published, err
 }
 
-func loadOf(tx *bbolt.Tx) (measured *calendar.Load, usual *calendar.Table, err error) {
+func readLoad(tx *bbolt.Tx) (measured *calendar.Load, published *calendar.Table, err error) {
 	measured = &calendar.Load{}
 	bucket := tx.Bucket(loadBucket)
 	if bucket == nil {
@@ -194,16 +194,16 @@
 			return nil, nil, err
 		}
 	}
-	if b := bucket.Get(usualKey); b != nil {
-		if usual, err = calendar.ReadTable(bytes.NewReader(b)); err != nil {
+	if b := bucket.Get(publishedKey); b != nil {
+		if published, err = calendar.ReadTable(bytes.NewReader(b)); err != nil {
 			return nil, nil, err
 		}
 	}
-	return measured, usual, nil
+	return measured, published, nil
 }
 
-// Measured keeps what this process measured.
-func (s *Store) Measured(l *calendar.Load) error {
+// SaveMeasuredLoad keeps what this process measured.
+func (s *Store) SaveMeasuredLoad(l *calendar.Load) error {
 	b, err := l.MarshalBinary()
 	if err != nil {
 		return err
@@ -211,17 +211,17 @@
 	return s.putLoad(measuredKey, b)
 }
 
-// Publish keeps the load that verdicts rest on: the same at every process, as the calendar is. Without a table none
+// PublishLoad keeps the load that verdicts rest on: the same at every process, as the calendar is. Without a table none
 // is published any more.
-func (s *Store) Publish(l *calendar.Table) error {
+func (s *Store) PublishLoad(l *calendar.Table) error {
 	if l == nil {
-		return s.putLoad(usualKey, nil)
+		return s.putLoad(publishedKey, nil)
 	}
 	var b bytes.Buffer
 	if err := l.Write(&b); err != nil {
 		return err
 	}
-	return s.putLoad(usualKey, b.Bytes())
+	return s.putLoad(publishedKey, b.Bytes())
 }
 
 func (s *Store) putLoad(key, value []byte) error {
@@ -237,27 +237,27 @@
 	})
 }
 
-// key names an occurrence: window and nominal start.
-func key(window string, nominal time.Time) []byte {
+// drainKey names an occurrence: window and nominal start.
+func drainKey(window string, nominal time.Time) []byte {
 	b := binary.BigEndian.AppendUint64(nil, uint64(nominal.Unix()))
 	return append(b, window...)
 }
 
-// Begin notes that a drain begins, on the disk before it returns. It is false, with what was decided then, if that
+// BeginDrain notes that a drain begins, on the disk before it returns. It is false, with what was decided then, if that
 // occurrence had begun before: nobody may begin it again.
-func (s *Store) Begin(v calendar.Verdict, now time.Time) (b Begun, fresh bool, err error) {
+func (s *Store) BeginDrain(v calendar.Verdict, now time.Time) (drain Drain, isNew bool, err error) {
 	err = s.db.Update(func(tx *bbolt.Tx) error {
-		bucket, k := tx.Bucket(begunBucket), key(v.Window, v.Nominal)
+		bucket, k := tx.Bucket(drainBucket), drainKey(v.Window, v.Nominal)
 		if text := bucket.Get(k); text != nil {
-			return json.Unmarshal(text, &b)
+			return json.Unmarshal(text, &drain)
 		}
-		b, fresh = Begun{Verdict: v, Stage: Opened, At: map[Stage]time.Time{Opened: now}}, true
-		return put(bucket, k, b)
+		drain, isNew = Drain{Verdict: v, Stage: Opened, ReachedAt: map[Stage]time.Time{Opened: now}}, true
+		return putDrain(bucket, k, drain)
 	})
-	return b, fresh && err == nil, err
+	return drain, isNew && err == nil, err
 }
 
-func put(bucket *bbolt.Bucket, k []byte, b Begun) error {
+func putDrain(bucket *bbolt.Bucket, k []byte, b Drain) error {
 	text, err := json.Marshal(b)
 	if err != nil {
 		return err
@@ -265,29 +265,29 @@
 	return bucket.Put(k, text)
 }
 
-// Reach notes that a drain has come to a stage. A stage it has passed changes nothing.
-func (s *Store) Reach(window string, nominal time.Time, stage Stage, now time.Time) error {
+// AdvanceDrain notes that a drain has come to a stage. A stage it has passed changes nothing.
+func (s *Store) AdvanceDrain(window string, nominal time.Time, stage Stage, now time.Time) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		bucket, k := tx.Bucket(begunBucket), key(window, nominal)
+		bucket, k := tx.Bucket(drainBucket), drainKey(window, nominal)
 		text := bucket.Get(k)
 		if text == nil {
-			return fmt.Errorf("%q of %s was not begun: %w", window, nominal.Format(time.RFC3339), ErrNone)
+			return fmt.Errorf("%q of %s was not begun: %w", window, nominal.Format(time.RFC3339), ErrNotFound)
 		}
-		var b Begun
-		if err := json.Unmarshal(text, &b); err != nil {
+		var drain Drain
+		if err := json.Unmarshal(text, &drain); err != nil {
 			return err
 		}
-		if stage <= b.Stage {
+		if stage <= drain.Stage {
 			return nil
 		}
-		b.Stage, b.At[stage] = stage, now
-		return put(bucket, k, b)
+		drain.Stage, drain.ReachedAt[stage] = stage, now
+		return putDrain(bucket, k, drain)
 	})
 }
 
-// Open drains are those begun and not closed, in order of their nominal starts: what a restarted process goes on with.
-func (s *Store) Open() (open []Begun, err error) {
-	all, err := s.Begun()
+// UnfinishedDrains drains are those begun and not closed, in order of their nominal starts: what a restarted process goes on with.
+func (s *Store) UnfinishedDrains() (open []Drain, err error) {
+	all, err := s.Drains()
 	for _, b := range all {
 		if b.Stage < Closed {
 			open = append(open, b)
@@ -296,18 +296,18 @@
 	return open, err
 }
 
-// Begun gives all drains that were ever begun and not forgotten.
-func (s *Store) Begun() (all []Begun, err error) {
+// Drains gives all drains that were ever begun and not forgotten.
+func (s *Store) Drains() (all []Drain, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		all, err = begunOf(tx)
+		all, err = readDrains(tx)
 		return err
 	})
 	return all, err
 }
 
-func begunOf(tx *bbolt.Tx) (all []Begun, err error) {
-	err = tx.Bucket(begunBucket).ForEach(func(_, text []byte) error {
-		var b Begun
+func readDrains(tx *bbolt.Tx) (all []Drain, err error) {
+	err = tx.Bucket(drainBucket).ForEach(func(_, text []byte) error {
+		var b Drain
 		if err := json.Unmarshal(text, &b); err != nil {
 			return err
 		}
@@ -320,16 +320,16 @@
 	return all, err
 }
 
-// Forget drops closed drains that ended before a time.
-func (s *Store) Forget(before time.Time) error {
+// DeleteClosed drops closed drains that ended before a time.
+func (s *Store) DeleteClosed(before time.Time) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		all, err := begunOf(tx)
+		all, err := readDrains(tx)
 		if err != nil {
 			return err
 		}
 		for _, b := range all {
-			if b.Stage == Closed && b.At[Closed].Before(before) {
-				if err := tx.Bucket(begunBucket).Delete(key(b.Verdict.Window, b.Verdict.Nominal)); err != nil {
+			if b.Stage == Closed && b.ReachedAt[Closed].Before(before) {
+				if err := tx.Bucket(drainBucket).Delete(drainKey(b.Verdict.Window, b.Verdict.Nominal)); err != nil {
 					return err
 				}
 			}
@@ -338,7 +338,7 @@
 	})
 }
 
-// Snapshot writes the whole store, as it is at one instant, to a file that Open can read.
-func (s *Store) Snapshot(path string) error {
+// CopyTo writes the whole store, as it is at one instant, to a file that Open can read.
+func (s *Store) CopyTo(path string) error {
 	return s.db.View(func(tx *bbolt.Tx) error { return tx.CopyFile(path, 0o640) })
 }
--- a/internal/state/drains/drains_test.go
+++ b/internal/state/drains/drains_test.go
@@ -33,59 +33,59 @@
 	dir := t.TempDir()
 	s := open(t, dir)
 	v := calendar.Verdict{Window: "a", Nominal: start, Nodes: []string{"7"}}
-	if _, fresh, err := s.Begin(v, start); !fresh || err != nil {
+	if _, fresh, err := s.BeginDrain(v, start); !fresh || err != nil {
 		t.Fatal(fresh, err)
 	}
-	if err := s.Reach("a", start, Announced, start.Add(time.Second)); err != nil {
+	if err := s.AdvanceDrain("a", start, Announced, start.Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
 	s = open(t, dir) // as after a kill: nothing is written at the close
 	v.Nodes = []string{"7", "8"}
-	b, fresh, err := s.Begin(v, start.Add(time.Minute))
+	b, fresh, err := s.BeginDrain(v, start.Add(time.Minute))
 	if fresh || err != nil || b.Stage != Announced || len(b.Verdict.Nodes) != 1 {
 		t.Errorf("begun twice or changed: %+v, %t, %v", b, fresh, err)
 	}
-	if err := s.Reach("a", start, Opened, start); err != nil {
+	if err := s.AdvanceDrain("a", start, Opened, start); err != nil {
 		t.Fatal(err)
 	}
-	if all, err := s.Open(); err != nil || len(all) != 1 || all[0].Stage != Announced {
+	if all, err := s.UnfinishedDrains(); err != nil || len(all) != 1 || all[0].Stage != Announced {
 		t.Errorf("%+v, %v", all, err)
 	}
-	if err := s.Reach("b", start, Closed, start); !errors.Is(err, ErrNone) {
+	if err := s.AdvanceDrain("b", start, Closed, start); !errors.Is(err, ErrNotFound) {
 		t.Errorf("one that was never begun: %v", err)
 	}
-	if err := s.Reach("a", start, Closed, start.Add(time.Hour)); err != nil {
+	if err := s.AdvanceDrain("a", start, Closed, start.Add(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	if all, _ := s.Open(); len(all) != 0 {
+	if all, _ := s.UnfinishedDrains(); len(all) != 0 {
 		t.Errorf("closed, but open: %+v", all)
 	}
-	if err := s.Forget(start.Add(2 * time.Hour)); err != nil {
+	if err := s.DeleteClosed(start.Add(2 * time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	if all, _ := s.Begun(); len(all) != 0 {
+	if all, _ := s.Drains(); len(all) != 0 {
 		t.Errorf("not forgotten: %+v", all)
 	}
 }
 
 func TestCalendar(t *testing.T) {
 	s := open(t, t.TempDir())
-	if err := s.Add(&calendar.Calendar{Windows: []calendar.Window{window("a"), window("b")}}, start); err != nil {
+	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("a"), window("b")}}, start); err != nil {
 		t.Fatal(err)
 	}
 	bad := window("c")
 	bad.Last = 0
-	if err := s.Add(&calendar.Calendar{Windows: []calendar.Window{window("d"), bad}}, start); err == nil {
+	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("d"), bad}}, start); err == nil {
 		t.Error("a bad window is taken")
 	}
-	if err := s.Cancel("a", time.Time{}, start); err != nil {
+	if err := s.CancelWindow("a", time.Time{}, start); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Cancel("b", start.AddDate(0, 0, 1), start); err != nil {
+	if err := s.CancelWindow("b", start.AddDate(0, 0, 1), start); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Cancel("z", time.Time{}, start); !errors.Is(err, ErrNone) {
+	if err := s.CancelWindow("z", time.Time{}, start); !errors.Is(err, ErrNotFound) {
 		t.Errorf("one that is not there: %v", err)
 	}
 	c, err := s.Calendar()
@@ -106,7 +106,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { db.Close() })
-		}, ErrHeld},
+		}, ErrLocked},
 		{"not a store", func(t *testing.T, path string) { write(t, path, []byte(strings.Repeat("no store ", 9000))) }, ErrDamaged},
 		{"torn", func(t *testing.T, path string) {
 			text, _ := os.ReadFile(path)
@@ -114,14 +114,14 @@
 		}, ErrDamaged},
 		{"later version", func(t *testing.T, path string) { meta(t, path, []byte("meta"), []byte("format"), []byte{Format + 1}) }, ErrNewer},
 		{"a record that makes no sense", func(t *testing.T, path string) {
-			meta(t, path, begunBucket, []byte("x"), []byte(`{"Stage":9}`))
+			meta(t, path, drainBucket, []byte("x"), []byte(`{"Stage":9}`))
 		}, ErrDamaged},
 		{"an event that makes no sense", func(t *testing.T, path string) { meta(t, path, eventBucket, []byte("x"), []byte("y")) }, ErrDamaged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			s := open(t, dir)
-			if err := s.Add(&calendar.Calendar{Windows: []calendar.Window{window("a")}}, start); err != nil {
+			if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("a")}}, start); err != nil {
 				t.Fatal(err)
 			}
 			s.Close()
@@ -155,11 +155,11 @@
 
 func TestSnapshot(t *testing.T) {
 	s := open(t, t.TempDir())
-	if err := s.Add(&calendar.Calendar{Windows: []calendar.Window{window("a")}}, start); err != nil {
+	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("a")}}, start); err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if err := s.Snapshot(filepath.Join(dir, "drains.db")); err != nil {
+	if err := s.CopyTo(filepath.Join(dir, "drains.db")); err != nil {
 		t.Fatal(err)
 	}
 	if c, err := open(t, dir).Calendar(); err != nil || len(c.Windows) != 1 {
@@ -170,23 +170,23 @@
 func TestLoad(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	measured, usual, err := s.Load()
+	measured, usual, err := s.Loads()
 	if err != nil || usual != nil {
 		t.Fatalf("%v, %v in a store that has none", usual, err)
 	}
 	measured.Seen(start, 0.5, 0.5)
-	if err := errors.Join(s.Measured(measured), s.Publish(measured.Table()), s.Close()); err != nil {
+	if err := errors.Join(s.SaveMeasuredLoad(measured), s.PublishLoad(measured.Table()), s.Close()); err != nil {
 		t.Fatal(err)
 	}
 	s = open(t, dir)
-	again, usual, err := s.Load()
+	again, usual, err := s.Loads()
 	if err != nil || *again != *measured || *usual != *measured.Table() {
 		t.Errorf("not the same, %v", err)
 	}
-	if err := s.Publish(nil); err != nil {
+	if err := s.PublishLoad(nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, usual, err = s.Load(); err != nil || usual != nil {
+	if _, usual, err = s.Loads(); err != nil || usual != nil {
 		t.Errorf("still published: %v", err)
 	}
 	s.Close()
--- a/internal/state/tenants/copy.go
+++ b/internal/state/tenants/copy.go
@@ -18,7 +18,7 @@
 // CopyTo puts the whole store into the folder of another process, whole or not at all: tenants, tokens, answers to requests and the
 // record. That process looks at it as at any change. What it wrote there itself is the end of removals, which it comes to again.
 func (s *Store) CopyTo(folder string) (err error) {
-	to, key := file(folder), filepath.Join(folder, "tenants.key")
+	to, key := storePath(folder), filepath.Join(folder, "tenants.key")
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return fmt.Errorf("copy of tenants: %w", err)
 	}
@@ -26,7 +26,7 @@
 	case err == nil && !bytes.Equal(there, s.key):
 		return fmt.Errorf("copy of tenants to %s: %w", folder, ErrForeign)
 	case errors.Is(err, fs.ErrNotExist):
-		if Any(folder) {
+		if Exists(folder) {
 			return fmt.Errorf("copy of tenants to %s: %w", folder, ErrForeign)
 		}
 		if err := renameio.WriteFile(key, s.key, 0o600); err != nil {
@@ -38,8 +38,8 @@
 	if same, err := sameFile(s.db.Path(), to); err != nil || same {
 		return errors.Join(fmt.Errorf("copy of tenants to %s: it is this store's own folder", folder), err)
 	}
-	if Any(folder) { // nobody writes there meanwhile, and a store of a later version or a damaged one is not written over
-		old, err := Open(folder, s.slots)
+	if Exists(folder) { // nobody writes there meanwhile, and a store of a later version or a damaged one is not written over
+		old, err := Open(folder, s.maxTenants)
 		if err != nil {
 			return fmt.Errorf("copy of tenants to %s: %w", folder, err)
 		}
--- a/internal/state/tenants/copy_test.go
+++ b/internal/state/tenants/copy_test.go
@@ -15,8 +15,8 @@
 func TestCopy(t *testing.T) {
 	from, to := t.TempDir(), filepath.Join(t.TempDir(), "new")
 	s := open(t, from)
-	_, _, _ = s.Do(now, "me", "", add("a"))
-	shown, err := s.Issue(now, "me", "a", time.Hour)
+	_, _, _ = s.Apply(now, "me", "", add("a"))
+	shown, err := s.IssueToken(now, "me", "a", time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,11 +34,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if who, ok := c.Verifier(st.Tokens)(now, shown); !ok || who != "a" {
+		if who, ok := c.TokenVerifier(st.Tokens)(now, shown); !ok || who != "a" {
 			t.Error("the token is not good there")
 		}
-		mine, _ := s.Stamp()
-		if theirs, _ := c.Stamp(); theirs != mine {
+		mine, _ := s.Fingerprint()
+		if theirs, _ := c.Fingerprint(); theirs != mine {
 			t.Errorf("stamps %x and %x", theirs, mine)
 		}
 		if err := c.Records(0, func(uint64, Record) error { return nil }); err != nil {
@@ -49,30 +49,30 @@
 		t.Fatal(err)
 	}
 	in(same)
-	_, _, _ = s.Do(now, "me", "", tenancy.Change{Kind: tenancy.Remove, Name: "a"})
+	_, _, _ = s.Apply(now, "me", "", tenancy.Change{Kind: tenancy.Remove, Name: "a"})
 	if err := s.CopyTo(to); err != nil {
 		t.Fatal(err)
 	}
 	in(func(c *Store) { // its process ends the removal, then another change is put there: as many changes, another state
-		if ok, err := c.Finish(now, "a"); !ok || err != nil {
+		if ok, err := c.FinishRemoval(now, "a"); !ok || err != nil {
 			t.Error(ok, err)
 		}
 	})
-	_, _, _ = s.Do(now, "me", "", add("b"))
+	_, _, _ = s.Apply(now, "me", "", add("b"))
 	var before uint64
-	in(func(c *Store) { before, _ = c.Stamp() })
+	in(func(c *Store) { before, _ = c.Fingerprint() })
 	if err := s.CopyTo(to); err != nil {
 		t.Fatal(err)
 	}
 	in(func(c *Store) {
-		if after, _ := c.Stamp(); after == before {
+		if after, _ := c.Fingerprint(); after == before {
 			t.Error("the process there would not see the change")
 		}
 		st, _ := c.Read()
-		if a, _ := st.Book.Get("a"); a.State != tenancy.Removing {
+		if a, _ := st.Tenants.Get("a"); a.State != tenancy.Removing {
 			t.Errorf("%v", a.State)
 		}
-		if _, ok := st.Book.Get("b"); !ok {
+		if _, ok := st.Tenants.Get("b"); !ok {
 			t.Error("b is not there")
 		}
 	})
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	open(t, held)
-	if err := os.WriteFile(file(keyless), []byte("something"), 0o600); err != nil {
+	if err := os.WriteFile(storePath(keyless), []byte("something"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
--- a/internal/state/tenants/look_test.go
+++ b/internal/state/tenants/look_test.go
@@ -21,7 +21,7 @@
 				b.Fatal(err)
 			}
 			for i := range n {
-				if _, fault, err := s.Do(time.Now(), "b", "", tenancy.Change{
+				if _, fault, err := s.Apply(time.Now(), "b", "", tenancy.Change{
 					Kind: tenancy.Add, Name: fmt.Sprint("t", i),
 					Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1}},
 				}); fault != nil || err != nil {
@@ -41,7 +41,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				if _, err := s.Count(); err != nil {
+				if _, err := s.ChangeCount(); err != nil {
 					b.Fatal(err)
 				}
 				s.Close()
--- a/internal/state/tenants/tenants.go
+++ b/internal/state/tenants/tenants.go
@@ -29,9 +29,9 @@
 
 // Errors of the store beside those of package bolt.
 var (
-	ErrCut     = errors.New("record of changes was cut or edited")
-	ErrRequest = errors.New("request was made before with another content")
-	ErrNone    = errors.New("no such token")
+	ErrTampered      = errors.New("record of changes was cut or edited")
+	ErrRequestReused = errors.New("request was made before with another content")
+	ErrUnknownToken  = errors.New("no such token")
 )
 
 var (
@@ -43,49 +43,49 @@
 	headKey       = []byte("head")
 )
 
-// keepRequests is how long the answer to a request is kept for who asks again.
-const keepRequests = 24 * time.Hour
+// responseRetention is how long the answer to a request is kept for who asks again.
+const responseRetention = 24 * time.Hour
 
 // Store is one process's, or shared by those of a folder one after the other.
 type Store struct {
-	db    *bbolt.DB
-	key   []byte
-	slots int
+	db         *bbolt.DB
+	key        []byte
+	maxTenants int
 }
 
-func file(folder string) string { return filepath.Join(folder, "tenants.db") }
+func storePath(folder string) string { return filepath.Join(folder, "tenants.db") }
 
-// Any tells whether a folder has a store.
-func Any(folder string) bool {
-	_, err := os.Stat(file(folder))
+// Exists tells whether a folder has a store.
+func Exists(folder string) bool {
+	_, err := os.Stat(storePath(folder))
 	return err == nil
 }
 
 // Open opens the store in a folder, or makes it, for so many tenants at once.
-func Open(folder string, slots int) (*Store, error) {
+func Open(folder string, maxTenants int) (*Store, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return nil, fmt.Errorf("tenants: %w", err)
 	}
-	db, err := bolt.Open(file(folder), bolt.Schema{
+	db, err := bolt.Open(storePath(folder), bolt.Schema{
 		Format:  Format,
 		Buckets: [][]byte{tenantBucket, requestBucket, tokenBucket, recordBucket, headBucket},
 		Check: func(tx *bbolt.Tx) error {
-			_, err := bookOf(tx, slots)
+			_, err := readTenants(tx, maxTenants)
 			return err
 		},
 	})
 	if err != nil {
 		return nil, fmt.Errorf("tenants: %w", err)
 	}
-	key, err := secret(filepath.Join(folder, "tenants.key"))
+	key, err := loadKey(filepath.Join(folder, "tenants.key"))
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("tenants: %w", err), db.Close())
 	}
-	return &Store{db, key, slots}, nil
+	return &Store{db, key, maxTenants}, nil
 }
 
-// secret reads the key of the records and tokens, and makes it where there is none; under the lock of the store.
-func secret(path string) ([]byte, error) {
+// loadKey reads the key of the records and tokens, and makes it where there is none; under the lock of the store.
+func loadKey(path string) ([]byte, error) {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		b = make([]byte, sha256.Size)
@@ -114,26 +114,26 @@
 	return m.Sum(nil)
 }
 
-func bookOf(tx *bbolt.Tx, slots int) (*tenancy.Book, error) {
-	book := tenancy.New(slots)
+func readTenants(tx *bbolt.Tx, maxTenants int) (*tenancy.Book, error) {
+	registry := tenancy.New(maxTenants)
 	err := tx.Bucket(tenantBucket).ForEach(func(k, text []byte) error {
 		var t tenancy.Tenant
 		if err := json.Unmarshal(text, &t); err != nil {
 			return fmt.Errorf("tenant %q: %w", k, err)
 		}
-		return book.Put(t)
+		return registry.Put(t)
 	})
-	return book, err
+	return registry, err
 }
 
-// Head names the last change: what was read at another head may be old.
-type Head struct {
-	Count uint64 `json:"Count"`
-	Mac   []byte `json:"Mac"` // of the last record
-	Sum   []byte `json:"Sum"` // of the two before, so that records can't be cut off unseen
+// ChainHead names the last change: what was read at another head may be old.
+type ChainHead struct {
+	Count   uint64 `json:"Count"`
+	LastMAC []byte `json:"Mac"` // of the last record
+	MAC     []byte `json:"Sum"` // of the two before, so that records can't be cut off unseen
 }
 
-func (s *Store) head(tx *bbolt.Tx) (h Head, err error) {
+func (s *Store) readHead(tx *bbolt.Tx) (h ChainHead, err error) {
 	text := tx.Bucket(headBucket).Get(headKey)
 	if text == nil {
 		return h, nil
@@ -144,22 +144,22 @@
 
 // State is what a process needs to know.
 type State struct {
-	Book   *tenancy.Book
-	Tokens map[string]Token // by their ids
-	Count  uint64           // of changes
+	Tenants *tenancy.Book
+	Tokens  map[string]Token // by their ids
+	Changes uint64           // of changes
 }
 
 // Read gives all of it.
 func (s *Store) Read() (st State, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		if st.Book, err = bookOf(tx, s.slots); err != nil {
+		if st.Tenants, err = readTenants(tx, s.maxTenants); err != nil {
 			return err
 		}
-		h, err := s.head(tx)
+		h, err := s.readHead(tx)
 		if err != nil {
 			return err
 		}
-		st.Count, st.Tokens = h.Count, map[string]Token{}
+		st.Changes, st.Tokens = h.Count, map[string]Token{}
 		return tx.Bucket(tokenBucket).ForEach(func(k, text []byte) error {
 			var t Token
 			if err := json.Unmarshal(text, &t); err != nil {
@@ -172,22 +172,22 @@
 	return st, err
 }
 
-// Stamp tells one state of the store from another, also where it was put in the place of one with as many changes.
-func (s *Store) Stamp() (stamp uint64, err error) {
+// Fingerprint tells one state of the store from another, also where it was put in the place of one with as many changes.
+func (s *Store) Fingerprint() (fingerprint uint64, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		h, err := s.head(tx)
-		if len(h.Mac) >= 8 {
-			stamp = binary.BigEndian.Uint64(h.Mac)
+		h, err := s.readHead(tx)
+		if len(h.LastMAC) >= 8 {
+			fingerprint = binary.BigEndian.Uint64(h.LastMAC)
 		}
 		return err
 	})
-	return stamp, err
+	return fingerprint, err
 }
 
-// Count is the number of changes so far: cheaper to ask than to read all.
-func (s *Store) Count() (n uint64, err error) {
+// ChangeCount is the number of changes so far: cheaper to ask than to read all.
+func (s *Store) ChangeCount() (n uint64, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		h, err := s.head(tx)
+		h, err := s.readHead(tx)
 		n = h.Count
 		return err
 	})
@@ -196,33 +196,33 @@
 
 // Record is one change, as it is kept.
 type Record struct {
-	At     time.Time       `json:"At"`
-	By     string          `json:"By"`
-	What   string          `json:"What"` // add, limit, pause, resume, remove, finish, issue, revoke
-	Whom   string          `json:"Whom"` // the tenant
-	Now    json.RawMessage `json:"Now"`
-	Before []byte          `json:"Before"` // the code of the record before it
+	At          time.Time       `json:"At"`
+	Actor       string          `json:"By"`
+	Action      string          `json:"What"` // add, limit, pause, resume, remove, finish, issue, revoke
+	Tenant      string          `json:"Whom"` // the tenant
+	After       json.RawMessage `json:"Now"`
+	PreviousMAC []byte          `json:"Before"` // the code of the record before it
 }
 
-// note adds a record, in the transaction of the change.
-func (s *Store) note(tx *bbolt.Tx, r Record, now any) error {
-	h, err := s.head(tx)
+// appendRecord adds a record, in the transaction of the change.
+func (s *Store) appendRecord(tx *bbolt.Tx, r Record, after any) error {
+	h, err := s.readHead(tx)
 	if err != nil {
 		return err
 	}
-	if r.Now, err = json.Marshal(now); err != nil {
+	if r.After, err = json.Marshal(after); err != nil {
 		return err
 	}
-	r.Before = h.Mac
+	r.PreviousMAC = h.LastMAC
 	text, err := json.Marshal(r)
 	if err != nil {
 		return err
 	}
 	h.Count++
-	h.Mac = s.mac([]byte("record"), text)
+	h.LastMAC = s.mac([]byte("record"), text)
 	number := binary.BigEndian.AppendUint64(nil, h.Count)
-	h.Sum = s.mac([]byte("head"), number, h.Mac)
-	if err := tx.Bucket(recordBucket).Put(number, append(h.Mac[:len(h.Mac):len(h.Mac)], text...)); err != nil {
+	h.MAC = s.mac([]byte("head"), number, h.LastMAC)
+	if err := tx.Bucket(recordBucket).Put(number, append(h.LastMAC[:len(h.LastMAC):len(h.LastMAC)], text...)); err != nil {
 		return err
 	}
 	head, err := json.Marshal(h)
@@ -234,90 +234,90 @@
 
 // Records reads the record of changes from a number on, in order, and holds it against its codes: an edit, a gap and a cut at
 // the end show. That the whole store was put back to an earlier state does not: for this the head must be kept elsewhere.
-func (s *Store) Records(from uint64, each func(n uint64, r Record) error) error {
+func (s *Store) Records(from uint64, handle func(n uint64, r Record) error) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
-		h, err := s.head(tx)
+		h, err := s.readHead(tx)
 		if err != nil {
 			return err
 		}
-		if h.Count > 0 && !hmac.Equal(h.Sum, s.mac([]byte("head"), binary.BigEndian.AppendUint64(nil, h.Count), h.Mac)) {
-			return fmt.Errorf("head: %w", ErrCut)
+		if h.Count > 0 && !hmac.Equal(h.MAC, s.mac([]byte("head"), binary.BigEndian.AppendUint64(nil, h.Count), h.LastMAC)) {
+			return fmt.Errorf("head: %w", ErrTampered)
 		}
-		var before []byte
+		var previous []byte
 		n := uint64(0)
 		err = tx.Bucket(recordBucket).ForEach(func(k, v []byte) error {
 			n++
-			bad := fmt.Errorf("record %d: %w", n, ErrCut)
+			tampered := fmt.Errorf("record %d: %w", n, ErrTampered)
 			if len(k) != 8 || binary.BigEndian.Uint64(k) != n || len(v) < sha256.Size {
-				return bad
+				return tampered
 			}
 			mac, text := v[:sha256.Size], v[sha256.Size:]
 			var r Record
-			if !hmac.Equal(mac, s.mac([]byte("record"), text)) || json.Unmarshal(text, &r) != nil || !hmac.Equal(r.Before, before) {
-				return bad
+			if !hmac.Equal(mac, s.mac([]byte("record"), text)) || json.Unmarshal(text, &r) != nil || !hmac.Equal(r.PreviousMAC, previous) {
+				return tampered
 			}
-			before = append([]byte(nil), mac...)
+			previous = append([]byte(nil), mac...)
 			if n < from {
 				return nil
 			}
-			return each(n, r)
+			return handle(n, r)
 		})
-		if err == nil && (n != h.Count || !hmac.Equal(before, h.Mac)) {
-			err = fmt.Errorf("%d records of %d: %w", n, h.Count, ErrCut)
+		if err == nil && (n != h.Count || !hmac.Equal(previous, h.LastMAC)) {
+			err = fmt.Errorf("%d records of %d: %w", n, h.Count, ErrTampered)
 		}
 		return err
 	})
 }
 
-// answer is what was said to a request.
-type answer struct {
-	At      time.Time      `json:"At"`
-	Content []byte         `json:"Content"`
-	Tenant  tenancy.Tenant `json:"Tenant"`
-	Fault   *tenancy.Fault `json:"Fault"`
+// response is what was said to a request.
+type response struct {
+	At         time.Time      `json:"At"`
+	RequestMAC []byte         `json:"Content"`
+	Tenant     tenancy.Tenant `json:"Tenant"`
+	Fault      *tenancy.Fault `json:"Fault"`
 }
 
-// Do carries a change out, on the disk before it returns. A request that was made before, by its id, changes nothing and has
+// Apply carries a change out, on the disk before it returns. A request that was made before, by its id, changes nothing and has
 // the answer that it had then; with another content it is refused. Without an id each is a new one.
-func (s *Store) Do(now time.Time, by, request string, c tenancy.Change) (t tenancy.Tenant, fault *tenancy.Fault, err error) {
+func (s *Store) Apply(now time.Time, actor, request string, c tenancy.Change) (t tenancy.Tenant, fault *tenancy.Fault, err error) {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return t, nil, err
 	}
-	content := s.mac([]byte("request"), []byte(by), text)
+	requestMAC := s.mac([]byte("request"), []byte(actor), text)
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		requests := tx.Bucket(requestBucket)
 		if old := requests.Get([]byte(request)); request != "" && old != nil {
-			var a answer
+			var a response
 			if err := json.Unmarshal(old, &a); err != nil {
 				return err
 			}
-			if !hmac.Equal(a.Content, content) {
-				return fmt.Errorf("%.60q: %w", request, ErrRequest)
+			if !hmac.Equal(a.RequestMAC, requestMAC) {
+				return fmt.Errorf("%.60q: %w", request, ErrRequestReused)
 			}
 			t, fault = a.Tenant, a.Fault
 			return nil
 		}
-		book, err := bookOf(tx, s.slots)
+		registry, err := readTenants(tx, s.maxTenants)
 		if err != nil {
 			return err
 		}
-		before, _ := book.Get(c.Name)
-		if t, fault = book.Apply(ms(now), c); fault == nil && t != before {
-			if err := s.keep(tx, book); err != nil {
+		before, _ := registry.Get(c.Name)
+		if t, fault = registry.Apply(ms(now), c); fault == nil && t != before {
+			if err := s.saveTenants(tx, registry); err != nil {
 				return err
 			}
-			if err := s.note(tx, Record{At: now, By: by, What: c.Kind.String(), Whom: c.Name}, t); err != nil {
+			if err := s.appendRecord(tx, Record{At: now, Actor: actor, Action: c.Kind.String(), Tenant: c.Name}, t); err != nil {
 				return err
 			}
 		}
 		if request == "" {
 			return nil
 		}
-		if err := forget(requests, now); err != nil {
+		if err := expireResponses(requests, now); err != nil {
 			return err
 		}
-		if text, err = json.Marshal(answer{now, content, t, fault}); err != nil {
+		if text, err = json.Marshal(response{now, requestMAC, t, fault}); err != nil {
 			return err
 		}
 		return requests.Put([]byte(request), text)
@@ -325,12 +325,12 @@
 	return t, fault, err
 }
 
-// keep writes the book: tenants whose slots were given away are gone from it.
-func (s *Store) keep(tx *bbolt.Tx, book *tenancy.Book) error {
+// saveTenants writes the book: tenants whose slots were given away are gone from it.
+func (s *Store) saveTenants(tx *bbolt.Tx, registry *tenancy.Book) error {
 	bucket := tx.Bucket(tenantBucket)
-	here := map[string]bool{}
-	for _, t := range book.All() {
-		here[t.Name] = true
+	kept := map[string]bool{}
+	for _, t := range registry.All() {
+		kept[t.Name] = true
 		text, err := json.Marshal(t)
 		if err != nil {
 			return err
@@ -341,21 +341,21 @@
 			}
 		}
 	}
-	return sweep(bucket, math.MaxInt, func(k, _ []byte) (bool, error) { return !here[string(k)], nil })
+	return deleteMatching(bucket, math.MaxInt, func(k, _ []byte) (bool, error) { return !kept[string(k)], nil })
 }
 
-// sweep deletes what is to go from a bucket, so many at most.
-func sweep(bucket *bbolt.Bucket, most int, goes func(k, v []byte) (bool, error)) error {
-	var gone [][]byte
+// deleteMatching deletes what is to go from a bucket, so many at most.
+func deleteMatching(bucket *bbolt.Bucket, limit int, matches func(k, v []byte) (bool, error)) error {
+	var keys [][]byte
 	c := bucket.Cursor()
-	for k, v := c.First(); k != nil && len(gone) < most; k, v = c.Next() {
-		if ok, err := goes(k, v); err != nil {
+	for k, v := c.First(); k != nil && len(keys) < limit; k, v = c.Next() {
+		if ok, err := matches(k, v); err != nil {
 			return err
 		} else if ok {
-			gone = append(gone, append([]byte(nil), k...))
+			keys = append(keys, append([]byte(nil), k...))
 		}
 	}
-	for _, k := range gone {
+	for _, k := range keys {
 		if err := bucket.Delete(k); err != nil {
 			return err
 		}
@@ -363,38 +363,38 @@
 	return nil
 }
 
-// forget drops some answers that are old enough, a few at a time.
-func forget(requests *bbolt.Bucket, now time.Time) error {
-	return sweep(requests, 16, func(_, v []byte) (bool, error) {
-		var a answer
-		return json.Unmarshal(v, &a) != nil || now.Sub(a.At) > keepRequests, nil
+// expireResponses drops some answers that are old enough, a few at a time.
+func expireResponses(requests *bbolt.Bucket, now time.Time) error {
+	return deleteMatching(requests, 16, func(_, v []byte) (bool, error) {
+		var a response
+		return json.Unmarshal(v, &a) != nil || now.Sub(a.At) > responseRetention, nil
 	})
 }
 
 func ms(t time.Time) float64 { return float64(t.UnixNano()) / 1e6 }
 
-// Finish ends a removal of which nothing is left at any process; false if none is under way. Its tokens are gone with it.
-func (s *Store) Finish(now time.Time, name string) (ok bool, err error) {
+// FinishRemoval ends a removal of which nothing is left at any process; false if none is under way. Its tokens are gone with it.
+func (s *Store) FinishRemoval(now time.Time, name string) (ok bool, err error) {
 	err = s.db.Update(func(tx *bbolt.Tx) error {
-		book, err := bookOf(tx, s.slots)
+		registry, err := readTenants(tx, s.maxTenants)
 		if err != nil {
 			return err
 		}
-		t, done := book.Finish(ms(now), name)
+		t, done := registry.Finish(ms(now), name)
 		if ok = done; !ok {
 			return nil
 		}
-		if err := s.keep(tx, book); err != nil {
+		if err := s.saveTenants(tx, registry); err != nil {
 			return err
 		}
-		if err := sweep(tx.Bucket(tokenBucket), math.MaxInt, func(_, v []byte) (bool, error) {
+		if err := deleteMatching(tx.Bucket(tokenBucket), math.MaxInt, func(_, v []byte) (bool, error) {
 			var tk Token
 			err := json.Unmarshal(v, &tk)
 			return tk.Tenant == name, err
 		}); err != nil {
 			return err
 		}
-		return s.note(tx, Record{At: now, By: "scheduler", What: "finish", Whom: name}, t)
+		return s.appendRecord(tx, Record{At: now, Actor: "scheduler", Action: "finish", Tenant: name}, t)
 	})
 	return ok, err
 }
@@ -402,33 +402,33 @@
 // Token is what a tenant's programs show at the owners' door; of the secret only a code is kept.
 type Token struct {
 	Tenant  string    `json:"Tenant"`
-	Code    []byte    `json:"Code"`
+	MAC     []byte    `json:"Code"`
 	Expires time.Time `json:"Expires"`
 }
 
 const (
-	tokenID     = 9  // bytes, 12 characters
-	tokenSecret = 24 // bytes, 32 characters
+	tokenIDBytes     = 9  // bytes, 12 characters
+	tokenSecretBytes = 24 // bytes, 32 characters
 )
 
-// Issue makes a token for a tenant. It is shown once: the store keeps no more than its code.
-func (s *Store) Issue(now time.Time, by, tenant string, lasts time.Duration) (shown string, err error) {
-	b := make([]byte, tokenID+tokenSecret)
+// IssueToken makes a token for a tenant. It is shown once: the store keeps no more than its code.
+func (s *Store) IssueToken(now time.Time, actor, tenant string, lifetime time.Duration) (token string, err error) {
+	b := make([]byte, tokenIDBytes+tokenSecretBytes)
 	if _, err := rand.Read(b); err != nil {
 		return "", err
 	}
 	enc := base64.RawURLEncoding
-	id, word := enc.EncodeToString(b[:tokenID]), enc.EncodeToString(b[tokenID:])
+	id, secret := enc.EncodeToString(b[:tokenIDBytes]), enc.EncodeToString(b[tokenIDBytes:])
 	err = s.db.Update(func(tx *bbolt.Tx) error {
-		book, err := bookOf(tx, s.slots)
+		registry, err := readTenants(tx, s.maxTenants)
 		if err != nil {
 			return err
 		}
-		t, ok := book.Get(tenant)
+		t, ok := registry.Get(tenant)
 		if !ok || t.State >= tenancy.Removing {
 			return &tenancy.Fault{Field: "name", Sort: tenancy.Unknown, Text: fmt.Sprintf("no tenant %q that may have tokens", tenant)}
 		}
-		k := Token{Tenant: tenant, Code: s.mac([]byte("token"), []byte(id), []byte(word)), Expires: now.Add(lasts)}
+		k := Token{Tenant: tenant, MAC: s.mac([]byte("token"), []byte(id), []byte(secret)), Expires: now.Add(lifetime)}
 		text, err := json.Marshal(k)
 		if err != nil {
 			return err
@@ -436,18 +436,18 @@
 		if err := tx.Bucket(tokenBucket).Put([]byte(id), text); err != nil {
 			return err
 		}
-		return s.note(tx, Record{At: now, By: by, What: "issue", Whom: tenant}, map[string]any{"id": id, "expires": k.Expires})
+		return s.appendRecord(tx, Record{At: now, Actor: actor, Action: "issue", Tenant: tenant}, map[string]any{"id": id, "expires": k.Expires})
 	})
-	return id + "." + word, err
+	return id + "." + secret, err
 }
 
-// Revoke ends a token.
-func (s *Store) Revoke(now time.Time, by, id string) error {
+// RevokeToken ends a token.
+func (s *Store) RevokeToken(now time.Time, actor, id string) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(tokenBucket)
 		text := bucket.Get([]byte(id))
 		if text == nil {
-			return fmt.Errorf("%.40q: %w", id, ErrNone)
+			return fmt.Errorf("%.40q: %w", id, ErrUnknownToken)
 		}
 		var k Token
 		if err := json.Unmarshal(text, &k); err != nil {
@@ -456,35 +456,35 @@
 		if err := bucket.Delete([]byte(id)); err != nil {
 			return err
 		}
-		return s.note(tx, Record{At: now, By: by, What: "revoke", Whom: k.Tenant}, map[string]any{"id": id})
+		return s.appendRecord(tx, Record{At: now, Actor: actor, Action: "revoke", Tenant: k.Tenant}, map[string]any{"id": id})
 	})
 }
 
-// Verifier gives what tells whether a shown token is one of those that were read, and for whom. It takes as long for any id
+// TokenVerifier gives what tells whether a shown token is one of those that were read, and for whom. It takes as long for any id
 // that is known, whatever the secret, and for one that is not.
-func (s *Store) Verifier(known map[string]Token) func(now time.Time, shown string) (tenant string, ok bool) {
+func (s *Store) TokenVerifier(known map[string]Token) func(now time.Time, token string) (tenant string, ok bool) {
 	key := &Store{key: append([]byte(nil), s.key...)}
-	return func(now time.Time, shown string) (string, bool) {
-		id, word, ok := cut(shown)
+	return func(now time.Time, token string) (string, bool) {
+		id, secret, ok := splitToken(token)
 		if !ok {
 			return "", false
 		}
-		k, there := known[id]
-		code := key.mac([]byte("token"), []byte(id), []byte(word))
-		if !there {
-			k.Code = make([]byte, sha256.Size)
+		k, exists := known[id]
+		code := key.mac([]byte("token"), []byte(id), []byte(secret))
+		if !exists {
+			k.MAC = make([]byte, sha256.Size)
 		}
-		if same := hmac.Equal(code, k.Code); !same || !there || !now.Before(k.Expires) {
+		if same := hmac.Equal(code, k.MAC); !same || !exists || !now.Before(k.Expires) {
 			return "", false
 		}
 		return k.Tenant, true
 	}
 }
 
-// cut takes a shown token apart.
-func cut(shown string) (id, word string, ok bool) {
-	if len(shown) != 12+1+32 || shown[12] != '.' {
+// splitToken takes a shown token apart.
+func splitToken(token string) (id, secret string, ok bool) {
+	if len(token) != 12+1+32 || token[12] != '.' {
 		return "", "", false
 	}
-	return shown[:12], shown[13:], true
+	return token[:12], token[13:], true
 }
--- a/internal/state/tenants/tenants_test.go
+++ b/internal/state/tenants/tenants_test.go
@@ -34,49 +34,49 @@
 func TestRequests(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	first, fault, err := s.Do(now, "me", "r1", add("a"))
+	first, fault, err := s.Apply(now, "me", "r1", add("a"))
 	if fault != nil || err != nil {
 		t.Fatal(fault, err)
 	}
-	_, _, _ = s.Do(now, "me", "", tenancy.Change{Kind: tenancy.Pause, Name: "a"})
+	_, _, _ = s.Apply(now, "me", "", tenancy.Change{Kind: tenancy.Pause, Name: "a"})
 	s.Close()
 	s = open(t, dir) // as after a kill
-	if again, fault, err := s.Do(now, "me", "r1", add("a")); again != first || fault != nil || err != nil {
+	if again, fault, err := s.Apply(now, "me", "r1", add("a")); again != first || fault != nil || err != nil {
 		t.Errorf("asked again: %+v, %v, %v", again, fault, err)
 	}
 	for name, call := range map[string]func() error{
-		"another content": func() error { _, _, err := s.Do(now, "me", "r1", add("b")); return err },
-		"another person":  func() error { _, _, err := s.Do(now, "you", "r1", add("a")); return err },
+		"another content": func() error { _, _, err := s.Apply(now, "me", "r1", add("b")); return err },
+		"another person":  func() error { _, _, err := s.Apply(now, "you", "r1", add("a")); return err },
 	} {
-		if err := call(); !errors.Is(err, ErrRequest) {
+		if err := call(); !errors.Is(err, ErrRequestReused) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, fault, _ := s.Do(now, "me", "r2", add("a")); fault == nil || fault.Sort != tenancy.Exists {
+	if _, fault, _ := s.Apply(now, "me", "r2", add("a")); fault == nil || fault.Sort != tenancy.Exists {
 		t.Error(fault)
 	}
-	if n, _ := s.Count(); n != 2 {
+	if n, _ := s.ChangeCount(); n != 2 {
 		t.Errorf("%d changes, want 2", n)
 	}
-	if st, err := s.Read(); err != nil || len(st.Book.All()) != 1 || st.Book.All()[0].State != tenancy.Paused {
+	if st, err := s.Read(); err != nil || len(st.Tenants.All()) != 1 || st.Tenants.All()[0].State != tenancy.Paused {
 		t.Errorf("%+v, %v", st, err)
 	}
 }
 
 func TestTokens(t *testing.T) {
 	s := open(t, t.TempDir())
-	if _, err := s.Issue(now, "me", "a", time.Hour); err == nil {
+	if _, err := s.IssueToken(now, "me", "a", time.Hour); err == nil {
 		t.Error("a token for nobody")
 	}
-	_, _, _ = s.Do(now, "me", "", add("a"))
-	_, _, _ = s.Do(now, "me", "", add("b"))
-	shown, err := s.Issue(now, "me", "a", time.Hour)
+	_, _, _ = s.Apply(now, "me", "", add("a"))
+	_, _, _ = s.Apply(now, "me", "", add("b"))
+	shown, err := s.IssueToken(now, "me", "a", time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, _ := s.Issue(now, "me", "b", time.Hour)
+	other, _ := s.IssueToken(now, "me", "b", time.Hour)
 	st, _ := s.Read()
-	verify := s.Verifier(st.Tokens)
+	verify := s.TokenVerifier(st.Tokens)
 	for _, c := range []struct {
 		name, shown string
 		at          time.Time
@@ -101,14 +101,14 @@
 			t.Error("the secret is kept")
 		}
 	}
-	if err := s.Revoke(now, "me", shown[:12]); err != nil {
+	if err := s.RevokeToken(now, "me", shown[:12]); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Revoke(now, "me", shown[:12]); !errors.Is(err, ErrNone) {
+	if err := s.RevokeToken(now, "me", shown[:12]); !errors.Is(err, ErrUnknownToken) {
 		t.Error(err)
 	}
-	_, _, _ = s.Do(now, "me", "", tenancy.Change{Kind: tenancy.Remove, Name: "b"})
-	if ok, err := s.Finish(now, "b"); !ok || err != nil {
+	_, _, _ = s.Apply(now, "me", "", tenancy.Change{Kind: tenancy.Remove, Name: "b"})
+	if ok, err := s.FinishRemoval(now, "b"); !ok || err != nil {
 		t.Fatal(ok, err)
 	}
 	if st, _ := s.Read(); len(st.Tokens) != 0 {
@@ -141,7 +141,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := open(t, t.TempDir())
 			for i := range 3 {
-				if _, fault, err := s.Do(now, "me", "", add(fmt.Sprint("a", i))); fault != nil || err != nil {
+				if _, fault, err := s.Apply(now, "me", "", add(fmt.Sprint("a", i))); fault != nil || err != nil {
 					t.Fatal(fault, err)
 				}
 			}
@@ -150,7 +150,7 @@
 			}
 			n := 0
 			err := s.Records(2, func(uint64, Record) error { n++; return nil })
-			if errors.Is(err, ErrCut) != c.bad || !c.bad && (err != nil || n != 2) {
+			if errors.Is(err, ErrTampered) != c.bad || !c.bad && (err != nil || n != 2) {
 				t.Errorf("%v, %d records", err, n)
 			}
 		})
@@ -164,7 +164,7 @@
 	}{
 		{"a key of another length", func(dir string) error { return os.WriteFile(filepath.Join(dir, "tenants.key"), []byte("x"), 0o600) }},
 		{"a tenant that makes no sense", func(dir string) error {
-			db, err := bbolt.Open(file(dir), 0o600, nil)
+			db, err := bbolt.Open(storePath(dir), 0o600, nil)
 			if err != nil {
 				return err
 			}
--- a/internal/upkeep/upkeep.go
+++ b/internal/upkeep/upkeep.go
@@ -26,10 +26,10 @@
 // Store keeps what was begun.
 type Store interface {
 	Calendar() (*calendar.Calendar, error)
-	Begin(v calendar.Verdict, now time.Time) (drains.Begun, bool, error)
-	Reach(window string, nominal time.Time, stage drains.Stage, now time.Time) error
-	Open() ([]drains.Begun, error)
-	Forget(before time.Time) error
+	BeginDrain(v calendar.Verdict, now time.Time) (drains.Drain, bool, error)
+	AdvanceDrain(window string, nominal time.Time, stage drains.Stage, now time.Time) error
+	UnfinishedDrains() ([]drains.Drain, error)
+	DeleteClosed(before time.Time) error
 }
 
 // Keeper carries out one process's windows.
@@ -67,7 +67,7 @@
 	if err != nil {
 		return fmt.Errorf("drains: %w", err)
 	}
-	open, err := k.Store.Open()
+	open, err := k.Store.UnfinishedDrains()
 	if err != nil {
 		return fmt.Errorf("drains: %w", err)
 	}
@@ -89,10 +89,10 @@
 	}
 	for _, v := range k.plan {
 		if v.Outcome == calendar.Refused || now.Before(v.Drain) || !now.Before(v.End) || len(v.Nodes) == 0 ||
-			slices.ContainsFunc(open, func(b drains.Begun) bool { return name(b.Verdict) == name(v) }) || !stands(cal, v) {
+			slices.ContainsFunc(open, func(b drains.Drain) bool { return name(b.Verdict) == name(v) }) || !stands(cal, v) {
 			continue
 		}
-		b, fresh, err := k.Store.Begin(v, now)
+		b, fresh, err := k.Store.BeginDrain(v, now)
 		if err != nil {
 			return fmt.Errorf("drains: %w", err)
 		}
@@ -108,7 +108,7 @@
 	}
 	if now.Sub(k.forgot) > time.Hour {
 		k.forgot = now
-		if err := k.Store.Forget(now.Add(-keepClosed)); err != nil {
+		if err := k.Store.DeleteClosed(now.Add(-keepClosed)); err != nil {
 			return fmt.Errorf("drains: %w", err)
 		}
 	}
@@ -132,10 +132,10 @@
 }
 
 // goOn takes a drain as far as it can go now.
-func (k *Keeper) goOn(now time.Time, b drains.Begun, cal *calendar.Calendar) error {
+func (k *Keeper) goOn(now time.Time, b drains.Drain, cal *calendar.Calendar) error {
 	v := b.Verdict
 	reach := func(s drains.Stage) error {
-		if err := k.Store.Reach(v.Window, v.Nominal, s, now); err != nil {
+		if err := k.Store.AdvanceDrain(v.Window, v.Nominal, s, now); err != nil {
 			return fmt.Errorf("drains: %w", err)
 		}
 		return nil
@@ -154,7 +154,7 @@
 		left += n
 	}
 	if left == 0 && b.Stage < drains.Emptied {
-		k.Hands.Log(fmt.Sprintf("window %s: empty after %.0f s", v.Window, now.Sub(b.At[drains.Opened]).Seconds()))
+		k.Hands.Log(fmt.Sprintf("window %s: empty after %.0f s", v.Window, now.Sub(b.ReachedAt[drains.Opened]).Seconds()))
 		if err := reach(drains.Emptied); err != nil {
 			return err
 		}
@@ -196,7 +196,7 @@
 			}
 		}
 	}
-	others, err := k.Store.Open()
+	others, err := k.Store.UnfinishedDrains()
 	if err != nil {
 		return fmt.Errorf("drains: %w", err)
 	}
--- a/internal/upkeep/upkeep_test.go
+++ b/internal/upkeep/upkeep_test.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Add(&calendar.Calendar{Windows: windows}, start); err != nil {
+	if err := s.AddEvents(&calendar.Calendar{Windows: windows}, start); err != nil {
 		t.Fatal(err)
 	}
 	h := &hands{out: map[string]bool{}, runs: map[string][]int{"n1": {30, 2}, "n2": {20, 0}, "n3": {50, 5}}}
@@ -118,7 +118,7 @@
 	if len(h.out) != 0 || len(h.lines) != 2 {
 		t.Errorf("out %v after the end, lines %q", h.out, h.lines)
 	}
-	if open, _ := s.Open(); len(open) != 0 {
+	if open, _ := s.UnfinishedDrains(); len(open) != 0 {
 		t.Errorf("open: %+v", open)
 	}
 }
@@ -148,7 +148,7 @@
 				t.Error("forgotten by the next life")
 			}
 			ticks(t, k, 59, 63, nil)
-			begun, _ := s.Begun()
+			begun, _ := s.Drains()
 			if len(h2.out) != 0 || len(begun) != 1 || begun[0].Stage != drains.Closed {
 				t.Errorf("out %v, %+v", h2.out, begun)
 			}
@@ -164,25 +164,25 @@
 	at string
 }
 
-func (f *failing) Begin(v calendar.Verdict, now time.Time) (drains.Begun, bool, error) {
-	b, fresh, err := f.Store.Begin(v, now)
+func (f *failing) BeginDrain(v calendar.Verdict, now time.Time) (drains.Drain, bool, error) {
+	b, fresh, err := f.Store.BeginDrain(v, now)
 	if f.at == "opened" && err == nil {
 		err = errKill
 	}
 	return b, fresh, err
 }
 
-func (f *failing) Reach(w string, n time.Time, s drains.Stage, now time.Time) error {
+func (f *failing) AdvanceDrain(w string, n time.Time, s drains.Stage, now time.Time) error {
 	if f.at == "told" && s == drains.Announced || f.at == "closed" && s == drains.Closed {
 		return errKill
 	}
-	return f.Store.Reach(w, n, s, now)
+	return f.Store.AdvanceDrain(w, n, s, now)
 }
 
 func TestCancelledWhileDraining(t *testing.T) {
 	_, s, k, h := world(t, window("a", "n1"))
 	ticks(t, k, -10, -8, nil)
-	if err := s.Cancel("a", time.Time{}, start); err != nil {
+	if err := s.CancelWindow("a", time.Time{}, start); err != nil {
 		t.Fatal(err)
 	}
 	ticks(t, k, -8, -7, nil)
