--- a/internal/lab/month/edge.go
+++ b/internal/lab/month/edge.go
@@ -100,8 +100,8 @@
 
 func (h hand) Log(l string) { h.p.w.note("%d %s", h.p.index, l) }
 
-// Out and the others are the keeper's hands.
-func (h hand) Out(nodes []string, out bool) {
+// SetDraining and the others are the keeper's hands.
+func (h hand) SetDraining(nodes []string, out bool) {
 	var ids []uint32
 	for _, n := range nodes {
 		id, _ := strconv.Atoi(n)
@@ -113,7 +113,7 @@
 	h.p.eng.SetMaintenance(h.p.clock(), ids, out)
 }
 
-func (h hand) Running(nodes []string) (there []int, all int) {
+func (h hand) CountRunning(nodes []string) (there []int, all int) {
 	there = make([]int, jobs)
 	for _, n := range nodes {
 		id, _ := strconv.Atoi(n)
@@ -122,7 +122,7 @@
 	return there, h.p.eng.Stats().Held
 }
 
-func (h hand) MoveOff(nodes []string, job, most int) (n int) {
+func (h hand) Evict(nodes []string, job, most int) (n int) {
 	may := make([]bool, jobs)
 	may[job] = true
 	for _, name := range nodes {
--- a/internal/serve/drains.go
+++ b/internal/serve/drains.go
@@ -29,11 +29,11 @@
 // so that the command line can change the calendar while the process runs.
 func (s *Server) keepDrains() {
 	place := s.who.Place
-	var hands upkeep.Hands = drainHands{s}
+	var hands upkeep.Executor = drainHands{s}
 	if s.who.Plant.Drains != nil {
 		hands = s.who.Plant.Drains(hands)
 	}
-	k := &upkeep.Keeper{Hands: hands, Limits: place.Maintenance, Manners: place.DrainManners}
+	k := &upkeep.Controller{Executor: hands, Limits: place.Maintenance, Policies: place.DrainManners}
 	h := &drainHours{}
 	lastFault := ""
 	look := func() {
@@ -80,7 +80,7 @@
 
 const keepLoad = 10 * time.Minute
 
-func (s *Server) drainsOnce(k *upkeep.Keeper, h *drainHours) error {
+func (s *Server) drainsOnce(k *upkeep.Controller, h *drainHours) error {
 	store, err := s.who.Windows()
 	if err != nil || store == nil {
 		return err
@@ -106,7 +106,7 @@
 		h.kept = now
 	}
 	whose := ""
-	if k.Load, whose = calendar.Known(h.measured, published, s.who.Place.Cluster.Schedulers); whose != h.whose {
+	if k.UsualLoad, whose = calendar.Known(h.measured, published, s.who.Place.Cluster.Schedulers); whose != h.whose {
 		h.whose = whose
 		s.log.Info().Str("mode", "drains").Msg("usual load: " + whose)
 	}
@@ -276,7 +276,7 @@
 	return all
 }
 
-func (h drainHands) Out(nodes []string, out bool) {
+func (h drainHands) SetDraining(nodes []string, out bool) {
 	all := ids(nodes)
 	h.s.desk.Lock()
 	for _, id := range all {
@@ -294,9 +294,9 @@
 	}
 }
 
-// Running sums what the shards counted at the last look. What none has counted since its node went out, or since its
+// CountRunning sums what the shards counted at the last look. What none has counted since its node went out, or since its
 // life began, is not known: such a node is not empty.
-func (h drainHands) Running(nodes []string) (there []int, all int) {
+func (h drainHands) CountRunning(nodes []string) (there []int, all int) {
 	there = make([]int, len(h.s.who.Place.JobClasses))
 	h.s.desk.Lock()
 	defer h.s.desk.Unlock()
@@ -316,8 +316,8 @@
 	return there, all
 }
 
-// MoveOff has the shards stop work at nodes, each its part of the number.
-func (h drainHands) MoveOff(nodes []string, job, most int) int {
+// Evict has the shards stop work at nodes, each its part of the number.
+func (h drainHands) Evict(nodes []string, job, most int) int {
 	may := make([]bool, len(h.s.who.Place.JobClasses))
 	may[job] = true
 	left := most
--- a/internal/serve/drains_test.go
+++ b/internal/serve/drains_test.go
@@ -34,13 +34,13 @@
 
 // killedAt kills its process when windows are told of, or lets them be.
 type killedAt struct {
-	upkeep.Hands
+	upkeep.Executor
 	before bool // the shards were told
 }
 
-func (k killedAt) Out(nodes []string, out bool) {
+func (k killedAt) SetDraining(nodes []string, out bool) {
 	if !k.before {
-		k.Hands.Out(nodes, out)
+		k.Executor.SetDraining(nodes, out)
 		time.Sleep(50 * time.Millisecond)
 	}
 	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
@@ -58,7 +58,7 @@
 		_ = os.Rename(filepath.Join(folder, "address.new"), filepath.Join(folder, "address"))
 	}}
 	if kill := os.Getenv("RAVENPOND_TEST_KILL"); kill != "" {
-		who.Plant.Drains = func(h upkeep.Hands) upkeep.Hands { return killedAt{h, kill == "before"} }
+		who.Plant.Drains = func(h upkeep.Executor) upkeep.Executor { return killedAt{h, kill == "before"} }
 	}
 	if err := Run(context.Background(), who); err != nil {
 		panic(err)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -81,7 +81,7 @@
 	Trust bool                                // leave is given to any epoch
 	Again bool                                // owners are told each answer twice
 
-	Drains func(upkeep.Hands) upkeep.Hands // wraps what carries out maintenance windows
+	Drains func(upkeep.Executor) upkeep.Executor // wraps what carries out maintenance windows
 
 	WorkingSet    workingset.Plant
 	AbandonsTasks bool // nodes that leave the working set are hung up on, whatever runs there
--- a/internal/upkeep/upkeep.go
+++ b/internal/upkeep/upkeep.go
@@ -12,14 +12,14 @@
 	"ravenpond/internal/state/drains"
 )
 
-// Hands act on the scheduler.
-type Hands interface {
-	// Out takes nodes out or brings them back; doing it again changes nothing.
-	Out(nodes []string, out bool)
-	// Running counts what runs at nodes, and on the whole fleet, by job type.
-	Running(nodes []string) (there []int, all int)
-	// MoveOff stops up to so many allocations of a job type at nodes.
-	MoveOff(nodes []string, job, most int) int
+// Executor act on the scheduler.
+type Executor interface {
+	// SetDraining takes nodes out or brings them back; doing it again changes nothing.
+	SetDraining(nodes []string, out bool)
+	// CountRunning counts what runs at nodes, and on the whole fleet, by job type.
+	CountRunning(nodes []string) (there []int, all int)
+	// Evict stops up to so many allocations of a job type at nodes.
+	Evict(nodes []string, job, most int) int
 	Log(line string)
 }
 
@@ -32,92 +32,94 @@
 	DeleteClosed(before time.Time) error
 }
 
-// Keeper carries out one process's windows.
-type Keeper struct {
-	Store   Store
-	Hands   Hands
-	Limits  calendar.Limits
-	Manners []drainpace.Manner // by job type
-	Load    calendar.Usual     // the same at every process that shares the calendar
+// Controller carries out one process's windows.
+type Controller struct {
+	Store     Store
+	Executor  Executor
+	Limits    calendar.Limits
+	Policies  []drainpace.Manner // by job type
+	UsualLoad calendar.Usual     // the same at every process that shares the calendar
 
-	told    map[string]bool // drains announced in this life of the process
-	spared  map[string]bool // and those whose work is left alone, as too much is lost
-	world   func(calendar.Verdict) string
-	last    time.Time
-	planned time.Time
-	forgot  time.Time
-	made    [4]int // of what the plan was made
-	plan    []calendar.Verdict
+	announced   map[string]bool // drains announced in this life of the process
+	suspended   map[string]bool // and those whose work is left alone, as too much is lost
+	blockedBy   func(calendar.Verdict) string
+	lastTick    time.Time
+	plannedAt   time.Time
+	cleanedUpAt time.Time
+	planInputs  [4]int // of what the plan was made
+	plan        []calendar.Verdict
 }
 
-// again is how long a plan holds before it is worked out anew.
-const again = 20 * time.Second
+// replanInterval is how long a plan holds before it is worked out anew.
+const replanInterval = 20 * time.Second
 
-// keepClosed is how long closed drains are remembered: longer than any clock that jumped back.
-const keepClosed = 40 * 24 * time.Hour
+// closedRetention is how long closed drains are remembered: longer than any clock that jumped back.
+const closedRetention = 40 * 24 * time.Hour
 
-func name(v calendar.Verdict) string { return v.Window + " " + v.Nominal.UTC().Format(time.RFC3339) }
+func drainName(v calendar.Verdict) string {
+	return v.Window + " " + v.Nominal.UTC().Format(time.RFC3339)
+}
 
 // Tick does what is due. fleet is the node list as last heard, lost those of it that are not there.
-func (k *Keeper) Tick(now time.Time, fleet []calendar.Node, lost map[string]bool) error {
-	if k.told == nil {
-		k.told, k.spared = map[string]bool{}, map[string]bool{}
+func (k *Controller) Tick(now time.Time, fleet []calendar.Node, lost map[string]bool) error {
+	if k.announced == nil {
+		k.announced, k.suspended = map[string]bool{}, map[string]bool{}
 	}
 	cal, err := k.Store.Calendar()
 	if err != nil {
 		return fmt.Errorf("drains: %w", err)
 	}
-	open, err := k.Store.UnfinishedDrains()
+	unfinished, err := k.Store.UnfinishedDrains()
 	if err != nil {
 		return fmt.Errorf("drains: %w", err)
 	}
-	out := map[string]bool{}
-	for _, b := range open {
-		for _, n := range b.Verdict.Nodes {
-			out[n] = true
+	draining := map[string]bool{}
+	for _, drain := range unfinished {
+		for _, n := range drain.Verdict.Nodes {
+			draining[n] = true
 		}
 	}
-	k.world = func(v calendar.Verdict) string { return calendar.Strained(v, fleet, lost, out, k.Limits) }
-	for _, b := range open { // first what was begun, by this life or an earlier one
-		if err := k.goOn(now, b, cal); err != nil {
+	k.blockedBy = func(v calendar.Verdict) string { return calendar.Strained(v, fleet, lost, draining, k.Limits) }
+	for _, drain := range unfinished { // first what was begun, by this life or an earlier one
+		if err := k.advance(now, drain, cal); err != nil {
 			return err
 		}
 	}
-	if made := mark(cal, fleet); made != k.made || now.Sub(k.planned) > again || now.Before(k.planned) {
-		k.planned, k.made = now, made
-		k.plan = calendar.Plan(cal, fleet, k.Limits, k.Load, now.Add(-8*24*time.Hour), now.Add(8*24*time.Hour))
+	if inputs := planInputsOf(cal, fleet); inputs != k.planInputs || now.Sub(k.plannedAt) > replanInterval || now.Before(k.plannedAt) {
+		k.plannedAt, k.planInputs = now, inputs
+		k.plan = calendar.Plan(cal, fleet, k.Limits, k.UsualLoad, now.Add(-8*24*time.Hour), now.Add(8*24*time.Hour))
 	}
 	for _, v := range k.plan {
 		if v.Outcome == calendar.Refused || now.Before(v.Drain) || !now.Before(v.End) || len(v.Nodes) == 0 ||
-			slices.ContainsFunc(open, func(b drains.Drain) bool { return name(b.Verdict) == name(v) }) || !stands(cal, v) {
+			slices.ContainsFunc(unfinished, func(drain drains.Drain) bool { return drainName(drain.Verdict) == drainName(v) }) || !isScheduled(cal, v) {
 			continue
 		}
-		b, fresh, err := k.Store.BeginDrain(v, now)
+		drain, isNew, err := k.Store.BeginDrain(v, now)
 		if err != nil {
 			return fmt.Errorf("drains: %w", err)
 		}
-		if !fresh { // it was opened and closed before
+		if !isNew { // it was opened and closed before
 			continue
 		}
 		for _, n := range v.Nodes {
-			out[n] = true
+			draining[n] = true
 		}
-		if err := k.goOn(now, b, cal); err != nil {
+		if err := k.advance(now, drain, cal); err != nil {
 			return err
 		}
 	}
-	if now.Sub(k.forgot) > time.Hour {
-		k.forgot = now
-		if err := k.Store.DeleteClosed(now.Add(-keepClosed)); err != nil {
+	if now.Sub(k.cleanedUpAt) > time.Hour {
+		k.cleanedUpAt = now
+		if err := k.Store.DeleteClosed(now.Add(-closedRetention)); err != nil {
 			return fmt.Errorf("drains: %w", err)
 		}
 	}
-	k.last = now
+	k.lastTick = now
 	return nil
 }
 
-// mark tells calendars and fleets apart that differ in size; any other change is taken up when the plan is made anew.
-func mark(cal *calendar.Calendar, fleet []calendar.Node) [4]int {
+// planInputsOf tells calendars and fleets apart that differ in size; any other change is taken up when the plan is made anew.
+func planInputsOf(cal *calendar.Calendar, fleet []calendar.Node) [4]int {
 	cancelled := 0
 	for i := range cal.Windows {
 		cancelled += len(cal.Windows[i].Except)
@@ -125,69 +127,69 @@
 	return [4]int{len(cal.Windows), len(cal.Protected), cancelled, 1 + len(fleet)}
 }
 
-// stands tells whether the calendar still has an occurrence.
-func stands(cal *calendar.Calendar, v calendar.Verdict) bool {
+// isScheduled tells whether the calendar still has an occurrence.
+func isScheduled(cal *calendar.Calendar, v calendar.Verdict) bool {
 	i := slices.IndexFunc(cal.Windows, func(w calendar.Window) bool { return w.ID == v.Window })
 	return i >= 0 && !slices.ContainsFunc(cal.Windows[i].Except, v.Nominal.Equal)
 }
 
-// goOn takes a drain as far as it can go now.
-func (k *Keeper) goOn(now time.Time, b drains.Drain, cal *calendar.Calendar) error {
-	v := b.Verdict
-	reach := func(s drains.Stage) error {
+// advance takes a drain as far as it can go now.
+func (k *Controller) advance(now time.Time, drain drains.Drain, cal *calendar.Calendar) error {
+	v := drain.Verdict
+	setStage := func(s drains.Stage) error {
 		if err := k.Store.AdvanceDrain(v.Window, v.Nominal, s, now); err != nil {
 			return fmt.Errorf("drains: %w", err)
 		}
 		return nil
 	}
-	if !k.told[name(v)] { // after a restart it is announced again: to do so twice changes nothing, not to would
-		k.Hands.Out(v.Nodes, true)
-		k.told[name(v)] = true
-		k.Hands.Log(fmt.Sprintf("window %s: %d nodes drain until %s", v.Window, len(v.Nodes), v.End.UTC().Format(time.RFC3339)))
-		if err := reach(drains.Announced); err != nil {
+	if !k.announced[drainName(v)] { // after a restart it is announced again: to do so twice changes nothing, not to would
+		k.Executor.SetDraining(v.Nodes, true)
+		k.announced[drainName(v)] = true
+		k.Executor.Log(fmt.Sprintf("window %s: %d nodes drain until %s", v.Window, len(v.Nodes), v.End.UTC().Format(time.RFC3339)))
+		if err := setStage(drains.Announced); err != nil {
 			return err
 		}
 	}
-	there, all := k.Hands.Running(v.Nodes)
-	left := 0
-	for _, n := range there {
-		left += n
+	running, all := k.Executor.CountRunning(v.Nodes)
+	remaining := 0
+	for _, n := range running {
+		remaining += n
 	}
-	if left == 0 && b.Stage < drains.Emptied {
-		k.Hands.Log(fmt.Sprintf("window %s: empty after %.0f s", v.Window, now.Sub(b.ReachedAt[drains.Opened]).Seconds()))
-		if err := reach(drains.Emptied); err != nil {
+	if remaining == 0 && drain.Stage < drains.Emptied {
+		k.Executor.Log(fmt.Sprintf("window %s: empty after %.0f s", v.Window, now.Sub(drain.ReachedAt[drains.Opened]).Seconds()))
+		if err := setStage(drains.Emptied); err != nil {
 			return err
 		}
 	}
-	cancelled := !stands(cal, v)
+	cancelled := !isScheduled(cal, v)
 	if cancelled || !now.Before(v.End) {
-		return k.close(now, v, there, left, cancelled, reach)
+		return k.close(now, v, running, remaining, cancelled, setStage)
 	}
-	if why := k.world(v); why != "" { // nothing new goes there, but what runs stays while the rest has no room for it
-		if !k.spared[name(v)] {
-			k.spared[name(v)] = true
-			k.Hands.Log(fmt.Sprintf("window %s: work is left where it is: %s", v.Window, why))
+	if reason := k.blockedBy(v); reason != "" { // nothing new goes there, but what runs stays while the rest has no room for it
+		if !k.suspended[drainName(v)] {
+			k.suspended[drainName(v)] = true
+			k.Executor.Log(fmt.Sprintf("window %s: work is left where it is: %s", v.Window, reason))
 		}
 		return nil
 	}
-	delete(k.spared, name(v))
+	delete(k.suspended, drainName(v))
 	ms := func(t time.Time) float64 { return float64(t.UnixNano()) / 1e6 }
-	for job, n := range there {
-		if most := drainpace.Moves(k.Manners[job], ms(now), ms(v.Drain), ms(v.Start), ms(k.last), n, all); most > 0 {
-			k.Hands.MoveOff(v.Nodes, job, most)
+	for job, n := range running {
+		if evictions := drainpace.Moves(k.Policies[job], ms(now), ms(v.Drain), ms(v.Start), ms(k.lastTick), n, all); evictions > 0 {
+			k.Executor.Evict(v.Nodes, job, evictions)
 		}
 	}
 	return nil
 }
 
 // close brings the nodes of a window back, as its ending says.
-func (k *Keeper) close(now time.Time, v calendar.Verdict, there []int, left int, cancelled bool, reach func(drains.Stage) error) error {
-	if !cancelled && left > 0 {
+func (k *Controller) close(now time.Time, v calendar.Verdict, running []int, remaining int, cancelled bool, setStage func(drains.Stage) error) error {
+	if !cancelled && remaining > 0 {
 		switch v.Ending {
 		case calendar.Sweep:
-			for job, n := range there {
-				if k.Manners[job] != drainpace.RunOut {
-					k.Hands.MoveOff(v.Nodes, job, n)
+			for job, n := range running {
+				if k.Policies[job] != drainpace.RunOut {
+					k.Executor.Evict(v.Nodes, job, n)
 				}
 			}
 		case calendar.Hold:
@@ -196,25 +198,25 @@
 			}
 		}
 	}
-	others, err := k.Store.UnfinishedDrains()
+	unfinished, err := k.Store.UnfinishedDrains()
 	if err != nil {
 		return fmt.Errorf("drains: %w", err)
 	}
-	back := slices.Clone(v.Nodes)
-	for _, b := range others { // a node that another window holds stays out
-		if name(b.Verdict) != name(v) {
-			back = slices.DeleteFunc(back, func(n string) bool { return slices.Contains(b.Verdict.Nodes, n) })
+	returning := slices.Clone(v.Nodes)
+	for _, b := range unfinished { // a node that another window holds stays out
+		if drainName(b.Verdict) != drainName(v) {
+			returning = slices.DeleteFunc(returning, func(n string) bool { return slices.Contains(b.Verdict.Nodes, n) })
 		}
 	}
-	if err := reach(drains.Closed); err != nil {
+	if err := setStage(drains.Closed); err != nil {
 		return err
 	}
-	k.Hands.Out(back, false)
-	delete(k.told, name(v))
-	word := "over"
+	k.Executor.SetDraining(returning, false)
+	delete(k.announced, drainName(v))
+	outcome := "over"
 	if cancelled {
-		word = "cancelled"
+		outcome = "cancelled"
 	}
-	k.Hands.Log(fmt.Sprintf("window %s: %s, %d nodes back, %d allocations still there", v.Window, word, len(back), left))
+	k.Executor.Log(fmt.Sprintf("window %s: %s, %d nodes back, %d allocations still there", v.Window, outcome, len(returning), remaining))
 	return nil
 }
--- a/internal/upkeep/upkeep_test.go
+++ b/internal/upkeep/upkeep_test.go
@@ -15,27 +15,27 @@
 
 var start = time.Date(2026, 3, 2, 10, 0, 0, 0, time.UTC)
 
-// hands write down what is asked of them and hold what runs at each node.
-type hands struct {
-	out   map[string]bool
-	runs  map[string][]int // by job type
-	lines []string
-	moved int
+// fakeExecutor write down what is asked of them and hold what runs at each node.
+type fakeExecutor struct {
+	draining map[string]bool
+	running  map[string][]int // by job type
+	lines    []string
+	evicted  int
 }
 
-func (h *hands) Out(nodes []string, out bool) {
+func (h *fakeExecutor) SetDraining(nodes []string, out bool) {
 	for _, n := range nodes {
 		if out {
-			h.out[n] = true
+			h.draining[n] = true
 		} else {
-			delete(h.out, n)
+			delete(h.draining, n)
 		}
 	}
 }
 
-func (h *hands) Running(nodes []string) ([]int, int) {
+func (h *fakeExecutor) CountRunning(nodes []string) ([]int, int) {
 	there, all := make([]int, 2), 0
-	for n, jobs := range h.runs {
+	for n, jobs := range h.running {
 		for job, c := range jobs {
 			all += c
 			if slices.Contains(nodes, n) {
@@ -46,20 +46,20 @@
 	return there, all
 }
 
-func (h *hands) MoveOff(nodes []string, job, most int) int {
+func (h *fakeExecutor) Evict(nodes []string, job, most int) int {
 	for _, n := range nodes {
-		for h.runs[n][job] > 0 && most > 0 {
-			h.runs[n][job]--
+		for h.running[n][job] > 0 && most > 0 {
+			h.running[n][job]--
 			most--
-			h.moved++
+			h.evicted++
 		}
 	}
 	return 0
 }
 
-func (h *hands) Log(line string) { h.lines = append(h.lines, line) }
+func (h *fakeExecutor) Log(line string) { h.lines = append(h.lines, line) }
 
-func world(t *testing.T, windows ...calendar.Window) (string, *drains.Store, *Keeper, *hands) {
+func newController(t *testing.T, windows ...calendar.Window) (string, *drains.Store, *Controller, *fakeExecutor) {
 	dir := t.TempDir()
 	s, err := drains.Open(dir)
 	if err != nil {
@@ -68,14 +68,14 @@
 	if err := s.AddEvents(&calendar.Calendar{Windows: windows}, start); err != nil {
 		t.Fatal(err)
 	}
-	h := &hands{out: map[string]bool{}, runs: map[string][]int{"n1": {30, 2}, "n2": {20, 0}, "n3": {50, 5}}}
-	return dir, s, keeper(s, h), h
+	h := &fakeExecutor{draining: map[string]bool{}, running: map[string][]int{"n1": {30, 2}, "n2": {20, 0}, "n3": {50, 5}}}
+	return dir, s, controllerOn(s, h), h
 }
 
-func keeper(s Store, h *hands) *Keeper {
-	return &Keeper{
-		Store: s, Hands: h, Limits: calendar.Limits{Fleet: 0.5, Zone: 1, Kind: 1, Margin: 1},
-		Manners: []drainpace.Manner{drainpace.Late, drainpace.RunOut},
+func controllerOn(s Store, h *fakeExecutor) *Controller {
+	return &Controller{
+		Store: s, Executor: h, Limits: calendar.Limits{Fleet: 0.5, Zone: 1, Kind: 1, Margin: 1},
+		Policies: []drainpace.Manner{drainpace.Late, drainpace.RunOut},
 	}
 }
 
@@ -90,8 +90,8 @@
 	return calendar.Window{ID: id, Place: node, Start: start, Last: time.Hour, Lead: 10 * time.Minute}
 }
 
-// ticks lets a keeper tick every second from one minute to another.
-func ticks(t *testing.T, k *Keeper, from, to int, lost map[string]bool) {
+// tickRange lets a keeper tick every second from one minute to another.
+func tickRange(t *testing.T, k *Controller, from, to int, lost map[string]bool) {
 	t.Helper()
 	for s := from * 60; s < to*60; s++ {
 		if err := k.Tick(start.Add(time.Duration(s)*time.Second), fleet(), lost); err != nil {
@@ -101,22 +101,22 @@
 }
 
 func TestCourse(t *testing.T) {
-	_, s, k, h := world(t, window("a", "n1"))
-	ticks(t, k, -12, -10, nil)
-	if len(h.out) != 0 {
+	_, s, k, h := newController(t, window("a", "n1"))
+	tickRange(t, k, -12, -10, nil)
+	if len(h.draining) != 0 {
 		t.Error("out before its time")
 	}
-	ticks(t, k, -10, -5, nil)
-	if !h.out["n1"] || h.moved != 0 {
-		t.Errorf("out %v, %d moved in the first half of the lead", h.out, h.moved)
+	tickRange(t, k, -10, -5, nil)
+	if !h.draining["n1"] || h.evicted != 0 {
+		t.Errorf("out %v, %d moved in the first half of the lead", h.draining, h.evicted)
 	}
-	ticks(t, k, -5, 0, nil)
-	if h.runs["n1"][0] != 0 || h.runs["n1"][1] != 2 {
-		t.Errorf("left there at the start: %v", h.runs["n1"])
+	tickRange(t, k, -5, 0, nil)
+	if h.running["n1"][0] != 0 || h.running["n1"][1] != 2 {
+		t.Errorf("left there at the start: %v", h.running["n1"])
 	}
-	ticks(t, k, 0, 61, nil)
-	if len(h.out) != 0 || len(h.lines) != 2 {
-		t.Errorf("out %v after the end, lines %q", h.out, h.lines)
+	tickRange(t, k, 0, 61, nil)
+	if len(h.draining) != 0 || len(h.lines) != 2 {
+		t.Errorf("out %v after the end, lines %q", h.draining, h.lines)
 	}
 	if open, _ := s.UnfinishedDrains(); len(open) != 0 {
 		t.Errorf("open: %+v", open)
@@ -126,13 +126,13 @@
 func TestKilled(t *testing.T) {
 	for _, at := range []string{"opened", "told", "closed"} {
 		t.Run(at, func(t *testing.T) {
-			dir, s, k, h := world(t, window("a", "n1"))
-			k.Store = &failing{Store: s, at: at}
+			dir, s, k, h := newController(t, window("a", "n1"))
+			k.Store = &failingStore{Store: s, at: at}
 			var err error
 			for s := -11 * 60; s < 62*60 && err == nil; s++ {
 				err = k.Tick(start.Add(time.Duration(s)*time.Second), fleet(), nil)
 			}
-			if !errors.Is(err, errKill) {
+			if !errors.Is(err, errKilled) {
 				t.Fatal("not killed: ", err)
 			}
 			s.Close()
@@ -141,64 +141,64 @@
 				t.Fatal(err)
 			}
 			defer s.Close()
-			h2 := &hands{out: map[string]bool{}, runs: h.runs} // the next life knows nothing
-			k = keeper(s, h2)
-			ticks(t, k, 20, 21, nil)
-			if at != "closed" && !h2.out["n1"] {
+			h2 := &fakeExecutor{draining: map[string]bool{}, running: h.running} // the next life knows nothing
+			k = controllerOn(s, h2)
+			tickRange(t, k, 20, 21, nil)
+			if at != "closed" && !h2.draining["n1"] {
 				t.Error("forgotten by the next life")
 			}
-			ticks(t, k, 59, 63, nil)
+			tickRange(t, k, 59, 63, nil)
 			begun, _ := s.Drains()
-			if len(h2.out) != 0 || len(begun) != 1 || begun[0].Stage != drains.Closed {
-				t.Errorf("out %v, %+v", h2.out, begun)
+			if len(h2.draining) != 0 || len(begun) != 1 || begun[0].Stage != drains.Closed {
+				t.Errorf("out %v, %+v", h2.draining, begun)
 			}
 		})
 	}
 }
 
-var errKill = errors.New("killed")
+var errKilled = errors.New("killed")
 
-// failing dies between two steps.
-type failing struct {
+// failingStore dies between two steps.
+type failingStore struct {
 	*drains.Store
 	at string
 }
 
-func (f *failing) BeginDrain(v calendar.Verdict, now time.Time) (drains.Drain, bool, error) {
+func (f *failingStore) BeginDrain(v calendar.Verdict, now time.Time) (drains.Drain, bool, error) {
 	b, fresh, err := f.Store.BeginDrain(v, now)
 	if f.at == "opened" && err == nil {
-		err = errKill
+		err = errKilled
 	}
 	return b, fresh, err
 }
 
-func (f *failing) AdvanceDrain(w string, n time.Time, s drains.Stage, now time.Time) error {
+func (f *failingStore) AdvanceDrain(w string, n time.Time, s drains.Stage, now time.Time) error {
 	if f.at == "told" && s == drains.Announced || f.at == "closed" && s == drains.Closed {
-		return errKill
+		return errKilled
 	}
 	return f.Store.AdvanceDrain(w, n, s, now)
 }
 
 func TestCancelledWhileDraining(t *testing.T) {
-	_, s, k, h := world(t, window("a", "n1"))
-	ticks(t, k, -10, -8, nil)
+	_, s, k, h := newController(t, window("a", "n1"))
+	tickRange(t, k, -10, -8, nil)
 	if err := s.CancelWindow("a", time.Time{}, start); err != nil {
 		t.Fatal(err)
 	}
-	ticks(t, k, -8, -7, nil)
-	if len(h.out) != 0 || !strings.Contains(h.lines[len(h.lines)-1], "cancelled") {
-		t.Errorf("out %v, %q", h.out, h.lines)
+	tickRange(t, k, -8, -7, nil)
+	if len(h.draining) != 0 || !strings.Contains(h.lines[len(h.lines)-1], "cancelled") {
+		t.Errorf("out %v, %q", h.draining, h.lines)
 	}
 }
 
 func TestHallLost(t *testing.T) {
-	_, _, k, h := world(t, window("a", "n1"))
-	ticks(t, k, -11, -1, map[string]bool{"n3": true, "n4": true})
-	if !h.out["n1"] || h.moved != 0 || !strings.Contains(strings.Join(h.lines, ""), "2 nodes lost") {
-		t.Errorf("out %v, %d moved, %q", h.out, h.moved, h.lines)
+	_, _, k, h := newController(t, window("a", "n1"))
+	tickRange(t, k, -11, -1, map[string]bool{"n3": true, "n4": true})
+	if !h.draining["n1"] || h.evicted != 0 || !strings.Contains(strings.Join(h.lines, ""), "2 nodes lost") {
+		t.Errorf("out %v, %d moved, %q", h.draining, h.evicted, h.lines)
 	}
-	ticks(t, k, -1, 2, nil) // the hall is back
-	if h.runs["n1"][0] != 0 {
+	tickRange(t, k, -1, 2, nil) // the hall is back
+	if h.running["n1"][0] != 0 {
 		t.Error("work not moved off when the hall was back")
 	}
 }
@@ -206,13 +206,13 @@
 func TestSharedNode(t *testing.T) {
 	b := window("b", "n1")
 	b.Last = 2 * time.Hour
-	_, _, k, h := world(t, window("a", "n1"), b)
-	ticks(t, k, -10, 70, nil)
-	if !h.out["n1"] {
+	_, _, k, h := newController(t, window("a", "n1"), b)
+	tickRange(t, k, -10, 70, nil)
+	if !h.draining["n1"] {
 		t.Error("back while another window holds it")
 	}
-	ticks(t, k, 70, 122, nil)
-	if len(h.out) != 0 {
+	tickRange(t, k, 70, 122, nil)
+	if len(h.draining) != 0 {
 		t.Error("still out")
 	}
 }
