--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -18,7 +18,7 @@
 	"ravenpond/internal/decide/zones"
 	runner "ravenpond/internal/members"
 	"ravenpond/internal/outside"
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // Storage keeps what a voter must not forget.
--- a/internal/decide/clusterstate/clusterstate.go
+++ b/internal/decide/clusterstate/clusterstate.go
@@ -16,7 +16,7 @@
 	"math"
 	"slices"
 
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // ZoneState is what the state says of a zone.
--- a/internal/decide/clusterstate/clusterstate_test.go
+++ b/internal/decide/clusterstate/clusterstate_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // proposer writes commands as processes do.
--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -19,7 +19,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"ravenpond/internal/decide/clusterstate"
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // Times in milliseconds, sizes in bytes, and limits.
--- a/internal/decide/consensus/consensus_test.go
+++ b/internal/decide/consensus/consensus_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"ravenpond/internal/decide/clusterstate"
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // cluster is replicas that exchange a list of messages, and their disks.
--- a/internal/decide/consensus/lease.go
+++ b/internal/decide/consensus/lease.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // Lease is the validity of a read lease after its probes were sent, in ms.
--- a/internal/decide/consensus/proposals.go
+++ b/internal/decide/consensus/proposals.go
@@ -2,7 +2,7 @@
 
 import (
 	"ravenpond/internal/decide/clusterstate"
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // proposal is an own command without a result yet.
--- a/internal/decide/consensus/storage.go
+++ b/internal/decide/consensus/storage.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ravenpond/internal/decide/clusterstate"
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // save writes to the disk first and to Raft's in-memory storage after that.
--- a/internal/decide/consensus/transfer.go
+++ b/internal/decide/consensus/transfer.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"ravenpond/internal/decide/clusterstate"
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // OnNewerVersion tells the replica that another member holds a version. A follower that is behind starts a state transfer.
--- a/internal/decide/consensus/voter.go
+++ b/internal/decide/consensus/voter.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"ravenpond/internal/decide/clusterstate"
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // startVoter starts Raft on the saved state. All voters start from the same empty snapshot.
--- a/internal/decide/zones/zones.go
+++ b/internal/decide/zones/zones.go
@@ -15,7 +15,7 @@
 	"slices"
 
 	"ravenpond/internal/decide/clusterstate"
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // Times in milliseconds, and parts.
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"ravenpond/internal/decide/clusterstate"
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 var names = []string{"a", "b", "c", "d"}
--- a/internal/lab/council/council.go
+++ b/internal/lab/council/council.go
@@ -22,7 +22,7 @@
 	"ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/members"
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // Times in ms.
--- a/internal/lab/scale/profile.go
+++ b/internal/lab/scale/profile.go
@@ -45,7 +45,7 @@
 	{"ravenpond/internal/decide/consensus", partControl},
 	{"ravenpond/internal/decide/clusterstate", partControl},
 	{"ravenpond/internal/control", partControl},
-	{"ravenpond/internal/proto/book", partControl},
+	{"ravenpond/internal/proto/clusterstate", partControl},
 	{"go.etcd.io/raft", partControl},
 	{"internal/serve/book.go", partControl},
 	{"ravenpond/internal/decide/zones", partZones},
--- a/internal/lab/scale/regions/process.go
+++ b/internal/lab/scale/regions/process.go
@@ -12,7 +12,7 @@
 	"ravenpond/internal/decide/zones"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/members"
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // What a zone and the members' leases are played with.
--- a/internal/lab/scale/regions/regions.go
+++ b/internal/lab/scale/regions/regions.go
@@ -15,7 +15,7 @@
 
 	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/lab/sim"
-	codec "ravenpond/internal/proto/book"
+	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // Times of the program's parts and of the reading, in ms.
--- a/internal/proto/book/book.go
+++ b/internal/proto/clusterstate/clusterstate.go
@@ -1,6 +1,6 @@
 // Package book is the codec of the book that a site's schedulers agree on, and of what they say of it to each other
-// (book.proto). What does not fit its bounds is not read.
-package book
+// (clusterstate.proto). What does not fit its bounds is not read.
+package clusterstate
 
 import (
 	"errors"
