--- a/cmd/ravenpond/drain.go
+++ b/cmd/ravenpond/drain.go
@@ -17,7 +17,7 @@
 	"ravenpond/internal/site"
 	"ravenpond/internal/state"
 	"ravenpond/internal/state/bolt"
-	"ravenpond/internal/state/drains"
+	"ravenpond/internal/state/maintenancestore"
 )
 
 // drainCommands change and show the calendar in a scheduler's state folder. Every scheduler of a site needs the same.
@@ -35,8 +35,8 @@
 }
 
 // with does something with the store, waiting for a scheduler that looks at it just now.
-func (f stateFlag) with(do func(s *drains.Store) error) error {
-	return withStore(func() (*drains.Store, error) { return drains.Open(f.State) }, do)
+func (f stateFlag) with(do func(s *maintenancestore.Store) error) error {
+	return withStore(func() (*maintenancestore.Store, error) { return maintenancestore.Open(f.State) }, do)
 }
 
 // openTimes is how often a store that a scheduler has just now is tried, 0.2 s each.
@@ -53,7 +53,7 @@
 
 // calendar gives the store's windows and protected times.
 func (f stateFlag) calendar() (cal *calendar.Calendar, err error) {
-	err = f.with(func(s *drains.Store) error {
+	err = f.with(func(s *maintenancestore.Store) error {
 		cal, err = s.Calendar()
 		return err
 	})
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.with(func(s *drains.Store) error { return s.AddEvents(cal, time.Now()) }); err != nil {
+	if err := c.with(func(s *maintenancestore.Store) error { return s.AddEvents(cal, time.Now()) }); err != nil {
 		return err
 	}
 	fmt.Printf("%d windows, %d protected times added\n", len(cal.Windows), len(cal.Protected))
@@ -162,8 +162,8 @@
 	if err != nil {
 		return err
 	}
-	var begun []drains.Drain
-	if err := c.with(func(s *drains.Store) error { begun, err = s.Drains(); return err }); err != nil {
+	var begun []maintenancestore.Drain
+	if err := c.with(func(s *maintenancestore.Store) error { begun, err = s.Drains(); return err }); err != nil {
 		return err
 	}
 	found := false
@@ -182,7 +182,7 @@
 		}
 	}
 	if !found {
-		return fmt.Errorf("%q: %w", c.ID, drains.ErrNotFound)
+		return fmt.Errorf("%q: %w", c.ID, maintenancestore.ErrNotFound)
 	}
 	return nil
 }
@@ -201,7 +201,7 @@
 			return fmt.Errorf("--start: %w", err)
 		}
 	}
-	return c.with(func(s *drains.Store) error { return s.CancelWindow(c.ID, start, time.Now()) })
+	return c.with(func(s *maintenancestore.Store) error { return s.CancelWindow(c.ID, start, time.Now()) })
 }
 
 type drainUsual struct {
@@ -212,10 +212,10 @@
 
 func (c *drainUsual) Run() error {
 	if c.Clear {
-		return c.with(func(s *drains.Store) error { return s.PublishLoad(nil) })
+		return c.with(func(s *maintenancestore.Store) error { return s.PublishLoad(nil) })
 	}
 	if c.File == "" {
-		return c.with(func(s *drains.Store) error {
+		return c.with(func(s *maintenancestore.Store) error {
 			measured, _, err := s.Loads()
 			if err != nil {
 				return err
@@ -232,7 +232,7 @@
 	if err != nil {
 		return err
 	}
-	return c.with(func(s *drains.Store) error { return s.PublishLoad(table) })
+	return c.with(func(s *maintenancestore.Store) error { return s.PublishLoad(table) })
 }
 
 // opened gives a file to read, - for standard input.
@@ -271,7 +271,7 @@
 	}
 	var load calendar.Usual
 	var whose string
-	if err := c.with(func(s *drains.Store) error {
+	if err := c.with(func(s *maintenancestore.Store) error {
 		measured, published, err := s.Loads()
 		load, whose = calendar.Known(measured, published, place.Cluster.Schedulers)
 		return err
--- a/internal/lab/drill/calendar.go
+++ b/internal/lab/drill/calendar.go
@@ -9,15 +9,15 @@
 
 	"ravenpond/internal/audit"
 	"ravenpond/internal/decide/calendar"
-	"ravenpond/internal/state/drains"
+	"ravenpond/internal/state/maintenancestore"
 )
 
 // schedule puts the day's windows into a scheduler's calendar, before its first life begins.
 func (p *player) schedule(folder string) error {
-	if len(p.Day.windows) == 0 || drains.Exists(folder) {
+	if len(p.Day.windows) == 0 || maintenancestore.Exists(folder) {
 		return nil
 	}
-	store, err := drains.Open(folder)
+	store, err := maintenancestore.Open(folder)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/month/peers.go
+++ b/internal/lab/month/peers.go
@@ -8,7 +8,7 @@
 
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/proto/node"
-	"ravenpond/internal/state/drains"
+	"ravenpond/internal/state/maintenancestore"
 	"ravenpond/logic"
 )
 
@@ -118,27 +118,27 @@
 // memory is a store that outlives its process, as the one on disk does.
 type memory struct {
 	cal   *calendar.Calendar
-	begun []drains.Drain
+	begun []maintenancestore.Drain
 }
 
 func (m *memory) Calendar() (*calendar.Calendar, error) { return m.cal, nil }
 
 func (m *memory) find(window string, nominal time.Time) int {
-	return slices.IndexFunc(m.begun, func(b drains.Drain) bool {
+	return slices.IndexFunc(m.begun, func(b maintenancestore.Drain) bool {
 		return b.Verdict.Window == window && b.Verdict.Nominal.Equal(nominal)
 	})
 }
 
-func (m *memory) BeginDrain(v calendar.Verdict, now time.Time) (drains.Drain, bool, error) {
+func (m *memory) BeginDrain(v calendar.Verdict, now time.Time) (maintenancestore.Drain, bool, error) {
 	if i := m.find(v.Window, v.Nominal); i >= 0 {
 		return m.begun[i], false, nil
 	}
-	b := drains.Drain{Verdict: v, Stage: drains.Opened, ReachedAt: map[drains.Stage]time.Time{drains.Opened: now}}
+	b := maintenancestore.Drain{Verdict: v, Stage: maintenancestore.Opened, ReachedAt: map[maintenancestore.Stage]time.Time{maintenancestore.Opened: now}}
 	m.begun = append(m.begun, b)
 	return b, true, nil
 }
 
-func (m *memory) AdvanceDrain(window string, nominal time.Time, stage drains.Stage, now time.Time) error {
+func (m *memory) AdvanceDrain(window string, nominal time.Time, stage maintenancestore.Stage, now time.Time) error {
 	i := m.find(window, nominal)
 	if i < 0 {
 		return errors.New("never begun")
@@ -149,9 +149,9 @@
 	return nil
 }
 
-func (m *memory) UnfinishedDrains() (open []drains.Drain, err error) {
+func (m *memory) UnfinishedDrains() (open []maintenancestore.Drain, err error) {
 	for _, b := range m.begun {
-		if b.Stage < drains.Closed {
+		if b.Stage < maintenancestore.Closed {
 			open = append(open, b)
 		}
 	}
--- a/internal/lab/sim/store.go
+++ b/internal/lab/sim/store.go
@@ -6,14 +6,14 @@
 
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/serve"
-	"ravenpond/internal/state/drains"
+	"ravenpond/internal/state/maintenancestore"
 )
 
 // store keeps maintenance windows as the real one does, over the deaths of its process.
 type store struct {
 	p     *Process
 	cal   calendar.Calendar
-	begun []drains.Drain
+	begun []maintenancestore.Drain
 }
 
 func newStore(p *Process) *store { return &store{p: p} }
@@ -36,7 +36,7 @@
 // SaveMeasuredLoad keeps nothing.
 func (s *store) SaveMeasuredLoad(*calendar.Load) error { return nil }
 
-func (s *store) find(window string, nominal time.Time) *drains.Drain {
+func (s *store) find(window string, nominal time.Time) *maintenancestore.Drain {
 	for i := range s.begun {
 		if v := &s.begun[i].Verdict; v.Window == window && v.Nominal.Equal(nominal) {
 			return &s.begun[i]
@@ -46,12 +46,12 @@
 }
 
 // BeginDrain notes that a drain begins, once. A process killed in the midst of it has or has not.
-func (s *store) BeginDrain(v calendar.Verdict, now time.Time) (drains.Drain, bool, error) {
+func (s *store) BeginDrain(v calendar.Verdict, now time.Time) (maintenancestore.Drain, bool, error) {
 	if b := s.find(v.Window, v.Nominal); b != nil {
 		return *b, false, nil
 	}
 	alive := s.p.effect()
-	b := drains.Drain{Verdict: v, Stage: drains.Opened, ReachedAt: map[drains.Stage]time.Time{drains.Opened: now}}
+	b := maintenancestore.Drain{Verdict: v, Stage: maintenancestore.Opened, ReachedAt: map[maintenancestore.Stage]time.Time{maintenancestore.Opened: now}}
 	if alive || s.p.c.rng.IntN(2) == 0 {
 		s.begun = append(s.begun, b)
 	}
@@ -62,7 +62,7 @@
 }
 
 // AdvanceDrain notes a stage.
-func (s *store) AdvanceDrain(window string, nominal time.Time, stage drains.Stage, now time.Time) error {
+func (s *store) AdvanceDrain(window string, nominal time.Time, stage maintenancestore.Stage, now time.Time) error {
 	b := s.find(window, nominal)
 	switch {
 	case b == nil:
@@ -76,9 +76,9 @@
 }
 
 // UnfinishedDrains gives drains begun and not closed.
-func (s *store) UnfinishedDrains() (open []drains.Drain, err error) {
+func (s *store) UnfinishedDrains() (open []maintenancestore.Drain, err error) {
 	for _, b := range s.begun {
-		if b.Stage < drains.Closed {
+		if b.Stage < maintenancestore.Closed {
 			open = append(open, b)
 		}
 	}
--- a/internal/serve/drains.go
+++ b/internal/serve/drains.go
@@ -10,7 +10,7 @@
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/proto/list"
 	"ravenpond/internal/state"
-	"ravenpond/internal/state/drains"
+	"ravenpond/internal/state/maintenancestore"
 	"ravenpond/internal/upkeep"
 )
 
@@ -38,7 +38,7 @@
 	lastFault := ""
 	look := func() {
 		fault := ""
-		if err := s.drainsOnce(k, h); err != nil && !errors.Is(err, drains.ErrLocked) { // the command line has it just now
+		if err := s.drainsOnce(k, h); err != nil && !errors.Is(err, maintenancestore.ErrLocked) { // the command line has it just now
 			fault = err.Error()
 		}
 		if fault != lastFault && fault != "" { // windows are not carried out meanwhile; placing goes on
--- a/internal/serve/drains_test.go
+++ b/internal/serve/drains_test.go
@@ -19,7 +19,7 @@
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/site"
 	"ravenpond/internal/standin"
-	"ravenpond/internal/state/drains"
+	"ravenpond/internal/state/maintenancestore"
 	"ravenpond/internal/upkeep"
 )
 
@@ -68,7 +68,7 @@
 // window puts one window into a state folder, with a lead, from a time on.
 func window(t *testing.T, folder string, start time.Time, lead, last time.Duration, node string) {
 	t.Helper()
-	store, err := drains.Open(folder)
+	store, err := maintenancestore.Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,13 +143,13 @@
 			}
 			_ = second.Process.Signal(syscall.SIGKILL)
 			_ = second.Wait()
-			store, err := drains.Open(folder)
+			store, err := maintenancestore.Open(folder)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer store.Close()
 			begun, err := store.Drains()
-			if err != nil || len(begun) != 1 || begun[0].Stage < drains.Announced {
+			if err != nil || len(begun) != 1 || begun[0].Stage < maintenancestore.Announced {
 				t.Errorf("%+v, %v", begun, err)
 			}
 		})
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -31,7 +31,7 @@
 	"ravenpond/internal/site"
 	"ravenpond/internal/state"
 	"ravenpond/internal/state/bolt"
-	"ravenpond/internal/state/drains"
+	"ravenpond/internal/state/maintenancestore"
 	"ravenpond/internal/upkeep"
 	"ravenpond/logic"
 )
@@ -180,10 +180,10 @@
 	}()
 	if who.Windows == nil {
 		who.Windows = func() (Windows, error) {
-			if !drains.Exists(who.Folder) {
+			if !maintenancestore.Exists(who.Folder) {
 				return nil, nil
 			}
-			return drains.Open(who.Folder)
+			return maintenancestore.Open(who.Folder)
 		}
 	}
 	last, err := folder.LoadList()
--- a/internal/state/drains/drains.go
+++ b/internal/state/maintenancestore/maintenancestore.go
@@ -1,6 +1,6 @@
 // Package drains keeps maintenance windows and what has become of them in a store that survives crashes: a drain
 // that was begun is not forgotten and not begun twice, wherever the process is killed.
-package drains
+package maintenancestore
 
 import (
 	"bytes"
--- a/internal/state/drains/drains_test.go
+++ b/internal/state/maintenancestore/maintenancestore_test.go
@@ -1,4 +1,4 @@
-package drains
+package maintenancestore
 
 import (
 	"errors"
--- a/internal/upkeep/upkeep.go
+++ b/internal/upkeep/upkeep.go
@@ -9,7 +9,7 @@
 
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/decide/drainpace"
-	"ravenpond/internal/state/drains"
+	"ravenpond/internal/state/maintenancestore"
 )
 
 // Executor act on the scheduler.
@@ -26,9 +26,9 @@
 // Store keeps what was begun.
 type Store interface {
 	Calendar() (*calendar.Calendar, error)
-	BeginDrain(v calendar.Verdict, now time.Time) (drains.Drain, bool, error)
-	AdvanceDrain(window string, nominal time.Time, stage drains.Stage, now time.Time) error
-	UnfinishedDrains() ([]drains.Drain, error)
+	BeginDrain(v calendar.Verdict, now time.Time) (maintenancestore.Drain, bool, error)
+	AdvanceDrain(window string, nominal time.Time, stage maintenancestore.Stage, now time.Time) error
+	UnfinishedDrains() ([]maintenancestore.Drain, error)
 	DeleteClosed(before time.Time) error
 }
 
@@ -91,7 +91,7 @@
 	}
 	for _, v := range k.plan {
 		if v.Outcome == calendar.Refused || now.Before(v.Drain) || !now.Before(v.End) || len(v.Nodes) == 0 ||
-			slices.ContainsFunc(unfinished, func(drain drains.Drain) bool { return drainName(drain.Verdict) == drainName(v) }) || !isScheduled(cal, v) {
+			slices.ContainsFunc(unfinished, func(drain maintenancestore.Drain) bool { return drainName(drain.Verdict) == drainName(v) }) || !isScheduled(cal, v) {
 			continue
 		}
 		drain, isNew, err := k.Store.BeginDrain(v, now)
@@ -134,9 +134,9 @@
 }
 
 // advance takes a drain as far as it can go now.
-func (k *Controller) advance(now time.Time, drain drains.Drain, cal *calendar.Calendar) error {
+func (k *Controller) advance(now time.Time, drain maintenancestore.Drain, cal *calendar.Calendar) error {
 	v := drain.Verdict
-	setStage := func(s drains.Stage) error {
+	setStage := func(s maintenancestore.Stage) error {
 		if err := k.Store.AdvanceDrain(v.Window, v.Nominal, s, now); err != nil {
 			return fmt.Errorf("drains: %w", err)
 		}
@@ -146,7 +146,7 @@
 		k.Executor.SetDraining(v.Nodes, true)
 		k.announced[drainName(v)] = true
 		k.Executor.Log(fmt.Sprintf("window %s: %d nodes drain until %s", v.Window, len(v.Nodes), v.End.UTC().Format(time.RFC3339)))
-		if err := setStage(drains.Announced); err != nil {
+		if err := setStage(maintenancestore.Announced); err != nil {
 			return err
 		}
 	}
@@ -155,9 +155,9 @@
 	for _, n := range running {
 		remaining += n
 	}
-	if remaining == 0 && drain.Stage < drains.Emptied {
-		k.Executor.Log(fmt.Sprintf("window %s: empty after %.0f s", v.Window, now.Sub(drain.ReachedAt[drains.Opened]).Seconds()))
-		if err := setStage(drains.Emptied); err != nil {
+	if remaining == 0 && drain.Stage < maintenancestore.Emptied {
+		k.Executor.Log(fmt.Sprintf("window %s: empty after %.0f s", v.Window, now.Sub(drain.ReachedAt[maintenancestore.Opened]).Seconds()))
+		if err := setStage(maintenancestore.Emptied); err != nil {
 			return err
 		}
 	}
@@ -183,7 +183,7 @@
 }
 
 // close brings the nodes of a window back, as its ending says.
-func (k *Controller) close(now time.Time, v calendar.Verdict, running []int, remaining int, cancelled bool, setStage func(drains.Stage) error) error {
+func (k *Controller) close(now time.Time, v calendar.Verdict, running []int, remaining int, cancelled bool, setStage func(maintenancestore.Stage) error) error {
 	if !cancelled && remaining > 0 {
 		switch v.Ending {
 		case calendar.Sweep:
@@ -208,7 +208,7 @@
 			returning = slices.DeleteFunc(returning, func(n string) bool { return slices.Contains(b.Verdict.Nodes, n) })
 		}
 	}
-	if err := setStage(drains.Closed); err != nil {
+	if err := setStage(maintenancestore.Closed); err != nil {
 		return err
 	}
 	k.Executor.SetDraining(returning, false)
--- a/internal/upkeep/upkeep_test.go
+++ b/internal/upkeep/upkeep_test.go
@@ -10,7 +10,7 @@
 
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/decide/drainpace"
-	"ravenpond/internal/state/drains"
+	"ravenpond/internal/state/maintenancestore"
 )
 
 var start = time.Date(2026, 3, 2, 10, 0, 0, 0, time.UTC)
@@ -59,9 +59,9 @@
 
 func (h *fakeExecutor) Log(line string) { h.lines = append(h.lines, line) }
 
-func newController(t *testing.T, windows ...calendar.Window) (string, *drains.Store, *Controller, *fakeExecutor) {
+func newController(t *testing.T, windows ...calendar.Window) (string, *maintenancestore.Store, *Controller, *fakeExecutor) {
 	dir := t.TempDir()
-	s, err := drains.Open(dir)
+	s, err := maintenancestore.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 				t.Fatal("not killed: ", err)
 			}
 			s.Close()
-			s, err = drains.Open(dir)
+			s, err = maintenancestore.Open(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -149,7 +149,7 @@
 			}
 			tickRange(t, k, 59, 63, nil)
 			begun, _ := s.Drains()
-			if len(h2.draining) != 0 || len(begun) != 1 || begun[0].Stage != drains.Closed {
+			if len(h2.draining) != 0 || len(begun) != 1 || begun[0].Stage != maintenancestore.Closed {
 				t.Errorf("out %v, %+v", h2.draining, begun)
 			}
 		})
@@ -160,11 +160,11 @@
 
 // failingStore dies between two steps.
 type failingStore struct {
-	*drains.Store
+	*maintenancestore.Store
 	at string
 }
 
-func (f *failingStore) BeginDrain(v calendar.Verdict, now time.Time) (drains.Drain, bool, error) {
+func (f *failingStore) BeginDrain(v calendar.Verdict, now time.Time) (maintenancestore.Drain, bool, error) {
 	b, fresh, err := f.Store.BeginDrain(v, now)
 	if f.at == "opened" && err == nil {
 		err = errKilled
@@ -172,8 +172,8 @@
 	return b, fresh, err
 }
 
-func (f *failingStore) AdvanceDrain(w string, n time.Time, s drains.Stage, now time.Time) error {
-	if f.at == "told" && s == drains.Announced || f.at == "closed" && s == drains.Closed {
+func (f *failingStore) AdvanceDrain(w string, n time.Time, s maintenancestore.Stage, now time.Time) error {
+	if f.at == "told" && s == maintenancestore.Announced || f.at == "closed" && s == maintenancestore.Closed {
 		return errKilled
 	}
 	return f.Store.AdvanceDrain(w, n, s, now)
