--- a/internal/lab/month/process.go
+++ b/internal/lab/month/process.go
@@ -8,9 +8,9 @@
 
 	"ravenpond/internal/decide/drainpace"
 	"ravenpond/internal/engine"
+	"ravenpond/internal/maintenance"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/node"
-	"ravenpond/internal/upkeep"
 	"ravenpond/logic"
 )
 
@@ -20,7 +20,7 @@
 	index   int
 	skew    float64
 	eng     *engine.Engine
-	keep    *upkeep.Controller
+	keep    *maintenance.Controller
 	store   *memory
 	out     map[uint32]bool
 	down    bool
@@ -59,7 +59,7 @@
 	if p.w.Plant == NoGuard {
 		lim.Guard = 0
 	}
-	p.keep = &upkeep.Controller{Store: p.store, Executor: hand{p}, Limits: lim, Policies: []drainpace.Manner{drainpace.Late, drainpace.Early, drainpace.RunOut}}
+	p.keep = &maintenance.Controller{Store: p.store, Executor: hand{p}, Limits: lim, Policies: []drainpace.Manner{drainpace.Late, drainpace.Early, drainpace.RunOut}}
 	p.eng.BeginList(p.clock(), logic.ListCached)
 	for _, s := range p.w.nodes {
 		p.eng.AddListNode(s.id, "x", logic.Ready, 0, 32, 64, s.zone, s.cell, s.kind)
--- a/internal/upkeep/upkeep.go
+++ b/internal/maintenance/maintenance.go
@@ -1,6 +1,6 @@
 // Package upkeep carries out maintenance windows: it opens them, has work moved off, and closes them, step by step and
 // each step on the disk first. It is free of sockets and clocks; Tick is given the time, and the hands that act.
-package upkeep
+package maintenance
 
 import (
 	"fmt"
--- a/internal/upkeep/upkeep_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -1,4 +1,4 @@
-package upkeep
+package maintenance
 
 import (
 	"errors"
--- a/internal/serve/drains.go
+++ b/internal/serve/drains.go
@@ -8,15 +8,15 @@
 	"time"
 
 	"ravenpond/internal/decide/calendar"
+	"ravenpond/internal/maintenance"
 	"ravenpond/internal/proto/list"
 	"ravenpond/internal/state"
 	"ravenpond/internal/state/maintenancestore"
-	"ravenpond/internal/upkeep"
 )
 
 // Windows is the store of maintenance windows, opened for one look at a time.
 type Windows interface {
-	upkeep.Store
+	maintenance.Store
 	Loads() (measured *calendar.Load, published *calendar.Table, err error)
 	SaveMeasuredLoad(*calendar.Load) error
 	Close() error
@@ -29,11 +29,11 @@
 // so that the command line can change the calendar while the process runs.
 func (s *Server) keepDrains() {
 	place := s.who.Place
-	var hands upkeep.Executor = drainHands{s}
+	var hands maintenance.Executor = drainHands{s}
 	if s.who.Plant.Drains != nil {
 		hands = s.who.Plant.Drains(hands)
 	}
-	k := &upkeep.Controller{Executor: hands, Limits: place.Maintenance, Policies: place.DrainManners}
+	k := &maintenance.Controller{Executor: hands, Limits: place.Maintenance, Policies: place.DrainManners}
 	h := &drainHours{}
 	lastFault := ""
 	look := func() {
@@ -80,7 +80,7 @@
 
 const keepLoad = 10 * time.Minute
 
-func (s *Server) drainsOnce(k *upkeep.Controller, h *drainHours) error {
+func (s *Server) drainsOnce(k *maintenance.Controller, h *drainHours) error {
 	store, err := s.who.Windows()
 	if err != nil || store == nil {
 		return err
--- a/internal/serve/drains_test.go
+++ b/internal/serve/drains_test.go
@@ -17,10 +17,10 @@
 
 	"ravenpond/internal/audit"
 	"ravenpond/internal/decide/calendar"
+	"ravenpond/internal/maintenance"
 	"ravenpond/internal/site"
 	"ravenpond/internal/standin"
 	"ravenpond/internal/state/maintenancestore"
-	"ravenpond/internal/upkeep"
 )
 
 // TestMain runs as a scheduler process if it is told so: for what only a process that is killed can show.
@@ -34,7 +34,7 @@
 
 // killedAt kills its process when windows are told of, or lets them be.
 type killedAt struct {
-	upkeep.Executor
+	maintenance.Executor
 	before bool // the shards were told
 }
 
@@ -58,7 +58,7 @@
 		_ = os.Rename(filepath.Join(folder, "address.new"), filepath.Join(folder, "address"))
 	}}
 	if kill := os.Getenv("RAVENPOND_TEST_KILL"); kill != "" {
-		who.Plant.Drains = func(h upkeep.Executor) upkeep.Executor { return killedAt{h, kill == "before"} }
+		who.Plant.Drains = func(h maintenance.Executor) maintenance.Executor { return killedAt{h, kill == "before"} }
 	}
 	if err := Run(context.Background(), who); err != nil {
 		panic(err)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -27,12 +27,12 @@
 	"ravenpond/internal/decide/watchdog"
 	"ravenpond/internal/decide/workingset"
 	"ravenpond/internal/engine"
+	"ravenpond/internal/maintenance"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/site"
 	"ravenpond/internal/state"
 	"ravenpond/internal/state/bolt"
 	"ravenpond/internal/state/maintenancestore"
-	"ravenpond/internal/upkeep"
 	"ravenpond/logic"
 )
 
@@ -81,7 +81,7 @@
 	Trust bool                                // leave is given to any epoch
 	Again bool                                // owners are told each answer twice
 
-	Drains func(upkeep.Executor) upkeep.Executor // wraps what carries out maintenance windows
+	Drains func(maintenance.Executor) maintenance.Executor // wraps what carries out maintenance windows
 
 	WorkingSet    workingset.Plant
 	AbandonsTasks bool // nodes that leave the working set are hung up on, whatever runs there
