--- a/cmd/ravenpond/drain.go
+++ b/cmd/ravenpond/drain.go
@@ -107,14 +107,14 @@
 		return nil, fmt.Errorf("--start: %w", err)
 	}
 	w := calendar.Window{
-		ID: c.ID, Start: start, Last: c.Last, Rule: c.Rule, Lead: c.Lead, Slack: c.Slack,
-		Priority: c.Priority, Added: time.Now().UTC().Truncate(time.Second),
+		ID: c.ID, Start: start, Duration: c.Last, Rule: c.Rule, Lead: c.Lead, Slack: c.Slack,
+		Priority: c.Priority, CreatedAt: time.Now().UTC().Truncate(time.Second),
 	}
-	w.End = calendar.Ending(slices.Index([]string{"release", "sweep", "hold"}, c.Ending))
+	w.Ending = calendar.Ending(slices.Index([]string{"release", "sweep", "hold"}, c.Ending))
 	places := 0
 	for reach, place := range []string{c.Node, c.Cell, c.Zone} {
 		if place != "" {
-			w.Reach, w.Place = calendar.Reach(reach), place
+			w.Scope, w.Target = calendar.Scope(reach), place
 			places++
 		}
 	}
@@ -122,7 +122,7 @@
 		return nil, errors.New("one of --node, --cell and --zone is needed")
 	}
 	if w.ID == "" {
-		w.ID = strings.ToLower(fmt.Sprintf("%s-%s-%s", w.Reach, w.Place, start.Format("20060102-1504")))
+		w.ID = strings.ToLower(fmt.Sprintf("%s-%s-%s", w.Scope, w.Target, start.Format("20060102-1504")))
 	}
 	return &calendar.Calendar{Windows: []calendar.Window{w}}, nil
 }
@@ -143,11 +143,11 @@
 	out := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "NAME\tWHAT\tFIRST START\tLENGTH\tRULE\tSLACK\tPRIORITY")
 	for _, w := range cal.Windows {
-		fmt.Fprintf(out, "%s\t%s %s\t%s\t%s\t%s\t%s\t%d\n", w.ID, w.Reach, w.Place, w.Start.Format("2006-01-02 15:04 MST"), w.Last,
+		fmt.Fprintf(out, "%s\t%s %s\t%s\t%s\t%s\t%s\t%d\n", w.ID, w.Scope, w.Target, w.Start.Format("2006-01-02 15:04 MST"), w.Duration,
 			w.Rule, w.Slack, w.Priority)
 	}
 	for _, p := range cal.Protected {
-		fmt.Fprintf(out, "%s\tprotected\t%s\t%s\t%s\t\t\n", p.ID, p.Start.Format("2006-01-02 15:04 MST"), p.Last, p.Rule)
+		fmt.Fprintf(out, "%s\tprotected\t%s\t%s\t%s\t\t\n", p.ID, p.Start.Format("2006-01-02 15:04 MST"), p.Duration, p.Rule)
 	}
 	return out.Flush()
 }
@@ -170,15 +170,15 @@
 	for _, w := range cal.Windows {
 		if w.ID == c.ID {
 			found = true
-			fmt.Printf("%s: %s %s, first %s, %s long, lead %s, slack %s, rule %q, at its end: %s\n", w.ID, w.Reach, w.Place,
-				w.Start.Format("2006-01-02 15:04 MST"), w.Last, w.Lead, w.Slack, w.Rule, w.End)
+			fmt.Printf("%s: %s %s, first %s, %s long, lead %s, slack %s, rule %q, at its end: %s\n", w.ID, w.Scope, w.Target,
+				w.Start.Format("2006-01-02 15:04 MST"), w.Duration, w.Lead, w.Slack, w.Rule, w.Ending)
 		}
 	}
 	for _, b := range begun {
 		if b.Verdict.Window == c.ID {
 			found = true
-			fmt.Printf("  %s: %s, %d nodes, %s to %s\n", b.Verdict.Nominal.Format("2006-01-02 15:04 MST"), b.Stage,
-				len(b.Verdict.Nodes), b.Verdict.Drain.Format("15:04"), b.Verdict.End.Format("2006-01-02 15:04 MST"))
+			fmt.Printf("  %s: %s, %d nodes, %s to %s\n", b.Verdict.ScheduledStart.Format("2006-01-02 15:04 MST"), b.Stage,
+				len(b.Verdict.Nodes), b.Verdict.DrainStart.Format("15:04"), b.Verdict.End.Format("2006-01-02 15:04 MST"))
 		}
 	}
 	if !found {
@@ -269,11 +269,11 @@
 	if err != nil {
 		return err
 	}
-	var load calendar.Usual
+	var load calendar.LoadEstimate
 	var whose string
 	if err := c.with(func(s *maintenancestore.Store) error {
 		measured, published, err := s.Loads()
-		load, whose = calendar.Known(measured, published, place.Cluster.Schedulers)
+		load, whose = calendar.ChooseEstimate(measured, published, place.Cluster.Schedulers)
 		return err
 	}); err != nil {
 		return err
@@ -284,11 +284,11 @@
 	for _, v := range calendar.Plan(cal, fleet, place.Maintenance, load, from, from.AddDate(0, 0, c.Days)) {
 		const at = "2 Jan 15:04"
 		if v.Outcome == calendar.Refused {
-			fmt.Fprintf(out, "%s\t%s\trefused\t\t\t\t%d\t\t%s\n", v.Window, v.Nominal.Format(at), len(v.Nodes), v.Why)
+			fmt.Fprintf(out, "%s\t%s\trefused\t\t\t\t%d\t\t%s\n", v.Window, v.ScheduledStart.Format(at), len(v.Nodes), v.Reason)
 			continue
 		}
-		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.0f%%\t%s\n", v.Window, v.Nominal.Format(at), v.Outcome, v.Drain.Format(at),
-			v.Start.Format(at), v.End.Format(at), len(v.Nodes), 100*v.Out, v.Why)
+		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.0f%%\t%s\n", v.Window, v.ScheduledStart.Format(at), v.Outcome, v.DrainStart.Format(at),
+			v.Start.Format(at), v.End.Format(at), len(v.Nodes), 100*v.FleetFraction, v.Reason)
 	}
 	return out.Flush()
 }
--- a/internal/decide/calendar/calendar.go
+++ b/internal/decide/calendar/calendar.go
@@ -16,16 +16,16 @@
 	"github.com/teambition/rrule-go"
 )
 
-// Reach says what a window drains.
-type Reach uint8
+// Scope says what a window drains.
+type Scope uint8
 
 const (
-	OneNode Reach = iota
+	OneNode Scope = iota
 	Cell
 	Zone
 )
 
-func (r Reach) String() string { return [...]string{"node", "cell", "zone"}[r] }
+func (r Scope) String() string { return [...]string{"node", "cell", "zone"}[r] }
 
 // Ending is what happens to a window whose nodes still hold work at its end.
 type Ending uint8
@@ -40,25 +40,25 @@
 
 // Window is a maintenance window, once or recurring.
 type Window struct {
-	ID       string
-	Reach    Reach
-	Place    string        // node's number, cell or zone
-	Start    time.Time     // of the first, in the time zone that its rule follows
-	Last     time.Duration // how long the nodes are out
-	Rule     string        // RFC 5545 recurrence, "" for once
-	Lead     time.Duration // the drain begins so long before
-	Slack    time.Duration // it may begin so much later
-	Priority int           // higher goes first
-	Added    time.Time     // among equals the older goes first
-	End      Ending
-	Except   []time.Time // starts that are cancelled
+	ID         string
+	Scope      Scope
+	Target     string        // node's number, cell or zone
+	Start      time.Time     // of the first, in the time zone that its rule follows
+	Duration   time.Duration // how long the nodes are out
+	Rule       string        // RFC 5545 recurrence, "" for once
+	Lead       time.Duration // the drain begins so long before
+	Slack      time.Duration // it may begin so much later
+	Priority   int           // higher goes first
+	CreatedAt  time.Time     // among equals the older goes first
+	Ending     Ending
+	Exceptions []time.Time // starts that are cancelled
 }
 
-// Protected is a time in which nothing may be out.
-type Protected struct {
+// ProtectedTime is a time in which nothing may be out.
+type ProtectedTime struct {
 	ID         string
 	Start      time.Time
-	Last       time.Duration
+	Duration   time.Duration
 	Rule       string
 	Lead, Tail time.Duration
 }
@@ -73,21 +73,21 @@
 // Limits are what may be out at once, and the guard bands.
 type Limits struct {
 	Fleet, Zone, Kind float64       // parts
-	Cold              int           // nodes that may come back within ColdFor
-	ColdFor           time.Duration // a node that came back is cold for so long
-	Margin            float64       // times the usual load that must find room
-	Guard             time.Duration // clocks and lists may be off by so much: windows are kept apart by twice that
+	MaxWarmingUp      int           // nodes that may come back within ColdFor
+	WarmUp            time.Duration // a node that came back is cold for so long
+	LoadMargin        float64       // times the usual load that must find room
+	ClockGuard        time.Duration // clocks and lists may be off by so much: windows are kept apart by twice that
 }
 
 // Calendar is all windows and protected times.
 type Calendar struct {
 	Windows   []Window
-	Protected []Protected
+	Protected []ProtectedTime
 }
 
-// longest bounds lead, length and slack of a window together, so that what a week decides depends on the week
+// maxSpan bounds lead, length and slack of a window together, so that what a week decides depends on the week
 // before alone.
-const longest = 6 * 24 * time.Hour
+const maxSpan = 6 * 24 * time.Hour
 
 // Check names what is wrong with a calendar for a fleet; a window for a place that is not in the fleet is no fault,
 // as lists run late: it drains nothing.
@@ -102,34 +102,34 @@
 			fault("name missing or twice")
 		}
 		seen[w.ID] = true
-		if w.Place == "" {
+		if w.Target == "" {
 			fault("no place")
 		}
-		if w.Last <= 0 || w.Lead < 0 || w.Slack < 0 {
-			fault("impossible length %s, lead %s or slack %s", w.Last, w.Lead, w.Slack)
+		if w.Duration <= 0 || w.Lead < 0 || w.Slack < 0 {
+			fault("impossible length %s, lead %s or slack %s", w.Duration, w.Lead, w.Slack)
 		}
-		if w.Lead+w.Last+w.Slack > longest {
-			fault("lead, length and slack of %s together, at most %s", w.Lead+w.Last+w.Slack, longest)
+		if w.Lead+w.Duration+w.Slack > maxSpan {
+			fault("lead, length and slack of %s together, at most %s", w.Lead+w.Duration+w.Slack, maxSpan)
 		}
 		if w.Start.IsZero() {
 			fault("no start")
-		} else if _, err := rule(w.Rule, w.Start); err != nil {
+		} else if _, err := parseRule(w.Rule, w.Start); err != nil {
 			fault("%v", err)
 		}
 	}
 	for _, p := range c.Protected {
-		if p.Last <= 0 || p.Lead < 0 || p.Tail < 0 || p.Start.IsZero() {
+		if p.Duration <= 0 || p.Lead < 0 || p.Tail < 0 || p.Start.IsZero() {
 			all = append(all, fmt.Errorf("protected time %q: impossible start, length, lead or tail", p.ID))
-		} else if _, err := rule(p.Rule, p.Start); err != nil {
+		} else if _, err := parseRule(p.Rule, p.Start); err != nil {
 			all = append(all, fmt.Errorf("protected time %q: %w", p.ID, err))
 		}
 	}
 	return errors.Join(all...)
 }
 
-// rule reads a recurrence rule; nil for once. Its times follow the wall clock of the start's zone, so that a window
+// parseRule reads a recurrence rule; nil for once. Its times follow the wall clock of the start's zone, so that a window
 // at two in the morning stays there when summer time comes and goes.
-func rule(text string, start time.Time) (*rrule.RRule, error) {
+func parseRule(text string, start time.Time) (*rrule.RRule, error) {
 	if text == "" {
 		return nil, nil
 	}
@@ -148,9 +148,9 @@
 	return r, nil
 }
 
-// starts gives the starts from an instant, included, to another, not included.
-func starts(text string, start, from, to time.Time) []time.Time {
-	r, err := rule(text, start)
+// occurrenceStarts gives the starts from an instant, included, to another, not included.
+func occurrenceStarts(text string, start, from, to time.Time) []time.Time {
+	r, err := parseRule(text, start)
 	if err != nil {
 		return nil // Check has named it
 	}
@@ -177,23 +177,23 @@
 
 // Verdict is decided for one occurrence of a window.
 type Verdict struct {
-	Window  string    `json:"Window"`
-	Nominal time.Time `json:"Nominal"` // start as the calendar has it
-	Outcome Outcome   `json:"Outcome"`
-	Drain   time.Time `json:"Drain"` // from here on nothing new
-	Start   time.Time `json:"Start"` // the nodes are out from here
-	End     time.Time `json:"End"`   // to here
-	Nodes   []string  `json:"Nodes"` // that it drains, by name
-	Why     string    `json:"Why"`   // for a person
-	Out     float64   `json:"Out"`   // part of the fleet out in it at most, others included
-	Ending  Ending    `json:"Ending"`
+	Window         string    `json:"Window"`
+	ScheduledStart time.Time `json:"Nominal"` // start as the calendar has it
+	Outcome        Outcome   `json:"Outcome"`
+	DrainStart     time.Time `json:"Drain"` // from here on nothing new
+	Start          time.Time `json:"Start"` // the nodes are out from here
+	End            time.Time `json:"End"`   // to here
+	Nodes          []string  `json:"Nodes"` // that it drains, by name
+	Reason         string    `json:"Why"`   // for a person
+	FleetFraction  float64   `json:"Out"`   // part of the fleet out in it at most, others included
+	Ending         Ending    `json:"Ending"`
 }
 
 // occurrence is a window's on the way to its verdict.
 type occurrence struct {
-	w       *Window
-	nominal time.Time
-	nodes   []int
+	window         *Window
+	scheduledStart time.Time
+	nodes          []int
 }
 
 // Plan gives the verdicts of all occurrences that start in a time, in order of their starts.
@@ -201,31 +201,31 @@
 // Occurrences are decided week by week from the calendar's first on, a week's in order of priority, then age, then
 // name. Each is set against those decided before it. So what is asked for changes nothing in the verdicts, and what
 // a process knows of the present does not either.
-func Plan(c *Calendar, fleet []Node, limits Limits, load Usual, from, to time.Time) []Verdict {
-	p := &planner{cal: c, fleet: slices.Clone(fleet), limits: limits, load: load, kinds: map[string]int{}, zones: map[string]int{}}
+func Plan(c *Calendar, fleet []Node, limits Limits, load LoadEstimate, from, to time.Time) []Verdict {
+	p := &planner{calendar: c, fleet: slices.Clone(fleet), limits: limits, load: load, kinds: map[string]int{}, zones: map[string]int{}}
 	slices.SortFunc(p.fleet, func(x, y Node) int { return cmp.Compare(x.ID, y.ID) })
 	for _, n := range p.fleet {
 		p.kinds[n.Kind]++
 		p.zones[n.Zone]++
 	}
 	var all []Verdict
-	for week := c.first(); !week.IsZero() && week.Before(to); week = week.Add(7 * 24 * time.Hour) {
-		for _, o := range p.week(week) {
+	for week := c.firstWeek(); !week.IsZero() && week.Before(to); week = week.Add(7 * 24 * time.Hour) {
+		for _, o := range p.occurrencesOf(week) {
 			v := p.decide(o)
-			if !o.nominal.Before(from) && o.nominal.Before(to) {
+			if !o.scheduledStart.Before(from) && o.scheduledStart.Before(to) {
 				all = append(all, v)
 			}
 		}
-		p.forget(week)
+		p.dropBefore(week)
 	}
 	slices.SortStableFunc(all, func(x, y Verdict) int {
-		return cmp.Or(x.Nominal.Compare(y.Nominal), cmp.Compare(x.Window, y.Window))
+		return cmp.Or(x.ScheduledStart.Compare(y.ScheduledStart), cmp.Compare(x.Window, y.Window))
 	})
 	return all
 }
 
-// first is the beginning, Monday 0 h UTC, of the week of the calendar's first window.
-func (c *Calendar) first() (first time.Time) {
+// firstWeek is the beginning, Monday 0 h UTC, of the week of the calendar's first window.
+func (c *Calendar) firstWeek() (first time.Time) {
 	for i := range c.Windows {
 		if t := c.Windows[i].Start; first.IsZero() || t.Before(first) {
 			first = t
@@ -240,96 +240,96 @@
 
 type span struct{ from, to time.Time }
 
-func (s span) meets(t span) bool { return s.from.Before(t.to) && t.from.Before(s.to) }
+func (s span) overlaps(t span) bool { return s.from.Before(t.to) && t.from.Before(s.to) }
 
-// booked is a verdict that stands, with the time it takes from its drain to its end.
-type booked struct {
+// reservation is a verdict that stands, with the time it takes from its drain to its end.
+type reservation struct {
 	span
 	window string
 	nodes  []int
 }
 
 type planner struct {
-	cal          *Calendar
+	calendar     *Calendar
 	fleet        []Node
 	limits       Limits
-	load         Usual
+	load         LoadEstimate
 	kinds, zones map[string]int
-	booked       []booked
+	reservations []reservation
 }
 
-// week gives the occurrences of a week in the order in which they are decided.
-func (p *planner) week(week time.Time) []occurrence {
+// occurrencesOf gives the occurrences of a week in the order in which they are decided.
+func (p *planner) occurrencesOf(week time.Time) []occurrence {
 	var all []occurrence
-	for i := range p.cal.Windows {
-		w := &p.cal.Windows[i]
-		for _, t := range starts(w.Rule, w.Start, week, week.Add(7*24*time.Hour)) {
-			if !slices.ContainsFunc(w.Except, t.Equal) {
-				all = append(all, occurrence{w, t, p.nodes(w)})
+	for i := range p.calendar.Windows {
+		w := &p.calendar.Windows[i]
+		for _, t := range occurrenceStarts(w.Rule, w.Start, week, week.Add(7*24*time.Hour)) {
+			if !slices.ContainsFunc(w.Exceptions, t.Equal) {
+				all = append(all, occurrence{w, t, p.nodesOf(w)})
 			}
 		}
 	}
 	slices.SortStableFunc(all, func(x, y occurrence) int {
-		return cmp.Or(cmp.Compare(y.w.Priority, x.w.Priority), x.w.Added.Compare(y.w.Added), x.nominal.Compare(y.nominal),
-			cmp.Compare(x.w.ID, y.w.ID))
+		return cmp.Or(cmp.Compare(y.window.Priority, x.window.Priority), x.window.CreatedAt.Compare(y.window.CreatedAt), x.scheduledStart.Compare(y.scheduledStart),
+			cmp.Compare(x.window.ID, y.window.ID))
 	})
 	return all
 }
 
-func (p *planner) nodes(w *Window) (all []int) {
+func (p *planner) nodesOf(w *Window) (all []int) {
 	for i, n := range p.fleet {
-		if w.Reach == OneNode && n.ID == w.Place || w.Reach == Cell && n.Cell == w.Place || w.Reach == Zone && n.Zone == w.Place {
+		if w.Scope == OneNode && n.ID == w.Target || w.Scope == Cell && n.Cell == w.Target || w.Scope == Zone && n.Zone == w.Target {
 			all = append(all, i)
 		}
 	}
 	return all
 }
 
-// forget drops what can't meet anything that is decided after a week.
-func (p *planner) forget(week time.Time) {
-	p.booked = slices.DeleteFunc(p.booked, func(b booked) bool { return b.to.Before(week) })
+// dropBefore drops what can't meet anything that is decided after a week.
+func (p *planner) dropBefore(week time.Time) {
+	p.reservations = slices.DeleteFunc(p.reservations, func(b reservation) bool { return b.to.Before(week) })
 }
 
-// steps is how finely a window is moved within its slack.
-const steps = 15 * time.Minute
+// slackStep is how finely a window is moved within its slack.
+const slackStep = 15 * time.Minute
 
 // decide keeps an occurrence, or moves it to the first time within its slack at which nothing speaks against it.
 func (p *planner) decide(o occurrence) Verdict {
-	v := Verdict{Window: o.w.ID, Nominal: o.nominal, Ending: o.w.End}
+	v := Verdict{Window: o.window.ID, ScheduledStart: o.scheduledStart, Ending: o.window.Ending}
 	for _, i := range o.nodes {
 		v.Nodes = append(v.Nodes, p.fleet[i].ID)
 	}
 	first := ""
-	for late := time.Duration(0); late <= o.w.Slack; late += steps {
-		start := o.nominal.Add(late)
-		at := span{start.Add(-o.w.Lead), start.Add(o.w.Last)}
-		why, out := p.against(o, at)
-		if why != "" {
+	for delay := time.Duration(0); delay <= o.window.Slack; delay += slackStep {
+		start := o.scheduledStart.Add(delay)
+		at := span{start.Add(-o.window.Lead), start.Add(o.window.Duration)}
+		reason, fraction := p.conflict(o, at)
+		if reason != "" {
 			if first == "" {
-				first = why
+				first = reason
 			}
 			continue
 		}
-		v.Drain, v.Start, v.End, v.Out = at.from, start, at.to, out
-		if late > 0 {
-			v.Outcome, v.Why = Postponed, fmt.Sprintf("by %s: %s", late, first)
+		v.DrainStart, v.Start, v.End, v.FleetFraction = at.from, start, at.to, fraction
+		if delay > 0 {
+			v.Outcome, v.Reason = Postponed, fmt.Sprintf("by %s: %s", delay, first)
 		}
-		p.booked = append(p.booked, booked{at, o.w.ID, o.nodes})
+		p.reservations = append(p.reservations, reservation{at, o.window.ID, o.nodes})
 		return v
 	}
-	v.Outcome, v.Why = Refused, first
+	v.Outcome, v.Reason = Refused, first
 	return v
 }
 
-// against says what speaks against an occurrence at a time, "" if nothing does, and the part of the fleet that would
+// conflict says what speaks against an occurrence at a time, "" if nothing does, and the part of the fleet that would
 // be out. All spans are widened by the guard on either side: another process may see them begin so much earlier and
 // end so much later.
-func (p *planner) against(o occurrence, at span) (why string, out float64) {
-	wide := span{at.from.Add(-p.limits.Guard), at.to.Add(p.limits.Guard)}
-	for i := range p.cal.Protected {
-		pr := &p.cal.Protected[i]
-		for _, t := range starts(pr.Rule, pr.Start, wide.from.Add(-pr.Last-pr.Tail), wide.to.Add(pr.Lead)) {
-			if wide.meets(span{t.Add(-pr.Lead), t.Add(pr.Last + pr.Tail)}) {
+func (p *planner) conflict(o occurrence, at span) (reason string, fraction float64) {
+	wide := span{at.from.Add(-p.limits.ClockGuard), at.to.Add(p.limits.ClockGuard)}
+	for i := range p.calendar.Protected {
+		pr := &p.calendar.Protected[i]
+		for _, t := range occurrenceStarts(pr.Rule, pr.Start, wide.from.Add(-pr.Duration-pr.Tail), wide.to.Add(pr.Lead)) {
+			if wide.overlaps(span{t.Add(-pr.Lead), t.Add(pr.Duration + pr.Tail)}) {
 				return fmt.Sprintf("%s is protected from %s", pr.ID, t.Add(-pr.Lead).Format("Mon 2 Jan 15:04")), 0
 			}
 		}
@@ -337,24 +337,24 @@
 	if len(o.nodes) == 0 {
 		return "", 0 // no such place now: it drains nothing, and is in nobody's way
 	}
-	for _, edge := range p.edges(wide) {
-		gone := p.gone(o, edge)
-		why, part := p.tooMuch(gone, edge)
-		if out = max(out, part); why != "" {
-			return why, out
+	for _, instant := range p.instants(wide) {
+		unavailable := p.unavailableAt(o, instant)
+		reason, share := p.limitViolation(unavailable, instant)
+		if fraction = max(fraction, share); reason != "" {
+			return reason, fraction
 		}
 	}
-	if why := p.coldBack(o, at.to); why != "" {
-		return why, out
+	if reason := p.warmUpViolation(o, at.to); reason != "" {
+		return reason, fraction
 	}
-	return "", out
+	return "", fraction
 }
 
-// edges are the instants in a span at which the nodes that are out, or the hour of the week, change.
-func (p *planner) edges(s span) []time.Time {
+// instants are the instants in a span at which the nodes that are out, or the hour of the week, change.
+func (p *planner) instants(s span) []time.Time {
 	all := []time.Time{s.from}
-	for _, b := range p.booked {
-		if from := b.from.Add(-p.limits.Guard); from.After(s.from) && from.Before(s.to) {
+	for _, b := range p.reservations {
+		if from := b.from.Add(-p.limits.ClockGuard); from.After(s.from) && from.Before(s.to) {
 			all = append(all, from)
 		}
 	}
@@ -364,92 +364,92 @@
 	return all
 }
 
-// gone are the nodes that are out at an instant, with the occurrence's own.
-func (p *planner) gone(o occurrence, t time.Time) map[int]string {
-	gone := map[int]string{}
-	for _, b := range p.booked {
-		if !t.Before(b.from.Add(-p.limits.Guard)) && t.Before(b.to.Add(p.limits.Guard)) {
+// unavailableAt are the nodes that are out at an instant, with the occurrence's own.
+func (p *planner) unavailableAt(o occurrence, t time.Time) map[int]string {
+	unavailable := map[int]string{}
+	for _, b := range p.reservations {
+		if !t.Before(b.from.Add(-p.limits.ClockGuard)) && t.Before(b.to.Add(p.limits.ClockGuard)) {
 			for _, n := range b.nodes {
-				gone[n] = b.window
+				unavailable[n] = b.window
 			}
 		}
 	}
 	for _, n := range o.nodes {
-		gone[n] = o.w.ID
+		unavailable[n] = o.window.ID
 	}
-	return gone
+	return unavailable
 }
 
-// tooMuch says which limit the nodes that are out would break.
-func (p *planner) tooMuch(gone map[int]string, t time.Time) (why string, part float64) {
+// limitViolation says which limit the nodes that are out would break.
+func (p *planner) limitViolation(unavailable map[int]string, t time.Time) (reason string, fraction float64) {
 	kinds, zones := map[string]int{}, map[string]int{}
 	cores, memory, allCores, allMemory := 0.0, 0.0, 0.0, 0.0
 	for i, n := range p.fleet {
 		allCores, allMemory = allCores+n.Cores, allMemory+n.Memory
-		if _, out := gone[i]; out {
+		if _, out := unavailable[i]; out {
 			kinds[n.Kind]++
 			zones[n.Zone]++
 		} else {
 			cores, memory = cores+n.Cores, memory+n.Memory
 		}
 	}
-	part = float64(len(gone)) / float64(len(p.fleet))
+	fraction = float64(len(unavailable)) / float64(len(p.fleet))
 	when := t.Format("Mon 2 Jan 15:04")
-	if part > p.limits.Fleet {
-		return fmt.Sprintf("%.0f%% of the fleet would be out on %s, at most %.0f%%", 100*part, when, 100*p.limits.Fleet), part
+	if fraction > p.limits.Fleet {
+		return fmt.Sprintf("%.0f%% of the fleet would be out on %s, at most %.0f%%", 100*fraction, when, 100*p.limits.Fleet), fraction
 	}
 	for _, group := range []struct {
 		what     string
 		out, all map[string]int
 		most     float64
 	}{{"zone", zones, p.zones, p.limits.Zone}, {"machine kind", kinds, p.kinds, p.limits.Kind}} {
-		for _, name := range sorted(group.out) {
+		for _, name := range sortedKeys(group.out) {
 			if share := float64(group.out[name]) / float64(group.all[name]); share > group.most {
 				return fmt.Sprintf("%.0f%% of %s %s would be out on %s, at most %.0f%%", 100*share, group.what, name, when,
-					100*group.most), part
+					100*group.most), fraction
 			}
 		}
 	}
 	if p.load != nil {
 		c, m := p.load.Usual(t)
-		if c *= p.limits.Margin; c*allCores > cores {
+		if c *= p.limits.LoadMargin; c*allCores > cores {
 			return fmt.Sprintf("on %s usually %.0f%% of all cores are asked for, margin included, %.0f%% would be left", when,
-				100*c, 100*cores/allCores), part
+				100*c, 100*cores/allCores), fraction
 		}
-		if m *= p.limits.Margin; m*allMemory > memory {
+		if m *= p.limits.LoadMargin; m*allMemory > memory {
 			return fmt.Sprintf("on %s usually %.0f%% of all memory is asked for, margin included, %.0f%% would be left", when,
-				100*m, 100*memory/allMemory), part
+				100*m, 100*memory/allMemory), fraction
 		}
 	}
-	return "", part
+	return "", fraction
 }
 
-// coldBack says whether too many nodes would come back at once: cold ones start slowly, and fall over if driven.
-func (p *planner) coldBack(o occurrence, end time.Time) string {
-	if p.limits.Cold == 0 {
+// warmUpViolation says whether too many nodes would come back at once: cold ones start slowly, and fall over if driven.
+func (p *planner) warmUpViolation(o occurrence, end time.Time) string {
+	if p.limits.MaxWarmingUp == 0 {
 		return ""
 	}
-	near := p.limits.ColdFor + 2*p.limits.Guard
-	back := map[int]bool{}
+	window := p.limits.WarmUp + 2*p.limits.ClockGuard
+	returning := map[int]bool{}
 	for _, n := range o.nodes {
-		back[n] = true
+		returning[n] = true
 	}
-	own := len(back)
-	for _, b := range p.booked {
-		if d := b.to.Sub(end); d < near && d > -near {
+	own := len(returning)
+	for _, b := range p.reservations {
+		if d := b.to.Sub(end); d < window && d > -window {
 			for _, n := range b.nodes {
-				back[n] = true
+				returning[n] = true
 			}
 		}
 	}
-	if len(back) > p.limits.Cold && len(back) > own { // one window alone may bring back what it took
-		return fmt.Sprintf("%d nodes would come back cold around %s, at most %d", len(back), end.Format("Mon 2 Jan 15:04"),
-			p.limits.Cold)
+	if len(returning) > p.limits.MaxWarmingUp && len(returning) > own { // one window alone may bring back what it took
+		return fmt.Sprintf("%d nodes would come back cold around %s, at most %d", len(returning), end.Format("Mon 2 Jan 15:04"),
+			p.limits.MaxWarmingUp)
 	}
 	return ""
 }
 
-func sorted(m map[string]int) []string {
+func sortedKeys(m map[string]int) []string {
 	var names []string
 	for n := range m {
 		names = append(names, n)
@@ -458,22 +458,22 @@
 	return names
 }
 
-// Strained says what speaks against moving work off a window's nodes now, "" if nothing does: nodes that are lost
+// BlockedByLosses says what speaks against moving work off a window's nodes now, "" if nothing does: nodes that are lost
 // count as out. The window itself stands: that nothing new goes to its nodes must be the same at every process, and
 // what each knows of losses is not.
-func Strained(v Verdict, fleet []Node, lost map[string]bool, out map[string]bool, limits Limits) string {
-	gone, all := 0, max(1, len(fleet))
-	mine := map[string]bool{}
+func BlockedByLosses(v Verdict, fleet []Node, lost map[string]bool, out map[string]bool, limits Limits) string {
+	unavailable, all := 0, max(1, len(fleet))
+	own := map[string]bool{}
 	for _, n := range v.Nodes {
-		mine[n] = true
+		own[n] = true
 	}
 	for _, n := range fleet {
-		if lost[n.ID] || out[n.ID] || mine[n.ID] {
-			gone++
+		if lost[n.ID] || out[n.ID] || own[n.ID] {
+			unavailable++
 		}
 	}
-	if part := float64(gone) / float64(all); part > limits.Fleet && len(lost) > 0 {
-		return fmt.Sprintf("with %d nodes lost %.0f%% of the fleet would be out, at most %.0f%%", len(lost), 100*part,
+	if fraction := float64(unavailable) / float64(all); fraction > limits.Fleet && len(lost) > 0 {
+		return fmt.Sprintf("with %d nodes lost %.0f%% of the fleet would be out, at most %.0f%%", len(lost), 100*fraction,
 			100*limits.Fleet)
 	}
 	return ""
--- a/internal/decide/calendar/calendar_test.go
+++ b/internal/decide/calendar/calendar_test.go
@@ -26,7 +26,7 @@
 	return all
 }
 
-var limits = Limits{Fleet: 0.25, Zone: 0.5, Kind: 0.5, Cold: 6, ColdFor: 10 * time.Minute, Margin: 1.2, Guard: 10 * time.Second}
+var limits = Limits{Fleet: 0.25, Zone: 0.5, Kind: 0.5, MaxWarmingUp: 6, WarmUp: 10 * time.Minute, LoadMargin: 1.2, ClockGuard: 10 * time.Second}
 
 func at(day, h, m int) time.Time {
 	return monday.AddDate(0, 0, day).Add(time.Duration(h)*time.Hour + time.Duration(m)*time.Minute)
@@ -39,7 +39,7 @@
 	} else if strings.HasPrefix(place, "z") {
 		reach = Zone
 	}
-	return Window{ID: id, Reach: reach, Place: place, Start: start, Last: 2 * time.Hour, Slack: slack, Priority: priority}
+	return Window{ID: id, Scope: reach, Target: place, Start: start, Duration: 2 * time.Hour, Slack: slack, Priority: priority}
 }
 
 func TestVerdicts(t *testing.T) {
@@ -104,7 +104,7 @@
 			"on a deadline",
 			Calendar{
 				Windows:   []Window{win("a", "c0", at(6, 20, 0), 5*time.Hour, 0)},
-				Protected: []Protected{{ID: "contest", Start: at(6, 21, 0), Last: time.Hour, Lead: 2 * time.Hour, Tail: 30 * time.Minute}},
+				Protected: []ProtectedTime{{ID: "contest", Start: at(6, 21, 0), Duration: time.Hour, Lead: 2 * time.Hour, Tail: 30 * time.Minute}},
 			},
 			nil,
 			"a postponed 165", "contest is protected from Sun 8 Mar 19:00",
@@ -115,28 +115,28 @@
 				if i == 11 {
 					part = 0.8
 				}
-				l.Seen(monday.Add(time.Duration(i)*time.Hour), part, 0.3)
+				l.Add(monday.Add(time.Duration(i)*time.Hour), part, 0.3)
 			}
 		}, "a postponed 135", "on Mon 2 Mar 11:00 usually"},
 		{
 			"too many cold at once",
 			Calendar{Windows: []Window{
-				win("a", "c0", at(0, 10, 0), 0, 0), {ID: "b", Reach: Cell, Place: "c2", Start: at(0, 11, 0), Last: time.Hour},
+				win("a", "c0", at(0, 10, 0), 0, 0), {ID: "b", Scope: Cell, Target: "c2", Start: at(0, 11, 0), Duration: time.Hour},
 			}},
 			nil,
 			"a kept 0, b refused 0", "of the fleet",
 		},
 		{"a place that is not there", Calendar{Windows: []Window{win("a", "c99", at(0, 10, 0), 0, 0)}}, nil, "a kept 0", ""},
 		{"cancelled", Calendar{Windows: []Window{{
-			ID: "a", Reach: Cell, Place: "c0", Start: at(0, 10, 0), Last: time.Hour,
-			Rule: "FREQ=DAILY;COUNT=3", Except: []time.Time{at(1, 10, 0)},
+			ID: "a", Scope: Cell, Target: "c0", Start: at(0, 10, 0), Duration: time.Hour,
+			Rule: "FREQ=DAILY;COUNT=3", Exceptions: []time.Time{at(1, 10, 0)},
 		}}}, nil, "a kept 0, a kept 0", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := c.cal.Check(); err != nil {
 				t.Fatal(err)
 			}
-			var load Usual
+			var load LoadEstimate
 			if c.load != nil {
 				measured := &Load{}
 				c.load(measured)
@@ -146,10 +146,10 @@
 			for _, v := range Plan(&c.cal, fleet(), limits, load, monday, monday.AddDate(0, 0, 14)) {
 				late := 0.0
 				if v.Outcome != Refused {
-					late = v.Start.Sub(v.Nominal).Minutes()
+					late = v.Start.Sub(v.ScheduledStart).Minutes()
 				}
 				got = append(got, fmt.Sprintf("%s %s %.0f", v.Window, v.Outcome, late))
-				why = append(why, v.Why)
+				why = append(why, v.Reason)
 			}
 			if s := strings.Join(got, ", "); s != c.want || !strings.Contains(strings.Join(why, "; "), c.because) {
 				t.Errorf("got %q because %q\nwant %q because %q", s, why, c.want, c.because)
@@ -162,7 +162,7 @@
 	l := limits
 	l.Fleet = 1
 	cal := Calendar{Windows: []Window{win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 11, 0), 0, 0)}}
-	if v := Plan(&cal, fleet(), l, nil, monday, monday.AddDate(0, 0, 7)); !strings.Contains(v[1].Why, "100% of zone z0 would be out") {
+	if v := Plan(&cal, fleet(), l, nil, monday, monday.AddDate(0, 0, 7)); !strings.Contains(v[1].Reason, "100% of zone z0 would be out") {
 		t.Errorf("%+v", v)
 	}
 }
@@ -172,7 +172,7 @@
 	l.Fleet, l.Zone = 1, 1
 	cal := Calendar{Windows: []Window{win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c2", at(0, 10, 5), time.Hour, 0)}}
 	v := Plan(&cal, fleet(), l, nil, monday, monday.AddDate(0, 0, 7))
-	if v[1].Outcome != Postponed || !strings.Contains(v[1].Why, "8 nodes would come back cold") {
+	if v[1].Outcome != Postponed || !strings.Contains(v[1].Reason, "8 nodes would come back cold") {
 		t.Errorf("%+v", v)
 	}
 }
@@ -184,7 +184,7 @@
 		t.Skip("no time zones on this machine")
 	}
 	cal := Calendar{Windows: []Window{{
-		ID: "a", Reach: OneNode, Place: "n05", Last: time.Hour, Rule: "FREQ=DAILY;COUNT=3",
+		ID: "a", Scope: OneNode, Target: "n05", Duration: time.Hour, Rule: "FREQ=DAILY;COUNT=3",
 		Start: time.Date(2026, 3, 28, 2, 30, 0, 0, zone),
 	}}}
 	var got []string
@@ -196,7 +196,7 @@
 		t.Error(s)
 	}
 	across := Calendar{Windows: []Window{{
-		ID: "a", Reach: OneNode, Place: "n05", Last: 4 * time.Hour,
+		ID: "a", Scope: OneNode, Target: "n05", Duration: 4 * time.Hour,
 		Start: time.Date(2026, 10, 25, 1, 0, 0, 0, zone),
 	}}}
 	if v := Plan(&across, fleet(), limits, nil, monday, monday.AddDate(1, 0, 0)); v[0].End.Sub(v[0].Start) != 4*time.Hour {
@@ -211,12 +211,12 @@
 		spoil       func(w *Window)
 	}{
 		{"no name", "name missing", func(w *Window) { w.ID = "" }},
-		{"no length", "impossible length", func(w *Window) { w.Last = 0 }},
+		{"no length", "impossible length", func(w *Window) { w.Duration = 0 }},
 		{"too long", "together", func(w *Window) { w.Slack = 200 * time.Hour }},
 		{"not a rule", "rule", func(w *Window) { w.Rule = "FREQ=SOMETIMES" }},
 		{"too often", "more often than daily", func(w *Window) { w.Rule = "FREQ=HOURLY" }},
 		{"no start", "no start", func(w *Window) { w.Start = time.Time{} }},
-		{"no place", "no place", func(w *Window) { w.Place = "" }},
+		{"no place", "no place", func(w *Window) { w.Target = "" }},
 	} {
 		w := good
 		c.spoil(&w)
@@ -243,13 +243,13 @@
 			w.Rule = rapid.SampledFrom([]string{"", "FREQ=DAILY;COUNT=4", "FREQ=WEEKLY;COUNT=3"}).Draw(t, "rule")
 			cal.Windows = append(cal.Windows, w)
 		}
-		cal.Protected = []Protected{{ID: "deadline", Start: at(6, 12, 0), Last: 12 * time.Hour, Rule: "FREQ=WEEKLY", Lead: time.Hour}}
+		cal.Protected = []ProtectedTime{{ID: "deadline", Start: at(6, 12, 0), Duration: 12 * time.Hour, Rule: "FREQ=WEEKLY", Lead: time.Hour}}
 		end, nodes := monday.AddDate(0, 0, 30), fleet()
 		all := Plan(&cal, fleet(), limits, nil, monday, end)
 		for m := monday; m.Before(end); m = m.Add(15 * time.Minute) {
 			out := map[string]bool{}
 			for _, v := range all {
-				if v.Outcome != Refused && !m.Before(v.Drain.Add(-limits.Guard)) && m.Before(v.End.Add(limits.Guard)) {
+				if v.Outcome != Refused && !m.Before(v.DrainStart.Add(-limits.ClockGuard)) && m.Before(v.End.Add(limits.ClockGuard)) {
 					for _, n := range v.Nodes {
 						out[n] = true
 					}
@@ -277,7 +277,7 @@
 		for _, v := range part {
 			found := false
 			for _, w := range all {
-				found = found || w.Window == v.Window && w.Nominal.Equal(v.Nominal) && w.Outcome == v.Outcome && w.Start.Equal(v.Start)
+				found = found || w.Window == v.Window && w.ScheduledStart.Equal(v.ScheduledStart) && w.Outcome == v.Outcome && w.Start.Equal(v.Start)
 			}
 			if !found {
 				t.Fatalf("asked for from %s: %+v", from, v)
--- a/internal/decide/calendar/load_test.go
+++ b/internal/decide/calendar/load_test.go
@@ -11,8 +11,8 @@
 	var l Load
 	at := time.Date(2026, 3, 2, 10, 30, 0, 0, time.UTC) // a Monday
 	for i := range 200 {
-		l.Seen(at, 0.01*float64(i%40), 0.3)
-		l.Seen(at.Add(time.Hour), 2, -1) // out of range counts as the end
+		l.Add(at, 0.01*float64(i%40), 0.3)
+		l.Add(at.Add(time.Hour), 2, -1) // out of range counts as the end
 	}
 	b, err := l.MarshalBinary()
 	if err != nil {
@@ -28,7 +28,7 @@
 	if c, m := back.Usual(at.Add(time.Hour)); c != 1 || m != 0.05 {
 		t.Errorf("usual %g, %g at the ends", c, m)
 	}
-	if c, _ := back.Usual(at.Add(2 * time.Hour)); c != blind {
+	if c, _ := back.Usual(at.Add(2 * time.Hour)); c != unmeasuredLoad {
 		t.Errorf("usual %g where nothing was measured", c)
 	}
 	for name, bad := range map[string][]byte{"cut": b[1:], "empty": nil, "too many": bytes.Repeat([]byte{0, 9}, len(b)/2)} {
@@ -41,7 +41,7 @@
 func TestTable(t *testing.T) {
 	var l Load
 	at := time.Date(2026, 3, 3, 10, 30, 0, 0, time.UTC)
-	l.Seen(at, 0.42, 0.12)
+	l.Add(at, 0.42, 0.12)
 	var b bytes.Buffer
 	if err := l.Table().Write(&b); err != nil {
 		t.Fatal(err)
@@ -80,14 +80,14 @@
 		name       string
 		table      *Table
 		schedulers int
-		want       Usual
+		want       LoadEstimate
 	}{
 		{"published", table, 3, table},
 		{"published, alone", table, 1, table},
 		{"alone", nil, 1, measured},
-		{"none", nil, 3, Blind{}},
+		{"none", nil, 3, UnknownLoad{}},
 	} {
-		if got, whose := Known(measured, c.table, c.schedulers); got != c.want || whose == "" {
+		if got, whose := ChooseEstimate(measured, c.table, c.schedulers); got != c.want || whose == "" {
 			t.Errorf("%s: %T", c.name, got)
 		}
 	}
@@ -96,7 +96,7 @@
 // FuzzStored reads any bytes as a kept load or a published table: a fault, or something that is kept the same.
 func FuzzStored(f *testing.F) {
 	var l Load
-	l.Seen(time.Unix(0, 0), 0.3, 0.4)
+	l.Add(time.Unix(0, 0), 0.3, 0.4)
 	b, _ := l.MarshalBinary()
 	f.Add(b)
 	var table bytes.Buffer
--- a/internal/decide/drainpace/drainpace.go
+++ b/internal/decide/drainpace/drainpace.go
@@ -9,50 +9,50 @@
 	"ravenpond/logic"
 )
 
-// Manner is how work of a job type leaves a draining node.
-type Manner uint8
+// Policy is how work of a job type leaves a draining node.
+type Policy uint8
 
 const (
-	Early  Manner = iota // from the drain's begin on
+	Early  Policy = iota // from the drain's begin on
 	Late                 // shortly before the nodes go out: much of it has ended by itself by then
 	RunOut               // never: it is left to end
 )
 
 const (
-	lateFrom = 0.6  // part of the lead that has passed when late moves begin
-	ready    = 0.9  // part of the lead by which all should be moved
-	bears    = 0.02 // part of what runs on the fleet that may be moved in a second
-	always   = 2    // and so many in any case
+	lateStart        = 0.6  // part of the lead that has passed when late moves begin
+	doneBy           = 0.9  // part of the lead by which all should be moved
+	maxFleetFraction = 0.02 // part of what runs on the fleet that may be moved in a second
+	minPerSecond     = 2    // and so many in any case
 )
 
-// Usual is the manner of a job type that the site says nothing of. What must not take effect twice in a way that
+// DefaultPolicy is the manner of a job type that the site says nothing of. What must not take effect twice in a way that
 // nobody can undo is stopped by no window.
-func Usual(effect logic.RetrySemantics) Manner {
+func DefaultPolicy(effect logic.RetrySemantics) Policy {
 	if effect == logic.AtMostOnce {
 		return RunOut
 	}
 	return Late
 }
 
-// Moves says how many allocations of a job type to stop now. Times are in ms: of the drain's begin, of the time at which
+// Evictions says how many allocations of a job type to stop now. Times are in ms: of the drain's begin, of the time at which
 // the nodes go out, and of the last call. left run there, running on the whole fleet.
-func Moves(m Manner, now, drain, out, last float64, left, running int) int {
-	lead := out - drain
-	from, to := drain, drain+ready*lead
+func Evictions(m Policy, now, drainStart, windowStart, lastCall float64, remaining, running int) int {
+	lead := windowStart - drainStart
+	from, to := drainStart, drainStart+doneBy*lead
 	if m == Late {
-		from = drain + lateFrom*lead
+		from = drainStart + lateStart*lead
 	}
-	if m == RunOut || now < from || left == 0 {
+	if m == RunOut || now < from || remaining == 0 {
 		return 0
 	}
-	gap := min(now-max(last, from), 5000) // one that stood still doesn't make up for it at once
-	if gap <= 0 {
+	elapsed := min(now-max(lastCall, from), 5000) // one that stood still doesn't make up for it at once
+	if elapsed <= 0 {
 		return 0
 	}
-	need := math.Inf(1) // late already: as fast as is borne
+	wanted := math.Inf(1) // late already: as fast as is borne
 	if now < to {
-		need = float64(left) * gap / (to - now + gap)
+		wanted = float64(remaining) * elapsed / (to - now + elapsed)
 	}
-	most := max(always, bears*float64(running)) * gap / 1000
-	return min(left, max(1, int(math.Ceil(min(need, most)))))
+	limit := max(minPerSecond, maxFleetFraction*float64(running)) * elapsed / 1000
+	return min(remaining, max(1, int(math.Ceil(min(wanted, limit)))))
 }
--- a/internal/decide/drainpace/drainpace_test.go
+++ b/internal/decide/drainpace/drainpace_test.go
@@ -9,7 +9,7 @@
 func TestMoves(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		manner        Manner
+		manner        Policy
 		left, running int
 		lead          float64
 		first, last   float64 // seconds at which the first and the last is moved, -1: none is
@@ -25,7 +25,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			left, first, last, most := c.left, -1.0, -1.0, 0
 			for s := 1.0; s <= 200; s++ {
-				n := Moves(c.manner, s*1000, 0, c.lead, (s-1)*1000, left, c.running)
+				n := Evictions(c.manner, s*1000, 0, c.lead, (s-1)*1000, left, c.running)
 				if n > 0 && first < 0 {
 					first = s
 				}
@@ -40,10 +40,10 @@
 			}
 		})
 	}
-	if Usual(logic.AtMostOnce) != RunOut || Usual(logic.Restartable) != Late {
+	if DefaultPolicy(logic.AtMostOnce) != RunOut || DefaultPolicy(logic.Restartable) != Late {
 		t.Error("usual manners")
 	}
-	if n := Moves(Early, 100e3, 0, 200e3, 0, 1000, 100); n > 10 {
+	if n := Evictions(Early, 100e3, 0, 200e3, 0, 1000, 100); n > 10 {
 		t.Errorf("%d at once after a stand-still", n)
 	}
 }
--- a/internal/decide/fragment/footprint.go
+++ b/internal/decide/fragment/footprint.go
@@ -9,11 +9,11 @@
 
 // Footprint counts the messages of which parts are still missing.
 func (r *Reassembler) Footprint() (f Footprint) {
-	f.Senders = len(r.from)
-	for _, s := range r.from {
+	f.Senders = len(r.senders)
+	for _, s := range r.senders {
 		f.Messages += len(s.messages)
 		for _, m := range s.messages {
-			for _, part := range m.parts {
+			for _, part := range m.fragments {
 				f.Bytes += len(part)
 			}
 		}
--- a/internal/decide/fragment/fragment.go
+++ b/internal/decide/fragment/fragment.go
@@ -5,49 +5,49 @@
 
 // Limits.
 const (
-	MostParts = 64  // fragments of a message; datagrams may be reordered by as many
-	atOnce    = 8   // incomplete messages of a sender
-	mostFrom  = 512 // senders
+	MaxFragments  = 64  // fragments of a message; datagrams may be reordered by as many
+	maxIncomplete = 8   // incomplete messages of a sender
+	maxSenders    = 512 // senders
 )
 
 // Split splits a message into fragments of at most that many bytes. It returns nil if there would be more than MostParts.
-func Split(body []byte, most int) (parts [][]byte) {
-	if len(body) > MostParts*most {
+func Split(body []byte, maxBytes int) (fragments [][]byte) {
+	if len(body) > MaxFragments*maxBytes {
 		return nil
 	}
-	for len(body) > most {
-		parts, body = append(parts, body[:most]), body[most:]
+	for len(body) > maxBytes {
+		fragments, body = append(fragments, body[:maxBytes]), body[maxBytes:]
 	}
-	return append(parts, body)
+	return append(fragments, body)
 }
 
 // Reassembler reassembles messages. Its zero value is ready to use.
 type Reassembler struct {
-	from  map[string]*sender
-	order []string // senders, the one heard first in front
+	senders map[string]*sender
+	order   []string // senders, the one heard first in front
 }
 
 type sender struct {
-	life     uint64
-	messages []*message // the oldest first
-	done     uint64     // the highest number of a complete message
-	below    uint64     // bit set of the 64 numbers below it that are complete
+	incarnation   uint64
+	messages      []*message // the oldest first
+	highest       uint64     // the highest number of a complete message
+	completeBelow uint64     // bit set of the 64 numbers below it that are complete
 }
 
 type message struct {
-	number uint64
-	parts  [][]byte
-	left   int
+	number    uint64
+	fragments [][]byte
+	missing   int
 }
 
 // Add adds a fragment of a message that an incarnation of its sender has numbered. It returns the message if this was the last missing
 // fragment. The bytes are copied.
-func (r *Reassembler) Add(from string, life, number uint64, index, of int, body []byte) ([]byte, bool) {
-	if of > MostParts || index < 0 || index >= of {
+func (r *Reassembler) Add(from string, incarnation, number uint64, index, total int, body []byte) ([]byte, bool) {
+	if total > MaxFragments || index < 0 || index >= total {
 		return nil, false
 	}
-	s := r.sender(from, life)
-	if s == nil || s.was(number) {
+	s := r.sender(from, incarnation)
+	if s == nil || s.isComplete(number) {
 		return nil, false
 	}
 	var m *message
@@ -57,66 +57,66 @@
 		}
 	}
 	if m == nil {
-		if len(s.messages) == atOnce { // the oldest one lacks a lost fragment
+		if len(s.messages) == maxIncomplete { // the oldest one lacks a lost fragment
 			s.messages = append(s.messages[:0], s.messages[1:]...)
 		}
-		m = &message{number: number, parts: make([][]byte, of), left: of}
+		m = &message{number: number, fragments: make([][]byte, total), missing: total}
 		s.messages = append(s.messages, m)
 	}
-	if len(m.parts) != of || m.parts[index] != nil {
+	if len(m.fragments) != total || m.fragments[index] != nil {
 		return nil, false
 	}
-	m.parts[index] = append([]byte{}, body...)
-	if m.left--; m.left > 0 {
+	m.fragments[index] = append([]byte{}, body...)
+	if m.missing--; m.missing > 0 {
 		return nil, false
 	}
-	s.end(m)
+	s.markComplete(m)
 	var all []byte
-	for _, p := range m.parts {
+	for _, p := range m.fragments {
 		all = append(all, p...)
 	}
 	return all, true
 }
 
 // sender returns what is kept of a sender's incarnation, nil if it is outdated.
-func (r *Reassembler) sender(from string, life uint64) *sender {
-	s := r.from[from]
+func (r *Reassembler) sender(from string, incarnation uint64) *sender {
+	s := r.senders[from]
 	switch {
 	case s == nil:
-		if r.from == nil {
-			r.from = map[string]*sender{}
+		if r.senders == nil {
+			r.senders = map[string]*sender{}
 		}
-		if len(r.order) == mostFrom {
-			delete(r.from, r.order[0])
+		if len(r.order) == maxSenders {
+			delete(r.senders, r.order[0])
 			r.order = append(r.order[:0], r.order[1:]...)
 		}
-		s = &sender{life: life}
-		r.from[from] = s
+		s = &sender{incarnation: incarnation}
+		r.senders[from] = s
 		r.order = append(r.order, from)
-	case life < s.life:
+	case incarnation < s.incarnation:
 		return nil
-	case life > s.life:
-		*s = sender{life: life}
+	case incarnation > s.incarnation:
+		*s = sender{incarnation: incarnation}
 	}
 	return s
 }
 
-// was reports whether a message was complete before.
-func (s *sender) was(number uint64) bool {
-	return number <= s.done && (s.done-number >= 64 || number == s.done || s.below>>(s.done-number-1)&1 == 1)
+// isComplete reports whether a message was complete before.
+func (s *sender) isComplete(number uint64) bool {
+	return number <= s.highest && (s.highest-number >= 64 || number == s.highest || s.completeBelow>>(s.highest-number-1)&1 == 1)
 }
 
-// end records a complete message.
-func (s *sender) end(m *message) {
-	if by := m.number - s.done; m.number > s.done {
+// markComplete records a complete message.
+func (s *sender) markComplete(m *message) {
+	if by := m.number - s.highest; m.number > s.highest {
 		if by < 64 {
-			s.below = s.below<<by | 1<<(by-1)
+			s.completeBelow = s.completeBelow<<by | 1<<(by-1)
 		} else {
-			s.below = 0
+			s.completeBelow = 0
 		}
-		s.done = m.number
+		s.highest = m.number
 	} else {
-		s.below |= 1 << (s.done - m.number - 1)
+		s.completeBelow |= 1 << (s.highest - m.number - 1)
 	}
 	for i, x := range s.messages {
 		if x == m {
--- a/internal/decide/fragment/fragment_test.go
+++ b/internal/decide/fragment/fragment_test.go
@@ -48,13 +48,13 @@
 
 func TestBounds(t *testing.T) {
 	var w Reassembler
-	if Split(make([]byte, MostParts*10+1), 10) != nil || len(Split(nil, 10)) != 1 {
+	if Split(make([]byte, MaxFragments*10+1), 10) != nil || len(Split(nil, 10)) != 1 {
 		t.Error("cut what is too long, or nothing into nothing")
 	}
 	for n := uint64(1); n <= 100; n++ { // begun and never ended
 		w.Add("a", 1, n, 0, 2, nil)
 	}
-	if got := len(w.from["a"].messages); got != atOnce {
+	if got := len(w.senders["a"].messages); got != maxIncomplete {
 		t.Errorf("%d messages are kept", got)
 	}
 	if _, ok := w.Add("a", 2, 1, 0, 1, []byte("x")); !ok {
@@ -63,10 +63,10 @@
 	if _, ok := w.Add("a", 1, 200, 0, 1, nil); ok {
 		t.Error("a message of the life before")
 	}
-	for i := range mostFrom + 50 {
+	for i := range maxSenders + 50 {
 		w.Add(string(rune(i+1000)), 1, 1, 0, 2, nil)
 	}
-	if len(w.from) > mostFrom {
-		t.Errorf("%d senders are kept", len(w.from))
+	if len(w.senders) > maxSenders {
+		t.Errorf("%d senders are kept", len(w.senders))
 	}
 }
--- a/internal/decide/gossip/gossip_test.go
+++ b/internal/decide/gossip/gossip_test.go
@@ -44,7 +44,7 @@
 	held(t, "it has come further, and says nothing of it", &b, 3)
 	b.OnUpdate(4, 3, 20, true)
 	held(t, "gone", &b, 4, 3)
-	held(t, "a version that never comes", &b, 4+believed, []uint32{}...)
+	held(t, "a version that never comes", &b, 4+updateLifetime, []uint32{}...)
 	own(&b, 5, 20, entry{3, true, false})
 	held(t, "it is back by the version of that word", &b, 5)
 }
@@ -85,10 +85,10 @@
 // TestBounded holds that a liar fills no more than its bound.
 func TestBounded(t *testing.T) {
 	var b Store
-	for i := range uint32(3 * most) {
+	for i := range uint32(3 * maxUpdates) {
 		b.OnUpdate(0, i, 9, false)
 	}
-	if len(b.updates) > most || len(b.order) > most {
-		t.Errorf("%d words, %d told", len(b.updates), len(b.order))
+	if len(b.updates) > maxUpdates || len(b.queue) > maxUpdates {
+		t.Errorf("%d words, %d told", len(b.updates), len(b.queue))
 	}
 }
--- a/internal/decide/isolation/isolation.go
+++ b/internal/decide/isolation/isolation.go
@@ -6,10 +6,10 @@
 type Degree uint8
 
 const (
-	Whole Degree = iota // nobody is missing
-	Large               // it is in the larger part
-	Small               // it is in a part that is not the larger one
-	Alone               // it hears nobody, and knows of others
+	Complete Degree = iota // nobody is missing
+	Majority               // it is in the larger part
+	Minority               // it is in a part that is not the larger one
+	Isolated               // it hears nobody, and knows of others
 )
 
 func (d Degree) String() string {
@@ -18,49 +18,49 @@
 
 // Times in ms: a worse degree counts once it has lasted so long, a better one after longer.
 const (
-	worse  = 500
-	better = 3000
+	worsenDelay  = 500
+	improveDelay = 3000
 )
 
-// Gauge tells the degree. The zero value is whole.
-type Gauge struct {
-	now   Degree
-	next  Degree
-	since float64
-	wait  bool
+// Monitor tells the degree. The zero value is whole.
+type Monitor struct {
+	current   Degree
+	candidate Degree
+	since     float64
+	pending   bool
 }
 
-// Of is the degree of a moment: so many others are there, of so many that should be.
-func Of(alive, known int) Degree {
+// Classify is the degree of a moment: so many others are there, of so many that should be.
+func Classify(alive, known int) Degree {
 	switch {
 	case alive >= known:
-		return Whole
+		return Complete
 	case alive == 0:
-		return Alone
+		return Isolated
 	case 2*(alive+1) > known+1: // with this one, more than half
-		return Large
+		return Majority
 	}
-	return Small
+	return Minority
 }
 
-// Look takes how many others are there now, of so many that are known and have not left. It tells the degree that counts,
+// Update takes how many others are there now, of so many that are known and have not left. It tells the degree that counts,
 // and whether that has just changed.
-func (g *Gauge) Look(now float64, alive, known int) (d Degree, turned bool) {
-	to := Of(alive, known)
+func (g *Monitor) Update(now float64, alive, known int) (d Degree, changed bool) {
+	to := Classify(alive, known)
 	switch {
-	case to == g.now:
-		g.wait = false
-	case !g.wait || to != g.next && (to > g.now) != (g.next > g.now):
-		g.next, g.since, g.wait = to, now, true
-	case to != g.next:
-		g.next = to // still the same way: its time runs on
+	case to == g.current:
+		g.pending = false
+	case !g.pending || to != g.candidate && (to > g.current) != (g.candidate > g.current):
+		g.candidate, g.since, g.pending = to, now, true
+	case to != g.candidate:
+		g.candidate = to // still the same way: its time runs on
 	}
-	if lasts := map[bool]float64{true: worse, false: better}[g.next > g.now]; g.wait && now-g.since >= lasts {
-		g.now, g.wait = g.next, false
-		return g.now, true
+	if delay := map[bool]float64{true: worsenDelay, false: improveDelay}[g.candidate > g.current]; g.pending && now-g.since >= delay {
+		g.current, g.pending = g.candidate, false
+		return g.current, true
 	}
-	return g.now, false
+	return g.current, false
 }
 
-// Now is the degree that counts.
-func (g *Gauge) Now() Degree { return g.now }
+// Degree is the degree that counts.
+func (g *Monitor) Degree() Degree { return g.current }
--- a/internal/decide/isolation/isolation_test.go
+++ b/internal/decide/isolation/isolation_test.go
@@ -6,14 +6,14 @@
 	for _, c := range []struct {
 		alive, known int
 		want         Degree
-	}{{0, 0, Whole}, {1, 1, Whole}, {0, 1, Alone}, {0, 8, Alone}, {1, 2, Large}, {4, 8, Large}, {3, 8, Small}, {3, 7, Small}, {4, 7, Large}, {7, 8, Large}} {
-		if got := Of(c.alive, c.known); got != c.want {
+	}{{0, 0, Complete}, {1, 1, Complete}, {0, 1, Isolated}, {0, 8, Isolated}, {1, 2, Majority}, {4, 8, Majority}, {3, 8, Minority}, {3, 7, Minority}, {4, 7, Majority}, {7, 8, Majority}} {
+		if got := Classify(c.alive, c.known); got != c.want {
 			t.Errorf("%d of %d: %s, want %s", c.alive, c.known, got, c.want)
 		}
 	}
 	for known := range 30 { // of two parts of one whole, at most one is the larger
 		for alive := range known + 1 {
-			if other := known - 1 - alive; other >= 0 && Of(alive, known) == Large && Of(other, known) == Large {
+			if other := known - 1 - alive; other >= 0 && Classify(alive, known) == Majority && Classify(other, known) == Majority {
 				t.Errorf("%d and %d of %d are both the larger part", alive+1, other+1, known+1)
 			}
 		}
@@ -22,11 +22,11 @@
 
 // TestLook holds that degrees come late, go later, and do not flap.
 func TestLook(t *testing.T) {
-	var g Gauge
+	var g Monitor
 	turns := 0
 	look := func(from, to float64, alive func(i int) int) {
 		for i, now := 0, from; now < to; i, now = i+1, now+100 {
-			if _, turned := g.Look(now, alive(i), 8); turned {
+			if _, turned := g.Update(now, alive(i), 8); turned {
 				turns++
 			}
 		}
@@ -37,19 +37,19 @@
 		t.Error("a moment counts")
 	}
 	look(1400, 2000, func(int) int { return 2 })
-	if turns != 1 || g.Now() != Small {
-		t.Errorf("%d turns, %s", turns, g.Now())
+	if turns != 1 || g.Degree() != Minority {
+		t.Errorf("%d turns, %s", turns, g.Degree())
 	}
 	look(2000, 10000, func(i int) int { return 8 - 6*(i/10%2) }) // there and away, a second each
-	if turns != 1 || g.Now() != Small {
-		t.Errorf("%d turns, %s: it flaps", turns, g.Now())
+	if turns != 1 || g.Degree() != Minority {
+		t.Errorf("%d turns, %s: it flaps", turns, g.Degree())
 	}
 	look(10000, 14000, func(int) int { return 8 })
-	if turns != 2 || g.Now() != Whole {
-		t.Errorf("%d turns, %s", turns, g.Now())
+	if turns != 2 || g.Degree() != Complete {
+		t.Errorf("%d turns, %s", turns, g.Degree())
 	}
 	look(14000, 16000, func(i int) int { return max(0, 3-i/2) }) // ever worse: its time runs from the first
-	if g.Now() != Alone {
-		t.Errorf("%s", g.Now())
+	if g.Degree() != Isolated {
+		t.Errorf("%s", g.Degree())
 	}
 }
--- a/internal/lab/drill/calendar.go
+++ b/internal/lab/drill/calendar.go
@@ -29,11 +29,11 @@
 	cal := &calendar.Calendar{}
 	for _, w := range p.Day.windows {
 		win := calendar.Window{
-			ID: w.name, Reach: calendar.Cell, Place: w.cell, Start: p.wall(w.at), Last: time.Duration(w.last * 1e6),
-			Lead: time.Duration(w.lead * 1e6), End: calendar.Ending(w.ending),
+			ID: w.name, Scope: calendar.Cell, Target: w.cell, Start: p.wall(w.at), Duration: time.Duration(w.last * 1e6),
+			Lead: time.Duration(w.lead * 1e6), Ending: calendar.Ending(w.ending),
 		}
 		if w.zone != "" {
-			win.Reach, win.Place = calendar.Zone, w.zone
+			win.Scope, win.Target = calendar.Zone, w.zone
 		}
 		cal.Windows = append(cal.Windows, win)
 	}
@@ -56,7 +56,7 @@
 	cal := p.calendar()
 	for _, v := range calendar.Plan(cal, fleet, p.Place.Maintenance, nil, p.dawn.Add(-time.Hour), p.dawn.Add(24*time.Hour)) {
 		if v.Outcome != calendar.Kept || len(v.Nodes) == 0 {
-			return fmt.Errorf("window %s of the day: %s, %d nodes, %s", v.Window, v.Outcome, len(v.Nodes), v.Why)
+			return fmt.Errorf("window %s of the day: %s, %d nodes, %s", v.Window, v.Outcome, len(v.Nodes), v.Reason)
 		}
 	}
 	return nil
--- a/internal/lab/month/month.go
+++ b/internal/lab/month/month.go
@@ -63,7 +63,7 @@
 
 var begin = time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC)
 
-var limits = calendar.Limits{Fleet: 0.15, Zone: 0.25, Kind: 0.2, Cold: 20, ColdFor: 30 * time.Second, Margin: 1, Guard: guard}
+var limits = calendar.Limits{Fleet: 0.15, Zone: 0.25, Kind: 0.2, MaxWarmingUp: 20, WarmUp: 30 * time.Second, LoadMargin: 1, ClockGuard: guard}
 
 // world is the true state.
 type world struct {
@@ -139,19 +139,19 @@
 			}
 		}
 	}
-	w.cal = &calendar.Calendar{Protected: []calendar.Protected{{
+	w.cal = &calendar.Calendar{Protected: []calendar.ProtectedTime{{
 		ID: "deadline", Start: begin.Add((6*24 + 18) * time.Hour),
-		Last: 5 * time.Hour, Lead: time.Hour, Rule: "FREQ=WEEKLY",
+		Duration: 5 * time.Hour, Lead: time.Hour, Rule: "FREQ=WEEKLY",
 	}}}
 	for i := range w.Days * 6 { // most near others, so that many meet, some back to back: a length and a lead apart
 		start := begin.Add(time.Duration(w.rng.IntN(w.Days)) * 24 * time.Hour).Add(time.Duration(w.rng.IntN(4)) * 21 * time.Minute)
 		win := calendar.Window{
-			ID: fmt.Sprintf("w%03d", i), Reach: calendar.Cell, Place: fmt.Sprint("c", w.rng.IntN(zones*cells)),
-			Start: start, Last: 20 * time.Minute, Lead: time.Minute, Slack: time.Duration(w.rng.IntN(3)) * 30 * time.Minute,
-			Priority: w.rng.IntN(3), End: calendar.Ending(w.rng.IntN(2)),
+			ID: fmt.Sprintf("w%03d", i), Scope: calendar.Cell, Target: fmt.Sprint("c", w.rng.IntN(zones*cells)),
+			Start: start, Duration: 20 * time.Minute, Lead: time.Minute, Slack: time.Duration(w.rng.IntN(3)) * 30 * time.Minute,
+			Priority: w.rng.IntN(3), Ending: calendar.Ending(w.rng.IntN(2)),
 		}
 		if w.rng.IntN(3) == 0 {
-			win.Reach, win.Place = calendar.OneNode, strconv.Itoa(1+w.rng.IntN(len(w.nodes)))
+			win.Scope, win.Target = calendar.OneNode, strconv.Itoa(1+w.rng.IntN(len(w.nodes)))
 		}
 		if w.rng.IntN(8) == 0 {
 			win.Rule = "FREQ=WEEKLY"
@@ -173,7 +173,7 @@
 		for _, n := range v.Nodes {
 			id, _ := strconv.Atoi(n)
 			s := w.nodes[id-1]
-			s.out = append(s.out, [2]float64{ms(v.Drain), ms(v.End)})
+			s.out = append(s.out, [2]float64{ms(v.DrainStart), ms(v.End)})
 		}
 	}
 	for i := range w.Processes {
@@ -209,8 +209,8 @@
 		if v.Outcome == calendar.Refused {
 			continue
 		}
-		at := ms(v.Drain) + (w.rng.Float64()-0.5)*4000
-		if v.Nominal.IsZero() || at < 1000 {
+		at := ms(v.DrainStart) + (w.rng.Float64()-0.5)*4000
+		if v.ScheduledStart.IsZero() || at < 1000 {
 			continue
 		}
 		switch w.rng.IntN(6) {
@@ -232,7 +232,7 @@
 func (w *world) busy() (all [][2]float64) {
 	for _, v := range w.truth {
 		if v.Outcome != calendar.Refused {
-			all = append(all, [2]float64{ms(v.Drain) - 9000, ms(v.Drain) + 14000}, [2]float64{ms(v.Start) - 2000, ms(v.Start) + 1000},
+			all = append(all, [2]float64{ms(v.DrainStart) - 9000, ms(v.DrainStart) + 14000}, [2]float64{ms(v.Start) - 2000, ms(v.Start) + 1000},
 				[2]float64{ms(v.End) - 5000, ms(v.End) + 7000})
 		}
 	}
--- a/internal/lab/month/peers.go
+++ b/internal/lab/month/peers.go
@@ -125,12 +125,12 @@
 
 func (m *memory) find(window string, nominal time.Time) int {
 	return slices.IndexFunc(m.begun, func(b maintenancestore.Drain) bool {
-		return b.Verdict.Window == window && b.Verdict.Nominal.Equal(nominal)
+		return b.Verdict.Window == window && b.Verdict.ScheduledStart.Equal(nominal)
 	})
 }
 
 func (m *memory) BeginDrain(v calendar.Verdict, now time.Time) (maintenancestore.Drain, bool, error) {
-	if i := m.find(v.Window, v.Nominal); i >= 0 {
+	if i := m.find(v.Window, v.ScheduledStart); i >= 0 {
 		return m.begun[i], false, nil
 	}
 	b := maintenancestore.Drain{Verdict: v, Stage: maintenancestore.Opened, ReachedAt: map[maintenancestore.Stage]time.Time{maintenancestore.Opened: now}}
--- a/internal/lab/month/process.go
+++ b/internal/lab/month/process.go
@@ -57,9 +57,9 @@
 	})
 	lim := limits
 	if p.w.Plant == NoGuard {
-		lim.Guard = 0
+		lim.ClockGuard = 0
 	}
-	p.keep = &maintenance.Controller{Store: p.store, Executor: hand{p}, Limits: lim, Policies: []drainpace.Manner{drainpace.Late, drainpace.Early, drainpace.RunOut}}
+	p.keep = &maintenance.Controller{Store: p.store, Executor: hand{p}, Limits: lim, Policies: []drainpace.Policy{drainpace.Late, drainpace.Early, drainpace.RunOut}}
 	p.eng.BeginList(p.clock(), logic.ListCached)
 	for _, s := range p.w.nodes {
 		p.eng.AddListNode(s.id, "x", logic.Ready, 0, 32, 64, s.zone, s.cell, s.kind)
--- a/internal/lab/sim/store.go
+++ b/internal/lab/sim/store.go
@@ -38,7 +38,7 @@
 
 func (s *store) find(window string, nominal time.Time) *maintenancestore.Drain {
 	for i := range s.begun {
-		if v := &s.begun[i].Verdict; v.Window == window && v.Nominal.Equal(nominal) {
+		if v := &s.begun[i].Verdict; v.Window == window && v.ScheduledStart.Equal(nominal) {
 			return &s.begun[i]
 		}
 	}
@@ -47,7 +47,7 @@
 
 // BeginDrain notes that a drain begins, once. A process killed in the midst of it has or has not.
 func (s *store) BeginDrain(v calendar.Verdict, now time.Time) (maintenancestore.Drain, bool, error) {
-	if b := s.find(v.Window, v.Nominal); b != nil {
+	if b := s.find(v.Window, v.ScheduledStart); b != nil {
 		return *b, false, nil
 	}
 	alive := s.p.effect()
--- a/internal/lab/sim/strikes.go
+++ b/internal/lab/sim/strikes.go
@@ -166,8 +166,8 @@
 	c := st.c
 	start := outside.Epoch.Add(time.Duration((day + c.now + f.Size + 1500) * 1e6)).Truncate(time.Second)
 	w := calendar.Window{
-		ID: fmt.Sprintf("w%.0f", f.At), Reach: calendar.OneNode, Place: strconv.Itoa(int(n.ID)), Start: start,
-		Last: time.Duration(max(1, f.For/1000)) * time.Second, Lead: time.Duration(math.Ceil(f.Size/1000)) * time.Second, Added: start,
+		ID: fmt.Sprintf("w%.0f", f.At), Scope: calendar.OneNode, Target: strconv.Itoa(int(n.ID)), Start: start,
+		Duration: time.Duration(max(1, f.For/1000)) * time.Second, Lead: time.Duration(math.Ceil(f.Size/1000)) * time.Second, CreatedAt: start,
 	}
 	for _, s := range st.scheds {
 		s.store.cal.Windows = append(s.store.cal.Windows, w)
@@ -182,7 +182,7 @@
 	for _, s := range st.scheds {
 		skew = max(skew, math.Abs(s.p.err))
 	}
-	out, back := ms(start.Add(-w.Lead))+1000+skew, ms(start.Add(w.Last))-1000-skew // a scheduler looks once a second
+	out, back := ms(start.Add(-w.Lead))+1000+skew, ms(start.Add(w.Duration))-1000-skew // a scheduler looks once a second
 	if out < back {
 		mark(out, "out")
 		mark(back, "back")
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -37,8 +37,8 @@
 	Store     Store
 	Executor  Executor
 	Limits    calendar.Limits
-	Policies  []drainpace.Manner // by job type
-	UsualLoad calendar.Usual     // the same at every process that shares the calendar
+	Policies  []drainpace.Policy    // by job type
+	UsualLoad calendar.LoadEstimate // the same at every process that shares the calendar
 
 	announced   map[string]bool // drains announced in this life of the process
 	suspended   map[string]bool // and those whose work is left alone, as too much is lost
@@ -57,7 +57,7 @@
 const closedRetention = 40 * 24 * time.Hour
 
 func drainName(v calendar.Verdict) string {
-	return v.Window + " " + v.Nominal.UTC().Format(time.RFC3339)
+	return v.Window + " " + v.ScheduledStart.UTC().Format(time.RFC3339)
 }
 
 // Tick does what is due. fleet is the node list as last heard, lost those of it that are not there.
@@ -79,7 +79,7 @@
 			draining[n] = true
 		}
 	}
-	k.blockedBy = func(v calendar.Verdict) string { return calendar.Strained(v, fleet, lost, draining, k.Limits) }
+	k.blockedBy = func(v calendar.Verdict) string { return calendar.BlockedByLosses(v, fleet, lost, draining, k.Limits) }
 	for _, drain := range unfinished { // first what was begun, by this life or an earlier one
 		if err := k.advance(now, drain, cal); err != nil {
 			return err
@@ -90,7 +90,7 @@
 		k.plan = calendar.Plan(cal, fleet, k.Limits, k.UsualLoad, now.Add(-8*24*time.Hour), now.Add(8*24*time.Hour))
 	}
 	for _, v := range k.plan {
-		if v.Outcome == calendar.Refused || now.Before(v.Drain) || !now.Before(v.End) || len(v.Nodes) == 0 ||
+		if v.Outcome == calendar.Refused || now.Before(v.DrainStart) || !now.Before(v.End) || len(v.Nodes) == 0 ||
 			slices.ContainsFunc(unfinished, func(drain maintenancestore.Drain) bool { return drainName(drain.Verdict) == drainName(v) }) || !isScheduled(cal, v) {
 			continue
 		}
@@ -122,7 +122,7 @@
 func planInputsOf(cal *calendar.Calendar, fleet []calendar.Node) [4]int {
 	cancelled := 0
 	for i := range cal.Windows {
-		cancelled += len(cal.Windows[i].Except)
+		cancelled += len(cal.Windows[i].Exceptions)
 	}
 	return [4]int{len(cal.Windows), len(cal.Protected), cancelled, 1 + len(fleet)}
 }
@@ -130,14 +130,14 @@
 // isScheduled tells whether the calendar still has an occurrence.
 func isScheduled(cal *calendar.Calendar, v calendar.Verdict) bool {
 	i := slices.IndexFunc(cal.Windows, func(w calendar.Window) bool { return w.ID == v.Window })
-	return i >= 0 && !slices.ContainsFunc(cal.Windows[i].Except, v.Nominal.Equal)
+	return i >= 0 && !slices.ContainsFunc(cal.Windows[i].Exceptions, v.ScheduledStart.Equal)
 }
 
 // advance takes a drain as far as it can go now.
 func (k *Controller) advance(now time.Time, drain maintenancestore.Drain, cal *calendar.Calendar) error {
 	v := drain.Verdict
 	setStage := func(s maintenancestore.Stage) error {
-		if err := k.Store.AdvanceDrain(v.Window, v.Nominal, s, now); err != nil {
+		if err := k.Store.AdvanceDrain(v.Window, v.ScheduledStart, s, now); err != nil {
 			return fmt.Errorf("drains: %w", err)
 		}
 		return nil
@@ -175,7 +175,7 @@
 	delete(k.suspended, drainName(v))
 	ms := func(t time.Time) float64 { return float64(t.UnixNano()) / 1e6 }
 	for job, n := range running {
-		if evictions := drainpace.Moves(k.Policies[job], ms(now), ms(v.Drain), ms(v.Start), ms(k.lastTick), n, all); evictions > 0 {
+		if evictions := drainpace.Evictions(k.Policies[job], ms(now), ms(v.DrainStart), ms(v.Start), ms(k.lastTick), n, all); evictions > 0 {
 			k.Executor.Evict(v.Nodes, job, evictions)
 		}
 	}
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -74,8 +74,8 @@
 
 func controllerOn(s Store, h *fakeExecutor) *Controller {
 	return &Controller{
-		Store: s, Executor: h, Limits: calendar.Limits{Fleet: 0.5, Zone: 1, Kind: 1, Margin: 1},
-		Policies: []drainpace.Manner{drainpace.Late, drainpace.RunOut},
+		Store: s, Executor: h, Limits: calendar.Limits{Fleet: 0.5, Zone: 1, Kind: 1, LoadMargin: 1},
+		Policies: []drainpace.Policy{drainpace.Late, drainpace.RunOut},
 	}
 }
 
@@ -87,7 +87,7 @@
 }
 
 func window(id, node string) calendar.Window {
-	return calendar.Window{ID: id, Place: node, Start: start, Last: time.Hour, Lead: 10 * time.Minute}
+	return calendar.Window{ID: id, Target: node, Start: start, Duration: time.Hour, Lead: 10 * time.Minute}
 }
 
 // tickRange lets a keeper tick every second from one minute to another.
@@ -205,7 +205,7 @@
 
 func TestSharedNode(t *testing.T) {
 	b := window("b", "n1")
-	b.Last = 2 * time.Hour
+	b.Duration = 2 * time.Hour
 	_, _, k, h := newController(t, window("a", "n1"), b)
 	tickRange(t, k, -10, 70, nil)
 	if !h.draining["n1"] {
--- a/internal/proto/ics/ics.go
+++ b/internal/proto/ics/ics.go
@@ -18,21 +18,21 @@
 
 // Properties beside the standard ones. Durations are as Go writes them.
 const (
-	propReach    = "X-RAVENPOND-REACH"
-	propPlace    = "X-RAVENPOND-PLACE"
-	propLead     = "X-RAVENPOND-LEAD"
-	propTail     = "X-RAVENPOND-TAIL"
-	propSlack    = "X-RAVENPOND-SLACK"
-	propPriority = "X-RAVENPOND-PRIORITY"
-	propEnding   = "X-RAVENPOND-ENDING"
-	protected    = "PROTECTED"
-	product      = "-//ravenpond//drains 1//EN"
-	maxBytes     = 16 << 20
-	maxEvents    = 100000
+	propReach         = "X-RAVENPOND-REACH"
+	propPlace         = "X-RAVENPOND-PLACE"
+	propLead          = "X-RAVENPOND-LEAD"
+	propTail          = "X-RAVENPOND-TAIL"
+	propSlack         = "X-RAVENPOND-SLACK"
+	propPriority      = "X-RAVENPOND-PRIORITY"
+	propEnding        = "X-RAVENPOND-ENDING"
+	categoryProtected = "PROTECTED"
+	product           = "-//ravenpond//drains 1//EN"
+	maxBytes          = 16 << 20
+	maxEvents         = 100000
 )
 
 var (
-	reaches = []string{"node", "cell", "zone"}
+	scopes  = []string{"node", "cell", "zone"}
 	endings = []string{"release", "sweep", "hold"}
 )
 
@@ -46,7 +46,7 @@
 		ev.Props.SetText(ical.PropUID, id)
 		ev.Props.SetDateTime(ical.PropDateTimeStamp, stamp.UTC())
 		ev.Props.SetDateTime(ical.PropDateTimeStart, start)
-		ev.Props.Set(&ical.Prop{Name: ical.PropDuration, Value: iso(last), Params: ical.Params{}})
+		ev.Props.Set(&ical.Prop{Name: ical.PropDuration, Value: formatDuration(last), Params: ical.Params{}})
 		if rule != "" {
 			ev.Props.Set(&ical.Prop{Name: ical.PropRecurrenceRule, Value: rule, Params: ical.Params{}})
 		}
@@ -55,18 +55,18 @@
 	}
 	for i := range c.Windows {
 		w := &c.Windows[i]
-		ev := event(w.ID, w.Start, w.Last, w.Rule)
-		ev.Props.SetText(ical.PropSummary, fmt.Sprintf("drain of %s %s", w.Reach, w.Place))
-		ev.Props.SetText(propReach, reaches[w.Reach])
-		ev.Props.SetText(propPlace, w.Place)
+		ev := event(w.ID, w.Start, w.Duration, w.Rule)
+		ev.Props.SetText(ical.PropSummary, fmt.Sprintf("drain of %s %s", w.Scope, w.Target))
+		ev.Props.SetText(propReach, scopes[w.Scope])
+		ev.Props.SetText(propPlace, w.Target)
 		ev.Props.SetText(propLead, w.Lead.String())
 		ev.Props.SetText(propSlack, w.Slack.String())
 		ev.Props.SetText(propPriority, strconv.Itoa(w.Priority))
-		ev.Props.SetText(propEnding, endings[w.End])
-		if !w.Added.IsZero() {
-			ev.Props.SetDateTime(ical.PropCreated, w.Added.UTC())
+		ev.Props.SetText(propEnding, endings[w.Ending])
+		if !w.CreatedAt.IsZero() {
+			ev.Props.SetDateTime(ical.PropCreated, w.CreatedAt.UTC())
 		}
-		for _, t := range w.Except {
+		for _, t := range w.Exceptions {
 			p := ical.NewProp(ical.PropExceptionDates)
 			p.SetDateTime(t)
 			ev.Props.Add(p)
@@ -74,9 +74,9 @@
 	}
 	for i := range c.Protected {
 		p := &c.Protected[i]
-		ev := event(p.ID, p.Start, p.Last, p.Rule)
+		ev := event(p.ID, p.Start, p.Duration, p.Rule)
 		ev.Props.SetText(ical.PropSummary, "protected: "+p.ID)
-		ev.Props.SetText(ical.PropCategories, protected)
+		ev.Props.SetText(ical.PropCategories, categoryProtected)
 		ev.Props.SetText(propLead, p.Lead.String())
 		ev.Props.SetText(propTail, p.Tail.String())
 	}
@@ -86,8 +86,8 @@
 	return ical.NewEncoder(out).Encode(cal)
 }
 
-// iso writes a duration as the format has it.
-func iso(d time.Duration) string { return fmt.Sprintf("PT%dS", int64(d/time.Second)) }
+// formatDuration writes a duration as the format has it.
+func formatDuration(d time.Duration) string { return fmt.Sprintf("PT%dS", int64(d/time.Second)) }
 
 // Decode reads a calendar. All faults are in the error, with the event that they are in.
 func Decode(in io.Reader) (*calendar.Calendar, error) {
@@ -112,8 +112,8 @@
 	}
 	var faults []error
 	for i := range events {
-		r := reader{ev: &events[i]}
-		r.read(c)
+		r := eventReader{event: &events[i]}
+		r.decode(c)
 		if r.err != nil {
 			id, _ := events[i].Props.Text(ical.PropUID)
 			faults = append(faults, fmt.Errorf("event %d (%s): %w", i+1, id, r.err))
@@ -125,25 +125,25 @@
 	return c, c.Check()
 }
 
-// reader takes properties of an event and keeps the first fault.
-type reader struct {
-	ev  *ical.Event
-	err error
+// eventReader takes properties of an event and keeps the first fault.
+type eventReader struct {
+	event *ical.Event
+	err   error
 }
 
-func (r *reader) fault(name string, err error) {
+func (r *eventReader) fault(name string, err error) {
 	if err != nil && r.err == nil {
 		r.err = fmt.Errorf("%s: %w", name, err)
 	}
 }
 
-func (r *reader) text(name string) string {
-	s, err := r.ev.Props.Text(name)
+func (r *eventReader) text(name string) string {
+	s, err := r.event.Props.Text(name)
 	r.fault(name, err)
 	return s
 }
 
-func (r *reader) duration(name string) time.Duration {
+func (r *eventReader) duration(name string) time.Duration {
 	s := r.text(name)
 	if s == "" {
 		return 0
@@ -153,64 +153,64 @@
 	return d
 }
 
-func (r *reader) word(name string, words []string) int {
+func (r *eventReader) enum(name string, values []string) int {
 	s := r.text(name)
-	for i, w := range words {
-		if strings.EqualFold(s, w) {
+	for i, value := range values {
+		if strings.EqualFold(s, value) {
 			return i
 		}
 	}
 	if s != "" {
-		r.fault(name, fmt.Errorf("%q, one of %s is expected", s, strings.Join(words, ", ")))
+		r.fault(name, fmt.Errorf("%q, one of %s is expected", s, strings.Join(values, ", ")))
 	}
 	return 0
 }
 
-func (r *reader) read(c *calendar.Calendar) {
+func (r *eventReader) decode(c *calendar.Calendar) {
 	id := r.text(ical.PropUID)
-	start, err := r.ev.DateTimeStart(time.UTC)
+	start, err := r.event.DateTimeStart(time.UTC)
 	r.fault(ical.PropDateTimeStart, err)
-	last := r.last(start)
+	last := r.eventDuration(start)
 	rule := ""
-	if p := r.ev.Props.Get(ical.PropRecurrenceRule); p != nil {
+	if p := r.event.Props.Get(ical.PropRecurrenceRule); p != nil {
 		rule = p.Value
 	}
 	lead := r.duration(propLead)
-	if strings.EqualFold(r.text(ical.PropCategories), protected) {
-		c.Protected = append(c.Protected, calendar.Protected{
-			ID: id, Start: start, Last: last, Rule: rule, Lead: lead,
+	if strings.EqualFold(r.text(ical.PropCategories), categoryProtected) {
+		c.Protected = append(c.Protected, calendar.ProtectedTime{
+			ID: id, Start: start, Duration: last, Rule: rule, Lead: lead,
 			Tail: r.duration(propTail),
 		})
 		return
 	}
 	w := calendar.Window{
-		ID: id, Reach: calendar.Reach(r.word(propReach, reaches)), Place: r.text(propPlace), Start: start,
-		Last: last, Rule: rule, Lead: lead, Slack: r.duration(propSlack), End: calendar.Ending(r.word(propEnding, endings)),
+		ID: id, Scope: calendar.Scope(r.enum(propReach, scopes)), Target: r.text(propPlace), Start: start,
+		Duration: last, Rule: rule, Lead: lead, Slack: r.duration(propSlack), Ending: calendar.Ending(r.enum(propEnding, endings)),
 	}
 	if s := r.text(propPriority); s != "" {
 		w.Priority, err = strconv.Atoi(s)
 		r.fault(propPriority, err)
 	}
-	if r.ev.Props.Get(ical.PropCreated) != nil {
-		w.Added, err = r.ev.Props.DateTime(ical.PropCreated, time.UTC)
+	if r.event.Props.Get(ical.PropCreated) != nil {
+		w.CreatedAt, err = r.event.Props.DateTime(ical.PropCreated, time.UTC)
 		r.fault(ical.PropCreated, err)
 	}
-	for _, p := range r.ev.Props.Values(ical.PropExceptionDates) {
+	for _, p := range r.event.Props.Values(ical.PropExceptionDates) {
 		t, err := p.DateTime(start.Location())
 		r.fault(ical.PropExceptionDates, err)
-		w.Except = append(w.Except, t)
+		w.Exceptions = append(w.Exceptions, t)
 	}
 	c.Windows = append(c.Windows, w)
 }
 
-// last is the event's length, by its duration or its end.
-func (r *reader) last(start time.Time) time.Duration {
-	if p := r.ev.Props.Get(ical.PropDuration); p != nil {
+// eventDuration is the event's length, by its duration or its end.
+func (r *eventReader) eventDuration(start time.Time) time.Duration {
+	if p := r.event.Props.Get(ical.PropDuration); p != nil {
 		d, err := p.Duration()
 		r.fault(ical.PropDuration, err)
 		return d
 	}
-	end, err := r.ev.DateTimeEnd(time.UTC)
+	end, err := r.event.DateTimeEnd(time.UTC)
 	r.fault(ical.PropDateTimeEnd, err)
 	return end.Sub(start)
 }
--- a/internal/proto/ics/ics_test.go
+++ b/internal/proto/ics/ics_test.go
@@ -18,13 +18,13 @@
 	start := time.Date(2026, 3, 28, 2, 30, 0, 0, zone)
 	in := calendar.Calendar{Windows: []calendar.Window{
 		{
-			ID: "weekly", Reach: calendar.Zone, Place: "quay", Start: start, Last: 2 * time.Hour, Rule: "FREQ=WEEKLY;COUNT=5",
-			Lead: 10 * time.Minute, Slack: 3 * time.Hour, Priority: 4, Added: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
-			End: calendar.Hold, Except: []time.Time{start.AddDate(0, 0, 7)},
+			ID: "weekly", Scope: calendar.Zone, Target: "quay", Start: start, Duration: 2 * time.Hour, Rule: "FREQ=WEEKLY;COUNT=5",
+			Lead: 10 * time.Minute, Slack: 3 * time.Hour, Priority: 4, CreatedAt: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC),
+			Ending: calendar.Hold, Exceptions: []time.Time{start.AddDate(0, 0, 7)},
 		},
-		{ID: "once", Place: "7", Start: time.Date(2026, 4, 1, 0, 0, 0, 0, time.UTC), Last: time.Hour},
-	}, Protected: []calendar.Protected{{
-		ID: "contest, \"final\"", Start: start, Last: time.Hour, Lead: time.Hour, Tail: time.Minute,
+		{ID: "once", Target: "7", Start: time.Date(2026, 4, 1, 0, 0, 0, 0, time.UTC), Duration: time.Hour},
+	}, Protected: []calendar.ProtectedTime{{
+		ID: "contest, \"final\"", Start: start, Duration: time.Hour, Lead: time.Hour, Tail: time.Minute,
 		Rule: "FREQ=YEARLY",
 	}}}
 	var b bytes.Buffer
@@ -40,11 +40,11 @@
 	}
 	for i := range in.Windows {
 		x, y := in.Windows[i], out.Windows[i]
-		if !x.Start.Equal(y.Start) || x.Start.Location().String() != y.Start.Location().String() || len(x.Except) != len(y.Except) ||
-			len(x.Except) > 0 && !x.Except[0].Equal(y.Except[0]) || !x.Added.Equal(y.Added) {
+		if !x.Start.Equal(y.Start) || x.Start.Location().String() != y.Start.Location().String() || len(x.Exceptions) != len(y.Exceptions) ||
+			len(x.Exceptions) > 0 && !x.Exceptions[0].Equal(y.Exceptions[0]) || !x.CreatedAt.Equal(y.CreatedAt) {
 			t.Errorf("times: %+v, %+v", x, y)
 		}
-		x.Start, y.Start, x.Except, y.Except, x.Added, y.Added = time.Time{}, time.Time{}, nil, nil, time.Time{}, time.Time{}
+		x.Start, y.Start, x.Exceptions, y.Exceptions, x.CreatedAt, y.CreatedAt = time.Time{}, time.Time{}, nil, nil, time.Time{}, time.Time{}
 		if !reflect.DeepEqual(x, y) {
 			t.Errorf("%+v\n%+v", x, y)
 		}
@@ -57,7 +57,7 @@
 func TestFaults(t *testing.T) {
 	event := "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\nBEGIN:VEVENT\r\nUID:a\r\nDTSTAMP:20260101T000000Z\r\nDTSTART:20260301T100000Z\r\n" +
 		"DURATION:PT1H\r\nX-RAVENPOND-PLACE:7\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"
-	if c, err := Decode(strings.NewReader(event)); err != nil || len(c.Windows) != 1 || c.Windows[0].Last != time.Hour {
+	if c, err := Decode(strings.NewReader(event)); err != nil || len(c.Windows) != 1 || c.Windows[0].Duration != time.Hour {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	if c, err := Decode(strings.NewReader(" \n")); err != nil || len(c.Windows) != 0 {
--- a/internal/serve/drains.go
+++ b/internal/serve/drains.go
@@ -97,7 +97,7 @@
 		h.measured, h.kept = measured, now
 	}
 	if cores, memory, ok := partAsked(fleet, s.freeRoom()); ok {
-		h.measured.Seen(now, cores, memory)
+		h.measured.Add(now, cores, memory)
 	}
 	if now.Sub(h.kept) > keepLoad {
 		if err := store.SaveMeasuredLoad(h.measured); err != nil {
@@ -106,7 +106,7 @@
 		h.kept = now
 	}
 	whose := ""
-	if k.UsualLoad, whose = calendar.Known(h.measured, published, s.who.Place.Cluster.Schedulers); whose != h.whose {
+	if k.UsualLoad, whose = calendar.ChooseEstimate(h.measured, published, s.who.Place.Cluster.Schedulers); whose != h.whose {
 		h.whose = whose
 		s.log.Info().Str("mode", "drains").Msg("usual load: " + whose)
 	}
--- a/internal/serve/drains_test.go
+++ b/internal/serve/drains_test.go
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	defer store.Close()
-	w := calendar.Window{ID: "w", Start: start, Last: last, Lead: lead, Reach: calendar.OneNode, Place: node, Added: start}
+	w := calendar.Window{ID: "w", Start: start, Duration: last, Lead: lead, Scope: calendar.OneNode, Target: node, CreatedAt: start}
 	if err := store.AddEvents(&calendar.Calendar{Windows: []calendar.Window{w}}, start); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -35,7 +35,7 @@
 	run     *members.Runner
 	sharers atomic.Int64  // how many share what a cold node bears; 0: this process takes no part
 	until   atomic.Uint64 // bits of until when that holds
-	degree  isolation.Gauge
+	degree  isolation.Monitor
 	mu      sync.Mutex
 	life    uint64
 	council Book     // what the council said of itself last
@@ -188,7 +188,7 @@
 	}
 	c.until.Store(math.Float64bits(until - leaseEarly))
 	c.sharers.Store(int64(n))
-	if d, turned := c.degree.Look(now, alive, known); turned {
+	if d, turned := c.degree.Update(now, alive, known); turned {
 		s.log.Warn().Str("mode", "members").Stringer("degree", d).Int("alive", alive).Int("known", known).Int("share", n).Msg("contact with others")
 	}
 	if now-c.told >= tellMembers {
@@ -287,7 +287,7 @@
 
 func (s *Server) writeMembers() {
 	now := s.w.Now()
-	v := View{Name: s.who.Name, At: s.w.WallClock(), Share: s.sharing(now), Degree: s.circle.degree.Now().String()}
+	v := View{Name: s.who.Name, At: s.w.WallClock(), Share: s.sharing(now), Degree: s.circle.degree.Degree().String()}
 	s.circle.run.WithDetector(func(d *membership.Detector) {
 		v.Address, v.Life, v.Health, v.Taken, v.Figures = s.circle.run.Address(), d.Life(), d.Health(), d.Taken(), d.Stats
 		v.Leaves, v.Needs = d.Leaves(now)
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -171,7 +171,7 @@
 	MaxClients, ClientQueue         int
 	NodeQueue                       int
 	Maintenance                     calendar.Limits
-	DrainManners                    []drainpace.Manner // by job type, how its work leaves a node that is taken out
+	DrainManners                    []drainpace.Policy // by job type, how its work leaves a node that is taken out
 	Shards, MaxShards               int                // at the start, and that may run until the next start
 	Connections                     ConnectionMode
 	ShardBy                         int // a shares.Way
@@ -268,14 +268,14 @@
 		}
 		p.RouteLatency[[2]string{from, to}], p.RouteLatency[[2]string{to, from}] = w.Number("takes"), w.Number("takes")
 	}
-	p.Maintenance = calendar.Limits{Fleet: 0.25, Zone: 0.5, Kind: 0.5, Cold: 20, Margin: 1.2, Guard: 5 * time.Second}
+	p.Maintenance = calendar.Limits{Fleet: 0.25, Zone: 0.5, Kind: 0.5, MaxWarmingUp: 20, LoadMargin: 1.2, ClockGuard: 5 * time.Second}
 	if d := root.Child("drains"); d != nil {
 		p.Maintenance = calendar.Limits{
 			Fleet: d.Number("fleet"), Zone: d.Number("zone"), Kind: d.Number("machine"),
-			Cold: d.Int("cold"), Margin: d.Number("margin"), Guard: time.Duration(d.Number("guard") * 1e6),
+			MaxWarmingUp: d.Int("cold"), LoadMargin: d.Number("margin"), ClockGuard: time.Duration(d.Number("guard") * 1e6),
 		}
 	}
-	p.Maintenance.ColdFor = time.Duration(rules.Number("cold-for") * 1e6)
+	p.Maintenance.WarmUp = time.Duration(rules.Number("cold-for") * 1e6)
 	p.Shards, p.MaxShards, p.Connections = 1, 1, SharedConnections
 	if sh := root.Child("shards"); sh != nil {
 		p.Shards, p.Connections, p.ShardBy = sh.Int("count"), ConnectionMode(sh.EnumIndex("connections")), sh.EnumIndex("place")
@@ -321,9 +321,9 @@
 		if j.Number("expiry") <= p.AnswerMargin+4*p.Cluster.MinRoundInterval {
 			fault(j, "<job-type>: expiry within the answer margin: nothing of it could be taken")
 		}
-		manner := drainpace.Usual(jt.Semantics)
+		manner := drainpace.DefaultPolicy(jt.Semantics)
 		if j.Has("drain") {
-			manner = drainpace.Manner(j.EnumIndex("drain"))
+			manner = drainpace.Policy(j.EnumIndex("drain"))
 		}
 		p.DrainManners = append(p.DrainManners, manner)
 		p.JobClasses = append(p.JobClasses, j.Text("name"))
--- a/internal/state/maintenancestore/maintenancestore.go
+++ b/internal/state/maintenancestore/maintenancestore.go
@@ -165,7 +165,7 @@
 		if len(c.Windows) != 1 {
 			return fmt.Errorf("%q is a protected time, which has no starts to cancel", id)
 		}
-		c.Windows[0].Except = append(c.Windows[0].Except, start)
+		c.Windows[0].Exceptions = append(c.Windows[0].Exceptions, start)
 		var b bytes.Buffer
 		if err := ics.Encode(&b, c, now); err != nil {
 			return err
@@ -247,7 +247,7 @@
 // occurrence had begun before: nobody may begin it again.
 func (s *Store) BeginDrain(v calendar.Verdict, now time.Time) (drain Drain, isNew bool, err error) {
 	err = s.db.Update(func(tx *bbolt.Tx) error {
-		bucket, k := tx.Bucket(drainBucket), drainKey(v.Window, v.Nominal)
+		bucket, k := tx.Bucket(drainBucket), drainKey(v.Window, v.ScheduledStart)
 		if text := bucket.Get(k); text != nil {
 			return json.Unmarshal(text, &drain)
 		}
@@ -329,7 +329,7 @@
 		}
 		for _, b := range all {
 			if b.Stage == Closed && b.ReachedAt[Closed].Before(before) {
-				if err := tx.Bucket(drainBucket).Delete(drainKey(b.Verdict.Window, b.Verdict.Nominal)); err != nil {
+				if err := tx.Bucket(drainBucket).Delete(drainKey(b.Verdict.Window, b.Verdict.ScheduledStart)); err != nil {
 					return err
 				}
 			}
--- a/internal/state/maintenancestore/maintenancestore_test.go
+++ b/internal/state/maintenancestore/maintenancestore_test.go
@@ -16,7 +16,7 @@
 var start = time.Date(2026, 3, 2, 10, 0, 0, 0, time.UTC)
 
 func window(id string) calendar.Window {
-	return calendar.Window{ID: id, Place: "7", Start: start, Last: time.Hour, Rule: "FREQ=DAILY"}
+	return calendar.Window{ID: id, Target: "7", Start: start, Duration: time.Hour, Rule: "FREQ=DAILY"}
 }
 
 func open(t *testing.T, dir string) *Store {
@@ -32,7 +32,7 @@
 func TestBegunOnce(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	v := calendar.Verdict{Window: "a", Nominal: start, Nodes: []string{"7"}}
+	v := calendar.Verdict{Window: "a", ScheduledStart: start, Nodes: []string{"7"}}
 	if _, fresh, err := s.BeginDrain(v, start); !fresh || err != nil {
 		t.Fatal(fresh, err)
 	}
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	bad := window("c")
-	bad.Last = 0
+	bad.Duration = 0
 	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("d"), bad}}, start); err == nil {
 		t.Error("a bad window is taken")
 	}
@@ -89,7 +89,7 @@
 		t.Errorf("one that is not there: %v", err)
 	}
 	c, err := s.Calendar()
-	if err != nil || len(c.Windows) != 1 || c.Windows[0].ID != "b" || len(c.Windows[0].Except) != 1 {
+	if err != nil || len(c.Windows) != 1 || c.Windows[0].ID != "b" || len(c.Windows[0].Exceptions) != 1 {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
@@ -174,7 +174,7 @@
 	if err != nil || usual != nil {
 		t.Fatalf("%v, %v in a store that has none", usual, err)
 	}
-	measured.Seen(start, 0.5, 0.5)
+	measured.Add(start, 0.5, 0.5)
 	if err := errors.Join(s.SaveMeasuredLoad(measured), s.PublishLoad(measured.Table()), s.Close()); err != nil {
 		t.Fatal(err)
 	}
