--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -254,35 +254,46 @@
 
 // View is what a scheduler holds of the others, as it is written for people.
 type View struct {
-	Name, Address, Degree string
-	At                    time.Time
-	Life                  uint64
-	Health, Share         int
-	Leaves, Needs         int
-	Taken                 bool
-	Figures               membership.Stats
-	Members               []Seen
-	Book                  *Book `json:",omitempty"`
+	Name    string           `json:"Name"`
+	Address string           `json:"Address"`
+	Degree  string           `json:"Degree"`
+	At      time.Time        `json:"At"`
+	Life    uint64           `json:"Life"`
+	Health  int              `json:"Health"`
+	Share   int              `json:"Share"`
+	Leaves  int              `json:"Leaves"`
+	Needs   int              `json:"Needs"`
+	Taken   bool             `json:"Taken"`
+	Figures membership.Stats `json:"Figures"`
+	Members []Seen           `json:"Members"`
+	Book    *Book            `json:"Book,omitempty"`
 }
 
 // Book is what it holds of the book that all agree on.
 type Book struct {
-	Version, Epoch uint64
-	Digest         string  // of all its bytes
-	Sure           float64 // s for which the scheduler may act by it yet; under 0: it acts by the careful reading
-	Steward, Leads bool
-	Halted         string `json:",omitempty"`
-	Zones          map[string]string
-	Uses           map[string]float64 // parts of zones' nodes that this scheduler sends to
-	Level          int                // how far it looks: 0 its own zone, 1 its region, 2 all
-	Figures        consensus.Stats
+	Version uint64             `json:"Version"`
+	Epoch   uint64             `json:"Epoch"`
+	Digest  string             `json:"Digest"` // of all its bytes
+	Sure    float64            `json:"Sure"`   // s for which the scheduler may act by it yet; under 0: it acts by the careful reading
+	Steward bool               `json:"Steward"`
+	Leads   bool               `json:"Leads"`
+	Halted  string             `json:"Halted,omitempty"`
+	Zones   map[string]string  `json:"Zones"`
+	Uses    map[string]float64 `json:"Uses"`  // parts of zones' nodes that this scheduler sends to
+	Level   int                `json:"Level"` // how far it looks: 0 its own zone, 1 its region, 2 all
+	Figures consensus.Stats    `json:"Figures"`
 }
 
 // Seen is one of the others.
 type Seen struct {
-	Name, Address, State, By string
-	Life, Version            uint64
-	Since, Heard             float64 // seconds ago; heard: 0 never
+	Name    string  `json:"Name"`
+	Address string  `json:"Address"`
+	State   string  `json:"State"`
+	By      string  `json:"By"`
+	Life    uint64  `json:"Life"`
+	Version uint64  `json:"Version"`
+	Since   float64 `json:"Since"` // seconds ago
+	Heard   float64 `json:"Heard"` // seconds ago, 0 never
 }
 
 func (s *Server) writeMembers() {
