--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -173,8 +173,8 @@
 	var failed error
 	resize := make(chan int)
 	go c.reread(ctx, &first, log, resize)
-	who := serve.Scheduler{
-		Resize: resize, Secure: secure, Place: place, Name: c.Name, Index: c.Index, Folder: c.State, Seed: seed, Zone: c.Zone,
+	who := serve.Config{
+		Resize: resize, TLS: secure, Site: place, Name: c.Name, Index: c.Index, Folder: c.State, Seed: seed, Zone: c.Zone,
 		Log: log.With().Str("scheduler", c.Name).Logger(), Ready: func(owners string) {
 			if c.AddressFile != "" {
 				failed = renameio.WriteFile(c.AddressFile, []byte(owners+"\n"), 0o640)
--- a/cmd/ravenpond/members.go
+++ b/cmd/ravenpond/members.go
@@ -29,26 +29,26 @@
 		_, err := os.Stdout.Write(append(b, '\n'))
 		return err
 	}
-	var v serve.View
+	var v serve.MembershipView
 	if err := json.Unmarshal(b, &v); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	if age := time.Since(v.At); age > oldView {
 		fmt.Printf("written %s ago: the scheduler does not run, or stands still\n", age.Round(time.Second))
 	}
-	fmt.Printf("%s at %s, life %d: %s, health %d of 8, ", v.Name, v.Address, v.Life, v.Degree, v.Health)
+	fmt.Printf("%s at %s, life %d: %s, health %d of 8, ", v.Name, v.Address, v.Incarnation, v.Isolation, v.Health)
 	switch {
-	case v.Taken:
+	case v.NameTaken:
 		fmt.Println("its name is another's: no part in cold nodes")
-	case v.Share == 0:
-		fmt.Printf("no part in cold nodes: %d leaves, %d needed\n", v.Leaves, v.Needs)
+	case v.Sharers == 0:
+		fmt.Printf("no part in cold nodes: %d leaves, %d needed\n", v.Permits, v.PermitsNeeded)
 	default:
-		fmt.Printf("one of %d that share cold nodes, %d leaves, %d needed\n", v.Share, v.Leaves, v.Needs)
+		fmt.Printf("one of %d that share cold nodes, %d leaves, %d needed\n", v.Sharers, v.Permits, v.PermitsNeeded)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "member\taddress\tlife\tversion\tstate\tsince s\theard s\tby")
 	for _, m := range v.Members {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%.1f\t%.1f\t%s\n", m.Name, m.Address, m.Life, m.Version, m.State, m.Since, m.Heard, m.By)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%.1f\t%.1f\t%s\n", m.Name, m.Address, m.Incarnation, m.Version, m.State, m.InState, m.LastContact, m.ReportedBy)
 	}
 	return w.Flush()
 }
--- a/internal/lab/clubs/clubs.go
+++ b/internal/lab/clubs/clubs.go
@@ -113,9 +113,9 @@
 	}
 	place.ListAddress = list.Address()
 	ready, ended := make(chan string, 1), make(chan error, 1)
-	sched := serve.Scheduler{Place: place, Name: "s0", Folder: dir, Seed: day.Seed, Log: zerolog.Nop(), Ready: func(a string) { ready <- a }}
+	sched := serve.Config{Site: place, Name: "s0", Folder: dir, Seed: day.Seed, Log: zerolog.Nop(), Ready: func(a string) { ready <- a }}
 	if day.Secure {
-		if sched.Secure, real.Connect, err = authority(filepath.Join(dir, "keys")); err != nil {
+		if sched.TLS, real.Connect, err = authority(filepath.Join(dir, "keys")); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/lab/cores/check.go
+++ b/internal/lab/cores/check.go
@@ -110,12 +110,12 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	resize := make(chan int)
-	local, ended := make(chan *serve.Local, 1), make(chan error, 1)
+	local, ended := make(chan *serve.LocalListener, 1), make(chan error, 1)
 	var nodes sync.WaitGroup
 	go func() {
-		ended <- serve.Run(ctx, serve.Scheduler{
-			Place: place, Name: "s", Folder: dir, Seed: tr.Seed, Log: zerolog.Nop(),
-			Plant: serve.Plant{Edge: b.harm, Trust: tr.Trust}, Local: func(l *serve.Local) { local <- l }, Resize: resize,
+		ended <- serve.Run(ctx, serve.Config{
+			Site: place, Name: "s", Folder: dir, Seed: tr.Seed, Log: zerolog.Nop(),
+			Faults: serve.Faults{WrapEffects: b.harm, PermitAnyEpoch: tr.Trust}, OnLocalListener: func(l *serve.LocalListener) { local <- l }, Resize: resize,
 			Connect: func(_ context.Context, address string) (net.Conn, error) {
 				nd, err := strconv.Atoi(address)
 				if err != nil {
@@ -127,7 +127,7 @@
 			},
 		})
 	}()
-	var l *serve.Local
+	var l *serve.LocalListener
 	select {
 	case l = <-local:
 	case err := <-ended:
@@ -213,9 +213,9 @@
 	room    chan struct{}
 }
 
-func (s *sink) Over(uint64) {}
+func (s *sink) OnEnd(uint64) {}
 
-func (s *sink) Answer(ref uint64, answer engine.Answer) {
+func (s *sink) OnAnswer(ref uint64, answer engine.Answer) {
 	s.mu.Lock()
 	_, twice := s.answers[ref]
 	s.answers[ref] = answer
@@ -255,16 +255,16 @@
 }
 
 // ask asks for all keys by four owners, some of them by two at once, and waits for the answers.
-func (b *bench) ask(l *serve.Local) {
+func (b *bench) ask(l *serve.LocalListener) {
 	const owners = 4
 	var all [owners]*sink
-	var conns [owners]*serve.LocalOwner
+	var conns [owners]*serve.LocalClient
 	for i := range all {
 		all[i] = &sink{
 			b: b, asked: map[uint64]time.Time{}, answers: map[uint64]engine.Answer{},
 			room: make(chan struct{}, max(1, b.Window/owners)),
 		}
-		conns[i] = l.Owner(all[i])
+		conns[i] = l.Connect(all[i])
 	}
 	one := func(i int, ref uint64, key uint64, job int) {
 		s := all[i]
--- a/internal/lab/procs/observe.go
+++ b/internal/lab/procs/observe.go
@@ -75,24 +75,24 @@
 		switch name := r.all[i].name; {
 		case err != nil:
 			return false, err.Error()
-		case v.Book == nil || v.Book.Version == 0 || v.Book.Epoch == 0:
+		case v.ClusterState == nil || v.ClusterState.Version == 0 || v.ClusterState.Epoch == 0:
 			return false, name + " holds no book"
-		case v.Book.Sure < 0:
-			return false, fmt.Sprintf("%s is not sure: %.1f s", name, v.Book.Sure)
-		case epochs[v.Book.Epoch] != "":
-			return false, fmt.Sprintf("%s and %s act under epoch %d", name, epochs[v.Book.Epoch], v.Book.Epoch)
+		case v.ClusterState.LeaseSeconds < 0:
+			return false, fmt.Sprintf("%s is not sure: %.1f s", name, v.ClusterState.LeaseSeconds)
+		case epochs[v.ClusterState.Epoch] != "":
+			return false, fmt.Sprintf("%s and %s act under epoch %d", name, epochs[v.ClusterState.Epoch], v.ClusterState.Epoch)
 		case first == "":
-			first = v.Book.Digest
-		case v.Book.Digest != first:
-			return false, fmt.Sprintf("%s holds version %d, %s, others %s", name, v.Book.Version, v.Book.Digest, first)
+			first = v.ClusterState.Digest
+		case v.ClusterState.Digest != first:
+			return false, fmt.Sprintf("%s holds version %d, %s, others %s", name, v.ClusterState.Version, v.ClusterState.Digest, first)
 		}
-		epochs[v.Book.Epoch] = r.all[i].name
+		epochs[v.ClusterState.Epoch] = r.all[i].name
 	}
 	return true, ""
 }
 
 // View reads what a scheduler holds of the others.
-func (r *Rig) View(i int) (v serve.View, err error) {
+func (r *Rig) View(i int) (v serve.MembershipView, err error) {
 	b, err := os.ReadFile(filepath.Join(r.all[i].folder, serve.MembersFile))
 	if err != nil {
 		return v, err
--- a/internal/lab/procs/procs_test.go
+++ b/internal/lab/procs/procs_test.go
@@ -163,11 +163,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if after.Book.Version <= before.Book.Version || after.Book.Epoch <= before.Book.Epoch {
-		t.Errorf("version %d, epoch %d; before %d, %d", after.Book.Version, after.Book.Epoch, before.Book.Version, before.Book.Epoch)
+	if after.ClusterState.Version <= before.ClusterState.Version || after.ClusterState.Epoch <= before.ClusterState.Epoch {
+		t.Errorf("version %d, epoch %d; before %d, %d", after.ClusterState.Version, after.ClusterState.Epoch, before.ClusterState.Version, before.ClusterState.Epoch)
 	}
 	res := end(t, r)
-	t.Logf("%v, %+v", res.Answers, *after.Book)
+	t.Logf("%v, %+v", res.Answers, *after.ClusterState)
 }
 
 // TestZone has eight processes in four zones lose one zone's nodes and have them back, under load, while the leader of the
--- a/internal/lab/sim/clubs.go
+++ b/internal/lab/sim/clubs.go
@@ -159,7 +159,7 @@
 		all, sum := make([]int, len(st.scheds)), 0
 		for i, s := range st.scheds {
 			if s.server != nil && !s.p.dead {
-				all[i] = s.server.Uses(slot)
+				all[i] = s.server.OpenAllocations(slot)
 				sum += all[i]
 			}
 			if s.p.resumed > l.from-st.longest()-takesUp {
@@ -224,4 +224,4 @@
 	}
 }
 
-var _ serve.Clubs = (*clubs)(nil)
+var _ serve.TenantStore = (*clubs)(nil)
--- a/internal/lab/sim/plant.go
+++ b/internal/lab/sim/plant.go
@@ -13,13 +13,13 @@
 type Plant struct {
 	Name  string
 	Place func(*site.Config) // what the scheduler takes the site for
-	Serve serve.Plant
+	Serve serve.Faults
 	Lazy  bool                  // the disk keeps nothing for a second
 	Club  func(*tenancy.Tenant) // what it takes a tenant for
 }
 
 // edged wraps the effects of a shard.
-func edged(f func(e engine.Effects) engine.Effects) serve.Plant { return serve.Plant{Edge: f} }
+func edged(f func(e engine.Effects) engine.Effects) serve.Faults { return serve.Faults{WrapEffects: f} }
 
 type adopts struct{ engine.Effects }
 
@@ -74,7 +74,7 @@
 // moment after it was fenced, which lab/cores and lab/states bring about; the second hardly at all, as the module answers at
 // once what may have run.
 var Missed = []Plant{
-	{Name: "no epoch is checked", Serve: serve.Plant{Trust: true}},
+	{Name: "no epoch is checked", Serve: serve.Faults{PermitAnyEpoch: true}},
 	{Name: "every outcome counts as never ran", Serve: edged(func(e engine.Effects) engine.Effects { return never{e} })},
 }
 
@@ -89,13 +89,13 @@
 	{Name: "cold nodes are taken to bear more", Place: func(p *site.Config) {
 		p.Cluster.SlowStartLimit, p.Cluster.KindCores = 500, []float64{160}
 	}},
-	{Name: "word of drains is lost", Serve: serve.Plant{News: func(en *state.Entry) {
+	{Name: "word of drains is lost", Serve: serve.Faults{ListEntry: func(en *state.Entry) {
 		if en.Avail == 2 {
 			en.Avail = 1
 		}
 	}}},
 	{Name: "answers come at the expiry", Place: func(p *site.Config) { p.AnswerMargin = 0.4 }},
-	{Name: "answers are given twice", Serve: serve.Plant{Again: true}},
+	{Name: "answers are given twice", Serve: serve.Faults{RepeatAnswers: true}},
 	{Name: "failed ones get no answer", Serve: edged(func(e engine.Effects) engine.Effects { return swallows{e} })},
 	{Name: "what may have run is declined", Serve: edged(func(e engine.Effects) engine.Effects { return softens{e} })},
 	{Name: "found ones are adopted unasked", Serve: edged(func(e engine.Effects) engine.Effects { return adopts{e} })},
--- a/internal/lab/sim/play.go
+++ b/internal/lab/sim/play.go
@@ -348,19 +348,19 @@
 		st.plant.Place(&place)
 	}
 	p := st.plant.Serve
-	wrap := p.Edge
-	p.Edge = func(e engine.Effects) engine.Effects {
+	wrap := p.WrapEffects
+	p.WrapEffects = func(e engine.Effects) engine.Effects {
 		if wrap != nil {
 			e = wrap(e)
 		}
 		return panicky{e, s}
 	}
 	var err error
-	s.server, err = serve.Begin(s.p, serve.Scheduler{
-		Place: &place, Name: s.name, Index: s.index, Disk: s.disk,
-		Windows: func() (serve.Windows, error) { return s.store.open(), nil },
-		Clubs:   func() (serve.Clubs, error) { return s.clubs, nil }, MemberKey: []byte("the laboratory's member key"), Seed: st.Seed + uint64(s.index)*977 + uint64(s.lives)*7919,
-		Log: st.logger(s), Plant: p, Policy: st.game.Policy,
+	s.server, err = serve.Start(s.p, serve.Config{
+		Site: &place, Name: s.name, Index: s.index, Disk: s.disk,
+		Maintenance: func() (serve.MaintenanceStore, error) { return s.store.open(), nil },
+		Tenants:     func() (serve.TenantStore, error) { return s.clubs, nil }, MemberKey: []byte("the laboratory's member key"), Seed: st.Seed + uint64(s.index)*977 + uint64(s.lives)*7919,
+		Log: st.logger(s), Faults: p, Policy: st.game.Policy,
 	})
 	if err != nil && !s.p.dead {
 		st.fail(0, fmt.Sprintf("scheduler %s does not begin: %v", s.name, err))
@@ -441,7 +441,7 @@
 		if s.server == nil || s.p.dead || s.p.paused || st.c.now < s.p.resumed+1000 { // what came meanwhile is read first
 			continue
 		}
-		if err := s.server.Check(); err != nil && st.c.now > s.p.began+1 {
+		if err := s.server.CheckInvariants(); err != nil && st.c.now > s.p.began+1 {
 			st.fail(0, fmt.Sprintf("scheduler %s: %v", s.name, err))
 		}
 	}
@@ -460,7 +460,7 @@
 			for _, name := range s.names() {
 				if n.Linked(name) {
 					n.Machine.Held(st.c.now, name, func(ticket uint64, try uint8, _ bool, _, _ int, _, token uint64, _, _ float64) {
-						if !s.p.dead && !s.server.Knows(ticket, try) {
+						if !s.p.dead && !s.server.KnowsAttempt(ticket, try) {
 							st.fail(0, fmt.Sprintf("node %d holds try %x.%d of %x for %s, which does not know it", n.ID, ticket, try, token, name))
 						}
 					})
--- a/internal/lab/sim/store.go
+++ b/internal/lab/sim/store.go
@@ -18,7 +18,7 @@
 
 func newStore(p *Process) *store { return &store{p: p} }
 
-func (s *store) open() serve.Windows {
+func (s *store) open() serve.MaintenanceStore {
 	if len(s.cal.Windows) == 0 {
 		return nil
 	}
--- a/internal/lab/sim/workingset.go
+++ b/internal/lab/sim/workingset.go
@@ -8,8 +8,8 @@
 // SetPlants are faults of the working set that scripts with a set are to find; those that break no rule are found by
 // the tests of the decision.
 var SetPlants = []Plant{
-	{Name: "a running task has no way home", Serve: serve.Plant{AbandonsTasks: true}},
-	{Name: "nodes outside the set are not visited", Serve: serve.Plant{SkipsVisits: true}},
+	{Name: "a running task has no way home", Serve: serve.Faults{AbandonTasks: true}},
+	{Name: "nodes outside the set are not visited", Serve: serve.Faults{SkipVisits: true}},
 }
 
 // workingSet is the working set of the script's schedulers: so small and quick to change that a script of seconds sees
--- a/internal/lab/spawn/spawn.go
+++ b/internal/lab/spawn/spawn.go
@@ -76,8 +76,8 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	var failed error
-	err = serve.Run(ctx, serve.Scheduler{
-		Place: place, Name: flags["--name"], Index: index, Folder: flags["--state"], Seed: seed, Zone: flags["--zone"],
+	err = serve.Run(ctx, serve.Config{
+		Site: place, Name: flags["--name"], Index: index, Folder: flags["--state"], Seed: seed, Zone: flags["--zone"],
 		Log: zerolog.New(os.Stderr), Ready: func(a string) {
 			failed = renameio.WriteFile(flags["--address-file"], []byte(a+"\n"), 0o600)
 		},
--- a/internal/serve/book.go
+++ b/internal/serve/book.go
@@ -16,7 +16,7 @@
 	if err := s.keepMembers(); err != nil {
 		return err
 	}
-	place := s.who.Place
+	place := s.who.Site
 	if len(place.Members.Voters) == 0 {
 		return nil
 	}
@@ -30,7 +30,7 @@
 	var disk control.Storage
 	steward := slices.Contains(who.Voters, who.Name)
 	if steward {
-		open := s.who.Steward
+		open := s.who.VoterDisk
 		if open == nil {
 			open = func() (control.Storage, error) { return store.Open(s.who.Folder, place.Name) }
 		}
@@ -51,13 +51,13 @@
 }
 
 // bookView is what people are shown of the book. The council's own part comes with the next look.
-func (s *Server) bookView(now float64) *Book {
+func (s *Server) bookView(now float64) *ClusterStateView {
 	if s.control == nil {
 		return nil
 	}
 	view := s.control.View()
-	b := &Book{
-		Version: view.State.Version(), Digest: fmt.Sprintf("%016x", xxhash.Sum64(view.State.Snapshot())), Sure: (view.LeaseExpiry - now) / 1000,
+	b := &ClusterStateView{
+		Version: view.State.Version(), Digest: fmt.Sprintf("%016x", xxhash.Sum64(view.State.Snapshot())), LeaseSeconds: (view.LeaseExpiry - now) / 1000,
 		Zones: map[string]string{},
 	}
 	if p, ok := view.State.Process(s.who.Name); ok {
@@ -66,15 +66,15 @@
 	for _, z := range view.State.Zones() {
 		b.Zones[z.Name] = z.State.String()
 	}
-	b.Uses, b.Level = s.zones.shown()
+	b.ZoneShares, b.SearchLevel = s.zones.shown()
 	c := &s.circle
 	c.mu.Lock()
-	b.Steward, b.Leads, b.Halted, b.Figures = c.council.Steward, c.council.Leads, c.council.Halted, c.council.Figures
+	b.IsVoter, b.IsLeader, b.Halted, b.Stats = c.council.IsVoter, c.council.IsLeader, c.council.Halted, c.council.Stats
 	c.mu.Unlock()
 	s.control.Enqueue(func(k *consensus.Replica) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.council = Book{Steward: slices.Contains(s.who.Place.Members.Voters, s.who.Name), Leads: k.IsLeader(), Halted: k.HaltReason(), Figures: k.Stats}
+		c.council = ClusterStateView{IsVoter: slices.Contains(s.who.Site.Members.Voters, s.who.Name), IsLeader: k.IsLeader(), Halted: k.HaltReason(), Stats: k.Stats}
 	})
 	return b
 }
--- a/internal/serve/book_test.go
+++ b/internal/serve/book_test.go
@@ -13,14 +13,14 @@
 func TestControlStands(t *testing.T) {
 	s := newStage(t, 1, 4, false)
 	local := make(chan *Server, 1)
-	s.tune = func(who *Scheduler) {
+	s.tune = func(who *Config) {
 		who.MemberKey = []byte("a key of some length")
-		who.Zone = who.Place.Zones[0]
-		who.Local = func(l *Local) { local <- l.s }
+		who.Zone = who.Site.Zones[0]
+		who.OnLocalListener = func(l *LocalListener) { local <- l.s }
 	}
 	place := *s.place
 	place.Members = site.Members{Listen: "127.0.0.1:0", Seeds: []string{"127.0.0.1:9"}, Voters: []string{"s0", "s1", "s2"}}
-	s.start(0, place, Plant{})
+	s.start(0, place, Faults{})
 	server := <-local
 	s.load(5000, 60, "0001112")
 	stands, goes := make(chan bool), make(chan bool)
--- a/internal/serve/check.go
+++ b/internal/serve/check.go
@@ -6,9 +6,9 @@
 	"ravenpond/internal/decide/shardownership"
 )
 
-// Check holds what shards share against what each holds: one owner for each allocation, and nothing that nobody acts
+// CheckInvariants holds what shards share against what each holds: one owner for each allocation, and nothing that nobody acts
 // for. It is for worlds without concurrency, at a moment when no shard has events before it.
-func (s *Server) Check() error {
+func (s *Server) CheckInvariants() error {
 	s.desk.Lock()
 	defer s.desk.Unlock()
 	for _, sh := range s.living() {
@@ -41,15 +41,15 @@
 	return nil
 }
 
-// Uses is how many of a tenant's allocations are open here by which its limit is held.
-func (s *Server) Uses(tenant int) int {
+// OpenAllocations is how many of a tenant's allocations are open here by which its limit is held.
+func (s *Server) OpenAllocations(tenant int) int {
 	s.desk.Lock()
 	defer s.desk.Unlock()
 	return s.acts.Uses(s.w.Now(), tenant)
 }
 
-// Knows tells whether some shard knows a try.
-func (s *Server) Knows(ticket uint64, try uint8) bool {
+// KnowsAttempt tells whether some shard knows a try.
+func (s *Server) KnowsAttempt(ticket uint64, try uint8) bool {
 	s.desk.Lock()
 	defer s.desk.Unlock()
 	for _, sh := range s.living() {
--- a/internal/serve/drains.go
+++ b/internal/serve/drains.go
@@ -14,8 +14,8 @@
 	"ravenpond/internal/state/maintenancestore"
 )
 
-// Windows is the store of maintenance windows, opened for one look at a time.
-type Windows interface {
+// MaintenanceStore is the store of maintenance windows, opened for one look at a time.
+type MaintenanceStore interface {
 	maintenance.Store
 	Loads() (measured *calendar.Load, published *calendar.Table, err error)
 	SaveMeasuredLoad(*calendar.Load) error
@@ -28,10 +28,10 @@
 // keepDrains carries out the maintenance windows of the state folder's store. The store is opened for each look alone,
 // so that the command line can change the calendar while the process runs.
 func (s *Server) keepDrains() {
-	place := s.who.Place
+	place := s.who.Site
 	var hands maintenance.Executor = drainHands{s}
-	if s.who.Plant.Drains != nil {
-		hands = s.who.Plant.Drains(hands)
+	if s.who.Faults.WrapMaintenance != nil {
+		hands = s.who.Faults.WrapMaintenance(hands)
 	}
 	k := &maintenance.Controller{Executor: hands, Limits: place.Maintenance, Policies: place.DrainManners}
 	h := &drainHours{}
@@ -54,7 +54,7 @@
 
 // outAtStart are the nodes that an earlier life of this process took out: its shards know before they place anything.
 func (s *Server) outAtStart() error {
-	store, err := s.who.Windows()
+	store, err := s.who.Maintenance()
 	if err != nil || store == nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 const keepLoad = 10 * time.Minute
 
 func (s *Server) drainsOnce(k *maintenance.Controller, h *drainHours) error {
-	store, err := s.who.Windows()
+	store, err := s.who.Maintenance()
 	if err != nil || store == nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 		h.kept = now
 	}
 	whose := ""
-	if k.UsualLoad, whose = calendar.ChooseEstimate(h.measured, published, s.who.Place.Cluster.Schedulers); whose != h.whose {
+	if k.UsualLoad, whose = calendar.ChooseEstimate(h.measured, published, s.who.Site.Cluster.Schedulers); whose != h.whose {
 		h.whose = whose
 		s.log.Info().Str("mode", "drains").Msg("usual load: " + whose)
 	}
@@ -120,14 +120,14 @@
 // must hold a node that is away when it opens and comes back before it ends. Under the lock.
 func (s *Server) noteFleet(entries []state.Entry) {
 	for _, en := range entries {
-		kind := slices.Index(s.who.Place.MachineKinds, en.Kind)
+		kind := slices.Index(s.who.Site.MachineKinds, en.Kind)
 		if kind < 0 || en.Avail == 0 {
 			continue
 		}
 		id := strconv.FormatUint(uint64(en.ID), 10)
 		s.known[id] = calendar.Node{
 			ID: id, Zone: en.Zone, Cell: en.Cell, Kind: en.Kind,
-			Cores: s.who.Place.Cluster.KindCores[kind], Memory: s.who.Place.Cluster.KindMemory[kind],
+			Cores: s.who.Site.Cluster.KindCores[kind], Memory: s.who.Site.Cluster.KindMemory[kind],
 		}
 		delete(s.goneAt, id)
 	}
@@ -223,7 +223,7 @@
 		sh.tell(func(float64) {
 			c := count{sh.life, map[uint32][]int{}, sh.eng.Stats().Held}
 			for _, id := range ids {
-				c.at[id] = make([]int, len(s.who.Place.JobClasses))
+				c.at[id] = make([]int, len(s.who.Site.JobClasses))
 				sh.eng.CountRunning(id, c.at[id])
 			}
 			s.desk.Lock()
@@ -297,7 +297,7 @@
 // CountRunning sums what the shards counted at the last look. What none has counted since its node went out, or since its
 // life began, is not known: such a node is not empty.
 func (h drainHands) CountRunning(nodes []string) (there []int, all int) {
-	there = make([]int, len(h.s.who.Place.JobClasses))
+	there = make([]int, len(h.s.who.Site.JobClasses))
 	h.s.desk.Lock()
 	defer h.s.desk.Unlock()
 	for _, sh := range h.s.living() {
@@ -318,7 +318,7 @@
 
 // Evict has the shards stop work at nodes, each its part of the number.
 func (h drainHands) Evict(nodes []string, job, most int) int {
-	may := make([]bool, len(h.s.who.Place.JobClasses))
+	may := make([]bool, len(h.s.who.Site.JobClasses))
 	may[job] = true
 	left := most
 	for _, sh := range h.s.allShards() {
--- a/internal/serve/drains_test.go
+++ b/internal/serve/drains_test.go
@@ -53,12 +53,12 @@
 	if len(faults) > 0 {
 		panic(faults)
 	}
-	who := Scheduler{Place: place, Name: "s0", Folder: folder, Seed: 1, Log: zerolog.Nop(), Ready: func(a string) {
+	who := Config{Site: place, Name: "s0", Folder: folder, Seed: 1, Log: zerolog.Nop(), Ready: func(a string) {
 		_ = os.WriteFile(filepath.Join(folder, "address.new"), []byte(a), 0o600)
 		_ = os.Rename(filepath.Join(folder, "address.new"), filepath.Join(folder, "address"))
 	}}
 	if kill := os.Getenv("RAVENPOND_TEST_KILL"); kill != "" {
-		who.Plant.Drains = func(h maintenance.Executor) maintenance.Executor { return killedAt{h, kill == "before"} }
+		who.Faults.WrapMaintenance = func(h maintenance.Executor) maintenance.Executor { return killedAt{h, kill == "before"} }
 	}
 	if err := Run(context.Background(), who); err != nil {
 		panic(err)
@@ -165,8 +165,8 @@
 		}
 	}
 	window(t, filepath.Join(s.dir, "s0"), time.Now().Add(4500*time.Millisecond).Truncate(time.Second), 2*time.Second, 3*time.Second, "2")
-	s.start(0, *s.place, Plant{})
-	s.start(1, *s.place, Plant{})
+	s.start(0, *s.place, Faults{})
+	s.start(1, *s.place, Faults{})
 	for _, until := range []struct {
 		word string
 		is   func(s1 []uint32) bool
--- a/internal/serve/hosting.go
+++ b/internal/serve/hosting.go
@@ -20,8 +20,8 @@
 // Where tenants come and go, the store in the state folder says who they are. It is opened for a look at a time, so that
 // the command line and the administration can change it while the process runs.
 
-// Clubs is that store.
-type Clubs interface {
+// TenantStore is that store.
+type TenantStore interface {
 	Fingerprint() (uint64, error)
 	Read() (tenants.State, error)
 	TokenVerifier(known map[string]tenants.Token) func(now time.Time, shown string) (tenant string, ok bool)
@@ -56,17 +56,17 @@
 // errTooMany is told to who has shown a good token.
 var errTooMany = jrpc2.Errorf(jrpc2.Code(-32002), "as many connections as may be")
 
-func (s *Server) hosts() bool { return s.who.Place.MaxHostedTenants > 0 }
+func (s *Server) hosts() bool { return s.who.Site.MaxHostedTenants > 0 }
 
 // keepClubs looks at the store from now on.
 func (s *Server) keepClubs() error {
 	if !s.hosts() {
 		return nil
 	}
-	s.entry = connadmission.New(s.who.Place.MaxClients)
-	s.clubs.began, s.clubs.left, s.clubs.book = s.w.Now(), map[int]map[int]count{}, tenancy.New(s.who.Place.MaxHostedTenants)
-	if s.who.Clubs == nil {
-		s.who.Clubs = func() (Clubs, error) { return tenants.Open(s.who.Folder, s.who.Place.MaxHostedTenants) }
+	s.entry = connadmission.New(s.who.Site.MaxClients)
+	s.clubs.began, s.clubs.left, s.clubs.book = s.w.Now(), map[int]map[int]count{}, tenancy.New(s.who.Site.MaxHostedTenants)
+	if s.who.Tenants == nil {
+		s.who.Tenants = func() (TenantStore, error) { return tenants.Open(s.who.Folder, s.who.Site.MaxHostedTenants) }
 	}
 	if err := bolt.RetryWhileLocked(context.Background(), atStart, s.clubsOnce); err != nil { // a store that is damaged is to be seen at the start
 		return err
@@ -95,7 +95,7 @@
 }
 
 func (s *Server) clubsOnce() error {
-	store, err := s.who.Clubs()
+	store, err := s.who.Tenants()
 	if err != nil {
 		return err
 	}
@@ -154,9 +154,9 @@
 
 // part is what this process may use of all limits where so many share what is lent of them.
 func (s *Server) part(sharers int) quotalease.Share {
-	p := quotalease.Share{Places: s.who.Place.Cluster.Schedulers, Index: s.who.Index, Sharers: sharers}
-	if s.who.Place.Members.Listen != "" {
-		p.Lends = s.who.Place.Members.LeasedPart
+	p := quotalease.Share{Places: s.who.Site.Cluster.Schedulers, Index: s.who.Index, Sharers: sharers}
+	if s.who.Site.Members.Listen != "" {
+		p.Lends = s.who.Site.Members.LeasedPart
 	}
 	return p
 }
@@ -180,7 +180,7 @@
 }
 
 // longest is the longest that an allocation may be open where limits are lent, ms: for so long what was lent stays in use.
-func (s *Server) longest() float64 { return slices.Max(s.who.Place.Deadlines) }
+func (s *Server) longest() float64 { return slices.Max(s.who.Site.Deadlines) }
 
 func (s *Server) lends() bool { return s.hosts() && s.part(0).Lends > 0 }
 
@@ -211,11 +211,11 @@
 
 // shareRoom tells the desk how much there is to share, by the list: of nodes that take work, as far as they may be asked for.
 func (s *Server) shareRoom() {
-	cl := &s.who.Place.Cluster
+	cl := &s.who.Site.Cluster
 	var all, unasked shardrouter.Room
 	s.mu.Lock()
 	for _, en := range s.list.Entries() {
-		kind := slices.Index(s.who.Place.MachineKinds, en.Kind)
+		kind := slices.Index(s.who.Site.MachineKinds, en.Kind)
 		if kind < 0 || en.Avail != 1 {
 			continue
 		}
@@ -234,7 +234,7 @@
 
 // evict ends what there is of tenants that are being removed, and the removal where nothing is left. After a restart nodes
 // may hold what this life has not heard of: a removal ends only when they had time to tell.
-func (s *Server) evict(store Clubs) error {
+func (s *Server) evict(store TenantStore) error {
 	now := s.w.Now()
 	s.desk.Lock()
 	shards := s.living()
--- a/internal/serve/hosting_test.go
+++ b/internal/serve/hosting_test.go
@@ -63,7 +63,7 @@
 			n.Tenants = 4
 		}
 	})
-	s.start(0, place, Plant{})
+	s.start(0, place, Faults{})
 	time.Sleep(1800 * time.Millisecond)
 	return s, with, tokens
 }
@@ -321,7 +321,7 @@
 		t.Fatal(err)
 	}
 	time.AfterFunc(time.Second, func() { st.Close() })
-	s.start(0, place, Plant{}) // fails the test if the scheduler ends
+	s.start(0, place, Faults{}) // fails the test if the scheduler ends
 }
 
 // TestSecureDoor asks over TLS; who speaks none, an older one, or begins a handshake and says no more gets no further, and keeps
@@ -341,8 +341,8 @@
 		t.Fatal(err)
 	}
 	s := newStage(t, 1, 4, false)
-	s.tune = func(who *Scheduler) { who.Secure = guard.ServerConfig() }
-	s.start(0, *s.place, Plant{})
+	s.tune = func(who *Config) { who.TLS = guard.ServerConfig() }
+	s.start(0, *s.place, Faults{})
 	time.Sleep(1800 * time.Millisecond)
 	addr := s.owner[0].Find()
 	cas, err := keys.Certificates(filepath.Join(dir, "ca.pem"))
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -243,8 +243,8 @@
 		l.marks = append(l.marks, m)
 	}
 	l.mu.Unlock()
-	if ok && waits > l.s.who.Place.NodeQueue {
-		l.end(fmt.Sprintf("slow reader: over %d bytes queued", l.s.who.Place.NodeQueue), false)
+	if ok && waits > l.s.who.Site.NodeQueue {
+		l.end(fmt.Sprintf("slow reader: over %d bytes queued", l.s.who.Site.NodeQueue), false)
 	}
 }
 
@@ -260,7 +260,7 @@
 	// which nothing may be sent for it: a fence comes before this or after it, not in between.
 	s.desk.Lock()
 	defer s.desk.Unlock()
-	if d.dead() && !s.who.Plant.Trust {
+	if d.dead() && !s.who.Faults.PermitAnyEpoch {
 		return
 	}
 	if l := d.sh.links[nd]; l != nil {
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -71,11 +71,11 @@
 }
 
 func (l *link) OnOutcome(ticket uint64, try uint8, outcome, reason int, report []float64) error {
-	if n := len(report); n != 0 && n != len(l.s.who.Place.Cluster.ReportFields) {
-		return fmt.Errorf("report of %d values, expected %d", n, len(l.s.who.Place.Cluster.ReportFields))
+	if n := len(report); n != 0 && n != len(l.s.who.Site.Cluster.ReportFields) {
+		return fmt.Errorf("report of %d values, expected %d", n, len(l.s.who.Site.Cluster.ReportFields))
 	}
 	report = slices.Clone(report)
-	if l.s.who.Place.Connections == site.SharedReports && len(report) > 0 {
+	if l.s.who.Site.Connections == site.SharedReports && len(report) > 0 {
 		l.inform(ticket, report)
 	}
 	s, verdict, why := l.s, node.Verdicts[outcome], logic.Reason(reason)
@@ -123,8 +123,8 @@
 }
 
 func (l *link) OnReport(seq uint64, report []float64) error {
-	if len(report) != len(l.s.who.Place.Cluster.ReportFields) {
-		return fmt.Errorf("report of %d values, expected %d", len(report), len(l.s.who.Place.Cluster.ReportFields))
+	if len(report) != len(l.s.who.Site.Cluster.ReportFields) {
+		return fmt.Errorf("report of %d values, expected %d", len(report), len(l.s.who.Site.Cluster.ReportFields))
 	}
 	report = slices.Clone(report)
 	for _, sh := range l.t.all() {
@@ -145,7 +145,7 @@
 	cores, memory float64,
 ) error {
 	s := l.s
-	if jobType >= len(s.who.Place.JobClasses) || tenant >= len(s.who.Place.Tenants) {
+	if jobType >= len(s.who.Site.JobClasses) || tenant >= len(s.who.Site.Tenants) {
 		return fmt.Errorf("held try %x of unknown job type %d or tenant %d", ticket, jobType, tenant)
 	}
 	if l.visits() {
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -57,7 +57,7 @@
 }
 
 func newLister(s *Server) *lister {
-	return &lister{s: s, told: !s.who.Place.Cluster.PollsList, pace: reconnect.New(s.who.Seed + 1)}
+	return &lister{s: s, told: !s.who.Site.Cluster.PollsList, pace: reconnect.New(s.who.Seed + 1)}
 }
 
 // begin begins the watch where the list tells unasked.
@@ -136,7 +136,7 @@
 func (l *lister) dial() {
 	l.dialing, l.began = true, l.s.w.Now()
 	l.asked = slices.ContainsFunc(l.waits, func(c call) bool { return c != markCall })
-	l.s.w.Dial(l.s.who.Place.ListAddress, listDial, func(conn outside.Conn, err error) {
+	l.s.w.Dial(l.s.who.Site.ListAddress, listDial, func(conn outside.Conn, err error) {
 		l.mu.Lock()
 		l.dialing = false
 		if err == nil && l.over {
@@ -374,10 +374,10 @@
 	all := make([]listEntry, 0, len(entries))
 	skipped := 0
 	for _, en := range entries {
-		if s.who.Plant.News != nil {
-			s.who.Plant.News(&en)
+		if s.who.Faults.ListEntry != nil {
+			s.who.Faults.ListEntry(&en)
 		}
-		zone, kind := slices.Index(s.who.Place.Zones, en.Zone), slices.Index(s.who.Place.MachineKinds, en.Kind)
+		zone, kind := slices.Index(s.who.Site.Zones, en.Zone), slices.Index(s.who.Site.MachineKinds, en.Kind)
 		if en.Avail != 0 && (zone < 0 || kind < 0) {
 			skipped++
 			continue
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -38,8 +38,8 @@
 	degree  isolation.Monitor
 	mu      sync.Mutex
 	life    uint64
-	council Book     // what the council said of itself last
-	held    []uint32 // nodes that others say are not ready, ahead of the list here
+	council ClusterStateView // what the council said of itself last
+	held    []uint32         // nodes that others say are not ready, ahead of the list here
 	told    float64
 
 	linksMu sync.Mutex
@@ -48,7 +48,7 @@
 
 // keepMembers begins to know the others, where the site file has members.
 func (s *Server) keepMembers() error {
-	m := s.who.Place.Members
+	m := s.who.Site.Members
 	if m.Listen == "" {
 		return nil
 	}
@@ -67,13 +67,13 @@
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	cl := &s.who.Place.Cluster
+	cl := &s.who.Site.Cluster
 	open := 0.0
 	if s.lends() {
 		open = s.longest()
 	}
 	run, err := members.Start(s.w, m.Listen, membership.Config{
-		Open: open, Site: s.who.Place.Name, Name: s.who.Name, Address: m.Advertise, Life: uint64(life), Key: key,
+		Open: open, Site: s.who.Site.Name, Name: s.who.Name, Address: m.Advertise, Life: uint64(life), Key: key,
 		Seeds: m.Seeds, Seed: s.who.Seed, Place: s.who.Index, Places: cl.Schedulers, Window: cl.SlowStartWindow + leaseSpan,
 	}, changes{s})
 	if err != nil {
@@ -252,65 +252,65 @@
 // MembersFile is where a scheduler writes what it holds of the others, in its folder.
 const MembersFile = "members.json"
 
-// View is what a scheduler holds of the others, as it is written for people.
-type View struct {
-	Name    string           `json:"Name"`
-	Address string           `json:"Address"`
-	Degree  string           `json:"Degree"`
-	At      time.Time        `json:"At"`
-	Life    uint64           `json:"Life"`
-	Health  int              `json:"Health"`
-	Share   int              `json:"Share"`
-	Leaves  int              `json:"Leaves"`
-	Needs   int              `json:"Needs"`
-	Taken   bool             `json:"Taken"`
-	Figures membership.Stats `json:"Figures"`
-	Members []Seen           `json:"Members"`
-	Book    *Book            `json:"Book,omitempty"`
+// MembershipView is what a scheduler holds of the others, as it is written for people.
+type MembershipView struct {
+	Name          string            `json:"Name"`
+	Address       string            `json:"Address"`
+	Isolation     string            `json:"Degree"`
+	At            time.Time         `json:"At"`
+	Incarnation   uint64            `json:"Life"`
+	Health        int               `json:"Health"`
+	Sharers       int               `json:"Share"`
+	Permits       int               `json:"Leaves"`
+	PermitsNeeded int               `json:"Needs"`
+	NameTaken     bool              `json:"Taken"`
+	Stats         membership.Stats  `json:"Figures"`
+	Members       []MemberView      `json:"Members"`
+	ClusterState  *ClusterStateView `json:"Book,omitempty"`
 }
 
-// Book is what it holds of the book that all agree on.
-type Book struct {
-	Version uint64             `json:"Version"`
-	Epoch   uint64             `json:"Epoch"`
-	Digest  string             `json:"Digest"` // of all its bytes
-	Sure    float64            `json:"Sure"`   // s for which the scheduler may act by it yet; under 0: it acts by the careful reading
-	Steward bool               `json:"Steward"`
-	Leads   bool               `json:"Leads"`
-	Halted  string             `json:"Halted,omitempty"`
-	Zones   map[string]string  `json:"Zones"`
-	Uses    map[string]float64 `json:"Uses"`  // parts of zones' nodes that this scheduler sends to
-	Level   int                `json:"Level"` // how far it looks: 0 its own zone, 1 its region, 2 all
-	Figures consensus.Stats    `json:"Figures"`
+// ClusterStateView is what it holds of the book that all agree on.
+type ClusterStateView struct {
+	Version      uint64             `json:"Version"`
+	Epoch        uint64             `json:"Epoch"`
+	Digest       string             `json:"Digest"` // of all its bytes
+	LeaseSeconds float64            `json:"Sure"`   // s for which the scheduler may act by it yet; under 0: it acts by the careful reading
+	IsVoter      bool               `json:"Steward"`
+	IsLeader     bool               `json:"Leads"`
+	Halted       string             `json:"Halted,omitempty"`
+	Zones        map[string]string  `json:"Zones"`
+	ZoneShares   map[string]float64 `json:"Uses"`  // parts of zones' nodes that this scheduler sends to
+	SearchLevel  int                `json:"Level"` // how far it looks: 0 its own zone, 1 its region, 2 all
+	Stats        consensus.Stats    `json:"Figures"`
 }
 
-// Seen is one of the others.
-type Seen struct {
-	Name    string  `json:"Name"`
-	Address string  `json:"Address"`
-	State   string  `json:"State"`
-	By      string  `json:"By"`
-	Life    uint64  `json:"Life"`
-	Version uint64  `json:"Version"`
-	Since   float64 `json:"Since"` // seconds ago
-	Heard   float64 `json:"Heard"` // seconds ago, 0 never
+// MemberView is one of the others.
+type MemberView struct {
+	Name        string  `json:"Name"`
+	Address     string  `json:"Address"`
+	State       string  `json:"State"`
+	ReportedBy  string  `json:"By"`
+	Incarnation uint64  `json:"Life"`
+	Version     uint64  `json:"Version"`
+	InState     float64 `json:"Since"` // seconds ago
+	LastContact float64 `json:"Heard"` // seconds ago, 0 never
 }
 
 func (s *Server) writeMembers() {
 	now := s.w.Now()
-	v := View{Name: s.who.Name, At: s.w.WallClock(), Share: s.sharing(now), Degree: s.circle.degree.Degree().String()}
+	v := MembershipView{Name: s.who.Name, At: s.w.WallClock(), Sharers: s.sharing(now), Isolation: s.circle.degree.Degree().String()}
 	s.circle.run.WithDetector(func(d *membership.Detector) {
-		v.Address, v.Life, v.Health, v.Taken, v.Figures = s.circle.run.Address(), d.Life(), d.Health(), d.Taken(), d.Stats
-		v.Leaves, v.Needs = d.Leaves(now)
+		v.Address, v.Incarnation, v.Health, v.NameTaken, v.Stats = s.circle.run.Address(), d.Life(), d.Health(), d.Taken(), d.Stats
+		v.Permits, v.PermitsNeeded = d.Leaves(now)
 		for _, m := range d.All() {
-			x := Seen{Name: m.Name, Address: m.Address, State: m.State.String(), By: m.By, Life: m.Life, Version: m.Version, Since: (now - m.Since) / 1000}
+			x := MemberView{Name: m.Name, Address: m.Address, State: m.State.String(), ReportedBy: m.By, Incarnation: m.Life, Version: m.Version, InState: (now - m.Since) / 1000}
 			if m.Heard > 0 {
-				x.Heard = (now - m.Heard) / 1000
+				x.LastContact = (now - m.Heard) / 1000
 			}
 			v.Members = append(v.Members, x)
 		}
 	})
-	v.Book = s.bookView(now)
+	v.ClusterState = s.bookView(now)
 	b, err := json.MarshalIndent(v, "", " ")
 	if err == nil {
 		err = s.folder.WriteUnsynced(MembersFile, b)
--- a/internal/serve/metrics_test.go
+++ b/internal/serve/metrics_test.go
@@ -14,14 +14,14 @@
 func TestCounts(t *testing.T) {
 	s := newStage(t, 1, 4, false)
 	at := make(chan string, 1)
-	s.tune = func(who *Scheduler) {
+	s.tune = func(who *Config) {
 		ready := who.Ready
-		who.Local = func(l *Local) { at <- l.s.countsAt }
+		who.OnLocalListener = func(l *LocalListener) { at <- l.s.countsAt }
 		who.Ready = ready
 	}
 	place := *s.place
 	place.StatsListen = "127.0.0.1:0"
-	s.start(0, place, Plant{})
+	s.start(0, place, Faults{})
 	address := <-at
 	s.load(4000, 60, "0001112")
 	get := func(path string) (int, string) {
--- a/internal/serve/owners.go
+++ b/internal/serve/owners.go
@@ -28,7 +28,7 @@
 	id   uint32
 	conn outside.Conn
 	in   owners.Splitter
-	sink Sink // instead of a connection, if it is not nil
+	sink AnswerHandler // instead of a connection, if it is not nil
 
 	mu   sync.Mutex
 	shut bool
@@ -66,7 +66,7 @@
 	s.mu.Lock()
 	s.ownerIDs++
 	o := &owner{s: s, id: s.ownerIDs, conn: conn, asks: map[uint64]asked{}}
-	in, out := len(s.owners) < s.who.Place.MaxClients, uint32(0)
+	in, out := len(s.owners) < s.who.Site.MaxClients, uint32(0)
 	if s.hosts() {
 		in, out = s.entry.Came(s.w.Now(), o.id)
 	}
@@ -82,7 +82,7 @@
 		goes.cut("a stranger makes way for the next")
 	}
 	if !in {
-		s.log.Warn().Str("mode", "owners").Int("most", s.who.Place.MaxClients).Msg("one turned away")
+		s.log.Warn().Str("mode", "owners").Int("most", s.who.Site.MaxClients).Msg("one turned away")
 		conn.Close(false, nil)
 		return
 	}
@@ -290,7 +290,7 @@
 // send queues a message.
 func (o *owner) send(body []byte) {
 	if _, waits, ok := o.conn.Send(func(b []byte) []byte { return owners.Append(b, body) }); ok &&
-		waits > o.s.who.Place.ClientQueue*answerBytes {
+		waits > o.s.who.Site.ClientQueue*answerBytes {
 		o.cut("slow reader: answers queue up")
 	}
 }
@@ -305,7 +305,7 @@
 		return
 	}
 	if o.sink != nil {
-		o.sink.Answer(ref, answer)
+		o.sink.OnAnswer(ref, answer)
 		return
 	}
 	b := strconv.AppendUint(opened("answer"), ref, 10)
@@ -321,7 +321,7 @@
 	}
 	b = append(b, "}}"...)
 	o.send(b)
-	if o.s.who.Plant.Again {
+	if o.s.who.Faults.RepeatAnswers {
 		o.send(b)
 	}
 }
@@ -329,7 +329,7 @@
 func (o *owner) over(ref uint64, verdict logic.Outcome, why logic.Reason) {
 	o.end(ref)
 	if o.sink != nil {
-		o.sink.Over(ref)
+		o.sink.OnEnd(ref)
 		return
 	}
 	b := strconv.AppendUint(opened("over"), ref, 10)
@@ -384,7 +384,7 @@
 	if err := fields(params, &ask); err != nil {
 		return err
 	}
-	place := o.s.who.Place
+	place := o.s.who.Site
 	tenant, job := slices.Index(place.Tenants, ask.Tenant), slices.Index(place.JobClasses, ask.JobType)
 	removed := false
 	if o.s.hosts() {
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -61,7 +61,7 @@
 func (s *Server) handsOver() {
 	s.every(handover.LookEach(), func() {
 		now := s.w.Now()
-		own := s.who.Place.Connections == site.OwnConnections // what runs can be reached by its shard's connections alone
+		own := s.who.Site.Connections == site.OwnConnections // what runs can be reached by its shard's connections alone
 		s.desk.Lock()
 		var busy []*shard
 		for _, sh := range s.living() {
@@ -184,7 +184,7 @@
 	s.carryOut(left, "shard-left")
 	s.desk.Unlock()
 	sh.inbox.close()
-	if s.who.Place.Connections == site.OwnConnections {
+	if s.who.Site.Connections == site.OwnConnections {
 		sh.trunk.close("shard left", false)
 	}
 	s.log.Info().Str("mode", "shards").Int("shard", sh.index).Int64("waits_given", sh.gave[0].Load()).
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -36,9 +36,9 @@
 	"ravenpond/logic"
 )
 
-// Scheduler says which scheduler is to be run, and where.
-type Scheduler struct {
-	Place  *site.Config
+// Config says which scheduler is to be run, and where.
+type Config struct {
+	Site   *site.Config
 	Name   string // by which nodes know it, the same at each start
 	Index  int    // among all schedulers, from 0
 	Folder string
@@ -46,7 +46,7 @@
 	Log    zerolog.Logger
 	Ready  func(owners string) // called once when owners may connect
 
-	Plant  Plant
+	Faults Faults
 	Policy engine.PolicyFactory // instead of the module, for comparisons
 
 	// Resize takes wanted numbers of shards while the scheduler runs.
@@ -55,37 +55,37 @@
 	// Zone is where it runs, one of the site file's; empty: it is not told.
 	Zone string
 	// Disk keeps the folder if it is not nil, and Windows opens the maintenance windows, nil if there are none.
-	Disk    state.Disk
-	Windows func() (Windows, error)
-	// Steward opens what a steward of the book must not forget; nil: that in the folder.
-	Steward func() (control.Storage, error)
-	// Clubs opens the store of tenants where they come and go; nil: that in the folder.
-	Clubs func() (Clubs, error)
+	Disk        state.Disk
+	Maintenance func() (MaintenanceStore, error)
+	// VoterDisk opens what a steward of the book must not forget; nil: that in the folder.
+	VoterDisk func() (control.Storage, error)
+	// Tenants opens the store of tenants where they come and go; nil: that in the folder.
+	Tenants func() (TenantStore, error)
 
 	// Connect connects to a node or the list, over TCP if it is nil.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
-	// Secure is the TLS of the owners' door, none if it is nil.
-	Secure *tls.Config
+	// TLS is the TLS of the owners' door, none if it is nil.
+	TLS *tls.Config
 	// MemberKey is the site's member key, that in the site file's place if it is nil.
 	MemberKey []byte
-	// Rest is called, if it is set, when the visits of a start are over: much memory may be given back then.
-	Rest func()
-	// Local is called once, if it is set, with a way to ask without a socket.
-	Local func(*Local)
+	// FreeMemory is called, if it is set, when the visits of a start are over: much memory may be given back then.
+	FreeMemory func()
+	// OnLocalListener is called once, if it is set, with a way to ask without a socket.
+	OnLocalListener func(*LocalListener)
 }
 
-// Plant puts faults into a scheduler, for tests and experiments that must find them; the zero value puts none.
-type Plant struct {
-	Edge  func(engine.Effects) engine.Effects // wraps the effects of each shard's each life
-	News  func(*state.Entry)                  // changes what the list tells
-	Trust bool                                // leave is given to any epoch
-	Again bool                                // owners are told each answer twice
+// Faults puts faults into a scheduler, for tests and experiments that must find them; the zero value puts none.
+type Faults struct {
+	WrapEffects    func(engine.Effects) engine.Effects // wraps the effects of each shard's each life
+	ListEntry      func(*state.Entry)                  // changes what the list tells
+	PermitAnyEpoch bool                                // leave is given to any epoch
+	RepeatAnswers  bool                                // owners are told each answer twice
 
-	Drains func(maintenance.Executor) maintenance.Executor // wraps what carries out maintenance windows
+	WrapMaintenance func(maintenance.Executor) maintenance.Executor // wraps what carries out maintenance windows
 
-	WorkingSet    workingset.Plant
-	AbandonsTasks bool // nodes that leave the working set are hung up on, whatever runs there
-	SkipsVisits   bool // nodes outside the working set are not asked what they hold
+	WorkingSet   workingset.Plant
+	AbandonTasks bool // nodes that leave the working set are hung up on, whatever runs there
+	SkipVisits   bool // nodes outside the working set are not asked what they hold
 }
 
 // saveEvery is how often, in ms, a changed list is put on the disk; what is lost in between is asked for again.
@@ -97,7 +97,7 @@
 // Server is one running scheduler process.
 type Server struct {
 	words  besteffort.Guard // round what is only said to people
-	who    Scheduler
+	who    Config
 	w      outside.Environment
 	log    zerolog.Logger
 	folder *state.Folder
@@ -138,14 +138,14 @@
 }
 
 // Run runs a scheduler on sockets until the context ends. All that was open is answered then.
-func Run(ctx context.Context, who Scheduler) error {
+func Run(ctx context.Context, who Config) error {
 	w := outside.NewReal()
-	w.Connect, w.TLS, w.EndpointListAddress = who.Connect, who.Secure, who.Place.ListAddress
+	w.Connect, w.TLS, w.EndpointListAddress = who.Connect, who.TLS, who.Site.ListAddress
 	defer w.Close(2 * time.Second)
-	if who.Rest == nil {
-		who.Rest = debug.FreeOSMemory
+	if who.FreeMemory == nil {
+		who.FreeMemory = debug.FreeOSMemory
 	}
-	s, err := Begin(w, who)
+	s, err := Start(w, who)
 	if err != nil {
 		return err
 	}
@@ -161,12 +161,12 @@
 		break
 	}
 	ended := make(chan error, 1)
-	s.End(func(err error) { ended <- err })
+	s.Shutdown(func(err error) { ended <- err })
 	return <-ended
 }
 
-// Begin starts a scheduler in a world.
-func Begin(w outside.Environment, who Scheduler) (s *Server, err error) {
+// Start starts a scheduler in a world.
+func Start(w outside.Environment, who Config) (s *Server, err error) {
 	var folder *state.Folder
 	if who.Disk != nil {
 		folder = state.NewFolder(who.Disk)
@@ -178,8 +178,8 @@
 			err = errors.Join(err, folder.Close())
 		}
 	}()
-	if who.Windows == nil {
-		who.Windows = func() (Windows, error) {
+	if who.Maintenance == nil {
+		who.Maintenance = func() (MaintenanceStore, error) {
 			if !maintenancestore.Exists(who.Folder) {
 				return nil, nil
 			}
@@ -197,7 +197,7 @@
 	if last == nil {
 		last = state.NewNodeList()
 	}
-	place := who.Place
+	place := who.Site
 	say := func(what, why string) {
 		who.Log.Error().Str("mode", "words").Str("what", what).Str("why", why).Msg("switched off")
 	}
@@ -209,7 +209,7 @@
 	s.noteFleet(last.Entries())
 	s.acts = shardrouter.New(w.Now(), shardrouter.Terms{
 		Jobs: place.Cluster.JobClasses, Way: shares.Way(place.ShardBy), Shards: place.Shards,
-		Most: place.MaxShards, Open: place.MaxOpen, Margin: place.AnswerMargin, Step: place.Cluster.MinRoundInterval, Trusted: who.Plant.Trust, Hosts: place.MaxHostedTenants > 0,
+		Most: place.MaxShards, Open: place.MaxOpen, Margin: place.AnswerMargin, Step: place.Cluster.MinRoundInterval, Trusted: who.Faults.PermitAnyEpoch, Hosts: place.MaxHostedTenants > 0,
 	})
 	var t *trunk
 	for i := range place.Shards {
@@ -268,20 +268,20 @@
 	s.handsOver()
 	s.looked.Store(math.Float64bits(w.Now()))
 	s.every(s.lookEach(), s.watch)
-	if s.countsAt, s.countsEnd, err = s.showCounts(who.Place.StatsListen); err != nil {
+	if s.countsAt, s.countsEnd, err = s.showCounts(who.Site.StatsListen); err != nil {
 		return nil, err
 	}
 	if who.Ready != nil {
 		who.Ready(s.door.Address())
 	}
-	if who.Local != nil {
-		who.Local(&Local{s})
+	if who.OnLocalListener != nil {
+		who.OnLocalListener(&LocalListener{s})
 	}
 	return s, nil
 }
 
 // lookEach is how often, in ms, the shards are looked at.
-func (s *Server) lookEach() float64 { return min(watchdog.LookEach(), s.who.Place.AnswerMargin/4) }
+func (s *Server) lookEach() float64 { return min(watchdog.LookEach(), s.who.Site.AnswerMargin/4) }
 
 // stood is how long the process has stood still just now: a look at the shards is overdue, or the last was.
 func (s *Server) stood() float64 {
@@ -328,8 +328,8 @@
 	endLook   = 5
 )
 
-// End answers all that is open and ends the scheduler; then is called when that is done.
-func (s *Server) End(then func(error)) {
+// Shutdown answers all that is open and ends the scheduler; then is called when that is done.
+func (s *Server) Shutdown(then func(error)) {
 	s.door.StopAccepting()
 	s.countsEnd()
 	if s.control != nil {
@@ -411,30 +411,30 @@
 	return s.folder.SaveList(text)
 }
 
-// Local asks without a socket, for measurements that leave the owners' door out.
-type Local struct{ s *Server }
+// LocalListener asks without a socket, for measurements that leave the owners' door out.
+type LocalListener struct{ s *Server }
 
-// Sink hears what an owner hears. It must not block.
-type Sink interface {
-	Answer(ref uint64, answer engine.Answer)
-	Over(ref uint64)
+// AnswerHandler hears what an owner hears. It must not block.
+type AnswerHandler interface {
+	OnAnswer(ref uint64, answer engine.Answer)
+	OnEnd(ref uint64)
 }
 
-// Owner connects an owner.
-func (l *Local) Owner(sink Sink) *LocalOwner {
+// Connect connects an owner.
+func (l *LocalListener) Connect(sink AnswerHandler) *LocalClient {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
 	l.s.ownerIDs++
 	o := &owner{s: l.s, id: l.s.ownerIDs, sink: sink, asks: map[uint64]asked{}}
 	l.s.owners[o.id] = o
-	return &LocalOwner{o}
+	return &LocalClient{o}
 }
 
-// LocalOwner is an owner without a socket.
-type LocalOwner struct{ o *owner }
+// LocalClient is an owner without a socket.
+type LocalClient struct{ o *owner }
 
 // Allocate asks as the owners' door does; false if the ref is not free.
-func (l *LocalOwner) Allocate(ref uint64, tenant, jobType int, service, token uint64, cores, memory, within float64) bool {
+func (l *LocalClient) Allocate(ref uint64, tenant, jobType int, service, token uint64, cores, memory, within float64) bool {
 	if !l.o.begin(ref, l.o.s.w.Now()+within) {
 		return false
 	}
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -51,7 +51,7 @@
 	ran   sync.WaitGroup
 	owner []*standin.Owner
 	keys  int
-	tune  func(*Scheduler) // before a scheduler runs
+	tune  func(*Config) // before a scheduler runs
 }
 
 func newStage(t *testing.T, schedulers, nodes int, cold bool) *stage {
@@ -102,7 +102,7 @@
 }
 
 // start runs a scheduler with an owner at it.
-func (s *stage) start(i int, place site.Config, p Plant) {
+func (s *stage) start(i int, place site.Config, p Faults) {
 	place.ListAddress = s.list.Address()
 	name, ready := fmt.Sprintf("s%d", i), make(chan string, 1)
 	s.w.Trace.Add(audit.Record{At: s.w.Now(), Kind: audit.Born, Sched: name})
@@ -110,9 +110,9 @@
 	s.ran.Add(1)
 	go func() {
 		defer s.ran.Done()
-		who := Scheduler{
-			Place: &place, Name: name, Index: i, Folder: folder, Seed: uint64(i + 1), Log: zerolog.Nop(),
-			Ready: func(a string) { ready <- a }, Plant: p,
+		who := Config{
+			Site: &place, Name: name, Index: i, Folder: folder, Seed: uint64(i + 1), Log: zerolog.Nop(),
+			Ready: func(a string) { ready <- a }, Faults: p,
 		}
 		if s.tune != nil {
 			s.tune(&who)
@@ -185,12 +185,12 @@
 	}
 }
 
-func offering(f func(e engine.Effects, nd uint32, ticket uint64, try uint8, job int, send func(nd uint32, try uint8))) Plant {
-	return Plant{Edge: func(e engine.Effects) engine.Effects { return planted{Effects: e, offer: f} }}
+func offering(f func(e engine.Effects, nd uint32, ticket uint64, try uint8, job int, send func(nd uint32, try uint8))) Faults {
+	return Faults{WrapEffects: func(e engine.Effects) engine.Effects { return planted{Effects: e, offer: f} }}
 }
 
-func answering(f func(e engine.Effects, owner uint32, ref uint64, answer engine.Answer, nd uint32)) Plant {
-	return Plant{Edge: func(e engine.Effects) engine.Effects { return planted{Effects: e, answer: f} }}
+func answering(f func(e engine.Effects, owner uint32, ref uint64, answer engine.Answer, nd uint32)) Faults {
+	return Faults{WrapEffects: func(e engine.Effects) engine.Effects { return planted{Effects: e, answer: f} }}
 }
 
 // TestPlanted puts faults into schedulers, two for each rule at least; the auditor must name the rule. Without a
@@ -218,13 +218,13 @@
 		trouble func(s *stage)
 		longer  float64 // ms that the day lasts beyond the others'
 		place   func(p *site.Config)
-		Plant   Plant
+		Plant   Faults
 	}{
 		{name: "none", jobs: "0012"},
 		{name: "none, answers lost", jobs: "0012", trouble: mute},
 		{name: "none, a drain", jobs: "0012", trouble: drain},
 		{name: "none, all cold", jobs: "0012", cold: true},
-		{name: "an answer given twice", rule: 1, jobs: "0", Plant: Plant{Again: true}},
+		{name: "an answer given twice", rule: 1, jobs: "0", Plant: Faults{RepeatAnswers: true}},
 		{name: "no answer", rule: 1, jobs: "0", Plant: answering(
 			func(e engine.Effects, owner uint32, ref uint64, a engine.Answer, nd uint32) {
 				if ref%5 != 0 {
@@ -257,7 +257,7 @@
 				send(nd, try)
 			})},
 		// the node turns all away, so the module leaves it alone for up to 2 s at a time
-		{name: "news of a drain lost", rule: 3, jobs: "0", trouble: drain, longer: 6500, Plant: Plant{News: func(en *state.Entry) {
+		{name: "news of a drain lost", rule: 3, jobs: "0", trouble: drain, longer: 6500, Plant: Faults{ListEntry: func(en *state.Entry) {
 			if en.Avail == 2 {
 				en.Avail = 1
 			}
@@ -372,7 +372,7 @@
 		s.list.AddGhost(uint32(200+i), closed.Addr().String(), "west", "west", "plain")
 	}
 	closed.Close()
-	s.start(0, *s.place, Plant{})
+	s.start(0, *s.place, Faults{})
 	s.load(2500, 40, "0012")
 	breaks, served := s.breaks()
 	if len(breaks) > 0 || served < 30 {
@@ -389,7 +389,7 @@
 func TestManyConnections(t *testing.T) {
 	const many = 2000
 	s := newStage(t, 1, many, false)
-	s.start(0, *s.place, Plant{})
+	s.start(0, *s.place, Faults{})
 	for range 1200 {
 		linked := 0
 		s.w.At(func(float64) {
@@ -408,8 +408,8 @@
 // TestTwoSchedulers shares cold nodes between two schedulers.
 func TestTwoSchedulers(t *testing.T) {
 	s := newStage(t, 2, 4, true)
-	s.start(0, *s.place, Plant{})
-	s.start(1, *s.place, Plant{})
+	s.start(0, *s.place, Faults{})
+	s.start(1, *s.place, Faults{})
 	s.load(2500, 80, "0012")
 	if breaks, served := s.breaks(); len(breaks) > 0 || served < 40 {
 		t.Errorf("%d served, breaks %v", served, breaks)
@@ -422,7 +422,7 @@
 	here, there := net.Pipe() // nobody reads there
 	defer there.Close()
 	w.Connect = func(context.Context, string) (net.Conn, error) { return here, nil }
-	s := &Server{who: Scheduler{Place: &site.Config{NodeQueue: 100}}, w: w}
+	s := &Server{who: Config{Site: &site.Config{NodeQueue: 100}}, w: w}
 	made := make(chan *link, 1)
 	w.Dial("", 1000, func(conn outside.Conn, _ error) {
 		l := &link{s: s, t: &trunk{s: s, dialing: map[uint32]bool{}}, conn: conn}
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -49,22 +49,22 @@
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	sh := &shard{s: s, index: index, life: life, links: map[uint32]*link{}, moved: map[uint64]*shard{}}
-	place := s.who.Place
+	place := s.who.Site
 	cl := place.Cluster
 	cl.Schedulers *= place.MaxShards // each module instance that may run counts where cold nodes' budget is shared out
 	cl.Index = s.who.Index*place.MaxShards + index
 	now := s.w.Now()
 	sh.beat.Store(math.Float64bits(now))
 	var out engine.Effects = edge{sh}
-	if s.who.Plant.Edge != nil {
-		out = s.who.Plant.Edge(out)
+	if s.who.Faults.WrapEffects != nil {
+		out = s.who.Faults.WrapEffects(out)
 	}
 	sh.eng = engine.New(out, now, engine.Config{
 		Cluster: &cl, Shares: place.Shares,
 		MaxOpen: s.acts.OpenEach(place.Shards), AnswerMargin: place.AnswerMargin, SettleTime: place.SettleTime,
 		NewPolicy: s.who.Policy, Incarnation: life, Seed: s.who.Seed + uint64(life)*0x9e3779b97f4a7c15, WallClockStart: float64(outside.Epoch.UnixMilli()), AliveAtPeers: s.nodeLives,
 	})
-	if s.who.Place.Members.Listen != "" {
+	if s.who.Site.Members.Listen != "" {
 		sh.eng.SetSchedulerCount(0) // until the others have given leave
 	}
 	sh.inbox = &inbox{wake: func() { sh.loop.Wake() }}
@@ -95,7 +95,7 @@
 			wait = -1
 		}
 	}()
-	w, step := sh.s.w, sh.s.who.Place.Cluster.MinRoundInterval
+	w, step := sh.s.w, sh.s.who.Site.Cluster.MinRoundInterval
 	began := w.Now()
 	switch rest := sh.last + step - began; {
 	case sh.fenced.Load() || sh.s.over.Load():
@@ -123,7 +123,7 @@
 	if sh.s.circle.run != nil {
 		if n := sh.s.sharing(sh.last); n != sh.sharing {
 			sh.sharing = n
-			sh.eng.SetSchedulerCount(n * sh.s.who.Place.MaxShards)
+			sh.eng.SetSchedulerCount(n * sh.s.who.Site.MaxShards)
 		}
 	}
 	sh.beat.Store(math.Float64bits(sh.last))
@@ -292,7 +292,7 @@
 	for _, x := range seconds {
 		x.o.answer(x.ref, engine.Declined, 0, "shard-fenced", 0)
 	}
-	if s.who.Place.Connections == site.OwnConnections {
+	if s.who.Site.Connections == site.OwnConnections {
 		sh.trunk.close("shard fenced", false)
 	}
 	s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Int("moved", n[shardownership.Moves]).
@@ -369,7 +369,7 @@
 	if err != nil {
 		return err
 	}
-	if s.who.Place.Connections == site.OwnConnections {
+	if s.who.Site.Connections == site.OwnConnections {
 		sh.trunk = newTrunk(s, index)
 		sh.trunk.set(sh)
 	}
@@ -386,7 +386,7 @@
 	s.acts.Started(index, sh.life)
 	s.desk.Unlock()
 	s.lastListTo(sh)
-	if s.who.Place.Connections != site.OwnConnections {
+	if s.who.Site.Connections != site.OwnConnections {
 		sh.trunk.replay(sh)
 	}
 	sh.begin()
--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -37,7 +37,7 @@
 			place := *s.place
 			place.Shards, place.MaxShards, place.Connections = 3, 3, c.share
 			var offers, lives atomic.Int32
-			s.start(0, place, Plant{Edge: func(e engine.Effects) engine.Effects {
+			s.start(0, place, Faults{WrapEffects: func(e engine.Effects) engine.Effects {
 				if lives.Add(1) != 2 { // the second shard's first life alone
 					return e
 				}
@@ -106,7 +106,7 @@
 	s := newStage(t, 1, 8, false)
 	place := *s.place
 	place.Shards, place.MaxShards = 4, 4
-	s.start(0, place, Plant{})
+	s.start(0, place, Faults{})
 	addr := s.owner[0].Find()
 	time.Sleep(1800 * time.Millisecond)
 	a, b := connect(t, addr), connect(t, addr)
@@ -249,8 +249,8 @@
 			place.Shards, place.MaxShards, place.Connections = 1, 4, c.share
 			var log lines
 			resize := make(chan int, 1)
-			s.tune = func(who *Scheduler) { who.Resize, who.Log = resize, zerolog.New(&log) }
-			s.start(0, place, Plant{})
+			s.tune = func(who *Config) { who.Resize, who.Log = resize, zerolog.New(&log) }
+			s.start(0, place, Faults{})
 			s.load(2200, 60, "0012")
 			for _, n := range c.sizes {
 				resize <- n
@@ -287,8 +287,8 @@
 	var fence atomic.Bool
 	var lives atomic.Int32
 	resize := make(chan int, 1)
-	s.tune = func(who *Scheduler) { who.Resize, who.Log = resize, zerolog.New(&log) }
-	s.start(0, place, Plant{Edge: func(e engine.Effects) engine.Effects {
+	s.tune = func(who *Config) { who.Resize, who.Log = resize, zerolog.New(&log) }
+	s.start(0, place, Faults{WrapEffects: func(e engine.Effects) engine.Effects {
 		if lives.Add(1) != 2 {
 			return e
 		}
@@ -354,8 +354,8 @@
 	place.MaxShards = 2
 	var log lines
 	resize := make(chan int)
-	s.tune = func(who *Scheduler) { who.Resize, who.Log = resize, zerolog.New(&log) }
-	s.start(0, place, Plant{})
+	s.tune = func(who *Config) { who.Resize, who.Log = resize, zerolog.New(&log) }
+	s.start(0, place, Faults{})
 	for _, n := range []int{0, 3} {
 		resize <- n
 	}
--- a/internal/serve/trunk.go
+++ b/internal/serve/trunk.go
@@ -24,7 +24,7 @@
 
 func newTrunk(s *Server, index int) *trunk {
 	t := &trunk{s: s, name: s.who.Name, links: map[uint32]*link{}, dialing: map[uint32]bool{}}
-	if s.who.Place.Connections == site.OwnConnections && s.who.Place.MaxShards > 1 {
+	if s.who.Site.Connections == site.OwnConnections && s.who.Site.MaxShards > 1 {
 		t.name = fmt.Sprintf("%s.%d", s.who.Name, index)
 	}
 	return t
--- a/internal/serve/workingset.go
+++ b/internal/serve/workingset.go
@@ -58,14 +58,14 @@
 
 // newNodeSet gives the working set of a process, nil if the site file asks for none.
 func newNodeSet(s *Server) *nodeSet {
-	place := s.who.Place
+	place := s.who.Site
 	if place.WorkingSet.MinNodes == 0 {
 		return nil
 	}
 	config := workingset.Config{
 		Key: place.Name, Own: s.who.Name, Schedulers: place.Cluster.Schedulers,
 		Least: place.WorkingSet.MinNodes, Coverage: place.WorkingSet.Coverage, Spare: place.WorkingSet.SpareFactor,
-		PerStart: place.WorkingSet.NodesPerStart, PerStratum: place.WorkingSet.MinPerStratum, NarrowAfter: place.WorkingSet.NarrowAfter, Plant: s.who.Plant.WorkingSet,
+		PerStart: place.WorkingSet.NodesPerStart, PerStratum: place.WorkingSet.MinPerStratum, NarrowAfter: place.WorkingSet.NarrowAfter, Plant: s.who.Faults.WorkingSet,
 	}
 	if place.Members.Listen == "" { // the others are known by their number alone
 		config.Own = fmt.Sprint("place ", s.who.Index)
@@ -139,7 +139,7 @@
 		state = workingset.Draining
 	}
 	if isNew := v.set.PutNode(workingset.Node{ID: entry.ID, Zone: entry.zone, Kind: entry.kind, State: state}); isNew {
-		if !v.s.who.Plant.SkipsVisits {
+		if !v.s.who.Faults.SkipVisits {
 			v.visits.Put(entry.ID)
 		}
 		if kind != logic.ListCached {
@@ -212,8 +212,8 @@
 	v.visiting = v.visits.Left() > 0
 	v.mu.Unlock()
 	v.beginVisits()
-	if rests && v.s.who.Rest != nil {
-		v.s.w.After(restAfter, v.s.who.Rest)
+	if rests && v.s.who.FreeMemory != nil {
+		v.s.w.After(restAfter, v.s.who.FreeMemory)
 	}
 	v.s.tellShards(func(sh *shard, now float64) {
 		demand := sh.eng.Demand(now, shortAfter)
@@ -275,7 +275,7 @@
 		v.load.starts = (v.load.starts + starts) / 2
 	}
 	v.load.at, v.load.offers = now, sum.Offers
-	cluster := &v.s.who.Place.Cluster
+	cluster := &v.s.who.Site.Cluster
 	cores, memory := 0.0, 0.0
 	for kind := range cluster.KindCores {
 		cores += cluster.KindCores[kind] * cluster.CoresOvercommit
@@ -295,7 +295,7 @@
 	for _, id := range change.Enter {
 		if _, ok := v.shown[id]; ok {
 			back = append(back, id)
-		} else if since, isNew := v.newSince[id]; isNew && now-since < v.s.who.Place.Cluster.SlowStartDuration {
+		} else if since, isNew := v.newSince[id]; isNew && now-since < v.s.who.Site.Cluster.SlowStartDuration {
 			fresh = append(fresh, id)
 		} else {
 			warm = append(warm, id)
@@ -307,7 +307,7 @@
 	v.introduce(fresh, true, false)
 	v.introduce(warm, false, false)
 	for id, since := range v.newSince {
-		if now-since >= v.s.who.Place.Cluster.SlowStartDuration {
+		if now-since >= v.s.who.Site.Cluster.SlowStartDuration {
 			delete(v.newSince, id)
 		}
 	}
@@ -398,7 +398,7 @@
 
 // letGo has a shard release a node.
 func (v *nodeSet) letGo(sh *shard, now float64, id uint32) bool {
-	if v.s.who.Plant.AbandonsTasks {
+	if v.s.who.Faults.AbandonTasks {
 		sh.eng.ForceRelease(now, id)
 		return true
 	}
--- a/internal/serve/workingset_test.go
+++ b/internal/serve/workingset_test.go
@@ -21,11 +21,11 @@
 )
 
 // setStage is a stage with one of five schedulers, each of which works with a fifth of the nodes.
-func setStage(t *testing.T, p Plant) (s *stage, v *nodeSet, address string) {
+func setStage(t *testing.T, p Faults) (s *stage, v *nodeSet, address string) {
 	t.Helper()
 	s = newStage(t, setSchedulers, setNodes, false)
 	began := make(chan *nodeSet, 1)
-	s.tune = func(who *Scheduler) { who.Local = func(l *Local) { began <- l.s.set } }
+	s.tune = func(who *Config) { who.OnLocalListener = func(l *LocalListener) { began <- l.s.set } }
 	s.start(0, s.setPlace(), p)
 	v = <-began
 	waitFor(t, "a settled set", func() bool { return v.settled() })
@@ -81,7 +81,7 @@
 // as its set has nodes, and breaks no rule.
 func TestWorkingSetConnections(t *testing.T) {
 	t.Parallel()
-	s, v, _ := setStage(t, Plant{})
+	s, v, _ := setStage(t, Faults{})
 	s.load(6000, 5, "0012") // so few that its load asks for no larger set
 	waitFor(t, "idle connections to end", func() bool { return v.settled() && s.linked("s0") == v.size() })
 	if size := v.size(); size < setLeast/2 || size > 3*setLeast {
@@ -104,7 +104,7 @@
 // tasksOutside runs tasks and has the nodes be shared out anew, until the tasks have ended.
 //
 // It tells of how many tasks the owner heard that they ended, and of how many that they were lost.
-func tasksOutside(t *testing.T, p Plant) (ended, lost int, v *nodeSet, s *stage) {
+func tasksOutside(t *testing.T, p Faults) (ended, lost int, v *nodeSet, s *stage) {
 	s, v, address := setStage(t, p)
 	c := connect(t, address)
 	const tasks = 30
@@ -125,7 +125,7 @@
 // TestTaskOutsideTheSet runs tasks at nodes that leave the set: each is heard to end, and only then is its node left.
 func TestTaskOutsideTheSet(t *testing.T) {
 	t.Parallel()
-	ended, lost, v, s := tasksOutside(t, Plant{})
+	ended, lost, v, s := tasksOutside(t, Faults{})
 	if lost > 0 {
 		t.Errorf("%d tasks ended, %d were lost", ended, lost)
 	}
@@ -135,7 +135,7 @@
 // TestAbandonedTaskIsFound plants a scheduler that hangs up on nodes outside its set whatever runs there.
 func TestAbandonedTaskIsFound(t *testing.T) {
 	t.Parallel()
-	if _, lost, _, _ := tasksOutside(t, Plant{AbandonsTasks: true}); lost == 0 {
+	if _, lost, _, _ := tasksOutside(t, Faults{AbandonTasks: true}); lost == 0 {
 		t.Error("tasks without a way home are not found")
 	}
 }
@@ -144,7 +144,7 @@
 // patience that a broken connection has.
 func TestNodeOutsideTheSetDies(t *testing.T) {
 	t.Parallel()
-	s, v, address := setStage(t, Plant{})
+	s, v, address := setStage(t, Faults{})
 	c := connect(t, address)
 	for ref := range uint64(30) {
 		if err := c.ask(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
@@ -181,7 +181,7 @@
 
 // againElsewhere runs tasks, starts the scheduler anew with a set of other nodes, and asks for the same tasks again. It
 // tells how often they were started in all.
-func againElsewhere(t *testing.T, p Plant) (tasks, starts int) {
+func againElsewhere(t *testing.T, p Faults) (tasks, starts int) {
 	s := newStage(t, setSchedulers, setNodes, false)
 	place := s.setPlace()
 	place.ListAddress = s.list.Address()
@@ -192,9 +192,9 @@
 		ctx, stop := context.WithCancel(s.ctx)
 		ready, began, done := make(chan string, 1), make(chan *nodeSet, 1), make(chan error, 1)
 		go func() {
-			done <- Run(ctx, Scheduler{
-				Place: &place, Name: "s0", Index: index, Folder: filepath.Join(s.dir, "s0"), Seed: uint64(index + 1),
-				Log: zerolog.Nop(), Plant: p, Ready: func(a string) { ready <- a }, Local: func(l *Local) { began <- l.s.set },
+			done <- Run(ctx, Config{
+				Site: &place, Name: "s0", Index: index, Folder: filepath.Join(s.dir, "s0"), Seed: uint64(index + 1),
+				Log: zerolog.Nop(), Faults: p, Ready: func(a string) { ready <- a }, OnLocalListener: func(l *LocalListener) { began <- l.s.set },
 			})
 		}()
 		return <-ready, <-began, func() {
@@ -234,10 +234,10 @@
 // not start it a second time. One that does not visit these nodes does.
 func TestTasksOfAnEarlierLife(t *testing.T) {
 	t.Parallel()
-	if tasks, starts := againElsewhere(t, Plant{}); starts != tasks {
+	if tasks, starts := againElsewhere(t, Faults{}); starts != tasks {
 		t.Errorf("%d starts of %d tasks", starts, tasks)
 	}
-	if tasks, starts := againElsewhere(t, Plant{SkipsVisits: true}); starts == tasks {
+	if tasks, starts := againElsewhere(t, Faults{SkipVisits: true}); starts == tasks {
 		t.Error("no second start is seen where nodes outside are not visited")
 	}
 }
@@ -245,7 +245,7 @@
 // TestWidensWhenNothingFits fills the set: tasks find nodes beyond it in time.
 func TestWidensWhenNothingFits(t *testing.T) {
 	t.Parallel()
-	s, v, address := setStage(t, Plant{})
+	s, v, address := setStage(t, Faults{})
 	usual := v.size()
 	c := connect(t, address)
 	const tasks = 40
@@ -268,7 +268,7 @@
 // TestWholeSetDies has all nodes of the set die at once: what is asked for right after starts elsewhere in time.
 func TestWholeSetDies(t *testing.T) {
 	t.Parallel()
-	s, v, address := setStage(t, Plant{})
+	s, v, address := setStage(t, Faults{})
 	c := connect(t, address)
 	s.w.At(func(now float64) {
 		for _, n := range s.nodes {
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -85,7 +85,7 @@
 	if v.nodes != nil && v.nodesAt == revision {
 		return v.nodes
 	}
-	place, all := s.who.Place, make([]seen, 0, s.list.Len())
+	place, all := s.who.Site, make([]seen, 0, s.list.Len())
 	for _, en := range s.list.Entries() {
 		if logic.Availability(en.Avail) != logic.Ready {
 			continue
@@ -155,7 +155,7 @@
 	by := map[string][]seen{}
 	for _, n := range nodes {
 		sum := sums[n.zone]
-		sum.Room += n.cores * s.who.Place.Cluster.CoresOvercommit
+		sum.Room += n.cores * s.who.Site.Cluster.CoresOvercommit
 		sum.Used += max(0, n.cores-n.free)
 		sums[n.zone] = sum
 		if s.set.has(n.id) {
