--- a/internal/serve/book_test.go
+++ b/internal/serve/book_test.go
@@ -16,7 +16,7 @@
 	s.tune = func(who *Config) {
 		who.MemberKey = []byte("a key of some length")
 		who.Zone = who.Site.Zones[0]
-		who.OnLocalListener = func(l *LocalListener) { local <- l.s }
+		who.OnLocalListener = func(l *LocalListener) { local <- l.server }
 	}
 	place := *s.place
 	place.Members = site.Members{Listen: "127.0.0.1:0", Seeds: []string{"127.0.0.1:9"}, Voters: []string{"s0", "s1", "s2"}}
@@ -42,10 +42,10 @@
 	if served < 60 || served < asked*9/10 {
 		t.Errorf("%d of %d were served while control stood still", served, asked)
 	}
-	if view.State.Version() != 0 || view.LeaseExpiry > server.w.Now() {
+	if view.State.Version() != 0 || view.LeaseExpiry > server.env.Now() {
 		t.Errorf("sure of version %d without the other stewards, for %g", view.State.Version(), view.LeaseExpiry)
 	}
-	if parts, _ := server.zones.shown(); len(parts) != len(place.Zones) || parts[place.Zones[1]] != 1 {
+	if parts, _ := server.zones.currentShares(); len(parts) != len(place.Zones) || parts[place.Zones[1]] != 1 {
 		t.Errorf("without a book it sends to %v", parts)
 	}
 }
--- a/internal/serve/drains.go
+++ b/internal/serve/drains.go
@@ -22,23 +22,23 @@
 	Close() error
 }
 
-// lookDrains is how often windows are looked at, in ms.
-const lookDrains = 1000
+// maintenanceInterval is how often windows are looked at, in ms.
+const maintenanceInterval = 1000
 
-// keepDrains carries out the maintenance windows of the state folder's store. The store is opened for each look alone,
+// startMaintenance carries out the maintenance windows of the state folder's store. The store is opened for each look alone,
 // so that the command line can change the calendar while the process runs.
-func (s *Server) keepDrains() {
-	place := s.who.Site
-	var hands maintenance.Executor = drainHands{s}
-	if s.who.Faults.WrapMaintenance != nil {
-		hands = s.who.Faults.WrapMaintenance(hands)
+func (s *Server) startMaintenance() {
+	place := s.config.Site
+	var hands maintenance.Executor = maintenanceEffects{s}
+	if s.config.Faults.WrapMaintenance != nil {
+		hands = s.config.Faults.WrapMaintenance(hands)
 	}
 	k := &maintenance.Controller{Executor: hands, Limits: place.Maintenance, Policies: place.DrainManners}
-	h := &drainHours{}
+	h := &loadHistory{}
 	lastFault := ""
 	look := func() {
 		fault := ""
-		if err := s.drainsOnce(k, h); err != nil && !errors.Is(err, maintenancestore.ErrLocked) { // the command line has it just now
+		if err := s.runMaintenance(k, h); err != nil && !errors.Is(err, maintenancestore.ErrLocked) { // the command line has it just now
 			fault = err.Error()
 		}
 		if fault != lastFault && fault != "" { // windows are not carried out meanwhile; placing goes on
@@ -46,15 +46,15 @@
 		}
 		lastFault = fault
 	}
-	s.soon(func() {
+	s.async(func() {
 		look() // what opened while no process ran
-		s.every(lookDrains, look)
+		s.every(maintenanceInterval, look)
 	})
 }
 
-// outAtStart are the nodes that an earlier life of this process took out: its shards know before they place anything.
-func (s *Server) outAtStart() error {
-	store, err := s.who.Maintenance()
+// loadOpenWindows are the nodes that an earlier life of this process took out: its shards know before they place anything.
+func (s *Server) loadOpenWindows() error {
+	store, err := s.config.Maintenance()
 	if err != nil || store == nil {
 		return err
 	}
@@ -65,95 +65,95 @@
 	}
 	for _, b := range open {
 		for _, id := range ids(b.Verdict.Nodes) {
-			s.out[id] = true
+			s.underMaintenance[id] = true
 		}
 	}
 	return nil
 }
 
-// drainHours is the load measured by hour of the week, and when it was last kept.
-type drainHours struct {
+// loadHistory is the load measured by hour of the week, and when it was last kept.
+type loadHistory struct {
 	measured *calendar.Load
-	kept     time.Time
-	whose    string
+	savedAt  time.Time
+	source   string
 }
 
-const keepLoad = 10 * time.Minute
+const loadSaveInterval = 10 * time.Minute
 
-func (s *Server) drainsOnce(k *maintenance.Controller, h *drainHours) error {
-	store, err := s.who.Maintenance()
+func (s *Server) runMaintenance(k *maintenance.Controller, h *loadHistory) error {
+	store, err := s.config.Maintenance()
 	if err != nil || store == nil {
 		return err
 	}
 	defer store.Close()
 	k.Store = store
-	fleet, lost := s.fleet()
-	now := s.w.WallClock()
+	fleet, lost := s.calendarNodes()
+	now := s.env.WallClock()
 	measured, published, err := store.Loads()
 	if err != nil {
 		return err
 	}
 	if h.measured == nil {
-		h.measured, h.kept = measured, now
+		h.measured, h.savedAt = measured, now
 	}
-	if cores, memory, ok := partAsked(fleet, s.freeRoom()); ok {
+	if cores, memory, ok := requestedShare(fleet, s.freeCapacity()); ok {
 		h.measured.Add(now, cores, memory)
 	}
-	if now.Sub(h.kept) > keepLoad {
+	if now.Sub(h.savedAt) > loadSaveInterval {
 		if err := store.SaveMeasuredLoad(h.measured); err != nil {
 			return err
 		}
-		h.kept = now
+		h.savedAt = now
 	}
 	whose := ""
-	if k.UsualLoad, whose = calendar.ChooseEstimate(h.measured, published, s.who.Site.Cluster.Schedulers); whose != h.whose {
-		h.whose = whose
+	if k.UsualLoad, whose = calendar.ChooseEstimate(h.measured, published, s.config.Site.Cluster.Schedulers); whose != h.source {
+		h.source = whose
 		s.log.Info().Str("mode", "drains").Msg("usual load: " + whose)
 	}
-	s.countOut()
+	s.countTasksUnderMaintenance()
 	err = k.Tick(now, fleet, lost)
-	s.markOut() // after it, so that what has just opened or closed goes to the list at once
+	s.sendMaintenanceMarks() // after it, so that what has just opened or closed goes to the list at once
 	return err
 }
 
-// noteFleet keeps the nodes that were on the list, at all news of it and not only when windows are looked at: a window
+// recordNodes keeps the nodes that were on the list, at all news of it and not only when windows are looked at: a window
 // must hold a node that is away when it opens and comes back before it ends. Under the lock.
-func (s *Server) noteFleet(entries []state.Entry) {
+func (s *Server) recordNodes(entries []state.Entry) {
 	for _, en := range entries {
-		kind := slices.Index(s.who.Site.MachineKinds, en.Kind)
+		kind := slices.Index(s.config.Site.MachineKinds, en.Kind)
 		if kind < 0 || en.Avail == 0 {
 			continue
 		}
 		id := strconv.FormatUint(uint64(en.ID), 10)
-		s.known[id] = calendar.Node{
+		s.knownNodes[id] = calendar.Node{
 			ID: id, Zone: en.Zone, Cell: en.Cell, Kind: en.Kind,
-			Cores: s.who.Site.Cluster.KindCores[kind], Memory: s.who.Site.Cluster.KindMemory[kind],
+			Cores: s.config.Site.Cluster.KindCores[kind], Memory: s.config.Site.Cluster.KindMemory[kind],
 		}
-		delete(s.goneAt, id)
+		delete(s.lostSince, id)
 	}
 }
 
-// fleet is the node list as the calendar takes it. Nodes that left the list while the process runs are lost, not
+// calendarNodes is the node list as the calendar takes it. Nodes that left the list while the process runs are lost, not
 // forgotten: what is left must carry their work too.
-func (s *Server) fleet() (fleet []calendar.Node, lost map[string]bool) {
+func (s *Server) calendarNodes() (fleet []calendar.Node, lost map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lost = map[string]bool{}
 	entries := s.list.Entries()
-	s.noteFleet(entries)
+	s.recordNodes(entries)
 	here := map[string]bool{}
 	for _, en := range entries {
 		here[strconv.FormatUint(uint64(en.ID), 10)] = true
 	}
-	now := s.w.WallClock()
-	for id, n := range s.known {
+	now := s.env.WallClock()
+	for id, n := range s.knownNodes {
 		if !here[id] {
 			lost[id] = true
-			if at, ok := s.goneAt[id]; !ok {
-				s.goneAt[id] = now
-			} else if now.Sub(at) > forgetLost {
-				delete(s.known, id)
-				delete(s.goneAt, id)
+			if at, ok := s.lostSince[id]; !ok {
+				s.lostSince[id] = now
+			} else if now.Sub(at) > forgetLostAfter {
+				delete(s.knownNodes, id)
+				delete(s.lostSince, id)
 				delete(lost, id)
 				continue
 			}
@@ -163,81 +163,81 @@
 	return fleet, lost
 }
 
-// markFor is how long the list holds a node for out when it hears no more of it, in ms: a scheduler that is gone for
+// outMarkLifetime is how long the list holds a node for out when it hears no more of it, in ms: a scheduler that is gone for
 // good must not keep a node out. It is told anew three times in that time.
-const markFor = 60000
+const outMarkLifetime = 60000
 
-// markOut has the list told which nodes are out, for schedulers that have no calendar.
-func (s *Server) markOut() {
-	now := s.w.Now()
-	s.desk.Lock()
-	due := len(s.out)+len(s.back) > 0 && now-s.marked > markFor/3
+// sendMaintenanceMarks has the list told which nodes are out, for schedulers that have no calendar.
+func (s *Server) sendMaintenanceMarks() {
+	now := s.env.Now()
+	s.routerMu.Lock()
+	due := len(s.underMaintenance)+len(s.returned) > 0 && now-s.marksSentAt > outMarkLifetime/3
 	if due {
-		s.marked = now
+		s.marksSentAt = now
 	}
-	s.desk.Unlock()
+	s.routerMu.Unlock()
 	if due {
-		s.lister.call(markCall)
+		s.listClient.call(maintenanceCall)
 	}
 }
 
-// unmark has the list told anew at the next look.
-func (s *Server) unmark() {
-	s.desk.Lock()
-	s.marked = 0
-	s.desk.Unlock()
+// resendMarks has the list told anew at the next look.
+func (s *Server) resendMarks() {
+	s.routerMu.Lock()
+	s.marksSentAt = 0
+	s.routerMu.Unlock()
 }
 
-// marks appends the lines that tell the list what is out and what has come back. The latter are told once; if that is
+// appendMarks appends the lines that tell the list what is out and what has come back. The latter are told once; if that is
 // lost, the mark ends by itself.
-func (s *Server) marks(b []byte) []byte {
-	s.desk.Lock()
-	defer s.desk.Unlock()
-	for _, id := range slices.Sorted(maps.Keys(s.out)) {
-		b = list.AppendMaintenance(b, id, markFor)
+func (s *Server) appendMarks(b []byte) []byte {
+	s.routerMu.Lock()
+	defer s.routerMu.Unlock()
+	for _, id := range slices.Sorted(maps.Keys(s.underMaintenance)) {
+		b = list.AppendMaintenance(b, id, outMarkLifetime)
 	}
-	for _, id := range s.back {
+	for _, id := range s.returned {
 		b = list.AppendMaintenanceEnd(b, id)
 	}
-	s.back = nil
+	s.returned = nil
 	return b
 }
 
-// count is what a shard holds: at nodes that are out by job type, and in all.
-type count struct {
-	life uint32
-	at   map[uint32][]int
-	all  int
+// taskCount is what a shard holds: at nodes that are out by job type, and in all.
+type taskCount struct {
+	incarnation uint32
+	byNode      map[uint32][]int
+	all         int
 }
 
-// countOut has every shard count what it holds at the nodes that are out, for the next look.
-func (s *Server) countOut() {
-	s.desk.Lock()
-	ids := slices.Sorted(maps.Keys(s.out))
-	shards := s.living()
-	s.desk.Unlock()
+// countTasksUnderMaintenance has every shard count what it holds at the nodes that are out, for the next look.
+func (s *Server) countTasksUnderMaintenance() {
+	s.routerMu.Lock()
+	ids := slices.Sorted(maps.Keys(s.underMaintenance))
+	shards := s.liveShardsLocked()
+	s.routerMu.Unlock()
 	if len(ids) == 0 {
 		return
 	}
 	for _, sh := range shards {
-		sh.tell(func(float64) {
-			c := count{sh.life, map[uint32][]int{}, sh.eng.Stats().Held}
+		sh.post(func(float64) {
+			c := taskCount{sh.incarnation, map[uint32][]int{}, sh.engine.Stats().Held}
 			for _, id := range ids {
-				c.at[id] = make([]int, len(s.who.Site.JobClasses))
-				sh.eng.CountRunning(id, c.at[id])
+				c.byNode[id] = make([]int, len(s.config.Site.JobClasses))
+				sh.engine.CountRunning(id, c.byNode[id])
 			}
-			s.desk.Lock()
-			s.counted[sh.index] = c
-			s.desk.Unlock()
+			s.routerMu.Lock()
+			s.taskCounts[sh.index] = c
+			s.routerMu.Unlock()
 		})
 	}
 }
 
-// forgetLost is when a node that left the list counts as taken away for good.
-const forgetLost = 30 * time.Minute
+// forgetLostAfter is when a node that left the list counts as taken away for good.
+const forgetLostAfter = 30 * time.Minute
 
-// freeRoom is what the list says nobody has asked for.
-func (s *Server) freeRoom() map[string][2]float64 {
+// freeCapacity is what the list says nobody has asked for.
+func (s *Server) freeCapacity() map[string][2]float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	free := map[string][2]float64{}
@@ -247,8 +247,8 @@
 	return free
 }
 
-// partAsked gives the parts of all cores and memory that are asked for.
-func partAsked(fleet []calendar.Node, free map[string][2]float64) (cores, memory float64, ok bool) {
+// requestedShare gives the parts of all cores and memory that are asked for.
+func requestedShare(fleet []calendar.Node, free map[string][2]float64) (cores, memory float64, ok bool) {
 	allCores, allMemory := 0.0, 0.0
 	for _, n := range fleet {
 		f, here := free[n.ID]
@@ -264,8 +264,8 @@
 	return cores / allCores, memory / allMemory, true
 }
 
-// drainHands act on all shards.
-type drainHands struct{ s *Server }
+// maintenanceEffects act on all shards.
+type maintenanceEffects struct{ server *Server }
 
 func ids(nodes []string) (all []uint32) {
 	for _, n := range nodes {
@@ -276,36 +276,36 @@
 	return all
 }
 
-func (h drainHands) SetDraining(nodes []string, out bool) {
+func (h maintenanceEffects) SetDraining(nodes []string, out bool) {
 	all := ids(nodes)
-	h.s.desk.Lock()
+	h.server.routerMu.Lock()
 	for _, id := range all {
 		if out {
-			h.s.out[id] = true
-		} else if h.s.out[id] {
-			delete(h.s.out, id)
-			h.s.back = append(h.s.back, id)
+			h.server.underMaintenance[id] = true
+		} else if h.server.underMaintenance[id] {
+			delete(h.server.underMaintenance, id)
+			h.server.returned = append(h.server.returned, id)
 		}
 	}
-	h.s.marked = 0 // the list hears at the end of this look
-	h.s.desk.Unlock()
-	for _, sh := range h.s.allShards() {
-		sh.tell(func(now float64) { sh.eng.SetMaintenance(now, all, out) })
+	h.server.marksSentAt = 0 // the list hears at the end of this look
+	h.server.routerMu.Unlock()
+	for _, sh := range h.server.liveShards() {
+		sh.post(func(now float64) { sh.engine.SetMaintenance(now, all, out) })
 	}
 }
 
 // CountRunning sums what the shards counted at the last look. What none has counted since its node went out, or since its
 // life began, is not known: such a node is not empty.
-func (h drainHands) CountRunning(nodes []string) (there []int, all int) {
-	there = make([]int, len(h.s.who.Site.JobClasses))
-	h.s.desk.Lock()
-	defer h.s.desk.Unlock()
-	for _, sh := range h.s.living() {
-		c := h.s.counted[sh.index]
+func (h maintenanceEffects) CountRunning(nodes []string) (there []int, all int) {
+	there = make([]int, len(h.server.config.Site.JobClasses))
+	h.server.routerMu.Lock()
+	defer h.server.routerMu.Unlock()
+	for _, sh := range h.server.liveShardsLocked() {
+		c := h.server.taskCounts[sh.index]
 		all += c.all
 		for _, id := range ids(nodes) {
-			byJob, ok := c.at[id]
-			if !ok || c.life != sh.life || sh.fenced.Load() {
+			byJob, ok := c.byNode[id]
+			if !ok || c.incarnation != sh.incarnation || sh.fenced.Load() {
 				there[0]++
 			}
 			for job, n := range byJob {
@@ -317,20 +317,20 @@
 }
 
 // Evict has the shards stop work at nodes, each its part of the number.
-func (h drainHands) Evict(nodes []string, job, most int) int {
-	may := make([]bool, len(h.s.who.Site.JobClasses))
+func (h maintenanceEffects) Evict(nodes []string, job, most int) int {
+	may := make([]bool, len(h.server.config.Site.JobClasses))
 	may[job] = true
 	left := most
-	for _, sh := range h.s.allShards() {
-		h.s.desk.Lock()
-		c := h.s.counted[sh.index]
-		h.s.desk.Unlock()
+	for _, sh := range h.server.liveShards() {
+		h.server.routerMu.Lock()
+		c := h.server.taskCounts[sh.index]
+		h.server.routerMu.Unlock()
 		for _, id := range ids(nodes) {
 			part := 0
-			if byJob := c.at[id]; byJob != nil {
+			if byJob := c.byNode[id]; byJob != nil {
 				part = min(left, byJob[job])
 			}
-			if part > 0 && sh.tell(func(now float64) { sh.eng.MigrateFrom(now, id, may, part) }) {
+			if part > 0 && sh.post(func(now float64) { sh.engine.MigrateFrom(now, id, may, part) }) {
 				left -= part
 			}
 		}
@@ -338,4 +338,4 @@
 	return most - left
 }
 
-func (h drainHands) Log(line string) { h.s.log.Info().Str("mode", "drains").Msg(line) }
+func (h maintenanceEffects) Log(line string) { h.server.log.Info().Str("mode", "drains").Msg(line) }
--- a/internal/serve/hosting.go
+++ b/internal/serve/hosting.go
@@ -31,71 +31,71 @@
 
 // Times in ms.
 const (
-	lookClubs  = 500
-	foundAfter = 20000 // of a life, after which nodes have told what they hold, but for those that are away
+	tenantPollInterval = 500
+	recoveryPeriod     = 20000 // of a life, after which nodes have told what they hold, but for those that are away
 )
 
-// clubs is what is known of the tenants; under the desk.
-type clubs struct {
-	read    bool
-	stamp   uint64
-	book    *tenancy.Book
-	tokens  map[string]tenants.Token
-	verify  func(now time.Time, shown string) (tenant string, ok bool)
-	left    map[int]map[int]count // by slot of those that are removed, and shard: what is left there
-	began   float64
-	fault   string
-	pumping bool
-	planned float64 // when lines are looked at again, 0: no plan
-	loan    quotalease.Lease
+// tenantHosting is what is known of the tenants; under the desk.
+type tenantHosting struct {
+	loaded      bool
+	storeStamp  uint64
+	tenants     *tenancy.Book
+	tokens      map[string]tenants.Token
+	verify      func(now time.Time, shown string) (tenant string, ok bool)
+	remaining   map[int]map[int]taskCount // by slot of those that are removed, and shard: what is left there
+	startedAt   float64
+	lastFault   string
+	pumping     bool
+	plannedPump float64 // when lines are looked at again, 0: no plan
+	quotaLease  quotalease.Lease
 }
 
 // errNotAllowed says nothing more to who may not.
 var errNotAllowed = jrpc2.Errorf(jrpc2.Code(-32001), "not allowed")
 
-// errTooMany is told to who has shown a good token.
-var errTooMany = jrpc2.Errorf(jrpc2.Code(-32002), "as many connections as may be")
+// errTooManyConnections is told to who has shown a good token.
+var errTooManyConnections = jrpc2.Errorf(jrpc2.Code(-32002), "as many connections as may be")
 
-func (s *Server) hosts() bool { return s.who.Site.MaxHostedTenants > 0 }
+func (s *Server) hostsTenants() bool { return s.config.Site.MaxHostedTenants > 0 }
 
-// keepClubs looks at the store from now on.
-func (s *Server) keepClubs() error {
-	if !s.hosts() {
+// startTenants looks at the store from now on.
+func (s *Server) startTenants() error {
+	if !s.hostsTenants() {
 		return nil
 	}
-	s.entry = connadmission.New(s.who.Site.MaxClients)
-	s.clubs.began, s.clubs.left, s.clubs.book = s.w.Now(), map[int]map[int]count{}, tenancy.New(s.who.Site.MaxHostedTenants)
-	if s.who.Tenants == nil {
-		s.who.Tenants = func() (TenantStore, error) { return tenants.Open(s.who.Folder, s.who.Site.MaxHostedTenants) }
+	s.admission = connadmission.New(s.config.Site.MaxClients)
+	s.hosting.startedAt, s.hosting.remaining, s.hosting.tenants = s.env.Now(), map[int]map[int]taskCount{}, tenancy.New(s.config.Site.MaxHostedTenants)
+	if s.config.Tenants == nil {
+		s.config.Tenants = func() (TenantStore, error) { return tenants.Open(s.config.Folder, s.config.Site.MaxHostedTenants) }
 	}
-	if err := bolt.RetryWhileLocked(context.Background(), atStart, s.clubsOnce); err != nil { // a store that is damaged is to be seen at the start
+	if err := bolt.RetryWhileLocked(context.Background(), storeOpenAttempts, s.readTenants); err != nil { // a store that is damaged is to be seen at the start
 		return err
 	}
-	s.every(lookClubs, func() {
-		s.clubsLook()
-		s.strangersGo()
+	s.every(tenantPollInterval, func() {
+		s.pollTenants()
+		s.disconnectUnauthenticated()
 	})
 	return nil
 }
 
-// atStart is how often a store is tried at a start: a process that gave up at once would not come back if it is started while
+// storeOpenAttempts is how often a store is tried at a start: a process that gave up at once would not come back if it is started while
 // somebody changes something.
-const atStart = 25
+const storeOpenAttempts = 25
 
-// clubsLook looks once and logs a fault when it is a new one; what was known holds meanwhile.
-func (s *Server) clubsLook() {
+// pollTenants looks once and logs a fault when it is a new one; what was known holds meanwhile.
+func (s *Server) pollTenants() {
 	fault := ""
-	if err := s.clubsOnce(); err != nil && !errors.Is(err, bolt.ErrLocked) {
+	if err := s.readTenants(); err != nil && !errors.Is(err, bolt.ErrLocked) {
 		fault = err.Error()
 	}
-	if fault != "" && fault != s.clubs.fault {
+	if fault != "" && fault != s.hosting.lastFault {
 		s.log.Error().Str("mode", "tenants").Msg(fault)
 	}
-	s.clubs.fault = fault
+	s.hosting.lastFault = fault
 }
 
-func (s *Server) clubsOnce() error {
-	store, err := s.who.Tenants()
+func (s *Server) readTenants() error {
+	store, err := s.config.Tenants()
 	if err != nil {
 		return err
 	}
@@ -104,118 +104,118 @@
 	if err != nil {
 		return err
 	}
-	if !s.clubs.read || stamp != s.clubs.stamp {
+	if !s.hosting.loaded || stamp != s.hosting.storeStamp {
 		st, err := store.Read()
 		if err != nil {
 			return err
 		}
-		s.clubs.stamp = stamp
-		s.turnClubs(st, store.TokenVerifier(st.Tokens))
+		s.hosting.storeStamp = stamp
+		s.applyTenants(st, store.TokenVerifier(st.Tokens))
 	}
-	s.shareRoom()
-	s.words.Do("lines", func() {
-		s.desk.Lock()
-		defer s.desk.Unlock()
-		ms, waiting := s.acts.Longest(s.w.Now())
-		may, held := s.acts.Filled()
-		s.log.Debug().Str("mode", "tenants").Float64("may_fill", may).Float64("held", held).Int("open", s.acts.Open()).Int("waiting", waiting).Float64("longest", ms).Msg("lines")
+	s.updateCapacity()
+	s.diagnostics.Do("lines", func() {
+		s.routerMu.Lock()
+		defer s.routerMu.Unlock()
+		ms, waiting := s.router.Longest(s.env.Now())
+		may, held := s.router.Filled()
+		s.log.Debug().Str("mode", "tenants").Float64("may_fill", may).Float64("held", held).Int("open", s.router.Open()).Int("waiting", waiting).Float64("longest", ms).Msg("lines")
 	})
-	return s.evict(store)
+	return s.evictRemoved(store)
 }
 
-// turnClubs takes what the store says now: limits, who takes nothing any more, whose token is gone.
-func (s *Server) turnClubs(st tenants.State, verify func(time.Time, string) (string, bool)) {
-	now := s.w.Now()
-	s.desk.Lock()
-	c := &s.clubs
-	c.read, c.book, c.tokens, c.verify = true, st.Tenants, st.Tokens, verify
+// applyTenants takes what the store says now: limits, who takes nothing any more, whose token is gone.
+func (s *Server) applyTenants(st tenants.State, verify func(time.Time, string) (string, bool)) {
+	now := s.env.Now()
+	s.routerMu.Lock()
+	c := &s.hosting
+	c.loaded, c.tenants, c.tokens, c.verify = true, st.Tenants, st.Tokens, verify
 	active := 0
 	doors := map[int]connadmission.Limits{}
-	sharers, _ := c.loan.Now(now)
+	sharers, _ := c.quotaLease.Now(now)
 	for _, t := range st.Tenants.All() {
-		if doors[t.Slot] = t.Duty(s.part(sharers)).Door; t.State == tenancy.Removed {
+		if doors[t.Slot] = t.Duty(s.quotaShare(sharers)).Door; t.State == tenancy.Removed {
 			doors[t.Slot] = connadmission.Limits{}
 		}
 		if t.State == tenancy.Active {
 			active++
 		}
 	}
-	declined := s.limit(now, sharers)
-	s.desk.Unlock()
+	declined := s.setTenantLimits(now, sharers)
+	s.routerMu.Unlock()
 	s.mu.Lock()
 	for slot, l := range doors {
-		s.entry.Limit(slot, l)
+		s.admission.Limit(slot, l)
 	}
 	s.mu.Unlock()
-	s.turnAway(declined)
+	s.rejectAll(declined)
 	s.log.Info().Str("mode", "tenants").Uint64("changes", st.Changes).Int("active", active).Int("turned_away", len(declined)).Msg("tenants read")
-	s.cutForeign()
+	s.disconnectRevoked()
 }
 
-// part is what this process may use of all limits where so many share what is lent of them.
-func (s *Server) part(sharers int) quotalease.Share {
-	p := quotalease.Share{Places: s.who.Site.Cluster.Schedulers, Index: s.who.Index, Sharers: sharers}
-	if s.who.Site.Members.Listen != "" {
-		p.Lends = s.who.Site.Members.LeasedPart
+// quotaShare is what this process may use of all limits where so many share what is lent of them.
+func (s *Server) quotaShare(sharers int) quotalease.Share {
+	p := quotalease.Share{Places: s.config.Site.Cluster.Schedulers, Index: s.config.Index, Sharers: sharers}
+	if s.config.Site.Members.Listen != "" {
+		p.Lends = s.config.Site.Members.LeasedPart
 	}
 	return p
 }
 
-// limit sets all tenants' limits by that part, and gives what waits of those that take nothing any more; under the desk.
-func (s *Server) limit(now float64, sharers int) (declined []shardrouter.Entry) {
-	for _, t := range s.clubs.book.All() {
-		declined = append(declined, s.acts.Tenant(now, t.Slot, t.Duty(s.part(sharers)))...)
+// setTenantLimits sets all tenants' limits by that part, and gives what waits of those that take nothing any more; under the desk.
+func (s *Server) setTenantLimits(now float64, sharers int) (declined []shardrouter.Entry) {
+	for _, t := range s.hosting.tenants.All() {
+		declined = append(declined, s.router.Tenant(now, t.Slot, t.Duty(s.quotaShare(sharers)))...)
 	}
 	return declined
 }
 
-// lend holds the lease on what is lent of limits against the clock, before anything passes by them; under the desk.
-func (s *Server) lend(now float64) (declined []shardrouter.Entry) {
-	sharers, turned := s.clubs.loan.Now(now)
+// checkQuotaLease holds the lease on what is lent of limits against the clock, before anything passes by them; under the desk.
+func (s *Server) checkQuotaLease(now float64) (declined []shardrouter.Entry) {
+	sharers, turned := s.hosting.quotaLease.Now(now)
 	if !turned {
 		return nil
 	}
-	s.log.Info().Str("mode", "tenants").Int("share", sharers).Float64("lends", s.part(0).Lends).Msg("limits")
-	return s.limit(now, sharers)
+	s.log.Info().Str("mode", "tenants").Int("share", sharers).Float64("lends", s.quotaShare(0).Lends).Msg("limits")
+	return s.setTenantLimits(now, sharers)
 }
 
-// longest is the longest that an allocation may be open where limits are lent, ms: for so long what was lent stays in use.
-func (s *Server) longest() float64 { return slices.Max(s.who.Site.Deadlines) }
+// longestDeadline is the longest that an allocation may be open where limits are lent, ms: for so long what was lent stays in use.
+func (s *Server) longestDeadline() float64 { return slices.Max(s.config.Site.Deadlines) }
 
-func (s *Server) lends() bool { return s.hosts() && s.part(0).Lends > 0 }
+func (s *Server) leasesQuotas() bool { return s.hostsTenants() && s.quotaShare(0).Lends > 0 }
 
-func (s *Server) turnAway(declined []shardrouter.Entry) {
+func (s *Server) rejectAll(declined []shardrouter.Entry) {
 	for _, e := range declined {
-		s.deliver(s.ownerOf(e), e, nil)
+		s.deliver(s.requester(e), e, nil)
 	}
 }
 
-// cutForeign ends connections whose token is not good any more, by the store or by time.
-func (s *Server) cutForeign() {
-	now := s.w.WallClock()
-	for _, o := range s.connected() {
+// disconnectRevoked ends connections whose token is not good any more, by the store or by time.
+func (s *Server) disconnectRevoked() {
+	now := s.env.WallClock()
+	for _, o := range s.connectedClients() {
 		o.mu.Lock()
-		id := o.token
+		id := o.tokenID
 		o.mu.Unlock()
 		if id == "" {
 			continue
 		}
-		s.desk.Lock()
-		k, ok := s.clubs.tokens[id]
-		s.desk.Unlock()
+		s.routerMu.Lock()
+		k, ok := s.hosting.tokens[id]
+		s.routerMu.Unlock()
 		if !ok || !now.Before(k.Expires) {
-			o.cut("its token is not good any more")
+			o.disconnect("its token is not good any more")
 		}
 	}
 }
 
-// shareRoom tells the desk how much there is to share, by the list: of nodes that take work, as far as they may be asked for.
-func (s *Server) shareRoom() {
-	cl := &s.who.Site.Cluster
+// updateCapacity tells the desk how much there is to share, by the list: of nodes that take work, as far as they may be asked for.
+func (s *Server) updateCapacity() {
+	cl := &s.config.Site.Cluster
 	var all, unasked shardrouter.Room
 	s.mu.Lock()
 	for _, en := range s.list.Entries() {
-		kind := slices.Index(s.who.Site.MachineKinds, en.Kind)
+		kind := slices.Index(s.config.Site.MachineKinds, en.Kind)
 		if kind < 0 || en.Avail != 1 {
 			continue
 		}
@@ -227,118 +227,118 @@
 		unasked.Cores, unasked.Memory = unasked.Cores+max(0, cores), unasked.Memory+max(0, memory)
 	}
 	s.mu.Unlock()
-	s.desk.Lock()
-	s.acts.Listed(all, unasked, cl.ListsReportLoad)
-	s.desk.Unlock()
+	s.routerMu.Lock()
+	s.router.Listed(all, unasked, cl.ListsReportLoad)
+	s.routerMu.Unlock()
 }
 
-// evict ends what there is of tenants that are being removed, and the removal where nothing is left. After a restart nodes
+// evictRemoved ends what there is of tenants that are being removed, and the removal where nothing is left. After a restart nodes
 // may hold what this life has not heard of: a removal ends only when they had time to tell.
-func (s *Server) evict(store TenantStore) error {
-	now := s.w.Now()
-	s.desk.Lock()
-	shards := s.living()
-	removing := s.clubs.book.All()
-	s.desk.Unlock()
+func (s *Server) evictRemoved(store TenantStore) error {
+	now := s.env.Now()
+	s.routerMu.Lock()
+	shards := s.liveShardsLocked()
+	removing := s.hosting.tenants.All()
+	s.routerMu.Unlock()
 	for _, t := range removing {
 		if t.State != tenancy.Removing {
 			continue
 		}
-		if s.gone(t.Slot, shards) && now-s.clubs.began > foundAfter {
-			if _, err := store.FinishRemoval(s.w.WallClock(), t.Name); err != nil {
+		if s.holdsNothingOf(t.Slot, shards) && now-s.hosting.startedAt > recoveryPeriod {
+			if _, err := store.FinishRemoval(s.env.WallClock(), t.Name); err != nil {
 				return err
 			}
 			s.log.Info().Str("mode", "tenants").Str("tenant", t.Name).Msg("removed: nothing is left of it")
 			continue
 		}
 		for _, sh := range shards {
-			sh.tell(func(now float64) {
-				n := sh.eng.EvictTenant(now, t.Slot, t.Ending == tenancy.Stop)
-				s.desk.Lock()
-				if s.clubs.left[t.Slot] == nil {
-					s.clubs.left[t.Slot] = map[int]count{}
+			sh.post(func(now float64) {
+				n := sh.engine.EvictTenant(now, t.Slot, t.Ending == tenancy.Stop)
+				s.routerMu.Lock()
+				if s.hosting.remaining[t.Slot] == nil {
+					s.hosting.remaining[t.Slot] = map[int]taskCount{}
 				}
-				s.clubs.left[t.Slot][sh.index] = count{life: sh.life, all: n}
-				s.desk.Unlock()
+				s.hosting.remaining[t.Slot][sh.index] = taskCount{incarnation: sh.incarnation, all: n}
+				s.routerMu.Unlock()
 			})
 		}
 	}
 	return nil
 }
 
-// gone tells whether no shard holds anything of a tenant, as last counted.
-func (s *Server) gone(slot int, shards []*shard) bool {
-	s.desk.Lock()
-	defer s.desk.Unlock()
+// holdsNothingOf tells whether no shard holds anything of a tenant, as last counted.
+func (s *Server) holdsNothingOf(slot int, shards []*shard) bool {
+	s.routerMu.Lock()
+	defer s.routerMu.Unlock()
 	for _, sh := range shards {
-		if c, ok := s.clubs.left[slot][sh.index]; !ok || c.life != sh.life || c.all > 0 || sh.fenced.Load() {
+		if c, ok := s.hosting.remaining[slot][sh.index]; !ok || c.incarnation != sh.incarnation || c.all > 0 || sh.fenced.Load() {
 			return false
 		}
 	}
-	return s.acts.Holds(slot) == 0
+	return s.router.Holds(slot) == 0
 }
 
-// ownerOf gives who asked. One that is gone has nothing to be told; the shard finds that out by itself.
-func (s *Server) ownerOf(e shardrouter.Entry) *owner {
-	if o := s.owner(e.Ask.Owner); o != nil {
+// requester gives who asked. One that is gone has nothing to be told; the shard finds that out by itself.
+func (s *Server) requester(e shardrouter.Entry) *clientConn {
+	if o := s.clientByID(e.Ask.Owner); o != nil {
 		return o
 	}
-	return &owner{s: s, shut: true, asks: map[uint64]asked{}}
+	return &clientConn{server: s, closed: true, requests: map[uint64]request{}}
 }
 
 // deliver has an ask go to the shard that the desk gave it to, or answers it. The shard is the one that entered gave, under the same
 // hold of the desk: a later life of it knows nothing of the epoch.
-func (s *Server) deliver(o *owner, e shardrouter.Entry, sh *shard) {
+func (s *Server) deliver(o *clientConn, e shardrouter.Entry, sh *shard) {
 	a := e.Ask
 	switch {
 	case e.Waits:
 		return
-	case e.Why != "" && s.w.Now() >= a.Expiry: // it stood still: its owner has given up by itself
-		o.end(a.Ref)
+	case e.Why != "" && s.env.Now() >= a.Expiry: // it stood still: its owner has given up by itself
+		o.closeRequest(a.Ref)
 		return
 	case e.Why != "":
-		o.answer(a.Ref, engine.Declined, 0, e.Why, e.Back)
+		o.sendAnswer(a.Ref, engine.Declined, 0, e.Why, e.Back)
 		return
 	}
-	s.tellAsk(o, sh, e)
+	s.submit(o, sh, e)
 }
 
-// queueAt tells the desk of a shard's queue; under the desk.
-func (s *Server) queueAt(now float64) shardrouter.Queue {
+// queueState tells the desk of a shard's queue; under the desk.
+func (s *Server) queueState(now float64) shardrouter.Queue {
 	return func(shard int) (float64, int) {
 		sh := s.shards[shard]
-		return sh.inbox.stuck(now), int(sh.ahead.Load())
+		return sh.inbox.stalledFor(now), int(sh.queuedRequests.Load())
 	}
 }
 
 // pump lets asks go on whose turn has come.
 func (s *Server) pump() {
-	now := s.w.Now()
-	s.desk.Lock()
-	s.clubs.pumping = false
-	all := append(s.lend(now), s.acts.Pump(now, s.queueAt(now))...)
-	to, owners := make([]*shard, len(all)), make([]*owner, len(all))
+	now := s.env.Now()
+	s.routerMu.Lock()
+	s.hosting.pumping = false
+	all := append(s.checkQuotaLease(now), s.router.Pump(now, s.queueState(now))...)
+	to, owners := make([]*shard, len(all)), make([]*clientConn, len(all))
 	for i, e := range all {
-		owners[i] = s.ownerOf(e)
-		to[i] = s.entered(owners[i], e)
+		owners[i] = s.requester(e)
+		to[i] = s.recordRoute(owners[i], e)
 	}
-	due := s.acts.Due(now)
-	c := &s.clubs
-	plan := due < now+pumpSoon && (c.planned == 0 || due < c.planned)
+	due := s.router.Due(now)
+	c := &s.hosting
+	plan := due < now+pumpHorizon && (c.plannedPump == 0 || due < c.plannedPump)
 	if plan {
-		c.planned = due
+		c.plannedPump = due
 	}
-	s.desk.Unlock()
+	s.routerMu.Unlock()
 	for i, e := range all {
 		s.deliver(owners[i], e, to[i])
 	}
 	if plan { // one plan at a time, or each call would bring another
-		s.w.After(max(1, due-now), func() {
-			s.desk.Lock()
-			if c.planned == due {
-				c.planned = 0
+		s.env.After(max(1, due-now), func() {
+			s.routerMu.Lock()
+			if c.plannedPump == due {
+				c.plannedPump = 0
 			}
-			s.desk.Unlock()
+			s.routerMu.Unlock()
 			s.pump()
 		})
 	}
@@ -346,58 +346,58 @@
 
 // pumpSoon is how far ahead, in ms, a call is planned; what is due later finds another occasion.
 const (
-	pumpSoon = 200
-	pumpEach = 100
+	pumpHorizon  = 200
+	pumpInterval = 100
 )
 
-// entered notes where an ask went, and gives the shard; under the desk.
-func (s *Server) entered(o *owner, e shardrouter.Entry) *shard {
+// recordRoute notes where an ask went, and gives the shard; under the desk.
+func (s *Server) recordRoute(o *clientConn, e shardrouter.Entry) *shard {
 	if e.Waits || e.Why != "" {
 		return nil
 	}
 	if e.Epoch > 0 {
-		s.shards[e.At].ahead.Add(1)
+		s.shards[e.At].queuedRequests.Add(1)
 	}
-	o.note(e.Ask.Ref, e.At)
+	o.setShard(e.Ask.Ref, e.At)
 	return s.shards[e.At]
 }
 
-// freed has asks go on when there is room for one; under the desk.
-func (s *Server) freed() {
-	if !s.clubs.pumping && s.acts.Freed(s.w.Now()) {
-		s.clubs.pumping = true
-		s.soon(s.pump)
+// pumpIfFree has asks go on when there is room for one; under the desk.
+func (s *Server) pumpIfFree() {
+	if !s.hosting.pumping && s.router.Freed(s.env.Now()) {
+		s.hosting.pumping = true
+		s.async(s.pump)
 	}
 }
 
-// tellAsk tells a shard of an ask.
-func (s *Server) tellAsk(o *owner, sh *shard, e shardrouter.Entry) {
+// submit tells a shard of an ask.
+func (s *Server) submit(o *clientConn, sh *shard, e shardrouter.Entry) {
 	a, name := e.Ask, e.Name
-	ok := sh.tell(func(now float64) {
+	ok := sh.post(func(now float64) {
 		if e.Epoch > 0 {
-			sh.asks++
+			sh.roundRequests++
 		}
-		err := sh.eng.Allocate(now, a.Owner, a.Ref, a.Job, name.Tenant, a.Service, name.Token, a.Cores, a.Memory,
-			a.Expiry-now, s.epochNow(name, sh, e.Epoch))
+		err := sh.engine.Allocate(now, a.Owner, a.Ref, a.Job, name.Tenant, a.Service, name.Token, a.Cores, a.Memory,
+			a.Expiry-now, s.currentEpoch(name, sh, e.Epoch))
 		if err != nil && !sh.fenced.Load() { // the door lets no ref in twice: it was moved here by a fence
-			o.answer(a.Ref, engine.Declined, 0, "open-already", 0)
+			o.sendAnswer(a.Ref, engine.Declined, 0, "open-already", 0)
 		}
-		if s.owner(a.Owner) == nil && s.hosts() { // it waited in a line, and its owner has left meanwhile
-			sh.eng.OnClientDisconnected(now, a.Owner)
+		if s.clientByID(a.Owner) == nil && s.hostsTenants() { // it waited in a line, and its owner has left meanwhile
+			sh.engine.OnClientDisconnected(now, a.Owner)
 		}
 	})
 	if !ok && e.Epoch == 0 { // the shard was fenced a moment ago; what was taken for it, its fence has answered or moved
-		o.answer(a.Ref, engine.Declined, 0, "shard-fenced", 0)
+		o.sendAnswer(a.Ref, engine.Declined, 0, "shard-fenced", 0)
 	}
 }
 
-// forgo answers an ask that waits for its turn as its owner gives it up; false if it does not wait.
-func (s *Server) forgo(o *owner, ref uint64) bool {
-	s.desk.Lock()
-	ok := s.acts.Forgo(o.id, ref)
-	s.desk.Unlock()
+// cancelQueued answers an ask that waits for its turn as its owner gives it up; false if it does not wait.
+func (s *Server) cancelQueued(o *clientConn, ref uint64) bool {
+	s.routerMu.Lock()
+	ok := s.router.Forgo(o.id, ref)
+	s.routerMu.Unlock()
 	if ok {
-		o.answer(ref, engine.Declined, 0, "withdrawn", 0)
+		o.sendAnswer(ref, engine.Declined, 0, "withdrawn", 0)
 	}
 	return ok
 }
--- a/internal/serve/hosting_admit.go
+++ b/internal/serve/hosting_admit.go
@@ -8,96 +8,96 @@
 )
 
 // authenticate binds a connection to a tenant, once.
-func (o *owner) authenticate(params json.RawMessage) error {
+func (o *clientConn) authenticate(params json.RawMessage) error {
 	var ask struct {
 		Token string `json:"token"`
 	}
-	if err := fields(params, &ask); err != nil {
+	if err := decodeParams(params, &ask); err != nil {
 		return err
 	}
-	s := o.s
-	s.desk.Lock()
-	verify := s.clubs.verify
-	s.desk.Unlock()
+	s := o.server
+	s.routerMu.Lock()
+	verify := s.hosting.verify
+	s.routerMu.Unlock()
 	if verify == nil {
 		return errNotAllowed
 	}
-	tenant, ok := verify(s.w.WallClock(), ask.Token)
+	tenant, ok := verify(s.env.WallClock(), ask.Token)
 	o.mu.Lock()
 	own := o.tenant
 	o.mu.Unlock()
 	if !ok || own != "" && own != tenant {
-		o.refusals++
-		if o.refusals == mostRefusals { // who guesses pays with a connection for each few words
-			s.soon(func() { o.cut("not allowed, again and again") })
+		o.authFailures++
+		if o.authFailures == maxAuthFailures { // who guesses pays with a connection for each few words
+			s.async(func() { o.disconnect("not allowed, again and again") })
 		}
 		return errNotAllowed
 	}
-	if !s.enters(o.id, tenant) {
+	if !s.admitTenantConnection(o.id, tenant) {
 		s.log.Debug().Str("mode", "tenants").Str("tenant", tenant).Msg("one connection more than it may have")
-		return errTooMany // it is a stranger still, and goes as one
+		return errTooManyConnections // it is a stranger still, and goes as one
 	}
 	o.mu.Lock()
-	o.tenant, o.token = tenant, ask.Token[:12]
+	o.tenant, o.tokenID = tenant, ask.Token[:12]
 	o.mu.Unlock()
 	return nil
 }
 
-// enters takes it that a connection is a tenant's; false if that has as many as it may.
-func (s *Server) enters(id uint32, tenant string) bool {
-	s.desk.Lock()
-	t, ok := s.clubs.book.Get(tenant)
-	s.desk.Unlock()
+// admitTenantConnection takes it that a connection is a tenant's; false if that has as many as it may.
+func (s *Server) admitTenantConnection(id uint32, tenant string) bool {
+	s.routerMu.Lock()
+	t, ok := s.hosting.tenants.Get(tenant)
+	s.routerMu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return ok && s.entry.Known(id, t.Slot)
+	return ok && s.admission.Known(id, t.Slot)
 }
 
-// may tells whether what an owner sends is read, and keeps in which time it may ask again if it sent too much.
-func (o *owner) may(bytes int) bool {
-	s := o.s
-	if !s.hosts() || bytes == 0 {
+// admitBytes tells whether what an owner sends is read, and keeps in which time it may ask again if it sent too much.
+func (o *clientConn) admitBytes(bytes int) bool {
+	s := o.server
+	if !s.hostsTenants() || bytes == 0 {
 		return true
 	}
 	s.mu.Lock()
-	v, back := s.entry.Sent(s.w.Now(), o.id, bytes)
+	v, back := s.admission.Sent(s.env.Now(), o.id, bytes)
 	s.mu.Unlock()
-	o.holdOff = back
+	o.retryAfter = back
 	if v == connadmission.End {
-		o.cut("sent far more than it may")
+		o.disconnect("sent far more than it may")
 	}
 	return v != connadmission.End
 }
 
-// strangersGo ends callers that show no token in time.
-func (s *Server) strangersGo() {
+// disconnectUnauthenticated ends callers that show no token in time.
+func (s *Server) disconnectUnauthenticated() {
 	s.mu.Lock()
-	var late []*owner
-	for _, id := range s.entry.Late(s.w.Now()) {
-		if o := s.owners[id]; o != nil {
+	var late []*clientConn
+	for _, id := range s.admission.Late(s.env.Now()) {
+		if o := s.clients[id]; o != nil {
 			late = append(late, o)
 		}
 	}
 	s.mu.Unlock()
 	for _, o := range late {
-		o.cut("showed no token")
+		o.disconnect("showed no token")
 	}
 }
 
-const mostRefusals = 8
+const maxAuthFailures = 8
 
-// club finds the slot of a tenant that a connection may ask for, -1 if it is removed: what is asked for it then is declined, as
+// tenantSlot finds the slot of a tenant that a connection may ask for, -1 if it is removed: what is asked for it then is declined, as
 // whoever had a token must not wait for an answer that never comes.
-func (o *owner) club(name string) (slot int, err error) {
+func (o *clientConn) tenantSlot(name string) (slot int, err error) {
 	o.mu.Lock()
 	own := o.tenant
 	o.mu.Unlock()
 	if own == "" || own != name {
 		return 0, errNotAllowed
 	}
-	o.s.desk.Lock()
-	t, ok := o.s.clubs.book.Get(name)
-	o.s.desk.Unlock()
+	o.server.routerMu.Lock()
+	t, ok := o.server.hosting.tenants.Get(name)
+	o.server.routerMu.Unlock()
 	switch {
 	case !ok:
 		return 0, errNotAllowed
--- a/internal/serve/hosting_test.go
+++ b/internal/serve/hosting_test.go
@@ -68,12 +68,12 @@
 	return s, with, tokens
 }
 
-func (c *client) as(token string) error {
+func (c *testClient) as(token string) error {
 	_, err := c.Call(context.Background(), "authenticate", map[string]any{"token": token})
 	return err
 }
 
-func (c *client) askFor(tenant string, ref uint64, job string) error {
+func (c *testClient) askFor(tenant string, ref uint64, job string) error {
 	_, err := c.Call(context.Background(), "allocate", map[string]any{
 		"ref": ref, "tenant": tenant, "key": fmt.Sprint(tenant, ref),
 		"job-type": job, "service": "s" + tenant, "cores": 1, "memory": 1,
@@ -81,7 +81,9 @@
 	return err
 }
 
-func (c *client) count(what string) int { return strings.Count(strings.Join(c.heard(), "\n"), what) }
+func (c *testClient) count(what string) int {
+	return strings.Count(strings.Join(c.heard(), "\n"), what)
+}
 
 // TestHosting has tenants ask with their tokens and without, and one paused, resumed and removed while it asks.
 func TestHosting(t *testing.T) {
@@ -116,7 +118,7 @@
 	})
 	t.Run("who guesses is cut off", func(t *testing.T) {
 		o := connect(t, addr)
-		for range mostRefusals {
+		for range maxAuthFailures {
 			if err := o.as(tokens["a"][:13] + strings.Repeat("y", 32)); err == nil {
 				t.Fatal("let in")
 			}
@@ -241,7 +243,7 @@
 		waitFor(t, what, func() bool { return b.count(`"answer":"served"`) == before+1 })
 	}
 	t.Run("connections", func(t *testing.T) {
-		var second *client
+		var second *testClient
 		waitFor(t, "a third is told that it is too many", func() bool {
 			second = connect(t, addr)
 			if second.as(tokens["a"]) != nil { // those of the last round are not gone yet
--- a/internal/serve/inbox.go
+++ b/internal/serve/inbox.go
@@ -12,13 +12,13 @@
 // some 35 ns an event faster with four producers (BenchmarkInbox), but it can't tell how long the oldest event has
 // waited, which admission rests on, nor give what waits as one batch.
 type inbox struct {
-	mu     sync.Mutex
-	queue  []event
-	since  float64 // when the oldest that waits came
-	busy   float64 // and the oldest of those that are being worked on, 0: none
-	taken  float64 // when the latter were taken
-	closed bool
-	wake   func() // called when something waits where nothing did
+	mu            sync.Mutex
+	queue         []event
+	oldestAt      float64 // when the oldest that waits came
+	batchOldestAt float64 // and the oldest of those that are being worked on, 0: none
+	batchTakenAt  float64 // when the latter were taken
+	closed        bool
+	wake          func() // called when something waits where nothing did
 }
 
 // put queues an event; false if the shard takes none any more. full tells that it should be given up.
@@ -34,7 +34,7 @@
 	}
 	first := len(b.queue) == 0
 	if first {
-		b.since = now
+		b.oldestAt = now
 	}
 	b.queue = append(b.queue, ev)
 	b.mu.Unlock()
@@ -50,8 +50,8 @@
 	defer b.mu.Unlock()
 	all := b.queue
 	b.queue = spare[:0]
-	if b.busy = 0; len(all) > 0 {
-		b.busy, b.taken = b.since, now
+	if b.batchOldestAt = 0; len(all) > 0 {
+		b.batchOldestAt, b.batchTakenAt = b.oldestAt, now
 	}
 	return all
 }
@@ -59,42 +59,42 @@
 // done says that what was taken is worked off.
 func (b *inbox) done() {
 	b.mu.Lock()
-	b.busy = 0
+	b.batchOldestAt = 0
 	b.mu.Unlock()
 }
 
-// waiting tells whether there are events before the shard.
-func (b *inbox) waiting() bool {
+// hasEvents tells whether there are events before the shard.
+func (b *inbox) hasEvents() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.queue) > 0
 }
 
-// waited is how long the oldest event has waited, those being worked on included.
-func (b *inbox) waited(now float64) float64 {
+// oldestAge is how long the oldest event has waited, those being worked on included.
+func (b *inbox) oldestAge(now float64) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case b.busy > 0:
-		return now - b.busy
+	case b.batchOldestAt > 0:
+		return now - b.batchOldestAt
 	case len(b.queue) > 0:
-		return now - b.since
+		return now - b.oldestAt
 	}
 	return 0
 }
 
-// stuck is how long the shard has been at the same events, 0 while that is not out of the common.
-func (b *inbox) stuck(now float64) float64 {
+// stalledFor is how long the shard has been at the same events, 0 while that is not out of the common.
+func (b *inbox) stalledFor(now float64) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.busy > 0 && now-b.taken > stuckAt {
-		return now - b.taken
+	if b.batchOldestAt > 0 && now-b.batchTakenAt > stallThreshold {
+		return now - b.batchTakenAt
 	}
 	return 0
 }
 
-// stuckAt is how long, in ms, a shard is seldom at one batch.
-const stuckAt = 50
+// stallThreshold is how long, in ms, a shard is seldom at one batch.
+const stallThreshold = 50
 
 func (b *inbox) close() {
 	b.mu.Lock()
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -14,191 +14,193 @@
 	"ravenpond/logic"
 )
 
-// call is something asked of the node list.
-type call uint8
+// listCall is something asked of the node list.
+type listCall uint8
 
 const (
-	watchCall call = iota
+	watchCall listCall = iota
 	unwatchCall
-	wholeCall
-	markCall // which nodes are out; nothing is answered
+	fullCall
+	maintenanceCall // which nodes are out; nothing is answered
 )
 
 // Times of the node list in ms.
 const (
-	listDial   = 1000
-	listAnswer = 3000 // a call unanswered for so long has failed
-	listStuck  = 3000
-	maxCalls   = 8 // that wait for a connection
+	listDialTimeout   = 1000
+	listAnswerTimeout = 3000 // a call unanswered for so long has failed
+	listStuckTimeout  = 3000
+	maxCalls          = 8 // that wait for a connection
 )
 
-// lister makes calls to the node list, one connection at a time. Where the list tells unasked, it keeps a watch of its
+// listClient makes calls to the node list, one connection at a time. Where the list tells unasked, it keeps a watch of its
 // own.
-type lister struct {
-	s    *Server
-	told bool
-
-	mu      sync.Mutex
-	pace    *reconnect.Pacer
-	waits   []call
-	conn    outside.Conn // nil while there is none
-	dialing bool
-	greeted bool
-	asked   bool // something that is answered was sent on this connection
-	began   float64
-	in      line.Splitter
-	answer  outside.Timer // runs while an answer is owed
-	over    bool
-
-	open    bool // an answer is being told
-	kind    int
-	version uint64
-	entries []state.Entry
+type listClient struct {
+	server  *Server
+	watches bool
+
+	mu          sync.Mutex
+	pace        *reconnect.Pacer
+	pending     []listCall
+	conn        outside.Conn // nil while there is none
+	dialing     bool
+	greeted     bool
+	sentCall    bool // something that is answered was sent on this connection
+	dialedAt    float64
+	splitter    line.Splitter
+	answerTimer outside.Timer // runs while an answer is owed
+	closed      bool
+
+	inAnswer   bool // an answer is being told
+	answerKind int
+	version    uint64
+	entries    []state.Entry
 }
 
-func newLister(s *Server) *lister {
-	return &lister{s: s, told: !s.who.Site.Cluster.PollsList, pace: reconnect.New(s.who.Seed + 1)}
+func newLister(s *Server) *listClient {
+	return &listClient{server: s, watches: !s.config.Site.Cluster.PollsList, pace: reconnect.New(s.config.Seed + 1)}
 }
 
-// begin begins the watch where the list tells unasked.
-func (l *lister) begin() {
-	if !l.told {
+// start begins the watch where the list tells unasked.
+func (l *listClient) start() {
+	if !l.watches {
 		return
 	}
 	l.mu.Lock()
-	l.pace.Keep(l.s.w.Now(), 0, true)
+	l.pace.Keep(l.server.env.Now(), 0, true)
 	l.mu.Unlock()
-	l.due()
+	l.dialWhenDue()
 }
 
 // call makes a call. Where too many wait an earlier one is still under way, and this one has failed, as far as the
 // module is concerned.
-func (l *lister) call(c call) {
+func (l *listClient) call(c listCall) {
 	l.mu.Lock()
-	full := len(l.waits) >= maxCalls
+	full := len(l.pending) >= maxCalls
 	if !full {
-		l.waits = append(l.waits, c)
+		l.pending = append(l.pending, c)
 	}
 	l.mu.Unlock()
 	if !full {
-		l.s.soon(l.flow)
-	} else if c != markCall {
-		l.s.soon(l.s.listFailed)
+		l.server.async(l.flush)
+	} else if c != maintenanceCall {
+		l.server.async(l.server.onListFailed)
 	}
 }
 
-// due dials when the pace allows it, for the watch.
-func (l *lister) due() {
+// dialWhenDue dials when the pace allows it, for the watch.
+func (l *listClient) dialWhenDue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over || l.dialing || l.conn != nil {
+	if l.closed || l.dialing || l.conn != nil {
 		return
 	}
-	now := l.s.w.Now()
+	now := l.server.env.Now()
 	if _, ok := l.pace.Next(now); ok {
-		l.waits = append([]call{watchCall}, l.waits...)
+		l.pending = append([]listCall{watchCall}, l.pending...)
 		l.dial()
 		return
 	}
 	if at := l.pace.Due(); at < now+3600e3 {
-		l.s.w.After(max(1, at-now), l.due)
+		l.server.env.After(max(1, at-now), l.dialWhenDue)
 	}
 }
 
-// flow sends what waits, over a new connection if there is none.
-func (l *lister) flow() {
+// flush sends what waits, over a new connection if there is none.
+func (l *listClient) flush() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.over:
+	case l.closed:
 	case l.greeted:
-		l.send()
+		l.sendPending()
 	case l.dialing || l.conn != nil:
 	default:
-		l.waits = slices.DeleteFunc(l.waits, func(c call) bool {
-			if c == markCall && l.told { // a connection begins with a watch; the marks follow at the next look
-				l.s.unmark()
+		l.pending = slices.DeleteFunc(l.pending, func(c listCall) bool {
+			if c == maintenanceCall && l.watches { // a connection begins with a watch; the marks follow at the next look
+				l.server.resendMarks()
 				return true
 			}
 			return c == unwatchCall // there is no connection, hence no watch
 		})
-		if len(l.waits) == 0 {
+		if len(l.pending) == 0 {
 			return
 		}
-		if l.told && !slices.Contains(l.waits, watchCall) {
-			l.waits = append([]call{watchCall}, l.waits...)
+		if l.watches && !slices.Contains(l.pending, watchCall) {
+			l.pending = append([]listCall{watchCall}, l.pending...)
 		}
 		l.dial()
 	}
 }
 
 // dial connects; under the lock.
-func (l *lister) dial() {
-	l.dialing, l.began = true, l.s.w.Now()
-	l.asked = slices.ContainsFunc(l.waits, func(c call) bool { return c != markCall })
-	l.s.w.Dial(l.s.who.Site.ListAddress, listDial, func(conn outside.Conn, err error) {
+func (l *listClient) dial() {
+	l.dialing, l.dialedAt = true, l.server.env.Now()
+	l.sentCall = slices.ContainsFunc(l.pending, func(c listCall) bool { return c != maintenanceCall })
+	l.server.env.Dial(l.server.config.Site.ListAddress, listDialTimeout, func(conn outside.Conn, err error) {
 		l.mu.Lock()
 		l.dialing = false
-		if err == nil && l.over {
+		if err == nil && l.closed {
 			conn.Close(false, nil)
 		}
-		if err != nil || l.over {
+		if err != nil || l.closed {
 			l.mu.Unlock()
-			l.lost(fmt.Errorf("no connection: %w", err))
+			l.onLost(fmt.Errorf("no connection: %w", err))
 			return
 		}
-		l.conn, l.in, l.greeted, l.open = conn, line.Splitter{}, false, false
-		l.owe()
+		l.conn, l.splitter, l.greeted, l.inAnswer = conn, line.Splitter{}, false, false
+		l.startAnswerTimer()
 		l.mu.Unlock()
-		conn.Start(l, listStuck)
-		conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.GreetingLine, "Scheduler", l.s.who.Name) })
+		conn.Start(l, listStuckTimeout)
+		conn.Send(func(b []byte) []byte {
+			return line.AppendGreeting(b, list.GreetingLine, "Scheduler", l.server.config.Name)
+		})
 	})
 }
 
-// owe begins the time for an answer, settled ends it; under the lock.
-func (l *lister) owe() {
-	l.settled()
+// startAnswerTimer begins the time for an answer, settled ends it; under the lock.
+func (l *listClient) startAnswerTimer() {
+	l.stopAnswerTimer()
 	conn := l.conn
-	l.answer = l.s.w.After(listAnswer, func() { conn.Close(false, nil) })
+	l.answerTimer = l.server.env.After(listAnswerTimeout, func() { conn.Close(false, nil) })
 }
 
-func (l *lister) settled() {
-	if l.answer != nil {
-		l.answer.Stop()
-		l.answer = nil
+func (l *listClient) stopAnswerTimer() {
+	if l.answerTimer != nil {
+		l.answerTimer.Stop()
+		l.answerTimer = nil
 	}
 }
 
-// send sends the calls that wait; under the lock.
-func (l *lister) send() {
-	for _, c := range l.waits {
-		l.asked = l.asked || c != markCall
-		if c == watchCall || c == wholeCall { // these are answered, or have failed
-			l.owe()
+// sendPending sends the calls that wait; under the lock.
+func (l *listClient) sendPending() {
+	for _, c := range l.pending {
+		l.sentCall = l.sentCall || c != maintenanceCall
+		if c == watchCall || c == fullCall { // these are answered, or have failed
+			l.startAnswerTimer()
 		}
 		l.conn.Send(func(b []byte) []byte {
 			switch c {
 			case watchCall:
-				l.s.mu.Lock()
-				defer l.s.mu.Unlock()
-				return list.AppendWatch(b, l.s.list.Version)
-			case wholeCall:
+				l.server.mu.Lock()
+				defer l.server.mu.Unlock()
+				return list.AppendWatch(b, l.server.list.Version)
+			case fullCall:
 				return list.AppendFullRequest(b)
 			case unwatchCall:
 				return list.AppendUnwatch(b)
 			default:
-				return l.s.marks(b)
+				return l.server.appendMarks(b)
 			}
 		})
 	}
-	l.waits = l.waits[:0]
+	l.pending = l.pending[:0]
 }
 
 // OnData takes what the list sends.
-func (l *lister) OnData(b []byte) {
+func (l *listClient) OnData(b []byte) {
 	l.mu.Lock()
 	if !l.greeted {
-		head, after, err := l.in.Greeting(b, list.GreetingLine)
+		head, after, err := l.splitter.Greeting(b, list.GreetingLine)
 		if err != nil {
 			l.conn.Close(false, nil)
 		}
@@ -207,54 +209,54 @@
 			return
 		}
 		l.greeted, b = true, after
-		l.settled()
-		l.send()
+		l.stopAnswerTimer()
+		l.sendPending()
 	}
 	conn := l.conn
 	l.mu.Unlock()
-	if err := l.in.Feed(b, func(fields [][]byte) error { return list.DecodeList(fields, l) }); err != nil {
+	if err := l.splitter.Feed(b, func(fields [][]byte) error { return list.DecodeList(fields, l) }); err != nil {
 		conn.Close(false, list.AppendBye(nil, err.Error()))
 	}
 }
 
 // OnClose meets the end of the connection.
-func (l *lister) OnClose(err error) {
+func (l *listClient) OnClose(err error) {
 	l.mu.Lock()
-	l.settled()
+	l.stopAnswerTimer()
 	l.conn, l.greeted = nil, false
 	l.mu.Unlock()
-	l.lost(err)
+	l.onLost(err)
 }
 
-// lost tells that calls have failed, and plans the next connection.
-func (l *lister) lost(err error) {
+// onLost tells that calls have failed, and plans the next connection.
+func (l *listClient) onLost(err error) {
 	l.mu.Lock()
-	over, asked, now := l.over, l.asked, l.s.w.Now()
-	l.waits = l.waits[:0]
-	if l.told && now-l.began > 2*listAnswer {
+	over, asked, now := l.closed, l.sentCall, l.server.env.Now()
+	l.pending = l.pending[:0]
+	if l.watches && now-l.dialedAt > 2*listAnswerTimeout {
 		l.pace.Linked(now, 0)
 		l.pace.Broken(now, 0)
-	} else if l.told {
+	} else if l.watches {
 		l.pace.Failed(now, 0)
 	}
 	l.mu.Unlock()
 	if over {
 		return
 	}
-	l.s.log.Debug().Str("why", fmt.Sprint(err)).Msg("node list connection ended")
+	l.server.log.Debug().Str("why", fmt.Sprint(err)).Msg("node list connection ended")
 	if asked { // else nothing but marks was sent: no call has failed
-		l.s.listFailed()
+		l.server.onListFailed()
 	}
-	if l.told {
-		l.due()
+	if l.watches {
+		l.dialWhenDue()
 	}
 }
 
-func (l *lister) close() {
+func (l *listClient) close() {
 	l.mu.Lock()
-	l.over = true
+	l.closed = true
 	conn := l.conn
-	l.settled()
+	l.stopAnswerTimer()
 	l.mu.Unlock()
 	if conn != nil {
 		conn.Close(false, list.AppendBye(nil, "scheduler ends"))
@@ -265,23 +267,23 @@
 
 const maxEntries = 1 << 20
 
-var errOrder = errors.New("list answer out of order")
+var errListOrder = errors.New("list answer out of order")
 
 // OnBegin opens an answer.
-func (l *lister) OnBegin(kind int, version uint64) error {
-	if l.open {
-		return errOrder
+func (l *listClient) OnBegin(kind int, version uint64) error {
+	if l.inAnswer {
+		return errListOrder
 	}
-	l.open, l.kind, l.version, l.entries = true, kind, version, l.entries[:0]
+	l.inAnswer, l.answerKind, l.version, l.entries = true, kind, version, l.entries[:0]
 	return nil
 }
 
 // OnEntry is one node of it.
-func (l *lister) OnEntry(id uint32, address string, avail int, startedAt, cores, memory float64,
+func (l *listClient) OnEntry(id uint32, address string, avail int, startedAt, cores, memory float64,
 	zone, cell, kind string,
 ) error {
-	if !l.open || len(l.entries) >= maxEntries {
-		return errOrder
+	if !l.inAnswer || len(l.entries) >= maxEntries {
+		return errListOrder
 	}
 	l.entries = append(l.entries, state.Entry{
 		ID: id, Address: address, Avail: avail, StartedAt: startedAt,
@@ -291,17 +293,17 @@
 }
 
 // OnEnd closes it; only now it counts.
-func (l *lister) OnEnd() error {
-	if !l.open {
-		return errOrder
+func (l *listClient) OnEnd() error {
+	if !l.inAnswer {
+		return errListOrder
 	}
-	l.open = false
+	l.inAnswer = false
 	l.mu.Lock()
-	l.settled()
+	l.stopAnswerTimer()
 	l.mu.Unlock()
-	s := l.s
+	s := l.server
 	s.mu.Lock()
-	if err := s.list.Begin(l.kind, l.version); err != nil {
+	if err := s.list.Begin(l.answerKind, l.version); err != nil {
 		s.mu.Unlock()
 		return err
 	}
@@ -309,83 +311,83 @@
 		s.list.Put(en)
 	}
 	s.list.End()
-	s.noteFleet(l.entries)
-	entries := s.indexed(l.entries)
+	s.recordNodes(l.entries)
+	entries := s.resolveEntries(l.entries)
 	s.mu.Unlock()
-	s.tellOthers(l.version, l.entries)
+	s.gossipList(l.version, l.entries)
 	kind := logic.ListFull
-	if l.kind == list.KindChanges {
+	if l.answerKind == list.KindChanges {
 		kind = logic.ListChanges
 	}
-	s.toAll(kind, entries)
+	s.broadcastList(kind, entries)
 	return nil
 }
 
 // OnFailed tells that a call has failed.
-func (l *lister) OnFailed(string) error {
+func (l *listClient) OnFailed(string) error {
 	l.mu.Lock()
-	l.settled()
+	l.stopAnswerTimer()
 	l.mu.Unlock()
-	l.s.listFailed()
+	l.server.onListFailed()
 	return nil
 }
 
 // OnBye is the list's farewell.
-func (l *lister) OnBye(why string) error { return fmt.Errorf("%w: %s", errBye, why) }
+func (l *listClient) OnBye(why string) error { return fmt.Errorf("%w: %s", errFarewell, why) }
 
-func (s *Server) listFailed() { s.toAll(logic.ListFailed, nil) }
+func (s *Server) onListFailed() { s.broadcastList(logic.ListFailed, nil) }
 
-// toAll tells news of the list to every shard: whichever asked, all may know.
-func (s *Server) toAll(kind logic.ListKind, entries []listEntry) {
-	if s.set != nil && kind != logic.ListFailed {
-		s.set.onList(kind, entries)
+// broadcastList tells news of the list to every shard: whichever asked, all may know.
+func (s *Server) broadcastList(kind logic.ListKind, entries []listEntry) {
+	if s.workingSet != nil && kind != logic.ListFailed {
+		s.workingSet.onList(kind, entries)
 		return
 	}
-	for _, sh := range s.allShards() {
-		sh.hearList(kind, entries)
+	for _, sh := range s.liveShards() {
+		sh.postList(kind, entries)
 	}
 }
 
-// lastListTo tells a new shard what is known of the list, even if that is nothing.
-func (s *Server) lastListTo(sh *shard) {
-	if s.set != nil {
-		s.set.tellNew(sh)
+// sendCachedList tells a new shard what is known of the list, even if that is nothing.
+func (s *Server) sendCachedList(sh *shard) {
+	if s.workingSet != nil {
+		s.workingSet.sendKnownNodes(sh)
 	} else {
 		s.mu.Lock()
-		entries := s.indexed(s.list.Entries())
+		entries := s.resolveEntries(s.list.Entries())
 		s.mu.Unlock()
-		sh.hearList(logic.ListCached, entries)
+		sh.postList(logic.ListCached, entries)
 	}
-	s.desk.Lock()
+	s.routerMu.Lock()
 	var out []uint32
-	for id := range s.out {
+	for id := range s.underMaintenance {
 		out = append(out, id)
 	}
-	s.desk.Unlock()
+	s.routerMu.Unlock()
 	slices.Sort(out)
-	sh.tell(func(now float64) { sh.eng.SetMaintenance(now, out, true) })
-	s.warn(sh)
-	s.zones.tell(sh)
+	sh.post(func(now float64) { sh.engine.SetMaintenance(now, out, true) })
+	s.sendHeldBack(sh)
+	s.zones.sendExcluded(sh)
 }
 
-// indexed gives entries their places as small indices; under the lock. Those whose zone or kind the site file lacks
+// resolveEntries gives entries their places as small indices; under the lock. Those whose zone or kind the site file lacks
 // are left out: nothing can be decided about them.
-func (s *Server) indexed(entries []state.Entry) []listEntry {
+func (s *Server) resolveEntries(entries []state.Entry) []listEntry {
 	all := make([]listEntry, 0, len(entries))
 	skipped := 0
 	for _, en := range entries {
-		if s.who.Faults.ListEntry != nil {
-			s.who.Faults.ListEntry(&en)
+		if s.config.Faults.ListEntry != nil {
+			s.config.Faults.ListEntry(&en)
 		}
-		zone, kind := slices.Index(s.who.Site.Zones, en.Zone), slices.Index(s.who.Site.MachineKinds, en.Kind)
+		zone, kind := slices.Index(s.config.Site.Zones, en.Zone), slices.Index(s.config.Site.MachineKinds, en.Kind)
 		if en.Avail != 0 && (zone < 0 || kind < 0) {
 			skipped++
 			continue
 		}
-		cell, ok := s.cells[en.Cell]
+		cell, ok := s.cellIndex[en.Cell]
 		if !ok {
-			cell = len(s.cells)
-			s.cells[en.Cell] = cell
+			cell = len(s.cellIndex)
+			s.cellIndex[en.Cell] = cell
 		}
 		all = append(all, listEntry{en, max(0, zone), cell, max(0, kind)})
 	}
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -22,37 +22,37 @@
 
 // Times in ms.
 const (
-	lookMembers = 100  // between two looks at who is there
-	tellMembers = 1000 // between two writings of what `ravenpond members` shows
-	leaseEarly  = 200  // a lease counts as over so long before it is: what is decided under it has left by then
+	membershipPollInterval = 100  // between two looks at who is there
+	viewWriteInterval      = 1000 // between two writings of what `ravenpond members` shows
+	leaseMargin            = 200  // a lease counts as over so long before it is: what is decided under it has left by then
 )
 
-// leastKey is the fewest bytes of a member key.
-const leastKey = 16
+// minKeyBytes is the fewest bytes of a member key.
+const minKeyBytes = 16
 
-// circle is what a scheduler has of the others.
-type circle struct {
-	run     *members.Runner
-	sharers atomic.Int64  // how many share what a cold node bears; 0: this process takes no part
-	until   atomic.Uint64 // bits of until when that holds
-	degree  isolation.Monitor
-	mu      sync.Mutex
-	life    uint64
-	council ClusterStateView // what the council said of itself last
-	held    []uint32         // nodes that others say are not ready, ahead of the list here
-	told    float64
+// clusterMembership is what a scheduler has of the others.
+type clusterMembership struct {
+	runner        *members.Runner
+	sharers       atomic.Int64  // how many share what a cold node bears; 0: this process takes no part
+	sharersUntil  atomic.Uint64 // bits of until when that holds
+	isolation     isolation.Monitor
+	mu            sync.Mutex
+	incarnation   uint64
+	controlView   ClusterStateView // what the council said of itself last
+	heldBack      []uint32         // nodes that others say are not ready, ahead of the list here
+	viewWrittenAt float64
 
 	linksMu sync.Mutex
-	links   map[uint32]*link // to nodes, over all trunks: whose own tables can't be asked under the detector's lock, which they call with theirs held
+	links   map[uint32]*nodeLink // to nodes, over all trunks: whose own tables can't be asked under the detector's lock, which they call with theirs held
 }
 
-// keepMembers begins to know the others, where the site file has members.
-func (s *Server) keepMembers() error {
-	m := s.who.Site.Members
+// startMembership begins to know the others, where the site file has members.
+func (s *Server) startMembership() error {
+	m := s.config.Site.Members
 	if m.Listen == "" {
 		return nil
 	}
-	key := s.who.MemberKey
+	key := s.config.MemberKey
 	if key == nil {
 		b, err := os.ReadFile(m.Key)
 		if err != nil {
@@ -60,178 +60,178 @@
 		}
 		key = []byte(strings.TrimSpace(string(b)))
 	}
-	if len(key) < leastKey {
-		return fmt.Errorf("member key %s: %d bytes, at least %d are expected", m.Key, len(key), leastKey)
+	if len(key) < minKeyBytes {
+		return fmt.Errorf("member key %s: %d bytes, at least %d are expected", m.Key, len(key), minKeyBytes)
 	}
 	life, err := s.folder.NextIncarnation()
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	cl := &s.who.Site.Cluster
+	cl := &s.config.Site.Cluster
 	open := 0.0
-	if s.lends() {
-		open = s.longest()
+	if s.leasesQuotas() {
+		open = s.longestDeadline()
 	}
-	run, err := members.Start(s.w, m.Listen, membership.Config{
-		Open: open, Site: s.who.Site.Name, Name: s.who.Name, Address: m.Advertise, Life: uint64(life), Key: key,
-		Seeds: m.Seeds, Seed: s.who.Seed, Place: s.who.Index, Places: cl.Schedulers, Window: cl.SlowStartWindow + leaseSpan,
-	}, changes{s})
+	run, err := members.Start(s.env, m.Listen, membership.Config{
+		Open: open, Site: s.config.Site.Name, Name: s.config.Name, Address: m.Advertise, Life: uint64(life), Key: key,
+		Seeds: m.Seeds, Seed: s.config.Seed, Place: s.config.Index, Places: cl.Schedulers, Window: cl.SlowStartWindow + coldWindowMargin,
+	}, membershipEvents{s})
 	if err != nil {
 		return err
 	}
-	s.circle.run, s.circle.life = run, uint64(life)
+	s.membership.runner, s.membership.incarnation = run, uint64(life)
 	s.log.Info().Str("mode", "members").Str("address", run.Address()).Uint32("life", life).Int("places", cl.Schedulers).Msg("asks for the others")
-	s.every(lookMembers, s.lookMembers)
+	s.every(membershipPollInterval, s.pollMembership)
 	return nil
 }
 
-// leaseSpan is by how much the module lengthens the window of a cold node, ms.
-const leaseSpan = 500
+// coldWindowMargin is by how much the module lengthens the window of a cold node, ms.
+const coldWindowMargin = 500
 
-// changes logs what changes in the view.
-type changes struct{ s *Server }
+// membershipEvents logs what changes in the view.
+type membershipEvents struct{ server *Server }
 
-func (c changes) OnChange(now float64, m membership.Member, was membership.State) {
-	c.s.log.Info().Str("mode", "members").Str("member", m.Name).Str("address", m.Address).Uint64("life", m.Life).Uint64("version", m.Version).
+func (c membershipEvents) OnChange(now float64, m membership.Member, was membership.State) {
+	c.server.log.Info().Str("mode", "members").Str("member", m.Name).Str("address", m.Address).Uint64("life", m.Life).Uint64("version", m.Version).
 		Stringer("was", was).Stringer("is", m.State).Str("by", m.By).Float64("unix_ms", now+float64(outside.Epoch.UnixMilli())).Msg("member")
 }
 
-func (c changes) OnNameTaken(_ float64, address string) {
-	c.s.log.Error().Str("mode", "members").Str("at", address).Msg("another scheduler goes by this one's name: this one takes no part in cold nodes")
+func (c membershipEvents) OnNameTaken(_ float64, address string) {
+	c.server.log.Error().Str("mode", "members").Str("at", address).Msg("another scheduler goes by this one's name: this one takes no part in cold nodes")
 }
 
 // LastHeard is what this process hears of a node.
-func (c changes) LastHeard(node uint32) (life uint64, heard float64, ok bool) {
-	c.s.circle.linksMu.Lock()
-	defer c.s.circle.linksMu.Unlock()
-	l := c.s.circle.links[node]
+func (c membershipEvents) LastHeard(node uint32) (life uint64, heard float64, ok bool) {
+	c.server.membership.linksMu.Lock()
+	defer c.server.membership.linksMu.Unlock()
+	l := c.server.membership.links[node]
 	if l == nil {
 		return 0, 0, false
 	}
-	return l.life, math.Float64frombits(l.heardAt.Load()), true
+	return l.incarnation, math.Float64frombits(l.lastReceived.Load()), true
 }
 
-// met and missed follow the connections to nodes, for the others' sake and to ask them for one that is lost.
-func (s *Server) met(l *link) {
-	c := &s.circle
-	if c.run == nil {
+// onNodeConnected and missed follow the connections to nodes, for the others' sake and to ask them for one that is lost.
+func (s *Server) onNodeConnected(l *nodeLink) {
+	c := &s.membership
+	if c.runner == nil {
 		return
 	}
 	c.linksMu.Lock()
 	if c.links == nil {
-		c.links = map[uint32]*link{}
+		c.links = map[uint32]*nodeLink{}
 	}
-	c.links[l.nd] = l
+	c.links[l.node] = l
 	c.linksMu.Unlock()
-	c.run.WithDetector(func(d *membership.Detector) { d.NodeBack(l.nd) })
+	c.runner.WithDetector(func(d *membership.Detector) { d.NodeBack(l.node) })
 }
 
-func (s *Server) missed(l *link) {
-	c := &s.circle
-	if c.run == nil {
+func (s *Server) onNodeDisconnected(l *nodeLink) {
+	c := &s.membership
+	if c.runner == nil {
 		return
 	}
 	c.linksMu.Lock()
-	last := c.links[l.nd] == l
+	last := c.links[l.node] == l
 	if last {
-		delete(c.links, l.nd)
+		delete(c.links, l.node)
 	}
 	c.linksMu.Unlock()
 	if last {
-		now := s.w.Now()
-		c.run.WithDetector(func(d *membership.Detector) { d.NodeLost(now, l.nd, l.life) })
+		now := s.env.Now()
+		c.runner.WithDetector(func(d *membership.Detector) { d.NodeLost(now, l.node, l.incarnation) })
 	}
 }
 
-// nodeLives tells a shard whether others hear a node that it has lost.
-func (s *Server) nodeLives(now float64, nd uint32, life uint64) (lives bool) {
-	if s.circle.run == nil {
+// nodeAlive tells a shard whether others hear a node that it has lost.
+func (s *Server) nodeAlive(now float64, nd uint32, life uint64) (lives bool) {
+	if s.membership.runner == nil {
 		return false
 	}
-	s.circle.run.WithDetector(func(d *membership.Detector) { lives = d.NodeLives(now, nd, life) })
+	s.membership.runner.WithDetector(func(d *membership.Detector) { lives = d.NodeLives(now, nd, life) })
 	return lives
 }
 
-// lookMembers takes over what the view says: how many share cold nodes, and how far this process is cut off.
-func (s *Server) lookMembers() {
-	now := s.w.Now()
-	c := &s.circle
+// pollMembership takes over what the view says: how many share cold nodes, and how far this process is cut off.
+func (s *Server) pollMembership() {
+	now := s.env.Now()
+	c := &s.membership
 	var n, alive, known, has, needs, lent int
 	var until, lentUntil float64
 	var held []uint32
 	var ended []func(sh *shard, now float64)
-	c.run.WithDetector(func(d *membership.Detector) {
-		n, until = d.Sharers(now + leaseEarly)
+	c.runner.WithDetector(func(d *membership.Detector) {
+		n, until = d.Sharers(now + leaseMargin)
 		a, suspect, dead, _ := d.Count()
 		alive, known = a, a+suspect+dead
 		has, needs = d.Leaves(now)
 		held = d.Held(now)
-		lent, lentUntil = d.Lent(now + leaseEarly)
+		lent, lentUntil = d.Lent(now + leaseMargin)
 		d.NodesEnded(func(node uint32, life uint64) {
-			ended = append(ended, func(sh *shard, now float64) { sh.eng.OnIncarnationEnded(now, node, life) })
+			ended = append(ended, func(sh *shard, now float64) { sh.engine.OnIncarnationEnded(now, node, life) })
 		})
 	})
 	for _, tell := range ended {
-		s.tellShards(tell)
+		s.postAll(tell)
 	}
-	if s.lends() {
-		s.desk.Lock()
-		s.clubs.loan.Take(lent, lentUntil-leaseEarly)
-		declined := s.lend(now)
-		s.freed()
-		s.desk.Unlock()
-		s.turnAway(declined)
+	if s.leasesQuotas() {
+		s.routerMu.Lock()
+		s.hosting.quotaLease.Take(lent, lentUntil-leaseMargin)
+		declined := s.checkQuotaLease(now)
+		s.pumpIfFree()
+		s.routerMu.Unlock()
+		s.rejectAll(declined)
 	}
-	s.hold(held)
+	s.holdBackNodes(held)
 	if was := int(c.sharers.Load()); was != n {
 		s.log.Info().Str("mode", "members").Int("share", n).Int("was", was).Int("leaves", has).Int("needs", needs).Msg("cold nodes")
 	}
-	c.until.Store(math.Float64bits(until - leaseEarly))
+	c.sharersUntil.Store(math.Float64bits(until - leaseMargin))
 	c.sharers.Store(int64(n))
-	if d, turned := c.degree.Update(now, alive, known); turned {
+	if d, turned := c.isolation.Update(now, alive, known); turned {
 		s.log.Warn().Str("mode", "members").Stringer("degree", d).Int("alive", alive).Int("known", known).Int("share", n).Msg("contact with others")
 	}
-	if now-c.told >= tellMembers {
-		c.told = now
-		s.words.Do("members", s.writeMembers)
+	if now-c.viewWrittenAt >= viewWriteInterval {
+		c.viewWrittenAt = now
+		s.diagnostics.Do("members", s.writeMembershipView)
 	}
 }
 
-// hold has all shards give nothing new to nodes that others say are not ready, and no longer hold back the rest.
-func (s *Server) hold(nodes []uint32) {
-	c := &s.circle
+// holdBackNodes has all shards give nothing new to nodes that others say are not ready, and no longer hold back the rest.
+func (s *Server) holdBackNodes(nodes []uint32) {
+	c := &s.membership
 	c.mu.Lock()
-	was := c.held
-	c.held = nodes
+	was := c.heldBack
+	c.heldBack = nodes
 	c.mu.Unlock()
 	if slices.Equal(was, nodes) {
 		return
 	}
 	gone := slices.DeleteFunc(slices.Clone(was), func(id uint32) bool { return slices.Contains(nodes, id) })
 	s.log.Info().Str("mode", "members").Int("held", len(nodes)).Int("freed", len(gone)).Msg("nodes held back on the word of others")
-	s.tellShards(func(sh *shard, now float64) {
-		sh.eng.SetWarned(now, gone, false)
-		sh.eng.SetWarned(now, nodes, true)
+	s.postAll(func(sh *shard, now float64) {
+		sh.engine.SetWarned(now, gone, false)
+		sh.engine.SetWarned(now, nodes, true)
 	})
 }
 
-// warn tells a new shard which nodes are held back.
-func (s *Server) warn(sh *shard) {
-	s.circle.mu.Lock()
-	held := s.circle.held
-	s.circle.mu.Unlock()
+// sendHeldBack tells a new shard which nodes are held back.
+func (s *Server) sendHeldBack(sh *shard) {
+	s.membership.mu.Lock()
+	held := s.membership.heldBack
+	s.membership.mu.Unlock()
 	if len(held) > 0 {
-		sh.tell(func(now float64) { sh.eng.SetWarned(now, held, true) })
+		sh.post(func(now float64) { sh.engine.SetWarned(now, held, true) })
 	}
 }
 
-// tellOthers has the others hear what an answer of the node list says.
-func (s *Server) tellOthers(version uint64, entries []state.Entry) {
-	if s.circle.run == nil {
+// gossipList has the others hear what an answer of the node list says.
+func (s *Server) gossipList(version uint64, entries []state.Entry) {
+	if s.membership.runner == nil {
 		return
 	}
-	now := s.w.Now()
-	s.circle.run.WithDetector(func(d *membership.Detector) {
+	now := s.env.Now()
+	s.membership.runner.WithDetector(func(d *membership.Detector) {
 		d.List(now, version, func(yield func(node uint32, ready, gone bool)) {
 			for _, en := range entries {
 				yield(en.ID, logic.Availability(en.Avail) == logic.Ready, logic.Availability(en.Avail) == logic.Unavailable)
@@ -240,13 +240,13 @@
 	})
 }
 
-// sharing is how many share what cold nodes bear, now: 0 once the lease is over, whatever the last look said, as after a
+// sharers is how many share what cold nodes bear, now: 0 once the lease is over, whatever the last look said, as after a
 // stand-still.
-func (s *Server) sharing(now float64) int {
-	if now >= math.Float64frombits(s.circle.until.Load()) {
+func (s *Server) sharers(now float64) int {
+	if now >= math.Float64frombits(s.membership.sharersUntil.Load()) {
 		return 0
 	}
-	return int(s.circle.sharers.Load())
+	return int(s.membership.sharers.Load())
 }
 
 // MembersFile is where a scheduler writes what it holds of the others, in its folder.
@@ -296,11 +296,11 @@
 	LastContact float64 `json:"Heard"` // seconds ago, 0 never
 }
 
-func (s *Server) writeMembers() {
-	now := s.w.Now()
-	v := MembershipView{Name: s.who.Name, At: s.w.WallClock(), Sharers: s.sharing(now), Isolation: s.circle.degree.Degree().String()}
-	s.circle.run.WithDetector(func(d *membership.Detector) {
-		v.Address, v.Incarnation, v.Health, v.NameTaken, v.Stats = s.circle.run.Address(), d.Life(), d.Health(), d.Taken(), d.Stats
+func (s *Server) writeMembershipView() {
+	now := s.env.Now()
+	v := MembershipView{Name: s.config.Name, At: s.env.WallClock(), Sharers: s.sharers(now), Isolation: s.membership.isolation.Degree().String()}
+	s.membership.runner.WithDetector(func(d *membership.Detector) {
+		v.Address, v.Incarnation, v.Health, v.NameTaken, v.Stats = s.membership.runner.Address(), d.Life(), d.Health(), d.Taken(), d.Stats
 		v.Permits, v.PermitsNeeded = d.Leaves(now)
 		for _, m := range d.All() {
 			x := MemberView{Name: m.Name, Address: m.Address, State: m.State.String(), ReportedBy: m.By, Incarnation: m.Life, Version: m.Version, InState: (now - m.Since) / 1000}
@@ -310,7 +310,7 @@
 			v.Members = append(v.Members, x)
 		}
 	})
-	v.ClusterState = s.bookView(now)
+	v.ClusterState = s.clusterStateView(now)
 	b, err := json.MarshalIndent(v, "", " ")
 	if err == nil {
 		err = s.folder.WriteUnsynced(MembersFile, b)
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -19,44 +19,44 @@
 
 // Bounds of the page of counts.
 const (
-	countsWithin = 200 * time.Millisecond // a shard that says nothing for so long is left out
-	headerWithin = 2 * time.Second
-	mostHeader   = 8 << 10
-	mostScrapes  = 4 // at once
+	collectTimeout       = 200 * time.Millisecond // a shard that says nothing for so long is left out
+	httpTimeout          = 2 * time.Second
+	maxHeaderBytes       = 8 << 10
+	maxConcurrentScrapes = 4 // at once
 )
 
-// counts gathers what a scheduler counts when it is asked for, by asking each part: nothing is counted twice or kept for it.
-type counts struct {
-	s *Server
+// metricsCollector gathers what a scheduler counts when it is asked for, by asking each part: nothing is counted twice or kept for it.
+type metricsCollector struct {
+	server *Server
 
-	answers, offers, open, tries, shards *prometheus.Desc
-	members, datagrams, deaths           *prometheus.Desc
-	version, sure, messages, writes      *prometheus.Desc
-	zone, cpu                            *prometheus.Desc
-	traffic, trafficBytes                *prometheus.Desc
-	connections, opened                  *prometheus.Desc
+	answers, attempts, open, running, shards *prometheus.Desc
+	members, datagrams, deaths               *prometheus.Desc
+	version, leaseSeconds, messages, writes  *prometheus.Desc
+	zoneShare, cpu                           *prometheus.Desc
+	traffic, trafficBytes                    *prometheus.Desc
+	connections, opened                      *prometheus.Desc
 }
 
-func newCounts(s *Server) *counts {
+func newCounts(s *Server) *metricsCollector {
 	d := func(name, help string, labels ...string) *prometheus.Desc {
-		return prometheus.NewDesc("ravenpond_"+name, help, labels, prometheus.Labels{"scheduler": s.who.Name})
+		return prometheus.NewDesc("ravenpond_"+name, help, labels, prometheus.Labels{"scheduler": s.config.Name})
 	}
-	return &counts{
-		s:         s,
-		answers:   d("allocations_total", "Allocations by what became of them.", "became"),
-		offers:    d("tries_total", "Placement tries that were sent."),
-		open:      d("allocations_open", "Allocations without a final answer."),
-		tries:     d("tries_held", "Allocations with a try that is out or runs."),
-		shards:    d("shards", "Shards that answered when they were asked."),
-		members:   d("members", "Other schedulers by the state in which they are held.", "state"),
-		datagrams: d("members_datagrams_total", "Members' datagrams.", "way"),
-		deaths:    d("members_deaths_total", "Other schedulers that were held for dead."),
-		version:   d("book_version", "Version of the book that is held."),
-		sure:      d("book_sure_seconds", "For how long it may be acted on yet; under 0 by its careful reading."),
-		messages:  d("book_messages_total", "Messages sent for the book."),
-		writes:    d("book_writes_total", "Writes of a steward."),
-		zone:      d("zone_part", "Part of a zone's nodes that is sent to.", "zone"),
-		cpu:       d("cpu_seconds_total", "CPU time of the process, user and system."),
+	return &metricsCollector{
+		server:       s,
+		answers:      d("allocations_total", "Allocations by what became of them.", "became"),
+		attempts:     d("tries_total", "Placement tries that were sent."),
+		open:         d("allocations_open", "Allocations without a final answer."),
+		running:      d("tries_held", "Allocations with a try that is out or runs."),
+		shards:       d("shards", "Shards that answered when they were asked."),
+		members:      d("members", "Other schedulers by the state in which they are held.", "state"),
+		datagrams:    d("members_datagrams_total", "Members' datagrams.", "way"),
+		deaths:       d("members_deaths_total", "Other schedulers that were held for dead."),
+		version:      d("book_version", "Version of the book that is held."),
+		leaseSeconds: d("book_sure_seconds", "For how long it may be acted on yet; under 0 by its careful reading."),
+		messages:     d("book_messages_total", "Messages sent for the book."),
+		writes:       d("book_writes_total", "Writes of a steward."),
+		zoneShare:    d("zone_part", "Part of a zone's nodes that is sent to.", "zone"),
+		cpu:          d("cpu_seconds_total", "CPU time of the process, user and system."),
 
 		traffic:      d("traffic_messages_total", "Messages handed over, and reads that brought something, by kind of connection.", "kind", "way"),
 		trafficBytes: d("traffic_bytes_total", "Bytes of connections and datagrams.", "kind", "way"),
@@ -66,27 +66,29 @@
 }
 
 // Describe names all counts.
-func (c *counts) Describe(out chan<- *prometheus.Desc) { prometheus.DescribeByCollect(c, out) }
+func (c *metricsCollector) Describe(out chan<- *prometheus.Desc) {
+	prometheus.DescribeByCollect(c, out)
+}
 
 // Collect asks all parts.
-func (c *counts) Collect(out chan<- prometheus.Metric) {
+func (c *metricsCollector) Collect(out chan<- prometheus.Metric) {
 	counter := func(d *prometheus.Desc, v uint64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), labels...)
 	}
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	st, n := c.s.stats()
+	st, n := c.server.stats()
 	for became, v := range map[string]uint64{"taken": st.Admitted, "refused": st.Rejected, "served": st.Served, "declined": st.Declined, "failed": st.Failed, "lapsed": st.Expired} {
 		counter(c.answers, v, became)
 	}
-	counter(c.offers, st.Offers)
+	counter(c.attempts, st.Offers)
 	c.collectProcess(out)
 	gauge(c.open, float64(st.Open))
-	gauge(c.tries, float64(st.Held))
+	gauge(c.running, float64(st.Held))
 	gauge(c.shards, float64(n))
-	if c.s.circle.run != nil {
-		c.s.circle.run.WithDetector(func(d *membership.Detector) {
+	if c.server.membership.runner != nil {
+		c.server.membership.runner.WithDetector(func(d *membership.Detector) {
 			alive, suspect, dead, left := d.Count()
 			for state, v := range map[string]int{"alive": alive, "suspect": suspect, "dead": dead, "left": left} {
 				gauge(c.members, float64(v), state)
@@ -96,39 +98,39 @@
 			counter(c.deaths, d.Stats.Deaths)
 		})
 	}
-	if c.s.control == nil {
+	if c.server.control == nil {
 		return
 	}
-	view := c.s.control.View()
+	view := c.server.control.View()
 	gauge(c.version, float64(view.State.Version()))
-	gauge(c.sure, (view.LeaseExpiry-c.s.w.Now())/1000)
-	parts, _ := c.s.zones.shown()
+	gauge(c.leaseSeconds, (view.LeaseExpiry-c.server.env.Now())/1000)
+	parts, _ := c.server.zones.currentShares()
 	for zone, part := range parts {
-		gauge(c.zone, part, zone)
+		gauge(c.zoneShare, part, zone)
 	}
 	f := make(chan consensus.Stats, 1)
-	c.s.control.Enqueue(func(k *consensus.Replica) { f <- k.Stats })
+	c.server.control.Enqueue(func(k *consensus.Replica) { f <- k.Stats })
 	select {
 	case f := <-f:
 		counter(c.messages, f.Messages)
 		counter(c.writes, f.Writes)
-	case <-time.After(countsWithin):
+	case <-time.After(collectTimeout):
 	}
 }
 
 // stats sums up what shards count, and tells how many answered.
 func (s *Server) stats() (sum engine.Stats, shards int) {
-	s.desk.Lock()
-	all := s.living()
-	s.desk.Unlock()
+	s.routerMu.Lock()
+	all := s.liveShardsLocked()
+	s.routerMu.Unlock()
 	told := make(chan engine.Stats, len(all))
 	asked := 0
 	for _, sh := range all {
-		if sh.tell(func(float64) { told <- sh.eng.Stats() }) {
+		if sh.post(func(float64) { told <- sh.engine.Stats() }) {
 			asked++
 		}
 	}
-	late := time.After(countsWithin)
+	late := time.After(collectTimeout)
 	for range asked {
 		select {
 		case st := <-told:
@@ -149,8 +151,8 @@
 	return sum, shards
 }
 
-// showCounts serves the page of counts where the site file has an address for it. ended closes it and waits.
-func (s *Server) showCounts(listen string) (address string, ended func(), err error) {
+// serveMetrics serves the page of counts where the site file has an address for it. ended closes it and waits.
+func (s *Server) serveMetrics(listen string) (address string, ended func(), err error) {
 	if listen == "" {
 		return "", func() {}, nil
 	}
@@ -166,10 +168,10 @@
 		return "", nil, fmt.Errorf("counts: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{MaxRequestsInFlight: mostScrapes, Timeout: headerWithin}))
+	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes, Timeout: httpTimeout}))
 	srv := &http.Server{
-		Handler: mux, ReadHeaderTimeout: headerWithin, ReadTimeout: headerWithin, WriteTimeout: 2 * headerWithin,
-		IdleTimeout: 30 * time.Second, MaxHeaderBytes: mostHeader,
+		Handler: mux, ReadHeaderTimeout: httpTimeout, ReadTimeout: httpTimeout, WriteTimeout: 2 * httpTimeout,
+		IdleTimeout: 30 * time.Second, MaxHeaderBytes: maxHeaderBytes,
 	}
 	done := make(chan struct{})
 	go func() {
@@ -180,7 +182,7 @@
 	}()
 	s.log.Info().Str("mode", "counts").Str("address", l.Addr().String()).Msg("page")
 	return l.Addr().String(), func() {
-		ctx, stop := context.WithTimeout(context.Background(), countsWithin)
+		ctx, stop := context.WithTimeout(context.Background(), collectTimeout)
 		defer stop()
 		if srv.Shutdown(ctx) != nil {
 			srv.Close()
--- a/internal/serve/metrics_process.go
+++ b/internal/serve/metrics_process.go
@@ -8,17 +8,17 @@
 	"ravenpond/internal/outside"
 )
 
-// flower is a world that counts what passes through it, as that of sockets does.
-type flower interface{ Traffic() []outside.Traffic }
+// trafficCounter is a world that counts what passes through it, as that of sockets does.
+type trafficCounter interface{ Traffic() []outside.Traffic }
 
 // collectProcess tells what the process as a whole used: CPU time, finer than the kernel's ticks, and its traffic.
-func (c *counts) collectProcess(out chan<- prometheus.Metric) {
+func (c *metricsCollector) collectProcess(out chan<- prometheus.Metric) {
 	var used syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &used) == nil {
 		seconds := float64(used.Utime.Nano()+used.Stime.Nano()) / 1e9
 		out <- prometheus.MustNewConstMetric(c.cpu, prometheus.CounterValue, seconds)
 	}
-	world, ok := c.s.w.(flower)
+	world, ok := c.server.env.(trafficCounter)
 	if !ok {
 		return
 	}
--- a/internal/serve/metrics_test.go
+++ b/internal/serve/metrics_test.go
@@ -16,7 +16,7 @@
 	at := make(chan string, 1)
 	s.tune = func(who *Config) {
 		ready := who.Ready
-		who.OnLocalListener = func(l *LocalListener) { at <- l.s.countsAt }
+		who.OnLocalListener = func(l *LocalListener) { at <- l.server.metricsAddress }
 		who.Ready = ready
 	}
 	place := *s.place
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -88,53 +88,53 @@
 	SkipVisits   bool // nodes outside the working set are not asked what they hold
 }
 
-// saveEvery is how often, in ms, a changed list is put on the disk; what is lost in between is asked for again.
-const saveEvery = 1000
+// listSaveInterval is how often, in ms, a changed list is put on the disk; what is lost in between is asked for again.
+const listSaveInterval = 1000
 
-// nodesSaved is how many nodes' entries are saved in that time where a scheduler works with some of its nodes.
-const nodesSaved = 1000
+// nodesSavedPerInterval is how many nodes' entries are saved in that time where a scheduler works with some of its nodes.
+const nodesSavedPerInterval = 1000
 
 // Server is one running scheduler process.
 type Server struct {
-	words  besteffort.Guard // round what is only said to people
-	who    Config
-	w      outside.Environment
-	log    zerolog.Logger
-	folder *state.Folder
-	door   outside.Listener
-	lister *lister
-	over   atomic.Bool   // it ends: nothing new is begun
-	looked atomic.Uint64 // bits of the time of the last look at the shards
-
-	stoodFor, stoodUntil atomic.Uint64 // bits of how long it stood still last, and until when that matters
-
-	desk    sync.Mutex          // held for a few look-ups at a time
-	acts    *shardrouter.Router // who acts for what
-	shards  []*shard            // the present life of each
-	lives   map[uint32]*shard
-	out     map[uint32]bool // nodes that are out for maintenance
-	back    []uint32        // and those that came back, of which the list is not yet told
-	marked  float64         // when the list was last told
-	counted map[int]count   // what shards hold, as last counted
-	clubs   clubs           // tenants, where they come and go
-	circle  circle          // the other schedulers, where the site file has members
-	control *control.Runner // what they agree on, where it names stewards
-	zones   *zonesView      // and what follows for zones
-	set     *nodeSet        // the nodes that the shards work with; nil: all
-	trunk   *trunk          // the connections that shards share, if they do
-
-	countsAt  string // where counts are shown
-	countsEnd func()
-
-	mu       sync.Mutex
-	owners   map[uint32]*owner
-	ownerIDs uint32
-	entry    *connadmission.Door // where tenants come and go
-	list     *state.NodeList
-	savedAt  float64 // when the list was last saved
-	cells    map[string]int
-	known    map[string]calendar.Node // every node that was ever on the list, until long after it left
-	goneAt   map[string]time.Time
+	diagnostics    besteffort.Guard // round what is only said to people
+	config         Config
+	env            outside.Environment
+	log            zerolog.Logger
+	folder         *state.Folder
+	listener       outside.Listener
+	listClient     *listClient
+	stopped        atomic.Bool   // it ends: nothing new is begun
+	lastShardCheck atomic.Uint64 // bits of the time of the last look at the shards
+
+	stallDuration, stallRelevantUntil atomic.Uint64 // bits of how long it stood still last, and until when that matters
+
+	routerMu         sync.Mutex          // held for a few look-ups at a time
+	router           *shardrouter.Router // who acts for what
+	shards           []*shard            // the present life of each
+	incarnations     map[uint32]*shard
+	underMaintenance map[uint32]bool   // nodes that are out for maintenance
+	returned         []uint32          // and those that came back, of which the list is not yet told
+	marksSentAt      float64           // when the list was last told
+	taskCounts       map[int]taskCount // what shards hold, as last counted
+	hosting          tenantHosting     // tenants, where they come and go
+	membership       clusterMembership // the other schedulers, where the site file has members
+	control          *control.Runner   // what they agree on, where it names stewards
+	zones            *zoneRouting      // and what follows for zones
+	workingSet       *workingSet       // the nodes that the shards work with; nil: all
+	connections      *nodeConnections  // the connections that shards share, if they do
+
+	metricsAddress string // where counts are shown
+	closeMetrics   func()
+
+	mu           sync.Mutex
+	clients      map[uint32]*clientConn
+	lastClientID uint32
+	admission    *connadmission.Door // where tenants come and go
+	list         *state.NodeList
+	listSavedAt  float64 // when the list was last saved
+	cellIndex    map[string]int
+	knownNodes   map[string]calendar.Node // every node that was ever on the list, until long after it left
+	lostSince    map[string]time.Time
 }
 
 // Run runs a scheduler on sockets until the context ends. All that was open is answered then.
@@ -202,16 +202,16 @@
 		who.Log.Error().Str("mode", "words").Str("what", what).Str("why", why).Msg("switched off")
 	}
 	s = &Server{
-		words: besteffort.Guard{Tell: say}, who: who, w: w, log: who.Log, folder: folder, list: last, owners: map[uint32]*owner{}, cells: map[string]int{},
-		lives: map[uint32]*shard{}, out: map[uint32]bool{}, counted: map[int]count{}, known: map[string]calendar.Node{}, goneAt: map[string]time.Time{},
+		diagnostics: besteffort.Guard{Tell: say}, config: who, env: w, log: who.Log, folder: folder, list: last, clients: map[uint32]*clientConn{}, cellIndex: map[string]int{},
+		incarnations: map[uint32]*shard{}, underMaintenance: map[uint32]bool{}, taskCounts: map[int]taskCount{}, knownNodes: map[string]calendar.Node{}, lostSince: map[string]time.Time{},
 	}
-	s.lister = newLister(s)
-	s.noteFleet(last.Entries())
-	s.acts = shardrouter.New(w.Now(), shardrouter.Terms{
+	s.listClient = newLister(s)
+	s.recordNodes(last.Entries())
+	s.router = shardrouter.New(w.Now(), shardrouter.Terms{
 		Jobs: place.Cluster.JobClasses, Way: shares.Way(place.ShardBy), Shards: place.Shards,
 		Most: place.MaxShards, Open: place.MaxOpen, Margin: place.AnswerMargin, Step: place.Cluster.MinRoundInterval, Trusted: who.Faults.PermitAnyEpoch, Hosts: place.MaxHostedTenants > 0,
 	})
-	var t *trunk
+	var t *nodeConnections
 	for i := range place.Shards {
 		sh, err := s.newShard(i)
 		if err != nil {
@@ -220,59 +220,59 @@
 		if i == 0 || place.Connections == site.OwnConnections {
 			t = newTrunk(s, i)
 		}
-		sh.trunk, s.trunk = t, t
-		sh.trunk.set(sh)
+		sh.connections, s.connections = t, t
+		sh.connections.attach(sh)
 		s.shards = append(s.shards, sh)
-		s.lives[sh.life] = sh
-		s.acts.Started(i, sh.life)
+		s.incarnations[sh.incarnation] = sh
+		s.router.Started(i, sh.incarnation)
 	}
-	if err := bolt.RetryWhileLocked(context.Background(), atStart, s.outAtStart); err != nil {
+	if err := bolt.RetryWhileLocked(context.Background(), storeOpenAttempts, s.loadOpenWindows); err != nil {
 		return nil, fmt.Errorf("drains: %w", err)
 	}
-	if s.set = newNodeSet(s); s.set != nil {
-		s.set.onList(logic.ListCached, s.indexed(last.Entries()))
+	if s.workingSet = newNodeSet(s); s.workingSet != nil {
+		s.workingSet.onList(logic.ListCached, s.resolveEntries(last.Entries()))
 	}
 	for _, sh := range s.shards {
-		s.lastListTo(sh)
+		s.sendCachedList(sh)
 	}
-	if err := s.keepClubs(); err != nil {
+	if err := s.startTenants(); err != nil {
 		return nil, err
 	}
-	if err := s.keepBook(); err != nil {
+	if err := s.startControl(); err != nil {
 		return nil, err
 	}
-	if s.door, err = w.Listen(place.ClientsListen, s.came); err != nil {
+	if s.listener, err = w.Listen(place.ClientsListen, s.acceptClient); err != nil {
 		return nil, fmt.Errorf("owners' door: %w", err)
 	}
-	s.log.Info().Str("mode", "serve").Uint32("life", s.acts.Epoch()).Int("nodes", len(last.Entries())).
-		Int("shards", place.Shards).Str("owners", s.door.Address()).Msg("scheduler begins")
+	s.log.Info().Str("mode", "serve").Uint32("life", s.router.Epoch()).Int("nodes", len(last.Entries())).
+		Int("shards", place.Shards).Str("owners", s.listener.Address()).Msg("scheduler begins")
 	for _, sh := range s.shards {
-		sh.begin()
+		sh.start()
 	}
-	s.lister.begin()
-	if s.set != nil {
-		s.set.begin()
+	s.listClient.start()
+	if s.workingSet != nil {
+		s.workingSet.start()
 	}
-	s.every(saveEvery, func() {
-		if s.saveWaits() {
+	s.every(listSaveInterval, func() {
+		if s.saveDeferred() {
 			return
 		}
-		if err := s.save(); err != nil {
+		if err := s.saveList(); err != nil {
 			s.log.Error().Str("mode", "state").Err(err).Msg("list not saved")
 		}
 	})
-	s.keepDrains()
-	if s.hosts() {
-		s.every(pumpEach, s.pump)
-	}
-	s.handsOver()
-	s.looked.Store(math.Float64bits(w.Now()))
-	s.every(s.lookEach(), s.watch)
-	if s.countsAt, s.countsEnd, err = s.showCounts(who.Site.StatsListen); err != nil {
+	s.startMaintenance()
+	if s.hostsTenants() {
+		s.every(pumpInterval, s.pump)
+	}
+	s.startHandovers()
+	s.lastShardCheck.Store(math.Float64bits(w.Now()))
+	s.every(s.shardCheckInterval(), s.checkShards)
+	if s.metricsAddress, s.closeMetrics, err = s.serveMetrics(who.Site.StatsListen); err != nil {
 		return nil, err
 	}
 	if who.Ready != nil {
-		who.Ready(s.door.Address())
+		who.Ready(s.listener.Address())
 	}
 	if who.OnLocalListener != nil {
 		who.OnLocalListener(&LocalListener{s})
@@ -280,37 +280,39 @@
 	return s, nil
 }
 
-// lookEach is how often, in ms, the shards are looked at.
-func (s *Server) lookEach() float64 { return min(watchdog.LookEach(), s.who.Site.AnswerMargin/4) }
+// shardCheckInterval is how often, in ms, the shards are looked at.
+func (s *Server) shardCheckInterval() float64 {
+	return min(watchdog.LookEach(), s.config.Site.AnswerMargin/4)
+}
 
-// stood is how long the process has stood still just now: a look at the shards is overdue, or the last was.
-func (s *Server) stood() float64 {
-	now := s.w.Now()
-	gap := now - math.Float64frombits(s.looked.Load())
-	if now < math.Float64frombits(s.stoodUntil.Load()) {
-		gap = max(gap, math.Float64frombits(s.stoodFor.Load()))
+// recentStall is how long the process has stood still just now: a look at the shards is overdue, or the last was.
+func (s *Server) recentStall() float64 {
+	now := s.env.Now()
+	gap := now - math.Float64frombits(s.lastShardCheck.Load())
+	if now < math.Float64frombits(s.stallRelevantUntil.Load()) {
+		gap = max(gap, math.Float64frombits(s.stallDuration.Load()))
 	}
-	if gap < 2*s.lookEach() {
+	if gap < 2*s.shardCheckInterval() {
 		return 0
 	}
 	return gap
 }
 
-// look notes that the process runs, and a stand-still before: what lay unread meanwhile is read within a moment.
-func (s *Server) look(now float64) {
-	if gap := now - math.Float64frombits(s.looked.Swap(math.Float64bits(now))); gap > 2*s.lookEach() {
-		s.stoodFor.Store(math.Float64bits(gap))
-		s.stoodUntil.Store(math.Float64bits(now + unreadFor))
+// recordCheck notes that the process runs, and a stand-still before: what lay unread meanwhile is read within a moment.
+func (s *Server) recordCheck(now float64) {
+	if gap := now - math.Float64frombits(s.lastShardCheck.Swap(math.Float64bits(now))); gap > 2*s.shardCheckInterval() {
+		s.stallDuration.Store(math.Float64bits(gap))
+		s.stallRelevantUntil.Store(math.Float64bits(now + unreadAfterStall))
 	}
 }
 
-// unreadFor is how long after a stand-still, in ms, something may still be read that came during it.
-const unreadFor = 1000
+// unreadAfterStall is how long after a stand-still, in ms, something may still be read that came during it.
+const unreadAfterStall = 1000
 
 // every calls f every so many ms until the end.
 func (s *Server) every(ms float64, f func()) {
-	outside.Every(s.w, ms, func() bool {
-		if s.over.Load() {
+	outside.Every(s.env, ms, func() bool {
+		if s.stopped.Load() {
 			return false
 		}
 		f()
@@ -318,36 +320,36 @@
 	})
 }
 
-// soon calls f by a call of its own, as whoever wants it may hold what it needs.
-func (s *Server) soon(f func()) { s.w.After(0, f) }
+// async calls f by a call of its own, as whoever wants it may hold what it needs.
+func (s *Server) async(f func()) { s.env.After(0, f) }
 
 // Times of an end, in ms.
 const (
-	endShards = 1000 // for a shard's last answers; one that stands still is not waited for longer
-	endOwners = 500  // for answers to leave
-	endLook   = 5
+	shardCloseTimeout    = 1000 // for a shard's last answers; one that stands still is not waited for longer
+	clientFlushTimeout   = 500  // for answers to leave
+	shutdownPollInterval = 5
 )
 
 // Shutdown answers all that is open and ends the scheduler; then is called when that is done.
 func (s *Server) Shutdown(then func(error)) {
-	s.door.StopAccepting()
-	s.countsEnd()
+	s.listener.StopAccepting()
+	s.closeMetrics()
 	if s.control != nil {
 		s.control.Stop()
 	}
-	if s.circle.run != nil {
-		s.circle.run.Stop()
+	if s.membership.runner != nil {
+		s.membership.runner.Stop()
 	}
 	var sum engine.Stats
 	var mu sync.Mutex
-	s.desk.Lock()
-	shards := s.living()
-	s.desk.Unlock()
+	s.routerMu.Lock()
+	shards := s.liveShardsLocked()
+	s.routerMu.Unlock()
 	left := len(shards)
 	for _, sh := range shards {
-		told := sh.tell(func(now float64) {
-			sh.eng.Close(now)
-			st := sh.eng.Stats()
+		told := sh.post(func(now float64) {
+			sh.engine.Close(now)
+			st := sh.engine.Stats()
 			mu.Lock()
 			defer mu.Unlock()
 			left--
@@ -363,47 +365,47 @@
 			mu.Unlock()
 		}
 	}
-	began, quiet := s.w.Now(), false
-	outside.Every(s.w, endLook, func() bool {
-		now := s.w.Now()
+	began, quiet := s.env.Now(), false
+	outside.Every(s.env, shutdownPollInterval, func() bool {
+		now := s.env.Now()
 		mu.Lock()
-		waits := left > 0 && now-began < endShards
+		waits := left > 0 && now-began < shardCloseTimeout
 		st := sum
 		mu.Unlock()
 		if waits {
 			return true
 		}
-		if s.answersWait() && now-began < endShards+endOwners {
+		if s.answersPending() && now-began < shardCloseTimeout+clientFlushTimeout {
 			return true
 		}
 		if !quiet { // the one that has just been taken from a queue
 			quiet = true
 			return true
 		}
-		s.over.Store(true)
-		s.closeAll()
+		s.stopped.Store(true)
+		s.disconnectAll()
 		s.log.Info().Str("mode", "serve").Uint64("served", st.Served).Uint64("declined", st.Declined).
 			Uint64("failed", st.Failed).Uint64("not_taken", st.Rejected).Uint64("offers", st.Offers).Msg("scheduler ends")
-		then(errors.Join(s.save(), s.folder.Close()))
+		then(errors.Join(s.saveList(), s.folder.Close()))
 		return false
 	})
 }
 
-// saveWaits tells whether a list that is changed is not to be saved yet. A scheduler that works with some of its nodes
+// saveDeferred tells whether a list that is changed is not to be saved yet. A scheduler that works with some of its nodes
 // does not spend more on saving them all the more there are.
-func (s *Server) saveWaits() bool {
+func (s *Server) saveDeferred() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.set != nil && s.w.Now()-s.savedAt < saveEvery*float64(s.list.Len())/nodesSaved
+	return s.workingSet != nil && s.env.Now()-s.listSavedAt < listSaveInterval*float64(s.list.Len())/nodesSavedPerInterval
 }
 
-func (s *Server) save() error {
+func (s *Server) saveList() error {
 	s.mu.Lock()
 	var text []byte
 	if s.list.TakeChanged() {
 		text = s.list.Encode()
 	}
-	s.savedAt = s.w.Now()
+	s.listSavedAt = s.env.Now()
 	s.mu.Unlock()
 	if text == nil {
 		return nil
@@ -412,7 +414,7 @@
 }
 
 // LocalListener asks without a socket, for measurements that leave the owners' door out.
-type LocalListener struct{ s *Server }
+type LocalListener struct{ server *Server }
 
 // AnswerHandler hears what an owner hears. It must not block.
 type AnswerHandler interface {
@@ -422,61 +424,61 @@
 
 // Connect connects an owner.
 func (l *LocalListener) Connect(sink AnswerHandler) *LocalClient {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	l.s.ownerIDs++
-	o := &owner{s: l.s, id: l.s.ownerIDs, sink: sink, asks: map[uint64]asked{}}
-	l.s.owners[o.id] = o
+	l.server.mu.Lock()
+	defer l.server.mu.Unlock()
+	l.server.lastClientID++
+	o := &clientConn{server: l.server, id: l.server.lastClientID, local: sink, requests: map[uint64]request{}}
+	l.server.clients[o.id] = o
 	return &LocalClient{o}
 }
 
 // LocalClient is an owner without a socket.
-type LocalClient struct{ o *owner }
+type LocalClient struct{ client *clientConn }
 
 // Allocate asks as the owners' door does; false if the ref is not free.
 func (l *LocalClient) Allocate(ref uint64, tenant, jobType int, service, token uint64, cores, memory, within float64) bool {
-	if !l.o.begin(ref, l.o.s.w.Now()+within) {
+	if !l.client.openRequest(ref, l.client.server.env.Now()+within) {
 		return false
 	}
-	l.o.s.allocate(l.o, shardownership.Name{Tenant: tenant, Token: token}, shardownership.Ask{
-		Owner: l.o.id, Ref: ref, Job: jobType,
+	l.client.server.allocate(l.client, shardownership.Name{Tenant: tenant, Token: token}, shardownership.Ask{
+		Owner: l.client.id, Ref: ref, Job: jobType,
 		Service: service, Cores: cores, Memory: memory,
 	}, within, 0)
 	return true
 }
 
-// owner gives an owner that is still connected.
-func (s *Server) owner(id uint32) *owner {
+// clientByID gives an owner that is still connected.
+func (s *Server) clientByID(id uint32) *clientConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.owners[id]
+	return s.clients[id]
 }
 
-func (s *Server) answer(id uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
+func (s *Server) answerClient(id uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
 	s.log.Debug().Uint32("owner", id).Uint64("ref", ref).Stringer("answer", answer).Uint32("node", nd).Msg(why)
-	if o := s.owner(id); o != nil {
-		o.answer(ref, answer, nd, why, holdOff)
+	if o := s.clientByID(id); o != nil {
+		o.sendAnswer(ref, answer, nd, why, holdOff)
 	}
 }
 
-// ownedBy notes which shard an owner's ask is at now.
-func (s *Server) ownedBy(id uint32, ref uint64, shard int) {
-	if o := s.owner(id); o != nil {
-		o.note(ref, shard)
+// setRequestShard notes which shard an owner's ask is at now.
+func (s *Server) setRequestShard(id uint32, ref uint64, shard int) {
+	if o := s.clientByID(id); o != nil {
+		o.setShard(ref, shard)
 	}
 }
 
-// closeAll ends all links and owners' connections.
-func (s *Server) closeAll() {
-	s.desk.Lock()
-	shards := s.living()
-	s.desk.Unlock()
+// disconnectAll ends all links and owners' connections.
+func (s *Server) disconnectAll() {
+	s.routerMu.Lock()
+	shards := s.liveShardsLocked()
+	s.routerMu.Unlock()
 	for _, sh := range shards {
-		sh.trunk.close("scheduler ends", true) // last recalls still go out
+		sh.connections.close("scheduler ends", true) // last recalls still go out
 		sh.loop.Wake()
 	}
-	s.lister.close()
-	for _, o := range s.connected() {
-		o.cut("scheduler ends")
+	s.listClient.close()
+	for _, o := range s.connectedClients() {
+		o.disconnect("scheduler ends")
 	}
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -422,20 +422,20 @@
 	here, there := net.Pipe() // nobody reads there
 	defer there.Close()
 	w.Connect = func(context.Context, string) (net.Conn, error) { return here, nil }
-	s := &Server{who: Config{Site: &site.Config{NodeQueue: 100}}, w: w}
-	made := make(chan *link, 1)
+	s := &Server{config: Config{Site: &site.Config{NodeQueue: 100}}, env: w}
+	made := make(chan *nodeLink, 1)
 	w.Dial("", 1000, func(conn outside.Conn, _ error) {
-		l := &link{s: s, t: &trunk{s: s, dialing: map[uint32]bool{}}, conn: conn}
+		l := &nodeLink{server: s, connections: &nodeConnections{server: s, dialing: map[uint32]bool{}}, conn: conn}
 		conn.Start(l, 1000)
 		made <- l
 	})
 	l := <-made
 	for i := range uint64(60) {
-		l.add(func(b []byte) []byte { return node.AppendProbe(b, i) })
+		l.send(func(b []byte) []byte { return node.AppendProbe(b, i) })
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.shut || !strings.HasPrefix(l.why, "slow reader") {
-		t.Errorf("not cut: %t %q", l.shut, l.why)
+	if !l.closed || !strings.HasPrefix(l.reason, "slow reader") {
+		t.Errorf("not cut: %t %q", l.closed, l.reason)
 	}
 }
--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -60,14 +60,14 @@
 	}
 }
 
-// client is a bare owner.
-type client struct {
+// testClient is a bare owner.
+type testClient struct {
 	*jrpc2.Client
 	mu   sync.Mutex
 	news []string
 }
 
-func connect(t *testing.T, addr string) *client {
+func connect(t *testing.T, addr string) *testClient {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -75,8 +75,8 @@
 	return speak(t, conn)
 }
 
-func speak(t *testing.T, conn net.Conn) *client {
-	c := &client{}
+func speak(t *testing.T, conn net.Conn) *testClient {
+	c := &testClient{}
 	c.Client = jrpc2.NewClient(channel.LSP(conn, conn), &jrpc2.ClientOptions{OnNotify: func(r *jrpc2.Request) {
 		c.mu.Lock()
 		c.news = append(c.news, r.Method()+r.ParamString())
@@ -86,7 +86,7 @@
 	return c
 }
 
-func (c *client) ask(ref uint64, job, key string) error {
+func (c *testClient) ask(ref uint64, job, key string) error {
 	_, err := c.Call(context.Background(), "allocate", map[string]any{
 		"ref": ref, "tenant": "t", "key": key,
 		"job-type": job, "service": "s" + key, "cores": 1, "memory": 1,
@@ -94,7 +94,7 @@
 	return err
 }
 
-func (c *client) heard() []string {
+func (c *testClient) heard() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.news...)
@@ -112,7 +112,7 @@
 	a, b := connect(t, addr), connect(t, addr)
 	const many = 60
 	var both sync.WaitGroup
-	for _, c := range []*client{a, b} {
+	for _, c := range []*testClient{a, b} {
 		both.Go(func() {
 			for i := range uint64(many) {
 				if err := c.ask(i+1, "once", fmt.Sprint("key", i)); err != nil {
@@ -126,7 +126,7 @@
 	}
 	both.Wait()
 	time.Sleep(1700 * time.Millisecond)
-	for _, c := range []*client{a, b} {
+	for _, c := range []*testClient{a, b} {
 		answers := map[string]int{}
 		for _, n := range c.heard() {
 			var ref int
--- a/internal/serve/trunk.go
+++ b/internal/serve/trunk.go
@@ -10,28 +10,28 @@
 	"ravenpond/internal/site"
 )
 
-// trunk is a set of connections to nodes, one each, and the shards whose tries they carry: one shard, or all.
-type trunk struct {
-	s    *Server
-	name string // by which nodes know its shards
+// nodeConnections is a set of connections to nodes, one each, and the shards whose tries they carry: one shard, or all.
+type nodeConnections struct {
+	server *Server
+	name   string // by which nodes know its shards
 
 	mu      sync.Mutex
 	shards  []*shard
-	links   map[uint32]*link
+	links   map[uint32]*nodeLink
 	dialing map[uint32]bool
 	closed  bool
 }
 
-func newTrunk(s *Server, index int) *trunk {
-	t := &trunk{s: s, name: s.who.Name, links: map[uint32]*link{}, dialing: map[uint32]bool{}}
-	if s.who.Site.Connections == site.OwnConnections && s.who.Site.MaxShards > 1 {
-		t.name = fmt.Sprintf("%s.%d", s.who.Name, index)
+func newTrunk(s *Server, index int) *nodeConnections {
+	t := &nodeConnections{server: s, name: s.config.Name, links: map[uint32]*nodeLink{}, dialing: map[uint32]bool{}}
+	if s.config.Site.Connections == site.OwnConnections && s.config.Site.MaxShards > 1 {
+		t.name = fmt.Sprintf("%s.%d", s.config.Name, index)
 	}
 	return t
 }
 
-// set puts a shard on the trunk, in the place of its earlier life if it had one.
-func (t *trunk) set(sh *shard) {
+// attach puts a shard on the trunk, in the place of its earlier life if it had one.
+func (t *nodeConnections) attach(sh *shard) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if i := slices.IndexFunc(t.shards, func(o *shard) bool { return o.index == sh.index }); i >= 0 {
@@ -41,15 +41,15 @@
 	}
 }
 
-// all gives the shards.
-func (t *trunk) all() []*shard {
+// attachedShards gives the shards.
+func (t *nodeConnections) attachedShards() []*shard {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.shards)
 }
 
 // dial connects to a node unless that is done or under way: all shards hear what comes of it.
-func (t *trunk) dial(nd uint32, address string) {
+func (t *nodeConnections) dial(nd uint32, address string) {
 	t.mu.Lock()
 	if t.closed || t.dialing[nd] || t.links[nd] != nil {
 		t.mu.Unlock()
@@ -61,7 +61,7 @@
 }
 
 // visit connects to a node that the shards do not know, to hear whether it holds something of this scheduler's.
-func (t *trunk) visit(nd uint32, address string) {
+func (t *nodeConnections) visit(nd uint32, address string) {
 	t.mu.Lock()
 	busy := t.closed || t.dialing[nd] || t.links[nd] != nil
 	if !busy {
@@ -69,81 +69,81 @@
 	}
 	t.mu.Unlock()
 	if busy {
-		t.s.set.onVisitFailed(nd)
+		t.server.workingSet.onVisitFailed(nd)
 		return
 	}
 	t.connect(nd, address, true)
 }
 
-func (t *trunk) connect(nd uint32, address string, visits bool) {
-	t.s.w.Dial(address, dialFor, func(conn outside.Conn, err error) {
+func (t *nodeConnections) connect(nd uint32, address string, visits bool) {
+	t.server.env.Dial(address, nodeDialTimeout, func(conn outside.Conn, err error) {
 		if err != nil {
-			t.failed(nd, err)
+			t.onDialFailed(nd, err)
 			return
 		}
 		newLink(t, nd, address, conn, visits)
 	})
 }
 
-// add has the shards hear of a connection; under the lock.
-func (t *trunk) add(l *link) {
-	t.links[l.nd] = l
-	t.s.met(l)
-	t.s.set.onConnection(l.nd, true)
+// register has the shards hear of a connection; under the lock.
+func (t *nodeConnections) register(l *nodeLink) {
+	t.links[l.node] = l
+	t.server.onNodeConnected(l)
+	t.server.workingSet.onConnection(l.node, true)
 	for _, sh := range t.shards {
-		l.tellLinked(sh)
+		l.notifyLinked(sh)
 	}
 }
 
-// hangUp ends the connection to a node, if there is one.
-func (t *trunk) hangUp(nd uint32, why string) {
+// disconnect ends the connection to a node, if there is one.
+func (t *nodeConnections) disconnect(nd uint32, why string) {
 	t.mu.Lock()
 	l := t.links[nd]
 	t.mu.Unlock()
 	if l != nil {
-		l.end(why, true)
+		l.disconnect(why, true)
 	}
 }
 
-// failed tells that a node was not reached.
-func (t *trunk) failed(nd uint32, err error) {
+// onDialFailed tells that a node was not reached.
+func (t *nodeConnections) onDialFailed(nd uint32, err error) {
 	t.mu.Lock()
 	delete(t.dialing, nd)
 	t.mu.Unlock()
-	if t.s.set != nil {
-		t.s.set.onConnection(nd, false)
-		t.s.set.onVisitFailed(nd)
+	if t.server.workingSet != nil {
+		t.server.workingSet.onConnection(nd, false)
+		t.server.workingSet.onVisitFailed(nd)
 	}
-	for _, sh := range t.all() {
-		sh.tell(func(now float64) { sh.eng.OnDialFailed(now, nd, err.Error()) })
+	for _, sh := range t.attachedShards() {
+		sh.post(func(now float64) { sh.engine.OnDialFailed(now, nd, err.Error()) })
 	}
-	t.s.log.Debug().Uint32("node", nd).Err(err).Msg("no connection")
+	t.server.log.Debug().Uint32("node", nd).Err(err).Msg("no connection")
 }
 
-// standing gives the links in order of their nodes; under the lock.
-func (t *trunk) standing() (all []*link) {
+// orderedLinks gives the links in order of their nodes; under the lock.
+func (t *nodeConnections) orderedLinks() (all []*nodeLink) {
 	for _, nd := range slices.Sorted(maps.Keys(t.links)) {
 		all = append(all, t.links[nd])
 	}
 	return all
 }
 
-// replay tells a shard that has just begun of the connections that stand, and has the nodes tell what they hold.
-func (t *trunk) replay(sh *shard) {
-	t.set(sh)
+// replayTo tells a shard that has just begun of the connections that stand, and has the nodes tell what they hold.
+func (t *nodeConnections) replayTo(sh *shard) {
+	t.attach(sh)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, l := range t.standing() {
+	for _, l := range t.orderedLinks() {
 		l.join(sh)
 	}
 }
 
 // close ends all connections; soft lets what is queued still go out.
-func (t *trunk) close(why string, soft bool) {
+func (t *nodeConnections) close(why string, soft bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
-	for _, l := range t.standing() {
-		l.end(why, soft)
+	for _, l := range t.orderedLinks() {
+		l.disconnect(why, soft)
 	}
 }
--- a/internal/serve/visit.go
+++ b/internal/serve/visit.go
@@ -18,53 +18,53 @@
 
 var errNotListed = errors.New("holds something and is not on the list")
 
-// visits tells whether the connection is a visit.
-func (l *link) visits() bool {
+// isVisit tells whether the connection is a visit.
+func (l *nodeLink) isVisit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.visit == visiting
 }
 
-// stay makes a visit a connection that stays, as the node holds something of this scheduler's.
-func (l *link) stay() error {
-	if !l.s.set.keepFound(l.nd) {
+// keepVisited makes a visit a connection that stays, as the node holds something of this scheduler's.
+func (l *nodeLink) keepVisited() error {
+	if !l.server.workingSet.keepNode(l.node) {
 		return errNotListed
 	}
-	l.t.mu.Lock()
-	defer l.t.mu.Unlock()
-	return l.settleIn()
+	l.connections.mu.Lock()
+	defer l.connections.mu.Unlock()
+	return l.keepLocked()
 }
 
-// settleIn has the shards hear of a connection that was a visit; under the trunk's lock.
-func (l *link) settleIn() error {
-	t := l.t
+// keepLocked has the shards hear of a connection that was a visit; under the trunk's lock.
+func (l *nodeLink) keepLocked() error {
+	t := l.connections
 	l.mu.Lock()
-	if l.shut {
+	if l.closed {
 		l.mu.Unlock()
-		return errors.New(l.why)
+		return errors.New(l.reason)
 	}
 	l.visit = noVisit
-	l.hearing = [][]*shard{slices.Clone(t.shards)}
+	l.inventoryWaiters = [][]*shard{slices.Clone(t.shards)}
 	l.mu.Unlock()
-	delete(t.dialing, l.nd)
-	t.add(l)
+	delete(t.dialing, l.node)
+	t.register(l)
 	return nil
 }
 
-// leave ends a visit to a node that holds nothing, unless the shards came to know the node meanwhile. It tells whether
+// finishVisit ends a visit to a node that holds nothing, unless the shards came to know the node meanwhile. It tells whether
 // it did.
-func (l *link) leave() bool {
-	t := l.t
+func (l *nodeLink) finishVisit() bool {
+	t := l.connections
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if l.s.set.endVisit(l.nd) {
-		return l.settleIn() != nil
+	if l.server.workingSet.onVisitDone(l.node) {
+		return l.keepLocked() != nil
 	}
-	delete(t.dialing, l.nd)
+	delete(t.dialing, l.node)
 	l.mu.Lock()
 	l.visit = visited
-	first := !l.shut
-	l.shut, l.why = true, "visit ends"
+	first := !l.closed
+	l.closed, l.reason = true, "visit ends"
 	l.mu.Unlock()
 	if first {
 		l.conn.Close(true, node.AppendBye(nil, "visit ends"))
@@ -72,23 +72,23 @@
 	return true
 }
 
-// beginVisits begins as many visits as may be under way: at each step, and when one ends.
-func (v *nodeSet) beginVisits() {
-	if v.s.over.Load() {
+// startVisits begins as many visits as may be under way: at each step, and when one ends.
+func (v *workingSet) startVisits() {
+	if v.server.stopped.Load() {
 		return
 	}
 	v.mu.Lock()
-	visits := v.nextVisits(v.s.w.Now())
+	visits := v.nextVisits(v.server.env.Now())
 	v.mu.Unlock()
 	for _, entry := range visits {
-		v.s.trunk.visit(entry.ID, entry.Address)
+		v.server.connections.visit(entry.ID, entry.Address)
 	}
 }
 
 // nextVisits gives the nodes to visit now.
-func (v *nodeSet) nextVisits(now float64) (entries []listEntry) {
+func (v *workingSet) nextVisits(now float64) (entries []listEntry) {
 	for id, ok := v.visits.Next(now); ok; id, ok = v.visits.Next(now) {
-		if _, known := v.shown[id]; known { // its connection will tell
+		if _, known := v.nodeStates[id]; known { // its connection will tell
 			v.visits.Drop(id)
 			continue
 		}
@@ -103,44 +103,44 @@
 }
 
 // onVisitFailed says that a node was not reached; it is visited again if that was a visit.
-func (v *nodeSet) onVisitFailed(id uint32) {
+func (v *workingSet) onVisitFailed(id uint32) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.visits.Failed(v.s.w.Now(), id)
-	v.visitOthers()
+	v.visits.Failed(v.server.env.Now(), id)
+	v.continueVisits()
 }
 
-// visitOthers has visits begin in the place of one that has ended; under the lock.
-func (v *nodeSet) visitOthers() {
+// continueVisits has visits begin in the place of one that has ended; under the lock.
+func (v *workingSet) continueVisits() {
 	if v.visits.Left() > 0 {
-		v.s.soon(v.beginVisits)
+		v.server.async(v.startVisits)
 	}
 }
 
-// endVisit says that a node told all it holds: nothing. It tells whether the shards know the node all the same.
-func (v *nodeSet) endVisit(id uint32) (known bool) {
+// onVisitDone says that a node told all it holds: nothing. It tells whether the shards know the node all the same.
+func (v *workingSet) onVisitDone(id uint32) (known bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.visits.Drop(id)
-	v.visitOthers()
-	_, known = v.shown[id]
+	v.continueVisits()
+	_, known = v.nodeStates[id]
 	return known
 }
 
-// keepFound has the shards know a node outside the set that holds something of this scheduler's. It tells whether the
+// keepNode has the shards know a node outside the set that holds something of this scheduler's. It tells whether the
 // node is on the list.
-func (v *nodeSet) keepFound(id uint32) bool {
+func (v *workingSet) keepNode(id uint32) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.visits.Drop(id)
-	v.visitOthers()
-	if _, known := v.shown[id]; known {
+	v.continueVisits()
+	if _, known := v.nodeStates[id]; known {
 		return true
 	}
 	if len(v.entriesOf([]uint32{id})) == 0 {
 		return false
 	}
-	v.shown[id] = nodeAside
+	v.nodeStates[id] = nodeAside
 	v.introduce([]uint32{id}, false, true)
 	return true
 }
--- a/internal/serve/workingset.go
+++ b/internal/serve/workingset.go
@@ -15,36 +15,36 @@
 
 // Times of the working set in ms.
 const (
-	stepSet      = 100  // between two steps
-	measureLoad  = 1000 // between two measures of the own load
-	releaseNodes = 1000 // between two looks at which nodes outside can be released
-	restAfter    = 5000 // after the last visit: its timers are over by then
-	shortAfter   = 100  // for which a task must have found no node
+	stepInterval    = 100  // between two steps
+	loadInterval    = 1000 // between two measures of the own load
+	releaseInterval = 1000 // between two looks at which nodes outside can be released
+	freeMemoryDelay = 5000 // after the last visit: its timers are over by then
+	shortageAfter   = 100  // for which a task must have found no node
 )
 
-// shownState is how the shards know a node.
-type shownState uint8
+// nodeState is how the shards know a node.
+type nodeState uint8
 
 const (
-	nodeInside   shownState = iota // it is in the set
-	nodeAside                      // it is not, and something may stand there
-	nodeReleased                   // nothing does: it is not connected
+	nodeInside   nodeState = iota // it is in the set
+	nodeAside                     // it is not, and something may stand there
+	nodeReleased                  // nothing does: it is not connected
 )
 
-// nodeSet keeps the shards to the working set of the process, where the site file asks for one: they are told of its
+// workingSet keeps the shards to the working set of the process, where the site file asks for one: they are told of its
 // nodes, and of others on which something of this scheduler stands. Locks are taken in the order trunk, nodeSet, desk.
-type nodeSet struct {
-	s *Server
+type workingSet struct {
+	server *Server
 
-	mu       sync.Mutex // held while shards are told, so that all hear the same order
-	set      *workingset.Set
-	visits   workingset.Visits
-	shown    map[uint32]shownState
-	newSince map[uint32]float64 // nodes that came to the list a short while ago
-	load     loadMeter
-	visiting bool // at the last step
+	mu         sync.Mutex // held while shards are told, so that all hear the same order
+	set        *workingset.Set
+	visits     workingset.Visits
+	nodeStates map[uint32]nodeState
+	newNodes   map[uint32]float64 // nodes that came to the list a short while ago
+	load       loadMeter
+	visiting   bool // at the last step
 
-	hookMu    sync.Mutex
+	reportsMu sync.Mutex
 	reachable map[uint32]bool // news of connections since the last step
 	demands   map[int]engine.Demand
 }
@@ -57,81 +57,81 @@
 }
 
 // newNodeSet gives the working set of a process, nil if the site file asks for none.
-func newNodeSet(s *Server) *nodeSet {
-	place := s.who.Site
+func newNodeSet(s *Server) *workingSet {
+	place := s.config.Site
 	if place.WorkingSet.MinNodes == 0 {
 		return nil
 	}
 	config := workingset.Config{
-		Key: place.Name, Own: s.who.Name, Schedulers: place.Cluster.Schedulers,
+		Key: place.Name, Own: s.config.Name, Schedulers: place.Cluster.Schedulers,
 		Least: place.WorkingSet.MinNodes, Coverage: place.WorkingSet.Coverage, Spare: place.WorkingSet.SpareFactor,
-		PerStart: place.WorkingSet.NodesPerStart, PerStratum: place.WorkingSet.MinPerStratum, NarrowAfter: place.WorkingSet.NarrowAfter, Plant: s.who.Faults.WorkingSet,
+		PerStart: place.WorkingSet.NodesPerStart, PerStratum: place.WorkingSet.MinPerStratum, NarrowAfter: place.WorkingSet.NarrowAfter, Plant: s.config.Faults.WorkingSet,
 	}
 	if place.Members.Listen == "" { // the others are known by their number alone
-		config.Own = fmt.Sprint("place ", s.who.Index)
+		config.Own = fmt.Sprint("place ", s.config.Index)
 		for i := range place.Cluster.Schedulers {
 			config.Members = append(config.Members, fmt.Sprint("place ", i))
 		}
 	}
-	return &nodeSet{
-		s: s, set: workingset.New(s.w.Now(), config), shown: map[uint32]shownState{},
-		newSince: map[uint32]float64{}, reachable: map[uint32]bool{}, demands: map[int]engine.Demand{},
+	return &workingSet{
+		server: s, set: workingset.New(s.env.Now(), config), nodeStates: map[uint32]nodeState{},
+		newNodes: map[uint32]float64{}, reachable: map[uint32]bool{}, demands: map[int]engine.Demand{},
 	}
 }
 
-// begin begins the steps.
-func (v *nodeSet) begin() {
-	v.s.soon(v.beginVisits) // owners ask again at once for what an earlier incarnation left running
-	v.s.every(stepSet, v.step)
-	v.s.every(releaseNodes, v.releaseIdle)
+// start begins the steps.
+func (v *workingSet) start() {
+	v.server.async(v.startVisits) // owners ask again at once for what an earlier incarnation left running
+	v.server.every(stepInterval, v.step)
+	v.server.every(releaseInterval, v.releaseIdle)
 }
 
 // onList takes news of the node list: shards hear what concerns the nodes that they know.
-func (v *nodeSet) onList(kind logic.ListKind, entries []listEntry) {
+func (v *workingSet) onList(kind logic.ListKind, entries []listEntry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	now := v.s.w.Now()
+	now := v.server.env.Now()
 	var gone []uint32
 	if kind == logic.ListFull || kind == logic.ListCached {
 		gone = v.removeUnlisted(entries)
 	}
 	var known []listEntry
 	for _, entry := range entries {
-		v.takeEntry(now, kind, entry)
+		v.putEntry(now, kind, entry)
 		if logic.Availability(entry.Avail) == logic.Unavailable {
 			gone = append(gone, entry.ID)
 		}
-		if _, ok := v.shown[entry.ID]; ok {
+		if _, ok := v.nodeStates[entry.ID]; ok {
 			known = append(known, entry)
 		}
 	}
-	for _, sh := range v.s.allShards() {
-		sh.hearList(kind, known)
+	for _, sh := range v.server.liveShards() {
+		sh.postList(kind, known)
 	}
-	v.partWith(gone)
+	v.setAsideUnlisted(gone)
 	v.apply(now, v.set.Step(now))
-	v.visitOthers()
+	v.continueVisits()
 }
 
-// partWith sets nodes aside that left the list: they are forgotten once nothing stands there.
-func (v *nodeSet) partWith(gone []uint32) {
+// setAsideUnlisted sets nodes aside that left the list: they are forgotten once nothing stands there.
+func (v *workingSet) setAsideUnlisted(gone []uint32) {
 	var left []uint32
 	for _, id := range gone {
-		if _, ok := v.shown[id]; ok {
-			v.shown[id] = nodeAside
+		if _, ok := v.nodeStates[id]; ok {
+			v.nodeStates[id] = nodeAside
 			left = append(left, id)
 		}
 	}
 	v.setAside(left, true)
 }
 
-// takeEntry takes an entry of the list into the set.
-func (v *nodeSet) takeEntry(now float64, kind logic.ListKind, entry listEntry) {
+// putEntry takes an entry of the list into the set.
+func (v *workingSet) putEntry(now float64, kind logic.ListKind, entry listEntry) {
 	avail := logic.Availability(entry.Avail)
 	if avail == logic.Unavailable {
 		v.set.RemoveNode(entry.ID)
 		v.visits.Drop(entry.ID)
-		delete(v.newSince, entry.ID)
+		delete(v.newNodes, entry.ID)
 		return
 	}
 	state := workingset.Ready
@@ -139,17 +139,17 @@
 		state = workingset.Draining
 	}
 	if isNew := v.set.PutNode(workingset.Node{ID: entry.ID, Zone: entry.zone, Kind: entry.kind, State: state}); isNew {
-		if !v.s.who.Faults.SkipVisits {
+		if !v.server.config.Faults.SkipVisits {
 			v.visits.Put(entry.ID)
 		}
 		if kind != logic.ListCached {
-			v.newSince[entry.ID] = now
+			v.newNodes[entry.ID] = now
 		}
 	}
 }
 
 // removeUnlisted takes nodes out of the set that a whole list does not name, and gives them.
-func (v *nodeSet) removeUnlisted(entries []listEntry) (gone []uint32) {
+func (v *workingSet) removeUnlisted(entries []listEntry) (gone []uint32) {
 	listed := make(map[uint32]bool, len(entries))
 	for _, entry := range entries {
 		listed[entry.ID] = true
@@ -163,72 +163,72 @@
 	for _, id := range gone {
 		v.set.RemoveNode(id)
 		v.visits.Drop(id)
-		delete(v.newSince, id)
+		delete(v.newNodes, id)
 	}
 	return gone
 }
 
-// tellNew tells a shard that begins of the nodes that the others know.
-func (v *nodeSet) tellNew(sh *shard) {
+// sendKnownNodes tells a shard that begins of the nodes that the others know.
+func (v *workingSet) sendKnownNodes(sh *shard) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	ids := slices.Sorted(maps.Keys(v.shown))
+	ids := slices.Sorted(maps.Keys(v.nodeStates))
 	var outside []uint32
 	for _, id := range ids {
-		if v.shown[id] != nodeInside {
-			v.shown[id] = nodeAside // this shard has yet to hear whether something stands there
+		if v.nodeStates[id] != nodeInside {
+			v.nodeStates[id] = nodeAside // this shard has yet to hear whether something stands there
 			outside = append(outside, id)
 		}
 	}
 	entries := v.entriesOf(ids)
-	sh.tell(func(now float64) { sh.eng.SetOutsideWorkingSet(now, outside, true) })
-	sh.hearList(logic.ListCached, entries)
+	sh.post(func(now float64) { sh.engine.SetOutsideWorkingSet(now, outside, true) })
+	sh.postList(logic.ListCached, entries)
 }
 
 // entriesOf gives the list's entries of nodes.
-func (v *nodeSet) entriesOf(ids []uint32) []listEntry {
-	v.s.mu.Lock()
-	defer v.s.mu.Unlock()
+func (v *workingSet) entriesOf(ids []uint32) []listEntry {
+	v.server.mu.Lock()
+	defer v.server.mu.Unlock()
 	var entries []state.Entry
 	for _, id := range ids {
-		if entry, ok := v.s.list.Entry(id); ok {
+		if entry, ok := v.server.list.Entry(id); ok {
 			entries = append(entries, entry)
 		}
 	}
-	return v.s.indexed(entries)
+	return v.server.resolveEntries(entries)
 }
 
 // step lets the set decide, and carries that out.
-func (v *nodeSet) step() {
+func (v *workingSet) step() {
 	names, known := v.memberNames()
-	now := v.s.w.Now()
+	now := v.server.env.Now()
 	v.mu.Lock()
 	if known {
 		v.set.SetMembers(now, names)
 	}
-	v.takeHooks(now)
+	v.takeReports(now)
 	v.apply(now, v.set.Step(now))
 	rests := v.visiting && v.visits.Left() == 0
 	v.visiting = v.visits.Left() > 0
 	v.mu.Unlock()
-	v.beginVisits()
-	if rests && v.s.who.FreeMemory != nil {
-		v.s.w.After(restAfter, v.s.who.FreeMemory)
+	v.startVisits()
+	if rests && v.server.config.FreeMemory != nil {
+		v.server.env.After(freeMemoryDelay, v.server.config.FreeMemory)
 	}
-	v.s.tellShards(func(sh *shard, now float64) {
-		demand := sh.eng.Demand(now, shortAfter)
-		v.hookMu.Lock()
+	v.server.postAll(func(sh *shard, now float64) {
+		demand := sh.engine.Demand(now, shortageAfter)
+		v.reportsMu.Lock()
 		v.demands[sh.index] = demand
-		v.hookMu.Unlock()
+		v.reportsMu.Unlock()
 	})
 }
 
 // memberNames gives the schedulers that are there, if this process knows them.
-func (v *nodeSet) memberNames() (names []string, known bool) {
-	if v.s.circle.run == nil {
+func (v *workingSet) memberNames() (names []string, known bool) {
+	if v.server.membership.runner == nil {
 		return nil, false
 	}
-	v.s.circle.run.WithDetector(func(d *membership.Detector) {
+	v.server.membership.runner.WithDetector(func(d *membership.Detector) {
 		for _, m := range d.All() {
 			if m.State == membership.Alive || m.State == membership.Suspect {
 				names = append(names, m.Name)
@@ -238,10 +238,10 @@
 	return names, true
 }
 
-// takeHooks takes what connections and shards have told since the last step.
-func (v *nodeSet) takeHooks(now float64) {
-	v.hookMu.Lock()
-	defer v.hookMu.Unlock()
+// takeReports takes what connections and shards have told since the last step.
+func (v *workingSet) takeReports(now float64) {
+	v.reportsMu.Lock()
+	defer v.reportsMu.Unlock()
 	for id, reachable := range v.reachable {
 		v.set.SetReachable(id, reachable)
 	}
@@ -266,8 +266,8 @@
 }
 
 // measure tells the set the own load, now and then. Machines are counted in those of the mean kind.
-func (v *nodeSet) measure(now float64, sum engine.Demand) {
-	if len(v.demands) == 0 || now-v.load.at < measureLoad {
+func (v *workingSet) measure(now float64, sum engine.Demand) {
+	if len(v.demands) == 0 || now-v.load.at < loadInterval {
 		return
 	}
 	if sum.Offers >= v.load.offers && v.load.at > 0 { // else a shard has begun anew
@@ -275,7 +275,7 @@
 		v.load.starts = (v.load.starts + starts) / 2
 	}
 	v.load.at, v.load.offers = now, sum.Offers
-	cluster := &v.s.who.Site.Cluster
+	cluster := &v.server.config.Site.Cluster
 	cores, memory := 0.0, 0.0
 	for kind := range cluster.KindCores {
 		cores += cluster.KindCores[kind] * cluster.CoresOvercommit
@@ -286,69 +286,69 @@
 }
 
 // apply tells the shards which nodes enter and leave the set.
-func (v *nodeSet) apply(now float64, change workingset.Change) {
+func (v *workingSet) apply(now float64, change workingset.Change) {
 	var left, back, fresh, warm []uint32
 	for _, departure := range change.Leave {
-		v.shown[departure.ID] = nodeAside
+		v.nodeStates[departure.ID] = nodeAside
 		left = append(left, departure.ID)
 	}
 	for _, id := range change.Enter {
-		if _, ok := v.shown[id]; ok {
+		if _, ok := v.nodeStates[id]; ok {
 			back = append(back, id)
-		} else if since, isNew := v.newSince[id]; isNew && now-since < v.s.who.Site.Cluster.SlowStartDuration {
+		} else if since, isNew := v.newNodes[id]; isNew && now-since < v.server.config.Site.Cluster.SlowStartDuration {
 			fresh = append(fresh, id)
 		} else {
 			warm = append(warm, id)
 		}
-		v.shown[id] = nodeInside
+		v.nodeStates[id] = nodeInside
 	}
 	v.setAside(left, true)
 	v.setAside(back, false)
 	v.introduce(fresh, true, false)
 	v.introduce(warm, false, false)
-	for id, since := range v.newSince {
-		if now-since >= v.s.who.Site.Cluster.SlowStartDuration {
-			delete(v.newSince, id)
+	for id, since := range v.newNodes {
+		if now-since >= v.server.config.Site.Cluster.SlowStartDuration {
+			delete(v.newNodes, id)
 		}
 	}
 	if len(change.Enter)+len(change.Leave) > 0 {
-		v.s.log.Info().Str("mode", "working-set").Int("nodes", v.set.Size()).Int("entered", len(change.Enter)).
-			Int("left", len(change.Leave)).Int("known", len(v.shown)).Msg("working set changes")
+		v.server.log.Info().Str("mode", "working-set").Int("nodes", v.set.Size()).Int("entered", len(change.Enter)).
+			Int("left", len(change.Leave)).Int("known", len(v.nodeStates)).Msg("working set changes")
 	}
 }
 
 // setAside has all shards set nodes aside, or no longer.
-func (v *nodeSet) setAside(ids []uint32, out bool) {
+func (v *workingSet) setAside(ids []uint32, out bool) {
 	if len(ids) > 0 {
-		v.s.tellShards(func(sh *shard, now float64) { sh.eng.SetOutsideWorkingSet(now, ids, out) })
+		v.server.postAll(func(sh *shard, now float64) { sh.engine.SetOutsideWorkingSet(now, ids, out) })
 	}
 }
 
 // introduce tells all shards of nodes that they do not know, inside the set or aside.
-func (v *nodeSet) introduce(ids []uint32, isNew, outside bool) {
+func (v *workingSet) introduce(ids []uint32, isNew, outside bool) {
 	if len(ids) == 0 {
 		return
 	}
 	entries := v.entriesOf(ids)
-	v.s.tellShards(func(sh *shard, now float64) {
-		sh.eng.SetOutsideWorkingSet(now, ids, outside)
-		sh.eng.BeginWorkingSet(now, isNew)
-		sh.tellNodes(entries)
+	v.server.postAll(func(sh *shard, now float64) {
+		sh.engine.SetOutsideWorkingSet(now, ids, outside)
+		sh.engine.BeginWorkingSet(now, isNew)
+		sh.putNodes(entries)
 	})
 }
 
 // onConnection notes that a node is connected, or is not.
-func (v *nodeSet) onConnection(id uint32, connected bool) {
+func (v *workingSet) onConnection(id uint32, connected bool) {
 	if v == nil {
 		return
 	}
-	v.hookMu.Lock()
-	defer v.hookMu.Unlock()
+	v.reportsMu.Lock()
+	defer v.reportsMu.Unlock()
 	v.reachable[id] = connected
 }
 
-// has tells whether this process looks at a node: at each if it has no working set.
-func (v *nodeSet) has(id uint32) bool {
+// contains tells whether this process looks at a node: at each if it has no working set.
+func (v *workingSet) contains(id uint32) bool {
 	if v == nil {
 		return true
 	}
@@ -357,18 +357,18 @@
 	return v.set.Has(id)
 }
 
-// poll counts the shards that have released nodes.
-type poll struct {
-	mu    sync.Mutex
-	left  int // shards that have not told
-	votes map[uint32]int
+// releaseVote counts the shards that have released nodes.
+type releaseVote struct {
+	mu      sync.Mutex
+	pending int // shards that have not told
+	votes   map[uint32]int
 }
 
 // releaseIdle ends the connections to nodes outside the set at which no shard has anything left.
-func (v *nodeSet) releaseIdle() {
+func (v *workingSet) releaseIdle() {
 	v.mu.Lock()
 	var ids []uint32
-	for id, state := range v.shown {
+	for id, state := range v.nodeStates {
 		if state == nodeAside {
 			ids = append(ids, id)
 		}
@@ -378,48 +378,48 @@
 		return
 	}
 	slices.Sort(ids)
-	shards := v.s.allShards()
-	p := &poll{left: len(shards), votes: map[uint32]int{}}
+	shards := v.server.liveShards()
+	p := &releaseVote{pending: len(shards), votes: map[uint32]int{}}
 	for _, sh := range shards { // a shard that is fenced tells nothing, and so holds all up until it begins anew
-		sh.tell(func(now float64) {
+		sh.post(func(now float64) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			for _, id := range ids {
-				if v.letGo(sh, now, id) {
+				if v.releaseNode(sh, now, id) {
 					p.votes[id]++
 				}
 			}
-			if p.left--; p.left == 0 {
-				v.s.soon(func() { v.hangUp(ids, p.votes, len(shards)) })
+			if p.pending--; p.pending == 0 {
+				v.server.async(func() { v.disconnectReleased(ids, p.votes, len(shards)) })
 			}
 		})
 	}
 }
 
-// letGo has a shard release a node.
-func (v *nodeSet) letGo(sh *shard, now float64, id uint32) bool {
-	if v.s.who.Faults.AbandonTasks {
-		sh.eng.ForceRelease(now, id)
+// releaseNode has a shard release a node.
+func (v *workingSet) releaseNode(sh *shard, now float64, id uint32) bool {
+	if v.server.config.Faults.AbandonTasks {
+		sh.engine.ForceRelease(now, id)
 		return true
 	}
-	return sh.eng.Release(now, id)
+	return sh.engine.Release(now, id)
 }
 
-// hangUp ends the connections to nodes that all shards have released.
-func (v *nodeSet) hangUp(ids []uint32, votes map[uint32]int, shards int) {
+// disconnectReleased ends the connections to nodes that all shards have released.
+func (v *workingSet) disconnectReleased(ids []uint32, votes map[uint32]int, shards int) {
 	var idle []uint32
 	v.mu.Lock()
 	for _, id := range ids {
-		if state, known := v.shown[id]; known && state == nodeAside && votes[id] == shards {
-			v.shown[id] = nodeReleased
+		if state, known := v.nodeStates[id]; known && state == nodeAside && votes[id] == shards {
+			v.nodeStates[id] = nodeReleased
 			if !v.set.Lists(id) {
-				delete(v.shown, id)
+				delete(v.nodeStates, id)
 			}
 			idle = append(idle, id)
 		}
 	}
 	v.mu.Unlock()
 	for _, id := range idle {
-		v.s.trunk.hangUp(id, "outside the working set")
+		v.server.connections.disconnect(id, "outside the working set")
 	}
 }
--- a/internal/serve/workingset_test.go
+++ b/internal/serve/workingset_test.go
@@ -21,11 +21,11 @@
 )
 
 // setStage is a stage with one of five schedulers, each of which works with a fifth of the nodes.
-func setStage(t *testing.T, p Faults) (s *stage, v *nodeSet, address string) {
+func setStage(t *testing.T, p Faults) (s *stage, v *workingSet, address string) {
 	t.Helper()
 	s = newStage(t, setSchedulers, setNodes, false)
-	began := make(chan *nodeSet, 1)
-	s.tune = func(who *Config) { who.OnLocalListener = func(l *LocalListener) { began <- l.s.set } }
+	began := make(chan *workingSet, 1)
+	s.tune = func(who *Config) { who.OnLocalListener = func(l *LocalListener) { began <- l.server.workingSet } }
 	s.start(0, s.setPlace(), p)
 	v = <-began
 	waitFor(t, "a settled set", func() bool { return v.settled() })
@@ -41,10 +41,10 @@
 }
 
 // settled tells that all nodes outside have been visited, and left where nothing stands.
-func (v *nodeSet) settled() bool {
+func (v *workingSet) settled() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, state := range v.shown {
+	for _, state := range v.nodeStates {
 		if state == nodeAside {
 			return false
 		}
@@ -53,13 +53,13 @@
 }
 
 // share has the set be shared out among others than before.
-func (v *nodeSet) share(names ...string) {
+func (v *workingSet) share(names ...string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.set.SetMembers(v.s.w.Now(), names)
+	v.set.SetMembers(v.server.env.Now(), names)
 }
 
-func (v *nodeSet) size() int {
+func (v *workingSet) size() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.set.Size()
@@ -104,7 +104,7 @@
 // tasksOutside runs tasks and has the nodes be shared out anew, until the tasks have ended.
 //
 // It tells of how many tasks the owner heard that they ended, and of how many that they were lost.
-func tasksOutside(t *testing.T, p Faults) (ended, lost int, v *nodeSet, s *stage) {
+func tasksOutside(t *testing.T, p Faults) (ended, lost int, v *workingSet, s *stage) {
 	s, v, address := setStage(t, p)
 	c := connect(t, address)
 	const tasks = 30
@@ -154,7 +154,7 @@
 	waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.heard(), "\n"), `"served"`) == 30 })
 	before := map[uint32]bool{}
 	v.mu.Lock()
-	for id, state := range v.shown {
+	for id, state := range v.nodeStates {
 		before[id] = state == nodeInside
 	}
 	v.mu.Unlock()
@@ -163,7 +163,7 @@
 	died := 0
 	s.w.At(func(now float64) {
 		for _, n := range s.nodes {
-			if before[n.ID] && !v.has(n.ID) && n.Machine.Holds() > 0 {
+			if before[n.ID] && !v.contains(n.ID) && n.Machine.Holds() > 0 {
 				died += n.Machine.Holds()
 				n.Die(now)
 			}
@@ -188,13 +188,13 @@
 	for _, n := range s.nodes { // work runs long enough
 		n.Machine.Work[2].Life = 20_000
 	}
-	run := func(index int) (string, *nodeSet, func()) {
+	run := func(index int) (string, *workingSet, func()) {
 		ctx, stop := context.WithCancel(s.ctx)
-		ready, began, done := make(chan string, 1), make(chan *nodeSet, 1), make(chan error, 1)
+		ready, began, done := make(chan string, 1), make(chan *workingSet, 1), make(chan error, 1)
 		go func() {
 			done <- Run(ctx, Config{
 				Site: &place, Name: "s0", Index: index, Folder: filepath.Join(s.dir, "s0"), Seed: uint64(index + 1),
-				Log: zerolog.Nop(), Faults: p, Ready: func(a string) { ready <- a }, OnLocalListener: func(l *LocalListener) { began <- l.s.set },
+				Log: zerolog.Nop(), Faults: p, Ready: func(a string) { ready <- a }, OnLocalListener: func(l *LocalListener) { began <- l.server.workingSet },
 			})
 		}()
 		return <-ready, <-began, func() {
@@ -272,7 +272,7 @@
 	c := connect(t, address)
 	s.w.At(func(now float64) {
 		for _, n := range s.nodes {
-			if v.has(n.ID) {
+			if v.contains(n.ID) {
 				n.Die(now)
 			}
 		}
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -20,35 +20,35 @@
 
 // Times in ms, and bounds.
 const (
-	lookZones = 100  // between two looks at which zones to send to
-	sumZones  = 250  // between two sums of what is heard of them
-	lookEach  = 400  // between two pings of a node that is looked at
-	silentFor = 1000 // after which it counts as silent
-	looksAt   = 6    // nodes of each zone: others look at others
+	zonePollInterval    = 100  // between two looks at which zones to send to
+	zoneSumInterval     = 250  // between two sums of what is heard of them
+	zonePingInterval    = 400  // between two pings of a node that is looked at
+	zoneSilentAfter     = 1000 // after which it counts as silent
+	nodesSampledPerZone = 6    // nodes of each zone: others look at others
 )
 
-// zonesView is what a scheduler makes of the zones of its site.
-type zonesView struct {
-	s     *Server
-	reach zones.Reach
-
-	mu     sync.Mutex
-	sums   map[string]zones.Sum
-	summed float64
-	pinged map[uint32]float64
-	parts  map[string]float64
-	out    []uint32           // nodes that nothing is sent to for their zone, sorted
-	own    map[string]float64 // cores of own work by zone, as last asked for
-	sure   bool
-	level  int
-	book   *clusterstate.State // by which that is
-
-	nodes   []seen // of the list that are ready, at a revision of it; under the lock of the list
-	nodesAt uint64
+// zoneRouting is what a scheduler makes of the zones of its site.
+type zoneRouting struct {
+	server *Server
+	reach  zones.Reach
+
+	mu         sync.Mutex
+	zoneSums   map[string]zones.Sum
+	summedAt   float64
+	lastPing   map[uint32]float64
+	shares     map[string]float64
+	excluded   []uint32           // nodes that nothing is sent to for their zone, sorted
+	ownCores   map[string]float64 // cores of own work by zone, as last asked for
+	leaseValid bool
+	level      int
+	state      *clusterstate.State // by which that is
+
+	nodes         []listedNode // of the list that are ready, at a revision of it; under the lock of the list
+	nodesRevision uint64
 }
 
-// zonesOf is what verdicts on zones rest on, as the site file has it.
-func (s *Server) zonesOf(place *site.Config) control.ZoneConfig {
+// controlSite is what verdicts on zones rest on, as the site file has it.
+func (s *Server) controlSite(place *site.Config) control.ZoneConfig {
 	held := map[string]clusterstate.ZoneState{}
 	for zone, how := range place.ZoneHolds {
 		held[zone] = map[string]clusterstate.ZoneState{"open": clusterstate.Open, "closed": clusterstate.Closed}[how]
@@ -56,10 +56,10 @@
 	return control.ZoneConfig{Zones: place.Zones, Overrides: held, Latency: func(from, to string) float64 { return place.RouteLatency[[2]string{from, to}] }}
 }
 
-func (s *Server) newZones(place *site.Config) *zonesView {
-	v := &zonesView{
-		s: s, pinged: map[uint32]float64{}, sums: map[string]zones.Sum{}, own: map[string]float64{}, sure: true,
-		reach: zones.Reach{Own: s.who.Zone, Near: len(place.RouteLatency) > 0},
+func (s *Server) newZoneRouting(place *site.Config) *zoneRouting {
+	v := &zoneRouting{
+		server: s, lastPing: map[uint32]float64{}, zoneSums: map[string]zones.Sum{}, ownCores: map[string]float64{}, leaseValid: true,
+		reach: zones.Reach{Own: s.config.Zone, Near: len(place.RouteLatency) > 0},
 	}
 	for i, z := range place.Zones {
 		v.reach.Zones = append(v.reach.Zones, zones.Place{Name: z, Region: place.Regions[i]})
@@ -67,161 +67,163 @@
 	return v
 }
 
-// seen is a node of the list.
-type seen struct {
+// listedNode is a node of the list.
+type listedNode struct {
 	id    uint32
 	zone  string
 	cores float64
 	free  float64
-	lot   float64 // from 0 to 1, the same at all: by it a zone that returns is let in
+	hash  float64 // from 0 to 1, the same at all: by it a zone that returns is let in
 }
 
-// ready returns the nodes that the list has ready, by their numbers. The slice is shared by all calls until the list changes and must not
+// readyNodes returns the nodes that the list has ready, by their numbers. The slice is shared by all calls until the list changes and must not
 // be modified.
-func (s *Server) ready() []seen {
+func (s *Server) readyNodes() []listedNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v, revision := s.zones, s.list.Revision()
-	if v.nodes != nil && v.nodesAt == revision {
+	if v.nodes != nil && v.nodesRevision == revision {
 		return v.nodes
 	}
-	place, all := s.who.Site, make([]seen, 0, s.list.Len())
+	place, all := s.config.Site, make([]listedNode, 0, s.list.Len())
 	for _, en := range s.list.Entries() {
 		if logic.Availability(en.Avail) != logic.Ready {
 			continue
 		}
-		n := seen{id: en.ID, zone: en.Zone, free: en.FreeCores, lot: lot("", en.ID)}
+		n := listedNode{id: en.ID, zone: en.Zone, free: en.FreeCores, hash: nodeHash("", en.ID)}
 		if k := slices.Index(place.MachineKinds, en.Kind); k >= 0 {
 			n.cores = place.Cluster.KindCores[k]
 		}
 		all = append(all, n)
 	}
-	v.nodes, v.nodesAt = all, revision
+	v.nodes, v.nodesRevision = all, revision
 	return all
 }
 
-func lot(name string, id uint32) float64 {
+func nodeHash(name string, id uint32) float64 {
 	h := xxhash.Sum64(append([]byte(name), byte(id), byte(id>>8), byte(id>>16), byte(id>>24)))
 	return float64(h>>11) / (1 << 53)
 }
 
-// lookZones sums up what is heard of the zones for the leader, and has shards send where the book allows.
-func (s *Server) lookZones() {
-	v, now := s.zones, s.w.Now()
+// pollZones sums up what is heard of the zones for the leader, and has shards send where the book allows.
+func (s *Server) pollZones() {
+	v, now := s.zones, s.env.Now()
 	view := s.control.View()
-	if now < v.summed+sumZones && view.State == v.book && (now < view.LeaseExpiry) == v.sure { // by this loop alone
+	if now < v.summedAt+zoneSumInterval && view.State == v.state && (now < view.LeaseExpiry) == v.leaseValid { // by this loop alone
 		return
 	}
-	nodes := s.ready()
+	nodes := s.readyNodes()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.book = view.State
-	if now >= v.summed+sumZones {
-		v.summed = now
-		v.sums = s.sumZones(now, nodes)
-		s.control.Report(v.sums)
+	v.state = view.State
+	if now >= v.summedAt+zoneSumInterval {
+		v.summedAt = now
+		v.zoneSums = s.summarizeZones(now, nodes)
+		s.control.Report(v.zoneSums)
 	}
 	sure, home := now < view.LeaseExpiry, view.State.Zone(v.reach.Own).State
 	if home == clusterstate.Closed {
-		s.countOwn(nodes)
+		s.countOwnCores(nodes)
 	}
-	parts := v.reach.Look(now, view.State, sure, v.sums, 0, v.own, view.State.ActiveProcesses(v.reach.Own))
-	if !maps.Equal(parts, v.parts) || sure != v.sure || v.reach.Level() != v.level {
+	parts := v.reach.Look(now, view.State, sure, v.zoneSums, 0, v.ownCores, view.State.ActiveProcesses(v.reach.Own))
+	if !maps.Equal(parts, v.shares) || sure != v.leaseValid || v.reach.Level() != v.level {
 		s.log.Info().Str("mode", "zones").Interface("parts", parts).Bool("sure", sure).Int("level", v.reach.Level()).Uint64("version", view.State.Version()).
 			Float64("unix_ms", now+float64(outside.Epoch.UnixMilli())).Msg("sends to")
 	}
-	v.parts, v.sure, v.level = parts, sure, v.reach.Level()
+	v.shares, v.leaseValid, v.level = parts, sure, v.reach.Level()
 	var out []uint32
 	for _, n := range nodes {
-		if n.lot >= parts[n.zone] {
+		if n.hash >= parts[n.zone] {
 			out = append(out, n.id)
 		}
 	}
 	slices.Sort(out)
-	if slices.Equal(out, v.out) {
+	if slices.Equal(out, v.excluded) {
 		return
 	}
-	freed := slices.DeleteFunc(slices.Clone(v.out), func(id uint32) bool { _, is := slices.BinarySearch(out, id); return is })
-	v.out = out
-	s.tellShards(func(sh *shard, now float64) {
-		sh.eng.SetZoneClosed(now, freed, false)
-		sh.eng.SetZoneClosed(now, out, true)
+	freed := slices.DeleteFunc(slices.Clone(v.excluded), func(id uint32) bool { _, is := slices.BinarySearch(out, id); return is })
+	v.excluded = out
+	s.postAll(func(sh *shard, now float64) {
+		sh.engine.SetZoneClosed(now, freed, false)
+		sh.engine.SetZoneClosed(now, out, true)
 	})
 }
 
-// sumZones looks at a few nodes of each zone, which differ from process to process, and pings them.
-func (s *Server) sumZones(now float64, nodes []seen) map[string]zones.Sum {
+// summarizeZones looks at a few nodes of each zone, which differ from process to process, and pings them.
+func (s *Server) summarizeZones(now float64, nodes []listedNode) map[string]zones.Sum {
 	v, sums := s.zones, map[string]zones.Sum{}
-	by := map[string][]seen{}
+	by := map[string][]listedNode{}
 	for _, n := range nodes {
 		sum := sums[n.zone]
-		sum.Room += n.cores * s.who.Site.Cluster.CoresOvercommit
+		sum.Room += n.cores * s.config.Site.Cluster.CoresOvercommit
 		sum.Used += max(0, n.cores-n.free)
 		sums[n.zone] = sum
-		if s.set.has(n.id) {
+		if s.workingSet.contains(n.id) {
 			by[n.zone] = append(by[n.zone], n)
 		}
 	}
 	kept := map[uint32]float64{}
 	for zone, all := range by {
-		slices.SortFunc(all, func(x, y seen) int { return cmp.Compare(lot(s.who.Name, x.id), lot(s.who.Name, y.id)) })
+		slices.SortFunc(all, func(x, y listedNode) int {
+			return cmp.Compare(nodeHash(s.config.Name, x.id), nodeHash(s.config.Name, y.id))
+		})
 		sum := sums[zone]
-		for _, n := range all[:min(looksAt, len(all))] {
+		for _, n := range all[:min(nodesSampledPerZone, len(all))] {
 			sum.Nodes++
-			s.circle.linksMu.Lock()
-			l := s.circle.links[n.id]
-			s.circle.linksMu.Unlock()
-			kept[n.id] = v.pinged[n.id]
+			s.membership.linksMu.Lock()
+			l := s.membership.links[n.id]
+			s.membership.linksMu.Unlock()
+			kept[n.id] = v.lastPing[n.id]
 			if l == nil {
 				continue
 			}
-			if now-math.Float64frombits(l.heardAt.Load()) < silentFor {
+			if now-math.Float64frombits(l.lastReceived.Load()) < zoneSilentAfter {
 				sum.Heard++
 			}
-			if now-kept[n.id] >= lookEach {
+			if now-kept[n.id] >= zonePingInterval {
 				kept[n.id] = now
-				l.add(func(b []byte) []byte { return node.AppendPing(b, now) })
+				l.send(func(b []byte) []byte { return node.AppendPing(b, now) })
 			}
 		}
 		sums[zone] = sum
 	}
-	v.pinged = kept
+	v.lastPing = kept
 	return sums
 }
 
-// countOwn asks all shards for the cores of own work in each zone; what they say is there at the next look.
-func (s *Server) countOwn(nodes []seen) {
-	v, shards := s.zones, s.allShards()
+// countOwnCores asks all shards for the cores of own work in each zone; what they say is there at the next look.
+func (s *Server) countOwnCores(nodes []listedNode) {
+	v, shards := s.zones, s.liveShards()
 	sum, left := map[string]float64{}, len(shards)
 	var mu sync.Mutex
-	s.tellShards(func(sh *shard, _ float64) {
+	s.postAll(func(sh *shard, _ float64) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, n := range nodes {
-			sum[n.zone] += sh.eng.CoresAt(n.id)
+			sum[n.zone] += sh.engine.CoresAt(n.id)
 		}
 		if left--; left == 0 {
 			v.mu.Lock()
-			v.own = sum
+			v.ownCores = sum
 			v.mu.Unlock()
 		}
 	})
 }
 
-// tell tells a new shard which nodes get nothing for their zone.
-func (v *zonesView) tell(sh *shard) {
+// sendExcluded tells a new shard which nodes get nothing for their zone.
+func (v *zoneRouting) sendExcluded(sh *shard) {
 	if v == nil {
 		return
 	}
 	v.mu.Lock()
-	out := slices.Clone(v.out)
+	out := slices.Clone(v.excluded)
 	v.mu.Unlock()
-	sh.tell(func(now float64) { sh.eng.SetZoneClosed(now, out, true) })
+	sh.post(func(now float64) { sh.engine.SetZoneClosed(now, out, true) })
 }
 
-// shown is which parts of zones are used, and how far this scheduler looks.
-func (v *zonesView) shown() (parts map[string]float64, level int) {
+// currentShares is which parts of zones are used, and how far this scheduler looks.
+func (v *zoneRouting) currentShares() (parts map[string]float64, level int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return maps.Clone(v.parts), v.level
+	return maps.Clone(v.shares), v.level
 }
