--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -26,9 +26,9 @@
 	Share float64 // above 0; only the proportion to others matters
 	Rate  float64 // requests per second that may pass; 0: as many as its share allows
 	Burst float64 // requests that may pass at once after an idle time, at least 1 if there is a rate
-	Open  int     // requests that may be open at once; 0: as many as there is room for
-	Wait  int     // requests that may wait in its queue
-	Stop  bool    // nothing new passes or waits: paused, or being removed
+	Open  int     `json:"Open"` // requests that may be open at once; 0: as many as there is room for
+	Wait  int     `json:"Wait"` // requests that may wait in its queue
+	Stop  bool    `json:"Stop"` // nothing new passes or waits: paused, or being removed
 }
 
 // Answer is the decision about a request.
--- a/internal/decide/tenancy/tenancy.go
+++ b/internal/decide/tenancy/tenancy.go
@@ -54,8 +54,8 @@
 // Limits are a tenant's, over all processes.
 type Limits struct {
 	fairqueue.Limits
-	Conns int     // connections of its owners at once, 0: by its share of the door
-	Bytes float64 // that they may send a second, 0: as many as usual
+	Conns int     `json:"Conns"` // connections of its owners at once, 0: by its share of the door
+	Bytes float64 `json:"Bytes"` // that they may send a second, 0: as many as usual
 }
 
 // Tenant is one.
@@ -63,10 +63,10 @@
 	Name    string
 	Slot    int // by which schedulers and nodes know it
 	State   State
-	Limits  Limits // for all processes together
-	Ending  Ending
+	Limits  Limits  // for all processes together
+	Ending  Ending  `json:"Ending"`
 	Version uint64  // raised by each change
-	Changed float64 // when the state last changed, wall clock in ms
+	Changed float64 `json:"Changed"` // when the state last changed, wall clock in ms
 }
 
 // Kind is a kind of change.
@@ -89,7 +89,7 @@
 	Kind    Kind
 	Name    string
 	Limits  Limits
-	Ending  Ending
+	Ending  Ending `json:"Ending"`
 	Version uint64 // that it was decided on; 0: whatever is there
 }
 
@@ -108,7 +108,7 @@
 // Fault is why a change is not taken.
 type Fault struct {
 	Field string
-	Sort  Sort
+	Sort  Sort `json:"Sort"`
 	Text  string
 }
 
