--- a/internal/decide/shardownership/shardownership_test.go
+++ b/internal/decide/shardownership/shardownership_test.go
@@ -18,41 +18,41 @@
 func TestFate(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(l *Table, n Name)
-		want [4]Fate // by job type
+		do   func(l *Table, n ID)
+		want [4]Disposition // by job type
 	}{
-		{"no try yet", func(*Table, Name) {}, [4]Fate{Moves, Moves, Moves, Moves}},
-		{"a try out", func(l *Table, n Name) { l.Send(n, 1, 1, Try{}) }, [4]Fate{Declines, Fails, Fails, Fails}},
-		{"an earlier one provably never ran", func(l *Table, n Name) {
-			l.Send(n, 1, 1, Try{})
-			l.Settle(n, 1, 1, true)
-		}, [4]Fate{Moves, Moves, Moves, Moves}},
-		{"an earlier one may have run", func(l *Table, n Name) {
-			l.Send(n, 1, 1, Try{})
-			l.Settle(n, 1, 1, false)
-		}, [4]Fate{Declines, Fails, Declines, Fails}},
-		{"it runs", func(l *Table, n Name) {
-			l.Send(n, 1, 1, Try{})
-			l.Answer(n, 1, 1, true)
-		}, [4]Fate{Continues, Continues, Continues, Continues}},
+		{"no try yet", func(*Table, ID) {}, [4]Disposition{Reassign, Reassign, Reassign, Reassign}},
+		{"a try out", func(l *Table, n ID) { l.PermitAttempt(n, 1, 1, Attempt{}) }, [4]Disposition{Shed, Fail, Fail, Fail}},
+		{"an earlier one provably never ran", func(l *Table, n ID) {
+			l.PermitAttempt(n, 1, 1, Attempt{})
+			l.CompleteAttempt(n, 1, 1, true)
+		}, [4]Disposition{Reassign, Reassign, Reassign, Reassign}},
+		{"an earlier one may have run", func(l *Table, n ID) {
+			l.PermitAttempt(n, 1, 1, Attempt{})
+			l.CompleteAttempt(n, 1, 1, false)
+		}, [4]Disposition{Shed, Fail, Shed, Fail}},
+		{"it runs", func(l *Table, n ID) {
+			l.PermitAttempt(n, 1, 1, Attempt{})
+			l.PermitAnswer(n, 1, 1, true)
+		}, [4]Disposition{Continue, Continue, Continue, Continue}},
 	} {
 		for job, want := range c.want {
-			l, n := NewTable(jobs, 1), Name{0, 7}
-			l.Take(n, 1, Ask{Job: job, Expiry: 5000})
+			l, n := NewTable(jobs, 1), ID{0, 7}
+			l.Assign(n, 1, Request{JobClass: job, Deadline: 5000})
 			c.do(l, n)
 			all := l.Fence(1000, 1, 300)
-			if len(all) != 1 || all[0].Fate != want {
+			if len(all) != 1 || all[0].Disposition != want {
 				t.Errorf("%s, job type %d: %+v, want fate %d", c.name, job, all, want)
 			}
-			if l.Send(n, 1, 1, Try{}) || l.Answer(n, 1, 1, true) {
+			if l.PermitAttempt(n, 1, 1, Attempt{}) || l.PermitAnswer(n, 1, 1, true) {
 				t.Errorf("%s: the fenced shard got leave", c.name)
 			}
 		}
 	}
 	t.Run("too late to move", func(t *testing.T) {
-		l, n := NewTable(jobs, 1), Name{0, 7}
-		l.Take(n, 1, Ask{Job: 3, Expiry: 1200})
-		if all := l.Fence(1000, 1, 300); all[0].Fate != Declines {
+		l, n := NewTable(jobs, 1), ID{0, 7}
+		l.Assign(n, 1, Request{JobClass: 3, Deadline: 1200})
+		if all := l.Fence(1000, 1, 300); all[0].Disposition != Shed {
 			t.Errorf("%+v", all)
 		}
 	})
@@ -61,32 +61,32 @@
 func TestHand(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(l *Table, n Name)
+		do   func(l *Table, n ID)
 		ok   bool
 	}{
-		{"never tried", func(*Table, Name) {}, true},
-		{"a try out", func(l *Table, n Name) { l.Send(n, 1, 1, Try{Ticket: 5}) }, false},
-		{"it provably never ran", func(l *Table, n Name) { l.Send(n, 1, 1, Try{Ticket: 5}); l.Settle(n, 1, 1, true) }, true},
-		{"it may have run", func(l *Table, n Name) { l.Send(n, 1, 1, Try{Ticket: 5}); l.Settle(n, 1, 1, false) }, false},
-		{"it runs", func(l *Table, n Name) { l.Send(n, 1, 1, Try{Ticket: 5}); l.Answer(n, 1, 1, true) }, true},
+		{"never tried", func(*Table, ID) {}, true},
+		{"a try out", func(l *Table, n ID) { l.PermitAttempt(n, 1, 1, Attempt{Ticket: 5}) }, false},
+		{"it provably never ran", func(l *Table, n ID) { l.PermitAttempt(n, 1, 1, Attempt{Ticket: 5}); l.CompleteAttempt(n, 1, 1, true) }, true},
+		{"it may have run", func(l *Table, n ID) { l.PermitAttempt(n, 1, 1, Attempt{Ticket: 5}); l.CompleteAttempt(n, 1, 1, false) }, false},
+		{"it runs", func(l *Table, n ID) { l.PermitAttempt(n, 1, 1, Attempt{Ticket: 5}); l.PermitAnswer(n, 1, 1, true) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, n := NewTable(jobs, 1), Name{0, 7}
-			l.Take(n, 1, Ask{Job: 3, Expiry: 5000, Owner: 4, Ref: 9})
+			l, n := NewTable(jobs, 1), ID{0, 7}
+			l.Assign(n, 1, Request{JobClass: 3, Deadline: 5000, Client: 4, Ref: 9})
 			c.do(l, n)
 			l.NextEpoch()
-			epoch, ok := l.Hand(n, 1, 1, 2)
+			epoch, ok := l.HandOver(n, 1, 1, 2)
 			if ok != c.ok || ok && epoch != 2 {
 				t.Fatalf("epoch %d, %v", epoch, ok)
 			}
-			if _, again := l.Hand(n, 1, 1, 2); ok && again {
+			if _, again := l.HandOver(n, 1, 1, 2); ok && again {
 				t.Error("handed over twice")
 			}
-			l.Owned(n, 1, 1, 5, 10)
-			if en := l.all[n]; ok && (en.Owner != 4 || en.Shard != 2) || !ok && (en.Owner != 5 || en.Shard != 1) {
+			l.SetClient(n, 1, 1, 5, 10)
+			if en := l.entries[n]; ok && (en.Client != 4 || en.Shard != 2) || !ok && (en.Client != 5 || en.Shard != 1) {
 				t.Errorf("%+v", en)
 			}
-			if at, held := l.Holder(n, 5, 0); held && at != l.all[n].Shard || held != (l.all[n].Last.Ticket == 5) {
+			if at, held := l.Holder(n, 5, 0); held && at != l.entries[n].Shard || held != (l.entries[n].LastAttempt.Ticket == 5) {
 				t.Errorf("held by %d, %v", at, held)
 			}
 		})
@@ -96,34 +96,34 @@
 func TestOverdue(t *testing.T) {
 	l := NewTable(jobs, 1)
 	for i, expiry := range []float64{1100, 1100, 5000, 1100} {
-		l.Take(Name{0, uint64(i)}, i/3, Ask{Job: 3, Expiry: expiry})
+		l.Assign(ID{0, uint64(i)}, i/3, Request{JobClass: 3, Deadline: expiry})
 	}
-	l.Send(Name{0, 1}, 0, 1, Try{})
-	all := l.Overdue(1000, 0, 150)
-	if len(all) != 2 || all[0].Fate != Declines || all[1].Fate != Fails {
+	l.PermitAttempt(ID{0, 1}, 0, 1, Attempt{})
+	all := l.ShedOverdue(1000, 0, 150)
+	if len(all) != 2 || all[0].Disposition != Shed || all[1].Disposition != Fail {
 		t.Errorf("%+v", all)
 	}
-	if l.Answer(Name{0, 0}, 0, 1, true) || l.Send(Name{0, 0}, 0, 1, Try{}) {
+	if l.PermitAnswer(ID{0, 0}, 0, 1, true) || l.PermitAttempt(ID{0, 0}, 0, 1, Attempt{}) {
 		t.Error("leave after the answer was given")
 	}
-	if len(l.Overdue(1000, 0, 150)) != 0 {
+	if len(l.ShedOverdue(1000, 0, 150)) != 0 {
 		t.Error("answered twice")
 	}
 }
 
 func TestBarring(t *testing.T) {
-	for job, want := range []State{New, Barring, Barring, Barring} {
-		l, n := NewTable(jobs, 1), Name{0, 7}
-		l.Take(n, 1, Ask{Job: job, Expiry: 5000})
-		l.Send(n, 1, 1, Try{})
+	for job, want := range []State{Unassigned, Barred, Barred, Barred} {
+		l, n := NewTable(jobs, 1), ID{0, 7}
+		l.Assign(n, 1, Request{JobClass: job, Deadline: 5000})
+		l.PermitAttempt(n, 1, 1, Attempt{})
 		l.Fence(1000, 1, 300)
-		if _, s := l.Look(2000, n); s != want {
+		if _, s := l.Lookup(2000, n); s != want {
 			t.Errorf("job type %d: %d, want %d", job, s, want)
 		}
-		if _, s := l.Look(6000, n); s != New {
+		if _, s := l.Lookup(6000, n); s != Unassigned {
 			t.Errorf("job type %d: still %d after its time", job, s)
 		}
-		if epoch := l.Take(n, 2, Ask{Job: job}); epoch != 2 {
+		if epoch := l.Assign(n, 2, Request{JobClass: job}); epoch != 2 {
 			t.Errorf("epoch %d after a fence", epoch)
 		}
 	}
@@ -135,8 +135,8 @@
 	found := false
 	for _, trusts := range []bool{false, true} {
 		rapid.Check(t, func(t *rapid.T) {
-			l, n, job := NewTable(jobs, 1), Name{0, 1}, rapid.IntRange(0, 3).Draw(t, "job")
-			l.Trusted = trusts
+			l, n, job := NewTable(jobs, 1), ID{0, 1}, rapid.IntRange(0, 3).Draw(t, "job")
+			l.FaultAnyEpoch = trusts
 			type view struct {
 				epoch uint32
 				out   bool
@@ -145,7 +145,7 @@
 			answers, ran, now := 0, false, 0.0
 			defer func() {
 				open := 0
-				for _, en := range l.all {
+				for _, en := range l.entries {
 					if !en.Answered {
 						open++
 					}
@@ -160,12 +160,12 @@
 				v := &views[at]
 				switch rapid.IntRange(0, 6).Draw(t, "call") {
 				case 0:
-					if _, s := l.Look(now, n); s == New {
-						*v = view{epoch: l.Take(n, at, Ask{Job: job, Expiry: 1e6})}
+					if _, s := l.Lookup(now, n); s == Unassigned {
+						*v = view{epoch: l.Assign(n, at, Request{JobClass: job, Deadline: 1e6})}
 						answers, ran = 0, false
 					}
 				case 1:
-					if l.Send(n, at, v.epoch, Try{}) {
+					if l.PermitAttempt(n, at, v.epoch, Attempt{}) {
 						for other := range views {
 							if views[other].out {
 								found = true
@@ -187,10 +187,10 @@
 						never := rapid.Bool().Draw(t, "never")
 						v.out = false
 						ran = ran || !never
-						l.Settle(n, at, v.epoch, never)
+						l.CompleteAttempt(n, at, v.epoch, never)
 					}
 				case 4:
-					if l.Answer(n, at, v.epoch, true) {
+					if l.PermitAnswer(n, at, v.epoch, true) {
 						if answers++; answers > 1 {
 							t.Fatal("answered twice")
 						}
@@ -198,7 +198,7 @@
 				case 6: // handed over
 					to := (at + 1) % 3
 					l.NextEpoch()
-					if epoch, ok := l.Hand(n, at, v.epoch, to); ok {
+					if epoch, ok := l.HandOver(n, at, v.epoch, to); ok {
 						if v.out && answers == 0 {
 							found = true
 							if !trusts {
@@ -207,19 +207,19 @@
 						}
 						views[to] = view{epoch: epoch, out: v.out}
 						v.out = false
-						if l.Send(n, at, v.epoch, Try{}) && !trusts || l.Answer(n, at, v.epoch, true) {
+						if l.PermitAttempt(n, at, v.epoch, Attempt{}) && !trusts || l.PermitAnswer(n, at, v.epoch, true) {
 							t.Fatal("leave after it was handed over")
 						}
 					}
 				case 5: // fenced: its tries are over for the owner, who hears of them by the node's epoch check
 					for _, o := range l.Fence(now, at, 0) {
-						if o.Fate == Moves && views[at].out {
+						if o.Disposition == Reassign && views[at].out {
 							found = true
 							if !trusts {
 								t.Fatal("moved with a try out")
 							}
 						}
-						now = max(now, o.Entry.Expiry+1)
+						now = max(now, o.Entry.Deadline+1)
 						ran = false
 					}
 					for i := range views {
--- a/internal/decide/shardrouter/line.go
+++ b/internal/decide/shardrouter/line.go
@@ -20,163 +20,163 @@
 	listLag   = 5   // words of the list by which it may be behind
 )
 
-type line struct {
-	queue   *fairqueue.Queue
-	fill    *fairqueue.Fill
-	urgency []int // by job type
-	ids     uint64
-	waits   map[uint64]waiting
-	by      map[asked]uint64
-	again   float64 // when to ask a shard that was behind, 0: none was
-	room    Room    // of the nodes that take work
-	others  Room    // of it, what other processes hold
-	held    Room    // by what this process's shards act for, open or running
-	past    []Room  // that, at the last words of the list
+type tenantQueue struct {
+	queue      *fairqueue.Queue
+	fill       *fairqueue.Fill
+	urgency    []int // by job type
+	lastID     uint64
+	waiting    map[uint64]queuedRequest
+	byClient   map[clientRef]uint64
+	retryAt    float64     // when to ask a shard that was behind, 0: none was
+	capacity   Resources   // of the nodes that take work
+	others     Resources   // of it, what other processes hold
+	held       Resources   // by what this process's shards act for, open or running
+	recentHeld []Resources // that, at the last words of the list
 }
 
-// Room is of cores and memory.
-type Room struct{ Cores, Memory float64 }
+// Resources is of cores and memory.
+type Resources struct{ Cores, Memory float64 }
 
-type asked struct {
-	owner uint32
-	ref   uint64
+type clientRef struct {
+	client uint32
+	ref    uint64
 }
 
-type waiting struct {
-	name   shardownership.Name
-	ask    shardownership.Ask
-	unread float64
-	since  float64
+type queuedRequest struct {
+	id      shardownership.ID
+	request shardownership.Request
+	unread  float64
+	since   float64
 }
 
-// begin makes the line.
-func (r *Router) begin() {
-	values := make([]float64, len(r.terms.Jobs))
-	for i := range r.terms.Jobs {
-		values[i] = r.terms.Jobs[i].PriorityWeight
+// startQueue makes the line.
+func (r *Router) startQueue() {
+	values := make([]float64, len(r.config.JobClasses))
+	for i := range r.config.JobClasses {
+		values[i] = r.config.JobClasses[i].PriorityWeight
 	}
 	order := slices.Clone(values)
 	slices.Sort(order)
-	l := &line{fill: fairqueue.NewFill(), waits: map[uint64]waiting{}, by: map[asked]uint64{}}
+	l := &tenantQueue{fill: fairqueue.NewFill(), waiting: map[uint64]queuedRequest{}, byClient: map[clientRef]uint64{}}
 	for _, v := range values {
 		l.urgency = append(l.urgency, slices.Index(order, v))
 	}
-	l.queue = fairqueue.New(1, 1, r.terms.Open)
-	l.queue.Free(0, 0, leastOpen*r.terms.Most)
-	r.ownership.Count = l.queue.Count
-	r.ownership.Held = func(tenant int, a *shardownership.Ask, by float64) {
+	l.queue = fairqueue.New(1, 1, r.config.MaxOpen)
+	l.queue.Free(0, 0, leastOpen*r.config.MaxShards)
+	r.ownership.OnOpenChange = l.queue.Count
+	r.ownership.OnHeldChange = func(tenant int, a *shardownership.Request, by float64) {
 		l.queue.Hold(tenant, a.Cores, a.Memory, by)
 		l.held.Cores, l.held.Memory = l.held.Cores+by*a.Cores, l.held.Memory+by*a.Memory
 	}
-	r.line = l
+	r.queue = l
 }
 
-// Queue tells of a shard how long it has been at one thing, beyond what is common, and how many asks wait there.
-type Queue func(shard int) (stuck float64, ahead int)
+// ShardLoad tells of a shard how long it has been at one thing, beyond what is common, and how many asks wait there.
+type ShardLoad func(shard int) (stuck float64, ahead int)
 
-// Entry is what becomes of an ask.
-type Entry struct {
-	Name  shardownership.Name
-	Ask   shardownership.Ask
-	Waits bool    // its turn comes, or it is answered later
-	At    int     // the shard that acts for it
-	Epoch uint32  // 0: for another ask of the same key
-	Why   string  // it is declined
-	Back  float64 // ms after which to ask again, if it is known
+// Decision is what becomes of an ask.
+type Decision struct {
+	ID         shardownership.ID
+	Request    shardownership.Request
+	Queued     bool    // its turn comes, or it is answered later
+	Shard      int     // the shard that acts for it
+	Epoch      uint32  // 0: for another ask of the same key
+	Reason     string  // it is declined
+	RetryAfter float64 // ms after which to ask again, if it is known
 }
 
-// Enter takes an ask, as Ask does, and has it wait for its tenant's turn where tenants come and go.
-func (r *Router) Enter(now float64, n shardownership.Name, a shardownership.Ask, unread float64, queue Queue) Entry {
-	e := Entry{Name: n, Ask: a}
-	l := r.line
+// Submit takes an ask, as Ask does, and has it wait for its tenant's turn where tenants come and go.
+func (r *Router) Submit(now float64, n shardownership.ID, a shardownership.Request, unread float64, queue ShardLoad) Decision {
+	e := Decision{ID: n, Request: a}
+	l := r.queue
 	hosts := l != nil
 	if hosts { // what a shard acts for already goes past the lines
-		_, state := r.ownership.Look(now, n)
-		hosts = state == shardownership.New
+		_, state := r.ownership.Lookup(now, n)
+		hosts = state == shardownership.Unassigned
 	}
 	if !hosts {
-		e.At, e.Epoch, e.Why = r.Ask(now, n, a, unread, queue)
+		e.Shard, e.Epoch, e.Reason = r.Route(now, n, a, unread, queue)
 		return e
 	}
-	l.ids++
-	id := l.ids
-	r.free()
-	verdict, back := l.queue.Ask(now, n.Tenant, id, l.urgency[a.Job], a.Cores, a.Memory, a.Expiry-r.terms.Margin)
-	w := waiting{n, a, unread, now}
+	l.lastID++
+	id := l.lastID
+	r.updateFree()
+	verdict, back := l.queue.Ask(now, n.Tenant, id, l.urgency[a.JobClass], a.Cores, a.Memory, a.Deadline-r.config.AnswerMargin)
+	w := queuedRequest{n, a, unread, now}
 	switch verdict {
 	case fairqueue.Declined:
-		e.Why, e.Back = "over-share", back
+		e.Reason, e.RetryAfter = "over-share", back
 	case fairqueue.Waits:
-		l.keep(id, w)
-		e.Waits = true
+		l.add(id, w)
+		e.Queued = true
 	case fairqueue.Passes:
-		return r.place(now, id, w, queue)
+		return r.routeAdmitted(now, id, w, queue)
 	}
 	return e
 }
 
-// free tells the queue what may still be taken: all but what this process holds, what others do, and the part that is to stay. What
+// updateFree tells the queue what may still be taken: all but what this process holds, what others do, and the part that is to stay. What
 // others hold may be less than nothing: what this process holds at nodes that take no work any more.
-func (r *Router) free() {
-	l := r.line
-	if l.room.Cores <= 0 || l.room.Memory <= 0 {
+func (r *Router) updateFree() {
+	l := r.queue
+	if l.capacity.Cores <= 0 || l.capacity.Memory <= 0 {
 		return
 	}
-	held := max(0, (l.held.Cores+l.others.Cores)/l.room.Cores, (l.held.Memory+l.others.Memory)/l.room.Memory)
-	l.queue.Free(l.fill.Part()-held, 1-held, leastOpen*r.terms.Most)
+	held := max(0, (l.held.Cores+l.others.Cores)/l.capacity.Cores, (l.held.Memory+l.others.Memory)/l.capacity.Memory)
+	l.queue.Free(l.fill.Part()-held, 1-held, leastOpen*r.config.MaxShards)
 }
 
-func (l *line) keep(id uint64, w waiting) {
-	l.waits[id] = w
-	l.by[asked{w.ask.Owner, w.ask.Ref}] = id
+func (l *tenantQueue) add(id uint64, w queuedRequest) {
+	l.waiting[id] = w
+	l.byClient[clientRef{w.request.Client, w.request.Ref}] = id
 }
 
-func (l *line) drop(id uint64) (w waiting) {
-	w = l.waits[id]
-	delete(l.waits, id)
-	delete(l.by, asked{w.ask.Owner, w.ask.Ref})
+func (l *tenantQueue) remove(id uint64) (w queuedRequest) {
+	w = l.waiting[id]
+	delete(l.waiting, id)
+	delete(l.byClient, clientRef{w.request.Client, w.request.Ref})
 	return w
 }
 
-// place has an ask that passed go to a shard.
-func (r *Router) place(now float64, id uint64, w waiting, queue Queue) Entry {
-	l, e := r.line, Entry{Name: w.name, Ask: w.ask}
-	e.At, e.Epoch, e.Why = r.Ask(now, w.name, w.ask, w.unread, queue)
-	if e.Why == "behind" && w.ask.Expiry-r.terms.Margin > now+retry {
-		l.queue.Return(now, w.name.Tenant, id, l.urgency[w.ask.Job], w.ask.Cores, w.ask.Memory, w.ask.Expiry-r.terms.Margin)
-		l.keep(id, w)
-		l.again = now + retry
-		return Entry{Name: w.name, Ask: w.ask, Waits: true}
+// routeAdmitted has an ask that passed go to a shard.
+func (r *Router) routeAdmitted(now float64, id uint64, w queuedRequest, queue ShardLoad) Decision {
+	l, e := r.queue, Decision{ID: w.id, Request: w.request}
+	e.Shard, e.Epoch, e.Reason = r.Route(now, w.id, w.request, w.unread, queue)
+	if e.Reason == "behind" && w.request.Deadline-r.config.AnswerMargin > now+retry {
+		l.queue.Return(now, w.id.Tenant, id, l.urgency[w.request.JobClass], w.request.Cores, w.request.Memory, w.request.Deadline-r.config.AnswerMargin)
+		l.add(id, w)
+		l.retryAt = now + retry
+		return Decision{ID: w.id, Request: w.request, Queued: true}
 	}
-	l.queue.Done(w.name.Tenant) // the ownership table counts it now, if a shard has it
+	l.queue.Done(w.id.Tenant) // the ownership table counts it now, if a shard has it
 	return e
 }
 
-// Pump gives the asks whose turn has come, placed or declined, and those whose time is up.
-func (r *Router) Pump(now float64, queue Queue) (all []Entry) {
-	l := r.line
-	if l == nil || len(l.waits) == 0 {
+// Dequeue gives the asks whose turn has come, placed or declined, and those whose time is up.
+func (r *Router) Dequeue(now float64, queue ShardLoad) (all []Decision) {
+	l := r.queue
+	if l == nil || len(l.waiting) == 0 {
 		return nil
 	}
 	lapsed := func(id uint64) {
-		w := l.drop(id)
-		all = append(all, Entry{Name: w.name, Ask: w.ask, Why: "too-late"})
+		w := l.remove(id)
+		all = append(all, Decision{ID: w.id, Request: w.request, Reason: "too-late"})
 	}
-	if now < l.again {
+	if now < l.retryAt {
 		l.queue.Lapse(now, lapsed)
 		return all
 	}
-	l.again = 0
-	r.free()
+	l.retryAt = 0
+	r.updateFree()
 	for {
 		id, ok := l.queue.Next(now, lapsed)
 		if !ok {
 			return all
 		}
-		w := l.drop(id)
+		w := l.remove(id)
 		w.unread = 0 // it was read long ago: what it waited here is no sign of a pile before the door
-		e := r.place(now, id, w, queue)
-		if e.Waits {
+		e := r.routeAdmitted(now, id, w, queue)
+		if e.Queued {
 			return all
 		}
 		all = append(all, e)
@@ -185,82 +185,82 @@
 
 // Due is when Pump may have something by time alone, infinite if not.
 func (r *Router) Due(now float64) float64 {
-	if r.line == nil || len(r.line.waits) == 0 {
+	if r.queue == nil || len(r.queue.waiting) == 0 {
 		return math.Inf(1)
 	}
-	due := r.line.queue.Due(now)
-	if r.line.again > 0 {
-		due = min(due, r.line.again)
+	due := r.queue.queue.Due(now)
+	if r.queue.retryAt > 0 {
+		due = min(due, r.queue.retryAt)
 	}
 	return due
 }
 
-// Freed tells whether asks wait, so that what has just ended may let one go on.
-func (r *Router) Freed(now float64) bool {
-	l := r.line
-	return l != nil && len(l.waits) > 0 && now >= l.again
+// MayDequeue tells whether asks wait, so that what has just ended may let one go on.
+func (r *Router) MayDequeue(now float64) bool {
+	l := r.queue
+	return l != nil && len(l.waiting) > 0 && now >= l.retryAt
 }
 
-// Forgo takes an ask that waits out of its line, as its owner gives it up; false if it does not wait.
-func (r *Router) Forgo(owner uint32, ref uint64) bool {
-	if r.line == nil {
+// Withdraw takes an ask that waits out of its line, as its owner gives it up; false if it does not wait.
+func (r *Router) Withdraw(owner uint32, ref uint64) bool {
+	if r.queue == nil {
 		return false
 	}
-	id, ok := r.line.by[asked{owner, ref}]
+	id, ok := r.queue.byClient[clientRef{owner, ref}]
 	if ok {
-		r.line.queue.Drop(id)
-		r.line.drop(id)
+		r.queue.queue.Drop(id)
+		r.queue.remove(id)
 	}
 	return ok
 }
 
-// OwnerGone takes all asks of an owner out of the lines.
-func (r *Router) OwnerGone(owner uint32) {
-	if r.line == nil {
+// WithdrawClient takes all asks of an owner out of the lines.
+func (r *Router) WithdrawClient(owner uint32) {
+	if r.queue == nil {
 		return
 	}
 	var refs []uint64
-	for k := range r.line.by {
-		if k.owner == owner {
+	for k := range r.queue.byClient {
+		if k.client == owner {
 			refs = append(refs, k.ref)
 		}
 	}
 	slices.Sort(refs)
 	for _, ref := range refs {
-		r.Forgo(owner, ref)
+		r.Withdraw(owner, ref)
 	}
 }
 
-// Tenant takes what a tenant's state asks of this process. What waits of one that takes nothing any more is given back, to be
+// SetTenant takes what a tenant's state asks of this process. What waits of one that takes nothing any more is given back, to be
 // declined at once.
-func (r *Router) Tenant(now float64, slot int, duty tenancy.Duty) (declined []Entry) {
-	l := r.line
+func (r *Router) SetTenant(now float64, slot int, duty tenancy.Duty) (declined []Decision) {
+	l := r.queue
 	l.queue.Set(now, slot, duty.Limits)
 	if duty.Takes {
 		return nil
 	}
 	l.queue.Empty(slot, func(id uint64) {
-		w := l.drop(id)
-		declined = append(declined, Entry{Name: w.name, Ask: w.ask, Why: "not-taken"})
+		w := l.remove(id)
+		declined = append(declined, Decision{ID: w.id, Request: w.request, Reason: "not-taken"})
 	})
 	return declined
 }
 
-// Listed tells how much room there is at the nodes that take work, and how much of it nobody asks for, by the list, if it says so. The
+// OnCapacity tells how much room there is at the nodes that take work, and how much of it nobody asks for, by the list, if it says so. The
 // list is late, so what other processes hold is no more than the difference of the two over some seconds, and while this one's own
 // load grows or falls the difference says nothing; what it holds it knows itself.
-func (r *Router) Listed(all, unasked Room, says bool) {
-	l := r.line
+func (r *Router) OnCapacity(all, unasked Resources, says bool) {
+	l := r.queue
 	if l == nil || !(all.Cores > 0) || !(all.Memory > 0) {
 		return
 	}
-	if l.past = append(l.past, l.held); len(l.past) > listLag {
-		l.past = l.past[1:]
+	if l.recentHeld = append(l.recentHeld, l.held); len(l.recentHeld) > listLag {
+		l.recentHeld = l.recentHeld[1:]
 	}
 	least, most := l.held, l.held
-	for _, p := range l.past {
-		least = Room{min(least.Cores, p.Cores), min(least.Memory, p.Memory)}
-		most = Room{max(most.Cores, p.Cores), max(most.Memory, p.Memory)}
+	for _, p := range l.recentHeld {
+		least = Resources{min(least.Cores, p.Cores), min(least.Memory, p.Memory)}
+		most = Resources{max(most.Cores, p.Cores), max(most.Memory, p.Memory)}
 	}
 	// What the list says was so at some time lately, when this process held no less than the least and no more than the most.
 	toward := func(others *float64, asked, least, most float64) {
@@ -268,21 +268,21 @@
 			asked, least, most = 0, 0, 0
 		}
 		to := min(max(*others, asked-most), asked-least)
-		if l.room.Cores == 0 {
+		if l.capacity.Cores == 0 {
 			*others = to
 		}
 		*others += heed * (to - *others)
 	}
 	toward(&l.others.Cores, all.Cores-unasked.Cores, least.Cores, most.Cores)
 	toward(&l.others.Memory, all.Memory-unasked.Memory, least.Memory, most.Memory)
-	l.room = all
-	l.queue.Room(all.Cores, all.Memory, r.terms.Open)
+	l.capacity = all
+	l.queue.Room(all.Cores, all.Memory, r.config.MaxOpen)
 }
 
-// Holds counts what there is of a tenant: asks that wait, allocations that are open, and what ran at a fenced shard and is not
+// TenantCount counts what there is of a tenant: asks that wait, allocations that are open, and what ran at a fenced shard and is not
 // found yet.
-func (r *Router) Holds(slot int) int {
-	n := r.line.queue.Waiting(slot) + r.line.queue.Open(slot)
+func (r *Router) TenantCount(slot int) int {
+	n := r.queue.queue.Waiting(slot) + r.queue.queue.Open(slot)
 	for name := range r.lost {
 		if name.Tenant == slot {
 			n++
@@ -291,18 +291,18 @@
 	return n
 }
 
-// Longest is how long the oldest ask in the lines has waited, and how many wait.
-func (r *Router) Longest(now float64) (ms float64, n int) {
-	if r.line == nil {
+// OldestWait is how long the oldest ask in the lines has waited, and how many wait.
+func (r *Router) OldestWait(now float64) (ms float64, n int) {
+	if r.queue == nil {
 		return 0, 0
 	}
-	for _, w := range r.line.waits {
+	for _, w := range r.queue.waiting {
 		ms = max(ms, now-w.since)
 	}
-	return ms, len(r.line.waits)
+	return ms, len(r.queue.waiting)
 }
 
-// Filled is how much of the room may be taken just now, and how much of it is held by this process.
-func (r *Router) Filled() (may, held float64) {
-	return r.line.fill.Part(), max(r.line.held.Cores/max(1e-9, r.line.room.Cores), r.line.held.Memory/max(1e-9, r.line.room.Memory))
+// FillLevel is how much of the room may be taken just now, and how much of it is held by this process.
+func (r *Router) FillLevel() (may, held float64) {
+	return r.queue.fill.Part(), max(r.queue.held.Cores/max(1e-9, r.queue.capacity.Cores), r.queue.held.Memory/max(1e-9, r.queue.capacity.Memory))
 }
--- a/internal/decide/shardrouter/line_test.go
+++ b/internal/decide/shardrouter/line_test.go
@@ -11,29 +11,29 @@
 )
 
 func hosting(shards, open int) *Router {
-	d := New(0, Terms{Jobs: jobs, Shards: shards, Most: shards, Open: open, Margin: 100, Epoch: 1, Hosts: true})
+	d := New(0, Config{JobClasses: jobs, Shards: shards, MaxShards: shards, MaxOpen: open, AnswerMargin: 100, FirstEpoch: 1, MultiTenant: true})
 	for i := range 3 {
-		d.Tenant(0, i, tenancy.Duty{Limits: fairqueue.Limits{Share: 1, Wait: 6}, Takes: true})
+		d.SetTenant(0, i, tenancy.Duty{Limits: fairqueue.Limits{Share: 1, Wait: 6}, Takes: true})
 	}
-	d.Listed(Room{10, 10}, Room{10, 10}, true)
+	d.OnCapacity(Resources{10, 10}, Resources{10, 10}, true)
 	return d
 }
 
 func TestLine(t *testing.T) {
-	of := func(tenant int, key uint64) shardownership.Name {
-		return shardownership.Name{Tenant: tenant, Token: key}
+	of := func(tenant int, key uint64) shardownership.ID {
+		return shardownership.ID{Tenant: tenant, Token: key}
 	}
-	ask := func(ref uint64) shardownership.Ask {
-		return shardownership.Ask{Owner: 1, Ref: ref, Service: ref, Cores: 1, Memory: 1, Expiry: 5000}
+	ask := func(ref uint64) shardownership.Request {
+		return shardownership.Request{Client: 1, Ref: ref, Service: ref, Cores: 1, Memory: 1, Deadline: 5000}
 	}
 	full := func(d *Router) { // all ten cores are taken
 		defer func() {
-			if e := d.Enter(0, of(2, 90), ask(90), 0, calm); e.Why != "" || e.Waits {
+			if e := d.Submit(0, of(2, 90), ask(90), 0, calm); e.Reason != "" || e.Queued {
 				t.Fatalf("%+v", e)
 			}
 		}()
 		for i := range uint64(9) {
-			if e := d.Enter(0, of(0, i), ask(i), 0, calm); e.Why != "" || e.Waits {
+			if e := d.Submit(0, of(0, i), ask(i), 0, calm); e.Reason != "" || e.Queued {
 				t.Fatalf("%+v", e)
 			}
 		}
@@ -41,15 +41,15 @@
 	t.Run("waits for room, and goes on as some ends", func(t *testing.T) {
 		d := hosting(1, 100)
 		full(d)
-		e := d.Enter(0, of(1, 50), ask(50), 0, calm)
-		if !e.Waits {
+		e := d.Submit(0, of(1, 50), ask(50), 0, calm)
+		if !e.Queued {
 			t.Fatalf("%+v", e)
 		}
-		if all := d.Pump(1, calm); len(all) > 0 || !d.Freed(1) {
+		if all := d.Dequeue(1, calm); len(all) > 0 || !d.MayDequeue(1) {
 			t.Fatalf("%+v", all)
 		}
-		d.Drop(of(0, 0), 0, 0, 1)
-		if all := d.Pump(2, calm); len(all) != 1 || all[0].Epoch != 1 || all[0].Ask.Ref != 50 {
+		d.Remove(of(0, 0), 0, 0, 1)
+		if all := d.Dequeue(2, calm); len(all) != 1 || all[0].Epoch != 1 || all[0].Request.Ref != 50 {
 			t.Fatalf("%+v", all)
 		}
 	})
@@ -69,87 +69,87 @@
 			d := hosting(1, 100)
 			full(d)
 			for range 60 { // half a minute of the list's word
-				d.Listed(Room{c.all, c.all}, Room{c.unasked, c.unasked}, c.says)
+				d.OnCapacity(Resources{c.all, c.all}, Resources{c.unasked, c.unasked}, c.says)
 			}
 			for i := range uint64(2) { // whatever is said, two may be open
-				d.Send(of(0, i), 0, 1, shardownership.Try{Node: 1})
+				d.PermitAttempt(of(0, i), 0, 1, shardownership.Attempt{Node: 1})
 			}
-			if e := d.Enter(1, of(1, 50), ask(50), 0, calm); e.Waits != c.waits {
+			if e := d.Submit(1, of(1, 50), ask(50), 0, calm); e.Queued != c.waits {
 				t.Errorf("%s: %+v", c.name, e)
 			}
 		}
 	})
 	t.Run("the list is behind while the load grows", func(t *testing.T) {
 		d := hosting(1, 100)
-		d.Listed(Room{20, 20}, Room{20, 20}, true)
+		d.OnCapacity(Resources{20, 20}, Resources{20, 20}, true)
 		for i := range uint64(18) { // the list says what was so three words ago
-			if e := d.Enter(0, of(int(i%3), i), ask(i), 0, calm); e.Why != "" || e.Waits {
+			if e := d.Submit(0, of(int(i%3), i), ask(i), 0, calm); e.Reason != "" || e.Queued {
 				t.Fatalf("%+v", e)
 			}
 			free := 20 - max(0, float64(i)-2)
-			d.Listed(Room{20, 20}, Room{free, free}, true)
+			d.OnCapacity(Resources{20, 20}, Resources{free, free}, true)
 		}
-		if d.line.others.Cores != 0 || d.line.others.Memory != 0 {
-			t.Errorf("others are believed to hold %+v", d.line.others)
+		if d.queue.others.Cores != 0 || d.queue.others.Memory != 0 {
+			t.Errorf("others are believed to hold %+v", d.queue.others)
 		}
 	})
 	t.Run("a shard that is behind", func(t *testing.T) {
 		d := hosting(1, 100)
-		d.Worked(0, 10, 10)
+		d.OnRound(0, 10, 10)
 		crowded := func(int) (float64, int) { return 0, 1000 }
-		if e := d.Enter(0, of(1, 50), ask(50), 0, crowded); !e.Waits {
+		if e := d.Submit(0, of(1, 50), ask(50), 0, crowded); !e.Queued {
 			t.Fatalf("%+v", e)
 		}
-		if all := d.Pump(1, calm); len(all) > 0 {
+		if all := d.Dequeue(1, calm); len(all) > 0 {
 			t.Errorf("asked again at once: %+v", all)
 		}
 		if at := d.Due(1); at > retry {
 			t.Errorf("due at %g", at)
 		}
-		if all := d.Pump(retry, calm); len(all) != 1 || all[0].Why != "" {
+		if all := d.Dequeue(retry, calm); len(all) != 1 || all[0].Reason != "" {
 			t.Errorf("%+v", all)
 		}
 	})
 	t.Run("its time is up", func(t *testing.T) {
 		d := hosting(1, 100)
 		full(d)
-		d.Enter(0, of(1, 50), ask(50), 0, calm)
+		d.Submit(0, of(1, 50), ask(50), 0, calm)
 		if at := d.Due(0); at != 4900 {
 			t.Errorf("due at %g", at)
 		}
-		if all := d.Pump(4900, calm); len(all) != 1 || all[0].Why != "too-late" {
+		if all := d.Dequeue(4900, calm); len(all) != 1 || all[0].Reason != "too-late" {
 			t.Errorf("%+v", all)
 		}
 	})
 	t.Run("given up", func(t *testing.T) {
 		d := hosting(1, 100)
 		full(d)
-		d.Enter(0, of(1, 50), ask(50), 0, calm)
-		if !d.Forgo(1, 50) || d.Forgo(1, 50) {
+		d.Submit(0, of(1, 50), ask(50), 0, calm)
+		if !d.Withdraw(1, 50) || d.Withdraw(1, 50) {
 			t.Error("not once")
 		}
-		d.Enter(0, of(1, 51), ask(51), 0, calm)
-		d.OwnerGone(1)
-		if n := d.Holds(1); n != 0 {
+		d.Submit(0, of(1, 51), ask(51), 0, calm)
+		d.WithdrawClient(1)
+		if n := d.TenantCount(1); n != 0 {
 			t.Errorf("%d are left", n)
 		}
 	})
 	t.Run("a tenant that takes nothing any more", func(t *testing.T) {
 		d := hosting(1, 100)
 		full(d)
-		d.Enter(0, of(1, 50), ask(50), 0, calm)
-		all := d.Tenant(1, 1, tenancy.Duty{Limits: fairqueue.Limits{Share: 1, Stop: true}})
-		if len(all) != 1 || all[0].Why != "not-taken" {
+		d.Submit(0, of(1, 50), ask(50), 0, calm)
+		all := d.SetTenant(1, 1, tenancy.Duty{Limits: fairqueue.Limits{Share: 1, Stop: true}})
+		if len(all) != 1 || all[0].Reason != "not-taken" {
 			t.Errorf("%+v", all)
 		}
-		if e := d.Enter(2, of(1, 51), ask(51), 0, calm); e.Why != "over-share" {
+		if e := d.Submit(2, of(1, 51), ask(51), 0, calm); e.Reason != "over-share" {
 			t.Errorf("%+v", e)
 		}
 	})
 	t.Run("a key that is known goes past the line", func(t *testing.T) {
 		d := hosting(1, 100)
 		full(d)
-		if e := d.Enter(0, of(0, 3), ask(60), 0, calm); e.Waits || e.Why != "" || e.Epoch != 0 {
+		if e := d.Submit(0, of(0, 3), ask(60), 0, calm); e.Queued || e.Reason != "" || e.Epoch != 0 {
 			t.Errorf("%+v", e)
 		}
 	})
@@ -161,78 +161,78 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d, now, ref := hosting(2, 12), 0.0, uint64(0)
 		life := uint32(1)
-		waits, open := map[uint64]shardownership.Name{}, map[shardownership.Name]Entry{}
-		note := func(e Entry) {
-			delete(waits, e.Ask.Ref)
-			if e.Why == "" && e.Epoch > 0 {
-				open[e.Name] = e
+		waits, open := map[uint64]shardownership.ID{}, map[shardownership.ID]Decision{}
+		note := func(e Decision) {
+			delete(waits, e.Request.Ref)
+			if e.Reason == "" && e.Epoch > 0 {
+				open[e.ID] = e
 			}
 		}
 		queue := func(int) (float64, int) { return 0, 0 }
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += float64(rapid.IntRange(0, 400).Draw(t, "time"))
-			n := shardownership.Name{Tenant: rapid.IntRange(0, 2).Draw(t, "tenant"), Token: uint64(rapid.IntRange(0, 9).Draw(t, "key"))}
+			n := shardownership.ID{Tenant: rapid.IntRange(0, 2).Draw(t, "tenant"), Token: uint64(rapid.IntRange(0, 9).Draw(t, "key"))}
 			switch rapid.IntRange(0, 6).Draw(t, "call") {
 			case 0, 1, 2:
 				ref++
 				size := float64(rapid.IntRange(1, 3).Draw(t, "size"))
-				e := d.Enter(now, n, shardownership.Ask{Owner: 1, Ref: ref, Service: n.Token % 3, Cores: size, Memory: 1, Expiry: now + 900}, 0, queue)
-				if e.Waits {
+				e := d.Submit(now, n, shardownership.Request{Client: 1, Ref: ref, Service: n.Token % 3, Cores: size, Memory: 1, Deadline: now + 900}, 0, queue)
+				if e.Queued {
 					waits[ref] = n
 				} else {
 					note(e)
 				}
 			case 3:
 				if e, ok := open[n]; ok {
-					d.Send(n, e.At, e.Epoch, shardownership.Try{Node: 1})
-					d.Final(now, n, e.At, e.Epoch, true)
+					d.PermitAttempt(n, e.Shard, e.Epoch, shardownership.Attempt{Node: 1})
+					d.PermitAnswer(now, n, e.Shard, e.Epoch, true)
 				}
 			case 4:
 				if e, ok := open[n]; ok {
-					d.Drop(n, e.At, e.Ask.Service, e.Epoch)
+					d.Remove(n, e.Shard, e.Request.Service, e.Epoch)
 					delete(open, n)
 				}
 			case 5:
 				shard := rapid.IntRange(0, 1).Draw(t, "shard")
 				for _, f := range d.Fence(now, shard) {
-					e := open[f.Name]
-					if delete(open, f.Name); f.Fate == shardownership.Moves {
-						e.At, e.Epoch = f.To, f.Epoch
-						open[f.Name] = e
+					e := open[f.ID]
+					if delete(open, f.ID); f.Disposition == shardownership.Reassign {
+						e.Shard, e.Epoch = f.Shard, f.Epoch
+						open[f.ID] = e
 					}
 				}
 				life++
-				d.Started(shard, life)
+				d.OnShardStarted(shard, life)
 			case 6:
 				if len(waits) > 0 {
 					least := uint64(1 << 62)
 					for r := range waits {
 						least = min(least, r)
 					}
-					if !d.Forgo(1, least) {
+					if !d.Withdraw(1, least) {
 						t.Fatalf("ask %d does not wait", least)
 					}
 					delete(waits, least)
 				}
 			}
-			for _, e := range d.Pump(now, queue) {
-				if _, ok := waits[e.Ask.Ref]; !ok {
-					t.Fatalf("ask %d has a second outcome", e.Ask.Ref)
+			for _, e := range d.Dequeue(now, queue) {
+				if _, ok := waits[e.Request.Ref]; !ok {
+					t.Fatalf("ask %d has a second outcome", e.Request.Ref)
 				}
 				note(e)
 			}
-			if n := len(d.line.waits); n != len(waits) || n != d.line.queue.Lines() {
-				t.Fatalf("%d wait, the router has %d, the queue %d", len(waits), n, d.line.queue.Lines())
+			if n := len(d.queue.waiting); n != len(waits) || n != d.queue.queue.Lines() {
+				t.Fatalf("%d wait, the router has %d, the queue %d", len(waits), n, d.queue.queue.Lines())
 			}
-			if d.line.queue.AllOpen() != d.Open() || d.Open() > 12 {
-				t.Fatalf("the queue has %d open, the ownership table %d", d.line.queue.AllOpen(), d.Open())
+			if d.queue.queue.AllOpen() != d.Open() || d.Open() > 12 {
+				t.Fatalf("the queue has %d open, the ownership table %d", d.queue.queue.AllOpen(), d.Open())
 			}
 			held := 0.0
 			for _, e := range open {
-				held += e.Ask.Cores
+				held += e.Request.Cores
 			}
-			if held != d.line.held.Cores {
-				t.Fatalf("%g cores are held, the router counts %g", held, d.line.held.Cores)
+			if held != d.queue.held.Cores {
+				t.Fatalf("%g cores are held, the router counts %g", held, d.queue.held.Cores)
 			}
 		}
 	})
--- a/internal/lab/states/explore.go
+++ b/internal/lab/states/explore.go
@@ -98,9 +98,9 @@
 	p.asks++
 	ref := uint64(p.asks)
 	p.expiryOf[ref] = p.now + expiry
-	at, epoch, why := p.acts.Ask(p.now, name, shardownership.Ask{
-		Owner: owner, Ref: ref, Job: p.w.Job, Service: service, Cores: 1, Memory: 1,
-		Expiry: p.now + expiry,
+	at, epoch, why := p.acts.Route(p.now, name, shardownership.Request{
+		Client: owner, Ref: ref, JobClass: p.w.Job, Service: service, Cores: 1, Memory: 1,
+		Deadline: p.now + expiry,
 	}, 0, calm)
 	if why != "" {
 		p.answered(ref, engine.Declined)
--- a/internal/lab/states/world.go
+++ b/internal/lab/states/world.go
@@ -65,7 +65,7 @@
 	}
 }()
 
-var name = shardownership.Name{Tenant: 0, Token: token}
+var name = shardownership.ID{Tenant: 0, Token: token}
 
 // msg is a line on its way between a shard and a node.
 type msg struct {
@@ -131,9 +131,9 @@
 // begin makes the world: both shards connected to both nodes, nothing asked yet.
 func (w World) begin() *play {
 	p := &play{w: w, now: start}
-	p.acts = shardrouter.New(start, shardrouter.Terms{
-		Jobs: Jobs, Shards: shards, Most: shards, Open: 10, Margin: margin, Step: 1, Epoch: 1,
-		Trusted: w.Plant == Trust,
+	p.acts = shardrouter.New(start, shardrouter.Config{
+		JobClasses: Jobs, Shards: shards, MaxShards: shards, MaxOpen: 10, AnswerMargin: margin, RoundInterval: 1, FirstEpoch: 1,
+		FaultAnyEpoch: w.Plant == Trust,
 	})
 	for n := range nodes {
 		p.past[n], p.bars[n], p.nlife[n] = map[name2]int{}, map[name2]bool{}, 1
@@ -180,7 +180,7 @@
 				continue
 			}
 		}
-		if at, _ := p.acts.Home(name, t.ticket, t.try, service, -1); at != s {
+		if at, _ := p.acts.ShardOf(name, t.ticket, t.try, service, -1); at != s {
 			continue
 		}
 		_ = e.OnHeld(p.now, uint32(n+1), t.ticket, t.try, t.runs, p.w.Job, 0, service, token, 1, 1)
@@ -247,11 +247,11 @@
 func (d edge) Log(string)           {}
 
 func (d edge) PermitAttempt(_ int, _ uint64, epoch uint32, nd uint32, ticket uint64, no uint8) bool {
-	return d.p.acts.Send(name, d.s, epoch, shardownership.Try{Node: nd, Ticket: ticket, No: no})
+	return d.p.acts.PermitAttempt(name, d.s, epoch, shardownership.Attempt{Node: nd, Ticket: ticket, Number: no})
 }
 
 func (d edge) RecordOutcome(_ int, _ uint64, epoch uint32, never bool) {
-	d.p.acts.Settle(name, d.s, epoch, never)
+	d.p.acts.CompleteAttempt(name, d.s, epoch, never)
 }
 
 func (d edge) RecoverTask(_ int, _ uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
@@ -260,19 +260,19 @@
 	if d.dead() {
 		return 0, 0, 0, false
 	}
-	return d.p.acts.Adopt(name, d.s, shardownership.Ask{Job: job, Service: service}, shardownership.Try{Node: nd, Ticket: ticket, No: no})
+	return d.p.acts.Recover(name, d.s, shardownership.Request{JobClass: job, Service: service}, shardownership.Attempt{Node: nd, Ticket: ticket, Number: no})
 }
 
 func (d edge) SetClient(_ int, _ uint64, epoch uint32, who uint32, ref uint64) {
-	d.p.acts.Owned(name, d.s, epoch, who, ref)
+	d.p.acts.SetClient(name, d.s, epoch, who, ref)
 }
 
 func (d edge) ReleaseTask(_ int, _ uint64, service uint64, epoch uint32) {
-	d.p.acts.Drop(name, d.s, service, epoch)
+	d.p.acts.Remove(name, d.s, service, epoch)
 }
 
 func (d edge) PermitAnswer(_ int, _ uint64, epoch uint32, served bool) bool {
-	return d.p.acts.Final(d.p.now, name, d.s, epoch, served)
+	return d.p.acts.PermitAnswer(d.p.now, name, d.s, epoch, served)
 }
 
 func (d edge) ExpireRequest(uint32, uint64) {
@@ -316,28 +316,28 @@
 		p.from[s][n] = nil
 	}
 	for _, f := range fates {
-		a := f.Entry.Ask
-		if p.w.Plant == MovesOut && f.Fate != shardownership.Moves && f.Fate != shardownership.Continues {
-			if to, epoch, why := p.acts.Ask(p.now, name, a, 0, calm); why == "" {
-				f.Fate, f.To, f.Epoch = shardownership.Moves, to, epoch
+		a := f.Entry.Request
+		if p.w.Plant == MovesOut && f.Disposition != shardownership.Reassign && f.Disposition != shardownership.Continue {
+			if to, epoch, why := p.acts.Route(p.now, name, a, 0, calm); why == "" {
+				f.Disposition, f.Shard, f.Epoch = shardownership.Reassign, to, epoch
 			}
 		}
-		if p.w.Plant == Declines && f.Fate == shardownership.Fails {
-			f.Fate = shardownership.Declines
+		if p.w.Plant == Declines && f.Disposition == shardownership.Fail {
+			f.Disposition = shardownership.Shed
 		}
-		switch f.Fate {
-		case shardownership.Moves:
-			_ = p.eng[f.To].Allocate(p.now, owner, a.Ref, p.w.Job, 0, service, token, 1, 1, a.Expiry-p.now, f.Epoch)
-			p.news[f.To] = true
-		case shardownership.Declines:
+		switch f.Disposition {
+		case shardownership.Reassign:
+			_ = p.eng[f.Shard].Allocate(p.now, owner, a.Ref, p.w.Job, 0, service, token, 1, 1, a.Deadline-p.now, f.Epoch)
+			p.news[f.Shard] = true
+		case shardownership.Shed:
 			p.answered(a.Ref, engine.Declined)
-		case shardownership.Fails:
+		case shardownership.Fail:
 			p.answered(a.Ref, engine.Failed)
 		}
 	}
 	to := p.to[s]
 	p.shard(s)
-	p.acts.Started(s, p.life[s])
+	p.acts.OnShardStarted(s, p.life[s])
 	for n := range nodes {
 		p.to[s][n] = append(to[n], p.to[s][n]...)
 	}
@@ -355,20 +355,20 @@
 	e.TransferOut(p.now, service, true, func(g engine.Transfer) { all = append(all, g) })
 	_, _, _ = p.acts.Resize(p.now, 1) // it is to leave, and called back after
 	defer func() { _, _, _ = p.acts.Resize(p.now, shards) }()
-	var items []shardrouter.Item
+	var items []shardrouter.HandoverItem
 	for _, g := range all {
-		items = append(items, shardrouter.Item{Name: name, Epoch: g.Epoch, Runs: g.Running, Ask: shardownership.Ask{
-			Owner: g.Client, Ref: g.RequestID, Job: g.JobClass,
-			Service: service, Expiry: g.Deadline,
+		items = append(items, shardrouter.HandoverItem{ID: name, Epoch: g.Epoch, Running: g.Running, Request: shardownership.Request{
+			Client: g.Client, Ref: g.RequestID, JobClass: g.JobClass,
+			Service: service, Deadline: g.Deadline,
 		}})
 	}
-	for i, f := range p.acts.Hand(p.now, s, items) {
+	for i, f := range p.acts.HandOver(p.now, s, items) {
 		g := all[i]
-		if f.Fate != shardownership.Moves {
+		if f.Disposition != shardownership.Reassign {
 			p.fail("the desk does not let go what the engine gave: %+v", f)
 			return
 		}
-		to, g.Epoch = f.To, f.Epoch
+		to, g.Epoch = f.Shard, f.Epoch
 		if !g.Running {
 			_ = p.eng[to].Allocate(p.now, g.Client, g.RequestID, g.JobClass, g.Tenant, g.Service, g.Token, g.Cores, g.Memory, g.Deadline-p.now, g.Epoch)
 			continue
@@ -426,7 +426,7 @@
 	for _, e := range p.old {
 		b = e.AppendState(b)
 	}
-	home, _ := p.acts.Home(name, 0, 255, service, -1)
+	home, _ := p.acts.ShardOf(name, 0, 255, service, -1)
 	b = append(b, byte(home), byte(p.acts.Open()), byte(p.acts.Epoch()))
 	b = append(b, byte(p.faults), byte(p.asks), byte(p.ran), byte(p.overs))
 	for i := range p.answers {
--- a/internal/serve/client_listener.go
+++ b/internal/serve/client_listener.go
@@ -132,7 +132,7 @@
 	}
 	s.mu.Unlock()
 	s.routerMu.Lock()
-	s.router.OwnerGone(o.id)
+	s.router.WithdrawClient(o.id)
 	shards := s.liveShardsLocked()
 	s.routerMu.Unlock()
 	for _, sh := range shards {
@@ -438,9 +438,9 @@
 		o.sendAnswer(ask.Ref, engine.Declined, 0, "too-many-bytes", o.retryAfter)
 		return nil
 	}
-	name := shardownership.Name{Tenant: tenant, Token: Token(ask.Tenant, ask.Key)}
-	a := shardownership.Ask{
-		Owner: o.id, Ref: ask.Ref, Job: job, Service: Service(ask.Tenant, ask.Service), Cores: ask.Cores,
+	name := shardownership.ID{Tenant: tenant, Token: Token(ask.Tenant, ask.Key)}
+	a := shardownership.Request{
+		Client: o.id, Ref: ask.Ref, JobClass: job, Service: Service(ask.Tenant, ask.Service), Cores: ask.Cores,
 		Memory: ask.Memory,
 	}
 	o.server.allocate(o, name, a, ask.Within, unread)
@@ -449,12 +449,12 @@
 
 // allocate has an ask go to the shard that acts for its key already, else where the desk puts it, or wait for its turn.
 // unread is how long the ask lay on its way beyond what asks always do, in ms.
-func (s *Server) allocate(o *clientConn, name shardownership.Name, a shardownership.Ask, left, unread float64) {
+func (s *Server) allocate(o *clientConn, name shardownership.ID, a shardownership.Request, left, unread float64) {
 	now := s.env.Now()
-	a.Expiry = now + left
+	a.Deadline = now + left
 	s.routerMu.Lock()
 	declined := s.checkQuotaLease(now)
-	e := s.router.Enter(now, name, a, unread, s.queueState(now))
+	e := s.router.Submit(now, name, a, unread, s.queueState(now))
 	sh := s.recordRoute(o, e)
 	s.pumpIfFree()
 	s.routerMu.Unlock()
--- a/internal/serve/invariants.go
+++ b/internal/serve/invariants.go
@@ -16,11 +16,11 @@
 			return nil // it will hear of more in a moment
 		}
 	}
-	if err := s.router.Check(func(f func(shard int, n shardownership.Name, epoch uint32)) {
+	if err := s.router.CheckInvariants(func(f func(shard int, n shardownership.ID, epoch uint32)) {
 		for _, sh := range s.liveShardsLocked() {
 			if !sh.fenced.Load() {
 				sh.engine.ForEachAllocation(func(tenant int, token uint64, epoch uint32, _ bool) {
-					f(sh.index, shardownership.Name{Tenant: tenant, Token: token}, epoch)
+					f(sh.index, shardownership.ID{Tenant: tenant, Token: token}, epoch)
 				})
 			}
 		}
@@ -45,7 +45,7 @@
 func (s *Server) OpenAllocations(tenant int) int {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
-	return s.router.Uses(s.env.Now(), tenant)
+	return s.router.TenantOpen(s.env.Now(), tenant)
 }
 
 // KnowsAttempt tells whether some shard knows a try.
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -83,8 +83,8 @@
 	defer s.routerMu.Unlock()
 	sh, err := l.shardOf(ticket, true)
 	if sh == nil {
-		if a, ok := s.router.Ended(shardownership.Try{Node: l.node, Ticket: ticket, No: try}); ok { // its shard was fenced while it ran
-			if o := s.clientByID(a.Owner); o != nil {
+		if a, ok := s.router.OnLostEnded(shardownership.Attempt{Node: l.node, Ticket: ticket, Number: try}); ok { // its shard was fenced while it ran
+			if o := s.clientByID(a.Client); o != nil {
 				o.sendEnd(a.Ref, verdict, why)
 			}
 		}
@@ -159,7 +159,7 @@
 	if sh != nil && !sh.fenced.Load() {
 		index = sh.index
 	}
-	at, knows := s.router.Home(shardownership.Name{Tenant: tenant, Token: token}, ticket, try, service, index)
+	at, knows := s.router.ShardOf(shardownership.ID{Tenant: tenant, Token: token}, ticket, try, service, index)
 	own := index >= 0 && at == index // else it was handed over, or its shard's life is over
 	if !own && at >= 0 {
 		sh = s.shards[at]
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -15,7 +15,7 @@
 func (s *Server) Resize(n int) error {
 	s.routerMu.Lock()
 	begin, leave, err := s.router.Resize(s.env.Now(), n)
-	open := s.router.OpenEach(max(1, n))
+	open := s.router.MaxOpenPerShard(max(1, n))
 	shards := s.liveShardsLocked()
 	s.routerMu.Unlock()
 	if err != nil {
@@ -36,7 +36,7 @@
 // liveShardsLocked gives the shards that have not left; under the desk.
 func (s *Server) liveShardsLocked() (all []*shard) {
 	for i, sh := range s.shards {
-		if !s.router.Gone(i) {
+		if !s.router.IsStopped(i) {
 			all = append(all, sh)
 		}
 	}
@@ -65,7 +65,7 @@
 		s.routerMu.Lock()
 		var busy []*shard
 		for _, sh := range s.liveShardsLocked() {
-			if gives := s.router.Gives(now, sh.index); gives && !own || s.router.Leaving(sh.index) {
+			if gives := s.router.HasHandover(now, sh.index); gives && !own || s.router.IsDraining(sh.index) {
 				busy = append(busy, sh)
 			}
 		}
@@ -93,16 +93,16 @@
 		clear(sh.handedOver)
 	}
 	s.routerMu.Lock()
-	leaves := s.router.Leaving(sh.index)
+	leaves := s.router.IsDraining(sh.index)
 	s.routerMu.Unlock()
 	parts := sh.engine.CountByService(nil, runsGo, func(service uint64, tenant int) bool {
 		s.routerMu.Lock()
 		defer s.routerMu.Unlock()
-		return s.router.Goes(sh.index, service, tenant)
+		return s.router.BelongsElsewhere(sh.index, service, tenant)
 	})
 	services, rest := sh.handover.Next(now, parts)
 	s.routerMu.Lock()
-	s.router.Rest(now, rest)
+	s.router.PauseServices(now, rest)
 	s.routerMu.Unlock()
 	for _, service := range services {
 		var all []engine.Transfer
@@ -118,26 +118,26 @@
 // handOverService gives one service's allocations to its next shard: under the desk, so that whoever asks for one of them, or
 // fences one of the two shards, comes before or after.
 func (s *Server) handOverService(now float64, sh *shard, all []engine.Transfer) {
-	var items []shardrouter.Item
+	var items []shardrouter.HandoverItem
 	for _, g := range all {
-		items = append(items, shardrouter.Item{
-			Name: shardownership.Name{Tenant: g.Tenant, Token: g.Token}, Epoch: g.Epoch, Runs: g.Running,
-			Ask: shardownership.Ask{
-				Owner: g.Client, Ref: g.RequestID, Job: g.JobClass, Service: g.Service, Cores: g.Cores, Memory: g.Memory,
-				Expiry: g.Deadline,
+		items = append(items, shardrouter.HandoverItem{
+			ID: shardownership.ID{Tenant: g.Tenant, Token: g.Token}, Epoch: g.Epoch, Running: g.Running,
+			Request: shardownership.Request{
+				Client: g.Client, Ref: g.RequestID, JobClass: g.JobClass, Service: g.Service, Cores: g.Cores, Memory: g.Memory,
+				Deadline: g.Deadline,
 			},
 		})
 	}
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
-	for i, f := range s.router.Hand(now, sh.index, items) {
+	for i, f := range s.router.HandOver(now, sh.index, items) {
 		g := all[i]
-		if f.Fate != shardownership.Moves {
+		if f.Disposition != shardownership.Reassign {
 			continue // fenced meanwhile
 		}
-		to := s.shards[f.To]
+		to := s.shards[f.Shard]
 		g.Epoch = f.Epoch
-		s.setRequestShard(g.Client, g.RequestID, f.To)
+		s.setRequestShard(g.Client, g.RequestID, f.Shard)
 		s.continueAt(to, g)
 		if !g.Running {
 			sh.handoverCounts[0].Add(1)
@@ -165,7 +165,7 @@
 			}
 		} else {
 			_ = to.engine.Allocate(now, g.Client, g.RequestID, g.JobClass, g.Tenant, g.Service, g.Token, g.Cores, g.Memory, g.Deadline-now,
-				s.currentEpoch(shardownership.Name{Tenant: g.Tenant, Token: g.Token}, to, g.Epoch)) // the ask was free at this owner, and still is
+				s.currentEpoch(shardownership.ID{Tenant: g.Tenant, Token: g.Token}, to, g.Epoch)) // the ask was free at this owner, and still is
 		}
 		if s.clientByID(g.Client) == nil {
 			to.engine.OnClientDisconnected(now, g.Client)
@@ -176,11 +176,11 @@
 // endShard ends a shard that has given all it had.
 func (s *Server) endShard(sh *shard) {
 	s.routerMu.Lock()
-	if !s.router.Leaving(sh.index) || s.shards[sh.index] != sh || !sh.fenced.CompareAndSwap(false, true) {
+	if !s.router.IsDraining(sh.index) || s.shards[sh.index] != sh || !sh.fenced.CompareAndSwap(false, true) {
 		s.routerMu.Unlock()
 		return
 	}
-	left, _ := s.router.Left(s.env.Now(), sh.index) // none, unless something slipped in just now
+	left, _ := s.router.OnDrained(s.env.Now(), sh.index) // none, unless something slipped in just now
 	s.applyFates(left, "shard-left")
 	s.routerMu.Unlock()
 	sh.inbox.close()
@@ -211,10 +211,10 @@
 
 // currentEpoch gives the epoch of a request that reaches its shard: 0 if the shard does not act for it any more. While it was
 // on its way, a node may have told of an earlier attempt that ran, which took its place, and that this has ended.
-func (s *Server) currentEpoch(name shardownership.Name, sh *shard, epoch uint32) uint32 {
+func (s *Server) currentEpoch(name shardownership.ID, sh *shard, epoch uint32) uint32 {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
-	if !s.router.ActsFor(name, sh.index, epoch) {
+	if !s.router.IsOwner(name, sh.index, epoch) {
 		return 0
 	}
 	return epoch
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -207,9 +207,9 @@
 	}
 	s.listClient = newLister(s)
 	s.recordNodes(last.Entries())
-	s.router = shardrouter.New(w.Now(), shardrouter.Terms{
-		Jobs: place.Cluster.JobClasses, Way: shares.Way(place.ShardBy), Shards: place.Shards,
-		Most: place.MaxShards, Open: place.MaxOpen, Margin: place.AnswerMargin, Step: place.Cluster.MinRoundInterval, Trusted: who.Faults.PermitAnyEpoch, Hosts: place.MaxHostedTenants > 0,
+	s.router = shardrouter.New(w.Now(), shardrouter.Config{
+		JobClasses: place.Cluster.JobClasses, Placement: shares.Way(place.ShardBy), Shards: place.Shards,
+		MaxShards: place.MaxShards, MaxOpen: place.MaxOpen, AnswerMargin: place.AnswerMargin, RoundInterval: place.Cluster.MinRoundInterval, FaultAnyEpoch: who.Faults.PermitAnyEpoch, MultiTenant: place.MaxHostedTenants > 0,
 	})
 	var t *nodeConnections
 	for i := range place.Shards {
@@ -224,7 +224,7 @@
 		sh.connections.attach(sh)
 		s.shards = append(s.shards, sh)
 		s.incarnations[sh.incarnation] = sh
-		s.router.Started(i, sh.incarnation)
+		s.router.OnShardStarted(i, sh.incarnation)
 	}
 	if err := bolt.RetryWhileLocked(context.Background(), storeOpenAttempts, s.loadOpenWindows); err != nil {
 		return nil, fmt.Errorf("drains: %w", err)
@@ -440,8 +440,8 @@
 	if !l.client.openRequest(ref, l.client.server.env.Now()+within) {
 		return false
 	}
-	l.client.server.allocate(l.client, shardownership.Name{Tenant: tenant, Token: token}, shardownership.Ask{
-		Owner: l.client.id, Ref: ref, Job: jobType,
+	l.client.server.allocate(l.client, shardownership.ID{Tenant: tenant, Token: token}, shardownership.Request{
+		Client: l.client.id, Ref: ref, JobClass: jobType,
 		Service: service, Cores: cores, Memory: memory,
 	}, within, 0)
 	return true
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -61,7 +61,7 @@
 	}
 	sh.engine = engine.New(out, now, engine.Config{
 		Cluster: &cl, Shares: place.Shares,
-		MaxOpen: s.router.OpenEach(place.Shards), AnswerMargin: place.AnswerMargin, SettleTime: place.SettleTime,
+		MaxOpen: s.router.MaxOpenPerShard(place.Shards), AnswerMargin: place.AnswerMargin, SettleTime: place.SettleTime,
 		NewPolicy: s.config.Policy, Incarnation: life, Seed: s.config.Seed + uint64(life)*0x9e3779b97f4a7c15, WallClockStart: float64(outside.Epoch.UnixMilli()), AliveAtPeers: s.nodeAlive,
 	})
 	if s.config.Site.Members.Listen != "" {
@@ -140,7 +140,7 @@
 	}
 	s := sh.server
 	s.routerMu.Lock()
-	s.router.Worked(sh.index, s.env.Now()-began, sh.roundRequests)
+	s.router.OnRound(sh.index, s.env.Now()-began, sh.roundRequests)
 	s.routerMu.Unlock()
 	sh.queuedRequests.Add(-int64(sh.roundRequests))
 	sh.roundRequests = 0
@@ -205,35 +205,35 @@
 	s := d.shard.server
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
-	return s.router.Send(shardownership.Name{Tenant: tenant, Token: token}, d.shard.index, epoch,
-		shardownership.Try{Node: nd, Ticket: ticket, No: try})
+	return s.router.PermitAttempt(shardownership.ID{Tenant: tenant, Token: token}, d.shard.index, epoch,
+		shardownership.Attempt{Node: nd, Ticket: ticket, Number: try})
 }
 
 func (d shardEffects) RecordOutcome(tenant int, token uint64, epoch uint32, never bool) {
 	s := d.shard.server
 	s.routerMu.Lock()
-	s.router.Settle(shardownership.Name{Tenant: tenant, Token: token}, d.shard.index, epoch, never)
+	s.router.CompleteAttempt(shardownership.ID{Tenant: tenant, Token: token}, d.shard.index, epoch, never)
 	s.routerMu.Unlock()
 }
 
 func (d shardEffects) SetClient(tenant int, token uint64, epoch, owner uint32, ref uint64) {
 	s := d.shard.server
 	s.routerMu.Lock()
-	s.router.Owned(shardownership.Name{Tenant: tenant, Token: token}, d.shard.index, epoch, owner, ref)
+	s.router.SetClient(shardownership.ID{Tenant: tenant, Token: token}, d.shard.index, epoch, owner, ref)
 	s.routerMu.Unlock()
 }
 
 func (d shardEffects) RecoverTask(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32,
 	ticket uint64, try uint8,
 ) (epoch, owner uint32, ref uint64, ok bool) {
-	s, n := d.shard.server, shardownership.Name{Tenant: tenant, Token: token}
+	s, n := d.shard.server, shardownership.ID{Tenant: tenant, Token: token}
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	if d.fenced() {
 		return 0, 0, 0, false
 	}
-	epoch, owner, ref, ok = s.router.Adopt(n, d.shard.index, shardownership.Ask{Job: job, Service: service, Cores: cores, Memory: memory},
-		shardownership.Try{Node: nd, Ticket: ticket, No: try})
+	epoch, owner, ref, ok = s.router.Recover(n, d.shard.index, shardownership.Request{JobClass: job, Service: service, Cores: cores, Memory: memory},
+		shardownership.Attempt{Node: nd, Ticket: ticket, Number: try})
 	if ok && owner > 0 {
 		s.setRequestShard(owner, ref, d.shard.index)
 	}
@@ -243,7 +243,7 @@
 func (d shardEffects) ReleaseTask(tenant int, token uint64, service uint64, epoch uint32) {
 	s := d.shard.server
 	s.routerMu.Lock()
-	s.router.Drop(shardownership.Name{Tenant: tenant, Token: token}, d.shard.index, service, epoch)
+	s.router.Remove(shardownership.ID{Tenant: tenant, Token: token}, d.shard.index, service, epoch)
 	s.pumpIfFree()
 	s.routerMu.Unlock()
 }
@@ -253,7 +253,7 @@
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	defer s.pumpIfFree()
-	return s.router.Final(s.env.Now(), shardownership.Name{Tenant: tenant, Token: token}, d.shard.index, epoch, served)
+	return s.router.PermitAnswer(s.env.Now(), shardownership.ID{Tenant: tenant, Token: token}, d.shard.index, epoch, served)
 }
 
 func (d shardEffects) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
@@ -295,32 +295,32 @@
 	if s.config.Site.Connections == site.OwnConnections {
 		sh.connections.close("shard fenced", false)
 	}
-	s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Int("moved", n[shardownership.Moves]).
-		Int("declined", n[shardownership.Declines]).Int("failed", n[shardownership.Fails]).Int("run", n[shardownership.Continues]).
+	s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Int("moved", n[shardownership.Reassign]).
+		Int("declined", n[shardownership.Shed]).Int("failed", n[shardownership.Fail]).Int("run", n[shardownership.Continue]).
 		Float64("ms", s.env.Now()-now).Msg("fenced: " + why)
 }
 
 // applyFates does what the desk decided about allocations whose shard can't go on with them: under the desk. It counts them.
-func (s *Server) applyFates(fates []shardrouter.Fate, why string) (n [4]int) {
+func (s *Server) applyFates(fates []shardrouter.OrphanDecision, why string) (n [4]int) {
 	for _, f := range fates {
-		a := f.Entry.Ask
-		n[f.Fate]++
+		a := f.Entry.Request
+		n[f.Disposition]++
 		switch {
-		case f.Fate == shardownership.Moves:
-			s.setRequestShard(a.Owner, a.Ref, f.To)
-			s.continueAt(s.shards[f.To], engine.Transfer{
-				Client: a.Owner, RequestID: a.Ref, JobClass: a.Job, Tenant: f.Name.Tenant, Service: a.Service,
-				Token: f.Name.Token, Cores: a.Cores, Memory: a.Memory, Deadline: a.Expiry, Epoch: f.Epoch,
+		case f.Disposition == shardownership.Reassign:
+			s.setRequestShard(a.Client, a.Ref, f.Shard)
+			s.continueAt(s.shards[f.Shard], engine.Transfer{
+				Client: a.Client, RequestID: a.Ref, JobClass: a.JobClass, Tenant: f.ID.Tenant, Service: a.Service,
+				Token: f.ID.Token, Cores: a.Cores, Memory: a.Memory, Deadline: a.Deadline, Epoch: f.Epoch,
 			})
-		case f.Fate == shardownership.Continues:
-		case s.env.Now() >= a.Expiry: // its owner has given up by itself
-			if x := s.clientByID(a.Owner); x != nil {
+		case f.Disposition == shardownership.Continue:
+		case s.env.Now() >= a.Deadline: // its owner has given up by itself
+			if x := s.clientByID(a.Client); x != nil {
 				x.closeRequest(a.Ref)
 			}
-		case f.Fate == shardownership.Declines:
-			s.answerClient(a.Owner, a.Ref, engine.Declined, 0, why, 0)
-		case f.Fate == shardownership.Fails:
-			s.answerClient(a.Owner, a.Ref, engine.Failed, 0, why, 0)
+		case f.Disposition == shardownership.Shed:
+			s.answerClient(a.Client, a.Ref, engine.Declined, 0, why, 0)
+		case f.Disposition == shardownership.Fail:
+			s.answerClient(a.Client, a.Ref, engine.Failed, 0, why, 0)
 		}
 	}
 	return n
@@ -336,10 +336,10 @@
 		beats = append(beats, math.Float64frombits(sh.heartbeat.Load()))
 		waited = append(waited, sh.inbox.oldestAge(now))
 	}
-	fence, start, quiet, answers, lost := s.router.Look(now, beats, waited)
+	fence, start, quiet, answers, lost := s.router.CheckHealth(now, beats, waited)
 	s.applyFates(answers, "shard-quiet")
 	for _, i := range quiet {
-		for _, x := range s.duplicateRequests(i, now+s.router.Within()) {
+		for _, x := range s.duplicateRequests(i, now+s.router.OverdueMargin()) {
 			x.client.sendAnswer(x.ref, engine.Declined, 0, "shard-quiet", 0)
 		}
 	}
@@ -349,7 +349,7 @@
 	}
 	s.routerMu.Unlock()
 	for _, a := range lost {
-		if o := s.clientByID(a.Owner); o != nil {
+		if o := s.clientByID(a.Client); o != nil {
 			o.sendEnd(a.Ref, logic.ConnectionLost, logic.ReasonUnknown)
 		}
 	}
@@ -383,7 +383,7 @@
 		s.shards = append(s.shards, sh)
 	}
 	s.incarnations[sh.incarnation] = sh
-	s.router.Started(index, sh.incarnation)
+	s.router.OnShardStarted(index, sh.incarnation)
 	s.routerMu.Unlock()
 	s.sendCachedList(sh)
 	if s.config.Site.Connections != site.OwnConnections {
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -116,8 +116,8 @@
 	s.diagnostics.Do("lines", func() {
 		s.routerMu.Lock()
 		defer s.routerMu.Unlock()
-		ms, waiting := s.router.Longest(s.env.Now())
-		may, held := s.router.Filled()
+		ms, waiting := s.router.OldestWait(s.env.Now())
+		may, held := s.router.FillLevel()
 		s.log.Debug().Str("mode", "tenants").Float64("may_fill", may).Float64("held", held).Int("open", s.router.Open()).Int("waiting", waiting).Float64("longest", ms).Msg("lines")
 	})
 	return s.evictRemoved(store)
@@ -162,15 +162,15 @@
 }
 
 // setTenantLimits sets all tenants' limits by that part, and gives what waits of those that take nothing any more; under the desk.
-func (s *Server) setTenantLimits(now float64, sharers int) (declined []shardrouter.Entry) {
+func (s *Server) setTenantLimits(now float64, sharers int) (declined []shardrouter.Decision) {
 	for _, t := range s.hosting.tenants.All() {
-		declined = append(declined, s.router.Tenant(now, t.Slot, t.Duty(s.quotaShare(sharers)))...)
+		declined = append(declined, s.router.SetTenant(now, t.Slot, t.Duty(s.quotaShare(sharers)))...)
 	}
 	return declined
 }
 
 // checkQuotaLease holds the lease on what is lent of limits against the clock, before anything passes by them; under the desk.
-func (s *Server) checkQuotaLease(now float64) (declined []shardrouter.Entry) {
+func (s *Server) checkQuotaLease(now float64) (declined []shardrouter.Decision) {
 	sharers, turned := s.hosting.quotaLease.Now(now)
 	if !turned {
 		return nil
@@ -184,7 +184,7 @@
 
 func (s *Server) leasesQuotas() bool { return s.hostsTenants() && s.quotaShare(0).Lends > 0 }
 
-func (s *Server) rejectAll(declined []shardrouter.Entry) {
+func (s *Server) rejectAll(declined []shardrouter.Decision) {
 	for _, e := range declined {
 		s.deliver(s.requester(e), e, nil)
 	}
@@ -212,7 +212,7 @@
 // updateCapacity tells the desk how much there is to share, by the list: of nodes that take work, as far as they may be asked for.
 func (s *Server) updateCapacity() {
 	cl := &s.config.Site.Cluster
-	var all, unasked shardrouter.Room
+	var all, unasked shardrouter.Resources
 	s.mu.Lock()
 	for _, en := range s.list.Entries() {
 		kind := slices.Index(s.config.Site.MachineKinds, en.Kind)
@@ -228,7 +228,7 @@
 	}
 	s.mu.Unlock()
 	s.routerMu.Lock()
-	s.router.Listed(all, unasked, cl.ListsReportLoad)
+	s.router.OnCapacity(all, unasked, cl.ListsReportLoad)
 	s.routerMu.Unlock()
 }
 
@@ -275,12 +275,12 @@
 			return false
 		}
 	}
-	return s.router.Holds(slot) == 0
+	return s.router.TenantCount(slot) == 0
 }
 
 // requester gives who asked. One that is gone has nothing to be told; the shard finds that out by itself.
-func (s *Server) requester(e shardrouter.Entry) *clientConn {
-	if o := s.clientByID(e.Ask.Owner); o != nil {
+func (s *Server) requester(e shardrouter.Decision) *clientConn {
+	if o := s.clientByID(e.Request.Client); o != nil {
 		return o
 	}
 	return &clientConn{server: s, closed: true, requests: map[uint64]request{}}
@@ -288,23 +288,23 @@
 
 // deliver has an ask go to the shard that the desk gave it to, or answers it. The shard is the one that entered gave, under the same
 // hold of the desk: a later life of it knows nothing of the epoch.
-func (s *Server) deliver(o *clientConn, e shardrouter.Entry, sh *shard) {
-	a := e.Ask
+func (s *Server) deliver(o *clientConn, e shardrouter.Decision, sh *shard) {
+	a := e.Request
 	switch {
-	case e.Waits:
+	case e.Queued:
 		return
-	case e.Why != "" && s.env.Now() >= a.Expiry: // it stood still: its owner has given up by itself
+	case e.Reason != "" && s.env.Now() >= a.Deadline: // it stood still: its owner has given up by itself
 		o.closeRequest(a.Ref)
 		return
-	case e.Why != "":
-		o.sendAnswer(a.Ref, engine.Declined, 0, e.Why, e.Back)
+	case e.Reason != "":
+		o.sendAnswer(a.Ref, engine.Declined, 0, e.Reason, e.RetryAfter)
 		return
 	}
 	s.submit(o, sh, e)
 }
 
 // queueState tells the desk of a shard's queue; under the desk.
-func (s *Server) queueState(now float64) shardrouter.Queue {
+func (s *Server) queueState(now float64) shardrouter.ShardLoad {
 	return func(shard int) (float64, int) {
 		sh := s.shards[shard]
 		return sh.inbox.stalledFor(now), int(sh.queuedRequests.Load())
@@ -316,7 +316,7 @@
 	now := s.env.Now()
 	s.routerMu.Lock()
 	s.hosting.pumping = false
-	all := append(s.checkQuotaLease(now), s.router.Pump(now, s.queueState(now))...)
+	all := append(s.checkQuotaLease(now), s.router.Dequeue(now, s.queueState(now))...)
 	to, owners := make([]*shard, len(all)), make([]*clientConn, len(all))
 	for i, e := range all {
 		owners[i] = s.requester(e)
@@ -351,39 +351,39 @@
 )
 
 // recordRoute notes where an ask went, and gives the shard; under the desk.
-func (s *Server) recordRoute(o *clientConn, e shardrouter.Entry) *shard {
-	if e.Waits || e.Why != "" {
+func (s *Server) recordRoute(o *clientConn, e shardrouter.Decision) *shard {
+	if e.Queued || e.Reason != "" {
 		return nil
 	}
 	if e.Epoch > 0 {
-		s.shards[e.At].queuedRequests.Add(1)
+		s.shards[e.Shard].queuedRequests.Add(1)
 	}
-	o.setShard(e.Ask.Ref, e.At)
-	return s.shards[e.At]
+	o.setShard(e.Request.Ref, e.Shard)
+	return s.shards[e.Shard]
 }
 
 // pumpIfFree has asks go on when there is room for one; under the desk.
 func (s *Server) pumpIfFree() {
-	if !s.hosting.pumping && s.router.Freed(s.env.Now()) {
+	if !s.hosting.pumping && s.router.MayDequeue(s.env.Now()) {
 		s.hosting.pumping = true
 		s.async(s.pump)
 	}
 }
 
 // submit tells a shard of an ask.
-func (s *Server) submit(o *clientConn, sh *shard, e shardrouter.Entry) {
-	a, name := e.Ask, e.Name
+func (s *Server) submit(o *clientConn, sh *shard, e shardrouter.Decision) {
+	a, name := e.Request, e.ID
 	ok := sh.post(func(now float64) {
 		if e.Epoch > 0 {
 			sh.roundRequests++
 		}
-		err := sh.engine.Allocate(now, a.Owner, a.Ref, a.Job, name.Tenant, a.Service, name.Token, a.Cores, a.Memory,
-			a.Expiry-now, s.currentEpoch(name, sh, e.Epoch))
+		err := sh.engine.Allocate(now, a.Client, a.Ref, a.JobClass, name.Tenant, a.Service, name.Token, a.Cores, a.Memory,
+			a.Deadline-now, s.currentEpoch(name, sh, e.Epoch))
 		if err != nil && !sh.fenced.Load() { // the door lets no ref in twice: it was moved here by a fence
 			o.sendAnswer(a.Ref, engine.Declined, 0, "open-already", 0)
 		}
-		if s.clientByID(a.Owner) == nil && s.hostsTenants() { // it waited in a line, and its owner has left meanwhile
-			sh.engine.OnClientDisconnected(now, a.Owner)
+		if s.clientByID(a.Client) == nil && s.hostsTenants() { // it waited in a line, and its owner has left meanwhile
+			sh.engine.OnClientDisconnected(now, a.Client)
 		}
 	})
 	if !ok && e.Epoch == 0 { // the shard was fenced a moment ago; what was taken for it, its fence has answered or moved
@@ -394,7 +394,7 @@
 // cancelQueued answers an ask that waits for its turn as its owner gives it up; false if it does not wait.
 func (s *Server) cancelQueued(o *clientConn, ref uint64) bool {
 	s.routerMu.Lock()
-	ok := s.router.Forgo(o.id, ref)
+	ok := s.router.Withdraw(o.id, ref)
 	s.routerMu.Unlock()
 	if ok {
 		o.sendAnswer(ref, engine.Declined, 0, "withdrawn", 0)
