--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -34,7 +34,7 @@
 	Zones     []string
 	Overrides map[string]clusterstate.ZoneState // by operators
 	Latency   func(from, to string) float64     // ms one way; nil: all are as far
-	Judge     zones.Judge                       // with what tests plant in it
+	Judge     zones.Controller                  // with what tests plant in it
 }
 
 // View is the cluster state at one moment. It is never changed.
@@ -73,7 +73,7 @@
 	replica          *consensus.Replica // the loop's own
 	announcedVersion uint64
 	zoneConfig       ZoneConfig
-	judge            zones.Judge
+	judge            zones.Controller
 	evaluatedAt      float64
 }
 
@@ -99,11 +99,11 @@
 	}
 	runner.replica = replica
 	replica.SetReportHandler(func(from string, b []byte) {
-		sums := map[string]zones.Sum{}
+		sums := map[string]zones.Summary{}
 		if codec.ReadZoneSummaries(b, func(zone string, nodes, heard int, room, used float64) {
-			sums[zone] = zones.Sum{Nodes: nodes, Heard: heard, Room: room, Used: used}
+			sums[zone] = zones.Summary{Nodes: nodes, Reachable: heard, Capacity: room, Used: used}
 		}) == nil {
-			runner.judge.Report(runner.environment.Now(), from, sums)
+			runner.judge.OnReport(runner.environment.Now(), from, sums)
 		}
 	})
 	runner.view.Store(&View{State: replica.State(), LeaseExpiry: math.Inf(-1)})
@@ -167,7 +167,7 @@
 // evaluateZones has the leader judge the zones, and propose what follows.
 func (r *Runner) evaluateZones(now float64) {
 	if !r.replica.IsLeader() {
-		r.judge.Forget()
+		r.judge.Reset()
 		return
 	}
 	if len(r.zoneConfig.Zones) == 0 || now < r.evaluatedAt+evaluateInterval {
@@ -176,9 +176,9 @@
 	r.evaluatedAt = now
 	state := r.replica.State()
 	for _, proposal := range r.judge.Decide(now, state, r.zoneConfig.Zones, r.zoneConfig.Overrides) {
-		r.log.Info().Str("mode", "zones").Str("zone", proposal.Zone).Stringer("is", state.Zone(proposal.Zone).State).Stringer("wanted", proposal.To).Str("cause", proposal.Cause).Msg("verdict proposed")
+		r.log.Info().Str("mode", "zones").Str("zone", proposal.Zone).Stringer("is", state.Zone(proposal.Zone).State).Stringer("wanted", proposal.To).Str("cause", proposal.Reason).Msg("verdict proposed")
 		r.replica.Propose(func(out []byte, number uint64) []byte {
-			return codec.AppendCommand(out, r.replica.Name(), r.replica.Incarnation(), number, now, codec.CommandSetZoneState, proposal.Zone, "", "", proposal.Seen, uint32(proposal.To), proposal.Cause)
+			return codec.AppendCommand(out, r.replica.Name(), r.replica.Incarnation(), number, now, codec.CommandSetZoneState, proposal.Zone, "", "", proposal.Version, uint32(proposal.To), proposal.Reason)
 		})
 	}
 	if plan, ok := r.judge.Plan(now, state, r.zoneConfig.Zones, r.zoneConfig.Latency); ok {
@@ -193,11 +193,11 @@
 }
 
 // Report tells the leader what this process hears of the zones.
-func (r *Runner) Report(sums map[string]zones.Sum) {
+func (r *Runner) Report(sums map[string]zones.Summary) {
 	b := codec.AppendMessage(nil, codec.MessageZoneReport, nil, 0, 0, 0, 0, 0)
 	for _, zone := range slices.Sorted(maps.Keys(sums)) {
 		s := sums[zone]
-		b = codec.AppendZoneSummary(b, zone, s.Nodes, s.Heard, s.Room, s.Used)
+		b = codec.AppendZoneSummary(b, zone, s.Nodes, s.Reachable, s.Capacity, s.Used)
 	}
 	r.Enqueue(func(c *consensus.Replica) { c.Report(b) })
 }
--- a/internal/decide/workingset/visits.go
+++ b/internal/decide/workingset/visits.go
@@ -1,8 +1,8 @@
 package workingset
 
 const (
-	visitsAtOnce = 64   // under way
-	visitAgain   = 2000 // ms after a visit that failed
+	maxActiveVisits    = 64   // under way
+	visitRetryInterval = 2000 // ms after a visit that failed
 )
 
 // Visits are the nodes outside the set that are still to be asked once what they hold for this scheduler: an earlier
@@ -26,8 +26,8 @@
 	visitActive
 )
 
-// Put asks for a visit to a node.
-func (v *Visits) Put(id uint32) {
+// Add asks for a visit to a node.
+func (v *Visits) Add(id uint32) {
 	if v.states == nil {
 		v.states = map[uint32]visitState{}
 	}
@@ -37,8 +37,8 @@
 	}
 }
 
-// Drop says that a visit is not needed any more, or was made.
-func (v *Visits) Drop(id uint32) {
+// Remove says that a visit is not needed any more, or was made.
+func (v *Visits) Remove(id uint32) {
 	if v.states[id] == visitActive {
 		v.active--
 	}
@@ -47,7 +47,7 @@
 
 // Next gives a node to visit now, if one is due.
 func (v *Visits) Next(now float64) (id uint32, ok bool) {
-	if v.active >= visitsAtOnce {
+	if v.active >= maxActiveVisits {
 		return 0, false
 	}
 	for len(v.failed) > 0 && v.failed[0].at <= now {
@@ -65,15 +65,15 @@
 	return 0, false
 }
 
-// Failed says that a visit came to nothing: it is made again.
-func (v *Visits) Failed(now float64, id uint32) {
+// OnFailed says that a visit came to nothing: it is made again.
+func (v *Visits) OnFailed(now float64, id uint32) {
 	if v.states[id] != visitActive {
 		return
 	}
 	v.active--
 	v.states[id] = visitWaits
-	v.failed = append(v.failed, retry{now + visitAgain, id})
+	v.failed = append(v.failed, retry{now + visitRetryInterval, id})
 }
 
-// Left is how many visits are still to be made, or under way.
-func (v *Visits) Left() int { return len(v.states) }
+// Pending is how many visits are still to be made, or under way.
+func (v *Visits) Pending() int { return len(v.states) }
--- a/internal/decide/workingset/widen_test.go
+++ b/internal/decide/workingset/widen_test.go
@@ -4,13 +4,13 @@
 
 // shortage has nothing fit for a while, and tells how many nodes entered in the worst second and how long it took
 // until the set had doubled.
-func shortage(plant Plant) (worst int, doubled float64) {
-	c, s := oneOf(30, 14000, Config{Least: 480, Coverage: 1, Plant: plant})
+func shortage(plant Faults) (worst int, doubled float64) {
+	c, s := oneOf(30, 14000, Config{MinNodes: 480, Coverage: 1, Faults: plant})
 	usual, began := s.Size(), c.now
 	var entered []int
 	for range 50 {
 		s.OnShortage(AnyKind)
-		n := len(s.Step(c.now).Enter)
+		n := len(s.Step(c.now).Added)
 		entered = append(entered, n)
 		if doubled == 0 && s.Size() >= 3*usual/2 {
 			doubled = c.now - began + 100
@@ -28,18 +28,18 @@
 }
 
 func TestWidensAtABoundedRate(t *testing.T) {
-	worst, doubled := shortage(Plant{})
+	worst, doubled := shortage(Faults{})
 	if worst > 480*3/2+10 || doubled == 0 || doubled > 1000 {
 		t.Errorf("%d nodes in the worst second, half as many again after %.0f ms", worst, doubled)
 	}
-	if worst, _ := shortage(Plant{WidensUnbounded: true}); worst <= 480*3/2+10 {
+	if worst, _ := shortage(Faults{UnboundedWidening: true}); worst <= 480*3/2+10 {
 		t.Errorf("unbounded widening passes the check: %d in a second", worst)
 	}
 }
 
 // TestShortKindWidensAlone has a kind of machine be short.
 func TestShortKindWidensAlone(t *testing.T) {
-	c, s := oneOf(30, 1300, Config{Least: 60, Coverage: 1})
+	c, s := oneOf(30, 1300, Config{MinNodes: 60, Coverage: 1})
 	for range 50 { // as the pace is 60 nodes a second
 		s.OnShortage(1)
 		s.Step(c.now)
@@ -47,7 +47,7 @@
 	}
 	var inside [kinds]int
 	for i := range c.nodes {
-		if n := nodeOf(i); s.Has(n.ID) {
+		if n := nodeOf(i); s.Contains(n.ID) {
 			inside[n.Kind]++
 		}
 	}
@@ -57,8 +57,8 @@
 }
 
 // pulses has a shortage come each few seconds, and tells how often nodes entered, beside the nodes of the set at most.
-func pulses(every, total float64, plant Plant) (entered, most int) {
-	c, s := oneOf(30, 1300, Config{Least: 100, Coverage: 1, Plant: plant})
+func pulses(every, total float64, plant Faults) (entered, most int) {
+	c, s := oneOf(30, 1300, Config{MinNodes: 100, Coverage: 1, Faults: plant})
 	usual := s.Size()
 	next := c.now
 	for end := c.now + total; c.now < end; c.now += 100 {
@@ -66,7 +66,7 @@
 			s.OnShortage(AnyKind)
 			next += every
 		}
-		entered += len(s.Step(c.now).Enter)
+		entered += len(s.Step(c.now).Added)
 		most = max(most, s.Size())
 	}
 	return entered, most - usual
@@ -74,18 +74,18 @@
 
 func TestDoesNotFlap(t *testing.T) {
 	for _, every := range []float64{2000, 40_000, 70_000} {
-		entered, extra := pulses(every, 20*60_000, Plant{})
+		entered, extra := pulses(every, 20*60_000, Faults{})
 		if entered > 6*max(extra, 100) {
 			t.Errorf("a shortage each %.0f ms: %d entered, the set was at most %d beyond its usual size", every, entered, extra)
 		}
 	}
-	if entered, extra := pulses(2000, 20*60_000, Plant{Flaps: true}); entered <= 6*max(extra, 100) {
+	if entered, extra := pulses(2000, 20*60_000, Faults{Flap: true}); entered <= 6*max(extra, 100) {
 		t.Errorf("a set that flaps passes the check: %d entered, %d beyond", entered, extra)
 	}
 }
 
 func TestNarrowsAfterAShortage(t *testing.T) {
-	c, s := oneOf(30, 1300, Config{Least: 100, Coverage: 1})
+	c, s := oneOf(30, 1300, Config{MinNodes: 100, Coverage: 1})
 	usual := s.Size()
 	s.OnShortage(AnyKind)
 	c.run(1000)
@@ -101,17 +101,17 @@
 // TestLostNodesAreReplaced has all nodes of a set be lost at once: others take their place within a second, and the
 // set does not go back to those that are lost.
 func TestLostNodesAreReplaced(t *testing.T) {
-	c, s := oneOf(30, 1300, Config{Least: 100, Coverage: 1})
+	c, s := oneOf(30, 1300, Config{MinNodes: 100, Coverage: 1})
 	lost := map[uint32]bool{}
 	for i := range c.nodes {
-		if id := nodeOf(i).ID; s.Has(id) {
+		if id := nodeOf(i).ID; s.Contains(id) {
 			lost[id] = true
 			s.SetReachable(id, false)
 		}
 	}
 	reachable := func() (n int) {
 		for i := range c.nodes {
-			if id := nodeOf(i).ID; s.Has(id) && !lost[id] {
+			if id := nodeOf(i).ID; s.Contains(id) && !lost[id] {
 				n++
 			}
 		}
@@ -128,7 +128,7 @@
 	for id := range lost {
 		s.SetReachable(id, true)
 	}
-	c.run(3 * mostHolds * narrowAfter)
+	c.run(3 * maxHoldFactor * narrowAfter)
 	if s.Size() > 130 {
 		t.Errorf("%d nodes long after all came back", s.Size())
 	}
--- a/internal/decide/workingset/workingset.go
+++ b/internal/decide/workingset/workingset.go
@@ -15,10 +15,10 @@
 // Config is what a set is started with.
 type Config struct {
 	Key        string   // of the site, so that two sites share their nodes out apart
-	Own        string   // name of this scheduler
+	Self       string   // name of this scheduler
 	Schedulers int      // the site has, until members are known
 	Members    []string // names of all schedulers, if these are known from the start
-	Least      int      // nodes in a set
+	MinNodes   int      // nodes in a set
 	Coverage   float64  // sets that each node is in at least
 	Spare      float64  // nodes for each machine that own tasks would fill
 	PerStart   float64  // nodes for each start a second
@@ -26,20 +26,20 @@
 	// NarrowAfter is for how long, in ms, a set must have been larger than needed before it shrinks. Members count as
 	// settled after a tenth of it.
 	NarrowAfter float64
-	Plant       Plant
+	Faults      Faults
 }
 
-// Plant puts faults into a set, for tests that must find them.
-type Plant struct {
-	ForgetsSet      bool // a change of members empties the set
-	SkipsNodes      bool // some nodes are in no scheduler's set
-	WidensUnbounded bool // without pace
-	Flaps           bool // narrows as soon as nothing is short
+// Faults puts faults into a set, for tests that must find them.
+type Faults struct {
+	ForgetSet         bool // a change of members empties the set
+	SkipNodes         bool // some nodes are in no scheduler's set
+	UnboundedWidening bool // without pace
+	Flap              bool // narrows as soon as nothing is short
 }
 
 const (
-	settlePart     = 0.1  // of NarrowAfter that members must stay the same before nodes are shared out anew
-	reachableLeast = 0.75 // part of the size below which unreachable nodes are replaced
+	settleFraction       = 0.1  // of NarrowAfter that members must stay the same before nodes are shared out anew
+	minReachableFraction = 0.75 // part of the size below which unreachable nodes are replaced
 )
 
 // State is what the node list says of a node.
@@ -63,12 +63,12 @@
 
 // record is what the set keeps of each node of the list.
 type record struct {
-	id       uint32
-	stratum  *stratum
-	position float64
-	state    State
-	in       bool
-	down     bool // it can't be reached
+	id          uint32
+	stratum     *stratum
+	position    float64
+	state       State
+	inSet       bool
+	unreachable bool // it can't be reached
 }
 
 // stratum is the nodes of one zone and machine kind, by position.
@@ -88,36 +88,36 @@
 
 func (r Reason) String() string { return [...]string{"reassigned", "narrowed"}[r] }
 
-// Departure is a node that leaves, and why.
-type Departure struct {
-	ID  uint32
-	Why Reason
+// Removal is a node that leaves, and why.
+type Removal struct {
+	ID     uint32
+	Reason Reason
 }
 
 // Change is what a step changes.
 type Change struct {
-	Enter []uint32
-	Leave []Departure
+	Added   []uint32
+	Removed []Removal
 }
 
 // Set is the working set of one scheduler.
 type Set struct {
-	config  Config
-	view    view
-	nodes   map[uint32]*record
-	strata  []*stratum // by zone and kind
-	ready   int
-	size    int     // nodes in the set
-	usual   float64 // size that the last change was made for
-	load    Load
-	sizer   sizer
-	wide    []widener // by machine kind
-	short   []bool    // by machine kind, since the last step
-	tokens  float64   // nodes that widening may add now
-	stepped float64
+	config     Config
+	view       view
+	nodes      map[uint32]*record
+	strata     []*stratum // by zone and kind
+	ready      int
+	size       int     // nodes in the set
+	usualSize  float64 // size that the last change was made for
+	load       Load
+	sizer      sizer
+	wideners   []widener // by machine kind
+	shortKinds []bool    // by machine kind, since the last step
+	tokens     float64   // nodes that widening may add now
+	lastStepAt float64
 
 	dirty        bool // something changed since the last step, or the set is wider than usual
-	known        bool // the members are
+	membersKnown bool // the members are
 	reassigned   bool // nodes were shared out anew since the last step
 	pending      []string
 	pendingSince float64
@@ -125,11 +125,11 @@
 
 // New starts an empty set that knows nothing of the other schedulers.
 func New(now float64, config Config) *Set {
-	config.Least = max(1, config.Least)
-	s := &Set{config: config, nodes: map[uint32]*record{}, stepped: now}
+	config.MinNodes = max(1, config.MinNodes)
+	s := &Set{config: config, nodes: map[uint32]*record{}, lastStepAt: now}
 	s.sizer = sizer{window: config.NarrowAfter, began: now}
-	s.view = newView(config.Key, config.Own, config.Members)
-	s.known = len(config.Members) > 0
+	s.view = newView(config.Key, config.Self, config.Members)
+	s.membersKnown = len(config.Members) > 0
 	return s
 }
 
@@ -170,7 +170,7 @@
 	if r.state == Ready {
 		s.ready--
 	}
-	if r.in {
+	if r.inSet {
 		s.size--
 	}
 }
@@ -184,13 +184,13 @@
 	}
 }
 
-// Lists tells whether a node is on the list.
-func (s *Set) Lists(id uint32) bool { return s.nodes[id] != nil }
+// IsListed tells whether a node is on the list.
+func (s *Set) IsListed(id uint32) bool { return s.nodes[id] != nil }
 
-// Has tells whether a node is in the set.
-func (s *Set) Has(id uint32) bool {
+// Contains tells whether a node is in the set.
+func (s *Set) Contains(id uint32) bool {
 	r := s.nodes[id]
-	return r != nil && r.in
+	return r != nil && r.inSet
 }
 
 // Size is how many nodes are in the set.
@@ -198,9 +198,9 @@
 
 // SetMembers says which schedulers are there. Nodes are shared out anew once that has been the same for a while.
 func (s *Set) SetMembers(now float64, names []string) {
-	sorted := withName(names, s.config.Own)
+	sorted := withName(names, s.config.Self)
 	switch {
-	case s.known && slices.Equal(sorted, s.view.names):
+	case s.membersKnown && slices.Equal(sorted, s.view.names):
 		s.pending = nil
 	case !slices.Equal(sorted, s.pending):
 		s.pending, s.pendingSince = sorted, now
@@ -212,15 +212,15 @@
 
 // SetReachable says whether a node of the set can be reached.
 func (s *Set) SetReachable(id uint32, reachable bool) {
-	if r := s.nodes[id]; r != nil && r.in && r.down == reachable {
-		r.down, s.dirty = !reachable, true
+	if r := s.nodes[id]; r != nil && r.inSet && r.unreachable == reachable {
+		r.unreachable, s.dirty = !reachable, true
 	}
 }
 
 // OnShortage says that a task for a kind of machine finds no node in the set, AnyKind for all kinds.
 func (s *Set) OnShortage(kind int) {
-	for k := range s.short {
-		s.short[k] = s.short[k] || kind == AnyKind || kind == k
+	for k := range s.shortKinds {
+		s.shortKinds[k] = s.shortKinds[k] || kind == AnyKind || kind == k
 	}
 	s.dirty = true
 }
@@ -228,36 +228,36 @@
 // Step decides what changes now. It is to be called some times a second.
 func (s *Set) Step(now float64) Change {
 	s.applyMembers(now)
-	size := s.usualSize(now)
+	size := s.computeUsualSize(now)
 	s.refill(now, size)
-	if !s.dirty && size == s.usual {
+	if !s.dirty && size == s.usualSize {
 		return Change{}
 	}
-	s.usual, s.dirty = size, false
+	s.usualSize, s.dirty = size, false
 	s.widen(now, size)
 	var change Change
 	var extra []*record
 	for _, st := range s.strata {
-		usual, most := s.reach(st, size)
+		usual, most := s.positionLimits(st, size)
 		s.compare(st, usual, most, &change, &extra)
 	}
-	s.admit(extra, &change)
+	s.addExtra(extra, &change)
 	s.reassigned = false
-	s.dirty = s.dirty || slices.ContainsFunc(s.wide, func(w widener) bool { return w.factor > 1 })
+	s.dirty = s.dirty || slices.ContainsFunc(s.wideners, func(w widener) bool { return w.factor > 1 })
 	return change
 }
 
 // applyMembers shares nodes out among other schedulers than before, once these are settled.
 func (s *Set) applyMembers(now float64) {
-	if s.pending == nil || now-s.pendingSince < settlePart*s.config.NarrowAfter {
+	if s.pending == nil || now-s.pendingSince < settleFraction*s.config.NarrowAfter {
 		return
 	}
-	s.view = newView(s.config.Key, s.config.Own, s.pending)
-	s.pending, s.known, s.reassigned, s.dirty = nil, true, true, true
+	s.view = newView(s.config.Key, s.config.Self, s.pending)
+	s.pending, s.membersKnown, s.reassigned, s.dirty = nil, true, true, true
 	for _, r := range s.nodes {
 		r.position = s.position(r.id)
-		if s.config.Plant.ForgetsSet && r.in {
-			r.in = false
+		if s.config.Faults.ForgetSet && r.inSet {
+			r.inSet = false
 			s.size--
 		}
 	}
@@ -270,10 +270,10 @@
 // place by chance, as if the site's schedulers were all there.
 func (s *Set) position(id uint32) float64 {
 	node := hashOfNode(id)
-	if s.config.Plant.SkipsNodes && node%10 == 0 {
+	if s.config.Faults.SkipNodes && node%10 == 0 {
 		return math.Inf(1)
 	}
-	if s.known {
+	if s.membersKnown {
 		return s.view.position(node)
 	}
 	return fraction(mix(node^s.view.own)) * s.schedulers()
@@ -281,26 +281,26 @@
 
 // schedulers is among how many nodes are shared out.
 func (s *Set) schedulers() float64 {
-	if s.known {
+	if s.membersKnown {
 		return s.view.schedulers()
 	}
 	return float64(max(1, s.config.Schedulers))
 }
 
-// usualSize is how many nodes the scheduler's own load and the coverage of all nodes need. A scheduler that is cut off
+// computeUsualSize is how many nodes the scheduler's own load and the coverage of all nodes need. A scheduler that is cut off
 // from more than half of the others does not cover their nodes for them.
-func (s *Set) usualSize(now float64) float64 {
+func (s *Set) computeUsualSize(now float64) float64 {
 	need := s.config.Spare*s.load.Machines + s.config.PerStart*s.load.Starts
-	size := s.sizer.size(now, need, float64(s.config.Least))
+	size := s.sizer.size(now, need, float64(s.config.MinNodes))
 	sharers := max(s.schedulers(), float64(s.config.Schedulers)/2)
 	return max(size, s.config.Coverage*float64(s.ready)/sharers)
 }
 
 // refill gives widening leave for more nodes: a usual set a second, half of one at once.
 func (s *Set) refill(now, size float64) {
-	s.tokens = min(size/2, s.tokens+size*(now-s.stepped)/1000)
-	s.stepped = now
-	if s.config.Plant.WidensUnbounded {
+	s.tokens = min(size/2, s.tokens+size*(now-s.lastStepAt)/1000)
+	s.lastStepAt = now
+	if s.config.Faults.UnboundedWidening {
 		s.tokens = math.Inf(1)
 	}
 }
@@ -308,15 +308,15 @@
 // widen widens for the kinds of machines that are short, or of which too few can be reached, and narrows for those
 // that have not been short for long.
 func (s *Set) widen(now, size float64) {
-	for kind := range s.wide {
-		w := &s.wide[kind]
+	for kind := range s.wideners {
+		w := &s.wideners[kind]
 		usual, inside, reachable, all := s.count(kind, size)
-		if s.short[kind] || inside > 0 && float64(reachable) < reachableLeast*float64(min(usual, inside)) {
-			w.onShortage(now, inside >= all, s.config.Plant)
-		} else if w.narrows(now, s.config.Plant) && s.mayNarrow(kind, size) {
+		if s.shortKinds[kind] || inside > 0 && float64(reachable) < minReachableFraction*float64(min(usual, inside)) {
+			w.onShortage(now, inside >= all, s.config.Faults)
+		} else if w.isNarrowingDue(now, s.config.Faults) && s.mayNarrow(kind, size) {
 			w.narrow(now)
 		}
-		s.short[kind] = false
+		s.shortKinds[kind] = false
 	}
 }
 
@@ -326,7 +326,7 @@
 		if st.kind != kind {
 			continue
 		}
-		limit, _ := s.reach(st, size)
+		limit, _ := s.positionLimits(st, size)
 		place := 0
 		for _, r := range st.nodes {
 			if r.state != Ready {
@@ -337,9 +337,9 @@
 				usual++
 			}
 			place++
-			if r.in {
+			if r.inSet {
 				inside++
-				if !r.down {
+				if !r.unreachable {
 					reachable++
 				}
 			}
@@ -355,7 +355,7 @@
 		if st.kind != kind {
 			continue
 		}
-		limit, most := s.reach(st, size)
+		limit, most := s.positionLimits(st, size)
 		for _, r := range st.nodes {
 			if r.state != Ready {
 				continue
@@ -363,18 +363,18 @@
 			if r.position < limit {
 				usual++
 			}
-			if r.position < max(limit, most/2) && !r.down {
+			if r.position < max(limit, most/2) && !r.unreachable {
 				left++
 			}
 		}
 	}
-	return float64(left) >= reachableLeast*float64(usual)
+	return float64(left) >= minReachableFraction*float64(usual)
 }
 
-// reach gives the positions below which nodes of a stratum are in a set of the usual size, and of the present one.
-func (s *Set) reach(st *stratum, size float64) (usual, most float64) {
+// positionLimits gives the positions below which nodes of a stratum are in a set of the usual size, and of the present one.
+func (s *Set) positionLimits(st *stratum, size float64) (usual, most float64) {
 	usual = size * s.schedulers() / float64(max(1, s.ready))
-	return usual, usual * s.wide[st.kind].times()
+	return usual, usual * s.wideners[st.kind].times()
 }
 
 // compare finds what enters and leaves in a stratum. Nodes beyond the usual size are gathered in extra, as these enter
@@ -387,11 +387,11 @@
 		}
 		wanted := place < s.config.PerStratum && !math.IsInf(r.position, 1) || r.position < most
 		switch {
-		case wanted == r.in:
+		case wanted == r.inSet:
 		case !wanted:
-			s.leave(r, change)
+			s.drop(r, change)
 		case place < s.config.PerStratum || r.position < usual:
-			s.enter(r, change)
+			s.add(r, change)
 		default:
 			*extra = append(*extra, r)
 		}
@@ -399,8 +399,8 @@
 	}
 }
 
-// admit lets extra nodes enter, those first of which this scheduler wants most, as many as the pace allows.
-func (s *Set) admit(extra []*record, change *Change) {
+// addExtra lets extra nodes enter, those first of which this scheduler wants most, as many as the pace allows.
+func (s *Set) addExtra(extra []*record, change *Change) {
 	slices.SortFunc(extra, func(x, y *record) int {
 		return cmp.Or(cmp.Compare(x.position, y.position), cmp.Compare(x.id, y.id))
 	})
@@ -409,30 +409,30 @@
 			return
 		}
 		s.tokens--
-		s.enter(r, change)
+		s.add(r, change)
 	}
 }
 
-func (s *Set) enter(r *record, change *Change) {
-	r.in, r.down = true, false
+func (s *Set) add(r *record, change *Change) {
+	r.inSet, r.unreachable = true, false
 	s.size++
-	change.Enter = append(change.Enter, r.id)
+	change.Added = append(change.Added, r.id)
 }
 
-func (s *Set) leave(r *record, change *Change) {
+func (s *Set) drop(r *record, change *Change) {
 	why := Narrowed
 	if s.reassigned {
 		why = Reassigned
 	}
-	r.in, r.down = false, false
+	r.inSet, r.unreachable = false, false
 	s.size--
-	change.Leave = append(change.Leave, Departure{r.id, why})
+	change.Removed = append(change.Removed, Removal{r.id, why})
 }
 
 // stratumOf finds or makes the stratum of a zone and kind.
 func (s *Set) stratumOf(zone, kind int) *stratum {
-	for len(s.wide) <= kind {
-		s.wide, s.short = append(s.wide, widener{first: s.config.NarrowAfter}), append(s.short, false)
+	for len(s.wideners) <= kind {
+		s.wideners, s.shortKinds = append(s.wideners, widener{minHold: s.config.NarrowAfter}), append(s.shortKinds, false)
 	}
 	for _, st := range s.strata {
 		if st.zone == zone && st.kind == kind {
--- a/internal/decide/workingset/workingset_test.go
+++ b/internal/decide/workingset/workingset_test.go
@@ -14,7 +14,7 @@
 	kinds       = 2
 	perStratum  = 3
 	narrowAfter = 30_000
-	settleFor   = settlePart * narrowAfter
+	settleFor   = settleFraction * narrowAfter
 )
 
 // cluster is the working sets of several schedulers on one clock.
@@ -53,7 +53,7 @@
 }
 
 func (c *cluster) newSet(name string, config Config) *Set {
-	config.Own, config.Schedulers, config.PerStratum, config.NarrowAfter = name, len(c.names), perStratum, narrowAfter
+	config.Self, config.Schedulers, config.PerStratum, config.NarrowAfter = name, len(c.names), perStratum, narrowAfter
 	s := New(c.now, config)
 	for i := range c.nodes {
 		s.PutNode(nodeOf(i))
@@ -78,7 +78,7 @@
 	for i := range c.nodes {
 		n := 0
 		for _, s := range c.sets {
-			if s.Has(nodeOf(i).ID) {
+			if s.Contains(nodeOf(i).ID) {
 				n++
 			}
 		}
@@ -94,7 +94,7 @@
 func (c *cluster) checkSizes(mean float64) error {
 	for _, s := range c.sets {
 		if float64(s.Size()) > bound(mean) || float64(s.Size()) < mean-4*math.Sqrt(mean) {
-			return fmt.Errorf("%s has %d nodes, about %.0f are expected", s.config.Own, s.Size(), mean)
+			return fmt.Errorf("%s has %d nodes, about %.0f are expected", s.config.Self, s.Size(), mean)
 		}
 	}
 	each := mean * float64(len(c.sets)) / float64(c.nodes)
@@ -118,12 +118,12 @@
 		{100, 14000, 200, 1, 200},
 		{30, 300, 480, 1, 300},
 	} {
-		c := newCluster(test.schedulers, test.nodes, Config{Least: test.least, Coverage: test.coverage})
+		c := newCluster(test.schedulers, test.nodes, Config{MinNodes: test.least, Coverage: test.coverage})
 		if err := c.checkSizes(test.mean); err != nil {
 			t.Errorf("%d schedulers, %d nodes: %v", test.schedulers, test.nodes, err)
 		}
 		for _, change := range c.run(5000) {
-			if len(change.Enter)+len(change.Leave) > 0 {
+			if len(change.Added)+len(change.Removed) > 0 {
 				t.Errorf("%d schedulers, %d nodes: %v changes with nothing to cause it", test.schedulers, test.nodes, change)
 			}
 		}
@@ -131,16 +131,16 @@
 }
 
 func TestSkippedNodesAreFound(t *testing.T) {
-	c := newCluster(30, 1300, Config{Least: 480, Coverage: 1, Plant: Plant{SkipsNodes: true}})
+	c := newCluster(30, 1300, Config{MinNodes: 480, Coverage: 1, Faults: Faults{SkipNodes: true}})
 	if c.checkSizes(480) == nil {
 		t.Error("nodes in no set pass the check")
 	}
 }
 
 // memberChange has one of the schedulers go, or a new one come, and tells which part of the sets changes.
-func memberChange(joins bool, plant Plant) (part float64, least int) {
+func memberChange(joins bool, plant Faults) (part float64, least int) {
 	const schedulers, nodes = 30, 1300
-	c := newCluster(schedulers, nodes, Config{Least: 480, Coverage: 1, Plant: plant})
+	c := newCluster(schedulers, nodes, Config{MinNodes: 480, Coverage: 1, Faults: plant})
 	if joins {
 		c.names = append(c.names, "another")
 	} else {
@@ -152,7 +152,7 @@
 	}
 	moved := 0
 	for _, change := range c.run(2 * settleFor) {
-		moved += len(change.Enter) + len(change.Leave)
+		moved += len(change.Added) + len(change.Removed)
 	}
 	least, _ = c.coverage()
 	return float64(moved) / float64(before), least
@@ -160,24 +160,24 @@
 
 func TestMemberChangeMovesItsShare(t *testing.T) {
 	for _, joins := range []bool{false, true} {
-		part, least := memberChange(joins, Plant{})
+		part, least := memberChange(joins, Faults{})
 		if part > 2.0/30 || least < 9 {
 			t.Errorf("joins %t: %.3f of the sets change, nodes in %d sets at least", joins, part, least)
 		}
 	}
-	if part, _ := memberChange(false, Plant{ForgetsSet: true}); part <= 2.0/30 {
+	if part, _ := memberChange(false, Faults{ForgetSet: true}); part <= 2.0/30 {
 		t.Errorf("sets that are forgotten pass the check: %.3f change", part)
 	}
 }
 
 // TestMembersSettle has a scheduler come and go faster than the others take notice.
 func TestMembersSettle(t *testing.T) {
-	c := newCluster(10, 500, Config{Least: 100, Coverage: 1})
+	c := newCluster(10, 500, Config{MinNodes: 100, Coverage: 1})
 	all := c.names
 	for i := range 40 {
 		c.names = all[:len(all)-i%2]
 		for _, change := range c.run(settleFor / 3) {
-			if len(change.Enter)+len(change.Leave) > 0 {
+			if len(change.Added)+len(change.Removed) > 0 {
 				t.Fatalf("%v after a member that flaps", change)
 			}
 		}
@@ -185,13 +185,13 @@
 }
 
 func TestNodeChangeMovesLittle(t *testing.T) {
-	c := newCluster(30, 1300, Config{Least: 480, Coverage: 1})
+	c := newCluster(30, 1300, Config{MinNodes: 480, Coverage: 1})
 	moved := 0
 	for _, s := range c.sets {
 		s.RemoveNode(nodeOf(700).ID)
 	}
 	for _, change := range c.run(1000) {
-		moved += len(change.Enter) + len(change.Leave)
+		moved += len(change.Added) + len(change.Removed)
 	}
 	if moved > 60 {
 		t.Errorf("%d changes in 30 sets after one node of 1300 left", moved)
@@ -200,7 +200,7 @@
 
 // TestEveryStratum has few nodes of one kind: each set holds some of each zone and kind.
 func TestEveryStratum(t *testing.T) {
-	s := New(0, Config{Own: "a", Schedulers: 30, Least: 20, Coverage: 1, PerStratum: perStratum, NarrowAfter: narrowAfter})
+	s := New(0, Config{Self: "a", Schedulers: 30, MinNodes: 20, Coverage: 1, PerStratum: perStratum, NarrowAfter: narrowAfter})
 	for i := range 1300 {
 		s.PutNode(Node{ID: uint32(i), Zone: i % zones})
 	}
@@ -210,7 +210,7 @@
 	s.Step(100)
 	rare := 0
 	for i := range 5 {
-		if s.Has(uint32(2000 + i)) {
+		if s.Contains(uint32(2000 + i)) {
 			rare++
 		}
 	}
@@ -220,7 +220,7 @@
 }
 
 func TestSizeFollowsLoad(t *testing.T) {
-	c, s := oneOf(30, 5000, Config{Least: 100, Spare: 8})
+	c, s := oneOf(30, 5000, Config{MinNodes: 100, Spare: 8})
 	sizes := map[float64]int{}
 	for _, machines := range []float64{0, 50, 51, 100, 0} {
 		s.SetLoad(Load{Machines: machines})
@@ -238,15 +238,15 @@
 
 // TestDrainingStays has a node of the set drain: it stays until it is gone, and one outside does not enter.
 func TestDrainingStays(t *testing.T) {
-	c, s := oneOf(2, 40, Config{Least: 10, Coverage: 1})
+	c, s := oneOf(2, 40, Config{MinNodes: 10, Coverage: 1})
 	for i := range c.nodes {
 		n := nodeOf(i)
-		was := s.Has(n.ID)
+		was := s.Contains(n.ID)
 		n.State = Draining
 		s.PutNode(n)
 		c.run(200)
-		if s.Has(n.ID) != was {
-			t.Fatalf("node %d: in the set %t, %t when it drains", n.ID, was, s.Has(n.ID))
+		if s.Contains(n.ID) != was {
+			t.Fatalf("node %d: in the set %t, %t when it drains", n.ID, was, s.Contains(n.ID))
 		}
 		s.PutNode(nodeOf(i))
 		c.run(200)
@@ -262,7 +262,7 @@
 // TestRandomHistories plays random events; what the changes tell and what the set holds stay the same.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(0, Config{Own: "a", Schedulers: 5, Least: 8, Coverage: 1, Spare: 4, PerStratum: 1, NarrowAfter: narrowAfter})
+		s := New(0, Config{Self: "a", Schedulers: 5, MinNodes: 8, Coverage: 1, Spare: 4, PerStratum: 1, NarrowAfter: narrowAfter})
 		now, told := 0.0, map[uint32]bool{}
 		listed := map[uint32]State{}
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
@@ -290,13 +290,13 @@
 			}
 			now += rapid.Float64Range(0, 40_000).Draw(t, "passes")
 			change := s.Step(now)
-			for _, id := range change.Enter {
+			for _, id := range change.Added {
 				if state, ok := listed[id]; told[id] || !ok || state != Ready {
 					t.Fatalf("%d enters, in the set %t, listed %t %d", id, told[id], ok, state)
 				}
 				told[id] = true
 			}
-			for _, left := range change.Leave {
+			for _, left := range change.Removed {
 				if !told[left.ID] {
 					t.Fatalf("%d leaves and is not in the set", left.ID)
 				}
@@ -322,7 +322,7 @@
 func TestSameHistorySameSet(t *testing.T) {
 	build := func(reverse bool) (in []uint32) {
 		names := []string{"a", "b", "c", "d"}
-		s := New(0, Config{Own: "b", Schedulers: 4, Least: 20, PerStratum: perStratum, NarrowAfter: narrowAfter})
+		s := New(0, Config{Self: "b", Schedulers: 4, MinNodes: 20, PerStratum: perStratum, NarrowAfter: narrowAfter})
 		order := make([]int, 200)
 		for i := range order {
 			order[i] = i
@@ -338,7 +338,7 @@
 		s.Step(0)
 		s.Step(settleFor)
 		for i := range 200 {
-			if s.Has(nodeOf(i).ID) {
+			if s.Contains(nodeOf(i).ID) {
 				in = append(in, nodeOf(i).ID)
 			}
 		}
@@ -350,7 +350,7 @@
 }
 
 func BenchmarkStepAtRest(b *testing.B) {
-	c := newCluster(1, 14000, Config{Least: 480})
+	c := newCluster(1, 14000, Config{MinNodes: 480})
 	b.ReportAllocs()
 	for b.Loop() {
 		c.now += 100
@@ -359,7 +359,7 @@
 }
 
 func BenchmarkMemberChange(b *testing.B) {
-	c := newCluster(1, 14000, Config{Least: 480})
+	c := newCluster(1, 14000, Config{MinNodes: 480})
 	var names []string
 	for i := range 30 {
 		names = append(names, fmt.Sprint(i))
--- a/internal/decide/zones/footprint.go
+++ b/internal/decide/zones/footprint.go
@@ -11,14 +11,14 @@
 }
 
 // Footprint counts what the judge holds.
-func (j *Judge) Footprint() Footprint {
+func (j *Controller) Footprint() Footprint {
 	f := Footprint{
 		Reports:  len(j.reports),
-		Verdicts: len(j.since) + len(j.proposed) + len(j.used),
+		Verdicts: len(j.observations) + len(j.proposals) + len(j.lastUsed),
 	}
 	for from, r := range j.reports {
 		f.ReportBytes += len(from) + int(unsafe.Sizeof(r))
-		for zone, sum := range r.sums {
+		for zone, sum := range r.summaries {
 			f.ReportBytes += len(zone) + int(unsafe.Sizeof(sum))
 		}
 	}
--- a/internal/decide/zones/zones.go
+++ b/internal/decide/zones/zones.go
@@ -20,108 +20,113 @@
 
 // Times in milliseconds, and parts.
 const (
-	fresh      = 1500 // a sum that is older says nothing
-	suspectFor = 250  // that a zone is lost to others before it is suspect
-	closeFor   = 500  // and again before it is closed
-	calmFor    = 1000 // that it is heard before it is open again
-	returnFor  = 2000 // or returning
-	stepEach   = 2000 // between two steps of a return
-	steps      = 4
-	again      = 1000 // before a verdict is proposed again
-	lostPart   = 0.25 // of its nodes are heard at most where a zone is lost
-	wellPart   = 0.75 // and at least where it is well
-	mostClosed = 0.5  // of all zones
-
-	filled   = 0.8  // use of room from which a process looks further than near
-	drained  = 0.6  // and under which it comes back nearer
-	nearFor  = 5000 // after so long
-	bound    = 0.85 // use of a taker's room that all that leaves other zones may bring it to
-	planEach = 2000 // between two plans, unless a zone has closed since
-	planBy   = 0.1  // part of what leaves by which a plan has to differ
+	maxReportAge      = 1500 // a sum that is older says nothing
+	suspectAfter      = 250  // that a zone is lost to others before it is suspect
+	closeAfter        = 500  // and again before it is closed
+	reopenAfter       = 1000 // that it is heard before it is open again
+	returnAfter       = 2000 // or returning
+	stepInterval      = 2000 // between two steps of a return
+	returnSteps       = 4
+	proposeInterval   = 1000 // before a verdict is proposed again
+	lostFraction      = 0.25 // of its nodes are heard at most where a zone is lost
+	healthyFraction   = 0.75 // and at least where it is well
+	maxClosedFraction = 0.5  // of all zones
+
+	widenUtilization  = 0.8  // use of room from which a process looks further than near
+	narrowUtilization = 0.6  // and under which it comes back nearer
+	narrowAfter       = 5000 // after so long
+	maxUtilization    = 0.85 // use of a taker's room that all that leaves other zones may bring it to
+	planInterval      = 2000 // between two plans, unless a zone has closed since
+	minPlanChange     = 0.1  // part of what leaves by which a plan has to differ
 )
 
-// Sum is what a process hears of a zone: of the nodes that it looks at, how many it hears and does not; and of all that the list
+// Summary is what a process hears of a zone: of the nodes that it looks at, how many it hears and does not; and of all that the list
 // has ready there, the cores and how many are asked for.
-type Sum struct {
-	Nodes, Heard int
-	Room, Used   float64
+type Summary struct {
+	Nodes, Reachable int
+	Capacity, Used   float64
+}
+
+func (s Summary) isLost() bool {
+	return s.Nodes > 0 && float64(s.Reachable) <= lostFraction*float64(s.Nodes)
 }
 
-func (s Sum) lost() bool { return s.Nodes > 0 && float64(s.Heard) <= lostPart*float64(s.Nodes) }
-func (s Sum) well() bool { return s.Nodes > 0 && float64(s.Heard) >= wellPart*float64(s.Nodes) }
+func (s Summary) isHealthy() bool {
+	return s.Nodes > 0 && float64(s.Reachable) >= healthyFraction*float64(s.Nodes)
+}
 
 // Proposal is a verdict for the book.
 type Proposal struct {
-	Zone  string
-	Seen  uint64 // the version at which its state was written
-	To    clusterstate.ZoneState
-	Cause string
+	Zone    string
+	Version uint64 // the version at which its state was written
+	To      clusterstate.ZoneState
+	Reason  string
 }
 
-// Share is how many cores of what leaves a zone another is to take.
-type Share struct {
+// Transfer is how many cores of what leaves a zone another is to take.
+type Transfer struct {
 	From, To string
 	Cores    uint32
 }
 
-type report struct {
-	at   float64
-	sums map[string]Sum
+type processReport struct {
+	receivedAt float64
+	summaries  map[string]Summary
 }
 
-// Judge judges by the sums of all processes, at the leader. Its zero value has heard none.
-type Judge struct {
-	Alone bool // planted: the word of one other zone is enough
+// Controller judges by the sums of all processes, at the leader. Its zero value has heard none.
+type Controller struct {
+	FaultSingleZone bool // planted: the word of one other zone is enough
 
-	reports  map[string]report // by process
-	since    map[string]spell
-	proposed map[string]proposed
-	used     map[string]float64 // cores of zones while they were open
-	planned  float64
+	reports      map[string]processReport // by process
+	observations map[string]observation
+	proposals    map[string]pendingProposal
+	lastUsed     map[string]float64 // cores of zones while they were open
+	lastPlanAt   float64
 }
 
-// spell is since when a zone is as it is seen now.
-type spell struct {
-	how int // -1 lost, 1 well, 0 neither
-	at  float64
+// observation is since when a zone is as it is seen now.
+type observation struct {
+	health int // -1 lost, 1 well, 0 neither
+	since  float64
 }
 
-type proposed struct {
-	seen uint64
-	to   clusterstate.ZoneState
-	at   float64
+type pendingProposal struct {
+	version uint64
+	to      clusterstate.ZoneState
+	at      float64
 }
 
-// Report takes a process's sums.
-func (j *Judge) Report(now float64, from string, sums map[string]Sum) {
+// OnReport takes a process's sums.
+func (j *Controller) OnReport(now float64, from string, sums map[string]Summary) {
 	if j.reports == nil {
-		j.begin()
+		j.init()
 	}
-	j.reports[from] = report{now, sums}
+	j.reports[from] = processReport{now, sums}
 }
 
-// Forget drops all that was heard: this process does not lead any more.
-func (j *Judge) Forget() { j.reports, j.since, j.proposed, j.used = nil, nil, nil, nil }
+// Reset drops all that was heard: this process does not lead any more.
+func (j *Controller) Reset() { j.reports, j.observations, j.proposals, j.lastUsed = nil, nil, nil, nil }
 
-func (j *Judge) begin() {
-	j.reports, j.since, j.proposed, j.used = map[string]report{}, map[string]spell{}, map[string]proposed{}, map[string]float64{}
+func (j *Controller) init() {
+	j.reports, j.observations, j.proposals, j.lastUsed = map[string]processReport{}, map[string]observation{}, map[string]pendingProposal{}, map[string]float64{}
 }
 
-// seen is how a zone is seen by the others: lost by at least two of them and more than half, well by more than half.
-func (j *Judge) seen(now float64, b *clusterstate.State, zone string) (how int, lost, of int) {
+// observe is how a zone is seen by the others: lost by at least two of them and more than half, well by more than half.
+func (j *Controller) observe(now float64, b *clusterstate.State, zone string) (how int, lost, of int) {
 	type votes struct{ lost, well, all int }
 	by := map[string]votes{}
 	for name, r := range j.reports {
 		p, ok := b.Process(name)
-		s, about := r.sums[zone]
-		if !ok || p.Inactive || p.Zone == zone || now-r.at > fresh || !about || s.Nodes == 0 {
+		s, about := r.summaries[zone]
+		if !ok || p.Inactive || p.Zone == zone || now-r.receivedAt > maxReportAge || !about || s.Nodes == 0 {
 			continue
 		}
 		v := by[p.Zone]
 		v.all++
-		if s.lost() {
+		if s.isLost() {
 			v.lost++
-		} else if s.well() {
+		} else if s.isHealthy() {
 			v.well++
 		}
 		by[p.Zone] = v
@@ -136,11 +141,11 @@
 		}
 	}
 	need := 2
-	if j.Alone {
+	if j.FaultSingleZone {
 		need = 1
 	}
 	switch {
-	case lost >= need && (2*lost > len(by) || j.Alone):
+	case lost >= need && (2*lost > len(by) || j.FaultSingleZone):
 		return -1, lost, len(by)
 	case 2*well > len(by):
 		return 1, lost, len(by)
@@ -149,7 +154,7 @@
 }
 
 // Decide proposes what the sums ask for. all are the site's zones, held those that an operator holds in a state.
-func (j *Judge) Decide(now float64, b *clusterstate.State, all []string, held map[string]clusterstate.ZoneState) (out []Proposal) {
+func (j *Controller) Decide(now float64, b *clusterstate.State, all []string, held map[string]clusterstate.ZoneState) (out []Proposal) {
 	closed := 0
 	for _, z := range all {
 		if s := b.Zone(z).State; s == clusterstate.Closed || s == clusterstate.Returning {
@@ -157,29 +162,29 @@
 		}
 	}
 	for _, zone := range all {
-		how, lost, of := j.seen(now, b, zone)
-		sp, ok := j.since[zone]
-		if !ok || sp.how != how {
-			sp = spell{how, now}
-			if j.since != nil {
-				j.since[zone] = sp
+		how, lost, of := j.observe(now, b, zone)
+		sp, ok := j.observations[zone]
+		if !ok || sp.health != how {
+			sp = observation{how, now}
+			if j.observations != nil {
+				j.observations[zone] = sp
 			}
 		}
 		z := b.Zone(zone)
-		to, cause := j.next(now, z, sp, held, closed, len(all))
+		to, cause := j.nextState(now, z, sp, held, closed, len(all))
 		if to == z.State {
 			continue
 		}
 		if cause == "" {
 			cause = fmt.Sprintf("%d of %d other zones", lost, of)
 		}
-		if p := j.proposed[zone]; p.seen == z.Version && p.to == to && now-p.at < again {
+		if p := j.proposals[zone]; p.version == z.Version && p.to == to && now-p.at < proposeInterval {
 			continue
 		}
-		if j.proposed == nil { // nothing was reported, and an operator holds a zone
-			j.begin()
+		if j.proposals == nil { // nothing was reported, and an operator holds a zone
+			j.init()
 		}
-		j.proposed[zone] = proposed{z.Version, to, now}
+		j.proposals[zone] = pendingProposal{z.Version, to, now}
 		if to == clusterstate.Closed {
 			closed++
 		}
@@ -188,34 +193,34 @@
 	return out
 }
 
-// next is the state that a zone is to have next, if it is another.
-func (j *Judge) next(now float64, z clusterstate.Zone, sp spell, held map[string]clusterstate.ZoneState, closed, all int) (to clusterstate.ZoneState, cause string) {
-	since := now - sp.at
-	lostFor := func(ms float64) bool { return sp.how < 0 && since >= ms }
-	wellFor := func(ms float64) bool { return sp.how > 0 && since >= ms }
+// nextState is the state that a zone is to have next, if it is another.
+func (j *Controller) nextState(now float64, z clusterstate.Zone, sp observation, held map[string]clusterstate.ZoneState, closed, all int) (to clusterstate.ZoneState, cause string) {
+	since := now - sp.since
+	lostFor := func(ms float64) bool { return sp.health < 0 && since >= ms }
+	wellFor := func(ms float64) bool { return sp.health > 0 && since >= ms }
 	if want, ok := held[z.Name]; ok && (want == clusterstate.Open || want == clusterstate.Closed) {
-		return towards(now, z, want), "held by an operator"
+		return nextHeldState(now, z, want), "held by an operator"
 	}
-	may := float64(closed+1) <= mostClosed*float64(all)
+	may := float64(closed+1) <= maxClosedFraction*float64(all)
 	switch {
-	case z.State == clusterstate.Open && lostFor(suspectFor) && may:
+	case z.State == clusterstate.Open && lostFor(suspectAfter) && may:
 		return clusterstate.Suspect, ""
-	case z.State == clusterstate.Suspect && lostFor(suspectFor+closeFor) && may:
+	case z.State == clusterstate.Suspect && lostFor(suspectAfter+closeAfter) && may:
 		return clusterstate.Closed, ""
-	case z.State == clusterstate.Suspect && sp.how >= 0 && since >= calmFor:
+	case z.State == clusterstate.Suspect && sp.health >= 0 && since >= reopenAfter:
 		return clusterstate.Open, "heard again"
-	case z.State == clusterstate.Closed && wellFor(returnFor) && now >= z.ClosedUntil:
+	case z.State == clusterstate.Closed && wellFor(returnAfter) && now >= z.ClosedUntil:
 		return clusterstate.Returning, "heard again"
-	case z.State == clusterstate.Returning && lostFor(closeFor):
+	case z.State == clusterstate.Returning && lostFor(closeAfter):
 		return clusterstate.Closed, ""
-	case z.State == clusterstate.Returning && now-z.Since >= steps*stepEach && wellFor(calmFor):
+	case z.State == clusterstate.Returning && now-z.Since >= returnSteps*stepInterval && wellFor(reopenAfter):
 		return clusterstate.Open, "all steps taken"
 	}
 	return z.State, ""
 }
 
-// towards is the next step from a zone's state to one that an operator wants.
-func towards(now float64, z clusterstate.Zone, want clusterstate.ZoneState) clusterstate.ZoneState {
+// nextHeldState is the next step from a zone's state to one that an operator wants.
+func nextHeldState(now float64, z clusterstate.Zone, want clusterstate.ZoneState) clusterstate.ZoneState {
 	if z.State == want {
 		return want
 	}
@@ -230,13 +235,13 @@
 	return z.State
 }
 
-// rooms is the most plausible sum of each zone's room: that of the process that heard most of its nodes, lately.
-func (j *Judge) rooms(now float64) map[string]Sum {
-	best := map[string]Sum{}
+// capacities is the most plausible sum of each zone's room: that of the process that heard most of its nodes, lately.
+func (j *Controller) capacities(now float64) map[string]Summary {
+	best := map[string]Summary{}
 	for _, name := range slices.Sorted(maps.Keys(j.reports)) {
-		if r := j.reports[name]; now-r.at <= fresh {
-			for zone, s := range r.sums {
-				if was, ok := best[zone]; !ok || s.Room > was.Room {
+		if r := j.reports[name]; now-r.receivedAt <= maxReportAge {
+			for zone, s := range r.summaries {
+				if was, ok := best[zone]; !ok || s.Capacity > was.Capacity {
 					best[zone] = s
 				}
 			}
@@ -247,21 +252,21 @@
 
 // Plan divides what leaves closed zones among the others, by the room that is left under the bound and nearness, so that all
 // processes together never bring a taker beyond it: what does not fit is taken by nobody. False if the plan that stands will do.
-func (j *Judge) Plan(now float64, b *clusterstate.State, all []string, far func(from, to string) float64) ([]Share, bool) {
-	rooms := j.rooms(now)
+func (j *Controller) Plan(now float64, b *clusterstate.State, all []string, far func(from, to string) float64) ([]Transfer, bool) {
+	rooms := j.capacities(now)
 	for _, z := range all { // what leaves a zone is what was there before it was lost: its work ends there meanwhile
-		if s := b.Zone(z); s.State == clusterstate.Open && j.used != nil && now-s.Since > calmFor && j.since[z].how >= 0 {
-			j.used[z] = rooms[z].Used
+		if s := b.Zone(z); s.State == clusterstate.Open && j.lastUsed != nil && now-s.Since > reopenAfter && j.observations[z].health >= 0 {
+			j.lastUsed[z] = rooms[z].Used
 		}
 	}
 	spare, need := map[string]float64{}, map[string]float64{}
 	for _, z := range all {
 		switch s := rooms[z]; b.Zone(z).State {
 		case clusterstate.Open, clusterstate.Suspect:
-			spare[z] = max(0, bound*s.Room-s.Used)
+			spare[z] = max(0, maxUtilization*s.Capacity-s.Used)
 		case clusterstate.Closed:
-			if need[z] = j.used[z]; need[z] == 0 { // not known here from when it was open: as much as the others use
-				need[z] = max(s.Used, meanUse(rooms, b, all))
+			if need[z] = j.lastUsed[z]; need[z] == 0 { // not known here from when it was open: as much as the others use
+				need[z] = max(s.Used, meanUsed(rooms, b, all))
 			}
 		}
 	}
@@ -290,94 +295,94 @@
 		off = max(off, max(cores, want[w])-min(cores, want[w]))
 		return true
 	})
-	if had == len(want) && float64(off) < planBy*leaves || now-j.planned < planEach && version > 0 && had > 0 || len(want) == 0 && had == 0 {
+	if had == len(want) && float64(off) < minPlanChange*leaves || now-j.lastPlanAt < planInterval && version > 0 && had > 0 || len(want) == 0 && had == 0 {
 		return nil, false
 	}
-	j.planned = now
-	var out []Share
+	j.lastPlanAt = now
+	var out []Transfer
 	for w, cores := range want {
-		out = append(out, Share{w.From, w.To, cores})
+		out = append(out, Transfer{w.From, w.To, cores})
 	}
-	slices.SortFunc(out, func(x, y Share) int { return cmp.Or(cmp.Compare(x.From, y.From), cmp.Compare(x.To, y.To)) })
+	slices.SortFunc(out, func(x, y Transfer) int { return cmp.Or(cmp.Compare(x.From, y.From), cmp.Compare(x.To, y.To)) })
 	return out, true
 }
 
-func meanUse(rooms map[string]Sum, b *clusterstate.State, all []string) float64 {
+func meanUsed(rooms map[string]Summary, b *clusterstate.State, all []string) float64 {
 	sum, n := 0.0, 0.0
 	for _, z := range all {
-		if s := rooms[z]; s.Room > 0 && b.Zone(z).State != clusterstate.Closed {
+		if s := rooms[z]; s.Capacity > 0 && b.Zone(z).State != clusterstate.Closed {
 			sum, n = sum+s.Used, n+1
 		}
 	}
 	return sum / max(1, n)
 }
 
-// Place is a zone as the site file has it.
-type Place struct{ Name, Region string }
+// Location is a zone as the site file has it.
+type Location struct{ Name, Region string }
 
-// Reach decides which zones a process sends to. Its own zone may be empty: then none is near.
-type Reach struct {
-	Own   string
-	Zones []Place
-	Near  bool // the site file says how far zones are: near ones go first
-	Plant bool // careless: what the book last said counts for ever
+// Selector decides which zones a process sends to. Its own zone may be empty: then none is near.
+type Selector struct {
+	OwnZone          string
+	Zones            []Location
+	LocalityAware    bool // the site file says how far zones are: near ones go first
+	FaultIgnoreLease bool // careless: what the book last said counts for ever
 
-	level int // 0 own zone, 1 its region, 2 all
-	lowAt float64
-	was   map[string]float64 // the parts of zones that were used when this process was sure
+	level       int // 0 own zone, 1 its region, 2 all
+	belowSince  float64
+	lastWeights map[string]float64 // the parts of zones that were used when this process was sure
 }
 
-// Look is which part of each zone's nodes this process sends to now: 0 none, 1 all. waits is how many allocations find no room;
+// Update is which part of each zone's nodes this process sends to now: 0 none, 1 all. waits is how many allocations find no room;
 // own how many cores of its own work run in each zone; mates how many processes act from its zone.
-func (r *Reach) Look(now float64, b *clusterstate.State, sure bool, sums map[string]Sum, waits int, own map[string]float64, mates int) map[string]float64 {
+func (r *Selector) Update(now float64, b *clusterstate.State, sure bool, sums map[string]Summary, waits int, own map[string]float64, mates int) map[string]float64 {
 	parts := map[string]float64{}
-	r.nearer(now, b, sure, sums, waits)
-	home := b.Zone(r.Own)
+	r.updateLevel(now, b, sure, sums, waits)
+	home := b.Zone(r.OwnZone)
 	plan, _ := b.Plan()
-	planned := r.Near && home.State == clusterstate.Closed && plan > home.Version
+	planned := r.LocalityAware && home.State == clusterstate.Closed && plan > home.Version
 	for _, z := range r.Zones {
 		s := b.Zone(z.Name)
 		part := 1.0
 		switch s.State {
 		case clusterstate.Closed:
 			part = 0
-			if z.Name == r.Own && !sure && !r.Plant { // cut off with its zone: that is what it can serve
+			if z.Name == r.OwnZone && !sure && !r.FaultIgnoreLease { // cut off with its zone: that is what it can serve
 				part = 1
 			}
 		case clusterstate.Returning:
-			part = min(1, (1+math.Floor((now-s.Since)/stepEach))/steps)
-			if !sure && !r.Plant {
-				part = min(part, r.was[z.Name])
+			part = min(1, (1+math.Floor((now-s.Since)/stepInterval))/returnSteps)
+			if !sure && !r.FaultIgnoreLease {
+				part = min(part, r.lastWeights[z.Name])
 			}
 		}
 		switch {
-		case z.Name == r.Own || part == 0:
-		case !sure && !r.Plant && r.was != nil && r.was[z.Name] == 0: // nothing is opened that was not used
+		case z.Name == r.OwnZone || part == 0:
+		case !sure && !r.FaultIgnoreLease && r.lastWeights != nil && r.lastWeights[z.Name] == 0: // nothing is opened that was not used
 			part = 0
-		case !planned && r.beyond(z):
+		case !planned && r.isBeyondLevel(z):
 			part = 0
-		case r.Near && sums[z.Name].Room > 0 && sums[z.Name].Used >= bound*sums[z.Name].Room:
+		case r.LocalityAware && sums[z.Name].Capacity > 0 && sums[z.Name].Used >= maxUtilization*sums[z.Name].Capacity:
 			part = 0 // what is left there is for its own
-		case planned && own[z.Name] >= float64(b.Share(r.Own, z.Name))/float64(max(1, mates)):
+		case planned && own[z.Name] >= float64(b.Share(r.OwnZone, z.Name))/float64(max(1, mates)):
 			part = 0 // its share of what leaves the zone is used up
 		}
 		parts[z.Name] = part
 	}
-	if sure || r.was == nil {
-		r.was = maps.Clone(parts)
+	if sure || r.lastWeights == nil {
+		r.lastWeights = maps.Clone(parts)
 	}
 	return parts
 }
 
-// beyond tells whether a zone is further than this process looks.
-func (r *Reach) beyond(z Place) bool {
-	if !r.Near || r.Own == "" || r.level >= 2 {
+// isBeyondLevel tells whether a zone is further than this process looks.
+func (r *Selector) isBeyondLevel(z Location) bool {
+	if !r.LocalityAware || r.OwnZone == "" || r.level >= 2 {
 		return false
 	}
-	return r.level == 0 || z.Region == "" || z.Region != r.region(r.Own)
+	return r.level == 0 || z.Region == "" || z.Region != r.regionOf(r.OwnZone)
 }
 
-func (r *Reach) region(zone string) string {
+func (r *Selector) regionOf(zone string) string {
 	for _, z := range r.Zones {
 		if z.Name == zone {
 			return z.Region
@@ -386,9 +391,9 @@
 	return ""
 }
 
-// nearer looks further while what is near is full or lost, and comes back when it is not.
-func (r *Reach) nearer(now float64, b *clusterstate.State, sure bool, sums map[string]Sum, waits int) {
-	if !r.Near || !sure && !r.Plant {
+// updateLevel looks further while what is near is full or lost, and comes back when it is not.
+func (r *Selector) updateLevel(now float64, b *clusterstate.State, sure bool, sums map[string]Summary, waits int) {
+	if !r.LocalityAware || !sure && !r.FaultIgnoreLease {
 		return
 	}
 	use := func(level int) (part float64, any bool) {
@@ -398,32 +403,32 @@
 		room, used := 0.0, 0.0
 		for _, z := range r.Zones {
 			s := b.Zone(z.Name).State
-			if (z.Name == r.Own || !r.beyond(z)) && s != clusterstate.Closed && !sums[z.Name].lost() { // what is not heard here has no room
-				room, used = room+sums[z.Name].Room, used+sums[z.Name].Used
+			if (z.Name == r.OwnZone || !r.isBeyondLevel(z)) && s != clusterstate.Closed && !sums[z.Name].isLost() { // what is not heard here has no room
+				room, used = room+sums[z.Name].Capacity, used+sums[z.Name].Used
 			}
 		}
 		return used / max(1e-9, room), room > 0
 	}
 	part, any := use(r.level)
-	if r.level < 2 && (!any || part >= filled || waits > 0) {
+	if r.level < 2 && (!any || part >= widenUtilization || waits > 0) {
 		r.level++
-		r.lowAt = now
+		r.belowSince = now
 		return
 	}
 	if r.level == 0 {
 		return
 	}
-	if part, any = use(r.level - 1); !any || part >= drained || waits > 0 {
-		r.lowAt = now
-	} else if now-r.lowAt >= nearFor {
+	if part, any = use(r.level - 1); !any || part >= narrowUtilization || waits > 0 {
+		r.belowSince = now
+	} else if now-r.belowSince >= narrowAfter {
 		r.level--
-		r.lowAt = now
+		r.belowSince = now
 	}
 }
 
 // Level is how far this process looks: 0 its own zone, 1 its region, 2 all.
-func (r *Reach) Level() int {
-	if !r.Near {
+func (r *Selector) Level() int {
+	if !r.LocalityAware {
 		return 2
 	}
 	return r.level
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -17,7 +17,7 @@
 // court is a judge with a book that takes what it proposes.
 type court struct {
 	t       interface{ Fatalf(string, ...any) }
-	j       Judge
+	j       Controller
 	b       *clusterstate.State
 	now     float64
 	numbers uint64
@@ -50,18 +50,18 @@
 func (x *court) pass(ms float64) {
 	for end := x.now + ms; x.now < end; x.now += 100 {
 		for _, p := range x.b.Processes() {
-			sums := map[string]Sum{}
+			sums := map[string]Summary{}
 			for _, z := range names {
-				s := Sum{Nodes: 6, Heard: 6, Room: 100, Used: 40}
+				s := Summary{Nodes: 6, Reachable: 6, Capacity: 100, Used: 40}
 				if x.lost[z] || x.deaf[p.Name][z] {
-					s.Heard = 0
+					s.Reachable = 0
 				}
 				sums[z] = s
 			}
-			x.j.Report(x.now, p.Name, sums)
+			x.j.OnReport(x.now, p.Name, sums)
 		}
 		for _, p := range x.j.Decide(x.now, x.b, names, x.held) {
-			if x.verdict(p.Zone, p.Seen, p.To) == clusterstate.Accepted && p.To == clusterstate.Closed {
+			if x.verdict(p.Zone, p.Version, p.To) == clusterstate.Accepted && p.To == clusterstate.Closed {
 				x.closed++
 			}
 		}
@@ -82,16 +82,16 @@
 	x.pass(2000)
 	x.want("a", clusterstate.Open)
 	x.lost["a"] = true
-	x.pass(suspectFor + 200)
+	x.pass(suspectAfter + 200)
 	x.want("a", clusterstate.Suspect)
-	x.pass(closeFor + 200)
+	x.pass(closeAfter + 200)
 	x.want("a", clusterstate.Closed)
 	x.lost["a"] = false
-	x.pass(returnFor - 300)
+	x.pass(returnAfter - 300)
 	x.want("a", clusterstate.Closed)
 	x.pass(4000) // its rest
 	x.want("a", clusterstate.Returning)
-	x.pass(steps*stepEach + 500)
+	x.pass(returnSteps*stepInterval + 500)
 	x.want("a", clusterstate.Open)
 }
 
@@ -112,9 +112,9 @@
 	}
 	x := sit(t)
 	x.lost["a"] = true
-	x.pass(suspectFor + 100)
+	x.pass(suspectAfter + 100)
 	x.lost["a"] = false
-	x.pass(calmFor + 400)
+	x.pass(reopenAfter + 400)
 	x.want("a", clusterstate.Open)
 	x.lost["a"], x.lost["b"], x.lost["c"] = true, true, true
 	x.pass(10000)
@@ -159,12 +159,12 @@
 			x.j.Plan(x.now, x.b, names, far) // nothing leaves yet; 40 cores are used in each
 			x.lost["a"] = true
 			x.pass(1500)
-			sums := map[string]Sum{}
+			sums := map[string]Summary{}
 			for z, u := range c.used {
-				sums[z] = Sum{Nodes: 6, Heard: 6, Room: 100, Used: u}
+				sums[z] = Summary{Nodes: 6, Reachable: 6, Capacity: 100, Used: u}
 			}
 			for _, p := range x.b.Processes() {
-				x.j.Report(x.now, p.Name, sums)
+				x.j.OnReport(x.now, p.Name, sums)
 			}
 			plan, ok := x.j.Plan(x.now, x.b, names, far)
 			got := map[string]uint32{}
@@ -183,18 +183,18 @@
 
 // TestReach follows one process through a loss of its own zone, in its careful reading too.
 func TestReach(t *testing.T) {
-	places := []Place{{"a", "one"}, {"b", "one"}, {"c", "two"}, {"d", "two"}}
-	sums := func(used ...float64) map[string]Sum {
-		m := map[string]Sum{}
+	places := []Location{{"a", "one"}, {"b", "one"}, {"c", "two"}, {"d", "two"}}
+	sums := func(used ...float64) map[string]Summary {
+		m := map[string]Summary{}
 		for i, u := range used {
-			m[names[i]] = Sum{Nodes: 6, Heard: 6, Room: 100, Used: u}
+			m[names[i]] = Summary{Nodes: 6, Reachable: 6, Capacity: 100, Used: u}
 		}
 		return m
 	}
 	x := sit(t)
-	r := &Reach{Own: "a", Zones: places, Near: true}
-	look := func(sure bool, s map[string]Sum, own map[string]float64) string {
-		parts := r.Look(x.now, x.b, sure, s, 0, own, 2)
+	r := &Selector{OwnZone: "a", Zones: places, LocalityAware: true}
+	look := func(sure bool, s map[string]Summary, own map[string]float64) string {
+		parts := r.Update(x.now, x.b, sure, s, 0, own, 2)
 		out := ""
 		for _, z := range names {
 			out += fmt.Sprintf("%g ", parts[z])
@@ -217,7 +217,7 @@
 	}
 	want("near again after a while", look(true, sums(30, 30, 50, 50), nil), "1 0 0 0 ")
 	deaf := sums(30, 30, 50, 50)
-	deaf["a"] = Sum{Nodes: 6, Room: 100}
+	deaf["a"] = Summary{Nodes: 6, Capacity: 100}
 	want("its own is not heard: its region at once", look(true, deaf, nil), "1 1 0 0 ")
 	for range 30 {
 		x.now += 500
@@ -244,7 +244,7 @@
 	x.want("a", clusterstate.Returning)
 	x.now = x.b.Zone("a").Since
 	want("returning, first step", look(true, sums(10, 10, 10, 10), nil)[:5], "0.25 ")
-	x.now += stepEach
+	x.now += stepInterval
 	want("second step", look(true, sums(10, 10, 10, 10), nil)[:4], "0.5 ")
 }
 
--- a/internal/lab/scale/hollow/schedulers.go
+++ b/internal/lab/scale/hollow/schedulers.go
@@ -157,13 +157,13 @@
 	default:
 	}
 	h := s.host
-	sums := map[string]zones.Sum{}
+	sums := map[string]zones.Summary{}
 	h.mu.Lock()
 	for zone := range h.Zones {
 		name := ZoneName(zone)
-		sum := zones.Sum{Nodes: min(lookedAt, h.NodesPerZone), Room: float64(h.NodesPerZone) * roomOfNode}
+		sum := zones.Summary{Nodes: min(lookedAt, h.NodesPerZone), Capacity: float64(h.NodesPerZone) * roomOfNode}
 		if !h.lost[name] {
-			sum.Heard = sum.Nodes
+			sum.Reachable = sum.Nodes
 		}
 		sums[name] = sum
 	}
--- a/internal/lab/scale/regions/process.go
+++ b/internal/lab/scale/regions/process.go
@@ -41,7 +41,7 @@
 	incarnation uint64
 	members     *members.Runner
 	control     *control.Runner
-	reach       *zones.Reach
+	reach       *zones.Selector
 	silent      bool // the nodes of the zones beyond the cut count as lost here
 	refused     int  // commands for which there was no room
 	hoard       *hoarder
@@ -87,7 +87,7 @@
 	if p.site.config.Plant.StuckLoop && p.index == p.site.config.Voters {
 		p.stick()
 	}
-	p.reach = &zones.Reach{Own: p.zone.name, Zones: p.site.places(), Near: true}
+	p.reach = &zones.Selector{OwnZone: p.zone.name, Zones: p.site.places(), LocalityAware: true}
 	p.sent, p.sentBytes, p.readAt = 0, 0, p.site.clock.True()
 	p.senseLater(senseEach * p.site.rng.Float64())
 	return nil
@@ -118,20 +118,20 @@
 
 // sense sums up what is heard of the zones, tells the leader, and reckons where to send.
 func (p *process) sense() {
-	sums := map[string]zones.Sum{}
+	sums := map[string]zones.Summary{}
 	silent := false
 	for i := range p.site.zones {
 		z := &p.site.zones[i]
-		sum := zones.Sum{Nodes: nodesLookedAt, Heard: nodesLookedAt, Room: zoneCores, Used: p.site.used(i)}
+		sum := zones.Summary{Nodes: nodesLookedAt, Reachable: nodesLookedAt, Capacity: zoneCores, Used: p.site.used(i)}
 		if since, cut := p.site.isCut(p.zone, z); cut && p.site.clock.True() >= since+silentAfter {
-			sum.Heard, silent = 0, true
+			sum.Reachable, silent = 0, true
 		}
 		sums[z.name] = sum
 	}
 	p.control.Report(sums)
 	p.tellNodes(silent)
 	view, now := p.control.View(), p.world.Now()
-	p.reach.Look(now, view.State, now < view.LeaseExpiry, sums, 0, nil, view.State.ActiveProcesses(p.zone.name))
+	p.reach.Update(now, view.State, now < view.LeaseExpiry, sums, 0, nil, view.State.ActiveProcesses(p.zone.name))
 }
 
 // tellNodes tells the detector which nodes are lost, or back, when that has changed.
@@ -197,9 +197,9 @@
 	return zoneCores * (meanUse + swingOfUse*math.Sin(phase))
 }
 
-func (s *site) places() (places []zones.Place) {
+func (s *site) places() (places []zones.Location) {
 	for _, z := range s.zones {
-		places = append(places, zones.Place{Name: z.name, Region: regionName(z.region)})
+		places = append(places, zones.Location{Name: z.name, Region: regionName(z.region)})
 	}
 	return places
 }
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -34,7 +34,7 @@
 	eachRoom  = 640.0 // cores of a zone
 )
 
-var all = []zones.Place{{Name: "a", Region: "one"}, {Name: "b", Region: "one"}, {Name: "c", Region: "two"}, {Name: "d", Region: "two"}}
+var all = []zones.Location{{Name: "a", Region: "one"}, {Name: "b", Region: "one"}, {Name: "c", Region: "two"}, {Name: "d", Region: "two"}}
 
 // Plant is a fault planted in the program, to see that it is found.
 type Plant struct {
@@ -82,7 +82,7 @@
 	p     *sim.Process
 	life  uint64
 	r     *control.Runner
-	reach *zones.Reach
+	reach *zones.Selector
 	parts map[string]float64
 	own   map[string]float64
 	disk  *lab.Disk
@@ -149,7 +149,7 @@
 			return 1
 		}
 		return 10
-	}, Judge: zones.Judge{Alone: g.plant.Alone}}
+	}, Judge: zones.Controller{FaultSingleZone: g.plant.Alone}}
 	var err error
 	who := consensus.Config{Zone: x.zone, Incarnation: x.life, Voters: g.names}
 	if x.r, err = lab.Begin(x.p, g.rng.Uint64(), who, x.disk, site); err != nil {
@@ -157,7 +157,7 @@
 		return
 	}
 	x.sure, x.surely, x.parts = false, nil, map[string]float64{}
-	x.reach = &zones.Reach{Own: x.zone, Zones: all, Near: true, Plant: g.plant.Careless}
+	x.reach = &zones.Selector{OwnZone: x.zone, Zones: all, LocalityAware: true, FaultIgnoreLease: g.plant.Careless}
 	life := x.life
 	var sense func()
 	sense = func() {
@@ -176,12 +176,12 @@
 }
 
 // sums is what a process hears of the zones: silence shows after a while.
-func (x *proc) sums() map[string]zones.Sum {
-	g, sums := x.g, map[string]zones.Sum{}
+func (x *proc) sums() map[string]zones.Summary {
+	g, sums := x.g, map[string]zones.Summary{}
 	for _, z := range all {
-		s := zones.Sum{Nodes: eachNodes, Room: eachRoom, Used: g.used[z.Name]}
+		s := zones.Summary{Nodes: eachNodes, Capacity: eachRoom, Used: g.used[z.Name]}
 		if g.c.True()-g.lately[[2]string{x.name, z.Name}] < silent {
-			s.Heard = eachNodes - g.quiet[z.Name]
+			s.Reachable = eachNodes - g.quiet[z.Name]
 		}
 		sums[z.Name] = s
 	}
@@ -215,7 +215,7 @@
 		}
 		x.sure = sure
 		was := x.surely
-		x.parts = x.reach.Look(x.p.Now(), view.State, sure, sums, 0, x.own, view.State.ActiveProcesses(x.zone))
+		x.parts = x.reach.Update(x.p.Now(), view.State, sure, sums, 0, x.own, view.State.ActiveProcesses(x.zone))
 		if g.plant.Uncapped && sure && view.State.Zone(x.zone).State == clusterstate.Closed {
 			for z := range x.parts {
 				if view.State.Zone(z).State == clusterstate.Open {
--- a/internal/serve/node_visits.go
+++ b/internal/serve/node_visits.go
@@ -89,12 +89,12 @@
 func (v *workingSet) nextVisits(now float64) (entries []listEntry) {
 	for id, ok := v.visits.Next(now); ok; id, ok = v.visits.Next(now) {
 		if _, known := v.nodeStates[id]; known { // its connection will tell
-			v.visits.Drop(id)
+			v.visits.Remove(id)
 			continue
 		}
 		entry := v.entriesOf([]uint32{id})
 		if len(entry) == 0 {
-			v.visits.Drop(id)
+			v.visits.Remove(id)
 			continue
 		}
 		entries = append(entries, entry...)
@@ -106,13 +106,13 @@
 func (v *workingSet) onVisitFailed(id uint32) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.visits.Failed(v.server.env.Now(), id)
+	v.visits.OnFailed(v.server.env.Now(), id)
 	v.continueVisits()
 }
 
 // continueVisits has visits begin in the place of one that has ended; under the lock.
 func (v *workingSet) continueVisits() {
-	if v.visits.Left() > 0 {
+	if v.visits.Pending() > 0 {
 		v.server.async(v.startVisits)
 	}
 }
@@ -121,7 +121,7 @@
 func (v *workingSet) onVisitDone(id uint32) (known bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.visits.Drop(id)
+	v.visits.Remove(id)
 	v.continueVisits()
 	_, known = v.nodeStates[id]
 	return known
@@ -132,7 +132,7 @@
 func (v *workingSet) keepNode(id uint32) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.visits.Drop(id)
+	v.visits.Remove(id)
 	v.continueVisits()
 	if _, known := v.nodeStates[id]; known {
 		return true
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -83,7 +83,7 @@
 
 	WrapMaintenance func(maintenance.Executor) maintenance.Executor // wraps what carries out maintenance windows
 
-	WorkingSet   workingset.Plant
+	WorkingSet   workingset.Faults
 	AbandonTasks bool // nodes that leave the working set are hung up on, whatever runs there
 	SkipVisits   bool // nodes outside the working set are not asked what they hold
 }
--- a/internal/serve/workingset.go
+++ b/internal/serve/workingset.go
@@ -63,12 +63,12 @@
 		return nil
 	}
 	config := workingset.Config{
-		Key: place.Name, Own: s.config.Name, Schedulers: place.Cluster.Schedulers,
-		Least: place.WorkingSet.MinNodes, Coverage: place.WorkingSet.Coverage, Spare: place.WorkingSet.SpareFactor,
-		PerStart: place.WorkingSet.NodesPerStart, PerStratum: place.WorkingSet.MinPerStratum, NarrowAfter: place.WorkingSet.NarrowAfter, Plant: s.config.Faults.WorkingSet,
+		Key: place.Name, Self: s.config.Name, Schedulers: place.Cluster.Schedulers,
+		MinNodes: place.WorkingSet.MinNodes, Coverage: place.WorkingSet.Coverage, Spare: place.WorkingSet.SpareFactor,
+		PerStart: place.WorkingSet.NodesPerStart, PerStratum: place.WorkingSet.MinPerStratum, NarrowAfter: place.WorkingSet.NarrowAfter, Faults: s.config.Faults.WorkingSet,
 	}
 	if place.Members.Listen == "" { // the others are known by their number alone
-		config.Own = fmt.Sprint("place ", s.config.Index)
+		config.Self = fmt.Sprint("place ", s.config.Index)
 		for i := range place.Cluster.Schedulers {
 			config.Members = append(config.Members, fmt.Sprint("place ", i))
 		}
@@ -130,7 +130,7 @@
 	avail := logic.Availability(entry.Avail)
 	if avail == logic.Unavailable {
 		v.set.RemoveNode(entry.ID)
-		v.visits.Drop(entry.ID)
+		v.visits.Remove(entry.ID)
 		delete(v.newNodes, entry.ID)
 		return
 	}
@@ -140,7 +140,7 @@
 	}
 	if isNew := v.set.PutNode(workingset.Node{ID: entry.ID, Zone: entry.zone, Kind: entry.kind, State: state}); isNew {
 		if !v.server.config.Faults.SkipVisits {
-			v.visits.Put(entry.ID)
+			v.visits.Add(entry.ID)
 		}
 		if kind != logic.ListCached {
 			v.newNodes[entry.ID] = now
@@ -162,7 +162,7 @@
 	slices.Sort(gone)
 	for _, id := range gone {
 		v.set.RemoveNode(id)
-		v.visits.Drop(id)
+		v.visits.Remove(id)
 		delete(v.newNodes, id)
 	}
 	return gone
@@ -208,8 +208,8 @@
 	}
 	v.takeReports(now)
 	v.apply(now, v.set.Step(now))
-	rests := v.visiting && v.visits.Left() == 0
-	v.visiting = v.visits.Left() > 0
+	rests := v.visiting && v.visits.Pending() == 0
+	v.visiting = v.visits.Pending() > 0
 	v.mu.Unlock()
 	v.startVisits()
 	if rests && v.server.config.FreeMemory != nil {
@@ -288,11 +288,11 @@
 // apply tells the shards which nodes enter and leave the set.
 func (v *workingSet) apply(now float64, change workingset.Change) {
 	var left, back, fresh, warm []uint32
-	for _, departure := range change.Leave {
+	for _, departure := range change.Removed {
 		v.nodeStates[departure.ID] = nodeAside
 		left = append(left, departure.ID)
 	}
-	for _, id := range change.Enter {
+	for _, id := range change.Added {
 		if _, ok := v.nodeStates[id]; ok {
 			back = append(back, id)
 		} else if since, isNew := v.newNodes[id]; isNew && now-since < v.server.config.Site.Cluster.SlowStartDuration {
@@ -311,9 +311,9 @@
 			delete(v.newNodes, id)
 		}
 	}
-	if len(change.Enter)+len(change.Leave) > 0 {
-		v.server.log.Info().Str("mode", "working-set").Int("nodes", v.set.Size()).Int("entered", len(change.Enter)).
-			Int("left", len(change.Leave)).Int("known", len(v.nodeStates)).Msg("working set changes")
+	if len(change.Added)+len(change.Removed) > 0 {
+		v.server.log.Info().Str("mode", "working-set").Int("nodes", v.set.Size()).Int("entered", len(change.Added)).
+			Int("left", len(change.Removed)).Int("known", len(v.nodeStates)).Msg("working set changes")
 	}
 }
 
@@ -354,7 +354,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.set.Has(id)
+	return v.set.Contains(id)
 }
 
 // releaseVote counts the shards that have released nodes.
@@ -412,7 +412,7 @@
 	for _, id := range ids {
 		if state, known := v.nodeStates[id]; known && state == nodeAside && votes[id] == shards {
 			v.nodeStates[id] = nodeReleased
-			if !v.set.Lists(id) {
+			if !v.set.IsListed(id) {
 				delete(v.nodeStates, id)
 			}
 			idle = append(idle, id)
--- a/internal/serve/workingset_test.go
+++ b/internal/serve/workingset_test.go
@@ -49,7 +49,7 @@
 			return false
 		}
 	}
-	return v.set.Size() > 0 && v.visits.Left() == 0
+	return v.set.Size() > 0 && v.visits.Pending() == 0
 }
 
 // share has the set be shared out among others than before.
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -30,10 +30,10 @@
 // zoneRouting is what a scheduler makes of the zones of its site.
 type zoneRouting struct {
 	server *Server
-	reach  zones.Reach
+	reach  zones.Selector
 
 	mu         sync.Mutex
-	zoneSums   map[string]zones.Sum
+	zoneSums   map[string]zones.Summary
 	summedAt   float64
 	lastPing   map[uint32]float64
 	shares     map[string]float64
@@ -58,11 +58,11 @@
 
 func (s *Server) newZoneRouting(place *site.Config) *zoneRouting {
 	v := &zoneRouting{
-		server: s, lastPing: map[uint32]float64{}, zoneSums: map[string]zones.Sum{}, ownCores: map[string]float64{}, leaseValid: true,
-		reach: zones.Reach{Own: s.config.Zone, Near: len(place.RouteLatency) > 0},
+		server: s, lastPing: map[uint32]float64{}, zoneSums: map[string]zones.Summary{}, ownCores: map[string]float64{}, leaseValid: true,
+		reach: zones.Selector{OwnZone: s.config.Zone, LocalityAware: len(place.RouteLatency) > 0},
 	}
 	for i, z := range place.Zones {
-		v.reach.Zones = append(v.reach.Zones, zones.Place{Name: z, Region: place.Regions[i]})
+		v.reach.Zones = append(v.reach.Zones, zones.Location{Name: z, Region: place.Regions[i]})
 	}
 	return v
 }
@@ -121,11 +121,11 @@
 		v.zoneSums = s.summarizeZones(now, nodes)
 		s.control.Report(v.zoneSums)
 	}
-	sure, home := now < view.LeaseExpiry, view.State.Zone(v.reach.Own).State
+	sure, home := now < view.LeaseExpiry, view.State.Zone(v.reach.OwnZone).State
 	if home == clusterstate.Closed {
 		s.countOwnCores(nodes)
 	}
-	parts := v.reach.Look(now, view.State, sure, v.zoneSums, 0, v.ownCores, view.State.ActiveProcesses(v.reach.Own))
+	parts := v.reach.Update(now, view.State, sure, v.zoneSums, 0, v.ownCores, view.State.ActiveProcesses(v.reach.OwnZone))
 	if !maps.Equal(parts, v.shares) || sure != v.leaseValid || v.reach.Level() != v.level {
 		s.log.Info().Str("mode", "zones").Interface("parts", parts).Bool("sure", sure).Int("level", v.reach.Level()).Uint64("version", view.State.Version()).
 			Float64("unix_ms", now+float64(outside.Epoch.UnixMilli())).Msg("sends to")
@@ -150,12 +150,12 @@
 }
 
 // summarizeZones looks at a few nodes of each zone, which differ from process to process, and pings them.
-func (s *Server) summarizeZones(now float64, nodes []listedNode) map[string]zones.Sum {
-	v, sums := s.zones, map[string]zones.Sum{}
+func (s *Server) summarizeZones(now float64, nodes []listedNode) map[string]zones.Summary {
+	v, sums := s.zones, map[string]zones.Summary{}
 	by := map[string][]listedNode{}
 	for _, n := range nodes {
 		sum := sums[n.zone]
-		sum.Room += n.cores * s.config.Site.Cluster.CoresOvercommit
+		sum.Capacity += n.cores * s.config.Site.Cluster.CoresOvercommit
 		sum.Used += max(0, n.cores-n.free)
 		sums[n.zone] = sum
 		if s.workingSet.contains(n.id) {
@@ -178,7 +178,7 @@
 				continue
 			}
 			if now-math.Float64frombits(l.lastReceived.Load()) < zoneSilentAfter {
-				sum.Heard++
+				sum.Reachable++
 			}
 			if now-kept[n.id] >= zonePingInterval {
 				kept[n.id] = now
