--- a/cmd/ravenpond/tenant.go
+++ b/cmd/ravenpond/tenant.go
@@ -101,7 +101,7 @@
 	return c.do(func(*tenants.Store) (tenancy.Change, error) {
 		return tenancy.Change{Kind: tenancy.Add, Limits: tenancy.Limits{Limits: fairqueue.Limits{
 			Share: c.Share, Rate: c.Rate,
-			Burst: c.Burst, Open: c.Open, Wait: c.Wait,
+			Burst: c.Burst, MaxOpen: c.Open, MaxWaiting: c.Wait,
 		}, Conns: c.Conns, Bytes: c.Bytes}}, nil
 	})
 }
@@ -128,8 +128,8 @@
 		set(&l.Share, c.Share)
 		set(&l.Rate, c.Rate)
 		set(&l.Burst, c.Burst)
-		set(&l.Open, c.Open)
-		set(&l.Wait, c.Wait)
+		set(&l.MaxOpen, c.Open)
+		set(&l.MaxWaiting, c.Wait)
 		set(&l.Conns, c.Conns)
 		set(&l.Bytes, c.Bytes)
 		return tenancy.Change{Kind: tenancy.Limit, Limits: l}, nil
@@ -189,7 +189,7 @@
 				continue
 			}
 			l := t.Limits
-			fmt.Fprintf(out, "%s\t%s\t%g\t%g\t%g\t%d\t%d\t%d\t%g\t%d\t%d\t%s\n", t.Name, t.State, l.Share, l.Rate, l.Burst, l.Open, l.Wait, l.Conns, l.Bytes,
+			fmt.Fprintf(out, "%s\t%s\t%g\t%g\t%g\t%d\t%d\t%d\t%g\t%d\t%d\t%s\n", t.Name, t.State, l.Share, l.Rate, l.Burst, l.MaxOpen, l.MaxWaiting, l.Conns, l.Bytes,
 				tokens[t.Name], t.Version, time.UnixMilli(int64(t.Changed)).UTC().Format(time.RFC3339))
 		}
 		return out.Flush()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -243,7 +243,7 @@
 }
 
 func tenantMessage(t *tenancy.Tenant) *pb.Tenant {
-	l, open, wait, conns := t.Limits, int64(t.Limits.Open), int64(t.Limits.Wait), int64(t.Limits.Conns)
+	l, open, wait, conns := t.Limits, int64(t.Limits.MaxOpen), int64(t.Limits.MaxWaiting), int64(t.Limits.Conns)
 	return &pb.Tenant{
 		Name: t.Name, State: pb.State(t.State), Ending: pb.Ending(t.Ending), Version: t.Version, ChangedMs: t.Changed,
 		Limits: &pb.Limits{
@@ -273,14 +273,14 @@
 		number(&l.Rate, m.Rate)
 		number(&l.Burst, m.Burst)
 		number(&l.Bytes, m.Bytes)
-		count(&l.Open, m.Open)
-		count(&l.Wait, m.Wait)
+		count(&l.MaxOpen, m.Open)
+		count(&l.MaxWaiting, m.Wait)
 		count(&l.Conns, m.Conns)
 	}
 }
 
 // What a new tenant has where nothing else is said.
-var defaultLimits = tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Burst: 10, Wait: 1000}}
+var defaultLimits = tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Burst: 10, MaxWaiting: 1000}}
 
 // Add adds a tenant.
 func (s *Server) Add(ctx context.Context, r *pb.AddRequest) (*pb.Tenant, error) {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -177,7 +177,7 @@
 	o := begin(t)
 	op, share := o.as("op"), 3.0
 	first, err := op.Add(soon(t), &pb.AddRequest{Name: "a", Limits: &pb.Limits{Share: &share}, RequestId: "r1"})
-	if err != nil || first.Limits.GetShare() != 3 || first.Limits.GetWait() != int64(defaultLimits.Wait) || first.State != pb.State_ACTIVE {
+	if err != nil || first.Limits.GetShare() != 3 || first.Limits.GetWait() != int64(defaultLimits.MaxWaiting) || first.State != pb.State_ACTIVE {
 		t.Fatal(first, err)
 	}
 	if again, err := op.Add(soon(t), &pb.AddRequest{Name: "a", Limits: &pb.Limits{Share: &share}, RequestId: "r1"}); err != nil || again.Version != first.Version {
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -29,7 +29,7 @@
 	}
 	for now := 0.0; now < lasts; now++ {
 		for len(runs) > 0 && runs[0].at <= now {
-			q.Done(runs[0].tenant)
+			q.Release(runs[0].tenant)
 			done[runs[0].tenant]++
 			runs = runs[1:]
 		}
@@ -38,11 +38,11 @@
 				next[t] += rng.ExpFloat64() * 1000 / r
 				id++
 				asked[id], of[id] = now, t
-				switch a, back := q.Ask(now, t, id, 0, cost[t][0], cost[t][1], now+5000); a {
-				case Passes:
+				switch a, back := q.Submit(now, t, id, 0, cost[t][0], cost[t][1], now+5000); a {
+				case Admitted:
 					start(now, id)
-				case Declined:
-					if back < leastBack || back > mostBack {
+				case Shed:
+					if back < minRetryAfter || back > maxRetryAfter {
 						panic(back)
 					}
 					declined[t]++
@@ -63,7 +63,7 @@
 func queue(window int, limits ...Limits) *Queue {
 	q := New(100, 100, window)
 	for i, l := range limits {
-		q.Set(0, i, l)
+		q.SetLimits(0, i, l)
 	}
 	return q
 }
@@ -79,13 +79,13 @@
 		cost   [][2]float64
 		want   []float64 // done a second
 	}{
-		{"by share", []Limits{{Share: 3, Wait: 500}, {Share: 1, Wait: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{75, 25}},
-		{"what one leaves is lent", []Limits{{Share: 3, Wait: 500}, {Share: 1, Wait: 500}}, []float64{20, 300}, [][2]float64{one, one}, []float64{20, 80}},
-		{"larger ones cost more", []Limits{{Share: 1, Wait: 500}, {Share: 1, Wait: 500}}, []float64{300, 300}, [][2]float64{one, {3, 1}}, []float64{75, 25}},
-		{"by memory as well", []Limits{{Share: 1, Wait: 500}, {Share: 1, Wait: 500}}, []float64{300, 300}, [][2]float64{{1, 4}, one}, []float64{20, 80}},
-		{"a rate", []Limits{{Share: 1, Wait: 500, Rate: 10, Burst: 5}, {Share: 1, Wait: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{10, 90}},
-		{"a number open", []Limits{{Share: 9, Wait: 500, Open: 2}, {Share: 1, Wait: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{20, 80}},
-		{"stopped", []Limits{{Share: 9, Wait: 500, Stop: true}, {Share: 1, Wait: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{0, 100}},
+		{"by share", []Limits{{Share: 3, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{75, 25}},
+		{"what one leaves is lent", []Limits{{Share: 3, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{20, 300}, [][2]float64{one, one}, []float64{20, 80}},
+		{"larger ones cost more", []Limits{{Share: 1, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, {3, 1}}, []float64{75, 25}},
+		{"by memory as well", []Limits{{Share: 1, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{{1, 4}, one}, []float64{20, 80}},
+		{"a rate", []Limits{{Share: 1, MaxWaiting: 500, Rate: 10, Burst: 5}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{10, 90}},
+		{"a number open", []Limits{{Share: 9, MaxWaiting: 500, MaxOpen: 2}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{20, 80}},
+		{"stopped", []Limits{{Share: 9, MaxWaiting: 500, Blocked: true}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{0, 100}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			done, _, _ := plays(queue(10, c.limits...), c.rates, c.cost, 20000)
@@ -102,7 +102,7 @@
 func TestCalm(t *testing.T) {
 	for _, window := range []int{1, 10, 50} {
 		flood := 40 * float64(window)
-		done, waited, declined := plays(queue(window, Limits{Share: 1, Wait: 1000}, Limits{Share: 1, Wait: 100}),
+		done, waited, declined := plays(queue(window, Limits{Share: 1, MaxWaiting: 1000}, Limits{Share: 1, MaxWaiting: 100}),
 			[]float64{flood, 3}, [][2]float64{one, one}, 20000)
 		if waited[1] > 120+300/float64(window) || declined[1] > 0 || done[1] < 45 {
 			t.Errorf("window %d: the calm one waited %g ms at most, %d declined, %d done", window, waited[1], declined[1], done[1])
@@ -115,14 +115,14 @@
 
 // TestIdleIsNotSaved lets a tenant return after a long calm: it must not hold up the other for as long.
 func TestIdleIsNotSaved(t *testing.T) {
-	q := queue(10, Limits{Share: 1, Wait: 2000}, Limits{Share: 1, Wait: 2000})
+	q := queue(10, Limits{Share: 1, MaxWaiting: 2000}, Limits{Share: 1, MaxWaiting: 2000})
 	plays(q, []float64{300, 0}, [][2]float64{one, one}, 20000)
 	for i := range q.tenants {
 		q.tenants[i].open = 0
 	}
 	q.open = 0
 	for i := range q.tenants {
-		q.Empty(i, func(uint64) {})
+		q.RemoveAll(i, func(uint64) {})
 	}
 	done, _, _ := plays(q, []float64{300, 300}, [][2]float64{one, one}, 4000)
 	if float64(done[0]) < 0.4*float64(done[0]+done[1]) {
@@ -131,39 +131,39 @@
 }
 
 func TestLine(t *testing.T) {
-	q := queue(1, Limits{Share: 1, Wait: 3})
+	q := queue(1, Limits{Share: 1, MaxWaiting: 3})
 	var lapsed []uint64
-	if a, _ := q.Ask(0, 0, 1, 0, 1, 1, 5000); a != Passes {
+	if a, _ := q.Submit(0, 0, 1, 0, 1, 1, 5000); a != Admitted {
 		t.Fatal(a)
 	}
 	for _, c := range []struct {
 		id      uint64
 		urgency int
 		expiry  float64
-		want    Answer
-	}{{2, 0, 5000, Waits}, {3, 2, 5000, Waits}, {4, 1, 200, Waits}, {5, 9, 5000, Declined}} {
-		if a, back := q.Ask(10, 0, c.id, c.urgency, 1, 1, c.expiry); a != c.want || a == Declined && back < leastBack {
+		want    Verdict
+	}{{2, 0, 5000, Queued}, {3, 2, 5000, Queued}, {4, 1, 200, Queued}, {5, 9, 5000, Shed}} {
+		if a, back := q.Submit(10, 0, c.id, c.urgency, 1, 1, c.expiry); a != c.want || a == Shed && back < minRetryAfter {
 			t.Errorf("ask %d: %d, back in %g", c.id, a, back)
 		}
 	}
 	if _, ok := q.Next(20, nil); ok {
 		t.Error("passed without room")
 	}
-	q.Done(0)
+	q.Release(0)
 	if id, ok := q.Next(30, nil); !ok || id != 3 {
 		t.Errorf("%d, want the most urgent", id)
 	}
-	q.Done(0)
+	q.Release(0)
 	if due := q.Due(40); due != 200 {
 		t.Errorf("due at %g, want the expiry of the first", due)
 	}
 	if id, ok := q.Next(250, func(id uint64) { lapsed = append(lapsed, id) }); !ok || id != 2 || len(lapsed) != 1 || lapsed[0] != 4 {
 		t.Errorf("%d, lapsed %v", id, lapsed)
 	}
-	if a, _ := q.Ask(260, 0, 6, 0, 1, 1, 9000); a != Waits || !q.Drop(6) || q.Drop(6) || q.Waiting(0) != 0 {
+	if a, _ := q.Submit(260, 0, 6, 0, 1, 1, 9000); a != Queued || !q.Remove(6) || q.Remove(6) || q.Waiting(0) != 0 {
 		t.Error("not dropped once")
 	}
-	if a, back := q.Ask(0, 7, 9, 0, 1, 1, 5000); a != Declined || back != mostBack {
+	if a, back := q.Submit(0, 7, 9, 0, 1, 1, 5000); a != Shed || back != maxRetryAfter {
 		t.Error("an unknown tenant's ask was taken")
 	}
 }
@@ -174,13 +174,13 @@
 		limit, processes := rapid.IntRange(0, 1000).Draw(t, "limit"), rapid.IntRange(1, 40).Draw(t, "processes")
 		sum := 0
 		for i := range processes {
-			part := Part(limit, processes, i)
+			part := DivideLimit(limit, processes, i)
 			if part < limit/processes || part > limit/processes+1 {
 				t.Fatalf("part %d of %d by %d", part, limit, processes)
 			}
 			sum += part
 		}
-		if sum != limit || Part(limit, processes, processes) != 0 {
+		if sum != limit || DivideLimit(limit, processes, processes) != 0 {
 			t.Fatalf("parts of %d sum up to %d", limit, sum)
 		}
 	})
@@ -195,10 +195,10 @@
 		set := func(now float64, i int) {
 			limits[i] = Limits{
 				Share: rapid.Float64Range(0.1, 5).Draw(t, "share"), Rate: float64(rapid.IntRange(0, 50).Draw(t, "rate")),
-				Burst: float64(rapid.IntRange(0, 4).Draw(t, "burst")), Open: rapid.IntRange(0, 4).Draw(t, "open"),
-				Wait: rapid.IntRange(0, 5).Draw(t, "wait"), Stop: rapid.IntRange(0, 9).Draw(t, "stop") == 0,
+				Burst: float64(rapid.IntRange(0, 4).Draw(t, "burst")), MaxOpen: rapid.IntRange(0, 4).Draw(t, "open"),
+				MaxWaiting: rapid.IntRange(0, 5).Draw(t, "wait"), Blocked: rapid.IntRange(0, 9).Draw(t, "stop") == 0,
 			}
-			q.Set(now, i, limits[i])
+			q.SetLimits(now, i, limits[i])
 		}
 		for i := range limits {
 			set(0, i)
@@ -212,7 +212,7 @@
 		now, id := 0.0, uint64(0)
 		passes := func(x uint64, i int) {
 			open[i]++
-			if l := limits[i]; l.Open > 0 && open[i] > l.Open || l.Stop || open[0]+open[1]+open[2] > window {
+			if l := limits[i]; l.MaxOpen > 0 && open[i] > l.MaxOpen || l.Blocked || open[0]+open[1]+open[2] > window {
 				t.Fatalf("passed over a limit: %v open, %+v, window %d", open, l, window)
 			}
 			held[x] = what{i, false}
@@ -223,13 +223,13 @@
 			switch rapid.IntRange(0, 5).Draw(t, "call") {
 			case 0, 1:
 				id++
-				switch a, back := q.Ask(now, i, id, rapid.IntRange(0, 2).Draw(t, "urgency"), 1, 1, now+float64(rapid.IntRange(1, 500).Draw(t, "left"))); a {
-				case Passes:
+				switch a, back := q.Submit(now, i, id, rapid.IntRange(0, 2).Draw(t, "urgency"), 1, 1, now+float64(rapid.IntRange(1, 500).Draw(t, "left"))); a {
+				case Admitted:
 					passes(id, i)
-				case Waits:
+				case Queued:
 					held[id] = what{i, true}
-				case Declined:
-					if !(back >= leastBack && back <= mostBack) {
+				case Shed:
+					if !(back >= minRetryAfter && back <= maxRetryAfter) {
 						t.Fatalf("come back in %g ms", back)
 					}
 				}
@@ -248,11 +248,11 @@
 			case 3:
 				if open[i] > 0 {
 					open[i]--
-					q.Done(i)
+					q.Release(i)
 				}
 			case 4:
 				for x, h := range held {
-					if h.waits != q.Drop(x) {
+					if h.waits != q.Remove(x) {
 						t.Fatal("dropped what did not wait, or not what did")
 					}
 					if h.waits {
--- a/internal/decide/fairqueue/heaps.go
+++ b/internal/decide/fairqueue/heaps.go
@@ -2,14 +2,14 @@
 
 // request is a request that waits.
 type request struct {
-	id      uint64
-	tenant  int
-	urgency int // higher goes first in its tenant's queue
-	order   uint64
-	cost    float64
-	expiry  float64
-	place   int
-	gone    bool // removed from its queue; it stays in the expiry heap until its expiry
+	id       uint64
+	tenant   int
+	urgency  int // higher goes first in its tenant's queue
+	order    uint64
+	cost     float64
+	expiry   float64
+	position int
+	removed  bool // removed from its queue; it stays in the expiry heap until its expiry
 }
 
 // expiryHeap holds all waiting requests by expiry, because one behind more urgent ones expires too.
@@ -34,31 +34,31 @@
 // tenantHeap holds the tenants with waiting requests that may pass, by virtual clock, so that no request has to visit thousands of
 // tenants. A tenant whose rate or limit lets nothing pass is left out until it does.
 type tenantHeap struct {
-	q  *Queue
-	at []int
+	queue   *Queue
+	tenants []int
 }
 
-func (t tenantHeap) Len() int { return len(t.at) }
+func (t tenantHeap) Len() int { return len(t.tenants) }
 
 func (t tenantHeap) Less(i, j int) bool {
-	x, y := &t.q.tenants[t.at[i]], &t.q.tenants[t.at[j]]
-	return x.clock < y.clock || x.clock == y.clock && t.at[i] < t.at[j]
+	x, y := &t.queue.tenants[t.tenants[i]], &t.queue.tenants[t.tenants[j]]
+	return x.clock < y.clock || x.clock == y.clock && t.tenants[i] < t.tenants[j]
 }
 
 func (t tenantHeap) Swap(i, j int) {
-	t.at[i], t.at[j] = t.at[j], t.at[i]
-	t.q.tenants[t.at[i]].turn, t.q.tenants[t.at[j]].turn = i+1, j+1
+	t.tenants[i], t.tenants[j] = t.tenants[j], t.tenants[i]
+	t.queue.tenants[t.tenants[i]].heapPosition, t.queue.tenants[t.tenants[j]].heapPosition = i+1, j+1
 }
 
 func (t *tenantHeap) Push(x any) {
-	t.at = append(t.at, x.(int))
-	t.q.tenants[x.(int)].turn = len(t.at)
+	t.tenants = append(t.tenants, x.(int))
+	t.queue.tenants[x.(int)].heapPosition = len(t.tenants)
 }
 
 func (t *tenantHeap) Pop() any {
-	last := t.at[len(t.at)-1]
-	t.at = t.at[:len(t.at)-1]
-	t.q.tenants[last].turn = 0
+	last := t.tenants[len(t.tenants)-1]
+	t.tenants = t.tenants[:len(t.tenants)-1]
+	t.queue.tenants[last].heapPosition = 0
 	return last
 }
 
@@ -97,12 +97,12 @@
 
 func (l tenantQueue) Swap(i, j int) {
 	l[i], l[j] = l[j], l[i]
-	l[i].place, l[j].place = i, j
+	l[i].position, l[j].position = i, j
 }
 
 func (l *tenantQueue) Push(x any) {
 	a := x.(*request)
-	a.place = len(*l)
+	a.position = len(*l)
 	*l = append(*l, a)
 }
 
--- a/internal/decide/membership/member.go
+++ b/internal/decide/membership/member.go
@@ -99,10 +99,10 @@
 			d.lastDeathAt = d.now
 		}
 		if d.slowStart != nil {
-			d.slowStart.Gone(m.place - 1)
+			d.slowStart.OnDead(m.place - 1)
 		}
 		if d.quota != nil {
-			d.quota.Gone(m.place - 1)
+			d.quota.OnDead(m.place - 1)
 		}
 	}
 	if to != was {
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -189,8 +189,8 @@
 	}
 	if who.Places > 0 && who.Places <= maxPlaces {
 		lease := slowstart.Config{
-			Places: who.Places, Lease: slowstart.LeaseFor(who.Places, period), Window: who.Window,
-			Turn: 2 * period * float64(who.Places),
+			Places: who.Places, LeaseDuration: slowstart.MinLeaseDuration(who.Places, period), Window: who.Window,
+			ProbeInterval: 2 * period * float64(who.Places),
 		}
 		d.slowStart = slowstart.New(now, lease, who.Place)
 		if lease.Window = who.Open; who.Open > 0 {
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -74,11 +74,11 @@
 	case kind == codec.Ping:
 		b = codec.AppendLease(b, d.config.Place, false, nil, false, nil)
 	case kind == codec.Ack && d.header.kind == codec.Ping && d.header.place > 0: // not an ack that is forwarded for another member
-		given, counted := d.slowStart.Asked(d.now, d.header.place-1)
+		given, counted := d.slowStart.OnRequest(d.now, d.header.place-1)
 		var lent bool
-		var lentCounted slowstart.Set
+		var lentCounted slowstart.PlaceSet
 		if d.quota != nil {
-			lent, lentCounted = d.quota.Asked(d.now, d.header.place-1)
+			lent, lentCounted = d.quota.OnRequest(d.now, d.header.place-1)
 		}
 		b = codec.AppendLease(b, d.config.Place, given, counted.Bytes(), lent, lentCounted.Bytes())
 	}
--- a/internal/decide/membership/share.go
+++ b/internal/decide/membership/share.go
@@ -27,7 +27,7 @@
 		alive, _, _, _ := d.Count()
 		return alive + 1, math.Inf(1)
 	}
-	return h.Sharers(now), h.Until(now)
+	return h.Sharers(now), h.Expiry(now)
 }
 
 // Leaves returns how many others grant this process its lease, and how many grants it needs.
@@ -35,15 +35,15 @@
 	if d.slowStart == nil {
 		return 0, 0
 	}
-	return d.slowStart.Leaves(now), d.config.Places / 2
+	return d.slowStart.Grants(now), d.config.Places / 2
 }
 
 // onLeaseReply handles the lease grants in an ack of a probe that was sent at a time.
 func (d *Detector) onLeaseReply(sent float64) {
 	if h := &d.header; d.slowStart != nil && h.place > 0 {
-		d.slowStart.Answered(sent, h.place-1, h.given, slowstart.Of(h.counted))
+		d.slowStart.OnGrant(sent, h.place-1, h.given, slowstart.ParsePlaceSet(h.counted))
 		if d.quota != nil {
-			d.quota.Answered(sent, h.place-1, h.lent, slowstart.Of(h.lentCounted))
+			d.quota.OnGrant(sent, h.place-1, h.lent, slowstart.ParsePlaceSet(h.lentCounted))
 		}
 	}
 }
--- a/internal/decide/quotalease/quotalease_test.go
+++ b/internal/decide/quotalease/quotalease_test.go
@@ -17,19 +17,19 @@
 		share := rapid.IntRange(0, places).Draw(t, "share")
 		whole, rate := 0, 0.0
 		for i := range places {
-			p := Share{Places: places, Index: i, Lends: lends}
+			p := Share{Places: places, Index: i, LeasedFraction: lends}
 			if i < share {
 				p.Sharers = rapid.IntRange(share, places).Draw(t, "reckons")
 			}
-			whole, rate = whole+p.Whole(limit), rate+p.Rate(float64(limit))
+			whole, rate = whole+p.Count(limit), rate+p.Rate(float64(limit))
 		}
 		if whole > limit || rate > float64(limit)*(1+1e-9) {
 			t.Fatalf("%d of %d, %g a second", whole, limit, rate)
 		}
 		all, allRate := 0, 0.0
 		for i := range places {
-			p := Share{Places: places, Index: i, Lends: lends, Sharers: places}
-			all, allRate = all+p.Whole(limit), allRate+p.Rate(float64(limit))
+			p := Share{Places: places, Index: i, LeasedFraction: lends, Sharers: places}
+			all, allRate = all+p.Count(limit), allRate+p.Rate(float64(limit))
 		}
 		if all != limit || math.Abs(allRate-float64(limit)) > 1e-6 {
 			t.Fatalf("with all there %d of %d, %g a second", all, limit, allRate)
@@ -45,16 +45,16 @@
 		whole  int
 		second float64
 	}{
-		{"alone in the site", Share{Places: 1, Lends: 0.5, Sharers: 1}, 10, 10, 10},
-		{"all are there", Share{Places: 4, Lends: 0.5, Sharers: 4}, 16, 4, 4},
-		{"one is lost", Share{Places: 4, Lends: 0.5, Sharers: 3}, 24, 7, 7},
-		{"no lease", Share{Places: 4, Lends: 0.5}, 24, 3, 3},
+		{"alone in the site", Share{Places: 1, LeasedFraction: 0.5, Sharers: 1}, 10, 10, 10},
+		{"all are there", Share{Places: 4, LeasedFraction: 0.5, Sharers: 4}, 16, 4, 4},
+		{"one is lost", Share{Places: 4, LeasedFraction: 0.5, Sharers: 3}, 24, 7, 7},
+		{"no lease", Share{Places: 4, LeasedFraction: 0.5}, 24, 3, 3},
 		{"nothing is lent", Share{Places: 4, Sharers: 2}, 24, 6, 6},
-		{"all is lent, no lease", Share{Places: 4, Lends: 1}, 24, 0, 0},
-		{"too little to be lent", Share{Places: 4, Index: 3, Lends: 0.5, Sharers: 1}, 3, 0, 1.875},
+		{"all is lent, no lease", Share{Places: 4, LeasedFraction: 1}, 24, 0, 0},
+		{"too little to be lent", Share{Places: 4, Index: 3, LeasedFraction: 0.5, Sharers: 1}, 3, 0, 1.875},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := c.p.Whole(c.limit); got != c.whole {
+			if got := c.p.Count(c.limit); got != c.whole {
 				t.Errorf("%d of %d, want %d", got, c.limit, c.whole)
 			}
 			if got := c.p.Rate(float64(c.limit)); math.Abs(got-c.second) > 1e-9 {
@@ -75,16 +75,16 @@
 		turned  bool
 	}{
 		{"nothing was ever held", func() {}, 0, 0, false},
-		{"a lease", func() { l.Take(3, 100) }, 10, 3, true},
-		{"the same again", func() { l.Take(3, 200) }, 90, 3, false},
-		{"fewer share", func() { l.Take(2, 300) }, 150, 2, true},
+		{"a lease", func() { l.Set(3, 100) }, 10, 3, true},
+		{"the same again", func() { l.Set(3, 200) }, 90, 3, false},
+		{"fewer share", func() { l.Set(2, 300) }, 150, 2, true},
 		{"nobody looked since", func() {}, 300, 0, true},
 		{"and not yet", func() {}, 301, 0, false},
-		{"another", func() { l.Take(2, 400) }, 310, 2, true},
-		{"it is given up", func() { l.Take(0, 500) }, 320, 0, true},
+		{"another", func() { l.Set(2, 400) }, 310, 2, true},
+		{"it is given up", func() { l.Set(0, 500) }, 320, 0, true},
 	} {
 		c.do()
-		if n, turned := l.Now(c.now); n != c.sharers || turned != c.turned {
+		if n, turned := l.Current(c.now); n != c.sharers || turned != c.turned {
 			t.Errorf("%s: %d share, turned %t; want %d, %t", c.name, n, turned, c.sharers, c.turned)
 		}
 	}
--- a/internal/decide/shardrouter/line.go
+++ b/internal/decide/shardrouter/line.go
@@ -22,7 +22,7 @@
 
 type tenantQueue struct {
 	queue      *fairqueue.Queue
-	fill       *fairqueue.Fill
+	fill       *fairqueue.FillController
 	urgency    []int // by job type
 	lastID     uint64
 	waiting    map[uint64]queuedRequest
@@ -57,15 +57,15 @@
 	}
 	order := slices.Clone(values)
 	slices.Sort(order)
-	l := &tenantQueue{fill: fairqueue.NewFill(), waiting: map[uint64]queuedRequest{}, byClient: map[clientRef]uint64{}}
+	l := &tenantQueue{fill: fairqueue.NewFillController(), waiting: map[uint64]queuedRequest{}, byClient: map[clientRef]uint64{}}
 	for _, v := range values {
 		l.urgency = append(l.urgency, slices.Index(order, v))
 	}
 	l.queue = fairqueue.New(1, 1, r.config.MaxOpen)
-	l.queue.Free(0, 0, leastOpen*r.config.MaxShards)
-	r.ownership.OnOpenChange = l.queue.Count
+	l.queue.SetFree(0, 0, leastOpen*r.config.MaxShards)
+	r.ownership.OnOpenChange = l.queue.AddOpen
 	r.ownership.OnHeldChange = func(tenant int, a *shardownership.Request, by float64) {
-		l.queue.Hold(tenant, a.Cores, a.Memory, by)
+		l.queue.AddHeld(tenant, a.Cores, a.Memory, by)
 		l.held.Cores, l.held.Memory = l.held.Cores+by*a.Cores, l.held.Memory+by*a.Memory
 	}
 	r.queue = l
@@ -101,15 +101,15 @@
 	l.lastID++
 	id := l.lastID
 	r.updateFree()
-	verdict, back := l.queue.Ask(now, n.Tenant, id, l.urgency[a.JobClass], a.Cores, a.Memory, a.Deadline-r.config.AnswerMargin)
+	verdict, back := l.queue.Submit(now, n.Tenant, id, l.urgency[a.JobClass], a.Cores, a.Memory, a.Deadline-r.config.AnswerMargin)
 	w := queuedRequest{n, a, unread, now}
 	switch verdict {
-	case fairqueue.Declined:
+	case fairqueue.Shed:
 		e.Reason, e.RetryAfter = "over-share", back
-	case fairqueue.Waits:
+	case fairqueue.Queued:
 		l.add(id, w)
 		e.Queued = true
-	case fairqueue.Passes:
+	case fairqueue.Admitted:
 		return r.routeAdmitted(now, id, w, queue)
 	}
 	return e
@@ -123,7 +123,7 @@
 		return
 	}
 	held := max(0, (l.held.Cores+l.others.Cores)/l.capacity.Cores, (l.held.Memory+l.others.Memory)/l.capacity.Memory)
-	l.queue.Free(l.fill.Part()-held, 1-held, leastOpen*r.config.MaxShards)
+	l.queue.SetFree(l.fill.Level()-held, 1-held, leastOpen*r.config.MaxShards)
 }
 
 func (l *tenantQueue) add(id uint64, w queuedRequest) {
@@ -148,7 +148,7 @@
 		l.retryAt = now + retry
 		return Decision{ID: w.id, Request: w.request, Queued: true}
 	}
-	l.queue.Done(w.id.Tenant) // the ownership table counts it now, if a shard has it
+	l.queue.Release(w.id.Tenant) // the ownership table counts it now, if a shard has it
 	return e
 }
 
@@ -163,7 +163,7 @@
 		all = append(all, Decision{ID: w.id, Request: w.request, Reason: "too-late"})
 	}
 	if now < l.retryAt {
-		l.queue.Lapse(now, lapsed)
+		l.queue.Expire(now, lapsed)
 		return all
 	}
 	l.retryAt = 0
@@ -208,7 +208,7 @@
 	}
 	id, ok := r.queue.byClient[clientRef{owner, ref}]
 	if ok {
-		r.queue.queue.Drop(id)
+		r.queue.queue.Remove(id)
 		r.queue.remove(id)
 	}
 	return ok
@@ -235,11 +235,11 @@
 // declined at once.
 func (r *Router) SetTenant(now float64, slot int, duty tenancy.Duty) (declined []Decision) {
 	l := r.queue
-	l.queue.Set(now, slot, duty.Limits)
+	l.queue.SetLimits(now, slot, duty.Limits)
 	if duty.Takes {
 		return nil
 	}
-	l.queue.Empty(slot, func(id uint64) {
+	l.queue.RemoveAll(slot, func(id uint64) {
 		w := l.remove(id)
 		declined = append(declined, Decision{ID: w.id, Request: w.request, Reason: "not-taken"})
 	})
@@ -276,7 +276,7 @@
 	toward(&l.others.Cores, all.Cores-unasked.Cores, least.Cores, most.Cores)
 	toward(&l.others.Memory, all.Memory-unasked.Memory, least.Memory, most.Memory)
 	l.capacity = all
-	l.queue.Room(all.Cores, all.Memory, r.config.MaxOpen)
+	l.queue.SetCapacity(all.Cores, all.Memory, r.config.MaxOpen)
 }
 
 // TenantCount counts what there is of a tenant: asks that wait, allocations that are open, and what ran at a fenced shard and is not
@@ -304,5 +304,5 @@
 
 // FillLevel is how much of the room may be taken just now, and how much of it is held by this process.
 func (r *Router) FillLevel() (may, held float64) {
-	return r.queue.fill.Part(), max(r.queue.held.Cores/max(1e-9, r.queue.capacity.Cores), r.queue.held.Memory/max(1e-9, r.queue.capacity.Memory))
+	return r.queue.fill.Level(), max(r.queue.held.Cores/max(1e-9, r.queue.capacity.Cores), r.queue.held.Memory/max(1e-9, r.queue.capacity.Memory))
 }
--- a/internal/decide/shardrouter/shardrouter.go
+++ b/internal/decide/shardrouter/shardrouter.go
@@ -144,7 +144,7 @@
 		return false
 	}
 	if r.queue != nil && served {
-		r.queue.fill.Answered(now, now-r.ownership.Entry(n).AssignedAt, r.queue.queue.Lines() > 0)
+		r.queue.fill.OnAnswer(now, now-r.ownership.Entry(n).AssignedAt, r.queue.queue.TotalWaiting() > 0)
 	}
 	return true
 }
--- a/internal/decide/slowstart/slowstart_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -48,7 +48,7 @@
 	ask      bool
 	sent     float64
 	given    bool
-	counts   Set
+	counts   PlaceSet
 	life     int
 }
 
@@ -56,7 +56,7 @@
 
 func newWorld(seed uint64, places, procs int, pl plant) *world {
 	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 5)), who: Config{Places: places, Lease: LeaseFor(places, 200), Window: 1500},
+		rng: rand.New(rand.NewPCG(seed, 5)), who: Config{Places: places, LeaseDuration: MinLeaseDuration(places, 200), Window: 1500},
 		cut: map[[2]int]bool{}, plant: pl,
 	}
 	for i := range procs {
@@ -69,21 +69,21 @@
 }
 
 func (w *world) start(p *proc) {
-	p.rate, p.base, p.began = 1+(w.rng.Float64()-0.5)*Drift*0.9, 1e6*w.rng.Float64(), w.now
+	p.rate, p.base, p.began = 1+(w.rng.Float64()-0.5)*MaxClockDrift*0.9, 1e6*w.rng.Float64(), w.now
 	who := w.who
 	if w.plant.short > 0 {
-		who.Lease *= w.plant.short
+		who.LeaseDuration *= w.plant.short
 	}
 	p.h = New(p.clock(w.now), who, p.place)
-	p.h.who.Lease = who.Lease
+	p.h.config.LeaseDuration = who.LeaseDuration
 	p.box, p.next = nil, w.now
 	p.life++
 	if w.plant.forget {
-		p.h.born = math.Inf(-1)
+		p.h.startedAt = math.Inf(-1)
 	}
 	if w.plant.early {
-		for i := range p.h.to {
-			p.h.to[i].since = math.Inf(-1)
+		for i := range p.h.given {
+			p.h.given[i].countedSince = math.Inf(-1)
 		}
 	}
 }
@@ -125,13 +125,13 @@
 		p.box = nil
 		for _, m := range box {
 			if m.ask {
-				given, counts := p.h.Asked(p.clock(w.now), w.all[m.from].place)
+				given, counts := p.h.OnRequest(p.clock(w.now), w.all[m.from].place)
 				if w.plant.early {
-					p.h.to[min(w.all[m.from].place, len(p.h.to)-1)].since = math.Inf(-1)
+					p.h.given[min(w.all[m.from].place, len(p.h.given)-1)].countedSince = math.Inf(-1)
 				}
 				w.post(mail{from: i, to: m.from, sent: m.sent, given: given, counts: counts, life: m.life})
 			} else if m.life == p.life {
-				p.h.Answered(m.sent, w.all[m.from].place, m.given, m.counts)
+				p.h.OnGrant(m.sent, w.all[m.from].place, m.given, m.counts)
 			}
 		}
 		if w.now >= p.next {
@@ -145,7 +145,7 @@
 		n := p.h.Sharers(now)
 		if w.plant.short > 0 { // it goes on for as long as it was promised
 			long := *p.h
-			long.who.Lease = w.who.Lease
+			long.config.LeaseDuration = w.who.LeaseDuration
 			n = long.Sharers(now)
 		}
 		if w.plant.alone && n > 0 {
@@ -212,7 +212,7 @@
 	for _, p := range w.all {
 		p.down, p.paused = min(p.down, w.now), 0
 	}
-	for end := w.now + 4*w.who.Lease + 10000; w.now < end; {
+	for end := w.now + 4*w.who.LeaseDuration + 10000; w.now < end; {
 		w.step()
 	}
 	for _, p := range w.all {
@@ -272,7 +272,7 @@
 	}
 	w.all[4].down = math.Inf(1)
 	died := w.now
-	for w.now < died+w.who.Lease+w.who.Window {
+	for w.now < died+w.who.LeaseDuration+w.who.Window {
 		w.step()
 		for _, p := range w.all[:4] {
 			if n := p.h.Sharers(p.clock(w.now)); n > 0 && n < 5 {
@@ -280,7 +280,7 @@
 			}
 		}
 	}
-	for w.now < died+3*w.who.Lease {
+	for w.now < died+3*w.who.LeaseDuration {
 		w.step()
 	}
 	for _, p := range w.all[:4] {
@@ -296,12 +296,12 @@
 	for places := 1; places <= 6; places++ {
 		for a := range 1 << places {
 			for b := range 1 << places {
-				who := Config{Places: places, Lease: 1000, Window: 100}
+				who := Config{Places: places, LeaseDuration: 1000, Window: 100}
 				begin := func(place int, view int) *Holder {
 					h := New(0, who, place)
 					for k := range places {
 						if view>>k&1 == 1 && k != place {
-							h.Answered(5000, k, true, Set{uint64(a&b) | 1<<k})
+							h.OnGrant(5000, k, true, PlaceSet{uint64(a&b) | 1<<k})
 						}
 					}
 					return h
@@ -314,8 +314,8 @@
 				if places > 1 && (a|1)&(b|1<<(places-1)) == 0 {
 					t.Fatalf("%d places: %b and %b both take part, and nobody told both", places, a, b)
 				}
-				if x.Until(now) < now || x.Sharers(x.Until(now)+1) != 0 && places > 1 {
-					t.Fatalf("%d places: lease of %b ends at %g, and it takes part after", places, a, x.Until(now))
+				if x.Expiry(now) < now || x.Sharers(x.Expiry(now)+1) != 0 && places > 1 {
+					t.Fatalf("%d places: lease of %b ends at %g, and it takes part after", places, a, x.Expiry(now))
 				}
 			}
 		}
@@ -324,18 +324,18 @@
 
 // TestStrangers holds that places beyond those of the site file take no part, and are given nothing.
 func TestStrangers(t *testing.T) {
-	h := New(0, Config{Places: 3, Lease: 1000, Window: 100}, 3)
+	h := New(0, Config{Places: 3, LeaseDuration: 1000, Window: 100}, 3)
 	for k := range 3 {
-		h.Answered(9000, k, true, Set{7})
+		h.OnGrant(9000, k, true, PlaceSet{7})
 	}
 	if n := h.Sharers(9001); n != 0 {
 		t.Errorf("a fourth of three reckons with %d", n)
 	}
-	h = New(0, Config{Places: 3, Lease: 1000, Window: 100}, 0)
-	if leave, _ := h.Asked(9000, 3); leave {
+	h = New(0, Config{Places: 3, LeaseDuration: 1000, Window: 100}, 0)
+	if leave, _ := h.OnRequest(9000, 3); leave {
 		t.Error("a fourth of three has leave")
 	}
-	if leave, _ := h.Asked(9000, -1); leave {
+	if leave, _ := h.OnRequest(9000, -1); leave {
 		t.Error("nobody has leave")
 	}
 }
--- a/internal/decide/tenancy/tenancy.go
+++ b/internal/decide/tenancy/tenancy.go
@@ -203,15 +203,15 @@
 		return &Fault{"rate", Invalid, fmt.Sprintf("0 to %g asks a second are expected", mostRate)}
 	case !number(l.Burst, 0, mostRate) || l.Rate > 0 && l.Burst < 1:
 		return &Fault{"burst", Invalid, "1 or more is expected where there is a rate"}
-	case l.Open < 0 || l.Open > mostOpen:
+	case l.MaxOpen < 0 || l.MaxOpen > mostOpen:
 		return &Fault{"open", Invalid, fmt.Sprintf("0 to %g are expected", mostOpen)}
-	case l.Wait < 0 || l.Wait > mostOpen:
+	case l.MaxWaiting < 0 || l.MaxWaiting > mostOpen:
 		return &Fault{"wait", Invalid, fmt.Sprintf("0 to %g are expected", mostOpen)}
 	case l.Conns < 0 || l.Conns > mostOpen:
 		return &Fault{"conns", Invalid, fmt.Sprintf("0 to %g are expected", mostOpen)}
 	case !number(l.Bytes, 0, mostBytes):
 		return &Fault{"bytes", Invalid, fmt.Sprintf("0 to %g a second are expected", mostBytes)}
-	case l.Stop:
+	case l.Blocked:
 		return &Fault{"stop", Invalid, "is not a limit: pause the tenant"}
 	}
 	return nil
@@ -343,14 +343,14 @@
 	n := float64(max(1, processes))
 	d.Limits.Rate = part.Rate(d.Limits.Rate)
 	d.Limits.Burst = max(1, part.Rate(d.Limits.Burst))
-	if t.Limits.Open > 0 {
-		d.Limits.Open = part.Whole(t.Limits.Open)
-		d.Takes = d.Takes && d.Limits.Open > 0 // fewer may be open than there are processes, and this is not one of those
+	if t.Limits.MaxOpen > 0 {
+		d.Limits.MaxOpen = part.Count(t.Limits.MaxOpen)
+		d.Takes = d.Takes && d.Limits.MaxOpen > 0 // fewer may be open than there are processes, and this is not one of those
 	}
 	if t.Limits.Conns > 0 { // one at least, whatever the sum: who can't come in never hears why
-		d.Door.Conns = max(1, fairqueue.Part(t.Limits.Conns, processes, index))
+		d.Door.Conns = max(1, fairqueue.DivideLimit(t.Limits.Conns, processes, index))
 	}
 	d.Door.Bytes /= n
-	d.Limits.Stop = !d.Takes
+	d.Limits.Blocked = !d.Takes
 	return d
 }
--- a/internal/decide/tenancy/tenancy_test.go
+++ b/internal/decide/tenancy/tenancy_test.go
@@ -11,7 +11,7 @@
 	"ravenpond/internal/decide/quotalease"
 )
 
-var some = Limits{Limits: fairqueue.Limits{Share: 1, Open: 10, Wait: 100}}
+var some = Limits{Limits: fairqueue.Limits{Share: 1, MaxOpen: 10, MaxWaiting: 100}}
 
 // at applies changes and gives the last one's outcome.
 func at(b *Book, now float64, all ...Change) (t Tenant, f *Fault) {
@@ -50,7 +50,7 @@
 		{"a name of spaces", []Change{{Kind: Add, Name: "a b", Limits: some}}, 0, Invalid, true},
 		{"no share", []Change{{Kind: Add, Name: "a"}}, 0, Invalid, true},
 		{"a rate without a burst", []Change{{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, Rate: 5}}}}, 0, Invalid, true},
-		{"negative open", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, Open: -1}}}}, Active, Invalid, true},
+		{"negative open", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, MaxOpen: -1}}}}, Active, Invalid, true},
 		{"negative conns", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: some.Limits, Conns: -1}}}, Active, Invalid, true},
 		{"bytes that are no number", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: some.Limits, Bytes: math.NaN()}}}, Active, Invalid, true},
 		{"no such change", []Change{add, {Kind: 9, Name: "a"}}, Active, Invalid, true},
@@ -118,15 +118,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := New(1)
-			at(b, 0, append([]Change{{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, Rate: 9, Burst: 6, Open: 8, Wait: 5}}}}, c.changes...)...)
+			at(b, 0, append([]Change{{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, Rate: 9, Burst: 6, MaxOpen: 8, MaxWaiting: 5}}}}, c.changes...)...)
 			a, _ := b.Get("a")
 			open, rate := 0, 0.0
 			for i := range 3 {
 				d := a.Duty(quotalease.Share{Places: 3, Index: i})
-				if d.Takes != c.takes || d.Answer != c.answer || d.Stop != c.stop || d.Limits.Stop == c.takes {
+				if d.Takes != c.takes || d.Answer != c.answer || d.Stop != c.stop || d.Limits.Blocked == c.takes {
 					t.Errorf("%+v", d)
 				}
-				open, rate = open+d.Limits.Open, rate+d.Limits.Rate
+				open, rate = open+d.Limits.MaxOpen, rate+d.Limits.Rate
 			}
 			if open != 8 || rate != 9 {
 				t.Errorf("all processes may have %d open at %g a second", open, rate)
@@ -151,7 +151,7 @@
 		t.Errorf("%d connections where there are more processes than connections", d.Conns)
 	}
 	b = New(1)
-	at(b, 0, Change{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, Open: 1}}})
+	at(b, 0, Change{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, MaxOpen: 1}}})
 	a, _ = b.Get("a")
 	if first, second := a.Duty(quotalease.Share{Places: 2, Index: 0}), a.Duty(quotalease.Share{Places: 2, Index: 1}); !first.Takes || second.Takes {
 		t.Error("one that may be open in all is open at none or both of two processes")
@@ -174,7 +174,7 @@
 				}
 			} else {
 				limits := some
-				limits.Open = rapid.IntRange(-1, 5).Draw(t, "open")
+				limits.MaxOpen = rapid.IntRange(-1, 5).Draw(t, "open")
 				got, f := b.Apply(now, Change{
 					Kind: Kind(rapid.IntRange(1, 5).Draw(t, "kind")), Name: name, Limits: limits,
 					Ending: Ending(rapid.IntRange(0, 1).Draw(t, "ending")), Version: uint64(rapid.IntRange(0, 3).Draw(t, "version")),
--- a/internal/lab/clubs/clubs.go
+++ b/internal/lab/clubs/clubs.go
@@ -177,7 +177,7 @@
 		}
 		_, fault, err := store.Apply(time.Now(), "lab", "", tenancy.Change{
 			Kind: tenancy.Add, Name: name(i),
-			Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: share, Wait: 400}},
+			Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: share, MaxWaiting: 400}},
 		})
 		if fault != nil {
 			return nil, fault
--- a/internal/lab/clubs/removals.go
+++ b/internal/lab/clubs/removals.go
@@ -165,7 +165,7 @@
 	}
 	if err := p.with(func(st *tenants.Store) error {
 		for _, name := range names {
-			if err := p.do(st, tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Wait: 100}}}); err != nil {
+			if err := p.do(st, tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 100}}}); err != nil {
 				return err
 			}
 			token, err := st.IssueToken(time.Now(), "lab", name, time.Hour)
--- a/internal/lab/sim/clubs.go
+++ b/internal/lab/sim/clubs.go
@@ -30,7 +30,7 @@
 func newClubs(st *stage) *clubs {
 	c := &clubs{st: st, book: tenancy.New(len(st.place.Tenants))}
 	for _, name := range clubNames {
-		c.change(tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Wait: 200}}})
+		c.change(tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 200}}})
 	}
 	return c
 }
@@ -118,8 +118,8 @@
 	case "tenant-limit":
 		l := limit{open: max(1, int(f.Size))}
 		l.from = st.longest() + takesUp + st.turn(tenancy.Change{Kind: tenancy.Limit, Name: f.A, Limits: tenancy.Limits{Limits: fairqueue.Limits{
-			Share: 1, Open: l.open,
-			Wait: 20,
+			Share: 1, MaxOpen: l.open,
+			MaxWaiting: 20,
 		}}})
 		for _, s := range st.scheds {
 			if s.p.paused { // it hears of the change when it wakes
--- a/internal/serve/membership.go
+++ b/internal/serve/membership.go
@@ -176,7 +176,7 @@
 	}
 	if s.leasesQuotas() {
 		s.routerMu.Lock()
-		s.hosting.quotaLease.Take(lent, lentUntil-leaseMargin)
+		s.hosting.quotaLease.Set(lent, lentUntil-leaseMargin)
 		declined := s.checkQuotaLease(now)
 		s.pumpIfFree()
 		s.routerMu.Unlock()
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -131,7 +131,7 @@
 	c.loaded, c.tenants, c.tokens, c.verify = true, st.Tenants, st.Tokens, verify
 	active := 0
 	doors := map[int]connadmission.Limits{}
-	sharers, _ := c.quotaLease.Now(now)
+	sharers, _ := c.quotaLease.Current(now)
 	for _, t := range st.Tenants.All() {
 		if doors[t.Slot] = t.Duty(s.quotaShare(sharers)).Door; t.State == tenancy.Removed {
 			doors[t.Slot] = connadmission.Limits{}
@@ -156,7 +156,7 @@
 func (s *Server) quotaShare(sharers int) quotalease.Share {
 	p := quotalease.Share{Places: s.config.Site.Cluster.Schedulers, Index: s.config.Index, Sharers: sharers}
 	if s.config.Site.Members.Listen != "" {
-		p.Lends = s.config.Site.Members.LeasedPart
+		p.LeasedFraction = s.config.Site.Members.LeasedPart
 	}
 	return p
 }
@@ -171,18 +171,18 @@
 
 // checkQuotaLease holds the lease on what is lent of limits against the clock, before anything passes by them; under the desk.
 func (s *Server) checkQuotaLease(now float64) (declined []shardrouter.Decision) {
-	sharers, turned := s.hosting.quotaLease.Now(now)
+	sharers, turned := s.hosting.quotaLease.Current(now)
 	if !turned {
 		return nil
 	}
-	s.log.Info().Str("mode", "tenants").Int("share", sharers).Float64("lends", s.quotaShare(0).Lends).Msg("limits")
+	s.log.Info().Str("mode", "tenants").Int("share", sharers).Float64("lends", s.quotaShare(0).LeasedFraction).Msg("limits")
 	return s.setTenantLimits(now, sharers)
 }
 
 // longestDeadline is the longest that an allocation may be open where limits are lent, ms: for so long what was lent stays in use.
 func (s *Server) longestDeadline() float64 { return slices.Max(s.config.Site.Deadlines) }
 
-func (s *Server) leasesQuotas() bool { return s.hostsTenants() && s.quotaShare(0).Lends > 0 }
+func (s *Server) leasesQuotas() bool { return s.hostsTenants() && s.quotaShare(0).LeasedFraction > 0 }
 
 func (s *Server) rejectAll(declined []shardrouter.Decision) {
 	for _, e := range declined {
--- a/internal/serve/tenants_test.go
+++ b/internal/serve/tenants_test.go
@@ -48,7 +48,7 @@
 		for _, name := range []string{"a", "b"} {
 			if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{
 				Kind: tenancy.Add, Name: name,
-				Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Wait: 50}},
+				Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 50}},
 			}); fault != nil || err != nil {
 				t.Fatal(fault, err)
 			}
@@ -223,7 +223,7 @@
 	addr := s.owner[0].Find()
 	with(func(st *tenants.Store) {
 		if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{Kind: tenancy.Limit, Name: "a", Limits: tenancy.Limits{
-			Limits: fairqueue.Limits{Share: 1, Wait: 50}, Conns: 2, Bytes: 2000,
+			Limits: fairqueue.Limits{Share: 1, MaxWaiting: 50}, Conns: 2, Bytes: 2000,
 		}}); fault != nil || err != nil {
 			t.Fatal(fault, err)
 		}
--- a/internal/state/tenants/tenants_test.go
+++ b/internal/state/tenants/tenants_test.go
@@ -28,7 +28,7 @@
 }
 
 func add(name string) tenancy.Change {
-	return tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Wait: 9}}}
+	return tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 9}}}
 }
 
 func TestRequests(t *testing.T) {
