--- a/cmd/ravenpond/tenant.go
+++ b/cmd/ravenpond/tenant.go
@@ -102,7 +102,7 @@
 		return tenancy.Change{Kind: tenancy.Add, Limits: tenancy.Limits{Limits: fairqueue.Limits{
 			Share: c.Share, Rate: c.Rate,
 			Burst: c.Burst, MaxOpen: c.Open, MaxWaiting: c.Wait,
-		}, Conns: c.Conns, Bytes: c.Bytes}}, nil
+		}, MaxConns: c.Conns, BytesPerSecond: c.Bytes}}, nil
 	})
 }
 
@@ -130,8 +130,8 @@
 		set(&l.Burst, c.Burst)
 		set(&l.MaxOpen, c.Open)
 		set(&l.MaxWaiting, c.Wait)
-		set(&l.Conns, c.Conns)
-		set(&l.Bytes, c.Bytes)
+		set(&l.MaxConns, c.Conns)
+		set(&l.BytesPerSecond, c.Bytes)
 		return tenancy.Change{Kind: tenancy.Limit, Limits: l}, nil
 	})
 }
@@ -156,12 +156,12 @@
 }
 
 func (c *tenantRemove) Run() error {
-	ending, fault := tenancy.EndingOf(c.Ending)
+	ending, fault := tenancy.ParseRemovalMode(c.Ending)
 	if fault != nil {
 		return fault
 	}
 	return c.do(func(*tenants.Store) (tenancy.Change, error) {
-		return tenancy.Change{Kind: tenancy.Remove, Ending: ending}, nil
+		return tenancy.Change{Kind: tenancy.Remove, Removal: ending}, nil
 	})
 }
 
@@ -189,8 +189,8 @@
 				continue
 			}
 			l := t.Limits
-			fmt.Fprintf(out, "%s\t%s\t%g\t%g\t%g\t%d\t%d\t%d\t%g\t%d\t%d\t%s\n", t.Name, t.State, l.Share, l.Rate, l.Burst, l.MaxOpen, l.MaxWaiting, l.Conns, l.Bytes,
-				tokens[t.Name], t.Version, time.UnixMilli(int64(t.Changed)).UTC().Format(time.RFC3339))
+			fmt.Fprintf(out, "%s\t%s\t%g\t%g\t%g\t%d\t%d\t%d\t%g\t%d\t%d\t%s\n", t.Name, t.State, l.Share, l.Rate, l.Burst, l.MaxOpen, l.MaxWaiting, l.MaxConns, l.BytesPerSecond,
+				tokens[t.Name], t.Version, time.UnixMilli(int64(t.StateChangedAt)).UTC().Format(time.RFC3339))
 		}
 		return out.Flush()
 	})
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -172,11 +172,11 @@
 }
 
 // statusError is an error with field and reason.
-func statusError(f *tenancy.Fault) error {
+func statusError(f *tenancy.ChangeError) error {
 	code := [...]codes.Code{
-		tenancy.Invalid: codes.InvalidArgument, tenancy.Unknown: codes.NotFound, tenancy.Exists: codes.AlreadyExists,
-		tenancy.Stale: codes.Aborted, tenancy.Barred: codes.FailedPrecondition, tenancy.NoRoom: codes.ResourceExhausted,
-	}[f.Sort]
+		tenancy.Invalid: codes.InvalidArgument, tenancy.NotFound: codes.NotFound, tenancy.Exists: codes.AlreadyExists,
+		tenancy.Stale: codes.Aborted, tenancy.NotAllowed: codes.FailedPrecondition, tenancy.NoCapacity: codes.ResourceExhausted,
+	}[f.Kind]
 	st, err := status.New(code, f.Error()).WithDetails(&errdetails.BadRequest{
 		FieldViolations: []*errdetails.BadRequest_FieldViolation{{Field: f.Field, Description: f.Text}},
 	})
@@ -187,7 +187,7 @@
 }
 
 func invalidArgument(field, text string) error {
-	return statusError(&tenancy.Fault{Field: field, Sort: tenancy.Invalid, Text: text})
+	return statusError(&tenancy.ChangeError{Field: field, Kind: tenancy.Invalid, Text: text})
 }
 
 // maxRequestIDBytes is how long a request id may be.
@@ -243,12 +243,12 @@
 }
 
 func tenantMessage(t *tenancy.Tenant) *pb.Tenant {
-	l, open, wait, conns := t.Limits, int64(t.Limits.MaxOpen), int64(t.Limits.MaxWaiting), int64(t.Limits.Conns)
+	l, open, wait, conns := t.Limits, int64(t.Limits.MaxOpen), int64(t.Limits.MaxWaiting), int64(t.Limits.MaxConns)
 	return &pb.Tenant{
-		Name: t.Name, State: pb.State(t.State), Ending: pb.Ending(t.Ending), Version: t.Version, ChangedMs: t.Changed,
+		Name: t.Name, State: pb.State(t.State), Ending: pb.Ending(t.Removal), Version: t.Version, ChangedMs: t.StateChangedAt,
 		Limits: &pb.Limits{
 			Share: &l.Share, Rate: &l.Rate, Burst: &l.Burst, Open: &open, Wait: &wait, Conns: &conns,
-			Bytes: &l.Bytes,
+			Bytes: &l.BytesPerSecond,
 		},
 	}
 }
@@ -272,10 +272,10 @@
 		number(&l.Share, m.Share)
 		number(&l.Rate, m.Rate)
 		number(&l.Burst, m.Burst)
-		number(&l.Bytes, m.Bytes)
+		number(&l.BytesPerSecond, m.Bytes)
 		count(&l.MaxOpen, m.Open)
 		count(&l.MaxWaiting, m.Wait)
-		count(&l.Conns, m.Conns)
+		count(&l.MaxConns, m.Conns)
 	}
 }
 
@@ -309,7 +309,7 @@
 	}
 	return s.change(ctx, access.Shape, r.RequestId, tenancy.Change{
 		Kind: tenancy.Remove, Name: r.Name, Version: r.Version,
-		Ending: tenancy.Ending(r.Ending),
+		Removal: tenancy.RemovalMode(r.Ending),
 	}, nil)
 }
 
@@ -325,7 +325,7 @@
 		}
 		t, ok := all.Tenants.Get(r.Name)
 		if !ok {
-			return statusError(&tenancy.Fault{Field: "name", Sort: tenancy.Unknown, Text: fmt.Sprintf("no tenant %.70q", r.Name)})
+			return statusError(&tenancy.ChangeError{Field: "name", Kind: tenancy.NotFound, Text: fmt.Sprintf("no tenant %.70q", r.Name)})
 		}
 		out = tenantMessage(&t)
 		return nil
@@ -387,7 +387,7 @@
 	}
 	err = s.withStore(ctx, func(st *tenants.Store) error {
 		shown, err := st.IssueToken(s.Now(), who.Name, r.Name, time.Duration(r.LastsS)*time.Second)
-		var fault *tenancy.Fault
+		var fault *tenancy.ChangeError
 		if errors.As(err, &fault) {
 			return statusError(fault)
 		}
@@ -411,7 +411,7 @@
 		if k, ok := all.Tokens[r.Id]; !who.May(access.Token, k.Tenant) {
 			return errNotAllowed
 		} else if !ok {
-			return statusError(&tenancy.Fault{Field: "id", Sort: tenancy.Unknown, Text: "no such token"})
+			return statusError(&tenancy.ChangeError{Field: "id", Kind: tenancy.NotFound, Text: "no such token"})
 		}
 		return st.RevokeToken(s.Now(), who.Name, r.Id)
 	})
--- a/internal/decide/connadmission/connadmission_test.go
+++ b/internal/decide/connadmission/connadmission_test.go
@@ -9,11 +9,11 @@
 func TestStrangers(t *testing.T) {
 	d := New(40)
 	for slot := range 4 {
-		d.Limit(slot, Limits{Share: 1})
+		d.SetLimits(slot, Limits{Share: 1})
 	}
 	oldest := uint32(1)
 	for id := uint32(1); id <= 1000; id++ {
-		in, out := d.Came(float64(id), id)
+		in, out := d.Accept(float64(id), id)
 		if !in {
 			t.Fatalf("%d not let in", id)
 		}
@@ -26,17 +26,17 @@
 			}
 			oldest++
 		}
-		if id%100 == 0 && !d.Known(id, int(id/100)%4) {
+		if id%100 == 0 && !d.Authenticate(id, int(id/100)%4) {
 			t.Fatalf("%d was not let in with its token", id)
 		}
 	}
-	if d.Strangers() != 9 || d.Conns(0)+d.Conns(1)+d.Conns(2)+d.Conns(3) != 10 {
-		t.Errorf("%d strangers, %d %d %d %d", d.Strangers(), d.Conns(0), d.Conns(1), d.Conns(2), d.Conns(3))
+	if d.Unauthenticated() != 9 || d.Conns(0)+d.Conns(1)+d.Conns(2)+d.Conns(3) != 10 {
+		t.Errorf("%d strangers, %d %d %d %d", d.Unauthenticated(), d.Conns(0), d.Conns(1), d.Conns(2), d.Conns(3))
 	}
-	if d.Known(1, 0) {
+	if d.Authenticate(1, 0) {
 		t.Error("one that is gone is let in")
 	}
-	if late := d.Late(1000 + strangerFor); len(late) != 9 || late[0] != 991 {
+	if late := d.AuthenticationExpired(1000 + authenticationTimeout); len(late) != 9 || late[0] != 991 {
 		t.Errorf("%v are late", late)
 	}
 }
@@ -49,7 +49,7 @@
 		other int // connections of another tenant of the same share
 		want  int
 	}{
-		{"its own limit", Limits{Share: 1, Conns: 3}, 0, 3},
+		{"its own limit", Limits{Share: 1, MaxConns: 3}, 0, 3},
 		{"alone: half of the door", Limits{Share: 1}, 0, 15},
 		{"a crowded door: twice its share", Limits{Share: 1}, 15, 10},
 		{"a small share: two at least", Limits{Share: 0.001}, 15, 2},
@@ -59,16 +59,16 @@
 			id := uint32(0)
 			come := func(slot int) bool {
 				id++
-				in, _ := d.Came(0, id)
-				ok := in && d.Known(id, slot)
+				in, _ := d.Accept(0, id)
+				ok := in && d.Authenticate(id, slot)
 				if !ok {
-					d.Gone(id)
+					d.OnClose(id)
 				}
 				return ok
 			}
-			d.Limit(0, c.limit)
+			d.SetLimits(0, c.limit)
 			for slot := 1; slot < 6; slot++ {
-				d.Limit(slot, Limits{Share: 1, Conns: c.other})
+				d.SetLimits(slot, Limits{Share: 1, MaxConns: c.other})
 			}
 			for range c.other {
 				if !come(1) {
@@ -81,11 +81,11 @@
 					got++
 				}
 			}
-			if got != c.want || d.Conns(0) != c.want || d.Strangers() != 0 {
-				t.Errorf("%d connections, %d strangers; want %d", got, d.Strangers(), c.want)
+			if got != c.want || d.Conns(0) != c.want || d.Unauthenticated() != 0 {
+				t.Errorf("%d connections, %d strangers; want %d", got, d.Unauthenticated(), c.want)
 			}
-			d.Gone(id)
-			d.Gone(uint32(c.other + 1))
+			d.OnClose(id)
+			d.OnClose(uint32(c.other + 1))
 			if !come(0) {
 				t.Error("not let in after one went")
 			}
@@ -97,19 +97,19 @@
 func TestFull(t *testing.T) {
 	d := New(4)
 	for id := uint32(1); id <= 4; id++ {
-		d.Limit(int(id), Limits{Share: 1, Conns: 4})
-		if in, _ := d.Came(0, id); !in || !d.Known(id, int(id)) {
+		d.SetLimits(int(id), Limits{Share: 1, MaxConns: 4})
+		if in, _ := d.Accept(0, id); !in || !d.Authenticate(id, int(id)) {
 			t.Fatal("not let in")
 		}
 	}
-	if in, _ := d.Came(0, 5); in {
+	if in, _ := d.Accept(0, 5); in {
 		t.Error("one more than there may be")
 	}
-	d.Gone(2)
-	if in, out := d.Came(0, 5); !in || out != 0 {
+	d.OnClose(2)
+	if in, out := d.Accept(0, 5); !in || out != 0 {
 		t.Error("not let in where there is room")
 	}
-	if in, out := d.Came(0, 6); !in || out != 5 {
+	if in, out := d.Accept(0, 6); !in || out != 5 {
 		t.Error("the stranger does not make way")
 	}
 }
@@ -117,11 +117,11 @@
 // TestBytes lets a tenant send so much at once and so much a second, holds back what is beyond, and ends what goes on.
 func TestBytes(t *testing.T) {
 	d := New(8)
-	d.Limit(0, Limits{Share: 1, Bytes: 10000})
-	d.Limit(1, Limits{Share: 1, Bytes: 10000})
+	d.SetLimits(0, Limits{Share: 1, BytesPerSecond: 10000})
+	d.SetLimits(1, Limits{Share: 1, BytesPerSecond: 10000})
 	for id, slot := range []int{0, 0, 1} {
-		d.Came(0, uint32(id+1))
-		d.Known(uint32(id+1), slot)
+		d.Accept(0, uint32(id+1))
+		d.Authenticate(uint32(id+1), slot)
 	}
 	for _, c := range []struct {
 		name  string
@@ -131,28 +131,28 @@
 		want  Verdict
 		back  float64
 	}{
-		{"at once", 0, 1, 20000, Read, 0},
-		{"more, on its other connection", 0, 2, 1000, Hold, 100},
-		{"another tenant", 0, 3, 20000, Read, 0},
-		{"some time later", 100, 1, 500, Hold, 50},
-		{"in time", 1000, 1, 500, Read, 0},
-		{"far more", 1000, 1, 90000, End, 0},
-		{"and again: no deeper", 1000, 2, 10, End, 0},
-		{"later it is let in", 5001, 2, 10, Read, 0},
-		{"the clock goes back", 4000, 2, 10, Hold, 1},
-		{"nobody", 5001, 9, 1, End, 0},
+		{"at once", 0, 1, 20000, Accept, 0},
+		{"more, on its other connection", 0, 2, 1000, Throttle, 100},
+		{"another tenant", 0, 3, 20000, Accept, 0},
+		{"some time later", 100, 1, 500, Throttle, 50},
+		{"in time", 1000, 1, 500, Accept, 0},
+		{"far more", 1000, 1, 90000, Close, 0},
+		{"and again: no deeper", 1000, 2, 10, Close, 0},
+		{"later it is let in", 5001, 2, 10, Accept, 0},
+		{"the clock goes back", 4000, 2, 10, Throttle, 1},
+		{"nobody", 5001, 9, 1, Close, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if v, back := d.Sent(c.now, c.id, c.bytes); v != c.want || back != c.back {
+			if v, back := d.OnBytes(c.now, c.id, c.bytes); v != c.want || back != c.back {
 				t.Errorf("%d, back in %g; want %d, %g", v, back, c.want, c.back)
 			}
 		})
 	}
-	d.Came(0, 7)
-	if v, _ := d.Sent(0, 7, firstBytes); v != Read {
+	d.Accept(0, 7)
+	if v, _ := d.OnBytes(0, 7, maxUnauthenticatedBytes); v != Accept {
 		t.Error("a stranger's token is not read")
 	}
-	if v, _ := d.Sent(0, 7, 1); v != End {
+	if v, _ := d.OnBytes(0, 7, 1); v != Close {
 		t.Error("a stranger goes on")
 	}
 }
@@ -163,7 +163,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		d, of := New(20), map[uint32]int{}
 		for slot := range 3 {
-			d.Limit(slot, Limits{Share: 1, Conns: rng.IntN(12)})
+			d.SetLimits(slot, Limits{Share: 1, MaxConns: rng.IntN(12)})
 		}
 		next := uint32(0)
 		for range 400 {
@@ -171,7 +171,7 @@
 			switch rng.IntN(4) {
 			case 0, 1:
 				next++
-				in, out := d.Came(0, next)
+				in, out := d.Accept(0, next)
 				delete(of, out)
 				if in {
 					of[next] = -1
@@ -184,21 +184,21 @@
 					}
 				}
 				was, ok := of[id]
-				if got := d.Known(id, slot); got != (ok && (was == slot || was < 0 && had < d.may(d.guest(slot)))) {
+				if got := d.Authenticate(id, slot); got != (ok && (was == slot || was < 0 && had < d.maxConnsOf(d.tenant(slot)))) {
 					t.Fatalf("seed %d: known %t, was %d, has %d", seed, got, was, had)
 				} else if got {
 					of[id] = slot
 				}
 			case 3:
-				d.Gone(id)
+				d.OnClose(id)
 				delete(of, id)
 			}
 			var by [4]int
 			for _, s := range of {
 				by[s+1]++
 			}
-			if by != [4]int{d.Strangers(), d.Conns(0), d.Conns(1), d.Conns(2)} || len(of) > 20 || d.Strangers() > 5 {
-				t.Fatalf("seed %d: %v, counted %d %d %d %d", seed, by, d.Strangers(), d.Conns(0), d.Conns(1), d.Conns(2))
+			if by != [4]int{d.Unauthenticated(), d.Conns(0), d.Conns(1), d.Conns(2)} || len(of) > 20 || d.Unauthenticated() > 5 {
+				t.Fatalf("seed %d: %v, counted %d %d %d %d", seed, by, d.Unauthenticated(), d.Conns(0), d.Conns(1), d.Conns(2))
 			}
 		}
 	}
--- a/internal/decide/shardrouter/line.go
+++ b/internal/decide/shardrouter/line.go
@@ -233,10 +233,10 @@
 
 // SetTenant takes what a tenant's state asks of this process. What waits of one that takes nothing any more is given back, to be
 // declined at once.
-func (r *Router) SetTenant(now float64, slot int, duty tenancy.Duty) (declined []Decision) {
+func (r *Router) SetTenant(now float64, slot int, duty tenancy.Policy) (declined []Decision) {
 	l := r.queue
 	l.queue.SetLimits(now, slot, duty.Limits)
-	if duty.Takes {
+	if duty.AcceptsNew {
 		return nil
 	}
 	l.queue.RemoveAll(slot, func(id uint64) {
--- a/internal/decide/shardrouter/line_test.go
+++ b/internal/decide/shardrouter/line_test.go
@@ -13,7 +13,7 @@
 func hosting(shards, open int) *Router {
 	d := New(0, Config{JobClasses: jobs, Shards: shards, MaxShards: shards, MaxOpen: open, AnswerMargin: 100, FirstEpoch: 1, MultiTenant: true})
 	for i := range 3 {
-		d.SetTenant(0, i, tenancy.Duty{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 6}, Takes: true})
+		d.SetTenant(0, i, tenancy.Policy{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 6}, AcceptsNew: true})
 	}
 	d.OnCapacity(Resources{10, 10}, Resources{10, 10}, true)
 	return d
@@ -138,7 +138,7 @@
 		d := hosting(1, 100)
 		full(d)
 		d.Submit(0, of(1, 50), ask(50), 0, calm)
-		all := d.SetTenant(1, 1, tenancy.Duty{Limits: fairqueue.Limits{Share: 1, Blocked: true}})
+		all := d.SetTenant(1, 1, tenancy.Policy{Limits: fairqueue.Limits{Share: 1, Blocked: true}})
 		if len(all) != 1 || all[0].Reason != "not-taken" {
 			t.Errorf("%+v", all)
 		}
--- a/internal/decide/shardrouter/shardrouter.go
+++ b/internal/decide/shardrouter/shardrouter.go
@@ -28,7 +28,7 @@
 // Config are what a router begins with.
 type Config struct {
 	JobClasses                  []logic.JobClass
-	Placement                   shares.Way
+	Placement                   shares.Policy
 	Shards, MaxShards           int     // that begin, and that may run
 	MaxOpen                     int     // allocations open at once, of all shards together
 	AnswerMargin, RoundInterval float64 // ms: an answer leaves so long before its expiry; a round at most so often
@@ -76,7 +76,7 @@
 	}
 	for i := terms.Shards; i < terms.MaxShards; i++ {
 		d.stopped[i] = true
-		d.placement.Down(i)
+		d.placement.MarkDown(i)
 		d.watchdog.Rest(i)
 	}
 	return d
@@ -109,13 +109,13 @@
 	if _, runs := r.lost[n]; runs { // at a node that has not told yet who goes on with it: a try now would be a second start
 		return 0, 0, "shard-fenced"
 	}
-	if at = r.placement.Find(a.Service, n.Tenant, r.isSpread(a.JobClass)); at < 0 {
+	if at = r.placement.Choose(a.Service, n.Tenant, r.isSpread(a.JobClass)); at < 0 {
 		return 0, 0, "no-shard"
 	}
 	if stuck, ahead := queue(at); !r.gates[at].Enter(now, max(unread, stuck), ahead) {
 		return 0, 0, "behind"
 	}
-	r.placement.Join(at, a.Service)
+	r.placement.Add(at, a.Service)
 	a.AssignedAt = now
 	return at, r.ownership.Assign(n, at, a), ""
 }
@@ -161,7 +161,7 @@
 		return 0, 0, 0, false
 	}
 	if r.ownership.Len() > before {
-		r.placement.Join(shard, a.Service)
+		r.placement.Add(shard, a.Service)
 	}
 	gone, was := r.lost[n]
 	if was {
@@ -195,7 +195,7 @@
 // Remove ends an allocation that a shard acts for.
 func (r *Router) Remove(n shardownership.ID, shard int, service uint64, epoch uint32) {
 	if r.ownership.Remove(n, shard, epoch) {
-		r.placement.Leave(shard, service)
+		r.placement.Remove(shard, service)
 	}
 }
 
@@ -203,13 +203,13 @@
 // made it, else, if that one's life is over, where its service belongs; -1 if none lives. Only the first is sure to know
 // of it: one that was handed on may have been lost with the shard that got it, and its maker gave it away for good.
 func (r *Router) ShardOf(n shardownership.ID, ticket uint64, no uint8, service uint64, own int) (at int, knows bool) {
-	if at, ok := r.ownership.Holder(n, ticket, no); ok && r.placement.Lives(at) {
+	if at, ok := r.ownership.Holder(n, ticket, no); ok && r.placement.IsUp(at) {
 		return at, true
 	}
 	if own >= 0 {
 		return own, false
 	}
-	return r.placement.Find(service, n.Tenant, true), false
+	return r.placement.Choose(service, n.Tenant, true), false
 }
 
 // OrphanDecision is what becomes of an allocation whose shard is no more, or gave it away.
@@ -223,11 +223,11 @@
 // runs on and will be found.
 func (r *Router) Fence(now float64, shard int) []OrphanDecision {
 	r.watchdog.Fence(now, shard)
-	r.placement.Down(shard)
+	r.placement.MarkDown(shard)
 	var all []OrphanDecision
 	for _, o := range r.ownership.Fence(now, shard, r.config.AnswerMargin+10*r.config.RoundInterval) {
 		f, service := OrphanDecision{Orphan: o}, o.Entry.Service
-		r.placement.Leave(shard, service)
+		r.placement.Remove(shard, service)
 		spread := r.isSpread(o.Entry.JobClass)
 		if spread { // its next home must first hear what runs, or the spread would be broken
 			r.pausedUntil[service] = now + restFor
@@ -253,7 +253,7 @@
 // start again, what to answer for those that are quiet, which of those they are, and what ran and was not found again.
 func (r *Router) CheckHealth(now float64, beats, waited []float64) (fence, start, quiet []int, answer []OrphanDecision, lost []shardownership.Request) {
 	for i, w := range waited {
-		r.placement.Seen(i, w)
+		r.placement.OnDelay(i, w)
 	}
 	fence, start = r.watchdog.Look(now, beats)
 	for i := range beats {
@@ -288,9 +288,9 @@
 // OnShardStarted notes that a shard is in its next life, whose epochs begin so high. One that is to end ends all the same.
 func (r *Router) OnShardStarted(shard int, epoch uint32) {
 	r.ownership.Epoch = max(r.ownership.Epoch, epoch)
-	r.placement.Up(shard)
+	r.placement.MarkUp(shard)
 	if r.draining[shard] {
-		r.placement.Leaves(shard)
+		r.placement.MarkDraining(shard)
 	}
 }
 
@@ -303,12 +303,12 @@
 		switch {
 		case i >= n && !r.stopped[i] && !r.draining[i]:
 			r.draining[i] = true
-			r.placement.Leaves(i)
+			r.placement.MarkDraining(i)
 			leave = append(leave, i)
 		case i < n && r.draining[i]: // called back
 			delete(r.draining, i)
-			if r.placement.Lives(i) {
-				r.placement.Up(i)
+			if r.placement.IsUp(i) {
+				r.placement.MarkUp(i)
 			}
 		case i < n && r.stopped[i]:
 			delete(r.stopped, i)
@@ -338,7 +338,7 @@
 
 // BelongsElsewhere tells whether a service at a shard belongs to another by now.
 func (r *Router) BelongsElsewhere(shard int, service uint64, tenant int) bool {
-	due := r.placement.Due(service, tenant)
+	due := r.placement.TargetOf(service, tenant)
 	if due < 0 || due == shard {
 		return false
 	}
@@ -369,7 +369,7 @@
 		return nil
 	}
 	service := items[0].Request.Service
-	to := r.placement.Due(service, items[0].ID.Tenant)
+	to := r.placement.TargetOf(service, items[0].ID.Tenant)
 	if to < 0 {
 		to = from
 	}
@@ -378,8 +378,8 @@
 		f := OrphanDecision{Orphan: shardownership.Orphan{ID: it.ID, Entry: shardownership.Entry{Request: it.Request}, Disposition: shardownership.Continue}}
 		if epoch, ok := r.ownership.HandOver(it.ID, from, it.Epoch, to); ok {
 			f.Disposition, f.Shard, f.Epoch = shardownership.Reassign, to, epoch
-			r.placement.Join(to, service)
-			r.placement.Leave(from, service)
+			r.placement.Add(to, service)
+			r.placement.Remove(from, service)
 			if it.Running { // until the other has it
 				r.addLost(now, it.ID, it.Request, r.ownership.Entry(it.ID).LastAttempt)
 			}
@@ -399,10 +399,10 @@
 	}
 	delete(r.draining, shard)
 	r.stopped[shard] = true
-	r.placement.Down(shard)
+	r.placement.MarkDown(shard)
 	r.watchdog.Rest(shard)
 	for _, o := range r.ownership.Fence(now, shard, 0) {
-		r.placement.Leave(shard, o.Entry.Service)
+		r.placement.Remove(shard, o.Entry.Service)
 		if o.Disposition == shardownership.Reassign { // it never reached the engine
 			o.Disposition = shardownership.Shed
 		}
--- a/internal/decide/shardrouter/shardrouter_test.go
+++ b/internal/decide/shardrouter/shardrouter_test.go
@@ -123,7 +123,7 @@
 		t.Run(title, func(t *testing.T) { // what it gives is its own again, not lost
 			d := begin(2)
 			service := uint64(0)
-			for d.placement.Due(service, 0) != 1 {
+			for d.placement.TargetOf(service, 0) != 1 {
 				service++
 			}
 			at, epoch := d.ask(t, 0, 1, 2, service)
--- a/internal/decide/shares/shares_test.go
+++ b/internal/decide/shares/shares_test.go
@@ -8,7 +8,7 @@
 func homes(t *Table, services int) []int {
 	var at []int
 	for s := range services {
-		at = append(at, t.Find(uint64(s)*977, 0, false))
+		at = append(at, t.Choose(uint64(s)*977, 0, false))
 	}
 	return at
 }
@@ -28,18 +28,18 @@
 		change func(t *Table) *Table
 		from   int // the shard whose services alone may move, or -1: all that move go to shard 4
 	}{
-		{"one lost", func(x *Table) *Table { x.Down(2); return x }, 2},
-		{"one lost and back", func(x *Table) *Table { x.Down(2); x.Up(2); return x }, 9},
+		{"one lost", func(x *Table) *Table { x.MarkDown(2); return x }, 2},
+		{"one lost and back", func(x *Table) *Table { x.MarkDown(2); x.MarkUp(2); return x }, 9},
 		{"one added", func(*Table) *Table { return New(ByService, ones(5)) }, -1},
 		{"one slow", func(x *Table) *Table {
 			for range 50 {
-				x.Seen(1, 100)
+				x.OnDelay(1, 100)
 			}
 			return x
 		}, 1},
 		{"one slow and well again", func(x *Table) *Table {
 			for i := range 100 {
-				x.Seen(1, float64(100*(1-i/50)))
+				x.OnDelay(1, float64(100*(1-i/50)))
 			}
 			return x
 		}, 9},
@@ -89,15 +89,15 @@
 		}
 	}
 	for at := range 4 {
-		if n := x.Open(at); n > 1250+2*spare {
+		if n := x.Open(at); n > 1250+2*loadAllowance {
 			t.Errorf("shard %d holds %d of 4000", at, n)
 		}
 	}
-	if x.Down(0); !x.Lives(1) || x.Lives(0) {
+	if x.MarkDown(0); !x.IsUp(1) || x.IsUp(0) {
 		t.Error("wrong ones live")
 	}
 	for at := range 4 {
-		x.Down(at)
+		x.MarkDown(at)
 	}
 	if _, ok := x.Place(1, 0, false); ok {
 		t.Error("placed where no shard lives")
@@ -112,20 +112,20 @@
 			t.Fatalf("pinned to %d, placed at %d", home, at)
 		}
 	}
-	x.Down(home)
+	x.MarkDown(home)
 	other, _ := x.Place(8, 0, true)
 	if other == home {
 		t.Error("placed at a shard that is down")
 	}
-	x.Up(home)
+	x.MarkUp(home)
 	if at, _ := x.Place(8, 0, true); at != other {
 		t.Errorf("left its home %d for %d while it holds tasks there", other, at)
 	}
 	for range 301 {
-		x.Leave(home, 7)
+		x.Remove(home, 7)
 	}
-	x.Leave(other, 8)
-	x.Leave(other, 8)
+	x.Remove(other, 8)
+	x.Remove(other, 8)
 	if len(x.homes) != 0 || x.open != 0 {
 		t.Errorf("left over: %v, %d", x.homes, x.open)
 	}
@@ -135,6 +135,6 @@
 	x := New(ByService, ones(8))
 	for i := uint64(0); b.Loop(); i++ {
 		at, _ := x.Place(i%1000, 0, false)
-		x.Leave(at, i%1000)
+		x.Remove(at, i%1000)
 	}
 }
--- a/internal/decide/tenancy/tenancy_test.go
+++ b/internal/decide/tenancy/tenancy_test.go
@@ -14,7 +14,7 @@
 var some = Limits{Limits: fairqueue.Limits{Share: 1, MaxOpen: 10, MaxWaiting: 100}}
 
 // at applies changes and gives the last one's outcome.
-func at(b *Book, now float64, all ...Change) (t Tenant, f *Fault) {
+func at(b *Registry, now float64, all ...Change) (t Tenant, f *ChangeError) {
 	for _, c := range all {
 		t, f = b.Apply(now, c)
 	}
@@ -24,12 +24,12 @@
 func TestLife(t *testing.T) {
 	add := Change{Kind: Add, Name: "a", Limits: some}
 	change := func(k Kind) Change { return Change{Kind: k, Name: "a", Limits: some} }
-	remove := func(e Ending) Change { return Change{Kind: Remove, Name: "a", Ending: e} }
+	remove := func(e RemovalMode) Change { return Change{Kind: Remove, Name: "a", Removal: e} }
 	for _, c := range []struct {
 		name    string
 		changes []Change
 		want    State
-		fault   Sort
+		fault   ErrorKind
 		bad     bool
 	}{
 		{"added", []Change{add}, Active, 0, false},
@@ -37,13 +37,13 @@
 		{"paused", []Change{add, change(Pause)}, Paused, 0, false},
 		{"paused twice", []Change{add, change(Pause), change(Pause)}, Paused, 0, false},
 		{"resumed", []Change{add, change(Pause), change(Resume)}, Active, 0, false},
-		{"removed while paused", []Change{add, change(Pause), remove(RunOut)}, Removing, 0, false},
-		{"resumed while removed", []Change{add, remove(RunOut), change(Resume)}, Removing, Barred, true},
-		{"limited while removed", []Change{add, remove(RunOut), change(Limit)}, Removing, Barred, true},
-		{"added while removed", []Change{add, remove(RunOut), add}, Removing, Exists, true},
-		{"removed harder", []Change{add, remove(RunOut), remove(Stop)}, Removing, 0, false},
-		{"removed softer", []Change{add, remove(Stop), remove(RunOut)}, Removing, Barred, true},
-		{"unknown", []Change{change(Pause)}, 0, Unknown, true},
+		{"removed while paused", []Change{add, change(Pause), remove(FinishRunning)}, Removing, 0, false},
+		{"resumed while removed", []Change{add, remove(FinishRunning), change(Resume)}, Removing, NotAllowed, true},
+		{"limited while removed", []Change{add, remove(FinishRunning), change(Limit)}, Removing, NotAllowed, true},
+		{"added while removed", []Change{add, remove(FinishRunning), add}, Removing, Exists, true},
+		{"removed harder", []Change{add, remove(FinishRunning), remove(StopRunning)}, Removing, 0, false},
+		{"removed softer", []Change{add, remove(StopRunning), remove(FinishRunning)}, Removing, NotAllowed, true},
+		{"unknown", []Change{change(Pause)}, 0, NotFound, true},
 		{"decided on an older version", []Change{add, change(Pause), {Kind: Resume, Name: "a", Version: 1}}, Paused, Stale, true},
 		{"decided on this version", []Change{add, change(Pause), {Kind: Resume, Name: "a", Version: 2}}, Active, 0, false},
 		{"no name", []Change{{Kind: Add, Limits: some}}, 0, Invalid, true},
@@ -51,14 +51,14 @@
 		{"no share", []Change{{Kind: Add, Name: "a"}}, 0, Invalid, true},
 		{"a rate without a burst", []Change{{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, Rate: 5}}}}, 0, Invalid, true},
 		{"negative open", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, MaxOpen: -1}}}}, Active, Invalid, true},
-		{"negative conns", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: some.Limits, Conns: -1}}}, Active, Invalid, true},
-		{"bytes that are no number", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: some.Limits, Bytes: math.NaN()}}}, Active, Invalid, true},
+		{"negative conns", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: some.Limits, MaxConns: -1}}}, Active, Invalid, true},
+		{"bytes that are no number", []Change{add, {Kind: Limit, Name: "a", Limits: Limits{Limits: some.Limits, BytesPerSecond: math.NaN()}}}, Active, Invalid, true},
 		{"no such change", []Change{add, {Kind: 9, Name: "a"}}, Active, Invalid, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := New(2)
 			got, f := at(b, 0, c.changes...)
-			if (f != nil) != c.bad || f != nil && f.Sort != c.fault {
+			if (f != nil) != c.bad || f != nil && f.Kind != c.fault {
 				t.Fatalf("%+v, %v", got, f)
 			}
 			if now, _ := b.Get("a"); now.State != c.want {
@@ -71,30 +71,30 @@
 // TestSlots frees a slot only after its rest, and never gives one to two tenants.
 func TestSlots(t *testing.T) {
 	b := New(2)
-	add := func(now float64, name string) *Fault {
+	add := func(now float64, name string) *ChangeError {
 		_, f := b.Apply(now, Change{Kind: Add, Name: name, Limits: some})
 		return f
 	}
 	if add(0, "a") != nil || add(0, "b") != nil {
 		t.Fatal("not added")
 	}
-	if f := add(0, "c"); f == nil || f.Sort != NoRoom {
+	if f := add(0, "c"); f == nil || f.Kind != NoCapacity {
 		t.Fatal(f)
 	}
 	at(b, 10, Change{Kind: Remove, Name: "a"})
 	if f := add(20, "c"); f == nil {
 		t.Fatal("a slot in use was given away")
 	}
-	if _, ok := b.Finish(30, "b"); ok {
+	if _, ok := b.CompleteRemoval(30, "b"); ok {
 		t.Error("finished what is not removed")
 	}
-	if done, ok := b.Finish(30, "a"); !ok || done.State != Removed {
+	if done, ok := b.CompleteRemoval(30, "a"); !ok || done.State != Removed {
 		t.Fatal("not finished")
 	}
-	if add(30+RestSlot-1, "c") == nil {
+	if add(30+SlotQuarantine-1, "c") == nil {
 		t.Error("a slot was given away before its rest was over")
 	}
-	if f := add(30+RestSlot, "c"); f != nil {
+	if f := add(30+SlotQuarantine, "c"); f != nil {
 		t.Error(f)
 	}
 	if c, _ := b.Get("c"); c.Slot != 0 {
@@ -114,7 +114,7 @@
 		{"active", nil, true, false, false},
 		{"paused", []Change{{Kind: Pause, Name: "a"}}, false, false, false},
 		{"removed, runs out", []Change{{Kind: Remove, Name: "a"}}, false, true, false},
-		{"removed, stopped", []Change{{Kind: Remove, Name: "a", Ending: Stop}}, false, true, true},
+		{"removed, stopped", []Change{{Kind: Remove, Name: "a", Removal: StopRunning}}, false, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := New(1)
@@ -122,8 +122,8 @@
 			a, _ := b.Get("a")
 			open, rate := 0, 0.0
 			for i := range 3 {
-				d := a.Duty(quotalease.Share{Places: 3, Index: i})
-				if d.Takes != c.takes || d.Answer != c.answer || d.Stop != c.stop || d.Limits.Blocked == c.takes {
+				d := a.PolicyFor(quotalease.Share{Places: 3, Index: i})
+				if d.AcceptsNew != c.takes || d.AbortOpen != c.answer || d.StopRunning != c.stop || d.Limits.Blocked == c.takes {
 					t.Errorf("%+v", d)
 				}
 				open, rate = open+d.Limits.MaxOpen, rate+d.Limits.Rate
@@ -134,12 +134,12 @@
 		})
 	}
 	b := New(1)
-	at(b, 0, Change{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 2}, Conns: 7, Bytes: 900}})
+	at(b, 0, Change{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 2}, MaxConns: 7, BytesPerSecond: 900}})
 	a, _ := b.Get("a")
 	conns, bytes := 0, 0.0
 	for i := range 3 {
-		d := a.Duty(quotalease.Share{Places: 3, Index: i}).Door
-		conns, bytes = conns+d.Conns, bytes+d.Bytes
+		d := a.PolicyFor(quotalease.Share{Places: 3, Index: i}).Connections
+		conns, bytes = conns+d.MaxConns, bytes+d.BytesPerSecond
 		if d.Share != 2 {
 			t.Errorf("share %g at the door", d.Share)
 		}
@@ -147,13 +147,13 @@
 	if conns != 7 || bytes != 900 {
 		t.Errorf("all processes let in %d connections and %g bytes a second", conns, bytes)
 	}
-	if d := a.Duty(quotalease.Share{Places: 9, Index: 8}).Door; d.Conns != 1 {
-		t.Errorf("%d connections where there are more processes than connections", d.Conns)
+	if d := a.PolicyFor(quotalease.Share{Places: 9, Index: 8}).Connections; d.MaxConns != 1 {
+		t.Errorf("%d connections where there are more processes than connections", d.MaxConns)
 	}
 	b = New(1)
 	at(b, 0, Change{Kind: Add, Name: "a", Limits: Limits{Limits: fairqueue.Limits{Share: 1, MaxOpen: 1}}})
 	a, _ = b.Get("a")
-	if first, second := a.Duty(quotalease.Share{Places: 2, Index: 0}), a.Duty(quotalease.Share{Places: 2, Index: 1}); !first.Takes || second.Takes {
+	if first, second := a.PolicyFor(quotalease.Share{Places: 2, Index: 0}), a.PolicyFor(quotalease.Share{Places: 2, Index: 1}); !first.AcceptsNew || second.AcceptsNew {
 		t.Error("one that may be open in all is open at none or both of two processes")
 	}
 }
@@ -164,12 +164,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := New(3), 0.0
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
-			now += float64(rapid.IntRange(0, 2).Draw(t, "time")) * RestSlot / 2
+			now += float64(rapid.IntRange(0, 2).Draw(t, "time")) * SlotQuarantine / 2
 			name := fmt.Sprint("t", rapid.IntRange(0, 4).Draw(t, "name"))
 			before, was := b.Get(name)
 			var after Tenant
 			if rapid.IntRange(0, 6).Draw(t, "finish") == 0 {
-				if got, ok := b.Finish(now, name); ok {
+				if got, ok := b.CompleteRemoval(now, name); ok {
 					after = got
 				}
 			} else {
@@ -177,7 +177,7 @@
 				limits.MaxOpen = rapid.IntRange(-1, 5).Draw(t, "open")
 				got, f := b.Apply(now, Change{
 					Kind: Kind(rapid.IntRange(1, 5).Draw(t, "kind")), Name: name, Limits: limits,
-					Ending: Ending(rapid.IntRange(0, 1).Draw(t, "ending")), Version: uint64(rapid.IntRange(0, 3).Draw(t, "version")),
+					Removal: RemovalMode(rapid.IntRange(0, 1).Draw(t, "ending")), Version: uint64(rapid.IntRange(0, 3).Draw(t, "version")),
 				})
 				if f == nil {
 					after = got
@@ -196,7 +196,7 @@
 			again := New(3)
 			slots := map[int]bool{}
 			for _, x := range b.All() {
-				if err := again.Put(x); err != nil {
+				if err := again.Restore(x); err != nil {
 					t.Fatal(err)
 				}
 				if slots[x.Slot] {
--- a/internal/lab/clubs/removals.go
+++ b/internal/lab/clubs/removals.go
@@ -217,7 +217,7 @@
 	for i, name := range names {
 		time.Sleep(time.Until(began.Add(time.Duration(at[i] * 1e6))))
 		if err := p.with(func(st *tenants.Store) error {
-			return p.do(st, tenancy.Change{Kind: tenancy.Remove, Name: name, Ending: tenancy.Ending(rng.IntN(2))})
+			return p.do(st, tenancy.Change{Kind: tenancy.Remove, Name: name, Removal: tenancy.RemovalMode(rng.IntN(2))})
 		}); err != nil {
 			return nil, err
 		}
--- a/internal/lab/sim/clubs.go
+++ b/internal/lab/sim/clubs.go
@@ -23,7 +23,7 @@
 // clubs keeps tenants as the real store does, over the deaths of its process. Changes come from outside and are whole.
 type clubs struct {
 	st    *stage
-	book  *tenancy.Book
+	book  *tenancy.Registry
 	count uint64
 }
 
@@ -57,7 +57,7 @@
 		if c.st.plant.Club != nil {
 			c.st.plant.Club(&t)
 		}
-		if err := s.Tenants.Put(t); err != nil {
+		if err := s.Tenants.Restore(t); err != nil {
 			return s, err
 		}
 		s.Tokens[tokenOf(t.Name)[:12]] = tenants.Token{Tenant: t.Name, Expires: time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)}
@@ -75,7 +75,7 @@
 }
 
 func (c *clubs) FinishRemoval(_ time.Time, name string) (bool, error) {
-	_, ok := c.book.Finish(c.st.c.now, name)
+	_, ok := c.book.CompleteRemoval(c.st.c.now, name)
 	if ok {
 		c.count++
 	}
@@ -128,13 +128,13 @@
 		}
 		st.limits[f.A] = l
 	case "tenant-remove":
-		ending := tenancy.RunOut
+		ending := tenancy.FinishRunning
 		if f.Size >= 0.5 {
-			ending = tenancy.Stop
+			ending = tenancy.StopRunning
 		}
-		all := st.turn(tenancy.Change{Kind: tenancy.Remove, Name: f.A, Ending: ending})
+		all := st.turn(tenancy.Change{Kind: tenancy.Remove, Name: f.A, Removal: ending})
 		st.gone[f.A], st.shut[f.A] = all, all
-		if ending == tenancy.Stop && st.calm(f.At, all+stops) {
+		if ending == tenancy.StopRunning && st.calm(f.At, all+stops) {
 			st.c.at(nil, all+stops, func() { st.stopped(f.A) })
 		}
 	}
--- a/internal/lab/sim/plant.go
+++ b/internal/lab/sim/plant.go
@@ -112,6 +112,6 @@
 			t.State = tenancy.Paused
 		}
 	}},
-	{Name: "a removal lets what runs go on", Club: func(t *tenancy.Tenant) { t.Ending = tenancy.RunOut }},
+	{Name: "a removal lets what runs go on", Club: func(t *tenancy.Tenant) { t.Removal = tenancy.FinishRunning }},
 	{Name: "the spread is not kept", Place: func(p *site.Config) { p.Cluster.JobClasses[1].MaxPerScope = 50 }},
 }
--- a/internal/lab/states/world.go
+++ b/internal/lab/states/world.go
@@ -59,7 +59,7 @@
 // service is one that belongs to shard 1, which can leave.
 var service = func() uint64 {
 	for s := uint64(1); ; s++ {
-		if shares.New(shares.ByService, []float64{1, 1}).Due(s, 0) == 1 {
+		if shares.New(shares.ByService, []float64{1, 1}).TargetOf(s, 0) == 1 {
 			return s
 		}
 	}
--- a/internal/serve/client_listener.go
+++ b/internal/serve/client_listener.go
@@ -68,13 +68,13 @@
 	o := &clientConn{server: s, id: s.lastClientID, conn: conn, requests: map[uint64]request{}}
 	in, out := len(s.clients) < s.config.Site.MaxClients, uint32(0)
 	if s.hostsTenants() {
-		in, out = s.admission.Came(s.env.Now(), o.id)
+		in, out = s.admission.Accept(s.env.Now(), o.id)
 	}
 	in = in && !s.stopped.Load()
 	if in {
 		s.clients[o.id] = o
 	} else if s.hostsTenants() {
-		s.admission.Gone(o.id)
+		s.admission.OnClose(o.id)
 	}
 	goes := s.clients[out]
 	s.mu.Unlock()
@@ -128,7 +128,7 @@
 	s.mu.Lock()
 	delete(s.clients, o.id)
 	if s.hostsTenants() {
-		s.admission.Gone(o.id)
+		s.admission.OnClose(o.id)
 	}
 	s.mu.Unlock()
 	s.routerMu.Lock()
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -129,7 +129,7 @@
 	mu           sync.Mutex
 	clients      map[uint32]*clientConn
 	lastClientID uint32
-	admission    *connadmission.Door // where tenants come and go
+	admission    *connadmission.Controller // where tenants come and go
 	list         *state.NodeList
 	listSavedAt  float64 // when the list was last saved
 	cellIndex    map[string]int
@@ -208,7 +208,7 @@
 	s.listClient = newLister(s)
 	s.recordNodes(last.Entries())
 	s.router = shardrouter.New(w.Now(), shardrouter.Config{
-		JobClasses: place.Cluster.JobClasses, Placement: shares.Way(place.ShardBy), Shards: place.Shards,
+		JobClasses: place.Cluster.JobClasses, Placement: shares.Policy(place.ShardBy), Shards: place.Shards,
 		MaxShards: place.MaxShards, MaxOpen: place.MaxOpen, AnswerMargin: place.AnswerMargin, RoundInterval: place.Cluster.MinRoundInterval, FaultAnyEpoch: who.Faults.PermitAnyEpoch, MultiTenant: place.MaxHostedTenants > 0,
 	})
 	var t *nodeConnections
--- a/internal/serve/tenant_auth.go
+++ b/internal/serve/tenant_auth.go
@@ -50,7 +50,7 @@
 	s.routerMu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return ok && s.admission.Known(id, t.Slot)
+	return ok && s.admission.Authenticate(id, t.Slot)
 }
 
 // admitBytes tells whether what an owner sends is read, and keeps in which time it may ask again if it sent too much.
@@ -60,20 +60,20 @@
 		return true
 	}
 	s.mu.Lock()
-	v, back := s.admission.Sent(s.env.Now(), o.id, bytes)
+	v, back := s.admission.OnBytes(s.env.Now(), o.id, bytes)
 	s.mu.Unlock()
 	o.retryAfter = back
-	if v == connadmission.End {
+	if v == connadmission.Close {
 		o.disconnect("sent far more than it may")
 	}
-	return v != connadmission.End
+	return v != connadmission.Close
 }
 
 // disconnectUnauthenticated ends callers that show no token in time.
 func (s *Server) disconnectUnauthenticated() {
 	s.mu.Lock()
 	var late []*clientConn
-	for _, id := range s.admission.Late(s.env.Now()) {
+	for _, id := range s.admission.AuthenticationExpired(s.env.Now()) {
 		if o := s.clients[id]; o != nil {
 			late = append(late, o)
 		}
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -39,7 +39,7 @@
 type tenantHosting struct {
 	loaded      bool
 	storeStamp  uint64
-	tenants     *tenancy.Book
+	tenants     *tenancy.Registry
 	tokens      map[string]tenants.Token
 	verify      func(now time.Time, shown string) (tenant string, ok bool)
 	remaining   map[int]map[int]taskCount // by slot of those that are removed, and shard: what is left there
@@ -133,7 +133,7 @@
 	doors := map[int]connadmission.Limits{}
 	sharers, _ := c.quotaLease.Current(now)
 	for _, t := range st.Tenants.All() {
-		if doors[t.Slot] = t.Duty(s.quotaShare(sharers)).Door; t.State == tenancy.Removed {
+		if doors[t.Slot] = t.PolicyFor(s.quotaShare(sharers)).Connections; t.State == tenancy.Removed {
 			doors[t.Slot] = connadmission.Limits{}
 		}
 		if t.State == tenancy.Active {
@@ -144,7 +144,7 @@
 	s.routerMu.Unlock()
 	s.mu.Lock()
 	for slot, l := range doors {
-		s.admission.Limit(slot, l)
+		s.admission.SetLimits(slot, l)
 	}
 	s.mu.Unlock()
 	s.rejectAll(declined)
@@ -164,7 +164,7 @@
 // setTenantLimits sets all tenants' limits by that part, and gives what waits of those that take nothing any more; under the desk.
 func (s *Server) setTenantLimits(now float64, sharers int) (declined []shardrouter.Decision) {
 	for _, t := range s.hosting.tenants.All() {
-		declined = append(declined, s.router.SetTenant(now, t.Slot, t.Duty(s.quotaShare(sharers)))...)
+		declined = append(declined, s.router.SetTenant(now, t.Slot, t.PolicyFor(s.quotaShare(sharers)))...)
 	}
 	return declined
 }
@@ -253,7 +253,7 @@
 		}
 		for _, sh := range shards {
 			sh.post(func(now float64) {
-				n := sh.engine.EvictTenant(now, t.Slot, t.Ending == tenancy.Stop)
+				n := sh.engine.EvictTenant(now, t.Slot, t.Removal == tenancy.StopRunning)
 				s.routerMu.Lock()
 				if s.hosting.remaining[t.Slot] == nil {
 					s.hosting.remaining[t.Slot] = map[int]taskCount{}
--- a/internal/serve/tenants_test.go
+++ b/internal/serve/tenants_test.go
@@ -133,9 +133,9 @@
 	if a.as(tokens["a"]) != nil || b.as(tokens["b"]) != nil {
 		t.Fatal("not let in")
 	}
-	change := func(k tenancy.Kind, e tenancy.Ending) {
+	change := func(k tenancy.Kind, e tenancy.RemovalMode) {
 		with(func(st *tenants.Store) {
-			if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{Kind: k, Name: "a", Ending: e}); fault != nil || err != nil {
+			if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{Kind: k, Name: "a", Removal: e}); fault != nil || err != nil {
 				t.Fatal(fault, err)
 			}
 		})
@@ -171,7 +171,7 @@
 				t.Fatal(err)
 			}
 		}
-		change(tenancy.Remove, tenancy.Stop)
+		change(tenancy.Remove, tenancy.StopRunning)
 		until(removed, `"why":"tenant-removed"`)
 		if err := b.askFor("b", 1, "free"); err != nil {
 			t.Error(err)
@@ -223,7 +223,7 @@
 	addr := s.owner[0].Find()
 	with(func(st *tenants.Store) {
 		if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{Kind: tenancy.Limit, Name: "a", Limits: tenancy.Limits{
-			Limits: fairqueue.Limits{Share: 1, MaxWaiting: 50}, Conns: 2, Bytes: 2000,
+			Limits: fairqueue.Limits{Share: 1, MaxWaiting: 50}, MaxConns: 2, BytesPerSecond: 2000,
 		}}); fault != nil || err != nil {
 			t.Fatal(fault, err)
 		}
--- a/internal/state/tenants/tenants.go
+++ b/internal/state/tenants/tenants.go
@@ -114,14 +114,14 @@
 	return m.Sum(nil)
 }
 
-func readTenants(tx *bbolt.Tx, maxTenants int) (*tenancy.Book, error) {
+func readTenants(tx *bbolt.Tx, maxTenants int) (*tenancy.Registry, error) {
 	registry := tenancy.New(maxTenants)
 	err := tx.Bucket(tenantBucket).ForEach(func(k, text []byte) error {
 		var t tenancy.Tenant
 		if err := json.Unmarshal(text, &t); err != nil {
 			return fmt.Errorf("tenant %q: %w", k, err)
 		}
-		return registry.Put(t)
+		return registry.Restore(t)
 	})
 	return registry, err
 }
@@ -144,7 +144,7 @@
 
 // State is what a process needs to know.
 type State struct {
-	Tenants *tenancy.Book
+	Tenants *tenancy.Registry
 	Tokens  map[string]Token // by their ids
 	Changes uint64           // of changes
 }
@@ -271,15 +271,15 @@
 
 // response is what was said to a request.
 type response struct {
-	At         time.Time      `json:"At"`
-	RequestMAC []byte         `json:"Content"`
-	Tenant     tenancy.Tenant `json:"Tenant"`
-	Fault      *tenancy.Fault `json:"Fault"`
+	At         time.Time            `json:"At"`
+	RequestMAC []byte               `json:"Content"`
+	Tenant     tenancy.Tenant       `json:"Tenant"`
+	Fault      *tenancy.ChangeError `json:"Fault"`
 }
 
 // Apply carries a change out, on the disk before it returns. A request that was made before, by its id, changes nothing and has
 // the answer that it had then; with another content it is refused. Without an id each is a new one.
-func (s *Store) Apply(now time.Time, actor, request string, c tenancy.Change) (t tenancy.Tenant, fault *tenancy.Fault, err error) {
+func (s *Store) Apply(now time.Time, actor, request string, c tenancy.Change) (t tenancy.Tenant, fault *tenancy.ChangeError, err error) {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return t, nil, err
@@ -326,7 +326,7 @@
 }
 
 // saveTenants writes the book: tenants whose slots were given away are gone from it.
-func (s *Store) saveTenants(tx *bbolt.Tx, registry *tenancy.Book) error {
+func (s *Store) saveTenants(tx *bbolt.Tx, registry *tenancy.Registry) error {
 	bucket := tx.Bucket(tenantBucket)
 	kept := map[string]bool{}
 	for _, t := range registry.All() {
@@ -380,7 +380,7 @@
 		if err != nil {
 			return err
 		}
-		t, done := registry.Finish(ms(now), name)
+		t, done := registry.CompleteRemoval(ms(now), name)
 		if ok = done; !ok {
 			return nil
 		}
@@ -426,7 +426,7 @@
 		}
 		t, ok := registry.Get(tenant)
 		if !ok || t.State >= tenancy.Removing {
-			return &tenancy.Fault{Field: "name", Sort: tenancy.Unknown, Text: fmt.Sprintf("no tenant %q that may have tokens", tenant)}
+			return &tenancy.ChangeError{Field: "name", Kind: tenancy.NotFound, Text: fmt.Sprintf("no tenant %q that may have tokens", tenant)}
 		}
 		k := Token{Tenant: tenant, MAC: s.mac([]byte("token"), []byte(id), []byte(secret)), Expires: now.Add(lifetime)}
 		text, err := json.Marshal(k)
--- a/internal/state/tenants/tenants_test.go
+++ b/internal/state/tenants/tenants_test.go
@@ -52,7 +52,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, fault, _ := s.Apply(now, "me", "r2", add("a")); fault == nil || fault.Sort != tenancy.Exists {
+	if _, fault, _ := s.Apply(now, "me", "r2", add("a")); fault == nil || fault.Kind != tenancy.Exists {
 		t.Error(fault)
 	}
 	if n, _ := s.ChangeCount(); n != 2 {
