--- a/cmd/ravenpond/keys.go
+++ b/cmd/ravenpond/keys.go
@@ -43,7 +43,7 @@
 	}
 	w := keys.Subject{Name: c.Name, Hosts: c.Host, Tenant: c.Tenant, Lifetime: c.Last}
 	if c.Role != "" {
-		if w.Role, err = access.RoleOf(c.Role); err != nil {
+		if w.Role, err = access.ParseRole(c.Role); err != nil {
 			return err
 		}
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -144,9 +144,9 @@
 var errNotAllowed = status.Error(codes.PermissionDenied, "not allowed")
 
 // authorize gives the caller, if they may do something.
-func authorize(ctx context.Context, act access.Act, tenant string) (access.Caller, error) {
+func authorize(ctx context.Context, act access.Action, tenant string) (access.Caller, error) {
 	who, err := caller(ctx)
-	if err != nil || !who.May(act, tenant) {
+	if err != nil || !who.Can(act, tenant) {
 		return who, errNotAllowed
 	}
 	return who, nil
@@ -194,7 +194,7 @@
 const maxRequestIDBytes = 100
 
 // change carries a change out.
-func (s *Server) change(ctx context.Context, act access.Act, request string, c tenancy.Change, limits func(*tenancy.Limits)) (out *pb.Tenant, err error) {
+func (s *Server) change(ctx context.Context, act access.Action, request string, c tenancy.Change, limits func(*tenancy.Limits)) (out *pb.Tenant, err error) {
 	who, err := authorize(ctx, act, c.Name)
 	if err != nil {
 		return nil, err
@@ -284,22 +284,22 @@
 
 // Add adds a tenant.
 func (s *Server) Add(ctx context.Context, r *pb.AddRequest) (*pb.Tenant, error) {
-	return s.change(ctx, access.Shape, r.RequestId, tenancy.Change{Kind: tenancy.Add, Name: r.Name, Limits: defaultLimits}, applyLimits(r.Limits))
+	return s.change(ctx, access.Manage, r.RequestId, tenancy.Change{Kind: tenancy.Add, Name: r.Name, Limits: defaultLimits}, applyLimits(r.Limits))
 }
 
 // Limit changes limits.
 func (s *Server) Limit(ctx context.Context, r *pb.LimitRequest) (*pb.Tenant, error) {
-	return s.change(ctx, access.Shape, r.RequestId, tenancy.Change{Kind: tenancy.Limit, Name: r.Name, Version: r.Version}, applyLimits(r.Limits))
+	return s.change(ctx, access.Manage, r.RequestId, tenancy.Change{Kind: tenancy.Limit, Name: r.Name, Version: r.Version}, applyLimits(r.Limits))
 }
 
 // Pause pauses a tenant.
 func (s *Server) Pause(ctx context.Context, r *pb.ChangeRequest) (*pb.Tenant, error) {
-	return s.change(ctx, access.Hold, r.RequestId, tenancy.Change{Kind: tenancy.Pause, Name: r.Name, Version: r.Version}, nil)
+	return s.change(ctx, access.PauseResume, r.RequestId, tenancy.Change{Kind: tenancy.Pause, Name: r.Name, Version: r.Version}, nil)
 }
 
 // Resume takes its asks again.
 func (s *Server) Resume(ctx context.Context, r *pb.ChangeRequest) (*pb.Tenant, error) {
-	return s.change(ctx, access.Hold, r.RequestId, tenancy.Change{Kind: tenancy.Resume, Name: r.Name, Version: r.Version}, nil)
+	return s.change(ctx, access.PauseResume, r.RequestId, tenancy.Change{Kind: tenancy.Resume, Name: r.Name, Version: r.Version}, nil)
 }
 
 // Remove removes a tenant.
@@ -307,7 +307,7 @@
 	if r.Ending < 0 || r.Ending > pb.Ending_STOP {
 		return nil, invalidArgument("ending", "RUN_OUT or STOP is expected")
 	}
-	return s.change(ctx, access.Shape, r.RequestId, tenancy.Change{
+	return s.change(ctx, access.Manage, r.RequestId, tenancy.Change{
 		Kind: tenancy.Remove, Name: r.Name, Version: r.Version,
 		Removal: tenancy.RemovalMode(r.Ending),
 	}, nil)
@@ -315,7 +315,7 @@
 
 // Get gives a tenant.
 func (s *Server) Get(ctx context.Context, r *pb.GetRequest) (out *pb.Tenant, err error) {
-	if _, err := authorize(ctx, access.See, r.Name); err != nil {
+	if _, err := authorize(ctx, access.View, r.Name); err != nil {
 		return nil, err
 	}
 	err = s.withStore(ctx, func(st *tenants.Store) error {
@@ -361,7 +361,7 @@
 			return err
 		}
 		for _, t := range all.Tenants.All() {
-			if t.Name <= r.PageToken || !who.Sees(t.Name) || t.State == tenancy.Removed && !r.Removed {
+			if t.Name <= r.PageToken || !who.CanView(t.Name) || t.State == tenancy.Removed && !r.Removed {
 				continue
 			}
 			if len(out.Tenants) == size {
@@ -377,7 +377,7 @@
 
 // IssueToken makes a token.
 func (s *Server) IssueToken(ctx context.Context, r *pb.IssueTokenRequest) (out *pb.IssueTokenResponse, err error) {
-	who, err := authorize(ctx, access.Token, r.Name)
+	who, err := authorize(ctx, access.ManageTokens, r.Name)
 	if err != nil {
 		return nil, err
 	}
@@ -408,7 +408,7 @@
 		if err != nil {
 			return err
 		}
-		if k, ok := all.Tokens[r.Id]; !who.May(access.Token, k.Tenant) {
+		if k, ok := all.Tokens[r.Id]; !who.Can(access.ManageTokens, k.Tenant) {
 			return errNotAllowed
 		} else if !ok {
 			return statusError(&tenancy.ChangeError{Field: "id", Kind: tenancy.NotFound, Text: "no such token"})
@@ -420,7 +420,7 @@
 
 // Records gives a page of the record of changes.
 func (s *Server) Records(ctx context.Context, r *pb.RecordsRequest) (*pb.RecordsResponse, error) {
-	if _, err := authorize(ctx, access.Record, ""); err != nil {
+	if _, err := authorize(ctx, access.ViewAudit, ""); err != nil {
 		return nil, err
 	}
 	size, err := pageSize(r.PageSize)
--- a/internal/decide/access/access.go
+++ b/internal/decide/access/access.go
@@ -8,29 +8,29 @@
 type Role uint8
 
 const (
-	Nobody       Role = iota
+	NoRole       Role = iota
 	Operator          // everything
 	Reader            // sees everything, changes nothing
 	TenantAdmin       // pauses and resumes one tenant and sees to its tokens
 	TenantReader      // sees one tenant
 )
 
-var roles = [...]string{"nobody", "operator", "reader", "tenant-admin", "tenant-reader"}
+var roleNames = [...]string{"nobody", "operator", "reader", "tenant-admin", "tenant-reader"}
 
-func (r Role) String() string { return roles[r] }
+func (r Role) String() string { return roleNames[r] }
 
-// RoleOf reads one, by the word that a certificate has for it.
-func RoleOf(text string) (Role, error) {
+// ParseRole reads one, by the word that a certificate has for it.
+func ParseRole(text string) (Role, error) {
 	for r := Operator; r <= TenantReader; r++ {
-		if roles[r] == text {
+		if roleNames[r] == text {
 			return r, nil
 		}
 	}
-	return Nobody, fmt.Errorf("role %.20q: operator, reader, tenant-admin or tenant-reader is expected", text)
+	return NoRole, fmt.Errorf("role %.20q: operator, reader, tenant-admin or tenant-reader is expected", text)
 }
 
-// Bound tells whether a role is one tenant's.
-func (r Role) Bound() bool { return r == TenantAdmin || r == TenantReader }
+// IsTenantRole tells whether a role is one tenant's.
+func (r Role) IsTenantRole() bool { return r == TenantAdmin || r == TenantReader }
 
 // Caller is who calls.
 type Caller struct {
@@ -39,32 +39,32 @@
 	Name   string // for the record
 }
 
-// Act is what is to be done.
-type Act uint8
+// Action is what is to be done.
+type Action uint8
 
 const (
-	See    Act = iota // a tenant, or those that the caller may see
-	Record            // the record of changes of all
-	Shape             // add, limit or remove a tenant
-	Hold              // pause or resume one
-	Token             // issue or revoke one of its tokens
+	View         Action = iota // a tenant, or those that the caller may see
+	ViewAudit                  // the record of changes of all
+	Manage                     // add, limit or remove a tenant
+	PauseResume                // pause or resume one
+	ManageTokens               // issue or revoke one of its tokens
 )
 
-// May tells whether a caller may do something to a tenant; none is named where it is about all.
-func (c Caller) May(act Act, tenant string) bool {
+// Can tells whether a caller may do something to a tenant; none is named where it is about all.
+func (c Caller) Can(act Action, tenant string) bool {
 	own := c.Tenant != "" && tenant == c.Tenant
 	switch c.Role {
 	case Operator:
 		return true
 	case Reader:
-		return act == See || act == Record
+		return act == View || act == ViewAudit
 	case TenantAdmin:
-		return own && (act == See || act == Hold || act == Token)
+		return own && (act == View || act == PauseResume || act == ManageTokens)
 	case TenantReader:
-		return own && act == See
+		return own && act == View
 	}
 	return false
 }
 
-// Sees tells which of all tenants a list shows.
-func (c Caller) Sees(tenant string) bool { return c.May(See, tenant) }
+// CanView tells which of all tenants a list shows.
+func (c Caller) CanView(tenant string) bool { return c.Can(View, tenant) }
--- a/internal/decide/access/access_test.go
+++ b/internal/decide/access/access_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestMay(t *testing.T) {
-	acts := []Act{See, Record, Shape, Hold, Token}
+	acts := []Action{View, ViewAudit, Manage, PauseResume, ManageTokens}
 	for _, c := range []struct {
 		who   Caller
 		own   string // of acts on its own tenant a, + or -
@@ -20,7 +20,7 @@
 		t.Run(c.who.Role.String()+" of "+c.who.Tenant, func(t *testing.T) {
 			for i, act := range acts {
 				for tenant, want := range map[string]string{"a": c.own, "b": c.other, "": c.all} {
-					if got := c.who.May(act, tenant); got != (want[i] == '+') {
+					if got := c.who.Can(act, tenant); got != (want[i] == '+') {
 						t.Errorf("act %d on %q: %t", act, tenant, got)
 					}
 				}
@@ -28,11 +28,11 @@
 		})
 	}
 	for r := Operator; r <= TenantReader; r++ {
-		if got, err := RoleOf(r.String()); got != r || err != nil {
+		if got, err := ParseRole(r.String()); got != r || err != nil {
 			t.Error(got, err)
 		}
 	}
-	if _, err := RoleOf("nobody"); err == nil {
+	if _, err := ParseRole("nobody"); err == nil {
 		t.Error("nobody is no role")
 	}
 }
--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -8,28 +8,28 @@
 
 func TestDoor(t *testing.T) {
 	d := New(100, []float64{0.5, 0.3, 0.2})
-	enter := func(tenant, n int) (taken int, last Why) {
+	enter := func(tenant, n int) (taken int, last Verdict) {
 		for range n {
-			if last = d.Enter(tenant, 5000, 100, true); last == Taken {
+			if last = d.Admit(tenant, 5000, 100, true); last == Admitted {
 				taken++
 			}
 		}
 		return
 	}
-	if n, why := enter(0, 200); n != 75 || why != Flood {
+	if n, why := enter(0, 200); n != 75 || why != OverShare {
 		t.Errorf("a flood of one tenant: %d taken, then %s; want 75, tenant-flood", n, why)
 	}
 	if n, why := enter(2, 50); n != 25 || why != Full {
 		t.Errorf("beside it: %d taken, then %s; want 25, full", n, why)
 	}
-	d.Leave(0)
-	if why := d.Enter(1, 50, 100, true); why != TooLate {
+	d.Release(0)
+	if why := d.Admit(1, 50, 100, true); why != TooLate {
 		t.Errorf("without time: %s", why)
 	}
-	if why := d.Enter(1, 500, 100, false); why != Large {
+	if why := d.Admit(1, 500, 100, false); why != TooLarge {
 		t.Errorf("without a machine: %s", why)
 	}
-	if why := d.Enter(1, 500, 100, true); why != Taken || d.Open() != 100 {
+	if why := d.Admit(1, 500, 100, true); why != Admitted || d.Open() != 100 {
 		t.Errorf("after one left: %s, %d open", why, d.Open())
 	}
 }
@@ -56,14 +56,14 @@
 				for _, at := range batch {
 					waits = append(waits, now-at)
 				}
-				g.Worked(cost*float64(len(batch)), len(batch))
+				g.OnRound(cost*float64(len(batch)), len(batch))
 				batch = nil
 				continue
 			}
 			now = next
 			next += rng.ExpFloat64() / rate
 			all++
-			if g.Enter(now, 0, len(queue)+len(batch)) {
+			if g.Admit(now, 0, len(queue)+len(batch)) {
 				queue = append(queue, now)
 			} else {
 				off++
@@ -84,17 +84,17 @@
 	}
 	t.Run("opens again", func(t *testing.T) {
 		var g Gate
-		g.Worked(1, 1)
-		if g.Enter(1, 0, burst+1) || !g.Tight() || g.Enter(2, 0, standing+1) {
+		g.OnRound(1, 1)
+		if g.Admit(1, 0, defaultBurstDelay+1) || !g.IsOverloaded() || g.Admit(2, 0, defaultStandingDelay+1) {
 			t.Error("a heap is not held back")
 		}
-		if g.Enter(3, 41, 0) {
+		if g.Admit(3, 41, 0) {
 			t.Error("what lay unread for long came in")
 		}
-		for now := 4.0; now < 2.5*span; now++ {
-			g.Enter(now, 0, 1)
+		for now := 4.0; now < 2.5*overloadSpan; now++ {
+			g.Admit(now, 0, 1)
 		}
-		if !g.Enter(2.5*span, 0, 20) || g.Tight() {
+		if !g.Admit(2.5*overloadSpan, 0, 20) || g.IsOverloaded() {
 			t.Error("not open long after the heap was gone")
 		}
 	})
@@ -102,14 +102,14 @@
 
 func TestLag(t *testing.T) {
 	for _, skew := range []float64{0, -5000, 5000} {
-		var l Lag
+		var l DelayEstimator
 		for now := 1000.0; now < 60000; now += 100 {
 			queue := 0.0
 			if now > 20000 && now < 25000 {
 				queue = 300
 			}
 			sent := now - queue - 2 + skew + now/1e5 // a clock that drifts by 10 us a second
-			if got := l.Waited(now, sent, now, 0); got < queue-0.5 || got > queue+0.5 {
+			if got := l.OnRequest(now, sent, now, 0); got < queue-0.5 || got > queue+0.5 {
 				t.Fatalf("skew %g at %g: waited %g, want %g", skew, now, got, queue)
 			}
 		}
@@ -124,11 +124,11 @@
 		{"and the ask came after", 4900, 5002, 3000, 102},
 		{"by a clock that is ahead", 9000, 5002, 3000, 0},
 	} {
-		var l Lag
-		if got := l.Waited(1e6, c.sent, c.wall, c.stood); got != c.want {
+		var l DelayEstimator
+		if got := l.OnRequest(1e6, c.sent, c.wall, c.stood); got != c.want {
 			t.Errorf("%s: %g, want %g", c.name, got, c.want)
 		}
-		if got := l.Waited(1e6+100, c.sent+100-50, c.wall, 0); got != 50+c.want {
+		if got := l.OnRequest(1e6+100, c.sent+100-50, c.wall, 0); got != 50+c.want {
 			t.Errorf("%s: the next waited %g, want %g", c.name, got, 50+c.want)
 		}
 	}
@@ -136,8 +136,8 @@
 
 // TestWithin has a gate follow how long owners wait.
 func TestWithin(t *testing.T) {
-	g := Within(1000)
-	g.Worked(10, 10)
+	g := NewGate(1000)
+	g.OnRound(10, 10)
 	for _, c := range []struct {
 		name   string
 		unread float64
@@ -150,11 +150,11 @@
 		{"held back once it is", 40, 20, false},
 		{"what is short goes in", 20, 20, true},
 	} {
-		if got := g.Enter(0, c.unread, c.ahead); got != c.want {
+		if got := g.Admit(0, c.unread, c.ahead); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
-	if !g.Tight() || g.Cost() != 1 {
-		t.Errorf("tight %v, cost %g", g.Tight(), g.Cost())
+	if !g.IsOverloaded() || g.CostPerRequest() != 1 {
+		t.Errorf("tight %v, cost %g", g.IsOverloaded(), g.CostPerRequest())
 	}
 }
--- a/internal/decide/budget/budget_test.go
+++ b/internal/decide/budget/budget_test.go
@@ -5,10 +5,10 @@
 func TestDivide(t *testing.T) {
 	for _, c := range []struct{ sockets, memory int }{{256, 32}, {384, 64}, {1024, 192}, {4096, 2048}, {16, 8}} {
 		p := Divide(c.sockets, c.memory)
-		if c.sockets > 100 && (p.Clients+p.Nodes+p.Lingers+p.Provisional > c.sockets-kept || p.Lingers < 3 || p.Provisional < 3 || p.Clients < c.sockets/3 || p.Nodes < c.sockets/4) {
+		if c.sockets > 100 && (p.ClientConns+p.NodeConns+p.LingeringConns+p.ProvisionalConns > c.sockets-reservedDescriptors || p.LingeringConns < 3 || p.ProvisionalConns < 3 || p.ClientConns < c.sockets/3 || p.NodeConns < c.sockets/4) {
 			t.Errorf("%d sockets: %+v", c.sockets, p)
 		}
-		if p.Clients < 1 || p.Nodes < 1 || p.Open < 64 || p.OnOne > p.Open || p.SoftCap >= c.memory<<20 {
+		if p.ClientConns < 1 || p.NodeConns < 1 || p.Open < 64 || p.OpenPerConn > p.Open || p.MemorySoftLimit >= c.memory<<20 {
 			t.Errorf("%+v: %+v", c, p)
 		}
 	}
@@ -16,30 +16,30 @@
 
 // TestNode walks all that a connection may be wanted for: what is held never passes what may be.
 func TestNode(t *testing.T) {
-	p := Parts{Nodes: 10}
+	p := Limits{NodeConns: 10}
 	for _, c := range []struct {
 		name string
-		w    Wants
-		want Does
+		w    NodeConnRequest
+		want Action
 	}{
-		{"below the bound", Wants{For: Look, Held: 9}, Make},
-		{"an offer takes a spare one", Wants{For: Offer, Held: 10, Idle: 3, Spare: 1}, Trade},
-		{"an offer takes any that is idle", Wants{For: Offer, Held: 10, Idle: 1}, Trade},
-		{"an offer where all are at work", Wants{For: Offer, Held: 10}, Forego},
-		{"a probe takes a spare one", Wants{For: Probe, Held: 11, Idle: 1, Spare: 1}, Trade},
-		{"a look takes a spare one", Wants{For: Look, Held: 10, Idle: 2, Spare: 1}, Trade},
-		{"a look leaves another's alone", Wants{For: Look, Held: 10, Idle: 2, Looked: 500}, Forego},
-		{"but not for ever", Wants{For: Look, Held: 10, Idle: 2, Looked: 3000}, Trade},
-		{"a look where all are at work", Wants{For: Look, Held: 10, Looked: 9000}, Forego},
+		{"below the bound", NodeConnRequest{Purpose: ForHealthCheck, Held: 9}, Connect},
+		{"an offer takes a spare one", NodeConnRequest{Purpose: ForPlacement, Held: 10, Idle: 3, Spare: 1}, Replace},
+		{"an offer takes any that is idle", NodeConnRequest{Purpose: ForPlacement, Held: 10, Idle: 1}, Replace},
+		{"an offer where all are at work", NodeConnRequest{Purpose: ForPlacement, Held: 10}, Skip},
+		{"a probe takes a spare one", NodeConnRequest{Purpose: ForProbe, Held: 11, Idle: 1, Spare: 1}, Replace},
+		{"a look takes a spare one", NodeConnRequest{Purpose: ForHealthCheck, Held: 10, Idle: 2, Spare: 1}, Replace},
+		{"a look leaves another's alone", NodeConnRequest{Purpose: ForHealthCheck, Held: 10, Idle: 2, SinceCheck: 500}, Skip},
+		{"but not for ever", NodeConnRequest{Purpose: ForHealthCheck, Held: 10, Idle: 2, SinceCheck: 3000}, Replace},
+		{"a look where all are at work", NodeConnRequest{Purpose: ForHealthCheck, Held: 10, SinceCheck: 9000}, Skip},
 	} {
-		if got := p.Node(c.w); got != c.want {
+		if got := p.DecideNodeConn(c.w); got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
 		}
 	}
 	for held := range 30 {
 		for idle := range 3 {
-			for _, f := range []Purpose{Offer, Probe, Look} {
-				if d := p.Node(Wants{For: f, Held: held, Idle: idle, Looked: 1e9}); d == Make && held >= p.Nodes || d == Trade && idle == 0 {
+			for _, f := range []Purpose{ForPlacement, ForProbe, ForHealthCheck} {
+				if d := p.DecideNodeConn(NodeConnRequest{Purpose: f, Held: held, Idle: idle, SinceCheck: 1e9}); d == Connect && held >= p.NodeConns || d == Replace && idle == 0 {
 					t.Errorf("%d for %d held, %d idle", d, held, idle)
 				}
 			}
--- a/internal/decide/connlimits/connlimits.go
+++ b/internal/decide/connlimits/connlimits.go
@@ -4,31 +4,33 @@
 
 // Bounds of a connection that owners opened. Times in milliseconds.
 const (
-	FirstWord  = 2400      // from connecting to something of use
-	HalfWord   = 2400      // from the first byte of a message to its last
-	MostWaits  = 256 << 10 // bytes that a peer has not taken
-	Stuck      = 2000      // for which it may take nothing at all
-	IdleEnough = 500       // without work for so long it may give way to another
-	LeastLeft  = 1         // to an expiry, in which an answer could still be of use
-	longest    = 20        // times the usual expiry: more is no time that anybody means
+	FirstMessageTimeout = 2400      // from connecting to something of use
+	MessageTimeout      = 2400      // from the first byte of a message to its last
+	MaxUnsentBytes      = 256 << 10 // bytes that a peer has not taken
+	WriteTimeout        = 2000      // for which it may take nothing at all
+	MinIdleTime         = 500       // without work for so long it may give way to another
+	MinTimeLeft         = 1         // to an expiry, in which an answer could still be of use
+	maxExpiryFactor     = 20        // times the usual expiry: more is no time that anybody means
 )
 
-// Means tells whether an owner can mean to wait so long, where the usual expiry is as given.
-func Means(left, usual float64) bool { return left >= LeastLeft && left <= longest*usual }
+// IsPlausibleWait tells whether an owner can mean to wait so long, where the usual expiry is as given.
+func IsPlausibleWait(left, usual float64) bool {
+	return left >= MinTimeLeft && left <= maxExpiryFactor*usual
+}
 
 // Bounds of what is kept for a node, and of the connections to it.
 const (
-	MostCuts = 256   // ends that a node could not be told yet
-	CutFor   = 20000 // ms for which they are kept
-	MostEnds = 4096  // ends that no owner could be told yet
-	EndWaits = 400   // ms of the second that a client may be told an end in, for which it waits for a connection that is proven
-	muteFor  = 1000  // ms that a test's answer may take before its connection is given up
-	idlePart = 0.6   // of the time after which a node closes an idle connection
+	MaxPendingNodeEnds = 256   // ends that a node could not be told yet
+	NodeEndRetention   = 20000 // ms for which they are kept
+	MaxPendingEnds     = 4096  // ends that no owner could be told yet
+	VerifiedConnWait   = 400   // ms of the second that a client may be told an end in, for which it waits for a connection that is proven
+	testTimeout        = 1000  // ms that a test's answer may take before its connection is given up
+	idleFraction       = 0.6   // of the time after which a node closes an idle connection
 )
 
-// Fresh tells whether a connection that was idle for so long may still be used, where nodes close after closes: one
+// IsReusable tells whether a connection that was idle for so long may still be used, where nodes close after closes: one
 // that the node closes as a set-up leaves puts that in doubt.
-func Fresh(idle, closes float64) bool { return idle <= idlePart*closes }
+func IsReusable(idle, closes float64) bool { return idle <= idleFraction*closes }
 
-// Mute tells whether a connection on which a test was not answered for so long is given up.
-func Mute(silent float64) bool { return silent > muteFor }
+// IsUnresponsive tells whether a connection on which a test was not answered for so long is given up.
+func IsUnresponsive(silent float64) bool { return silent > testTimeout }
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -7,54 +7,54 @@
 
 // Times in milliseconds.
 const (
-	lookEach = 100  // between two looks
-	most     = 200  // allocations given at a look
-	patient  = 500  // that a whole service may have something out before it rests
-	fresh    = 5000 // for which an added shard is given what belongs to it
+	pollInterval  = 100  // between two looks
+	maxPerPoll    = 200  // allocations given at a look
+	maxWait       = 500  // that a whole service may have something out before it rests
+	addedDuration = 5000 // for which an added shard is given what belongs to it
 )
 
-// LookEach is how often Next is to be called.
-func LookEach() float64 { return lookEach }
+// PollInterval is how often Next is to be called.
+func PollInterval() float64 { return pollInterval }
 
-// Fresh tells whether a shard that began at a time still draws what belongs to it.
-func Fresh(now, began float64) bool { return now-began < fresh }
+// IsNewlyAdded tells whether a shard that began at a time still draws what belongs to it.
+func IsNewlyAdded(now, began float64) bool { return now-began < addedDuration }
 
-// Part is what a shard holds of a service.
-type Part struct {
-	Service uint64
-	Waits   int  // no try of it is out, and none may have run
-	Runs    int  // its node is connected
-	Out     int  // a try is out or may have run, or it runs at a node that is away
-	Whole   bool // its tasks must be spread
-	Goes    bool // it belongs to another shard
+// ServiceLoad is what a shard holds of a service.
+type ServiceLoad struct {
+	Service          uint64
+	Waiting          int  // no try of it is out, and none may have run
+	Running          int  // its node is connected
+	Unresolved       int  // a try is out or may have run, or it runs at a node that is away
+	Spread           bool // its tasks must be spread
+	BelongsElsewhere bool // it belongs to another shard
 }
 
-// Giver is what is known of a shard's services that could not go yet.
-type Giver struct {
-	since map[uint64]float64
+// Planner is what is known of a shard's services that could not go yet.
+type Planner struct {
+	waitingSince map[uint64]float64
 }
 
 // Next tells what to give now, in the order of the parts; those that rest get nothing new until they have gone.
-func (g *Giver) Next(now float64, parts []Part) (give, rest []uint64) {
-	room := most
+func (g *Planner) Next(now float64, parts []ServiceLoad) (give, rest []uint64) {
+	room := maxPerPoll
 	since := map[uint64]float64{}
 	for _, p := range parts {
-		if !p.Goes || p.Waits+p.Runs+p.Out == 0 {
+		if !p.BelongsElsewhere || p.Waiting+p.Running+p.Unresolved == 0 {
 			continue
 		}
-		if p.Whole && p.Out > 0 {
-			at, ok := g.since[p.Service]
+		if p.Spread && p.Unresolved > 0 {
+			at, ok := g.waitingSince[p.Service]
 			if !ok {
 				at = now
 			}
-			if since[p.Service] = at; now-at >= patient {
+			if since[p.Service] = at; now-at >= maxWait {
 				rest = append(rest, p.Service)
 			}
 			continue
 		}
-		n := p.Waits + p.Runs
-		if n == 0 || room < most && n > room { // the first goes even if it alone is more than one look's part
-			if at, ok := g.since[p.Service]; ok {
+		n := p.Waiting + p.Running
+		if n == 0 || room < maxPerPoll && n > room { // the first goes even if it alone is more than one look's part
+			if at, ok := g.waitingSince[p.Service]; ok {
 				since[p.Service] = at
 			}
 			continue
@@ -62,6 +62,6 @@
 		room -= n
 		give = append(give, p.Service)
 	}
-	g.since = since
+	g.waitingSince = since
 	return give, rest
 }
--- a/internal/decide/nodefailure/nodefailure_test.go
+++ b/internal/decide/nodefailure/nodefailure_test.go
@@ -21,20 +21,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var w Detector
-			w.Heard(1000)
+			w.OnContact(1000)
 			looks, lostAt := 0, 0.0
 			for now := 1000.0; now < 20000 && lostAt == 0; now += 100 {
 				linked := c.back > 0 && now > c.back
-				if !c.gone && w.Due(now, linked) {
-					w.Look(now)
+				if !c.gone && w.IsProbeDue(now, linked) {
+					w.OnProbe(now)
 					looks++
 					if c.back > 0 && now >= c.back {
-						w.Heard(now)
+						w.OnContact(now)
 					} else {
-						w.Looked(now, c.refusal(looks))
+						w.OnProbeFailed(now, c.refusal(looks))
 					}
 				}
-				if w.Lost(now, c.gone, linked) {
+				if w.IsLost(now, c.gone, linked) {
 					lostAt = now
 				}
 			}
@@ -50,9 +50,9 @@
 	var w Detector
 	looks := 0
 	for now := 1000.0; now < 11000; now += 100 {
-		w.Heard(now)
-		if w.Due(now, true) {
-			w.Look(now)
+		w.OnContact(now)
+		if w.IsProbeDue(now, true) {
+			w.OnProbe(now)
 			looks++
 		}
 	}
@@ -60,10 +60,10 @@
 		t.Errorf("%d looks for one that is heard", looks)
 	}
 	for now := 11000.0; now < 21000; now += 100 {
-		if w.Due(now, true) {
-			w.Look(now)
+		if w.IsProbeDue(now, true) {
+			w.OnProbe(now)
 			looks++
-			w.Heard(now)
+			w.OnContact(now)
 		}
 	}
 	if looks < 3 || looks > 6 {
@@ -74,19 +74,19 @@
 // TestMissed has looks fail for want of descriptors here: the node is not called lost by that, and is looked for again.
 func TestMissed(t *testing.T) {
 	var w Detector
-	w.Heard(1000)
+	w.OnContact(1000)
 	looks := 0
 	for now := 1000.0; now < 21000; now += 100 {
-		if w.Due(now, false) {
-			w.Look(now)
+		if w.IsProbeDue(now, false) {
+			w.OnProbe(now)
 			looks++
-			w.Missed()
+			w.OnProbeSkipped()
 		}
-		if w.Lost(now, false, false) {
+		if w.IsLost(now, false, false) {
 			t.Fatalf("lost at %g", now)
 		}
 	}
-	if looks < 40 || w.Since(21000) > 500 {
-		t.Errorf("%d looks, the last %g ms ago", looks, w.Since(21000))
+	if looks < 40 || w.SinceContact(21000) > 500 {
+		t.Errorf("%d looks, the last %g ms ago", looks, w.SinceContact(21000))
 	}
 }
--- a/internal/decide/outcome/early.go
+++ b/internal/decide/outcome/early.go
@@ -32,9 +32,9 @@
 	return false
 }
 
-// DeclinedAfterRun tells whether a client whose task ran and ended before it was answered may hear that a retry does no harm; else it
+// IsRetrySafeAfterRun tells whether a client whose task ran and ended before it was answered may hear that a retry does no harm; else it
 // hears that the request failed. No other attempt is made for the request in either case: the client is owed the end of the run within a
 // second, and an answer for a second run would follow it or stand in its place.
-func DeclinedAfterRun(effect logic.RetrySemantics, group logic.IdempotencyScope) bool {
-	return Withdrawn(effect, group, false, true)
+func IsRetrySafeAfterRun(effect logic.RetrySemantics, group logic.IdempotencyScope) bool {
+	return IsRetrySafe(effect, group, false, true)
 }
--- a/internal/decide/outcome/early_test.go
+++ b/internal/decide/outcome/early_test.go
@@ -47,7 +47,7 @@
 		{logic.Idempotent, logic.ScopeZone, false},
 		{logic.AtMostOnce, logic.ScopeAll, false},
 	} {
-		if got := DeclinedAfterRun(c.effect, c.group); got != c.want {
+		if got := IsRetrySafeAfterRun(c.effect, c.group); got != c.want {
 			t.Errorf("effect %d, group %d: %t", c.effect, c.group, got)
 		}
 	}
--- a/internal/decide/outcome/outcome.go
+++ b/internal/decide/outcome/outcome.go
@@ -10,87 +10,87 @@
 
 // Times in milliseconds.
 const (
-	claimFor  = 1500 // a try whose connection broke waits so long for its node to say what became of it
-	runsFor   = 8000 // and one that runs: its end can't be told from the break alone
-	runsOn    = 2000 // and so much longer each time that others still hear its node
-	runsLast  = 60000
-	keepLate  = 2500 // a start that came too late is kept for its owner's next ask, beyond the settle time
-	keepGhost = 60000
+	claimTimeout        = 1500 // a try whose connection broke waits so long for its node to say what became of it
+	runningClaimTimeout = 8000 // and one that runs: its end can't be told from the break alone
+	claimExtension      = 2000 // and so much longer each time that others still hear its node
+	maxClaimTimeout     = 60000
+	lateStartMargin     = 2500 // a start that came too late is kept for its owner's next ask, beyond the settle time
+	attemptRetention    = 60000
 )
 
-// Fate is what follows for a try.
-type Fate uint8
+// AttemptState is what follows for a try.
+type AttemptState uint8
 
 const (
-	Goes    Fate = iota // it is still out or runs
-	Never               // it provably never ran
-	MayHave             // it may have run, and nothing more will be heard
-	Ask                 // claim it when its node is back, for as long as Patience says
+	InProgress AttemptState = iota // it is still out or runs
+	NeverRan                       // it provably never ran
+	MayHaveRun                     // it may have run, and nothing more will be heard
+	MustClaim                      // claim it when its node is back, for as long as Patience says
 )
 
-// Broke decides about a try whose connection broke. left tells that its last byte may have left this machine.
-func Broke(left bool) Fate {
+// AfterDisconnect decides about a try whose connection broke. left tells that its last byte may have left this machine.
+func AfterDisconnect(left bool) AttemptState {
 	if left {
-		return Ask
+		return MustClaim
 	}
-	return Never
+	return NeverRan
 }
 
-// Patience is how long a try whose connection broke is waited for.
-func Patience(runs bool) float64 {
+// ClaimTimeout is how long a try whose connection broke is waited for.
+func ClaimTimeout(runs bool) float64 {
 	if runs {
-		return runsFor
+		return runningClaimTimeout
 	}
-	return claimFor
+	return claimTimeout
 }
 
-// Longer is how much longer a try that runs is waited for whose node has been silent here for so long, while others hear it in the
+// ClaimExtension is how much longer a try that runs is waited for whose node has been silent here for so long, while others hear it in the
 // same life; 0: no longer.
-func Longer(silent float64, lives bool) float64 {
-	if !lives || silent >= runsLast {
+func ClaimExtension(silent float64, lives bool) float64 {
+	if !lives || silent >= maxClaimTimeout {
 		return 0
 	}
-	return runsOn
+	return claimExtension
 }
 
-// Returned decides about a try when its node is connected again. A node in another life has lost what it held,
+// AfterReconnect decides about a try when its node is connected again. A node in another life has lost what it held,
 // and the try may have run in the life before; one in the same life that doesn't name it must be asked, since
 // an answer may have been lost on the way.
-func Returned(sameLife, named bool) Fate {
+func AfterReconnect(sameLife, named bool) AttemptState {
 	switch {
 	case named:
-		return Goes
+		return InProgress
 	case !sameLife:
-		return MayHave
+		return MayHaveRun
 	}
-	return Ask
+	return MustClaim
 }
 
-// GoneFrom decides about a try when the list no longer has its node and no connection stands.
-func GoneFrom(linked, left bool) Fate {
+// AfterNodeRemoved decides about a try when the list no longer has its node and no connection stands.
+func AfterNodeRemoved(linked, left bool) AttemptState {
 	switch {
 	case linked:
-		return Goes // what it holds runs on, and its answers still come
+		return InProgress // what it holds runs on, and its answers still come
 	case left:
-		return MayHave
+		return MayHaveRun
 	}
-	return Never
+	return NeverRan
 }
 
-// Do is what to do with an allocation that started after its try had been given up.
-type Do uint8
+// LateAction is what to do with an allocation that started after its try had been given up.
+type LateAction uint8
 
 const (
-	Stop  Do = iota // nobody is served by it
-	Serve           // its owner still waits, and no other try is out: it is the answer
-	Await           // another try is out: the one that ends first without a start leaves the other
-	Keep            // its owner was answered: hold it for the owner's next ask, then stop it
+	Stop  LateAction = iota // nobody is served by it
+	Serve                   // its owner still waits, and no other try is out: it is the answer
+	Await                   // another try is out: the one that ends first without a start leaves the other
+	Keep                    // its owner was answered: hold it for the owner's next ask, then stop it
 )
 
-// Late decides about a late start. open tells that the owner still waits, out that another try is out.
+// OnLateStart decides about a late start. open tells that the owner still waits, out that another try is out.
 // A restartable allocation is stopped once answered, as its owner starts another at once. One that must not
 // take effect twice is kept: stopping it would waste the effect, and the owner's next ask finds it running.
-func Late(effect logic.RetrySemantics, open, out bool) Do {
+func OnLateStart(effect logic.RetrySemantics, open, out bool) LateAction {
 	switch {
 	case open && !out:
 		return Serve
@@ -102,73 +102,73 @@
 	return Keep
 }
 
-// KeepFor is how long a late start is kept for its owner's next ask. Owners wait the settle time first.
-func KeepFor(settle float64) float64 { return 2*settle + keepLate }
+// LateStartRetention is how long a late start is kept for its owner's next ask. Owners wait the settle time first.
+func LateStartRetention(settle float64) float64 { return 2*settle + lateStartMargin }
 
-// RememberFor is how long a given up try is remembered, so that its late answers are understood.
-func RememberFor() float64 { return keepGhost }
+// AttemptRetention is how long a given up try is remembered, so that its late answers are understood.
+func AttemptRetention() float64 { return attemptRetention }
 
-// Counts tells whether a try that was given up goes on to count where it was sent, until its node says what became of it: as
+// CountsAfterAbandon tells whether a try that was given up goes on to count where it was sent, until its node says what became of it: as
 // long as it may run there, one more of its service could be one too many.
-func Counts(spread logic.SpreadScope) bool { return spread != logic.Anywhere }
+func CountsAfterAbandon(spread logic.SpreadScope) bool { return spread != logic.Anywhere }
 
-// Withdrawn tells whether an owner that gives up may be told that asking again does no harm. A restartable one
+// IsRetrySafe tells whether an owner that gives up may be told that asking again does no harm. A restartable one
 // always may; any other only if nothing is out and no earlier try may have run, or its group drops the repeat
 // wherever it goes.
-func Withdrawn(effect logic.RetrySemantics, group logic.IdempotencyScope, out, mayHave bool) bool {
+func IsRetrySafe(effect logic.RetrySemantics, group logic.IdempotencyScope, out, mayHave bool) bool {
 	return effect == logic.Restartable || !out && (!mayHave || effect == logic.Idempotent && group == logic.ScopeAll)
 }
 
-// Untold tells whether an allocation may be declined as harmless when whoever knew the outcomes of its tries is lost: of
+// IsRetrySafeAfterLoss tells whether an allocation may be declined as harmless when whoever knew the outcomes of its tries is lost: of
 // those that are tried nobody can tell any more which provably never ran.
-func Untold(effect logic.RetrySemantics, tries int) bool {
+func IsRetrySafeAfterLoss(effect logic.RetrySemantics, tries int) bool {
 	return effect == logic.Restartable || tries == 0
 }
 
 const (
-	linkFor  = 250 // an offer waits so long for a connection to its node
-	probeFor = 500 // a probe, from its sending or from the first dial for it
+	connectTimeout = 250 // an offer waits so long for a connection to its node
+	probeTimeout   = 500 // a probe, from its sending or from the first dial for it
 )
 
-// Claims is how often a given up try that must not take effect twice is claimed, and ClaimEvery the time between:
+// MaxClaims is how often a given up try that must not take effect twice is claimed, and ClaimEvery the time between:
 // all within the time that its owner waits before it asks again.
-func Claims() int { return 3 }
+func MaxClaims() int { return 3 }
 
-// ClaimEvery is the time between two claims.
-func ClaimEvery(settle float64) float64 { return settle / 4 }
+// ClaimInterval is the time between two claims.
+func ClaimInterval(settle float64) float64 { return settle / 4 }
 
-// LinkFor is how long an offer waits for a connection before it provably was never sent.
-func LinkFor() float64 { return linkFor }
+// ConnectTimeout is how long an offer waits for a connection before it provably was never sent.
+func ConnectTimeout() float64 { return connectTimeout }
 
-// ProbeFor is how long a probe's answer is waited for.
-func ProbeFor() float64 { return probeFor }
+// ProbeTimeout is how long a probe's answer is waited for.
+func ProbeTimeout() float64 { return probeTimeout }
 
-// ProbeWithin is the same where a connection may take so long to be made: as long again is left for the answer.
-func ProbeWithin(connect float64) float64 { return max(probeFor, 2*connect) }
+// ProbeTimeoutFor is the same where a connection may take so long to be made: as long again is left for the answer.
+func ProbeTimeoutFor(connect float64) float64 { return max(probeTimeout, 2*connect) }
 
-// Cut is the outcome of a try whose connection ended under it, to a node that can't be asked what became of it: it
+// VerdictAfterDisconnect is the outcome of a try whose connection ended under it, to a node that can't be asked what became of it: it
 // never ran only if not all of it was handed over.
-func Cut(whole bool) logic.Outcome {
+func VerdictAfterDisconnect(whole bool) logic.Outcome {
 	if whole {
 		return logic.ConnectionLost
 	}
 	return logic.Unreachable
 }
 
-// Unmade is the outcome of a try for which no connection came: not a byte of it left.
-func Unmade() logic.Outcome { return logic.Unreachable }
+// VerdictWithoutConnection is the outcome of a try for which no connection came: not a byte of it left.
+func VerdictWithoutConnection() logic.Outcome { return logic.Unreachable }
 
-// Spoilt is the outcome of a try whose answer, or whose connection, can't be read any more: its node had it and took
+// VerdictAfterMalformed is the outcome of a try whose answer, or whose connection, can't be read any more: its node had it and took
 // it up.
-func Spoilt() logic.Outcome { return logic.ConnectionLost }
+func VerdictAfterMalformed() logic.Outcome { return logic.ConnectionLost }
 
 const (
-	latest = 1000 // a task that its owner ended counts as ended so long after its node was told
-	linger = 600  // a connection on which a try was given up stays for late answers
+	endTimeout = 1000 // a task that its owner ended counts as ended so long after its node was told
+	linger     = 600  // a connection on which a try was given up stays for late answers
 )
 
-// Latest is how long a node may take to confirm an end that it was told.
-func Latest() float64 { return latest }
+// EndTimeout is how long a node may take to confirm an end that it was told.
+func EndTimeout() float64 { return endTimeout }
 
 // Linger is how long a connection of no further use is still heard.
 func Linger() float64 { return linger }
--- a/internal/decide/outcome/outcome_test.go
+++ b/internal/decide/outcome/outcome_test.go
@@ -9,17 +9,17 @@
 func TestFates(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		got, want Fate
+		got, want AttemptState
 	}{
-		{"broke before its last byte left", Broke(false), Never},
-		{"broke after", Broke(true), Ask},
-		{"back, in the same life, and named", Returned(true, true), Goes},
-		{"back in another life, and named", Returned(false, true), Goes},
-		{"back in the same life, not named", Returned(true, false), Ask},
-		{"back in another life, not named", Returned(false, false), MayHave},
-		{"gone from the list, still connected", GoneFrom(true, true), Goes},
-		{"gone, and it may have got there", GoneFrom(false, true), MayHave},
-		{"gone, and never sent", GoneFrom(false, false), Never},
+		{"broke before its last byte left", AfterDisconnect(false), NeverRan},
+		{"broke after", AfterDisconnect(true), MustClaim},
+		{"back, in the same life, and named", AfterReconnect(true, true), InProgress},
+		{"back in another life, and named", AfterReconnect(false, true), InProgress},
+		{"back in the same life, not named", AfterReconnect(true, false), MustClaim},
+		{"back in another life, not named", AfterReconnect(false, false), MayHaveRun},
+		{"gone from the list, still connected", AfterNodeRemoved(true, true), InProgress},
+		{"gone, and it may have got there", AfterNodeRemoved(false, true), MayHaveRun},
+		{"gone, and never sent", AfterNodeRemoved(false, false), NeverRan},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, c.got, c.want)
@@ -35,14 +35,14 @@
 		}
 		for _, c := range []struct {
 			open, out bool
-			want      Do
+			want      LateAction
 		}{{true, false, Serve}, {true, true, Await}, {false, false, answered}, {false, true, answered}} {
-			if got := Late(effect, c.open, c.out); got != c.want {
+			if got := OnLateStart(effect, c.open, c.out); got != c.want {
 				t.Errorf("effect %d, %+v: %d", effect, c, got)
 			}
 		}
 	}
-	if KeepFor(3000) <= 2*3000 || float64(Claims())*ClaimEvery(3000) >= 3000 {
+	if LateStartRetention(3000) <= 2*3000 || float64(MaxClaims())*ClaimInterval(3000) >= 3000 {
 		t.Error("a late start must outlast its owner's wait, and be claimed within it")
 	}
 }
@@ -63,7 +63,7 @@
 		{"tokened everywhere, out", logic.Idempotent, logic.ScopeAll, true, false, false},
 		{"tokened in a zone, may have run", logic.Idempotent, logic.ScopeZone, false, true, false},
 	} {
-		if got := Withdrawn(c.effect, c.group, c.out, c.mayHave); got != c.want {
+		if got := IsRetrySafe(c.effect, c.group, c.out, c.mayHave); got != c.want {
 			t.Errorf("%s: %t", c.name, got)
 		}
 	}
@@ -72,7 +72,7 @@
 // TestProbeWithin gives a probe the time that a connection may take to be made, and as long again for its answer.
 func TestProbeWithin(t *testing.T) {
 	for connect, want := range map[float64]float64{0: 500, 150: 500, 250: 500, 400: 800, 1000: 2000} {
-		if got := ProbeWithin(connect); got != want {
+		if got := ProbeTimeoutFor(connect); got != want {
 			t.Errorf("connections in %g ms: %g, want %g", connect, got, want)
 		}
 	}
--- a/internal/decide/pausedetect/pausedetect.go
+++ b/internal/decide/pausedetect/pausedetect.go
@@ -5,38 +5,38 @@
 
 // Times in milliseconds.
 const (
-	noticed = 250 // between two rounds, where housekeeping alone comes ten times a second
-	settle  = 60  // the time for readers to hand over what lies in the sockets
-	most    = 400 // and the longest, where news doesn't cease
+	pauseThreshold = 250 // between two rounds, where housekeeping alone comes ten times a second
+	settleTime     = 60  // the time for readers to hand over what lies in the sockets
+	maxSettleTime  = 400 // and the longest, where news doesn't cease
 )
 
 // Detector follows the times of rounds.
 type Detector struct {
-	last, since, until float64
-	started            bool
+	lastRoundAt, pauseEndedAt, resumeAt float64
+	started                             bool
 }
 
-// Round is told the time of each round, and whether there was news since the last. It returns how long the
+// OnRound is told the time of each round, and whether there was news since the last. It returns how long the
 // process stood still when it first notices, else 0, and whether this round may act.
-func (w *Detector) Round(now float64, news bool) (stood float64, act bool) {
-	gap := now - w.last
-	w.last = now
+func (w *Detector) OnRound(now float64, news bool) (stood float64, act bool) {
+	gap := now - w.lastRoundAt
+	w.lastRoundAt = now
 	if !w.started {
 		w.started = true
 		return 0, true
 	}
-	if gap > noticed {
-		w.since, w.until = now, now+settle
+	if gap > pauseThreshold {
+		w.pauseEndedAt, w.resumeAt = now, now+settleTime
 		return gap, false
 	}
-	if now >= w.until {
+	if now >= w.resumeAt {
 		return 0, true
 	}
-	if news && now-w.since < most-settle {
-		w.until = max(w.until, now+settle/4)
+	if news && now-w.pauseEndedAt < maxSettleTime-settleTime {
+		w.resumeAt = max(w.resumeAt, now+settleTime/4)
 	}
 	return 0, false
 }
 
-// Until is when acting begins again; in the past while the process runs as usual.
-func (w *Detector) Until() float64 { return w.until }
+// ResumeAt is when acting begins again; in the past while the process runs as usual.
+func (w *Detector) ResumeAt() float64 { return w.resumeAt }
--- a/internal/decide/reconnect/reconnect_test.go
+++ b/internal/decide/reconnect/reconnect_test.go
@@ -5,28 +5,28 @@
 func TestStorm(t *testing.T) {
 	p := New(1)
 	for nd := range 2000 {
-		p.Keep(0, nd, true)
+		p.SetEnabled(0, nd, true)
 	}
 	under, linked := []int{}, 0
 	for now := 0.0; now < 20000 && linked < 2000; now += 10 {
 		for nd, ok := p.Next(now); ok; nd, ok = p.Next(now) {
 			under = append(under, nd)
 		}
-		if len(under) > atOnce {
+		if len(under) > maxActiveDials {
 			t.Fatalf("%d dials at once", len(under))
 		}
 		for _, nd := range under {
 			if nd%7 == 0 && now < 3000 {
-				p.Failed(now, nd)
+				p.OnDialFailed(now, nd)
 			} else {
-				p.Linked(now, nd)
+				p.OnConnected(now, nd)
 				linked++
 			}
 		}
 		under = under[:0]
 	}
-	if linked != 2000 || p.active != 0 {
-		t.Errorf("%d linked, %d under way", linked, p.active)
+	if linked != 2000 || p.activeDials != 0 {
+		t.Errorf("%d linked, %d under way", linked, p.activeDials)
 	}
 }
 
@@ -38,14 +38,14 @@
 	}{{"refuses", false, 12, 40}, {"refuses and is wanted", true, 200, 420}} {
 		t.Run(c.name, func(t *testing.T) {
 			p, dials := New(3), 0
-			p.Keep(0, 0, true)
+			p.SetEnabled(0, 0, true)
 			for now := 0.0; now < 60000; now += 10 {
 				if c.wanted {
-					p.Want(now, 0)
+					p.Prioritize(now, 0)
 				}
 				if nd, ok := p.Next(now); ok {
 					dials++
-					p.Failed(now+5, nd)
+					p.OnDialFailed(now+5, nd)
 				}
 			}
 			if dials < c.least || dials > c.most {
@@ -55,12 +55,12 @@
 	}
 	t.Run("cuts every connection", func(t *testing.T) {
 		p, dials := New(3), 0
-		p.Keep(0, 0, true)
+		p.SetEnabled(0, 0, true)
 		for now := 0.0; now < 60000; now += 10 {
 			if nd, ok := p.Next(now); ok {
 				dials++
-				p.Linked(now, nd)
-				p.Broken(now+5, nd)
+				p.OnConnected(now, nd)
+				p.OnDisconnected(now+5, nd)
 			}
 		}
 		if dials > 40 {
@@ -69,8 +69,8 @@
 	})
 	t.Run("no longer kept", func(t *testing.T) {
 		p := New(3)
-		p.Keep(0, 4, true)
-		p.Keep(0, 4, false)
+		p.SetEnabled(0, 4, true)
+		p.SetEnabled(0, 4, false)
 		if _, ok := p.Next(100); ok {
 			t.Error("dialled")
 		}
@@ -81,13 +81,13 @@
 // connection breaks.
 func TestFoundConnection(t *testing.T) {
 	p := New(1)
-	p.Keep(0, 3, true)
-	p.Linked(1, 3)
+	p.SetEnabled(0, 3, true)
+	p.OnConnected(1, 3)
 	if nd, ok := p.Next(2); ok {
 		t.Fatalf("node %d is dialled, and is connected", nd)
 	}
-	p.Broken(5000, 3)
-	if nd, ok := p.Next(5000 + longest); !ok || nd != 3 {
+	p.OnDisconnected(5000, 3)
+	if nd, ok := p.Next(5000 + maxBackoff); !ok || nd != 3 {
 		t.Errorf("node %d, %t after its connection broke", nd, ok)
 	}
 }
--- a/internal/decide/shardownership/shardownership.go
+++ b/internal/decide/shardownership/shardownership.go
@@ -302,7 +302,7 @@
 		if en.Shard == shard && !en.Answered && en.Deadline-now < within {
 			t.markAnswered(n, en)
 			o := Orphan{ID: n, Entry: *en, Disposition: Fail}
-			if j := &t.jobClasses[en.JobClass]; outcome.Withdrawn(j.Semantics, j.IdempotencyScope, en.AttemptOpen, en.MayHaveRun) {
+			if j := &t.jobClasses[en.JobClass]; outcome.IsRetrySafe(j.Semantics, j.IdempotencyScope, en.AttemptOpen, en.MayHaveRun) {
 				o.Disposition = Shed
 			}
 			all = append(all, o)
@@ -323,7 +323,7 @@
 		return Continue
 	case !en.AttemptOpen && !en.MayHaveRun && en.Deadline-now > leastLeft:
 		return Reassign
-	case outcome.Withdrawn(j.Semantics, j.IdempotencyScope, en.AttemptOpen, en.MayHaveRun):
+	case outcome.IsRetrySafe(j.Semantics, j.IdempotencyScope, en.AttemptOpen, en.MayHaveRun):
 		return Shed
 	}
 	return Fail
--- a/internal/decide/shardrouter/shardrouter.go
+++ b/internal/decide/shardrouter/shardrouter.go
@@ -77,7 +77,7 @@
 	for i := terms.Shards; i < terms.MaxShards; i++ {
 		d.stopped[i] = true
 		d.placement.MarkDown(i)
-		d.watchdog.Rest(i)
+		d.watchdog.Unwatch(i)
 	}
 	return d
 }
@@ -112,7 +112,7 @@
 	if at = r.placement.Choose(a.Service, n.Tenant, r.isSpread(a.JobClass)); at < 0 {
 		return 0, 0, "no-shard"
 	}
-	if stuck, ahead := queue(at); !r.gates[at].Enter(now, max(unread, stuck), ahead) {
+	if stuck, ahead := queue(at); !r.gates[at].Admit(now, max(unread, stuck), ahead) {
 		return 0, 0, "behind"
 	}
 	r.placement.Add(at, a.Service)
@@ -121,7 +121,7 @@
 }
 
 // OnRound tells a shard's gate what a round took in which so many asks were worked off.
-func (r *Router) OnRound(shard int, took float64, asks int) { r.gates[shard].Worked(took, asks) }
+func (r *Router) OnRound(shard int, took float64, asks int) { r.gates[shard].OnRound(took, asks) }
 
 // PermitAttempt asks leave for a try, Settle notes its outcome, Final asks leave for the final answer, Owned notes who is told from now on.
 func (r *Router) PermitAttempt(n shardownership.ID, shard int, epoch uint32, try shardownership.Attempt) bool {
@@ -255,9 +255,9 @@
 	for i, w := range waited {
 		r.placement.OnDelay(i, w)
 	}
-	fence, start = r.watchdog.Look(now, beats)
+	fence, start = r.watchdog.Check(now, beats)
 	for i := range beats {
-		if !r.stopped[i] && watchdog.Quiet(now, beats[i]) {
+		if !r.stopped[i] && watchdog.IsSilent(now, beats[i]) {
 			quiet = append(quiet, i)
 			for _, o := range r.ownership.ShedOverdue(now, i, r.OverdueMargin()) {
 				answer = append(answer, OrphanDecision{Orphan: o})
@@ -313,7 +313,7 @@
 		case i < n && r.stopped[i]:
 			delete(r.stopped, i)
 			r.addedAt[i] = now
-			r.watchdog.Begin(now, i)
+			r.watchdog.Watch(now, i)
 			begin = append(begin, i)
 		}
 	}
@@ -329,7 +329,7 @@
 // HasHandover tells whether shards have something to give just now: one that leaves, or to one that was added.
 func (r *Router) HasHandover(now float64, shard int) bool {
 	for i, began := range r.addedAt {
-		if !handover.Fresh(now, began) {
+		if !handover.IsNewlyAdded(now, began) {
 			delete(r.addedAt, i)
 		}
 	}
@@ -349,7 +349,7 @@
 // PauseServices lets services get nothing new for a moment, so that they come to an end of what is out.
 func (r *Router) PauseServices(now float64, services []uint64) {
 	for _, s := range services {
-		r.pausedUntil[s] = max(r.pausedUntil[s], now+2*handover.LookEach())
+		r.pausedUntil[s] = max(r.pausedUntil[s], now+2*handover.PollInterval())
 	}
 }
 
@@ -400,7 +400,7 @@
 	delete(r.draining, shard)
 	r.stopped[shard] = true
 	r.placement.MarkDown(shard)
-	r.watchdog.Rest(shard)
+	r.watchdog.Unwatch(shard)
 	for _, o := range r.ownership.Fence(now, shard, 0) {
 		r.placement.Remove(shard, o.Entry.Service)
 		if o.Disposition == shardownership.Reassign { // it never reached the engine
--- a/internal/decide/shutdown/shutdown_test.go
+++ b/internal/decide/shutdown/shutdown_test.go
@@ -7,18 +7,18 @@
 func TestTold(t *testing.T) {
 	const at = 1000
 	for longest := 0.0; longest <= 20000; longest += 10 {
-		p := Told(at, longest)
+		p := NewPlan(at, longest)
 		kill := at + min(longest, 3000) + 700
 		switch {
-		case p.End > kill-50:
-			t.Errorf("longest %g: ends at %g, may be killed at %g", longest, p.End, kill)
-		case p.Part < at+600 || p.Part >= p.End:
+		case p.ExitAt > kill-50:
+			t.Errorf("longest %g: ends at %g, may be killed at %g", longest, p.ExitAt, kill)
+		case p.CloseAt < at+600 || p.CloseAt >= p.ExitAt:
 			t.Errorf("longest %g: %+v: the last that come find no door", longest, p)
-		case p.Shut < at+500 || p.Shut > p.Answer || p.Answer >= p.Part:
+		case p.RejectAt < at+500 || p.RejectAt > p.AnswerAt || p.AnswerAt >= p.CloseAt:
 			t.Errorf("longest %g: %+v: out of order", longest, p)
-		case longest >= 500 && p.Shut < at+700:
+		case longest >= 500 && p.RejectAt < at+700:
 			t.Errorf("longest %g: %+v: shut too soon", longest, p)
-		case longest >= 500 && p.Answer < at+min(longest, 3000)+300:
+		case longest >= 500 && p.AnswerAt < at+min(longest, 3000)+300:
 			t.Errorf("longest %g: %+v: what is open is given up too soon", longest, p)
 		}
 	}
--- a/internal/decide/watchdog/watchdog.go
+++ b/internal/decide/watchdog/watchdog.go
@@ -7,60 +7,60 @@
 
 // Times in milliseconds.
 const (
-	standsAt = 2000  // without a sign of life, while the process runs
-	quiet    = 250   // without a sign of life: still to be expected on a busy machine
-	lookEach = 100   // between two looks
-	stood    = 400   // between two looks: then the process itself stood still, and every shard gets a new start
-	again    = 250   // before a fenced shard is started again, doubled each time up to
-	longest  = 10000 //
-	steady   = 30000 // a shard that runs so long is trusted again
+	stallTimeout     = 2000  // without a sign of life, while the process runs
+	silenceThreshold = 250   // without a sign of life: still to be expected on a busy machine
+	checkInterval    = 100   // between two looks
+	pauseThreshold   = 400   // between two looks: then the process itself stood still, and every shard gets a new start
+	minRestartDelay  = 250   // before a fenced shard is started again, doubled each time up to
+	maxRestartDelay  = 10000 //
+	stableAfter      = 30000 // a shard that runs so long is trusted again
 )
 
-// LookEach is how often Look is to be called.
-func LookEach() float64 { return lookEach }
+// CheckInterval is how often Look is to be called.
+func CheckInterval() float64 { return checkInterval }
 
 // Watchdog watches the shards of a process.
 type Watchdog struct {
-	last   float64
-	shards []shard
+	lastCheckAt float64
+	shards      []shard
 }
 
 type shard struct {
-	beat, began float64
-	fenced      bool
-	rests       bool // it is not to run
-	fails       int
-	startAt     float64
+	lastBeatAt, startedAt float64
+	fenced                bool
+	unwatched             bool // it is not to run
+	failures              int
+	restartAt             float64
 }
 
 // New watches so many shards from a time on.
 func New(now float64, shards int) *Watchdog {
-	d := &Watchdog{last: now, shards: make([]shard, shards)}
+	d := &Watchdog{lastCheckAt: now, shards: make([]shard, shards)}
 	for i := range d.shards {
-		d.shards[i].beat, d.shards[i].began = now, now
+		d.shards[i].lastBeatAt, d.shards[i].startedAt = now, now
 	}
 	return d
 }
 
-// Look takes the time of each shard's last sign of life. It returns the shards to be fenced, and those to be
+// Check takes the time of each shard's last sign of life. It returns the shards to be fenced, and those to be
 // started again.
-func (d *Watchdog) Look(now float64, beats []float64) (fence, start []int) {
-	paused := now-d.last > stood
-	d.last = now
+func (d *Watchdog) Check(now float64, beats []float64) (fence, start []int) {
+	paused := now-d.lastCheckAt > pauseThreshold
+	d.lastCheckAt = now
 	for i := range d.shards {
 		s := &d.shards[i]
 		if i < len(beats) {
-			s.beat = max(s.beat, beats[i])
+			s.lastBeatAt = max(s.lastBeatAt, beats[i])
 		}
 		if paused {
-			s.beat = now
+			s.lastBeatAt = now
 		}
 		switch {
-		case s.rests:
-		case s.fenced && now >= s.startAt:
-			s.fenced, s.beat, s.began = false, now, now
+		case s.unwatched:
+		case s.fenced && now >= s.restartAt:
+			s.fenced, s.lastBeatAt, s.startedAt = false, now, now
 			start = append(start, i)
-		case !s.fenced && now-s.beat > standsAt:
+		case !s.fenced && now-s.lastBeatAt > stallTimeout:
 			d.Fence(now, i)
 			fence = append(fence, i)
 		}
@@ -74,23 +74,23 @@
 	if s.fenced {
 		return
 	}
-	if now-s.began > steady {
-		s.fails = 0
+	if now-s.startedAt > stableAfter {
+		s.failures = 0
 	}
 	s.fenced = true
-	s.startAt = now + min(longest, again*math.Pow(2, float64(min(s.fails, 10))))
-	s.fails++
+	s.restartAt = now + min(maxRestartDelay, minRestartDelay*math.Pow(2, float64(min(s.failures, 10))))
+	s.failures++
 }
 
-// Rest takes a shard out of the watch: it has ended, or has not begun. Begin takes it in.
-func (d *Watchdog) Rest(at int) { d.shards[at].rests = true }
+// Unwatch takes a shard out of the watch: it has ended, or has not begun. Begin takes it in.
+func (d *Watchdog) Unwatch(at int) { d.shards[at].unwatched = true }
 
-// Begin notes that a shard begins.
-func (d *Watchdog) Begin(now float64, at int) { d.shards[at] = shard{beat: now, began: now} }
+// Watch notes that a shard begins.
+func (d *Watchdog) Watch(now float64, at int) { d.shards[at] = shard{lastBeatAt: now, startedAt: now} }
 
-// Quiet tells whether a shard has given no sign of life for longer than its housekeeping comes: what is about to
+// IsSilent tells whether a shard has given no sign of life for longer than its housekeeping comes: what is about to
 // expire there can't wait for it.
-func Quiet(now, beat float64) bool { return now-beat > quiet }
+func IsSilent(now, beat float64) bool { return now-beat > silenceThreshold }
 
-// Fenced tells whether a shard is.
-func (d *Watchdog) Fenced(at int) bool { return d.shards[at].fenced }
+// IsFenced tells whether a shard is.
+func (d *Watchdog) IsFenced(at int) bool { return d.shards[at].fenced }
--- a/internal/decide/watchdog/watchdog_test.go
+++ b/internal/decide/watchdog/watchdog_test.go
@@ -32,7 +32,7 @@
 						beats[i] = 2950
 					}
 				}
-				fence, start := d.Look(now, beats)
+				fence, start := d.Check(now, beats)
 				for _, i := range fence {
 					fences[i]++
 				}
--- a/internal/decide/watchretry/watchretry_test.go
+++ b/internal/decide/watchretry/watchretry_test.go
@@ -4,35 +4,35 @@
 
 func TestWatch(t *testing.T) {
 	var w Retrier
-	if !w.Ask(10) || w.Ask(11) {
+	if !w.BeginConnect(10) || w.BeginConnect(11) {
 		t.Fatal("asks at once, and once")
 	}
-	if !w.Failing(5000) || w.Live(5000) {
+	if !w.IsFailing(5000) || w.IsLive(5000) {
 		t.Error("a service that was never heard")
 	}
-	w.Linked(20)
-	w.Heard(30)
-	if w.Silent(1900) || !w.Live(1900) || !w.Silent(2000) || w.Live(2000) {
+	w.OnConnected(20)
+	w.OnEvent(30)
+	if w.IsSilent(1900) || !w.IsLive(1900) || !w.IsSilent(2000) || w.IsLive(2000) {
 		t.Error("silence")
 	}
-	w.Broke(2000)
-	if w.Ask(2010) || !w.Ask(2100) {
+	w.OnDisconnected(2000)
+	if w.BeginConnect(2010) || !w.BeginConnect(2100) {
 		t.Error("asked again too soon, or not soon")
 	}
 	last, gap, asks := 2100.0, 0.0, 0
-	w.Broke(2100)
+	w.OnDisconnected(2100)
 	for now := 2100.0; now < 12100; now += 10 {
-		if w.Ask(now) {
+		if w.BeginConnect(now) {
 			gap, last = now-last, now
 			asks++
-			w.Broke(now)
+			w.OnDisconnected(now)
 		}
 	}
 	if gap < 300 || gap > 700 || asks > 40 {
 		t.Errorf("%d asks in 10 s of a service that is not there, the last after %g ms", asks, gap)
 	}
-	w.Moved(12100)
-	if !w.Ask(12100) {
+	w.OnAddressChanged(12100)
+	if !w.BeginConnect(12100) {
 		t.Error("a new address is asked at once")
 	}
 }
@@ -41,30 +41,30 @@
 // connected anew.
 func TestSilentAnew(t *testing.T) {
 	var w Retrier
-	w.Ask(0)
-	w.Linked(10)
-	w.Heard(20)
-	w.Broke(30)
+	w.BeginConnect(0)
+	w.OnConnected(10)
+	w.OnEvent(20)
+	w.OnDisconnected(30)
 	failed := false
 	for now := 40.0; now < 20000; now += 10 {
 		switch {
-		case w.Ask(now):
-			w.Linked(now)
-		case w.Silent(now):
-			w.Broke(now)
+		case w.BeginConnect(now):
+			w.OnConnected(now)
+		case w.IsSilent(now):
+			w.OnDisconnected(now)
 		}
-		if w.Live(now) {
+		if w.IsLive(now) {
 			t.Fatalf("live at %g ms, on a connection that has told nothing", now)
 		}
-		failed = failed || w.Failing(now)
+		failed = failed || w.IsFailing(now)
 	}
 	if !failed {
 		t.Error("calls for news wait for ever")
 	}
-	w.Ask(30000)
-	w.Linked(30000)
-	w.Heard(30001)
-	if !w.Live(30002) || w.Failing(30002) {
+	w.BeginConnect(30000)
+	w.OnConnected(30000)
+	w.OnEvent(30001)
+	if !w.IsLive(30002) || w.IsFailing(30002) {
 		t.Error("not live after its first line")
 	}
 }
@@ -82,15 +82,15 @@
 		{"silence in its midst", 2500, 3000, true},
 	} {
 		var w Retrier
-		w.Ask(0)
-		w.Linked(0)
+		w.BeginConnect(0)
+		w.OnConnected(0)
 		next, silent := 0.0, false
 		for now := 0.0; now < 5000 && now < c.line && !silent; now += 10 {
 			if now >= next {
-				w.Came(now)
+				w.OnBytes(now)
 				next = now + c.bytes
 			}
-			silent = w.Silent(now)
+			silent = w.IsSilent(now)
 		}
 		if silent != c.silent {
 			t.Errorf("%s: given up %v", c.name, silent)
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -69,7 +69,7 @@
 		service: a.service, token: a.token, cores: a.cores, memory: a.memory, sentAt: a.sentAt,
 	})
 	if e.jobEffects[a.jobClass] != logic.Restartable {
-		e.scheduleClaim(attemptID{a.ticket, a.attempt}, outcome.Claims())
+		e.scheduleClaim(attemptID{a.ticket, a.attempt}, outcome.MaxClaims())
 	}
 	e.completeAttempt(p, verdict, logic.ReasonUnknown, nil)
 }
@@ -124,7 +124,7 @@
 	}
 	if a.client == noClient { // answered before, or too late to be told
 		e.stats.LateStarts++
-		if outcome.Late(e.jobEffects[a.jobClass], false, false) == outcome.Stop {
+		if outcome.OnLateStart(e.jobEffects[a.jobClass], false, false) == outcome.Stop {
 			e.stop(a)
 		} else {
 			e.keepForRetry(a)
@@ -145,7 +145,7 @@
 
 // keepForRetry holds a running allocation of nobody's for its owner's next ask.
 func (e *Engine) keepForRetry(a *allocation) {
-	a.dueAt = e.now + outcome.KeepFor(e.config.SettleTime)
+	a.dueAt = e.now + outcome.LateStartRetention(e.config.SettleTime)
 	e.timers.Set(a.dueAt, timerKeep, uint64(a.id))
 }
 
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -27,8 +27,8 @@
 		return
 	}
 	a.phase = phaseConnecting
-	e.pacer.Want(e.now, nd)
-	e.timers.Set(e.now+min(outcome.LinkFor(), timeout), timerConnect, attemptTimerKey(id, a.attempt))
+	e.pacer.Prioritize(e.now, nd)
+	e.timers.Set(e.now+min(outcome.ConnectTimeout(), timeout), timerConnect, attemptTimerKey(id, a.attempt))
 }
 
 func (e *Engine) sendOffer(a *allocation, n *node) {
@@ -94,11 +94,11 @@
 	}
 	n.probing, n.probeSent, n.probeStartedAt = true, n.ready, e.now
 	n.probeSeq++
-	e.timers.Set(e.now+outcome.ProbeFor(), timerProbe, uint64(uint32(n.probeSeq))<<32|uint64(uint32(nd)))
+	e.timers.Set(e.now+outcome.ProbeTimeout(), timerProbe, uint64(uint32(n.probeSeq))<<32|uint64(uint32(nd)))
 	if n.ready {
 		e.effects.Probe(n.id, n.probeSeq)
 	} else {
-		e.pacer.Want(e.now, nd)
+		e.pacer.Prioritize(e.now, nd)
 	}
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -180,7 +180,7 @@
 	now           float64
 	timers        timers.Heap[timerKind]
 	pacer         *reconnect.Pacer
-	admission     *admit.Door
+	admission     *admit.Limiter
 	pauseDetector pausedetect.Detector
 	hasEvents     bool
 
@@ -238,7 +238,7 @@
 // Round acts on what is due and lets the module decide on the news since the last.
 func (e *Engine) Round(now float64) {
 	e.now = now
-	stood, act := e.pauseDetector.Round(now, e.hasEvents)
+	stood, act := e.pauseDetector.OnRound(now, e.hasEvents)
 	e.hasEvents = false
 	if stood > 0 {
 		e.effects.Log(fmt.Sprintf("stall: stood still %.0f ms, %d open, reads before it acts", stood, e.admission.Open()))
@@ -269,13 +269,13 @@
 // NextRound is when Round is to be called at the latest, unless there is news before.
 func (e *Engine) NextRound() float64 {
 	if len(e.deferred) > 0 {
-		return max(e.now, e.pauseDetector.Until())
+		return max(e.now, e.pauseDetector.ResumeAt())
 	}
 	at := e.pacer.Due()
 	if first, ok := e.timers.First(); ok {
 		at = min(at, first)
 	}
-	return max(at, e.pauseDetector.Until())
+	return max(at, e.pauseDetector.ResumeAt())
 }
 
 func (e *Engine) fire(b timer) {
@@ -295,7 +295,7 @@
 				e.abandonAttempt(p, logic.ConnectionLost)
 			case phaseRunning:
 				n := &e.nodes[a.nodeIndex]
-				if more := outcome.Longer(e.now-n.lostAt, e.config.AliveAtPeers != nil && e.config.AliveAtPeers(e.now, n.id, n.incarnation)); more > 0 {
+				if more := outcome.ClaimExtension(e.now-n.lostAt, e.config.AliveAtPeers != nil && e.config.AliveAtPeers(e.now, n.id, n.incarnation)); more > 0 {
 					a.confirmBy = e.now + more
 					e.timers.Set(a.confirmBy, timerConfirm, uint64(a.id))
 					if !n.graceExtended {
@@ -335,9 +335,9 @@
 			e.scheduleClaim(c.attempt, c.remaining)
 		}
 	case timerForget:
-		e.forgetMatching(func(g abandonedAttempt) bool { return e.now-g.sentAt > outcome.RememberFor() })
+		e.forgetMatching(func(g abandonedAttempt) bool { return e.now-g.sentAt > outcome.AttemptRetention() })
 		if len(e.abandoned) > 0 {
-			e.timers.Set(e.now+outcome.RememberFor()/4, timerForget, 0)
+			e.timers.Set(e.now+outcome.AttemptRetention()/4, timerForget, 0)
 		}
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -134,7 +134,7 @@
 		for range 150 {
 			s.pass(10)
 			for nd := range uint32(4) {
-				if s.e.pacer.Dialling(int(nd)) {
+				if s.e.pacer.IsDialing(int(nd)) {
 					s.e.OnDialFailed(s.now, nd+1, "refused")
 				}
 			}
@@ -292,7 +292,7 @@
 		t.Fatal(err)
 	}
 	parts := s.e.CountByService(nil, true, func(uint64, int) bool { return true })
-	if len(parts) != 1 || parts[0].Waits != 1 || parts[0].Runs != 1 || parts[0].Out != 1 || !parts[0].Goes {
+	if len(parts) != 1 || parts[0].Waiting != 1 || parts[0].Running != 1 || parts[0].Unresolved != 1 || !parts[0].BelongsElsewhere {
 		t.Fatalf("%+v", parts)
 	}
 	var given []Transfer
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -25,17 +25,17 @@
 
 // CountByService counts what the engine holds, by service in their order; goes tells which belong to another. runsGo tells
 // that what runs can be given at all.
-func (e *Engine) CountByService(into []handover.Part, runsGo bool, goes func(service uint64, tenant int) bool) []handover.Part {
+func (e *Engine) CountByService(into []handover.ServiceLoad, runsGo bool, goes func(service uint64, tenant int) bool) []handover.ServiceLoad {
 	at := map[uint64]int{}
-	part := func(service uint64, tenant, job int) *handover.Part {
+	part := func(service uint64, tenant, job int) *handover.ServiceLoad {
 		i, ok := at[service]
 		if !ok {
 			i = len(into)
 			at[service] = i
-			into = append(into, handover.Part{Service: service, Goes: goes(service, tenant)})
+			into = append(into, handover.ServiceLoad{Service: service, BelongsElsewhere: goes(service, tenant)})
 		}
 		if e.config.Cluster.JobClasses[job].Spread != logic.Anywhere {
-			into[i].Whole = true
+			into[i].Spread = true
 		}
 		return &into[i]
 	}
@@ -47,20 +47,20 @@
 		switch pt := part(a.service, a.tenant, a.jobClass); {
 		case e.isTransferable(a, runsGo):
 			if a.phase == phaseRunning {
-				pt.Runs++
+				pt.Running++
 			} else {
-				pt.Waits++
+				pt.Waiting++
 			}
 		default:
-			pt.Out++
+			pt.Unresolved++
 		}
 	}
 	for _, g := range e.abandoned { // counts alone: the order has no effect
 		if !g.started || !g.stopped {
-			part(g.service, g.tenant, g.jobClass).Out++
+			part(g.service, g.tenant, g.jobClass).Unresolved++
 		}
 	}
-	slices.SortFunc(into, func(x, y handover.Part) int {
+	slices.SortFunc(into, func(x, y handover.ServiceLoad) int {
 		if x.Service < y.Service {
 			return -1
 		}
@@ -106,7 +106,7 @@
 			e.forgetTransferred(p)
 			e.policy.OnOutcome(now, id, g.Node, try, now-a.sentAt, true, logic.ReasonUnknown, logic.Completed, nil)
 		} else {
-			e.admission.Leave(a.tenant)
+			e.admission.Release(a.tenant)
 			e.forgetTransferred(p)
 			e.policy.OnExpired(now, id)
 		}
@@ -149,7 +149,7 @@
 		return false
 	}
 	if a := &e.allocations[p]; !e.nodes[nd].connected { // the connection broke on the way
-		a.confirmBy = now + outcome.Patience(true)
+		a.confirmBy = now + outcome.ClaimTimeout(true)
 		e.timers.Set(a.confirmBy, timerConfirm, uint64(a.id))
 	}
 	return true
@@ -173,7 +173,7 @@
 }
 
 // SetOpenLimit changes how many allocations may be open.
-func (e *Engine) SetOpenLimit(open int) { e.admission.Limit(open) }
+func (e *Engine) SetOpenLimit(open int) { e.admission.SetLimit(open) }
 
 // SetSchedulerCount tells the module how many share what a cold node bears; 0: this one takes no part. A policy that knows of no
 // such thing goes on as it began.
--- a/internal/engine/late.go
+++ b/internal/engine/late.go
@@ -38,17 +38,17 @@
 func (e *Engine) scheduleClaim(name attemptID, times int) {
 	if times > 0 {
 		e.claims = append(e.claims, pendingClaim{name, times - 1})
-		e.timers.Set(e.now+outcome.ClaimEvery(e.config.SettleTime), timerClaim, 0)
+		e.timers.Set(e.now+outcome.ClaimInterval(e.config.SettleTime), timerClaim, 0)
 	}
 }
 
 func (e *Engine) rememberAbandoned(name attemptID, g abandonedAttempt) {
 	if len(e.abandoned) == 0 {
-		e.timers.Set(e.now+outcome.RememberFor()/4, timerForget, 0)
+		e.timers.Set(e.now+outcome.AttemptRetention()/4, timerForget, 0)
 	}
 	if _, ok := e.abandoned[name]; !ok {
 		e.nodes[g.nodeIndex].abandoned++
-		if outcome.Counts(e.config.Cluster.JobClasses[g.jobClass].Spread) {
+		if outcome.CountsAfterAbandon(e.config.Cluster.JobClasses[g.jobClass].Spread) {
 			e.lastID++
 			g.policyID = e.lastID
 			e.policy.OnRecovered(e.now, g.policyID, g.jobClass, g.tenant, g.service, g.cores, g.memory, e.nodes[g.nodeIndex].id)
@@ -100,7 +100,7 @@
 			p, open = q, true
 		}
 	}
-	switch outcome.Late(e.jobEffects[g.jobClass], open, open && e.allocations[p].phase != phaseWaiting) {
+	switch outcome.OnLateStart(e.jobEffects[g.jobClass], open, open && e.allocations[p].phase != phaseWaiting) {
 	case outcome.Stop:
 		e.stopAbandoned(name)
 	case outcome.Serve:
@@ -150,7 +150,7 @@
 // resolveLateStart decides about a late start whose allocation was answered without it.
 func (e *Engine) resolveLateStart(name attemptID) {
 	if g, ok := e.abandoned[name]; ok && name.ticket != 0 && !g.stopped {
-		if outcome.Late(e.jobEffects[g.jobClass], false, false) == outcome.Stop {
+		if outcome.OnLateStart(e.jobEffects[g.jobClass], false, false) == outcome.Stop {
 			e.stopAbandoned(name)
 		} else {
 			if q := e.recoverTask(name, g); q >= 0 {
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -195,7 +195,7 @@
 func (e *Engine) setAvailability(nd int, avail logic.Availability) {
 	n := &e.nodes[nd]
 	n.availability = avail
-	e.pacer.Keep(e.now, nd, avail != logic.Unavailable && !n.released)
+	e.pacer.SetEnabled(e.now, nd, avail != logic.Unavailable && !n.released)
 	if avail == logic.Unavailable && !n.connected {
 		e.endRemoved(nd)
 	}
@@ -205,10 +205,10 @@
 func (e *Engine) endRemoved(nd int) {
 	for i := len(e.nodes[nd].allocations) - 1; i >= 0; i-- {
 		p := e.nodes[nd].allocations[i]
-		switch outcome.GoneFrom(false, e.allocations[p].phase != phaseConnecting) {
-		case outcome.MayHave:
+		switch outcome.AfterNodeRemoved(false, e.allocations[p].phase != phaseConnecting) {
+		case outcome.MayHaveRun:
 			e.completeAttempt(p, logic.ConnectionLost, logic.ReasonUnknown, nil)
-		case outcome.Never:
+		case outcome.NeverRan:
 			e.completeAttempt(p, logic.Unreachable, logic.ReasonUnknown, nil)
 		}
 	}
@@ -221,7 +221,7 @@
 	if !ok {
 		return
 	}
-	e.pacer.Failed(now, nd)
+	e.pacer.OnDialFailed(now, nd)
 	n := &e.nodes[nd]
 	for i := len(n.allocations) - 1; i >= 0; i-- { // what was to wait for the connection was never sent
 		if p := n.allocations[i]; e.allocations[p].phase == phaseConnecting {
@@ -241,7 +241,7 @@
 	if !ok {
 		return
 	}
-	e.pacer.Linked(now, nd)
+	e.pacer.OnConnected(now, nd)
 	n := &e.nodes[nd]
 	if since > n.listed.startedAt+startTolerance && now-since < e.config.Cluster.SlowStartDuration { // to the module a later start is a cold one
 		n.startedAt, n.listed.startedAt = since, since
@@ -343,10 +343,10 @@
 			}
 			continue
 		}
-		switch outcome.Returned(n.sameIncarnation, a.reported) {
-		case outcome.MayHave:
+		switch outcome.AfterReconnect(n.sameIncarnation, a.reported) {
+		case outcome.MayHaveRun:
 			e.completeAttempt(p, logic.ConnectionLost, logic.ReasonUnknown, nil)
-		case outcome.Ask:
+		case outcome.MustClaim:
 			e.effects.Claim(id, a.ticket, a.attempt)
 		}
 	}
@@ -415,7 +415,7 @@
 // OnUnsent says that a try's last byte provably never left this machine. It comes before Unlinked.
 func (e *Engine) OnUnsent(now float64, id uint32, ticket uint64, try uint8) {
 	e.now, e.hasEvents = now, true
-	if p, ok := e.findAttempt(ticket, try); ok && e.allocations[p].phase == phaseInFlight && outcome.Broke(false) == outcome.Never {
+	if p, ok := e.findAttempt(ticket, try); ok && e.allocations[p].phase == phaseInFlight && outcome.AfterDisconnect(false) == outcome.NeverRan {
 		e.completeAttempt(p, logic.Unreachable, logic.ReasonUnknown, nil)
 	}
 }
@@ -429,7 +429,7 @@
 	}
 	n := &e.nodes[nd]
 	n.connected, n.ready, n.lostAt, n.graceExtended = false, false, now, false
-	e.pacer.Broken(now, nd)
+	e.pacer.OnDisconnected(now, nd)
 	if n.availability == logic.Unavailable {
 		e.endRemoved(nd)
 		return
@@ -437,7 +437,7 @@
 	for _, p := range n.allocations {
 		a := &e.allocations[p]
 		if a.phase == phaseInFlight || a.phase == phaseRunning {
-			a.confirmBy = now + outcome.Patience(a.phase == phaseRunning)
+			a.confirmBy = now + outcome.ClaimTimeout(a.phase == phaseRunning)
 			e.timers.Set(a.confirmBy, timerConfirm, uint64(a.id))
 		}
 	}
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -26,7 +26,7 @@
 // answer gives the final answer, once, and never after the owner's time is up.
 func (e *Engine) answer(a *allocation, answer Answer, nd uint32, why string, holdOff float64) {
 	a.answered = true
-	e.admission.Leave(a.tenant)
+	e.admission.Release(a.tenant)
 	if a.client == noClient {
 		return
 	}
@@ -74,7 +74,7 @@
 		return nil
 	}
 	least := e.config.AnswerMargin + 4*e.config.Cluster.MinRoundInterval
-	if why := e.admission.Enter(tenant, left, least, e.fits(jobType, cores, memory)); why != admit.Taken {
+	if why := e.admission.Admit(tenant, left, least, e.fits(jobType, cores, memory)); why != admit.Admitted {
 		e.stats.Rejected++
 		if e.effects.PermitAnswer(tenant, token, epoch, false) {
 			e.effects.Answer(owner, ref, Declined, 0, why.String(), 0)
@@ -143,7 +143,7 @@
 		e.clearClient(a)
 	}
 	jt, verdict := &e.config.Cluster.JobClasses[a.jobClass], Failed
-	if outcome.Withdrawn(jt.Semantics, jt.IdempotencyScope, a.phase == phaseInFlight, a.mayHaveRun) {
+	if outcome.IsRetrySafe(jt.Semantics, jt.IdempotencyScope, a.phase == phaseInFlight, a.mayHaveRun) {
 		verdict = Declined
 	}
 	late := a.lateStart
--- a/internal/engine/workingset.go
+++ b/internal/engine/workingset.go
@@ -48,7 +48,7 @@
 func (e *Engine) retain(now float64, nd int) {
 	n := &e.nodes[nd]
 	n.released = false
-	e.pacer.Keep(now, nd, n.availability != logic.Unavailable)
+	e.pacer.SetEnabled(now, nd, n.availability != logic.Unavailable)
 }
 
 // Release lets go of a node that is set aside if nothing stands there: it is not kept connected any more. It tells
@@ -75,7 +75,7 @@
 
 func (e *Engine) release(now float64, nd int) {
 	e.nodes[nd].released = true
-	e.pacer.Keep(now, nd, false)
+	e.pacer.SetEnabled(now, nd, false)
 }
 
 // Demand is what an engine's tasks ask for, and which of them find no node.
--- a/internal/keys/guard.go
+++ b/internal/keys/guard.go
@@ -211,12 +211,12 @@
 	if len(s.OrganizationalUnit) != 1 {
 		return access.Caller{}, errors.New("certificate without a role")
 	}
-	role, err := access.RoleOf(s.OrganizationalUnit[0])
+	role, err := access.ParseRole(s.OrganizationalUnit[0])
 	if err != nil {
 		return access.Caller{}, err
 	}
 	who := access.Caller{Role: role, Name: s.CommonName}
-	if role.Bound() {
+	if role.IsTenantRole() {
 		if len(s.Organization) != 1 {
 			return access.Caller{}, errors.New("certificate without a tenant")
 		}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -187,9 +187,9 @@
 		return nil, fmt.Errorf("keys: name %q: a plain word is expected, not ca or crl", w.Name)
 	case w.Lifetime <= 0:
 		return nil, errors.New("keys: a time above 0 is expected")
-	case len(w.Hosts) == 0 && w.Role == access.Nobody:
+	case len(w.Hosts) == 0 && w.Role == access.NoRole:
 		return nil, errors.New("keys: a person has a role, a server has hosts")
-	case w.Role.Bound() != (w.Tenant != ""):
+	case w.Role.IsTenantRole() != (w.Tenant != ""):
 		return nil, fmt.Errorf("keys: role %s: a tenant stands where the role is one tenant's, and only there", w.Role)
 	}
 	ca, signer, err := a.signer()
--- a/internal/lab/states/world.go
+++ b/internal/lab/states/world.go
@@ -347,7 +347,7 @@
 func (p *play) hand(s int) {
 	to, e := 1-s, p.eng[s]
 	parts := e.CountByService(nil, true, func(uint64, int) bool { return true })
-	var g handover.Giver
+	var g handover.Planner
 	if give, _ := g.Next(p.now, parts); len(give) == 0 {
 		return
 	}
--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -120,11 +120,11 @@
 	s := c.s
 	left, okLeft := codec.Number(msg, codec.Left)
 	description, okDescription := codec.Param(msg, codec.Description)
-	if !okLeft || !connlimits.Means(left, s.known.Expiry[f.jobType]) || !okDescription || len(description) == 0 {
+	if !okLeft || !connlimits.IsPlausibleWait(left, s.known.Expiry[f.jobType]) || !okDescription || len(description) == 0 {
 		return invalid("time left or description")
 	}
 	c.active, c.requested = true, true
-	left = s.lag.Left(now, left)
+	left = s.lag.RemainingTime(now, left)
 	if why := c.hasRoom(now, f.tenant, left); why != nil {
 		return why
 	}
@@ -143,19 +143,19 @@
 func (c *client) hasRoom(now float64, tenant int, left float64) *rejection {
 	s := c.s
 	switch {
-	case s.stopped && now >= s.plan.Shut:
+	case s.stopped && now >= s.plan.RejectAt:
 		return busy("ends")
 	case !c.admit(now):
 		return busy("no room for its connection")
-	case len(c.open) >= s.parts.OnOne:
+	case len(c.open) >= s.parts.OpenPerConn:
 		return busy("too many on one connection")
 	case len(s.requests)+len(s.inbox) >= s.parts.Held:
 		return busy("too much is held")
-	case !s.gate.Enter(now, s.lag.Behind(now), len(s.inbox)):
+	case !s.gate.Admit(now, s.lag.Delay(now), len(s.inbox)):
 		s.counts.behind++
 		return busy("behind")
 	}
-	if why := s.admit.Enter(tenant, left, connlimits.LeastLeft, true); why != admit.Taken {
+	if why := s.admit.Admit(tenant, left, connlimits.MinTimeLeft, true); why != admit.Admitted {
 		return busy(why.String())
 	}
 	return nil
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -40,8 +40,8 @@
 	now := s.world.Now()
 	s.accepted++
 	c := &client{s: s, no: s.accepted, conn: conn, since: now, usedAt: now, open: map[uint64]*request{}, running: map[*request]bool{}}
-	if len(s.clients)-s.provisional >= s.parts.Clients {
-		if s.provisional >= s.parts.Provisional {
+	if len(s.clients)-s.provisional >= s.parts.ClientConns {
+		if s.provisional >= s.parts.ProvisionalConns {
 			for _, first := range s.eachClient() {
 				if first.provisional {
 					first.evict("provisional and silent")
@@ -53,7 +53,7 @@
 		s.provisional++
 	}
 	s.clients[c] = true
-	conn.Start(c, connlimits.Stuck)
+	conn.Start(c, connlimits.WriteTimeout)
 }
 
 // admit gives a provisional connection on which something useful came the place of an idle one. It tells whether the connection is admitted.
@@ -62,10 +62,10 @@
 	if !c.provisional {
 		return true
 	}
-	if len(s.clients)-s.provisional >= s.parts.Clients {
+	if len(s.clients)-s.provisional >= s.parts.ClientConns {
 		var idlest *client
 		for _, x := range s.eachClient() {
-			if !x.provisional && len(x.open) == 0 && len(x.running) == 0 && len(x.in) == 0 && now-x.usedAt > connlimits.IdleEnough &&
+			if !x.provisional && len(x.open) == 0 && len(x.running) == 0 && len(x.in) == 0 && now-x.usedAt > connlimits.MinIdleTime &&
 				(idlest == nil || x.idlerThan(idlest)) {
 				idlest = x
 			}
@@ -111,7 +111,7 @@
 	switch {
 	case !ok:
 		return 0
-	case waits > connlimits.MostWaits:
+	case waits > connlimits.MaxUnsentBytes:
 		c.evict("does not read")
 		return 0
 	}
@@ -238,12 +238,12 @@
 func (s *Server) clientsTick(now float64) {
 	for _, c := range s.eachClient() {
 		switch {
-		case !c.active && now-c.since > connlimits.FirstWord:
+		case !c.active && now-c.since > connlimits.FirstMessageTimeout:
 			c.evict("silent")
-		case len(c.in) > 0 && now-c.halfAt > connlimits.HalfWord:
+		case len(c.in) > 0 && now-c.halfAt > connlimits.MessageTimeout:
 			c.evict("incomplete message")
 		case len(s.pending) > 0 && (c.verified || c.requested) && c.isOpen():
-			for len(s.pending) > 0 && (c.verified || now-s.pending[0].since >= connlimits.EndWaits) && c.send(s.pending[0].append) {
+			for len(s.pending) > 0 && (c.verified || now-s.pending[0].since >= connlimits.VerifiedConnWait) && c.send(s.pending[0].append) {
 				s.pending = s.pending[1:]
 			}
 			if len(s.pending) == 0 {
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -134,8 +134,8 @@
 		}
 		r.pass(60)
 	}
-	if n, g := len(r.s.clients), r.s.provisional; n-g > r.s.parts.Clients || g > r.s.parts.Provisional {
-		t.Errorf("%d connections, %d of them not let in; %d and %d are allowed", n, g, r.s.parts.Clients, r.s.parts.Provisional)
+	if n, g := len(r.s.clients), r.s.provisional; n-g > r.s.parts.ClientConns || g > r.s.parts.ProvisionalConns {
+		t.Errorf("%d connections, %d of them not let in; %d and %d are allowed", n, g, r.s.parts.ClientConns, r.s.parts.ProvisionalConns)
 	}
 	y := r.dial()
 	y.ask(8, "batch")
@@ -225,7 +225,7 @@
 // TestShares has descriptors so short that set-ups share connections: all are served, and few connections are made.
 func TestShares(t *testing.T) {
 	r := begin(t, "a", "b")
-	r.s.parts.Nodes = 2
+	r.s.parts.NodeConns = 2
 	x := r.dial()
 	for task := range uint64(10) {
 		x.ask(task+1, "batch")
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -30,7 +30,7 @@
 			}
 			r := begin(t, names...)
 			var doors []*testClient
-			for range r.s.parts.Clients {
+			for range r.s.parts.ClientConns {
 				x := &testClient{ear: &ear{}, r: r}
 				x.heard = func([]byte) {}
 				r.clients.Dial(door, 1000, func(c outside.Conn, err error) {
@@ -43,7 +43,7 @@
 				doors = append(doors, x)
 			}
 			r.pass(100)
-			if len(r.s.clients) != r.s.parts.Clients {
+			if len(r.s.clients) != r.s.parts.ClientConns {
 				t.Fatalf("%d client connections", len(r.s.clients))
 			}
 			most, ended := 0, map[uint64]float64{}
@@ -87,8 +87,8 @@
 				r.pass(60)
 				count()
 			}
-			if most > r.s.parts.Clients+r.s.parts.Nodes || most > r.configuration.Sockets*98/100-8 {
-				t.Errorf("%d connections at once, %d and %d are allowed of %d descriptors", most, r.s.parts.Clients, r.s.parts.Nodes, r.configuration.Sockets)
+			if most > r.s.parts.ClientConns+r.s.parts.NodeConns || most > r.configuration.Sockets*98/100-8 {
+				t.Errorf("%d connections at once, %d and %d are allowed of %d descriptors", most, r.s.parts.ClientConns, r.s.parts.NodeConns, r.configuration.Sockets)
 			}
 			late, unheard := 0, 0
 			for i := range names {
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -41,7 +41,7 @@
 // answered counts a request out of those that are open. Its task's number is free from then on, unless the task runs.
 func (s *Server) answered(a *request) {
 	a.answered = true
-	s.admit.Leave(a.tenant)
+	s.admit.Release(a.tenant)
 	if a.client != nil {
 		delete(a.client.open, a.task)
 	}
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -100,21 +100,21 @@
 // feedTick asks the journal service anew where that is due, and tells the module what a call came to.
 func (s *Server) feedTick(now float64) {
 	f := &s.feed
-	if f.watch.Silent(now) {
+	if f.watch.IsSilent(now) {
 		s.log.Info().Str("mode", "journal").Uint64("pos", f.pos).Msg("silent, asked anew")
 		f.current.end(now)
 	}
-	if f.watch.Ask(now) {
+	if f.watch.BeginConnect(now) {
 		t := &journalWatch{s: s}
 		f.current = t
-		s.world.Dial(f.address, watchretry.Reach(), t.made)
+		s.world.Dial(f.address, watchretry.ConnectTimeout(), t.made)
 	}
 	switch {
-	case f.asked && f.watch.Live(now):
+	case f.asked && f.watch.IsLive(now):
 		f.asked = false
 		s.host.ListBegin(now, logic.ListChanges)
 		s.host.ListEnd()
-	case f.asked && f.watch.Failing(now):
+	case f.asked && f.watch.IsFailing(now):
 		f.asked = false
 		s.host.ListBegin(now, logic.ListFailed)
 		s.host.ListEnd()
@@ -136,7 +136,7 @@
 		}
 	}
 	f.address = address
-	f.watch.Moved(now)
+	f.watch.OnAddressChanged(now)
 	s.feedTick(now)
 }
 
@@ -151,11 +151,11 @@
 	case t.gone:
 	case err != nil:
 		t.gone = true
-		s.feed.watch.Broke(now)
+		s.feed.watch.OnDisconnected(now)
 	default:
 		t.conn = c
-		s.feed.watch.Linked(now)
-		c.Start(t, connlimits.Stuck)
+		s.feed.watch.OnConnected(now)
+		c.Start(t, connlimits.WriteTimeout)
 		c.Send(func(b []byte) []byte {
 			return append(strconv.AppendUint(append(b, "tail "...), s.feed.pos, 10), '\n')
 		})
@@ -169,7 +169,7 @@
 	}
 	t.gone, t.in = true, nil
 	t.conn.Close(false, nil)
-	t.s.feed.watch.Broke(now)
+	t.s.feed.watch.OnDisconnected(now)
 }
 
 func (t *journalWatch) OnData(b []byte) {
@@ -184,7 +184,7 @@
 		t.end(now)
 		return
 	}
-	s.feed.watch.Came(now)
+	s.feed.watch.OnBytes(now)
 	t.in = append(t.in, b...)
 	took := false
 	for {
@@ -197,7 +197,7 @@
 			t.end(now)
 			return
 		}
-		s.feed.watch.Heard(now)
+		s.feed.watch.OnEvent(now)
 		t.in, took = rest, true
 	}
 	if len(t.in) > longLine {
--- a/internal/platform/host/actions.go
+++ b/internal/platform/host/actions.go
@@ -56,7 +56,7 @@
 	if a := h.allocs[id]; a != nil && a.stands && !a.unheard {
 		a.unheard, a.moved = true, true
 		h.edge.Move(id) // ends it at its node too: a cut that came first there would leave the client untold
-		h.bells.Set(h.now+outcome.Latest(), dueEnd, tryKey(id, a.tries-1))
+		h.bells.Set(h.now+outcome.EndTimeout(), dueEnd, tryKey(id, a.tries-1))
 	}
 }
 
--- a/internal/platform/host/fence.go
+++ b/internal/platform/host/fence.go
@@ -50,8 +50,10 @@
 	if !f.down {
 		return false
 	}
-	h.answerAll(func(a *alloc) bool { return outcome.Untold(f.cl.JobClasses[a.request.jobType].Semantics, a.tries) })
-	if _, start := f.dog.Look(h.now, []float64{h.now}); len(start) == 0 {
+	h.answerAll(func(a *alloc) bool {
+		return outcome.IsRetrySafeAfterLoss(f.cl.JobClasses[a.request.jobType].Semantics, a.tries)
+	})
+	if _, start := f.dog.Check(h.now, []float64{h.now}); len(start) == 0 {
 		return true
 	}
 	f.down = false
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -108,7 +108,7 @@
 func New(edge Edge, now float64, seed uint64, cl *logic.Cluster) *Host {
 	h := &Host{
 		edge: edge, step: cl.MinRoundInterval, most: cl.MaxAttempts, now: now, last: math.Inf(-1), allocs: map[uint32]*alloc{},
-		probes: map[uint32]probe{}, probeFor: outcome.ProbeFor(),
+		probes: map[uint32]probe{}, probeFor: outcome.ProbeTimeout(),
 	}
 	h.words.Tell = func(what, why string) { h.edge.Mode("words: " + what + " switched off: " + why) }
 	h.fence.begin(now, seed, cl)
@@ -124,7 +124,7 @@
 func (h *Host) Patience(ms float64) { h.patience = ms }
 
 // Connects says how long a connection to a node may take to be made, which a probe may have to wait for.
-func (h *Host) Connects(ms float64) { h.probeFor = outcome.ProbeWithin(ms) }
+func (h *Host) Connects(ms float64) { h.probeFor = outcome.ProbeTimeoutFor(ms) }
 
 // Round rings what is due and lets the module decide. Rounds come no closer than the step; one that comes too early
 // does nothing.
@@ -134,7 +134,7 @@
 	}
 	h.hear(now)
 	h.last = h.now
-	stood, act := h.stalls.Round(h.now, h.news)
+	stood, act := h.stalls.OnRound(h.now, h.news)
 	h.news = false
 	if stood > 0 {
 		h.edge.Mode(fmt.Sprintf("stall: stood still %.0f ms, %d open, reads before it acts", stood, h.open))
@@ -169,9 +169,9 @@
 		at = h.now
 	}
 	if h.fence.down {
-		at = min(at, h.now+watchdog.LookEach())
+		at = min(at, h.now+watchdog.CheckInterval())
 	}
-	return max(at, h.last+h.step, h.stalls.Until())
+	return max(at, h.last+h.step, h.stalls.ResumeAt())
 }
 
 func (h *Host) hear(now float64) {
@@ -302,7 +302,7 @@
 	ran = end.Ran()
 	if ran && !a.over {
 		job := h.fence.cl.JobClasses[a.request.jobType]
-		h.edge.Answer(id, outcome.DeclinedAfterRun(job.Semantics, job.IdempotencyScope))
+		h.edge.Answer(id, outcome.IsRetrySafeAfterRun(job.Semantics, job.IdempotencyScope))
 		h.answered(a)
 		h.tell(func(m *logic.Scheduler) { m.OnExpired(h.now, id) })
 	}
@@ -352,7 +352,7 @@
 	a.unheard = true
 	if a.stands {
 		h.edge.Cut(id, a.node)
-		h.bells.Set(h.now+outcome.Latest(), dueEnd, tryKey(id, a.tries-1))
+		h.bells.Set(h.now+outcome.EndTimeout(), dueEnd, tryKey(id, a.tries-1))
 		h.tell(func(m *logic.Scheduler) { m.OnExpired(h.now, id) })
 		return
 	}
--- a/internal/platform/journal_test.go
+++ b/internal/platform/journal_test.go
@@ -120,7 +120,7 @@
 			if r.s.names["a"] != nil || r.s.names["b"] == nil {
 				t.Errorf("nodes known: %d", len(r.s.names))
 			}
-			if live := r.s.feed.watch.Live(r.sched.Now()); !live || len(r.journal.tails) > 3 {
+			if live := r.s.feed.watch.IsLive(r.sched.Now()); !live || len(r.journal.tails) > 3 {
 				t.Errorf("live %v after %q", live, r.journal.tails)
 			}
 		})
--- a/internal/platform/links.go
+++ b/internal/platform/links.go
@@ -65,14 +65,14 @@
 			if l.open() {
 				return l
 			}
-		case s.links >= s.parts.Nodes && (shared == nil || len(l.requests) < len(shared.requests)) && l.open():
+		case s.links >= s.parts.NodeConns && (shared == nil || len(l.requests) < len(shared.requests)) && l.open():
 			shared = l
 		}
 	}
 	if shared != nil {
 		return shared
 	}
-	if !s.room(now, budget.Offer, p) {
+	if !s.room(now, budget.ForPlacement, p) {
 		return nil
 	}
 	return s.dial(p)
@@ -80,15 +80,15 @@
 
 // room tells whether a connection to a node may be made, after another has given way if need be.
 func (s *Server) room(now float64, purpose budget.Purpose, p *peer) bool {
-	w := budget.Wants{For: purpose, Held: s.links, Looked: p.watch.Since(now)}
+	w := budget.NodeConnRequest{Purpose: purpose, Held: s.links, SinceCheck: p.watch.SinceContact(now)}
 	var gives *link
-	if w.Held >= s.parts.Nodes {
+	if w.Held >= s.parts.NodeConns {
 		w.Idle, w.Spare, gives = s.idlest(p)
 	}
-	switch s.parts.Node(w) {
-	case budget.Forego:
+	switch s.parts.DecideNodeConn(w) {
+	case budget.Skip:
 		return false
-	case budget.Trade:
+	case budget.Replace:
 		gives.end(true)
 	}
 	return true
@@ -124,7 +124,7 @@
 
 // fresh tells whether a connection may still be used.
 func (s *Server) fresh(l *link, now float64) bool {
-	return connlimits.Fresh(now-l.idle, s.known.IdleFor)
+	return connlimits.IsReusable(now-l.idle, s.known.IdleFor)
 }
 
 // open tells whether a connection is being made, or its node has not closed it: what is sent on one that is closed may be lost with it, or
@@ -152,14 +152,14 @@
 	now := s.world.Now()
 	if err != nil {
 		s.trace("dial failed", 0, func(e *zerolog.Event) { e.Str("node", l.peer.name).Err(err) })
-		unmade := outcome.Unmade()
+		unmade := outcome.VerdictWithoutConnection()
 		if errors.Is(err, outside.ErrExhausted) { // the want is this machine's own, and says nothing of the node
 			s.counts.spent++
-			l.peer.watch.Missed()
+			l.peer.watch.OnProbeSkipped()
 			unmade = logic.NotSent
 		} else {
 			s.counts.refused++
-			l.peer.watch.Looked(now, errors.Is(err, outside.ErrRefused))
+			l.peer.watch.OnProbeFailed(now, errors.Is(err, outside.ErrRefused))
 		}
 		l.forget()
 		l.settle(func(*request) logic.Outcome { return unmade }, logic.Unreachable)
@@ -176,8 +176,8 @@
 	}
 	l.conn = c
 	l.idle = now
-	l.peer.watch.Heard(now)
-	c.Start(l, connlimits.Stuck)
+	l.peer.watch.OnContact(now)
+	c.Start(l, connlimits.WriteTimeout)
 	for _, a := range slices.Clone(l.requests) {
 		if now >= a.until { // what waited for it longer than it was decided for is void
 			l.drop(a)
@@ -246,7 +246,7 @@
 		l.given = map[uint64]bool{}
 	}
 	l.given[task] = true
-	if len(l.given) > connlimits.MostCuts {
+	if len(l.given) > connlimits.MaxPendingNodeEnds {
 		l.spend(outcome.Linger())
 	}
 }
@@ -276,7 +276,7 @@
 			break
 		}
 	}
-	if l == nil && !s.room(s.world.Now(), budget.Probe, p) {
+	if l == nil && !s.room(s.world.Now(), budget.ForProbe, p) {
 		return // its time-out tells
 	}
 	if l == nil {
@@ -299,12 +299,12 @@
 	l.s.trace("link broke", 0, func(e *zerolog.Event) {
 		e.Str("node", l.peer.name).Str("why", why).Int("open", len(l.requests)).Bool("spent", l.spent)
 	})
-	l.finish(func(a *request) logic.Outcome { return outcome.Cut(a.sent <= handed) })
+	l.finish(func(a *request) logic.Outcome { return outcome.VerdictAfterDisconnect(a.sent <= handed) })
 }
 
 // spoil ends a connection on which something came that can't be read.
 func (l *link) spoil() {
-	l.finish(func(*request) logic.Outcome { return outcome.Spoilt() })
+	l.finish(func(*request) logic.Outcome { return outcome.VerdictAfterMalformed() })
 }
 
 func (l *link) finish(verdict func(*request) logic.Outcome) {
--- a/internal/platform/loopback_shutdown_test.go
+++ b/internal/platform/loopback_shutdown_test.go
@@ -27,7 +27,7 @@
 				x.send(codec.AppendTest(nil, 100, false))
 			}
 			r.s.mu.Lock()
-			part := r.s.plan.Part
+			part := r.s.plan.CloseAt
 			r.s.mu.Unlock()
 			r.w.mu.Lock()
 			r.w.jump += part - r.w.Real.Now() - r.w.jump // answers and parts in one turn
@@ -51,7 +51,7 @@
 	x.ask(7, "single")
 	r.s.Stop()
 	r.s.mu.Lock()
-	ahead := r.s.plan.Part - r.w.Now()
+	ahead := r.s.plan.CloseAt - r.w.Now()
 	r.s.mu.Unlock()
 	r.w.mu.Lock()
 	r.w.jump += ahead
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -87,7 +87,7 @@
 func TestTurnedAway(t *testing.T) {
 	short := func(c *Configuration) { c.Sockets = 60 }
 	fill := func(r *real) (all []*tcpClient) {
-		for range r.s.parts.Clients {
+		for range r.s.parts.ClientConns {
 			all = append(all, r.dial())
 		}
 		r.until("all are taken", func() bool { return r.counted(func(s *Server) int { return len(s.clients) }) == len(all) })
@@ -98,7 +98,7 @@
 		for i, x := range fill(r) {
 			x.ask(uint64(100+i), "batch")
 		}
-		r.until("all are at work", func() bool { return r.counted(func(s *Server) int { return s.admit.Open() }) == r.s.parts.Clients })
+		r.until("all are at work", func() bool { return r.counted(func(s *Server) int { return s.admit.Open() }) == r.s.parts.ClientConns })
 		x := r.dial()
 		x.ask(7, "batch")
 		x.hears("7 end 42", "closed")
@@ -216,7 +216,7 @@
 		t.Helper()
 		r.s.mu.Lock()
 		defer r.s.mu.Unlock()
-		if p := r.s.parts; len(r.s.clients)-r.s.provisional > p.Clients || r.s.provisional > p.Provisional || r.s.links > p.Nodes {
+		if p := r.s.parts; len(r.s.clients)-r.s.provisional > p.ClientConns || r.s.provisional > p.ProvisionalConns || r.s.links > p.NodeConns {
 			t.Errorf("%d clients, %d of them provisional connections, %d to nodes; parts %+v", len(r.s.clients), r.s.provisional, r.s.links, p)
 		}
 	}
@@ -234,7 +234,7 @@
 		within()
 	}
 	r.until("they fill their part", func() bool {
-		return r.counted(func(s *Server) int { return len(s.clients) - s.provisional }) == r.s.parts.Clients
+		return r.counted(func(s *Server) int { return len(s.clients) - s.provisional }) == r.s.parts.ClientConns
 	})
 	r.skip(600)
 	r.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
@@ -262,7 +262,7 @@
 	if got := <-tails; got != "tail 1\n" {
 		t.Errorf("the journal service was asked %q", got)
 	}
-	r.until("it is heard", func() bool { r.s.mu.Lock(); defer r.s.mu.Unlock(); return r.s.feed.watch.Live(r.w.Now()) })
+	r.until("it is heard", func() bool { r.s.mu.Lock(); defer r.s.mu.Unlock(); return r.s.feed.watch.IsLive(r.w.Now()) })
 	within()
 }
 
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -21,7 +21,7 @@
 		l.broke("closed")
 		return
 	}
-	l.peer.watch.Heard(now)
+	l.peer.watch.OnContact(now)
 	rest, err := messages(l.in, b, func(msg []byte) error {
 		if l.gone {
 			return nil
--- a/internal/platform/notify.go
+++ b/internal/platform/notify.go
@@ -39,5 +39,5 @@
 		}
 	}
 	n.since = s.world.Now()
-	s.pending = append(s.pending[max(0, len(s.pending)-connlimits.MostEnds+1):], n)
+	s.pending = append(s.pending[max(0, len(s.pending)-connlimits.MaxPendingEnds+1):], n)
 }
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -47,7 +47,7 @@
 
 // owes keeps an end until the node can be told.
 func (p *peer) owes(now float64, task uint64) {
-	p.cuts = append(p.cuts[max(0, len(p.cuts)-connlimits.MostCuts+1):], cutting{task, now + connlimits.CutFor})
+	p.cuts = append(p.cuts[max(0, len(p.cuts)-connlimits.MaxPendingNodeEnds+1):], cutting{task, now + connlimits.NodeEndRetention})
 }
 
 // tether keeps a connection to a node where a task runs or is to be ended, as news of it may come on any connection.
@@ -60,8 +60,8 @@
 
 // look makes a new connection to a node where a task runs or is to be ended, when one is due.
 func (s *Server) look(now float64, p *peer, linked bool) {
-	if p.watch.Due(now, linked) && s.room(now, budget.Look, p) {
-		p.watch.Look(now)
+	if p.watch.IsProbeDue(now, linked) && s.room(now, budget.ForHealthCheck, p) {
+		p.watch.OnProbe(now)
 		s.counts.looks++
 		s.dial(p)
 	}
@@ -77,7 +77,7 @@
 			l.end(true)
 		case l.free() && !s.fresh(l, now):
 			l.end(true)
-		case len(l.requests) == 0 && l.probe != 0 && connlimits.Mute(now-l.probeAt):
+		case len(l.requests) == 0 && l.probe != 0 && connlimits.IsUnresponsive(now-l.probeAt):
 			l.probe = 0
 			l.end(true) // it says nothing: a new one tells whether its node does
 		default:
@@ -88,7 +88,7 @@
 		if p.avail != logic.Unavailable {
 			s.look(now, p, linked)
 		}
-		if p.watch.Lost(now, p.avail == logic.Unavailable, len(p.links) > 0) {
+		if p.watch.IsLost(now, p.avail == logic.Unavailable, len(p.links) > 0) {
 			s.lose(now, p)
 		}
 	} else {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -30,7 +30,7 @@
 	log   zerolog.Logger
 	loop  outside.Loop
 	door  outside.Listener
-	parts budget.Parts
+	parts budget.Limits
 	known *settings.Deployment
 
 	jobs, tenants, zones, kinds map[string]int
@@ -38,7 +38,7 @@
 
 	mu          sync.Mutex
 	host        *host.Host
-	admit       *admit.Door
+	admit       *admit.Limiter
 	gate        admit.Gate
 	lag         overload.Monitor
 	wanted      float64             // when the loop's next turn is due
@@ -112,7 +112,7 @@
 	for _, j := range c.Known.Cluster.JobClasses {
 		soonest = min(soonest, j.LatencyObjective)
 	}
-	s.gate = admit.Within(soonest)
+	s.gate = admit.NewGate(soonest)
 	return s
 }
 
@@ -142,7 +142,7 @@
 	s.wanted = s.world.Now()
 	s.loop = s.world.StartLoop(s.turn)
 	s.log.Info().Str("mode", "start").Str("owners", door.Address()).Int("nodes", len(s.peers)).
-		Int("owner_conns", s.parts.Clients).Int("node_conns", s.parts.Nodes).Int("open_most", s.parts.Open).Msg("open")
+		Int("owner_conns", s.parts.ClientConns).Int("node_conns", s.parts.NodeConns).Int("open_most", s.parts.Open).Msg("open")
 	return nil
 }
 
@@ -155,7 +155,7 @@
 	defer s.mu.Unlock()
 	if !s.stopped {
 		s.stopped, s.told = true, s.world.Now()
-		s.plan = shutdown.Told(s.told, slices.Max(s.known.Expiry))
+		s.plan = shutdown.NewPlan(s.told, slices.Max(s.known.Expiry))
 		s.log.Info().Str("mode", "stop").Int("open", s.host.Open()).Int("stands", s.host.Stands()).Msg("told to end")
 	}
 	s.wake()
@@ -174,10 +174,10 @@
 	now := s.world.Now()
 	due := s.wanted
 	s.wanted = math.Inf(1)
-	s.host.Patience(s.lag.Patience(now))
+	s.host.Patience(s.lag.TimeoutGrace(now))
 	took := 0
 	if now >= s.host.Soonest() { // else no round comes of it
-		took = s.takeIn(now, overload.TakeIn(s.gate.Cost()))
+		took = s.takeIn(now, overload.BatchSize(s.gate.CostPerRequest()))
 	}
 	s.host.Round(now)
 	if now >= s.ticked+tickEvery {
@@ -225,24 +225,24 @@
 
 // worked measures a turn: how far behind it shows the process to be, and what requests cost.
 func (s *Server) worked(due, began, ended float64, took int) {
-	tight := s.gate.Tight()
-	s.lag.Turn(due, began, ended)
-	behind := s.lag.Behind(ended)
+	tight := s.gate.IsOverloaded()
+	s.lag.OnTurn(due, began, ended)
+	behind := s.lag.Delay(ended)
 	s.counts.lag = max(s.counts.lag, behind)
 	if took > 0 {
 		since := began
 		if s.inboxAt > 0 {
 			since = s.inboxAt
 		}
-		s.gate.Worked(ended-since, took)
+		s.gate.OnRound(ended-since, took)
 	}
 	s.inboxAt = 0
 	if len(s.inbox) > 0 {
 		s.inboxAt = ended
 	}
-	if !tight && s.gate.Tight() {
+	if !tight && s.gate.IsOverloaded() {
 		s.log.Info().Str("mode", "behind").Float64("ms", math.Round(behind)).Int("inbox", len(s.inbox)).Int("open", s.host.Open()).
-			Float64("ask_ms", math.Round(s.gate.Cost()*100)/100).Msg("takes only what it can do in time")
+			Float64("ask_ms", math.Round(s.gate.CostPerRequest()*100)/100).Msg("takes only what it can do in time")
 	}
 }
 
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -28,9 +28,9 @@
 	world.WriteThrough = true // what is decided leaves at once, however many wait for their turn
 	defer world.Close(time.Second)
 	s := New(world, log, c)
-	world.MaxLingering = s.parts.Lingers
+	world.MaxLingering = s.parts.LingeringConns
 	runtime.GOMAXPROCS(1) // the machine is one core; more threads at work only wait for each other
-	debug.SetMemoryLimit(int64(s.parts.SoftCap))
+	debug.SetMemoryLimit(int64(s.parts.MemorySoftLimit))
 	if err := s.Start(c); err != nil {
 		return err
 	}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -6,14 +6,14 @@
 
 // shutdown goes through what is due for a scheduler that was told to end.
 func (s *Server) shutdown(now float64) {
-	if now >= s.plan.Answer && !s.answeredAll {
+	if now >= s.plan.AnswerAt && !s.answeredAll {
 		s.answeredAll = true
 		s.log.Info().Str("mode", "stop").Int("open", s.host.Open()).Int("inbox", len(s.inbox)).Int("stands", s.host.Stands()).
 			Msg("answers what is open")
 		s.takeIn(now, len(s.inbox))
 		s.host.Close(now)
 	}
-	if now >= s.plan.Part && !s.parted {
+	if now >= s.plan.CloseAt && !s.parted {
 		s.parted = true
 		s.door.StopAccepting() // who waits at it is let in first, and answered until the end
 		for _, o := range s.eachClient() {
@@ -23,7 +23,7 @@
 			o.close()
 		}
 	}
-	if now >= s.plan.End && !s.ended {
+	if now >= s.plan.ExitAt && !s.ended {
 		s.ended = true
 		s.log.Info().Str("mode", "stop").Float64("after_ms", math.Round(now-s.told)).Msg("ends")
 		close(s.done)
--- a/internal/serve/client_listener.go
+++ b/internal/serve/client_listener.go
@@ -32,8 +32,8 @@
 
 	mu       sync.Mutex
 	closed   bool
-	requests map[uint64]request // by ref: what is open or runs
-	sendLag  admit.Lag          // of what it sends, as far as it says when
+	requests map[uint64]request   // by ref: what is open or runs
+	sendLag  admit.DelayEstimator // of what it sends, as far as it says when
 
 	tenant  string // that it may ask for, where tenants come and go
 	tokenID string // the id of the token that it showed for it
@@ -423,7 +423,7 @@
 	unread := 0.0
 	if ask.SentAt > 0 {
 		o.mu.Lock()
-		unread = o.sendLag.Waited(o.server.env.Now(), ask.SentAt, float64(o.server.env.WallClock().UnixMilli()), o.server.recentStall())
+		unread = o.sendLag.OnRequest(o.server.env.Now(), ask.SentAt, float64(o.server.env.WallClock().UnixMilli()), o.server.recentStall())
 		o.mu.Unlock()
 		ask.Within -= unread
 	}
--- a/internal/serve/list_client.go
+++ b/internal/serve/list_client.go
@@ -66,7 +66,7 @@
 		return
 	}
 	l.mu.Lock()
-	l.pace.Keep(l.server.env.Now(), 0, true)
+	l.pace.SetEnabled(l.server.env.Now(), 0, true)
 	l.mu.Unlock()
 	l.dialWhenDue()
 }
@@ -234,10 +234,10 @@
 	over, asked, now := l.closed, l.sentCall, l.server.env.Now()
 	l.pending = l.pending[:0]
 	if l.watches && now-l.dialedAt > 2*listAnswerTimeout {
-		l.pace.Linked(now, 0)
-		l.pace.Broken(now, 0)
+		l.pace.OnConnected(now, 0)
+		l.pace.OnDisconnected(now, 0)
 	} else if l.watches {
-		l.pace.Failed(now, 0)
+		l.pace.OnDialFailed(now, 0)
 	}
 	l.mu.Unlock()
 	if over {
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -59,7 +59,7 @@
 
 // startHandovers has each shard give what belongs elsewhere, and ends those that leave and hold nothing more.
 func (s *Server) startHandovers() {
-	s.every(handover.LookEach(), func() {
+	s.every(handover.PollInterval(), func() {
 		now := s.env.Now()
 		own := s.config.Site.Connections == site.OwnConnections // what runs can be reached by its shard's connections alone
 		s.routerMu.Lock()
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -282,7 +282,7 @@
 
 // shardCheckInterval is how often, in ms, the shards are looked at.
 func (s *Server) shardCheckInterval() float64 {
-	return min(watchdog.LookEach(), s.config.Site.AnswerMargin/4)
+	return min(watchdog.CheckInterval(), s.config.Site.AnswerMargin/4)
 }
 
 // recentStall is how long the process has stood still just now: a look at the shards is overdue, or the last was.
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -36,7 +36,7 @@
 	handedOver          map[uint64]*shard    // tickets of what runs and was given away, for words of it that were on their way
 	handoverCounts      [2]atomic.Int64      // allocations given away: waiting, running
 	lastRunningHandover float64              // when one that runs was last given away
-	handover            handover.Giver
+	handover            handover.Planner
 	handoverActive      atomic.Bool
 	heartbeat           atomic.Uint64 // bits of the time of the last sign of life
 	fenced              atomic.Bool
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -65,7 +65,7 @@
 	sched string // "" until it has greeted
 	conn  outside.Conn
 	in    line.Splitter
-	lag   admit.Lag // of what the scheduler sends
+	lag   admit.DelayEstimator // of what the scheduler sends
 	heard float64
 	mu    sync.Mutex
 	ended bool
@@ -212,7 +212,7 @@
 		if err != nil || math.IsNaN(sent) || math.IsInf(sent, 0) {
 			return fmt.Errorf("greeting: bad time sent %.20q", text)
 		}
-		p.lag.Waited(n.w.Now(), sent, 0, 0)
+		p.lag.OnRequest(n.w.Now(), sent, 0, 0)
 	}
 	n.w.At(func(now float64) {
 		if n.Lost || n.Machine.Down() || n.Machine.Hang {
@@ -324,7 +324,7 @@
 		return fmt.Errorf("unknown job type %d or tenant %d", job, tenant)
 	}
 	came := p.n.w.Now()
-	late := p.lag.Waited(came, sent, 0, 0)
+	late := p.lag.OnRequest(came, sent, 0, 0)
 	timeout -= late // it may be too late by now: then it is turned away
 	p.n.w.Trace.Add(audit.Record{
 		At: came, Kind: audit.Offered, Sched: p.sched, Node: p.n.ID, Ticket: ticket,
@@ -355,7 +355,7 @@
 }
 
 func (p *peer) OnPing(sent float64) error {
-	p.lag.Waited(p.n.w.Now(), sent, 0, 0)
+	p.lag.OnRequest(p.n.w.Now(), sent, 0, 0)
 	return p.event(func(float64) { p.add(node.AppendPong) })
 }
 
