--- a/internal/decide/admit/admit.go
+++ b/internal/decide/admission/admit.go
@@ -1,7 +1,7 @@
 // Package admit decides whether an allocation is taken at all. What is not taken is declined at once, so its
 // owner can go elsewhere while there is time; what is taken is owed an answer before its expiry. It guards
 // against tables that grow until every answer is late, and against one tenant's flood filling the table.
-package admit
+package admission
 
 import (
 	"cmp"
--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admission/admit_test.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"math/rand/v2"
--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shardplacement/shares.go
@@ -2,7 +2,7 @@
 // holds a service's own tasks places the next one better; which shard that is, is found by weighted rendezvous
 // hashing, so that a shard lost or added moves its own share and nothing else. Load is bounded: a shard that holds
 // far more than its part passes new work on to the service's next shard, so that a hot service can't sink it.
-package shares
+package shardplacement
 
 import (
 	"encoding/binary"
--- a/internal/decide/shares/shares_test.go
+++ b/internal/decide/shardplacement/shares_test.go
@@ -1,4 +1,4 @@
-package shares
+package shardplacement
 
 import (
 	"math"
--- a/internal/decide/shardrouter/shardrouter.go
+++ b/internal/decide/shardrouter/shardrouter.go
@@ -11,10 +11,10 @@
 	"fmt"
 	"slices"
 
-	"ravenpond/internal/decide/admit"
+	"ravenpond/internal/decide/admission"
 	"ravenpond/internal/decide/handover"
 	"ravenpond/internal/decide/shardownership"
-	"ravenpond/internal/decide/shares"
+	"ravenpond/internal/decide/shardplacement"
 	"ravenpond/internal/decide/watchdog"
 	"ravenpond/logic"
 )
@@ -28,7 +28,7 @@
 // Config are what a router begins with.
 type Config struct {
 	JobClasses                  []logic.JobClass
-	Placement                   shares.Policy
+	Placement                   shardplacement.Policy
 	Shards, MaxShards           int     // that begin, and that may run
 	MaxOpen                     int     // allocations open at once, of all shards together
 	AnswerMargin, RoundInterval float64 // ms: an answer leaves so long before its expiry; a round at most so often
@@ -41,9 +41,9 @@
 type Router struct {
 	config        Config
 	ownership     *shardownership.Table
-	placement     *shares.Table
+	placement     *shardplacement.Table
 	watchdog      *watchdog.Watchdog
-	gates         []admit.Gate
+	gates         []admission.Gate
 	lost          map[shardownership.ID]lostAllocation // what ran at a shard that is no more, until it is found
 	lostByAttempt map[shardownership.Attempt]shardownership.ID
 	pausedUntil   map[uint64]float64 // services that get nothing new, until a time
@@ -66,8 +66,8 @@
 		weights[i] = 1
 	}
 	d := &Router{
-		config: terms, ownership: shardownership.NewTable(terms.JobClasses, terms.FirstEpoch), placement: shares.New(terms.Placement, weights),
-		watchdog: watchdog.New(now, terms.MaxShards), gates: make([]admit.Gate, terms.MaxShards), lost: map[shardownership.ID]lostAllocation{}, lostByAttempt: map[shardownership.Attempt]shardownership.ID{},
+		config: terms, ownership: shardownership.NewTable(terms.JobClasses, terms.FirstEpoch), placement: shardplacement.New(terms.Placement, weights),
+		watchdog: watchdog.New(now, terms.MaxShards), gates: make([]admission.Gate, terms.MaxShards), lost: map[shardownership.ID]lostAllocation{}, lostByAttempt: map[shardownership.Attempt]shardownership.ID{},
 		pausedUntil: map[uint64]float64{}, draining: map[int]bool{}, stopped: map[int]bool{}, addedAt: map[int]float64{},
 	}
 	d.ownership.FaultAnyEpoch = terms.FaultAnyEpoch
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -10,7 +10,7 @@
 import (
 	"fmt"
 
-	"ravenpond/internal/decide/admit"
+	"ravenpond/internal/decide/admission"
 	"ravenpond/internal/decide/outcome"
 	"ravenpond/internal/decide/pausedetect"
 	"ravenpond/internal/decide/reconnect"
@@ -180,7 +180,7 @@
 	now           float64
 	timers        timers.Heap[timerKind]
 	pacer         *reconnect.Pacer
-	admission     *admit.Limiter
+	admission     *admission.Limiter
 	pauseDetector pausedetect.Detector
 	hasEvents     bool
 
@@ -213,7 +213,7 @@
 func New(edge Effects, now float64, terms Config) *Engine {
 	e := &Engine{
 		effects: edge, config: terms, now: now, pacer: reconnect.New(terms.Seed),
-		admission: admit.New(terms.MaxOpen, terms.Shares), byID: map[uint32]int{}, byKey: map[idempotencyKey]int{}, requests: map[requestKey]int{},
+		admission: admission.New(terms.MaxOpen, terms.Shares), byID: map[uint32]int{}, byKey: map[idempotencyKey]int{}, requests: map[requestKey]int{},
 		recovered: map[attemptID]int{}, abandoned: map[attemptID]abandonedAttempt{}, nodeIndex: map[uint32]int{},
 		exclusions: map[uint32]uint8{},
 	}
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"ravenpond/internal/decide/admit"
+	"ravenpond/internal/decide/admission"
 	"ravenpond/internal/decide/outcome"
 )
 
@@ -74,7 +74,7 @@
 		return nil
 	}
 	least := e.config.AnswerMargin + 4*e.config.Cluster.MinRoundInterval
-	if why := e.admission.Admit(tenant, left, least, e.fits(jobType, cores, memory)); why != admit.Admitted {
+	if why := e.admission.Admit(tenant, left, least, e.fits(jobType, cores, memory)); why != admission.Admitted {
 		e.stats.Rejected++
 		if e.effects.PermitAnswer(tenant, token, epoch, false) {
 			e.effects.Answer(owner, ref, Declined, 0, why.String(), 0)
--- a/internal/lab/states/world.go
+++ b/internal/lab/states/world.go
@@ -12,8 +12,8 @@
 
 	"ravenpond/internal/decide/handover"
 	"ravenpond/internal/decide/shardownership"
+	"ravenpond/internal/decide/shardplacement"
 	"ravenpond/internal/decide/shardrouter"
-	"ravenpond/internal/decide/shares"
 	"ravenpond/internal/engine"
 	"ravenpond/logic"
 )
@@ -59,7 +59,7 @@
 // service is one that belongs to shard 1, which can leave.
 var service = func() uint64 {
 	for s := uint64(1); ; s++ {
-		if shares.New(shares.ByService, []float64{1, 1}).TargetOf(s, 0) == 1 {
+		if shardplacement.New(shardplacement.ByService, []float64{1, 1}).TargetOf(s, 0) == 1 {
 			return s
 		}
 	}
--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/rs/zerolog"
 
-	"ravenpond/internal/decide/admit"
+	"ravenpond/internal/decide/admission"
 	"ravenpond/internal/decide/connlimits"
 	codec "ravenpond/internal/proto/platform"
 	"ravenpond/logic"
@@ -155,7 +155,7 @@
 		s.counts.behind++
 		return busy("behind")
 	}
-	if why := s.admit.Admit(tenant, left, connlimits.MinTimeLeft, true); why != admit.Admitted {
+	if why := s.admit.Admit(tenant, left, connlimits.MinTimeLeft, true); why != admission.Admitted {
 		return busy(why.String())
 	}
 	return nil
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/besteffort"
-	"ravenpond/internal/decide/admit"
+	"ravenpond/internal/decide/admission"
 	"ravenpond/internal/decide/budget"
 	"ravenpond/internal/decide/overload"
 	"ravenpond/internal/decide/shutdown"
@@ -38,8 +38,8 @@
 
 	mu          sync.Mutex
 	host        *host.Host
-	admit       *admit.Limiter
-	gate        admit.Gate
+	admit       *admission.Limiter
+	gate        admission.Gate
 	lag         overload.Monitor
 	wanted      float64             // when the loop's next turn is due
 	inbox       []*request          // taken, and not yet the host's
@@ -107,12 +107,12 @@
 	if len(shares) == 0 {
 		shares = []float64{1}
 	}
-	s.admit = admit.New(min(s.parts.Open, c.Known.OpenMost), shares)
+	s.admit = admission.New(min(s.parts.Open, c.Known.OpenMost), shares)
 	soonest := math.Inf(1)
 	for _, j := range c.Known.Cluster.JobClasses {
 		soonest = min(soonest, j.LatencyObjective)
 	}
-	s.gate = admit.NewGate(soonest)
+	s.gate = admission.NewGate(soonest)
 	return s
 }
 
--- a/internal/serve/client_listener.go
+++ b/internal/serve/client_listener.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/creachadair/jrpc2"
 
-	"ravenpond/internal/decide/admit"
+	"ravenpond/internal/decide/admission"
 	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/engine"
 	"ravenpond/internal/outside"
@@ -32,8 +32,8 @@
 
 	mu       sync.Mutex
 	closed   bool
-	requests map[uint64]request   // by ref: what is open or runs
-	sendLag  admit.DelayEstimator // of what it sends, as far as it says when
+	requests map[uint64]request       // by ref: what is open or runs
+	sendLag  admission.DelayEstimator // of what it sends, as far as it says when
 
 	tenant  string // that it may ask for, where tenants come and go
 	tokenID string // the id of the token that it showed for it
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -22,8 +22,8 @@
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/decide/connadmission"
 	"ravenpond/internal/decide/shardownership"
+	"ravenpond/internal/decide/shardplacement"
 	"ravenpond/internal/decide/shardrouter"
-	"ravenpond/internal/decide/shares"
 	"ravenpond/internal/decide/watchdog"
 	"ravenpond/internal/decide/workingset"
 	"ravenpond/internal/engine"
@@ -208,7 +208,7 @@
 	s.listClient = newLister(s)
 	s.recordNodes(last.Entries())
 	s.router = shardrouter.New(w.Now(), shardrouter.Config{
-		JobClasses: place.Cluster.JobClasses, Placement: shares.Policy(place.ShardBy), Shards: place.Shards,
+		JobClasses: place.Cluster.JobClasses, Placement: shardplacement.Policy(place.ShardBy), Shards: place.Shards,
 		MaxShards: place.MaxShards, MaxOpen: place.MaxOpen, AnswerMargin: place.AnswerMargin, RoundInterval: place.Cluster.MinRoundInterval, FaultAnyEpoch: who.Faults.PermitAnyEpoch, MultiTenant: place.MaxHostedTenants > 0,
 	})
 	var t *nodeConnections
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -11,7 +11,7 @@
 	"sync"
 
 	"ravenpond/internal/audit"
-	"ravenpond/internal/decide/admit"
+	"ravenpond/internal/decide/admission"
 	"ravenpond/internal/outside"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/node"
@@ -65,7 +65,7 @@
 	sched string // "" until it has greeted
 	conn  outside.Conn
 	in    line.Splitter
-	lag   admit.DelayEstimator // of what the scheduler sends
+	lag   admission.DelayEstimator // of what the scheduler sends
 	heard float64
 	mu    sync.Mutex
 	ended bool
