--- a/internal/lab/scale/profile.go
+++ b/internal/lab/scale/profile.go
@@ -61,7 +61,7 @@
 	{"ravenpond/internal/engine", partEngine},
 	{"ravenpond/internal/decide/shardrouter", partRouter},
 	{"ravenpond/internal/decide/shardownership", partRouter},
-	{"ravenpond/internal/decide/shares", partRouter},
+	{"ravenpond/internal/decide/shardplacement", partRouter},
 	{"internal/serve/client", partClients},
 	{"ravenpond/internal/proto/owners", partClients},
 	{"internal/serve/metrics", partCounts},
