--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -142,26 +142,43 @@
 func (h *server) dispatch(s logic.EventHandler, code byte, now float64, r []byte) error {
 	switch code {
 	case wire.Echo:
-		s.OnProbeResult(now, wire.Uint32(r, 3), logic.Outcome(wire.Uint16(r, 7)), milliseconds(r, 9), h.loadReport(r, 17))
+		s.OnProbeResult(now, logic.ProbeResult{
+			Node: wire.Uint32(r, 3), Outcome: logic.Outcome(wire.Uint16(r, 7)),
+			Duration: milliseconds(r, 9), Report: h.loadReport(r, 17),
+		})
 	case wire.Lapsed:
 		s.OnExpired(now, wire.Uint32(r, 3))
 	case wire.Confirmed:
 		s.OnStarted(now, wire.Uint32(r, 3), r[15], milliseconds(r, 7))
 	case wire.Task:
-		s.OnRequest(now, wire.Uint32(r, 3), int(r[7]), int(wire.Uint16(r, 8)), milliseconds(r, 18), wire.Uint64(r, 34),
-			wire.Float32(r, 42), wire.Float32(r, 46))
+		s.OnRequest(now, logic.Request{
+			Allocation: wire.Uint32(r, 3), Class: int(r[7]), Tenant: int(wire.Uint16(r, 8)),
+			Deadline: milliseconds(r, 18), Service: wire.Uint64(r, 34), Cores: wire.Float32(r, 42), Memory: wire.Float32(r, 46),
+		})
+
 	case wire.Found:
-		s.OnRecovered(now, wire.Uint32(r, 3), int(r[7]), int(wire.Uint16(r, 8)), wire.Uint64(r, 34), wire.Float32(r, 42),
-			wire.Float32(r, 46), wire.Uint32(r, 51))
+		s.OnRecovered(now, logic.Recovered{Request: logic.Request{
+			Allocation: wire.Uint32(r, 3), Class: int(r[7]),
+			Tenant: int(wire.Uint16(r, 8)), Service: wire.Uint64(r, 34), Cores: wire.Float32(r, 42),
+			Memory: wire.Float32(r, 46),
+		}, Node: wire.Uint32(r, 51)})
+
 	case wire.Settled:
 		verdict := wire.Uint16(r, 25)
 		if verdict > uint16(logic.NotSent) {
 			return fmt.Errorf("unknown outcome %d", verdict)
 		}
-		s.OnOutcome(now, wire.Uint32(r, 3), wire.Uint32(r, 7), r[11], milliseconds(r, 12), r[20] != 0,
-			logic.Reason(wire.Uint32(r, 21)), logic.Outcome(verdict), h.loadReport(r, 27))
+		s.OnOutcome(now, logic.AttemptResult{
+			Allocation: wire.Uint32(r, 3), Node: wire.Uint32(r, 7), Attempt: r[11],
+			Duration: milliseconds(r, 12), Answered: r[20] != 0, Reason: logic.Reason(wire.Uint32(r, 21)),
+			Outcome: logic.Outcome(verdict), Report: h.loadReport(r, 27),
+		})
+
 	case wire.Signal:
-		s.OnTaskMetric(now, wire.Uint32(r, 3), r[11], wire.Uint32(r, 12), logic.TaskMetric(r[16]), wire.Float32(r, 7))
+		s.OnTaskMetric(now, logic.TaskSample{
+			Allocation: wire.Uint32(r, 3), Attempt: r[11], Node: wire.Uint32(r, 12),
+			Metric: logic.TaskMetric(r[16]), Value: wire.Float32(r, 7),
+		})
 	case wire.Bell:
 		s.OnTimer(now, wire.Uint64(r, 3))
 	case wire.Sync:
@@ -190,8 +207,12 @@
 			if int(e[16]) >= len(availabilities) {
 				return fmt.Errorf("unknown availability %d", e[16])
 			}
-			s.OnListNode(now, wire.Uint32(e, 17), availabilities[e[16]], milliseconds(e, 8), wire.Float32(e, 4), wire.Float32(e, 0),
-				int(e[27]), int(wire.Uint16(e, 25)), int(e[28]))
+			s.OnListNode(now, logic.ListEntry{
+				Node: wire.Uint32(e, 17), Availability: availabilities[e[16]],
+				StartedAt: milliseconds(e, 8), FreeCores: wire.Float32(e, 4), FreeMemory: wire.Float32(e, 0),
+				Zone: int(e[27]), Cell: int(wire.Uint16(e, 25)), Kind: int(e[28]),
+			})
+
 		}
 	}
 	s.OnListEnd(now)
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -44,18 +44,27 @@
 	if over {
 		late := a.lateStart
 		e.forgetAllocation(p)
-		e.policy.OnOutcome(e.now, id, nd, try, took, true, why, verdict, report)
+		e.policy.OnOutcome(e.now, logic.AttemptResult{
+			Allocation: id, Node: nd, Attempt: try, Duration: took,
+			Answered: true, Reason: why, Outcome: verdict, Report: report,
+		})
 		e.resolveLateStart(late)
 		return
 	}
 	if a.lateStart.ticket != 0 { // the earlier one runs: it serves, and the module need not try again
 		late := a.lateStart
 		e.policy.OnExpired(e.now, id)
-		e.policy.OnOutcome(e.now, id, nd, try, took, true, why, verdict, report)
+		e.policy.OnOutcome(e.now, logic.AttemptResult{
+			Allocation: id, Node: nd, Attempt: try, Duration: took,
+			Answered: true, Reason: why, Outcome: verdict, Report: report,
+		})
 		e.answerWithLateStart(late, p)
 		return
 	}
-	e.policy.OnOutcome(e.now, id, nd, try, took, false, why, verdict, report)
+	e.policy.OnOutcome(e.now, logic.AttemptResult{
+		Allocation: id, Node: nd, Attempt: try, Duration: took, Reason: why,
+		Outcome: verdict, Report: report,
+	})
 }
 
 // abandonAttempt ends a try without word from its node; what may yet be heard of it is remembered.
@@ -181,7 +190,7 @@
 	e.now, e.hasEvents = now, true
 	if p, ok := e.findAttempt(ticket, try); ok && e.nodes[e.allocations[p].nodeIndex].id == nd {
 		a := &e.allocations[p]
-		e.policy.OnTaskMetric(now, a.id, a.policyAttempt(), nd, kind, value)
+		e.policy.OnTaskMetric(now, logic.TaskSample{Allocation: a.id, Attempt: a.policyAttempt(), Node: nd, Metric: kind, Value: value})
 	}
 	return nil
 }
@@ -189,7 +198,10 @@
 // OnSharedReport is a load report that another engine heard from a node.
 func (e *Engine) OnSharedReport(now float64, nd uint32, report []float64) {
 	e.now = now
-	e.policy.OnOutcome(now, 0, nd, 0, 0, true, logic.ReasonUnknown, logic.Completed, report) // no allocation has the number 0
+	e.policy.OnOutcome(now, logic.AttemptResult{
+		Allocation: 0, Node: nd, Answered: true, Outcome: logic.Completed,
+		Report: report,
+	}) // no allocation has the number 0
 }
 
 // policyAttempt is the number by which the module knows the try: what was found is its first.
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -81,7 +81,10 @@
 	s := logic.New(h, 1, 1, benchCluster())
 	s.OnListBegin(1, logic.ListCached)
 	for i := range uint32(benchNodes) {
-		s.OnListNode(1, i+1, logic.Ready, 0, 64, 128, int(i%2), int(i%2), 0)
+		s.OnListNode(1, logic.ListEntry{
+			Node: i + 1, Availability: logic.Ready, FreeCores: 64, FreeMemory: 128,
+			Zone: int(i % 2), Cell: int(i % 2),
+		})
 	}
 	s.OnListEnd(1)
 	report := []float64{64, 128}
@@ -92,10 +95,13 @@
 		if i%100 == 0 {
 			s.OnTimer(now, 0)
 		}
-		s.OnRequest(now, i, 0, 0, now+4900, uint64(i%50), 0.5, 1)
+		s.OnRequest(now, logic.Request{Allocation: i, Deadline: now + 4900, Service: uint64(i % 50), Cores: 0.5, Memory: 1})
 		s.Decide(now)
 		s.OnStarted(now, i, 0, 1)
-		s.OnOutcome(now, i, h.nd, 0, 1, true, logic.ReasonUnknown, logic.Completed, report)
+		s.OnOutcome(now, logic.AttemptResult{
+			Allocation: i, Node: h.nd, Duration: 1, Answered: true,
+			Outcome: logic.Completed, Report: report,
+		})
 	}
 }
 
--- a/internal/engine/handover.go
+++ b/internal/engine/handover.go
@@ -104,7 +104,10 @@
 			g.Node = e.nodes[a.nodeIndex].id
 			e.detach(p)
 			e.forgetTransferred(p)
-			e.policy.OnOutcome(now, id, g.Node, try, now-a.sentAt, true, logic.ReasonUnknown, logic.Completed, nil)
+			e.policy.OnOutcome(now, logic.AttemptResult{
+				Allocation: id, Node: g.Node, Attempt: try,
+				Duration: now - a.sentAt, Answered: true, Outcome: logic.Completed,
+			})
 		} else {
 			e.admission.Release(a.tenant)
 			e.forgetTransferred(p)
--- a/internal/engine/late.go
+++ b/internal/engine/late.go
@@ -51,7 +51,10 @@
 		if outcome.CountsAfterAbandon(e.config.Cluster.JobClasses[g.jobClass].Spread) {
 			e.lastID++
 			g.policyID = e.lastID
-			e.policy.OnRecovered(e.now, g.policyID, g.jobClass, g.tenant, g.service, g.cores, g.memory, e.nodes[g.nodeIndex].id)
+			e.policy.OnRecovered(e.now, logic.Recovered{Request: logic.Request{
+				Allocation: g.policyID, Class: g.jobClass,
+				Tenant: g.tenant, Service: g.service, Cores: g.cores, Memory: g.memory,
+			}, Node: e.nodes[g.nodeIndex].id})
 		}
 	}
 	e.abandoned[name] = g
@@ -62,7 +65,10 @@
 		e.nodes[g.nodeIndex].abandoned--
 		delete(e.abandoned, name)
 		if g.policyID > 0 {
-			e.policy.OnOutcome(e.now, g.policyID, e.nodes[g.nodeIndex].id, 0, e.now-g.sentAt, true, logic.ReasonUnknown, logic.Completed, nil)
+			e.policy.OnOutcome(e.now, logic.AttemptResult{
+				Allocation: g.policyID, Node: e.nodes[g.nodeIndex].id,
+				Duration: e.now - g.sentAt, Answered: true, Outcome: logic.Completed,
+			})
 		}
 	}
 }
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -71,7 +71,10 @@
 		avail = logic.Draining
 	}
 	e.setAvailability(nd, avail)
-	e.policy.OnListNode(e.now, n.id, avail, l.startedAt, l.freeCores, l.freeMemory, l.zone, l.cell, l.kind)
+	e.policy.OnListNode(e.now, logic.ListEntry{
+		Node: n.id, Availability: avail, StartedAt: l.startedAt,
+		FreeCores: l.freeCores, FreeMemory: l.freeMemory, Zone: l.zone, Cell: l.cell, Kind: l.kind,
+	})
 }
 
 // SetMaintenance takes nodes out for maintenance, or brings them back, whatever the list says of them. Tries that are out to
@@ -485,5 +488,5 @@
 func (e *Engine) completeProbe(nd int, verdict logic.Outcome, report []float64) {
 	n := &e.nodes[nd]
 	n.probing = false
-	e.policy.OnProbeResult(e.now, n.id, verdict, e.now-n.probeStartedAt, report)
+	e.policy.OnProbeResult(e.now, logic.ProbeResult{Node: n.id, Outcome: verdict, Duration: e.now - n.probeStartedAt, Report: report})
 }
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -6,6 +6,7 @@
 
 	"ravenpond/internal/decide/admission"
 	"ravenpond/internal/decide/outcome"
+	"ravenpond/logic"
 )
 
 // setClient makes an owner hear of an allocation; disown ends that.
@@ -88,7 +89,10 @@
 	e.setClient(p, owner, ref)
 	a.cores, a.memory, a.deadline, a.waitingSince = cores, memory, now+left, now
 	e.byKey[name] = p
-	e.policy.OnRequest(now, a.id, jobType, tenant, a.deadline-e.config.AnswerMargin, service, cores, memory)
+	e.policy.OnRequest(now, logic.Request{
+		Allocation: a.id, Class: jobType, Tenant: tenant,
+		Deadline: a.deadline - e.config.AnswerMargin, Service: service, Cores: cores, Memory: memory,
+	})
 	return nil
 }
 
@@ -234,6 +238,9 @@
 	a.reported = true
 	e.setClient(p, owner, ref)
 	e.stats.Recovered++
-	e.policy.OnRecovered(e.now, a.id, a.jobClass, a.tenant, a.service, a.cores, a.memory, e.nodes[g.nodeIndex].id)
+	e.policy.OnRecovered(e.now, logic.Recovered{Request: logic.Request{
+		Allocation: a.id, Class: a.jobClass,
+		Tenant: a.tenant, Service: a.service, Cores: a.cores, Memory: a.memory,
+	}, Node: e.nodes[g.nodeIndex].id})
 	return p
 }
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -85,18 +85,19 @@
 	p.now, p.listKind, p.listed = now, kind, map[uint32]bool{}
 }
 
-// OnListNode is one node of the list.
-func (p *Policy) OnListNode(now float64, id uint32, avail logic.Availability, since, cores, memory float64, zone, cell, kind int) {
-	i, ok := p.nodeIndex[id]
+// OnListNode takes the state of one node.
+func (p *Policy) OnListNode(_ float64, entry logic.ListEntry) {
+	i, ok := p.nodeIndex[entry.Node]
 	if !ok {
 		i = len(p.nodes)
-		p.nodeIndex[id] = i
-		p.nodes = append(p.nodes, node{id: id})
+		p.nodeIndex[entry.Node] = i
+		p.nodes = append(p.nodes, node{id: entry.Node})
 	}
 	n := &p.nodes[i]
-	p.listed[id] = true
-	n.ready, n.zone, n.cell, n.kind, n.free = avail == logic.Ready, zone, cell, kind, [2]float64{cores, memory}
-	n.reserved, n.startedAt = [2]float64{}, since
+	p.listed[entry.Node] = true
+	n.ready, n.zone, n.cell, n.kind = entry.Availability == logic.Ready, entry.Zone, entry.Cell, entry.Kind
+	n.free = [2]float64{entry.FreeCores, entry.FreeMemory}
+	n.reserved, n.startedAt = [2]float64{}, entry.StartedAt
 }
 
 // OnListEnd ends it.
@@ -126,17 +127,25 @@
 	}
 }
 
-// OnRequest takes an allocation.
-func (p *Policy) OnRequest(now float64, id uint32, job, _ int, expiry float64, service uint64, cores, memory float64) {
+// OnRequest queues an allocation.
+func (p *Policy) OnRequest(now float64, request logic.Request) {
 	p.now = now
-	p.allocations[id] = &allocation{id: id, class: job, service: service, deadline: expiry, size: [2]float64{cores, memory}, node: -1, mayHaveRunSince: -1}
+	id := request.Allocation
+	p.allocations[id] = &allocation{
+		id: id, class: request.Class, service: request.Service, deadline: request.Deadline,
+		size: [2]float64{request.Cores, request.Memory}, node: -1, mayHaveRunSince: -1,
+	}
 	p.waiting = append(p.waiting, id)
 }
 
-// OnRecovered takes what runs already.
-func (p *Policy) OnRecovered(now float64, id uint32, job, _ int, service uint64, cores, memory float64, nd uint32) {
+// OnRecovered takes an allocation that runs already.
+func (p *Policy) OnRecovered(now float64, recovered logic.Recovered) {
 	p.now = now
-	p.allocations[id] = &allocation{id: id, class: job, service: service, size: [2]float64{cores, memory}, node: p.nodeIndex[nd], answered: true, mayHaveRunSince: -1}
+	id := recovered.Allocation
+	p.allocations[id] = &allocation{
+		id: id, class: recovered.Class, service: recovered.Service,
+		size: [2]float64{recovered.Cores, recovered.Memory}, node: p.nodeIndex[recovered.Node], answered: true, mayHaveRunSince: -1,
+	}
 }
 
 // OnStarted notes a start.
@@ -147,37 +156,38 @@
 	}
 }
 
-// OnOutcome notes an outcome.
-func (p *Policy) OnOutcome(now float64, id uint32, _ uint32, _ uint8, _ float64, over bool, why logic.Reason, v logic.Outcome, _ []float64) {
+// OnOutcome queues an allocation again whose attempt failed.
+func (p *Policy) OnOutcome(now float64, result logic.AttemptResult) {
 	p.now = now
-	a := p.allocations[id]
+	a := p.allocations[result.Allocation]
 	if a == nil {
 		return
 	}
 	if a.node >= 0 {
 		n := &p.nodes[a.node]
 		n.reserved[0], n.reserved[1] = n.reserved[0]-a.size[0], n.reserved[1]-a.size[1]
-		if why == logic.InsufficientCores || why == logic.InsufficientMemory || why == logic.QueueFull {
+		if result.Reason == logic.InsufficientCores || result.Reason == logic.InsufficientMemory || result.Reason == logic.QueueFull {
 			n.fullUntil = now + 200
 		}
 	}
-	if over || a.answered {
-		delete(p.allocations, id)
+	if result.Answered || a.answered {
+		delete(p.allocations, a.id)
 		return
 	}
+	v := result.Outcome
 	never := v == logic.Rejected || v == logic.Unreachable || v == logic.NotSent
 	if !never && a.mayHaveRunSince < 0 {
 		a.mayHaveRunSince, a.mayHaveRunNode = a.sentAt, a.node
 	}
 	a.node = -1
-	p.waiting = append(p.waiting, id)
+	p.waiting = append(p.waiting, a.id)
 }
 
 // OnTaskMetric, Probed and the like say nothing to these policies.
-func (p *Policy) OnTaskMetric(float64, uint32, uint8, uint32, logic.TaskMetric, float64) {}
+func (p *Policy) OnTaskMetric(float64, logic.TaskSample) {}
 
 // OnProbeResult is not asked for.
-func (p *Policy) OnProbeResult(float64, uint32, logic.Outcome, float64, []float64) {}
+func (p *Policy) OnProbeResult(float64, logic.ProbeResult) {}
 
 // OnExpired ends an allocation that was answered without the policy.
 func (p *Policy) OnExpired(now float64, id uint32) {
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -37,12 +37,15 @@
 			p := Factory(name)(d, 0, 1, cl)
 			p.OnListBegin(0, logic.ListFull)
 			for i := range uint32(6) {
-				p.OnListNode(0, i+1, logic.Ready, 0, float64(i), 10, int(i/3), 0, 0) // the last has the most room
+				p.OnListNode(0, logic.ListEntry{
+					Node: i + 1, Availability: logic.Ready, FreeCores: float64(i),
+					FreeMemory: 10, Zone: int(i / 3),
+				}) // the last has the most room
 			}
-			p.OnListNode(0, 7, logic.Draining, 0, 10, 10, 0, 0, 0)
+			p.OnListNode(0, logic.ListEntry{Node: 7, Availability: logic.Draining, FreeCores: 10, FreeMemory: 10})
 			p.OnListEnd(0)
 			for job := range 3 {
-				p.OnRequest(0, uint32(job+1), job, 0, 5000, 9, 1, 1)
+				p.OnRequest(0, logic.Request{Allocation: uint32(job + 1), Class: job, Deadline: 5000, Service: 9, Cores: 1, Memory: 1})
 			}
 			p.Decide(0)
 			first := d.offers[2][0]
@@ -50,7 +53,7 @@
 				t.Errorf("offered to %d", d.offers[1][0])
 			}
 			for id := range uint32(3) {
-				p.OnOutcome(100, id+1, d.offers[id+1][0], 0, 100, false, logic.ReasonUnknown, logic.TimedOut, nil)
+				p.OnOutcome(100, logic.AttemptResult{Allocation: id + 1, Node: d.offers[id+1][0], Duration: 100, Outcome: logic.TimedOut})
 			}
 			p.Decide(100)
 			if len(d.offers[1]) != 2 || len(d.offers[2]) != 2 || len(d.offers[3]) != 1 || d.failed != 1 {
@@ -59,12 +62,15 @@
 			if second := d.offers[2][1]; (first-1)/3 != (second-1)/3 || second == first {
 				t.Errorf("tokened at %d, then %d", first, second)
 			}
-			p.OnOutcome(1500, 2, d.offers[2][1], 1, 100, false, logic.ReasonUnknown, logic.TimedOut, nil)
+			p.OnOutcome(1500, logic.AttemptResult{Allocation: 2, Node: d.offers[2][1], Attempt: 1, Duration: 100, Outcome: logic.TimedOut})
 			p.Decide(1500)
 			if d.failed != 2 {
 				t.Error("tokened tried after its window")
 			}
-			p.OnOutcome(1600, 1, d.offers[1][1], 1, 100, false, logic.InsufficientCores, logic.Rejected, nil)
+			p.OnOutcome(1600, logic.AttemptResult{
+				Allocation: 1, Node: d.offers[1][1], Attempt: 1, Duration: 100,
+				Reason: logic.InsufficientCores, Outcome: logic.Rejected,
+			})
 			p.Decide(6000)
 			if d.declined != 1 {
 				t.Errorf("%d declined after the expiry", d.declined)
--- a/internal/platform/host/fence.go
+++ b/internal/platform/host/fence.go
@@ -66,7 +66,10 @@
 		if a := h.allocs[id]; a.stands {
 			a.before = a.tries - 1
 			h.tell(func(m *logic.Scheduler) {
-				m.OnRecovered(h.now, id, a.request.jobType, a.request.tenant, a.request.service, a.request.cores, a.request.memory, a.node)
+				m.OnRecovered(h.now, logic.Recovered{Request: logic.Request{
+					Allocation: id, Class: a.request.jobType,
+					Tenant: a.request.tenant, Service: a.request.service, Cores: a.request.cores, Memory: a.request.memory,
+				}, Node: a.node})
 			})
 		}
 	}
@@ -150,7 +153,10 @@
 		m.OnListBegin(now, logic.ListCached)
 		for _, id := range slices.Sorted(maps.Keys(l.all)) {
 			e := l.all[id]
-			m.OnListNode(now, id, e.avail, max(e.since, e.entered), e.freeCores, e.freeMemory, e.zone, e.cell, e.kind)
+			m.OnListNode(now, logic.ListEntry{
+				Node: id, Availability: e.avail, StartedAt: max(e.since, e.entered),
+				FreeCores: e.freeCores, FreeMemory: e.freeMemory, Zone: e.zone, Cell: e.cell, Kind: e.kind,
+			})
 		}
 		m.OnListEnd(now)
 	}
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -188,7 +188,9 @@
 		node := uint32(key >> 32)
 		if p, ok := h.probes[node]; ok && p.seq == uint32(key) {
 			delete(h.probes, node)
-			h.tell(func(m *logic.Scheduler) { m.OnProbeResult(h.now, node, logic.TimedOut, h.now-p.at, nil) })
+			h.tell(func(m *logic.Scheduler) {
+				m.OnProbeResult(h.now, logic.ProbeResult{Node: node, Outcome: logic.TimedOut, Duration: h.now - p.at})
+			})
 		}
 	case dueLapse:
 		if a := h.allocs[uint32(key)]; a != nil && !a.over {
@@ -230,7 +232,10 @@
 func (h *Host) ListNode(node uint32, avail logic.Availability, since, freeCores, freeMemory float64, zone, cell, kind int) {
 	h.fence.list.node(h.now, node, entry{avail, since, freeCores, freeMemory, zone, cell, kind, 0})
 	h.tell(func(m *logic.Scheduler) {
-		m.OnListNode(h.now, node, avail, since, freeCores, freeMemory, zone, cell, kind)
+		m.OnListNode(h.now, logic.ListEntry{
+			Node: node, Availability: avail, StartedAt: since, FreeCores: freeCores,
+			FreeMemory: freeMemory, Zone: zone, Cell: cell, Kind: kind,
+		})
 	})
 }
 
@@ -247,7 +252,12 @@
 	h.allocs[h.count] = &alloc{request: request{jobType, tenant, service, cores, memory}, expiry: expiry}
 	h.open++
 	h.bells.Set(expiry, dueLapse, uint64(h.count))
-	h.tell(func(m *logic.Scheduler) { m.OnRequest(h.now, h.count, jobType, tenant, expiry, service, cores, memory) })
+	h.tell(func(m *logic.Scheduler) {
+		m.OnRequest(h.now, logic.Request{
+			Allocation: h.count, Class: jobType, Tenant: tenant, Deadline: expiry,
+			Service: service, Cores: cores, Memory: memory,
+		})
+	})
 	return h.count
 }
 
@@ -260,7 +270,12 @@
 		stands: true, over: true,
 	}
 	h.stands++
-	h.tell(func(m *logic.Scheduler) { m.OnRecovered(h.now, h.count, jobType, tenant, service, cores, memory, node) })
+	h.tell(func(m *logic.Scheduler) {
+		m.OnRecovered(h.now, logic.Recovered{Request: logic.Request{
+			Allocation: h.count, Class: jobType, Tenant: tenant,
+			Service: service, Cores: cores, Memory: memory,
+		}, Node: node})
+	})
 	return h.count
 }
 
@@ -328,7 +343,10 @@
 	a.out, a.stands, a.awaiting = false, false, false
 	h.weigh(a.node, report)
 	h.tell(func(m *logic.Scheduler) {
-		m.OnOutcome(h.now, id, a.node, a.told(), h.now-a.sentAt, a.over, why, v, report)
+		m.OnOutcome(h.now, logic.AttemptResult{
+			Allocation: id, Node: a.node, Attempt: a.told(),
+			Duration: h.now - a.sentAt, Answered: a.over, Reason: why, Outcome: v, Report: report,
+		})
 	})
 	h.sweep(id, a)
 }
@@ -338,7 +356,9 @@
 	if a := h.allocs[id]; a != nil && a.out {
 		h.hear(now)
 		a.noted = true
-		h.tell(func(m *logic.Scheduler) { m.OnTaskMetric(h.now, id, a.told(), a.node, kind, value) })
+		h.tell(func(m *logic.Scheduler) {
+			m.OnTaskMetric(h.now, logic.TaskSample{Allocation: id, Attempt: a.told(), Node: a.node, Metric: kind, Value: value})
+		})
 	}
 }
 
@@ -413,6 +433,8 @@
 		h.hear(now)
 		delete(h.probes, node)
 		h.weigh(node, report)
-		h.tell(func(m *logic.Scheduler) { m.OnProbeResult(h.now, node, verdict, h.now-p.at, report) })
+		h.tell(func(m *logic.Scheduler) {
+			m.OnProbeResult(h.now, logic.ProbeResult{Node: node, Outcome: verdict, Duration: h.now - p.at, Report: report})
+		})
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -46,13 +46,19 @@
 	s := logic.New(q, now, 7, d.Cluster)
 	s.OnListBegin(now, logic.ListCached)
 	for i := range 6 {
-		s.OnListNode(now, uint32(10+i), logic.Ready, float64(i%2)*now, 30, 60, i%2, i, i%len(d.Cluster.KindCores))
+		s.OnListNode(now, logic.ListEntry{
+			Node: uint32(10 + i), Availability: logic.Ready,
+			StartedAt: float64(i%2) * now, FreeCores: 30, FreeMemory: 60, Zone: i % 2, Cell: i, Kind: i % len(d.Cluster.KindCores),
+		})
 	}
 	s.OnListEnd(now)
 	for i := range 30 {
 		j := i % len(d.JobTypes)
 		now += 300
-		s.OnRequest(now, uint32(i), j, 0, now+d.Expiry[j], uint64(i%3), 1, 2)
+		s.OnRequest(now, logic.Request{
+			Allocation: uint32(i), Class: j, Deadline: now + d.Expiry[j],
+			Service: uint64(i % 3), Cores: 1, Memory: 2,
+		})
 		s.Decide(now)
 		s.OnTimer(now, 0)
 		s.Decide(now)
--- a/logic/belief_test.go
+++ b/logic/belief_test.go
@@ -25,7 +25,7 @@
 			if _, _, ok := x.scheduler.BeliefError(x.now, 11, []float64{1, 1}); ok {
 				t.Error("an unknown node")
 			}
-			x.scheduler.OnProbeResult(x.now, 10, Completed, 1, []float64{30, 60})
+			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1, Report: []float64{30, 60}})
 			if _, _, ok := x.scheduler.BeliefError(x.now, 10, []float64{1, 1}); ok {
 				t.Error("a report no newer than the last")
 			}
@@ -38,7 +38,7 @@
 			if !ok || cores != c.off || memory != c.offM {
 				t.Errorf("%g cores, %g memory, %t; want %g, %g", cores, memory, ok, c.off, c.offM)
 			}
-			x.scheduler.OnProbeResult(x.now, 10, Completed, 1, report)
+			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1, Report: report})
 			held := 0.0
 			if c.after < reportDelay {
 				held = 1
@@ -59,12 +59,12 @@
 	if _, ok := x.scheduler.NodeBelief(11); ok {
 		t.Error("an unknown node")
 	}
-	x.scheduler.OnProbeResult(x.now, 10, Completed, 1, []float64{30, 60})
+	x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1, Report: []float64{30, 60}})
 	x.request(1, 0, 5)
 	x.complete(1, 0, Errored, ReasonUnknown)
 	x.request(2, 0, 5)
 	x.scheduler.OnStarted(x.now, 2, 0, 10)
-	x.scheduler.OnTaskMetric(x.now, 2, 0, 10, ServedShare, 0)
+	x.scheduler.OnTaskMetric(x.now, TaskSample{Allocation: 2, Node: 10, Metric: ServedShare, Value: 0})
 	if b, ok := x.scheduler.NodeBelief(10); !ok || b.FailureRate != 0.25 || b.Degradation != 0.5 {
 		t.Errorf("%+v", b)
 	}
@@ -76,8 +76,11 @@
 	for _, avail := range []Availability{Draining, Unavailable} {
 		x := newHarness(t, testCluster(), 1)
 		x.updateNode(11, avail, 0)
-		x.scheduler.OnRecovered(x.now, 5, 0, 0, 9, 1, 2, 11)
-		x.scheduler.OnOutcome(x.now, 5, 11, 0, 100, true, ReasonUnknown, Completed, []float64{30, 60})
+		x.scheduler.OnRecovered(x.now, Recovered{Request: Request{Allocation: 5, Service: 9, Cores: 1, Memory: 2}, Node: 11})
+		x.scheduler.OnOutcome(x.now, AttemptResult{
+			Allocation: 5, Node: 11, Duration: 100, Answered: true,
+			Outcome: Completed, Report: []float64{30, 60},
+		})
 		if b, ok := x.scheduler.NodeBelief(11); !ok || b.Cores != 31 || b.FailureRate != 0 { // one of them given back since it was measured
 			t.Errorf("named as %d: %+v, %t", avail, b, ok)
 		}
@@ -123,7 +126,10 @@
 			"found": func(*rapid.T) {
 				ids++
 				found[ids] = node()
-				x.scheduler.OnRecovered(x.now, ids, rapid.IntRange(0, 2).Draw(rt, "job"), 0, 9, 1, 2, found[ids])
+				x.scheduler.OnRecovered(x.now, Recovered{Request: Request{
+					Allocation: ids,
+					Class:      rapid.IntRange(0, 2).Draw(rt, "job"), Service: 9, Cores: 1, Memory: 2,
+				}, Node: found[ids]})
 			},
 			"ask": func(*rapid.T) {
 				ids++
@@ -139,12 +145,18 @@
 				id := rapid.Uint32Range(1, 20).Draw(rt, "alloc")
 				if i, ok := x.scheduler.allocationIndex[id]; ok && x.scheduler.allocations[i].inFlight {
 					a := &x.scheduler.allocations[i]
-					x.scheduler.OnOutcome(x.now, id, x.scheduler.nodes[a.node].id, uint8(a.attempts-1), 50, a.answered,
-						Reason(rapid.IntRange(0, int(Displaced)).Draw(rt, "why")), verdict(), report())
+					x.scheduler.OnOutcome(x.now, AttemptResult{
+						Allocation: id, Node: x.scheduler.nodes[a.node].id,
+						Attempt: uint8(a.attempts - 1), Duration: 50, Answered: a.answered,
+						Reason: Reason(rapid.IntRange(0, int(Displaced)).Draw(rt, "why")), Outcome: verdict(), Report: report(),
+					})
+
 				}
 			},
-			"probed": func(*rapid.T) { x.scheduler.OnProbeResult(x.now, node(), verdict(), 5, report()) },
-			"pass":   func(*rapid.T) { x.advance(rapid.Float64Range(1, 1500).Draw(rt, "ms")) },
+			"probed": func(*rapid.T) {
+				x.scheduler.OnProbeResult(x.now, ProbeResult{Node: node(), Outcome: verdict(), Duration: 5, Report: report()})
+			},
+			"pass": func(*rapid.T) { x.advance(rapid.Float64Range(1, 1500).Draw(rt, "ms")) },
 			"": func(*rapid.T) {
 				for id := uint32(9); id < 18; id++ {
 					x.scheduler.NodeBelief(id)
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -78,7 +78,10 @@
 	p.inFlight = nil
 	p.scheduler.OnListBegin(g.now, ListCached)
 	for id, since := range p.known {
-		p.scheduler.OnListNode(g.now, id, Ready, since, 40, 80, int(id)%3, int(id)%5, 0)
+		p.scheduler.OnListNode(g.now, ListEntry{
+			Node: id, Availability: Ready, StartedAt: since, FreeCores: 40,
+			FreeMemory: 80, Zone: int(id) % 3, Cell: int(id) % 5,
+		})
 	}
 	p.scheduler.OnListEnd(g.now)
 }
@@ -122,17 +125,26 @@
 					}
 					p.known[v.node] = max(p.known[v.node], v.startedAt)
 					p.scheduler.OnListBegin(g.now, ListChanges)
-					p.scheduler.OnListNode(g.now, v.node, Ready, v.startedAt, 40, 80, int(v.node)%3, int(v.node)%5, 0)
+					p.scheduler.OnListNode(g.now, ListEntry{
+						Node: v.node, Availability: Ready, StartedAt: v.startedAt,
+						FreeCores: 40, FreeMemory: 80, Zone: int(v.node) % 3, Cell: int(v.node) % 5,
+					})
 					p.scheduler.OnListEnd(g.now)
 					return true
 				})
 				for _, o := range slices.Clone(p.inFlight) {
 					if o.endsAt <= g.now && o.endsAt > g.now-50 {
-						p.scheduler.OnOutcome(g.now, o.alloc, o.node, o.attempt, 100, false, QueueFull, o.outcome, nil)
+						p.scheduler.OnOutcome(g.now, AttemptResult{
+							Allocation: o.alloc, Node: o.node,
+							Attempt: o.attempt, Duration: 100, Reason: QueueFull, Outcome: o.outcome,
+						})
 					}
 				}
 				g.lastID++
-				p.scheduler.OnRequest(g.now, g.lastID, 0, 0, g.now+5000, uint64(g.lastID%7), 0.1, 0.1)
+				p.scheduler.OnRequest(g.now, Request{
+					Allocation: g.lastID, Deadline: g.now + 5000,
+					Service: uint64(g.lastID % 7), Cores: 0.1, Memory: 0.1,
+				})
 				p.scheduler.OnTimer(g.now, timerTick)
 				p.scheduler.OnTimer(g.now, timerScan)
 				p.scheduler.Decide(g.now)
--- a/logic/full_test.go
+++ b/logic/full_test.go
@@ -19,13 +19,17 @@
 		cl.FleetPrice = float64(seed % 2)
 		x := newHarness(t, cl, 3)
 		x.scheduler.OnListBegin(x.now, ListChanges)
-		x.scheduler.OnListNode(x.now, 13, Ready, 0, 64, 128, 0, 0, 1)
+		x.scheduler.OnListNode(x.now, ListEntry{Node: 13, Availability: Ready, FreeCores: 64, FreeMemory: 128, Kind: 1})
 		x.scheduler.OnListEnd(x.now)
 		x.scheduler.nodes[3].warmingUntil, x.scheduler.nodes[3].lastHeard = 0, x.now
 		for id := uint32(1); id < 120; id++ {
 			x.now += 100 * rng.Float64()
 			size := float64(1 + rng.IntN(12))
-			x.scheduler.OnRequest(x.now, id, rng.IntN(3), 0, x.now+3000+4000*rng.Float64(), uint64(1+rng.IntN(5)), size, 2*size*rng.Float64())
+			x.scheduler.OnRequest(x.now, Request{
+				Allocation: id, Class: rng.IntN(3),
+				Deadline: x.now + 3000 + 4000*rng.Float64(), Service: uint64(1 + rng.IntN(5)), Cores: size,
+				Memory: 2 * size * rng.Float64(),
+			})
 			if rng.IntN(3) == 0 {
 				x.scheduler.OnTimer(x.now, timerTick)
 			}
@@ -58,7 +62,10 @@
 				} else {
 					v := []Outcome{Completed, Rejected, Errored, TimedOut, Unreachable}[rng.IntN(5)]
 					report := []float64{40 * rng.Float64(), 80 * rng.Float64()}
-					x.scheduler.OnOutcome(x.now, a.id, nd, try, 50, false, []Reason{ReasonUnknown, InsufficientCores, InsufficientMemory, NotAccepting}[rng.IntN(4)], v, report)
+					x.scheduler.OnOutcome(x.now, AttemptResult{
+						Allocation: a.id, Node: nd, Attempt: try, Duration: 50,
+						Reason: []Reason{ReasonUnknown, InsufficientCores, InsufficientMemory, NotAccepting}[rng.IntN(4)], Outcome: v, Report: report,
+					})
 				}
 			}
 		}
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -82,7 +82,10 @@
 
 func (x *harness) node(id uint32, avail Availability, since float64) {
 	i := int(id - 10)
-	x.scheduler.OnListNode(x.now, id, avail, since, 40, 80, i/4, i/2, 0)
+	x.scheduler.OnListNode(x.now, ListEntry{
+		Node: id, Availability: avail, StartedAt: since, FreeCores: 40, FreeMemory: 80,
+		Zone: i / 4, Cell: i / 2,
+	})
 }
 
 // updateNode tells of one node's new state.
@@ -94,13 +97,16 @@
 
 // request hands in an allocation of 1 core and 2 memory with 5 s to go.
 func (x *harness) request(id uint32, jobType int, service uint64) {
-	x.scheduler.OnRequest(x.now, id, jobType, 0, x.now+5000, service, 1, 2)
+	x.scheduler.OnRequest(x.now, Request{Allocation: id, Class: jobType, Deadline: x.now + 5000, Service: service, Cores: 1, Memory: 2})
 	x.scheduler.Decide(x.now)
 }
 
 // complete reports an outcome of the last offer of an allocation.
 func (x *harness) complete(id uint32, try uint8, v Outcome, why Reason) {
-	x.scheduler.OnOutcome(x.now, id, x.effects.lastNode(), try, 100, false, why, v, nil)
+	x.scheduler.OnOutcome(x.now, AttemptResult{
+		Allocation: id, Node: x.effects.lastNode(), Attempt: try, Duration: 100,
+		Reason: why, Outcome: v,
+	})
 	x.scheduler.Decide(x.now)
 }
 
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -237,31 +237,30 @@
 	}
 }
 
-func (s *Scheduler) OnListNode(now float64, id uint32, avail Availability, since, freeCores, freeMemory float64,
-	zone, cell, kind int,
-) {
-	i, ok := s.nodeIndex[id]
+// OnListNode takes the state of one node from the list.
+func (s *Scheduler) OnListNode(now float64, entry ListEntry) {
+	i, ok := s.nodeIndex[entry.Node]
 	if !ok {
 		i = len(s.nodes)
-		s.nodeIndex[id] = i
-		s.nodes = append(s.nodes, nodeState{id: id, availability: Unavailable, lastHeard: -1, history: s.cleanHistory()})
+		s.nodeIndex[entry.Node] = i
+		s.nodes = append(s.nodes, nodeState{id: entry.Node, availability: Unavailable, lastHeard: -1, history: s.cleanHistory()})
 	}
 	nd := &s.nodes[i]
-	fresh := !ok && s.listKind != ListCached || nd.availability == Unavailable && ok || since > nd.startedAt && ok
-	nd.listVersion, nd.zone, nd.cell, nd.kind = s.listVersion, zone, cell, kind
-	if kind < len(s.cluster.KindCores) {
-		nd.cores, nd.memory, nd.allocatedValid = s.cluster.KindCores[kind], s.cluster.KindMemory[kind], false
+	fresh := !ok && s.listKind != ListCached || nd.availability == Unavailable && ok || entry.StartedAt > nd.startedAt && ok
+	nd.listVersion, nd.zone, nd.cell, nd.kind = s.listVersion, entry.Zone, entry.Cell, entry.Kind
+	if entry.Kind < len(s.cluster.KindCores) {
+		nd.cores, nd.memory, nd.allocatedValid = s.cluster.KindCores[entry.Kind], s.cluster.KindMemory[entry.Kind], false
 	}
-	if avail == Ready && (fresh || nd.availability != Ready) {
-		s.bringIntoUse(nd, since, fresh)
+	if entry.Availability == Ready && (fresh || nd.availability != Ready) {
+		s.bringIntoUse(nd, entry.StartedAt, fresh)
 	}
-	nd.availability, nd.startedAt = avail, since
-	if s.cluster.ListsReportLoad && avail == Ready {
+	nd.availability, nd.startedAt = entry.Availability, entry.StartedAt
+	if s.cluster.ListsReportLoad && entry.Availability == Ready {
 		lag := float64(listDelay)
 		if s.listKind == ListCached {
 			lag = changeRetention
 		}
-		s.measure(nd, freeCores, freeMemory, now-lag)
+		s.measure(nd, entry.FreeCores, entry.FreeMemory, now-lag)
 	}
 }
 
@@ -355,18 +354,21 @@
 	return max(nd.allocated[0], nd.reserved[0]), max(nd.allocated[1], nd.reserved[1])
 }
 
-func (s *Scheduler) track(id uint32, jobType int, svcKey uint64, cores, memory float64) int {
-	v, ok := s.serviceIndex[svcKey]
+func (s *Scheduler) track(request *Request) int {
+	v, ok := s.serviceIndex[request.Service]
 	if !ok {
 		v, s.freeServices, s.services = slot(s.freeServices, s.services)
-		s.services[v] = service{key: svcKey, placements: s.services[v].placements[:0]}
-		s.serviceIndex[svcKey] = v
+		s.services[v] = service{key: request.Service, placements: s.services[v].placements[:0]}
+		s.serviceIndex[request.Service] = v
 	}
 	s.services[v].refs++
 	var i int
 	i, s.freeAllocations, s.allocations = slot(s.freeAllocations, s.allocations)
-	s.allocations[i] = allocation{id: id, class: jobType, service: v, cores: cores, memory: memory, node: -1, mayHaveRunNode: -1}
-	s.allocationIndex[id] = i
+	s.allocations[i] = allocation{
+		id: request.Allocation, class: request.Class, service: v, cores: request.Cores, memory: request.Memory,
+		node: -1, mayHaveRunNode: -1,
+	}
+	s.allocationIndex[request.Allocation] = i
 	return i
 }
 
@@ -395,33 +397,32 @@
 	s.freeAllocations = append(s.freeAllocations, i)
 }
 
-func (s *Scheduler) OnRequest(now float64, id uint32, jobType, _ int, expiry float64, svcKey uint64,
-	cores, memory float64,
-) {
+// OnRequest queues an allocation.
+func (s *Scheduler) OnRequest(now float64, request Request) {
 	s.now = now
-	i := s.track(id, jobType, svcKey, cores, memory)
-	s.allocations[i].deadline = expiry - 2*s.cluster.MinRoundInterval // the answer is there before the owner's time is up
+	i := s.track(&request)
+	s.allocations[i].deadline = request.Deadline - 2*s.cluster.MinRoundInterval // the answer is there before the client stops waiting
+	cores, memory := request.Cores, request.Memory
 	s.largeMemory[1] += memory
 	if (cores/s.cluster.MeanCores+memory/s.cluster.MeanMemory)/2 >= largeSizeFactor { // of mean sizes
 		s.largeMemory[0] += memory
-		s.largest, s.largeKind = [2]float64{max(cores, s.largest[0]), max(memory, s.largest[1])}, s.classes[jobType].NodeKind
-		s.largeWeight = s.classes[jobType].PriorityWeight
+		s.largest, s.largeKind = [2]float64{max(cores, s.largest[0]), max(memory, s.largest[1])}, s.classes[request.Class].NodeKind
+		s.largeWeight = s.classes[request.Class].PriorityWeight
 	}
 	s.waiting = append(s.waiting, i)
-	s.effects.SetTimer(s.allocations[i].deadline-now, timerDeadline+uint64(id))
+	s.effects.SetTimer(s.allocations[i].deadline-now, timerDeadline+uint64(request.Allocation))
 	s.probeCredit = min(s.probeCredit+1, float64(len(s.nodes)))
 	s.scanAt = now
 }
 
-func (s *Scheduler) OnRecovered(now float64, id uint32, jobType, _ int, svcKey uint64, cores, memory float64,
-	nodeID uint32,
-) {
+// OnRecovered takes an allocation that runs at a node already.
+func (s *Scheduler) OnRecovered(now float64, recovered Recovered) {
 	s.now = now
-	n, ok := s.nodeIndex[nodeID]
+	n, ok := s.nodeIndex[recovered.Node]
 	if !ok {
 		return
 	}
-	i := s.track(id, jobType, svcKey, cores, memory)
+	i := s.track(&recovered.Request)
 	a := &s.allocations[i]
 	a.attempts, a.inFlight, a.running, a.answered, a.node, a.sentAt = 1, true, true, true, n, now
 	s.countPlacement(a, 1)
@@ -938,25 +939,24 @@
 	s.classes[a.class].startTimes.add(took)
 }
 
-func (s *Scheduler) OnOutcome(now float64, id uint32, nodeID uint32, try uint8, took float64, over bool,
-	why Reason, verdict Outcome, report []float64,
-) {
+// OnOutcome passes an attempt back along the chain.
+func (s *Scheduler) OnOutcome(now float64, result AttemptResult) {
 	s.now = now
-	if n, ok := s.nodeIndex[nodeID]; ok {
-		s.report(&s.nodes[n], report)
+	if n, ok := s.nodeIndex[result.Node]; ok {
+		s.report(&s.nodes[n], result.Report)
 	}
-	i, ok := s.allocationIndex[id]
+	i, ok := s.allocationIndex[result.Allocation]
 	if !ok {
 		return
 	}
 	a := &s.allocations[i]
-	if !a.inFlight || int(try) != a.attempts-1 {
+	if !a.inFlight || int(result.Attempt) != a.attempts-1 {
 		return
 	}
-	a.answered = a.answered || over
+	a.answered = a.answered || result.Answered
 	nd := &s.nodes[a.node]
 	for x := len(chain) - 1; x >= 0; x-- {
-		chain[x].handleOutcome(s, a, nd, verdict, why)
+		chain[x].handleOutcome(s, a, nd, result.Outcome, result.Reason)
 	}
 	s.forget(i)
 	s.scanAt = min(s.scanAt, now+scanInterval/4)
@@ -969,14 +969,19 @@
 }
 
 // OnTaskMetric learns what part of their asks tasks use, and how well they are served.
-func (s *Scheduler) OnTaskMetric(now float64, id uint32, _ uint8, _ uint32, kind TaskMetric, value float64) {
+func (s *Scheduler) OnTaskMetric(now float64, sample TaskSample) {
 	s.now = now
-	if i, ok := s.allocationIndex[id]; ok && s.allocations[i].running && kind == ServedShare {
-		nd := &s.nodes[s.allocations[i].node]
-		nd.degradation, nd.degradedAt = (s.degradation(nd)+1-value)/2, now
+	i, ok := s.allocationIndex[sample.Allocation]
+	if !ok {
+		return
+	}
+	a := &s.allocations[i]
+	if a.running && sample.Metric == ServedShare {
+		nd := &s.nodes[a.node]
+		nd.degradation, nd.degradedAt = (s.degradation(nd)+1-sample.Value)/2, now
 	}
-	if i, ok := s.allocationIndex[id]; ok && s.allocations[i].inFlight && (kind == CoresUsed || kind == MemoryUsed) {
-		x, a := kind-CoresUsed, &s.allocations[i]
+	if a.inFlight && (sample.Metric == CoresUsed || sample.Metric == MemoryUsed) {
+		x, value := sample.Metric-CoresUsed, sample.Value
 		if now-a.sentAt < usageGrowthTime {
 			value = max(value, a.usage[x])
 		}
@@ -995,18 +1000,19 @@
 	}
 }
 
-func (s *Scheduler) OnProbeResult(now float64, nodeID uint32, verdict Outcome, took float64, report []float64) {
+// OnProbeResult takes the answer to a probe, or that none came.
+func (s *Scheduler) OnProbeResult(now float64, result ProbeResult) {
 	s.now = now
-	n, ok := s.nodeIndex[nodeID]
+	n, ok := s.nodeIndex[result.Node]
 	if !ok {
 		return
 	}
 	nd := &s.nodes[n]
 	nd.probing = false
 	s.scanAt = now
-	s.noteReachability(nd, verdict == Completed)
-	if verdict == Completed {
-		s.report(nd, report)
+	s.noteReachability(nd, result.Outcome == Completed)
+	if result.Outcome == Completed {
+		s.report(nd, result.Report)
 	}
 }
 
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -166,7 +166,10 @@
 			for id := range uint32(9) {
 				x.request(id, 0, 5)
 				if c.v == Rejected {
-					x.scheduler.OnOutcome(x.now, id, 10, 0, 5, false, NotAccepting, Rejected, nil)
+					x.scheduler.OnOutcome(x.now, AttemptResult{
+						Allocation: id, Node: 10, Duration: 5,
+						Reason: NotAccepting, Outcome: Rejected,
+					})
 					x.scheduler.nodes[0].backoffUntil = 0
 					x.scheduler.Decide(x.now)
 				}
@@ -194,12 +197,15 @@
 			cl := testCluster()
 			cl.JobClasses[0].Spread, cl.JobClasses[0].MaxPerScope = c.place, c.most
 			x := newHarness(t, cl, 8)
-			x.scheduler.OnRecovered(x.now, 99, 0, 0, 5, 1, 2, 10)
+			x.scheduler.OnRecovered(x.now, Recovered{Request: Request{Allocation: 99, Service: 5, Cores: 1, Memory: 2}, Node: 10})
 			for id := range uint32(20) {
 				x.request(id, 0, 5)
 			}
 			x.expect("offer", c.want)
-			x.scheduler.OnOutcome(x.now, 99, 10, 0, 9, true, Evicted, ConnectionLost, nil)
+			x.scheduler.OnOutcome(x.now, AttemptResult{
+				Allocation: 99, Node: 10, Duration: 9, Answered: true,
+				Reason: Evicted, Outcome: ConnectionLost,
+			})
 			x.advance(100)
 			x.expect("offer", min(c.want+1, 20))
 		})
@@ -222,7 +228,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			x := newHarness(t, testCluster(), 1)
 			if !math.IsNaN(c.cores) {
-				x.scheduler.OnProbeResult(x.now, 10, Completed, 1, []float64{c.cores, c.memory})
+				x.scheduler.OnProbeResult(x.now, ProbeResult{
+					Node: 10, Outcome: Completed, Duration: 1,
+					Report: []float64{c.cores, c.memory},
+				})
 			}
 			x.request(1, 0, 5)
 			x.expect("offer", c.want)
@@ -241,7 +250,7 @@
 			x := newHarness(t, testCluster(), 1)
 			x.request(1, 0, 5)
 			x.now += c.gap
-			x.scheduler.OnProbeResult(x.now, 10, Completed, 1, []float64{30, 70})
+			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1, Report: []float64{30, 70}})
 			if cores, _ := x.scheduler.allocatedOn(&x.scheduler.nodes[0]); cores != c.want {
 				t.Errorf("%v cores taken, want %v", cores, c.want)
 			}
@@ -255,9 +264,9 @@
 	cl.ListsReportLoad = false
 	x := newHarness(t, cl, 12)
 	for id := range uint32(2) { // the service runs on node 10 and on node 14, zones 0 and 1
-		x.scheduler.OnRecovered(x.now, id, 0, 0, 5, 1, 2, 10+4*id)
+		x.scheduler.OnRecovered(x.now, Recovered{Request: Request{Allocation: id, Service: 5, Cores: 1, Memory: 2}, Node: 10 + 4*id})
 	}
-	a := &x.scheduler.allocations[x.scheduler.track(9, 0, 5, 1, 2)]
+	a := &x.scheduler.allocations[x.scheduler.track(&Request{Allocation: 9, Service: 5, Cores: 1, Memory: 2})]
 	x.scheduler.survey()
 	fetch := func(i int) float64 {
 		return min(maxFetchCost, 12*fetchCostPerRank*hashFraction(5, x.scheduler.nodes[i].id))
@@ -328,7 +337,10 @@
 					before = x.effects.count("offer")
 					if x.effects.lastNode() != 10 {
 						x.scheduler.OnStarted(x.now, id, try, 50)
-						x.scheduler.OnOutcome(x.now, id, 11, try, 100, true, ReasonUnknown, Completed, nil)
+						x.scheduler.OnOutcome(x.now, AttemptResult{
+							Allocation: id, Node: 11, Attempt: try,
+							Duration: 100, Answered: true, Outcome: Completed,
+						})
 						break
 					}
 					why := c.then
@@ -369,9 +381,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newHarness(t, testCluster(), 4)
-			x.scheduler.OnRecovered(x.now, 1000, 0, 0, 7, 1, 2, 10)
+			x.scheduler.OnRecovered(x.now, Recovered{Request: Request{Allocation: 1000, Service: 7, Cores: 1, Memory: 2}, Node: 10})
 			for _, v := range c.served {
-				x.scheduler.OnTaskMetric(x.now, 1000, 0, 10, ServedShare, v)
+				x.scheduler.OnTaskMetric(x.now, TaskSample{Allocation: 1000, Node: 10, Metric: ServedShare, Value: v})
 			}
 			x.now += c.after
 			used := false
@@ -379,7 +391,10 @@
 				x.request(id, 0, uint64(id))
 				used = used || x.effects.lastNode() == 10
 				x.scheduler.OnStarted(x.now, id, 0, 50)
-				x.scheduler.OnOutcome(x.now, id, x.effects.lastNode(), 0, 100, true, ReasonUnknown, Completed, nil)
+				x.scheduler.OnOutcome(x.now, AttemptResult{
+					Allocation: id, Node: x.effects.lastNode(), Duration: 100,
+					Answered: true, Outcome: Completed,
+				})
 			}
 			if x.expect("offer", 40); used != c.want {
 				t.Errorf("the node is used: %t", used)
@@ -465,7 +480,7 @@
 			cl := testCluster()
 			cl.FleetPrice = c.price
 			x := newHarness(t, cl, 4)
-			x.scheduler.OnProbeResult(x.now, 10, Completed, 1, []float64{30, c.free})
+			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1, Report: []float64{30, c.free}})
 			for id := range uint32(6) {
 				x.request(id, 0, uint64(id))
 			}
@@ -491,11 +506,17 @@
 	}{{"room", 75, 0, false, false}, {"short", -10, 0, true, false}, {"short, more valuable", -10, 1, true, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newHarness(t, testCluster(), 8)
-			x.scheduler.OnRequest(x.now, 99, 2, 0, x.now+5000, 7, 20, 32) // a large one is seen
+			x.scheduler.OnRequest(x.now, Request{
+				Allocation: 99, Class: 2, Deadline: x.now + 5000, Service: 7, Cores: 20,
+				Memory: 32,
+			}) // a large one is seen
 			x.scheduler.OnExpired(x.now, 99)
 			x.scheduler.largeMemory = [2]float64{100, 400}
 			for i := range x.scheduler.nodes {
-				x.scheduler.OnProbeResult(x.now, uint32(10+i), Completed, 1, []float64{20, c.free})
+				x.scheduler.OnProbeResult(x.now, ProbeResult{
+					Node: uint32(10 + i), Outcome: Completed, Duration: 1,
+					Report: []float64{20, c.free},
+				})
 			}
 			for id := range uint32(8 * maxUnanswered) {
 				x.request(id, c.jobType, uint64(id))
@@ -533,7 +554,7 @@
 			cl.ReportsPiggybacked, cl.ListsReportLoad = c.come, false
 			x := newHarness(t, cl, 2)
 			for id := uint32(10); id < 12; id++ {
-				x.scheduler.OnProbeResult(x.now, id, Completed, 1, []float64{20, 40})
+				x.scheduler.OnProbeResult(x.now, ProbeResult{Node: id, Outcome: Completed, Duration: 1, Report: []float64{20, 40}})
 			}
 			x.scheduler.probeCredit, x.scheduler.scanAt = 2, 0
 			if !c.fresh {
@@ -543,8 +564,8 @@
 			x.expect("probe", c.probes)
 			x.expect("offer", (2-c.probes)/2)
 			if c.answer && c.probes > 0 { // node 10 turns out full
-				x.scheduler.OnProbeResult(x.now, 10, Completed, 1, []float64{-40, 40})
-				x.scheduler.OnProbeResult(x.now, 11, Completed, 1, []float64{20, 40})
+				x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1, Report: []float64{-40, 40}})
+				x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 11, Outcome: Completed, Duration: 1, Report: []float64{20, 40}})
 				x.scheduler.Decide(x.now)
 				x.expect("offer 1 11", 1)
 			}
@@ -578,7 +599,7 @@
 					x.scheduler.nodes[i].recordOutcome(0, 0)
 				}
 			}
-			x.scheduler.OnProbeResult(x.now, 10, Completed, 1, nil)
+			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1})
 			x.advance(c.later)
 			used := false
 			for id := range uint32(18) {
@@ -708,7 +729,7 @@
 				t.Errorf("ill: %t", nd.unhealthy)
 			}
 			x.advance(1200)
-			x.scheduler.OnProbeResult(x.now, nd.id, Completed, 1, nil)
+			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: nd.id, Outcome: Completed, Duration: 1})
 			if nd.unhealthy {
 				t.Error("a node that answers stays ill")
 			}
@@ -758,16 +779,19 @@
 		{"one scheduler", func(cl *Cluster) { cl.Schedulers = 1 }, func(*harness) {}},
 		{"a number past all others", func(cl *Cluster) { cl.Schedulers, cl.Index, cl.SlowStartLimit = 9, 60000, 3 }, func(*harness) {}},
 		{"outcomes for what is long over", func(*Cluster) {}, func(x *harness) {
-			x.scheduler.OnOutcome(x.now, 7, 10, 3, 5, true, ReasonUnknown, Completed, []float64{1})
+			x.scheduler.OnOutcome(x.now, AttemptResult{
+				Allocation: 7, Node: 10, Attempt: 3, Duration: 5, Answered: true,
+				Outcome: Completed, Report: []float64{1},
+			})
 			x.scheduler.OnStarted(x.now, 7, 0, 5)
 			x.scheduler.OnExpired(x.now, 7)
-			x.scheduler.OnTaskMetric(x.now, 7, 0, 99, MemoryUsed, 3)
-			x.scheduler.OnProbeResult(x.now, 99, Completed, 1, nil)
+			x.scheduler.OnTaskMetric(x.now, TaskSample{Allocation: 7, Node: 99, Metric: MemoryUsed, Value: 3})
+			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 99, Outcome: Completed, Duration: 1})
 			x.scheduler.OnTimer(x.now, timerDeadline+7)
 		}},
 		{"a kind without figures", func(*Cluster) {}, func(x *harness) {
 			x.scheduler.OnListBegin(x.now, ListChanges)
-			x.scheduler.OnListNode(x.now, 50, Ready, 0, 0, 0, 9, 99, 7)
+			x.scheduler.OnListNode(x.now, ListEntry{Node: 50, Availability: Ready, FreeCores: 0, FreeMemory: 0, Zone: 9, Cell: 99, Kind: 7})
 			x.scheduler.OnListEnd(x.now)
 		}},
 	} {
@@ -781,7 +805,7 @@
 			x.updateNode(10, Unavailable, 0)
 			x.updateNode(10, Ready, x.now) // back under its id, cold
 			x.advance(cl.SlowStartDuration + 1000)
-			x.scheduler.OnOutcome(x.now, 1, 10, 0, 5, true, ReasonUnknown, ConnectionLost, nil)
+			x.scheduler.OnOutcome(x.now, AttemptResult{Allocation: 1, Node: 10, Duration: 5, Answered: true, Outcome: ConnectionLost})
 			x.request(2, 0, 5)
 			x.advance(200)
 			x.expect("offer 2 ", 1)
--- a/logic/speed_test.go
+++ b/logic/speed_test.go
@@ -16,22 +16,28 @@
 			s := New(h, testStart, 7, cl)
 			s.OnListBegin(testStart, ListCached)
 			for i := range 400 {
-				s.OnListNode(testStart, uint32(10+i), Ready, 0, 40, 80, i/100, i/10, 0)
+				s.OnListNode(testStart, ListEntry{
+					Node: uint32(10 + i), Availability: Ready, FreeCores: 40, FreeMemory: 80,
+					Zone: i / 100, Cell: i / 10,
+				})
 			}
 			s.OnListEnd(testStart)
 			now := testStart
 			for i := range c.waits {
-				s.OnRequest(now, uint32(1e6+i), 2, 0, now+1e12, uint64(i), c.cores, 2)
+				s.OnRequest(now, Request{
+					Allocation: uint32(1e6 + i), Class: 2, Deadline: now + 1e12, Service: uint64(i),
+					Cores: c.cores, Memory: 2,
+				})
 			}
 			for id := uint32(1); b.Loop(); id++ {
 				now += 2
 				h.lines = h.lines[:0]
-				s.OnRequest(now, id, 0, 0, now+5000, uint64(id%40), 1, 2)
+				s.OnRequest(now, Request{Allocation: id, Deadline: now + 5000, Service: uint64(id % 40), Cores: 1, Memory: 2})
 				s.Decide(now)
 				s.OnStarted(now, id, 0, 50)
 				if id > 500 {
 					nd := s.nodes[s.allocations[s.allocationIndex[id-500]].node].id
-					s.OnOutcome(now, id-500, nd, 0, 1000, false, ReasonUnknown, Completed, nil)
+					s.OnOutcome(now, AttemptResult{Allocation: id - 500, Node: nd, Duration: 1000, Outcome: Completed})
 				}
 			}
 		})
