--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -47,20 +47,20 @@
 
 // Record is one thing that passed. Times are ms of the holder's clock.
 type Record struct {
-	At      float64
-	Kind    Kind
-	Sched   string `json:",omitempty"`
-	Node    uint32 `json:",omitempty"`
-	Owner   int    `json:",omitempty"`
-	Ref     uint64 `json:",omitempty"`
-	Ticket  uint64 `json:",omitempty"`
-	Try     uint8  `json:",omitempty"`
-	Job     int    `json:",omitempty"`
-	Token   uint64 `json:",omitempty"`
-	Service uint64 `json:",omitempty"`
-	Until   float64
-	Sent    float64 `json:",omitempty"` // when an offer was sent, as far as its node can tell
-	Word    string  `json:",omitempty"`
+	At      float64 `json:"At"`
+	Kind    Kind    `json:"Kind"`
+	Sched   string  `json:"Sched,omitempty"`
+	Node    uint32  `json:"Node,omitempty"`
+	Owner   int     `json:"Owner,omitempty"`
+	Ref     uint64  `json:"Ref,omitempty"`
+	Ticket  uint64  `json:"Ticket,omitempty"`
+	Try     uint8   `json:"Try,omitempty"`
+	Job     int     `json:"Job,omitempty"`
+	Token   uint64  `json:"Token,omitempty"`
+	Service uint64  `json:"Service,omitempty"`
+	Until   float64 `json:"Until"`
+	Sent    float64 `json:"Sent,omitempty"` // when an offer was sent, as far as its node can tell
+	Word    string  `json:"Word,omitempty"`
 }
 
 // Trace gathers records from many goroutines.
