--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -16,314 +16,316 @@
 // Effects, groups and spreads as the auditor knows them.
 const (
 	Restartable = iota
-	Tokened
-	RunOnce
+	Idempotent
+	AtMostOnce
 )
 
-// Job is what the rules ask of a job type.
-type Job struct {
-	Effect int
-	Group  int // 0 all, 1 zone, 2 cell
-	Window float64
-	Spread int // 0 anywhere, 1 node, 2 cell, 3 zone
-	Most   int
+// JobRules is what the rules ask of a job type.
+type JobRules struct {
+	Effect      int
+	Group       int // 0 all, 1 zone, 2 cell
+	Window      float64
+	Spread      int // 0 anywhere, 1 node, 2 cell, 3 zone
+	MaxTogether int
 }
 
-// Stand is where a node stands.
-type Stand struct{ Zone, Cell string }
+// Location is where a node stands.
+type Location struct{ Zone, Cell string }
 
 // Rules are the figures of the rules.
 type Rules struct {
-	Jobs       []Job
-	Nodes      map[uint32]Stand
-	Grace      float64 // after word of a drain
-	Asks       bool    // the list answers only when asked
-	AskEvery   float64 // and silence for so long counts as told
-	ColdBears  int
-	ColdFor    float64
-	ColdWindow float64
-	Slack      float64 // that the order of events on two sockets may be off by
+	Jobs              []JobRules
+	Nodes             map[uint32]Location
+	DrainGrace        float64 // after word of a drain
+	ListPolled        bool    // the list answers only when asked
+	PollInterval      float64 // and silence for so long counts as told
+	SlowStartLimit    int
+	SlowStartDuration float64
+	SlowStartWindow   float64
+	Slack             float64 // that the order of events on two sockets may be off by
 }
 
-// Break is a broken rule.
-type Break struct {
+// Violation is a broken rule.
+type Violation struct {
 	Rule int
 	At   float64
 	Text string
 }
 
-func (b Break) String() string { return fmt.Sprintf("rule %d at %.0f ms: %s", b.Rule, b.At, b.Text) }
+func (b Violation) String() string {
+	return fmt.Sprintf("rule %d at %.0f ms: %s", b.Rule, b.At, b.Text)
+}
 
 // Check returns every broken rule. Records must be in order of time.
-func Check(records []Record, rules Rules) []Break {
-	w := NewWatch(rules)
+func Check(records []Record, rules Rules) []Violation {
+	w := NewAuditor(rules)
 	for i := range records {
 		w.Add(&records[i])
 	}
-	return w.End()
+	return w.Finish()
 }
 
-// Watch checks records as they come.
-type Watch struct {
-	c    *checker
-	last float64
+// Auditor checks records as they come.
+type Auditor struct {
+	checker *checker
+	lastAt  float64
 }
 
-// NewWatch begins with none.
-func NewWatch(rules Rules) *Watch {
-	return &Watch{c: &checker{
-		rules: rules, scheds: map[string]*sched{}, asks: map[askName]*ask{}, nodes: map[uint32]*node{},
-		listed: map[uint32]float64{}, windows: map[uint32]float64{},
+// NewAuditor begins with none.
+func NewAuditor(rules Rules) *Auditor {
+	return &Auditor{checker: &checker{
+		rules: rules, schedulers: map[string]*scheduler{}, requests: map[requestKey]*request{}, nodes: map[uint32]*node{},
+		unreadySince: map[uint32]float64{}, maintenanceSince: map[uint32]float64{},
 	}}
 }
 
 // Add takes the next record and tells how many rules are broken by now.
-func (w *Watch) Add(r *Record) int {
-	w.last = r.At
-	w.c.record(r)
-	return len(w.c.breaks)
+func (w *Auditor) Add(r *Record) int {
+	w.lastAt = r.At
+	w.checker.apply(r)
+	return len(w.checker.violations)
 }
 
-// End returns every broken rule, unanswered asks included.
-func (w *Watch) End() []Break {
-	w.c.close(w.last)
-	slices.SortStableFunc(w.c.breaks, func(x, y Break) int { return cmp.Compare(x.At, y.At) })
-	return w.c.breaks
+// Finish returns every broken rule, unanswered asks included.
+func (w *Auditor) Finish() []Violation {
+	w.checker.checkUnanswered(w.lastAt)
+	slices.SortStableFunc(w.checker.violations, func(x, y Violation) int { return cmp.Compare(x.At, y.At) })
+	return w.checker.violations
 }
 
-type askName struct {
-	owner int
-	ref   uint64
+type requestKey struct {
+	client int
+	ref    uint64
 }
 
-type ask struct {
-	rec      Record
-	born     int // of its scheduler, at the time
-	answers  int
-	answered float64
-	gone     bool
+type request struct {
+	sent        Record
+	incarnation int // of its scheduler, at the time
+	responses   int
+	answeredAt  float64
+	abandoned   bool
 }
 
-type place struct {
-	ticket    uint64
-	try       uint8
-	node      uint32
-	token     uint64
-	service   uint64
-	job       int
-	at        float64
-	until     float64
-	settled   float64 // 0: no outcome yet
-	never     bool    // its outcome proves that it never ran
-	ran       bool
-	confirmed bool    // the scheduler knows that it runs
-	cut       float64 // its connection ended
+type attempt struct {
+	ticket         uint64
+	number         uint8
+	node           uint32
+	token          uint64
+	service        uint64
+	job            int
+	sentAt         float64
+	deadline       float64
+	concludedAt    float64 // 0: no outcome yet
+	neverRan       bool    // its outcome proves that it never ran
+	hasRun         bool
+	confirmed      bool    // the scheduler knows that it runs
+	disconnectedAt float64 // its connection ended
 }
 
-type sched struct {
-	births  int
-	dead    bool
-	paused  float64 // since, or 0
-	resumed float64
-	stood   float64             // when it was last made to stand still
-	tries   map[uint64][]*place // by ticket
-	byToken map[uint64][]uint64 // tickets
-	running []*place
-	told    map[uint32]told
-	heard   float64
-	failed  bool               // its last call of the list failed
-	answers map[uint64]float64 // last declining answer by token
+type scheduler struct {
+	incarnation     int
+	dead            bool
+	pausedAt        float64 // since, or 0
+	resumedAt       float64
+	lastPausedAt    float64               // when it was last made to stand still
+	attempts        map[uint64][]*attempt // by ticket
+	ticketsByToken  map[uint64][]uint64   // tickets
+	running         []*attempt
+	notices         map[uint32]endpointNotice
+	listDeliveredAt float64
+	listFailed      bool               // its last call of the list failed
+	finalAnswerAt   map[uint64]float64 // last declining answer by token
 }
 
-type told struct {
-	since float64 // when told that it is not ready, 0: it is
+type endpointNotice struct {
+	unreadySince float64 // when told that it is not ready, 0: it is
 }
 
 type node struct {
-	born   float64
-	cold   bool
-	offers []float64
+	startedAt  float64
+	cold       bool
+	placements []float64
 }
 
 type checker struct {
-	rules   Rules
-	scheds  map[string]*sched
-	asks    map[askName]*ask
-	nodes   map[uint32]*node
-	listed  map[uint32]float64 // since when not ready
-	windows map[uint32]float64 // since when out by the calendar
-	breaks  []Break
+	rules            Rules
+	schedulers       map[string]*scheduler
+	requests         map[requestKey]*request
+	nodes            map[uint32]*node
+	unreadySince     map[uint32]float64 // since when not ready
+	maintenanceSince map[uint32]float64 // since when out by the calendar
+	violations       []Violation
 }
 
-func (c *checker) fail(rule int, at float64, format string, args ...any) {
-	c.breaks = append(c.breaks, Break{rule, at, fmt.Sprintf(format, args...)})
+func (c *checker) report(rule int, at float64, format string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) sched(name string) *sched {
-	s := c.scheds[name]
+func (c *checker) scheduler(name string) *scheduler {
+	s := c.schedulers[name]
 	if s == nil {
-		s = &sched{
-			tries: map[uint64][]*place{}, byToken: map[uint64][]uint64{}, told: map[uint32]told{},
-			answers: map[uint64]float64{},
+		s = &scheduler{
+			attempts: map[uint64][]*attempt{}, ticketsByToken: map[uint64][]uint64{}, notices: map[uint32]endpointNotice{},
+			finalAnswerAt: map[uint64]float64{},
 		}
-		c.scheds[name] = s
+		c.schedulers[name] = s
 	}
 	return s
 }
 
-func (c *checker) record(r *Record) {
-	base, _, _ := strings.Cut(r.Sched, ".") // shards of one scheduler may have connections of their own
-	s := c.sched(base)
+func (c *checker) apply(r *Record) {
+	base, _, _ := strings.Cut(r.Scheduler, ".") // shards of one scheduler may have connections of their own
+	s := c.scheduler(base)
 	switch r.Kind {
-	case Born:
-		s.births++
-		s.dead, s.paused, s.heard = false, 0, r.At
-		s.tries, s.byToken, s.answers = map[uint64][]*place{}, map[uint64][]uint64{}, map[uint64]float64{}
-		s.running, s.told = nil, map[uint32]told{}
-	case Killed:
+	case SchedulerStarted:
+		s.incarnation++
+		s.dead, s.pausedAt, s.listDeliveredAt = false, 0, r.At
+		s.attempts, s.ticketsByToken, s.finalAnswerAt = map[uint64][]*attempt{}, map[uint64][]uint64{}, map[uint64]float64{}
+		s.running, s.notices = nil, map[uint32]endpointNotice{}
+	case SchedulerKilled:
 		s.dead = true
-	case Paused:
-		s.paused, s.stood = r.At, r.At
-	case Resumed:
-		s.paused, s.resumed = 0, r.At
-		for id, t := range s.told { // what was told while it stood still it hears now
-			if t.since > s.stood {
-				s.told[id] = told{r.At}
+	case SchedulerPaused:
+		s.pausedAt, s.lastPausedAt = r.At, r.At
+	case SchedulerResumed:
+		s.pausedAt, s.resumedAt = 0, r.At
+		for id, t := range s.notices { // what was told while it stood still it hears now
+			if t.unreadySince > s.lastPausedAt {
+				s.notices[id] = endpointNotice{r.At}
 			}
 		}
-	case Asked:
-		c.asks[askName{r.Owner, r.Ref}] = &ask{rec: *r, born: s.births}
-	case Answered:
-		c.answered(r)
-	case GaveUp:
-		if a := c.asks[askName{r.Owner, r.Ref}]; a != nil {
-			a.gone = true
+	case RequestSent:
+		c.requests[requestKey{r.Client, r.RequestRef}] = &request{sent: *r, incarnation: s.incarnation}
+	case ResponseReceived:
+		c.checkResponse(r)
+	case RequestAbandoned:
+		if a := c.requests[requestKey{r.Client, r.RequestRef}]; a != nil {
+			a.abandoned = true
 		}
-	case Told:
-		t := s.told[r.Node]
+	case EndpointDelivered:
+		t := s.notices[r.Node]
 		switch {
-		case r.Word == "ready":
-			t.since = 0
-		case t.since == 0:
-			t.since = r.At
+		case r.Detail == "ready":
+			t.unreadySince = 0
+		case t.unreadySince == 0:
+			t.unreadySince = r.At
 		}
-		s.told[r.Node] = t
-	case Heard:
-		if s.failed = r.Word != ""; !s.failed {
-			s.heard = r.At
+		s.notices[r.Node] = t
+	case ListDelivered:
+		if s.listFailed = r.Detail != ""; !s.listFailed {
+			s.listDeliveredAt = r.At
 		}
-	case Listed:
-		if r.Word == "ready" {
-			delete(c.listed, r.Node)
-		} else if _, ok := c.listed[r.Node]; !ok {
-			c.listed[r.Node] = r.At
+	case EndpointChanged:
+		if r.Detail == "ready" {
+			delete(c.unreadySince, r.Node)
+		} else if _, ok := c.unreadySince[r.Node]; !ok {
+			c.unreadySince[r.Node] = r.At
 		}
-	case Scheduled:
-		if r.Word == "back" {
-			delete(c.windows, r.Node)
-		} else if _, ok := c.windows[r.Node]; !ok {
-			c.windows[r.Node] = r.At
+	case MaintenanceChanged:
+		if r.Detail == "back" {
+			delete(c.maintenanceSince, r.Node)
+		} else if _, ok := c.maintenanceSince[r.Node]; !ok {
+			c.maintenanceSince[r.Node] = r.At
 		}
-	case NodeBorn:
-		c.nodes[r.Node] = &node{born: r.At, cold: r.Word == "cold"}
-		for _, s := range c.scheds { // what its earlier life held is gone with it
+	case NodeStarted:
+		c.nodes[r.Node] = &node{startedAt: r.At, cold: r.Detail == "cold"}
+		for _, s := range c.schedulers { // what its earlier life held is gone with it
 			for _, p := range s.running {
-				if p.node == r.Node && p.settled == 0 {
-					p.settled = r.At
+				if p.node == r.Node && p.concludedAt == 0 {
+					p.concludedAt = r.At
 				}
 			}
 		}
-	case NodeFell:
-		c.fail(4, r.At, "node %d was pushed over", r.Node)
-	case Unlinked:
-		for _, tries := range s.tries {
+	case NodeOverloaded:
+		c.report(4, r.At, "node %d was pushed over", r.Node)
+	case LinkClosed:
+		for _, tries := range s.attempts {
 			for _, p := range tries {
-				if p.node == r.Node && p.settled == 0 && p.cut == 0 {
-					p.cut = r.At
+				if p.node == r.Node && p.concludedAt == 0 && p.disconnectedAt == 0 {
+					p.disconnectedAt = r.At
 				}
 			}
 		}
-	case Offered:
-		if r.Sent > 0 { // the rules are about what is sent; what comes late is for its node to turn away
+	case PlacementReceived:
+		if r.SentAt > 0 { // the rules are about what is sent; what comes late is for its node to turn away
 			sent := *r
-			sent.At = r.Sent
+			sent.At = r.SentAt
 			r = &sent
 		}
-		c.offered(r, s)
-	case Ran:
-		if p := s.find(r); p != nil {
-			p.ran = true
+		c.checkPlacement(r, s)
+	case TaskStarted:
+		if p := s.findAttempt(r); p != nil {
+			p.hasRun = true
 		}
-	case Confirmed:
-		if p := s.find(r); p != nil {
+	case StartConfirmed:
+		if p := s.findAttempt(r); p != nil {
 			p.confirmed = true
 		}
-	case Concluded:
-		if p := s.find(r); p != nil && p.settled == 0 {
-			p.settled = r.At
-			p.never = (r.Word == "refused" || r.Word == "barred") && !p.ran
-			if p.ran && r.Word == "refused" {
-				c.fail(2, r.At, "node %d took back try %x.%d that had run", r.Node, r.Ticket, r.Try)
+	case AttemptConcluded:
+		if p := s.findAttempt(r); p != nil && p.concludedAt == 0 {
+			p.concludedAt = r.At
+			p.neverRan = (r.Detail == "refused" || r.Detail == "barred") && !p.hasRun
+			if p.hasRun && r.Detail == "refused" {
+				c.report(2, r.At, "node %d took back try %x.%d that had run", r.Node, r.Ticket, r.Attempt)
 			}
 		}
 	}
 }
 
-func (s *sched) find(r *Record) *place {
-	for _, p := range s.tries[r.Ticket] {
-		if p.try == r.Try {
+func (s *scheduler) findAttempt(r *Record) *attempt {
+	for _, p := range s.attempts[r.Ticket] {
+		if p.number == r.Attempt {
 			return p
 		}
 	}
 	return nil
 }
 
-// answered holds an answer against rule 1, and a decline against rule 2.
-func (c *checker) answered(r *Record) {
-	a := c.asks[askName{r.Owner, r.Ref}]
+// checkResponse holds an answer against rule 1, and a decline against rule 2.
+func (c *checker) checkResponse(r *Record) {
+	a := c.requests[requestKey{r.Client, r.RequestRef}]
 	if a == nil {
-		c.fail(1, r.At, "owner %d got an answer to ask %d that it never made", r.Owner, r.Ref)
+		c.report(1, r.At, "owner %d got an answer to ask %d that it never made", r.Client, r.RequestRef)
 		return
 	}
-	a.answers++
+	a.responses++
 	switch {
-	case a.answers > 1:
-		c.fail(1, r.At, "owner %d got %d answers to ask %d", r.Owner, a.answers, r.Ref)
-	case r.At > a.rec.Until && !c.excused(a):
-		c.fail(1, r.At, "answer to ask %d of owner %d came %.0f ms after its expiry", r.Ref, r.Owner, r.At-a.rec.Until)
+	case a.responses > 1:
+		c.report(1, r.At, "owner %d got %d answers to ask %d", r.Client, a.responses, r.RequestRef)
+	case r.At > a.sent.Deadline && !c.isExcused(a):
+		c.report(1, r.At, "answer to ask %d of owner %d came %.0f ms after its expiry", r.RequestRef, r.Client, r.At-a.sent.Deadline)
 	}
-	a.answered = r.At
-	s := c.sched(a.rec.Sched)
-	if s.births != a.born {
+	a.answeredAt = r.At
+	s := c.scheduler(a.sent.Scheduler)
+	if s.incarnation != a.incarnation {
 		return
 	}
-	if r.Word != "served" {
-		s.answers[a.rec.Token] = r.At
+	if r.Detail != "served" {
+		s.finalAnswerAt[a.sent.Token] = r.At
 	}
-	if r.Word != "declined" || c.rules.Jobs[a.rec.Job].Effect == Restartable {
+	if r.Detail != "declined" || c.rules.Jobs[a.sent.Job].Effect == Restartable {
 		return
 	}
-	for _, ticket := range s.byToken[a.rec.Token] {
-		for _, p := range s.tries[ticket] {
-			all := c.rules.Jobs[p.job].Effect == Tokened && c.rules.Jobs[p.job].Group == 0
-			if p.at >= a.rec.At && !p.never && !all {
-				c.fail(2, r.At, "ask %d of owner %d declined though try %x.%d may have run", r.Ref, r.Owner, ticket, p.try)
+	for _, ticket := range s.ticketsByToken[a.sent.Token] {
+		for _, p := range s.attempts[ticket] {
+			all := c.rules.Jobs[p.job].Effect == Idempotent && c.rules.Jobs[p.job].Group == 0
+			if p.sentAt >= a.sent.At && !p.neverRan && !all {
+				c.report(2, r.At, "ask %d of owner %d declined though try %x.%d may have run", r.RequestRef, r.Client, ticket, p.number)
 			}
 		}
 	}
 }
 
-// excused tells whether a late answer was not the scheduler's to give in time.
-func (c *checker) excused(a *ask) bool {
-	s := c.sched(a.rec.Sched)
-	return s.births != a.born || s.dead || s.paused > 0 || s.resumed > a.rec.Until-c.rules.Slack
+// isExcused tells whether a late answer was not the scheduler's to give in time.
+func (c *checker) isExcused(a *request) bool {
+	s := c.scheduler(a.sent.Scheduler)
+	return s.incarnation != a.incarnation || s.dead || s.pausedAt > 0 || s.resumedAt > a.sent.Deadline-c.rules.Slack
 }
 
-// close checks that no ask was left without an answer.
-func (c *checker) close(end float64) {
-	for name, a := range c.asks {
-		if a.answers == 0 && !a.gone && a.rec.Until < end && !c.excused(a) {
-			c.fail(1, a.rec.Until, "ask %d of owner %d at %s got no answer", name.ref, name.owner, a.rec.Sched)
+// checkUnanswered checks that no ask was left without an answer.
+func (c *checker) checkUnanswered(end float64) {
+	for name, a := range c.requests {
+		if a.responses == 0 && !a.abandoned && a.sent.Deadline < end && !c.isExcused(a) {
+			c.report(1, a.sent.Deadline, "ask %d of owner %d at %s got no answer", name.ref, name.client, a.sent.Scheduler)
 		}
 	}
 }
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -12,26 +12,26 @@
 type Kind uint8
 
 const (
-	Born      Kind = iota // a scheduler process began
-	Killed                // it was killed, or ended
-	Paused                // it was made to stand still
-	Resumed               // and runs on
-	Asked                 // an owner asked: At, Sched, Owner, Ref, Token, Job, Until
-	Answered              // an owner heard the final answer: Word
-	GaveUp                // an owner withdrew, or its connection ended
-	Told                  // the list told a scheduler of a node: Word is its availability
-	Heard                 // the list answered a scheduler, whatever it told; Word tells a call that failed
-	Listed                // the list itself learned of a node: Word is its availability
-	Scheduled             // the calendar takes a node out, or Word says that it is back
-	NodeBorn              // a node began a life: cold if Word says so
-	NodeFell              // a node was pushed over
-	Linked                // a scheduler's connection to a node stands
-	Unlinked              // and is no more
-	Offered               // a node received an offer: Ticket, Try, Token, Service, Job, Until
-	Recalled              // a node received a recall
-	Ran                   // a try began to run
-	Confirmed             // and its scheduler was told so
-	Concluded             // a node told a try's outcome: Word
+	SchedulerStarted   Kind = iota // a scheduler process began
+	SchedulerKilled                // it was killed, or ended
+	SchedulerPaused                // it was made to stand still
+	SchedulerResumed               // and runs on
+	RequestSent                    // an owner asked: At, Sched, Owner, Ref, Token, Job, Until
+	ResponseReceived               // an owner heard the final answer: Word
+	RequestAbandoned               // an owner withdrew, or its connection ended
+	EndpointDelivered              // the list told a scheduler of a node: Word is its availability
+	ListDelivered                  // the list answered a scheduler, whatever it told; Word tells a call that failed
+	EndpointChanged                // the list itself learned of a node: Word is its availability
+	MaintenanceChanged             // the calendar takes a node out, or Word says that it is back
+	NodeStarted                    // a node began a life: cold if Word says so
+	NodeOverloaded                 // a node was pushed over
+	LinkOpened                     // a scheduler's connection to a node stands
+	LinkClosed                     // and is no more
+	PlacementReceived              // a node received an offer: Ticket, Try, Token, Service, Job, Until
+	RecallReceived                 // a node received a recall
+	TaskStarted                    // a try began to run
+	StartConfirmed                 // and its scheduler was told so
+	AttemptConcluded               // a node told a try's outcome: Word
 )
 
 var kindNames = [...]string{
@@ -47,45 +47,45 @@
 
 // Record is one thing that passed. Times are ms of the holder's clock.
 type Record struct {
-	At      float64 `json:"At"`
-	Kind    Kind    `json:"Kind"`
-	Sched   string  `json:"Sched,omitempty"`
-	Node    uint32  `json:"Node,omitempty"`
-	Owner   int     `json:"Owner,omitempty"`
-	Ref     uint64  `json:"Ref,omitempty"`
-	Ticket  uint64  `json:"Ticket,omitempty"`
-	Try     uint8   `json:"Try,omitempty"`
-	Job     int     `json:"Job,omitempty"`
-	Token   uint64  `json:"Token,omitempty"`
-	Service uint64  `json:"Service,omitempty"`
-	Until   float64 `json:"Until"`
-	Sent    float64 `json:"Sent,omitempty"` // when an offer was sent, as far as its node can tell
-	Word    string  `json:"Word,omitempty"`
+	At         float64 `json:"At"`
+	Kind       Kind    `json:"Kind"`
+	Scheduler  string  `json:"Sched,omitempty"`
+	Node       uint32  `json:"Node,omitempty"`
+	Client     int     `json:"Owner,omitempty"`
+	RequestRef uint64  `json:"Ref,omitempty"`
+	Ticket     uint64  `json:"Ticket,omitempty"`
+	Attempt    uint8   `json:"Try,omitempty"`
+	Job        int     `json:"Job,omitempty"`
+	Token      uint64  `json:"Token,omitempty"`
+	Service    uint64  `json:"Service,omitempty"`
+	Deadline   float64 `json:"Until"`
+	SentAt     float64 `json:"Sent,omitempty"` // when an offer was sent, as far as its node can tell
+	Detail     string  `json:"Word,omitempty"`
 }
 
 // Trace gathers records from many goroutines.
 type Trace struct {
-	Each func(*Record) // is given each record instead of the trace, if it is set before the first
+	OnRecord func(*Record) // is given each record instead of the trace, if it is set before the first
 
-	mu  sync.Mutex
-	all []Record
+	mu      sync.Mutex
+	records []Record
 }
 
 // Add adds a record.
 func (t *Trace) Add(r Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.Each != nil {
-		t.Each(&r)
+	if t.OnRecord != nil {
+		t.OnRecord(&r)
 	} else {
-		t.all = append(t.all, r)
+		t.records = append(t.records, r)
 	}
 }
 
 // Records returns a copy in order of time.
 func (t *Trace) Records() []Record {
 	t.mu.Lock()
-	all := slices.Clone(t.all)
+	all := slices.Clone(t.records)
 	t.mu.Unlock()
 	slices.SortStableFunc(all, func(x, y Record) int { return cmp.Compare(x.At, y.At) })
 	return all
--- a/internal/lab/clubs/clubs.go
+++ b/internal/lab/clubs/clubs.go
@@ -102,7 +102,7 @@
 	}
 	real := outside.NewReal()
 	defer real.Close(time.Second)
-	w := standin.NewWorld(real)
+	w := standin.NewTestbed(real)
 	nodes, err := fleet(w, day)
 	if err != nil {
 		return nil, err
@@ -131,11 +131,11 @@
 		asking.Go(func() { halfOpen(ctx, time.Now().Add(opening+day.Last), addr) })
 	}
 	time.Sleep(opening - 300*time.Millisecond) // connections, and the pace of the first moments
-	var owners []*standin.Owner
+	var owners []*standin.Client
 	for i := range day.Tenants {
-		o := &standin.Owner{ID: i, Sched: "s0", Find: func() string { return addr }, Settle: place.SettleTime, Token: tokens[i]}
+		o := &standin.Client{ID: i, Scheduler: "s0", SchedulerAddress: func() string { return addr }, SettleTime: place.SettleTime, AuthToken: tokens[i]}
 		owners = append(owners, o)
-		w.StartOwner(o, uint64(i))
+		w.StartClient(o, uint64(i))
 	}
 	time.Sleep(300 * time.Millisecond)
 	end := time.Now().Add(day.Last)
@@ -191,13 +191,13 @@
 	return tokens, nil
 }
 
-func fleet(w *standin.World, day Day) (nodes []*standin.Node, err error) {
-	mk := standin.Make{
-		Cores: cores, Memory: 2 * cores, CoresLimit: 1, MemoryLimit: 1, Look: 1, Line: 4000, Starts: 64, NoProgram: 1,
-		Programs: 64, ColdFrom: 1, ColdFor: 1, Fall: 1e12, FallFor: 1, Bears: 1 << 30,
+func fleet(w *standin.Testbed, day Day) (nodes []*standin.Node, err error) {
+	mk := standin.MachineConfig{
+		Cores: cores, Memory: 2 * cores, CoresLimit: 1, MemoryLimit: 1, InspectTime: 1, QueueLimit: 4000, ConcurrentStarts: 64, ProgramMissFactor: 1,
+		ProgramCacheSize: 64, WarmupPace: 1, WarmupDuration: 1, OverloadFactor: 1e12, OverloadWindow: 1, SlowStartLimit: 1 << 30,
 	}
 	for job := range 2 {
-		mk.Work = append(mk.Work, standin.Work{Start: 2, Life: lasts, Use: 0.5, Priority: job})
+		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 2, MeanRuntime: lasts, MeanUse: 0.5, Priority: job})
 	}
 	group := standin.NewGroup()
 	for i := range day.Nodes {
@@ -211,7 +211,7 @@
 }
 
 // ask asks for a tenant at a rate, whatever becomes of it; nothing is asked for twice.
-func ask(w *standin.World, place *site.Config, o *standin.Owner, i int, rate float64, end time.Time, seed uint64) {
+func ask(w *standin.Testbed, place *site.Config, o *standin.Client, i int, rate float64, end time.Time, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(i)+40))
 	at := time.Now()
 	for n := 0; ; n++ {
@@ -226,29 +226,29 @@
 		}
 		key, service, tenant := fmt.Sprint("k", n), fmt.Sprint("v", job, n%3), name(i)
 		jt := place.Cluster.JobClasses[job]
-		o.Ask(&standin.Want{
+		o.Request(&standin.Demand{
 			Key: key, Tenant: tenant, JobType: place.JobClasses[job], Service: service, Job: job, Effect: int(jt.Semantics),
 			Token: serve.Token(tenant, key), ServiceKey: serve.Service(tenant, service), Cores: 1, Memory: 2,
-			Within: place.Deadlines[job], Target: jt.LatencyObjective, Until: w.Now() + 50,
+			Timeout: place.Deadlines[job], LatencyObjective: jt.LatencyObjective, GiveUpAt: w.Now() + 50,
 		})
 	}
 }
 
 // count tells from the trace what each tenant got.
 
-func count(records []audit.Record, owners []*standin.Owner) []Got {
+func count(records []audit.Record, owners []*standin.Client) []Got {
 	all := make([]Got, len(owners))
 	value := [...]float64{1, 3}
 	took := make([][]float64, len(owners))
 	for i, o := range owners {
-		for _, t := range o.Tallies() {
+		for _, t := range o.Outcomes() {
 			g := &all[i]
 			g.Asked++
 			g.Best += value[t.Job]
-			switch t.Word {
+			switch t.Result {
 			case "served":
 				g.Served++
-				took[i] = append(took[i], t.Took)
+				took[i] = append(took[i], t.Latency)
 				if t.InTime {
 					g.InTime++
 					g.Value += value[t.Job]
@@ -265,12 +265,12 @@
 	}
 	of, starts := map[uint64]int{}, map[uint64]int{}
 	for _, r := range records {
-		if r.Kind == audit.Asked && r.Job == 1 {
-			of[r.Token] = r.Owner
+		if r.Kind == audit.RequestSent && r.Job == 1 {
+			of[r.Token] = r.Client
 		}
 	}
 	for _, r := range records {
-		if i, ok := of[r.Token]; ok && r.Kind == audit.Ran {
+		if i, ok := of[r.Token]; ok && r.Kind == audit.TaskStarted {
 			if starts[r.Token]++; starts[r.Token] > 1 {
 				all[i].Seconds++
 			}
--- a/internal/lab/clubs/removals.go
+++ b/internal/lab/clubs/removals.go
@@ -46,7 +46,7 @@
 // removing is the world of the trial.
 type removing struct {
 	Removal
-	w     *standin.World
+	w     *standin.Testbed
 	place *site.Config
 	dir   string
 	path  string
@@ -68,7 +68,7 @@
 	defer os.RemoveAll(dir)
 	real := outside.NewReal()
 	defer real.Close(time.Second)
-	p := &removing{Removal: r, w: standin.NewWorld(real), dir: dir, path: filepath.Join(dir, "site.xml")}
+	p := &removing{Removal: r, w: standin.NewTestbed(real), dir: dir, path: filepath.Join(dir, "site.xml")}
 	nodes, err := fleet(p.w, Day{Tenants: slots, Nodes: r.Nodes, Seed: r.Seed})
 	if err != nil {
 		return out, err
@@ -95,7 +95,7 @@
 	}
 	defer func() { p.kill() }()
 	rng := rand.New(rand.NewPCG(r.Seed, 8))
-	var owners []*standin.Owner
+	var owners []*standin.Client
 	for round := range r.Rounds {
 		made, err := p.round(ctx, rng, round)
 		if err != nil {
@@ -106,9 +106,9 @@
 	}
 	time.Sleep(4 * time.Second) // every ask is answered or overdue
 	for _, o := range owners {
-		for _, t := range o.Tallies() {
+		for _, t := range o.Outcomes() {
 			out.Asks++
-			switch t.Word {
+			switch t.Result {
 			case "served":
 				out.Served++
 			case "declined":
@@ -125,20 +125,20 @@
 	score, starts := map[uint64]bool{}, map[uint64]int{}
 	records := p.w.Trace.Records()
 	for _, rec := range records {
-		if rec.Kind == audit.Asked && rec.Job == 1 {
+		if rec.Kind == audit.RequestSent && rec.Job == 1 {
 			score[rec.Token] = true
 		}
 	}
 	for _, rec := range records {
-		if rec.Kind == audit.Ran && score[rec.Token] {
+		if rec.Kind == audit.TaskStarted && score[rec.Token] {
 			if starts[rec.Token]++; starts[rec.Token] > 1 {
 				out.Seconds++
 			}
 		}
 	}
-	p.w.At(func(float64) {
+	p.w.WithLock(func(float64) {
 		for _, n := range nodes {
-			out.Left += n.Machine.Holds()
+			out.Left += n.Machine.TaskCount()
 		}
 	})
 	err = p.with(func(st *tenants.Store) error {
@@ -158,7 +158,7 @@
 
 // round adds tenants, lets them ask, removes them meanwhile, kills the process at some moment of that, and waits until the
 // removals are over.
-func (p *removing) round(ctx context.Context, rng *rand.Rand, round int) (owners []*standin.Owner, err error) {
+func (p *removing) round(ctx context.Context, rng *rand.Rand, round int) (owners []*standin.Client, err error) {
 	var names, tokens []string
 	for i := range p.Each {
 		names = append(names, fmt.Sprintf("r%d-%d", round, i))
@@ -185,22 +185,22 @@
 	}
 	began := time.Now()
 	for i, name := range names {
-		o := &standin.Owner{ID: round*p.Each + i, Sched: "s0", Settle: 600, Token: tokens[i], Find: func() string {
+		o := &standin.Client{ID: round*p.Each + i, Scheduler: "s0", SettleTime: 600, AuthToken: tokens[i], SchedulerAddress: func() string {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return p.addr
 		}}
-		p.w.StartOwner(o, uint64(i))
+		p.w.StartClient(o, uint64(i))
 		owners = append(owners, o)
 		for n := range p.Asks {
 			job := n % 2
 			key, service := fmt.Sprint("k", n), fmt.Sprint("v", job)
 			p.w.After(float64(rng.IntN(int(at[i])+400)), func() { // up to a moment after the removal
-				o.Ask(&standin.Want{
+				o.Request(&standin.Demand{
 					Key: key, Tenant: name, JobType: p.place.JobClasses[job], Service: service, Job: job,
 					Effect: int(p.place.Cluster.JobClasses[job].Semantics), Token: serve.Token(name, key),
-					ServiceKey: serve.Service(name, service), Cores: 1, Memory: 2, Within: p.place.Deadlines[job], Target: 1000,
-					Until: p.w.Now() + 20,
+					ServiceKey: serve.Service(name, service), Cores: 1, Memory: 2, Timeout: p.place.Deadlines[job], LatencyObjective: 1000,
+					GiveUpAt: p.w.Now() + 20,
 				}) // not again: after a removal the token is gone, and what is asked without one is not taken
 			})
 		}
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -90,13 +90,13 @@
 	at := func(of []float64, ms float64) { of[max(0, min(n-1, int(ms/bucket)))]++ }
 	v := sim.Game{Script: s, Policy: p, Lenient: true, Seen: func(r *audit.Record) {
 		switch r.Kind {
-		case audit.Asked:
+		case audit.RequestSent:
 			f.Asks++
-			asked[askName{r.Owner, r.Ref}] = r.At
+			asked[askName{r.Client, r.RequestRef}] = r.At
 			at(f.askedAt, r.At)
-		case audit.Answered:
-			since, ok := asked[askName{r.Owner, r.Ref}]
-			if !ok || r.Word != "served" {
+		case audit.ResponseReceived:
+			since, ok := asked[askName{r.Client, r.RequestRef}]
+			if !ok || r.Detail != "served" {
 				return
 			}
 			f.Served++
@@ -105,10 +105,10 @@
 				f.InTime++
 			}
 			at(f.servedAt, since)
-		case audit.Offered:
+		case audit.PlacementReceived:
 			f.Offers++
-		case audit.Concluded:
-			if r.Word == "refused" {
+		case audit.AttemptConcluded:
+			if r.Detail == "refused" {
 				f.Refused++
 				at(f.refusedAt, r.At)
 			}
--- a/internal/lab/drill/calendar.go
+++ b/internal/lab/drill/calendar.go
@@ -80,7 +80,7 @@
 				defer p.mu.Unlock()
 				for _, n := range p.nodes {
 					if w.cell != "" && n.Cell == w.cell || w.zone != "" && n.Zone == w.zone {
-						p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.Scheduled, Node: n.ID, Word: word})
+						p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.MaintenanceChanged, Node: n.ID, Detail: word})
 					}
 				}
 			})
--- a/internal/lab/drill/demand.go
+++ b/internal/lab/drill/demand.go
@@ -45,9 +45,9 @@
 	service := fmt.Sprintf("%s-%d", w.name, p.rng.IntN(max(1, int(float64(p.Day.services)*w.part)+1)))
 	o := p.owners[p.rng.IntN(p.Day.schedulers)*len(p.Place.Tenants)+tenant]
 	name := p.Place.Tenants[tenant]
-	o.Ask(&standin.Want{
+	o.Request(&standin.Demand{
 		Key: key, Tenant: name, JobType: w.name, Service: service, Job: w.job, Effect: w.effect,
 		Token: serve.Token(name, key), ServiceKey: serve.Service(name, service), Cores: w.cores, Memory: w.memory,
-		Within: w.within, Target: w.target, Until: begin + p.Day.lasts - p.Day.settles,
+		Timeout: w.within, LatencyObjective: w.target, GiveUpAt: begin + p.Day.lasts - p.Day.settles,
 	})
 }
--- a/internal/lab/drill/faults.go
+++ b/internal/lab/drill/faults.go
@@ -31,7 +31,7 @@
 }
 
 func (p *player) each(nodes []*standin.Node, f func(n *standin.Node)) {
-	p.w.At(func(float64) {
+	p.w.WithLock(func(float64) {
 		for _, n := range nodes {
 			f(n)
 		}
@@ -45,17 +45,17 @@
 	nodes := p.some(tr, rng)
 	switch kind {
 	case "list-away":
-		p.list.Set(func(l *standin.List) { l.Away = true })
+		p.list.Update(func(l *standin.List) { l.Unavailable = true })
 		p.sleep(tr.last)
-		p.list.Set(func(l *standin.List) { l.Away = false })
+		p.list.Update(func(l *standin.List) { l.Unavailable = false })
 	case "list-behind":
-		p.list.Set(func(l *standin.List) { l.More = tr.size * 1000 })
+		p.list.Update(func(l *standin.List) { l.ExtraDelay = tr.size * 1000 })
 		p.sleep(tr.last)
-		p.list.Set(func(l *standin.List) { l.More = 0 })
+		p.list.Update(func(l *standin.List) { l.ExtraDelay = 0 })
 	case "demand":
 		p.set(func() { p.rate = tr.size })
-		p.ail(p.nodes, tr.last, func(n *standin.Node) { n.Machine.Pressure = 1.2 },
-			func(n *standin.Node) { n.Machine.Pressure = 1 })
+		p.ail(p.nodes, tr.last, func(n *standin.Node) { n.Machine.UseFactor = 1.2 },
+			func(n *standin.Node) { n.Machine.UseFactor = 1 })
 		p.set(func() { p.rate = 1 })
 	case "flood":
 		tenant := tr.tenant
@@ -66,44 +66,44 @@
 		p.sleep(tr.last)
 		p.set(func() { delete(p.flood, tenant) })
 	case "hang":
-		p.ail(nodes, tr.last, func(n *standin.Node) { n.Machine.Hang = true },
-			func(n *standin.Node) { n.Machine.Hang = false })
+		p.ail(nodes, tr.last, func(n *standin.Node) { n.Machine.Hung = true },
+			func(n *standin.Node) { n.Machine.Hung = false })
 	case "answers-lost":
-		p.ail(nodes, tr.last, func(n *standin.Node) { n.Machine.Mute = tr.size },
-			func(n *standin.Node) { n.Machine.Mute = 0 })
+		p.ail(nodes, tr.last, func(n *standin.Node) { n.Machine.AnswerLoss = tr.size },
+			func(n *standin.Node) { n.Machine.AnswerLoss = 0 })
 	case "job-fails":
 		p.ail(nodes, tr.last, func(n *standin.Node) {
-			n.Machine.BadJob, n.Machine.BadPart, n.Machine.BadQuiet = tr.job, tr.size, tr.how == "silence"
-		}, func(n *standin.Node) { n.Machine.BadJob = -1 })
+			n.Machine.FailingJob, n.Machine.FailingFraction, n.Machine.FailSilently = tr.job, tr.size, tr.how == "silence"
+		}, func(n *standin.Node) { n.Machine.FailingJob = -1 })
 	case "reports-late":
-		p.ail(nodes, tr.last, func(n *standin.Node) { n.Machine.Stale = true },
-			func(n *standin.Node) { n.Machine.Stale = false })
+		p.ail(nodes, tr.last, func(n *standin.Node) { n.Machine.StaleReports = true },
+			func(n *standin.Node) { n.Machine.StaleReports = false })
 	case "neighbours":
-		p.ail(nodes, tr.last, func(n *standin.Node) { n.Machine.Neighbour = tr.size },
-			func(n *standin.Node) { n.Machine.Neighbour = 0 })
+		p.ail(nodes, tr.last, func(n *standin.Node) { n.Machine.ForeignUse = tr.size },
+			func(n *standin.Node) { n.Machine.ForeignUse = 0 })
 	case "pressure":
-		p.ail(nodes, tr.last, func(n *standin.Node) { n.Machine.Pressure = tr.size },
-			func(n *standin.Node) { n.Machine.Pressure = 1 })
+		p.ail(nodes, tr.last, func(n *standin.Node) { n.Machine.UseFactor = tr.size },
+			func(n *standin.Node) { n.Machine.UseFactor = 1 })
 	case "programs-lost":
-		p.each(nodes, func(n *standin.Node) { n.Machine.Flush(tr.size) })
+		p.each(nodes, func(n *standin.Node) { n.Machine.EvictPrograms(tr.size) })
 	case "hall-lost", "restart":
 		if kind == "hall-lost" {
 			tr.part = 1
 			nodes = p.some(tr, rng)
 		}
-		p.w.At(func(now float64) {
+		p.w.WithLock(func(now float64) {
 			for _, n := range nodes {
-				n.Die(now)
+				n.Crash(now)
 			}
 		})
 		if !p.sleep(tr.last) {
 			return
 		}
 		for _, n := range nodes {
-			err := n.Return()
+			err := n.Restart()
 			for i := 0; i < 20 && err != nil; i++ { // its port may not be free at once
 				p.sleep(20)
-				err = n.Return()
+				err = n.Restart()
 			}
 			if err != nil {
 				p.fault(fmt.Errorf("does not come back: %w", err))
@@ -112,16 +112,16 @@
 		}
 	case "drain":
 		for _, n := range nodes { // in waves
-			p.w.At(func(now float64) {
+			p.w.WithLock(func(now float64) {
 				if !n.Lost {
-					n.Drains = true
+					n.Draining = true
 					n.Machine.Drain(now, tr.how == "bit-by-bit", tr.how == "at-once")
 				}
 			})
 			p.sleep(tr.last / 4 / float64(len(nodes)))
 		}
 		p.sleep(tr.last * 3 / 4)
-		p.each(nodes, func(n *standin.Node) { n.Drains = false; n.Machine.Undrain() })
+		p.each(nodes, func(n *standin.Node) { n.Draining = false; n.Machine.Undrain() })
 	case "grow":
 		for range int(tr.size * float64(len(p.nodes))) {
 			f := p.Day.fleets[rng.IntN(len(p.Day.fleets))]
--- a/internal/lab/drill/process.go
+++ b/internal/lab/drill/process.go
@@ -41,7 +41,7 @@
 	command := append(slices.Clone(p.Command), "serve", "--site", p.site, "--state", state, "--name", pr.name,
 		"--index", strconv.Itoa(pr.index), "--seed", strconv.FormatUint(p.Seed+uint64(pr.index)*977+1, 10),
 		"--address-file", file)
-	p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.Born, Sched: pr.name})
+	p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.SchedulerStarted, Scheduler: pr.name})
 	cmd, address, err := spawn.Scheduler(p.ctx, command, pr.log, file)
 	if err != nil {
 		return fmt.Errorf("%s: %w", pr.name, err)
@@ -69,14 +69,14 @@
 	}
 	_ = cmd.Process.Signal(syscall.SIGCONT) // one that stands still can't end by itself
 	if sig == syscall.SIGKILL {
-		p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.Killed, Sched: pr.name})
+		p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.SchedulerKilled, Scheduler: pr.name})
 	}
 	_ = cmd.Process.Signal(sig)
 	limit := time.AfterFunc(8*time.Second, func() { _ = cmd.Process.Kill() })
 	err := cmd.Wait()
 	limit.Stop()
 	if sig != syscall.SIGKILL {
-		p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.Killed, Sched: pr.name})
+		p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.SchedulerKilled, Scheduler: pr.name})
 		if err != nil {
 			p.fault(fmt.Errorf("scheduler %s ended with %w, see its log", pr.name, err))
 		}
@@ -105,9 +105,9 @@
 			continue
 		}
 		_ = cmd.Process.Signal(syscall.SIGSTOP)
-		p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.Paused, Sched: pr.name})
+		p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.SchedulerPaused, Scheduler: pr.name})
 		p.sleep(tr.last)
-		p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.Resumed, Sched: pr.name})
+		p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.SchedulerResumed, Scheduler: pr.name})
 		_ = cmd.Process.Signal(syscall.SIGCONT)
 	}
 }
--- a/internal/lab/drill/report.go
+++ b/internal/lab/drill/report.go
@@ -12,7 +12,7 @@
 
 // Result is what came of it.
 type Result struct {
-	Breaks  []audit.Break
+	Breaks  []audit.Violation
 	Records int
 	rows    []row
 }
@@ -21,14 +21,14 @@
 func (p *player) rules() audit.Rules {
 	cl := &p.Place.Cluster
 	r := audit.Rules{
-		Nodes: map[uint32]audit.Stand{}, Grace: p.Place.DrainGrace, Asks: cl.PollsList,
-		AskEvery: cl.ListMaxSilence, ColdBears: int(cl.SlowStartLimit), ColdFor: cl.SlowStartDuration, ColdWindow: cl.SlowStartWindow, Slack: slack,
+		Nodes: map[uint32]audit.Location{}, DrainGrace: p.Place.DrainGrace, ListPolled: cl.PollsList,
+		PollInterval: cl.ListMaxSilence, SlowStartLimit: int(cl.SlowStartLimit), SlowStartDuration: cl.SlowStartDuration, SlowStartWindow: cl.SlowStartWindow, Slack: slack,
 	}
 	for _, w := range p.Day.works {
-		r.Jobs = append(r.Jobs, audit.Job{Effect: w.effect, Group: w.group, Window: w.window, Spread: w.spread, Most: w.most})
+		r.Jobs = append(r.Jobs, audit.JobRules{Effect: w.effect, Group: w.group, Window: w.window, Spread: w.spread, MaxTogether: w.most})
 	}
 	for _, n := range p.nodes {
-		r.Nodes[n.ID] = audit.Stand{Zone: n.Zone, Cell: n.Cell}
+		r.Nodes[n.ID] = audit.Location{Zone: n.Zone, Cell: n.Cell}
 	}
 	return r
 }
@@ -51,15 +51,15 @@
 		rows = append(rows, row{name: fmt.Sprintf("%s, %.0f s", Troubles[tr.kind], tr.at/1000)})
 	}
 	for _, o := range p.owners {
-		for _, t := range o.Tallies() {
+		for _, t := range o.Outcomes() {
 			rows[0].add(t)
 			for i, w := range p.Day.windows {
-				if t.At >= w.at-w.lead && t.At < w.at+w.last {
+				if t.SentAt >= w.at-w.lead && t.SentAt < w.at+w.last {
 					rows[i+1].add(t)
 				}
 			}
 			for i, tr := range p.Day.troubles {
-				if t.At >= tr.at && t.At < tr.at+tr.last+2000 {
+				if t.SentAt >= tr.at && t.SentAt < tr.at+tr.last+2000 {
 					rows[i+1+len(p.Day.windows)].add(t)
 				}
 			}
@@ -68,12 +68,12 @@
 	return rows
 }
 
-func (r *row) add(t standin.Tally) {
+func (r *row) add(t standin.Outcome) {
 	r.asks++
-	switch t.Word {
+	switch t.Result {
 	case "served":
 		r.served++
-		r.took = append(r.took, t.Took)
+		r.took = append(r.took, t.Latency)
 	case "declined":
 		r.declined++
 	case "failed":
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -34,13 +34,13 @@
 	Drill
 	ctx    context.Context
 	real   *outside.Real
-	w      *standin.World
+	w      *standin.Testbed
 	rng    *rand.Rand
 	list   *standin.List
 	nodes  []*standin.Node
 	groups map[string]*standin.Group
 	procs  []*proc
-	owners []*standin.Owner
+	owners []*standin.Client
 	site   string // path
 	dawn   time.Time
 	rate   float64
@@ -61,7 +61,7 @@
 	defer stop()
 	real := outside.NewReal()
 	p := &player{
-		Drill: d, ctx: ctx, real: real, w: standin.NewWorld(real), rng: rand.New(rand.NewPCG(d.Seed, 3)),
+		Drill: d, ctx: ctx, real: real, w: standin.NewTestbed(real), rng: rand.New(rand.NewPCG(d.Seed, 3)),
 		groups: map[string]*standin.Group{}, dawn: time.Now().Add(time.Second), rate: 1, flood: map[string]float64{},
 	}
 	if err := p.begin(); err != nil {
@@ -117,9 +117,9 @@
 			return err
 		}
 		for t := range p.Place.Tenants {
-			o := &standin.Owner{ID: i*len(p.Place.Tenants) + t, Sched: pr.name, Find: pr.where, Settle: p.Place.SettleTime}
+			o := &standin.Client{ID: i*len(p.Place.Tenants) + t, Scheduler: pr.name, SchedulerAddress: pr.where, SettleTime: p.Place.SettleTime}
 			p.owners = append(p.owners, o)
-			p.w.StartOwner(o, p.rng.Uint64())
+			p.w.StartClient(o, p.rng.Uint64())
 		}
 	}
 	return nil
@@ -139,16 +139,16 @@
 
 func (p *player) addNode(f fleet, i int, cold bool) error {
 	cl, d := &p.Place.Cluster, p.Day
-	mk := standin.Make{
+	mk := standin.MachineConfig{
 		Cores: cl.KindCores[f.kind], Memory: cl.KindMemory[f.kind], CoresLimit: cl.CoresOvercommit,
-		MemoryLimit: cl.MemoryOvercommit, Look: d.look, Line: d.line, Starts: d.starts, NoProgram: d.noProgram,
-		Programs: d.keeps, ColdFrom: d.coldFrom, ColdFor: cl.SlowStartDuration, Fall: d.fall, FallFor: cl.SlowStartWindow,
-		Bears: int(cl.SlowStartLimit), CountsUse: cl.ReportsMeasureUse, PushesOut: cl.Preempts,
+		MemoryLimit: cl.MemoryOvercommit, InspectTime: d.look, QueueLimit: d.line, ConcurrentStarts: d.starts, ProgramMissFactor: d.noProgram,
+		ProgramCacheSize: d.keeps, WarmupPace: d.coldFrom, WarmupDuration: cl.SlowStartDuration, OverloadFactor: d.fall, OverloadWindow: cl.SlowStartWindow,
+		SlowStartLimit: int(cl.SlowStartLimit), ReportsUse: cl.ReportsMeasureUse, Preempts: cl.Preempts,
 	}
 	for _, w := range d.works {
-		mk.Work = append(mk.Work, standin.Work{
-			Start: w.start, Life: w.life, Use: w.use, Priority: w.priority,
-			Token: w.effect == audit.Tokened,
+		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{
+			StartWork: w.start, MeanRuntime: w.life, MeanUse: w.use, Priority: w.priority,
+			Deduplicated: w.effect == audit.Idempotent,
 		})
 	}
 	p.seq++
@@ -159,7 +159,7 @@
 	}
 	group := f.zone // one for all job types: the narrowest that any names
 	for _, w := range d.works {
-		if w.effect == audit.Tokened && w.group == 2 {
+		if w.effect == audit.Idempotent && w.group == 2 {
 			group = cell
 		}
 	}
--- a/internal/lab/herd/virtual.go
+++ b/internal/lab/herd/virtual.go
@@ -60,7 +60,7 @@
 	case policy == "true-state":
 		g.Policy = baseline.LeastLoadedByTrueLoad(func(node uint32) float64 {
 			if i := int(node) - 1; i >= 0 && i < len(nodes) {
-				return nodes[i].Machine.Asked()
+				return nodes[i].Machine.ReservedFraction()
 			}
 			return 0
 		})
@@ -85,8 +85,8 @@
 func seen(now float64, all []*standin.Node) Moment {
 	m := Moment{At: now, Load: map[uint32]float64{}}
 	for _, n := range all {
-		if !n.Lost && !n.Drains && !n.Machine.Down() && n.Machine.Up(now) >= warm {
-			m.Load[n.ID] = n.Machine.Asked()
+		if !n.Lost && !n.Draining && !n.Machine.IsDown() && n.Machine.Uptime(now) >= warm {
+			m.Load[n.ID] = n.Machine.ReservedFraction()
 		}
 	}
 	return m
@@ -94,20 +94,20 @@
 
 // record takes what passes.
 func (w *Watch) record(r *audit.Record, asked map[[2]uint64]float64) {
-	key := [2]uint64{uint64(r.Owner), r.Ref}
+	key := [2]uint64{uint64(r.Client), r.RequestRef}
 	switch r.Kind {
-	case audit.Offered:
+	case audit.PlacementReceived:
 		w.Offer(r.At, r.Node)
-	case audit.Concluded:
-		if r.Word == "refused" {
+	case audit.AttemptConcluded:
+		if r.Detail == "refused" {
 			w.Refuse()
 		}
-	case audit.Asked:
+	case audit.RequestSent:
 		asked[key] = r.At
 		w.Ask()
-	case audit.Answered:
+	case audit.ResponseReceived:
 		if at, ok := asked[key]; ok {
-			w.Answer(r.Word == "served", r.At-at)
+			w.Answer(r.Detail == "served", r.At-at)
 			delete(asked, key)
 		}
 	}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -85,7 +85,7 @@
 	}
 	real := outside.NewReal()
 	defer real.Close(time.Second)
-	w := standin.NewWorld(real)
+	w := standin.NewTestbed(real)
 	nodes, err := fleet(w, place, tr)
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 	defer func() { _ = cmd.Process.Kill() }()
 	for i := 0; ; i++ {
 		linked := 0
-		w.At(func(float64) {
+		w.WithLock(func(float64) {
 			for _, n := range nodes {
 				linked += n.Connections()
 			}
@@ -117,11 +117,11 @@
 	if tr.Set > 0 { // the nodes outside are visited, and left
 		time.Sleep(time.Second + visitsOf(len(nodes)))
 	}
-	var asking []*standin.Owner
+	var asking []*standin.Client
 	for i := range tr.Owners {
-		o := &standin.Owner{ID: i, Sched: "s0", Find: func() string { return addr }, Settle: 3000}
+		o := &standin.Client{ID: i, Scheduler: "s0", SchedulerAddress: func() string { return addr }, SettleTime: 3000}
 		asking = append(asking, o)
-		w.StartOwner(o, uint64(i))
+		w.StartClient(o, uint64(i))
 	}
 	time.Sleep(300 * time.Millisecond)
 	n, meant := 0, map[uint64]float64{} // when each ask was meant to be made, by its token
@@ -140,10 +140,10 @@
 			key, service := fmt.Sprint("k", n), fmt.Sprint("s", n%tr.Services)
 			token := serve.Token("t", key)
 			meant[token] = begin + at*1000
-			asking[n%tr.Owners].Ask(&standin.Want{
+			asking[n%tr.Owners].Request(&standin.Demand{
 				Key: key, Tenant: "t", JobType: "work", Service: service,
 				Token: token, ServiceKey: serve.Service("t", service), Cores: 0.5, Memory: 1,
-				Within: 5000, Target: 1000, Until: w.Now() + 50,
+				Timeout: 5000, LatencyObjective: 1000, GiveUpAt: w.Now() + 50,
 			}) // soon unwanted: nothing is asked twice
 		}
 	}
@@ -171,11 +171,11 @@
 // visitsOf is ample time for visits to so many nodes on loopback.
 func visitsOf(nodes int) time.Duration { return time.Duration(nodes) * time.Millisecond }
 
-func fleet(w *standin.World, place *site.Config, tr Trial) ([]*standin.Node, error) {
-	mk := standin.Make{
-		Cores: 64, Memory: 128, CoresLimit: 4, MemoryLimit: 4, Look: 0.02, Line: 4000, Starts: 64,
-		NoProgram: 1, Programs: 4, ColdFrom: 1, ColdFor: 1, Fall: 1e12, FallFor: 1, Bears: 1 << 30,
-		Work: []standin.Work{{Start: 0.5, Life: tr.Life, Use: 0.5}},
+func fleet(w *standin.Testbed, place *site.Config, tr Trial) ([]*standin.Node, error) {
+	mk := standin.MachineConfig{
+		Cores: 64, Memory: 128, CoresLimit: 4, MemoryLimit: 4, InspectTime: 0.02, QueueLimit: 4000, ConcurrentStarts: 64,
+		ProgramMissFactor: 1, ProgramCacheSize: 4, WarmupPace: 1, WarmupDuration: 1, OverloadFactor: 1e12, OverloadWindow: 1, SlowStartLimit: 1 << 30,
+		JobProfiles: []standin.JobProfile{{StartWork: 0.5, MeanRuntime: tr.Life, MeanUse: 0.5}},
 	}
 	group := standin.NewGroup()
 	var nodes []*standin.Node
@@ -186,7 +186,7 @@
 			return nil, err
 		}
 		if tr.Mute {
-			n.Machine.Mute = 1
+			n.Machine.AnswerLoss = 1
 		}
 		nodes = append(nodes, n)
 	}
@@ -224,21 +224,21 @@
 	ref := map[[2]uint64]float64{}
 	for _, r := range records {
 		switch r.Kind {
-		case audit.Asked:
+		case audit.RequestSent:
 			if r.At >= from && r.At < to {
 				asked[r.Token] = meant[r.Token]
-				ref[[2]uint64{uint64(r.Owner), r.Ref}] = meant[r.Token]
+				ref[[2]uint64{uint64(r.Client), r.RequestRef}] = meant[r.Token]
 			}
-		case audit.Offered:
-			if at, ok := asked[r.Token]; ok && r.Try == 0 {
+		case audit.PlacementReceived:
+			if at, ok := asked[r.Token]; ok && r.Attempt == 0 {
 				_ = f.Offer.RecordValue(int64((r.At - at) * 1000)) // beyond 10 s is not told apart
 			}
-		case audit.Answered:
-			at, ok := ref[[2]uint64{uint64(r.Owner), r.Ref}]
+		case audit.ResponseReceived:
+			at, ok := ref[[2]uint64{uint64(r.Client), r.RequestRef}]
 			if !ok {
 				continue
 			}
-			if r.Word == "served" {
+			if r.Detail == "served" {
 				f.Served++
 				_ = f.Start.RecordValue(int64((r.At - at) * 1000))
 			} else {
--- a/internal/lab/load/ramp_test.go
+++ b/internal/lab/load/ramp_test.go
@@ -47,10 +47,10 @@
 func TestMeant(t *testing.T) {
 	f := &Figures{Offer: hdrhistogram.New(1, 1e7, 3), Start: hdrhistogram.New(1, 1e7, 3)}
 	f.read([]audit.Record{
-		{At: 1500, Kind: audit.Asked, Token: 7, Owner: 1, Ref: 1},
-		{At: 1510, Kind: audit.Offered, Token: 7},
-		{At: 1520, Kind: audit.Answered, Owner: 1, Ref: 1, Word: "served"},
-		{At: 1600, Kind: audit.Answered, Owner: 1, Ref: 2, Word: "served"}, // asked before the measurement
+		{At: 1500, Kind: audit.RequestSent, Token: 7, Client: 1, RequestRef: 1},
+		{At: 1510, Kind: audit.PlacementReceived, Token: 7},
+		{At: 1520, Kind: audit.ResponseReceived, Client: 1, RequestRef: 1, Detail: "served"},
+		{At: 1600, Kind: audit.ResponseReceived, Client: 1, RequestRef: 2, Detail: "served"}, // asked before the measurement
 	}, map[uint64]float64{7: 1100}, 1000, 2000)
 	if got := float64(f.Start.Max()) / 1000; f.Served != 1 || math.Abs(got-420) > 1 {
 		t.Errorf("%d served, %g ms", f.Served, got)
--- a/internal/lab/month/edge.go
+++ b/internal/lab/month/edge.go
@@ -33,7 +33,7 @@
 		}
 		p.eng.OnConnected(p.clock(), nd, s.life, 0)
 		var b []byte
-		s.m.Held(p.w.now, p.name(), func(ticket uint64, try uint8, runs bool, job, tenant int, service, token uint64, cores, memory float64) {
+		s.m.EachHeld(p.w.now, p.name(), func(ticket uint64, try uint8, runs bool, job, tenant int, service, token uint64, cores, memory float64) {
 			state := 0
 			if runs {
 				state = 1
--- a/internal/lab/month/month.go
+++ b/internal/lab/month/month.go
@@ -123,12 +123,12 @@
 		for c := range cells {
 			for i := range each {
 				s := &spot{w: w, id: uint32(len(w.nodes) + 1), zone: z, cell: z*cells + c, kind: (c + i) % 2, life: 1}
-				mk := standin.Make{
-					Cores: 32, Memory: 64, CoresLimit: 2, MemoryLimit: 2, Look: 150, Line: 30, Starts: 3, NoProgram: 4,
-					Programs: 6, ColdFrom: 0.2, ColdFor: 8000, Fall: 1e9, FallFor: 1000, Bears: 1 << 30,
+				mk := standin.MachineConfig{
+					Cores: 32, Memory: 64, CoresLimit: 2, MemoryLimit: 2, InspectTime: 150, QueueLimit: 30, ConcurrentStarts: 3, ProgramMissFactor: 4,
+					ProgramCacheSize: 6, WarmupPace: 0.2, WarmupDuration: 8000, OverloadFactor: 1e9, OverloadWindow: 1000, SlowStartLimit: 1 << 30,
 				}
 				for job := range jobs { // run-once ones start so slowly that a try waits for seconds
-					mk.Work = append(mk.Work, standin.Work{Start: 150 + 1650*float64(job/2), Life: 30000, Use: 0.5})
+					mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 150 + 1650*float64(job/2), MeanRuntime: 30000, MeanUse: 0.5})
 				}
 				s.m = standin.NewMachine(mk, s, standin.NewGroup(), w.rng.Uint64(), 0, false)
 				w.nodes = append(w.nodes, s)
@@ -258,7 +258,7 @@
 		w.now = to
 	}
 	for _, s := range w.nodes {
-		s.m.Tick(w.now)
+		s.m.Advance(w.now)
 	}
 	for _, p := range w.procs {
 		p.next, p.keepAt = w.now, w.now
@@ -272,8 +272,8 @@
 		run()
 	}
 	for _, s := range w.nodes {
-		if s.m.Next() <= w.now {
-			s.m.Tick(w.now)
+		if s.m.NextEvent() <= w.now {
+			s.m.Advance(w.now)
 		}
 	}
 	for _, p := range w.procs {
--- a/internal/lab/month/peers.go
+++ b/internal/lab/month/peers.go
@@ -22,7 +22,7 @@
 	cores, memory float64,
 ) error {
 	a.s.late("offer", ticket)
-	a.s.m.Offer(a.s.w.now, a.p.name(), ticket, try, epoch, timeout, job, tenant, service, token, cores, memory)
+	a.s.m.Place(a.s.w.now, a.p.name(), ticket, try, epoch, timeout, job, tenant, service, token, cores, memory)
 	return nil
 }
 
@@ -55,31 +55,31 @@
 	})
 }
 
-// Started and the others make a node its machine's voice.
-func (s *spot) Started(sched string, ticket uint64, try uint8, took float64) {
+// OnStarted and the others make a node its machine's voice.
+func (s *spot) OnStarted(sched string, ticket uint64, try uint8, took float64) {
 	s.say(sched, node.AppendStarted(nil, ticket, try, took))
 }
 
-func (s *spot) Settled(sched string, ticket uint64, try uint8, outcome, reason int, report []float64) {
+func (s *spot) OnConcluded(sched string, ticket uint64, try uint8, outcome, reason int, report []float64) {
 	s.say(sched, node.AppendOutcome(nil, ticket, try, outcome, reason, report))
 }
-func (s *spot) Noted(string, uint64, uint8, int, float64) {}
-func (s *spot) Reported(sched string, seq uint64, report []float64) {
+func (s *spot) OnNote(string, uint64, uint8, int, float64) {}
+func (s *spot) OnReport(sched string, seq uint64, report []float64) {
 	s.say(sched, node.AppendReport(nil, seq, report))
 }
 
-func (s *spot) Claimed(sched string, ticket uint64, try uint8, claim, reason int) {
+func (s *spot) OnClaimed(sched string, ticket uint64, try uint8, claim, reason int) {
 	s.say(sched, node.AppendClaimAnswer(nil, ticket, try, claim, reason))
 }
 
-func (s *spot) Ran(sched string, ticket uint64, try uint8) {
+func (s *spot) OnRun(sched string, ticket uint64, try uint8) {
 	s.w.rep.Starts++
 	s.w.note("ran %s %x.%d at %d", sched, ticket, try, s.id)
 	if i, _ := strconv.Atoi(sched); s.w.now > s.w.procs[i].blind { // else nobody could have called it back
 		s.late("start", ticket)
 	}
 }
-func (s *spot) Fell() {}
+func (s *spot) OnOverload() {}
 
 // reply hands a node's word to a process's engine.
 type reply struct {
--- a/internal/lab/procs/lifecycle.go
+++ b/internal/lab/procs/lifecycle.go
@@ -32,7 +32,7 @@
 	toOwner *relay
 	folder  string
 	log     *os.File
-	owner   *standin.Owner
+	owner   *standin.Client
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	address string
@@ -69,7 +69,7 @@
 		return err
 	}
 	x.free.Close()
-	r.w.Trace.Add(audit.Record{At: r.w.Now(), Kind: audit.Born, Sched: x.name})
+	r.w.Trace.Add(audit.Record{At: r.w.Now(), Kind: audit.SchedulerStarted, Scheduler: x.name})
 	cmd, address, err := spawn.Scheduler(r.ctx, append(slices.Clone(r.Command), "serve", "--site", file, "--state", x.folder, "--name", x.name,
 		"--index", fmt.Sprint(i), "--zone", r.zoneOf(i), "--seed", fmt.Sprint(r.Seed*1000+uint64(i)+1), "--address-file", filepath.Join(r.Dir, x.name+".addr")), x.log,
 		filepath.Join(r.Dir, x.name+".addr"))
@@ -99,7 +99,7 @@
 	r.cpu += used
 	r.kills = append(r.kills, kill{who: i, at: at})
 	r.mu.Unlock()
-	r.w.Trace.Add(audit.Record{At: r.w.Now(), Kind: audit.Killed, Sched: x.name})
+	r.w.Trace.Add(audit.Record{At: r.w.Now(), Kind: audit.SchedulerKilled, Scheduler: x.name})
 }
 
 // Stop has a scheduler stand still, or run on.
@@ -111,11 +111,11 @@
 		return
 	}
 	x.stopped = still
-	kind, signal := audit.Paused, syscall.SIGSTOP
+	kind, signal := audit.SchedulerPaused, syscall.SIGSTOP
 	if !still {
-		kind, signal = audit.Resumed, syscall.SIGCONT
+		kind, signal = audit.SchedulerResumed, syscall.SIGCONT
 	}
-	r.w.Trace.Add(audit.Record{At: r.w.Now(), Kind: kind, Sched: x.name})
+	r.w.Trace.Add(audit.Record{At: r.w.Now(), Kind: kind, Scheduler: x.name})
 	_ = x.cmd.Process.Signal(signal)
 }
 
@@ -123,7 +123,7 @@
 func (r *Rig) Renew(part float64, away time.Duration) {
 	for i, n := range r.nodes {
 		if float64(i) < part*float64(len(r.nodes)) {
-			r.w.At(func(now float64) { n.Die(now) })
+			r.w.WithLock(func(now float64) { n.Crash(now) })
 			r.later(away, func() { r.back(n) })
 		}
 	}
@@ -131,7 +131,7 @@
 
 // back brings a node back; its address may be taken for a moment yet.
 func (r *Rig) back(n *standin.Node) {
-	if err := n.Return(); err != nil {
+	if err := n.Restart(); err != nil {
 		r.later(100*time.Millisecond, func() { r.back(n) })
 	}
 }
--- a/internal/lab/procs/observe.go
+++ b/internal/lab/procs/observe.go
@@ -19,8 +19,8 @@
 func (r *Rig) record(x *audit.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if x.Kind == audit.Told || x.Kind == audit.Heard {
-		switch back := r.ways[wayOf{x.Sched, "list"}][1]; {
+	if x.Kind == audit.EndpointDelivered || x.Kind == audit.ListDelivered {
+		switch back := r.ways[wayOf{x.Scheduler, "list"}][1]; {
 		case back.Cut:
 			r.held = append(r.held, *x)
 			return
--- a/internal/lab/procs/procs.go
+++ b/internal/lab/procs/procs.go
@@ -38,7 +38,7 @@
 	Plan
 	ctx   context.Context
 	real  *outside.Real
-	w     *standin.World
+	w     *standin.Testbed
 	place *site.Config
 	rules audit.Rules
 	nodes []*standin.Node
@@ -65,10 +65,10 @@
 	ctx, stop := context.WithCancel(ctx)
 	real := outside.NewReal()
 	r = &Rig{
-		Plan: p, ctx: ctx, stop: stop, real: real, w: standin.NewWorld(real), rng: rand.New(rand.NewPCG(p.Seed, 0x916)), lanes: map[[2]int]Lane{},
+		Plan: p, ctx: ctx, stop: stop, real: real, w: standin.NewTestbed(real), rng: rand.New(rand.NewPCG(p.Seed, 0x916)), lanes: map[[2]int]Lane{},
 		ways: map[wayOf][2]Way{},
 	}
-	r.w.Trace.Each = r.record
+	r.w.Trace.OnRecord = r.record
 	defer func() {
 		if err != nil {
 			r.close()
@@ -106,7 +106,7 @@
 		return r, err
 	}
 	for i, x := range r.all {
-		x.owner = &standin.Owner{ID: i, Sched: x.name, Settle: r.place.SettleTime, Find: func() string {
+		x.owner = &standin.Client{ID: i, Scheduler: x.name, SettleTime: r.place.SettleTime, SchedulerAddress: func() string {
 			x.mu.Lock()
 			defer x.mu.Unlock()
 			if x.cmd == nil {
@@ -116,7 +116,7 @@
 			}
 			return x.address
 		}}
-		r.w.StartOwner(x.owner, p.Seed*7919+uint64(i))
+		r.w.StartClient(x.owner, p.Seed*7919+uint64(i))
 	}
 	if p.Rate > 0 {
 		r.asks.Go(r.load)
--- a/internal/lab/procs/result.go
+++ b/internal/lab/procs/result.go
@@ -10,7 +10,7 @@
 
 // Result is what came of a rig.
 type Result struct {
-	Breaks  []audit.Break
+	Breaks  []audit.Violation
 	Answers map[string]int
 	Starts  []float64     // ms from ask to answer of those served at their first ask, sorted
 	CPU     time.Duration // of all schedulers together, of all their lives
@@ -30,19 +30,19 @@
 	res := Result{Breaks: audit.Check(records, r.rules), Answers: map[string]int{}}
 	wanted, served := 0.0, 0.0
 	for _, x := range r.all {
-		for _, t := range x.owner.Tallies() {
-			res.Answers[t.Word]++
-			if t.At >= r.from && t.At < r.until {
+		for _, t := range x.owner.Outcomes() {
+			res.Answers[t.Result]++
+			if t.SentAt >= r.from && t.SentAt < r.until {
 				value := r.place.Cluster.JobClasses[t.Job].PriorityWeight
-				if wanted += value; t.Word == "served" && t.InTime {
+				if wanted += value; t.Result == "served" && t.InTime {
 					served += value
 				}
-				if t.Word == "served" {
-					res.Late = append(res.Late, t.Took)
+				if t.Result == "served" {
+					res.Late = append(res.Late, t.Latency)
 				}
 			}
-			if t.Word == "served" && t.First {
-				res.Starts = append(res.Starts, t.Took)
+			if t.Result == "served" && t.First {
+				res.Starts = append(res.Starts, t.Latency)
 			}
 		}
 	}
@@ -55,8 +55,8 @@
 	}
 	ran, near := 0, 0
 	for _, x := range records {
-		if x.Kind == audit.Ran {
-			if ran++; r.rules.Nodes[x.Node].Zone == zones[x.Sched] {
+		if x.Kind == audit.TaskStarted {
+			if ran++; r.rules.Nodes[x.Node].Zone == zones[x.Scheduler] {
 				near++
 			}
 		}
--- a/internal/lab/procs/site.go
+++ b/internal/lab/procs/site.go
@@ -37,16 +37,16 @@
 	}
 	r.place = place
 	r.rules = audit.Rules{
-		Nodes: map[uint32]audit.Stand{}, Grace: place.DrainGrace, ColdBears: bears, ColdFor: place.Cluster.SlowStartDuration,
-		ColdWindow: place.Cluster.SlowStartWindow, Slack: 500,
-		Jobs: []audit.Job{{}, {Effect: audit.Tokened, Group: 1, Window: 1500, Spread: 1, Most: 3}, {Effect: audit.RunOnce}},
+		Nodes: map[uint32]audit.Location{}, DrainGrace: place.DrainGrace, SlowStartLimit: bears, SlowStartDuration: place.Cluster.SlowStartDuration,
+		SlowStartWindow: place.Cluster.SlowStartWindow, Slack: 500,
+		Jobs: []audit.JobRules{{}, {Effect: audit.Idempotent, Group: 1, Window: 1500, Spread: 1, MaxTogether: 3}, {Effect: audit.AtMostOnce}},
 	}
-	mk := standin.Make{
-		Cores: float64(r.cores()), Memory: 2 * float64(r.cores()), CoresLimit: 2, MemoryLimit: 1.5, Look: 4, Line: 200, Starts: 16, NoProgram: 3, Programs: 8,
-		ColdFrom: 0.5, ColdFor: place.Cluster.SlowStartDuration, Fall: 1e9, FallFor: 1000, Bears: bears,
+	mk := standin.MachineConfig{
+		Cores: float64(r.cores()), Memory: 2 * float64(r.cores()), CoresLimit: 2, MemoryLimit: 1.5, InspectTime: 4, QueueLimit: 200, ConcurrentStarts: 16, ProgramMissFactor: 3, ProgramCacheSize: 8,
+		WarmupPace: 0.5, WarmupDuration: place.Cluster.SlowStartDuration, OverloadFactor: 1e9, OverloadWindow: 1000, SlowStartLimit: bears,
 	}
 	for job := range 3 {
-		mk.Work = append(mk.Work, standin.Work{Start: 10, Life: 2500, Use: 0.5, Priority: job, Token: job == 1})
+		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 10, MeanRuntime: 2500, MeanUse: 0.5, Priority: job, Deduplicated: job == 1})
 	}
 	var groups []*standin.Group
 	for range place.Zones {
@@ -64,7 +64,7 @@
 			}
 		}
 		r.nodes = append(r.nodes, n)
-		r.rules.Nodes[n.ID] = audit.Stand{Zone: n.Zone, Cell: n.Cell}
+		r.rules.Nodes[n.ID] = audit.Location{Zone: n.Zone, Cell: n.Cell}
 	}
 	var err error
 	if r.list, err = r.w.StartList(50, r.nodes, ""); err != nil || !r.Relays {
@@ -135,10 +135,10 @@
 		job := i % 3
 		key, service := fmt.Sprint("k", i), fmt.Sprint("v", job, i%23)
 		jt := r.place.Cluster.JobClasses[job]
-		r.all[i%len(r.all)].owner.Ask(&standin.Want{
+		r.all[i%len(r.all)].owner.Request(&standin.Demand{
 			Key: key, Tenant: "t", JobType: r.place.JobClasses[job], Service: service, Job: job,
 			Effect: int(jt.Semantics), Token: serve.Token("t", key), ServiceKey: serve.Service("t", service), Cores: 1, Memory: 1,
-			Within: r.place.Deadlines[job], Target: jt.LatencyObjective, Until: r.w.Now() + r.place.Deadlines[job],
+			Timeout: r.place.Deadlines[job], LatencyObjective: jt.LatencyObjective, GiveUpAt: r.w.Now() + r.place.Deadlines[job],
 		})
 	}
 }
--- a/internal/lab/procs/ways.go
+++ b/internal/lab/procs/ways.go
@@ -29,7 +29,7 @@
 		return err
 	}
 	r.relays = append(r.relays, x)
-	n.Listed = x.address()
+	n.ListedAddress = x.address()
 	return nil
 }
 
@@ -65,7 +65,7 @@
 	}
 	kept := r.held[:0]
 	for _, x := range r.held { // what the list said meanwhile is heard now
-		if x.Sched == of.sched {
+		if x.Scheduler == of.sched {
 			x.At = r.w.Now()
 			r.trace = append(r.trace, x)
 		} else {
--- a/internal/lab/route/ends.go
+++ b/internal/lab/route/ends.go
@@ -117,7 +117,7 @@
 			if t.e != e {
 				continue
 			}
-			o.g.record(audit.Record{Kind: audit.GaveUp, Sched: s.name, Ref: t.id})
+			o.g.record(audit.Record{Kind: audit.RequestAbandoned, Scheduler: s.name, RequestRef: t.id})
 			delete(o.asks, id)
 			if err == io.EOF && s.s != nil && s.lives == lives {
 				o.g.fail(fmt.Sprintf("rule 1: %s ended a connection on which ask %d had no answer", s.name, id))
@@ -187,7 +187,7 @@
 	o.asks[t.id], t.e = t, o.e
 	g.v.Asks++
 	g.v.Jobs[t.job].Asks++
-	g.record(audit.Record{Kind: audit.Asked, Sched: s.name, Ref: t.id, Token: t.key, Job: t.job, Until: t.until + 50})
+	g.record(audit.Record{Kind: audit.RequestSent, Scheduler: s.name, RequestRef: t.id, Token: t.key, Job: t.job, Deadline: t.until + 50})
 	o.e.send(message(codec.SetUp, t.id, codec.JobType, jobNames[t.job], codec.Left, expiry, codec.Tenant, "acme", codec.Name,
 		fmt.Sprintf("%016x", t.id), codec.Key, fmt.Sprintf("%032x", t.key), codec.Figures,
 		fmt.Sprintf("cores:1;memory:2;service:%016x", t.service), codec.Description, "owner's"))
@@ -199,7 +199,7 @@
 			if o.asks[t.id] == t {
 				delete(o.asks, t.id)
 				t.gone = g.c.True()
-				g.record(audit.Record{Kind: audit.GaveUp, Sched: s.name, Ref: t.id})
+				g.record(audit.Record{Kind: audit.RequestAbandoned, Scheduler: s.name, RequestRef: t.id})
 				t.e.send(codec.AppendEnd(nil, t.id, codec.Normal)) // an open set-up belongs to its connection
 			}
 		})
@@ -217,7 +217,7 @@
 	answer := func(word string) {
 		if o.asks[id] == t {
 			delete(o.asks, id)
-			g.record(audit.Record{Kind: audit.Answered, Sched: o.s.name, Ref: id, Token: t.key, Word: word})
+			g.record(audit.Record{Kind: audit.ResponseReceived, Scheduler: o.s.name, RequestRef: id, Token: t.key, Detail: word})
 		}
 	}
 	switch codec.Kind(msg) {
@@ -294,7 +294,7 @@
 	}
 	n.p = g.c.NewProcess("p-" + name)
 	g.nodes = append(g.nodes, n)
-	g.rules.Nodes[n.id] = audit.Stand{Zone: n.zone, Cell: fmt.Sprint(n.zone, n.cell)}
+	g.rules.Nodes[n.id] = audit.Location{Zone: n.zone, Cell: fmt.Sprint(n.zone, n.cell)}
 	n.begin(cold)
 	if !cold {
 		g.list = append(g.list, change{n.name, n.address, n.zone, n.status, n.cell, 0})
@@ -315,7 +315,7 @@
 	if cold {
 		word = "cold"
 	}
-	n.g.record(audit.Record{Kind: audit.NodeBorn, Node: n.id, Word: word})
+	n.g.record(audit.Record{Kind: audit.NodeStarted, Node: n.id, Detail: word})
 	if _, err := n.p.Listen(n.address, n.came); err != nil {
 		n.g.fail(err.Error())
 	}
@@ -346,7 +346,7 @@
 }
 
 func (n *node) conclude(id uint64, r *run, word string) {
-	n.g.record(audit.Record{Kind: audit.Concluded, Sched: r.sched, Node: n.id, Ticket: id, Try: r.try, Word: word})
+	n.g.record(audit.Record{Kind: audit.AttemptConcluded, Scheduler: r.sched, Node: n.id, Ticket: id, Attempt: r.try, Detail: word})
 }
 
 func (n *node) heard(e *ear, msg []byte) {
@@ -395,8 +395,8 @@
 	t.tries++
 	r := &run{sched: t.s.name, e: e, at: g.c.True(), try: try}
 	g.record(audit.Record{
-		Kind: audit.Offered, Sched: t.s.name, Node: n.id, Ticket: id, Try: try, Job: t.job, Token: t.key, Service: t.service,
-		Until: g.c.True() + left,
+		Kind: audit.PlacementReceived, Scheduler: t.s.name, Node: n.id, Ticket: id, Attempt: try, Job: t.job, Token: t.key, Service: t.service,
+		Deadline: g.c.True() + left,
 	})
 	draw := g.rng.IntN(10)
 	switch {
@@ -413,7 +413,7 @@
 		if n.runs[id] != r {
 			return
 		}
-		g.record(audit.Record{Kind: audit.Ran, Sched: r.sched, Node: n.id, Ticket: id, Try: try})
+		g.record(audit.Record{Kind: audit.TaskStarted, Scheduler: r.sched, Node: n.id, Ticket: id, Attempt: try})
 		if g.rng.IntN(10) < n.fails {
 			n.conclude(id, r, "error")
 			delete(n.runs, id)
@@ -429,7 +429,7 @@
 			return
 		}
 		r.told = true
-		g.record(audit.Record{Kind: audit.Confirmed, Sched: r.sched, Node: n.id, Ticket: id, Try: try})
+		g.record(audit.Record{Kind: audit.StartConfirmed, Scheduler: r.sched, Node: n.id, Ticket: id, Attempt: try})
 		e.send(codec.AppendAnswer(nil, id, []byte(n.describes(id))))
 	})
 	n.p.After(200+float64(life-200)*g.rng.Float64(), func() {
--- a/internal/lab/route/route.go
+++ b/internal/lab/route/route.go
@@ -53,7 +53,7 @@
   {"name": "marked", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "guarded", "worth": 2, "group": "zone", "window-ns": 1500000000},
   {"name": "single", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "single_shot", "worth": 3, "group": "all"}]}`
 
-var jobs = []audit.Job{{}, {Effect: audit.Tokened, Group: 1, Window: 1500, Spread: 1, Most: 3}, {Effect: audit.RunOnce}}
+var jobs = []audit.JobRules{{}, {Effect: audit.Idempotent, Group: 1, Window: 1500, Spread: 1, MaxTogether: 3}, {Effect: audit.AtMostOnce}}
 
 var jobNames = []string{"batch", "marked", "single"}
 
@@ -81,7 +81,7 @@
 	c   *sim.Clock
 	rng *rand.Rand
 	Plant
-	watch   *audit.Watch
+	watch   *audit.Auditor
 	rules   audit.Rules
 	scheds  []*sched
 	nodes   []*node
@@ -119,13 +119,13 @@
 		g.busy, g.v.Flood = g.drawFlood(), true
 	}
 	g.rules = audit.Rules{
-		Jobs: jobs, Nodes: map[uint32]audit.Stand{}, Grace: grace, ColdBears: bears, ColdFor: coldFor, ColdWindow: window,
+		Jobs: jobs, Nodes: map[uint32]audit.Location{}, DrainGrace: grace, SlowStartLimit: bears, SlowStartDuration: coldFor, SlowStartWindow: window,
 		Slack: slack,
 	}
 	if g.busy != nil {
 		g.rules.Slack = busySlack
 	}
-	g.watch = audit.NewWatch(g.rules)
+	g.watch = audit.NewAuditor(g.rules)
 	number, nodes := 2+g.rng.IntN(3), 4+g.rng.IntN(7)
 	if g.busy != nil {
 		number, nodes = 3+g.rng.IntN(3), 12+g.rng.IntN(5)
@@ -158,10 +158,10 @@
 func (g *play) record(r audit.Record) {
 	r.At = g.c.True()
 	if g.Trace != nil {
-		fmt.Fprintf(g.Trace, "%.1f %s %s node %d ref %d try %x.%d job %d until %.0f %s\n", r.At, r.Kind, r.Sched, r.Node, r.Ref, r.Ticket, r.Try, r.Job, r.Until, r.Word)
+		fmt.Fprintf(g.Trace, "%.1f %s %s node %d ref %d try %x.%d job %d until %.0f %s\n", r.At, r.Kind, r.Scheduler, r.Node, r.RequestRef, r.Ticket, r.Attempt, r.Job, r.Deadline, r.Detail)
 	}
 	if g.watch.Add(&r) > 0 {
-		g.fail(g.watch.End()[0].String())
+		g.fail(g.watch.Finish()[0].String())
 	}
 }
 
@@ -170,7 +170,7 @@
 	if g.v.Broken != "" {
 		return
 	}
-	if all := g.watch.End(); len(all) > 0 {
+	if all := g.watch.Finish(); len(all) > 0 {
 		g.fail(all[0].String())
 	}
 	for _, n := range g.nodes {
@@ -233,10 +233,10 @@
 		world = g.World(world)
 	}
 	world = watched{world, g}
-	g.record(audit.Record{Kind: audit.Born, Sched: s.name})
+	g.record(audit.Record{Kind: audit.SchedulerStarted, Scheduler: s.name})
 	for _, n := range g.nodes { // what stands in the journal counts as told
 		if n.status != "ready" {
-			g.record(audit.Record{Kind: audit.Told, Sched: s.name, Node: n.id, Word: n.status})
+			g.record(audit.Record{Kind: audit.EndpointDelivered, Scheduler: s.name, Node: n.id, Detail: n.status})
 		}
 	}
 	s.s = platform.New(world, zerolog.New(s), c)
@@ -286,7 +286,7 @@
 	}
 	s.s = nil
 	s.p.Kill(false)
-	s.g.record(audit.Record{Kind: audit.Killed, Sched: s.name})
+	s.g.record(audit.Record{Kind: audit.SchedulerKilled, Scheduler: s.name})
 	s.owner.lost()
 	s.g.c.At(s.g.c.True()+back, func() {
 		s.p.Start()
@@ -439,7 +439,7 @@
 	for _, s := range g.scheds {
 		s.journal.add(false, all...)
 		if n.status == "ready" { // it may know at once
-			g.record(audit.Record{Kind: audit.Told, Sched: s.name, Node: n.id, Word: n.status})
+			g.record(audit.Record{Kind: audit.EndpointDelivered, Scheduler: s.name, Node: n.id, Detail: n.status})
 			continue
 		}
 		at := g.c.True()
@@ -449,7 +449,7 @@
 		lives, status, count := s.lives, n.status, n.changes
 		g.c.At(at, func() {
 			if s.lives == lives && n.changes == count {
-				g.record(audit.Record{Kind: audit.Told, Sched: s.name, Node: n.id, Word: status})
+				g.record(audit.Record{Kind: audit.EndpointDelivered, Scheduler: s.name, Node: n.id, Detail: status})
 			}
 		})
 	}
--- a/internal/lab/scale/hollow/nodes.go
+++ b/internal/lab/scale/hollow/nodes.go
@@ -70,7 +70,7 @@
 type nodeHost struct {
 	NodesPlan
 	nodes  []*standin.Node
-	worlds []*standin.World // of each node
+	worlds []*standin.Testbed // of each node
 	random *rand.Rand
 }
 
@@ -91,21 +91,21 @@
 }
 
 func (h *nodeHost) start(real *outside.Real) error {
-	model := standin.Make{
-		Cores: h.Cores, Memory: 2 * h.Cores, CoresLimit: 4, MemoryLimit: 4, Look: lookMs, Line: waitingTasks,
-		Starts: startsAtOnce, NoProgram: 1, Programs: keptPrograms, ColdFrom: 1, ColdFor: 1, Fall: foreverMs, FallFor: 1, Bears: 1 << 30,
-		Work: []standin.Work{{Start: startMs, Life: h.ShortLife, Use: 0.5}, {Start: startMs, Life: foreverMs, Use: 0.5}},
+	model := standin.MachineConfig{
+		Cores: h.Cores, Memory: 2 * h.Cores, CoresLimit: 4, MemoryLimit: 4, InspectTime: lookMs, QueueLimit: waitingTasks,
+		ConcurrentStarts: startsAtOnce, ProgramMissFactor: 1, ProgramCacheSize: keptPrograms, WarmupPace: 1, WarmupDuration: 1, OverloadFactor: foreverMs, OverloadWindow: 1, SlowStartLimit: 1 << 30,
+		JobProfiles: []standin.JobProfile{{StartWork: startMs, MeanRuntime: h.ShortLife, MeanUse: 0.5}, {StartWork: startMs, MeanRuntime: foreverMs, MeanUse: 0.5}},
 	}
-	var world *standin.World
+	var world *standin.Testbed
 	var group *standin.Group
 	for i := range h.Count {
 		if i%perWorld == 0 {
-			world, group = standin.NewWorld(real), standin.NewGroup()
-			world.Trace.Each = func(*audit.Record) {} // nothing audits it
+			world, group = standin.NewTestbed(real), standin.NewGroup()
+			world.Trace.OnRecord = func(*audit.Record) {} // nothing audits it
 		}
 		place := h.First + i
 		zone := ZoneName(NodeZone(place, h.Nodes, h.Zones))
-		n := &standin.Node{ID: NodeID(place), Zone: zone, Cell: zone, Kind: "plain", Jobs: len(model.Work), Tenants: h.Teams}
+		n := &standin.Node{ID: NodeID(place), Zone: zone, Cell: zone, Kind: "plain", Jobs: len(model.JobProfiles), Tenants: h.Teams}
 		if err := world.StartNode(n, model, group, h.random.Uint64(), false, NodeAddress(place)); err != nil {
 			return err
 		}
@@ -127,13 +127,13 @@
 	case AwaitConnections:
 		return h.await(order)
 	case Tasks:
-		return h.count(func(n *standin.Node) int { return n.Machine.Holds() }), nil
+		return h.count(func(n *standin.Node) int { return n.Machine.TaskCount() }), nil
 	case StopNodes:
-		return h.each(order, func(n *standin.Node, now float64) error { n.Die(now); return nil })
+		return h.each(order, func(n *standin.Node, now float64) error { n.Crash(now); return nil })
 	case HangNodes:
-		return h.each(order, func(n *standin.Node, _ float64) error { n.Machine.Hang = true; return nil })
+		return h.each(order, func(n *standin.Node, _ float64) error { n.Machine.Hung = true; return nil })
 	case ResumeNodes:
-		return h.each(order, func(n *standin.Node, _ float64) error { n.Machine.Hang = false; return nil })
+		return h.each(order, func(n *standin.Node, _ float64) error { n.Machine.Hung = false; return nil })
 	case ReturnNodes:
 		return h.restart(order)
 	}
@@ -142,7 +142,7 @@
 
 func (h *nodeHost) count(of func(n *standin.Node) int) (reply Reply) {
 	for i, n := range h.nodes {
-		h.worlds[i].At(func(float64) { reply.Count += of(n) })
+		h.worlds[i].WithLock(func(float64) { reply.Count += of(n) })
 	}
 	return reply
 }
@@ -164,7 +164,7 @@
 func (h *nodeHost) each(order Order, do func(n *standin.Node, now float64) error) (Reply, error) {
 	places, err := h.chosen(order)
 	for _, i := range places {
-		h.worlds[i].At(func(now float64) { err = errors.Join(err, do(h.nodes[i], now)) })
+		h.worlds[i].WithLock(func(now float64) { err = errors.Join(err, do(h.nodes[i], now)) })
 	}
 	return Reply{At: unixMs(), Count: len(places)}, err
 }
@@ -176,10 +176,10 @@
 		return Reply{}, err
 	}
 	for _, i := range places {
-		err := h.nodes[i].Return()
+		err := h.nodes[i].Restart()
 		for try := 1; err != nil && try < returnTries; try++ {
 			time.Sleep(returnPause)
-			err = h.nodes[i].Return()
+			err = h.nodes[i].Restart()
 		}
 		if err != nil {
 			return Reply{}, err
@@ -195,7 +195,7 @@
 		return Reply{}, err
 	}
 	return await(places, order.Within, func(i int) (is bool) {
-		h.worlds[i].At(func(float64) { is = h.nodes[i].Connections() >= order.Count })
+		h.worlds[i].WithLock(func(float64) { is = h.nodes[i].Connections() >= order.Count })
 		return is
 	})
 }
--- a/internal/lab/sim/agree_test.go
+++ b/internal/lab/sim/agree_test.go
@@ -52,12 +52,12 @@
 // converse plays one script to a stand-in node: offers that fit and do not, a recall, a claim, a stop, a probe, an offer of
 // an older epoch and one that lay on its way for too long.
 func converse(w outside.Environment, address string) (*talk, error) {
-	sw := standin.NewWorld(w)
+	sw := standin.NewTestbed(w)
 	n := &standin.Node{ID: 7, Zone: "z", Cell: "c", Kind: "k", Jobs: 2, Tenants: 1}
-	mk := standin.Make{
-		Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, Look: 2, Line: 4, Starts: 2, NoProgram: 2, Programs: 3,
-		ColdFrom: 1, ColdFor: 1, Fall: 1e9, FallFor: 1, Bears: 1 << 20,
-		Work: []standin.Work{{Start: 5, Life: 400, Use: 0.5}, {Start: 150, Life: 400, Use: 0.5, Token: true}},
+	mk := standin.MachineConfig{
+		Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, InspectTime: 2, QueueLimit: 4, ConcurrentStarts: 2, ProgramMissFactor: 2, ProgramCacheSize: 3,
+		WarmupPace: 1, WarmupDuration: 1, OverloadFactor: 1e9, OverloadWindow: 1, SlowStartLimit: 1 << 20,
+		JobProfiles: []standin.JobProfile{{StartWork: 5, MeanRuntime: 400, MeanUse: 0.5}, {StartWork: 150, MeanRuntime: 400, MeanUse: 0.5, Deduplicated: true}},
 	}
 	if err := sw.StartNode(n, mk, standin.NewGroup(), 3, false, address); err != nil {
 		return nil, err
@@ -102,11 +102,11 @@
 		c := NewClock(1)
 		w := outside.Environment(c.NewProcess("n"))
 		n := &standin.Node{ID: 7, Zone: "z", Cell: "c", Kind: "k", Jobs: 1, Tenants: 1}
-		mk := standin.Make{
-			Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, Look: 2, Line: 4, Starts: 2, Fall: 1e9, FallFor: 1, Bears: 1 << 20,
-			Work: []standin.Work{{Start: 5, Life: 400, Use: 0.5}},
+		mk := standin.MachineConfig{
+			Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, InspectTime: 2, QueueLimit: 4, ConcurrentStarts: 2, OverloadFactor: 1e9, OverloadWindow: 1, SlowStartLimit: 1 << 20,
+			JobProfiles: []standin.JobProfile{{StartWork: 5, MeanRuntime: 400, MeanUse: 0.5}},
 		}
-		if err := standin.NewWorld(w).StartNode(n, mk, standin.NewGroup(), 3, false, "n:1"); err != nil {
+		if err := standin.NewTestbed(w).StartNode(n, mk, standin.NewGroup(), 3, false, "n:1"); err != nil {
 			t.Fatal(err)
 		}
 		x := &talk{}
--- a/internal/lab/sim/clubs.go
+++ b/internal/lab/sim/clubs.go
@@ -193,7 +193,7 @@
 	for _, n := range st.nodes {
 		for _, s := range st.scheds {
 			for _, name := range s.names() {
-				n.Machine.Held(st.c.now, name, func(_ uint64, _ uint8, _ bool, _, _ int, _, token uint64, _, _ float64) {
+				n.Machine.EachHeld(st.c.now, name, func(_ uint64, _ uint8, _ bool, _, _ int, _, token uint64, _, _ float64) {
 					if st.wanted[token].tenant == tenant {
 						st.fail(0, fmt.Sprintf("node %d holds %x of tenant %s, which was removed with all that runs", n.ID, token, tenant))
 					}
@@ -205,11 +205,11 @@
 
 // hosted checks that nothing new is placed for a tenant that takes nothing.
 func (st *stage) hosted(r *audit.Record) {
-	key := [2]uint64{uint64(r.Owner), r.Ref}
-	if r.Kind == audit.Asked {
+	key := [2]uint64{uint64(r.Client), r.RequestRef}
+	if r.Kind == audit.RequestSent {
 		st.asked[key] = st.wanted[r.Token]
 	}
-	if r.Kind != audit.Answered || r.Word != "served" {
+	if r.Kind != audit.ResponseReceived || r.Detail != "served" {
 		return
 	}
 	w, ok := st.asked[key]
@@ -218,8 +218,8 @@
 		return
 	}
 	for _, s := range st.scheds {
-		if s.name == r.Sched && !s.p.paused && w.at > s.p.resumed+takesUp {
-			st.fail(0, fmt.Sprintf("ask %d of tenant %s was served, which takes nothing since %.0f ms; it was asked for at %.0f", r.Ref, w.tenant, since, w.at))
+		if s.name == r.Scheduler && !s.p.paused && w.at > s.p.resumed+takesUp {
+			st.fail(0, fmt.Sprintf("ask %d of tenant %s was served, which takes nothing since %.0f ms; it was asked for at %.0f", r.RequestRef, w.tenant, since, w.at))
 		}
 	}
 }
--- a/internal/lab/sim/members_test.go
+++ b/internal/lab/sim/members_test.go
@@ -16,7 +16,7 @@
 		}}
 		late, before := 0, 0
 		v := Game{Script: s, Lenient: true, Seen: func(r *audit.Record) {
-			if r.Kind == audit.Offered && r.Sched[:2] == "s0" && r.Node == 1 {
+			if r.Kind == audit.PlacementReceived && r.Scheduler[:2] == "s0" && r.Node == 1 {
 				switch {
 				case r.At > 6000 && r.At < 9900:
 					late++
--- a/internal/lab/sim/play.go
+++ b/internal/lab/sim/play.go
@@ -49,11 +49,11 @@
 </site>`
 
 // jobs by their names: effect, group, and what the rules ask.
-var rulesOfJobs = []audit.Job{
+var rulesOfJobs = []audit.JobRules{
 	{},
-	{Effect: audit.Tokened, Group: 1, Window: 1500, Spread: 1, Most: 3},
-	{Effect: audit.RunOnce},
-	{Effect: audit.Tokened, Window: 1500},
+	{Effect: audit.Idempotent, Group: 1, Window: 1500, Spread: 1, MaxTogether: 3},
+	{Effect: audit.AtMostOnce},
+	{Effect: audit.Idempotent, Window: 1500},
 }
 
 // Verdict is what came of a script.
@@ -75,16 +75,16 @@
 	Script
 	game   Game
 	c      *Clock
-	w      *standin.World
+	w      *standin.Testbed
 	rng    *rand.Rand
 	plant  *Plant
-	watch  *audit.Watch
+	watch  *audit.Auditor
 	place  *site.Config
 	nodes  []*standin.Node
 	hosts  map[string]*Process
 	list   *standin.List
 	scheds []*sched
-	owners []*standin.Owner
+	owners []*standin.Client
 	flood  float64
 	deaf   map[int]float64 // owners that do not read, until a time
 	keys   int
@@ -149,7 +149,7 @@
 		}
 		v = st.v
 		for _, o := range st.owners {
-			v.Lost += o.LostWork()
+			v.Lost += o.LostTasks()
 		}
 		v.Script, v.Trace, v.Steps, v.Ms = s, st.c.trace.Sum64(), st.c.steps, st.c.now
 	}()
@@ -208,23 +208,23 @@
 	}
 	st.place = place
 	rules := audit.Rules{
-		Nodes: map[uint32]audit.Stand{}, Jobs: rulesOfJobs, Grace: place.DrainGrace, Asks: st.Asks,
-		AskEvery: place.Cluster.ListMaxSilence, ColdBears: int(place.Cluster.SlowStartLimit), ColdFor: place.Cluster.SlowStartDuration,
-		ColdWindow: place.Cluster.SlowStartWindow, Slack: slack,
+		Nodes: map[uint32]audit.Location{}, Jobs: rulesOfJobs, DrainGrace: place.DrainGrace, ListPolled: st.Asks,
+		PollInterval: place.Cluster.ListMaxSilence, SlowStartLimit: int(place.Cluster.SlowStartLimit), SlowStartDuration: place.Cluster.SlowStartDuration,
+		SlowStartWindow: place.Cluster.SlowStartWindow, Slack: slack,
 	}
-	st.watch = audit.NewWatch(rules)
-	st.w = standin.NewWorld(st.host("world"))
-	st.w.Trace.Each = st.record
-	mk := standin.Make{
-		Cores: 16, Memory: 32, CoresLimit: 2, MemoryLimit: 1.5, Look: 4, Line: 30, Starts: 6, NoProgram: 3,
-		Programs: 6, ColdFrom: 0.4, ColdFor: place.Cluster.SlowStartDuration, Fall: 1e9, FallFor: 1000, Bears: 8,
+	st.watch = audit.NewAuditor(rules)
+	st.w = standin.NewTestbed(st.host("world"))
+	st.w.Trace.OnRecord = st.record
+	mk := standin.MachineConfig{
+		Cores: 16, Memory: 32, CoresLimit: 2, MemoryLimit: 1.5, InspectTime: 4, QueueLimit: 30, ConcurrentStarts: 6, ProgramMissFactor: 3,
+		ProgramCacheSize: 6, WarmupPace: 0.4, WarmupDuration: place.Cluster.SlowStartDuration, OverloadFactor: 1e9, OverloadWindow: 1000, SlowStartLimit: 8,
 	}
 	life := 1500.0
 	if st.game.Life > 0 {
 		life = st.game.Life
 	}
 	for job := range rulesOfJobs {
-		mk.Work = append(mk.Work, standin.Work{Start: 12, Life: life, Use: 0.5, Priority: job, Token: rulesOfJobs[job].Effect == audit.Tokened})
+		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 12, MeanRuntime: life, MeanUse: 0.5, Priority: job, Deduplicated: rulesOfJobs[job].Effect == audit.Idempotent})
 	}
 	groups := []*standin.Group{standin.NewGroup(), standin.NewGroup()}
 	for i := range st.Nodes {
@@ -237,7 +237,7 @@
 			return err
 		}
 		st.nodes = append(st.nodes, n)
-		rules.Nodes[n.ID] = audit.Stand{Zone: n.Zone, Cell: n.Cell}
+		rules.Nodes[n.ID] = audit.Location{Zone: n.Zone, Cell: n.Cell}
 	}
 	var err error
 	if st.list, err = st.on("list").StartList(50, st.nodes, "list:1"); err != nil {
@@ -255,20 +255,20 @@
 				return err
 			}
 		}
-		s.p.onDeath = func() { st.w.Trace.Add(audit.Record{At: st.c.now, Kind: audit.Killed, Sched: s.name}) }
+		s.p.onDeath = func() { st.w.Trace.Add(audit.Record{At: st.c.now, Kind: audit.SchedulerKilled, Scheduler: s.name}) }
 		st.scheds = append(st.scheds, s)
 		s.start()
 		for range ownersEach {
-			o := &standin.Owner{ID: len(st.owners), Sched: s.name, Settle: place.SettleTime, Find: func() string {
+			o := &standin.Client{ID: len(st.owners), Scheduler: s.name, SettleTime: place.SettleTime, SchedulerAddress: func() string {
 				if s.p.dead {
 					return ""
 				}
 				return s.name + ":1"
 			}}
 			if st.Hosted {
-				o.Token = tokenOf(tenantOf(o.ID))
+				o.AuthToken = tokenOf(tenantOf(o.ID))
 			}
-			st.on(fmt.Sprint("o", len(st.owners))).StartOwner(o, st.rng.Uint64())
+			st.on(fmt.Sprint("o", len(st.owners))).StartClient(o, st.rng.Uint64())
 			st.owners = append(st.owners, o)
 		}
 	}
@@ -276,9 +276,9 @@
 }
 
 // on gives the stand-ins' world as seen from a host: one clock, one trace, one lock.
-func (st *stage) on(name string) *standin.World {
-	w := standin.NewWorld(st.host(name))
-	w.Trace.Each = st.record
+func (st *stage) on(name string) *standin.Testbed {
+	w := standin.NewTestbed(st.host(name))
+	w.Trace.OnRecord = st.record
 	return w
 }
 
@@ -300,12 +300,12 @@
 
 func (st *stage) record(r *audit.Record) {
 	r.At = st.c.now
-	if r.Kind == audit.Asked {
+	if r.Kind == audit.RequestSent {
 		st.v.Asks++
-	} else if r.Kind == audit.Answered && r.Word == "served" {
+	} else if r.Kind == audit.ResponseReceived && r.Detail == "served" {
 		st.v.Served++
 	}
-	if all := st.conns("list", r.Sched); (r.Kind == audit.Told || r.Kind == audit.Heard) && len(all) > 0 {
+	if all := st.conns("list", r.Scheduler); (r.Kind == audit.EndpointDelivered || r.Kind == audit.ListDelivered) && len(all) > 0 {
 		later := *r
 		all[len(all)-1].taken(func() { st.recorded(&later) }) // what is told counts when it is heard
 		return
@@ -315,9 +315,9 @@
 
 func (st *stage) recorded(r *audit.Record) {
 	r.At = st.c.now
-	st.c.note("%s %s node %d owner %d ref %d try %x.%d job %d token %x service %x %s\n", r.Kind, r.Sched, r.Node, r.Owner, r.Ref,
-		r.Ticket, r.Try, r.Job, r.Token, r.Service, r.Word)
-	if r.Kind == audit.Answered && st.c.now < st.deaf[r.Owner] {
+	st.c.note("%s %s node %d owner %d ref %d try %x.%d job %d token %x service %x %s\n", r.Kind, r.Scheduler, r.Node, r.Client, r.RequestRef,
+		r.Ticket, r.Attempt, r.Job, r.Token, r.Service, r.Detail)
+	if r.Kind == audit.ResponseReceived && st.c.now < st.deaf[r.Client] {
 		r.At = 0 // when it came says nothing
 	}
 	if st.game.Seen != nil {
@@ -327,7 +327,7 @@
 	if n := st.watch.Add(r); st.game.Lenient {
 		st.v.Rules = n
 	} else if n > 0 && st.v.Broken == "" {
-		b := st.watch.End()[0]
+		b := st.watch.Finish()[0]
 		st.fail(b.Rule, b.String())
 	}
 }
@@ -336,7 +336,7 @@
 func (s *sched) start() {
 	st := s.st
 	s.lives++
-	st.w.Trace.Add(audit.Record{At: st.c.now, Kind: audit.Born, Sched: s.name})
+	st.w.Trace.Add(audit.Record{At: st.c.now, Kind: audit.SchedulerStarted, Scheduler: s.name})
 	place := *st.place
 	place.ClientsListen = s.name + ":1"
 	if st.Members {
@@ -417,15 +417,15 @@
 	if st.Hosted {
 		tenant = tenantOf(o.ID)
 	}
-	if o.Ready() {
+	if o.Connected() {
 		token := serve.Token(tenant, key)
 		if st.Hosted {
 			st.wanted[token] = wanted{tenant, st.c.now}
 		}
-		o.Ask(&standin.Want{
+		o.Request(&standin.Demand{
 			Key: key, Tenant: tenant, JobType: st.place.JobClasses[job], Service: service, Job: job,
 			Effect: rulesOfJobs[job].Effect, Token: token, ServiceKey: serve.Service(tenant, service),
-			Cores: 0.5 + st.rng.Float64(), Memory: 1, Within: st.place.Deadlines[job], Target: 800, Until: st.Lasts,
+			Cores: 0.5 + st.rng.Float64(), Memory: 1, Timeout: st.place.Deadlines[job], LatencyObjective: 800, GiveUpAt: st.Lasts,
 		})
 	}
 	st.c.at(nil, st.c.now+st.rng.ExpFloat64()*1000/(st.Rate*st.flood), st.ask)
@@ -449,17 +449,17 @@
 
 // last checks, when all is quiet, that nothing is held that no one knows, and nothing was left unanswered.
 func (st *stage) last() {
-	if breaks := st.watch.End(); len(breaks) > 0 {
+	if breaks := st.watch.Finish(); len(breaks) > 0 {
 		st.fail(breaks[0].Rule, breaks[0].String())
 	}
 	for _, n := range st.nodes {
-		if n.Lost || n.Machine.Hang {
+		if n.Lost || n.Machine.Hung {
 			continue
 		}
 		for _, s := range st.scheds {
 			for _, name := range s.names() {
-				if n.Linked(name) {
-					n.Machine.Held(st.c.now, name, func(ticket uint64, try uint8, _ bool, _, _ int, _, token uint64, _, _ float64) {
+				if n.IsConnected(name) {
+					n.Machine.EachHeld(st.c.now, name, func(ticket uint64, try uint8, _ bool, _, _ int, _, token uint64, _, _ float64) {
 						if !s.p.dead && !s.server.KnowsAttempt(ticket, try) {
 							st.fail(0, fmt.Sprintf("node %d holds try %x.%d of %x for %s, which does not know it", n.ID, ticket, try, token, name))
 						}
--- a/internal/lab/sim/strikes.go
+++ b/internal/lab/sim/strikes.go
@@ -53,10 +53,10 @@
 		}
 		life := s.p.life
 		s.p.Pause()
-		st.w.Trace.Add(audit.Record{At: c.now, Kind: audit.Paused, Sched: s.name})
+		st.w.Trace.Add(audit.Record{At: c.now, Kind: audit.SchedulerPaused, Scheduler: s.name})
 		after(func() {
 			if s.p.life == life {
-				st.w.Trace.Add(audit.Record{At: c.now, Kind: audit.Resumed, Sched: s.name})
+				st.w.Trace.Add(audit.Record{At: c.now, Kind: audit.SchedulerResumed, Scheduler: s.name})
 				s.p.Resume()
 			}
 		})
@@ -108,17 +108,17 @@
 			}
 		}
 	case "list-away":
-		st.list.Set(func(l *standin.List) { l.Away = true })
-		after(func() { st.list.Set(func(l *standin.List) { l.Away = false }) })
+		st.list.Update(func(l *standin.List) { l.Unavailable = true })
+		after(func() { st.list.Update(func(l *standin.List) { l.Unavailable = false }) })
 	case "list-behind":
-		st.list.Set(func(l *standin.List) { l.More = f.Size })
-		after(func() { st.list.Set(func(l *standin.List) { l.More = 0 }) })
+		st.list.Update(func(l *standin.List) { l.ExtraDelay = f.Size })
+		after(func() { st.list.Update(func(l *standin.List) { l.ExtraDelay = 0 }) })
 	case "hang":
-		n.Machine.Hang = true
-		after(func() { n.Machine.Hang = false })
+		n.Machine.Hung = true
+		after(func() { n.Machine.Hung = false })
 	case "mute":
-		n.Machine.Mute = f.Size
-		after(func() { n.Machine.Mute = 0 })
+		n.Machine.AnswerLoss = f.Size
+		after(func() { n.Machine.AnswerLoss = 0 })
 	case "deaf", "lossy":
 		l := c.Lane(f.B, f.A)
 		if f.Kind == "deaf" {
@@ -128,8 +128,8 @@
 		}
 		after(func() { *l = Lane{} })
 	case "errors", "silence":
-		n.Machine.BadJob, n.Machine.BadPart, n.Machine.BadQuiet = st.rng.IntN(len(rulesOfJobs)), f.Size, f.Kind == "silence"
-		after(func() { n.Machine.BadJob = -1 })
+		n.Machine.FailingJob, n.Machine.FailingFraction, n.Machine.FailSilently = st.rng.IntN(len(rulesOfJobs)), f.Size, f.Kind == "silence"
+		after(func() { n.Machine.FailingJob = -1 })
 	case "restart", "lost":
 		st.lose([]*standin.Node{n}, f.For)
 	case "hall":
@@ -144,9 +144,9 @@
 		if n.Lost {
 			return
 		}
-		n.Drains = true
+		n.Draining = true
 		n.Machine.Drain(c.now, true, false)
-		after(func() { n.Drains = false; n.Machine.Undrain() })
+		after(func() { n.Draining = false; n.Machine.Undrain() })
 	case "flood":
 		st.flood = max(1, f.Size)
 		after(func() { st.flood = 1 })
@@ -175,7 +175,7 @@
 	ms := func(t time.Time) float64 { return float64(t.Sub(outside.Epoch))/1e6 - day }
 	mark := func(at float64, word string) {
 		c.at(nil, at, func() {
-			st.w.Trace.Add(audit.Record{At: c.now, Kind: audit.Scheduled, Node: n.ID, Word: word})
+			st.w.Trace.Add(audit.Record{At: c.now, Kind: audit.MaintenanceChanged, Node: n.ID, Detail: word})
 		})
 	}
 	skew := 0.0 // clocks that the script has set wrong
@@ -195,9 +195,9 @@
 		if n.Lost {
 			continue
 		}
-		n.Die(st.c.now)
+		n.Crash(st.c.now)
 		st.c.at(nil, st.c.now+after, func() {
-			if err := n.Return(); err != nil {
+			if err := n.Restart(); err != nil {
 				st.fail(0, err.Error())
 			}
 		})
--- a/internal/lab/sim/witness_test.go
+++ b/internal/lab/sim/witness_test.go
@@ -33,11 +33,11 @@
 			asked, served, at := map[ask]uint64{}, map[uint64]float64{}, map[uint64]uint32{}
 			lost, first, last := 0, 0.0, 0.0
 			v := Game{Script: s, Life: 60000, Settles: 62000, Seen: func(r *audit.Record) {
-				switch key := (ask{r.Owner, r.Ref}); {
-				case r.Kind == audit.Offered:
+				switch key := (ask{r.Client, r.RequestRef}); {
+				case r.Kind == audit.PlacementReceived:
 					at[r.Token] = r.Node
-				case r.Kind == audit.Asked:
-					if when, ok := served[r.Token]; ok && when < 9000 && at[r.Token] == 1 && r.Sched == "s0" && r.At > 10000 && r.At < 26000 {
+				case r.Kind == audit.RequestSent:
+					if when, ok := served[r.Token]; ok && when < 9000 && at[r.Token] == 1 && r.Scheduler == "s0" && r.At > 10000 && r.At < 26000 {
 						if lost++; lost == 1 {
 							first = r.At
 						}
@@ -45,7 +45,7 @@
 					}
 					asked[key] = r.Token
 					delete(served, r.Token)
-				case r.Kind == audit.Answered && r.Word == "served":
+				case r.Kind == audit.ResponseReceived && r.Detail == "served":
 					served[asked[key]] = r.At
 				}
 			}}.Play()
--- a/internal/lab/sim/workingset_test.go
+++ b/internal/lab/sim/workingset_test.go
@@ -52,15 +52,15 @@
 		g := longWork(seed)
 		g.Working.MinNodes, g.Plant = least, plant
 		g.Seen = func(r *audit.Record) {
-			a := attempt{r.Ticket, r.Try}
+			a := attempt{r.Ticket, r.Attempt}
 			switch r.Kind {
-			case audit.Offered:
+			case audit.PlacementReceived:
 				tokens[a] = r.Token
-			case audit.Ran:
+			case audit.TaskStarted:
 				if runs[tokens[a]]++; runs[tokens[a]] > 1 {
 					all.twice++
 				}
-			case audit.Concluded:
+			case audit.AttemptConcluded:
 				runs[tokens[a]] = max(0, runs[tokens[a]]-1)
 			}
 		}
--- a/internal/serve/cluster_state_test.go
+++ b/internal/serve/cluster_state_test.go
@@ -32,9 +32,9 @@
 	view := server.control.View()
 	close(goes)
 	asked, served := 0, 0
-	for _, x := range s.owner[0].Tallies() {
-		if x.At >= began {
-			if asked++; x.Word == "served" {
+	for _, x := range s.owner[0].Outcomes() {
+		if x.SentAt >= began {
+			if asked++; x.Result == "served" {
 				served++
 			}
 		}
--- a/internal/serve/maintenance_test.go
+++ b/internal/serve/maintenance_test.go
@@ -97,7 +97,7 @@
 				cmd.Env = append(os.Environ(), "RAVENPOND_TEST_SERVE="+folder, "RAVENPOND_TEST_LIST="+s.list.Address(),
 					"RAVENPOND_TEST_KILL="+kill)
 				cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-				s.w.Trace.Add(audit.Record{At: s.w.Now(), Kind: audit.Born, Sched: "s0"})
+				s.w.Trace.Add(audit.Record{At: s.w.Now(), Kind: audit.SchedulerStarted, Scheduler: "s0"})
 				if err := cmd.Start(); err != nil {
 					t.Fatal(err)
 				}
@@ -108,9 +108,9 @@
 			for addr() == "" {
 				time.Sleep(10 * time.Millisecond)
 			}
-			o := &standin.Owner{Sched: "s0", Find: addr, Settle: s.place.SettleTime}
+			o := &standin.Client{Scheduler: "s0", SchedulerAddress: addr, SettleTime: s.place.SettleTime}
 			s.owner = append(s.owner, o)
-			s.w.StartOwner(o, 0)
+			s.w.StartClient(o, 0)
 			killed := make(chan struct{})
 			go func() { _ = first.Wait(); close(killed) }()
 			for done := false; !done; {
@@ -123,7 +123,7 @@
 				default:
 				}
 			}
-			s.w.Trace.Add(audit.Record{At: s.w.Now(), Kind: audit.Killed, Sched: "s0"})
+			s.w.Trace.Add(audit.Record{At: s.w.Now(), Kind: audit.SchedulerKilled, Scheduler: "s0"})
 			_ = os.Remove(filepath.Join(folder, "address"))
 			second := run("")
 			defer func() { _ = second.Process.Kill(); _ = second.Wait() }()
@@ -133,7 +133,7 @@
 			now := s.w.Now()
 			for _, n := range s.nodes {
 				if n.ID == 2 {
-					s.w.Trace.Add(audit.Record{At: now - s.rules.Grace, Kind: audit.Scheduled, Node: n.ID, Word: "out"}) // no grace any more
+					s.w.Trace.Add(audit.Record{At: now - s.rules.DrainGrace, Kind: audit.MaintenanceChanged, Node: n.ID, Detail: "out"}) // no grace any more
 				}
 			}
 			s.load(2500, 60, "0")
@@ -190,8 +190,8 @@
 func (s *stage) told(sched, word string) (nodes []uint32) {
 	last := map[uint32]string{}
 	for _, r := range s.w.Trace.Records() {
-		if r.Kind == audit.Told && r.Sched == sched {
-			last[r.Node] = r.Word
+		if r.Kind == audit.EndpointDelivered && r.Scheduler == sched {
+			last[r.Node] = r.Detail
 		}
 	}
 	for _, n := range s.nodes {
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -41,7 +41,7 @@
 	t     *testing.T
 	dir   string // made before the clean-up below it, so removed after
 	real  *outside.Real
-	w     *standin.World
+	w     *standin.Testbed
 	ctx   context.Context
 	stop  context.CancelFunc
 	place *site.Config
@@ -49,7 +49,7 @@
 	list  *standin.List
 	rules audit.Rules
 	ran   sync.WaitGroup
-	owner []*standin.Owner
+	owner []*standin.Client
 	keys  int
 	tune  func(*Config) // before a scheduler runs
 }
@@ -62,21 +62,21 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	real := outside.NewReal()
-	s := &stage{t: t, dir: t.TempDir(), real: real, w: standin.NewWorld(real), ctx: ctx, stop: stop, place: place}
+	s := &stage{t: t, dir: t.TempDir(), real: real, w: standin.NewTestbed(real), ctx: ctx, stop: stop, place: place}
 	s.rules = audit.Rules{
-		Nodes: map[uint32]audit.Stand{}, Grace: place.DrainGrace, ColdBears: 12, ColdFor: 6000,
-		ColdWindow: 1000, Slack: 400, Jobs: []audit.Job{
+		Nodes: map[uint32]audit.Location{}, DrainGrace: place.DrainGrace, SlowStartLimit: 12, SlowStartDuration: 6000,
+		SlowStartWindow: 1000, Slack: 400, Jobs: []audit.JobRules{
 			{},
-			{Effect: audit.Tokened, Group: 1, Window: 1500, Spread: 1, Most: 3},
-			{Effect: audit.RunOnce},
+			{Effect: audit.Idempotent, Group: 1, Window: 1500, Spread: 1, MaxTogether: 3},
+			{Effect: audit.AtMostOnce},
 		},
 	}
-	mk := standin.Make{
-		Cores: 32, Memory: 64, CoresLimit: 2, MemoryLimit: 1.5, Look: 4, Line: 50, Starts: 8, NoProgram: 3,
-		Programs: 8, ColdFrom: 0.5, ColdFor: 6000, Fall: 1e9, FallFor: 1000, Bears: 12,
+	mk := standin.MachineConfig{
+		Cores: 32, Memory: 64, CoresLimit: 2, MemoryLimit: 1.5, InspectTime: 4, QueueLimit: 50, ConcurrentStarts: 8, ProgramMissFactor: 3,
+		ProgramCacheSize: 8, WarmupPace: 0.5, WarmupDuration: 6000, OverloadFactor: 1e9, OverloadWindow: 1000, SlowStartLimit: 12,
 	}
 	for job := range 3 {
-		mk.Work = append(mk.Work, standin.Work{Start: 10, Life: 2500, Use: 0.5, Priority: job, Token: job == 1})
+		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 10, MeanRuntime: 2500, MeanUse: 0.5, Priority: job, Deduplicated: job == 1})
 	}
 	groups := []*standin.Group{standin.NewGroup(), standin.NewGroup()}
 	for i := range nodes {
@@ -85,7 +85,7 @@
 			t.Fatal(err)
 		}
 		s.nodes = append(s.nodes, n)
-		s.rules.Nodes[n.ID] = audit.Stand{Zone: n.Zone, Cell: n.Cell}
+		s.rules.Nodes[n.ID] = audit.Location{Zone: n.Zone, Cell: n.Cell}
 	}
 	var err error
 	if s.list, err = s.w.StartList(50, s.nodes, ""); err != nil {
@@ -105,7 +105,7 @@
 func (s *stage) start(i int, place site.Config, p Faults) {
 	place.ListAddress = s.list.Address()
 	name, ready := fmt.Sprintf("s%d", i), make(chan string, 1)
-	s.w.Trace.Add(audit.Record{At: s.w.Now(), Kind: audit.Born, Sched: name})
+	s.w.Trace.Add(audit.Record{At: s.w.Now(), Kind: audit.SchedulerStarted, Scheduler: name})
 	folder := filepath.Join(s.dir, name)
 	s.ran.Add(1)
 	go func() {
@@ -122,9 +122,9 @@
 		}
 	}()
 	addr := <-ready
-	o := &standin.Owner{ID: i, Sched: name, Find: func() string { return addr }, Settle: place.SettleTime}
+	o := &standin.Client{ID: i, Scheduler: name, SchedulerAddress: func() string { return addr }, SettleTime: place.SettleTime}
 	s.owner = append(s.owner, o)
-	s.w.StartOwner(o, uint64(i))
+	s.w.StartClient(o, uint64(i))
 }
 
 // load asks at a rate for a while: jobs gives the parts of the three job types in ten.
@@ -134,22 +134,22 @@
 		job := int(jobs[s.keys%len(jobs)] - '0')
 		key, service := fmt.Sprint("k", s.keys), fmt.Sprint("v", job, s.keys%5)
 		jt := s.place.Cluster.JobClasses[job]
-		s.owner[s.keys%len(s.owner)].Ask(&standin.Want{
+		s.owner[s.keys%len(s.owner)].Request(&standin.Demand{
 			Key: key, Tenant: "t", JobType: s.place.JobClasses[job], Service: service,
 			Job: job, Effect: int(jt.Semantics), Token: Token("t", key), ServiceKey: Service("t", service), Cores: 1, Memory: 1,
-			Within: s.place.Deadlines[job], Target: jt.LatencyObjective, Until: end,
+			Timeout: s.place.Deadlines[job], LatencyObjective: jt.LatencyObjective, GiveUpAt: end,
 		})
 		time.Sleep(time.Duration(1e9 / rate))
 	}
 }
 
 // breaks ends the day and returns the broken rules, and how often something was served.
-func (s *stage) breaks() ([]audit.Break, int) {
+func (s *stage) breaks() ([]audit.Violation, int) {
 	time.Sleep(3600 * time.Millisecond) // every ask is answered or overdue
 	records, served := s.w.Trace.Records(), 0
 	for _, o := range s.owner {
-		for _, t := range o.Tallies() {
-			if t.Word == "served" {
+		for _, t := range o.Outcomes() {
+			if t.Result == "served" {
 				served++
 			}
 		}
@@ -197,16 +197,16 @@
 // fault it must name none.
 func TestPlanted(t *testing.T) {
 	mute := func(s *stage) {
-		s.w.At(func(float64) {
+		s.w.WithLock(func(float64) {
 			for _, n := range s.nodes {
-				n.Machine.Mute = 0.8
+				n.Machine.AnswerLoss = 0.8
 			}
 		})
 	}
 	var lastLate time.Time // of one scheduler alone
 	drain := func(s *stage) {
-		s.w.At(func(now float64) {
-			s.nodes[0].Drains = true
+		s.w.WithLock(func(now float64) {
+			s.nodes[0].Draining = true
 			s.nodes[0].Machine.Drain(now, false, false)
 		})
 	}
@@ -362,14 +362,14 @@
 	for i, c := range cases {
 		addr, h := badNode(t, uint32(100+i), c.say, c.then)
 		heard = append(heard, h)
-		s.list.AddGhost(uint32(100+i), addr, "east", "east", "plain")
+		s.list.AddUnreachable(uint32(100+i), addr, "east", "east", "plain")
 	}
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 10 { // and ten that refuse connections
-		s.list.AddGhost(uint32(200+i), closed.Addr().String(), "west", "west", "plain")
+		s.list.AddUnreachable(uint32(200+i), closed.Addr().String(), "west", "west", "plain")
 	}
 	closed.Close()
 	s.start(0, *s.place, Faults{})
@@ -392,7 +392,7 @@
 	s.start(0, *s.place, Faults{})
 	for range 1200 {
 		linked := 0
-		s.w.At(func(float64) {
+		s.w.WithLock(func(float64) {
 			for _, n := range s.nodes {
 				linked += n.Connections()
 			}
--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -107,7 +107,7 @@
 	place := *s.place
 	place.Shards, place.MaxShards = 4, 4
 	s.start(0, place, Faults{})
-	addr := s.owner[0].Find()
+	addr := s.owner[0].SchedulerAddress()
 	time.Sleep(1800 * time.Millisecond)
 	a, b := connect(t, addr), connect(t, addr)
 	const many = 60
@@ -299,7 +299,7 @@
 			send(nd, try)
 		}}
 	}})
-	c := connect(t, s.owner[0].Find())
+	c := connect(t, s.owner[0].SchedulerAddress())
 	time.Sleep(1800 * time.Millisecond)
 	const many = 80
 	for i := range uint64(many) {
--- a/internal/serve/tenants_test.go
+++ b/internal/serve/tenants_test.go
@@ -58,7 +58,7 @@
 			}
 		}
 	})
-	s.w.At(func(float64) {
+	s.w.WithLock(func(float64) {
 		for _, n := range s.nodes {
 			n.Tenants = 4
 		}
@@ -89,7 +89,7 @@
 func TestHosting(t *testing.T) {
 	t.Parallel()
 	s, with, tokens := hosted(t)
-	addr := s.owner[0].Find()
+	addr := s.owner[0].SchedulerAddress()
 	t.Run("who may ask", func(t *testing.T) {
 		for _, c := range []struct {
 			name, token, tenant string
@@ -187,9 +187,9 @@
 		waitFor(t, "the other is served", func() bool { return b.count(`"answer":"served"`) == 1 })
 		waitFor(t, "nothing of it runs", func() bool {
 			held := 0
-			s.w.At(func(float64) {
+			s.w.WithLock(func(float64) {
 				for _, n := range s.nodes {
-					held += n.Machine.Holds()
+					held += n.Machine.TaskCount()
 				}
 			})
 			return held <= 1 // the other's
@@ -220,7 +220,7 @@
 func TestDoor(t *testing.T) {
 	t.Parallel()
 	s, with, tokens := hosted(t)
-	addr := s.owner[0].Find()
+	addr := s.owner[0].SchedulerAddress()
 	with(func(st *tenants.Store) {
 		if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{Kind: tenancy.Limit, Name: "a", Limits: tenancy.Limits{
 			Limits: fairqueue.Limits{Share: 1, MaxWaiting: 50}, MaxConns: 2, BytesPerSecond: 2000,
@@ -346,7 +346,7 @@
 	s.tune = func(who *Config) { who.TLS = guard.ServerConfig() }
 	s.start(0, *s.place, Faults{})
 	time.Sleep(1800 * time.Millisecond)
-	addr := s.owner[0].Find()
+	addr := s.owner[0].SchedulerAddress()
 	cas, err := keys.Certificates(filepath.Join(dir, "ca.pem"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/serve/workingset_test.go
+++ b/internal/serve/workingset_test.go
@@ -29,7 +29,7 @@
 	s.start(0, s.setPlace(), p)
 	v = <-began
 	waitFor(t, "a settled set", func() bool { return v.settled() })
-	return s, v, s.owner[0].Find()
+	return s, v, s.owner[0].SchedulerAddress()
 }
 
 // setPlace is the stage's site with a working set.
@@ -67,9 +67,9 @@
 
 // linked counts nodes that are connected to a scheduler.
 func (s *stage) linked(sched string) (n int) {
-	s.w.At(func(float64) {
+	s.w.WithLock(func(float64) {
 		for _, node := range s.nodes {
-			if node.Linked(sched) {
+			if node.IsConnected(sched) {
 				n++
 			}
 		}
@@ -89,7 +89,7 @@
 	}
 	met := map[uint32]bool{}
 	for _, r := range s.w.Trace.Records() {
-		if r.Kind == audit.Linked {
+		if r.Kind == audit.LinkOpened {
 			met[r.Node] = true
 		}
 	}
@@ -161,11 +161,11 @@
 	v.share("x", "y", "z", "w")
 	time.Sleep(300 * time.Millisecond)
 	died := 0
-	s.w.At(func(now float64) {
+	s.w.WithLock(func(now float64) {
 		for _, n := range s.nodes {
-			if before[n.ID] && !v.contains(n.ID) && n.Machine.Holds() > 0 {
-				died += n.Machine.Holds()
-				n.Die(now)
+			if before[n.ID] && !v.contains(n.ID) && n.Machine.TaskCount() > 0 {
+				died += n.Machine.TaskCount()
+				n.Crash(now)
 			}
 		}
 	})
@@ -186,7 +186,7 @@
 	place := s.setPlace()
 	place.ListAddress = s.list.Address()
 	for _, n := range s.nodes { // work runs long enough
-		n.Machine.Work[2].Life = 20_000
+		n.Machine.JobProfiles[2].MeanRuntime = 20_000
 	}
 	run := func(index int) (string, *workingSet, func()) {
 		ctx, stop := context.WithCancel(s.ctx)
@@ -223,7 +223,7 @@
 	askAll(address)
 	end()
 	for _, r := range s.w.Trace.Records() {
-		if r.Kind == audit.Ran {
+		if r.Kind == audit.TaskStarted {
 			starts++
 		}
 	}
@@ -270,10 +270,10 @@
 	t.Parallel()
 	s, v, address := setStage(t, Faults{})
 	c := connect(t, address)
-	s.w.At(func(now float64) {
+	s.w.WithLock(func(now float64) {
 		for _, n := range s.nodes {
 			if v.contains(n.ID) {
-				n.Die(now)
+				n.Crash(now)
 			}
 		}
 	})
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -16,57 +16,57 @@
 
 // List is the node list: it looks at its nodes ten times a second and tells what it saw a while ago.
 type List struct {
-	w       *World
-	door    outside.Listener
-	mu      sync.Mutex
-	nodes   []*Node
-	ghosts  map[uint32]entry // addresses that nobody answers at
-	history []view
-	marks   map[uint32]map[string]float64 // until when schedulers have nodes out
-	version uint64
-	top     view // the newest that was told: versions only grow
+	testbed     *Testbed
+	listener    outside.Listener
+	mu          sync.Mutex
+	nodes       []*Node
+	unreachable map[uint32]entry // addresses that nobody answers at
+	history     []snapshot
+	maintenance map[uint32]map[string]float64 // until when schedulers have nodes out
+	version     uint64
+	newest      snapshot // the newest that was told: versions only grow
 
-	Lag  float64 // ms that its news are late
-	More float64 // and more, while it runs behind
-	Away bool    // calls fail
+	Delay       float64 // ms that its news are late
+	ExtraDelay  float64 // and more, while it runs behind
+	Unavailable bool    // calls fail
 }
 
 type entry struct {
 	address          string
-	avail            int
-	started          float64
+	availability     int
+	startedAt        float64
 	cores, memory    float64
 	zone, cell, kind string
-	seenAt           float64
+	observedAt       float64
 }
 
-// view is what the list saw at a time; each change of an entry has a version.
-type view struct {
+// snapshot is what the list saw at a time; each change of an entry has a version.
+type snapshot struct {
 	at      float64
 	version uint64
 	entries map[uint32]entry
 }
 
-const look = 100 // ms between two looks
+const pollInterval = 100 // ms between two looks
 
 // StartList puts a list on the network, at an address of its own or, if that is empty, on a loopback port.
-func (w *World) StartList(lag float64, nodes []*Node, address string) (*List, error) {
+func (w *Testbed) StartList(lag float64, nodes []*Node, address string) (*List, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
-	l := &List{w: w, nodes: nodes, Lag: lag, ghosts: map[uint32]entry{}, marks: map[uint32]map[string]float64{}}
-	l.see()
+	l := &List{testbed: w, nodes: nodes, Delay: lag, unreachable: map[uint32]entry{}, maintenance: map[uint32]map[string]float64{}}
+	l.poll()
 	l.history[0].at = math.Inf(-1) // what it knows at the start it has known for long
 	var err error
-	if l.door, err = w.Listen(address, l.came); err != nil {
+	if l.listener, err = w.Listen(address, l.accept); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	outside.Every(w, look, func() bool { l.see(); return true })
+	outside.Every(w, pollInterval, func() bool { l.poll(); return true })
 	return l, nil
 }
 
 // Address is where the list listens.
-func (l *List) Address() string { return l.door.Address() }
+func (l *List) Address() string { return l.listener.Address() }
 
 // Add puts a node on the list.
 func (l *List) Add(n *Node) {
@@ -75,54 +75,54 @@
 	l.mu.Unlock()
 }
 
-// AddGhost lists a node whose address nobody answers at.
-func (l *List) AddGhost(id uint32, address, zone, cell, kind string) {
+// AddUnreachable lists a node whose address nobody answers at.
+func (l *List) AddUnreachable(id uint32, address, zone, cell, kind string) {
 	l.mu.Lock()
-	l.ghosts[id] = entry{address: address, avail: 1, zone: zone, cell: cell, kind: kind}
+	l.unreachable[id] = entry{address: address, availability: 1, zone: zone, cell: cell, kind: kind}
 	l.mu.Unlock()
-	l.see()
+	l.poll()
 }
 
-// Set changes the list's faults.
-func (l *List) Set(f func(l *List)) {
+// Update changes the list's faults.
+func (l *List) Update(f func(l *List)) {
 	l.mu.Lock()
 	f(l)
 	l.mu.Unlock()
 }
 
-// see looks at all nodes.
-func (l *List) see() {
+// poll looks at all nodes.
+func (l *List) poll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.w.Now()
+	now := l.testbed.Now()
 	last := map[uint32]entry{}
 	if n := len(l.history); n > 0 {
 		last = l.history[n-1].entries
 	}
 	next, changed := map[uint32]entry{}, false
-	l.w.At(func(float64) {
+	l.testbed.WithLock(func(float64) {
 		for _, n := range l.nodes {
-			en := entry{address: cmp.Or(n.Listed, n.address), avail: 1, started: n.StartedAt, zone: n.Zone, cell: n.Cell, kind: n.Kind}
+			en := entry{address: cmp.Or(n.ListedAddress, n.address), availability: 1, startedAt: n.StartedAt, zone: n.Zone, cell: n.Cell, kind: n.Kind}
 			if n.Lost {
-				en.avail = 0
-			} else if n.Drains || l.marked(n.ID, now) {
-				en.avail = 2
+				en.availability = 0
+			} else if n.Draining || l.inMaintenance(n.ID, now) {
+				en.availability = 2
 			}
-			en.cores, en.memory = n.Machine.Free()
+			en.cores, en.memory = n.Machine.FreeCapacity()
 			old, known := last[n.ID]
-			if known && old.avail == en.avail && old.started == en.started &&
-				(now-old.seenAt < 1000 || math.Abs(en.cores-old.cores) < 0.5) {
+			if known && old.availability == en.availability && old.startedAt == en.startedAt &&
+				(now-old.observedAt < 1000 || math.Abs(en.cores-old.cores) < 0.5) {
 				next[n.ID] = old
 				continue
 			}
-			en.seenAt, changed = now, true
+			en.observedAt, changed = now, true
 			next[n.ID] = en
-			if !known || old.avail != en.avail {
-				l.w.Trace.Add(audit.Record{At: now, Kind: audit.Listed, Node: n.ID, Word: list.AvailabilityNames[en.avail]})
+			if !known || old.availability != en.availability {
+				l.testbed.Trace.Add(audit.Record{At: now, Kind: audit.EndpointChanged, Node: n.ID, Detail: list.AvailabilityNames[en.availability]})
 			}
 		}
 	})
-	for id, en := range l.ghosts {
+	for id, en := range l.unreachable {
 		_, known := last[id]
 		next[id], changed = en, changed || !known
 	}
@@ -130,15 +130,15 @@
 		return
 	}
 	l.version++
-	l.history = append(l.history, view{now, l.version, next})
+	l.history = append(l.history, snapshot{now, l.version, next})
 	if len(l.history) > 600 {
 		l.history = l.history[len(l.history)-600:]
 	}
 }
 
-// marked tells whether some scheduler has a node out.
-func (l *List) marked(id uint32, now float64) bool {
-	for _, until := range l.marks[id] {
+// inMaintenance tells whether some scheduler has a node out.
+func (l *List) inMaintenance(id uint32, now float64) bool {
+	for _, until := range l.maintenance[id] {
 		if now < until {
 			return true
 		}
@@ -146,40 +146,42 @@
 	return false
 }
 
-// late is what the list tells now.
-func (l *List) late() view {
-	at := l.w.Now() - l.Lag - l.More
+// visible is what the list tells now.
+func (l *List) visible() snapshot {
+	at := l.testbed.Now() - l.Delay - l.ExtraDelay
 	v := l.history[0]
 	for _, h := range l.history {
 		if h.at <= at {
 			v = h
 		}
 	}
-	if v.version > l.top.version || l.top.entries == nil {
-		l.top = v
+	if v.version > l.newest.version || l.newest.entries == nil {
+		l.newest = v
 	}
-	return l.top
+	return l.newest
 }
 
-// watcher is a scheduler's connection.
-type watcher struct {
-	l       *List
-	sched   string
-	conn    outside.Conn
-	in      line.Splitter
-	mu      sync.Mutex
-	over    bool
-	told    *view
-	watches bool
+// listConn is a scheduler's connection.
+type listConn struct {
+	list      *List
+	scheduler string
+	conn      outside.Conn
+	in        line.Splitter
+	mu        sync.Mutex
+	closed    bool
+	sent      *snapshot
+	watching  bool
 }
 
-const listStuck = 2000
+const listWriteTimeout = 2000
 
-func (l *List) came(conn outside.Conn) { conn.Start(&watcher{l: l, conn: conn}, listStuck) }
+func (l *List) accept(conn outside.Conn) {
+	conn.Start(&listConn{list: l, conn: conn}, listWriteTimeout)
+}
 
 // OnData takes what a scheduler sends.
-func (c *watcher) OnData(b []byte) {
-	if c.sched == "" {
+func (c *listConn) OnData(b []byte) {
+	if c.scheduler == "" {
 		head, after, err := c.in.Greeting(b, list.GreetingLine)
 		if err != nil {
 			c.conn.Close(false, list.AppendBye(nil, err.Error()))
@@ -188,16 +190,16 @@
 		if head == nil {
 			return
 		}
-		c.sched, b = head.Get("Scheduler"), after
+		c.scheduler, b = head.Get("Scheduler"), after
 		c.conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.GreetingLine) })
-		outside.Every(c.l.w, look, func() bool {
+		outside.Every(c.list.testbed, pollInterval, func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			if c.watches && !c.over && !c.tell(false) {
+			if c.watching && !c.closed && !c.sendChanges(false) {
 				c.conn.Close(false, nil)
 				return false
 			}
-			return !c.over
+			return !c.closed
 		})
 	}
 	if err := c.in.Feed(b, func(fields [][]byte) error { return list.DecodeScheduler(fields, c) }); err != nil {
@@ -206,45 +208,45 @@
 }
 
 // OnClose meets the end of the connection.
-func (c *watcher) OnClose(error) {
+func (c *listConn) OnClose(error) {
 	c.mu.Lock()
-	c.over = true
+	c.closed = true
 	c.mu.Unlock()
 }
 
-// tell sends what changed since the last answer; an answer to a call is sent even if nothing did. While the list
+// sendChanges sends what changed since the last answer; an answer to a call is sent even if nothing did. While the list
 // is away calls fail and watches break.
-func (c *watcher) tell(called bool) bool {
-	l := c.l
+func (c *listConn) sendChanges(called bool) bool {
+	l := c.list
 	l.mu.Lock()
-	away, v := l.Away, l.late()
+	away, v := l.Unavailable, l.visible()
 	l.mu.Unlock()
 	if away {
 		if !called {
 			return false
 		}
-		l.w.Trace.Add(audit.Record{At: l.w.Now(), Kind: audit.Heard, Sched: c.sched, Word: "failed"})
+		l.testbed.Trace.Add(audit.Record{At: l.testbed.Now(), Kind: audit.ListDelivered, Scheduler: c.scheduler, Detail: "failed"})
 		c.conn.Send(func(b []byte) []byte { return list.AppendFailed(b, "out of reach") })
 		return true
 	}
-	if c.told != nil && v.version <= c.told.version && !called {
+	if c.sent != nil && v.version <= c.sent.version && !called {
 		return true
 	}
 	kind, old := list.KindFull, map[uint32]entry{}
-	if c.told != nil {
-		kind, old = list.KindChanges, c.told.entries
-		if v.version < c.told.version {
-			v = *c.told
+	if c.sent != nil {
+		kind, old = list.KindChanges, c.sent.entries
+		if v.version < c.sent.version {
+			v = *c.sent
 		}
 	}
 	b, told := list.AppendBegin(nil, kind, v.version), []audit.Record(nil)
 	put := func(id uint32, en entry) {
-		if en.avail == 0 && kind == list.KindFull {
-			told = append(told, audit.Record{Kind: audit.Told, Sched: c.sched, Node: id, Word: "gone"}) // by its absence
+		if en.availability == 0 && kind == list.KindFull {
+			told = append(told, audit.Record{Kind: audit.EndpointDelivered, Scheduler: c.scheduler, Node: id, Detail: "gone"}) // by its absence
 			return
 		}
-		b = list.AppendEntry(b, id, en.address, en.avail, en.started, en.cores, en.memory, en.zone, en.cell, en.kind)
-		told = append(told, audit.Record{Kind: audit.Told, Sched: c.sched, Node: id, Word: list.AvailabilityNames[en.avail]})
+		b = list.AppendEntry(b, id, en.address, en.availability, en.startedAt, en.cores, en.memory, en.zone, en.cell, en.kind)
+		told = append(told, audit.Record{Kind: audit.EndpointDelivered, Scheduler: c.scheduler, Node: id, Detail: list.AvailabilityNames[en.availability]})
 	}
 	for _, id := range slices.Sorted(maps.Keys(v.entries)) {
 		if was, ok := old[id]; !ok || was != v.entries[id] {
@@ -253,53 +255,53 @@
 	}
 	b = list.AppendEnd(b)
 	c.conn.Send(func(q []byte) []byte { return append(q, b...) })
-	now := l.w.Now()
-	for _, r := range append(told, audit.Record{Kind: audit.Heard, Sched: c.sched}) {
+	now := l.testbed.Now()
+	for _, r := range append(told, audit.Record{Kind: audit.ListDelivered, Scheduler: c.scheduler}) {
 		r.At = now
-		l.w.Trace.Add(r)
+		l.testbed.Trace.Add(r)
 	}
-	c.told = &v
+	c.sent = &v
 	return true
 }
 
-func (c *watcher) call(watches, fresh bool) error {
+func (c *listConn) respond(watches, fresh bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if fresh {
-		c.told = nil
+		c.sent = nil
 	}
-	if c.tell(true) {
-		c.watches = c.watches || watches
+	if c.sendChanges(true) {
+		c.watching = c.watching || watches
 	}
 	return nil
 }
 
 // OnWatch answers with all that changed; a version that this connection was not told begins anew.
-func (c *watcher) OnWatch(since uint64) error {
-	return c.call(true, c.told == nil || c.told.version != since)
+func (c *listConn) OnWatch(since uint64) error {
+	return c.respond(true, c.sent == nil || c.sent.version != since)
 }
-func (c *watcher) OnFullRequest() error { return c.call(false, true) }
-func (c *watcher) OnUnwatch() error {
+func (c *listConn) OnFullRequest() error { return c.respond(false, true) }
+func (c *listConn) OnUnwatch() error {
 	c.mu.Lock()
-	c.watches = false
+	c.watching = false
 	c.mu.Unlock()
 	return nil
 }
 
 // OnMaintenance and Back are a scheduler's word of its maintenance windows.
-func (c *watcher) OnMaintenance(id uint32, lasts float64) error {
-	c.l.Set(func(l *List) {
-		if l.marks[id] == nil {
-			l.marks[id] = map[string]float64{}
+func (c *listConn) OnMaintenance(id uint32, lasts float64) error {
+	c.list.Update(func(l *List) {
+		if l.maintenance[id] == nil {
+			l.maintenance[id] = map[string]float64{}
 		}
-		l.marks[id][c.sched] = l.w.Now() + lasts
+		l.maintenance[id][c.scheduler] = l.testbed.Now() + lasts
 	})
 	return nil
 }
 
-func (c *watcher) OnMaintenanceEnd(id uint32) error {
-	c.l.Set(func(l *List) { delete(l.marks[id], c.sched) })
+func (c *listConn) OnMaintenanceEnd(id uint32) error {
+	c.list.Update(func(l *List) { delete(l.maintenance[id], c.scheduler) })
 	return nil
 }
 
-func (c *watcher) OnBye(why string) error { return fmt.Errorf("farewell: %s", why) }
+func (c *listConn) OnBye(why string) error { return fmt.Errorf("farewell: %s", why) }
