--- a/cmd/ravenpond/sim.go
+++ b/cmd/ravenpond/sim.go
@@ -37,7 +37,7 @@
 
 func (c *runCommand) Run(ctx context.Context) error {
 	if c.Plant == "list" {
-		for _, p := range slices.Concat(sim.Plants, sim.Missed, sim.SetPlants) {
+		for _, p := range slices.Concat(sim.ProgramFaults, sim.MissedFaults, sim.WorkingSetFaults) {
 			fmt.Println(p.Name)
 		}
 		return nil
@@ -68,24 +68,24 @@
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 && !c.Quiet {
 		progress = os.Stderr
 	}
-	sum := sim.SeedsWith(ctx, a, b, c.Workers, plant, c.Most, progress, func(s sim.Script) sim.Script {
+	sum := sim.RunSeedsWith(ctx, a, b, c.Workers, plant, c.Most, progress, func(s sim.Script) sim.Script {
 		if c.Set > 0 {
-			return s.WithSet(c.Set)
+			return s.WithWorkingSet(c.Set)
 		}
 		return s
 	})
 	sum.Print(os.Stdout)
-	if len(sum.Broken) > 0 && plant == nil {
+	if len(sum.Failures) > 0 && plant == nil {
 		return errors.New("something broke")
 	}
 	return nil
 }
 
-func planted(name string) (*sim.Plant, error) {
+func planted(name string) (*sim.ProgramFault, error) {
 	if name == "" {
 		return nil, nil
 	}
-	all := slices.Concat(sim.Plants, sim.Missed, sim.SetPlants)
+	all := slices.Concat(sim.ProgramFaults, sim.MissedFaults, sim.WorkingSetFaults)
 	for i := range all {
 		if all[i].Name == name {
 			return &all[i], nil
@@ -202,20 +202,20 @@
 	if err != nil {
 		return err
 	}
-	var v sim.Verdict
+	var v sim.Result
 	if c.Trace != "" {
 		f, err := os.Create(c.Trace)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		v = sim.Play(s, plant, f)
+		v = sim.Run(s, plant, f)
 	} else {
-		v = sim.Play(s, plant, nil)
+		v = sim.Run(s, plant, nil)
 	}
-	fmt.Printf("%d asks, %d served, %d steps, %.1f s of virtual time\ntrace %016x\n", v.Asks, v.Served, v.Steps, v.Ms/1000, v.Trace)
-	if v.Broken != "" {
-		return errors.New(v.Broken)
+	fmt.Printf("%d asks, %d served, %d steps, %.1f s of virtual time\ntrace %016x\n", v.Requests, v.Served, v.Steps, v.VirtualMs/1000, v.Trace)
+	if v.Failure != "" {
+		return errors.New(v.Failure)
 	}
 	fmt.Println("broken: 0")
 	return nil
@@ -235,18 +235,18 @@
 	if err != nil {
 		return err
 	}
-	first := sim.Play(s, plant, nil)
-	if first.Broken == "" {
+	first := sim.Run(s, plant, nil)
+	if first.Failure == "" {
 		return errors.New("it breaks nothing")
 	}
 	small := sim.Shrink(s, func(t sim.Script) bool {
-		v := sim.Play(t, plant, nil)
-		return ctx.Err() == nil && v.Broken != "" && v.Rule == first.Rule
+		v := sim.Run(t, plant, nil)
+		return ctx.Err() == nil && v.Failure != "" && v.FailedRule == first.FailedRule
 	}, func(t sim.Script) {
 		fmt.Fprintf(os.Stderr, "%d faults, %d nodes, %d schedulers, %d shards, %.0f ms\n", len(t.Faults), t.Nodes, t.Schedulers,
-			t.Shards, t.Lasts)
+			t.Shards, t.Duration)
 	})
-	fmt.Printf("%s# %s\n", small, sim.Play(small, plant, nil).Broken)
+	fmt.Printf("%s# %s\n", small, sim.Run(small, plant, nil).Failure)
 	return nil
 }
 
--- a/internal/lab/circle/circle.go
+++ b/internal/lab/circle/circle.go
@@ -112,7 +112,7 @@
 // Kill ends a process at once.
 func (p *Process) Kill() {
 	p.P.Kill(false)
-	p.Dead = p.c.Clock.True()
+	p.Dead = p.c.Clock.TrueTime()
 }
 
 // Pause has it stand still.
@@ -122,7 +122,7 @@
 func (p *Process) Resume() { p.P.Resume(); p.Paused = false }
 
 // Forgive takes it that processes which live may be held for dead up to a time from now.
-func (c *Circle) Forgive(ms float64) { c.forgive = max(c.forgive, c.Clock.True()+ms) }
+func (c *Circle) Forgive(ms float64) { c.forgive = max(c.forgive, c.Clock.TrueTime()+ms) }
 
 type told struct{ p *Process }
 
@@ -131,7 +131,7 @@
 	if m.State != membership.Dead {
 		return
 	}
-	now := c.Clock.True()
+	now := c.Clock.TrueTime()
 	c.deaths = append(c.deaths, death{m.Name, t.p.Name, now})
 	if q := c.Named(m.Name); q.Dead == 0 && !q.Paused && now > max(c.forgive, q.excused) && m.Life >= q.Life { // not word of an earlier life
 		c.Wrong = append(c.Wrong, fmt.Sprintf("%.0f ms: %s holds %s for dead, on the word of %s", now, t.p.Name, m.Name, m.By))
@@ -154,14 +154,14 @@
 
 // Pass lets time go by, and sums up what all may send to a cold node meanwhile.
 func (c *Circle) Pass(ms float64) {
-	for end := c.Clock.True() + ms; c.Clock.True() < end; {
-		c.Clock.Until(min(end, c.Clock.True()+50))
+	for end := c.Clock.TrueTime() + ms; c.Clock.TrueTime() < end; {
+		c.Clock.RunUntil(min(end, c.Clock.TrueTime()+50))
 		c.weigh()
 	}
 }
 
 func (c *Circle) weigh() {
-	now, sum := c.Clock.True(), [2]float64{}
+	now, sum := c.Clock.TrueTime(), [2]float64{}
 	for i, p := range c.All {
 		var all [2]int
 		if p.Dead == 0 && !p.Paused {
@@ -245,10 +245,10 @@
 
 // Until lets time go by until all agree, for so long at most; it returns how long it took, infinite if they do not.
 func (c *Circle) Until(most float64) float64 {
-	from := c.Clock.True()
-	for c.Clock.True() < from+most {
+	from := c.Clock.TrueTime()
+	for c.Clock.TrueTime() < from+most {
 		if ok, _ := c.Agreed(); ok {
-			return c.Clock.True() - from
+			return c.Clock.TrueTime() - from
 		}
 		c.Pass(50)
 	}
--- a/internal/lab/circle/circle_test.go
+++ b/internal/lab/circle/circle_test.go
@@ -85,7 +85,7 @@
 				var least float64
 				p.Run.WithDetector(func(d *membership.Detector) { least, _ = d.Bounds() })
 				p.Pause()
-				from := c.Clock.True()
+				from := c.Clock.TrueTime()
 				c.Pass(ms)
 				for _, d := range c.deaths {
 					if d.at < from+least {
@@ -108,11 +108,11 @@
 
 // TestLinks cuts some ways, or makes them bad, for half a minute: nobody is held for dead who reaches others.
 func TestLinks(t *testing.T) {
-	lanes := func(c *Circle, f func(from, to *Process) bool, does func(*sim.Lane)) {
+	lanes := func(c *Circle, f func(from, to *Process) bool, does func(*sim.DatagramLink)) {
 		for _, p := range c.All {
 			for _, q := range c.All {
 				if p != q && f(p, q) {
-					does(c.Clock.Lane(p.Name, q.Name))
+					does(c.Clock.DatagramLink(p.Name, q.Name))
 				}
 			}
 		}
@@ -121,22 +121,22 @@
 	for _, x := range []struct {
 		name string
 		hits func(from, to *Process) bool
-		does func(*sim.Lane)
+		does func(*sim.DatagramLink)
 	}{
-		{"one hears the other, who does not", func(p, q *Process) bool { return p.Name == a && q.Name == b }, func(l *sim.Lane) { l.Cut = true }},
+		{"one hears the other, who does not", func(p, q *Process) bool { return p.Name == a && q.Name == b }, func(l *sim.DatagramLink) { l.Cut = true }},
 		{
 			"two can't hear each other", func(p, q *Process) bool { return p.Name == a && q.Name == b || p.Name == b && q.Name == a },
-			func(l *sim.Lane) { l.Cut = true },
+			func(l *sim.DatagramLink) { l.Cut = true },
 		},
-		{"one loses 30% of all", func(p, q *Process) bool { return p.Name == a || q.Name == a }, func(l *sim.Lane) { l.Loss = 0.3 }},
-		{"all lose 5%", func(p, q *Process) bool { return true }, func(l *sim.Lane) { l.Loss = 0.05 }},
-		{"much comes twice", func(p, q *Process) bool { return true }, func(l *sim.Lane) { l.Twice = 0.5 }},
+		{"one loses 30% of all", func(p, q *Process) bool { return p.Name == a || q.Name == a }, func(l *sim.DatagramLink) { l.Loss = 0.3 }},
+		{"all lose 5%", func(p, q *Process) bool { return true }, func(l *sim.DatagramLink) { l.Loss = 0.05 }},
+		{"much comes twice", func(p, q *Process) bool { return true }, func(l *sim.DatagramLink) { l.Duplication = 0.5 }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := begun(t, 4, 9)
 			lanes(c, x.hits, x.does)
 			c.Pass(30000)
-			lanes(c, x.hits, func(l *sim.Lane) { *l = sim.Lane{} })
+			lanes(c, x.hits, func(l *sim.DatagramLink) { *l = sim.DatagramLink{} })
 			settles(t, c, 5000)
 		})
 	}
@@ -149,7 +149,7 @@
 	slow := func(ms float64) {
 		for _, p := range c.All[8:] {
 			for _, q := range c.All {
-				c.Clock.Lane(p.Name, q.Name).Slow = ms
+				c.Clock.DatagramLink(p.Name, q.Name).MaxDelay = ms
 			}
 		}
 	}
@@ -172,7 +172,7 @@
 					for i, p := range c.All {
 						for j, q := range c.All {
 							if i%parts != j%parts {
-								c.Clock.Lane(p.Name, q.Name).Cut = on
+								c.Clock.DatagramLink(p.Name, q.Name).Cut = on
 							}
 						}
 					}
@@ -292,7 +292,7 @@
 func TestJump(t *testing.T) {
 	c := begun(t, 12, 5)
 	for i, p := range c.All {
-		p.P.Jump(float64(i-2) * 3600e3)
+		p.P.JumpClock(float64(i-2) * 3600e3)
 		c.Pass(1000)
 	}
 	if len(c.deaths) > 0 {
--- a/internal/lab/circle/measure.go
+++ b/internal/lab/circle/measure.go
@@ -129,7 +129,7 @@
 func measure(seed uint64, n int, loss float64) (m measured) {
 	c := New(seed, n)
 	m.meet, m.bound = c.Until(30000), c.bound()
-	c.lanes(func(_, _ *Process) bool { return true }, sim.Lane{Loss: loss})
+	c.lanes(func(_, _ *Process) bool { return true }, sim.DatagramLink{Loss: loss})
 	c.Pass(5000)
 	d0, b0 := c.Sent()
 	c.Pass(calm)
--- a/internal/lab/circle/play.go
+++ b/internal/lab/circle/play.go
@@ -48,12 +48,12 @@
 	}, plant)
 	fail := func(format string, args ...any) {
 		if v.Broken == "" {
-			v.Broken = fmt.Sprintf("at %.0f ms: ", c.Clock.True()) + fmt.Sprintf(format, args...)
+			v.Broken = fmt.Sprintf("at %.0f ms: ", c.Clock.TrueTime()) + fmt.Sprintf(format, args...)
 		}
 	}
 	c.Pass(2000 + 8000*c.Rng.Float64())
-	excuse := func(p *Process, ms float64) { p.excused = max(p.excused, c.Clock.True()+ms+after) }
-	for end := c.Clock.True() + troubled; c.Clock.True() < end; {
+	excuse := func(p *Process, ms float64) { p.excused = max(p.excused, c.Clock.TrueTime()+ms+after) }
+	for end := c.Clock.TrueTime() + troubled; c.Clock.TrueTime() < end; {
 		c.trouble(excuse, old)
 		c.Pass(200 + 3000*c.Rng.Float64())
 	}
@@ -66,7 +66,7 @@
 		}
 		excuse(p, 0)
 	}
-	c.lanes(func(_, _ *Process) bool { return true }, sim.Lane{})
+	c.lanes(func(_, _ *Process) bool { return true }, sim.DatagramLink{})
 	c.Pass(100)
 	if v.Agreed = c.Until(heals); v.Agreed > heals {
 		_, why := c.Agreed()
@@ -128,11 +128,11 @@
 }
 
 // lanes sets the ways between some.
-func (c *Circle) lanes(hits func(from, to *Process) bool, to sim.Lane) {
+func (c *Circle) lanes(hits func(from, to *Process) bool, to sim.DatagramLink) {
 	for _, p := range c.All {
 		for _, q := range c.All {
 			if p != q && hits(p, q) {
-				*c.Clock.Lane(p.Name, q.Name) = to
+				*c.Clock.DatagramLink(p.Name, q.Name) = to
 			}
 		}
 	}
@@ -142,7 +142,7 @@
 func (c *Circle) trouble(excuse func(*Process, float64), old *again) {
 	p, q := c.All[c.Rng.IntN(len(c.All))], c.All[c.Rng.IntN(len(c.All))]
 	ms := 300 + 6000*c.Rng.Float64()*c.Rng.Float64()
-	later := func(f func()) { c.Clock.At(c.Clock.True()+ms, f) }
+	later := func(f func()) { c.Clock.At(c.Clock.TrueTime()+ms, f) }
 	switch c.Rng.IntN(11) {
 	case 0, 1:
 		if p.Dead == 0 && !p.Paused {
@@ -170,24 +170,24 @@
 			excuse(p, ms)
 			excuse(q, ms)
 		}
-		c.lanes(one, sim.Lane{Cut: true})
-		later(func() { c.lanes(one, sim.Lane{}) })
+		c.lanes(one, sim.DatagramLink{Cut: true})
+		later(func() { c.lanes(one, sim.DatagramLink{}) })
 	case 5: // parts that know nothing of each other
 		side := c.Rng.Uint64()
 		cross := func(a, b *Process) bool { return side>>(a.place%64)&1 != side>>(b.place%64)&1 }
-		c.lanes(cross, sim.Lane{Cut: true})
+		c.lanes(cross, sim.DatagramLink{Cut: true})
 		for _, x := range c.All {
 			excuse(x, ms)
 		}
-		later(func() { c.lanes(cross, sim.Lane{}) })
+		later(func() { c.lanes(cross, sim.DatagramLink{}) })
 	case 6:
-		c.lanes(func(_, _ *Process) bool { return true }, sim.Lane{Loss: 0.05, Twice: 0.05})
-		later(func() { c.lanes(func(_, _ *Process) bool { return true }, sim.Lane{}) })
+		c.lanes(func(_, _ *Process) bool { return true }, sim.DatagramLink{Loss: 0.05, Duplication: 0.05})
+		later(func() { c.lanes(func(_, _ *Process) bool { return true }, sim.DatagramLink{}) })
 	case 7: // slow answers
 		from := func(a, _ *Process) bool { return a == p }
-		c.lanes(from, sim.Lane{Slow: 800})
+		c.lanes(from, sim.DatagramLink{MaxDelay: 800})
 		excuse(p, ms)
-		later(func() { c.lanes(from, sim.Lane{}) })
+		later(func() { c.lanes(from, sim.DatagramLink{}) })
 	case 8: // one leaves on purpose
 		if p.Dead == 0 && !p.Paused {
 			p.Run.Stop()
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -37,23 +37,23 @@
 // Day draws a day on which placement matters: a fleet that is filled to a part, with faults.
 func Day(seed uint64, nodes int, load float64, faults bool) sim.Script {
 	s := sim.Draw(seed)
-	s.Nodes, s.Schedulers, s.Shards, s.Share, s.Cold = nodes, 2, 1, "shared", false
+	s.Nodes, s.Schedulers, s.Shards, s.ConnectionSharing, s.ColdStart = nodes, 2, 1, "shared", false
 	s.Rate = load * float64(nodes) * 32 / 1.5 // each takes 1 core for 1.5 s, of 32 that a node lets be asked for
-	s.Lasts = 8000
+	s.Duration = 8000
 	if !faults {
 		s.Faults = nil
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	kept := s.Faults[:0]
 	for _, f := range s.Faults { // drawn for another size: to anyone there is
-		if f.A != "" && f.A[0] == 's' {
-			f.A = fmt.Sprint("s", rng.IntN(2))
+		if f.Target != "" && f.Target[0] == 's' {
+			f.Target = fmt.Sprint("s", rng.IntN(2))
 		}
-		if f.B != "" && f.B[0] == 'n' {
-			f.B = fmt.Sprint("n", 1+rng.IntN(nodes))
+		if f.Peer != "" && f.Peer[0] == 'n' {
+			f.Peer = fmt.Sprint("n", 1+rng.IntN(nodes))
 		}
-		if f.A != "" && f.A[0] == 'n' {
-			f.A = fmt.Sprint("n", 1+rng.IntN(nodes))
+		if f.Target != "" && f.Target[0] == 'n' {
+			f.Target = fmt.Sprint("n", 1+rng.IntN(nodes))
 		}
 		if f.Kind != "flood" || f.Size < 4 {
 			kept = append(kept, f)
@@ -84,11 +84,11 @@
 
 // play plays a day.
 func play(s sim.Script, p engine.PolicyFactory) (*Figures, error) {
-	n := int((s.Lasts+10000)/bucket) + 1
+	n := int((s.Duration+10000)/bucket) + 1
 	f := &Figures{refusedAt: make([]float64, n), servedAt: make([]float64, n), askedAt: make([]float64, n)}
 	asked := map[askName]float64{}
 	at := func(of []float64, ms float64) { of[max(0, min(n-1, int(ms/bucket)))]++ }
-	v := sim.Game{Script: s, Policy: p, Lenient: true, Seen: func(r *audit.Record) {
+	v := sim.Simulation{Script: s, Policy: p, CountViolations: true, OnRecord: func(r *audit.Record) {
 		switch r.Kind {
 		case audit.RequestSent:
 			f.Asks++
@@ -113,11 +113,11 @@
 				at(f.refusedAt, r.At)
 			}
 		}
-	}}.Play()
-	f.Rules = v.Rules
+	}}.Run()
+	f.Rules = v.Violations
 	slices.Sort(f.Took)
-	if v.Broken != "" {
-		return nil, fmt.Errorf("seed %d: %s", s.Seed, v.Broken)
+	if v.Failure != "" {
+		return nil, fmt.Errorf("seed %d: %s", s.Seed, v.Failure)
 	}
 	return f, nil
 }
--- a/internal/lab/compare/grow.go
+++ b/internal/lab/compare/grow.go
@@ -23,19 +23,19 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		s := sim.Script{Seed: 1, Nodes: z.Nodes, Schedulers: z.Schedulers, Shards: 1, Share: "shared", Rate: rate, Lasts: lasts}
+		s := sim.Script{Seed: 1, Nodes: z.Nodes, Schedulers: z.Schedulers, Shards: 1, ConnectionSharing: "shared", Rate: rate, Duration: lasts}
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		began := time.Now()
-		v := sim.Game{Script: s, Lenient: true, Settles: 1500}.Play()
+		v := sim.Simulation{Script: s, CountViolations: true, SettleTime: 1500}.Run()
 		took := time.Since(began)
 		runtime.ReadMemStats(&after)
-		if v.Broken != "" {
-			return fmt.Errorf("%d nodes, %d schedulers: %s", z.Nodes, z.Schedulers, v.Broken)
+		if v.Failure != "" {
+			return fmt.Errorf("%d nodes, %d schedulers: %s", z.Nodes, z.Schedulers, v.Failure)
 		}
-		fmt.Fprintf(out, "%6d %10d %12d %8d %8.1f%% %10.0f %12.0f %10.1f\n", z.Nodes, z.Schedulers, z.Nodes*z.Schedulers, v.Asks,
-			100*float64(v.Served)/float64(max(1, v.Asks)), took.Seconds()*1e6/float64(max(1, v.Asks)),
+		fmt.Fprintf(out, "%6d %10d %12d %8d %8.1f%% %10.0f %12.0f %10.1f\n", z.Nodes, z.Schedulers, z.Nodes*z.Schedulers, v.Requests,
+			100*float64(v.Served)/float64(max(1, v.Requests)), took.Seconds()*1e6/float64(max(1, v.Requests)),
 			float64(after.HeapInuse)/(1<<20), took.Seconds())
 	}
 	return nil
--- a/internal/lab/compare/report.go
+++ b/internal/lab/compare/report.go
@@ -49,7 +49,7 @@
 		Troubles                            []trouble
 	}{C: c, Filled: 100 * c.Load, Seed: c.days[worst].Seed}
 	for _, f := range c.days[worst].Faults {
-		data.Troubles = append(data.Troubles, trouble{f.At / 1000, fmt.Sprintf("%s %s %s %.0f ms", f.Kind, f.A, f.B, f.For)})
+		data.Troubles = append(data.Troubles, trouble{f.At / 1000, fmt.Sprintf("%s %s %s %.0f ms", f.Kind, f.Target, f.Peer, f.Duration)})
 	}
 	var err error
 	steps := []struct {
--- a/internal/lab/council/council.go
+++ b/internal/lab/council/council.go
@@ -172,7 +172,7 @@
 		g.c.At(2500+at, g.command)
 	}
 	for at := 0.0; at < lasts+settles && g.v.Broken == ""; at += looks {
-		g.c.Until(at)
+		g.c.RunUntil(at)
 		g.look()
 	}
 	if g.v.Broken == "" && g.v.Settled == 0 {
@@ -194,7 +194,7 @@
 
 func (g *play) fail(what string) {
 	if g.v.Broken == "" {
-		g.v.Broken = fmt.Sprintf("at %.0f ms: %s", g.c.True(), what)
+		g.v.Broken = fmt.Sprintf("at %.0f ms: %s", g.c.TrueTime(), what)
 	}
 }
 
@@ -225,7 +225,7 @@
 	}
 	x.r = nil
 	x.p.Kill(x.g.rng.IntN(2) == 0)
-	x.g.c.At(x.g.c.True()+back, func() {
+	x.g.c.At(x.g.c.TrueTime()+back, func() {
 		x.p.Start()
 		x.start()
 	})
@@ -264,8 +264,8 @@
 			at(func() { x.kill(most) })
 		case 1: // in the midst of what it does
 			at(func() {
-				x.p.KillIn(1 + g.rng.IntN(12))
-				g.c.At(g.c.True()+400, func() {
+				x.p.KillAfterEffects(1 + g.rng.IntN(12))
+				g.c.At(g.c.TrueTime()+400, func() {
 					if x.r != nil {
 						x.kill(most)
 					}
@@ -274,12 +274,12 @@
 		case 2:
 			at(func() {
 				x.p.Pause()
-				g.c.At(g.c.True()+most, x.p.Resume)
+				g.c.At(g.c.TrueTime()+most, x.p.Resume)
 			})
 		case 3:
 			at(func() {
 				g.c.Cut(x.name, y.name, true)
-				g.c.At(g.c.True()+most, func() { g.c.Cut(x.name, y.name, false) })
+				g.c.At(g.c.TrueTime()+most, func() { g.c.Cut(x.name, y.name, false) })
 			})
 		case 4: // alone
 			at(func() { g.part(most, x) })
@@ -290,15 +290,15 @@
 				for _, a := range g.procs {
 					for _, b := range g.procs {
 						if a != b {
-							g.c.Lane(a.name, b.name).Loss, g.c.Lane(a.name, b.name).Twice = 0.2*g.rng.Float64(), 0.05
+							g.c.DatagramLink(a.name, b.name).Loss, g.c.DatagramLink(a.name, b.name).Duplication = 0.2*g.rng.Float64(), 0.05
 						}
 					}
 				}
-				g.c.At(g.c.True()+most, func() {
+				g.c.At(g.c.TrueTime()+most, func() {
 					for _, a := range g.procs {
 						for _, b := range g.procs {
 							if a != b {
-								*g.c.Lane(a.name, b.name) = sim.Lane{}
+								*g.c.DatagramLink(a.name, b.name) = sim.DatagramLink{}
 							}
 						}
 					}
@@ -308,7 +308,7 @@
 			at(func() {
 				if x.disk != nil && x.r != nil && !g.lost && g.sound() > len(g.names)/2+1 {
 					x.disk.Full = true
-					g.c.At(g.c.True()+most, func() {
+					g.c.At(g.c.TrueTime()+most, func() {
 						x.disk.Full = false
 						x.kill(300)
 					})
@@ -334,7 +334,7 @@
 	}
 	if g.rng.IntN(4) == 0 { // clocks that run apart
 		for _, x := range g.procs {
-			x.p.Drift(0.01 * (g.rng.Float64() - 0.5))
+			x.p.SetDrift(0.01 * (g.rng.Float64() - 0.5))
 		}
 	}
 }
@@ -361,12 +361,12 @@
 		}
 	}
 	cut(true)
-	g.c.At(g.c.True()+ms, func() { cut(false) })
+	g.c.At(g.c.TrueTime()+ms, func() { cut(false) })
 }
 
 // look holds what must hold at every moment.
 func (g *play) look() {
-	now := g.c.True()
+	now := g.c.TrueTime()
 	one, sure := uint64(0), true
 	for i, x := range g.procs {
 		if x.r == nil {
@@ -448,7 +448,7 @@
 	}
 	g.c.At(from, func() { sum(-1) })
 	g.c.At(until, func() { sum(1) })
-	g.c.Until(until + 500)
+	g.c.RunUntil(until + 500)
 	span := float64(until-from) / 1000
 	stewards, follow := float64(len(g.names))*span, float64(max(1, number-len(g.names)))*span
 	return Cost{c.Steward / stewards, c.Follows / follow, c.StewardBytes / stewards, c.FollowsBytes / follow, c.Writes / stewards}
--- a/internal/lab/herd/virtual.go
+++ b/internal/lab/herd/virtual.go
@@ -45,10 +45,10 @@
 func Virtual(s Scene, policy string, seed uint64) (*Watch, error) {
 	w := &Watch{}
 	var nodes []*standin.Node
-	g := sim.Game{
-		Lenient: true, Settles: 500, Life: s.Life, Services: s.Services, Working: s.Working,
+	g := sim.Simulation{
+		CountViolations: true, SettleTime: 500, TaskRuntime: s.Life, Services: s.Services, WorkingSet: s.Working,
 		Script: sim.Script{
-			Seed: seed, Nodes: s.Nodes, Schedulers: s.Schedulers, Shards: 1, Share: "shared", Rate: s.rate(), Lasts: s.Lasts,
+			Seed: seed, Nodes: s.Nodes, Schedulers: s.Schedulers, Shards: 1, ConnectionSharing: "shared", Rate: s.rate(), Duration: s.Lasts,
 			Members: s.Members, Faults: s.Faults,
 		},
 	}
@@ -69,14 +69,14 @@
 	default:
 		return nil, fmt.Errorf("no policy %q; there are %v", policy, Names)
 	}
-	g.Moment = func(now float64, all []*standin.Node) {
+	g.OnSample = func(now float64, all []*standin.Node) {
 		nodes = all
 		w.See(seen(now, all))
 	}
 	asked := map[[2]uint64]float64{}
-	g.Seen = func(r *audit.Record) { w.record(r, asked) }
-	if v := g.Play(); v.Broken != "" {
-		return nil, fmt.Errorf("seed %d: %s", seed, v.Broken)
+	g.OnRecord = func(r *audit.Record) { w.record(r, asked) }
+	if v := g.Run(); v.Failure != "" {
+		return nil, fmt.Errorf("seed %d: %s", seed, v.Failure)
 	}
 	return w, nil
 }
@@ -127,7 +127,7 @@
 func Table(ctx context.Context, out io.Writer, s Scene, policies []string, seeds, workers int) (rows []Row, err error) {
 	changed := math.NaN()
 	for _, f := range s.Faults {
-		if end := f.At + f.For; math.IsNaN(changed) || end > changed {
+		if end := f.At + f.Duration; math.IsNaN(changed) || end > changed {
 			changed = end
 		}
 	}
--- a/internal/lab/herd/virtual_test.go
+++ b/internal/lab/herd/virtual_test.go
@@ -12,7 +12,7 @@
 // TestOrder plays a small scene: who sees the true state loads nodes most evenly, chance least, the module between them; and the same
 // seed comes out the same.
 func TestOrder(t *testing.T) {
-	s := Scene{Schedulers: 5, Nodes: 8, Filled: 0.6, Life: 3000, Lasts: 10000, Services: 30, Faults: []sim.Fault{{At: 6000, Kind: "restart", A: "n2", For: 400}}}
+	s := Scene{Schedulers: 5, Nodes: 8, Filled: 0.6, Life: 3000, Lasts: 10000, Services: 30, Faults: []sim.Fault{{At: 6000, Kind: "restart", Target: "n2", Duration: 400}}}
 	var out bytes.Buffer
 	rows, err := Table(t.Context(), &out, s, []string{"true-state", "design", "random"}, 2, 4)
 	if err != nil {
--- a/internal/lab/route/early.go
+++ b/internal/lab/route/early.go
@@ -47,7 +47,7 @@
 	if s.owner.asks[t.id] != t || e.over || s.s == nil {
 		return // it was given up, or answered after another attempt
 	}
-	g.c.At(g.c.True()+owedIn+busySlack, func() {
+	g.c.At(g.c.TrueTime()+owedIn+busySlack, func() {
 		open := s.owner.asks[t.id] == t
 		if (open || t.stands && t.at != n) && s.lives == lives && s.s != nil && !e.over && t.e == s.owner.e && !t.e.over {
 			g.fail(fmt.Sprintf("rule 1: task %x was over at %s before its answer, and %s did not tell its owner within a second", t.id, n.name, s.name))
--- a/internal/lab/route/ends.go
+++ b/internal/lab/route/ends.go
@@ -169,20 +169,20 @@
 
 // ask has some owner ask, and plans the next.
 func (g *play) ask() {
-	if g.c.True() > lasts {
+	if g.c.TrueTime() > lasts {
 		return
 	}
 	wait, s := 20+60*g.rng.Float64(), g.scheds[g.rng.IntN(len(g.scheds))]
 	if g.busy != nil {
 		wait, s = g.busy.next()
 	}
-	g.c.At(g.c.True()+wait, g.ask)
+	g.c.At(g.c.TrueTime()+wait, g.ask)
 	o := s.owner
-	if s.s == nil || o.e == nil || o.e.conn == nil || o.e.over || s.ends > 0 && g.c.True() > s.ends+shut {
+	if s.s == nil || o.e == nil || o.e.conn == nil || o.e.over || s.ends > 0 && g.c.TrueTime() > s.ends+shut {
 		return
 	}
 	g.count++
-	t := &task{id: g.count, key: g.count, job: g.rng.IntN(len(jobs)), service: uint64(1 + g.rng.IntN(4)), s: s, until: g.c.True() + expiry}
+	t := &task{id: g.count, key: g.count, job: g.rng.IntN(len(jobs)), service: uint64(1 + g.rng.IntN(4)), s: s, until: g.c.TrueTime() + expiry}
 	g.tasks[t.id] = t
 	o.asks[t.id], t.e = t, o.e
 	g.v.Asks++
@@ -192,13 +192,13 @@
 		fmt.Sprintf("%016x", t.id), codec.Key, fmt.Sprintf("%032x", t.key), codec.Figures,
 		fmt.Sprintf("cores:1;memory:2;service:%016x", t.service), codec.Description, "owner's"))
 	if g.busy == nil && g.rng.IntN(60) == 0 { // it leaves with all that is open
-		g.c.At(g.c.True()+60*g.rng.Float64(), o.leaves)
+		g.c.At(g.c.TrueTime()+60*g.rng.Float64(), o.leaves)
 	}
 	if g.rng.IntN(20) == 0 { // given up
-		g.c.At(g.c.True()+200*g.rng.Float64(), func() {
+		g.c.At(g.c.TrueTime()+200*g.rng.Float64(), func() {
 			if o.asks[t.id] == t {
 				delete(o.asks, t.id)
-				t.gone = g.c.True()
+				t.gone = g.c.TrueTime()
 				g.record(audit.Record{Kind: audit.RequestAbandoned, Scheduler: s.name, RequestRef: t.id})
 				t.e.send(codec.AppendEnd(nil, t.id, codec.Normal)) // an open set-up belongs to its connection
 			}
@@ -393,10 +393,10 @@
 	g.v.Starts++
 	try := t.tries
 	t.tries++
-	r := &run{sched: t.s.name, e: e, at: g.c.True(), try: try}
+	r := &run{sched: t.s.name, e: e, at: g.c.TrueTime(), try: try}
 	g.record(audit.Record{
 		Kind: audit.PlacementReceived, Scheduler: t.s.name, Node: n.id, Ticket: id, Attempt: try, Job: t.job, Token: t.key, Service: t.service,
-		Deadline: g.c.True() + left,
+		Deadline: g.c.TrueTime() + left,
 	})
 	draw := g.rng.IntN(10)
 	switch {
--- a/internal/lab/route/faults.go
+++ b/internal/lab/route/faults.go
@@ -29,7 +29,7 @@
 		case 2:
 			at(s.hangUp)
 		case 3:
-			at(func() { s.hangUp(); s.term(); g.c.At(g.c.True()+most/3, s.hangUp) })
+			at(func() { s.hangUp(); s.term(); g.c.At(g.c.TrueTime()+most/3, s.hangUp) })
 		case 4:
 			at(func() { s.journal.hush(most) })
 		case 5:
@@ -53,7 +53,7 @@
 		case 12:
 			at(func() {
 				g.c.Cut(s.p.Name, n.p.Name, true)
-				g.c.At(g.c.True()+most/2, func() { g.c.Cut(s.p.Name, n.p.Name, false) })
+				g.c.At(g.c.TrueTime()+most/2, func() { g.c.Cut(s.p.Name, n.p.Name, false) })
 			})
 		case 13:
 			at(func() { n.lateAnswers = 5; g.later(n, most) })
@@ -63,7 +63,7 @@
 
 // later has a node behave again after a while.
 func (g *play) later(n *node, ms float64) {
-	g.c.At(g.c.True()+ms, n.behaves)
+	g.c.At(g.c.TrueTime()+ms, n.behaves)
 }
 
 // behaves ends the node's faults.
@@ -77,14 +77,14 @@
 	}
 	n.status = "draining"
 	g.tells(n)
-	g.c.At(g.c.True()+1500+2000*g.rng.Float64(), func() {
+	g.c.At(g.c.TrueTime()+1500+2000*g.rng.Float64(), func() {
 		if n.status != "draining" {
 			return
 		}
 		n.status = "gone"
 		n.dies(false)
 		g.tells(n)
-		g.c.At(g.c.True()+300+1000*g.rng.Float64(), func() { g.back(n) })
+		g.c.At(g.c.TrueTime()+300+1000*g.rng.Float64(), func() { g.back(n) })
 	})
 }
 
@@ -95,15 +95,15 @@
 	}
 	n.status = "gone"
 	n.dies(g.rng.IntN(2) == 0)
-	g.c.At(g.c.True()+300*g.rng.Float64(), func() { g.tells(n) })
-	g.c.At(g.c.True()+300+away, func() { g.back(n) })
+	g.c.At(g.c.TrueTime()+300*g.rng.Float64(), func() { g.tells(n) })
+	g.c.At(g.c.TrueTime()+300+away, func() { g.back(n) })
 }
 
 // back has a node come up again, once every scheduler can hear of it: who can't be told may send to it as before.
 func (g *play) back(n *node) {
 	for _, s := range g.scheds {
-		if g.c.True() < s.journal.silent+1500 && s.journal.silent > 0 {
-			g.c.At(g.c.True()+300, func() { g.back(n) })
+		if g.c.TrueTime() < s.journal.silent+1500 && s.journal.silent > 0 {
+			g.c.At(g.c.TrueTime()+300, func() { g.back(n) })
 			return
 		}
 	}
--- a/internal/lab/route/flood.go
+++ b/internal/lab/route/flood.go
@@ -54,7 +54,7 @@
 
 // next is in how many ms the next is asked, and whom.
 func (f *flood) next() (float64, *sched) {
-	g, now := f.g, f.g.c.True()
+	g, now := f.g, f.g.c.TrueTime()
 	if now < f.from || now > f.to {
 		return 20 + 60*g.rng.Float64(), g.scheds[g.rng.IntN(len(g.scheds))]
 	}
@@ -67,10 +67,10 @@
 		return
 	}
 	s, lives := t.s, t.s.lives
-	g.c.At(g.c.True()+owedIn+busySlack, func() {
+	g.c.At(g.c.TrueTime()+owedIn+busySlack, func() {
 		if t.stands && t.at == n && s.lives == lives && s.s != nil && !s.owner.e.over && !e.over {
 			g.fail(fmt.Sprintf("rule 1: task %x was over at %s, and %s did not tell its owner within a second, %.0f ms behind", t.id, n.name, s.name,
-				s.p.Behind()))
+				s.p.Backlog()))
 		}
 	})
 }
--- a/internal/lab/route/gone.go
+++ b/internal/lab/route/gone.go
@@ -45,11 +45,11 @@
 
 // begins meets that an attempt begins.
 func (g *play) begins(id uint64) {
-	if t := g.tasks[id]; t != nil && t.gone > 0 && g.c.True() > t.gone+goneFor {
+	if t := g.tasks[id]; t != nil && t.gone > 0 && g.c.TrueTime() > t.gone+goneFor {
 		if g.lateFor++; g.busy != nil && g.lateFor <= goneMost {
 			return
 		}
-		g.fail(fmt.Sprintf("gone: an attempt for ask %d began %.0f ms after its owner had left it", id, g.c.True()-t.gone))
+		g.fail(fmt.Sprintf("gone: an attempt for ask %d began %.0f ms after its owner had left it", id, g.c.TrueTime()-t.gone))
 	}
 }
 
@@ -59,7 +59,7 @@
 	if e := o.e; e != nil && e.conn != nil && !e.over && o.s.ends == 0 {
 		for _, id := range sorted(o.asks) {
 			if t := o.asks[id]; t.e == e {
-				t.gone = o.g.c.True()
+				t.gone = o.g.c.TrueTime()
 			}
 		}
 		e.conn.Close(true, nil)
--- a/internal/lab/route/route.go
+++ b/internal/lab/route/route.go
@@ -143,7 +143,7 @@
 	}
 	g.c.At(300, g.ask)
 	for at := 0.0; at < lasts+settles && g.v.Broken == ""; at += 50 {
-		g.c.Until(at)
+		g.c.RunUntil(at)
 	}
 	g.last()
 	return g.v
@@ -151,12 +151,12 @@
 
 func (g *play) fail(what string) {
 	if g.v.Broken == "" {
-		g.v.Broken = fmt.Sprintf("at %.0f ms: %s", g.c.True(), what)
+		g.v.Broken = fmt.Sprintf("at %.0f ms: %s", g.c.TrueTime(), what)
 	}
 }
 
 func (g *play) record(r audit.Record) {
-	r.At = g.c.True()
+	r.At = g.c.TrueTime()
 	if g.Trace != nil {
 		fmt.Fprintf(g.Trace, "%.1f %s %s node %d ref %d try %x.%d job %d until %.0f %s\n", r.At, r.Kind, r.Scheduler, r.Node, r.RequestRef, r.Ticket, r.Attempt, r.Job, r.Deadline, r.Detail)
 	}
@@ -175,7 +175,7 @@
 	}
 	for _, n := range g.nodes {
 		for id, s := range n.runs {
-			if s.at < lasts-1000 && g.c.True()-s.at > 8000+2*life {
+			if s.at < lasts-1000 && g.c.TrueTime()-s.at > 8000+2*life {
 				g.fail(fmt.Sprintf("task %x still stands at %s", id, n.name))
 			}
 		}
@@ -199,9 +199,9 @@
 func (g *play) addSched(i, of int) {
 	s := &sched{g: g, index: i, name: fmt.Sprint("s", i), facts: fmt.Sprintf(facing, of, i, g.reports)}
 	s.p = g.c.NewProcess(s.name)
-	s.p.Prompt = !g.Loose
+	s.p.SynchronousWrites = !g.Loose
 	if g.busy != nil {
-		s.p.Core(g.busy.share, sim.Worked)
+		s.p.LimitCPU(g.busy.share, sim.MeasuredCost)
 	}
 	s.owner = &owner{g: g, s: s, p: g.c.NewProcess("o-" + s.name)}
 	g.scheds = append(g.scheds, s)
@@ -288,7 +288,7 @@
 	s.p.Kill(false)
 	s.g.record(audit.Record{Kind: audit.SchedulerKilled, Scheduler: s.name})
 	s.owner.lost()
-	s.g.c.At(s.g.c.True()+back, func() {
+	s.g.c.At(s.g.c.TrueTime()+back, func() {
 		s.p.Start()
 		s.start()
 	})
@@ -300,7 +300,7 @@
 	if s.s == nil || s.ends > 0 {
 		return
 	}
-	s.ends = s.g.c.True()
+	s.ends = s.g.c.TrueTime()
 	s.s.Stop()
 	lives := s.lives
 	for range 2 {
@@ -379,7 +379,7 @@
 
 // hush has it say nothing for a while.
 func (j *journal) hush(ms float64) {
-	j.since = j.g.c.True()
+	j.since = j.g.c.TrueTime()
 	j.silent = max(j.silent, j.since+ms)
 }
 
@@ -405,7 +405,7 @@
 
 func (j *journal) say(line string) {
 	for _, x := range j.conns {
-		if !x.over && j.g.c.True() >= j.silent {
+		if !x.over && j.g.c.TrueTime() >= j.silent {
 			x.send(line)
 		}
 	}
@@ -419,7 +419,7 @@
 
 func (x *tail) OnData(b []byte) {
 	var from int
-	if n, _ := fmt.Sscanf(string(b), "tail %d", &from); n != 1 || x.j.g.c.True() < x.j.silent {
+	if n, _ := fmt.Sscanf(string(b), "tail %d", &from); n != 1 || x.j.g.c.TrueTime() < x.j.silent {
 		return
 	}
 	for i := from; i < len(x.j.events); i++ {
@@ -442,7 +442,7 @@
 			g.record(audit.Record{Kind: audit.EndpointDelivered, Scheduler: s.name, Node: n.id, Detail: n.status})
 			continue
 		}
-		at := g.c.True()
+		at := g.c.TrueTime()
 		if at < s.journal.silent { // what it would have told counts so long after its silence began
 			at = max(at, s.journal.since+toldIn)
 		}
--- a/internal/lab/scale/regions/heal.go
+++ b/internal/lab/scale/regions/heal.go
@@ -27,15 +27,15 @@
 		moment *Moment
 		is     func() bool
 	}{{&heal.Members, s.membersAgree}, {&heal.State, s.stateAgrees}, {&heal.Zones, s.zonesOpen}, {&heal.Restarted, s.restartActs}}
-	next := s.clock.True() + readEach
-	for end := s.healedAt + float64(s.config.Settle.Milliseconds()); s.clock.True() < end && s.ctx.Err() == nil; {
-		s.clock.Until(s.clock.True() + pollEach)
+	next := s.clock.TrueTime() + readEach
+	for end := s.healedAt + float64(s.config.Settle.Milliseconds()); s.clock.TrueTime() < end && s.ctx.Err() == nil; {
+		s.clock.RunUntil(s.clock.TrueTime() + pollEach)
 		for _, m := range moments {
 			if !m.moment.Reached && m.is() {
-				*m.moment = Moment{Reached: true, Seconds: (s.clock.True() - s.healedAt) / 1000}
+				*m.moment = Moment{Reached: true, Seconds: (s.clock.TrueTime() - s.healedAt) / 1000}
 			}
 		}
-		if s.clock.True() >= next {
+		if s.clock.TrueTime() >= next {
 			s.read(Healed)
 			next += readEach
 		}
--- a/internal/lab/scale/regions/process.go
+++ b/internal/lab/scale/regions/process.go
@@ -88,7 +88,7 @@
 		p.stick()
 	}
 	p.reach = &zones.Selector{OwnZone: p.zone.name, Zones: p.site.places(), LocalityAware: true}
-	p.sent, p.sentBytes, p.readAt = 0, 0, p.site.clock.True()
+	p.sent, p.sentBytes, p.readAt = 0, 0, p.site.clock.TrueTime()
 	p.senseLater(senseEach * p.site.rng.Float64())
 	return nil
 }
@@ -123,7 +123,7 @@
 	for i := range p.site.zones {
 		z := &p.site.zones[i]
 		sum := zones.Summary{Nodes: nodesLookedAt, Reachable: nodesLookedAt, Capacity: zoneCores, Used: p.site.used(i)}
-		if since, cut := p.site.isCut(p.zone, z); cut && p.site.clock.True() >= since+silentAfter {
+		if since, cut := p.site.isCut(p.zone, z); cut && p.site.clock.TrueTime() >= since+silentAfter {
 			sum.Reachable, silent = 0, true
 		}
 		sums[z.name] = sum
@@ -185,7 +185,7 @@
 	}
 	now := l.world.Now()
 	if since, cut := l.site.isCut(l.zone, &l.site.zones[at]); cut {
-		now -= l.site.clock.True() - since
+		now -= l.site.clock.TrueTime() - since
 	}
 	return nodeLife, now, true
 }
@@ -193,7 +193,7 @@
 // used is how many cores of a zone are in use now: that goes up and down, in each zone at its own time, so that plans for
 // closed zones are made anew again and again.
 func (s *site) used(zone int) float64 {
-	phase := 2 * math.Pi * (s.clock.True()/useSwing + float64(zone)/float64(len(s.zones)))
+	phase := 2 * math.Pi * (s.clock.TrueTime()/useSwing + float64(zone)/float64(len(s.zones)))
 	return zoneCores * (meanUse + swingOfUse*math.Sin(phase))
 }
 
--- a/internal/lab/scale/regions/reading.go
+++ b/internal/lab/scale/regions/reading.go
@@ -94,14 +94,14 @@
 
 // read reads all processes.
 func (s *site) read(phase Phase) {
-	m := Minute{Phase: phase, Seconds: (s.clock.True() - s.cutAt) / 1000, Readings: make([]Reading, len(s.processes))}
+	m := Minute{Phase: phase, Seconds: (s.clock.TrueTime() - s.cutAt) / 1000, Readings: make([]Reading, len(s.processes))}
 	if phase == Before {
-		m.Seconds = (s.clock.True() - float64(s.config.Warm.Milliseconds())) / 1000
+		m.Seconds = (s.clock.TrueTime() - float64(s.config.Warm.Milliseconds())) / 1000
 	}
 	for i, p := range s.processes {
 		p.read(&m.Readings[i])
 	}
-	s.clock.Until(s.clock.True() + readTakes)
+	s.clock.RunUntil(s.clock.TrueTime() + readTakes)
 	s.report.Minutes = append(s.report.Minutes, m)
 }
 
@@ -128,11 +128,11 @@
 		r.Sizes[UnreachableNodes] = f.UnreachableNodes
 		r.Sizes[Fragments], r.Sizes[FragmentBytes] = f.Fragments.Messages, f.Fragments.Bytes
 		r.Alive, _, _, _ = d.Count()
-		if seconds := (p.site.clock.True() - p.readAt) / 1000; seconds > 0 {
+		if seconds := (p.site.clock.TrueTime() - p.readAt) / 1000; seconds > 0 {
 			r.DatagramsPerSecond = float64(d.Stats.Sent-p.sent) / seconds
 			r.BytesPerSecond = float64(d.Stats.Bytes-p.sentBytes) / seconds
 		}
-		p.sent, p.sentBytes, p.readAt = d.Stats.Sent, d.Stats.Bytes, p.site.clock.True()
+		p.sent, p.sentBytes, p.readAt = d.Stats.Sent, d.Stats.Bytes, p.site.clock.TrueTime()
 	})
 }
 
--- a/internal/lab/scale/regions/regions.go
+++ b/internal/lab/scale/regions/regions.go
@@ -174,7 +174,7 @@
 			}
 		})
 	}
-	s.clock.At(s.clock.True()+fillEach, func() {
+	s.clock.At(s.clock.TrueTime()+fillEach, func() {
 		if led {
 			from = until
 		}
@@ -197,7 +197,7 @@
 	s.cut(true)
 	cut := float64(s.config.Cut.Milliseconds())
 	if s.config.Restart {
-		s.clock.At(s.clock.True()+cut/2, s.restart)
+		s.clock.At(s.clock.TrueTime()+cut/2, s.restart)
 	}
 	s.pass(During, cut)
 	s.cut(false)
@@ -206,16 +206,16 @@
 
 // pass lets time go by with a reading at the end of each minute.
 func (s *site) pass(phase Phase, ms float64) {
-	for end := s.clock.True() + ms; s.clock.True() < end && s.ctx.Err() == nil; {
-		s.until(min(end, s.clock.True()+readEach))
+	for end := s.clock.TrueTime() + ms; s.clock.TrueTime() < end && s.ctx.Err() == nil; {
+		s.until(min(end, s.clock.TrueTime()+readEach))
 		s.read(phase)
 	}
 }
 
 // until lets time go by, in steps after which it may be broken off.
 func (s *site) until(at float64) {
-	for s.clock.True() < at && s.ctx.Err() == nil {
-		s.clock.Until(min(at, s.clock.True()+breakEach))
+	for s.clock.TrueTime() < at && s.ctx.Err() == nil {
+		s.clock.RunUntil(min(at, s.clock.TrueTime()+breakEach))
 	}
 }
 
@@ -229,15 +229,15 @@
 		}
 	}
 	if is {
-		s.cutAt = s.clock.True()
+		s.cutAt = s.clock.TrueTime()
 		return
 	}
-	s.healedAt = s.clock.True()
+	s.healedAt = s.clock.TrueTime()
 }
 
 // isCut tells whether two zones are cut from each other now, and since when.
 func (s *site) isCut(a, b *zone) (since float64, is bool) {
-	now := s.clock.True()
+	now := s.clock.TrueTime()
 	return s.cutAt, a.cut != b.cut && now >= s.cutAt && now < s.healedAt
 }
 
@@ -257,7 +257,7 @@
 	if s.config.CommandsPerDay <= 0 {
 		return
 	}
-	s.clock.At(s.clock.True()+dayInMs/s.config.CommandsPerDay, func() {
+	s.clock.At(s.clock.TrueTime()+dayInMs/s.config.CommandsPerDay, func() {
 		s.processes[s.turn%len(s.processes)].propose()
 		s.turn++
 		s.command()
--- a/internal/lab/sim/clubs.go
+++ b/internal/lab/sim/clubs.go
@@ -15,127 +15,127 @@
 )
 
 const (
-	spreads = 150  // ms between two schedulers' word of a change
-	takesUp = 1500 // ms in which one that runs has taken it up
-	stops   = 1200 // and what runs of a removed tenant has been stopped
+	changeStagger = 150  // ms between two schedulers' word of a change
+	changeDelay   = 1500 // ms in which one that runs has taken it up
+	stopDelay     = 1200 // and what runs of a removed tenant has been stopped
 )
 
-// clubs keeps tenants as the real store does, over the deaths of its process. Changes come from outside and are whole.
-type clubs struct {
-	st    *stage
-	book  *tenancy.Registry
-	count uint64
+// tenantStore keeps tenants as the real store does, over the deaths of its process. Changes come from outside and are whole.
+type tenantStore struct {
+	env      *environment
+	registry *tenancy.Registry
+	version  uint64
 }
 
-func newClubs(st *stage) *clubs {
-	c := &clubs{st: st, book: tenancy.New(len(st.place.Tenants))}
-	for _, name := range clubNames {
-		c.change(tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 200}}})
+func newTenantStore(st *environment) *tenantStore {
+	c := &tenantStore{env: st, registry: tenancy.New(len(st.site.Tenants))}
+	for _, name := range tenantNames {
+		c.apply(tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 200}}})
 	}
 	return c
 }
 
-var clubNames = []string{"a", "b"}
+var tenantNames = []string{"a", "b"}
 
-// tokenOf is what a tenant's owners show; its first twelve letters are its id.
-func tokenOf(tenant string) string { return "token-" + tenant + "-0000.secret" }
+// authTokenOf is what a tenant's owners show; its first twelve letters are its id.
+func authTokenOf(tenant string) string { return "token-" + tenant + "-0000.secret" }
 
-func (c *clubs) change(ch tenancy.Change) {
-	if _, f := c.book.Apply(c.st.c.now, ch); f != nil {
+func (c *tenantStore) apply(ch tenancy.Change) {
+	if _, f := c.registry.Apply(c.env.clock.now, ch); f != nil {
 		return // a removed tenant is not paused
 	}
-	c.count++
+	c.version++
 }
 
-func (c *clubs) Close() error                 { return nil }
-func (c *clubs) Fingerprint() (uint64, error) { return c.count, nil }
+func (c *tenantStore) Close() error                 { return nil }
+func (c *tenantStore) Fingerprint() (uint64, error) { return c.version, nil }
 
 // Read gives what is kept, as a planted fault has the program take it.
-func (c *clubs) Read() (tenants.State, error) {
-	s := tenants.State{Tenants: tenancy.New(c.book.Slots()), Tokens: map[string]tenants.Token{}, Changes: c.count}
-	for _, t := range c.book.All() {
-		if c.st.plant.Club != nil {
-			c.st.plant.Club(&t)
+func (c *tenantStore) Read() (tenants.State, error) {
+	s := tenants.State{Tenants: tenancy.New(c.registry.Slots()), Tokens: map[string]tenants.Token{}, Changes: c.version}
+	for _, t := range c.registry.All() {
+		if c.env.fault.Tenant != nil {
+			c.env.fault.Tenant(&t)
 		}
 		if err := s.Tenants.Restore(t); err != nil {
 			return s, err
 		}
-		s.Tokens[tokenOf(t.Name)[:12]] = tenants.Token{Tenant: t.Name, Expires: time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)}
+		s.Tokens[authTokenOf(t.Name)[:12]] = tenants.Token{Tenant: t.Name, Expires: time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)}
 	}
 	return s, nil
 }
 
-func (c *clubs) TokenVerifier(known map[string]tenants.Token) func(time.Time, string) (string, bool) {
+func (c *tenantStore) TokenVerifier(known map[string]tenants.Token) func(time.Time, string) (string, bool) {
 	return func(_ time.Time, shown string) (string, bool) {
-		if len(shown) < 12 || shown != tokenOf(known[shown[:12]].Tenant) {
+		if len(shown) < 12 || shown != authTokenOf(known[shown[:12]].Tenant) {
 			return "", false
 		}
 		return known[shown[:12]].Tenant, true
 	}
 }
 
-func (c *clubs) FinishRemoval(_ time.Time, name string) (bool, error) {
-	_, ok := c.book.CompleteRemoval(c.st.c.now, name)
+func (c *tenantStore) FinishRemoval(_ time.Time, name string) (bool, error) {
+	_, ok := c.registry.CompleteRemoval(c.env.clock.now, name)
 	if ok {
-		c.count++
+		c.version++
 	}
 	return ok, nil
 }
 
-// wanted is what the stage knows of an ask.
-type wanted struct {
-	tenant string
-	at     float64 // when it was asked for first
+// tenantRequest is what the stage knows of an ask.
+type tenantRequest struct {
+	tenant      string
+	firstSentAt float64 // when it was asked for first
 }
 
 // tenantOf gives the tenant of an owner: each asks for one alone.
-func tenantOf(owner int) string { return clubNames[owner%len(clubNames)] }
+func tenantOf(owner int) string { return tenantNames[owner%len(tenantNames)] }
 
-// turn lets a change reach all schedulers, one after the other, and gives when the last has it.
-func (st *stage) turn(ch tenancy.Change) (all float64) {
-	for i, s := range st.scheds {
-		all = st.c.now + float64(i)*spreads
-		st.c.at(nil, all, func() { s.clubs.change(ch) })
+// applyEverywhere lets a change reach all schedulers, one after the other, and gives when the last has it.
+func (st *environment) applyEverywhere(ch tenancy.Change) (all float64) {
+	for i, s := range st.schedulers {
+		all = st.clock.now + float64(i)*changeStagger
+		st.clock.schedule(nil, all, func() { s.tenants.apply(ch) })
 	}
 	return all
 }
 
-// tenant lets a tenant be paused for a while, limited or removed.
-func (st *stage) tenant(f Fault) {
-	if !st.Hosted || st.gone[f.A] > 0 {
+// injectTenantFault lets a tenant be paused for a while, limited or removed.
+func (st *environment) injectTenantFault(f Fault) {
+	if !st.DynamicTenants || st.removedSince[f.Target] > 0 {
 		return
 	}
 	switch f.Kind {
 	case "tenant-pause":
-		all := st.turn(tenancy.Change{Kind: tenancy.Pause, Name: f.A})
-		st.shut[f.A] = all
-		st.c.at(nil, all+f.For, func() {
-			if st.gone[f.A] == 0 && st.shut[f.A] == all {
-				delete(st.shut, f.A)
-				st.turn(tenancy.Change{Kind: tenancy.Resume, Name: f.A})
+		all := st.applyEverywhere(tenancy.Change{Kind: tenancy.Pause, Name: f.Target})
+		st.closedSince[f.Target] = all
+		st.clock.schedule(nil, all+f.Duration, func() {
+			if st.removedSince[f.Target] == 0 && st.closedSince[f.Target] == all {
+				delete(st.closedSince, f.Target)
+				st.applyEverywhere(tenancy.Change{Kind: tenancy.Resume, Name: f.Target})
 			}
 		})
 	case "tenant-limit":
 		l := limit{open: max(1, int(f.Size))}
-		l.from = st.longest() + takesUp + st.turn(tenancy.Change{Kind: tenancy.Limit, Name: f.A, Limits: tenancy.Limits{Limits: fairqueue.Limits{
+		l.from = st.maxExpiry() + changeDelay + st.applyEverywhere(tenancy.Change{Kind: tenancy.Limit, Name: f.Target, Limits: tenancy.Limits{Limits: fairqueue.Limits{
 			Share: 1, MaxOpen: l.open,
 			MaxWaiting: 20,
 		}}})
-		for _, s := range st.scheds {
-			if s.p.paused { // it hears of the change when it wakes
+		for _, s := range st.schedulers {
+			if s.process.paused { // it hears of the change when it wakes
 				l.from = math.Inf(1)
 			}
 		}
-		st.limits[f.A] = l
+		st.limits[f.Target] = l
 	case "tenant-remove":
 		ending := tenancy.FinishRunning
 		if f.Size >= 0.5 {
 			ending = tenancy.StopRunning
 		}
-		all := st.turn(tenancy.Change{Kind: tenancy.Remove, Name: f.A, Removal: ending})
-		st.gone[f.A], st.shut[f.A] = all, all
-		if ending == tenancy.StopRunning && st.calm(f.At, all+stops) {
-			st.c.at(nil, all+stops, func() { st.stopped(f.A) })
+		all := st.applyEverywhere(tenancy.Change{Kind: tenancy.Remove, Name: f.Target, Removal: ending})
+		st.removedSince[f.Target], st.closedSince[f.Target] = all, all
+		if ending == tenancy.StopRunning && st.isUndisturbed(f.At, all+stopDelay) {
+			st.clock.schedule(nil, all+stopDelay, func() { st.checkStopped(f.Target) })
 		}
 	}
 }
@@ -146,54 +146,54 @@
 	from float64
 }
 
-// longest is the longest expiry that owners ask for, ms.
-func (st *stage) longest() float64 { return slices.Max(st.place.Deadlines) }
+// maxExpiry is the longest expiry that owners ask for, ms.
+func (st *environment) maxExpiry() float64 { return slices.Max(st.site.Deadlines) }
 
-// overshoot holds what all schedulers have open of a tenant against its limit.
-func (st *stage) overshoot() {
-	for slot, name := range clubNames {
+// checkTenantLimits holds what all schedulers have open of a tenant against its limit.
+func (st *environment) checkTenantLimits() {
+	for slot, name := range tenantNames {
 		l, ok := st.limits[name]
-		if !ok || st.gone[name] > 0 {
+		if !ok || st.removedSince[name] > 0 {
 			continue
 		}
-		all, sum := make([]int, len(st.scheds)), 0
-		for i, s := range st.scheds {
-			if s.server != nil && !s.p.dead {
+		all, sum := make([]int, len(st.schedulers)), 0
+		for i, s := range st.schedulers {
+			if s.server != nil && !s.process.dead {
 				all[i] = s.server.OpenAllocations(slot)
 				sum += all[i]
 			}
-			if s.p.resumed > l.from-st.longest()-takesUp {
-				l.from = max(l.from, s.p.resumed+st.longest()+takesUp)
+			if s.process.resumedAt > l.from-st.maxExpiry()-changeDelay {
+				l.from = max(l.from, s.process.resumedAt+st.maxExpiry()+changeDelay)
 			}
 		}
-		if st.game.Uses != nil {
-			st.game.Uses(st.c.now, name, all)
+		if st.simulation.OnUsage != nil {
+			st.simulation.OnUsage(st.clock.now, name, all)
 		}
-		if st.c.now >= l.from && sum > l.open {
+		if st.clock.now >= l.from && sum > l.open {
 			st.fail(0, fmt.Sprintf("%v of tenant %s are open, %d may be", all, name, l.open))
 		}
 	}
 }
 
-// harmless are faults that keep nobody from stopping what runs.
-var harmless = []string{
+// harmlessFaults are faults that keep nobody from stopping what runs.
+var harmlessFaults = []string{
 	"jump", "list-away", "list-behind", "errors", "flood", "withdraw", "window", "drain", "tenant-limit", "tenant-pause",
 	"tenant-remove",
 }
 
-// calm tells whether nothing goes wrong in a time between schedulers and nodes.
-func (st *stage) calm(from, to float64) bool {
+// isUndisturbed tells whether nothing goes wrong in a time between schedulers and nodes.
+func (st *environment) isUndisturbed(from, to float64) bool {
 	return !slices.ContainsFunc(st.Faults, func(f Fault) bool {
-		return f.At <= to && f.At+f.For+takesUp/2 >= from && f.B != "list" && !strings.HasPrefix(f.B, "o") && !slices.Contains(harmless, f.Kind)
+		return f.At <= to && f.At+f.Duration+changeDelay/2 >= from && f.Peer != "list" && !strings.HasPrefix(f.Peer, "o") && !slices.Contains(harmlessFaults, f.Kind)
 	})
 }
 
-// stopped checks that nothing of a removed tenant runs.
-func (st *stage) stopped(tenant string) {
+// checkStopped checks that nothing of a removed tenant runs.
+func (st *environment) checkStopped(tenant string) {
 	for _, n := range st.nodes {
-		for _, s := range st.scheds {
-			for _, name := range s.names() {
-				n.Machine.EachHeld(st.c.now, name, func(_ uint64, _ uint8, _ bool, _, _ int, _, token uint64, _, _ float64) {
+		for _, s := range st.schedulers {
+			for _, name := range s.shardNames() {
+				n.Machine.EachHeld(st.clock.now, name, func(_ uint64, _ uint8, _ bool, _, _ int, _, token uint64, _, _ float64) {
 					if st.wanted[token].tenant == tenant {
 						st.fail(0, fmt.Sprintf("node %d holds %x of tenant %s, which was removed with all that runs", n.ID, token, tenant))
 					}
@@ -203,25 +203,25 @@
 	}
 }
 
-// hosted checks that nothing new is placed for a tenant that takes nothing.
-func (st *stage) hosted(r *audit.Record) {
+// checkClosedTenant checks that nothing new is placed for a tenant that takes nothing.
+func (st *environment) checkClosedTenant(r *audit.Record) {
 	key := [2]uint64{uint64(r.Client), r.RequestRef}
 	if r.Kind == audit.RequestSent {
-		st.asked[key] = st.wanted[r.Token]
+		st.requested[key] = st.wanted[r.Token]
 	}
 	if r.Kind != audit.ResponseReceived || r.Detail != "served" {
 		return
 	}
-	w, ok := st.asked[key]
-	since, shut := st.shut[w.tenant]
-	if !ok || !shut || w.at < since+takesUp {
+	w, ok := st.requested[key]
+	since, shut := st.closedSince[w.tenant]
+	if !ok || !shut || w.firstSentAt < since+changeDelay {
 		return
 	}
-	for _, s := range st.scheds {
-		if s.name == r.Scheduler && !s.p.paused && w.at > s.p.resumed+takesUp {
-			st.fail(0, fmt.Sprintf("ask %d of tenant %s was served, which takes nothing since %.0f ms; it was asked for at %.0f", r.RequestRef, w.tenant, since, w.at))
+	for _, s := range st.schedulers {
+		if s.name == r.Scheduler && !s.process.paused && w.firstSentAt > s.process.resumedAt+changeDelay {
+			st.fail(0, fmt.Sprintf("ask %d of tenant %s was served, which takes nothing since %.0f ms; it was asked for at %.0f", r.RequestRef, w.tenant, since, w.firstSentAt))
 		}
 	}
 }
 
-var _ serve.TenantStore = (*clubs)(nil)
+var _ serve.TenantStore = (*tenantStore)(nil)
--- a/internal/lab/sim/disk.go
+++ b/internal/lab/sim/disk.go
@@ -7,15 +7,15 @@
 
 // Disk is a process's disk. It keeps what was written durably over every death of the process, and of the power.
 type Disk struct {
-	p     *Process
-	files map[string][]byte
-	safe  map[string][]byte // what survives the power's end
-	Lazy  bool              // planted: what is written is on the disk a second later only
+	process     *Process
+	files       map[string][]byte
+	durable     map[string][]byte // what survives the power's end
+	DelayedSync bool              // planted: what is written is on the disk a second later only
 }
 
 // NewDisk makes an empty disk.
 func NewDisk(p *Process) *Disk {
-	return &Disk{p: p, files: map[string][]byte{}, safe: map[string][]byte{}}
+	return &Disk{process: p, files: map[string][]byte{}, durable: map[string][]byte{}}
 }
 
 var errKilled = errors.New("killed while writing")
@@ -26,18 +26,18 @@
 // Write replaces a file as a whole. Where the process is killed in the midst of it, the file is the old or the new one.
 func (d *Disk) Write(name string, text []byte) error {
 	kept := append([]byte(nil), text...)
-	if !d.p.effect() {
-		if d.p.c.rng.IntN(2) == 0 {
-			d.files[name], d.safe[name] = kept, kept
+	if !d.process.effect() {
+		if d.process.clock.rng.IntN(2) == 0 {
+			d.files[name], d.durable[name] = kept, kept
 		}
 		return errKilled
 	}
 	d.files[name] = kept
-	if !d.Lazy {
-		d.safe[name] = kept
+	if !d.DelayedSync {
+		d.durable[name] = kept
 		return nil
 	}
-	d.p.c.at(nil, d.p.c.now+1000, func() { d.safe[name] = kept })
+	d.process.clock.schedule(nil, d.process.clock.now+1000, func() { d.durable[name] = kept })
 	return nil
 }
 
@@ -51,4 +51,4 @@
 func (d *Disk) Close() error { return nil }
 
 // PowerLost forgets what was not on the disk.
-func (d *Disk) PowerLost() { d.files = maps.Clone(d.safe) }
+func (d *Disk) PowerLost() { d.files = maps.Clone(d.durable) }
--- a/internal/lab/sim/lend_test.go
+++ b/internal/lab/sim/lend_test.go
@@ -16,7 +16,7 @@
 		for i := range 3 {
 			for j := range 3 {
 				if i != j {
-					all = append(all, Fault{At: 26000, Kind: "deaf", A: fmt.Sprint("s", i), B: fmt.Sprint("s", j), For: 15000})
+					all = append(all, Fault{At: 26000, Kind: "deaf", Target: fmt.Sprint("s", i), Peer: fmt.Sprint("s", j), Duration: 15000})
 				}
 			}
 		}
@@ -25,28 +25,28 @@
 	for _, c := range []struct {
 		name                   string
 		faults                 []Fault
-		plant                  *Plant
+		plant                  *ProgramFault
 		all, dead, back, apart int // the most that are seen open while all are there, one is dead, is back, and none hears another
 	}{
-		{name: "killed", faults: append(parts, Fault{At: 8000, Kind: "kill", A: "s2", For: 9000}), all: 12, dead: 10, back: 12, apart: 6},
-		{name: "stopped", faults: append(parts, Fault{At: 8000, Kind: "pause", A: "s2", For: 9000}), all: 12, dead: 10, back: 12, apart: 6},
+		{name: "killed", faults: append(parts, Fault{At: 8000, Kind: "kill", Target: "s2", Duration: 9000}), all: 12, dead: 10, back: 12, apart: 6},
+		{name: "stopped", faults: append(parts, Fault{At: 8000, Kind: "pause", Target: "s2", Duration: 9000}), all: 12, dead: 10, back: 12, apart: 6},
 		{
-			name: "lent nothing", faults: append(parts, Fault{At: 8000, Kind: "kill", A: "s2", For: 9000}), plant: &Plant{Place: func(p *site.Config) { p.Members.LeasedPart = 0 }},
+			name: "lent nothing", faults: append(parts, Fault{At: 8000, Kind: "kill", Target: "s2", Duration: 9000}), plant: &ProgramFault{Site: func(p *site.Config) { p.Members.LeasedPart = 0 }},
 			all: 12, dead: 8, back: 12, apart: 12,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := Script{
-				Seed: 3, Nodes: 4, Schedulers: 3, Shards: 1, Share: "shared", Rate: 90, Lasts: 40000, Members: true, Hosted: true,
-				Faults: append([]Fault{{At: 10, Kind: "tenant-limit", A: "a", Size: may}}, c.faults...),
+				Seed: 3, Nodes: 4, Schedulers: 3, Shards: 1, ConnectionSharing: "shared", Rate: 90, Duration: 40000, Members: true, DynamicTenants: true,
+				Faults: append([]Fault{{At: 10, Kind: "tenant-limit", Target: "a", Size: may}}, c.faults...),
 			}
 			for i := range s.Schedulers {
 				for n := range s.Nodes { // each start takes long enough to fill the limit
-					s.Faults = append(s.Faults, Fault{At: 5, Kind: "slow", A: fmt.Sprint("s", i), B: fmt.Sprint("n", n+1), For: 50000, Size: 300})
+					s.Faults = append(s.Faults, Fault{At: 5, Kind: "slow", Target: fmt.Sprint("s", i), Peer: fmt.Sprint("n", n+1), Duration: 50000, Size: 300})
 				}
 			}
 			var all, dead, back, apart int
-			v := Game{Script: s, Plant: c.plant, Uses: func(now float64, tenant string, open []int) {
+			v := Simulation{Script: s, ProgramFault: c.plant, OnUsage: func(now float64, tenant string, open []int) {
 				sum := open[0] + open[1] + open[2]
 				switch {
 				case tenant != "a":
@@ -59,9 +59,9 @@
 				case now > 32000 && now < 40000:
 					apart = max(apart, sum)
 				}
-			}}.Play()
-			if v.Broken != "" {
-				t.Error(v.Broken)
+			}}.Run()
+			if v.Failure != "" {
+				t.Error(v.Failure)
 			}
 			if all != c.all || dead != c.dead || back != c.back || apart != c.apart {
 				t.Errorf("open of %d: %d with all, %d with one dead, %d when it was back, %d where none hears another; %d, %d, %d, %d are expected",
--- a/internal/lab/sim/members_test.go
+++ b/internal/lab/sim/members_test.go
@@ -10,12 +10,12 @@
 // from the others within two seconds, and gives the node nothing new; where they don't, it goes on blindly.
 func TestWords(t *testing.T) {
 	for _, members := range []bool{true, false} {
-		s := Script{Seed: 4, Nodes: 5, Schedulers: 3, Shards: 2, Share: "shared", Rate: 60, Lasts: 12000, Members: members, Faults: []Fault{
-			{At: 2000, Kind: "cut", A: "s0", B: "list", For: 9000},
-			{At: 4000, Kind: "drain", A: "n1", For: 6000},
+		s := Script{Seed: 4, Nodes: 5, Schedulers: 3, Shards: 2, ConnectionSharing: "shared", Rate: 60, Duration: 12000, Members: members, Faults: []Fault{
+			{At: 2000, Kind: "cut", Target: "s0", Peer: "list", Duration: 9000},
+			{At: 4000, Kind: "drain", Target: "n1", Duration: 6000},
 		}}
 		late, before := 0, 0
-		v := Game{Script: s, Lenient: true, Seen: func(r *audit.Record) {
+		v := Simulation{Script: s, CountViolations: true, OnRecord: func(r *audit.Record) {
 			if r.Kind == audit.PlacementReceived && r.Scheduler[:2] == "s0" && r.Node == 1 {
 				switch {
 				case r.At > 6000 && r.At < 9900:
@@ -24,9 +24,9 @@
 					before++
 				}
 			}
-		}}.Play()
-		if v.Broken != "" {
-			t.Errorf("members %t: %s", members, v.Broken)
+		}}.Run()
+		if v.Failure != "" {
+			t.Errorf("members %t: %s", members, v.Failure)
 		}
 		if before < 5 || members && late > 0 || !members && late == 0 {
 			t.Errorf("members %t: %d offers before the drain, %d from two seconds after it", members, before, late)
--- a/internal/lab/sim/plant.go
+++ b/internal/lab/sim/plant.go
@@ -9,21 +9,23 @@
 	"ravenpond/logic"
 )
 
-// Plant is a fault in the program that must be found.
-type Plant struct {
-	Name  string
-	Place func(*site.Config) // what the scheduler takes the site for
-	Serve serve.Faults
-	Lazy  bool                  // the disk keeps nothing for a second
-	Club  func(*tenancy.Tenant) // what it takes a tenant for
+// ProgramFault is a fault in the program that must be found.
+type ProgramFault struct {
+	Name        string
+	Site        func(*site.Config) // what the scheduler takes the site for
+	Server      serve.Faults
+	DelayedSync bool                  // the disk keeps nothing for a second
+	Tenant      func(*tenancy.Tenant) // what it takes a tenant for
 }
 
-// edged wraps the effects of a shard.
-func edged(f func(e engine.Effects) engine.Effects) serve.Faults { return serve.Faults{WrapEffects: f} }
+// withEdge wraps the effects of a shard.
+func withEdge(f func(e engine.Effects) engine.Effects) serve.Faults {
+	return serve.Faults{WrapEffects: f}
+}
 
-type adopts struct{ engine.Effects }
+type adoptsUnknown struct{ engine.Effects }
 
-func (e adopts) RecoverTask(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
+func (e adoptsUnknown) RecoverTask(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
 	try uint8,
 ) (uint32, uint32, uint64, bool) {
 	epoch, owner, ref, ok := e.Effects.RecoverTask(tenant, token, job, service, cores, memory, nd, ticket, try)
@@ -33,85 +35,85 @@
 	return epoch, owner, ref, ok
 }
 
-type denies struct{ engine.Effects }
+type rejectsRecovered struct{ engine.Effects }
 
-func (e denies) RecoverTask(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
+func (e rejectsRecovered) RecoverTask(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
 	return 0, 0, 0, false
 }
 
-type never struct{ engine.Effects }
+type reportsNeverRan struct{ engine.Effects }
 
-func (e never) RecordOutcome(tenant int, token uint64, epoch uint32, _ bool) {
+func (e reportsNeverRan) RecordOutcome(tenant int, token uint64, epoch uint32, _ bool) {
 	e.Effects.RecordOutcome(tenant, token, epoch, true)
 }
 
-type forgets struct{ engine.Effects }
+type leaksOwnership struct{ engine.Effects }
 
-func (e forgets) ReleaseTask(tenant int, token uint64, service uint64, epoch uint32) {
+func (e leaksOwnership) ReleaseTask(tenant int, token uint64, service uint64, epoch uint32) {
 	if token%16 > 0 {
 		e.Effects.ReleaseTask(tenant, token, service, epoch)
 	}
 }
 
-type softens struct{ engine.Effects }
+type declinesFailed struct{ engine.Effects }
 
-func (e softens) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
+func (e declinesFailed) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
 	if answer == engine.Failed {
 		answer = engine.Declined
 	}
 	e.Effects.Answer(owner, ref, answer, nd, why, holdOff)
 }
 
-type swallows struct{ engine.Effects }
+type dropsFailures struct{ engine.Effects }
 
-func (e swallows) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
+func (e dropsFailures) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
 	if answer != engine.Failed {
 		e.Effects.Answer(owner, ref, answer, nd, why, holdOff)
 	}
 }
 
-// Missed are faults that random scripts did not find within 600 seeds. The first shows only when a shard goes on in the very
+// MissedFaults are faults that random scripts did not find within 600 seeds. The first shows only when a shard goes on in the very
 // moment after it was fenced, which lab/cores and lab/states bring about; the second hardly at all, as the module answers at
 // once what may have run.
-var Missed = []Plant{
-	{Name: "no epoch is checked", Serve: serve.Faults{PermitAnyEpoch: true}},
-	{Name: "every outcome counts as never ran", Serve: edged(func(e engine.Effects) engine.Effects { return never{e} })},
+var MissedFaults = []ProgramFault{
+	{Name: "no epoch is checked", Server: serve.Faults{PermitAnyEpoch: true}},
+	{Name: "every outcome counts as never ran", Server: withEdge(func(e engine.Effects) engine.Effects { return reportsNeverRan{e} })},
 }
 
-// Plants are faults that the laboratory is to find.
-var Plants = []Plant{
-	{Name: "run-once ones are tried again", Place: func(p *site.Config) { p.Cluster.JobClasses[2].Semantics = logic.Restartable }},
-	{Name: "tokens are taken for harmless", Place: func(p *site.Config) { p.Cluster.JobClasses[1].Semantics = logic.Restartable }},
-	{Name: "the window of tokened tries is too long", Place: func(p *site.Config) {
+// ProgramFaults are faults that the laboratory is to find.
+var ProgramFaults = []ProgramFault{
+	{Name: "run-once ones are tried again", Site: func(p *site.Config) { p.Cluster.JobClasses[2].Semantics = logic.Restartable }},
+	{Name: "tokens are taken for harmless", Site: func(p *site.Config) { p.Cluster.JobClasses[1].Semantics = logic.Restartable }},
+	{Name: "the window of tokened tries is too long", Site: func(p *site.Config) {
 		p.Cluster.JobClasses[1].IdempotencyWindow, p.Cluster.JobClasses[3].IdempotencyWindow = 60000, 60000
 		p.Deadlines[1], p.Deadlines[3] = 60000, 60000
 	}},
-	{Name: "cold nodes are taken to bear more", Place: func(p *site.Config) {
+	{Name: "cold nodes are taken to bear more", Site: func(p *site.Config) {
 		p.Cluster.SlowStartLimit, p.Cluster.KindCores = 500, []float64{160}
 	}},
-	{Name: "word of drains is lost", Serve: serve.Faults{ListEntry: func(en *state.Entry) {
+	{Name: "word of drains is lost", Server: serve.Faults{ListEntry: func(en *state.Entry) {
 		if en.Avail == 2 {
 			en.Avail = 1
 		}
 	}}},
-	{Name: "answers come at the expiry", Place: func(p *site.Config) { p.AnswerMargin = 0.4 }},
-	{Name: "answers are given twice", Serve: serve.Faults{RepeatAnswers: true}},
-	{Name: "failed ones get no answer", Serve: edged(func(e engine.Effects) engine.Effects { return swallows{e} })},
-	{Name: "what may have run is declined", Serve: edged(func(e engine.Effects) engine.Effects { return softens{e} })},
-	{Name: "found ones are adopted unasked", Serve: edged(func(e engine.Effects) engine.Effects { return adopts{e} })},
-	{Name: "found ones are not taken", Serve: edged(func(e engine.Effects) engine.Effects { return denies{e} })},
-	{Name: "the ledger keeps what has ended", Serve: edged(func(e engine.Effects) engine.Effects { return forgets{e} })},
-	{Name: "the life is used before it is on the disk", Lazy: true},
-	{Name: "a pause is not read", Club: func(t *tenancy.Tenant) {
+	{Name: "answers come at the expiry", Site: func(p *site.Config) { p.AnswerMargin = 0.4 }},
+	{Name: "answers are given twice", Server: serve.Faults{RepeatAnswers: true}},
+	{Name: "failed ones get no answer", Server: withEdge(func(e engine.Effects) engine.Effects { return dropsFailures{e} })},
+	{Name: "what may have run is declined", Server: withEdge(func(e engine.Effects) engine.Effects { return declinesFailed{e} })},
+	{Name: "found ones are adopted unasked", Server: withEdge(func(e engine.Effects) engine.Effects { return adoptsUnknown{e} })},
+	{Name: "found ones are not taken", Server: withEdge(func(e engine.Effects) engine.Effects { return rejectsRecovered{e} })},
+	{Name: "the ledger keeps what has ended", Server: withEdge(func(e engine.Effects) engine.Effects { return leaksOwnership{e} })},
+	{Name: "the life is used before it is on the disk", DelayedSync: true},
+	{Name: "a pause is not read", Tenant: func(t *tenancy.Tenant) {
 		if t.State == tenancy.Paused {
 			t.State = tenancy.Active
 		}
 	}},
-	{Name: "a removed tenant is only paused", Club: func(t *tenancy.Tenant) {
+	{Name: "a removed tenant is only paused", Tenant: func(t *tenancy.Tenant) {
 		if t.State == tenancy.Removing {
 			t.State = tenancy.Paused
 		}
 	}},
-	{Name: "a removal lets what runs go on", Club: func(t *tenancy.Tenant) { t.Removal = tenancy.FinishRunning }},
-	{Name: "the spread is not kept", Place: func(p *site.Config) { p.Cluster.JobClasses[1].MaxPerScope = 50 }},
+	{Name: "a removal lets what runs go on", Tenant: func(t *tenancy.Tenant) { t.Removal = tenancy.FinishRunning }},
+	{Name: "the spread is not kept", Site: func(p *site.Config) { p.Cluster.JobClasses[1].MaxPerScope = 50 }},
 }
--- a/internal/lab/sim/script.go
+++ b/internal/lab/sim/script.go
@@ -13,41 +13,41 @@
 
 // Fault is something that goes wrong at a time.
 type Fault struct {
-	At   float64 // ms
-	Kind string
-	A, B string  // whom it hits
-	For  float64 // ms
-	Size float64
+	At           float64 // ms
+	Kind         string
+	Target, Peer string  // whom it hits
+	Duration     float64 // ms
+	Size         float64
 }
 
 // Script is a world and what goes wrong in it.
 type Script struct {
-	Seed       uint64
-	Nodes      int
-	Schedulers int
-	Shards     int
-	Share      string // shared, own or informed
-	Asks       bool   // the list is asked, and does not tell
-	Cold       bool   // all nodes begin cold, and no list is known
-	Rate       float64
-	Lasts      float64
-	Hosted     bool // tenants come and go
-	Members    bool // schedulers know each other
-	Set        int  // nodes in a scheduler's working set at least, 0: it works with all
-	Faults     []Fault
+	Seed              uint64
+	Nodes             int
+	Schedulers        int
+	Shards            int
+	ConnectionSharing string // shared, own or informed
+	ListPolled        bool   // the list is asked, and does not tell
+	ColdStart         bool   // all nodes begin cold, and no list is known
+	Rate              float64
+	Duration          float64
+	DynamicTenants    bool // tenants come and go
+	Members           bool // schedulers know each other
+	WorkingSetSize    int  // nodes in a scheduler's working set at least, 0: it works with all
+	Faults            []Fault
 }
 
-// kind is a kind of fault: whom it hits, and the ranges its time and size are drawn from.
-type kind struct {
-	name       string
-	hits       string // s: scheduler, n: node, o: owner, l: list; two letters: the way between
-	least, top float64
-	low, high  float64
-	often      int
+// faultKind is a kind of fault: whom it hits, and the ranges its time and size are drawn from.
+type faultKind struct {
+	name                     string
+	targets                  string // s: scheduler, n: node, o: owner, l: list; two letters: the way between
+	minDuration, maxDuration float64
+	minSize, maxSize         float64
+	weight                   int
 }
 
-// kinds are all that can go wrong.
-var kinds = []kind{
+// faultKinds are all that can go wrong.
+var faultKinds = []faultKind{
 	{"kill", "s", 100, 1500, 0, 0, 4},             // kill -9, back after a while
 	{"kill-in", "s", 100, 1500, 1, 60, 4},         // in the midst of what it does, so many effects later
 	{"power", "s", 300, 2000, 0, 0, 2},            // with the machine's power
@@ -89,28 +89,28 @@
 func Draw(seed uint64) Script {
 	rng := rand.New(rand.NewPCG(seed, 0xfa17))
 	s := Script{
-		Seed: seed, Nodes: 4 + rng.IntN(4), Schedulers: 1 + rng.IntN(2), Shards: 1 + rng.IntN(3), Asks: rng.IntN(2) == 0,
-		Cold: rng.IntN(4) == 0, Rate: 15 + 25*rng.Float64(), Lasts: 5000 + 4000*rng.Float64(),
-		Share: []string{"shared", "shared", "own", "informed"}[rng.IntN(4)],
+		Seed: seed, Nodes: 4 + rng.IntN(4), Schedulers: 1 + rng.IntN(2), Shards: 1 + rng.IntN(3), ListPolled: rng.IntN(2) == 0,
+		ColdStart: rng.IntN(4) == 0, Rate: 15 + 25*rng.Float64(), Duration: 5000 + 4000*rng.Float64(),
+		ConnectionSharing: []string{"shared", "shared", "own", "informed"}[rng.IntN(4)],
 	}
 	all := 0
-	for _, k := range kinds {
-		all += k.often
+	for _, k := range faultKinds {
+		all += k.weight
 	}
 	for range 2 + rng.IntN(9) {
 		x := rng.IntN(all)
-		var k kind
-		for _, k = range kinds {
-			if x -= k.often; x < 0 {
+		var k faultKind
+		for _, k = range faultKinds {
+			if x -= k.weight; x < 0 {
 				break
 			}
 		}
 		f := Fault{
-			At: float64(rng.IntN(int(s.Lasts))), Kind: k.name, For: whole(k.least + (k.top-k.least)*rng.Float64()*rng.Float64()),
-			Size: whole(k.low + (k.high-k.low)*rng.Float64()),
+			At: float64(rng.IntN(int(s.Duration))), Kind: k.name, Duration: truncate(k.minDuration + (k.maxDuration-k.minDuration)*rng.Float64()*rng.Float64()),
+			Size: truncate(k.minSize + (k.maxSize-k.minSize)*rng.Float64()),
 		}
-		if k.high <= 1 {
-			f.Size = float64(int(100*(k.low+(k.high-k.low)*rng.Float64()))) / 100
+		if k.maxSize <= 1 {
+			f.Size = float64(int(100*(k.minSize+(k.maxSize-k.minSize)*rng.Float64()))) / 100
 		}
 		who := func(letter byte) string {
 			switch letter {
@@ -119,42 +119,42 @@
 			case 'n':
 				return fmt.Sprint("n", 1+rng.IntN(s.Nodes))
 			case 'o':
-				return fmt.Sprint("o", rng.IntN(s.Schedulers*ownersEach))
+				return fmt.Sprint("o", rng.IntN(s.Schedulers*clientsPerScheduler))
 			}
 			return "list"
 		}
-		if len(k.hits) > 0 {
-			f.A = who(k.hits[0])
+		if len(k.targets) > 0 {
+			f.Target = who(k.targets[0])
 		}
-		if len(k.hits) > 1 {
-			f.B = who(k.hits[1])
+		if len(k.targets) > 1 {
+			f.Peer = who(k.targets[1])
 		}
 		s.Faults = append(s.Faults, f)
 	}
-	s.host()
-	s.meet()
+	s.addTenantFaults()
+	s.addMembershipFaults()
 	slices.SortStableFunc(s.Faults, func(x, y Fault) int { return cmp.Compare(x.At, y.At) })
 	return s
 }
 
-// host lets tenants come and go in some of the scripts, by chance of its own: the other scripts stay as they are.
-func (s *Script) host() {
+// addTenantFaults lets tenants come and go in some of the scripts, by chance of its own: the other scripts stay as they are.
+func (s *Script) addTenantFaults() {
 	rng := rand.New(rand.NewPCG(s.Seed, 0xc1b5))
-	if s.Hosted = rng.IntN(3) == 0; !s.Hosted {
+	if s.DynamicTenants = rng.IntN(3) == 0; !s.DynamicTenants {
 		return
 	}
-	of := kinds[len(kinds)-3:]
+	of := faultKinds[len(faultKinds)-3:]
 	for range 1 + rng.IntN(3) {
 		k := of[rng.IntN(len(of))]
 		s.Faults = append(s.Faults, Fault{
-			At: float64(rng.IntN(int(s.Lasts))), Kind: k.name, A: clubNames[rng.IntN(len(clubNames))],
-			For: whole(k.least + (k.top-k.least)*rng.Float64()), Size: float64(int(100*(k.low+(k.high-k.low)*rng.Float64()))) / 100,
+			At: float64(rng.IntN(int(s.Duration))), Kind: k.name, Target: tenantNames[rng.IntN(len(tenantNames))],
+			Duration: truncate(k.minDuration + (k.maxDuration-k.minDuration)*rng.Float64()), Size: float64(int(100*(k.minSize+(k.maxSize-k.minSize)*rng.Float64()))) / 100,
 		})
 	}
 }
 
-// meet lets three schedulers know each other in some of the scripts, by chance of its own too.
-func (s *Script) meet() {
+// addMembershipFaults lets three schedulers know each other in some of the scripts, by chance of its own too.
+func (s *Script) addMembershipFaults() {
 	rng := rand.New(rand.NewPCG(s.Seed, 0x3e33))
 	if s.Members = rng.IntN(3) == 0; !s.Members {
 		return
@@ -163,8 +163,8 @@
 	for range rng.IntN(4) {
 		a := rng.IntN(3)
 		f := Fault{
-			At: float64(rng.IntN(int(s.Lasts))), Kind: "deaf", A: fmt.Sprint("s", a), B: fmt.Sprint("s", (a+1+rng.IntN(2))%3),
-			For: whole(500 + 7500*rng.Float64()), Size: float64(int(60*rng.Float64())) / 100,
+			At: float64(rng.IntN(int(s.Duration))), Kind: "deaf", Target: fmt.Sprint("s", a), Peer: fmt.Sprint("s", (a+1+rng.IntN(2))%3),
+			Duration: truncate(500 + 7500*rng.Float64()), Size: float64(int(60*rng.Float64())) / 100,
 		}
 		if rng.IntN(2) == 0 {
 			f.Kind = "lossy"
@@ -172,48 +172,48 @@
 		s.Faults = append(s.Faults, f)
 	}
 	for range rng.IntN(2) {
-		s.Faults = append(s.Faults, Fault{At: float64(rng.IntN(int(s.Lasts))), Kind: "kill", A: "s2", For: whole(100 + 4000*rng.Float64())})
+		s.Faults = append(s.Faults, Fault{At: float64(rng.IntN(int(s.Duration))), Kind: "kill", Target: "s2", Duration: truncate(100 + 4000*rng.Float64())})
 	}
 }
 
-func whole(v float64) float64 { return float64(int(v)) }
+func truncate(v float64) float64 { return float64(int(v)) }
 
-const opening = "ravenpond-script 1"
+const header = "ravenpond-script 1"
 
 // String writes the script as Parse reads it.
 func (s Script) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s\nseed %d\nnodes %d\nschedulers %d\nshards %d %s\nasked %v\ncold %v\nrate %g\nlasts %g\n", opening, s.Seed,
-		s.Nodes, s.Schedulers, s.Shards, s.Share, s.Asks, s.Cold, s.Rate, s.Lasts)
-	if s.Hosted {
+	fmt.Fprintf(&b, "%s\nseed %d\nnodes %d\nschedulers %d\nshards %d %s\nasked %v\ncold %v\nrate %g\nlasts %g\n", header, s.Seed,
+		s.Nodes, s.Schedulers, s.Shards, s.ConnectionSharing, s.ListPolled, s.ColdStart, s.Rate, s.Duration)
+	if s.DynamicTenants {
 		b.WriteString("hosted true\n")
 	}
 	if s.Members {
 		b.WriteString("members true\n")
 	}
-	if s.Set > 0 {
-		fmt.Fprintf(&b, "set %d\n", s.Set)
+	if s.WorkingSetSize > 0 {
+		fmt.Fprintf(&b, "set %d\n", s.WorkingSetSize)
 	}
 	for _, f := range s.Faults {
-		a, z := f.A, f.B
+		a, z := f.Target, f.Peer
 		if a == "" {
 			a = "-"
 		}
 		if z == "" {
 			z = "-"
 		}
-		fmt.Fprintf(&b, "fault %g %s %s %s %g %g\n", f.At, f.Kind, a, z, f.For, f.Size)
+		fmt.Fprintf(&b, "fault %g %s %s %s %g %g\n", f.At, f.Kind, a, z, f.Duration, f.Size)
 	}
 	return b.String()
 }
 
 // ParseFault reads a fault as it stands in a script, behind its word.
 func ParseFault(text string) (f Fault, err error) {
-	if _, err = fmt.Sscan(text, &f.At, &f.Kind, &f.A, &f.B, &f.For, &f.Size); err != nil {
+	if _, err = fmt.Sscan(text, &f.At, &f.Kind, &f.Target, &f.Peer, &f.Duration, &f.Size); err != nil {
 		return f, err
 	}
-	f.A, f.B = strings.Trim(f.A, "-"), strings.Trim(f.B, "-")
-	if !slices.ContainsFunc(kinds, func(k kind) bool { return k.name == f.Kind }) {
+	f.Target, f.Peer = strings.Trim(f.Target, "-"), strings.Trim(f.Peer, "-")
+	if !slices.ContainsFunc(faultKinds, func(k faultKind) bool { return k.name == f.Kind }) {
 		err = fmt.Errorf("unknown fault %q", f.Kind)
 	}
 	return f, err
@@ -230,8 +230,8 @@
 			continue
 		}
 		if !seen["opening"] {
-			if seen["opening"] = true; text != opening {
-				return s, fmt.Errorf("script: %.40q, expected %q", text, opening)
+			if seen["opening"] = true; text != header {
+				return s, fmt.Errorf("script: %.40q, expected %q", text, header)
 			}
 			continue
 		}
@@ -241,9 +241,9 @@
 		}
 		seen[word] = true
 		into, ok := map[string][]any{
-			"seed": {&s.Seed}, "nodes": {&s.Nodes}, "schedulers": {&s.Schedulers}, "shards": {&s.Shards, &s.Share},
-			"asked": {&s.Asks}, "cold": {&s.Cold}, "rate": {&s.Rate}, "lasts": {&s.Lasts}, "hosted": {&s.Hosted}, "members": {&s.Members},
-			"set": {&s.Set},
+			"seed": {&s.Seed}, "nodes": {&s.Nodes}, "schedulers": {&s.Schedulers}, "shards": {&s.Shards, &s.ConnectionSharing},
+			"asked": {&s.ListPolled}, "cold": {&s.ColdStart}, "rate": {&s.Rate}, "lasts": {&s.Duration}, "hosted": {&s.DynamicTenants}, "members": {&s.Members},
+			"set": {&s.WorkingSetSize},
 		}[word]
 		switch {
 		case word == "fault":
@@ -268,28 +268,28 @@
 // Check tells what is wrong with a script.
 func (s *Script) Check() error {
 	switch {
-	case s.Nodes < 1 || s.Nodes > 2000 || s.Schedulers < 1 || s.Schedulers > 4096 || s.Shards < 1 || s.Shards > mostShards:
-		return fmt.Errorf("script: 1 to 2000 nodes, 1 to 4096 schedulers and 1 to %d shards are expected", mostShards)
-	case !(s.Rate > 0) || !(s.Lasts > 0) || s.Rate > 1e5 || s.Lasts > 1e8:
+	case s.Nodes < 1 || s.Nodes > 2000 || s.Schedulers < 1 || s.Schedulers > 4096 || s.Shards < 1 || s.Shards > maxShards:
+		return fmt.Errorf("script: 1 to 2000 nodes, 1 to 4096 schedulers and 1 to %d shards are expected", maxShards)
+	case !(s.Rate > 0) || !(s.Duration > 0) || s.Rate > 1e5 || s.Duration > 1e8:
 		return errors.New("script: rate and lasts above 0 are expected")
-	case s.Set < 0 || s.Set > 0 && s.Share == "own":
+	case s.WorkingSetSize < 0 || s.WorkingSetSize > 0 && s.ConnectionSharing == "own":
 		return errors.New("script: a set of 0 nodes or more is expected, of shards that share connections")
-	case s.Share != "shared" && s.Share != "own" && s.Share != "informed":
-		return fmt.Errorf("script: shards share %q: shared, own or informed is expected", s.Share)
+	case s.ConnectionSharing != "shared" && s.ConnectionSharing != "own" && s.ConnectionSharing != "informed":
+		return fmt.Errorf("script: shards share %q: shared, own or informed is expected", s.ConnectionSharing)
 	}
 	for _, f := range s.Faults {
-		if !(f.At >= 0) || !(f.For >= 0) {
+		if !(f.At >= 0) || !(f.Duration >= 0) {
 			return fmt.Errorf("script: fault %s: times from 0 on are expected", f.Kind)
 		}
-		for _, name := range []string{f.A, f.B} {
+		for _, name := range []string{f.Target, f.Peer} {
 			var i int
-			ok := name == "" || name == "list" || s.Hosted && slices.Contains(clubNames, name)
+			ok := name == "" || name == "list" || s.DynamicTenants && slices.Contains(tenantNames, name)
 			if _, err := fmt.Sscanf(name, "s%d", &i); err == nil {
 				ok = i >= 0 && i < s.Schedulers
 			} else if _, err := fmt.Sscanf(name, "n%d", &i); err == nil {
 				ok = i >= 1 && i <= s.Nodes
 			} else if _, err := fmt.Sscanf(name, "o%d", &i); err == nil {
-				ok = i >= 0 && i < s.Schedulers*ownersEach
+				ok = i >= 0 && i < s.Schedulers*clientsPerScheduler
 			}
 			if !ok {
 				return fmt.Errorf("script: fault %s: nobody is called %q here", f.Kind, name)
@@ -300,11 +300,11 @@
 }
 
 // Shrink takes out of a script what is not needed for it to fail: faults first, then time and nodes.
-func Shrink(s Script, fails func(Script) bool, say func(Script)) Script {
-	try := func(t Script) bool {
+func Shrink(s Script, fails func(Script) bool, progress func(Script)) Script {
+	attempt := func(t Script) bool {
 		if t.Check() == nil && fails(t) {
 			s = t
-			say(s)
+			progress(s)
 			return true
 		}
 		return false
@@ -313,7 +313,7 @@
 		for at := 0; at+size <= len(s.Faults); {
 			t := s
 			t.Faults = slices.Delete(slices.Clone(s.Faults), at, at+size)
-			if !try(t) {
+			if !attempt(t) {
 				at++
 			}
 		}
@@ -327,18 +327,18 @@
 		func(t *Script) { t.Shards-- },
 		func(t *Script) { t.Nodes-- },
 		func(t *Script) { t.Rate *= 0.7 },
-		func(t *Script) { t.Lasts *= 0.8 },
-		func(t *Script) { t.Cold = false },
-		func(t *Script) { t.Asks = false },
-		func(t *Script) { t.Hosted = false },
+		func(t *Script) { t.Duration *= 0.8 },
+		func(t *Script) { t.ColdStart = false },
+		func(t *Script) { t.ListPolled = false },
+		func(t *Script) { t.DynamicTenants = false },
 		func(t *Script) { t.Members = false },
-		func(t *Script) { t.Share = "shared" },
-		func(t *Script) { t.Set = 0 },
+		func(t *Script) { t.ConnectionSharing = "shared" },
+		func(t *Script) { t.WorkingSetSize = 0 },
 	} {
 		for range 6 {
 			t := s
 			smaller(&t)
-			if fmt.Sprint(t) == fmt.Sprint(s) || !try(t) {
+			if fmt.Sprint(t) == fmt.Sprint(s) || !attempt(t) {
 				break
 			}
 		}
@@ -347,8 +347,8 @@
 		for range 4 {
 			t := s
 			t.Faults = slices.Clone(s.Faults)
-			t.Faults[i].For = whole(t.Faults[i].For / 2)
-			if t.Faults[i].For == s.Faults[i].For || !try(t) {
+			t.Faults[i].Duration = truncate(t.Faults[i].Duration / 2)
+			if t.Faults[i].Duration == s.Faults[i].Duration || !attempt(t) {
 				break
 			}
 		}
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -13,26 +13,26 @@
 
 // TestSeeds plays scripts drawn from seeds: nothing may break.
 func TestSeeds(t *testing.T) {
-	sum := Seeds(context.Background(), 0, 40, runtime.NumCPU(), nil, 0, nil)
-	for _, v := range sum.Broken {
-		t.Errorf("seed %d: %s\n%s", v.Script.Seed, v.Broken, v.Script)
+	sum := RunSeeds(context.Background(), 0, 40, runtime.NumCPU(), nil, 0, nil)
+	for _, v := range sum.Failures {
+		t.Errorf("seed %d: %s\n%s", v.Script.Seed, v.Failure, v.Script)
 	}
-	if sum.Seeds != 40 || sum.Served < sum.Asks*3/4 {
-		t.Errorf("%d seeds, %d of %d asks served", sum.Seeds, sum.Served, sum.Asks)
+	if sum.Seeds != 40 || sum.Served < sum.Requests*3/4 {
+		t.Errorf("%d seeds, %d of %d asks served", sum.Seeds, sum.Served, sum.Requests)
 	}
 }
 
 // TestSameTrace plays seeds twice, with other numbers of processors and another pace of the garbage collector.
 func TestSameTrace(t *testing.T) {
 	const seeds = 8
-	first := Seeds(context.Background(), 500, 500+seeds, runtime.NumCPU(), nil, 0, nil)
+	first := RunSeeds(context.Background(), 500, 500+seeds, runtime.NumCPU(), nil, 0, nil)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	defer debug.SetGCPercent(debug.SetGCPercent(5))
-	again := Seeds(context.Background(), 500, 500+seeds, 1, nil, 0, nil)
+	again := RunSeeds(context.Background(), 500, 500+seeds, 1, nil, 0, nil)
 	if first.Trace != again.Trace || first.Steps != again.Steps || first.Trace == 0 {
 		t.Errorf("traces %x and %x, %d and %d steps", first.Trace, again.Trace, first.Steps, again.Steps)
 	}
-	if other := Seeds(context.Background(), 501, 501+seeds, 1, nil, 0, nil); other.Trace == first.Trace {
+	if other := RunSeeds(context.Background(), 501, 501+seeds, 1, nil, 0, nil); other.Trace == first.Trace {
 		t.Error("other seeds give the same trace")
 	}
 }
@@ -55,8 +55,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if v := Play(s, nil, nil); v.Broken != "" || v.Asks == 0 {
-				t.Errorf("%d asks, %s", v.Asks, v.Broken)
+			if v := Run(s, nil, nil); v.Failure != "" || v.Requests == 0 {
+				t.Errorf("%d asks, %s", v.Requests, v.Failure)
 			}
 		})
 	}
@@ -70,15 +70,15 @@
 		"the life is used before it is on the disk": 2570, "the window of tokened tries is too long": 12, "answers come at the expiry": 74,
 		"a removal lets what runs go on": 50, "a removed tenant is only paused": 50,
 	}
-	for i := range Plants {
-		p := &Plants[i]
+	for i := range ProgramFaults {
+		p := &ProgramFaults[i]
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			sum := Seeds(context.Background(), from[p.Name], from[p.Name]+40, 1, p, 1, nil)
-			if len(sum.Broken) == 0 {
+			sum := RunSeeds(context.Background(), from[p.Name], from[p.Name]+40, 1, p, 1, nil)
+			if len(sum.Failures) == 0 {
 				t.Errorf("not found by %d seeds", sum.Seeds)
 			} else {
-				t.Logf("found after %d seeds: %.150s", sum.Seeds, sum.Broken[0].Broken)
+				t.Logf("found after %d seeds: %.150s", sum.Seeds, sum.Failures[0].Failure)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 	}
 	text := Draw(3).String()
 	for _, c := range []struct{ name, old, new, want string }{
-		{"another opening", opening, "script 9", "expected"},
+		{"another opening", header, "script 9", "expected"},
 		{"unknown word", "rate", "rhyme", "unknown word"},
 		{"twice", "seed 3\n", "seed 3\nseed 4\n", "stands twice"},
 		{"no number", "seed 3", "seed x", "line 2"},
@@ -122,17 +122,17 @@
 // TestShrink takes out what is not needed: of many faults the one that a made-up failure needs.
 func TestShrink(t *testing.T) {
 	s := Draw(7)
-	s.Faults = append(s.Faults, Fault{At: 4000, Kind: "kill", A: "s0", For: 800})
+	s.Faults = append(s.Faults, Fault{At: 4000, Kind: "kill", Target: "s0", Duration: 800})
 	fails := func(t Script) bool {
 		for _, f := range t.Faults {
-			if f.Kind == "kill" && f.For >= 100 {
+			if f.Kind == "kill" && f.Duration >= 100 {
 				return t.Nodes >= 2
 			}
 		}
 		return false
 	}
 	small := Shrink(s, fails, func(Script) {})
-	if len(small.Faults) != 1 || small.Nodes != 2 || small.Schedulers != 1 || small.Shards != 1 || small.Faults[0].For >= 200 ||
+	if len(small.Faults) != 1 || small.Nodes != 2 || small.Schedulers != 1 || small.Shards != 1 || small.Faults[0].Duration >= 200 ||
 		!fails(small) {
 		t.Errorf("%s", small)
 	}
@@ -142,19 +142,19 @@
 func TestKillAtEachStep(t *testing.T) {
 	for n := 1; n < 120; n += 10 {
 		s := Script{
-			Seed: uint64(n), Nodes: 3, Schedulers: 1, Shards: 2, Share: "shared", Rate: 60, Lasts: 2500,
-			Faults: []Fault{{At: 900, Kind: "kill-in", A: "s0", For: 400, Size: float64(n)}},
+			Seed: uint64(n), Nodes: 3, Schedulers: 1, Shards: 2, ConnectionSharing: "shared", Rate: 60, Duration: 2500,
+			Faults: []Fault{{At: 900, Kind: "kill-in", Target: "s0", Duration: 400, Size: float64(n)}},
 		}
-		if v := Play(s, nil, nil); v.Broken != "" {
-			t.Errorf("after %d effects: %s", n, v.Broken)
+		if v := Run(s, nil, nil); v.Failure != "" {
+			t.Errorf("after %d effects: %s", n, v.Failure)
 		}
 	}
 }
 
 func BenchmarkSeed(b *testing.B) {
 	for i := 0; b.Loop(); i++ {
-		if v := Play(Draw(uint64(i)), nil, nil); v.Broken != "" {
-			b.Fatal(fmt.Sprint(v.Script), v.Broken)
+		if v := Run(Draw(uint64(i)), nil, nil); v.Failure != "" {
+			b.Fatal(fmt.Sprint(v.Script), v.Failure)
 		}
 	}
 }
--- a/internal/lab/sim/slow_test.go
+++ b/internal/lab/sim/slow_test.go
@@ -9,12 +9,12 @@
 // are heard: what may run there goes on to count for its service's spread.
 func TestSlowNodes(t *testing.T) {
 	for _, seed := range []uint64{3, 4, 5} {
-		s := Script{Seed: seed, Nodes: 4, Schedulers: 1, Shards: 1, Share: "shared", Rate: 100, Lasts: 15000}
+		s := Script{Seed: seed, Nodes: 4, Schedulers: 1, Shards: 1, ConnectionSharing: "shared", Rate: 100, Duration: 15000}
 		for n := range s.Nodes {
-			s.Faults = append(s.Faults, Fault{At: 5, Kind: "slow", A: "s0", B: fmt.Sprint("n", n+1), For: 25000, Size: 300})
+			s.Faults = append(s.Faults, Fault{At: 5, Kind: "slow", Target: "s0", Peer: fmt.Sprint("n", n+1), Duration: 25000, Size: 300})
 		}
-		if v := Play(s, nil, nil); v.Broken != "" || v.Served < 100 {
-			t.Errorf("seed %d: %d served of %d: %s", seed, v.Served, v.Asks, v.Broken)
+		if v := Run(s, nil, nil); v.Failure != "" || v.Served < 100 {
+			t.Errorf("seed %d: %d served of %d: %s", seed, v.Served, v.Requests, v.Failure)
 		}
 	}
 }
--- a/internal/lab/sim/workingset_test.go
+++ b/internal/lab/sim/workingset_test.go
@@ -12,28 +12,28 @@
 
 // TestSeedsWithSet plays drawn scripts with working sets: nothing may break.
 func TestSeedsWithSet(t *testing.T) {
-	sum := SeedsWith(context.Background(), 0, 40, runtime.NumCPU(), nil, 0, nil, func(s Script) Script { return s.WithSet(2) })
-	for _, v := range sum.Broken {
-		t.Errorf("seed %d: %s\n%s", v.Script.Seed, v.Broken, v.Script)
+	sum := RunSeedsWith(context.Background(), 0, 40, runtime.NumCPU(), nil, 0, nil, func(s Script) Script { return s.WithWorkingSet(2) })
+	for _, v := range sum.Failures {
+		t.Errorf("seed %d: %s\n%s", v.Script.Seed, v.Failure, v.Script)
 	}
-	if sum.Seeds != 40 || sum.Served < sum.Asks*7/10 {
-		t.Errorf("%d seeds, %d of %d asks served", sum.Seeds, sum.Served, sum.Asks)
+	if sum.Seeds != 40 || sum.Served < sum.Requests*7/10 {
+		t.Errorf("%d seeds, %d of %d asks served", sum.Seeds, sum.Served, sum.Requests)
 	}
 }
 
 // longWork is a script of work that runs longer than a scheduler waits for a node that is gone, with sets that follow
 // the load: they grow and shrink with bursts, and begin small again when a scheduler comes back.
-func longWork(seed uint64) Game {
+func longWork(seed uint64) Simulation {
 	working := site.WorkingSet{MinNodes: 2, SpareFactor: 3, NodesPerStart: 0.2, MinPerStratum: 1, NarrowAfter: 400}
 	faults := []Fault{
-		{At: 2000, Kind: "flood", For: 1500, Size: 4},
-		{At: 9000, Kind: "kill", A: "s0", For: 300},
-		{At: 13_000, Kind: "flood", For: 1500, Size: 4},
-		{At: 20_000, Kind: "kill", A: "s1", For: 300},
+		{At: 2000, Kind: "flood", Duration: 1500, Size: 4},
+		{At: 9000, Kind: "kill", Target: "s0", Duration: 300},
+		{At: 13_000, Kind: "flood", Duration: 1500, Size: 4},
+		{At: 20_000, Kind: "kill", Target: "s1", Duration: 300},
 	}
-	return Game{Life: 10_000, Settles: 20_000, Working: &working, Script: Script{
+	return Simulation{TaskRuntime: 10_000, SettleTime: 20_000, WorkingSet: &working, Script: Script{
 		Seed: seed, Nodes: 12, Schedulers: 2, Shards: 1,
-		Share: "shared", Rate: 8, Lasts: 28_000, Faults: faults,
+		ConnectionSharing: "shared", Rate: 8, Duration: 28_000, Faults: faults,
 	}}
 }
 
@@ -42,7 +42,7 @@
 type harm struct{ lost, twice int }
 
 // played plays work that runs long, of several seeds, and sums up what went wrong. No node fails, so no work is lost.
-func played(t *testing.T, least int, plant *Plant) (all harm) {
+func played(t *testing.T, least int, plant *ProgramFault) (all harm) {
 	for seed := range uint64(6) {
 		type attempt struct {
 			ticket uint64
@@ -50,8 +50,8 @@
 		}
 		tokens, runs := map[attempt]uint64{}, map[uint64]int{}
 		g := longWork(seed)
-		g.Working.MinNodes, g.Plant = least, plant
-		g.Seen = func(r *audit.Record) {
+		g.WorkingSet.MinNodes, g.ProgramFault = least, plant
+		g.OnRecord = func(r *audit.Record) {
 			a := attempt{r.Ticket, r.Attempt}
 			switch r.Kind {
 			case audit.PlacementReceived:
@@ -64,11 +64,11 @@
 				runs[tokens[a]] = max(0, runs[tokens[a]]-1)
 			}
 		}
-		v := g.Play()
-		if v.Broken != "" && plant == nil || v.Served < 50 {
-			t.Errorf("seed %d: %d served, %s", seed, v.Served, v.Broken)
+		v := g.Run()
+		if v.Failure != "" && plant == nil || v.Served < 50 {
+			t.Errorf("seed %d: %d served, %s", seed, v.Served, v.Failure)
 		}
-		all.lost += v.Lost
+		all.lost += v.LostTasks
 	}
 	return all
 }
@@ -81,23 +81,23 @@
 	if full.lost > 0 || wrong(set) {
 		t.Errorf("all nodes: %+v, working sets: %+v", full, set)
 	}
-	for i := range SetPlants {
-		h := played(t, 2, &SetPlants[i])
-		t.Logf("%q: %+v, without it %+v, with all nodes %+v", SetPlants[i].Name, h, set, full)
+	for i := range WorkingSetFaults {
+		h := played(t, 2, &WorkingSetFaults[i])
+		t.Logf("%q: %+v, without it %+v, with all nodes %+v", WorkingSetFaults[i].Name, h, set, full)
 		if !wrong(h) {
-			t.Errorf("%q is not found", SetPlants[i].Name)
+			t.Errorf("%q is not found", WorkingSetFaults[i].Name)
 		}
 	}
 }
 
 // TestSetText writes and reads a script with a set.
 func TestSetText(t *testing.T) {
-	s := Draw(3).WithSet(7)
+	s := Draw(3).WithWorkingSet(7)
 	back, err := Parse(strings.NewReader(s.String()))
-	if err != nil || back.Set != 7 || back.String() != s.String() {
+	if err != nil || back.WorkingSetSize != 7 || back.String() != s.String() {
 		t.Errorf("%v\n%s\n%s", err, s, back)
 	}
-	s.Share = "own"
+	s.ConnectionSharing = "own"
 	if s.Check() == nil {
 		t.Error("a set of shards with connections of their own passes")
 	}
--- a/internal/lab/sim/world.go
+++ b/internal/lab/sim/world.go
@@ -17,41 +17,41 @@
 
 // event is something that happens, in a life of a process or in none.
 type event struct {
-	p    *Process
-	life int
-	run  func()
+	process     *Process
+	incarnation int
+	run         func()
 }
 
 // Clock is the true time and all that is to happen.
 type Clock struct {
-	rng    *rand.Rand
-	now    float64 // ms
-	events agenda.Agenda[event]
-	steps  uint64
-	trace  xxhash.Digest
-	procs  []*Process
-	doors  map[string]*door
-	ways   map[[2]string]*way
-	ports  map[string]*port
-	lanes  map[[2]string]*Lane
-	out    io.Writer // is given the trace in words, if it is not nil
+	rng           *rand.Rand
+	now           float64 // ms
+	events        agenda.Agenda[event]
+	steps         uint64
+	trace         xxhash.Digest
+	processes     []*Process
+	listeners     map[string]*listener
+	links         map[[2]string]*link
+	packetConns   map[string]*packetConn
+	datagramLinks map[[2]string]*DatagramLink
+	traceOut      io.Writer // is given the trace in words, if it is not nil
 }
 
 // NewClock begins a world.
 func NewClock(seed uint64) *Clock {
 	c := &Clock{
-		rng: rand.New(rand.NewPCG(seed, 0x51)), doors: map[string]*door{}, ways: map[[2]string]*way{},
-		ports: map[string]*port{}, lanes: map[[2]string]*Lane{},
+		rng: rand.New(rand.NewPCG(seed, 0x51)), listeners: map[string]*listener{}, links: map[[2]string]*link{},
+		packetConns: map[string]*packetConn{}, datagramLinks: map[[2]string]*DatagramLink{},
 	}
 	c.trace.Reset()
 	return c
 }
 
-// at has something happen, to a process unless that is nil or in a later life by then.
-func (c *Clock) at(p *Process, when float64, run func()) {
-	e := event{p: p, run: run}
+// schedule has something happen, to a process unless that is nil or in a later life by then.
+func (c *Clock) schedule(p *Process, when float64, run func()) {
+	e := event{process: p, run: run}
 	if p != nil {
-		e.life = p.life
+		e.incarnation = p.incarnation
 	}
 	c.events.Add(max(when, c.now), e)
 }
@@ -65,13 +65,13 @@
 	}
 	c.now = at
 	switch {
-	case e.p == nil:
+	case e.process == nil:
 		e.run()
-	case e.p.life != e.life || e.p.dead:
-	case e.p.paused:
-		e.p.late = append(e.p.late, e)
-	case e.p.core != nil:
-		e.p.core.take(e)
+	case e.process.incarnation != e.incarnation || e.process.dead:
+	case e.process.paused:
+		e.process.deferred = append(e.process.deferred, e)
+	case e.process.cpu != nil:
+		e.process.cpu.submit(e)
 	default:
 		c.steps++
 		e.run()
@@ -79,58 +79,58 @@
 	return true
 }
 
-// note writes something that happened into the trace's hash.
-func (c *Clock) note(format string, args ...any) {
+// tracef writes something that happened into the trace's hash.
+func (c *Clock) tracef(format string, args ...any) {
 	fmt.Fprintf(&c.trace, "%.6f ", c.now)
 	fmt.Fprintf(&c.trace, format, args...)
-	if c.out != nil {
-		fmt.Fprintf(c.out, "%.3f ", c.now)
-		fmt.Fprintf(c.out, format, args...)
+	if c.traceOut != nil {
+		fmt.Fprintf(c.traceOut, "%.3f ", c.now)
+		fmt.Fprintf(c.traceOut, format, args...)
 	}
 }
 
 // Process is an operating system's process on a host of its own: its clock, connections and what it is about to do
 // are gone when it is killed.
 type Process struct {
-	c    *Clock
-	Name string
-	// Prompt has what the process sends leave with the call that sends it, not by a writer of its own.
-	Prompt bool
-	life   int
-	dead   bool
-	rng    *rand.Rand
-
-	paused  bool
-	resumed float64
-	late    []event // what came while it stood still
-
-	err   float64 // ms by which the machine's clock is wrong
-	drift float64 // part by which it runs fast
-	began float64 // true time and its clock's, at the start of this life
-	base  float64
-
-	conns   []*conn
-	core    *core // nil: its code takes no time
-	dieIn   int   // effects after which it is killed, 0: not planned
-	onDeath func()
+	clock *Clock
+	Name  string
+	// SynchronousWrites has what the process sends leave with the call that sends it, not by a writer of its own.
+	SynchronousWrites bool
+	incarnation       int
+	dead              bool
+	rng               *rand.Rand
+
+	paused    bool
+	resumedAt float64
+	deferred  []event // what came while it stood still
+
+	clockError float64 // ms by which the machine's clock is wrong
+	drift      float64 // part by which it runs fast
+	startedAt  float64 // true time and its clock's, at the start of this life
+	clockBase  float64
+
+	conns            []*conn
+	cpu              *cpu // nil: its code takes no time
+	effectsUntilKill int  // effects after which it is killed, 0: not planned
+	onDeath          func()
 }
 
 // NewProcess makes a process, which begins.
 func (c *Clock) NewProcess(name string) *Process {
-	p := &Process{c: c, Name: name, rng: rand.New(rand.NewPCG(c.rng.Uint64(), uint64(len(c.procs))))}
-	c.procs = append(c.procs, p)
+	p := &Process{clock: c, Name: name, rng: rand.New(rand.NewPCG(c.rng.Uint64(), uint64(len(c.processes))))}
+	c.processes = append(c.processes, p)
 	p.Start()
 	return p
 }
 
-// day is where all clocks begin, in ms: what began at their zero would count as of long ago.
-const day = 24 * 3600e3
+// clockOrigin is where all clocks begin, in ms: what began at their zero would count as of long ago.
+const clockOrigin = 24 * 3600e3
 
 // Start begins a life.
 func (p *Process) Start() {
-	p.life++
-	p.dead, p.paused, p.late, p.dieIn, p.resumed = false, false, nil, 0, math.Inf(-1)
-	p.began, p.base = p.c.now, day+p.c.now+p.err
+	p.incarnation++
+	p.dead, p.paused, p.deferred, p.effectsUntilKill, p.resumedAt = false, false, nil, 0, math.Inf(-1)
+	p.startedAt, p.clockBase = p.clock.now, clockOrigin+p.clock.now+p.clockError
 }
 
 // Kill ends the life at once, as kill -9 does: what was handed to the network still arrives. With the power gone
@@ -139,18 +139,18 @@
 	if p.dead {
 		return
 	}
-	p.c.note("kill %s %v\n", p.Name, power)
+	p.clock.tracef("kill %s %v\n", p.Name, power)
 	p.dead = true
-	p.life++
-	p.late = nil
+	p.incarnation++
+	p.deferred = nil
 	conns := p.conns
 	p.conns = nil
 	for _, x := range conns {
-		x.vanish(power)
+		x.dropWithProcess(power)
 	}
-	for _, d := range p.c.doors {
-		if d.p == p {
-			delete(p.c.doors, d.address)
+	for _, d := range p.clock.listeners {
+		if d.process == p {
+			delete(p.clock.listeners, d.address)
 		}
 	}
 	if p.onDeath != nil {
@@ -158,16 +158,16 @@
 	}
 }
 
-// KillIn has the process killed in the midst of what it does, after so many effects.
-func (p *Process) KillIn(effects int) { p.dieIn = effects }
+// KillAfterEffects has the process killed in the midst of what it does, after so many effects.
+func (p *Process) KillAfterEffects(effects int) { p.effectsUntilKill = effects }
 
 // effect counts an effect; false if the process is dead.
 func (p *Process) effect() bool {
 	if p.dead {
 		return false
 	}
-	if p.dieIn > 0 {
-		if p.dieIn--; p.dieIn == 0 {
+	if p.effectsUntilKill > 0 {
+		if p.effectsUntilKill--; p.effectsUntilKill == 0 {
 			p.Kill(false)
 			return false
 		}
@@ -183,23 +183,23 @@
 	if !p.paused || p.dead {
 		return
 	}
-	p.paused, p.resumed = false, p.c.now
-	late := p.late
-	p.late = nil
+	p.paused, p.resumedAt = false, p.clock.now
+	late := p.deferred
+	p.deferred = nil
 	for _, e := range late {
-		p.c.at(p, p.c.now, e.run)
+		p.clock.schedule(p, p.clock.now, e.run)
 	}
 }
 
-// Jump sets the machine's clock, in ms: the wall clock shows it, what counts time does not.
-func (p *Process) Jump(ms float64) { p.err += ms }
+// JumpClock sets the machine's clock, in ms: the wall clock shows it, what counts time does not.
+func (p *Process) JumpClock(ms float64) { p.clockError += ms }
 
 // Now is the process's clock.
-func (p *Process) Now() float64 { return p.base + (p.c.now-p.began)*(1+p.drift) }
+func (p *Process) Now() float64 { return p.clockBase + (p.clock.now-p.startedAt)*(1+p.drift) }
 
 // WallClock is the machine's clock.
 func (p *Process) WallClock() time.Time {
-	ms := day + p.c.now*(1+p.drift) + p.err
+	ms := clockOrigin + p.clock.now*(1+p.drift) + p.clockError
 	return outside.Epoch.Add(time.Duration(ms * 1e6))
 }
 
@@ -211,7 +211,7 @@
 func (p *Process) After(ms float64, f func()) outside.Timer {
 	t := &timer{}
 	if !p.dead {
-		p.c.at(p, p.c.now+max(0, ms)/(1+p.drift)+0.02*p.rng.Float64(), func() {
+		p.clock.schedule(p, p.clock.now+max(0, ms)/(1+p.drift)+0.02*p.rng.Float64(), func() {
 			if !t.stopped {
 				f()
 			}
@@ -221,26 +221,26 @@
 }
 
 type loop struct {
-	p     *Process
-	turn  func() float64
-	woken bool
-	ended bool
-	gen   int // of the plan for the next turn
+	process    *Process
+	turn       func() float64
+	woken      bool
+	ended      bool
+	generation int // of the plan for the next turn
 }
 
 // StartLoop calls turn as it asks for and when woken.
 func (p *Process) StartLoop(turn func() float64) outside.Loop {
-	l := &loop{p: p, turn: turn}
+	l := &loop{process: p, turn: turn}
 	l.Wake()
 	return l
 }
 
 func (l *loop) Wake() {
-	if l.woken || l.ended || l.p.dead {
+	if l.woken || l.ended || l.process.dead {
 		return
 	}
 	l.woken = true
-	l.p.c.at(l.p, l.p.c.now+0.002+0.02*l.p.rng.Float64(), l.run)
+	l.process.clock.schedule(l.process, l.process.clock.now+0.002+0.02*l.process.rng.Float64(), l.run)
 }
 
 func (l *loop) HasEnded() bool { return l.ended }
@@ -250,32 +250,32 @@
 		return
 	}
 	l.woken = false
-	l.gen++
-	gen := l.gen
-	l.p.costs(func(w *Work) float64 { return w.Turn })
+	l.generation++
+	gen := l.generation
+	l.process.charge(func(w *CPUCost) float64 { return w.Turn })
 	wait := l.turn()
 	if wait < 0 {
 		l.ended = true
 		return
 	}
-	l.p.c.at(l.p, l.p.c.now+max(0.01, wait), func() {
-		if l.gen == gen && !l.woken {
+	l.process.clock.schedule(l.process, l.process.clock.now+max(0.01, wait), func() {
+		if l.generation == gen && !l.woken {
 			l.run()
 		}
 	})
 }
 
-// Until lets happen what happens before a true time, in ms.
-func (c *Clock) Until(at float64) {
+// RunUntil lets happen what happens before a true time, in ms.
+func (c *Clock) RunUntil(at float64) {
 	for c.step(at) {
 	}
 }
 
-// True is the true time.
-func (c *Clock) True() float64 { return c.now }
+// TrueTime is the true time.
+func (c *Clock) TrueTime() float64 { return c.now }
 
-// Drift has the process's clock run fast by a part, or slow, from its next life on.
-func (p *Process) Drift(part float64) { p.drift = part }
+// SetDrift has the process's clock run fast by a part, or slow, from its next life on.
+func (p *Process) SetDrift(part float64) { p.drift = part }
 
 // Paused tells whether the process stands still.
 func (p *Process) Paused() bool { return p.paused }
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -121,7 +121,7 @@
 	g.ends = begins
 	g.faults()
 	for at := 0.0; at < g.ends+settles && g.v.Broken == ""; at += looks {
-		g.c.Until(at)
+		g.c.RunUntil(at)
 		g.look()
 		g.work()
 	}
@@ -133,7 +133,7 @@
 
 func (g *play) fail(what string) {
 	if g.v.Broken == "" {
-		g.v.Broken = fmt.Sprintf("at %.0f ms, %s: %s", g.c.True(), g.v.Fault, what)
+		g.v.Broken = fmt.Sprintf("at %.0f ms, %s: %s", g.c.TrueTime(), g.v.Fault, what)
 	}
 }
 
@@ -180,7 +180,7 @@
 	g, sums := x.g, map[string]zones.Summary{}
 	for _, z := range all {
 		s := zones.Summary{Nodes: eachNodes, Capacity: eachRoom, Used: g.used[z.Name]}
-		if g.c.True()-g.lately[[2]string{x.name, z.Name}] < silent {
+		if g.c.TrueTime()-g.lately[[2]string{x.name, z.Name}] < silent {
 			s.Reachable = eachNodes - g.quiet[z.Name]
 		}
 		sums[z.Name] = s
@@ -190,7 +190,7 @@
 
 // work has each process place its part of the load by where it may: near, and where there is room.
 func (g *play) work() {
-	now := g.c.True()
+	now := g.c.TrueTime()
 	used := map[string]float64{}
 	for _, x := range g.procs {
 		if x.r == nil {
@@ -254,8 +254,8 @@
 func (g *play) holds(x *proc, view *control.View, sure bool, was map[string]float64) {
 	for _, z := range all {
 		part := x.parts[z.Name]
-		if at, ok := g.shut[z.Name]; ok && part > 0 && g.c.True()-at > stale && (sure || z.Name != x.zone && was[z.Name] == 0) {
-			g.fail(fmt.Sprintf("%s of %s sends to %s, closed for %.0f ms; sure %v", x.name, x.zone, z.Name, g.c.True()-at, sure))
+		if at, ok := g.shut[z.Name]; ok && part > 0 && g.c.TrueTime()-at > stale && (sure || z.Name != x.zone && was[z.Name] == 0) {
+			g.fail(fmt.Sprintf("%s of %s sends to %s, closed for %.0f ms; sure %v", x.name, x.zone, z.Name, g.c.TrueTime()-at, sure))
 		}
 		plan, _ := view.State.Plan()
 		if home := view.State.Zone(x.zone); home.State == clusterstate.Closed && plan > home.Version && z.Name != x.zone && part > 0 { // it keeps to its share
@@ -271,7 +271,7 @@
 
 // look holds the verdicts against what has happened.
 func (g *play) look() {
-	now := g.c.True()
+	now := g.c.TrueTime()
 	var newest *clusterstate.State
 	for _, x := range g.procs {
 		if x.r != nil && (newest == nil || x.r.View().State.Version() > newest.Version()) {
@@ -350,7 +350,7 @@
 	x.r = nil
 	x.own = map[string]float64{}
 	x.p.Kill(false)
-	x.g.c.At(x.g.c.True()+back, func() {
+	x.g.c.At(x.g.c.TrueTime()+back, func() {
 		x.p.Start()
 		x.start()
 	})
@@ -430,7 +430,7 @@
 		g.v.Fault, g.may = "zone "+zone+" lost, leaders killed", lost
 		g.lose(at, zone, ms)
 		for range 2 {
-			g.c.At(at+3500*g.rng.Float64(), func() { g.leads(func(x *proc) { g.c.At(g.c.True()+1, func() { x.kill(2500) }) }) })
+			g.c.At(at+3500*g.rng.Float64(), func() { g.leads(func(x *proc) { g.c.At(g.c.TrueTime()+1, func() { x.kill(2500) }) }) })
 		}
 	case 6:
 		g.v.Fault, g.may = "two stewards stopped, zone "+zone+" lost", lost
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -62,7 +62,7 @@
 			x := doors[0]
 			x.heard = func(msg []byte) {
 				if codec.Kind(msg) == codec.End {
-					ended[codec.Task(msg)] = r.c.True()
+					ended[codec.Task(msg)] = r.c.TrueTime()
 				}
 			}
 			for i, name := range names {
@@ -74,7 +74,7 @@
 				r.pass(60)
 				count()
 			}
-			ends := r.c.True()
+			ends := r.c.TrueTime()
 			for i, name := range names { // on what is open, and on what comes next
 				n, task := r.nodes[name], uint64(1000+i)
 				end := codec.AppendEnd(nil, task, codec.Normal)
--- a/internal/platform/early_test.go
+++ b/internal/platform/early_test.go
@@ -64,7 +64,7 @@
 								n.answer(e, task)
 								return
 							}
-							first, ended = n, r.c.True()+500
+							first, ended = n, r.c.TrueTime()+500
 							answer := codec.AppendAnswer(nil, task, []byte(n.describes(task)))
 							n.p.After(500, func() {
 								b := early(task, c.cause, c.word, c.notes)
--- a/internal/platform/journal_test.go
+++ b/internal/platform/journal_test.go
@@ -53,7 +53,7 @@
 			x, line := r.journal.conns[0], r.journal.events[1]+"\n"
 			x.over = true // no count comes between
 			for i := range line {
-				r.c.At(r.c.True()+8*float64(i), func() { x.say(line[i : i+1]) })
+				r.c.At(r.c.TrueTime()+8*float64(i), func() { x.say(line[i : i+1]) })
 			}
 		}, 8*400 + 200},
 		{"in a trickle without end", func(r *rig) {
@@ -61,7 +61,7 @@
 			x := r.journal.conns[0]
 			x.over = true
 			for i := range 100 {
-				r.c.At(r.c.True()+100*float64(i), func() { x.say("{") })
+				r.c.At(r.c.TrueTime()+100*float64(i), func() { x.say("{") })
 			}
 		}, 5000},
 		{"silent, at another address, where it is silent too, and at a third", func(r *rig) {
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -72,7 +72,7 @@
 				if (job == "single" && c.single != "again" || c.batch == "end 42") && first.starts[7]+other.starts[7] != 1 {
 					t.Errorf("given to nodes %d times", first.starts[7]+other.starts[7])
 				}
-				if strings.HasPrefix(want, "served") && len(x.at) > 0 && x.at[0] > r.c.True()-4000+2500 {
+				if strings.HasPrefix(want, "served") && len(x.at) > 0 && x.at[0] > r.c.TrueTime()-4000+2500 {
 					t.Error("after its expiry")
 				}
 			})
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-func (r *rig) pass(ms float64) { r.c.Until(r.c.True() + ms) }
+func (r *rig) pass(ms float64) { r.c.RunUntil(r.c.TrueTime() + ms) }
 
 func entryOf(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"east","type":"std","group":0,"status":%q,"since_ms":0,"room":[32,64]}`, name,
@@ -202,7 +202,7 @@
 		d, _ := codec.Param(msg, codec.Description)
 		word := map[byte]string{codec.Answer: "served " + string(d), codec.End: fmt.Sprint("end ", cause), codec.Tested: fmt.Sprint("tested ",
 			cause), codec.Move: "move"}[codec.Kind(msg)]
-		x.got, x.at = append(x.got, fmt.Sprintf("%d %s", codec.Task(msg), word)), append(x.at, r.c.True())
+		x.got, x.at = append(x.got, fmt.Sprintf("%d %s", codec.Task(msg), word)), append(x.at, r.c.TrueTime())
 	}
 	r.clients.Dial(door, 1000, func(c outside.Conn, err error) {
 		if err != nil {
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -54,14 +54,14 @@
 		barred      bool // one may have run: no other may follow
 	}
 	all := map[uint64]*request{}
-	began := r.c.True()
+	began := r.c.TrueTime()
 	drains := map[string]float64{}
 	serve := func(n *node) {
 		n.does = func(e *ear, task uint64) {
 			a := all[task]
 			a.starts++
-			if at, ok := drains[n.name]; ok && r.c.True() > at+500+50 {
-				t.Errorf("%s was sent %d %g ms after it was told to drain", n.name, task, r.c.True()-at)
+			if at, ok := drains[n.name]; ok && r.c.TrueTime() > at+500+50 {
+				t.Errorf("%s was sent %d %g ms after it was told to drain", n.name, task, r.c.TrueTime()-at)
 			}
 			if known.Cluster.JobClasses[a.job].Semantics == logic.AtMostOnce && a.barred {
 				t.Errorf("%d, which may have run, is tried again", task)
@@ -99,12 +99,12 @@
 			b = message(codec.SetUp, task, codec.JobType, known.JobTypes[job], codec.Left, fmt.Sprint(int(known.Expiry[job])), codec.Name,
 				fmt.Sprintf("%016x", task), codec.Key, strings.Repeat("5c", 16), codec.Figures, figures, codec.Description, "owner's")
 		}
-		a := &request{x: x, job: job, until: r.c.True() + known.Expiry[job]}
+		a := &request{x: x, job: job, until: r.c.TrueTime() + known.Expiry[job]}
 		all[task] = a
 		x.send(b)
 		if rng.IntN(15) == 0 { // it leaves with all that is open
 			y := x
-			r.c.At(r.c.True()+60*rng.Float64(), func() {
+			r.c.At(r.c.TrueTime()+60*rng.Float64(), func() {
 				for _, o := range all {
 					o.left = o.left || o.x == y && !o.heard
 				}
@@ -115,7 +115,7 @@
 	}
 	tell := func(name, status string) { r.journal.happens(entry(name, name, status)) }
 	at := func(ms float64, f func()) { r.c.At(began+ms, f) }
-	at(4000, func() { tell("s0", "draining"); drains["s0"] = r.c.True() })
+	at(4000, func() { tell("s0", "draining"); drains["s0"] = r.c.TrueTime() })
 	at(6000, func() { tell("s0", "gone") })
 	at(5000, func() {
 		cold["s6"] = r.sched.Now() + unixBase
@@ -141,11 +141,11 @@
 			}
 		}
 	}
-	for r.c.True() < began+15000 {
+	for r.c.TrueTime() < began+15000 {
 		ask()
 		r.pass(40)
 	}
-	told := r.c.True()
+	told := r.c.TrueTime()
 	r.s.Stop()
 	for range 10 { // requests come for a while yet
 		ask()
@@ -160,7 +160,7 @@
 		case <-r.s.Done():
 			ended = true
 		default:
-			if r.c.True() > told+min(longest, 3000)+700 {
+			if r.c.TrueTime() > told+min(longest, 3000)+700 {
 				t.Fatal("it would have been killed")
 			}
 		}
