--- a/cmd/ravenpond/sim.go
+++ b/cmd/ravenpond/sim.go
@@ -59,7 +59,7 @@
 		}
 		all := route.Seeds(ctx, a, b, c.Workers)
 		route.Print(os.Stdout, all)
-		if route.Broken(all) > 0 {
+		if route.CountFailures(all) > 0 {
 			return errors.New("something broke")
 		}
 		return nil
--- a/internal/lab/route/faults.go
+++ b/internal/lab/route/faults.go
@@ -4,19 +4,19 @@
 
 // drawFaults plans what goes wrong. A list that changes amid restarts, all of them one after another, is part of every
 // other seed.
-func (g *play) drawFaults() {
-	at := func(f func()) { g.c.At(500+(lasts-2500)*g.rng.Float64(), f) }
+func (g *simulation) drawFaults() {
+	at := func(f func()) { g.clock.At(500+(activeTime-2500)*g.rng.Float64(), f) }
 	some := func() *node { return g.nodes[g.rng.IntN(len(g.nodes))] }
-	anyone := func() *sched { return g.scheds[g.rng.IntN(len(g.scheds))] }
+	anyone := func() *scheduler { return g.schedulers[g.rng.IntN(len(g.schedulers))] }
 	if g.rng.IntN(2) == 0 { // a rolling restart under a changing list
 		from := 1000 + 3000*g.rng.Float64()
-		for i, s := range g.scheds {
-			g.c.At(from+float64(i)*1500, s.term)
+		for i, s := range g.schedulers {
+			g.clock.At(from+float64(i)*1500, s.stop)
 		}
 		for range 3 {
-			g.c.At(from+4000*g.rng.Float64(), func() { g.drain(some()) })
+			g.clock.At(from+4000*g.rng.Float64(), func() { g.drain(some()) })
 		}
-		g.c.At(from+3000*g.rng.Float64(), func() { anyone().hangUp() })
+		g.clock.At(from+3000*g.rng.Float64(), func() { anyone().reload() })
 	}
 	for range 3 + g.rng.IntN(8) {
 		s, n := anyone(), some()
@@ -25,25 +25,25 @@
 		case 0:
 			at(func() { s.kill(most) })
 		case 1:
-			at(s.term)
+			at(s.stop)
 		case 2:
-			at(s.hangUp)
+			at(s.reload)
 		case 3:
-			at(func() { s.hangUp(); s.term(); g.c.At(g.c.TrueTime()+most/3, s.hangUp) })
+			at(func() { s.reload(); s.stop(); g.clock.At(g.clock.TrueTime()+most/3, s.reload) })
 		case 4:
-			at(func() { s.journal.hush(most) })
+			at(func() { s.journal.silence(most) })
 		case 5:
 			at(func() { g.drain(n) })
 		case 6:
 			at(func() { g.crash(n, most) })
 		case 7:
-			at(func() { n.fails = 5; g.later(n, most) })
+			at(func() { n.errorRate = 5; g.recoverLater(n, most) })
 		case 8:
-			at(func() { n.mute = 3; g.later(n, most) })
+			at(func() { n.answerLossRate = 3; g.recoverLater(n, most) })
 		case 9:
-			at(func() { n.full = 6; g.later(n, most) })
+			at(func() { n.rejectRate = 6; g.recoverLater(n, most) })
 		case 10:
-			at(func() { n.hangs = true; g.later(n, most) })
+			at(func() { n.hung = true; g.recoverLater(n, most) })
 		case 11:
 			at(func() {
 				for _, e := range n.conns {
@@ -52,58 +52,60 @@
 			})
 		case 12:
 			at(func() {
-				g.c.Cut(s.p.Name, n.p.Name, true)
-				g.c.At(g.c.TrueTime()+most/2, func() { g.c.Cut(s.p.Name, n.p.Name, false) })
+				g.clock.Cut(s.process.Name, n.process.Name, true)
+				g.clock.At(g.clock.TrueTime()+most/2, func() { g.clock.Cut(s.process.Name, n.process.Name, false) })
 			})
 		case 13:
-			at(func() { n.lateAnswers = 5; g.later(n, most) })
+			at(func() { n.lateAnswerRate = 5; g.recoverLater(n, most) })
 		}
 	}
 }
 
-// later has a node behave again after a while.
-func (g *play) later(n *node, ms float64) {
-	g.c.At(g.c.TrueTime()+ms, n.behaves)
+// recoverLater has a node behave again after a while.
+func (g *simulation) recoverLater(n *node, ms float64) {
+	g.clock.At(g.clock.TrueTime()+ms, n.clearFaults)
 }
 
-// behaves ends the node's faults.
-func (n *node) behaves() { n.fails, n.mute, n.full, n.lateAnswers, n.hangs = 0, 0, 0, 0, false }
+// clearFaults ends the node's faults.
+func (n *node) clearFaults() {
+	n.errorRate, n.answerLossRate, n.rejectRate, n.lateAnswerRate, n.hung = 0, 0, 0, 0, false
+}
 
 // drain takes a node out of use: it drains, ends what it holds, and is gone. Then it comes back cold under its name, or
 // another does at its address.
-func (g *play) drain(n *node) {
-	if n.status != "ready" || g.ready() < 3 {
+func (g *simulation) drain(n *node) {
+	if n.status != "ready" || g.readyNodes() < 3 {
 		return
 	}
 	n.status = "draining"
-	g.tells(n)
-	g.c.At(g.c.TrueTime()+1500+2000*g.rng.Float64(), func() {
+	g.announce(n)
+	g.clock.At(g.clock.TrueTime()+1500+2000*g.rng.Float64(), func() {
 		if n.status != "draining" {
 			return
 		}
 		n.status = "gone"
-		n.dies(false)
-		g.tells(n)
-		g.c.At(g.c.TrueTime()+300+1000*g.rng.Float64(), func() { g.back(n) })
+		n.crash(false)
+		g.announce(n)
+		g.clock.At(g.clock.TrueTime()+300+1000*g.rng.Float64(), func() { g.restoreNode(n) })
 	})
 }
 
 // crash has a node die, and tells of it a little later.
-func (g *play) crash(n *node, away float64) {
-	if n.status != "ready" || g.ready() < 3 {
+func (g *simulation) crash(n *node, away float64) {
+	if n.status != "ready" || g.readyNodes() < 3 {
 		return
 	}
 	n.status = "gone"
-	n.dies(g.rng.IntN(2) == 0)
-	g.c.At(g.c.TrueTime()+300*g.rng.Float64(), func() { g.tells(n) })
-	g.c.At(g.c.TrueTime()+300+away, func() { g.back(n) })
+	n.crash(g.rng.IntN(2) == 0)
+	g.clock.At(g.clock.TrueTime()+300*g.rng.Float64(), func() { g.announce(n) })
+	g.clock.At(g.clock.TrueTime()+300+away, func() { g.restoreNode(n) })
 }
 
-// back has a node come up again, once every scheduler can hear of it: who can't be told may send to it as before.
-func (g *play) back(n *node) {
-	for _, s := range g.scheds {
-		if g.c.TrueTime() < s.journal.silent+1500 && s.journal.silent > 0 {
-			g.c.At(g.c.TrueTime()+300, func() { g.back(n) })
+// restoreNode has a node come up again, once every scheduler can hear of it: who can't be told may send to it as before.
+func (g *simulation) restoreNode(n *node) {
+	for _, s := range g.schedulers {
+		if g.clock.TrueTime() < s.journal.silentUntil+1500 && s.journal.silentUntil > 0 {
+			g.clock.At(g.clock.TrueTime()+300, func() { g.restoreNode(n) })
 			return
 		}
 	}
@@ -111,13 +113,13 @@
 		g.addNode(fmt.Sprintf("%s-%d", n.name, len(g.nodes)), n.address, true)
 		return
 	}
-	n.p.Start()
-	n.status, n.since = "ready", g.unix()
-	n.begin(true)
-	g.tells(n)
+	n.process.Start()
+	n.status, n.coldSince = "ready", g.unix()
+	n.start(true)
+	g.announce(n)
 }
 
-func (g *play) ready() (all int) {
+func (g *simulation) readyNodes() (all int) {
 	for _, n := range g.nodes {
 		if n.status == "ready" {
 			all++
@@ -126,11 +128,11 @@
 	return all
 }
 
-// dies ends a node with all that it holds.
-func (n *node) dies(power bool) {
-	n.p.Kill(power)
-	for id, r := range n.runs {
+// crash ends a node with all that it holds.
+func (n *node) crash(power bool) {
+	n.process.Kill(power)
+	for id, r := range n.tasks {
 		n.conclude(id, r, "cut")
 	}
-	n.runs = map[uint64]*run{}
+	n.tasks = map[uint64]*attempt{}
 }
--- a/internal/lab/route/gone.go
+++ b/internal/lab/route/gone.go
@@ -8,58 +8,58 @@
 )
 
 const (
-	goneFor  = 100 // ms after an owner left, or gave up, for which something may still begin for what it asked
-	goneMost = 2   // times that it may begin later in a flood: a process that was given far more than it can do reads late
+	abandonGrace    = 100 // ms after an owner left, or gave up, for which something may still begin for what it asked
+	maxLateAttempts = 2   // times that it may begin later in a flood: a process that was given far more than it can do reads late
 )
 
-// watched is a scheduler's world in which each set-up that it sends is seen as it is sent.
-type watched struct {
+// observedEnvironment is a scheduler's world in which each set-up that it sends is seen as it is sent.
+type observedEnvironment struct {
 	outside.Environment
-	g *play
+	sim *simulation
 }
 
-func (w watched) Dial(address string, within float64, done func(outside.Conn, error)) {
+func (w observedEnvironment) Dial(address string, within float64, done func(outside.Conn, error)) {
 	w.Environment.Dial(address, within, func(c outside.Conn, err error) {
 		if err == nil {
-			c = &sends{Conn: c, g: w.g}
+			c = &observedConn{Conn: c, sim: w.sim}
 		}
 		done(c, err)
 	})
 }
 
-type sends struct {
+type observedConn struct {
 	outside.Conn
-	g *play
+	sim *simulation
 }
 
-func (s *sends) Send(f func([]byte) []byte) (uint64, int, bool) {
+func (s *observedConn) Send(f func([]byte) []byte) (uint64, int, bool) {
 	return s.Conn.Send(func(b []byte) []byte {
 		before := len(b)
 		b = f(b)
 		if msg, took, err := codec.Next(b[before:]); err == nil && took > 0 && codec.Kind(msg) == codec.SetUp {
-			s.g.begins(codec.Task(msg))
+			s.sim.onAttempt(codec.Task(msg))
 		}
 		return b
 	})
 }
 
-// begins meets that an attempt begins.
-func (g *play) begins(id uint64) {
-	if t := g.tasks[id]; t != nil && t.gone > 0 && g.c.TrueTime() > t.gone+goneFor {
-		if g.lateFor++; g.busy != nil && g.lateFor <= goneMost {
+// onAttempt meets that an attempt begins.
+func (g *simulation) onAttempt(id uint64) {
+	if t := g.tasks[id]; t != nil && t.abandonedAt > 0 && g.clock.TrueTime() > t.abandonedAt+abandonGrace {
+		if g.lateAttempts++; g.overload != nil && g.lateAttempts <= maxLateAttempts {
 			return
 		}
-		g.fail(fmt.Sprintf("gone: an attempt for ask %d began %.0f ms after its owner had left it", id, g.c.TrueTime()-t.gone))
+		g.fail(fmt.Sprintf("gone: an attempt for ask %d began %.0f ms after its owner had left it", id, g.clock.TrueTime()-t.abandonedAt))
 	}
 }
 
-// leaves has an owner close its connection under what it asked, and come again. Not in a flood: an end of this network hears nothing
+// disconnect has an owner close its connection under what it asked, and come again. Not in a flood: an end of this network hears nothing
 // once it is closed, and its close lies behind all that it sent, so what is told it until that comes would be lost to it alone.
-func (o *owner) leaves() {
-	if e := o.e; e != nil && e.conn != nil && !e.over && o.s.ends == 0 {
-		for _, id := range sorted(o.asks) {
-			if t := o.asks[id]; t.e == e {
-				t.gone = o.g.c.TrueTime()
+func (o *client) disconnect() {
+	if e := o.conn; e != nil && e.conn != nil && !e.closed && o.scheduler.stoppedAt == 0 {
+		for _, id := range sorted(o.pending) {
+			if t := o.pending[id]; t.conn == e {
+				t.abandonedAt = o.sim.clock.TrueTime()
 			}
 		}
 		e.conn.Close(true, nil)
--- a/internal/lab/route/route_test.go
+++ b/internal/lab/route/route_test.go
@@ -13,13 +13,13 @@
 func TestSeeds(t *testing.T) {
 	all := Seeds(t.Context(), 1, 61, runtime.NumCPU())
 	for _, v := range all {
-		if v.Broken != "" {
-			t.Errorf("seed %d: %.1500s", v.Seed, v.Broken)
+		if v.Failure != "" {
+			t.Errorf("seed %d: %.1500s", v.Seed, v.Failure)
 		}
 		if v.Seed%20 != 1 {
 			continue
 		}
-		if again := Play(v.Seed, Plant{}); again != v {
+		if again := Play(v.Seed, Faults{}); again != v {
 			t.Errorf("played twice: %+v and %+v", v, again)
 		}
 	}
@@ -30,16 +30,16 @@
 	found := 0
 	for _, v := range all {
 		i := 0
-		if v.Flood {
+		if v.Overloaded {
 			i = 1
 		}
-		asks[i], served[i], floods[i], found = asks[i]+v.Asks, served[i]+v.Served, floods[i]+1, found+v.Found
+		asks[i], served[i], floods[i], found = asks[i]+v.Requests, served[i]+v.Served, floods[i]+1, found+v.Restored
 	}
 	for job, name := range jobNames { // each job type has its floor: none is served at the cost of another
 		var of [2]struct{ asks, served int }
 		for _, v := range all {
 			i := 0
-			if v.Flood {
+			if v.Overloaded {
 				i = 1
 			}
 			of[i].asks += v.Jobs[job].Asks
@@ -57,8 +57,8 @@
 // TestFlood plays floods alone: what one scheduler is given is five to ten times what it can do.
 func TestFlood(t *testing.T) {
 	for seed := range uint64(8) {
-		if v := Play(1000+seed, Plant{Busy: true}); v.Broken != "" {
-			t.Errorf("seed %d: %.1500s", v.Seed, v.Broken)
+		if v := Play(1000+seed, Faults{AlwaysOverload: true}); v.Failure != "" {
+			t.Errorf("seed %d: %.1500s", v.Seed, v.Failure)
 		}
 	}
 }
@@ -67,34 +67,34 @@
 func TestPlanted(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		plant Plant
+		plant Faults
 		want  string
 	}{
-		{"gone and draining nodes are left out of what is known", Plant{Known: func(b []byte) []byte {
+		{"gone and draining nodes are left out of what is known", Faults{InitialEvents: func(b []byte) []byte {
 			return []byte(strings.NewReplacer(`"draining"`, `"ready"`, `"gone"`, `"ready"`).Replace(string(b)))
 		}}, "rule 3"},
-		{"the journal can't be reached at a second address", Plant{World: func(w outside.Environment) outside.Environment { return &once{Environment: w} }}, "rule"},
-		{"what is sent in a flood leaves when its writer has its turn, after others", Plant{Busy: true, World: func(w outside.Environment) outside.Environment {
+		{"the journal can't be reached at a second address", Faults{World: func(w outside.Environment) outside.Environment { return &once{Environment: w} }}, "rule"},
+		{"what is sent in a flood leaves when its writer has its turn, after others", Faults{AlwaysOverload: true, World: func(w outside.Environment) outside.Environment {
 			return slow{w}
 		}}, "rule"},
-		{"owners' connections are ended while asks are open on them", Plant{World: func(w outside.Environment) outside.Environment {
+		{"owners' connections are ended while asks are open on them", Faults{World: func(w outside.Environment) outside.Environment {
 			return curt{w}
 		}}, "rule 1"},
-		{"an owner's close is read late, and nobody asks whether it has left", Plant{World: func(w outside.Environment) outside.Environment {
+		{"an owner's close is read late, and nobody asks whether it has left", Faults{World: func(w outside.Environment) outside.Environment {
 			return deaf{w, false}
 		}}, "gone"},
-		{"notes are not read, and an end before its answer counts as a reset on its way", Plant{World: func(w outside.Environment) outside.Environment {
+		{"notes are not read, and an end before its answer counts as a reset on its way", Faults{World: func(w outside.Environment) outside.Environment {
 			return forgetful{w}
 		}}, "rule 1"},
-		{"words to owners are lost", Plant{World: func(w outside.Environment) outside.Environment { return lossy{w} }}, "rule 1"},
+		{"words to owners are lost", Faults{World: func(w outside.Environment) outside.Environment { return lossy{w} }}, "rule 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(40) {
-				if v := Play(seed+1, c.plant); v.Broken != "" {
-					if !strings.Contains(v.Broken, c.want) {
-						t.Errorf("found as %s, want %s", v.Broken, c.want)
+				if v := Play(seed+1, c.plant); v.Failure != "" {
+					if !strings.Contains(v.Failure, c.want) {
+						t.Errorf("found as %s, want %s", v.Failure, c.want)
 					}
-					t.Logf("found by seed %d: %.120s", v.Seed, v.Broken)
+					t.Logf("found by seed %d: %.120s", v.Seed, v.Failure)
 					return
 				}
 			}
@@ -106,8 +106,8 @@
 // TestReadLate has owners' closes read 1.5 s late: what began for them after they left is nothing, as the scheduler asks whether they have.
 func TestReadLate(t *testing.T) {
 	for seed := range uint64(20) {
-		if v := Play(seed+1, Plant{World: func(w outside.Environment) outside.Environment { return deaf{w, true} }}); strings.Contains(v.Broken, "gone") {
-			t.Errorf("seed %d: %s", v.Seed, v.Broken)
+		if v := Play(seed+1, Faults{World: func(w outside.Environment) outside.Environment { return deaf{w, true} }}); strings.Contains(v.Failure, "gone") {
+			t.Errorf("seed %d: %s", v.Seed, v.Failure)
 		}
 	}
 }
