--- a/cmd/ravenpond/clubs.go
+++ b/cmd/ravenpond/clubs.go
@@ -24,9 +24,9 @@
 	if c.Tenants < 2 || c.Nodes < 1 || c.Shards < 1 || !(c.Flood > 0) || c.Last <= 0 {
 		return errors.New("two tenants or more, nodes, shards, a flood and a length above 0 are expected")
 	}
-	day := clubs.Day{Tenants: c.Tenants, Nodes: c.Nodes, Shards: c.Shards, Flood: c.Flood, Returns: c.Returns, Last: c.Last, Seed: c.Seed}
+	day := clubs.Trial{Tenants: c.Tenants, Nodes: c.Nodes, Shards: c.Shards, Flood: c.Flood, ReconnectFlood: c.Returns, Duration: c.Last, Seed: c.Seed}
 	if c.Open > 0 {
-		day.Returns = false
+		day.ReconnectFlood = false
 		_, _, _, err := clubs.Handshakes(ctx, os.Stdout, day, c.Open)
 		return err
 	}
@@ -50,12 +50,12 @@
 	if err != nil {
 		return err
 	}
-	got, err := clubs.Removal{Command: []string{self}, Rounds: c.Rounds, Each: c.Each, Asks: c.Asks, Nodes: c.Nodes, Seed: c.Seed}.Play(ctx)
+	got, err := clubs.RemovalTrial{Command: []string{self}, Rounds: c.Rounds, TenantsPerRound: c.Each, RequestsPerTenant: c.Asks, Nodes: c.Nodes, Seed: c.Seed}.Play(ctx)
 	if err != nil {
 		return err
 	}
 	got.Print(os.Stdout)
-	if got.NotRemoved+got.Left+got.Unanswered+got.Seconds > 0 {
+	if got.NotRemoved+got.HeldAtNodes+got.Unanswered+got.SecondStarts > 0 {
 		return errors.New("removals do not hold")
 	}
 	return nil
--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -350,15 +350,15 @@
 		results[i] = make(chan month.Report, 1)
 		go func() {
 			room <- struct{}{}
-			results[i] <- month.Run{Seed: c.Seed + uint64(i), Days: c.Days, Processes: c.Processes}.Play()
+			results[i] <- month.Month{Seed: c.Seed + uint64(i), Days: c.Days, Processes: c.Processes}.Play()
 			<-room
 		}()
 	}
 	for i, got := range results {
 		r := <-got
 		fmt.Printf("%6d %8d %6d %10d %8d %9d %7d %9d %6d  %016x %s\n", c.Seed+uint64(i), r.Windows, r.Kept, r.Postponed, r.Refused,
-			r.Offers, r.Moved, r.Restarts, r.Lost, r.Trace, r.First)
-		late, overlaps = late+r.Late, overlaps+r.Overlaps
+			r.Offers, r.MovedOff, r.Restarts, r.Lost, r.Trace, r.FirstFailure)
+		late, overlaps = late+r.LatePlacements, overlaps+r.Overlaps
 	}
 	fmt.Printf("late placements: %d\nforbidden overlaps: %d\n", late, overlaps)
 	if late+overlaps > 0 {
--- a/cmd/ravenpond/sim.go
+++ b/cmd/ravenpond/sim.go
@@ -136,7 +136,7 @@
 		return c.plots(rows)
 	}
 	var plant *membership.Faults
-	for _, p := range circle.Plants {
+	for _, p := range circle.Faults {
 		if c.Plant == "list" {
 			fmt.Println(p.Name)
 		} else if c.Plant == p.Name {
@@ -262,11 +262,11 @@
 	broken := 0
 	for job, effect := range []string{"restartable", "tokened zone", "tokened all", "run-once"} {
 		began := time.Now()
-		r := states.World{Job: job, Faults: c.Faults, Depth: c.Depth, Kinds: c.Kinds}.Explore(c.Most)
+		r := states.Model{Job: job, Faults: c.Faults, Depth: c.Depth, Kinds: c.Kinds}.Explore(c.Most)
 		fmt.Printf("%-14s %9d %9d %9d %6d %8.1f\n", effect, r.States, r.Paths, r.Steps, r.Deepest, time.Since(began).Seconds())
-		if r.Broken != "" {
+		if r.Failure != "" {
 			broken++
-			fmt.Printf("  %s\n  %s\n", r.Broken, strings.Join(r.Path, "\n  "))
+			fmt.Printf("  %s\n  %s\n", r.Failure, strings.Join(r.Path, "\n  "))
 		}
 	}
 	fmt.Printf("broken: %d\n", broken)
--- a/internal/lab/circle/circle.go
+++ b/internal/lab/circle/circle.go
@@ -14,71 +14,71 @@
 	"ravenpond/internal/outside"
 )
 
-// Circle is a site's processes.
-type Circle struct {
-	Clock *sim.Clock
-	Rng   *rand.Rand
-	All   []*Process
+// Cluster is a site's processes.
+type Cluster struct {
+	Clock     *sim.Clock
+	Random    *rand.Rand
+	Processes []*Process
 	// Wrap changes the world that detectors run in, to plant faults; nil changes nothing.
 	Wrap func(outside.Environment) outside.Environment
 
-	Plant membership.Faults
+	Faults membership.Faults
 
-	Wrong   []string // deaths of those who lived, in words
-	forgive float64  // until then a death of one who lives is to be expected
-	deaths  []death
-	took    [2][][][2]float64 // of cold nodes and of what is lent, by process: the parts that it took within the window, with their times
-	Worst   [2]float64        // the most that all took within a window, as a part of the whole
+	FalseDeaths  []string // deaths of those who lived, in words
+	excusedUntil float64  // until then a death of one who lives is to be expected
+	deaths       []deathReport
+	used         [2][][][2]float64 // of cold nodes and of what is lent, by process: the parts that it took within the window, with their times
+	MaxUse       [2]float64        // the most that all took within a window, as a part of the whole
 }
 
-// windows are those of what cold nodes bear and of what is lent, ms.
-var windows = [2]float64{2500, 6000}
+// useWindows are those of what cold nodes bear and of what is lent, ms.
+var useWindows = [2]float64{2500, 6000}
 
-// shares are how many share each at a process.
-func shares(d *membership.Detector, now float64) (all [2]int) {
+// sharers are how many share each at a process.
+func sharers(d *membership.Detector, now float64) (all [2]int) {
 	all[0], _ = d.Sharers(now)
 	all[1], _ = d.Lent(now)
 	return all
 }
 
-// death is that one process holds another for dead.
-type death struct {
-	who, by string
-	at      float64
+// deathReport is that one process holds another for dead.
+type deathReport struct {
+	member, reporter string
+	at               float64
 }
 
 // Process is one of them.
 type Process struct {
-	c       *Circle
-	Name    string
-	P       *sim.Process
-	Run     *members.Runner
-	Life    uint64
-	Key     []byte
-	Addr    string
-	place   int
-	excused float64 // until then it may be held for dead
-	Dead    float64 // since when it is, 0: it lives
-	Paused  bool
-	TakenBy string
+	cluster      *Cluster
+	Name         string
+	Host         *sim.Process
+	Runner       *members.Runner
+	Incarnation  uint64
+	Key          []byte
+	Address      string
+	index        int
+	excusedUntil float64 // until then it may be held for dead
+	DeadSince    float64 // since when it is, 0: it lives
+	Paused       bool
+	NameTakenBy  string
 }
 
 var key = []byte("the laboratory's member key")
 
 // New begins so many processes, the first three of which are the seeds of all.
-func New(seed uint64, n int) *Circle { return Begin(seed, n, nil) }
+func New(seed uint64, n int) *Cluster { return NewWithEnvironment(seed, n, nil) }
 
-// Begin begins so many processes in worlds that are wrapped.
-func Begin(seed uint64, n int, wrap func(outside.Environment) outside.Environment) *Circle {
-	return begin(seed, n, wrap, membership.Faults{})
+// NewWithEnvironment begins so many processes in worlds that are wrapped.
+func NewWithEnvironment(seed uint64, n int, wrap func(outside.Environment) outside.Environment) *Cluster {
+	return newCluster(seed, n, wrap, membership.Faults{})
 }
 
-func begin(seed uint64, n int, wrap func(outside.Environment) outside.Environment, plant membership.Faults) *Circle {
-	c := &Circle{Plant: plant, took: [2][][][2]float64{make([][][2]float64, n), make([][][2]float64, n)}, Clock: sim.NewClock(seed), Rng: rand.New(rand.NewPCG(seed, 0xc1)), Wrap: wrap}
+func newCluster(seed uint64, n int, wrap func(outside.Environment) outside.Environment, plant membership.Faults) *Cluster {
+	c := &Cluster{Faults: plant, used: [2][][][2]float64{make([][][2]float64, n), make([][][2]float64, n)}, Clock: sim.NewClock(seed), Random: rand.New(rand.NewPCG(seed, 0xc1)), Wrap: wrap}
 	for i := range n {
 		name := fmt.Sprintf("m%03d", i)
-		p := &Process{c: c, place: i, Name: name, P: c.Clock.NewProcess(name), Key: key, Addr: name + ":1"}
-		c.All = append(c.All, p)
+		p := &Process{cluster: c, index: i, Name: name, Host: c.Clock.NewProcess(name), Key: key, Address: name + ":1"}
+		c.Processes = append(c.Processes, p)
 		p.Start()
 	}
 	return c
@@ -86,65 +86,65 @@
 
 // Start begins a life of a process.
 func (p *Process) Start() {
-	if p.Dead > 0 {
-		p.P.Start()
-		p.Dead = 0
+	if p.DeadSince > 0 {
+		p.Host.Start()
+		p.DeadSince = 0
 	}
-	p.Life++
+	p.Incarnation++
 	var seeds []string
-	for i := range min(3, len(p.c.All)) {
-		seeds = append(seeds, p.c.All[i].Addr)
+	for i := range min(3, len(p.cluster.Processes)) {
+		seeds = append(seeds, p.cluster.Processes[i].Address)
 	}
-	w := outside.Environment(p.P)
-	if p.c.Wrap != nil {
-		w = p.c.Wrap(w)
+	w := outside.Environment(p.Host)
+	if p.cluster.Wrap != nil {
+		w = p.cluster.Wrap(w)
 	}
-	run, err := members.Start(w, p.Addr, membership.Config{
-		Site: "lab", Name: p.Name, Address: p.Addr, Life: p.Life, Key: p.Key, Seeds: seeds,
-		Seed: p.c.Rng.Uint64(), Place: p.place, Places: len(p.c.took[0]), Window: windows[0], Open: windows[1], Faults: p.c.Plant,
-	}, told{p})
+	run, err := members.Start(w, p.Address, membership.Config{
+		Site: "lab", Name: p.Name, Address: p.Address, Life: p.Incarnation, Key: p.Key, Seeds: seeds,
+		Seed: p.cluster.Random.Uint64(), Place: p.index, Places: len(p.cluster.used[0]), Window: useWindows[0], Open: useWindows[1], Faults: p.cluster.Faults,
+	}, eventHandler{p})
 	if err != nil {
 		panic(err)
 	}
-	p.Run = run
+	p.Runner = run
 }
 
 // Kill ends a process at once.
 func (p *Process) Kill() {
-	p.P.Kill(false)
-	p.Dead = p.c.Clock.TrueTime()
+	p.Host.Kill(false)
+	p.DeadSince = p.cluster.Clock.TrueTime()
 }
 
 // Pause has it stand still.
-func (p *Process) Pause() { p.P.Pause(); p.Paused = true }
+func (p *Process) Pause() { p.Host.Pause(); p.Paused = true }
 
 // Resume lets it run on.
-func (p *Process) Resume() { p.P.Resume(); p.Paused = false }
+func (p *Process) Resume() { p.Host.Resume(); p.Paused = false }
 
-// Forgive takes it that processes which live may be held for dead up to a time from now.
-func (c *Circle) Forgive(ms float64) { c.forgive = max(c.forgive, c.Clock.TrueTime()+ms) }
+// Excuse takes it that processes which live may be held for dead up to a time from now.
+func (c *Cluster) Excuse(ms float64) { c.excusedUntil = max(c.excusedUntil, c.Clock.TrueTime()+ms) }
 
-type told struct{ p *Process }
+type eventHandler struct{ process *Process }
 
-func (t told) OnChange(_ float64, m membership.Member, was membership.State) {
-	c := t.p.c
+func (t eventHandler) OnChange(_ float64, m membership.Member, was membership.State) {
+	c := t.process.cluster
 	if m.State != membership.Dead {
 		return
 	}
 	now := c.Clock.TrueTime()
-	c.deaths = append(c.deaths, death{m.Name, t.p.Name, now})
-	if q := c.Named(m.Name); q.Dead == 0 && !q.Paused && now > max(c.forgive, q.excused) && m.Life >= q.Life { // not word of an earlier life
-		c.Wrong = append(c.Wrong, fmt.Sprintf("%.0f ms: %s holds %s for dead, on the word of %s", now, t.p.Name, m.Name, m.By))
+	c.deaths = append(c.deaths, deathReport{m.Name, t.process.Name, now})
+	if q := c.Process(m.Name); q.DeadSince == 0 && !q.Paused && now > max(c.excusedUntil, q.excusedUntil) && m.Life >= q.Incarnation { // not word of an earlier life
+		c.FalseDeaths = append(c.FalseDeaths, fmt.Sprintf("%.0f ms: %s holds %s for dead, on the word of %s", now, t.process.Name, m.Name, m.By))
 	}
 }
 
-func (t told) LastHeard(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
+func (t eventHandler) LastHeard(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
 
-func (t told) OnNameTaken(_ float64, address string) { t.p.TakenBy = address }
+func (t eventHandler) OnNameTaken(_ float64, address string) { t.process.NameTakenBy = address }
 
-// Named is the process of a name.
-func (c *Circle) Named(name string) *Process {
-	for _, p := range c.All {
+// Process is the process of a name.
+func (c *Cluster) Process(name string) *Process {
+	for _, p := range c.Processes {
 		if p.Name == name {
 			return p
 		}
@@ -152,28 +152,28 @@
 	return nil
 }
 
-// Pass lets time go by, and sums up what all may send to a cold node meanwhile.
-func (c *Circle) Pass(ms float64) {
+// Advance lets time go by, and sums up what all may send to a cold node meanwhile.
+func (c *Cluster) Advance(ms float64) {
 	for end := c.Clock.TrueTime() + ms; c.Clock.TrueTime() < end; {
 		c.Clock.RunUntil(min(end, c.Clock.TrueTime()+50))
-		c.weigh()
+		c.recordUse()
 	}
 }
 
-func (c *Circle) weigh() {
+func (c *Cluster) recordUse() {
 	now, sum := c.Clock.TrueTime(), [2]float64{}
-	for i, p := range c.All {
+	for i, p := range c.Processes {
 		var all [2]int
-		if p.Dead == 0 && !p.Paused {
-			p.Run.WithDetector(func(d *membership.Detector) { all = shares(d, p.P.Now()) })
+		if p.DeadSince == 0 && !p.Paused {
+			p.Runner.WithDetector(func(d *membership.Detector) { all = sharers(d, p.Host.Now()) })
 		}
 		for what, n := range all {
-			took := &c.took[what][i]
+			took := &c.used[what][i]
 			if n > 0 {
 				*took = append(*took, [2]float64{now, 1 / float64(n)})
 			}
 			most := 0.0
-			*took = slices.DeleteFunc(*took, func(x [2]float64) bool { return x[0] <= now-windows[what] })
+			*took = slices.DeleteFunc(*took, func(x [2]float64) bool { return x[0] <= now-useWindows[what] })
 			for _, x := range *took {
 				most = max(most, x[1])
 			}
@@ -181,15 +181,15 @@
 		}
 	}
 	for what := range sum {
-		c.Worst[what] = max(c.Worst[what], sum[what])
+		c.MaxUse[what] = max(c.MaxUse[what], sum[what])
 	}
 }
 
-// Used is the part of what a cold node bears, and of what is lent, that all together may use now.
-func (c *Circle) Used() (used [2]float64) {
-	for _, p := range c.Living() {
-		p.Run.WithDetector(func(d *membership.Detector) {
-			for what, n := range shares(d, p.P.Now()) {
+// CurrentUse is the part of what a cold node bears, and of what is lent, that all together may use now.
+func (c *Cluster) CurrentUse() (used [2]float64) {
+	for _, p := range c.Running() {
+		p.Runner.WithDetector(func(d *membership.Detector) {
+			for what, n := range sharers(d, p.Host.Now()) {
 				if n > 0 {
 					used[what] += 1 / float64(n)
 				}
@@ -199,25 +199,25 @@
 	return used
 }
 
-// Living are the processes that live and run.
-func (c *Circle) Living() (all []*Process) {
-	for _, p := range c.All {
-		if p.Dead == 0 && !p.Paused {
+// Running are the processes that live and run.
+func (c *Cluster) Running() (all []*Process) {
+	for _, p := range c.Processes {
+		if p.DeadSince == 0 && !p.Paused {
 			all = append(all, p)
 		}
 	}
 	return all
 }
 
-// Agreed tells whether each process that lives knows each other that lives for alive, no dead one for that, and all hold
+// Converged tells whether each process that lives knows each other that lives for alive, no dead one for that, and all hold
 // the same; else it says who does not.
-func (c *Circle) Agreed() (ok bool, why string) {
-	living := c.Living()
+func (c *Cluster) Converged() (ok bool, why string) {
+	living := c.Running()
 	var view uint64
 	for i, p := range living {
 		var got []string
 		var v uint64
-		p.Run.WithDetector(func(d *membership.Detector) {
+		p.Runner.WithDetector(func(d *membership.Detector) {
 			v = d.View()
 			for _, m := range d.All() {
 				if m.State == membership.Alive {
@@ -243,32 +243,32 @@
 	return true, ""
 }
 
-// Until lets time go by until all agree, for so long at most; it returns how long it took, infinite if they do not.
-func (c *Circle) Until(most float64) float64 {
+// AwaitConvergence lets time go by until all agree, for so long at most; it returns how long it took, infinite if they do not.
+func (c *Cluster) AwaitConvergence(most float64) float64 {
 	from := c.Clock.TrueTime()
 	for c.Clock.TrueTime() < from+most {
-		if ok, _ := c.Agreed(); ok {
+		if ok, _ := c.Converged(); ok {
 			return c.Clock.TrueTime() - from
 		}
-		c.Pass(50)
+		c.Advance(50)
 	}
-	if ok, _ := c.Agreed(); ok {
+	if ok, _ := c.Converged(); ok {
 		return most
 	}
 	return math.Inf(1)
 }
 
-// Known is how long it took each other process that lives to hold one for dead, from its death on, sorted.
-func (c *Circle) Known(p *Process) (took []float64, all bool) {
+// DetectionTimes is how long it took each other process that lives to hold one for dead, from its death on, sorted.
+func (c *Cluster) DetectionTimes(p *Process) (took []float64, all bool) {
 	first := map[string]float64{}
 	for _, d := range c.deaths {
-		if d.who == p.Name && d.at >= p.Dead {
-			if _, ok := first[d.by]; !ok {
-				first[d.by] = d.at - p.Dead
+		if d.member == p.Name && d.at >= p.DeadSince {
+			if _, ok := first[d.reporter]; !ok {
+				first[d.reporter] = d.at - p.DeadSince
 			}
 		}
 	}
-	for _, q := range c.Living() {
+	for _, q := range c.Running() {
 		if t, ok := first[q.Name]; ok {
 			took = append(took, t)
 		} else if q != p {
@@ -280,9 +280,9 @@
 }
 
 // Sent is what all processes that live have sent, datagrams and bytes.
-func (c *Circle) Sent() (datagrams, bytes uint64) {
-	for _, p := range c.Living() {
-		p.Run.WithDetector(func(d *membership.Detector) {
+func (c *Cluster) Sent() (datagrams, bytes uint64) {
+	for _, p := range c.Running() {
+		p.Runner.WithDetector(func(d *membership.Detector) {
 			datagrams += d.Stats.Sent
 			bytes += d.Stats.Bytes
 		})
--- a/internal/lab/circle/circle_test.go
+++ b/internal/lab/circle/circle_test.go
@@ -13,11 +13,11 @@
 func TestMeet(t *testing.T) {
 	for _, n := range []int{2, 3, 9, 60} {
 		c := New(1, n)
-		took := c.Until(10000)
-		_, why := c.Agreed()
+		took := c.AwaitConvergence(10000)
+		_, why := c.Converged()
 		t.Logf("%d met in %.0f ms", n, took)
-		if took > 5000 || len(c.Wrong) > 0 {
-			t.Errorf("%d: %g ms, %s, %q", n, took, why, c.Wrong)
+		if took > 5000 || len(c.FalseDeaths) > 0 {
+			t.Errorf("%d: %g ms, %s, %q", n, took, why, c.FalseDeaths)
 		}
 	}
 }
@@ -27,50 +27,50 @@
 	for _, n := range []int{3, 9, 60} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			c := New(2, n)
-			c.Until(10000)
+			c.AwaitConvergence(10000)
 			for i := range 3 {
-				p := c.All[n-1-i%(n-1)]
+				p := c.Processes[n-1-i%(n-1)]
 				p.Kill()
-				c.Pass(6000)
-				took, all := c.Known(p)
+				c.Advance(6000)
+				took, all := c.DetectionTimes(p)
 				if !all || took[len(took)-1] > 3500 {
 					t.Errorf("%s: known to %d, %v", p.Name, len(took), took)
 				}
 				p.Start()
-				if ms := c.Until(6000); ms > 6000 {
-					_, why := c.Agreed()
+				if ms := c.AwaitConvergence(6000); ms > 6000 {
+					_, why := c.Converged()
 					t.Errorf("after its return: %s", why)
 				}
 			}
-			if len(c.Wrong) > 0 {
-				t.Error(c.Wrong)
+			if len(c.FalseDeaths) > 0 {
+				t.Error(c.FalseDeaths)
 			}
 		})
 	}
 }
 
 // begun is a circle in which all know all.
-func begun(t *testing.T, seed uint64, n int) *Circle {
+func begun(t *testing.T, seed uint64, n int) *Cluster {
 	c := New(seed, n)
-	if ms := c.Until(10000); ms > 10000 {
-		_, why := c.Agreed()
+	if ms := c.AwaitConvergence(10000); ms > 10000 {
+		_, why := c.Converged()
 		t.Fatalf("%d processes do not meet: %s", n, why)
 	}
 	return c
 }
 
 // settles holds that all agree within a time, and that nobody who lived was held for dead.
-func settles(t *testing.T, c *Circle, within float64) {
+func settles(t *testing.T, c *Cluster, within float64) {
 	t.Helper()
-	if ms := c.Until(within); ms > within {
-		_, why := c.Agreed()
+	if ms := c.AwaitConvergence(within); ms > within {
+		_, why := c.Converged()
 		t.Errorf("after %.0f ms: %s", within, why)
 	}
-	if len(c.Wrong) > 0 {
-		t.Errorf("%d wrong: %s", len(c.Wrong), c.Wrong[0])
+	if len(c.FalseDeaths) > 0 {
+		t.Errorf("%d wrong: %s", len(c.FalseDeaths), c.FalseDeaths[0])
 	}
-	if max(c.Worst[0], c.Worst[1]) > 1+1e-9 {
-		t.Errorf("%.3f of what a cold node bears within a window, %.3f of what is lent", c.Worst[0], c.Worst[1])
+	if max(c.MaxUse[0], c.MaxUse[1]) > 1+1e-9 {
+		t.Errorf("%.3f of what a cold node bears within a window, %.3f of what is lent", c.MaxUse[0], c.MaxUse[1])
 	}
 }
 
@@ -81,24 +81,24 @@
 		for _, n := range []int{3, 9, 30} {
 			t.Run(fmt.Sprint(ms, " ms of ", n), func(t *testing.T) {
 				c := begun(t, 3, n)
-				p := c.All[n-1]
+				p := c.Processes[n-1]
 				var least float64
-				p.Run.WithDetector(func(d *membership.Detector) { least, _ = d.Bounds() })
+				p.Runner.WithDetector(func(d *membership.Detector) { least, _ = d.Bounds() })
 				p.Pause()
 				from := c.Clock.TrueTime()
-				c.Pass(ms)
+				c.Advance(ms)
 				for _, d := range c.deaths {
 					if d.at < from+least {
-						t.Errorf("%s held it for dead after %.0f ms, %.0f are promised", d.by, d.at-from, least)
+						t.Errorf("%s held it for dead after %.0f ms, %.0f are promised", d.reporter, d.at-from, least)
 					}
 				}
 				before := len(c.deaths)
 				p.Resume()
-				c.Forgive(2000) // some may be about to hold it for dead
+				c.Excuse(2000) // some may be about to hold it for dead
 				settles(t, c, 4000)
 				for _, d := range c.deaths[before:] {
-					if d.by == p.Name {
-						t.Errorf("it woke and held %s for dead", d.who)
+					if d.reporter == p.Name {
+						t.Errorf("it woke and held %s for dead", d.member)
 					}
 				}
 			})
@@ -108,9 +108,9 @@
 
 // TestLinks cuts some ways, or makes them bad, for half a minute: nobody is held for dead who reaches others.
 func TestLinks(t *testing.T) {
-	lanes := func(c *Circle, f func(from, to *Process) bool, does func(*sim.DatagramLink)) {
-		for _, p := range c.All {
-			for _, q := range c.All {
+	lanes := func(c *Cluster, f func(from, to *Process) bool, does func(*sim.DatagramLink)) {
+		for _, p := range c.Processes {
+			for _, q := range c.Processes {
 				if p != q && f(p, q) {
 					does(c.Clock.DatagramLink(p.Name, q.Name))
 				}
@@ -135,7 +135,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := begun(t, 4, 9)
 			lanes(c, x.hits, x.does)
-			c.Pass(30000)
+			c.Advance(30000)
 			lanes(c, x.hits, func(l *sim.DatagramLink) { *l = sim.DatagramLink{} })
 			settles(t, c, 5000)
 		})
@@ -147,16 +147,16 @@
 func TestSlow(t *testing.T) {
 	c := begun(t, 5, 10)
 	slow := func(ms float64) {
-		for _, p := range c.All[8:] {
-			for _, q := range c.All {
+		for _, p := range c.Processes[8:] {
+			for _, q := range c.Processes {
 				c.Clock.DatagramLink(p.Name, q.Name).MaxDelay = ms
 			}
 		}
 	}
 	slow(1000)
-	c.Forgive(10000)
-	c.Pass(10000)
-	c.Pass(30000)
+	c.Excuse(10000)
+	c.Advance(10000)
+	c.Advance(30000)
 	slow(0)
 	settles(t, c, 6000)
 }
@@ -169,8 +169,8 @@
 			t.Run(fmt.Sprint(parts, " parts of ", n), func(t *testing.T) {
 				c := begun(t, 6, n)
 				cut := func(on bool) {
-					for i, p := range c.All {
-						for j, q := range c.All {
+					for i, p := range c.Processes {
+						for j, q := range c.Processes {
 							if i%parts != j%parts {
 								c.Clock.DatagramLink(p.Name, q.Name).Cut = on
 							}
@@ -178,10 +178,10 @@
 					}
 				}
 				cut(true)
-				c.Forgive(20000)
-				c.Pass(20000)
+				c.Excuse(20000)
+				c.Advance(20000)
 				cut(false)
-				c.Forgive(2000) // word of deaths of before may yet be faster than who answers for himself
+				c.Excuse(2000) // word of deaths of before may yet be faster than who answers for himself
 				settles(t, c, 5000)
 			})
 		}
@@ -191,19 +191,19 @@
 // TestRestarts starts every process anew one after another, and then seven in ten at once.
 func TestRestarts(t *testing.T) {
 	c := begun(t, 7, 10)
-	for _, p := range c.All {
+	for _, p := range c.Processes {
 		p.Kill()
-		c.Pass(700)
+		c.Advance(700)
 		p.Start()
-		c.Pass(300)
+		c.Advance(300)
 	}
 	settles(t, c, 5000)
-	for _, p := range c.All[:7] {
+	for _, p := range c.Processes[:7] {
 		p.Kill()
 	}
-	c.Pass(4000)
+	c.Advance(4000)
 	settles(t, c, 4000)
-	for _, p := range c.All[:7] {
+	for _, p := range c.Processes[:7] {
 		p.Start()
 	}
 	settles(t, c, 5000)
@@ -212,12 +212,12 @@
 // TestLeaves has processes leave on purpose: the others know at once, and hold them for gone and not for dead.
 func TestLeaves(t *testing.T) {
 	c := begun(t, 8, 9)
-	p := c.All[5]
-	p.Run.Stop()
+	p := c.Processes[5]
+	p.Runner.Stop()
 	p.Kill()
-	c.Pass(1500)
-	for _, q := range c.Living() {
-		q.Run.WithDetector(func(d *membership.Detector) {
+	c.Advance(1500)
+	for _, q := range c.Running() {
+		q.Runner.WithDetector(func(d *membership.Detector) {
 			for _, m := range d.All() {
 				if m.Name == p.Name && m.State != membership.Left {
 					t.Errorf("%s holds it for %s", q.Name, m.State)
@@ -235,16 +235,16 @@
 // TestSeedsDead has all the seeds of the site dead: the others hold together, and who comes back finds them, whoever it is.
 func TestSeedsDead(t *testing.T) {
 	c := begun(t, 9, 9)
-	for _, p := range c.All[:3] {
+	for _, p := range c.Processes[:3] {
 		p.Kill()
 	}
-	c.Pass(5000)
+	c.Advance(5000)
 	settles(t, c, 1000)
-	c.All[7].Kill()
-	c.Pass(4000)
-	c.All[7].Start() // it knows dead seeds alone; the others ask for it
+	c.Processes[7].Kill()
+	c.Advance(4000)
+	c.Processes[7].Start() // it knows dead seeds alone; the others ask for it
 	settles(t, c, 6000)
-	for _, p := range c.All[:3] {
+	for _, p := range c.Processes[:3] {
 		p.Start()
 	}
 	settles(t, c, 6000)
@@ -253,19 +253,19 @@
 // TestLostLife has a process begin with a life lower than one it had, as after the loss of its folder.
 func TestLostLife(t *testing.T) {
 	c := begun(t, 10, 5)
-	p := c.All[4]
+	p := c.Processes[4]
 	for range 3 {
 		p.Kill()
-		c.Pass(500)
+		c.Advance(500)
 		p.Start()
 		settles(t, c, 5000)
 	}
 	p.Kill()
-	p.Life = 0
-	c.Pass(500)
+	p.Incarnation = 0
+	c.Advance(500)
 	p.Start()
 	settles(t, c, 8000)
-	p.Run.WithDetector(func(d *membership.Detector) {
+	p.Runner.WithDetector(func(d *membership.Detector) {
 		if d.Life() <= 4 {
 			t.Errorf("it goes on as life %d", d.Life())
 		}
@@ -275,13 +275,13 @@
 // TestNameTaken begins a second process under a name: one of the two finds out, and the others do not waver for ever.
 func TestNameTaken(t *testing.T) {
 	c := begun(t, 11, 5)
-	twin := &Process{c: c, Name: "m002", P: c.Clock.NewProcess("twin"), Key: key, Addr: "twin:1", Life: 6}
+	twin := &Process{cluster: c, Name: "m002", Host: c.Clock.NewProcess("twin"), Key: key, Address: "twin:1", Incarnation: 6}
 	twin.Start()
-	c.Pass(5000)
-	if c.All[2].TakenBy != "twin:1" || twin.TakenBy != "" {
-		t.Errorf("the first is told of %q, the second of %q", c.All[2].TakenBy, twin.TakenBy)
+	c.Advance(5000)
+	if c.Processes[2].NameTakenBy != "twin:1" || twin.NameTakenBy != "" {
+		t.Errorf("the first is told of %q, the second of %q", c.Processes[2].NameTakenBy, twin.NameTakenBy)
 	}
-	c.All[2].Run.WithDetector(func(d *membership.Detector) {
+	c.Processes[2].Runner.WithDetector(func(d *membership.Detector) {
 		if !d.Taken() {
 			t.Error("the first goes on under a name that is another's")
 		}
@@ -291,9 +291,9 @@
 // TestJump has machines' clocks jump: nothing follows, as times are told by a clock that only runs.
 func TestJump(t *testing.T) {
 	c := begun(t, 12, 5)
-	for i, p := range c.All {
-		p.P.JumpClock(float64(i-2) * 3600e3)
-		c.Pass(1000)
+	for i, p := range c.Processes {
+		p.Host.JumpClock(float64(i-2) * 3600e3)
+		c.Advance(1000)
 	}
 	if len(c.deaths) > 0 {
 		t.Errorf("%d deaths", len(c.deaths))
@@ -304,27 +304,27 @@
 // TestStrangers has one with another key and a flood of noise change nothing.
 func TestStrangers(t *testing.T) {
 	c := begun(t, 13, 5)
-	foe := &Process{c: c, Name: "foe", P: c.Clock.NewProcess("foe"), Key: []byte("some other key"), Addr: "foe:1"}
+	foe := &Process{cluster: c, Name: "foe", Host: c.Clock.NewProcess("foe"), Key: []byte("some other key"), Address: "foe:1"}
 	foe.Start()
-	noise, err := foe.P.ListenPacket("noise:1", func([]byte) {})
+	noise, err := foe.Host.ListenPacket("noise:1", func([]byte) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 20000 {
-		b := make([]byte, c.Rng.IntN(1400))
+		b := make([]byte, c.Random.IntN(1400))
 		for j := range b {
-			b[j] = byte(c.Rng.Uint32())
+			b[j] = byte(c.Random.Uint32())
 		}
-		noise.Send(c.All[i%5].Addr, b)
+		noise.Send(c.Processes[i%5].Address, b)
 		if i%100 == 0 {
-			c.Pass(10)
+			c.Advance(10)
 		}
 	}
-	c.Pass(3000)
+	c.Advance(3000)
 	settles(t, c, 1000)
 	foreign := uint64(0)
-	for _, p := range c.All {
-		p.Run.WithDetector(func(d *membership.Detector) {
+	for _, p := range c.Processes {
+		p.Runner.WithDetector(func(d *membership.Detector) {
 			foreign += d.Stats.Foreign
 			if len(d.All()) != 4 {
 				t.Errorf("%s knows of %d", p.Name, len(d.All()))
@@ -353,17 +353,17 @@
 // changes by it, at a price of a hash each.
 func TestReplay(t *testing.T) {
 	kept := map[string][][]byte{}
-	c := Begin(14, 5, func(w outside.Environment) outside.Environment { return &replayer{w, kept} })
-	c.Until(5000)
-	c.Pass(3000)
-	c.All[4].Kill()
-	c.Pass(6000)
-	c.All[4].Start()
-	c.Pass(4000)
-	c.All[3].Kill() // and stays so
-	c.Pass(7000)
+	c := NewWithEnvironment(14, 5, func(w outside.Environment) outside.Environment { return &replayer{w, kept} })
+	c.AwaitConvergence(5000)
+	c.Advance(3000)
+	c.Processes[4].Kill()
+	c.Advance(6000)
+	c.Processes[4].Start()
+	c.Advance(4000)
+	c.Processes[3].Kill() // and stays so
+	c.Advance(7000)
 	deaths := len(c.deaths)
-	sender, err := c.All[0].P.ListenPacket("again:1", func([]byte) {})
+	sender, err := c.Processes[0].Host.ListenPacket("again:1", func([]byte) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -371,15 +371,15 @@
 	for to, list := range kept {
 		all[to] = list[:len(list):len(list)]
 	}
-	for _, p := range c.All {
-		for i, b := range all[p.Addr] {
-			sender.Send(p.Addr, b)
+	for _, p := range c.Processes {
+		for i, b := range all[p.Address] {
+			sender.Send(p.Address, b)
 			if i%50 == 0 {
-				c.Pass(20)
+				c.Advance(20)
 			}
 		}
 	}
-	c.Pass(5000)
+	c.Advance(5000)
 	if len(c.deaths) > deaths {
 		t.Errorf("%d deaths more", len(c.deaths)-deaths)
 	}
@@ -389,8 +389,8 @@
 // TestSeeds plays seeds of many faults one upon another.
 func TestSeeds(t *testing.T) {
 	for _, v := range Seeds(t.Context(), 0, 48, 4, membership.Faults{}) {
-		if v.Broken != "" {
-			t.Errorf("seed %d, %d processes: %.600s", v.Seed, v.Processes, v.Broken)
+		if v.Failure != "" {
+			t.Errorf("seed %d, %d processes: %.600s", v.Seed, v.Processes, v.Failure)
 		}
 	}
 	if a, b := Play(5, membership.Faults{}), Play(5, membership.Faults{}); a != b {
@@ -400,15 +400,15 @@
 
 // TestPlanted plants faults in the detector and looks that the seeds find each.
 func TestPlanted(t *testing.T) {
-	for _, p := range Plants {
+	for _, p := range Faults {
 		t.Run(p.Name, func(t *testing.T) {
 			if p.Plant.Healthy || p.Plant.Replayed {
 				t.Skip("shown by decide/membership and by TestReplayedLeave: seeds take too many")
 			}
 			for from := uint64(0); from < 48; from += 4 {
 				for _, v := range Seeds(t.Context(), from, from+4, 4, p.Plant) {
-					if v.Broken != "" {
-						t.Logf("found by seed %d: %.160s", v.Seed, v.Broken)
+					if v.Failure != "" {
+						t.Logf("found by seed %d: %.160s", v.Seed, v.Failure)
 						return
 					}
 				}
@@ -423,23 +423,23 @@
 func TestReplayedLeave(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		kept := map[string][][]byte{}
-		c := begin(15, 3, func(w outside.Environment) outside.Environment { return &replayer{w, kept} }, membership.Faults{Replayed: taken})
-		c.Pass(20000)
-		c.All[2].Kill()
-		again, err := c.All[0].P.ListenPacket("again:1", func([]byte) {})
+		c := newCluster(15, 3, func(w outside.Environment) outside.Environment { return &replayer{w, kept} }, membership.Faults{Replayed: taken})
+		c.Advance(20000)
+		c.Processes[2].Kill()
+		again, err := c.Processes[0].Host.ListenPacket("again:1", func([]byte) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		old := kept[c.All[0].Addr]
+		old := kept[c.Processes[0].Address]
 		old = old[:len(old):len(old)]
 		for range 20 {
 			for _, b := range old {
-				again.Send(c.All[0].Addr, b)
+				again.Send(c.Processes[0].Address, b)
 			}
-			c.Pass(1000)
+			c.Advance(1000)
 		}
-		c.All[0].Run.WithDetector(func(d *membership.Detector) {
-			if n, _ := d.Sharers(c.All[0].P.Now()); n != 2 && !taken || n == 2 && taken {
+		c.Processes[0].Runner.WithDetector(func(d *membership.Detector) {
+			if n, _ := d.Sharers(c.Processes[0].Host.Now()); n != 2 && !taken || n == 2 && taken {
 				t.Errorf("replays taken %t: %d share", taken, n)
 			}
 		})
--- a/internal/lab/circle/measure.go
+++ b/internal/lab/circle/measure.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	calm  = 60000 // ms over which cost is measured
-	kills = 5     // of each circle, one after another
+	restTime        = 60000 // ms over which cost is measured
+	killsPerCluster = 5     // of each circle, one after another
 )
 
-// measured is what came of one circle.
-type measured struct {
-	meet      float64   // ms until all knew all
-	bound     float64   // of knowing a death, ms
-	known     []float64 // ms from a kill until each other knew
-	never     int       // kills that somebody did not hear of within their time
-	datagrams float64   // a second and process
-	bytes     float64
-	wrong     int
+// measurement is what came of one circle.
+type measurement struct {
+	convergence float64   // ms until all knew all
+	bound       float64   // of knowing a death, ms
+	detection   []float64 // ms from a kill until each other knew
+	undetected  int       // kills that somebody did not hear of within their time
+	datagrams   float64   // a second and process
+	bytes       float64
+	falseDeaths int
 }
 
 // Row is what came of circles of one size and loss.
@@ -48,28 +48,28 @@
 	fmt.Fprintln(tw, "processes\tloss\tmet ms\tknown p50\tp99\tmost\tbound\tnever\twrong\tdatagrams/s\tbytes/s\t")
 	for _, n := range sizes {
 		for _, loss := range losses {
-			all := seeds.Each(ctx, 1, uint64(runs)+1, workers, func(seed uint64) measured { return measure(seed, n, loss) })
+			all := seeds.Each(ctx, 1, uint64(runs)+1, workers, func(seed uint64) measurement { return measure(seed, n, loss) })
 			if ctx.Err() != nil {
 				return rows, ctx.Err()
 			}
-			var sum measured
+			var sum measurement
 			for _, m := range all {
-				sum.meet, sum.bound = max(sum.meet, m.meet), m.bound
-				sum.known = append(sum.known, m.known...)
-				sum.never += m.never
-				sum.wrong += m.wrong
+				sum.convergence, sum.bound = max(sum.convergence, m.convergence), m.bound
+				sum.detection = append(sum.detection, m.detection...)
+				sum.undetected += m.undetected
+				sum.falseDeaths += m.falseDeaths
 				sum.datagrams += m.datagrams / float64(runs)
 				sum.bytes += m.bytes / float64(runs)
 			}
-			slices.Sort(sum.known)
+			slices.Sort(sum.detection)
 			at := func(q float64) float64 {
-				if len(sum.known) == 0 {
+				if len(sum.detection) == 0 {
 					return math.NaN()
 				}
-				return sum.known[min(len(sum.known)-1, int(q*float64(len(sum.known))))]
+				return sum.detection[min(len(sum.detection)-1, int(q*float64(len(sum.detection))))]
 			}
-			fmt.Fprintf(tw, "%d\t%.0f%%\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%d\t%.1f\t%.0f\t\n", n, 100*loss, sum.meet, at(0.5), at(0.99), at(1),
-				sum.bound, sum.never, sum.wrong, sum.datagrams, sum.bytes)
+			fmt.Fprintf(tw, "%d\t%.0f%%\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\t%d\t%.1f\t%.0f\t\n", n, 100*loss, sum.convergence, at(0.5), at(0.99), at(1),
+				sum.bound, sum.undetected, sum.falseDeaths, sum.datagrams, sum.bytes)
 			rows = append(rows, Row{n, loss, at(0.5), at(0.99), sum.bound})
 		}
 	}
@@ -119,33 +119,33 @@
 	return err
 }
 
-// bound is SWIM's expectation, ms: the first probe of the dead one by anybody, e/(e-1) periods, its time, and a suspicion
+// expectedDetection is SWIM's expectation, ms: the first probe of the dead one by anybody, e/(e-1) periods, its time, and a suspicion
 // that enough others share. It is a mean; the tail is the round in which all probe all once.
-func (c *Circle) bound() float64 {
-	least, _ := c.bounds()
+func (c *Cluster) expectedDetection() float64 {
+	least, _ := c.suspicionBounds()
 	return math.E/(math.E-1)*membership.Period + membership.Period + least
 }
 
-func measure(seed uint64, n int, loss float64) (m measured) {
+func measure(seed uint64, n int, loss float64) (m measurement) {
 	c := New(seed, n)
-	m.meet, m.bound = c.Until(30000), c.bound()
-	c.lanes(func(_, _ *Process) bool { return true }, sim.DatagramLink{Loss: loss})
-	c.Pass(5000)
+	m.convergence, m.bound = c.AwaitConvergence(30000), c.expectedDetection()
+	c.setLinks(func(_, _ *Process) bool { return true }, sim.DatagramLink{Loss: loss})
+	c.Advance(5000)
 	d0, b0 := c.Sent()
-	c.Pass(calm)
+	c.Advance(restTime)
 	d1, b1 := c.Sent()
-	m.datagrams, m.bytes = float64(d1-d0)/calm*1000/float64(n), float64(b1-b0)/calm*1000/float64(n)
-	for i := range min(kills, n-2) {
-		p := c.All[n-1-i]
+	m.datagrams, m.bytes = float64(d1-d0)/restTime*1000/float64(n), float64(b1-b0)/restTime*1000/float64(n)
+	for i := range min(killsPerCluster, n-2) {
+		p := c.Processes[n-1-i]
 		p.Kill()
-		_, most := c.bounds()
-		c.Pass(most + 8000)
-		took, all := c.Known(p)
+		_, most := c.suspicionBounds()
+		c.Advance(most + 8000)
+		took, all := c.DetectionTimes(p)
 		if !all {
-			m.never++
+			m.undetected++
 		}
-		m.known = append(m.known, took...)
+		m.detection = append(m.detection, took...)
 	}
-	m.wrong = len(c.Wrong)
+	m.falseDeaths = len(c.FalseDeaths)
 	return m
 }
--- a/internal/lab/clubs/clubs.go
+++ b/internal/lab/clubs/clubs.go
@@ -41,49 +41,49 @@
 </site>`
 
 const (
-	cores    = 32     // of a node
-	lasts    = 2000.0 // ms that an allocation runs
-	calmPart = 0.6    // of its share that a calm tenant asks for
-	scores   = 4      // every so many asks of a tenant are for scoring
+	cores         = 32     // of a node
+	taskRuntime   = 2000.0 // ms that an allocation runs
+	calmLoad      = 0.6    // of its share that a calm tenant asks for
+	scoreInterval = 4      // every so many asks of a tenant are for scoring
 )
 
-// opening is how long a day takes to begin.
-const opening = 1800 * time.Millisecond
+// startupTime is how long a day takes to begin.
+const startupTime = 1800 * time.Millisecond
 
-// Day is a trial.
-type Day struct {
-	Tenants int
-	Nodes   int
-	Shards  int
-	Flood   float64 // times its share that the first tenant asks for, 0: as calm as the others
-	Plain   bool    // the site file's tenants, without lines in front
-	Returns bool    // somebody without a token connects anew without end
-	Secure  bool    // the owners' door speaks TLS
-	Wrong   float64 // planted: times its share that the first tenant is taken to have, 0: once
-	Open    int     // handshakes that are begun there and never ended, all day
-	Last    time.Duration
-	Seed    uint64
+// Trial is a trial.
+type Trial struct {
+	Tenants        int
+	Nodes          int
+	Shards         int
+	Flood          float64 // times its share that the first tenant asks for, 0: as calm as the others
+	Unqueued       bool    // the site file's tenants, without lines in front
+	ReconnectFlood bool    // somebody without a token connects anew without end
+	TLS            bool    // the owners' door speaks TLS
+	FirstShare     float64 // planted: times its share that the first tenant is taken to have, 0: once
+	HalfOpen       int     // handshakes that are begun there and never ended, all day
+	Duration       time.Duration
+	Seed           uint64
 }
 
-// Got is what a tenant got.
-type Got struct {
-	Asked, Served, InTime int
-	Value, Best           float64 // of what was served in time, and of all it asked for
-	P99                   float64 // ms from ask to start of what was served
-	took                  []float64
-	None                  int // asks without an answer
-	Seconds               int // second starts of scoring
+// TenantResult is what a tenant got.
+type TenantResult struct {
+	Requests, Served, InTime int
+	Value, Offered           float64 // of what was served in time, and of all it asked for
+	P99                      float64 // ms from ask to start of what was served
+	latencies                []float64
+	Unanswered               int // asks without an answer
+	SecondStarts             int // second starts of scoring
 }
 
 // Play plays a day and tells what each tenant got, the flooding one first.
-func Play(ctx context.Context, day Day) (all []Got, err error) {
+func Play(ctx context.Context, day Trial) (all []TenantResult, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	who := fmt.Sprintf("<hosting tenants=\"%d\"/>", day.Tenants)
-	if day.Plain {
+	if day.Unqueued {
 		var b strings.Builder
 		for i := range day.Tenants {
-			fmt.Fprintf(&b, "<tenant name=%q share=%q/>", name(i), fmt.Sprint(1/float64(day.Tenants)))
+			fmt.Fprintf(&b, "<tenant name=%q share=%q/>", tenantName(i), fmt.Sprint(1/float64(day.Tenants)))
 		}
 		who = b.String()
 	}
@@ -96,14 +96,14 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	tokens, err := people(dir, day)
+	tokens, err := addTenants(dir, day)
 	if err != nil {
 		return nil, err
 	}
 	real := outside.NewReal()
 	defer real.Close(time.Second)
 	w := standin.NewTestbed(real)
-	nodes, err := fleet(w, day)
+	nodes, err := startNodes(w, day)
 	if err != nil {
 		return nil, err
 	}
@@ -114,8 +114,8 @@
 	place.ListAddress = list.Address()
 	ready, ended := make(chan string, 1), make(chan error, 1)
 	sched := serve.Config{Site: place, Name: "s0", Folder: dir, Seed: day.Seed, Log: zerolog.Nop(), Ready: func(a string) { ready <- a }}
-	if day.Secure {
-		if sched.TLS, real.Connect, err = authority(filepath.Join(dir, "keys")); err != nil {
+	if day.TLS {
+		if sched.TLS, real.Connect, err = newAuthority(filepath.Join(dir, "keys")); err != nil {
 			return nil, err
 		}
 	}
@@ -127,10 +127,10 @@
 		return nil, err
 	}
 	var asking sync.WaitGroup
-	for range day.Open { // before the owners come
-		asking.Go(func() { halfOpen(ctx, time.Now().Add(opening+day.Last), addr) })
+	for range day.HalfOpen { // before the owners come
+		asking.Go(func() { halfOpen(ctx, time.Now().Add(startupTime+day.Duration), addr) })
 	}
-	time.Sleep(opening - 300*time.Millisecond) // connections, and the pace of the first moments
+	time.Sleep(startupTime - 300*time.Millisecond) // connections, and the pace of the first moments
 	var owners []*standin.Client
 	for i := range day.Tenants {
 		o := &standin.Client{ID: i, Scheduler: "s0", SchedulerAddress: func() string { return addr }, SettleTime: place.SettleTime, AuthToken: tokens[i]}
@@ -138,31 +138,31 @@
 		w.StartClient(o, uint64(i))
 	}
 	time.Sleep(300 * time.Millisecond)
-	end := time.Now().Add(day.Last)
-	if day.Returns {
-		asking.Go(func() { returns(end, addr) })
+	end := time.Now().Add(day.Duration)
+	if day.ReconnectFlood {
+		asking.Go(func() { reconnectForever(end, addr) })
 	}
-	share := float64(day.Nodes*cores) / (lasts / 1000) / float64(day.Tenants)
+	share := float64(day.Nodes*cores) / (taskRuntime / 1000) / float64(day.Tenants)
 	for i, o := range owners {
-		rate := calmPart * share
+		rate := calmLoad * share
 		if i == 0 && day.Flood > 0 {
 			rate = day.Flood * share
 		}
-		asking.Go(func() { ask(w, place, o, i, rate, end, day.Seed) })
+		asking.Go(func() { sendRequests(w, place, o, i, rate, end, day.Seed) })
 	}
 	asking.Wait()
 	time.Sleep(3500 * time.Millisecond) // every ask is answered or overdue
-	all = count(w.Trace.Records(), owners)
+	all = tally(w.Trace.Records(), owners)
 	stop()
 	return all, <-ended
 }
 
-func name(i int) string { return fmt.Sprintf("club-%02d", i) }
+func tenantName(i int) string { return fmt.Sprintf("club-%02d", i) }
 
-// people puts the tenants into the store.
-func people(dir string, day Day) (tokens []string, err error) {
+// addTenants puts the tenants into the store.
+func addTenants(dir string, day Trial) (tokens []string, err error) {
 	tokens = make([]string, day.Tenants)
-	if day.Plain {
+	if day.Unqueued {
 		return tokens, nil
 	}
 	store, err := tenants.Open(dir, day.Tenants)
@@ -172,11 +172,11 @@
 	defer store.Close()
 	for i := range day.Tenants {
 		share := 1.0
-		if i == 0 && day.Wrong > 0 {
-			share = day.Wrong
+		if i == 0 && day.FirstShare > 0 {
+			share = day.FirstShare
 		}
 		_, fault, err := store.Apply(time.Now(), "lab", "", tenancy.Change{
-			Kind: tenancy.Add, Name: name(i),
+			Kind: tenancy.Add, Name: tenantName(i),
 			Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: share, MaxWaiting: 400}},
 		})
 		if fault != nil {
@@ -184,20 +184,20 @@
 		} else if err != nil {
 			return nil, err
 		}
-		if tokens[i], err = store.IssueToken(time.Now(), "lab", name(i), time.Hour); err != nil {
+		if tokens[i], err = store.IssueToken(time.Now(), "lab", tenantName(i), time.Hour); err != nil {
 			return nil, err
 		}
 	}
 	return tokens, nil
 }
 
-func fleet(w *standin.Testbed, day Day) (nodes []*standin.Node, err error) {
+func startNodes(w *standin.Testbed, day Trial) (nodes []*standin.Node, err error) {
 	mk := standin.MachineConfig{
 		Cores: cores, Memory: 2 * cores, CoresLimit: 1, MemoryLimit: 1, InspectTime: 1, QueueLimit: 4000, ConcurrentStarts: 64, ProgramMissFactor: 1,
 		ProgramCacheSize: 64, WarmupPace: 1, WarmupDuration: 1, OverloadFactor: 1e12, OverloadWindow: 1, SlowStartLimit: 1 << 30,
 	}
 	for job := range 2 {
-		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 2, MeanRuntime: lasts, MeanUse: 0.5, Priority: job})
+		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 2, MeanRuntime: taskRuntime, MeanUse: 0.5, Priority: job})
 	}
 	group := standin.NewGroup()
 	for i := range day.Nodes {
@@ -210,8 +210,8 @@
 	return nodes, nil
 }
 
-// ask asks for a tenant at a rate, whatever becomes of it; nothing is asked for twice.
-func ask(w *standin.Testbed, place *site.Config, o *standin.Client, i int, rate float64, end time.Time, seed uint64) {
+// sendRequests asks for a tenant at a rate, whatever becomes of it; nothing is asked for twice.
+func sendRequests(w *standin.Testbed, place *site.Config, o *standin.Client, i int, rate float64, end time.Time, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(i)+40))
 	at := time.Now()
 	for n := 0; ; n++ {
@@ -221,10 +221,10 @@
 		}
 		time.Sleep(time.Until(at))
 		job := 0
-		if n%scores == 0 {
+		if n%scoreInterval == 0 {
 			job = 1
 		}
-		key, service, tenant := fmt.Sprint("k", n), fmt.Sprint("v", job, n%3), name(i)
+		key, service, tenant := fmt.Sprint("k", n), fmt.Sprint("v", job, n%3), tenantName(i)
 		jt := place.Cluster.JobClasses[job]
 		o.Request(&standin.Demand{
 			Key: key, Tenant: tenant, JobType: place.JobClasses[job], Service: service, Job: job, Effect: int(jt.Semantics),
@@ -236,15 +236,15 @@
 
 // count tells from the trace what each tenant got.
 
-func count(records []audit.Record, owners []*standin.Client) []Got {
-	all := make([]Got, len(owners))
+func tally(records []audit.Record, owners []*standin.Client) []TenantResult {
+	all := make([]TenantResult, len(owners))
 	value := [...]float64{1, 3}
 	took := make([][]float64, len(owners))
 	for i, o := range owners {
 		for _, t := range o.Outcomes() {
 			g := &all[i]
-			g.Asked++
-			g.Best += value[t.Job]
+			g.Requests++
+			g.Offered += value[t.Job]
 			switch t.Result {
 			case "served":
 				g.Served++
@@ -254,14 +254,14 @@
 					g.Value += value[t.Job]
 				}
 			case "none":
-				g.None++
+				g.Unanswered++
 			}
 		}
 		slices.Sort(took[i])
 		if n := len(took[i]); n > 0 {
 			all[i].P99 = took[i][int(0.99*float64(n-1))]
 		}
-		all[i].took = took[i]
+		all[i].latencies = took[i]
 	}
 	of, starts := map[uint64]int{}, map[uint64]int{}
 	for _, r := range records {
@@ -272,7 +272,7 @@
 	for _, r := range records {
 		if i, ok := of[r.Token]; ok && r.Kind == audit.TaskStarted {
 			if starts[r.Token]++; starts[r.Token] > 1 {
-				all[i].Seconds++
+				all[i].SecondStarts++
 			}
 		}
 	}
@@ -280,43 +280,43 @@
 }
 
 // Table compares days: a calm one, one with a flood behind the lines, and one with the same flood without them.
-func Table(ctx context.Context, out io.Writer, day Day) (worst float64, err error) {
+func Table(ctx context.Context, out io.Writer, day Trial) (worst float64, err error) {
 	calm, flood, plain := day, day, day
-	calm.Flood, plain.Plain, plain.Returns = 0, true, false
-	var got [3][]Got
-	for i, d := range []Day{calm, flood, plain} {
+	calm.Flood, plain.Unqueued, plain.ReconnectFlood = 0, true, false
+	var got [3][]TenantResult
+	for i, d := range []Trial{calm, flood, plain} {
 		if got[i], err = Play(ctx, d); err != nil {
 			return 0, err
 		}
 	}
 	fmt.Fprintf(out, "%d tenants, %d nodes of %d cores, %d shards, %s a day; the first asks for %g times its share, the others for %g\n", day.Tenants,
-		day.Nodes, cores, day.Shards, day.Last, day.Flood, calmPart)
+		day.Nodes, cores, day.Shards, day.Duration, day.Flood, calmLoad)
 	fmt.Fprintf(out, "%-10s %28s %38s %38s\n", "", "calm day", "flood, with lines", "flood, without lines")
 	fmt.Fprintf(out, "%-10s %8s %9s %9s %8s %9s %9s %9s %8s %9s %9s %9s\n", "tenant", "asked", "value", "p99 ms", "asked", "value",
 		"of calm", "p99 ms", "asked", "value", "of calm", "p99 ms")
 	worst = 1
-	part := func(g Got) float64 { return g.Value / max(1, g.Best) }
+	part := func(g TenantResult) float64 { return g.Value / max(1, g.Offered) }
 	none, seconds := 0, 0
 	for i := range got[0] {
 		c, f, p := got[0][i], got[1][i], got[2][i]
-		of := func(g Got) float64 { return part(g) / max(1e-9, part(c)) }
-		fmt.Fprintf(out, "%-10s %8d %9.3f %9.0f %8d %9.3f %9.3f %9.0f %8d %9.3f %9.3f %9.0f\n", name(i), c.Asked, part(c), c.P99,
-			f.Asked, part(f), of(f), f.P99, p.Asked, part(p), of(p), p.P99)
+		of := func(g TenantResult) float64 { return part(g) / max(1e-9, part(c)) }
+		fmt.Fprintf(out, "%-10s %8d %9.3f %9.0f %8d %9.3f %9.3f %9.0f %8d %9.3f %9.3f %9.0f\n", tenantName(i), c.Requests, part(c), c.P99,
+			f.Requests, part(f), of(f), f.P99, p.Requests, part(p), of(p), p.P99)
 		if i > 0 {
 			worst = min(worst, of(f))
 		}
-		none, seconds = none+c.None+f.None, seconds+c.Seconds+f.Seconds
+		none, seconds = none+c.Unanswered+f.Unanswered, seconds+c.SecondStarts+f.SecondStarts
 	}
-	served := func(all []Got) (n float64) {
+	served := func(all []TenantResult) (n float64) {
 		for _, g := range all {
 			n += float64(g.Served)
 		}
-		return n / day.Last.Seconds()
+		return n / day.Duration.Seconds()
 	}
-	late := func(all []Got) float64 { // of the calm tenants together: each alone has too few for a 99th percentile
+	late := func(all []TenantResult) float64 { // of the calm tenants together: each alone has too few for a 99th percentile
 		var took []float64
 		for _, g := range all[1:] {
-			took = append(took, g.took...)
+			took = append(took, g.latencies...)
 		}
 		if slices.Sort(took); len(took) == 0 {
 			return 0
@@ -326,18 +326,18 @@
 	c, f, p := late(got[0]), late(got[1]), late(got[2])
 	fmt.Fprintf(out, "p99 of the calm tenants together: calm day %.1f ms, flood with lines %.1f (%.2f times), without %.0f\n", c, f, f/max(c, 1e-9), p)
 	fmt.Fprintf(out, "served a second: calm day %.0f, flood with lines %.0f, without %.0f, of %.0f that the nodes carry\n", served(got[0]),
-		served(got[1]), served(got[2]), float64(day.Nodes*cores)/(lasts/1000))
+		served(got[1]), served(got[2]), float64(day.Nodes*cores)/(taskRuntime/1000))
 	fmt.Fprintf(out, "worst calm tenant: %.3f of its calm day's value\nunanswered: %d\nsecond starts: %d\n", worst, none, seconds)
 	return worst, nil
 }
 
-// returns connects anew without end and never shows a token.
-func returns(end time.Time, addr string) {
+// reconnectForever connects anew without end and never shows a token.
+func reconnectForever(end time.Time, addr string) {
 	for time.Now().Before(end) {
 		w := outside.NewReal()
 		w.Dial(addr, 500, func(conn outside.Conn, err error) {
 			if err == nil {
-				conn.Start(nobody{}, 500)
+				conn.Start(discardHandler{}, 500)
 				conn.Send(func(b []byte) []byte { return append(b, "Content-Length: 9\r\n\r\n"...) })
 			}
 		})
@@ -346,7 +346,7 @@
 	}
 }
 
-type nobody struct{}
+type discardHandler struct{}
 
-func (nobody) OnData([]byte) {}
-func (nobody) OnClose(error) {}
+func (discardHandler) OnData([]byte) {}
+func (discardHandler) OnClose(error) {}
--- a/internal/lab/clubs/clubs_test.go
+++ b/internal/lab/clubs/clubs_test.go
@@ -10,7 +10,7 @@
 // TestHandshakes plays a short day beside more half-open handshakes than may be under way: tenants come in and are served.
 func TestHandshakes(t *testing.T) {
 	var out strings.Builder
-	_, _, none, err := Handshakes(context.Background(), &out, Day{Tenants: 4, Nodes: 4, Shards: 1, Last: time.Second, Seed: 1}, 200)
+	_, _, none, err := Handshakes(context.Background(), &out, Trial{Tenants: 4, Nodes: 4, Shards: 1, Duration: time.Second, Seed: 1}, 200)
 	if err != nil || none > 0 {
 		t.Error(none, err, out.String())
 	}
@@ -18,13 +18,13 @@
 
 // TestPlanted plays a flood whose tenant is taken to have a hundred shares: the calm ones must be seen to suffer.
 func TestPlanted(t *testing.T) {
-	all, err := Play(context.Background(), Day{Tenants: 6, Nodes: 4, Shards: 2, Flood: 8, Wrong: 100, Last: 4 * time.Second, Seed: 1})
+	all, err := Play(context.Background(), Trial{Tenants: 6, Nodes: 4, Shards: 2, Flood: 8, FirstShare: 100, Duration: 4 * time.Second, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	worst := 1.0
 	for _, g := range all[1:] {
-		worst = min(worst, g.Value/max(1, g.Best))
+		worst = min(worst, g.Value/max(1, g.Offered))
 	}
 	if worst >= 0.7 {
 		t.Errorf("worst calm tenant: %.3f", worst)
@@ -35,7 +35,7 @@
 // tenants keep most of their day, whatever machine this is.
 func TestFlood(t *testing.T) {
 	var out strings.Builder
-	worst, err := Table(context.Background(), &out, Day{Tenants: 6, Nodes: 4, Shards: 2, Flood: 8, Returns: true, Last: 4 * time.Second, Seed: 1})
+	worst, err := Table(context.Background(), &out, Trial{Tenants: 6, Nodes: 4, Shards: 2, Flood: 8, ReconnectFlood: true, Duration: 4 * time.Second, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/clubs/handshakes.go
+++ b/internal/lab/clubs/handshakes.go
@@ -14,8 +14,8 @@
 	"ravenpond/internal/keys"
 )
 
-// authority makes keys for a trial: TLS for a server, and a way to connect to it.
-func authority(folder string) (server *tls.Config, connect func(context.Context, string) (net.Conn, error), err error) {
+// newAuthority makes keys for a trial: TLS for a server, and a way to connect to it.
+func newAuthority(folder string) (server *tls.Config, connect func(context.Context, string) (net.Conn, error), err error) {
 	ca, err := keys.Init(folder, time.Now())
 	if err != nil {
 		return nil, nil, err
@@ -39,8 +39,8 @@
 	return guard.ServerConfig(), func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }, nil
 }
 
-// comesBack is how long who is cut off in a handshake waits before the next.
-const comesBack = time.Second
+// handshakeRetryDelay is how long who is cut off in a handshake waits before the next.
+const handshakeRetryDelay = time.Second
 
 // halfOpen begins a handshake and says no more, again when it is cut off, until the end.
 func halfOpen(ctx context.Context, end time.Time, addr string) {
@@ -56,20 +56,20 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(comesBack):
+		case <-time.After(handshakeRetryDelay):
 		}
 	}
 }
 
 // Handshakes compares calm days at a door that speaks TLS, without and with handshakes that are begun and never ended, and
 // gives by how much the times from ask to start grew in the middle and at the 99th percentile.
-func Handshakes(ctx context.Context, out io.Writer, day Day, open int) (mid, late float64, none int, err error) {
-	day.Secure, day.Flood = true, 0
-	fmt.Fprintf(out, "%d tenants, %d nodes of %d cores, %d shards, %s a day, owners over TLS\n", day.Tenants, day.Nodes, cores, day.Shards, day.Last)
+func Handshakes(ctx context.Context, out io.Writer, day Trial, open int) (mid, late float64, none int, err error) {
+	day.TLS, day.Flood = true, 0
+	fmt.Fprintf(out, "%d tenants, %d nodes of %d cores, %d shards, %s a day, owners over TLS\n", day.Tenants, day.Nodes, cores, day.Shards, day.Duration)
 	fmt.Fprintf(out, "%10s %8s %8s %8s %8s %8s %10s\n", "half-open", "asked", "served", "p50 ms", "p99 ms", "max ms", "unanswered")
 	var p50, p99 [2]float64
 	for i, n := range []int{0, open} {
-		day.Open = n
+		day.HalfOpen = n
 		all, err := Play(ctx, day)
 		if err != nil {
 			return 0, 0, 0, err
@@ -77,7 +77,7 @@
 		asked, without := 0, 0
 		var took []float64
 		for _, g := range all {
-			asked, without, took = asked+g.Asked, without+g.None, append(took, g.took...)
+			asked, without, took = asked+g.Requests, without+g.Unanswered, append(took, g.latencies...)
 		}
 		if len(took) == 0 {
 			return 0, 0, 0, fmt.Errorf("nothing was served beside %d half-open handshakes", n)
--- a/internal/lab/clubs/removals.go
+++ b/internal/lab/clubs/removals.go
@@ -25,40 +25,40 @@
 	"ravenpond/internal/state/tenants"
 )
 
-// Removal is a trial of removals under load, with a scheduler process that is killed in between.
-type Removal struct {
-	Command []string // that runs the program
-	Rounds  int
-	Each    int // tenants that are removed in a round
-	Asks    int // of each
-	Nodes   int
-	Seed    uint64
+// RemovalTrial is a trial of removals under load, with a scheduler process that is killed in between.
+type RemovalTrial struct {
+	Command           []string // that runs the program
+	Rounds            int
+	TenantsPerRound   int // tenants that are removed in a round
+	RequestsPerTenant int // of each
+	Nodes             int
+	Seed              uint64
 }
 
-// Removed is what came of it.
-type Removed struct {
-	Tenants, Asks, Kills      int
-	Served, Declined, Failed  int
-	CutOff, Unanswered        int // given up as the process was killed; without an answer though it lived
-	Seconds, Left, NotRemoved int // second starts of scoring; tries still held at nodes; tenants whose removal did not end
+// RemovalResult is what came of it.
+type RemovalResult struct {
+	Tenants, Requests, Kills              int
+	Served, Declined, Failed              int
+	CutOff, Unanswered                    int // given up as the process was killed; without an answer though it lived
+	SecondStarts, HeldAtNodes, NotRemoved int // second starts of scoring; tries still held at nodes; tenants whose removal did not end
 }
 
-// removing is the world of the trial.
-type removing struct {
-	Removal
-	w     *standin.Testbed
-	place *site.Config
-	dir   string
-	path  string
-	log   *os.File
-	mu    sync.Mutex
-	addr  string
-	cmd   *exec.Cmd
+// removalRun is the world of the trial.
+type removalRun struct {
+	RemovalTrial
+	testbed *standin.Testbed
+	site    *site.Config
+	dir     string
+	path    string
+	log     *os.File
+	mu      sync.Mutex
+	address string
+	command *exec.Cmd
 }
 
 // Play plays it.
-func (r Removal) Play(ctx context.Context) (out Removed, err error) {
-	slots := r.Rounds * r.Each
+func (r RemovalTrial) Play(ctx context.Context) (out RemovalResult, err error) {
+	slots := r.Rounds * r.TenantsPerRound
 	text := fmt.Sprintf(siteText, fmt.Sprintf("<hosting tenants=\"%d\"/>", slots), 2, 2)
 	text = strings.Replace(text, `<limits open="20000"/>`, `<limits open="20000" owners="20000"/>`, 1)
 	dir, err := os.MkdirTemp("", "ravenpond-removals-")
@@ -68,12 +68,12 @@
 	defer os.RemoveAll(dir)
 	real := outside.NewReal()
 	defer real.Close(time.Second)
-	p := &removing{Removal: r, w: standin.NewTestbed(real), dir: dir, path: filepath.Join(dir, "site.xml")}
-	nodes, err := fleet(p.w, Day{Tenants: slots, Nodes: r.Nodes, Seed: r.Seed})
+	p := &removalRun{RemovalTrial: r, testbed: standin.NewTestbed(real), dir: dir, path: filepath.Join(dir, "site.xml")}
+	nodes, err := startNodes(p.testbed, Trial{Tenants: slots, Nodes: r.Nodes, Seed: r.Seed})
 	if err != nil {
 		return out, err
 	}
-	list, err := p.w.StartList(0, nodes, "")
+	list, err := p.testbed.StartList(0, nodes, "")
 	if err != nil {
 		return out, err
 	}
@@ -82,7 +82,7 @@
 	if len(faults) > 0 {
 		return out, fmt.Errorf("site of the removals: %s", faults[0])
 	}
-	p.place = place
+	p.site = place
 	if err := os.WriteFile(p.path, []byte(text), 0o640); err != nil {
 		return out, err
 	}
@@ -107,7 +107,7 @@
 	time.Sleep(4 * time.Second) // every ask is answered or overdue
 	for _, o := range owners {
 		for _, t := range o.Outcomes() {
-			out.Asks++
+			out.Requests++
 			switch t.Result {
 			case "served":
 				out.Served++
@@ -123,7 +123,7 @@
 		}
 	}
 	score, starts := map[uint64]bool{}, map[uint64]int{}
-	records := p.w.Trace.Records()
+	records := p.testbed.Trace.Records()
 	for _, rec := range records {
 		if rec.Kind == audit.RequestSent && rec.Job == 1 {
 			score[rec.Token] = true
@@ -132,16 +132,16 @@
 	for _, rec := range records {
 		if rec.Kind == audit.TaskStarted && score[rec.Token] {
 			if starts[rec.Token]++; starts[rec.Token] > 1 {
-				out.Seconds++
+				out.SecondStarts++
 			}
 		}
 	}
-	p.w.WithLock(func(float64) {
+	p.testbed.WithLock(func(float64) {
 		for _, n := range nodes {
-			out.Left += n.Machine.TaskCount()
+			out.HeldAtNodes += n.Machine.TaskCount()
 		}
 	})
-	err = p.with(func(st *tenants.Store) error {
+	err = p.withStore(func(st *tenants.Store) error {
 		all, err := st.Read()
 		if err != nil {
 			return err
@@ -158,14 +158,14 @@
 
 // round adds tenants, lets them ask, removes them meanwhile, kills the process at some moment of that, and waits until the
 // removals are over.
-func (p *removing) round(ctx context.Context, rng *rand.Rand, round int) (owners []*standin.Client, err error) {
+func (p *removalRun) round(ctx context.Context, rng *rand.Rand, round int) (owners []*standin.Client, err error) {
 	var names, tokens []string
-	for i := range p.Each {
+	for i := range p.TenantsPerRound {
 		names = append(names, fmt.Sprintf("r%d-%d", round, i))
 	}
-	if err := p.with(func(st *tenants.Store) error {
+	if err := p.withStore(func(st *tenants.Store) error {
 		for _, name := range names {
-			if err := p.do(st, tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 100}}}); err != nil {
+			if err := p.change(st, tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 100}}}); err != nil {
 				return err
 			}
 			token, err := st.IssueToken(time.Now(), "lab", name, time.Hour)
@@ -178,29 +178,29 @@
 	}); err != nil {
 		return nil, err
 	}
-	time.Sleep(1200 * time.Millisecond) // the process has read them
-	at := make([]float64, p.Each)       // when each is removed, ms from now
+	time.Sleep(1200 * time.Millisecond)      // the process has read them
+	at := make([]float64, p.TenantsPerRound) // when each is removed, ms from now
 	for i := range at {
-		at[i] = float64(2500 * (i + 1) / p.Each)
+		at[i] = float64(2500 * (i + 1) / p.TenantsPerRound)
 	}
 	began := time.Now()
 	for i, name := range names {
-		o := &standin.Client{ID: round*p.Each + i, Scheduler: "s0", SettleTime: 600, AuthToken: tokens[i], SchedulerAddress: func() string {
+		o := &standin.Client{ID: round*p.TenantsPerRound + i, Scheduler: "s0", SettleTime: 600, AuthToken: tokens[i], SchedulerAddress: func() string {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return p.addr
+			return p.address
 		}}
-		p.w.StartClient(o, uint64(i))
+		p.testbed.StartClient(o, uint64(i))
 		owners = append(owners, o)
-		for n := range p.Asks {
+		for n := range p.RequestsPerTenant {
 			job := n % 2
 			key, service := fmt.Sprint("k", n), fmt.Sprint("v", job)
-			p.w.After(float64(rng.IntN(int(at[i])+400)), func() { // up to a moment after the removal
+			p.testbed.After(float64(rng.IntN(int(at[i])+400)), func() { // up to a moment after the removal
 				o.Request(&standin.Demand{
-					Key: key, Tenant: name, JobType: p.place.JobClasses[job], Service: service, Job: job,
-					Effect: int(p.place.Cluster.JobClasses[job].Semantics), Token: serve.Token(name, key),
-					ServiceKey: serve.Service(name, service), Cores: 1, Memory: 2, Timeout: p.place.Deadlines[job], LatencyObjective: 1000,
-					GiveUpAt: p.w.Now() + 20,
+					Key: key, Tenant: name, JobType: p.site.JobClasses[job], Service: service, Job: job,
+					Effect: int(p.site.Cluster.JobClasses[job].Semantics), Token: serve.Token(name, key),
+					ServiceKey: serve.Service(name, service), Cores: 1, Memory: 2, Timeout: p.site.Deadlines[job], LatencyObjective: 1000,
+					GiveUpAt: p.testbed.Now() + 20,
 				}) // not again: after a removal the token is gone, and what is asked without one is not taken
 			})
 		}
@@ -216,8 +216,8 @@
 	})
 	for i, name := range names {
 		time.Sleep(time.Until(began.Add(time.Duration(at[i] * 1e6))))
-		if err := p.with(func(st *tenants.Store) error {
-			return p.do(st, tenancy.Change{Kind: tenancy.Remove, Name: name, Removal: tenancy.RemovalMode(rng.IntN(2))})
+		if err := p.withStore(func(st *tenants.Store) error {
+			return p.change(st, tenancy.Change{Kind: tenancy.Remove, Name: name, Removal: tenancy.RemovalMode(rng.IntN(2))})
 		}); err != nil {
 			return nil, err
 		}
@@ -228,7 +228,7 @@
 	}
 	for range 600 {
 		left := 0
-		if err := p.with(func(st *tenants.Store) error {
+		if err := p.withStore(func(st *tenants.Store) error {
 			all, err := st.Read()
 			if err != nil {
 				return err
@@ -250,7 +250,7 @@
 	return owners, ctx.Err()
 }
 
-func (p *removing) do(st *tenants.Store, c tenancy.Change) error {
+func (p *removalRun) change(st *tenants.Store, c tenancy.Change) error {
 	_, fault, err := st.Apply(time.Now(), "lab", "", c)
 	if fault != nil {
 		return fault
@@ -258,11 +258,11 @@
 	return err
 }
 
-func (p *removing) state() string { return filepath.Join(p.dir, "state") }
+func (p *removalRun) stateDir() string { return filepath.Join(p.dir, "state") }
 
-func (p *removing) with(do func(st *tenants.Store) error) error {
+func (p *removalRun) withStore(do func(st *tenants.Store) error) error {
 	var st *tenants.Store
-	err := bolt.RetryWhileLocked(context.Background(), 100, func() (err error) { st, err = tenants.Open(p.state(), p.Rounds*p.Each); return err })
+	err := bolt.RetryWhileLocked(context.Background(), 100, func() (err error) { st, err = tenants.Open(p.stateDir(), p.Rounds*p.TenantsPerRound); return err })
 	if err != nil {
 		return err
 	}
@@ -270,25 +270,25 @@
 }
 
 // start starts the process.
-func (p *removing) start(ctx context.Context) error {
+func (p *removalRun) start(ctx context.Context) error {
 	file := filepath.Join(p.dir, "address")
 	_ = os.Remove(file) // there may be none
-	command := append(append([]string(nil), p.Command...), "serve", "--site", p.path, "--state", p.state(), "--seed", "3", "--address-file", file)
+	command := append(append([]string(nil), p.Command...), "serve", "--site", p.path, "--state", p.stateDir(), "--seed", "3", "--address-file", file)
 	cmd, addr, err := spawn.Scheduler(ctx, command, p.log, file)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	p.cmd, p.addr = cmd, addr
+	p.command, p.address = cmd, addr
 	p.mu.Unlock()
 	return nil
 }
 
 // kill kills it, as kill -9 does.
-func (p *removing) kill() {
+func (p *removalRun) kill() {
 	p.mu.Lock()
-	cmd := p.cmd
-	p.cmd, p.addr = nil, ""
+	cmd := p.command
+	p.command, p.address = nil, ""
 	p.mu.Unlock()
 	if cmd != nil {
 		_ = cmd.Process.Kill()
@@ -297,8 +297,8 @@
 }
 
 // Print writes what came of it.
-func (r *Removed) Print(out io.Writer) {
+func (r *RemovalResult) Print(out io.Writer) {
 	fmt.Fprintf(out, "tenants removed: %d, kills: %d\nasks: %d, served %d, declined %d, failed %d, cut off by a kill %d\n", r.Tenants-r.NotRemoved, r.Kills,
-		r.Asks, r.Served, r.Declined, r.Failed, r.CutOff)
-	fmt.Fprintf(out, "removals that did not end: %d\nheld at nodes: %d\nunanswered: %d\nsecond starts: %d\n", r.NotRemoved, r.Left, r.Unanswered, r.Seconds)
+		r.Requests, r.Served, r.Declined, r.Failed, r.CutOff)
+	fmt.Fprintf(out, "removals that did not end: %d\nheld at nodes: %d\nunanswered: %d\nsecond starts: %d\n", r.NotRemoved, r.HeldAtNodes, r.Unanswered, r.SecondStarts)
 }
--- a/internal/lab/council/council_test.go
+++ b/internal/lab/council/council_test.go
@@ -12,8 +12,8 @@
 func TestSeeds(t *testing.T) {
 	versions, answered := uint64(0), 0
 	for _, v := range Seeds(context.Background(), 1, 25, runtime.NumCPU(), consensus.Faults{}) {
-		if v.Broken != "" {
-			t.Errorf("seed %d: %.1200s", v.Seed, v.Broken)
+		if v.Failure != "" {
+			t.Errorf("seed %d: %.1200s", v.Seed, v.Failure)
 		}
 		versions, answered = versions+v.Versions, answered+v.Answered
 	}
@@ -39,8 +39,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := c.from; seed < c.from+40; seed++ {
-				if v := Play(seed, c.plant); v.Broken != "" {
-					t.Logf("found by seed %d: %.120s", v.Seed, v.Broken)
+				if v := Play(seed, c.plant); v.Failure != "" {
+					t.Logf("found by seed %d: %.120s", v.Seed, v.Failure)
 					return
 				}
 			}
@@ -53,9 +53,9 @@
 // processes, and nothing is written.
 func TestRest(t *testing.T) {
 	for _, n := range []int{3, 12, 50} {
-		c := Rest(1, n)
+		c := MeasureAtRest(1, n)
 		t.Logf("%d processes: %+v", n, c)
-		if c.Follows > 6.5 || c.Writes > 0 || c.Steward > 20+2.2*float64(n) {
+		if c.Follower > 6.5 || c.Writes > 0 || c.Voter > 20+2.2*float64(n) {
 			t.Errorf("%d processes: %+v", n, c)
 		}
 	}
--- a/internal/lab/month/month.go
+++ b/internal/lab/month/month.go
@@ -20,117 +20,117 @@
 	"ravenpond/logic"
 )
 
-// Plant names a fault that the run must find.
-type Plant string
+// Fault names a fault that the run must find.
+type Fault string
 
 // Faults that can be planted.
 const (
-	None       Plant = ""
-	NoGuard    Plant = "guard band left out"
-	PerProcess Plant = "overlap checked per process"
-	NoRecall   Plant = "try not recalled"
+	None       Fault = ""
+	NoGuard    Fault = "guard band left out"
+	PerProcess Fault = "overlap checked per process"
+	NoRecall   Fault = "try not recalled"
 )
 
-// Run is one month.
-type Run struct {
+// Month is one month.
+type Month struct {
 	Seed      uint64
 	Days      int
 	Processes int
-	Plant     Plant
+	Fault     Fault
 }
 
 // Report is what came of it.
 type Report struct {
 	Windows, Kept, Postponed, Refused int
-	Offers, Starts, Moved             int
+	Offers, Starts, MovedOff          int
 	Restarts, Lost                    int
-	Late                              int // offers or starts at a node that is out for longer than the grace
+	LatePlacements                    int // offers or starts at a node that is out for longer than the grace
 	Overlaps                          int // instants at which more was out than may be
 	Trace                             uint64
-	First                             string // the first break
+	FirstFailure                      string // the first break
 }
 
 const (
-	guard = 4 * time.Second
-	skew  = 3500.0 // ms that a clock is off at most, within the guard
-	grace = 2000.0
-	step  = 20.0
-	zones = 3
-	cells = 8 // a zone
-	each  = 5 // nodes a cell
-	jobs  = 3
+	guardBand    = 4 * time.Second
+	maxSkew      = 3500.0 // ms that a clock is off at most, within the guard
+	drainGrace   = 2000.0
+	stepLength   = 20.0
+	zoneCount    = 3
+	cellsPerZone = 8 // a zone
+	nodesPerCell = 5 // nodes a cell
+	jobClasses   = 3
 )
 
-var begin = time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC)
+var epoch = time.Date(2026, 3, 2, 0, 0, 0, 0, time.UTC)
 
-var limits = calendar.Limits{Fleet: 0.15, Zone: 0.25, Kind: 0.2, MaxWarmingUp: 20, WarmUp: 30 * time.Second, LoadMargin: 1, ClockGuard: guard}
+var limits = calendar.Limits{Fleet: 0.15, Zone: 0.25, Kind: 0.2, MaxWarmingUp: 20, WarmUp: 30 * time.Second, LoadMargin: 1, ClockGuard: guardBand}
 
-// world is the true state.
-type world struct {
-	Run
-	rng    *rand.Rand
-	now    float64 // ms from begin
-	nodes  []*spot
-	procs  []*proc
-	fleet  []calendar.Node
-	truth  []calendar.Verdict // of the whole calendar, by the true fleet
-	cal    *calendar.Calendar
-	events agenda.Agenda[func()]
-	rep    Report
-	trace  xxhash.Digest
-	nextID uint64
+// simulation is the true state.
+type simulation struct {
+	Month
+	rng       *rand.Rand
+	now       float64 // ms from begin
+	nodes     []*simNode
+	processes []*process
+	fleet     []calendar.Node
+	plan      []calendar.Verdict // of the whole calendar, by the true fleet
+	calendar  *calendar.Calendar
+	events    agenda.Agenda[func()]
+	report    Report
+	trace     xxhash.Digest
+	nextID    uint64
 }
 
-func (w *world) after(ms float64, run func()) {
+func (w *simulation) schedule(ms float64, run func()) {
 	w.events.Add(w.now+ms, run)
 }
 
-func (w *world) wire(run func()) { w.after(0.3+w.rng.Float64()*20, run) }
+func (w *simulation) sendDelayed(run func()) { w.schedule(0.3+w.rng.Float64()*20, run) }
 
-func (w *world) note(format string, args ...any) {
+func (w *simulation) tracef(format string, args ...any) {
 	fmt.Fprintf(&w.trace, "%.3f ", w.now)
 	fmt.Fprintf(&w.trace, format+"\n", args...)
 }
 
-func (w *world) fail(count *int, format string, args ...any) {
+func (w *simulation) fail(count *int, format string, args ...any) {
 	*count++
-	if w.rep.First == "" {
-		w.rep.First = begin.Add(time.Duration(w.now*1e6)).Format(time.DateTime) + ": " + fmt.Sprintf(format, args...)
+	if w.report.FirstFailure == "" {
+		w.report.FirstFailure = epoch.Add(time.Duration(w.now*1e6)).Format(time.DateTime) + ": " + fmt.Sprintf(format, args...)
 	}
 }
 
 // Play runs the month.
-func (r Run) Play() Report {
-	w := &world{Run: r, rng: rand.New(rand.NewPCG(r.Seed, 41))}
+func (r Month) Play() Report {
+	w := &simulation{Month: r, rng: rand.New(rand.NewPCG(r.Seed, 41))}
 	w.trace.Reset()
 	w.build()
-	w.draw()
-	for _, at := range w.busy() {
-		w.jump(at[0])
+	w.drawFaults()
+	for _, at := range w.activeSpans() {
+		w.skipTo(at[0])
 		for w.now < at[1] {
-			w.step()
+			w.advance()
 		}
 	}
-	w.rep.Trace = w.trace.Sum64()
-	for _, p := range w.procs {
-		w.rep.Moved += p.moved
+	w.report.Trace = w.trace.Sum64()
+	for _, p := range w.processes {
+		w.report.MovedOff += p.movedOff
 	}
-	return w.rep
+	return w.report
 }
 
-func (w *world) build() {
-	for z := range zones {
-		for c := range cells {
-			for i := range each {
-				s := &spot{w: w, id: uint32(len(w.nodes) + 1), zone: z, cell: z*cells + c, kind: (c + i) % 2, life: 1}
+func (w *simulation) build() {
+	for z := range zoneCount {
+		for c := range cellsPerZone {
+			for i := range nodesPerCell {
+				s := &simNode{sim: w, id: uint32(len(w.nodes) + 1), zone: z, cell: z*cellsPerZone + c, kind: (c + i) % 2, incarnation: 1}
 				mk := standin.MachineConfig{
 					Cores: 32, Memory: 64, CoresLimit: 2, MemoryLimit: 2, InspectTime: 150, QueueLimit: 30, ConcurrentStarts: 3, ProgramMissFactor: 4,
 					ProgramCacheSize: 6, WarmupPace: 0.2, WarmupDuration: 8000, OverloadFactor: 1e9, OverloadWindow: 1000, SlowStartLimit: 1 << 30,
 				}
-				for job := range jobs { // run-once ones start so slowly that a try waits for seconds
+				for job := range jobClasses { // run-once ones start so slowly that a try waits for seconds
 					mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 150 + 1650*float64(job/2), MeanRuntime: 30000, MeanUse: 0.5})
 				}
-				s.m = standin.NewMachine(mk, s, standin.NewGroup(), w.rng.Uint64(), 0, false)
+				s.machine = standin.NewMachine(mk, s, standin.NewGroup(), w.rng.Uint64(), 0, false)
 				w.nodes = append(w.nodes, s)
 				w.fleet = append(w.fleet, calendar.Node{
 					ID: strconv.Itoa(int(s.id)), Zone: fmt.Sprint("z", z), Cell: fmt.Sprint("c", s.cell),
@@ -139,14 +139,14 @@
 			}
 		}
 	}
-	w.cal = &calendar.Calendar{Protected: []calendar.ProtectedTime{{
-		ID: "deadline", Start: begin.Add((6*24 + 18) * time.Hour),
+	w.calendar = &calendar.Calendar{Protected: []calendar.ProtectedTime{{
+		ID: "deadline", Start: epoch.Add((6*24 + 18) * time.Hour),
 		Duration: 5 * time.Hour, Lead: time.Hour, Rule: "FREQ=WEEKLY",
 	}}}
 	for i := range w.Days * 6 { // most near others, so that many meet, some back to back: a length and a lead apart
-		start := begin.Add(time.Duration(w.rng.IntN(w.Days)) * 24 * time.Hour).Add(time.Duration(w.rng.IntN(4)) * 21 * time.Minute)
+		start := epoch.Add(time.Duration(w.rng.IntN(w.Days)) * 24 * time.Hour).Add(time.Duration(w.rng.IntN(4)) * 21 * time.Minute)
 		win := calendar.Window{
-			ID: fmt.Sprintf("w%03d", i), Scope: calendar.Cell, Target: fmt.Sprint("c", w.rng.IntN(zones*cells)),
+			ID: fmt.Sprintf("w%03d", i), Scope: calendar.Cell, Target: fmt.Sprint("c", w.rng.IntN(zoneCount*cellsPerZone)),
 			Start: start, Duration: 20 * time.Minute, Lead: time.Minute, Slack: time.Duration(w.rng.IntN(3)) * 30 * time.Minute,
 			Priority: w.rng.IntN(3), Ending: calendar.Ending(w.rng.IntN(2)),
 		}
@@ -156,43 +156,43 @@
 		if w.rng.IntN(8) == 0 {
 			win.Rule = "FREQ=WEEKLY"
 		}
-		w.cal.Windows = append(w.cal.Windows, win)
+		w.calendar.Windows = append(w.calendar.Windows, win)
 	}
-	w.truth = calendar.Plan(w.cal, w.fleet, limits, nil, begin, begin.AddDate(0, 0, w.Days))
-	for _, v := range w.truth {
-		w.rep.Windows++
+	w.plan = calendar.Plan(w.calendar, w.fleet, limits, nil, epoch, epoch.AddDate(0, 0, w.Days))
+	for _, v := range w.plan {
+		w.report.Windows++
 		switch v.Outcome {
 		case calendar.Kept:
-			w.rep.Kept++
+			w.report.Kept++
 		case calendar.Postponed:
-			w.rep.Postponed++
+			w.report.Postponed++
 		case calendar.Refused:
-			w.rep.Refused++
+			w.report.Refused++
 			continue
 		}
 		for _, n := range v.Nodes {
 			id, _ := strconv.Atoi(n)
 			s := w.nodes[id-1]
-			s.out = append(s.out, [2]float64{ms(v.DrainStart), ms(v.End)})
+			s.maintenance = append(s.maintenance, [2]float64{ms(v.DrainStart), ms(v.End)})
 		}
 	}
 	for i := range w.Processes {
-		p := &proc{
-			w: w, index: i, skew: (2*w.rng.Float64() - 1) * skew, store: &memory{cal: w.calendarFor(i)},
-			lostNow: map[string]bool{},
+		p := &process{
+			sim: w, index: i, skew: (2*w.rng.Float64() - 1) * maxSkew, store: &memoryStore{calendar: w.calendarFor(i)},
+			lostNodes: map[string]bool{},
 		}
-		w.procs = append(w.procs, p)
+		w.processes = append(w.processes, p)
 		p.start()
 	}
 }
 
 // calendarFor is the whole calendar, unless overlaps are to be looked for by each process in its part alone.
-func (w *world) calendarFor(process int) *calendar.Calendar {
-	if w.Plant != PerProcess {
-		return w.cal
+func (w *simulation) calendarFor(process int) *calendar.Calendar {
+	if w.Fault != PerProcess {
+		return w.calendar
 	}
-	part := &calendar.Calendar{Protected: w.cal.Protected}
-	for i, win := range w.cal.Windows {
+	part := &calendar.Calendar{Protected: w.calendar.Protected}
+	for i, win := range w.calendar.Windows {
 		if i%w.Processes == process {
 			part.Windows = append(part.Windows, win)
 		}
@@ -200,12 +200,12 @@
 	return part
 }
 
-func ms(t time.Time) float64 { return float64(t.Sub(begin)) / 1e6 }
+func ms(t time.Time) float64 { return float64(t.Sub(epoch)) / 1e6 }
 
-// draw lays the month's failures at the windows' most delicate moments: a process is down when one opens, nodes of a
+// drawFaults lays the month's failures at the windows' most delicate moments: a process is down when one opens, nodes of a
 // hall are lost, another process stands still.
-func (w *world) draw() {
-	for _, v := range w.truth {
+func (w *simulation) drawFaults() {
+	for _, v := range w.plan {
 		if v.Outcome == calendar.Refused {
 			continue
 		}
@@ -215,22 +215,22 @@
 		}
 		switch w.rng.IntN(6) {
 		case 0:
-			p, back := w.procs[w.rng.IntN(w.Processes)], 500+w.rng.Float64()*5000
-			w.after(at, func() { p.stop() })
-			w.after(at+back, func() { p.start() })
+			p, back := w.processes[w.rng.IntN(w.Processes)], 500+w.rng.Float64()*5000
+			w.schedule(at, func() { p.stop() })
+			w.schedule(at+back, func() { p.start() })
 		case 1:
-			zone := w.rng.IntN(zones)
-			w.after(at, func() { w.lose(zone) })
+			zone := w.rng.IntN(zoneCount)
+			w.schedule(at, func() { w.loseZone(zone) })
 		case 2:
-			p := w.procs[w.rng.IntN(w.Processes)]
-			w.after(at, func() { p.stuck, p.blind = w.now+3000, w.now+6000 })
+			p := w.processes[w.rng.IntN(w.Processes)]
+			w.schedule(at, func() { p.pausedUntil, p.unresponsiveUntil = w.now+3000, w.now+6000 })
 		}
 	}
 }
 
-// busy gives the spans of true time in which windows open or close, merged.
-func (w *world) busy() (all [][2]float64) {
-	for _, v := range w.truth {
+// activeSpans gives the spans of true time in which windows open or close, merged.
+func (w *simulation) activeSpans() (all [][2]float64) {
+	for _, v := range w.plan {
 		if v.Outcome != calendar.Refused {
 			all = append(all, [2]float64{ms(v.DrainStart) - 9000, ms(v.DrainStart) + 14000}, [2]float64{ms(v.Start) - 2000, ms(v.Start) + 1000},
 				[2]float64{ms(v.End) - 5000, ms(v.End) + 7000})
@@ -248,8 +248,8 @@
 	return merged
 }
 
-// jump passes time in which no window opens or closes; what was due meanwhile happens in its order.
-func (w *world) jump(to float64) {
+// skipTo passes time in which no window opens or closes; what was due meanwhile happens in its order.
+func (w *simulation) skipTo(to float64) {
 	for at, run, ok := w.events.Next(to); ok; at, run, ok = w.events.Next(to) {
 		w.now = max(w.now, at)
 		run()
@@ -258,50 +258,50 @@
 		w.now = to
 	}
 	for _, s := range w.nodes {
-		s.m.Advance(w.now)
+		s.machine.Advance(w.now)
 	}
-	for _, p := range w.procs {
-		p.next, p.keepAt = w.now, w.now
+	for _, p := range w.processes {
+		p.nextRound, p.nextKeep = w.now, w.now
 	}
 }
 
-// step is a step of true time.
-func (w *world) step() {
-	w.now += step
+// advance is a step of true time.
+func (w *simulation) advance() {
+	w.now += stepLength
 	for _, run, ok := w.events.Next(w.now); ok; _, run, ok = w.events.Next(w.now) {
 		run()
 	}
 	for _, s := range w.nodes {
-		if s.m.NextEvent() <= w.now {
-			s.m.Advance(w.now)
+		if s.machine.NextEvent() <= w.now {
+			s.machine.Advance(w.now)
 		}
 	}
-	for _, p := range w.procs {
-		if p.down || w.now < p.stuck {
+	for _, p := range w.processes {
+		if p.down || w.now < p.pausedUntil {
 			continue
 		}
-		if w.rng.Float64() < 0.12*step/20 {
-			p.ask()
+		if w.rng.Float64() < 0.12*stepLength/20 {
+			p.request()
 		}
-		if w.now >= p.keepAt {
-			p.keepAt = w.now + 1000
-			p.tick()
+		if w.now >= p.nextKeep {
+			p.nextKeep = w.now + 1000
+			p.keepWindows()
 		}
-		if w.now >= p.next {
-			p.eng.Round(p.clock())
-			p.next = w.now + max(step, min(100, p.eng.NextRound()-p.clock()))
+		if w.now >= p.nextRound {
+			p.engine.Round(p.clock())
+			p.nextRound = w.now + max(stepLength, min(100, p.engine.NextRound()-p.clock()))
 		}
 	}
-	if math.Mod(w.now, 500) < step {
-		w.overlaps()
+	if math.Mod(w.now, 500) < stepLength {
+		w.checkOverlaps()
 	}
 }
 
-// overlaps holds what any process has out against the limits.
-func (w *world) overlaps() {
-	out, zone, kind := 0, [zones]int{}, [2]int{}
+// checkOverlaps holds what any process has out against the limits.
+func (w *simulation) checkOverlaps() {
+	out, zone, kind := 0, [zoneCount]int{}, [2]int{}
 	for _, s := range w.nodes {
-		for _, p := range w.procs {
+		for _, p := range w.processes {
 			if p.out[s.id] && !p.down {
 				out++
 				zone[s.zone]++
@@ -313,45 +313,45 @@
 	n := len(w.nodes)
 	switch {
 	case float64(out) > limits.Fleet*float64(n):
-		w.fail(&w.rep.Overlaps, "%d of %d nodes out", out, n)
-	case slices.Max(zone[:]) > int(limits.Zone*cells*each):
-		w.fail(&w.rep.Overlaps, "%d of a zone out", slices.Max(zone[:]))
+		w.fail(&w.report.Overlaps, "%d of %d nodes out", out, n)
+	case slices.Max(zone[:]) > int(limits.Zone*cellsPerZone*nodesPerCell):
+		w.fail(&w.report.Overlaps, "%d of a zone out", slices.Max(zone[:]))
 	case slices.Max(kind[:]) > int(limits.Kind*float64(n)/2):
-		w.fail(&w.rep.Overlaps, "%d of a kind out", slices.Max(kind[:]))
+		w.fail(&w.report.Overlaps, "%d of a kind out", slices.Max(kind[:]))
 	}
-	t := begin.Add(time.Duration(w.now * 1e6))
-	if h := t.Sub(begin.Add((6*24 + 17) * time.Hour)); out > 0 && h >= 0 && h%(7*24*time.Hour) < 6*time.Hour {
-		w.fail(&w.rep.Overlaps, "%d nodes out at a protected time", out)
+	t := epoch.Add(time.Duration(w.now * 1e6))
+	if h := t.Sub(epoch.Add((6*24 + 17) * time.Hour)); out > 0 && h >= 0 && h%(7*24*time.Hour) < 6*time.Hour {
+		w.fail(&w.report.Overlaps, "%d nodes out at a protected time", out)
 	}
 }
 
-// lose takes a hall away for a while; the lists hear of it seconds later.
-func (w *world) lose(zone int) {
-	w.rep.Lost++
-	w.note("hall %d lost", zone)
+// loseZone takes a hall away for a while; the lists hear of it seconds later.
+func (w *simulation) loseZone(zone int) {
+	w.report.Lost++
+	w.tracef("hall %d lost", zone)
 	for _, s := range w.nodes {
 		if s.zone != zone {
 			continue
 		}
 		s.lost = true
-		s.m.Restart(w.now, true)
-		for _, p := range w.procs {
+		s.machine.Restart(w.now, true)
+		for _, p := range w.processes {
 			if !p.down {
-				p.eng.OnDisconnected(p.clock(), s.id, "lost")
+				p.engine.OnDisconnected(p.clock(), s.id, "lost")
 			}
 		}
 	}
 	tell := func(avail logic.Availability) {
-		for _, p := range w.procs {
-			w.after(500+w.rng.Float64()*3000, func() { p.list(zone, avail) })
+		for _, p := range w.processes {
+			w.schedule(500+w.rng.Float64()*3000, func() { p.updateList(zone, avail) })
 		}
 	}
 	tell(logic.Unavailable)
-	w.after(6000, func() {
+	w.schedule(6000, func() {
 		for _, s := range w.nodes {
 			if s.zone == zone {
 				s.lost = false
-				s.life++
+				s.incarnation++
 			}
 		}
 		tell(logic.Ready)
--- a/internal/lab/states/explore.go
+++ b/internal/lab/states/explore.go
@@ -16,240 +16,242 @@
 	do   func()
 }
 
-// steps are all that may happen next, in a fixed order.
-func (p *play) steps() (all []step) {
+// nextSteps are all that may happen next, in a fixed order.
+func (p *path) nextSteps() (all []step) {
 	add := func(do func(), format string, args ...any) {
 		all = append(all, step{fmt.Sprintf(format, args...), do})
 	}
-	if p.asks == 0 {
-		add(func() { p.ask() }, "asked")
+	if p.requests == 0 {
+		add(func() { p.request() }, "asked")
 		return all
 	}
-	if last := uint64(p.asks); p.asks < 2 && p.answers[last] == 1 && (p.answer[last] == "declined" || p.overs > 0) {
-		add(func() { p.ask() }, "asked again")
+	if last := uint64(p.requests); p.requests < 2 && p.answerCount[last] == 1 && (p.answers[last] == "declined" || p.ended > 0) {
+		add(func() { p.request() }, "asked again")
 	}
 	for s := range shards {
 		for n := range nodes {
-			if len(p.to[s][n]) > 0 {
-				add(func() { p.arrive(s, n) }, "node %d hears %c from shard %d", n+1, p.to[s][n][0].kind, s)
+			if len(p.toNode[s][n]) > 0 {
+				add(func() { p.deliverToNode(s, n) }, "node %d hears %c from shard %d", n+1, p.toNode[s][n][0].kind, s)
 			}
-			if len(p.from[s][n]) > 0 {
-				add(func() { p.hear(s, n) }, "shard %d hears %c from node %d", s, p.from[s][n][0].kind, n+1)
+			if len(p.toShard[s][n]) > 0 {
+				add(func() { p.deliverToShard(s, n) }, "shard %d hears %c from node %d", s, p.toShard[s][n][0].kind, n+1)
 			}
-			if !p.up[s][n] {
-				add(func() { p.connect(s, n); p.news[s] = true }, "shard %d and node %d are connected again", s, n+1)
+			if !p.connected[s][n] {
+				add(func() { p.connect(s, n); p.pendingRound[s] = true }, "shard %d and node %d are connected again", s, n+1)
 			}
 		}
 	}
 	for n := range nodes {
-		for i, t := range p.at[n] {
-			if t.runs {
-				add(func() { p.settle(n, i, 1) }, "%x.%d ends at node %d", t.ticket, t.try, n+1)
+		for i, t := range p.held[n] {
+			if t.running {
+				add(func() { p.conclude(n, i, 1) }, "%x.%d ends at node %d", t.ticket, t.number, n+1)
 			} else {
-				add(func() { p.run(n, i) }, "%x.%d starts at node %d", t.ticket, t.try, n+1)
-				add(func() { p.settle(n, i, 0) }, "%x.%d is turned away by node %d", t.ticket, t.try, n+1)
+				add(func() { p.startTask(n, i) }, "%x.%d starts at node %d", t.ticket, t.number, n+1)
+				add(func() { p.conclude(n, i, 0) }, "%x.%d is turned away by node %d", t.ticket, t.number, n+1)
 			}
 		}
 	}
 	for s := range shards {
-		if p.news[s] {
-			add(func() { p.round(s) }, "shard %d goes on", s)
+		if p.pendingRound[s] {
+			add(func() { p.runRound(s) }, "shard %d goes on", s)
 		}
 	}
-	for i, e := range p.old {
+	for i, e := range p.fencedEngines {
 		if e.NextRound() <= p.now {
 			add(func() { e.Round(p.now) }, "fenced shard %d goes on", i)
 		}
 	}
-	if next := p.due(); next > p.now && next < start+4000 && !p.news[0] && !p.news[1] {
-		add(func() { p.pass(next) }, "time passes to %.0f", next-start)
+	if next := p.nextDeadline(); next > p.now && next < start+4000 && !p.pendingRound[0] && !p.pendingRound[1] {
+		add(func() { p.advance(next) }, "time passes to %.0f", next-start)
 	}
-	if p.faults < p.w.Faults {
+	if p.faults < p.model.Faults {
 		for s := range shards {
 			for n := range nodes {
-				if p.up[s][n] && p.may('b') {
-					add(func() { p.faults++; p.cut(s, n) }, "the connection of shard %d and node %d breaks", s, n+1)
+				if p.connected[s][n] && p.faultEnabled('b') {
+					add(func() { p.faults++; p.disconnect(s, n) }, "the connection of shard %d and node %d breaks", s, n+1)
 				}
 			}
-			if p.may('f') {
+			if p.faultEnabled('f') {
 				add(func() { p.faults++; p.fence(s) }, "shard %d is fenced", s)
 			}
-			if s == 1 && p.may('h') {
-				add(func() { p.faults++; p.hand(s) }, "shard %d gives what it may", s)
+			if s == 1 && p.faultEnabled('h') {
+				add(func() { p.faults++; p.handOver(s) }, "shard %d gives what it may", s)
 			}
 		}
 		for n := range nodes {
-			if len(p.at[n]) > 0 && p.may('n') {
-				add(func() { p.faults++; p.restart(n) }, "node %d begins a new life", n+1)
+			if len(p.held[n]) > 0 && p.faultEnabled('n') {
+				add(func() { p.faults++; p.restartNode(n) }, "node %d begins a new life", n+1)
 			}
 		}
-		if p.answers[p.asks] == 0 && p.may('w') {
+		if p.answerCount[p.requests] == 0 && p.faultEnabled('w') {
 			add(func() { p.faults++; p.withdraw() }, "the owner withdraws")
 		}
 	}
 	return all
 }
 
-// may tells whether a kind of fault is explored.
-func (p *play) may(kind rune) bool { return p.w.Kinds == "" || strings.ContainsRune(p.w.Kinds, kind) }
+// faultEnabled tells whether a kind of fault is explored.
+func (p *path) faultEnabled(kind rune) bool {
+	return p.model.Kinds == "" || strings.ContainsRune(p.model.Kinds, kind)
+}
 
-// ask asks for the allocation, at the shard that acts for it if one does.
-func (p *play) ask() {
-	p.asks++
-	ref := uint64(p.asks)
-	p.expiryOf[ref] = p.now + expiry
-	at, epoch, why := p.acts.Route(p.now, name, shardownership.Request{
-		Client: owner, Ref: ref, JobClass: p.w.Job, Service: service, Cores: 1, Memory: 1,
+// request asks for the allocation, at the shard that acts for it if one does.
+func (p *path) request() {
+	p.requests++
+	ref := uint64(p.requests)
+	p.expiries[ref] = p.now + expiry
+	at, epoch, why := p.router.Route(p.now, allocation, shardownership.Request{
+		Client: clientID, Ref: ref, JobClass: p.model.Job, Service: service, Cores: 1, Memory: 1,
 		Deadline: p.now + expiry,
-	}, 0, calm)
+	}, 0, neverBehind)
 	if why != "" {
-		p.answered(ref, engine.Declined)
+		p.onAnswer(ref, engine.Declined)
 		return
 	}
-	if err := p.eng[at].Allocate(p.now, owner, ref, p.w.Job, 0, service, token, 1, 1, expiry, epoch); err != nil {
+	if err := p.engines[at].Allocate(p.now, clientID, ref, p.model.Job, 0, service, token, 1, 1, expiry, epoch); err != nil {
 		p.fail("ask %d: %v", ref, err)
 	}
-	p.news[at] = true
+	p.pendingRound[at] = true
 }
 
-func (p *play) withdraw() {
+func (p *path) withdraw() {
 	for s := range shards {
-		_ = p.eng[s].Withdraw(p.now, owner, uint64(p.asks)) // the one that does not know it says so
-		p.news[s] = true
+		_ = p.engines[s].Withdraw(p.now, clientID, uint64(p.requests)) // the one that does not know it says so
+		p.pendingRound[s] = true
 	}
 }
 
-// arrive lets a node hear the next line of a shard.
-func (p *play) arrive(s, n int) {
-	m := p.to[s][n][0]
-	p.to[s][n] = p.to[s][n][1:]
-	id := name2{m.ticket, m.try}
-	i := slices.IndexFunc(p.at[n], func(t try) bool { return t.ticket == m.ticket && t.try == m.try })
+// deliverToNode lets a node hear the next line of a shard.
+func (p *path) deliverToNode(s, n int) {
+	m := p.toNode[s][n][0]
+	p.toNode[s][n] = p.toNode[s][n][1:]
+	id := attemptID{m.ticket, m.attempt}
+	i := slices.IndexFunc(p.held[n], func(t attempt) bool { return t.ticket == m.ticket && t.number == m.attempt })
 	switch m.kind {
 	case 'o':
-		p.at[n] = append(p.at[n], try{m.ticket, m.try, s, false, m.until, m.ask})
-		if p.bars[n][id] || m.epoch < p.epochs[n] || p.now > m.until {
-			p.settle(n, len(p.at[n])-1, 0)
+		p.held[n] = append(p.held[n], attempt{m.ticket, m.attempt, s, false, m.deadline, m.request})
+		if p.barred[n][id] || m.epoch < p.epochs[n] || p.now > m.deadline {
+			p.conclude(n, len(p.held[n])-1, 0)
 			return
 		}
 		p.epochs[n] = max(p.epochs[n], m.epoch)
 	case 'r':
-		if i >= 0 && !p.at[n][i].runs {
-			p.settle(n, i, 0)
-		} else if _, past := p.past[n][id]; i < 0 && !past {
-			p.bars[n][id] = true
+		if i >= 0 && !p.held[n][i].running {
+			p.conclude(n, i, 0)
+		} else if _, past := p.outcomes[n][id]; i < 0 && !past {
+			p.barred[n][id] = true
 		}
 	case 's':
 		if i >= 0 {
-			p.settle(n, i, b2i(p.at[n][i].runs))
+			p.conclude(n, i, boolInt(p.held[n][i].running))
 		}
 	case 'c':
 		out := 3
 		if i < 0 {
-			o, past := p.past[n][id]
+			o, past := p.outcomes[n][id]
 			if !past {
-				p.bars[n][id], p.past[n][id] = true, 0
+				p.barred[n][id], p.outcomes[n][id] = true, 0
 			}
 			out = o
-		} else if p.at[n][i].runs {
+		} else if p.held[n][i].running {
 			out = 4
 		}
-		p.say(s, n, msg{kind: 'C', ticket: m.ticket, try: m.try, out: out})
+		p.sendToShard(s, n, message{kind: 'C', ticket: m.ticket, attempt: m.attempt, outcome: out})
 	}
 }
 
-func b2i(v bool) int { return int(b2(v)) }
+func boolInt(v bool) int { return int(boolByte(v)) }
 
-// say sends a word of a node to a shard, if they are connected.
-func (p *play) say(s, n int, m msg) {
-	if p.up[s][n] {
-		p.from[s][n] = append(p.from[s][n], m)
+// sendToShard sends a word of a node to a shard, if they are connected.
+func (p *path) sendToShard(s, n int, m message) {
+	if p.connected[s][n] {
+		p.toShard[s][n] = append(p.toShard[s][n], m)
 	}
 }
 
-func (p *play) run(n, i int) {
-	t := &p.at[n][i]
-	if p.now > t.until {
-		p.settle(n, i, 0)
+func (p *path) startTask(n, i int) {
+	t := &p.held[n][i]
+	if p.now > t.deadline {
+		p.conclude(n, i, 0)
 		return
 	}
-	t.runs = true
-	p.ran++
-	if p.ran > 1 && Jobs[p.w.Job].Semantics == logic.AtMostOnce && p.overs == 0 {
-		p.fail("run-once allocation started %d times", p.ran)
+	t.running = true
+	p.starts++
+	if p.starts > 1 && Jobs[p.model.Job].Semantics == logic.AtMostOnce && p.ended == 0 {
+		p.fail("run-once allocation started %d times", p.starts)
 	}
-	p.say(t.shard, n, msg{kind: 'S', ticket: t.ticket, try: t.try})
+	p.sendToShard(t.shard, n, message{kind: 'S', ticket: t.ticket, attempt: t.number})
 }
 
-func (p *play) settle(n, i, out int) {
-	t := p.at[n][i]
-	p.at[n] = slices.Delete(p.at[n], i, i+1)
-	p.past[n][name2{t.ticket, t.try}] = out
-	p.say(t.shard, n, msg{kind: 'E', ticket: t.ticket, try: t.try, out: out})
+func (p *path) conclude(n, i, out int) {
+	t := p.held[n][i]
+	p.held[n] = slices.Delete(p.held[n], i, i+1)
+	p.outcomes[n][attemptID{t.ticket, t.number}] = out
+	p.sendToShard(t.shard, n, message{kind: 'E', ticket: t.ticket, attempt: t.number, outcome: out})
 }
 
 var verdicts = [...]logic.Outcome{logic.Rejected, logic.Completed, logic.ConnectionLost}
 
-// hear lets a shard hear the next word of a node. A word for a life that is over goes nowhere.
-func (p *play) hear(s, n int) {
-	m := p.from[s][n][0]
-	p.from[s][n] = p.from[s][n][1:]
-	e, nd := p.eng[s], uint32(n+1)
+// deliverToShard lets a shard hear the next word of a node. A word for a life that is over goes nowhere.
+func (p *path) deliverToShard(s, n int) {
+	m := p.toShard[s][n][0]
+	p.toShard[s][n] = p.toShard[s][n][1:]
+	e, nd := p.engines[s], uint32(n+1)
 	var err error
 	switch m.kind {
 	case 'S':
-		err = e.OnStarted(p.now, nd, m.ticket, m.try, 1)
+		err = e.OnStarted(p.now, nd, m.ticket, m.attempt, 1)
 	case 'E':
-		err = e.OnOutcome(p.now, nd, m.ticket, m.try, verdicts[m.out], logic.ReasonUnknown, nil)
+		err = e.OnOutcome(p.now, nd, m.ticket, m.attempt, verdicts[m.outcome], logic.ReasonUnknown, nil)
 	case 'C':
-		if m.out >= 3 {
-			e.OnClaimHeld(p.now, nd, m.ticket, m.try, m.out == 4)
+		if m.outcome >= 3 {
+			e.OnClaimHeld(p.now, nd, m.ticket, m.attempt, m.outcome == 4)
 		} else {
-			e.OnClaimOutcome(p.now, nd, m.ticket, m.try, verdicts[m.out], logic.ReasonUnknown)
+			e.OnClaimOutcome(p.now, nd, m.ticket, m.attempt, verdicts[m.outcome], logic.ReasonUnknown)
 		}
 	}
-	p.news[s] = true
+	p.pendingRound[s] = true
 	if err != nil { // the connection would end
-		p.cut(s, n)
+		p.disconnect(s, n)
 	}
 }
 
-// cut breaks a connection. What was not handed to the network has left by then: all of it may have arrived or not.
-func (p *play) cut(s, n int) {
-	p.up[s][n], p.to[s][n], p.from[s][n] = false, nil, nil
-	p.eng[s].OnDisconnected(p.now, uint32(n+1), "cut")
-	p.news[s] = true
+// disconnect breaks a connection. What was not handed to the network has left by then: all of it may have arrived or not.
+func (p *path) disconnect(s, n int) {
+	p.connected[s][n], p.toNode[s][n], p.toShard[s][n] = false, nil, nil
+	p.engines[s].OnDisconnected(p.now, uint32(n+1), "cut")
+	p.pendingRound[s] = true
 }
 
-// restart loses what a node held.
-func (p *play) restart(n int) {
-	p.at[n], p.past[n], p.bars[n], p.epochs[n] = nil, map[name2]int{}, map[name2]bool{}, 0
-	p.nlife[n]++
+// restartNode loses what a node held.
+func (p *path) restartNode(n int) {
+	p.held[n], p.outcomes[n], p.barred[n], p.epochs[n] = nil, map[attemptID]int{}, map[attemptID]bool{}, 0
+	p.nodeIncarnation[n]++
 	for s := range shards {
-		if p.up[s][n] {
-			p.cut(s, n)
+		if p.connected[s][n] {
+			p.disconnect(s, n)
 		}
 	}
 }
 
-// due is when something is due at a shard.
-func (p *play) due() float64 {
+// nextDeadline is when something is due at a shard.
+func (p *path) nextDeadline() float64 {
 	next := start + 1e6
 	for s := range shards {
-		if at := p.eng[s].NextRound(); at > p.now {
+		if at := p.engines[s].NextRound(); at > p.now {
 			next = min(next, at)
 		}
 	}
 	return next
 }
 
-func (p *play) pass(to float64) {
+func (p *path) advance(to float64) {
 	p.now = to
 	for s := range shards {
-		p.round(s)
+		p.runRound(s)
 	}
-	for ref := 1; ref <= p.asks; ref++ {
-		if p.answers[ref] == 0 && p.now >= p.expiryOf[ref] {
+	for ref := 1; ref <= p.requests; ref++ {
+		if p.answerCount[ref] == 0 && p.now >= p.expiries[ref] {
 			p.fail("ask %d got no answer by its expiry", ref)
 		}
 	}
@@ -259,13 +261,13 @@
 type Result struct {
 	States, Steps, Paths int
 	Deepest              int
-	Cut                  int // paths that went on beyond the depth
-	Broken               string
+	Truncated            int // paths that went on beyond the depth
+	Failure              string
 	Path                 []string // to it
 }
 
 // Explore goes through all paths, the shorter first, until so many states were seen or something broke.
-func (w World) Explore(most int) (r Result) {
+func (w Model) Explore(most int) (r Result) {
 	seen := map[uint64]bool{}
 	level := [][]int{nil}
 	for depth := 0; len(level) > 0 && depth <= w.Depth; depth++ {
@@ -274,11 +276,11 @@
 			p, names := w.replay(path)
 			r.Paths++
 			r.Steps += len(path)
-			if p.broken != "" {
-				r.Broken, r.Path = p.broken, names
+			if p.failure != "" {
+				r.Failure, r.Path = p.failure, names
 				return r
 			}
-			mark := p.print()
+			mark := p.fingerprint()
 			if seen[mark] {
 				continue
 			}
@@ -287,9 +289,9 @@
 			if len(seen) >= most {
 				return r
 			}
-			n := len(p.steps())
+			n := len(p.nextSteps())
 			if depth == w.Depth {
-				r.Cut += min(1, n)
+				r.Truncated += min(1, n)
 				continue
 			}
 			for i := range n {
@@ -302,13 +304,13 @@
 }
 
 // replay plays a path from the beginning.
-func (w World) replay(path []int) (p *play, names []string) {
-	p = w.begin()
+func (w Model) replay(path []int) (p *path, names []string) {
+	p = w.start()
 	for _, i := range path {
-		s := p.steps()[i]
+		s := p.nextSteps()[i]
 		names = append(names, s.name)
 		s.do()
-		if p.broken != "" {
+		if p.failure != "" {
 			break
 		}
 	}
--- a/internal/lab/states/states_test.go
+++ b/internal/lab/states/states_test.go
@@ -11,9 +11,9 @@
 	for job, name := range []string{"restartable", "tokened, zone", "tokened, all", "run-once"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := World{Job: job, Faults: 2, Depth: 14}.Explore(3000)
-			if r.Broken != "" {
-				t.Errorf("%s\n%s", r.Broken, strings.Join(r.Path, "\n"))
+			r := Model{Job: job, Faults: 2, Depth: 14}.Explore(3000)
+			if r.Failure != "" {
+				t.Errorf("%s\n%s", r.Failure, strings.Join(r.Path, "\n"))
 			}
 			if r.States < 3000 {
 				t.Errorf("%+v", r)
@@ -25,14 +25,14 @@
 
 // TestPlanted plants faults, each of which must be found.
 func TestPlanted(t *testing.T) {
-	for plant, job := range map[Plant]int{Trust: 3, MovesOut: 0, Declines: 3} {
+	for plant, job := range map[Fault]int{StaleEpochs: 3, MovesSentAttempts: 0, DeclinesUnknown: 3} {
 		t.Run(fmt.Sprint(plant), func(t *testing.T) {
 			t.Parallel()
-			r := World{Job: job, Faults: 2, Depth: 14, Plant: plant}.Explore(20000)
-			if r.Broken == "" {
+			r := Model{Job: job, Faults: 2, Depth: 14, Fault: plant}.Explore(20000)
+			if r.Failure == "" {
 				t.Errorf("not found in %d states, %d deep", r.States, r.Deepest)
 			}
-			t.Logf("after %d states, %d steps deep: %s", r.States, len(r.Path), r.Broken)
+			t.Logf("after %d states, %d steps deep: %s", r.States, len(r.Path), r.Failure)
 		})
 	}
 }
