--- a/cmd/ravenpond/herd.go
+++ b/cmd/ravenpond/herd.go
@@ -35,12 +35,12 @@
 	if len(c.Policies) == 0 {
 		c.Policies = herd.Names
 	}
-	s := herd.Scene{
-		Schedulers: c.Schedulers, Nodes: c.Nodes, Filled: c.Filled, Life: c.Life * 1000, Lasts: c.Lasts * 1000, Services: c.Services,
+	s := herd.Scenario{
+		Schedulers: c.Schedulers, Nodes: c.Nodes, Load: c.Filled, TaskRuntime: c.Life * 1000, Duration: c.Lasts * 1000, Services: c.Services,
 		Members: c.Members,
 	}
 	if c.Set > 0 {
-		s.Working = &site.WorkingSet{MinNodes: c.Set, Coverage: 1, SpareFactor: c.Spare, NodesPerStart: 1, MinPerStratum: 3, NarrowAfter: 30_000}
+		s.WorkingSet = &site.WorkingSet{MinNodes: c.Set, Coverage: 1, SpareFactor: c.Spare, NodesPerStart: 1, MinPerStratum: 3, NarrowAfter: 30_000}
 	}
 	for _, text := range c.Fault {
 		f, err := sim.ParseFault(text)
@@ -49,6 +49,6 @@
 		}
 		s.Faults = append(s.Faults, f)
 	}
-	_, err := herd.Table(ctx, os.Stdout, s, c.Policies, c.Seeds, c.Workers)
+	_, err := herd.CompareTable(ctx, os.Stdout, s, c.Policies, c.Seeds, c.Workers)
 	return err
 }
--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -318,8 +318,8 @@
 	}
 	say("day %s, seed %d, logs and trace in %s", plan.Name, c.Seed, c.Out)
 	res, err := drill.Play(ctx, drill.Drill{
-		Day: plan, Place: place, Site: text, Command: []string{self}, Seed: c.Seed,
-		Out: c.Out, Say: say,
+		Day: plan, Deployment: place, SiteText: text, Command: []string{self}, Seed: c.Seed,
+		OutDir: c.Out, Logf: say,
 	})
 	if err != nil {
 		return err
@@ -327,7 +327,7 @@
 	if err := res.Print(os.Stdout); err != nil {
 		return err
 	}
-	if n := len(res.Breaks); n > 0 {
+	if n := len(res.Violations); n > 0 {
 		os.Exit(2)
 	}
 	return nil
@@ -389,9 +389,9 @@
 	if err != nil {
 		return err
 	}
-	t := cores.Table{
-		Command: []string{self}, Counts: c.Counts, Nodes: c.Nodes, Rate: c.Rate, Flood: c.Flood, Last: c.Last,
-		Asks: c.Asks, Cores: runtime.NumCPU(), Out: out,
+	t := cores.Measurements{
+		Command: []string{self}, ShardCounts: c.Counts, Nodes: c.Nodes, Rate: c.Rate, OverloadRate: c.Flood, Duration: c.Last,
+		Requests: c.Asks, Cores: runtime.NumCPU(), Out: out,
 	}
 	if c.Tables {
 		if err := t.Sockets(ctx, os.Stdout); err != nil {
@@ -409,7 +409,7 @@
 	if c.Check == 0 {
 		return nil
 	}
-	broken, err := cores.Million(ctx, os.Stdout, c.Check, []int{4, 8}, c.Seed)
+	broken, err := cores.CheckMany(ctx, os.Stdout, c.Check, []int{4, 8}, c.Seed)
 	if err == nil && broken > 0 {
 		err = fmt.Errorf("%d breaks", broken)
 	}
@@ -456,18 +456,18 @@
 		site = withShards(site, c.Shards, "shared", "service")
 	}
 	if c.Set > 0 {
-		site = load.WithSet(site, c.Known, c.Set)
+		site = load.WithWorkingSet(site, c.Known, c.Set)
 	}
 	trial := func(rate float64) (*load.Figures, error) {
 		return load.Run(ctx, load.Trial{
-			Command: []string{self}, Site: site, Nodes: c.Nodes, Set: c.Set, Owners: c.Owners, Seed: c.Seed,
-			Burst: load.Burst{Every: c.Every, Last: c.Burst, Times: c.Times}, Rate: rate, Warm: c.Warm, Last: c.Last,
-			Services: c.Services, Life: float64(c.Life) / 1e6, Mute: c.Mute, Out: c.Out, Profile: c.Profile,
+			Command: []string{self}, Site: site, Nodes: c.Nodes, WorkingSet: c.Set, Clients: c.Owners, Seed: c.Seed,
+			Burst: load.Burst{Interval: c.Every, Duration: c.Burst, Factor: c.Times}, Rate: rate, Warm: c.Warm, Duration: c.Last,
+			Services: c.Services, TaskRuntime: float64(c.Life) / 1e6, DropAnswers: c.Mute, OutDir: c.Out, Profile: c.Profile,
 		})
 	}
-	load.Head(os.Stdout)
+	load.PrintHeader(os.Stdout)
 	if c.Ramp && len(c.Rates) > 0 {
-		most, err := load.Ramp(ctx, c.Rates[0], 0.05, load.Service{P99: c.P99, Served: c.Served}, trial, os.Stdout)
+		most, err := load.FindCapacity(ctx, c.Rates[0], 0.05, load.Objective{StartP99: c.P99, ServedFraction: c.Served}, trial, os.Stdout)
 		if err != nil {
 			return err
 		}
@@ -479,7 +479,7 @@
 		if err != nil {
 			return err
 		}
-		load.Row(os.Stdout, rate, f)
+		load.PrintRow(os.Stdout, rate, f)
 	}
 	return nil
 }
--- a/cmd/ravenpond/procs.go
+++ b/cmd/ravenpond/procs.go
@@ -48,9 +48,9 @@
 	} else if err := os.MkdirAll(c.Out, 0o750); err != nil {
 		return err
 	}
-	r, err := procs.Begin(ctx, procs.Plan{
+	r, err := procs.Start(ctx, procs.Config{
 		Command: []string{self}, Schedulers: c.Schedulers, Nodes: c.Nodes, Rate: c.Rate, Seed: c.Seed, Dir: c.Out,
-		Apart: c.Apart, Relays: procs.NeedRelays(steps), Zones: min(6, c.Zones), Cores: c.Cores, Near: c.Near, Stewards: c.Stewards,
+		Isolated: c.Apart, Relays: procs.NeedsRelays(steps), Zones: min(6, c.Zones), Cores: c.Cores, Localities: c.Near, Voters: c.Stewards,
 	})
 	if err != nil {
 		return err
@@ -65,8 +65,8 @@
 		return err
 	}
 	fmt.Printf("one view again after %s\n", agreed(r, pause))
-	took, never, wrong, err := r.Known(10 * time.Second)
-	res := r.End()
+	took, never, wrong, err := r.DetectionTimes(10 * time.Second)
+	res := r.Finish()
 	if err != nil {
 		return err
 	}
@@ -76,21 +76,21 @@
 	} else {
 		fmt.Printf("deaths of those who lived: %d\n", wrong)
 	}
-	fmt.Printf("answers %v, broken rules %d, ran in the own zone %.3f\n", res.Answers, len(res.Breaks), res.Near)
-	if n := len(res.Late); n > 0 {
-		fmt.Printf("while the script was played: %.3f of the value served in time, start p50 %.1f ms, p99 %.1f ms\n", res.Value, res.Late[n/2], res.Late[n*99/100])
+	fmt.Printf("answers %v, broken rules %d, ran in the own zone %.3f\n", res.Answers, len(res.Violations), res.LocalFraction)
+	if n := len(res.ScriptLatencies); n > 0 {
+		fmt.Printf("while the script was played: %.3f of the value served in time, start p50 %.1f ms, p99 %.1f ms\n", res.Value, res.ScriptLatencies[n/2], res.ScriptLatencies[n*99/100])
 	}
-	if n := len(res.Starts); n > 0 {
-		fmt.Printf("start p50 %.1f ms, p99 %.1f ms\n", res.Starts[n/2], res.Starts[n*99/100])
+	if n := len(res.StartLatencies); n > 0 {
+		fmt.Printf("start p50 %.1f ms, p99 %.1f ms\n", res.StartLatencies[n/2], res.StartLatencies[n*99/100])
 	}
 	fmt.Printf("CPU of all schedulers %.2f s: %.2f%% of a core each\n", res.CPU.Seconds(),
 		100*res.CPU.Seconds()/time.Since(began).Seconds()/float64(c.Schedulers))
-	for i, b := range res.Breaks {
+	for i, b := range res.Violations {
 		if i < 10 {
 			fmt.Println(b)
 		}
 	}
-	if len(res.Breaks) > 0 {
+	if len(res.Violations) > 0 {
 		return errors.New("rules were broken")
 	}
 	return nil
@@ -100,7 +100,7 @@
 func agreed(r *procs.Rig, most time.Duration) string {
 	began := time.Now()
 	for {
-		ok, why := r.Agreed()
+		ok, why := r.MembersConverged()
 		switch {
 		case ok:
 			return time.Since(began).Round(10 * time.Millisecond).String()
--- a/cmd/ravenpond/sim.go
+++ b/cmd/ravenpond/sim.go
@@ -320,11 +320,11 @@
 	if c.Days < 2 || c.Nodes < 1 || !(c.Load > 0) {
 		return errors.New("two days or more, nodes and load above 0 are expected")
 	}
-	all, err := compare.Orders(ctx, c.Days, c.Nodes, c.Load, runtime.NumCPU())
+	all, err := compare.Rank(ctx, c.Days, c.Nodes, c.Load, runtime.NumCPU())
 	if err != nil {
 		return err
 	}
-	compare.PrintOrders(os.Stdout, all)
+	compare.PrintRankings(os.Stdout, all)
 	return nil
 }
 
@@ -337,19 +337,19 @@
 }
 
 func (c *growCommand) Run(ctx context.Context) error {
-	var sizes []compare.Size
+	var sizes []compare.ClusterSize
 	for _, n := range c.Nodes {
-		sizes = append(sizes, compare.Size{Nodes: n, Schedulers: 1})
+		sizes = append(sizes, compare.ClusterSize{Nodes: n, Schedulers: 1})
 	}
 	for _, n := range c.Schedulers {
-		sizes = append(sizes, compare.Size{Nodes: 40, Schedulers: n})
+		sizes = append(sizes, compare.ClusterSize{Nodes: 40, Schedulers: n})
 	}
 	for _, text := range c.Both {
-		var z compare.Size
+		var z compare.ClusterSize
 		if n, err := fmt.Sscanf(text, "%dx%d", &z.Nodes, &z.Schedulers); n != 2 || err != nil {
 			return fmt.Errorf("--both %q: nodes x schedulers are expected, as 1300x300", text)
 		}
 		sizes = append(sizes, z)
 	}
-	return compare.Grow(ctx, os.Stdout, sizes, c.Rate, c.Last)
+	return compare.MeasureGrowth(ctx, os.Stdout, sizes, c.Rate, c.Last)
 }
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -24,7 +24,7 @@
 // Policies are the names of what can be compared: the module's design and the baselines.
 var Policies = append([]string{"design"}, baseline.PolicyNames...)
 
-func policy(name string) (engine.PolicyFactory, error) {
+func newPolicy(name string) (engine.PolicyFactory, error) {
 	switch {
 	case name == "design":
 		return nil, nil
@@ -34,8 +34,8 @@
 	return nil, fmt.Errorf("no policy %q: %v are there", name, Policies)
 }
 
-// Day draws a day on which placement matters: a fleet that is filled to a part, with faults.
-func Day(seed uint64, nodes int, load float64, faults bool) sim.Script {
+// Scenario draws a day on which placement matters: a fleet that is filled to a part, with faults.
+func Scenario(seed uint64, nodes int, load float64, faults bool) sim.Script {
 	s := sim.Draw(seed)
 	s.Nodes, s.Schedulers, s.Shards, s.ConnectionSharing, s.ColdStart = nodes, 2, 1, "shared", false
 	s.Rate = load * float64(nodes) * 32 / 1.5 // each takes 1 core for 1.5 s, of 32 that a node lets be asked for
@@ -63,59 +63,59 @@
 	return s
 }
 
-const bucket = 250.0 // ms of a point in the plots over time
+const bucketMs = 250.0 // ms of a point in the plots over time
 
 // Figures are of one policy on one day.
 type Figures struct {
-	Asks, Served, InTime int
-	Offers, Refused      int
-	Rules                int
-	Took                 []float64 // ms from ask to served, sorted
-	refusedAt, servedAt  []float64 // by bucket of time
-	askedAt              []float64
+	Requests, Served, InTime int
+	Placements, Rejected     int
+	Violations               int
+	Latencies                []float64 // ms from ask to served, sorted
+	refusedAt, servedAt      []float64 // by bucket of time
+	askedAt                  []float64
 }
 
-type askName struct {
-	owner int
-	ref   uint64
+type requestKey struct {
+	client int
+	ref    uint64
 }
 
-const target = 800 // ms, of all job types of the laboratory's site
+const latencyObjective = 800 // ms, of all job types of the laboratory's site
 
-// play plays a day.
-func play(s sim.Script, p engine.PolicyFactory) (*Figures, error) {
-	n := int((s.Duration+10000)/bucket) + 1
+// run plays a day.
+func run(s sim.Script, p engine.PolicyFactory) (*Figures, error) {
+	n := int((s.Duration+10000)/bucketMs) + 1
 	f := &Figures{refusedAt: make([]float64, n), servedAt: make([]float64, n), askedAt: make([]float64, n)}
-	asked := map[askName]float64{}
-	at := func(of []float64, ms float64) { of[max(0, min(n-1, int(ms/bucket)))]++ }
+	asked := map[requestKey]float64{}
+	at := func(of []float64, ms float64) { of[max(0, min(n-1, int(ms/bucketMs)))]++ }
 	v := sim.Simulation{Script: s, Policy: p, CountViolations: true, OnRecord: func(r *audit.Record) {
 		switch r.Kind {
 		case audit.RequestSent:
-			f.Asks++
-			asked[askName{r.Client, r.RequestRef}] = r.At
+			f.Requests++
+			asked[requestKey{r.Client, r.RequestRef}] = r.At
 			at(f.askedAt, r.At)
 		case audit.ResponseReceived:
-			since, ok := asked[askName{r.Client, r.RequestRef}]
+			since, ok := asked[requestKey{r.Client, r.RequestRef}]
 			if !ok || r.Detail != "served" {
 				return
 			}
 			f.Served++
-			f.Took = append(f.Took, r.At-since)
-			if r.At-since <= target {
+			f.Latencies = append(f.Latencies, r.At-since)
+			if r.At-since <= latencyObjective {
 				f.InTime++
 			}
 			at(f.servedAt, since)
 		case audit.PlacementReceived:
-			f.Offers++
+			f.Placements++
 		case audit.AttemptConcluded:
 			if r.Detail == "refused" {
-				f.Refused++
+				f.Rejected++
 				at(f.refusedAt, r.At)
 			}
 		}
 	}}.Run()
-	f.Rules = v.Violations
-	slices.Sort(f.Took)
+	f.Violations = v.Violations
+	slices.Sort(f.Latencies)
 	if v.Failure != "" {
 		return nil, fmt.Errorf("seed %d: %s", s.Seed, v.Failure)
 	}
@@ -129,20 +129,20 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// measures are what is compared of a day; more is better where good is above 0.
-var measures = []struct {
+// metrics are what is compared of a day; more is better where good is above 0.
+var metrics = []struct {
 	Name string
 	Good int
 	of   func(f *Figures) float64
 }{
-	{"served, part of asks", 1, func(f *Figures) float64 { return float64(f.Served) / float64(max(1, f.Asks)) }},
-	{"in time, part of asks", 1, func(f *Figures) float64 { return float64(f.InTime) / float64(max(1, f.Asks)) }},
-	{"start p50, ms", -1, func(f *Figures) float64 { return quantile(f.Took, 0.5) }},
-	{"start p95, ms", -1, func(f *Figures) float64 { return quantile(f.Took, 0.95) }},
-	{"start p99, ms", -1, func(f *Figures) float64 { return quantile(f.Took, 0.99) }},
-	{"offers an ask", -1, func(f *Figures) float64 { return float64(f.Offers) / float64(max(1, f.Asks)) }},
-	{"refused, part of offers", -1, func(f *Figures) float64 { return float64(f.Refused) / float64(max(1, f.Offers)) }},
-	{"rules broken", -1, func(f *Figures) float64 { return float64(f.Rules) }},
+	{"served, part of asks", 1, func(f *Figures) float64 { return float64(f.Served) / float64(max(1, f.Requests)) }},
+	{"in time, part of asks", 1, func(f *Figures) float64 { return float64(f.InTime) / float64(max(1, f.Requests)) }},
+	{"start p50, ms", -1, func(f *Figures) float64 { return quantile(f.Latencies, 0.5) }},
+	{"start p95, ms", -1, func(f *Figures) float64 { return quantile(f.Latencies, 0.95) }},
+	{"start p99, ms", -1, func(f *Figures) float64 { return quantile(f.Latencies, 0.99) }},
+	{"offers an ask", -1, func(f *Figures) float64 { return float64(f.Placements) / float64(max(1, f.Requests)) }},
+	{"refused, part of offers", -1, func(f *Figures) float64 { return float64(f.Rejected) / float64(max(1, f.Placements)) }},
+	{"rules broken", -1, func(f *Figures) float64 { return float64(f.Violations) }},
 }
 
 // Row is one measure compared.
@@ -156,28 +156,28 @@
 
 // Comparison is what came of two policies.
 type Comparison struct {
-	A, B  string
-	Days  int
-	Nodes int
-	Load  float64
-	Rows  []Row
-	a, b  []*Figures
-	days  []sim.Script
+	A, B      string
+	Days      int
+	Nodes     int
+	Load      float64
+	Rows      []Row
+	a, b      []*Figures
+	scenarios []sim.Script
 }
 
 // Run plays days with both policies.
 func Run(ctx context.Context, a, b string, seeds []uint64, nodes int, load float64, faults bool) (*Comparison, error) {
-	pa, err := policy(a)
+	pa, err := newPolicy(a)
 	if err != nil {
 		return nil, err
 	}
-	pb, err := policy(b)
+	pb, err := newPolicy(b)
 	if err != nil {
 		return nil, err
 	}
 	c := &Comparison{
 		A: a, B: b, Days: len(seeds), Nodes: nodes, Load: load, a: make([]*Figures, len(seeds)),
-		b: make([]*Figures, len(seeds)), days: make([]sim.Script, len(seeds)),
+		b: make([]*Figures, len(seeds)), scenarios: make([]sim.Script, len(seeds)),
 	}
 	var mu sync.Mutex
 	var failed error
@@ -194,11 +194,11 @@
 				if stop {
 					return
 				}
-				day := Day(seeds[i], nodes, load, faults)
-				fa, err := play(day, pa)
-				fb, errB := play(day, pb)
+				day := Scenario(seeds[i], nodes, load, faults)
+				fa, err := run(day, pa)
+				fb, errB := run(day, pb)
 				mu.Lock()
-				if c.days[i], c.a[i], c.b[i] = day, fa, fb; failed == nil && err != nil {
+				if c.scenarios[i], c.a[i], c.b[i] = day, fa, fb; failed == nil && err != nil {
 					failed = fmt.Errorf("%s: %w", a, err)
 				} else if failed == nil && errB != nil {
 					failed = fmt.Errorf("%s: %w", b, errB)
@@ -214,7 +214,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	for _, m := range measures {
+	for _, m := range metrics {
 		var x, y, d []float64
 		for i := range c.a {
 			x, y = append(x, m.of(c.a[i])), append(y, m.of(c.b[i]))
--- a/internal/lab/compare/grow.go
+++ b/internal/lab/compare/grow.go
@@ -10,12 +10,12 @@
 	"ravenpond/internal/lab/sim"
 )
 
-// Size is a size of the world.
-type Size struct{ Nodes, Schedulers int }
+// ClusterSize is a size of the world.
+type ClusterSize struct{ Nodes, Schedulers int }
 
-// Grow plays calm days of growing size and tells what they cost: CPU time an ask, all of the world's included, and what
+// MeasureGrowth plays calm days of growing size and tells what they cost: CPU time an ask, all of the world's included, and what
 // grows with the number of connections alone.
-func Grow(ctx context.Context, out io.Writer, sizes []Size, rate, lasts float64) error {
+func MeasureGrowth(ctx context.Context, out io.Writer, sizes []ClusterSize, rate, lasts float64) error {
 	fmt.Fprintf(out, "calm days of %.0f s, %.0f asks a second, one core; all of the world's cost included\n", lasts/1000, rate)
 	fmt.Fprintf(out, "%6s %10s %12s %8s %9s %10s %12s %10s\n", "nodes", "schedulers", "connections", "asks", "served", "us an ask",
 		"MiB at end", "seconds")
--- a/internal/lab/compare/order.go
+++ b/internal/lab/compare/order.go
@@ -13,8 +13,8 @@
 	"ravenpond/internal/lab/sim"
 )
 
-// Troubles are the kinds of days that policies are put in order on: all faults of one sort, and no other.
-var Troubles = []struct {
+// FaultClasses are the kinds of days that policies are put in order on: all faults of one sort, and no other.
+var FaultClasses = []struct {
 	Name  string
 	Kinds []string // of faults; none: a calm day
 }{
@@ -30,20 +30,20 @@
 	{"schedulers stop", []string{"kill", "pause"}},
 }
 
-// Order is how policies came out on the days of one trouble.
-type Order struct {
-	Trouble string
-	Worth   []float64 // by policy: part of the asks served in time; a day on which a rule was broken counts nothing
-	InTime  []float64 // and the same without a look at the rules
-	Kept    []float64 // part of the days on which every rule was kept
-	Names   []string  // of the policies, the best first, as far as the days tell them apart
-	Told    []bool    // that a policy is worse than the one before it, by paired days
+// Ranking is how policies came out on the days of one trouble.
+type Ranking struct {
+	Fault      string
+	Score      []float64 // by policy: part of the asks served in time; a day on which a rule was broken counts nothing
+	InTime     []float64 // and the same without a look at the rules
+	Compliance []float64 // part of the days on which every rule was kept
+	Names      []string  // of the policies, the best first, as far as the days tell them apart
+	Distinct   []bool    // that a policy is worse than the one before it, by paired days
 }
 
-// troubled draws a day of one trouble alone: faults of other kinds are left out, and seeds tried until some are left.
-func troubled(seed uint64, kinds []string, nodes int, load float64) sim.Script {
+// scenarioWithFaults draws a day of one trouble alone: faults of other kinds are left out, and seeds tried until some are left.
+func scenarioWithFaults(seed uint64, kinds []string, nodes int, load float64) sim.Script {
 	for try := uint64(0); ; try++ {
-		day := Day(seed+try*1e6, nodes, load, true)
+		day := Scenario(seed+try*1e6, nodes, load, true)
 		day.Faults = slices.DeleteFunc(day.Faults, func(f sim.Fault) bool { return !slices.Contains(kinds, f.Kind) })
 		if len(kinds) == 0 || len(day.Faults) > 0 {
 			return day
@@ -51,17 +51,17 @@
 	}
 }
 
-// Orders plays so many days of each trouble with every policy and puts them in order.
-func Orders(ctx context.Context, days, nodes int, load float64, workers int) (all []Order, err error) {
+// Rank plays so many days of each trouble with every policy and puts them in order.
+func Rank(ctx context.Context, days, nodes int, load float64, workers int) (all []Ranking, err error) {
 	var made []engine.PolicyFactory
 	for _, name := range Policies {
-		p, err := policy(name)
+		p, err := newPolicy(name)
 		if err != nil {
 			return nil, err
 		}
 		made = append(made, p)
 	}
-	for _, tr := range Troubles {
+	for _, tr := range FaultClasses {
 		got := make([][]*Figures, len(Policies))
 		for i := range got {
 			got[i] = make([]*Figures, days)
@@ -77,7 +77,7 @@
 				room <- struct{}{}
 				work.Go(func() {
 					defer func() { <-room }()
-					f, failed := play(troubled(uint64(d+1), tr.Kinds, nodes, load), p)
+					f, failed := run(scenarioWithFaults(uint64(d+1), tr.Kinds, nodes, load), p)
 					mu.Lock()
 					defer mu.Unlock()
 					if failed != nil && err == nil {
@@ -91,33 +91,33 @@
 		if err = cmp.Or(err, ctx.Err()); err != nil {
 			return nil, err
 		}
-		all = append(all, order(tr.Name, got))
+		all = append(all, rank(tr.Name, got))
 	}
 	return all, nil
 }
 
-// order puts the policies in order by what they served in time, and tells by paired days which places are certain.
-func order(trouble string, got [][]*Figures) Order {
-	o := Order{Trouble: trouble, Worth: make([]float64, len(got)), InTime: make([]float64, len(got)), Kept: make([]float64, len(got))}
+// rank puts the policies in order by what they served in time, and tells by paired days which places are certain.
+func rank(trouble string, got [][]*Figures) Ranking {
+	o := Ranking{Fault: trouble, Score: make([]float64, len(got)), InTime: make([]float64, len(got)), Compliance: make([]float64, len(got))}
 	worth := make([][]float64, len(got))
 	for i, days := range got {
 		for _, f := range days {
-			g := float64(f.InTime) / float64(max(1, f.Asks))
+			g := float64(f.InTime) / float64(max(1, f.Requests))
 			o.InTime[i] += g / float64(len(days))
-			if f.Rules == 0 {
-				o.Kept[i] += 1 / float64(len(days))
+			if f.Violations == 0 {
+				o.Compliance[i] += 1 / float64(len(days))
 			} else {
 				g = 0
 			}
 			worth[i] = append(worth[i], g)
-			o.Worth[i] += g / float64(len(days))
+			o.Score[i] += g / float64(len(days))
 		}
 	}
 	places := make([]int, len(got))
 	for i := range places {
 		places[i] = i
 	}
-	slices.SortStableFunc(places, func(x, y int) int { return cmp.Compare(o.Worth[y], o.Worth[x]) })
+	slices.SortStableFunc(places, func(x, y int) int { return cmp.Compare(o.Score[y], o.Score[x]) })
 	for n, i := range places {
 		o.Names = append(o.Names, Policies[i])
 		told := false
@@ -129,26 +129,26 @@
 			_, _, high := interval(d)
 			told = high < 0
 		}
-		o.Told = append(o.Told, told)
+		o.Distinct = append(o.Distinct, told)
 	}
 	return o
 }
 
-// PrintOrders writes the orders: > where the days tell two policies apart, = where they do not.
-func PrintOrders(out io.Writer, all []Order) {
+// PrintRankings writes the orders: > where the days tell two policies apart, = where they do not.
+func PrintRankings(out io.Writer, all []Ranking) {
 	fmt.Fprintf(out, "%-16s", "in time, rules kept")
 	for _, name := range Policies {
 		fmt.Fprintf(out, " %20s", name)
 	}
 	fmt.Fprintln(out, "  order by worth: in time, a day with a broken rule counts nothing")
 	for _, o := range all {
-		fmt.Fprintf(out, "%-19s", o.Trouble)
+		fmt.Fprintf(out, "%-19s", o.Fault)
 		for i := range Policies {
-			fmt.Fprintf(out, " %12.3f %6.0f%%", o.InTime[i], 100*o.Kept[i])
+			fmt.Fprintf(out, " %12.3f %6.0f%%", o.InTime[i], 100*o.Compliance[i])
 		}
 		var b strings.Builder
 		for n, name := range o.Names {
-			if n > 0 && o.Told[n] {
+			if n > 0 && o.Distinct[n] {
 				b.WriteString(" > ")
 			} else if n > 0 {
 				b.WriteString(" = ")
--- a/internal/lab/compare/report.go
+++ b/internal/lab/compare/report.go
@@ -47,8 +47,8 @@
 		Seed                                uint64
 		Latency, Paired, Refusals, Unserved template.HTML
 		Troubles                            []trouble
-	}{C: c, Filled: 100 * c.Load, Seed: c.days[worst].Seed}
-	for _, f := range c.days[worst].Faults {
+	}{C: c, Filled: 100 * c.Load, Seed: c.scenarios[worst].Seed}
+	for _, f := range c.scenarios[worst].Faults {
 		data.Troubles = append(data.Troubles, trouble{f.At / 1000, fmt.Sprintf("%s %s %s %.0f ms", f.Kind, f.Target, f.Peer, f.Duration)})
 	}
 	var err error
@@ -82,7 +82,7 @@
 }
 
 func differ(a, b *Figures) float64 {
-	d := measures[1].of(a) - measures[1].of(b)
+	d := metrics[1].of(a) - metrics[1].of(b)
 	return max(d, -d)
 }
 
@@ -111,7 +111,7 @@
 	for i, all := range [][]*Figures{c.a, c.b} {
 		var took []float64
 		for _, f := range all {
-			took = append(took, f.Took...)
+			took = append(took, f.Latencies...)
 		}
 		slices.Sort(took)
 		var pts plotter.XYs
@@ -130,7 +130,7 @@
 	p.X.Label.Text, p.Y.Label.Text = "day", "difference"
 	var pts plotter.XYs
 	for i := range c.a {
-		pts = append(pts, plotter.XY{X: float64(i), Y: measures[1].of(c.b[i]) - measures[1].of(c.a[i])})
+		pts = append(pts, plotter.XY{X: float64(i), Y: metrics[1].of(c.b[i]) - metrics[1].of(c.a[i])})
 	}
 	slices.SortFunc(pts, func(x, y plotter.XY) int {
 		if x.Y < y.Y {
@@ -151,12 +151,12 @@
 	for i, f := range []*Figures{c.a[day], c.b[day]} {
 		var pts plotter.XYs
 		for j, v := range of(f) {
-			pts = append(pts, plotter.XY{X: float64(j) * bucket / 1000, Y: v * 1000 / bucket})
-			top = max(top, v*1000/bucket)
+			pts = append(pts, plotter.XY{X: float64(j) * bucketMs / 1000, Y: v * 1000 / bucketMs})
+			top = max(top, v*1000/bucketMs)
 		}
 		lines = append(lines, []string{c.A, c.B}[i], pts)
 	}
-	for _, f := range c.days[day].Faults {
+	for _, f := range c.scenarios[day].Faults {
 		mark, err := plotter.NewLine(plotter.XYs{{X: f.At / 1000, Y: 0}, {X: f.At / 1000, Y: top}})
 		if err != nil {
 			return err
--- a/internal/lab/cores/check.go
+++ b/internal/lab/cores/check.go
@@ -44,53 +44,53 @@
 
 // Trial is one run in this process, over an in-memory transport.
 type Trial struct {
-	Shards  int
-	Connect string // own, shared or informed
-	Asks    int
-	Window  int     // asks open at once
-	Rate    float64 // asks a second, whatever becomes of them; 0: as the window has room
-	Nodes   int
-	Twice   float64       // part of the keys that are asked for on two connections at once
-	Harm    time.Duration // mean time between a panic or stand-still of a shard; 0: none
-	Resize  time.Duration // mean time between changes of the number of shards, from 1 to Shards; 0: none
-	Trust   bool          // the epoch check is left out, which must be found
-	Seed    uint64
+	Shards            int
+	Connections       string // own, shared or informed
+	Requests          int
+	Concurrency       int     // asks open at once
+	Rate              float64 // asks a second, whatever becomes of them; 0: as the window has room
+	Nodes             int
+	DuplicateFraction float64       // part of the keys that are asked for on two connections at once
+	FaultInterval     time.Duration // mean time between a panic or stand-still of a shard; 0: none
+	ResizeInterval    time.Duration // mean time between changes of the number of shards, from 1 to Shards; 0: none
+	SkipEpochCheck    bool          // the epoch check is left out, which must be found
+	Seed              uint64
 }
 
-// Verdict is what came of a trial.
-type Verdict struct {
-	Asks, Served, Declined, Failed  int
-	Duplicates, Seconds, Unanswered int // tries while one is out; starts of a run-once one after the first; asks
-	Twice                           int // answers after the first
-	Harms, Lives, Resizes           int
-	Stale                           int // offers of an epoch lower than some node has seen
-	Took, CPU                       time.Duration
-	Start                           *hdrhistogram.Histogram // us from ask to served
+// Result is what came of a trial.
+type Result struct {
+	Requests, Served, Declined, Failed   int
+	Duplicates, SecondStarts, Unanswered int // tries while one is out; starts of a run-once one after the first; asks
+	RepeatedAnswers                      int // answers after the first
+	Faults, Incarnations, Resizes        int
+	StaleEpochs                          int // offers of an epoch lower than some node has seen
+	Elapsed, CPU                         time.Duration
+	Start                                *hdrhistogram.Histogram // us from ask to served
 }
 
-// bench is the world of a trial.
-type bench struct {
+// testbench is the world of a trial.
+type testbench struct {
 	Trial
-	mu      sync.Mutex
-	out     map[uint64]held // by token: the try that is out or runs
-	jobs    []byte          // by key
-	started map[uint64]int  // starts of run-once ones
-	epochs  []map[uint64]uint32
-	newest  map[uint64]uint32
-	v       Verdict
-	harms   atomic.Int32
-	lives   atomic.Int32
+	mu           sync.Mutex
+	running      map[uint64]runningTask // by token: the try that is out or runs
+	jobs         []byte                 // by key
+	started      map[uint64]int         // starts of run-once ones
+	epochs       []map[uint64]uint32
+	newest       map[uint64]uint32
+	result       Result
+	faults       atomic.Int32
+	incarnations atomic.Int32
 }
 
-type held struct {
-	nd    uint32
-	name  string
-	until time.Time
+type runningTask struct {
+	node     uint32
+	attempt  string
+	deadline time.Time
 }
 
 // Check runs a trial.
-func Check(ctx context.Context, tr Trial) (*Verdict, error) {
-	place, faults := site.Read(strings.NewReader(fmt.Sprintf(siteText, tr.Shards, tr.Shards, tr.Connect)))
+func Check(ctx context.Context, tr Trial) (*Result, error) {
+	place, faults := site.Read(strings.NewReader(fmt.Sprintf(siteText, tr.Shards, tr.Shards, tr.Connections)))
 	if len(faults) > 0 {
 		return nil, fmt.Errorf("site of the trial: %s", faults[0])
 	}
@@ -99,11 +99,11 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	if err := knownNodes(dir, tr.Nodes); err != nil {
+	if err := saveNodeList(dir, tr.Nodes); err != nil {
 		return nil, err
 	}
-	b := &bench{Trial: tr, jobs: make([]byte, tr.Asks), out: map[uint64]held{}, started: map[uint64]int{}, newest: map[uint64]uint32{}}
-	b.v.Start = hdrhistogram.New(1, 1e7, 3)
+	b := &testbench{Trial: tr, jobs: make([]byte, tr.Requests), running: map[uint64]runningTask{}, started: map[uint64]int{}, newest: map[uint64]uint32{}}
+	b.result.Start = hdrhistogram.New(1, 1e7, 3)
 	for range tr.Nodes {
 		b.epochs = append(b.epochs, map[uint64]uint32{})
 	}
@@ -115,7 +115,7 @@
 	go func() {
 		ended <- serve.Run(ctx, serve.Config{
 			Site: place, Name: "s", Folder: dir, Seed: tr.Seed, Log: zerolog.Nop(),
-			Faults: serve.Faults{WrapEffects: b.harm, PermitAnyEpoch: tr.Trust}, OnLocalListener: func(l *serve.LocalListener) { local <- l }, Resize: resize,
+			Faults: serve.Faults{WrapEffects: b.injectFaults, PermitAnyEpoch: tr.SkipEpochCheck}, OnLocalListener: func(l *serve.LocalListener) { local <- l }, Resize: resize,
 			Connect: func(_ context.Context, address string) (net.Conn, error) {
 				nd, err := strconv.Atoi(address)
 				if err != nil {
@@ -136,41 +136,41 @@
 	time.Sleep(400 * time.Millisecond) // connections
 	asking, asked := context.WithCancel(ctx)
 	defer asked()
-	if tr.Resize > 0 {
+	if tr.ResizeInterval > 0 {
 		nodes.Go(func() { b.resize(asking, resize) })
 	}
-	used, began := cpu(), time.Now()
-	b.ask(l)
+	used, began := processCPU(), time.Now()
+	b.requestAll(l)
 	asked()
-	b.v.Took, b.v.CPU = time.Since(began), cpu()-used
+	b.result.Elapsed, b.result.CPU = time.Since(began), processCPU()-used
 	stop()
 	if err := <-ended; err != nil {
 		return nil, err
 	}
 	nodes.Wait()
-	b.v.Harms, b.v.Lives = int(b.harms.Load()), int(b.lives.Load())
-	return &b.v, nil
+	b.result.Faults, b.result.Incarnations = int(b.faults.Load()), int(b.incarnations.Load())
+	return &b.result, nil
 }
 
 // resize changes the number of shards now and then.
-func (b *bench) resize(ctx context.Context, to chan<- int) {
+func (b *testbench) resize(ctx context.Context, to chan<- int) {
 	rng := rand.New(rand.NewPCG(b.Seed, 99))
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Duration(rng.ExpFloat64() * float64(b.Resize))):
+		case <-time.After(time.Duration(rng.ExpFloat64() * float64(b.ResizeInterval))):
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case to <- 1 + rng.IntN(b.Shards):
-			b.v.Resizes++
+			b.result.Resizes++
 		}
 	}
 }
 
-func knownNodes(dir string, n int) error {
+func saveNodeList(dir string, n int) error {
 	f, err := state.Open(dir)
 	if err != nil {
 		return err
@@ -193,7 +193,7 @@
 	return f.Close()
 }
 
-func cpu() time.Duration {
+func processCPU() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -201,75 +201,75 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// second is where the refs of second asks for a key begin.
-const second = 1 << 40
+// duplicateRefs is where the refs of second asks for a key begin.
+const duplicateRefs = 1 << 40
 
-// sink is an owner: it counts answers.
-type sink struct {
-	b       *bench
+// clientRecorder is an owner: it counts answers.
+type clientRecorder struct {
+	bench   *testbench
 	mu      sync.Mutex
-	asked   map[uint64]time.Time
+	sentAt  map[uint64]time.Time
 	answers map[uint64]engine.Answer
-	room    chan struct{}
+	slots   chan struct{}
 }
 
-func (s *sink) OnEnd(uint64) {}
+func (s *clientRecorder) OnEnd(uint64) {}
 
-func (s *sink) OnAnswer(ref uint64, answer engine.Answer) {
+func (s *clientRecorder) OnAnswer(ref uint64, answer engine.Answer) {
 	s.mu.Lock()
 	_, twice := s.answers[ref]
 	s.answers[ref] = answer
-	at := s.asked[ref]
-	delete(s.asked, ref)
+	at := s.sentAt[ref]
+	delete(s.sentAt, ref)
 	s.mu.Unlock()
-	s.b.mu.Lock()
+	s.bench.mu.Lock()
 	key := ref - 1
-	if ref >= second {
-		key = ref - second
+	if ref >= duplicateRefs {
+		key = ref - duplicateRefs
 	}
-	if answer == engine.Declined && s.b.jobs[key] == 0 { // a restartable one asked for again is another allocation
-		delete(s.b.out, serve.Hash("key", strconv.FormatUint(key, 10)))
+	if answer == engine.Declined && s.bench.jobs[key] == 0 { // a restartable one asked for again is another allocation
+		delete(s.bench.running, serve.Hash("key", strconv.FormatUint(key, 10)))
 	}
 	switch {
 	case twice:
-		s.b.v.Twice++
+		s.bench.result.RepeatedAnswers++
 	case answer == engine.Served:
-		s.b.v.Served++
-		_ = s.b.v.Start.RecordValue(time.Since(at).Microseconds()) // beyond 10 s is not told apart
+		s.bench.result.Served++
+		_ = s.bench.result.Start.RecordValue(time.Since(at).Microseconds()) // beyond 10 s is not told apart
 	case answer == engine.Declined:
-		s.b.v.Declined++
+		s.bench.result.Declined++
 	default:
-		s.b.v.Failed++
+		s.bench.result.Failed++
 	}
-	s.b.mu.Unlock()
+	s.bench.mu.Unlock()
 	if twice {
 		return
 	}
 	switch {
-	case s.b.Rate > 0:
+	case s.bench.Rate > 0:
 	case answer == engine.Served:
-		<-s.room
+		<-s.slots
 	default: // owners ask less while they are turned away
-		time.AfterFunc(10*time.Millisecond, func() { <-s.room })
+		time.AfterFunc(10*time.Millisecond, func() { <-s.slots })
 	}
 }
 
-// ask asks for all keys by four owners, some of them by two at once, and waits for the answers.
-func (b *bench) ask(l *serve.LocalListener) {
+// requestAll asks for all keys by four owners, some of them by two at once, and waits for the answers.
+func (b *testbench) requestAll(l *serve.LocalListener) {
 	const owners = 4
-	var all [owners]*sink
+	var all [owners]*clientRecorder
 	var conns [owners]*serve.LocalClient
 	for i := range all {
-		all[i] = &sink{
-			b: b, asked: map[uint64]time.Time{}, answers: map[uint64]engine.Answer{},
-			room: make(chan struct{}, max(1, b.Window/owners)),
+		all[i] = &clientRecorder{
+			bench: b, sentAt: map[uint64]time.Time{}, answers: map[uint64]engine.Answer{},
+			slots: make(chan struct{}, max(1, b.Concurrency/owners)),
 		}
 		conns[i] = l.Connect(all[i])
 	}
 	one := func(i int, ref uint64, key uint64, job int) {
 		s := all[i]
 		s.mu.Lock()
-		s.asked[ref] = time.Now()
+		s.sentAt[ref] = time.Now()
 		s.mu.Unlock()
 		conns[i].Allocate(ref, 0, job, serve.Hash("service", strconv.FormatUint(key%997, 10)), serve.Hash("key",
 			strconv.FormatUint(key, 10)), 1, 2, 4000)
@@ -279,19 +279,19 @@
 	for i := range owners {
 		work.Go(func() {
 			rng := rand.New(rand.NewPCG(b.Seed, uint64(i)))
-			for n := i; n < b.Asks; n += owners {
+			for n := i; n < b.Requests; n += owners {
 				key, job := uint64(n), [...]int{0, 1, 2, 2}[rng.IntN(4)]
 				b.jobs[n] = byte(job)
 				if b.Rate > 0 {
 					time.Sleep(time.Until(began.Add(time.Duration(float64(n) / b.Rate * 1e9))))
 				} else {
-					all[i].room <- struct{}{}
+					all[i].slots <- struct{}{}
 				}
 				var both sync.WaitGroup
-				if other := (i + 1) % owners; rng.Float64() < b.Twice {
+				if other := (i + 1) % owners; rng.Float64() < b.DuplicateFraction {
 					select { // at the same moment, or not at all: later, it would be another allocation
-					case all[other].room <- struct{}{}:
-						both.Go(func() { one(other, uint64(n)+second, key, job) })
+					case all[other].slots <- struct{}{}:
+						both.Go(func() { one(other, uint64(n)+duplicateRefs, key, job) })
 					default:
 					}
 				}
@@ -305,7 +305,7 @@
 		left := 0
 		for _, s := range all {
 			s.mu.Lock()
-			left += len(s.asked)
+			left += len(s.sentAt)
 			s.mu.Unlock()
 		}
 		if left == 0 {
@@ -314,8 +314,8 @@
 	}
 	for _, s := range all {
 		s.mu.Lock()
-		b.v.Unanswered += len(s.asked)
-		b.v.Asks += len(s.asked) + len(s.answers)
+		b.result.Unanswered += len(s.sentAt)
+		b.result.Requests += len(s.sentAt) + len(s.answers)
 		s.mu.Unlock()
 	}
 }
--- a/internal/lab/cores/check_test.go
+++ b/internal/lab/cores/check_test.go
@@ -28,19 +28,19 @@
 			}
 			for seed := uint64(3); ; seed++ {
 				v, err := Check(context.Background(), Trial{
-					Shards: c.shards, Connect: c.connect, Asks: asks, Window: 400, Nodes: 8,
-					Twice: 0.1, Harm: harm, Resize: c.resize, Trust: c.trust, Seed: seed,
+					Shards: c.shards, Connections: c.connect, Requests: asks, Concurrency: 400, Nodes: 8,
+					DuplicateFraction: 0.1, FaultInterval: harm, ResizeInterval: c.resize, SkipEpochCheck: c.trust, Seed: seed,
 				})
 				if err != nil {
 					t.Fatal(err)
 				}
-				bad := v.Duplicates + v.Seconds + v.Unanswered + v.Twice + v.Stale
+				bad := v.Duplicates + v.SecondStarts + v.Unanswered + v.RepeatedAnswers + v.StaleEpochs
 				if c.trust && bad == 0 && seed < 7 {
 					continue // no shard woke up with a try in hand this time: when it does is not the seed's alone
 				}
-				if c.trust != (bad > 0) || v.Harms == 0 && harm > 0 || v.Served < 1500 {
+				if c.trust != (bad > 0) || v.Faults == 0 && harm > 0 || v.Served < 1500 {
 					t.Errorf("duplicates %d, second starts %d, unanswered %d, answers twice %d, older epochs %d, served %d, harms %d",
-						v.Duplicates, v.Seconds, v.Unanswered, v.Twice, v.Stale, v.Served, v.Harms)
+						v.Duplicates, v.SecondStarts, v.Unanswered, v.RepeatedAnswers, v.StaleEpochs, v.Served, v.Faults)
 				}
 				return
 			}
--- a/internal/lab/drill/calendar.go
+++ b/internal/lab/drill/calendar.go
@@ -12,8 +12,8 @@
 	"ravenpond/internal/state/maintenancestore"
 )
 
-// schedule puts the day's windows into a scheduler's calendar, before its first life begins.
-func (p *player) schedule(folder string) error {
+// saveWindows puts the day's windows into a scheduler's calendar, before its first life begins.
+func (p *player) saveWindows(folder string) error {
 	if len(p.Day.windows) == 0 || maintenancestore.Exists(folder) {
 		return nil
 	}
@@ -29,7 +29,7 @@
 	cal := &calendar.Calendar{}
 	for _, w := range p.Day.windows {
 		win := calendar.Window{
-			ID: w.name, Scope: calendar.Cell, Target: w.cell, Start: p.wall(w.at), Duration: time.Duration(w.last * 1e6),
+			ID: w.name, Scope: calendar.Cell, Target: w.cell, Start: p.wallTime(w.at), Duration: time.Duration(w.duration * 1e6),
 			Lead: time.Duration(w.lead * 1e6), Ending: calendar.Ending(w.ending),
 		}
 		if w.zone != "" {
@@ -47,14 +47,14 @@
 	}
 	var fleet []calendar.Node
 	for _, n := range p.nodes {
-		kind := slices.Index(p.Place.MachineKinds, n.Kind)
+		kind := slices.Index(p.Deployment.MachineKinds, n.Kind)
 		fleet = append(fleet, calendar.Node{
 			ID: strconv.FormatUint(uint64(n.ID), 10), Zone: n.Zone, Cell: n.Cell, Kind: n.Kind,
-			Cores: p.Place.Cluster.KindCores[kind], Memory: p.Place.Cluster.KindMemory[kind],
+			Cores: p.Deployment.Cluster.KindCores[kind], Memory: p.Deployment.Cluster.KindMemory[kind],
 		})
 	}
 	cal := p.calendar()
-	for _, v := range calendar.Plan(cal, fleet, p.Place.Maintenance, nil, p.dawn.Add(-time.Hour), p.dawn.Add(24*time.Hour)) {
+	for _, v := range calendar.Plan(cal, fleet, p.Deployment.Maintenance, nil, p.startedAt.Add(-time.Hour), p.startedAt.Add(24*time.Hour)) {
 		if v.Outcome != calendar.Kept || len(v.Nodes) == 0 {
 			return fmt.Errorf("window %s of the day: %s, %d nodes, %s", v.Window, v.Outcome, len(v.Nodes), v.Reason)
 		}
@@ -62,30 +62,30 @@
 	return nil
 }
 
-// wall is a time of the day on the wall clock, in whole seconds as a calendar has them.
-func (p *player) wall(ms float64) time.Time {
-	return p.dawn.Add(time.Duration(ms * 1e6)).UTC().Truncate(time.Second)
+// wallTime is a time of the day on the wall clock, in whole seconds as a calendar has them.
+func (p *player) wallTime(ms float64) time.Time {
+	return p.startedAt.Add(time.Duration(ms * 1e6)).UTC().Truncate(time.Second)
 }
 
-// windows records when the calendar takes nodes out and brings them back.
-func (p *player) windows() {
+// recordWindows records when the calendar takes nodes out and brings them back.
+func (p *player) recordWindows() {
 	for _, w := range p.Day.windows {
 		mark := func(at time.Time, word string) {
-			p.goes(func() {
+			p.run(func() {
 				if !p.sleep(float64(time.Until(at)) / 1e6) {
 					return
 				}
-				p.Say("%6.1f s  window %s: %s", p.w.Now()/1000, w.name, word)
+				p.Logf("%6.1f s  window %s: %s", p.testbed.Now()/1000, w.name, word)
 				p.mu.Lock()
 				defer p.mu.Unlock()
 				for _, n := range p.nodes {
 					if w.cell != "" && n.Cell == w.cell || w.zone != "" && n.Zone == w.zone {
-						p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.MaintenanceChanged, Node: n.ID, Detail: word})
+						p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.MaintenanceChanged, Node: n.ID, Detail: word})
 					}
 				}
 			})
 		}
-		mark(p.wall(w.at-w.lead), "out") // from here on the grace runs
-		mark(p.wall(w.at+w.last).Add(-time.Second), "back")
+		mark(p.wallTime(w.at-w.lead), "out") // from here on the grace runs
+		mark(p.wallTime(w.at+w.duration).Add(-time.Second), "back")
 	}
 }
--- a/internal/lab/drill/day.go
+++ b/internal/lab/drill/day.go
@@ -22,8 +22,8 @@
 //go:embed site.xml
 var DefaultSite string
 
-// Troubles in the order of their numbers.
-var Troubles = []string{
+// FaultKinds in the order of their numbers.
+var FaultKinds = []string{
 	"list-away", "list-behind", "demand", "flood", "hang", "answers-lost", "job-fails",
 	"reports-late", "neighbours", "hall-lost", "restart", "drain", "grow", "kill", "stand-still", "services-stop",
 	"programs-lost", "pressure",
@@ -74,7 +74,7 @@
 		{Name: "ending", Kind: strictxml.Enum, Default: "release", Values: []string{"release", "sweep", "hold"}},
 	}},
 	{Name: "trouble", Attrs: []strictxml.Attr{
-		{Name: "kind", Kind: strictxml.Enum, Required: true, Values: Troubles},
+		{Name: "kind", Kind: strictxml.Enum, Required: true, Values: FaultKinds},
 		{Name: "at", Kind: strictxml.Duration, Required: true, Min: 0, Max: 3600e3},
 		{Name: "for", Kind: strictxml.Duration, Default: "5s", Min: 1, Max: 3600e3},
 		{Name: "part", Kind: strictxml.Number, Default: "0.3", Min: 0, Max: 1},   // of nodes, schedulers or services
@@ -86,52 +86,52 @@
 	}},
 }}
 
-type fleet struct {
+type nodeGroup struct {
 	kind, cells, nodes int
 	zone               string
 }
 
-type work struct {
-	job                 int
-	part, cores, memory float64
-	start, life, use    float64
-	priority            int
-	name                string
-	within, target      float64
-	effect              int
-	spread, most, group int
-	window              float64
+type jobSpec struct {
+	job                        int
+	fraction, cores, memory    float64
+	start, runtime, use        float64
+	priority                   int
+	name                       string
+	timeout, latencyObjective  float64
+	effect                     int
+	spread, maxTogether, group int
+	window                     float64
 }
 
-type trouble struct {
-	kind         int
-	at, last     float64
-	part, size   float64
-	zone, tenant string
-	job          int
-	how          string
-	line         int
+type faultSpec struct {
+	kind           int
+	at, duration   float64
+	fraction, size float64
+	zone, tenant   string
+	job            int
+	mode           string
+	line           int
 }
 
-type window struct {
-	name, cell, zone string
-	at, lead, last   float64
-	ending           int
+type maintenanceWindow struct {
+	name, cell, zone   string
+	at, lead, duration float64
+	ending             int
 }
 
 // Day is a day that can be played at a site.
 type Day struct {
-	Name                 string
-	lasts, settles, rate float64
-	schedulers, services int
-	fleets               []fleet
-	works                []work
-	troubles             []trouble
-	windows              []window
-	look                 float64
-	line, starts, keeps  int
-	noProgram, coldFrom  float64
-	fall, lag            float64
+	Name                                       string
+	duration, settleTime, rate                 float64
+	schedulers, services                       int
+	nodeGroups                                 []nodeGroup
+	jobs                                       []jobSpec
+	faults                                     []faultSpec
+	windows                                    []maintenanceWindow
+	inspectTime                                float64
+	queueLimit, concurrentStarts, programCache int
+	programMissFactor, warmupPace              float64
+	overloadFactor, listDelay                  float64
 }
 
 // ReadDay reads a day for a site and names what is wrong with it.
@@ -152,15 +152,15 @@
 	}
 	n := top.Child("node")
 	d := &Day{
-		Name: top.Text("name"), lasts: top.Number("lasts"), settles: top.Number("settles"),
+		Name: top.Text("name"), duration: top.Number("lasts"), settleTime: top.Number("settles"),
 		rate: top.Number("rate"), schedulers: top.Int("schedulers"), services: top.Int("services"),
-		look: n.Number("look"), line: n.Int("line"), starts: n.Int("starts"), keeps: n.Int("programs"),
-		noProgram: n.Number("no-program"), coldFrom: n.Number("cold-from"), fall: n.Number("fall"),
-		lag: top.Child("list").Number("lag"),
+		inspectTime: n.Number("look"), queueLimit: n.Int("line"), concurrentStarts: n.Int("starts"), programCache: n.Int("programs"),
+		programMissFactor: n.Number("no-program"), warmupPace: n.Number("cold-from"), overloadFactor: n.Number("fall"),
+		listDelay: top.Child("list").Number("lag"),
 	}
 	for _, f := range top.Children("fleet") {
 		index(f, "zone", "zone", place.Zones)
-		d.fleets = append(d.fleets, fleet{
+		d.nodeGroups = append(d.nodeGroups, nodeGroup{
 			index(f, "machine", "machine kind", place.MachineKinds), f.Int("cells"),
 			f.Int("nodes"), f.Text("zone"),
 		})
@@ -172,15 +172,15 @@
 			continue
 		}
 		jt := place.Cluster.JobClasses[job]
-		d.works = append(d.works, work{
-			job: job, part: w.Number("part"), cores: w.Number("cores"),
-			memory: w.Number("memory"), start: w.Number("start"), life: w.Number("life"), use: w.Number("use"),
-			priority: w.Int("priority"), name: w.Text("job-type"), within: place.Deadlines[job], target: jt.LatencyObjective,
-			effect: int(jt.Semantics), spread: int(jt.Spread), most: jt.MaxPerScope, group: int(jt.IdempotencyScope), window: jt.IdempotencyWindow,
+		d.jobs = append(d.jobs, jobSpec{
+			job: job, fraction: w.Number("part"), cores: w.Number("cores"),
+			memory: w.Number("memory"), start: w.Number("start"), runtime: w.Number("life"), use: w.Number("use"),
+			priority: w.Int("priority"), name: w.Text("job-type"), timeout: place.Deadlines[job], latencyObjective: jt.LatencyObjective,
+			effect: int(jt.Semantics), spread: int(jt.Spread), maxTogether: jt.MaxPerScope, group: int(jt.IdempotencyScope), window: jt.IdempotencyWindow,
 		})
 		sum += w.Number("part")
 	}
-	if len(faults) == 0 && len(d.works) != len(place.JobClasses) {
+	if len(faults) == 0 && len(d.jobs) != len(place.JobClasses) {
 		faults = append(faults, strictxml.Fault{Line: top.Line, Text: "each job type of the site needs its <work>"})
 	}
 	if sum < 0.999 || sum > 1.001 {
@@ -190,7 +190,7 @@
 		if w.Has("cell") == w.Has("zone") {
 			faults = append(faults, strictxml.Fault{Line: w.Line, Text: "a window needs a cell or a zone"})
 		}
-		d.windows = append(d.windows, window{
+		d.windows = append(d.windows, maintenanceWindow{
 			w.Text("name"), w.Text("cell"), w.Text("zone"), w.Number("at"), w.Number("lead"),
 			w.Number("for"), w.EnumIndex("ending"),
 		})
@@ -198,21 +198,21 @@
 	for _, t := range top.Children("trouble") {
 		index(t, "zone", "zone", place.Zones)
 		index(t, "tenant", "tenant", place.Tenants)
-		tr := trouble{
-			kind: t.EnumIndex("kind"), at: t.Number("at"), last: t.Number("for"), part: t.Number("part"),
+		tr := faultSpec{
+			kind: t.EnumIndex("kind"), at: t.Number("at"), duration: t.Number("for"), fraction: t.Number("part"),
 			size: t.Number("size"), zone: t.Text("zone"), tenant: t.Text("tenant"),
-			job: index(t, "job-type", "job type", place.JobClasses), how: t.Text("how"), line: t.Line,
+			job: index(t, "job-type", "job type", place.JobClasses), mode: t.Text("how"), line: t.Line,
 		}
-		if tr.at > d.lasts {
+		if tr.at > d.duration {
 			faults = append(faults, strictxml.Fault{Line: t.Line, Text: "trouble after the end of the day"})
 		}
-		if Troubles[tr.kind] == "job-fails" && tr.job < 0 {
+		if FaultKinds[tr.kind] == "job-fails" && tr.job < 0 {
 			faults = append(faults, strictxml.Fault{Line: t.Line, Text: "job-fails needs a job-type"})
 		}
-		d.troubles = append(d.troubles, tr)
+		d.faults = append(d.faults, tr)
 	}
-	slices.SortStableFunc(d.works, func(x, y work) int { return x.job - y.job })
-	slices.SortStableFunc(d.troubles, func(x, y trouble) int { return int(x.at - y.at) })
+	slices.SortStableFunc(d.jobs, func(x, y jobSpec) int { return x.job - y.job })
+	slices.SortStableFunc(d.faults, func(x, y faultSpec) int { return int(x.at - y.at) })
 	if len(faults) > 0 {
 		return nil, faults
 	}
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -43,13 +43,13 @@
 	}
 	dir := t.TempDir()
 	res, err := Play(context.Background(), Drill{
-		Day: day, Place: place, Site: DefaultSite, Command: []string{os.Args[0]},
-		Seed: 2, Out: dir, Say: func(string, ...any) {},
+		Day: day, Deployment: place, SiteText: DefaultSite, Command: []string{os.Args[0]},
+		Seed: 2, OutDir: dir, Logf: func(string, ...any) {},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range res.Breaks {
+	for _, b := range res.Violations {
 		t.Error(b)
 	}
 	opened := 0
@@ -65,7 +65,7 @@
 	if opened != day.schedulers {
 		t.Errorf("the window was opened by %d of %d schedulers", opened, day.schedulers)
 	}
-	if row := res.rows[0]; row.served < 300 || row.asks != row.served+row.declined+row.failed+row.other {
+	if row := res.rows[0]; row.served < 300 || row.requests != row.served+row.declined+row.failed+row.other {
 		t.Errorf("%+v", row)
 	}
 }
--- a/internal/lab/drill/process.go
+++ b/internal/lab/drill/process.go
@@ -16,98 +16,98 @@
 	"ravenpond/internal/lab/spawn"
 )
 
-type proc struct {
+type process struct {
 	mu      sync.Mutex
 	name    string
 	index   int
 	address string
-	cmd     *exec.Cmd
+	command *exec.Cmd
 	log     *os.File
 }
 
-// startProc starts a scheduler process and waits until owners may connect.
-func (p *player) startProc(pr *proc) error {
-	state := filepath.Join(p.Out, pr.name)
-	file := filepath.Join(p.Out, pr.name+".address")
+// startProcess starts a scheduler process and waits until owners may connect.
+func (p *player) startProcess(pr *process) error {
+	state := filepath.Join(p.OutDir, pr.name)
+	file := filepath.Join(p.OutDir, pr.name+".address")
 	if pr.log == nil {
 		var err error
-		if pr.log, err = os.Create(filepath.Join(p.Out, pr.name+".log")); err != nil {
+		if pr.log, err = os.Create(filepath.Join(p.OutDir, pr.name+".log")); err != nil {
 			return err
 		}
 	}
-	if err := p.schedule(state); err != nil {
+	if err := p.saveWindows(state); err != nil {
 		return err
 	}
-	command := append(slices.Clone(p.Command), "serve", "--site", p.site, "--state", state, "--name", pr.name,
+	command := append(slices.Clone(p.Command), "serve", "--site", p.sitePath, "--state", state, "--name", pr.name,
 		"--index", strconv.Itoa(pr.index), "--seed", strconv.FormatUint(p.Seed+uint64(pr.index)*977+1, 10),
 		"--address-file", file)
-	p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.SchedulerStarted, Scheduler: pr.name})
+	p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerStarted, Scheduler: pr.name})
 	cmd, address, err := spawn.Scheduler(p.ctx, command, pr.log, file)
 	if err != nil {
 		return fmt.Errorf("%s: %w", pr.name, err)
 	}
 	pr.mu.Lock()
-	pr.cmd, pr.address = cmd, address
+	pr.command, pr.address = cmd, address
 	pr.mu.Unlock()
 	return nil
 }
 
-func (pr *proc) where() string {
+func (pr *process) currentAddress() string {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	return pr.address
 }
 
 // kill ends the process by a signal and waits for its end.
-func (pr *proc) kill(p *player, sig syscall.Signal) {
+func (pr *process) kill(p *player, sig syscall.Signal) {
 	pr.mu.Lock()
-	cmd := pr.cmd
-	pr.cmd, pr.address = nil, ""
+	cmd := pr.command
+	pr.command, pr.address = nil, ""
 	pr.mu.Unlock()
 	if cmd == nil {
 		return
 	}
 	_ = cmd.Process.Signal(syscall.SIGCONT) // one that stands still can't end by itself
 	if sig == syscall.SIGKILL {
-		p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.SchedulerKilled, Scheduler: pr.name})
+		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: pr.name})
 	}
 	_ = cmd.Process.Signal(sig)
 	limit := time.AfterFunc(8*time.Second, func() { _ = cmd.Process.Kill() })
 	err := cmd.Wait()
 	limit.Stop()
 	if sig != syscall.SIGKILL {
-		p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.SchedulerKilled, Scheduler: pr.name})
+		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: pr.name})
 		if err != nil {
-			p.fault(fmt.Errorf("scheduler %s ended with %w, see its log", pr.name, err))
+			p.addError(fmt.Errorf("scheduler %s ended with %w, see its log", pr.name, err))
 		}
 	}
 }
 
-// procTrouble kills scheduler processes and starts them again, or makes them stand still.
-func (p *player) procTrouble(tr trouble, kills bool, rng *rand.Rand) {
-	hit := slices.Clone(p.procs)
+// injectProcessFault kills scheduler processes and starts them again, or makes them stand still.
+func (p *player) injectProcessFault(tr faultSpec, kills bool, rng *rand.Rand) {
+	hit := slices.Clone(p.processes)
 	rng.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
-	for _, pr := range hit[:min(len(hit), int(tr.part*float64(len(hit))+0.5))] {
+	for _, pr := range hit[:min(len(hit), int(tr.fraction*float64(len(hit))+0.5))] {
 		if kills {
 			pr.kill(p, syscall.SIGKILL)
 			if !p.sleep(250) {
 				return
 			}
-			if err := p.startProc(pr); err != nil {
-				p.fault(err)
+			if err := p.startProcess(pr); err != nil {
+				p.addError(err)
 			}
 			continue
 		}
 		pr.mu.Lock()
-		cmd := pr.cmd
+		cmd := pr.command
 		pr.mu.Unlock()
 		if cmd == nil {
 			continue
 		}
 		_ = cmd.Process.Signal(syscall.SIGSTOP)
-		p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.SchedulerPaused, Scheduler: pr.name})
-		p.sleep(tr.last)
-		p.w.Trace.Add(audit.Record{At: p.w.Now(), Kind: audit.SchedulerResumed, Scheduler: pr.name})
+		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerPaused, Scheduler: pr.name})
+		p.sleep(tr.duration)
+		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerResumed, Scheduler: pr.name})
 		_ = cmd.Process.Signal(syscall.SIGCONT)
 	}
 }
--- a/internal/lab/drill/report.go
+++ b/internal/lab/drill/report.go
@@ -12,20 +12,20 @@
 
 // Result is what came of it.
 type Result struct {
-	Breaks  []audit.Violation
-	Records int
-	rows    []row
+	Violations []audit.Violation
+	Records    int
+	rows       []outcomeRow
 }
 
 // rules are the site's, as the auditor takes them.
 func (p *player) rules() audit.Rules {
-	cl := &p.Place.Cluster
+	cl := &p.Deployment.Cluster
 	r := audit.Rules{
-		Nodes: map[uint32]audit.Location{}, DrainGrace: p.Place.DrainGrace, ListPolled: cl.PollsList,
+		Nodes: map[uint32]audit.Location{}, DrainGrace: p.Deployment.DrainGrace, ListPolled: cl.PollsList,
 		PollInterval: cl.ListMaxSilence, SlowStartLimit: int(cl.SlowStartLimit), SlowStartDuration: cl.SlowStartDuration, SlowStartWindow: cl.SlowStartWindow, Slack: slack,
 	}
-	for _, w := range p.Day.works {
-		r.Jobs = append(r.Jobs, audit.JobRules{Effect: w.effect, Group: w.group, Window: w.window, Spread: w.spread, MaxTogether: w.most})
+	for _, w := range p.Day.jobs {
+		r.Jobs = append(r.Jobs, audit.JobRules{Effect: w.effect, Group: w.group, Window: w.window, Spread: w.spread, MaxTogether: w.maxTogether})
 	}
 	for _, n := range p.nodes {
 		r.Nodes[n.ID] = audit.Location{Zone: n.Zone, Cell: n.Cell}
@@ -33,33 +33,33 @@
 	return r
 }
 
-// row is a line of the table: the asks made within a time.
-type row struct {
-	name                                  string
-	asks, served, declined, failed, other int
-	first, inTime                         int
-	took                                  []float64
+// outcomeRow is a line of the table: the asks made within a time.
+type outcomeRow struct {
+	name                                      string
+	requests, served, declined, failed, other int
+	first, inTime                             int
+	latencies                                 []float64
 }
 
 // table counts asks by the trouble in which they were made.
-func (p *player) table() []row {
-	rows := []row{{name: "whole day"}}
+func (p *player) table() []outcomeRow {
+	rows := []outcomeRow{{name: "whole day"}}
 	for _, w := range p.Day.windows {
-		rows = append(rows, row{name: "window " + w.name})
+		rows = append(rows, outcomeRow{name: "window " + w.name})
 	}
-	for _, tr := range p.Day.troubles {
-		rows = append(rows, row{name: fmt.Sprintf("%s, %.0f s", Troubles[tr.kind], tr.at/1000)})
+	for _, tr := range p.Day.faults {
+		rows = append(rows, outcomeRow{name: fmt.Sprintf("%s, %.0f s", FaultKinds[tr.kind], tr.at/1000)})
 	}
-	for _, o := range p.owners {
+	for _, o := range p.clients {
 		for _, t := range o.Outcomes() {
 			rows[0].add(t)
 			for i, w := range p.Day.windows {
-				if t.SentAt >= w.at-w.lead && t.SentAt < w.at+w.last {
+				if t.SentAt >= w.at-w.lead && t.SentAt < w.at+w.duration {
 					rows[i+1].add(t)
 				}
 			}
-			for i, tr := range p.Day.troubles {
-				if t.SentAt >= tr.at && t.SentAt < tr.at+tr.last+2000 {
+			for i, tr := range p.Day.faults {
+				if t.SentAt >= tr.at && t.SentAt < tr.at+tr.duration+2000 {
 					rows[i+1+len(p.Day.windows)].add(t)
 				}
 			}
@@ -68,12 +68,12 @@
 	return rows
 }
 
-func (r *row) add(t standin.Outcome) {
-	r.asks++
+func (r *outcomeRow) add(t standin.Outcome) {
+	r.requests++
 	switch t.Result {
 	case "served":
 		r.served++
-		r.took = append(r.took, t.Latency)
+		r.latencies = append(r.latencies, t.Latency)
 	case "declined":
 		r.declined++
 	case "failed":
@@ -95,19 +95,19 @@
 	fmt.Fprintf(&b, "%-22s %6s %6s %8s %6s %7s %8s %8s %8s\n", "trouble", "asks", "served", "declined", "failed",
 		"cut off", "in time", "p50 ms", "p95 ms")
 	for _, row := range r.rows {
-		slices.Sort(row.took)
+		slices.Sort(row.latencies)
 		share := "-"
 		if row.first > 0 {
 			share = fmt.Sprintf("%.0f%%", 100*float64(row.inTime)/float64(row.first))
 		}
-		fmt.Fprintf(&b, "%-22s %6d %6d %8d %6d %7d %8s %8s %8s\n", row.name, row.asks, row.served, row.declined,
-			row.failed, row.other, share, quantile(row.took, 0.5), quantile(row.took, 0.95))
+		fmt.Fprintf(&b, "%-22s %6d %6d %8d %6d %7d %8s %8s %8s\n", row.name, row.requests, row.served, row.declined,
+			row.failed, row.other, share, quantile(row.latencies, 0.5), quantile(row.latencies, 0.95))
 	}
 	fmt.Fprintf(&b, "%d records audited\n", r.Records)
-	for _, br := range r.Breaks {
+	for _, br := range r.Violations {
 		fmt.Fprintf(&b, "%s\n", br)
 	}
-	fmt.Fprintf(&b, "broken rules: %d\n", len(r.Breaks))
+	fmt.Fprintf(&b, "broken rules: %d\n", len(r.Violations))
 	_, err := io.WriteString(out, b.String())
 	return err
 }
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -21,35 +21,35 @@
 
 // Drill is what is to be played.
 type Drill struct {
-	Day     *Day
-	Place   *site.Config
-	Site    string   // text of the site file, without the listeners
-	Command []string // that runs a scheduler; flags follow
-	Seed    uint64
-	Out     string // folder for logs and the trace
-	Say     func(format string, args ...any)
+	Day        *Day
+	Deployment *site.Config
+	SiteText   string   // text of the site file, without the listeners
+	Command    []string // that runs a scheduler; flags follow
+	Seed       uint64
+	OutDir     string // folder for logs and the trace
+	Logf       func(format string, args ...any)
 }
 
 type player struct {
 	Drill
-	ctx    context.Context
-	real   *outside.Real
-	w      *standin.Testbed
-	rng    *rand.Rand
-	list   *standin.List
-	nodes  []*standin.Node
-	groups map[string]*standin.Group
-	procs  []*proc
-	owners []*standin.Client
-	site   string // path
-	dawn   time.Time
-	rate   float64
-	flood  map[string]float64 // factor by tenant
-	mu     sync.Mutex
-	wants  uint64
-	seq    uint32
-	work   sync.WaitGroup
-	faults []error
+	ctx           context.Context
+	env           *outside.Real
+	testbed       *standin.Testbed
+	rng           *rand.Rand
+	list          *standin.List
+	nodes         []*standin.Node
+	groups        map[string]*standin.Group
+	processes     []*process
+	clients       []*standin.Client
+	sitePath      string // path
+	startedAt     time.Time
+	rateFactor    float64
+	tenantFactors map[string]float64 // factor by tenant
+	mu            sync.Mutex
+	lastDemand    uint64
+	lastNode      uint32
+	background    sync.WaitGroup
+	errs          []error
 }
 
 // slack is what the order of events on two sockets may be off by on a busy machine, in ms.
@@ -61,27 +61,27 @@
 	defer stop()
 	real := outside.NewReal()
 	p := &player{
-		Drill: d, ctx: ctx, real: real, w: standin.NewTestbed(real), rng: rand.New(rand.NewPCG(d.Seed, 3)),
-		groups: map[string]*standin.Group{}, dawn: time.Now().Add(time.Second), rate: 1, flood: map[string]float64{},
+		Drill: d, ctx: ctx, env: real, testbed: standin.NewTestbed(real), rng: rand.New(rand.NewPCG(d.Seed, 3)),
+		groups: map[string]*standin.Group{}, startedAt: time.Now().Add(time.Second), rateFactor: 1, tenantFactors: map[string]float64{},
 	}
-	if err := p.begin(); err != nil {
+	if err := p.start(); err != nil {
 		stop()
-		p.end()
+		p.shutDown()
 		return nil, err
 	}
 	p.play()
-	p.settle()
-	for _, pr := range p.procs {
+	p.awaitResponses()
+	for _, pr := range p.processes {
 		pr.kill(p, syscall.SIGTERM)
 	}
-	records := p.w.Trace.Records()
+	records := p.testbed.Trace.Records()
 	stop()
-	p.end()
-	if len(p.faults) > 0 {
-		return nil, errors.Join(p.faults...)
+	p.shutDown()
+	if len(p.errs) > 0 {
+		return nil, errors.Join(p.errs...)
 	}
-	res := &Result{Breaks: audit.Check(records, p.rules()), Records: len(records), rows: p.table()}
-	f, err := os.Create(filepath.Join(d.Out, "trace.jsonl"))
+	res := &Result{Violations: audit.Check(records, p.rules()), Records: len(records), rows: p.table()}
+	f, err := os.Create(filepath.Join(d.OutDir, "trace.jsonl"))
 	if err != nil {
 		return nil, err
 	}
@@ -89,8 +89,8 @@
 	return res, audit.Write(f, records)
 }
 
-func (p *player) begin() error {
-	for _, f := range p.Day.fleets {
+func (p *player) start() error {
+	for _, f := range p.Day.nodeGroups {
 		for i := range f.nodes {
 			if err := p.addNode(f, i, false); err != nil {
 				return err
@@ -101,64 +101,64 @@
 		return err
 	}
 	var err error
-	if p.list, err = p.w.StartList(p.Day.lag, p.nodes, ""); err != nil {
+	if p.list, err = p.testbed.StartList(p.Day.listDelay, p.nodes, ""); err != nil {
 		return err
 	}
-	text := strings.Replace(p.Site, `<node-list address="127.0.0.1:0"/>`,
+	text := strings.Replace(p.SiteText, `<node-list address="127.0.0.1:0"/>`,
 		fmt.Sprintf(`<node-list address=%q/>`, p.list.Address()), 1)
-	p.site = filepath.Join(p.Out, "site.xml")
-	if err := os.WriteFile(p.site, []byte(text), 0o640); err != nil {
+	p.sitePath = filepath.Join(p.OutDir, "site.xml")
+	if err := os.WriteFile(p.sitePath, []byte(text), 0o640); err != nil {
 		return err
 	}
 	for i := range p.Day.schedulers {
-		pr := &proc{name: fmt.Sprintf("s%d", i), index: i}
-		p.procs = append(p.procs, pr)
-		if err := p.startProc(pr); err != nil {
+		pr := &process{name: fmt.Sprintf("s%d", i), index: i}
+		p.processes = append(p.processes, pr)
+		if err := p.startProcess(pr); err != nil {
 			return err
 		}
-		for t := range p.Place.Tenants {
-			o := &standin.Client{ID: i*len(p.Place.Tenants) + t, Scheduler: pr.name, SchedulerAddress: pr.where, SettleTime: p.Place.SettleTime}
-			p.owners = append(p.owners, o)
-			p.w.StartClient(o, p.rng.Uint64())
+		for t := range p.Deployment.Tenants {
+			o := &standin.Client{ID: i*len(p.Deployment.Tenants) + t, Scheduler: pr.name, SchedulerAddress: pr.currentAddress, SettleTime: p.Deployment.SettleTime}
+			p.clients = append(p.clients, o)
+			p.testbed.StartClient(o, p.rng.Uint64())
 		}
 	}
 	return nil
 }
 
-// end waits for all that runs in this process and ends what runs beside it.
-func (p *player) end() {
-	for _, pr := range p.procs {
+// shutDown waits for all that runs in this process and ends what runs beside it.
+func (p *player) shutDown() {
+	for _, pr := range p.processes {
 		pr.kill(p, syscall.SIGKILL)
 		if pr.log != nil {
 			pr.log.Close()
 		}
 	}
-	p.work.Wait()
-	p.real.Close(time.Second)
+	p.background.Wait()
+	p.env.Close(time.Second)
 }
 
-func (p *player) addNode(f fleet, i int, cold bool) error {
-	cl, d := &p.Place.Cluster, p.Day
+func (p *player) addNode(f nodeGroup, i int, cold bool) error {
+	cl, d := &p.Deployment.Cluster, p.Day
 	mk := standin.MachineConfig{
 		Cores: cl.KindCores[f.kind], Memory: cl.KindMemory[f.kind], CoresLimit: cl.CoresOvercommit,
-		MemoryLimit: cl.MemoryOvercommit, InspectTime: d.look, QueueLimit: d.line, ConcurrentStarts: d.starts, ProgramMissFactor: d.noProgram,
-		ProgramCacheSize: d.keeps, WarmupPace: d.coldFrom, WarmupDuration: cl.SlowStartDuration, OverloadFactor: d.fall, OverloadWindow: cl.SlowStartWindow,
+		MemoryLimit: cl.MemoryOvercommit, InspectTime: d.inspectTime, QueueLimit: d.queueLimit, ConcurrentStarts: d.concurrentStarts, ProgramMissFactor: d.programMissFactor,
+		ProgramCacheSize: d.programCache, WarmupPace: d.warmupPace, WarmupDuration: cl.SlowStartDuration, OverloadFactor: d.overloadFactor, OverloadWindow: cl.SlowStartWindow,
 		SlowStartLimit: int(cl.SlowStartLimit), ReportsUse: cl.ReportsMeasureUse, Preempts: cl.Preempts,
 	}
-	for _, w := range d.works {
+	for _, w := range d.jobs {
 		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{
-			StartWork: w.start, MeanRuntime: w.life, MeanUse: w.use, Priority: w.priority,
+			StartWork: w.start, MeanRuntime: w.runtime, MeanUse: w.use, Priority: w.priority,
 			Deduplicated: w.effect == audit.Idempotent,
 		})
 	}
-	p.seq++
+	p.lastNode++
 	cell := fmt.Sprintf("%s-%d", f.zone, i%f.cells)
 	n := &standin.Node{
-		ID: p.seq*2654435761 | 1, Zone: f.zone, Cell: cell, Kind: p.Place.MachineKinds[f.kind],
-		Jobs: len(p.Place.JobClasses), Tenants: len(p.Place.Tenants),
+		ID: p.lastNode*2654435761 | 1, Zone: f.zone, Cell: cell, Kind: p.Deployment.MachineKinds[f.kind],
+		Jobs: len(p.Deployment.JobClasses), Tenants: len(p.Deployment.Tenants),
 	}
 	group := f.zone // one for all job types: the narrowest that any names
-	for _, w := range d.works {
+	for _, w := range d.jobs {
 		if w.effect == audit.Idempotent && w.group == 2 {
 			group = cell
 		}
@@ -166,23 +166,23 @@
 	if p.groups[group] == nil {
 		p.groups[group] = standin.NewGroup()
 	}
-	if err := p.w.StartNode(n, mk, p.groups[group], p.rng.Uint64(), cold, ""); err != nil {
+	if err := p.testbed.StartNode(n, mk, p.groups[group], p.rng.Uint64(), cold, ""); err != nil {
 		return err
 	}
 	p.nodes = append(p.nodes, n)
 	return nil
 }
 
-func (p *player) fault(err error) {
+func (p *player) addError(err error) {
 	p.mu.Lock()
-	p.faults = append(p.faults, err)
+	p.errs = append(p.errs, err)
 	p.mu.Unlock()
 }
 
-func (p *player) goes(f func()) {
-	p.work.Add(1)
+func (p *player) run(f func()) {
+	p.background.Add(1)
 	go func() {
-		defer p.work.Done()
+		defer p.background.Done()
 		f()
 	}()
 }
@@ -199,34 +199,34 @@
 
 // play lets wants come, in an open loop, and troubles strike at their times.
 func (p *player) play() {
-	begin := p.w.Now()
-	p.windows()
-	for _, tr := range p.Day.troubles {
+	begin := p.testbed.Now()
+	p.recordWindows()
+	for _, tr := range p.Day.faults {
 		rng := rand.New(rand.NewPCG(p.Seed, uint64(tr.line)))
-		p.goes(func() {
+		p.run(func() {
 			if p.sleep(tr.at) {
-				p.strike(tr, rng)
+				p.inject(tr, rng)
 			}
 		})
 	}
 	next := begin
 	for {
 		p.mu.Lock()
-		rate := p.Day.rate * p.rate * p.demand() / 1000
+		rate := p.Day.rate * p.rateFactor * p.totalDemand() / 1000
 		p.mu.Unlock()
 		next += p.rng.ExpFloat64() / rate
-		if next > begin+p.Day.lasts-p.Day.settles {
+		if next > begin+p.Day.duration-p.Day.settleTime {
 			break
 		}
-		if wait := next - p.w.Now(); wait > 0 && !p.sleep(wait) {
+		if wait := next - p.testbed.Now(); wait > 0 && !p.sleep(wait) {
 			return
 		}
-		p.want(begin)
+		p.requestTask(begin)
 	}
 }
 
-// settle waits until every ask is answered or overdue.
-func (p *player) settle() { p.sleep(p.Day.settles) }
+// awaitResponses waits until every ask is answered or overdue.
+func (p *player) awaitResponses() { p.sleep(p.Day.settleTime) }
 
 // Interrupted is a context that ends when the process is told to.
 func Interrupted() (context.Context, context.CancelFunc) {
--- a/internal/lab/herd/even.go
+++ b/internal/lab/herd/even.go
@@ -7,83 +7,83 @@
 	"slices"
 )
 
-// Moment is how nodes are loaded at a time: the part of its room that is asked for at each ready node, warm ones alone.
-type Moment struct {
+// Sample is how nodes are loaded at a time: the part of its room that is asked for at each ready node, warm ones alone.
+type Sample struct {
 	At   float64 // ms
 	Load map[uint32]float64
 }
 
-// offer is one that a node received.
-type offer struct {
+// placement is one that a node received.
+type placement struct {
 	at   float64
 	node uint32
 }
 
-// Watch gathers what is seen.
-type Watch struct {
-	moments []Moment
-	offers  []offer
-	refused int
-	tries   int
-	starts  []float64 // ms from ask to answer, of those served
-	asks    int
-	served  int
+// Recorder gathers what is seen.
+type Recorder struct {
+	samples        []Sample
+	placements     []placement
+	refused        int
+	attempts       int
+	startLatencies []float64 // ms from ask to answer, of those served
+	requests       int
+	served         int
 }
 
-// See takes a moment; they come in their order.
-func (w *Watch) See(m Moment) { w.moments = append(w.moments, m) }
+// AddSample takes a moment; they come in their order.
+func (w *Recorder) AddSample(m Sample) { w.samples = append(w.samples, m) }
 
-// Offer takes an offer that a node received, Refuse that one was turned away for lack of room.
-func (w *Watch) Offer(at float64, node uint32) {
-	w.tries++
-	w.offers = append(w.offers, offer{at, node})
+// AddPlacement takes an offer that a node received, Refuse that one was turned away for lack of room.
+func (w *Recorder) AddPlacement(at float64, node uint32) {
+	w.attempts++
+	w.placements = append(w.placements, placement{at, node})
 }
 
-// Refuse counts a try that was turned away.
-func (w *Watch) Refuse() { w.refused++ }
+// AddRejection counts a try that was turned away.
+func (w *Recorder) AddRejection() { w.refused++ }
 
-// Ask counts an ask, Answer its answer after so many ms.
-func (w *Watch) Ask() { w.asks++ }
+// AddRequest counts an ask, Answer its answer after so many ms.
+func (w *Recorder) AddRequest() { w.requests++ }
 
-// Answer takes an answer.
-func (w *Watch) Answer(served bool, took float64) {
+// AddResponse takes an answer.
+func (w *Recorder) AddResponse(served bool, took float64) {
 	if served {
 		w.served++
-		w.starts = append(w.starts, took)
+		w.startLatencies = append(w.startLatencies, took)
 	}
 }
 
 // Figures are what a watch comes to over a span of time.
 type Figures struct {
-	Fullest50, Fullest99, FullestMost float64 // the fullest node, times the mean, over time
-	Vary                              float64 // coefficient of variation, mean over time
-	Jain                              float64 // Jain's index, mean over time
-	Idle                              float64 // ms that a node was under half of the mean at a stretch, the longest
-	Together                          int     // offers to one node within a report's lag, the most
-	Refused                           float64 // part of all tries
-	Start99                           float64 // ms
-	Served                            float64 // part of all asks
-	Mean                              float64 // load
+	FullestP50, FullestP99, FullestMax float64 // the fullest node, times the mean, over time
+	Variation                          float64 // coefficient of variation, mean over time
+	Jain                               float64 // Jain's index, mean over time
+	LongestIdle                        float64 // ms that a node was under half of the mean at a stretch, the longest
+	MaxConcurrent                      int     // offers to one node within a report's lag, the most
+	Rejected                           float64 // part of all tries
+	StartP99                           float64 // ms
+	Served                             float64 // part of all asks
+	MeanLoad                           float64 // load
 }
 
-// lag is what a report or a list lags, ms: offers within it are made without knowledge of each other.
-const lag = 500
+// reportLag is what a report or a list lags, ms: offers within it are made without knowledge of each other.
+const reportLag = 500
 
-// Figures sums up what was seen from a time to another.
-func (w *Watch) Figures(from, to float64) (f Figures) {
+// Summarize sums up what was seen from a time to another.
+func (w *Recorder) Summarize(from, to float64) (f Figures) {
 	var fullest []float64
 	under := map[uint32]float64{} // since when a node is under half of the mean
 	n := 0.0
-	for _, m := range w.moments {
+	for _, m := range w.samples {
 		if m.At < from || m.At >= to || len(m.Load) == 0 {
 			continue
 		}
-		mean, vary, jain, most := spread(m.Load)
+		mean, vary, jain, most := distribution(m.Load)
 		if mean <= 0 {
 			continue
 		}
 		n++
-		f.Mean, f.Vary, f.Jain = f.Mean+mean, f.Vary+vary, f.Jain+jain
+		f.MeanLoad, f.Variation, f.Jain = f.MeanLoad+mean, f.Variation+vary, f.Jain+jain
 		fullest = append(fullest, most/mean)
 		for node, l := range m.Load { // each node by itself: the order has no effect
 			switch since, is := under[node]; {
@@ -92,7 +92,7 @@
 			case !is:
 				under[node] = m.At
 			default:
-				f.Idle = max(f.Idle, m.At-since)
+				f.LongestIdle = max(f.LongestIdle, m.At-since)
 			}
 		}
 		for node := range under { // one that is not ready any more
@@ -102,18 +102,18 @@
 		}
 	}
 	if n > 0 {
-		f.Mean, f.Vary, f.Jain = f.Mean/n, f.Vary/n, f.Jain/n
+		f.MeanLoad, f.Variation, f.Jain = f.MeanLoad/n, f.Variation/n, f.Jain/n
 	}
-	f.Fullest50, f.Fullest99, f.FullestMost = at(fullest, 0.5), at(fullest, 0.99), at(fullest, 1)
-	f.Together = w.together(from, to)
-	f.Refused = float64(w.refused) / float64(max(1, w.tries))
-	f.Start99 = at(slices.Clone(w.starts), 0.99)
-	f.Served = float64(w.served) / float64(max(1, w.asks))
+	f.FullestP50, f.FullestP99, f.FullestMax = quantile(fullest, 0.5), quantile(fullest, 0.99), quantile(fullest, 1)
+	f.MaxConcurrent = w.maxConcurrent(from, to)
+	f.Rejected = float64(w.refused) / float64(max(1, w.attempts))
+	f.StartP99 = quantile(slices.Clone(w.startLatencies), 0.99)
+	f.Served = float64(w.served) / float64(max(1, w.requests))
 	return f
 }
 
-// spread gives the mean of loads, their coefficient of variation, Jain's index and the largest.
-func spread(load map[uint32]float64) (mean, vary, jain, most float64) {
+// distribution gives the mean of loads, their coefficient of variation, Jain's index and the largest.
+func distribution(load map[uint32]float64) (mean, vary, jain, most float64) {
 	var all []float64
 	for _, l := range load {
 		all = append(all, l)
@@ -131,15 +131,15 @@
 	return mean, math.Sqrt(max(0, squares/n-mean*mean)) / mean, sum * sum / (n * squares), most
 }
 
-// together is the most offers that one node received within a report's lag.
-func (w *Watch) together(from, to float64) (most int) {
+// maxConcurrent is the most offers that one node received within a report's lag.
+func (w *Recorder) maxConcurrent(from, to float64) (most int) {
 	by := map[uint32][]float64{}
-	for _, o := range w.offers {
+	for _, o := range w.placements {
 		if o.at < from || o.at >= to {
 			continue
 		}
 		late := append(by[o.node], o.at)
-		for late[0] <= o.at-lag {
+		for late[0] <= o.at-reportLag {
 			late = late[1:]
 		}
 		by[o.node] = late
@@ -148,8 +148,8 @@
 	return most
 }
 
-// at gives a quantile, NaN of nothing.
-func at(all []float64, q float64) float64 {
+// quantile gives a quantile, NaN of nothing.
+func quantile(all []float64, q float64) float64 {
 	if len(all) == 0 {
 		return math.NaN()
 	}
@@ -157,15 +157,15 @@
 	return all[min(len(all)-1, int(q*float64(len(all))))]
 }
 
-// Even is how long after a time the fullest node was under so many times the mean again, and stayed there for a second at least; infinite
+// TimeToBalance is how long after a time the fullest node was under so many times the mean again, and stayed there for a second at least; infinite
 // if it never was.
-func (w *Watch) Even(from, bound float64) float64 {
+func (w *Recorder) TimeToBalance(from, bound float64) float64 {
 	since := math.Inf(1)
-	for _, m := range w.moments {
+	for _, m := range w.samples {
 		if m.At < from || len(m.Load) == 0 {
 			continue
 		}
-		mean, _, _, most := spread(m.Load)
+		mean, _, _, most := distribution(m.Load)
 		switch {
 		case most > bound*mean:
 			since = math.Inf(1)
--- a/internal/lab/herd/virtual.go
+++ b/internal/lab/herd/virtual.go
@@ -20,35 +20,37 @@
 // Names of what decides: the module, the baselines, and one that sees the true state.
 var Names = append(append([]string{"design"}, baseline.PolicyNames...), "true-state")
 
-// Scene is what is played.
-type Scene struct {
+// Scenario is what is played.
+type Scenario struct {
 	Schedulers, Nodes int
-	Filled            float64 // part of the room that work fills
-	Life              float64 // ms that work runs
-	Lasts             float64 // ms
+	Load              float64 // part of the room that work fills
+	TaskRuntime       float64 // ms that work runs
+	Duration          float64 // ms
 	Services          int     // of each job type
 	Members           bool
 	Faults            []sim.Fault
-	Working           *site.WorkingSet // of each scheduler; nil: all nodes
+	WorkingSet        *site.WorkingSet // of each scheduler; nil: all nodes
 }
 
 // Of the laboratory's nodes and work: room for so many allocations of mean size.
-const perNode = 32
+const tasksPerNode = 32
 
-// warm is how long after its start a node is taken for warm, ms.
-const warm = 3000
+// warmAfter is how long after its start a node is taken for warm, ms.
+const warmAfter = 3000
 
 // rate is asks a second that fill so much.
-func (s Scene) rate() float64 { return s.Filled * perNode * float64(s.Nodes) / (s.Life / 1000) }
+func (s Scenario) rate() float64 {
+	return s.Load * tasksPerNode * float64(s.Nodes) / (s.TaskRuntime / 1000)
+}
 
-// Virtual plays a scene on the laboratory's clock under a policy; what it sees is simulated.
-func Virtual(s Scene, policy string, seed uint64) (*Watch, error) {
-	w := &Watch{}
+// Simulate plays a scene on the laboratory's clock under a policy; what it sees is simulated.
+func Simulate(s Scenario, policy string, seed uint64) (*Recorder, error) {
+	w := &Recorder{}
 	var nodes []*standin.Node
 	g := sim.Simulation{
-		CountViolations: true, SettleTime: 500, TaskRuntime: s.Life, Services: s.Services, WorkingSet: s.Working,
+		CountViolations: true, SettleTime: 500, TaskRuntime: s.TaskRuntime, Services: s.Services, WorkingSet: s.WorkingSet,
 		Script: sim.Script{
-			Seed: seed, Nodes: s.Nodes, Schedulers: s.Schedulers, Shards: 1, ConnectionSharing: "shared", Rate: s.rate(), Duration: s.Lasts,
+			Seed: seed, Nodes: s.Nodes, Schedulers: s.Schedulers, Shards: 1, ConnectionSharing: "shared", Rate: s.rate(), Duration: s.Duration,
 			Members: s.Members, Faults: s.Faults,
 		},
 	}
@@ -71,43 +73,43 @@
 	}
 	g.OnSample = func(now float64, all []*standin.Node) {
 		nodes = all
-		w.See(seen(now, all))
+		w.AddSample(sampleNodes(now, all))
 	}
 	asked := map[[2]uint64]float64{}
-	g.OnRecord = func(r *audit.Record) { w.record(r, asked) }
+	g.OnRecord = func(r *audit.Record) { w.onRecord(r, asked) }
 	if v := g.Run(); v.Failure != "" {
 		return nil, fmt.Errorf("seed %d: %s", seed, v.Failure)
 	}
 	return w, nil
 }
 
-// seen is a moment of nodes: those that are there, take work and are warm.
-func seen(now float64, all []*standin.Node) Moment {
-	m := Moment{At: now, Load: map[uint32]float64{}}
+// sampleNodes is a moment of nodes: those that are there, take work and are warm.
+func sampleNodes(now float64, all []*standin.Node) Sample {
+	m := Sample{At: now, Load: map[uint32]float64{}}
 	for _, n := range all {
-		if !n.Lost && !n.Draining && !n.Machine.IsDown() && n.Machine.Uptime(now) >= warm {
+		if !n.Lost && !n.Draining && !n.Machine.IsDown() && n.Machine.Uptime(now) >= warmAfter {
 			m.Load[n.ID] = n.Machine.ReservedFraction()
 		}
 	}
 	return m
 }
 
-// record takes what passes.
-func (w *Watch) record(r *audit.Record, asked map[[2]uint64]float64) {
+// onRecord takes what passes.
+func (w *Recorder) onRecord(r *audit.Record, asked map[[2]uint64]float64) {
 	key := [2]uint64{uint64(r.Client), r.RequestRef}
 	switch r.Kind {
 	case audit.PlacementReceived:
-		w.Offer(r.At, r.Node)
+		w.AddPlacement(r.At, r.Node)
 	case audit.AttemptConcluded:
 		if r.Detail == "refused" {
-			w.Refuse()
+			w.AddRejection()
 		}
 	case audit.RequestSent:
 		asked[key] = r.At
-		w.Ask()
+		w.AddRequest()
 	case audit.ResponseReceived:
 		if at, ok := asked[key]; ok {
-			w.Answer(r.Detail == "served", r.At-at)
+			w.AddResponse(r.Detail == "served", r.At-at)
 			delete(asked, key)
 		}
 	}
@@ -115,16 +117,16 @@
 
 // Row is what came of a policy over some seeds.
 type Row struct {
-	Policy string
-	All    []Figures // by seed
-	Even   []float64 // ms until even again after the last change, by seed; NaN where nothing changed
+	Policy         string
+	Runs           []Figures // by seed
+	TimesToBalance []float64 // ms until even again after the last change, by seed; NaN where nothing changed
 }
 
-// again is when all counts as even again: the fullest node at so many times the mean.
-const again = 1.25
+// balancedBound is when all counts as even again: the fullest node at so many times the mean.
+const balancedBound = 1.25
 
-// Table plays a scene under policies, for some seeds each, so many at a time.
-func Table(ctx context.Context, out io.Writer, s Scene, policies []string, seeds, workers int) (rows []Row, err error) {
+// CompareTable plays a scene under policies, for some seeds each, so many at a time.
+func CompareTable(ctx context.Context, out io.Writer, s Scenario, policies []string, seeds, workers int) (rows []Row, err error) {
 	changed := math.NaN()
 	for _, f := range s.Faults {
 		if end := f.At + f.Duration; math.IsNaN(changed) || end > changed {
@@ -137,13 +139,13 @@
 		err  error
 	}
 	all := runs.Each(ctx, 0, uint64(len(policies)*seeds), workers, func(i uint64) (p played) {
-		w, err := Virtual(s, policies[int(i)/seeds], i%uint64(seeds)+1)
+		w, err := Simulate(s, policies[int(i)/seeds], i%uint64(seeds)+1)
 		if err != nil {
 			return played{err: err}
 		}
-		p = played{f: w.Figures(s.Life*1.5, s.Lasts), even: math.NaN()}
+		p = played{f: w.Summarize(s.TaskRuntime*1.5, s.Duration), even: math.NaN()}
 		if !math.IsNaN(changed) {
-			p.even = w.Even(changed, again)
+			p.even = w.TimeToBalance(changed, balancedBound)
 		}
 		return p
 	})
@@ -158,7 +160,7 @@
 			rows = append(rows, Row{Policy: policies[i/seeds]})
 		}
 		r := &rows[len(rows)-1]
-		r.All, r.Even = append(r.All, p.f), append(r.Even, p.even)
+		r.Runs, r.TimesToBalance = append(r.Runs, p.f), append(r.TimesToBalance, p.even)
 	}
 	return rows, Print(out, rows)
 }
@@ -170,24 +172,24 @@
 	for _, r := range rows {
 		of := func(f func(*Figures) float64) (mean, least, most float64) {
 			least, most = math.Inf(1), math.Inf(-1)
-			for i := range r.All {
-				x := f(&r.All[i])
-				mean, least, most = mean+x/float64(len(r.All)), min(least, x), max(most, x)
+			for i := range r.Runs {
+				x := f(&r.Runs[i])
+				mean, least, most = mean+x/float64(len(r.Runs)), min(least, x), max(most, x)
 			}
 			return
 		}
 		mean := func(f func(*Figures) float64) float64 { m, _, _ := of(f); return m }
-		p99, least, most := of(func(f *Figures) float64 { return f.Fullest99 })
-		_, _, idle := of(func(f *Figures) float64 { return f.Idle })
-		_, _, together := of(func(f *Figures) float64 { return float64(f.Together) })
+		p99, least, most := of(func(f *Figures) float64 { return f.FullestP99 })
+		_, _, idle := of(func(f *Figures) float64 { return f.LongestIdle })
+		_, _, together := of(func(f *Figures) float64 { return float64(f.MaxConcurrent) })
 		even := "-"
-		if len(r.Even) > 0 && !math.IsNaN(r.Even[0]) {
-			even = fmt.Sprintf("%.0f to %.0f", slices.Min(r.Even), slices.Max(r.Even))
+		if len(r.TimesToBalance) > 0 && !math.IsNaN(r.TimesToBalance[0]) {
+			even = fmt.Sprintf("%.0f to %.0f", slices.Min(r.TimesToBalance), slices.Max(r.TimesToBalance))
 		}
-		fmt.Fprintf(tw, "%s\t%.2f\t%.2f\t%.2f\t%.2f to %.2f\t%.3f\t%.3f\t%.0f\t%.0f\t%.2f%%\t%.0f\t%.1f%%\t%s\t\n", r.Policy, mean(func(f *Figures) float64 { return f.Mean }),
-			mean(func(f *Figures) float64 { return f.Fullest50 }), p99, least, most, mean(func(f *Figures) float64 { return f.Vary }),
-			mean(func(f *Figures) float64 { return f.Jain }), idle, together, 100*mean(func(f *Figures) float64 { return f.Refused }),
-			mean(func(f *Figures) float64 { return f.Start99 }), 100*mean(func(f *Figures) float64 { return f.Served }), even)
+		fmt.Fprintf(tw, "%s\t%.2f\t%.2f\t%.2f\t%.2f to %.2f\t%.3f\t%.3f\t%.0f\t%.0f\t%.2f%%\t%.0f\t%.1f%%\t%s\t\n", r.Policy, mean(func(f *Figures) float64 { return f.MeanLoad }),
+			mean(func(f *Figures) float64 { return f.FullestP50 }), p99, least, most, mean(func(f *Figures) float64 { return f.Variation }),
+			mean(func(f *Figures) float64 { return f.Jain }), idle, together, 100*mean(func(f *Figures) float64 { return f.Rejected }),
+			mean(func(f *Figures) float64 { return f.StartP99 }), 100*mean(func(f *Figures) float64 { return f.Served }), even)
 	}
 	return tw.Flush()
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -42,37 +42,37 @@
 
 // Burst is a time of more asks, again and again.
 type Burst struct {
-	Every, Last time.Duration // 0: none
-	Times       float64       // as many asks as else
+	Interval, Duration time.Duration // 0: none
+	Factor             float64       // as many asks as else
 }
 
 // Trial is one load.
 type Trial struct {
-	Seed     uint64 // of the arrivals
-	Burst    Burst
-	Command  []string // that runs the scheduler
-	Site     string
-	Nodes    int
-	Set      int     // nodes of the scheduler's working set at least, if the site has one
-	Owners   int     // connections that ask
-	Rate     float64 // asks a second, all together
-	Warm     time.Duration
-	Last     time.Duration
-	Services int
-	Life     float64 // mean ms that one runs
-	Mute     bool    // nodes never answer, so that allocations stay open
-	Out      string
-	Profile  string
+	Seed        uint64 // of the arrivals
+	Burst       Burst
+	Command     []string // that runs the scheduler
+	Site        string
+	Nodes       int
+	WorkingSet  int     // nodes of the scheduler's working set at least, if the site has one
+	Clients     int     // connections that ask
+	Rate        float64 // asks a second, all together
+	Warm        time.Duration
+	Duration    time.Duration
+	Services    int
+	TaskRuntime float64 // mean ms that one runs
+	DropAnswers bool    // nodes never answer, so that allocations stay open
+	OutDir      string
+	Profile     string
 }
 
 // Figures are what came of a trial. Times are ms.
 type Figures struct {
-	Asked, Served, Other int
-	CPU                  time.Duration // of the scheduler process while it was loaded
-	PerAlloc             time.Duration
-	Peak, Resident       int64 // memory in KiB, the most ever and at the end
-	Offer                *hdrhistogram.Histogram
-	Start                *hdrhistogram.Histogram
+	Requests, Served, Other      int
+	CPU                          time.Duration // of the scheduler process while it was loaded
+	CPUPerRequest                time.Duration
+	PeakResidentKiB, ResidentKiB int64 // memory in KiB, the most ever and at the end
+	OfferLatency                 *hdrhistogram.Histogram
+	StartLatency                 *hdrhistogram.Histogram
 }
 
 // Run plays a trial.
@@ -86,7 +86,7 @@
 	real := outside.NewReal()
 	defer real.Close(time.Second)
 	w := standin.NewTestbed(real)
-	nodes, err := fleet(w, place, tr)
+	nodes, err := startNodes(w, place, tr)
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cmd, addr, err := scheduler(ctx, tr, list.Address())
+	cmd, addr, err := startScheduler(ctx, tr, list.Address())
 	if err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 				linked += n.Connections()
 			}
 		})
-		if linked >= len(nodes) || tr.Set > 0 && linked >= min(tr.Set, len(nodes))/2 {
+		if linked >= len(nodes) || tr.WorkingSet > 0 && linked >= min(tr.WorkingSet, len(nodes))/2 {
 			break
 		}
 		if i > 500 {
@@ -114,11 +114,11 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if tr.Set > 0 { // the nodes outside are visited, and left
-		time.Sleep(time.Second + visitsOf(len(nodes)))
+	if tr.WorkingSet > 0 { // the nodes outside are visited, and left
+		time.Sleep(time.Second + visitTime(len(nodes)))
 	}
 	var asking []*standin.Client
-	for i := range tr.Owners {
+	for i := range tr.Clients {
 		o := &standin.Client{ID: i, Scheduler: "s0", SchedulerAddress: func() string { return addr }, SettleTime: 3000}
 		asking = append(asking, o)
 		w.StartClient(o, uint64(i))
@@ -130,8 +130,8 @@
 		begin, since := w.Now(), time.Now()
 		for at := 0.0; ; n++ { // arrivals do not wait for anything
 			rate := tr.Rate
-			if b := tr.Burst; b.Every > 0 && math.Mod(at, b.Every.Seconds()) < b.Last.Seconds() {
-				rate *= b.Times
+			if b := tr.Burst; b.Interval > 0 && math.Mod(at, b.Interval.Seconds()) < b.Duration.Seconds() {
+				rate *= b.Factor
 			}
 			if at += rng.ExpFloat64() / rate; at > last.Seconds() {
 				return
@@ -140,7 +140,7 @@
 			key, service := fmt.Sprint("k", n), fmt.Sprint("s", n%tr.Services)
 			token := serve.Token("t", key)
 			meant[token] = begin + at*1000
-			asking[n%tr.Owners].Request(&standin.Demand{
+			asking[n%tr.Clients].Request(&standin.Demand{
 				Key: key, Tenant: "t", JobType: "work", Service: service,
 				Token: token, ServiceKey: serve.Service("t", service), Cores: 0.5, Memory: 1,
 				Timeout: 5000, LatencyObjective: 1000, GiveUpAt: w.Now() + 50,
@@ -148,34 +148,34 @@
 		}
 	}
 	ask(tr.Warm)
-	from, used := w.Now(), cpu(cmd.Process.Pid)
+	from, used := w.Now(), cpuTime(cmd.Process.Pid)
 	before := n
-	ask(tr.Last)
+	ask(tr.Duration)
 	to, asked := w.Now(), n-before
-	spent := cpu(cmd.Process.Pid) - used
+	spent := cpuTime(cmd.Process.Pid) - used
 	f := &Figures{
-		Asked: asked, CPU: spent, PerAlloc: spent / time.Duration(max(1, asked)), Peak: peak(cmd.Process.Pid), Resident: resident(cmd.Process.Pid),
-		Offer: hdrhistogram.New(1, 1e7, 3), Start: hdrhistogram.New(1, 1e7, 3),
+		Requests: asked, CPU: spent, CPUPerRequest: spent / time.Duration(max(1, asked)), PeakResidentKiB: peakResident(cmd.Process.Pid), ResidentKiB: resident(cmd.Process.Pid),
+		OfferLatency: hdrhistogram.New(1, 1e7, 3), StartLatency: hdrhistogram.New(1, 1e7, 3),
 	}
 	time.Sleep(700 * time.Millisecond)
-	f.read(w.Trace.Records(), meant, from, to)
+	f.addRecords(w.Trace.Records(), meant, from, to)
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	limit := time.AfterFunc(10*time.Second, func() { _ = cmd.Process.Kill() })
 	defer limit.Stop()
 	if err := cmd.Wait(); err != nil {
-		return nil, fmt.Errorf("scheduler ended with %w, see its log in %s", err, tr.Out)
+		return nil, fmt.Errorf("scheduler ended with %w, see its log in %s", err, tr.OutDir)
 	}
 	return f, nil
 }
 
-// visitsOf is ample time for visits to so many nodes on loopback.
-func visitsOf(nodes int) time.Duration { return time.Duration(nodes) * time.Millisecond }
+// visitTime is ample time for visits to so many nodes on loopback.
+func visitTime(nodes int) time.Duration { return time.Duration(nodes) * time.Millisecond }
 
-func fleet(w *standin.Testbed, place *site.Config, tr Trial) ([]*standin.Node, error) {
+func startNodes(w *standin.Testbed, place *site.Config, tr Trial) ([]*standin.Node, error) {
 	mk := standin.MachineConfig{
 		Cores: 64, Memory: 128, CoresLimit: 4, MemoryLimit: 4, InspectTime: 0.02, QueueLimit: 4000, ConcurrentStarts: 64,
 		ProgramMissFactor: 1, ProgramCacheSize: 4, WarmupPace: 1, WarmupDuration: 1, OverloadFactor: 1e12, OverloadWindow: 1, SlowStartLimit: 1 << 30,
-		JobProfiles: []standin.JobProfile{{StartWork: 0.5, MeanRuntime: tr.Life, MeanUse: 0.5}},
+		JobProfiles: []standin.JobProfile{{StartWork: 0.5, MeanRuntime: tr.TaskRuntime, MeanUse: 0.5}},
 	}
 	group := standin.NewGroup()
 	var nodes []*standin.Node
@@ -185,7 +185,7 @@
 		if err := w.StartNode(n, mk, group, uint64(i), false, ""); err != nil {
 			return nil, err
 		}
-		if tr.Mute {
+		if tr.DropAnswers {
 			n.Machine.AnswerLoss = 1
 		}
 		nodes = append(nodes, n)
@@ -193,20 +193,20 @@
 	return nodes, nil
 }
 
-// scheduler starts the scheduler process and waits until owners may connect.
-func scheduler(ctx context.Context, tr Trial, list string) (*exec.Cmd, string, error) {
-	path := filepath.Join(tr.Out, "site.xml")
+// startScheduler starts the scheduler process and waits until owners may connect.
+func startScheduler(ctx context.Context, tr Trial, list string) (*exec.Cmd, string, error) {
+	path := filepath.Join(tr.OutDir, "site.xml")
 	text := strings.Replace(tr.Site, `<node-list address="127.0.0.1:0"/>`, fmt.Sprintf("<node-list address=%q/>", list), 1)
 	if err := os.WriteFile(path, []byte(text), 0o640); err != nil {
 		return nil, "", err
 	}
-	log, err := os.Create(filepath.Join(tr.Out, "s0.log"))
+	log, err := os.Create(filepath.Join(tr.OutDir, "s0.log"))
 	if err != nil {
 		return nil, "", err
 	}
 	defer log.Close()
-	file := filepath.Join(tr.Out, "s0.address")
-	state, err := os.MkdirTemp(tr.Out, "state-")
+	file := filepath.Join(tr.OutDir, "s0.address")
+	state, err := os.MkdirTemp(tr.OutDir, "state-")
 	if err != nil {
 		return nil, "", err
 	}
@@ -217,9 +217,9 @@
 	return spawn.Scheduler(ctx, command, log, file)
 }
 
-// read takes the times of asks made between two times from the trace. They count from when an ask was meant to be made:
+// addRecords takes the times of asks made between two times from the trace. They count from when an ask was meant to be made:
 // a load tool that is held up itself must not hide how long its asks waited.
-func (f *Figures) read(records []audit.Record, meant map[uint64]float64, from, to float64) {
+func (f *Figures) addRecords(records []audit.Record, meant map[uint64]float64, from, to float64) {
 	asked := map[uint64]float64{}
 	ref := map[[2]uint64]float64{}
 	for _, r := range records {
@@ -231,7 +231,7 @@
 			}
 		case audit.PlacementReceived:
 			if at, ok := asked[r.Token]; ok && r.Attempt == 0 {
-				_ = f.Offer.RecordValue(int64((r.At - at) * 1000)) // beyond 10 s is not told apart
+				_ = f.OfferLatency.RecordValue(int64((r.At - at) * 1000)) // beyond 10 s is not told apart
 			}
 		case audit.ResponseReceived:
 			at, ok := ref[[2]uint64{uint64(r.Client), r.RequestRef}]
@@ -240,7 +240,7 @@
 			}
 			if r.Detail == "served" {
 				f.Served++
-				_ = f.Start.RecordValue(int64((r.At - at) * 1000))
+				_ = f.StartLatency.RecordValue(int64((r.At - at) * 1000))
 			} else {
 				f.Other++
 			}
@@ -248,15 +248,15 @@
 	}
 }
 
-// Head and Row write a table of figures.
-func Head(out io.Writer) {
+// PrintHeader and Row write a table of figures.
+func PrintHeader(out io.Writer) {
 	fmt.Fprintf(out, "%10s %8s %8s %8s %10s %9s %9s %9s %9s %8s %8s\n", "asked a s", "asked", "served", "other",
 		"cpu us", "offer p50", "p99", "p99.9", "start p99", "MiB peak", "MiB now")
 }
 
-// Row writes one line: times in ms, CPU in microseconds an allocation.
-func Row(out io.Writer, rate float64, f *Figures) {
+// PrintRow writes one line: times in ms, CPU in microseconds an allocation.
+func PrintRow(out io.Writer, rate float64, f *Figures) {
 	q := func(h *hdrhistogram.Histogram, p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
-	fmt.Fprintf(out, "%10.0f %8d %8d %8d %10.1f %9.2f %9.2f %9.2f %9.2f %8.1f %8.1f\n", rate, f.Asked, f.Served, f.Other,
-		float64(f.PerAlloc)/1e3, q(f.Offer, 50), q(f.Offer, 99), q(f.Offer, 99.9), q(f.Start, 99), float64(f.Peak)/1024, float64(f.Resident)/1024)
+	fmt.Fprintf(out, "%10.0f %8d %8d %8d %10.1f %9.2f %9.2f %9.2f %9.2f %8.1f %8.1f\n", rate, f.Requests, f.Served, f.Other,
+		float64(f.CPUPerRequest)/1e3, q(f.OfferLatency, 50), q(f.OfferLatency, 99), q(f.OfferLatency, 99.9), q(f.StartLatency, 99), float64(f.PeakResidentKiB)/1024, float64(f.ResidentKiB)/1024)
 }
--- a/internal/lab/load/proc.go
+++ b/internal/lab/load/proc.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// tick is the kernel's unit of CPU time in /proc, the same on all its common builds.
-const tick = 10 * time.Millisecond
+// clockTick is the kernel's unit of CPU time in /proc, the same on all its common builds.
+const clockTick = 10 * time.Millisecond
 
-// cpu is the CPU time that a process has used, 0 if it can't be told.
-func cpu(pid int) time.Duration {
+// cpuTime is the CPU time that a process has used, 0 if it can't be told.
+func cpuTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -24,15 +24,15 @@
 	}
 	user, _ := strconv.ParseInt(string(fields[11]), 10, 64)
 	system, _ := strconv.ParseInt(string(fields[12]), 10, 64)
-	return time.Duration(user+system) * tick
+	return time.Duration(user+system) * clockTick
 }
 
-// peak is the most resident memory that a process ever had, resident what it has now, in KiB.
-func peak(pid int) int64     { return status(pid, "VmHWM:") }
-func resident(pid int) int64 { return status(pid, "VmRSS:") }
+// peakResident is the most resident memory that a process ever had, resident what it has now, in KiB.
+func peakResident(pid int) int64 { return statusKiB(pid, "VmHWM:") }
+func resident(pid int) int64     { return statusKiB(pid, "VmRSS:") }
 
-// status is a figure of the kernel's about a process, in KiB, 0 if it can't be told.
-func status(pid int, name string) int64 {
+// statusKiB is a figure of the kernel's about a process, in KiB, 0 if it can't be told.
+func statusKiB(pid int, name string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
--- a/internal/lab/load/ramp.go
+++ b/internal/lab/load/ramp.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Service is what a load must leave to be carried.
-type Service struct {
-	P99    time.Duration // of starts, from when they were meant to be asked for
-	Served float64       // part of the asks
+// Objective is what a load must leave to be carried.
+type Objective struct {
+	StartP99       time.Duration // of starts, from when they were meant to be asked for
+	ServedFraction float64       // part of the asks
 }
 
-// Keeps tells whether figures are of a load that is carried.
-func (s Service) Keeps(f *Figures) bool {
+// IsMet tells whether figures are of a load that is carried.
+func (s Objective) IsMet(f *Figures) bool {
 	all := f.Served + f.Other
-	return all > 0 && float64(f.Served) >= s.Served*float64(all) && float64(f.Served) >= s.Served*float64(f.Asked) &&
-		time.Duration(f.Start.ValueAtQuantile(99))*time.Microsecond <= s.P99
+	return all > 0 && float64(f.Served) >= s.ServedFraction*float64(all) && float64(f.Served) >= s.ServedFraction*float64(f.Requests) &&
+		time.Duration(f.StartLatency.ValueAtQuantile(99))*time.Microsecond <= s.StartP99
 }
 
-// Ramp looks for the highest load, asks a second, that keeps a service: doubled from a first one as long as it does, then
+// FindCapacity looks for the highest load, asks a second, that keeps a service: doubled from a first one as long as it does, then
 // halved in until the next step is less than a part of it. One trial that fails is tried once more, as machines have
 // hiccups. try runs a trial.
-func Ramp(ctx context.Context, first, part float64, s Service, try func(rate float64) (*Figures, error), out io.Writer) (float64, error) {
+func FindCapacity(ctx context.Context, first, part float64, s Objective, try func(rate float64) (*Figures, error), out io.Writer) (float64, error) {
 	keeps := func(rate float64) (bool, error) {
 		for range 2 {
 			f, err := try(rate)
 			if err != nil {
 				return false, err
 			}
-			Row(out, rate, f)
-			if s.Keeps(f) || ctx.Err() != nil {
+			PrintRow(out, rate, f)
+			if s.IsMet(f) || ctx.Err() != nil {
 				return ctx.Err() == nil, nil
 			}
 		}
--- a/internal/lab/load/ramp_test.go
+++ b/internal/lab/load/ramp_test.go
@@ -15,29 +15,29 @@
 
 // TestRamp finds what a made-up scheduler carries, that has a hiccup now and then.
 func TestRamp(t *testing.T) {
-	service := Service{P99: 50 * time.Millisecond, Served: 0.99}
+	service := Objective{StartP99: 50 * time.Millisecond, ServedFraction: 0.99}
 	for _, carries := range []float64{130, 999, 5000, 7777} {
 		trials := 0
-		got, err := Ramp(context.Background(), 100, 0.05, service, func(rate float64) (*Figures, error) {
+		got, err := FindCapacity(context.Background(), 100, 0.05, service, func(rate float64) (*Figures, error) {
 			trials++
-			f := &Figures{Asked: 1000, Served: 1000, Start: hdrhistogram.New(1, 1e7, 3), Offer: hdrhistogram.New(1, 1e7, 3)}
+			f := &Figures{Requests: 1000, Served: 1000, StartLatency: hdrhistogram.New(1, 1e7, 3), OfferLatency: hdrhistogram.New(1, 1e7, 3)}
 			late := int64(20000)
 			if rate > carries || trials%5 == 0 {
 				late = 80000
 			}
-			return f, f.Start.RecordValue(late)
+			return f, f.StartLatency.RecordValue(late)
 		}, io.Discard)
 		if err != nil || got > carries || got < carries*0.9 || trials > 40 {
 			t.Errorf("carries %g: found %g after %d trials, %v", carries, got, trials, err)
 		}
 	}
-	if _, err := Ramp(context.Background(), 100, 0.05, service, func(float64) (*Figures, error) {
-		return &Figures{Asked: 10, Served: 5, Other: 5, Start: hdrhistogram.New(1, 10, 1), Offer: hdrhistogram.New(1, 10, 1)}, nil
+	if _, err := FindCapacity(context.Background(), 100, 0.05, service, func(float64) (*Figures, error) {
+		return &Figures{Requests: 10, Served: 5, Other: 5, StartLatency: hdrhistogram.New(1, 10, 1), OfferLatency: hdrhistogram.New(1, 10, 1)}, nil
 	}, io.Discard); err == nil {
 		t.Error("a load that was never carried was found")
 	}
 	broken := errors.New("broken")
-	if _, err := Ramp(context.Background(), 100, 0.05, service, func(float64) (*Figures, error) { return nil, broken }, io.Discard); !errors.Is(err, broken) {
+	if _, err := FindCapacity(context.Background(), 100, 0.05, service, func(float64) (*Figures, error) { return nil, broken }, io.Discard); !errors.Is(err, broken) {
 		t.Error(err)
 	}
 }
@@ -45,14 +45,14 @@
 // TestMeant guards against a tool that is held up and counts from when it came to ask: the time that an ask waited in the
 // tool is time that somebody waited.
 func TestMeant(t *testing.T) {
-	f := &Figures{Offer: hdrhistogram.New(1, 1e7, 3), Start: hdrhistogram.New(1, 1e7, 3)}
-	f.read([]audit.Record{
+	f := &Figures{OfferLatency: hdrhistogram.New(1, 1e7, 3), StartLatency: hdrhistogram.New(1, 1e7, 3)}
+	f.addRecords([]audit.Record{
 		{At: 1500, Kind: audit.RequestSent, Token: 7, Client: 1, RequestRef: 1},
 		{At: 1510, Kind: audit.PlacementReceived, Token: 7},
 		{At: 1520, Kind: audit.ResponseReceived, Client: 1, RequestRef: 1, Detail: "served"},
 		{At: 1600, Kind: audit.ResponseReceived, Client: 1, RequestRef: 2, Detail: "served"}, // asked before the measurement
 	}, map[uint64]float64{7: 1100}, 1000, 2000)
-	if got := float64(f.Start.Max()) / 1000; f.Served != 1 || math.Abs(got-420) > 1 {
+	if got := float64(f.StartLatency.Max()) / 1000; f.Served != 1 || math.Abs(got-420) > 1 {
 		t.Errorf("%d served, %g ms", f.Served, got)
 	}
 }
--- a/internal/lab/procs/observe.go
+++ b/internal/lab/procs/observe.go
@@ -20,31 +20,31 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if x.Kind == audit.EndpointDelivered || x.Kind == audit.ListDelivered {
-		switch back := r.ways[wayOf{x.Scheduler, "list"}][1]; {
+		switch back := r.routes[routeKey{x.Scheduler, "list"}][1]; {
 		case back.Cut:
-			r.held = append(r.held, *x)
+			r.delayed = append(r.delayed, *x)
 			return
 		default:
-			x.At += float64(back.Slow) / 1e6
+			x.At += float64(back.Delay) / 1e6
 		}
 	}
 	r.trace = append(r.trace, *x)
 }
 
-// Lose cuts a zone's nodes off from all schedulers, or lets them be heard again.
-func (r *Rig) Lose(zone string, is bool) {
+// IsolateZone cuts a zone's nodes off from all schedulers, or lets them be heard again.
+func (r *Rig) IsolateZone(zone string, is bool) {
 	for _, n := range r.nodes {
 		if n.Zone == zone {
-			for i := range r.all {
-				r.Way(i, fmt.Sprint(n.ID), Way{Cut: is}, Way{Cut: is})
+			for i := range r.processes {
+				r.SetRoute(i, fmt.Sprint(n.ID), Route{Cut: is}, Route{Cut: is})
 			}
 		}
 	}
 }
 
-// Sends tells when each scheduler last changed which part of a zone it sends to, by its log, and to which; unix ms.
-func (r *Rig) Sends(zone string) (at, part []float64, err error) {
-	for _, x := range r.all {
+// ZoneShares tells when each scheduler last changed which part of a zone it sends to, by its log, and to which; unix ms.
+func (r *Rig) ZoneShares(zone string) (at, part []float64, err error) {
+	for _, x := range r.processes {
 		b, err := os.ReadFile(filepath.Join(r.Dir, x.name+".log"))
 		if err != nil {
 			return nil, nil, err
@@ -65,14 +65,14 @@
 	return at, part, nil
 }
 
-// OneBook tells whether all that run hold the same book, are sure of it, and act in it under epochs of their own; else who
+// StateConverged tells whether all that run hold the same book, are sure of it, and act in it under epochs of their own; else who
 // does not.
-func (r *Rig) OneBook() (bool, string) {
+func (r *Rig) StateConverged() (bool, string) {
 	epochs := map[uint64]string{}
 	first := ""
-	for _, i := range r.Living() {
-		v, err := r.View(i)
-		switch name := r.all[i].name; {
+	for _, i := range r.Running() {
+		v, err := r.SchedulerView(i)
+		switch name := r.processes[i].name; {
 		case err != nil:
 			return false, err.Error()
 		case v.ClusterState == nil || v.ClusterState.Version == 0 || v.ClusterState.Epoch == 0:
@@ -86,25 +86,25 @@
 		case v.ClusterState.Digest != first:
 			return false, fmt.Sprintf("%s holds version %d, %s, others %s", name, v.ClusterState.Version, v.ClusterState.Digest, first)
 		}
-		epochs[v.ClusterState.Epoch] = r.all[i].name
+		epochs[v.ClusterState.Epoch] = r.processes[i].name
 	}
 	return true, ""
 }
 
-// View reads what a scheduler holds of the others.
-func (r *Rig) View(i int) (v serve.MembershipView, err error) {
-	b, err := os.ReadFile(filepath.Join(r.all[i].folder, serve.MembersFile))
+// SchedulerView reads what a scheduler holds of the others.
+func (r *Rig) SchedulerView(i int) (v serve.MembershipView, err error) {
+	b, err := os.ReadFile(filepath.Join(r.processes[i].folder, serve.MembersFile))
 	if err != nil {
 		return v, err
 	}
 	return v, json.Unmarshal(b, &v)
 }
 
-// Living are the schedulers that run.
-func (r *Rig) Living() (all []int) {
-	for i, x := range r.all {
+// Running are the schedulers that run.
+func (r *Rig) Running() (all []int) {
+	for i, x := range r.processes {
 		x.mu.Lock()
-		if x.cmd != nil && !x.stopped {
+		if x.command != nil && !x.stopped {
 			all = append(all, i)
 		}
 		x.mu.Unlock()
@@ -112,11 +112,11 @@
 	return all
 }
 
-// Agreed tells whether each scheduler that runs holds all others that run for alive and no other, else who does not.
-func (r *Rig) Agreed() (bool, string) {
-	living := r.Living()
+// MembersConverged tells whether each scheduler that runs holds all others that run for alive and no other, else who does not.
+func (r *Rig) MembersConverged() (bool, string) {
+	living := r.Running()
 	for _, i := range living {
-		v, err := r.View(i)
+		v, err := r.SchedulerView(i)
 		if err != nil {
 			return false, err.Error()
 		}
@@ -128,25 +128,25 @@
 		}
 		for _, j := range living {
 			if j != i {
-				want = append(want, r.all[j].name)
+				want = append(want, r.processes[j].name)
 			}
 		}
 		if !slices.Equal(got, want) {
-			return false, fmt.Sprintf("%s holds %v for alive, want %v", r.all[i].name, got, want)
+			return false, fmt.Sprintf("%s holds %v for alive, want %v", r.processes[i].name, got, want)
 		}
 	}
 	return true, ""
 }
 
-// Death is word in a log that one holds another for dead.
-type Death struct {
-	By, Who string
-	At      time.Time
+// DeathReport is word in a log that one holds another for dead.
+type DeathReport struct {
+	By, Member string
+	At         time.Time
 }
 
 // Deaths are all that stand in the logs, by time.
-func (r *Rig) Deaths() (all []Death, err error) {
-	for _, x := range r.all {
+func (r *Rig) Deaths() (all []DeathReport, err error) {
+	for _, x := range r.processes {
 		b, err := os.ReadFile(filepath.Join(r.Dir, x.name+".log"))
 		if err != nil {
 			return nil, err
@@ -159,17 +159,17 @@
 				Ms                    float64 `json:"unix_ms"`
 			}
 			if json.Unmarshal(lines.Bytes(), &l) == nil && l.Mode == "members" && l.Is == "dead" && l.Was != "unknown" { // who comes hears of the dead, and held nobody for that
-				all = append(all, Death{x.name, l.Member, time.UnixMicro(int64(l.Ms * 1000))})
+				all = append(all, DeathReport{x.name, l.Member, time.UnixMicro(int64(l.Ms * 1000))})
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b Death) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.By, b.By)) })
+	slices.SortFunc(all, func(a, b DeathReport) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.By, b.By)) })
 	return all, nil
 }
 
-// Known is how long it took until those who ran on knew of each kill, sorted, and how many never did before the killed one
+// DetectionTimes is how long it took until those who ran on knew of each kill, sorted, and how many never did before the killed one
 // was back for so long. Deaths of schedulers that were not killed within a while before count as wrong.
-func (r *Rig) Known(within time.Duration) (took []time.Duration, never, wrong int, err error) {
+func (r *Rig) DetectionTimes(within time.Duration) (took []time.Duration, never, wrong int, err error) {
 	deaths, err := r.Deaths()
 	if err != nil {
 		return nil, 0, 0, err
@@ -179,16 +179,16 @@
 	r.mu.Unlock()
 	down := map[int]bool{}
 	for _, k := range kills {
-		down[k.who] = true
+		down[k.scheduler] = true
 	}
 	for _, k := range kills {
 		first := map[string]time.Duration{}
 		for _, d := range deaths {
-			if _, ok := first[d.By]; !ok && d.Who == r.all[k.who].name && !d.At.Before(k.at) && d.At.Before(k.at.Add(within)) {
+			if _, ok := first[d.By]; !ok && d.Member == r.processes[k.scheduler].name && !d.At.Before(k.at) && d.At.Before(k.at.Add(within)) {
 				first[d.By] = d.At.Sub(k.at)
 			}
 		}
-		for i, x := range r.all {
+		for i, x := range r.processes {
 			if t, ok := first[x.name]; ok {
 				took = append(took, t)
 			} else if !down[i] {
@@ -197,8 +197,8 @@
 		}
 	}
 	for _, d := range deaths {
-		if !slices.ContainsFunc(kills, func(k kill) bool {
-			return r.all[k.who].name == d.Who && !d.At.Before(k.at) && d.At.Before(k.at.Add(within))
+		if !slices.ContainsFunc(kills, func(k killRecord) bool {
+			return r.processes[k.scheduler].name == d.Member && !d.At.Before(k.at) && d.At.Before(k.at.Add(within))
 		}) {
 			wrong++
 		}
--- a/internal/lab/procs/procs.go
+++ b/internal/lab/procs/procs.go
@@ -17,87 +17,87 @@
 	"ravenpond/internal/standin"
 )
 
-// Plan says what is to be started.
-type Plan struct {
+// Config says what is to be started.
+type Config struct {
 	Command    []string // that runs the program
 	Schedulers int
 	Nodes      int
 	Rate       float64 // asks a second, of all owners together; 0: none
 	Seed       uint64
 	Dir        string
-	Apart      bool // schedulers do not know each other
+	Isolated   bool // schedulers do not know each other
 	Zones      int  // 0: two; in regions of two
 	Cores      int  // of a node, 0: 64
-	Near       bool // the site file says how far zones are from each other
-	Stewards   int  // of the book that they agree on, the first of all; 0: there is none
+	Localities bool // the site file says how far zones are from each other
+	Voters     int  // of the book that they agree on, the first of all; 0: there is none
 	Relays     bool // connections to nodes, list and owners pass relays too
 }
 
 // Rig is the whole.
 type Rig struct {
-	Plan
-	ctx   context.Context
-	real  *outside.Real
-	w     *standin.Testbed
-	place *site.Config
-	rules audit.Rules
-	nodes []*standin.Node
-	list  *standin.List
-	all   []*proc
-	asks  sync.WaitGroup
-	stop  context.CancelFunc
+	Config
+	ctx        context.Context
+	env        *outside.Real
+	testbed    *standin.Testbed
+	site       *site.Config
+	rules      audit.Rules
+	nodes      []*standin.Node
+	list       *standin.List
+	processes  []*process
+	background sync.WaitGroup
+	stop       context.CancelFunc
 
-	relays      []*relay // to nodes, by their place
-	from, until float64  // of the last script
+	relays                  []*relay // to nodes, by their place
+	scriptFrom, scriptUntil float64  // of the last script
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	ways  map[wayOf][2]Way
-	trace []audit.Record
-	held  []audit.Record // words of the list that lie on a way that is cut
-	lanes map[[2]int]Lane
-	kills []kill
-	cpu   time.Duration // of schedulers that have ended
+	mu            sync.Mutex
+	rng           *rand.Rand
+	routes        map[routeKey][2]Route
+	trace         []audit.Record
+	delayed       []audit.Record // words of the list that lie on a way that is cut
+	datagramLinks map[[2]int]DatagramLink
+	kills         []killRecord
+	usedCPU       time.Duration // of schedulers that have ended
 }
 
-// Begin starts all and waits until owners may connect everywhere.
-func Begin(ctx context.Context, p Plan) (r *Rig, err error) {
+// Start starts all and waits until owners may connect everywhere.
+func Start(ctx context.Context, p Config) (r *Rig, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	real := outside.NewReal()
 	r = &Rig{
-		Plan: p, ctx: ctx, stop: stop, real: real, w: standin.NewTestbed(real), rng: rand.New(rand.NewPCG(p.Seed, 0x916)), lanes: map[[2]int]Lane{},
-		ways: map[wayOf][2]Way{},
+		Config: p, ctx: ctx, stop: stop, env: real, testbed: standin.NewTestbed(real), rng: rand.New(rand.NewPCG(p.Seed, 0x916)), datagramLinks: map[[2]int]DatagramLink{},
+		routes: map[routeKey][2]Route{},
 	}
-	r.w.Trace.OnRecord = r.record
+	r.testbed.Trace.OnRecord = r.record
 	defer func() {
 		if err != nil {
 			r.close()
 		}
 	}()
 	for i := range p.Schedulers {
-		if err := r.door(i); err != nil {
+		if err := r.addScheduler(i); err != nil {
 			return r, err
 		}
 	}
-	for i, x := range r.all {
-		r.asks.Go(func() { r.carry(i, x) })
+	for i, x := range r.processes {
+		r.background.Go(func() { r.forwardDatagrams(i, x) })
 	}
 	if err := os.WriteFile(filepath.Join(r.Dir, "key"), []byte("the rig's member key, of some length\n"), 0o600); err != nil {
 		return r, err
 	}
-	if err := r.fleet(); err != nil {
+	if err := r.startNodes(); err != nil {
 		return r, err
 	}
 	places := make(chan bool, 16)
 	errs := make(chan error, p.Schedulers)
-	for i := range r.all {
+	for i := range r.processes {
 		go func() {
 			places <- true
-			errs <- r.Start(i)
+			errs <- r.StartScheduler(i)
 			<-places
 		}()
 	}
-	for range r.all {
+	for range r.processes {
 		if e := <-errs; e != nil {
 			err = e
 		}
@@ -105,21 +105,21 @@
 	if err != nil {
 		return r, err
 	}
-	for i, x := range r.all {
-		x.owner = &standin.Client{ID: i, Scheduler: x.name, SettleTime: r.place.SettleTime, SchedulerAddress: func() string {
+	for i, x := range r.processes {
+		x.client = &standin.Client{ID: i, Scheduler: x.name, SettleTime: r.site.SettleTime, SchedulerAddress: func() string {
 			x.mu.Lock()
 			defer x.mu.Unlock()
-			if x.cmd == nil {
+			if x.command == nil {
 				return ""
-			} else if x.toOwner != nil {
-				return x.toOwner.address()
+			} else if x.clientRelay != nil {
+				return x.clientRelay.address()
 			}
 			return x.address
 		}}
-		r.w.StartClient(x.owner, p.Seed*7919+uint64(i))
+		r.testbed.StartClient(x.client, p.Seed*7919+uint64(i))
 	}
 	if p.Rate > 0 {
-		r.asks.Go(r.load)
+		r.background.Go(r.generateLoad)
 	}
 	return r, nil
 }
--- a/internal/lab/procs/procs_test.go
+++ b/internal/lab/procs/procs_test.go
@@ -20,8 +20,8 @@
 	why := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		var ok bool
-		if ok, why = r.Agreed(); ok && r.Stewards > 0 {
-			ok, why = r.OneBook()
+		if ok, why = r.MembersConverged(); ok && r.Voters > 0 {
+			ok, why = r.StateConverged()
 		}
 		if ok {
 			return
@@ -31,14 +31,14 @@
 }
 
 // begin starts the rig by the test's own program, and waits until all agree.
-func begin(t *testing.T, p Plan) *Rig {
+func begin(t *testing.T, p Config) *Rig {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Command, p.Dir = []string{self}, t.TempDir()
-	r, err := Begin(t.Context(), p)
+	r, err := Start(t.Context(), p)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,8 +62,8 @@
 // end ends all: no rule is broken, and something was served.
 func end(t *testing.T, r *Rig) Result {
 	t.Helper()
-	res := r.End()
-	for i, b := range res.Breaks {
+	res := r.Finish()
+	for i, b := range res.Violations {
 		if i < 5 {
 			t.Error(b)
 		}
@@ -87,7 +87,7 @@
 // TestProcesses plays a bad time for five processes under load: no rule breaks, who is killed or stopped is known to all, and
 // one view comes of it in the end.
 func TestProcesses(t *testing.T) {
-	r := begin(t, Plan{Schedulers: 5, Nodes: 8, Rate: 60, Seed: 1})
+	r := begin(t, Config{Schedulers: 5, Nodes: 8, Rate: 60, Seed: 1})
 	play(t, r, bad)
 	deaths, err := r.Deaths()
 	if err != nil {
@@ -95,7 +95,7 @@
 	}
 	heard := map[string]bool{}
 	for _, d := range deaths {
-		if d.Who == "s004" {
+		if d.Member == "s004" {
 			heard[d.By] = true
 		}
 	}
@@ -135,7 +135,7 @@
 
 // TestWays plays failing ways to list, nodes and owners for four processes under load: no rule breaks, and all are answered.
 func TestWays(t *testing.T) {
-	r := begin(t, Plan{Schedulers: 4, Nodes: 10, Rate: 60, Seed: 2, Relays: true})
+	r := begin(t, Config{Schedulers: 4, Nodes: 10, Rate: 60, Seed: 2, Relays: true})
 	play(t, r, far)
 	res := end(t, r)
 	t.Logf("%v", res.Answers)
@@ -153,13 +153,13 @@
 // TestBook has six processes under load, three of them stewards, agree on one book among kills, stops and cuts: no rule
 // breaks, and all hold the same in the end.
 func TestBook(t *testing.T) {
-	r := begin(t, Plan{Schedulers: 6, Nodes: 8, Rate: 60, Seed: 3, Stewards: 3})
-	before, err := r.View(5)
+	r := begin(t, Config{Schedulers: 6, Nodes: 8, Rate: 60, Seed: 3, Voters: 3})
+	before, err := r.SchedulerView(5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	play(t, r, council)
-	after, err := r.View(5)
+	after, err := r.SchedulerView(5)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,12 +173,12 @@
 // TestZone has eight processes in four zones lose one zone's nodes and have them back, under load, while the leader of the
 // stewards may be any: all leave it, nothing is started there meanwhile, no rule breaks, and all send there again.
 func TestZone(t *testing.T) {
-	r := begin(t, Plan{Schedulers: 8, Nodes: 12, Rate: 80, Seed: 4, Stewards: 3, Zones: 4, Relays: true})
+	r := begin(t, Config{Schedulers: 8, Nodes: 12, Rate: 80, Seed: 4, Voters: 3, Zones: 4, Relays: true})
 	all := func(what float64, within time.Duration) (last float64) {
 		t.Helper()
 		var parts []float64
 		for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			at, part, err := r.Sends("south")
+			at, part, err := r.ZoneShares("south")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -190,10 +190,10 @@
 		return 0
 	}
 	lost := float64(time.Now().UnixMilli())
-	r.Lose("south", true)
+	r.IsolateZone("south", true)
 	left := all(0, 20*time.Second) - lost
 	time.Sleep(3 * time.Second)
-	r.Lose("south", false)
+	r.IsolateZone("south", false)
 	back := float64(time.Now().UnixMilli())
 	again := all(1, 40*time.Second) - back
 	time.Sleep(time.Second)
@@ -214,16 +214,16 @@
 // TestZoneFaults loses zones one after the other for eight processes that keep near, while other things fail: no rule breaks, all
 // hold one book in the end and send everywhere again.
 func TestZoneFaults(t *testing.T) {
-	r := begin(t, Plan{Schedulers: 8, Nodes: 12, Rate: 80, Seed: 5, Stewards: 3, Zones: 4, Near: true, Relays: true})
+	r := begin(t, Config{Schedulers: 8, Nodes: 12, Rate: 80, Seed: 5, Voters: 3, Zones: 4, Localities: true, Relays: true})
 	play(t, r, zones)
 	own := func() (at string) { // all send to their own zones wholly
-		for i := range r.all {
-			_, part, err := r.Sends(r.zoneOf(i))
+		for i := range r.processes {
+			_, part, err := r.ZoneShares(r.zoneOf(i))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if part[i] < 1 {
-				at += fmt.Sprintf(" %s sends to %g of %s", r.all[i].name, part[i], r.zoneOf(i))
+				at += fmt.Sprintf(" %s sends to %g of %s", r.processes[i].name, part[i], r.zoneOf(i))
 			}
 		}
 		return at
@@ -238,5 +238,5 @@
 	if res.Value < 0.3 {
 		t.Errorf("%.3f of the value was served", res.Value)
 	}
-	t.Logf("%v, %.3f of the value served in time, %.3f ran in the own zone", res.Answers, res.Value, res.Near)
+	t.Logf("%v, %.3f of the value served in time, %.3f ran in the own zone", res.Answers, res.Value, res.LocalFraction)
 }
--- a/internal/lab/procs/relay_test.go
+++ b/internal/lab/procs/relay_test.go
@@ -32,18 +32,18 @@
 		}
 	}()
 	var mu sync.Mutex
-	var there, back Way
-	set := func(x, y Way) {
+	var there, back Route
+	set := func(x, y Route) {
 		mu.Lock()
 		there, back = x, y
 		mu.Unlock()
 	}
 	r, err := newRelay(func() string { return echo.Addr().String() }, func(b []byte) (string, bool) { return "a", len(b) > 0 },
-		func(who string) (Way, Way) {
+		func(who string) (Route, Route) {
 			mu.Lock()
 			defer mu.Unlock()
 			if who != "a" {
-				return Way{Cut: true}, Way{Cut: true}
+				return Route{Cut: true}, Route{Cut: true}
 			}
 			return there, back
 		})
@@ -67,14 +67,14 @@
 	const long = 10 * time.Second
 	for _, s := range []struct {
 		name        string
-		there, back Way
+		there, back Route
 		least       time.Duration
 	}{
-		{"plain", Way{}, Way{}, 0},
-		{"slow there", Way{Slow: 80 * time.Millisecond}, Way{}, 80 * time.Millisecond},
-		{"slow both ways", Way{Slow: 40 * time.Millisecond}, Way{Slow: 40 * time.Millisecond}, 80 * time.Millisecond},
-		{"little by little", Way{Trickle: 40}, Way{}, 150 * time.Millisecond},
-		{"plain again", Way{}, Way{}, 0},
+		{"plain", Route{}, Route{}, 0},
+		{"slow there", Route{Delay: 80 * time.Millisecond}, Route{}, 80 * time.Millisecond},
+		{"slow both ways", Route{Delay: 40 * time.Millisecond}, Route{Delay: 40 * time.Millisecond}, 80 * time.Millisecond},
+		{"little by little", Route{BytesPerSecond: 40}, Route{}, 150 * time.Millisecond},
+		{"plain again", Route{}, Route{}, 0},
 	} {
 		set(s.there, s.back)
 		began := time.Now()
@@ -83,12 +83,12 @@
 			t.Errorf("%s: %q after %s, %v", s.name, got, took, err)
 		}
 	}
-	for _, cut := range [][2]Way{{{Cut: true}, {}}, {{}, {Cut: true}}} {
+	for _, cut := range [][2]Route{{{Cut: true}, {}}, {{}, {Cut: true}}} {
 		set(cut[0], cut[1])
 		if got, err := ask("held\n", 100*time.Millisecond); err == nil {
 			t.Errorf("%q came over a way that is cut", got)
 		}
-		set(Way{}, Way{})
+		set(Route{}, Route{})
 		_ = c.SetReadDeadline(time.Now().Add(long))
 		if got, err := answers.ReadString('\n'); got != "held\n" {
 			t.Errorf("%q, %v when it is mended", got, err)
--- a/internal/lab/procs/result.go
+++ b/internal/lab/procs/result.go
@@ -10,47 +10,47 @@
 
 // Result is what came of a rig.
 type Result struct {
-	Breaks  []audit.Violation
-	Answers map[string]int
-	Starts  []float64     // ms from ask to answer of those served at their first ask, sorted
-	CPU     time.Duration // of all schedulers together, of all their lives
-	Near    float64       // part of the tries that ran in the zone of their scheduler
-	Value   float64       // part of the value served in time that was first asked for while a script was played
-	Late    []float64     // start times of those, sorted
+	Violations      []audit.Violation
+	Answers         map[string]int
+	StartLatencies  []float64     // ms from ask to answer of those served at their first ask, sorted
+	CPU             time.Duration // of all schedulers together, of all their lives
+	LocalFraction   float64       // part of the tries that ran in the zone of their scheduler
+	Value           float64       // part of the value served in time that was first asked for while a script was played
+	ScriptLatencies []float64     // start times of those, sorted
 }
 
-// End waits until all asks are answered or overdue, ends all and audits.
-func (r *Rig) End() Result {
+// Finish waits until all asks are answered or overdue, ends all and audits.
+func (r *Rig) Finish() Result {
 	r.stop()
 	time.Sleep(3600 * time.Millisecond)
 	r.mu.Lock()
 	records := slices.Clone(r.trace)
 	r.mu.Unlock()
 	slices.SortStableFunc(records, func(a, b audit.Record) int { return cmp.Compare(a.At, b.At) })
-	res := Result{Breaks: audit.Check(records, r.rules), Answers: map[string]int{}}
+	res := Result{Violations: audit.Check(records, r.rules), Answers: map[string]int{}}
 	wanted, served := 0.0, 0.0
-	for _, x := range r.all {
-		for _, t := range x.owner.Outcomes() {
+	for _, x := range r.processes {
+		for _, t := range x.client.Outcomes() {
 			res.Answers[t.Result]++
-			if t.SentAt >= r.from && t.SentAt < r.until {
-				value := r.place.Cluster.JobClasses[t.Job].PriorityWeight
+			if t.SentAt >= r.scriptFrom && t.SentAt < r.scriptUntil {
+				value := r.site.Cluster.JobClasses[t.Job].PriorityWeight
 				if wanted += value; t.Result == "served" && t.InTime {
 					served += value
 				}
 				if t.Result == "served" {
-					res.Late = append(res.Late, t.Latency)
+					res.ScriptLatencies = append(res.ScriptLatencies, t.Latency)
 				}
 			}
 			if t.Result == "served" && t.First {
-				res.Starts = append(res.Starts, t.Latency)
+				res.StartLatencies = append(res.StartLatencies, t.Latency)
 			}
 		}
 	}
-	slices.Sort(res.Starts)
-	slices.Sort(res.Late)
+	slices.Sort(res.StartLatencies)
+	slices.Sort(res.ScriptLatencies)
 	res.Value = served / max(1e-9, wanted)
 	zones := map[string]string{}
-	for i, x := range r.all {
+	for i, x := range r.processes {
 		zones[x.name] = r.zoneOf(i)
 	}
 	ran, near := 0, 0
@@ -61,22 +61,22 @@
 			}
 		}
 	}
-	res.Near = float64(near) / float64(max(1, ran))
+	res.LocalFraction = float64(near) / float64(max(1, ran))
 	r.close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	res.CPU = r.cpu
+	res.CPU = r.usedCPU
 	return res
 }
 
 func (r *Rig) close() {
 	r.stop()
-	for i, x := range r.all {
-		r.Stop(i, false)
-		r.Kill(i)
-		x.free.Close()
+	for i, x := range r.processes {
+		r.PauseScheduler(i, false)
+		r.KillScheduler(i)
+		x.reservedConn.Close()
 		x.relay.Close()
-		for _, y := range []*relay{x.toList, x.toOwner} {
+		for _, y := range []*relay{x.listRelay, x.clientRelay} {
 			if y != nil {
 				y.close()
 			}
@@ -88,6 +88,6 @@
 	for _, x := range r.relays {
 		x.close()
 	}
-	r.asks.Wait()
-	r.real.Close(time.Second)
+	r.background.Wait()
+	r.env.Close(time.Second)
 }
--- a/internal/lab/procs/script.go
+++ b/internal/lab/procs/script.go
@@ -13,14 +13,14 @@
 
 // Step is a line of a script: at a time something goes wrong with some schedulers, for a while.
 type Step struct {
-	At, For time.Duration
-	Kind    string
-	Who     []int // empty: all
-	Size    float64
+	At, Duration time.Duration
+	Kind         string
+	Schedulers   []int // empty: all
+	Size         float64
 }
 
-// kinds of steps, and what their size means.
-var kinds = map[string]string{
+// stepKinds of steps, and what their size means.
+var stepKinds = map[string]string{
 	"kill":      "killed, and started again at the end of its time",
 	"stop":      "stands still",
 	"part":      "cut off from all others that are not named",
@@ -37,8 +37,8 @@
 	"cold":      "a part, the size, of all nodes is lost and comes back cold; it names no scheduler",
 }
 
-// NeedRelays tells whether steps need connections to pass relays.
-func NeedRelays(steps []Step) bool {
+// NeedsRelays tells whether steps need connections to pass relays.
+func NeedsRelays(steps []Step) bool {
 	return slices.ContainsFunc(steps, func(s Step) bool {
 		return strings.HasPrefix(s.Kind, "list-") || strings.HasPrefix(s.Kind, "node-") || s.Kind == "trickle" || s.Kind == "reset" || s.Kind == "zone"
 	})
@@ -59,20 +59,20 @@
 			s.Kind = f[1]
 			_, err = fmt.Sscan(f[0]+" "+f[2]+" "+f[3], &at, &lasts, &s.Size)
 		}
-		if len(f) < 4 || err != nil || kinds[s.Kind] == "" || at < 0 || lasts < 0 {
+		if len(f) < 4 || err != nil || stepKinds[s.Kind] == "" || at < 0 || lasts < 0 {
 			return nil, fmt.Errorf("script, line %d: MS KIND FOR-MS SIZE [NUMBERS ...] is expected", n)
 		}
-		s.At, s.For = time.Duration(at*1e6), time.Duration(lasts*1e6)
+		s.At, s.Duration = time.Duration(at*1e6), time.Duration(lasts*1e6)
 		for _, word := range f[4:] {
 			from, to, err := numbers(word, schedulers)
 			if err != nil || from < 0 || to >= schedulers || from > to {
 				return nil, fmt.Errorf("script, line %d: %q: numbers from 0 to %d are expected", n, word, schedulers-1)
 			}
 			for i := from; i <= to; i++ {
-				s.Who = append(s.Who, i)
+				s.Schedulers = append(s.Schedulers, i)
 			}
 		}
-		if s.Kind == "deaf" && len(s.Who) != 2 {
+		if s.Kind == "deaf" && len(s.Schedulers) != 2 {
 			return nil, fmt.Errorf("script, line %d: deaf names two", n)
 		}
 		steps = append(steps, s)
@@ -97,16 +97,16 @@
 // Play plays a script on the rig, and returns when its last step is over.
 func (r *Rig) Play(ctx context.Context, steps []Step, say func(format string, args ...any)) error {
 	began := time.Now()
-	r.from = r.w.Now()
-	defer func() { r.until = r.w.Now() }()
+	r.scriptFrom = r.testbed.Now()
+	defer func() { r.scriptUntil = r.testbed.Now() }()
 	var ends time.Duration
 	for _, s := range steps {
 		if err := wait(ctx, began.Add(s.At)); err != nil {
 			return err
 		}
-		say("%6.1f s %s %v for %s", time.Since(began).Seconds(), s.Kind, s.Who, s.For)
-		r.strike(s)
-		ends = max(ends, s.At+s.For)
+		say("%6.1f s %s %v for %s", time.Since(began).Seconds(), s.Kind, s.Schedulers, s.Duration)
+		r.inject(s)
+		ends = max(ends, s.At+s.Duration)
 	}
 	return wait(ctx, began.Add(ends))
 }
@@ -122,37 +122,37 @@
 	}
 }
 
-// strike has a step happen, and end.
-func (r *Rig) strike(s Step) {
-	who := s.Who
+// inject has a step happen, and end.
+func (r *Rig) inject(s Step) {
+	who := s.Schedulers
 	if len(who) == 0 {
-		for i := range r.all {
+		for i := range r.processes {
 			who = append(who, i)
 		}
 	}
-	lanes := func(hits func(from, to int) bool, l Lane) {
-		set := func(l Lane) {
-			for i := range r.all {
-				for j := range r.all {
+	lanes := func(hits func(from, to int) bool, l DatagramLink) {
+		set := func(l DatagramLink) {
+			for i := range r.processes {
+				for j := range r.processes {
 					if i != j && hits(i, j) {
-						r.Lane(i, j, l)
+						r.SetDatagramLink(i, j, l)
 					}
 				}
 			}
 		}
 		set(l)
-		r.later(s.For, func() { set(Lane{}) })
+		r.runAfter(s.Duration, func() { set(DatagramLink{}) })
 	}
-	ways := func(parties []string, there, back Way) {
-		set := func(there, back Way) {
+	ways := func(parties []string, there, back Route) {
+		set := func(there, back Route) {
 			for _, i := range who {
 				for _, p := range parties {
-					r.Way(i, p, there, back)
+					r.SetRoute(i, p, there, back)
 				}
 			}
 		}
 		set(there, back)
-		r.later(s.For, func() { set(Way{}, Way{}) })
+		r.runAfter(s.Duration, func() { set(Route{}, Route{}) })
 	}
 	nodes := func(part float64) (all []string) {
 		for i := range r.nodes {
@@ -162,51 +162,51 @@
 		}
 		return all
 	}
-	late := Way{Slow: time.Duration(s.Size * 1e6)}
+	late := Route{Delay: time.Duration(s.Size * 1e6)}
 	in := func(i int) bool { return slices.Contains(who, i) }
 	switch s.Kind {
 	case "kill":
 		for _, i := range who {
-			r.Kill(i)
-			r.later(s.For, func() { _ = r.Start(i) }) // one that does not start is missed by all who look
+			r.KillScheduler(i)
+			r.runAfter(s.Duration, func() { _ = r.StartScheduler(i) }) // one that does not start is missed by all who look
 		}
 	case "stop":
 		for _, i := range who {
-			r.Stop(i, true)
-			r.later(s.For, func() { r.Stop(i, false) })
+			r.PauseScheduler(i, true)
+			r.runAfter(s.Duration, func() { r.PauseScheduler(i, false) })
 		}
 	case "part":
-		lanes(func(i, j int) bool { return in(i) != in(j) }, Lane{Cut: true})
+		lanes(func(i, j int) bool { return in(i) != in(j) }, DatagramLink{Cut: true})
 	case "deaf":
-		lanes(func(i, j int) bool { return i == who[1] && j == who[0] }, Lane{Cut: true})
+		lanes(func(i, j int) bool { return i == who[1] && j == who[0] }, DatagramLink{Cut: true})
 	case "lossy":
-		lanes(func(i, j int) bool { return in(i) || in(j) }, Lane{Loss: s.Size})
+		lanes(func(i, j int) bool { return in(i) || in(j) }, DatagramLink{Loss: s.Size})
 	case "slow":
-		lanes(func(i, _ int) bool { return in(i) }, Lane{Slow: time.Duration(s.Size * 1e6)})
+		lanes(func(i, _ int) bool { return in(i) }, DatagramLink{Delay: time.Duration(s.Size * 1e6)})
 	case "list-cut":
-		ways([]string{"list"}, Way{Cut: true}, Way{Cut: true})
+		ways([]string{"list"}, Route{Cut: true}, Route{Cut: true})
 	case "list-slow":
 		ways([]string{"list"}, late, late)
 	case "node-cut":
-		ways(nodes(s.Size), Way{Cut: true}, Way{Cut: true})
+		ways(nodes(s.Size), Route{Cut: true}, Route{Cut: true})
 	case "node-slow":
-		ways(nodes(0.1), Way{}, late)
+		ways(nodes(0.1), Route{}, late)
 	case "trickle":
-		few := Way{Trickle: int(s.Size)}
+		few := Route{BytesPerSecond: int(s.Size)}
 		ways(nodes(0.1), few, few)
 	case "reset":
-		for at := time.Duration(0); at <= s.For; at += 250 * time.Millisecond {
-			r.later(at, func() {
+		for at := time.Duration(0); at <= s.Duration; at += 250 * time.Millisecond {
+			r.runAfter(at, func() {
 				for _, i := range who {
-					r.Reset(i)
+					r.ResetConnections(i)
 				}
 			})
 		}
 	case "zone":
 		zone := r.zoneOf(int(s.Size))
-		r.Lose(zone, true)
-		r.later(s.For, func() { r.Lose(zone, false) })
+		r.IsolateZone(zone, true)
+		r.runAfter(s.Duration, func() { r.IsolateZone(zone, false) })
 	case "cold":
-		r.Renew(s.Size, s.For)
+		r.CrashNodes(s.Size, s.Duration)
 	}
 }
--- a/internal/lab/procs/site.go
+++ b/internal/lab/procs/site.go
@@ -27,15 +27,15 @@
   <owners listen="127.0.0.1:0"/>
 </site>`
 
-// fleet starts the stand-ins of nodes and list.
-func (r *Rig) fleet() error {
+// startNodes starts the stand-ins of nodes and list.
+func (r *Rig) startNodes() error {
 	bears := max(12, r.Schedulers)
-	text := fmt.Sprintf(siteText, r.Schedulers, bears, r.zones(), r.cores(), 2*r.cores(), "", "127.0.0.1:1")
+	text := fmt.Sprintf(siteText, r.Schedulers, bears, r.zoneElements(), r.cores(), 2*r.cores(), "", "127.0.0.1:1")
 	place, faults := site.Read(strings.NewReader(text))
 	if len(faults) > 0 {
 		return fmt.Errorf("site of the rig: %s", faults[0])
 	}
-	r.place = place
+	r.site = place
 	r.rules = audit.Rules{
 		Nodes: map[uint32]audit.Location{}, DrainGrace: place.DrainGrace, SlowStartLimit: bears, SlowStartDuration: place.Cluster.SlowStartDuration,
 		SlowStartWindow: place.Cluster.SlowStartWindow, Slack: 500,
@@ -55,11 +55,11 @@
 	for i := range r.Nodes {
 		zone := i % len(place.Zones)
 		n := &standin.Node{ID: uint32(i + 1), Zone: place.Zones[zone], Cell: place.Zones[zone], Kind: "plain", Jobs: 3, Tenants: 1}
-		if err := r.w.StartNode(n, mk, groups[zone], r.Seed+uint64(i), false, ""); err != nil {
+		if err := r.testbed.StartNode(n, mk, groups[zone], r.Seed+uint64(i), false, ""); err != nil {
 			return err
 		}
 		if r.Relays {
-			if err := r.reach(n); err != nil {
+			if err := r.addNodeRelay(n); err != nil {
 				return err
 			}
 		}
@@ -67,27 +67,27 @@
 		r.rules.Nodes[n.ID] = audit.Location{Zone: n.Zone, Cell: n.Cell}
 	}
 	var err error
-	if r.list, err = r.w.StartList(50, r.nodes, ""); err != nil || !r.Relays {
+	if r.list, err = r.testbed.StartList(50, r.nodes, ""); err != nil || !r.Relays {
 		return err
 	}
-	for _, x := range r.all {
+	for _, x := range r.processes {
 		is := func([]byte) (string, bool) { return x.name, true }
-		if x.toList, err = newRelay(r.list.Address, is, r.way("list")); err != nil {
+		if x.listRelay, err = newRelay(r.list.Address, is, r.routesTo("list")); err != nil {
 			return err
 		}
-		if x.toOwner, err = newRelay(func() string {
+		if x.clientRelay, err = newRelay(func() string {
 			x.mu.Lock()
 			defer x.mu.Unlock()
 			return x.address
-		}, is, r.way("owner")); err != nil {
+		}, is, r.routesTo("owner")); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// zones are what the site file says of them.
-func (r *Rig) zones() string {
+// zoneElements are what the site file says of them.
+func (r *Rig) zoneElements() string {
 	var b strings.Builder
 	names := []string{"east", "west", "north", "south", "inner", "outer"}[:max(2, r.Zones)]
 	for i, z := range names {
@@ -95,7 +95,7 @@
 	}
 	for i, from := range names {
 		for j, to := range names[:i] {
-			if ms := 10; r.Near {
+			if ms := 10; r.Localities {
 				if i/2 == j/2 {
 					ms = 1
 				}
@@ -108,22 +108,22 @@
 
 func (r *Rig) cores() int { return cmp.Or(r.Cores, 64) }
 
-func (r *Rig) zoneOf(i int) string { return r.place.Zones[i%len(r.place.Zones)] }
+func (r *Rig) zoneOf(i int) string { return r.site.Zones[i%len(r.site.Zones)] }
 
-// stewards names them, as the site file does.
-func (r *Rig) stewards() string {
-	if r.Stewards == 0 {
+// voterAttribute names them, as the site file does.
+func (r *Rig) voterAttribute() string {
+	if r.Voters == 0 {
 		return ""
 	}
 	var names []string
-	for _, x := range r.all[:r.Stewards] {
+	for _, x := range r.processes[:r.Voters] {
 		names = append(names, x.name)
 	}
 	return fmt.Sprintf(` stewards="%s"`, strings.Join(names, " "))
 }
 
-// load asks at the plan's rate, each owner in turn, until the rig ends.
-func (r *Rig) load() {
+// generateLoad asks at the plan's rate, each owner in turn, until the rig ends.
+func (r *Rig) generateLoad() {
 	tick := time.NewTicker(time.Duration(1e9 / r.Rate))
 	defer tick.Stop()
 	for i := 0; ; i++ {
@@ -134,11 +134,11 @@
 		}
 		job := i % 3
 		key, service := fmt.Sprint("k", i), fmt.Sprint("v", job, i%23)
-		jt := r.place.Cluster.JobClasses[job]
-		r.all[i%len(r.all)].owner.Request(&standin.Demand{
-			Key: key, Tenant: "t", JobType: r.place.JobClasses[job], Service: service, Job: job,
+		jt := r.site.Cluster.JobClasses[job]
+		r.processes[i%len(r.processes)].client.Request(&standin.Demand{
+			Key: key, Tenant: "t", JobType: r.site.JobClasses[job], Service: service, Job: job,
 			Effect: int(jt.Semantics), Token: serve.Token("t", key), ServiceKey: serve.Service("t", service), Cores: 1, Memory: 1,
-			Timeout: r.place.Deadlines[job], LatencyObjective: jt.LatencyObjective, GiveUpAt: r.w.Now() + r.place.Deadlines[job],
+			Timeout: r.site.Deadlines[job], LatencyObjective: jt.LatencyObjective, GiveUpAt: r.testbed.Now() + r.site.Deadlines[job],
 		})
 	}
 }
