--- a/internal/lab/agenda/agenda.go
+++ b/internal/lab/agenda/agenda.go
@@ -6,7 +6,7 @@
 type entry[T any] struct {
 	at    float64
 	order uint64
-	what  T
+	item  T
 }
 
 type entries[T any] []entry[T]
@@ -25,23 +25,23 @@
 	return x
 }
 
-// Agenda is what is to happen; its zero value is empty.
-type Agenda[T any] struct {
-	all   entries[T]
-	count uint64
+// Queue is what is to happen; its zero value is empty.
+type Queue[T any] struct {
+	entries entries[T]
+	added   uint64
 }
 
 // Add adds something at a time.
-func (a *Agenda[T]) Add(at float64, what T) {
-	a.count++
-	heap.Push(&a.all, entry[T]{at, a.count, what})
+func (a *Queue[T]) Add(at float64, what T) {
+	a.added++
+	heap.Push(&a.entries, entry[T]{at, a.added, what})
 }
 
 // Next takes out what happens first, if it does by a time.
-func (a *Agenda[T]) Next(by float64) (at float64, what T, ok bool) {
-	if len(a.all) == 0 || a.all[0].at > by {
+func (a *Queue[T]) Next(by float64) (at float64, what T, ok bool) {
+	if len(a.entries) == 0 || a.entries[0].at > by {
 		return 0, what, false
 	}
-	e := heap.Pop(&a.all).(entry[T])
-	return e.at, e.what, true
+	e := heap.Pop(&a.entries).(entry[T])
+	return e.at, e.item, true
 }
--- a/internal/lab/circle/measure.go
+++ b/internal/lab/circle/measure.go
@@ -48,7 +48,7 @@
 	fmt.Fprintln(tw, "processes\tloss\tmet ms\tknown p50\tp99\tmost\tbound\tnever\twrong\tdatagrams/s\tbytes/s\t")
 	for _, n := range sizes {
 		for _, loss := range losses {
-			all := seeds.Each(ctx, 1, uint64(runs)+1, workers, func(seed uint64) measurement { return measure(seed, n, loss) })
+			all := seeds.Run(ctx, 1, uint64(runs)+1, workers, func(seed uint64) measurement { return measure(seed, n, loss) })
 			if ctx.Err() != nil {
 				return rows, ctx.Err()
 			}
--- a/internal/lab/circle/play.go
+++ b/internal/lab/circle/play.go
@@ -240,7 +240,7 @@
 
 // Seeds plays the seeds from a to b, the latter left out, so many at a time, in their order.
 func Seeds(ctx context.Context, a, b uint64, workers int, plant membership.Faults) []Result {
-	return seeds.Each(ctx, a, b, workers, func(seed uint64) Result { return Play(seed, plant) })
+	return seeds.Run(ctx, a, b, workers, func(seed uint64) Result { return Play(seed, plant) })
 }
 
 // Print writes what came of seeds; the last line counts those that broke.
--- a/internal/lab/council/council.go
+++ b/internal/lab/council/council.go
@@ -413,7 +413,7 @@
 
 // Seeds plays the seeds from a to b, the latter left out, so many at a time.
 func Seeds(ctx context.Context, a, b uint64, workers int, plant consensus.Faults) []Result {
-	return slices.DeleteFunc(seeds.Each(ctx, a, b, workers, func(seed uint64) Result { return Play(seed, plant) }),
+	return slices.DeleteFunc(seeds.Run(ctx, a, b, workers, func(seed uint64) Result { return Play(seed, plant) }),
 		func(v Result) bool { return v.Commands == 0 && v.Failure == "" })
 }
 
--- a/internal/lab/herd/virtual.go
+++ b/internal/lab/herd/virtual.go
@@ -138,7 +138,7 @@
 		even float64
 		err  error
 	}
-	all := runs.Each(ctx, 0, uint64(len(policies)*seeds), workers, func(i uint64) (p played) {
+	all := runs.Run(ctx, 0, uint64(len(policies)*seeds), workers, func(i uint64) (p played) {
 		w, err := Simulate(s, policies[int(i)/seeds], i%uint64(seeds)+1)
 		if err != nil {
 			return played{err: err}
--- a/internal/lab/month/month.go
+++ b/internal/lab/month/month.go
@@ -75,7 +75,7 @@
 	fleet     []calendar.Node
 	plan      []calendar.Verdict // of the whole calendar, by the true fleet
 	calendar  *calendar.Calendar
-	events    agenda.Agenda[func()]
+	events    agenda.Queue[func()]
 	report    Report
 	trace     xxhash.Digest
 	nextID    uint64
--- a/internal/lab/route/simulation.go
+++ b/internal/lab/route/simulation.go
@@ -457,7 +457,7 @@
 
 // Seeds plays the seeds from a to b, the latter left out, so many at a time; what came of them is in their order.
 func Seeds(ctx context.Context, a, b uint64, workers int) []Result {
-	all := seeds.Each(ctx, a, b, workers, func(seed uint64) Result { return Play(seed, Faults{}) })
+	all := seeds.Run(ctx, a, b, workers, func(seed uint64) Result { return Play(seed, Faults{}) })
 	return slices.DeleteFunc(all, func(v Result) bool { return v.Requests == 0 && v.Failure == "" }) // broken off before it came up
 }
 
--- a/internal/lab/seeds/seeds.go
+++ b/internal/lab/seeds/seeds.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 )
 
-// Each plays the seeds from a to b, the latter left out, so many at a time, until the context ends. What came of them is in
+// Run plays the seeds from a to b, the latter left out, so many at a time, until the context ends. What came of them is in
 // their order; of those that were not played it is the zero value.
-func Each[T any](ctx context.Context, a, b uint64, workers int, play func(seed uint64) T) []T {
+func Run[T any](ctx context.Context, a, b uint64, workers int, play func(seed uint64) T) []T {
 	all := make([]T, b-a)
 	var next atomic.Uint64
 	var work sync.WaitGroup
--- a/internal/lab/sim/clock.go
+++ b/internal/lab/sim/clock.go
@@ -26,7 +26,7 @@
 type Clock struct {
 	rng           *rand.Rand
 	now           float64 // ms
-	events        agenda.Agenda[event]
+	events        agenda.Queue[event]
 	steps         uint64
 	trace         xxhash.Digest
 	processes     []*Process
--- a/internal/lab/spawn/spawn.go
+++ b/internal/lab/spawn/spawn.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	look     = 10 * time.Millisecond
-	atLatest = 10 * time.Second
+	pollInterval = 10 * time.Millisecond
+	startTimeout = 10 * time.Second
 )
 
 // Scheduler starts a command that writes its owners' address to a file, with its output in a log, and waits for the address.
@@ -34,7 +34,7 @@
 	if err := cmd.Start(); err != nil {
 		return nil, "", fmt.Errorf("scheduler: %w", err)
 	}
-	for end := time.Now().Add(atLatest); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(look) {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(pollInterval) {
 		if b, err := os.ReadFile(addressFile); err == nil && len(b) > 0 {
 			return cmd, strings.TrimSpace(string(b)), nil
 		}
@@ -44,7 +44,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, "", err
 	}
-	return nil, "", fmt.Errorf("scheduler did not begin within %s, see its log %s", atLatest, log.Name())
+	return nil, "", fmt.Errorf("scheduler did not begin within %s, see its log %s", startTimeout, log.Name())
 }
 
 // Main runs tests, or is the scheduler process that a test starts by its own program with `serve` and its flags.
@@ -52,14 +52,14 @@
 	if len(os.Args) < 2 || os.Args[1] != "serve" {
 		os.Exit(tests())
 	}
-	if err := byFlags(os.Args[2:]); err != nil {
+	if err := runFromFlags(os.Args[2:]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// byFlags runs a scheduler by the flags of `ravenpond serve` until it is told to end.
-func byFlags(args []string) error {
+// runFromFlags runs a scheduler by the flags of `ravenpond serve` until it is told to end.
+func runFromFlags(args []string) error {
 	flags := map[string]string{}
 	for i := 0; i+1 < len(args); i += 2 {
 		flags[args[i]] = args[i+1]
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -471,7 +471,7 @@
 
 // Seeds plays the seeds from a to b, the latter left out, so many at a time.
 func Seeds(ctx context.Context, a, b uint64, workers int, plant Faults) []Result {
-	return slices.DeleteFunc(seeds.Each(ctx, a, b, workers, func(seed uint64) Result { return Play(seed, plant) }),
+	return slices.DeleteFunc(seeds.Run(ctx, a, b, workers, func(seed uint64) Result { return Play(seed, plant) }),
 		func(v Result) bool { return v.Fault == "" && v.Failure == "" })
 }
 
