--- a/internal/outside/connections.go
+++ b/internal/outside/connections.go
@@ -14,138 +14,138 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn has a reader and a writer once it has begun.
-type conn struct {
-	r     *Real
-	c     net.Conn
-	count *traffic
-	wake  chan struct{}
-	wrote chan struct{} // closed when all is written and the connection closed
-	stuck time.Duration
-	raw   syscall.RawConn // where it is prompt
+// realConn has a reader and a writer once it has begun.
+type realConn struct {
+	env          *Real
+	netConn      net.Conn
+	traffic      *trafficCounters
+	wake         chan struct{}
+	writerDone   chan struct{} // closed when all is written and the connection closed
+	stallTimeout time.Duration
+	raw          syscall.RawConn // where it is prompt
 
-	mu      sync.Mutex
-	begun   bool
-	writes  bool // a writer is there
-	queue   []byte
-	sent    uint64
-	handed  uint64 // taken by the network
-	inHand  int    // with the writer: the network may have taken it already
-	shut    bool
-	soft    bool
-	last    []byte
-	why     error
-	lingers bool // half closed: its peer is waited for
+	mu            sync.Mutex
+	started       bool
+	writerRunning bool // a writer is there
+	queue         []byte
+	sent          uint64
+	handedOver    uint64 // taken by the network
+	inHandover    int    // with the writer: the network may have taken it already
+	closing       bool
+	graceful      bool
+	final         []byte
+	cause         error
+	halfClosed    bool // half closed: its peer is waited for
 }
 
-func (r *Real) conn(c net.Conn, count *traffic) *conn {
-	n := &conn{r: r, c: c, count: count, wake: make(chan struct{}, 1), wrote: make(chan struct{})}
+func (r *Real) newConn(c net.Conn, count *trafficCounters) *realConn {
+	wrapped := &realConn{env: r, netConn: c, traffic: count, wake: make(chan struct{}, 1), writerDone: make(chan struct{})}
 	if s, ok := c.(syscall.Conn); ok && r.WriteThrough {
-		n.raw, _ = s.SyscallConn()
+		wrapped.raw, _ = s.SyscallConn()
 	}
 	r.mu.Lock()
 	if r.closed {
-		n.shut = true
+		wrapped.closing = true
 		c.Close()
 	} else {
-		r.conns[n] = true
-		count.begun()
+		r.conns[wrapped] = true
+		count.addOpened()
 	}
 	r.mu.Unlock()
-	return n
+	return wrapped
 }
 
-// farewell is how long last words may take.
-const farewell = 50 * time.Millisecond
+// finalWriteTimeout is how long last words may take.
+const finalWriteTimeout = 50 * time.Millisecond
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, readPrompt); return &b }}
+var readBuffers = sync.Pool{New: func() any { b := make([]byte, writeThroughReadBufferSize); return &b }}
 
-func (c *conn) Start(p ConnHandler, stuck float64) {
+func (c *realConn) Start(handler ConnHandler, stallTimeoutMs float64) {
 	c.mu.Lock()
-	c.begun, c.stuck = true, time.Duration(stuck*1e6)
-	c.writes = c.raw == nil || len(c.queue) > 0 // what was sent before it was begun is left for a writer
-	writes := c.writes
+	c.started, c.stallTimeout = true, time.Duration(stallTimeoutMs*1e6)
+	c.writerRunning = c.raw == nil || len(c.queue) > 0 // what was sent before it was begun is left for a writer
+	needsWriter := c.writerRunning
 	c.mu.Unlock()
-	ok := (!writes || c.r.goes(c.write)) && c.r.goes(func() {
-		err := c.read(p)
-		c.stop(false, nil, err)
-		<-c.wrote
+	ok := (!needsWriter || c.env.spawn(c.writeLoop)) && c.env.spawn(func() {
+		err := c.read(handler)
+		c.shutDown(false, nil, err)
+		<-c.writerDone
 		c.mu.Lock()
-		err = c.why
+		err = c.cause
 		c.mu.Unlock()
-		p.OnClose(err)
+		handler.OnClose(err)
 		c.drain()
-		c.c.Close()
-		c.r.mu.Lock()
-		c.r.forget(c)
-		c.r.mu.Unlock()
+		c.netConn.Close()
+		c.env.mu.Lock()
+		c.env.removeConn(c)
+		c.env.mu.Unlock()
 	})
 	if !ok {
-		c.c.Close()
+		c.netConn.Close()
 	}
 }
 
 // read hands over what comes until the connection ends.
-func (c *conn) read(p ConnHandler) error {
+func (c *realConn) read(handler ConnHandler) error {
 	if c.raw == nil {
-		b := make([]byte, readAtOnce)
+		b := make([]byte, readBufferSize)
 		for {
-			n, err := c.c.Read(b)
-			if err = c.took(p, b[:n], err); err != nil {
+			n, err := c.netConn.Read(b)
+			if err = c.deliver(handler, b[:n], err); err != nil {
 				return err
 			}
 		}
 	}
 	for {
-		held, n, err := c.readable()
-		err = c.took(p, (*held)[:n], err)
-		buffers.Put(held)
+		buffer, n, err := c.readAvailable()
+		err = c.deliver(handler, (*buffer)[:n], err)
+		readBuffers.Put(buffer)
 		if err != nil {
 			return err
 		}
 	}
 }
 
-// readable waits for something to read, and reads it into memory that is to be given back.
-func (c *conn) readable() (held *[]byte, n int, err error) {
-	waited := c.raw.Read(func(fd uintptr) bool {
-		held = buffers.Get().(*[]byte)
+// readAvailable waits for something to read, and reads it into memory that is to be given back.
+func (c *realConn) readAvailable() (buffer *[]byte, n int, err error) {
+	waitErr := c.raw.Read(func(fd uintptr) bool {
+		buffer = readBuffers.Get().(*[]byte)
 		for {
-			n, err = syscall.Read(int(fd), *held)
+			n, err = syscall.Read(int(fd), *buffer)
 			if err != syscall.EINTR {
 				break
 			}
 		}
 		if err == syscall.EAGAIN {
-			buffers.Put(held)
-			held = nil
+			readBuffers.Put(buffer)
+			buffer = nil
 		}
-		return held != nil
+		return buffer != nil
 	})
-	if held == nil { // woken by an end
-		held, n, err = buffers.Get().(*[]byte), 0, waited
+	if buffer == nil { // woken by an end
+		buffer, n, err = readBuffers.Get().(*[]byte), 0, waitErr
 	}
 	n = max(n, 0)
 	if err == nil && n == 0 {
 		err = io.EOF
 	}
-	return held, n, err
+	return buffer, n, err
 }
 
-// took hands over what was read; an error says that nothing more is.
-func (c *conn) took(p ConnHandler, b []byte, err error) error {
+// deliver hands over what was read; an error says that nothing more is.
+func (c *realConn) deliver(handler ConnHandler, b []byte, err error) error {
 	c.mu.Lock()
-	shut := c.shut
+	closing := c.closing
 	c.mu.Unlock()
-	if shut {
+	if closing {
 		return ErrClosed
 	}
 	if len(b) > 0 {
-		c.count.received(len(b))
-		p.OnData(b)
+		c.traffic.addReceived(len(b))
+		handler.OnData(b)
 	}
 	if errors.Is(err, io.EOF) {
-		p.OnData(nil)
+		handler.OnData(nil)
 		return io.EOF
 	}
 	if err != nil {
@@ -156,85 +156,85 @@
 
 // drain reads on from a connection that ended softly, until its peer closes too: closed with bytes unread it would be reset,
 // and what was handed over last could be lost to the peer.
-func (c *conn) drain() {
+func (c *realConn) drain() {
 	c.mu.Lock()
-	lingers := c.lingers
+	halfClosed := c.halfClosed
 	c.mu.Unlock()
-	if !lingers || !c.r.lingering(c) {
+	if !halfClosed || !c.env.addLingering(c) {
 		return
 	}
-	held := buffers.Get().(*[]byte)
-	defer buffers.Put(held)
-	_ = c.c.SetReadDeadline(time.Now().Add(lingerFor))
+	buffer := readBuffers.Get().(*[]byte)
+	defer readBuffers.Put(buffer)
+	_ = c.netConn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	for {
-		if _, err := c.c.Read(*held); err != nil {
+		if _, err := c.netConn.Read(*buffer); err != nil {
 			break
 		}
 	}
-	c.r.mu.Lock()
-	if i := slices.Index(c.r.linger, c); i >= 0 {
-		c.r.linger = slices.Delete(c.r.linger, i, i+1)
+	c.env.mu.Lock()
+	if i := slices.Index(c.env.lingering, c); i >= 0 {
+		c.env.lingering = slices.Delete(c.env.lingering, i, i+1)
 	}
-	c.r.mu.Unlock()
+	c.env.mu.Unlock()
 }
 
-// lingering notes a connection that waits for its peer to close; false if the world is closed.
-func (r *Real) lingering(c *conn) bool {
+// addLingering notes a connection that waits for its peer to close; false if the world is closed.
+func (r *Real) addLingering(c *realConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
 		return false
 	}
-	most := r.MaxLingering
-	if most == 0 {
-		most = mostLinger
+	limit := r.MaxLingering
+	if limit == 0 {
+		limit = defaultMaxLingering
 	}
-	if len(r.linger) >= most {
-		r.linger[0].c.Close()
-		r.linger = slices.Delete(r.linger, 0, 1)
+	if len(r.lingering) >= limit {
+		r.lingering[0].netConn.Close()
+		r.lingering = slices.Delete(r.lingering, 0, 1)
 	}
-	r.linger = append(r.linger, c)
+	r.lingering = append(r.lingering, c)
 	return true
 }
 
 // PeerClosed asks the kernel: it knows of a peer's end whatever lies unread before it.
-func (c *conn) PeerClosed() bool {
+func (c *realConn) PeerClosed() bool {
 	c.mu.Lock()
-	left := c.shut
+	closed := c.closing
 	c.mu.Unlock()
-	if c.raw == nil || left {
-		return left
+	if c.raw == nil || closed {
+		return closed
 	}
 	err := c.raw.Control(func(fd uintptr) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(p, 0)
-		left = err == nil && n == 1 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		closed = err == nil && n == 1 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return left || err != nil // one that is closed already
+	return closed || err != nil // one that is closed already
 }
 
-// write is the writer: it writes what is sent until the connection ends, or, where that is prompt, until nothing is left.
-func (c *conn) write() {
+// writeLoop is the writer: it writes what is sent until the connection ends, or, where that is prompt, until nothing is left.
+func (c *realConn) writeLoop() {
 	var spare []byte
 	for {
 		c.mu.Lock()
-		b, shut, soft, last := c.queue, c.shut, c.soft, c.last
-		if len(b) == 0 && !shut && c.raw != nil {
-			c.writes = false
-			_ = c.c.SetWriteDeadline(time.Time{})
+		b, closing, graceful, final := c.queue, c.closing, c.graceful, c.final
+		if len(b) == 0 && !closing && c.raw != nil {
+			c.writerRunning = false
+			_ = c.netConn.SetWriteDeadline(time.Time{})
 			c.mu.Unlock()
 			return
 		}
 		c.queue, spare = spare[:0], nil // never the same memory twice: one is written while the other fills
-		if !shut || soft {
-			c.inHand = len(b)
+		if !closing || graceful {
+			c.inHandover = len(b)
 		}
 		c.mu.Unlock()
-		if shut {
-			if soft && c.hand(b) != nil {
-				soft = false
+		if closing {
+			if graceful && c.writeAll(b) != nil {
+				graceful = false
 			}
-			c.close(soft, last)
+			c.finishWriting(graceful, final)
 			return
 		}
 		if len(b) == 0 {
@@ -242,8 +242,8 @@
 			<-c.wake
 			continue
 		}
-		if err := c.hand(b); err != nil {
-			c.stop(false, nil, err)
+		if err := c.writeAll(b); err != nil {
+			c.shutDown(false, nil, err)
 		}
 		if cap(b) <= 1<<16 { // a burst's memory is given back
 			spare = b[:0]
@@ -251,21 +251,21 @@
 	}
 }
 
-// hand hands bytes to the kernel and counts those it took. A peer that takes some is waited for, however slow it is; once
+// writeAll hands bytes to the kernel and counts those it took. A peer that takes some is waited for, however slow it is; once
 // the connection is being ended, no longer than one that takes nothing.
-func (c *conn) hand(b []byte) error {
+func (c *realConn) writeAll(b []byte) error {
 	for {
-		_ = c.c.SetWriteDeadline(time.Now().Add(c.stuck))
-		n, err := c.c.Write(b)
-		c.count.sent(n)
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(c.stallTimeout))
+		n, err := c.netConn.Write(b)
+		c.traffic.addSent(n)
 		b = b[n:]
 		slow := n > 0 && errors.Is(err, os.ErrDeadlineExceeded)
 		c.mu.Lock()
-		c.handed += uint64(n)
-		c.inHand = 0
-		slow = slow && !c.shut
+		c.handedOver += uint64(n)
+		c.inHandover = 0
+		slow = slow && !c.closing
 		if slow {
-			c.inHand = len(b)
+			c.inHandover = len(b)
 		}
 		c.mu.Unlock()
 		if slow {
@@ -278,16 +278,16 @@
 	}
 }
 
-// push hands over what the network takes at once. c.mu is held and there is no writer.
-func (c *conn) push() {
+// writeAvailable hands over what the network takes at once. c.mu is held and there is no writer.
+func (c *realConn) writeAvailable() {
 	for again := true; again; {
 		again = false
 		err := c.raw.Write(func(fd uintptr) bool {
 			n, err := syscall.Write(int(fd), c.queue)
-			c.count.sent(n)
+			c.traffic.addSent(n)
 			again = err == syscall.EINTR
 			if n > 0 {
-				c.handed += uint64(n)
+				c.handedOver += uint64(n)
 				c.queue = c.queue[:copy(c.queue, c.queue[n:])]
 			}
 			return true // what is left, and what is wrong, is the writer's
@@ -298,57 +298,57 @@
 	}
 }
 
-// close says the last words, as far as the peer listens, and closes the connection; this side of it alone, where it ends
+// finishWriting says the last words, as far as the peer listens, and closes the connection; this side of it alone, where it ends
 // softly and its reader can wait for the peer.
-func (c *conn) close(soft bool, last []byte) {
-	if len(last) > 0 {
-		_ = c.c.SetWriteDeadline(time.Now().Add(farewell))
-		n, _ := c.c.Write(last) // the peer may be gone: then nobody is left to be told
-		c.count.sent(n)
+func (c *realConn) finishWriting(graceful bool, final []byte) {
+	if len(final) > 0 {
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(finalWriteTimeout))
+		n, _ := c.netConn.Write(final) // the peer may be gone: then nobody is left to be told
+		c.traffic.addSent(n)
 	}
-	if half, ok := c.c.(interface{ CloseWrite() error }); ok && soft && half.CloseWrite() == nil {
+	if half, ok := c.netConn.(interface{ CloseWrite() error }); ok && graceful && half.CloseWrite() == nil {
 		c.mu.Lock()
-		c.lingers = true
+		c.halfClosed = true
 		c.mu.Unlock()
 	} else {
-		c.c.Close()
+		c.netConn.Close()
 	}
-	close(c.wrote)
+	close(c.writerDone)
 }
 
-func (c *conn) Send(appendTo func(b []byte) []byte) (sent uint64, waits int, ok bool) {
+func (c *realConn) Send(appendTo func(b []byte) []byte) (sent uint64, queued int, ok bool) {
 	c.mu.Lock()
-	if c.shut {
+	if c.closing {
 		c.mu.Unlock()
 		return c.sent, 0, false
 	}
 	before := len(c.queue)
 	c.queue = appendTo(c.queue)
 	c.sent += uint64(len(c.queue) - before)
-	c.count.sentMessages.Add(1)
-	if c.raw != nil && c.begun && !c.writes {
-		if c.push(); len(c.queue) > 0 {
-			c.writes = c.r.goes(c.write)
+	c.traffic.sentMessages.Add(1)
+	if c.raw != nil && c.started && !c.writerRunning {
+		if c.writeAvailable(); len(c.queue) > 0 {
+			c.writerRunning = c.env.spawn(c.writeLoop)
 		}
 	}
-	sent, waits = c.sent, len(c.queue)
+	sent, queued = c.sent, len(c.queue)
 	c.mu.Unlock()
-	if c.raw == nil || waits > 0 {
-		c.rouse()
+	if c.raw == nil || queued > 0 {
+		c.wakeWriter()
 	}
-	return sent, waits, true
+	return sent, queued, true
 }
 
-func (c *conn) HandedOver() uint64 {
+func (c *realConn) HandedOver() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.handed + uint64(c.inHand)
+	return c.handedOver + uint64(c.inHandover)
 }
 
-func (c *conn) Unsend(sent uint64, n int) bool {
+func (c *realConn) Unsend(sent uint64, n int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut || sent != c.sent || len(c.queue) < n {
+	if c.closing || sent != c.sent || len(c.queue) < n {
 		return false
 	}
 	c.queue = c.queue[:len(c.queue)-n]
@@ -356,34 +356,34 @@
 	return true
 }
 
-func (c *conn) Close(soft bool, last []byte) { c.stop(soft, last, ErrClosed) }
+func (c *realConn) Close(graceful bool, final []byte) { c.shutDown(graceful, final, ErrClosed) }
 
-// stop ends the connection; the first reason counts.
-func (c *conn) stop(soft bool, last []byte, why error) {
+// shutDown ends the connection; the first reason counts.
+func (c *realConn) shutDown(graceful bool, final []byte, cause error) {
 	c.mu.Lock()
-	first := !c.shut
+	first := !c.closing
 	if first {
-		c.shut, c.soft, c.last, c.why = true, soft, last, why
-		_ = c.c.SetReadDeadline(time.Unix(1, 0)) // wakes the reader
-		if !soft {
-			_ = c.c.SetWriteDeadline(time.Now().Add(farewell))
+		c.closing, c.graceful, c.final, c.cause = true, graceful, final, cause
+		_ = c.netConn.SetReadDeadline(time.Unix(1, 0)) // wakes the reader
+		if !graceful {
+			_ = c.netConn.SetWriteDeadline(time.Now().Add(finalWriteTimeout))
 		}
 	}
-	begun, writes := c.begun, c.writes
+	started, writerRunning := c.started, c.writerRunning
 	c.mu.Unlock()
 	switch {
-	case first && !begun:
-		c.c.Close()
-		c.r.mu.Lock()
-		c.r.forget(c)
-		c.r.mu.Unlock()
-	case first && !writes:
-		c.close(soft, last)
+	case first && !started:
+		c.netConn.Close()
+		c.env.mu.Lock()
+		c.env.removeConn(c)
+		c.env.mu.Unlock()
+	case first && !writerRunning:
+		c.finishWriting(graceful, final)
 	}
-	c.rouse()
+	c.wakeWriter()
 }
 
-func (c *conn) rouse() {
+func (c *realConn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -393,12 +393,12 @@
 // Bytes that are read at once. A prompt connection holds memory for them only while something is there to be read, and reads
 // more: news of a peer that wants an ask no more is not to lie behind what it makes stale.
 const (
-	readAtOnce = 4096
-	readPrompt = 16 << 10
+	readBufferSize             = 4096
+	writeThroughReadBufferSize = 16 << 10
 )
 
 // Bounds of connections that ended softly and wait for their peers to close too.
 const (
-	lingerFor  = time.Second
-	mostLinger = 64
+	lingerTimeout       = time.Second
+	defaultMaxLingering = 64
 )
--- a/internal/outside/connections_test.go
+++ b/internal/outside/connections_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// nearFar gives both ends of a prompt connection on loopback, the far one from outside. The near one's peer is held in its first Heard
+// dialedPair gives both ends of a prompt connection on loopback, the far one from outside. The near one's peer is held in its first Heard
 // until hold is closed.
-func nearFar(t *testing.T, r *Real, p ConnHandler, stuck float64) (Conn, *net.TCPConn) {
+func dialedPair(t *testing.T, r *Real, p ConnHandler, stuck float64) (Conn, *net.TCPConn) {
 	t.Helper()
 	r.WriteThrough = true
 	made := make(chan Conn, 1)
@@ -19,28 +19,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	there, err := net.Dial("tcp", d.Address())
+	remote, err := net.Dial("tcp", d.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { there.Close() })
-	return <-made, there.(*net.TCPConn)
+	t.Cleanup(func() { remote.Close() })
+	return <-made, remote.(*net.TCPConn)
 }
 
-// held is a peer that is held in what it hears.
-type held struct {
-	in   chan string
-	hold chan struct{}
-	over chan error
+// blockedHandler is a peer that is held in what it hears.
+type blockedHandler struct {
+	data    chan string
+	release chan struct{}
+	closed  chan error
 }
 
-func newHeld() *held {
-	return &held{make(chan string, 100), make(chan struct{}), make(chan error, 1)}
+func newBlockedHandler() *blockedHandler {
+	return &blockedHandler{make(chan string, 100), make(chan struct{}), make(chan error, 1)}
 }
 
-func (h *held) OnData(b []byte) { h.in <- string(b); <-h.hold }
+func (h *blockedHandler) OnData(b []byte) { h.data <- string(b); <-h.release }
 
-func (h *held) OnClose(err error) { h.over <- err }
+func (h *blockedHandler) OnClose(err error) { h.closed <- err }
 
 // until waits for something that comes to be.
 func until(t *testing.T, what string, is func() bool) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestLeft tells that a peer has gone while what it sent before lies unread, by each way there is of going.
-func TestLeft(t *testing.T) {
+// TestPeerClosed tells that a peer has gone while what it sent before lies unread, by each way there is of going.
+func TestPeerClosed(t *testing.T) {
 	for name, go_ := range map[string]func(c *net.TCPConn){
 		"closes":      func(c *net.TCPConn) { c.Close() },
 		"closes half": func(c *net.TCPConn) { _ = c.CloseWrite() },
@@ -62,18 +62,18 @@
 		t.Run(name, func(t *testing.T) {
 			r := NewReal()
 			defer r.Close(5 * time.Second)
-			h := newHeld()
-			c, there := nearFar(t, r, h, 1000)
+			h := newBlockedHandler()
+			c, there := dialedPair(t, r, h, 1000)
 			_, _ = there.Write([]byte("first"))
-			<-h.in // its reader is held from here on
+			<-h.data // its reader is held from here on
 			_, _ = there.Write([]byte("unread"))
 			if c.PeerClosed() {
 				t.Error("left, and it is there")
 			}
 			go_(there)
 			until(t, "left", c.PeerClosed)
-			close(h.hold)
-			<-h.over
+			close(h.release)
+			<-h.closed
 			if !c.PeerClosed() {
 				t.Error("it is back")
 			}
@@ -81,15 +81,15 @@
 	}
 }
 
-// TestSoftEnd ends a connection on which bytes lie unread: what was sent last is read whole, then an end, and no reset. The peer may
+// TestGracefulClose ends a connection on which bytes lie unread: what was sent last is read whole, then an end, and no reset. The peer may
 // send on, or never close: then the connection does not last.
-func TestSoftEnd(t *testing.T) {
+func TestGracefulClose(t *testing.T) {
 	for _, how := range []struct{ sendsOn, readsLast bool }{{false, false}, {true, false}, {false, true}, {true, true}} {
 		r := NewReal()
-		h := newHeld()
-		c, there := nearFar(t, r, h, 1000)
+		h := newBlockedHandler()
+		c, there := dialedPair(t, r, h, 1000)
 		_, _ = there.Write([]byte("first"))
-		<-h.in
+		<-h.data
 		_, _ = there.Write([]byte("unread"))
 		c.Send(func(b []byte) []byte { return append(b, "answer"...) })
 		c.Close(true, []byte(", bye"))
@@ -97,42 +97,42 @@
 			_, _ = there.Write([]byte("after the end"))
 		}
 		if how.readsLast {
-			close(h.hold)
-			if err := <-h.over; err != ErrClosed {
+			close(h.release)
+			if err := <-h.closed; err != ErrClosed {
 				t.Error(err)
 			}
-			until(t, "it waits for its peer", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.linger) == 1 })
+			until(t, "it waits for its peer", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.lingering) == 1 })
 		}
 		_ = there.SetReadDeadline(time.Now().Add(20 * time.Second))
 		if got, err := io.ReadAll(there); err != nil || string(got) != "answer, bye" {
 			t.Errorf("%+v: %q, %v", how, got, err)
 		}
 		if !how.readsLast {
-			close(h.hold)
-			if err := <-h.over; err != ErrClosed {
+			close(h.release)
+			if err := <-h.closed; err != ErrClosed {
 				t.Error(err)
 			}
 		}
 		there.Close()
-		until(t, "it is closed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.conns)+len(r.linger) == 0 })
+		until(t, "it is closed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.conns)+len(r.lingering) == 0 })
 		r.Close(5 * time.Second)
 	}
 }
 
-// TestLingers bounds the connections that wait for their peers to close: the first of them goes.
-func TestLingers(t *testing.T) {
+// TestMaxLingering bounds the connections that wait for their peers to close: the first of them goes.
+func TestMaxLingering(t *testing.T) {
 	r := NewReal()
 	defer r.Close(5 * time.Second)
 	r.MaxLingering = 2
 	var all []*net.TCPConn
 	for range 5 {
-		e := newEar()
-		c, there := nearFar(t, r, e, 1000)
+		e := newRecorder()
+		c, there := dialedPair(t, r, e, 1000)
 		c.Close(true, nil)
-		<-e.over
+		<-e.closed
 		all = append(all, there)
 	}
-	until(t, "two are left", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.conns) <= 2 && len(r.linger) <= 2 })
+	until(t, "two are left", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.conns) <= 2 && len(r.lingering) <= 2 })
 	for i, there := range all {
 		_ = there.SetReadDeadline(time.Now().Add(20 * time.Second))
 		if got, err := io.ReadAll(there); err != nil || len(got) > 0 {
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestDoorLetsIn closes a door at which some wait that the kernel has let in: each is given over, with what it sent, before nobody comes
+// TestStopAcceptingTakesBacklog closes a door at which some wait that the kernel has let in: each is given over, with what it sent, before nobody comes
 // any more.
-func TestDoorLetsIn(t *testing.T) {
+func TestStopAcceptingTakesBacklog(t *testing.T) {
 	r := NewReal()
 	defer r.Close(5 * time.Second)
 	r.WriteThrough = true
@@ -155,7 +155,7 @@
 		default: // those that only look whether it is closed
 		}
 		<-hold
-		c.Start(&ear{heard, make(chan error, 1)}, 1000)
+		c.Start(&recorder{heard, make(chan error, 1)}, 1000)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -193,8 +193,8 @@
 	})
 }
 
-// TestSlowTaker has a peer that takes a little at a time, for longer than one that takes nothing is waited for: it gets all.
-func TestSlowTaker(t *testing.T) {
+// TestSlowReader has a peer that takes a little at a time, for longer than one that takes nothing is waited for: it gets all.
+func TestSlowReader(t *testing.T) {
 	r := NewReal()
 	defer r.Close(5 * time.Second)
 	here, there := net.Pipe() // it has no memory of its own: what is not read was not taken
@@ -203,7 +203,7 @@
 	made := make(chan Conn, 1)
 	r.Dial("", 1000, func(c Conn, _ error) { made <- c })
 	c := <-made
-	e := newEar()
+	e := newRecorder()
 	const stuck = 200
 	c.Start(e, stuck)
 	text := strings.Repeat("x", 30)
@@ -219,18 +219,18 @@
 		}
 	}
 	select {
-	case err := <-e.over:
+	case err := <-e.closed:
 		t.Errorf("ended: %v", err)
 	default:
 	}
 }
 
-// TestCloseHandsOver closes a world while a connection that ended softly has words to hand over: they are handed over yet, as its peer
+// TestCloseWaitsForGracefulClose closes a world while a connection that ended softly has words to hand over: they are handed over yet, as its peer
 // takes them only then.
-func TestCloseHandsOver(t *testing.T) {
+func TestCloseWaitsForGracefulClose(t *testing.T) {
 	r := NewReal()
 	c, there := pipe(t, r)
-	c.Start(newEar(), 5000)
+	c.Start(newRecorder(), 5000)
 	c.Send(func(b []byte) []byte { return append(b, "answer"...) })
 	c.Close(true, []byte(", bye"))
 	closed := make(chan struct{})
--- a/internal/outside/datagrams.go
+++ b/internal/outside/datagrams.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// port takes datagrams on a goroutine of its own.
-type port struct {
-	r *Real
-	c *net.UDPConn
+// realPacketConn takes datagrams on a goroutine of its own.
+type realPacketConn struct {
+	env *Real
+	udp *net.UDPConn
 }
 
 // ListenPacket takes datagrams at an address of digits and a port.
-func (r *Real) ListenPacket(address string, heard func(b []byte)) (PacketConn, error) {
-	at, err := net.ResolveUDPAddr("udp", address)
+func (r *Real) ListenPacket(address string, onDatagram func(b []byte)) (PacketConn, error) {
+	local, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, fmt.Errorf("datagrams: %w", err)
 	}
-	c, err := net.ListenUDP("udp", at)
+	udp, err := net.ListenUDP("udp", local)
 	if err != nil {
 		return nil, fmt.Errorf("datagrams: %w", err)
 	}
-	p := &port{r, c}
+	packetConn := &realPacketConn{r, udp}
 	r.mu.Lock()
-	r.ports[p] = true
+	r.packetConns[packetConn] = true
 	r.mu.Unlock()
-	ok := r.goes(func() {
+	ok := r.spawn(func() {
 		b := make([]byte, MaxDatagram+1) // one that is longer shows
 		for {
-			n, _, err := c.ReadFromUDPAddrPort(b)
+			n, _, err := udp.ReadFromUDPAddrPort(b)
 			switch {
 			case err == nil && n <= MaxDatagram:
-				p.r.traffic[Datagram].received(n)
-				heard(b[:n])
+				packetConn.env.trafficByKind[Datagram].addReceived(n)
+				onDatagram(b[:n])
 			case errors.Is(err, net.ErrClosed) || r.ctx.Err() != nil:
 				return
 			case err != nil: // a port that nobody listens at answers so
@@ -44,30 +44,30 @@
 		}
 	})
 	if !ok {
-		c.Close()
+		udp.Close()
 	}
-	return p, nil
+	return packetConn, nil
 }
 
-func (p *port) Address() string { return p.c.LocalAddr().String() }
+func (p *realPacketConn) Address() string { return p.udp.LocalAddr().String() }
 
-func (p *port) Send(to string, b []byte) {
-	at, err := netip.ParseAddrPort(to)
+func (p *realPacketConn) Send(to string, b []byte) {
+	target, err := netip.ParseAddrPort(to)
 	if err != nil || len(b) > MaxDatagram {
 		return // as if lost: an address that is none is found when the site file is read
 	}
-	_ = p.c.SetWriteDeadline(time.Now().Add(sendFor))
-	n, _ := p.c.WriteToUDPAddrPort(b, at)
-	p.r.traffic[Datagram].sentMessages.Add(1)
-	p.r.traffic[Datagram].sent(n)
+	_ = p.udp.SetWriteDeadline(time.Now().Add(datagramSendTimeout))
+	n, _ := p.udp.WriteToUDPAddrPort(b, target)
+	p.env.trafficByKind[Datagram].sentMessages.Add(1)
+	p.env.trafficByKind[Datagram].addSent(n)
 }
 
-// sendFor bounds how long a datagram waits for a place in the kernel's queue.
-const sendFor = 5 * time.Millisecond
+// datagramSendTimeout bounds how long a datagram waits for a place in the kernel's queue.
+const datagramSendTimeout = 5 * time.Millisecond
 
-func (p *port) StopAccepting() {
-	p.r.mu.Lock()
-	delete(p.r.ports, p)
-	p.r.mu.Unlock()
-	p.c.Close()
+func (p *realPacketConn) StopAccepting() {
+	p.env.mu.Lock()
+	delete(p.env.packetConns, p)
+	p.env.mu.Unlock()
+	p.udp.Close()
 }
--- a/internal/outside/doors.go
+++ b/internal/outside/doors.go
@@ -12,68 +12,68 @@
 	"time"
 )
 
-type door struct {
-	r       *Real
-	l       *net.TCPListener
+type realListener struct {
+	env     *Real
+	tcp     *net.TCPListener
 	closing atomic.Bool
 }
 
-func (d *door) Address() string { return d.l.Addr().String() }
+func (d *realListener) Address() string { return d.tcp.Addr().String() }
 
 // StopAccepting has the door's goroutine let in who waits, then close it.
-func (d *door) StopAccepting() {
+func (d *realListener) StopAccepting() {
 	d.closing.Store(true)
-	_ = d.l.SetDeadline(time.Unix(1, 0)) // wakes it
+	_ = d.tcp.SetDeadline(time.Unix(1, 0)) // wakes it
 }
 
-// last lets in all who wait already, then closes the door.
-func (d *door) last(in func(net.Conn)) {
-	for end := time.Now().Add(lastAll); time.Now().Before(end); {
-		_ = d.l.SetDeadline(time.Now().Add(lastCome))
-		c, err := d.l.Accept()
+// acceptBacklog lets in all who wait already, then closes the door.
+func (d *realListener) acceptBacklog(accept func(net.Conn)) {
+	for end := time.Now().Add(backlogMax); time.Now().Before(end); {
+		_ = d.tcp.SetDeadline(time.Now().Add(backlogIdle))
+		netConn, err := d.tcp.Accept()
 		if err != nil {
 			break
 		}
-		in(c)
+		accept(netConn)
 	}
-	d.r.mu.Lock()
-	delete(d.r.doors, d)
-	d.r.mu.Unlock()
-	d.l.Close()
+	d.env.mu.Lock()
+	delete(d.env.listeners, d)
+	d.env.mu.Unlock()
+	d.tcp.Close()
 }
 
 // Listen takes connections on a goroutine of its own until the door is closed.
-func (r *Real) Listen(address string, came func(Conn)) (Listener, error) {
+func (r *Real) Listen(address string, onAccept func(Conn)) (Listener, error) {
 	var lc net.ListenConfig
-	l, err := lc.Listen(r.ctx, "tcp", address)
+	raw, err := lc.Listen(r.ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	tcp, ok := l.(*net.TCPListener)
+	tcp, ok := raw.(*net.TCPListener)
 	if !ok {
-		l.Close()
+		raw.Close()
 		return nil, fmt.Errorf("%s: not a TCP address", address)
 	}
-	d := &door{r: r, l: tcp}
+	listener := &realListener{env: r, tcp: tcp}
 	r.mu.Lock()
-	r.doors[d] = true
+	r.listeners[listener] = true
 	r.mu.Unlock()
-	under := &shaking{}
-	in := func(c net.Conn) {
+	pending := &handshakes{}
+	accept := func(c net.Conn) {
 		if r.TLS != nil {
-			r.shake(c, under, came)
+			r.handshake(c, pending, onAccept)
 		} else {
-			came(r.conn(c, &r.traffic[Accepted]))
+			onAccept(r.newConn(c, &r.trafficByKind[Accepted]))
 		}
 	}
-	r.goes(func() {
+	r.spawn(func() {
 		for {
-			c, err := d.l.Accept()
+			c, err := listener.tcp.Accept()
 			switch {
 			case err == nil:
-				in(c)
-			case d.closing.Load():
-				d.last(in)
+				accept(c)
+			case listener.closing.Load():
+				listener.acceptBacklog(accept)
 				return
 			case errors.Is(err, net.ErrClosed) || r.ctx.Err() != nil:
 				return
@@ -82,63 +82,63 @@
 			}
 		}
 	})
-	return d, nil
+	return listener, nil
 }
 
-// shaking is the handshakes under way at a door, in the order of their coming.
-type shaking struct {
-	mu  sync.Mutex
-	all []net.Conn
+// handshakes is the handshakes under way at a door, in the order of their coming.
+type handshakes struct {
+	mu    sync.Mutex
+	conns []net.Conn
 }
 
 // add takes one more. While too many are under way the oldest is closed: it had the longest time, and who is quick comes
 // in whatever the number of those that begin one and say no more.
-func (s *shaking) add(c net.Conn) {
+func (s *handshakes) add(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.all) >= mostHandshakes {
-		s.all[0].Close()
-		s.all = slices.Delete(s.all, 0, 1)
+	if len(s.conns) >= maxHandshakes {
+		s.conns[0].Close()
+		s.conns = slices.Delete(s.conns, 0, 1)
 	}
-	s.all = append(s.all, c)
+	s.conns = append(s.conns, c)
 }
 
-func (s *shaking) done(c net.Conn) {
+func (s *handshakes) remove(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if i := slices.Index(s.all, c); i >= 0 {
-		s.all = slices.Delete(s.all, i, i+1)
+	if i := slices.Index(s.conns, c); i >= 0 {
+		s.conns = slices.Delete(s.conns, i, i+1)
 	}
 }
 
-// shake takes a connection when its handshake is done.
-func (r *Real) shake(c net.Conn, under *shaking, came func(Conn)) {
-	under.add(c)
-	ok := r.goes(func() {
-		ctx, stop := context.WithTimeout(r.ctx, shakeFor)
+// handshake takes a connection when its handshake is done.
+func (r *Real) handshake(netConn net.Conn, pending *handshakes, onAccept func(Conn)) {
+	pending.add(netConn)
+	ok := r.spawn(func() {
+		ctx, stop := context.WithTimeout(r.ctx, handshakeTimeout)
 		defer stop()
-		s := tls.Server(c, r.TLS)
-		err := s.HandshakeContext(ctx)
-		under.done(c)
+		secured := tls.Server(netConn, r.TLS)
+		err := secured.HandshakeContext(ctx)
+		pending.remove(netConn)
 		if err != nil {
-			c.Close()
+			netConn.Close()
 			return
 		}
-		came(r.conn(s, &r.traffic[Accepted]))
+		onAccept(r.newConn(secured, &r.trafficByKind[Accepted]))
 	})
 	if !ok {
-		under.done(c)
-		c.Close()
+		pending.remove(netConn)
+		netConn.Close()
 	}
 }
 
 const (
-	lastCome = 2 * time.Millisecond // nobody came for so long: nobody waits
-	lastAll  = 100 * time.Millisecond
+	backlogIdle = 2 * time.Millisecond // nobody came for so long: nobody waits
+	backlogMax  = 100 * time.Millisecond
 )
 
 // Bounds of handshakes: who begins one and does not end it costs no more than a place for a moment.
 const (
-	mostHandshakes = 64
-	shakeFor       = 3 * time.Second
+	maxHandshakes    = 64
+	handshakeTimeout = 3 * time.Second
 )
--- a/internal/outside/real.go
+++ b/internal/outside/real.go
@@ -28,21 +28,21 @@
 	// EndpointListAddress is the node list's, whose connection is counted apart from those to nodes.
 	EndpointListAddress string
 
-	traffic [numKinds]traffic
+	trafficByKind [numKinds]trafficCounters
 
-	start  time.Time
-	base   float64
-	ctx    context.Context
-	cancel context.CancelFunc
-	work   sync.WaitGroup
+	startTime  time.Time
+	startMs    float64
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu     sync.Mutex
-	closed bool
-	timers map[*timer]bool
-	doors  map[*door]bool
-	ports  map[*port]bool
-	conns  map[*conn]bool
-	linger []*conn // ended softly and not closed, in the order of their ends
+	mu          sync.Mutex
+	closed      bool
+	timers      map[*realTimer]bool
+	listeners   map[*realListener]bool
+	packetConns map[*realPacketConn]bool
+	conns       map[*realConn]bool
+	lingering   []*realConn // ended softly and not closed, in the order of their ends
 }
 
 // NewReal begins a world. Its clock is told by the wall once, from then on by the monotonic clock alone.
@@ -50,8 +50,8 @@
 	now := time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Real{
-		start: now, base: float64(now.Sub(Epoch)) / 1e6, ctx: ctx, cancel: cancel, timers: map[*timer]bool{},
-		doors: map[*door]bool{}, ports: map[*port]bool{}, conns: map[*conn]bool{},
+		startTime: now, startMs: float64(now.Sub(Epoch)) / 1e6, ctx: ctx, cancel: cancel, timers: map[*realTimer]bool{},
+		listeners: map[*realListener]bool{}, packetConns: map[*realPacketConn]bool{}, conns: map[*realConn]bool{},
 	}
 }
 
@@ -60,59 +60,59 @@
 func (r *Real) Close(wait time.Duration) {
 	r.mu.Lock()
 	r.closed = true
-	for t := range r.timers {
-		if t.t.Stop() {
-			delete(r.timers, t)
-			r.work.Done()
+	for timer := range r.timers {
+		if timer.timer.Stop() {
+			delete(r.timers, timer)
+			r.goroutines.Done()
 		}
 	}
-	doors, conns, ports, linger := r.doors, r.conns, r.ports, slices.Clone(r.linger)
-	r.doors, r.conns, r.ports = map[*door]bool{}, map[*conn]bool{}, map[*port]bool{}
+	doors, conns, ports, linger := r.listeners, r.conns, r.packetConns, slices.Clone(r.lingering)
+	r.listeners, r.conns, r.packetConns = map[*realListener]bool{}, map[*realConn]bool{}, map[*realPacketConn]bool{}
 	r.mu.Unlock()
 	r.cancel()
 	for d := range doors {
-		d.l.Close()
+		d.tcp.Close()
 	}
 	for c := range conns {
 		c.Close(false, nil)
 	}
 	for _, c := range linger { // all is said on these; on others that end softly it is handed over yet
-		c.c.Close()
+		c.netConn.Close()
 	}
 	for p := range ports {
-		p.c.Close()
+		p.udp.Close()
 	}
 	done := make(chan struct{})
-	go func() { r.work.Wait(); close(done) }()
+	go func() { r.goroutines.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(wait):
 	}
 }
 
-// goes runs a goroutine that Close waits for; false if the world is closed.
-func (r *Real) goes(f func()) bool {
+// spawn runs a goroutine that Close waits for; false if the world is closed.
+func (r *Real) spawn(f func()) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
 		return false
 	}
-	r.work.Add(1)
+	r.goroutines.Add(1)
 	go func() {
-		defer r.work.Done()
+		defer r.goroutines.Done()
 		f()
 	}()
 	return true
 }
 
 // Now is ms since the Epoch.
-func (r *Real) Now() float64 { return r.base + float64(time.Since(r.start))/1e6 }
+func (r *Real) Now() float64 { return r.startMs + float64(time.Since(r.startTime))/1e6 }
 
 // WallClock is the machine's clock.
 func (r *Real) WallClock() time.Time { return time.Now() }
 
 // Dial connects on a goroutine of its own.
-func (r *Real) Dial(address string, within float64, done func(Conn, error)) {
+func (r *Real) Dial(address string, timeoutMs float64, onDone func(Conn, error)) {
 	connect := r.Connect
 	if connect == nil {
 		d := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{
@@ -121,26 +121,26 @@
 		}}
 		connect = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
 	}
-	r.goes(func() {
-		ctx, cancel := context.WithTimeout(r.ctx, time.Duration(within*1e6))
+	r.spawn(func() {
+		ctx, cancel := context.WithTimeout(r.ctx, time.Duration(timeoutMs*1e6))
 		defer cancel()
 		c, err := connect(ctx, address)
-		err = sorted(err)
+		err = classifyDialError(err)
 		if err != nil {
-			done(nil, err)
+			onDone(nil, err)
 			return
 		}
-		done(r.conn(c, r.dialedTo(address)), nil)
+		onDone(r.newConn(c, r.dialTraffic(address)), nil)
 	})
 }
 
-// sorted tells in the error of a dial whose want it was.
-func sorted(err error) error {
+// classifyDialError tells in the error of a dial whose want it was.
+func classifyDialError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	for _, own := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
-		if errors.Is(err, own) {
+	for _, local := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
+		if errors.Is(err, local) {
 			return fmt.Errorf("%w: %w", ErrExhausted, err)
 		}
 	}
--- a/internal/outside/real_test.go
+++ b/internal/outside/real_test.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// ear hears a connection.
-type ear struct {
-	heard chan string
-	over  chan error
+// recorder hears a connection.
+type recorder struct {
+	data   chan string
+	closed chan error
 }
 
-func newEar() *ear { return &ear{make(chan string, 100), make(chan error, 2)} }
+func newRecorder() *recorder { return &recorder{make(chan string, 100), make(chan error, 2)} }
 
-func (e *ear) OnData(b []byte)   { e.heard <- string(b) }
-func (e *ear) OnClose(err error) { e.over <- err }
+func (e *recorder) OnData(b []byte)   { e.data <- string(b) }
+func (e *recorder) OnClose(err error) { e.closed <- err }
 
 // pipe gives a connection and its far end.
 func pipe(t *testing.T, r *Real) (Conn, net.Conn) {
@@ -39,7 +39,7 @@
 	r := NewReal()
 	defer r.Close(time.Second)
 	c, there := pipe(t, r)
-	c.Start(newEar(), 1000)
+	c.Start(newRecorder(), 1000)
 	const lines = 3000
 	go func() {
 		for i := range lines {
@@ -61,12 +61,12 @@
 	}
 }
 
-// TestHanded tells what never left: of a message half of which was read, and of one that only waited.
-func TestHanded(t *testing.T) {
+// TestHandedOver tells what never left: of a message half of which was read, and of one that only waited.
+func TestHandedOver(t *testing.T) {
 	r := NewReal()
 	defer r.Close(time.Second)
 	c, there := pipe(t, r)
-	e := newEar()
+	e := newRecorder()
 	c.Start(e, 1000)
 	first, _, ok := c.Send(func(b []byte) []byte { return append(b, "0123456789"...) })
 	if !ok || first != 10 {
@@ -81,7 +81,7 @@
 		t.Fatalf("sent %d, %d wait, %v", second, waits, ok)
 	}
 	c.Close(false, nil)
-	if err := <-e.over; err != ErrClosed {
+	if err := <-e.closed; err != ErrClosed {
 		t.Error(err)
 	}
 	if h := c.HandedOver(); h != 4 {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestEnds(t *testing.T) {
+func TestConnectionEnds(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		end  func(c Conn, there net.Conn)
@@ -107,14 +107,14 @@
 			r := NewReal()
 			defer r.Close(time.Second)
 			conn, there := pipe(t, r)
-			e := newEar()
+			e := newRecorder()
 			conn.Start(e, 50)
 			go func() { _, _ = there.Write([]byte("hello")) }()
-			if got := <-e.heard; got != "hello" {
+			if got := <-e.data; got != "hello" {
 				t.Errorf("heard %q", got)
 			}
 			c.end(conn, there)
-			if err := <-e.over; !strings.Contains(err.Error(), c.why) {
+			if err := <-e.closed; !strings.Contains(err.Error(), c.why) {
 				t.Errorf("%v, want %s", err, c.why)
 			}
 		})
@@ -130,11 +130,11 @@
 	stopped.Stop()
 	Every(r, 1, func() bool { turns.Add(1); return true })
 	l := r.StartLoop(func() float64 { turns.Add(1); return 1 })
-	d, err := r.Listen("127.0.0.1:0", func(c Conn) { c.Start(newEar(), 100) })
+	d, err := r.Listen("127.0.0.1:0", func(c Conn) { c.Start(newRecorder(), 100) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := newEar()
+	e := newRecorder()
 	r.Dial(d.Address(), 1000, func(c Conn, err error) {
 		if err != nil {
 			t.Error(err)
@@ -149,7 +149,7 @@
 		t.Errorf("loop ended %v, %d turns, %d calls", l.HasEnded(), after, calls.Load())
 	}
 	select {
-	case <-e.over:
+	case <-e.closed:
 	default:
 		t.Error("a connection outlives its world")
 	}
@@ -166,19 +166,19 @@
 func TestClock(t *testing.T) {
 	r := NewReal()
 	defer r.Close(time.Second)
-	if !strings.Contains(r.start.String(), " m=") {
+	if !strings.Contains(r.startTime.String(), " m=") {
 		t.Error("the start has no monotonic reading: the clock would follow the wall")
 	}
 	first := r.Now()
-	jumped := &Real{start: r.start.Round(0).Add(-time.Hour), base: r.base} // as it would be after a jump of an hour
+	jumped := &Real{startTime: r.startTime.Round(0).Add(-time.Hour), startMs: r.startMs} // as it would be after a jump of an hour
 	if d := r.Now() - first; d < 0 || d > 60e3 || jumped.Now()-first < 3600e3 {
 		t.Errorf("%g ms since the start", d)
 	}
 }
 
-// TestPrompt holds that what is sent leaves with the call that sends it, that what the network does not take at once follows
+// TestWriteThrough holds that what is sent leaves with the call that sends it, that what the network does not take at once follows
 // in order, and that what has not left can be taken back.
-func TestPrompt(t *testing.T) {
+func TestWriteThrough(t *testing.T) {
 	r := NewReal()
 	r.WriteThrough = true
 	defer r.Close(time.Second)
@@ -197,7 +197,7 @@
 	r.Dial(l.Addr().String(), 1000, func(c Conn, err error) { made <- c })
 	c, there := <-made, <-came
 	defer there.Close()
-	e := newEar()
+	e := newRecorder()
 	c.Start(e, 5000)
 	line := func(n int) func([]byte) []byte {
 		return func(b []byte) []byte { return append(b, strings.Repeat("x", n)...) }
@@ -237,7 +237,7 @@
 		}
 	}
 	c.Close(true, []byte("bye"))
-	if err := <-e.over; err != ErrClosed {
+	if err := <-e.closed; err != ErrClosed {
 		t.Error(err)
 	}
 	if n := <-got; n != int64(all)+100+3 {
@@ -245,13 +245,13 @@
 	}
 }
 
-// TestPromptEnds ends prompt connections from both sides and by their peers, many at once: each is over, once.
-func TestPromptEnds(t *testing.T) {
+// TestWriteThroughCloses ends prompt connections from both sides and by their peers, many at once: each is over, once.
+func TestWriteThroughCloses(t *testing.T) {
 	r := NewReal()
 	r.WriteThrough = true
 	overs := make(chan error, 400)
 	d, err := r.Listen("127.0.0.1:0", func(c Conn) {
-		c.Start(&ear{make(chan string, 100), overs}, 1000)
+		c.Start(&recorder{make(chan string, 100), overs}, 1000)
 		c.Send(func(b []byte) []byte { return append(b, "hello"...) })
 	})
 	if err != nil {
@@ -263,7 +263,7 @@
 				t.Error(err)
 				return
 			}
-			c.Start(&ear{make(chan string, 100), overs}, 1000)
+			c.Start(&recorder{make(chan string, 100), overs}, 1000)
 			c.Send(func(b []byte) []byte { return append(b, "x"...) })
 			c.Close(i%2 == 0, nil)
 		})
@@ -281,8 +281,8 @@
 	}
 }
 
-// TestEarly holds that what is sent on a prompt connection before it has begun leaves with its beginning.
-func TestEarly(t *testing.T) {
+// TestSendBeforeStart holds that what is sent on a prompt connection before it has begun leaves with its beginning.
+func TestSendBeforeStart(t *testing.T) {
 	r := NewReal()
 	r.WriteThrough = true
 	defer r.Close(time.Second)
@@ -300,7 +300,7 @@
 	defer there.Close()
 	c := <-made
 	c.Send(func(b []byte) []byte { return append(b, "early"...) })
-	c.Start(newEar(), 1000)
+	c.Start(newRecorder(), 1000)
 	_ = there.SetReadDeadline(time.Now().Add(5 * time.Second))
 	got := make([]byte, 5)
 	if _, err := io.ReadFull(there, got); err != nil || string(got) != "early" {
--- a/internal/outside/timers.go
+++ b/internal/outside/timers.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-type timer struct {
-	r *Real
-	t *time.Timer
+type realTimer struct {
+	env   *Real
+	timer *time.Timer
 }
 
 // After calls f on a goroutine of its own.
 func (r *Real) After(ms float64, f func()) Timer {
-	t := &timer{r: r}
+	t := &realTimer{env: r}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
 		return t
 	}
-	r.work.Add(1)
+	r.goroutines.Add(1)
 	r.timers[t] = true
-	t.t = time.AfterFunc(time.Duration(ms*1e6), func() {
-		defer r.work.Done()
+	t.timer = time.AfterFunc(time.Duration(ms*1e6), func() {
+		defer r.goroutines.Done()
 		r.mu.Lock()
 		delete(r.timers, t)
 		closed := r.closed
@@ -33,33 +33,33 @@
 	return t
 }
 
-func (t *timer) Stop() {
-	t.r.mu.Lock()
-	defer t.r.mu.Unlock()
-	if t.t != nil && t.r.timers[t] && t.t.Stop() {
-		delete(t.r.timers, t)
-		t.r.work.Done()
+func (t *realTimer) Stop() {
+	t.env.mu.Lock()
+	defer t.env.mu.Unlock()
+	if t.timer != nil && t.env.timers[t] && t.timer.Stop() {
+		delete(t.env.timers, t)
+		t.env.goroutines.Done()
 	}
 }
 
-type loop struct {
+type realLoop struct {
 	wake  chan struct{}
 	ended atomic.Bool
 }
 
-func (l *loop) Wake() {
+func (l *realLoop) Wake() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (l *loop) HasEnded() bool { return l.ended.Load() }
+func (l *realLoop) HasEnded() bool { return l.ended.Load() }
 
 // StartLoop runs turn on a goroutine of its own.
 func (r *Real) StartLoop(turn func() (wait float64)) Loop {
-	l := &loop{wake: make(chan struct{}, 1)}
-	ok := r.goes(func() {
+	l := &realLoop{wake: make(chan struct{}, 1)}
+	ok := r.spawn(func() {
 		defer l.ended.Store(true)
 		t := time.NewTimer(0)
 		defer t.Stop()
--- a/internal/outside/traffic.go
+++ b/internal/outside/traffic.go
@@ -28,25 +28,25 @@
 	OpenConnections   int64  // now; of datagrams there are none
 }
 
-// traffic counts the flow of one kind.
-type traffic struct {
+// trafficCounters counts the flow of one kind.
+type trafficCounters struct {
 	sentMessages, sentBytes, receivedMessages, receivedBytes, opened atomic.Uint64
 	open                                                             atomic.Int64
 }
 
-func (t *traffic) sent(bytes int) { t.sentBytes.Add(uint64(max(0, bytes))) }
+func (t *trafficCounters) addSent(bytes int) { t.sentBytes.Add(uint64(max(0, bytes))) }
 
-func (t *traffic) received(bytes int) {
+func (t *trafficCounters) addReceived(bytes int) {
 	t.receivedMessages.Add(1)
 	t.receivedBytes.Add(uint64(bytes))
 }
 
-func (t *traffic) begun() {
+func (t *trafficCounters) addOpened() {
 	t.opened.Add(1)
 	t.open.Add(1)
 }
 
-func (t *traffic) flow(kind ConnKind) Traffic {
+func (t *trafficCounters) snapshot(kind ConnKind) Traffic {
 	return Traffic{
 		Kind: kind, SentMessages: t.sentMessages.Load(), SentBytes: t.sentBytes.Load(), ReceivedMessages: t.receivedMessages.Load(),
 		ReceivedBytes: t.receivedBytes.Load(), OpenedConnections: t.opened.Load(), OpenConnections: t.open.Load(),
@@ -57,23 +57,23 @@
 func (r *Real) Traffic() []Traffic {
 	all := make([]Traffic, 0, numKinds)
 	for kind := range numKinds {
-		all = append(all, r.traffic[kind].flow(kind))
+		all = append(all, r.trafficByKind[kind].snapshot(kind))
 	}
 	return all
 }
 
-// dialedTo is the count of a connection that is made to an address.
-func (r *Real) dialedTo(address string) *traffic {
+// dialTraffic is the count of a connection that is made to an address.
+func (r *Real) dialTraffic(address string) *trafficCounters {
 	if address == r.EndpointListAddress && address != "" {
-		return &r.traffic[EndpointList]
+		return &r.trafficByKind[EndpointList]
 	}
-	return &r.traffic[Dialed]
+	return &r.trafficByKind[Dialed]
 }
 
-// forget drops an ended connection from those that are closed with the world; under the world's lock.
-func (r *Real) forget(c *conn) {
+// removeConn drops an ended connection from those that are closed with the world; under the world's lock.
+func (r *Real) removeConn(c *realConn) {
 	if r.conns[c] {
 		delete(r.conns, c)
-		c.count.open.Add(-1)
+		c.traffic.open.Add(-1)
 	}
 }
--- a/internal/outside/traffic_test.go
+++ b/internal/outside/traffic_test.go
@@ -11,8 +11,8 @@
 func (l *listener) OnData(b []byte) { l.came <- len(b) }
 func (l *listener) OnClose(error)   {}
 
-// TestFlows counts what passes over a connection that is let in, one that is made, and datagrams, each by its kind.
-func TestFlows(t *testing.T) {
+// TestTraffic counts what passes over a connection that is let in, one that is made, and datagrams, each by its kind.
+func TestTraffic(t *testing.T) {
 	w := NewReal()
 	defer w.Close(time.Second)
 	there, here := &listener{make(chan int, 10)}, &listener{make(chan int, 10)}
