--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -16,8 +16,8 @@
 	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/decide/zones"
+	"ravenpond/internal/env"
 	runner "ravenpond/internal/members"
-	"ravenpond/internal/outside"
 	codec "ravenpond/internal/proto/clusterstate"
 )
 
@@ -58,11 +58,11 @@
 
 // Runner is control that runs.
 type Runner struct {
-	environment outside.Environment
+	environment env.Environment
 	log         zerolog.Logger
 	members     *runner.Runner
 	storage     Storage // nil: not a voter
-	loop        outside.Loop
+	loop        env.Loop
 	view        atomic.Pointer[View]
 	stopped     atomic.Bool
 
@@ -81,7 +81,7 @@
 const evaluateInterval = 100
 
 // Start runs a process's part in the consensus of its site on the members' datagrams. A voter's disk is its own from then on.
-func Start(environment outside.Environment, log zerolog.Logger, members *runner.Runner, config consensus.Config, storage Storage, zoneConfig ZoneConfig) (*Runner, error) {
+func Start(environment env.Environment, log zerolog.Logger, members *runner.Runner, config consensus.Config, storage Storage, zoneConfig ZoneConfig) (*Runner, error) {
 	if zoneConfig.Latency == nil {
 		zoneConfig.Latency = func(string, string) float64 { return 0 }
 	}
--- a/internal/outside/datagrams.go
+++ b/internal/env/datagrams.go
@@ -1,4 +1,4 @@
-package outside
+package env
 
 import (
 	"errors"
--- a/internal/outside/outside.go
+++ b/internal/env/outside.go
@@ -1,7 +1,7 @@
 // Package outside is what the program touches beside its memory: time, connections and a disk. All that the program
 // does there goes through these interfaces, by calls that never wait, so that the same code runs on sockets (Real) and
 // in the laboratory, on one goroutine and a clock of its own.
-package outside
+package env
 
 import (
 	"errors"
--- a/internal/lab/circle/circle.go
+++ b/internal/lab/circle/circle.go
@@ -9,9 +9,9 @@
 	"slices"
 
 	"ravenpond/internal/decide/membership"
+	"ravenpond/internal/env"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/members"
-	"ravenpond/internal/outside"
 )
 
 // Cluster is a site's processes.
@@ -20,7 +20,7 @@
 	Random    *rand.Rand
 	Processes []*Process
 	// Wrap changes the world that detectors run in, to plant faults; nil changes nothing.
-	Wrap func(outside.Environment) outside.Environment
+	Wrap func(env.Environment) env.Environment
 
 	Faults membership.Faults
 
@@ -69,11 +69,11 @@
 func New(seed uint64, n int) *Cluster { return NewWithEnvironment(seed, n, nil) }
 
 // NewWithEnvironment begins so many processes in worlds that are wrapped.
-func NewWithEnvironment(seed uint64, n int, wrap func(outside.Environment) outside.Environment) *Cluster {
+func NewWithEnvironment(seed uint64, n int, wrap func(env.Environment) env.Environment) *Cluster {
 	return newCluster(seed, n, wrap, membership.Faults{})
 }
 
-func newCluster(seed uint64, n int, wrap func(outside.Environment) outside.Environment, plant membership.Faults) *Cluster {
+func newCluster(seed uint64, n int, wrap func(env.Environment) env.Environment, plant membership.Faults) *Cluster {
 	c := &Cluster{Faults: plant, used: [2][][][2]float64{make([][][2]float64, n), make([][][2]float64, n)}, Clock: sim.NewClock(seed), Random: rand.New(rand.NewPCG(seed, 0xc1)), Wrap: wrap}
 	for i := range n {
 		name := fmt.Sprintf("m%03d", i)
@@ -95,7 +95,7 @@
 	for i := range min(3, len(p.cluster.Processes)) {
 		seeds = append(seeds, p.cluster.Processes[i].Address)
 	}
-	w := outside.Environment(p.Host)
+	w := env.Environment(p.Host)
 	if p.cluster.Wrap != nil {
 		w = p.cluster.Wrap(w)
 	}
--- a/internal/lab/circle/circle_test.go
+++ b/internal/lab/circle/circle_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"ravenpond/internal/decide/membership"
+	"ravenpond/internal/env"
 	"ravenpond/internal/lab/sim"
-	"ravenpond/internal/outside"
 )
 
 // TestMeet has processes find each other from the seeds alone.
@@ -338,11 +338,11 @@
 
 // replayer keeps every datagram that a process hears, to bring it again later.
 type replayer struct {
-	outside.Environment
+	env.Environment
 	kept map[string][][]byte
 }
 
-func (r *replayer) ListenPacket(address string, heard func([]byte)) (outside.PacketConn, error) {
+func (r *replayer) ListenPacket(address string, heard func([]byte)) (env.PacketConn, error) {
 	return r.Environment.ListenPacket(address, func(b []byte) {
 		r.kept[address] = append(r.kept[address], append([]byte(nil), b...))
 		heard(b)
@@ -353,7 +353,7 @@
 // changes by it, at a price of a hash each.
 func TestReplay(t *testing.T) {
 	kept := map[string][][]byte{}
-	c := NewWithEnvironment(14, 5, func(w outside.Environment) outside.Environment { return &replayer{w, kept} })
+	c := NewWithEnvironment(14, 5, func(w env.Environment) env.Environment { return &replayer{w, kept} })
 	c.AwaitConvergence(5000)
 	c.Advance(3000)
 	c.Processes[4].Kill()
@@ -423,7 +423,7 @@
 func TestReplayedLeave(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		kept := map[string][][]byte{}
-		c := newCluster(15, 3, func(w outside.Environment) outside.Environment { return &replayer{w, kept} }, membership.Faults{Replayed: taken})
+		c := newCluster(15, 3, func(w env.Environment) env.Environment { return &replayer{w, kept} }, membership.Faults{Replayed: taken})
 		c.Advance(20000)
 		c.Processes[2].Kill()
 		again, err := c.Processes[0].Host.ListenPacket("again:1", func([]byte) {})
--- a/internal/lab/circle/play.go
+++ b/internal/lab/circle/play.go
@@ -7,9 +7,9 @@
 	"runtime/debug"
 
 	"ravenpond/internal/decide/membership"
+	"ravenpond/internal/env"
 	"ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
-	"ravenpond/internal/outside"
 )
 
 // Times of a seed in ms.
@@ -40,7 +40,7 @@
 	sizes := []int{3, 3, 4, 5, 5, 7, 9, 9, 12, 20, 35, 60}
 	n := sizes[int(seed)%len(sizes)]
 	v.Processes = n
-	c := newCluster(seed, n, func(w outside.Environment) outside.Environment {
+	c := newCluster(seed, n, func(w env.Environment) env.Environment {
 		if old == nil {
 			old = &recording{}
 		}
@@ -114,11 +114,11 @@
 }
 
 type recordingEnvironment struct {
-	outside.Environment
+	env.Environment
 	*recording
 }
 
-func (r recordingEnvironment) ListenPacket(address string, f func([]byte)) (outside.PacketConn, error) {
+func (r recordingEnvironment) ListenPacket(address string, f func([]byte)) (env.PacketConn, error) {
 	return r.Environment.ListenPacket(address, func(b []byte) {
 		if len(r.datagrams) < 4000 {
 			r.datagrams = append(r.datagrams, datagram{address, append([]byte(nil), b...)})
--- a/internal/lab/clubs/clubs.go
+++ b/internal/lab/clubs/clubs.go
@@ -19,7 +19,7 @@
 	"ravenpond/internal/audit"
 	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/tenancy"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/serve"
 	"ravenpond/internal/site"
 	"ravenpond/internal/standin"
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	real := outside.NewReal()
+	real := env.NewReal()
 	defer real.Close(time.Second)
 	w := standin.NewTestbed(real)
 	nodes, err := startNodes(w, day)
@@ -334,8 +334,8 @@
 // reconnectForever connects anew without end and never shows a token.
 func reconnectForever(end time.Time, addr string) {
 	for time.Now().Before(end) {
-		w := outside.NewReal()
-		w.Dial(addr, 500, func(conn outside.Conn, err error) {
+		w := env.NewReal()
+		w.Dial(addr, 500, func(conn env.Conn, err error) {
 			if err == nil {
 				conn.Start(discardHandler{}, 500)
 				conn.Send(func(b []byte) []byte { return append(b, "Content-Length: 9\r\n\r\n"...) })
--- a/internal/lab/clubs/removals.go
+++ b/internal/lab/clubs/removals.go
@@ -16,8 +16,8 @@
 	"ravenpond/internal/audit"
 	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/tenancy"
+	"ravenpond/internal/env"
 	"ravenpond/internal/lab/spawn"
-	"ravenpond/internal/outside"
 	"ravenpond/internal/serve"
 	"ravenpond/internal/site"
 	"ravenpond/internal/standin"
@@ -66,7 +66,7 @@
 		return out, err
 	}
 	defer os.RemoveAll(dir)
-	real := outside.NewReal()
+	real := env.NewReal()
 	defer real.Close(time.Second)
 	p := &removalRun{RemovalTrial: r, testbed: standin.NewTestbed(real), dir: dir, path: filepath.Join(dir, "site.xml")}
 	nodes, err := startNodes(p.testbed, Trial{Tenants: slots, Nodes: r.Nodes, Seed: r.Seed})
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"ravenpond/internal/audit"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/site"
 	"ravenpond/internal/standin"
 )
@@ -33,7 +33,7 @@
 type player struct {
 	Drill
 	ctx           context.Context
-	env           *outside.Real
+	env           *env.Real
 	testbed       *standin.Testbed
 	rng           *rand.Rand
 	list          *standin.List
@@ -59,7 +59,7 @@
 func Play(ctx context.Context, d Drill) (*Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	real := outside.NewReal()
+	real := env.NewReal()
 	p := &player{
 		Drill: d, ctx: ctx, env: real, testbed: standin.NewTestbed(real), rng: rand.New(rand.NewPCG(d.Seed, 3)),
 		groups: map[string]*standin.Group{}, startedAt: time.Now().Add(time.Second), rateFactor: 1, tenantFactors: map[string]float64{},
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -20,8 +20,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"ravenpond/internal/audit"
+	"ravenpond/internal/env"
 	"ravenpond/internal/lab/spawn"
-	"ravenpond/internal/outside"
 	"ravenpond/internal/serve"
 	"ravenpond/internal/site"
 	"ravenpond/internal/standin"
@@ -83,7 +83,7 @@
 	if len(faults) > 0 {
 		return nil, fmt.Errorf("site of the load: %s", faults[0])
 	}
-	real := outside.NewReal()
+	real := env.NewReal()
 	defer real.Close(time.Second)
 	w := standin.NewTestbed(real)
 	nodes, err := startNodes(w, place, tr)
--- a/internal/lab/procs/procs.go
+++ b/internal/lab/procs/procs.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"ravenpond/internal/audit"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/site"
 	"ravenpond/internal/standin"
 )
@@ -37,7 +37,7 @@
 type Rig struct {
 	Config
 	ctx        context.Context
-	env        *outside.Real
+	env        *env.Real
 	testbed    *standin.Testbed
 	site       *site.Config
 	rules      audit.Rules
@@ -63,7 +63,7 @@
 // Start starts all and waits until owners may connect everywhere.
 func Start(ctx context.Context, p Config) (r *Rig, err error) {
 	ctx, stop := context.WithCancel(ctx)
-	real := outside.NewReal()
+	real := env.NewReal()
 	r = &Rig{
 		Config: p, ctx: ctx, stop: stop, env: real, testbed: standin.NewTestbed(real), rng: rand.New(rand.NewPCG(p.Seed, 0x916)), datagramLinks: map[[2]int]DatagramLink{},
 		routes: map[routeKey][2]Route{},
--- a/internal/lab/route/abandoned.go
+++ b/internal/lab/route/abandoned.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	codec "ravenpond/internal/proto/platform"
 )
 
@@ -14,12 +14,12 @@
 
 // observedEnvironment is a scheduler's world in which each set-up that it sends is seen as it is sent.
 type observedEnvironment struct {
-	outside.Environment
+	env.Environment
 	sim *simulation
 }
 
-func (w observedEnvironment) Dial(address string, within float64, done func(outside.Conn, error)) {
-	w.Environment.Dial(address, within, func(c outside.Conn, err error) {
+func (w observedEnvironment) Dial(address string, within float64, done func(env.Conn, error)) {
+	w.Environment.Dial(address, within, func(c env.Conn, err error) {
 		if err == nil {
 			c = &observedConn{Conn: c, sim: w.sim}
 		}
@@ -28,7 +28,7 @@
 }
 
 type observedConn struct {
-	outside.Conn
+	env.Conn
 	sim *simulation
 }
 
--- a/internal/lab/route/peers.go
+++ b/internal/lab/route/peers.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"ravenpond/internal/audit"
+	"ravenpond/internal/env"
 	"ravenpond/internal/lab/sim"
-	"ravenpond/internal/outside"
 	codec "ravenpond/internal/proto/platform"
 )
 
@@ -17,7 +17,7 @@
 
 // peerConn is a stand-in's end of a connection.
 type peerConn struct {
-	conn      outside.Conn
+	conn      env.Conn
 	buffered  []byte
 	onMessage func(msg []byte)
 	onClose   func(err error)
@@ -127,7 +127,7 @@
 			o.dial(nil)
 		}
 	}
-	o.process.Dial(s.name+":1", 500, func(c outside.Conn, err error) {
+	o.process.Dial(s.name+":1", 500, func(c env.Conn, err error) {
 		if err != nil {
 			e.closed = true
 			return
@@ -306,7 +306,7 @@
 
 // unix is the true time in Unix ms.
 func (g *simulation) unix() float64 {
-	return g.schedulers[0].process.Now() + float64(outside.Epoch.UnixMilli())
+	return g.schedulers[0].process.Now() + float64(env.Epoch.UnixMilli())
 }
 
 // start begins a life of the node.
@@ -323,7 +323,7 @@
 	}
 }
 
-func (n *node) accept(c outside.Conn) {
+func (n *node) accept(c env.Conn) {
 	e := &peerConn{conn: c}
 	e.onMessage = func(msg []byte) { n.onMessage(e, msg) }
 	e.onClose = func(error) {
--- a/internal/lab/route/simulation.go
+++ b/internal/lab/route/simulation.go
@@ -17,9 +17,9 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/audit"
+	"ravenpond/internal/env"
 	"ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
-	"ravenpond/internal/outside"
 	"ravenpond/internal/platform"
 	"ravenpond/internal/settings"
 )
@@ -59,11 +59,11 @@
 
 // Faults is a fault planted in the program, to see that it is found.
 type Faults struct {
-	World              func(outside.Environment) outside.Environment // what a scheduler runs in
-	AlwaysOverload     bool                                          // each seed gives one scheduler far more than it can do, not one in four
-	AsynchronousWrites bool                                          // what is sent leaves by writers, in their turn
-	InitialEvents      func(events []byte) []byte                    // what it is told at a start
-	Trace              io.Writer                                     // is given what passed, in words, if it is not nil
+	World              func(env.Environment) env.Environment // what a scheduler runs in
+	AlwaysOverload     bool                                  // each seed gives one scheduler far more than it can do, not one in four
+	AsynchronousWrites bool                                  // what is sent leaves by writers, in their turn
+	InitialEvents      func(events []byte) []byte            // what it is told at a start
+	Trace              io.Writer                             // is given what passed, in words, if it is not nil
 }
 
 // Result is what came of a seed.
@@ -228,7 +228,7 @@
 		s.journal.silence(2000 * g.rng.Float64())
 	}
 	c := s.configuration()
-	world := outside.Environment(s.process)
+	world := env.Environment(s.process)
 	if g.World != nil {
 		world = g.World(world)
 	}
@@ -246,7 +246,7 @@
 	}
 	life := s.incarnation
 	done := s.server.Done()
-	outside.Every(s.process, 20, func() bool {
+	env.Every(s.process, 20, func() bool {
 		select {
 		case <-done:
 			s.process.After(1, func() {
@@ -337,7 +337,7 @@
 
 type subscriber struct {
 	journal *journal
-	conn    outside.Conn
+	conn    env.Conn
 	closed  bool
 }
 
@@ -360,14 +360,14 @@
 
 func (j *journal) open() {
 	j.process = j.sim.clock.NewProcess(j.address)
-	if _, err := j.process.Listen(j.address, func(c outside.Conn) {
+	if _, err := j.process.Listen(j.address, func(c env.Conn) {
 		x := &subscriber{journal: j, conn: c}
 		j.subscribers = append(j.subscribers, x)
 		c.Start(x, 5000)
 	}); err != nil {
 		j.sim.fail(err.Error())
 	}
-	outside.Every(j.process, 1000, func() bool { j.send(fmt.Sprintf(`{"pos":%d}`, len(j.events))); return !j.closed })
+	env.Every(j.process, 1000, func() bool { j.send(fmt.Sprintf(`{"pos":%d}`, len(j.events))); return !j.closed })
 }
 
 // moveTo is the same journal at another address.
--- a/internal/lab/route/simulation_test.go
+++ b/internal/lab/route/simulation_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	codec "ravenpond/internal/proto/platform"
 )
 
@@ -73,20 +73,20 @@
 		{"gone and draining nodes are left out of what is known", Faults{InitialEvents: func(b []byte) []byte {
 			return []byte(strings.NewReplacer(`"draining"`, `"ready"`, `"gone"`, `"ready"`).Replace(string(b)))
 		}}, "rule 3"},
-		{"the journal can't be reached at a second address", Faults{World: func(w outside.Environment) outside.Environment { return &once{Environment: w} }}, "rule"},
-		{"what is sent in a flood leaves when its writer has its turn, after others", Faults{AlwaysOverload: true, World: func(w outside.Environment) outside.Environment {
+		{"the journal can't be reached at a second address", Faults{World: func(w env.Environment) env.Environment { return &once{Environment: w} }}, "rule"},
+		{"what is sent in a flood leaves when its writer has its turn, after others", Faults{AlwaysOverload: true, World: func(w env.Environment) env.Environment {
 			return slow{w}
 		}}, "rule"},
-		{"owners' connections are ended while asks are open on them", Faults{World: func(w outside.Environment) outside.Environment {
+		{"owners' connections are ended while asks are open on them", Faults{World: func(w env.Environment) env.Environment {
 			return curt{w}
 		}}, "rule 1"},
-		{"an owner's close is read late, and nobody asks whether it has left", Faults{World: func(w outside.Environment) outside.Environment {
+		{"an owner's close is read late, and nobody asks whether it has left", Faults{World: func(w env.Environment) env.Environment {
 			return deaf{w, false}
 		}}, "gone"},
-		{"notes are not read, and an end before its answer counts as a reset on its way", Faults{World: func(w outside.Environment) outside.Environment {
+		{"notes are not read, and an end before its answer counts as a reset on its way", Faults{World: func(w env.Environment) env.Environment {
 			return forgetful{w}
 		}}, "rule 1"},
-		{"words to owners are lost", Faults{World: func(w outside.Environment) outside.Environment { return lossy{w} }}, "rule 1"},
+		{"words to owners are lost", Faults{World: func(w env.Environment) env.Environment { return lossy{w} }}, "rule 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(40) {
@@ -106,7 +106,7 @@
 // TestReadLate has owners' closes read 1.5 s late: what began for them after they left is nothing, as the scheduler asks whether they have.
 func TestReadLate(t *testing.T) {
 	for seed := range uint64(20) {
-		if v := Play(seed+1, Faults{World: func(w outside.Environment) outside.Environment { return deaf{w, true} }}); strings.Contains(v.Failure, "gone") {
+		if v := Play(seed+1, Faults{World: func(w env.Environment) env.Environment { return deaf{w, true} }}); strings.Contains(v.Failure, "gone") {
 			t.Errorf("seed %d: %s", v.Seed, v.Failure)
 		}
 	}
@@ -114,25 +114,25 @@
 
 // deaf has owners' closes read 1.5 s late, and tells whether they have left, or does not.
 type deaf struct {
-	outside.Environment
+	env.Environment
 	knows bool
 }
 
-func (d deaf) Listen(address string, came func(outside.Conn)) (outside.Listener, error) {
-	return d.Environment.Listen(address, func(c outside.Conn) { came(&late{Conn: c, d: d}) })
+func (d deaf) Listen(address string, came func(env.Conn)) (env.Listener, error) {
+	return d.Environment.Listen(address, func(c env.Conn) { came(&late{Conn: c, d: d}) })
 }
 
 type late struct {
-	outside.Conn
+	env.Conn
 	d deaf
 }
 
 func (l *late) PeerClosed() bool { return l.d.knows && l.Conn.PeerClosed() }
 
-func (l *late) Start(p outside.ConnHandler, stuck float64) { l.Conn.Start(lateEar{p, l.d}, stuck) }
+func (l *late) Start(p env.ConnHandler, stuck float64) { l.Conn.Start(lateEar{p, l.d}, stuck) }
 
 type lateEar struct {
-	outside.ConnHandler
+	env.ConnHandler
 	d deaf
 }
 
@@ -145,10 +145,10 @@
 func (l lateEar) OnClose(err error) { l.d.After(1500, func() { l.ConnHandler.OnClose(err) }) }
 
 // forgetful hears nodes without their notes, and every end of a task that was cut or ended as a reset that gives no reason.
-type forgetful struct{ outside.Environment }
+type forgetful struct{ env.Environment }
 
-func (f forgetful) Dial(address string, within float64, done func(outside.Conn, error)) {
-	f.Environment.Dial(address, within, func(c outside.Conn, err error) {
+func (f forgetful) Dial(address string, within float64, done func(env.Conn, error)) {
+	f.Environment.Dial(address, within, func(c env.Conn, err error) {
 		if err == nil {
 			c = &forgetfulConn{Conn: c}
 		}
@@ -156,14 +156,14 @@
 	})
 }
 
-type forgetfulConn struct{ outside.Conn }
+type forgetfulConn struct{ env.Conn }
 
-func (c *forgetfulConn) Start(p outside.ConnHandler, stuck float64) {
+func (c *forgetfulConn) Start(p env.ConnHandler, stuck float64) {
 	c.Conn.Start(&forgetfulPeer{ConnHandler: p, answered: map[uint64]bool{}}, stuck)
 }
 
 type forgetfulPeer struct {
-	outside.ConnHandler
+	env.ConnHandler
 	in       []byte
 	answered map[uint64]bool
 }
@@ -205,11 +205,11 @@
 
 // once reaches the first address of a journal service alone.
 type once struct {
-	outside.Environment
+	env.Environment
 	journal string
 }
 
-func (o *once) Dial(address string, within float64, done func(outside.Conn, error)) {
+func (o *once) Dial(address string, within float64, done func(env.Conn, error)) {
 	if strings.HasPrefix(address, "journal") {
 		if o.journal == "" {
 			o.journal = address
@@ -220,10 +220,10 @@
 }
 
 // slow has connections hand over what is sent 200 ms later where several wait.
-type slow struct{ outside.Environment }
+type slow struct{ env.Environment }
 
-func (s slow) Dial(address string, within float64, done func(outside.Conn, error)) {
-	s.Environment.Dial(address, within, func(c outside.Conn, err error) {
+func (s slow) Dial(address string, within float64, done func(env.Conn, error)) {
+	s.Environment.Dial(address, within, func(c env.Conn, err error) {
 		if err == nil {
 			c = &behind{Conn: c, w: s.Environment}
 		}
@@ -232,8 +232,8 @@
 }
 
 type behind struct {
-	outside.Conn
-	w    outside.Environment
+	env.Conn
+	w    env.Environment
 	sent uint64
 }
 
@@ -247,14 +247,14 @@
 func (b *behind) Unsend(uint64, int) bool { return false }
 
 // curt ends a connection to owners after some messages, whatever is open on it.
-type curt struct{ outside.Environment }
+type curt struct{ env.Environment }
 
-func (c curt) Listen(address string, came func(outside.Conn)) (outside.Listener, error) {
-	return c.Environment.Listen(address, func(x outside.Conn) { came(&short{Conn: x}) })
+func (c curt) Listen(address string, came func(env.Conn)) (env.Listener, error) {
+	return c.Environment.Listen(address, func(x env.Conn) { came(&short{Conn: x}) })
 }
 
 type short struct {
-	outside.Conn
+	env.Conn
 	n int
 }
 
@@ -266,14 +266,14 @@
 }
 
 // lossy hands over every hundredth message to owners to nobody.
-type lossy struct{ outside.Environment }
+type lossy struct{ env.Environment }
 
-func (l lossy) Listen(address string, came func(outside.Conn)) (outside.Listener, error) {
-	return l.Environment.Listen(address, func(c outside.Conn) { came(&losing{Conn: c}) })
+func (l lossy) Listen(address string, came func(env.Conn)) (env.Listener, error) {
+	return l.Environment.Listen(address, func(c env.Conn) { came(&losing{Conn: c}) })
 }
 
 type losing struct {
-	outside.Conn
+	env.Conn
 	n int
 }
 
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/proto/owners"
 )
 
@@ -28,8 +28,8 @@
 // client is a connection that asks for tasks.
 type client struct {
 	real  int // process that it asks
-	world outside.Environment
-	conn  outside.Conn
+	world env.Environment
+	conn  env.Conn
 	in    owners.Splitter
 	tally *tally
 
@@ -73,10 +73,10 @@
 }
 
 // dial connects a client to a real process.
-func dial(w outside.Environment, real int, address string, t *tally) (*client, error) {
+func dial(w env.Environment, real int, address string, t *tally) (*client, error) {
 	c := &client{real: real, world: w, tally: t, open: map[uint64]time.Time{}}
 	done := make(chan error, 1)
-	w.Dial(address, clientDial, func(conn outside.Conn, err error) {
+	w.Dial(address, clientDial, func(conn env.Conn, err error) {
 		if err == nil {
 			c.conn = conn
 			conn.Start(c, clientStuck)
--- a/internal/lab/scale/hollow/disk.go
+++ b/internal/lab/scale/hollow/disk.go
@@ -5,17 +5,17 @@
 	"sync/atomic"
 
 	"ravenpond/internal/decide/consensus"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 )
 
 // silencer is a world whose datagrams can be lost from a moment on, as those of a process that is killed.
 type silencer struct {
-	outside.Environment
+	env.Environment
 	silent atomic.Bool
 }
 
 // ListenPacket takes datagrams; none leaves once the world is silent.
-func (s *silencer) ListenPacket(address string, heard func(b []byte)) (outside.PacketConn, error) {
+func (s *silencer) ListenPacket(address string, heard func(b []byte)) (env.PacketConn, error) {
 	port, err := s.Environment.ListenPacket(address, heard)
 	if err != nil {
 		return nil, err
@@ -24,7 +24,7 @@
 }
 
 type silencedPort struct {
-	outside.PacketConn
+	env.PacketConn
 	world *silencer
 }
 
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -13,7 +13,7 @@
 
 	"go.uber.org/goleak"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/list"
 )
@@ -116,7 +116,7 @@
 
 // TestList tells a watcher all, each change, and who comes back what has changed since.
 func TestList(t *testing.T) {
-	w := outside.NewReal()
+	w := env.NewReal()
 	defer w.Close(time.Second)
 	entries := []Entry{{ID: 1, Address: "127.0.0.1:1", Zone: "z00", Availability: Ready}, {ID: 2, Address: "127.0.0.1:2", Zone: "z01", Availability: Gone}}
 	l, err := StartList(w, entries)
@@ -125,7 +125,7 @@
 	}
 	watch := func(since uint64) *hearer {
 		h := &hearer{make(chan string, 100)}
-		w.Dial(l.Address(), 1000, func(conn outside.Conn, err error) {
+		w.Dial(l.Address(), 1000, func(conn env.Conn, err error) {
 			if err != nil {
 				t.Error(err)
 				close(h.came)
--- a/internal/lab/scale/hollow/list.go
+++ b/internal/lab/scale/hollow/list.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"sync"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/list"
 )
@@ -27,7 +27,7 @@
 
 // List is the node list of a run: it tells all entries to who watches it, and each change at once.
 type List struct {
-	door outside.Listener
+	door env.Listener
 
 	mu       sync.Mutex
 	entries  []Entry
@@ -40,10 +40,10 @@
 const listStuckMs = 10_000
 
 // StartList tells entries on loopback.
-func StartList(w outside.Environment, entries []Entry) (*List, error) {
+func StartList(w env.Environment, entries []Entry) (*List, error) {
 	l := &List{entries: entries, version: 1, changed: map[uint64][]int{}, watchers: map[*watcher]bool{}}
 	var err error
-	l.door, err = w.Listen("127.0.0.1:0", func(conn outside.Conn) { conn.Start(&watcher{list: l, conn: conn}, listStuckMs) })
+	l.door, err = w.Listen("127.0.0.1:0", func(conn env.Conn) { conn.Start(&watcher{list: l, conn: conn}, listStuckMs) })
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
@@ -70,7 +70,7 @@
 // watcher is a scheduler's connection. Its fields beside the splitter are under the list's lock.
 type watcher struct {
 	list    *List
-	conn    outside.Conn
+	conn    env.Conn
 	in      line.Splitter
 	greeted bool
 	told    uint64 // the version that was told last
--- a/internal/lab/scale/hollow/nodes.go
+++ b/internal/lab/scale/hollow/nodes.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"ravenpond/internal/audit"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/standin"
 )
 
@@ -82,7 +82,7 @@
 		return err
 	}
 	h.random = rand.New(rand.NewPCG(h.Seed, 0x5ca1e))
-	real := outside.NewReal()
+	real := env.NewReal()
 	defer real.Close(time.Second)
 	if err := h.start(real); err != nil {
 		return err
@@ -90,7 +90,7 @@
 	return orders.follow(ctx, out, h.do)
 }
 
-func (h *nodeHost) start(real *outside.Real) error {
+func (h *nodeHost) start(real *env.Real) error {
 	model := standin.MachineConfig{
 		Cores: h.Cores, Memory: 2 * h.Cores, CoresLimit: 4, MemoryLimit: 4, InspectTime: lookMs, QueueLimit: waitingTasks,
 		ConcurrentStarts: startsAtOnce, ProgramMissFactor: 1, ProgramCacheSize: keptPrograms, WarmupPace: 1, WarmupDuration: 1, OverloadFactor: foreverMs, OverloadWindow: 1, SlowStartLimit: 1 << 30,
--- a/internal/lab/scale/hollow/schedulers.go
+++ b/internal/lab/scale/hollow/schedulers.go
@@ -14,8 +14,8 @@
 	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/decide/zones"
+	"ravenpond/internal/env"
 	"ravenpond/internal/members"
-	"ravenpond/internal/outside"
 )
 
 // SchedulersPlan says which hollow schedulers a process holds: all of them, by the names h0000 and on.
@@ -61,7 +61,7 @@
 // schedulerHost is all hollow schedulers of the process.
 type schedulerHost struct {
 	SchedulersPlan
-	world *outside.Real
+	world *env.Real
 	seeds []string
 	disks [Seeds]memoryDisk // of the voters
 
@@ -73,7 +73,7 @@
 // RunSchedulers runs hollow schedulers until the orders end.
 func RunSchedulers(ctx context.Context, in io.Reader, out io.Writer) error {
 	orders := newInput(in)
-	h := &schedulerHost{world: outside.NewReal(), lost: map[string]bool{}}
+	h := &schedulerHost{world: env.NewReal(), lost: map[string]bool{}}
 	defer h.world.Close(time.Second)
 	if err := orders.plan(&h.SchedulersPlan); err != nil {
 		return err
@@ -137,7 +137,7 @@
 	if s.control, err = control.Start(s.world, zerolog.Nop(), run, who, disk, site); err != nil {
 		return nil, err
 	}
-	outside.Every(h.world, reportEachMs, s.report)
+	env.Every(h.world, reportEachMs, s.report)
 	return s, nil
 }
 
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -14,9 +14,9 @@
 	"path/filepath"
 	"time"
 
+	"ravenpond/internal/env"
 	"ravenpond/internal/lab/scale/hollow"
 	"ravenpond/internal/lab/scale/result"
-	"ravenpond/internal/outside"
 )
 
 // Trial is one run of a rig, of one or several phases.
@@ -66,7 +66,7 @@
 // Rig is all processes of a run.
 type Rig struct {
 	Trial
-	world      *outside.Real
+	world      *env.Real
 	list       *hollow.List
 	entries    int // on the list
 	seeds      []string
@@ -89,7 +89,7 @@
 	if err := t.checkMachine(); err != nil {
 		return nil, err
 	}
-	r = &Rig{Trial: t, world: outside.NewReal(), tally: newTally(), random: rand.New(rand.NewPCG(t.Seed, noScheduleSeed))}
+	r = &Rig{Trial: t, world: env.NewReal(), tally: newTally(), random: rand.New(rand.NewPCG(t.Seed, noScheduleSeed))}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, r.End())
--- a/internal/lab/sim/agree_test.go
+++ b/internal/lab/sim/agree_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/node"
 	"ravenpond/internal/standin"
@@ -51,7 +51,7 @@
 
 // converse plays one script to a stand-in node: offers that fit and do not, a recall, a claim, a stop, a probe, an offer of
 // an older epoch and one that lay on its way for too long.
-func converse(w outside.Environment, address string) (*talk, error) {
+func converse(w env.Environment, address string) (*talk, error) {
 	sw := standin.NewTestbed(w)
 	n := &standin.Node{ID: 7, Zone: "z", Cell: "c", Kind: "k", Jobs: 2, Tenants: 1}
 	mk := standin.MachineConfig{
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	t := &talk{}
-	w.Dial(n.Address(), 1000, func(c outside.Conn, err error) {
+	w.Dial(n.Address(), 1000, func(c env.Conn, err error) {
 		if err != nil {
 			t.heard = append(t.heard, err.Error())
 			return
@@ -100,7 +100,7 @@
 func TestFirstIsLate(t *testing.T) {
 	for _, says := range []bool{true, false} {
 		c := NewClock(1)
-		w := outside.Environment(c.NewProcess("n"))
+		w := env.Environment(c.NewProcess("n"))
 		n := &standin.Node{ID: 7, Zone: "z", Cell: "c", Kind: "k", Jobs: 1, Tenants: 1}
 		mk := standin.MachineConfig{
 			Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, InspectTime: 2, QueueLimit: 4, ConcurrentStarts: 2, OverloadFactor: 1e9, OverloadWindow: 1, SlowStartLimit: 1 << 20,
@@ -110,7 +110,7 @@
 			t.Fatal(err)
 		}
 		x := &talk{}
-		w.Dial("n:1", 1000, func(conn outside.Conn, err error) {
+		w.Dial("n:1", 1000, func(conn env.Conn, err error) {
 			if err != nil {
 				t.Error(err)
 				return
@@ -135,7 +135,7 @@
 
 // TestAgree plays the same script on sockets and on the virtual network: the node's words are the same.
 func TestAgree(t *testing.T) {
-	real := outside.NewReal()
+	real := env.NewReal()
 	defer real.Close(time.Second)
 	sockets, err := converse(real, "")
 	if err != nil {
--- a/internal/lab/sim/clock.go
+++ b/internal/lab/sim/clock.go
@@ -11,8 +11,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"ravenpond/internal/env"
 	"ravenpond/internal/lab/agenda"
-	"ravenpond/internal/outside"
 )
 
 // event is something that happens, in a life of a process or in none.
@@ -200,7 +200,7 @@
 // WallClock is the machine's clock.
 func (p *Process) WallClock() time.Time {
 	ms := clockOrigin + p.clock.now*(1+p.drift) + p.clockError
-	return outside.Epoch.Add(time.Duration(ms * 1e6))
+	return env.Epoch.Add(time.Duration(ms * 1e6))
 }
 
 type timer struct{ stopped bool }
@@ -208,7 +208,7 @@
 func (t *timer) Stop() { t.stopped = true }
 
 // After calls f once, a little late as all timers are.
-func (p *Process) After(ms float64, f func()) outside.Timer {
+func (p *Process) After(ms float64, f func()) env.Timer {
 	t := &timer{}
 	if !p.dead {
 		p.clock.schedule(p, p.clock.now+max(0, ms)/(1+p.drift)+0.02*p.rng.Float64(), func() {
@@ -229,7 +229,7 @@
 }
 
 // StartLoop calls turn as it asks for and when woken.
-func (p *Process) StartLoop(turn func() float64) outside.Loop {
+func (p *Process) StartLoop(turn func() float64) env.Loop {
 	l := &loop{process: p, turn: turn}
 	l.Wake()
 	return l
--- a/internal/lab/sim/datagrams.go
+++ b/internal/lab/sim/datagrams.go
@@ -1,7 +1,7 @@
 package sim
 
 import (
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 )
 
 // DatagramLink is the road of datagrams from one host to another.
@@ -30,7 +30,7 @@
 }
 
 // ListenPacket takes datagrams at an address.
-func (p *Process) ListenPacket(address string, heard func(b []byte)) (outside.PacketConn, error) {
+func (p *Process) ListenPacket(address string, heard func(b []byte)) (env.PacketConn, error) {
 	if x := p.clock.packetConns[address]; x != nil && !x.process.dead && x.incarnation == x.process.incarnation {
 		return nil, errAddressInUse
 	}
@@ -51,7 +51,7 @@
 func (x *packetConn) Send(to string, b []byte) {
 	c := x.process.clock
 	y := c.packetConns[to]
-	if y == nil || len(b) > outside.MaxDatagram || !x.process.effect() {
+	if y == nil || len(b) > env.MaxDatagram || !x.process.effect() {
 		return
 	}
 	w, l := c.link(x.process.Name, y.process.Name), c.datagramLinks[[2]string{x.process.Name, y.process.Name}]
--- a/internal/lab/sim/inject.go
+++ b/internal/lab/sim/inject.go
@@ -11,7 +11,7 @@
 	"ravenpond/internal/audit"
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/engine"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/standin"
 )
 
@@ -164,7 +164,7 @@
 // addMaintenance takes a node out for maintenance by every scheduler's calendar, with a lead.
 func (st *environment) addMaintenance(n *standin.Node, f Fault) {
 	c := st.clock
-	start := outside.Epoch.Add(time.Duration((clockOrigin + c.now + f.Size + 1500) * 1e6)).Truncate(time.Second)
+	start := env.Epoch.Add(time.Duration((clockOrigin + c.now + f.Size + 1500) * 1e6)).Truncate(time.Second)
 	w := calendar.Window{
 		ID: fmt.Sprintf("w%.0f", f.At), Scope: calendar.OneNode, Target: strconv.Itoa(int(n.ID)), Start: start,
 		Duration: time.Duration(max(1, f.Duration/1000)) * time.Second, Lead: time.Duration(math.Ceil(f.Size/1000)) * time.Second, CreatedAt: start,
@@ -172,7 +172,7 @@
 	for _, s := range st.schedulers {
 		s.maintenance.calendar.Windows = append(s.maintenance.calendar.Windows, w)
 	}
-	ms := func(t time.Time) float64 { return float64(t.Sub(outside.Epoch))/1e6 - clockOrigin }
+	ms := func(t time.Time) float64 { return float64(t.Sub(env.Epoch))/1e6 - clockOrigin }
 	mark := func(at float64, word string) {
 		c.schedule(nil, at, func() {
 			st.testbed.Trace.Add(audit.Record{At: c.now, Kind: audit.MaintenanceChanged, Node: n.ID, Detail: word})
--- a/internal/lab/sim/net.go
+++ b/internal/lab/sim/net.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"io"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 )
 
 // link is the road between two hosts.
@@ -48,7 +48,7 @@
 type listener struct {
 	process *Process
 	address string
-	accept  func(outside.Conn)
+	accept  func(env.Conn)
 }
 
 func (d *listener) Address() string { return d.address }
@@ -62,7 +62,7 @@
 var errAddressInUse = errors.New("address is taken")
 
 // Listen takes connections at an address, which is any name.
-func (p *Process) Listen(address string, came func(outside.Conn)) (outside.Listener, error) {
+func (p *Process) Listen(address string, came func(env.Conn)) (env.Listener, error) {
 	if p.clock.listeners[address] != nil {
 		return nil, errAddressInUse
 	}
@@ -72,13 +72,13 @@
 }
 
 var (
-	errRefused = fmt.Errorf("connection %w", outside.ErrRefused)
+	errRefused = fmt.Errorf("connection %w", env.ErrRefused)
 	errTimeout = errors.New("connection timed out")
 	errReset   = errors.New("connection reset")
 )
 
 // Dial connects to an address.
-func (p *Process) Dial(address string, within float64, done func(outside.Conn, error)) {
+func (p *Process) Dial(address string, within float64, done func(env.Conn, error)) {
 	if !p.effect() {
 		return
 	}
@@ -92,7 +92,7 @@
 	p.dial(address, within, done)
 }
 
-func (p *Process) dial(address string, within float64, done func(outside.Conn, error)) {
+func (p *Process) dial(address string, within float64, done func(env.Conn, error)) {
 	c := p.clock
 	fail := func(after float64, err error) { c.schedule(p, c.now+after, func() { done(nil, err) }) }
 	d := c.listeners[address]
@@ -126,7 +126,7 @@
 	process *Process
 	remote  *conn
 	link    *link
-	handler outside.ConnHandler
+	handler env.ConnHandler
 
 	outgoing        []byte // not handed over yet
 	farewell        []byte // that come last, and are not counted
@@ -158,7 +158,7 @@
 }
 
 // Start starts it.
-func (x *conn) Start(p outside.ConnHandler, stuck float64) {
+func (x *conn) Start(p env.ConnHandler, stuck float64) {
 	x.handler, x.writeTimeout, x.lastProgress = p, stuck, x.process.clock.now
 	if len(x.beforeBegin) > 0 {
 		x.process.clock.schedule(x.process, x.process.clock.now, func() { // before all that came later
@@ -223,7 +223,7 @@
 	if x.ended || x.closed {
 		return
 	}
-	x.ended, x.endReason = true, outside.ErrClosed
+	x.ended, x.endReason = true, env.ErrClosed
 	if !soft {
 		x.sent -= uint64(len(x.outgoing))
 		x.outgoing = nil
@@ -292,7 +292,7 @@
 	case x.ended && len(x.outgoing) == 0 && x.inFlight == 0:
 		x.finish()
 	case len(x.outgoing) > 0 && x.writeTimeout > 0 && c.now-x.lastProgress >= x.writeTimeout:
-		x.close(outside.ErrStalled)
+		x.close(env.ErrStalled)
 	case len(x.outgoing) > 0:
 		c.schedule(nil, c.now+retryInterval, x.transmit)
 	}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -7,12 +7,12 @@
 	"sync"
 
 	"ravenpond/internal/decide/membership"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	codec "ravenpond/internal/proto/members"
 )
 
 // No datagram that the codec makes is too long for a world's port: this does not compile else.
-const _ = uint(outside.MaxDatagram - codec.MaxDatagramBytes)
+const _ = uint(env.MaxDatagram - codec.MaxDatagramBytes)
 
 // EventHandler hears of changes, one call at a time, and must not wait.
 type EventHandler interface {
@@ -24,11 +24,11 @@
 
 // Runner is a detector that runs.
 type Runner struct {
-	environment outside.Environment
+	environment env.Environment
 	handler     EventHandler
-	port        outside.PacketConn
+	port        env.PacketConn
 	address     string
-	loop        outside.Loop
+	loop        env.Loop
 
 	mu       sync.Mutex
 	detector *membership.Detector
@@ -37,7 +37,7 @@
 
 // Start opens the port for datagrams at the charter's address and runs a detector there until End.
 // It is opened at another address if one is given, as where others reach it by a way round.
-func Start(environment outside.Environment, listen string, config membership.Config, handler EventHandler) (*Runner, error) {
+func Start(environment env.Environment, listen string, config membership.Config, handler EventHandler) (*Runner, error) {
 	r := &Runner{environment: environment, handler: handler}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ravenpond/internal/decide/membership"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 )
 
 // recorder writes down what a runner tells.
@@ -28,7 +28,7 @@
 
 // TestSockets has three runners find each other over sockets, from one seed, beside a stranger with another key; one leaves.
 func TestSockets(t *testing.T) {
-	w := outside.NewReal()
+	w := env.NewReal()
 	defer w.Close(time.Second)
 	var runs []*Runner
 	var books []*recorder
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/decide/connlimits"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	codec "ravenpond/internal/proto/platform"
 )
 
@@ -16,7 +16,7 @@
 type client struct {
 	s           *Server
 	no          uint64 // counts connections in the order of their acceptance
-	conn        outside.Conn
+	conn        env.Conn
 	in          []byte // the received part of an incomplete message
 	halfAt      float64
 	since       float64
@@ -34,7 +34,7 @@
 
 // accept takes a client's connection. At the limit of connections it is provisional until something useful comes on it: then an idle
 // connection is evicted for it, or it gets a rejection. When too many provisional connections are silent, the oldest is evicted.
-func (s *Server) accept(conn outside.Conn) {
+func (s *Server) accept(conn env.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.world.Now()
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	codec "ravenpond/internal/proto/platform"
 )
 
@@ -124,7 +124,7 @@
 		for range 20 {
 			c := &testClient{ear: &ear{}, r: r}
 			c.heard = func([]byte) {}
-			r.clients.Dial(door, 1000, func(conn outside.Conn, err error) {
+			r.clients.Dial(door, 1000, func(conn env.Conn, err error) {
 				if c.ended = err != nil; err == nil {
 					c.conn = conn
 					conn.Start(c, 5000)
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	codec "ravenpond/internal/proto/platform"
 	"ravenpond/logic"
 )
@@ -33,7 +33,7 @@
 			for range r.s.parts.ClientConns {
 				x := &testClient{ear: &ear{}, r: r}
 				x.heard = func([]byte) {}
-				r.clients.Dial(door, 1000, func(c outside.Conn, err error) {
+				r.clients.Dial(door, 1000, func(c env.Conn, err error) {
 					if err == nil {
 						x.conn = c
 						c.Start(x, 5000)
@@ -141,10 +141,10 @@
 }
 
 // spent is a world with no descriptor left for a dial.
-type spent struct{ outside.Environment }
+type spent struct{ env.Environment }
 
-func (w spent) Dial(_ string, _ float64, done func(outside.Conn, error)) {
-	w.After(0.1, func() { done(nil, fmt.Errorf("socket: %w", outside.ErrExhausted)) })
+func (w spent) Dial(_ string, _ float64, done func(env.Conn, error)) {
+	w.After(0.1, func() { done(nil, fmt.Errorf("socket: %w", env.ErrExhausted)) })
 }
 
 // TestHeld has a client name more than can be held as standing at a node.
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -8,7 +8,7 @@
 
 	"ravenpond/internal/decide/connlimits"
 	"ravenpond/internal/decide/watchretry"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	codec "ravenpond/internal/proto/platform"
 	"ravenpond/logic"
 )
@@ -28,7 +28,7 @@
 // journalWatch is one connection to it, on which events follow.
 type journalWatch struct {
 	s    *Server
-	conn outside.Conn
+	conn env.Conn
 	in   []byte
 	gone bool
 }
@@ -140,7 +140,7 @@
 	s.feedTick(now)
 }
 
-func (t *journalWatch) made(c outside.Conn, err error) {
+func (t *journalWatch) made(c env.Conn, err error) {
 	s := t.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/links.go
+++ b/internal/platform/links.go
@@ -9,7 +9,7 @@
 	"ravenpond/internal/decide/budget"
 	"ravenpond/internal/decide/connlimits"
 	"ravenpond/internal/decide/outcome"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	codec "ravenpond/internal/proto/platform"
 	"ravenpond/logic"
 )
@@ -19,7 +19,7 @@
 type link struct {
 	s        *Server
 	peer     *peer
-	conn     outside.Conn // nil while it is being made
+	conn     env.Conn // nil while it is being made
 	in       []byte
 	requests []*request
 	given    map[uint64]bool // given up here: a late answer to them is no one else's
@@ -139,12 +139,12 @@
 	p.links = append(p.links, l)
 	s.links++
 	s.counts.dials++
-	s.world.Dial(p.address, s.known.ConnectFor, func(c outside.Conn, err error) { l.made(c, err) })
+	s.world.Dial(p.address, s.known.ConnectFor, func(c env.Conn, err error) { l.made(c, err) })
 	return l
 }
 
 // made hears how a dial ended.
-func (l *link) made(c outside.Conn, err error) {
+func (l *link) made(c env.Conn, err error) {
 	s := l.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,13 +153,13 @@
 	if err != nil {
 		s.trace("dial failed", 0, func(e *zerolog.Event) { e.Str("node", l.peer.name).Err(err) })
 		unmade := outcome.VerdictWithoutConnection()
-		if errors.Is(err, outside.ErrExhausted) { // the want is this machine's own, and says nothing of the node
+		if errors.Is(err, env.ErrExhausted) { // the want is this machine's own, and says nothing of the node
 			s.counts.spent++
 			l.peer.watch.OnProbeSkipped()
 			unmade = logic.NotSent
 		} else {
 			s.counts.refused++
-			l.peer.watch.OnProbeFailed(now, errors.Is(err, outside.ErrRefused))
+			l.peer.watch.OnProbeFailed(now, errors.Is(err, env.ErrRefused))
 		}
 		l.forget()
 		l.settle(func(*request) logic.Outcome { return unmade }, logic.Unreachable)
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/decide/overload"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	codec "ravenpond/internal/proto/platform"
 	"ravenpond/internal/settings"
 )
@@ -59,7 +59,7 @@
 // world is the real one, on loopback, whose calls into the scheduler can be held: so a test decides which of two events that
 // cross is met first.
 type world struct {
-	*outside.Real
+	*env.Real
 	turns, reads, ends, dials, comes *gate // reads and ends are those of client connections
 	nodes                            *gate // what comes from nodes, and the ends of their connections
 
@@ -75,16 +75,16 @@
 
 func (w *world) gates() []*gate { return []*gate{w.turns, w.reads, w.ends, w.dials, w.comes, w.nodes} }
 
-func (w *world) StartLoop(turn func() float64) outside.Loop {
+func (w *world) StartLoop(turn func() float64) env.Loop {
 	return w.Real.StartLoop(func() float64 { w.turns.pass(); return turn() })
 }
 
-func (w *world) Listen(address string, came func(outside.Conn)) (outside.Listener, error) {
-	return w.Real.Listen(address, func(c outside.Conn) { w.comes.pass(); came(heldConn{c, w.reads, w.ends}) })
+func (w *world) Listen(address string, came func(env.Conn)) (env.Listener, error) {
+	return w.Real.Listen(address, func(c env.Conn) { w.comes.pass(); came(heldConn{c, w.reads, w.ends}) })
 }
 
-func (w *world) Dial(address string, within float64, done func(outside.Conn, error)) {
-	w.Real.Dial(address, within, func(c outside.Conn, err error) {
+func (w *world) Dial(address string, within float64, done func(env.Conn, error)) {
+	w.Real.Dial(address, within, func(c env.Conn, err error) {
 		w.dials.pass()
 		if err == nil {
 			c = heldConn{c, w.nodes, w.nodes}
@@ -95,16 +95,16 @@
 
 // heldConn is a connection of which what is heard can be held.
 type heldConn struct {
-	outside.Conn
+	env.Conn
 	reads, ends *gate
 }
 
-func (c heldConn) Start(p outside.ConnHandler, stuck float64) {
+func (c heldConn) Start(p env.ConnHandler, stuck float64) {
 	c.Conn.Start(heldPeer{p, c.reads, c.ends}, stuck)
 }
 
 type heldPeer struct {
-	outside.ConnHandler
+	env.ConnHandler
 	reads, ends *gate
 }
 
@@ -224,7 +224,7 @@
 // onLoopback starts a scheduler that may use its nodes at once.
 func onLoopback(t *testing.T, change func(*Configuration)) *real {
 	r := &real{t: t, w: &world{
-		Real: outside.NewReal(), turns: newGate(), reads: newGate(), ends: newGate(), dials: newGate(), comes: newGate(),
+		Real: env.NewReal(), turns: newGate(), reads: newGate(), ends: newGate(), dials: newGate(), comes: newGate(),
 		nodes: newGate(),
 	}}
 	r.w.WriteThrough = true
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -19,17 +19,17 @@
 	"ravenpond/internal/decide/budget"
 	"ravenpond/internal/decide/overload"
 	"ravenpond/internal/decide/shutdown"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/platform/host"
 	"ravenpond/internal/settings"
 )
 
 // Server is one scheduler on the platform.
 type Server struct {
-	world outside.Environment
+	world env.Environment
 	log   zerolog.Logger
-	loop  outside.Loop
-	door  outside.Listener
+	loop  env.Loop
+	door  env.Listener
 	parts budget.Limits
 	known *settings.Deployment
 
@@ -92,11 +92,11 @@
 }
 
 // New makes a scheduler from its configuration. Nothing is connected yet.
-func New(world outside.Environment, log zerolog.Logger, c *Configuration) *Server {
+func New(world env.Environment, log zerolog.Logger, c *Configuration) *Server {
 	s := &Server{
 		world: world, log: log, known: c.Known, parts: budget.Divide(c.Sockets, c.MemoryMB), requests: map[uint32]*request{},
 		tasks: map[uint64]*request{}, names: map[string]*peer{}, peers: map[uint32]*peer{}, clients: map[*client]bool{},
-		probes: map[uint64]*link{}, done: make(chan struct{}), epoch: float64(outside.Epoch.UnixMilli()),
+		probes: map[uint64]*link{}, done: make(chan struct{}), epoch: float64(env.Epoch.UnixMilli()),
 	}
 	s.jobs, s.tenants = places(c.Known.JobTypes), places(c.Known.Tenants)
 	s.zones, s.kinds = places(c.Known.Zones), places(c.Known.Kinds)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -4,7 +4,7 @@
 	"slices"
 	"testing"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	codec "ravenpond/internal/proto/platform"
 )
 
@@ -110,7 +110,7 @@
 	n := r.nodes["a"]
 	x := r.dial()
 	task := uint64(0)
-	outside.Every(r.clients, 40, func() bool {
+	env.Every(r.clients, 40, func() bool {
 		task++
 		x.ask(task, "single")
 		return task < 30
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/rs/zerolog"
 
+	"ravenpond/internal/env"
 	"ravenpond/internal/lab/sim"
-	"ravenpond/internal/outside"
 	codec "ravenpond/internal/proto/platform"
 )
 
@@ -91,7 +91,7 @@
 
 // ear is a connection of a stand-in.
 type ear struct {
-	conn  outside.Conn
+	conn  env.Conn
 	in    []byte
 	heard func(msg []byte)
 	ended bool
@@ -119,7 +119,7 @@
 	r      *rig
 	name   string
 	p      *sim.Process
-	door   outside.Listener
+	door   env.Listener
 	conns  []*ear
 	starts map[uint64]int // set-ups that were taken, by task
 	open   map[uint64]*ear
@@ -141,7 +141,7 @@
 }
 
 func (n *node) listen(address string) {
-	d, err := n.p.Listen(address, func(c outside.Conn) {
+	d, err := n.p.Listen(address, func(c env.Conn) {
 		e := &ear{conn: c}
 		e.heard = func(msg []byte) { n.message(e, msg) }
 		n.conns = append(n.conns, e)
@@ -204,7 +204,7 @@
 			cause), codec.Move: "move"}[codec.Kind(msg)]
 		x.got, x.at = append(x.got, fmt.Sprintf("%d %s", codec.Task(msg), word)), append(x.at, r.c.TrueTime())
 	}
-	r.clients.Dial(door, 1000, func(c outside.Conn, err error) {
+	r.clients.Dial(door, 1000, func(c env.Conn, err error) {
 		if err != nil {
 			x.ended = true
 			return
@@ -260,20 +260,20 @@
 	p      *sim.Process
 	events []string
 	conns  []*tailer
-	door   outside.Listener
+	door   env.Listener
 	mute   bool // says nothing at all
 	tails  []string
 }
 
 type tailer struct {
 	j    *journal
-	conn outside.Conn
+	conn env.Conn
 	over bool
 }
 
 func newJournal(r *rig, address string) *journal {
 	j := &journal{r: r, p: r.c.NewProcess(address)}
-	d, err := j.p.Listen(address, func(c outside.Conn) {
+	d, err := j.p.Listen(address, func(c env.Conn) {
 		x := &tailer{j: j, conn: c}
 		j.conns = append(j.conns, x)
 		c.Start(x, 5000)
@@ -282,7 +282,7 @@
 		r.t.Fatal(err)
 	}
 	j.door = d
-	outside.Every(j.p, 1000, func() bool {
+	env.Every(j.p, 1000, func() bool {
 		j.tell(fmt.Sprintf(`{"pos":%d}`+"\n", j.last()))
 		return true
 	})
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 )
 
 // Run runs a scheduler as the environment says, until it is told to end.
@@ -24,7 +24,7 @@
 		return err
 	}
 	log = log.With().Str("scheduler", c.Name).Logger()
-	world := outside.NewReal()
+	world := env.NewReal()
 	world.WriteThrough = true // what is decided leaves at once, however many wait for their turn
 	defer world.Close(time.Second)
 	s := New(world, log, c)
--- a/internal/serve/client_listener.go
+++ b/internal/serve/client_listener.go
@@ -17,7 +17,7 @@
 	"ravenpond/internal/decide/admission"
 	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/engine"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/proto/owners"
 	"ravenpond/logic"
 )
@@ -26,7 +26,7 @@
 type clientConn struct {
 	server   *Server
 	id       uint32
-	conn     outside.Conn
+	conn     env.Conn
 	splitter owners.Splitter
 	local    AnswerHandler // instead of a connection, if it is not nil
 
@@ -62,7 +62,7 @@
 const clientStuckTimeout = 5000
 
 // acceptClient takes an owner's connection, as many as the site allows.
-func (s *Server) acceptClient(conn outside.Conn) {
+func (s *Server) acceptClient(conn env.Conn) {
 	s.mu.Lock()
 	s.lastClientID++
 	o := &clientConn{server: s, id: s.lastClientID, conn: conn, requests: map[uint64]request{}}
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -10,7 +10,7 @@
 	"sync"
 	"sync/atomic"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/node"
 )
@@ -33,7 +33,7 @@
 	address       string
 	incarnation   uint64  // the node's, 0 until it has greeted
 	nodeStartedAt float64 // when that began by our clock, 0: it did not say
-	conn          outside.Conn
+	conn          env.Conn
 	splitter      line.Splitter
 	report        [node.MaxReportValues]float64
 	lastReceived  atomic.Uint64 // bits of the time
@@ -49,7 +49,7 @@
 }
 
 // newLink greets a node over a connection that was just made.
-func newLink(t *nodeConnections, nd uint32, address string, conn outside.Conn, visits bool) {
+func newLink(t *nodeConnections, nd uint32, address string, conn env.Conn, visits bool) {
 	l := &nodeLink{server: t.server, connections: t, node: nd, address: address, conn: conn, reassigned: map[uint64]*shard{}}
 	if visits {
 		l.visit = visiting
@@ -136,7 +136,7 @@
 	if !visits {
 		t.register(l)
 	}
-	outside.Every(l.server.env, node.PingInterval, l.ping)
+	env.Every(l.server.env, node.PingInterval, l.ping)
 	return nil
 }
 
--- a/internal/serve/list_client.go
+++ b/internal/serve/list_client.go
@@ -7,7 +7,7 @@
 	"sync"
 
 	"ravenpond/internal/decide/reconnect"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/list"
 	"ravenpond/internal/state"
@@ -41,13 +41,13 @@
 	mu          sync.Mutex
 	pace        *reconnect.Pacer
 	pending     []listCall
-	conn        outside.Conn // nil while there is none
+	conn        env.Conn // nil while there is none
 	dialing     bool
 	greeted     bool
 	sentCall    bool // something that is answered was sent on this connection
 	dialedAt    float64
 	splitter    line.Splitter
-	answerTimer outside.Timer // runs while an answer is owed
+	answerTimer env.Timer // runs while an answer is owed
 	closed      bool
 
 	inAnswer   bool // an answer is being told
@@ -136,7 +136,7 @@
 func (l *listClient) dial() {
 	l.dialing, l.dialedAt = true, l.server.env.Now()
 	l.sentCall = slices.ContainsFunc(l.pending, func(c listCall) bool { return c != maintenanceCall })
-	l.server.env.Dial(l.server.config.Site.ListAddress, listDialTimeout, func(conn outside.Conn, err error) {
+	l.server.env.Dial(l.server.config.Site.ListAddress, listDialTimeout, func(conn env.Conn, err error) {
 		l.mu.Lock()
 		l.dialing = false
 		if err == nil && l.closed {
--- a/internal/serve/membership.go
+++ b/internal/serve/membership.go
@@ -14,8 +14,8 @@
 	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/isolation"
 	"ravenpond/internal/decide/membership"
+	"ravenpond/internal/env"
 	"ravenpond/internal/members"
-	"ravenpond/internal/outside"
 	"ravenpond/internal/state"
 	"ravenpond/logic"
 )
@@ -93,7 +93,7 @@
 
 func (c membershipEvents) OnChange(now float64, m membership.Member, was membership.State) {
 	c.server.log.Info().Str("mode", "members").Str("member", m.Name).Str("address", m.Address).Uint64("life", m.Life).Uint64("version", m.Version).
-		Stringer("was", was).Stringer("is", m.State).Str("by", m.By).Float64("unix_ms", now+float64(outside.Epoch.UnixMilli())).Msg("member")
+		Stringer("was", was).Stringer("is", m.State).Str("by", m.By).Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("member")
 }
 
 func (c membershipEvents) OnNameTaken(_ float64, address string) {
--- a/internal/serve/metrics_process.go
+++ b/internal/serve/metrics_process.go
@@ -5,11 +5,11 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 )
 
 // trafficCounter is a world that counts what passes through it, as that of sockets does.
-type trafficCounter interface{ Traffic() []outside.Traffic }
+type trafficCounter interface{ Traffic() []env.Traffic }
 
 // collectProcess tells what the process as a whole used: CPU time, finer than the kernel's ticks, and its traffic.
 func (c *metricsCollector) collectProcess(out chan<- prometheus.Metric) {
--- a/internal/serve/node_connections.go
+++ b/internal/serve/node_connections.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sync"
 
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/site"
 )
 
@@ -76,7 +76,7 @@
 }
 
 func (t *nodeConnections) connect(nd uint32, address string, visits bool) {
-	t.server.env.Dial(address, nodeDialTimeout, func(conn outside.Conn, err error) {
+	t.server.env.Dial(address, nodeDialTimeout, func(conn env.Conn, err error) {
 		if err != nil {
 			t.onDialFailed(nd, err)
 			return
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -27,8 +27,8 @@
 	"ravenpond/internal/decide/watchdog"
 	"ravenpond/internal/decide/workingset"
 	"ravenpond/internal/engine"
+	"ravenpond/internal/env"
 	"ravenpond/internal/maintenance"
-	"ravenpond/internal/outside"
 	"ravenpond/internal/site"
 	"ravenpond/internal/state"
 	"ravenpond/internal/state/bolt"
@@ -98,10 +98,10 @@
 type Server struct {
 	diagnostics    besteffort.Guard // round what is only said to people
 	config         Config
-	env            outside.Environment
+	env            env.Environment
 	log            zerolog.Logger
 	folder         *state.Folder
-	listener       outside.Listener
+	listener       env.Listener
 	listClient     *listClient
 	stopped        atomic.Bool   // it ends: nothing new is begun
 	lastShardCheck atomic.Uint64 // bits of the time of the last look at the shards
@@ -139,7 +139,7 @@
 
 // Run runs a scheduler on sockets until the context ends. All that was open is answered then.
 func Run(ctx context.Context, who Config) error {
-	w := outside.NewReal()
+	w := env.NewReal()
 	w.Connect, w.TLS, w.EndpointListAddress = who.Connect, who.TLS, who.Site.ListAddress
 	defer w.Close(2 * time.Second)
 	if who.FreeMemory == nil {
@@ -166,7 +166,7 @@
 }
 
 // Start starts a scheduler in a world.
-func Start(w outside.Environment, who Config) (s *Server, err error) {
+func Start(w env.Environment, who Config) (s *Server, err error) {
 	var folder *state.Folder
 	if who.Disk != nil {
 		folder = state.NewFolder(who.Disk)
@@ -311,7 +311,7 @@
 
 // every calls f every so many ms until the end.
 func (s *Server) every(ms float64, f func()) {
-	outside.Every(s.env, ms, func() bool {
+	env.Every(s.env, ms, func() bool {
 		if s.stopped.Load() {
 			return false
 		}
@@ -366,7 +366,7 @@
 		}
 	}
 	began, quiet := s.env.Now(), false
-	outside.Every(s.env, shutdownPollInterval, func() bool {
+	env.Every(s.env, shutdownPollInterval, func() bool {
 		now := s.env.Now()
 		mu.Lock()
 		waits := left > 0 && now-began < shardCloseTimeout
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -15,7 +15,7 @@
 
 	"ravenpond/internal/audit"
 	"ravenpond/internal/engine"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/proto/node"
 	"ravenpond/internal/site"
 	"ravenpond/internal/standin"
@@ -40,7 +40,7 @@
 type stage struct {
 	t     *testing.T
 	dir   string // made before the clean-up below it, so removed after
-	real  *outside.Real
+	real  *env.Real
 	w     *standin.Testbed
 	ctx   context.Context
 	stop  context.CancelFunc
@@ -61,7 +61,7 @@
 		t.Fatal(faults)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
-	real := outside.NewReal()
+	real := env.NewReal()
 	s := &stage{t: t, dir: t.TempDir(), real: real, w: standin.NewTestbed(real), ctx: ctx, stop: stop, place: place}
 	s.rules = audit.Rules{
 		Nodes: map[uint32]audit.Location{}, DrainGrace: place.DrainGrace, SlowStartLimit: 12, SlowStartDuration: 6000,
@@ -417,14 +417,14 @@
 }
 
 func TestSlowReader(t *testing.T) {
-	w := outside.NewReal()
+	w := env.NewReal()
 	defer w.Close(time.Second)
 	here, there := net.Pipe() // nobody reads there
 	defer there.Close()
 	w.Connect = func(context.Context, string) (net.Conn, error) { return here, nil }
 	s := &Server{config: Config{Site: &site.Config{NodeQueue: 100}}, env: w}
 	made := make(chan *nodeLink, 1)
-	w.Dial("", 1000, func(conn outside.Conn, _ error) {
+	w.Dial("", 1000, func(conn env.Conn, _ error) {
 		l := &nodeLink{server: s, connections: &nodeConnections{server: s, dialing: map[uint32]bool{}}, conn: conn}
 		conn.Start(l, 1000)
 		made <- l
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -9,7 +9,7 @@
 	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/engine"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/site"
 	"ravenpond/internal/state"
 	"ravenpond/logic"
@@ -22,7 +22,7 @@
 	incarnation    uint32
 	connections    *nodeConnections
 	inbox          *inbox
-	loop           outside.Loop
+	loop           env.Loop
 	started        atomic.Bool // it may turn
 	engine         *engine.Engine
 	queuedRequests atomic.Int64 // asks that came in and are not worked off
@@ -62,7 +62,7 @@
 	sh.engine = engine.New(out, now, engine.Config{
 		Cluster: &cl, Shares: place.Shares,
 		MaxOpen: s.router.MaxOpenPerShard(place.Shards), AnswerMargin: place.AnswerMargin, SettleTime: place.SettleTime,
-		NewPolicy: s.config.Policy, Incarnation: life, Seed: s.config.Seed + uint64(life)*0x9e3779b97f4a7c15, WallClockStart: float64(outside.Epoch.UnixMilli()), AliveAtPeers: s.nodeAlive,
+		NewPolicy: s.config.Policy, Incarnation: life, Seed: s.config.Seed + uint64(life)*0x9e3779b97f4a7c15, WallClockStart: float64(env.Epoch.UnixMilli()), AliveAtPeers: s.nodeAlive,
 	})
 	if s.config.Site.Members.Listen != "" {
 		sh.engine.SetSchedulerCount(0) // until the others have given leave
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -12,7 +12,7 @@
 	"ravenpond/internal/control"
 	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/zones"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/proto/node"
 	"ravenpond/internal/site"
 	"ravenpond/logic"
@@ -128,7 +128,7 @@
 	parts := v.reach.Update(now, view.State, sure, v.zoneSums, 0, v.ownCores, view.State.ActiveProcesses(v.reach.OwnZone))
 	if !maps.Equal(parts, v.shares) || sure != v.leaseValid || v.reach.Level() != v.level {
 		s.log.Info().Str("mode", "zones").Interface("parts", parts).Bool("sure", sure).Int("level", v.reach.Level()).Uint64("version", view.State.Version()).
-			Float64("unix_ms", now+float64(outside.Epoch.UnixMilli())).Msg("sends to")
+			Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("sends to")
 	}
 	v.shares, v.leaseValid, v.level = parts, sure, v.reach.Level()
 	var out []uint32
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -8,7 +8,7 @@
 	"sync"
 
 	"ravenpond/internal/audit"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/proto/owners"
 )
 
@@ -49,7 +49,7 @@
 	testbed  *Testbed
 	mu       sync.Mutex
 	rng      *rand.Rand
-	conn     outside.Conn // nil while there is none
+	conn     env.Conn // nil while there is none
 	lastRef  uint64
 	pending  map[uint64]*Demand // by ref: asked and not answered
 	running  map[uint64]*Demand
@@ -79,7 +79,7 @@
 		o.testbed.After(reconnectDelay, o.connect)
 		return
 	}
-	o.testbed.Dial(addr, dialTimeout, func(conn outside.Conn, err error) {
+	o.testbed.Dial(addr, dialTimeout, func(conn env.Conn, err error) {
 		if err != nil {
 			o.testbed.After(reconnectDelay, o.connect)
 			return
@@ -102,7 +102,7 @@
 // session is one connection's life.
 type session struct {
 	client *Client
-	conn   outside.Conn
+	conn   env.Conn
 	in     owners.Splitter
 }
 
@@ -120,7 +120,7 @@
 }
 
 // notify sends a notification.
-func (o *Client) notify(conn outside.Conn, method string, params map[string]any) {
+func (o *Client) notify(conn env.Conn, method string, params map[string]any) {
 	body, err := json.Marshal(map[string]any{"jsonrpc": "2.0", "method": method, "params": params})
 	if err != nil {
 		return
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -9,7 +9,7 @@
 	"sync"
 
 	"ravenpond/internal/audit"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/list"
 )
@@ -17,7 +17,7 @@
 // List is the node list: it looks at its nodes ten times a second and tells what it saw a while ago.
 type List struct {
 	testbed     *Testbed
-	listener    outside.Listener
+	listener    env.Listener
 	mu          sync.Mutex
 	nodes       []*Node
 	unreachable map[uint32]entry // addresses that nobody answers at
@@ -61,7 +61,7 @@
 	if l.listener, err = w.Listen(address, l.accept); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	outside.Every(w, pollInterval, func() bool { l.poll(); return true })
+	env.Every(w, pollInterval, func() bool { l.poll(); return true })
 	return l, nil
 }
 
@@ -165,7 +165,7 @@
 type listConn struct {
 	list      *List
 	scheduler string
-	conn      outside.Conn
+	conn      env.Conn
 	in        line.Splitter
 	mu        sync.Mutex
 	closed    bool
@@ -175,7 +175,7 @@
 
 const listWriteTimeout = 2000
 
-func (l *List) accept(conn outside.Conn) {
+func (l *List) accept(conn env.Conn) {
 	conn.Start(&listConn{list: l, conn: conn}, listWriteTimeout)
 }
 
@@ -192,7 +192,7 @@
 		}
 		c.scheduler, b = head.Get("Scheduler"), after
 		c.conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.GreetingLine) })
-		outside.Every(c.list.testbed, pollInterval, func() bool {
+		env.Every(c.list.testbed, pollInterval, func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if c.watching && !c.closed && !c.sendChanges(false) {
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -12,21 +12,21 @@
 
 	"ravenpond/internal/audit"
 	"ravenpond/internal/decide/admission"
-	"ravenpond/internal/outside"
+	"ravenpond/internal/env"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/node"
 )
 
 // Testbed is what the stand-ins of one process share: a clock, a lock over all machines and a trace.
 type Testbed struct {
-	outside.Environment
+	env.Environment
 	startedAt float64
 	mu        sync.Mutex
 	Trace     audit.Trace
 }
 
 // NewTestbed starts the clock.
-func NewTestbed(w outside.Environment) *Testbed { return &Testbed{Environment: w, startedAt: w.Now()} }
+func NewTestbed(w env.Environment) *Testbed { return &Testbed{Environment: w, startedAt: w.Now()} }
 
 // Now is ms since the start.
 func (w *Testbed) Now() float64 { return w.Environment.Now() - w.startedAt }
@@ -49,11 +49,11 @@
 	Lost          bool // it is not there
 	testbed       *Testbed
 	incarnation   uint64
-	listener      outside.Listener
+	listener      env.Listener
 	address       string
 	ListedAddress string // the address that the list tells, where the node is reached by a way round; empty: its own
 	conns         map[string]*peer
-	loop          outside.Loop
+	loop          env.Loop
 	pending       []func(now float64) // what came while the machine hung
 	Jobs          int                 // job types and tenants that are known
 	Tenants       int
@@ -63,7 +63,7 @@
 type peer struct {
 	node         *Node
 	scheduler    string // "" until it has greeted
-	conn         outside.Conn
+	conn         env.Conn
 	in           line.Splitter
 	lag          admission.DelayEstimator // of what the scheduler sends
 	lastReceived float64
@@ -158,10 +158,10 @@
 }
 
 // accept takes a connection; who it is from is told by its greeting.
-func (n *Node) accept(conn outside.Conn) {
+func (n *Node) accept(conn env.Conn) {
 	p := &peer{node: n, conn: conn, lastReceived: n.testbed.Now()}
 	conn.Start(p, node.WriteTimeout)
-	outside.Every(n.testbed, node.HandshakeTimeout, func() bool {
+	env.Every(n.testbed, node.HandshakeTimeout, func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		silent := float64(node.SilenceTimeout)
