--- a/cmd/ravenpond/deploy_test.go
+++ b/cmd/ravenpond/deploy_test.go
@@ -58,7 +58,7 @@
 // one descriptor to another in the kernel.
 func TestRunPath(t *testing.T) {
 	for _, dir := range []string{
-		"internal/platform", "internal/platform/host", "internal/proto/platform", "internal/settings", "internal/outside",
+		"internal/platform", "internal/platform/host", "internal/proto/platform", "internal/settings", "internal/env",
 		"internal/timers", "internal/besteffort", "logic",
 	} {
 		files, err := filepath.Glob(filepath.Join("../..", dir, "*.go"))
--- a/internal/env/outside.go
+++ b/internal/env/env.go
@@ -1,4 +1,4 @@
-// Package outside is what the program touches beside its memory: time, connections and a disk. All that the program
+// Package env is what the program touches beside its memory: time, connections and a disk. All that the program
 // does there goes through these interfaces, by calls that never wait, so that the same code runs on sockets (Real) and
 // in the laboratory, on one goroutine and a clock of its own.
 package env
