--- a/cmd/ravenpond/admin.go
+++ b/cmd/ravenpond/admin.go
@@ -29,10 +29,10 @@
 }
 
 type adminFlags struct {
-	At   string        `required:"" help:"Address of the administration."`
+	At   string        `name:"at" required:"" help:"Address of the administration."`
 	Keys string        `required:"" type:"path" help:"Folder with the authority's ca.pem and your NAME.pem and NAME.key."`
-	As   string        `required:"" help:"Your NAME there."`
-	Wait time.Duration `default:"5s" help:"Time for the call."`
+	As   string        `name:"as" required:"" help:"Your NAME there."`
+	Wait time.Duration `name:"wait" default:"5s" help:"Time for the call."`
 }
 
 // call makes a call and says what went wrong in a line.
@@ -76,9 +76,9 @@
 	Share *float64 `help:"Its share of the machines, beside those of others."`
 	Rate  *float64 `help:"Asks a second that may pass; 0: as many as its share brings."`
 	Burst *float64 `help:"Asks that may pass at once after a calm time."`
-	Open  *int64   `help:"Asks that may be open at once; 0: as many as there is room for."`
-	Line  *int64   `help:"Asks that may wait in its line."`
-	Conns *int64   `help:"Connections of its owners at once; 0: by its share of the door."`
+	Open  *int64   `name:"open" help:"Asks that may be open at once; 0: as many as there is room for."`
+	Line  *int64   `name:"line" help:"Asks that may wait in its line."`
+	Conns *int64   `name:"conns" help:"Connections of its owners at once; 0: by its share of the door."`
 	Bytes *float64 `help:"Bytes that its owners may send a second; 0: as many as usual."`
 }
 
@@ -168,7 +168,7 @@
 type adminToken struct {
 	adminFlags
 	Name string        `arg:"" help:"The tenant's name."`
-	Last time.Duration `default:"2160h" help:"How long it is good."`
+	Last time.Duration `name:"last" default:"2160h" help:"How long it is good."`
 }
 
 func (c *adminToken) Run(ctx context.Context) error {
--- a/cmd/ravenpond/clubs.go
+++ b/cmd/ravenpond/clubs.go
@@ -13,9 +13,9 @@
 	Tenants int           `default:"20" help:"Tenants."`
 	Nodes   int           `default:"20" help:"Stand-in nodes of 32 cores."`
 	Shards  int           `default:"2" help:"Shards of the scheduler."`
-	Flood   float64       `default:"10" help:"Times its share that the first tenant asks for."`
-	Returns bool          `default:"true" negatable:"" help:"Somebody without a token connects anew without end."`
-	Last    time.Duration `default:"10s" help:"Length of each day."`
+	Flood   float64       `name:"flood" default:"10" help:"Times its share that the first tenant asks for."`
+	Returns bool          `name:"returns" default:"true" negatable:"" help:"Somebody without a token connects anew without end."`
+	Last    time.Duration `name:"last" default:"10s" help:"Length of each day."`
 	Seed    uint64        `default:"1" help:"Seed of the arrivals."`
 	Open    int           `name:"half-open" help:"Instead of the flood: handshakes that are begun at a TLS door and never ended."`
 }
@@ -36,8 +36,8 @@
 
 type removalsCommand struct {
 	Rounds int    `default:"20" help:"Rounds, each with a kill; one takes some 25 s."`
-	Each   int    `default:"50" help:"Tenants that are removed in a round."`
-	Asks   int    `default:"20" help:"Asks of each."`
+	Each   int    `name:"each" default:"50" help:"Tenants that are removed in a round."`
+	Asks   int    `name:"asks" default:"20" help:"Asks of each."`
 	Nodes  int    `default:"20" help:"Stand-in nodes of 32 cores."`
 	Seed   uint64 `default:"1" help:"Seed of arrivals and kills."`
 }
--- /dev/null
+++ b/cmd/ravenpond/commandline_test.go
@@ -0,0 +1,82 @@
+package main
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+)
+
+var update = flag.Bool("update", false, "write testdata/commandline.txt anew")
+
+// TestCommandLine compares all commands, arguments and flags, hidden ones included, with testdata/commandline.txt. Kong derives them from
+// the names of struct fields, so that a renamed field without a name tag would rename a flag.
+func TestCommandLine(t *testing.T) {
+	parser, err := kong.New(&commands{}, kong.Name("ravenpond"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var b strings.Builder
+	for _, command := range parser.Model.Leaves(false) {
+		path := command.FullPath()
+		fmt.Fprintf(&b, "%s%s\n", path, hidden(hiddenNode(command)))
+		for _, argument := range command.Positional {
+			fmt.Fprintf(&b, "%s argument %s\n", path, value(argument))
+		}
+		for _, group := range command.AllFlags(false) {
+			for _, f := range group {
+				fmt.Fprintf(&b, "%s --%s%s %s\n", path, f.Name, hidden(f.Hidden), value(f.Value))
+			}
+		}
+	}
+	golden := filepath.Join("testdata", "commandline.txt")
+	if *update {
+		if err := os.WriteFile(golden, []byte(b.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	wantLines, gotLines := lineSet(string(want)), lineSet(b.String())
+	for line := range wantLines {
+		if !gotLines[line] {
+			t.Errorf("gone: %s", line)
+		}
+	}
+	for line := range gotLines {
+		if !wantLines[line] {
+			t.Errorf("new: %s", line)
+		}
+	}
+}
+
+// value describes what kong makes of an argument or flag.
+func value(v *kong.Value) string {
+	return fmt.Sprintf("%s %s default=%q enum=%q required=%v negatable=%q", v.Name, v.Target.Type(), v.Default, v.Enum, v.Required, v.Tag.Negatable)
+}
+
+func hidden(is bool) string {
+	if is {
+		return " hidden"
+	}
+	return ""
+}
+
+// hiddenNode reports whether the command or one above it is hidden.
+func hiddenNode(n *kong.Node) bool {
+	return n != nil && (n.Hidden || hiddenNode(n.Parent))
+}
+
+func lineSet(text string) map[string]bool {
+	lines := map[string]bool{}
+	for line := range strings.Lines(text) {
+		lines[strings.TrimSpace(line)] = true
+	}
+	return lines
+}
--- a/cmd/ravenpond/drain.go
+++ b/cmd/ravenpond/drain.go
@@ -69,7 +69,7 @@
 	Zone     string        `help:"Zone to drain."`
 	Start    string        `help:"First start, as 2026-03-02T10:00 in the time zone of --tz."`
 	TZ       string        `default:"UTC" help:"Time zone that the starts follow."`
-	Last     time.Duration `help:"How long the nodes are out."`
+	Last     time.Duration `name:"last" help:"How long the nodes are out."`
 	Rule     string        `help:"Recurrence, RFC 5545, such as FREQ=WEEKLY."`
 	Lead     time.Duration `default:"10m" help:"The drain begins so long before."`
 	Slack    time.Duration `help:"The window may begin so much later."`
--- a/cmd/ravenpond/herd.go
+++ b/cmd/ravenpond/herd.go
@@ -14,17 +14,17 @@
 type herdCommand struct {
 	Schedulers int      `default:"30" help:"How many."`
 	Nodes      int      `default:"40" help:"How many."`
-	Filled     float64  `default:"0.7" help:"Part of all room that work fills."`
-	Life       float64  `default:"4" help:"Seconds that work runs."`
-	Lasts      float64  `default:"20" help:"Seconds; the first one and a half lives do not count."`
+	Filled     float64  `name:"filled" default:"0.7" help:"Part of all room that work fills."`
+	Life       float64  `name:"life" default:"4" help:"Seconds that work runs."`
+	Lasts      float64  `name:"lasts" default:"20" help:"Seconds; the first one and a half lives do not count."`
 	Services   int      `default:"100" help:"Services of each job type."`
 	Seeds      int      `default:"5" help:"How many of each policy."`
 	Workers    int      `default:"0" help:"Seeds at a time; 0: one a core."`
 	Policies   []string `help:"design (the module), random, least-loaded, best-of-two, careful, true-state; all without."`
-	Set        int      `help:"Schedulers work with a set of so many nodes at least; 0: with all."`
+	Set        int      `name:"set" help:"Schedulers work with a set of so many nodes at least; 0: with all."`
 	Spare      float64  `default:"8" help:"Where they do: nodes for each machine that own work would fill."`
-	Members    bool     `help:"Schedulers know each other."`
-	Fault      []string `sep:"none" help:"What goes wrong, as in lab run's scripts: 'MS KIND WHO OTHER FOR-MS SIZE', - for none. May be given again."`
+	Members    bool     `name:"members" help:"Schedulers know each other."`
+	Fault      []string `name:"fault" sep:"none" help:"What goes wrong, as in lab run's scripts: 'MS KIND WHO OTHER FOR-MS SIZE', - for none. May be given again."`
 }
 
 // Run plays many schedulers and tells how evenly nodes are loaded; all of it is simulated.
--- a/cmd/ravenpond/keys.go
+++ b/cmd/ravenpond/keys.go
@@ -17,7 +17,7 @@
 }
 
 type keysFolder struct {
-	Keys string `required:"" type:"path" help:"Folder of keys."`
+	Keys string `name:"keys" required:"" type:"path" help:"Folder of keys."`
 }
 
 type keysInit struct{ keysFolder }
@@ -30,10 +30,10 @@
 type keysIssue struct {
 	keysFolder
 	Name   string        `arg:"" help:"Name of the files, and of whom it is for."`
-	Host   []string      `help:"Names and addresses of a server."`
+	Host   []string      `name:"host" help:"Names and addresses of a server."`
 	Role   string        `help:"Role of a person: operator, reader, tenant-admin or tenant-reader."`
 	Tenant string        `help:"The tenant of the last two."`
-	Last   time.Duration `default:"168h" help:"How long it is good."`
+	Last   time.Duration `name:"last" default:"168h" help:"How long it is good."`
 }
 
 func (c *keysIssue) Run() error {
--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -91,7 +91,7 @@
 	Name          string `default:"s0" help:"The scheduler's name, the same at each start."`
 	Index         int    `default:"0" help:"Its number among all schedulers, from 0."`
 	Seed          uint64 `default:"0" help:"Seed of its chance; 0 draws one."`
-	Owners        string `help:"Listen for owners here instead of where the site file says."`
+	Owners        string `name:"owners" help:"Listen for owners here instead of where the site file says."`
 	AddressFile   string `type:"path" help:"Write the owners' address to this file once they may connect."`
 	Log           string `enum:"json,plain" default:"json" help:"Form of the log: json or plain."`
 	Keys          string `type:"path" help:"Folder of keys of the administration, where the site file has its address."`
@@ -268,8 +268,8 @@
 	Seed    uint64 `default:"1" help:"Seed of the day's chance."`
 	Out     string `type:"path" help:"Folder for logs and the trace; without it a new one in the temporary folder."`
 	Shards  int    `default:"1" help:"Shards of each scheduler process."`
-	Share   string `enum:"own,shared,informed" default:"shared" help:"What they share: own, shared or informed connections."`
-	Place   string `enum:"service,tenant,in-turn" default:"service" help:"How allocations are placed on them."`
+	Share   string `name:"share" enum:"own,shared,informed" default:"shared" help:"What they share: own, shared or informed connections."`
+	Place   string `name:"place" enum:"service,tenant,in-turn" default:"service" help:"How allocations are placed on them."`
 	Quiet   bool   `help:"Print the table alone."`
 	ShowDay bool   `help:"Print the day in the program, and play nothing."`
 }
@@ -368,13 +368,13 @@
 }
 
 type coresCommand struct {
-	Counts []int         `default:"1,2,4,8" help:"Counts of shards."`
+	Counts []int         `name:"counts" default:"1,2,4,8" help:"Counts of shards."`
 	Nodes  int           `default:"130" help:"Stand-in nodes."`
 	Rate   float64       `default:"1500" help:"Asks a second for latency and CPU time."`
-	Flood  float64       `default:"9000" help:"Asks a second for throughput: more than can be carried."`
-	Last   time.Duration `default:"4s" help:"Length of each trial over sockets."`
-	Asks   int           `default:"60000" help:"Asks of each trial in memory."`
-	Check  int           `default:"500000" help:"Asks of the check, at 4 and at 8 shards each; 0 leaves it out."`
+	Flood  float64       `name:"flood" default:"9000" help:"Asks a second for throughput: more than can be carried."`
+	Last   time.Duration `name:"last" default:"4s" help:"Length of each trial over sockets."`
+	Asks   int           `name:"asks" default:"60000" help:"Asks of each trial in memory."`
+	Check  int           `name:"check" default:"500000" help:"Asks of the check, at 4 and at 8 shards each; 0 leaves it out."`
 	Tables bool          `default:"true" negatable:"" help:"Print the tables."`
 	Over   bool          `default:"true" negatable:"" name:"overload" help:"Print the table of overload."`
 	Seed   uint64        `default:"1" help:"Seed of the check."`
@@ -419,23 +419,23 @@
 type loadCommand struct {
 	Rates    []float64     `default:"500,1000,2000,4000" help:"Asks a second, a trial for each."`
 	Nodes    int           `default:"130" help:"Stand-in nodes."`
-	Owners   int           `default:"4" help:"Connections that ask."`
+	Owners   int           `name:"owners" default:"4" help:"Connections that ask."`
 	Services int           `default:"50" help:"Services that the asks belong to."`
-	Warm     time.Duration `default:"2s" help:"Load before the measurement begins."`
-	Last     time.Duration `default:"6s" help:"Length of the measurement."`
-	Life     time.Duration `default:"300ms" help:"Mean time that an allocation runs."`
+	Warm     time.Duration `name:"warm" default:"2s" help:"Load before the measurement begins."`
+	Last     time.Duration `name:"last" default:"6s" help:"Length of the measurement."`
+	Life     time.Duration `name:"life" default:"300ms" help:"Mean time that an allocation runs."`
 	Profile  string        `type:"path" help:"Write a CPU profile of the scheduler process to this file."`
 	Seed     uint64        `default:"1" help:"Seed of the arrivals."`
-	Every    time.Duration `help:"A burst begins so often."`
-	Burst    time.Duration `default:"200ms" help:"Length of a burst."`
-	Times    float64       `default:"3" help:"As many asks in a burst as else."`
+	Every    time.Duration `name:"every" help:"A burst begins so often."`
+	Burst    time.Duration `name:"burst" default:"200ms" help:"Length of a burst."`
+	Times    float64       `name:"times" default:"3" help:"As many asks in a burst as else."`
 	Ramp     bool          `help:"Look for the highest load that keeps a service, from the first rate on."`
-	P99      time.Duration `default:"50ms" help:"The service: start p99 at most."`
-	Served   float64       `default:"0.99" help:"The service: part of the asks served at least."`
+	P99      time.Duration `name:"p-99" default:"50ms" help:"The service: start p99 at most."`
+	Served   float64       `name:"served" default:"0.99" help:"The service: part of the asks served at least."`
 	Shards   int           `default:"1" help:"Shards of the scheduler."`
-	Set      int           `help:"The scheduler works with a set of so many nodes at least; 0: with all."`
-	Known    int           `default:"30" help:"Schedulers that share the nodes out, where they work with sets."`
-	Mute     bool          `help:"Nodes never answer, so that allocations stay open until their expiry."`
+	Set      int           `name:"set" help:"The scheduler works with a set of so many nodes at least; 0: with all."`
+	Known    int           `name:"known" default:"30" help:"Schedulers that share the nodes out, where they work with sets."`
+	Mute     bool          `name:"mute" help:"Nodes never answer, so that allocations stay open until their expiry."`
 	Out      string        `type:"path" help:"Folder for logs; without it a new one in the temporary folder."`
 }
 
--- a/cmd/ravenpond/procs.go
+++ b/cmd/ravenpond/procs.go
@@ -17,11 +17,11 @@
 	Rate       float64 `default:"100" help:"Asks a second, of all owners together."`
 	Seconds    float64 `default:"10" help:"Before the script, and after it."`
 	Seed       uint64  `default:"1" help:"Seed of all chance."`
-	Apart      bool    `help:"Schedulers do not know each other."`
+	Apart      bool    `name:"apart" help:"Schedulers do not know each other."`
 	Zones      int     `default:"2" help:"How many zones, two to a region; 2 to 6."`
-	Cores      int     `default:"64" help:"Of a node."`
-	Near       bool    `help:"The site file says how far zones are from each other."`
-	Stewards   int     `default:"0" help:"How many keep the book that all agree on: 0, 3 or 5."`
+	Cores      int     `name:"cores" default:"64" help:"Of a node."`
+	Near       bool    `name:"near" help:"The site file says how far zones are from each other."`
+	Stewards   int     `name:"stewards" default:"0" help:"How many keep the book that all agree on: 0, 3 or 5."`
 	Out        string  `type:"path" help:"Folder for logs; without it a new one in the temporary folder."`
 }
 
--- a/cmd/ravenpond/scale.go
+++ b/cmd/ravenpond/scale.go
@@ -23,9 +23,9 @@
 	Tasks      int           `help:"Running tasks of a real process at each point, instead of those of the plan."`
 	Runs       int           `default:"3" help:"Repetitions of each point."`
 	FirstRun   int           `default:"1" help:"Number of the first repetition."`
-	Real       int           `default:"1" help:"Real processes."`
-	Warm       time.Duration `default:"4s" help:"Before each measurement."`
-	Last       time.Duration `default:"8s" help:"Length of each measurement, at least."`
+	Real       int           `name:"real" default:"1" help:"Real processes."`
+	Warm       time.Duration `name:"warm" default:"4s" help:"Before each measurement."`
+	Last       time.Duration `name:"last" default:"8s" help:"Length of each measurement, at least."`
 	Seed       uint64        `default:"1" help:"Seed of the first run; each run has the next."`
 	Variant    string        `help:"Name of what is set apart by --elements; it is added to the scenario."`
 	Elements   string        `help:"More elements of the site file."`
--- a/cmd/ravenpond/scaleregions.go
+++ b/cmd/ravenpond/scaleregions.go
@@ -20,11 +20,11 @@
 	Zones          int           `default:"14" help:"Zones, in turn in all regions."`
 	Voters         int           `default:"5" help:"Schedulers that keep the replicated state, the first ones."`
 	CutRegions     int           `default:"3" help:"Regions that are cut from the others, the last ones."`
-	Warm           time.Duration `default:"5m" help:"Virtual time before the cut."`
-	Cut            time.Duration `default:"1h" help:"Virtual time for which the regions are cut."`
-	Settle         time.Duration `default:"10m" help:"Virtual time after the heal."`
+	Warm           time.Duration `name:"warm" default:"5m" help:"Virtual time before the cut."`
+	Cut            time.Duration `name:"cut" default:"1h" help:"Virtual time for which the regions are cut."`
+	Settle         time.Duration `name:"settle" default:"10m" help:"Virtual time after the heal."`
 	CommandsPerDay float64       `default:"7400" help:"Commands that schedulers, in turn, put into the replicated state."`
-	Absent         int           `default:"0" help:"Schedulers that stand in the replicated state and are not played."`
+	Absent         int           `name:"absent" default:"0" help:"Schedulers that stand in the replicated state and are not played."`
 	AbsentName     int           `default:"0" help:"Bytes of their names at least."`
 	Restart        bool          `default:"true" negatable:"" help:"Restart one scheduler of the cut regions in the midst of the cut."`
 	Out            string        `type:"path" help:"Write the result to this file, in the form of scale runs' results."`
--- a/cmd/ravenpond/sim.go
+++ b/cmd/ravenpond/sim.go
@@ -27,10 +27,10 @@
 type runCommand struct {
 	Seeds   string `default:"0:1000" help:"Seeds A:B, B left out."`
 	Workers int    `default:"0" help:"Seeds at a time; 0: one a core."`
-	Plant   string `help:"Plant a fault that must be found; list prints them."`
-	Most    int    `default:"0" help:"Stop after so many that broke something."`
+	Plant   string `name:"plant" help:"Plant a fault that must be found; list prints them."`
+	Most    int    `name:"most" default:"0" help:"Stop after so many that broke something."`
 	Quiet   bool   `help:"No progress."`
-	Set     int    `help:"Schedulers work with a set of so many nodes at least; 0: with all."`
+	Set     int    `name:"set" help:"Schedulers work with a set of so many nodes at least; 0: with all."`
 
 	Platform bool `help:"Play the platform's route instead of the program's own protocols."`
 }
@@ -97,7 +97,7 @@
 type circleCommand struct {
 	Seeds   string    `default:"0:1000" help:"Seeds A:B, B left out."`
 	Workers int       `default:"0" help:"Seeds at a time; 0: one a core."`
-	Plant   string    `help:"Plant a fault that must be found; list prints them."`
+	Plant   string    `name:"plant" help:"Plant a fault that must be found; list prints them."`
 	Sizes   []int     `help:"Measure calm circles of these sizes instead: detection, cost, growth."`
 	Losses  []float64 `default:"0,0.05,0.2" help:"And at these parts of datagrams lost."`
 	Runs    int       `default:"5" help:"How many of each size."`
@@ -180,7 +180,7 @@
 
 type replayCommand struct {
 	File  string `arg:"" type:"existingfile" help:"The script."`
-	Plant string `help:"Plant a fault."`
+	Plant string `name:"plant" help:"Plant a fault."`
 	Trace string `type:"path" help:"Write all that happened to this file."`
 }
 
@@ -223,7 +223,7 @@
 
 type shrinkCommand struct {
 	File  string `arg:"" type:"existingfile" help:"A script that breaks something."`
-	Plant string `help:"Plant a fault."`
+	Plant string `name:"plant" help:"Plant a fault."`
 }
 
 func (c *shrinkCommand) Run(ctx context.Context) error {
@@ -251,10 +251,10 @@
 }
 
 type statesCommand struct {
-	Most   int    `default:"50000" help:"States of each effect at most."`
-	Depth  int    `default:"20" help:"Steps on one path at most."`
-	Faults int    `default:"2" help:"Faults on one path at most."`
-	Kinds  string `help:"Kinds of faults: b connections break, f shards are fenced, h they give, n nodes restart, w owners withdraw; all without it."`
+	Most   int    `name:"most" default:"50000" help:"States of each effect at most."`
+	Depth  int    `name:"depth" default:"20" help:"Steps on one path at most."`
+	Faults int    `name:"faults" default:"2" help:"Faults on one path at most."`
+	Kinds  string `name:"kinds" help:"Kinds of faults: b connections break, f shards are fenced, h they give, n nodes restart, w owners withdraw; all without it."`
 }
 
 func (c *statesCommand) Run() error {
@@ -331,9 +331,9 @@
 type growCommand struct {
 	Nodes      []int    `default:"20,40,80,160,320,640,1300" help:"Numbers of nodes, with one scheduler."`
 	Schedulers []int    `default:"1,2,4,8,16,32,64" help:"Numbers of schedulers, with 40 nodes."`
-	Both       []string `help:"Further sizes, nodes x schedulers, as 1300x300."`
+	Both       []string `name:"both" help:"Further sizes, nodes x schedulers, as 1300x300."`
 	Rate       float64  `default:"200" help:"Asks a second, all together."`
-	Last       float64  `default:"4000" help:"Virtual ms."`
+	Last       float64  `name:"last" default:"4000" help:"Virtual ms."`
 }
 
 func (c *growCommand) Run(ctx context.Context) error {
--- a/cmd/ravenpond/tenant.go
+++ b/cmd/ravenpond/tenant.go
@@ -91,9 +91,9 @@
 	Share float64 `default:"1" help:"Its share of the machines, beside those of others."`
 	Rate  float64 `help:"Asks a second that may pass; 0: as many as its share brings."`
 	Burst float64 `default:"10" help:"Asks that may pass at once after a calm time, where there is a rate."`
-	Open  int     `help:"Asks that may be open at once; 0: as many as there is room for."`
-	Wait  int     `default:"1000" help:"Asks that may wait in its line; beyond it they are declined at once."`
-	Conns int     `help:"Connections of its owners at once; 0: by its share of the door."`
+	Open  int     `name:"open" help:"Asks that may be open at once; 0: as many as there is room for."`
+	Wait  int     `name:"wait" default:"1000" help:"Asks that may wait in its line; beyond it they are declined at once."`
+	Conns int     `name:"conns" help:"Connections of its owners at once; 0: by its share of the door."`
 	Bytes float64 `help:"Bytes that its owners may send a second; 0: as many as usual."`
 }
 
@@ -111,9 +111,9 @@
 	Share *float64 `help:"Its share of the machines."`
 	Rate  *float64 `help:"Asks a second that may pass, 0: no limit."`
 	Burst *float64 `help:"Asks that may pass at once after a calm time."`
-	Open  *int     `help:"Asks that may be open at once, 0: no limit."`
-	Wait  *int     `help:"Asks that may wait in its line."`
-	Conns *int     `help:"Connections of its owners at once, 0: by its share of the door."`
+	Open  *int     `name:"open" help:"Asks that may be open at once, 0: no limit."`
+	Wait  *int     `name:"wait" help:"Asks that may wait in its line."`
+	Conns *int     `name:"conns" help:"Connections of its owners at once, 0: by its share of the door."`
 	Bytes *float64 `help:"Bytes that its owners may send a second, 0: as many as usual."`
 }
 
@@ -199,7 +199,7 @@
 type tenantToken struct {
 	clubFlags
 	Name string        `arg:"" help:"The tenant's name."`
-	Last time.Duration `default:"2160h" help:"How long it is good."`
+	Last time.Duration `name:"last" default:"2160h" help:"How long it is good."`
 }
 
 func (c *tenantToken) Run() error {
