--- a/cmd/ravenpond/admin.go
+++ b/cmd/ravenpond/admin.go
@@ -29,24 +29,24 @@
 }
 
 type adminFlags struct {
-	At   string        `name:"at" required:"" help:"Address of the administration."`
-	Keys string        `required:"" type:"path" help:"Folder with the authority's ca.pem and your NAME.pem and NAME.key."`
-	As   string        `name:"as" required:"" help:"Your NAME there."`
-	Wait time.Duration `name:"wait" default:"5s" help:"Time for the call."`
+	Address  string        `name:"at" required:"" help:"Address of the administration."`
+	Keys     string        `required:"" type:"path" help:"Folder with the authority's ca.pem and your NAME.pem and NAME.key."`
+	Identity string        `name:"as" required:"" help:"Your NAME there."`
+	Timeout  time.Duration `name:"wait" default:"5s" help:"Time for the call."`
 }
 
 // call makes a call and says what went wrong in a line.
 func (f adminFlags) call(ctx context.Context, do func(ctx context.Context, c pb.TenantsClient) error) error {
-	creds, err := keys.ClientCredentials(f.Keys, f.As)
+	creds, err := keys.ClientCredentials(f.Keys, f.Identity)
 	if err != nil {
 		return err
 	}
-	conn, err := grpc.NewClient(f.At, grpc.WithTransportCredentials(creds))
+	conn, err := grpc.NewClient(f.Address, grpc.WithTransportCredentials(creds))
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	ctx, stop := context.WithTimeout(ctx, f.Wait)
+	ctx, stop := context.WithTimeout(ctx, f.Timeout)
 	defer stop()
 	if err := do(ctx, pb.NewTenantsClient(conn)); err != nil {
 		s := status.Convert(err)
@@ -73,17 +73,17 @@
 }
 
 type adminLimits struct {
-	Share *float64 `help:"Its share of the machines, beside those of others."`
-	Rate  *float64 `help:"Asks a second that may pass; 0: as many as its share brings."`
-	Burst *float64 `help:"Asks that may pass at once after a calm time."`
-	Open  *int64   `name:"open" help:"Asks that may be open at once; 0: as many as there is room for."`
-	Line  *int64   `name:"line" help:"Asks that may wait in its line."`
-	Conns *int64   `name:"conns" help:"Connections of its owners at once; 0: by its share of the door."`
-	Bytes *float64 `help:"Bytes that its owners may send a second; 0: as many as usual."`
+	Share          *float64 `help:"Its share of the machines, beside those of others."`
+	Rate           *float64 `help:"Asks a second that may pass; 0: as many as its share brings."`
+	Burst          *float64 `help:"Asks that may pass at once after a calm time."`
+	MaxOpen        *int64   `name:"open" help:"Asks that may be open at once; 0: as many as there is room for."`
+	QueueLength    *int64   `name:"line" help:"Asks that may wait in its line."`
+	MaxConnections *int64   `name:"conns" help:"Connections of its owners at once; 0: by its share of the door."`
+	Bytes          *float64 `help:"Bytes that its owners may send a second; 0: as many as usual."`
 }
 
 func (l adminLimits) message() *pb.Limits {
-	return &pb.Limits{Share: l.Share, Rate: l.Rate, Burst: l.Burst, Open: l.Open, Wait: l.Line, Conns: l.Conns, Bytes: l.Bytes}
+	return &pb.Limits{Share: l.Share, Rate: l.Rate, Burst: l.Burst, Open: l.MaxOpen, Wait: l.QueueLength, Conns: l.MaxConnections, Bytes: l.Bytes}
 }
 
 type adminAdd struct {
@@ -167,13 +167,13 @@
 
 type adminToken struct {
 	adminFlags
-	Name string        `arg:"" help:"The tenant's name."`
-	Last time.Duration `name:"last" default:"2160h" help:"How long it is good."`
+	Name     string        `arg:"" help:"The tenant's name."`
+	Lifetime time.Duration `name:"last" default:"2160h" help:"How long it is good."`
 }
 
 func (c *adminToken) Run(ctx context.Context) error {
 	return c.call(ctx, func(ctx context.Context, to pb.TenantsClient) error {
-		got, err := to.IssueToken(ctx, &pb.IssueTokenRequest{Name: c.Name, LastsS: int64(c.Last / time.Second)})
+		got, err := to.IssueToken(ctx, &pb.IssueTokenRequest{Name: c.Name, LastsS: int64(c.Lifetime / time.Second)})
 		if err == nil {
 			fmt.Println(got.Token)
 		}
--- a/cmd/ravenpond/clubs.go
+++ b/cmd/ravenpond/clubs.go
@@ -9,25 +9,25 @@
 	"ravenpond/internal/lab/clubs"
 )
 
-type clubsCommand struct {
-	Tenants int           `default:"20" help:"Tenants."`
-	Nodes   int           `default:"20" help:"Stand-in nodes of 32 cores."`
-	Shards  int           `default:"2" help:"Shards of the scheduler."`
-	Flood   float64       `name:"flood" default:"10" help:"Times its share that the first tenant asks for."`
-	Returns bool          `name:"returns" default:"true" negatable:"" help:"Somebody without a token connects anew without end."`
-	Last    time.Duration `name:"last" default:"10s" help:"Length of each day."`
-	Seed    uint64        `default:"1" help:"Seed of the arrivals."`
-	Open    int           `name:"half-open" help:"Instead of the flood: handshakes that are begun at a TLS door and never ended."`
+type tenantLoadCommand struct {
+	Tenants     int           `default:"20" help:"Tenants."`
+	Nodes       int           `default:"20" help:"Stand-in nodes of 32 cores."`
+	Shards      int           `default:"2" help:"Shards of the scheduler."`
+	FloodFactor float64       `name:"flood" default:"10" help:"Times its share that the first tenant asks for."`
+	Reconnects  bool          `name:"returns" default:"true" negatable:"" help:"Somebody without a token connects anew without end."`
+	Duration    time.Duration `name:"last" default:"10s" help:"Length of each day."`
+	Seed        uint64        `default:"1" help:"Seed of the arrivals."`
+	HalfOpen    int           `name:"half-open" help:"Instead of the flood: handshakes that are begun at a TLS door and never ended."`
 }
 
-func (c *clubsCommand) Run(ctx context.Context) error {
-	if c.Tenants < 2 || c.Nodes < 1 || c.Shards < 1 || !(c.Flood > 0) || c.Last <= 0 {
+func (c *tenantLoadCommand) Run(ctx context.Context) error {
+	if c.Tenants < 2 || c.Nodes < 1 || c.Shards < 1 || !(c.FloodFactor > 0) || c.Duration <= 0 {
 		return errors.New("two tenants or more, nodes, shards, a flood and a length above 0 are expected")
 	}
-	day := clubs.Trial{Tenants: c.Tenants, Nodes: c.Nodes, Shards: c.Shards, Flood: c.Flood, ReconnectFlood: c.Returns, Duration: c.Last, Seed: c.Seed}
-	if c.Open > 0 {
+	day := clubs.Trial{Tenants: c.Tenants, Nodes: c.Nodes, Shards: c.Shards, Flood: c.FloodFactor, ReconnectFlood: c.Reconnects, Duration: c.Duration, Seed: c.Seed}
+	if c.HalfOpen > 0 {
 		day.ReconnectFlood = false
-		_, _, _, err := clubs.Handshakes(ctx, os.Stdout, day, c.Open)
+		_, _, _, err := clubs.Handshakes(ctx, os.Stdout, day, c.HalfOpen)
 		return err
 	}
 	_, err := clubs.Table(ctx, os.Stdout, day)
@@ -35,22 +35,22 @@
 }
 
 type removalsCommand struct {
-	Rounds int    `default:"20" help:"Rounds, each with a kill; one takes some 25 s."`
-	Each   int    `name:"each" default:"50" help:"Tenants that are removed in a round."`
-	Asks   int    `name:"asks" default:"20" help:"Asks of each."`
-	Nodes  int    `default:"20" help:"Stand-in nodes of 32 cores."`
-	Seed   uint64 `default:"1" help:"Seed of arrivals and kills."`
+	Rounds            int    `default:"20" help:"Rounds, each with a kill; one takes some 25 s."`
+	TenantsPerRound   int    `name:"each" default:"50" help:"Tenants that are removed in a round."`
+	RequestsPerTenant int    `name:"asks" default:"20" help:"Asks of each."`
+	Nodes             int    `default:"20" help:"Stand-in nodes of 32 cores."`
+	Seed              uint64 `default:"1" help:"Seed of arrivals and kills."`
 }
 
 func (c *removalsCommand) Run(ctx context.Context) error {
-	if c.Rounds < 1 || c.Each < 1 || c.Asks < 1 || c.Nodes < 1 {
+	if c.Rounds < 1 || c.TenantsPerRound < 1 || c.RequestsPerTenant < 1 || c.Nodes < 1 {
 		return errors.New("rounds, tenants, asks and nodes above 0 are expected")
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	got, err := clubs.RemovalTrial{Command: []string{self}, Rounds: c.Rounds, TenantsPerRound: c.Each, RequestsPerTenant: c.Asks, Nodes: c.Nodes, Seed: c.Seed}.Play(ctx)
+	got, err := clubs.RemovalTrial{Command: []string{self}, Rounds: c.Rounds, TenantsPerRound: c.TenantsPerRound, RequestsPerTenant: c.RequestsPerTenant, Nodes: c.Nodes, Seed: c.Seed}.Play(ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/ravenpond/drain.go
+++ b/cmd/ravenpond/drain.go
@@ -34,26 +34,26 @@
 	State string `required:"" type:"path" help:"The scheduler's state folder."`
 }
 
-// with does something with the store, waiting for a scheduler that looks at it just now.
-func (f stateFlag) with(do func(s *maintenancestore.Store) error) error {
-	return withStore(func() (*maintenancestore.Store, error) { return maintenancestore.Open(f.State) }, do)
+// withStore does something with the store, waiting for a scheduler that looks at it just now.
+func (f stateFlag) withStore(do func(s *maintenancestore.Store) error) error {
+	return useStore(func() (*maintenancestore.Store, error) { return maintenancestore.Open(f.State) }, do)
 }
 
-// openTimes is how often a store that a scheduler has just now is tried, 0.2 s each.
-const openTimes = 10
+// maxOpenAttempts is how often a store that a scheduler has just now is tried, 0.2 s each.
+const maxOpenAttempts = 10
 
-// withStore opens a store, again while somebody else has it, does something with it and closes it.
-func withStore[S io.Closer](open func() (S, error), do func(S) error) (err error) {
+// useStore opens a store, again while somebody else has it, does something with it and closes it.
+func useStore[S io.Closer](open func() (S, error), use func(S) error) (err error) {
 	var s S
-	if err = bolt.RetryWhileLocked(context.Background(), openTimes, func() error { s, err = open(); return err }); err != nil {
+	if err = bolt.RetryWhileLocked(context.Background(), maxOpenAttempts, func() error { s, err = open(); return err }); err != nil {
 		return err
 	}
-	return errors.Join(do(s), s.Close())
+	return errors.Join(use(s), s.Close())
 }
 
 // calendar gives the store's windows and protected times.
 func (f stateFlag) calendar() (cal *calendar.Calendar, err error) {
-	err = f.with(func(s *maintenancestore.Store) error {
+	err = f.withStore(func(s *maintenancestore.Store) error {
 		cal, err = s.Calendar()
 		return err
 	})
@@ -69,7 +69,7 @@
 	Zone     string        `help:"Zone to drain."`
 	Start    string        `help:"First start, as 2026-03-02T10:00 in the time zone of --tz."`
 	TZ       string        `default:"UTC" help:"Time zone that the starts follow."`
-	Last     time.Duration `name:"last" help:"How long the nodes are out."`
+	Duration time.Duration `name:"last" help:"How long the nodes are out."`
 	Rule     string        `help:"Recurrence, RFC 5545, such as FREQ=WEEKLY."`
 	Lead     time.Duration `default:"10m" help:"The drain begins so long before."`
 	Slack    time.Duration `help:"The window may begin so much later."`
@@ -78,20 +78,20 @@
 }
 
 func (c *drainAdd) Run() error {
-	cal, err := c.wanted()
+	cal, err := c.requestedCalendar()
 	if err != nil {
 		return err
 	}
-	if err := c.with(func(s *maintenancestore.Store) error { return s.AddEvents(cal, time.Now()) }); err != nil {
+	if err := c.withStore(func(s *maintenancestore.Store) error { return s.AddEvents(cal, time.Now()) }); err != nil {
 		return err
 	}
 	fmt.Printf("%d windows, %d protected times added\n", len(cal.Windows), len(cal.Protected))
 	return nil
 }
 
-func (c *drainAdd) wanted() (*calendar.Calendar, error) {
+func (c *drainAdd) requestedCalendar() (*calendar.Calendar, error) {
 	if c.File != "" {
-		in, err := opened(c.File)
+		in, err := openInput(c.File)
 		if err != nil {
 			return nil, err
 		}
@@ -106,25 +106,25 @@
 	if err != nil {
 		return nil, fmt.Errorf("--start: %w", err)
 	}
-	w := calendar.Window{
-		ID: c.ID, Start: start, Duration: c.Last, Rule: c.Rule, Lead: c.Lead, Slack: c.Slack,
+	window := calendar.Window{
+		ID: c.ID, Start: start, Duration: c.Duration, Rule: c.Rule, Lead: c.Lead, Slack: c.Slack,
 		Priority: c.Priority, CreatedAt: time.Now().UTC().Truncate(time.Second),
 	}
-	w.Ending = calendar.Ending(slices.Index([]string{"release", "sweep", "hold"}, c.Ending))
+	window.Ending = calendar.Ending(slices.Index([]string{"release", "sweep", "hold"}, c.Ending))
 	places := 0
 	for reach, place := range []string{c.Node, c.Cell, c.Zone} {
 		if place != "" {
-			w.Scope, w.Target = calendar.Scope(reach), place
+			window.Scope, window.Target = calendar.Scope(reach), place
 			places++
 		}
 	}
 	if places != 1 {
 		return nil, errors.New("one of --node, --cell and --zone is needed")
 	}
-	if w.ID == "" {
-		w.ID = strings.ToLower(fmt.Sprintf("%s-%s-%s", w.Scope, w.Target, start.Format("20060102-1504")))
+	if window.ID == "" {
+		window.ID = strings.ToLower(fmt.Sprintf("%s-%s-%s", window.Scope, window.Target, start.Format("20060102-1504")))
 	}
-	return &calendar.Calendar{Windows: []calendar.Window{w}}, nil
+	return &calendar.Calendar{Windows: []calendar.Window{window}}, nil
 }
 
 type drainList struct {
@@ -163,25 +163,25 @@
 		return err
 	}
 	var begun []maintenancestore.Drain
-	if err := c.with(func(s *maintenancestore.Store) error { begun, err = s.Drains(); return err }); err != nil {
+	if err := c.withStore(func(s *maintenancestore.Store) error { begun, err = s.Drains(); return err }); err != nil {
 		return err
 	}
-	found := false
+	known := false
 	for _, w := range cal.Windows {
 		if w.ID == c.ID {
-			found = true
+			known = true
 			fmt.Printf("%s: %s %s, first %s, %s long, lead %s, slack %s, rule %q, at its end: %s\n", w.ID, w.Scope, w.Target,
 				w.Start.Format("2006-01-02 15:04 MST"), w.Duration, w.Lead, w.Slack, w.Rule, w.Ending)
 		}
 	}
 	for _, b := range begun {
 		if b.Verdict.Window == c.ID {
-			found = true
+			known = true
 			fmt.Printf("  %s: %s, %d nodes, %s to %s\n", b.Verdict.ScheduledStart.Format("2006-01-02 15:04 MST"), b.Stage,
 				len(b.Verdict.Nodes), b.Verdict.DrainStart.Format("15:04"), b.Verdict.End.Format("2006-01-02 15:04 MST"))
 		}
 	}
-	if !found {
+	if !known {
 		return fmt.Errorf("%q: %w", c.ID, maintenancestore.ErrNotFound)
 	}
 	return nil
@@ -201,7 +201,7 @@
 			return fmt.Errorf("--start: %w", err)
 		}
 	}
-	return c.with(func(s *maintenancestore.Store) error { return s.CancelWindow(c.ID, start, time.Now()) })
+	return c.withStore(func(s *maintenancestore.Store) error { return s.CancelWindow(c.ID, start, time.Now()) })
 }
 
 type drainUsual struct {
@@ -212,10 +212,10 @@
 
 func (c *drainUsual) Run() error {
 	if c.Clear {
-		return c.with(func(s *maintenancestore.Store) error { return s.PublishLoad(nil) })
+		return c.withStore(func(s *maintenancestore.Store) error { return s.PublishLoad(nil) })
 	}
 	if c.File == "" {
-		return c.with(func(s *maintenancestore.Store) error {
+		return c.withStore(func(s *maintenancestore.Store) error {
 			measured, _, err := s.Loads()
 			if err != nil {
 				return err
@@ -223,7 +223,7 @@
 			return measured.Table().Write(os.Stdout)
 		})
 	}
-	in, err := opened(c.File)
+	in, err := openInput(c.File)
 	if err != nil {
 		return err
 	}
@@ -232,11 +232,11 @@
 	if err != nil {
 		return err
 	}
-	return c.with(func(s *maintenancestore.Store) error { return s.PublishLoad(table) })
+	return c.withStore(func(s *maintenancestore.Store) error { return s.PublishLoad(table) })
 }
 
-// opened gives a file to read, - for standard input.
-func opened(path string) (io.ReadCloser, error) {
+// openInput gives a file to read, - for standard input.
+func openInput(path string) (io.ReadCloser, error) {
 	if path == "-" {
 		return io.NopCloser(os.Stdin), nil
 	}
@@ -270,15 +270,15 @@
 		return err
 	}
 	var load calendar.LoadEstimate
-	var whose string
-	if err := c.with(func(s *maintenancestore.Store) error {
+	var source string
+	if err := c.withStore(func(s *maintenancestore.Store) error {
 		measured, published, err := s.Loads()
-		load, whose = calendar.ChooseEstimate(measured, published, place.Cluster.Schedulers)
+		load, source = calendar.ChooseEstimate(measured, published, place.Cluster.Schedulers)
 		return err
 	}); err != nil {
 		return err
 	}
-	fmt.Printf("%d nodes on the last list; usual load: %s\n", len(fleet), whose)
+	fmt.Printf("%d nodes on the last list; usual load: %s\n", len(fleet), source)
 	out := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(out, "WINDOW\tCALENDAR\tVERDICT\tDRAINS FROM\tOUT\tBACK\tNODES\tMOST OUT\tWHY")
 	for _, v := range calendar.Plan(cal, fleet, place.Maintenance, load, from, from.AddDate(0, 0, c.Days)) {
@@ -295,14 +295,14 @@
 
 // lastFleet is the fleet of a scheduler's last list, read beside a scheduler that may be running.
 func lastFleet(folder string, place *site.Config) (fleet []calendar.Node, err error) {
-	l, err := state.ReadList(folder)
-	if err != nil || l == nil {
+	list, err := state.ReadList(folder)
+	if err != nil || list == nil {
 		return nil, err
 	}
-	for _, en := range l.Entries() {
-		if kind := slices.Index(place.MachineKinds, en.Kind); kind >= 0 {
+	for _, entry := range list.Entries() {
+		if kind := slices.Index(place.MachineKinds, entry.Kind); kind >= 0 {
 			fleet = append(fleet, calendar.Node{
-				ID: strconv.FormatUint(uint64(en.ID), 10), Zone: en.Zone, Cell: en.Cell, Kind: en.Kind,
+				ID: strconv.FormatUint(uint64(entry.ID), 10), Zone: entry.Zone, Cell: entry.Cell, Kind: entry.Kind,
 				Cores: place.Cluster.KindCores[kind], Memory: place.Cluster.KindMemory[kind],
 			})
 		}
--- a/cmd/ravenpond/keys.go
+++ b/cmd/ravenpond/keys.go
@@ -17,37 +17,37 @@
 }
 
 type keysFolder struct {
-	Keys string `name:"keys" required:"" type:"path" help:"Folder of keys."`
+	Folder string `name:"keys" required:"" type:"path" help:"Folder of keys."`
 }
 
 type keysInit struct{ keysFolder }
 
 func (c *keysInit) Run() error {
-	_, err := keys.Init(c.Keys, time.Now())
+	_, err := keys.Init(c.Folder, time.Now())
 	return err
 }
 
 type keysIssue struct {
 	keysFolder
-	Name   string        `arg:"" help:"Name of the files, and of whom it is for."`
-	Host   []string      `name:"host" help:"Names and addresses of a server."`
-	Role   string        `help:"Role of a person: operator, reader, tenant-admin or tenant-reader."`
-	Tenant string        `help:"The tenant of the last two."`
-	Last   time.Duration `name:"last" default:"168h" help:"How long it is good."`
+	Name     string        `arg:"" help:"Name of the files, and of whom it is for."`
+	Hosts    []string      `name:"host" help:"Names and addresses of a server."`
+	Role     string        `help:"Role of a person: operator, reader, tenant-admin or tenant-reader."`
+	Tenant   string        `help:"The tenant of the last two."`
+	Lifetime time.Duration `name:"last" default:"168h" help:"How long it is good."`
 }
 
 func (c *keysIssue) Run() error {
-	ca, err := keys.Open(c.Keys)
+	ca, err := keys.Open(c.Folder)
 	if err != nil {
 		return err
 	}
-	w := keys.Subject{Name: c.Name, Hosts: c.Host, Tenant: c.Tenant, Lifetime: c.Last}
+	subject := keys.Subject{Name: c.Name, Hosts: c.Hosts, Tenant: c.Tenant, Lifetime: c.Lifetime}
 	if c.Role != "" {
-		if w.Role, err = access.ParseRole(c.Role); err != nil {
+		if subject.Role, err = access.ParseRole(c.Role); err != nil {
 			return err
 		}
 	}
-	cert, err := ca.Issue(time.Now(), w)
+	cert, err := ca.Issue(time.Now(), subject)
 	if err == nil {
 		fmt.Printf("%s.pem: good until %s\n", c.Name, cert.NotAfter.UTC().Format(time.RFC3339))
 	}
@@ -57,7 +57,7 @@
 type keysRotate struct{ keysFolder }
 
 func (c *keysRotate) Run() error {
-	ca, err := keys.Open(c.Keys)
+	ca, err := keys.Open(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 }
 
 func (c *keysRevoke) Run() error {
-	ca, err := keys.Open(c.Keys)
+	ca, err := keys.Open(c.Folder)
 	if err != nil {
 		return err
 	}
--- a/cmd/ravenpond/members.go
+++ b/cmd/ravenpond/members.go
@@ -16,8 +16,8 @@
 	JSON  bool   `name:"json" help:"Print it as JSON."`
 }
 
-// oldView is how old a view may be that is still said to be that of a running scheduler.
-const oldView = 5 * time.Second
+// maxViewAge is how old a view may be that is still said to be that of a running scheduler.
+const maxViewAge = 5 * time.Second
 
 func (c *membersCommand) Run() error {
 	path := filepath.Join(c.State, serve.MembersFile)
@@ -33,7 +33,7 @@
 	if err := json.Unmarshal(b, &v); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	if age := time.Since(v.At); age > oldView {
+	if age := time.Since(v.At); age > maxViewAge {
 		fmt.Printf("written %s ago: the scheduler does not run, or stands still\n", age.Round(time.Second))
 	}
 	fmt.Printf("%s at %s, life %d: %s, health %d of 8, ", v.Name, v.Address, v.Incarnation, v.Isolation, v.Health)
--- a/cmd/ravenpond/platform.go
+++ b/cmd/ravenpond/platform.go
@@ -12,7 +12,7 @@
 }
 
 func (c *platformCommand) Run() error {
-	log, err := logger(c.Log, c.Level, os.Stderr)
+	log, err := newLogger(c.Log, c.Level, os.Stderr)
 	if err != nil {
 		return err
 	}
--- a/cmd/ravenpond/profile.go
+++ b/cmd/ravenpond/profile.go
@@ -14,8 +14,8 @@
 // heapSuffix is added to the path of a CPU profile for the heap profile beside it.
 const heapSuffix = ".heap"
 
-// profileWhole writes a CPU profile of the whole run. ended finishes it.
-func profileWhole(path string) (ended func(), err error) {
+// startCPUProfile writes a CPU profile of the whole run. ended finishes it.
+func startCPUProfile(path string) (stop func(), err error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, err
@@ -29,9 +29,9 @@
 	}, nil
 }
 
-// profileWindow writes a CPU profile of the time between two signals SIGUSR1, and a heap profile at the second, until the
+// profileOnSignals writes a CPU profile of the time between two signals SIGUSR1, and a heap profile at the second, until the
 // context ends. Faults are given to failed. A later pair of signals writes both anew.
-func profileWindow(ctx context.Context, path string, failed func(error)) {
+func profileOnSignals(ctx context.Context, path string, onError func(error)) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1)
 	defer signal.Stop(signals)
@@ -39,18 +39,18 @@
 		if !waitSignal(ctx, signals) {
 			return
 		}
-		ended, err := profileWhole(path)
+		stopProfile, err := startCPUProfile(path)
 		if err != nil {
-			failed(fmt.Errorf("profile: %w", err))
+			onError(fmt.Errorf("profile: %w", err))
 			continue
 		}
 		signalled := waitSignal(ctx, signals)
-		ended()
+		stopProfile()
 		if !signalled {
 			return
 		}
 		if err := writeHeap(path + heapSuffix); err != nil {
-			failed(fmt.Errorf("heap profile: %w", err))
+			onError(fmt.Errorf("heap profile: %w", err))
 		}
 	}
 }
--- a/cmd/ravenpond/scaleregions.go
+++ b/cmd/ravenpond/scaleregions.go
@@ -14,21 +14,21 @@
 
 // scaleRegionsCommand cuts regions from each other for long, on the virtual clock.
 type scaleRegionsCommand struct {
-	Seed           uint64        `default:"1" help:"Seed of the run."`
-	Processes      int           `default:"60" help:"Schedulers, in turn in all zones."`
-	Regions        int           `default:"6" help:"Regions."`
-	Zones          int           `default:"14" help:"Zones, in turn in all regions."`
-	Voters         int           `default:"5" help:"Schedulers that keep the replicated state, the first ones."`
-	CutRegions     int           `default:"3" help:"Regions that are cut from the others, the last ones."`
-	Warm           time.Duration `name:"warm" default:"5m" help:"Virtual time before the cut."`
-	Cut            time.Duration `name:"cut" default:"1h" help:"Virtual time for which the regions are cut."`
-	Settle         time.Duration `name:"settle" default:"10m" help:"Virtual time after the heal."`
-	CommandsPerDay float64       `default:"7400" help:"Commands that schedulers, in turn, put into the replicated state."`
-	Absent         int           `name:"absent" default:"0" help:"Schedulers that stand in the replicated state and are not played."`
-	AbsentName     int           `default:"0" help:"Bytes of their names at least."`
-	Restart        bool          `default:"true" negatable:"" help:"Restart one scheduler of the cut regions in the midst of the cut."`
-	Out            string        `type:"path" help:"Write the result to this file, in the form of scale runs' results."`
-	Minutes        string        `type:"path" help:"Write each reading of each process to this file, as JSON."`
+	Seed             uint64        `default:"1" help:"Seed of the run."`
+	Processes        int           `default:"60" help:"Schedulers, in turn in all zones."`
+	Regions          int           `default:"6" help:"Regions."`
+	Zones            int           `default:"14" help:"Zones, in turn in all regions."`
+	Voters           int           `default:"5" help:"Schedulers that keep the replicated state, the first ones."`
+	CutRegions       int           `default:"3" help:"Regions that are cut from the others, the last ones."`
+	WarmUp           time.Duration `name:"warm" default:"5m" help:"Virtual time before the cut."`
+	CutDuration      time.Duration `name:"cut" default:"1h" help:"Virtual time for which the regions are cut."`
+	Recovery         time.Duration `name:"settle" default:"10m" help:"Virtual time after the heal."`
+	CommandsPerDay   float64       `default:"7400" help:"Commands that schedulers, in turn, put into the replicated state."`
+	AbsentSchedulers int           `name:"absent" default:"0" help:"Schedulers that stand in the replicated state and are not played."`
+	AbsentName       int           `default:"0" help:"Bytes of their names at least."`
+	Restart          bool          `default:"true" negatable:"" help:"Restart one scheduler of the cut regions in the midst of the cut."`
+	Out              string        `type:"path" help:"Write the result to this file, in the form of scale runs' results."`
+	Minutes          string        `type:"path" help:"Write each reading of each process to this file, as JSON."`
 }
 
 // Run prints the table; all of its figures are simulated. A bound that was broken is an error.
@@ -36,13 +36,13 @@
 	began := time.Now()
 	report, err := regions.Run(ctx, regions.Config{
 		Seed: c.Seed, Processes: c.Processes, Regions: c.Regions, Zones: c.Zones, Voters: c.Voters,
-		CutRegions: c.CutRegions, Warm: c.Warm, Cut: c.Cut, Settle: c.Settle, CommandsPerDay: c.CommandsPerDay, Absent: c.Absent, AbsentNameBytes: c.AbsentName, Restart: c.Restart,
+		CutRegions: c.CutRegions, Warm: c.WarmUp, Cut: c.CutDuration, Settle: c.Recovery, CommandsPerDay: c.CommandsPerDay, Absent: c.AbsentSchedulers, AbsentNameBytes: c.AbsentName, Restart: c.Restart,
 	})
 	if err != nil {
 		return err
 	}
 	fmt.Printf("%d schedulers, %d zones in %d regions, %d of them cut off for %s; simulated, seed %d, played in %.0f s\n\n", c.Processes, c.Zones, c.Regions,
-		c.CutRegions, c.Cut, c.Seed, time.Since(began).Seconds())
+		c.CutRegions, c.CutDuration, c.Seed, time.Since(began).Seconds())
 	if err := report.WriteMarkdown(os.Stdout); err != nil {
 		return err
 	}
--- a/cmd/ravenpond/sim.go
+++ b/cmd/ravenpond/sim.go
@@ -25,28 +25,28 @@
 )
 
 type runCommand struct {
-	Seeds   string `default:"0:1000" help:"Seeds A:B, B left out."`
-	Workers int    `default:"0" help:"Seeds at a time; 0: one a core."`
-	Plant   string `name:"plant" help:"Plant a fault that must be found; list prints them."`
-	Most    int    `name:"most" default:"0" help:"Stop after so many that broke something."`
-	Quiet   bool   `help:"No progress."`
-	Set     int    `name:"set" help:"Schedulers work with a set of so many nodes at least; 0: with all."`
+	Seeds         string `default:"0:1000" help:"Seeds A:B, B left out."`
+	Workers       int    `default:"0" help:"Seeds at a time; 0: one a core."`
+	Fault         string `name:"plant" help:"Plant a fault that must be found; list prints them."`
+	MaxBroken     int    `name:"most" default:"0" help:"Stop after so many that broke something."`
+	Quiet         bool   `help:"No progress."`
+	MinWorkingSet int    `name:"set" help:"Schedulers work with a set of so many nodes at least; 0: with all."`
 
 	Platform bool `help:"Play the platform's route instead of the program's own protocols."`
 }
 
 func (c *runCommand) Run(ctx context.Context) error {
-	if c.Plant == "list" {
+	if c.Fault == "list" {
 		for _, p := range slices.Concat(sim.ProgramFaults, sim.MissedFaults, sim.WorkingSetFaults) {
 			fmt.Println(p.Name)
 		}
 		return nil
 	}
-	plant, err := planted(c.Plant)
+	plant, err := faultNamed(c.Fault)
 	if err != nil {
 		return err
 	}
-	a, b, err := span(c.Seeds)
+	a, b, err := parseSeedRange(c.Seeds)
 	if err != nil {
 		return err
 	}
@@ -68,9 +68,9 @@
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 && !c.Quiet {
 		progress = os.Stderr
 	}
-	sum := sim.RunSeedsWith(ctx, a, b, c.Workers, plant, c.Most, progress, func(s sim.Script) sim.Script {
-		if c.Set > 0 {
-			return s.WithWorkingSet(c.Set)
+	sum := sim.RunSeedsWith(ctx, a, b, c.Workers, plant, c.MaxBroken, progress, func(s sim.Script) sim.Script {
+		if c.MinWorkingSet > 0 {
+			return s.WithWorkingSet(c.MinWorkingSet)
 		}
 		return s
 	})
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func planted(name string) (*sim.ProgramFault, error) {
+func faultNamed(name string) (*sim.ProgramFault, error) {
 	if name == "" {
 		return nil, nil
 	}
@@ -94,18 +94,18 @@
 	return nil, fmt.Errorf("no fault %q to plant; --plant list prints them", name)
 }
 
-type circleCommand struct {
+type membershipCommand struct {
 	Seeds   string    `default:"0:1000" help:"Seeds A:B, B left out."`
 	Workers int       `default:"0" help:"Seeds at a time; 0: one a core."`
-	Plant   string    `name:"plant" help:"Plant a fault that must be found; list prints them."`
+	Fault   string    `name:"plant" help:"Plant a fault that must be found; list prints them."`
 	Sizes   []int     `help:"Measure calm circles of these sizes instead: detection, cost, growth."`
 	Losses  []float64 `default:"0,0.05,0.2" help:"And at these parts of datagrams lost."`
 	Runs    int       `default:"5" help:"How many of each size."`
 	Plots   string    `type:"path" help:"Draw the times of detection into this file, by size, and into its neighbour, by loss (SVG)."`
 }
 
-// plots draws both.
-func (c *circleCommand) plots(rows []circle.Row) error {
+// drawPlots draws both.
+func (c *membershipCommand) drawPlots(rows []circle.Row) error {
 	for _, byLoss := range []bool{false, true} {
 		name := c.Plots
 		if byLoss {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-func (c *circleCommand) Run(ctx context.Context) error {
+func (c *membershipCommand) Run(ctx context.Context) error {
 	if c.Workers == 0 {
 		c.Workers = runtime.NumCPU()
 	}
@@ -133,36 +133,36 @@
 		if err != nil || c.Plots == "" {
 			return err
 		}
-		return c.plots(rows)
+		return c.drawPlots(rows)
 	}
 	var plant *membership.Faults
 	for _, p := range circle.Faults {
-		if c.Plant == "list" {
+		if c.Fault == "list" {
 			fmt.Println(p.Name)
-		} else if c.Plant == p.Name {
+		} else if c.Fault == p.Name {
 			plant = &p.Plant
 		}
 	}
 	switch {
-	case c.Plant == "list":
+	case c.Fault == "list":
 		return nil
-	case c.Plant != "" && plant == nil:
-		return fmt.Errorf("no fault %q to plant; --plant list prints them", c.Plant)
+	case c.Fault != "" && plant == nil:
+		return fmt.Errorf("no fault %q to plant; --plant list prints them", c.Fault)
 	case plant == nil:
 		plant = &membership.Faults{}
 	}
-	a, b, err := span(c.Seeds)
+	a, b, err := parseSeedRange(c.Seeds)
 	if err != nil {
 		return err
 	}
-	if circle.Print(os.Stdout, circle.Seeds(ctx, a, b, c.Workers, *plant)) > 0 && c.Plant == "" {
+	if circle.Print(os.Stdout, circle.Seeds(ctx, a, b, c.Workers, *plant)) > 0 && c.Fault == "" {
 		return errors.New("something broke")
 	}
 	return nil
 }
 
-// span reads seeds A:B.
-func span(seeds string) (a, b uint64, err error) {
+// parseSeedRange reads seeds A:B.
+func parseSeedRange(seeds string) (a, b uint64, err error) {
 	from, to, ok := strings.Cut(seeds, ":")
 	a, err1 := strconv.ParseUint(from, 10, 64)
 	b, err2 := strconv.ParseUint(to, 10, 64)
@@ -180,11 +180,11 @@
 
 type replayCommand struct {
 	File  string `arg:"" type:"existingfile" help:"The script."`
-	Plant string `name:"plant" help:"Plant a fault."`
+	Fault string `name:"plant" help:"Plant a fault."`
 	Trace string `type:"path" help:"Write all that happened to this file."`
 }
 
-func script(path string) (sim.Script, error) {
+func readScript(path string) (sim.Script, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return sim.Script{}, err
@@ -194,11 +194,11 @@
 }
 
 func (c *replayCommand) Run() error {
-	s, err := script(c.File)
+	s, err := readScript(c.File)
 	if err != nil {
 		return err
 	}
-	plant, err := planted(c.Plant)
+	plant, err := faultNamed(c.Fault)
 	if err != nil {
 		return err
 	}
@@ -223,15 +223,15 @@
 
 type shrinkCommand struct {
 	File  string `arg:"" type:"existingfile" help:"A script that breaks something."`
-	Plant string `name:"plant" help:"Plant a fault."`
+	Fault string `name:"plant" help:"Plant a fault."`
 }
 
 func (c *shrinkCommand) Run(ctx context.Context) error {
-	s, err := script(c.File)
+	s, err := readScript(c.File)
 	if err != nil {
 		return err
 	}
-	plant, err := planted(c.Plant)
+	plant, err := faultNamed(c.Fault)
 	if err != nil {
 		return err
 	}
@@ -250,19 +250,19 @@
 	return nil
 }
 
-type statesCommand struct {
-	Most   int    `name:"most" default:"50000" help:"States of each effect at most."`
-	Depth  int    `name:"depth" default:"20" help:"Steps on one path at most."`
-	Faults int    `name:"faults" default:"2" help:"Faults on one path at most."`
-	Kinds  string `name:"kinds" help:"Kinds of faults: b connections break, f shards are fenced, h they give, n nodes restart, w owners withdraw; all without it."`
+type modelCheckCommand struct {
+	MaxStates  int    `name:"most" default:"50000" help:"States of each effect at most."`
+	MaxDepth   int    `name:"depth" default:"20" help:"Steps on one path at most."`
+	MaxFaults  int    `name:"faults" default:"2" help:"Faults on one path at most."`
+	FaultKinds string `name:"kinds" help:"Kinds of faults: b connections break, f shards are fenced, h they give, n nodes restart, w owners withdraw; all without it."`
 }
 
-func (c *statesCommand) Run() error {
+func (c *modelCheckCommand) Run() error {
 	fmt.Printf("%-14s %9s %9s %9s %6s %8s\n", "effect", "states", "paths", "steps", "depth", "seconds")
 	broken := 0
 	for job, effect := range []string{"restartable", "tokened zone", "tokened all", "run-once"} {
 		began := time.Now()
-		r := states.Model{Job: job, Faults: c.Faults, Depth: c.Depth, Kinds: c.Kinds}.Explore(c.Most)
+		r := states.Model{Job: job, Faults: c.MaxFaults, Depth: c.MaxDepth, Kinds: c.FaultKinds}.Explore(c.MaxStates)
 		fmt.Printf("%-14s %9d %9d %9d %6d %8.1f\n", effect, r.States, r.Paths, r.Steps, r.Deepest, time.Since(began).Seconds())
 		if r.Failure != "" {
 			broken++
@@ -329,11 +329,11 @@
 }
 
 type growCommand struct {
-	Nodes      []int    `default:"20,40,80,160,320,640,1300" help:"Numbers of nodes, with one scheduler."`
-	Schedulers []int    `default:"1,2,4,8,16,32,64" help:"Numbers of schedulers, with 40 nodes."`
-	Both       []string `name:"both" help:"Further sizes, nodes x schedulers, as 1300x300."`
-	Rate       float64  `default:"200" help:"Asks a second, all together."`
-	Last       float64  `name:"last" default:"4000" help:"Virtual ms."`
+	Nodes        []int    `default:"20,40,80,160,320,640,1300" help:"Numbers of nodes, with one scheduler."`
+	Schedulers   []int    `default:"1,2,4,8,16,32,64" help:"Numbers of schedulers, with 40 nodes."`
+	FurtherSizes []string `name:"both" help:"Further sizes, nodes x schedulers, as 1300x300."`
+	Rate         float64  `default:"200" help:"Asks a second, all together."`
+	DurationMs   float64  `name:"last" default:"4000" help:"Virtual ms."`
 }
 
 func (c *growCommand) Run(ctx context.Context) error {
@@ -344,12 +344,12 @@
 	for _, n := range c.Schedulers {
 		sizes = append(sizes, compare.ClusterSize{Nodes: 40, Schedulers: n})
 	}
-	for _, text := range c.Both {
+	for _, text := range c.FurtherSizes {
 		var z compare.ClusterSize
 		if n, err := fmt.Sscanf(text, "%dx%d", &z.Nodes, &z.Schedulers); n != 2 || err != nil {
 			return fmt.Errorf("--both %q: nodes x schedulers are expected, as 1300x300", text)
 		}
 		sizes = append(sizes, z)
 	}
-	return compare.MeasureGrowth(ctx, os.Stdout, sizes, c.Rate, c.Last)
+	return compare.MeasureGrowth(ctx, os.Stdout, sizes, c.Rate, c.DurationMs)
 }
--- a/cmd/ravenpond/tenant.go
+++ b/cmd/ravenpond/tenant.go
@@ -31,13 +31,13 @@
 	Log    tenantLog    `cmd:"" help:"Print the record of changes, and hold it against its codes."`
 }
 
-type clubFlags struct {
+type tenantFlags struct {
 	Site  string `required:"" type:"existingfile" help:"The site file."`
 	State string `required:"" type:"path" help:"The scheduler's state folder."`
 }
 
-// with does something with the store, waiting for a scheduler that looks at it just now.
-func (f clubFlags) with(do func(s *tenants.Store) error) error {
+// withStore does something with the store, waiting for a scheduler that looks at it just now.
+func (f tenantFlags) withStore(do func(s *tenants.Store) error) error {
 	place, err := site.Load(f.Site)
 	if err != nil {
 		return err
@@ -45,11 +45,11 @@
 	if place.MaxHostedTenants == 0 {
 		return fmt.Errorf("site file %s: no <hosting>: its tenants are named there, and do not come and go", f.Site)
 	}
-	return withStore(func() (*tenants.Store, error) { return tenants.Open(f.State, place.MaxHostedTenants) }, do)
+	return useStore(func() (*tenants.Store, error) { return tenants.Open(f.State, place.MaxHostedTenants) }, do)
 }
 
-// who names the person at the command line, for the record.
-func who() string {
+// currentUser names the person at the command line, for the record.
+func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
@@ -57,20 +57,20 @@
 }
 
 type changeFlags struct {
-	clubFlags
+	tenantFlags
 	Name    string `arg:"" help:"The tenant's name."`
 	Version uint64 `help:"Only if the tenant is still of this version."`
 	Request string `help:"Id of this request: made again, it changes nothing and has the same answer."`
 }
 
-func (f changeFlags) do(change func(s *tenants.Store) (tenancy.Change, error)) error {
-	return f.with(func(s *tenants.Store) error {
+func (f changeFlags) apply(change func(s *tenants.Store) (tenancy.Change, error)) error {
+	return f.withStore(func(s *tenants.Store) error {
 		c, err := change(s)
 		if err != nil {
 			return err
 		}
 		c.Name, c.Version = f.Name, f.Version
-		t, fault, err := s.Apply(time.Now(), who(), f.Request, c)
+		t, fault, err := s.Apply(time.Now(), currentUser(), f.Request, c)
 		if err != nil {
 			return err
 		}
@@ -82,61 +82,61 @@
 	})
 }
 
-func kind(k tenancy.Kind) func(*tenants.Store) (tenancy.Change, error) {
+func changeOfKind(k tenancy.Kind) func(*tenants.Store) (tenancy.Change, error) {
 	return func(*tenants.Store) (tenancy.Change, error) { return tenancy.Change{Kind: k}, nil }
 }
 
 type tenantAdd struct {
 	changeFlags
-	Share float64 `default:"1" help:"Its share of the machines, beside those of others."`
-	Rate  float64 `help:"Asks a second that may pass; 0: as many as its share brings."`
-	Burst float64 `default:"10" help:"Asks that may pass at once after a calm time, where there is a rate."`
-	Open  int     `name:"open" help:"Asks that may be open at once; 0: as many as there is room for."`
-	Wait  int     `name:"wait" default:"1000" help:"Asks that may wait in its line; beyond it they are declined at once."`
-	Conns int     `name:"conns" help:"Connections of its owners at once; 0: by its share of the door."`
-	Bytes float64 `help:"Bytes that its owners may send a second; 0: as many as usual."`
+	Share          float64 `default:"1" help:"Its share of the machines, beside those of others."`
+	Rate           float64 `help:"Asks a second that may pass; 0: as many as its share brings."`
+	Burst          float64 `default:"10" help:"Asks that may pass at once after a calm time, where there is a rate."`
+	MaxOpen        int     `name:"open" help:"Asks that may be open at once; 0: as many as there is room for."`
+	QueueLength    int     `name:"wait" default:"1000" help:"Asks that may wait in its line; beyond it they are declined at once."`
+	MaxConnections int     `name:"conns" help:"Connections of its owners at once; 0: by its share of the door."`
+	Bytes          float64 `help:"Bytes that its owners may send a second; 0: as many as usual."`
 }
 
 func (c *tenantAdd) Run() error {
-	return c.do(func(*tenants.Store) (tenancy.Change, error) {
+	return c.apply(func(*tenants.Store) (tenancy.Change, error) {
 		return tenancy.Change{Kind: tenancy.Add, Limits: tenancy.Limits{Limits: fairqueue.Limits{
 			Share: c.Share, Rate: c.Rate,
-			Burst: c.Burst, MaxOpen: c.Open, MaxWaiting: c.Wait,
-		}, MaxConns: c.Conns, BytesPerSecond: c.Bytes}}, nil
+			Burst: c.Burst, MaxOpen: c.MaxOpen, MaxWaiting: c.QueueLength,
+		}, MaxConns: c.MaxConnections, BytesPerSecond: c.Bytes}}, nil
 	})
 }
 
 type tenantLimit struct {
 	changeFlags
-	Share *float64 `help:"Its share of the machines."`
-	Rate  *float64 `help:"Asks a second that may pass, 0: no limit."`
-	Burst *float64 `help:"Asks that may pass at once after a calm time."`
-	Open  *int     `name:"open" help:"Asks that may be open at once, 0: no limit."`
-	Wait  *int     `name:"wait" help:"Asks that may wait in its line."`
-	Conns *int     `name:"conns" help:"Connections of its owners at once, 0: by its share of the door."`
-	Bytes *float64 `help:"Bytes that its owners may send a second, 0: as many as usual."`
+	Share          *float64 `help:"Its share of the machines."`
+	Rate           *float64 `help:"Asks a second that may pass, 0: no limit."`
+	Burst          *float64 `help:"Asks that may pass at once after a calm time."`
+	MaxOpen        *int     `name:"open" help:"Asks that may be open at once, 0: no limit."`
+	QueueLength    *int     `name:"wait" help:"Asks that may wait in its line."`
+	MaxConnections *int     `name:"conns" help:"Connections of its owners at once, 0: by its share of the door."`
+	Bytes          *float64 `help:"Bytes that its owners may send a second, 0: as many as usual."`
 }
 
 func (c *tenantLimit) Run() error {
-	return c.do(func(s *tenants.Store) (tenancy.Change, error) {
+	return c.apply(func(s *tenants.Store) (tenancy.Change, error) {
 		all, err := s.Read()
 		if err != nil {
 			return tenancy.Change{}, err
 		}
 		t, _ := all.Tenants.Get(c.Name) // none: the change itself says so
 		l := t.Limits
-		set(&l.Share, c.Share)
-		set(&l.Rate, c.Rate)
-		set(&l.Burst, c.Burst)
-		set(&l.MaxOpen, c.Open)
-		set(&l.MaxWaiting, c.Wait)
-		set(&l.MaxConns, c.Conns)
-		set(&l.BytesPerSecond, c.Bytes)
+		setIfGiven(&l.Share, c.Share)
+		setIfGiven(&l.Rate, c.Rate)
+		setIfGiven(&l.Burst, c.Burst)
+		setIfGiven(&l.MaxOpen, c.MaxOpen)
+		setIfGiven(&l.MaxWaiting, c.QueueLength)
+		setIfGiven(&l.MaxConns, c.MaxConnections)
+		setIfGiven(&l.BytesPerSecond, c.Bytes)
 		return tenancy.Change{Kind: tenancy.Limit, Limits: l}, nil
 	})
 }
 
-func set[T any](to *T, from *T) {
+func setIfGiven[T any](to *T, from *T) {
 	if from != nil {
 		*to = *from
 	}
@@ -144,11 +144,11 @@
 
 type tenantPause struct{ changeFlags }
 
-func (c *tenantPause) Run() error { return c.do(kind(tenancy.Pause)) }
+func (c *tenantPause) Run() error { return c.apply(changeOfKind(tenancy.Pause)) }
 
 type tenantResume struct{ changeFlags }
 
-func (c *tenantResume) Run() error { return c.do(kind(tenancy.Resume)) }
+func (c *tenantResume) Run() error { return c.apply(changeOfKind(tenancy.Resume)) }
 
 type tenantRemove struct {
 	changeFlags
@@ -160,18 +160,18 @@
 	if fault != nil {
 		return fault
 	}
-	return c.do(func(*tenants.Store) (tenancy.Change, error) {
+	return c.apply(func(*tenants.Store) (tenancy.Change, error) {
 		return tenancy.Change{Kind: tenancy.Remove, Removal: ending}, nil
 	})
 }
 
 type tenantList struct {
-	clubFlags
+	tenantFlags
 	All bool `help:"Those that were removed too."`
 }
 
 func (c *tenantList) Run() error {
-	return c.with(func(s *tenants.Store) error {
+	return c.withStore(func(s *tenants.Store) error {
 		all, err := s.Read()
 		if err != nil {
 			return err
@@ -188,8 +188,8 @@
 			if t.State == tenancy.Removed && !c.All {
 				continue
 			}
-			l := t.Limits
-			fmt.Fprintf(out, "%s\t%s\t%g\t%g\t%g\t%d\t%d\t%d\t%g\t%d\t%d\t%s\n", t.Name, t.State, l.Share, l.Rate, l.Burst, l.MaxOpen, l.MaxWaiting, l.MaxConns, l.BytesPerSecond,
+			limits := t.Limits
+			fmt.Fprintf(out, "%s\t%s\t%g\t%g\t%g\t%d\t%d\t%d\t%g\t%d\t%d\t%s\n", t.Name, t.State, limits.Share, limits.Rate, limits.Burst, limits.MaxOpen, limits.MaxWaiting, limits.MaxConns, limits.BytesPerSecond,
 				tokens[t.Name], t.Version, time.UnixMilli(int64(t.StateChangedAt)).UTC().Format(time.RFC3339))
 		}
 		return out.Flush()
@@ -197,17 +197,17 @@
 }
 
 type tenantToken struct {
-	clubFlags
-	Name string        `arg:"" help:"The tenant's name."`
-	Last time.Duration `name:"last" default:"2160h" help:"How long it is good."`
+	tenantFlags
+	Name     string        `arg:"" help:"The tenant's name."`
+	Lifetime time.Duration `name:"last" default:"2160h" help:"How long it is good."`
 }
 
 func (c *tenantToken) Run() error {
-	if c.Last <= 0 {
+	if c.Lifetime <= 0 {
 		return errors.New("--last: a time above 0 is expected")
 	}
-	return c.with(func(s *tenants.Store) error {
-		shown, err := s.IssueToken(time.Now(), who(), c.Name, c.Last)
+	return c.withStore(func(s *tenants.Store) error {
+		shown, err := s.IssueToken(time.Now(), currentUser(), c.Name, c.Lifetime)
 		if err == nil {
 			fmt.Println(shown)
 		}
@@ -216,35 +216,35 @@
 }
 
 type tenantCopy struct {
-	clubFlags
+	tenantFlags
 	To []string `required:"" type:"path" help:"The state folder of another process; more than one may be named."`
 }
 
 func (c *tenantCopy) Run() error {
-	return c.with(func(s *tenants.Store) (err error) {
+	return c.withStore(func(s *tenants.Store) (err error) {
 		for _, folder := range c.To { // one that can't be written keeps none of the others from it
-			err = errors.Join(err, bolt.RetryWhileLocked(context.Background(), openTimes, func() error { return s.CopyTo(folder) }))
+			err = errors.Join(err, bolt.RetryWhileLocked(context.Background(), maxOpenAttempts, func() error { return s.CopyTo(folder) }))
 		}
 		return err
 	})
 }
 
 type tenantRevoke struct {
-	clubFlags
+	tenantFlags
 	ID string `arg:"" help:"The token's id: what stands before the point."`
 }
 
 func (c *tenantRevoke) Run() error {
-	return c.with(func(s *tenants.Store) error { return s.RevokeToken(time.Now(), who(), c.ID) })
+	return c.withStore(func(s *tenants.Store) error { return s.RevokeToken(time.Now(), currentUser(), c.ID) })
 }
 
 type tenantLog struct {
-	clubFlags
+	tenantFlags
 	From uint64 `default:"1" help:"The first record that is printed; all are checked."`
 }
 
 func (c *tenantLog) Run() error {
-	return c.with(func(s *tenants.Store) error {
+	return c.withStore(func(s *tenants.Store) error {
 		out := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 		fmt.Fprintln(out, "no\tat\tby\twhat\ttenant\tafter it")
 		err := s.Records(c.From, func(n uint64, r tenants.Record) error {
