--- a/internal/serve/client_listener.go
+++ b/internal/serve/client_listener.go
@@ -65,28 +65,28 @@
 func (s *Server) acceptClient(conn env.Conn) {
 	s.mu.Lock()
 	s.lastClientID++
-	o := &clientConn{server: s, id: s.lastClientID, conn: conn, requests: map[uint64]request{}}
-	in, out := len(s.clients) < s.config.Site.MaxClients, uint32(0)
+	c := &clientConn{server: s, id: s.lastClientID, conn: conn, requests: map[uint64]request{}}
+	accepted, evictedID := len(s.clients) < s.config.Site.MaxClients, uint32(0)
 	if s.hostsTenants() {
-		in, out = s.admission.Accept(s.env.Now(), o.id)
+		accepted, evictedID = s.admission.Accept(s.env.Now(), c.id)
 	}
-	in = in && !s.stopped.Load()
-	if in {
-		s.clients[o.id] = o
+	accepted = accepted && !s.stopped.Load()
+	if accepted {
+		s.clients[c.id] = c
 	} else if s.hostsTenants() {
-		s.admission.OnClose(o.id)
+		s.admission.OnClose(c.id)
 	}
-	goes := s.clients[out]
+	evicted := s.clients[evictedID]
 	s.mu.Unlock()
-	if goes != nil {
-		goes.disconnect("a stranger makes way for the next")
+	if evicted != nil {
+		evicted.disconnect("a stranger makes way for the next")
 	}
-	if !in {
+	if !accepted {
 		s.log.Warn().Str("mode", "owners").Int("most", s.config.Site.MaxClients).Msg("one turned away")
 		conn.Close(false, nil)
 		return
 	}
-	conn.Start(o, clientStuckTimeout)
+	conn.Start(c, clientStuckTimeout)
 }
 
 // connectedClients gives the owners in order of their coming.
@@ -101,9 +101,9 @@
 
 // answersPending tells whether answers are still on their way out.
 func (s *Server) answersPending() bool {
-	for _, o := range s.connectedClients() {
-		if o.conn != nil {
-			if _, waits, ok := o.conn.Send(func(b []byte) []byte { return b }); ok && waits > 0 {
+	for _, c := range s.connectedClients() {
+		if c.conn != nil {
+			if _, queued, ok := c.conn.Send(func(b []byte) []byte { return b }); ok && queued > 0 {
 				return true
 			}
 		}
@@ -112,53 +112,53 @@
 }
 
 // OnData takes what an owner sends.
-func (o *clientConn) OnData(b []byte) {
-	if !o.admitBytes(len(b)) {
+func (c *clientConn) OnData(b []byte) {
+	if !c.admitBytes(len(b)) {
 		return
 	}
-	if err := o.splitter.Feed(b, o.handleMessage); err != nil {
-		o.disconnect(err.Error())
+	if err := c.splitter.Feed(b, c.handleMessage); err != nil {
+		c.disconnect(err.Error())
 	}
 }
 
 // OnClose meets the end of the connection: what was open for it is given up.
-func (o *clientConn) OnClose(err error) {
-	s := o.server
-	o.disconnect(err.Error())
+func (c *clientConn) OnClose(err error) {
+	s := c.server
+	c.disconnect(err.Error())
 	s.mu.Lock()
-	delete(s.clients, o.id)
+	delete(s.clients, c.id)
 	if s.hostsTenants() {
-		s.admission.OnClose(o.id)
+		s.admission.OnClose(c.id)
 	}
 	s.mu.Unlock()
 	s.routerMu.Lock()
-	s.router.WithdrawClient(o.id)
+	s.router.WithdrawClient(c.id)
 	shards := s.liveShardsLocked()
 	s.routerMu.Unlock()
 	for _, sh := range shards {
-		sh.post(func(now float64) { sh.engine.OnClientDisconnected(now, o.id) })
+		sh.post(func(now float64) { sh.engine.OnClientDisconnected(now, c.id) })
 	}
 }
 
 // handleMessage takes one message: a request, or a batch of them.
-func (o *clientConn) handleMessage(body []byte) error {
+func (c *clientConn) handleMessage(body []byte) error {
 	reqs, err := jrpc2.ParseRequests(body)
 	if err != nil {
-		o.send(encodeReply("null", jrpc2.Errorf(jrpc2.ParseError, "%v", err)))
+		c.send(encodeReply("null", jrpc2.Errorf(jrpc2.ParseError, "%v", err)))
 		return nil
 	}
 	var batch []json.RawMessage
 	for _, req := range reqs {
 		fault := error(req.Error)
 		if req.Error == nil {
-			fault = o.dispatch(req.Method, req.Params)
+			fault = c.dispatch(req.Method, req.Params)
 		}
 		switch {
 		case req.ID == "" && req.Error == nil: // a notification, whose faults are not told
 		case req.Batch:
 			batch = append(batch, encodeReply(req.ID, fault))
 		default:
-			o.send(encodeReply(req.ID, fault))
+			c.send(encodeReply(req.ID, fault))
 		}
 	}
 	if len(batch) > 0 {
@@ -166,7 +166,7 @@
 		if err != nil {
 			return err
 		}
-		o.send(all)
+		c.send(all)
 	}
 	return nil
 }
@@ -192,71 +192,71 @@
 }
 
 // dispatch carries out a call.
-func (o *clientConn) dispatch(method string, params json.RawMessage) error {
+func (c *clientConn) dispatch(method string, params json.RawMessage) error {
 	switch method {
 	case "allocate":
-		return o.allocate(params)
+		return c.allocate(params)
 	case "withdraw":
-		return o.withdraw(params)
+		return c.withdraw(params)
 	case "authenticate":
-		if o.server.hostsTenants() {
-			return o.authenticate(params)
+		if c.server.hostsTenants() {
+			return c.authenticate(params)
 		}
 	}
 	return jrpc2.Errorf(jrpc2.MethodNotFound, "no method %.40q", method)
 }
 
 // setShard keeps which shard an ask is at; begin does so for a new one, and false tells that its ref is not free.
-func (o *clientConn) setShard(ref uint64, shard int) {
-	o.mu.Lock()
-	if a, ok := o.requests[ref]; ok {
-		a.shard = shard
-		o.requests[ref] = a
+func (c *clientConn) setShard(ref uint64, shard int) {
+	c.mu.Lock()
+	if request, ok := c.requests[ref]; ok {
+		request.shard = shard
+		c.requests[ref] = request
 	}
-	o.mu.Unlock()
+	c.mu.Unlock()
 }
 
-func (o *clientConn) openRequest(ref uint64, expiry float64) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if _, ok := o.requests[ref]; ok {
+func (c *clientConn) openRequest(ref uint64, expiry float64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, ok := c.requests[ref]; ok {
 		return false
 	}
-	o.requests[ref] = request{shard: -1, expiry: expiry}
+	c.requests[ref] = request{shard: -1, expiry: expiry}
 	return true
 }
 
 // requestShard tells which shard an ask is at, -1 if it has not reached one.
-func (o *clientConn) requestShard(ref uint64) (int, bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	a, ok := o.requests[ref]
-	return a.shard, ok
+func (c *clientConn) requestShard(ref uint64) (int, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	request, ok := c.requests[ref]
+	return request.shard, ok
 }
 
 // markAnswered notes an answer; false if there was one before.
-func (o *clientConn) markAnswered(ref uint64, served bool) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	a, ok := o.requests[ref]
-	if !ok || a.answered {
+func (c *clientConn) markAnswered(ref uint64, served bool) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	request, ok := c.requests[ref]
+	if !ok || request.answered {
 		return false
 	}
 	if served {
-		a.answered = true
-		o.requests[ref] = a
+		request.answered = true
+		c.requests[ref] = request
 	} else {
-		delete(o.requests, ref)
+		delete(c.requests, ref)
 	}
 	return true
 }
 
 // unanswered gives the asks at a shard that nobody has answered and that expire before a time.
-func (o *clientConn) unanswered(shard int, before float64) (refs []uint64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for ref, a := range o.requests {
-		if a.shard == shard && !a.answered && a.expiry < before {
+func (c *clientConn) unanswered(shard int, before float64) (refs []uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for ref, request := range c.requests {
+		if request.shard == shard && !request.answered && request.expiry < before {
 			refs = append(refs, ref)
 		}
 	}
@@ -264,22 +264,22 @@
 	return refs
 }
 
-func (o *clientConn) closeRequest(ref uint64) {
-	o.mu.Lock()
-	delete(o.requests, ref)
-	o.mu.Unlock()
+func (c *clientConn) closeRequest(ref uint64) {
+	c.mu.Lock()
+	delete(c.requests, ref)
+	c.mu.Unlock()
 }
 
 // disconnect ends the connection.
-func (o *clientConn) disconnect(why string) {
-	o.mu.Lock()
-	first := !o.closed
-	o.closed = true
-	o.mu.Unlock()
+func (c *clientConn) disconnect(reason string) {
+	c.mu.Lock()
+	first := !c.closed
+	c.closed = true
+	c.mu.Unlock()
 	if first {
-		o.server.log.Debug().Uint32("owner", o.id).Str("why", why).Msg("owner's connection ends")
-		if o.conn != nil {
-			o.conn.Close(false, nil)
+		c.server.log.Debug().Uint32("owner", c.id).Str("why", reason).Msg("owner's connection ends")
+		if c.conn != nil {
+			c.conn.Close(false, nil)
 		}
 	}
 }
@@ -288,10 +288,10 @@
 const meanAnswerBytes = 100
 
 // send queues a message.
-func (o *clientConn) send(body []byte) {
-	if _, waits, ok := o.conn.Send(func(b []byte) []byte { return owners.Append(b, body) }); ok &&
-		waits > o.server.config.Site.ClientQueue*meanAnswerBytes {
-		o.disconnect("slow reader: answers queue up")
+func (c *clientConn) send(body []byte) {
+	if _, queued, ok := c.conn.Send(func(b []byte) []byte { return owners.Append(b, body) }); ok &&
+		queued > c.server.config.Site.ClientQueue*meanAnswerBytes {
+		c.disconnect("slow reader: answers queue up")
 	}
 }
 
@@ -300,51 +300,51 @@
 	return append(append(append(make([]byte, 0, 128), `{"jsonrpc":"2.0","method":"`...), method...), `","params":{"ref":`...)
 }
 
-func (o *clientConn) sendAnswer(ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
-	if !o.markAnswered(ref, answer == engine.Served) {
+func (c *clientConn) sendAnswer(ref uint64, answer engine.Answer, nodeID uint32, reason string, retryAfter float64) {
+	if !c.markAnswered(ref, answer == engine.Served) {
 		return
 	}
-	if o.local != nil {
-		o.local.OnAnswer(ref, answer)
+	if c.local != nil {
+		c.local.OnAnswer(ref, answer)
 		return
 	}
 	b := strconv.AppendUint(beginNotification("answer"), ref, 10)
 	b = append(append(append(b, `,"answer":"`...), answer.String()...), '"')
 	if answer == engine.Served {
-		b = strconv.AppendUint(append(b, `,"node":`...), uint64(nd), 10)
+		b = strconv.AppendUint(append(b, `,"node":`...), uint64(nodeID), 10)
 	}
-	if why != "" {
-		b = append(append(append(b, `,"why":"`...), why...), '"')
+	if reason != "" {
+		b = append(append(append(b, `,"why":"`...), reason...), '"')
 	}
-	if holdOff > 0 {
-		b = strconv.AppendFloat(append(b, `,"hold-off-ms":`...), holdOff, 'f', 0, 64)
+	if retryAfter > 0 {
+		b = strconv.AppendFloat(append(b, `,"hold-off-ms":`...), retryAfter, 'f', 0, 64)
 	}
 	b = append(b, "}}"...)
-	o.send(b)
-	if o.server.config.Faults.RepeatAnswers {
-		o.send(b)
+	c.send(b)
+	if c.server.config.Faults.RepeatAnswers {
+		c.send(b)
 	}
 }
 
-func (o *clientConn) sendEnd(ref uint64, verdict logic.Outcome, why logic.Reason) {
-	o.closeRequest(ref)
-	if o.local != nil {
-		o.local.OnEnd(ref)
+func (c *clientConn) sendEnd(ref uint64, verdict logic.Outcome, reason logic.Reason) {
+	c.closeRequest(ref)
+	if c.local != nil {
+		c.local.OnEnd(ref)
 		return
 	}
 	b := strconv.AppendUint(beginNotification("over"), ref, 10)
 	b = append(append(append(b, `,"how":"`...), endNames[verdict]...), '"')
-	if int(why) < len(reasonNames) && why > 0 {
-		b = append(append(append(b, `,"why":"`...), reasonNames[why]...), '"')
+	if int(reason) < len(reasonNames) && reason > 0 {
+		b = append(append(append(b, `,"why":"`...), reasonNames[reason]...), '"')
 	}
-	o.send(append(b, "}}"...))
+	c.send(append(b, "}}"...))
 }
 
 // decodeParams takes a call's parameters.
 func decodeParams(params json.RawMessage, into any) error {
-	dec := json.NewDecoder(bytes.NewReader(params))
-	dec.DisallowUnknownFields()
-	if err := dec.Decode(into); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(params))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
 		return jrpc2.Errorf(jrpc2.InvalidParams, "%v", err)
 	}
 	return nil
@@ -352,13 +352,13 @@
 
 // Hash is what a name is to the scheduler: services and keys are told apart by 64 bits of it.
 func Hash(parts ...string) uint64 {
-	var d xxhash.Digest
-	d.Reset()
-	for _, p := range parts {
-		_, _ = d.WriteString(p) // a digest takes every write
-		_, _ = d.WriteString("\x00")
+	var digest xxhash.Digest
+	digest.Reset()
+	for _, part := range parts {
+		_, _ = digest.WriteString(part) // a digest takes every write
+		_, _ = digest.WriteString("\x00")
 	}
-	return d.Sum64()
+	return digest.Sum64()
 }
 
 // Token is what tells repeats of a key apart.
@@ -369,8 +369,8 @@
 
 const maxNameBytes = 200
 
-func (o *clientConn) allocate(params json.RawMessage) error {
-	var ask struct {
+func (c *clientConn) allocate(params json.RawMessage) error {
+	var request struct {
 		Ref     uint64  `json:"ref"`
 		Tenant  string  `json:"tenant"`
 		Key     string  `json:"key"`
@@ -381,85 +381,85 @@
 		Within  float64 `json:"within-ms"`
 		SentAt  float64 `json:"sent-at-ms"` // wall clock
 	}
-	if err := decodeParams(params, &ask); err != nil {
+	if err := decodeParams(params, &request); err != nil {
 		return err
 	}
-	place := o.server.config.Site
-	tenant, job := slices.Index(place.Tenants, ask.Tenant), slices.Index(place.JobClasses, ask.JobType)
+	siteConfig := c.server.config.Site
+	tenant, job := slices.Index(siteConfig.Tenants, request.Tenant), slices.Index(siteConfig.JobClasses, request.JobType)
 	removed := false
-	if o.server.hostsTenants() {
+	if c.server.hostsTenants() {
 		var err error
-		if tenant, err = o.tenantSlot(ask.Tenant); err != nil {
+		if tenant, err = c.tenantSlot(request.Tenant); err != nil {
 			return err
 		}
 		removed = tenant < 0
 	}
 	fault := ""
 	switch {
-	case ask.Ref == 0:
+	case request.Ref == 0:
 		fault = "ref: a number above 0 is expected"
 	case tenant < 0 && !removed:
-		fault = fmt.Sprintf("tenant %q is not known", ask.Tenant)
+		fault = fmt.Sprintf("tenant %q is not known", request.Tenant)
 	case job < 0:
-		fault = fmt.Sprintf("job-type %q is not known", ask.JobType)
-	case ask.Key == "" || len(ask.Key) > maxNameBytes:
+		fault = fmt.Sprintf("job-type %q is not known", request.JobType)
+	case request.Key == "" || len(request.Key) > maxNameBytes:
 		fault = fmt.Sprintf("key: 1 to %d bytes are expected", maxNameBytes)
-	case ask.Service == "" || len(ask.Service) > maxNameBytes:
+	case request.Service == "" || len(request.Service) > maxNameBytes:
 		fault = fmt.Sprintf("service: 1 to %d bytes are expected", maxNameBytes)
-	case !(ask.Cores > 0) || !(ask.Memory > 0) || math.IsInf(ask.Cores+ask.Memory, 0):
+	case !(request.Cores > 0) || !(request.Memory > 0) || math.IsInf(request.Cores+request.Memory, 0):
 		fault = "cores and memory: numbers above 0 are expected"
-	case ask.Within < 0 || ask.Within > 3600e3:
+	case request.Within < 0 || request.Within > 3600e3:
 		fault = "within-ms: 0 to 3600000 is expected"
-	case o.server.leasesQuotas() && ask.Within > o.server.longestDeadline():
-		fault = fmt.Sprintf("within-ms: 0 to %.0f is expected, as limits are lent", o.server.longestDeadline())
+	case c.server.leasesQuotas() && request.Within > c.server.longestDeadline():
+		fault = fmt.Sprintf("within-ms: 0 to %.0f is expected, as limits are lent", c.server.longestDeadline())
 	}
 	if fault != "" {
 		return jrpc2.Errorf(jrpc2.InvalidParams, "%s", fault)
 	}
-	if ask.Within == 0 {
-		ask.Within = place.Deadlines[job]
+	if request.Within == 0 {
+		request.Within = siteConfig.Deadlines[job]
 	}
 	// An ask that lay unread, as while the process stood still, has less time left. Clocks need not agree.
-	unread := 0.0
-	if ask.SentAt > 0 {
-		o.mu.Lock()
-		unread = o.sendLag.OnRequest(o.server.env.Now(), ask.SentAt, float64(o.server.env.WallClock().UnixMilli()), o.server.recentStall())
-		o.mu.Unlock()
-		ask.Within -= unread
+	unreadFor := 0.0
+	if request.SentAt > 0 {
+		c.mu.Lock()
+		unreadFor = c.sendLag.OnRequest(c.server.env.Now(), request.SentAt, float64(c.server.env.WallClock().UnixMilli()), c.server.recentStall())
+		c.mu.Unlock()
+		request.Within -= unreadFor
 	}
-	if !o.openRequest(ask.Ref, o.server.env.Now()+ask.Within) {
-		return jrpc2.Errorf(jrpc2.InvalidParams, "ref: %d is not over", ask.Ref)
+	if !c.openRequest(request.Ref, c.server.env.Now()+request.Within) {
+		return jrpc2.Errorf(jrpc2.InvalidParams, "ref: %d is not over", request.Ref)
 	}
 	if removed {
-		o.sendAnswer(ask.Ref, engine.Declined, 0, "tenant-removed", 0)
+		c.sendAnswer(request.Ref, engine.Declined, 0, "tenant-removed", 0)
 		return nil
 	}
-	if o.retryAfter > 0 {
-		o.sendAnswer(ask.Ref, engine.Declined, 0, "too-many-bytes", o.retryAfter)
+	if c.retryAfter > 0 {
+		c.sendAnswer(request.Ref, engine.Declined, 0, "too-many-bytes", c.retryAfter)
 		return nil
 	}
-	name := shardownership.ID{Tenant: tenant, Token: Token(ask.Tenant, ask.Key)}
-	a := shardownership.Request{
-		Client: o.id, Ref: ask.Ref, JobClass: job, Service: Service(ask.Tenant, ask.Service), Cores: ask.Cores,
-		Memory: ask.Memory,
+	name := shardownership.ID{Tenant: tenant, Token: Token(request.Tenant, request.Key)}
+	shardAsk := shardownership.Request{
+		Client: c.id, Ref: request.Ref, JobClass: job, Service: Service(request.Tenant, request.Service), Cores: request.Cores,
+		Memory: request.Memory,
 	}
-	o.server.allocate(o, name, a, ask.Within, unread)
+	c.server.allocate(c, name, shardAsk, request.Within, unreadFor)
 	return nil
 }
 
 // allocate has an ask go to the shard that acts for its key already, else where the desk puts it, or wait for its turn.
 // unread is how long the ask lay on its way beyond what asks always do, in ms.
-func (s *Server) allocate(o *clientConn, name shardownership.ID, a shardownership.Request, left, unread float64) {
+func (s *Server) allocate(c *clientConn, name shardownership.ID, ask shardownership.Request, remaining, unreadFor float64) {
 	now := s.env.Now()
-	a.Deadline = now + left
+	ask.Deadline = now + remaining
 	s.routerMu.Lock()
-	declined := s.checkQuotaLease(now)
-	e := s.router.Submit(now, name, a, unread, s.queueState(now))
-	sh := s.recordRoute(o, e)
+	rejected := s.checkQuotaLease(now)
+	entry := s.router.Submit(now, name, ask, unreadFor, s.queueState(now))
+	sh := s.recordRoute(c, entry)
 	s.pumpIfFree()
 	s.routerMu.Unlock()
-	s.rejectAll(declined)
-	s.deliver(o, e, sh)
+	s.rejectAll(rejected)
+	s.deliver(c, entry, sh)
 }
 
 // duplicateRequest is an ask that has no entry of its own in the ledger.
@@ -473,31 +473,31 @@
 // tried for them. Those whose time is up are over without an answer.
 func (s *Server) duplicateRequests(shard int, before float64) (all []duplicateRequest) {
 	now := s.env.Now()
-	for _, o := range s.connectedClients() {
-		for _, ref := range o.unanswered(shard, now) {
-			o.closeRequest(ref)
+	for _, c := range s.connectedClients() {
+		for _, ref := range c.unanswered(shard, now) {
+			c.closeRequest(ref)
 		}
-		for _, ref := range o.unanswered(shard, before) {
-			all = append(all, duplicateRequest{o, ref})
+		for _, ref := range c.unanswered(shard, before) {
+			all = append(all, duplicateRequest{c, ref})
 		}
 	}
 	return all
 }
 
-func (o *clientConn) withdraw(params json.RawMessage) error {
-	var ask struct {
+func (c *clientConn) withdraw(params json.RawMessage) error {
+	var request struct {
 		Ref uint64 `json:"ref"`
 	}
-	if err := decodeParams(params, &ask); err != nil {
+	if err := decodeParams(params, &request); err != nil {
 		return err
 	}
-	if o.server.cancelQueued(o, ask.Ref) {
+	if c.server.cancelQueued(c, request.Ref) {
 		return nil
 	}
-	at, ok := o.requestShard(ask.Ref)
-	if !ok || at < 0 {
-		return jrpc2.Errorf(jrpc2.InvalidParams, "ref: no ask %d", ask.Ref)
+	shard, ok := c.requestShard(request.Ref)
+	if !ok || shard < 0 {
+		return jrpc2.Errorf(jrpc2.InvalidParams, "ref: no ask %d", request.Ref)
 	}
-	o.server.withdrawAt(o, ask.Ref, at)
+	c.server.withdrawAt(c, request.Ref, shard)
 	return nil
 }
--- a/internal/serve/cluster_state.go
+++ b/internal/serve/cluster_state.go
@@ -16,37 +16,37 @@
 	if err := s.startMembership(); err != nil {
 		return err
 	}
-	place := s.config.Site
-	if len(place.Members.Voters) == 0 {
+	siteConfig := s.config.Site
+	if len(siteConfig.Members.Voters) == 0 {
 		return nil
 	}
-	who := consensus.Config{Name: s.config.Name, Zone: s.config.Zone, Incarnation: s.membership.incarnation, Voters: place.Members.Voters, Seed: s.config.Seed}
-	switch at := slices.Index(place.Zones, s.config.Zone); {
-	case at >= 0:
-		who.Region = place.Regions[at]
+	config := consensus.Config{Name: s.config.Name, Zone: s.config.Zone, Incarnation: s.membership.incarnation, Voters: siteConfig.Members.Voters, Seed: s.config.Seed}
+	switch zone := slices.Index(siteConfig.Zones, s.config.Zone); {
+	case zone >= 0:
+		config.Region = siteConfig.Regions[zone]
 	case s.config.Zone != "":
-		return fmt.Errorf("zone %q: the site file has %q", s.config.Zone, place.Zones)
+		return fmt.Errorf("zone %q: the site file has %q", s.config.Zone, siteConfig.Zones)
 	}
 	var disk control.Storage
-	steward := slices.Contains(who.Voters, who.Name)
-	if steward {
+	isVoter := slices.Contains(config.Voters, config.Name)
+	if isVoter {
 		open := s.config.VoterDisk
 		if open == nil {
-			open = func() (control.Storage, error) { return store.Open(s.config.Folder, place.Name) }
+			open = func() (control.Storage, error) { return store.Open(s.config.Folder, siteConfig.Name) }
 		}
 		var err error
 		if disk, err = open(); err != nil {
 			return err
 		}
 	}
-	run, err := control.Start(s.env, s.log, s.membership.runner, who, disk, s.controlSite(place))
+	runner, err := control.Start(s.env, s.log, s.membership.runner, config, disk, s.controlSite(siteConfig))
 	if err != nil {
 		return err
 	}
-	s.control = run
-	s.zones = s.newZoneRouting(place)
+	s.control = runner
+	s.zones = s.newZoneRouting(siteConfig)
 	s.every(zonePollInterval, s.pollZones)
-	s.log.Info().Str("mode", "council").Bool("steward", steward).Strs("stewards", who.Voters).Str("zone", who.Zone).Str("region", who.Region).Msg("agrees")
+	s.log.Info().Str("mode", "council").Bool("steward", isVoter).Strs("stewards", config.Voters).Str("zone", config.Zone).Str("region", config.Region).Msg("agrees")
 	return nil
 }
 
@@ -56,25 +56,25 @@
 		return nil
 	}
 	view := s.control.View()
-	b := &ClusterStateView{
+	out := &ClusterStateView{
 		Version: view.State.Version(), Digest: fmt.Sprintf("%016x", xxhash.Sum64(view.State.Snapshot())), LeaseSeconds: (view.LeaseExpiry - now) / 1000,
 		Zones: map[string]string{},
 	}
-	if p, ok := view.State.Process(s.config.Name); ok {
-		b.Epoch = p.Epoch
+	if process, ok := view.State.Process(s.config.Name); ok {
+		out.Epoch = process.Epoch
 	}
-	for _, z := range view.State.Zones() {
-		b.Zones[z.Name] = z.State.String()
+	for _, zone := range view.State.Zones() {
+		out.Zones[zone.Name] = zone.State.String()
 	}
-	b.ZoneShares, b.SearchLevel = s.zones.currentShares()
-	c := &s.membership
-	c.mu.Lock()
-	b.IsVoter, b.IsLeader, b.Halted, b.Stats = c.controlView.IsVoter, c.controlView.IsLeader, c.controlView.Halted, c.controlView.Stats
-	c.mu.Unlock()
-	s.control.Enqueue(func(k *consensus.Replica) {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.controlView = ClusterStateView{IsVoter: slices.Contains(s.config.Site.Members.Voters, s.config.Name), IsLeader: k.IsLeader(), Halted: k.HaltReason(), Stats: k.Stats}
+	out.ZoneShares, out.SearchLevel = s.zones.currentShares()
+	m := &s.membership
+	m.mu.Lock()
+	out.IsVoter, out.IsLeader, out.Halted, out.Stats = m.controlView.IsVoter, m.controlView.IsLeader, m.controlView.Halted, m.controlView.Stats
+	m.mu.Unlock()
+	s.control.Enqueue(func(replica *consensus.Replica) {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.controlView = ClusterStateView{IsVoter: slices.Contains(s.config.Site.Members.Voters, s.config.Name), IsLeader: replica.IsLeader(), Halted: replica.HaltReason(), Stats: replica.Stats}
 	})
-	return b
+	return out
 }
--- a/internal/serve/cluster_state_test.go
+++ b/internal/serve/cluster_state_test.go
@@ -8,17 +8,17 @@
 	"ravenpond/internal/site"
 )
 
-// TestControlStands has the goroutine of what is agreed on stand still while a scheduler that can't reach the other stewards is
+// TestControlStalled has the goroutine of what is agreed on stand still while a scheduler that can't reach the other stewards is
 // asked: traffic waits for none of it, by the last view in its careful reading.
-func TestControlStands(t *testing.T) {
-	s := newStage(t, 1, 4, false)
+func TestControlStalled(t *testing.T) {
+	s := newTestCluster(t, 1, 4, false)
 	local := make(chan *Server, 1)
-	s.tune = func(who *Config) {
+	s.configure = func(who *Config) {
 		who.MemberKey = []byte("a key of some length")
 		who.Zone = who.Site.Zones[0]
 		who.OnLocalListener = func(l *LocalListener) { local <- l.server }
 	}
-	place := *s.place
+	place := *s.siteConfig
 	place.Members = site.Members{Listen: "127.0.0.1:0", Seeds: []string{"127.0.0.1:9"}, Voters: []string{"s0", "s1", "s2"}}
 	s.start(0, place, Faults{})
 	server := <-local
@@ -26,13 +26,13 @@
 	stands, goes := make(chan bool), make(chan bool)
 	server.control.Enqueue(func(*consensus.Replica) { close(stands); <-goes })
 	<-stands
-	began := s.w.Now()
+	began := s.world.Now()
 	s.load(2500, 60, "0001112")
 	time.Sleep(500 * time.Millisecond)
 	view := server.control.View()
 	close(goes)
 	asked, served := 0, 0
-	for _, x := range s.owner[0].Outcomes() {
+	for _, x := range s.clients[0].Outcomes() {
 		if x.SentAt >= began {
 			if asked++; x.Result == "served" {
 				served++
--- a/internal/serve/inbox.go
+++ b/internal/serve/inbox.go
@@ -22,7 +22,7 @@
 }
 
 // put queues an event; false if the shard takes none any more. full tells that it should be given up.
-func (b *inbox) put(now float64, ev event) (ok, full bool) {
+func (b *inbox) put(now float64, queued event) (ok, full bool) {
 	b.mu.Lock()
 	if b.closed {
 		b.mu.Unlock()
@@ -36,7 +36,7 @@
 	if first {
 		b.oldestAt = now
 	}
-	b.queue = append(b.queue, ev)
+	b.queue = append(b.queue, queued)
 	b.mu.Unlock()
 	if first {
 		b.wake()
--- a/internal/serve/invariants.go
+++ b/internal/serve/invariants.go
@@ -16,11 +16,11 @@
 			return nil // it will hear of more in a moment
 		}
 	}
-	if err := s.router.CheckInvariants(func(f func(shard int, n shardownership.ID, epoch uint32)) {
+	if err := s.router.CheckInvariants(func(report func(shard int, name shardownership.ID, epoch uint32)) {
 		for _, sh := range s.liveShardsLocked() {
 			if !sh.fenced.Load() {
 				sh.engine.ForEachAllocation(func(tenant int, token uint64, epoch uint32, _ bool) {
-					f(sh.index, shardownership.ID{Tenant: tenant, Token: token}, epoch)
+					report(sh.index, shardownership.ID{Tenant: tenant, Token: token}, epoch)
 				})
 			}
 		}
@@ -28,15 +28,15 @@
 		return err
 	}
 	now := s.env.Now()
-	for _, o := range s.connectedClients() {
-		o.mu.Lock()
-		for ref, a := range o.requests {
-			if !a.answered && a.expiry < now-1000 {
-				o.mu.Unlock()
-				return fmt.Errorf("ask %d of owner %d is open beyond its expiry", ref, o.id)
+	for _, c := range s.connectedClients() {
+		c.mu.Lock()
+		for ref, req := range c.requests {
+			if !req.answered && req.expiry < now-1000 {
+				c.mu.Unlock()
+				return fmt.Errorf("ask %d of owner %d is open beyond its expiry", ref, c.id)
 			}
 		}
-		o.mu.Unlock()
+		c.mu.Unlock()
 	}
 	return nil
 }
@@ -49,11 +49,11 @@
 }
 
 // KnowsAttempt tells whether some shard knows a try.
-func (s *Server) KnowsAttempt(ticket uint64, try uint8) bool {
+func (s *Server) KnowsAttempt(ticket uint64, attempt uint8) bool {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	for _, sh := range s.liveShardsLocked() {
-		if sh.engine.KnowsAttempt(ticket, try) {
+		if sh.engine.KnowsAttempt(ticket, attempt) {
 			return true
 		}
 	}
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -48,19 +48,19 @@
 	reassigned        map[uint64]*shard // tries of earlier lives, by their tickets
 }
 
-// newLink greets a node over a connection that was just made.
-func newLink(t *nodeConnections, nd uint32, address string, conn env.Conn, visits bool) {
-	l := &nodeLink{server: t.server, connections: t, node: nd, address: address, conn: conn, reassigned: map[uint64]*shard{}}
-	if visits {
+// newNodeLink greets a node over a connection that was just made.
+func newNodeLink(conns *nodeConnections, nodeID uint32, address string, conn env.Conn, isVisit bool) {
+	l := &nodeLink{server: conns.server, connections: conns, node: nodeID, address: address, conn: conn, reassigned: map[uint64]*shard{}}
+	if isVisit {
 		l.visit = visiting
 	}
-	l.lastReceived.Store(math.Float64bits(t.server.env.Now()))
+	l.lastReceived.Store(math.Float64bits(conns.server.env.Now()))
 	conn.Start(l, node.WriteTimeout)
 	conn.Send(func(b []byte) []byte {
-		return line.AppendGreeting(b, node.GreetingLine, "Scheduler", t.name, "Node", strconv.FormatUint(uint64(nd), 10),
-			"Sent", strconv.FormatFloat(t.server.env.Now(), 'f', 3, 64)) // so that the first offer can't lie on the way unseen
+		return line.AppendGreeting(b, node.GreetingLine, "Scheduler", conns.name, "Node", strconv.FormatUint(uint64(nodeID), 10),
+			"Sent", strconv.FormatFloat(conns.server.env.Now(), 'f', 3, 64)) // so that the first offer can't lie on the way unseen
 	})
-	t.server.env.After(node.HandshakeTimeout, func() {
+	conns.server.env.After(node.HandshakeTimeout, func() {
 		if !l.isGreeted() {
 			l.disconnect("greeting: none in time", false)
 		}
@@ -81,18 +81,18 @@
 	}
 	l.lastReceived.Store(math.Float64bits(l.server.env.Now()))
 	if l.incarnation == 0 { // set here alone
-		head, after, err := l.splitter.Greeting(b, node.GreetingLine)
-		if err == nil && head == nil {
+		header, rest, err := l.splitter.Greeting(b, node.GreetingLine)
+		if err == nil && header == nil {
 			return
 		}
 		if err == nil {
-			err = l.onGreeting(head)
+			err = l.onGreeting(header)
 		}
 		if err != nil {
 			l.disconnect(err.Error(), false)
 			return
 		}
-		b = after
+		b = rest
 	}
 	if err := l.splitter.Feed(b, func(fields [][]byte) error { return node.DecodeNode(fields, l, l.report[:]) }); err != nil {
 		l.disconnect(err.Error(), false)
@@ -100,29 +100,29 @@
 }
 
 // onGreeting takes the node's greeting; the shards hear that it is connected.
-func (l *nodeLink) onGreeting(head textproto.MIMEHeader) error {
-	t := l.connections
-	if got := head.Get("Node"); got != strconv.FormatUint(uint64(l.node), 10) {
+func (l *nodeLink) onGreeting(header textproto.MIMEHeader) error {
+	conns := l.connections
+	if got := header.Get("Node"); got != strconv.FormatUint(uint64(l.node), 10) {
 		return fmt.Errorf("greeting: node %.12q answers at %s, expected %d", got, l.address, l.node)
 	}
-	life, err := strconv.ParseUint(head.Get("Life"), 10, 64)
-	if err != nil || life == 0 {
-		return fmt.Errorf("greeting: bad life %.20q", head.Get("Life"))
+	incarnation, err := strconv.ParseUint(header.Get("Life"), 10, 64)
+	if err != nil || incarnation == 0 {
+		return fmt.Errorf("greeting: bad life %.20q", header.Get("Life"))
 	}
-	if text := head.Get("Up"); text != "" {
-		up, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(up >= 0) {
+	if text := header.Get("Up"); text != "" {
+		uptime, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(uptime >= 0) {
 			return fmt.Errorf("greeting: bad time up %.20q", text)
 		}
-		l.nodeStartedAt = max(0, l.server.env.Now()-up)
+		l.nodeStartedAt = max(0, l.server.env.Now()-uptime)
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	visits := l.isVisit()
-	if !visits {
-		delete(t.dialing, l.node)
+	conns.mu.Lock()
+	defer conns.mu.Unlock()
+	isVisit := l.isVisit()
+	if !isVisit {
+		delete(conns.dialing, l.node)
 	}
-	if t.closed {
+	if conns.closed {
 		return errors.New("not wanted any more")
 	}
 	l.mu.Lock()
@@ -130,11 +130,11 @@
 		l.mu.Unlock()
 		return errors.New(l.reason)
 	}
-	l.incarnation = life
-	l.inventoryWaiters = [][]*shard{slices.Clone(t.shards)}
+	l.incarnation = incarnation
+	l.inventoryWaiters = [][]*shard{slices.Clone(conns.shards)}
 	l.mu.Unlock()
-	if !visits {
-		t.register(l)
+	if !isVisit {
+		conns.register(l)
 	}
 	env.Every(l.server.env, node.PingInterval, l.ping)
 	return nil
@@ -143,9 +143,9 @@
 // ping keeps the connection alive and ends it when the node is silent.
 func (l *nodeLink) ping() bool {
 	l.mu.Lock()
-	shut := l.closed
+	closed := l.closed
 	l.mu.Unlock()
-	if shut {
+	if closed {
 		return false
 	}
 	if l.server.env.Now()-math.Float64frombits(l.lastReceived.Load()) > node.SilenceTimeout {
@@ -158,42 +158,42 @@
 
 // OnClose meets the end of the connection: the shards hear which tries never left.
 func (l *nodeLink) OnClose(err error) {
-	t := l.connections
+	conns := l.connections
 	l.mu.Lock()
 	if !l.closed {
 		l.closed, l.reason = true, "peer closed: "+err.Error()
 	}
-	why, life, visit := l.reason, l.incarnation, l.visit
+	reason, incarnation, visit := l.reason, l.incarnation, l.visit
 	handed := l.conn.HandedOver()
-	unsent := slices.DeleteFunc(l.marks, func(m sendMark) bool { return m.offset <= handed })
+	unsent := slices.DeleteFunc(l.marks, func(mark sendMark) bool { return mark.offset <= handed })
 	l.mu.Unlock()
-	if life == 0 || visit == visiting {
-		t.onDialFailed(l.node, errors.New(why))
+	if incarnation == 0 || visit == visiting {
+		conns.onDialFailed(l.node, errors.New(reason))
 		return
 	}
 	if visit == visited {
 		return
 	}
-	t.mu.Lock()
-	delete(t.links, l.node)
+	conns.mu.Lock()
+	delete(conns.links, l.node)
 	l.server.onNodeDisconnected(l)
 	l.server.workingSet.onConnection(l.node, false)
-	for _, sh := range t.shards {
+	for _, sh := range conns.shards {
 		sh.post(func(now float64) {
 			if sh.links[l.node] != l {
 				return
 			}
 			delete(sh.links, l.node)
-			for _, m := range unsent {
-				if uint32(m.ticket>>32) == sh.incarnation {
-					sh.engine.OnUnsent(now, l.node, m.ticket, m.attempt)
+			for _, mark := range unsent {
+				if uint32(mark.ticket>>32) == sh.incarnation {
+					sh.engine.OnUnsent(now, l.node, mark.ticket, mark.attempt)
 				}
 			}
-			sh.engine.OnDisconnected(now, l.node, why)
+			sh.engine.OnDisconnected(now, l.node, reason)
 		})
 	}
-	t.mu.Unlock()
-	l.server.log.Debug().Uint32("node", l.node).Str("why", why).Msg("connection ended")
+	conns.mu.Unlock()
+	l.server.log.Debug().Uint32("node", l.node).Str("why", reason).Msg("connection ended")
 }
 
 func (l *nodeLink) notifyLinked(sh *shard) {
@@ -213,15 +213,15 @@
 }
 
 // disconnect ends the link for a reason; the first one counts.
-func (l *nodeLink) disconnect(why string, soft bool) {
+func (l *nodeLink) disconnect(reason string, flush bool) {
 	l.mu.Lock()
 	first := !l.closed
 	if first {
-		l.closed, l.reason = true, why
+		l.closed, l.reason = true, reason
 	}
 	l.mu.Unlock()
 	if first {
-		l.conn.Close(soft, node.AppendBye(nil, why))
+		l.conn.Close(flush, node.AppendBye(nil, reason))
 	}
 }
 
@@ -229,21 +229,21 @@
 func (l *nodeLink) send(appendTo func([]byte) []byte) { l.sendMarked(appendTo, sendMark{}) }
 
 // sendMarked queues a line with the mark of its try, if it has one. A try that finds the link shut was never sent.
-func (l *nodeLink) sendMarked(appendTo func([]byte) []byte, m sendMark) {
+func (l *nodeLink) sendMarked(appendTo func([]byte) []byte, mark sendMark) {
 	l.mu.Lock()
-	sent, waits, ok := l.conn.Send(appendTo)
-	if m.ticket != 0 {
-		if m.offset = sent; !ok {
-			m.offset = math.MaxUint64
+	sent, queued, ok := l.conn.Send(appendTo)
+	if mark.ticket != 0 {
+		if mark.offset = sent; !ok {
+			mark.offset = math.MaxUint64
 		}
 		if len(l.marks) >= maxMarks { // those that have left need no mark
 			handed := l.conn.HandedOver()
-			l.marks = slices.DeleteFunc(l.marks, func(m sendMark) bool { return m.offset <= handed })
+			l.marks = slices.DeleteFunc(l.marks, func(mark sendMark) bool { return mark.offset <= handed })
 		}
-		l.marks = append(l.marks, m)
+		l.marks = append(l.marks, mark)
 	}
 	l.mu.Unlock()
-	if ok && waits > l.server.config.Site.NodeQueue {
+	if ok && queued > l.server.config.Site.NodeQueue {
 		l.disconnect(fmt.Sprintf("slow reader: over %d bytes queued", l.server.config.Site.NodeQueue), false)
 	}
 }
@@ -251,46 +251,46 @@
 // maxMarks is how many marks are kept before a look at which have left.
 const maxMarks = 64
 
-func (d shardEffects) Offer(nd uint32, ticket uint64, try uint8, epoch uint32, timeout float64, jobType, tenant int,
+func (e shardEffects) Offer(nodeID uint32, ticket uint64, attempt uint8, epoch uint32, timeout float64, jobClass, tenant int,
 	service, token uint64, cores, memory float64,
 ) {
-	s := d.shard.server
-	s.log.Debug().Uint64("allocation", ticket).Uint8("try", try).Uint32("node", nd).Int("tenant", tenant).Msg("offer")
+	s := e.shard.server
+	s.log.Debug().Uint64("allocation", ticket).Uint8("try", attempt).Uint32("node", nodeID).Int("tenant", tenant).Msg("offer")
 	// A shard that stood still with leave in hand may have been fenced meanwhile and its allocation answered for, after
 	// which nothing may be sent for it: a fence comes before this or after it, not in between.
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
-	if d.fenced() && !s.config.Faults.PermitAnyEpoch {
+	if e.fenced() && !s.config.Faults.PermitAnyEpoch {
 		return
 	}
-	if l := d.shard.links[nd]; l != nil {
-		l.sendMarked(func(b []byte) []byte {
-			return node.AppendOffer(b, ticket, try, epoch, s.env.Now(), timeout, jobType, tenant, service, token, cores, memory)
-		}, sendMark{ticket: ticket, attempt: try})
+	if link := e.shard.links[nodeID]; link != nil {
+		link.sendMarked(func(b []byte) []byte {
+			return node.AppendOffer(b, ticket, attempt, epoch, s.env.Now(), timeout, jobClass, tenant, service, token, cores, memory)
+		}, sendMark{ticket: ticket, attempt: attempt})
 	}
 }
 
-func (d shardEffects) send(nd uint32, appendTo func([]byte) []byte) {
-	if l := d.shard.links[nd]; l != nil && !d.fenced() {
-		l.send(appendTo)
+func (e shardEffects) send(nodeID uint32, appendTo func([]byte) []byte) {
+	if link := e.shard.links[nodeID]; link != nil && !e.fenced() {
+		link.send(appendTo)
 	}
 }
 
-func (d shardEffects) Recall(nd uint32, ticket uint64, try uint8) {
-	d.send(nd, func(b []byte) []byte { return node.AppendRecall(b, ticket, try) })
+func (e shardEffects) Recall(nodeID uint32, ticket uint64, attempt uint8) {
+	e.send(nodeID, func(b []byte) []byte { return node.AppendRecall(b, ticket, attempt) })
 }
 
-func (d shardEffects) Stop(nd uint32, ticket uint64, try uint8) {
-	d.send(nd, func(b []byte) []byte { return node.AppendStop(b, ticket, try) })
+func (e shardEffects) Stop(nodeID uint32, ticket uint64, attempt uint8) {
+	e.send(nodeID, func(b []byte) []byte { return node.AppendStop(b, ticket, attempt) })
 }
 
-func (d shardEffects) Claim(nd uint32, ticket uint64, try uint8) {
-	d.send(nd, func(b []byte) []byte { return node.AppendClaim(b, ticket, try) })
+func (e shardEffects) Claim(nodeID uint32, ticket uint64, attempt uint8) {
+	e.send(nodeID, func(b []byte) []byte { return node.AppendClaim(b, ticket, attempt) })
 }
 
 // Probe names the shard in the lowest bits of the number, as several may probe over one connection.
-func (d shardEffects) Probe(nd uint32, seq uint64) {
-	d.send(nd, func(b []byte) []byte { return node.AppendProbe(b, seq<<8|uint64(d.shard.index)) })
+func (e shardEffects) Probe(nodeID uint32, seq uint64) {
+	e.send(nodeID, func(b []byte) []byte { return node.AppendProbe(b, seq<<8|uint64(e.shard.index)) })
 }
 
 var (
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -13,15 +13,15 @@
 
 // shardOf gives the shard that a ticket belongs to; nil if its shard's life is over, an error if nobody ever made it. Under the
 // desk.
-func (l *nodeLink) shardOf(ticket uint64, over bool) (*shard, error) {
+func (l *nodeLink) shardOf(ticket uint64, final bool) (*shard, error) {
 	l.mu.Lock()
-	early := !l.inventoryReceived
+	beforeInventory := !l.inventoryReceived
 	sh := l.reassigned[ticket]
-	if over {
+	if final {
 		delete(l.reassigned, ticket)
 	}
 	l.mu.Unlock()
-	if early {
+	if beforeInventory {
 		return nil, errInventoryOrder
 	}
 	if sh == nil {
@@ -38,60 +38,60 @@
 
 // dispatch hands a node's word to the shard that the ticket belongs to, before or after a handover of it but not in between: what
 // came before is in the giver's inbox when it has given. A fault of the peer's ends the connection.
-func (l *nodeLink) dispatch(ticket uint64, over bool, event func(sh *shard, now float64) error) error {
+func (l *nodeLink) dispatch(ticket uint64, final bool, handle func(sh *shard, now float64) error) error {
 	l.server.routerMu.Lock()
 	defer l.server.routerMu.Unlock()
-	sh, err := l.shardOf(ticket, over)
+	sh, err := l.shardOf(ticket, final)
 	if sh == nil {
 		return err
 	}
-	l.post(sh, ticket, event)
+	l.post(sh, ticket, handle)
 	return nil
 }
 
 // post hands a word to a shard; under the desk.
-func (l *nodeLink) post(sh *shard, ticket uint64, event func(sh *shard, now float64) error) {
-	var hear func(sh *shard)
-	hear = func(sh *shard) {
+func (l *nodeLink) post(sh *shard, ticket uint64, handle func(sh *shard, now float64) error) {
+	var deliver func(sh *shard)
+	deliver = func(sh *shard) {
 		sh.post(func(now float64) {
-			if to := sh.handedOver[ticket]; to != nil { // handed over while this was on its way
-				hear(to)
-			} else if err := event(sh, now); err != nil {
+			if next := sh.handedOver[ticket]; next != nil { // handed over while this was on its way
+				deliver(next)
+			} else if err := handle(sh, now); err != nil {
 				l.disconnect(err.Error(), false)
 			}
 		})
 	}
-	hear(sh)
+	deliver(sh)
 }
 
-func (l *nodeLink) OnStarted(ticket uint64, try uint8, took float64) error {
+func (l *nodeLink) OnStarted(ticket uint64, attempt uint8, startTime float64) error {
 	return l.dispatch(ticket, false, func(sh *shard, now float64) error {
-		return sh.engine.OnStarted(now, l.node, ticket, try, took)
+		return sh.engine.OnStarted(now, l.node, ticket, attempt, startTime)
 	})
 }
 
-func (l *nodeLink) OnOutcome(ticket uint64, try uint8, outcome, reason int, report []float64) error {
-	if n := len(report); n != 0 && n != len(l.server.config.Site.Cluster.ReportFields) {
-		return fmt.Errorf("report of %d values, expected %d", n, len(l.server.config.Site.Cluster.ReportFields))
+func (l *nodeLink) OnOutcome(ticket uint64, attempt uint8, outcome, reasonCode int, report []float64) error {
+	if values := len(report); values != 0 && values != len(l.server.config.Site.Cluster.ReportFields) {
+		return fmt.Errorf("report of %d values, expected %d", values, len(l.server.config.Site.Cluster.ReportFields))
 	}
 	report = slices.Clone(report)
 	if l.server.config.Site.Connections == site.SharedReports && len(report) > 0 {
 		l.broadcastReport(ticket, report)
 	}
-	s, verdict, why := l.server, node.Verdicts[outcome], logic.Reason(reason)
+	s, verdict, reason := l.server, node.Verdicts[outcome], logic.Reason(reasonCode)
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	sh, err := l.shardOf(ticket, true)
 	if sh == nil {
-		if a, ok := s.router.OnLostEnded(shardownership.Attempt{Node: l.node, Ticket: ticket, Number: try}); ok { // its shard was fenced while it ran
-			if o := s.clientByID(a.Client); o != nil {
-				o.sendEnd(a.Ref, verdict, why)
+		if ask, ok := s.router.OnLostEnded(shardownership.Attempt{Node: l.node, Ticket: ticket, Number: attempt}); ok { // its shard was fenced while it ran
+			if c := s.clientByID(ask.Client); c != nil {
+				c.sendEnd(ask.Ref, verdict, reason)
 			}
 		}
 		return err
 	}
 	l.post(sh, ticket, func(sh *shard, now float64) error {
-		return sh.engine.OnOutcome(now, l.node, ticket, try, verdict, why, report)
+		return sh.engine.OnOutcome(now, l.node, ticket, attempt, verdict, reason, report)
 	})
 	return nil
 }
@@ -105,20 +105,20 @@
 	}
 }
 
-func (l *nodeLink) OnClaimAnswer(ticket uint64, try uint8, claim, reason int) error {
+func (l *nodeLink) OnClaimAnswer(ticket uint64, attempt uint8, claim, reason int) error {
 	return l.dispatch(ticket, false, func(sh *shard, now float64) error {
 		if claim < node.ClaimOutcome {
-			sh.engine.OnClaimHeld(now, l.node, ticket, try, claim == node.ClaimRunning)
+			sh.engine.OnClaimHeld(now, l.node, ticket, attempt, claim == node.ClaimRunning)
 		} else {
-			sh.engine.OnClaimOutcome(now, l.node, ticket, try, node.Verdicts[claim-node.ClaimOutcome], logic.Reason(reason))
+			sh.engine.OnClaimOutcome(now, l.node, ticket, attempt, node.Verdicts[claim-node.ClaimOutcome], logic.Reason(reason))
 		}
 		return nil
 	})
 }
 
-func (l *nodeLink) OnNote(ticket uint64, try uint8, kind int, value float64) error {
+func (l *nodeLink) OnNote(ticket uint64, attempt uint8, kind int, value float64) error {
 	return l.dispatch(ticket, false, func(sh *shard, now float64) error {
-		return sh.engine.OnNote(now, l.node, ticket, try, logic.TaskMetric(kind), value)
+		return sh.engine.OnNote(now, l.node, ticket, attempt, logic.TaskMetric(kind), value)
 	})
 }
 
@@ -141,7 +141,7 @@
 }
 
 // OnHeld goes to the shard whose try it is; one of a life that is over to the shard that has its service now.
-func (l *nodeLink) OnHeld(ticket uint64, try uint8, state, jobType, tenant int, service, token uint64,
+func (l *nodeLink) OnHeld(ticket uint64, attempt uint8, state, jobType, tenant int, service, token uint64,
 	cores, memory float64,
 ) error {
 	s := l.server
@@ -159,42 +159,42 @@
 	if sh != nil && !sh.fenced.Load() {
 		index = sh.index
 	}
-	at, knows := s.router.ShardOf(shardownership.ID{Tenant: tenant, Token: token}, ticket, try, service, index)
-	own := index >= 0 && at == index // else it was handed over, or its shard's life is over
-	if !own && at >= 0 {
-		sh = s.shards[at]
+	home, known := s.router.ShardOf(shardownership.ID{Tenant: tenant, Token: token}, ticket, attempt, service, index)
+	isOwn := index >= 0 && home == index // else it was handed over, or its shard's life is over
+	if !isOwn && home >= 0 {
+		sh = s.shards[home]
 	}
 	s.routerMu.Unlock()
-	alone := l.connections.attachedShards()
+	attached := l.connections.attachedShards()
 	l.mu.Lock()
 	if len(l.inventoryWaiters) == 0 {
 		l.mu.Unlock()
 		return errInventoryOrder
 	}
-	if old := l.reassigned[ticket]; old != nil && !old.fenced.Load() {
-		sh, own = old, false
+	if previous := l.reassigned[ticket]; previous != nil && !previous.fenced.Load() {
+		sh, isOwn = previous, false
 	}
-	if own {
+	if isOwn {
 		delete(l.reassigned, ticket) // it was given away, but the one that got it is no more
 	} else if sh != nil {
-		if len(alone) == 1 { // its connections are its own: what they hold is its own too
-			sh = alone[0]
+		if len(attached) == 1 { // its connections are its own: what they hold is its own too
+			sh = attached[0]
 		}
 		l.reassigned[ticket] = sh
 	}
-	listens := slices.Contains(l.inventoryWaiters[0], sh)
+	waiting := slices.Contains(l.inventoryWaiters[0], sh)
 	l.mu.Unlock()
-	if sh == nil || !own && !listens && !l.inventoryReceived {
+	if sh == nil || !isOwn && !waiting && !l.inventoryReceived {
 		return nil
 	}
-	if own && knows && !listens {
+	if isOwn && known && !waiting {
 		return nil
 	}
 	sh.post(func(now float64) {
-		if own {
+		if isOwn {
 			delete(sh.handedOver, ticket)
 		}
-		err := sh.engine.OnHeld(now, l.node, ticket, try, state == 1, jobType, tenant, service, token, cores, memory)
+		err := sh.engine.OnHeld(now, l.node, ticket, attempt, state == 1, jobType, tenant, service, token, cores, memory)
 		if err != nil {
 			l.disconnect(err.Error(), false)
 		}
@@ -211,10 +211,10 @@
 		l.mu.Unlock()
 		return errInventoryOrder
 	}
-	who := l.inventoryWaiters[0]
+	waiters := l.inventoryWaiters[0]
 	l.inventoryWaiters, l.inventoryReceived = l.inventoryWaiters[1:], true
 	l.mu.Unlock()
-	for _, sh := range who {
+	for _, sh := range waiters {
 		sh.post(func(now float64) { sh.engine.OnHeldAll(now, l.node) })
 	}
 	return nil
@@ -222,4 +222,4 @@
 
 func (l *nodeLink) OnPong() error { return nil }
 
-func (l *nodeLink) OnBye(why string) error { return fmt.Errorf("%w: %s", errFarewell, why) }
+func (l *nodeLink) OnBye(reason string) error { return fmt.Errorf("%w: %s", errFarewell, reason) }
--- a/internal/serve/list_client.go
+++ b/internal/serve/list_client.go
@@ -56,7 +56,7 @@
 	entries    []state.Entry
 }
 
-func newLister(s *Server) *listClient {
+func newListClient(s *Server) *listClient {
 	return &listClient{server: s, watches: !s.config.Site.Cluster.PollsList, pace: reconnect.New(s.config.Seed + 1)}
 }
 
@@ -73,16 +73,16 @@
 
 // call makes a call. Where too many wait an earlier one is still under way, and this one has failed, as far as the
 // module is concerned.
-func (l *listClient) call(c listCall) {
+func (l *listClient) call(call listCall) {
 	l.mu.Lock()
 	full := len(l.pending) >= maxCalls
 	if !full {
-		l.pending = append(l.pending, c)
+		l.pending = append(l.pending, call)
 	}
 	l.mu.Unlock()
 	if !full {
 		l.server.async(l.flush)
-	} else if c != maintenanceCall {
+	} else if call != maintenanceCall {
 		l.server.async(l.server.onListFailed)
 	}
 }
@@ -100,8 +100,8 @@
 		l.dial()
 		return
 	}
-	if at := l.pace.Due(); at < now+3600e3 {
-		l.server.env.After(max(1, at-now), l.dialWhenDue)
+	if due := l.pace.Due(); due < now+3600e3 {
+		l.server.env.After(max(1, due-now), l.dialWhenDue)
 	}
 }
 
@@ -115,12 +115,12 @@
 		l.sendPending()
 	case l.dialing || l.conn != nil:
 	default:
-		l.pending = slices.DeleteFunc(l.pending, func(c listCall) bool {
-			if c == maintenanceCall && l.watches { // a connection begins with a watch; the marks follow at the next look
+		l.pending = slices.DeleteFunc(l.pending, func(call listCall) bool {
+			if call == maintenanceCall && l.watches { // a connection begins with a watch; the marks follow at the next look
 				l.server.resendMarks()
 				return true
 			}
-			return c == unwatchCall // there is no connection, hence no watch
+			return call == unwatchCall // there is no connection, hence no watch
 		})
 		if len(l.pending) == 0 {
 			return
@@ -135,7 +135,7 @@
 // dial connects; under the lock.
 func (l *listClient) dial() {
 	l.dialing, l.dialedAt = true, l.server.env.Now()
-	l.sentCall = slices.ContainsFunc(l.pending, func(c listCall) bool { return c != maintenanceCall })
+	l.sentCall = slices.ContainsFunc(l.pending, func(call listCall) bool { return call != maintenanceCall })
 	l.server.env.Dial(l.server.config.Site.ListAddress, listDialTimeout, func(conn env.Conn, err error) {
 		l.mu.Lock()
 		l.dialing = false
@@ -173,13 +173,13 @@
 
 // sendPending sends the calls that wait; under the lock.
 func (l *listClient) sendPending() {
-	for _, c := range l.pending {
-		l.sentCall = l.sentCall || c != maintenanceCall
-		if c == watchCall || c == fullCall { // these are answered, or have failed
+	for _, call := range l.pending {
+		l.sentCall = l.sentCall || call != maintenanceCall
+		if call == watchCall || call == fullCall { // these are answered, or have failed
 			l.startAnswerTimer()
 		}
 		l.conn.Send(func(b []byte) []byte {
-			switch c {
+			switch call {
 			case watchCall:
 				l.server.mu.Lock()
 				defer l.server.mu.Unlock()
@@ -200,15 +200,15 @@
 func (l *listClient) OnData(b []byte) {
 	l.mu.Lock()
 	if !l.greeted {
-		head, after, err := l.splitter.Greeting(b, list.GreetingLine)
+		header, rest, err := l.splitter.Greeting(b, list.GreetingLine)
 		if err != nil {
 			l.conn.Close(false, nil)
 		}
-		if err != nil || head == nil {
+		if err != nil || header == nil {
 			l.mu.Unlock()
 			return
 		}
-		l.greeted, b = true, after
+		l.greeted, b = true, rest
 		l.stopAnswerTimer()
 		l.sendPending()
 	}
@@ -231,7 +231,7 @@
 // onLost tells that calls have failed, and plans the next connection.
 func (l *listClient) onLost(err error) {
 	l.mu.Lock()
-	over, asked, now := l.closed, l.sentCall, l.server.env.Now()
+	closed, sentCall, now := l.closed, l.sentCall, l.server.env.Now()
 	l.pending = l.pending[:0]
 	if l.watches && now-l.dialedAt > 2*listAnswerTimeout {
 		l.pace.OnConnected(now, 0)
@@ -240,11 +240,11 @@
 		l.pace.OnDialFailed(now, 0)
 	}
 	l.mu.Unlock()
-	if over {
+	if closed {
 		return
 	}
 	l.server.log.Debug().Str("why", fmt.Sprint(err)).Msg("node list connection ended")
-	if asked { // else nothing but marks was sent: no call has failed
+	if sentCall { // else nothing but marks was sent: no call has failed
 		l.server.onListFailed()
 	}
 	if l.watches {
@@ -307,8 +307,8 @@
 		s.mu.Unlock()
 		return err
 	}
-	for _, en := range l.entries {
-		s.list.Put(en)
+	for _, entry := range l.entries {
+		s.list.Put(entry)
 	}
 	s.list.End()
 	s.recordNodes(l.entries)
@@ -333,7 +333,7 @@
 }
 
 // OnBye is the list's farewell.
-func (l *listClient) OnBye(why string) error { return fmt.Errorf("%w: %s", errFarewell, why) }
+func (l *listClient) OnBye(reason string) error { return fmt.Errorf("%w: %s", errFarewell, reason) }
 
 func (s *Server) onListFailed() { s.broadcastList(logic.ListFailed, nil) }
 
@@ -359,13 +359,13 @@
 		sh.postList(logic.ListCached, entries)
 	}
 	s.routerMu.Lock()
-	var out []uint32
+	var excluded []uint32
 	for id := range s.underMaintenance {
-		out = append(out, id)
+		excluded = append(excluded, id)
 	}
 	s.routerMu.Unlock()
-	slices.Sort(out)
-	sh.post(func(now float64) { sh.engine.SetMaintenance(now, out, true) })
+	slices.Sort(excluded)
+	sh.post(func(now float64) { sh.engine.SetMaintenance(now, excluded, true) })
 	s.sendHeldBack(sh)
 	s.zones.sendExcluded(sh)
 }
@@ -373,26 +373,26 @@
 // resolveEntries gives entries their places as small indices; under the lock. Those whose zone or kind the site file lacks
 // are left out: nothing can be decided about them.
 func (s *Server) resolveEntries(entries []state.Entry) []listEntry {
-	all := make([]listEntry, 0, len(entries))
+	resolved := make([]listEntry, 0, len(entries))
 	skipped := 0
-	for _, en := range entries {
+	for _, entry := range entries {
 		if s.config.Faults.ListEntry != nil {
-			s.config.Faults.ListEntry(&en)
+			s.config.Faults.ListEntry(&entry)
 		}
-		zone, kind := slices.Index(s.config.Site.Zones, en.Zone), slices.Index(s.config.Site.MachineKinds, en.Kind)
-		if en.Avail != 0 && (zone < 0 || kind < 0) {
+		zone, kind := slices.Index(s.config.Site.Zones, entry.Zone), slices.Index(s.config.Site.MachineKinds, entry.Kind)
+		if entry.Avail != 0 && (zone < 0 || kind < 0) {
 			skipped++
 			continue
 		}
-		cell, ok := s.cellIndex[en.Cell]
+		cell, ok := s.cellIndex[entry.Cell]
 		if !ok {
 			cell = len(s.cellIndex)
-			s.cellIndex[en.Cell] = cell
+			s.cellIndex[entry.Cell] = cell
 		}
-		all = append(all, listEntry{en, max(0, zone), cell, max(0, kind)})
+		resolved = append(resolved, listEntry{entry, max(0, zone), cell, max(0, kind)})
 	}
 	if skipped > 0 {
 		s.log.Warn().Str("mode", "list").Int("skipped", skipped).Msg("entries of unknown zone or kind left out")
 	}
-	return all
+	return resolved
 }
--- a/internal/serve/maintenance.go
+++ b/internal/serve/maintenance.go
@@ -28,17 +28,17 @@
 // startMaintenance carries out the maintenance windows of the state folder's store. The store is opened for each look alone,
 // so that the command line can change the calendar while the process runs.
 func (s *Server) startMaintenance() {
-	place := s.config.Site
-	var hands maintenance.Executor = maintenanceEffects{s}
+	siteConfig := s.config.Site
+	var effects maintenance.Executor = maintenanceEffects{s}
 	if s.config.Faults.WrapMaintenance != nil {
-		hands = s.config.Faults.WrapMaintenance(hands)
+		effects = s.config.Faults.WrapMaintenance(effects)
 	}
-	k := &maintenance.Controller{Executor: hands, Limits: place.Maintenance, Policies: place.DrainManners}
-	h := &loadHistory{}
+	keeper := &maintenance.Controller{Executor: effects, Limits: siteConfig.Maintenance, Policies: siteConfig.DrainManners}
+	history := &loadHistory{}
 	lastFault := ""
-	look := func() {
+	run := func() {
 		fault := ""
-		if err := s.runMaintenance(k, h); err != nil && !errors.Is(err, maintenancestore.ErrLocked) { // the command line has it just now
+		if err := s.runMaintenance(keeper, history); err != nil && !errors.Is(err, maintenancestore.ErrLocked) { // the command line has it just now
 			fault = err.Error()
 		}
 		if fault != lastFault && fault != "" { // windows are not carried out meanwhile; placing goes on
@@ -47,8 +47,8 @@
 		lastFault = fault
 	}
 	s.async(func() {
-		look() // what opened while no process ran
-		s.every(maintenanceInterval, look)
+		run() // what opened while no process ran
+		s.every(maintenanceInterval, run)
 	})
 }
 
@@ -63,8 +63,8 @@
 	if err != nil {
 		return err
 	}
-	for _, b := range open {
-		for _, id := range ids(b.Verdict.Nodes) {
+	for _, window := range open {
+		for _, id := range ids(window.Verdict.Nodes) {
 			s.underMaintenance[id] = true
 		}
 	}
@@ -80,38 +80,38 @@
 
 const loadSaveInterval = 10 * time.Minute
 
-func (s *Server) runMaintenance(k *maintenance.Controller, h *loadHistory) error {
+func (s *Server) runMaintenance(keeper *maintenance.Controller, history *loadHistory) error {
 	store, err := s.config.Maintenance()
 	if err != nil || store == nil {
 		return err
 	}
 	defer store.Close()
-	k.Store = store
+	keeper.Store = store
 	fleet, lost := s.calendarNodes()
 	now := s.env.WallClock()
 	measured, published, err := store.Loads()
 	if err != nil {
 		return err
 	}
-	if h.measured == nil {
-		h.measured, h.savedAt = measured, now
+	if history.measured == nil {
+		history.measured, history.savedAt = measured, now
 	}
 	if cores, memory, ok := requestedShare(fleet, s.freeCapacity()); ok {
-		h.measured.Add(now, cores, memory)
+		history.measured.Add(now, cores, memory)
 	}
-	if now.Sub(h.savedAt) > loadSaveInterval {
-		if err := store.SaveMeasuredLoad(h.measured); err != nil {
+	if now.Sub(history.savedAt) > loadSaveInterval {
+		if err := store.SaveMeasuredLoad(history.measured); err != nil {
 			return err
 		}
-		h.savedAt = now
+		history.savedAt = now
 	}
-	whose := ""
-	if k.UsualLoad, whose = calendar.ChooseEstimate(h.measured, published, s.config.Site.Cluster.Schedulers); whose != h.source {
-		h.source = whose
-		s.log.Info().Str("mode", "drains").Msg("usual load: " + whose)
+	source := ""
+	if keeper.UsualLoad, source = calendar.ChooseEstimate(history.measured, published, s.config.Site.Cluster.Schedulers); source != history.source {
+		history.source = source
+		s.log.Info().Str("mode", "drains").Msg("usual load: " + source)
 	}
 	s.countTasksUnderMaintenance()
-	err = k.Tick(now, fleet, lost)
+	err = keeper.Tick(now, fleet, lost)
 	s.sendMaintenanceMarks() // after it, so that what has just opened or closed goes to the list at once
 	return err
 }
@@ -119,14 +119,14 @@
 // recordNodes keeps the nodes that were on the list, at all news of it and not only when windows are looked at: a window
 // must hold a node that is away when it opens and comes back before it ends. Under the lock.
 func (s *Server) recordNodes(entries []state.Entry) {
-	for _, en := range entries {
-		kind := slices.Index(s.config.Site.MachineKinds, en.Kind)
-		if kind < 0 || en.Avail == 0 {
+	for _, entry := range entries {
+		kind := slices.Index(s.config.Site.MachineKinds, entry.Kind)
+		if kind < 0 || entry.Avail == 0 {
 			continue
 		}
-		id := strconv.FormatUint(uint64(en.ID), 10)
+		id := strconv.FormatUint(uint64(entry.ID), 10)
 		s.knownNodes[id] = calendar.Node{
-			ID: id, Zone: en.Zone, Cell: en.Cell, Kind: en.Kind,
+			ID: id, Zone: entry.Zone, Cell: entry.Cell, Kind: entry.Kind,
 			Cores: s.config.Site.Cluster.KindCores[kind], Memory: s.config.Site.Cluster.KindMemory[kind],
 		}
 		delete(s.lostSince, id)
@@ -135,32 +135,32 @@
 
 // calendarNodes is the node list as the calendar takes it. Nodes that left the list while the process runs are lost, not
 // forgotten: what is left must carry their work too.
-func (s *Server) calendarNodes() (fleet []calendar.Node, lost map[string]bool) {
+func (s *Server) calendarNodes() (nodes []calendar.Node, lost map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lost = map[string]bool{}
 	entries := s.list.Entries()
 	s.recordNodes(entries)
-	here := map[string]bool{}
-	for _, en := range entries {
-		here[strconv.FormatUint(uint64(en.ID), 10)] = true
+	listed := map[string]bool{}
+	for _, entry := range entries {
+		listed[strconv.FormatUint(uint64(entry.ID), 10)] = true
 	}
 	now := s.env.WallClock()
-	for id, n := range s.knownNodes {
-		if !here[id] {
+	for id, node := range s.knownNodes {
+		if !listed[id] {
 			lost[id] = true
-			if at, ok := s.lostSince[id]; !ok {
+			if since, ok := s.lostSince[id]; !ok {
 				s.lostSince[id] = now
-			} else if now.Sub(at) > forgetLostAfter {
+			} else if now.Sub(since) > forgetLostAfter {
 				delete(s.knownNodes, id)
 				delete(s.lostSince, id)
 				delete(lost, id)
 				continue
 			}
 		}
-		fleet = append(fleet, n)
+		nodes = append(nodes, node)
 	}
-	return fleet, lost
+	return nodes, lost
 }
 
 // outMarkLifetime is how long the list holds a node for out when it hears no more of it, in ms: a scheduler that is gone for
@@ -221,13 +221,13 @@
 	}
 	for _, sh := range shards {
 		sh.post(func(float64) {
-			c := taskCount{sh.incarnation, map[uint32][]int{}, sh.engine.Stats().Held}
+			counts := taskCount{sh.incarnation, map[uint32][]int{}, sh.engine.Stats().Held}
 			for _, id := range ids {
-				c.byNode[id] = make([]int, len(s.config.Site.JobClasses))
-				sh.engine.CountRunning(id, c.byNode[id])
+				counts.byNode[id] = make([]int, len(s.config.Site.JobClasses))
+				sh.engine.CountRunning(id, counts.byNode[id])
 			}
 			s.routerMu.Lock()
-			s.taskCounts[sh.index] = c
+			s.taskCounts[sh.index] = counts
 			s.routerMu.Unlock()
 		})
 	}
@@ -241,101 +241,101 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	free := map[string][2]float64{}
-	for _, en := range s.list.Entries() {
-		free[strconv.FormatUint(uint64(en.ID), 10)] = [2]float64{en.FreeCores, en.FreeMemory}
+	for _, entry := range s.list.Entries() {
+		free[strconv.FormatUint(uint64(entry.ID), 10)] = [2]float64{entry.FreeCores, entry.FreeMemory}
 	}
 	return free
 }
 
 // requestedShare gives the parts of all cores and memory that are asked for.
-func requestedShare(fleet []calendar.Node, free map[string][2]float64) (cores, memory float64, ok bool) {
+func requestedShare(nodes []calendar.Node, free map[string][2]float64) (usedCores, usedMemory float64, ok bool) {
 	allCores, allMemory := 0.0, 0.0
-	for _, n := range fleet {
-		f, here := free[n.ID]
-		if !here {
+	for _, node := range nodes {
+		nodeFree, listed := free[node.ID]
+		if !listed {
 			continue
 		}
-		allCores, allMemory = allCores+n.Cores, allMemory+n.Memory
-		cores, memory = cores+n.Cores-f[0], memory+n.Memory-f[1]
+		allCores, allMemory = allCores+node.Cores, allMemory+node.Memory
+		usedCores, usedMemory = usedCores+node.Cores-nodeFree[0], usedMemory+node.Memory-nodeFree[1]
 	}
 	if allCores <= 0 || allMemory <= 0 {
 		return 0, 0, false
 	}
-	return cores / allCores, memory / allMemory, true
+	return usedCores / allCores, usedMemory / allMemory, true
 }
 
 // maintenanceEffects act on all shards.
 type maintenanceEffects struct{ server *Server }
 
 func ids(nodes []string) (all []uint32) {
-	for _, n := range nodes {
-		if id, err := strconv.ParseUint(n, 10, 32); err == nil {
+	for _, text := range nodes {
+		if id, err := strconv.ParseUint(text, 10, 32); err == nil {
 			all = append(all, uint32(id))
 		}
 	}
 	return all
 }
 
-func (h maintenanceEffects) SetDraining(nodes []string, out bool) {
+func (e maintenanceEffects) SetDraining(nodes []string, out bool) {
 	all := ids(nodes)
-	h.server.routerMu.Lock()
+	e.server.routerMu.Lock()
 	for _, id := range all {
 		if out {
-			h.server.underMaintenance[id] = true
-		} else if h.server.underMaintenance[id] {
-			delete(h.server.underMaintenance, id)
-			h.server.returned = append(h.server.returned, id)
+			e.server.underMaintenance[id] = true
+		} else if e.server.underMaintenance[id] {
+			delete(e.server.underMaintenance, id)
+			e.server.returned = append(e.server.returned, id)
 		}
 	}
-	h.server.marksSentAt = 0 // the list hears at the end of this look
-	h.server.routerMu.Unlock()
-	for _, sh := range h.server.liveShards() {
+	e.server.marksSentAt = 0 // the list hears at the end of this look
+	e.server.routerMu.Unlock()
+	for _, sh := range e.server.liveShards() {
 		sh.post(func(now float64) { sh.engine.SetMaintenance(now, all, out) })
 	}
 }
 
 // CountRunning sums what the shards counted at the last look. What none has counted since its node went out, or since its
 // life began, is not known: such a node is not empty.
-func (h maintenanceEffects) CountRunning(nodes []string) (there []int, all int) {
-	there = make([]int, len(h.server.config.Site.JobClasses))
-	h.server.routerMu.Lock()
-	defer h.server.routerMu.Unlock()
-	for _, sh := range h.server.liveShardsLocked() {
-		c := h.server.taskCounts[sh.index]
-		all += c.all
+func (e maintenanceEffects) CountRunning(nodes []string) (byJobClass []int, all int) {
+	byJobClass = make([]int, len(e.server.config.Site.JobClasses))
+	e.server.routerMu.Lock()
+	defer e.server.routerMu.Unlock()
+	for _, sh := range e.server.liveShardsLocked() {
+		counts := e.server.taskCounts[sh.index]
+		all += counts.all
 		for _, id := range ids(nodes) {
-			byJob, ok := c.byNode[id]
-			if !ok || c.incarnation != sh.incarnation || sh.fenced.Load() {
-				there[0]++
+			byJob, ok := counts.byNode[id]
+			if !ok || counts.incarnation != sh.incarnation || sh.fenced.Load() {
+				byJobClass[0]++
 			}
-			for job, n := range byJob {
-				there[job] += n
+			for jobClass, n := range byJob {
+				byJobClass[jobClass] += n
 			}
 		}
 	}
-	return there, all
+	return byJobClass, all
 }
 
 // Evict has the shards stop work at nodes, each its part of the number.
-func (h maintenanceEffects) Evict(nodes []string, job, most int) int {
-	may := make([]bool, len(h.server.config.Site.JobClasses))
-	may[job] = true
-	left := most
-	for _, sh := range h.server.liveShards() {
-		h.server.routerMu.Lock()
-		c := h.server.taskCounts[sh.index]
-		h.server.routerMu.Unlock()
+func (e maintenanceEffects) Evict(nodes []string, job, limit int) int {
+	movable := make([]bool, len(e.server.config.Site.JobClasses))
+	movable[job] = true
+	left := limit
+	for _, sh := range e.server.liveShards() {
+		e.server.routerMu.Lock()
+		counts := e.server.taskCounts[sh.index]
+		e.server.routerMu.Unlock()
 		for _, id := range ids(nodes) {
-			part := 0
-			if byJob := c.byNode[id]; byJob != nil {
-				part = min(left, byJob[job])
+			share := 0
+			if byJob := counts.byNode[id]; byJob != nil {
+				share = min(left, byJob[job])
 			}
-			if part > 0 && sh.post(func(now float64) { sh.engine.MigrateFrom(now, id, may, part) }) {
-				left -= part
+			if share > 0 && sh.post(func(now float64) { sh.engine.MigrateFrom(now, id, movable, share) }) {
+				left -= share
 			}
 		}
 	}
-	return most - left
+	return limit - left
 }
 
-func (h maintenanceEffects) Log(line string) { h.server.log.Info().Str("mode", "drains").Msg(line) }
+func (e maintenanceEffects) Log(line string) { e.server.log.Info().Str("mode", "drains").Msg(line) }
--- a/internal/serve/maintenance_test.go
+++ b/internal/serve/maintenance_test.go
@@ -32,13 +32,13 @@
 	goleak.VerifyTestMain(m)
 }
 
-// killedAt kills its process when windows are told of, or lets them be.
-type killedAt struct {
+// killingExecutor kills its process when windows are told of, or lets them be.
+type killingExecutor struct {
 	maintenance.Executor
 	before bool // the shards were told
 }
 
-func (k killedAt) SetDraining(nodes []string, out bool) {
+func (k killingExecutor) SetDraining(nodes []string, out bool) {
 	if !k.before {
 		k.Executor.SetDraining(nodes, out)
 		time.Sleep(50 * time.Millisecond)
@@ -58,15 +58,15 @@
 		_ = os.Rename(filepath.Join(folder, "address.new"), filepath.Join(folder, "address"))
 	}}
 	if kill := os.Getenv("RAVENPOND_TEST_KILL"); kill != "" {
-		who.Faults.WrapMaintenance = func(h maintenance.Executor) maintenance.Executor { return killedAt{h, kill == "before"} }
+		who.Faults.WrapMaintenance = func(h maintenance.Executor) maintenance.Executor { return killingExecutor{h, kill == "before"} }
 	}
 	if err := Run(context.Background(), who); err != nil {
 		panic(err)
 	}
 }
 
-// window puts one window into a state folder, with a lead, from a time on.
-func window(t *testing.T, folder string, start time.Time, lead, last time.Duration, node string) {
+// addWindow puts one window into a state folder, with a lead, from a time on.
+func addWindow(t *testing.T, folder string, start time.Time, lead, last time.Duration, node string) {
 	t.Helper()
 	store, err := maintenancestore.Open(folder)
 	if err != nil {
@@ -89,15 +89,15 @@
 	for _, kill := range []string{"before", "after"} {
 		t.Run(kill, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, 1, 8, false)
+			s := newTestCluster(t, 1, 8, false)
 			folder := filepath.Join(s.dir, "alone")
-			window(t, folder, time.Now().Add(4500*time.Millisecond).Truncate(time.Second), 2*time.Second, 20*time.Second, "2")
+			addWindow(t, folder, time.Now().Add(4500*time.Millisecond).Truncate(time.Second), 2*time.Second, 20*time.Second, "2")
 			run := func(kill string) *exec.Cmd {
 				cmd := exec.Command(self)
 				cmd.Env = append(os.Environ(), "RAVENPOND_TEST_SERVE="+folder, "RAVENPOND_TEST_LIST="+s.list.Address(),
 					"RAVENPOND_TEST_KILL="+kill)
 				cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-				s.w.Trace.Add(audit.Record{At: s.w.Now(), Kind: audit.SchedulerStarted, Scheduler: "s0"})
+				s.world.Trace.Add(audit.Record{At: s.world.Now(), Kind: audit.SchedulerStarted, Scheduler: "s0"})
 				if err := cmd.Start(); err != nil {
 					t.Fatal(err)
 				}
@@ -108,9 +108,9 @@
 			for addr() == "" {
 				time.Sleep(10 * time.Millisecond)
 			}
-			o := &standin.Client{Scheduler: "s0", SchedulerAddress: addr, SettleTime: s.place.SettleTime}
-			s.owner = append(s.owner, o)
-			s.w.StartClient(o, 0)
+			o := &standin.Client{Scheduler: "s0", SchedulerAddress: addr, SettleTime: s.siteConfig.SettleTime}
+			s.clients = append(s.clients, o)
+			s.world.StartClient(o, 0)
 			killed := make(chan struct{})
 			go func() { _ = first.Wait(); close(killed) }()
 			for done := false; !done; {
@@ -123,21 +123,21 @@
 				default:
 				}
 			}
-			s.w.Trace.Add(audit.Record{At: s.w.Now(), Kind: audit.SchedulerKilled, Scheduler: "s0"})
+			s.world.Trace.Add(audit.Record{At: s.world.Now(), Kind: audit.SchedulerKilled, Scheduler: "s0"})
 			_ = os.Remove(filepath.Join(folder, "address"))
 			second := run("")
 			defer func() { _ = second.Process.Kill(); _ = second.Wait() }()
 			for addr() == "" {
 				time.Sleep(10 * time.Millisecond)
 			}
-			now := s.w.Now()
+			now := s.world.Now()
 			for _, n := range s.nodes {
 				if n.ID == 2 {
-					s.w.Trace.Add(audit.Record{At: now - s.rules.DrainGrace, Kind: audit.MaintenanceChanged, Node: n.ID, Detail: "out"}) // no grace any more
+					s.world.Trace.Add(audit.Record{At: now - s.rules.DrainGrace, Kind: audit.MaintenanceChanged, Node: n.ID, Detail: "out"}) // no grace any more
 				}
 			}
 			s.load(2500, 60, "0")
-			breaks, served := s.breaks()
+			breaks, served := s.violations()
 			if len(breaks) > 0 || served < 50 {
 				t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
 			}
@@ -158,15 +158,15 @@
 
 // TestListCarriesWindows opens a window at one scheduler; another, which has no calendar, hears of it by the list.
 func TestListCarriesWindows(t *testing.T) {
-	s := newStage(t, 2, 8, false)
+	s := newTestCluster(t, 2, 8, false)
 	for _, folder := range []string{"s0", "s1"} {
 		if err := os.MkdirAll(filepath.Join(s.dir, folder), 0o750); err != nil {
 			t.Fatal(err)
 		}
 	}
-	window(t, filepath.Join(s.dir, "s0"), time.Now().Add(4500*time.Millisecond).Truncate(time.Second), 2*time.Second, 3*time.Second, "2")
-	s.start(0, *s.place, Faults{})
-	s.start(1, *s.place, Faults{})
+	addWindow(t, filepath.Join(s.dir, "s0"), time.Now().Add(4500*time.Millisecond).Truncate(time.Second), 2*time.Second, 3*time.Second, "2")
+	s.start(0, *s.siteConfig, Faults{})
+	s.start(1, *s.siteConfig, Faults{})
 	for _, until := range []struct {
 		word string
 		is   func(s1 []uint32) bool
@@ -174,22 +174,22 @@
 		{"draining", func(out []uint32) bool { return slices.Equal(out, []uint32{2}) }},
 		{"ready", func(back []uint32) bool { return len(back) == 8 }},
 	} {
-		for end := s.w.Now() + 20000; !until.is(s.told("s1", until.word)); s.load(100, 50, "0012") {
-			if s.w.Now() > end {
-				t.Fatalf("the scheduler without a calendar never heard the right nodes %s, last %v", until.word, s.told("s1", until.word))
+		for end := s.world.Now() + 20000; !until.is(s.listMarks("s1", until.word)); s.load(100, 50, "0012") {
+			if s.world.Now() > end {
+				t.Fatalf("the scheduler without a calendar never heard the right nodes %s, last %v", until.word, s.listMarks("s1", until.word))
 			}
 		}
 	}
 	s.load(1000, 50, "0012")
-	if breaks, served := s.breaks(); len(breaks) > 0 || served < 100 {
+	if breaks, served := s.violations(); len(breaks) > 0 || served < 100 {
 		t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
 	}
 }
 
-// told gives the nodes that a scheduler's last word by the list has as so.
-func (s *stage) told(sched, word string) (nodes []uint32) {
+// listMarks gives the nodes that a scheduler's last word by the list has as so.
+func (s *testCluster) listMarks(sched, word string) (nodes []uint32) {
 	last := map[uint32]string{}
-	for _, r := range s.w.Trace.Records() {
+	for _, r := range s.world.Trace.Records() {
 		if r.Kind == audit.EndpointDelivered && r.Scheduler == sched {
 			last[r.Node] = r.Detail
 		}
--- a/internal/serve/membership.go
+++ b/internal/serve/membership.go
@@ -48,39 +48,39 @@
 
 // startMembership begins to know the others, where the site file has members.
 func (s *Server) startMembership() error {
-	m := s.config.Site.Members
-	if m.Listen == "" {
+	config := s.config.Site.Members
+	if config.Listen == "" {
 		return nil
 	}
 	key := s.config.MemberKey
 	if key == nil {
-		b, err := os.ReadFile(m.Key)
+		b, err := os.ReadFile(config.Key)
 		if err != nil {
 			return fmt.Errorf("member key: %w", err)
 		}
 		key = []byte(strings.TrimSpace(string(b)))
 	}
 	if len(key) < minKeyBytes {
-		return fmt.Errorf("member key %s: %d bytes, at least %d are expected", m.Key, len(key), minKeyBytes)
+		return fmt.Errorf("member key %s: %d bytes, at least %d are expected", config.Key, len(key), minKeyBytes)
 	}
-	life, err := s.folder.NextIncarnation()
+	incarnation, err := s.folder.NextIncarnation()
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	cl := &s.config.Site.Cluster
-	open := 0.0
+	cluster := &s.config.Site.Cluster
+	maxOpen := 0.0
 	if s.leasesQuotas() {
-		open = s.longestDeadline()
+		maxOpen = s.longestDeadline()
 	}
-	run, err := members.Start(s.env, m.Listen, membership.Config{
-		Open: open, Site: s.config.Site.Name, Name: s.config.Name, Address: m.Advertise, Life: uint64(life), Key: key,
-		Seeds: m.Seeds, Seed: s.config.Seed, Place: s.config.Index, Places: cl.Schedulers, Window: cl.SlowStartWindow + coldWindowMargin,
+	runner, err := members.Start(s.env, config.Listen, membership.Config{
+		Open: maxOpen, Site: s.config.Site.Name, Name: s.config.Name, Address: config.Advertise, Life: uint64(incarnation), Key: key,
+		Seeds: config.Seeds, Seed: s.config.Seed, Place: s.config.Index, Places: cluster.Schedulers, Window: cluster.SlowStartWindow + coldWindowMargin,
 	}, membershipEvents{s})
 	if err != nil {
 		return err
 	}
-	s.membership.runner, s.membership.incarnation = run, uint64(life)
-	s.log.Info().Str("mode", "members").Str("address", run.Address()).Uint32("life", life).Int("places", cl.Schedulers).Msg("asks for the others")
+	s.membership.runner, s.membership.incarnation = runner, uint64(incarnation)
+	s.log.Info().Str("mode", "members").Str("address", runner.Address()).Uint32("life", incarnation).Int("places", cluster.Schedulers).Msg("asks for the others")
 	s.every(membershipPollInterval, s.pollMembership)
 	return nil
 }
@@ -91,126 +91,126 @@
 // membershipEvents logs what changes in the view.
 type membershipEvents struct{ server *Server }
 
-func (c membershipEvents) OnChange(now float64, m membership.Member, was membership.State) {
-	c.server.log.Info().Str("mode", "members").Str("member", m.Name).Str("address", m.Address).Uint64("life", m.Life).Uint64("version", m.Version).
-		Stringer("was", was).Stringer("is", m.State).Str("by", m.By).Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("member")
+func (e membershipEvents) OnChange(now float64, member membership.Member, previous membership.State) {
+	e.server.log.Info().Str("mode", "members").Str("member", member.Name).Str("address", member.Address).Uint64("life", member.Life).Uint64("version", member.Version).
+		Stringer("was", previous).Stringer("is", member.State).Str("by", member.By).Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("member")
 }
 
-func (c membershipEvents) OnNameTaken(_ float64, address string) {
-	c.server.log.Error().Str("mode", "members").Str("at", address).Msg("another scheduler goes by this one's name: this one takes no part in cold nodes")
+func (e membershipEvents) OnNameTaken(_ float64, address string) {
+	e.server.log.Error().Str("mode", "members").Str("at", address).Msg("another scheduler goes by this one's name: this one takes no part in cold nodes")
 }
 
 // LastHeard is what this process hears of a node.
-func (c membershipEvents) LastHeard(node uint32) (life uint64, heard float64, ok bool) {
-	c.server.membership.linksMu.Lock()
-	defer c.server.membership.linksMu.Unlock()
-	l := c.server.membership.links[node]
-	if l == nil {
+func (e membershipEvents) LastHeard(node uint32) (incarnation uint64, lastReceived float64, ok bool) {
+	e.server.membership.linksMu.Lock()
+	defer e.server.membership.linksMu.Unlock()
+	link := e.server.membership.links[node]
+	if link == nil {
 		return 0, 0, false
 	}
-	return l.incarnation, math.Float64frombits(l.lastReceived.Load()), true
+	return link.incarnation, math.Float64frombits(link.lastReceived.Load()), true
 }
 
 // onNodeConnected and missed follow the connections to nodes, for the others' sake and to ask them for one that is lost.
 func (s *Server) onNodeConnected(l *nodeLink) {
-	c := &s.membership
-	if c.runner == nil {
+	m := &s.membership
+	if m.runner == nil {
 		return
 	}
-	c.linksMu.Lock()
-	if c.links == nil {
-		c.links = map[uint32]*nodeLink{}
+	m.linksMu.Lock()
+	if m.links == nil {
+		m.links = map[uint32]*nodeLink{}
 	}
-	c.links[l.node] = l
-	c.linksMu.Unlock()
-	c.runner.WithDetector(func(d *membership.Detector) { d.NodeBack(l.node) })
+	m.links[l.node] = l
+	m.linksMu.Unlock()
+	m.runner.WithDetector(func(detector *membership.Detector) { detector.NodeBack(l.node) })
 }
 
 func (s *Server) onNodeDisconnected(l *nodeLink) {
-	c := &s.membership
-	if c.runner == nil {
+	m := &s.membership
+	if m.runner == nil {
 		return
 	}
-	c.linksMu.Lock()
-	last := c.links[l.node] == l
-	if last {
-		delete(c.links, l.node)
+	m.linksMu.Lock()
+	current := m.links[l.node] == l
+	if current {
+		delete(m.links, l.node)
 	}
-	c.linksMu.Unlock()
-	if last {
+	m.linksMu.Unlock()
+	if current {
 		now := s.env.Now()
-		c.runner.WithDetector(func(d *membership.Detector) { d.NodeLost(now, l.node, l.incarnation) })
+		m.runner.WithDetector(func(detector *membership.Detector) { detector.NodeLost(now, l.node, l.incarnation) })
 	}
 }
 
 // nodeAlive tells a shard whether others hear a node that it has lost.
-func (s *Server) nodeAlive(now float64, nd uint32, life uint64) (lives bool) {
+func (s *Server) nodeAlive(now float64, nodeID uint32, incarnation uint64) (alive bool) {
 	if s.membership.runner == nil {
 		return false
 	}
-	s.membership.runner.WithDetector(func(d *membership.Detector) { lives = d.NodeLives(now, nd, life) })
-	return lives
+	s.membership.runner.WithDetector(func(detector *membership.Detector) { alive = detector.NodeLives(now, nodeID, incarnation) })
+	return alive
 }
 
 // pollMembership takes over what the view says: how many share cold nodes, and how far this process is cut off.
 func (s *Server) pollMembership() {
 	now := s.env.Now()
-	c := &s.membership
-	var n, alive, known, has, needs, lent int
-	var until, lentUntil float64
-	var held []uint32
-	var ended []func(sh *shard, now float64)
-	c.runner.WithDetector(func(d *membership.Detector) {
-		n, until = d.Sharers(now + leaseMargin)
-		a, suspect, dead, _ := d.Count()
-		alive, known = a, a+suspect+dead
-		has, needs = d.Leaves(now)
-		held = d.Held(now)
-		lent, lentUntil = d.Lent(now + leaseMargin)
-		d.NodesEnded(func(node uint32, life uint64) {
-			ended = append(ended, func(sh *shard, now float64) { sh.engine.OnIncarnationEnded(now, node, life) })
+	m := &s.membership
+	var sharers, alive, total, permits, permitsNeeded, leaseSharers int
+	var sharersUntil, leasedUntil float64
+	var heldBack []uint32
+	var endedNodes []func(sh *shard, now float64)
+	m.runner.WithDetector(func(detector *membership.Detector) {
+		sharers, sharersUntil = detector.Sharers(now + leaseMargin)
+		aliveCount, suspect, dead, _ := detector.Count()
+		alive, total = aliveCount, aliveCount+suspect+dead
+		permits, permitsNeeded = detector.Leaves(now)
+		heldBack = detector.Held(now)
+		leaseSharers, leasedUntil = detector.Lent(now + leaseMargin)
+		detector.NodesEnded(func(node uint32, incarnation uint64) {
+			endedNodes = append(endedNodes, func(sh *shard, now float64) { sh.engine.OnIncarnationEnded(now, node, incarnation) })
 		})
 	})
-	for _, tell := range ended {
-		s.postAll(tell)
+	for _, notify := range endedNodes {
+		s.postAll(notify)
 	}
 	if s.leasesQuotas() {
 		s.routerMu.Lock()
-		s.hosting.quotaLease.Set(lent, lentUntil-leaseMargin)
+		s.hosting.quotaLease.Set(leaseSharers, leasedUntil-leaseMargin)
 		declined := s.checkQuotaLease(now)
 		s.pumpIfFree()
 		s.routerMu.Unlock()
 		s.rejectAll(declined)
 	}
-	s.holdBackNodes(held)
-	if was := int(c.sharers.Load()); was != n {
-		s.log.Info().Str("mode", "members").Int("share", n).Int("was", was).Int("leaves", has).Int("needs", needs).Msg("cold nodes")
+	s.holdBackNodes(heldBack)
+	if previous := int(m.sharers.Load()); previous != sharers {
+		s.log.Info().Str("mode", "members").Int("share", sharers).Int("was", previous).Int("leaves", permits).Int("needs", permitsNeeded).Msg("cold nodes")
 	}
-	c.sharersUntil.Store(math.Float64bits(until - leaseMargin))
-	c.sharers.Store(int64(n))
-	if d, turned := c.isolation.Update(now, alive, known); turned {
-		s.log.Warn().Str("mode", "members").Stringer("degree", d).Int("alive", alive).Int("known", known).Int("share", n).Msg("contact with others")
+	m.sharersUntil.Store(math.Float64bits(sharersUntil - leaseMargin))
+	m.sharers.Store(int64(sharers))
+	if detector, changed := m.isolation.Update(now, alive, total); changed {
+		s.log.Warn().Str("mode", "members").Stringer("degree", detector).Int("alive", alive).Int("known", total).Int("share", sharers).Msg("contact with others")
 	}
-	if now-c.viewWrittenAt >= viewWriteInterval {
-		c.viewWrittenAt = now
+	if now-m.viewWrittenAt >= viewWriteInterval {
+		m.viewWrittenAt = now
 		s.diagnostics.Do("members", s.writeMembershipView)
 	}
 }
 
 // holdBackNodes has all shards give nothing new to nodes that others say are not ready, and no longer hold back the rest.
 func (s *Server) holdBackNodes(nodes []uint32) {
-	c := &s.membership
-	c.mu.Lock()
-	was := c.heldBack
-	c.heldBack = nodes
-	c.mu.Unlock()
-	if slices.Equal(was, nodes) {
+	m := &s.membership
+	m.mu.Lock()
+	previous := m.heldBack
+	m.heldBack = nodes
+	m.mu.Unlock()
+	if slices.Equal(previous, nodes) {
 		return
 	}
-	gone := slices.DeleteFunc(slices.Clone(was), func(id uint32) bool { return slices.Contains(nodes, id) })
-	s.log.Info().Str("mode", "members").Int("held", len(nodes)).Int("freed", len(gone)).Msg("nodes held back on the word of others")
+	released := slices.DeleteFunc(slices.Clone(previous), func(id uint32) bool { return slices.Contains(nodes, id) })
+	s.log.Info().Str("mode", "members").Int("held", len(nodes)).Int("freed", len(released)).Msg("nodes held back on the word of others")
 	s.postAll(func(sh *shard, now float64) {
-		sh.engine.SetWarned(now, gone, false)
+		sh.engine.SetWarned(now, released, false)
 		sh.engine.SetWarned(now, nodes, true)
 	})
 }
@@ -218,10 +218,10 @@
 // sendHeldBack tells a new shard which nodes are held back.
 func (s *Server) sendHeldBack(sh *shard) {
 	s.membership.mu.Lock()
-	held := s.membership.heldBack
+	heldBack := s.membership.heldBack
 	s.membership.mu.Unlock()
-	if len(held) > 0 {
-		sh.post(func(now float64) { sh.engine.SetWarned(now, held, true) })
+	if len(heldBack) > 0 {
+		sh.post(func(now float64) { sh.engine.SetWarned(now, heldBack, true) })
 	}
 }
 
@@ -231,10 +231,10 @@
 		return
 	}
 	now := s.env.Now()
-	s.membership.runner.WithDetector(func(d *membership.Detector) {
-		d.List(now, version, func(yield func(node uint32, ready, gone bool)) {
-			for _, en := range entries {
-				yield(en.ID, logic.Availability(en.Avail) == logic.Ready, logic.Availability(en.Avail) == logic.Unavailable)
+	s.membership.runner.WithDetector(func(detector *membership.Detector) {
+		detector.List(now, version, func(yield func(node uint32, ready, removed bool)) {
+			for _, entry := range entries {
+				yield(entry.ID, logic.Availability(entry.Avail) == logic.Ready, logic.Availability(entry.Avail) == logic.Unavailable)
 			}
 		})
 	})
@@ -298,20 +298,20 @@
 
 func (s *Server) writeMembershipView() {
 	now := s.env.Now()
-	v := MembershipView{Name: s.config.Name, At: s.env.WallClock(), Sharers: s.sharers(now), Isolation: s.membership.isolation.Degree().String()}
-	s.membership.runner.WithDetector(func(d *membership.Detector) {
-		v.Address, v.Incarnation, v.Health, v.NameTaken, v.Stats = s.membership.runner.Address(), d.Life(), d.Health(), d.Taken(), d.Stats
-		v.Permits, v.PermitsNeeded = d.Leaves(now)
-		for _, m := range d.All() {
-			x := MemberView{Name: m.Name, Address: m.Address, State: m.State.String(), ReportedBy: m.By, Incarnation: m.Life, Version: m.Version, InState: (now - m.Since) / 1000}
-			if m.Heard > 0 {
-				x.LastContact = (now - m.Heard) / 1000
+	view := MembershipView{Name: s.config.Name, At: s.env.WallClock(), Sharers: s.sharers(now), Isolation: s.membership.isolation.Degree().String()}
+	s.membership.runner.WithDetector(func(detector *membership.Detector) {
+		view.Address, view.Incarnation, view.Health, view.NameTaken, view.Stats = s.membership.runner.Address(), detector.Life(), detector.Health(), detector.Taken(), detector.Stats
+		view.Permits, view.PermitsNeeded = detector.Leaves(now)
+		for _, member := range detector.All() {
+			out := MemberView{Name: member.Name, Address: member.Address, State: member.State.String(), ReportedBy: member.By, Incarnation: member.Life, Version: member.Version, InState: (now - member.Since) / 1000}
+			if member.Heard > 0 {
+				out.LastContact = (now - member.Heard) / 1000
 			}
-			v.Members = append(v.Members, x)
+			view.Members = append(view.Members, out)
 		}
 	})
-	v.ClusterState = s.clusterStateView(now)
-	b, err := json.MarshalIndent(v, "", " ")
+	view.ClusterState = s.clusterStateView(now)
+	b, err := json.MarshalIndent(view, "", " ")
 	if err == nil {
 		err = s.folder.WriteUnsynced(MembersFile, b)
 	}
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -37,31 +37,31 @@
 	connections, opened                      *prometheus.Desc
 }
 
-func newCounts(s *Server) *metricsCollector {
-	d := func(name, help string, labels ...string) *prometheus.Desc {
+func newMetricsCollector(s *Server) *metricsCollector {
+	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("ravenpond_"+name, help, labels, prometheus.Labels{"scheduler": s.config.Name})
 	}
 	return &metricsCollector{
 		server:       s,
-		answers:      d("allocations_total", "Allocations by what became of them.", "became"),
-		attempts:     d("tries_total", "Placement tries that were sent."),
-		open:         d("allocations_open", "Allocations without a final answer."),
-		running:      d("tries_held", "Allocations with a try that is out or runs."),
-		shards:       d("shards", "Shards that answered when they were asked."),
-		members:      d("members", "Other schedulers by the state in which they are held.", "state"),
-		datagrams:    d("members_datagrams_total", "Members' datagrams.", "way"),
-		deaths:       d("members_deaths_total", "Other schedulers that were held for dead."),
-		version:      d("book_version", "Version of the book that is held."),
-		leaseSeconds: d("book_sure_seconds", "For how long it may be acted on yet; under 0 by its careful reading."),
-		messages:     d("book_messages_total", "Messages sent for the book."),
-		writes:       d("book_writes_total", "Writes of a steward."),
-		zoneShare:    d("zone_part", "Part of a zone's nodes that is sent to.", "zone"),
-		cpu:          d("cpu_seconds_total", "CPU time of the process, user and system."),
+		answers:      desc("allocations_total", "Allocations by what became of them.", "became"),
+		attempts:     desc("tries_total", "Placement tries that were sent."),
+		open:         desc("allocations_open", "Allocations without a final answer."),
+		running:      desc("tries_held", "Allocations with a try that is out or runs."),
+		shards:       desc("shards", "Shards that answered when they were asked."),
+		members:      desc("members", "Other schedulers by the state in which they are held.", "state"),
+		datagrams:    desc("members_datagrams_total", "Members' datagrams.", "way"),
+		deaths:       desc("members_deaths_total", "Other schedulers that were held for dead."),
+		version:      desc("book_version", "Version of the book that is held."),
+		leaseSeconds: desc("book_sure_seconds", "For how long it may be acted on yet; under 0 by its careful reading."),
+		messages:     desc("book_messages_total", "Messages sent for the book."),
+		writes:       desc("book_writes_total", "Writes of a steward."),
+		zoneShare:    desc("zone_part", "Part of a zone's nodes that is sent to.", "zone"),
+		cpu:          desc("cpu_seconds_total", "CPU time of the process, user and system."),
 
-		traffic:      d("traffic_messages_total", "Messages handed over, and reads that brought something, by kind of connection.", "kind", "way"),
-		trafficBytes: d("traffic_bytes_total", "Bytes of connections and datagrams.", "kind", "way"),
-		connections:  d("connections", "Open connections.", "kind"),
-		opened:       d("connections_total", "Connections that were ever open.", "kind"),
+		traffic:      desc("traffic_messages_total", "Messages handed over, and reads that brought something, by kind of connection.", "kind", "way"),
+		trafficBytes: desc("traffic_bytes_total", "Bytes of connections and datagrams.", "kind", "way"),
+		connections:  desc("connections", "Open connections.", "kind"),
+		opened:       desc("connections_total", "Connections that were ever open.", "kind"),
 	}
 }
 
@@ -72,30 +72,30 @@
 
 // Collect asks all parts.
 func (c *metricsCollector) Collect(out chan<- prometheus.Metric) {
-	counter := func(d *prometheus.Desc, v uint64, labels ...string) {
-		out <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), labels...)
+	counter := func(desc *prometheus.Desc, v uint64, labels ...string) {
+		out <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(v), labels...)
 	}
-	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
-		out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
+	gauge := func(desc *prometheus.Desc, v float64, labels ...string) {
+		out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, v, labels...)
 	}
-	st, n := c.server.stats()
-	for became, v := range map[string]uint64{"taken": st.Admitted, "refused": st.Rejected, "served": st.Served, "declined": st.Declined, "failed": st.Failed, "lapsed": st.Expired} {
-		counter(c.answers, v, became)
+	totals, shards := c.server.stats()
+	for outcome, v := range map[string]uint64{"taken": totals.Admitted, "refused": totals.Rejected, "served": totals.Served, "declined": totals.Declined, "failed": totals.Failed, "lapsed": totals.Expired} {
+		counter(c.answers, v, outcome)
 	}
-	counter(c.attempts, st.Offers)
+	counter(c.attempts, totals.Offers)
 	c.collectProcess(out)
-	gauge(c.open, float64(st.Open))
-	gauge(c.running, float64(st.Held))
-	gauge(c.shards, float64(n))
+	gauge(c.open, float64(totals.Open))
+	gauge(c.running, float64(totals.Held))
+	gauge(c.shards, float64(shards))
 	if c.server.membership.runner != nil {
-		c.server.membership.runner.WithDetector(func(d *membership.Detector) {
-			alive, suspect, dead, left := d.Count()
+		c.server.membership.runner.WithDetector(func(desc *membership.Detector) {
+			alive, suspect, dead, left := desc.Count()
 			for state, v := range map[string]int{"alive": alive, "suspect": suspect, "dead": dead, "left": left} {
 				gauge(c.members, float64(v), state)
 			}
-			counter(c.datagrams, d.Stats.Sent, "sent")
-			counter(c.datagrams, d.Stats.Got, "got")
-			counter(c.deaths, d.Stats.Deaths)
+			counter(c.datagrams, desc.Stats.Sent, "sent")
+			counter(c.datagrams, desc.Stats.Got, "got")
+			counter(c.deaths, desc.Stats.Deaths)
 		})
 	}
 	if c.server.control == nil {
@@ -108,12 +108,12 @@
 	for zone, part := range parts {
 		gauge(c.zoneShare, part, zone)
 	}
-	f := make(chan consensus.Stats, 1)
-	c.server.control.Enqueue(func(k *consensus.Replica) { f <- k.Stats })
+	stats := make(chan consensus.Stats, 1)
+	c.server.control.Enqueue(func(replica *consensus.Replica) { stats <- replica.Stats })
 	select {
-	case f := <-f:
-		counter(c.messages, f.Messages)
-		counter(c.writes, f.Writes)
+	case stats := <-stats:
+		counter(c.messages, stats.Messages)
+		counter(c.writes, stats.Writes)
 	case <-time.After(collectTimeout):
 	}
 }
@@ -121,30 +121,30 @@
 // stats sums up what shards count, and tells how many answered.
 func (s *Server) stats() (sum engine.Stats, shards int) {
 	s.routerMu.Lock()
-	all := s.liveShardsLocked()
+	live := s.liveShardsLocked()
 	s.routerMu.Unlock()
-	told := make(chan engine.Stats, len(all))
-	asked := 0
-	for _, sh := range all {
-		if sh.post(func(float64) { told <- sh.engine.Stats() }) {
-			asked++
+	replies := make(chan engine.Stats, len(live))
+	expected := 0
+	for _, sh := range live {
+		if sh.post(func(float64) { replies <- sh.engine.Stats() }) {
+			expected++
 		}
 	}
-	late := time.After(collectTimeout)
-	for range asked {
+	timeout := time.After(collectTimeout)
+	for range expected {
 		select {
-		case st := <-told:
+		case shardStats := <-replies:
 			shards++
-			sum.Admitted += st.Admitted
-			sum.Rejected += st.Rejected
-			sum.Served += st.Served
-			sum.Declined += st.Declined
-			sum.Failed += st.Failed
-			sum.Expired += st.Expired
-			sum.Offers += st.Offers
-			sum.Open += st.Open
-			sum.Held += st.Held
-		case <-late:
+			sum.Admitted += shardStats.Admitted
+			sum.Rejected += shardStats.Rejected
+			sum.Served += shardStats.Served
+			sum.Declined += shardStats.Declined
+			sum.Failed += shardStats.Failed
+			sum.Expired += shardStats.Expired
+			sum.Offers += shardStats.Offers
+			sum.Open += shardStats.Open
+			sum.Held += shardStats.Held
+		case <-timeout:
 			return sum, shards
 		}
 	}
@@ -152,40 +152,40 @@
 }
 
 // serveMetrics serves the page of counts where the site file has an address for it. ended closes it and waits.
-func (s *Server) serveMetrics(listen string) (address string, ended func(), err error) {
+func (s *Server) serveMetrics(listen string) (address string, closeServer func(), err error) {
 	if listen == "" {
 		return "", func() {}, nil
 	}
-	l, err := net.Listen("tcp", listen)
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return "", nil, fmt.Errorf("counts: %w", err)
 	}
-	reg := prometheus.NewRegistry()
-	err = errors.Join(reg.Register(newCounts(s)), reg.Register(collectors.NewGoCollector()),
-		reg.Register(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{})))
+	registry := prometheus.NewRegistry()
+	err = errors.Join(registry.Register(newMetricsCollector(s)), registry.Register(collectors.NewGoCollector()),
+		registry.Register(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{})))
 	if err != nil {
-		l.Close()
+		listener.Close()
 		return "", nil, fmt.Errorf("counts: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes, Timeout: httpTimeout}))
-	srv := &http.Server{
+	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes, Timeout: httpTimeout}))
+	server := &http.Server{
 		Handler: mux, ReadHeaderTimeout: httpTimeout, ReadTimeout: httpTimeout, WriteTimeout: 2 * httpTimeout,
 		IdleTimeout: 30 * time.Second, MaxHeaderBytes: maxHeaderBytes,
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			s.log.Error().Str("mode", "counts").Err(err).Msg("page ended")
 		}
 	}()
-	s.log.Info().Str("mode", "counts").Str("address", l.Addr().String()).Msg("page")
-	return l.Addr().String(), func() {
+	s.log.Info().Str("mode", "counts").Str("address", listener.Addr().String()).Msg("page")
+	return listener.Addr().String(), func() {
 		ctx, stop := context.WithTimeout(context.Background(), collectTimeout)
 		defer stop()
-		if srv.Shutdown(ctx) != nil {
-			srv.Close()
+		if server.Shutdown(ctx) != nil {
+			server.Close()
 		}
 		<-done
 	}, nil
--- a/internal/serve/metrics_process.go
+++ b/internal/serve/metrics_process.go
@@ -13,23 +13,23 @@
 
 // collectProcess tells what the process as a whole used: CPU time, finer than the kernel's ticks, and its traffic.
 func (c *metricsCollector) collectProcess(out chan<- prometheus.Metric) {
-	var used syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &used) == nil {
-		seconds := float64(used.Utime.Nano()+used.Stime.Nano()) / 1e9
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) == nil {
+		seconds := float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1e9
 		out <- prometheus.MustNewConstMetric(c.cpu, prometheus.CounterValue, seconds)
 	}
-	world, ok := c.server.env.(trafficCounter)
+	env, ok := c.server.env.(trafficCounter)
 	if !ok {
 		return
 	}
-	for _, flow := range world.Traffic() {
+	for _, flow := range env.Traffic() {
 		kind := flow.Kind.String()
-		for _, way := range []struct {
+		for _, direction := range []struct {
 			name            string
 			messages, bytes uint64
 		}{{"sent", flow.SentMessages, flow.SentBytes}, {"received", flow.ReceivedMessages, flow.ReceivedBytes}} {
-			out <- prometheus.MustNewConstMetric(c.traffic, prometheus.CounterValue, float64(way.messages), kind, way.name)
-			out <- prometheus.MustNewConstMetric(c.trafficBytes, prometheus.CounterValue, float64(way.bytes), kind, way.name)
+			out <- prometheus.MustNewConstMetric(c.traffic, prometheus.CounterValue, float64(direction.messages), kind, direction.name)
+			out <- prometheus.MustNewConstMetric(c.trafficBytes, prometheus.CounterValue, float64(direction.bytes), kind, direction.name)
 		}
 		out <- prometheus.MustNewConstMetric(c.connections, prometheus.GaugeValue, float64(flow.OpenConnections), kind)
 		out <- prometheus.MustNewConstMetric(c.opened, prometheus.CounterValue, float64(flow.OpenedConnections), kind)
--- a/internal/serve/metrics_test.go
+++ b/internal/serve/metrics_test.go
@@ -12,14 +12,14 @@
 // TestCounts reads the page of counts of a scheduler that has served: each is there once, and who asks while others do is not
 // kept waiting for ever.
 func TestCounts(t *testing.T) {
-	s := newStage(t, 1, 4, false)
+	s := newTestCluster(t, 1, 4, false)
 	at := make(chan string, 1)
-	s.tune = func(who *Config) {
+	s.configure = func(who *Config) {
 		ready := who.Ready
 		who.OnLocalListener = func(l *LocalListener) { at <- l.server.metricsAddress }
 		who.Ready = ready
 	}
-	place := *s.place
+	place := *s.siteConfig
 	place.StatsListen = "127.0.0.1:0"
 	s.start(0, place, Faults{})
 	address := <-at
@@ -41,7 +41,7 @@
 	served := 0.0
 	for line := range strings.Lines(text) {
 		if v, ok := strings.CutPrefix(line, `ravenpond_allocations_total{became="served",scheduler="s0"} `); ok {
-			served += number(t, v)
+			served += parseNumber(t, v)
 		}
 	}
 	if status != http.StatusOK || served < 50 || strings.Count(text, "\nravenpond_tries_total{") != 1 || strings.Contains(text, "ravenpond_book") {
@@ -51,13 +51,13 @@
 		t.Errorf("another page: %d", status)
 	}
 	s.stop()
-	s.ran.Wait()
+	s.running.Wait()
 	if _, err := http.Get("http://" + address + "/metrics"); err == nil {
 		t.Error("the page outlives its scheduler")
 	}
 }
 
-func number(t *testing.T, text string) (v float64) {
+func parseNumber(t *testing.T, text string) (v float64) {
 	t.Helper()
 	if _, err := fmt.Sscan(text, &v); err != nil {
 		t.Fatal(err)
--- a/internal/serve/node_connections.go
+++ b/internal/serve/node_connections.go
@@ -22,128 +22,128 @@
 	closed  bool
 }
 
-func newTrunk(s *Server, index int) *nodeConnections {
-	t := &nodeConnections{server: s, name: s.config.Name, links: map[uint32]*nodeLink{}, dialing: map[uint32]bool{}}
+func newNodeConnections(s *Server, index int) *nodeConnections {
+	c := &nodeConnections{server: s, name: s.config.Name, links: map[uint32]*nodeLink{}, dialing: map[uint32]bool{}}
 	if s.config.Site.Connections == site.OwnConnections && s.config.Site.MaxShards > 1 {
-		t.name = fmt.Sprintf("%s.%d", s.config.Name, index)
+		c.name = fmt.Sprintf("%s.%d", s.config.Name, index)
 	}
-	return t
+	return c
 }
 
 // attach puts a shard on the trunk, in the place of its earlier life if it had one.
-func (t *nodeConnections) attach(sh *shard) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if i := slices.IndexFunc(t.shards, func(o *shard) bool { return o.index == sh.index }); i >= 0 {
-		t.shards[i] = sh
+func (c *nodeConnections) attach(sh *shard) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if i := slices.IndexFunc(c.shards, func(other *shard) bool { return other.index == sh.index }); i >= 0 {
+		c.shards[i] = sh
 	} else {
-		t.shards = append(t.shards, sh)
+		c.shards = append(c.shards, sh)
 	}
 }
 
 // attachedShards gives the shards.
-func (t *nodeConnections) attachedShards() []*shard {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return slices.Clone(t.shards)
+func (c *nodeConnections) attachedShards() []*shard {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.shards)
 }
 
 // dial connects to a node unless that is done or under way: all shards hear what comes of it.
-func (t *nodeConnections) dial(nd uint32, address string) {
-	t.mu.Lock()
-	if t.closed || t.dialing[nd] || t.links[nd] != nil {
-		t.mu.Unlock()
+func (c *nodeConnections) dial(nodeID uint32, address string) {
+	c.mu.Lock()
+	if c.closed || c.dialing[nodeID] || c.links[nodeID] != nil {
+		c.mu.Unlock()
 		return
 	}
-	t.dialing[nd] = true
-	t.mu.Unlock()
-	t.connect(nd, address, false)
+	c.dialing[nodeID] = true
+	c.mu.Unlock()
+	c.connect(nodeID, address, false)
 }
 
 // visit connects to a node that the shards do not know, to hear whether it holds something of this scheduler's.
-func (t *nodeConnections) visit(nd uint32, address string) {
-	t.mu.Lock()
-	busy := t.closed || t.dialing[nd] || t.links[nd] != nil
+func (c *nodeConnections) visit(nodeID uint32, address string) {
+	c.mu.Lock()
+	busy := c.closed || c.dialing[nodeID] || c.links[nodeID] != nil
 	if !busy {
-		t.dialing[nd] = true
+		c.dialing[nodeID] = true
 	}
-	t.mu.Unlock()
+	c.mu.Unlock()
 	if busy {
-		t.server.workingSet.onVisitFailed(nd)
+		c.server.workingSet.onVisitFailed(nodeID)
 		return
 	}
-	t.connect(nd, address, true)
+	c.connect(nodeID, address, true)
 }
 
-func (t *nodeConnections) connect(nd uint32, address string, visits bool) {
-	t.server.env.Dial(address, nodeDialTimeout, func(conn env.Conn, err error) {
+func (c *nodeConnections) connect(nodeID uint32, address string, isVisit bool) {
+	c.server.env.Dial(address, nodeDialTimeout, func(conn env.Conn, err error) {
 		if err != nil {
-			t.onDialFailed(nd, err)
+			c.onDialFailed(nodeID, err)
 			return
 		}
-		newLink(t, nd, address, conn, visits)
+		newNodeLink(c, nodeID, address, conn, isVisit)
 	})
 }
 
 // register has the shards hear of a connection; under the lock.
-func (t *nodeConnections) register(l *nodeLink) {
-	t.links[l.node] = l
-	t.server.onNodeConnected(l)
-	t.server.workingSet.onConnection(l.node, true)
-	for _, sh := range t.shards {
+func (c *nodeConnections) register(l *nodeLink) {
+	c.links[l.node] = l
+	c.server.onNodeConnected(l)
+	c.server.workingSet.onConnection(l.node, true)
+	for _, sh := range c.shards {
 		l.notifyLinked(sh)
 	}
 }
 
 // disconnect ends the connection to a node, if there is one.
-func (t *nodeConnections) disconnect(nd uint32, why string) {
-	t.mu.Lock()
-	l := t.links[nd]
-	t.mu.Unlock()
+func (c *nodeConnections) disconnect(nodeID uint32, reason string) {
+	c.mu.Lock()
+	l := c.links[nodeID]
+	c.mu.Unlock()
 	if l != nil {
-		l.disconnect(why, true)
+		l.disconnect(reason, true)
 	}
 }
 
 // onDialFailed tells that a node was not reached.
-func (t *nodeConnections) onDialFailed(nd uint32, err error) {
-	t.mu.Lock()
-	delete(t.dialing, nd)
-	t.mu.Unlock()
-	if t.server.workingSet != nil {
-		t.server.workingSet.onConnection(nd, false)
-		t.server.workingSet.onVisitFailed(nd)
+func (c *nodeConnections) onDialFailed(nodeID uint32, err error) {
+	c.mu.Lock()
+	delete(c.dialing, nodeID)
+	c.mu.Unlock()
+	if c.server.workingSet != nil {
+		c.server.workingSet.onConnection(nodeID, false)
+		c.server.workingSet.onVisitFailed(nodeID)
 	}
-	for _, sh := range t.attachedShards() {
-		sh.post(func(now float64) { sh.engine.OnDialFailed(now, nd, err.Error()) })
+	for _, sh := range c.attachedShards() {
+		sh.post(func(now float64) { sh.engine.OnDialFailed(now, nodeID, err.Error()) })
 	}
-	t.server.log.Debug().Uint32("node", nd).Err(err).Msg("no connection")
+	c.server.log.Debug().Uint32("node", nodeID).Err(err).Msg("no connection")
 }
 
 // orderedLinks gives the links in order of their nodes; under the lock.
-func (t *nodeConnections) orderedLinks() (all []*nodeLink) {
-	for _, nd := range slices.Sorted(maps.Keys(t.links)) {
-		all = append(all, t.links[nd])
+func (c *nodeConnections) orderedLinks() (links []*nodeLink) {
+	for _, nodeID := range slices.Sorted(maps.Keys(c.links)) {
+		links = append(links, c.links[nodeID])
 	}
-	return all
+	return links
 }
 
 // replayTo tells a shard that has just begun of the connections that stand, and has the nodes tell what they hold.
-func (t *nodeConnections) replayTo(sh *shard) {
-	t.attach(sh)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, l := range t.orderedLinks() {
+func (c *nodeConnections) replayTo(sh *shard) {
+	c.attach(sh)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, l := range c.orderedLinks() {
 		l.join(sh)
 	}
 }
 
 // close ends all connections; soft lets what is queued still go out.
-func (t *nodeConnections) close(why string, soft bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.closed = true
-	for _, l := range t.orderedLinks() {
-		l.disconnect(why, soft)
+func (c *nodeConnections) close(reason string, flush bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closed = true
+	for _, l := range c.orderedLinks() {
+		l.disconnect(reason, flush)
 	}
 }
--- a/internal/serve/node_visits.go
+++ b/internal/serve/node_visits.go
@@ -37,30 +37,30 @@
 
 // keepLocked has the shards hear of a connection that was a visit; under the trunk's lock.
 func (l *nodeLink) keepLocked() error {
-	t := l.connections
+	conns := l.connections
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
 		return errors.New(l.reason)
 	}
 	l.visit = noVisit
-	l.inventoryWaiters = [][]*shard{slices.Clone(t.shards)}
+	l.inventoryWaiters = [][]*shard{slices.Clone(conns.shards)}
 	l.mu.Unlock()
-	delete(t.dialing, l.node)
-	t.register(l)
+	delete(conns.dialing, l.node)
+	conns.register(l)
 	return nil
 }
 
 // finishVisit ends a visit to a node that holds nothing, unless the shards came to know the node meanwhile. It tells whether
 // it did.
 func (l *nodeLink) finishVisit() bool {
-	t := l.connections
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	conns := l.connections
+	conns.mu.Lock()
+	defer conns.mu.Unlock()
 	if l.server.workingSet.onVisitDone(l.node) {
 		return l.keepLocked() != nil
 	}
-	delete(t.dialing, l.node)
+	delete(conns.dialing, l.node)
 	l.mu.Lock()
 	l.visit = visited
 	first := !l.closed
@@ -73,28 +73,28 @@
 }
 
 // startVisits begins as many visits as may be under way: at each step, and when one ends.
-func (v *workingSet) startVisits() {
-	if v.server.stopped.Load() {
+func (w *workingSet) startVisits() {
+	if w.server.stopped.Load() {
 		return
 	}
-	v.mu.Lock()
-	visits := v.nextVisits(v.server.env.Now())
-	v.mu.Unlock()
+	w.mu.Lock()
+	visits := w.nextVisits(w.server.env.Now())
+	w.mu.Unlock()
 	for _, entry := range visits {
-		v.server.connections.visit(entry.ID, entry.Address)
+		w.server.connections.visit(entry.ID, entry.Address)
 	}
 }
 
 // nextVisits gives the nodes to visit now.
-func (v *workingSet) nextVisits(now float64) (entries []listEntry) {
-	for id, ok := v.visits.Next(now); ok; id, ok = v.visits.Next(now) {
-		if _, known := v.nodeStates[id]; known { // its connection will tell
-			v.visits.Remove(id)
+func (w *workingSet) nextVisits(now float64) (entries []listEntry) {
+	for id, ok := w.visits.Next(now); ok; id, ok = w.visits.Next(now) {
+		if _, known := w.nodeStates[id]; known { // its connection will tell
+			w.visits.Remove(id)
 			continue
 		}
-		entry := v.entriesOf([]uint32{id})
+		entry := w.entriesOf([]uint32{id})
 		if len(entry) == 0 {
-			v.visits.Remove(id)
+			w.visits.Remove(id)
 			continue
 		}
 		entries = append(entries, entry...)
@@ -103,44 +103,44 @@
 }
 
 // onVisitFailed says that a node was not reached; it is visited again if that was a visit.
-func (v *workingSet) onVisitFailed(id uint32) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.visits.OnFailed(v.server.env.Now(), id)
-	v.continueVisits()
+func (w *workingSet) onVisitFailed(id uint32) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.visits.OnFailed(w.server.env.Now(), id)
+	w.continueVisits()
 }
 
 // continueVisits has visits begin in the place of one that has ended; under the lock.
-func (v *workingSet) continueVisits() {
-	if v.visits.Pending() > 0 {
-		v.server.async(v.startVisits)
+func (w *workingSet) continueVisits() {
+	if w.visits.Pending() > 0 {
+		w.server.async(w.startVisits)
 	}
 }
 
 // onVisitDone says that a node told all it holds: nothing. It tells whether the shards know the node all the same.
-func (v *workingSet) onVisitDone(id uint32) (known bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.visits.Remove(id)
-	v.continueVisits()
-	_, known = v.nodeStates[id]
+func (w *workingSet) onVisitDone(id uint32) (known bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.visits.Remove(id)
+	w.continueVisits()
+	_, known = w.nodeStates[id]
 	return known
 }
 
 // keepNode has the shards know a node outside the set that holds something of this scheduler's. It tells whether the
 // node is on the list.
-func (v *workingSet) keepNode(id uint32) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.visits.Remove(id)
-	v.continueVisits()
-	if _, known := v.nodeStates[id]; known {
+func (w *workingSet) keepNode(id uint32) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.visits.Remove(id)
+	w.continueVisits()
+	if _, known := w.nodeStates[id]; known {
 		return true
 	}
-	if len(v.entriesOf([]uint32{id})) == 0 {
+	if len(w.entriesOf([]uint32{id})) == 0 {
 		return false
 	}
-	v.nodeStates[id] = nodeAside
-	v.introduce([]uint32{id}, false, true)
+	w.nodeStates[id] = nodeAside
+	w.introduce([]uint32{id}, false, true)
 	return true
 }
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -14,22 +14,22 @@
 // Resize brings the number of shards to n, of which those with the lowest indices stay.
 func (s *Server) Resize(n int) error {
 	s.routerMu.Lock()
-	begin, leave, err := s.router.Resize(s.env.Now(), n)
-	open := s.router.MaxOpenPerShard(max(1, n))
+	starting, leaving, err := s.router.Resize(s.env.Now(), n)
+	maxOpen := s.router.MaxOpenPerShard(max(1, n))
 	shards := s.liveShardsLocked()
 	s.routerMu.Unlock()
 	if err != nil {
 		return err
 	}
-	for _, i := range begin {
+	for _, i := range starting {
 		if err := s.restart(i); err != nil {
 			return err
 		}
 	}
 	for _, sh := range shards {
-		sh.post(func(float64) { sh.engine.SetOpenLimit(open) })
+		sh.post(func(float64) { sh.engine.SetOpenLimit(maxOpen) })
 	}
-	s.log.Info().Str("mode", "shards").Int("shards", n).Ints("begin", begin).Ints("leave", leave).Msg("number changes")
+	s.log.Info().Str("mode", "shards").Int("shards", n).Ints("begin", starting).Ints("leave", leaving).Msg("number changes")
 	return nil
 }
 
@@ -51,9 +51,9 @@
 }
 
 // postAll has every shard hear something on its own loop.
-func (s *Server) postAll(what func(sh *shard, now float64)) {
+func (s *Server) postAll(handle func(sh *shard, now float64)) {
 	for _, sh := range s.liveShards() {
-		sh.post(func(now float64) { what(sh, now) })
+		sh.post(func(now float64) { handle(sh, now) })
 	}
 }
 
@@ -61,11 +61,11 @@
 func (s *Server) startHandovers() {
 	s.every(handover.PollInterval(), func() {
 		now := s.env.Now()
-		own := s.config.Site.Connections == site.OwnConnections // what runs can be reached by its shard's connections alone
+		ownConnections := s.config.Site.Connections == site.OwnConnections // what runs can be reached by its shard's connections alone
 		s.routerMu.Lock()
 		var busy []*shard
 		for _, sh := range s.liveShardsLocked() {
-			if gives := s.router.HasHandover(now, sh.index); gives && !own || s.router.IsDraining(sh.index) {
+			if handsOver := s.router.HasHandover(now, sh.index); handsOver && !ownConnections || s.router.IsDraining(sh.index) {
 				busy = append(busy, sh)
 			}
 		}
@@ -75,7 +75,7 @@
 				continue
 			}
 			if !sh.post(func(now float64) {
-				idle := s.handOverShard(now, sh, !own)
+				idle := s.handOverShard(now, sh, !ownConnections)
 				sh.handoverActive.Store(false)
 				if idle {
 					s.endShard(sh)
@@ -88,28 +88,28 @@
 }
 
 // handOverShard runs as the shard's event. It tells whether the shard holds nothing more and may end.
-func (s *Server) handOverShard(now float64, sh *shard, runsGo bool) (idle bool) {
+func (s *Server) handOverShard(now float64, sh *shard, includeRunning bool) (idle bool) {
 	if now-sh.lastRunningHandover > handoverGrace {
 		clear(sh.handedOver)
 	}
 	s.routerMu.Lock()
-	leaves := s.router.IsDraining(sh.index)
+	leaving := s.router.IsDraining(sh.index)
 	s.routerMu.Unlock()
-	parts := sh.engine.CountByService(nil, runsGo, func(service uint64, tenant int) bool {
+	shares := sh.engine.CountByService(nil, includeRunning, func(service uint64, tenant int) bool {
 		s.routerMu.Lock()
 		defer s.routerMu.Unlock()
 		return s.router.BelongsElsewhere(sh.index, service, tenant)
 	})
-	services, rest := sh.handover.Next(now, parts)
+	services, remaining := sh.handover.Next(now, shares)
 	s.routerMu.Lock()
-	s.router.PauseServices(now, rest)
+	s.router.PauseServices(now, remaining)
 	s.routerMu.Unlock()
 	for _, service := range services {
-		var all []engine.Transfer
-		sh.engine.TransferOut(now, service, runsGo, func(g engine.Transfer) { all = append(all, g) })
-		s.handOverService(now, sh, all)
+		var allocations []engine.Transfer
+		sh.engine.TransferOut(now, service, includeRunning, func(allocation engine.Transfer) { allocations = append(allocations, allocation) })
+		s.handOverService(now, sh, allocations)
 	}
-	return leaves && sh.engine.IsIdle()
+	return leaving && sh.engine.IsIdle()
 }
 
 // handoverGrace is how long, in ms, after a handover a word for the giver may still wait in a queue of somebody who stood still.
@@ -117,58 +117,58 @@
 
 // handOverService gives one service's allocations to its next shard: under the desk, so that whoever asks for one of them, or
 // fences one of the two shards, comes before or after.
-func (s *Server) handOverService(now float64, sh *shard, all []engine.Transfer) {
+func (s *Server) handOverService(now float64, sh *shard, allocations []engine.Transfer) {
 	var items []shardrouter.HandoverItem
-	for _, g := range all {
+	for _, allocation := range allocations {
 		items = append(items, shardrouter.HandoverItem{
-			ID: shardownership.ID{Tenant: g.Tenant, Token: g.Token}, Epoch: g.Epoch, Running: g.Running,
+			ID: shardownership.ID{Tenant: allocation.Tenant, Token: allocation.Token}, Epoch: allocation.Epoch, Running: allocation.Running,
 			Request: shardownership.Request{
-				Client: g.Client, Ref: g.RequestID, JobClass: g.JobClass, Service: g.Service, Cores: g.Cores, Memory: g.Memory,
-				Deadline: g.Deadline,
+				Client: allocation.Client, Ref: allocation.RequestID, JobClass: allocation.JobClass, Service: allocation.Service, Cores: allocation.Cores, Memory: allocation.Memory,
+				Deadline: allocation.Deadline,
 			},
 		})
 	}
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
-	for i, f := range s.router.HandOver(now, sh.index, items) {
-		g := all[i]
-		if f.Disposition != shardownership.Reassign {
+	for i, fate := range s.router.HandOver(now, sh.index, items) {
+		allocation := allocations[i]
+		if fate.Disposition != shardownership.Reassign {
 			continue // fenced meanwhile
 		}
-		to := s.shards[f.Shard]
-		g.Epoch = f.Epoch
-		s.setRequestShard(g.Client, g.RequestID, f.Shard)
-		s.continueAt(to, g)
-		if !g.Running {
+		target := s.shards[fate.Shard]
+		allocation.Epoch = fate.Epoch
+		s.setRequestShard(allocation.Client, allocation.RequestID, fate.Shard)
+		s.continueAt(target, allocation)
+		if !allocation.Running {
 			sh.handoverCounts[0].Add(1)
 			continue
 		}
 		sh.handoverCounts[1].Add(1)
 		sh.lastRunningHandover = now
-		sh.handedOver[g.Ticket] = to
-		if l := sh.links[g.Node]; l != nil {
-			l.mu.Lock()
-			l.reassigned[g.Ticket] = to
-			l.mu.Unlock()
+		sh.handedOver[allocation.Ticket] = target
+		if link := sh.links[allocation.Node]; link != nil {
+			link.mu.Lock()
+			link.reassigned[allocation.Ticket] = target
+			link.mu.Unlock()
 		}
 	}
 }
 
 // continueAt has a shard go on with what another gave or lost. An owner that left meanwhile told this shard before it knew.
-func (s *Server) continueAt(to *shard, g engine.Transfer) {
-	to.post(func(now float64) {
-		if g.Running {
-			delete(to.handedOver, g.Ticket) // it is back: a word of it is for nobody else now, or the two would pass it on for good
-			if !to.engine.TransferIn(now, g) && !to.fenced.Load() {
-				s.log.Warn().Str("mode", "shards").Int("shard", to.index).Uint32("node", g.Node).
+func (s *Server) continueAt(sh *shard, allocation engine.Transfer) {
+	sh.post(func(now float64) {
+		if allocation.Running {
+			delete(sh.handedOver, allocation.Ticket) // it is back: a word of it is for nobody else now, or the two would pass it on for good
+			if !sh.engine.TransferIn(now, allocation) && !sh.fenced.Load() {
+				s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Uint32("node", allocation.Node).
 					Msg("what runs not taken over; its node will tell of it")
 			}
 		} else {
-			_ = to.engine.Allocate(now, g.Client, g.RequestID, g.JobClass, g.Tenant, g.Service, g.Token, g.Cores, g.Memory, g.Deadline-now,
-				s.currentEpoch(shardownership.ID{Tenant: g.Tenant, Token: g.Token}, to, g.Epoch)) // the ask was free at this owner, and still is
+			_ = sh.engine.Allocate(now, allocation.Client, allocation.RequestID, allocation.JobClass, allocation.Tenant, allocation.Service, allocation.Token, allocation.Cores, allocation.Memory, allocation.Deadline-now,
+				s.currentEpoch(shardownership.ID{Tenant: allocation.Tenant, Token: allocation.Token}, sh, allocation.Epoch)) // the ask was free at this owner, and still is
 		}
-		if s.clientByID(g.Client) == nil {
-			to.engine.OnClientDisconnected(now, g.Client)
+		if s.clientByID(allocation.Client) == nil {
+			sh.engine.OnClientDisconnected(now, allocation.Client)
 		}
 	})
 }
@@ -180,31 +180,33 @@
 		s.routerMu.Unlock()
 		return
 	}
-	left, _ := s.router.OnDrained(s.env.Now(), sh.index) // none, unless something slipped in just now
-	s.applyFates(left, "shard-left")
+	orphaned, _ := s.router.OnDrained(s.env.Now(), sh.index) // none, unless something slipped in just now
+	s.applyFates(orphaned, "shard-left")
 	s.routerMu.Unlock()
 	sh.inbox.close()
 	if s.config.Site.Connections == site.OwnConnections {
 		sh.connections.close("shard left", false)
 	}
 	s.log.Info().Str("mode", "shards").Int("shard", sh.index).Int64("waits_given", sh.handoverCounts[0].Load()).
-		Int64("runs_given", sh.handoverCounts[1].Load()).Int("left_over", len(left)).Msg("shard left")
+		Int64("runs_given", sh.handoverCounts[1].Load()).Int("left_over", len(orphaned)).Msg("shard left")
 }
 
 // withdrawAt gives up an ask at the shard that it is at, or was handed to on the way there; where it is handed to the very
 // shard that gave it, it is there only a moment later.
-func (s *Server) withdrawAt(o *clientConn, ref uint64, at int) { s.withdrawAttempt(o, ref, at, 2) }
+func (s *Server) withdrawAt(c *clientConn, ref uint64, shard int) {
+	s.withdrawAttempt(c, ref, shard, 2)
+}
 
-func (s *Server) withdrawAttempt(o *clientConn, ref uint64, at, tries int) {
+func (s *Server) withdrawAttempt(c *clientConn, ref uint64, shard, attempts int) {
 	s.routerMu.Lock()
-	sh := s.shards[at]
+	sh := s.shards[shard]
 	s.routerMu.Unlock()
 	sh.post(func(now float64) {
-		if sh.engine.Withdraw(now, o.id, ref) == nil {
+		if sh.engine.Withdraw(now, c.id, ref) == nil {
 			return
 		}
-		if next, ok := o.requestShard(ref); ok && next >= 0 && (next != at || tries > 1) {
-			s.withdrawAttempt(o, ref, next, tries-1)
+		if next, ok := c.requestShard(ref); ok && next >= 0 && (next != shard || attempts > 1) {
+			s.withdrawAttempt(c, ref, next, attempts-1)
 		} // else it has just ended, which needs nothing
 	})
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -138,20 +138,20 @@
 }
 
 // Run runs a scheduler on sockets until the context ends. All that was open is answered then.
-func Run(ctx context.Context, who Config) error {
-	w := env.NewReal()
-	w.Connect, w.TLS, w.EndpointListAddress = who.Connect, who.TLS, who.Site.ListAddress
-	defer w.Close(2 * time.Second)
-	if who.FreeMemory == nil {
-		who.FreeMemory = debug.FreeOSMemory
-	}
-	s, err := Start(w, who)
+func Run(ctx context.Context, config Config) error {
+	env := env.NewReal()
+	env.Connect, env.TLS, env.EndpointListAddress = config.Connect, config.TLS, config.Site.ListAddress
+	defer env.Close(2 * time.Second)
+	if config.FreeMemory == nil {
+		config.FreeMemory = debug.FreeOSMemory
+	}
+	s, err := Start(env, config)
 	if err != nil {
 		return err
 	}
 	for {
 		select {
-		case n := <-who.Resize:
+		case n := <-config.Resize:
 			if err := s.Resize(n); err != nil {
 				s.log.Error().Str("mode", "shards").Int("wanted", n).Err(err).Msg("number not changed")
 			}
@@ -166,11 +166,11 @@
 }
 
 // Start starts a scheduler in a world.
-func Start(w env.Environment, who Config) (s *Server, err error) {
+func Start(env env.Environment, config Config) (s *Server, err error) {
 	var folder *state.Folder
-	if who.Disk != nil {
-		folder = state.NewFolder(who.Disk)
-	} else if folder, err = state.Open(who.Folder); err != nil {
+	if config.Disk != nil {
+		folder = state.NewFolder(config.Disk)
+	} else if folder, err = state.Open(config.Folder); err != nil {
 		return nil, err
 	}
 	defer func() {
@@ -178,49 +178,49 @@
 			err = errors.Join(err, folder.Close())
 		}
 	}()
-	if who.Maintenance == nil {
-		who.Maintenance = func() (MaintenanceStore, error) {
-			if !maintenancestore.Exists(who.Folder) {
+	if config.Maintenance == nil {
+		config.Maintenance = func() (MaintenanceStore, error) {
+			if !maintenancestore.Exists(config.Folder) {
 				return nil, nil
 			}
-			return maintenancestore.Open(who.Folder)
+			return maintenancestore.Open(config.Folder)
 		}
 	}
-	last, err := folder.LoadList()
+	cached, err := folder.LoadList()
 	if errors.Is(err, state.ErrDamaged) {
-		who.Log.Warn().Str("mode", "list").Err(err).Msg("last list not read, beginning with none")
-		last, err = nil, nil
+		config.Log.Warn().Str("mode", "list").Err(err).Msg("last list not read, beginning with none")
+		cached, err = nil, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
-	if last == nil {
-		last = state.NewNodeList()
+	if cached == nil {
+		cached = state.NewNodeList()
 	}
-	place := who.Site
-	say := func(what, why string) {
-		who.Log.Error().Str("mode", "words").Str("what", what).Str("why", why).Msg("switched off")
+	siteConfig := config.Site
+	report := func(diagnostic, reason string) {
+		config.Log.Error().Str("mode", "words").Str("what", diagnostic).Str("why", reason).Msg("switched off")
 	}
 	s = &Server{
-		diagnostics: besteffort.Guard{Tell: say}, config: who, env: w, log: who.Log, folder: folder, list: last, clients: map[uint32]*clientConn{}, cellIndex: map[string]int{},
+		diagnostics: besteffort.Guard{Tell: report}, config: config, env: env, log: config.Log, folder: folder, list: cached, clients: map[uint32]*clientConn{}, cellIndex: map[string]int{},
 		incarnations: map[uint32]*shard{}, underMaintenance: map[uint32]bool{}, taskCounts: map[int]taskCount{}, knownNodes: map[string]calendar.Node{}, lostSince: map[string]time.Time{},
 	}
-	s.listClient = newLister(s)
-	s.recordNodes(last.Entries())
-	s.router = shardrouter.New(w.Now(), shardrouter.Config{
-		JobClasses: place.Cluster.JobClasses, Placement: shardplacement.Policy(place.ShardBy), Shards: place.Shards,
-		MaxShards: place.MaxShards, MaxOpen: place.MaxOpen, AnswerMargin: place.AnswerMargin, RoundInterval: place.Cluster.MinRoundInterval, FaultAnyEpoch: who.Faults.PermitAnyEpoch, MultiTenant: place.MaxHostedTenants > 0,
+	s.listClient = newListClient(s)
+	s.recordNodes(cached.Entries())
+	s.router = shardrouter.New(env.Now(), shardrouter.Config{
+		JobClasses: siteConfig.Cluster.JobClasses, Placement: shardplacement.Policy(siteConfig.ShardBy), Shards: siteConfig.Shards,
+		MaxShards: siteConfig.MaxShards, MaxOpen: siteConfig.MaxOpen, AnswerMargin: siteConfig.AnswerMargin, RoundInterval: siteConfig.Cluster.MinRoundInterval, FaultAnyEpoch: config.Faults.PermitAnyEpoch, MultiTenant: siteConfig.MaxHostedTenants > 0,
 	})
-	var t *nodeConnections
-	for i := range place.Shards {
+	var conns *nodeConnections
+	for i := range siteConfig.Shards {
 		sh, err := s.newShard(i)
 		if err != nil {
 			return nil, err
 		}
-		if i == 0 || place.Connections == site.OwnConnections {
-			t = newTrunk(s, i)
+		if i == 0 || siteConfig.Connections == site.OwnConnections {
+			conns = newNodeConnections(s, i)
 		}
-		sh.connections, s.connections = t, t
+		sh.connections, s.connections = conns, conns
 		sh.connections.attach(sh)
 		s.shards = append(s.shards, sh)
 		s.incarnations[sh.incarnation] = sh
@@ -229,8 +229,8 @@
 	if err := bolt.RetryWhileLocked(context.Background(), storeOpenAttempts, s.loadOpenWindows); err != nil {
 		return nil, fmt.Errorf("drains: %w", err)
 	}
-	if s.workingSet = newNodeSet(s); s.workingSet != nil {
-		s.workingSet.onList(logic.ListCached, s.resolveEntries(last.Entries()))
+	if s.workingSet = newWorkingSet(s); s.workingSet != nil {
+		s.workingSet.onList(logic.ListCached, s.resolveEntries(cached.Entries()))
 	}
 	for _, sh := range s.shards {
 		s.sendCachedList(sh)
@@ -241,11 +241,11 @@
 	if err := s.startControl(); err != nil {
 		return nil, err
 	}
-	if s.listener, err = w.Listen(place.ClientsListen, s.acceptClient); err != nil {
+	if s.listener, err = env.Listen(siteConfig.ClientsListen, s.acceptClient); err != nil {
 		return nil, fmt.Errorf("owners' door: %w", err)
 	}
-	s.log.Info().Str("mode", "serve").Uint32("life", s.router.Epoch()).Int("nodes", len(last.Entries())).
-		Int("shards", place.Shards).Str("owners", s.listener.Address()).Msg("scheduler begins")
+	s.log.Info().Str("mode", "serve").Uint32("life", s.router.Epoch()).Int("nodes", len(cached.Entries())).
+		Int("shards", siteConfig.Shards).Str("owners", s.listener.Address()).Msg("scheduler begins")
 	for _, sh := range s.shards {
 		sh.start()
 	}
@@ -266,16 +266,16 @@
 		s.every(pumpInterval, s.pump)
 	}
 	s.startHandovers()
-	s.lastShardCheck.Store(math.Float64bits(w.Now()))
+	s.lastShardCheck.Store(math.Float64bits(env.Now()))
 	s.every(s.shardCheckInterval(), s.checkShards)
-	if s.metricsAddress, s.closeMetrics, err = s.serveMetrics(who.Site.StatsListen); err != nil {
+	if s.metricsAddress, s.closeMetrics, err = s.serveMetrics(config.Site.StatsListen); err != nil {
 		return nil, err
 	}
-	if who.Ready != nil {
-		who.Ready(s.listener.Address())
+	if config.Ready != nil {
+		config.Ready(s.listener.Address())
 	}
-	if who.OnLocalListener != nil {
-		who.OnLocalListener(&LocalListener{s})
+	if config.OnLocalListener != nil {
+		config.OnLocalListener(&LocalListener{s})
 	}
 	return s, nil
 }
@@ -331,7 +331,7 @@
 )
 
 // Shutdown answers all that is open and ends the scheduler; then is called when that is done.
-func (s *Server) Shutdown(then func(error)) {
+func (s *Server) Shutdown(done func(error)) {
 	s.listener.StopAccepting()
 	s.closeMetrics()
 	if s.control != nil {
@@ -340,53 +340,53 @@
 	if s.membership.runner != nil {
 		s.membership.runner.Stop()
 	}
-	var sum engine.Stats
+	var total engine.Stats
 	var mu sync.Mutex
 	s.routerMu.Lock()
 	shards := s.liveShardsLocked()
 	s.routerMu.Unlock()
-	left := len(shards)
+	pending := len(shards)
 	for _, sh := range shards {
-		told := sh.post(func(now float64) {
+		posted := sh.post(func(now float64) {
 			sh.engine.Close(now)
-			st := sh.engine.Stats()
+			stats := sh.engine.Stats()
 			mu.Lock()
 			defer mu.Unlock()
-			left--
-			sum.Served += st.Served
-			sum.Declined += st.Declined
-			sum.Failed += st.Failed
-			sum.Rejected += st.Rejected
-			sum.Offers += st.Offers
+			pending--
+			total.Served += stats.Served
+			total.Declined += stats.Declined
+			total.Failed += stats.Failed
+			total.Rejected += stats.Rejected
+			total.Offers += stats.Offers
 		})
-		if !told {
+		if !posted {
 			mu.Lock()
-			left--
+			pending--
 			mu.Unlock()
 		}
 	}
-	began, quiet := s.env.Now(), false
+	startedAt, flushed := s.env.Now(), false
 	env.Every(s.env, shutdownPollInterval, func() bool {
 		now := s.env.Now()
 		mu.Lock()
-		waits := left > 0 && now-began < shardCloseTimeout
-		st := sum
+		waiting := pending > 0 && now-startedAt < shardCloseTimeout
+		stats := total
 		mu.Unlock()
-		if waits {
+		if waiting {
 			return true
 		}
-		if s.answersPending() && now-began < shardCloseTimeout+clientFlushTimeout {
+		if s.answersPending() && now-startedAt < shardCloseTimeout+clientFlushTimeout {
 			return true
 		}
-		if !quiet { // the one that has just been taken from a queue
-			quiet = true
+		if !flushed { // the one that has just been taken from a queue
+			flushed = true
 			return true
 		}
 		s.stopped.Store(true)
 		s.disconnectAll()
-		s.log.Info().Str("mode", "serve").Uint64("served", st.Served).Uint64("declined", st.Declined).
-			Uint64("failed", st.Failed).Uint64("not_taken", st.Rejected).Uint64("offers", st.Offers).Msg("scheduler ends")
-		then(errors.Join(s.saveList(), s.folder.Close()))
+		s.log.Info().Str("mode", "serve").Uint64("served", stats.Served).Uint64("declined", stats.Declined).
+			Uint64("failed", stats.Failed).Uint64("not_taken", stats.Rejected).Uint64("offers", stats.Offers).Msg("scheduler ends")
+		done(errors.Join(s.saveList(), s.folder.Close()))
 		return false
 	})
 }
@@ -423,13 +423,13 @@
 }
 
 // Connect connects an owner.
-func (l *LocalListener) Connect(sink AnswerHandler) *LocalClient {
+func (l *LocalListener) Connect(handler AnswerHandler) *LocalClient {
 	l.server.mu.Lock()
 	defer l.server.mu.Unlock()
 	l.server.lastClientID++
-	o := &clientConn{server: l.server, id: l.server.lastClientID, local: sink, requests: map[uint64]request{}}
-	l.server.clients[o.id] = o
-	return &LocalClient{o}
+	c := &clientConn{server: l.server, id: l.server.lastClientID, local: handler, requests: map[uint64]request{}}
+	l.server.clients[c.id] = c
+	return &LocalClient{c}
 }
 
 // LocalClient is an owner without a socket.
@@ -454,17 +454,17 @@
 	return s.clients[id]
 }
 
-func (s *Server) answerClient(id uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
-	s.log.Debug().Uint32("owner", id).Uint64("ref", ref).Stringer("answer", answer).Uint32("node", nd).Msg(why)
-	if o := s.clientByID(id); o != nil {
-		o.sendAnswer(ref, answer, nd, why, holdOff)
+func (s *Server) answerClient(clientID uint32, ref uint64, answer engine.Answer, nodeID uint32, reason string, retryAfter float64) {
+	s.log.Debug().Uint32("owner", clientID).Uint64("ref", ref).Stringer("answer", answer).Uint32("node", nodeID).Msg(reason)
+	if c := s.clientByID(clientID); c != nil {
+		c.sendAnswer(ref, answer, nodeID, reason, retryAfter)
 	}
 }
 
 // setRequestShard notes which shard an owner's ask is at now.
-func (s *Server) setRequestShard(id uint32, ref uint64, shard int) {
-	if o := s.clientByID(id); o != nil {
-		o.setShard(ref, shard)
+func (s *Server) setRequestShard(clientID uint32, ref uint64, shard int) {
+	if c := s.clientByID(clientID); c != nil {
+		c.setShard(ref, shard)
 	}
 }
 
@@ -478,7 +478,7 @@
 		sh.loop.Wake()
 	}
 	s.listClient.close()
-	for _, o := range s.connectedClients() {
-		o.disconnect("scheduler ends")
+	for _, c := range s.connectedClients() {
+		c.disconnect("scheduler ends")
 	}
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -36,35 +36,35 @@
   <owners listen="127.0.0.1:0"/>
 </site>`
 
-// stage is a small world around schedulers that run in this process.
-type stage struct {
-	t     *testing.T
-	dir   string // made before the clean-up below it, so removed after
-	real  *env.Real
-	w     *standin.Testbed
-	ctx   context.Context
-	stop  context.CancelFunc
-	place *site.Config
-	nodes []*standin.Node
-	list  *standin.List
-	rules audit.Rules
-	ran   sync.WaitGroup
-	owner []*standin.Client
-	keys  int
-	tune  func(*Config) // before a scheduler runs
+// testCluster is a small world around schedulers that run in this process.
+type testCluster struct {
+	t          *testing.T
+	dir        string // made before the clean-up below it, so removed after
+	env        *env.Real
+	world      *standin.Testbed
+	ctx        context.Context
+	stop       context.CancelFunc
+	siteConfig *site.Config
+	nodes      []*standin.Node
+	list       *standin.List
+	rules      audit.Rules
+	running    sync.WaitGroup
+	clients    []*standin.Client
+	lastKey    int
+	configure  func(*Config) // before a scheduler runs
 }
 
-func newStage(t *testing.T, schedulers, nodes int, cold bool) *stage {
+func newTestCluster(t *testing.T, schedulers, nodes int, cold bool) *testCluster {
 	t.Helper()
-	place, faults := site.Read(strings.NewReader(fmt.Sprintf(testSite, schedulers)))
+	siteConfig, faults := site.Read(strings.NewReader(fmt.Sprintf(testSite, schedulers)))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	real := env.NewReal()
-	s := &stage{t: t, dir: t.TempDir(), real: real, w: standin.NewTestbed(real), ctx: ctx, stop: stop, place: place}
+	s := &testCluster{t: t, dir: t.TempDir(), env: real, world: standin.NewTestbed(real), ctx: ctx, stop: stop, siteConfig: siteConfig}
 	s.rules = audit.Rules{
-		Nodes: map[uint32]audit.Location{}, DrainGrace: place.DrainGrace, SlowStartLimit: 12, SlowStartDuration: 6000,
+		Nodes: map[uint32]audit.Location{}, DrainGrace: siteConfig.DrainGrace, SlowStartLimit: 12, SlowStartDuration: 6000,
 		SlowStartWindow: 1000, Slack: 400, Jobs: []audit.JobRules{
 			{},
 			{Effect: audit.Idempotent, Group: 1, Window: 1500, Spread: 1, MaxTogether: 3},
@@ -80,75 +80,75 @@
 	}
 	groups := []*standin.Group{standin.NewGroup(), standin.NewGroup()}
 	for i := range nodes {
-		n := &standin.Node{ID: uint32(i + 1), Zone: place.Zones[i%2], Cell: place.Zones[i%2], Kind: "plain", Jobs: 3, Tenants: 1}
-		if err := s.w.StartNode(n, mk, groups[i%2], uint64(i), cold, ""); err != nil {
+		n := &standin.Node{ID: uint32(i + 1), Zone: siteConfig.Zones[i%2], Cell: siteConfig.Zones[i%2], Kind: "plain", Jobs: 3, Tenants: 1}
+		if err := s.world.StartNode(n, mk, groups[i%2], uint64(i), cold, ""); err != nil {
 			t.Fatal(err)
 		}
 		s.nodes = append(s.nodes, n)
 		s.rules.Nodes[n.ID] = audit.Location{Zone: n.Zone, Cell: n.Cell}
 	}
 	var err error
-	if s.list, err = s.w.StartList(50, s.nodes, ""); err != nil {
+	if s.list, err = s.world.StartList(50, s.nodes, ""); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.end)
 	return s
 }
 
-func (s *stage) end() {
+func (s *testCluster) end() {
 	s.stop()
-	s.ran.Wait()
-	s.real.Close(time.Second)
+	s.running.Wait()
+	s.env.Close(time.Second)
 }
 
 // start runs a scheduler with an owner at it.
-func (s *stage) start(i int, place site.Config, p Faults) {
-	place.ListAddress = s.list.Address()
+func (s *testCluster) start(i int, siteConfig site.Config, faults Faults) {
+	siteConfig.ListAddress = s.list.Address()
 	name, ready := fmt.Sprintf("s%d", i), make(chan string, 1)
-	s.w.Trace.Add(audit.Record{At: s.w.Now(), Kind: audit.SchedulerStarted, Scheduler: name})
+	s.world.Trace.Add(audit.Record{At: s.world.Now(), Kind: audit.SchedulerStarted, Scheduler: name})
 	folder := filepath.Join(s.dir, name)
-	s.ran.Add(1)
+	s.running.Add(1)
 	go func() {
-		defer s.ran.Done()
-		who := Config{
-			Site: &place, Name: name, Index: i, Folder: folder, Seed: uint64(i + 1), Log: zerolog.Nop(),
-			Ready: func(a string) { ready <- a }, Faults: p,
+		defer s.running.Done()
+		config := Config{
+			Site: &siteConfig, Name: name, Index: i, Folder: folder, Seed: uint64(i + 1), Log: zerolog.Nop(),
+			Ready: func(a string) { ready <- a }, Faults: faults,
 		}
-		if s.tune != nil {
-			s.tune(&who)
+		if s.configure != nil {
+			s.configure(&config)
 		}
-		if err := Run(s.ctx, who); err != nil {
+		if err := Run(s.ctx, config); err != nil {
 			s.t.Error(err)
 		}
 	}()
 	addr := <-ready
-	o := &standin.Client{ID: i, Scheduler: name, SchedulerAddress: func() string { return addr }, SettleTime: place.SettleTime}
-	s.owner = append(s.owner, o)
-	s.w.StartClient(o, uint64(i))
+	client := &standin.Client{ID: i, Scheduler: name, SchedulerAddress: func() string { return addr }, SettleTime: siteConfig.SettleTime}
+	s.clients = append(s.clients, client)
+	s.world.StartClient(client, uint64(i))
 }
 
 // load asks at a rate for a while: jobs gives the parts of the three job types in ten.
-func (s *stage) load(last, rate float64, jobs string) {
-	for end := s.w.Now() + last; s.w.Now() < end; {
-		s.keys++
-		job := int(jobs[s.keys%len(jobs)] - '0')
-		key, service := fmt.Sprint("k", s.keys), fmt.Sprint("v", job, s.keys%5)
-		jt := s.place.Cluster.JobClasses[job]
-		s.owner[s.keys%len(s.owner)].Request(&standin.Demand{
-			Key: key, Tenant: "t", JobType: s.place.JobClasses[job], Service: service,
-			Job: job, Effect: int(jt.Semantics), Token: Token("t", key), ServiceKey: Service("t", service), Cores: 1, Memory: 1,
-			Timeout: s.place.Deadlines[job], LatencyObjective: jt.LatencyObjective, GiveUpAt: end,
+func (s *testCluster) load(duration, rate float64, jobs string) {
+	for end := s.world.Now() + duration; s.world.Now() < end; {
+		s.lastKey++
+		job := int(jobs[s.lastKey%len(jobs)] - '0')
+		key, service := fmt.Sprint("k", s.lastKey), fmt.Sprint("v", job, s.lastKey%5)
+		class := s.siteConfig.Cluster.JobClasses[job]
+		s.clients[s.lastKey%len(s.clients)].Request(&standin.Demand{
+			Key: key, Tenant: "t", JobType: s.siteConfig.JobClasses[job], Service: service,
+			Job: job, Effect: int(class.Semantics), Token: Token("t", key), ServiceKey: Service("t", service), Cores: 1, Memory: 1,
+			Timeout: s.siteConfig.Deadlines[job], LatencyObjective: class.LatencyObjective, GiveUpAt: end,
 		})
 		time.Sleep(time.Duration(1e9 / rate))
 	}
 }
 
-// breaks ends the day and returns the broken rules, and how often something was served.
-func (s *stage) breaks() ([]audit.Violation, int) {
+// violations ends the day and returns the broken rules, and how often something was served.
+func (s *testCluster) violations() ([]audit.Violation, int) {
 	time.Sleep(3600 * time.Millisecond) // every ask is answered or overdue
-	records, served := s.w.Trace.Records(), 0
-	for _, o := range s.owner {
-		for _, t := range o.Outcomes() {
+	records, served := s.world.Trace.Records(), 0
+	for _, c := range s.clients {
+		for _, t := range c.Outcomes() {
 			if t.Result == "served" {
 				served++
 			}
@@ -157,14 +157,14 @@
 	return audit.Check(records, s.rules), served
 }
 
-// planted wraps an edge.
-type planted struct {
+// faultyEffects wraps an edge.
+type faultyEffects struct {
 	engine.Effects
 	answer func(e engine.Effects, owner uint32, ref uint64, answer engine.Answer, nd uint32)
 	offer  func(e engine.Effects, nd uint32, ticket uint64, try uint8, job int, send func(nd uint32, try uint8))
 }
 
-func (p planted) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
+func (p faultyEffects) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
 	if p.answer == nil {
 		p.Effects.Answer(owner, ref, answer, nd, why, holdOff)
 	} else {
@@ -172,7 +172,7 @@
 	}
 }
 
-func (p planted) Offer(nd uint32, ticket uint64, try uint8, epoch uint32, timeout float64, job, tenant int,
+func (p faultyEffects) Offer(nd uint32, ticket uint64, try uint8, epoch uint32, timeout float64, job, tenant int,
 	service, token uint64, cores, memory float64,
 ) {
 	send := func(nd uint32, try uint8) {
@@ -185,27 +185,27 @@
 	}
 }
 
-func offering(f func(e engine.Effects, nd uint32, ticket uint64, try uint8, job int, send func(nd uint32, try uint8))) Faults {
-	return Faults{WrapEffects: func(e engine.Effects) engine.Effects { return planted{Effects: e, offer: f} }}
+func withOffer(f func(e engine.Effects, nd uint32, ticket uint64, try uint8, job int, send func(nd uint32, try uint8))) Faults {
+	return Faults{WrapEffects: func(e engine.Effects) engine.Effects { return faultyEffects{Effects: e, offer: f} }}
 }
 
-func answering(f func(e engine.Effects, owner uint32, ref uint64, answer engine.Answer, nd uint32)) Faults {
-	return Faults{WrapEffects: func(e engine.Effects) engine.Effects { return planted{Effects: e, answer: f} }}
+func withAnswer(f func(e engine.Effects, owner uint32, ref uint64, answer engine.Answer, nd uint32)) Faults {
+	return Faults{WrapEffects: func(e engine.Effects) engine.Effects { return faultyEffects{Effects: e, answer: f} }}
 }
 
-// TestPlanted puts faults into schedulers, two for each rule at least; the auditor must name the rule. Without a
+// TestInjectedFaults puts faults into schedulers, two for each rule at least; the auditor must name the rule. Without a
 // fault it must name none.
-func TestPlanted(t *testing.T) {
-	mute := func(s *stage) {
-		s.w.WithLock(func(float64) {
+func TestInjectedFaults(t *testing.T) {
+	mute := func(s *testCluster) {
+		s.world.WithLock(func(float64) {
 			for _, n := range s.nodes {
 				n.Machine.AnswerLoss = 0.8
 			}
 		})
 	}
 	var lastLate time.Time // of one scheduler alone
-	drain := func(s *stage) {
-		s.w.WithLock(func(now float64) {
+	drain := func(s *testCluster) {
+		s.world.WithLock(func(now float64) {
 			s.nodes[0].Draining = true
 			s.nodes[0].Machine.Drain(now, false, false)
 		})
@@ -215,7 +215,7 @@
 		rule    int // 0: none may break
 		jobs    string
 		cold    bool
-		trouble func(s *stage)
+		trouble func(s *testCluster)
 		longer  float64 // ms that the day lasts beyond the others'
 		place   func(p *site.Config)
 		Plant   Faults
@@ -225,18 +225,18 @@
 		{name: "none, a drain", jobs: "0012", trouble: drain},
 		{name: "none, all cold", jobs: "0012", cold: true},
 		{name: "an answer given twice", rule: 1, jobs: "0", Plant: Faults{RepeatAnswers: true}},
-		{name: "no answer", rule: 1, jobs: "0", Plant: answering(
+		{name: "no answer", rule: 1, jobs: "0", Plant: withAnswer(
 			func(e engine.Effects, owner uint32, ref uint64, a engine.Answer, nd uint32) {
 				if ref%5 != 0 {
 					e.Answer(owner, ref, a, nd, "", 0)
 				}
 			})},
-		{name: "a second try while one is out", rule: 2, jobs: "0", Plant: offering(
+		{name: "a second try while one is out", rule: 2, jobs: "0", Plant: withOffer(
 			func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
 				send(nd, try)
 				send(nd%4+1, try+1)
 			})},
-		{name: "a run-once one declined that may have run", rule: 2, jobs: "2", trouble: mute, Plant: answering(
+		{name: "a run-once one declined that may have run", rule: 2, jobs: "2", trouble: mute, Plant: withAnswer(
 			func(e engine.Effects, owner uint32, ref uint64, a engine.Answer, nd uint32) {
 				if a == engine.Failed {
 					a = engine.Declined
@@ -249,7 +249,7 @@
 		{name: "tokens taken for harmless", rule: 2, jobs: "1", trouble: mute, place: func(p *site.Config) {
 			p.Cluster.JobClasses[1].Semantics = 0
 		}},
-		{name: "a late send to a draining node", rule: 3, jobs: "0", trouble: drain, longer: 2000, Plant: offering(
+		{name: "a late send to a draining node", rule: 3, jobs: "0", trouble: drain, longer: 2000, Plant: withOffer(
 			func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
 				if time.Since(lastLate) > 300*time.Millisecond { // each costs the connection, as the engine knows nothing of it
 					nd, lastLate = 1, time.Now()
@@ -262,12 +262,12 @@
 				en.Avail = 1
 			}
 		}}},
-		{name: "too many offers to a cold node", rule: 4, jobs: "0", cold: true, Plant: offering(
+		{name: "too many offers to a cold node", rule: 4, jobs: "0", cold: true, Plant: withOffer(
 			func(_ engine.Effects, _ uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) { send(1, try) })},
 		{name: "more expected of a cold node than it bears", rule: 4, jobs: "0", cold: true, place: func(p *site.Config) {
 			p.Cluster.SlowStartLimit, p.Cluster.KindCores = 500, []float64{320}
 		}},
-		{name: "a service all at one node", rule: 5, jobs: "1", Plant: offering(
+		{name: "a service all at one node", rule: 5, jobs: "1", Plant: withOffer(
 			func(_ engine.Effects, _ uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) { send(2, try) })},
 		{name: "a most that is too high", rule: 5, jobs: "1", place: func(p *site.Config) {
 			p.Cluster.JobClasses[1].MaxPerScope = 50
@@ -275,13 +275,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, 1, 8, c.cold)
-			place := *s.place
+			s := newTestCluster(t, 1, 8, c.cold)
+			place := *s.siteConfig
 			place.Cluster.JobClasses = append(place.Cluster.JobClasses[:0:0], place.Cluster.JobClasses...)
 			place.Deadlines = append(place.Deadlines[:0:0], place.Deadlines...)
 			if c.place != nil {
 				c.place(&place)
-				s.place.Deadlines = place.Deadlines
+				s.siteConfig.Deadlines = place.Deadlines
 			}
 			s.start(0, place, c.Plant)
 			s.load(2200, 50, c.jobs) // a scheduler without a last list paces all nodes at first
@@ -289,7 +289,7 @@
 				c.trouble(s)
 			}
 			s.load(2000+c.longer, 50, c.jobs)
-			breaks, served := s.breaks()
+			breaks, served := s.violations()
 			named := false
 			for _, b := range breaks {
 				named = named || b.Rule == c.rule
@@ -301,8 +301,8 @@
 	}
 }
 
-// badNode answers connections with what a bad peer would say, and keeps what it hears last.
-func badNode(t *testing.T, id uint32, say string, then func(net.Conn)) (addr string, heard func() string) {
+// startBadNode answers connections with what a bad peer would say, and keeps what it hears last.
+func startBadNode(t *testing.T, id uint32, say string, then func(net.Conn)) (addr string, heard func() string) {
 	door, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -342,7 +342,7 @@
 // TestBadPeers puts bad nodes beside good ones: each bad connection ends with its reason, and nothing else suffers.
 func TestBadPeers(t *testing.T) {
 	hello := node.GreetingLine + "\r\nNode: ID\r\nLife: 3\r\n\r\n"
-	s := newStage(t, 1, 4, false)
+	s := newTestCluster(t, 1, 4, false)
 	cases := []struct {
 		name, say, why string
 		then           func(net.Conn)
@@ -360,7 +360,7 @@
 	}
 	var heard []func() string
 	for i, c := range cases {
-		addr, h := badNode(t, uint32(100+i), c.say, c.then)
+		addr, h := startBadNode(t, uint32(100+i), c.say, c.then)
 		heard = append(heard, h)
 		s.list.AddUnreachable(uint32(100+i), addr, "east", "east", "plain")
 	}
@@ -372,9 +372,9 @@
 		s.list.AddUnreachable(uint32(200+i), closed.Addr().String(), "west", "west", "plain")
 	}
 	closed.Close()
-	s.start(0, *s.place, Faults{})
+	s.start(0, *s.siteConfig, Faults{})
 	s.load(2500, 40, "0012")
-	breaks, served := s.breaks()
+	breaks, served := s.violations()
 	if len(breaks) > 0 || served < 30 {
 		t.Errorf("%d served, breaks %v", served, breaks)
 	}
@@ -388,11 +388,11 @@
 // TestManyConnections opens 2,000 connections at once.
 func TestManyConnections(t *testing.T) {
 	const many = 2000
-	s := newStage(t, 1, many, false)
-	s.start(0, *s.place, Faults{})
+	s := newTestCluster(t, 1, many, false)
+	s.start(0, *s.siteConfig, Faults{})
 	for range 1200 {
 		linked := 0
-		s.w.WithLock(func(float64) {
+		s.world.WithLock(func(float64) {
 			for _, n := range s.nodes {
 				linked += n.Connections()
 			}
@@ -407,11 +407,11 @@
 
 // TestTwoSchedulers shares cold nodes between two schedulers.
 func TestTwoSchedulers(t *testing.T) {
-	s := newStage(t, 2, 4, true)
-	s.start(0, *s.place, Faults{})
-	s.start(1, *s.place, Faults{})
+	s := newTestCluster(t, 2, 4, true)
+	s.start(0, *s.siteConfig, Faults{})
+	s.start(1, *s.siteConfig, Faults{})
 	s.load(2500, 80, "0012")
-	if breaks, served := s.breaks(); len(breaks) > 0 || served < 40 {
+	if breaks, served := s.violations(); len(breaks) > 0 || served < 40 {
 		t.Errorf("%d served, breaks %v", served, breaks)
 	}
 }
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -44,25 +44,25 @@
 
 // newShard makes a shard in a life of its own. It does not turn before it is begun.
 func (s *Server) newShard(index int) (*shard, error) {
-	life, err := s.folder.NextIncarnation()
+	incarnation, err := s.folder.NextIncarnation()
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
-	sh := &shard{server: s, index: index, incarnation: life, links: map[uint32]*nodeLink{}, handedOver: map[uint64]*shard{}}
-	place := s.config.Site
-	cl := place.Cluster
-	cl.Schedulers *= place.MaxShards // each module instance that may run counts where cold nodes' budget is shared out
-	cl.Index = s.config.Index*place.MaxShards + index
+	sh := &shard{server: s, index: index, incarnation: incarnation, links: map[uint32]*nodeLink{}, handedOver: map[uint64]*shard{}}
+	siteConfig := s.config.Site
+	cluster := siteConfig.Cluster
+	cluster.Schedulers *= siteConfig.MaxShards // each module instance that may run counts where cold nodes' budget is shared out
+	cluster.Index = s.config.Index*siteConfig.MaxShards + index
 	now := s.env.Now()
 	sh.heartbeat.Store(math.Float64bits(now))
-	var out engine.Effects = shardEffects{sh}
+	var effects engine.Effects = shardEffects{sh}
 	if s.config.Faults.WrapEffects != nil {
-		out = s.config.Faults.WrapEffects(out)
+		effects = s.config.Faults.WrapEffects(effects)
 	}
-	sh.engine = engine.New(out, now, engine.Config{
-		Cluster: &cl, Shares: place.Shares,
-		MaxOpen: s.router.MaxOpenPerShard(place.Shards), AnswerMargin: place.AnswerMargin, SettleTime: place.SettleTime,
-		NewPolicy: s.config.Policy, Incarnation: life, Seed: s.config.Seed + uint64(life)*0x9e3779b97f4a7c15, WallClockStart: float64(env.Epoch.UnixMilli()), AliveAtPeers: s.nodeAlive,
+	sh.engine = engine.New(effects, now, engine.Config{
+		Cluster: &cluster, Shares: siteConfig.Shares,
+		MaxOpen: s.router.MaxOpenPerShard(siteConfig.Shards), AnswerMargin: siteConfig.AnswerMargin, SettleTime: siteConfig.SettleTime,
+		NewPolicy: s.config.Policy, Incarnation: incarnation, Seed: s.config.Seed + uint64(incarnation)*0x9e3779b97f4a7c15, WallClockStart: float64(env.Epoch.UnixMilli()), AliveAtPeers: s.nodeAlive,
 	})
 	if s.config.Site.Members.Listen != "" {
 		sh.engine.SetSchedulerCount(0) // until the others have given leave
@@ -79,8 +79,8 @@
 }
 
 // post gives the shard an event; one that is fenced hears nothing more.
-func (sh *shard) post(ev event) bool {
-	ok, full := sh.inbox.put(sh.server.env.Now(), ev)
+func (sh *shard) post(queued event) bool {
+	ok, full := sh.inbox.put(sh.server.env.Now(), queued)
 	if full { // by a call of its own, as whoever tells may hold what fencing needs
 		sh.server.async(func() { sh.server.fence(sh, fmt.Sprintf("%d events wait", maxInbox)) })
 	}
@@ -90,27 +90,27 @@
 // runRound gives the engine its events and a round: when there is news or something is due, at most once a step.
 func (sh *shard) runRound() (wait float64) {
 	defer func() {
-		if p := recover(); p != nil {
-			sh.server.fence(sh, fmt.Sprint("panic: ", p))
+		if recovered := recover(); recovered != nil {
+			sh.server.fence(sh, fmt.Sprint("panic: ", recovered))
 			wait = -1
 		}
 	}()
-	w, step := sh.server.env, sh.server.config.Site.Cluster.MinRoundInterval
-	began := w.Now()
-	switch rest := sh.lastRound + step - began; {
+	env, step := sh.server.env, sh.server.config.Site.Cluster.MinRoundInterval
+	startedAt := env.Now()
+	switch untilNext := sh.lastRound + step - startedAt; {
 	case sh.fenced.Load() || sh.server.stopped.Load():
 		return -1
 	case !sh.started.Load():
 		return 1000
-	case rest > 0:
-		return rest
+	case untilNext > 0:
+		return untilNext
 	}
-	events := sh.inbox.take(began, sh.spare)
-	for i, ev := range events {
+	events := sh.inbox.take(startedAt, sh.spare)
+	for i, handle := range events {
 		if sh.fenced.Load() {
 			return -1
 		}
-		ev(w.Now())
+		handle(env.Now())
 		events[i] = nil
 	}
 	if sh.spare = events; cap(sh.spare) > 1<<12 { // a burst's memory is given back
@@ -119,7 +119,7 @@
 	if sh.fenced.Load() { // an event was the last: it ends
 		return -1
 	}
-	sh.lastRound = w.Now()
+	sh.lastRound = env.Now()
 	if sh.server.membership.runner != nil {
 		if n := sh.server.sharers(sh.lastRound); n != sh.sharers {
 			sh.sharers = n
@@ -129,18 +129,18 @@
 	sh.heartbeat.Store(math.Float64bits(sh.lastRound))
 	sh.engine.Round(sh.lastRound)
 	sh.inbox.done()
-	sh.recordWork(began)
+	sh.recordWork(startedAt)
 	return min(1000, max(0, sh.engine.NextRound()-sh.lastRound))
 }
 
 // recordWork tells the gate what the round took.
-func (sh *shard) recordWork(began float64) {
+func (sh *shard) recordWork(startedAt float64) {
 	if sh.roundRequests == 0 {
 		return
 	}
 	s := sh.server
 	s.routerMu.Lock()
-	s.router.OnRound(sh.index, s.env.Now()-began, sh.roundRequests)
+	s.router.OnRound(sh.index, s.env.Now()-startedAt, sh.roundRequests)
 	s.routerMu.Unlock()
 	sh.queuedRequests.Add(-int64(sh.roundRequests))
 	sh.roundRequests = 0
@@ -158,9 +158,9 @@
 // putNodes tells the engine entries of the node list.
 func (sh *shard) putNodes(entries []listEntry) {
 	for i := range entries {
-		en := &entries[i]
-		sh.engine.AddListNode(en.ID, en.Address, logic.Availability(en.Avail), en.StartedAt, en.FreeCores, en.FreeMemory,
-			en.zone, en.cell, en.kind)
+		entry := &entries[i]
+		sh.engine.AddListNode(entry.ID, entry.Address, logic.Availability(entry.Avail), entry.StartedAt, entry.FreeCores, entry.FreeMemory,
+			entry.zone, entry.cell, entry.kind)
 	}
 }
 
@@ -173,157 +173,157 @@
 // shardEffects carries out the engine's effects. It fills queues and asks the desk; a fenced shard's effects go nowhere.
 type shardEffects struct{ shard *shard }
 
-func (d shardEffects) fenced() bool { return d.shard.fenced.Load() }
+func (e shardEffects) fenced() bool { return e.shard.fenced.Load() }
 
-func (d shardEffects) Dial(nd uint32, address string) {
-	if !d.fenced() {
-		d.shard.connections.dial(nd, address)
+func (e shardEffects) Dial(nodeID uint32, address string) {
+	if !e.fenced() {
+		e.shard.connections.dial(nodeID, address)
 	}
 }
 
-func (d shardEffects) Disconnect(nd uint32, why string) {
-	if l := d.shard.links[nd]; l != nil && !d.fenced() {
-		l.disconnect(why, false)
+func (e shardEffects) Disconnect(nodeID uint32, reason string) {
+	if link := e.shard.links[nodeID]; link != nil && !e.fenced() {
+		link.disconnect(reason, false)
 	}
 }
 
-func (d shardEffects) WatchList(active bool) {
+func (e shardEffects) WatchList(active bool) {
 	if active {
-		d.shard.server.listClient.call(watchCall)
+		e.shard.server.listClient.call(watchCall)
 	} else {
-		d.shard.server.listClient.call(unwatchCall)
+		e.shard.server.listClient.call(unwatchCall)
 	}
 }
 
-func (d shardEffects) ReloadList() { d.shard.server.listClient.call(fullCall) }
+func (e shardEffects) ReloadList() { e.shard.server.listClient.call(fullCall) }
 
-func (d shardEffects) Log(line string) {
-	d.shard.server.log.Info().Str("mode", "engine").Int("shard", d.shard.index).Msg(line)
+func (e shardEffects) Log(line string) {
+	e.shard.server.log.Info().Str("mode", "engine").Int("shard", e.shard.index).Msg(line)
 }
 
-func (d shardEffects) PermitAttempt(tenant int, token uint64, epoch uint32, nd uint32, ticket uint64, try uint8) bool {
-	s := d.shard.server
+func (e shardEffects) PermitAttempt(tenant int, token uint64, epoch uint32, nodeID uint32, ticket uint64, attempt uint8) bool {
+	s := e.shard.server
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
-	return s.router.PermitAttempt(shardownership.ID{Tenant: tenant, Token: token}, d.shard.index, epoch,
-		shardownership.Attempt{Node: nd, Ticket: ticket, Number: try})
+	return s.router.PermitAttempt(shardownership.ID{Tenant: tenant, Token: token}, e.shard.index, epoch,
+		shardownership.Attempt{Node: nodeID, Ticket: ticket, Number: attempt})
 }
 
-func (d shardEffects) RecordOutcome(tenant int, token uint64, epoch uint32, never bool) {
-	s := d.shard.server
+func (e shardEffects) RecordOutcome(tenant int, token uint64, epoch uint32, never bool) {
+	s := e.shard.server
 	s.routerMu.Lock()
-	s.router.CompleteAttempt(shardownership.ID{Tenant: tenant, Token: token}, d.shard.index, epoch, never)
+	s.router.CompleteAttempt(shardownership.ID{Tenant: tenant, Token: token}, e.shard.index, epoch, never)
 	s.routerMu.Unlock()
 }
 
-func (d shardEffects) SetClient(tenant int, token uint64, epoch, owner uint32, ref uint64) {
-	s := d.shard.server
+func (e shardEffects) SetClient(tenant int, token uint64, epoch, clientID uint32, ref uint64) {
+	s := e.shard.server
 	s.routerMu.Lock()
-	s.router.SetClient(shardownership.ID{Tenant: tenant, Token: token}, d.shard.index, epoch, owner, ref)
+	s.router.SetClient(shardownership.ID{Tenant: tenant, Token: token}, e.shard.index, epoch, clientID, ref)
 	s.routerMu.Unlock()
 }
 
-func (d shardEffects) RecoverTask(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32,
-	ticket uint64, try uint8,
-) (epoch, owner uint32, ref uint64, ok bool) {
-	s, n := d.shard.server, shardownership.ID{Tenant: tenant, Token: token}
+func (e shardEffects) RecoverTask(tenant int, token uint64, job int, service uint64, cores, memory float64, nodeID uint32,
+	ticket uint64, attempt uint8,
+) (epoch, clientID uint32, ref uint64, ok bool) {
+	s, name := e.shard.server, shardownership.ID{Tenant: tenant, Token: token}
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
-	if d.fenced() {
+	if e.fenced() {
 		return 0, 0, 0, false
 	}
-	epoch, owner, ref, ok = s.router.Recover(n, d.shard.index, shardownership.Request{JobClass: job, Service: service, Cores: cores, Memory: memory},
-		shardownership.Attempt{Node: nd, Ticket: ticket, Number: try})
-	if ok && owner > 0 {
-		s.setRequestShard(owner, ref, d.shard.index)
+	epoch, clientID, ref, ok = s.router.Recover(name, e.shard.index, shardownership.Request{JobClass: job, Service: service, Cores: cores, Memory: memory},
+		shardownership.Attempt{Node: nodeID, Ticket: ticket, Number: attempt})
+	if ok && clientID > 0 {
+		s.setRequestShard(clientID, ref, e.shard.index)
 	}
-	return epoch, owner, ref, ok
+	return epoch, clientID, ref, ok
 }
 
-func (d shardEffects) ReleaseTask(tenant int, token uint64, service uint64, epoch uint32) {
-	s := d.shard.server
+func (e shardEffects) ReleaseTask(tenant int, token uint64, service uint64, epoch uint32) {
+	s := e.shard.server
 	s.routerMu.Lock()
-	s.router.Remove(shardownership.ID{Tenant: tenant, Token: token}, d.shard.index, service, epoch)
+	s.router.Remove(shardownership.ID{Tenant: tenant, Token: token}, e.shard.index, service, epoch)
 	s.pumpIfFree()
 	s.routerMu.Unlock()
 }
 
-func (d shardEffects) PermitAnswer(tenant int, token uint64, epoch uint32, served bool) bool {
-	s := d.shard.server
+func (e shardEffects) PermitAnswer(tenant int, token uint64, epoch uint32, served bool) bool {
+	s := e.shard.server
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	defer s.pumpIfFree()
-	return s.router.PermitAnswer(s.env.Now(), shardownership.ID{Tenant: tenant, Token: token}, d.shard.index, epoch, served)
+	return s.router.PermitAnswer(s.env.Now(), shardownership.ID{Tenant: tenant, Token: token}, e.shard.index, epoch, served)
 }
 
-func (d shardEffects) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
-	if !d.fenced() {
-		d.shard.server.answerClient(owner, ref, answer, nd, why, holdOff)
+func (e shardEffects) Answer(clientID uint32, ref uint64, answer engine.Answer, nodeID uint32, reason string, retryAfter float64) {
+	if !e.fenced() {
+		e.shard.server.answerClient(clientID, ref, answer, nodeID, reason, retryAfter)
 	}
 }
 
-func (d shardEffects) NotifyEnd(owner uint32, ref uint64, verdict logic.Outcome, why logic.Reason) {
-	if d.fenced() {
+func (e shardEffects) NotifyEnd(clientID uint32, ref uint64, verdict logic.Outcome, reason logic.Reason) {
+	if e.fenced() {
 		return
 	}
-	if o := d.shard.server.clientByID(owner); o != nil {
-		o.sendEnd(ref, verdict, why)
+	if c := e.shard.server.clientByID(clientID); c != nil {
+		c.sendEnd(ref, verdict, reason)
 	}
 }
 
-func (d shardEffects) ExpireRequest(owner uint32, ref uint64) {
-	if o := d.shard.server.clientByID(owner); o != nil && !d.fenced() {
-		o.closeRequest(ref)
+func (e shardEffects) ExpireRequest(clientID uint32, ref uint64) {
+	if c := e.shard.server.clientByID(clientID); c != nil && !e.fenced() {
+		c.closeRequest(ref)
 	}
 }
 
 // fence ends a shard whose state can't be trusted any more: it gets no leave for anything, and what it acted for
 // goes on at other shards, ends as its effect allows, or is found running by the shard's next life.
-func (s *Server) fence(sh *shard, why string) {
+func (s *Server) fence(sh *shard, reason string) {
 	if !sh.fenced.CompareAndSwap(false, true) {
 		return
 	}
 	now := s.env.Now()
 	s.routerMu.Lock()
-	n := s.applyFates(s.router.Fence(now, sh.index), "shard-fenced")
-	seconds := s.duplicateRequests(sh.index, math.Inf(1))
+	counts := s.applyFates(s.router.Fence(now, sh.index), "shard-fenced")
+	duplicates := s.duplicateRequests(sh.index, math.Inf(1))
 	s.routerMu.Unlock()
 	sh.inbox.close()
-	for _, x := range seconds {
-		x.client.sendAnswer(x.ref, engine.Declined, 0, "shard-fenced", 0)
+	for _, duplicate := range duplicates {
+		duplicate.client.sendAnswer(duplicate.ref, engine.Declined, 0, "shard-fenced", 0)
 	}
 	if s.config.Site.Connections == site.OwnConnections {
 		sh.connections.close("shard fenced", false)
 	}
-	s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Int("moved", n[shardownership.Reassign]).
-		Int("declined", n[shardownership.Shed]).Int("failed", n[shardownership.Fail]).Int("run", n[shardownership.Continue]).
-		Float64("ms", s.env.Now()-now).Msg("fenced: " + why)
+	s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Int("moved", counts[shardownership.Reassign]).
+		Int("declined", counts[shardownership.Shed]).Int("failed", counts[shardownership.Fail]).Int("run", counts[shardownership.Continue]).
+		Float64("ms", s.env.Now()-now).Msg("fenced: " + reason)
 }
 
 // applyFates does what the desk decided about allocations whose shard can't go on with them: under the desk. It counts them.
-func (s *Server) applyFates(fates []shardrouter.OrphanDecision, why string) (n [4]int) {
-	for _, f := range fates {
-		a := f.Entry.Request
-		n[f.Disposition]++
+func (s *Server) applyFates(fates []shardrouter.OrphanDecision, reason string) (counts [4]int) {
+	for _, fate := range fates {
+		ask := fate.Entry.Request
+		counts[fate.Disposition]++
 		switch {
-		case f.Disposition == shardownership.Reassign:
-			s.setRequestShard(a.Client, a.Ref, f.Shard)
-			s.continueAt(s.shards[f.Shard], engine.Transfer{
-				Client: a.Client, RequestID: a.Ref, JobClass: a.JobClass, Tenant: f.ID.Tenant, Service: a.Service,
-				Token: f.ID.Token, Cores: a.Cores, Memory: a.Memory, Deadline: a.Deadline, Epoch: f.Epoch,
+		case fate.Disposition == shardownership.Reassign:
+			s.setRequestShard(ask.Client, ask.Ref, fate.Shard)
+			s.continueAt(s.shards[fate.Shard], engine.Transfer{
+				Client: ask.Client, RequestID: ask.Ref, JobClass: ask.JobClass, Tenant: fate.ID.Tenant, Service: ask.Service,
+				Token: fate.ID.Token, Cores: ask.Cores, Memory: ask.Memory, Deadline: ask.Deadline, Epoch: fate.Epoch,
 			})
-		case f.Disposition == shardownership.Continue:
-		case s.env.Now() >= a.Deadline: // its owner has given up by itself
-			if x := s.clientByID(a.Client); x != nil {
-				x.closeRequest(a.Ref)
+		case fate.Disposition == shardownership.Continue:
+		case s.env.Now() >= ask.Deadline: // its owner has given up by itself
+			if c := s.clientByID(ask.Client); c != nil {
+				c.closeRequest(ask.Ref)
 			}
-		case f.Disposition == shardownership.Shed:
-			s.answerClient(a.Client, a.Ref, engine.Declined, 0, why, 0)
-		case f.Disposition == shardownership.Fail:
-			s.answerClient(a.Client, a.Ref, engine.Failed, 0, why, 0)
+		case fate.Disposition == shardownership.Shed:
+			s.answerClient(ask.Client, ask.Ref, engine.Declined, 0, reason, 0)
+		case fate.Disposition == shardownership.Fail:
+			s.answerClient(ask.Client, ask.Ref, engine.Failed, 0, reason, 0)
 		}
 	}
-	return n
+	return counts
 }
 
 // checkShards looks after the shards: fences those that stand still, starts those that were fenced.
@@ -331,32 +331,32 @@
 	now := s.env.Now()
 	s.recordCheck(now)
 	s.routerMu.Lock()
-	var beats, waited []float64
+	var heartbeats, queueAges []float64
 	for _, sh := range s.shards {
-		beats = append(beats, math.Float64frombits(sh.heartbeat.Load()))
-		waited = append(waited, sh.inbox.oldestAge(now))
+		heartbeats = append(heartbeats, math.Float64frombits(sh.heartbeat.Load()))
+		queueAges = append(queueAges, sh.inbox.oldestAge(now))
 	}
-	fence, start, quiet, answers, lost := s.router.CheckHealth(now, beats, waited)
+	toFence, toStart, silent, answers, lostAsks := s.router.CheckHealth(now, heartbeats, queueAges)
 	s.applyFates(answers, "shard-quiet")
-	for _, i := range quiet {
-		for _, x := range s.duplicateRequests(i, now+s.router.OverdueMargin()) {
-			x.client.sendAnswer(x.ref, engine.Declined, 0, "shard-quiet", 0)
+	for _, i := range silent {
+		for _, duplicate := range s.duplicateRequests(i, now+s.router.OverdueMargin()) {
+			duplicate.client.sendAnswer(duplicate.ref, engine.Declined, 0, "shard-quiet", 0)
 		}
 	}
 	var stuck []*shard
-	for _, i := range fence {
+	for _, i := range toFence {
 		stuck = append(stuck, s.shards[i])
 	}
 	s.routerMu.Unlock()
-	for _, a := range lost {
-		if o := s.clientByID(a.Client); o != nil {
-			o.sendEnd(a.Ref, logic.ConnectionLost, logic.ReasonUnknown)
+	for _, ask := range lostAsks {
+		if c := s.clientByID(ask.Client); c != nil {
+			c.sendEnd(ask.Ref, logic.ConnectionLost, logic.ReasonUnknown)
 		}
 	}
 	for _, sh := range stuck {
-		s.fence(sh, fmt.Sprintf("no sign of life for %.0f ms", now-beats[sh.index]))
+		s.fence(sh, fmt.Sprintf("no sign of life for %.0f ms", now-heartbeats[sh.index]))
 	}
-	for _, i := range start {
+	for _, i := range toStart {
 		if err := s.restart(i); err != nil {
 			s.log.Error().Str("mode", "shards").Int("shard", i).Err(err).Msg("not started again")
 		}
@@ -370,7 +370,7 @@
 		return err
 	}
 	if s.config.Site.Connections == site.OwnConnections {
-		sh.connections = newTrunk(s, index)
+		sh.connections = newNodeConnections(s, index)
 		sh.connections.attach(sh)
 	}
 	s.routerMu.Lock()
--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -33,15 +33,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, 1, 8, false)
-			place := *s.place
+			s := newTestCluster(t, 1, 8, false)
+			place := *s.siteConfig
 			place.Shards, place.MaxShards, place.Connections = 3, 3, c.share
 			var offers, lives atomic.Int32
 			s.start(0, place, Faults{WrapEffects: func(e engine.Effects) engine.Effects {
 				if lives.Add(1) != 2 { // the second shard's first life alone
 					return e
 				}
-				return planted{Effects: e, offer: func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
+				return faultyEffects{Effects: e, offer: func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
 					send(nd, try)
 					if offers.Add(1) == 25 {
 						c.harm()
@@ -49,7 +49,7 @@
 				}}
 			}})
 			s.load(6500, 60, "0012")
-			breaks, served := s.breaks()
+			breaks, served := s.violations()
 			if len(breaks) > 0 || served < 200 {
 				t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
 			}
@@ -63,8 +63,8 @@
 // testClient is a bare owner.
 type testClient struct {
 	*jrpc2.Client
-	mu   sync.Mutex
-	news []string
+	mu       sync.Mutex
+	received []string
 }
 
 func connect(t *testing.T, addr string) *testClient {
@@ -72,21 +72,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return speak(t, conn)
+	return newTestClient(t, conn)
 }
 
-func speak(t *testing.T, conn net.Conn) *testClient {
+func newTestClient(t *testing.T, conn net.Conn) *testClient {
 	c := &testClient{}
 	c.Client = jrpc2.NewClient(channel.LSP(conn, conn), &jrpc2.ClientOptions{OnNotify: func(r *jrpc2.Request) {
 		c.mu.Lock()
-		c.news = append(c.news, r.Method()+r.ParamString())
+		c.received = append(c.received, r.Method()+r.ParamString())
 		c.mu.Unlock()
 	}})
 	t.Cleanup(func() { c.Close() })
 	return c
 }
 
-func (c *testClient) ask(ref uint64, job, key string) error {
+func (c *testClient) allocate(ref uint64, job, key string) error {
 	_, err := c.Call(context.Background(), "allocate", map[string]any{
 		"ref": ref, "tenant": "t", "key": key,
 		"job-type": job, "service": "s" + key, "cores": 1, "memory": 1,
@@ -94,20 +94,20 @@
 	return err
 }
 
-func (c *testClient) heard() []string {
+func (c *testClient) notifications() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]string(nil), c.news...)
+	return append([]string(nil), c.received...)
 }
 
 // TestSameKey submits keys on two connections at the same moment, withdraws some as they are offered, and comes back
 // on another connection: each ask has one answer, and no run-once key starts twice.
 func TestSameKey(t *testing.T) {
-	s := newStage(t, 1, 8, false)
-	place := *s.place
+	s := newTestCluster(t, 1, 8, false)
+	place := *s.siteConfig
 	place.Shards, place.MaxShards = 4, 4
 	s.start(0, place, Faults{})
-	addr := s.owner[0].SchedulerAddress()
+	addr := s.clients[0].SchedulerAddress()
 	time.Sleep(1800 * time.Millisecond)
 	a, b := connect(t, addr), connect(t, addr)
 	const many = 60
@@ -115,7 +115,7 @@
 	for _, c := range []*testClient{a, b} {
 		both.Go(func() {
 			for i := range uint64(many) {
-				if err := c.ask(i+1, "once", fmt.Sprint("key", i)); err != nil {
+				if err := c.allocate(i+1, "once", fmt.Sprint("key", i)); err != nil {
 					t.Error(err)
 				}
 				if i%5 == 0 {
@@ -128,7 +128,7 @@
 	time.Sleep(1700 * time.Millisecond)
 	for _, c := range []*testClient{a, b} {
 		answers := map[string]int{}
-		for _, n := range c.heard() {
+		for _, n := range c.notifications() {
 			var ref int
 			if _, err := fmt.Sscanf(n, `answer{"ref":%d`, &ref); err == nil {
 				answers[fmt.Sprint(ref)]++
@@ -143,17 +143,17 @@
 	a.Close() // what runs is found again by whoever asks for its key
 	c := connect(t, addr)
 	for i := range uint64(many) {
-		if err := c.ask(i+1, "once", fmt.Sprint("key", i)); err != nil {
+		if err := c.allocate(i+1, "once", fmt.Sprint("key", i)); err != nil {
 			t.Error(err)
 		}
 	}
-	breaks, _ := s.breaks()
+	breaks, _ := s.violations()
 	if len(breaks) > 0 {
 		t.Error(breaks)
 	}
 	starts := map[uint64]int{}
 	ended := map[uint64]bool{}
-	for _, r := range s.w.Trace.Records() {
+	for _, r := range s.world.Trace.Records() {
 		switch r.Kind.String() {
 		case "ran":
 			if starts[r.Ticket]++; starts[r.Ticket] > 1 {
@@ -165,10 +165,10 @@
 	}
 	t.Run("faults", func(t *testing.T) {
 		for name, call := range map[string]func() error{
-			"ref not over":     func() error { _ = c.ask(900, "free", "x"); return c.ask(900, "free", "y") },
-			"unknown job type": func() error { return c.ask(901, "none", "x") },
-			"no key":           func() error { return c.ask(902, "free", "") },
-			"no ref":           func() error { return c.ask(0, "free", "x") },
+			"ref not over":     func() error { _ = c.allocate(900, "free", "x"); return c.allocate(900, "free", "y") },
+			"unknown job type": func() error { return c.allocate(901, "none", "x") },
+			"no key":           func() error { return c.allocate(902, "free", "") },
+			"no ref":           func() error { return c.allocate(0, "free", "x") },
 			"unknown method":   func() error { _, err := c.Call(context.Background(), "shutdown", nil); return err },
 			"unknown field": func() error {
 				_, err := c.Call(context.Background(), "withdraw", map[string]any{"ref": 1, "x": 2})
@@ -244,19 +244,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, 1, 8, false)
-			place := *s.place
+			s := newTestCluster(t, 1, 8, false)
+			place := *s.siteConfig
 			place.Shards, place.MaxShards, place.Connections = 1, 4, c.share
-			var log lines
+			var log logLines
 			resize := make(chan int, 1)
-			s.tune = func(who *Config) { who.Resize, who.Log = resize, zerolog.New(&log) }
+			s.configure = func(who *Config) { who.Resize, who.Log = resize, zerolog.New(&log) }
 			s.start(0, place, Faults{})
 			s.load(2200, 60, "0012")
 			for _, n := range c.sizes {
 				resize <- n
 				s.load(2500, 80, "0012")
 			}
-			breaks, served := s.breaks()
+			breaks, served := s.violations()
 			if len(breaks) > 0 || served < 200+100*len(c.sizes)/2 {
 				t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
 			}
@@ -280,40 +280,40 @@
 // TestReceiverFenced fences a shard that was just given what ran at another: its maker has long forgotten it, yet the nodes'
 // word must bring it back to somebody, and each owner hears how it ended.
 func TestReceiverFenced(t *testing.T) {
-	s := newStage(t, 1, 8, false)
-	place := *s.place
+	s := newTestCluster(t, 1, 8, false)
+	place := *s.siteConfig
 	place.Shards, place.MaxShards = 1, 2
-	var log lines
+	var log logLines
 	var fence atomic.Bool
 	var lives atomic.Int32
 	resize := make(chan int, 1)
-	s.tune = func(who *Config) { who.Resize, who.Log = resize, zerolog.New(&log) }
+	s.configure = func(who *Config) { who.Resize, who.Log = resize, zerolog.New(&log) }
 	s.start(0, place, Faults{WrapEffects: func(e engine.Effects) engine.Effects {
 		if lives.Add(1) != 2 {
 			return e
 		}
-		return planted{Effects: e, offer: func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
+		return faultyEffects{Effects: e, offer: func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
 			if fence.Load() {
 				panic("planted")
 			}
 			send(nd, try)
 		}}
 	}})
-	c := connect(t, s.owner[0].SchedulerAddress())
+	c := connect(t, s.clients[0].SchedulerAddress())
 	time.Sleep(1800 * time.Millisecond)
 	const many = 80
 	for i := range uint64(many) {
-		if err := c.ask(i+1, "free", fmt.Sprint("r", i)); err != nil {
+		if err := c.allocate(i+1, "free", fmt.Sprint("r", i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "the first are served", func() bool { return strings.Count(strings.Join(c.heard(), ""), `"answer":"served"`) > many/2 })
+	waitFor(t, "the first are served", func() bool { return strings.Count(strings.Join(c.notifications(), ""), `"answer":"served"`) > many/2 })
 	resize <- 2
 	waitFor(t, "the second shard has some of them", func() bool { return log.count(`"message":"started"`) > 0 })
 	time.Sleep(400 * time.Millisecond)
 	fence.Store(true)
 	for i := range uint64(many) {
-		_ = c.ask(1000+i, "free", fmt.Sprint("s", i))
+		_ = c.allocate(1000+i, "free", fmt.Sprint("s", i))
 	}
 	waitFor(t, "the second shard is fenced", func() bool { return log.count(`"message":"fenced: panic`) == 1 })
 	if log.count(`"run":0,`) > 0 {
@@ -321,7 +321,7 @@
 	}
 	served := func() map[uint64]bool {
 		all := map[uint64]bool{}
-		for _, n := range c.heard() {
+		for _, n := range c.notifications() {
 			var ref uint64
 			if _, err := fmt.Sscanf(n, `answer{"ref":%d,"answer":"served"`, &ref); err == nil && ref <= many {
 				all[ref] = true
@@ -349,12 +349,12 @@
 
 // TestResizeRefused asks for numbers of shards that may not run.
 func TestResizeRefused(t *testing.T) {
-	s := newStage(t, 1, 2, false)
-	place := *s.place
+	s := newTestCluster(t, 1, 2, false)
+	place := *s.siteConfig
 	place.MaxShards = 2
-	var log lines
+	var log logLines
 	resize := make(chan int)
-	s.tune = func(who *Config) { who.Resize, who.Log = resize, zerolog.New(&log) }
+	s.configure = func(who *Config) { who.Resize, who.Log = resize, zerolog.New(&log) }
 	s.start(0, place, Faults{})
 	for _, n := range []int{0, 3} {
 		resize <- n
@@ -366,20 +366,20 @@
 	}
 }
 
-// lines keeps a log.
-type lines struct {
+// logLines keeps a log.
+type logLines struct {
 	mu  sync.Mutex
 	all []string
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logLines) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all = append(l.all, string(b))
 	return len(b), nil
 }
 
-func (l *lines) count(what string) (n int) {
+func (l *logLines) count(what string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.all {
@@ -390,7 +390,7 @@
 	return n
 }
 
-func (l *lines) text() string {
+func (l *logLines) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Join(l.all, "")
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -105,74 +105,74 @@
 		return err
 	}
 	if !s.hosting.loaded || stamp != s.hosting.storeStamp {
-		st, err := store.Read()
+		stored, err := store.Read()
 		if err != nil {
 			return err
 		}
 		s.hosting.storeStamp = stamp
-		s.applyTenants(st, store.TokenVerifier(st.Tokens))
+		s.applyTenants(stored, store.TokenVerifier(stored.Tokens))
 	}
 	s.updateCapacity()
 	s.diagnostics.Do("lines", func() {
 		s.routerMu.Lock()
 		defer s.routerMu.Unlock()
 		ms, waiting := s.router.OldestWait(s.env.Now())
-		may, held := s.router.FillLevel()
-		s.log.Debug().Str("mode", "tenants").Float64("may_fill", may).Float64("held", held).Int("open", s.router.Open()).Int("waiting", waiting).Float64("longest", ms).Msg("lines")
+		capacity, held := s.router.FillLevel()
+		s.log.Debug().Str("mode", "tenants").Float64("may_fill", capacity).Float64("held", held).Int("open", s.router.Open()).Int("waiting", waiting).Float64("longest", ms).Msg("lines")
 	})
 	return s.evictRemoved(store)
 }
 
 // applyTenants takes what the store says now: limits, who takes nothing any more, whose token is gone.
-func (s *Server) applyTenants(st tenants.State, verify func(time.Time, string) (string, bool)) {
+func (s *Server) applyTenants(stored tenants.State, verify func(time.Time, string) (string, bool)) {
 	now := s.env.Now()
 	s.routerMu.Lock()
-	c := &s.hosting
-	c.loaded, c.tenants, c.tokens, c.verify = true, st.Tenants, st.Tokens, verify
+	h := &s.hosting
+	h.loaded, h.tenants, h.tokens, h.verify = true, stored.Tenants, stored.Tokens, verify
 	active := 0
-	doors := map[int]connadmission.Limits{}
-	sharers, _ := c.quotaLease.Current(now)
-	for _, t := range st.Tenants.All() {
-		if doors[t.Slot] = t.PolicyFor(s.quotaShare(sharers)).Connections; t.State == tenancy.Removed {
-			doors[t.Slot] = connadmission.Limits{}
+	limits := map[int]connadmission.Limits{}
+	sharers, _ := h.quotaLease.Current(now)
+	for _, tenant := range stored.Tenants.All() {
+		if limits[tenant.Slot] = tenant.PolicyFor(s.quotaShare(sharers)).Connections; tenant.State == tenancy.Removed {
+			limits[tenant.Slot] = connadmission.Limits{}
 		}
-		if t.State == tenancy.Active {
+		if tenant.State == tenancy.Active {
 			active++
 		}
 	}
-	declined := s.setTenantLimits(now, sharers)
+	rejected := s.setTenantLimits(now, sharers)
 	s.routerMu.Unlock()
 	s.mu.Lock()
-	for slot, l := range doors {
-		s.admission.SetLimits(slot, l)
+	for slot, limit := range limits {
+		s.admission.SetLimits(slot, limit)
 	}
 	s.mu.Unlock()
-	s.rejectAll(declined)
-	s.log.Info().Str("mode", "tenants").Uint64("changes", st.Changes).Int("active", active).Int("turned_away", len(declined)).Msg("tenants read")
+	s.rejectAll(rejected)
+	s.log.Info().Str("mode", "tenants").Uint64("changes", stored.Changes).Int("active", active).Int("turned_away", len(rejected)).Msg("tenants read")
 	s.disconnectRevoked()
 }
 
 // quotaShare is what this process may use of all limits where so many share what is lent of them.
 func (s *Server) quotaShare(sharers int) quotalease.Share {
-	p := quotalease.Share{Places: s.config.Site.Cluster.Schedulers, Index: s.config.Index, Sharers: sharers}
+	share := quotalease.Share{Places: s.config.Site.Cluster.Schedulers, Index: s.config.Index, Sharers: sharers}
 	if s.config.Site.Members.Listen != "" {
-		p.LeasedFraction = s.config.Site.Members.LeasedPart
+		share.LeasedFraction = s.config.Site.Members.LeasedPart
 	}
-	return p
+	return share
 }
 
 // setTenantLimits sets all tenants' limits by that part, and gives what waits of those that take nothing any more; under the desk.
-func (s *Server) setTenantLimits(now float64, sharers int) (declined []shardrouter.Decision) {
-	for _, t := range s.hosting.tenants.All() {
-		declined = append(declined, s.router.SetTenant(now, t.Slot, t.PolicyFor(s.quotaShare(sharers)))...)
+func (s *Server) setTenantLimits(now float64, sharers int) (rejected []shardrouter.Decision) {
+	for _, tenant := range s.hosting.tenants.All() {
+		rejected = append(rejected, s.router.SetTenant(now, tenant.Slot, tenant.PolicyFor(s.quotaShare(sharers)))...)
 	}
-	return declined
+	return rejected
 }
 
 // checkQuotaLease holds the lease on what is lent of limits against the clock, before anything passes by them; under the desk.
-func (s *Server) checkQuotaLease(now float64) (declined []shardrouter.Decision) {
-	sharers, turned := s.hosting.quotaLease.Current(now)
-	if !turned {
+func (s *Server) checkQuotaLease(now float64) (rejected []shardrouter.Decision) {
+	sharers, changed := s.hosting.quotaLease.Current(now)
+	if !changed {
 		return nil
 	}
 	s.log.Info().Str("mode", "tenants").Int("share", sharers).Float64("lends", s.quotaShare(0).LeasedFraction).Msg("limits")
@@ -184,51 +184,51 @@
 
 func (s *Server) leasesQuotas() bool { return s.hostsTenants() && s.quotaShare(0).LeasedFraction > 0 }
 
-func (s *Server) rejectAll(declined []shardrouter.Decision) {
-	for _, e := range declined {
-		s.deliver(s.requester(e), e, nil)
+func (s *Server) rejectAll(rejected []shardrouter.Decision) {
+	for _, entry := range rejected {
+		s.deliver(s.requester(entry), entry, nil)
 	}
 }
 
 // disconnectRevoked ends connections whose token is not good any more, by the store or by time.
 func (s *Server) disconnectRevoked() {
 	now := s.env.WallClock()
-	for _, o := range s.connectedClients() {
-		o.mu.Lock()
-		id := o.tokenID
-		o.mu.Unlock()
+	for _, c := range s.connectedClients() {
+		c.mu.Lock()
+		id := c.tokenID
+		c.mu.Unlock()
 		if id == "" {
 			continue
 		}
 		s.routerMu.Lock()
-		k, ok := s.hosting.tokens[id]
+		token, ok := s.hosting.tokens[id]
 		s.routerMu.Unlock()
-		if !ok || !now.Before(k.Expires) {
-			o.disconnect("its token is not good any more")
+		if !ok || !now.Before(token.Expires) {
+			c.disconnect("its token is not good any more")
 		}
 	}
 }
 
 // updateCapacity tells the desk how much there is to share, by the list: of nodes that take work, as far as they may be asked for.
 func (s *Server) updateCapacity() {
-	cl := &s.config.Site.Cluster
-	var all, unasked shardrouter.Resources
+	cluster := &s.config.Site.Cluster
+	var total, free shardrouter.Resources
 	s.mu.Lock()
-	for _, en := range s.list.Entries() {
-		kind := slices.Index(s.config.Site.MachineKinds, en.Kind)
-		if kind < 0 || en.Avail != 1 {
+	for _, entry := range s.list.Entries() {
+		kind := slices.Index(s.config.Site.MachineKinds, entry.Kind)
+		if kind < 0 || entry.Avail != 1 {
 			continue
 		}
-		cores, memory := cl.KindCores[kind]*cl.CoresOvercommit, cl.KindMemory[kind]*cl.MemoryOvercommit
-		all.Cores, all.Memory = all.Cores+cores, all.Memory+memory
-		if cl.ListsReportLoad { // what the list says is free is of the machine, not of what may be asked for
-			cores, memory = cores-cl.KindCores[kind]+en.FreeCores, memory-cl.KindMemory[kind]+en.FreeMemory
+		cores, memory := cluster.KindCores[kind]*cluster.CoresOvercommit, cluster.KindMemory[kind]*cluster.MemoryOvercommit
+		total.Cores, total.Memory = total.Cores+cores, total.Memory+memory
+		if cluster.ListsReportLoad { // what the list says is free is of the machine, not of what may be asked for
+			cores, memory = cores-cluster.KindCores[kind]+entry.FreeCores, memory-cluster.KindMemory[kind]+entry.FreeMemory
 		}
-		unasked.Cores, unasked.Memory = unasked.Cores+max(0, cores), unasked.Memory+max(0, memory)
+		free.Cores, free.Memory = free.Cores+max(0, cores), free.Memory+max(0, memory)
 	}
 	s.mu.Unlock()
 	s.routerMu.Lock()
-	s.router.OnCapacity(all, unasked, cl.ListsReportLoad)
+	s.router.OnCapacity(total, free, cluster.ListsReportLoad)
 	s.routerMu.Unlock()
 }
 
@@ -240,25 +240,25 @@
 	shards := s.liveShardsLocked()
 	removing := s.hosting.tenants.All()
 	s.routerMu.Unlock()
-	for _, t := range removing {
-		if t.State != tenancy.Removing {
+	for _, tenant := range removing {
+		if tenant.State != tenancy.Removing {
 			continue
 		}
-		if s.holdsNothingOf(t.Slot, shards) && now-s.hosting.startedAt > recoveryPeriod {
-			if _, err := store.FinishRemoval(s.env.WallClock(), t.Name); err != nil {
+		if s.holdsNothingOf(tenant.Slot, shards) && now-s.hosting.startedAt > recoveryPeriod {
+			if _, err := store.FinishRemoval(s.env.WallClock(), tenant.Name); err != nil {
 				return err
 			}
-			s.log.Info().Str("mode", "tenants").Str("tenant", t.Name).Msg("removed: nothing is left of it")
+			s.log.Info().Str("mode", "tenants").Str("tenant", tenant.Name).Msg("removed: nothing is left of it")
 			continue
 		}
 		for _, sh := range shards {
 			sh.post(func(now float64) {
-				n := sh.engine.EvictTenant(now, t.Slot, t.Removal == tenancy.StopRunning)
+				remaining := sh.engine.EvictTenant(now, tenant.Slot, tenant.Removal == tenancy.StopRunning)
 				s.routerMu.Lock()
-				if s.hosting.remaining[t.Slot] == nil {
-					s.hosting.remaining[t.Slot] = map[int]taskCount{}
+				if s.hosting.remaining[tenant.Slot] == nil {
+					s.hosting.remaining[tenant.Slot] = map[int]taskCount{}
 				}
-				s.hosting.remaining[t.Slot][sh.index] = taskCount{incarnation: sh.incarnation, all: n}
+				s.hosting.remaining[tenant.Slot][sh.index] = taskCount{incarnation: sh.incarnation, all: remaining}
 				s.routerMu.Unlock()
 			})
 		}
@@ -271,7 +271,7 @@
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	for _, sh := range shards {
-		if c, ok := s.hosting.remaining[slot][sh.index]; !ok || c.incarnation != sh.incarnation || c.all > 0 || sh.fenced.Load() {
+		if counts, ok := s.hosting.remaining[slot][sh.index]; !ok || counts.incarnation != sh.incarnation || counts.all > 0 || sh.fenced.Load() {
 			return false
 		}
 	}
@@ -279,28 +279,28 @@
 }
 
 // requester gives who asked. One that is gone has nothing to be told; the shard finds that out by itself.
-func (s *Server) requester(e shardrouter.Decision) *clientConn {
-	if o := s.clientByID(e.Request.Client); o != nil {
-		return o
+func (s *Server) requester(entry shardrouter.Decision) *clientConn {
+	if c := s.clientByID(entry.Request.Client); c != nil {
+		return c
 	}
 	return &clientConn{server: s, closed: true, requests: map[uint64]request{}}
 }
 
 // deliver has an ask go to the shard that the desk gave it to, or answers it. The shard is the one that entered gave, under the same
 // hold of the desk: a later life of it knows nothing of the epoch.
-func (s *Server) deliver(o *clientConn, e shardrouter.Decision, sh *shard) {
-	a := e.Request
+func (s *Server) deliver(c *clientConn, entry shardrouter.Decision, sh *shard) {
+	ask := entry.Request
 	switch {
-	case e.Queued:
+	case entry.Queued:
 		return
-	case e.Reason != "" && s.env.Now() >= a.Deadline: // it stood still: its owner has given up by itself
-		o.closeRequest(a.Ref)
+	case entry.Reason != "" && s.env.Now() >= ask.Deadline: // it stood still: its owner has given up by itself
+		c.closeRequest(ask.Ref)
 		return
-	case e.Reason != "":
-		o.sendAnswer(a.Ref, engine.Declined, 0, e.Reason, e.RetryAfter)
+	case entry.Reason != "":
+		c.sendAnswer(ask.Ref, engine.Declined, 0, entry.Reason, entry.RetryAfter)
 		return
 	}
-	s.submit(o, sh, e)
+	s.submit(c, sh, entry)
 }
 
 // queueState tells the desk of a shard's queue; under the desk.
@@ -316,27 +316,27 @@
 	now := s.env.Now()
 	s.routerMu.Lock()
 	s.hosting.pumping = false
-	all := append(s.checkQuotaLease(now), s.router.Dequeue(now, s.queueState(now))...)
-	to, owners := make([]*shard, len(all)), make([]*clientConn, len(all))
-	for i, e := range all {
-		owners[i] = s.requester(e)
-		to[i] = s.recordRoute(owners[i], e)
+	entries := append(s.checkQuotaLease(now), s.router.Dequeue(now, s.queueState(now))...)
+	shards, clients := make([]*shard, len(entries)), make([]*clientConn, len(entries))
+	for i, entry := range entries {
+		clients[i] = s.requester(entry)
+		shards[i] = s.recordRoute(clients[i], entry)
 	}
 	due := s.router.Due(now)
-	c := &s.hosting
-	plan := due < now+pumpHorizon && (c.plannedPump == 0 || due < c.plannedPump)
+	h := &s.hosting
+	plan := due < now+pumpHorizon && (h.plannedPump == 0 || due < h.plannedPump)
 	if plan {
-		c.plannedPump = due
+		h.plannedPump = due
 	}
 	s.routerMu.Unlock()
-	for i, e := range all {
-		s.deliver(owners[i], e, to[i])
+	for i, entry := range entries {
+		s.deliver(clients[i], entry, shards[i])
 	}
 	if plan { // one plan at a time, or each call would bring another
 		s.env.After(max(1, due-now), func() {
 			s.routerMu.Lock()
-			if c.plannedPump == due {
-				c.plannedPump = 0
+			if h.plannedPump == due {
+				h.plannedPump = 0
 			}
 			s.routerMu.Unlock()
 			s.pump()
@@ -351,15 +351,15 @@
 )
 
 // recordRoute notes where an ask went, and gives the shard; under the desk.
-func (s *Server) recordRoute(o *clientConn, e shardrouter.Decision) *shard {
-	if e.Queued || e.Reason != "" {
+func (s *Server) recordRoute(c *clientConn, entry shardrouter.Decision) *shard {
+	if entry.Queued || entry.Reason != "" {
 		return nil
 	}
-	if e.Epoch > 0 {
-		s.shards[e.Shard].queuedRequests.Add(1)
+	if entry.Epoch > 0 {
+		s.shards[entry.Shard].queuedRequests.Add(1)
 	}
-	o.setShard(e.Request.Ref, e.Shard)
-	return s.shards[e.Shard]
+	c.setShard(entry.Request.Ref, entry.Shard)
+	return s.shards[entry.Shard]
 }
 
 // pumpIfFree has asks go on when there is room for one; under the desk.
@@ -371,33 +371,33 @@
 }
 
 // submit tells a shard of an ask.
-func (s *Server) submit(o *clientConn, sh *shard, e shardrouter.Decision) {
-	a, name := e.Request, e.ID
+func (s *Server) submit(c *clientConn, sh *shard, entry shardrouter.Decision) {
+	ask, name := entry.Request, entry.ID
 	ok := sh.post(func(now float64) {
-		if e.Epoch > 0 {
+		if entry.Epoch > 0 {
 			sh.roundRequests++
 		}
-		err := sh.engine.Allocate(now, a.Client, a.Ref, a.JobClass, name.Tenant, a.Service, name.Token, a.Cores, a.Memory,
-			a.Deadline-now, s.currentEpoch(name, sh, e.Epoch))
+		err := sh.engine.Allocate(now, ask.Client, ask.Ref, ask.JobClass, name.Tenant, ask.Service, name.Token, ask.Cores, ask.Memory,
+			ask.Deadline-now, s.currentEpoch(name, sh, entry.Epoch))
 		if err != nil && !sh.fenced.Load() { // the door lets no ref in twice: it was moved here by a fence
-			o.sendAnswer(a.Ref, engine.Declined, 0, "open-already", 0)
+			c.sendAnswer(ask.Ref, engine.Declined, 0, "open-already", 0)
 		}
-		if s.clientByID(a.Client) == nil && s.hostsTenants() { // it waited in a line, and its owner has left meanwhile
-			sh.engine.OnClientDisconnected(now, a.Client)
+		if s.clientByID(ask.Client) == nil && s.hostsTenants() { // it waited in a line, and its owner has left meanwhile
+			sh.engine.OnClientDisconnected(now, ask.Client)
 		}
 	})
-	if !ok && e.Epoch == 0 { // the shard was fenced a moment ago; what was taken for it, its fence has answered or moved
-		o.sendAnswer(a.Ref, engine.Declined, 0, "shard-fenced", 0)
+	if !ok && entry.Epoch == 0 { // the shard was fenced a moment ago; what was taken for it, its fence has answered or moved
+		c.sendAnswer(ask.Ref, engine.Declined, 0, "shard-fenced", 0)
 	}
 }
 
 // cancelQueued answers an ask that waits for its turn as its owner gives it up; false if it does not wait.
-func (s *Server) cancelQueued(o *clientConn, ref uint64) bool {
+func (s *Server) cancelQueued(c *clientConn, ref uint64) bool {
 	s.routerMu.Lock()
-	ok := s.router.Withdraw(o.id, ref)
+	ok := s.router.Withdraw(c.id, ref)
 	s.routerMu.Unlock()
 	if ok {
-		o.sendAnswer(ref, engine.Declined, 0, "withdrawn", 0)
+		c.sendAnswer(ref, engine.Declined, 0, "withdrawn", 0)
 	}
 	return ok
 }
