--- a/internal/serve/tenants_test.go
+++ b/internal/serve/tenants_test.go
@@ -21,11 +21,11 @@
 	"ravenpond/internal/state/tenants"
 )
 
-// hosted starts a scheduler with tenants a and b, and gives a way to their store and a token each.
-func hosted(t *testing.T) (s *stage, with func(do func(st *tenants.Store)), tokens map[string]string) {
+// startHosting starts a scheduler with tenants a and b, and gives a way to their store and a token each.
+func startHosting(t *testing.T) (s *testCluster, with func(do func(st *tenants.Store)), tokens map[string]string) {
 	t.Helper()
-	s = newStage(t, 1, 4, false)
-	place := *s.place
+	s = newTestCluster(t, 1, 4, false)
+	place := *s.siteConfig
 	place.Shards, place.MaxShards, place.MaxHostedTenants = 2, 2, 4
 	place.Tenants, place.Shares = make([]string, 4), []float64{1, 1, 1, 1}
 	folder := filepath.Join(s.dir, "s0")
@@ -58,7 +58,7 @@
 			}
 		}
 	})
-	s.w.WithLock(func(float64) {
+	s.world.WithLock(func(float64) {
 		for _, n := range s.nodes {
 			n.Tenants = 4
 		}
@@ -68,12 +68,12 @@
 	return s, with, tokens
 }
 
-func (c *testClient) as(token string) error {
+func (c *testClient) authenticate(token string) error {
 	_, err := c.Call(context.Background(), "authenticate", map[string]any{"token": token})
 	return err
 }
 
-func (c *testClient) askFor(tenant string, ref uint64, job string) error {
+func (c *testClient) allocateFor(tenant string, ref uint64, job string) error {
 	_, err := c.Call(context.Background(), "allocate", map[string]any{
 		"ref": ref, "tenant": tenant, "key": fmt.Sprint(tenant, ref),
 		"job-type": job, "service": "s" + tenant, "cores": 1, "memory": 1,
@@ -82,14 +82,14 @@
 }
 
 func (c *testClient) count(what string) int {
-	return strings.Count(strings.Join(c.heard(), "\n"), what)
+	return strings.Count(strings.Join(c.notifications(), "\n"), what)
 }
 
 // TestHosting has tenants ask with their tokens and without, and one paused, resumed and removed while it asks.
 func TestHosting(t *testing.T) {
 	t.Parallel()
-	s, with, tokens := hosted(t)
-	addr := s.owner[0].SchedulerAddress()
+	s, with, tokens := startHosting(t)
+	addr := s.clients[0].SchedulerAddress()
 	t.Run("who may ask", func(t *testing.T) {
 		for _, c := range []struct {
 			name, token, tenant string
@@ -104,9 +104,9 @@
 			t.Run(c.name, func(t *testing.T) {
 				o := connect(t, addr)
 				if c.token != "" {
-					_ = o.as(c.token)
+					_ = o.authenticate(c.token)
 				}
-				err := o.askFor(c.tenant, 1, "free")
+				err := o.allocateFor(c.tenant, 1, "free")
 				if (err == nil) != c.ok || err != nil && !strings.Contains(err.Error(), "not allowed") {
 					t.Fatal(err)
 				}
@@ -119,18 +119,18 @@
 	t.Run("who guesses is cut off", func(t *testing.T) {
 		o := connect(t, addr)
 		for range maxAuthFailures {
-			if err := o.as(tokens["a"][:13] + strings.Repeat("y", 32)); err == nil {
+			if err := o.authenticate(tokens["a"][:13] + strings.Repeat("y", 32)); err == nil {
 				t.Fatal("let in")
 			}
 		}
 		waitFor(t, "cut off", func() bool {
-			err := o.as(tokens["a"])
+			err := o.authenticate(tokens["a"])
 			var e *jrpc2.Error
 			return err != nil && !errors.As(err, &e)
 		})
 	})
 	a, b := connect(t, addr), connect(t, addr)
-	if a.as(tokens["a"]) != nil || b.as(tokens["b"]) != nil {
+	if a.authenticate(tokens["a"]) != nil || b.authenticate(tokens["b"]) != nil {
 		t.Fatal("not let in")
 	}
 	change := func(k tenancy.Kind, e tenancy.RemovalMode) {
@@ -145,7 +145,7 @@
 	until := func(what, answer string) { // it asks until the scheduler has read what changed
 		waitFor(t, what, func() bool {
 			ref++
-			if err := a.askFor("a", ref, "free"); err != nil {
+			if err := a.allocateFor("a", ref, "free"); err != nil {
 				return what == removed // the removal may be over by now, and the token gone with it
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -159,7 +159,7 @@
 		before := a.count(`"answer":"served"`)
 		waitFor(t, "served again", func() bool {
 			ref++
-			_ = a.askFor("a", ref, "free")
+			_ = a.allocateFor("a", ref, "free")
 			time.Sleep(50 * time.Millisecond)
 			return a.count(`"answer":"served"`) > before
 		})
@@ -167,13 +167,13 @@
 	t.Run("removed while it asks", func(t *testing.T) {
 		const many = 60
 		for i := range uint64(many) {
-			if err := a.askFor("a", 100+i, []string{"free", "once"}[i%2]); err != nil {
+			if err := a.allocateFor("a", 100+i, []string{"free", "once"}[i%2]); err != nil {
 				t.Fatal(err)
 			}
 		}
 		change(tenancy.Remove, tenancy.StopRunning)
 		until(removed, `"why":"tenant-removed"`)
-		if err := b.askFor("b", 1, "free"); err != nil {
+		if err := b.allocateFor("b", 1, "free"); err != nil {
 			t.Error(err)
 		}
 		waitFor(t, "all are answered", func() bool {
@@ -187,7 +187,7 @@
 		waitFor(t, "the other is served", func() bool { return b.count(`"answer":"served"`) == 1 })
 		waitFor(t, "nothing of it runs", func() bool {
 			held := 0
-			s.w.WithLock(func(float64) {
+			s.world.WithLock(func(float64) {
 				for _, n := range s.nodes {
 					held += n.Machine.TaskCount()
 				}
@@ -211,16 +211,16 @@
 		}
 		t.Error("the removal does not end")
 	})
-	if breaks, _ := s.breaks(); len(breaks) > 0 {
+	if breaks, _ := s.violations(); len(breaks) > 0 {
 		t.Error(breaks)
 	}
 }
 
-// TestDoor bounds connections and bytes of each tenant, and callers that show no token; the other tenant notices nothing.
-func TestDoor(t *testing.T) {
+// TestConnectionLimits bounds connections and bytes of each tenant, and callers that show no token; the other tenant notices nothing.
+func TestConnectionLimits(t *testing.T) {
 	t.Parallel()
-	s, with, tokens := hosted(t)
-	addr := s.owner[0].SchedulerAddress()
+	s, with, tokens := startHosting(t)
+	addr := s.clients[0].SchedulerAddress()
 	with(func(st *tenants.Store) {
 		if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{Kind: tenancy.Limit, Name: "a", Limits: tenancy.Limits{
 			Limits: fairqueue.Limits{Share: 1, MaxWaiting: 50}, MaxConns: 2, BytesPerSecond: 2000,
@@ -229,7 +229,7 @@
 		}
 	})
 	a, b := connect(t, addr), connect(t, addr)
-	if a.as(tokens["a"]) != nil || b.as(tokens["b"]) != nil {
+	if a.authenticate(tokens["a"]) != nil || b.authenticate(tokens["b"]) != nil {
 		t.Fatal("not let in")
 	}
 	asks := uint64(0)
@@ -237,7 +237,7 @@
 		t.Helper()
 		asks++
 		before := b.count(`"answer":"served"`)
-		if err := b.askFor("b", asks, "free"); err != nil {
+		if err := b.allocateFor("b", asks, "free"); err != nil {
 			t.Fatal(what, err)
 		}
 		waitFor(t, what, func() bool { return b.count(`"answer":"served"`) == before+1 })
@@ -246,12 +246,12 @@
 		var second *testClient
 		waitFor(t, "a third is told that it is too many", func() bool {
 			second = connect(t, addr)
-			if second.as(tokens["a"]) != nil { // those of the last round are not gone yet
+			if second.authenticate(tokens["a"]) != nil { // those of the last round are not gone yet
 				second.Close()
 				return false
 			}
 			third := connect(t, addr)
-			err := third.as(tokens["a"])
+			err := third.authenticate(tokens["a"])
 			if err != nil && !strings.Contains(err.Error(), "as many connections") {
 				t.Fatal(err)
 			}
@@ -260,16 +260,16 @@
 				third.Close()
 				return false
 			}
-			return third.askFor("a", 1, "free") != nil
+			return third.allocateFor("a", 1, "free") != nil
 		})
 		second.Close()
-		waitFor(t, "another when one has gone", func() bool { return connect(t, addr).as(tokens["a"]) == nil })
+		waitFor(t, "another when one has gone", func() bool { return connect(t, addr).authenticate(tokens["a"]) == nil })
 		served("the other tenant")
 	})
 	t.Run("bytes", func(t *testing.T) {
 		waitFor(t, "declined with a time to come back", func() bool {
 			asks++
-			_ = a.askFor("a", asks, "free")
+			_ = a.allocateFor("a", asks, "free")
 			return a.count(`"why":"too-many-bytes","hold-off-ms":`) > 0
 		})
 		served("the other tenant")
@@ -277,12 +277,12 @@
 		waitFor(t, "served again in time", func() bool {
 			time.Sleep(700 * time.Millisecond)
 			asks++
-			return a.askFor("a", asks, "free") == nil && a.count(`"answer":"served"`) > before
+			return a.allocateFor("a", asks, "free") == nil && a.count(`"answer":"served"`) > before
 		})
 		waitFor(t, "ended when it goes on", func() bool {
 			for range 50 {
 				asks++
-				if a.askFor("a", asks, "free") != nil {
+				if a.allocateFor("a", asks, "free") != nil {
 					return true
 				}
 			}
@@ -300,12 +300,12 @@
 		}
 		served("the other tenant")
 		late := connect(t, addr)
-		if err := late.as(tokens["b"]); err != nil {
+		if err := late.authenticate(tokens["b"]); err != nil {
 			t.Error(err)
 		}
 		long := connect(t, addr)
 		waitFor(t, "one that shows none in time ends", func() bool {
-			err := long.askFor("a", 1, "free")
+			err := long.allocateFor("a", 1, "free")
 			return err != nil && !strings.Contains(err.Error(), "not allowed")
 		})
 		served("the other tenant")
@@ -315,8 +315,8 @@
 // TestStartWhileHeld starts a scheduler while somebody changes the tenants: it waits for the store.
 func TestStartWhileHeld(t *testing.T) {
 	t.Parallel()
-	s := newStage(t, 1, 2, false)
-	place := *s.place
+	s := newTestCluster(t, 1, 2, false)
+	place := *s.siteConfig
 	place.MaxHostedTenants, place.Tenants, place.Shares = 2, make([]string, 2), []float64{1, 1}
 	st, err := tenants.Open(filepath.Join(s.dir, "s0"), 2)
 	if err != nil {
@@ -326,9 +326,9 @@
 	s.start(0, place, Faults{}) // fails the test if the scheduler ends
 }
 
-// TestSecureDoor asks over TLS; who speaks none, an older one, or begins a handshake and says no more gets no further, and keeps
+// TestTLSListener asks over TLS; who speaks none, an older one, or begins a handshake and says no more gets no further, and keeps
 // nobody out.
-func TestSecureDoor(t *testing.T) {
+func TestTLSListener(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), "keys")
 	ca, err := keys.Init(dir, time.Now())
@@ -342,11 +342,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newStage(t, 1, 4, false)
-	s.tune = func(who *Config) { who.TLS = guard.ServerConfig() }
-	s.start(0, *s.place, Faults{})
+	s := newTestCluster(t, 1, 4, false)
+	s.configure = func(who *Config) { who.TLS = guard.ServerConfig() }
+	s.start(0, *s.siteConfig, Faults{})
 	time.Sleep(1800 * time.Millisecond)
-	addr := s.owner[0].SchedulerAddress()
+	addr := s.clients[0].SchedulerAddress()
 	cas, err := keys.Certificates(filepath.Join(dir, "ca.pem"))
 	if err != nil {
 		t.Fatal(err)
@@ -365,7 +365,7 @@
 		t.Error("an older TLS was spoken")
 	}
 	plain := connect(t, addr)
-	if err := plain.ask(1, "free", "p"); err == nil {
+	if err := plain.allocate(1, "free", "p"); err == nil {
 		t.Error("asked without TLS")
 	}
 	for _, again := range []bool{false, true} { // with the certificate of the start, and with another that was put there since
@@ -381,8 +381,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := speak(t, conn)
-		if err := c.ask(1, "free", fmt.Sprint("k", again)); err != nil {
+		c := newTestClient(t, conn)
+		if err := c.allocate(1, "free", fmt.Sprint("k", again)); err != nil {
 			t.Fatal(err)
 		}
 		waitFor(t, "served", func() bool { return c.count(`"answer":"served"`) == 1 })
--- a/internal/serve/workingset.go
+++ b/internal/serve/workingset.go
@@ -56,8 +56,8 @@
 	starts float64 // a second
 }
 
-// newNodeSet gives the working set of a process, nil if the site file asks for none.
-func newNodeSet(s *Server) *workingSet {
+// newWorkingSet gives the working set of a process, nil if the site file asks for none.
+func newWorkingSet(s *Server) *workingSet {
 	place := s.config.Site
 	if place.WorkingSet.MinNodes == 0 {
 		return nil
@@ -80,158 +80,158 @@
 }
 
 // start begins the steps.
-func (v *workingSet) start() {
-	v.server.async(v.startVisits) // owners ask again at once for what an earlier incarnation left running
-	v.server.every(stepInterval, v.step)
-	v.server.every(releaseInterval, v.releaseIdle)
+func (w *workingSet) start() {
+	w.server.async(w.startVisits) // owners ask again at once for what an earlier incarnation left running
+	w.server.every(stepInterval, w.step)
+	w.server.every(releaseInterval, w.releaseIdle)
 }
 
 // onList takes news of the node list: shards hear what concerns the nodes that they know.
-func (v *workingSet) onList(kind logic.ListKind, entries []listEntry) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	now := v.server.env.Now()
-	var gone []uint32
+func (w *workingSet) onList(kind logic.ListKind, entries []listEntry) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := w.server.env.Now()
+	var removed []uint32
 	if kind == logic.ListFull || kind == logic.ListCached {
-		gone = v.removeUnlisted(entries)
+		removed = w.removeUnlisted(entries)
 	}
 	var known []listEntry
 	for _, entry := range entries {
-		v.putEntry(now, kind, entry)
+		w.putEntry(now, kind, entry)
 		if logic.Availability(entry.Avail) == logic.Unavailable {
-			gone = append(gone, entry.ID)
+			removed = append(removed, entry.ID)
 		}
-		if _, ok := v.nodeStates[entry.ID]; ok {
+		if _, ok := w.nodeStates[entry.ID]; ok {
 			known = append(known, entry)
 		}
 	}
-	for _, sh := range v.server.liveShards() {
+	for _, sh := range w.server.liveShards() {
 		sh.postList(kind, known)
 	}
-	v.setAsideUnlisted(gone)
-	v.apply(now, v.set.Step(now))
-	v.continueVisits()
+	w.setAsideUnlisted(removed)
+	w.apply(now, w.set.Step(now))
+	w.continueVisits()
 }
 
 // setAsideUnlisted sets nodes aside that left the list: they are forgotten once nothing stands there.
-func (v *workingSet) setAsideUnlisted(gone []uint32) {
-	var left []uint32
-	for _, id := range gone {
-		if _, ok := v.nodeStates[id]; ok {
-			v.nodeStates[id] = nodeAside
-			left = append(left, id)
+func (w *workingSet) setAsideUnlisted(removed []uint32) {
+	var known []uint32
+	for _, id := range removed {
+		if _, ok := w.nodeStates[id]; ok {
+			w.nodeStates[id] = nodeAside
+			known = append(known, id)
 		}
 	}
-	v.setAside(left, true)
+	w.setAside(known, true)
 }
 
 // putEntry takes an entry of the list into the set.
-func (v *workingSet) putEntry(now float64, kind logic.ListKind, entry listEntry) {
+func (w *workingSet) putEntry(now float64, kind logic.ListKind, entry listEntry) {
 	avail := logic.Availability(entry.Avail)
 	if avail == logic.Unavailable {
-		v.set.RemoveNode(entry.ID)
-		v.visits.Remove(entry.ID)
-		delete(v.newNodes, entry.ID)
+		w.set.RemoveNode(entry.ID)
+		w.visits.Remove(entry.ID)
+		delete(w.newNodes, entry.ID)
 		return
 	}
 	state := workingset.Ready
 	if avail == logic.Draining {
 		state = workingset.Draining
 	}
-	if isNew := v.set.PutNode(workingset.Node{ID: entry.ID, Zone: entry.zone, Kind: entry.kind, State: state}); isNew {
-		if !v.server.config.Faults.SkipVisits {
-			v.visits.Add(entry.ID)
+	if isNew := w.set.PutNode(workingset.Node{ID: entry.ID, Zone: entry.zone, Kind: entry.kind, State: state}); isNew {
+		if !w.server.config.Faults.SkipVisits {
+			w.visits.Add(entry.ID)
 		}
 		if kind != logic.ListCached {
-			v.newNodes[entry.ID] = now
+			w.newNodes[entry.ID] = now
 		}
 	}
 }
 
 // removeUnlisted takes nodes out of the set that a whole list does not name, and gives them.
-func (v *workingSet) removeUnlisted(entries []listEntry) (gone []uint32) {
+func (w *workingSet) removeUnlisted(entries []listEntry) (removed []uint32) {
 	listed := make(map[uint32]bool, len(entries))
 	for _, entry := range entries {
 		listed[entry.ID] = true
 	}
-	for id := range v.set.Nodes {
+	for id := range w.set.Nodes {
 		if !listed[id] {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	slices.Sort(gone)
-	for _, id := range gone {
-		v.set.RemoveNode(id)
-		v.visits.Remove(id)
-		delete(v.newNodes, id)
+	slices.Sort(removed)
+	for _, id := range removed {
+		w.set.RemoveNode(id)
+		w.visits.Remove(id)
+		delete(w.newNodes, id)
 	}
-	return gone
+	return removed
 }
 
 // sendKnownNodes tells a shard that begins of the nodes that the others know.
-func (v *workingSet) sendKnownNodes(sh *shard) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	ids := slices.Sorted(maps.Keys(v.nodeStates))
+func (w *workingSet) sendKnownNodes(sh *shard) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	ids := slices.Sorted(maps.Keys(w.nodeStates))
 	var outside []uint32
 	for _, id := range ids {
-		if v.nodeStates[id] != nodeInside {
-			v.nodeStates[id] = nodeAside // this shard has yet to hear whether something stands there
+		if w.nodeStates[id] != nodeInside {
+			w.nodeStates[id] = nodeAside // this shard has yet to hear whether something stands there
 			outside = append(outside, id)
 		}
 	}
-	entries := v.entriesOf(ids)
+	entries := w.entriesOf(ids)
 	sh.post(func(now float64) { sh.engine.SetOutsideWorkingSet(now, outside, true) })
 	sh.postList(logic.ListCached, entries)
 }
 
 // entriesOf gives the list's entries of nodes.
-func (v *workingSet) entriesOf(ids []uint32) []listEntry {
-	v.server.mu.Lock()
-	defer v.server.mu.Unlock()
+func (w *workingSet) entriesOf(ids []uint32) []listEntry {
+	w.server.mu.Lock()
+	defer w.server.mu.Unlock()
 	var entries []state.Entry
 	for _, id := range ids {
-		if entry, ok := v.server.list.Entry(id); ok {
+		if entry, ok := w.server.list.Entry(id); ok {
 			entries = append(entries, entry)
 		}
 	}
-	return v.server.resolveEntries(entries)
+	return w.server.resolveEntries(entries)
 }
 
 // step lets the set decide, and carries that out.
-func (v *workingSet) step() {
-	names, known := v.memberNames()
-	now := v.server.env.Now()
-	v.mu.Lock()
+func (w *workingSet) step() {
+	names, known := w.memberNames()
+	now := w.server.env.Now()
+	w.mu.Lock()
 	if known {
-		v.set.SetMembers(now, names)
-	}
-	v.takeReports(now)
-	v.apply(now, v.set.Step(now))
-	rests := v.visiting && v.visits.Pending() == 0
-	v.visiting = v.visits.Pending() > 0
-	v.mu.Unlock()
-	v.startVisits()
-	if rests && v.server.config.FreeMemory != nil {
-		v.server.env.After(freeMemoryDelay, v.server.config.FreeMemory)
-	}
-	v.server.postAll(func(sh *shard, now float64) {
+		w.set.SetMembers(now, names)
+	}
+	w.takeReports(now)
+	w.apply(now, w.set.Step(now))
+	visitsDone := w.visiting && w.visits.Pending() == 0
+	w.visiting = w.visits.Pending() > 0
+	w.mu.Unlock()
+	w.startVisits()
+	if visitsDone && w.server.config.FreeMemory != nil {
+		w.server.env.After(freeMemoryDelay, w.server.config.FreeMemory)
+	}
+	w.server.postAll(func(sh *shard, now float64) {
 		demand := sh.engine.Demand(now, shortageAfter)
-		v.reportsMu.Lock()
-		v.demands[sh.index] = demand
-		v.reportsMu.Unlock()
+		w.reportsMu.Lock()
+		w.demands[sh.index] = demand
+		w.reportsMu.Unlock()
 	})
 }
 
 // memberNames gives the schedulers that are there, if this process knows them.
-func (v *workingSet) memberNames() (names []string, known bool) {
-	if v.server.membership.runner == nil {
+func (w *workingSet) memberNames() (names []string, known bool) {
+	if w.server.membership.runner == nil {
 		return nil, false
 	}
-	v.server.membership.runner.WithDetector(func(d *membership.Detector) {
-		for _, m := range d.All() {
-			if m.State == membership.Alive || m.State == membership.Suspect {
-				names = append(names, m.Name)
+	w.server.membership.runner.WithDetector(func(detector *membership.Detector) {
+		for _, member := range detector.All() {
+			if member.State == membership.Alive || member.State == membership.Suspect {
+				names = append(names, member.Name)
 			}
 		}
 	})
@@ -239,98 +239,98 @@
 }
 
 // takeReports takes what connections and shards have told since the last step.
-func (v *workingSet) takeReports(now float64) {
-	v.reportsMu.Lock()
-	defer v.reportsMu.Unlock()
-	for id, reachable := range v.reachable {
-		v.set.SetReachable(id, reachable)
+func (w *workingSet) takeReports(now float64) {
+	w.reportsMu.Lock()
+	defer w.reportsMu.Unlock()
+	for id, reachable := range w.reachable {
+		w.set.SetReachable(id, reachable)
 	}
-	clear(v.reachable)
+	clear(w.reachable)
 	var sum engine.Demand
-	for _, index := range slices.Sorted(maps.Keys(v.demands)) {
-		d := v.demands[index]
-		sum.Cores, sum.Memory, sum.Offers = sum.Cores+d.Cores, sum.Memory+d.Memory, sum.Offers+d.Offers
-		for i, short := range d.Short {
+	for _, index := range slices.Sorted(maps.Keys(w.demands)) {
+		demand := w.demands[index]
+		sum.Cores, sum.Memory, sum.Offers = sum.Cores+demand.Cores, sum.Memory+demand.Memory, sum.Offers+demand.Offers
+		for i, short := range demand.Short {
 			if !short {
 				continue
 			}
 			kind := i
-			if i == len(d.Short)-1 {
+			if i == len(demand.Short)-1 {
 				kind = workingset.AnyKind
 			}
-			v.set.OnShortage(kind)
+			w.set.OnShortage(kind)
 		}
 	}
-	v.measure(now, sum)
-	clear(v.demands)
+	w.measure(now, sum)
+	clear(w.demands)
 }
 
 // measure tells the set the own load, now and then. Machines are counted in those of the mean kind.
-func (v *workingSet) measure(now float64, sum engine.Demand) {
-	if len(v.demands) == 0 || now-v.load.at < loadInterval {
+func (w *workingSet) measure(now float64, sum engine.Demand) {
+	if len(w.demands) == 0 || now-w.load.at < loadInterval {
 		return
 	}
-	if sum.Offers >= v.load.offers && v.load.at > 0 { // else a shard has begun anew
-		starts := float64(sum.Offers-v.load.offers) / (now - v.load.at) * 1000
-		v.load.starts = (v.load.starts + starts) / 2
+	if sum.Offers >= w.load.offers && w.load.at > 0 { // else a shard has begun anew
+		starts := float64(sum.Offers-w.load.offers) / (now - w.load.at) * 1000
+		w.load.starts = (w.load.starts + starts) / 2
 	}
-	v.load.at, v.load.offers = now, sum.Offers
-	cluster := &v.server.config.Site.Cluster
+	w.load.at, w.load.offers = now, sum.Offers
+	cluster := &w.server.config.Site.Cluster
 	cores, memory := 0.0, 0.0
 	for kind := range cluster.KindCores {
 		cores += cluster.KindCores[kind] * cluster.CoresOvercommit
 		memory += cluster.KindMemory[kind] * cluster.MemoryOvercommit
 	}
 	kinds := float64(len(cluster.KindCores))
-	v.set.SetLoad(workingset.Load{Machines: kinds * max(sum.Cores/cores, sum.Memory/memory), Starts: v.load.starts})
+	w.set.SetLoad(workingset.Load{Machines: kinds * max(sum.Cores/cores, sum.Memory/memory), Starts: w.load.starts})
 }
 
 // apply tells the shards which nodes enter and leave the set.
-func (v *workingSet) apply(now float64, change workingset.Change) {
-	var left, back, fresh, warm []uint32
+func (w *workingSet) apply(now float64, change workingset.Change) {
+	var leaving, returning, newcomers, warm []uint32
 	for _, departure := range change.Removed {
-		v.nodeStates[departure.ID] = nodeAside
-		left = append(left, departure.ID)
+		w.nodeStates[departure.ID] = nodeAside
+		leaving = append(leaving, departure.ID)
 	}
 	for _, id := range change.Added {
-		if _, ok := v.nodeStates[id]; ok {
-			back = append(back, id)
-		} else if since, isNew := v.newNodes[id]; isNew && now-since < v.server.config.Site.Cluster.SlowStartDuration {
-			fresh = append(fresh, id)
+		if _, ok := w.nodeStates[id]; ok {
+			returning = append(returning, id)
+		} else if since, isNew := w.newNodes[id]; isNew && now-since < w.server.config.Site.Cluster.SlowStartDuration {
+			newcomers = append(newcomers, id)
 		} else {
 			warm = append(warm, id)
 		}
-		v.nodeStates[id] = nodeInside
-	}
-	v.setAside(left, true)
-	v.setAside(back, false)
-	v.introduce(fresh, true, false)
-	v.introduce(warm, false, false)
-	for id, since := range v.newNodes {
-		if now-since >= v.server.config.Site.Cluster.SlowStartDuration {
-			delete(v.newNodes, id)
+		w.nodeStates[id] = nodeInside
+	}
+	w.setAside(leaving, true)
+	w.setAside(returning, false)
+	w.introduce(newcomers, true, false)
+	w.introduce(warm, false, false)
+	for id, since := range w.newNodes {
+		if now-since >= w.server.config.Site.Cluster.SlowStartDuration {
+			delete(w.newNodes, id)
 		}
 	}
 	if len(change.Added)+len(change.Removed) > 0 {
-		v.server.log.Info().Str("mode", "working-set").Int("nodes", v.set.Size()).Int("entered", len(change.Added)).
-			Int("left", len(change.Removed)).Int("known", len(v.nodeStates)).Msg("working set changes")
+		w.server.log.Info().Str("mode", "working-set").Int("nodes", w.set.Size()).Int("entered", len(change.Added)).
+			Int("left", len(change.Removed)).Int("known", len(w.nodeStates)).Msg("working set changes")
 	}
 }
 
 // setAside has all shards set nodes aside, or no longer.
-func (v *workingSet) setAside(ids []uint32, out bool) {
+func (w *workingSet) setAside(ids []uint32, out bool) {
 	if len(ids) > 0 {
-		v.server.postAll(func(sh *shard, now float64) { sh.engine.SetOutsideWorkingSet(now, ids, out) })
+		w.server.postAll(func(sh *shard, now float64) { sh.engine.SetOutsideWorkingSet(now, ids, out) })
 	}
 }
 
 // introduce tells all shards of nodes that they do not know, inside the set or aside.
-func (v *workingSet) introduce(ids []uint32, isNew, outside bool) {
+func (w *workingSet) introduce(ids []uint32, isNew, outside bool) {
 	if len(ids) == 0 {
 		return
 	}
-	entries := v.entriesOf(ids)
-	v.server.postAll(func(sh *shard, now float64) {
+	entries := w.entriesOf(ids)
+	w.server.postAll(func(sh *shard, now float64) {
 		sh.engine.SetOutsideWorkingSet(now, ids, outside)
 		sh.engine.BeginWorkingSet(now, isNew)
 		sh.putNodes(entries)
@@ -338,23 +338,23 @@
 }
 
 // onConnection notes that a node is connected, or is not.
-func (v *workingSet) onConnection(id uint32, connected bool) {
-	if v == nil {
+func (w *workingSet) onConnection(id uint32, connected bool) {
+	if w == nil {
 		return
 	}
-	v.reportsMu.Lock()
-	defer v.reportsMu.Unlock()
-	v.reachable[id] = connected
+	w.reportsMu.Lock()
+	defer w.reportsMu.Unlock()
+	w.reachable[id] = connected
 }
 
 // contains tells whether this process looks at a node: at each if it has no working set.
-func (v *workingSet) contains(id uint32) bool {
-	if v == nil {
+func (w *workingSet) contains(id uint32) bool {
+	if w == nil {
 		return true
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.set.Contains(id)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.set.Contains(id)
 }
 
 // releaseVote counts the shards that have released nodes.
@@ -365,40 +365,40 @@
 }
 
 // releaseIdle ends the connections to nodes outside the set at which no shard has anything left.
-func (v *workingSet) releaseIdle() {
-	v.mu.Lock()
+func (w *workingSet) releaseIdle() {
+	w.mu.Lock()
 	var ids []uint32
-	for id, state := range v.nodeStates {
+	for id, state := range w.nodeStates {
 		if state == nodeAside {
 			ids = append(ids, id)
 		}
 	}
-	v.mu.Unlock()
+	w.mu.Unlock()
 	if len(ids) == 0 {
 		return
 	}
 	slices.Sort(ids)
-	shards := v.server.liveShards()
-	p := &releaseVote{pending: len(shards), votes: map[uint32]int{}}
+	shards := w.server.liveShards()
+	vote := &releaseVote{pending: len(shards), votes: map[uint32]int{}}
 	for _, sh := range shards { // a shard that is fenced tells nothing, and so holds all up until it begins anew
 		sh.post(func(now float64) {
-			p.mu.Lock()
-			defer p.mu.Unlock()
+			vote.mu.Lock()
+			defer vote.mu.Unlock()
 			for _, id := range ids {
-				if v.releaseNode(sh, now, id) {
-					p.votes[id]++
+				if w.releaseNode(sh, now, id) {
+					vote.votes[id]++
 				}
 			}
-			if p.pending--; p.pending == 0 {
-				v.server.async(func() { v.disconnectReleased(ids, p.votes, len(shards)) })
+			if vote.pending--; vote.pending == 0 {
+				w.server.async(func() { w.disconnectReleased(ids, vote.votes, len(shards)) })
 			}
 		})
 	}
 }
 
 // releaseNode has a shard release a node.
-func (v *workingSet) releaseNode(sh *shard, now float64, id uint32) bool {
-	if v.server.config.Faults.AbandonTasks {
+func (w *workingSet) releaseNode(sh *shard, now float64, id uint32) bool {
+	if w.server.config.Faults.AbandonTasks {
 		sh.engine.ForceRelease(now, id)
 		return true
 	}
@@ -406,20 +406,20 @@
 }
 
 // disconnectReleased ends the connections to nodes that all shards have released.
-func (v *workingSet) disconnectReleased(ids []uint32, votes map[uint32]int, shards int) {
+func (w *workingSet) disconnectReleased(ids []uint32, votes map[uint32]int, shards int) {
 	var idle []uint32
-	v.mu.Lock()
+	w.mu.Lock()
 	for _, id := range ids {
-		if state, known := v.nodeStates[id]; known && state == nodeAside && votes[id] == shards {
-			v.nodeStates[id] = nodeReleased
-			if !v.set.IsListed(id) {
-				delete(v.nodeStates, id)
+		if state, known := w.nodeStates[id]; known && state == nodeAside && votes[id] == shards {
+			w.nodeStates[id] = nodeReleased
+			if !w.set.IsListed(id) {
+				delete(w.nodeStates, id)
 			}
 			idle = append(idle, id)
 		}
 	}
-	v.mu.Unlock()
+	w.mu.Unlock()
 	for _, id := range idle {
-		v.server.connections.disconnect(id, "outside the working set")
+		w.server.connections.disconnect(id, "outside the working set")
 	}
 }
--- a/internal/serve/workingset_test.go
+++ b/internal/serve/workingset_test.go
@@ -20,28 +20,28 @@
 	setLeast      = 12 // a node is in one set in the mean
 )
 
-// setStage is a stage with one of five schedulers, each of which works with a fifth of the nodes.
-func setStage(t *testing.T, p Faults) (s *stage, v *workingSet, address string) {
+// newWorkingSetCluster is a stage with one of five schedulers, each of which works with a fifth of the nodes.
+func newWorkingSetCluster(t *testing.T, p Faults) (s *testCluster, v *workingSet, address string) {
 	t.Helper()
-	s = newStage(t, setSchedulers, setNodes, false)
+	s = newTestCluster(t, setSchedulers, setNodes, false)
 	began := make(chan *workingSet, 1)
-	s.tune = func(who *Config) { who.OnLocalListener = func(l *LocalListener) { began <- l.server.workingSet } }
-	s.start(0, s.setPlace(), p)
+	s.configure = func(who *Config) { who.OnLocalListener = func(l *LocalListener) { began <- l.server.workingSet } }
+	s.start(0, s.workingSetSite(), p)
 	v = <-began
-	waitFor(t, "a settled set", func() bool { return v.settled() })
-	return s, v, s.owner[0].SchedulerAddress()
+	waitFor(t, "a settled set", func() bool { return v.isSettled() })
+	return s, v, s.clients[0].SchedulerAddress()
 }
 
-// setPlace is the stage's site with a working set.
-func (s *stage) setPlace() site.Config {
-	place := *s.place
-	place.Cluster.SlowStartDuration = 50 // the nodes are warm from the start
-	place.WorkingSet = site.WorkingSet{MinNodes: setLeast, Coverage: 1, SpareFactor: 1, NodesPerStart: 1, MinPerStratum: 2, NarrowAfter: 1000}
-	return place
+// workingSetSite is the stage's site with a working set.
+func (s *testCluster) workingSetSite() site.Config {
+	siteConfig := *s.siteConfig
+	siteConfig.Cluster.SlowStartDuration = 50 // the nodes are warm from the start
+	siteConfig.WorkingSet = site.WorkingSet{MinNodes: setLeast, Coverage: 1, SpareFactor: 1, NodesPerStart: 1, MinPerStratum: 2, NarrowAfter: 1000}
+	return siteConfig
 }
 
-// settled tells that all nodes outside have been visited, and left where nothing stands.
-func (v *workingSet) settled() bool {
+// isSettled tells that all nodes outside have been visited, and left where nothing stands.
+func (v *workingSet) isSettled() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, state := range v.nodeStates {
@@ -52,8 +52,8 @@
 	return v.set.Size() > 0 && v.visits.Pending() == 0
 }
 
-// share has the set be shared out among others than before.
-func (v *workingSet) share(names ...string) {
+// setMembers has the set be shared out among others than before.
+func (v *workingSet) setMembers(names ...string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.set.SetMembers(v.server.env.Now(), names)
@@ -66,10 +66,10 @@
 }
 
 // linked counts nodes that are connected to a scheduler.
-func (s *stage) linked(sched string) (n int) {
-	s.w.WithLock(func(float64) {
+func (s *testCluster) linked(scheduler string) (n int) {
+	s.world.WithLock(func(float64) {
 		for _, node := range s.nodes {
-			if node.IsConnected(sched) {
+			if node.IsConnected(scheduler) {
 				n++
 			}
 		}
@@ -81,14 +81,14 @@
 // as its set has nodes, and breaks no rule.
 func TestWorkingSetConnections(t *testing.T) {
 	t.Parallel()
-	s, v, _ := setStage(t, Faults{})
+	s, v, _ := newWorkingSetCluster(t, Faults{})
 	s.load(6000, 5, "0012") // so few that its load asks for no larger set
-	waitFor(t, "idle connections to end", func() bool { return v.settled() && s.linked("s0") == v.size() })
+	waitFor(t, "idle connections to end", func() bool { return v.isSettled() && s.linked("s0") == v.size() })
 	if size := v.size(); size < setLeast/2 || size > 3*setLeast {
 		t.Errorf("%d nodes in the set", size)
 	}
 	met := map[uint32]bool{}
-	for _, r := range s.w.Trace.Records() {
+	for _, r := range s.world.Trace.Records() {
 		if r.Kind == audit.LinkOpened {
 			met[r.Node] = true
 		}
@@ -96,7 +96,7 @@
 	if len(met) != setNodes {
 		t.Errorf("%d of %d nodes were connected or visited", len(met), setNodes)
 	}
-	if breaks, served := s.breaks(); len(breaks) > 0 || served < 25 {
+	if breaks, served := s.violations(); len(breaks) > 0 || served < 25 {
 		t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
 	}
 }
@@ -104,18 +104,18 @@
 // tasksOutside runs tasks and has the nodes be shared out anew, until the tasks have ended.
 //
 // It tells of how many tasks the owner heard that they ended, and of how many that they were lost.
-func tasksOutside(t *testing.T, p Faults) (ended, lost int, v *workingSet, s *stage) {
-	s, v, address := setStage(t, p)
+func tasksOutside(t *testing.T, p Faults) (ended, lost int, v *workingSet, s *testCluster) {
+	s, v, address := newWorkingSetCluster(t, p)
 	c := connect(t, address)
 	const tasks = 30
 	for ref := range uint64(tasks) {
-		if err := c.ask(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
+		if err := c.allocate(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	count := func(what string) int { return strings.Count(strings.Join(c.heard(), "\n"), what) }
+	count := func(what string) int { return strings.Count(strings.Join(c.notifications(), "\n"), what) }
 	waitFor(t, "tasks to run", func() bool { return count(`"served"`) == tasks })
-	v.share("x", "y", "z", "w")
+	v.setMembers("x", "y", "z", "w")
 	for end := time.Now().Add(12 * time.Second); count("over") < tasks && time.Now().Before(end); { // lost ones take 8 s
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -129,11 +129,11 @@
 	if lost > 0 {
 		t.Errorf("%d tasks ended, %d were lost", ended, lost)
 	}
-	waitFor(t, "idle connections to end", func() bool { return v.settled() && s.linked("s0") == v.size() })
+	waitFor(t, "idle connections to end", func() bool { return v.isSettled() && s.linked("s0") == v.size() })
 }
 
-// TestAbandonedTaskIsFound plants a scheduler that hangs up on nodes outside its set whatever runs there.
-func TestAbandonedTaskIsFound(t *testing.T) {
+// TestAbandonedTaskIsRecovered plants a scheduler that hangs up on nodes outside its set whatever runs there.
+func TestAbandonedTaskIsRecovered(t *testing.T) {
 	t.Parallel()
 	if _, lost, _, _ := tasksOutside(t, Faults{AbandonTasks: true}); lost == 0 {
 		t.Error("tasks without a way home are not found")
@@ -144,24 +144,24 @@
 // patience that a broken connection has.
 func TestNodeOutsideTheSetDies(t *testing.T) {
 	t.Parallel()
-	s, v, address := setStage(t, Faults{})
+	s, v, address := newWorkingSetCluster(t, Faults{})
 	c := connect(t, address)
 	for ref := range uint64(30) {
-		if err := c.ask(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
+		if err := c.allocate(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.heard(), "\n"), `"served"`) == 30 })
+	waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.notifications(), "\n"), `"served"`) == 30 })
 	before := map[uint32]bool{}
 	v.mu.Lock()
 	for id, state := range v.nodeStates {
 		before[id] = state == nodeInside
 	}
 	v.mu.Unlock()
-	v.share("x", "y", "z", "w")
+	v.setMembers("x", "y", "z", "w")
 	time.Sleep(300 * time.Millisecond)
 	died := 0
-	s.w.WithLock(func(now float64) {
+	s.world.WithLock(func(now float64) {
 		for _, n := range s.nodes {
 			if before[n.ID] && !v.contains(n.ID) && n.Machine.TaskCount() > 0 {
 				died += n.Machine.TaskCount()
@@ -173,17 +173,17 @@
 	if died == 0 {
 		t.Fatal("no task at a node outside the set")
 	}
-	waitFor(t, "the owner to hear of all", func() bool { return strings.Count(strings.Join(c.heard(), "\n"), "over") == 30 })
-	if lost := strings.Count(strings.Join(c.heard(), "\n"), `"lost"`); lost != died || time.Since(at) > 8500*time.Millisecond {
+	waitFor(t, "the owner to hear of all", func() bool { return strings.Count(strings.Join(c.notifications(), "\n"), "over") == 30 })
+	if lost := strings.Count(strings.Join(c.notifications(), "\n"), `"lost"`); lost != died || time.Since(at) > 8500*time.Millisecond {
 		t.Errorf("%d tasks were at nodes that died, %d are told lost after %v", died, lost, time.Since(at))
 	}
 }
 
-// againElsewhere runs tasks, starts the scheduler anew with a set of other nodes, and asks for the same tasks again. It
+// restartElsewhere runs tasks, starts the scheduler anew with a set of other nodes, and asks for the same tasks again. It
 // tells how often they were started in all.
-func againElsewhere(t *testing.T, p Faults) (tasks, starts int) {
-	s := newStage(t, setSchedulers, setNodes, false)
-	place := s.setPlace()
+func restartElsewhere(t *testing.T, p Faults) (tasks, starts int) {
+	s := newTestCluster(t, setSchedulers, setNodes, false)
+	place := s.workingSetSite()
 	place.ListAddress = s.list.Address()
 	for _, n := range s.nodes { // work runs long enough
 		n.Machine.JobProfiles[2].MeanRuntime = 20_000
@@ -208,21 +208,21 @@
 	askAll := func(address string) {
 		c := connect(t, address)
 		for ref := range uint64(tasks) {
-			if err := c.ask(ref+1, "once", fmt.Sprint("task", ref)); err != nil {
+			if err := c.allocate(ref+1, "once", fmt.Sprint("task", ref)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.heard(), "\n"), `"served"`) == tasks })
+		waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.notifications(), "\n"), `"served"`) == tasks })
 	}
 	address, v, end := run(0)
-	waitFor(t, "a settled set", v.settled)
+	waitFor(t, "a settled set", v.isSettled)
 	askAll(address)
 	end()
 	address, _, end = run(3)
-	time.Sleep(time.Duration(s.place.SettleTime) * time.Millisecond) // as owners do
+	time.Sleep(time.Duration(s.siteConfig.SettleTime) * time.Millisecond) // as owners do
 	askAll(address)
 	end()
-	for _, r := range s.w.Trace.Records() {
+	for _, r := range s.world.Trace.Records() {
 		if r.Kind == audit.TaskStarted {
 			starts++
 		}
@@ -230,14 +230,14 @@
 	return tasks, starts
 }
 
-// TestTasksOfAnEarlierLife has a scheduler find what it left running at nodes that are not in its set any more: it does
+// TestTasksOfAnEarlierIncarnation has a scheduler find what it left running at nodes that are not in its set any more: it does
 // not start it a second time. One that does not visit these nodes does.
-func TestTasksOfAnEarlierLife(t *testing.T) {
+func TestTasksOfAnEarlierIncarnation(t *testing.T) {
 	t.Parallel()
-	if tasks, starts := againElsewhere(t, Faults{}); starts != tasks {
+	if tasks, starts := restartElsewhere(t, Faults{}); starts != tasks {
 		t.Errorf("%d starts of %d tasks", starts, tasks)
 	}
-	if tasks, starts := againElsewhere(t, Faults{SkipVisits: true}); starts == tasks {
+	if tasks, starts := restartElsewhere(t, Faults{SkipVisits: true}); starts == tasks {
 		t.Error("no second start is seen where nodes outside are not visited")
 	}
 }
@@ -245,7 +245,7 @@
 // TestWidensWhenNothingFits fills the set: tasks find nodes beyond it in time.
 func TestWidensWhenNothingFits(t *testing.T) {
 	t.Parallel()
-	s, v, address := setStage(t, Faults{})
+	s, v, address := newWorkingSetCluster(t, Faults{})
 	usual := v.size()
 	c := connect(t, address)
 	const tasks = 40
@@ -258,7 +258,7 @@
 			t.Fatal(err)
 		}
 	}
-	served := func() int { return strings.Count(strings.Join(c.heard(), "\n"), `"served"`) }
+	served := func() int { return strings.Count(strings.Join(c.notifications(), "\n"), `"served"`) }
 	waitFor(t, "tasks to run", func() bool { return served() == tasks })
 	if size := v.size(); size <= usual {
 		t.Errorf("%d nodes, %d before", size, usual)
@@ -268,9 +268,9 @@
 // TestWholeSetDies has all nodes of the set die at once: what is asked for right after starts elsewhere in time.
 func TestWholeSetDies(t *testing.T) {
 	t.Parallel()
-	s, v, address := setStage(t, Faults{})
+	s, v, address := newWorkingSetCluster(t, Faults{})
 	c := connect(t, address)
-	s.w.WithLock(func(now float64) {
+	s.world.WithLock(func(now float64) {
 		for _, n := range s.nodes {
 			if v.contains(n.ID) {
 				n.Crash(now)
@@ -280,11 +280,11 @@
 	began := time.Now()
 	const tasks = 20
 	for ref := range uint64(tasks) {
-		if err := c.ask(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
+		if err := c.allocate(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.heard(), "\n"), `"served"`) == tasks })
+	waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.notifications(), "\n"), `"served"`) == tasks })
 	if took := time.Since(began); took > 1800*time.Millisecond {
 		t.Errorf("%d tasks run %v after their scheduler's set died", tasks, took)
 	}
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -48,23 +48,23 @@
 }
 
 // controlSite is what verdicts on zones rest on, as the site file has it.
-func (s *Server) controlSite(place *site.Config) control.ZoneConfig {
-	held := map[string]clusterstate.ZoneState{}
-	for zone, how := range place.ZoneHolds {
-		held[zone] = map[string]clusterstate.ZoneState{"open": clusterstate.Open, "closed": clusterstate.Closed}[how]
+func (s *Server) controlSite(siteConfig *site.Config) control.ZoneConfig {
+	heldStates := map[string]clusterstate.ZoneState{}
+	for zone, state := range siteConfig.ZoneHolds {
+		heldStates[zone] = map[string]clusterstate.ZoneState{"open": clusterstate.Open, "closed": clusterstate.Closed}[state]
 	}
-	return control.ZoneConfig{Zones: place.Zones, Overrides: held, Latency: func(from, to string) float64 { return place.RouteLatency[[2]string{from, to}] }}
+	return control.ZoneConfig{Zones: siteConfig.Zones, Overrides: heldStates, Latency: func(from, to string) float64 { return siteConfig.RouteLatency[[2]string{from, to}] }}
 }
 
-func (s *Server) newZoneRouting(place *site.Config) *zoneRouting {
-	v := &zoneRouting{
+func (s *Server) newZoneRouting(siteConfig *site.Config) *zoneRouting {
+	routing := &zoneRouting{
 		server: s, lastPing: map[uint32]float64{}, zoneSums: map[string]zones.Summary{}, ownCores: map[string]float64{}, leaseValid: true,
-		reach: zones.Selector{OwnZone: s.config.Zone, LocalityAware: len(place.RouteLatency) > 0},
+		reach: zones.Selector{OwnZone: s.config.Zone, LocalityAware: len(siteConfig.RouteLatency) > 0},
 	}
-	for i, z := range place.Zones {
-		v.reach.Zones = append(v.reach.Zones, zones.Location{Name: z, Region: place.Regions[i]})
+	for i, zone := range siteConfig.Zones {
+		routing.reach.Zones = append(routing.reach.Zones, zones.Location{Name: zone, Region: siteConfig.Regions[i]})
 	}
-	return v
+	return routing
 }
 
 // listedNode is a node of the list.
@@ -81,149 +81,149 @@
 func (s *Server) readyNodes() []listedNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, revision := s.zones, s.list.Revision()
-	if v.nodes != nil && v.nodesRevision == revision {
-		return v.nodes
+	routing, revision := s.zones, s.list.Revision()
+	if routing.nodes != nil && routing.nodesRevision == revision {
+		return routing.nodes
 	}
-	place, all := s.config.Site, make([]listedNode, 0, s.list.Len())
-	for _, en := range s.list.Entries() {
-		if logic.Availability(en.Avail) != logic.Ready {
+	siteConfig, nodes := s.config.Site, make([]listedNode, 0, s.list.Len())
+	for _, entry := range s.list.Entries() {
+		if logic.Availability(entry.Avail) != logic.Ready {
 			continue
 		}
-		n := listedNode{id: en.ID, zone: en.Zone, free: en.FreeCores, hash: nodeHash("", en.ID)}
-		if k := slices.Index(place.MachineKinds, en.Kind); k >= 0 {
-			n.cores = place.Cluster.KindCores[k]
+		node := listedNode{id: entry.ID, zone: entry.Zone, free: entry.FreeCores, hash: nodeHash("", entry.ID)}
+		if kind := slices.Index(siteConfig.MachineKinds, entry.Kind); kind >= 0 {
+			node.cores = siteConfig.Cluster.KindCores[kind]
 		}
-		all = append(all, n)
+		nodes = append(nodes, node)
 	}
-	v.nodes, v.nodesRevision = all, revision
-	return all
+	routing.nodes, routing.nodesRevision = nodes, revision
+	return nodes
 }
 
 func nodeHash(name string, id uint32) float64 {
-	h := xxhash.Sum64(append([]byte(name), byte(id), byte(id>>8), byte(id>>16), byte(id>>24)))
-	return float64(h>>11) / (1 << 53)
+	hash := xxhash.Sum64(append([]byte(name), byte(id), byte(id>>8), byte(id>>16), byte(id>>24)))
+	return float64(hash>>11) / (1 << 53)
 }
 
 // pollZones sums up what is heard of the zones for the leader, and has shards send where the book allows.
 func (s *Server) pollZones() {
-	v, now := s.zones, s.env.Now()
+	routing, now := s.zones, s.env.Now()
 	view := s.control.View()
-	if now < v.summedAt+zoneSumInterval && view.State == v.state && (now < view.LeaseExpiry) == v.leaseValid { // by this loop alone
+	if now < routing.summedAt+zoneSumInterval && view.State == routing.state && (now < view.LeaseExpiry) == routing.leaseValid { // by this loop alone
 		return
 	}
 	nodes := s.readyNodes()
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.state = view.State
-	if now >= v.summedAt+zoneSumInterval {
-		v.summedAt = now
-		v.zoneSums = s.summarizeZones(now, nodes)
-		s.control.Report(v.zoneSums)
+	routing.mu.Lock()
+	defer routing.mu.Unlock()
+	routing.state = view.State
+	if now >= routing.summedAt+zoneSumInterval {
+		routing.summedAt = now
+		routing.zoneSums = s.summarizeZones(now, nodes)
+		s.control.Report(routing.zoneSums)
 	}
-	sure, home := now < view.LeaseExpiry, view.State.Zone(v.reach.OwnZone).State
-	if home == clusterstate.Closed {
+	leaseValid, ownState := now < view.LeaseExpiry, view.State.Zone(routing.reach.OwnZone).State
+	if ownState == clusterstate.Closed {
 		s.countOwnCores(nodes)
 	}
-	parts := v.reach.Update(now, view.State, sure, v.zoneSums, 0, v.ownCores, view.State.ActiveProcesses(v.reach.OwnZone))
-	if !maps.Equal(parts, v.shares) || sure != v.leaseValid || v.reach.Level() != v.level {
-		s.log.Info().Str("mode", "zones").Interface("parts", parts).Bool("sure", sure).Int("level", v.reach.Level()).Uint64("version", view.State.Version()).
+	shares := routing.reach.Update(now, view.State, leaseValid, routing.zoneSums, 0, routing.ownCores, view.State.ActiveProcesses(routing.reach.OwnZone))
+	if !maps.Equal(shares, routing.shares) || leaseValid != routing.leaseValid || routing.reach.Level() != routing.level {
+		s.log.Info().Str("mode", "zones").Interface("parts", shares).Bool("sure", leaseValid).Int("level", routing.reach.Level()).Uint64("version", view.State.Version()).
 			Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("sends to")
 	}
-	v.shares, v.leaseValid, v.level = parts, sure, v.reach.Level()
-	var out []uint32
-	for _, n := range nodes {
-		if n.hash >= parts[n.zone] {
-			out = append(out, n.id)
+	routing.shares, routing.leaseValid, routing.level = shares, leaseValid, routing.reach.Level()
+	var excluded []uint32
+	for _, node := range nodes {
+		if node.hash >= shares[node.zone] {
+			excluded = append(excluded, node.id)
 		}
 	}
-	slices.Sort(out)
-	if slices.Equal(out, v.excluded) {
+	slices.Sort(excluded)
+	if slices.Equal(excluded, routing.excluded) {
 		return
 	}
-	freed := slices.DeleteFunc(slices.Clone(v.excluded), func(id uint32) bool { _, is := slices.BinarySearch(out, id); return is })
-	v.excluded = out
+	readmitted := slices.DeleteFunc(slices.Clone(routing.excluded), func(id uint32) bool { _, found := slices.BinarySearch(excluded, id); return found })
+	routing.excluded = excluded
 	s.postAll(func(sh *shard, now float64) {
-		sh.engine.SetZoneClosed(now, freed, false)
-		sh.engine.SetZoneClosed(now, out, true)
+		sh.engine.SetZoneClosed(now, readmitted, false)
+		sh.engine.SetZoneClosed(now, excluded, true)
 	})
 }
 
 // summarizeZones looks at a few nodes of each zone, which differ from process to process, and pings them.
 func (s *Server) summarizeZones(now float64, nodes []listedNode) map[string]zones.Summary {
-	v, sums := s.zones, map[string]zones.Summary{}
-	by := map[string][]listedNode{}
-	for _, n := range nodes {
-		sum := sums[n.zone]
-		sum.Capacity += n.cores * s.config.Site.Cluster.CoresOvercommit
-		sum.Used += max(0, n.cores-n.free)
-		sums[n.zone] = sum
-		if s.workingSet.contains(n.id) {
-			by[n.zone] = append(by[n.zone], n)
+	routing, sums := s.zones, map[string]zones.Summary{}
+	byZone := map[string][]listedNode{}
+	for _, listed := range nodes {
+		sum := sums[listed.zone]
+		sum.Capacity += listed.cores * s.config.Site.Cluster.CoresOvercommit
+		sum.Used += max(0, listed.cores-listed.free)
+		sums[listed.zone] = sum
+		if s.workingSet.contains(listed.id) {
+			byZone[listed.zone] = append(byZone[listed.zone], listed)
 		}
 	}
-	kept := map[uint32]float64{}
-	for zone, all := range by {
-		slices.SortFunc(all, func(x, y listedNode) int {
+	lastPing := map[uint32]float64{}
+	for zone, zoneNodes := range byZone {
+		slices.SortFunc(zoneNodes, func(x, y listedNode) int {
 			return cmp.Compare(nodeHash(s.config.Name, x.id), nodeHash(s.config.Name, y.id))
 		})
 		sum := sums[zone]
-		for _, n := range all[:min(nodesSampledPerZone, len(all))] {
+		for _, listed := range zoneNodes[:min(nodesSampledPerZone, len(zoneNodes))] {
 			sum.Nodes++
 			s.membership.linksMu.Lock()
-			l := s.membership.links[n.id]
+			link := s.membership.links[listed.id]
 			s.membership.linksMu.Unlock()
-			kept[n.id] = v.lastPing[n.id]
-			if l == nil {
+			lastPing[listed.id] = routing.lastPing[listed.id]
+			if link == nil {
 				continue
 			}
-			if now-math.Float64frombits(l.lastReceived.Load()) < zoneSilentAfter {
+			if now-math.Float64frombits(link.lastReceived.Load()) < zoneSilentAfter {
 				sum.Reachable++
 			}
-			if now-kept[n.id] >= zonePingInterval {
-				kept[n.id] = now
-				l.send(func(b []byte) []byte { return node.AppendPing(b, now) })
+			if now-lastPing[listed.id] >= zonePingInterval {
+				lastPing[listed.id] = now
+				link.send(func(b []byte) []byte { return node.AppendPing(b, now) })
 			}
 		}
 		sums[zone] = sum
 	}
-	v.lastPing = kept
+	routing.lastPing = lastPing
 	return sums
 }
 
 // countOwnCores asks all shards for the cores of own work in each zone; what they say is there at the next look.
 func (s *Server) countOwnCores(nodes []listedNode) {
-	v, shards := s.zones, s.liveShards()
-	sum, left := map[string]float64{}, len(shards)
+	routing, shards := s.zones, s.liveShards()
+	sum, pending := map[string]float64{}, len(shards)
 	var mu sync.Mutex
 	s.postAll(func(sh *shard, _ float64) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, n := range nodes {
-			sum[n.zone] += sh.engine.CoresAt(n.id)
+		for _, node := range nodes {
+			sum[node.zone] += sh.engine.CoresAt(node.id)
 		}
-		if left--; left == 0 {
-			v.mu.Lock()
-			v.ownCores = sum
-			v.mu.Unlock()
+		if pending--; pending == 0 {
+			routing.mu.Lock()
+			routing.ownCores = sum
+			routing.mu.Unlock()
 		}
 	})
 }
 
 // sendExcluded tells a new shard which nodes get nothing for their zone.
-func (v *zoneRouting) sendExcluded(sh *shard) {
-	if v == nil {
+func (z *zoneRouting) sendExcluded(sh *shard) {
+	if z == nil {
 		return
 	}
-	v.mu.Lock()
-	out := slices.Clone(v.excluded)
-	v.mu.Unlock()
-	sh.post(func(now float64) { sh.engine.SetZoneClosed(now, out, true) })
+	z.mu.Lock()
+	excluded := slices.Clone(z.excluded)
+	z.mu.Unlock()
+	sh.post(func(now float64) { sh.engine.SetZoneClosed(now, excluded, true) })
 }
 
 // currentShares is which parts of zones are used, and how far this scheduler looks.
-func (v *zoneRouting) currentShares() (parts map[string]float64, level int) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return maps.Clone(v.shares), v.level
+func (z *zoneRouting) currentShares() (shares map[string]float64, level int) {
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	return maps.Clone(z.shares), z.level
 }
