--- a/internal/lab/scale/hollow/nodes.go
+++ b/internal/lab/scale/hollow/nodes.go
@@ -21,7 +21,7 @@
 	Teams        int
 	Seed         uint64
 	Cores        float64 // of a node; it has twice as much memory in GiB
-	ShortLife    float64 // mean ms that a task of the first job type runs; those of the second run until the end
+	ShortLife    float64 `json:"ShortLife"` // mean ms that a task of the first job type runs; those of the second run until the end
 }
 
 // Sizes of a node's model.
--- a/internal/lab/scale/regions/regions.go
+++ b/internal/lab/scale/regions/regions.go
@@ -35,33 +35,33 @@
 
 // Config is what is played.
 type Config struct {
-	Seed      uint64
-	Processes int
-	Regions   int
-	Zones     int
-	Voters    int
+	Seed      uint64 `json:"Seed"`
+	Processes int    `json:"Processes"`
+	Regions   int    `json:"Regions"`
+	Zones     int    `json:"Zones"`
+	Voters    int    `json:"Voters"`
 	// CutRegions are cut from all others: the last ones by number.
-	CutRegions int
-	Warm       time.Duration // before the cut
-	Cut        time.Duration
-	Settle     time.Duration // at most, from the heal on, until all hold one view
+	CutRegions int           `json:"CutRegions"`
+	Warm       time.Duration `json:"Warm"` // before the cut
+	Cut        time.Duration `json:"Cut"`
+	Settle     time.Duration `json:"Settle"` // at most, from the heal on, until all hold one view
 	// CommandsPerDay is at which rate processes, in turn, put a command into the cluster state that changes nothing in it.
-	CommandsPerDay float64
+	CommandsPerDay float64 `json:"CommandsPerDay"`
 	// Absent is how many processes stand in the cluster state that are not played, to grow it without their cost.
-	Absent int
+	Absent int `json:"Absent"`
 	// AbsentNameBytes is how long their names are at least.
-	AbsentNameBytes int
+	AbsentNameBytes int `json:"AbsentNameBytes"`
 	// Restart has one process of the cut-off regions, which is no voter, start again in the midst of the cut.
-	Restart bool
+	Restart bool `json:"Restart"`
 
-	Plant Plant
+	Plant Plant `json:"Plant"`
 }
 
 // Plant puts a fault into the run, for tests that must find it; the zero value puts none.
 type Plant struct {
-	KeptLog   bool // voters' disks keep the entries that a snapshot holds
-	StuckLoop bool // one process's control takes none of its messages
-	Unhealed  bool // the ways stay cut at the heal
+	KeptLog   bool `json:"KeptLog"`   // voters' disks keep the entries that a snapshot holds
+	StuckLoop bool `json:"StuckLoop"` // one process's control takes none of its messages
+	Unhealed  bool `json:"Unhealed"`  // the ways stay cut at the heal
 }
 
 // Default is the hour that docs/performance.md tells of.
