--- a/cmd/ravenpond/lab_scale.go
+++ b/cmd/ravenpond/lab_scale.go
@@ -61,7 +61,7 @@
 		for run := c.FirstRun; run < c.FirstRun+c.Runs && ctx.Err() == nil; run++ {
 			trial := scale.Trial{
 				Command: []string{self}, Sizes: c.withOverrides(sizes), Dimension: c.Dimension, Run: run, Seed: c.Seed + uint64(run) - 1, Real: c.RealProcesses,
-				Warm: c.WarmUp, Last: c.MinDuration, Commit: c.Commit, Profile: true,
+				WarmUp: c.WarmUp, MeasureFor: c.MinDuration, Commit: c.Commit, Profile: true,
 				Variant: c.Variant, Elements: c.Elements, Connected: c.Connected,
 			}
 			trial.Dir = filepath.Join(c.Logs, fmt.Sprintf("%s-n%d-s%d-t%d-%d", c.Dimension, trial.Sizes.Nodes, trial.Sizes.Schedulers, trial.Sizes.RunningTasks, run))
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -15,46 +15,46 @@
 
 // Times of clients in ms, and sizes.
 const (
-	clientDial    = 2000
-	clientStuck   = 5000
-	clientsEach   = 4 // connections to each real process
-	services      = 50
-	taskCores     = 0.1
-	taskMemory    = 0.1
-	mostLatencyUs = 60_000_000
-	histogramKeep = 3 // digits
+	dialTimeoutMs      = 2000
+	clientWriteTimeout = 5000
+	clientsPerProcess  = 4 // connections to each real process
+	services           = 50
+	taskCores          = 0.1
+	taskMemory         = 0.1
+	maxLatencyUs       = 60_000_000
+	histogramDigits    = 3 // digits
 )
 
 // client is a connection that asks for tasks.
 type client struct {
-	real  int // process that it asks
-	world env.Environment
-	conn  env.Conn
-	in    owners.Splitter
-	tally *tally
-
-	mu   sync.Mutex
-	refs uint64
-	open map[uint64]time.Time // when what is not answered yet was meant to be asked for
+	process int // process that it asks
+	env     env.Environment
+	conn    env.Conn
+	in      owners.Splitter
+	tally   *tally
+
+	mu      sync.Mutex
+	refs    uint64
+	pending map[uint64]time.Time // when what is not answered yet was meant to be asked for
 }
 
 // tally is what became of asks, each counted at its answer.
 type tally struct {
 	mu             sync.Mutex
-	asked          int
+	requests       int
 	served, others int
 	starts         *hdrhistogram.Histogram // us from when an ask was meant to be made until it is served
 }
 
 func newTally() *tally {
-	return &tally{starts: hdrhistogram.New(1, mostLatencyUs, histogramKeep)}
+	return &tally{starts: hdrhistogram.New(1, maxLatencyUs, histogramDigits)}
 }
 
 // reset begins to count anew.
 func (t *tally) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.asked, t.served, t.others = 0, 0, 0
+	t.requests, t.served, t.others = 0, 0, 0
 	t.starts.Reset()
 }
 
@@ -62,7 +62,7 @@
 func (t *tally) counts() (asked, served, others int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.asked, t.served, t.others
+	return t.requests, t.served, t.others
 }
 
 // quantileMs is a quantile of the starts' time.
@@ -74,12 +74,12 @@
 
 // dial connects a client to a real process.
 func dial(w env.Environment, real int, address string, t *tally) (*client, error) {
-	c := &client{real: real, world: w, tally: t, open: map[uint64]time.Time{}}
+	c := &client{process: real, env: w, tally: t, pending: map[uint64]time.Time{}}
 	done := make(chan error, 1)
-	w.Dial(address, clientDial, func(conn env.Conn, err error) {
+	w.Dial(address, dialTimeoutMs, func(conn env.Conn, err error) {
 		if err == nil {
 			c.conn = conn
-			conn.Start(c, clientStuck)
+			conn.Start(c, clientWriteTimeout)
 		}
 		done <- err
 	})
@@ -89,15 +89,15 @@
 	return c, nil
 }
 
-// ask asks for a task, which was meant to be done at a time.
-func (c *client) ask(meant time.Time, job string, number, teams int) {
+// request asks for a task, which was meant to be done at a time.
+func (c *client) request(meant time.Time, job string, number, teams int) {
 	c.mu.Lock()
 	c.refs++
 	ref := c.refs
-	c.open[ref] = meant
+	c.pending[ref] = meant
 	c.mu.Unlock()
 	c.tally.mu.Lock()
-	c.tally.asked++
+	c.tally.requests++
 	c.tally.mu.Unlock()
 	body := fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"allocate","params":{"ref":%d,"tenant":"%s","key":"k%s%d","job-type":"%s","service":"s%d","cores":%g,"memory":%g}}`,
 		ref, teamName(number%teams), job, number, job, number%services, taskCores, taskMemory)
@@ -106,7 +106,7 @@
 
 // OnData takes answers.
 func (c *client) OnData(b []byte) {
-	if c.in.Feed(b, c.answered) != nil {
+	if c.in.Feed(b, c.onMessage) != nil {
 		c.conn.Close(false, nil)
 	}
 }
@@ -114,7 +114,7 @@
 // OnClose meets the end of the connection.
 func (c *client) OnClose(error) {}
 
-func (c *client) answered(body []byte) error {
+func (c *client) onMessage(body []byte) error {
 	var message struct {
 		Method string
 		Params struct {
@@ -129,8 +129,8 @@
 		return nil
 	}
 	c.mu.Lock()
-	meant, ok := c.open[message.Params.Ref]
-	delete(c.open, message.Params.Ref)
+	meant, ok := c.pending[message.Params.Ref]
+	delete(c.pending, message.Params.Ref)
 	c.mu.Unlock()
 	if !ok {
 		return nil
@@ -142,21 +142,21 @@
 		return nil
 	}
 	c.tally.served++
-	return c.tally.starts.RecordValue(min(mostLatencyUs, max(1, time.Since(meant).Microseconds())))
+	return c.tally.starts.RecordValue(min(maxLatencyUs, max(1, time.Since(meant).Microseconds())))
 }
 
 // arrivals asks the clients in turn at a rate, open loop, until it is told to stop or so many are asked (0: no bound).
-func arrivals(stop <-chan struct{}, clients []*client, job string, perSecond float64, first, most, teams int, random *rand.Rand) (next int) {
+func arrivals(stop <-chan struct{}, clients []*client, job string, perSecond float64, first, limit, teams int, random *rand.Rand) (next int) {
 	at := time.Now()
 	number := first
-	for ; most == 0 || number < first+most; number++ {
+	for ; limit == 0 || number < first+limit; number++ {
 		at = at.Add(time.Duration(random.ExpFloat64() / perSecond * 1e9))
 		select {
 		case <-stop:
 			return number
 		case <-time.After(time.Until(at)):
 		}
-		clients[number%len(clients)].ask(at, job, number, teams)
+		clients[number%len(clients)].request(at, job, number, teams)
 	}
 	return number
 }
--- a/internal/lab/scale/counts.go
+++ b/internal/lab/scale/counts.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-const scrapeWithin = 10 * time.Second
+const scrapeTimeout = 10 * time.Second
 
 // scrape is a page of counts of a process: values by their names and labels, as in connections{kind="dialed"}.
 type scrape map[string]float64
@@ -23,7 +23,7 @@
 
 // fetch reads a page of counts.
 func fetch(ctx context.Context, address string) (scrape, error) {
-	ctx, stop := context.WithTimeout(ctx, scrapeWithin)
+	ctx, stop := context.WithTimeout(ctx, scrapeTimeout)
 	defer stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -15,17 +15,17 @@
 const (
 	restartsPerDay = 2400
 	failuresPerDay = 75 // half of them hang, half vanish for the rest of the phase
-	churnFaster    = 100
+	churnSpeedup   = 100
 	secondsPerDay  = 86_400
-	awayFor        = time.Second
-	hangFor        = 5 * time.Second
+	downtime       = time.Second
+	hangDuration   = 5 * time.Second
 )
 
 // nodeFault is a fault of one node.
 type nodeFault struct {
-	at    time.Duration // since the begin of the phase
-	place int
-	do    hollow.Action
+	at     time.Duration // since the begin of the phase
+	place  int
+	action hollow.Action
 }
 
 // drawFaults writes the script of a phase from a seed: restarts, hangs and failures at times drawn evenly, nodes drawn
@@ -34,18 +34,18 @@
 	random := rand.New(rand.NewPCG(seed, 0xc4))
 	places := random.Perm(nodes)
 	draw := func(perDay float64, acts ...nodeFault) {
-		n := int(perDay*churnFaster/secondsPerDay*last.Seconds() + random.Float64())
+		n := int(perDay*churnSpeedup/secondsPerDay*last.Seconds() + random.Float64())
 		for range min(n, len(places)) {
 			at := time.Duration(random.Float64() * float64(last))
 			for _, act := range acts {
-				script = append(script, nodeFault{at: at + act.at, place: places[0], do: act.do})
+				script = append(script, nodeFault{at: at + act.at, place: places[0], action: act.action})
 			}
 			places = places[1:]
 		}
 	}
-	draw(restartsPerDay, nodeFault{do: hollow.StopNodes}, nodeFault{at: awayFor, do: hollow.ReturnNodes})
-	draw(failuresPerDay/2, nodeFault{do: hollow.HangNodes}, nodeFault{at: hangFor, do: hollow.ResumeNodes})
-	draw(failuresPerDay/2, nodeFault{do: hollow.StopNodes})
+	draw(restartsPerDay, nodeFault{action: hollow.StopNodes}, nodeFault{at: downtime, action: hollow.ReturnNodes})
+	draw(failuresPerDay/2, nodeFault{action: hollow.HangNodes}, nodeFault{at: hangDuration, action: hollow.ResumeNodes})
+	draw(failuresPerDay/2, nodeFault{action: hollow.StopNodes})
 	slices.SortStableFunc(script, func(a, b nodeFault) int { return cmp.Compare(a.at, b.at) })
 	return script
 }
@@ -55,14 +55,14 @@
 	began := time.Now()
 	gone := map[int]bool{}
 	restarts := 0
-	for _, m := range drawFaults(r.Seed+uint64(r.Run), r.Sizes.Nodes, r.Last) {
+	for _, m := range drawFaults(r.Seed+uint64(r.Run), r.Sizes.Nodes, r.MeasureFor) {
 		if err := pause(ctx, time.Until(began.Add(m.at))); err != nil {
 			return nil, err
 		}
 		if err := r.inject(m); err != nil {
 			return nil, err
 		}
-		switch m.do {
+		switch m.action {
 		case hollow.StopNodes:
 			gone[m.place] = true
 		case hollow.ReturnNodes:
@@ -71,7 +71,7 @@
 		}
 	}
 	for place := range gone {
-		if err := r.inject(nodeFault{place: place, do: hollow.ReturnNodes}); err != nil {
+		if err := r.inject(nodeFault{place: place, action: hollow.ReturnNodes}); err != nil {
 			return nil, err
 		}
 	}
@@ -83,12 +83,12 @@
 
 // inject carries out one fault. The list tells of nodes that are away.
 func (r *Rig) inject(m nodeFault) error {
-	_, err := r.orderNodes(hollow.Order{Do: m.do, First: m.place, Last: m.place + 1})
-	switch m.do {
+	_, err := r.orderNodes(hollow.Order{Do: m.action, First: m.place, Last: m.place + 1})
+	switch m.action {
 	case hollow.StopNodes:
-		r.tellList(m.place, m.place+1, hollow.Gone)
+		r.updateList(m.place, m.place+1, hollow.Gone)
 	case hollow.ReturnNodes:
-		r.tellList(m.place, m.place+1, hollow.Ready)
+		r.updateList(m.place, m.place+1, hollow.Ready)
 	}
 	return err
 }
--- a/internal/lab/scale/hollow/disk.go
+++ b/internal/lab/scale/hollow/disk.go
@@ -8,29 +8,29 @@
 	"ravenpond/internal/env"
 )
 
-// silencer is a world whose datagrams can be lost from a moment on, as those of a process that is killed.
-type silencer struct {
+// silenceableEnv is a world whose datagrams can be lost from a moment on, as those of a process that is killed.
+type silenceableEnv struct {
 	env.Environment
-	silent atomic.Bool
+	muted atomic.Bool
 }
 
 // ListenPacket takes datagrams; none leaves once the world is silent.
-func (s *silencer) ListenPacket(address string, heard func(b []byte)) (env.PacketConn, error) {
+func (s *silenceableEnv) ListenPacket(address string, heard func(b []byte)) (env.PacketConn, error) {
 	port, err := s.Environment.ListenPacket(address, heard)
 	if err != nil {
 		return nil, err
 	}
-	return &silencedPort{port, s}, nil
+	return &silenceablePort{port, s}, nil
 }
 
-type silencedPort struct {
+type silenceablePort struct {
 	env.PacketConn
-	world *silencer
+	env *silenceableEnv
 }
 
 // Send hands a datagram to the network unless the world is silent.
-func (p *silencedPort) Send(to string, b []byte) {
-	if !p.world.silent.Load() {
+func (p *silenceablePort) Send(to string, b []byte) {
+	if !p.env.muted.Load() {
 		p.PacketConn.Send(to, b)
 	}
 }
@@ -38,7 +38,7 @@
 // memoryDisk is a hollow voter's, which outlives its incarnations but not the process. One goroutine at a time uses it.
 type memoryDisk struct {
 	saved consensus.PersistedState
-	from  uint64 // number of the first entry
+	first uint64 // number of the first entry
 }
 
 // Load gives what was saved.
@@ -57,17 +57,17 @@
 	if from > 0 {
 		d.overwrite(from, entries)
 	}
-	if drop := min(uint64(len(d.saved.Entries)), held+1-min(held+1, d.from)); drop > 0 {
-		d.saved.Entries, d.from = slices.Clone(d.saved.Entries[drop:]), d.from+drop
+	if drop := min(uint64(len(d.saved.Entries)), held+1-min(held+1, d.first)); drop > 0 {
+		d.saved.Entries, d.first = slices.Clone(d.saved.Entries[drop:]), d.first+drop
 	}
 	return nil
 }
 
 func (d *memoryDisk) overwrite(from uint64, entries [][]byte) {
-	if len(d.saved.Entries) == 0 || from < d.from {
-		d.from, d.saved.Entries = from, nil
+	if len(d.saved.Entries) == 0 || from < d.first {
+		d.first, d.saved.Entries = from, nil
 	}
-	d.saved.Entries = d.saved.Entries[:min(len(d.saved.Entries), int(from-d.from))]
+	d.saved.Entries = d.saved.Entries[:min(len(d.saved.Entries), int(from-d.first))]
 	for _, entry := range entries {
 		d.saved.Entries = append(d.saved.Entries, slices.Clone(entry))
 	}
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -50,7 +50,7 @@
 
 // TestNodes takes nodes away and brings them back, by places and by zone.
 func TestNodes(t *testing.T) {
-	order, end := talk(t, RunNodes, NodesPlan{Count: 30, Nodes: 30, Zones: 3, Teams: 1, Seed: 1, Cores: 4, ShortLife: 10})
+	order, end := talk(t, RunNodes, NodesPlan{Count: 30, Nodes: 30, Zones: 3, Teams: 1, Seed: 1, Cores: 4, ShortRuntime: 10})
 	defer end()
 	addresses := order(Order{Do: Addresses}).Addresses
 	if len(addresses) != 30 || !strings.HasPrefix(addresses[29], "127.16.0.30:") {
--- a/internal/lab/scale/hollow/list.go
+++ b/internal/lab/scale/hollow/list.go
@@ -27,23 +27,23 @@
 
 // List is the node list of a run: it tells all entries to who watches it, and each change at once.
 type List struct {
-	door env.Listener
+	listener env.Listener
 
-	mu       sync.Mutex
-	entries  []Entry
-	version  uint64
-	changed  map[uint64][]int // places of the entries that a version changed
-	watchers map[*watcher]bool
+	mu          sync.Mutex
+	entries     []Entry
+	version     uint64
+	changed     map[uint64][]int // places of the entries that a version changed
+	subscribers map[*subscriber]bool
 }
 
-// listStuckMs ends a connection that takes nothing for so long.
-const listStuckMs = 10_000
+// listWriteTimeoutMs ends a connection that takes nothing for so long.
+const listWriteTimeoutMs = 10_000
 
 // StartList tells entries on loopback.
 func StartList(w env.Environment, entries []Entry) (*List, error) {
-	l := &List{entries: entries, version: 1, changed: map[uint64][]int{}, watchers: map[*watcher]bool{}}
+	l := &List{entries: entries, version: 1, changed: map[uint64][]int{}, subscribers: map[*subscriber]bool{}}
 	var err error
-	l.door, err = w.Listen("127.0.0.1:0", func(conn env.Conn) { conn.Start(&watcher{list: l, conn: conn}, listStuckMs) })
+	l.listener, err = w.Listen("127.0.0.1:0", func(conn env.Conn) { conn.Start(&subscriber{list: l, conn: conn}, listWriteTimeoutMs) })
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
@@ -51,7 +51,7 @@
 }
 
 // Address is where the list listens.
-func (l *List) Address() string { return l.door.Address() }
+func (l *List) Address() string { return l.listener.Address() }
 
 // Change alters the entries from one place to another and tells all watchers.
 func (l *List) Change(first, last int, alter func(*Entry)) {
@@ -62,22 +62,22 @@
 		alter(&l.entries[i])
 		l.changed[l.version] = append(l.changed[l.version], i)
 	}
-	for w := range l.watchers {
-		w.tellChanges(w.told)
+	for w := range l.subscribers {
+		w.sendChanges(w.sentVersion)
 	}
 }
 
-// watcher is a scheduler's connection. Its fields beside the splitter are under the list's lock.
-type watcher struct {
-	list    *List
-	conn    env.Conn
-	in      line.Splitter
-	greeted bool
-	told    uint64 // the version that was told last
+// subscriber is a scheduler's connection. Its fields beside the splitter are under the list's lock.
+type subscriber struct {
+	list        *List
+	conn        env.Conn
+	in          line.Splitter
+	greeted     bool
+	sentVersion uint64 // the version that was told last
 }
 
 // OnData takes what a scheduler sends.
-func (w *watcher) OnData(b []byte) {
+func (w *subscriber) OnData(b []byte) {
 	if !w.greeted {
 		head, after, err := w.in.Greeting(b, list.GreetingLine)
 		if err != nil {
@@ -95,16 +95,16 @@
 }
 
 // OnClose meets the end of the connection.
-func (w *watcher) OnClose(error) {
+func (w *subscriber) OnClose(error) {
 	w.list.mu.Lock()
-	delete(w.list.watchers, w)
+	delete(w.list.subscribers, w)
 	w.list.mu.Unlock()
 }
 
-// tellWhole tells all entries that are not gone; under the list's lock.
-func (w *watcher) tellWhole() {
+// sendAll tells all entries that are not gone; under the list's lock.
+func (w *subscriber) sendAll() {
 	l := w.list
-	w.told = l.version
+	w.sentVersion = l.version
 	w.conn.Send(func(b []byte) []byte {
 		b = list.AppendBegin(b, list.KindFull, l.version)
 		for i := range l.entries {
@@ -116,10 +116,10 @@
 	})
 }
 
-// tellChanges tells what changed since a version; under the list's lock.
-func (w *watcher) tellChanges(since uint64) {
+// sendChanges tells what changed since a version; under the list's lock.
+func (w *subscriber) sendChanges(since uint64) {
 	l := w.list
-	w.told = l.version
+	w.sentVersion = l.version
 	w.conn.Send(func(b []byte) []byte {
 		b = list.AppendBegin(b, list.KindChanges, l.version)
 		for version := since + 1; version <= l.version; version++ {
@@ -136,42 +136,42 @@
 }
 
 // OnFullRequest tells all.
-func (w *watcher) OnFullRequest() error {
+func (w *subscriber) OnFullRequest() error {
 	w.list.mu.Lock()
 	defer w.list.mu.Unlock()
-	w.tellWhole()
+	w.sendAll()
 	return nil
 }
 
 // OnWatch tells what changed since a version, or all where that is not known, and from then on each change.
-func (w *watcher) OnWatch(since uint64) error {
+func (w *subscriber) OnWatch(since uint64) error {
 	l := w.list
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watchers[w] = true
+	l.subscribers[w] = true
 	if since == 0 || since > l.version {
-		w.tellWhole()
+		w.sendAll()
 	} else {
-		w.tellChanges(since)
+		w.sendChanges(since)
 	}
 	return nil
 }
 
 // OnUnwatch ends the watch.
-func (w *watcher) OnUnwatch() error {
+func (w *subscriber) OnUnwatch() error {
 	w.list.mu.Lock()
 	defer w.list.mu.Unlock()
-	delete(w.list.watchers, w)
+	delete(w.list.subscribers, w)
 	return nil
 }
 
 // OnMaintenance tells of a maintenance window, of which a run has none.
-func (w *watcher) OnMaintenance(uint32, float64) error { return nil }
+func (w *subscriber) OnMaintenance(uint32, float64) error { return nil }
 
 // OnMaintenanceEnd tells of the end of one.
-func (w *watcher) OnMaintenanceEnd(uint32) error { return nil }
+func (w *subscriber) OnMaintenanceEnd(uint32) error { return nil }
 
 var errFarewell = errors.New("farewell")
 
 // OnBye ends the connection.
-func (w *watcher) OnBye(why string) error { return fmt.Errorf("%w: %s", errFarewell, why) }
+func (w *subscriber) OnBye(why string) error { return fmt.Errorf("%w: %s", errFarewell, why) }
--- a/internal/lab/scale/hollow/nodes.go
+++ b/internal/lab/scale/hollow/nodes.go
@@ -21,20 +21,20 @@
 	Teams        int
 	Seed         uint64
 	Cores        float64 // of a node; it has twice as much memory in GiB
-	ShortLife    float64 `json:"ShortLife"` // mean ms that a task of the first job type runs; those of the second run until the end
+	ShortRuntime float64 `json:"ShortLife"` // mean ms that a task of the first job type runs; those of the second run until the end
 }
 
 // Sizes of a node's model.
 const (
-	perWorld     = 250  // nodes that share a lock
-	lookMs       = 0.02 // to look at one offer
-	startMs      = 0.5  // to start a task where its program is held
-	foreverMs    = 1e12
-	waitingTasks = 4000
-	startsAtOnce = 64
-	keptPrograms = 4
-	returnTries  = 50
-	returnPause  = 20 * time.Millisecond
+	nodesPerTestbed = 250  // nodes that share a lock
+	inspectMs       = 0.02 // to look at one offer
+	startMs         = 0.5  // to start a task where its program is held
+	foreverMs       = 1e12
+	waitingTasks    = 4000
+	startsAtOnce    = 64
+	keptPrograms    = 4
+	restartAttempts = 50
+	restartPause    = 20 * time.Millisecond
 )
 
 // Addresses of nodes: each has a loopback address of its own, so that thousands of listeners and connections do not share
@@ -54,11 +54,11 @@
 // ZoneName is the name of a zone by its number.
 func ZoneName(zone int) string { return fmt.Sprintf("z%02d", zone) }
 
-// mostRack is how many nodes stand in a rack; fewer where else a zone had none.
-const mostRack = 40
+// maxRackSize is how many nodes stand in a rack; fewer where else a zone had none.
+const maxRackSize = 40
 
 // RackSize is how many nodes of a run stand in a rack.
-func RackSize(nodes, zones int) int { return min(mostRack, max(1, nodes/zones)) }
+func RackSize(nodes, zones int) int { return min(maxRackSize, max(1, nodes/zones)) }
 
 // NodeZone is the number of the zone of the node at a place among all.
 func NodeZone(place, nodes, zones int) int { return place / RackSize(nodes, zones) % zones }
@@ -69,9 +69,9 @@
 // nodeHost is the nodes of a process, which share a world by groups.
 type nodeHost struct {
 	NodesPlan
-	nodes  []*standin.Node
-	worlds []*standin.Testbed // of each node
-	random *rand.Rand
+	nodes    []*standin.Node
+	testbeds []*standin.Testbed // of each node
+	random   *rand.Rand
 }
 
 // RunNodes runs the nodes of a process until their orders end.
@@ -92,14 +92,14 @@
 
 func (h *nodeHost) start(real *env.Real) error {
 	model := standin.MachineConfig{
-		Cores: h.Cores, Memory: 2 * h.Cores, CoresLimit: 4, MemoryLimit: 4, InspectTime: lookMs, QueueLimit: waitingTasks,
+		Cores: h.Cores, Memory: 2 * h.Cores, CoresLimit: 4, MemoryLimit: 4, InspectTime: inspectMs, QueueLimit: waitingTasks,
 		ConcurrentStarts: startsAtOnce, ProgramMissFactor: 1, ProgramCacheSize: keptPrograms, WarmupPace: 1, WarmupDuration: 1, OverloadFactor: foreverMs, OverloadWindow: 1, SlowStartLimit: 1 << 30,
-		JobProfiles: []standin.JobProfile{{StartWork: startMs, MeanRuntime: h.ShortLife, MeanUse: 0.5}, {StartWork: startMs, MeanRuntime: foreverMs, MeanUse: 0.5}},
+		JobProfiles: []standin.JobProfile{{StartWork: startMs, MeanRuntime: h.ShortRuntime, MeanUse: 0.5}, {StartWork: startMs, MeanRuntime: foreverMs, MeanUse: 0.5}},
 	}
 	var world *standin.Testbed
 	var group *standin.Group
 	for i := range h.Count {
-		if i%perWorld == 0 {
+		if i%nodesPerTestbed == 0 {
 			world, group = standin.NewTestbed(real), standin.NewGroup()
 			world.Trace.OnRecord = func(*audit.Record) {} // nothing audits it
 		}
@@ -109,7 +109,7 @@
 		if err := world.StartNode(n, model, group, h.random.Uint64(), false, NodeAddress(place)); err != nil {
 			return err
 		}
-		h.nodes, h.worlds = append(h.nodes, n), append(h.worlds, world)
+		h.nodes, h.testbeds = append(h.nodes, n), append(h.testbeds, world)
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 
 func (h *nodeHost) count(of func(n *standin.Node) int) (reply Reply) {
 	for i, n := range h.nodes {
-		h.worlds[i].WithLock(func(float64) { reply.Count += of(n) })
+		h.testbeds[i].WithLock(func(float64) { reply.Count += of(n) })
 	}
 	return reply
 }
@@ -164,7 +164,7 @@
 func (h *nodeHost) each(order Order, do func(n *standin.Node, now float64) error) (Reply, error) {
 	places, err := h.chosen(order)
 	for _, i := range places {
-		h.worlds[i].WithLock(func(now float64) { err = errors.Join(err, do(h.nodes[i], now)) })
+		h.testbeds[i].WithLock(func(now float64) { err = errors.Join(err, do(h.nodes[i], now)) })
 	}
 	return Reply{At: unixMs(), Count: len(places)}, err
 }
@@ -177,8 +177,8 @@
 	}
 	for _, i := range places {
 		err := h.nodes[i].Restart()
-		for try := 1; err != nil && try < returnTries; try++ {
-			time.Sleep(returnPause)
+		for try := 1; err != nil && try < restartAttempts; try++ {
+			time.Sleep(restartPause)
 			err = h.nodes[i].Restart()
 		}
 		if err != nil {
@@ -195,7 +195,7 @@
 		return Reply{}, err
 	}
 	return await(places, order.Within, func(i int) (is bool) {
-		h.worlds[i].WithLock(func(float64) { is = h.nodes[i].Connections() >= order.Count })
+		h.testbeds[i].WithLock(func(float64) { is = h.nodes[i].Connections() >= order.Count })
 		return is
 	})
 }
--- a/internal/lab/scale/hollow/order.go
+++ b/internal/lab/scale/hollow/order.go
@@ -95,17 +95,17 @@
 var errNotWithin = errors.New("not within the time that was given")
 
 const (
-	awaitLook      = 5 * time.Millisecond
-	awaitByDefault = 10_000 // ms
+	pollInterval   = 5 * time.Millisecond
+	defaultAwaitMs = 10_000 // ms
 )
 
 // await waits until all are as they should be, and tells when the last was.
 func await[T any](all []T, withinMs float64, is func(T) bool) (Reply, error) {
 	if withinMs == 0 {
-		withinMs = awaitByDefault
+		withinMs = defaultAwaitMs
 	}
 	left := all
-	for end := time.Now().Add(time.Duration(withinMs * 1e6)); time.Now().Before(end); time.Sleep(awaitLook) {
+	for end := time.Now().Add(time.Duration(withinMs * 1e6)); time.Now().Before(end); time.Sleep(pollInterval) {
 		for len(left) > 0 && is(left[0]) {
 			left = left[1:]
 		}
--- a/internal/lab/scale/hollow/schedulers.go
+++ b/internal/lab/scale/hollow/schedulers.go
@@ -32,13 +32,13 @@
 
 // Times and sizes of hollow schedulers.
 const (
-	Seeds         = 3 // hollow schedulers that all others ask first, and that keep the replicated state
-	reportEachMs  = 250
-	coldWindowMs  = 550 // a node's window of the rig's site file, with what a lease adds
-	lookedAt      = 6   // nodes of a zone that a report is about, as a real scheduler's
-	roomOfNode    = 256 // cores that a node may be asked for
-	startTogether = 50  // hollow schedulers that are started before a pause
-	startPause    = 20 * time.Millisecond
+	Seeds            = 3 // hollow schedulers that all others ask first, and that keep the replicated state
+	reportIntervalMs = 250
+	coldWindowMs     = 550 // a node's window of the rig's site file, with what a lease adds
+	probedNodes      = 6   // nodes of a zone that a report is about, as a real scheduler's
+	nodeCapacity     = 256 // cores that a node may be asked for
+	startTogether    = 50  // hollow schedulers that are started before a pause
+	startPause       = 20 * time.Millisecond
 )
 
 // SchedulerName is the name of a hollow scheduler by its number.
@@ -52,7 +52,7 @@
 	host        *schedulerHost
 	name        string
 	incarnation uint64
-	world       *silencer
+	env         *silenceableEnv
 	members     *members.Runner
 	control     *control.Runner
 	ended       chan struct{}
@@ -61,20 +61,20 @@
 // schedulerHost is all hollow schedulers of the process.
 type schedulerHost struct {
 	SchedulersPlan
-	world *env.Real
+	env   *env.Real
 	seeds []string
 	disks [Seeds]memoryDisk // of the voters
 
-	mu   sync.Mutex
-	all  []*scheduler
-	lost map[string]bool // zones that none is heard of
+	mu         sync.Mutex
+	schedulers []*scheduler
+	lost       map[string]bool // zones that none is heard of
 }
 
 // RunSchedulers runs hollow schedulers until the orders end.
 func RunSchedulers(ctx context.Context, in io.Reader, out io.Writer) error {
 	orders := newInput(in)
-	h := &schedulerHost{world: env.NewReal(), lost: map[string]bool{}}
-	defer h.world.Close(time.Second)
+	h := &schedulerHost{env: env.NewReal(), lost: map[string]bool{}}
+	defer h.env.Close(time.Second)
 	if err := orders.plan(&h.SchedulersPlan); err != nil {
 		return err
 	}
@@ -105,21 +105,21 @@
 		}
 	}
 	h.mu.Lock()
-	h.all = all
+	h.schedulers = all
 	h.mu.Unlock()
 	return nil
 }
 
 func (h *schedulerHost) startOne(number int, incarnation uint64, listen string) (*scheduler, error) {
-	s := &scheduler{host: h, name: SchedulerName(number), incarnation: incarnation, world: &silencer{Environment: h.world}, ended: make(chan struct{})}
+	s := &scheduler{host: h, name: SchedulerName(number), incarnation: incarnation, env: &silenceableEnv{Environment: h.env}, ended: make(chan struct{})}
 	seeds := h.seeds
 	if len(seeds) == 0 { // the first of all asks nobody but itself
 		seeds = []string{"127.0.0.1:1"}
 	}
-	run, err := members.Start(s.world, listen, membership.Config{
+	run, err := members.Start(s.env, listen, membership.Config{
 		Site: h.Site, Name: s.name, Life: incarnation, Key: []byte(h.Key), Seeds: seeds,
 		Seed: h.Seed*10_007 + uint64(number), Place: h.First + number, Places: h.Places, Window: coldWindowMs,
-	}, hearsNothing{})
+	}, ignoreEvents{})
 	if err != nil {
 		return nil, err
 	}
@@ -134,10 +134,10 @@
 	for zone := range h.Zones {
 		site.Zones = append(site.Zones, ZoneName(zone))
 	}
-	if s.control, err = control.Start(s.world, zerolog.Nop(), run, who, disk, site); err != nil {
+	if s.control, err = control.Start(s.env, zerolog.Nop(), run, who, disk, site); err != nil {
 		return nil, err
 	}
-	env.Every(h.world, reportEachMs, s.report)
+	env.Every(h.env, reportIntervalMs, s.report)
 	return s, nil
 }
 
@@ -161,7 +161,7 @@
 	h.mu.Lock()
 	for zone := range h.Zones {
 		name := ZoneName(zone)
-		sum := zones.Summary{Nodes: min(lookedAt, h.NodesPerZone), Capacity: float64(h.NodesPerZone) * roomOfNode}
+		sum := zones.Summary{Nodes: min(probedNodes, h.NodesPerZone), Capacity: float64(h.NodesPerZone) * nodeCapacity}
 		if !h.lost[name] {
 			sum.Reachable = sum.Nodes
 		}
@@ -174,22 +174,22 @@
 
 // end takes a scheduler away without a word to the others.
 func (s *scheduler) end() {
-	s.world.silent.Store(true)
+	s.env.muted.Store(true)
 	close(s.ended)
 	s.control.Stop()
 	s.members.Stop()
 }
 
-// hearsNothing is told of changes by the detector; orders ask it instead.
-type hearsNothing struct{}
+// ignoreEvents is told of changes by the detector; orders ask it instead.
+type ignoreEvents struct{}
 
-func (hearsNothing) OnChange(float64, membership.Member, membership.State) {}
-func (hearsNothing) OnNameTaken(float64, string)                           {}
-func (hearsNothing) LastHeard(uint32) (uint64, float64, bool)              { return 0, 0, false }
+func (ignoreEvents) OnChange(float64, membership.Member, membership.State) {}
+func (ignoreEvents) OnNameTaken(float64, string)                           {}
+func (ignoreEvents) LastHeard(uint32) (uint64, float64, bool)              { return 0, 0, false }
 
 func (h *schedulerHost) do(order Order) (Reply, error) {
 	h.mu.Lock()
-	all := h.all
+	all := h.schedulers
 	h.mu.Unlock()
 	switch order.Do {
 	case Addresses:
@@ -205,7 +205,7 @@
 		last := all[len(all)-1]
 		last.end()
 		h.mu.Lock()
-		h.all = all[:len(all)-1]
+		h.schedulers = all[:len(all)-1]
 		h.mu.Unlock()
 		return Reply{At: unixMs()}, nil
 	case AwaitMember:
--- a/internal/lab/scale/limits.go
+++ b/internal/lab/scale/limits.go
@@ -13,15 +13,15 @@
 
 // What a run may take of the machine, by rough measurement.
 const (
-	spareDescriptors  = 300
-	memoryPerNode     = 60 << 10 // of the hollow process, with a connection
-	memoryPerLink     = 30 << 10 // of a real process
-	memoryPerMember   = 2 << 10  // of what each scheduler holds of each other
-	memoryPerHollow   = 100 << 10
-	memoryPerProcess  = 60 << 20
-	memoryPart        = 0.5 // of the machine's that a run may take
-	mostNodesPerChild = 5000
-	mostOfChild       = 12_000 // descriptors that a process of hollow nodes takes for listeners and connections
+	spareDescriptors    = 300
+	memoryPerNode       = 60 << 10 // of the hollow process, with a connection
+	memoryPerLink       = 30 << 10 // of a real process
+	memoryPerMember     = 2 << 10  // of what each scheduler holds of each other
+	memoryPerHollow     = 100 << 10
+	memoryPerProcess    = 60 << 20
+	memoryFraction      = 0.5 // of the machine's that a run may take
+	maxNodesPerChild    = 5000
+	maxChildDescriptors = 12_000 // descriptors that a process of hollow nodes takes for listeners and connections
 )
 
 // needs is what a run takes of the machine.
@@ -42,7 +42,7 @@
 }
 
 // nodesPerChild is how many nodes a hollow process holds at most: each takes a listener and a connection a real process.
-func (t Trial) nodesPerChild() int { return min(mostNodesPerChild, mostOfChild/(1+t.Real)) }
+func (t Trial) nodesPerChild() int { return min(maxNodesPerChild, maxChildDescriptors/(1+t.Real)) }
 
 func (t Trial) nodeChildren() int { return (t.Sizes.Nodes + t.nodesPerChild()) / t.nodesPerChild() }
 
@@ -51,7 +51,7 @@
 	if n.Descriptors > descriptors {
 		return fmt.Errorf("scale run: a process needs %d descriptors, the limit (ulimit -n) is %d", n.Descriptors, descriptors)
 	}
-	if most := uint64(memoryPart * float64(memory)); n.Memory > most {
+	if most := uint64(memoryFraction * float64(memory)); n.Memory > most {
 		return fmt.Errorf("scale run: %d MiB of memory are needed, a run may take %d", n.Memory>>20, most>>20)
 	}
 	return nil
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -58,8 +58,8 @@
 	stop, stopped := make(chan struct{}), sync.WaitGroup{}
 	if phase.Starts > 0 {
 		stopped.Go(func() {
-			next := arrivals(stop, r.clients, shortJob, phase.Starts*float64(r.Real), r.asked, 0, r.Sizes.Teams, r.random)
-			r.asked = next
+			next := arrivals(stop, r.clients, shortJob, phase.Starts*float64(r.Real), r.requested, 0, r.Sizes.Teams, r.random)
+			r.requested = next
 		})
 	}
 	results, err := r.window(ctx, phase)
@@ -69,7 +69,7 @@
 }
 
 func (r *Rig) window(ctx context.Context, phase Phase) ([]*result.Result, error) {
-	if err := pause(ctx, r.Warm); err != nil {
+	if err := pause(ctx, r.WarmUp); err != nil {
 		return nil, err
 	}
 	r.tally.reset()
@@ -87,7 +87,7 @@
 			return nil, fmt.Errorf("%s: %w", phase.Scenario, err)
 		}
 	}
-	if err := pause(ctx, time.Until(began.Add(r.Last))); err != nil {
+	if err := pause(ctx, time.Until(began.Add(r.MeasureFor))); err != nil {
 		return nil, err
 	}
 	seconds := time.Since(began).Seconds()
@@ -101,7 +101,7 @@
 		if p.incarnation != incarnations[i] { // its counts began anew
 			before[i] = scrape{}
 		}
-		watched := p.watched
+		watched := p.profiling
 		if err := p.window(false); err != nil {
 			return nil, err
 		}
@@ -132,7 +132,7 @@
 // scrapeAll reads the counts of all real processes; nil where that failed.
 func (r *Rig) scrapeAll(ctx context.Context) (pages []scrape) {
 	for _, p := range r.real {
-		page, err := fetch(ctx, p.counts)
+		page, err := fetch(ctx, p.metricsAddress)
 		if err != nil {
 			page = nil
 		}
--- a/internal/lab/scale/phases.go
+++ b/internal/lab/scale/phases.go
@@ -25,10 +25,10 @@
 
 // Times of phases.
 const (
-	changeWithin  = 20 * time.Second
-	verdictWithin = 30 * time.Second
-	lostFor       = 4 * time.Second
-	settleAgain   = 60 * time.Second
+	changeTimeout   = 20 * time.Second
+	verdictTimeout  = 30 * time.Second
+	outage          = 4 * time.Second
+	resettleTimeout = 60 * time.Second
 )
 
 // Phases gives the phases of a scenario by name.
@@ -76,8 +76,8 @@
 	return at, nil
 }
 
-// tellList has the list tell the nodes at places as gone, or as ready again.
-func (r *Rig) tellList(first, last, availability int) {
+// updateList has the list tell the nodes at places as gone, or as ready again.
+func (r *Rig) updateList(first, last, availability int) {
 	r.list.Change(first, last, func(e *hollow.Entry) { e.Availability = availability })
 }
 
@@ -100,8 +100,8 @@
 func listChange(r *Rig) ([]result.Reading, error) {
 	last := r.entries - 1
 	told := float64(time.Now().UnixMicro()) / 1e3
-	r.tellList(last, last+1, hollow.Ready)
-	at, err := r.orderNodes(hollow.Order{Do: hollow.AwaitConnections, First: last, Last: last + 1, Count: r.Real, Within: ms(changeWithin)})
+	r.updateList(last, last+1, hollow.Ready)
+	at, err := r.orderNodes(hollow.Order{Do: hollow.AwaitConnections, First: last, Last: last + 1, Count: r.Real, Within: ms(changeTimeout)})
 	if err != nil {
 		return nil, err
 	}
@@ -115,13 +115,13 @@
 	if err != nil {
 		return nil, err
 	}
-	known, err := r.schedulers.order(hollow.Order{Do: hollow.AwaitMember, Name: gone, State: "dead", Within: ms(changeWithin)})
+	known, err := r.schedulers.order(hollow.Order{Do: hollow.AwaitMember, Name: gone, State: "dead", Within: ms(changeTimeout)})
 	if err != nil {
 		return nil, err
 	}
 	last := known.At
 	for _, p := range r.real {
-		at, err := p.awaitLog(changeWithin, stopped.At, func(l logLine) bool { return l.Mode == "members" && l.Member == gone && l.Is == "dead" })
+		at, err := p.awaitLog(changeTimeout, stopped.At, func(l logLine) bool { return l.Mode == "members" && l.Member == gone && l.Is == "dead" })
 		if err != nil {
 			return nil, err
 		}
@@ -139,7 +139,7 @@
 // they hold it for open.
 func (r *Rig) loseZone(lose, find hollow.Action) ([]result.Reading, error) {
 	zone := hollow.ZoneName(r.Sizes.Zones - 1)
-	lost, err := r.turnZone(zone, hollow.LoseZone, lose)
+	lost, err := r.setZone(zone, hollow.LoseZone, lose)
 	if err != nil {
 		return nil, err
 	}
@@ -147,12 +147,12 @@
 	if err != nil {
 		return nil, err
 	}
-	time.Sleep(lostFor)
-	found, err := r.turnZone(zone, hollow.FindZone, find)
+	time.Sleep(outage)
+	found, err := r.setZone(zone, hollow.FindZone, find)
 	if err != nil {
 		return nil, err
 	}
-	connected, err := r.orderNodes(hollow.Order{Do: hollow.AwaitConnections, Name: zone, Count: r.Real, Within: ms(settleAgain)})
+	connected, err := r.orderNodes(hollow.Order{Do: hollow.AwaitConnections, Name: zone, Count: r.Real, Within: ms(resettleTimeout)})
 	if err != nil {
 		return nil, err
 	}
@@ -163,8 +163,8 @@
 	return []result.Reading{since("zone closed", lost, closed), since("zone connected", found, connected), since("zone open", found, open)}, nil
 }
 
-// turnZone has nodes and hollow schedulers lose or find a zone, and tells when.
-func (r *Rig) turnZone(zone string, hears, nodes hollow.Action) (at float64, err error) {
+// setZone has nodes and hollow schedulers lose or find a zone, and tells when.
+func (r *Rig) setZone(zone string, hears, nodes hollow.Action) (at float64, err error) {
 	if _, err := r.schedulers.order(hollow.Order{Do: hears, Name: zone}); err != nil {
 		return 0, err
 	}
@@ -173,13 +173,13 @@
 
 // awaitVerdict waits until all schedulers hold a zone in a state, and the real ones send to such a part of it.
 func (r *Rig) awaitVerdict(zone, state string, from float64, part func(float64) bool) (last float64, err error) {
-	reply, err := r.schedulers.order(hollow.Order{Do: hollow.AwaitZone, Name: zone, State: state, Within: ms(verdictWithin)})
+	reply, err := r.schedulers.order(hollow.Order{Do: hollow.AwaitZone, Name: zone, State: state, Within: ms(verdictTimeout)})
 	if err != nil {
 		return 0, err
 	}
 	last = reply.At
 	for _, p := range r.real {
-		at, err := p.awaitLog(verdictWithin, from, func(l logLine) bool {
+		at, err := p.awaitLog(verdictTimeout, from, func(l logLine) bool {
 			sends, ok := l.Parts[zone]
 			return l.Mode == "zones" && ok && part(sends)
 		})
@@ -197,16 +197,16 @@
 	if _, err := r.orderNodes(hollow.Order{Do: hollow.StopNodes, Last: rack}); err != nil {
 		return nil, err
 	}
-	r.tellList(0, rack, hollow.Gone)
-	if err := pause(ctx, lostFor); err != nil {
+	r.updateList(0, rack, hollow.Gone)
+	if err := pause(ctx, outage); err != nil {
 		return nil, err
 	}
 	back, err := r.orderNodes(hollow.Order{Do: hollow.ReturnNodes, Last: rack})
 	if err != nil {
 		return nil, err
 	}
-	r.tellList(0, rack, hollow.Ready)
-	at, err := r.orderNodes(hollow.Order{Do: hollow.AwaitConnections, Last: rack, Count: r.Real, Within: ms(settleAgain)})
+	r.updateList(0, rack, hollow.Ready)
+	at, err := r.orderNodes(hollow.Order{Do: hollow.AwaitConnections, Last: rack, Count: r.Real, Within: ms(resettleTimeout)})
 	if err != nil {
 		return nil, err
 	}
@@ -263,10 +263,10 @@
 
 // awaitCounts waits until the counts of all real processes fit, and tells when the last did.
 func (r *Rig) awaitCounts(ctx context.Context, fits func(place int, page scrape) bool) (at float64, err error) {
-	end := time.Now().Add(settleAgain)
+	end := time.Now().Add(resettleTimeout)
 	for _, p := range r.real {
 		for {
-			page, err := fetch(ctx, p.counts)
+			page, err := fetch(ctx, p.metricsAddress)
 			if err != nil {
 				return 0, err
 			}
@@ -277,7 +277,7 @@
 				return 0, fmt.Errorf("%s: %.0f tasks, %.0f nodes, %.0f schedulers: %w", p.name, page.of("tries_held"), page.of("connections", "kind", heldKind),
 					page.of("members", "state", "alive"), errNotWithin)
 			}
-			time.Sleep(scrapeAgain)
+			time.Sleep(scrapeInterval)
 		}
 	}
 	return float64(time.Now().UnixMicro()) / 1e3, nil
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -15,7 +15,7 @@
 	zones          = 14
 	regions        = 6
 	configChanges  = 0 // a day: a process reads its configuration at the start
-	shareOf        = 30
+	taskShare      = 30
 )
 
 // Dimensions.
@@ -34,8 +34,8 @@
 	}
 }
 
-// tasksOver are the running tasks over all 30 schedulers.
-var tasksOver = []int{2_000, 10_000, 50_000, 190_000}
+// totalTasks are the running tasks over all 30 schedulers.
+var totalTasks = []int{2_000, 10_000, 50_000, 190_000}
 
 // Points gives the sizes of a dimension, one at a time from the base; off the axes the two that the fitted model has to
 // foretell.
@@ -55,8 +55,8 @@
 			add(func(s *result.Sizes) { s.Schedulers = n })
 		}
 	case Tasks:
-		for _, n := range tasksOver {
-			add(func(s *result.Sizes) { s.RunningTasks = n / shareOf })
+		for _, n := range totalTasks {
+			add(func(s *result.Sizes) { s.RunningTasks = n / taskShare })
 		}
 	case OffAxis:
 		add(func(s *result.Sizes) { s.Nodes, s.Schedulers = 4_000, 200 })
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -19,17 +19,17 @@
 
 // process is a real scheduler process.
 type process struct {
-	name        string
-	place       int // among all schedulers
-	rig         *Rig
-	log         *os.File
-	cmd         *exec.Cmd
-	owners      string // address of the owners' door
-	counts      string // address of the page of counts
-	from        int64  // where the log of the present incarnation begins
-	profile     string
-	watched     bool // profiles of a window of this incarnation have begun
-	incarnation int
+	name           string
+	place          int // among all schedulers
+	rig            *Rig
+	log            *os.File
+	cmd            *exec.Cmd
+	clientAddress  string // address of the owners' door
+	metricsAddress string // address of the page of counts
+	logOffset      int64  // where the log of the present incarnation begins
+	profile        string
+	profiling      bool // profiles of a window of this incarnation have begun
+	incarnation    int
 }
 
 // realName is the name of a real scheduler by its number.
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	p.from = end
+	p.logOffset = end
 	file := filepath.Join(r.Dir, p.name+".address")
 	zone := hollow.ZoneName(p.place % r.Sizes.Zones)
 	command := append(slices.Clone(r.Command), "serve", "--site", site, "--state", p.state(), "--name", p.name, "--index", fmt.Sprint(p.place), "--zone", zone,
@@ -72,10 +72,10 @@
 	if r.Profile {
 		command = append(command, "--profile-window", p.profile)
 	}
-	if p.cmd, p.owners, err = spawn.Scheduler(ctx, command, p.log, file); err != nil {
+	if p.cmd, p.clientAddress, err = spawn.Scheduler(ctx, command, p.log, file); err != nil {
 		return err
 	}
-	p.watched = false
+	p.profiling = false
 	p.incarnation++
 	return p.findCounts()
 }
@@ -94,7 +94,7 @@
 		return err
 	}
 	defer f.Close()
-	if _, err := f.Seek(p.from, 0); err != nil {
+	if _, err := f.Seek(p.logOffset, 0); err != nil {
 		return err
 	}
 	lines := bufio.NewScanner(f)
@@ -112,14 +112,14 @@
 
 // findCounts reads the address of the page of counts from the log.
 func (p *process) findCounts() error {
-	p.counts = ""
+	p.metricsAddress = ""
 	err := p.eachLine(func(l logLine) bool {
 		if l.Mode == "counts" && l.Address != "" {
-			p.counts = l.Address
+			p.metricsAddress = l.Address
 		}
-		return p.counts == ""
+		return p.metricsAddress == ""
 	})
-	if err == nil && p.counts == "" {
+	if err == nil && p.metricsAddress == "" {
 		err = fmt.Errorf("%s: %w", p.name, errNoCounts)
 	}
 	return err
@@ -127,7 +127,7 @@
 
 // awaitLog waits until a line of the log fits, and gives when that was, in unix ms.
 func (p *process) awaitLog(within time.Duration, since float64, fits func(logLine) bool) (at float64, err error) {
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(look) {
+	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(pollInterval) {
 		err := p.eachLine(func(l logLine) bool {
 			if l.At >= since && fits(l) {
 				at = l.At
@@ -144,17 +144,17 @@
 // window begins or ends the profiles of a window, if there are any: not of a process that was started meanwhile. After the
 // end it waits for them.
 func (p *process) window(begins bool) error {
-	if !p.rig.Profile || !begins && !p.watched {
+	if !p.rig.Profile || !begins && !p.profiling {
 		return nil
 	}
-	if p.watched = begins; begins {
+	if p.profiling = begins; begins {
 		_ = os.Remove(p.profile + heapSuffix)
 		return p.cmd.Process.Signal(syscall.SIGUSR1)
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGUSR1); err != nil {
 		return err
 	}
-	for end := time.Now().Add(profileWithin); time.Now().Before(end); time.Sleep(look) {
+	for end := time.Now().Add(profileTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if _, err := os.Stat(p.profile + heapSuffix); err == nil {
 			return nil
 		}
--- a/internal/lab/scale/profile.go
+++ b/internal/lab/scale/profile.go
@@ -68,15 +68,15 @@
 	{"prometheus", partCounts},
 }
 
-// below are the parts of samples that no rule has.
-var below = []rule{{"ravenpond/internal/outside", partSockets}, {moduleMarker, partElse}}
+// fallbackRules are the parts of samples that no rule has.
+var fallbackRules = []rule{{"ravenpond/internal/outside", partSockets}, {moduleMarker, partElse}}
 
-// partOf is the part of the program that a sample belongs to.
-func partOf(s *profile.Sample) string {
+// componentOf is the part of the program that a sample belongs to.
+func componentOf(s *profile.Sample) string {
 	if part := match(s, rules); part != "" {
 		return part
 	}
-	if part := match(s, below); part != "" {
+	if part := match(s, fallbackRules); part != "" {
 		return part
 	}
 	return partRuntime
@@ -98,8 +98,8 @@
 	return ""
 }
 
-// byPart sums up a value of a profile's samples by part of the program.
-func byPart(path, value string) (map[string]float64, error) {
+// byComponent sums up a value of a profile's samples by part of the program.
+func byComponent(path, value string) (map[string]float64, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -120,18 +120,18 @@
 	}
 	sum := map[string]float64{}
 	for _, s := range p.Sample {
-		sum[partOf(s)] += float64(s.Value[at])
+		sum[componentOf(s)] += float64(s.Value[at])
 	}
 	return sum, nil
 }
 
 // profiled are the readings of a window's profiles: CPU by part, and the heap in use by who allocated it.
 func profiled(path string, seconds float64) ([]result.Reading, error) {
-	cpu, err := byPart(path, "cpu")
+	cpu, err := byComponent(path, "cpu")
 	if err != nil {
 		return nil, err
 	}
-	heap, err := byPart(path+heapSuffix, "inuse_space")
+	heap, err := byComponent(path+heapSuffix, "inuse_space")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/regions/check.go
+++ b/internal/lab/scale/regions/check.go
@@ -13,16 +13,16 @@
 	accusersPerMember = 4                      // the program counts one more than the three that end a suspicion soonest
 	timersPerMember   = 8                      // a suspicion's timers, the reminder to forget a dead one, a probe's
 	timersOfItself    = 64                     // probes, calls and pings for others
-	mostHellos        = 8                      // beside one for each member: the seeds
+	maxHellos         = 8                      // beside one for each member: the seeds
 	fragmentsPerPeer  = 8                      // messages of which parts are missing
 	logSlack          = consensus.MaxProposals // entries that are not agreed on yet
-	mostEntryBytes    = 4096                   // of a log's entry on the mean: a plan for half of the zones is the largest
+	maxEntryBytes     = 4096                   // of a log's entry on the mean: a plan for half of the zones is the largest
 	updatesPerMember  = 2
 
 	// growth by which the last quarter of the cut may exceed the first, as a part and in items or bytes.
-	growthPart  = 0.5
-	growthItems = 16
-	growthBytes = 4096
+	growthFactor     = 0.5
+	growthSlackItems = 16
+	growthSlackBytes = 4096
 )
 
 // Violation is a reading that breaks a bound.
@@ -75,15 +75,15 @@
 	bounds[Members] = others
 	bounds[Accusers] = accusersPerMember * others
 	bounds[Timers] = timersPerMember*others + timersOfItself
-	bounds[Hellos] = others + mostHellos
+	bounds[Hellos] = others + maxHellos
 	bounds[Updates] = updatesPerMember * c.Processes
-	bounds[UnreachableNodes] = c.Zones * nodesLookedAt
+	bounds[UnreachableNodes] = c.Zones * probedNodes
 	bounds[Fragments] = fragmentsPerPeer * others
 	bounds[PendingMessages] = control.MaxPendingMessages
 	bounds[PendingCalls] = control.MaxPendingMessages
 	bounds[Proposals] = consensus.MaxProposals
 	bounds[LogEntries] = consensus.MaxLogEntries + logSlack
-	bounds[LogBytes] = bounds[LogEntries] * mostEntryBytes
+	bounds[LogBytes] = bounds[LogEntries] * maxEntryBytes
 	bounds[DiskEntries] = bounds[LogEntries]
 	bounds[DiskBytes] = bounds[LogBytes] + consensus.MaxSnapshotBytes
 	bounds[SnapshotBytes] = consensus.MaxSnapshotBytes
@@ -114,11 +114,11 @@
 		if slices.Contains(sawtooth, s) {
 			continue
 		}
-		allowance := growthItems
+		allowance := growthSlackItems
 		if s.IsBytes() {
-			allowance = growthBytes
+			allowance = growthSlackBytes
 		}
-		bound := int((1+growthPart)*float64(most(first, s))) + allowance
+		bound := int((1+growthFactor)*float64(largest(first, s))) + allowance
 		for _, m := range last {
 			for _, reading := range m.Readings {
 				if reading.Sizes[s] > bound {
@@ -130,8 +130,8 @@
 	return violations
 }
 
-// most is the largest reading of a structure at any process.
-func most(minutes []Minute, s Structure) (value int) {
+// largest is the largest reading of a structure at any process.
+func largest(minutes []Minute, s Structure) (value int) {
 	for _, m := range minutes {
 		for i := range m.Readings {
 			value = max(value, m.Readings[i].Sizes[s])
--- a/internal/lab/scale/regions/heal.go
+++ b/internal/lab/scale/regions/heal.go
@@ -21,15 +21,15 @@
 
 // settle lets time go by after the heal, with a reading each minute, and notes when views are one. It goes on for a few minutes
 // after that, so that readings show what stays.
-func (s *site) settle() {
+func (s *cluster) settle() {
 	heal := &s.report.Heal
 	moments := []struct {
 		moment *Moment
 		is     func() bool
 	}{{&heal.Members, s.membersAgree}, {&heal.State, s.stateAgrees}, {&heal.Zones, s.zonesOpen}, {&heal.Restarted, s.restartActs}}
-	next := s.clock.TrueTime() + readEach
+	next := s.clock.TrueTime() + readInterval
 	for end := s.healedAt + float64(s.config.Settle.Milliseconds()); s.clock.TrueTime() < end && s.ctx.Err() == nil; {
-		s.clock.RunUntil(s.clock.TrueTime() + pollEach)
+		s.clock.RunUntil(s.clock.TrueTime() + pollInterval)
 		for _, m := range moments {
 			if !m.moment.Reached && m.is() {
 				*m.moment = Moment{Reached: true, Seconds: (s.clock.TrueTime() - s.healedAt) / 1000}
@@ -37,12 +37,12 @@
 		}
 		if s.clock.TrueTime() >= next {
 			s.read(Healed)
-			next += readEach
+			next += readInterval
 		}
 	}
 }
 
-func (s *site) membersAgree() bool {
+func (s *cluster) membersAgree() bool {
 	var view uint64
 	for i, p := range s.processes {
 		agrees := false
@@ -63,18 +63,18 @@
 	return true
 }
 
-func (s *site) stateAgrees() bool {
+func (s *cluster) stateAgrees() bool {
 	version := s.processes[0].control.View().State.Version()
 	for _, p := range s.processes {
 		view := p.control.View()
-		if view.State.Version() != version || p.world.Now() >= view.LeaseExpiry {
+		if view.State.Version() != version || p.env.Now() >= view.LeaseExpiry {
 			return false
 		}
 	}
 	return version > 0
 }
 
-func (s *site) zonesOpen() bool {
+func (s *cluster) zonesOpen() bool {
 	if !s.stateAgrees() {
 		return false
 	}
@@ -87,7 +87,7 @@
 	return true
 }
 
-func (s *site) restartActs() bool {
+func (s *cluster) restartActs() bool {
 	if s.restarted == nil {
 		return false
 	}
--- a/internal/lab/scale/regions/reading.go
+++ b/internal/lab/scale/regions/reading.go
@@ -93,7 +93,7 @@
 }
 
 // read reads all processes.
-func (s *site) read(phase Phase) {
+func (s *cluster) read(phase Phase) {
 	m := Minute{Phase: phase, Seconds: (s.clock.TrueTime() - s.cutAt) / 1000, Readings: make([]Reading, len(s.processes))}
 	if phase == Before {
 		m.Seconds = (s.clock.TrueTime() - float64(s.config.Warm.Milliseconds())) / 1000
@@ -101,7 +101,7 @@
 	for i, p := range s.processes {
 		p.read(&m.Readings[i])
 	}
-	s.clock.RunUntil(s.clock.TrueTime() + readTakes)
+	s.clock.RunUntil(s.clock.TrueTime() + readDuration)
 	s.report.Minutes = append(s.report.Minutes, m)
 }
 
@@ -109,12 +109,12 @@
 func (p *process) read(r *Reading) {
 	r.Process = p.name
 	view := p.control.View()
-	r.Version, r.LeaseValid = view.State.Version(), p.world.Now() < view.LeaseExpiry
+	r.Version, r.LeaseValid = view.State.Version(), p.env.Now() < view.LeaseExpiry
 	p.readMembers(r)
 	if p.disk != nil {
 		r.Sizes[DiskEntries], r.Sizes[DiskBytes] = p.disk.size()
 	}
-	p.control.Measure(func(f control.Footprint) { r.takeControl(f, p.hoard) })
+	p.control.Measure(func(f control.Footprint) { r.takeControl(f, p.backlog) })
 }
 
 func (p *process) readMembers(r *Reading) {
@@ -128,18 +128,18 @@
 		r.Sizes[UnreachableNodes] = f.UnreachableNodes
 		r.Sizes[Fragments], r.Sizes[FragmentBytes] = f.Fragments.Messages, f.Fragments.Bytes
 		r.Alive, _, _, _ = d.Count()
-		if seconds := (p.site.clock.TrueTime() - p.readAt) / 1000; seconds > 0 {
-			r.DatagramsPerSecond = float64(d.Stats.Sent-p.sent) / seconds
-			r.BytesPerSecond = float64(d.Stats.Bytes-p.sentBytes) / seconds
+		if seconds := (p.cluster.clock.TrueTime() - p.readAt) / 1000; seconds > 0 {
+			r.DatagramsPerSecond = float64(d.Stats.Sent-p.lastSent) / seconds
+			r.BytesPerSecond = float64(d.Stats.Bytes-p.lastSentBytes) / seconds
 		}
-		p.sent, p.sentBytes, p.readAt = d.Stats.Sent, d.Stats.Bytes, p.site.clock.TrueTime()
+		p.lastSent, p.lastSentBytes, p.readAt = d.Stats.Sent, d.Stats.Bytes, p.cluster.clock.TrueTime()
 	})
 }
 
-func (r *Reading) takeControl(f control.Footprint, hoard *hoarder) {
+func (r *Reading) takeControl(f control.Footprint, hoard *messageBacklog) {
 	r.Sizes[PendingMessages], r.Sizes[PendingMessageBytes], r.Sizes[PendingCalls] = f.PendingMessages, f.PendingMessageBytes, f.PendingCalls
 	if hoard != nil {
-		r.Sizes[PendingMessages] += len(hoard.mail)
+		r.Sizes[PendingMessages] += len(hoard.messages)
 	}
 	c := f.Replica
 	r.Sizes[Proposals], r.Sizes[ProposalBytes] = c.Proposals, c.ProposalBytes
--- a/internal/lab/scale/regions/regions.go
+++ b/internal/lab/scale/regions/regions.go
@@ -20,17 +20,17 @@
 
 // Times of the program's parts and of the reading, in ms.
 const (
-	senseEach    = 250.0 // between two looks of a process at the zones, as `serve` has it
-	silentAfter  = 1000.0
-	readEach     = 60e3 // between two readings
-	readTakes    = 20.0 // until all loops have answered a reading
-	pollEach     = 50.0 // between two looks whether views are one
-	dayInMs      = 24 * 3600e3
-	breakEach    = 1000.0 // between two looks whether the run is broken off
-	useSwing     = 600e3  // in which the use of zones goes up and down
-	regionsApart = 20.0   // up to which a datagram between regions takes longer
-	fillEach     = 100.0  // between two groups of processes that are not played and join the state
-	fillAtOnce   = 20     // of a group
+	reportInterval = 250.0 // between two looks of a process at the zones, as `serve` has it
+	silenceTimeout = 1000.0
+	readInterval   = 60e3 // between two readings
+	readDuration   = 20.0 // until all loops have answered a reading
+	pollInterval   = 50.0 // between two looks whether views are one
+	dayInMs        = 24 * 3600e3
+	cancelInterval = 1000.0 // between two looks whether the run is broken off
+	useSwingPeriod = 600e3  // in which the use of zones goes up and down
+	regionLatency  = 20.0   // up to which a datagram between regions takes longer
+	fillInterval   = 100.0  // between two groups of processes that are not played and join the state
+	fillGroup      = 20     // of a group
 )
 
 // Config is what is played.
@@ -54,11 +54,11 @@
 	// Restart has one process of the cut-off regions, which is no voter, start again in the midst of the cut.
 	Restart bool `json:"Restart"`
 
-	Plant Plant `json:"Plant"`
+	Plant Faults `json:"Plant"`
 }
 
-// Plant puts a fault into the run, for tests that must find it; the zero value puts none.
-type Plant struct {
+// Faults puts a fault into the run, for tests that must find it; the zero value puts none.
+type Faults struct {
 	KeptLog   bool `json:"KeptLog"`   // voters' disks keep the entries that a snapshot holds
 	StuckLoop bool `json:"StuckLoop"` // one process's control takes none of its messages
 	Unhealed  bool `json:"Unhealed"`  // the ways stay cut at the heal
@@ -91,20 +91,20 @@
 	return nil
 }
 
-// site is a run.
-type site struct {
-	ctx       context.Context // of the run, which is one call
-	config    Config
-	clock     *sim.Clock
-	rng       *rand.Rand
-	zones     []zone
-	processes []*process
-	voters    []string
-	cutAt     float64 // true time of the cut, infinite before it
-	healedAt  float64 // true time of the heal, infinite before it
-	turn      int     // of the process that proposes next
-	restarted *process
-	report    Report
+// cluster is a run.
+type cluster struct {
+	ctx          context.Context // of the run, which is one call
+	config       Config
+	clock        *sim.Clock
+	rng          *rand.Rand
+	zones        []zone
+	processes    []*process
+	voters       []string
+	cutAt        float64 // true time of the cut, infinite before it
+	healedAt     float64 // true time of the heal, infinite before it
+	nextProposer int     // of the process that proposes next
+	restarted    *process
+	report       Report
 }
 
 // zone is one of the site's.
@@ -120,7 +120,7 @@
 	if err := config.check(); err != nil {
 		return nil, err
 	}
-	s := &site{
+	s := &cluster{
 		ctx: ctx, config: config, clock: sim.NewClock(config.Seed), rng: rand.New(rand.NewPCG(config.Seed, 0x4e61)), cutAt: math.Inf(1),
 		healedAt: math.Inf(1), report: Report{Config: config},
 	}
@@ -136,7 +136,7 @@
 }
 
 // build lays out zones and processes: zones go round the regions, processes round the zones.
-func (s *site) build() {
+func (s *cluster) build() {
 	for i := range s.config.Zones {
 		region := i % s.config.Regions
 		s.zones = append(s.zones, zone{name: fmt.Sprintf("zone-%02d", i+1), region: region, cut: region >= s.config.Regions-s.config.CutRegions})
@@ -150,18 +150,18 @@
 	for _, p := range s.processes {
 		for _, q := range s.processes {
 			if p.index < q.index && p.zone.region != q.zone.region {
-				s.clock.Slow(p.name, q.name, regionsApart)
+				s.clock.Slow(p.name, q.name, regionLatency)
 			}
 		}
 	}
 }
 
 // fillState has processes that are not played join the state, a few at a time, from one on.
-func (s *site) fillState(from int) {
+func (s *cluster) fillState(from int) {
 	if from >= s.config.Absent {
 		return
 	}
-	until := min(s.config.Absent, from+fillAtOnce)
+	until := min(s.config.Absent, from+fillGroup)
 	led := false
 	for _, p := range s.processes[:s.config.Voters] {
 		p.control.Enqueue(func(c *consensus.Replica) {
@@ -170,11 +170,11 @@
 			}
 			led = true
 			for i := from; i < until; i++ {
-				c.OnMessage(p.world.Now(), p.name, s.absentJoins(i, p.world.Now()))
+				c.OnMessage(p.env.Now(), p.name, s.absentJoins(i, p.env.Now()))
 			}
 		})
 	}
-	s.clock.At(s.clock.TrueTime()+fillEach, func() {
+	s.clock.At(s.clock.TrueTime()+fillInterval, func() {
 		if led {
 			from = until
 		}
@@ -183,7 +183,7 @@
 }
 
 // absentJoins is the message by which a process that is not played joins.
-func (s *site) absentJoins(index int, now float64) []byte {
+func (s *cluster) absentJoins(index int, now float64) []byte {
 	name, zone := fmt.Sprintf("absent-%04d", index), s.zones[index%len(s.zones)]
 	name += strings.Repeat("x", max(0, s.config.AbsentNameBytes-len(name)))
 	command := codec.AppendCommand(nil, name, 1, 1, now, codec.CommandActivate, name, zone.name, regionName(zone.region), 0, 0, "")
@@ -191,36 +191,36 @@
 }
 
 // play runs the three phases, with a reading each minute.
-func (s *site) play() {
-	s.command()
-	s.pass(Before, float64(s.config.Warm.Milliseconds()))
+func (s *cluster) play() {
+	s.scheduleCommands()
+	s.advance(Before, float64(s.config.Warm.Milliseconds()))
 	s.cut(true)
 	cut := float64(s.config.Cut.Milliseconds())
 	if s.config.Restart {
 		s.clock.At(s.clock.TrueTime()+cut/2, s.restart)
 	}
-	s.pass(During, cut)
+	s.advance(During, cut)
 	s.cut(false)
 	s.settle()
 }
 
-// pass lets time go by with a reading at the end of each minute.
-func (s *site) pass(phase Phase, ms float64) {
+// advance lets time go by with a reading at the end of each minute.
+func (s *cluster) advance(phase Phase, ms float64) {
 	for end := s.clock.TrueTime() + ms; s.clock.TrueTime() < end && s.ctx.Err() == nil; {
-		s.until(min(end, s.clock.TrueTime()+readEach))
+		s.advanceTo(min(end, s.clock.TrueTime()+readInterval))
 		s.read(phase)
 	}
 }
 
-// until lets time go by, in steps after which it may be broken off.
-func (s *site) until(at float64) {
+// advanceTo lets time go by, in steps after which it may be broken off.
+func (s *cluster) advanceTo(at float64) {
 	for s.clock.TrueTime() < at && s.ctx.Err() == nil {
-		s.clock.RunUntil(min(at, s.clock.TrueTime()+breakEach))
+		s.clock.RunUntil(min(at, s.clock.TrueTime()+cancelInterval))
 	}
 }
 
 // cut cuts all ways between the two groups of regions, or heals them.
-func (s *site) cut(is bool) {
+func (s *cluster) cut(is bool) {
 	for _, p := range s.processes {
 		for _, q := range s.processes {
 			if p.index < q.index && p.zone.cut != q.zone.cut {
@@ -236,13 +236,13 @@
 }
 
 // isCut tells whether two zones are cut from each other now, and since when.
-func (s *site) isCut(a, b *zone) (since float64, is bool) {
+func (s *cluster) isCut(a, b *zone) (since float64, is bool) {
 	now := s.clock.TrueTime()
 	return s.cutAt, a.cut != b.cut && now >= s.cutAt && now < s.healedAt
 }
 
 // restart has one process of the cut-off regions start again.
-func (s *site) restart() {
+func (s *cluster) restart() {
 	for _, p := range s.processes[s.config.Voters:] {
 		if p.zone.cut {
 			s.restarted = p
@@ -252,14 +252,14 @@
 	}
 }
 
-// command has the next process propose a command, and so on at the configured rate.
-func (s *site) command() {
+// scheduleCommands has the next process propose a command, and so on at the configured rate.
+func (s *cluster) scheduleCommands() {
 	if s.config.CommandsPerDay <= 0 {
 		return
 	}
 	s.clock.At(s.clock.TrueTime()+dayInMs/s.config.CommandsPerDay, func() {
-		s.processes[s.turn%len(s.processes)].propose()
-		s.turn++
-		s.command()
+		s.processes[s.nextProposer%len(s.processes)].propose()
+		s.nextProposer++
+		s.scheduleCommands()
 	})
 }
--- a/internal/lab/scale/regions/regions_test.go
+++ b/internal/lab/scale/regions/regions_test.go
@@ -55,10 +55,10 @@
 			t.Errorf("%s holds %d for alive in the cut, want %d", reading.Process, reading.Alive, want)
 		}
 	}
-	if entries := most(during, LogEntries); entries < 250 {
+	if entries := largest(during, LogEntries); entries < 250 {
 		t.Errorf("the log was never full: %d entries", entries)
 	}
-	if bytes := most(during, DiskBytes); bytes == 0 {
+	if bytes := largest(during, DiskBytes); bytes == 0 {
 		t.Error("nothing is on a disk")
 	}
 	var text strings.Builder
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, ok := read.Value("cut", "log entries, most"); !ok || v != float64(most(during, LogEntries)) {
+	if v, ok := read.Value("cut", "log entries, most"); !ok || v != float64(largest(during, LogEntries)) {
 		t.Errorf("log entries in the result: %v", v)
 	}
 	if err := r.WriteMinutes(filepath.Join(t.TempDir(), "minutes.json")); err != nil {
@@ -86,11 +86,11 @@
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
-		plant Plant
+		plant Faults
 		found Structure
 	}{
-		{"disks keep what a snapshot holds", Plant{KeptLog: true}, DiskEntries},
-		{"a loop takes none of its messages", Plant{StuckLoop: true}, PendingMessages},
+		{"disks keep what a snapshot holds", Faults{KeptLog: true}, DiskEntries},
+		{"a loop takes none of its messages", Faults{StuckLoop: true}, PendingMessages},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -108,7 +108,7 @@
 	t.Run("ways stay cut", func(t *testing.T) {
 		t.Parallel()
 		config := small()
-		config.Cut, config.Plant = time.Minute, Plant{Unhealed: true}
+		config.Cut, config.Plant = time.Minute, Faults{Unhealed: true}
 		if heal := run(t, config).Heal; heal.Members.Reached || heal.State.Reached {
 			t.Errorf("views are one though the ways are cut: %+v", heal)
 		}
--- a/internal/lab/scale/regions/report.go
+++ b/internal/lab/scale/regions/report.go
@@ -51,7 +51,7 @@
 				unit = result.Bytes
 			}
 			add(string(phase), s.String()+", mean at the end", unit, minutes[len(minutes)-1].mean(func(x *Reading) float64 { return float64(x.Sizes[s]) }))
-			add(string(phase), s.String()+", most", unit, float64(most(minutes, s)))
+			add(string(phase), s.String()+", most", unit, float64(largest(minutes, s)))
 		}
 		add(string(phase), "datagrams", result.MessagesRate, meanOver(minutes, func(x *Reading) float64 { return x.DatagramsPerSecond }))
 		add(string(phase), "traffic", result.BytesPerSec, meanOver(minutes, func(x *Reading) float64 { return x.BytesPerSecond }))
@@ -105,12 +105,12 @@
 
 // WriteMarkdown writes a table of the sizes over the run, the times of the heal and the violations. All of it is simulated.
 func (r *Report) WriteMarkdown(w io.Writer) error {
-	out := &lines{w: w}
+	out := &lineWriter{w: w}
 	columns := r.columns()
 	out.cells("structure, most at any process", columns, func(c column) string { return c.name })
 	out.rule(len(columns))
 	for s := range structures {
-		out.cells(s.String(), columns, func(c column) string { return fmt.Sprint(most(c.minutes, s)) })
+		out.cells(s.String(), columns, func(c column) string { return fmt.Sprint(largest(c.minutes, s)) })
 	}
 	out.cells("all bytes, mean", columns, func(c column) string {
 		return fmt.Sprintf("%.0f", meanOver(c.minutes, func(x *Reading) float64 { return float64(x.Total()) }))
@@ -139,13 +139,13 @@
 	}
 	violations := r.Check()
 	out.line("- violations of bounds: %d", len(violations))
-	for _, v := range violations[:min(len(violations), mostPrinted)] {
+	for _, v := range violations[:min(len(violations), maxPrinted)] {
 		out.line("  - %s", v)
 	}
 	return out.err
 }
 
-const mostPrinted = 20
+const maxPrinted = 20
 
 // column is a stretch of a run.
 type column struct {
@@ -168,19 +168,19 @@
 	return append(columns, column{"healed, last", last(r.phase(Healed))})
 }
 
-// lines writes lines until one fails.
-type lines struct {
+// lineWriter writes lines until one fails.
+type lineWriter struct {
 	w   io.Writer
 	err error
 }
 
-func (l *lines) line(format string, args ...any) {
+func (l *lineWriter) line(format string, args ...any) {
 	if l.err == nil {
 		_, l.err = fmt.Fprintf(l.w, format+"\n", args...)
 	}
 }
 
-func (l *lines) cells(head string, columns []column, cell func(column) string) {
+func (l *lineWriter) cells(head string, columns []column, cell func(column) string) {
 	text := "| " + head + " |"
 	for _, c := range columns {
 		text += " " + cell(c) + " |"
@@ -188,7 +188,7 @@
 	l.line("%s", text)
 }
 
-func (l *lines) rule(columns int) {
+func (l *lineWriter) rule(columns int) {
 	text := "| --- |"
 	for range columns {
 		text += " ---: |"
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -21,17 +21,17 @@
 
 // Trial is one run of a rig, of one or several phases.
 type Trial struct {
-	Command   []string // that runs the program
-	Sizes     result.Sizes
-	Dimension string // the size that is varied
-	Run       int    // repetition
-	Seed      uint64
-	Real      int // real processes
-	Warm      time.Duration
-	Last      time.Duration // of each measurement
-	Commit    string
-	Profile   bool // CPU and heap by part of the program
-	Plant     Plant
+	Command    []string // that runs the program
+	Sizes      result.Sizes
+	Dimension  string // the size that is varied
+	Run        int    // repetition
+	Seed       uint64
+	Real       int // real processes
+	WarmUp     time.Duration
+	MeasureFor time.Duration // of each measurement
+	Commit     string
+	Profile    bool // CPU and heap by part of the program
+	Plant      Faults
 
 	// Variant names what is set apart from the plan by Elements, more elements of the site file; it is added to the scenario.
 	Variant  string
@@ -41,23 +41,23 @@
 	Dir       string // for logs and state
 }
 
-// Plant puts faults into a run, for tests whose check must find them; the zero value puts none.
-type Plant struct {
+// Faults puts faults into a run, for tests whose check must find them; the zero value puts none.
+type Faults struct {
 	OwnConnections bool // a real process connects to each node once more than it has to
 }
 
 const (
 	nodeCores      = 64
 	shortLifeMs    = 2000
-	look           = 10 * time.Millisecond
-	profileWithin  = 20 * time.Second
-	settleWithin   = 90 * time.Second
+	pollInterval   = 10 * time.Millisecond
+	profileTimeout = 20 * time.Second
+	settleTimeout  = 90 * time.Second
 	fillRounds     = 10
 	fillPause      = time.Second
 	fillPerSecond  = 500 // tasks a second of each real process
 	memberKey      = "the scale rig's member key\n"
 	heldKind       = "dialed"
-	scrapeAgain    = 100 * time.Millisecond
+	scrapeInterval = 100 * time.Millisecond
 	noScheduleSeed = 0x5ca1e
 )
 
@@ -66,7 +66,7 @@
 // Rig is all processes of a run.
 type Rig struct {
 	Trial
-	world      *env.Real
+	env        *env.Real
 	list       *hollow.List
 	entries    int // on the list
 	seeds      []string
@@ -75,7 +75,7 @@
 	real       []*process
 	clients    []*client
 	tally      *tally
-	asked      int // tasks so far, over all phases
+	requested  int // tasks so far, over all phases
 	random     *rand.Rand
 	logs       []*os.File
 }
@@ -89,7 +89,7 @@
 	if err := t.checkMachine(); err != nil {
 		return nil, err
 	}
-	r = &Rig{Trial: t, world: env.NewReal(), tally: newTally(), random: rand.New(rand.NewPCG(t.Seed, noScheduleSeed))}
+	r = &Rig{Trial: t, env: env.NewReal(), tally: newTally(), random: rand.New(rand.NewPCG(t.Seed, noScheduleSeed))}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, r.End())
@@ -119,7 +119,7 @@
 		}
 		plan := hollow.NodesPlan{
 			First: first, Count: min(r.nodesPerChild(), total-first), Nodes: r.Sizes.Nodes, Zones: r.Sizes.Zones, Teams: r.Sizes.Teams,
-			Seed: r.Seed + uint64(first), Cores: nodeCores, ShortLife: shortLifeMs,
+			Seed: r.Seed + uint64(first), Cores: nodeCores, ShortRuntime: shortLifeMs,
 		}
 		c, err := startChild(r.Command, NodesCommand, plan, log)
 		if err != nil {
@@ -147,7 +147,7 @@
 	entries[total-1].Availability = hollow.Gone
 	r.entries = total
 	var err error
-	r.list, err = hollow.StartList(r.world, entries)
+	r.list, err = hollow.StartList(r.env, entries)
 	return err
 }
 
@@ -192,8 +192,8 @@
 
 func (r *Rig) connectClients(context.Context) error {
 	for _, p := range r.real {
-		for range clientsEach {
-			c, err := dial(r.world, p.place, p.owners, r.tally)
+		for range clientsPerProcess {
+			c, err := dial(r.env, p.place, p.clientAddress, r.tally)
 			if err != nil {
 				return err
 			}
@@ -209,8 +209,8 @@
 	for _, p := range r.real {
 		var page scrape
 		var err error
-		for end := time.Now().Add(settleWithin); ; {
-			if page, err = fetch(ctx, p.counts); err != nil {
+		for end := time.Now().Add(settleTimeout); ; {
+			if page, err = fetch(ctx, p.metricsAddress); err != nil {
 				return err
 			}
 			if r.settled(page) {
@@ -223,7 +223,7 @@
 				return fmt.Errorf("%s: %.0f of %.0f nodes connected, %.0f of %d other schedulers alive: %w", p.name, page.of("connections", "kind", heldKind),
 					r.connected(), page.of("members", "state", "alive"), r.Sizes.Schedulers-1, errNotWithin)
 			}
-			time.Sleep(scrapeAgain)
+			time.Sleep(scrapeInterval)
 		}
 	}
 	return ctx.Err()
@@ -267,9 +267,9 @@
 // fillOnce asks for so many tasks and waits until all are answered.
 func (r *Rig) fillOnce(ctx context.Context, want int) error {
 	asked, _, _ := r.tally.counts()
-	arrivals(ctx.Done(), r.clients, stayJob, fillPerSecond*float64(r.Real), r.asked, want, r.Sizes.Teams, r.random)
-	r.asked += want
-	for end := time.Now().Add(settleWithin); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(look) {
+	arrivals(ctx.Done(), r.clients, stayJob, fillPerSecond*float64(r.Real), r.requested, want, r.Sizes.Teams, r.random)
+	r.requested += want
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(pollInterval) {
 		if _, served, others := r.tally.counts(); served+others >= asked+want {
 			return nil
 		}
@@ -293,7 +293,7 @@
 			errs = append(errs, c.end())
 		}
 	}
-	r.world.Close(time.Second)
+	r.env.Close(time.Second)
 	for _, log := range r.logs {
 		errs = append(errs, log.Close())
 	}
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -40,7 +40,7 @@
 func smallTrial(t *testing.T, nodes int) Trial {
 	sizes := Base()
 	sizes.Nodes, sizes.Schedulers, sizes.RunningTasks = nodes, 1+hollow.Seeds, 20
-	return Trial{Command: []string{os.Args[0]}, Sizes: sizes, Dimension: Nodes, Run: 1, Seed: 7, Real: 1, Warm: time.Second, Last: 3 * time.Second, Dir: t.TempDir()}
+	return Trial{Command: []string{os.Args[0]}, Sizes: sizes, Dimension: Nodes, Run: 1, Seed: 7, Real: 1, WarmUp: time.Second, MeasureFor: 3 * time.Second, Dir: t.TempDir()}
 }
 
 // play runs phases and gives their results by scenario.
--- a/internal/lab/scale/verdict.go
+++ b/internal/lab/scale/verdict.go
@@ -12,7 +12,7 @@
 	GoroutinesPerNode float64
 	SpareGoroutines   float64
 	RestMessages      float64 // sent to nodes a second, for each of them
-	RestLookMessages  float64 // and a second to each that is looked at for its zone's sake
+	RestProbeMessages float64 // and a second to each that is looked at for its zone's sake
 	RestBytes         float64 // a message to a node at rest
 	MemberMessages    float64 // datagrams sent a second
 	MemberBytes       float64 // of a datagram
@@ -24,26 +24,26 @@
 // DefaultBounds are those of the test that runs with every change: about half as much again as was counted.
 func DefaultBounds() Bounds {
 	return Bounds{
-		SpareDescriptors: 30, GoroutinesPerNode: 2, SpareGoroutines: 60, RestMessages: 0.55, RestLookMessages: 2.5, RestBytes: 32,
+		SpareDescriptors: 30, GoroutinesPerNode: 2, SpareGoroutines: 60, RestMessages: 0.55, RestProbeMessages: 2.5, RestBytes: 32,
 		MemberMessages: 40, MemberBytes: 250, AttemptsPerStart: 1.5, MessagesPerStart: 2, BytesPerStart: 150,
 	}
 }
 
-// lookedAt is how many nodes of each zone a process looks at.
-const lookedAt = 6
+// probedNodes is how many nodes of each zone a process looks at.
+const probedNodes = 6
 
 // restMessages is how many messages a second a process may send to nodes at rest.
 func (b Bounds) restMessages(sizes result.Sizes) float64 {
-	return b.RestMessages*float64(sizes.Nodes) + b.RestLookMessages*float64(min(sizes.Nodes, lookedAt*sizes.Zones))
+	return b.RestMessages*float64(sizes.Nodes) + b.RestProbeMessages*float64(min(sizes.Nodes, probedNodes*sizes.Zones))
 }
 
-// counted is a result whose readings are looked up by name; one that lacks is a breach.
-type counted struct {
+// checkedResult is a result whose readings are looked up by name; one that lacks is a breach.
+type checkedResult struct {
 	*result.Result
 	breaches []string
 }
 
-func (c *counted) value(part, name string) float64 {
+func (c *checkedResult) value(part, name string) float64 {
 	v, ok := c.Value(part, name)
 	if !ok {
 		c.breach("no reading of %s, %s", part, name)
@@ -51,17 +51,17 @@
 	return v
 }
 
-func (c *counted) breach(format string, args ...any) {
+func (c *checkedResult) breach(format string, args ...any) {
 	c.breaches = append(c.breaches, fmt.Sprintf("%s, %d nodes: ", c.Scenario, c.Sizes.Nodes)+fmt.Sprintf(format, args...))
 }
 
-func (c *counted) most(what string, value, most float64) {
+func (c *checkedResult) atMost(what string, value, most float64) {
 	if value > most {
 		c.breach("%s: %.1f, at most %.1f", what, value, most)
 	}
 }
 
-func (c *counted) same(what string, value, want float64) {
+func (c *checkedResult) equals(what string, value, want float64) {
 	if value != want {
 		c.breach("%s: %.0f, not %.0f", what, value, want)
 	}
@@ -69,19 +69,19 @@
 
 // CheckRest names what a process needs at rest beyond the bounds.
 func (b Bounds) CheckRest(r *result.Result) []string {
-	c := &counted{Result: r}
+	c := &checkedResult{Result: r}
 	nodes := float64(r.Sizes.Nodes)
-	c.same("connections to nodes", c.value(heldKind, NameConnections), nodes)
-	c.same("connections to the list", c.value("list", NameConnections), 1)
+	c.equals("connections to nodes", c.value(heldKind, NameConnections), nodes)
+	c.equals("connections to the list", c.value("list", NameConnections), 1)
 	connections := c.value(heldKind, NameConnections) + c.value("taken", NameConnections)
-	c.most("descriptors", c.value(PartProcess, NameDescriptors), connections+b.SpareDescriptors)
-	c.most("goroutines", c.value(PartProcess, NameGoroutines), nodes*b.GoroutinesPerNode+b.SpareGoroutines)
+	c.atMost("descriptors", c.value(PartProcess, NameDescriptors), connections+b.SpareDescriptors)
+	c.atMost("goroutines", c.value(PartProcess, NameGoroutines), nodes*b.GoroutinesPerNode+b.SpareGoroutines)
 	messages := c.value(heldKind, NameMessagesSent)
-	c.most("messages to nodes a second", messages, b.restMessages(r.Sizes))
-	c.most("bytes to nodes a second", c.value(heldKind, NameBytesSent), b.restMessages(r.Sizes)*b.RestBytes)
-	c.most("datagrams a second", c.value("datagrams", NameMessagesSent), b.MemberMessages)
-	c.most("bytes of datagrams a second", c.value("datagrams", NameBytesSent), b.MemberMessages*b.MemberBytes)
-	c.same("attempts", c.value(PartProcess, NameAttempts), 0)
+	c.atMost("messages to nodes a second", messages, b.restMessages(r.Sizes))
+	c.atMost("bytes to nodes a second", c.value(heldKind, NameBytesSent), b.restMessages(r.Sizes)*b.RestBytes)
+	c.atMost("datagrams a second", c.value("datagrams", NameMessagesSent), b.MemberMessages)
+	c.atMost("bytes of datagrams a second", c.value("datagrams", NameBytesSent), b.MemberMessages*b.MemberBytes)
+	c.equals("attempts", c.value(PartProcess, NameAttempts), 0)
 	if messages == 0 {
 		c.breach("no messages to nodes")
 	}
@@ -90,31 +90,31 @@
 
 // CheckStarts names what a process needs under starts beyond the bounds, beside what it needed at rest.
 func (b Bounds) CheckStarts(rest, starts *result.Result) []string {
-	idle, c := &counted{Result: rest}, &counted{Result: starts}
+	idle, c := &checkedResult{Result: rest}, &checkedResult{Result: starts}
 	nodes := float64(starts.Sizes.Nodes)
-	c.same("connections to nodes", c.value(heldKind, NameConnections), nodes)
+	c.equals("connections to nodes", c.value(heldKind, NameConnections), nodes)
 	served := c.value(PartClients, NameServed)
 	if served == 0 {
 		c.breach("nothing served")
 		return append(idle.breaches, c.breaches...)
 	}
-	c.most("attempts a start", c.value(PartProcess, NameAttempts)/served, b.AttemptsPerStart)
+	c.atMost("attempts a start", c.value(PartProcess, NameAttempts)/served, b.AttemptsPerStart)
 	beyond := func(name string) float64 {
 		return (c.value(heldKind, name) - idle.value(heldKind, name)) * starts.Seconds / served
 	}
-	c.most("messages to nodes a start", beyond(NameMessagesSent), b.MessagesPerStart)
-	c.most("bytes to nodes a start", beyond(NameBytesSent), b.BytesPerStart)
-	c.most("goroutines", c.value(PartProcess, NameGoroutines), nodes*b.GoroutinesPerNode+b.SpareGoroutines)
+	c.atMost("messages to nodes a start", beyond(NameMessagesSent), b.MessagesPerStart)
+	c.atMost("bytes to nodes a start", beyond(NameBytesSent), b.BytesPerStart)
+	c.atMost("goroutines", c.value(PartProcess, NameGoroutines), nodes*b.GoroutinesPerNode+b.SpareGoroutines)
 	return append(idle.breaches, c.breaches...)
 }
 
 // CheckGrowth names what grows faster than the number of nodes between two results at rest.
 func (b Bounds) CheckGrowth(small, large *result.Result) []string {
-	from, to := &counted{Result: small}, &counted{Result: large}
+	from, to := &checkedResult{Result: small}, &checkedResult{Result: large}
 	more := float64(large.Sizes.Nodes - small.Sizes.Nodes)
 	grown := func(part, name string) float64 { return to.value(part, name) - from.value(part, name) }
-	to.most("descriptors more", grown(PartProcess, NameDescriptors), more+b.SpareDescriptors/4)
-	to.most("goroutines more", grown(PartProcess, NameGoroutines), more*b.GoroutinesPerNode+b.SpareGoroutines/4)
-	to.most("datagrams a second more", grown("datagrams", NameMessagesSent), b.MemberMessages/4)
+	to.atMost("descriptors more", grown(PartProcess, NameDescriptors), more+b.SpareDescriptors/4)
+	to.atMost("goroutines more", grown(PartProcess, NameGoroutines), more*b.GoroutinesPerNode+b.SpareGoroutines/4)
+	to.atMost("datagrams a second more", grown("datagrams", NameMessagesSent), b.MemberMessages/4)
 	return append(from.breaches, to.breaches...)
 }
--- a/internal/lab/scale/verdict_test.go
+++ b/internal/lab/scale/verdict_test.go
@@ -117,7 +117,7 @@
 	}
 	counts := map[string]int{}
 	for _, m := range script {
-		counts[string(m.do)]++
+		counts[string(m.action)]++
 	}
 	if restarts := counts["return-nodes"]; restarts < 277 || restarts > 278 {
 		t.Errorf("%d restarts in 100 s, 277.8 are expected", restarts)
