--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -24,7 +24,7 @@
 		delete(s.tasks, a.task)
 		return
 	}
-	s.host.Withdrawn(s.world.Now(), a.alloc)
+	s.host.OnWithdrawn(s.world.Now(), a.alloc)
 	s.wake()
 }
 
@@ -204,7 +204,7 @@
 	a := &request{task: f.task, tenant: f.tenant, client: c, peer: node, answered: true, running: true}
 	s.tasks[f.task] = a
 	c.running[a], node.running[a] = true, true
-	a.alloc = s.host.Found(now, f.jobType, f.tenant, f.service, f.cores, f.memory, node.id)
+	a.alloc = s.host.RecoverTask(now, f.jobType, f.tenant, f.service, f.cores, f.memory, node.id)
 	s.requests[a.alloc] = a
 	s.tether(now, node)
 	return nil
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -20,8 +20,8 @@
 		x.send(codec.AppendEnd(nil, 7, codec.Normal))
 		r.pass(3000)
 		x.want("no answer is owed")
-		if len(n.ended) != 1 || r.s.host.Open() != 0 {
-			t.Errorf("the node was told %d times; %d open", len(n.ended), r.s.host.Open())
+		if len(n.ended) != 1 || r.s.host.OpenRequests() != 0 {
+			t.Errorf("the node was told %d times; %d open", len(n.ended), r.s.host.OpenRequests())
 		}
 	})
 	t.Run("closed", func(t *testing.T) {
@@ -33,8 +33,8 @@
 		r.pass(100)
 		x.conn.Close(true, nil)
 		r.pass(300)
-		if len(n.ended) != 1 || r.s.host.Open() != 0 {
-			t.Errorf("the node was told %d times; %d open", len(n.ended), r.s.host.Open())
+		if len(n.ended) != 1 || r.s.host.OpenRequests() != 0 {
+			t.Errorf("the node was told %d times; %d open", len(n.ended), r.s.host.OpenRequests())
 		}
 	})
 	t.Run("stands, on another connection", func(t *testing.T) {
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -104,7 +104,7 @@
 					r.s.counts.spent)
 			}
 			for _, p := range r.s.peers {
-				if b, _ := r.s.host.Believes(p.id); b.Unhealthy {
+				if b, _ := r.s.host.Belief(p.id); b.Unhealthy {
 					t.Errorf("%s is taken for ill", p.name)
 				}
 			}
@@ -130,11 +130,11 @@
 	}
 	x.ask(8, "single")
 	r.pass(9000)
-	if r.s.counts.spent < 5 || r.s.host.Stands() != 1 || len(x.got) != 2 || x.got[1] != "8 end 42" {
-		t.Errorf("%d spent, %d stand, %q", r.s.counts.spent, r.s.host.Stands(), x.got)
+	if r.s.counts.spent < 5 || r.s.host.RunningTasks() != 1 || len(x.got) != 2 || x.got[1] != "8 end 42" {
+		t.Errorf("%d spent, %d stand, %q", r.s.counts.spent, r.s.host.RunningTasks(), x.got)
 	}
 	for _, p := range r.s.peers {
-		if b, _ := r.s.host.Believes(p.id); b.Unhealthy || b.FailureRate > 0 {
+		if b, _ := r.s.host.Belief(p.id); b.Unhealthy || b.FailureRate > 0 {
 			t.Errorf("%s is blamed: %+v", p.name, b)
 		}
 	}
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -10,7 +10,7 @@
 // edge carries out the host's effects.
 type edge struct{ *Server }
 
-func (s edge) Answer(alloc uint32, declined bool) {
+func (s edge) AnswerRequest(alloc uint32, declined bool) {
 	a := s.requests[alloc]
 	if a == nil || a.answered {
 		return
@@ -47,7 +47,7 @@
 	}
 }
 
-func (s edge) Over(alloc uint32, v logic.Outcome) {
+func (s edge) NotifyEnd(alloc uint32, v logic.Outcome) {
 	a := s.requests[alloc]
 	if a == nil {
 		return
@@ -74,7 +74,7 @@
 	}
 }
 
-func (s edge) Move(alloc uint32) {
+func (s edge) NotifyMove(alloc uint32) {
 	if a := s.requests[alloc]; a != nil {
 		s.counts.moved++
 		s.trace("move", a.task, func(e *zerolog.Event) { e.Bool("owner", a.client != nil).Str("node", a.peer.name) })
@@ -82,11 +82,11 @@
 	}
 }
 
-func (s edge) Follow() { s.feed.asked = true }
+func (s edge) PollEndpoints() { s.feed.asked = true }
 
-func (s edge) Mode(line string) { s.log.Info().Str("mode", "module").Msg(line) }
+func (s edge) LogLine(line string) { s.log.Info().Str("mode", "module").Msg(line) }
 
-func (s edge) Offer(alloc uint32, attempt uint8, node uint32, left float64) {
+func (s edge) RequestPlacement(alloc uint32, attempt uint8, node uint32, left float64) {
 	a, p := s.requests[alloc], s.peers[node]
 	a.peer, a.attempt, a.until = p, attempt, s.world.Now()+left
 	if a.clientLeft() { // the host hears of it when it can
@@ -98,14 +98,14 @@
 	s.offer(a, p)
 }
 
-func (s edge) GiveUp(alloc uint32, attempt uint8, _ uint32) {
+func (s edge) CancelAttempt(alloc uint32, attempt uint8, _ uint32) {
 	if a := s.requests[alloc]; a != nil && a.attempt == attempt {
 		s.trace("give up", a.task, func(e *zerolog.Event) { e.Str("node", a.peer.name).Uint8("try", attempt) })
 		s.giveUp(a)
 	}
 }
 
-func (s edge) Cut(alloc uint32, _ uint32) {
+func (s edge) StopTask(alloc uint32, _ uint32) {
 	if a := s.requests[alloc]; a != nil && a.peer != nil {
 		s.cut(a.peer, a.task)
 	}
@@ -125,10 +125,10 @@
 			return
 		}
 		e.Str("node", a.peer.name)
-		if b, ok := s.host.Believes(a.peer.id); ok {
+		if b, ok := s.host.Belief(a.peer.id); ok {
 			e.Floats64("believed", []float64{b.Cores, b.Memory}).Float64("strain", b.Degradation).Float64("risk", b.FailureRate).Bool("ill", b.Unhealthy)
 		}
 	})
-	s.host.Settled(s.world.Now(), a.alloc, a.attempt, v, why, report)
+	s.host.OnOutcome(s.world.Now(), a.alloc, a.attempt, v, why, report)
 	s.wake()
 }
--- a/internal/platform/host/actions.go
+++ b/internal/platform/host/actions.go
@@ -15,7 +15,7 @@
 		return // an id that was never given, or is long over: there is nobody to tell
 	}
 	if a.out {
-		h.edge.Mode(fmt.Sprintf("refused to offer %d while its try %d is out", id, a.tries-1))
+		h.edge.LogLine(fmt.Sprintf("refused to offer %d while its try %d is out", id, a.tries-1))
 		return
 	}
 	a.node, a.sentAt, a.out, a.noted = node, h.now, true, false
@@ -31,7 +31,7 @@
 		return
 	}
 	h.bells.Set(h.now+left, dueTry, key)
-	h.edge.Offer(id, uint8(a.tries-1), node, left)
+	h.edge.RequestPlacement(id, uint8(a.tries-1), node, left)
 }
 
 func (h acts) Shed(id uint32, _ float64) { h.answer(id, true) }
@@ -41,7 +41,7 @@
 func (h acts) answer(id uint32, declined bool) {
 	if a := h.allocs[id]; a != nil && !a.over {
 		h.answered(a)
-		h.edge.Answer(id, declined)
+		h.edge.AnswerRequest(id, declined)
 		h.bells.Set(h.now+h.step, dueSweep, uint64(id))
 	}
 }
@@ -55,7 +55,7 @@
 func (h acts) Migrate(id uint32) {
 	if a := h.allocs[id]; a != nil && a.stands && !a.unheard {
 		a.unheard, a.moved = true, true
-		h.edge.Move(id) // ends it at its node too: a cut that came first there would leave the client untold
+		h.edge.NotifyMove(id) // ends it at its node too: a cut that came first there would leave the client untold
 		h.bells.Set(h.now+outcome.EndTimeout(), dueEnd, tryKey(id, a.tries-1))
 	}
 }
@@ -70,12 +70,12 @@
 
 func (h acts) WatchList(active bool) {
 	if active {
-		h.edge.Follow()
+		h.edge.PollEndpoints()
 	}
 }
 
-func (h acts) ReloadList() { h.edge.Follow() }
+func (h acts) ReloadList() { h.edge.PollEndpoints() }
 
 func (h acts) SetTimer(delay float64, key uint64) { h.bells.Set(h.now+max(0, delay), dueWake, key) }
 
-func (h acts) Log(line string) { h.edge.Mode(line) }
+func (h acts) Log(line string) { h.edge.LogLine(line) }
--- a/internal/platform/host/beliefs.go
+++ b/internal/platform/host/beliefs.go
@@ -12,15 +12,15 @@
 	cores, memory float64
 }
 
-// Believes is what the module holds of a node.
-func (h *Host) Believes(node uint32) (b logic.Belief, ok bool) {
+// Belief is what the module holds of a node.
+func (h *Host) Belief(node uint32) (b logic.Belief, ok bool) {
 	h.words.Do("beliefs", func() { b, ok = h.mod.NodeBelief(node) })
 	return b, ok
 }
 
-// Mistaken is by how many free cores and how much memory the module's belief was off at reports since it was last
+// BeliefError is by how many free cores and how much memory the module's belief was off at reports since it was last
 // called, in the mean, and how many reports there were.
-func (h *Host) Mistaken() (reports int, cores, memory float64) {
+func (h *Host) BeliefError() (reports int, cores, memory float64) {
 	m := h.off
 	h.off = off{}
 	n := float64(max(1, m.reports))
--- a/internal/platform/host/fence.go
+++ b/internal/platform/host/fence.go
@@ -37,7 +37,7 @@
 		if p := recover(); p != nil {
 			h.fence.down = true
 			h.fence.dog.Fence(h.now, 0)
-			h.edge.Mode(fmt.Sprintf("module: fenced, %d open, %d stand: panic: %v\n%s", h.open, h.stands, p, debug.Stack()))
+			h.edge.LogLine(fmt.Sprintf("module: fenced, %d open, %d stand: panic: %v\n%s", h.open, h.stands, p, debug.Stack()))
 		}
 	}()
 	what(h.mod)
@@ -74,7 +74,7 @@
 		}
 	}
 	if !f.down {
-		h.edge.Mode(fmt.Sprintf("module: begun anew, life %d, %d nodes, %d stand", f.lives+1, len(f.list.all), h.stands))
+		h.edge.LogLine(fmt.Sprintf("module: begun anew, life %d, %d nodes, %d stand", f.lives+1, len(f.list.all), h.stands))
 	}
 	return f.down
 }
--- a/internal/platform/host/fence_test.go
+++ b/internal/platform/host/fence_test.go
@@ -16,16 +16,16 @@
 	modes []string
 }
 
-func (m *mine) Offer(id uint32, try uint8, node uint32, left float64) {
+func (m *mine) RequestPlacement(id uint32, try uint8, node uint32, left float64) {
 	if m.blows {
 		m.blows = false
 		var none []int
 		_ = none[try]
 	}
-	m.script.Offer(id, try, node, left)
+	m.script.RequestPlacement(id, try, node, left)
 }
 
-func (m *mine) Mode(line string) { m.modes = append(m.modes, line) }
+func (m *mine) LogLine(line string) { m.modes = append(m.modes, line) }
 
 // told is how often a mode was told that begins so.
 func (m *mine) told(prefix string) (n int) {
@@ -49,7 +49,7 @@
 	m := mined(t, 4)
 	stood := m.ask(tokened)
 	m.pass(10)
-	if !m.h.Started(m.now, stood, m.offer.try) {
+	if !m.h.OnStarted(m.now, stood, m.offer.try) {
 		t.Fatal("the first does not start")
 	}
 	at := m.offer.node
@@ -90,7 +90,7 @@
 		}
 	}
 	m.look()
-	m.h.Settled(m.now, stood, 0, logic.Completed, logic.ReasonUnknown, []float64{30, 60})
+	m.h.OnOutcome(m.now, stood, 0, logic.Completed, logic.ReasonUnknown, []float64{30, 60})
 	if got := m.look(); got != fmt.Sprintf("over %d 0, forget %d", stood, stood) {
 		t.Errorf("the end of what stood before: %q", got)
 	}
@@ -102,17 +102,17 @@
 	id := m.ask(restartable)
 	m.pass(10)
 	m.settle(id, logic.Rejected, logic.InsufficientCores)
-	if m.offer.try != 1 || !m.h.Started(m.now, id, 1) {
+	if m.offer.try != 1 || !m.h.OnStarted(m.now, id, 1) {
 		t.Fatal("no second try")
 	}
 	m.blows = true
 	m.ask(restartable)
 	m.pass(1000)
 	m.look()
-	m.h.Settled(m.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
+	m.h.OnOutcome(m.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
 	m.pass(50)
-	if got := m.look(); got != fmt.Sprintf("over %d 0, forget %d", id, id) || m.h.Stands() != 0 {
-		t.Errorf("%q, %d stand", got, m.h.Stands())
+	if got := m.look(); got != fmt.Sprintf("over %d 0, forget %d", id, id) || m.h.RunningTasks() != 0 {
+		t.Errorf("%q, %d stand", got, m.h.RunningTasks())
 	}
 }
 
@@ -130,8 +130,8 @@
 	if n := m.told("module: fenced"); n < 4 || n > 8 {
 		t.Errorf("fell %d times in 20 s", n)
 	}
-	if got := m.look(); strings.Count(got, "answer") != asks || m.h.Open() != 0 {
-		t.Errorf("%d asks, %d answers, %d open", asks, strings.Count(got, "answer"), m.h.Open())
+	if got := m.look(); strings.Count(got, "answer") != asks || m.h.OpenRequests() != 0 {
+		t.Errorf("%d asks, %d answers, %d open", asks, strings.Count(got, "answer"), m.h.OpenRequests())
 	}
 }
 
@@ -175,14 +175,14 @@
 	id := m.ask(restartable)
 	m.pass(10)
 	m.h.mod = nil // any read of it panics
-	m.h.Believes(100)
-	m.h.Believes(100)
+	m.h.Belief(100)
+	m.h.Belief(100)
 	m.h.weigh(100, []float64{1, 1})
 	m.h.mod = mod
-	if _, ok := m.h.Believes(100); ok || m.told("words: beliefs switched off: panic") != 1 || m.told("words: mistakes") != 1 {
+	if _, ok := m.h.Belief(100); ok || m.told("words: beliefs switched off: panic") != 1 || m.told("words: mistakes") != 1 {
 		t.Errorf("%q", m.modes)
 	}
-	if !m.h.Started(m.now, id, 0) || m.told("module") != 0 {
+	if !m.h.OnStarted(m.now, id, 0) || m.told("module") != 0 {
 		t.Error("it no longer serves")
 	}
 }
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -18,18 +18,18 @@
 	"ravenpond/logic"
 )
 
-// Edge carries out effects.
-type Edge interface {
-	Offer(alloc uint32, try uint8, node uint32, left float64)
-	GiveUp(alloc uint32, try uint8, node uint32) // a try that is out is waited for no more
-	Cut(alloc uint32, node uint32)               // what stands at a node is to end
-	Answer(alloc uint32, declined bool)          // final, but for served
-	Move(alloc uint32)
-	Over(alloc uint32, verdict logic.Outcome) // what stood has ended, and its client is owed the news
-	Forget(alloc uint32)                      // nothing more will be said of it
+// Effects carries out effects.
+type Effects interface {
+	RequestPlacement(alloc uint32, try uint8, node uint32, left float64)
+	CancelAttempt(alloc uint32, try uint8, node uint32) // a try that is out is waited for no more
+	StopTask(alloc uint32, node uint32)                 // what stands at a node is to end
+	AnswerRequest(alloc uint32, declined bool)          // final, but for served
+	NotifyMove(alloc uint32)
+	NotifyEnd(alloc uint32, verdict logic.Outcome) // what stood has ended, and its client is owed the news
+	Forget(alloc uint32)                           // nothing more will be said of it
 	Probe(node, seq uint32)
-	Follow()
-	Mode(line string)
+	PollEndpoints()
+	LogLine(line string)
 }
 
 type due uint8
@@ -77,7 +77,7 @@
 
 // Host is one module with what the wire's side of it would keep.
 type Host struct {
-	edge   Edge
+	edge   Effects
 	mod    *logic.Scheduler
 	fence  fence
 	words  besteffort.Guard // what is read for people alone
@@ -105,26 +105,26 @@
 }
 
 // New starts a module.
-func New(edge Edge, now float64, seed uint64, cl *logic.Cluster) *Host {
+func New(edge Effects, now float64, seed uint64, cl *logic.Cluster) *Host {
 	h := &Host{
 		edge: edge, step: cl.MinRoundInterval, most: cl.MaxAttempts, now: now, last: math.Inf(-1), allocs: map[uint32]*alloc{},
 		probes: map[uint32]probe{}, probeFor: outcome.ProbeTimeout(),
 	}
-	h.words.Tell = func(what, why string) { h.edge.Mode("words: " + what + " switched off: " + why) }
+	h.words.Tell = func(what, why string) { h.edge.LogLine("words: " + what + " switched off: " + why) }
 	h.fence.begin(now, seed, cl)
 	h.mod = logic.New(acts{h}, now, seed, cl)
 	return h
 }
 
-// Open is how many allocations have no final answer, Stands how many stand at nodes.
-func (h *Host) Open() int   { return h.open }
-func (h *Host) Stands() int { return h.stands }
+// OpenRequests is how many allocations have no final answer, Stands how many stand at nodes.
+func (h *Host) OpenRequests() int { return h.open }
+func (h *Host) RunningTasks() int { return h.stands }
 
-// Patience is how long, in ms, a time-out waits from now on when it runs out, as answers may lie unread.
-func (h *Host) Patience(ms float64) { h.patience = ms }
+// SetTimeoutGrace is how long, in ms, a time-out waits from now on when it runs out, as answers may lie unread.
+func (h *Host) SetTimeoutGrace(ms float64) { h.patience = ms }
 
-// Connects says how long a connection to a node may take to be made, which a probe may have to wait for.
-func (h *Host) Connects(ms float64) { h.probeFor = outcome.ProbeTimeoutFor(ms) }
+// SetConnectTimeout says how long a connection to a node may take to be made, which a probe may have to wait for.
+func (h *Host) SetConnectTimeout(ms float64) { h.probeFor = outcome.ProbeTimeoutFor(ms) }
 
 // Round rings what is due and lets the module decide. Rounds come no closer than the step; one that comes too early
 // does nothing.
@@ -137,7 +137,7 @@
 	stood, act := h.stalls.OnRound(h.now, h.news)
 	h.news = false
 	if stood > 0 {
-		h.edge.Mode(fmt.Sprintf("stall: stood still %.0f ms, %d open, reads before it acts", stood, h.open))
+		h.edge.LogLine(fmt.Sprintf("stall: stood still %.0f ms, %d open, reads before it acts", stood, h.open))
 	}
 	if !act || h.down() {
 		return
@@ -156,11 +156,11 @@
 	h.tell(func(m *logic.Scheduler) { m.Decide(h.now) })
 }
 
-// Soonest is when the next round may be.
-func (h *Host) Soonest() float64 { return h.last + h.step }
+// EarliestRound is when the next round may be.
+func (h *Host) EarliestRound() float64 { return h.last + h.step }
 
-// Next is when Round is to be called at the latest.
-func (h *Host) Next() float64 {
+// NextRound is when Round is to be called at the latest.
+func (h *Host) NextRound() float64 {
 	at, ok := h.bells.First()
 	if !ok {
 		at = h.now + 1000
@@ -194,12 +194,12 @@
 		}
 	case dueLapse:
 		if a := h.allocs[uint32(key)]; a != nil && !a.over {
-			h.edge.Answer(uint32(key), false)
+			h.edge.AnswerRequest(uint32(key), false)
 			h.lapse(uint32(key), a)
 		}
 	case dueTry, dueTryLate:
 		if a := h.allocs[id]; a != nil && a.out && !a.stands && !a.awaiting && a.tries == try+1 {
-			h.edge.GiveUp(id, uint8(try), a.node)
+			h.edge.CancelAttempt(id, uint8(try), a.node)
 			h.settle(id, a, logic.TimedOut, logic.ReasonUnknown, nil)
 		}
 	case dueSweep:
@@ -210,7 +210,7 @@
 		h.late(id, try, logic.NotSent)
 	case dueCalled, dueEnd:
 		if a := h.allocs[id]; a != nil && a.moved && a.out && a.tries == try+1 {
-			h.edge.Cut(id, a.node)
+			h.edge.StopTask(id, a.node)
 		}
 		h.late(id, try, logic.Cancelled)
 	}
@@ -261,8 +261,8 @@
 	return h.count
 }
 
-// Found takes what stands at a node already.
-func (h *Host) Found(now float64, jobType, tenant int, service uint64, cores, memory float64, node uint32) uint32 {
+// RecoverTask takes what stands at a node already.
+func (h *Host) RecoverTask(now float64, jobType, tenant int, service uint64, cores, memory float64, node uint32) uint32 {
 	h.hear(now)
 	h.count++
 	h.allocs[h.count] = &alloc{
@@ -279,9 +279,9 @@
 	return h.count
 }
 
-// Started says that a try's node has answered that the task stands. False if it is waited for no more, so that what
+// OnStarted says that a try's node has answered that the task stands. False if it is waited for no more, so that what
 // stands is to end.
-func (h *Host) Started(now float64, id uint32, try uint8) bool {
+func (h *Host) OnStarted(now float64, id uint32, try uint8) bool {
 	a := h.allocs[id]
 	if a == nil || !a.out || a.stands || a.awaiting || a.over || a.tries != int(try)+1 || now >= a.expiry {
 		return false
@@ -294,8 +294,8 @@
 	return true
 }
 
-// Settled says how a try, or what stood by it, has ended.
-func (h *Host) Settled(now float64, id uint32, try uint8, verdict logic.Outcome, why logic.Reason, report []float64) {
+// OnOutcome says how a try, or what stood by it, has ended.
+func (h *Host) OnOutcome(now float64, id uint32, try uint8, verdict logic.Outcome, why logic.Reason, report []float64) {
 	a := h.allocs[id]
 	if a == nil || !a.out || a.tries != int(try)+1 || a.awaiting {
 		return
@@ -304,10 +304,10 @@
 	h.settle(id, a, verdict, why, report)
 }
 
-// EndedEarly says that a node told the end of an attempt before it answered it. Where the task had been running, the request gets its
+// OnEarlyEnd says that a node told the end of an attempt before it answered it. Where the task had been running, the request gets its
 // final answer at once and no other attempt; else the outcome is that of an attempt that never started. It tells whether the task had been
 // running, so that an answer may still follow.
-func (h *Host) EndedEarly(now float64, id uint32, attempt uint8, end outcome.EarlyEnd, report []float64) (ran bool) {
+func (h *Host) OnEarlyEnd(now float64, id uint32, attempt uint8, end outcome.EarlyEnd, report []float64) (ran bool) {
 	a := h.allocs[id]
 	if a == nil || !a.out || a.stands || a.tries != int(attempt)+1 || a.awaiting {
 		return false
@@ -317,7 +317,7 @@
 	ran = end.Ran()
 	if ran && !a.over {
 		job := h.fence.cl.JobClasses[a.request.jobType]
-		h.edge.Answer(id, outcome.IsRetrySafeAfterRun(job.Semantics, job.IdempotencyScope))
+		h.edge.AnswerRequest(id, outcome.IsRetrySafeAfterRun(job.Semantics, job.IdempotencyScope))
 		h.answered(a)
 		h.tell(func(m *logic.Scheduler) { m.OnExpired(h.now, id) })
 	}
@@ -325,8 +325,8 @@
 	return ran
 }
 
-// Lost says that what stands under a number was lost with its node.
-func (h *Host) Lost(now float64, id uint32) {
+// OnTaskLost says that what stands under a number was lost with its node.
+func (h *Host) OnTaskLost(now float64, id uint32) {
 	if a := h.allocs[id]; a != nil && a.stands {
 		h.hear(now)
 		h.settle(id, a, logic.ConnectionLost, logic.ReasonUnknown, nil)
@@ -337,7 +337,7 @@
 	if a.stands {
 		h.stands--
 		if !a.unheard {
-			h.edge.Over(id, v)
+			h.edge.NotifyEnd(id, v)
 		}
 	}
 	a.out, a.stands, a.awaiting = false, false, false
@@ -351,8 +351,8 @@
 	h.sweep(id, a)
 }
 
-// Noted says what a node tells of a task.
-func (h *Host) Noted(now float64, id uint32, kind logic.TaskMetric, value float64) {
+// OnNote says what a node tells of a task.
+func (h *Host) OnNote(now float64, id uint32, kind logic.TaskMetric, value float64) {
 	if a := h.allocs[id]; a != nil && a.out {
 		h.hear(now)
 		a.noted = true
@@ -362,8 +362,8 @@
 	}
 }
 
-// Withdrawn says that the client wants the allocation no more, whether it waits or stands; no word of it is owed.
-func (h *Host) Withdrawn(now float64, id uint32) {
+// OnWithdrawn says that the client wants the allocation no more, whether it waits or stands; no word of it is owed.
+func (h *Host) OnWithdrawn(now float64, id uint32) {
 	a := h.allocs[id]
 	if a == nil || a.unheard {
 		return
@@ -371,7 +371,7 @@
 	h.hear(now)
 	a.unheard = true
 	if a.stands {
-		h.edge.Cut(id, a.node)
+		h.edge.StopTask(id, a.node)
 		h.bells.Set(h.now+outcome.EndTimeout(), dueEnd, tryKey(id, a.tries-1))
 		h.tell(func(m *logic.Scheduler) { m.OnExpired(h.now, id) })
 		return
@@ -399,7 +399,7 @@
 func (h *Host) answerAll(harmless func(*alloc) bool) {
 	for _, id := range slices.Sorted(maps.Keys(h.allocs)) {
 		if a := h.allocs[id]; a != nil && !a.over {
-			h.edge.Answer(id, harmless(a))
+			h.edge.AnswerRequest(id, harmless(a))
 			h.lapse(id, a)
 		}
 	}
@@ -408,7 +408,7 @@
 func (h *Host) callOff(id uint32, a *alloc) {
 	if a.out && !a.stands && !a.awaiting {
 		a.awaiting = true
-		h.edge.GiveUp(id, uint8(a.tries-1), a.node)
+		h.edge.CancelAttempt(id, uint8(a.tries-1), a.node)
 		h.bells.Set(h.now+h.step, dueCalled, tryKey(id, a.tries-1))
 	}
 }
@@ -427,8 +427,8 @@
 	}
 }
 
-// Probed says how a probe went.
-func (h *Host) Probed(now float64, node, seq uint32, verdict logic.Outcome, report []float64) {
+// OnProbeResult says how a probe went.
+func (h *Host) OnProbeResult(now float64, node, seq uint32, verdict logic.Outcome, report []float64) {
 	if p, ok := h.probes[node]; ok && p.seq == seq {
 		h.hear(now)
 		delete(h.probes, node)
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -26,19 +26,19 @@
 	s.lines = append(s.lines, fmt.Sprintf(format, args...))
 }
 
-func (s *script) Offer(id uint32, try uint8, node uint32, left float64) {
+func (s *script) RequestPlacement(id uint32, try uint8, node uint32, left float64) {
 	s.offer.try, s.offer.node, s.offer.until = try, node, s.now+left
 	s.say("offer %d.%d", id, try)
 }
-func (s *script) GiveUp(id uint32, try uint8, _ uint32) { s.say("give up %d.%d", id, try) }
-func (s *script) Cut(id, _ uint32)                      { s.say("cut %d", id) }
-func (s *script) Move(id uint32)                        { s.say("move %d", id) }
-func (s *script) Over(id uint32, v logic.Outcome)       { s.say("over %d %d", id, v) }
-func (s *script) Forget(id uint32)                      { s.say("forget %d", id) }
-func (s *script) Probe(_, seq uint32)                   { s.probe = seq }
-func (s *script) Follow()                               {}
-func (s *script) Mode(string)                           {}
-func (s *script) Answer(id uint32, declined bool) {
+func (s *script) CancelAttempt(id uint32, try uint8, _ uint32) { s.say("give up %d.%d", id, try) }
+func (s *script) StopTask(id, _ uint32)                        { s.say("cut %d", id) }
+func (s *script) NotifyMove(id uint32)                         { s.say("move %d", id) }
+func (s *script) NotifyEnd(id uint32, v logic.Outcome)         { s.say("over %d %d", id, v) }
+func (s *script) Forget(id uint32)                             { s.say("forget %d", id) }
+func (s *script) Probe(_, seq uint32)                          { s.probe = seq }
+func (s *script) PollEndpoints()                               {}
+func (s *script) LogLine(string)                               {}
+func (s *script) AnswerRequest(id uint32, declined bool) {
 	s.say("answer %d %s", id, map[bool]string{true: "declined", false: "failed"}[declined])
 }
 
@@ -77,7 +77,7 @@
 // pass lets time go by, with a round each time one is due.
 func (s *script) pass(ms float64) {
 	for end := s.now + ms; s.now < end; {
-		s.now = min(end, max(s.now+0.1, s.h.Next()))
+		s.now = min(end, max(s.now+0.1, s.h.NextRound()))
 		s.h.Round(s.now)
 	}
 }
@@ -101,7 +101,7 @@
 
 func (s *script) settle(id uint32, v logic.Outcome, why logic.Reason) {
 	s.now += 5
-	s.h.Settled(s.now, id, s.offer.try, v, why, nil)
+	s.h.OnOutcome(s.now, id, s.offer.try, v, why, nil)
 	s.pass(20)
 }
 
@@ -164,22 +164,22 @@
 	s.want("first", "offer 1.0")
 	s.settle(id, logic.Errored, logic.ReasonUnknown)
 	s.want("second", "offer 1.1")
-	if s.h.Started(s.now, id, 0) {
+	if s.h.OnStarted(s.now, id, 0) {
 		t.Error("the first try started after its outcome")
 	}
-	s.h.Settled(s.now, id, 0, logic.Rejected, logic.ReasonUnknown, nil)
+	s.h.OnOutcome(s.now, id, 0, logic.Rejected, logic.ReasonUnknown, nil)
 	s.pass(20)
 	s.want("an outcome told twice", "")
-	if !s.h.Started(s.now, id, 1) || s.h.Started(s.now, id, 1) {
+	if !s.h.OnStarted(s.now, id, 1) || s.h.OnStarted(s.now, id, 1) {
 		t.Error("the second try starts, once")
 	}
-	s.h.Settled(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
-	s.h.Settled(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
-	s.h.Lost(s.now, id)
+	s.h.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
+	s.h.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
+	s.h.OnTaskLost(s.now, id)
 	s.pass(3000)
 	s.want("its end", "over 1 0, forget 1")
-	if s.h.Open() != 0 || s.h.Stands() != 0 {
-		t.Errorf("%d open, %d stand", s.h.Open(), s.h.Stands())
+	if s.h.OpenRequests() != 0 || s.h.RunningTasks() != 0 {
+		t.Errorf("%d open, %d stand", s.h.OpenRequests(), s.h.RunningTasks())
 	}
 }
 
@@ -193,7 +193,7 @@
 	if got := s.look(); !strings.HasPrefix(got, "give up 1.0, offer 1.1") {
 		t.Errorf("%q", got)
 	}
-	if s.h.Started(s.now, id, 0) {
+	if s.h.OnStarted(s.now, id, 0) {
 		t.Error("started after its time was up")
 	}
 	s.pass(3000)
@@ -210,7 +210,7 @@
 	s.want("first", "offer 1.0")
 	s.pass(19)
 	s.want("at its expiry", "give up 1.0, answer 1 failed, forget 1")
-	if s.h.Started(s.now, id, 0) {
+	if s.h.OnStarted(s.now, id, 0) {
 		t.Error("started after its answer")
 	}
 }
@@ -221,7 +221,7 @@
 		s := begin(t, 0)
 		id := s.ask(restartable)
 		s.pass(10)
-		s.h.Withdrawn(s.now, id)
+		s.h.OnWithdrawn(s.now, id)
 		s.pass(3000)
 		s.want("nothing is answered", "forget 1")
 	})
@@ -229,8 +229,8 @@
 		s := begin(t, 4)
 		id := s.ask(restartable)
 		s.pass(10)
-		s.h.Withdrawn(s.now, id)
-		s.h.Withdrawn(s.now, id)
+		s.h.OnWithdrawn(s.now, id)
+		s.h.OnWithdrawn(s.now, id)
 		s.pass(3000)
 		s.want("its try is given up", "offer 1.0, give up 1.0, forget 1")
 	})
@@ -238,8 +238,8 @@
 		s := begin(t, 4)
 		id := s.ask(restartable)
 		s.pass(10)
-		s.h.Started(s.now, id, 0)
-		s.h.Withdrawn(s.now, id)
+		s.h.OnStarted(s.now, id, 0)
+		s.h.OnWithdrawn(s.now, id)
 		s.pass(500)
 		s.want("its node is told", "offer 1.0, cut 1")
 		s.pass(1000)
@@ -249,9 +249,9 @@
 		s := begin(t, 4)
 		id := s.ask(restartable)
 		s.pass(10)
-		s.h.Started(s.now, id, 0)
-		s.h.Withdrawn(s.now, id)
-		s.h.Settled(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
+		s.h.OnStarted(s.now, id, 0)
+		s.h.OnWithdrawn(s.now, id)
+		s.h.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		s.pass(3000)
 		s.want("once", "offer 1.0, cut 1, forget 1")
 	})
@@ -266,19 +266,19 @@
 		want  string
 	}{
 		{"the node confirms", func(s *script, id uint32) {
-			s.h.Settled(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
+			s.h.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 		{"it ended meanwhile", func(s *script, id uint32) {
-			s.h.Settled(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil)
+			s.h.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 		{"the node says nothing", func(*script, uint32) {}, "move 1, cut 1, forget 1"},
 		{"asked twice", func(s *script, id uint32) {
 			acts{s.h}.Migrate(id)
-			s.h.Settled(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
+			s.h.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 		{"the client ends it too", func(s *script, id uint32) {
-			s.h.Withdrawn(s.now, id)
-			s.h.Settled(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
+			s.h.OnWithdrawn(s.now, id)
+			s.h.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -287,7 +287,7 @@
 			s.pass(10)
 			acts{s.h}.Migrate(id)
 			s.want("not before it stands", "offer 1.0")
-			s.h.Started(s.now, id, 0)
+			s.h.OnStarted(s.now, id, 0)
 			s.pass(10)
 			acts{s.h}.Migrate(id)
 			c.words(s, id)
@@ -304,16 +304,16 @@
 		end  func(s *script, id uint32)
 		want string
 	}{
-		{"it ends", func(s *script, id uint32) { s.h.Settled(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil) }, "over 1 0, forget 1"},
-		{"its node is lost", func(s *script, id uint32) { s.h.Lost(s.now, id) }, "over 1 5, forget 1"},
-		{"it starts, which it can't", func(s *script, id uint32) { s.h.Started(s.now, id, 0) }, ""},
+		{"it ends", func(s *script, id uint32) { s.h.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil) }, "over 1 0, forget 1"},
+		{"its node is lost", func(s *script, id uint32) { s.h.OnTaskLost(s.now, id) }, "over 1 5, forget 1"},
+		{"it starts, which it can't", func(s *script, id uint32) { s.h.OnStarted(s.now, id, 0) }, ""},
 		{"it is told as of another try", func(s *script, id uint32) {
-			s.h.Settled(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
+			s.h.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
 		}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := begin(t, 2)
-			id := s.h.Found(s.now, runOnce, 0, 9, 1, 2, 100)
+			id := s.h.RecoverTask(s.now, runOnce, 0, 9, 1, 2, 100)
 			s.pass(3000)
 			s.want("nothing", "")
 			c.end(s, id)
@@ -328,14 +328,14 @@
 	s := begin(t, 4)
 	a := s.ask(restartable)
 	s.pass(10)
-	s.h.Started(s.now, a, 0)
+	s.h.OnStarted(s.now, a, 0)
 	b := s.ask(runOnce)
 	s.pass(10)
 	s.look()
 	s.h.Close(s.now)
 	s.pass(50)
 	s.want("close", fmt.Sprintf("answer %d failed, give up %d.0, forget %d", b, b, b))
-	if s.h.Stands() != 1 {
+	if s.h.RunningTasks() != 1 {
 		t.Error("what stood was ended")
 	}
 }
@@ -346,7 +346,7 @@
 	id := s.ask(restartable)
 	for range 6 {
 		s.pass(20)
-		s.h.Settled(s.now, id, s.offer.try, logic.Errored, logic.ReasonUnknown, nil)
+		s.h.OnOutcome(s.now, id, s.offer.try, logic.Errored, logic.ReasonUnknown, nil)
 	}
 	s.pass(20)
 	s.want("four tries", "offer 1.0, offer 1.1, offer 1.2, offer 1.3, answer 1 declined, forget 1")
@@ -358,18 +358,18 @@
 	for _, free := range []float64{20, 17, 24} {
 		id := s.ask(restartable)
 		s.pass(10)
-		s.h.Started(s.now, id, 0)
+		s.h.OnStarted(s.now, id, 0)
 		s.pass(1000)
-		s.h.Settled(s.now, id, 0, logic.Completed, logic.ReasonUnknown, []float64{free, 50})
+		s.h.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, []float64{free, 50})
 		s.pass(1000)
 	}
-	if n, cores, memory := s.h.Mistaken(); n != 2 || cores != 5 || memory != 0 {
+	if n, cores, memory := s.h.BeliefError(); n != 2 || cores != 5 || memory != 0 {
 		t.Errorf("%d reports, %g cores, %g memory off", n, cores, memory)
 	}
-	if n, cores, memory := s.h.Mistaken(); n != 0 || cores != 0 || memory != 0 {
+	if n, cores, memory := s.h.BeliefError(); n != 0 || cores != 0 || memory != 0 {
 		t.Errorf("again: %d reports, %g cores, %g memory off", n, cores, memory)
 	}
-	if b, ok := s.h.Believes(100); !ok || b.Cores != 25 { // the last report does not know of the end that brought it
+	if b, ok := s.h.Belief(100); !ok || b.Cores != 25 { // the last report does not know of the end that brought it
 		t.Errorf("%+v", b)
 	}
 }
--- a/internal/platform/host/host_timing_test.go
+++ b/internal/platform/host/host_timing_test.go
@@ -14,7 +14,7 @@
 	s.ask(restartable)
 	s.h.Round(s.now)
 	s.want("too soon", "")
-	s.now = s.h.Next()
+	s.now = s.h.NextRound()
 	s.h.Round(s.now)
 	s.want("at the step", "offer 1.0")
 }
@@ -27,7 +27,7 @@
 	s.look()
 	s.now += 2400
 	s.h.Round(s.now)
-	if !s.h.Started(s.now, id, 0) {
+	if !s.h.OnStarted(s.now, id, 0) {
 		t.Error("what came meanwhile did not count")
 	}
 	s.pass(500)
@@ -40,22 +40,22 @@
 	id := s.ask(restartable)
 	s.pass(10)
 	s.look()
-	s.h.Patience(500)
+	s.h.SetTimeoutGrace(500)
 	s.pass(1700)
 	s.want("its time is up, and an answer may lie unread", "")
-	if !s.h.Started(s.now, id, 0) {
+	if !s.h.OnStarted(s.now, id, 0) {
 		t.Error("the answer that lay unread did not count")
 	}
 	s = begin(t, 4)
 	s.ask(restartable)
 	s.pass(10)
 	s.look()
-	s.h.Patience(300)
+	s.h.SetTimeoutGrace(300)
 	s.pass(2100)
 	if got := s.look(); !strings.HasPrefix(got, "give up 1.0, offer 1.1") {
 		t.Errorf("no answer lay unread: %q", got)
 	}
-	s.h.Patience(1e6)
+	s.h.SetTimeoutGrace(1e6)
 	s.pass(3000)
 	if got := s.look(); strings.Count(got, "answer 1") != 1 {
 		t.Errorf("at its expiry: %q", got)
@@ -66,7 +66,7 @@
 func TestProbeWaits(t *testing.T) {
 	for _, c := range []struct{ connects, after, want float64 }{{250, 490, 1}, {250, 520, 0}, {1000, 1900, 1}, {1000, 2020, 0}} {
 		s := begin(t, 1)
-		s.h.Connects(c.connects)
+		s.h.SetConnectTimeout(c.connects)
 		acts{s.h}.Probe(100)
 		s.pass(c.after)
 		if n := float64(len(s.h.probes)); n != c.want {
@@ -80,16 +80,16 @@
 // no start, and nothing is kept.
 func TestCrossings(t *testing.T) {
 	says := map[string]func(s *script, id uint32) bool{
-		"started": func(s *script, id uint32) bool { return s.h.Started(s.now, id, s.offer.try) },
+		"started": func(s *script, id uint32) bool { return s.h.OnStarted(s.now, id, s.offer.try) },
 		"refused": func(s *script, id uint32) bool {
-			s.h.Settled(s.now, id, s.offer.try, logic.Rejected, 0, nil)
+			s.h.OnOutcome(s.now, id, s.offer.try, logic.Rejected, 0, nil)
 			return false
 		},
 		"broken": func(s *script, id uint32) bool {
-			s.h.Settled(s.now, id, s.offer.try, logic.ConnectionLost, 0, nil)
+			s.h.OnOutcome(s.now, id, s.offer.try, logic.ConnectionLost, 0, nil)
 			return false
 		},
-		"withdrawn": func(s *script, id uint32) bool { s.h.Withdrawn(s.now, id); return false },
+		"withdrawn": func(s *script, id uint32) bool { s.h.OnWithdrawn(s.now, id); return false },
 	}
 	for what, say := range says {
 		for _, due := range []string{"time-out", "expiry"} {
@@ -136,11 +136,11 @@
 							t.Errorf("started at its expiry: %q", said)
 						}
 						if stands {
-							s.h.Settled(s.now, id, s.offer.try, logic.Completed, 0, nil)
+							s.h.OnOutcome(s.now, id, s.offer.try, logic.Completed, 0, nil)
 							s.pass(100)
 						}
-						if len(s.h.allocs) > 0 || s.h.Open() != 0 || s.h.Stands() != 0 {
-							t.Errorf("%d are kept, %d open, %d stand", len(s.h.allocs), s.h.Open(), s.h.Stands())
+						if len(s.h.allocs) > 0 || s.h.OpenRequests() != 0 || s.h.RunningTasks() != 0 {
+							t.Errorf("%d are kept, %d open, %d stand", len(s.h.allocs), s.h.OpenRequests(), s.h.RunningTasks())
 						}
 					})
 				}
--- a/internal/platform/links.go
+++ b/internal/platform/links.go
@@ -323,7 +323,7 @@
 		l.s.settled(a, v, logic.ReasonUnknown, nil)
 	}
 	if l.probe != 0 {
-		l.s.host.Probed(l.s.world.Now(), l.peer.id, l.probe, probe, nil)
+		l.s.host.OnProbeResult(l.s.world.Now(), l.peer.id, l.probe, probe, nil)
 	}
 }
 
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -307,7 +307,7 @@
 func (r *real) settledDown() {
 	r.t.Helper()
 	r.until("nothing is open", func() bool {
-		return r.counted(func(s *Server) int { return len(s.inbox) + s.host.Open() + s.admit.Open() }) == 0
+		return r.counted(func(s *Server) int { return len(s.inbox) + s.host.OpenRequests() + s.admit.Open() }) == 0
 	})
 }
 
--- a/internal/platform/loopback_shutdown_test.go
+++ b/internal/platform/loopback_shutdown_test.go
@@ -129,7 +129,7 @@
 			}
 			x.hears("closed") // by the scheduler, as it ends
 			<-r.s.Done()
-			if owed := r.counted(func(s *Server) int { return s.admit.Open() + s.host.Open() + len(s.inbox) }); owed != 0 {
+			if owed := r.counted(func(s *Server) int { return s.admit.Open() + s.host.OpenRequests() + len(s.inbox) }); owed != 0 {
 				t.Errorf("%d answers are owed", owed)
 			}
 		})
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -81,7 +81,7 @@
 	case codec.Note:
 		kind, value, ok := codec.Noted(msg)
 		if a := s.tasks[task]; ok && a != nil && a.peer == l.peer && (a.running || a.link == l) {
-			s.host.Noted(now, a.alloc, kind, value)
+			s.host.OnNote(now, a.alloc, kind, value)
 		}
 	case codec.Tested:
 		cause, ok := codec.CauseOf(msg)
@@ -95,7 +95,7 @@
 				v = logic.Errored
 			}
 			s.report = codec.Load(msg, s.known.Cluster.ReportFields, s.report[:0])
-			s.host.Probed(now, l.peer.id, uint32(task), v, s.report)
+			s.host.OnProbeResult(now, l.peer.id, uint32(task), v, s.report)
 		}
 	case codec.Progress, codec.EndHeard:
 	default:
@@ -120,7 +120,7 @@
 		return nil // else a second copy, or nobody's
 	}
 	l.drop(a)
-	if !s.host.Started(now, a.alloc, a.attempt) {
+	if !s.host.OnStarted(now, a.alloc, a.attempt) {
 		s.cut(l.peer, task)
 		return nil
 	}
@@ -152,7 +152,7 @@
 	end := outcome.EarlyEnd{Unstarted: codec.Before(cause), Started: codec.After(cause), Reason: reason}
 	l.s.trace("ended early", a.task, func(e *zerolog.Event) { e.Str("node", l.peer.name).Uint8("cause", cause).Uint8("why", uint8(reason)) })
 	l.s.counts.verdicts[end.Unstarted]++
-	if l.s.host.EndedEarly(now, a.alloc, a.attempt, end, l.s.report) {
+	if l.s.host.OnEarlyEnd(now, a.alloc, a.attempt, end, l.s.report) {
 		l.expectLate(a.task)
 	}
 	l.s.wake()
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -106,7 +106,7 @@
 	for _, a := range slices.SortedFunc(maps.Keys(p.running), func(x, y *request) int { return cmp.Compare(x.alloc, y.alloc) }) {
 		task := a.task
 		s.counts.verdicts[logic.ConnectionLost]++
-		s.host.Lost(now, a.alloc)
+		s.host.OnTaskLost(now, a.alloc)
 		if p.avail != logic.Unavailable {
 			p.owes(now, task)
 		}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -130,7 +130,7 @@
 	defer s.mu.Unlock()
 	now := s.world.Now()
 	s.host = host.New(edge{s}, now, c.Seed, c.Known.Cluster)
-	s.host.Connects(c.Known.ConnectFor)
+	s.host.SetConnectTimeout(c.Known.ConnectFor)
 	if err := s.begin(now, c); err != nil {
 		return err
 	}
@@ -156,7 +156,7 @@
 	if !s.stopped {
 		s.stopped, s.told = true, s.world.Now()
 		s.plan = shutdown.NewPlan(s.told, slices.Max(s.known.Expiry))
-		s.log.Info().Str("mode", "stop").Int("open", s.host.Open()).Int("stands", s.host.Stands()).Msg("told to end")
+		s.log.Info().Str("mode", "stop").Int("open", s.host.OpenRequests()).Int("stands", s.host.RunningTasks()).Msg("told to end")
 	}
 	s.wake()
 }
@@ -174,9 +174,9 @@
 	now := s.world.Now()
 	due := s.wanted
 	s.wanted = math.Inf(1)
-	s.host.Patience(s.lag.TimeoutGrace(now))
+	s.host.SetTimeoutGrace(s.lag.TimeoutGrace(now))
 	took := 0
-	if now >= s.host.Soonest() { // else no round comes of it
+	if now >= s.host.EarliestRound() { // else no round comes of it
 		took = s.takeIn(now, overload.BatchSize(s.gate.CostPerRequest()))
 	}
 	s.host.Round(now)
@@ -187,9 +187,9 @@
 	if s.stopped {
 		s.shutdown(now)
 	}
-	next := min(s.host.Next(), s.ticked+tickEvery)
+	next := min(s.host.NextRound(), s.ticked+tickEvery)
 	if len(s.inbox) > 0 {
-		next = min(next, s.host.Soonest())
+		next = min(next, s.host.EarliestRound())
 	}
 	ended := s.world.Now()
 	s.worked(due, now, ended, took)
@@ -241,7 +241,7 @@
 		s.inboxAt = ended
 	}
 	if !tight && s.gate.IsOverloaded() {
-		s.log.Info().Str("mode", "behind").Float64("ms", math.Round(behind)).Int("inbox", len(s.inbox)).Int("open", s.host.Open()).
+		s.log.Info().Str("mode", "behind").Float64("ms", math.Round(behind)).Int("inbox", len(s.inbox)).Int("open", s.host.OpenRequests()).
 			Float64("ask_ms", math.Round(s.gate.CostPerRequest()*100)/100).Msg("takes only what it can do in time")
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -80,7 +80,7 @@
 func moves(r *rig) {
 	r.s.mu.Lock()
 	defer r.s.mu.Unlock()
-	edge{r.s}.Move(r.s.tasks[7].alloc)
+	edge{r.s}.NotifyMove(r.s.tasks[7].alloc)
 }
 
 // TestFound takes over what nodes hold after a start; no answer is owed, its end is told.
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -8,7 +8,7 @@
 func (s *Server) shutdown(now float64) {
 	if now >= s.plan.AnswerAt && !s.answeredAll {
 		s.answeredAll = true
-		s.log.Info().Str("mode", "stop").Int("open", s.host.Open()).Int("inbox", len(s.inbox)).Int("stands", s.host.Stands()).
+		s.log.Info().Str("mode", "stop").Int("open", s.host.OpenRequests()).Int("inbox", len(s.inbox)).Int("stands", s.host.RunningTasks()).
 			Msg("answers what is open")
 		s.takeIn(now, len(s.inbox))
 		s.host.Close(now)
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -24,14 +24,14 @@
 	c := &s.counts
 	ill, strained := 0, 0
 	for id := range s.peers {
-		if b, ok := s.host.Believes(id); ok && b.Unhealthy {
+		if b, ok := s.host.Belief(id); ok && b.Unhealthy {
 			ill++
 		} else if ok && b.Degradation > 0.5 {
 			strained++
 		}
 	}
-	reports, cores, memory := s.host.Mistaken()
-	s.log.Info().Str("mode", "counts").Int("open", s.host.Open()).Int("stands", s.host.Stands()).Int("owners", len(s.clients)).
+	reports, cores, memory := s.host.BeliefError()
+	s.log.Info().Str("mode", "counts").Int("open", s.host.OpenRequests()).Int("stands", s.host.RunningTasks()).Int("owners", len(s.clients)).
 		Int("links", s.links).Int("nodes", len(s.peers)).Int("taken", c.taken).Int("turned", c.rejected).Int("behind", c.behind).
 		Float64("lag_ms", math.Round(c.lag)).Int("served", c.served).
 		Int("declined", c.declined).Int("failed", c.failed).Int("withdrawn", c.withdrawn).Int("over", c.over).Int("moved", c.moved).
