--- a/internal/platform/host/fence_test.go
+++ b/internal/platform/host/fence_test.go
@@ -39,7 +39,7 @@
 
 func mined(t *testing.T, nodes int) *mine {
 	m := &mine{script: begin(t, nodes)}
-	m.h.edge = m
+	m.h.effects = m
 	return m
 }
 
@@ -171,14 +171,14 @@
 // TestWords has what is read for people panic: it is switched off, and the allocation under it goes its way.
 func TestWords(t *testing.T) {
 	m := mined(t, 2)
-	mod := m.h.mod
+	mod := m.h.module
 	id := m.ask(restartable)
 	m.pass(10)
-	m.h.mod = nil // any read of it panics
+	m.h.module = nil // any read of it panics
 	m.h.Belief(100)
 	m.h.Belief(100)
-	m.h.weigh(100, []float64{1, 1})
-	m.h.mod = mod
+	m.h.recordBeliefError(100, []float64{1, 1})
+	m.h.module = mod
 	if _, ok := m.h.Belief(100); ok || m.told("words: beliefs switched off: panic") != 1 || m.told("words: mistakes") != 1 {
 		t.Errorf("%q", m.modes)
 	}
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -273,7 +273,7 @@
 		}, "move 1, forget 1"},
 		{"the node says nothing", func(*script, uint32) {}, "move 1, cut 1, forget 1"},
 		{"asked twice", func(s *script, id uint32) {
-			acts{s.h}.Migrate(id)
+			moduleEffects{s.h}.Migrate(id)
 			s.h.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 		{"the client ends it too", func(s *script, id uint32) {
@@ -285,11 +285,11 @@
 			s := begin(t, 4)
 			id := s.ask(restartable)
 			s.pass(10)
-			acts{s.h}.Migrate(id)
+			moduleEffects{s.h}.Migrate(id)
 			s.want("not before it stands", "offer 1.0")
 			s.h.OnStarted(s.now, id, 0)
 			s.pass(10)
-			acts{s.h}.Migrate(id)
+			moduleEffects{s.h}.Migrate(id)
 			c.words(s, id)
 			s.pass(3000)
 			s.want("moved", c.want)
--- a/internal/platform/host/host_timing_test.go
+++ b/internal/platform/host/host_timing_test.go
@@ -67,7 +67,7 @@
 	for _, c := range []struct{ connects, after, want float64 }{{250, 490, 1}, {250, 520, 0}, {1000, 1900, 1}, {1000, 2020, 0}} {
 		s := begin(t, 1)
 		s.h.SetConnectTimeout(c.connects)
-		acts{s.h}.Probe(100)
+		moduleEffects{s.h}.Probe(100)
 		s.pass(c.after)
 		if n := float64(len(s.h.probes)); n != c.want {
 			t.Errorf("%+v: %g wait", c, n)
@@ -139,8 +139,8 @@
 							s.h.OnOutcome(s.now, id, s.offer.try, logic.Completed, 0, nil)
 							s.pass(100)
 						}
-						if len(s.h.allocs) > 0 || s.h.OpenRequests() != 0 || s.h.RunningTasks() != 0 {
-							t.Errorf("%d are kept, %d open, %d stand", len(s.h.allocs), s.h.OpenRequests(), s.h.RunningTasks())
+						if len(s.h.allocations) > 0 || s.h.OpenRequests() != 0 || s.h.RunningTasks() != 0 {
+							t.Errorf("%d are kept, %d open, %d stand", len(s.h.allocations), s.h.OpenRequests(), s.h.RunningTasks())
 						}
 					})
 				}
