--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -11,54 +11,54 @@
 // TestClientEnds has clients end what they asked for: while it is out, while it stands, by closing.
 func TestClientEnds(t *testing.T) {
 	t.Run("out", func(t *testing.T) {
-		r := begin(t, "a")
+		r := startRig(t, "a")
 		n := r.nodes["a"]
-		n.does = func(*ear, uint64) {}
+		n.onSetUp = func(*testConn, uint64) {}
 		x := r.dial()
-		x.ask(7, "single")
+		x.request(7, "single")
 		r.pass(100)
 		x.send(codec.AppendEnd(nil, 7, codec.Normal))
 		r.pass(3000)
 		x.want("no answer is owed")
-		if len(n.ended) != 1 || r.s.host.OpenRequests() != 0 {
-			t.Errorf("the node was told %d times; %d open", len(n.ended), r.s.host.OpenRequests())
+		if len(n.ended) != 1 || r.server.host.OpenRequests() != 0 {
+			t.Errorf("the node was told %d times; %d open", len(n.ended), r.server.host.OpenRequests())
 		}
 	})
 	t.Run("closed", func(t *testing.T) {
-		r := begin(t, "a")
+		r := startRig(t, "a")
 		n := r.nodes["a"]
-		n.does = func(*ear, uint64) {}
+		n.onSetUp = func(*testConn, uint64) {}
 		x := r.dial()
-		x.ask(7, "single")
+		x.request(7, "single")
 		r.pass(100)
 		x.conn.Close(true, nil)
 		r.pass(300)
-		if len(n.ended) != 1 || r.s.host.OpenRequests() != 0 {
-			t.Errorf("the node was told %d times; %d open", len(n.ended), r.s.host.OpenRequests())
+		if len(n.ended) != 1 || r.server.host.OpenRequests() != 0 {
+			t.Errorf("the node was told %d times; %d open", len(n.ended), r.server.host.OpenRequests())
 		}
 	})
 	t.Run("stands, on another connection", func(t *testing.T) {
-		r := begin(t, "a")
+		r := startRig(t, "a")
 		n := r.nodes["a"]
 		x := r.dial()
-		x.ask(7, "single")
+		x.request(7, "single")
 		r.pass(100)
 		y := r.dial()
 		y.send(codec.AppendEnd(nil, 7, codec.Normal))
 		r.pass(3000)
-		x.want("its end is not told", "7 served "+n.describes(7))
+		x.want("its end is not told", "7 served "+n.description(7))
 		y.want("nor here")
-		if n.stands[7] {
+		if n.running[7] {
 			t.Error("it still stands")
 		}
 	})
 	t.Run("another's that is out", func(t *testing.T) {
-		r := begin(t, "a")
+		r := startRig(t, "a")
 		x, y := r.dial(), r.dial()
-		x.ask(7, "single")
+		x.request(7, "single")
 		y.send(codec.AppendEnd(nil, 7, codec.Normal))
 		r.pass(200)
-		x.want("served all the same", "7 served "+r.nodes["a"].describes(7))
+		x.want("served all the same", "7 served "+r.nodes["a"].description(7))
 	})
 }
 
@@ -93,38 +93,40 @@
 		{"a number twice", append(ask(), ask(codec.Description, "other")...)},
 		{"a usual one's number", setUp(7, "batch", codec.Description, "other")},
 		{"ends of what is not there", codec.AppendEnd(nil, 66, codec.Normal)},
-		{"at a node that is not there", ask(codec.Figures, figures+";at:nowhere")},
+		{"at a node that is not there", ask(codec.Figures, demandText+";at:nowhere")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := begin(t, "a")
-			r.nodes["a"].does = func(e *ear, task uint64) { r.nodes["a"].p.After(400, func() { r.nodes["a"].answer(e, task) }) }
+			r := startRig(t, "a")
+			r.nodes["a"].onSetUp = func(e *testConn, task uint64) {
+				r.nodes["a"].process.After(400, func() { r.nodes["a"].answer(e, task) })
+			}
 			x, bad := r.dial(), r.dial()
-			x.ask(7, "single")
+			x.request(7, "single")
 			r.pass(30)
 			if len(c.sent) > 0 {
 				bad.send(c.sent)
 			}
 			r.pass(2900)
-			if got := strings.Join(bad.got, ", "); strings.Contains(got, "served") || !strings.Contains(got, "end") && !bad.ended {
+			if got := strings.Join(bad.received, ", "); strings.Contains(got, "served") || !strings.Contains(got, "end") && !bad.ended {
 				t.Errorf("got %q, closed %v", got, bad.ended)
 			}
-			x.want("the usual one", "7 served "+r.nodes["a"].describes(7))
+			x.want("the usual one", "7 served "+r.nodes["a"].description(7))
 		})
 	}
 }
 
 // TestFlood has hundreds connect and say nothing: usual clients still get in, and the silent are closed.
 func TestFlood(t *testing.T) {
-	r := begin(t, "a")
+	r := startRig(t, "a")
 	var silent []*testClient
 	x := r.dial()
-	x.ask(7, "batch")
+	x.request(7, "batch")
 	r.pass(300)
 	for range 20 {
 		for range 20 {
-			c := &testClient{ear: &ear{}, r: r}
-			c.heard = func([]byte) {}
-			r.clients.Dial(door, 1000, func(conn env.Conn, err error) {
+			c := &testClient{testConn: &testConn{}, rig: r}
+			c.onMessage = func([]byte) {}
+			r.clients.Dial(clientAddress, 1000, func(conn env.Conn, err error) {
 				if c.ended = err != nil; err == nil {
 					c.conn = conn
 					conn.Start(c, 5000)
@@ -134,13 +136,13 @@
 		}
 		r.pass(60)
 	}
-	if n, g := len(r.s.clients), r.s.provisional; n-g > r.s.parts.ClientConns || g > r.s.parts.ProvisionalConns {
-		t.Errorf("%d connections, %d of them not let in; %d and %d are allowed", n, g, r.s.parts.ClientConns, r.s.parts.ProvisionalConns)
+	if n, g := len(r.server.clients), r.server.provisional; n-g > r.server.parts.ClientConns || g > r.server.parts.ProvisionalConns {
+		t.Errorf("%d connections, %d of them not let in; %d and %d are allowed", n, g, r.server.parts.ClientConns, r.server.parts.ProvisionalConns)
 	}
 	y := r.dial()
-	y.ask(8, "batch")
+	y.request(8, "batch")
 	r.pass(300)
-	y.want("one more client", "8 served "+r.nodes["a"].describes(8))
+	y.want("one more client", "8 served "+r.nodes["a"].description(8))
 	r.pass(3000)
 	for i, c := range silent {
 		if !c.ended {
@@ -154,9 +156,9 @@
 
 // TestSlowReader has a client that takes nothing: it is cut off alone.
 func TestSlowReader(t *testing.T) {
-	r := begin(t, "a")
+	r := startRig(t, "a")
 	x, slow := r.dial(), r.dial()
-	slow.ask(6, "batch")
+	slow.request(6, "batch")
 	r.pass(200)
 	var far interface{ Stall(float64) } = slow.conn.(interface{ Stall(float64) })
 	far.Stall(60000)
@@ -168,22 +170,22 @@
 		slow.send(b)
 		r.pass(20)
 	}
-	x.ask(7, "batch")
+	x.request(7, "batch")
 	r.pass(3000)
-	x.want("a usual one", "7 served "+r.nodes["a"].describes(7))
-	if len(r.s.clients) != 1 {
-		t.Errorf("%d connections, want the usual one's alone", len(r.s.clients))
+	x.want("a usual one", "7 served "+r.nodes["a"].description(7))
+	if len(r.server.clients) != 1 {
+		t.Errorf("%d connections, want the usual one's alone", len(r.server.clients))
 	}
 }
 
 // TestAnswerBreaksOff has a client that takes nothing while its task starts: of the answer nothing is handed over before the connection is
 // ended, so the client knows that it was not served, and the task ends at its node. One whose answer had left stands on.
 func TestAnswerBreaksOff(t *testing.T) {
-	r := begin(t, "a")
+	r := startRig(t, "a")
 	n, slow := r.nodes["a"], r.dial()
-	slow.ask(6, "single")
+	slow.request(6, "single")
 	r.pass(200)
-	slow.want("in time", "6 served "+n.describes(6))
+	slow.want("in time", "6 served "+n.description(6))
 	slow.conn.(interface{ Stall(float64) }).Stall(60000)
 	var b []byte
 	for i := range 1200 { // more answers than the network takes
@@ -191,30 +193,30 @@
 	}
 	slow.send(b)
 	r.pass(50)
-	slow.ask(7, "single")
+	slow.request(7, "single")
 	r.pass(200)
-	if !n.stands[7] {
+	if !n.running[7] {
 		t.Fatal("it does not stand: nothing is shown")
 	}
 	r.pass(4000)
-	if len(r.s.clients) != 0 || n.stands[7] || !n.stands[6] {
-		t.Errorf("%d clients; stands: the one whose answer broke off %v, the other %v", len(r.s.clients), n.stands[7], n.stands[6])
+	if len(r.server.clients) != 0 || n.running[7] || !n.running[6] {
+		t.Errorf("%d clients; stands: the one whose answer broke off %v, the other %v", len(r.server.clients), n.running[7], n.running[6])
 	}
 }
 
 // TestOwedInTime has a task end whose client's connection has closed, while nothing is served that could prove another: the end is told
 // within a second all the same, on one on which something was requested, and not on one on which nothing was.
 func TestOwedInTime(t *testing.T) {
-	r := begin(t, "a")
+	r := startRig(t, "a")
 	n, x := r.nodes["a"], r.dial()
-	x.ask(7, "single")
+	x.request(7, "single")
 	r.pass(200)
 	x.conn.Close(true, nil)
 	r.pass(50)
 	idle, y := r.dial(), r.dial()
 	idle.send(codec.AppendTest(nil, 9, false))
-	n.does = func(*ear, uint64) {} // it serves nobody any more
-	y.ask(8, "single")
+	n.onSetUp = func(*testConn, uint64) {} // it serves nobody any more
+	y.request(8, "single")
 	r.pass(50)
 	n.conns[0].send(codec.AppendEnd(nil, 7, codec.Normal))
 	r.pass(900)
@@ -224,14 +226,14 @@
 
 // TestShares has descriptors so short that set-ups share connections: all are served, and few connections are made.
 func TestShares(t *testing.T) {
-	r := begin(t, "a", "b")
-	r.s.parts.NodeConns = 2
+	r := startRig(t, "a", "b")
+	r.server.parts.NodeConns = 2
 	x := r.dial()
 	for task := range uint64(10) {
-		x.ask(task+1, "batch")
+		x.request(task+1, "batch")
 	}
 	r.pass(1000)
-	if len(x.got) != 10 || strings.Contains(strings.Join(x.got, " "), "end") || r.s.counts.dials > 4 {
-		t.Errorf("%q over %d connections", x.got, r.s.counts.dials)
+	if len(x.received) != 10 || strings.Contains(strings.Join(x.received, " "), "end") || r.server.counts.dials > 4 {
+		t.Errorf("%q over %d connections", x.received, r.server.counts.dials)
 	}
 }
--- a/internal/platform/configuration_test.go
+++ b/internal/platform/configuration_test.go
@@ -13,74 +13,74 @@
 // TestOddStarts begins schedulers under what no list of faults names.
 func TestOddStarts(t *testing.T) {
 	t.Run("the journal service is silent", func(t *testing.T) {
-		r := begin(t, "a", "b")
-		r.journal.mute = true
-		r.sched.Kill(false)
-		r.sched.Start()
+		r := startRig(t, "a", "b")
+		r.journal.silent = true
+		r.process.Kill(false)
+		r.process.Start()
 		r.start()
 		x := r.dial()
-		x.ask(7, "single")
+		x.request(7, "single")
 		r.pass(3000)
-		if len(x.got) != 1 || !strings.HasPrefix(x.got[0], "7 served") {
-			t.Errorf("%q", x.got)
+		if len(x.received) != 1 || !strings.HasPrefix(x.received[0], "7 served") {
+			t.Errorf("%q", x.received)
 		}
-		r.journal.mute = false
-		r.journal.happens(entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
+		r.journal.silent = false
+		r.journal.publish(entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
 		r.pass(6000)
-		x.got = nil
-		x.ask(8, "single")
+		x.received = nil
+		x.request(8, "single")
 		r.pass(3000)
 		x.want("all drain, as it hears once it is not silent any more", "8 end 42")
 	})
 	t.Run("known holds gone and draining nodes alone", func(t *testing.T) {
-		r := begin(t, "a", "b")
-		r.sched.Kill(false)
-		r.sched.Start()
+		r := startRig(t, "a", "b")
+		r.process.Kill(false)
+		r.process.Start()
 		first := event(1, true, entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
 		r.journal.events = []string{first}
 		r.configuration.Events = []byte(`{"pos":1,"entries":[` + first + `]}`)
 		r.start()
 		x := r.dial()
-		x.send(setUp(6, "batch", codec.Figures, figures+";at:a"))
+		x.send(setUp(6, "batch", codec.Figures, demandText+";at:a"))
 		r.pass(200)
 		r.nodes["a"].conns[len(r.nodes["a"].conns)-1].send(message(codec.End, 6, codec.Cause, string(byte(codec.Normal)), codec.Report, "x0:3;x1:9"))
-		x.ask(7, "single")
+		x.request(7, "single")
 		r.pass(6000)
 		x.want("the end of the running task where it drains, and none served", "6 end 16", "7 end 42")
-		r.journal.happens(entryOf("b", "b", "ready"))
+		r.journal.publish(entryOf("b", "b", "ready"))
 		r.pass(3000)
-		x.got = nil
-		x.ask(8, "single")
+		x.received = nil
+		x.request(8, "single")
 		r.pass(1000)
-		x.want("one is back", "8 served "+r.nodes["b"].describes(8))
+		x.want("one is back", "8 served "+r.nodes["b"].description(8))
 	})
 	t.Run("a node is named twice", func(t *testing.T) {
-		r := begin(t, "a", "b")
-		r.journal.happens(entryOf("a", "a", "ready"), entryOf("a", "a", "draining"), entryOf("a", "a", "draining"))
+		r := startRig(t, "a", "b")
+		r.journal.publish(entryOf("a", "a", "ready"), entryOf("a", "a", "draining"), entryOf("a", "a", "draining"))
 		r.pass(2000)
 		x := r.dial()
 		for task := range uint64(6) {
-			x.ask(task+1, "batch")
+			x.request(task+1, "batch")
 		}
 		r.pass(500)
-		if n := len(r.nodes["a"].starts); n != 0 || len(x.got) != 6 {
-			t.Errorf("%d offered to the one that drains, as its last entry says; %q", n, x.got)
+		if n := len(r.nodes["a"].starts); n != 0 || len(x.received) != 6 {
+			t.Errorf("%d offered to the one that drains, as its last entry says; %q", n, x.received)
 		}
 	})
 	t.Run("the configuration changes while it ends", func(t *testing.T) {
-		r := begin(t, "a")
+		r := startRig(t, "a")
 		x := r.dial()
-		r.nodes["a"].does = func(*ear, uint64) {}
-		x.ask(7, "single")
+		r.nodes["a"].onSetUp = func(*testConn, uint64) {}
+		x.request(7, "single")
 		r.pass(20)
-		r.s.Stop()
+		r.server.Stop()
 		moved := *r.configuration
 		moved.Journal = "journal:2"
-		r.s.Take(&moved)
+		r.server.Take(&moved)
 		r.pass(6000)
 		x.want("one answer", "7 end 41")
 		select {
-		case <-r.s.Done():
+		case <-r.server.Done():
 		default:
 			t.Error("it does not end")
 		}
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -10,7 +10,7 @@
 )
 
 // open is a node's connections that have not ended.
-func open(n *node) (all []*ear) {
+func open(n *fakeNode) (all []*testConn) {
 	for _, e := range n.conns {
 		if !e.ended {
 			all = append(all, e)
@@ -28,12 +28,12 @@
 			for i := range nodes {
 				names = append(names, fmt.Sprint("n", i))
 			}
-			r := begin(t, names...)
+			r := startRig(t, names...)
 			var doors []*testClient
-			for range r.s.parts.ClientConns {
-				x := &testClient{ear: &ear{}, r: r}
-				x.heard = func([]byte) {}
-				r.clients.Dial(door, 1000, func(c env.Conn, err error) {
+			for range r.server.parts.ClientConns {
+				x := &testClient{testConn: &testConn{}, rig: r}
+				x.onMessage = func([]byte) {}
+				r.clients.Dial(clientAddress, 1000, func(c env.Conn, err error) {
 					if err == nil {
 						x.conn = c
 						c.Start(x, 5000)
@@ -43,8 +43,8 @@
 				doors = append(doors, x)
 			}
 			r.pass(100)
-			if len(r.s.clients) != r.s.parts.ClientConns {
-				t.Fatalf("%d client connections", len(r.s.clients))
+			if len(r.server.clients) != r.server.parts.ClientConns {
+				t.Fatalf("%d client connections", len(r.server.clients))
 			}
 			most, ended := 0, map[uint64]float64{}
 			count := func() {
@@ -60,35 +60,35 @@
 				most = max(most, held)
 			}
 			x := doors[0]
-			x.heard = func(msg []byte) {
+			x.onMessage = func(msg []byte) {
 				if codec.Kind(msg) == codec.End {
-					ended[codec.Task(msg)] = r.c.TrueTime()
+					ended[codec.Task(msg)] = r.clock.TrueTime()
 				}
 			}
 			for i, name := range names {
-				x.send(setUp(uint64(1000+i), "single", codec.Figures, figures+";at:"+name))
-				r.nodes[name].stands[uint64(1000+i)] = true
+				x.send(setUp(uint64(1000+i), "single", codec.Figures, demandText+";at:"+name))
+				r.nodes[name].running[uint64(1000+i)] = true
 			}
 			for i := range 200 {
-				x.ask(uint64(1+i), "batch")
+				x.request(uint64(1+i), "batch")
 				r.pass(60)
 				count()
 			}
-			ends := r.c.TrueTime()
+			ends := r.clock.TrueTime()
 			for i, name := range names { // on what is open, and on what comes next
 				n, task := r.nodes[name], uint64(1000+i)
 				end := codec.AppendEnd(nil, task, codec.Normal)
 				for _, e := range open(n) {
 					e.send(end)
 				}
-				n.greets = func(e *ear) { e.send(end) }
+				n.onConnect = func(e *testConn) { e.send(end) }
 			}
 			for range 100 {
 				r.pass(60)
 				count()
 			}
-			if most > r.s.parts.ClientConns+r.s.parts.NodeConns || most > r.configuration.Sockets*98/100-8 {
-				t.Errorf("%d connections at once, %d and %d are allowed of %d descriptors", most, r.s.parts.ClientConns, r.s.parts.NodeConns, r.configuration.Sockets)
+			if most > r.server.parts.ClientConns+r.server.parts.NodeConns || most > r.configuration.Sockets*98/100-8 {
+				t.Errorf("%d connections at once, %d and %d are allowed of %d descriptors", most, r.server.parts.ClientConns, r.server.parts.NodeConns, r.configuration.Sockets)
 			}
 			late, unheard := 0, 0
 			for i := range names {
@@ -99,17 +99,17 @@
 					late++
 				}
 			}
-			if late+unheard > 0 || r.s.counts.verdicts[logic.ConnectionLost] > 0 || r.s.counts.spent > 0 {
-				t.Errorf("of %d ends %d came late, %d never; verdicts %v, %d dials found nothing left", nodes, late, unheard, r.s.counts.verdicts,
-					r.s.counts.spent)
+			if late+unheard > 0 || r.server.counts.verdicts[logic.ConnectionLost] > 0 || r.server.counts.spent > 0 {
+				t.Errorf("of %d ends %d came late, %d never; verdicts %v, %d dials found nothing left", nodes, late, unheard, r.server.counts.verdicts,
+					r.server.counts.spent)
 			}
-			for _, p := range r.s.peers {
-				if b, _ := r.s.host.Belief(p.id); b.Unhealthy {
+			for _, p := range r.server.peers {
+				if b, _ := r.server.host.Belief(p.id); b.Unhealthy {
 					t.Errorf("%s is taken for ill", p.name)
 				}
 			}
-			if d := float64(r.s.counts.dials) / (float64(nodes) * 18 / 2); d > 1.3 {
-				t.Errorf("%d dials: %.1f a node in two seconds", r.s.counts.dials, d)
+			if d := float64(r.server.counts.dials) / (float64(nodes) * 18 / 2); d > 1.3 {
+				t.Errorf("%d dials: %.1f a node in two seconds", r.server.counts.dials, d)
 			}
 		})
 	}
@@ -118,23 +118,23 @@
 // TestSpent has dials fail for want of descriptors here: no node is blamed, nothing that stands is called lost, and what
 // provably never left is offered again.
 func TestSpent(t *testing.T) {
-	r := begin(t, "a", "b")
+	r := startRig(t, "a", "b")
 	x := r.dial()
-	x.ask(7, "single")
+	x.request(7, "single")
 	r.pass(200)
-	r.s.world = spent{r.s.world}
+	r.server.world = spent{r.server.world}
 	for _, n := range r.nodes {
 		for _, e := range n.conns {
 			e.conn.(interface{ Reset(bool) }).Reset(true)
 		}
 	}
-	x.ask(8, "single")
+	x.request(8, "single")
 	r.pass(9000)
-	if r.s.counts.spent < 5 || r.s.host.RunningTasks() != 1 || len(x.got) != 2 || x.got[1] != "8 end 42" {
-		t.Errorf("%d spent, %d stand, %q", r.s.counts.spent, r.s.host.RunningTasks(), x.got)
+	if r.server.counts.spent < 5 || r.server.host.RunningTasks() != 1 || len(x.received) != 2 || x.received[1] != "8 end 42" {
+		t.Errorf("%d spent, %d stand, %q", r.server.counts.spent, r.server.host.RunningTasks(), x.received)
 	}
-	for _, p := range r.s.peers {
-		if b, _ := r.s.host.Belief(p.id); b.Unhealthy || b.FailureRate > 0 {
+	for _, p := range r.server.peers {
+		if b, _ := r.server.host.Belief(p.id); b.Unhealthy || b.FailureRate > 0 {
 			t.Errorf("%s is blamed: %+v", p.name, b)
 		}
 	}
@@ -149,37 +149,37 @@
 
 // TestHeld has a client name more than can be held as standing at a node.
 func TestHeld(t *testing.T) {
-	r := begin(t, "a")
-	r.s.parts.Held = 20
+	r := startRig(t, "a")
+	r.server.parts.Held = 20
 	x := r.dial()
 	for task := range uint64(60) {
-		x.send(setUp(task+1, "batch", codec.Figures, figures+";at:a"))
+		x.send(setUp(task+1, "batch", codec.Figures, demandText+";at:a"))
 	}
-	x.ask(100, "batch")
+	x.request(100, "batch")
 	r.pass(500)
-	if len(r.s.requests) != 20 || len(x.got) != 41 || x.got[40] != "100 end 42" {
-		t.Errorf("%d are held, %d turned away", len(r.s.requests), len(x.got))
+	if len(r.server.requests) != 20 || len(x.received) != 41 || x.received[40] != "100 end 42" {
+		t.Errorf("%d are held, %d turned away", len(r.server.requests), len(x.received))
 	}
 }
 
 // TestFlat replaces nodes, tasks and connections for long: nothing of what is over is kept.
 func TestFlat(t *testing.T) {
-	r := begin(t, "n0")
+	r := startRig(t, "n0")
 	task := uint64(0)
 	for i := range 60 {
 		name, last := fmt.Sprint("n", i+1), fmt.Sprint("n", i)
-		newNode(r, name, name)
-		r.journal.happens(entryOf(name, name, "ready"), entryOf(last, last, "gone"))
+		newFakeNode(r, name, name)
+		r.journal.publish(entryOf(name, name, "ready"), entryOf(last, last, "gone"))
 		r.pass(300)
 		x := r.dial()
 		for range 5 {
 			task++
-			x.ask(task, "batch")
+			x.request(task, "batch")
 		}
 		r.pass(200)
 		for _, n := range r.nodes {
-			for done := range n.stands {
-				delete(n.stands, done)
+			for done := range n.running {
+				delete(n.running, done)
 				n.open[done].send(codec.AppendEnd(nil, done, codec.Normal))
 			}
 		}
@@ -188,11 +188,11 @@
 		r.pass(100)
 	}
 	r.pass(3000)
-	if len(r.s.requests)+len(r.s.tasks)+len(r.s.clients) > 0 || len(r.s.peers) > 1 || len(r.s.names) > 1 || r.s.links > 5 {
-		t.Errorf("%d asks, %d tasks, %d clients, %d nodes, %d links are kept", len(r.s.requests), len(r.s.tasks), len(r.s.clients), len(r.s.peers),
-			r.s.links)
+	if len(r.server.requests)+len(r.server.tasks)+len(r.server.clients) > 0 || len(r.server.peers) > 1 || len(r.server.names) > 1 || r.server.links > 5 {
+		t.Errorf("%d asks, %d tasks, %d clients, %d nodes, %d links are kept", len(r.server.requests), len(r.server.tasks), len(r.server.clients), len(r.server.peers),
+			r.server.links)
 	}
-	if r.s.counts.served != int(task) {
-		t.Errorf("%d of %d served", r.s.counts.served, task)
+	if r.server.counts.served != int(task) {
+		t.Errorf("%d of %d served", r.server.counts.served, task)
 	}
 }
--- a/internal/platform/early_test.go
+++ b/internal/platform/early_test.go
@@ -54,19 +54,19 @@
 		for _, job := range []string{"batch", "marked", "single"} {
 			for _, late := range []float64{0, 1, 1700, -1} {
 				t.Run(fmt.Sprintf("%s, %s, answer after %g", c.name, job, late), func(t *testing.T) {
-					r := begin(t, "a", "b")
+					r := startRig(t, "a", "b")
 					x := r.dial()
 					attempts, ended := 0, 0.0
-					var first *node
+					var first *fakeNode
 					for _, n := range r.nodes {
-						n.does = func(e *ear, task uint64) {
+						n.onSetUp = func(e *testConn, task uint64) {
 							if attempts++; attempts > 1 {
 								n.answer(e, task)
 								return
 							}
-							first, ended = n, r.c.TrueTime()+500
-							answer := codec.AppendAnswer(nil, task, []byte(n.describes(task)))
-							n.p.After(500, func() {
+							first, ended = n, r.clock.TrueTime()+500
+							answer := codec.AppendAnswer(nil, task, []byte(n.description(task)))
+							n.process.After(500, func() {
 								b := early(task, c.cause, c.word, c.notes)
 								if late == 0 { // in one piece
 									b = append(b, answer...)
@@ -74,16 +74,16 @@
 								e.send(b)
 							})
 							if late > 0 {
-								n.p.After(500+late, func() { e.send(answer) })
+								n.process.After(500+late, func() { e.send(answer) })
 							}
 						}
 					}
-					x.ask(7, job)
+					x.request(7, job)
 					r.pass(5000)
 					if !c.ran {
 						mayRetry := job != "single" || c.cause == codec.Full
-						if (attempts > 1) != mayRetry || len(x.got) == 0 {
-							t.Errorf("%d attempts, heard %q", attempts, x.got)
+						if (attempts > 1) != mayRetry || len(x.received) == 0 {
+							t.Errorf("%d attempts, heard %q", attempts, x.received)
 						}
 						return
 					}
@@ -91,14 +91,14 @@
 					if attempts != 1 {
 						t.Errorf("%d attempts after a run", attempts)
 					}
-					if len(x.at) > 0 && x.at[0] > ended+50 {
-						t.Errorf("told %.0f ms after the end", x.at[0]-ended)
+					if len(x.receivedAt) > 0 && x.receivedAt[0] > ended+50 {
+						t.Errorf("told %.0f ms after the end", x.receivedAt[0]-ended)
 					}
 					if told := slices.Contains(first.ended, 7); told != (late >= 0) {
 						t.Errorf("the node of the late answer is told to end the task: %t", told)
 					}
-					if len(r.s.requests)+len(r.s.tasks) > 0 || r.s.admit.Open() != 0 {
-						t.Errorf("%d requests, %d tasks, %d open are kept", len(r.s.requests), len(r.s.tasks), r.s.admit.Open())
+					if len(r.server.requests)+len(r.server.tasks) > 0 || r.server.admit.Open() != 0 {
+						t.Errorf("%d requests, %d tasks, %d open are kept", len(r.server.requests), len(r.server.tasks), r.server.admit.Open())
 					}
 				})
 			}
@@ -109,11 +109,11 @@
 // TestNotesOfAnEarlierAttempt holds that notes count for the attempt that is out alone: a refusal of the second is no end of a run, though
 // the first ran before it was given up.
 func TestNotesOfAnEarlierAttempt(t *testing.T) {
-	r := begin(t, "a", "b")
+	r := startRig(t, "a", "b")
 	x := r.dial()
 	attempts := 0
 	for _, n := range r.nodes {
-		n.does = func(e *ear, task uint64) {
+		n.onSetUp = func(e *testConn, task uint64) {
 			switch attempts++; attempts {
 			case 1: // it runs, and says so, but is never answered: it times out
 				e.send(message(codec.Note, task, codec.Word, "cores", codec.Figure, "0.6"))
@@ -124,10 +124,10 @@
 			}
 		}
 	}
-	x.ask(7, "batch")
+	x.request(7, "batch")
 	r.pass(5000)
-	if attempts < 3 || len(x.got) != 1 || x.got[0] == "7 end 42" {
-		t.Errorf("%d attempts, heard %q", attempts, x.got)
+	if attempts < 3 || len(x.received) != 1 || x.received[0] == "7 end 42" {
+		t.Errorf("%d attempts, heard %q", attempts, x.received)
 	}
 }
 
@@ -135,17 +135,17 @@
 func TestEndBeforeAnswerOnLoopback(t *testing.T) {
 	for _, job := range []string{"batch", "marked", "single"} {
 		t.Run(job, func(t *testing.T) {
-			r := onLoopback(t, nil)
+			r := startLoopback(t, nil)
 			x := r.dial()
-			x.ask(7, job)
-			r.until("it is offered", func() bool { return slices.Contains(r.node.took(), 7) })
-			r.node.say(7, early(7, codec.Reset, "sent_away", true))
-			x.hears("7 " + afterRun[job])
-			r.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
+			x.request(7, job)
+			r.until("it is offered", func() bool { return slices.Contains(r.node.received(), 7) })
+			r.node.send(7, early(7, codec.Reset, "sent_away", true))
+			x.expect("7 " + afterRun[job])
+			r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 			r.until("the node is told to end it", func() bool { return r.node.ended(7) })
-			r.settledDown()
+			r.waitIdle()
 			attempts := 0
-			for _, task := range r.node.took() {
+			for _, task := range r.node.received() {
 				if task == 7 {
 					attempts++
 				}
@@ -154,7 +154,7 @@
 				t.Errorf("%d attempts", attempts)
 			}
 			x.send(codec.AppendTest(nil, 9, false))
-			x.hears("9 tested 1") // and nothing before it
+			x.expect("9 tested 1") // and nothing before it
 		})
 	}
 }
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -19,71 +19,73 @@
 	"ravenpond/internal/settings"
 )
 
-// gate holds calls back while it is shut.
-type gate struct {
-	mu    sync.Mutex
-	cond  *sync.Cond
-	shut  bool
-	waits int
+// callGate holds calls back while it is shut.
+type callGate struct {
+	mu      sync.Mutex
+	cond    *sync.Cond
+	closed  bool
+	waiting int
 }
 
-func newGate() *gate {
-	g := &gate{}
+func newGate() *callGate {
+	g := &callGate{}
 	g.cond = sync.NewCond(&g.mu)
 	return g
 }
 
-func (g *gate) set(shut bool) {
+func (g *callGate) set(shut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shut = shut
+	g.closed = shut
 	g.cond.Broadcast()
 }
 
-func (g *gate) pass() {
+func (g *callGate) pass() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.waits++
-	for g.shut {
+	g.waiting++
+	for g.closed {
 		g.cond.Wait()
 	}
-	g.waits--
+	g.waiting--
 }
 
-func (g *gate) held() int {
+func (g *callGate) blocked() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.waits
+	return g.waiting
 }
 
-// world is the real one, on loopback, whose calls into the scheduler can be held: so a test decides which of two events that
+// gatedEnv is the real one, on loopback, whose calls into the scheduler can be held: so a test decides which of two events that
 // cross is met first.
-type world struct {
+type gatedEnv struct {
 	*env.Real
-	turns, reads, ends, dials, comes *gate // reads and ends are those of client connections
-	nodes                            *gate // what comes from nodes, and the ends of their connections
+	turns, reads, ends, dials, accepts *callGate // reads and ends are those of client connections
+	nodes                              *callGate // what comes from nodes, and the ends of their connections
 
-	mu   sync.Mutex
-	jump float64
+	mu          sync.Mutex
+	clockOffset float64
 }
 
-func (w *world) Now() float64 {
+func (w *gatedEnv) Now() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.Real.Now() + w.jump
+	return w.Real.Now() + w.clockOffset
 }
 
-func (w *world) gates() []*gate { return []*gate{w.turns, w.reads, w.ends, w.dials, w.comes, w.nodes} }
+func (w *gatedEnv) gates() []*callGate {
+	return []*callGate{w.turns, w.reads, w.ends, w.dials, w.accepts, w.nodes}
+}
 
-func (w *world) StartLoop(turn func() float64) env.Loop {
+func (w *gatedEnv) StartLoop(turn func() float64) env.Loop {
 	return w.Real.StartLoop(func() float64 { w.turns.pass(); return turn() })
 }
 
-func (w *world) Listen(address string, came func(env.Conn)) (env.Listener, error) {
-	return w.Real.Listen(address, func(c env.Conn) { w.comes.pass(); came(heldConn{c, w.reads, w.ends}) })
+func (w *gatedEnv) Listen(address string, came func(env.Conn)) (env.Listener, error) {
+	return w.Real.Listen(address, func(c env.Conn) { w.accepts.pass(); came(heldConn{c, w.reads, w.ends}) })
 }
 
-func (w *world) Dial(address string, within float64, done func(env.Conn, error)) {
+func (w *gatedEnv) Dial(address string, within float64, done func(env.Conn, error)) {
 	w.Real.Dial(address, within, func(c env.Conn, err error) {
 		w.dials.pass()
 		if err == nil {
@@ -96,7 +98,7 @@
 // heldConn is a connection of which what is heard can be held.
 type heldConn struct {
 	env.Conn
-	reads, ends *gate
+	reads, ends *callGate
 }
 
 func (c heldConn) Start(p env.ConnHandler, stuck float64) {
@@ -105,7 +107,7 @@
 
 type heldPeer struct {
 	env.ConnHandler
-	reads, ends *gate
+	reads, ends *callGate
 }
 
 func (p heldPeer) OnData(b []byte) {
@@ -119,24 +121,24 @@
 
 func (p heldPeer) OnClose(err error) { p.ends.pass(); p.ConnHandler.OnClose(err) }
 
-// real is a scheduler on loopback with one node and a journal service.
-type real struct {
+// loopbackRig is a scheduler on loopback with one node and a journal service.
+type loopbackRig struct {
 	t             *testing.T
-	w             *world
-	s             *Server
+	env           *gatedEnv
+	server        *Server
 	node          *tcpNode
-	door          string
+	address       string
 	configuration *Configuration
 }
 
 // tcpNode takes set-ups; what it says to them is the test's to say.
 type tcpNode struct {
-	l net.Listener
+	listener net.Listener
 
 	mu     sync.Mutex
 	setUps []uint64
 	ends   []uint64
-	on     map[uint64]net.Conn
+	connOf map[uint64]net.Conn
 }
 
 func serveTCP(t *testing.T, each func(net.Conn)) net.Listener {
@@ -172,8 +174,8 @@
 }
 
 func newTCPNode(t *testing.T) *tcpNode {
-	n := &tcpNode{on: map[uint64]net.Conn{}}
-	n.l = serveTCP(t, func(c net.Conn) {
+	n := &tcpNode{connOf: map[uint64]net.Conn{}}
+	n.listener = serveTCP(t, func(c net.Conn) {
 		var in []byte
 		b := make([]byte, 4096)
 		for {
@@ -190,7 +192,7 @@
 				switch codec.Kind(msg) {
 				case codec.SetUp:
 					n.setUps = append(n.setUps, codec.Task(msg))
-					n.on[codec.Task(msg)] = c
+					n.connOf[codec.Task(msg)] = c
 				case codec.End:
 					n.ends = append(n.ends, codec.Task(msg))
 				}
@@ -202,7 +204,7 @@
 	return n
 }
 
-func (n *tcpNode) took() []uint64 {
+func (n *tcpNode) received() []uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.setUps)
@@ -214,20 +216,20 @@
 	return slices.Contains(n.ends, task)
 }
 
-// say sends a message on the connection on which a task's set-up came.
-func (n *tcpNode) say(task uint64, b []byte) {
+// send sends a message on the connection on which a task's set-up came.
+func (n *tcpNode) send(task uint64, b []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_, _ = n.on[task].Write(b) // one that is closed shows at the scheduler
+	_, _ = n.connOf[task].Write(b) // one that is closed shows at the scheduler
 }
 
-// onLoopback starts a scheduler that may use its nodes at once.
-func onLoopback(t *testing.T, change func(*Configuration)) *real {
-	r := &real{t: t, w: &world{
-		Real: env.NewReal(), turns: newGate(), reads: newGate(), ends: newGate(), dials: newGate(), comes: newGate(),
+// startLoopback starts a scheduler that may use its nodes at once.
+func startLoopback(t *testing.T, change func(*Configuration)) *loopbackRig {
+	r := &loopbackRig{t: t, env: &gatedEnv{
+		Real: env.NewReal(), turns: newGate(), reads: newGate(), ends: newGate(), dials: newGate(), accepts: newGate(),
 		nodes: newGate(),
 	}}
-	r.w.WriteThrough = true
+	r.env.WriteThrough = true
 	journal, _ := tailed(t)
 	r.node = newTCPNode(t)
 	known, err := settings.Read([]byte(settingsText))
@@ -236,47 +238,47 @@
 	}
 	r.configuration = &Configuration{
 		Name: "n0", Listen: "127.0.0.1:0", Journal: journal, Seed: 3, MemoryMB: 64, Sockets: 256, Known: known,
-		Events: []byte(`{"pos":1,"entries":[` + event(1, true, entryOf("a", r.node.l.Addr().String(), "ready")) + `]}`),
+		Events: []byte(`{"pos":1,"entries":[` + event(1, true, entryOf("a", r.node.listener.Addr().String(), "ready")) + `]}`),
 	}
 	if change != nil {
 		change(r.configuration)
 	}
-	r.s = New(r.w, zerolog.Nop(), r.configuration)
-	if err := r.s.Start(r.configuration); err != nil {
+	r.server = New(r.env, zerolog.Nop(), r.configuration)
+	if err := r.server.Start(r.configuration); err != nil {
 		t.Fatal(err)
 	}
-	r.door = r.s.door.Address()
+	r.address = r.server.door.Address()
 	t.Cleanup(func() {
-		for _, g := range r.w.gates() {
+		for _, g := range r.env.gates() {
 			g.set(false)
 		}
-		r.w.Close(5 * time.Second)
+		r.env.Close(5 * time.Second)
 	})
-	r.skip(5000) // a scheduler that has just begun leaves new nodes alone
+	r.advanceClock(5000) // a scheduler that has just begun leaves new nodes alone
 	x := r.dial()
-	x.ask(1, "batch")
-	r.until("the first is offered", func() bool { return len(r.node.took()) == 1 })
-	r.node.say(1, codec.AppendAnswer(nil, 1, []byte("at a")))
-	x.hears("1 served at a")
-	x.c.Close()
-	r.until("its client is gone", func() bool { r.s.mu.Lock(); defer r.s.mu.Unlock(); return len(r.s.clients) == 0 })
+	x.request(1, "batch")
+	r.until("the first is offered", func() bool { return len(r.node.received()) == 1 })
+	r.node.send(1, codec.AppendAnswer(nil, 1, []byte("at a")))
+	x.expect("1 served at a")
+	x.conn.Close()
+	r.until("its client is gone", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return len(r.server.clients) == 0 })
 	return r
 }
 
-// skip has the scheduler's clock go on by so many ms, and the scheduler forget that it did not turn meanwhile.
-func (r *real) skip(ms float64) {
-	r.w.mu.Lock()
-	r.w.jump += ms
-	r.w.mu.Unlock()
-	now := r.w.Now()
-	r.until("a turn has met it", func() bool { r.s.mu.Lock(); defer r.s.mu.Unlock(); return r.s.ticked >= now })
-	r.s.mu.Lock()
-	r.s.lag = overload.Monitor{}
-	r.s.mu.Unlock()
+// advanceClock has the scheduler's clock go on by so many ms, and the scheduler forget that it did not turn meanwhile.
+func (r *loopbackRig) advanceClock(ms float64) {
+	r.env.mu.Lock()
+	r.env.clockOffset += ms
+	r.env.mu.Unlock()
+	now := r.env.Now()
+	r.until("a turn has met it", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.ticked >= now })
+	r.server.mu.Lock()
+	r.server.lag = overload.Monitor{}
+	r.server.mu.Unlock()
 }
 
 // until waits for something that comes to be, however long the machine takes.
-func (r *real) until(what string, is func() bool) {
+func (r *loopbackRig) until(what string, is func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -286,25 +288,25 @@
 }
 
 // counted gives one of the scheduler's figures.
-func (r *real) counted(f func(s *Server) int) int {
-	r.s.mu.Lock()
-	defer r.s.mu.Unlock()
-	return f(r.s)
+func (r *loopbackRig) counted(f func(s *Server) int) int {
+	r.server.mu.Lock()
+	defer r.server.mu.Unlock()
+	return f(r.server)
 }
 
-// spend leaves no connection to a node that could be used.
-func (r *real) spend() {
-	r.s.mu.Lock()
-	defer r.s.mu.Unlock()
-	for _, p := range r.s.peers {
+// drainNodeConns leaves no connection to a node that could be used.
+func (r *loopbackRig) drainNodeConns() {
+	r.server.mu.Lock()
+	defer r.server.mu.Unlock()
+	for _, p := range r.server.peers {
 		for _, l := range p.links {
 			l.spent = true
 		}
 	}
 }
 
-// settledDown waits until nothing is under way in the scheduler for any ask.
-func (r *real) settledDown() {
+// waitIdle waits until nothing is under way in the scheduler for any ask.
+func (r *loopbackRig) waitIdle() {
 	r.t.Helper()
 	r.until("nothing is open", func() bool {
 		return r.counted(func(s *Server) int { return len(s.inbox) + s.host.OpenRequests() + s.admit.Open() }) == 0
@@ -313,36 +315,36 @@
 
 // tcpClient is a client on a connection.
 type tcpClient struct {
-	r  *real
-	c  *net.TCPConn
-	in []byte
+	rig     *loopbackRig
+	conn    *net.TCPConn
+	partial []byte
 }
 
-func (r *real) dial() *tcpClient {
+func (r *loopbackRig) dial() *tcpClient {
 	r.t.Helper()
-	c, err := net.Dial("tcp", r.door)
+	c, err := net.Dial("tcp", r.address)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { c.Close() })
-	return &tcpClient{r: r, c: c.(*net.TCPConn)}
+	return &tcpClient{rig: r, conn: c.(*net.TCPConn)}
 }
 
 func (x *tcpClient) send(b []byte) {
-	x.r.t.Helper()
-	if _, err := x.c.Write(b); err != nil {
-		x.r.t.Fatal(err)
+	x.rig.t.Helper()
+	if _, err := x.conn.Write(b); err != nil {
+		x.rig.t.Fatal(err)
 	}
 }
 
-func (x *tcpClient) ask(task uint64, job string) { x.send(setUp(task, job)) }
+func (x *tcpClient) request(task uint64, job string) { x.send(setUp(task, job)) }
 
 // next is the next message in words, or how the connection ended.
 func (x *tcpClient) next() string {
-	_ = x.c.SetReadDeadline(time.Now().Add(20 * time.Second))
+	_ = x.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	b := make([]byte, 4096)
 	for {
-		msg, took, err := codec.Next(x.in)
+		msg, took, err := codec.Next(x.partial)
 		if err != nil {
 			return err.Error()
 		}
@@ -352,13 +354,13 @@
 			word := map[byte]string{codec.Answer: "served " + string(d), codec.End: fmt.Sprint("end ", cause), codec.Tested: fmt.Sprint("tested ",
 				cause)}[codec.Kind(msg)]
 			word = fmt.Sprintf("%d %s", codec.Task(msg), word)
-			x.in = bytes.Clone(x.in[took:])
+			x.partial = bytes.Clone(x.partial[took:])
 			return word
 		}
-		n, err := x.c.Read(b)
-		x.in = append(x.in, b[:n]...)
+		n, err := x.conn.Read(b)
+		x.partial = append(x.partial, b[:n]...)
 		switch {
-		case errors.Is(err, io.EOF) && len(x.in) > 0:
+		case errors.Is(err, io.EOF) && len(x.partial) > 0:
 			return "half a message"
 		case errors.Is(err, io.EOF):
 			return "closed"
@@ -368,18 +370,18 @@
 	}
 }
 
-func (x *tcpClient) hears(want ...string) {
-	x.r.t.Helper()
+func (x *tcpClient) expect(want ...string) {
+	x.rig.t.Helper()
 	for _, w := range want {
 		if got := x.next(); got != w {
-			x.r.t.Fatalf("heard %q, want %q", got, w)
+			x.rig.t.Fatalf("heard %q, want %q", got, w)
 		}
 	}
 }
 
-// leaves has a client go in one of the ways that there are.
-var leaves = map[string]func(x *tcpClient){
-	"closes": func(x *tcpClient) { x.c.Close() },
-	"resets": func(x *tcpClient) { _ = x.c.SetLinger(0); x.c.Close() },
-	"half":   func(x *tcpClient) { _ = x.c.CloseWrite() },
+// departures has a client go in one of the ways that there are.
+var departures = map[string]func(x *tcpClient){
+	"closes": func(x *tcpClient) { x.conn.Close() },
+	"resets": func(x *tcpClient) { _ = x.conn.SetLinger(0); x.conn.Close() },
+	"half":   func(x *tcpClient) { _ = x.conn.CloseWrite() },
 }
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -15,68 +15,68 @@
 // TestGone has clients leave at each step of a request's life, and the news of it be read last: nothing begins for them. In the other
 // order, where the news is read first, the same.
 func TestGone(t *testing.T) {
-	for how, leave := range leaves {
+	for how, leave := range departures {
 		for _, readFirst := range []bool{false, true} {
 			name := fmt.Sprintf("%s, news read first %v", how, readFirst)
 			// gone has the client leave, with the news of it held or read.
-			gone := func(r *real, x *tcpClient) {
-				r.w.ends.set(!readFirst)
+			gone := func(r *loopbackRig, x *tcpClient) {
+				r.env.ends.set(!readFirst)
 				leave(x)
 				if readFirst {
 					r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.clients) }) == 0 })
 				} else {
-					r.until("the news of it is held", func() bool { return r.w.ends.held() > 0 })
+					r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
 				}
 			}
 			t.Run("in the inbox, "+name, func(t *testing.T) {
-				r := onLoopback(t, nil)
-				r.w.turns.set(true)
+				r := startLoopback(t, nil)
+				r.env.turns.set(true)
 				x := r.dial()
-				x.ask(7, "batch")
+				x.request(7, "batch")
 				r.until("it is taken", func() bool { return r.counted(func(s *Server) int { return len(s.inbox) }) == 1 })
 				gone(r, x)
-				r.w.turns.set(false)
-				r.settledDown()
-				if got := r.node.took(); len(got) != 1 {
+				r.env.turns.set(false)
+				r.waitIdle()
+				if got := r.node.received(); len(got) != 1 {
 					t.Errorf("set-ups %v: one began for a client that was gone", got)
 				}
 			})
 			t.Run("behind a dial, "+name, func(t *testing.T) {
-				r := onLoopback(t, nil)
-				r.spend()
-				r.w.dials.set(true)
+				r := startLoopback(t, nil)
+				r.drainNodeConns()
+				r.env.dials.set(true)
 				x := r.dial()
-				x.ask(7, "batch")
-				r.until("a connection is made for it", func() bool { return r.w.dials.held() > 0 })
+				x.request(7, "batch")
+				r.until("a connection is made for it", func() bool { return r.env.dials.blocked() > 0 })
 				gone(r, x)
-				r.w.dials.set(false)
-				r.settledDown()
-				if got := r.node.took(); len(got) != 1 {
+				r.env.dials.set(false)
+				r.waitIdle()
+				if got := r.node.received(); len(got) != 1 {
 					t.Errorf("set-ups %v: one was sent for a client that was gone", got)
 				}
 			})
 			t.Run("between a refusal and what follows, "+name, func(t *testing.T) {
-				r := onLoopback(t, nil)
+				r := startLoopback(t, nil)
 				x := r.dial()
-				x.ask(7, "batch")
-				r.until("it is offered", func() bool { return len(r.node.took()) == 2 })
+				x.request(7, "batch")
+				r.until("it is offered", func() bool { return len(r.node.received()) == 2 })
 				gone(r, x)
-				r.node.say(7, codec.AppendEnd(nil, 7, codec.Full))
-				r.settledDown()
-				if got := r.node.took(); len(got) != 2 {
+				r.node.send(7, codec.AppendEnd(nil, 7, codec.Full))
+				r.waitIdle()
+				if got := r.node.received(); len(got) != 2 {
 					t.Errorf("set-ups %v: another try began for a client that was gone", got)
 				}
 			})
 			t.Run("before its answer, "+name, func(t *testing.T) {
-				r := onLoopback(t, nil)
+				r := startLoopback(t, nil)
 				x := r.dial()
-				x.ask(7, "batch")
-				r.until("it is offered", func() bool { return len(r.node.took()) == 2 })
+				x.request(7, "batch")
+				r.until("it is offered", func() bool { return len(r.node.received()) == 2 })
 				gone(r, x)
-				r.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
+				r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 				r.until("it is ended at its node", func() bool { return r.node.ended(7) })
-				r.node.say(7, codec.AppendEnd(nil, 7, codec.Elsewhere))
-				r.settledDown()
+				r.node.send(7, codec.AppendEnd(nil, 7, codec.Elsewhere))
+				r.waitIdle()
 			})
 		}
 	}
@@ -86,37 +86,39 @@
 // nothing, and where all are at work it is answered before it is closed. None is closed on a request.
 func TestTurnedAway(t *testing.T) {
 	short := func(c *Configuration) { c.Sockets = 60 }
-	fill := func(r *real) (all []*tcpClient) {
-		for range r.s.parts.ClientConns {
+	fill := func(r *loopbackRig) (all []*tcpClient) {
+		for range r.server.parts.ClientConns {
 			all = append(all, r.dial())
 		}
 		r.until("all are taken", func() bool { return r.counted(func(s *Server) int { return len(s.clients) }) == len(all) })
 		return all
 	}
 	t.Run("all at work", func(t *testing.T) {
-		r := onLoopback(t, short)
+		r := startLoopback(t, short)
 		for i, x := range fill(r) {
-			x.ask(uint64(100+i), "batch")
+			x.request(uint64(100+i), "batch")
 		}
-		r.until("all are at work", func() bool { return r.counted(func(s *Server) int { return s.admit.Open() }) == r.s.parts.ClientConns })
+		r.until("all are at work", func() bool {
+			return r.counted(func(s *Server) int { return s.admit.Open() }) == r.server.parts.ClientConns
+		})
 		x := r.dial()
-		x.ask(7, "batch")
-		x.hears("7 end 42", "closed")
+		x.request(7, "batch")
+		x.expect("7 end 42", "closed")
 	})
 	t.Run("all idle", func(t *testing.T) {
-		r := onLoopback(t, short)
+		r := startLoopback(t, short)
 		idle := fill(r)
-		r.skip(600)
+		r.advanceClock(600)
 		x := r.dial()
-		x.ask(7, "batch")
-		r.until("it is offered", func() bool { return slices.Contains(r.node.took(), 7) })
-		r.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
-		x.hears("7 served at a")
+		x.request(7, "batch")
+		r.until("it is offered", func() bool { return slices.Contains(r.node.received(), 7) })
+		r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
+		x.expect("7 served at a")
 		closed := 0
 		r.until("one has given way", func() bool { return r.counted(func(s *Server) int { return s.counts.evicted }) == 1 })
 		for _, y := range idle {
-			_ = y.c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-			if _, err := y.c.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
+			_ = y.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+			if _, err := y.conn.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
 				closed++
 			}
 		}
@@ -129,15 +131,15 @@
 // TestEndsAreTold has a task end while the connection that its client asked on has closed, unread: the client hears of it on another on which
 // something was served, and if there is none yet, on the next.
 func TestEndsAreTold(t *testing.T) {
-	for how, leave := range leaves {
+	for how, leave := range departures {
 		for _, other := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, another is there %v", how, other), func(t *testing.T) {
-				r := onLoopback(t, nil)
+				r := startLoopback(t, nil)
 				serve := func(x *tcpClient, task uint64) {
-					x.ask(task, "batch")
-					r.until("it is offered", func() bool { return slices.Contains(r.node.took(), task) })
-					r.node.say(task, codec.AppendAnswer(nil, task, []byte("at a")))
-					x.hears(fmt.Sprintf("%d served at a", task))
+					x.request(task, "batch")
+					r.until("it is offered", func() bool { return slices.Contains(r.node.received(), task) })
+					r.node.send(task, codec.AppendAnswer(nil, task, []byte("at a")))
+					x.expect(fmt.Sprintf("%d served at a", task))
 				}
 				x := r.dial()
 				serve(x, 7)
@@ -146,16 +148,16 @@
 					y = r.dial()
 					serve(y, 8)
 				}
-				r.w.ends.set(true)
+				r.env.ends.set(true)
 				leave(x)
-				r.until("the news of it is held", func() bool { return r.w.ends.held() > 0 })
-				r.node.say(7, codec.AppendEnd(nil, 7, codec.Normal))
+				r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
+				r.node.send(7, codec.AppendEnd(nil, 7, codec.Normal))
 				if !other {
 					r.until("it is over", func() bool { return r.counted(func(s *Server) int { return s.counts.over }) > 0 })
 					y = r.dial()
 					serve(y, 9)
 				}
-				y.hears("7 end 16")
+				y.expect("7 end 16")
 			})
 		}
 	}
@@ -164,10 +166,10 @@
 // TestNodeCloses has a node close a connection as at-most-once work is offered to it, the close unread: the work goes on a new connection,
 // and so does a cut. Written on the closed one it might have run, or not, and nobody could tell.
 func TestNodeCloses(t *testing.T) {
-	closed := func(r *real) {
-		r.w.nodes.set(true)
+	closed := func(r *loopbackRig) {
+		r.env.nodes.set(true)
 		r.node.mu.Lock()
-		for _, c := range r.node.on {
+		for _, c := range r.node.connOf {
 			c.Close()
 		}
 		r.node.mu.Unlock()
@@ -186,17 +188,17 @@
 		})
 	}
 	t.Run("an offer", func(t *testing.T) {
-		r := onLoopback(t, nil)
+		r := startLoopback(t, nil)
 		closed(r)
 		x := r.dial()
-		x.ask(7, "single")
-		r.until("it is offered", func() bool { return slices.Contains(r.node.took(), 7) })
-		r.w.nodes.set(false)
-		r.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
-		x.hears("7 served at a")
+		x.request(7, "single")
+		r.until("it is offered", func() bool { return slices.Contains(r.node.received(), 7) })
+		r.env.nodes.set(false)
+		r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
+		x.expect("7 served at a")
 	})
 	t.Run("a cut", func(t *testing.T) {
-		r := onLoopback(t, nil)
+		r := startLoopback(t, nil)
 		closed(r)
 		x := r.dial()
 		x.send(codec.AppendEnd(nil, 1, codec.Normal)) // its client ends what stands since the beginning
@@ -208,24 +210,24 @@
 // descriptors, what is stood up for work in hand is found room for, the next useful client is served, and the journal service is
 // connected once it is there.
 func TestIdleCrowd(t *testing.T) {
-	r := onLoopback(t, func(c *Configuration) {
+	r := startLoopback(t, func(c *Configuration) {
 		c.Sockets = 100
 		c.Journal = "127.0.0.1:1" // nobody listens there
 	})
 	within := func() {
 		t.Helper()
-		r.s.mu.Lock()
-		defer r.s.mu.Unlock()
-		if p := r.s.parts; len(r.s.clients)-r.s.provisional > p.ClientConns || r.s.provisional > p.ProvisionalConns || r.s.links > p.NodeConns {
-			t.Errorf("%d clients, %d of them provisional connections, %d to nodes; parts %+v", len(r.s.clients), r.s.provisional, r.s.links, p)
+		r.server.mu.Lock()
+		defer r.server.mu.Unlock()
+		if p := r.server.parts; len(r.server.clients)-r.server.provisional > p.ClientConns || r.server.provisional > p.ProvisionalConns || r.server.links > p.NodeConns {
+			t.Errorf("%d clients, %d of them provisional connections, %d to nodes; parts %+v", len(r.server.clients), r.server.provisional, r.server.links, p)
 		}
 	}
 	x := r.dial()
-	x.ask(7, "single")
-	r.until("work is in hand", func() bool { return slices.Contains(r.node.took(), 7) })
+	x.request(7, "single")
+	r.until("work is in hand", func() bool { return slices.Contains(r.node.received(), 7) })
 	for range 3 {
 		for range 100 {
-			c, err := net.Dial("tcp", r.door)
+			c, err := net.Dial("tcp", r.address)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -234,16 +236,16 @@
 		within()
 	}
 	r.until("they fill their part", func() bool {
-		return r.counted(func(s *Server) int { return len(s.clients) - s.provisional }) == r.s.parts.ClientConns
+		return r.counted(func(s *Server) int { return len(s.clients) - s.provisional }) == r.server.parts.ClientConns
 	})
-	r.skip(600)
-	r.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
-	x.hears("7 served at a")
+	r.advanceClock(600)
+	r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
+	x.expect("7 served at a")
 	y := r.dial()
-	y.ask(8, "single")
-	r.until("the next is offered", func() bool { return slices.Contains(r.node.took(), 8) })
-	r.node.say(8, codec.AppendAnswer(nil, 8, []byte("at a")))
-	y.hears("8 served at a")
+	y.request(8, "single")
+	r.until("the next is offered", func() bool { return slices.Contains(r.node.received(), 8) })
+	r.node.send(8, codec.AppendAnswer(nil, 8, []byte("at a")))
+	y.expect("8 served at a")
 	within()
 	tails := make(chan string, 1)
 	journal := serveTCP(t, func(c net.Conn) {
@@ -258,11 +260,15 @@
 	})
 	moved := *r.configuration
 	moved.Journal = journal.Addr().String()
-	r.s.Take(&moved)
+	r.server.Take(&moved)
 	if got := <-tails; got != "tail 1\n" {
 		t.Errorf("the journal service was asked %q", got)
 	}
-	r.until("it is heard", func() bool { r.s.mu.Lock(); defer r.s.mu.Unlock(); return r.s.feed.watch.IsLive(r.w.Now()) })
+	r.until("it is heard", func() bool {
+		r.server.mu.Lock()
+		defer r.server.mu.Unlock()
+		return r.server.feed.watch.IsLive(r.env.Now())
+	})
 	within()
 }
 
@@ -272,14 +278,14 @@
 	answer := codec.AppendAnswer(nil, 7, []byte("at a"))
 	for _, ends := range []string{"whole", "closed", "reset"} {
 		t.Run(ends, func(t *testing.T) {
-			r := onLoopback(t, nil)
+			r := startLoopback(t, nil)
 			x, y := r.dial(), r.dial()
 			beside := func(task uint64) {
 				t.Helper()
-				y.ask(task, "single")
-				r.until("it is offered beside", func() bool { return slices.Contains(r.node.took(), task) })
-				r.node.say(task, codec.AppendAnswer(nil, task, []byte("at a")))
-				y.hears(fmt.Sprintf("%d served at a", task))
+				y.request(task, "single")
+				r.until("it is offered beside", func() bool { return slices.Contains(r.node.received(), task) })
+				r.node.send(task, codec.AppendAnswer(nil, task, []byte("at a")))
+				y.expect(fmt.Sprintf("%d served at a", task))
 			}
 			request := setUp(7, "single")
 			for i := range request {
@@ -288,25 +294,25 @@
 				}
 				x.send(request[i : i+1])
 			}
-			r.until("it is offered", func() bool { return slices.Contains(r.node.took(), 7) })
+			r.until("it is offered", func() bool { return slices.Contains(r.node.received(), 7) })
 			for i := range answer {
 				if i == len(answer)/2 {
 					beside(101)
 					if ends != "whole" {
 						r.node.mu.Lock()
-						c := r.node.on[7].(*net.TCPConn)
+						c := r.node.connOf[7].(*net.TCPConn)
 						if ends == "reset" {
 							_ = c.SetLinger(0)
 						}
 						c.Close()
 						r.node.mu.Unlock()
-						x.hears("7 end 41")
+						x.expect("7 end 41")
 						return
 					}
 				}
-				r.node.say(7, answer[i:i+1])
+				r.node.send(7, answer[i:i+1])
 			}
-			x.hears("7 served at a")
+			x.expect("7 served at a")
 		})
 	}
 }
@@ -315,28 +321,28 @@
 // the request read, and in one read with it. Nothing begins for them. One that leaves once its task stands leaves it standing.
 func TestGoneEarly(t *testing.T) {
 	whole := setUp(7, "single")
-	for how, leave := range leaves {
-		for step, play := range map[string]func(t *testing.T, r *real, x func() *tcpClient){
-			"at the door": func(t *testing.T, r *real, dial func() *tcpClient) {
-				r.w.comes.set(true)
+	for how, leave := range departures {
+		for step, play := range map[string]func(t *testing.T, r *loopbackRig, x func() *tcpClient){
+			"at the door": func(t *testing.T, r *loopbackRig, dial func() *tcpClient) {
+				r.env.accepts.set(true)
 				dial() // its coming is held, so that the next waits in the kernel
-				r.until("the door is held", func() bool { return r.w.comes.held() > 0 })
+				r.until("the door is held", func() bool { return r.env.accepts.blocked() > 0 })
 				x := dial()
 				x.send(whole)
 				leave(x)
-				r.w.comes.set(false)
+				r.env.accepts.set(false)
 			},
-			"let in": func(t *testing.T, r *real, dial func() *tcpClient) {
-				r.w.reads.set(true)
-				r.w.ends.set(true)
+			"let in": func(t *testing.T, r *loopbackRig, dial func() *tcpClient) {
+				r.env.reads.set(true)
+				r.env.ends.set(true)
 				x := dial()
 				x.send(whole)
-				r.until("its reader is held", func() bool { return r.w.reads.held() > 0 })
+				r.until("its reader is held", func() bool { return r.env.reads.blocked() > 0 })
 				leave(x)
-				r.w.reads.set(false)
-				r.until("the news of it is held", func() bool { return r.w.ends.held() > 0 })
+				r.env.reads.set(false)
+				r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
 			},
-			"half read": func(t *testing.T, r *real, dial func() *tcpClient) {
+			"half read": func(t *testing.T, r *loopbackRig, dial func() *tcpClient) {
 				x := dial()
 				x.send(whole[:30])
 				r.until("half is read", func() bool {
@@ -348,46 +354,46 @@
 						return n
 					}) == 30
 				})
-				r.w.reads.set(true)
-				r.w.ends.set(true)
+				r.env.reads.set(true)
+				r.env.ends.set(true)
 				x.send(whole[30:])
-				r.until("its reader is held", func() bool { return r.w.reads.held() > 0 })
+				r.until("its reader is held", func() bool { return r.env.reads.blocked() > 0 })
 				leave(x)
-				r.w.reads.set(false)
-				r.until("the news of it is held", func() bool { return r.w.ends.held() > 0 })
+				r.env.reads.set(false)
+				r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
 			},
 		} {
 			t.Run(step+", "+how, func(t *testing.T) {
-				r := onLoopback(t, nil)
+				r := startLoopback(t, nil)
 				if step != "at the door" {
-					r.w.turns.set(true)
+					r.env.turns.set(true)
 				}
 				play(t, r, r.dial)
-				r.w.turns.set(false)
+				r.env.turns.set(false)
 				y := r.dial()
-				y.ask(8, "batch") // what comes after it is served: so the other was met
-				r.until("the next is offered", func() bool { return slices.Contains(r.node.took(), 8) })
-				r.node.say(8, codec.AppendAnswer(nil, 8, []byte("at a")))
-				y.hears("8 served at a")
-				r.w.ends.set(false)
-				r.settledDown()
-				if got := r.node.took(); slices.Contains(got, 7) {
+				y.request(8, "batch") // what comes after it is served: so the other was met
+				r.until("the next is offered", func() bool { return slices.Contains(r.node.received(), 8) })
+				r.node.send(8, codec.AppendAnswer(nil, 8, []byte("at a")))
+				y.expect("8 served at a")
+				r.env.ends.set(false)
+				r.waitIdle()
+				if got := r.node.received(); slices.Contains(got, 7) {
 					t.Errorf("set-ups %v: one began for a client that was gone", got)
 				}
 			})
 		}
 		t.Run("standing, "+how, func(t *testing.T) {
-			r := onLoopback(t, nil)
+			r := startLoopback(t, nil)
 			x := r.dial()
-			x.ask(7, "single")
-			r.until("it is offered", func() bool { return slices.Contains(r.node.took(), 7) })
-			r.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
-			x.hears("7 served at a")
+			x.request(7, "single")
+			r.until("it is offered", func() bool { return slices.Contains(r.node.received(), 7) })
+			r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
+			x.expect("7 served at a")
 			leave(x)
 			r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.clients) }) == 0 })
 			y := r.dial()
-			y.ask(8, "batch")
-			r.until("the next is offered", func() bool { return slices.Contains(r.node.took(), 8) })
+			y.request(8, "batch")
+			r.until("the next is offered", func() bool { return slices.Contains(r.node.received(), 8) })
 			if r.node.ended(7) {
 				t.Error("what stands was ended, though it belongs to no connection")
 			}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -12,20 +12,20 @@
 func TestServed(t *testing.T) {
 	for _, job := range []string{"batch", "marked", "single"} {
 		t.Run(job, func(t *testing.T) {
-			r := begin(t, "a")
+			r := startRig(t, "a")
 			x, n := r.dial(), r.nodes["a"]
 			x.send(codec.AppendTest(nil, 9, false))
-			x.ask(7, job)
+			x.request(7, job)
 			r.pass(200)
-			x.want("served", "9 tested 1", "7 served "+n.describes(7))
+			x.want("served", "9 tested 1", "7 served "+n.description(7))
 			n.conns[0].send(codec.AppendEnd(nil, 7, codec.Normal))
 			r.pass(50)
-			x.want("its end", "9 tested 1", "7 served "+n.describes(7), "7 end 16")
+			x.want("its end", "9 tested 1", "7 served "+n.description(7), "7 end 16")
 			n.conns[0].send(codec.AppendEnd(nil, 7, codec.Normal))
 			r.pass(3000)
-			x.want("told twice", "9 tested 1", "7 served "+n.describes(7), "7 end 16")
-			if len(r.s.requests)+len(r.s.tasks) > 0 || r.s.admit.Open() != 0 {
-				t.Errorf("%d asks, %d tasks, %d open are kept", len(r.s.requests), len(r.s.tasks), r.s.admit.Open())
+			x.want("told twice", "9 tested 1", "7 served "+n.description(7), "7 end 16")
+			if len(r.server.requests)+len(r.server.tasks) > 0 || r.server.admit.Open() != 0 {
+				t.Errorf("%d asks, %d tasks, %d open are kept", len(r.server.requests), len(r.server.tasks), r.server.admit.Open())
 			}
 		})
 	}
@@ -37,7 +37,7 @@
 	for _, c := range []struct {
 		name    string
 		another bool
-		ends    func(r *rig)
+		ends    func(r *simRig)
 		want    string
 	}{
 		{"ends, another", true, ends, "7 end 16"},
@@ -46,14 +46,14 @@
 		{"moved, none", false, moves, "7 move"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := begin(t, "a")
+			r := startRig(t, "a")
 			x := r.dial()
-			x.ask(7, "batch")
+			x.request(7, "batch")
 			r.pass(100)
 			var y *testClient
 			if c.another {
 				y = r.dial()
-				y.ask(8, "batch")
+				y.request(8, "batch")
 				r.pass(100)
 			}
 			x.conn.Close(true, nil)
@@ -62,11 +62,11 @@
 			r.pass(100)
 			if !c.another {
 				y = r.dial()
-				y.ask(8, "batch")
+				y.request(8, "batch")
 				r.pass(300)
 			}
-			if !slices.Contains(y.got, c.want) {
-				t.Errorf("%q, want %s", y.got, c.want)
+			if !slices.Contains(y.received, c.want) {
+				t.Errorf("%q, want %s", y.received, c.want)
 			}
 			if n := len(r.nodes["a"].ended); n > 0 {
 				t.Errorf("the node was told %d times beside it", n)
@@ -75,21 +75,21 @@
 	}
 }
 
-func ends(r *rig) { r.nodes["a"].conns[0].send(codec.AppendEnd(nil, 7, codec.Normal)) }
+func ends(r *simRig) { r.nodes["a"].conns[0].send(codec.AppendEnd(nil, 7, codec.Normal)) }
 
-func moves(r *rig) {
-	r.s.mu.Lock()
-	defer r.s.mu.Unlock()
-	edge{r.s}.NotifyMove(r.s.tasks[7].alloc)
+func moves(r *simRig) {
+	r.server.mu.Lock()
+	defer r.server.mu.Unlock()
+	edge{r.server}.NotifyMove(r.server.tasks[7].alloc)
 }
 
 // TestFound takes over what nodes hold after a start; no answer is owed, its end is told.
 func TestFound(t *testing.T) {
-	r := begin(t, "a")
+	r := startRig(t, "a")
 	x := r.dial()
-	x.send(setUp(7, "single", codec.Figures, figures+";at:a"))
-	x.send(setUp(7, "single", codec.Figures, figures+";at:a"))
-	x.send(setUp(8, "single", codec.Figures, figures+";at:nowhere"))
+	x.send(setUp(7, "single", codec.Figures, demandText+";at:a"))
+	x.send(setUp(7, "single", codec.Figures, demandText+";at:a"))
+	x.send(setUp(8, "single", codec.Figures, demandText+";at:nowhere"))
 	r.pass(4000)
 	x.want("nothing but for the one nowhere", "8 end 41")
 	if len(r.nodes["a"].conns) == 0 {
@@ -106,38 +106,38 @@
 
 // TestStop has a scheduler told to end under load: all that it takes is answered, and what stands is left standing.
 func TestStop(t *testing.T) {
-	r := begin(t, "a")
+	r := startRig(t, "a")
 	n := r.nodes["a"]
 	x := r.dial()
 	task := uint64(0)
 	env.Every(r.clients, 40, func() bool {
 		task++
-		x.ask(task, "single")
+		x.request(task, "single")
 		return task < 30
 	})
-	slow := n.does
-	n.does = func(e *ear, task uint64) {
+	slow := n.onSetUp
+	n.onSetUp = func(e *testConn, task uint64) {
 		if slow == nil && task%5 == 0 {
 			return // never answered
 		}
-		n.p.After(30, func() { n.answer(e, task) })
+		n.process.After(30, func() { n.answer(e, task) })
 	}
 	r.pass(600)
-	r.s.Stop()
+	r.server.Stop()
 	r.pass(300)
 	y := r.dial()
-	y.ask(1001, "batch")
+	y.request(1001, "batch")
 	r.pass(3400)
 	select {
-	case <-r.s.Done():
+	case <-r.server.Done():
 	default:
 		t.Fatal("not ended")
 	}
-	if len(x.got) != 30 || len(y.got) != 1 {
-		t.Errorf("%d of 30 answered, %d of 1: %q", len(x.got), len(y.got), x.got)
+	if len(x.received) != 30 || len(y.received) != 1 {
+		t.Errorf("%d of 30 answered, %d of 1: %q", len(x.received), len(y.received), x.received)
 	}
-	if len(n.stands) != 25 {
-		t.Errorf("%d stand, want 25", len(n.stands))
+	if len(n.running) != 25 {
+		t.Errorf("%d stand, want 25", len(n.running))
 	}
 	if z := r.dial(); !z.ended {
 		t.Error("the door is open still")
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -28,34 +28,36 @@
   {"name": "marked", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "guarded", "worth": 1, "group": "all", "window-ns": 8000000000},
   {"name": "single", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "single_shot", "worth": 1, "group": "all"}]}`
 
-// rig is a scheduler among stand-ins for nodes, clients and the journal service, on a virtual clock and network.
-type rig struct {
+// simRig is a scheduler among stand-ins for nodes, clients and the journal service, on a virtual clock and network.
+type simRig struct {
 	t             *testing.T
-	c             *sim.Clock
-	sched         *sim.Process
-	s             *Server
+	clock         *sim.Clock
+	process       *sim.Process
+	server        *Server
 	configuration *Configuration
-	nodes         map[string]*node
-	journal       *journal
+	nodes         map[string]*fakeNode
+	journal       *fakeJournal
 	clients       *sim.Process
 }
 
 const (
-	door     = "scheduler:1"
-	unixBase = 1767225600000 // ms, of the world's zero
+	clientAddress = "scheduler:1"
+	unixBase      = 1767225600000 // ms, of the world's zero
 )
 
-// begin starts a scheduler that knows the nodes with these names, at addresses of the same names.
-func begin(t *testing.T, names ...string) *rig { return beginAt(t, settingsText, entryOf, names...) }
+// startRig starts a scheduler that knows the nodes with these names, at addresses of the same names.
+func startRig(t *testing.T, names ...string) *simRig {
+	return startRigWith(t, settingsText, entryOf, names...)
+}
 
-// beginAt starts one on other settings, with entries of the list as they want them.
-func beginAt(t *testing.T, settingsText string, entryOf func(name, address, status string) string, names ...string) *rig {
-	r := &rig{t: t, c: sim.NewClock(7), nodes: map[string]*node{}}
-	r.sched, r.clients = r.c.NewProcess("scheduler"), r.c.NewProcess("clients")
-	r.journal = newJournal(r, "journal:1")
+// startRigWith starts one on other settings, with entries of the list as they want them.
+func startRigWith(t *testing.T, settingsText string, entryOf func(name, address, status string) string, names ...string) *simRig {
+	r := &simRig{t: t, clock: sim.NewClock(7), nodes: map[string]*fakeNode{}}
+	r.process, r.clients = r.clock.NewProcess("scheduler"), r.clock.NewProcess("clients")
+	r.journal = newFakeJournal(r, "journal:1")
 	var all []string
 	for _, n := range names {
-		newNode(r, n, n)
+		newFakeNode(r, n, n)
 		all = append(all, entryOf(n, n, "ready"))
 	}
 	first := event(1, true, all...)
@@ -71,14 +73,14 @@
 	return r
 }
 
-func (r *rig) start() {
-	r.s = New(r.sched, zerolog.Nop(), r.configuration)
-	if err := r.s.Start(r.configuration); err != nil {
+func (r *simRig) start() {
+	r.server = New(r.process, zerolog.Nop(), r.configuration)
+	if err := r.server.Start(r.configuration); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-func (r *rig) pass(ms float64) { r.c.RunUntil(r.c.TrueTime() + ms) }
+func (r *simRig) pass(ms float64) { r.clock.RunUntil(r.clock.TrueTime() + ms) }
 
 func entryOf(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"east","type":"std","group":0,"status":%q,"since_ms":0,"room":[32,64]}`, name,
@@ -89,15 +91,15 @@
 	return fmt.Sprintf(`{"pos":%d,"hosts":{"index":%d,"snapshot":%v,"endpoints":[%s]}}`, pos, pos, whole, strings.Join(entries, ","))
 }
 
-// ear is a connection of a stand-in.
-type ear struct {
-	conn  env.Conn
-	in    []byte
-	heard func(msg []byte)
-	ended bool
+// testConn is a connection of a stand-in.
+type testConn struct {
+	conn      env.Conn
+	in        []byte
+	onMessage func(msg []byte)
+	ended     bool
 }
 
-func (e *ear) OnData(b []byte) {
+func (e *testConn) OnData(b []byte) {
 	e.in = append(e.in, b...)
 	for {
 		msg, took, err := codec.Next(e.in)
@@ -106,71 +108,71 @@
 		}
 		m := slices.Clone(msg)
 		e.in = e.in[took:]
-		e.heard(m)
+		e.onMessage(m)
 	}
 }
 
-func (e *ear) OnClose(error) { e.ended = true }
-
-func (e *ear) send(b []byte) { e.conn.Send(func(x []byte) []byte { return append(x, b...) }) }
-
-// node is a stand-in for a node. Unless a test says otherwise it starts what it is given after 30 ms.
-type node struct {
-	r      *rig
-	name   string
-	p      *sim.Process
-	door   env.Listener
-	conns  []*ear
-	starts map[uint64]int // set-ups that were taken, by task
-	open   map[uint64]*ear
-	stands map[uint64]bool
-	ended  []uint64 // given up or cut by the scheduler
-	tests  int
-	does   func(e *ear, task uint64) // in place of starting it
-	greets func(e *ear)              // a connection that is new
+func (e *testConn) OnClose(error) { e.ended = true }
+
+func (e *testConn) send(b []byte) { e.conn.Send(func(x []byte) []byte { return append(x, b...) }) }
+
+// fakeNode is a stand-in for a node. Unless a test says otherwise it starts what it is given after 30 ms.
+type fakeNode struct {
+	rig       *simRig
+	name      string
+	process   *sim.Process
+	listener  env.Listener
+	conns     []*testConn
+	starts    map[uint64]int // set-ups that were taken, by task
+	open      map[uint64]*testConn
+	running   map[uint64]bool
+	ended     []uint64 // given up or cut by the scheduler
+	tests     int
+	onSetUp   func(e *testConn, task uint64) // in place of starting it
+	onConnect func(e *testConn)              // a connection that is new
 }
 
-func newNode(r *rig, name, address string) *node {
-	n := &node{
-		r: r, name: name, p: r.c.NewProcess("node-" + name), starts: map[uint64]int{}, open: map[uint64]*ear{},
-		stands: map[uint64]bool{},
+func newFakeNode(r *simRig, name, address string) *fakeNode {
+	n := &fakeNode{
+		rig: r, name: name, process: r.clock.NewProcess("node-" + name), starts: map[uint64]int{}, open: map[uint64]*testConn{},
+		running: map[uint64]bool{},
 	}
 	r.nodes[name] = n
 	n.listen(address)
 	return n
 }
 
-func (n *node) listen(address string) {
-	d, err := n.p.Listen(address, func(c env.Conn) {
-		e := &ear{conn: c}
-		e.heard = func(msg []byte) { n.message(e, msg) }
+func (n *fakeNode) listen(address string) {
+	d, err := n.process.Listen(address, func(c env.Conn) {
+		e := &testConn{conn: c}
+		e.onMessage = func(msg []byte) { n.message(e, msg) }
 		n.conns = append(n.conns, e)
 		c.Start(e, 5000)
-		if n.greets != nil {
-			n.greets(e)
+		if n.onConnect != nil {
+			n.onConnect(e)
 		}
 	})
 	if err != nil {
-		n.r.t.Fatal(err)
+		n.rig.t.Fatal(err)
 	}
-	n.door = d
+	n.listener = d
 }
 
-func (n *node) message(e *ear, msg []byte) {
+func (n *fakeNode) message(e *testConn, msg []byte) {
 	task := codec.Task(msg)
 	switch codec.Kind(msg) {
 	case codec.SetUp:
 		n.starts[task]++
 		n.open[task] = e
-		if n.does != nil {
-			n.does(e, task)
+		if n.onSetUp != nil {
+			n.onSetUp(e, task)
 			return
 		}
-		n.p.After(30, func() { n.answer(e, task) })
+		n.process.After(30, func() { n.answer(e, task) })
 	case codec.End:
 		n.ended = append(n.ended, task)
-		if n.stands[task] {
-			delete(n.stands, task)
+		if n.running[task] {
+			delete(n.running, task)
 			e.send(codec.AppendEnd(nil, task, codec.Elsewhere))
 		}
 	case codec.Test:
@@ -179,32 +181,34 @@
 	}
 }
 
-// describes is a node's description of a task, with bytes that are no text.
-func (n *node) describes(task uint64) string { return fmt.Sprintf("%s\x00\xff\r\n%x", n.name, task) }
+// description is a node's description of a task, with bytes that are no text.
+func (n *fakeNode) description(task uint64) string {
+	return fmt.Sprintf("%s\x00\xff\r\n%x", n.name, task)
+}
 
-func (n *node) answer(e *ear, task uint64) {
-	n.stands[task] = true
-	e.send(codec.AppendAnswer(nil, task, []byte(n.describes(task))))
+func (n *fakeNode) answer(e *testConn, task uint64) {
+	n.running[task] = true
+	e.send(codec.AppendAnswer(nil, task, []byte(n.description(task))))
 }
 
 // testClient is a client on a connection.
 type testClient struct {
-	*ear
-	r   *rig
-	got []string // what came, in words
-	at  []float64
+	*testConn
+	rig        *simRig
+	received   []string // what came, in words
+	receivedAt []float64
 }
 
-func (r *rig) dial() *testClient {
-	x := &testClient{ear: &ear{}, r: r}
-	x.heard = func(msg []byte) {
+func (r *simRig) dial() *testClient {
+	x := &testClient{testConn: &testConn{}, rig: r}
+	x.onMessage = func(msg []byte) {
 		cause, _ := codec.CauseOf(msg)
 		d, _ := codec.Param(msg, codec.Description)
 		word := map[byte]string{codec.Answer: "served " + string(d), codec.End: fmt.Sprint("end ", cause), codec.Tested: fmt.Sprint("tested ",
 			cause), codec.Move: "move"}[codec.Kind(msg)]
-		x.got, x.at = append(x.got, fmt.Sprintf("%d %s", codec.Task(msg), word)), append(x.at, r.c.TrueTime())
+		x.received, x.receivedAt = append(x.received, fmt.Sprintf("%d %s", codec.Task(msg), word)), append(x.receivedAt, r.clock.TrueTime())
 	}
-	r.clients.Dial(door, 1000, func(c env.Conn, err error) {
+	r.clients.Dial(clientAddress, 1000, func(c env.Conn, err error) {
 		if err != nil {
 			x.ended = true
 			return
@@ -217,9 +221,9 @@
 }
 
 func (x *testClient) want(what string, want ...string) {
-	x.r.t.Helper()
-	if strings.Join(x.got, "\n") != strings.Join(want, "\n") {
-		x.r.t.Errorf("%s: %q, want %q", what, x.got, want)
+	x.rig.t.Helper()
+	if strings.Join(x.received, "\n") != strings.Join(want, "\n") {
+		x.rig.t.Errorf("%s: %q, want %q", what, x.received, want)
 	}
 }
 
@@ -234,13 +238,13 @@
 	return b
 }
 
-const figures = "cores:1;memory:2;service:00000000b4d65521"
+const demandText = "cores:1;memory:2;service:00000000b4d65521"
 
 // setUp is a client's set-up; more parameters take the place of those with the same code.
 func setUp(task uint64, job string, more ...any) []byte {
 	params := []any{
 		codec.JobType, job, codec.Left, "2500", codec.Tenant, "acme", codec.Name, fmt.Sprintf("%016x", task), codec.Key,
-		strings.Repeat("5c", 16), codec.Figures, figures, codec.Description, "owner's",
+		strings.Repeat("5c", 16), codec.Figures, demandText, codec.Description, "owner's",
 	}
 	for i := 0; i < len(more); i += 2 {
 		for j := 0; j < len(params); j += 2 {
@@ -252,44 +256,44 @@
 	return message(codec.SetUp, task, params...)
 }
 
-func (x *testClient) ask(task uint64, job string) { x.send(setUp(task, job)) }
-
-// journal is a stand-in for the journal service.
-type journal struct {
-	r      *rig
-	p      *sim.Process
-	events []string
-	conns  []*tailer
-	door   env.Listener
-	mute   bool // says nothing at all
-	tails  []string
+func (x *testClient) request(task uint64, job string) { x.send(setUp(task, job)) }
+
+// fakeJournal is a stand-in for the journal service.
+type fakeJournal struct {
+	rig      *simRig
+	process  *sim.Process
+	events   []string
+	conns    []*journalConn
+	listener env.Listener
+	silent   bool // says nothing at all
+	requests []string
 }
 
-type tailer struct {
-	j    *journal
-	conn env.Conn
-	over bool
+type journalConn struct {
+	journal *fakeJournal
+	conn    env.Conn
+	closed  bool
 }
 
-func newJournal(r *rig, address string) *journal {
-	j := &journal{r: r, p: r.c.NewProcess(address)}
-	d, err := j.p.Listen(address, func(c env.Conn) {
-		x := &tailer{j: j, conn: c}
+func newFakeJournal(r *simRig, address string) *fakeJournal {
+	j := &fakeJournal{rig: r, process: r.clock.NewProcess(address)}
+	d, err := j.process.Listen(address, func(c env.Conn) {
+		x := &journalConn{journal: j, conn: c}
 		j.conns = append(j.conns, x)
 		c.Start(x, 5000)
 	})
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	j.door = d
-	env.Every(j.p, 1000, func() bool {
-		j.tell(fmt.Sprintf(`{"pos":%d}`+"\n", j.last()))
+	j.listener = d
+	env.Every(j.process, 1000, func() bool {
+		j.broadcast(fmt.Sprintf(`{"pos":%d}`+"\n", j.last()))
 		return true
 	})
 	return j
 }
 
-func (j *journal) last() int {
+func (j *fakeJournal) last() int {
 	if len(j.events) == 0 {
 		return 0
 	}
@@ -298,45 +302,47 @@
 	return e.Pos
 }
 
-func (x *tailer) OnClose(error) { x.over = true }
+func (x *journalConn) OnClose(error) { x.closed = true }
 
-func (x *tailer) OnData(b []byte) {
+func (x *journalConn) OnData(b []byte) {
 	line := strings.TrimSpace(string(b))
 	if line == "" {
 		return
 	}
-	x.j.tails = append(x.j.tails, line)
-	if x.j.mute {
+	x.journal.requests = append(x.journal.requests, line)
+	if x.journal.silent {
 		return
 	}
 	var from int
 	fmt.Sscanf(line, "tail %d", &from)
-	for _, e := range x.j.events {
+	for _, e := range x.journal.events {
 		var p struct{ Pos int }
 		_ = json.Unmarshal([]byte(e), &p)
 		if p.Pos > from {
-			x.say(e + "\n")
+			x.send(e + "\n")
 		}
 	}
 }
 
-func (x *tailer) say(text string) { x.conn.Send(func(b []byte) []byte { return append(b, text...) }) }
+func (x *journalConn) send(text string) {
+	x.conn.Send(func(b []byte) []byte { return append(b, text...) })
+}
 
-// tell says something on all connections.
-func (j *journal) tell(text string) {
-	if j.mute {
+// broadcast says something on all connections.
+func (j *fakeJournal) broadcast(text string) {
+	if j.silent {
 		return
 	}
 	for _, x := range j.conns {
-		if !x.over {
-			x.say(text)
+		if !x.closed {
+			x.send(text)
 		}
 	}
 }
 
-// happens adds an event and tells it.
-func (j *journal) happens(entries ...string) {
+// publish adds an event and tells it.
+func (j *fakeJournal) publish(entries ...string) {
 	e := event(j.last()+1, false, entries...)
 	j.events = append(j.events, e)
-	j.tell(e + "\n")
+	j.broadcast(e + "\n")
 }
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -20,7 +20,7 @@
 
 // process is a scheduler as a program of its own, on loopback.
 type process struct {
-	*real
+	*loopbackRig
 	cmd  *exec.Cmd
 	file string
 	err  *lines
@@ -72,7 +72,7 @@
 func (p *process) write(journal string) {
 	p.t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"journal":%q,"seed":"3","limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"pos":1,"entries":[%s]},"settings":%s}`,
-		p.door, journal, event(1, true, entryOf("a", p.node.l.Addr().String(), "ready")), settingsText)
+		p.address, journal, event(1, true, entryOf("a", p.node.listener.Addr().String(), "ready")), settingsText)
 	if err := os.WriteFile(p.file+".new", []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{real: &real{t: t, node: newTCPNode(t), door: free.Addr().String()}, file: filepath.Join(t.TempDir(), "config.json"), err: &lines{}}
+	p := &process{loopbackRig: &loopbackRig{t: t, node: newTCPNode(t), address: free.Addr().String()}, file: filepath.Join(t.TempDir(), "config.json"), err: &lines{}}
 	free.Close()
 	p.write(journal)
 	exe, err := os.Executable()
@@ -120,8 +120,8 @@
 	p := startProcess(t, first)
 	p.until("the first journal service is asked", func() bool { return askedFirst() > 0 })
 	x := p.dial()
-	x.ask(7, "single")
-	p.until("work is in hand", func() bool { return slices.Contains(p.node.took(), 7) })
+	x.request(7, "single")
+	p.until("work is in hand", func() bool { return slices.Contains(p.node.received(), 7) })
 	for i := range 20 {
 		if i%3 == 0 {
 			if err := os.WriteFile(p.file, []byte(`{"name":`), 0o600); err != nil {
@@ -144,8 +144,8 @@
 	p.signal(syscall.SIGTERM)
 	p.signal(syscall.SIGHUP)
 	p.until("it is told to end", func() bool { return p.err.has("told to end") })
-	p.node.say(7, codec.AppendAnswer(nil, 7, []byte("at a")))
-	x.hears("7 served at a", "closed")
+	p.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
+	x.expect("7 served at a", "closed")
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("%v", err)
 	}
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -44,7 +44,7 @@
 		return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":%d,"status":%q,"since_ms":%.0f,"room":[24,48]}`, name, address,
 			known.Zones[i%len(known.Zones)], known.Kinds[i%len(known.Kinds)], i, status, cold[name])
 	}
-	r := beginAt(t, text, entry, "s0", "s1", "s2", "s3", "s4", "s5")
+	r := startRigWith(t, text, entry, "s0", "s1", "s2", "s3", "s4", "s5")
 	type request struct {
 		x           *testClient
 		job         int
@@ -54,14 +54,14 @@
 		barred      bool // one may have run: no other may follow
 	}
 	all := map[uint64]*request{}
-	began := r.c.TrueTime()
+	began := r.clock.TrueTime()
 	drains := map[string]float64{}
-	serve := func(n *node) {
-		n.does = func(e *ear, task uint64) {
+	serve := func(n *fakeNode) {
+		n.onSetUp = func(e *testConn, task uint64) {
 			a := all[task]
 			a.starts++
-			if at, ok := drains[n.name]; ok && r.c.TrueTime() > at+500+50 {
-				t.Errorf("%s was sent %d %g ms after it was told to drain", n.name, task, r.c.TrueTime()-at)
+			if at, ok := drains[n.name]; ok && r.clock.TrueTime() > at+500+50 {
+				t.Errorf("%s was sent %d %g ms after it was told to drain", n.name, task, r.clock.TrueTime()-at)
 			}
 			if known.Cluster.JobClasses[a.job].Semantics == logic.AtMostOnce && a.barred {
 				t.Errorf("%d, which may have run, is tried again", task)
@@ -71,11 +71,11 @@
 				return
 			}
 			a.barred = true
-			n.p.After(20+40*rng.Float64(), func() {
+			n.process.After(20+40*rng.Float64(), func() {
 				n.answer(e, task)
-				n.p.After(1500, func() {
-					if n.stands[task] {
-						delete(n.stands, task)
+				n.process.After(1500, func() {
+					if n.running[task] {
+						delete(n.running, task)
 						e.send(codec.AppendEnd(nil, task, codec.Normal))
 					}
 				})
@@ -97,14 +97,14 @@
 		b := setUp(task, known.JobTypes[job], more...)
 		if len(known.Tenants) == 0 { // a customer without tenants names none
 			b = message(codec.SetUp, task, codec.JobType, known.JobTypes[job], codec.Left, fmt.Sprint(int(known.Expiry[job])), codec.Name,
-				fmt.Sprintf("%016x", task), codec.Key, strings.Repeat("5c", 16), codec.Figures, figures, codec.Description, "owner's")
+				fmt.Sprintf("%016x", task), codec.Key, strings.Repeat("5c", 16), codec.Figures, demandText, codec.Description, "owner's")
 		}
-		a := &request{x: x, job: job, until: r.c.TrueTime() + known.Expiry[job]}
+		a := &request{x: x, job: job, until: r.clock.TrueTime() + known.Expiry[job]}
 		all[task] = a
 		x.send(b)
 		if rng.IntN(15) == 0 { // it leaves with all that is open
 			y := x
-			r.c.At(r.c.TrueTime()+60*rng.Float64(), func() {
+			r.clock.At(r.clock.TrueTime()+60*rng.Float64(), func() {
 				for _, o := range all {
 					o.left = o.left || o.x == y && !o.heard
 				}
@@ -113,21 +113,21 @@
 			x = r.dial()
 		}
 	}
-	tell := func(name, status string) { r.journal.happens(entry(name, name, status)) }
-	at := func(ms float64, f func()) { r.c.At(began+ms, f) }
-	at(4000, func() { tell("s0", "draining"); drains["s0"] = r.c.TrueTime() })
+	tell := func(name, status string) { r.journal.publish(entry(name, name, status)) }
+	at := func(ms float64, f func()) { r.clock.At(began+ms, f) }
+	at(4000, func() { tell("s0", "draining"); drains["s0"] = r.clock.TrueTime() })
 	at(6000, func() { tell("s0", "gone") })
 	at(5000, func() {
-		cold["s6"] = r.sched.Now() + unixBase
-		serve(newNode(r, "s6", "s6"))
+		cold["s6"] = r.process.Now() + unixBase
+		serve(newFakeNode(r, "s6", "s6"))
 		tell("s6", "ready")
 	})
-	at(8000, func() { r.nodes["s1"].p.Kill(false); tell("s1", "gone") })
-	at(9000, func() { r.journal.mute = true })
-	at(12000, func() { r.journal.mute = false })
+	at(8000, func() { r.nodes["s1"].process.Kill(false); tell("s1", "gone") })
+	at(9000, func() { r.journal.silent = true })
+	at(12000, func() { r.journal.silent = false })
 	hears := func() { // what the clients got
 		for _, a := range all {
-			for i, got := range a.x.got {
+			for i, got := range a.x.received {
 				var id uint64
 				var word string
 				fmt.Sscanf(got, "%d %s", &id, &word)
@@ -135,18 +135,18 @@
 				if o == nil || o.x != a.x || o.heard {
 					continue
 				}
-				if o.heard = true; a.x.at[i] > o.until+50 {
-					t.Errorf("%d heard %g ms late", id, a.x.at[i]-o.until)
+				if o.heard = true; a.x.receivedAt[i] > o.until+50 {
+					t.Errorf("%d heard %g ms late", id, a.x.receivedAt[i]-o.until)
 				}
 			}
 		}
 	}
-	for r.c.TrueTime() < began+15000 {
+	for r.clock.TrueTime() < began+15000 {
 		ask()
 		r.pass(40)
 	}
-	told := r.c.TrueTime()
-	r.s.Stop()
+	told := r.clock.TrueTime()
+	r.server.Stop()
 	for range 10 { // requests come for a while yet
 		ask()
 		r.pass(50)
@@ -157,10 +157,10 @@
 	}
 	for ended := false; !ended; r.pass(10) {
 		select {
-		case <-r.s.Done():
+		case <-r.server.Done():
 			ended = true
 		default:
-			if r.c.TrueTime() > told+min(longest, 3000)+700 {
+			if r.clock.TrueTime() > told+min(longest, 3000)+700 {
 				t.Fatal("it would have been killed")
 			}
 		}
@@ -170,7 +170,7 @@
 	served, count := 0, 0
 	for id, a := range all {
 		words := 0
-		for _, got := range a.x.got {
+		for _, got := range a.x.received {
 			var g uint64
 			var word string
 			fmt.Sscanf(got, "%d %s", &g, &word)
@@ -184,7 +184,7 @@
 				}
 			}
 			if words > 2 || words == 2 && word != "end" && word != "move" {
-				t.Errorf("%d heard %q", id, a.x.got)
+				t.Errorf("%d heard %q", id, a.x.received)
 			}
 		}
 		if words == 0 && !a.left {
