--- a/internal/lab/route/simulation.go
+++ b/internal/lab/route/simulation.go
@@ -275,7 +275,7 @@
 	}
 	return &platform.Configuration{
 		Name: s.name, Listen: s.name + ":1", Journal: s.journal.address, Seed: s.sim.rng.Uint64(), MemoryMB: 64, Sockets: 200,
-		Known: known, Events: events,
+		Deployment: known, InitialEvents: events,
 	}
 }
 
@@ -319,7 +319,7 @@
 	}
 	old := s.journal
 	s.journal = old.moveTo(fmt.Sprintf("journal-%s-%d-%d:1", s.name, s.incarnation, s.sim.rng.Uint32()))
-	s.server.Take(s.configuration())
+	s.server.ApplyConfiguration(s.configuration())
 	old.close()
 }
 
--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -9,22 +9,22 @@
 	"ravenpond/logic"
 )
 
-// clientLeft tells whether the client of a request has closed its connection: nothing new begins for it, and nothing is said to it, though
+// clientGone tells whether the client of a request has closed its connection: nothing new begins for it, and nothing is said to it, though
 // what it sent before may not be read yet.
-func (a *request) clientLeft() bool { return a.client == nil || !a.client.isOpen() }
+func (a *request) clientGone() bool { return a.client == nil || !a.client.isOpen() }
 
 // withdraw tells the host that a client wants a request no more.
 func (s *Server) withdraw(a *request) {
-	s.counts.withdrawn++
+	s.stats.withdrawn++
 	s.trace("withdrawn", a.task, func(e *zerolog.Event) { e.Bool("stood", a.running) })
 	if !a.answered {
 		s.answered(a)
 	}
-	if a.alloc == 0 { // the host has not heard of it
-		delete(s.tasks, a.task)
+	if a.allocID == 0 { // the host has not heard of it
+		delete(s.requestsByTask, a.task)
 		return
 	}
-	s.host.OnWithdrawn(s.world.Now(), a.alloc)
+	s.host.OnWithdrawn(s.env.Now(), a.allocID)
 	s.wake()
 }
 
@@ -40,30 +40,30 @@
 
 // requestFields are the fields of a request, checked against the deployment's settings.
 type requestFields struct {
-	task               uint64
-	jobType, tenant    int
-	service            uint64
-	cores, memory      float64
-	runsAt             string // the node that runs the task already, if one does
-	jobName, name, key []byte // parts of the message
+	task                    uint64
+	jobClass, tenant        int
+	service                 uint64
+	cores, memory           float64
+	runsAt                  string // the node that runs the task already, if one does
+	jobClassName, name, key []byte // parts of the message
 }
 
 // setUp accepts a request, or rejects it at once.
 func (c *client) setUp(now float64, task uint64, msg []byte) {
 	s := c.s
 	s.traceRequest(task, msg)
-	if old := s.tasks[task]; old != nil && !old.answered && old.client == c {
+	if old := s.requestsByTask[task]; old != nil && !old.answered && old.client == c {
 		c.evict("a number that is open already") // one answer could not be told from the other
 		return
 	}
 	f, why := s.readRequest(task, msg)
-	switch old := s.tasks[task]; {
+	switch old := s.requestsByTask[task]; {
 	case why != nil:
 	case old != nil:
 		if f.runsAt == "" || !old.running {
 			why = invalid("a number that is taken")
 		}
-	case !s.fits(f.jobType, f.cores, f.memory):
+	case !s.fits(f.jobClass, f.cores, f.memory):
 		why = invalid("larger than any machine")
 	case f.runsAt != "":
 		why = c.found(now, f)
@@ -71,7 +71,7 @@
 		why = c.accept(now, f, msg)
 	}
 	if why != nil {
-		s.counts.rejected++
+		s.stats.rejected++
 		s.trace("turned away", task, func(e *zerolog.Event) { e.Str("why", why.reason) })
 		c.rejections = codec.AppendEnd(c.rejections, task, why.cause)
 	}
@@ -97,16 +97,16 @@
 		return f, invalid(err.Error())
 	}
 	var okJob, okTenant, okName, okKey bool
-	f.jobName, _ = codec.Param(msg, codec.JobType)
-	f.jobType, okJob = s.jobs[string(f.jobName)]
+	f.jobClassName, _ = codec.Param(msg, codec.JobType)
+	f.jobClass, okJob = s.jobClassIndex[string(f.jobClassName)]
 	tenant, hasTenant := codec.Param(msg, codec.Tenant)
-	f.tenant, okTenant = s.tenants[string(tenant)]
-	if len(s.tenants) == 0 && !hasTenant {
+	f.tenant, okTenant = s.tenantIndex[string(tenant)]
+	if len(s.tenantIndex) == 0 && !hasTenant {
 		okTenant = true
 	}
 	f.name, okName = codec.Hex(msg, codec.Name, 16)
 	f.key, okKey = codec.Hex(msg, codec.Key, 32)
-	if okJob && s.known.Cluster.JobClasses[f.jobType].Semantics != logic.Idempotent {
+	if okJob && s.settings.Cluster.JobClasses[f.jobClass].Semantics != logic.Idempotent {
 		f.key, okKey = nil, true
 	}
 	if !okJob || !okTenant || !okName || !okKey || task == 0 {
@@ -120,21 +120,21 @@
 	s := c.s
 	left, okLeft := codec.Number(msg, codec.Left)
 	description, okDescription := codec.Param(msg, codec.Description)
-	if !okLeft || !connlimits.IsPlausibleWait(left, s.known.Expiry[f.jobType]) || !okDescription || len(description) == 0 {
+	if !okLeft || !connlimits.IsPlausibleWait(left, s.settings.Expiry[f.jobClass]) || !okDescription || len(description) == 0 {
 		return invalid("time left or description")
 	}
 	c.active, c.requested = true, true
-	left = s.lag.RemainingTime(now, left)
+	left = s.lagMonitor.RemainingTime(now, left)
 	if why := c.hasRoom(now, f.tenant, left); why != nil {
 		return why
 	}
-	s.counts.taken++
+	s.stats.taken++
 	a := &request{
-		task: f.task, tenant: f.tenant, client: c, expiry: now + left, jobIs: f.jobType, service: f.service, cores: f.cores,
+		task: f.task, tenant: f.tenant, client: c, deadline: now + left, jobClass: f.jobClass, service: f.service, cores: f.cores,
 		memory: f.memory,
 	}
-	a.keep(f, description)
-	c.open[f.task], s.tasks[f.task] = a, a
+	a.copyFields(f, description)
+	c.open[f.task], s.requestsByTask[f.task] = a, a
 	s.inbox = append(s.inbox, a)
 	return nil
 }
@@ -143,33 +143,33 @@
 func (c *client) hasRoom(now float64, tenant int, left float64) *rejection {
 	s := c.s
 	switch {
-	case s.stopped && now >= s.plan.RejectAt:
+	case s.stopping && now >= s.shutdownPlan.RejectAt:
 		return busy("ends")
 	case !c.admit(now):
 		return busy("no room for its connection")
-	case len(c.open) >= s.parts.OpenPerConn:
+	case len(c.open) >= s.limits.OpenPerConn:
 		return busy("too many on one connection")
-	case len(s.requests)+len(s.inbox) >= s.parts.Held:
+	case len(s.requestsByAlloc)+len(s.inbox) >= s.limits.Held:
 		return busy("too much is held")
-	case !s.gate.Admit(now, s.lag.Delay(now), len(s.inbox)):
-		s.counts.behind++
+	case !s.overloadGate.Admit(now, s.lagMonitor.Delay(now), len(s.inbox)):
+		s.stats.behind++
 		return busy("behind")
 	}
-	if why := s.admit.Admit(tenant, left, connlimits.MinTimeLeft, true); why != admission.Admitted {
+	if why := s.admission.Admit(tenant, left, connlimits.MinTimeLeft, true); why != admission.Admitted {
 		return busy(why.String())
 	}
 	return nil
 }
 
-// keep copies the fields that go on to a node, in one piece of memory.
-func (a *request) keep(f requestFields, description []byte) {
-	kept := make([]byte, 0, len(f.jobName)+len(f.name)+len(f.key)+len(description))
+// copyFields copies the fields that go on to a node, in one piece of memory.
+func (a *request) copyFields(f requestFields, description []byte) {
+	kept := make([]byte, 0, len(f.jobClassName)+len(f.name)+len(f.key)+len(description))
 	part := func(v []byte) []byte {
 		from := len(kept)
 		kept = append(kept, v...)
 		return kept[from:len(kept):len(kept)]
 	}
-	a.jobType, a.name = part(f.jobName), part(f.name)
+	a.jobClassName, a.name = part(f.jobClassName), part(f.name)
 	if f.key != nil {
 		a.key = part(f.key)
 	}
@@ -178,7 +178,7 @@
 
 // fits tells whether some machine could hold so much when it is empty.
 func (s *Server) fits(jobType int, cores, memory float64) bool {
-	cl := s.known.Cluster
+	cl := s.settings.Cluster
 	for i := range cl.KindCores {
 		if k := cl.JobClasses[jobType].NodeKind; (k < 0 || k == i) && cores <= cl.KindCores[i]*cl.CoresOvercommit &&
 			memory <= cl.KindMemory[i]*cl.MemoryOvercommit {
@@ -191,21 +191,21 @@
 // found takes over a task that a node runs already. No answer is owed for it, only its end.
 func (c *client) found(now float64, f requestFields) *rejection {
 	s := c.s
-	node := s.names[f.runsAt]
+	node := s.nodesByName[f.runsAt]
 	if node == nil {
 		return &rejection{codec.Reset, "at a node that is not there"}
 	}
-	if len(s.requests) >= s.parts.Held {
+	if len(s.requestsByAlloc) >= s.limits.Held {
 		return busy("too much is held")
 	}
 	c.active = true
 	c.admit(now)
-	s.counts.found++
-	a := &request{task: f.task, tenant: f.tenant, client: c, peer: node, answered: true, running: true}
-	s.tasks[f.task] = a
+	s.stats.found++
+	a := &request{task: f.task, tenant: f.tenant, client: c, node: node, answered: true, running: true}
+	s.requestsByTask[f.task] = a
 	c.running[a], node.running[a] = true, true
-	a.alloc = s.host.RecoverTask(now, f.jobType, f.tenant, f.service, f.cores, f.memory, node.id)
-	s.requests[a.alloc] = a
+	a.allocID = s.host.RecoverTask(now, f.jobClass, f.tenant, f.service, f.cores, f.memory, node.id)
+	s.requestsByAlloc[a.allocID] = a
 	s.tether(now, node)
 	return nil
 }
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -37,11 +37,11 @@
 func (s *Server) accept(conn env.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.world.Now()
-	s.accepted++
-	c := &client{s: s, no: s.accepted, conn: conn, since: now, usedAt: now, open: map[uint64]*request{}, running: map[*request]bool{}}
-	if len(s.clients)-s.provisional >= s.parts.ClientConns {
-		if s.provisional >= s.parts.ProvisionalConns {
+	now := s.env.Now()
+	s.clientsAccepted++
+	c := &client{s: s, no: s.clientsAccepted, conn: conn, since: now, usedAt: now, open: map[uint64]*request{}, running: map[*request]bool{}}
+	if len(s.clients)-s.provisionalClients >= s.limits.ClientConns {
+		if s.provisionalClients >= s.limits.ProvisionalConns {
 			for _, first := range s.eachClient() {
 				if first.provisional {
 					first.evict("provisional and silent")
@@ -50,7 +50,7 @@
 			}
 		}
 		c.provisional = true
-		s.provisional++
+		s.provisionalClients++
 	}
 	s.clients[c] = true
 	conn.Start(c, connlimits.WriteTimeout)
@@ -62,7 +62,7 @@
 	if !c.provisional {
 		return true
 	}
-	if len(s.clients)-s.provisional >= s.parts.ClientConns {
+	if len(s.clients)-s.provisionalClients >= s.limits.ClientConns {
 		var idlest *client
 		for _, x := range s.eachClient() {
 			if !x.provisional && len(x.open) == 0 && len(x.running) == 0 && len(x.in) == 0 && now-x.usedAt > connlimits.MinIdleTime &&
@@ -76,7 +76,7 @@
 		idlest.evict("gives way")
 	}
 	c.provisional = false
-	s.provisional--
+	s.provisionalClients--
 	return true
 }
 
@@ -123,7 +123,7 @@
 	if c.gone {
 		return
 	}
-	c.s.counts.evicted++
+	c.s.stats.evicted++
 	c.s.trace("expel", 0, func(e *zerolog.Event) { e.Str("why", why).Int("open", len(c.open)) })
 	c.close()
 }
@@ -143,14 +143,14 @@
 	c.gone = true
 	delete(c.s.clients, c)
 	if c.provisional {
-		c.s.provisional--
+		c.s.provisionalClients--
 	}
 	for _, task := range slices.Sorted(maps.Keys(c.open)) {
 		c.s.withdraw(c.open[task])
 	}
 	handed := c.conn.HandedOver()
 	for a := range c.running {
-		if a.client = nil; a.sent > handed {
+		if a.client = nil; a.sentThrough > handed {
 			c.unsure = append(c.unsure, a)
 		}
 	}
@@ -165,7 +165,7 @@
 	if c.gone {
 		return
 	}
-	now := c.s.world.Now()
+	now := c.s.env.Now()
 	if b == nil {
 		c.close()
 		return
@@ -189,7 +189,7 @@
 	switch {
 	case err != nil:
 		c.evict(err.Error())
-	case (c.provisional || c.s.parted) && answered && !c.gone: // it was accepted only to be answered
+	case (c.provisional || c.s.clientsDisconnected) && answered && !c.gone: // it was accepted only to be answered
 		c.evict("no room")
 	}
 	if c.gone {
@@ -205,9 +205,9 @@
 	defer c.s.mu.Unlock()
 	c.forget()
 	handed := c.conn.HandedOver()
-	slices.SortFunc(c.unsure, func(x, y *request) int { return cmp.Compare(x.alloc, y.alloc) })
+	slices.SortFunc(c.unsure, func(x, y *request) int { return cmp.Compare(x.allocID, y.allocID) })
 	for _, a := range c.unsure { // their answers were not sent whole, so the client knows that it was not served
-		if a.running && a.sent > handed && c.s.requests[a.alloc] == a {
+		if a.running && a.sentThrough > handed && c.s.requestsByAlloc[a.allocID] == a {
 			c.s.withdraw(a)
 		}
 	}
@@ -224,7 +224,7 @@
 		c.admit(now) // if not now, then with its first request
 		c.send(func(b []byte) []byte { return codec.AppendTested(b, task, true) })
 	case codec.End:
-		a := s.tasks[task]
+		a := s.requestsByTask[task]
 		if a != nil && (a.running || a.client == c) { // else it is over, or belongs to another connection
 			s.withdraw(a)
 		}
@@ -242,12 +242,12 @@
 			c.evict("silent")
 		case len(c.in) > 0 && now-c.halfAt > connlimits.MessageTimeout:
 			c.evict("incomplete message")
-		case len(s.pending) > 0 && (c.verified || c.requested) && c.isOpen():
-			for len(s.pending) > 0 && (c.verified || now-s.pending[0].since >= connlimits.VerifiedConnWait) && c.send(s.pending[0].append) {
-				s.pending = s.pending[1:]
+		case len(s.pendingNotifications) > 0 && (c.verified || c.requested) && c.isOpen():
+			for len(s.pendingNotifications) > 0 && (c.verified || now-s.pendingNotifications[0].since >= connlimits.VerifiedConnWait) && c.send(s.pendingNotifications[0].append) {
+				s.pendingNotifications = s.pendingNotifications[1:]
 			}
-			if len(s.pending) == 0 {
-				s.pending = nil
+			if len(s.pendingNotifications) == 0 {
+				s.pendingNotifications = nil
 			}
 		}
 	}
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -136,8 +136,8 @@
 		}
 		r.pass(60)
 	}
-	if n, g := len(r.server.clients), r.server.provisional; n-g > r.server.parts.ClientConns || g > r.server.parts.ProvisionalConns {
-		t.Errorf("%d connections, %d of them not let in; %d and %d are allowed", n, g, r.server.parts.ClientConns, r.server.parts.ProvisionalConns)
+	if n, g := len(r.server.clients), r.server.provisionalClients; n-g > r.server.limits.ClientConns || g > r.server.limits.ProvisionalConns {
+		t.Errorf("%d connections, %d of them not let in; %d and %d are allowed", n, g, r.server.limits.ClientConns, r.server.limits.ProvisionalConns)
 	}
 	y := r.dial()
 	y.request(8, "batch")
@@ -227,13 +227,13 @@
 // TestShares has descriptors so short that set-ups share connections: all are served, and few connections are made.
 func TestShares(t *testing.T) {
 	r := startRig(t, "a", "b")
-	r.server.parts.NodeConns = 2
+	r.server.limits.NodeConns = 2
 	x := r.dial()
 	for task := range uint64(10) {
 		x.request(task+1, "batch")
 	}
 	r.pass(1000)
-	if len(x.received) != 10 || strings.Contains(strings.Join(x.received, " "), "end") || r.server.counts.dials > 4 {
-		t.Errorf("%q over %d connections", x.received, r.server.counts.dials)
+	if len(x.received) != 10 || strings.Contains(strings.Join(x.received, " "), "end") || r.server.stats.dials > 4 {
+		t.Errorf("%q over %d connections", x.received, r.server.stats.dials)
 	}
 }
--- a/internal/platform/configuration.go
+++ b/internal/platform/configuration.go
@@ -16,8 +16,8 @@
 	Seed                  uint64
 	Cores                 float64
 	MemoryMB, Sockets     int
-	Known                 *settings.Deployment
-	Events                []byte // the journal's, up to now
+	Deployment            *settings.Deployment
+	InitialEvents         []byte // the journal's, up to now
 }
 
 // Load reads it from a file. What stands in the environment beside it, name and address, counts before the file's.
@@ -41,8 +41,8 @@
 
 // Bounds of the limits that a scheduler can keep: below them there is no room for a client, a node and the journal service.
 const (
-	leastMB, mostMB           = 8, 1 << 20
-	leastSockets, mostSockets = 32, 1 << 24
+	minMemoryMB, maxMemoryMB = 8, 1 << 20
+	minSockets, maxSockets   = 32, 1 << 24
 )
 
 // Read reads it from its text.
@@ -69,9 +69,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	if f.Limits.MemoryMB < leastMB || f.Limits.MemoryMB > mostMB || f.Limits.Sockets < leastSockets || f.Limits.Sockets > mostSockets {
-		return nil, fmt.Errorf("limits: %d MB of memory (memory_mb, from %d to %d), %d sockets (from %d to %d)", f.Limits.MemoryMB, leastMB, mostMB,
-			f.Limits.Sockets, leastSockets, mostSockets)
+	if f.Limits.MemoryMB < minMemoryMB || f.Limits.MemoryMB > maxMemoryMB || f.Limits.Sockets < minSockets || f.Limits.Sockets > maxSockets {
+		return nil, fmt.Errorf("limits: %d MB of memory (memory_mb, from %d to %d), %d sockets (from %d to %d)", f.Limits.MemoryMB, minMemoryMB, maxMemoryMB,
+			f.Limits.Sockets, minSockets, maxSockets)
 	}
 	if len(f.Known) == 0 || len(f.Settings) == 0 {
 		return nil, fmt.Errorf("known: %d bytes, settings: %d bytes: both are needed", len(f.Known), len(f.Settings))
@@ -85,6 +85,6 @@
 	}
 	return &Configuration{
 		Name: f.Name, Listen: f.Listen, Journal: f.Journal, Seed: seed, Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: known, Events: f.Known,
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Deployment: known, InitialEvents: f.Known,
 	}, nil
 }
--- a/internal/platform/configuration_test.go
+++ b/internal/platform/configuration_test.go
@@ -38,7 +38,7 @@
 		r.process.Start()
 		first := event(1, true, entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
 		r.journal.events = []string{first}
-		r.configuration.Events = []byte(`{"pos":1,"entries":[` + first + `]}`)
+		r.configuration.InitialEvents = []byte(`{"pos":1,"entries":[` + first + `]}`)
 		r.start()
 		x := r.dial()
 		x.send(setUp(6, "batch", codec.Figures, demandText+";at:a"))
@@ -76,7 +76,7 @@
 		r.server.Stop()
 		moved := *r.configuration
 		moved.Journal = "journal:2"
-		r.server.Take(&moved)
+		r.server.ApplyConfiguration(&moved)
 		r.pass(6000)
 		x.want("one answer", "7 end 41")
 		select {
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -30,7 +30,7 @@
 			}
 			r := startRig(t, names...)
 			var doors []*testClient
-			for range r.server.parts.ClientConns {
+			for range r.server.limits.ClientConns {
 				x := &testClient{testConn: &testConn{}, rig: r}
 				x.onMessage = func([]byte) {}
 				r.clients.Dial(clientAddress, 1000, func(c env.Conn, err error) {
@@ -43,7 +43,7 @@
 				doors = append(doors, x)
 			}
 			r.pass(100)
-			if len(r.server.clients) != r.server.parts.ClientConns {
+			if len(r.server.clients) != r.server.limits.ClientConns {
 				t.Fatalf("%d client connections", len(r.server.clients))
 			}
 			most, ended := 0, map[uint64]float64{}
@@ -87,8 +87,8 @@
 				r.pass(60)
 				count()
 			}
-			if most > r.server.parts.ClientConns+r.server.parts.NodeConns || most > r.configuration.Sockets*98/100-8 {
-				t.Errorf("%d connections at once, %d and %d are allowed of %d descriptors", most, r.server.parts.ClientConns, r.server.parts.NodeConns, r.configuration.Sockets)
+			if most > r.server.limits.ClientConns+r.server.limits.NodeConns || most > r.configuration.Sockets*98/100-8 {
+				t.Errorf("%d connections at once, %d and %d are allowed of %d descriptors", most, r.server.limits.ClientConns, r.server.limits.NodeConns, r.configuration.Sockets)
 			}
 			late, unheard := 0, 0
 			for i := range names {
@@ -99,17 +99,17 @@
 					late++
 				}
 			}
-			if late+unheard > 0 || r.server.counts.verdicts[logic.ConnectionLost] > 0 || r.server.counts.spent > 0 {
-				t.Errorf("of %d ends %d came late, %d never; verdicts %v, %d dials found nothing left", nodes, late, unheard, r.server.counts.verdicts,
-					r.server.counts.spent)
+			if late+unheard > 0 || r.server.stats.verdicts[logic.ConnectionLost] > 0 || r.server.stats.spent > 0 {
+				t.Errorf("of %d ends %d came late, %d never; verdicts %v, %d dials found nothing left", nodes, late, unheard, r.server.stats.verdicts,
+					r.server.stats.spent)
 			}
-			for _, p := range r.server.peers {
+			for _, p := range r.server.nodes {
 				if b, _ := r.server.host.Belief(p.id); b.Unhealthy {
 					t.Errorf("%s is taken for ill", p.name)
 				}
 			}
-			if d := float64(r.server.counts.dials) / (float64(nodes) * 18 / 2); d > 1.3 {
-				t.Errorf("%d dials: %.1f a node in two seconds", r.server.counts.dials, d)
+			if d := float64(r.server.stats.dials) / (float64(nodes) * 18 / 2); d > 1.3 {
+				t.Errorf("%d dials: %.1f a node in two seconds", r.server.stats.dials, d)
 			}
 		})
 	}
@@ -122,7 +122,7 @@
 	x := r.dial()
 	x.request(7, "single")
 	r.pass(200)
-	r.server.world = spent{r.server.world}
+	r.server.env = spent{r.server.env}
 	for _, n := range r.nodes {
 		for _, e := range n.conns {
 			e.conn.(interface{ Reset(bool) }).Reset(true)
@@ -130,10 +130,10 @@
 	}
 	x.request(8, "single")
 	r.pass(9000)
-	if r.server.counts.spent < 5 || r.server.host.RunningTasks() != 1 || len(x.received) != 2 || x.received[1] != "8 end 42" {
-		t.Errorf("%d spent, %d stand, %q", r.server.counts.spent, r.server.host.RunningTasks(), x.received)
+	if r.server.stats.spent < 5 || r.server.host.RunningTasks() != 1 || len(x.received) != 2 || x.received[1] != "8 end 42" {
+		t.Errorf("%d spent, %d stand, %q", r.server.stats.spent, r.server.host.RunningTasks(), x.received)
 	}
-	for _, p := range r.server.peers {
+	for _, p := range r.server.nodes {
 		if b, _ := r.server.host.Belief(p.id); b.Unhealthy || b.FailureRate > 0 {
 			t.Errorf("%s is blamed: %+v", p.name, b)
 		}
@@ -150,15 +150,15 @@
 // TestHeld has a client name more than can be held as standing at a node.
 func TestHeld(t *testing.T) {
 	r := startRig(t, "a")
-	r.server.parts.Held = 20
+	r.server.limits.Held = 20
 	x := r.dial()
 	for task := range uint64(60) {
 		x.send(setUp(task+1, "batch", codec.Figures, demandText+";at:a"))
 	}
 	x.request(100, "batch")
 	r.pass(500)
-	if len(r.server.requests) != 20 || len(x.received) != 41 || x.received[40] != "100 end 42" {
-		t.Errorf("%d are held, %d turned away", len(r.server.requests), len(x.received))
+	if len(r.server.requestsByAlloc) != 20 || len(x.received) != 41 || x.received[40] != "100 end 42" {
+		t.Errorf("%d are held, %d turned away", len(r.server.requestsByAlloc), len(x.received))
 	}
 }
 
@@ -188,11 +188,11 @@
 		r.pass(100)
 	}
 	r.pass(3000)
-	if len(r.server.requests)+len(r.server.tasks)+len(r.server.clients) > 0 || len(r.server.peers) > 1 || len(r.server.names) > 1 || r.server.links > 5 {
-		t.Errorf("%d asks, %d tasks, %d clients, %d nodes, %d links are kept", len(r.server.requests), len(r.server.tasks), len(r.server.clients), len(r.server.peers),
-			r.server.links)
+	if len(r.server.requestsByAlloc)+len(r.server.requestsByTask)+len(r.server.clients) > 0 || len(r.server.nodes) > 1 || len(r.server.nodesByName) > 1 || r.server.nodeConns > 5 {
+		t.Errorf("%d asks, %d tasks, %d clients, %d nodes, %d links are kept", len(r.server.requestsByAlloc), len(r.server.requestsByTask), len(r.server.clients), len(r.server.nodes),
+			r.server.nodeConns)
 	}
-	if r.server.counts.served != int(task) {
-		t.Errorf("%d of %d served", r.server.counts.served, task)
+	if r.server.stats.served != int(task) {
+		t.Errorf("%d of %d served", r.server.stats.served, task)
 	}
 }
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -11,7 +11,7 @@
 type edge struct{ *Server }
 
 func (s edge) AnswerRequest(alloc uint32, declined bool) {
-	a := s.requests[alloc]
+	a := s.requestsByAlloc[alloc]
 	if a == nil || a.answered {
 		return
 	}
@@ -19,9 +19,9 @@
 	cause := byte(codec.Reset)
 	if declined {
 		cause = codec.Busy
-		s.counts.declined++
+		s.stats.declined++
 	} else {
-		s.counts.failed++
+		s.stats.failed++
 	}
 	s.trace("answer", a.task, func(e *zerolog.Event) { e.Bool("declined", declined) })
 	if a.client != nil {
@@ -41,94 +41,94 @@
 // answered counts a request out of those that are open. Its task's number is free from then on, unless the task runs.
 func (s *Server) answered(a *request) {
 	a.answered = true
-	s.admit.Release(a.tenant)
+	s.admission.Release(a.tenant)
 	if a.client != nil {
 		delete(a.client.open, a.task)
 	}
 }
 
 func (s edge) NotifyEnd(alloc uint32, v logic.Outcome) {
-	a := s.requests[alloc]
+	a := s.requestsByAlloc[alloc]
 	if a == nil {
 		return
 	}
-	s.counts.over++
+	s.stats.over++
 	s.trace("over", a.task, func(e *zerolog.Event) { e.Uint8("verdict", uint8(v)) })
 	s.notifyEnd(a, map[logic.Outcome]byte{logic.Completed: codec.Normal, logic.Cancelled: codec.Elsewhere}[v])
 }
 
 func (s edge) Forget(alloc uint32) {
-	a := s.requests[alloc]
+	a := s.requestsByAlloc[alloc]
 	if a == nil {
 		return
 	}
-	delete(s.requests, alloc)
-	if s.tasks[a.task] == a {
-		delete(s.tasks, a.task)
+	delete(s.requestsByAlloc, alloc)
+	if s.requestsByTask[a.task] == a {
+		delete(s.requestsByTask, a.task)
 	}
 	if a.client != nil {
 		delete(a.client.running, a)
 	}
-	if a.peer != nil {
-		delete(a.peer.running, a)
+	if a.node != nil {
+		delete(a.node.running, a)
 	}
 }
 
 func (s edge) NotifyMove(alloc uint32) {
-	if a := s.requests[alloc]; a != nil {
-		s.counts.moved++
-		s.trace("move", a.task, func(e *zerolog.Event) { e.Bool("owner", a.client != nil).Str("node", a.peer.name) })
+	if a := s.requestsByAlloc[alloc]; a != nil {
+		s.stats.moved++
+		s.trace("move", a.task, func(e *zerolog.Event) { e.Bool("owner", a.client != nil).Str("node", a.node.name) })
 		s.notify(a, notification{task: a.task})
 	}
 }
 
-func (s edge) PollEndpoints() { s.feed.asked = true }
+func (s edge) PollEndpoints() { s.endpoints.asked = true }
 
 func (s edge) LogLine(line string) { s.log.Info().Str("mode", "module").Msg(line) }
 
 func (s edge) RequestPlacement(alloc uint32, attempt uint8, node uint32, left float64) {
-	a, p := s.requests[alloc], s.peers[node]
-	a.peer, a.attempt, a.until = p, attempt, s.world.Now()+left
-	if a.clientLeft() { // the host hears of it when it can
-		s.world.After(0, func() { s.abandon(a) })
+	a, p := s.requestsByAlloc[alloc], s.nodes[node]
+	a.node, a.attempt, a.attemptDeadline = p, attempt, s.env.Now()+left
+	if a.clientGone() { // the host hears of it when it can
+		s.env.After(0, func() { s.abandon(a) })
 		return
 	}
-	s.counts.offers++
+	s.stats.offers++
 	s.trace("offer", a.task, func(e *zerolog.Event) { e.Str("node", p.name).Uint8("try", attempt).Float64("left", left) })
 	s.offer(a, p)
 }
 
 func (s edge) CancelAttempt(alloc uint32, attempt uint8, _ uint32) {
-	if a := s.requests[alloc]; a != nil && a.attempt == attempt {
-		s.trace("give up", a.task, func(e *zerolog.Event) { e.Str("node", a.peer.name).Uint8("try", attempt) })
+	if a := s.requestsByAlloc[alloc]; a != nil && a.attempt == attempt {
+		s.trace("give up", a.task, func(e *zerolog.Event) { e.Str("node", a.node.name).Uint8("try", attempt) })
 		s.giveUp(a)
 	}
 }
 
 func (s edge) StopTask(alloc uint32, _ uint32) {
-	if a := s.requests[alloc]; a != nil && a.peer != nil {
-		s.cut(a.peer, a.task)
+	if a := s.requestsByAlloc[alloc]; a != nil && a.node != nil {
+		s.cut(a.node, a.task)
 	}
 }
 
 func (s edge) Probe(node, seq uint32) {
-	s.counts.probes++
-	s.probe(s.peers[node], seq)
+	s.stats.probes++
+	s.probe(s.nodes[node], seq)
 }
 
 // settled tells the host how an attempt, or a running task, has ended.
 func (s *Server) settled(a *request, v logic.Outcome, why logic.Reason, report []float64) {
-	s.counts.verdicts[v]++
+	s.stats.verdicts[v]++
 	s.trace("settled", a.task, func(e *zerolog.Event) {
 		e.Uint8("verdict", uint8(v)).Uint8("why", uint8(why)).Floats64("report", report).Bool("stood", a.running)
-		if a.peer == nil {
+		if a.node == nil {
 			return
 		}
-		e.Str("node", a.peer.name)
-		if b, ok := s.host.Belief(a.peer.id); ok {
+		e.Str("node", a.node.name)
+		if b, ok := s.host.Belief(a.node.id); ok {
 			e.Floats64("believed", []float64{b.Cores, b.Memory}).Float64("strain", b.Degradation).Float64("risk", b.FailureRate).Bool("ill", b.Unhealthy)
 		}
 	})
-	s.host.OnOutcome(s.world.Now(), a.alloc, a.attempt, v, why, report)
+	s.host.OnOutcome(s.env.Now(), a.allocID, a.attempt, v, why, report)
 	s.wake()
 }
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -35,17 +35,17 @@
 
 // begin applies the events that are known at the start.
 func (s *Server) begin(now float64, c *Configuration) error {
-	s.feed.address = c.Journal
+	s.endpoints.address = c.Journal
 	s.host.ListBegin(now, logic.ListCached)
-	last, err := codec.Known(c.Events, func(pos uint64, _ bool) bool { s.feed.pos = max(s.feed.pos, pos); return true }, s.entry(nil))
+	last, err := codec.Known(c.InitialEvents, func(pos uint64, _ bool) bool { s.endpoints.pos = max(s.endpoints.pos, pos); return true }, s.entry(nil))
 	if err != nil {
 		return err
 	}
-	s.feed.pos = max(s.feed.pos, last)
-	for _, p := range s.peers {
+	s.endpoints.pos = max(s.endpoints.pos, last)
+	for _, p := range s.nodes {
 		if p.avail == logic.Unavailable {
-			delete(s.peers, p.id)
-			delete(s.names, p.name)
+			delete(s.nodes, p.id)
+			delete(s.nodesByName, p.name)
 		}
 	}
 	s.host.ListEnd()
@@ -55,19 +55,19 @@
 // entry takes a node of the list; named notes it, where a whole list is read.
 func (s *Server) entry(named map[*peer]bool) codec.Entry {
 	return func(name, address, zone, kind string, cell int, avail logic.Availability, since, freeCores, freeMemory float64) {
-		p := s.names[name]
+		p := s.nodesByName[name]
 		if p == nil {
 			if avail == logic.Unavailable {
 				return // it came and went unseen
 			}
-			p = &peer{id: s.number(name), name: name, running: map[*request]bool{}}
-			s.names[name], s.peers[p.id] = p, p
+			p = &peer{id: s.nodeID(name), name: name, running: map[*request]bool{}}
+			s.nodesByName[name], s.nodes[p.id] = p, p
 		}
 		if named != nil {
 			named[p] = true
 		}
 		if since > 0 {
-			since -= s.epoch
+			since -= s.epochUnixMs
 		}
 		if address != "" {
 			p.address = address
@@ -76,8 +76,8 @@
 		if avail == logic.Unavailable {
 			s.shed(p)
 		}
-		z, okZone := s.zones[zone]
-		k, okKind := s.kinds[kind]
+		z, okZone := s.zoneIndex[zone]
+		k, okKind := s.kindIndex[kind]
 		if !okZone || !okKind {
 			s.log.Warn().Str("mode", "list").Str("node", name).Str("zone", zone).Str("kind", kind).Msg("unknown zone or kind")
 		}
@@ -99,7 +99,7 @@
 
 // feedTick asks the journal service anew where that is due, and tells the module what a call came to.
 func (s *Server) feedTick(now float64) {
-	f := &s.feed
+	f := &s.endpoints
 	if f.watch.IsSilent(now) {
 		s.log.Info().Str("mode", "journal").Uint64("pos", f.pos).Msg("silent, asked anew")
 		f.current.end(now)
@@ -107,7 +107,7 @@
 	if f.watch.BeginConnect(now) {
 		t := &journalWatch{s: s}
 		f.current = t
-		s.world.Dial(f.address, watchretry.ConnectTimeout(), t.made)
+		s.env.Dial(f.address, watchretry.ConnectTimeout(), t.made)
 	}
 	switch {
 	case f.asked && f.watch.IsLive(now):
@@ -123,8 +123,8 @@
 
 // move has the journal service asked at another address from now on.
 func (s *Server) move(address string) {
-	now := s.world.Now()
-	f := &s.feed
+	now := s.env.Now()
+	f := &s.endpoints
 	if address == f.address {
 		return
 	}
@@ -144,20 +144,20 @@
 	s := t.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.world.Now()
+	now := s.env.Now()
 	switch {
 	case t.gone && err == nil:
 		c.Close(false, nil)
 	case t.gone:
 	case err != nil:
 		t.gone = true
-		s.feed.watch.OnDisconnected(now)
+		s.endpoints.watch.OnDisconnected(now)
 	default:
 		t.conn = c
-		s.feed.watch.OnConnected(now)
+		s.endpoints.watch.OnConnected(now)
 		c.Start(t, connlimits.WriteTimeout)
 		c.Send(func(b []byte) []byte {
-			return append(strconv.AppendUint(append(b, "tail "...), s.feed.pos, 10), '\n')
+			return append(strconv.AppendUint(append(b, "tail "...), s.endpoints.pos, 10), '\n')
 		})
 	}
 }
@@ -169,7 +169,7 @@
 	}
 	t.gone, t.in = true, nil
 	t.conn.Close(false, nil)
-	t.s.feed.watch.OnDisconnected(now)
+	t.s.endpoints.watch.OnDisconnected(now)
 }
 
 func (t *journalWatch) OnData(b []byte) {
@@ -179,12 +179,12 @@
 	if t.gone {
 		return
 	}
-	now := s.world.Now()
+	now := s.env.Now()
 	if b == nil {
 		t.end(now)
 		return
 	}
-	s.feed.watch.OnBytes(now)
+	s.endpoints.watch.OnBytes(now)
 	t.in = append(t.in, b...)
 	took := false
 	for {
@@ -193,11 +193,11 @@
 			break
 		}
 		if err := s.line(now, line); err != nil {
-			s.log.Warn().Str("mode", "journal").Uint64("pos", s.feed.pos).Err(err).Msg("asked anew")
+			s.log.Warn().Str("mode", "journal").Uint64("pos", s.endpoints.pos).Err(err).Msg("asked anew")
 			t.end(now)
 			return
 		}
-		s.feed.watch.OnEvent(now)
+		s.endpoints.watch.OnEvent(now)
 		t.in, took = rest, true
 	}
 	if len(t.in) > longLine {
@@ -213,14 +213,14 @@
 func (t *journalWatch) OnClose(error) {
 	t.s.mu.Lock()
 	defer t.s.mu.Unlock()
-	t.end(t.s.world.Now())
+	t.end(t.s.env.Now())
 }
 
 var errGap = errors.New("events are missing")
 
 // line applies a line of the journal: each event once, in order, none left out.
 func (s *Server) line(now float64, line []byte) error {
-	f := &s.feed
+	f := &s.endpoints
 	var gap, applies, whole bool
 	named := map[*peer]bool{}
 	last, err := codec.Line(line, func(pos uint64, full bool) bool {
@@ -247,7 +247,7 @@
 	}
 	if applies {
 		if whole {
-			for _, p := range s.each() {
+			for _, p := range s.sortedNodes() {
 				if !named[p] {
 					p.avail = logic.Unavailable
 					s.shed(p)
--- a/internal/platform/journal_test.go
+++ b/internal/platform/journal_test.go
@@ -117,10 +117,10 @@
 			r.pass(300)
 			x.want("served by b", "7 served "+r.nodes["b"].description(7))
 			r.pass(2500)
-			if r.server.names["a"] != nil || r.server.names["b"] == nil {
-				t.Errorf("nodes known: %d", len(r.server.names))
+			if r.server.nodesByName["a"] != nil || r.server.nodesByName["b"] == nil {
+				t.Errorf("nodes known: %d", len(r.server.nodesByName))
 			}
-			if live := r.server.feed.watch.IsLive(r.process.Now()); !live || len(r.journal.requests) > 3 {
+			if live := r.server.endpoints.watch.IsLive(r.process.Now()); !live || len(r.journal.requests) > 3 {
 				t.Errorf("live %v after %q", live, r.journal.requests)
 			}
 		})
@@ -138,18 +138,18 @@
 	}
 	write(`{"name":"n0","listen":"scheduler:1","seed":"1","limits":{"memory_mb":64,"sockets":256},"journal":"journal:2",` +
 		`"known":{"pos":0,"entries":[]},"settings":` + settingsText + `}`)
-	r.server.reread(file, "", "")
-	if r.server.feed.address != "journal:2" {
-		t.Errorf("the journal is at %s", r.server.feed.address)
+	r.server.reload(file, "", "")
+	if r.server.endpoints.address != "journal:2" {
+		t.Errorf("the journal is at %s", r.server.endpoints.address)
 	}
 	write(`{"name":`)
-	r.server.reread(file, "", "")
-	r.server.reread(file+"x", "", "")
+	r.server.reload(file, "", "")
+	r.server.reload(file+"x", "", "")
 	x := r.dial()
 	x.request(7, "batch")
 	r.pass(200)
 	x.want("served all the same", "7 served "+r.nodes["a"].description(7))
-	if r.server.feed.address != "journal:2" {
-		t.Errorf("after a bad file the journal is at %s", r.server.feed.address)
+	if r.server.endpoints.address != "journal:2" {
+		t.Errorf("after a bad file the journal is at %s", r.server.endpoints.address)
 	}
 }
--- a/internal/platform/links.go
+++ b/internal/platform/links.go
@@ -35,11 +35,11 @@
 func (s *Server) offer(a *request, p *peer) {
 	l := s.pick(p)
 	if l == nil {
-		s.world.After(0, func() { s.unsent(a, a.attempt) })
+		s.env.After(0, func() { s.unsent(a, a.attempt) })
 		return
 	}
 	l.requests = append(l.requests, a)
-	a.link = l
+	a.conn = l
 	if l.conn != nil {
 		l.setUp(a)
 	}
@@ -49,7 +49,7 @@
 func (s *Server) unsent(a *request, attempt uint8) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if a.attempt == attempt && a.link == nil {
+	if a.attempt == attempt && a.conn == nil {
 		s.settled(a, logic.NotSent, logic.ReasonUnknown, nil)
 	}
 }
@@ -57,7 +57,7 @@
 // pick finds a connection for a message that wants an answer, or none.
 func (s *Server) pick(p *peer) *link {
 	var shared *link
-	now := s.world.Now()
+	now := s.env.Now()
 	for _, l := range p.links {
 		switch {
 		case l.spent || l.conn != nil && l.free() && !s.fresh(l, now):
@@ -65,7 +65,7 @@
 			if l.open() {
 				return l
 			}
-		case s.links >= s.parts.NodeConns && (shared == nil || len(l.requests) < len(shared.requests)) && l.open():
+		case s.nodeConns >= s.limits.NodeConns && (shared == nil || len(l.requests) < len(shared.requests)) && l.open():
 			shared = l
 		}
 	}
@@ -80,12 +80,12 @@
 
 // room tells whether a connection to a node may be made, after another has given way if need be.
 func (s *Server) room(now float64, purpose budget.Purpose, p *peer) bool {
-	w := budget.NodeConnRequest{Purpose: purpose, Held: s.links, SinceCheck: p.watch.SinceContact(now)}
+	w := budget.NodeConnRequest{Purpose: purpose, Held: s.nodeConns, SinceCheck: p.watch.SinceContact(now)}
 	var gives *link
-	if w.Held >= s.parts.NodeConns {
+	if w.Held >= s.limits.NodeConns {
 		w.Idle, w.Spare, gives = s.idlest(p)
 	}
-	switch s.parts.DecideNodeConn(w) {
+	switch s.limits.DecideNodeConn(w) {
 	case budget.Skip:
 		return false
 	case budget.Replace:
@@ -98,7 +98,7 @@
 // else one that is spare, else any, each time the one that was idle for longest. It counts those that are idle too.
 func (s *Server) idlest(but *peer) (idle, spare int, first *link) {
 	rank := 0
-	for _, p := range s.peers {
+	for _, p := range s.nodes {
 		for _, l := range p.links {
 			if l.conn == nil || !l.free() {
 				continue
@@ -124,7 +124,7 @@
 
 // fresh tells whether a connection may still be used.
 func (s *Server) fresh(l *link, now float64) bool {
-	return connlimits.IsReusable(now-l.idle, s.known.IdleFor)
+	return connlimits.IsReusable(now-l.idle, s.settings.IdleFor)
 }
 
 // open tells whether a connection is being made, or its node has not closed it: what is sent on one that is closed may be lost with it, or
@@ -135,11 +135,11 @@
 
 // dial begins a connection to a node.
 func (s *Server) dial(p *peer) *link {
-	l := &link{s: s, peer: p, idle: s.world.Now()}
+	l := &link{s: s, peer: p, idle: s.env.Now()}
 	p.links = append(p.links, l)
-	s.links++
-	s.counts.dials++
-	s.world.Dial(p.address, s.known.ConnectFor, func(c env.Conn, err error) { l.made(c, err) })
+	s.nodeConns++
+	s.stats.dials++
+	s.env.Dial(p.address, s.settings.ConnectFor, func(c env.Conn, err error) { l.made(c, err) })
 	return l
 }
 
@@ -149,16 +149,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer s.wake()
-	now := s.world.Now()
+	now := s.env.Now()
 	if err != nil {
 		s.trace("dial failed", 0, func(e *zerolog.Event) { e.Str("node", l.peer.name).Err(err) })
 		unmade := outcome.VerdictWithoutConnection()
 		if errors.Is(err, env.ErrExhausted) { // the want is this machine's own, and says nothing of the node
-			s.counts.spent++
+			s.stats.spent++
 			l.peer.watch.OnProbeSkipped()
 			unmade = logic.NotSent
 		} else {
-			s.counts.refused++
+			s.stats.refused++
 			l.peer.watch.OnProbeFailed(now, errors.Is(err, env.ErrRefused))
 		}
 		l.forget()
@@ -170,7 +170,7 @@
 		return
 	}
 	for _, a := range slices.Clone(l.requests) { // before there is a way for them
-		if a.clientLeft() {
+		if a.clientGone() {
 			s.withdraw(a)
 		}
 	}
@@ -179,7 +179,7 @@
 	l.peer.watch.OnContact(now)
 	c.Start(l, connlimits.WriteTimeout)
 	for _, a := range slices.Clone(l.requests) {
-		if now >= a.until { // what waited for it longer than it was decided for is void
+		if now >= a.attemptDeadline { // what waited for it longer than it was decided for is void
 			l.drop(a)
 			s.settled(a, logic.NotSent, logic.ReasonUnknown, nil)
 			continue
@@ -201,30 +201,30 @@
 
 // setUp sends what is offered.
 func (l *link) setUp(a *request) {
-	left := a.until - l.s.world.Now()
+	left := a.attemptDeadline - l.s.env.Now()
 	sent, _, ok := l.conn.Send(func(b []byte) []byte {
 		before := len(b)
-		b = codec.AppendSetUp(b, a.task, a.jobType, a.name, a.key, a.description, left)
-		a.bytes = len(b) - before
+		b = codec.AppendSetUp(b, a.task, a.jobClassName, a.name, a.key, a.description, left)
+		a.offerBytes = len(b) - before
 		return b
 	})
 	if ok {
-		a.sent = sent
+		a.sentThrough = sent
 	} else {
-		a.sent = 1 << 63 // it was never handed over; the connection's end tells
+		a.sentThrough = 1 << 63 // it was never handed over; the connection's end tells
 	}
 }
 
 // drop takes a request off the connection.
 func (l *link) drop(a *request) {
 	l.requests = remove(l.requests, a)
-	a.link = nil
-	l.idle = l.s.world.Now()
+	a.conn = nil
+	l.idle = l.s.env.Now()
 }
 
 // giveUp has an open request waited for no more. The connection is of no further use, as a late answer may come on it.
 func (s *Server) giveUp(a *request) {
-	l := a.link
+	l := a.conn
 	if l == nil {
 		return
 	}
@@ -232,7 +232,7 @@
 	if l.conn == nil {
 		return // not a byte of it left
 	}
-	if l.conn.Unsend(a.sent, a.bytes) {
+	if l.conn.Unsend(a.sentThrough, a.offerBytes) {
 		return // nor here
 	}
 	l.expectLate(a.task)
@@ -254,7 +254,7 @@
 // spend has nothing new go on the connection, which ends when nothing is open on it, but not before so long.
 func (l *link) spend(linger float64) {
 	l.spent = true
-	l.closeAt = l.s.world.Now() + linger
+	l.closeAt = l.s.env.Now() + linger
 }
 
 func (l *link) tellCuts(now float64) {
@@ -271,12 +271,12 @@
 func (s *Server) probe(p *peer, seq uint32) {
 	var l *link
 	for _, x := range p.links { // a test's answer can be told from others: it may share
-		if !x.spent && x.probe == 0 && x.conn != nil && s.fresh(x, s.world.Now()) && x.open() {
+		if !x.spent && x.probe == 0 && x.conn != nil && s.fresh(x, s.env.Now()) && x.open() {
 			l = x
 			break
 		}
 	}
-	if l == nil && !s.room(s.world.Now(), budget.ForProbe, p) {
+	if l == nil && !s.room(s.env.Now(), budget.ForProbe, p) {
 		return // its time-out tells
 	}
 	if l == nil {
@@ -289,7 +289,7 @@
 }
 
 func (l *link) test() {
-	l.probeAt = l.s.world.Now()
+	l.probeAt = l.s.env.Now()
 	l.conn.Send(func(b []byte) []byte { return codec.AppendTest(b, uint64(l.probe), true) })
 }
 
@@ -299,7 +299,7 @@
 	l.s.trace("link broke", 0, func(e *zerolog.Event) {
 		e.Str("node", l.peer.name).Str("why", why).Int("open", len(l.requests)).Bool("spent", l.spent)
 	})
-	l.finish(func(a *request) logic.Outcome { return outcome.VerdictAfterDisconnect(a.sent <= handed) })
+	l.finish(func(a *request) logic.Outcome { return outcome.VerdictAfterDisconnect(a.sentThrough <= handed) })
 }
 
 // spoil ends a connection on which something came that can't be read.
@@ -311,7 +311,7 @@
 	l.forget()
 	l.conn.Close(false, nil)
 	l.settle(verdict, logic.ConnectionLost)
-	l.s.tether(l.s.world.Now(), l.peer)
+	l.s.tether(l.s.env.Now(), l.peer)
 	l.s.wake()
 }
 
@@ -323,7 +323,7 @@
 		l.s.settled(a, v, logic.ReasonUnknown, nil)
 	}
 	if l.probe != 0 {
-		l.s.host.OnProbeResult(l.s.world.Now(), l.peer.id, l.probe, probe, nil)
+		l.s.host.OnProbeResult(l.s.env.Now(), l.peer.id, l.probe, probe, nil)
 	}
 }
 
@@ -341,6 +341,6 @@
 	}
 	l.gone = true
 	l.in = nil
-	l.s.links--
+	l.s.nodeConns--
 	l.peer.links = remove(l.peer.links, l)
 }
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -237,8 +237,8 @@
 		t.Fatal(err)
 	}
 	r.configuration = &Configuration{
-		Name: "n0", Listen: "127.0.0.1:0", Journal: journal, Seed: 3, MemoryMB: 64, Sockets: 256, Known: known,
-		Events: []byte(`{"pos":1,"entries":[` + event(1, true, entryOf("a", r.node.listener.Addr().String(), "ready")) + `]}`),
+		Name: "n0", Listen: "127.0.0.1:0", Journal: journal, Seed: 3, MemoryMB: 64, Sockets: 256, Deployment: known,
+		InitialEvents: []byte(`{"pos":1,"entries":[` + event(1, true, entryOf("a", r.node.listener.Addr().String(), "ready")) + `]}`),
 	}
 	if change != nil {
 		change(r.configuration)
@@ -247,7 +247,7 @@
 	if err := r.server.Start(r.configuration); err != nil {
 		t.Fatal(err)
 	}
-	r.address = r.server.door.Address()
+	r.address = r.server.listener.Address()
 	t.Cleanup(func() {
 		for _, g := range r.env.gates() {
 			g.set(false)
@@ -271,9 +271,9 @@
 	r.env.clockOffset += ms
 	r.env.mu.Unlock()
 	now := r.env.Now()
-	r.until("a turn has met it", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.ticked >= now })
+	r.until("a turn has met it", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.lastTick >= now })
 	r.server.mu.Lock()
-	r.server.lag = overload.Monitor{}
+	r.server.lagMonitor = overload.Monitor{}
 	r.server.mu.Unlock()
 }
 
@@ -298,7 +298,7 @@
 func (r *loopbackRig) drainNodeConns() {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
-	for _, p := range r.server.peers {
+	for _, p := range r.server.nodes {
 		for _, l := range p.links {
 			l.spent = true
 		}
@@ -309,7 +309,7 @@
 func (r *loopbackRig) waitIdle() {
 	r.t.Helper()
 	r.until("nothing is open", func() bool {
-		return r.counted(func(s *Server) int { return len(s.inbox) + s.host.OpenRequests() + s.admit.Open() }) == 0
+		return r.counted(func(s *Server) int { return len(s.inbox) + s.host.OpenRequests() + s.admission.Open() }) == 0
 	})
 }
 
--- a/internal/platform/loopback_shutdown_test.go
+++ b/internal/platform/loopback_shutdown_test.go
@@ -27,7 +27,7 @@
 				x.send(codec.AppendTest(nil, 100, false))
 			}
 			r.server.mu.Lock()
-			part := r.server.plan.CloseAt
+			part := r.server.shutdownPlan.CloseAt
 			r.server.mu.Unlock()
 			r.env.mu.Lock()
 			r.env.clockOffset += part - r.env.Real.Now() - r.env.clockOffset // answers and parts in one turn
@@ -51,12 +51,12 @@
 	x.request(7, "single")
 	r.server.Stop()
 	r.server.mu.Lock()
-	ahead := r.server.plan.CloseAt - r.env.Now()
+	ahead := r.server.shutdownPlan.CloseAt - r.env.Now()
 	r.server.mu.Unlock()
 	r.env.mu.Lock()
 	r.env.clockOffset += ahead
 	r.env.mu.Unlock()
-	r.until("all others are parted with", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.parted })
+	r.until("all others are parted with", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.clientsDisconnected })
 	r.env.accepts.set(false)
 	first.expect("6 end 42", "closed")
 	x.expect("7 end 42", "closed")
@@ -129,7 +129,7 @@
 			}
 			x.expect("closed") // by the scheduler, as it ends
 			<-r.server.Done()
-			if owed := r.counted(func(s *Server) int { return s.admit.Open() + s.host.OpenRequests() + len(s.inbox) }); owed != 0 {
+			if owed := r.counted(func(s *Server) int { return s.admission.Open() + s.host.OpenRequests() + len(s.inbox) }); owed != 0 {
 				t.Errorf("%d answers are owed", owed)
 			}
 		})
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -87,7 +87,7 @@
 func TestTurnedAway(t *testing.T) {
 	short := func(c *Configuration) { c.Sockets = 60 }
 	fill := func(r *loopbackRig) (all []*tcpClient) {
-		for range r.server.parts.ClientConns {
+		for range r.server.limits.ClientConns {
 			all = append(all, r.dial())
 		}
 		r.until("all are taken", func() bool { return r.counted(func(s *Server) int { return len(s.clients) }) == len(all) })
@@ -99,7 +99,7 @@
 			x.request(uint64(100+i), "batch")
 		}
 		r.until("all are at work", func() bool {
-			return r.counted(func(s *Server) int { return s.admit.Open() }) == r.server.parts.ClientConns
+			return r.counted(func(s *Server) int { return s.admission.Open() }) == r.server.limits.ClientConns
 		})
 		x := r.dial()
 		x.request(7, "batch")
@@ -115,7 +115,7 @@
 		r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 		x.expect("7 served at a")
 		closed := 0
-		r.until("one has given way", func() bool { return r.counted(func(s *Server) int { return s.counts.evicted }) == 1 })
+		r.until("one has given way", func() bool { return r.counted(func(s *Server) int { return s.stats.evicted }) == 1 })
 		for _, y := range idle {
 			_ = y.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 			if _, err := y.conn.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
@@ -153,7 +153,7 @@
 				r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
 				r.node.send(7, codec.AppendEnd(nil, 7, codec.Normal))
 				if !other {
-					r.until("it is over", func() bool { return r.counted(func(s *Server) int { return s.counts.over }) > 0 })
+					r.until("it is over", func() bool { return r.counted(func(s *Server) int { return s.stats.over }) > 0 })
 					y = r.dial()
 					serve(y, 9)
 				}
@@ -176,7 +176,7 @@
 		r.until("the close has come", func() bool {
 			return r.counted(func(s *Server) int {
 				left := 0
-				for _, p := range s.peers {
+				for _, p := range s.nodes {
 					for _, l := range p.links {
 						if l.conn != nil && l.conn.PeerClosed() {
 							left++
@@ -218,8 +218,8 @@
 		t.Helper()
 		r.server.mu.Lock()
 		defer r.server.mu.Unlock()
-		if p := r.server.parts; len(r.server.clients)-r.server.provisional > p.ClientConns || r.server.provisional > p.ProvisionalConns || r.server.links > p.NodeConns {
-			t.Errorf("%d clients, %d of them provisional connections, %d to nodes; parts %+v", len(r.server.clients), r.server.provisional, r.server.links, p)
+		if p := r.server.limits; len(r.server.clients)-r.server.provisionalClients > p.ClientConns || r.server.provisionalClients > p.ProvisionalConns || r.server.nodeConns > p.NodeConns {
+			t.Errorf("%d clients, %d of them provisional connections, %d to nodes; parts %+v", len(r.server.clients), r.server.provisionalClients, r.server.nodeConns, p)
 		}
 	}
 	x := r.dial()
@@ -236,7 +236,7 @@
 		within()
 	}
 	r.until("they fill their part", func() bool {
-		return r.counted(func(s *Server) int { return len(s.clients) - s.provisional }) == r.server.parts.ClientConns
+		return r.counted(func(s *Server) int { return len(s.clients) - s.provisionalClients }) == r.server.limits.ClientConns
 	})
 	r.advanceClock(600)
 	r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
@@ -260,14 +260,14 @@
 	})
 	moved := *r.configuration
 	moved.Journal = journal.Addr().String()
-	r.server.Take(&moved)
+	r.server.ApplyConfiguration(&moved)
 	if got := <-tails; got != "tail 1\n" {
 		t.Errorf("the journal service was asked %q", got)
 	}
 	r.until("it is heard", func() bool {
 		r.server.mu.Lock()
 		defer r.server.mu.Unlock()
-		return r.server.feed.watch.IsLive(r.env.Now())
+		return r.server.endpoints.watch.IsLive(r.env.Now())
 	})
 	within()
 }
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -16,7 +16,7 @@
 	if l.gone {
 		return
 	}
-	now := s.world.Now()
+	now := s.env.Now()
 	if b == nil {
 		l.broke("closed")
 		return
@@ -32,7 +32,7 @@
 		return
 	}
 	if err != nil {
-		s.counts.spoilt++
+		s.stats.spoilt++
 		s.trace("spoilt", 0, func(e *zerolog.Event) { e.Str("node", l.peer.name).Err(err) })
 		l.spoil()
 		return
@@ -62,26 +62,26 @@
 		if !ok {
 			return codec.ErrUnreadable
 		}
-		s.report = codec.Load(msg, s.known.Cluster.ReportFields, s.report[:0])
-		a := s.tasks[task]
+		s.reportBuffer = codec.Load(msg, s.settings.Cluster.ReportFields, s.reportBuffer[:0])
+		a := s.requestsByTask[task]
 		switch {
-		case a == nil || a.peer != l.peer:
-		case a.link == l && cause == codec.Normal && codec.Described(msg): // it stood and ended in one
+		case a == nil || a.node != l.peer:
+		case a.conn == l && cause == codec.Normal && codec.Described(msg): // it stood and ended in one
 			if err := l.answer(now, task, msg); err != nil {
 				return err
 			}
 			if a.running {
-				s.settled(a, codec.After(cause), codec.Why(msg), s.report)
+				s.settled(a, codec.After(cause), codec.Why(msg), s.reportBuffer)
 			}
-		case a.link == l:
+		case a.conn == l:
 			l.endedEarly(now, a, cause, codec.Why(msg))
 		case a.running:
-			s.settled(a, codec.After(cause), codec.Why(msg), s.report)
+			s.settled(a, codec.After(cause), codec.Why(msg), s.reportBuffer)
 		}
 	case codec.Note:
 		kind, value, ok := codec.Noted(msg)
-		if a := s.tasks[task]; ok && a != nil && a.peer == l.peer && (a.running || a.link == l) {
-			s.host.OnNote(now, a.alloc, kind, value)
+		if a := s.requestsByTask[task]; ok && a != nil && a.node == l.peer && (a.running || a.conn == l) {
+			s.host.OnNote(now, a.allocID, kind, value)
 		}
 	case codec.Tested:
 		cause, ok := codec.CauseOf(msg)
@@ -94,8 +94,8 @@
 			if cause == 0 {
 				v = logic.Errored
 			}
-			s.report = codec.Load(msg, s.known.Cluster.ReportFields, s.report[:0])
-			s.host.OnProbeResult(now, l.peer.id, uint32(task), v, s.report)
+			s.reportBuffer = codec.Load(msg, s.settings.Cluster.ReportFields, s.reportBuffer[:0])
+			s.host.OnProbeResult(now, l.peer.id, uint32(task), v, s.reportBuffer)
 		}
 	case codec.Progress, codec.EndHeard:
 	default:
@@ -111,36 +111,36 @@
 	if !ok || len(description) == 0 {
 		return codec.ErrUnreadable
 	}
-	a := s.tasks[task]
-	if a == nil || a.link != l {
-		if l.given[task] && (a == nil || a.peer != l.peer || !a.running) { // too late: it must not run beside another attempt
+	a := s.requestsByTask[task]
+	if a == nil || a.conn != l {
+		if l.given[task] && (a == nil || a.node != l.peer || !a.running) { // too late: it must not run beside another attempt
 			s.cut(l.peer, task)
 		}
 		delete(l.given, task)
 		return nil // else a second copy, or nobody's
 	}
 	l.drop(a)
-	if !s.host.OnStarted(now, a.alloc, a.attempt) {
+	if !s.host.OnStarted(now, a.allocID, a.attempt) {
 		s.cut(l.peer, task)
 		return nil
 	}
 	s.answered(a)
 	a.running = true
-	s.counts.served++
+	s.stats.served++
 	s.trace("served", task, nil)
 	o, told := a.client, uint64(0)
-	if !a.clientLeft() {
+	if !a.clientGone() {
 		told = o.sendCounted(func(b []byte) []byte { return codec.AppendAnswer(b, task, description) })
 	}
 	if told == 0 {
 		s.withdraw(a)
 		return nil
 	}
-	a.sent = told
+	a.sentThrough = told
 	o.verified = true
 	o.running[a] = true
 	l.peer.running[a] = true
-	a.jobType, a.name, a.key, a.description = nil, nil, nil, nil
+	a.jobClassName, a.name, a.key, a.description = nil, nil, nil, nil
 	s.wake()
 	return nil
 }
@@ -151,8 +151,8 @@
 	l.drop(a)
 	end := outcome.EarlyEnd{Unstarted: codec.Before(cause), Started: codec.After(cause), Reason: reason}
 	l.s.trace("ended early", a.task, func(e *zerolog.Event) { e.Str("node", l.peer.name).Uint8("cause", cause).Uint8("why", uint8(reason)) })
-	l.s.counts.verdicts[end.Unstarted]++
-	if l.s.host.OnEarlyEnd(now, a.alloc, a.attempt, end, l.s.report) {
+	l.s.stats.verdicts[end.Unstarted]++
+	if l.s.host.OnEarlyEnd(now, a.allocID, a.attempt, end, l.s.reportBuffer) {
 		l.expectLate(a.task)
 	}
 	l.s.wake()
--- a/internal/platform/notify.go
+++ b/internal/platform/notify.go
@@ -38,6 +38,6 @@
 			return
 		}
 	}
-	n.since = s.world.Now()
-	s.pending = append(s.pending[max(0, len(s.pending)-connlimits.MaxPendingEnds+1):], n)
+	n.since = s.env.Now()
+	s.pendingNotifications = append(s.pendingNotifications[max(0, len(s.pendingNotifications)-connlimits.MaxPendingEnds+1):], n)
 }
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -38,7 +38,7 @@
 			}
 		}
 	}
-	now := s.world.Now()
+	now := s.env.Now()
 	p.owes(now, task)
 	if p.avail != logic.Unavailable {
 		s.tether(now, p)
@@ -62,7 +62,7 @@
 func (s *Server) look(now float64, p *peer, linked bool) {
 	if p.watch.IsProbeDue(now, linked) && s.room(now, budget.ForHealthCheck, p) {
 		p.watch.OnProbe(now)
-		s.counts.looks++
+		s.stats.looks++
 		s.dial(p)
 	}
 }
@@ -95,18 +95,18 @@
 		s.tether(now, p)
 	}
 	if p.avail == logic.Unavailable && len(p.links) == 0 && len(p.running) == 0 {
-		delete(s.peers, p.id)
-		delete(s.names, p.name)
+		delete(s.nodes, p.id)
+		delete(s.nodesByName, p.name)
 	}
 }
 
 // lose ends the running task at a node that is no more. Should it be cut off only and come back, its tasks are to end there.
 func (s *Server) lose(now float64, p *peer) {
 	s.log.Info().Str("mode", "lost").Str("node", p.name).Int("stood", len(p.running)).Msg("node lost with the running task there")
-	for _, a := range slices.SortedFunc(maps.Keys(p.running), func(x, y *request) int { return cmp.Compare(x.alloc, y.alloc) }) {
+	for _, a := range slices.SortedFunc(maps.Keys(p.running), func(x, y *request) int { return cmp.Compare(x.allocID, y.allocID) }) {
 		task := a.task
-		s.counts.verdicts[logic.ConnectionLost]++
-		s.host.OnTaskLost(now, a.alloc)
+		s.stats.verdicts[logic.ConnectionLost]++
+		s.host.OnTaskLost(now, a.allocID)
 		if p.avail != logic.Unavailable {
 			p.owes(now, task)
 		}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -26,97 +26,97 @@
 
 // Server is one scheduler on the platform.
 type Server struct {
-	world env.Environment
-	log   zerolog.Logger
-	loop  env.Loop
-	door  env.Listener
-	parts budget.Limits
-	known *settings.Deployment
+	env      env.Environment
+	log      zerolog.Logger
+	loop     env.Loop
+	listener env.Listener
+	limits   budget.Limits
+	settings *settings.Deployment
 
-	jobs, tenants, zones, kinds map[string]int
-	epoch                       float64 // Unix ms of the world's zero
+	jobClassIndex, tenantIndex, zoneIndex, kindIndex map[string]int
+	epochUnixMs                                      float64 // Unix ms of the world's zero
 
-	mu          sync.Mutex
-	host        *host.Host
-	admit       *admission.Limiter
-	gate        admission.Gate
-	lag         overload.Monitor
-	wanted      float64             // when the loop's next turn is due
-	inbox       []*request          // taken, and not yet the host's
-	inboxAt     float64             // since when requests are taken out of it one after the other, 0: it was empty
-	requests    map[uint32]*request // by the host's number
-	tasks       map[uint64]*request // by the client's
-	names       map[string]*peer
-	peers       map[uint32]*peer
-	clients     map[*client]bool
-	accepted    uint64 // client connections ever
-	links       int    // connections to nodes, made or being made
-	feed        feed
-	probes      map[uint64]*link
-	pending     []notification // to clients of whom none is connected
-	report      []float64
-	counts      counts
-	words       besteffort.Guard // round what is only said to people
-	provisional int              // client connections that are not let in
-	stopped     bool
-	told        float64
-	plan        shutdown.Plan
-	done        chan struct{}
-	ended       bool
-	answeredAll bool
-	parted      bool
-	ticked      float64
-	looked      float64
+	mu                   sync.Mutex
+	host                 *host.Host
+	admission            *admission.Limiter
+	overloadGate         admission.Gate
+	lagMonitor           overload.Monitor
+	nextTurn             float64             // when the loop's next turn is due
+	inbox                []*request          // taken, and not yet the host's
+	inboxSince           float64             // since when requests are taken out of it one after the other, 0: it was empty
+	requestsByAlloc      map[uint32]*request // by the host's number
+	requestsByTask       map[uint64]*request // by the client's
+	nodesByName          map[string]*peer
+	nodes                map[uint32]*peer
+	clients              map[*client]bool
+	clientsAccepted      uint64 // client connections ever
+	nodeConns            int    // connections to nodes, made or being made
+	endpoints            feed
+	probes               map[uint64]*link
+	pendingNotifications []notification // to clients of whom none is connected
+	reportBuffer         []float64
+	stats                counts
+	diagnostics          besteffort.Guard // round what is only said to people
+	provisionalClients   int              // client connections that are not let in
+	stopping             bool
+	stopRequestedAt      float64
+	shutdownPlan         shutdown.Plan
+	done                 chan struct{}
+	ended                bool
+	answeredAll          bool
+	clientsDisconnected  bool
+	lastTick             float64
+	lastStats            float64
 }
 
 // request is what a client asked for, until its final answer, and its running task after that.
 type request struct {
-	alloc            uint32
-	task             uint64
-	tenant           int
-	client           *client // on whose connection it came; nil once that is gone
-	peer             *peer   // where it was offered last
-	link             *link   // on which that offer is open
-	attempt          uint8
-	sent             uint64 // bytes sent on that connection, this offer included; once the task runs, on its client's, the answer included
-	bytes            int    // of the offer
-	until            float64
-	expiry           float64
-	jobIs            int
-	service          uint64
-	cores, memory    float64
-	jobType, name    []byte
-	key, description []byte
-	answered         bool
-	running          bool
+	allocID            uint32
+	task               uint64
+	tenant             int
+	client             *client // on whose connection it came; nil once that is gone
+	node               *peer   // where it was offered last
+	conn               *link   // on which that offer is open
+	attempt            uint8
+	sentThrough        uint64 // bytes sent on that connection, this offer included; once the task runs, on its client's, the answer included
+	offerBytes         int    // of the offer
+	attemptDeadline    float64
+	deadline           float64
+	jobClass           int
+	service            uint64
+	cores, memory      float64
+	jobClassName, name []byte
+	key, description   []byte
+	answered           bool
+	running            bool
 }
 
 // New makes a scheduler from its configuration. Nothing is connected yet.
-func New(world env.Environment, log zerolog.Logger, c *Configuration) *Server {
+func New(environment env.Environment, log zerolog.Logger, configuration *Configuration) *Server {
 	s := &Server{
-		world: world, log: log, known: c.Known, parts: budget.Divide(c.Sockets, c.MemoryMB), requests: map[uint32]*request{},
-		tasks: map[uint64]*request{}, names: map[string]*peer{}, peers: map[uint32]*peer{}, clients: map[*client]bool{},
-		probes: map[uint64]*link{}, done: make(chan struct{}), epoch: float64(env.Epoch.UnixMilli()),
+		env: environment, log: log, settings: configuration.Deployment, limits: budget.Divide(configuration.Sockets, configuration.MemoryMB), requestsByAlloc: map[uint32]*request{},
+		requestsByTask: map[uint64]*request{}, nodesByName: map[string]*peer{}, nodes: map[uint32]*peer{}, clients: map[*client]bool{},
+		probes: map[uint64]*link{}, done: make(chan struct{}), epochUnixMs: float64(env.Epoch.UnixMilli()),
 	}
-	s.jobs, s.tenants = places(c.Known.JobTypes), places(c.Known.Tenants)
-	s.zones, s.kinds = places(c.Known.Zones), places(c.Known.Kinds)
-	s.words.Tell = func(what, why string) {
+	s.jobClassIndex, s.tenantIndex = indexByName(configuration.Deployment.JobTypes), indexByName(configuration.Deployment.Tenants)
+	s.zoneIndex, s.kindIndex = indexByName(configuration.Deployment.Zones), indexByName(configuration.Deployment.Kinds)
+	s.diagnostics.Tell = func(what, why string) {
 		log.Error().Str("mode", "words").Str("what", what).Str("why", why).Msg("switched off")
 	}
-	shares := c.Known.Shares
+	shares := configuration.Deployment.Shares
 	if len(shares) == 0 {
 		shares = []float64{1}
 	}
-	s.admit = admission.New(min(s.parts.Open, c.Known.OpenMost), shares)
-	soonest := math.Inf(1)
-	for _, j := range c.Known.Cluster.JobClasses {
-		soonest = min(soonest, j.LatencyObjective)
+	s.admission = admission.New(min(s.limits.Open, configuration.Deployment.OpenMost), shares)
+	minObjective := math.Inf(1)
+	for _, j := range configuration.Deployment.Cluster.JobClasses {
+		minObjective = min(minObjective, j.LatencyObjective)
 	}
-	s.gate = admission.NewGate(soonest)
+	s.overloadGate = admission.NewGate(minObjective)
 	return s
 }
 
-func places(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, n := range names {
 		m[n] = i
@@ -125,24 +125,24 @@
 }
 
 // Start opens the door, and from then on the scheduler runs until Stop has had its effect.
-func (s *Server) Start(c *Configuration) error {
+func (s *Server) Start(configuration *Configuration) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.world.Now()
-	s.host = host.New(edge{s}, now, c.Seed, c.Known.Cluster)
-	s.host.SetConnectTimeout(c.Known.ConnectFor)
-	if err := s.begin(now, c); err != nil {
+	now := s.env.Now()
+	s.host = host.New(edge{s}, now, configuration.Seed, configuration.Deployment.Cluster)
+	s.host.SetConnectTimeout(configuration.Deployment.ConnectFor)
+	if err := s.begin(now, configuration); err != nil {
 		return err
 	}
-	door, err := s.world.Listen(c.Listen, s.accept)
+	listener, err := s.env.Listen(configuration.Listen, s.accept)
 	if err != nil {
 		return fmt.Errorf("client listener: %w", err)
 	}
-	s.door = door
-	s.wanted = s.world.Now()
-	s.loop = s.world.StartLoop(s.turn)
-	s.log.Info().Str("mode", "start").Str("owners", door.Address()).Int("nodes", len(s.peers)).
-		Int("owner_conns", s.parts.ClientConns).Int("node_conns", s.parts.NodeConns).Int("open_most", s.parts.Open).Msg("open")
+	s.listener = listener
+	s.nextTurn = s.env.Now()
+	s.loop = s.env.StartLoop(s.turn)
+	s.log.Info().Str("mode", "start").Str("owners", listener.Address()).Int("nodes", len(s.nodes)).
+		Int("owner_conns", s.limits.ClientConns).Int("node_conns", s.limits.NodeConns).Int("open_most", s.limits.Open).Msg("open")
 	return nil
 }
 
@@ -153,9 +153,9 @@
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.stopped {
-		s.stopped, s.told = true, s.world.Now()
-		s.plan = shutdown.NewPlan(s.told, slices.Max(s.known.Expiry))
+	if !s.stopping {
+		s.stopping, s.stopRequestedAt = true, s.env.Now()
+		s.shutdownPlan = shutdown.NewPlan(s.stopRequestedAt, slices.Max(s.settings.Expiry))
 		s.log.Info().Str("mode", "stop").Int("open", s.host.OpenRequests()).Int("stands", s.host.RunningTasks()).Msg("told to end")
 	}
 	s.wake()
@@ -163,112 +163,112 @@
 
 // Times in milliseconds.
 const (
-	tickEvery = 100
-	logEvery  = 5000
+	tickInterval  = 100
+	statsInterval = 5000
 )
 
 // turn is the scheduler's loop: what is due in the host, and a look at connections.
 func (s *Server) turn() (wait float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.world.Now()
-	due := s.wanted
-	s.wanted = math.Inf(1)
-	s.host.SetTimeoutGrace(s.lag.TimeoutGrace(now))
-	took := 0
+	now := s.env.Now()
+	due := s.nextTurn
+	s.nextTurn = math.Inf(1)
+	s.host.SetTimeoutGrace(s.lagMonitor.TimeoutGrace(now))
+	started := 0
 	if now >= s.host.EarliestRound() { // else no round comes of it
-		took = s.takeIn(now, overload.BatchSize(s.gate.CostPerRequest()))
+		started = s.startRequests(now, overload.BatchSize(s.overloadGate.CostPerRequest()))
 	}
 	s.host.Round(now)
-	if now >= s.ticked+tickEvery {
-		s.ticked = now
+	if now >= s.lastTick+tickInterval {
+		s.lastTick = now
 		s.tick(now)
 	}
-	if s.stopped {
+	if s.stopping {
 		s.shutdown(now)
 	}
-	next := min(s.host.NextRound(), s.ticked+tickEvery)
+	next := min(s.host.NextRound(), s.lastTick+tickInterval)
 	if len(s.inbox) > 0 {
 		next = min(next, s.host.EarliestRound())
 	}
-	ended := s.world.Now()
-	s.worked(due, now, ended, took)
+	ended := s.env.Now()
+	s.recordTurn(due, now, ended, started)
 	wait = max(0.2, next-ended)
-	s.wanted = min(s.wanted, ended+wait)
+	s.nextTurn = min(s.nextTurn, ended+wait)
 	return wait
 }
 
 // wake has the loop take a turn.
 func (s *Server) wake() {
-	s.wanted = min(s.wanted, s.world.Now())
+	s.nextTurn = min(s.nextTurn, s.env.Now())
 	s.loop.Wake()
 }
 
-// takeIn hands requests of the inbox to the host. News of what is under way came first: it was taken when it was read.
-func (s *Server) takeIn(now float64, most int) (took int) {
+// startRequests hands requests of the inbox to the host. News of what is under way came first: it was taken when it was read.
+func (s *Server) startRequests(now float64, limit int) (started int) {
 	n := 0
-	for ; n < len(s.inbox) && took < most; n++ {
-		a := s.inbox[n]
+	for ; n < len(s.inbox) && started < limit; n++ {
+		r := s.inbox[n]
 		s.inbox[n] = nil
-		if a.answered {
+		if r.answered {
 			continue
 		}
-		took++
-		a.alloc = s.host.Allocate(now, a.jobIs, a.tenant, a.expiry, a.service, a.cores, a.memory)
-		s.requests[a.alloc] = a
+		started++
+		r.allocID = s.host.Allocate(now, r.jobClass, r.tenant, r.deadline, r.service, r.cores, r.memory)
+		s.requestsByAlloc[r.allocID] = r
 	}
 	if s.inbox = s.inbox[n:]; len(s.inbox) == 0 {
 		s.inbox = nil // a burst's memory is given back
 	}
-	return took
+	return started
 }
 
-// worked measures a turn: how far behind it shows the process to be, and what requests cost.
-func (s *Server) worked(due, began, ended float64, took int) {
-	tight := s.gate.IsOverloaded()
-	s.lag.OnTurn(due, began, ended)
-	behind := s.lag.Delay(ended)
-	s.counts.lag = max(s.counts.lag, behind)
-	if took > 0 {
-		since := began
-		if s.inboxAt > 0 {
-			since = s.inboxAt
+// recordTurn measures a turn: how far behind it shows the process to be, and what requests cost.
+func (s *Server) recordTurn(dueAt, startedAt, endedAt float64, started int) {
+	tight := s.overloadGate.IsOverloaded()
+	s.lagMonitor.OnTurn(dueAt, startedAt, endedAt)
+	behind := s.lagMonitor.Delay(endedAt)
+	s.stats.lag = max(s.stats.lag, behind)
+	if started > 0 {
+		since := startedAt
+		if s.inboxSince > 0 {
+			since = s.inboxSince
 		}
-		s.gate.OnRound(ended-since, took)
+		s.overloadGate.OnRound(endedAt-since, started)
 	}
-	s.inboxAt = 0
+	s.inboxSince = 0
 	if len(s.inbox) > 0 {
-		s.inboxAt = ended
+		s.inboxSince = endedAt
 	}
-	if !tight && s.gate.IsOverloaded() {
+	if !tight && s.overloadGate.IsOverloaded() {
 		s.log.Info().Str("mode", "behind").Float64("ms", math.Round(behind)).Int("inbox", len(s.inbox)).Int("open", s.host.OpenRequests()).
-			Float64("ask_ms", math.Round(s.gate.CostPerRequest()*100)/100).Msg("takes only what it can do in time")
+			Float64("ask_ms", math.Round(s.overloadGate.CostPerRequest()*100)/100).Msg("takes only what it can do in time")
 	}
 }
 
 func (s *Server) tick(now float64) {
 	s.feedTick(now)
-	for _, p := range s.each() {
+	for _, p := range s.sortedNodes() {
 		s.peerTick(now, p)
 	}
 	s.clientsTick(now)
-	if now-s.looked > logEvery {
-		s.looked = now
-		s.words.Do("counts", s.count)
+	if now-s.lastStats > statsInterval {
+		s.lastStats = now
+		s.diagnostics.Do("counts", s.count)
 	}
 }
 
-// each is all nodes in an order of their own: the same news have the same effects.
-func (s *Server) each() []*peer {
-	return slices.SortedFunc(maps.Values(s.peers), func(x, y *peer) int { return cmp.Compare(x.id, y.id) })
+// sortedNodes is all nodes in an order of their own: the same news have the same effects.
+func (s *Server) sortedNodes() []*peer {
+	return slices.SortedFunc(maps.Values(s.nodes), func(x, y *peer) int { return cmp.Compare(x.id, y.id) })
 }
 
-// number is the module's number of a node, the same at all schedulers: they take turns at a cold node by it.
-func (s *Server) number(name string) uint32 {
+// nodeID is the module's number of a node, the same at all schedulers: they take turns at a cold node by it.
+func (s *Server) nodeID(name string) uint32 {
 	f := fnv.New32a()
 	f.Write([]byte(name))
 	n := f.Sum32()
-	for p := s.peers[n]; p != nil && p.name != name; p = s.peers[n] {
+	for p := s.nodes[n]; p != nil && p.name != name; p = s.nodes[n] {
 		n++
 	}
 	return n
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -28,16 +28,16 @@
 	world.WriteThrough = true // what is decided leaves at once, however many wait for their turn
 	defer world.Close(time.Second)
 	s := New(world, log, c)
-	world.MaxLingering = s.parts.LingeringConns
+	world.MaxLingering = s.limits.LingeringConns
 	runtime.GOMAXPROCS(1) // the machine is one core; more threads at work only wait for each other
-	debug.SetMemoryLimit(int64(s.parts.MemorySoftLimit))
+	debug.SetMemoryLimit(int64(s.limits.MemorySoftLimit))
 	if err := s.Start(c); err != nil {
 		return err
 	}
 	for {
 		select {
 		case <-hup:
-			s.reread(file, name, listen)
+			s.reload(file, name, listen)
 		case <-term:
 			s.Stop()
 		case <-s.Done():
@@ -46,18 +46,18 @@
 	}
 }
 
-// reread reads the configuration anew: where the journal service is may have changed.
-func (s *Server) reread(file, name, listen string) {
+// reload reads the configuration anew: where the journal service is may have changed.
+func (s *Server) reload(file, name, listen string) {
 	c, err := Load(file, name, listen)
 	if err != nil {
 		s.log.Error().Str("mode", "configuration").Err(err).Msg("not taken, going on as before")
 		return
 	}
-	s.Take(c)
+	s.ApplyConfiguration(c)
 }
 
-// Take takes what may change in a configuration while a scheduler runs.
-func (s *Server) Take(c *Configuration) {
+// ApplyConfiguration takes what may change in a configuration while a scheduler runs.
+func (s *Server) ApplyConfiguration(c *Configuration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.move(c.Journal)
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -6,16 +6,16 @@
 
 // shutdown goes through what is due for a scheduler that was told to end.
 func (s *Server) shutdown(now float64) {
-	if now >= s.plan.AnswerAt && !s.answeredAll {
+	if now >= s.shutdownPlan.AnswerAt && !s.answeredAll {
 		s.answeredAll = true
 		s.log.Info().Str("mode", "stop").Int("open", s.host.OpenRequests()).Int("inbox", len(s.inbox)).Int("stands", s.host.RunningTasks()).
 			Msg("answers what is open")
-		s.takeIn(now, len(s.inbox))
+		s.startRequests(now, len(s.inbox))
 		s.host.Close(now)
 	}
-	if now >= s.plan.CloseAt && !s.parted {
-		s.parted = true
-		s.door.StopAccepting() // who waits at it is let in first, and answered until the end
+	if now >= s.shutdownPlan.CloseAt && !s.clientsDisconnected {
+		s.clientsDisconnected = true
+		s.listener.StopAccepting() // who waits at it is let in first, and answered until the end
 		for _, o := range s.eachClient() {
 			if owed := len(o.open); owed > 0 {
 				s.log.Error().Str("mode", "stop").Int("open", owed).Msg("a connection is ended on which answers are owed")
@@ -23,9 +23,9 @@
 			o.close()
 		}
 	}
-	if now >= s.plan.ExitAt && !s.ended {
+	if now >= s.shutdownPlan.ExitAt && !s.ended {
 		s.ended = true
-		s.log.Info().Str("mode", "stop").Float64("after_ms", math.Round(now-s.told)).Msg("ends")
+		s.log.Info().Str("mode", "stop").Float64("after_ms", math.Round(now-s.stopRequestedAt)).Msg("ends")
 		close(s.done)
 	}
 }
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -21,9 +21,9 @@
 
 // count tells people how the scheduler fares.
 func (s *Server) count() {
-	c := &s.counts
+	c := &s.stats
 	ill, strained := 0, 0
-	for id := range s.peers {
+	for id := range s.nodes {
 		if b, ok := s.host.Belief(id); ok && b.Unhealthy {
 			ill++
 		} else if ok && b.Degradation > 0.5 {
@@ -32,7 +32,7 @@
 	}
 	reports, cores, memory := s.host.BeliefError()
 	s.log.Info().Str("mode", "counts").Int("open", s.host.OpenRequests()).Int("stands", s.host.RunningTasks()).Int("owners", len(s.clients)).
-		Int("links", s.links).Int("nodes", len(s.peers)).Int("taken", c.taken).Int("turned", c.rejected).Int("behind", c.behind).
+		Int("links", s.nodeConns).Int("nodes", len(s.nodes)).Int("taken", c.taken).Int("turned", c.rejected).Int("behind", c.behind).
 		Float64("lag_ms", math.Round(c.lag)).Int("served", c.served).
 		Int("declined", c.declined).Int("failed", c.failed).Int("withdrawn", c.withdrawn).Int("over", c.over).Int("moved", c.moved).
 		Int("found", c.found).Int("offers", c.offers).Ints("verdicts", c.verdicts[:]).Int("dials", c.dials).Int("looks", c.looks).
@@ -45,8 +45,8 @@
 // trace tells of one message or effect, where the log's level wants it.
 func (s *Server) trace(what string, task uint64, f func(*zerolog.Event)) {
 	if e := s.log.Debug(); e.Enabled() {
-		s.words.Do("trace: "+what, func() {
-			e.Float64("at", s.world.Now()+s.epoch).Str("task", fmt.Sprintf("%016x", task))
+		s.diagnostics.Do("trace: "+what, func() {
+			e.Float64("at", s.env.Now()+s.epochUnixMs).Str("task", fmt.Sprintf("%016x", task))
 			if f != nil {
 				f(e)
 			}
