--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -18,7 +18,7 @@
 	s.stats.withdrawn++
 	s.trace("withdrawn", a.task, func(e *zerolog.Event) { e.Bool("stood", a.running) })
 	if !a.answered {
-		s.answered(a)
+		s.markAnswered(a)
 	}
 	if a.allocID == 0 { // the host has not heard of it
 		delete(s.requestsByTask, a.task)
@@ -48,9 +48,9 @@
 	jobClassName, name, key []byte // parts of the message
 }
 
-// setUp accepts a request, or rejects it at once.
-func (c *client) setUp(now float64, task uint64, msg []byte) {
-	s := c.s
+// onSetUp accepts a request, or rejects it at once.
+func (c *client) onSetUp(now float64, task uint64, msg []byte) {
+	s := c.server
 	s.traceRequest(task, msg)
 	if old := s.requestsByTask[task]; old != nil && !old.answered && old.client == c {
 		c.evict("a number that is open already") // one answer could not be told from the other
@@ -66,9 +66,9 @@
 	case !s.fits(f.jobClass, f.cores, f.memory):
 		why = invalid("larger than any machine")
 	case f.runsAt != "":
-		why = c.found(now, f)
+		why = c.recoverTask(now, f)
 	default:
-		why = c.accept(now, f, msg)
+		why = c.acceptRequest(now, f, msg)
 	}
 	if why != nil {
 		s.stats.rejected++
@@ -115,9 +115,9 @@
 	return f, nil
 }
 
-// accept puts a request into the inbox, if there is room for it and time to serve it.
-func (c *client) accept(now float64, f requestFields, msg []byte) *rejection {
-	s := c.s
+// acceptRequest puts a request into the inbox, if there is room for it and time to serve it.
+func (c *client) acceptRequest(now float64, f requestFields, msg []byte) *rejection {
+	s := c.server
 	left, okLeft := codec.Number(msg, codec.Left)
 	description, okDescription := codec.Param(msg, codec.Description)
 	if !okLeft || !connlimits.IsPlausibleWait(left, s.settings.Expiry[f.jobClass]) || !okDescription || len(description) == 0 {
@@ -125,34 +125,34 @@
 	}
 	c.active, c.requested = true, true
 	left = s.lagMonitor.RemainingTime(now, left)
-	if why := c.hasRoom(now, f.tenant, left); why != nil {
+	if why := c.checkLimits(now, f.tenant, left); why != nil {
 		return why
 	}
-	s.stats.taken++
+	s.stats.accepted++
 	a := &request{
 		task: f.task, tenant: f.tenant, client: c, deadline: now + left, jobClass: f.jobClass, service: f.service, cores: f.cores,
 		memory: f.memory,
 	}
 	a.copyFields(f, description)
-	c.open[f.task], s.requestsByTask[f.task] = a, a
+	c.openRequests[f.task], s.requestsByTask[f.task] = a, a
 	s.inbox = append(s.inbox, a)
 	return nil
 }
 
-// hasRoom goes through the limits that a new request must keep, those of its connection first.
-func (c *client) hasRoom(now float64, tenant int, left float64) *rejection {
-	s := c.s
+// checkLimits goes through the limits that a new request must keep, those of its connection first.
+func (c *client) checkLimits(now float64, tenant int, left float64) *rejection {
+	s := c.server
 	switch {
 	case s.stopping && now >= s.shutdownPlan.RejectAt:
 		return busy("ends")
-	case !c.admit(now):
+	case !c.promote(now):
 		return busy("no room for its connection")
-	case len(c.open) >= s.limits.OpenPerConn:
+	case len(c.openRequests) >= s.limits.OpenPerConn:
 		return busy("too many on one connection")
 	case len(s.requestsByAlloc)+len(s.inbox) >= s.limits.Held:
 		return busy("too much is held")
 	case !s.overloadGate.Admit(now, s.lagMonitor.Delay(now), len(s.inbox)):
-		s.stats.behind++
+		s.stats.shedBehind++
 		return busy("behind")
 	}
 	if why := s.admission.Admit(tenant, left, connlimits.MinTimeLeft, true); why != admission.Admitted {
@@ -188,9 +188,9 @@
 	return false
 }
 
-// found takes over a task that a node runs already. No answer is owed for it, only its end.
-func (c *client) found(now float64, f requestFields) *rejection {
-	s := c.s
+// recoverTask takes over a task that a node runs already. No answer is owed for it, only its end.
+func (c *client) recoverTask(now float64, f requestFields) *rejection {
+	s := c.server
 	node := s.nodesByName[f.runsAt]
 	if node == nil {
 		return &rejection{codec.Reset, "at a node that is not there"}
@@ -199,13 +199,13 @@
 		return busy("too much is held")
 	}
 	c.active = true
-	c.admit(now)
-	s.stats.found++
+	c.promote(now)
+	s.stats.recovered++
 	a := &request{task: f.task, tenant: f.tenant, client: c, node: node, answered: true, running: true}
 	s.requestsByTask[f.task] = a
 	c.running[a], node.running[a] = true, true
 	a.allocID = s.host.RecoverTask(now, f.jobClass, f.tenant, f.service, f.cores, f.memory, node.id)
 	s.requestsByAlloc[a.allocID] = a
-	s.tether(now, node)
+	s.keepConnected(now, node)
 	return nil
 }
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -99,9 +99,9 @@
 					late++
 				}
 			}
-			if late+unheard > 0 || r.server.stats.verdicts[logic.ConnectionLost] > 0 || r.server.stats.spent > 0 {
+			if late+unheard > 0 || r.server.stats.verdicts[logic.ConnectionLost] > 0 || r.server.stats.dialsExhausted > 0 {
 				t.Errorf("of %d ends %d came late, %d never; verdicts %v, %d dials found nothing left", nodes, late, unheard, r.server.stats.verdicts,
-					r.server.stats.spent)
+					r.server.stats.dialsExhausted)
 			}
 			for _, p := range r.server.nodes {
 				if b, _ := r.server.host.Belief(p.id); b.Unhealthy {
@@ -130,8 +130,8 @@
 	}
 	x.request(8, "single")
 	r.pass(9000)
-	if r.server.stats.spent < 5 || r.server.host.RunningTasks() != 1 || len(x.received) != 2 || x.received[1] != "8 end 42" {
-		t.Errorf("%d spent, %d stand, %q", r.server.stats.spent, r.server.host.RunningTasks(), x.received)
+	if r.server.stats.dialsExhausted < 5 || r.server.host.RunningTasks() != 1 || len(x.received) != 2 || x.received[1] != "8 end 42" {
+		t.Errorf("%d spent, %d stand, %q", r.server.stats.dialsExhausted, r.server.host.RunningTasks(), x.received)
 	}
 	for _, p := range r.server.nodes {
 		if b, _ := r.server.host.Belief(p.id); b.Unhealthy || b.FailureRate > 0 {
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -7,19 +7,19 @@
 	"ravenpond/logic"
 )
 
-// edge carries out the host's effects.
-type edge struct{ *Server }
+// hostEffects carries out the host's effects.
+type hostEffects struct{ *Server }
 
-func (s edge) AnswerRequest(alloc uint32, declined bool) {
+func (s hostEffects) AnswerRequest(alloc uint32, declined bool) {
 	a := s.requestsByAlloc[alloc]
 	if a == nil || a.answered {
 		return
 	}
-	s.answered(a)
+	s.markAnswered(a)
 	cause := byte(codec.Reset)
 	if declined {
 		cause = codec.Busy
-		s.stats.declined++
+		s.stats.shed++
 	} else {
 		s.stats.failed++
 	}
@@ -29,8 +29,8 @@
 	}
 }
 
-// abandon gives up a request whose client has closed its connection.
-func (s *Server) abandon(a *request) {
+// withdrawDeparted gives up a request whose client has closed its connection.
+func (s *Server) withdrawDeparted(a *request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !a.answered {
@@ -38,26 +38,26 @@
 	}
 }
 
-// answered counts a request out of those that are open. Its task's number is free from then on, unless the task runs.
-func (s *Server) answered(a *request) {
+// markAnswered counts a request out of those that are open. Its task's number is free from then on, unless the task runs.
+func (s *Server) markAnswered(a *request) {
 	a.answered = true
 	s.admission.Release(a.tenant)
 	if a.client != nil {
-		delete(a.client.open, a.task)
+		delete(a.client.openRequests, a.task)
 	}
 }
 
-func (s edge) NotifyEnd(alloc uint32, v logic.Outcome) {
+func (s hostEffects) NotifyEnd(alloc uint32, v logic.Outcome) {
 	a := s.requestsByAlloc[alloc]
 	if a == nil {
 		return
 	}
-	s.stats.over++
+	s.stats.ended++
 	s.trace("over", a.task, func(e *zerolog.Event) { e.Uint8("verdict", uint8(v)) })
 	s.notifyEnd(a, map[logic.Outcome]byte{logic.Completed: codec.Normal, logic.Cancelled: codec.Elsewhere}[v])
 }
 
-func (s edge) Forget(alloc uint32) {
+func (s hostEffects) Forget(alloc uint32) {
 	a := s.requestsByAlloc[alloc]
 	if a == nil {
 		return
@@ -74,7 +74,7 @@
 	}
 }
 
-func (s edge) NotifyMove(alloc uint32) {
+func (s hostEffects) NotifyMove(alloc uint32) {
 	if a := s.requestsByAlloc[alloc]; a != nil {
 		s.stats.moved++
 		s.trace("move", a.task, func(e *zerolog.Event) { e.Bool("owner", a.client != nil).Str("node", a.node.name) })
@@ -82,45 +82,45 @@
 	}
 }
 
-func (s edge) PollEndpoints() { s.endpoints.asked = true }
+func (s hostEffects) PollEndpoints() { s.endpoints.pollRequested = true }
 
-func (s edge) LogLine(line string) { s.log.Info().Str("mode", "module").Msg(line) }
+func (s hostEffects) LogLine(line string) { s.log.Info().Str("mode", "module").Msg(line) }
 
-func (s edge) RequestPlacement(alloc uint32, attempt uint8, node uint32, left float64) {
+func (s hostEffects) RequestPlacement(alloc uint32, attempt uint8, node uint32, left float64) {
 	a, p := s.requestsByAlloc[alloc], s.nodes[node]
 	a.node, a.attempt, a.attemptDeadline = p, attempt, s.env.Now()+left
 	if a.clientGone() { // the host hears of it when it can
-		s.env.After(0, func() { s.abandon(a) })
+		s.env.After(0, func() { s.withdrawDeparted(a) })
 		return
 	}
-	s.stats.offers++
+	s.stats.attempts++
 	s.trace("offer", a.task, func(e *zerolog.Event) { e.Str("node", p.name).Uint8("try", attempt).Float64("left", left) })
-	s.offer(a, p)
+	s.sendAttempt(a, p)
 }
 
-func (s edge) CancelAttempt(alloc uint32, attempt uint8, _ uint32) {
+func (s hostEffects) CancelAttempt(alloc uint32, attempt uint8, _ uint32) {
 	if a := s.requestsByAlloc[alloc]; a != nil && a.attempt == attempt {
 		s.trace("give up", a.task, func(e *zerolog.Event) { e.Str("node", a.node.name).Uint8("try", attempt) })
-		s.giveUp(a)
+		s.cancelAttempt(a)
 	}
 }
 
-func (s edge) StopTask(alloc uint32, _ uint32) {
+func (s hostEffects) StopTask(alloc uint32, _ uint32) {
 	if a := s.requestsByAlloc[alloc]; a != nil && a.node != nil {
-		s.cut(a.node, a.task)
+		s.stopTask(a.node, a.task)
 	}
 }
 
-func (s edge) Probe(node, seq uint32) {
+func (s hostEffects) Probe(node, seq uint32) {
 	s.stats.probes++
-	s.probe(s.nodes[node], seq)
+	s.sendProbe(s.nodes[node], seq)
 }
 
-// settled tells the host how an attempt, or a running task, has ended.
-func (s *Server) settled(a *request, v logic.Outcome, why logic.Reason, report []float64) {
-	s.stats.verdicts[v]++
+// completeAttempt tells the host how an attempt, or a running task, has ended.
+func (s *Server) completeAttempt(a *request, verdict logic.Outcome, reason logic.Reason, report []float64) {
+	s.stats.verdicts[verdict]++
 	s.trace("settled", a.task, func(e *zerolog.Event) {
-		e.Uint8("verdict", uint8(v)).Uint8("why", uint8(why)).Floats64("report", report).Bool("stood", a.running)
+		e.Uint8("verdict", uint8(verdict)).Uint8("why", uint8(reason)).Floats64("report", report).Bool("stood", a.running)
 		if a.node == nil {
 			return
 		}
@@ -129,6 +129,6 @@
 			e.Floats64("believed", []float64{b.Cores, b.Memory}).Float64("strain", b.Degradation).Float64("risk", b.FailureRate).Bool("ill", b.Unhealthy)
 		}
 	})
-	s.host.OnOutcome(s.env.Now(), a.allocID, a.attempt, v, why, report)
+	s.host.OnOutcome(s.env.Now(), a.allocID, a.attempt, verdict, reason, report)
 	s.wake()
 }
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -13,37 +13,37 @@
 	"ravenpond/logic"
 )
 
-// longLine is the most bytes of a line of the journal: no list of nodes is longer.
-const longLine = 4 << 20
+// maxLineBytes is the most bytes of a line of the journal: no list of nodes is longer.
+const maxLineBytes = 4 << 20
 
-// feed is the connection to the journal service.
-type feed struct {
-	address string
-	watch   watchretry.Retrier
-	current *journalWatch
-	pos     uint64 // of the last event that was applied
-	asked   bool   // the module waits for news or for news that there is none
+// endpointWatch is the connection to the journal service.
+type endpointWatch struct {
+	address       string
+	retrier       watchretry.Retrier
+	current       *watchConn
+	position      uint64 // of the last event that was applied
+	pollRequested bool   // the module waits for news or for news that there is none
 }
 
-// journalWatch is one connection to it, on which events follow.
-type journalWatch struct {
-	s    *Server
-	conn env.Conn
-	in   []byte
-	gone bool
+// watchConn is one connection to it, on which events follow.
+type watchConn struct {
+	server  *Server
+	conn    env.Conn
+	partial []byte
+	closed  bool
 }
 
-// begin applies the events that are known at the start.
-func (s *Server) begin(now float64, c *Configuration) error {
+// loadInitialEndpoints applies the events that are known at the start.
+func (s *Server) loadInitialEndpoints(now float64, c *Configuration) error {
 	s.endpoints.address = c.Journal
 	s.host.ListBegin(now, logic.ListCached)
-	last, err := codec.Known(c.InitialEvents, func(pos uint64, _ bool) bool { s.endpoints.pos = max(s.endpoints.pos, pos); return true }, s.entry(nil))
+	last, err := codec.Known(c.InitialEvents, func(pos uint64, _ bool) bool { s.endpoints.position = max(s.endpoints.position, pos); return true }, s.applyEntry(nil))
 	if err != nil {
 		return err
 	}
-	s.endpoints.pos = max(s.endpoints.pos, last)
+	s.endpoints.position = max(s.endpoints.position, last)
 	for _, p := range s.nodes {
-		if p.avail == logic.Unavailable {
+		if p.availability == logic.Unavailable {
 			delete(s.nodes, p.id)
 			delete(s.nodesByName, p.name)
 		}
@@ -52,19 +52,19 @@
 	return nil
 }
 
-// entry takes a node of the list; named notes it, where a whole list is read.
-func (s *Server) entry(named map[*peer]bool) codec.Entry {
+// applyEntry takes a node of the list; named notes it, where a whole list is read.
+func (s *Server) applyEntry(listed map[*node]bool) codec.Entry {
 	return func(name, address, zone, kind string, cell int, avail logic.Availability, since, freeCores, freeMemory float64) {
 		p := s.nodesByName[name]
 		if p == nil {
 			if avail == logic.Unavailable {
 				return // it came and went unseen
 			}
-			p = &peer{id: s.nodeID(name), name: name, running: map[*request]bool{}}
+			p = &node{id: s.nodeID(name), name: name, running: map[*request]bool{}}
 			s.nodesByName[name], s.nodes[p.id] = p, p
 		}
-		if named != nil {
-			named[p] = true
+		if listed != nil {
+			listed[p] = true
 		}
 		if since > 0 {
 			since -= s.epochUnixMs
@@ -72,9 +72,9 @@
 		if address != "" {
 			p.address = address
 		}
-		p.avail = avail
+		p.availability = avail
 		if avail == logic.Unavailable {
-			s.shed(p)
+			s.closeIdleConns(p)
 		}
 		z, okZone := s.zoneIndex[zone]
 		k, okKind := s.kindIndex[kind]
@@ -85,177 +85,177 @@
 	}
 }
 
-// shed closes idle connections to a node that is gone, unless a task runs there; connections with open requests stay.
-func (s *Server) shed(p *peer) {
+// closeIdleConns closes idle connections to a node that is gone, unless a task runs there; connections with open requests stay.
+func (s *Server) closeIdleConns(p *node) {
 	if len(p.running) > 0 {
 		return
 	}
-	for _, l := range slices.Clone(p.links) {
-		if l.conn != nil && l.free() {
-			l.end(true)
+	for _, l := range slices.Clone(p.conns) {
+		if l.conn != nil && l.isIdle() {
+			l.close(true)
 		}
 	}
 }
 
-// feedTick asks the journal service anew where that is due, and tells the module what a call came to.
-func (s *Server) feedTick(now float64) {
+// endpointTick asks the journal service anew where that is due, and tells the module what a call came to.
+func (s *Server) endpointTick(now float64) {
 	f := &s.endpoints
-	if f.watch.IsSilent(now) {
-		s.log.Info().Str("mode", "journal").Uint64("pos", f.pos).Msg("silent, asked anew")
-		f.current.end(now)
+	if f.retrier.IsSilent(now) {
+		s.log.Info().Str("mode", "journal").Uint64("pos", f.position).Msg("silent, asked anew")
+		f.current.close(now)
 	}
-	if f.watch.BeginConnect(now) {
-		t := &journalWatch{s: s}
+	if f.retrier.BeginConnect(now) {
+		t := &watchConn{server: s}
 		f.current = t
-		s.env.Dial(f.address, watchretry.ConnectTimeout(), t.made)
+		s.env.Dial(f.address, watchretry.ConnectTimeout(), t.onDialed)
 	}
 	switch {
-	case f.asked && f.watch.IsLive(now):
-		f.asked = false
+	case f.pollRequested && f.retrier.IsLive(now):
+		f.pollRequested = false
 		s.host.ListBegin(now, logic.ListChanges)
 		s.host.ListEnd()
-	case f.asked && f.watch.IsFailing(now):
-		f.asked = false
+	case f.pollRequested && f.retrier.IsFailing(now):
+		f.pollRequested = false
 		s.host.ListBegin(now, logic.ListFailed)
 		s.host.ListEnd()
 	}
 }
 
-// move has the journal service asked at another address from now on.
-func (s *Server) move(address string) {
+// setJournalAddress has the journal service asked at another address from now on.
+func (s *Server) setJournalAddress(address string) {
 	now := s.env.Now()
 	f := &s.endpoints
 	if address == f.address {
 		return
 	}
-	s.log.Info().Str("mode", "journal").Str("address", address).Uint64("pos", f.pos).Msg("moved")
+	s.log.Info().Str("mode", "journal").Str("address", address).Uint64("pos", f.position).Msg("moved")
 	if f.current != nil {
-		f.current.gone = true
+		f.current.closed = true
 		if f.current.conn != nil {
 			f.current.conn.Close(false, nil)
 		}
 	}
 	f.address = address
-	f.watch.OnAddressChanged(now)
-	s.feedTick(now)
+	f.retrier.OnAddressChanged(now)
+	s.endpointTick(now)
 }
 
-func (t *journalWatch) made(c env.Conn, err error) {
-	s := t.s
+func (t *watchConn) onDialed(c env.Conn, err error) {
+	s := t.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.env.Now()
 	switch {
-	case t.gone && err == nil:
+	case t.closed && err == nil:
 		c.Close(false, nil)
-	case t.gone:
+	case t.closed:
 	case err != nil:
-		t.gone = true
-		s.endpoints.watch.OnDisconnected(now)
+		t.closed = true
+		s.endpoints.retrier.OnDisconnected(now)
 	default:
 		t.conn = c
-		s.endpoints.watch.OnConnected(now)
+		s.endpoints.retrier.OnConnected(now)
 		c.Start(t, connlimits.WriteTimeout)
 		c.Send(func(b []byte) []byte {
-			return append(strconv.AppendUint(append(b, "tail "...), s.endpoints.pos, 10), '\n')
+			return append(strconv.AppendUint(append(b, "tail "...), s.endpoints.position, 10), '\n')
 		})
 	}
 }
 
-// end gives the connection up.
-func (t *journalWatch) end(now float64) {
-	if t.gone {
+// close gives the connection up.
+func (t *watchConn) close(now float64) {
+	if t.closed {
 		return
 	}
-	t.gone, t.in = true, nil
+	t.closed, t.partial = true, nil
 	t.conn.Close(false, nil)
-	t.s.endpoints.watch.OnDisconnected(now)
+	t.server.endpoints.retrier.OnDisconnected(now)
 }
 
-func (t *journalWatch) OnData(b []byte) {
-	s := t.s
+func (t *watchConn) OnData(b []byte) {
+	s := t.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t.gone {
+	if t.closed {
 		return
 	}
 	now := s.env.Now()
 	if b == nil {
-		t.end(now)
+		t.close(now)
 		return
 	}
-	s.endpoints.watch.OnBytes(now)
-	t.in = append(t.in, b...)
-	took := false
+	s.endpoints.retrier.OnBytes(now)
+	t.partial = append(t.partial, b...)
+	consumed := false
 	for {
-		line, rest, whole := bytes.Cut(t.in, []byte("\n"))
-		if !whole {
+		line, rest, complete := bytes.Cut(t.partial, []byte("\n"))
+		if !complete {
 			break
 		}
-		if err := s.line(now, line); err != nil {
-			s.log.Warn().Str("mode", "journal").Uint64("pos", s.endpoints.pos).Err(err).Msg("asked anew")
-			t.end(now)
+		if err := s.applyLine(now, line); err != nil {
+			s.log.Warn().Str("mode", "journal").Uint64("pos", s.endpoints.position).Err(err).Msg("asked anew")
+			t.close(now)
 			return
 		}
-		s.endpoints.watch.OnEvent(now)
-		t.in, took = rest, true
+		s.endpoints.retrier.OnEvent(now)
+		t.partial, consumed = rest, true
 	}
-	if len(t.in) > longLine {
-		t.end(now)
+	if len(t.partial) > maxLineBytes {
+		t.close(now)
 		return
 	}
-	if took { // what is left gets memory of its own; a line that trickles in is not copied for each byte
-		t.in = append([]byte(nil), t.in...)
+	if consumed { // what is left gets memory of its own; a line that trickles in is not copied for each byte
+		t.partial = append([]byte(nil), t.partial...)
 	}
 	s.wake()
 }
 
-func (t *journalWatch) OnClose(error) {
-	t.s.mu.Lock()
-	defer t.s.mu.Unlock()
-	t.end(t.s.env.Now())
+func (t *watchConn) OnClose(error) {
+	t.server.mu.Lock()
+	defer t.server.mu.Unlock()
+	t.close(t.server.env.Now())
 }
 
-var errGap = errors.New("events are missing")
+var errEventGap = errors.New("events are missing")
 
-// line applies a line of the journal: each event once, in order, none left out.
-func (s *Server) line(now float64, line []byte) error {
+// applyLine applies a line of the journal: each event once, in order, none left out.
+func (s *Server) applyLine(now float64, line []byte) error {
 	f := &s.endpoints
-	var gap, applies, whole bool
-	named := map[*peer]bool{}
+	var gap, applies, snapshot bool
+	listed := map[*node]bool{}
 	last, err := codec.Line(line, func(pos uint64, full bool) bool {
 		switch {
-		case pos <= f.pos: // told twice
+		case pos <= f.position: // told twice
 			return false
-		case pos > f.pos+1:
+		case pos > f.position+1:
 			gap = true
 			return false
 		}
-		f.pos, applies, whole = pos, true, full
+		f.position, applies, snapshot = pos, true, full
 		kind := logic.ListChanges
 		if full {
 			kind = logic.ListFull
 		}
 		s.host.ListBegin(now, kind)
 		return true
-	}, s.entry(named))
+	}, s.applyEntry(listed))
 	switch {
 	case err != nil:
 		return err
-	case gap || last > f.pos:
-		return errGap
+	case gap || last > f.position:
+		return errEventGap
 	}
 	if applies {
-		if whole {
+		if snapshot {
 			for _, p := range s.sortedNodes() {
-				if !named[p] {
-					p.avail = logic.Unavailable
-					s.shed(p)
+				if !listed[p] {
+					p.availability = logic.Unavailable
+					s.closeIdleConns(p)
 				}
 			}
 		}
 		s.host.ListEnd()
-		f.asked = false
+		f.pollRequested = false
 	}
 	return nil
 }
--- a/internal/platform/journal_test.go
+++ b/internal/platform/journal_test.go
@@ -73,7 +73,7 @@
 				r.journal.silent = i == 0
 				r.pass(500)
 				r.server.mu.Lock()
-				r.server.move(fmt.Sprint("journal:", 2+i))
+				r.server.setJournalAddress(fmt.Sprint("journal:", 2+i))
 				r.server.mu.Unlock()
 			}
 			r.pass(50)
@@ -84,8 +84,8 @@
 			other.silent = true
 			r.server.mu.Lock()
 			for range 5 {
-				r.server.move("journal:2")
-				r.server.move("journal:1")
+				r.server.setJournalAddress("journal:2")
+				r.server.setJournalAddress("journal:1")
 			}
 			r.server.mu.Unlock()
 			r.pass(50)
@@ -97,7 +97,7 @@
 			r.journal.events = append([]string(nil), old.events...)
 			old.silent = true
 			r.server.mu.Lock()
-			r.server.move("journal:2")
+			r.server.setJournalAddress("journal:2")
 			r.server.mu.Unlock()
 			r.pass(50)
 			r.journal.publish(gone, come)
@@ -120,7 +120,7 @@
 			if r.server.nodesByName["a"] != nil || r.server.nodesByName["b"] == nil {
 				t.Errorf("nodes known: %d", len(r.server.nodesByName))
 			}
-			if live := r.server.endpoints.watch.IsLive(r.process.Now()); !live || len(r.journal.requests) > 3 {
+			if live := r.server.endpoints.retrier.IsLive(r.process.Now()); !live || len(r.journal.requests) > 3 {
 				t.Errorf("live %v after %q", live, r.journal.requests)
 			}
 		})
--- a/internal/platform/links.go
+++ b/internal/platform/links.go
@@ -14,158 +14,158 @@
 	"ravenpond/logic"
 )
 
-// link is a connection to a node, or one that is being made. One request at a time is open on it while descriptors allow,
+// nodeConn is a connection to a node, or one that is being made. One request at a time is open on it while descriptors allow,
 // so that an answer that spoils the connection costs no other.
-type link struct {
-	s        *Server
-	peer     *peer
-	conn     env.Conn // nil while it is being made
-	in       []byte
-	requests []*request
-	given    map[uint64]bool // given up here: a late answer to them is no one else's
-	probe    uint32          // the probe that is open on it, 0: none
-	probeAt  float64
-	idle     float64 // since when nothing is open on it
-	spent    bool    // nothing new goes on it
-	gone     bool
-	closeAt  float64
+type nodeConn struct {
+	server      *Server
+	node        *node
+	conn        env.Conn // nil while it is being made
+	partial     []byte
+	requests    []*request
+	abandoned   map[uint64]bool // given up here: a late answer to them is no one else's
+	probeSeq    uint32          // the probe that is open on it, 0: none
+	probeSentAt float64
+	idleSince   float64 // since when nothing is open on it
+	draining    bool    // nothing new goes on it
+	closed      bool
+	closeAt     float64
 }
 
-// offer puts a request on a connection to its node: one where nothing is open, else a new one, else the least busy.
-func (s *Server) offer(a *request, p *peer) {
-	l := s.pick(p)
+// sendAttempt puts a request on a connection to its node: one where nothing is open, else a new one, else the least busy.
+func (s *Server) sendAttempt(a *request, p *node) {
+	l := s.pickConn(p)
 	if l == nil {
-		s.env.After(0, func() { s.unsent(a, a.attempt) })
+		s.env.After(0, func() { s.completeUnsent(a, a.attempt) })
 		return
 	}
 	l.requests = append(l.requests, a)
 	a.conn = l
 	if l.conn != nil {
-		l.setUp(a)
+		l.sendSetUp(a)
 	}
 }
 
-// unsent settles an attempt that never left this machine.
-func (s *Server) unsent(a *request, attempt uint8) {
+// completeUnsent settles an attempt that never left this machine.
+func (s *Server) completeUnsent(a *request, attempt uint8) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a.attempt == attempt && a.conn == nil {
-		s.settled(a, logic.NotSent, logic.ReasonUnknown, nil)
+		s.completeAttempt(a, logic.NotSent, logic.ReasonUnknown, nil)
 	}
 }
 
-// pick finds a connection for a message that wants an answer, or none.
-func (s *Server) pick(p *peer) *link {
-	var shared *link
+// pickConn finds a connection for a message that wants an answer, or none.
+func (s *Server) pickConn(p *node) *nodeConn {
+	var shared *nodeConn
 	now := s.env.Now()
-	for _, l := range p.links {
+	for _, l := range p.conns {
 		switch {
-		case l.spent || l.conn != nil && l.free() && !s.fresh(l, now):
-		case l.free():
-			if l.open() {
+		case l.draining || l.conn != nil && l.isIdle() && !s.isFresh(l, now):
+		case l.isIdle():
+			if l.isOpen() {
 				return l
 			}
-		case s.nodeConns >= s.limits.NodeConns && (shared == nil || len(l.requests) < len(shared.requests)) && l.open():
+		case s.nodeConns >= s.limits.NodeConns && (shared == nil || len(l.requests) < len(shared.requests)) && l.isOpen():
 			shared = l
 		}
 	}
 	if shared != nil {
 		return shared
 	}
-	if !s.room(now, budget.ForPlacement, p) {
+	if !s.reserveConn(now, budget.ForPlacement, p) {
 		return nil
 	}
 	return s.dial(p)
 }
 
-// room tells whether a connection to a node may be made, after another has given way if need be.
-func (s *Server) room(now float64, purpose budget.Purpose, p *peer) bool {
-	w := budget.NodeConnRequest{Purpose: purpose, Held: s.nodeConns, SinceCheck: p.watch.SinceContact(now)}
-	var gives *link
-	if w.Held >= s.limits.NodeConns {
-		w.Idle, w.Spare, gives = s.idlest(p)
+// reserveConn tells whether a connection to a node may be made, after another has given way if need be.
+func (s *Server) reserveConn(now float64, purpose budget.Purpose, p *node) bool {
+	wants := budget.NodeConnRequest{Purpose: purpose, Held: s.nodeConns, SinceCheck: p.failureDetector.SinceContact(now)}
+	var victim *nodeConn
+	if wants.Held >= s.limits.NodeConns {
+		wants.Idle, wants.Spare, victim = s.evictionCandidate(p)
 	}
-	switch s.limits.DecideNodeConn(w) {
+	switch s.limits.DecideNodeConn(wants) {
 	case budget.Skip:
 		return false
 	case budget.Replace:
-		gives.end(true)
+		victim.close(true)
 	}
 	return true
 }
 
-// idlest finds the connection that gives way for one to a node: one to that node itself, as the new one takes its place,
+// evictionCandidate finds the connection that gives way for one to a node: one to that node itself, as the new one takes its place,
 // else one that is spare, else any, each time the one that was idle for longest. It counts those that are idle too.
-func (s *Server) idlest(but *peer) (idle, spare int, first *link) {
+func (s *Server) evictionCandidate(requester *node) (idle, spare int, candidate *nodeConn) {
 	rank := 0
 	for _, p := range s.nodes {
-		for _, l := range p.links {
-			if l.conn == nil || !l.free() {
+		for _, l := range p.conns {
+			if l.conn == nil || !l.isIdle() {
 				continue
 			}
 			idle++
-			is := 1
+			connRank := 1
 			switch {
-			case p == but:
-				is = 3
-			case len(p.links) > 1 || len(p.running) == 0:
-				is = 2
+			case p == requester:
+				connRank = 3
+			case len(p.conns) > 1 || len(p.running) == 0:
+				connRank = 2
 			}
-			if is > 1 {
+			if connRank > 1 {
 				spare++
 			}
-			if first == nil || is > rank || is == rank && (l.idle < first.idle || l.idle == first.idle && p.id < first.peer.id) {
-				rank, first = is, l
+			if candidate == nil || connRank > rank || connRank == rank && (l.idleSince < candidate.idleSince || l.idleSince == candidate.idleSince && p.id < candidate.node.id) {
+				rank, candidate = connRank, l
 			}
 		}
 	}
-	return idle, spare, first
+	return idle, spare, candidate
 }
 
-// fresh tells whether a connection may still be used.
-func (s *Server) fresh(l *link, now float64) bool {
-	return connlimits.IsReusable(now-l.idle, s.settings.IdleFor)
+// isFresh tells whether a connection may still be used.
+func (s *Server) isFresh(l *nodeConn, now float64) bool {
+	return connlimits.IsReusable(now-l.idleSince, s.settings.IdleFor)
 }
 
-// open tells whether a connection is being made, or its node has not closed it: what is sent on one that is closed may be lost with it, or
+// isOpen tells whether a connection is being made, or its node has not closed it: what is sent on one that is closed may be lost with it, or
 // may not.
-func (l *link) open() bool { return l.conn == nil || !l.conn.PeerClosed() }
+func (l *nodeConn) isOpen() bool { return l.conn == nil || !l.conn.PeerClosed() }
 
-func (l *link) free() bool { return !l.spent && len(l.requests) == 0 && l.probe == 0 }
+func (l *nodeConn) isIdle() bool { return !l.draining && len(l.requests) == 0 && l.probeSeq == 0 }
 
 // dial begins a connection to a node.
-func (s *Server) dial(p *peer) *link {
-	l := &link{s: s, peer: p, idle: s.env.Now()}
-	p.links = append(p.links, l)
+func (s *Server) dial(p *node) *nodeConn {
+	l := &nodeConn{server: s, node: p, idleSince: s.env.Now()}
+	p.conns = append(p.conns, l)
 	s.nodeConns++
 	s.stats.dials++
-	s.env.Dial(p.address, s.settings.ConnectFor, func(c env.Conn, err error) { l.made(c, err) })
+	s.env.Dial(p.address, s.settings.ConnectFor, func(c env.Conn, err error) { l.onDialed(c, err) })
 	return l
 }
 
-// made hears how a dial ended.
-func (l *link) made(c env.Conn, err error) {
-	s := l.s
+// onDialed hears how a dial ended.
+func (l *nodeConn) onDialed(c env.Conn, err error) {
+	s := l.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer s.wake()
 	now := s.env.Now()
 	if err != nil {
-		s.trace("dial failed", 0, func(e *zerolog.Event) { e.Str("node", l.peer.name).Err(err) })
+		s.trace("dial failed", 0, func(e *zerolog.Event) { e.Str("node", l.node.name).Err(err) })
 		unmade := outcome.VerdictWithoutConnection()
 		if errors.Is(err, env.ErrExhausted) { // the want is this machine's own, and says nothing of the node
-			s.stats.spent++
-			l.peer.watch.OnProbeSkipped()
+			s.stats.dialsExhausted++
+			l.node.failureDetector.OnProbeSkipped()
 			unmade = logic.NotSent
 		} else {
-			s.stats.refused++
-			l.peer.watch.OnProbeFailed(now, errors.Is(err, env.ErrRefused))
+			s.stats.dialsFailed++
+			l.node.failureDetector.OnProbeFailed(now, errors.Is(err, env.ErrRefused))
 		}
-		l.forget()
-		l.settle(func(*request) logic.Outcome { return unmade }, logic.Unreachable)
+		l.remove()
+		l.completeAll(func(*request) logic.Outcome { return unmade }, logic.Unreachable)
 		return
 	}
-	if l.gone { // its node was taken away meanwhile
+	if l.closed { // its node was taken away meanwhile
 		c.Close(false, nil)
 		return
 	}
@@ -175,33 +175,33 @@
 		}
 	}
 	l.conn = c
-	l.idle = now
-	l.peer.watch.OnContact(now)
+	l.idleSince = now
+	l.node.failureDetector.OnContact(now)
 	c.Start(l, connlimits.WriteTimeout)
 	for _, a := range slices.Clone(l.requests) {
 		if now >= a.attemptDeadline { // what waited for it longer than it was decided for is void
-			l.drop(a)
-			s.settled(a, logic.NotSent, logic.ReasonUnknown, nil)
+			l.removeRequest(a)
+			s.completeAttempt(a, logic.NotSent, logic.ReasonUnknown, nil)
 			continue
 		}
-		l.setUp(a)
+		l.sendSetUp(a)
 	}
-	if l.probe != 0 {
-		l.test()
+	if l.probeSeq != 0 {
+		l.sendTest()
 	}
-	l.tellCuts(now)
-	if l.free() { // made to look: the node lives, and what it sends comes on this one as well
-		for _, x := range slices.Clone(l.peer.links) {
-			if x != l && x.conn != nil && x.free() {
-				x.end(true)
+	l.sendPendingStops(now)
+	if l.isIdle() { // made to look: the node lives, and what it sends comes on this one as well
+		for _, x := range slices.Clone(l.node.conns) {
+			if x != l && x.conn != nil && x.isIdle() {
+				x.close(true)
 			}
 		}
 	}
 }
 
-// setUp sends what is offered.
-func (l *link) setUp(a *request) {
-	left := a.attemptDeadline - l.s.env.Now()
+// sendSetUp sends what is offered.
+func (l *nodeConn) sendSetUp(a *request) {
+	left := a.attemptDeadline - l.server.env.Now()
 	sent, _, ok := l.conn.Send(func(b []byte) []byte {
 		before := len(b)
 		b = codec.AppendSetUp(b, a.task, a.jobClassName, a.name, a.key, a.description, left)
@@ -215,20 +215,20 @@
 	}
 }
 
-// drop takes a request off the connection.
-func (l *link) drop(a *request) {
-	l.requests = remove(l.requests, a)
+// removeRequest takes a request off the connection.
+func (l *nodeConn) removeRequest(a *request) {
+	l.requests = removeUnordered(l.requests, a)
 	a.conn = nil
-	l.idle = l.s.env.Now()
+	l.idleSince = l.server.env.Now()
 }
 
-// giveUp has an open request waited for no more. The connection is of no further use, as a late answer may come on it.
-func (s *Server) giveUp(a *request) {
+// cancelAttempt has an open request waited for no more. The connection is of no further use, as a late answer may come on it.
+func (s *Server) cancelAttempt(a *request) {
 	l := a.conn
 	if l == nil {
 		return
 	}
-	l.drop(a)
+	l.removeRequest(a)
 	if l.conn == nil {
 		return // not a byte of it left
 	}
@@ -237,29 +237,29 @@
 	}
 	l.expectLate(a.task)
 	l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, a.task, codec.Normal) })
-	l.spend(outcome.Linger())
+	l.drain(outcome.Linger())
 }
 
 // expectLate remembers a task whose answer may still come though it is waited for no more.
-func (l *link) expectLate(task uint64) {
-	if l.given == nil {
-		l.given = map[uint64]bool{}
+func (l *nodeConn) expectLate(task uint64) {
+	if l.abandoned == nil {
+		l.abandoned = map[uint64]bool{}
 	}
-	l.given[task] = true
-	if len(l.given) > connlimits.MaxPendingNodeEnds {
-		l.spend(outcome.Linger())
+	l.abandoned[task] = true
+	if len(l.abandoned) > connlimits.MaxPendingNodeEnds {
+		l.drain(outcome.Linger())
 	}
 }
 
-// spend has nothing new go on the connection, which ends when nothing is open on it, but not before so long.
-func (l *link) spend(linger float64) {
-	l.spent = true
-	l.closeAt = l.s.env.Now() + linger
+// drain has nothing new go on the connection, which ends when nothing is open on it, but not before so long.
+func (l *nodeConn) drain(linger float64) {
+	l.draining = true
+	l.closeAt = l.server.env.Now() + linger
 }
 
-func (l *link) tellCuts(now float64) {
-	cuts := l.peer.cuts
-	l.peer.cuts = nil
+func (l *nodeConn) sendPendingStops(now float64) {
+	cuts := l.node.pendingStops
+	l.node.pendingStops = nil
 	for _, c := range cuts {
 		if now < c.until {
 			l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, c.task, codec.Elsewhere) })
@@ -267,80 +267,80 @@
 	}
 }
 
-// probe tests a node.
-func (s *Server) probe(p *peer, seq uint32) {
-	var l *link
-	for _, x := range p.links { // a test's answer can be told from others: it may share
-		if !x.spent && x.probe == 0 && x.conn != nil && s.fresh(x, s.env.Now()) && x.open() {
+// sendProbe tests a node.
+func (s *Server) sendProbe(p *node, seq uint32) {
+	var l *nodeConn
+	for _, x := range p.conns { // a test's answer can be told from others: it may share
+		if !x.draining && x.probeSeq == 0 && x.conn != nil && s.isFresh(x, s.env.Now()) && x.isOpen() {
 			l = x
 			break
 		}
 	}
-	if l == nil && !s.room(s.env.Now(), budget.ForProbe, p) {
+	if l == nil && !s.reserveConn(s.env.Now(), budget.ForProbe, p) {
 		return // its time-out tells
 	}
 	if l == nil {
 		l = s.dial(p)
 	}
-	l.probe = seq
+	l.probeSeq = seq
 	if l.conn != nil {
-		l.test()
+		l.sendTest()
 	}
 }
 
-func (l *link) test() {
-	l.probeAt = l.s.env.Now()
-	l.conn.Send(func(b []byte) []byte { return codec.AppendTest(b, uint64(l.probe), true) })
+func (l *nodeConn) sendTest() {
+	l.probeSentAt = l.server.env.Now()
+	l.conn.Send(func(b []byte) []byte { return codec.AppendTest(b, uint64(l.probeSeq), true) })
 }
 
-// broke ends a connection under what is open on it.
-func (l *link) broke(why string) {
-	handed := l.conn.HandedOver()
-	l.s.trace("link broke", 0, func(e *zerolog.Event) {
-		e.Str("node", l.peer.name).Str("why", why).Int("open", len(l.requests)).Bool("spent", l.spent)
+// onBroken ends a connection under what is open on it.
+func (l *nodeConn) onBroken(cause string) {
+	handedOver := l.conn.HandedOver()
+	l.server.trace("link broke", 0, func(e *zerolog.Event) {
+		e.Str("node", l.node.name).Str("why", cause).Int("open", len(l.requests)).Bool("spent", l.draining)
 	})
-	l.finish(func(a *request) logic.Outcome { return outcome.VerdictAfterDisconnect(a.sentThrough <= handed) })
+	l.fail(func(a *request) logic.Outcome { return outcome.VerdictAfterDisconnect(a.sentThrough <= handedOver) })
 }
 
-// spoil ends a connection on which something came that can't be read.
-func (l *link) spoil() {
-	l.finish(func(*request) logic.Outcome { return outcome.VerdictAfterMalformed() })
+// onMalformed ends a connection on which something came that can't be read.
+func (l *nodeConn) onMalformed() {
+	l.fail(func(*request) logic.Outcome { return outcome.VerdictAfterMalformed() })
 }
 
-func (l *link) finish(verdict func(*request) logic.Outcome) {
-	l.forget()
+func (l *nodeConn) fail(verdict func(*request) logic.Outcome) {
+	l.remove()
 	l.conn.Close(false, nil)
-	l.settle(verdict, logic.ConnectionLost)
-	l.s.tether(l.s.env.Now(), l.peer)
-	l.s.wake()
+	l.completeAll(verdict, logic.ConnectionLost)
+	l.server.keepConnected(l.server.env.Now(), l.node)
+	l.server.wake()
 }
 
-// settle gives an outcome to all that was open on a connection that is no more.
-func (l *link) settle(verdict func(*request) logic.Outcome, probe logic.Outcome) {
+// completeAll gives an outcome to all that was open on a connection that is no more.
+func (l *nodeConn) completeAll(verdict func(*request) logic.Outcome, probeVerdict logic.Outcome) {
 	for _, a := range slices.Clone(l.requests) {
 		v := verdict(a)
-		l.drop(a)
-		l.s.settled(a, v, logic.ReasonUnknown, nil)
+		l.removeRequest(a)
+		l.server.completeAttempt(a, v, logic.ReasonUnknown, nil)
 	}
-	if l.probe != 0 {
-		l.s.host.OnProbeResult(l.s.env.Now(), l.peer.id, l.probe, probe, nil)
+	if l.probeSeq != 0 {
+		l.server.host.OnProbeResult(l.server.env.Now(), l.node.id, l.probeSeq, probeVerdict, nil)
 	}
 }
 
-// end closes a connection on which nothing is open.
-func (l *link) end(soft bool) {
-	l.forget()
+// close closes a connection on which nothing is open.
+func (l *nodeConn) close(graceful bool) {
+	l.remove()
 	if l.conn != nil {
-		l.conn.Close(soft, nil)
+		l.conn.Close(graceful, nil)
 	}
 }
 
-func (l *link) forget() {
-	if l.gone {
+func (l *nodeConn) remove() {
+	if l.closed {
 		return
 	}
-	l.gone = true
-	l.in = nil
-	l.s.nodeConns--
-	l.peer.links = remove(l.peer.links, l)
+	l.closed = true
+	l.partial = nil
+	l.server.nodeConns--
+	l.node.conns = removeUnordered(l.node.conns, l)
 }
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -299,8 +299,8 @@
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	for _, p := range r.server.nodes {
-		for _, l := range p.links {
-			l.spent = true
+		for _, l := range p.conns {
+			l.draining = true
 		}
 	}
 }
--- a/internal/platform/loopback_shutdown_test.go
+++ b/internal/platform/loopback_shutdown_test.go
@@ -90,7 +90,7 @@
 				r.until("half is read", func() bool {
 					return r.counted(func(s *Server) int {
 						for o := range s.clients {
-							return len(o.in)
+							return len(o.partial)
 						}
 						return 0
 					}) == 20
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -153,7 +153,7 @@
 				r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
 				r.node.send(7, codec.AppendEnd(nil, 7, codec.Normal))
 				if !other {
-					r.until("it is over", func() bool { return r.counted(func(s *Server) int { return s.stats.over }) > 0 })
+					r.until("it is over", func() bool { return r.counted(func(s *Server) int { return s.stats.ended }) > 0 })
 					y = r.dial()
 					serve(y, 9)
 				}
@@ -177,7 +177,7 @@
 			return r.counted(func(s *Server) int {
 				left := 0
 				for _, p := range s.nodes {
-					for _, l := range p.links {
+					for _, l := range p.conns {
 						if l.conn != nil && l.conn.PeerClosed() {
 							left++
 						}
@@ -267,7 +267,7 @@
 	r.until("it is heard", func() bool {
 		r.server.mu.Lock()
 		defer r.server.mu.Unlock()
-		return r.server.endpoints.watch.IsLive(r.env.Now())
+		return r.server.endpoints.retrier.IsLive(r.env.Now())
 	})
 	within()
 }
@@ -349,7 +349,7 @@
 					return r.counted(func(s *Server) int {
 						n := 0
 						for o := range s.clients {
-							n += len(o.in)
+							n += len(o.partial)
 						}
 						return n
 					}) == 30
--- a/internal/platform/notify.go
+++ b/internal/platform/notify.go
@@ -33,7 +33,7 @@
 	if a.client != nil && a.client.isOpen() && a.client.send(n.append) {
 		return
 	}
-	for _, c := range s.eachClient() {
+	for _, c := range s.sortedClients() {
 		if c.verified && c.isOpen() && c.send(n.append) {
 			return
 		}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -46,16 +46,16 @@
 	inboxSince           float64             // since when requests are taken out of it one after the other, 0: it was empty
 	requestsByAlloc      map[uint32]*request // by the host's number
 	requestsByTask       map[uint64]*request // by the client's
-	nodesByName          map[string]*peer
-	nodes                map[uint32]*peer
+	nodesByName          map[string]*node
+	nodes                map[uint32]*node
 	clients              map[*client]bool
 	clientsAccepted      uint64 // client connections ever
 	nodeConns            int    // connections to nodes, made or being made
-	endpoints            feed
-	probes               map[uint64]*link
+	endpoints            endpointWatch
+	probes               map[uint64]*nodeConn
 	pendingNotifications []notification // to clients of whom none is connected
 	reportBuffer         []float64
-	stats                counts
+	stats                stats
 	diagnostics          besteffort.Guard // round what is only said to people
 	provisionalClients   int              // client connections that are not let in
 	stopping             bool
@@ -74,9 +74,9 @@
 	allocID            uint32
 	task               uint64
 	tenant             int
-	client             *client // on whose connection it came; nil once that is gone
-	node               *peer   // where it was offered last
-	conn               *link   // on which that offer is open
+	client             *client   // on whose connection it came; nil once that is gone
+	node               *node     // where it was offered last
+	conn               *nodeConn // on which that offer is open
 	attempt            uint8
 	sentThrough        uint64 // bytes sent on that connection, this offer included; once the task runs, on its client's, the answer included
 	offerBytes         int    // of the offer
@@ -95,8 +95,8 @@
 func New(environment env.Environment, log zerolog.Logger, configuration *Configuration) *Server {
 	s := &Server{
 		env: environment, log: log, settings: configuration.Deployment, limits: budget.Divide(configuration.Sockets, configuration.MemoryMB), requestsByAlloc: map[uint32]*request{},
-		requestsByTask: map[uint64]*request{}, nodesByName: map[string]*peer{}, nodes: map[uint32]*peer{}, clients: map[*client]bool{},
-		probes: map[uint64]*link{}, done: make(chan struct{}), epochUnixMs: float64(env.Epoch.UnixMilli()),
+		requestsByTask: map[uint64]*request{}, nodesByName: map[string]*node{}, nodes: map[uint32]*node{}, clients: map[*client]bool{},
+		probes: map[uint64]*nodeConn{}, done: make(chan struct{}), epochUnixMs: float64(env.Epoch.UnixMilli()),
 	}
 	s.jobClassIndex, s.tenantIndex = indexByName(configuration.Deployment.JobTypes), indexByName(configuration.Deployment.Tenants)
 	s.zoneIndex, s.kindIndex = indexByName(configuration.Deployment.Zones), indexByName(configuration.Deployment.Kinds)
@@ -129,12 +129,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.env.Now()
-	s.host = host.New(edge{s}, now, configuration.Seed, configuration.Deployment.Cluster)
+	s.host = host.New(hostEffects{s}, now, configuration.Seed, configuration.Deployment.Cluster)
 	s.host.SetConnectTimeout(configuration.Deployment.ConnectFor)
-	if err := s.begin(now, configuration); err != nil {
+	if err := s.loadInitialEndpoints(now, configuration); err != nil {
 		return err
 	}
-	listener, err := s.env.Listen(configuration.Listen, s.accept)
+	listener, err := s.env.Listen(configuration.Listen, s.acceptClient)
 	if err != nil {
 		return fmt.Errorf("client listener: %w", err)
 	}
@@ -228,7 +228,7 @@
 	tight := s.overloadGate.IsOverloaded()
 	s.lagMonitor.OnTurn(dueAt, startedAt, endedAt)
 	behind := s.lagMonitor.Delay(endedAt)
-	s.stats.lag = max(s.stats.lag, behind)
+	s.stats.maxLag = max(s.stats.maxLag, behind)
 	if started > 0 {
 		since := startedAt
 		if s.inboxSince > 0 {
@@ -247,20 +247,20 @@
 }
 
 func (s *Server) tick(now float64) {
-	s.feedTick(now)
+	s.endpointTick(now)
 	for _, p := range s.sortedNodes() {
-		s.peerTick(now, p)
+		s.nodeTick(now, p)
 	}
 	s.clientsTick(now)
 	if now-s.lastStats > statsInterval {
 		s.lastStats = now
-		s.diagnostics.Do("counts", s.count)
+		s.diagnostics.Do("counts", s.logStats)
 	}
 }
 
 // sortedNodes is all nodes in an order of their own: the same news have the same effects.
-func (s *Server) sortedNodes() []*peer {
-	return slices.SortedFunc(maps.Values(s.nodes), func(x, y *peer) int { return cmp.Compare(x.id, y.id) })
+func (s *Server) sortedNodes() []*node {
+	return slices.SortedFunc(maps.Values(s.nodes), func(x, y *node) int { return cmp.Compare(x.id, y.id) })
 }
 
 // nodeID is the module's number of a node, the same at all schedulers: they take turns at a cold node by it.
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -80,7 +80,7 @@
 func moves(r *simRig) {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
-	edge{r.server}.NotifyMove(r.server.requestsByTask[7].allocID)
+	hostEffects{r.server}.NotifyMove(r.server.requestsByTask[7].allocID)
 }
 
 // TestFound takes over what nodes hold after a start; no answer is owed, its end is told.
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -60,6 +60,6 @@
 func (s *Server) ApplyConfiguration(c *Configuration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.move(c.Journal)
+	s.setJournalAddress(c.Journal)
 	s.wake()
 }
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -9,37 +9,37 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// counts are figures for the log.
-type counts struct {
-	taken, rejected, served, declined, failed, withdrawn, over, moved, found int
-	offers                                                                   int
-	verdicts                                                                 [8]int
-	dials, looks, refused, spent, spoilt, evicted, probes                    int
-	behind                                                                   int     // turned away as they could not be done in time
-	lag                                                                      float64 // the most since it was told
+// stats are figures for the log.
+type stats struct {
+	accepted, rejected, served, shed, failed, withdrawn, ended, moved, recovered int
+	attempts                                                                     int
+	verdicts                                                                     [8]int
+	dials, nodeChecks, dialsFailed, dialsExhausted, malformed, evicted, probes   int
+	shedBehind                                                                   int     // turned away as they could not be done in time
+	maxLag                                                                       float64 // the most since it was told
 }
 
-// count tells people how the scheduler fares.
-func (s *Server) count() {
+// logStats tells people how the scheduler fares.
+func (s *Server) logStats() {
 	c := &s.stats
-	ill, strained := 0, 0
+	unhealthy, degraded := 0, 0
 	for id := range s.nodes {
 		if b, ok := s.host.Belief(id); ok && b.Unhealthy {
-			ill++
+			unhealthy++
 		} else if ok && b.Degradation > 0.5 {
-			strained++
+			degraded++
 		}
 	}
 	reports, cores, memory := s.host.BeliefError()
 	s.log.Info().Str("mode", "counts").Int("open", s.host.OpenRequests()).Int("stands", s.host.RunningTasks()).Int("owners", len(s.clients)).
-		Int("links", s.nodeConns).Int("nodes", len(s.nodes)).Int("taken", c.taken).Int("turned", c.rejected).Int("behind", c.behind).
-		Float64("lag_ms", math.Round(c.lag)).Int("served", c.served).
-		Int("declined", c.declined).Int("failed", c.failed).Int("withdrawn", c.withdrawn).Int("over", c.over).Int("moved", c.moved).
-		Int("found", c.found).Int("offers", c.offers).Ints("verdicts", c.verdicts[:]).Int("dials", c.dials).Int("looks", c.looks).
-		Int("refused", c.refused).Int("spent", c.spent).Int("spoilt", c.spoilt).Int("expelled", c.evicted).Int("probes", c.probes).
-		Int("ill", ill).Int("strained", strained).Int("reports", reports).
+		Int("links", s.nodeConns).Int("nodes", len(s.nodes)).Int("taken", c.accepted).Int("turned", c.rejected).Int("behind", c.shedBehind).
+		Float64("lag_ms", math.Round(c.maxLag)).Int("served", c.served).
+		Int("declined", c.shed).Int("failed", c.failed).Int("withdrawn", c.withdrawn).Int("over", c.ended).Int("moved", c.moved).
+		Int("found", c.recovered).Int("offers", c.attempts).Ints("verdicts", c.verdicts[:]).Int("dials", c.dials).Int("looks", c.nodeChecks).
+		Int("refused", c.dialsFailed).Int("spent", c.dialsExhausted).Int("spoilt", c.malformed).Int("expelled", c.evicted).Int("probes", c.probes).
+		Int("ill", unhealthy).Int("strained", degraded).Int("reports", reports).
 		Float64("off_cores", math.Round(cores*10)/10).Float64("off_memory", math.Round(memory*10)/10).Msg("")
-	c.lag = 0
+	c.maxLag = 0
 }
 
 // trace tells of one message or effect, where the log's level wants it.
@@ -55,14 +55,14 @@
 	}
 }
 
-func (s *Server) traceNode(l *link, msg []byte) {
+func (s *Server) traceNode(l *nodeConn, msg []byte) {
 	s.trace("from node", codec.Task(msg), func(e *zerolog.Event) {
 		cause, _ := codec.CauseOf(msg)
 		word, _ := codec.Param(msg, codec.Word)
 		figure, _ := codec.Param(msg, codec.Figure)
 		report, _ := codec.Param(msg, codec.Report)
 		d, _ := codec.Param(msg, codec.Description)
-		e.Str("node", l.peer.name).Uint8("kind", codec.Kind(msg)).Uint8("cause", cause).Bytes("word", word).
+		e.Str("node", l.node.name).Uint8("kind", codec.Kind(msg)).Uint8("cause", cause).Bytes("word", word).
 			Bytes("figure", figure).Bytes("report", report).Bytes("d", d[:min(len(d), 80)])
 	})
 }
