--- a/internal/besteffort/besteffort.go
+++ b/internal/besteffort/besteffort.go
@@ -11,17 +11,17 @@
 // Guard runs diagnostics. One that panics is reported once, with its stack, and not run again. The zero value is ready to use. A Guard is
 // safe for concurrent use.
 type Guard struct {
-	// Tell reports which diagnostic was switched off and why. It may be nil.
-	Tell func(what, why string)
+	// Report reports which diagnostic was switched off and why. It may be nil.
+	Report func(what, why string)
 
 	mu  sync.Mutex
 	off map[string]bool
 }
 
 // Do runs the diagnostic of a name unless it has panicked before. It reports whether it completed.
-func (g *Guard) Do(what string, say func()) (ok bool) {
+func (g *Guard) Do(name string, run func()) (ok bool) {
 	g.mu.Lock()
-	off := g.off[what]
+	off := g.off[name]
 	g.mu.Unlock()
 	if off {
 		return false
@@ -32,16 +32,16 @@
 			return
 		}
 		g.mu.Lock()
-		first := !g.off[what]
+		first := !g.off[name]
 		if g.off == nil {
 			g.off = map[string]bool{}
 		}
-		g.off[what] = true
+		g.off[name] = true
 		g.mu.Unlock()
-		if first && g.Tell != nil {
-			g.Tell(what, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
+		if first && g.Report != nil {
+			g.Report(name, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
 		}
 	}()
-	say()
+	run()
 	return true
 }
--- a/internal/besteffort/besteffort_test.go
+++ b/internal/besteffort/besteffort_test.go
@@ -8,7 +8,7 @@
 
 func TestDo(t *testing.T) {
 	var told []string
-	f := Guard{Tell: func(what, why string) { told = append(told, what+": "+why) }}
+	f := Guard{Report: func(what, why string) { told = append(told, what+": "+why) }}
 	ran := 0
 	for range 3 {
 		f.Do("counts", func() { ran++; var none []int; _ = none[ran-1] })
@@ -25,7 +25,7 @@
 func TestMany(t *testing.T) {
 	var mu sync.Mutex
 	told := 0
-	f := Guard{Tell: func(string, string) { mu.Lock(); told++; mu.Unlock() }}
+	f := Guard{Report: func(string, string) { mu.Lock(); told++; mu.Unlock() }}
 	var all sync.WaitGroup
 	for range 8 {
 		all.Go(func() { f.Do("x", func() { panic("x") }) })
--- a/internal/lab/route/peers.go
+++ b/internal/lab/route/peers.go
@@ -152,8 +152,8 @@
 			continue
 		}
 		o.sim.result.Restored++
-		o.conn.send(message(codec.SetUp, t.id, codec.JobType, jobNames[t.job], codec.Left, expiry, codec.Tenant, "acme", codec.Name,
-			fmt.Sprintf("%016x", t.id), codec.Key, fmt.Sprintf("%032x", t.key), codec.Figures,
+		o.conn.send(message(codec.SetUp, t.id, codec.JobType, jobNames[t.job], codec.TimeLeft, expiry, codec.Tenant, "acme", codec.Name,
+			fmt.Sprintf("%016x", t.id), codec.Key, fmt.Sprintf("%032x", t.key), codec.Demand,
 			fmt.Sprintf("cores:1;memory:2;service:%016x;at:%s", t.service, t.node.name), codec.Description, "owner's"))
 	}
 }
@@ -188,8 +188,8 @@
 	g.result.Requests++
 	g.result.Jobs[t.job].Asks++
 	g.record(audit.Record{Kind: audit.RequestSent, Scheduler: s.name, RequestRef: t.id, Token: t.key, Job: t.job, Deadline: t.deadline + 50})
-	o.conn.send(message(codec.SetUp, t.id, codec.JobType, jobNames[t.job], codec.Left, expiry, codec.Tenant, "acme", codec.Name,
-		fmt.Sprintf("%016x", t.id), codec.Key, fmt.Sprintf("%032x", t.key), codec.Figures,
+	o.conn.send(message(codec.SetUp, t.id, codec.JobType, jobNames[t.job], codec.TimeLeft, expiry, codec.Tenant, "acme", codec.Name,
+		fmt.Sprintf("%016x", t.id), codec.Key, fmt.Sprintf("%032x", t.key), codec.Demand,
 		fmt.Sprintf("cores:1;memory:2;service:%016x", t.service), codec.Description, "owner's"))
 	if g.overload == nil && g.rng.IntN(60) == 0 { // it leaves with all that is open
 		g.clock.At(g.clock.TrueTime()+60*g.rng.Float64(), o.disconnect)
@@ -242,7 +242,7 @@
 		switch {
 		case t.running:
 			t.running = false
-		case cause == codec.Busy || cause == codec.Full || cause == codec.Moot:
+		case cause == codec.Busy || cause == codec.Full || cause == codec.NotStarted:
 			answer("declined")
 		default:
 			answer("failed")
@@ -391,7 +391,7 @@
 		g.fail(fmt.Sprintf("a set-up %x that no owner sent", id))
 		return
 	}
-	left, _ := codec.Number(msg, codec.Left)
+	left, _ := codec.Number(msg, codec.TimeLeft)
 	g.result.Starts++
 	try := t.attempts
 	t.attempts++
@@ -404,7 +404,7 @@
 	switch {
 	case draw < n.rejectRate || len(n.tasks) >= 28 || n.tasks[id] != nil:
 		n.conclude(id, r, "refused")
-		e.send(message(codec.End, id, codec.Cause, string(byte(codec.Full)), codec.Word, "no_cores", codec.Report, n.report()))
+		e.send(message(codec.End, id, codec.Cause, string(byte(codec.Full)), codec.Reason, "no_cores", codec.Report, n.report()))
 		return
 	}
 	n.tasks[id] = r
--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -79,7 +79,7 @@
 
 func (s *Server) traceRequest(task uint64, msg []byte) {
 	s.trace("set-up", task, func(e *zerolog.Event) {
-		for _, code := range []byte{codec.JobType, codec.Left, codec.Tenant, codec.Again, codec.Name, codec.Figures, codec.Key} {
+		for _, code := range []byte{codec.JobType, codec.TimeLeft, codec.Tenant, codec.Repeat, codec.Name, codec.Demand, codec.Key} {
 			v, _ := codec.Param(msg, code)
 			e.Bytes("p"+string('0'+code/10)+string('0'+code%10), v)
 		}
@@ -91,9 +91,9 @@
 // readRequest reads the fields that every request has, whether its task runs already or not.
 func (s *Server) readRequest(task uint64, msg []byte) (f requestFields, why *rejection) {
 	f.task = task
-	text, _ := codec.Param(msg, codec.Figures)
+	text, _ := codec.Param(msg, codec.Demand)
 	var err error
-	if f.cores, f.memory, f.service, f.runsAt, err = codec.Asked(text); err != nil {
+	if f.cores, f.memory, f.service, f.runsAt, err = codec.ParseDemand(text); err != nil {
 		return f, invalid(err.Error())
 	}
 	var okJob, okTenant, okName, okKey bool
@@ -118,9 +118,9 @@
 // acceptRequest puts a request into the inbox, if there is room for it and time to serve it.
 func (c *client) acceptRequest(now float64, f requestFields, msg []byte) *rejection {
 	s := c.server
-	left, okLeft := codec.Number(msg, codec.Left)
+	left, okLeft := codec.Number(msg, codec.TimeLeft)
 	description, okDescription := codec.Param(msg, codec.Description)
-	if !okLeft || !connlimits.IsPlausibleWait(left, s.settings.Expiry[f.jobClass]) || !okDescription || len(description) == 0 {
+	if !okLeft || !connlimits.IsPlausibleWait(left, s.settings.Deadlines[f.jobClass]) || !okDescription || len(description) == 0 {
 		return invalid("time left or description")
 	}
 	c.active, c.requested = true, true
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -228,7 +228,7 @@
 		if a != nil && (a.running || a.client == c) { // else it is over, or belongs to another connection
 			s.withdraw(a)
 		}
-	case codec.Progress, codec.EndHeard, codec.Note, codec.Tested:
+	case codec.Progress, codec.EndAck, codec.Note, codec.Tested:
 	default:
 		c.evict("unexpected message type")
 	}
--- a/internal/platform/configuration.go
+++ b/internal/platform/configuration.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := known.OnSockets(); err != nil {
+	if err := known.ValidateForSockets(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return &Configuration{
--- a/internal/platform/configuration_test.go
+++ b/internal/platform/configuration_test.go
@@ -41,7 +41,7 @@
 		r.configuration.InitialEvents = []byte(`{"pos":1,"entries":[` + first + `]}`)
 		r.start()
 		x := r.dial()
-		x.send(setUp(6, "batch", codec.Figures, demandText+";at:a"))
+		x.send(setUp(6, "batch", codec.Demand, demandText+";at:a"))
 		r.pass(200)
 		r.nodes["a"].conns[len(r.nodes["a"].conns)-1].send(message(codec.End, 6, codec.Cause, string(byte(codec.Normal)), codec.Report, "x0:3;x1:9"))
 		x.request(7, "single")
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -66,7 +66,7 @@
 				}
 			}
 			for i, name := range names {
-				x.send(setUp(uint64(1000+i), "single", codec.Figures, demandText+";at:"+name))
+				x.send(setUp(uint64(1000+i), "single", codec.Demand, demandText+";at:"+name))
 				r.nodes[name].running[uint64(1000+i)] = true
 			}
 			for i := range 200 {
@@ -153,7 +153,7 @@
 	r.server.limits.Held = 20
 	x := r.dial()
 	for task := range uint64(60) {
-		x.send(setUp(task+1, "batch", codec.Figures, demandText+";at:a"))
+		x.send(setUp(task+1, "batch", codec.Demand, demandText+";at:a"))
 	}
 	x.request(100, "batch")
 	r.pass(500)
--- a/internal/platform/early_end_test.go
+++ b/internal/platform/early_end_test.go
@@ -38,12 +38,12 @@
 // early is what a node sends before its answer: notes, if the task ran for a while, and its end.
 func early(task uint64, cause byte, word string, notes bool) (b []byte) {
 	if notes {
-		b = append(b, message(codec.Note, task, codec.Word, "cores", codec.Figure, "0.6")...)
+		b = append(b, message(codec.Note, task, codec.Reason, "cores", codec.Value, "0.6")...)
 	}
 	if word == "" {
 		return append(b, codec.AppendEnd(nil, task, cause)...)
 	}
-	return append(b, message(codec.End, task, codec.Cause, string(rune(cause)), codec.Word, word)...)
+	return append(b, message(codec.End, task, codec.Cause, string(rune(cause)), codec.Reason, word)...)
 }
 
 // TestEndBeforeAnswer has a node end a task before its answer, which follows late, never, or in the same moment. The end of a run gives the
@@ -116,7 +116,7 @@
 		n.onSetUp = func(e *testConn, task uint64) {
 			switch attempts++; attempts {
 			case 1: // it runs, and says so, but is never answered: it times out
-				e.send(message(codec.Note, task, codec.Word, "cores", codec.Figure, "0.6"))
+				e.send(message(codec.Note, task, codec.Reason, "cores", codec.Value, "0.6"))
 			case 2:
 				e.send(codec.AppendEnd(nil, task, codec.Full))
 			default:
--- a/internal/platform/endpoint_watch.go
+++ b/internal/platform/endpoint_watch.go
@@ -37,7 +37,7 @@
 func (s *Server) loadInitialEndpoints(now float64, c *Configuration) error {
 	s.endpoints.address = c.Journal
 	s.host.ListBegin(now, logic.ListCached)
-	last, err := codec.Known(c.InitialEvents, func(pos uint64, _ bool) bool { s.endpoints.position = max(s.endpoints.position, pos); return true }, s.applyEntry(nil))
+	last, err := codec.ReadInitialEvents(c.InitialEvents, func(pos uint64, _ bool) bool { s.endpoints.position = max(s.endpoints.position, pos); return true }, s.applyEntry(nil))
 	if err != nil {
 		return err
 	}
@@ -223,7 +223,7 @@
 	f := &s.endpoints
 	var gap, applies, snapshot bool
 	listed := map[*node]bool{}
-	last, err := codec.Line(line, func(pos uint64, full bool) bool {
+	last, err := codec.ReadLine(line, func(pos uint64, full bool) bool {
 		switch {
 		case pos <= f.position: // told twice
 			return false
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -112,7 +112,7 @@
 		effects: effects, roundInterval: cluster.MinRoundInterval, maxAttempts: cluster.MaxAttempts, now: now, lastRound: math.Inf(-1), allocations: map[uint32]*allocation{},
 		probes: map[uint32]pendingProbe{}, probeTimeout: outcome.ProbeTimeout(),
 	}
-	h.diagnostics.Tell = func(what, why string) { h.effects.LogLine("words: " + what + " switched off: " + why) }
+	h.diagnostics.Report = func(what, why string) { h.effects.LogLine("words: " + what + " switched off: " + why) }
 	h.supervisor.init(now, seed, cluster)
 	h.module = logic.New(moduleEffects{h}, now, seed, cluster)
 	return h
--- a/internal/platform/node_conns.go
+++ b/internal/platform/node_conns.go
@@ -124,7 +124,7 @@
 
 // isFresh tells whether a connection may still be used.
 func (s *Server) isFresh(l *nodeConn, now float64) bool {
-	return connlimits.IsReusable(now-l.idleSince, s.settings.IdleFor)
+	return connlimits.IsReusable(now-l.idleSince, s.settings.IdleTimeout)
 }
 
 // isOpen tells whether a connection is being made, or its node has not closed it: what is sent on one that is closed may be lost with it, or
@@ -139,7 +139,7 @@
 	p.conns = append(p.conns, l)
 	s.nodeConns++
 	s.stats.dials++
-	s.env.Dial(p.address, s.settings.ConnectFor, func(c env.Conn, err error) { l.onDialed(c, err) })
+	s.env.Dial(p.address, s.settings.ConnectTimeout, func(c env.Conn, err error) { l.onDialed(c, err) })
 	return l
 }
 
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -19,7 +19,7 @@
 		single string
 	}{
 		{"full", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.Full)) }, "again", "again"},
-		{"moot", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.Moot)) }, "again", "again"},
+		{"moot", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.NotStarted)) }, "again", "again"},
 		{"error", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.Errored)) }, "again", "end 41"},
 		{"broken on its way", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.Reset)) }, "again", "end 41"},
 		{"a normal end", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.Normal)) }, "end 42", "end 41"},
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -62,24 +62,24 @@
 		if !ok {
 			return codec.ErrUnreadable
 		}
-		s.reportBuffer = codec.Load(msg, s.settings.Cluster.ReportFields, s.reportBuffer[:0])
+		s.reportBuffer = codec.ParseReport(msg, s.settings.Cluster.ReportFields, s.reportBuffer[:0])
 		a := s.requestsByTask[task]
 		switch {
 		case a == nil || a.node != l.node:
-		case a.conn == l && cause == codec.Normal && codec.Described(msg): // it stood and ended in one
+		case a.conn == l && cause == codec.Normal && codec.HasDescription(msg): // it stood and ended in one
 			if err := l.onAnswer(now, task, msg); err != nil {
 				return err
 			}
 			if a.running {
-				s.completeAttempt(a, codec.After(cause), codec.Why(msg), s.reportBuffer)
+				s.completeAttempt(a, codec.VerdictOfRunning(cause), codec.ReasonOf(msg), s.reportBuffer)
 			}
 		case a.conn == l:
-			l.onEarlyEnd(now, a, cause, codec.Why(msg))
+			l.onEarlyEnd(now, a, cause, codec.ReasonOf(msg))
 		case a.running:
-			s.completeAttempt(a, codec.After(cause), codec.Why(msg), s.reportBuffer)
+			s.completeAttempt(a, codec.VerdictOfRunning(cause), codec.ReasonOf(msg), s.reportBuffer)
 		}
 	case codec.Note:
-		kind, value, ok := codec.Noted(msg)
+		kind, value, ok := codec.ParseNote(msg)
 		if a := s.requestsByTask[task]; ok && a != nil && a.node == l.node && (a.running || a.conn == l) {
 			s.host.OnNote(now, a.allocID, kind, value)
 		}
@@ -94,10 +94,10 @@
 			if cause == 0 {
 				v = logic.Errored
 			}
-			s.reportBuffer = codec.Load(msg, s.settings.Cluster.ReportFields, s.reportBuffer[:0])
+			s.reportBuffer = codec.ParseReport(msg, s.settings.Cluster.ReportFields, s.reportBuffer[:0])
 			s.host.OnProbeResult(now, l.node.id, uint32(task), v, s.reportBuffer)
 		}
-	case codec.Progress, codec.EndHeard:
+	case codec.Progress, codec.EndAck:
 	default:
 		return codec.ErrUnreadable
 	}
@@ -149,7 +149,7 @@
 // node is then told to end the task, as the client has its final answer.
 func (l *nodeConn) onEarlyEnd(now float64, a *request, cause byte, reason logic.Reason) {
 	l.removeRequest(a)
-	end := outcome.EarlyEnd{Unstarted: codec.Before(cause), Started: codec.After(cause), Reason: reason}
+	end := outcome.EarlyEnd{Unstarted: codec.VerdictBeforeAnswer(cause), Started: codec.VerdictOfRunning(cause), Reason: reason}
 	l.server.trace("ended early", a.task, func(e *zerolog.Event) { e.Str("node", l.node.name).Uint8("cause", cause).Uint8("why", uint8(reason)) })
 	l.server.stats.verdicts[end.Unstarted]++
 	if l.server.host.OnEarlyEnd(now, a.allocID, a.attempt, end, l.server.reportBuffer) {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -98,16 +98,16 @@
 		requestsByTask: map[uint64]*request{}, nodesByName: map[string]*node{}, nodes: map[uint32]*node{}, clients: map[*client]bool{},
 		probes: map[uint64]*nodeConn{}, done: make(chan struct{}), epochUnixMs: float64(env.Epoch.UnixMilli()),
 	}
-	s.jobClassIndex, s.tenantIndex = indexByName(configuration.Deployment.JobTypes), indexByName(configuration.Deployment.Tenants)
+	s.jobClassIndex, s.tenantIndex = indexByName(configuration.Deployment.JobClasses), indexByName(configuration.Deployment.Tenants)
 	s.zoneIndex, s.kindIndex = indexByName(configuration.Deployment.Zones), indexByName(configuration.Deployment.Kinds)
-	s.diagnostics.Tell = func(what, why string) {
+	s.diagnostics.Report = func(what, why string) {
 		log.Error().Str("mode", "words").Str("what", what).Str("why", why).Msg("switched off")
 	}
-	shares := configuration.Deployment.Shares
+	shares := configuration.Deployment.Quotas
 	if len(shares) == 0 {
 		shares = []float64{1}
 	}
-	s.admission = admission.New(min(s.limits.Open, configuration.Deployment.OpenMost), shares)
+	s.admission = admission.New(min(s.limits.Open, configuration.Deployment.MaxOpen), shares)
 	minObjective := math.Inf(1)
 	for _, j := range configuration.Deployment.Cluster.JobClasses {
 		minObjective = min(minObjective, j.LatencyObjective)
@@ -130,7 +130,7 @@
 	defer s.mu.Unlock()
 	now := s.env.Now()
 	s.host = host.New(hostEffects{s}, now, configuration.Seed, configuration.Deployment.Cluster)
-	s.host.SetConnectTimeout(configuration.Deployment.ConnectFor)
+	s.host.SetConnectTimeout(configuration.Deployment.ConnectTimeout)
 	if err := s.loadInitialEndpoints(now, configuration); err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 	defer s.mu.Unlock()
 	if !s.stopping {
 		s.stopping, s.stopRequestedAt = true, s.env.Now()
-		s.shutdownPlan = shutdown.NewPlan(s.stopRequestedAt, slices.Max(s.settings.Expiry))
+		s.shutdownPlan = shutdown.NewPlan(s.stopRequestedAt, slices.Max(s.settings.Deadlines))
 		s.log.Info().Str("mode", "stop").Int("open", s.host.OpenRequests()).Int("stands", s.host.RunningTasks()).Msg("told to end")
 	}
 	s.wake()
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -87,9 +87,9 @@
 func TestFound(t *testing.T) {
 	r := startRig(t, "a")
 	x := r.dial()
-	x.send(setUp(7, "single", codec.Figures, demandText+";at:a"))
-	x.send(setUp(7, "single", codec.Figures, demandText+";at:a"))
-	x.send(setUp(8, "single", codec.Figures, demandText+";at:nowhere"))
+	x.send(setUp(7, "single", codec.Demand, demandText+";at:a"))
+	x.send(setUp(7, "single", codec.Demand, demandText+";at:a"))
+	x.send(setUp(8, "single", codec.Demand, demandText+";at:nowhere"))
 	r.pass(4000)
 	x.want("nothing but for the one nowhere", "8 end 41")
 	if len(r.nodes["a"].conns) == 0 {
--- a/internal/platform/sim_rig_test.go
+++ b/internal/platform/sim_rig_test.go
@@ -243,8 +243,8 @@
 // setUp is a client's set-up; more parameters take the place of those with the same code.
 func setUp(task uint64, job string, more ...any) []byte {
 	params := []any{
-		codec.JobType, job, codec.Left, "2500", codec.Tenant, "acme", codec.Name, fmt.Sprintf("%016x", task), codec.Key,
-		strings.Repeat("5c", 16), codec.Figures, demandText, codec.Description, "owner's",
+		codec.JobType, job, codec.TimeLeft, "2500", codec.Tenant, "acme", codec.Name, fmt.Sprintf("%016x", task), codec.Key,
+		strings.Repeat("5c", 16), codec.Demand, demandText, codec.Description, "owner's",
 	}
 	for i := 0; i < len(more); i += 2 {
 		for j := 0; j < len(params); j += 2 {
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -89,17 +89,17 @@
 	x := r.dial()
 	ask := func() {
 		task++
-		job := rng.IntN(len(known.JobTypes))
-		more := []any{codec.Left, fmt.Sprint(int(known.Expiry[job]))}
+		job := rng.IntN(len(known.JobClasses))
+		more := []any{codec.TimeLeft, fmt.Sprint(int(known.Deadlines[job]))}
 		if len(known.Tenants) > 0 {
 			more = append(more, codec.Tenant, known.Tenants[rng.IntN(len(known.Tenants))])
 		}
-		b := setUp(task, known.JobTypes[job], more...)
+		b := setUp(task, known.JobClasses[job], more...)
 		if len(known.Tenants) == 0 { // a customer without tenants names none
-			b = message(codec.SetUp, task, codec.JobType, known.JobTypes[job], codec.Left, fmt.Sprint(int(known.Expiry[job])), codec.Name,
-				fmt.Sprintf("%016x", task), codec.Key, strings.Repeat("5c", 16), codec.Figures, demandText, codec.Description, "owner's")
+			b = message(codec.SetUp, task, codec.JobType, known.JobClasses[job], codec.TimeLeft, fmt.Sprint(int(known.Deadlines[job])), codec.Name,
+				fmt.Sprintf("%016x", task), codec.Key, strings.Repeat("5c", 16), codec.Demand, demandText, codec.Description, "owner's")
 		}
-		a := &request{x: x, job: job, until: r.clock.TrueTime() + known.Expiry[job]}
+		a := &request{x: x, job: job, until: r.clock.TrueTime() + known.Deadlines[job]}
 		all[task] = a
 		x.send(b)
 		if rng.IntN(15) == 0 { // it leaves with all that is open
@@ -152,7 +152,7 @@
 		r.pass(50)
 	}
 	longest := 0.0
-	for _, e := range known.Expiry {
+	for _, e := range known.Deadlines {
 		longest = max(longest, e)
 	}
 	for ended := false; !ended; r.pass(10) {
@@ -188,7 +188,7 @@
 			}
 		}
 		if words == 0 && !a.left {
-			t.Errorf("%d (%s) of a client that stayed was never answered", id, known.JobTypes[a.job])
+			t.Errorf("%d (%s) of a client that stayed was never answered", id, known.JobClasses[a.job])
 		}
 	}
 	if float64(served) < 0.85*float64(count) || count < 200 {
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -58,8 +58,8 @@
 func (s *Server) traceNode(l *nodeConn, msg []byte) {
 	s.trace("from node", codec.Task(msg), func(e *zerolog.Event) {
 		cause, _ := codec.CauseOf(msg)
-		word, _ := codec.Param(msg, codec.Word)
-		figure, _ := codec.Param(msg, codec.Figure)
+		word, _ := codec.Param(msg, codec.Reason)
+		figure, _ := codec.Param(msg, codec.Value)
 		report, _ := codec.Param(msg, codec.Report)
 		d, _ := codec.Param(msg, codec.Description)
 		e.Str("node", l.node.name).Uint8("kind", codec.Kind(msg)).Uint8("cause", cause).Bytes("word", word).
--- a/internal/proto/platform/journal.go
+++ b/internal/proto/platform/journal.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// Line reads a line of the journal service: an event, or the last number alone. All of an event is checked before the
+// ReadLine reads a line of the journal service: an event, or the last number alone. All of an event is checked before the
 // first of its entries is given, so that half of one is never taken.
-func Line(line []byte, begin func(pos uint64, whole bool) bool, entry Entry) (last uint64, err error) {
+func ReadLine(line []byte, begin func(pos uint64, whole bool) bool, entry Entry) (last uint64, err error) {
 	line = bytes.TrimSpace(line)
 	if len(line) > 0 && line[0] != '{' {
 		last, err = strconv.ParseUint(string(line[:min(len(line), 32)]), 10, 64)
@@ -43,11 +43,11 @@
 	if e.Hosts == nil && e.Pos > 0 { // the count of every second
 		return e.Pos, nil
 	}
-	return e.Pos, e.give(begin, entry)
+	return e.Pos, e.apply(begin, entry)
 }
 
-// Known reads the events that a scheduler is given at its start.
-func Known(text []byte, begin func(pos uint64, whole bool) bool, entry Entry) (last uint64, err error) {
+// ReadInitialEvents reads the events that a scheduler is given at its start.
+func ReadInitialEvents(text []byte, begin func(pos uint64, whole bool) bool, entry Entry) (last uint64, err error) {
 	var k struct {
 		Pos     uint64
 		Entries []event
@@ -56,7 +56,7 @@
 		return 0, fmt.Errorf("%w: known events: %w", ErrUnreadable, err)
 	}
 	for i := range k.Entries {
-		if err := k.Entries[i].give(begin, entry); err != nil {
+		if err := k.Entries[i].apply(begin, entry); err != nil {
 			return 0, err
 		}
 	}
@@ -64,16 +64,16 @@
 }
 
 // Words of a node's state, in the module's order.
-var states = [...]string{"gone", "ready", "draining"}
+var availabilityWords = [...]string{"gone", "ready", "draining"}
 
-func (e *event) give(begin func(pos uint64, whole bool) bool, entry Entry) error {
+func (e *event) apply(begin func(pos uint64, whole bool) bool, entry Entry) error {
 	if e.Pos == 0 || e.Hosts == nil {
 		return fmt.Errorf("%w: event %d of the journal without number or nodes", ErrUnreadable, e.Pos)
 	}
 	avail := make([]logic.Availability, len(e.Hosts.Endpoints))
 	for i, x := range e.Hosts.Endpoints {
 		a := -1
-		for s, word := range states {
+		for s, word := range availabilityWords {
 			if x.Status == word {
 				a = s
 			}
--- a/internal/proto/platform/journal_test.go
+++ b/internal/proto/platform/journal_test.go
@@ -60,7 +60,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := told{takes: c.takes}
-			last, err := Line([]byte(c.line), x.begin, x.entry)
+			last, err := ReadLine([]byte(c.line), x.begin, x.entry)
 			if c.bad {
 				if !errors.Is(err, ErrUnreadable) || !strings.Contains(err.Error(), c.want) || len(x.lines) > 0 {
 					t.Errorf("error %v, want one with %q; taken: %q", err, c.want, x.lines)
@@ -76,13 +76,13 @@
 
 func TestKnown(t *testing.T) {
 	x := told{takes: true}
-	last, err := Known([]byte(`{"pos":3,"entries":[{"pos":1,"hosts":{"snapshot":true,"endpoints":[`+node+`]}},{"pos":2,"hosts":`+
+	last, err := ReadInitialEvents([]byte(`{"pos":3,"entries":[{"pos":1,"hosts":{"snapshot":true,"endpoints":[`+node+`]}},{"pos":2,"hosts":`+
 		`{"endpoints":[]}}]}`), x.begin, x.entry)
 	if got := strings.Join(x.lines, ", "); err != nil || last != 3 || !strings.HasPrefix(got, "event 1 true, s-1 ") ||
 		!strings.HasSuffix(got, "event 2 false") {
 		t.Errorf("%q, last %d, %v", got, last, err)
 	}
-	if _, err := Known([]byte(`[`), x.begin, x.entry); !errors.Is(err, ErrUnreadable) {
+	if _, err := ReadInitialEvents([]byte(`[`), x.begin, x.entry); !errors.Is(err, ErrUnreadable) {
 		t.Errorf("torn: %v", err)
 	}
 }
@@ -93,7 +93,7 @@
 	f.Add([]byte(`41`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		x := told{takes: true}
-		if _, err := Line(line, x.begin, x.entry); err != nil && len(x.lines) > 0 {
+		if _, err := ReadLine(line, x.begin, x.entry); err != nil && len(x.lines) > 0 {
 			t.Errorf("%v after %q", err, x.lines)
 		}
 	})
--- a/internal/proto/platform/messages.go
+++ b/internal/proto/platform/messages.go
@@ -14,8 +14,8 @@
 	"ravenpond/logic"
 )
 
-// Most is the size of the largest message, its length field included.
-const Most = 16 << 10
+// MaxMessage is the size of the largest message, its length field included.
+const MaxMessage = 16 << 10
 
 const (
 	lengthSize = 2
@@ -29,7 +29,7 @@
 	Progress = 6
 	Answer   = 9
 	End      = 12
-	EndHeard = 16
+	EndAck   = 16
 	Note     = 44
 	Move     = 51
 	Test     = 52
@@ -39,14 +39,14 @@
 // Codes of parameters.
 const (
 	JobType     = 3
-	Left        = 5
+	TimeLeft    = 5
 	Tenant      = 7
-	Again       = 9
+	Repeat      = 9
 	Name        = 11
-	Figures     = 13
-	Word        = 17
+	Demand      = 13
+	Reason      = 17
 	Report      = 21
-	Figure      = 27
+	Value       = 27
 	Key         = 29
 	Cause       = 31
 	Description = 33
@@ -54,35 +54,35 @@
 
 // Causes of an end.
 const (
-	Normal    = 16 // as it should, or given up
-	Elsewhere = 31
-	Full      = 34
-	Reset     = 41
-	Busy      = 42
-	Errored   = 47
-	Moot      = 102
+	Normal     = 16 // as it should, or given up
+	Elsewhere  = 31
+	Full       = 34
+	Reset      = 41
+	Busy       = 42
+	Errored    = 47
+	NotStarted = 102
 )
 
 // ErrUnreadable is what a message is that can't be read. The connection that it came on is of no further use.
 var ErrUnreadable = errors.New("unreadable")
 
 // Next finds the first message in b and how many bytes it takes with its length; 0 if it is not there in full.
-func Next(b []byte) (msg []byte, took int, err error) {
+func Next(b []byte) (msg []byte, size int, err error) {
 	if len(b) < lengthSize {
 		return nil, 0, nil
 	}
 	n := int(binary.BigEndian.Uint16(b))
-	if n < headSize || n+lengthSize > Most {
+	if n < headSize || n+lengthSize > MaxMessage {
 		return nil, 0, fmt.Errorf("%w: a message of %d bytes", ErrUnreadable, n)
 	}
 	if len(b) < lengthSize+n {
-		if len(b) > lengthSize && !known(b[lengthSize]) { // no need to wait for the rest
+		if len(b) > lengthSize && !isKnownKind(b[lengthSize]) { // no need to wait for the rest
 			return nil, 0, fmt.Errorf("%w: a message of kind %d", ErrUnreadable, b[lengthSize])
 		}
 		return nil, 0, nil
 	}
 	msg = b[lengthSize : lengthSize+n]
-	if !known(msg[0]) {
+	if !isKnownKind(msg[0]) {
 		return nil, 0, fmt.Errorf("%w: a message of kind %d", ErrUnreadable, msg[0])
 	}
 	for p := msg[headSize:]; len(p) > 0; {
@@ -98,9 +98,9 @@
 	return msg, lengthSize + n, nil
 }
 
-func known(kind byte) bool {
+func isKnownKind(kind byte) bool {
 	switch kind {
-	case SetUp, Progress, Answer, End, EndHeard, Note, Move, Test, Tested:
+	case SetUp, Progress, Answer, End, EndAck, Note, Move, Test, Tested:
 		return true
 	}
 	return false
@@ -136,8 +136,8 @@
 	return 0, false
 }
 
-// Described tells whether a message brings a description.
-func Described(msg []byte) bool {
+// HasDescription tells whether a message brings a description.
+func HasDescription(msg []byte) bool {
 	v, ok := Param(msg, Description)
 	return ok && len(v) > 0
 }
@@ -148,10 +148,10 @@
 	if !ok {
 		return 0, false
 	}
-	return number(v)
+	return parseNumber(v)
 }
 
-func number(v []byte) (float64, bool) {
+func parseNumber(v []byte) (float64, bool) {
 	if len(v) == 0 || len(v) > 32 {
 		return 0, false
 	}
@@ -180,8 +180,8 @@
 	return true
 }
 
-// Asked reads what a set-up asks for. at names the node that holds the task already, if one does.
-func Asked(text []byte) (cores, memory float64, service uint64, at string, err error) {
+// ParseDemand reads what a set-up asks for. at names the node that holds the task already, if one does.
+func ParseDemand(text []byte) (cores, memory float64, service uint64, at string, err error) {
 	var has [3]bool
 	for len(text) > 0 {
 		var field []byte
@@ -193,10 +193,10 @@
 		place := -1
 		switch string(word) {
 		case "cores":
-			cores, ok = number(value)
+			cores, ok = parseNumber(value)
 			place, ok = 0, ok && cores > 0
 		case "memory":
-			memory, ok = number(value)
+			memory, ok = parseNumber(value)
 			place, ok = 1, ok && memory > 0
 		case "service":
 			if ok = isHex(value, 16); ok {
@@ -222,8 +222,8 @@
 	return cores, memory, service, at, nil
 }
 
-// Load reads a load report's values in the order of the fields, appended to into; nothing if one is missing.
-func Load(msg []byte, fields []string, into []float64) []float64 {
+// ParseReport reads a load report's values in the order of the fields, appended to into; nothing if one is missing.
+func ParseReport(msg []byte, fields []string, into []float64) []float64 {
 	text, ok := Param(msg, Report)
 	if !ok || len(fields) == 0 {
 		return into
@@ -236,7 +236,7 @@
 			field, rest, _ = bytes.Cut(rest, []byte(";"))
 			if word, value, _ := bytes.Cut(field, []byte(":")); string(word) == f {
 				var v float64
-				if v, found = number(value); found {
+				if v, found = parseNumber(value); found {
 					into = append(into, v)
 				}
 				break
@@ -251,14 +251,14 @@
 
 // reasons and notes are the words of the module's, in its order.
 var (
-	reasons = [...]string{"", "no_cores", "no_memory", "queue_full", "not_here", "evicted", "pushed_out", "sent_away"}
-	notes   = [...]string{"", "runs", "cores", "memory", "served", "pressure"}
+	reasonWords = [...]string{"", "no_cores", "no_memory", "queue_full", "not_here", "evicted", "pushed_out", "sent_away"}
+	noteWords   = [...]string{"", "runs", "cores", "memory", "served", "pressure"}
 )
 
-// Why is the reason that an end gives.
-func Why(msg []byte) logic.Reason {
-	v, _ := Param(msg, Word)
-	for i, w := range reasons {
+// ReasonOf is the reason that an end gives.
+func ReasonOf(msg []byte) logic.Reason {
+	v, _ := Param(msg, Reason)
+	for i, w := range reasonWords {
 		if string(v) == w {
 			return logic.Reason(i)
 		}
@@ -266,24 +266,24 @@
 	return logic.ReasonUnknown
 }
 
-// Noted reads a note: its kind and figure; false if it is none that is known.
-func Noted(msg []byte) (logic.TaskMetric, float64, bool) {
-	v, _ := Param(msg, Word)
-	for i, w := range notes {
+// ParseNote reads a note: its kind and figure; false if it is none that is known.
+func ParseNote(msg []byte) (logic.TaskMetric, float64, bool) {
+	v, _ := Param(msg, Reason)
+	for i, w := range noteWords {
 		if i > 0 && string(v) == w {
-			f, ok := Number(msg, Figure)
+			f, ok := Number(msg, Value)
 			return logic.TaskMetric(i), f, ok || i == int(logic.TaskRunning)
 		}
 	}
 	return 0, 0, false
 }
 
-// Before is what an end by a node tells about a try that it had not answered. Only two causes prove that it never ran.
-func Before(cause byte) logic.Outcome {
+// VerdictBeforeAnswer is what an end by a node tells about a try that it had not answered. Only two causes prove that it never ran.
+func VerdictBeforeAnswer(cause byte) logic.Outcome {
 	switch cause {
 	case Full:
 		return logic.Rejected
-	case Moot:
+	case NotStarted:
 		return logic.NotSent
 	case Errored:
 		return logic.Errored
@@ -291,8 +291,8 @@
 	return logic.ConnectionLost
 }
 
-// After is what it tells about a task that stood.
-func After(cause byte) logic.Outcome {
+// VerdictOfRunning is what it tells about a task that stood.
+func VerdictOfRunning(cause byte) logic.Outcome {
 	switch cause {
 	case Normal:
 		return logic.Completed
@@ -302,18 +302,18 @@
 	return logic.ConnectionLost
 }
 
-// begin appends a message's head; close sets its length. A message that would be too long is left out: what its parts
+// appendHead appends a message's head; close sets its length. A message that would be too long is left out: what its parts
 // came in was no longer, so none should be.
-func begin(b []byte, kind byte, task uint64) []byte {
+func appendHead(b []byte, kind byte, task uint64) []byte {
 	return binary.BigEndian.AppendUint64(append(b, 0, 0, kind), task)
 }
 
-func param(b []byte, code byte, value []byte) []byte {
+func appendParam(b []byte, code byte, value []byte) []byte {
 	return append(binary.BigEndian.AppendUint16(append(b, code), uint16(len(value))), value...)
 }
 
-func finish(b []byte, at int) []byte {
-	if len(b)-at > Most {
+func setLength(b []byte, at int) []byte {
+	if len(b)-at > MaxMessage {
 		return b[:at]
 	}
 	binary.BigEndian.PutUint16(b[at:], uint16(len(b)-at-lengthSize))
@@ -323,38 +323,40 @@
 // AppendSetUp appends an owner's set-up as a node wants it. No key is given where it has none.
 func AppendSetUp(b []byte, task uint64, jobType, name, key, description []byte, left float64) []byte {
 	at := len(b)
-	b = param(begin(b, SetUp, task), JobType, jobType)
-	b = param(b, Left, strconv.AppendInt(nil, int64(max(1, left)), 10))
-	b = param(b, Name, name)
+	b = appendParam(appendHead(b, SetUp, task), JobType, jobType)
+	b = appendParam(b, TimeLeft, strconv.AppendInt(nil, int64(max(1, left)), 10))
+	b = appendParam(b, Name, name)
 	if key != nil {
-		b = param(b, Key, key)
+		b = appendParam(b, Key, key)
 	}
-	return finish(param(b, Description, description), at)
+	return setLength(appendParam(b, Description, description), at)
 }
 
 // AppendAnswer appends that a task stands, with a node's description.
 func AppendAnswer(b []byte, task uint64, description []byte) []byte {
-	return finish(param(begin(b, Answer, task), Description, description), len(b))
+	return setLength(appendParam(appendHead(b, Answer, task), Description, description), len(b))
 }
 
 // AppendEnd appends an end: a refusal, a failure, a giving up or a release, by its cause.
 func AppendEnd(b []byte, task uint64, cause byte) []byte {
-	return finish(param(begin(b, End, task), Cause, []byte{cause}), len(b))
+	return setLength(appendParam(appendHead(b, End, task), Cause, []byte{cause}), len(b))
 }
 
 // AppendTest appends a test, which asks for a report if it is so wanted.
-func AppendTest(b []byte, task uint64, report bool) []byte { return flag(b, Test, task, report) }
+func AppendTest(b []byte, task uint64, report bool) []byte { return appendFlag(b, Test, task, report) }
 
 // AppendTested appends how a test went.
-func AppendTested(b []byte, task uint64, passed bool) []byte { return flag(b, Tested, task, passed) }
+func AppendTested(b []byte, task uint64, passed bool) []byte {
+	return appendFlag(b, Tested, task, passed)
+}
 
-func flag(b []byte, kind byte, task uint64, set bool) []byte {
+func appendFlag(b []byte, kind byte, task uint64, set bool) []byte {
 	v := []byte{0}
 	if set {
 		v[0] = 1
 	}
-	return finish(param(begin(b, kind, task), Cause, v), len(b))
+	return setLength(appendParam(appendHead(b, kind, task), Cause, v), len(b))
 }
 
 // AppendMove appends that a task is to be asked for again.
-func AppendMove(b []byte, task uint64) []byte { return finish(begin(b, Move, task), len(b)) }
+func AppendMove(b []byte, task uint64) []byte { return setLength(appendHead(b, Move, task), len(b)) }
--- a/internal/proto/platform/messages_test.go
+++ b/internal/proto/platform/messages_test.go
@@ -34,9 +34,9 @@
 		{"no parameters", raw(9, head(Move)...), 11, false},
 		{"too short to name a task", raw(8, head(Move)[:8]...), 0, true},
 		{"no bytes", raw(0), 0, true},
-		{"longer than any", raw(Most-1, head(Move)...), 0, true},
-		{"the longest", append(raw(Most-2, head(SetUp)...), append([]byte{9, byte((Most - 14) >> 8), byte((Most - 14) & 255)},
-			make([]byte, Most-14)...)...), Most, false},
+		{"longer than any", raw(MaxMessage-1, head(Move)...), 0, true},
+		{"the longest", append(raw(MaxMessage-2, head(SetUp)...), append([]byte{9, byte((MaxMessage - 14) >> 8), byte((MaxMessage - 14) & 255)},
+			make([]byte, MaxMessage-14)...)...), MaxMessage, false},
 		{"a kind that nobody sends", raw(9, head(77)...), 0, true},
 		{"such a kind, and the rest is still to come", raw(5000, 77), 0, true},
 		{"half a parameter", raw(11, append(head(End), Cause, 0)...), 0, true},
@@ -62,14 +62,14 @@
 	}{
 		{"set-up", func(b []byte) []byte {
 			return AppendSetUp(b, 7, text("batch"), text("00ab"), text("5c"), text("d\r\n"), 1499.7)
-		}, SetUp, map[byte]string{JobType: "batch", Left: "1499", Name: "00ab", Key: "5c", Description: "d\r\n"}},
+		}, SetUp, map[byte]string{JobType: "batch", TimeLeft: "1499", Name: "00ab", Key: "5c", Description: "d\r\n"}},
 		{
 			"set-up without a key", func(b []byte) []byte { return AppendSetUp(b, 7, text("x"), text("y"), nil, text("z"), -3) },
 			SetUp,
-			map[byte]string{JobType: "x", Left: "1", Name: "y", Description: "z"},
+			map[byte]string{JobType: "x", TimeLeft: "1", Name: "y", Description: "z"},
 		},
 		{"answer", func(b []byte) []byte { return AppendAnswer(b, 7, text("d")) }, Answer, map[byte]string{Description: "d"}},
-		{"end", func(b []byte) []byte { return AppendEnd(b, 7, Moot) }, End, map[byte]string{Cause: "\x66"}},
+		{"end", func(b []byte) []byte { return AppendEnd(b, 7, NotStarted) }, End, map[byte]string{Cause: "\x66"}},
 		{"test for a report", func(b []byte) []byte { return AppendTest(b, 7, true) }, Test, map[byte]string{Cause: "\x01"}},
 		{"test failed", func(b []byte) []byte { return AppendTested(b, 7, false) }, Tested, map[byte]string{Cause: "\x00"}},
 		{"move", func(b []byte) []byte { return AppendMove(b, 7) }, Move, nil},
@@ -88,18 +88,18 @@
 			}
 		})
 	}
-	if b := AppendAnswer([]byte("before"), 7, make([]byte, Most)); string(b) != "before" {
+	if b := AppendAnswer([]byte("before"), 7, make([]byte, MaxMessage)); string(b) != "before" {
 		t.Errorf("a message that is too long was appended: %d bytes", len(b))
 	}
 }
 
 // message is one with these parameters.
 func message(kind byte, params ...any) []byte {
-	b := begin(nil, kind, 7)
+	b := appendHead(nil, kind, 7)
 	for i := 0; i < len(params); i += 2 {
-		b = param(b, byte(params[i].(int)), []byte(params[i+1].(string)))
+		b = appendParam(b, byte(params[i].(int)), []byte(params[i+1].(string)))
 	}
-	return finish(b, 0)[2:]
+	return setLength(b, 0)[2:]
 }
 
 func TestParam(t *testing.T) {
@@ -113,7 +113,7 @@
 		"1": true, "1.5e3": true, "-2": true, "": false, "NaN": false, "inf": false, "1e999": false,
 		"0x10": false, "7 ": false, strings.Repeat("1", 33): false,
 	} {
-		if _, ok := Number(message(SetUp, Left, text), Left); ok != want {
+		if _, ok := Number(message(SetUp, TimeLeft, text), TimeLeft); ok != want {
 			t.Errorf("number %q: %v", text, ok)
 		}
 	}
@@ -142,7 +142,7 @@
 		{"cores:1;memory:2;" + service + ";at:", "at:"},
 		{"cores:1;memory:2;" + service + ";at:a;at:b", "at:b"},
 	} {
-		cores, memory, s, at, err := Asked([]byte(c.text))
+		cores, memory, s, at, err := ParseDemand([]byte(c.text))
 		got := fmt.Sprintf("%g %g %x %s", cores, memory, s, at)
 		if err != nil {
 			if got = err.Error(); !errors.Is(err, ErrUnreadable) || !strings.Contains(got, c.want) {
@@ -167,11 +167,11 @@
 		{"x0:a;x1:1", nil},
 		{"", nil},
 	} {
-		if got := Load(message(End, Report, c.text), fields, nil); fmt.Sprint(got) != fmt.Sprint(c.want) {
+		if got := ParseReport(message(End, Report, c.text), fields, nil); fmt.Sprint(got) != fmt.Sprint(c.want) {
 			t.Errorf("%q: %v, want %v", c.text, got, c.want)
 		}
 	}
-	if got := Load(message(End), fields, nil); got != nil {
+	if got := ParseReport(message(End), fields, nil); got != nil {
 		t.Errorf("no report: %v", got)
 	}
 }
@@ -188,7 +188,7 @@
 		case 47:
 			want = logic.Errored
 		}
-		if got := Before(byte(cause)); got != want {
+		if got := VerdictBeforeAnswer(byte(cause)); got != want {
 			t.Errorf("before, cause %d: %d, want %d", cause, got, want)
 		}
 		want = logic.ConnectionLost
@@ -198,22 +198,22 @@
 		case 31:
 			want = logic.Cancelled
 		}
-		if got := After(byte(cause)); got != want {
+		if got := VerdictOfRunning(byte(cause)); got != want {
 			t.Errorf("after, cause %d: %d, want %d", cause, got, want)
 		}
 	}
 	for i, w := range []string{"x", "no_cores", "no_memory", "queue_full", "not_here", "evicted", "pushed_out", "sent_away"} {
-		if got := Why(message(End, Word, w)); got != logic.Reason(i) {
+		if got := ReasonOf(message(End, Reason, w)); got != logic.Reason(i) {
 			t.Errorf("%s: %d", w, got)
 		}
 	}
 	for i, w := range []string{"x", "runs", "cores", "memory", "served", "pressure"} {
-		kind, v, ok := Noted(message(Note, Word, w, Figure, "0.5"))
+		kind, v, ok := ParseNote(message(Note, Reason, w, Value, "0.5"))
 		if ok != (i > 0) || ok && (kind != logic.TaskMetric(i) || v != 0.5) {
 			t.Errorf("%s: %d %g %v", w, kind, v, ok)
 		}
 	}
-	if _, _, ok := Noted(message(Note, Word, "cores", Figure, "NaN")); ok {
+	if _, _, ok := ParseNote(message(Note, Reason, "cores", Value, "NaN")); ok {
 		t.Error("a note without a number")
 	}
 }
@@ -234,12 +234,12 @@
 		for code := range 256 {
 			Param(msg, byte(code))
 		}
-		text, _ := Param(msg, Figures)
-		_, _, _, _, _ = Asked(text)
+		text, _ := Param(msg, Demand)
+		_, _, _, _, _ = ParseDemand(text)
 		CauseOf(msg)
-		Noted(msg)
-		Why(msg)
-		Load(msg, []string{"x0"}, nil)
+		ParseNote(msg)
+		ReasonOf(msg)
+		ParseReport(msg, []string{"x0"}, nil)
 		Task(msg)
 	})
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -202,7 +202,7 @@
 		config.Log.Error().Str("mode", "words").Str("what", diagnostic).Str("why", reason).Msg("switched off")
 	}
 	s = &Server{
-		diagnostics: besteffort.Guard{Tell: report}, config: config, env: env, log: config.Log, folder: folder, list: cached, clients: map[uint32]*clientConn{}, cellIndex: map[string]int{},
+		diagnostics: besteffort.Guard{Report: report}, config: config, env: env, log: config.Log, folder: folder, list: cached, clients: map[uint32]*clientConn{}, cellIndex: map[string]int{},
 		incarnations: map[uint32]*shard{}, underMaintenance: map[uint32]bool{}, taskCounts: map[int]taskCount{}, knownNodes: map[string]calendar.Node{}, lostSince: map[string]time.Time{},
 	}
 	s.listClient = newListClient(s)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,8 +13,8 @@
 
 const nsPerMs = 1e6
 
-// word turns a word of the facts into the number of its place among the words of a meaning.
-func word(got string, words ...string) (int, error) {
+// wordIndex turns a word of the facts into the number of its place among the words of a meaning.
+func wordIndex(got string, words ...string) (int, error) {
 	i := slices.Index(words, got)
 	if i < 0 {
 		return 0, fmt.Errorf("unknown word %q, expected one of %q", got, words)
@@ -24,17 +24,17 @@
 
 // Deployment is what is known at start: what the module needs, and what names and bounds mean on the way to it.
 type Deployment struct {
-	Cluster    *logic.Cluster
-	JobTypes   []string // names, in the order of the cluster's
-	Expiry     []float64
-	Tenants    []string
-	Shares     []float64 // of tenants, of the whole
-	Zones      []string
-	Kinds      []string
-	IdleFor    float64 // nodes close connections after so long without a message
-	ConnectFor float64 // a connection that is not made by then counts as not made
-	Settle     float64 // an owner waits so long before it asks again for what may run
-	OpenMost   int
+	Cluster          *logic.Cluster
+	JobClasses       []string // names, in the order of the cluster's
+	Deadlines        []float64
+	Tenants          []string
+	Quotas           []float64 // of tenants, of the whole
+	Zones            []string
+	Kinds            []string
+	IdleTimeout      float64 // nodes close connections after so long without a message
+	ConnectTimeout   float64 // a connection that is not made by then counts as not made
+	ClientRetryDelay float64 // an owner waits so long before it asks again for what may run
+	MaxOpen          int
 }
 
 // Read turns an instance's first message into the deployment it describes. Unknown keys are skipped.
@@ -108,46 +108,46 @@
 		return nil, fmt.Errorf("family-info.cpu-of-kind, mem-of-kind, kinds: facts give cores of %d kinds, memory of %d, names of %d", n,
 			len(f.Info.KindMemory), len(f.Kinds))
 	}
-	var in bounds
-	in.count("self-index", float64(f.Index), 0)
-	in.time("step-ns", f.Step, true)
-	in.time("rules.ask-every-ns", f.Rules.AskEvery, f.Discovery == "ask")
-	in.time("rules.cold-ns", f.Rules.ColdFor, false)
-	in.time("rules.overload-for-ns", f.Rules.FallWindow, false)
-	in.time("policy-limits.conn-idle-ns", f.Limits.IdleFor, false)
-	in.time("policy-limits.connect-timeout-ns", f.Limits.ConnectFor, false)
-	in.time("family-info.settle-ns", f.Info.Settle, false)
-	in.count("policy-limits.max-attempts", float64(f.Limits.MaxTries), 1)
-	in.count("policy-limits.open-cap", float64(f.Limits.Open), 0)
-	in.count("family-info.cold-bears", f.Info.ColdBears, 0)
-	in.size("family-info.cores-multiple", f.Info.CoresLimit)
-	in.size("family-info.memory-multiple", f.Info.MemoryLimit)
-	in.size("family-info.unit-cores", f.Info.MeanCores)
-	in.size("family-info.mean-memory", f.Info.MeanMemory)
+	var in validator
+	in.checkCount("self-index", float64(f.Index), 0)
+	in.checkTime("step-ns", f.Step, true)
+	in.checkTime("rules.ask-every-ns", f.Rules.AskEvery, f.Discovery == "ask")
+	in.checkTime("rules.cold-ns", f.Rules.ColdFor, false)
+	in.checkTime("rules.overload-for-ns", f.Rules.FallWindow, false)
+	in.checkTime("policy-limits.conn-idle-ns", f.Limits.IdleFor, false)
+	in.checkTime("policy-limits.connect-timeout-ns", f.Limits.ConnectFor, false)
+	in.checkTime("family-info.settle-ns", f.Info.Settle, false)
+	in.checkCount("policy-limits.max-attempts", float64(f.Limits.MaxTries), 1)
+	in.checkCount("policy-limits.open-cap", float64(f.Limits.Open), 0)
+	in.checkCount("family-info.cold-bears", f.Info.ColdBears, 0)
+	in.checkPositive("family-info.cores-multiple", f.Info.CoresLimit)
+	in.checkPositive("family-info.memory-multiple", f.Info.MemoryLimit)
+	in.checkPositive("family-info.unit-cores", f.Info.MeanCores)
+	in.checkPositive("family-info.mean-memory", f.Info.MeanMemory)
 	for i := range f.Info.KindCores {
-		in.size(fmt.Sprintf("family-info.cpu-of-kind %d", i), f.Info.KindCores[i])
-		in.size(fmt.Sprintf("family-info.mem-of-kind %d", i), f.Info.KindMemory[i])
+		in.checkPositive(fmt.Sprintf("family-info.cpu-of-kind %d", i), f.Info.KindCores[i])
+		in.checkPositive(fmt.Sprintf("family-info.mem-of-kind %d", i), f.Info.KindMemory[i])
 	}
 	for i, k := range f.Info.Kinds {
-		in.within(fmt.Sprintf("family-info.kind-by-class %d", i), float64(k), -1, float64(len(f.Info.KindCores)-1))
+		in.checkRange(fmt.Sprintf("family-info.kind-by-class %d", i), float64(k), -1, float64(len(f.Info.KindCores)-1))
 	}
 	for i, n := range f.Info.Most {
-		in.count(fmt.Sprintf("family-info.most-together %d", i), float64(n), 0)
+		in.checkCount(fmt.Sprintf("family-info.most-together %d", i), float64(n), 0)
 	}
 	for i, p := range f.Projects {
-		in.within(fmt.Sprintf("projects %d (%s) portion", i, p.Name), p.Portion, 0, 1)
+		in.checkRange(fmt.Sprintf("projects %d (%s) portion", i, p.Name), p.Portion, 0, 1)
 	}
 	for i, c := range f.Services {
-		of := service(i, c.Name)
-		in.time(of+"deadline-ns", c.Expiry, false)
-		in.time(of+"aim-ns", c.Target, true)
-		in.time(of+"window-ns", c.Window, false)
-		in.within(of+"worth", c.Worth, 0, largest)
+		of := jobClassField(i, c.Name)
+		in.checkTime(of+"deadline-ns", c.Expiry, false)
+		in.checkTime(of+"aim-ns", c.Target, true)
+		in.checkTime(of+"window-ns", c.Window, false)
+		in.checkRange(of+"worth", c.Worth, 0, maxFigure)
 	}
 	if in.err != nil {
 		return nil, in.err
 	}
-	if _, err := word(f.Discovery, "push", "ask"); err != nil {
+	if _, err := wordIndex(f.Discovery, "push", "ask"); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	cl := &logic.Cluster{
@@ -162,94 +162,96 @@
 		FleetPrice: f.Prices.Fleet,
 	}
 	d := &Deployment{
-		Cluster: cl, Zones: f.Zones, Kinds: f.Kinds, IdleFor: f.Limits.IdleFor / nsPerMs,
-		ConnectFor: f.Limits.ConnectFor / nsPerMs, Settle: f.Info.Settle / nsPerMs, OpenMost: f.Limits.Open,
+		Cluster: cl, Zones: f.Zones, Kinds: f.Kinds, IdleTimeout: f.Limits.IdleFor / nsPerMs,
+		ConnectTimeout: f.Limits.ConnectFor / nsPerMs, ClientRetryDelay: f.Info.Settle / nsPerMs, MaxOpen: f.Limits.Open,
 	}
 	for _, p := range f.Projects {
-		d.Tenants, d.Shares = append(d.Tenants, p.Name), append(d.Shares, p.Portion)
+		d.Tenants, d.Quotas = append(d.Tenants, p.Name), append(d.Quotas, p.Portion)
 	}
 	for i, c := range f.Services {
-		d.JobTypes, d.Expiry = append(d.JobTypes, c.Name), append(d.Expiry, c.Expiry/nsPerMs)
-		of := service(i, c.Name)
-		effect, err := word(c.Effect, "free", "guarded", "single_shot")
+		d.JobClasses, d.Deadlines = append(d.JobClasses, c.Name), append(d.Deadlines, c.Expiry/nsPerMs)
+		of := jobClassField(i, c.Name)
+		effect, err := wordIndex(c.Effect, "free", "guarded", "single_shot")
 		if err != nil {
 			return nil, fmt.Errorf("%seffect: %w", of, err)
 		}
 		group := 0
 		if effect == int(logic.Idempotent) {
-			if group, err = word(c.Group, "all", "zone", "cell"); err != nil {
+			if group, err = wordIndex(c.Group, "all", "zone", "cell"); err != nil {
 				return nil, fmt.Errorf("%sgroup: %w", of, err)
 			}
 		}
-		spread, err := word(at(f.Info.Spread, i, "silent"), "silent", "machine", "cell", "zone")
+		spread, err := wordIndex(elementOr(f.Info.Spread, i, "silent"), "silent", "machine", "cell", "zone")
 		if err != nil {
 			return nil, fmt.Errorf("family-info.spread-over %d: %w", i, err)
 		}
 		cl.JobClasses = append(cl.JobClasses, logic.JobClass{
 			Semantics: logic.RetrySemantics(effect), IdempotencyScope: logic.IdempotencyScope(group), IdempotencyWindow: c.Window / nsPerMs,
 			LatencyObjective: c.Target / nsPerMs, PriorityWeight: c.Worth,
-			NodeKind: at(f.Info.Kinds, i, -1), Spread: logic.SpreadScope(spread),
-			MaxPerScope: at(f.Info.Most, i, 1),
+			NodeKind: elementOr(f.Info.Kinds, i, -1), Spread: logic.SpreadScope(spread),
+			MaxPerScope: elementOr(f.Info.Most, i, 1),
 		})
 	}
 	return d, nil
 }
 
-// OnSockets tells what a scheduler on sockets lacks in a deployment that is enough for one in the simulator, which makes no
+// ValidateForSockets tells what a scheduler on sockets lacks in a deployment that is enough for one in the simulator, which makes no
 // connections, names nothing, has an expiry told with each allocation and is told of no more than it may hold.
-func (d *Deployment) OnSockets() error {
+func (d *Deployment) ValidateForSockets() error {
 	for _, of := range []struct {
 		what  string
 		names []string
-	}{{"services", d.JobTypes}, {"projects", d.Tenants}, {"zones", d.Zones}, {"kinds", d.Kinds}} {
-		if err := distinct(of.what, of.names); err != nil {
+	}{{"services", d.JobClasses}, {"projects", d.Tenants}, {"zones", d.Zones}, {"kinds", d.Kinds}} {
+		if err := checkDistinct(of.what, of.names); err != nil {
 			return err
 		}
 	}
-	var in bounds
-	for i, expiry := range d.Expiry {
-		in.time(service(i, d.JobTypes[i])+"deadline-ns", expiry*nsPerMs, true)
+	var in validator
+	for i, expiry := range d.Deadlines {
+		in.checkTime(jobClassField(i, d.JobClasses[i])+"deadline-ns", expiry*nsPerMs, true)
 	}
-	in.time("policy-limits.conn-idle-ns", d.IdleFor*nsPerMs, true)
-	in.time("policy-limits.connect-timeout-ns", d.ConnectFor*nsPerMs, true)
-	in.count("policy-limits.open-cap", float64(d.OpenMost), 1)
+	in.checkTime("policy-limits.conn-idle-ns", d.IdleTimeout*nsPerMs, true)
+	in.checkTime("policy-limits.connect-timeout-ns", d.ConnectTimeout*nsPerMs, true)
+	in.checkCount("policy-limits.open-cap", float64(d.MaxOpen), 1)
 	return in.err
 }
 
 // Bounds of what a deployment may say of itself. Beyond them a figure is a mistake, and nothing would be right that follows from it.
 const (
-	longest = 31 * 24 * 3600e9 // ns
-	largest = 1e9              // of a count or a size
+	maxDurationNs = 31 * 24 * 3600e9 // ns
+	maxFigure     = 1e9              // of a count or a size
 )
 
-// bounds checks figures, and keeps the first that is out of its bounds, by the name of its field.
-type bounds struct{ err error }
+// validator checks figures, and keeps the first that is out of its bounds, by the name of its field.
+type validator struct{ err error }
 
-func (b *bounds) within(field string, v, least, most float64) {
+func (b *validator) checkRange(field string, v, least, most float64) {
 	if b.err == nil && !(v >= least && v <= most) {
 		b.err = fmt.Errorf("%s: %g, from %g to %g is possible", field, v, least, most)
 	}
 }
 
-// time checks a time in ns, which is absent or 0 only where it is not needed.
-func (b *bounds) time(field string, ns float64, needed bool) {
+// checkTime checks a time in ns, which is absent or 0 only where it is not needed.
+func (b *validator) checkTime(field string, ns float64, needed bool) {
 	least := 0.0
 	if needed {
 		least = 1
 	}
-	b.within(field, ns, least, longest)
+	b.checkRange(field, ns, least, maxDurationNs)
 }
 
-func (b *bounds) count(field string, v, least float64) { b.within(field, v, least, largest) }
+func (b *validator) checkCount(field string, v, least float64) {
+	b.checkRange(field, v, least, maxFigure)
+}
 
-// size checks a figure that has to be above 0.
-func (b *bounds) size(field string, v float64) { b.within(field, v, 1e-9, largest) }
+// checkPositive checks a figure that has to be above 0.
+func (b *validator) checkPositive(field string, v float64) { b.checkRange(field, v, 1e-9, maxFigure) }
 
-// service names a job type's place in the settings, before one of its fields.
-func service(i int, name string) string { return fmt.Sprintf("services %d (%s) ", i, name) }
+// jobClassField names a job type's place in the settings, before one of its fields.
+func jobClassField(i int, name string) string { return fmt.Sprintf("services %d (%s) ", i, name) }
 
-// distinct tells which name stands for nothing, or for two things.
-func distinct(what string, names []string) error {
+// checkDistinct tells which name stands for nothing, or for two things.
+func checkDistinct(what string, names []string) error {
 	for i, n := range names {
 		if n == "" || slices.Contains(names[:i], n) {
 			return fmt.Errorf("%s %d name: %q is empty or another's", what, i, n)
@@ -258,7 +260,7 @@
 	return nil
 }
 
-func at[T any](list []T, i int, absent T) T {
+func elementOr[T any](list []T, i int, absent T) T {
 	if i < len(list) {
 		return list[i]
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -53,10 +53,10 @@
 	}
 	s.OnListEnd(now)
 	for i := range 30 {
-		j := i % len(d.JobTypes)
+		j := i % len(d.JobClasses)
 		now += 300
 		s.OnRequest(now, logic.Request{
-			Allocation: uint32(i), Class: j, Deadline: now + d.Expiry[j],
+			Allocation: uint32(i), Class: j, Deadline: now + d.Deadlines[j],
 			Service: uint64(i % 3), Cores: 1, Memory: 2,
 		})
 		s.Decide(now)
@@ -144,7 +144,7 @@
 			tried++
 			d, err := Read(with(t, path, to))
 			if err == nil {
-				err = d.OnSockets()
+				err = d.ValidateForSockets()
 			}
 			what := fmt.Sprintf("%v = %v", path, to)
 			if err != nil {
