--- a/internal/env/conn_test.go
+++ b/internal/env/conn_test.go
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestStopAcceptingTakesBacklog closes a door at which some wait that the kernel has let in: each is given over, with what it sent, before nobody comes
+// TestListenerCloseTakesBacklog closes a door at which some wait that the kernel has let in: each is given over, with what it sent, before nobody comes
 // any more.
-func TestStopAcceptingTakesBacklog(t *testing.T) {
+func TestListenerCloseTakesBacklog(t *testing.T) {
 	r := NewReal()
 	defer r.Close(5 * time.Second)
 	r.WriteThrough = true
@@ -172,7 +172,7 @@
 			<-came // the others wait behind it
 		}
 	}
-	d.StopAccepting()
+	d.Close()
 	close(hold)
 	for i := range n {
 		select {
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -39,7 +39,7 @@
 	Address() string
 	// Send hands one to the network. It never waits, and does not say whether it came.
 	Send(to string, b []byte)
-	StopAccepting()
+	Close()
 }
 
 // Timer is a call to come.
@@ -58,9 +58,9 @@
 // Listener is a listener.
 type Listener interface {
 	Address() string
-	// StopAccepting has nobody come any more, once all have been given over who were let in before: closed on them they would be reset,
+	// Close has nobody come any more, once all have been given over who were let in before: closed on them they would be reset,
 	// with what they sent.
-	StopAccepting()
+	Close()
 }
 
 // ConnHandler hears a connection.
--- a/internal/env/listener.go
+++ b/internal/env/listener.go
@@ -20,8 +20,8 @@
 
 func (d *realListener) Address() string { return d.tcp.Addr().String() }
 
-// StopAccepting has the door's goroutine let in who waits, then close it.
-func (d *realListener) StopAccepting() {
+// Close has the door's goroutine let in who waits, then close it.
+func (d *realListener) Close() {
 	d.closing.Store(true)
 	_ = d.tcp.SetDeadline(time.Unix(1, 0)) // wakes it
 }
--- a/internal/env/packetconn.go
+++ b/internal/env/packetconn.go
@@ -65,7 +65,7 @@
 // datagramSendTimeout bounds how long a datagram waits for a place in the kernel's queue.
 const datagramSendTimeout = 5 * time.Millisecond
 
-func (p *realPacketConn) StopAccepting() {
+func (p *realPacketConn) Close() {
 	p.env.mu.Lock()
 	delete(p.env.packetConns, p)
 	p.env.mu.Unlock()
--- a/internal/lab/sim/datagrams.go
+++ b/internal/lab/sim/datagrams.go
@@ -41,7 +41,7 @@
 
 func (x *packetConn) Address() string { return x.address }
 
-func (x *packetConn) StopAccepting() {
+func (x *packetConn) Close() {
 	if x.process.clock.packetConns[x.address] == x {
 		delete(x.process.clock.packetConns, x.address)
 	}
--- a/internal/lab/sim/net.go
+++ b/internal/lab/sim/net.go
@@ -53,7 +53,7 @@
 
 func (d *listener) Address() string { return d.address }
 
-func (d *listener) StopAccepting() {
+func (d *listener) Close() {
 	if d.process.clock.listeners[d.address] == d {
 		delete(d.process.clock.listeners, d.address)
 	}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -96,7 +96,7 @@
 		r.stopped = true
 	}
 	r.mu.Unlock()
-	r.port.StopAccepting()
+	r.port.Close()
 	r.loop.Wake()
 }
 
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -133,7 +133,7 @@
 // TestUnmade offers run-once work to a node that refuses connections: it provably never ran, and goes elsewhere.
 func TestUnmade(t *testing.T) {
 	r := startRig(t, "a", "b")
-	r.nodes["a"].listener.StopAccepting()
+	r.nodes["a"].listener.Close()
 	x := r.dial()
 	for task := range uint64(8) {
 		x.request(task+1, "single")
@@ -235,7 +235,7 @@
 	x := r.dial()
 	x.request(7, "batch")
 	r.pass(100)
-	old.listener.StopAccepting() // its process lives on for a while, at a connection that stands
+	old.listener.Close() // its process lives on for a while, at a connection that stands
 	newFakeNode(r, "b", "a")
 	r.journal.publish(entryOf("a", "a", "gone"), entryOf("b", "a", "ready"))
 	r.pass(100)
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -15,7 +15,7 @@
 	}
 	if now >= s.shutdownPlan.CloseAt && !s.clientsDisconnected {
 		s.clientsDisconnected = true
-		s.listener.StopAccepting() // who waits at it is let in first, and answered until the end
+		s.listener.Close() // who waits at it is let in first, and answered until the end
 		for _, o := range s.sortedClients() {
 			if owed := len(o.openRequests); owed > 0 {
 				s.log.Error().Str("mode", "stop").Int("open", owed).Msg("a connection is ended on which answers are owed")
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -332,7 +332,7 @@
 
 // Shutdown answers all that is open and ends the scheduler; then is called when that is done.
 func (s *Server) Shutdown(done func(error)) {
-	s.listener.StopAccepting()
+	s.listener.Close()
 	s.closeMetrics()
 	if s.control != nil {
 		s.control.Stop()
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -135,7 +135,7 @@
 func (n *Node) Crash(now float64) {
 	n.Lost, n.pending = true, nil
 	n.Machine.Restart(now, true)
-	n.listener.StopAccepting()
+	n.listener.Close()
 	for _, p := range n.sortedPeers() {
 		p.conn.Close(false, nil)
 	}
@@ -420,7 +420,7 @@
 	for _, p := range n.sortedPeers() {
 		p.close("fell over")
 	}
-	n.listener.StopAccepting()
+	n.listener.Close()
 }
 
 // IsConnected tells whether a scheduler is connected under a name. Under the world's lock.
