--- a/internal/lab/route/abandoned.go
+++ b/internal/lab/route/abandoned.go
@@ -36,7 +36,7 @@
 	return s.Conn.Send(func(b []byte) []byte {
 		before := len(b)
 		b = f(b)
-		if msg, took, err := codec.Next(b[before:]); err == nil && took > 0 && codec.Kind(msg) == codec.SetUp {
+		if msg, took, err := codec.Next(b[before:]); err == nil && took > 0 && codec.Kind(msg) == codec.KindSetUp {
 			s.sim.onAttempt(codec.Task(msg))
 		}
 		return b
--- a/internal/lab/route/earlyend.go
+++ b/internal/lab/route/earlyend.go
@@ -20,7 +20,7 @@
 	for at := float64(noteInterval); at < ends; at += noteInterval * 4 {
 		n.process.After(at, func() {
 			if n.tasks[t.id] == r {
-				e.send(message(codec.Note, t.id, codec.Reason, "cores", codec.Value, "0.5"))
+				e.send(message(codec.KindNote, t.id, codec.ParamReason, "cores", codec.ParamValue, "0.5"))
 			}
 		})
 	}
@@ -30,11 +30,11 @@
 		}
 		n.conclude(t.id, r, "ended")
 		delete(n.tasks, t.id)
-		cause, reason := byte(codec.Reset), "sent_away"
+		cause, reason := byte(codec.CauseReset), "sent_away"
 		if g.rng.IntN(3) == 0 {
-			cause, reason = codec.Normal, ""
+			cause, reason = codec.CauseNormal, ""
 		}
-		e.send(message(codec.End, t.id, codec.Cause, string(cause), codec.Reason, reason, codec.Report, n.report()))
+		e.send(message(codec.KindEnd, t.id, codec.ParamCause, string(cause), codec.ParamReason, reason, codec.ParamReport, n.report()))
 		g.expectUnansweredEnd(t, n, e)
 		n.process.After(lateAnswerLimit*g.rng.Float64(), func() { e.send(codec.AppendAnswer(nil, t.id, []byte(n.describe(t.id)))) })
 	})
--- a/internal/lab/route/peers.go
+++ b/internal/lab/route/peers.go
@@ -152,9 +152,9 @@
 			continue
 		}
 		o.sim.result.Restored++
-		o.conn.send(message(codec.SetUp, t.id, codec.JobType, jobNames[t.job], codec.TimeLeft, expiry, codec.Tenant, "acme", codec.Name,
-			fmt.Sprintf("%016x", t.id), codec.Key, fmt.Sprintf("%032x", t.key), codec.Demand,
-			fmt.Sprintf("cores:1;memory:2;service:%016x;at:%s", t.service, t.node.name), codec.Description, "owner's"))
+		o.conn.send(message(codec.KindSetUp, t.id, codec.ParamJobClass, jobNames[t.job], codec.ParamTimeLeft, expiry, codec.ParamTenant, "acme", codec.ParamName,
+			fmt.Sprintf("%016x", t.id), codec.ParamKey, fmt.Sprintf("%032x", t.key), codec.ParamDemand,
+			fmt.Sprintf("cores:1;memory:2;service:%016x;at:%s", t.service, t.node.name), codec.ParamDescription, "owner's"))
 	}
 }
 
@@ -188,9 +188,9 @@
 	g.result.Requests++
 	g.result.Jobs[t.job].Asks++
 	g.record(audit.Record{Kind: audit.RequestSent, Scheduler: s.name, RequestRef: t.id, Token: t.key, Job: t.job, Deadline: t.deadline + 50})
-	o.conn.send(message(codec.SetUp, t.id, codec.JobType, jobNames[t.job], codec.TimeLeft, expiry, codec.Tenant, "acme", codec.Name,
-		fmt.Sprintf("%016x", t.id), codec.Key, fmt.Sprintf("%032x", t.key), codec.Demand,
-		fmt.Sprintf("cores:1;memory:2;service:%016x", t.service), codec.Description, "owner's"))
+	o.conn.send(message(codec.KindSetUp, t.id, codec.ParamJobClass, jobNames[t.job], codec.ParamTimeLeft, expiry, codec.ParamTenant, "acme", codec.ParamName,
+		fmt.Sprintf("%016x", t.id), codec.ParamKey, fmt.Sprintf("%032x", t.key), codec.ParamDemand,
+		fmt.Sprintf("cores:1;memory:2;service:%016x", t.service), codec.ParamDescription, "owner's"))
 	if g.overload == nil && g.rng.IntN(60) == 0 { // it leaves with all that is open
 		g.clock.At(g.clock.TrueTime()+60*g.rng.Float64(), o.disconnect)
 	}
@@ -200,7 +200,7 @@
 				delete(o.pending, t.id)
 				t.abandonedAt = g.clock.TrueTime()
 				g.record(audit.Record{Kind: audit.RequestAbandoned, Scheduler: s.name, RequestRef: t.id})
-				t.conn.send(codec.AppendEnd(nil, t.id, codec.Normal)) // an open set-up belongs to its connection
+				t.conn.send(codec.AppendEnd(nil, t.id, codec.CauseNormal)) // an open set-up belongs to its connection
 			}
 		})
 	}
@@ -221,11 +221,11 @@
 		}
 	}
 	switch codec.Kind(msg) {
-	case codec.Answer:
+	case codec.KindAnswer:
 		if o.pending[id] != t {
 			return
 		}
-		d, _ := codec.Param(msg, codec.Description)
+		d, _ := codec.Param(msg, codec.ParamDescription)
 		name, _, _ := strings.Cut(string(d), " ")
 		for _, n := range g.nodes {
 			if n.name == name {
@@ -238,16 +238,16 @@
 		g.result.Served++
 		g.result.Jobs[t.job].Served++
 		answer("served")
-	case codec.End:
+	case codec.KindEnd:
 		switch {
 		case t.running:
 			t.running = false
-		case cause == codec.Busy || cause == codec.Full || cause == codec.NotStarted:
+		case cause == codec.CauseBusy || cause == codec.CauseFull || cause == codec.CauseNotStarted:
 			answer("declined")
 		default:
 			answer("failed")
 		}
-	case codec.Move:
+	case codec.KindMove:
 		t.running = false
 	}
 }
@@ -343,7 +343,7 @@
 	ends := n.unsentEnds
 	n.unsentEnds = nil
 	for _, id := range ends {
-		n.sendEnd(id, codec.Normal)
+		n.sendEnd(id, codec.CauseNormal)
 	}
 }
 
@@ -354,7 +354,7 @@
 func (n *node) onMessage(e *peerConn, msg []byte) {
 	id := codec.Task(msg)
 	switch codec.Kind(msg) {
-	case codec.SetUp: // one that was given up on its way, as behind a cut, comes with its end
+	case codec.KindSetUp: // one that was given up on its way, as behind a cut, comes with its end
 		n.arriving[id] = e
 		n.process.After(1, func() {
 			if n.arriving[id] == e {
@@ -362,7 +362,7 @@
 				n.onPlacement(e, id, msg)
 			}
 		})
-	case codec.End:
+	case codec.KindEnd:
 		delete(n.arriving, id)
 		r := n.tasks[id]
 		if r == nil {
@@ -371,11 +371,11 @@
 		n.conclude(id, r, "ended")
 		delete(n.tasks, id)
 		if r.running {
-			e.send(codec.AppendEnd(nil, id, codec.Elsewhere))
+			e.send(codec.AppendEnd(nil, id, codec.CauseElsewhere))
 		}
-	case codec.Test:
+	case codec.KindTest:
 		if !n.hung {
-			e.send(message(codec.Tested, id, codec.Cause, "\x01", codec.Report, n.report()))
+			e.send(message(codec.KindTested, id, codec.ParamCause, "\x01", codec.ParamReport, n.report()))
 		}
 	}
 }
@@ -391,7 +391,7 @@
 		g.fail(fmt.Sprintf("a set-up %x that no owner sent", id))
 		return
 	}
-	left, _ := codec.Number(msg, codec.TimeLeft)
+	left, _ := codec.Number(msg, codec.ParamTimeLeft)
 	g.result.Starts++
 	try := t.attempts
 	t.attempts++
@@ -404,7 +404,7 @@
 	switch {
 	case draw < n.rejectRate || len(n.tasks) >= 28 || n.tasks[id] != nil:
 		n.conclude(id, r, "refused")
-		e.send(message(codec.End, id, codec.Cause, string(byte(codec.Full)), codec.Reason, "no_cores", codec.Report, n.report()))
+		e.send(message(codec.KindEnd, id, codec.ParamCause, string(byte(codec.CauseFull)), codec.ParamReason, "no_cores", codec.ParamReport, n.report()))
 		return
 	}
 	n.tasks[id] = r
@@ -419,7 +419,7 @@
 		if g.rng.IntN(10) < n.errorRate {
 			n.conclude(id, r, "error")
 			delete(n.tasks, id)
-			e.send(codec.AppendEnd(nil, id, codec.Errored))
+			e.send(codec.AppendEnd(nil, id, codec.CauseErrored))
 			return
 		}
 		r.running = true
@@ -438,7 +438,7 @@
 		if n.tasks[id] == r {
 			n.conclude(id, r, "ended")
 			delete(n.tasks, id)
-			n.sendEnd(id, codec.Normal)
+			n.sendEnd(id, codec.CauseNormal)
 			g.expectEnd(t, n, e)
 		}
 	})
@@ -446,7 +446,7 @@
 
 // sendEnd tells the end of what stood on its connection, or any other that the same scheduler holds, or on the next.
 func (n *node) sendEnd(id uint64, cause byte) {
-	b := message(codec.End, id, codec.Cause, string(cause), codec.Report, n.report())
+	b := message(codec.KindEnd, id, codec.ParamCause, string(cause), codec.ParamReport, n.report())
 	for _, e := range n.conns { // the other schedulers know of no such task
 		e.send(b)
 	}
--- a/internal/lab/route/simulation_test.go
+++ b/internal/lab/route/simulation_test.go
@@ -191,13 +191,13 @@
 func (p *forgetfulPeer) forgets(msg, whole []byte) []byte {
 	task := codec.Task(msg)
 	switch cause, _ := codec.CauseOf(msg); codec.Kind(msg) {
-	case codec.Answer:
+	case codec.KindAnswer:
 		p.answered[task] = true
-	case codec.Note:
+	case codec.KindNote:
 		return nil
-	case codec.End:
-		if !p.answered[task] && (cause == codec.Normal || cause == codec.Reset) {
-			return codec.AppendEnd(nil, task, codec.Reset)
+	case codec.KindEnd:
+		if !p.answered[task] && (cause == codec.CauseNormal || cause == codec.CauseReset) {
+			return codec.AppendEnd(nil, task, codec.CauseReset)
 		}
 	}
 	return whole
--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -35,8 +35,8 @@
 }
 
 // invalid is a rejection of a request that can't be served as it is, busy one of a request that may be repeated.
-func invalid(reason string) *rejection { return &rejection{codec.Errored, reason} }
-func busy(reason string) *rejection    { return &rejection{codec.Busy, reason} }
+func invalid(reason string) *rejection { return &rejection{codec.CauseErrored, reason} }
+func busy(reason string) *rejection    { return &rejection{codec.CauseBusy, reason} }
 
 // requestFields are the fields of a request, checked against the deployment's settings.
 type requestFields struct {
@@ -79,11 +79,11 @@
 
 func (s *Server) traceRequest(task uint64, msg []byte) {
 	s.trace("set-up", task, func(e *zerolog.Event) {
-		for _, code := range []byte{codec.JobType, codec.TimeLeft, codec.Tenant, codec.Repeat, codec.Name, codec.Demand, codec.Key} {
+		for _, code := range []byte{codec.ParamJobClass, codec.ParamTimeLeft, codec.ParamTenant, codec.ParamRepeat, codec.ParamName, codec.ParamDemand, codec.ParamKey} {
 			v, _ := codec.Param(msg, code)
 			e.Bytes("p"+string('0'+code/10)+string('0'+code%10), v)
 		}
-		v, _ := codec.Param(msg, codec.Description)
+		v, _ := codec.Param(msg, codec.ParamDescription)
 		e.Int("description", len(v)).Bytes("d", v[:min(len(v), 80)])
 	})
 }
@@ -91,21 +91,21 @@
 // readRequest reads the fields that every request has, whether its task runs already or not.
 func (s *Server) readRequest(task uint64, msg []byte) (f requestFields, why *rejection) {
 	f.task = task
-	text, _ := codec.Param(msg, codec.Demand)
+	text, _ := codec.Param(msg, codec.ParamDemand)
 	var err error
 	if f.cores, f.memory, f.service, f.runsAt, err = codec.ParseDemand(text); err != nil {
 		return f, invalid(err.Error())
 	}
 	var okJob, okTenant, okName, okKey bool
-	f.jobClassName, _ = codec.Param(msg, codec.JobType)
+	f.jobClassName, _ = codec.Param(msg, codec.ParamJobClass)
 	f.jobClass, okJob = s.jobClassIndex[string(f.jobClassName)]
-	tenant, hasTenant := codec.Param(msg, codec.Tenant)
+	tenant, hasTenant := codec.Param(msg, codec.ParamTenant)
 	f.tenant, okTenant = s.tenantIndex[string(tenant)]
 	if len(s.tenantIndex) == 0 && !hasTenant {
 		okTenant = true
 	}
-	f.name, okName = codec.Hex(msg, codec.Name, 16)
-	f.key, okKey = codec.Hex(msg, codec.Key, 32)
+	f.name, okName = codec.Hex(msg, codec.ParamName, 16)
+	f.key, okKey = codec.Hex(msg, codec.ParamKey, 32)
 	if okJob && s.settings.Cluster.JobClasses[f.jobClass].Semantics != logic.Idempotent {
 		f.key, okKey = nil, true
 	}
@@ -118,8 +118,8 @@
 // acceptRequest puts a request into the inbox, if there is room for it and time to serve it.
 func (c *client) acceptRequest(now float64, f requestFields, msg []byte) *rejection {
 	s := c.server
-	left, okLeft := codec.Number(msg, codec.TimeLeft)
-	description, okDescription := codec.Param(msg, codec.Description)
+	left, okLeft := codec.Number(msg, codec.ParamTimeLeft)
+	description, okDescription := codec.Param(msg, codec.ParamDescription)
 	if !okLeft || !connlimits.IsPlausibleWait(left, s.settings.Deadlines[f.jobClass]) || !okDescription || len(description) == 0 {
 		return invalid("time left or description")
 	}
@@ -193,7 +193,7 @@
 	s := c.server
 	node := s.nodesByName[f.runsAt]
 	if node == nil {
-		return &rejection{codec.Reset, "at a node that is not there"}
+		return &rejection{codec.CauseReset, "at a node that is not there"}
 	}
 	if len(s.requestsByAlloc) >= s.limits.Held {
 		return busy("too much is held")
--- a/internal/platform/clients.go
+++ b/internal/platform/clients.go
@@ -217,18 +217,18 @@
 func (c *client) onMessage(now float64, msg []byte) {
 	s, task := c.server, codec.Task(msg)
 	switch codec.Kind(msg) {
-	case codec.SetUp:
+	case codec.KindSetUp:
 		c.onSetUp(now, task, msg)
-	case codec.Test:
+	case codec.KindTest:
 		c.active = true
 		c.promote(now) // if not now, then with its first request
 		c.send(func(b []byte) []byte { return codec.AppendTested(b, task, true) })
-	case codec.End:
+	case codec.KindEnd:
 		a := s.requestsByTask[task]
 		if a != nil && (a.running || a.client == c) { // else it is over, or belongs to another connection
 			s.withdraw(a)
 		}
-	case codec.Progress, codec.EndAck, codec.Note, codec.Tested:
+	case codec.KindProgress, codec.KindEndAck, codec.KindNote, codec.KindTested:
 	default:
 		c.evict("unexpected message type")
 	}
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -17,7 +17,7 @@
 		x := r.dial()
 		x.request(7, "single")
 		r.pass(100)
-		x.send(codec.AppendEnd(nil, 7, codec.Normal))
+		x.send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 		r.pass(3000)
 		x.want("no answer is owed")
 		if len(n.ended) != 1 || r.server.host.OpenRequests() != 0 {
@@ -44,7 +44,7 @@
 		x.request(7, "single")
 		r.pass(100)
 		y := r.dial()
-		y.send(codec.AppendEnd(nil, 7, codec.Normal))
+		y.send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 		r.pass(3000)
 		x.want("its end is not told", "7 served "+n.description(7))
 		y.want("nor here")
@@ -56,7 +56,7 @@
 		r := startRig(t, "a")
 		x, y := r.dial(), r.dial()
 		x.request(7, "single")
-		y.send(codec.AppendEnd(nil, 7, codec.Normal))
+		y.send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 		r.pass(200)
 		x.want("served all the same", "7 served "+r.nodes["a"].description(7))
 	})
@@ -72,28 +72,28 @@
 	}{
 		{"nothing", nil},
 		{"noise", []byte("GET / HTTP/1.1\r\n\r\n")},
-		{"a message without end", append([]byte{0x3f, 0xff, codec.SetUp}, make([]byte, 9000)...)},
-		{"a length that is too large", append([]byte{0xff, 0xff, codec.SetUp}, make([]byte, 100)...)},
+		{"a message without end", append([]byte{0x3f, 0xff, codec.KindSetUp}, make([]byte, 9000)...)},
+		{"a length that is too large", append([]byte{0xff, 0xff, codec.KindSetUp}, make([]byte, 100)...)},
 		{"a length of nothing", make([]byte, 64)},
 		{"half a set-up", ask()[:40]},
-		{"a job type that is not there", ask(codec.JobType, "none")},
-		{"a tenant that is not there", ask(codec.Tenant, "nobody")},
+		{"a job type that is not there", ask(codec.ParamJobClass, "none")},
+		{"a tenant that is not there", ask(codec.ParamTenant, "nobody")},
 		{"no number of a task", setUp(0, "batch")},
-		{"a name that is none", ask(codec.Name, "x")},
-		{"a key that is none", setUp(66, "marked", codec.Key, "zz")},
-		{"no time left", ask(codec.TimeLeft, "0")},
-		{"time below zero", ask(codec.TimeLeft, "-5")},
-		{"time without end", ask(codec.TimeLeft, "1e30")},
-		{"time that is no number", ask(codec.TimeLeft, "soon")},
-		{"cores that no machine has", ask(codec.Demand, "cores:1e9;memory:2;service:00000000b4d65521")},
-		{"cores below zero", ask(codec.Demand, "cores:-1;memory:2;service:00000000b4d65521")},
-		{"memory that is no number", ask(codec.Demand, "cores:1;memory:NaN;service:00000000b4d65521")},
-		{"no description", ask(codec.Description, "")},
+		{"a name that is none", ask(codec.ParamName, "x")},
+		{"a key that is none", setUp(66, "marked", codec.ParamKey, "zz")},
+		{"no time left", ask(codec.ParamTimeLeft, "0")},
+		{"time below zero", ask(codec.ParamTimeLeft, "-5")},
+		{"time without end", ask(codec.ParamTimeLeft, "1e30")},
+		{"time that is no number", ask(codec.ParamTimeLeft, "soon")},
+		{"cores that no machine has", ask(codec.ParamDemand, "cores:1e9;memory:2;service:00000000b4d65521")},
+		{"cores below zero", ask(codec.ParamDemand, "cores:-1;memory:2;service:00000000b4d65521")},
+		{"memory that is no number", ask(codec.ParamDemand, "cores:1;memory:NaN;service:00000000b4d65521")},
+		{"no description", ask(codec.ParamDescription, "")},
 		{"a node's answer", codec.AppendAnswer(nil, 66, []byte("x"))},
-		{"a number twice", append(ask(), ask(codec.Description, "other")...)},
-		{"a usual one's number", setUp(7, "batch", codec.Description, "other")},
-		{"ends of what is not there", codec.AppendEnd(nil, 66, codec.Normal)},
-		{"at a node that is not there", ask(codec.Demand, demandText+";at:nowhere")},
+		{"a number twice", append(ask(), ask(codec.ParamDescription, "other")...)},
+		{"a usual one's number", setUp(7, "batch", codec.ParamDescription, "other")},
+		{"ends of what is not there", codec.AppendEnd(nil, 66, codec.CauseNormal)},
+		{"at a node that is not there", ask(codec.ParamDemand, demandText+";at:nowhere")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startRig(t, "a")
@@ -218,7 +218,7 @@
 	n.onSetUp = func(*testConn, uint64) {} // it serves nobody any more
 	y.request(8, "single")
 	r.pass(50)
-	n.conns[0].send(codec.AppendEnd(nil, 7, codec.Normal))
+	n.conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 	r.pass(900)
 	y.want("a client that asked", "7 end 16")
 	idle.want("one that did not", "9 tested 1")
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -61,12 +61,12 @@
 			}
 			x := doors[0]
 			x.onMessage = func(msg []byte) {
-				if codec.Kind(msg) == codec.End {
+				if codec.Kind(msg) == codec.KindEnd {
 					ended[codec.Task(msg)] = r.clock.TrueTime()
 				}
 			}
 			for i, name := range names {
-				x.send(setUp(uint64(1000+i), "single", codec.Demand, demandText+";at:"+name))
+				x.send(setUp(uint64(1000+i), "single", codec.ParamDemand, demandText+";at:"+name))
 				r.nodes[name].running[uint64(1000+i)] = true
 			}
 			for i := range 200 {
@@ -77,7 +77,7 @@
 			ends := r.clock.TrueTime()
 			for i, name := range names { // on what is open, and on what comes next
 				n, task := r.nodes[name], uint64(1000+i)
-				end := codec.AppendEnd(nil, task, codec.Normal)
+				end := codec.AppendEnd(nil, task, codec.CauseNormal)
 				for _, e := range open(n) {
 					e.send(end)
 				}
@@ -153,7 +153,7 @@
 	r.server.limits.Held = 20
 	x := r.dial()
 	for task := range uint64(60) {
-		x.send(setUp(task+1, "batch", codec.Demand, demandText+";at:a"))
+		x.send(setUp(task+1, "batch", codec.ParamDemand, demandText+";at:a"))
 	}
 	x.request(100, "batch")
 	r.pass(500)
@@ -180,7 +180,7 @@
 		for _, n := range r.nodes {
 			for done := range n.running {
 				delete(n.running, done)
-				n.open[done].send(codec.AppendEnd(nil, done, codec.Normal))
+				n.open[done].send(codec.AppendEnd(nil, done, codec.CauseNormal))
 			}
 		}
 		r.pass(200)
--- a/internal/platform/early_end_test.go
+++ b/internal/platform/early_end_test.go
@@ -16,19 +16,19 @@
 	notes bool // before it
 	ran   bool // it is the end of a run
 }{
-	{"cut, sent away, after notes", codec.Reset, "sent_away", true, true},
-	{"cut, sent away", codec.Reset, "sent_away", false, true},
-	{"cut, evicted", codec.Reset, "evicted", false, true},
-	{"cut, pushed out", codec.Reset, "pushed_out", false, true},
-	{"cut, after notes", codec.Reset, "", true, true},
-	{"reset on its way", codec.Reset, "", false, false},
-	{"normal, after notes", codec.Normal, "", true, true},
-	{"normal", codec.Normal, "", false, true},
-	{"cancelled", codec.Elsewhere, "", false, true},
-	{"error", codec.Errored, "", false, false},
-	{"error, after notes", codec.Errored, "", true, true},
-	{"full", codec.Full, "no_cores", false, false},
-	{"full, sent away", codec.Full, "sent_away", false, false},
+	{"cut, sent away, after notes", codec.CauseReset, "sent_away", true, true},
+	{"cut, sent away", codec.CauseReset, "sent_away", false, true},
+	{"cut, evicted", codec.CauseReset, "evicted", false, true},
+	{"cut, pushed out", codec.CauseReset, "pushed_out", false, true},
+	{"cut, after notes", codec.CauseReset, "", true, true},
+	{"reset on its way", codec.CauseReset, "", false, false},
+	{"normal, after notes", codec.CauseNormal, "", true, true},
+	{"normal", codec.CauseNormal, "", false, true},
+	{"cancelled", codec.CauseElsewhere, "", false, true},
+	{"error", codec.CauseErrored, "", false, false},
+	{"error, after notes", codec.CauseErrored, "", true, true},
+	{"full", codec.CauseFull, "no_cores", false, false},
+	{"full, sent away", codec.CauseFull, "sent_away", false, false},
 }
 
 // afterRun is what a client hears whose task ran and ended without an answer, by job type: marked work is dropped everywhere if it comes
@@ -38,12 +38,12 @@
 // early is what a node sends before its answer: notes, if the task ran for a while, and its end.
 func early(task uint64, cause byte, word string, notes bool) (b []byte) {
 	if notes {
-		b = append(b, message(codec.Note, task, codec.Reason, "cores", codec.Value, "0.6")...)
+		b = append(b, message(codec.KindNote, task, codec.ParamReason, "cores", codec.ParamValue, "0.6")...)
 	}
 	if word == "" {
 		return append(b, codec.AppendEnd(nil, task, cause)...)
 	}
-	return append(b, message(codec.End, task, codec.Cause, string(rune(cause)), codec.Reason, word)...)
+	return append(b, message(codec.KindEnd, task, codec.ParamCause, string(rune(cause)), codec.ParamReason, word)...)
 }
 
 // TestEndBeforeAnswer has a node end a task before its answer, which follows late, never, or in the same moment. The end of a run gives the
@@ -81,7 +81,7 @@
 					x.request(7, job)
 					r.pass(5000)
 					if !c.ran {
-						mayRetry := job != "single" || c.cause == codec.Full
+						mayRetry := job != "single" || c.cause == codec.CauseFull
 						if (attempts > 1) != mayRetry || len(x.received) == 0 {
 							t.Errorf("%d attempts, heard %q", attempts, x.received)
 						}
@@ -116,9 +116,9 @@
 		n.onSetUp = func(e *testConn, task uint64) {
 			switch attempts++; attempts {
 			case 1: // it runs, and says so, but is never answered: it times out
-				e.send(message(codec.Note, task, codec.Reason, "cores", codec.Value, "0.6"))
+				e.send(message(codec.KindNote, task, codec.ParamReason, "cores", codec.ParamValue, "0.6"))
 			case 2:
-				e.send(codec.AppendEnd(nil, task, codec.Full))
+				e.send(codec.AppendEnd(nil, task, codec.CauseFull))
 			default:
 				n.answer(e, task)
 			}
@@ -139,7 +139,7 @@
 			x := r.dial()
 			x.request(7, job)
 			r.until("it is offered", func() bool { return slices.Contains(r.node.received(), 7) })
-			r.node.send(7, early(7, codec.Reset, "sent_away", true))
+			r.node.send(7, early(7, codec.CauseReset, "sent_away", true))
 			x.expect("7 " + afterRun[job])
 			r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 			r.until("the node is told to end it", func() bool { return r.node.ended(7) })
--- a/internal/platform/effects.go
+++ b/internal/platform/effects.go
@@ -16,9 +16,9 @@
 		return
 	}
 	s.markAnswered(a)
-	cause := byte(codec.Reset)
+	cause := byte(codec.CauseReset)
 	if declined {
-		cause = codec.Busy
+		cause = codec.CauseBusy
 		s.stats.shed++
 	} else {
 		s.stats.failed++
@@ -54,7 +54,7 @@
 	}
 	s.stats.ended++
 	s.trace("over", a.task, func(e *zerolog.Event) { e.Uint8("verdict", uint8(v)) })
-	s.notifyEnd(a, map[logic.Outcome]byte{logic.Completed: codec.Normal, logic.Cancelled: codec.Elsewhere}[v])
+	s.notifyEnd(a, map[logic.Outcome]byte{logic.Completed: codec.CauseNormal, logic.Cancelled: codec.CauseElsewhere}[v])
 }
 
 func (s hostEffects) Forget(alloc uint32) {
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -190,10 +190,10 @@
 				}
 				n.mu.Lock()
 				switch codec.Kind(msg) {
-				case codec.SetUp:
+				case codec.KindSetUp:
 					n.setUps = append(n.setUps, codec.Task(msg))
 					n.connOf[codec.Task(msg)] = c
-				case codec.End:
+				case codec.KindEnd:
 					n.ends = append(n.ends, codec.Task(msg))
 				}
 				n.mu.Unlock()
@@ -350,8 +350,8 @@
 		}
 		if took > 0 {
 			cause, _ := codec.CauseOf(msg)
-			d, _ := codec.Param(msg, codec.Description)
-			word := map[byte]string{codec.Answer: "served " + string(d), codec.End: fmt.Sprint("end ", cause), codec.Tested: fmt.Sprint("tested ",
+			d, _ := codec.Param(msg, codec.ParamDescription)
+			word := map[byte]string{codec.KindAnswer: "served " + string(d), codec.KindEnd: fmt.Sprint("end ", cause), codec.KindTested: fmt.Sprint("tested ",
 				cause)}[codec.Kind(msg)]
 			word = fmt.Sprintf("%d %s", codec.Task(msg), word)
 			x.partial = bytes.Clone(x.partial[took:])
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -61,7 +61,7 @@
 				x.request(7, "batch")
 				r.until("it is offered", func() bool { return len(r.node.received()) == 2 })
 				gone(r, x)
-				r.node.send(7, codec.AppendEnd(nil, 7, codec.Full))
+				r.node.send(7, codec.AppendEnd(nil, 7, codec.CauseFull))
 				r.waitIdle()
 				if got := r.node.received(); len(got) != 2 {
 					t.Errorf("set-ups %v: another try began for a client that was gone", got)
@@ -75,7 +75,7 @@
 				gone(r, x)
 				r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 				r.until("it is ended at its node", func() bool { return r.node.ended(7) })
-				r.node.send(7, codec.AppendEnd(nil, 7, codec.Elsewhere))
+				r.node.send(7, codec.AppendEnd(nil, 7, codec.CauseElsewhere))
 				r.waitIdle()
 			})
 		}
@@ -151,7 +151,7 @@
 				r.env.ends.set(true)
 				leave(x)
 				r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
-				r.node.send(7, codec.AppendEnd(nil, 7, codec.Normal))
+				r.node.send(7, codec.AppendEnd(nil, 7, codec.CauseNormal))
 				if !other {
 					r.until("it is over", func() bool { return r.counted(func(s *Server) int { return s.stats.ended }) > 0 })
 					y = r.dial()
@@ -201,7 +201,7 @@
 		r := startLoopback(t, nil)
 		closed(r)
 		x := r.dial()
-		x.send(codec.AppendEnd(nil, 1, codec.Normal)) // its client ends what stands since the beginning
+		x.send(codec.AppendEnd(nil, 1, codec.CauseNormal)) // its client ends what stands since the beginning
 		r.until("its node is told", func() bool { return r.node.ended(1) })
 	})
 }
--- a/internal/platform/node_conns.go
+++ b/internal/platform/node_conns.go
@@ -236,7 +236,7 @@
 		return // nor here
 	}
 	l.expectLate(a.task)
-	l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, a.task, codec.Normal) })
+	l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, a.task, codec.CauseNormal) })
 	l.drain(outcome.Linger())
 }
 
@@ -262,7 +262,7 @@
 	l.node.pendingStops = nil
 	for _, c := range cuts {
 		if now < c.until {
-			l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, c.task, codec.Elsewhere) })
+			l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, c.task, codec.CauseElsewhere) })
 		}
 	}
 }
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -18,15 +18,15 @@
 		batch  string // "again": served by the other node, "served": by this one
 		single string
 	}{
-		{"full", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.Full)) }, "again", "again"},
-		{"moot", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.NotStarted)) }, "again", "again"},
-		{"error", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.Errored)) }, "again", "end 41"},
-		{"broken on its way", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.Reset)) }, "again", "end 41"},
-		{"a normal end", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.Normal)) }, "end 42", "end 41"},
+		{"full", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseFull)) }, "again", "again"},
+		{"moot", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseNotStarted)) }, "again", "again"},
+		{"error", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseErrored)) }, "again", "end 41"},
+		{"broken on its way", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseReset)) }, "again", "end 41"},
+		{"a normal end", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseNormal)) }, "end 42", "end 41"},
 		{"closed under it", func(_ *fakeNode, e *testConn, _ uint64) { e.conn.Close(true, nil) }, "again", "end 41"},
 		{"noise", func(_ *fakeNode, e *testConn, _ uint64) { e.send([]byte("\x00\x40\xf3 noise, noise and more noise")) }, "again", "end 41"},
 		{"an answer said to be huge", func(_ *fakeNode, e *testConn, _ uint64) { e.send([]byte("\xff\xff\x09")) }, "again", "end 41"},
-		{"without a description", func(_ *fakeNode, e *testConn, task uint64) { e.send(message(codec.Answer, task)) }, "again", "end 41"},
+		{"without a description", func(_ *fakeNode, e *testConn, task uint64) { e.send(message(codec.KindAnswer, task)) }, "again", "end 41"},
 		{"cut short", func(n *fakeNode, e *testConn, task uint64) {
 			b := codec.AppendAnswer(nil, task, []byte(n.description(task)))
 			e.send(b[:len(b)-3])
@@ -177,7 +177,7 @@
 	r := startRig(t, "a", "b")
 	for _, n := range r.nodes {
 		n.onSetUp = func(e *testConn, task uint64) {
-			e.send(message(codec.End, task, codec.Cause, "\x10", codec.Description, "short"))
+			e.send(message(codec.KindEnd, task, codec.ParamCause, "\x10", codec.ParamDescription, "short"))
 		}
 	}
 	x := r.dial()
@@ -245,7 +245,7 @@
 	if old.starts[8] > 0 {
 		t.Error("the set-up went to the old one")
 	}
-	r.nodes["b"].conns[0].send(codec.AppendEnd(nil, 7, codec.Normal))
+	r.nodes["b"].conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 	r.pass(100)
 	x.want("the new one can't end the old one's", "7 served "+old.description(7), "8 served "+r.nodes["b"].description(8))
 	old.process.Kill(false)
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -55,9 +55,9 @@
 	s, task := l.server, codec.Task(msg)
 	s.traceNode(l, msg)
 	switch codec.Kind(msg) {
-	case codec.Answer:
+	case codec.KindAnswer:
 		return l.onAnswer(now, task, msg)
-	case codec.End:
+	case codec.KindEnd:
 		cause, ok := codec.CauseOf(msg)
 		if !ok {
 			return codec.ErrUnreadable
@@ -66,7 +66,7 @@
 		a := s.requestsByTask[task]
 		switch {
 		case a == nil || a.node != l.node:
-		case a.conn == l && cause == codec.Normal && codec.HasDescription(msg): // it stood and ended in one
+		case a.conn == l && cause == codec.CauseNormal && codec.HasDescription(msg): // it stood and ended in one
 			if err := l.onAnswer(now, task, msg); err != nil {
 				return err
 			}
@@ -78,12 +78,12 @@
 		case a.running:
 			s.completeAttempt(a, codec.VerdictOfRunning(cause), codec.ReasonOf(msg), s.reportBuffer)
 		}
-	case codec.Note:
+	case codec.KindNote:
 		kind, value, ok := codec.ParseNote(msg)
 		if a := s.requestsByTask[task]; ok && a != nil && a.node == l.node && (a.running || a.conn == l) {
 			s.host.OnNote(now, a.allocID, kind, value)
 		}
-	case codec.Tested:
+	case codec.KindTested:
 		cause, ok := codec.CauseOf(msg)
 		if !ok {
 			return codec.ErrUnreadable
@@ -97,7 +97,7 @@
 			s.reportBuffer = codec.ParseReport(msg, s.settings.Cluster.ReportFields, s.reportBuffer[:0])
 			s.host.OnProbeResult(now, l.node.id, uint32(task), v, s.reportBuffer)
 		}
-	case codec.Progress, codec.EndAck:
+	case codec.KindProgress, codec.KindEndAck:
 	default:
 		return codec.ErrUnreadable
 	}
@@ -107,7 +107,7 @@
 // onAnswer processes a node's answer: the task runs. It goes to the client only if it is for the attempt that is out at this node.
 func (l *nodeConn) onAnswer(now float64, task uint64, msg []byte) error {
 	s := l.server
-	description, ok := codec.Param(msg, codec.Description)
+	description, ok := codec.Param(msg, codec.ParamDescription)
 	if !ok || len(description) == 0 {
 		return codec.ErrUnreadable
 	}
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -33,7 +33,7 @@
 func (s *Server) stopTask(p *node, task uint64) {
 	for _, l := range p.conns {
 		if l.conn != nil && !l.closed && l.isOpen() {
-			if _, _, ok := l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, task, codec.Elsewhere) }); ok {
+			if _, _, ok := l.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, task, codec.CauseElsewhere) }); ok {
 				return
 			}
 		}
--- a/internal/platform/notify.go
+++ b/internal/platform/notify.go
@@ -22,7 +22,7 @@
 // notifyEnd notifies a client that its running task is over. Without a cause it counts as a reset.
 func (s *Server) notifyEnd(a *request, cause byte) {
 	if cause == 0 {
-		cause = codec.Reset
+		cause = codec.CauseReset
 	}
 	s.notify(a, notification{task: a.task, cause: cause})
 }
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -18,10 +18,10 @@
 			x.request(7, job)
 			r.pass(200)
 			x.want("served", "9 tested 1", "7 served "+n.description(7))
-			n.conns[0].send(codec.AppendEnd(nil, 7, codec.Normal))
+			n.conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 			r.pass(50)
 			x.want("its end", "9 tested 1", "7 served "+n.description(7), "7 end 16")
-			n.conns[0].send(codec.AppendEnd(nil, 7, codec.Normal))
+			n.conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 			r.pass(3000)
 			x.want("told twice", "9 tested 1", "7 served "+n.description(7), "7 end 16")
 			if len(r.server.requestsByAlloc)+len(r.server.requestsByTask) > 0 || r.server.admission.Open() != 0 {
@@ -75,7 +75,7 @@
 	}
 }
 
-func ends(r *simRig) { r.nodes["a"].conns[0].send(codec.AppendEnd(nil, 7, codec.Normal)) }
+func ends(r *simRig) { r.nodes["a"].conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal)) }
 
 func moves(r *simRig) {
 	r.server.mu.Lock()
@@ -87,9 +87,9 @@
 func TestFound(t *testing.T) {
 	r := startRig(t, "a")
 	x := r.dial()
-	x.send(setUp(7, "single", codec.Demand, demandText+";at:a"))
-	x.send(setUp(7, "single", codec.Demand, demandText+";at:a"))
-	x.send(setUp(8, "single", codec.Demand, demandText+";at:nowhere"))
+	x.send(setUp(7, "single", codec.ParamDemand, demandText+";at:a"))
+	x.send(setUp(7, "single", codec.ParamDemand, demandText+";at:a"))
+	x.send(setUp(8, "single", codec.ParamDemand, demandText+";at:nowhere"))
 	r.pass(4000)
 	x.want("nothing but for the one nowhere", "8 end 41")
 	if len(r.nodes["a"].conns) == 0 {
@@ -98,7 +98,7 @@
 	if open := open(r.nodes["a"]); len(open) != 1 {
 		t.Fatalf("%d connections are open: each look takes the place of the one before", len(open))
 	} else {
-		open[0].send(codec.AppendEnd(nil, 7, codec.Normal))
+		open[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 	}
 	r.pass(100)
 	x.want("its end", "8 end 41", "7 end 16")
--- a/internal/platform/sim_rig_test.go
+++ b/internal/platform/sim_rig_test.go
@@ -161,7 +161,7 @@
 func (n *fakeNode) message(e *testConn, msg []byte) {
 	task := codec.Task(msg)
 	switch codec.Kind(msg) {
-	case codec.SetUp:
+	case codec.KindSetUp:
 		n.starts[task]++
 		n.open[task] = e
 		if n.onSetUp != nil {
@@ -169,13 +169,13 @@
 			return
 		}
 		n.process.After(30, func() { n.answer(e, task) })
-	case codec.End:
+	case codec.KindEnd:
 		n.ended = append(n.ended, task)
 		if n.running[task] {
 			delete(n.running, task)
-			e.send(codec.AppendEnd(nil, task, codec.Elsewhere))
+			e.send(codec.AppendEnd(nil, task, codec.CauseElsewhere))
 		}
-	case codec.Test:
+	case codec.KindTest:
 		n.tests++
 		e.send(codec.AppendTested(nil, task, true))
 	}
@@ -203,9 +203,9 @@
 	x := &testClient{testConn: &testConn{}, rig: r}
 	x.onMessage = func(msg []byte) {
 		cause, _ := codec.CauseOf(msg)
-		d, _ := codec.Param(msg, codec.Description)
-		word := map[byte]string{codec.Answer: "served " + string(d), codec.End: fmt.Sprint("end ", cause), codec.Tested: fmt.Sprint("tested ",
-			cause), codec.Move: "move"}[codec.Kind(msg)]
+		d, _ := codec.Param(msg, codec.ParamDescription)
+		word := map[byte]string{codec.KindAnswer: "served " + string(d), codec.KindEnd: fmt.Sprint("end ", cause), codec.KindTested: fmt.Sprint("tested ",
+			cause), codec.KindMove: "move"}[codec.Kind(msg)]
 		x.received, x.receivedAt = append(x.received, fmt.Sprintf("%d %s", codec.Task(msg), word)), append(x.receivedAt, r.clock.TrueTime())
 	}
 	r.clients.Dial(clientAddress, 1000, func(c env.Conn, err error) {
@@ -243,8 +243,8 @@
 // setUp is a client's set-up; more parameters take the place of those with the same code.
 func setUp(task uint64, job string, more ...any) []byte {
 	params := []any{
-		codec.JobType, job, codec.TimeLeft, "2500", codec.Tenant, "acme", codec.Name, fmt.Sprintf("%016x", task), codec.Key,
-		strings.Repeat("5c", 16), codec.Demand, demandText, codec.Description, "owner's",
+		codec.ParamJobClass, job, codec.ParamTimeLeft, "2500", codec.ParamTenant, "acme", codec.ParamName, fmt.Sprintf("%016x", task), codec.ParamKey,
+		strings.Repeat("5c", 16), codec.ParamDemand, demandText, codec.ParamDescription, "owner's",
 	}
 	for i := 0; i < len(more); i += 2 {
 		for j := 0; j < len(params); j += 2 {
@@ -253,7 +253,7 @@
 			}
 		}
 	}
-	return message(codec.SetUp, task, params...)
+	return message(codec.KindSetUp, task, params...)
 }
 
 func (x *testClient) request(task uint64, job string) { x.send(setUp(task, job)) }
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -67,7 +67,7 @@
 				t.Errorf("%d, which may have run, is tried again", task)
 			}
 			if rng.IntN(8) == 0 {
-				e.send(codec.AppendEnd(nil, task, codec.Full))
+				e.send(codec.AppendEnd(nil, task, codec.CauseFull))
 				return
 			}
 			a.barred = true
@@ -76,7 +76,7 @@
 				n.process.After(1500, func() {
 					if n.running[task] {
 						delete(n.running, task)
-						e.send(codec.AppendEnd(nil, task, codec.Normal))
+						e.send(codec.AppendEnd(nil, task, codec.CauseNormal))
 					}
 				})
 			})
@@ -90,14 +90,14 @@
 	ask := func() {
 		task++
 		job := rng.IntN(len(known.JobClasses))
-		more := []any{codec.TimeLeft, fmt.Sprint(int(known.Deadlines[job]))}
+		more := []any{codec.ParamTimeLeft, fmt.Sprint(int(known.Deadlines[job]))}
 		if len(known.Tenants) > 0 {
-			more = append(more, codec.Tenant, known.Tenants[rng.IntN(len(known.Tenants))])
+			more = append(more, codec.ParamTenant, known.Tenants[rng.IntN(len(known.Tenants))])
 		}
 		b := setUp(task, known.JobClasses[job], more...)
 		if len(known.Tenants) == 0 { // a customer without tenants names none
-			b = message(codec.SetUp, task, codec.JobType, known.JobClasses[job], codec.TimeLeft, fmt.Sprint(int(known.Deadlines[job])), codec.Name,
-				fmt.Sprintf("%016x", task), codec.Key, strings.Repeat("5c", 16), codec.Demand, demandText, codec.Description, "owner's")
+			b = message(codec.KindSetUp, task, codec.ParamJobClass, known.JobClasses[job], codec.ParamTimeLeft, fmt.Sprint(int(known.Deadlines[job])), codec.ParamName,
+				fmt.Sprintf("%016x", task), codec.ParamKey, strings.Repeat("5c", 16), codec.ParamDemand, demandText, codec.ParamDescription, "owner's")
 		}
 		a := &request{x: x, job: job, until: r.clock.TrueTime() + known.Deadlines[job]}
 		all[task] = a
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -58,10 +58,10 @@
 func (s *Server) traceNode(l *nodeConn, msg []byte) {
 	s.trace("from node", codec.Task(msg), func(e *zerolog.Event) {
 		cause, _ := codec.CauseOf(msg)
-		word, _ := codec.Param(msg, codec.Reason)
-		figure, _ := codec.Param(msg, codec.Value)
-		report, _ := codec.Param(msg, codec.Report)
-		d, _ := codec.Param(msg, codec.Description)
+		word, _ := codec.Param(msg, codec.ParamReason)
+		figure, _ := codec.Param(msg, codec.ParamValue)
+		report, _ := codec.Param(msg, codec.ParamReport)
+		d, _ := codec.Param(msg, codec.ParamDescription)
 		e.Str("node", l.node.name).Uint8("kind", codec.Kind(msg)).Uint8("cause", cause).Bytes("word", word).
 			Bytes("figure", figure).Bytes("report", report).Bytes("d", d[:min(len(d), 80)])
 	})
--- a/internal/proto/platform/messages.go
+++ b/internal/proto/platform/messages.go
@@ -25,42 +25,42 @@
 
 // Kinds of messages.
 const (
-	SetUp    = 1
-	Progress = 6
-	Answer   = 9
-	End      = 12
-	EndAck   = 16
-	Note     = 44
-	Move     = 51
-	Test     = 52
-	Tested   = 53
+	KindSetUp    = 1
+	KindProgress = 6
+	KindAnswer   = 9
+	KindEnd      = 12
+	KindEndAck   = 16
+	KindNote     = 44
+	KindMove     = 51
+	KindTest     = 52
+	KindTested   = 53
 )
 
 // Codes of parameters.
 const (
-	JobType     = 3
-	TimeLeft    = 5
-	Tenant      = 7
-	Repeat      = 9
-	Name        = 11
-	Demand      = 13
-	Reason      = 17
-	Report      = 21
-	Value       = 27
-	Key         = 29
-	Cause       = 31
-	Description = 33
+	ParamJobClass    = 3
+	ParamTimeLeft    = 5
+	ParamTenant      = 7
+	ParamRepeat      = 9
+	ParamName        = 11
+	ParamDemand      = 13
+	ParamReason      = 17
+	ParamReport      = 21
+	ParamValue       = 27
+	ParamKey         = 29
+	ParamCause       = 31
+	ParamDescription = 33
 )
 
 // Causes of an end.
 const (
-	Normal     = 16 // as it should, or given up
-	Elsewhere  = 31
-	Full       = 34
-	Reset      = 41
-	Busy       = 42
-	Errored    = 47
-	NotStarted = 102
+	CauseNormal     = 16 // as it should, or given up
+	CauseElsewhere  = 31
+	CauseFull       = 34
+	CauseReset      = 41
+	CauseBusy       = 42
+	CauseErrored    = 47
+	CauseNotStarted = 102
 )
 
 // ErrUnreadable is what a message is that can't be read. The connection that it came on is of no further use.
@@ -100,7 +100,7 @@
 
 func isKnownKind(kind byte) bool {
 	switch kind {
-	case SetUp, Progress, Answer, End, EndAck, Note, Move, Test, Tested:
+	case KindSetUp, KindProgress, KindAnswer, KindEnd, KindEndAck, KindNote, KindMove, KindTest, KindTested:
 		return true
 	}
 	return false
@@ -130,7 +130,7 @@
 
 // CauseOf is the cause that a message gives; false if it gives none, or not one byte.
 func CauseOf(msg []byte) (byte, bool) {
-	if v, ok := Param(msg, Cause); ok && len(v) == 1 {
+	if v, ok := Param(msg, ParamCause); ok && len(v) == 1 {
 		return v[0], true
 	}
 	return 0, false
@@ -138,7 +138,7 @@
 
 // HasDescription tells whether a message brings a description.
 func HasDescription(msg []byte) bool {
-	v, ok := Param(msg, Description)
+	v, ok := Param(msg, ParamDescription)
 	return ok && len(v) > 0
 }
 
@@ -224,7 +224,7 @@
 
 // ParseReport reads a load report's values in the order of the fields, appended to into; nothing if one is missing.
 func ParseReport(msg []byte, fields []string, into []float64) []float64 {
-	text, ok := Param(msg, Report)
+	text, ok := Param(msg, ParamReport)
 	if !ok || len(fields) == 0 {
 		return into
 	}
@@ -257,7 +257,7 @@
 
 // ReasonOf is the reason that an end gives.
 func ReasonOf(msg []byte) logic.Reason {
-	v, _ := Param(msg, Reason)
+	v, _ := Param(msg, ParamReason)
 	for i, w := range reasonWords {
 		if string(v) == w {
 			return logic.Reason(i)
@@ -268,10 +268,10 @@
 
 // ParseNote reads a note: its kind and figure; false if it is none that is known.
 func ParseNote(msg []byte) (logic.TaskMetric, float64, bool) {
-	v, _ := Param(msg, Reason)
+	v, _ := Param(msg, ParamReason)
 	for i, w := range noteWords {
 		if i > 0 && string(v) == w {
-			f, ok := Number(msg, Value)
+			f, ok := Number(msg, ParamValue)
 			return logic.TaskMetric(i), f, ok || i == int(logic.TaskRunning)
 		}
 	}
@@ -281,11 +281,11 @@
 // VerdictBeforeAnswer is what an end by a node tells about a try that it had not answered. Only two causes prove that it never ran.
 func VerdictBeforeAnswer(cause byte) logic.Outcome {
 	switch cause {
-	case Full:
+	case CauseFull:
 		return logic.Rejected
-	case NotStarted:
+	case CauseNotStarted:
 		return logic.NotSent
-	case Errored:
+	case CauseErrored:
 		return logic.Errored
 	}
 	return logic.ConnectionLost
@@ -294,9 +294,9 @@
 // VerdictOfRunning is what it tells about a task that stood.
 func VerdictOfRunning(cause byte) logic.Outcome {
 	switch cause {
-	case Normal:
+	case CauseNormal:
 		return logic.Completed
-	case Elsewhere:
+	case CauseElsewhere:
 		return logic.Cancelled
 	}
 	return logic.ConnectionLost
@@ -323,31 +323,33 @@
 // AppendSetUp appends an owner's set-up as a node wants it. No key is given where it has none.
 func AppendSetUp(b []byte, task uint64, jobType, name, key, description []byte, left float64) []byte {
 	at := len(b)
-	b = appendParam(appendHead(b, SetUp, task), JobType, jobType)
-	b = appendParam(b, TimeLeft, strconv.AppendInt(nil, int64(max(1, left)), 10))
-	b = appendParam(b, Name, name)
+	b = appendParam(appendHead(b, KindSetUp, task), ParamJobClass, jobType)
+	b = appendParam(b, ParamTimeLeft, strconv.AppendInt(nil, int64(max(1, left)), 10))
+	b = appendParam(b, ParamName, name)
 	if key != nil {
-		b = appendParam(b, Key, key)
+		b = appendParam(b, ParamKey, key)
 	}
-	return setLength(appendParam(b, Description, description), at)
+	return setLength(appendParam(b, ParamDescription, description), at)
 }
 
 // AppendAnswer appends that a task stands, with a node's description.
 func AppendAnswer(b []byte, task uint64, description []byte) []byte {
-	return setLength(appendParam(appendHead(b, Answer, task), Description, description), len(b))
+	return setLength(appendParam(appendHead(b, KindAnswer, task), ParamDescription, description), len(b))
 }
 
 // AppendEnd appends an end: a refusal, a failure, a giving up or a release, by its cause.
 func AppendEnd(b []byte, task uint64, cause byte) []byte {
-	return setLength(appendParam(appendHead(b, End, task), Cause, []byte{cause}), len(b))
+	return setLength(appendParam(appendHead(b, KindEnd, task), ParamCause, []byte{cause}), len(b))
 }
 
 // AppendTest appends a test, which asks for a report if it is so wanted.
-func AppendTest(b []byte, task uint64, report bool) []byte { return appendFlag(b, Test, task, report) }
+func AppendTest(b []byte, task uint64, report bool) []byte {
+	return appendFlag(b, KindTest, task, report)
+}
 
 // AppendTested appends how a test went.
 func AppendTested(b []byte, task uint64, passed bool) []byte {
-	return appendFlag(b, Tested, task, passed)
+	return appendFlag(b, KindTested, task, passed)
 }
 
 func appendFlag(b []byte, kind byte, task uint64, set bool) []byte {
@@ -355,8 +357,10 @@
 	if set {
 		v[0] = 1
 	}
-	return setLength(appendParam(appendHead(b, kind, task), Cause, v), len(b))
+	return setLength(appendParam(appendHead(b, kind, task), ParamCause, v), len(b))
 }
 
 // AppendMove appends that a task is to be asked for again.
-func AppendMove(b []byte, task uint64) []byte { return setLength(appendHead(b, Move, task), len(b)) }
+func AppendMove(b []byte, task uint64) []byte {
+	return setLength(appendHead(b, KindMove, task), len(b))
+}
--- a/internal/proto/platform/messages_test.go
+++ b/internal/proto/platform/messages_test.go
@@ -19,7 +19,7 @@
 func head(kind byte) []byte { return []byte{kind, 0, 0, 0, 0, 0, 0, 0, 7} }
 
 func TestNext(t *testing.T) {
-	end := AppendEnd(nil, 7, Full)
+	end := AppendEnd(nil, 7, CauseFull)
 	for _, c := range []struct {
 		name string
 		in   []byte
@@ -31,16 +31,16 @@
 		{"half a message", end[:8], 0, false},
 		{"a message", end, len(end), false},
 		{"a message and half of the next", append(append([]byte{}, end...), end[:5]...), len(end), false},
-		{"no parameters", raw(9, head(Move)...), 11, false},
-		{"too short to name a task", raw(8, head(Move)[:8]...), 0, true},
+		{"no parameters", raw(9, head(KindMove)...), 11, false},
+		{"too short to name a task", raw(8, head(KindMove)[:8]...), 0, true},
 		{"no bytes", raw(0), 0, true},
-		{"longer than any", raw(MaxMessage-1, head(Move)...), 0, true},
-		{"the longest", append(raw(MaxMessage-2, head(SetUp)...), append([]byte{9, byte((MaxMessage - 14) >> 8), byte((MaxMessage - 14) & 255)},
+		{"longer than any", raw(MaxMessage-1, head(KindMove)...), 0, true},
+		{"the longest", append(raw(MaxMessage-2, head(KindSetUp)...), append([]byte{9, byte((MaxMessage - 14) >> 8), byte((MaxMessage - 14) & 255)},
 			make([]byte, MaxMessage-14)...)...), MaxMessage, false},
 		{"a kind that nobody sends", raw(9, head(77)...), 0, true},
 		{"such a kind, and the rest is still to come", raw(5000, 77), 0, true},
-		{"half a parameter", raw(11, append(head(End), Cause, 0)...), 0, true},
-		{"a parameter longer than its message", raw(13, append(head(End), Cause, 0, 9, 1)...), 0, true},
+		{"half a parameter", raw(11, append(head(KindEnd), ParamCause, 0)...), 0, true},
+		{"a parameter longer than its message", raw(13, append(head(KindEnd), ParamCause, 0, 9, 1)...), 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			msg, took, err := Next(c.in)
@@ -62,17 +62,17 @@
 	}{
 		{"set-up", func(b []byte) []byte {
 			return AppendSetUp(b, 7, text("batch"), text("00ab"), text("5c"), text("d\r\n"), 1499.7)
-		}, SetUp, map[byte]string{JobType: "batch", TimeLeft: "1499", Name: "00ab", Key: "5c", Description: "d\r\n"}},
+		}, KindSetUp, map[byte]string{ParamJobClass: "batch", ParamTimeLeft: "1499", ParamName: "00ab", ParamKey: "5c", ParamDescription: "d\r\n"}},
 		{
 			"set-up without a key", func(b []byte) []byte { return AppendSetUp(b, 7, text("x"), text("y"), nil, text("z"), -3) },
-			SetUp,
-			map[byte]string{JobType: "x", TimeLeft: "1", Name: "y", Description: "z"},
+			KindSetUp,
+			map[byte]string{ParamJobClass: "x", ParamTimeLeft: "1", ParamName: "y", ParamDescription: "z"},
 		},
-		{"answer", func(b []byte) []byte { return AppendAnswer(b, 7, text("d")) }, Answer, map[byte]string{Description: "d"}},
-		{"end", func(b []byte) []byte { return AppendEnd(b, 7, NotStarted) }, End, map[byte]string{Cause: "\x66"}},
-		{"test for a report", func(b []byte) []byte { return AppendTest(b, 7, true) }, Test, map[byte]string{Cause: "\x01"}},
-		{"test failed", func(b []byte) []byte { return AppendTested(b, 7, false) }, Tested, map[byte]string{Cause: "\x00"}},
-		{"move", func(b []byte) []byte { return AppendMove(b, 7) }, Move, nil},
+		{"answer", func(b []byte) []byte { return AppendAnswer(b, 7, text("d")) }, KindAnswer, map[byte]string{ParamDescription: "d"}},
+		{"end", func(b []byte) []byte { return AppendEnd(b, 7, CauseNotStarted) }, KindEnd, map[byte]string{ParamCause: "\x66"}},
+		{"test for a report", func(b []byte) []byte { return AppendTest(b, 7, true) }, KindTest, map[byte]string{ParamCause: "\x01"}},
+		{"test failed", func(b []byte) []byte { return AppendTested(b, 7, false) }, KindTested, map[byte]string{ParamCause: "\x00"}},
+		{"move", func(b []byte) []byte { return AppendMove(b, 7) }, KindMove, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := c.build([]byte("before"))
@@ -103,22 +103,22 @@
 }
 
 func TestParam(t *testing.T) {
-	if v, ok := Param(message(End, Cause, "a", Cause, "b"), Cause); ok {
+	if v, ok := Param(message(KindEnd, ParamCause, "a", ParamCause, "b"), ParamCause); ok {
 		t.Errorf("one that is there twice: %q", v)
 	}
-	if _, ok := CauseOf(message(End, Cause, "ab")); ok {
+	if _, ok := CauseOf(message(KindEnd, ParamCause, "ab")); ok {
 		t.Error("a cause of two bytes")
 	}
 	for text, want := range map[string]bool{
 		"1": true, "1.5e3": true, "-2": true, "": false, "NaN": false, "inf": false, "1e999": false,
 		"0x10": false, "7 ": false, strings.Repeat("1", 33): false,
 	} {
-		if _, ok := Number(message(SetUp, TimeLeft, text), TimeLeft); ok != want {
+		if _, ok := Number(message(KindSetUp, ParamTimeLeft, text), ParamTimeLeft); ok != want {
 			t.Errorf("number %q: %v", text, ok)
 		}
 	}
 	for text, want := range map[string]bool{"0123456789abcDEF": true, "0123456789abcde": false, "0123456789abcdeg": false} {
-		if _, ok := Hex(message(SetUp, Name, text), Name, 16); ok != want {
+		if _, ok := Hex(message(KindSetUp, ParamName, text), ParamName, 16); ok != want {
 			t.Errorf("hex %q: %v", text, ok)
 		}
 	}
@@ -167,11 +167,11 @@
 		{"x0:a;x1:1", nil},
 		{"", nil},
 	} {
-		if got := ParseReport(message(End, Report, c.text), fields, nil); fmt.Sprint(got) != fmt.Sprint(c.want) {
+		if got := ParseReport(message(KindEnd, ParamReport, c.text), fields, nil); fmt.Sprint(got) != fmt.Sprint(c.want) {
 			t.Errorf("%q: %v, want %v", c.text, got, c.want)
 		}
 	}
-	if got := ParseReport(message(End), fields, nil); got != nil {
+	if got := ParseReport(message(KindEnd), fields, nil); got != nil {
 		t.Errorf("no report: %v", got)
 	}
 }
@@ -203,17 +203,17 @@
 		}
 	}
 	for i, w := range []string{"x", "no_cores", "no_memory", "queue_full", "not_here", "evicted", "pushed_out", "sent_away"} {
-		if got := ReasonOf(message(End, Reason, w)); got != logic.Reason(i) {
+		if got := ReasonOf(message(KindEnd, ParamReason, w)); got != logic.Reason(i) {
 			t.Errorf("%s: %d", w, got)
 		}
 	}
 	for i, w := range []string{"x", "runs", "cores", "memory", "served", "pressure"} {
-		kind, v, ok := ParseNote(message(Note, Reason, w, Value, "0.5"))
+		kind, v, ok := ParseNote(message(KindNote, ParamReason, w, ParamValue, "0.5"))
 		if ok != (i > 0) || ok && (kind != logic.TaskMetric(i) || v != 0.5) {
 			t.Errorf("%s: %d %g %v", w, kind, v, ok)
 		}
 	}
-	if _, _, ok := ParseNote(message(Note, Reason, "cores", Value, "NaN")); ok {
+	if _, _, ok := ParseNote(message(KindNote, ParamReason, "cores", ParamValue, "NaN")); ok {
 		t.Error("a note without a number")
 	}
 }
@@ -221,8 +221,8 @@
 // FuzzNext looks for messages that end the process, or are read past their end.
 func FuzzNext(f *testing.F) {
 	f.Add(AppendSetUp(nil, 7, []byte("batch"), []byte("00ab"), []byte("5c"), []byte("d"), 100))
-	f.Add(AppendEnd(nil, 7, Full))
-	f.Add(raw(11, append(head(End), Cause, 0)...))
+	f.Add(AppendEnd(nil, 7, CauseFull))
+	f.Add(raw(11, append(head(KindEnd), ParamCause, 0)...))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		msg, took, err := Next(b)
 		if took == 0 || err != nil {
@@ -234,7 +234,7 @@
 		for code := range 256 {
 			Param(msg, byte(code))
 		}
-		text, _ := Param(msg, Demand)
+		text, _ := Param(msg, ParamDemand)
 		_, _, _, _, _ = ParseDemand(text)
 		CauseOf(msg)
 		ParseNote(msg)
