--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"ravenpond/internal/env"
-	"ravenpond/internal/proto/owners"
+	"ravenpond/internal/proto/client"
 )
 
 // Times of clients in ms, and sizes.
@@ -25,12 +25,12 @@
 	histogramDigits    = 3 // digits
 )
 
-// client is a connection that asks for tasks.
-type client struct {
+// loadClient is a connection that asks for tasks.
+type loadClient struct {
 	process int // process that it asks
 	env     env.Environment
 	conn    env.Conn
-	in      owners.Splitter
+	in      client.Splitter
 	tally   *tally
 
 	mu      sync.Mutex
@@ -73,8 +73,8 @@
 }
 
 // dial connects a client to a real process.
-func dial(w env.Environment, real int, address string, t *tally) (*client, error) {
-	c := &client{process: real, env: w, tally: t, pending: map[uint64]time.Time{}}
+func dial(w env.Environment, real int, address string, t *tally) (*loadClient, error) {
+	c := &loadClient{process: real, env: w, tally: t, pending: map[uint64]time.Time{}}
 	done := make(chan error, 1)
 	w.Dial(address, dialTimeoutMs, func(conn env.Conn, err error) {
 		if err == nil {
@@ -90,7 +90,7 @@
 }
 
 // request asks for a task, which was meant to be done at a time.
-func (c *client) request(meant time.Time, job string, number, teams int) {
+func (c *loadClient) request(meant time.Time, job string, number, teams int) {
 	c.mu.Lock()
 	c.refs++
 	ref := c.refs
@@ -101,20 +101,20 @@
 	c.tally.mu.Unlock()
 	body := fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"allocate","params":{"ref":%d,"tenant":"%s","key":"k%s%d","job-type":"%s","service":"s%d","cores":%g,"memory":%g}}`,
 		ref, teamName(number%teams), job, number, job, number%services, taskCores, taskMemory)
-	c.conn.Send(func(b []byte) []byte { return owners.Append(b, body) })
+	c.conn.Send(func(b []byte) []byte { return client.AppendMessage(b, body) })
 }
 
 // OnData takes answers.
-func (c *client) OnData(b []byte) {
+func (c *loadClient) OnData(b []byte) {
 	if c.in.Feed(b, c.onMessage) != nil {
 		c.conn.Close(false, nil)
 	}
 }
 
 // OnClose meets the end of the connection.
-func (c *client) OnClose(error) {}
+func (c *loadClient) OnClose(error) {}
 
-func (c *client) onMessage(body []byte) error {
+func (c *loadClient) onMessage(body []byte) error {
 	var message struct {
 		Method string
 		Params struct {
@@ -146,7 +146,7 @@
 }
 
 // arrivals asks the clients in turn at a rate, open loop, until it is told to stop or so many are asked (0: no bound).
-func arrivals(stop <-chan struct{}, clients []*client, job string, perSecond float64, first, limit, teams int, random *rand.Rand) (next int) {
+func arrivals(stop <-chan struct{}, clients []*loadClient, job string, perSecond float64, first, limit, teams int, random *rand.Rand) (next int) {
 	at := time.Now()
 	number := first
 	for ; limit == 0 || number < first+limit; number++ {
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -73,7 +73,7 @@
 	nodes      []*child
 	schedulers *child
 	real       []*process
-	clients    []*client
+	clients    []*loadClient
 	tally      *tally
 	requested  int // tasks so far, over all phases
 	random     *rand.Rand
--- a/internal/proto/owners/owners_test.go
+++ b/internal/proto/client/owners_test.go
@@ -1,4 +1,4 @@
-package owners
+package client
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 // FuzzSplitter holds the splitter against the JSON-RPC library's own framing: cut anywhere, a stream has the same messages,
 // as far as the splitter's bounds allow.
 func FuzzSplitter(f *testing.F) {
-	f.Add(Append(Append(nil, []byte(`{"a":1}`)), []byte(`[]`)), 3)
+	f.Add(AppendMessage(AppendMessage(nil, []byte(`{"a":1}`)), []byte(`[]`)), 3)
 	f.Add([]byte("Content-Length: 3\n\nabcContent-Length: 99999999\r\n\r\n"), 1)
 	f.Add([]byte("Content-Length: x\r\n\r\n"), 7)
 	f.Add([]byte("Content-Type: text/x\r\nContent-Length: 2\r\n\r\n{}"), 2)
@@ -65,7 +65,7 @@
 		t.Errorf("%q, %v", got, err)
 	}
 	back := &stream{}
-	back.Write(Append(nil, []byte(`{"b":2}`)))
+	back.Write(AppendMessage(nil, []byte(`{"b":2}`)))
 	if body, err := channel.LSP(back, back).Recv(); err != nil || string(body) != `{"b":2}` {
 		t.Errorf("%q, %v", body, err)
 	}
--- a/internal/serve/client_listener.go
+++ b/internal/serve/client_listener.go
@@ -18,7 +18,7 @@
 	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/engine"
 	"ravenpond/internal/env"
-	"ravenpond/internal/proto/owners"
+	"ravenpond/internal/proto/client"
 	"ravenpond/logic"
 )
 
@@ -27,7 +27,7 @@
 	server   *Server
 	id       uint32
 	conn     env.Conn
-	splitter owners.Splitter
+	splitter client.Splitter
 	local    AnswerHandler // instead of a connection, if it is not nil
 
 	mu       sync.Mutex
@@ -289,7 +289,7 @@
 
 // send queues a message.
 func (c *clientConn) send(body []byte) {
-	if _, queued, ok := c.conn.Send(func(b []byte) []byte { return owners.Append(b, body) }); ok &&
+	if _, queued, ok := c.conn.Send(func(b []byte) []byte { return client.AppendMessage(b, body) }); ok &&
 		queued > c.server.config.Site.ClientQueue*meanAnswerBytes {
 		c.disconnect("slow reader: answers queue up")
 	}
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -9,7 +9,7 @@
 
 	"ravenpond/internal/audit"
 	"ravenpond/internal/env"
-	"ravenpond/internal/proto/owners"
+	"ravenpond/internal/proto/client"
 )
 
 // Demand is an allocation that an owner wants until a time, asked for as often as need be.
@@ -103,7 +103,7 @@
 type session struct {
 	client *Client
 	conn   env.Conn
-	in     owners.Splitter
+	in     client.Splitter
 }
 
 // OnData takes what the scheduler sends.
@@ -125,7 +125,7 @@
 	if err != nil {
 		return
 	}
-	conn.Send(func(b []byte) []byte { return owners.Append(b, body) })
+	conn.Send(func(b []byte) []byte { return client.AppendMessage(b, body) })
 }
 
 // onDisconnect meets the end of a connection: what was open is asked for again, where a second start could do harm only
