--- /dev/null
+++ b/cmd/ravenpond/lab_maintenance.go
@@ -0,0 +1,42 @@
+package main
+
+import (
+	"fmt"
+	"runtime"
+
+	"ravenpond/internal/lab/month"
+)
+
+type maintenanceCommand struct {
+	Seed      uint64 `default:"1" help:"First seed."`
+	Seeds     uint64 `default:"1" help:"How many seeds."`
+	Days      int    `default:"30" help:"Days of each run."`
+	Processes int    `default:"8" help:"Scheduler processes."`
+}
+
+func (c *maintenanceCommand) Run() error {
+	fmt.Printf("%6s %8s %6s %10s %8s %9s %7s %9s %6s  %-16s\n", "seed", "windows", "kept", "postponed", "refused", "offers", "moved",
+		"restarts", "halls", "trace")
+	late, overlaps := 0, 0
+	results := make([]chan month.Report, c.Seeds)
+	running := make(chan struct{}, runtime.NumCPU())
+	for i := range results {
+		results[i] = make(chan month.Report, 1)
+		go func() {
+			running <- struct{}{}
+			results[i] <- month.Month{Seed: c.Seed + uint64(i), Days: c.Days, Processes: c.Processes}.Play()
+			<-running
+		}()
+	}
+	for i, got := range results {
+		r := <-got
+		fmt.Printf("%6d %8d %6d %10d %8d %9d %7d %9d %6d  %016x %s\n", c.Seed+uint64(i), r.Windows, r.Kept, r.Postponed, r.Refused,
+			r.Offers, r.MovedOff, r.Restarts, r.Lost, r.Trace, r.FirstFailure)
+		late, overlaps = late+r.LatePlacements, overlaps+r.Overlaps
+	}
+	fmt.Printf("late placements: %d\nforbidden overlaps: %d\n", late, overlaps)
+	if late+overlaps > 0 {
+		return fmt.Errorf("%d breaks", late+overlaps)
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/ravenpond/lab_shards.go
@@ -0,0 +1,60 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"runtime"
+	"time"
+
+	"ravenpond/internal/lab/cores"
+)
+
+type shardsCommand struct {
+	ShardCounts   []int         `name:"counts" default:"1,2,4,8" help:"Counts of shards."`
+	Nodes         int           `default:"130" help:"Stand-in nodes."`
+	Rate          float64       `default:"1500" help:"Asks a second for latency and CPU time."`
+	OverloadRate  float64       `name:"flood" default:"9000" help:"Asks a second for throughput: more than can be carried."`
+	Duration      time.Duration `name:"last" default:"4s" help:"Length of each trial over sockets."`
+	Requests      int           `name:"asks" default:"60000" help:"Asks of each trial in memory."`
+	CheckRequests int           `name:"check" default:"500000" help:"Asks of the check, at 4 and at 8 shards each; 0 leaves it out."`
+	Tables        bool          `default:"true" negatable:"" help:"Print the tables."`
+	Overload      bool          `default:"true" negatable:"" name:"overload" help:"Print the table of overload."`
+	Seed          uint64        `default:"1" help:"Seed of the check."`
+}
+
+func (c *shardsCommand) Run(ctx context.Context) error {
+	self, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	out, err := os.MkdirTemp("", "ravenpond-cores-")
+	if err != nil {
+		return err
+	}
+	t := cores.Measurements{
+		Command: []string{self}, ShardCounts: c.ShardCounts, Nodes: c.Nodes, Rate: c.Rate, OverloadRate: c.OverloadRate, Duration: c.Duration,
+		Requests: c.Requests, Cores: runtime.NumCPU(), Out: out,
+	}
+	if c.Tables {
+		if err := t.Sockets(ctx, os.Stdout); err != nil {
+			return err
+		}
+		if err := t.Memory(ctx, os.Stdout); err != nil {
+			return err
+		}
+	}
+	if c.Overload {
+		if err := t.Overload(ctx, os.Stdout); err != nil {
+			return err
+		}
+	}
+	if c.CheckRequests == 0 {
+		return nil
+	}
+	broken, err := cores.CheckMany(ctx, os.Stdout, c.CheckRequests, []int{4, 8}, c.Seed)
+	if err == nil && broken > 0 {
+		err = fmt.Errorf("%d breaks", broken)
+	}
+	return err
+}
