--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -108,7 +108,7 @@
 	})
 	runner.view.Store(&View{State: replica.State(), LeaseExpiry: math.Inf(-1)})
 	runner.loop = environment.StartLoop(runner.step)
-	members.WithDetector(func(d *membership.Detector) { d.Carries(messageHandler{runner}) })
+	members.WithDetector(func(d *membership.Detector) { d.SetCarrier(messageHandler{runner}) })
 	return runner, nil
 }
 
@@ -130,7 +130,7 @@
 	if r.stopped.Swap(true) {
 		return
 	}
-	r.members.WithDetector(func(d *membership.Detector) { d.Carries(nil) })
+	r.members.WithDetector(func(d *membership.Detector) { d.SetCarrier(nil) })
 	r.loop.Wake()
 }
 
@@ -211,7 +211,7 @@
 	r.view.Store(&View{State: r.replica.State(), LeaseExpiry: r.replica.LeaseExpiry()})
 	if v := r.replica.State().Version(); v != r.announcedVersion {
 		r.announcedVersion = v
-		r.members.WithDetector(func(d *membership.Detector) { d.Holds(v) })
+		r.members.WithDetector(func(d *membership.Detector) { d.SetStateVersion(v) })
 	}
 }
 
@@ -219,7 +219,7 @@
 type effects struct{ *Runner }
 
 func (e effects) Send(to string, body []byte) {
-	e.members.WithDetector(func(d *membership.Detector) { d.Carry(e.environment.Now(), to, body) })
+	e.members.WithDetector(func(d *membership.Detector) { d.SendMessage(e.environment.Now(), to, body) })
 }
 
 func (e effects) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error {
--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -38,8 +38,8 @@
 	shares []float64
 }
 
-// New makes a door for so many open allocations and tenants with these shares, which sum to 1 at most.
-func New(limit int, shares []float64) *Limiter {
+// NewLimiter makes a door for so many open allocations and tenants with these shares, which sum to 1 at most.
+func NewLimiter(limit int, shares []float64) *Limiter {
 	d := &Limiter{openByTenant: make([]int, len(shares)), maxPerTenant: make([]int, len(shares)), shares: shares}
 	d.SetLimit(limit)
 	return d
--- a/internal/decide/admission/admission_test.go
+++ b/internal/decide/admission/admission_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestDoor(t *testing.T) {
-	d := New(100, []float64{0.5, 0.3, 0.2})
+	d := NewLimiter(100, []float64{0.5, 0.3, 0.2})
 	enter := func(tenant, n int) (taken int, last Verdict) {
 		for range n {
 			if last = d.Admit(tenant, 5000, 100, true); last == Admitted {
--- a/internal/decide/membership/contact.go
+++ b/internal/decide/membership/contact.go
@@ -48,8 +48,8 @@
 	d.sendBare(address, 0, codec.Hello, d.sequence, "", d.digest)
 }
 
-// Leave announces that this process ends intentionally.
-func (d *Detector) Leave(now float64) {
+// AnnounceLeave announces that this process ends intentionally.
+func (d *Detector) AnnounceLeave(now float64) {
 	d.now = max(d.now, now)
 	d.leaving = true
 	d.version++
@@ -65,7 +65,7 @@
 
 // onHello answers a hello with this process's incarnation, and with the sender's known incarnation if that is later. It changes no state,
 // as a hello may be a replay.
-func (d *Detector) onHello(from, address string, life, number uint64) {
+func (d *Detector) onHello(from, address string, incarnation, number uint64) {
 	if d.now-d.helloWindowAt > 1000 {
 		d.helloWindowAt, d.recentHellos = d.now, 0
 	}
@@ -73,8 +73,8 @@
 		return
 	}
 	known, target := uint64(0), ""
-	if m := d.members[from]; m != nil && (m.Life > life || m.Life == life && m.Address != address) {
-		known, target = m.Life, from
+	if m := d.members[from]; m != nil && (m.Incarnation > incarnation || m.Incarnation == incarnation && m.Address != address) {
+		known, target = m.Incarnation, from
 	}
-	d.sendBare(address, life, codec.Welcome, number, target, known)
+	d.sendBare(address, incarnation, codec.Welcome, number, target, known)
 }
--- a/internal/decide/membership/member.go
+++ b/internal/decide/membership/member.go
@@ -23,12 +23,12 @@
 
 // Member is what this process knows of a member.
 type Member struct {
-	Name, Address string
-	Life, Version uint64
-	State         State
-	Since         float64 // when the state was entered, ms
-	By            string  // who reported the state
-	Heard         float64 // when its last own datagram arrived, ms; 0: never
+	Name, Address        string
+	Incarnation, Version uint64
+	State                State
+	Since                float64 // when the state was entered, ms
+	By                   string  // who reported the state
+	LastContact          float64 // when its last own datagram arrived, ms; 0: never
 }
 
 // member is a member with the detector's bookkeeping.
@@ -47,9 +47,9 @@
 }
 
 // setVersion sets a member's incarnation and version, and updates the digest.
-func (d *Detector) setVersion(m *member, life, version uint64) {
+func (d *Detector) setVersion(m *member, incarnation, version uint64) {
 	d.digest ^= m.digest()
-	m.Life, m.Version = life, version
+	m.Incarnation, m.Version = incarnation, version
 	d.digest ^= m.digest()
 }
 
@@ -79,8 +79,8 @@
 	return
 }
 
-// View returns a digest of the full state, equal in processes whose states are equal.
-func (d *Detector) View() uint64 { return d.digest }
+// Digest returns a digest of the full state, equal in processes whose states are equal.
+func (d *Detector) Digest() uint64 { return d.digest }
 
 // presentCount returns how many others are not known to be gone.
 func (d *Detector) presentCount() (n int) { return len(d.members) - d.deadCount }
@@ -112,17 +112,17 @@
 	d.digest ^= m.digest()
 	d.queueUpdate(m)
 	if to != was {
-		d.effects.Changed(m.Member, was)
+		d.effects.OnMemberChanged(m.Member, was)
 	}
 }
 
 // addMember adds a member; nil if there are too many.
-func (d *Detector) addMember(name, address string, life, version uint64) *member {
+func (d *Detector) addMember(name, address string, incarnation, version uint64) *member {
 	if len(d.members) >= maxMembers {
 		return nil
 	}
 	d.lastIndex++
-	m := &member{Member: Member{Name: name, Address: address, Life: life, Version: version, Since: d.now}, index: d.lastIndex, transmissions: -1}
+	m := &member{Member: Member{Name: name, Address: address, Incarnation: incarnation, Version: version, Since: d.now}, index: d.lastIndex, transmissions: -1}
 	d.members[name], d.byIndex[m.index] = m, m
 	at, _ := slices.BinarySearch(d.names, name)
 	d.names = slices.Insert(d.names, at, name)
@@ -152,7 +152,7 @@
 	for i := range len(m.Name) {
 		mix(uint64(m.Name[i]))
 	}
-	mix(m.Life)
+	mix(m.Incarnation)
 	mix(m.Version)
 	there := uint64(0)
 	if m.State >= Dead {
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -56,36 +56,36 @@
 type Effects interface {
 	// Send sends a datagram, which may be lost.
 	Send(address string, datagram []byte)
-	// Changed reports a member whose state or incarnation has changed.
-	Changed(m Member, was State)
-	// Taken reports that another process at an address uses this one's name.
-	Taken(address string)
-	// Hears returns the incarnation of a node that this process hears and when it was last heard, ms; false if it does not hear it.
-	Hears(node uint32) (life uint64, heard float64, ok bool)
+	// OnMemberChanged reports a member whose state or incarnation has changed.
+	OnMemberChanged(m Member, was State)
+	// OnNameConflict reports that another process at an address uses this one's name.
+	OnNameConflict(address string)
+	// LastNodeContact returns the incarnation of a node that this process hears and when it was last heard, ms; false if it does not hear it.
+	LastNodeContact(node uint32) (life uint64, heard float64, ok bool)
 }
 
 // Config identifies this process and the members that it contacts first.
 type Config struct {
 	Site, Name, Address string
-	Life                uint64 // incarnation, higher than that of any earlier start; raised if others know a higher one
+	Incarnation         uint64 // incarnation, higher than that of any earlier start; raised if others know a higher one
 	Key                 []byte // secret key of the site's members
 	Seeds               []string
 	Place               int     // index among the processes that share the slow-start budget, from 0
 	Places              int     // number of places in the site file; 0: nothing is shared
-	Window              float64 // of the slow-start budget, ms
-	Open                float64 // longest time that an allocation is open and uses leased quota, ms; 0: no quota is leased
+	SlowStartWindow     float64 // of the slow-start budget, ms
+	MaxOpenTime         float64 // longest time that an allocation is open and uses leased quota, ms; 0: no quota is leased
 	Faults              Faults
 	Seed                uint64 // of the random choices
 }
 
 // Faults injects faults for tests that must detect them. The zero value injects none.
 type Faults struct {
-	Silent   bool // it does not refute suspicions
-	Same     bool // it refutes suspicions without a higher version
-	Stale    bool // older updates are accepted
-	Replayed bool // replayed datagrams of any incarnation are accepted
-	Healthy  bool // it never lowers its local health
-	Grows    bool // shares of dead members are taken at once
+	NoRefutation      bool // it does not refute suspicions
+	SameVersion       bool // it refutes suspicions without a higher version
+	AcceptStale       bool // older updates are accepted
+	AcceptReplays     bool // replayed datagrams of any incarnation are accepted
+	IgnoreLocalHealth bool // it never lowers its local health
+	GrowShares        bool // shares of dead members are taken at once
 }
 
 type due uint8
@@ -108,18 +108,18 @@
 	now     float64
 	timers  timers.Heap[due]
 
-	version    uint64
-	leaving    bool
-	taken      bool
-	members    map[string]*member
-	byIndex    map[uint64]*member
-	lastIndex  uint64
-	names      []string // of all other members, sorted
-	digest     uint64   // digest of the full state
-	updates    []*member
-	self       *member // this process
-	probeOrder []string
-	probeIndex int
+	version      uint64
+	leaving      bool
+	nameConflict bool
+	members      map[string]*member
+	byIndex      map[uint64]*member
+	lastIndex    uint64
+	names        []string // of all other members, sorted
+	digest       uint64   // digest of the full state
+	updates      []*member
+	self         *member // this process
+	probeOrder   []string
+	probeIndex   int
 
 	sequence uint64 // last number of a probe, page, hello or message
 	probe    struct {
@@ -184,16 +184,16 @@
 		byIndex: map[uint64]*member{}, indirectProbes: map[uint64]indirectProbe{}, lateProbes: map[uint64]lateProbe{}, hellos: map[string]uint64{}, lastDeathAt: now, lastSyncAt: math.Inf(-1),
 		resumedAt: math.Inf(-1),
 	}
-	if d.config.Life == 0 {
-		d.config.Life = 1
+	if d.config.Incarnation == 0 {
+		d.config.Incarnation = 1
 	}
 	if who.Places > 0 && who.Places <= maxPlaces {
 		lease := slowstart.Config{
-			Places: who.Places, LeaseDuration: slowstart.MinLeaseDuration(who.Places, period), Window: who.Window,
+			Places: who.Places, LeaseDuration: slowstart.MinLeaseDuration(who.Places, period), Window: who.SlowStartWindow,
 			ProbeInterval: 2 * period * float64(who.Places),
 		}
 		d.slowStart = slowstart.New(now, lease, who.Place)
-		if lease.Window = who.Open; who.Open > 0 {
+		if lease.Window = who.MaxOpenTime; who.MaxOpenTime > 0 {
 			d.quota = slowstart.New(now, lease, who.Place)
 		}
 	}
@@ -208,18 +208,18 @@
 
 // announceSelf updates this process's own version and queues the update.
 func (d *Detector) announceSelf() {
-	d.setVersion(d.self, d.config.Life, d.version)
+	d.setVersion(d.self, d.config.Incarnation, d.version)
 	d.queueUpdate(d.self)
 }
 
-// Life returns this process's incarnation.
-func (d *Detector) Life() uint64 { return d.config.Life }
+// Incarnation returns this process's incarnation.
+func (d *Detector) Incarnation() uint64 { return d.config.Incarnation }
 
 // Health returns the local health score: 0 is healthy, 8 the worst.
 func (d *Detector) Health() int { return d.localHealth }
 
-// Taken reports whether another process with a later incarnation uses this one's name. This process then takes no part any more.
-func (d *Detector) Taken() bool { return d.taken }
+// HasNameConflict reports whether another process with a later incarnation uses this one's name. This process then takes no part any more.
+func (d *Detector) HasNameConflict() bool { return d.nameConflict }
 
 // Next returns the latest time in ms at which Tick must be called.
 func (d *Detector) Next() float64 {
@@ -256,7 +256,7 @@
 		case dueLate:
 			if w, ok := d.lateProbes[b.Key]; ok {
 				delete(d.lateProbes, b.Key)
-				if m := d.members[w.name]; m != nil && m.State == Alive && m.Heard < w.sent {
+				if m := d.members[w.name]; m != nil && m.State == Alive && m.LastContact < w.sent {
 					d.suspect(m, d.config.Name)
 				}
 			}
@@ -275,7 +275,7 @@
 func (d *Detector) advance(now float64) {
 	d.now = max(d.now, now)
 	first, _ := d.timers.First()
-	if d.now-first <= pauseThreshold || d.now-d.resumedAt <= pauseThreshold || d.config.Faults.Healthy {
+	if d.now-first <= pauseThreshold || d.now-d.resumedAt <= pauseThreshold || d.config.Faults.IgnoreLocalHealth {
 		return
 	}
 	d.resumedAt = d.now
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -17,26 +17,26 @@
 	w.last[address] = b
 }
 
-func (w *wire) Changed(m Member, was State) {
+func (w *wire) OnMemberChanged(m Member, was State) {
 	w.changes = append(w.changes, fmt.Sprint(m.Name, " ", was, " ", m.State))
 }
-func (w *wire) Taken(string) {}
+func (w *wire) OnNameConflict(string) {}
 
-func (w *wire) Hears(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
+func (w *wire) LastNodeContact(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
 
 func detector(name string, plant Faults, seeds ...string) (*Detector, *wire) {
 	w := &wire{last: map[string][]byte{}}
-	return New(w, 1000, Config{Site: "s", Name: name, Address: name + ":1", Life: 1, Key: []byte("k"), Seeds: seeds, Seed: 1, Faults: plant}), w
+	return New(w, 1000, Config{Site: "s", Name: name, Address: name + ":1", Incarnation: 1, Key: []byte("k"), Seeds: seeds, Seed: 1, Faults: plant}), w
 }
 
 // meet has two detectors know each other.
 func meet(t *testing.T, plant Faults) (a, b *Detector, wa, wb *wire) {
 	a, wa = detector("a", plant, "b:1")
 	b, wb = detector("b", plant)
-	a.Tick(1001)                  // hello
-	b.Heard(1002, wa.last["b:1"]) // welcome
-	a.Heard(1003, wb.last["a:1"]) // ping, pages
-	b.Heard(1004, wa.last["b:1"]) // the page: the ping before it is lost here
+	a.Tick(1001)                       // hello
+	b.OnDatagram(1002, wa.last["b:1"]) // welcome
+	a.OnDatagram(1003, wb.last["a:1"]) // ping, pages
+	b.OnDatagram(1004, wa.last["b:1"]) // the page: the ping before it is lost here
 	if n, _, _, _ := a.Count(); n != 1 {
 		t.Fatal("they do not meet")
 	}
@@ -49,7 +49,7 @@
 // TestStood has a process stand still with a probe out: when it wakes it accuses nobody, unless it trusts itself always.
 func TestStood(t *testing.T) {
 	for _, healthy := range []bool{false, true} {
-		a, _, wa, _ := meet(t, Faults{Healthy: healthy})
+		a, _, wa, _ := meet(t, Faults{IgnoreLocalHealth: healthy})
 		now := a.Next()
 		for a.Stats.Probes == 0 {
 			now = a.Next()
@@ -68,11 +68,11 @@
 	b, wb := detector("b", Faults{})
 	a.Tick(1001)
 	hello := wa.last["b:1"]
-	view := b.View()
+	view := b.Digest()
 	for i := range 1000 {
-		b.Heard(1002+float64(i)/10, hello)
+		b.OnDatagram(1002+float64(i)/10, hello)
 	}
-	if alive, _, _, _ := b.Count(); alive != 0 || b.View() != view || len(wb.sent) > maxHellosPerSecond || len(wb.sent) == 0 {
+	if alive, _, _, _ := b.Count(); alive != 0 || b.Digest() != view || len(wb.sent) > maxHellosPerSecond || len(wb.sent) == 0 {
 		t.Errorf("%d known, %d answers", alive, len(wb.sent))
 	}
 }
--- a/internal/decide/membership/receive.go
+++ b/internal/decide/membership/receive.go
@@ -8,8 +8,8 @@
 	codec "ravenpond/internal/proto/members"
 )
 
-// Heard handles a datagram that arrived at this process's address.
-func (d *Detector) Heard(now float64, b []byte) {
+// OnDatagram handles a datagram that arrived at this process's address.
+func (d *Detector) OnDatagram(now float64, b []byte) {
 	d.advance(now)
 	d.header.kind, d.header.place, d.header.silent = 0, 0, d.header.silent[:0]
 	d.syncedNames = nil
@@ -30,21 +30,21 @@
 
 // OnHeader checks a datagram against what is known of its sender. Only a sender that knows this process's incarnation may change anything, and
 // each count is accepted once, so that replays have no effect.
-func (d datagramHandler) OnHeader(from, address string, life, count, toLife uint64, kind uint32, number uint64, target string, view uint64, after,
+func (d datagramHandler) OnHeader(from, address string, incarnation, count, toIncarnation uint64, kind uint32, number uint64, target string, view uint64, after,
 	until string,
 ) bool {
 	h := &d.header
 	if from == d.config.Name {
 		if address != d.config.Address {
-			d.onNameConflict(address, life)
+			d.onNameConflict(address, incarnation)
 		}
 		return false
 	}
 	switch {
 	case kind == codec.Hello:
-		d.onHello(from, address, life, number)
+		d.onHello(from, address, incarnation, number)
 		return false
-	case toLife != d.config.Life && !d.config.Faults.Replayed:
+	case toIncarnation != d.config.Incarnation && !d.config.Faults.AcceptReplays:
 		d.Stats.Stale++
 		return false
 	case kind == codec.Welcome:
@@ -53,29 +53,29 @@
 			return false
 		}
 		delete(d.hellos, address)
-		if target != "" && view > d.config.Life { // the sender knows a later incarnation of this name
+		if target != "" && view > d.config.Incarnation { // the sender knows a later incarnation of this name
 			d.raiseIncarnation(view)
 		}
 	}
 	m := d.members[from]
 	switch {
-	case m != nil && !d.config.Faults.Replayed && (life < m.Life || life == m.Life && address != m.Address):
+	case m != nil && !d.config.Faults.AcceptReplays && (incarnation < m.Incarnation || incarnation == m.Incarnation && address != m.Address):
 		d.Stats.Stale++
 		return false
 	case m == nil:
-		if m = d.addMember(from, address, life, 0); m == nil {
+		if m = d.addMember(from, address, incarnation, 0); m == nil {
 			return false
 		}
 		d.setState(m, Alive, d.config.Name)
 		d.lastSyncAt = math.Inf(-1)
-	case life > m.Life:
-		d.onNewIncarnation(m, address, life, 0, Alive, d.config.Name)
+	case incarnation > m.Incarnation:
+		d.onNewIncarnation(m, address, incarnation, 0, Alive, d.config.Name)
 	}
-	if kind != codec.Welcome && !m.acceptCount(count) && !d.config.Faults.Replayed {
+	if kind != codec.Welcome && !m.acceptCount(count) && !d.config.Faults.AcceptReplays {
 		d.Stats.Stale++
 		return false
 	}
-	m.Heard = d.now
+	m.LastContact = d.now
 	h.m, h.kind, h.number, h.view, h.target, h.after, h.until = m, kind, number, view, target, after, until
 	if kind == codec.SyncChunk {
 		d.syncedNames = map[string]bool{}
@@ -84,8 +84,8 @@
 }
 
 // OnLease keeps a datagram's lease fields until its kind is handled.
-func (d datagramHandler) OnLease(place int, given bool, counted []byte, lent bool, lentCounted []byte) {
-	d.header.place, d.header.given, d.header.counted, d.header.lent, d.header.lentCounted = place+1, given, counted, lent, lentCounted
+func (d datagramHandler) OnLease(place int, given bool, counted []byte, quotaGranted bool, quotaCounted []byte) {
+	d.header.place, d.header.given, d.header.counted, d.header.lent, d.header.lentCounted = place+1, given, counted, quotaGranted, quotaCounted
 	d.header.m.place = place + 1
 }
 
@@ -102,15 +102,15 @@
 }
 
 // OnNodeReply handles the sender's answer about a node in an ack of this process's probe.
-func (d datagramHandler) OnNodeReply(node uint32, life uint64, ago float64) {
+func (d datagramHandler) OnNodeReply(node uint32, incarnation uint64, ago float64) {
 	h := &d.header
 	if h.kind != codec.Ack {
 		return
 	}
 	if h.number == d.probe.number && d.probe.out {
-		d.nodeReachability.OnAnswer(d.probe.sent, node, life, ago)
+		d.nodeReachability.OnAnswer(d.probe.sent, node, incarnation, ago)
 	} else if w, ok := d.lateProbes[h.number]; ok {
-		d.nodeReachability.OnAnswer(w.sent, node, life, ago)
+		d.nodeReachability.OnAnswer(w.sent, node, incarnation, ago)
 	}
 }
 
@@ -127,7 +127,7 @@
 	if h.kind != codec.Fragment || d.carrier == nil {
 		return
 	}
-	if all, ok := d.reassembler.Add(h.m.Name, h.m.Life, h.number, index, of, body); ok {
+	if all, ok := d.reassembler.Add(h.m.Name, h.m.Incarnation, h.number, index, of, body); ok {
 		d.carrier.Carried(h.m.Name, all)
 	}
 }
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -18,25 +18,25 @@
 	Ahead(from string, version uint64)
 }
 
-// Carries sets the receiver of messages.
-func (d *Detector) Carries(c Carrier) { d.carrier = c }
+// SetCarrier sets the receiver of messages.
+func (d *Detector) SetCarrier(c Carrier) { d.carrier = c }
 
-// Holds sets the version of the cluster state that this process holds. Each probe carries it.
-func (d *Detector) Holds(version uint64) { d.stateVersion = version }
+// SetStateVersion sets the version of the cluster state that this process holds. Each probe carries it.
+func (d *Detector) SetStateVersion(version uint64) { d.stateVersion = version }
 
-// Carry sends a message to a member in as many datagrams as needed, each of which may be lost. It reports whether the member is known
+// SendMessage sends a message to a member in as many datagrams as needed, each of which may be lost. It reports whether the member is known
 // and not gone.
-func (d *Detector) Carry(now float64, to string, body []byte) bool {
+func (d *Detector) SendMessage(now float64, to string, body []byte) bool {
 	d.now = max(d.now, now)
 	m := d.members[to]
-	if m == nil || m.State >= Dead || d.taken {
+	if m == nil || m.State >= Dead || d.nameConflict {
 		return false
 	}
 	d.sequence++
 	parts := fragment.Split(body, codec.MaxFragmentBytes)
 	for i, p := range parts {
 		m.sentCount++
-		b := codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.Fragment, d.sequence, "", 0, "", "")
+		b := codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Incarnation, m.sentCount, m.Incarnation, codec.Fragment, d.sequence, "", 0, "", "")
 		d.transmit(m.Address, codec.AppendFragment(b, i, len(parts), p))
 	}
 	return len(parts) > 0
@@ -62,15 +62,15 @@
 	if m.State != Alive {
 		first = m
 	}
-	d.sendWithUpdates(m.Address, m.Life, m.sentCount, kind, number, target, first)
+	d.sendWithUpdates(m.Address, m.Incarnation, m.sentCount, kind, number, target, first)
 }
 
 // sendWithUpdates sends a datagram with leases, reachability and as many updates as fit.
-func (d *Detector) sendWithUpdates(address string, life, count uint64, kind uint32, number uint64, target string, first *member) {
-	b := codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, count, life, kind, number, target, d.digest, "", "")
+func (d *Detector) sendWithUpdates(address string, incarnation, count uint64, kind uint32, number uint64, target string, first *member) {
+	b := codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Incarnation, count, incarnation, kind, number, target, d.digest, "", "")
 	b = codec.AppendStateVersion(b, d.stateVersion)
 	switch {
-	case d.slowStart == nil || d.leaving || d.taken:
+	case d.slowStart == nil || d.leaving || d.nameConflict:
 	case kind == codec.Ping:
 		b = codec.AppendLease(b, d.config.Place, false, nil, false, nil)
 	case kind == codec.Ack && d.header.kind == codec.Ping && d.header.place > 0: // not an ack that is forwarded for another member
@@ -90,8 +90,8 @@
 		})
 	case kind == codec.Ack && d.header.kind == codec.Ping:
 		for _, node := range d.header.silent {
-			if life, heard, ok := d.effects.Hears(node); ok {
-				b, _ = codec.AppendNodeReply(b, node, life, d.now-heard)
+			if incarnation, heard, ok := d.effects.LastNodeContact(node); ok {
+				b, _ = codec.AppendNodeReply(b, node, incarnation, d.now-heard)
 			}
 		}
 	}
@@ -127,12 +127,12 @@
 
 // appendUpdate appends a member's update; false if it does not fit.
 func appendUpdate(b []byte, m *member) ([]byte, bool) {
-	return codec.AppendMember(b, m.Name, m.Address, m.Life, m.Version, uint32(m.State), m.By)
+	return codec.AppendMember(b, m.Name, m.Address, m.Incarnation, m.Version, uint32(m.State), m.By)
 }
 
 // sendBare sends a datagram without count and updates, to a process that may not know this one's incarnation.
-func (d *Detector) sendBare(address string, life uint64, kind uint32, number uint64, target string, view uint64) {
-	d.transmit(address, codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, 0, life, kind, number, target, view, "", ""))
+func (d *Detector) sendBare(address string, incarnation uint64, kind uint32, number uint64, target string, view uint64) {
+	d.transmit(address, codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Incarnation, 0, incarnation, kind, number, target, view, "", ""))
 }
 
 // transmit seals and sends a datagram.
--- a/internal/decide/membership/share.go
+++ b/internal/decide/membership/share.go
@@ -6,32 +6,32 @@
 	"ravenpond/internal/decide/slowstart"
 )
 
-// Sharers returns how many processes share the slow-start budget at most, or 0 if this one has no lease on a share, and the time in ms
+// SlowStartSharers returns how many processes share the slow-start budget at most, or 0 if this one has no lease on a share, and the time in ms
 // until which this holds without further replies.
-func (d *Detector) Sharers(now float64) (n int, until float64) {
-	return d.sharers(d.slowStart, now)
+func (d *Detector) SlowStartSharers(now float64) (n int, until float64) {
+	return d.sharersBy(d.slowStart, now)
 }
 
-// Lent returns how many processes share the leased quota at most, or 0 if this one has no lease on a share, and the time in ms until
+// QuotaSharers returns how many processes share the leased quota at most, or 0 if this one has no lease on a share, and the time in ms until
 // which this holds without further replies.
-func (d *Detector) Lent(now float64) (n int, until float64) {
-	return d.sharers(d.quota, now)
+func (d *Detector) QuotaSharers(now float64) (n int, until float64) {
+	return d.sharersBy(d.quota, now)
 }
 
-// sharers returns the number of sharers by a lease and the lease's end.
-func (d *Detector) sharers(h *slowstart.Holder, now float64) (n int, until float64) {
-	if h == nil || d.taken || d.leaving {
+// sharersBy returns the number of sharers by a lease and the lease's end.
+func (d *Detector) sharersBy(h *slowstart.Holder, now float64) (n int, until float64) {
+	if h == nil || d.nameConflict || d.leaving {
 		return 0, now
 	}
-	if d.config.Faults.Grows {
+	if d.config.Faults.GrowShares {
 		alive, _, _, _ := d.Count()
 		return alive + 1, math.Inf(1)
 	}
 	return h.Sharers(now), h.Expiry(now)
 }
 
-// Leaves returns how many others grant this process its lease, and how many grants it needs.
-func (d *Detector) Leaves(now float64) (has, needs int) {
+// Grants returns how many others grant this process its lease, and how many grants it needs.
+func (d *Detector) Grants(now float64) (has, needs int) {
 	if d.slowStart == nil {
 		return 0, 0
 	}
--- a/internal/decide/membership/suspicion.go
+++ b/internal/decide/membership/suspicion.go
@@ -50,7 +50,7 @@
 }
 
 // Bounds returns the duration of a suspicion in ms, with enough accusers and with only one.
-func (d *Detector) Bounds() (least, most float64) {
-	least = suspicionPeriods * period * max(minLogFactor, math.Log10(float64(d.presentCount()+1)))
-	return least, least * maxSuspicionFactor
+func (d *Detector) Bounds() (minDuration, maxDuration float64) {
+	minDuration = suspicionPeriods * period * max(minLogFactor, math.Log10(float64(d.presentCount()+1)))
+	return minDuration, minDuration * maxSuspicionFactor
 }
--- a/internal/decide/membership/sync.go
+++ b/internal/decide/membership/sync.go
@@ -36,7 +36,7 @@
 	d.sequence++
 	m.sentCount++
 	begin := func(until string) []byte {
-		return codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.SyncChunk, d.sequence, "", d.digest, after, until)
+		return codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Incarnation, m.sentCount, m.Incarnation, codec.SyncChunk, d.sequence, "", d.digest, after, until)
 	}
 	longest := ""
 	for _, name := range names {
@@ -86,7 +86,7 @@
 		for range 2 {
 			if b == nil {
 				m.sentCount++
-				b = codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Life, m.sentCount, m.Life, codec.SyncReply, number, "", d.digest, "", "")
+				b = codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Incarnation, m.sentCount, m.Incarnation, codec.SyncReply, number, "", d.digest, "", "")
 			}
 			var ok bool
 			if b, ok = appendUpdate(b, d.lookup(name)); ok {
@@ -99,8 +99,8 @@
 }
 
 // markSynced notes that the page has a name's present or a newer update, so that the answer can omit it.
-func (d *Detector) markSynced(m *member, life, version uint64, to State) {
+func (d *Detector) markSynced(m *member, incarnation, version uint64, to State) {
 	if d.syncedNames != nil {
-		d.syncedNames[m.Name] = life > m.Life || life == m.Life && (version > m.Version || version == m.Version && (to >= m.State || m.State < Dead))
+		d.syncedNames[m.Name] = incarnation > m.Incarnation || incarnation == m.Incarnation && (version > m.Version || version == m.Version && (to >= m.State || m.State < Dead))
 	}
 }
--- a/internal/decide/membership/update.go
+++ b/internal/decide/membership/update.go
@@ -2,13 +2,13 @@
 
 // raiseIncarnation gives this process a later incarnation than others know of its name.
 func (d *Detector) raiseIncarnation(known uint64) {
-	d.config.Life, d.version = known+1, 0
+	d.config.Incarnation, d.version = known+1, 0
 	d.announceSelf()
 }
 
 // onNewIncarnation handles a member's new incarnation.
-func (d *Detector) onNewIncarnation(m *member, address string, life, version uint64, state State, by string) {
-	d.setVersion(m, life, version)
+func (d *Detector) onNewIncarnation(m *member, address string, incarnation, version uint64, state State, by string) {
+	d.setVersion(m, incarnation, version)
 	m.Address, m.highestCount, m.receivedMask, m.sentCount, m.accusers = address, 0, 0, 0, nil
 	d.setState(m, state, by)
 	if state == Suspect {
@@ -18,29 +18,29 @@
 
 // onNameConflict handles another process that uses this one's name. The later incarnation keeps the name, and of equal ones that at the
 // lower address; the other process takes no part any more.
-func (d *Detector) onNameConflict(address string, life uint64) {
-	if life < d.config.Life || life == d.config.Life && d.config.Address < address {
+func (d *Detector) onNameConflict(address string, incarnation uint64) {
+	if incarnation < d.config.Incarnation || incarnation == d.config.Incarnation && d.config.Address < address {
 		return
 	}
-	if !d.taken {
-		d.taken = true
-		d.effects.Taken(address)
+	if !d.nameConflict {
+		d.nameConflict = true
+		d.effects.OnNameConflict(address)
 	}
 }
 
 // OnMember handles an update of a member.
-func (d datagramHandler) OnMember(name, address string, life, version uint64, state uint32, by string) {
+func (d datagramHandler) OnMember(name, address string, incarnation, version uint64, state uint32, by string) {
 	to := State(state)
 	if name == d.config.Name {
 		if d.syncedNames != nil {
-			d.syncedNames[name] = life == d.config.Life && version == d.version && (to < Dead) == !d.leaving
+			d.syncedNames[name] = incarnation == d.config.Incarnation && version == d.version && (to < Dead) == !d.leaving
 		}
-		d.onSelfUpdate(address, life, version, to)
+		d.onSelfUpdate(address, incarnation, version, to)
 		return
 	}
 	m := d.members[name]
 	if m == nil {
-		if m = d.addMember(name, address, life, version); m == nil {
+		if m = d.addMember(name, address, incarnation, version); m == nil {
 			return
 		}
 		switch to {
@@ -50,16 +50,16 @@
 		default:
 			d.setState(m, to, by)
 		}
-		d.markSynced(m, life, version, to)
+		d.markSynced(m, incarnation, version, to)
 		return
 	}
-	d.markSynced(m, life, version, to)
+	d.markSynced(m, incarnation, version, to)
 	switch {
-	case d.config.Faults.Stale && (life < m.Life || version < m.Version):
-		d.onNewIncarnation(m, address, life, version, to, by)
-	case life < m.Life || life == m.Life && version < m.Version:
-	case life > m.Life:
-		d.onNewIncarnation(m, address, life, version, to, by)
+	case d.config.Faults.AcceptStale && (incarnation < m.Incarnation || version < m.Version):
+		d.onNewIncarnation(m, address, incarnation, version, to, by)
+	case incarnation < m.Incarnation || incarnation == m.Incarnation && version < m.Version:
+	case incarnation > m.Incarnation:
+		d.onNewIncarnation(m, address, incarnation, version, to, by)
 	case version > m.Version:
 		d.onNewerVersion(m, version, to, by)
 	case to <= m.State: // nothing new, except for a further accuser
@@ -81,7 +81,7 @@
 // onNewerVersion handles a higher version of a member.
 func (d *Detector) onNewerVersion(m *member, version uint64, to State, by string) {
 	was := m.State
-	d.setVersion(m, m.Life, version)
+	d.setVersion(m, m.Incarnation, version)
 	switch {
 	case to == Alive:
 		if was == Suspect {
@@ -100,16 +100,16 @@
 }
 
 // onSelfUpdate handles an update about this process. It refutes a wrong one by a higher version.
-func (d *Detector) onSelfUpdate(address string, life, version uint64, to State) {
+func (d *Detector) onSelfUpdate(address string, incarnation, version uint64, to State) {
 	switch {
-	case life < d.config.Life || d.leaving:
+	case incarnation < d.config.Incarnation || d.leaving:
 	case address != d.config.Address:
-		d.onNameConflict(address, life)
-	case life > d.config.Life:
-		d.raiseIncarnation(life)
-	case d.config.Faults.Silent:
+		d.onNameConflict(address, incarnation)
+	case incarnation > d.config.Incarnation:
+		d.raiseIncarnation(incarnation)
+	case d.config.Faults.NoRefutation:
 	case to != Alive && version >= d.version:
-		if !d.config.Faults.Same {
+		if !d.config.Faults.SameVersion {
 			d.version = version + 1
 		}
 		d.localHealth = min(maxLocalHealth, d.localHealth+1)
--- a/internal/decide/reachability/reachability.go
+++ b/internal/decide/reachability/reachability.go
@@ -15,31 +15,31 @@
 const MaxQuestions = 16
 
 const (
-	fresh  = 3000  // ms for which an answer that a node is reachable counts, from when it was heard
-	asks   = 60000 // ms for which a node is asked for after it became unreachable
-	sooner = 200   // ms by which an answer has to be later than the loss: what was in flight then proves nothing
-	most   = 4096  // unreachable nodes at once
+	maxAnswerAge   = 3000  // ms for which an answer that a node is reachable counts, from when it was heard
+	queryDuration  = 60000 // ms for which a node is asked for after it became unreachable
+	minAnswerDelay = 200   // ms by which an answer has to be later than the loss: what was in flight then proves nothing
+	maxNodes       = 4096  // unreachable nodes at once
 )
 
-// silent is a node that this process can't reach.
-type silent struct {
-	node  uint32
-	life  uint64
-	since float64
-	heard float64 // when another last heard this incarnation, by this process's clock; 0: never
-	other uint64  // another incarnation that others hear; 0: none
-	asked uint64  // round in which it was last asked for
+// unreachableNode is a node that this process can't reach.
+type unreachableNode struct {
+	node             uint32
+	incarnation      uint64
+	since            float64
+	lastContactAt    float64 // when another last heard this incarnation, by this process's clock; 0: never
+	otherIncarnation uint64  // another incarnation that others hear; 0: none
+	lastRound        uint64  // round in which it was last asked for
 }
 
 // Tracker keeps the unreachable nodes and what others say of them. Its zero value is empty.
 type Tracker struct {
-	all  []*silent // by node
-	turn uint64
+	nodes []*unreachableNode // by node
+	round uint64
 }
 
 // find returns a node's position, or where it would be.
 func (t *Tracker) find(node uint32) (int, bool) {
-	return slices.BinarySearchFunc(t.all, node, func(s *silent, node uint32) int {
+	return slices.BinarySearchFunc(t.nodes, node, func(s *unreachableNode, node uint32) int {
 		switch {
 		case s.node < node:
 			return -1
@@ -51,73 +51,73 @@
 }
 
 // OnUnreachable records that this process no longer hears an incarnation of a node.
-func (t *Tracker) OnUnreachable(now float64, node uint32, life uint64) {
+func (t *Tracker) OnUnreachable(now float64, node uint32, incarnation uint64) {
 	i, ok := t.find(node)
 	switch {
 	case ok:
-		*t.all[i] = silent{node: node, life: life, since: now}
-	case len(t.all) < most:
-		t.all = slices.Insert(t.all, i, &silent{node: node, life: life, since: now})
+		*t.nodes[i] = unreachableNode{node: node, incarnation: incarnation, since: now}
+	case len(t.nodes) < maxNodes:
+		t.nodes = slices.Insert(t.nodes, i, &unreachableNode{node: node, incarnation: incarnation, since: now})
 	}
 }
 
 // OnReachable records that this process hears the node again.
 func (t *Tracker) OnReachable(node uint32) {
 	if i, ok := t.find(node); ok {
-		t.all = slices.Delete(t.all, i, i+1)
+		t.nodes = slices.Delete(t.nodes, i, i+1)
 	}
 }
 
 // Questions yields the nodes to ask another scheduler for, the least recently asked first.
 func (t *Tracker) Questions(now float64, yield func(node uint32) bool) {
-	t.all = slices.DeleteFunc(t.all, func(s *silent) bool { return now-s.since >= asks })
-	if len(t.all) == 0 {
+	t.nodes = slices.DeleteFunc(t.nodes, func(s *unreachableNode) bool { return now-s.since >= queryDuration })
+	if len(t.nodes) == 0 {
 		return
 	}
-	t.turn++
-	order := slices.Clone(t.all)
-	slices.SortStableFunc(order, func(x, y *silent) int { return int(int64(x.asked) - int64(y.asked)) })
+	t.round++
+	order := slices.Clone(t.nodes)
+	slices.SortStableFunc(order, func(x, y *unreachableNode) int { return int(int64(x.lastRound) - int64(y.lastRound)) })
 	for _, s := range order[:min(MaxQuestions, len(order))] {
 		if !yield(s.node) {
 			return
 		}
-		s.asked = t.turn
+		s.lastRound = t.round
 	}
 }
 
 // OnAnswer handles an answer: another scheduler heard an incarnation of the node ago ms before it answered a question that was sent at a
 // time of this process's clock. So it heard the node no earlier than ago ms before that time.
-func (t *Tracker) OnAnswer(sent float64, node uint32, life uint64, ago float64) {
+func (t *Tracker) OnAnswer(sent float64, node uint32, incarnation uint64, ago float64) {
 	i, ok := t.find(node)
-	if !ok || !(ago >= 0) || math.IsInf(ago, 1) || life == 0 {
+	if !ok || !(ago >= 0) || math.IsInf(ago, 1) || incarnation == 0 {
 		return
 	}
-	s := t.all[i]
-	if at := sent - ago; at <= s.since+sooner {
+	s := t.nodes[i]
+	if at := sent - ago; at <= s.since+minAnswerDelay {
 		return
-	} else if life == s.life {
-		s.heard = max(s.heard, at)
+	} else if incarnation == s.incarnation {
+		s.lastContactAt = max(s.lastContactAt, at)
 	} else {
-		s.other = life
+		s.otherIncarnation = incarnation
 	}
 }
 
 // IsReachable reports whether others hear the incarnation of a node that this process can't reach: only the path is broken, and the node's
 // tasks go on.
-func (t *Tracker) IsReachable(now float64, node uint32, life uint64) bool {
+func (t *Tracker) IsReachable(now float64, node uint32, incarnation uint64) bool {
 	i, ok := t.find(node)
-	return ok && t.all[i].life == life && t.all[i].other == 0 && t.all[i].heard > 0 && now-t.all[i].heard < fresh
+	return ok && t.nodes[i].incarnation == incarnation && t.nodes[i].otherIncarnation == 0 && t.nodes[i].lastContactAt > 0 && now-t.nodes[i].lastContactAt < maxAnswerAge
 }
 
 // Ended yields each node once that others hear in another incarnation than the lost one. The tasks of the lost incarnation have ended.
 func (t *Tracker) Ended(yield func(node uint32, life uint64)) {
-	t.all = slices.DeleteFunc(t.all, func(s *silent) bool {
-		if s.other != 0 {
-			yield(s.node, s.life)
+	t.nodes = slices.DeleteFunc(t.nodes, func(s *unreachableNode) bool {
+		if s.otherIncarnation != 0 {
+			yield(s.node, s.incarnation)
 		}
-		return s.other != 0
+		return s.otherIncarnation != 0
 	})
 }
 
 // Unreachable returns the number of unreachable nodes.
-func (t *Tracker) Unreachable() int { return len(t.all) }
+func (t *Tracker) Unreachable() int { return len(t.nodes) }
--- a/internal/decide/reachability/reachability_test.go
+++ b/internal/decide/reachability/reachability_test.go
@@ -55,22 +55,22 @@
 	for i := range 5000 {
 		b.OnUnreachable(float64(i), uint32(i), 1)
 	}
-	if b.Unreachable() != most {
+	if b.Unreachable() != maxNodes {
 		t.Errorf("%d are asked for", b.Unreachable())
 	}
 	seen := map[uint32]int{}
-	for range most / MaxQuestions {
+	for range maxNodes / MaxQuestions {
 		n := 0
 		b.Questions(5000, func(node uint32) bool { seen[node]++; n++; return true })
 		if n != MaxQuestions {
 			t.Fatalf("%d in one datagram", n)
 		}
 	}
-	if len(seen) != most {
-		t.Errorf("%d of %d were asked for in their turns", len(seen), most)
+	if len(seen) != maxNodes {
+		t.Errorf("%d of %d were asked for in their turns", len(seen), maxNodes)
 	}
-	b.Questions(asks+float64(most)/2, func(uint32) bool { return false })
-	if b.Unreachable() != most/2-1 {
+	b.Questions(queryDuration+float64(maxNodes)/2, func(uint32) bool { return false })
+	if b.Unreachable() != maxNodes/2-1 {
 		t.Errorf("%d are asked for after a minute", b.Unreachable())
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -213,7 +213,7 @@
 func New(edge Effects, now float64, terms Config) *Engine {
 	e := &Engine{
 		effects: edge, config: terms, now: now, pacer: reconnect.New(terms.Seed),
-		admission: admission.New(terms.MaxOpen, terms.Shares), byID: map[uint32]int{}, byKey: map[idempotencyKey]int{}, requests: map[requestKey]int{},
+		admission: admission.NewLimiter(terms.MaxOpen, terms.Shares), byID: map[uint32]int{}, byKey: map[idempotencyKey]int{}, requests: map[requestKey]int{},
 		recovered: map[attemptID]int{}, abandoned: map[attemptID]abandonedAttempt{}, nodeIndex: map[uint32]int{},
 		exclusions: map[uint32]uint8{},
 	}
--- a/internal/lab/circle/circle.go
+++ b/internal/lab/circle/circle.go
@@ -36,8 +36,8 @@
 
 // sharers are how many share each at a process.
 func sharers(d *membership.Detector, now float64) (all [2]int) {
-	all[0], _ = d.Sharers(now)
-	all[1], _ = d.Lent(now)
+	all[0], _ = d.SlowStartSharers(now)
+	all[1], _ = d.QuotaSharers(now)
 	return all
 }
 
@@ -100,8 +100,8 @@
 		w = p.cluster.Wrap(w)
 	}
 	run, err := members.Start(w, p.Address, membership.Config{
-		Site: "lab", Name: p.Name, Address: p.Address, Life: p.Incarnation, Key: p.Key, Seeds: seeds,
-		Seed: p.cluster.Random.Uint64(), Place: p.index, Places: len(p.cluster.used[0]), Window: useWindows[0], Open: useWindows[1], Faults: p.cluster.Faults,
+		Site: "lab", Name: p.Name, Address: p.Address, Incarnation: p.Incarnation, Key: p.Key, Seeds: seeds,
+		Seed: p.cluster.Random.Uint64(), Place: p.index, Places: len(p.cluster.used[0]), SlowStartWindow: useWindows[0], MaxOpenTime: useWindows[1], Faults: p.cluster.Faults,
 	}, eventHandler{p})
 	if err != nil {
 		panic(err)
@@ -133,7 +133,7 @@
 	}
 	now := c.Clock.TrueTime()
 	c.deaths = append(c.deaths, deathReport{m.Name, t.process.Name, now})
-	if q := c.Process(m.Name); q.DeadSince == 0 && !q.Paused && now > max(c.excusedUntil, q.excusedUntil) && m.Life >= q.Incarnation { // not word of an earlier life
+	if q := c.Process(m.Name); q.DeadSince == 0 && !q.Paused && now > max(c.excusedUntil, q.excusedUntil) && m.Incarnation >= q.Incarnation { // not word of an earlier life
 		c.FalseDeaths = append(c.FalseDeaths, fmt.Sprintf("%.0f ms: %s holds %s for dead, on the word of %s", now, t.process.Name, m.Name, m.By))
 	}
 }
@@ -218,7 +218,7 @@
 		var got []string
 		var v uint64
 		p.Runner.WithDetector(func(d *membership.Detector) {
-			v = d.View()
+			v = d.Digest()
 			for _, m := range d.All() {
 				if m.State == membership.Alive {
 					got = append(got, m.Name)
--- a/internal/lab/circle/circle_test.go
+++ b/internal/lab/circle/circle_test.go
@@ -266,8 +266,8 @@
 	p.Start()
 	settles(t, c, 8000)
 	p.Runner.WithDetector(func(d *membership.Detector) {
-		if d.Life() <= 4 {
-			t.Errorf("it goes on as life %d", d.Life())
+		if d.Incarnation() <= 4 {
+			t.Errorf("it goes on as life %d", d.Incarnation())
 		}
 	})
 }
@@ -282,7 +282,7 @@
 		t.Errorf("the first is told of %q, the second of %q", c.Processes[2].NameTakenBy, twin.NameTakenBy)
 	}
 	c.Processes[2].Runner.WithDetector(func(d *membership.Detector) {
-		if !d.Taken() {
+		if !d.HasNameConflict() {
 			t.Error("the first goes on under a name that is another's")
 		}
 	})
@@ -402,7 +402,7 @@
 func TestPlanted(t *testing.T) {
 	for _, p := range Faults {
 		t.Run(p.Name, func(t *testing.T) {
-			if p.Plant.Healthy || p.Plant.Replayed {
+			if p.Plant.IgnoreLocalHealth || p.Plant.AcceptReplays {
 				t.Skip("shown by decide/membership and by TestReplayedLeave: seeds take too many")
 			}
 			for from := uint64(0); from < 48; from += 4 {
@@ -423,7 +423,7 @@
 func TestReplayedLeave(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		kept := map[string][][]byte{}
-		c := newCluster(15, 3, func(w env.Environment) env.Environment { return &replayer{w, kept} }, membership.Faults{Replayed: taken})
+		c := newCluster(15, 3, func(w env.Environment) env.Environment { return &replayer{w, kept} }, membership.Faults{AcceptReplays: taken})
 		c.Advance(20000)
 		c.Processes[2].Kill()
 		again, err := c.Processes[0].Host.ListenPacket("again:1", func([]byte) {})
@@ -439,7 +439,7 @@
 			c.Advance(1000)
 		}
 		c.Processes[0].Runner.WithDetector(func(d *membership.Detector) {
-			if n, _ := d.Sharers(c.Processes[0].Host.Now()); n != 2 && !taken || n == 2 && taken {
+			if n, _ := d.SlowStartSharers(c.Processes[0].Host.Now()); n != 2 && !taken || n == 2 && taken {
 				t.Errorf("replays taken %t: %d share", taken, n)
 			}
 		})
--- a/internal/lab/circle/play.go
+++ b/internal/lab/circle/play.go
@@ -268,10 +268,10 @@
 	Name  string
 	Plant membership.Faults
 }{
-	{"a suspect does not answer for itself", membership.Faults{Silent: true}},
-	{"a suspect answers without a higher version", membership.Faults{Same: true}},
-	{"older news are taken", membership.Faults{Stale: true}},
-	{"replays are taken", membership.Faults{Replayed: true}},
-	{"who stood still accuses others", membership.Faults{Healthy: true}},
-	{"parts grow at once", membership.Faults{Grows: true}},
+	{"a suspect does not answer for itself", membership.Faults{NoRefutation: true}},
+	{"a suspect answers without a higher version", membership.Faults{SameVersion: true}},
+	{"older news are taken", membership.Faults{AcceptStale: true}},
+	{"replays are taken", membership.Faults{AcceptReplays: true}},
+	{"who stood still accuses others", membership.Faults{IgnoreLocalHealth: true}},
+	{"parts grow at once", membership.Faults{GrowShares: true}},
 }
--- a/internal/lab/council/council.go
+++ b/internal/lab/council/council.go
@@ -125,7 +125,7 @@
 	for _, s := range who.Voters {
 		seeds = append(seeds, s+":7")
 	}
-	m, err := members.Start(p, p.Name+":7", membership.Config{Site: "lab", Name: p.Name, Address: p.Name + ":7", Life: who.Incarnation, Key: []byte("a key"), Seeds: seeds, Seed: seed}, SilentMembers{})
+	m, err := members.Start(p, p.Name+":7", membership.Config{Site: "lab", Name: p.Name, Address: p.Name + ":7", Incarnation: who.Incarnation, Key: []byte("a key"), Seeds: seeds, Seed: seed}, SilentMembers{})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/hollow/schedulers.go
+++ b/internal/lab/scale/hollow/schedulers.go
@@ -117,8 +117,8 @@
 		seeds = []string{"127.0.0.1:1"}
 	}
 	run, err := members.Start(s.env, listen, membership.Config{
-		Site: h.Site, Name: s.name, Life: incarnation, Key: []byte(h.Key), Seeds: seeds,
-		Seed: h.Seed*10_007 + uint64(number), Place: h.First + number, Places: h.Places, Window: coldWindowMs,
+		Site: h.Site, Name: s.name, Incarnation: incarnation, Key: []byte(h.Key), Seeds: seeds,
+		Seed: h.Seed*10_007 + uint64(number), Place: h.First + number, Places: h.Places, SlowStartWindow: coldWindowMs,
 	}, ignoreEvents{})
 	if err != nil {
 		return nil, err
--- a/internal/lab/scale/regions/heal.go
+++ b/internal/lab/scale/regions/heal.go
@@ -48,9 +48,9 @@
 		agrees := false
 		p.members.WithDetector(func(d *membership.Detector) {
 			if i == 0 {
-				view = d.View()
+				view = d.Digest()
 			}
-			if d.View() != view {
+			if d.Digest() != view {
 				return
 			}
 			alive, _, _, _ := d.Count()
--- a/internal/lab/scale/regions/process.go
+++ b/internal/lab/scale/regions/process.go
@@ -68,8 +68,8 @@
 	}
 	var err error
 	p.members, err = members.Start(p.env, p.name+memberPort, membership.Config{
-		Site: "lab", Name: p.name, Address: p.name + memberPort, Life: p.incarnation, Key: memberKey, Seeds: seeds, Seed: p.cluster.rng.Uint64(),
-		Place: p.index, Places: len(p.cluster.processes), Window: slowStartWindow, Open: leaseWindow,
+		Site: "lab", Name: p.name, Address: p.name + memberPort, Incarnation: p.incarnation, Key: memberKey, Seeds: seeds, Seed: p.cluster.rng.Uint64(),
+		Place: p.index, Places: len(p.cluster.processes), SlowStartWindow: slowStartWindow, MaxOpenTime: leaseWindow,
 	}, listener{p})
 	if err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
@@ -105,7 +105,7 @@
 // stickLoop plants a fault: a carrier that puts messages down and never takes them up.
 func (p *process) stickLoop() {
 	p.backlog = &messageBacklog{}
-	p.members.WithDetector(func(d *membership.Detector) { d.Carries(p.backlog) })
+	p.members.WithDetector(func(d *membership.Detector) { d.SetCarrier(p.backlog) })
 }
 
 // scheduleReport looks at the zones again and again until the process is killed.
@@ -147,9 +147,9 @@
 				switch {
 				case z.cut == p.zone.cut:
 				case silent:
-					d.NodeLost(p.env.Now(), node, nodeIncarnation)
+					d.OnNodeUnreachable(p.env.Now(), node, nodeIncarnation)
 				default:
-					d.NodeBack(node)
+					d.OnNodeReachable(node)
 				}
 			}
 		}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -72,7 +72,7 @@
 		return
 	}
 	before := r.detector.Next()
-	r.detector.Heard(r.environment.Now(), datagram)
+	r.detector.OnDatagram(r.environment.Now(), datagram)
 	if r.detector.Next() < before {
 		r.loop.Wake()
 	}
@@ -92,7 +92,7 @@
 func (r *Runner) Stop() {
 	r.mu.Lock()
 	if !r.stopped {
-		r.detector.Leave(r.environment.Now())
+		r.detector.AnnounceLeave(r.environment.Now())
 		r.stopped = true
 	}
 	r.mu.Unlock()
@@ -104,12 +104,12 @@
 
 func (e effects) Send(address string, b []byte) { e.port.Send(address, b) }
 
-func (e effects) Changed(m membership.Member, was membership.State) {
+func (e effects) OnMemberChanged(m membership.Member, was membership.State) {
 	e.handler.OnChange(e.environment.Now(), m, was)
 }
 
-func (e effects) Hears(node uint32) (life uint64, heard float64, ok bool) {
+func (e effects) LastNodeContact(node uint32) (life uint64, heard float64, ok bool) {
 	return e.handler.LastHeard(node)
 }
 
-func (e effects) Taken(address string) { e.handler.OnNameTaken(e.environment.Now(), address) }
+func (e effects) OnNameConflict(address string) { e.handler.OnNameTaken(e.environment.Now(), address) }
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -34,7 +34,7 @@
 	var books []*recorder
 	for i := range 4 {
 		b := &recorder{states: map[string]membership.State{}}
-		who := membership.Config{Site: "s", Name: fmt.Sprint("m", i), Life: 1, Key: []byte("key"), Seed: uint64(i)}
+		who := membership.Config{Site: "s", Name: fmt.Sprint("m", i), Incarnation: 1, Key: []byte("key"), Seed: uint64(i)}
 		if i > 0 {
 			who.Seeds = []string{runs[0].Address()}
 		}
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -107,7 +107,7 @@
 	if len(shares) == 0 {
 		shares = []float64{1}
 	}
-	s.admission = admission.New(min(s.limits.Open, configuration.Deployment.MaxOpen), shares)
+	s.admission = admission.NewLimiter(min(s.limits.Open, configuration.Deployment.MaxOpen), shares)
 	minObjective := math.Inf(1)
 	for _, j := range configuration.Deployment.Cluster.JobClasses {
 		minObjective = min(minObjective, j.LatencyObjective)
--- a/internal/serve/membership.go
+++ b/internal/serve/membership.go
@@ -73,8 +73,8 @@
 		maxOpen = s.longestDeadline()
 	}
 	runner, err := members.Start(s.env, config.Listen, membership.Config{
-		Open: maxOpen, Site: s.config.Site.Name, Name: s.config.Name, Address: config.Advertise, Life: uint64(incarnation), Key: key,
-		Seeds: config.Seeds, Seed: s.config.Seed, Place: s.config.Index, Places: cluster.Schedulers, Window: cluster.SlowStartWindow + coldWindowMargin,
+		MaxOpenTime: maxOpen, Site: s.config.Site.Name, Name: s.config.Name, Address: config.Advertise, Incarnation: uint64(incarnation), Key: key,
+		Seeds: config.Seeds, Seed: s.config.Seed, Place: s.config.Index, Places: cluster.Schedulers, SlowStartWindow: cluster.SlowStartWindow + coldWindowMargin,
 	}, membershipEvents{s})
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 type membershipEvents struct{ server *Server }
 
 func (e membershipEvents) OnChange(now float64, member membership.Member, previous membership.State) {
-	e.server.log.Info().Str("mode", "members").Str("member", member.Name).Str("address", member.Address).Uint64("life", member.Life).Uint64("version", member.Version).
+	e.server.log.Info().Str("mode", "members").Str("member", member.Name).Str("address", member.Address).Uint64("life", member.Incarnation).Uint64("version", member.Version).
 		Stringer("was", previous).Stringer("is", member.State).Str("by", member.By).Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("member")
 }
 
@@ -123,7 +123,7 @@
 	}
 	m.links[l.node] = l
 	m.linksMu.Unlock()
-	m.runner.WithDetector(func(detector *membership.Detector) { detector.NodeBack(l.node) })
+	m.runner.WithDetector(func(detector *membership.Detector) { detector.OnNodeReachable(l.node) })
 }
 
 func (s *Server) onNodeDisconnected(l *nodeLink) {
@@ -139,7 +139,7 @@
 	m.linksMu.Unlock()
 	if current {
 		now := s.env.Now()
-		m.runner.WithDetector(func(detector *membership.Detector) { detector.NodeLost(now, l.node, l.incarnation) })
+		m.runner.WithDetector(func(detector *membership.Detector) { detector.OnNodeUnreachable(now, l.node, l.incarnation) })
 	}
 }
 
@@ -148,7 +148,7 @@
 	if s.membership.runner == nil {
 		return false
 	}
-	s.membership.runner.WithDetector(func(detector *membership.Detector) { alive = detector.NodeLives(now, nodeID, incarnation) })
+	s.membership.runner.WithDetector(func(detector *membership.Detector) { alive = detector.IsNodeAlive(now, nodeID, incarnation) })
 	return alive
 }
 
@@ -161,13 +161,13 @@
 	var heldBack []uint32
 	var endedNodes []func(sh *shard, now float64)
 	m.runner.WithDetector(func(detector *membership.Detector) {
-		sharers, sharersUntil = detector.Sharers(now + leaseMargin)
+		sharers, sharersUntil = detector.SlowStartSharers(now + leaseMargin)
 		aliveCount, suspect, dead, _ := detector.Count()
 		alive, total = aliveCount, aliveCount+suspect+dead
-		permits, permitsNeeded = detector.Leaves(now)
-		heldBack = detector.Held(now)
-		leaseSharers, leasedUntil = detector.Lent(now + leaseMargin)
-		detector.NodesEnded(func(node uint32, incarnation uint64) {
+		permits, permitsNeeded = detector.Grants(now)
+		heldBack = detector.UnreadyNodes(now)
+		leaseSharers, leasedUntil = detector.QuotaSharers(now + leaseMargin)
+		detector.EndedNodes(func(node uint32, incarnation uint64) {
 			endedNodes = append(endedNodes, func(sh *shard, now float64) { sh.engine.OnIncarnationEnded(now, node, incarnation) })
 		})
 	})
@@ -232,7 +232,7 @@
 	}
 	now := s.env.Now()
 	s.membership.runner.WithDetector(func(detector *membership.Detector) {
-		detector.List(now, version, func(yield func(node uint32, ready, removed bool)) {
+		detector.OnNodeList(now, version, func(yield func(node uint32, ready, removed bool)) {
 			for _, entry := range entries {
 				yield(entry.ID, logic.Availability(entry.Avail) == logic.Ready, logic.Availability(entry.Avail) == logic.Unavailable)
 			}
@@ -300,12 +300,12 @@
 	now := s.env.Now()
 	view := MembershipView{Name: s.config.Name, At: s.env.WallClock(), Sharers: s.sharers(now), Isolation: s.membership.isolation.Degree().String()}
 	s.membership.runner.WithDetector(func(detector *membership.Detector) {
-		view.Address, view.Incarnation, view.Health, view.NameTaken, view.Stats = s.membership.runner.Address(), detector.Life(), detector.Health(), detector.Taken(), detector.Stats
-		view.Permits, view.PermitsNeeded = detector.Leaves(now)
+		view.Address, view.Incarnation, view.Health, view.NameTaken, view.Stats = s.membership.runner.Address(), detector.Incarnation(), detector.Health(), detector.HasNameConflict(), detector.Stats
+		view.Permits, view.PermitsNeeded = detector.Grants(now)
 		for _, member := range detector.All() {
-			out := MemberView{Name: member.Name, Address: member.Address, State: member.State.String(), ReportedBy: member.By, Incarnation: member.Life, Version: member.Version, InState: (now - member.Since) / 1000}
-			if member.Heard > 0 {
-				out.LastContact = (now - member.Heard) / 1000
+			out := MemberView{Name: member.Name, Address: member.Address, State: member.State.String(), ReportedBy: member.By, Incarnation: member.Incarnation, Version: member.Version, InState: (now - member.Since) / 1000}
+			if member.LastContact > 0 {
+				out.LastContact = (now - member.LastContact) / 1000
 			}
 			view.Members = append(view.Members, out)
 		}
