--- a/cmd/ravenpond/lab_membership.go
+++ b/cmd/ravenpond/lab_membership.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"ravenpond/internal/decide/membership"
-	"ravenpond/internal/lab/circle"
+	membershiplab "ravenpond/internal/lab/circle"
 )
 
 type membershipCommand struct {
@@ -24,7 +24,7 @@
 }
 
 // drawPlots draws both.
-func (c *membershipCommand) drawPlots(rows []circle.Row) error {
+func (c *membershipCommand) drawPlots(rows []membershiplab.Row) error {
 	for _, byLoss := range []bool{false, true} {
 		name := c.Plots
 		if byLoss {
@@ -35,7 +35,7 @@
 		if err != nil {
 			return err
 		}
-		err = circle.Plot(f, rows, byLoss)
+		err = membershiplab.Plot(f, rows, byLoss)
 		if err := errors.Join(err, f.Close()); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -48,14 +48,14 @@
 		c.Workers = runtime.NumCPU()
 	}
 	if len(c.Sizes) > 0 {
-		rows, err := circle.Measure(ctx, os.Stdout, c.Sizes, c.Losses, c.Runs, c.Workers)
+		rows, err := membershiplab.Measure(ctx, os.Stdout, c.Sizes, c.Losses, c.Runs, c.Workers)
 		if err != nil || c.Plots == "" {
 			return err
 		}
 		return c.drawPlots(rows)
 	}
 	var plant *membership.Faults
-	for _, p := range circle.Faults {
+	for _, p := range membershiplab.Faults {
 		if c.Fault == "list" {
 			fmt.Println(p.Name)
 		} else if c.Fault == p.Name {
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	if circle.Print(os.Stdout, circle.Seeds(ctx, a, b, c.Workers, *plant)) > 0 && c.Fault == "" {
+	if membershiplab.Print(os.Stdout, membershiplab.Seeds(ctx, a, b, c.Workers, *plant)) > 0 && c.Fault == "" {
 		return errors.New("something broke")
 	}
 	return nil
