--- a/cmd/ravenpond/lab_balance.go
+++ b/cmd/ravenpond/lab_balance.go
@@ -6,7 +6,7 @@
 	"os"
 	"runtime"
 
-	"ravenpond/internal/lab/herd"
+	"ravenpond/internal/lab/balance"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/site"
 )
@@ -33,9 +33,9 @@
 		c.Workers = runtime.NumCPU()
 	}
 	if len(c.Policies) == 0 {
-		c.Policies = herd.Names
+		c.Policies = balance.Names
 	}
-	scene := herd.Scenario{
+	scene := balance.Scenario{
 		Schedulers: c.Schedulers, Nodes: c.Nodes, Load: c.Utilization, TaskRuntime: c.RunTimeSeconds * 1000, Duration: c.DurationSeconds * 1000, Services: c.Services,
 		Members: c.Membership,
 	}
@@ -49,6 +49,6 @@
 		}
 		scene.Faults = append(scene.Faults, f)
 	}
-	_, err := herd.CompareTable(ctx, os.Stdout, scene, c.Policies, c.Seeds, c.Workers)
+	_, err := balance.CompareTable(ctx, os.Stdout, scene, c.Policies, c.Seeds, c.Workers)
 	return err
 }
--- a/cmd/ravenpond/lab_cluster.go
+++ b/cmd/ravenpond/lab_cluster.go
@@ -7,7 +7,7 @@
 	"os"
 	"time"
 
-	"ravenpond/internal/lab/procs"
+	"ravenpond/internal/lab/cluster"
 )
 
 type clusterCommand struct {
@@ -26,14 +26,14 @@
 }
 
 func (c *clusterCommand) Run(ctx context.Context) error {
-	var steps []procs.Step
+	var steps []cluster.Step
 	if c.Script != "" {
 		f, err := os.Open(c.Script)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
-		if steps, err = procs.Parse(f, c.Schedulers); err != nil {
+		if steps, err = cluster.Parse(f, c.Schedulers); err != nil {
 			return err
 		}
 	}
@@ -48,9 +48,9 @@
 	} else if err := os.MkdirAll(c.Out, 0o750); err != nil {
 		return err
 	}
-	rig, err := procs.Start(ctx, procs.Config{
+	rig, err := cluster.Start(ctx, cluster.Config{
 		Command: []string{self}, Schedulers: c.Schedulers, Nodes: c.Nodes, Rate: c.Rate, Seed: c.Seed, Dir: c.Out,
-		Isolated: c.WithoutMembership, Relays: procs.NeedsRelays(steps), Zones: min(6, c.Zones), Cores: c.CoresPerNode, Localities: c.ZoneLatency, Voters: c.Voters,
+		Isolated: c.WithoutMembership, Relays: cluster.NeedsRelays(steps), Zones: min(6, c.Zones), Cores: c.CoresPerNode, Localities: c.ZoneLatency, Voters: c.Voters,
 	})
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 }
 
 // waitForAgreement waits until all hold one view, and tells how long that took.
-func waitForAgreement(rig *procs.Rig, timeout time.Duration) string {
+func waitForAgreement(rig *cluster.Rig, timeout time.Duration) string {
 	began := time.Now()
 	for {
 		ok, why := rig.MembersConverged()
--- a/cmd/ravenpond/lab_maintenance.go
+++ b/cmd/ravenpond/lab_maintenance.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"runtime"
 
-	"ravenpond/internal/lab/month"
+	"ravenpond/internal/lab/maintenance"
 )
 
 type maintenanceCommand struct {
@@ -18,13 +18,13 @@
 	fmt.Printf("%6s %8s %6s %10s %8s %9s %7s %9s %6s  %-16s\n", "seed", "windows", "kept", "postponed", "refused", "offers", "moved",
 		"restarts", "halls", "trace")
 	late, overlaps := 0, 0
-	results := make([]chan month.Report, c.Seeds)
+	results := make([]chan maintenance.Report, c.Seeds)
 	running := make(chan struct{}, runtime.NumCPU())
 	for i := range results {
-		results[i] = make(chan month.Report, 1)
+		results[i] = make(chan maintenance.Report, 1)
 		go func() {
 			running <- struct{}{}
-			results[i] <- month.Month{Seed: c.Seed + uint64(i), Days: c.Days, Processes: c.Processes}.Play()
+			results[i] <- maintenance.Month{Seed: c.Seed + uint64(i), Days: c.Days, Processes: c.Processes}.Play()
 			<-running
 		}()
 	}
--- a/cmd/ravenpond/lab_membership.go
+++ b/cmd/ravenpond/lab_membership.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"ravenpond/internal/decide/membership"
-	membershiplab "ravenpond/internal/lab/circle"
+	membershiplab "ravenpond/internal/lab/membership"
 )
 
 type membershipCommand struct {
--- a/cmd/ravenpond/lab_model_check.go
+++ b/cmd/ravenpond/lab_model_check.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"ravenpond/internal/lab/states"
+	"ravenpond/internal/lab/modelcheck"
 )
 
 type modelCheckCommand struct {
@@ -21,7 +21,7 @@
 	broken := 0
 	for job, effect := range []string{"restartable", "tokened zone", "tokened all", "run-once"} {
 		began := time.Now()
-		r := states.Model{Job: job, Faults: c.MaxFaults, Depth: c.MaxDepth, Kinds: c.FaultKinds}.Explore(c.MaxStates)
+		r := modelcheck.Model{Job: job, Faults: c.MaxFaults, Depth: c.MaxDepth, Kinds: c.FaultKinds}.Explore(c.MaxStates)
 		fmt.Printf("%-14s %9d %9d %9d %6d %8.1f\n", effect, r.States, r.Paths, r.Steps, r.Deepest, time.Since(began).Seconds())
 		if r.Failure != "" {
 			broken++
--- a/cmd/ravenpond/lab_run.go
+++ b/cmd/ravenpond/lab_run.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"ravenpond/internal/lab/route"
+	"ravenpond/internal/lab/platformsim"
 	"ravenpond/internal/lab/sim"
 )
 
@@ -48,9 +48,9 @@
 		if plant != nil {
 			return errors.New("--platform: faults are planted there by its tests alone")
 		}
-		all := route.Seeds(ctx, a, b, c.Workers)
-		route.Print(os.Stdout, all)
-		if route.CountFailures(all) > 0 {
+		all := platformsim.Seeds(ctx, a, b, c.Workers)
+		platformsim.Print(os.Stdout, all)
+		if platformsim.CountFailures(all) > 0 {
 			return errors.New("something broke")
 		}
 		return nil
--- a/cmd/ravenpond/lab_shards.go
+++ b/cmd/ravenpond/lab_shards.go
@@ -7,7 +7,7 @@
 	"runtime"
 	"time"
 
-	"ravenpond/internal/lab/cores"
+	"ravenpond/internal/lab/shards"
 )
 
 type shardsCommand struct {
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	t := cores.Measurements{
+	t := shards.Measurements{
 		Command: []string{self}, ShardCounts: c.ShardCounts, Nodes: c.Nodes, Rate: c.Rate, OverloadRate: c.OverloadRate, Duration: c.Duration,
 		Requests: c.Requests, Cores: runtime.NumCPU(), Out: out,
 	}
@@ -52,7 +52,7 @@
 	if c.CheckRequests == 0 {
 		return nil
 	}
-	broken, err := cores.CheckMany(ctx, os.Stdout, c.CheckRequests, []int{4, 8}, c.Seed)
+	broken, err := shards.CheckMany(ctx, os.Stdout, c.CheckRequests, []int{4, 8}, c.Seed)
 	if err == nil && broken > 0 {
 		err = fmt.Errorf("%d breaks", broken)
 	}
--- a/cmd/ravenpond/lab_tenants.go
+++ b/cmd/ravenpond/lab_tenants.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"ravenpond/internal/lab/clubs"
+	"ravenpond/internal/lab/tenants"
 )
 
 type tenantLoadCommand struct {
@@ -24,13 +24,13 @@
 	if c.Tenants < 2 || c.Nodes < 1 || c.Shards < 1 || !(c.FloodFactor > 0) || c.Duration <= 0 {
 		return errors.New("two tenants or more, nodes, shards, a flood and a length above 0 are expected")
 	}
-	day := clubs.Trial{Tenants: c.Tenants, Nodes: c.Nodes, Shards: c.Shards, Flood: c.FloodFactor, ReconnectFlood: c.Reconnects, Duration: c.Duration, Seed: c.Seed}
+	day := tenants.Trial{Tenants: c.Tenants, Nodes: c.Nodes, Shards: c.Shards, Flood: c.FloodFactor, ReconnectFlood: c.Reconnects, Duration: c.Duration, Seed: c.Seed}
 	if c.HalfOpen > 0 {
 		day.ReconnectFlood = false
-		_, _, _, err := clubs.Handshakes(ctx, os.Stdout, day, c.HalfOpen)
+		_, _, _, err := tenants.Handshakes(ctx, os.Stdout, day, c.HalfOpen)
 		return err
 	}
-	_, err := clubs.Table(ctx, os.Stdout, day)
+	_, err := tenants.Table(ctx, os.Stdout, day)
 	return err
 }
 
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	got, err := clubs.RemovalTrial{Command: []string{self}, Rounds: c.Rounds, TenantsPerRound: c.TenantsPerRound, RequestsPerTenant: c.RequestsPerTenant, Nodes: c.Nodes, Seed: c.Seed}.Play(ctx)
+	got, err := tenants.RemovalTrial{Command: []string{self}, Rounds: c.Rounds, TenantsPerRound: c.TenantsPerRound, RequestsPerTenant: c.RequestsPerTenant, Nodes: c.Nodes, Seed: c.Seed}.Play(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/herd/even.go
+++ b/internal/lab/balance/even.go
@@ -1,6 +1,6 @@
 // Package herd measures how evenly the load of many schedulers spreads over nodes: how full the fullest is beside the mean, who
 // stands idle and for how long, how many offers meet at one node, and how soon all is even again after something has happened.
-package herd
+package balance
 
 import (
 	"math"
--- a/internal/lab/herd/even_test.go
+++ b/internal/lab/balance/even_test.go
@@ -1,4 +1,4 @@
-package herd
+package balance
 
 import (
 	"math"
--- a/internal/lab/procs/procs.go
+++ b/internal/lab/cluster/procs.go
@@ -1,7 +1,7 @@
 // Package procs is the rig of processes: many schedulers of one site on loopback, each a process of its own, with stand-ins
 // for nodes, list and owners in this one. What schedulers say to each other passes relays that drop and cut by a script
 // with a seed; processes are killed, stopped and started again. The auditor watches all that reaches the stand-ins.
-package procs
+package cluster
 
 import (
 	"context"
--- a/internal/lab/procs/relay.go
+++ b/internal/lab/cluster/relay.go
@@ -1,4 +1,4 @@
-package procs
+package cluster
 
 import (
 	"bytes"
--- a/internal/lab/council/council.go
+++ b/internal/lab/consensus/council.go
@@ -2,7 +2,7 @@
 // members, council and control, stewards' disks that outlive their processes, and faults. Held all along: who holds a book of a
 // version holds the same bytes as all; what was agreed on is never lost; epochs are given once; and who is sure holds all that
 // was agreed on longer ago than the lease.
-package council
+package consensus
 
 import (
 	"bytes"
--- a/internal/lab/council/council_test.go
+++ b/internal/lab/consensus/council_test.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"context"
--- a/internal/lab/month/month.go
+++ b/internal/lab/maintenance/month.go
@@ -1,7 +1,7 @@
 // Package month runs maintenance windows of a month on a virtual clock: several scheduler processes with skewed clocks,
 // their real engines, keepers and codecs, and the stand-in nodes' model, with failures drawn from a seed. Time between
 // windows is passed over in jumps, as nothing happens there that windows touch.
-package month
+package maintenance
 
 import (
 	"cmp"
--- a/internal/lab/month/month_test.go
+++ b/internal/lab/maintenance/month_test.go
@@ -1,4 +1,4 @@
-package month
+package maintenance
 
 import "testing"
 
--- a/internal/lab/circle/circle.go
+++ b/internal/lab/membership/circle.go
@@ -1,6 +1,6 @@
 // Package circle plays detectors of many schedulers on the laboratory's clock and network: who knows of whom, how soon, and
 // what goes wrong when processes are killed or stand still, when datagrams are lost, late, doubled, or go one way only.
-package circle
+package membership
 
 import (
 	"fmt"
--- a/internal/lab/circle/measure.go
+++ b/internal/lab/membership/measure.go
@@ -1,4 +1,4 @@
-package circle
+package membership
 
 import (
 	"context"
--- a/internal/lab/states/explore.go
+++ b/internal/lab/modelcheck/explore.go
@@ -1,4 +1,4 @@
-package states
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/lab/route/simulation.go
+++ b/internal/lab/platformsim/simulation.go
@@ -2,7 +2,7 @@
 // owners that open what was lost again, nodes that come, drain and go, and a journal service that moves and falls
 // silent. The rules are audited from what passed at the other ends; a panic, a module that was fenced and words that were
 // switched off count as broken too, as does what is left standing at the end.
-package route
+package platformsim
 
 import (
 	"bytes"
--- a/internal/lab/route/simulation_test.go
+++ b/internal/lab/platformsim/simulation_test.go
@@ -1,4 +1,4 @@
-package route
+package platformsim
 
 import (
 	"runtime"
--- a/internal/lab/cores/cores.go
+++ b/internal/lab/shards/cores.go
@@ -1,4 +1,4 @@
-package cores
+package shards
 
 import (
 	"context"
--- a/internal/lab/cores/harm.go
+++ b/internal/lab/shards/harm.go
@@ -1,4 +1,4 @@
-package cores
+package shards
 
 import (
 	"math/rand/v2"
--- a/internal/lab/clubs/clubs.go
+++ b/internal/lab/tenants/clubs.go
@@ -1,6 +1,6 @@
 // Package clubs plays a hosted service: many tenants on sockets, one of which floods, and tenants that are removed while they
 // ask. It tells what each tenant got beside what it gets on a calm day.
-package clubs
+package tenants
 
 import (
 	"context"
--- a/internal/lab/clubs/handshakes.go
+++ b/internal/lab/tenants/handshakes.go
@@ -1,4 +1,4 @@
-package clubs
+package tenants
 
 import (
 	"context"
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -16,7 +16,7 @@
 	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/zones"
-	lab "ravenpond/internal/lab/council"
+	lab "ravenpond/internal/lab/consensus"
 	"ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
 )
