--- a/internal/lab/sim/programfaults.go
+++ b/internal/lab/sim/programfaults.go
@@ -73,7 +73,7 @@
 }
 
 // MissedFaults are faults that random scripts did not find within 600 seeds. The first shows only when a shard goes on in the very
-// moment after it was fenced, which lab/cores and lab/states bring about; the second hardly at all, as the module answers at
+// moment after it was fenced, which lab/shards and lab/modelcheck bring about; the second hardly at all, as the module answers at
 // once what may have run.
 var MissedFaults = []ProgramFault{
 	{Name: "no epoch is checked", Server: serve.Faults{PermitAnyEpoch: true}},
