--- /dev/null
+++ b/internal/state/format_test.go
@@ -0,0 +1,46 @@
+package state
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+)
+
+// TestFormat1 reads a folder that commit 9c27d6c wrote, and writes the same bytes again.
+func TestFormat1(t *testing.T) {
+	path := t.TempDir()
+	if err := os.CopyFS(path, os.DirFS("testdata/format1")); err != nil {
+		t.Fatal(err)
+	}
+	folder, err := Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer folder.Close()
+	nodes, err := folder.LoadList()
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []Entry{
+		{ID: 7, Address: "10.0.0.7:7000", Avail: 1, StartedAt: 1771000000.25, FreeCores: 12.5, FreeMemory: 64, Zone: "z1", Cell: "c1", Kind: "k"},
+		{ID: 8, Address: "10.0.0.8:7000", Avail: 2, StartedAt: 1771000001, FreeCores: 0, FreeMemory: 3.75, Zone: "z2", Cell: "c9", Kind: "gpu"},
+	}
+	if nodes.Version != 42 || !slices.Equal(nodes.Entries(), want) {
+		t.Errorf("version %d with %+v, want 42 with %+v", nodes.Version, nodes.Entries(), want)
+	}
+	if err := folder.SaveList(nodes.Encode()); err != nil {
+		t.Fatal(err)
+	}
+	before, err := os.ReadFile("testdata/format1/nodes")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if after, err := os.ReadFile(filepath.Join(path, "nodes")); err != nil || !bytes.Equal(before, after) {
+		t.Errorf("written again: %q, %v, want %q", after, err, before)
+	}
+	if incarnation, err := folder.NextIncarnation(); incarnation != 4 || err != nil {
+		t.Errorf("incarnation %d, %v, want 4", incarnation, err)
+	}
+}
