--- a/internal/lab/scale/profile.go
+++ b/internal/lab/scale/profile.go
@@ -53,7 +53,7 @@
 	{"internal/serve/list", partList},
 	{"ravenpond/internal/proto/list", partList},
 	{"ravenpond/internal/state.", partList},
-	{"internal/state/state.go", partList},
+	{"internal/state/nodelist.go", partList},
 	{"internal/serve/link.go", partLinks},
 	{"internal/serve/node_connections", partLinks},
 	{"ravenpond/internal/proto/node", partLinks},
--- a/internal/state/bolt/bolt.go
+++ b/internal/state/bolt/bolt.go
@@ -1,5 +1,9 @@
-// Package bolt opens bbolt files as this program's stores: with a version of their format, and refused, not guessed at, when
-// they are damaged, were written by a later version or are held by another process.
+// Package bolt opens bbolt files as this program's stores: with a version of their format, and refused when they are damaged, were written by
+// a later version, or are held by another process.
+//
+// The bbolt library may end the process on a damaged file. Open therefore verifies every page itself before the library reads the file, and
+// every record after that. A file that has not changed since it was last verified is not verified again. The functions may be called
+// concurrently.
 package bolt
 
 import (
@@ -10,7 +14,6 @@
 	"os"
 	"path/filepath"
 	"runtime/debug"
-	"sync"
 	"syscall"
 	"time"
 
@@ -25,69 +28,60 @@
 	ErrLocked  = errors.New("store is held by another process")
 )
 
+const (
+	// lockTimeout is how long Open waits for another process that holds the store.
+	lockTimeout = 200 * time.Millisecond
+	// lockRetryInterval is the time between two attempts to lock the file for its verification.
+	lockRetryInterval = 5 * time.Millisecond
+
+	folderMode = 0o750
+	fileMode   = 0o640
+)
+
 var (
 	metaBucket = []byte("meta")
 	formatKey  = []byte("format")
 )
 
-// Schema is what a store of this program is like.
+// Schema describes a kind of store.
 type Schema struct {
-	Format  byte     // its version; a later one is refused
-	Buckets [][]byte // that it must have
-	Check   func(tx *bbolt.Tx) error
-}
-
-// lockTimeout is how long one waits for another process that has the store.
-const lockTimeout = 200 * time.Millisecond
-
-// checked are the files that this process has found sound, as they were then. Stores are opened for a look at a time, twice a
-// second: one that nobody has written to since is not walked again.
-var checked struct {
-	sync.Mutex
-	as map[string]os.FileInfo
-}
-
-// minFileAge is how old a file's time must be to tell it from what is written next: its clock ticks in steps.
-const minFileAge = time.Second
-
-// isUnchanged tells whether a file is as it was when it was found sound.
-func isUnchanged(path string, current os.FileInfo) bool {
-	checked.Lock()
-	defer checked.Unlock()
-	previous := checked.as[path]
-	return previous != nil && current != nil && os.SameFile(previous, current) && previous.Size() == current.Size() && previous.ModTime().Equal(current.ModTime())
-}
-
-// recordChecked notes a file as it was before it was walked.
-func recordChecked(path string, info os.FileInfo) {
-	checked.Lock()
-	defer checked.Unlock()
-	if checked.as == nil {
-		checked.as = map[string]os.FileInfo{}
-	}
-	if delete(checked.as, path); info != nil && time.Since(info.ModTime()) > minFileAge {
-		checked.as[path] = info
-	}
+	Format  byte                     // version of the format; later ones are refused
+	Buckets [][]byte                 // that the store must have
+	Check   func(tx *bbolt.Tx) error // reads every record, and returns an error if one is malformed
 }
 
-// Open opens a store, or makes it. Every page and, by the shape's check, every record is read before it is used, once for
-// each change of the file.
-func Open(path string, schema Schema) (db *bbolt.DB, err error) {
-	if err := os.MkdirAll(filepath.Dir(path), 0o750); err != nil {
+// Open opens a store, or creates it. The error wraps ErrDamaged, ErrNewer or ErrLocked if that is the cause.
+func Open(path string, schema Schema) (*bbolt.DB, error) {
+	if err := os.MkdirAll(filepath.Dir(path), folderMode); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	info, err := os.Stat(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	full := !isUnchanged(path, info)
-	if full {
+	verify := !verified.contains(path, info)
+	if verify {
 		if err := checkFile(path); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
+	db, err := openFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	if verify {
+		if err := schema.prepare(db); err != nil {
+			return nil, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
+		}
+		verified.add(path, info)
+	}
+	return db, nil
+}
+
+// openFile opens a file whose pages have been verified.
+func openFile(path string) (db *bbolt.DB, err error) {
 	err = recoverFaults(func() error {
-		db, err = bbolt.Open(path, 0o640, &bbolt.Options{Timeout: lockTimeout})
+		db, err = bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockTimeout})
 		switch {
 		case errors.Is(err, bolterrors.ErrTimeout):
 			return ErrLocked
@@ -98,34 +92,22 @@
 		}
 		return nil
 	})
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	empty := false
-	if err = recoverFaults(func() error { return db.View(func(tx *bbolt.Tx) error { return schema.verify(tx, full, &empty) }) }); err == nil && empty {
-		err = db.Update(schema.create)
-	}
-	if err != nil {
-		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
-	}
-	if full {
-		recordChecked(path, info)
-	}
-	return db, nil
+	return db, err
 }
 
-// RetryWhileLocked does something with a store, again while another process has it, so many times at most. Each opening waits a moment
-// for whoever has it.
-func RetryWhileLocked(ctx context.Context, attempts int, do func() error) (err error) {
+// RetryWhileLocked calls open, again while it returns ErrLocked, at most so many times and not after ctx is done. It returns open's last
+// error. There is no pause between the calls, as Open itself waits for the lock.
+func RetryWhileLocked(ctx context.Context, attempts int, open func() error) (err error) {
 	for range attempts {
-		if err = do(); !errors.Is(err, ErrLocked) || ctx.Err() != nil {
+		if err = open(); !errors.Is(err, ErrLocked) || ctx.Err() != nil {
 			break
 		}
 	}
 	return err
 }
 
-// checkFile reads a file that is there, while nobody writes to it. Whoever does so before it is opened again writes what is sound.
+// checkFile verifies the pages of a file, if it exists, while no process writes to it. A process that writes before it is opened again
+// writes valid pages.
 func checkFile(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -133,18 +115,12 @@
 	} else if err != nil {
 		return err
 	}
-	defer f.Close() // which gives up the lock
-	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(5 * time.Millisecond) {
-		if err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
-			break
-		} else if !errors.Is(err, syscall.EWOULDBLOCK) {
-			return err
-		} else if time.Now().After(deadline) {
-			return ErrLocked
-		}
+	defer f.Close() // releases the lock
+	if err := lockFile(f); err != nil {
+		return err
 	}
 	content, err := io.ReadAll(f)
-	if err != nil || len(content) == 0 { // nothing was written yet
+	if err != nil || len(content) == 0 { // an empty file is a new store
 		return err
 	}
 	if err := CheckPages(content); err != nil {
@@ -153,8 +129,25 @@
 	return nil
 }
 
-// recoverFaults calls what reads a file that may be damaged after all: the library panics on pages that make no sense, and a page
-// beyond the end of the mapped file faults.
+// lockFile locks a file as bbolt does, and returns ErrLocked if another process holds it for longer than lockTimeout.
+func lockFile(f *os.File) error {
+	deadline := time.Now().Add(lockTimeout)
+	for {
+		err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+		switch {
+		case err == nil:
+			return nil
+		case !errors.Is(err, syscall.EWOULDBLOCK):
+			return err
+		case time.Now().After(deadline):
+			return ErrLocked
+		}
+		time.Sleep(lockRetryInterval)
+	}
+}
+
+// recoverFaults calls f, which reads a file that may be damaged after all, and turns its panics into ErrDamaged: the library panics on
+// malformed pages, and reading a page beyond the end of the mapped file faults.
 func recoverFaults(f func() error) (err error) {
 	before := debug.SetPanicOnFault(true)
 	defer func() {
@@ -166,35 +159,48 @@
 	return f()
 }
 
-func (s *Schema) verify(tx *bbolt.Tx, full bool, empty *bool) error {
-	if !full {
-		return nil
+// prepare verifies an open store, and creates its buckets if it is new.
+func (s *Schema) prepare(db *bbolt.DB) error {
+	isNew := false
+	err := recoverFaults(func() error {
+		return db.View(func(tx *bbolt.Tx) (err error) {
+			isNew, err = s.verify(tx)
+			return err
+		})
+	})
+	if err == nil && isNew {
+		err = db.Update(s.create)
 	}
+	return err
+}
+
+// verify reads the whole store. A store without a format is new.
+func (s *Schema) verify(tx *bbolt.Tx) (isNew bool, err error) {
 	for fault := range tx.Check() {
-		return fmt.Errorf("%w: %w", ErrDamaged, fault)
+		return false, fmt.Errorf("%w: %w", ErrDamaged, fault)
 	}
 	meta := tx.Bucket(metaBucket)
-	if *empty = meta == nil; *empty {
-		return nil
+	if meta == nil {
+		return true, nil
 	}
 	switch v := meta.Get(formatKey); {
 	case len(v) != 1:
-		return fmt.Errorf("%w: no format", ErrDamaged)
+		return false, fmt.Errorf("%w: no format", ErrDamaged)
 	case v[0] > s.Format:
-		return fmt.Errorf("format %d, this program reads up to %d: %w", v[0], s.Format, ErrNewer)
+		return false, fmt.Errorf("format %d, this program reads up to %d: %w", v[0], s.Format, ErrNewer)
 	}
 	for _, name := range s.Buckets {
 		if tx.Bucket(name) == nil {
-			return fmt.Errorf("%w: no %s", ErrDamaged, name)
+			return false, fmt.Errorf("%w: no %s", ErrDamaged, name)
 		}
 	}
 	if err := s.Check(tx); err != nil {
-		return fmt.Errorf("%w: %w", ErrDamaged, err)
+		return false, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	return nil
+	return false, nil
 }
 
-// create makes all buckets or none.
+// create creates all buckets or none.
 func (s *Schema) create(tx *bbolt.Tx) error {
 	for _, name := range append([][]byte{metaBucket}, s.Buckets...) {
 		if _, err := tx.CreateBucket(name); err != nil {
--- a/internal/state/bolt/bolt_test.go
+++ b/internal/state/bolt/bolt_test.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/bbolt"
 )
 
-var shape = Schema{Format: 2, Buckets: [][]byte{[]byte("things")}, Check: func(tx *bbolt.Tx) error {
+var schema = Schema{Format: 2, Buckets: [][]byte{[]byte("things")}, Check: func(tx *bbolt.Tx) error {
 	return tx.Bucket([]byte("things")).ForEach(func(k, v []byte) error {
 		if len(v) == 0 || v[0] != 'v' {
 			return fmt.Errorf("%q: bad record", k)
@@ -20,10 +20,11 @@
 	})
 }}
 
-// stored makes a store with records and gives its bytes.
+// stored creates a store with records and returns its bytes.
 func stored(t testing.TB, format byte) []byte {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "a.db")
-	s := shape
+	s := schema
 	s.Format = format
 	db, err := Open(path, s)
 	if err != nil {
@@ -53,7 +54,7 @@
 		file func() []byte
 		want error
 	}{
-		{"whole", func() []byte { return good }, nil},
+		{"undamaged", func() []byte { return good }, nil},
 		{"of an earlier version", func() []byte { return stored(t, 1) }, nil},
 		{"of a later version", func() []byte { return stored(t, 3) }, ErrNewer},
 		{"empty", func() []byte { return nil }, nil},
@@ -75,14 +76,14 @@
 			if err := os.WriteFile(path, c.file(), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			db, err := Open(path, shape)
+			db, err := Open(path, schema)
 			if !errors.Is(err, c.want) {
 				t.Fatalf("%v, want %v", err, c.want)
 			}
 			if err != nil {
 				return
 			}
-			if _, err := Open(path, shape); !errors.Is(err, ErrLocked) {
+			if _, err := Open(path, schema); !errors.Is(err, ErrLocked) {
 				t.Errorf("opened twice: %v", err)
 			}
 			if err := db.Close(); err != nil {
@@ -92,16 +93,16 @@
 	}
 }
 
-// TestWalkedOnce walks a store again when it was written to, or so lately that its time does not tell.
-func TestWalkedOnce(t *testing.T) {
+// TestVerifiedOnce checks that a store is verified again if it was written to, or so lately that its modification time does not tell.
+func TestVerifiedOnce(t *testing.T) {
 	good := stored(t, 2)
 	now := time.Now()
 	for _, c := range []struct {
-		name        string
-		was, is     time.Time // the file's time when it was sound, and when it is damaged
-		longer      bool
-		another     bool // the damaged one is another file of that name
-		walkedAgain bool
+		name          string
+		was, is       time.Time // the file's time when it was valid, and when it is damaged
+		longer        bool
+		another       bool // the damaged one is another file of that name
+		verifiedAgain bool
 	}{
 		{"untouched", now.Add(-time.Minute), now.Add(-time.Minute), false, false, false},
 		{"written since", now.Add(-time.Minute), now.Add(-time.Second), false, false, true},
@@ -118,7 +119,7 @@
 				}
 			}
 			put(good, c.was)
-			db, err := Open(path, shape)
+			db, err := Open(path, schema)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -140,7 +141,7 @@
 				}
 			}
 			put(bad, c.is)
-			if db, err = Open(path, shape); errors.Is(err, ErrDamaged) != c.walkedAgain {
+			if db, err = Open(path, schema); errors.Is(err, ErrDamaged) != c.verifiedAgain {
 				t.Error(err)
 			}
 			if err == nil {
@@ -164,7 +165,7 @@
 		if err := os.WriteFile(path, file, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		db, err := Open(path, shape)
+		db, err := Open(path, schema)
 		if err != nil {
 			if !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) {
 				t.Fatal(err)
--- a/internal/state/bolt/pages.go
+++ b/internal/state/bolt/pages.go
@@ -8,26 +8,32 @@
 	"hash/fnv"
 )
 
-// The pages of a bbolt file, as go.etcd.io/bbolt/internal/common has them (version 2 of its format, little endian). Its own
-// check runs on a goroutine that nobody can guard: a length that points beyond the mapped file ends the process there, and
-// pages that name each other in a circle end its stack. So no page is given to the library before it was walked here.
+// The pages of a bbolt file, as go.etcd.io/bbolt/internal/common defines them (version 2 of its format, little endian). The library's own
+// check runs on a goroutine whose panics nobody can recover: a length that points beyond the mapped file ends the process there, and pages
+// that refer to each other in a circle overflow its stack. So the library gets no page that was not verified here.
 const (
-	magic          = 0xED0CDAED
-	version        = 2
-	headerSize     = 16 // id, flags, count, overflow
-	metaSize       = 64
-	isBranch       = 0x01
-	isLeaf         = 0x02
-	isFreelist     = 0x10
-	isBucket       = 0x01 // flag of a leaf's element
+	magic   = 0xED0CDAED
+	version = 2
+
+	headerSize  = 16 // of a page, and of an element of one
+	metaSize    = 64
+	minPageSize = 512
+	maxPageSize = 1 << 24
+
+	isBranch   = 0x01
+	isLeaf     = 0x02
+	isFreelist = 0x10
+	isBucket   = 0x01 // flag of a leaf's element
+
+	firstPage      = 2 // after the two meta pages
 	freelistAbsent = ^uint64(0)
-	countOverflow  = 0xFFFF // the count stands in the first number then
-	maxDepth       = 64     // buckets within buckets, and levels of a tree
+	countOverflow  = 0xFFFF // the count is in the first number of the list
+	maxDepth       = 64     // of buckets within buckets, and of levels of a tree
 )
 
-var le = binary.LittleEndian
+var littleEndian = binary.LittleEndian
 
-// metaPage is what a valid meta page says.
+// metaPage is the content of a valid meta page.
 type metaPage struct {
 	pageSize, root, freelist, highWater, transaction uint64
 }
@@ -38,49 +44,53 @@
 	}
 	m := b[headerSize:]
 	sum := fnv.New64a()
-	_, _ = sum.Write(m[:56]) // a hash takes every write
-	if le.Uint32(m) != magic || le.Uint32(m[4:]) != version || le.Uint64(m[56:]) != sum.Sum64() {
+	_, _ = sum.Write(m[:56]) // never fails
+	if littleEndian.Uint32(m) != magic || littleEndian.Uint32(m[4:]) != version || littleEndian.Uint64(m[56:]) != sum.Sum64() {
 		return page, false
 	}
-	return metaPage{uint64(le.Uint32(m[8:])), le.Uint64(m[16:]), le.Uint64(m[32:]), le.Uint64(m[40:]), le.Uint64(m[48:])}, true
-}
-
-// pageWalker is the reading of a file.
-type pageWalker struct {
-	metaPage
-	file []byte
-	seen map[uint64]bool
+	return metaPage{
+		pageSize:    uint64(littleEndian.Uint32(m[8:])),
+		root:        littleEndian.Uint64(m[16:]),
+		freelist:    littleEndian.Uint64(m[32:]),
+		highWater:   littleEndian.Uint64(m[40:]),
+		transaction: littleEndian.Uint64(m[48:]),
+	}, true
 }
 
-// CheckPages tells what is wrong with the bytes of a bbolt file: nil if every page that can be reached lies in the file, names what
-// lies in it, and has its keys in order.
-func CheckPages(b []byte) error {
-	var newest metaPage
-	found := false
-	readMeta := func(at uint64) bool {
-		if at >= uint64(len(b)) {
+// newestMeta returns the valid meta page with the latest transaction. The second one lies a page after the first one; if that is damaged, it
+// is searched at each possible page size.
+func newestMeta(file []byte) (newest metaPage, found bool) {
+	read := func(offset uint64) (ok bool) {
+		if offset >= uint64(len(file)) {
 			return false
 		}
-		m, ok := parseMeta(b[at:])
-		if ok && m.pageSize >= 512 && m.pageSize <= 1<<24 && m.pageSize&(m.pageSize-1) == 0 && (!found || m.transaction > newest.transaction) {
+		m, ok := parseMeta(file[offset:])
+		isPageSize := m.pageSize >= minPageSize && m.pageSize <= maxPageSize && m.pageSize&(m.pageSize-1) == 0
+		if ok && isPageSize && (!found || m.transaction > newest.transaction) {
 			newest, found = m, true
 		}
 		return ok
 	}
-	first := readMeta(0)
-	if second := newest.pageSize; first {
-		readMeta(second)
-	} else {
-		for size := uint64(512); size <= 1<<24 && !readMeta(size); size *= 2 {
-		}
+	if read(0) {
+		read(newest.pageSize)
+		return newest, found
 	}
+	for size := uint64(minPageSize); size <= maxPageSize && !read(size); size *= 2 {
+	}
+	return newest, found
+}
+
+// CheckPages verifies the content of a bbolt file. It returns nil if every page that can be reached lies in the file, refers to what lies in
+// it, and has its keys in order.
+func CheckPages(file []byte) error {
+	newest, found := newestMeta(file)
 	switch {
 	case !found:
 		return errors.New("neither of the two heads is valid")
-	case newest.highWater < 2 || newest.highWater > uint64(len(b))/newest.pageSize:
-		return fmt.Errorf("%d pages of %d bytes do not lie in %d", newest.highWater, newest.pageSize, len(b))
+	case newest.highWater < firstPage || newest.highWater > uint64(len(file))/newest.pageSize:
+		return fmt.Errorf("%d pages of %d bytes do not lie in %d", newest.highWater, newest.pageSize, len(file))
 	}
-	walker := &pageWalker{metaPage: newest, file: b, seen: map[uint64]bool{}}
+	walker := &pageWalker{metaPage: newest, file: file, seen: map[uint64]bool{}}
 	var last []byte
 	if err := walker.checkTree(newest.root, maxDepth, &last); err != nil {
 		return err
@@ -88,15 +98,22 @@
 	return walker.checkFreelist()
 }
 
-// pages gives the bytes of a page and those that follow it as its overflow, which nobody else may have.
+// pageWalker walks the pages of a file.
+type pageWalker struct {
+	metaPage
+	file []byte
+	seen map[uint64]bool // pages that were reached
+}
+
+// pages returns the content of a page and of the pages that follow it as its overflow. Each page may be reached once.
 func (w *pageWalker) pages(id uint64) ([]byte, error) {
-	if id < 2 || id >= w.highWater {
+	if id < firstPage || id >= w.highWater {
 		return nil, fmt.Errorf("page %d of %d", id, w.highWater)
 	}
 	page := w.file[id*w.pageSize:]
-	overflow := uint64(le.Uint32(page[12:]))
-	if le.Uint64(page) != id || overflow >= w.highWater-id {
-		return nil, fmt.Errorf("page %d says that it is %d with %d more", id, le.Uint64(page), overflow)
+	overflow := uint64(littleEndian.Uint32(page[12:]))
+	if littleEndian.Uint64(page) != id || overflow >= w.highWater-id {
+		return nil, fmt.Errorf("page %d says that it is %d with %d more", id, littleEndian.Uint64(page), overflow)
 	}
 	for i := id; i <= id+overflow; i++ {
 		if w.seen[i] {
@@ -107,104 +124,128 @@
 	return page[:(1+overflow)*w.pageSize], nil
 }
 
-// checkTree walks the pages of a bucket; last is its greatest key so far.
+// checkTree verifies the pages of a bucket from a page on. last is the bucket's greatest key so far.
 func (w *pageWalker) checkTree(id uint64, depth int, last *[]byte) error {
-	p, err := w.pages(id)
+	content, err := w.pages(id)
 	if err != nil {
 		return err
 	}
-	return w.checkPage(p, fmt.Sprint("page ", id), depth, last)
+	return w.checkPage(page{content, fmt.Sprint("page ", id)}, depth, last)
+}
+
+// page is the content of a page, or of a bucket that is stored in its element, with its name in errors.
+type page struct {
+	content []byte
+	name    string
+}
+
+// element returns the bytes of the page from an element on.
+func (p page) element(i int) []byte { return p.content[headerSize*(1+i):] }
+
+// slice returns size bytes at an offset from an element.
+func (p page) slice(i int, offset, size uint64) ([]byte, error) {
+	e := p.element(i)
+	if offset < headerSize || offset > uint64(len(e)) || size > uint64(len(e))-offset {
+		return nil, fmt.Errorf("%s: element %d lies at %d with %d bytes", p.name, i, uint64(headerSize*(1+i))+offset, size)
+	}
+	return e[offset : offset+size], nil
 }
 
-func (w *pageWalker) checkPage(p []byte, what string, depth int, last *[]byte) error {
-	flags, count := le.Uint16(p[8:]), int(le.Uint16(p[10:]))
+func (w *pageWalker) checkPage(p page, depth int, last *[]byte) error {
+	flags, count := littleEndian.Uint16(p.content[8:]), int(littleEndian.Uint16(p.content[10:]))
 	if depth == 0 {
-		return fmt.Errorf("%s: too deep", what)
+		return fmt.Errorf("%s: too deep", p.name)
 	}
-	if flags != isBranch && flags != isLeaf || flags == isBranch && count == 0 || headerSize*(1+count) > len(p) {
-		return fmt.Errorf("%s: flags %x, %d elements", what, flags, count)
+	if flags != isBranch && flags != isLeaf || flags == isBranch && count == 0 || headerSize*(1+count) > len(p.content) {
+		return fmt.Errorf("%s: flags %x, %d elements", p.name, flags, count)
 	}
 	for i := range count {
-		at := headerSize * (1 + i)
-		element := p[at:]
-		slice := func(from, size uint64) ([]byte, error) {
-			if from < headerSize || from > uint64(len(element)) || size > uint64(len(element))-from {
-				return nil, fmt.Errorf("%s: element %d lies at %d with %d bytes", what, i, uint64(at)+from, size)
-			}
-			return element[from : from+size], nil
-		}
+		var err error
 		if flags == isBranch {
-			key, err := slice(uint64(le.Uint32(element)), uint64(le.Uint32(element[4:])))
-			if err != nil {
-				return err
-			}
-			if i > 0 && bytes.Compare(*last, key) >= 0 {
-				return fmt.Errorf("%s: key %d is out of order", what, i)
-			}
-			if err := w.checkTree(le.Uint64(element[8:]), depth-1, last); err != nil {
-				return err
-			}
-			continue
-		}
-		from, keys := uint64(le.Uint32(element[4:])), uint64(le.Uint32(element[8:]))
-		key, err := slice(from, keys)
-		if err != nil {
-			return err
-		}
-		if *last != nil && bytes.Compare(*last, key) >= 0 || len(key) == 0 {
-			return fmt.Errorf("%s: key %d is out of order", what, i)
+			err = w.checkBranch(p, i, depth, last)
+		} else {
+			err = w.checkLeaf(p, i, depth, last)
 		}
-		*last = key
-		value, err := slice(from+keys, uint64(le.Uint32(element[12:])))
 		if err != nil {
 			return err
 		}
-		if le.Uint32(element)&isBucket != 0 {
-			if err := w.checkBucket(value, what, depth-1); err != nil {
-				return err
-			}
-		}
 	}
 	return nil
 }
 
-// checkBucket walks a bucket by its element's value: the page of its root, or the whole of it where it is small.
-func (w *pageWalker) checkBucket(value []byte, what string, depth int) error {
+// checkBranch verifies an element of a branch page and the pages below it.
+func (w *pageWalker) checkBranch(p page, i, depth int, last *[]byte) error {
+	e := p.element(i)
+	key, err := p.slice(i, uint64(littleEndian.Uint32(e)), uint64(littleEndian.Uint32(e[4:])))
+	if err != nil {
+		return err
+	}
+	if i > 0 && bytes.Compare(*last, key) >= 0 {
+		return fmt.Errorf("%s: key %d is out of order", p.name, i)
+	}
+	return w.checkTree(littleEndian.Uint64(e[8:]), depth-1, last)
+}
+
+// checkLeaf verifies an element of a leaf page: a record, or a bucket.
+func (w *pageWalker) checkLeaf(p page, i, depth int, last *[]byte) error {
+	e := p.element(i)
+	offset, keySize := uint64(littleEndian.Uint32(e[4:])), uint64(littleEndian.Uint32(e[8:]))
+	key, err := p.slice(i, offset, keySize)
+	if err != nil {
+		return err
+	}
+	if *last != nil && bytes.Compare(*last, key) >= 0 || len(key) == 0 {
+		return fmt.Errorf("%s: key %d is out of order", p.name, i)
+	}
+	*last = key
+	value, err := p.slice(i, offset+keySize, uint64(littleEndian.Uint32(e[12:])))
+	if err != nil {
+		return err
+	}
+	if littleEndian.Uint32(e)&isBucket == 0 {
+		return nil
+	}
+	return w.checkBucket(value, p.name, depth-1)
+}
+
+// checkBucket verifies a bucket by its element's value: the number of its root page, or the whole of a small one.
+func (w *pageWalker) checkBucket(value []byte, name string, depth int) error {
 	if len(value) < headerSize {
-		return fmt.Errorf("%s: a bucket of %d bytes", what, len(value))
+		return fmt.Errorf("%s: a bucket of %d bytes", name, len(value))
 	}
 	var last []byte
-	if root := le.Uint64(value); root != 0 {
+	if root := littleEndian.Uint64(value); root != 0 {
 		return w.checkTree(root, depth, &last)
 	}
 	if len(value) < 2*headerSize {
-		return fmt.Errorf("%s: a bucket of %d bytes", what, len(value))
+		return fmt.Errorf("%s: a bucket of %d bytes", name, len(value))
 	}
-	if inner := value[headerSize:]; le.Uint16(inner[8:]) != isLeaf {
-		return fmt.Errorf("%s: a small bucket that is no leaf", what)
+	content := value[headerSize:]
+	if littleEndian.Uint16(content[8:]) != isLeaf {
+		return fmt.Errorf("%s: a small bucket that is no leaf", name)
 	}
-	return w.checkPage(value[headerSize:], what, depth, &last)
+	return w.checkPage(page{content, name}, depth, &last)
 }
 
-// checkFreelist looks at the list of pages that are free.
+// checkFreelist verifies the list of free pages.
 func (w *pageWalker) checkFreelist() error {
 	if w.freelist == freelistAbsent {
 		return nil
 	}
-	p, err := w.pages(w.freelist)
+	content, err := w.pages(w.freelist)
 	if err != nil {
 		return fmt.Errorf("list of free pages: %w", err)
 	}
-	count, ids := uint64(le.Uint16(p[10:])), p[headerSize:]
+	count, ids := uint64(littleEndian.Uint16(content[10:])), content[headerSize:]
 	if count == countOverflow {
-		count, ids = le.Uint64(ids), ids[8:]
+		count, ids = littleEndian.Uint64(ids), ids[8:]
 	}
-	if le.Uint16(p[8:]) != isFreelist || count > uint64(len(ids))/8 {
-		return fmt.Errorf("list of free pages: flags %x, %d pages", le.Uint16(p[8:]), count)
+	if littleEndian.Uint16(content[8:]) != isFreelist || count > uint64(len(ids))/8 {
+		return fmt.Errorf("list of free pages: flags %x, %d pages", littleEndian.Uint16(content[8:]), count)
 	}
 	for i := range count {
-		id := le.Uint64(ids[8*i:])
-		if id < 2 || id >= w.highWater || w.seen[id] {
+		id := littleEndian.Uint64(ids[8*i:])
+		if id < firstPage || id >= w.highWater || w.seen[id] {
 			return fmt.Errorf("page %d is free and in use", id)
 		}
 		w.seen[id] = true
--- a/internal/state/state_test.go
+++ b/internal/state/folder_test.go
@@ -13,6 +13,7 @@
 )
 
 func open(t *testing.T) *Folder {
+	t.Helper()
 	f, err := Open(filepath.Join(t.TempDir(), "s"))
 	if err != nil {
 		t.Fatal(err)
@@ -21,7 +22,7 @@
 	return f
 }
 
-func TestLife(t *testing.T) {
+func TestNextIncarnation(t *testing.T) {
 	f := open(t)
 	for want := uint32(1); want < 4; want++ {
 		if got, err := f.NextIncarnation(); got != want || err != nil {
@@ -29,14 +30,14 @@
 		}
 	}
 	if _, err := Open(f.disk.(*directory).path); !errors.Is(err, ErrLocked) {
-		t.Errorf("second holder: %v", err)
+		t.Errorf("opened by a second holder: %v", err)
 	}
 }
 
 func TestList(t *testing.T) {
 	f := open(t)
 	if l, err := f.LoadList(); l != nil || err != nil {
-		t.Fatalf("none kept: %v, %v", l, err)
+		t.Fatalf("no list saved: %v, %v", l, err)
 	}
 	l := NewNodeList()
 	put := func(kind int, version uint64, entries ...Entry) error {
@@ -51,10 +52,10 @@
 	}
 	a, b := Entry{ID: 1, Address: "x:1", Avail: 1, Zone: "z", Cell: "c", Kind: "k"}, Entry{ID: 2, Address: "x:2", Avail: 2, Zone: "z", Cell: "c", Kind: "k"}
 	if put(list.KindFull, 5, a, b) != nil || put(list.KindChanges, 6, Entry{ID: 1}) != nil {
-		t.Fatal("not taken")
+		t.Fatal("an answer is refused")
 	}
 	if err := put(list.KindChanges, 4, a); err == nil {
-		t.Error("older news taken: it would bring back what is gone")
+		t.Error("an older answer is accepted: it would bring back nodes that are gone")
 	}
 	if err := f.SaveList(l.Encode()); err != nil {
 		t.Fatal(err)
@@ -69,9 +70,9 @@
 		name, text string
 		want       error
 	}{
-		{"torn", string(good[:len(good)-3]), ErrDamaged},
+		{"cut off", string(good[:len(good)-3]), ErrDamaged},
 		{"empty", "", ErrDamaged},
-		{"a bit turned", strings.Replace(string(good), "x:2", "x:3", 1), ErrDamaged},
+		{"a bit flipped", strings.Replace(string(good), "x:2", "x:3", 1), ErrDamaged},
 		{"later version", strings.Replace(string(good), "NODES 1", "NODES 2", 1), ErrNewer},
 		{"another file", "RAVENPOND-LIFE 1 0 0\n", ErrDamaged},
 	} {
@@ -86,7 +87,7 @@
 	}
 }
 
-// memoryDisk is a disk of files.
+// memoryDisk is a Disk in memory, by file name.
 type memoryDisk map[string][]byte
 
 func (m memoryDisk) Read(name string) ([]byte, error)             { return m[name], nil }
@@ -95,7 +96,7 @@
 func (m memoryDisk) Write(name string, text []byte) error { m[name] = slices.Clone(text); return nil }
 func (m memoryDisk) Close() error                         { return nil }
 
-// FuzzFolder reads any bytes as the files of a folder: a plain error, or what can be written and read again.
+// FuzzFolder reads any bytes as the files of a folder: they lead to an error, or to content that can be written and read again.
 func FuzzFolder(f *testing.F) {
 	m := memoryDisk{}
 	folder := NewFolder(m)
@@ -112,10 +113,10 @@
 		folder := NewFolder(m)
 		if first, err := folder.NextIncarnation(); err == nil {
 			if second, err := folder.NextIncarnation(); err != nil || second != first+1 {
-				t.Errorf("life %d after %d, %v", second, first, err)
+				t.Errorf("incarnation %d after %d, %v", second, first, err)
 			}
 		} else if !bytes.Equal(m["life"], life) {
-			t.Error("a damaged file was written over")
+			t.Error("a damaged file was overwritten")
 		}
 		if l, err := folder.LoadList(); err == nil && l != nil {
 			if err := folder.SaveList(l.Encode()); err != nil {
@@ -129,8 +130,8 @@
 	})
 }
 
-// TestShow replaces what people read, whole, and leaves nothing beside it.
-func TestShow(t *testing.T) {
+// TestWriteUnsynced replaces a view and leaves no other file behind.
+func TestWriteUnsynced(t *testing.T) {
 	path := t.TempDir()
 	f, err := Open(path)
 	if err != nil {
@@ -146,14 +147,14 @@
 		}
 	}
 	if _, err := os.Stat(filepath.Join(path, "view.json.new")); !os.IsNotExist(err) {
-		t.Errorf("left behind: %v", err)
+		t.Errorf("a temporary file is left: %v", err)
 	}
 	if err := f.WriteUnsynced("none/view.json", nil); err == nil {
-		t.Error("shown where there is no folder")
+		t.Error("written where there is no folder")
 	}
 }
 
-// TestEntries holds the sorted entries to the list through puts, removals and whole answers; without a change they are not made anew.
+// TestEntries checks that the entries are sorted and current after each answer, and shared as long as nothing changes.
 func TestEntries(t *testing.T) {
 	l := NewNodeList()
 	ids := func() (all []uint32) {
@@ -177,19 +178,19 @@
 		t.Fatalf("entries %v", got)
 	}
 	before, revision := l.Entries(), l.Revision()
-	put(list.KindChanges, 2, Entry{ID: 5, Avail: 1}) // says nothing new
+	put(list.KindChanges, 2, Entry{ID: 5, Avail: 1}) // changes nothing
 	if l.Revision() != revision || &before[0] != &l.Entries()[0] {
-		t.Error("made anew without a change")
+		t.Error("sorted again without a change")
 	}
 	put(list.KindChanges, 3, Entry{ID: 5, Avail: 0}, Entry{ID: 4, Avail: 1, FreeCores: 2})
 	if got := ids(); !slices.Equal(got, []uint32{3, 4, 7}) || l.Revision() == revision {
 		t.Errorf("entries %v after a change, revision %d", got, l.Revision())
 	}
 	if before[1].ID != 5 {
-		t.Error("a slice that was given out has changed")
+		t.Error("a returned slice has changed")
 	}
 	put(list.KindFull, 4, Entry{ID: 9, Avail: 1})
 	if got := ids(); !slices.Equal(got, []uint32{9}) {
-		t.Errorf("entries %v after a whole answer", got)
+		t.Errorf("entries %v after a full answer", got)
 	}
 }
--- a/internal/state/maintenancestore/maintenancestore_test.go
+++ b/internal/state/maintenancestore/store_test.go
@@ -29,7 +29,7 @@
 	return s
 }
 
-func TestBegunOnce(t *testing.T) {
+func TestBeginDrainOnce(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
 	v := calendar.Verdict{Window: "a", ScheduledStart: start, Nodes: []string{"7"}}
@@ -40,11 +40,11 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	s = open(t, dir) // as after a kill: nothing is written at the close
+	s = open(t, dir) // as after a kill: Close writes nothing
 	v.Nodes = []string{"7", "8"}
 	b, fresh, err := s.BeginDrain(v, start.Add(time.Minute))
 	if fresh || err != nil || b.Stage != Announced || len(b.Verdict.Nodes) != 1 {
-		t.Errorf("begun twice or changed: %+v, %t, %v", b, fresh, err)
+		t.Errorf("the drain begins twice or has changed: %+v, %t, %v", b, fresh, err)
 	}
 	if err := s.AdvanceDrain("a", start, Opened, start); err != nil {
 		t.Fatal(err)
@@ -53,19 +53,19 @@
 		t.Errorf("%+v, %v", all, err)
 	}
 	if err := s.AdvanceDrain("b", start, Closed, start); !errors.Is(err, ErrNotFound) {
-		t.Errorf("one that was never begun: %v", err)
+		t.Errorf("a drain that was never begun: %v", err)
 	}
 	if err := s.AdvanceDrain("a", start, Closed, start.Add(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
 	if all, _ := s.UnfinishedDrains(); len(all) != 0 {
-		t.Errorf("closed, but open: %+v", all)
+		t.Errorf("closed, but unfinished: %+v", all)
 	}
 	if err := s.DeleteClosed(start.Add(2 * time.Hour)); err != nil {
 		t.Fatal(err)
 	}
 	if all, _ := s.Drains(); len(all) != 0 {
-		t.Errorf("not forgotten: %+v", all)
+		t.Errorf("not deleted: %+v", all)
 	}
 }
 
@@ -77,7 +77,7 @@
 	bad := window("c")
 	bad.Duration = 0
 	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("d"), bad}}, start); err == nil {
-		t.Error("a bad window is taken")
+		t.Error("a malformed window is accepted")
 	}
 	if err := s.CancelWindow("a", time.Time{}, start); err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	if err := s.CancelWindow("z", time.Time{}, start); !errors.Is(err, ErrNotFound) {
-		t.Errorf("one that is not there: %v", err)
+		t.Errorf("a window that does not exist: %v", err)
 	}
 	c, err := s.Calendar()
 	if err != nil || len(c.Windows) != 1 || c.Windows[0].ID != "b" || len(c.Windows[0].Exceptions) != 1 {
@@ -96,9 +96,9 @@
 
 func TestRefused(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		spoil func(t *testing.T, path string)
-		want  error
+		name   string
+		damage func(t *testing.T, path string)
+		want   error
 	}{
 		{"held", func(t *testing.T, path string) {
 			db, err := bbolt.Open(path, 0o600, nil)
@@ -112,11 +112,11 @@
 			text, _ := os.ReadFile(path)
 			write(t, path, text[:5000])
 		}, ErrDamaged},
-		{"later version", func(t *testing.T, path string) { meta(t, path, []byte("meta"), []byte("format"), []byte{Format + 1}) }, ErrNewer},
-		{"a record that makes no sense", func(t *testing.T, path string) {
-			meta(t, path, drainBucket, []byte("x"), []byte(`{"Stage":9}`))
+		{"later version", func(t *testing.T, path string) { put(t, path, []byte("meta"), []byte("format"), []byte{Format + 1}) }, ErrNewer},
+		{"a malformed drain", func(t *testing.T, path string) {
+			put(t, path, drainBucket, []byte("x"), []byte(`{"Stage":9}`))
 		}, ErrDamaged},
-		{"an event that makes no sense", func(t *testing.T, path string) { meta(t, path, eventBucket, []byte("x"), []byte("y")) }, ErrDamaged},
+		{"a malformed event", func(t *testing.T, path string) { put(t, path, eventBucket, []byte("x"), []byte("y")) }, ErrDamaged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -125,7 +125,7 @@
 				t.Fatal(err)
 			}
 			s.Close()
-			c.spoil(t, filepath.Join(dir, "drains.db"))
+			c.damage(t, filepath.Join(dir, "drains.db"))
 			if s, err := Open(dir); !errors.Is(err, c.want) {
 				t.Errorf("%v, want %v", err, c.want)
 				if err == nil {
@@ -137,12 +137,15 @@
 }
 
 func write(t *testing.T, path string, text []byte) {
+	t.Helper()
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func meta(t *testing.T, path string, bucket, key, value []byte) {
+// put writes a record past the store.
+func put(t *testing.T, path string, bucket, key, value []byte) {
+	t.Helper()
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -153,7 +156,7 @@
 	}
 }
 
-func TestSnapshot(t *testing.T) {
+func TestCopyTo(t *testing.T) {
 	s := open(t, t.TempDir())
 	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("a")}}, start); err != nil {
 		t.Fatal(err)
@@ -170,27 +173,27 @@
 func TestLoad(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	measured, usual, err := s.Loads()
-	if err != nil || usual != nil {
-		t.Fatalf("%v, %v in a store that has none", usual, err)
+	measured, published, err := s.Loads()
+	if err != nil || published != nil {
+		t.Fatalf("%v, %v in a store that has none", published, err)
 	}
 	measured.Add(start, 0.5, 0.5)
 	if err := errors.Join(s.SaveMeasuredLoad(measured), s.PublishLoad(measured.Table()), s.Close()); err != nil {
 		t.Fatal(err)
 	}
 	s = open(t, dir)
-	again, usual, err := s.Loads()
-	if err != nil || *again != *measured || *usual != *measured.Table() {
+	again, published, err := s.Loads()
+	if err != nil || *again != *measured || *published != *measured.Table() {
 		t.Errorf("not the same, %v", err)
 	}
 	if err := s.PublishLoad(nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, usual, err = s.Loads(); err != nil || usual != nil {
+	if _, published, err = s.Loads(); err != nil || published != nil {
 		t.Errorf("still published: %v", err)
 	}
 	s.Close()
-	meta(t, filepath.Join(dir, "drains.db"), loadBucket, measuredKey, []byte("short"))
+	put(t, filepath.Join(dir, "drains.db"), loadBucket, measuredKey, []byte("short"))
 	if _, err := Open(dir); !errors.Is(err, ErrDamaged) {
 		t.Errorf("%v, want damaged", err)
 	}
--- a/internal/state/raftstore/raftstore.go
+++ b/internal/state/raftstore/raftstore.go
@@ -1,6 +1,8 @@
-// Package council keeps what a steward of the book must not forget, in a store that survives crashes: nothing that it has
-// answered for is lost, wherever its process is killed. A store that is damaged, of a later form or of another site is
-// refused.
+// Package raftstore keeps the Raft state of a voter in a bbolt file that survives crashes: nothing that the voter has answered for is lost,
+// wherever its process is killed. A file that is damaged, of a later version or of another site is refused.
+//
+// Save and Load are one transaction each; Save returns when it is on the disk. A Store is safe for concurrent use. One process at a time
+// holds the file.
 package raftstore
 
 import (
@@ -14,50 +16,56 @@
 	"ravenpond/internal/state/bolt"
 )
 
-// Format is the version of the store; one written by a later version is refused.
+// Format is the version of the store's format.
 const Format = 1
 
 var (
 	stateBucket = []byte("state")
-	logBucket   = []byte("log")
+	logBucket   = []byte("log") // log entries by entryKey, without gaps
 
+	// Keys of stateBucket.
 	siteKey     = []byte("site")
 	hardKey     = []byte("hard")
 	snapshotKey = []byte("snapshot")
 )
 
-// Store is a steward's.
+// Store is the store of one voter.
 type Store struct{ db *bbolt.DB }
 
-// Open opens the store in a folder, or makes it for a site.
+// Open opens the store in a folder, or creates it for a site. The error wraps bolt.ErrDamaged, bolt.ErrNewer or bolt.ErrLocked if that is the
+// cause. A store of another site counts as damaged.
 func Open(folder, site string) (*Store, error) {
-	db, err := bolt.Open(filepath.Join(folder, "council.db"), bolt.Schema{
-		Format: Format, Buckets: [][]byte{stateBucket, logBucket},
-		Check: func(tx *bbolt.Tx) error {
-			if was := tx.Bucket(stateBucket).Get(siteKey); was != nil && string(was) != site {
-				return fmt.Errorf("it is of site %q, not %q", was, site)
-			}
-			last := uint64(0)
-			return tx.Bucket(logBucket).ForEach(func(k, _ []byte) error {
-				if len(k) != 8 || last > 0 && binary.BigEndian.Uint64(k) != last+1 {
-					return fmt.Errorf("entry %x after %d", k, last)
-				}
-				last = binary.BigEndian.Uint64(k)
-				return nil
-			})
-		},
-	})
+	schema := bolt.Schema{
+		Format:  Format,
+		Buckets: [][]byte{stateBucket, logBucket},
+		Check:   func(tx *bbolt.Tx) error { return checkRecords(tx, site) },
+	}
+	db, err := bolt.Open(filepath.Join(folder, "council.db"), schema)
 	if err != nil {
 		return nil, fmt.Errorf("council: %w", err)
 	}
-	s := &Store{db}
 	if err := db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(stateBucket).Put(siteKey, []byte(site)) }); err != nil {
 		return nil, fmt.Errorf("council: %w", err)
 	}
-	return s, nil
+	return &Store{db}, nil
+}
+
+// checkRecords verifies that the store is of a site and that its log has no gaps.
+func checkRecords(tx *bbolt.Tx, site string) error {
+	if stored := tx.Bucket(stateBucket).Get(siteKey); stored != nil && string(stored) != site {
+		return fmt.Errorf("it is of site %q, not %q", stored, site)
+	}
+	last := uint64(0)
+	return tx.Bucket(logBucket).ForEach(func(k, _ []byte) error {
+		if len(k) != 8 || last > 0 && binary.BigEndian.Uint64(k) != last+1 {
+			return fmt.Errorf("entry %x after %d", k, last)
+		}
+		last = binary.BigEndian.Uint64(k)
+		return nil
+	})
 }
 
-// Load gives all that was saved.
+// Load returns all that was saved.
 func (s *Store) Load() (saved consensus.PersistedState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		saved.Hard = append([]byte(nil), tx.Bucket(stateBucket).Get(hardKey)...)
@@ -70,43 +78,61 @@
 	return saved, err
 }
 
-// Save writes all of it or nothing, and returns when it is on the disk. Entries that a snapshot holds are dropped.
+// Save writes all of it or nothing, and returns when it is on the disk. The entries replace all that are stored from index from on (0: none);
+// those up to index held, which the snapshot covers, are deleted. A nil hard state or snapshot leaves the stored one unchanged.
 func (s *Store) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		state, log := tx.Bucket(stateBucket), tx.Bucket(logBucket)
-		if hard != nil {
-			if err := state.Put(hardKey, hard); err != nil {
-				return err
-			}
+		if err := putUnlessNil(tx, hardKey, hard); err != nil {
+			return err
 		}
-		if snapshot != nil {
-			if err := state.Put(snapshotKey, snapshot); err != nil {
-				return err
-			}
+		if err := putUnlessNil(tx, snapshotKey, snapshot); err != nil {
+			return err
 		}
-		c := log.Cursor()
 		if from > 0 {
-			for k, _ := c.Seek(key(from)); k != nil; k, _ = c.Seek(key(from)) {
-				if err := c.Delete(); err != nil {
-					return err
-				}
-			}
-			for i, e := range entries {
-				if err := log.Put(key(from+uint64(i)), e); err != nil {
-					return err
-				}
-			}
-		}
-		for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= held; k, _ = c.First() {
-			if err := c.Delete(); err != nil {
+			if err := replaceEntries(tx.Bucket(logBucket), from, entries); err != nil {
 				return err
 			}
 		}
-		return nil
+		return deleteEntries(tx.Bucket(logBucket), held)
 	})
 }
 
-func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+func putUnlessNil(tx *bbolt.Tx, key, value []byte) error {
+	if value == nil {
+		return nil
+	}
+	return tx.Bucket(stateBucket).Put(key, value)
+}
+
+// replaceEntries deletes the entries from an index on and writes others in their place.
+func replaceEntries(log *bbolt.Bucket, from uint64, entries [][]byte) error {
+	c := log.Cursor()
+	for k, _ := c.Seek(entryKey(from)); k != nil; k, _ = c.Seek(entryKey(from)) {
+		if err := c.Delete(); err != nil {
+			return err
+		}
+	}
+	for i, e := range entries {
+		if err := log.Put(entryKey(from+uint64(i)), e); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// deleteEntries deletes the entries up to an index.
+func deleteEntries(log *bbolt.Bucket, upTo uint64) error {
+	c := log.Cursor()
+	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= upTo; k, _ = c.First() {
+		if err := c.Delete(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// entryKey returns the key of the log entry at an index. Keys sort by index.
+func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
--- a/internal/state/raftstore/raftstore_test.go
+++ b/internal/state/raftstore/raftstore_test.go
@@ -14,7 +14,7 @@
 	"ravenpond/internal/state/bolt"
 )
 
-// TestSave plays saves by random, with the store closed and opened in between, beside a plain list.
+// TestSave saves at random, with the store closed and opened in between, and compares it with a plain list.
 func TestSave(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "council")
--- a/internal/state/tenants/copy_test.go
+++ b/internal/state/tenants/copy_test.go
@@ -11,7 +11,7 @@
 	"ravenpond/internal/state/bolt"
 )
 
-// TestCopy puts a store into other folders: the same tenants, tokens and record are there, and what was ended there is begun again.
+// TestCopy copies a store: the copy has the same tenants, tokens and records, and a removal that was finished there is under way again.
 func TestCopy(t *testing.T) {
 	from, to := t.TempDir(), filepath.Join(t.TempDir(), "new")
 	s := open(t, from)
@@ -78,7 +78,7 @@
 	})
 }
 
-// TestCopyRefused writes over nothing that is not a copy, or is in use.
+// TestCopyRefused checks that only a copy that nobody holds is replaced.
 func TestCopyRefused(t *testing.T) {
 	from := t.TempDir()
 	s := open(t, from)
--- a/internal/state/tenants/open_bench_test.go
+++ b/internal/state/tenants/open_bench_test.go
@@ -11,8 +11,8 @@
 	"ravenpond/internal/decide/tenancy"
 )
 
-// BenchmarkLook is a look at a store that nobody has changed, as a scheduler takes one twice a second.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkOpen opens a store that has not changed, as a scheduler does twice a second.
+func BenchmarkOpen(b *testing.B) {
 	for _, n := range []int{20, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
--- /dev/null
+++ b/internal/state/tenants/registry.go
@@ -0,0 +1,180 @@
+package tenants
+
+import (
+	"crypto/hmac"
+	"encoding/json"
+	"fmt"
+	"math"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"ravenpond/internal/decide/tenancy"
+)
+
+const (
+	// responseRetention is how long the response to a request is kept for repetitions of it.
+	responseRetention = 24 * time.Hour
+	// maxExpired is how many responses one change deletes at most.
+	maxExpired = 16
+)
+
+func readTenants(tx *bbolt.Tx, maxTenants int) (*tenancy.Registry, error) {
+	registry := tenancy.New(maxTenants)
+	err := tx.Bucket(tenantBucket).ForEach(func(k, text []byte) error {
+		var t tenancy.Tenant
+		if err := json.Unmarshal(text, &t); err != nil {
+			return fmt.Errorf("tenant %q: %w", k, err)
+		}
+		return registry.Restore(t)
+	})
+	return registry, err
+}
+
+// saveTenants writes what has changed in the registry. Tenants whose slots were given to others are no longer in it.
+func saveTenants(tx *bbolt.Tx, registry *tenancy.Registry) error {
+	bucket := tx.Bucket(tenantBucket)
+	kept := map[string]bool{}
+	for _, t := range registry.All() {
+		kept[t.Name] = true
+		text, err := json.Marshal(t)
+		if err != nil {
+			return err
+		}
+		if old := bucket.Get([]byte(t.Name)); string(old) != string(text) {
+			if err := bucket.Put([]byte(t.Name), text); err != nil {
+				return err
+			}
+		}
+	}
+	return deleteMatching(bucket, math.MaxInt, func(k, _ []byte) (bool, error) { return !kept[string(k)], nil })
+}
+
+// deleteMatching deletes the entries of a bucket that match, at most limit of them.
+func deleteMatching(bucket *bbolt.Bucket, limit int, matches func(k, v []byte) (bool, error)) error {
+	var keys [][]byte
+	c := bucket.Cursor()
+	for k, v := c.First(); k != nil && len(keys) < limit; k, v = c.Next() {
+		if ok, err := matches(k, v); err != nil {
+			return err
+		} else if ok {
+			keys = append(keys, append([]byte(nil), k...))
+		}
+	}
+	for _, k := range keys {
+		if err := bucket.Delete(k); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// response is the stored response to a request.
+type response struct {
+	At         time.Time            `json:"At"`
+	RequestMAC []byte               `json:"Content"`
+	Tenant     tenancy.Tenant       `json:"Tenant"`
+	Fault      *tenancy.ChangeError `json:"Fault"`
+}
+
+// Apply carries out a change that an actor requests, and returns the tenant as it is then, or the fault for which the change is refused. A
+// request that was made before, by its ID, changes nothing and gets the same response; with another change it gets ErrRequestReused.
+// Without an ID each request is a new one.
+func (s *Store) Apply(now time.Time, actor, request string, c tenancy.Change) (t tenancy.Tenant, fault *tenancy.ChangeError, err error) {
+	text, err := json.Marshal(c)
+	if err != nil {
+		return t, nil, err
+	}
+	requestMAC := s.mac(macRequest, []byte(actor), text)
+	err = s.db.Update(func(tx *bbolt.Tx) error {
+		earlier, err := findResponse(tx, request)
+		if err != nil {
+			return err
+		}
+		if earlier != nil {
+			if !hmac.Equal(earlier.RequestMAC, requestMAC) {
+				return fmt.Errorf("%.60q: %w", request, ErrRequestReused)
+			}
+			t, fault = earlier.Tenant, earlier.Fault
+			return nil
+		}
+		if t, fault, err = s.change(tx, now, actor, c); err != nil {
+			return err
+		}
+		return saveResponse(tx, request, response{now, requestMAC, t, fault})
+	})
+	return t, fault, err
+}
+
+// change applies a change to the registry, and records it unless it is refused or changes nothing.
+func (s *Store) change(tx *bbolt.Tx, now time.Time, actor string, c tenancy.Change) (tenancy.Tenant, *tenancy.ChangeError, error) {
+	registry, err := readTenants(tx, s.maxTenants)
+	if err != nil {
+		return tenancy.Tenant{}, nil, err
+	}
+	before, _ := registry.Get(c.Name)
+	t, fault := registry.Apply(milliseconds(now), c)
+	if fault != nil || t == before {
+		return t, fault, nil
+	}
+	if err := saveTenants(tx, registry); err != nil {
+		return t, nil, err
+	}
+	return t, nil, s.appendRecord(tx, Record{At: now, Actor: actor, Action: c.Kind.String(), Tenant: c.Name}, t)
+}
+
+// findResponse returns the response to a request, nil if there is none.
+func findResponse(tx *bbolt.Tx, request string) (*response, error) {
+	text := tx.Bucket(requestBucket).Get([]byte(request))
+	if request == "" || text == nil {
+		return nil, nil
+	}
+	r := &response{}
+	return r, json.Unmarshal(text, r)
+}
+
+// saveResponse keeps the response to a request that has an ID, and deletes some that are old enough.
+func saveResponse(tx *bbolt.Tx, request string, r response) error {
+	if request == "" {
+		return nil
+	}
+	requests := tx.Bucket(requestBucket)
+	if err := expireResponses(requests, r.At); err != nil {
+		return err
+	}
+	text, err := json.Marshal(r)
+	if err != nil {
+		return err
+	}
+	return requests.Put([]byte(request), text)
+}
+
+func expireResponses(requests *bbolt.Bucket, now time.Time) error {
+	return deleteMatching(requests, maxExpired, func(_, v []byte) (bool, error) {
+		var r response
+		return json.Unmarshal(v, &r) != nil || now.Sub(r.At) > responseRetention, nil
+	})
+}
+
+// FinishRemoval ends the removal of a tenant of which nothing is left at any process, and deletes its tokens. It returns false if no removal
+// of the tenant is under way.
+func (s *Store) FinishRemoval(now time.Time, name string) (ok bool, err error) {
+	err = s.db.Update(func(tx *bbolt.Tx) error {
+		registry, err := readTenants(tx, s.maxTenants)
+		if err != nil {
+			return err
+		}
+		t, done := registry.CompleteRemoval(milliseconds(now), name)
+		if ok = done; !ok {
+			return nil
+		}
+		if err := saveTenants(tx, registry); err != nil {
+			return err
+		}
+		if err := deleteTokens(tx, name); err != nil {
+			return err
+		}
+		return s.appendRecord(tx, Record{At: now, Actor: "scheduler", Action: "finish", Tenant: name}, t)
+	})
+	return ok, err
+}
