--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -15,17 +15,17 @@
 
 var start = time.Date(2026, 3, 2, 10, 0, 0, 0, time.UTC)
 
-// fakeExecutor write down what is asked of them and hold what runs at each node.
+// fakeExecutor records what it is to execute, and holds what runs at each node.
 type fakeExecutor struct {
 	draining map[string]bool
-	running  map[string][]int // by job type
+	running  map[string][]int // allocations by node and job class
 	lines    []string
 	evicted  int
 }
 
-func (h *fakeExecutor) SetDraining(nodes []string, out bool) {
+func (h *fakeExecutor) SetDraining(nodes []string, draining bool) {
 	for _, n := range nodes {
-		if out {
+		if draining {
 			h.draining[n] = true
 		} else {
 			delete(h.draining, n)
@@ -33,24 +33,24 @@
 	}
 }
 
-func (h *fakeExecutor) CountRunning(nodes []string) ([]int, int) {
-	there, all := make([]int, 2), 0
+func (h *fakeExecutor) CountRunning(nodes []string) (byJob []int, fleet int) {
+	byJob = make([]int, 2)
 	for n, jobs := range h.running {
 		for job, c := range jobs {
-			all += c
+			fleet += c
 			if slices.Contains(nodes, n) {
-				there[job] += c
+				byJob[job] += c
 			}
 		}
 	}
-	return there, all
+	return byJob, fleet
 }
 
-func (h *fakeExecutor) Evict(nodes []string, job, most int) int {
+func (h *fakeExecutor) Evict(nodes []string, job, limit int) int {
 	for _, n := range nodes {
-		for h.running[n][job] > 0 && most > 0 {
+		for h.running[n][job] > 0 && limit > 0 {
 			h.running[n][job]--
-			most--
+			limit--
 			h.evicted++
 		}
 	}
@@ -59,7 +59,16 @@
 
 func (h *fakeExecutor) Log(line string) { h.lines = append(h.lines, line) }
 
-func newController(t *testing.T, windows ...calendar.Window) (string, *maintenancestore.Store, *Controller, *fakeExecutor) {
+// rig is a controller on a store in a folder.
+type rig struct {
+	folder     string
+	store      *maintenancestore.Store
+	controller *Controller
+	executor   *fakeExecutor
+}
+
+func newRig(t *testing.T, windows ...calendar.Window) rig {
+	t.Helper()
 	dir := t.TempDir()
 	s, err := maintenancestore.Open(dir)
 	if err != nil {
@@ -69,7 +78,7 @@
 		t.Fatal(err)
 	}
 	h := &fakeExecutor{draining: map[string]bool{}, running: map[string][]int{"n1": {30, 2}, "n2": {20, 0}, "n3": {50, 5}}}
-	return dir, s, controllerOn(s, h), h
+	return rig{dir, s, controllerOn(s, h), h}
 }
 
 func controllerOn(s Store, h *fakeExecutor) *Controller {
@@ -90,43 +99,45 @@
 	return calendar.Window{ID: id, Target: node, Start: start, Duration: time.Hour, Lead: 10 * time.Minute}
 }
 
-// tickRange lets a keeper tick every second from one minute to another.
-func tickRange(t *testing.T, k *Controller, from, to int, lost map[string]bool) {
+// tickRange has a controller tick every second from one minute to another.
+func tickRange(t *testing.T, c *Controller, from, to int, lost map[string]bool) {
 	t.Helper()
 	for s := from * 60; s < to*60; s++ {
-		if err := k.Tick(start.Add(time.Duration(s)*time.Second), fleet(), lost); err != nil {
+		if err := c.Tick(start.Add(time.Duration(s)*time.Second), fleet(), lost); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func TestCourse(t *testing.T) {
-	_, s, k, h := newController(t, window("a", "n1"))
+func TestWindow(t *testing.T) {
+	r := newRig(t, window("a", "n1"))
+	s, k, h := r.store, r.controller, r.executor
 	tickRange(t, k, -12, -10, nil)
 	if len(h.draining) != 0 {
-		t.Error("out before its time")
+		t.Error("the drain begins before its time")
 	}
 	tickRange(t, k, -10, -5, nil)
 	if !h.draining["n1"] || h.evicted != 0 {
-		t.Errorf("out %v, %d moved in the first half of the lead", h.draining, h.evicted)
+		t.Errorf("draining %v, %d evicted in the first half of the lead", h.draining, h.evicted)
 	}
 	tickRange(t, k, -5, 0, nil)
 	if h.running["n1"][0] != 0 || h.running["n1"][1] != 2 {
-		t.Errorf("left there at the start: %v", h.running["n1"])
+		t.Errorf("running at the start of the window: %v", h.running["n1"])
 	}
 	tickRange(t, k, 0, 61, nil)
 	if len(h.draining) != 0 || len(h.lines) != 2 {
-		t.Errorf("out %v after the end, lines %q", h.draining, h.lines)
+		t.Errorf("draining %v after the end, lines %q", h.draining, h.lines)
 	}
-	if open, _ := s.UnfinishedDrains(); len(open) != 0 {
-		t.Errorf("open: %+v", open)
+	if unfinished, _ := s.UnfinishedDrains(); len(unfinished) != 0 {
+		t.Errorf("unfinished: %+v", unfinished)
 	}
 }
 
 func TestKilled(t *testing.T) {
-	for _, at := range []string{"opened", "told", "closed"} {
+	for _, at := range []string{"opened", "announced", "closed"} {
 		t.Run(at, func(t *testing.T) {
-			dir, s, k, h := newController(t, window("a", "n1"))
+			r := newRig(t, window("a", "n1"))
+			dir, s, k, h := r.folder, r.store, r.controller, r.executor
 			k.Store = &failingStore{Store: s, at: at}
 			var err error
 			for s := -11 * 60; s < 62*60 && err == nil; s++ {
@@ -141,16 +152,16 @@
 				t.Fatal(err)
 			}
 			defer s.Close()
-			h2 := &fakeExecutor{draining: map[string]bool{}, running: h.running} // the next life knows nothing
+			h2 := &fakeExecutor{draining: map[string]bool{}, running: h.running} // the next incarnation knows nothing
 			k = controllerOn(s, h2)
 			tickRange(t, k, 20, 21, nil)
 			if at != "closed" && !h2.draining["n1"] {
-				t.Error("forgotten by the next life")
+				t.Error("the next incarnation does not announce the drain")
 			}
 			tickRange(t, k, 59, 63, nil)
-			begun, _ := s.Drains()
-			if len(h2.draining) != 0 || len(begun) != 1 || begun[0].Stage != maintenancestore.Closed {
-				t.Errorf("out %v, %+v", h2.draining, begun)
+			drains, _ := s.Drains()
+			if len(h2.draining) != 0 || len(drains) != 1 || drains[0].Stage != maintenancestore.Closed {
+				t.Errorf("draining %v, %+v", h2.draining, drains)
 			}
 		})
 	}
@@ -158,61 +169,64 @@
 
 var errKilled = errors.New("killed")
 
-// failingStore dies between two steps.
+// failingStore has the process killed between two steps.
 type failingStore struct {
 	*maintenancestore.Store
 	at string
 }
 
 func (f *failingStore) BeginDrain(v calendar.Verdict, now time.Time) (maintenancestore.Drain, bool, error) {
-	b, fresh, err := f.Store.BeginDrain(v, now)
+	drain, isNew, err := f.Store.BeginDrain(v, now)
 	if f.at == "opened" && err == nil {
 		err = errKilled
 	}
-	return b, fresh, err
+	return drain, isNew, err
 }
 
-func (f *failingStore) AdvanceDrain(w string, n time.Time, s maintenancestore.Stage, now time.Time) error {
-	if f.at == "told" && s == maintenancestore.Announced || f.at == "closed" && s == maintenancestore.Closed {
+func (f *failingStore) AdvanceDrain(window string, scheduledStart time.Time, stage maintenancestore.Stage, now time.Time) error {
+	if f.at == "announced" && stage == maintenancestore.Announced || f.at == "closed" && stage == maintenancestore.Closed {
 		return errKilled
 	}
-	return f.Store.AdvanceDrain(w, n, s, now)
+	return f.Store.AdvanceDrain(window, scheduledStart, stage, now)
 }
 
 func TestCancelledWhileDraining(t *testing.T) {
-	_, s, k, h := newController(t, window("a", "n1"))
+	r := newRig(t, window("a", "n1"))
+	s, k, h := r.store, r.controller, r.executor
 	tickRange(t, k, -10, -8, nil)
 	if err := s.CancelWindow("a", time.Time{}, start); err != nil {
 		t.Fatal(err)
 	}
 	tickRange(t, k, -8, -7, nil)
 	if len(h.draining) != 0 || !strings.Contains(h.lines[len(h.lines)-1], "cancelled") {
-		t.Errorf("out %v, %q", h.draining, h.lines)
+		t.Errorf("draining %v, %q", h.draining, h.lines)
 	}
 }
 
-func TestHallLost(t *testing.T) {
-	_, _, k, h := newController(t, window("a", "n1"))
+func TestNodesLost(t *testing.T) {
+	r := newRig(t, window("a", "n1"))
+	k, h := r.controller, r.executor
 	tickRange(t, k, -11, -1, map[string]bool{"n3": true, "n4": true})
 	if !h.draining["n1"] || h.evicted != 0 || !strings.Contains(strings.Join(h.lines, ""), "2 nodes lost") {
-		t.Errorf("out %v, %d moved, %q", h.draining, h.evicted, h.lines)
+		t.Errorf("draining %v, %d evicted, %q", h.draining, h.evicted, h.lines)
 	}
-	tickRange(t, k, -1, 2, nil) // the hall is back
+	tickRange(t, k, -1, 2, nil) // the nodes are back
 	if h.running["n1"][0] != 0 {
-		t.Error("work not moved off when the hall was back")
+		t.Error("work is not evicted when the nodes are back")
 	}
 }
 
 func TestSharedNode(t *testing.T) {
 	b := window("b", "n1")
 	b.Duration = 2 * time.Hour
-	_, _, k, h := newController(t, window("a", "n1"), b)
+	r := newRig(t, window("a", "n1"), b)
+	k, h := r.controller, r.executor
 	tickRange(t, k, -10, 70, nil)
 	if !h.draining["n1"] {
-		t.Error("back while another window holds it")
+		t.Error("the node is back while another window holds it")
 	}
 	tickRange(t, k, 70, 122, nil)
 	if len(h.draining) != 0 {
-		t.Error("still out")
+		t.Error("the node is still draining")
 	}
 }
--- a/internal/proto/ics/ics.go
+++ b/internal/proto/ics/ics.go
@@ -1,5 +1,6 @@
-// Package ics reads and writes maintenance windows and protected times as iCalendar (RFC 5545). A window is a VEVENT
-// with properties of our own beside the standard ones; a protected time is a VEVENT of the category PROTECTED.
+// Package ics encodes and decodes maintenance windows and protected times as iCalendar (RFC 5545). A window is a VEVENT with properties of this
+// program beside the standard ones; a protected time is a VEVENT of the category PROTECTED. The functions keep no state and may be called
+// concurrently.
 package ics
 
 import (
@@ -16,80 +17,99 @@
 	"ravenpond/internal/decide/calendar"
 )
 
-// Properties beside the standard ones. Durations are as Go writes them.
+// Properties of this program. Durations have Go's form.
 const (
-	propReach         = "X-RAVENPOND-REACH"
-	propPlace         = "X-RAVENPOND-PLACE"
-	propLead          = "X-RAVENPOND-LEAD"
-	propTail          = "X-RAVENPOND-TAIL"
-	propSlack         = "X-RAVENPOND-SLACK"
-	propPriority      = "X-RAVENPOND-PRIORITY"
-	propEnding        = "X-RAVENPOND-ENDING"
+	propReach    = "X-RAVENPOND-REACH"
+	propPlace    = "X-RAVENPOND-PLACE"
+	propLead     = "X-RAVENPOND-LEAD"
+	propTail     = "X-RAVENPOND-TAIL"
+	propSlack    = "X-RAVENPOND-SLACK"
+	propPriority = "X-RAVENPOND-PRIORITY"
+	propEnding   = "X-RAVENPOND-ENDING"
+
 	categoryProtected = "PROTECTED"
 	product           = "-//ravenpond//drains 1//EN"
-	maxBytes          = 16 << 20
-	maxEvents         = 100000
 )
 
+// Bounds of a calendar.
+const (
+	maxBytes  = 16 << 20
+	maxEvents = 100000
+)
+
+// Values of properties, by the values of package calendar.
 var (
-	scopes  = []string{"node", "cell", "zone"}
-	endings = []string{"release", "sweep", "hold"}
+	scopes  = []string{calendar.OneNode: "node", calendar.Cell: "cell", calendar.Zone: "zone"}
+	endings = []string{calendar.Release: "release", calendar.Sweep: "sweep", calendar.Hold: "hold"}
 )
 
-// Encode writes a calendar.
+// Encode writes a calendar. stamp is when it was made. A calendar without events is empty, as the format does not allow one.
 func Encode(out io.Writer, c *calendar.Calendar, stamp time.Time) error {
 	cal := ical.NewCalendar()
 	cal.Props.SetText(ical.PropVersion, "2.0")
 	cal.Props.SetText(ical.PropProductID, product)
-	event := func(id string, start time.Time, last time.Duration, rule string) *ical.Event {
-		ev := ical.NewEvent()
-		ev.Props.SetText(ical.PropUID, id)
-		ev.Props.SetDateTime(ical.PropDateTimeStamp, stamp.UTC())
-		ev.Props.SetDateTime(ical.PropDateTimeStart, start)
-		ev.Props.Set(&ical.Prop{Name: ical.PropDuration, Value: formatDuration(last), Params: ical.Params{}})
-		if rule != "" {
-			ev.Props.Set(&ical.Prop{Name: ical.PropRecurrenceRule, Value: rule, Params: ical.Params{}})
-		}
-		cal.Children = append(cal.Children, ev.Component)
-		return ev
-	}
 	for i := range c.Windows {
-		w := &c.Windows[i]
-		ev := event(w.ID, w.Start, w.Duration, w.Rule)
-		ev.Props.SetText(ical.PropSummary, fmt.Sprintf("drain of %s %s", w.Scope, w.Target))
-		ev.Props.SetText(propReach, scopes[w.Scope])
-		ev.Props.SetText(propPlace, w.Target)
-		ev.Props.SetText(propLead, w.Lead.String())
-		ev.Props.SetText(propSlack, w.Slack.String())
-		ev.Props.SetText(propPriority, strconv.Itoa(w.Priority))
-		ev.Props.SetText(propEnding, endings[w.Ending])
-		if !w.CreatedAt.IsZero() {
-			ev.Props.SetDateTime(ical.PropCreated, w.CreatedAt.UTC())
-		}
-		for _, t := range w.Exceptions {
-			p := ical.NewProp(ical.PropExceptionDates)
-			p.SetDateTime(t)
-			ev.Props.Add(p)
-		}
+		cal.Children = append(cal.Children, encodeWindow(&c.Windows[i], stamp).Component)
 	}
 	for i := range c.Protected {
-		p := &c.Protected[i]
-		ev := event(p.ID, p.Start, p.Duration, p.Rule)
-		ev.Props.SetText(ical.PropSummary, "protected: "+p.ID)
-		ev.Props.SetText(ical.PropCategories, categoryProtected)
-		ev.Props.SetText(propLead, p.Lead.String())
-		ev.Props.SetText(propTail, p.Tail.String())
-	}
-	if len(cal.Children) == 0 { // the format wants one component at least
+		cal.Children = append(cal.Children, encodeProtected(&c.Protected[i], stamp).Component)
+	}
+	if len(cal.Children) == 0 {
 		return nil
 	}
 	return ical.NewEncoder(out).Encode(cal)
 }
 
-// formatDuration writes a duration as the format has it.
+func encodeWindow(w *calendar.Window, stamp time.Time) *ical.Event {
+	event := newEvent(w.ID, stamp)
+	setTimes(event, w.Start, w.Duration, w.Rule)
+	event.Props.SetText(ical.PropSummary, fmt.Sprintf("drain of %s %s", w.Scope, w.Target))
+	event.Props.SetText(propReach, scopes[w.Scope])
+	event.Props.SetText(propPlace, w.Target)
+	event.Props.SetText(propLead, w.Lead.String())
+	event.Props.SetText(propSlack, w.Slack.String())
+	event.Props.SetText(propPriority, strconv.Itoa(w.Priority))
+	event.Props.SetText(propEnding, endings[w.Ending])
+	if !w.CreatedAt.IsZero() {
+		event.Props.SetDateTime(ical.PropCreated, w.CreatedAt.UTC())
+	}
+	for _, t := range w.Exceptions {
+		p := ical.NewProp(ical.PropExceptionDates)
+		p.SetDateTime(t)
+		event.Props.Add(p)
+	}
+	return event
+}
+
+func encodeProtected(p *calendar.ProtectedTime, stamp time.Time) *ical.Event {
+	event := newEvent(p.ID, stamp)
+	setTimes(event, p.Start, p.Duration, p.Rule)
+	event.Props.SetText(ical.PropSummary, "protected: "+p.ID)
+	event.Props.SetText(ical.PropCategories, categoryProtected)
+	event.Props.SetText(propLead, p.Lead.String())
+	event.Props.SetText(propTail, p.Tail.String())
+	return event
+}
+
+func newEvent(id string, stamp time.Time) *ical.Event {
+	event := ical.NewEvent()
+	event.Props.SetText(ical.PropUID, id)
+	event.Props.SetDateTime(ical.PropDateTimeStamp, stamp.UTC())
+	return event
+}
+
+func setTimes(event *ical.Event, start time.Time, duration time.Duration, rule string) {
+	event.Props.SetDateTime(ical.PropDateTimeStart, start)
+	event.Props.Set(&ical.Prop{Name: ical.PropDuration, Value: formatDuration(duration), Params: ical.Params{}})
+	if rule != "" {
+		event.Props.Set(&ical.Prop{Name: ical.PropRecurrenceRule, Value: rule, Params: ical.Params{}})
+	}
+}
+
+// formatDuration returns a duration in the form of RFC 5545.
 func formatDuration(d time.Duration) string { return fmt.Sprintf("PT%dS", int64(d/time.Second)) }
 
-// Decode reads a calendar. All faults are in the error, with the event that they are in.
+// Decode reads a calendar and checks it. The error holds all faults, each with its event.
 func Decode(in io.Reader) (*calendar.Calendar, error) {
 	text, err := io.ReadAll(io.LimitReader(in, maxBytes+1))
 	if err != nil {
@@ -125,34 +145,81 @@
 	return c, c.Check()
 }
 
-// eventReader takes properties of an event and keeps the first fault.
+// eventReader reads properties of an event and keeps the first error.
 type eventReader struct {
 	event *ical.Event
 	err   error
 }
 
-func (r *eventReader) fault(name string, err error) {
+// fail keeps an error of a property, unless there is one already.
+func (r *eventReader) fail(name string, err error) {
 	if err != nil && r.err == nil {
 		r.err = fmt.Errorf("%s: %w", name, err)
 	}
 }
 
+// decode adds the event to a calendar.
+func (r *eventReader) decode(c *calendar.Calendar) {
+	start, err := r.event.DateTimeStart(time.UTC)
+	id := r.text(ical.PropUID)
+	r.fail(ical.PropDateTimeStart, err)
+	duration := r.eventDuration(start)
+	rule := ""
+	if p := r.event.Props.Get(ical.PropRecurrenceRule); p != nil {
+		rule = p.Value
+	}
+	lead := r.duration(propLead)
+	if strings.EqualFold(r.text(ical.PropCategories), categoryProtected) {
+		c.Protected = append(c.Protected, calendar.ProtectedTime{
+			ID: id, Start: start, Duration: duration, Rule: rule, Lead: lead, Tail: r.duration(propTail),
+		})
+		return
+	}
+	w := calendar.Window{
+		ID: id, Scope: calendar.Scope(r.enum(propReach, scopes)), Target: r.text(propPlace), Start: start, Duration: duration, Rule: rule,
+		Lead: lead, Slack: r.duration(propSlack), Ending: calendar.Ending(r.enum(propEnding, endings)),
+	}
+	r.decodeOptional(&w)
+	c.Windows = append(c.Windows, w)
+}
+
+// decodeOptional reads the properties that a window may lack.
+func (r *eventReader) decodeOptional(w *calendar.Window) {
+	var err error
+	if s := r.text(propPriority); s != "" {
+		w.Priority, err = strconv.Atoi(s)
+		r.fail(propPriority, err)
+	}
+	if r.event.Props.Get(ical.PropCreated) != nil {
+		w.CreatedAt, err = r.event.Props.DateTime(ical.PropCreated, time.UTC)
+		r.fail(ical.PropCreated, err)
+	}
+	for _, p := range r.event.Props.Values(ical.PropExceptionDates) {
+		t, err := p.DateTime(w.Start.Location())
+		r.fail(ical.PropExceptionDates, err)
+		w.Exceptions = append(w.Exceptions, t)
+	}
+}
+
+// text returns a text property, empty if there is none.
 func (r *eventReader) text(name string) string {
 	s, err := r.event.Props.Text(name)
-	r.fault(name, err)
+	r.fail(name, err)
 	return s
 }
 
+// duration returns a property that holds a duration in Go's form, 0 if there is none.
 func (r *eventReader) duration(name string) time.Duration {
 	s := r.text(name)
 	if s == "" {
 		return 0
 	}
 	d, err := time.ParseDuration(s)
-	r.fault(name, err)
+	r.fail(name, err)
 	return d
 }
 
+// enum returns the index of a property's value among values, 0 if there is no such property.
 func (r *eventReader) enum(name string, values []string) int {
 	s := r.text(name)
 	for i, value := range values {
@@ -161,56 +228,19 @@
 		}
 	}
 	if s != "" {
-		r.fault(name, fmt.Errorf("%q, one of %s is expected", s, strings.Join(values, ", ")))
+		r.fail(name, fmt.Errorf("%q, one of %s is expected", s, strings.Join(values, ", ")))
 	}
 	return 0
 }
 
-func (r *eventReader) decode(c *calendar.Calendar) {
-	id := r.text(ical.PropUID)
-	start, err := r.event.DateTimeStart(time.UTC)
-	r.fault(ical.PropDateTimeStart, err)
-	last := r.eventDuration(start)
-	rule := ""
-	if p := r.event.Props.Get(ical.PropRecurrenceRule); p != nil {
-		rule = p.Value
-	}
-	lead := r.duration(propLead)
-	if strings.EqualFold(r.text(ical.PropCategories), categoryProtected) {
-		c.Protected = append(c.Protected, calendar.ProtectedTime{
-			ID: id, Start: start, Duration: last, Rule: rule, Lead: lead,
-			Tail: r.duration(propTail),
-		})
-		return
-	}
-	w := calendar.Window{
-		ID: id, Scope: calendar.Scope(r.enum(propReach, scopes)), Target: r.text(propPlace), Start: start,
-		Duration: last, Rule: rule, Lead: lead, Slack: r.duration(propSlack), Ending: calendar.Ending(r.enum(propEnding, endings)),
-	}
-	if s := r.text(propPriority); s != "" {
-		w.Priority, err = strconv.Atoi(s)
-		r.fault(propPriority, err)
-	}
-	if r.event.Props.Get(ical.PropCreated) != nil {
-		w.CreatedAt, err = r.event.Props.DateTime(ical.PropCreated, time.UTC)
-		r.fault(ical.PropCreated, err)
-	}
-	for _, p := range r.event.Props.Values(ical.PropExceptionDates) {
-		t, err := p.DateTime(start.Location())
-		r.fault(ical.PropExceptionDates, err)
-		w.Exceptions = append(w.Exceptions, t)
-	}
-	c.Windows = append(c.Windows, w)
-}
-
-// eventDuration is the event's length, by its duration or its end.
+// eventDuration returns the event's duration, by its DURATION or its DTEND.
 func (r *eventReader) eventDuration(start time.Time) time.Duration {
 	if p := r.event.Props.Get(ical.PropDuration); p != nil {
 		d, err := p.Duration()
-		r.fault(ical.PropDuration, err)
+		r.fail(ical.PropDuration, err)
 		return d
 	}
 	end, err := r.event.DateTimeEnd(time.UTC)
-	r.fault(ical.PropDateTimeEnd, err)
+	r.fail(ical.PropDateTimeEnd, err)
 	return end.Sub(start)
 }
--- a/internal/state/tenants/store_test.go
+++ b/internal/state/tenants/store_test.go
@@ -40,9 +40,9 @@
 	}
 	_, _, _ = s.Apply(now, "me", "", tenancy.Change{Kind: tenancy.Pause, Name: "a"})
 	s.Close()
-	s = open(t, dir) // as after a kill
+	s = open(t, dir) // as after a kill: Close writes nothing
 	if again, fault, err := s.Apply(now, "me", "r1", add("a")); again != first || fault != nil || err != nil {
-		t.Errorf("asked again: %+v, %v, %v", again, fault, err)
+		t.Errorf("requested again: %+v, %v, %v", again, fault, err)
 	}
 	for name, call := range map[string]func() error{
 		"another content": func() error { _, _, err := s.Apply(now, "me", "r1", add("b")); return err },
@@ -66,7 +66,7 @@
 func TestTokens(t *testing.T) {
 	s := open(t, t.TempDir())
 	if _, err := s.IssueToken(now, "me", "a", time.Hour); err == nil {
-		t.Error("a token for nobody")
+		t.Error("a token for an unknown tenant")
 	}
 	_, _, _ = s.Apply(now, "me", "", add("a"))
 	_, _, _ = s.Apply(now, "me", "", add("b"))
@@ -98,7 +98,7 @@
 	}
 	for id := range st.Tokens {
 		if strings.Contains(fmt.Sprintf("%s %+v", id, st.Tokens[id]), shown[13:]) {
-			t.Error("the secret is kept")
+			t.Error("the secret is stored")
 		}
 	}
 	if err := s.RevokeToken(now, "me", shown[:12]); err != nil {
@@ -116,19 +116,19 @@
 	}
 }
 
-// TestRecords edits, drops and cuts off records: each shows.
+// TestRecords checks that records which were edited, removed or cut off are found.
 func TestRecords(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		spoil func(tx *bbolt.Tx) error
+		damage func(tx *bbolt.Tx) error
 		bad   bool
 	}{
-		{"whole", func(*bbolt.Tx) error { return nil }, false},
+		{"unchanged", func(*bbolt.Tx) error { return nil }, false},
 		{"edited", func(tx *bbolt.Tx) error {
 			k, v := tx.Bucket(recordBucket).Cursor().First()
 			return tx.Bucket(recordBucket).Put(k, []byte(strings.Replace(string(v), `"By":"me"`, `"By":"no"`, 1)))
 		}, true},
-		{"first dropped", func(tx *bbolt.Tx) error {
+		{"first removed", func(tx *bbolt.Tx) error {
 			k, _ := tx.Bucket(recordBucket).Cursor().First()
 			return tx.Bucket(recordBucket).Delete(k)
 		}, true},
@@ -145,7 +145,7 @@
 					t.Fatal(fault, err)
 				}
 			}
-			if err := s.db.Update(c.spoil); err != nil {
+			if err := s.db.Update(c.damage); err != nil {
 				t.Fatal(err)
 			}
 			n := 0
@@ -160,10 +160,10 @@
 func TestRefused(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		spoil func(dir string) error
+		damage func(dir string) error
 	}{
 		{"a key of another length", func(dir string) error { return os.WriteFile(filepath.Join(dir, "tenants.key"), []byte("x"), 0o600) }},
-		{"a tenant that makes no sense", func(dir string) error {
+		{"a malformed tenant", func(dir string) error {
 			db, err := bbolt.Open(storePath(dir), 0o600, nil)
 			if err != nil {
 				return err
@@ -178,7 +178,7 @@
 			dir := t.TempDir()
 			s := open(t, dir)
 			s.Close()
-			if err := c.spoil(dir); err != nil {
+			if err := c.damage(dir); err != nil {
 				t.Fatal(err)
 			}
 			if s, err := Open(dir, 4); err == nil {
