--- a/internal/control/footprint.go
+++ b/internal/control/footprint.go
@@ -5,31 +5,32 @@
 	"ravenpond/internal/decide/zones"
 )
 
-// MaxPendingMessages is how many messages, and how many calls, wait for the loop at most.
-const MaxPendingMessages = maxPendingMessages
-
-// Footprint is the size of what control holds, by structure.
+// Footprint is the size of what a Runner holds, by structure.
 type Footprint struct {
-	PendingMessages     int // brought by members, not taken by the loop yet
+	PendingMessages     int // that the loop has not taken yet
 	PendingMessageBytes int
 	PendingCalls        int
 	Replica             consensus.Footprint
 	Judge               zones.Footprint
 }
 
-// Measure has f called with the footprint on the loop's goroutine. The pending ones are of the moment of the call; f is not
-// called if the loop stands still and too much waits.
+// Measure queues a call of f with the footprint on the loop's goroutine. What is pending is counted when Measure is called. The call is dropped
+// if the loop stands still and MaxPendingMessages calls wait.
 func (r *Runner) Measure(f func(Footprint)) {
-	var footprint Footprint
-	r.mu.Lock()
-	footprint.PendingMessages, footprint.PendingCalls = len(r.messages), len(r.calls)
-	for _, m := range r.messages {
-		footprint.PendingMessageBytes += len(m.body)
-	}
-	r.mu.Unlock()
-	r.Enqueue(func(c *consensus.Replica) {
-		footprint.Replica = c.Footprint()
-		footprint.Judge = r.judge.Footprint()
+	footprint := r.inbox.footprint()
+	r.Enqueue(func(replica *consensus.Replica) {
+		footprint.Replica = replica.Footprint()
+		footprint.Judge = r.zones.Footprint()
 		f(footprint)
 	})
 }
+
+func (i *inbox) footprint() (f Footprint) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	f.PendingMessages, f.PendingCalls = len(i.messages), len(i.calls)
+	for _, m := range i.messages {
+		f.PendingMessageBytes += len(m.body)
+	}
+	return f
+}
--- a/internal/decide/clusterstate/clusterstate_test.go
+++ b/internal/decide/clusterstate/clusterstate_test.go
@@ -27,13 +27,10 @@
 	return h
 }
 
-func (h *proposer) apply(name string, incarnation uint64, kind uint32, subject, zone string, epoch uint64, to ZoneState, shares ...plannedShare) Refusal {
+func (h *proposer) apply(name string, incarnation uint64, change Change) Refusal {
 	h.numbers[name]++
-	c := codec.AppendCommand(nil, name, incarnation, h.numbers[name], h.now, kind, subject, zone, "r", epoch, uint32(to), "for a test")
-	for _, s := range shares {
-		c = codec.AppendShare(c, s.route.From, s.route.To, s.cores)
-	}
-	refused, err := h.state.Apply(h.state.Version()+1, c)
+	c := Command{Proposer: name, Incarnation: incarnation, Number: h.numbers[name], ProposedAt: h.now, Change: change}
+	refused, err := h.state.Apply(h.state.Version()+1, c.Append(nil))
 	if err != nil {
 		h.t.Fatalf("%v", err)
 	}
@@ -41,11 +38,11 @@
 }
 
 func (h *proposer) activate(name string, incarnation uint64, zone string) Refusal {
-	return h.apply(name, incarnation, codec.CommandActivate, name, zone, 0, 0)
+	return h.apply(name, incarnation, Activate{name, zone, "r"})
 }
 
 func (h *proposer) setZoneState(by, zone string, to ZoneState) Refusal {
-	return h.apply(by, 1, codec.CommandSetZoneState, zone, "", h.state.Zone(zone).Version, to)
+	return h.apply(by, 1, SetZoneState{zone, h.state.Zone(zone).Version, to, "for a test"})
 }
 
 func (h *proposer) expect(what string, got, want Refusal) {
@@ -68,17 +65,17 @@
 	if p, _ = h.state.Process("p-a"); p.Epoch != 3 {
 		t.Errorf("%+v", p)
 	}
-	h.expect("out under an older epoch", h.apply("p-b", 1, codec.CommandDeactivate, "p-a", "", 1, 0), UnknownProcess)
-	h.expect("out", h.apply("p-b", 1, codec.CommandDeactivate, "p-a", "", 3, 0), Accepted)
-	h.expect("out twice", h.apply("p-b", 1, codec.CommandDeactivate, "p-a", "", 3, 0), UnknownProcess)
+	h.expect("out under an older epoch", h.apply("p-b", 1, Deactivate{"p-a", 1}), UnknownProcess)
+	h.expect("out", h.apply("p-b", 1, Deactivate{"p-a", 3}), Accepted)
+	h.expect("out twice", h.apply("p-b", 1, Deactivate{"p-a", 3}), UnknownProcess)
 	h.expect("back", h.activate("p-a", 4, "a"), Accepted)
 	if p, _ = h.state.Process("p-a"); p.Inactive || p.Epoch != 4 {
 		t.Errorf("%+v", p)
 	}
 	version := h.state.Version()
-	h.expect("for another", h.apply("p-b", 1, codec.CommandActivate, "p-a", "z", 0, 0), UnknownProcess)
-	old := codec.AppendCommand(nil, "p-a", 3, 99, h.now, codec.CommandActivate, "p-a", "z", "", 0, 0, "")
-	if _, err := h.state.Apply(version+2, old); err != nil {
+	h.expect("for another", h.apply("p-b", 1, Activate{"p-a", "z", "r"}), UnknownProcess)
+	old := Command{Proposer: "p-a", Incarnation: 3, Number: 99, ProposedAt: h.now, Change: Activate{Process: "p-a", Zone: "z"}}
+	if _, err := h.state.Apply(version+2, old.Append(nil)); err != nil {
 		t.Fatal(err)
 	}
 	if p, _ = h.state.Process("p-a"); p.Zone != "a" || p.Incarnation != 4 {
@@ -92,7 +89,8 @@
 // TestAgain has a command come again: it has no effect, and says what it said.
 func TestAgain(t *testing.T) {
 	h := newProposer(t, "a", "b")
-	c := codec.AppendCommand(nil, "p-a", 1, 50, h.now, codec.CommandSetZoneState, "b", "", "", 0, uint32(Suspect), "x")
+	command := Command{Proposer: "p-a", Incarnation: 1, Number: 50, ProposedAt: h.now, Change: SetZoneState{"b", 0, Suspect, "x"}}
+	c := command.Append(nil)
 	for range 3 {
 		before := h.state.Zone("b")
 		refused, _ := h.state.Apply(h.state.Version()+1, c)
@@ -109,7 +107,7 @@
 	h := newProposer(t, "a", "b")
 	h.expect("closed at once", h.setZoneState("p-a", "b", Closed), InvalidTransition)
 	h.expect("suspect", h.setZoneState("p-a", "b", Suspect), Accepted)
-	h.expect("by one who saw it open", h.apply("p-a", 1, codec.CommandSetZoneState, "b", "", 0, Suspect), StaleZoneVersion)
+	h.expect("by one who saw it open", h.apply("p-a", 1, SetZoneState{"b", 0, Suspect, "for a test"}), StaleZoneVersion)
 	h.expect("closed", h.setZoneState("p-a", "b", Closed), Accepted)
 	h.expect("suspect", h.setZoneState("p-b", "a", Suspect), Accepted)
 	h.expect("the last one", h.setZoneState("p-b", "a", Closed), LastOpenZone)
@@ -160,14 +158,14 @@
 
 func TestPlan(t *testing.T) {
 	h := newProposer(t, "a", "b", "c")
-	plan := func(shares ...plannedShare) Refusal {
-		return h.apply("p-a", 1, codec.CommandSetPlan, "", "", 0, 0, shares...)
+	plan := func(shares ...Share) Refusal {
+		return h.apply("p-a", 1, SetPlan{shares})
 	}
-	h.expect("a plan", plan(plannedShare{Route{"a", "b"}, 400}, plannedShare{Route{"a", "c"}, 600}), Accepted)
-	h.expect("of nothing", plan(plannedShare{Route{"a", "b"}, 0}), InvalidShare)
-	h.expect("more than a zone has", plan(plannedShare{Route{"a", "b"}, codec.MaxCores + 1}), Malformed)
-	h.expect("to itself", plan(plannedShare{Route{"a", "a"}, 1}), InvalidShare)
-	h.expect("twice", plan(plannedShare{Route{"a", "b"}, 1}, plannedShare{Route{"a", "b"}, 1}), InvalidShare)
+	h.expect("a plan", plan(Share{"a", "b", 400}, Share{"a", "c", 600}), Accepted)
+	h.expect("of nothing", plan(Share{"a", "b", 0}), InvalidShare)
+	h.expect("more than a zone has", plan(Share{"a", "b", codec.MaxCores + 1}), Malformed)
+	h.expect("to itself", plan(Share{"a", "a", 1}), InvalidShare)
+	h.expect("twice", plan(Share{"a", "b", 1}, Share{"a", "b", 1}), InvalidShare)
 	if h.state.Share("a", "c") != 600 {
 		t.Error("a refused plan has changed the one that stands")
 	}
@@ -181,7 +179,7 @@
 func TestRead(t *testing.T) {
 	h := newProposer(t, "a", "b")
 	h.setZoneState("p-a", "b", Suspect)
-	h.apply("p-a", 1, codec.CommandSetPlan, "", "", 0, 0, plannedShare{Route{"a", "b"}, 7})
+	h.apply("p-a", 1, SetPlan{[]Share{{"a", "b", 7}}})
 	text := h.state.Snapshot()
 	again, err := Read(text)
 	if err != nil || !bytes.Equal(again.Snapshot(), text) {
@@ -192,8 +190,9 @@
 			t.Errorf("cut at %d: a broken book", i)
 		}
 	}
-	twice := codec.AppendProcess(codec.AppendHead(nil, 3, 0, 2, 0), "x", 1, 1, "a", "", false, 0, 0, 0)
-	twice = codec.AppendProcess(twice, "y", 1, 1, "a", "", false, 0, 0, 0)
+	twice := codec.AppendSnapshot(nil, &codec.Snapshot{Version: 3, LastEpoch: 2, Processes: []codec.Process{
+		{Name: "x", Incarnation: 1, Epoch: 1, Zone: "a"}, {Name: "y", Incarnation: 1, Epoch: 1, Zone: "a"},
+	}})
 	if _, err := Read(twice); !errors.Is(err, ErrInvalid) {
 		t.Errorf("two under one epoch: %v", err)
 	}
@@ -211,7 +210,7 @@
 		last, now := uint64(0), 1e6
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			now += rapid.Float64Range(-1000, 20000).Draw(t, "passes")
-			kind := rapid.SampledFrom([]uint32{codec.CommandActivate, codec.CommandActivate, codec.CommandDeactivate, codec.CommandSetZoneState, codec.CommandSetZoneState, codec.CommandSetPlan, 77}).Draw(t, "kind")
+			kind := rapid.SampledFrom([]codec.CommandKind{codec.CommandActivate, codec.CommandActivate, codec.CommandDeactivate, codec.CommandSetZoneState, codec.CommandSetZoneState, codec.CommandSetPlan, 77}).Draw(t, "kind")
 			name, subject := rapid.SampledFrom(names).Draw(t, "by"), rapid.SampledFrom(append(names, zones...)).Draw(t, "subject")
 			epoch := rapid.Uint64Range(0, 9).Draw(t, "epoch")
 			if kind == codec.CommandSetZoneState && rapid.Bool().Draw(t, "seen") {
@@ -221,11 +220,17 @@
 				subject = name
 			}
 			at := rapid.SampledFrom([]float64{now, now, now, 0, math.Inf(1), math.NaN(), 1e300}).Draw(t, "at")
-			c := codec.AppendCommand(nil, name, rapid.Uint64Range(0, 4).Draw(t, "life"), rapid.Uint64Range(0, 30).Draw(t, "number"), at, kind,
-				subject, rapid.SampledFrom(zones).Draw(t, "zone"), "r", epoch, rapid.Uint32Range(0, 5).Draw(t, "state"), "")
+			command := codec.Command{
+				Proposer: name, Incarnation: rapid.Uint64Range(0, 4).Draw(t, "life"), Number: rapid.Uint64Range(0, 30).Draw(t, "number"), ProposedAt: at,
+				Kind: kind, Subject: subject, Zone: rapid.SampledFrom(zones).Draw(t, "zone"), Region: "r", Epoch: epoch,
+				State: rapid.Uint32Range(0, 5).Draw(t, "state"),
+			}
 			for range rapid.IntRange(0, 3).Draw(t, "shares") {
-				c = codec.AppendShare(c, rapid.SampledFrom(zones).Draw(t, "from"), rapid.SampledFrom(zones).Draw(t, "to"), rapid.Uint32Range(0, 900).Draw(t, "part"))
+				command.Shares = append(command.Shares, codec.Share{
+					From: rapid.SampledFrom(zones).Draw(t, "from"), To: rapid.SampledFrom(zones).Draw(t, "to"), Cores: rapid.Uint32Range(0, 900).Draw(t, "part"),
+				})
 			}
+			c := codec.AppendCommand(nil, &command)
 			if rapid.IntRange(0, 9).Draw(t, "damaged") == 0 && len(c) > 0 {
 				c[rapid.IntRange(0, len(c)-1).Draw(t, "where")] ^= byte(rapid.IntRange(1, 255).Draw(t, "how"))
 			}
--- a/internal/decide/clusterstate/format_test.go
+++ b/internal/decide/clusterstate/format_test.go
@@ -35,7 +35,7 @@
 }
 
 // TestFormat1 applies commands that commit 9c27d6c encoded: each has the result that it had there, the snapshot at the end has the same
-// bytes.
+// bytes, and commands that are encoded again have theirs.
 func TestFormat1(t *testing.T) {
 	text, err := os.ReadFile("testdata/format1/commands")
 	if err != nil {
@@ -52,6 +52,11 @@
 			t.Errorf("command %x: %s, %v, want %s", command, got, err, want)
 		}
 		results[got]++
+		if c, err := ReadCommand(command); err == nil && c.Change != nil {
+			if again := c.Append(nil); !bytes.Equal(again, command) {
+				t.Errorf("command %x encoded again: %x", command, again)
+			}
+		}
 	}
 	snapshot := r.bytes()
 	if got := s.Snapshot(); !bytes.Equal(got, snapshot) || len(r.rest) != 0 {
--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -41,6 +41,7 @@
 	compactKeep      = 64       // log entries that are kept for lagging voters
 	maxMessageBytes  = 16 << 10 // of log entries in a message
 
+	maxChunkAttempts     = 3 // for one chunk, after the first
 	maxIncarnationRaises = 3 // how often a process raises its incarnation: two processes of one name would do so for ever
 )
 
@@ -101,13 +102,7 @@
 	nextVoter         int
 	incarnationRaises int
 
-	transfer struct {
-		from    string
-		version uint64
-		got     []byte
-		at      float64
-		tries   int
-	}
+	transfer         transfer
 	snapshot         []byte // the encoded state at a version
 	snapshotVersion  uint64
 	previousSnapshot []byte // the one sent before it
@@ -198,8 +193,8 @@
 		r.nextSendAt = r.now + retryInterval
 		r.sendProposal()
 	}
-	if r.transfer.from != "" && r.now-r.transfer.at > retryInterval {
-		if r.transfer.tries++; r.transfer.tries > 3 {
+	if r.transfer.from != "" && r.now-r.transfer.requestedAt > retryInterval {
+		if r.transfer.attempts++; r.transfer.attempts > maxChunkAttempts {
 			r.transfer.from = "" // the next replica that reports a newer version is asked
 		} else {
 			r.requestChunk()
@@ -209,12 +204,14 @@
 }
 
 // sendMessage encodes and sends a message.
-func (r *Replica) sendMessage(to string, kind uint32, body []byte, number, version, written, offset, total uint64) {
-	b := codec.AppendMessage(nil, kind, body, number, version, written, offset, total)
-	if kind == codec.MessageProbeReply && r.isLeader {
-		b = codec.AppendLeaderFlag(b)
-	}
-	r.send(to, b)
+func (r *Replica) sendMessage(to string, m codec.Message) {
+	m.FromLeader = m.Kind == codec.MessageProbeReply && r.isLeader
+	r.send(to, codec.AppendMessage(nil, &m))
+}
+
+// sendProbeReply answers a probe. Number 0 stands for none: the receiver learns the version without having asked.
+func (r *Replica) sendProbeReply(to string, number, version uint64) {
+	r.sendMessage(to, codec.Message{Kind: codec.MessageProbeReply, Number: number, Version: version, Written: r.lastWritten()})
 }
 
 func (r *Replica) send(to string, b []byte) {
@@ -226,36 +223,41 @@
 // OnMessage handles a message of another member. Malformed messages are dropped.
 func (r *Replica) OnMessage(now float64, from string, b []byte) {
 	r.now = max(r.now, now)
-	_ = codec.ReadMessage(b, func(kind uint32, body []byte, number, version, written, offset, total uint64, leads bool) {
-		switch kind {
-		case codec.MessageRaft:
-			r.stepRaft(from, body)
-		case codec.MessageProbe:
-			if r.engine != nil && r.haltReason == "" {
-				r.sendMessage(from, codec.MessageProbeReply, nil, number, r.state.Version(), r.lastWritten(), 0, 0)
-			}
-		case codec.MessageProbeReply:
-			r.onProbeReply(from, number, version, written)
-			if leads {
-				r.leader = from
-			} else if r.leader == from {
-				r.leader = ""
-			}
-		case codec.MessageFetchChunk:
-			r.sendChunk(from, number, offset)
-		case codec.MessageChunk:
-			r.onChunk(from, body, version, offset, total)
-		case codec.MessageProposal:
-			r.onProposal(body)
-		case codec.MessageZoneReport:
-			if r.isLeader {
-				r.onReport(from, b)
-			}
-		}
-	})
+	if m, err := codec.ReadMessage(b); err == nil {
+		r.handle(from, m, b)
+	}
 	r.processReady()
 }
 
+// handle handles a message, whose encoded form is b.
+func (r *Replica) handle(from string, m codec.Message, b []byte) {
+	switch m.Kind {
+	case codec.MessageRaft:
+		r.stepRaft(from, m.Body)
+	case codec.MessageProbe:
+		if r.engine != nil && r.haltReason == "" {
+			r.sendProbeReply(from, m.Number, r.state.Version())
+		}
+	case codec.MessageProbeReply:
+		r.onProbeReply(from, m)
+		if m.FromLeader {
+			r.leader = from
+		} else if r.leader == from {
+			r.leader = ""
+		}
+	case codec.MessageFetchChunk:
+		r.sendChunk(from, m.Number, m.Offset)
+	case codec.MessageChunk:
+		r.onChunk(from, m)
+	case codec.MessageProposal:
+		r.onProposal(m.Body)
+	case codec.MessageZoneReport:
+		if r.isLeader {
+			r.onReport(from, b)
+		}
+	}
+}
+
 // Name returns the replica's name.
 func (r *Replica) Name() string { return r.config.Name }
 
--- a/internal/decide/consensus/consensus_test.go
+++ b/internal/decide/consensus/consensus_test.go
@@ -146,8 +146,8 @@
 	c := x.nodes["d"].replica
 	c.SetResultHandler(func(number uint64, r clusterstate.Refusal) { got = append(got, fmt.Sprint(number, " ", r)) })
 	verdict := func(zone string, to clusterstate.ZoneState) {
-		c.Propose(func(b []byte, number uint64) []byte {
-			return codec.AppendCommand(b, "d", 1, number, x.now, codec.CommandSetZoneState, zone, "", "", c.State().Zone(zone).Version, uint32(to), "")
+		c.Propose(func() (float64, clusterstate.Change) {
+			return x.now, clusterstate.SetZoneState{Zone: zone, SeenVersion: c.State().Zone(zone).Version, State: to}
 		})
 	}
 	verdict("za", clusterstate.Suspect)
@@ -173,8 +173,8 @@
 	x.advance(5000)
 	l := x.leader()
 	x.nodes[l].fails = true
-	x.nodes[l].replica.Propose(func(b []byte, number uint64) []byte {
-		return codec.AppendCommand(b, l, 1, number, x.now, codec.CommandSetZoneState, "za", "", "", 0, uint32(clusterstate.Suspect), "")
+	x.nodes[l].replica.Propose(func() (float64, clusterstate.Change) {
+		return x.now, clusterstate.SetZoneState{Zone: "za", State: clusterstate.Suspect}
 	})
 	x.advance(8000)
 	if s := x.nodes[l]; s.replica.HaltReason() == "" || s.replica.IsLeader() {
@@ -203,13 +203,15 @@
 	pages := func(b *clusterstate.State) (all [][]byte) {
 		text := b.Snapshot()
 		for i := 0; i < len(text); i += 40 {
-			all = append(all, codec.AppendMessage(nil, codec.MessageChunk, text[i:min(i+40, len(text))], 0, b.Version(), 0, uint64(i), uint64(len(text))))
+			all = append(all, codec.AppendMessage(nil, &codec.Message{
+				Kind: codec.MessageChunk, Body: text[i:min(i+40, len(text))], Version: b.Version(), Offset: uint64(i), Total: uint64(len(text)),
+			}))
 		}
 		return all
 	}
 	older, newer := clusterstate.New(), clusterstate.New()
 	for v := uint64(1); v < 9; v++ {
-		c := codec.AppendCommand(nil, fmt.Sprint("p", v), 1, 1, 1, codec.CommandActivate, fmt.Sprint("p", v), "z", "", 0, 0, "")
+		c := activation(fmt.Sprint("p", v), "z", 1)
 		if v < 5 {
 			_, _ = older.Apply(v, c)
 		}
@@ -295,12 +297,18 @@
 	x.advance(3000)
 	leader := x.nodes[x.leader()].replica
 	before := leader.State().Version()
-	command := codec.AppendCommand(nil, "d", 1, 1, x.now, codec.CommandActivate, "d", "zd", "", 0, 0, "")
+	command := activation("d", "zd", x.now)
 	for range 20 {
-		leader.OnMessage(x.now, "d", codec.AppendMessage(nil, codec.MessageProposal, command, 0, 0, 0, 0, 0))
+		leader.OnMessage(x.now, "d", codec.AppendMessage(nil, &codec.Message{Kind: codec.MessageProposal, Body: command}))
 		x.advance(100)
 	}
 	if after := leader.State().Version(); before == 0 || after != before {
 		t.Errorf("from version %d to %d", before, after)
 	}
 }
+
+// activation returns the encoded first command of a process's first incarnation.
+func activation(name, zone string, at float64) []byte {
+	c := clusterstate.Command{Proposer: name, Incarnation: 1, Number: 1, ProposedAt: at, Change: clusterstate.Activate{Process: name, Zone: zone}}
+	return c.Append(nil)
+}
--- a/internal/decide/consensus/footprint.go
+++ b/internal/decide/consensus/footprint.go
@@ -31,7 +31,7 @@
 	f := Footprint{
 		Proposals:     len(r.proposals),
 		SnapshotBytes: len(r.state.Snapshot()),
-		TransferBytes: len(r.snapshot) + len(r.previousSnapshot) + len(r.transfer.got),
+		TransferBytes: len(r.snapshot) + len(r.previousSnapshot) + len(r.transfer.received),
 	}
 	for _, w := range r.proposals {
 		f.ProposalBytes += len(w.body)
--- a/internal/decide/consensus/lease.go
+++ b/internal/decide/consensus/lease.go
@@ -26,7 +26,7 @@
 	for _, name := range r.config.Voters {
 		switch {
 		case name != r.config.Name:
-			r.sendMessage(name, codec.MessageProbe, nil, r.lastProbe, r.state.Version(), 0, 0, 0)
+			r.sendMessage(name, codec.Message{Kind: codec.MessageProbe, Number: r.lastProbe, Version: r.state.Version()})
 		case r.isVoting():
 			r.probes[name] = probeReply{r.now, r.lastWritten()}
 		}
@@ -43,14 +43,14 @@
 		}
 	}
 	slices.SortFunc(probedAt, func(x, y float64) int { return cmp.Compare(y, x) })
-	need := len(r.config.Voters)/2 + 1
+	quorum := len(r.config.Voters)/2 + 1
 	if r.config.Faults.SingleVoter {
-		need = 1
+		quorum = 1
 	}
-	if len(probedAt) < need {
+	if len(probedAt) < quorum {
 		return
 	}
-	until := probedAt[need-1] + Lease*(1-clockDrift)
+	until := probedAt[quorum-1] + Lease*(1-clockDrift)
 	if r.config.Faults.EndlessLease {
 		until += 1e9
 	}
@@ -58,26 +58,26 @@
 }
 
 // onProbeReply handles a voter's reply to a probe.
-func (r *Replica) onProbeReply(from string, number, version, written uint64) {
+func (r *Replica) onProbeReply(from string, m codec.Message) {
 	if slices.Index(r.config.Voters, from) < 0 {
 		return
 	}
-	r.OnNewerVersion(r.now, from, version)
-	if number > r.lastProbe || r.lastProbe-number >= uint64(len(r.probeTimes)) {
+	r.OnNewerVersion(r.now, from, m.Version)
+	if m.Number > r.lastProbe || r.lastProbe-m.Number >= uint64(len(r.probeTimes)) {
 		return
 	}
 	r.answeredVoters[from] = true
 	if r.diskWasEmpty && r.haltReason == "" && !r.config.Faults.VoteAfterLoss {
 		switch {
-		case written > 1:
+		case m.Written > 1:
 			r.halt("its disk was empty, and others hold commands: it may have voted before")
 		case len(r.answeredVoters) == len(r.config.Voters)-1:
 			r.diskWasEmpty = false
 			r.scheduleCampaign()
 		}
 	}
-	if probedAt := r.probeTimes[number%uint64(len(r.probeTimes))]; probedAt >= r.probes[from].probedAt {
-		r.probes[from] = probeReply{probedAt, written}
+	if probedAt := r.probeTimes[m.Number%uint64(len(r.probeTimes))]; probedAt >= r.probes[from].probedAt {
+		r.probes[from] = probeReply{probedAt, m.Written}
 		r.renewLease()
 	}
 }
--- a/internal/decide/consensus/storage.go
+++ b/internal/decide/consensus/storage.go
@@ -9,7 +9,6 @@
 	"google.golang.org/protobuf/proto"
 
 	"ravenpond/internal/decide/clusterstate"
-	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // save writes to the disk first and to Raft's in-memory storage after that.
@@ -94,7 +93,7 @@
 	}
 	for _, p := range state.Processes() { // followers would learn of it by their next probe; commits are rare and should take effect soon
 		if !p.Inactive && slices.Index(r.config.Voters, p.Name) < 0 {
-			r.sendMessage(p.Name, codec.MessageProbeReply, nil, 0, state.Version(), r.lastWritten(), 0, 0)
+			r.sendProbeReply(p.Name, 0, state.Version())
 		}
 	}
 }
--- a/internal/decide/consensus/transfer.go
+++ b/internal/decide/consensus/transfer.go
@@ -7,20 +7,33 @@
 	codec "ravenpond/internal/proto/clusterstate"
 )
 
+// transfer is the transfer of a snapshot from another replica, in chunks.
+type transfer struct {
+	from        string // empty: no transfer is under way
+	version     uint64 // of the snapshot
+	received    []byte
+	requestedAt float64
+	attempts    int // for the next chunk
+}
+
 // OnNewerVersion tells the replica that another member holds a version. A follower that is behind starts a state transfer.
 func (r *Replica) OnNewerVersion(now float64, from string, version uint64) {
 	r.now = max(r.now, now)
 	if version <= r.state.Version() || r.transfer.from != "" || r.isVoting() {
 		return
 	}
-	r.transfer.from, r.transfer.version, r.transfer.got, r.transfer.tries = from, 0, nil, 0
+	r.transfer = transfer{from: from}
 	r.requestChunk()
 }
 
 // requestChunk asks for the next chunk of the state transfer.
 func (r *Replica) requestChunk() {
-	r.transfer.at = r.now
-	r.sendMessage(r.transfer.from, codec.MessageFetchChunk, nil, r.transfer.version, 0, 0, uint64(len(r.transfer.got)), 0)
+	r.transfer.requestedAt = r.now
+	r.sendMessage(r.transfer.from, codec.Message{
+		Kind:   codec.MessageFetchChunk,
+		Number: r.transfer.version,
+		Offset: uint64(len(r.transfer.received)),
+	})
 }
 
 // sendChunk sends a chunk of the snapshot that the receiver started with, or the first chunk of the current one if that is gone.
@@ -37,31 +50,37 @@
 		text, textVersion, offset = r.snapshot, r.snapshotVersion, 0
 	}
 	r.Stats.Chunks++
-	r.sendMessage(to, codec.MessageChunk, text[offset:min(offset+chunkBytes, uint64(len(text)))], 0, textVersion, 0, offset, uint64(len(text)))
+	r.sendMessage(to, codec.Message{
+		Kind:    codec.MessageChunk,
+		Body:    text[offset:min(offset+chunkBytes, uint64(len(text)))],
+		Version: textVersion,
+		Offset:  offset,
+		Total:   uint64(len(text)),
+	})
 }
 
-// onChunk handles a chunk of the state transfer.
-func (r *Replica) onChunk(from string, body []byte, version, offset, total uint64) {
-	transfer := &r.transfer
-	if from != transfer.from || total > maxStateBytes {
+// onChunk handles a chunk of the state transfer. A chunk of another version starts the transfer again from its first byte.
+func (r *Replica) onChunk(from string, m codec.Message) {
+	t := &r.transfer
+	if from != t.from || m.Total > maxStateBytes {
 		return
 	}
-	if version != transfer.version {
-		if offset != 0 {
+	if m.Version != t.version {
+		if m.Offset != 0 {
 			return
 		}
-		transfer.version, transfer.got = version, nil
+		t.version, t.received = m.Version, nil
 	}
-	if offset != uint64(len(transfer.got)) {
+	if m.Offset != uint64(len(t.received)) {
 		return
 	}
-	transfer.got, transfer.tries = append(transfer.got, body...), 0
-	if uint64(len(transfer.got)) < total {
+	t.received, t.attempts = append(t.received, m.Body...), 0
+	if uint64(len(t.received)) < m.Total {
 		r.requestChunk()
 		return
 	}
-	text := transfer.got
-	transfer.from, transfer.got = "", nil
+	text := t.received
+	t.from, t.received = "", nil
 	state, err := clusterstate.Read(text)
 	if err != nil {
 		r.effects.Log(fmt.Sprintf("a page of %s is not taken: %v", from, err))
--- a/internal/decide/consensus/voter.go
+++ b/internal/decide/consensus/voter.go
@@ -184,7 +184,7 @@
 		if err != nil || m.GetTo() == 0 || m.GetTo() > uint64(len(r.config.Voters)) {
 			continue
 		}
-		r.sendMessage(r.config.Voters[m.GetTo()-1], codec.MessageRaft, body, 0, 0, 0, 0, 0)
+		r.sendMessage(r.config.Voters[m.GetTo()-1], codec.Message{Kind: codec.MessageRaft, Body: body})
 		if m.GetType() == pb.MsgSnap { // the receiver's next message shows whether it arrived
 			r.engine.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
--- a/internal/decide/zones/zones_test.go
+++ b/internal/decide/zones/zones_test.go
@@ -9,7 +9,6 @@
 	"pgregory.net/rapid"
 
 	"ravenpond/internal/decide/clusterstate"
-	codec "ravenpond/internal/proto/clusterstate"
 )
 
 var names = []string{"a", "b", "c", "d"}
@@ -27,19 +26,25 @@
 	closed  int
 }
 
+// command encodes a command of a process's first incarnation.
+func command(proposer string, number uint64, at float64, change clusterstate.Change) []byte {
+	c := clusterstate.Command{Proposer: proposer, Incarnation: 1, Number: number, ProposedAt: at, Change: change}
+	return c.Append(nil)
+}
+
 // sit begins with two processes in each zone.
 func sit(t interface{ Fatalf(string, ...any) }) *court {
 	x := &court{t: t, b: clusterstate.New(), now: 1e6, lost: map[string]bool{}, deaf: map[string]map[string]bool{}}
 	for i, z := range append(slices.Clone(names), names...) {
 		p := fmt.Sprint("p", i)
-		_, _ = x.b.Apply(x.b.Version()+1, codec.AppendCommand(nil, p, 1, 1, x.now, codec.CommandActivate, p, z, "", 0, 0, ""))
+		_, _ = x.b.Apply(x.b.Version()+1, command(p, 1, x.now, clusterstate.Activate{Process: p, Zone: z}))
 	}
 	return x
 }
 
 func (x *court) verdict(zone string, seen uint64, to clusterstate.ZoneState) clusterstate.Refusal {
 	x.numbers++
-	r, err := x.b.Apply(x.b.Version()+1, codec.AppendCommand(nil, "p0", 1, 1+x.numbers, x.now, codec.CommandSetZoneState, zone, "", "", seen, uint32(to), "t"))
+	r, err := x.b.Apply(x.b.Version()+1, command("p0", 1+x.numbers, x.now, clusterstate.SetZoneState{Zone: zone, SeenVersion: seen, State: to, Cause: "t"}))
 	if err != nil {
 		x.t.Fatalf("%v", err)
 	}
@@ -228,9 +233,8 @@
 	x.pass(1500)
 	x.want("a", clusterstate.Closed)
 	x.numbers++
-	c := codec.AppendCommand(nil, "p0", 1, 1+x.numbers, x.now, codec.CommandSetPlan, "", "", "", 0, 0, "")
-	c = codec.AppendShare(codec.AppendShare(c, "a", "b", 14), "a", "c", 21)
-	if _, err := x.b.Apply(x.b.Version()+1, c); err != nil {
+	plan := clusterstate.SetPlan{Shares: []clusterstate.Share{{From: "a", To: "b", Cores: 14}, {From: "a", To: "c", Cores: 21}}}
+	if _, err := x.b.Apply(x.b.Version()+1, command("p0", 1+x.numbers, x.now, plan)); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
--- a/internal/lab/consensus/consensus.go
+++ b/internal/lab/consensus/consensus.go
@@ -22,7 +22,6 @@
 	"ravenpond/internal/lab/seeds"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/members"
-	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // Times in ms.
@@ -244,8 +243,8 @@
 	now := x.host.Now()
 	x.runner.Enqueue(func(c *consensus.Replica) {
 		c.SetResultHandler(func(uint64, clusterstate.Refusal) { g.result.Answered++ })
-		c.Propose(func(b []byte, number uint64) []byte {
-			return codec.AppendCommand(b, x.name, c.Incarnation(), number, now, codec.CommandSetZoneState, zone, "", "", z.Version, uint32(to), "seed")
+		c.Propose(func() (float64, clusterstate.Change) {
+			return now, clusterstate.SetZoneState{Zone: zone, SeenVersion: z.Version, State: to, Cause: "seed"}
 		})
 	})
 }
--- a/internal/lab/scale/regions/process.go
+++ b/internal/lab/scale/regions/process.go
@@ -7,12 +7,12 @@
 	"github.com/rs/zerolog"
 
 	"ravenpond/internal/control"
+	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/decide/zones"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/members"
-	codec "ravenpond/internal/proto/clusterstate"
 )
 
 // What a zone and the members' leases are played with.
@@ -159,8 +159,8 @@
 // propose brings in a command that changes nothing but the state's version: that this process acts as it does.
 func (p *process) propose() {
 	p.control.Enqueue(func(c *consensus.Replica) {
-		number := c.Propose(func(b []byte, number uint64) []byte {
-			return codec.AppendCommand(b, p.name, c.Incarnation(), number, p.env.Now(), codec.CommandActivate, p.name, p.zone.name, regionName(p.zone.region), 0, 0, "")
+		number := c.Propose(func() (float64, clusterstate.Change) {
+			return p.env.Now(), clusterstate.Activate{Process: p.name, Zone: p.zone.name, Region: regionName(p.zone.region)}
 		})
 		if number == 0 {
 			p.refused++
--- a/internal/lab/scale/regions/regions.go
+++ b/internal/lab/scale/regions/regions.go
@@ -13,6 +13,7 @@
 	"strings"
 	"time"
 
+	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/lab/sim"
 	codec "ravenpond/internal/proto/clusterstate"
@@ -186,8 +187,11 @@
 func (s *cluster) absentJoins(index int, now float64) []byte {
 	name, zone := fmt.Sprintf("absent-%04d", index), s.zones[index%len(s.zones)]
 	name += strings.Repeat("x", max(0, s.config.AbsentNameBytes-len(name)))
-	command := codec.AppendCommand(nil, name, 1, 1, now, codec.CommandActivate, name, zone.name, regionName(zone.region), 0, 0, "")
-	return codec.AppendMessage(nil, codec.MessageProposal, command, 0, 0, 0, 0, 0)
+	command := clusterstate.Command{
+		Proposer: name, Incarnation: 1, Number: 1, ProposedAt: now,
+		Change: clusterstate.Activate{Process: name, Zone: zone.name, Region: regionName(zone.region)},
+	}
+	return codec.AppendMessage(nil, &codec.Message{Kind: codec.MessageProposal, Body: command.Append(nil)})
 }
 
 // play runs the three phases, with a reading each minute.
