--- a/internal/state/tenants/store_test.go
+++ b/internal/state/tenants/store_test.go
@@ -119,9 +119,9 @@
 // TestRecords checks that records which were edited, removed or cut off are found.
 func TestRecords(t *testing.T) {
 	for _, c := range []struct {
-		name  string
+		name   string
 		damage func(tx *bbolt.Tx) error
-		bad   bool
+		bad    bool
 	}{
 		{"unchanged", func(*bbolt.Tx) error { return nil }, false},
 		{"edited", func(tx *bbolt.Tx) error {
@@ -159,7 +159,7 @@
 
 func TestRefused(t *testing.T) {
 	for _, c := range []struct {
-		name  string
+		name   string
 		damage func(dir string) error
 	}{
 		{"a key of another length", func(dir string) error { return os.WriteFile(filepath.Join(dir, "tenants.key"), []byte("x"), 0o600) }},
