--- /dev/null
+++ b/logic/attempts.go
@@ -0,0 +1,116 @@
+package logic
+
+import "slices"
+
+const (
+	minAttemptTimeout = 1200 // no attempt is given up sooner, ms
+	startTimeQuantile = 0.95 // of the start times seen, on which time-outs are based
+	timeoutFactor     = 2    // time-out as a multiple of that quantile
+)
+
+// checkAttempts is the stage that decides whether the job class allows another attempt.
+func (s *Scheduler) checkAttempts(alloc *allocation) decision {
+	class := &s.classes[alloc.class]
+	expired := class.Semantics == Idempotent && s.now >= alloc.mayHaveRunSince+class.IdempotencyWindow-s.cluster.MinRoundInterval
+	if alloc.inFlight || alloc.attempts >= s.cluster.MaxAttempts || alloc.mayHaveRun && (class.Semantics == AtMostOnce || expired) {
+		return finish
+	}
+	return proceed
+}
+
+// sendAttempt is the last stage.
+func (s *Scheduler) sendAttempt(alloc *allocation) decision {
+	node := &s.nodes.all[alloc.node]
+	timeout := s.attemptTimeout(alloc)
+	alloc.attempts++
+	alloc.inFlight, alloc.sentAt = true, s.now
+	s.countPlacement(alloc, 1)
+	node.capacity.record(s.now, change{s.now, alloc.size})
+	node.unanswered = append(node.unanswered, s.allocations.index[alloc.id])
+	s.recordSlowStart(node)
+	s.effects.StartAttempt(alloc.id, node.id, timeout)
+	return proceed
+}
+
+// attemptTimeout is how long the next attempt may take: by the start times seen for the job class, if there is time and leave for another
+// attempt after it, else up to the deadline.
+func (s *Scheduler) attemptTimeout(alloc *allocation) float64 {
+	remaining, class := alloc.deadline-s.now, &s.classes[alloc.class]
+	if class.Semantics == AtMostOnce || alloc.attempts+1 >= s.cluster.MaxAttempts {
+		return remaining
+	}
+	patience := max(minAttemptTimeout, timeoutFactor*class.startTimes.quantile(startTimeQuantile))
+	if patience+minAttemptTimeout/2 < remaining {
+		return patience
+	}
+	return remaining
+}
+
+// OnStarted implements EventHandler.
+func (s *Scheduler) OnStarted(now float64, id uint32, _ uint8, took float64) {
+	s.now = now
+	i, ok := s.allocations.index[id]
+	if !ok {
+		return
+	}
+	alloc := &s.allocations.all[i]
+	node := &s.nodes.all[alloc.node]
+	s.removeUnanswered(alloc, node)
+	alloc.running, alloc.answered = true, true
+	node.rejections = 0
+	s.noteReachability(node, true)
+	node.health.record(alloc.class, 1)
+	s.classes[alloc.class].startTimes.add(took)
+}
+
+// releaseAttempt is the way back of the last stage: the attempt no longer counts on its node.
+func (s *Scheduler) releaseAttempt(alloc *allocation, node *nodeState, outcome Outcome, _ Reason) {
+	s.countPlacement(alloc, -1)
+	alloc.inFlight = false
+	s.removeUnanswered(alloc, node)
+	if outcome.neverRan() { // as if it had not been sent
+		node.capacity.record(s.now, change{alloc.sentAt, alloc.size.times(-1)})
+	} else if alloc.running {
+		node.capacity.record(s.now, change{s.now, alloc.size.times(-1)})
+	}
+}
+
+func (s *Scheduler) removeUnanswered(alloc *allocation, node *nodeState) {
+	node.unanswered = slices.DeleteFunc(node.unanswered, func(i int) bool { return s.allocations.all[i].id == alloc.id })
+}
+
+// neverRan reports whether an outcome proves that the attempt did not run.
+func (o Outcome) neverRan() bool { return o == Rejected || o == Unreachable || o == NotSent }
+
+// noteMayHaveRun is the way back of the stage that allows attempts: it remembers the first attempt that may have run.
+func (s *Scheduler) noteMayHaveRun(alloc *allocation, _ *nodeState, outcome Outcome, _ Reason) {
+	if !outcome.neverRan() && !alloc.mayHaveRun {
+		alloc.mayHaveRun, alloc.mayHaveRunSince, alloc.mayHaveRunNode = true, alloc.sentAt, alloc.node
+	}
+}
+
+// requeueOrAnswer is the way back of the first stage: an allocation that was not started waits for another attempt, or gets its final answer
+// at once.
+func (s *Scheduler) requeueOrAnswer(alloc *allocation, _ *nodeState, _ Outcome, _ Reason) {
+	switch {
+	case alloc.answered:
+	case s.checkAttempts(alloc) == finish:
+		s.answer(alloc)
+	default:
+		s.queue.waiting = append(s.queue.waiting, s.allocations.index[alloc.id])
+		s.queue.nextScanAt = s.now
+	}
+}
+
+// answer gives the final answer: Shed where another request does no harm, else Fail.
+func (s *Scheduler) answer(alloc *allocation) {
+	class := &s.classes[alloc.class]
+	harmless := class.Semantics == Restartable ||
+		!alloc.inFlight && (!alloc.mayHaveRun || class.Semantics == Idempotent && class.IdempotencyScope == ScopeAll)
+	if harmless {
+		s.effects.Shed(alloc.id, 0)
+	} else {
+		s.effects.Fail(alloc.id)
+	}
+	alloc.answered = true
+}
--- a/logic/belief.go
+++ b/logic/belief.go
@@ -1,46 +1,47 @@
 package logic
 
-// Belief is what the module holds of a node, to be seen beside what the node says of itself. It decides nothing.
+// Belief is what the module believes of a node, for comparison with what the node reports. It decides nothing.
 type Belief struct {
-	Cores, Memory float64 // not asked for
-	Degradation   float64 // the part of their service that tasks lack
-	FailureRate   float64 // the worst job type's part of its last tries that failed
-	Unhealthy     bool
+	Cores, Memory float64 // unallocated
+	Degradation   float64 // the part of their service that allocations lack, 0 to 1
+	FailureRate   float64 // of the worst job class: the part of its last attempts that failed
+	Unhealthy     bool    // the node does not answer
 }
 
-// NodeBelief tells what is believed of a node, if anything is.
-func (s *Scheduler) NodeBelief(id uint32) (b Belief, ok bool) {
-	n, ok := s.nodeIndex[id]
-	if !ok || !s.nodes[n].reported {
-		return b, false
+// NodeBelief is what the module believes of a node, false if there has been no report.
+func (s *Scheduler) NodeBelief(id uint32) (Belief, bool) {
+	node, ok := s.nodes.find(id)
+	if !ok || !node.capacity.reported {
+		return Belief{}, false
 	}
-	nd := &s.nodes[n]
-	c, m := s.allocatedOn(nd)
-	b = Belief{Cores: nd.cores - c, Memory: nd.memory - m, Degradation: s.degradation(nd), Unhealthy: nd.unhealthy}
-	for job := range s.classes {
-		b.FailureRate = max(b.FailureRate, nd.failureRate(job))
+	free := node.capacity.size.minus(node.capacity.allocated())
+	belief := Belief{
+		Cores: free.cores, Memory: free.memory,
+		Degradation: node.health.degradationAt(s.now), Unhealthy: node.health.unreachable,
 	}
-	return b, true
+	for class := range s.classes {
+		belief.FailureRate = max(belief.FailureRate, node.health.failureRate(class))
+	}
+	return belief, true
 }
 
-// BeliefError is by how much more free cores and memory were believed than a report says that is about to be told: the
-// last report with own binds and ends up to the time of this one. What others did since is in it.
+// BeliefError is by how much more free cores and memory were believed than a report says that is about to be passed in: the last report with
+// own changes up to the time of the new one. Changes by other schedulers since then are in it. It is false without a comparison.
 func (s *Scheduler) BeliefError(now float64, id uint32, report []float64) (cores, memory float64, ok bool) {
-	n, ok := s.nodeIndex[id]
+	node, ok := s.nodes.find(id)
 	if !ok {
 		return 0, 0, false
 	}
-	nd, at := &s.nodes[n], now-reportDelay
-	c, m, ok := s.decodeReport(nd, report)
-	if !ok || !nd.reported || at <= nd.measuredAt {
+	c, at := &node.capacity, now-reportDelay
+	free, ok := s.decodeReport(node, report)
+	if !ok || !c.reported || at <= c.measuredAt {
 		return 0, 0, false
 	}
-	cores, memory = nd.reportedFree[0]-c, nd.reportedFree[1]-m
-	for _, x := range nd.changes {
-		if x.at > nd.measuredAt && x.at <= at {
-			cores -= x.cores
-			memory -= x.memory
+	off := c.free.minus(free)
+	for _, change := range c.changes {
+		if change.at > c.measuredAt && change.at <= at {
+			off = off.minus(change.size)
 		}
 	}
-	return cores, memory, true
+	return off.cores, off.memory, true
 }
--- a/logic/belief_test.go
+++ b/logic/belief_test.go
@@ -137,16 +137,16 @@
 			},
 			"started": func(*rapid.T) {
 				id := rapid.Uint32Range(1, 20).Draw(rt, "alloc")
-				if i, ok := x.scheduler.allocationIndex[id]; ok && x.scheduler.allocations[i].inFlight && !x.scheduler.allocations[i].running {
-					x.scheduler.OnStarted(x.now, id, uint8(x.scheduler.allocations[i].attempts-1), 50)
+				if i, ok := x.scheduler.allocations.index[id]; ok && x.scheduler.allocations.all[i].inFlight && !x.scheduler.allocations.all[i].running {
+					x.scheduler.OnStarted(x.now, id, uint8(x.scheduler.allocations.all[i].attempts-1), 50)
 				}
 			},
 			"settled": func(*rapid.T) {
 				id := rapid.Uint32Range(1, 20).Draw(rt, "alloc")
-				if i, ok := x.scheduler.allocationIndex[id]; ok && x.scheduler.allocations[i].inFlight {
-					a := &x.scheduler.allocations[i]
+				if i, ok := x.scheduler.allocations.index[id]; ok && x.scheduler.allocations.all[i].inFlight {
+					a := &x.scheduler.allocations.all[i]
 					x.scheduler.OnOutcome(x.now, AttemptResult{
-						Allocation: id, Node: x.scheduler.nodes[a.node].id,
+						Allocation: id, Node: x.scheduler.nodes.all[a.node].id,
 						Attempt: uint8(a.attempts - 1), Duration: 50, Answered: a.answered,
 						Reason: Reason(rapid.IntRange(0, int(Displaced)).Draw(rt, "why")), Outcome: verdict(), Report: report(),
 					})
--- /dev/null
+++ b/logic/chain.go
@@ -0,0 +1,59 @@
+package logic
+
+// decision is what a stage makes of an allocation.
+type decision uint8
+
+const (
+	proceed decision = iota // pass it to the next stage
+	wait                    // keep it in the queue
+	finish                  // give it its final answer
+)
+
+// stage is one link of the chain: advance on the way to a node, handleOutcome on the way back with the outcome of the attempt.
+type stage struct {
+	advance       func(*Scheduler, *allocation) decision
+	handleOutcome func(*Scheduler, *allocation, *nodeState, Outcome, Reason)
+}
+
+// chain lists the stages in the order of the way to a node.
+var chain = [...]stage{
+	{(*Scheduler).checkDeadline, (*Scheduler).requeueOrAnswer},
+	{(*Scheduler).checkAttempts, (*Scheduler).noteMayHaveRun},
+	{(*Scheduler).chooseNode, (*Scheduler).learnFromOutcome},
+	{(*Scheduler).sendAttempt, (*Scheduler).releaseAttempt},
+}
+
+// advance takes an allocation as far along the chain as it gets.
+func (s *Scheduler) advance(alloc *allocation) decision {
+	result := proceed
+	for i := 0; i < len(chain) && result == proceed; i++ {
+		result = chain[i].advance(s, alloc)
+	}
+	if result == finish {
+		s.answer(alloc)
+	}
+	return result
+}
+
+// OnOutcome implements EventHandler: the outcome passes the stages in reverse order.
+func (s *Scheduler) OnOutcome(now float64, result AttemptResult) {
+	s.now = now
+	if node, ok := s.nodes.find(result.Node); ok {
+		s.applyReport(node, result.Report)
+	}
+	i, ok := s.allocations.index[result.Allocation]
+	if !ok {
+		return
+	}
+	alloc := &s.allocations.all[i]
+	if !alloc.inFlight || int(result.Attempt) != alloc.attempts-1 {
+		return
+	}
+	alloc.answered = alloc.answered || result.Answered
+	node := &s.nodes.all[alloc.node]
+	for x := len(chain) - 1; x >= 0; x-- {
+		chain[x].handleOutcome(s, alloc, node, result.Outcome, result.Reason)
+	}
+	s.forget(i)
+	s.queue.nextScanAt = min(s.queue.nextScanAt, now+rescanDelay)
+}
--- /dev/null
+++ b/logic/filters.go
@@ -0,0 +1,60 @@
+package logic
+
+import "slices"
+
+// maxUnanswered is how many own attempts at one node may be unanswered at once.
+const maxUnanswered = 6
+
+// nodeAccepts applies the filters that depend on what a node can take: they are alike for all allocations of the same demand and weight.
+func (s *Scheduler) nodeAccepts(alloc *allocation, node *nodeState) bool {
+	class := &s.classes[alloc.class]
+	if s.now < node.backoffUntil || len(node.unanswered) >= maxUnanswered || class.NodeKind >= 0 && node.kind != class.NodeKind {
+		return false
+	}
+	if node.reservedForLarge && node.capacity.reported && class.PriorityWeight < s.large.weight &&
+		!s.fits(node, alloc.size.plus(s.large.size)) {
+		return false
+	}
+	if node.health.lastAnswerAt < 0 && len(node.unanswered) > 0 || s.now < node.warmingUntil && !s.slowStartAllows(node) {
+		return false
+	}
+	return !node.capacity.reported || s.fits(node, alloc.size)
+}
+
+// allocationAllows applies the filters that depend on the allocation's past and on its service: nodes that failed it, its idempotency scope,
+// its spread constraint.
+func (s *Scheduler) allocationAllows(alloc *allocation, i int, node *nodeState) bool {
+	return !slices.Contains(alloc.failedNodes, i) && s.withinIdempotencyScope(alloc, node) && s.spreadAllows(alloc, i, node)
+}
+
+// withinIdempotencyScope reports whether a node recognises a repeat of the allocation, if an earlier attempt may have run.
+func (s *Scheduler) withinIdempotencyScope(alloc *allocation, node *nodeState) bool {
+	class := &s.classes[alloc.class]
+	if !alloc.mayHaveRun || class.Semantics != Idempotent {
+		return true
+	}
+	first := &s.nodes.all[alloc.mayHaveRunNode]
+	switch class.IdempotencyScope {
+	case ScopeZone:
+		return first.zone == node.zone
+	case ScopeCell:
+		return first.cell == node.cell
+	}
+	return true
+}
+
+// spreadAllows reports whether the spread constraint admits one more allocation of the service on a node.
+func (s *Scheduler) spreadAllows(alloc *allocation, i int, node *nodeState) bool {
+	class := &s.classes[alloc.class]
+	if class.Spread == Anywhere {
+		return true
+	}
+	maxDiversity := [...]int{Anywhere: 0, PerNode: sameNode, PerCell: sameCell, PerZone: sameZone}[class.Spread]
+	together := 0
+	for _, p := range s.services.all[alloc.service].placements {
+		if diversity(&s.nodes.all[p.node], node, p.node == i) <= maxDiversity {
+			together += p.count
+		}
+	}
+	return together < class.MaxPerScope
+}
--- a/logic/full_test.go
+++ b/logic/full_test.go
@@ -21,7 +21,7 @@
 		x.scheduler.OnListBegin(x.now, ListChanges)
 		x.scheduler.OnListNode(x.now, ListEntry{Node: 13, Availability: Ready, FreeCores: 64, FreeMemory: 128, Kind: 1})
 		x.scheduler.OnListEnd(x.now)
-		x.scheduler.nodes[3].warmingUntil, x.scheduler.nodes[3].lastHeard = 0, x.now
+		x.scheduler.nodes.all[3].warmingUntil, x.scheduler.nodes.all[3].health.lastAnswerAt = 0, x.now
 		for id := uint32(1); id < 120; id++ {
 			x.now += 100 * rng.Float64()
 			size := float64(1 + rng.IntN(12))
@@ -35,27 +35,27 @@
 			}
 			x.scheduler.OnTimer(x.now, timerScan)
 			x.scheduler.Decide(x.now)
-			spared += len(x.scheduler.waiting) - len(x.scheduler.unplaceable)
-			for _, i := range x.scheduler.waiting {
-				a := &x.scheduler.allocations[i]
-				for n := range x.scheduler.nodes {
-					if nd := &x.scheduler.nodes[n]; nd.availability == Ready && x.scheduler.nodeAccepts(a, nd) && x.scheduler.allocationAllows(a, n, nd) {
+			spared += len(x.scheduler.queue.waiting) - len(x.scheduler.queue.unplaceable)
+			for _, i := range x.scheduler.queue.waiting {
+				a := &x.scheduler.allocations.all[i]
+				for n := range x.scheduler.nodes.all {
+					if nd := &x.scheduler.nodes.all[n]; nd.availability == Ready && x.scheduler.nodeAccepts(a, nd) && x.scheduler.allocationAllows(a, n, nd) {
 						t.Fatalf("seed %d: %d waits, and node %d would take it", seed, a.id, nd.id)
 					}
 				}
 			}
-			for n := range x.scheduler.nodes {
-				nd := &x.scheduler.nodes[n]
-				c, m := x.scheduler.allocatedOn(nd)
-				nd.allocatedValid = false
-				if c2, m2 := x.scheduler.allocatedOn(nd); c != c2 || m != m2 {
-					t.Fatalf("seed %d: node %d holds %g and %g, kept as %g and %g", seed, nd.id, c2, m2, c, m)
+			for n := range x.scheduler.nodes.all {
+				nd := &x.scheduler.nodes.all[n]
+				kept := nd.capacity.allocated()
+				nd.capacity.sumValid = false
+				if summed := nd.capacity.allocated(); kept != summed {
+					t.Fatalf("seed %d: node %d holds %g and %g, kept as %g and %g", seed, nd.id, summed.cores, summed.memory, kept.cores, kept.memory)
 				}
 			}
-			if out := slices.DeleteFunc(slices.Clone(x.scheduler.allocations), func(a allocation) bool { return !a.inFlight }); len(out) > 0 {
+			if out := slices.DeleteFunc(slices.Clone(x.scheduler.allocations.all), func(a allocation) bool { return !a.inFlight }); len(out) > 0 {
 				sent++
 				a := out[rng.IntN(len(out))]
-				nd := x.scheduler.nodes[a.node].id
+				nd := x.scheduler.nodes.all[a.node].id
 				try := uint8(a.attempts - 1)
 				if !a.running && rng.IntN(2) == 0 {
 					x.scheduler.OnStarted(x.now, a.id, try, 50)
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -74,8 +74,8 @@
 		x.node(uint32(10+i), Ready, 0)
 	}
 	x.scheduler.OnListEnd(testStart)
-	for i := range x.scheduler.nodes {
-		x.scheduler.nodes[i].lastHeard = testStart
+	for i := range x.scheduler.nodes.all {
+		x.scheduler.nodes.all[i].health.lastAnswerAt = testStart
 	}
 	return x
 }
--- /dev/null
+++ b/logic/list.go
@@ -0,0 +1,101 @@
+package logic
+
+import "fmt"
+
+const (
+	firstPollSpread  = 25   // first polls are spread over so long for each scheduler, ms
+	pollBackoff      = 1500 // until the next poll after one that failed, ms; grows with each failure
+	maxBackoffFactor = 4    // to this multiple
+	pollAt           = 0.7  // part of ListMaxSilence after which a silent subscription is renewed
+)
+
+// listState is the state of the subscription to the node list.
+type listState struct {
+	kind       ListKind // of the present message
+	version    int      // number of the present message
+	failures   int      // of polls, in a row
+	lastAt     float64  // the last message
+	nextPollAt float64
+}
+
+// OnListBegin implements EventHandler.
+func (s *Scheduler) OnListBegin(now float64, kind ListKind) {
+	s.now, s.list.kind = now, kind
+	s.list.version++
+	if kind == ListCached {
+		s.probeCredit = initialProbeCredit
+	}
+}
+
+// OnListNode implements EventHandler.
+func (s *Scheduler) OnListNode(now float64, entry ListEntry) {
+	i, known := s.nodes.index[entry.Node]
+	if !known {
+		i = len(s.nodes.all)
+		s.nodes.index[entry.Node] = i
+		s.nodes.all = append(s.nodes.all, nodeState{id: entry.Node, availability: Unavailable, health: newNodeHealth(len(s.classes))})
+	}
+	node := &s.nodes.all[i]
+	// whether the node has started, or come back, since the last message
+	restarted := !known && s.list.kind != ListCached ||
+		known && (node.availability == Unavailable || entry.StartedAt > node.startedAt)
+	node.listVersion, node.zone, node.cell, node.kind = s.list.version, entry.Zone, entry.Cell, entry.Kind
+	if entry.Kind < len(s.cluster.KindCores) {
+		node.capacity.resize(resources{s.cluster.KindCores[entry.Kind], s.cluster.KindMemory[entry.Kind]})
+	}
+	if entry.Availability == Ready && (restarted || node.availability != Ready) {
+		s.bringIntoUse(node, entry.StartedAt, restarted)
+	}
+	node.availability, node.startedAt = entry.Availability, entry.StartedAt
+	if s.cluster.ListsReportLoad && entry.Availability == Ready {
+		delay := float64(listDelay)
+		if s.list.kind == ListCached {
+			delay = changeRetention
+		}
+		node.capacity.measure(resources{entry.FreeCores, entry.FreeMemory}, now-delay)
+	}
+}
+
+// OnListEnd implements EventHandler.
+func (s *Scheduler) OnListEnd(now float64) {
+	if s.list.kind == ListFailed {
+		s.pollFailed(now)
+		return
+	}
+	if s.list.kind != ListCached {
+		s.listReceived(now)
+	}
+	if s.list.kind != ListChanges {
+		for i := range s.nodes.all {
+			if s.nodes.all[i].listVersion != s.list.version {
+				s.nodes.all[i].availability = Unavailable
+			}
+		}
+	}
+}
+
+// pollFailed plans the next poll.
+func (s *Scheduler) pollFailed(now float64) {
+	s.list.failures++
+	s.list.nextPollAt = now + pollBackoff*float64(min(s.list.failures, maxBackoffFactor))*(0.5+s.random.float())
+	if s.list.failures == 1 {
+		s.effects.Log(fmt.Sprintf("list: call failed, %.1f s after the last news", (now-s.list.lastAt)/1000))
+	}
+}
+
+// listReceived plans the next poll well before silence counts as informed.
+func (s *Scheduler) listReceived(now float64) {
+	if s.list.failures > 0 {
+		s.effects.Log(fmt.Sprintf("list: back after %d failed calls, %.1f s", s.list.failures, (now-s.list.lastAt)/1000))
+	}
+	s.list.failures, s.list.lastAt = 0, now
+	s.list.nextPollAt = now + s.cluster.ListMaxSilence*pollAt
+}
+
+// pollList subscribes to the list again when that is due.
+func (s *Scheduler) pollList() {
+	if s.cluster.PollsList && s.now >= s.list.nextPollAt {
+		s.list.nextPollAt = s.now + 2*pollBackoff*(1+s.random.float())
+		s.effects.WatchList(true)
+	}
+}
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -39,7 +39,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			x := newHarness(t, testCluster(), 12)
 			x.request(1, c.jobType, 5)
-			first := x.scheduler.nodes[x.scheduler.nodeIndex[x.effects.lastNode()]].zone
+			first := x.scheduler.nodes.all[x.scheduler.nodes.index[x.effects.lastNode()]].zone
 			x.expect("offer", 1)
 			x.complete(1, 0, c.v, InsufficientCores)
 			if c.want == fail {
@@ -48,7 +48,7 @@
 				return
 			}
 			x.expect("offer 1 ", 2)
-			second := x.scheduler.nodes[x.scheduler.nodeIndex[x.effects.lastNode()]].zone
+			second := x.scheduler.nodes.all[x.scheduler.nodes.index[x.effects.lastNode()]].zone
 			if c.jobType == 1 && c.v != Rejected && second != first {
 				t.Errorf("a tokened try that may have run left its group: zone %d after %d", second, first)
 			}
@@ -99,7 +99,7 @@
 			x.scheduler.Decide(x.now)
 			offers := x.effects.count("offer")
 			x.expect(c.want, 1)
-			if len(x.scheduler.allocations) > 0 && x.scheduler.allocations[0].inFlight {
+			if len(x.scheduler.allocations.all) > 0 && x.scheduler.allocations.all[0].inFlight {
 				x.complete(1, 0, Cancelled, ReasonUnknown)
 			}
 			x.advance(1000)
@@ -159,7 +159,7 @@
 			x.scheduler.OnListBegin(x.now, kind)
 			x.node(10, Ready, x.now-c.since)
 			x.scheduler.OnListEnd(x.now)
-			x.scheduler.nodes[0].lastHeard = x.now
+			x.scheduler.nodes.all[0].health.lastAnswerAt = x.now
 			if c.since > 0 {
 				x.advance(c.after)
 			}
@@ -170,7 +170,7 @@
 						Allocation: id, Node: 10, Duration: 5,
 						Reason: NotAccepting, Outcome: Rejected,
 					})
-					x.scheduler.nodes[0].backoffUntil = 0
+					x.scheduler.nodes.all[0].backoffUntil = 0
 					x.scheduler.Decide(x.now)
 				}
 			}
@@ -251,7 +251,7 @@
 			x.request(1, 0, 5)
 			x.now += c.gap
 			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1, Report: []float64{30, 70}})
-			if cores, _ := x.scheduler.allocatedOn(&x.scheduler.nodes[0]); cores != c.want {
+			if cores := x.scheduler.nodes.all[0].capacity.allocated().cores; cores != c.want {
 				t.Errorf("%v cores taken, want %v", cores, c.want)
 			}
 		})
@@ -266,10 +266,10 @@
 	for id := range uint32(2) { // the service runs on node 10 and on node 14, zones 0 and 1
 		x.scheduler.OnRecovered(x.now, Recovered{Request: Request{Allocation: id, Service: 5, Cores: 1, Memory: 2}, Node: 10 + 4*id})
 	}
-	a := &x.scheduler.allocations[x.scheduler.track(&Request{Allocation: 9, Service: 5, Cores: 1, Memory: 2})]
+	a := &x.scheduler.allocations.all[x.scheduler.track(&Request{Allocation: 9, Service: 5, Cores: 1, Memory: 2})]
 	x.scheduler.survey()
 	fetch := func(i int) float64 {
-		return min(maxFetchCost, 12*fetchCostPerRank*hashFraction(5, x.scheduler.nodes[i].id))
+		return min(maxFetchCost, 12*fetchCostPerRank*hashFraction(5, x.scheduler.nodes.all[i].id))
 	}
 	for _, c := range []struct {
 		name string
@@ -310,7 +310,7 @@
 			x.complete(0, 0, Rejected, c.why)
 			x.scheduler.Decide(x.now + scanInterval)
 			x.scheduler.Decide(x.now + max(2*scanInterval, c.after))
-			if got := len(x.scheduler.nodes[0].unanswered); got != c.want {
+			if got := len(x.scheduler.nodes.all[0].unanswered); got != c.want {
 				t.Errorf("%d unanswered, want %d", got, c.want)
 			}
 		})
@@ -356,7 +356,7 @@
 			}
 			x.updateNode(10, Unavailable, 0)
 			x.updateNode(10, Ready, x.now)
-			if x.scheduler.nodes[0].backoffUntil > x.now || x.scheduler.nodes[0].rejections > 0 {
+			if x.scheduler.nodes.all[0].backoffUntil > x.now || x.scheduler.nodes.all[0].rejections > 0 {
 				t.Error("it still rests after its return")
 			}
 		})
@@ -418,11 +418,11 @@
 			for cl.Index = range c.schedulers {
 				x := newHarness(t, cl, 0)
 				x.updateNode(10, Ready, testStart)
-				x.scheduler.nodes[0].warmingUntil = math.Inf(1)
+				x.scheduler.nodes.all[0].warmingUntil = math.Inf(1)
 				sent := len(at)
 				for x.now = testStart; x.now < testStart+60000; x.now += 500 {
-					if x.scheduler.now = x.now; x.scheduler.slowStartAllows(&x.scheduler.nodes[0]) {
-						x.scheduler.nodes[0].sentAttempts = append(x.scheduler.nodes[0].sentAttempts, x.now)
+					if x.scheduler.now = x.now; x.scheduler.slowStartAllows(&x.scheduler.nodes.all[0]) {
+						x.scheduler.nodes.all[0].sentAttempts = append(x.scheduler.nodes.all[0].sentAttempts, x.now)
 						at = append(at, x.now)
 					}
 				}
@@ -455,7 +455,7 @@
 			cl := testCluster()
 			cl.SlowStartLimit = c.bears
 			x := newHarness(t, cl, 1)
-			x.scheduler.nodes[0].lastHeard = -1
+			x.scheduler.nodes.all[0].health.lastAnswerAt = -1
 			x.request(0, 0, 5)
 			if c.answer {
 				x.scheduler.OnStarted(x.now, 0, 0, 100)
@@ -485,7 +485,7 @@
 				x.request(id, 0, uint64(id))
 			}
 			used := false
-			for _, nd := range x.scheduler.nodes[1:] {
+			for _, nd := range x.scheduler.nodes.all[1:] {
 				used = used || len(nd.unanswered) > 0
 			}
 			if used != c.empty {
@@ -511,8 +511,8 @@
 				Memory: 32,
 			}) // a large one is seen
 			x.scheduler.OnExpired(x.now, 99)
-			x.scheduler.largeMemory = [2]float64{100, 400}
-			for i := range x.scheduler.nodes {
+			x.scheduler.large.memory, x.scheduler.large.totalMemory = 100, 400
+			for i := range x.scheduler.nodes.all {
 				x.scheduler.OnProbeResult(x.now, ProbeResult{
 					Node: uint32(10 + i), Outcome: Completed, Duration: 1,
 					Report: []float64{20, c.free},
@@ -522,7 +522,7 @@
 				x.request(id, c.jobType, uint64(id))
 			}
 			homes, used := 0, false
-			for _, nd := range x.scheduler.nodes {
+			for _, nd := range x.scheduler.nodes.all {
 				if nd.reservedForLarge {
 					homes++
 					used = used || len(nd.unanswered) > 0
@@ -556,7 +556,7 @@
 			for id := uint32(10); id < 12; id++ {
 				x.scheduler.OnProbeResult(x.now, ProbeResult{Node: id, Outcome: Completed, Duration: 1, Report: []float64{20, 40}})
 			}
-			x.scheduler.probeCredit, x.scheduler.scanAt = 2, 0
+			x.scheduler.probeCredit, x.scheduler.queue.nextScanAt = 2, 0
 			if !c.fresh {
 				x.now += 20000
 			}
@@ -596,7 +596,7 @@
 			x := newHarness(t, testCluster(), 4)
 			for i := range c.bad {
 				for range historyLength {
-					x.scheduler.nodes[i].recordOutcome(0, 0)
+					x.scheduler.nodes.all[i].health.record(0, 0)
 				}
 			}
 			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1})
@@ -633,9 +633,9 @@
 			x := newHarness(t, testCluster(), 1)
 			x.request(1, 0, 5)
 			x.complete(1, 0, c.v, ReasonUnknown)
-			nd := &x.scheduler.nodes[0]
-			if got := nd.failureRate(0) > 0; got != c.risk || nd.unhealthy != c.ill || nd.failureRate(1) > 0 {
-				t.Errorf("risk %v, of another type %v, ill %t", nd.failureRate(0), nd.failureRate(1), nd.unhealthy)
+			nd := &x.scheduler.nodes.all[0]
+			if got := nd.health.failureRate(0) > 0; got != c.risk || nd.health.unreachable != c.ill || nd.health.failureRate(1) > 0 {
+				t.Errorf("risk %v, of another type %v, ill %t", nd.health.failureRate(0), nd.health.failureRate(1), nd.health.unreachable)
 			}
 		})
 	}
@@ -659,15 +659,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			x := newHarness(t, testCluster(), 4)
 			for i := range 4 * c.before {
-				x.scheduler.nodes[i%4].recordOutcome(0, 0)
+				x.scheduler.nodes.all[i%4].health.record(0, 0)
 			}
 			x.request(1, 0, 5)
 			for try := range c.tries {
 				x.complete(1, uint8(try), c.v, ReasonUnknown)
 			}
 			risk := 0.0
-			for i := range x.scheduler.nodes {
-				risk += x.scheduler.nodes[i].failureRate(0)
+			for i := range x.scheduler.nodes.all {
+				risk += x.scheduler.nodes.all[i].health.failureRate(0)
 			}
 			if risk != c.want {
 				t.Errorf("risk %v, want %v", risk, c.want)
@@ -684,15 +684,15 @@
 		x.request(1, 0, 5)
 		for try := range 3 {
 			x.complete(1, uint8(try), Errored, ReasonUnknown)
-			for i := range x.scheduler.nodes {
+			for i := range x.scheduler.nodes.all {
 				for range successes {
-					x.scheduler.nodes[i].recordOutcome(0, 1)
+					x.scheduler.nodes.all[i].health.record(0, 1)
 				}
 			}
 		}
 		x.complete(1, 3, Errored, ReasonUnknown)
-		for i := range x.scheduler.nodes {
-			if risk := x.scheduler.nodes[i].failureRate(0); risk != 0 {
+		for i := range x.scheduler.nodes.all {
+			if risk := x.scheduler.nodes.all[i].health.failureRate(0); risk != 0 {
 				t.Errorf("%d successes since: risk %v of node %d, want 0", successes, risk, i)
 			}
 		}
@@ -708,7 +708,7 @@
 	x.scheduler.OnStarted(x.now, 1, 0, 150)
 	x.scheduler.Decide(x.now)
 	x.expect("probe", 0)
-	if x.scheduler.nodes[0].unhealthy {
+	if x.scheduler.nodes.all[0].health.unreachable {
 		t.Error("a node was held silent while the scheduler stood still")
 	}
 }
@@ -723,14 +723,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			x := newHarness(t, testCluster(), 2)
 			x.request(1, 0, 5)
-			nd := &x.scheduler.nodes[x.scheduler.nodeIndex[x.effects.lastNode()]]
+			nd := &x.scheduler.nodes.all[x.scheduler.nodes.index[x.effects.lastNode()]]
 			x.advance(c.quiet)
-			if nd.unhealthy != c.ill {
-				t.Errorf("ill: %t", nd.unhealthy)
+			if nd.health.unreachable != c.ill {
+				t.Errorf("ill: %t", nd.health.unreachable)
 			}
 			x.advance(1200)
 			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: nd.id, Outcome: Completed, Duration: 1})
-			if nd.unhealthy {
+			if nd.health.unreachable {
 				t.Error("a node that answers stays ill")
 			}
 		})
--- /dev/null
+++ b/logic/resources.go
@@ -0,0 +1,24 @@
+package logic
+
+// resources is an amount of cores and memory.
+type resources struct{ cores, memory float64 }
+
+func (r resources) plus(other resources) resources {
+	return resources{r.cores + other.cores, r.memory + other.memory}
+}
+
+func (r resources) minus(other resources) resources {
+	return resources{r.cores - other.cores, r.memory - other.memory}
+}
+
+func (r resources) times(factor float64) resources {
+	return resources{factor * r.cores, factor * r.memory}
+}
+
+// of is the amount that a metric of use is about, which has to be CoresUsed or MemoryUsed.
+func (r *resources) of(metric TaskMetric) *float64 {
+	if metric == MemoryUsed {
+		return &r.memory
+	}
+	return &r.cores
+}
--- a/logic/speed_test.go
+++ b/logic/speed_test.go
@@ -36,7 +36,7 @@
 				s.Decide(now)
 				s.OnStarted(now, id, 0, 50)
 				if id > 500 {
-					nd := s.nodes[s.allocations[s.allocationIndex[id-500]].node].id
+					nd := s.nodes.all[s.allocations.all[s.allocations.index[id-500]].node].id
 					s.OnOutcome(now, AttemptResult{Allocation: id - 500, Node: nd, Duration: 1000, Outcome: Completed})
 				}
 			}
--- /dev/null
+++ b/logic/timers.go
@@ -0,0 +1,51 @@
+package logic
+
+// tickInterval is the interval of periodic work, ms.
+const tickInterval = 100
+
+// Keys of timers.
+const (
+	timerTick     = iota    // periodic work
+	timerScan               // scan of the queue
+	timerDeadline = 1 << 32 // plus an allocation's id: its deadline
+)
+
+// OnTimer implements EventHandler.
+func (s *Scheduler) OnTimer(now float64, key uint64) {
+	s.now = now
+	switch key {
+	case timerTick:
+		s.tickDue = true
+		s.effects.SetTimer(tickInterval, timerTick)
+	case timerScan:
+		s.queue.scanTimerSet = false
+	default:
+		s.deadlineReached(uint32(key - timerDeadline))
+	}
+}
+
+// deadlineReached gives an allocation its final answer. An attempt in flight is cancelled where that is possible.
+func (s *Scheduler) deadlineReached(id uint32) {
+	i, ok := s.allocations.index[id]
+	if !ok || s.allocations.all[i].answered {
+		return
+	}
+	alloc := &s.allocations.all[i]
+	if alloc.inFlight && s.cluster.CanCancel {
+		s.effects.Cancel(alloc.id, uint8(alloc.attempts-1))
+	}
+	s.answer(alloc)
+	s.queue.nextScanAt = s.now
+}
+
+// tick does periodic work: health checks, decay of failures, probes for load reports, polls of the node list.
+func (s *Scheduler) tick() {
+	for i := range s.nodes.all {
+		if node := &s.nodes.all[i]; node.availability == Ready {
+			s.checkSilence(node)
+			node.health.decay(s.now)
+		}
+	}
+	s.refreshReports()
+	s.pollList()
+}
--- /dev/null
+++ b/logic/usage.go
@@ -0,0 +1,72 @@
+package logic
+
+const (
+	usageGrowthTime = 8000  // for so long after a start the use of memory grows, ms
+	usageMemory     = 0.998 // weight that a past measurement keeps with each new one
+)
+
+// initialUsage is a guess of little weight, for the time before the first measurements.
+var initialUsage = usageModel{used: resources{12, 14}, allocated: resources{20, 20}}
+
+// usageModel learns what part of their allocated resources this scheduler's own tasks use.
+type usageModel struct {
+	used, allocated resources // sums over measurements, older ones with less weight
+}
+
+// ratio is the part of allocated resources that is in use.
+func (u *usageModel) ratio() resources {
+	return resources{u.used.cores / u.allocated.cores, u.used.memory / u.allocated.memory}
+}
+
+// expected is what an allocation of a size uses.
+func (u *usageModel) expected(size resources) resources {
+	ratio := u.ratio()
+	return resources{size.cores * ratio.cores, size.memory * ratio.memory}
+}
+
+// observe takes a measurement of an allocation of a size.
+func (u *usageModel) observe(metric TaskMetric, value float64, size resources) {
+	used, allocated := u.used.of(metric), u.allocated.of(metric)
+	*used = *used*usageMemory + value
+	*allocated = *allocated*usageMemory + *size.of(metric)
+}
+
+// usageOn is what is in use on a node: by own tasks as measured, by others the usual part of what is allocated to them.
+func (s *Scheduler) usageOn(node *nodeState) resources {
+	allocated, ratio := node.capacity.allocated(), s.usage.ratio()
+	return resources{
+		node.capacity.ownUsage.cores + ratio.cores*(allocated.cores-node.capacity.reserved.cores),
+		node.capacity.ownUsage.memory + ratio.memory*(allocated.memory-node.capacity.reserved.memory),
+	}
+}
+
+// OnTaskMetric implements EventHandler: it learns how much of their resources allocations use, and how well they are served.
+func (s *Scheduler) OnTaskMetric(now float64, sample TaskSample) {
+	s.now = now
+	i, ok := s.allocations.index[sample.Allocation]
+	if !ok {
+		return
+	}
+	alloc := &s.allocations.all[i]
+	switch sample.Metric {
+	case ServedShare:
+		if alloc.running {
+			s.nodes.all[alloc.node].health.observeService(now, sample.Value)
+		}
+	case CoresUsed, MemoryUsed:
+		if alloc.inFlight {
+			s.observeUsage(alloc, sample.Metric, sample.Value)
+		}
+	}
+}
+
+// observeUsage takes a measurement of what an allocation uses. Until its use has stopped growing it counts with no less than expected.
+func (s *Scheduler) observeUsage(alloc *allocation, metric TaskMetric, value float64) {
+	known := alloc.usage.of(metric)
+	if s.now-alloc.sentAt < usageGrowthTime {
+		value = max(value, *known)
+	}
+	*s.nodes.all[alloc.node].capacity.ownUsage.of(metric) += value - *known
+	*known = value
+	s.usage.observe(metric, value, alloc.size)
+}
