--- a/logic/belief_test.go
+++ b/logic/belief_test.go
@@ -6,19 +6,19 @@
 	"pgregory.net/rapid"
 )
 
-// TestMistaken holds what is believed of a node's free room against a report: own binds up to its time are expected in
-// it, later ones are not, and what others took is the error.
-func TestMistaken(t *testing.T) {
+// TestBeliefError compares what is believed to be free on a node with a report: own changes up to its time are expected in it, later ones are
+// not, and what others took is the error.
+func TestBeliefError(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		after         float64 // from the bind to the report's arrival
+		after         float64 // from the attempt to the report's arrival
 		cores, memory float64 // what the report says is free
 		off, offM     float64
 	}{
 		{"as believed", 2 * reportDelay, 29, 58, 0, 0},
 		{"others took some", 2 * reportDelay, 20, 48, 9, 10},
 		{"others gave some back", 2 * reportDelay, 35, 58, -6, 0},
-		{"a bind since it was measured", reportDelay / 2, 30, 60, 0, 0},
+		{"an attempt since it was measured", reportDelay / 2, 30, 60, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newHarness(t, testCluster(), 1)
@@ -31,7 +31,7 @@
 			}
 			x.now += reportDelay
 			x.request(1, 0, 5)
-			x.expect("offer 1 10", 1)
+			x.expect("attempt 1 10", 1)
 			x.now += c.after
 			report := []float64{c.cores, c.memory}
 			cores, memory, ok := x.scheduler.BeliefError(x.now, 10, report)
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestBelieves tells health as it was judged.
-func TestBelieves(t *testing.T) {
+// TestNodeBelief checks failure rate and degradation.
+func TestNodeBelief(t *testing.T) {
 	x := newHarness(t, testCluster(), 1)
 	if _, ok := x.scheduler.NodeBelief(11); ok {
 		t.Error("an unknown node")
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestNeverReady has nodes named that this scheduler has never seen ready, with tasks from before a restart whose ends
-// bring reports: all that is offered to be read can be read.
-func TestNeverReady(t *testing.T) {
+// TestBeliefNeverReady names nodes that have never been ready, with allocations from before a restart whose ends bring reports: the belief
+// can be read all the same.
+func TestBeliefNeverReady(t *testing.T) {
 	for _, avail := range []Availability{Draining, Unavailable} {
 		x := newHarness(t, testCluster(), 1)
 		x.updateNode(11, avail, 0)
@@ -81,89 +81,112 @@
 			Allocation: 5, Node: 11, Duration: 100, Answered: true,
 			Outcome: Completed, Report: []float64{30, 60},
 		})
-		if b, ok := x.scheduler.NodeBelief(11); !ok || b.Cores != 31 || b.FailureRate != 0 { // one of them given back since it was measured
+		if b, ok := x.scheduler.NodeBelief(11); !ok || b.Cores != 31 || b.FailureRate != 0 { // one core was released since it was measured
 			t.Errorf("named as %d: %+v, %t", avail, b, ok)
 		}
 		x.scheduler.BeliefError(x.now+2*reportDelay, 11, []float64{30, 60})
 	}
 }
 
-// TestRead names nodes in every state, in lists of every kind, over restarts, with found tasks, tries, probes and
-// reports from any of them; after each event all that the module offers to be read is read of every node.
-func TestRead(t *testing.T) {
+// beliefHistory draws events for a scheduler.
+type beliefHistory struct {
+	*harness
+	rt     *rapid.T
+	lastID uint32
+}
+
+func (h *beliefHistory) restart() {
+	h.harness, h.lastID = &harness{t: h.t, effects: &recorder{}, now: testStart}, 0
+	h.scheduler = New(h.effects, testStart, rapid.Uint64().Draw(h.rt, "seed"), testCluster())
+}
+
+func (h *beliefHistory) drawNode() uint32 { return uint32(rapid.IntRange(10, 16).Draw(h.rt, "node")) }
+func (h *beliefHistory) drawClass() int   { return rapid.IntRange(0, 2).Draw(h.rt, "class") }
+
+func (h *beliefHistory) drawOutcome() Outcome {
+	return Outcome(rapid.IntRange(0, int(NotSent)).Draw(h.rt, "outcome"))
+}
+
+func (h *beliefHistory) drawReport() []float64 {
+	if rapid.Bool().Draw(h.rt, "without a report") {
+		return nil
+	}
+	return []float64{rapid.Float64Range(-5, 40).Draw(h.rt, "cores"), rapid.Float64Range(-5, 80).Draw(h.rt, "memory")}
+}
+
+// drawInFlight is an allocation with an attempt in flight, nil if the draw meets none.
+func (h *beliefHistory) drawInFlight() *allocation {
+	id := rapid.Uint32Range(1, 20).Draw(h.rt, "alloc")
+	if i, ok := h.scheduler.allocations.index[id]; ok && h.scheduler.allocations.all[i].inFlight {
+		return &h.scheduler.allocations.all[i]
+	}
+	return nil
+}
+
+func (h *beliefHistory) list(*rapid.T) {
+	h.scheduler.OnListBegin(h.now, ListKind(rapid.IntRange(0, int(ListFailed)).Draw(h.rt, "kind")))
+	for range rapid.IntRange(0, 4).Draw(h.rt, "nodes") {
+		since := rapid.SampledFrom([]float64{0, h.now - 100, h.now + 50}).Draw(h.rt, "since")
+		h.node(h.drawNode(), Availability(rapid.IntRange(0, int(Draining)).Draw(h.rt, "state")), since)
+	}
+	h.scheduler.OnListEnd(h.now)
+}
+
+func (h *beliefHistory) recovered(*rapid.T) {
+	h.lastID++
+	node := h.drawNode()
+	request := Request{Allocation: h.lastID, Class: h.drawClass(), Service: 9, Cores: 1, Memory: 2}
+	h.scheduler.OnRecovered(h.now, Recovered{Request: request, Node: node})
+}
+
+func (h *beliefHistory) requested(*rapid.T) {
+	h.lastID++
+	h.request(h.lastID, h.drawClass(), 9)
+}
+
+func (h *beliefHistory) started(*rapid.T) {
+	if a := h.drawInFlight(); a != nil && !a.running {
+		h.scheduler.OnStarted(h.now, a.id, uint8(a.attempts-1), 50)
+	}
+}
+
+func (h *beliefHistory) completed(*rapid.T) {
+	if a := h.drawInFlight(); a != nil {
+		h.scheduler.OnOutcome(h.now, AttemptResult{
+			Allocation: a.id, Node: h.scheduler.nodes.all[a.node].id, Attempt: uint8(a.attempts - 1), Duration: 50, Answered: a.answered,
+			Reason: Reason(rapid.IntRange(0, int(Displaced)).Draw(h.rt, "why")), Outcome: h.drawOutcome(), Report: h.drawReport(),
+		})
+	}
+}
+
+func (h *beliefHistory) probed(*rapid.T) {
+	h.scheduler.OnProbeResult(h.now, ProbeResult{Node: h.drawNode(), Outcome: h.drawOutcome(), Duration: 5, Report: h.drawReport()})
+}
+
+// readAll reads the belief of every node and of two that are not known.
+func (h *beliefHistory) readAll(*rapid.T) {
+	for id := uint32(9); id < 18; id++ {
+		h.scheduler.NodeBelief(id)
+		h.scheduler.BeliefError(h.now, id, []float64{1, 1})
+		h.scheduler.BeliefError(h.now, id, nil)
+	}
+}
+
+// TestBeliefAnyHistory names nodes in every state, in lists of every kind, over restarts, with recovered allocations, attempts, probes and
+// reports from any of them; after each event the belief of every node is read.
+func TestBeliefAnyHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var x *harness
-		var ids uint32
-		found := map[uint32]uint32{}
-		begin := func() {
-			x, ids = &harness{t: t, effects: &recorder{}, now: testStart}, 0
-			x.scheduler = New(x.effects, testStart, rapid.Uint64().Draw(rt, "seed"), testCluster())
-			clear(found)
-		}
-		begin()
-		node := func() uint32 { return uint32(rapid.IntRange(10, 16).Draw(rt, "node")) }
-		report := func() []float64 {
-			if rapid.Bool().Draw(rt, "without a report") {
-				return nil
-			}
-			return []float64{rapid.Float64Range(-5, 40).Draw(rt, "cores"), rapid.Float64Range(-5, 80).Draw(rt, "memory")}
-		}
-		verdict := func() Outcome { return Outcome(rapid.IntRange(0, int(NotSent)).Draw(rt, "verdict")) }
+		h := &beliefHistory{harness: &harness{t: t}, rt: rt}
+		h.restart()
 		rt.Repeat(map[string]func(*rapid.T){
 			"restart": func(*rapid.T) {
 				if rapid.IntRange(0, 5).Draw(rt, "really") == 0 {
-					begin()
-				}
-			},
-			"list": func(*rapid.T) {
-				x.scheduler.OnListBegin(x.now, ListKind(rapid.IntRange(0, int(ListFailed)).Draw(rt, "kind")))
-				for range rapid.IntRange(0, 4).Draw(rt, "nodes") {
-					since := rapid.SampledFrom([]float64{0, x.now - 100, x.now + 50}).Draw(rt, "since")
-					x.node(node(), Availability(rapid.IntRange(0, int(Draining)).Draw(rt, "state")), since)
-				}
-				x.scheduler.OnListEnd(x.now)
-			},
-			"found": func(*rapid.T) {
-				ids++
-				found[ids] = node()
-				x.scheduler.OnRecovered(x.now, Recovered{Request: Request{
-					Allocation: ids,
-					Class:      rapid.IntRange(0, 2).Draw(rt, "job"), Service: 9, Cores: 1, Memory: 2,
-				}, Node: found[ids]})
-			},
-			"ask": func(*rapid.T) {
-				ids++
-				x.request(ids, rapid.IntRange(0, 2).Draw(rt, "job"), 9)
-			},
-			"started": func(*rapid.T) {
-				id := rapid.Uint32Range(1, 20).Draw(rt, "alloc")
-				if i, ok := x.scheduler.allocations.index[id]; ok && x.scheduler.allocations.all[i].inFlight && !x.scheduler.allocations.all[i].running {
-					x.scheduler.OnStarted(x.now, id, uint8(x.scheduler.allocations.all[i].attempts-1), 50)
-				}
-			},
-			"settled": func(*rapid.T) {
-				id := rapid.Uint32Range(1, 20).Draw(rt, "alloc")
-				if i, ok := x.scheduler.allocations.index[id]; ok && x.scheduler.allocations.all[i].inFlight {
-					a := &x.scheduler.allocations.all[i]
-					x.scheduler.OnOutcome(x.now, AttemptResult{
-						Allocation: id, Node: x.scheduler.nodes.all[a.node].id,
-						Attempt: uint8(a.attempts - 1), Duration: 50, Answered: a.answered,
-						Reason: Reason(rapid.IntRange(0, int(Displaced)).Draw(rt, "why")), Outcome: verdict(), Report: report(),
-					})
-
-				}
-			},
-			"probed": func(*rapid.T) {
-				x.scheduler.OnProbeResult(x.now, ProbeResult{Node: node(), Outcome: verdict(), Duration: 5, Report: report()})
-			},
-			"pass": func(*rapid.T) { x.advance(rapid.Float64Range(1, 1500).Draw(rt, "ms")) },
-			"": func(*rapid.T) {
-				for id := uint32(9); id < 18; id++ {
-					x.scheduler.NodeBelief(id)
-					x.scheduler.BeliefError(x.now, id, []float64{1, 1})
-					x.scheduler.BeliefError(x.now, id, nil)
+					h.restart()
 				}
 			},
+			"list": h.list, "recovered": h.recovered, "requested": h.requested, "started": h.started, "completed": h.completed, "probed": h.probed,
+			"pass": func(*rapid.T) { h.advance(rapid.Float64Range(1, 1500).Draw(rt, "ms")) },
+			"":     h.readAll,
 		})
 	})
 }
--- a/logic/speed_test.go
+++ b/logic/bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkDecide is what an allocation costs among 400 nodes: where there is room, and while hundreds wait for some.
+// BenchmarkDecide measures one allocation from request to outcome among 400 nodes, with room for it and while hundreds wait.
 func BenchmarkDecide(b *testing.B) {
 	for _, c := range []struct {
 		name  string
@@ -36,8 +36,8 @@
 				s.Decide(now)
 				s.OnStarted(now, id, 0, 50)
 				if id > 500 {
-					nd := s.nodes.all[s.allocations.all[s.allocations.index[id-500]].node].id
-					s.OnOutcome(now, AttemptResult{Allocation: id - 500, Node: nd, Duration: 1000, Outcome: Completed})
+					node := s.nodes.all[s.allocations.all[s.allocations.index[id-500]].node].id
+					s.OnOutcome(now, AttemptResult{Allocation: id - 500, Node: node, Duration: 1000, Outcome: Completed})
 				}
 			}
 		})
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -6,23 +6,25 @@
 	"testing"
 )
 
-// recorder is a host that writes down what the module asks for.
+// recorder implements Effects: it keeps one line for each call.
 type recorder struct{ lines []string }
 
 func (b *recorder) record(f string, args ...any) { b.lines = append(b.lines, fmt.Sprintf(f, args...)) }
 
-func (b *recorder) StartAttempt(alloc, node uint32, _ float64) { b.record("offer %d %d", alloc, node) }
-func (b *recorder) Shed(alloc uint32, _ float64)               { b.record("decline %d", alloc) }
-func (b *recorder) Fail(alloc uint32)                          { b.record("fail %d", alloc) }
-func (b *recorder) Cancel(alloc uint32, try uint8)             { b.record("recall %d %d", alloc, try) }
-func (b *recorder) Migrate(alloc uint32)                       { b.record("move %d", alloc) }
-func (b *recorder) Probe(node uint32)                          { b.record("probe %d", node) }
-func (b *recorder) WatchList(active bool)                      { b.record("follow") }
-func (b *recorder) ReloadList()                                { b.record("reload") }
-func (b *recorder) SetTimer(float64, uint64)                   {}
-func (b *recorder) Log(line string)                            { b.record("log %s", line) }
-
-// count is the number of lines that begin so.
+func (b *recorder) StartAttempt(alloc, node uint32, _ float64) {
+	b.record("attempt %d %d", alloc, node)
+}
+func (b *recorder) Shed(alloc uint32, _ float64)       { b.record("shed %d", alloc) }
+func (b *recorder) Fail(alloc uint32)                  { b.record("fail %d", alloc) }
+func (b *recorder) Cancel(alloc uint32, attempt uint8) { b.record("cancel %d %d", alloc, attempt) }
+func (b *recorder) Migrate(alloc uint32)               { b.record("migrate %d", alloc) }
+func (b *recorder) Probe(node uint32)                  { b.record("probe %d", node) }
+func (b *recorder) WatchList(active bool)              { b.record("watch") }
+func (b *recorder) ReloadList()                        { b.record("reload") }
+func (b *recorder) SetTimer(float64, uint64)           {}
+func (b *recorder) Log(line string)                    { b.record("log %s", line) }
+
+// count is the number of lines with a prefix.
 func (b *recorder) count(prefix string) int {
 	n := 0
 	for _, l := range b.lines {
@@ -33,18 +35,18 @@
 	return n
 }
 
-// lastNode is the node of the last offer, or 0.
+// lastNode is the node of the last attempt, or 0.
 func (b *recorder) lastNode() uint32 {
 	var alloc, node uint32
 	for _, l := range b.lines {
-		_, _ = fmt.Sscanf(l, "offer %d %d", &alloc, &node)
+		_, _ = fmt.Sscanf(l, "attempt %d %d", &alloc, &node)
 	}
 	return node
 }
 
-const testStart = 1e6 // the start of a test's clock, ms
+const testStart = 1e6 // when a test begins, ms
 
-// testCluster is a deployment of three job types, one of each effect, on machines of one kind.
+// testCluster is a deployment of three job classes, one of each retry semantics, on nodes of two kinds.
 func testCluster() *Cluster {
 	return &Cluster{
 		Schedulers: 2, ListMaxSilence: 10000, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true,
@@ -58,7 +60,7 @@
 	}
 }
 
-// harness is a scheduler at work with its book; nodes are numbered from 10, two to a cell, two cells to a zone.
+// harness is a scheduler with a record of its effects. Node ids begin at 10; a cell has two nodes, a zone two cells.
 type harness struct {
 	t         *testing.T
 	effects   *recorder
@@ -67,6 +69,7 @@
 }
 
 func newHarness(t *testing.T, cl *Cluster, nodes int) *harness {
+	t.Helper()
 	x := &harness{t: t, effects: &recorder{}, now: testStart}
 	x.scheduler = New(x.effects, testStart, 7, cl)
 	x.scheduler.OnListBegin(testStart, ListCached)
@@ -88,29 +91,29 @@
 	})
 }
 
-// updateNode tells of one node's new state.
+// updateNode delivers a change of one node.
 func (x *harness) updateNode(id uint32, avail Availability, since float64) {
 	x.scheduler.OnListBegin(x.now, ListChanges)
 	x.node(id, avail, since)
 	x.scheduler.OnListEnd(x.now)
 }
 
-// request hands in an allocation of 1 core and 2 memory with 5 s to go.
-func (x *harness) request(id uint32, jobType int, service uint64) {
-	x.scheduler.OnRequest(x.now, Request{Allocation: id, Class: jobType, Deadline: x.now + 5000, Service: service, Cores: 1, Memory: 2})
+// request asks for an allocation of 1 core and 2 memory with a deadline in 5 s.
+func (x *harness) request(id uint32, class int, service uint64) {
+	x.scheduler.OnRequest(x.now, Request{Allocation: id, Class: class, Deadline: x.now + 5000, Service: service, Cores: 1, Memory: 2})
 	x.scheduler.Decide(x.now)
 }
 
-// complete reports an outcome of the last offer of an allocation.
-func (x *harness) complete(id uint32, try uint8, v Outcome, why Reason) {
+// complete delivers the outcome of the last attempt of an allocation.
+func (x *harness) complete(id uint32, attempt uint8, v Outcome, why Reason) {
 	x.scheduler.OnOutcome(x.now, AttemptResult{
-		Allocation: id, Node: x.effects.lastNode(), Attempt: try, Duration: 100,
+		Allocation: id, Node: x.effects.lastNode(), Attempt: attempt, Duration: 100,
 		Reason: why, Outcome: v,
 	})
 	x.scheduler.Decide(x.now)
 }
 
-// advance lets time go by, with the module's housekeeping.
+// advance lets time pass and the timers fire.
 func (x *harness) advance(ms float64) {
 	for end := x.now + ms; x.now < end; {
 		x.now = min(x.now+tickInterval, end)
@@ -120,6 +123,7 @@
 	}
 }
 
+// expect checks how many lines have a prefix.
 func (x *harness) expect(prefix string, n int) {
 	x.t.Helper()
 	if got := x.effects.count(prefix); got != n {
--- /dev/null
+++ b/logic/placement_test.go
@@ -0,0 +1,24 @@
+package logic
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// TestSelectTop compares with a full sort that keeps the order of equals.
+func TestSelectTop(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	for range 2000 {
+		all := make([]candidate, rng.IntN(12))
+		for i := range all {
+			all[i] = candidate{i, float64(rng.IntN(4))}
+		}
+		want := slices.Clone(all)
+		slices.SortStableFunc(want, func(x, y candidate) int { return int(y.score - x.score) })
+		selectTop(all, 3)
+		if n := min(3, len(all)); !slices.Equal(all[:n], want[:n]) {
+			t.Fatalf("%v, want %v first", all, want)
+		}
+	}
+}
--- /dev/null
+++ b/logic/slowstart_test.go
@@ -0,0 +1,128 @@
+package logic
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+)
+
+// TestSlowStartShare checks rule 4: a node in slow start gets at most this scheduler's share, rejected attempts counted, and nothing at once
+// after a restart that forgot what was sent.
+func TestSlowStartShare(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		since float64 // before the list came
+		after float64
+		v     Outcome
+		want  int
+	}{
+		{"cold", 0, 5000, Rejected, 4},
+		{"cold, starts", 0, 5000, Completed, 4},
+		{"restarted scheduler", 5000, 0, Completed, 0},
+		{"restarted, later", 5000, 2600, Completed, 4},
+		{"warm", 20000, 0, Completed, maxUnanswered},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			x := newHarness(t, testCluster(), 0)
+			kind := ListCached
+			if c.since == 0 {
+				x.advance(c.after)
+				kind = ListChanges
+			}
+			x.scheduler.OnListBegin(x.now, kind)
+			x.node(10, Ready, x.now-c.since)
+			x.scheduler.OnListEnd(x.now)
+			x.scheduler.nodes.all[0].health.lastAnswerAt = x.now
+			if c.since > 0 {
+				x.advance(c.after)
+			}
+			for id := range uint32(9) {
+				x.request(id, 0, 5)
+				if c.v == Rejected {
+					x.scheduler.OnOutcome(x.now, AttemptResult{
+						Allocation: id, Node: 10, Duration: 5,
+						Reason: NotAccepting, Outcome: Rejected,
+					})
+					x.scheduler.nodes.all[0].backoffUntil = 0
+					x.scheduler.Decide(x.now)
+				}
+			}
+			x.expect("attempt", c.want)
+		})
+	}
+}
+
+// turns is when a scheduler may send attempts to a node that stays in slow start for a minute; it looks every 500 ms.
+func turns(t *testing.T, cl *Cluster) (at []float64) {
+	t.Helper()
+	x := newHarness(t, cl, 0)
+	x.updateNode(10, Ready, testStart)
+	node := &x.scheduler.nodes.all[0]
+	node.warmingUntil = math.Inf(1)
+	for x.now = testStart; x.now < testStart+60000; x.now += 500 {
+		if x.scheduler.now = x.now; x.scheduler.slowStartAllows(node) {
+			node.sentAttempts = append(node.sentAttempts, x.now)
+			at = append(at, x.now)
+		}
+	}
+	return at
+}
+
+// TestSlowStartTurns checks rule 4 where a share is less than one attempt: the turns of all schedulers together keep within the limit in
+// any window, however they lie, and each scheduler has one before the node can be warm.
+func TestSlowStartTurns(t *testing.T) {
+	for _, c := range []struct {
+		schedulers int
+		limit      float64
+		reach      bool // whether each has a turn within a minute
+	}{{300, 49, true}, {230, 90, true}, {1000, 3, false}, {5000, 2, false}, {40, 1, false}, {40, 0, false}} {
+		t.Run(fmt.Sprint(c.schedulers, c.limit), func(t *testing.T) {
+			cl := testCluster()
+			cl.Schedulers, cl.SlowStartLimit, cl.SlowStartWindow = c.schedulers, c.limit, 2000
+			var at []float64 // attempts of all schedulers
+			for cl.Index = range c.schedulers {
+				own := turns(t, cl)
+				if c.reach && len(own) == 0 {
+					t.Errorf("scheduler %d never has a turn", cl.Index)
+				}
+				at = append(at, own...)
+			}
+			slices.Sort(at)
+			for i, j := 0, 0; j < len(at); j++ {
+				for at[j]-at[i] > cl.SlowStartWindow {
+					i++
+				}
+				if n := j - i + 1; float64(n) > c.limit {
+					t.Fatalf("%d attempts within a window, the limit is %v", n, c.limit)
+				}
+			}
+		})
+	}
+}
+
+// TestFirstAnswer checks that a node that started long ago but has not answered yet gets one attempt until its first answer, whatever the
+// slow-start share.
+func TestFirstAnswer(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		limit  float64
+		answer bool
+		want   int
+	}{{"no share", 0, false, 1}, {"a large share", 100, false, 1}, {"answered", 0, true, maxUnanswered + 1}} {
+		t.Run(c.name, func(t *testing.T) {
+			cl := testCluster()
+			cl.SlowStartLimit = c.limit
+			x := newHarness(t, cl, 1)
+			x.scheduler.nodes.all[0].health.lastAnswerAt = -1
+			x.request(0, 0, 5)
+			if c.answer {
+				x.scheduler.OnStarted(x.now, 0, 0, 100)
+			}
+			for id := uint32(1); id < 20; id++ {
+				x.request(id, 0, 5)
+			}
+			x.expect("attempt", c.want)
+		})
+	}
+}
--- /dev/null
+++ b/logic/survey_test.go
@@ -0,0 +1,70 @@
+package logic
+
+import "testing"
+
+// TestSurplusNodes checks that empty nodes stay empty while those in use have room to spare, where nodes in use have a price.
+func TestSurplusNodes(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		price float64
+		free  float64 // memory of the node in use
+		empty bool    // whether an empty one is used
+	}{{"room to spare", 0.2, 60, false}, {"crowded", 0.2, -10, true}, {"no price", 0, 60, true}} {
+		t.Run(c.name, func(t *testing.T) {
+			cl := testCluster()
+			cl.FleetPrice = c.price
+			x := newHarness(t, cl, 4)
+			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1, Report: []float64{30, c.free}})
+			for id := range uint32(6) {
+				x.request(id, 0, uint64(id))
+			}
+			used := false
+			for _, node := range x.scheduler.nodes.all[1:] {
+				used = used || len(node.unanswered) > 0
+			}
+			if used != c.empty {
+				t.Errorf("empty node used: %t", used)
+			}
+		})
+	}
+}
+
+// TestReservedForLarge checks that, while room is short, small allocations of less weight stay off nodes reserved for large ones.
+func TestReservedForLarge(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		free     float64 // unallocated memory on each node
+		class    int
+		reserved bool // whether any node is reserved
+		used     bool // whether these take small allocations
+	}{{"room", 75, 0, false, false}, {"short", -10, 0, true, false}, {"short, more weight", -10, 1, true, true}} {
+		t.Run(c.name, func(t *testing.T) {
+			x := newHarness(t, testCluster(), 8)
+			x.scheduler.OnRequest(x.now, Request{
+				Allocation: 99, Class: 2, Deadline: x.now + 5000, Service: 7, Cores: 20,
+				Memory: 32,
+			}) // a large one is seen
+			x.scheduler.OnExpired(x.now, 99)
+			x.scheduler.large.memory, x.scheduler.large.totalMemory = 100, 400
+			for i := range x.scheduler.nodes.all {
+				x.scheduler.OnProbeResult(x.now, ProbeResult{
+					Node: uint32(10 + i), Outcome: Completed, Duration: 1,
+					Report: []float64{20, c.free},
+				})
+			}
+			for id := range uint32(8 * maxUnanswered) {
+				x.request(id, c.class, uint64(id))
+			}
+			reserved, used := 0, false
+			for _, node := range x.scheduler.nodes.all {
+				if node.reservedForLarge {
+					reserved++
+					used = used || len(node.unanswered) > 0
+				}
+			}
+			if reserved > 0 != c.reserved || reserved > 6 || used != c.used {
+				t.Errorf("%d reserved, used: %t", reserved, used)
+			}
+		})
+	}
+}
