--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,20 +1,49 @@
-// Package baseline has placement policies for comparison only: random, least loaded, and the better of two drawn. They
-// keep the rules about effects (no second start, the window and group of tokened tries) and nothing else of the
-// design: neither spread nor cold nodes' pace. Careful is the better of two drawn that keeps these as well, in the plainest
-// way: it counts its own tasks of a service, and leaves cold nodes alone.
+// Package baseline has simple placement policies to compare the placement module with: random, least-loaded, best-of-two (the less loaded of
+// two nodes drawn at random), and careful.
+//
+// All keep the rules of retry semantics: no second attempt of an at-most-once allocation that may have run, and repeats of an idempotent one
+// only within its scope and window. Only careful also keeps the spread constraint and slow start, in the plainest way: it counts its own
+// allocations of a service, and leaves nodes alone until they are warm.
+//
+// A Policy implements logic.EventHandler and acts through logic.Effects. Like the placement module it keeps no clock, is deterministic for a
+// seed, and is not safe for concurrent use.
 package baseline
 
 import (
 	"math"
 	"math/rand/v2"
-	"slices"
 
 	"ravenpond/logic"
 )
 
-// PolicyNames of the policies.
-var PolicyNames = []string{"random", "least-loaded", "best-of-two", "careful"}
+// Names of the policies.
+const (
+	random      = "random"
+	leastLoaded = "least-loaded"
+	bestOfTwo   = "best-of-two"
+	careful     = "careful"
+)
+
+// PolicyNames lists the names that Factory takes.
+var PolicyNames = []string{random, leastLoaded, bestOfTwo, careful}
+
+// Times in milliseconds.
+const (
+	pollRetry      = 500  // until the list is polled again after a failure
+	retryAfter     = 200  // that clients are told when an allocation is shed
+	fullBackoff    = 200  // a node that rejected for lack of room is left alone for so long
+	rescanDelay    = 50   // until the queue is scanned again
+	windowMargin   = 50   // before the end of an idempotency window in which nothing is repeated
+	attemptTimeout = 1200 // of all attempts but the last
+)
+
+// Keys of timers.
+const (
+	timerPoll = iota + 1
+	timerScan
+)
 
+// node is what the list says of a node, and what this policy has allocated on it since.
 type node struct {
 	id        uint32
 	ready     bool
@@ -22,27 +51,28 @@
 	cell      int
 	kind      int
 	startedAt float64
-	free      [2]float64 // by the list
-	reserved  [2]float64 // asked for by us since then, out or running
-	fullUntil float64    // no room until then
+	free      [2]float64 // cores and memory, by the list
+	reserved  [2]float64 // cores and memory of own allocations since then, in flight or running
+	fullUntil float64
 }
 
+// allocation is one that waits, is in flight, or runs.
 type allocation struct {
 	id              uint32
 	class           int
 	service         uint64
 	deadline        float64
-	size            [2]float64
-	node            int // where its try is, -1: none
+	size            [2]float64 // cores and memory
+	node            int        // index of the node of the attempt in flight or where it runs, -1: none
 	attempts        uint8
-	triedNodes      []int
+	attemptedNodes  []int
 	sentAt          float64
-	mayHaveRunSince float64 // of the first try that may have run, -1: none
-	mayHaveRunNode  int     // its node
+	mayHaveRunSince float64 // when the first attempt was sent that may have run, -1: none
+	mayHaveRunNode  int     // index of that attempt's node
 	answered        bool
 }
 
-// Policy is one of them.
+// Policy is a placement policy.
 type Policy struct {
 	effects     logic.Effects
 	cluster     *logic.Cluster
@@ -50,42 +80,52 @@
 	name        string
 	now         float64
 	nodes       []node
-	nodeIndex   map[uint32]int
+	nodeIndex   map[uint32]int // by id
 	allocations map[uint32]*allocation
 	waiting     []uint32
-	listed      map[uint32]bool
+	listed      map[uint32]bool // nodes named in the present list message
 	listKind    logic.ListKind
-	trueLoad    func(node uint32) float64 // the load as it is, for who sees the true state; nil: by the list and its own
+	trueLoad    func(node uint32) float64 // the actual load of a node; nil: load is estimated from the list and own allocations
 }
 
-// LeastLoadedByTrueLoad gives what makes a policy that takes the least loaded node by the true state, which no scheduler has: the best that knowledge
-// alone could bring.
-func LeastLoadedByTrueLoad(load func(node uint32) float64) func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
-	return func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
-		p := Factory("least-loaded")(host, now, seed, cl).(*Policy)
-		p.trueLoad = load
-		return p
+var _ logic.EventHandler = (*Policy)(nil)
+
+// New starts the policy of a name, which has to be one of PolicyNames.
+func New(name string, effects logic.Effects, now float64, seed uint64, cluster *logic.Cluster) *Policy {
+	p := &Policy{
+		effects: effects, cluster: cluster, random: rand.New(rand.NewPCG(seed, 77)), name: name, now: now,
+		nodeIndex: map[uint32]int{}, allocations: map[uint32]*allocation{},
 	}
+	effects.WatchList(true)
+	return p
 }
 
-// Factory gives what makes a policy of a name.
-func Factory(name string) func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
-	return func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler {
-		p := &Policy{
-			effects: host, cluster: cl, random: rand.New(rand.NewPCG(seed, 77)), name: name, now: now, nodeIndex: map[uint32]int{},
-			allocations: map[uint32]*allocation{},
-		}
-		host.WatchList(true)
+// Constructor starts a policy, as logic.New does.
+type Constructor = func(effects logic.Effects, now float64, seed uint64, cluster *logic.Cluster) logic.EventHandler
+
+// Factory is the constructor of the policy of a name.
+func Factory(name string) Constructor {
+	return func(effects logic.Effects, now float64, seed uint64, cluster *logic.Cluster) logic.EventHandler {
+		return New(name, effects, now, seed, cluster)
+	}
+}
+
+// LeastLoadedByTrueLoad is the constructor of a policy that takes the node of the least actual load, which no real scheduler knows: the best
+// that knowledge alone could bring.
+func LeastLoadedByTrueLoad(load func(node uint32) float64) Constructor {
+	return func(effects logic.Effects, now float64, seed uint64, cluster *logic.Cluster) logic.EventHandler {
+		p := New(leastLoaded, effects, now, seed, cluster)
+		p.trueLoad = load
 		return p
 	}
 }
 
-// OnListBegin and the others are what a policy hears.
+// OnListBegin implements logic.EventHandler.
 func (p *Policy) OnListBegin(now float64, kind logic.ListKind) {
 	p.now, p.listKind, p.listed = now, kind, map[uint32]bool{}
 }
 
-// OnListNode takes the state of one node.
+// OnListNode implements logic.EventHandler.
 func (p *Policy) OnListNode(_ float64, entry logic.ListEntry) {
 	i, ok := p.nodeIndex[entry.Node]
 	if !ok {
@@ -100,11 +140,11 @@
 	n.reserved, n.startedAt = [2]float64{}, entry.StartedAt
 }
 
-// OnListEnd ends it.
+// OnListEnd implements logic.EventHandler.
 func (p *Policy) OnListEnd(now float64) {
 	p.now = now
 	if p.listKind == logic.ListFailed {
-		p.effects.SetTimer(500, 1)
+		p.effects.SetTimer(pollRetry, timerPoll)
 		return
 	}
 	if p.listKind == logic.ListFull {
@@ -115,19 +155,19 @@
 		}
 	}
 	if p.cluster.PollsList {
-		p.effects.SetTimer(p.cluster.ListMaxSilence/3, 1)
+		p.effects.SetTimer(p.cluster.ListMaxSilence/3, timerPoll)
 	}
 }
 
-// OnTimer asks for the list again.
+// OnTimer implements logic.EventHandler.
 func (p *Policy) OnTimer(now float64, key uint64) {
 	p.now = now
-	if key == 1 {
+	if key == timerPoll {
 		p.effects.ReloadList()
 	}
 }
 
-// OnRequest queues an allocation.
+// OnRequest implements logic.EventHandler.
 func (p *Policy) OnRequest(now float64, request logic.Request) {
 	p.now = now
 	id := request.Allocation
@@ -138,7 +178,7 @@
 	p.waiting = append(p.waiting, id)
 }
 
-// OnRecovered takes an allocation that runs already.
+// OnRecovered implements logic.EventHandler.
 func (p *Policy) OnRecovered(now float64, recovered logic.Recovered) {
 	p.now = now
 	id := recovered.Allocation
@@ -148,7 +188,7 @@
 	}
 }
 
-// OnStarted notes a start.
+// OnStarted implements logic.EventHandler.
 func (p *Policy) OnStarted(now float64, id uint32, _ uint8, _ float64) {
 	p.now = now
 	if a := p.allocations[id]; a != nil {
@@ -156,7 +196,7 @@
 	}
 }
 
-// OnOutcome queues an allocation again whose attempt failed.
+// OnOutcome implements logic.EventHandler: an allocation without its final answer joins the queue again.
 func (p *Policy) OnOutcome(now float64, result logic.AttemptResult) {
 	p.now = now
 	a := p.allocations[result.Allocation]
@@ -166,30 +206,30 @@
 	if a.node >= 0 {
 		n := &p.nodes[a.node]
 		n.reserved[0], n.reserved[1] = n.reserved[0]-a.size[0], n.reserved[1]-a.size[1]
-		if result.Reason == logic.InsufficientCores || result.Reason == logic.InsufficientMemory || result.Reason == logic.QueueFull {
-			n.fullUntil = now + 200
+		switch result.Reason {
+		case logic.InsufficientCores, logic.InsufficientMemory, logic.QueueFull:
+			n.fullUntil = now + fullBackoff
 		}
 	}
 	if result.Answered || a.answered {
 		delete(p.allocations, a.id)
 		return
 	}
-	v := result.Outcome
-	never := v == logic.Rejected || v == logic.Unreachable || v == logic.NotSent
-	if !never && a.mayHaveRunSince < 0 {
+	neverRan := result.Outcome == logic.Rejected || result.Outcome == logic.Unreachable || result.Outcome == logic.NotSent
+	if !neverRan && a.mayHaveRunSince < 0 {
 		a.mayHaveRunSince, a.mayHaveRunNode = a.sentAt, a.node
 	}
 	a.node = -1
 	p.waiting = append(p.waiting, a.id)
 }
 
-// OnTaskMetric, Probed and the like say nothing to these policies.
+// OnTaskMetric implements logic.EventHandler; these policies use no measurements.
 func (p *Policy) OnTaskMetric(float64, logic.TaskSample) {}
 
-// OnProbeResult is not asked for.
+// OnProbeResult implements logic.EventHandler; these policies send no probes.
 func (p *Policy) OnProbeResult(float64, logic.ProbeResult) {}
 
-// OnExpired ends an allocation that was answered without the policy.
+// OnExpired implements logic.EventHandler.
 func (p *Policy) OnExpired(now float64, id uint32) {
 	p.now = now
 	if a := p.allocations[id]; a != nil {
@@ -199,110 +239,57 @@
 	}
 }
 
-// Decide offers what waits.
+// Decide implements logic.EventHandler: it attempts or answers what waits, in order of arrival.
 func (p *Policy) Decide(now float64) {
 	p.now = now
-	waits := p.waiting
+	waiting := p.waiting
 	p.waiting = nil
-	soonest := math.Inf(1)
-	for _, id := range waits {
+	next := math.Inf(1)
+	for _, id := range waiting {
 		a := p.allocations[id]
-		if a == nil || a.answered || a.node >= 0 {
-			continue
-		}
-		j := &p.cluster.JobClasses[a.class]
-		harm := a.mayHaveRunSince >= 0 && (j.Semantics == logic.AtMostOnce || j.Semantics == logic.Idempotent && j.IdempotencyScope != logic.ScopeAll)
-		late := a.mayHaveRunSince >= 0 && (j.Semantics == logic.AtMostOnce || j.Semantics == logic.Idempotent && now+50 > a.mayHaveRunSince+j.IdempotencyWindow)
-		if now >= a.deadline || int(a.attempts) >= p.cluster.MaxAttempts || late {
-			delete(p.allocations, id)
-			if harm {
-				p.effects.Fail(id)
-			} else {
-				p.effects.Shed(id, 200)
-			}
+		if a == nil || a.answered || a.node >= 0 || p.answer(a) {
 			continue
 		}
-		i := p.choose(a)
-		if i < 0 {
+		if i := p.choose(a); i >= 0 {
+			p.attempt(a, i)
+		} else {
 			p.waiting = append(p.waiting, id)
-			soonest = min(soonest, a.deadline, now+50)
-			continue
-		}
-		n := &p.nodes[i]
-		n.reserved[0], n.reserved[1] = n.reserved[0]+a.size[0], n.reserved[1]+a.size[1]
-		a.node, a.sentAt, a.triedNodes = i, now, append(a.triedNodes, i)
-		a.attempts++
-		timeout := min(1200, a.deadline-now)
-		if j.Semantics == logic.AtMostOnce || int(a.attempts) == p.cluster.MaxAttempts {
-			timeout = a.deadline - now
+			next = min(next, a.deadline, now+rescanDelay)
 		}
-		p.effects.StartAttempt(id, n.id, timeout)
 	}
 	if len(p.waiting) > 0 {
-		p.effects.SetTimer(max(1, soonest-now), 2)
+		p.effects.SetTimer(max(1, next-now), timerScan)
 	}
 }
 
-// spreadAllows tells whether a node may take another task of a service by the spread that its job type asks for.
-func (p *Policy) spreadAllows(a *allocation, j *logic.JobClass, i int) bool {
-	if j.Spread == logic.Anywhere {
-		return true
+// answer gives an allocation its final answer if it may not be attempted any more, and reports whether it did.
+func (p *Policy) answer(a *allocation) bool {
+	class, mayHaveRun := &p.cluster.JobClasses[a.class], a.mayHaveRunSince >= 0
+	expired := class.Semantics == logic.Idempotent && p.now+windowMargin > a.mayHaveRunSince+class.IdempotencyWindow
+	mayRepeat := !mayHaveRun || class.Semantics != logic.AtMostOnce && !expired
+	if p.now < a.deadline && int(a.attempts) < p.cluster.MaxAttempts && mayRepeat {
+		return false
 	}
-	n, there := &p.nodes[i], 0
-	for _, o := range p.allocations { // a count: the order has no effect
-		if o.service != a.service || o.node < 0 || o.id == a.id {
-			continue
-		}
-		m := &p.nodes[o.node]
-		if o.node == i || j.Spread == logic.PerCell && m.cell == n.cell || j.Spread == logic.PerZone && m.zone == n.zone {
-			there++
-		}
+	harmful := mayHaveRun && (class.Semantics == logic.AtMostOnce ||
+		class.Semantics == logic.Idempotent && class.IdempotencyScope != logic.ScopeAll)
+	delete(p.allocations, a.id)
+	if harmful {
+		p.effects.Fail(a.id)
+	} else {
+		p.effects.Shed(a.id, retryAfter)
 	}
-	return there < j.MaxPerScope
+	return true
 }
 
-// choose draws a node for an allocation, -1 if there is none.
-func (p *Policy) choose(a *allocation) int {
-	j := &p.cluster.JobClasses[a.class]
-	var may []int
-	for i := range p.nodes {
-		n := &p.nodes[i]
-		if !n.ready || p.now < n.fullUntil || j.NodeKind >= 0 && n.kind != j.NodeKind || slices.Contains(a.triedNodes, i) {
-			continue
-		}
-		if p.name == "careful" && (p.now-n.startedAt < p.cluster.SlowStartDuration || !p.spreadAllows(a, j, i)) {
-			continue
-		}
-		if a.mayHaveRunSince >= 0 && j.Semantics == logic.Idempotent {
-			g := &p.nodes[a.mayHaveRunNode]
-			if j.IdempotencyScope == logic.ScopeZone && g.zone != n.zone || j.IdempotencyScope == logic.ScopeCell && g.cell != n.cell {
-				continue
-			}
-		}
-		may = append(may, i)
-	}
-	if len(may) == 0 {
-		return -1
-	}
-	load := func(i int) float64 {
-		n := &p.nodes[i]
-		if p.trueLoad != nil {
-			return p.trueLoad(n.id)
-		}
-		return max((n.reserved[0]-n.free[0])/p.cluster.KindCores[n.kind], (n.reserved[1]-n.free[1])/p.cluster.KindMemory[n.kind])
-	}
-	x := may[p.random.IntN(len(may))]
-	switch p.name {
-	case "best-of-two", "careful":
-		if y := may[p.random.IntN(len(may))]; load(y) < load(x) {
-			x = y
-		}
-	case "least-loaded":
-		for _, y := range may {
-			if load(y) < load(x) {
-				x = y
-			}
-		}
+// attempt sends an allocation to the node of an index.
+func (p *Policy) attempt(a *allocation, i int) {
+	n := &p.nodes[i]
+	n.reserved[0], n.reserved[1] = n.reserved[0]+a.size[0], n.reserved[1]+a.size[1]
+	a.node, a.sentAt, a.attemptedNodes = i, p.now, append(a.attemptedNodes, i)
+	a.attempts++
+	timeout := min(attemptTimeout, a.deadline-p.now)
+	if p.cluster.JobClasses[a.class].Semantics == logic.AtMostOnce || int(a.attempts) == p.cluster.MaxAttempts {
+		timeout = a.deadline - p.now
 	}
-	return x
+	p.effects.StartAttempt(a.id, n.id, timeout)
 }
