--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -47,6 +47,28 @@
 		byte(0))[1:])
 }
 
+// checkFault checks an error for bad input: one line with the cause, and no reply.
+func checkFault(t *testing.T, err error, cause string, reply []byte) {
+	t.Helper()
+	if err == nil || !strings.Contains(err.Error(), cause) || strings.Contains(err.Error(), "\n") {
+		t.Errorf("error %v, want one line with %q", err, cause)
+	}
+	if len(reply) > 0 {
+		t.Errorf("%d bytes of a reply after bad input", len(reply))
+	}
+}
+
+// boundNodes are the nodes to which a reply sends attempts.
+func boundNodes(reply []byte) (nodes []uint32) {
+	for b := reply[8:]; len(b) >= 24; b = b[24:] {
+		if b[0] == wire.Bind {
+			nodes = append(nodes, wire.Uint32(b, 7))
+		}
+	}
+	return nodes
+}
+
+// TestServe plays one batch each: what is bound in the reply, or why the input is refused.
 func TestServe(t *testing.T) {
 	tail := settingsText + entry(77)
 	n := uint32(len(settingsText))
@@ -59,30 +81,30 @@
 	for _, c := range []struct {
 		name  string
 		in    []byte
-		binds []uint32 // nodes bound to
+		binds []uint32 // nodes to which attempts are sent
 		fault string
 	}{
-		{"a task is bound", frame(tail, create, table, sync, task), []uint32{77}, ""},
-		{"killed and created anew", frame(tail, create, table, sync, down, create, table, sync, task), []uint32{77}, ""},
-		{"killed with a task in hand", frame(tail, create, table, sync, task, down), nil, ""},
+		{"a task is placed", frame(tail, create, table, sync, task), []uint32{77}, ""},
+		{"killed and created again", frame(tail, create, table, sync, down, create, table, sync, task), []uint32{77}, ""},
+		{"killed with a task waiting", frame(tail, create, table, sync, task, down), nil, ""},
 		{"a number used again", frame(tail+entry(78), create, table, record(wire.Table, uint32(0),
 			n+wire.EntrySize, uint32(1)), sync, task), []uint32{78}, ""},
-		{"news of unknown things", frame(tail, create, table, sync, record(wire.Lapsed, uint16(0), uint32(1)),
+		{"events for unknown ids", frame(tail, create, table, sync, record(wire.Lapsed, uint16(0), uint32(1)),
 			record(wire.Echo, uint16(0), uint32(1)), record(wire.Bell, uint16(4), uint64(0))), nil, ""},
 		{"unknown code", frame(tail, record(13, uint16(0))), nil, "unknown event code 13"},
 		{
-			"facts that do not parse", frame("{", record(wire.Create, uint16(0), uint64(5), uint32(0), uint32(1))), nil,
+			"settings that do not parse", frame("{", record(wire.Create, uint16(0), uint64(5), uint32(0), uint32(1))), nil,
 			"facts do not parse",
 		},
 		{
-			"facts without job types", frame("{}", record(wire.Create, uint16(0), uint64(5), uint32(0), uint32(2))), nil,
+			"settings without job classes", frame("{}", record(wire.Create, uint16(0), uint64(5), uint32(0), uint32(2))), nil,
 			"0 job types",
 		},
-		{"a word out of place", frame(strings.Replace(tail, `"free", "worth`, `"tree", "worth`, 1), create), nil, "unknown word"},
+		{"an unknown word in the settings", frame(strings.Replace(tail, `"free", "worth`, `"tree", "worth`, 1), create), nil, "unknown word"},
 		{"list beyond the tail", frame("", table), nil, "impossible tail reference"},
 		{"list number out of range", frame(tail, record(wire.Table, uint32(16), n, uint32(1))), nil, "list number 16"},
 		{
-			"unknown job type", frame(tail, create, table, sync, record(wire.Task, uint16(0), uint32(9), byte(7))), nil,
+			"unknown job class", frame(tail, create, table, sync, record(wire.Task, uint16(0), uint32(9), byte(7))), nil,
 			"unknown job type 7",
 		},
 		{"cut off", frame(tail, create)[:100], nil, "truncated batch"},
@@ -91,23 +113,13 @@
 			var out bytes.Buffer
 			err := serve(bytes.NewReader(c.in), bufio.NewWriter(&out))
 			if c.fault != "" {
-				if err == nil || !strings.Contains(err.Error(), c.fault) || strings.Contains(err.Error(), "\n") {
-					t.Errorf("error %v, want one line with %q", err, c.fault)
-				}
-				if out.Len() > 0 {
-					t.Errorf("%d bytes of a reply after bad input", out.Len())
-				}
+				checkFault(t, err, c.fault, out.Bytes())
 				return
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			var binds []uint32
-			for b := out.Bytes()[8:]; len(b) >= 24; b = b[24:] {
-				if b[0] == wire.Bind {
-					binds = append(binds, wire.Uint32(b, 7))
-				}
-			}
+			binds := boundNodes(out.Bytes())
 			if len(binds) != len(c.binds) || len(binds) > 0 && binds[0] != c.binds[0] {
 				t.Errorf("binds to %v, want %v", binds, c.binds)
 			}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,10 +1,15 @@
-// Package wire reads batches of event records and writes replies of action records: frames, fixed-size
-// records and their tails, nothing of what they mean to a scheduler.
+// Package wire reads batches of event records and writes replies of action records of the bench's protocol: frames, records of fixed size, and
+// the tail with fields of variable size. It knows the framing and the codes, not the fields; all numbers are big-endian. The codes have the
+// protocol's names.
+//
+// A Reader and a Writer each belong to one goroutine. Reader.Next returns io.EOF at a regular end of input; any other error means that the
+// input is malformed and reading cannot go on.
 package wire
 
 import (
 	"bufio"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -12,61 +17,67 @@
 
 // Event codes.
 const (
-	Create    = 0
-	Echo      = 1
-	Lapsed    = 2
-	Confirmed = 3
-	Table     = 4
-	Task      = 5
-	Settled   = 6
-	Signal    = 7
-	Sync      = 8
-	PeerSays  = 9
-	Found     = 10
-	Down      = 11
-	Bell      = 12
+	Create    = 0  // an instance starts
+	Echo      = 1  // result of a probe
+	Lapsed    = 2  // a request has expired
+	Confirmed = 3  // an attempt has started its task
+	Table     = 4  // entries of a node list
+	Task      = 5  // a request
+	Settled   = 6  // outcome of an attempt
+	Signal    = 7  // measurement of a running task
+	Sync      = 8  // the node list, or a change of it
+	PeerSays  = 9  // message of another instance
+	Found     = 10 // a running task is recovered
+	Down      = 11 // an instance is killed
+	Bell      = 12 // a timer has fired
 )
 
 // Action codes.
 const (
-	Bind   = 64
-	Refuse = 65
-	Lose   = 66
-	Recall = 67
-	Defer  = 68
-	Test   = 69
-	Log    = 72
-	Fault  = 73
-	Follow = 74
-	Reload = 75
-	Shift  = 76
+	Bind   = 64 // send an attempt
+	Refuse = 65 // final answer: shed
+	Lose   = 66 // final answer: failed
+	Recall = 67 // cancel an attempt
+	Defer  = 68 // set a timer
+	Test   = 69 // probe a node
+	Log    = 72 // log a line
+	Fault  = 73 // report a fault of the instance
+	Follow = 74 // subscribe to the node list
+	Reload = 75 // fetch the node list once
+	Shift  = 76 // migrate a task
 )
 
 // Sizes in bytes.
 const (
-	batchHeader = 16
-	replyHeader = 8
-	EventSize   = 56
-	actionSize  = 24
-	EntrySize   = 29
-	maxFrame    = 1 << 30
+	EventSize = 56 // of an event record
+	EntrySize = 29 // of an entry of a node list
+
+	batchHeader  = 16
+	replyHeader  = 8
+	actionSize   = 24
+	maxFrame     = 1 << 30
+	readBuffer   = 1 << 16
+	maxReadAhead = 1 << 20 // memory that is allocated before the bytes for it have arrived
 )
 
-// Reader takes batches off a stream. Its buffer is reused: records and tails hold until the next call of Next.
+// Reader reads batches from a stream. Its buffer is reused: records and tails are valid until the next call of Next.
 type Reader struct {
 	source  *bufio.Reader
 	frame   []byte
 	records int
 }
 
-func NewReader(in io.Reader) *Reader { return &Reader{source: bufio.NewReaderSize(in, 1<<16)} }
+// NewReader reads batches from source.
+func NewReader(source io.Reader) *Reader {
+	return &Reader{source: bufio.NewReaderSize(source, readBuffer)}
+}
 
-// Next reads one batch and returns its clock in nanoseconds and its number of records. The error is io.EOF
-// only where the stream ends between two batches.
+// Next reads one batch and returns its clock in nanoseconds and its number of records. The error is io.EOF only where the stream ends between
+// two batches.
 func (r *Reader) Next() (clock uint64, records int, err error) {
 	var head [batchHeader]byte
 	if n, err := io.ReadFull(r.source, head[:]); err != nil {
-		if n == 0 && err == io.EOF {
+		if n == 0 && errors.Is(err, io.EOF) {
 			return 0, 0, io.EOF
 		}
 		return 0, 0, fmt.Errorf("truncated batch header: %d of %d bytes", n, batchHeader)
@@ -78,8 +89,8 @@
 	}
 	body := size - batchHeader
 	r.frame = r.frame[:0]
-	for len(r.frame) < body { // in steps, so that a false length costs no memory
-		step := min(body-len(r.frame), 1<<20)
+	for len(r.frame) < body { // in steps, so that a wrong length costs no memory
+		step := min(body-len(r.frame), maxReadAhead)
 		at := len(r.frame)
 		r.frame = append(r.frame, make([]byte, step)...)
 		if n, err := io.ReadFull(r.source, r.frame[at:]); err != nil {
@@ -93,8 +104,8 @@
 // Record is the i-th event record of the batch, code included.
 func (r *Reader) Record(i int) []byte { return r.frame[i*EventSize : (i+1)*EventSize] }
 
-// Tail is the part of the tail that the field at the given place of a record names: count items of the given
-// size in bytes.
+// Tail is the part of the tail to which the field at a place of a record refers: a number of items, each of a size in bytes. It fails if the
+// reference goes beyond the tail.
 func (r *Reader) Tail(record []byte, at, size int) ([]byte, error) {
 	tail := r.frame[r.records*EventSize:]
 	from, count := uint64(Uint32(record, at)), uint64(Uint32(record, at+4))
@@ -105,23 +116,31 @@
 	return tail[from : from+count*uint64(size)], nil
 }
 
-func Uint16(b []byte, at int) uint16   { return binary.BigEndian.Uint16(b[at:]) }
-func Uint32(b []byte, at int) uint32   { return binary.BigEndian.Uint32(b[at:]) }
-func Uint64(b []byte, at int) uint64   { return binary.BigEndian.Uint64(b[at:]) }
+// Uint16 reads a number at a place of a record.
+func Uint16(b []byte, at int) uint16 { return binary.BigEndian.Uint16(b[at:]) }
+
+// Uint32 reads a number at a place of a record.
+func Uint32(b []byte, at int) uint32 { return binary.BigEndian.Uint32(b[at:]) }
+
+// Uint64 reads a number at a place of a record.
+func Uint64(b []byte, at int) uint64 { return binary.BigEndian.Uint64(b[at:]) }
+
+// Float32 reads a number of single precision at a place of a record.
 func Float32(b []byte, at int) float64 { return float64(math.Float32frombits(Uint32(b, at))) }
 
-// Writer gathers the actions of one reply and sends them in one write.
+// Writer collects the actions of one reply and sends them in one write.
 type Writer struct {
 	destination io.Writer
 	frame, tail []byte
 	records     int
 }
 
-func NewWriter(out io.Writer) *Writer {
-	return &Writer{destination: out, frame: make([]byte, replyHeader)}
+// NewWriter writes replies to destination.
+func NewWriter(destination io.Writer) *Writer {
+	return &Writer{destination: destination, frame: make([]byte, replyHeader)}
 }
 
-// Action adds a record of an instance and returns its bytes for the fields, zeroed.
+// Action adds a record for an instance and returns its bytes, with the fields zeroed. They are valid until the next record is added.
 func (w *Writer) Action(code byte, instance uint16) []byte {
 	at := len(w.frame)
 	w.frame = append(w.frame, make([]byte, actionSize)...)
@@ -132,7 +151,7 @@
 	return record
 }
 
-// Text adds a record whose field at byte 3 is a text in the tail.
+// Text adds a record whose field at byte 3 refers to a text in the tail.
 func (w *Writer) Text(code byte, instance uint16, text string) {
 	record := w.Action(code, instance)
 	PutUint32(record, 3, uint32(len(w.tail)))
@@ -140,7 +159,7 @@
 	w.tail = append(w.tail, text...)
 }
 
-// Flush sends the reply and starts the next.
+// Flush sends the reply and begins the next.
 func (w *Writer) Flush() error {
 	w.frame = append(w.frame, w.tail...)
 	PutUint32(w.frame, 0, uint32(w.records))
@@ -150,6 +169,11 @@
 	return err
 }
 
+// PutUint16 writes a number at a place of a record.
 func PutUint16(b []byte, at int, v uint16) { binary.BigEndian.PutUint16(b[at:], v) }
+
+// PutUint32 writes a number at a place of a record.
 func PutUint32(b []byte, at int, v uint32) { binary.BigEndian.PutUint32(b[at:], v) }
+
+// PutUint64 writes a number at a place of a record.
 func PutUint64(b []byte, at int, v uint64) { binary.BigEndian.PutUint64(b[at:], v) }
