--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -6,7 +6,7 @@
 )
 
 var rules = Rules{
-	Jobs:  []JobRules{{}, {Effect: Idempotent, Group: 1, Window: 5000, Spread: 3, MaxTogether: 2}, {Effect: AtMostOnce}},
+	Jobs:  []JobRules{{}, {Semantics: Idempotent, Scope: ScopeZone, Window: 5000, Spread: 3, MaxTogether: 2}, {Semantics: AtMostOnce}},
 	Nodes: map[uint32]Location{1: {"a", "a1"}, 2: {"a", "a2"}, 3: {"b", "b1"}}, DrainGrace: 2000, ListPolled: true, PollInterval: 8000, SlowStartLimit: 2,
 	SlowStartDuration: 10000, SlowStartWindow: 1000, Slack: 100,
 }
@@ -103,7 +103,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var got []int
 			for _, b := range Check(append([]Record{born(0)}, c.records...), rules) {
-				got = append(got, b.Rule)
+				got = append(got, int(b.Rule))
 			}
 			if fmt.Sprint(got) != fmt.Sprint(c.want) {
 				t.Errorf("broken %v, want %v", got, c.want)
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -8,67 +8,84 @@
 	"sync"
 )
 
-// Kind says what a record is of.
+// Kind says what a record is about.
 type Kind uint8
 
+// Kinds of records, with the fields that they use beside At.
 const (
-	SchedulerStarted   Kind = iota // a scheduler process began
-	SchedulerKilled                // it was killed, or ended
-	SchedulerPaused                // it was made to stand still
-	SchedulerResumed               // and runs on
-	RequestSent                    // an owner asked: At, Sched, Owner, Ref, Token, Job, Until
-	ResponseReceived               // an owner heard the final answer: Word
-	RequestAbandoned               // an owner withdrew, or its connection ended
-	EndpointDelivered              // the list told a scheduler of a node: Word is its availability
-	ListDelivered                  // the list answered a scheduler, whatever it told; Word tells a call that failed
-	EndpointChanged                // the list itself learned of a node: Word is its availability
-	MaintenanceChanged             // the calendar takes a node out, or Word says that it is back
-	NodeStarted                    // a node began a life: cold if Word says so
-	NodeOverloaded                 // a node was pushed over
-	LinkOpened                     // a scheduler's connection to a node stands
-	LinkClosed                     // and is no more
-	PlacementReceived              // a node received an offer: Ticket, Try, Token, Service, Job, Until
-	RecallReceived                 // a node received a recall
-	TaskStarted                    // a try began to run
-	StartConfirmed                 // and its scheduler was told so
-	AttemptConcluded               // a node told a try's outcome: Word
+	SchedulerStarted   Kind = iota // Scheduler: a process started
+	SchedulerKilled                // Scheduler: it was killed, or ended
+	SchedulerPaused                // Scheduler: it was stopped by a signal
+	SchedulerResumed               // Scheduler: it runs again
+	RequestSent                    // Scheduler, Client, RequestRef, Token, Service, Job, Deadline: a client sent a request
+	ResponseReceived               // Scheduler, Client, RequestRef, Detail: a client received the final answer
+	RequestAbandoned               // Scheduler, Client, RequestRef: a client withdrew, or its connection ended
+	EndpointDelivered              // Scheduler, Node, Detail: the list sent a scheduler a node's availability
+	ListDelivered                  // Scheduler, Detail: the list answered a scheduler; Detail is empty unless the call failed
+	EndpointChanged                // Node, Detail: the list itself noticed a node's availability
+	MaintenanceChanged             // Node, Detail: a maintenance window takes a node out, or is over
+	NodeStarted                    // Node, Detail: an incarnation of a node started, cold or not
+	NodeOverloaded                 // Node: a node broke down under too many placements
+	LinkOpened                     // Scheduler, Node: a scheduler's connection to a node is established
+	LinkClosed                     // Scheduler, Node, Detail: and closed
+	PlacementReceived              // Scheduler, Node, Ticket, Attempt, Token, Service, Job, Deadline, SentAt: a node received an attempt
+	RecallReceived                 // Scheduler, Node, Ticket, Attempt: a node received a recall
+	TaskStarted                    // Scheduler, Node, Ticket, Attempt: an attempt had its effect
+	StartConfirmed                 // Scheduler, Node, Ticket, Attempt: and its scheduler was notified
+	AttemptConcluded               // Scheduler, Node, Ticket, Attempt, Detail: a node sent an attempt's outcome
+
+	kinds // how many there are
+)
+
+// Values of Record.Detail that the rules look at; the others are for the reader of a trace.
+const (
+	AnswerServed      = "served"   // of ResponseReceived
+	AnswerDeclined    = "declined" // of ResponseReceived
+	AvailabilityReady = "ready"    // of EndpointDelivered and EndpointChanged
+	MaintenanceOver   = "back"     // of MaintenanceChanged
+	StartedCold       = "cold"     // of NodeStarted
+	OutcomeRefused    = "refused"  // of AttemptConcluded: it was handed back before it ran
+	OutcomeBarred     = "barred"   // of AttemptConcluded: the node will reject it if it ever arrives
 )
 
-var kindNames = [...]string{
+// kindNames are the kinds in traces.
+var kindNames = [kinds]string{
 	"born", "killed", "paused", "resumed", "asked", "answered", "gave-up", "told", "heard",
 	"listed", "scheduled", "node-born", "node-fell", "linked", "unlinked", "offered", "recalled", "ran", "confirmed",
 	"concluded",
 }
 
+// String returns the kind's name in traces.
 func (k Kind) String() string { return kindNames[k] }
 
-// MarshalText writes the kind's name.
+// MarshalText returns the kind's name; it never fails.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// Record is one thing that passed. Times are ms of the holder's clock.
+// Record is one event outside the schedulers. Times are ms of the recording process's clock.
 type Record struct {
 	At         float64 `json:"At"`
 	Kind       Kind    `json:"Kind"`
-	Scheduler  string  `json:"Sched,omitempty"`
+	Scheduler  string  `json:"Sched,omitempty"` // name, with ".shard" where a shard has connections of its own
 	Node       uint32  `json:"Node,omitempty"`
 	Client     int     `json:"Owner,omitempty"`
-	RequestRef uint64  `json:"Ref,omitempty"`
+	RequestRef uint64  `json:"Ref,omitempty"` // unique to a client
 	Ticket     uint64  `json:"Ticket,omitempty"`
-	Attempt    uint8   `json:"Try,omitempty"`
-	Job        int     `json:"Job,omitempty"`
+	Attempt    uint8   `json:"Try,omitempty"` // number of the attempt, from 0
+	Job        int     `json:"Job,omitempty"` // index of the job class
 	Token      uint64  `json:"Token,omitempty"`
 	Service    uint64  `json:"Service,omitempty"`
 	Deadline   float64 `json:"Until"`
-	SentAt     float64 `json:"Sent,omitempty"` // when an offer was sent, as far as its node can tell
+	SentAt     float64 `json:"Sent,omitempty"` // when an attempt was sent, as far as its node can tell
 	Detail     string  `json:"Word,omitempty"`
 }
 
-// Trace gathers records from many goroutines.
+// Trace collects records. Its zero value is ready for use, by several goroutines at once.
 type Trace struct {
-	OnRecord func(*Record) // is given each record instead of the trace, if it is set before the first
+	// OnRecord, if set before the first Add, gets each record instead of the trace. It is called with the trace locked.
+	OnRecord func(*Record)
 
 	mu      sync.Mutex
-	records []Record
+	records []Record // guarded by mu
 }
 
 // Add adds a record.
@@ -82,16 +99,16 @@
 	}
 }
 
-// Records returns a copy in order of time.
+// Records returns a copy of all records in order of time; those of one time keep the order in which they were added.
 func (t *Trace) Records() []Record {
 	t.mu.Lock()
-	all := slices.Clone(t.records)
+	records := slices.Clone(t.records)
 	t.mu.Unlock()
-	slices.SortStableFunc(all, func(x, y Record) int { return cmp.Compare(x.At, y.At) })
-	return all
+	slices.SortStableFunc(records, func(x, y Record) int { return cmp.Compare(x.At, y.At) })
+	return records
 }
 
-// Write writes records as JSON, one a line.
+// Write writes records as JSON, one a line, and returns the first error of the writer.
 func Write(w io.Writer, records []Record) error {
 	enc := json.NewEncoder(w)
 	for i := range records {
--- a/internal/lab/cluster/site.go
+++ b/internal/lab/cluster/site.go
@@ -39,7 +39,7 @@
 	r.rules = audit.Rules{
 		Nodes: map[uint32]audit.Location{}, DrainGrace: place.DrainGrace, SlowStartLimit: bears, SlowStartDuration: place.Cluster.SlowStartDuration,
 		SlowStartWindow: place.Cluster.SlowStartWindow, Slack: 500,
-		Jobs: []audit.JobRules{{}, {Effect: audit.Idempotent, Group: 1, Window: 1500, Spread: 1, MaxTogether: 3}, {Effect: audit.AtMostOnce}},
+		Jobs: []audit.JobRules{{}, {Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxTogether: 3}, {Semantics: audit.AtMostOnce}},
 	}
 	mk := standin.MachineConfig{
 		Cores: float64(r.cores()), Memory: 2 * float64(r.cores()), CoresLimit: 2, MemoryLimit: 1.5, InspectTime: 4, QueueLimit: 200, ConcurrentStarts: 16, ProgramMissFactor: 3, ProgramCacheSize: 8,
@@ -137,7 +137,7 @@
 		jt := r.site.Cluster.JobClasses[job]
 		r.processes[i%len(r.processes)].client.Request(&standin.Demand{
 			Key: key, Tenant: "t", JobType: r.site.JobClasses[job], Service: service, Job: job,
-			Effect: int(jt.Semantics), Token: serve.Token("t", key), ServiceKey: serve.Service("t", service), Cores: 1, Memory: 1,
+			Semantics: audit.Semantics(jt.Semantics), Token: serve.Token("t", key), ServiceKey: serve.Service("t", service), Cores: 1, Memory: 1,
 			Timeout: r.site.Deadlines[job], LatencyObjective: jt.LatencyObjective, GiveUpAt: r.testbed.Now() + r.site.Deadlines[job],
 		})
 	}
--- a/internal/lab/drill/day.go
+++ b/internal/lab/drill/day.go
@@ -8,6 +8,7 @@
 	"io"
 	"slices"
 
+	"ravenpond/internal/audit"
 	"ravenpond/internal/site"
 	"ravenpond/internal/strictxml"
 )
@@ -92,15 +93,17 @@
 }
 
 type jobSpec struct {
-	job                        int
-	fraction, cores, memory    float64
-	start, runtime, use        float64
-	priority                   int
-	name                       string
-	timeout, latencyObjective  float64
-	effect                     int
-	spread, maxTogether, group int
-	window                     float64
+	job                       int
+	fraction, cores, memory   float64
+	start, runtime, use       float64
+	priority                  int
+	name                      string
+	timeout, latencyObjective float64
+	semantics                 audit.Semantics
+	spread                    audit.Spread
+	maxTogether               int
+	scope                     audit.IdempotencyScope
+	window                    float64
 }
 
 type faultSpec struct {
@@ -176,7 +179,7 @@
 			job: job, fraction: w.Number("part"), cores: w.Number("cores"),
 			memory: w.Number("memory"), start: w.Number("start"), runtime: w.Number("life"), use: w.Number("use"),
 			priority: w.Int("priority"), name: w.Text("job-type"), timeout: place.Deadlines[job], latencyObjective: jt.LatencyObjective,
-			effect: int(jt.Semantics), spread: int(jt.Spread), maxTogether: jt.MaxPerScope, group: int(jt.IdempotencyScope), window: jt.IdempotencyWindow,
+			semantics: audit.Semantics(jt.Semantics), spread: audit.Spread(jt.Spread), maxTogether: jt.MaxPerScope, scope: audit.IdempotencyScope(jt.IdempotencyScope), window: jt.IdempotencyWindow,
 		})
 		sum += w.Number("part")
 	}
--- a/internal/lab/drill/demand.go
+++ b/internal/lab/drill/demand.go
@@ -46,7 +46,7 @@
 	o := p.clients[p.rng.IntN(p.Day.schedulers)*len(p.Deployment.Tenants)+tenant]
 	name := p.Deployment.Tenants[tenant]
 	o.Request(&standin.Demand{
-		Key: key, Tenant: name, JobType: w.name, Service: service, Job: w.job, Effect: w.effect,
+		Key: key, Tenant: name, JobType: w.name, Service: service, Job: w.job, Semantics: w.semantics,
 		Token: serve.Token(name, key), ServiceKey: serve.Service(name, service), Cores: w.cores, Memory: w.memory,
 		Timeout: w.timeout, LatencyObjective: w.latencyObjective, GiveUpAt: begin + p.Day.duration - p.Day.settleTime,
 	})
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -148,7 +148,7 @@
 	for _, w := range d.jobs {
 		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{
 			StartWork: w.start, MeanRuntime: w.runtime, MeanUse: w.use, Priority: w.priority,
-			Deduplicated: w.effect == audit.Idempotent,
+			Deduplicated: w.semantics == audit.Idempotent,
 		})
 	}
 	p.lastNode++
@@ -159,7 +159,7 @@
 	}
 	group := f.zone // one for all job types: the narrowest that any names
 	for _, w := range d.jobs {
-		if w.effect == audit.Idempotent && w.group == 2 {
+		if w.semantics == audit.Idempotent && w.scope == audit.ScopeCell {
 			group = cell
 		}
 	}
--- a/internal/lab/platformsim/simulation.go
+++ b/internal/lab/platformsim/simulation.go
@@ -53,7 +53,7 @@
   {"name": "marked", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "guarded", "worth": 2, "group": "zone", "window-ns": 1500000000},
   {"name": "single", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "single_shot", "worth": 3, "group": "all"}]}`
 
-var jobs = []audit.JobRules{{}, {Effect: audit.Idempotent, Group: 1, Window: 1500, Spread: 1, MaxTogether: 3}, {Effect: audit.AtMostOnce}}
+var jobs = []audit.JobRules{{}, {Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxTogether: 3}, {Semantics: audit.AtMostOnce}}
 
 var jobNames = []string{"batch", "marked", "single"}
 
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -51,9 +51,9 @@
 // jobs by their names: effect, group, and what the rules ask.
 var jobRules = []audit.JobRules{
 	{},
-	{Effect: audit.Idempotent, Group: 1, Window: 1500, Spread: 1, MaxTogether: 3},
-	{Effect: audit.AtMostOnce},
-	{Effect: audit.Idempotent, Window: 1500},
+	{Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxTogether: 3},
+	{Semantics: audit.AtMostOnce},
+	{Semantics: audit.Idempotent, Window: 1500},
 }
 
 // Result is what came of a script.
@@ -224,7 +224,7 @@
 		life = st.simulation.TaskRuntime
 	}
 	for job := range jobRules {
-		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 12, MeanRuntime: life, MeanUse: 0.5, Priority: job, Deduplicated: jobRules[job].Effect == audit.Idempotent})
+		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 12, MeanRuntime: life, MeanUse: 0.5, Priority: job, Deduplicated: jobRules[job].Semantics == audit.Idempotent})
 	}
 	groups := []*standin.Group{standin.NewGroup(), standin.NewGroup()}
 	for i := range st.Nodes {
@@ -330,7 +330,7 @@
 		st.result.Violations = n
 	} else if n > 0 && st.result.Failure == "" {
 		b := st.auditor.Finish()[0]
-		st.fail(b.Rule, b.String())
+		st.fail(int(b.Rule), b.String())
 	}
 }
 
@@ -426,7 +426,7 @@
 		}
 		o.Request(&standin.Demand{
 			Key: key, Tenant: tenant, JobType: st.site.JobClasses[job], Service: service, Job: job,
-			Effect: jobRules[job].Effect, Token: token, ServiceKey: serve.Service(tenant, service),
+			Semantics: jobRules[job].Semantics, Token: token, ServiceKey: serve.Service(tenant, service),
 			Cores: 0.5 + st.rng.Float64(), Memory: 1, Timeout: st.site.Deadlines[job], LatencyObjective: 800, GiveUpAt: st.Duration,
 		})
 	}
@@ -452,7 +452,7 @@
 // checkFinalState checks, when all is quiet, that nothing is held that no one knows, and nothing was left unanswered.
 func (st *environment) checkFinalState() {
 	if breaks := st.auditor.Finish(); len(breaks) > 0 {
-		st.fail(breaks[0].Rule, breaks[0].String())
+		st.fail(int(breaks[0].Rule), breaks[0].String())
 	}
 	for _, n := range st.nodes {
 		if n.Lost || n.Machine.Hung {
--- a/internal/lab/tenants/removals.go
+++ b/internal/lab/tenants/removals.go
@@ -198,7 +198,7 @@
 			p.testbed.After(float64(rng.IntN(int(at[i])+400)), func() { // up to a moment after the removal
 				o.Request(&standin.Demand{
 					Key: key, Tenant: name, JobType: p.site.JobClasses[job], Service: service, Job: job,
-					Effect: int(p.site.Cluster.JobClasses[job].Semantics), Token: serve.Token(name, key),
+					Semantics: audit.Semantics(p.site.Cluster.JobClasses[job].Semantics), Token: serve.Token(name, key),
 					ServiceKey: serve.Service(name, service), Cores: 1, Memory: 2, Timeout: p.site.Deadlines[job], LatencyObjective: 1000,
 					GiveUpAt: p.testbed.Now() + 20,
 				}) // not again: after a removal the token is gone, and what is asked without one is not taken
--- a/internal/lab/tenants/trial.go
+++ b/internal/lab/tenants/trial.go
@@ -227,7 +227,7 @@
 		key, service, tenant := fmt.Sprint("k", n), fmt.Sprint("v", job, n%3), tenantName(i)
 		jt := place.Cluster.JobClasses[job]
 		o.Request(&standin.Demand{
-			Key: key, Tenant: tenant, JobType: place.JobClasses[job], Service: service, Job: job, Effect: int(jt.Semantics),
+			Key: key, Tenant: tenant, JobType: place.JobClasses[job], Service: service, Job: job, Semantics: audit.Semantics(jt.Semantics),
 			Token: serve.Token(tenant, key), ServiceKey: serve.Service(tenant, service), Cores: 1, Memory: 2,
 			Timeout: place.Deadlines[job], LatencyObjective: jt.LatencyObjective, GiveUpAt: w.Now() + 50,
 		})
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -67,8 +67,8 @@
 		Nodes: map[uint32]audit.Location{}, DrainGrace: siteConfig.DrainGrace, SlowStartLimit: 12, SlowStartDuration: 6000,
 		SlowStartWindow: 1000, Slack: 400, Jobs: []audit.JobRules{
 			{},
-			{Effect: audit.Idempotent, Group: 1, Window: 1500, Spread: 1, MaxTogether: 3},
-			{Effect: audit.AtMostOnce},
+			{Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxTogether: 3},
+			{Semantics: audit.AtMostOnce},
 		},
 	}
 	mk := standin.MachineConfig{
@@ -136,7 +136,7 @@
 		class := s.siteConfig.Cluster.JobClasses[job]
 		s.clients[s.lastKey%len(s.clients)].Request(&standin.Demand{
 			Key: key, Tenant: "t", JobType: s.siteConfig.JobClasses[job], Service: service,
-			Job: job, Effect: int(class.Semantics), Token: Token("t", key), ServiceKey: Service("t", service), Cores: 1, Memory: 1,
+			Job: job, Semantics: audit.Semantics(class.Semantics), Token: Token("t", key), ServiceKey: Service("t", service), Cores: 1, Memory: 1,
 			Timeout: s.siteConfig.Deadlines[job], LatencyObjective: class.LatencyObjective, GiveUpAt: end,
 		})
 		time.Sleep(time.Duration(1e9 / rate))
@@ -292,7 +292,7 @@
 			breaks, served := s.violations()
 			named := false
 			for _, b := range breaks {
-				named = named || b.Rule == c.rule
+				named = named || int(b.Rule) == c.rule
 			}
 			if c.rule == 0 && (len(breaks) > 0 || served == 0) || c.rule > 0 && !named {
 				t.Errorf("%d served, breaks %v, want rule %d", served, breaks[:min(3, len(breaks))], c.rule)
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -16,7 +16,7 @@
 type Demand struct {
 	Key, Tenant, JobType, Service string
 	Job                           int
-	Effect                        int
+	Semantics                     audit.Semantics
 	Token, ServiceKey             uint64 // as the scheduler derives them
 	Cores, Memory                 float64
 	Timeout, LatencyObjective     float64 // ms
@@ -157,7 +157,7 @@
 	o.mu.Lock()
 	after *= 0.75 + 0.5*o.rng.Float64()
 	o.mu.Unlock()
-	if doubtful && want.Effect != audit.Restartable {
+	if doubtful && want.Semantics != audit.Restartable {
 		after += o.SettleTime
 	}
 	if o.testbed.Now()+after > want.GiveUpAt {
