--- a/cmd/ravenpond/lab_run.go
+++ b/cmd/ravenpond/lab_run.go
@@ -59,12 +59,11 @@
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 && !c.Quiet {
 		progress = os.Stderr
 	}
-	sum := sim.RunSeedsWith(ctx, a, b, c.Workers, plant, c.MaxBroken, progress, func(s sim.Script) sim.Script {
-		if c.MinWorkingSet > 0 {
-			return s.WithWorkingSet(c.MinWorkingSet)
-		}
-		return s
-	})
+	batch := sim.Batch{From: a, To: b, Workers: c.Workers, Fault: plant, MaxFailures: c.MaxBroken, Progress: progress}
+	if c.MinWorkingSet > 0 {
+		batch.Change = func(s sim.Script) sim.Script { return s.WithWorkingSet(c.MinWorkingSet) }
+	}
+	sum := batch.Run(ctx)
 	sum.Print(os.Stdout)
 	if len(sum.Failures) > 0 && plant == nil {
 		return errors.New("something broke")
--- a/internal/lab/cluster/result.go
+++ b/internal/lab/cluster/result.go
@@ -31,7 +31,7 @@
 	wanted, served := 0.0, 0.0
 	for _, x := range r.processes {
 		for _, t := range x.client.Outcomes() {
-			res.Answers[t.Result]++
+			res.Answers[string(t.Result)]++
 			if t.SentAt >= r.scriptFrom && t.SentAt < r.scriptUntil {
 				value := r.site.Cluster.JobClasses[t.Job].PriorityWeight
 				if wanted += value; t.Result == "served" && t.InTime {
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -166,7 +166,7 @@
 	if p.groups[group] == nil {
 		p.groups[group] = standin.NewGroup()
 	}
-	if err := p.testbed.StartNode(n, mk, p.groups[group], p.rng.Uint64(), cold, ""); err != nil {
+	if err := p.testbed.StartNode(n, standin.NodeStart{Machine: mk, Group: p.groups[group], Seed: p.rng.Uint64(), Cold: cold}); err != nil {
 		return err
 	}
 	p.nodes = append(p.nodes, n)
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -182,7 +182,7 @@
 	for i := range tr.Nodes {
 		zone := place.Zones[i%len(place.Zones)]
 		n := &standin.Node{ID: uint32(i + 1), Zone: zone, Cell: zone, Kind: "plain", Jobs: 1, Tenants: 1}
-		if err := w.StartNode(n, mk, group, uint64(i), false, ""); err != nil {
+		if err := w.StartNode(n, standin.NodeStart{Machine: mk, Group: group, Seed: uint64(i)}); err != nil {
 			return nil, err
 		}
 		if tr.DropAnswers {
--- a/internal/lab/maintenance/effects.go
+++ b/internal/lab/maintenance/effects.go
@@ -33,13 +33,9 @@
 		}
 		p.engine.OnConnected(p.clock(), nd, s.incarnation, 0)
 		var b []byte
-		s.machine.EachHeld(p.sim.now, p.name(), func(ticket uint64, try uint8, runs bool, job, tenant int, service, token uint64, cores, memory float64) {
-			state := 0
-			if runs {
-				state = 1
-			}
-			b = node.AppendHeld(b, ticket, try, state, job, tenant, service, token, cores, memory)
-		})
+		for _, held := range s.machine.Held(p.sim.now, p.name()) {
+			b = held.Append(b)
+		}
 		p.receive(s, node.AppendHeldAll(b))
 	})
 }
--- a/internal/lab/maintenance/handlers.go
+++ b/internal/lab/maintenance/handlers.go
@@ -8,6 +8,7 @@
 
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/proto/node"
+	"ravenpond/internal/standin"
 	"ravenpond/internal/state/maintenancestore"
 	"ravenpond/logic"
 )
@@ -18,26 +19,32 @@
 	process *process
 }
 
+func (a nodeHandler) id(ticket uint64, attempt uint8) standin.AttemptID {
+	return standin.AttemptID{Scheduler: a.process.name(), Ticket: ticket, Attempt: attempt}
+}
+
 func (a nodeHandler) OnOffer(ticket uint64, try uint8, epoch uint32, _, timeout float64, job, tenant int, service, token uint64,
 	cores, memory float64,
 ) error {
 	a.node.checkPlacement("offer", ticket)
-	a.node.machine.Place(a.node.sim.now, a.process.name(), ticket, try, epoch, timeout, job, tenant, service, token, cores, memory)
+	a.node.machine.Place(a.node.sim.now, standin.Placement{
+		ID: a.id(ticket, try), Epoch: epoch, Timeout: timeout, Job: job, Tenant: tenant, Service: service, Token: token, Cores: cores, Memory: memory,
+	})
 	return nil
 }
 
 func (a nodeHandler) OnRecall(t uint64, n uint8) error {
-	a.node.machine.Recall(a.node.sim.now, a.process.name(), t, n)
+	a.node.machine.Recall(a.node.sim.now, a.id(t, n))
 	return nil
 }
 
 func (a nodeHandler) OnStop(t uint64, n uint8) error {
-	a.node.machine.Stop(a.node.sim.now, a.process.name(), t, n)
+	a.node.machine.Stop(a.node.sim.now, a.id(t, n))
 	return nil
 }
 
 func (a nodeHandler) OnClaim(t uint64, n uint8) error {
-	a.node.machine.Claim(a.node.sim.now, a.process.name(), t, n)
+	a.node.machine.Claim(a.node.sim.now, a.id(t, n))
 	return nil
 }
 
@@ -62,30 +69,39 @@
 	})
 }
 
-// OnStarted and the others make a node its machine's voice.
-func (s *simNode) OnStarted(sched string, ticket uint64, try uint8, took float64) {
-	s.send(sched, node.AppendStarted(nil, ticket, try, took))
+// OnStarted implements standin.EventHandler.
+func (s *simNode) OnStarted(id standin.AttemptID, took float64) {
+	s.send(id.Scheduler, node.AppendStarted(nil, id.Ticket, id.Attempt, took))
 }
 
-func (s *simNode) OnConcluded(sched string, ticket uint64, try uint8, outcome, reason int, report []float64) {
-	s.send(sched, node.AppendOutcome(nil, ticket, try, outcome, reason, report))
+// OnConcluded implements standin.EventHandler.
+func (s *simNode) OnConcluded(id standin.AttemptID, c standin.Conclusion) {
+	s.send(id.Scheduler, node.AppendOutcome(nil, id.Ticket, id.Attempt, c.Outcome, c.Reason, c.Report))
 }
-func (s *simNode) OnNote(string, uint64, uint8, int, float64) {}
-func (s *simNode) OnReport(sched string, seq uint64, report []float64) {
-	s.send(sched, node.AppendReport(nil, seq, report))
+
+// OnNote implements standin.EventHandler: schedulers here don't learn from notes.
+func (s *simNode) OnNote(standin.AttemptID, int, float64) {}
+
+// OnReport implements standin.EventHandler.
+func (s *simNode) OnReport(scheduler string, seq uint64, report []float64) {
+	s.send(scheduler, node.AppendReport(nil, seq, report))
 }
 
-func (s *simNode) OnClaimed(sched string, ticket uint64, try uint8, claim, reason int) {
-	s.send(sched, node.AppendClaimAnswer(nil, ticket, try, claim, reason))
+// OnClaimed implements standin.EventHandler.
+func (s *simNode) OnClaimed(id standin.AttemptID, claim, reason int) {
+	s.send(id.Scheduler, node.AppendClaimAnswer(nil, id.Ticket, id.Attempt, claim, reason))
 }
 
-func (s *simNode) OnRun(sched string, ticket uint64, try uint8) {
+// OnRun implements standin.EventHandler. A start at a node that is out counts unless its process could not have recalled the attempt.
+func (s *simNode) OnRun(id standin.AttemptID) {
 	s.sim.report.Starts++
-	s.sim.tracef("ran %s %x.%d at %d", sched, ticket, try, s.id)
-	if i, _ := strconv.Atoi(sched); s.sim.now > s.sim.processes[i].unresponsiveUntil { // else nobody could have called it back
-		s.checkPlacement("start", ticket)
+	s.sim.tracef("ran %s %x.%d at %d", id.Scheduler, id.Ticket, id.Attempt, s.id)
+	if i, _ := strconv.Atoi(id.Scheduler); s.sim.now > s.sim.processes[i].unresponsiveUntil {
+		s.checkPlacement("start", id.Ticket)
 	}
 }
+
+// OnOverload implements standin.EventHandler: nodes here are never overloaded.
 func (s *simNode) OnOverload() {}
 
 // processHandler hands a node's word to a process's engine.
--- a/internal/lab/scale/hollow/nodes.go
+++ b/internal/lab/scale/hollow/nodes.go
@@ -106,7 +106,7 @@
 		place := h.First + i
 		zone := ZoneName(NodeZone(place, h.Nodes, h.Zones))
 		n := &standin.Node{ID: NodeID(place), Zone: zone, Cell: zone, Kind: "plain", Jobs: len(model.JobProfiles), Tenants: h.Teams}
-		if err := world.StartNode(n, model, group, h.random.Uint64(), false, NodeAddress(place)); err != nil {
+		if err := world.StartNode(n, standin.NodeStart{Machine: model, Group: group, Seed: h.random.Uint64(), Address: NodeAddress(place)}); err != nil {
 			return err
 		}
 		h.nodes, h.testbeds = append(h.nodes, n), append(h.testbeds, world)
--- a/internal/lab/sim/agree_test.go
+++ b/internal/lab/sim/agree_test.go
@@ -59,7 +59,7 @@
 		WarmupPace: 1, WarmupDuration: 1, OverloadFactor: 1e9, OverloadWindow: 1, SlowStartLimit: 1 << 20,
 		JobProfiles: []standin.JobProfile{{StartWork: 5, MeanRuntime: 400, MeanUse: 0.5}, {StartWork: 150, MeanRuntime: 400, MeanUse: 0.5, Deduplicated: true}},
 	}
-	if err := sw.StartNode(n, mk, standin.NewGroup(), 3, false, address); err != nil {
+	if err := sw.StartNode(n, standin.NodeStart{Machine: mk, Group: standin.NewGroup(), Seed: 3, Address: address}); err != nil {
 		return nil, err
 	}
 	t := &talk{}
@@ -106,7 +106,7 @@
 			Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, InspectTime: 2, QueueLimit: 4, ConcurrentStarts: 2, OverloadFactor: 1e9, OverloadWindow: 1, SlowStartLimit: 1 << 20,
 			JobProfiles: []standin.JobProfile{{StartWork: 5, MeanRuntime: 400, MeanUse: 0.5}},
 		}
-		if err := standin.NewTestbed(w).StartNode(n, mk, standin.NewGroup(), 3, false, "n:1"); err != nil {
+		if err := standin.NewTestbed(w).StartNode(n, standin.NodeStart{Machine: mk, Group: standin.NewGroup(), Seed: 3, Address: "n:1"}); err != nil {
 			t.Fatal(err)
 		}
 		x := &talk{}
--- a/internal/lab/sim/datagrams.go
+++ b/internal/lab/sim/datagrams.go
@@ -1,18 +1,16 @@
 package sim
 
-import (
-	"ravenpond/internal/env"
-)
+import "ravenpond/internal/env"
 
-// DatagramLink is the road of datagrams from one host to another.
+// DatagramLink is the network for datagrams from one host to another.
 type DatagramLink struct {
-	Cut         bool    // nothing passes, this way
-	Loss        float64 // part that is lost
-	Duplication float64 // part that comes twice
-	MaxDelay    float64 // ms more, for each
+	Cut         bool    // nothing passes
+	Loss        float64 // fraction that is lost
+	Duplication float64 // fraction that arrives twice
+	MaxDelay    float64 // ms by which each is later
 }
 
-// DatagramLink gives the road from one host to another; the way back is another.
+// DatagramLink returns the link from one host to another; the way back is another link.
 func (c *Clock) DatagramLink(from, to string) *DatagramLink {
 	l := c.datagramLinks[[2]string{from, to}]
 	if l == nil {
@@ -22,6 +20,7 @@
 	return l
 }
 
+// packetConn implements env.PacketConn.
 type packetConn struct {
 	process     *Process
 	address     string
@@ -29,47 +28,50 @@
 	incarnation int
 }
 
-// ListenPacket takes datagrams at an address.
-func (p *Process) ListenPacket(address string, heard func(b []byte)) (env.PacketConn, error) {
-	if x := p.clock.packetConns[address]; x != nil && !x.process.dead && x.incarnation == x.process.incarnation {
+// ListenPacket implements env.Environment.
+func (p *Process) ListenPacket(address string, receive func(b []byte)) (env.PacketConn, error) {
+	if other := p.clock.packetConns[address]; other != nil && !other.process.dead && other.incarnation == other.process.incarnation {
 		return nil, errAddressInUse
 	}
-	x := &packetConn{p, address, heard, p.incarnation}
-	p.clock.packetConns[address] = x
-	return x, nil
+	pc := &packetConn{p, address, receive, p.incarnation}
+	p.clock.packetConns[address] = pc
+	return pc, nil
 }
 
-func (x *packetConn) Address() string { return x.address }
+// Address implements env.PacketConn.
+func (pc *packetConn) Address() string { return pc.address }
 
-func (x *packetConn) Close() {
-	if x.process.clock.packetConns[x.address] == x {
-		delete(x.process.clock.packetConns, x.address)
+// Close implements env.PacketConn.
+func (pc *packetConn) Close() {
+	if pc.process.clock.packetConns[pc.address] == pc {
+		delete(pc.process.clock.packetConns, pc.address)
 	}
 }
 
-// Send sends a datagram on its way: cut, lost, doubled, late and out of order as the lane has it.
-func (x *packetConn) Send(to string, b []byte) {
-	c := x.process.clock
-	y := c.packetConns[to]
-	if y == nil || len(b) > env.MaxDatagram || !x.process.effect() {
+// Send implements env.PacketConn. Datagrams are lost, duplicated, late and out of order as the link has it.
+func (pc *packetConn) Send(to string, b []byte) {
+	c := pc.process.clock
+	target := c.packetConns[to]
+	if target == nil || len(b) > env.MaxDatagram || !pc.process.effect() {
 		return
 	}
-	w, l := c.link(x.process.Name, y.process.Name), c.datagramLinks[[2]string{x.process.Name, y.process.Name}]
-	if l == nil {
-		l = &DatagramLink{}
+	between := c.link(pc.process.Name, target.process.Name)
+	datagrams := c.datagramLinks[[2]string{pc.process.Name, target.process.Name}]
+	if datagrams == nil {
+		datagrams = &DatagramLink{}
 	}
-	if w.cut || l.Cut || l.Loss > 0 && c.rng.Float64() < l.Loss {
+	if between.cut || datagrams.Cut || datagrams.Loss > 0 && c.rng.Float64() < datagrams.Loss {
 		return
 	}
-	times := 1
-	if l.Duplication > 0 && c.rng.Float64() < l.Duplication {
-		times = 2
+	copies := 1
+	if datagrams.Duplication > 0 && c.rng.Float64() < datagrams.Duplication {
+		copies = 2
 	}
 	b = append([]byte(nil), b...)
-	for range times {
-		c.schedule(y.process, c.now+c.delay(w)+l.MaxDelay, func() {
-			if c.packetConns[to] == y && y.incarnation == y.process.incarnation {
-				y.receive(b)
+	for range copies {
+		c.schedule(target.process, c.now+c.delay(between)+datagrams.MaxDelay, func() {
+			if c.packetConns[to] == target && target.incarnation == target.process.incarnation {
+				target.receive(b)
 			}
 		})
 	}
--- a/internal/lab/sim/disk.go
+++ b/internal/lab/sim/disk.go
@@ -5,29 +5,35 @@
 	"maps"
 )
 
-// Disk is a process's disk. It keeps what was written durably over every death of the process, and of the power.
+// syncDelay is when a disk with DelayedSync has written a file, ms.
+const syncDelay = 1000
+
+var errKilled = errors.New("killed while writing")
+
+// Disk is the state folder of a process. It keeps what was written when the process ends, and when the machine loses power.
 type Disk struct {
-	process     *Process
-	files       map[string][]byte
-	durable     map[string][]byte // what survives the power's end
-	DelayedSync bool              // planted: what is written is on the disk a second later only
+	// DelayedSync is a program fault: a write returns a second before the file would survive a power loss.
+	DelayedSync bool
+
+	process *Process
+	files   map[string][]byte
+	durable map[string][]byte // what survives a power loss
 }
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk.
 func NewDisk(p *Process) *Disk {
 	return &Disk{process: p, files: map[string][]byte{}, durable: map[string][]byte{}}
 }
 
-var errKilled = errors.New("killed while writing")
-
-// Read gives a file.
+// Read returns a file, nil if there is none.
 func (d *Disk) Read(name string) ([]byte, error) { return d.files[name], nil }
 
-// Write replaces a file as a whole. Where the process is killed in the midst of it, the file is the old or the new one.
-func (d *Disk) Write(name string, text []byte) error {
-	kept := append([]byte(nil), text...)
+// Write replaces a file. If the process is killed within the call, the file is either the old or the new one.
+func (d *Disk) Write(name string, content []byte) error {
+	kept := append([]byte(nil), content...)
+	clock := d.process.clock
 	if !d.process.effect() {
-		if d.process.clock.rng.IntN(2) == 0 {
+		if clock.rng.IntN(2) == 0 {
 			d.files[name], d.durable[name] = kept, kept
 		}
 		return errKilled
@@ -37,18 +43,18 @@
 		d.durable[name] = kept
 		return nil
 	}
-	d.process.clock.schedule(nil, d.process.clock.now+1000, func() { d.durable[name] = kept })
+	clock.schedule(nil, clock.now+syncDelay, func() { d.durable[name] = kept })
 	return nil
 }
 
-// WriteUnsynced replaces a file that nothing rests on.
-func (d *Disk) WriteUnsynced(name string, text []byte) error {
-	d.files[name] = append([]byte(nil), text...)
+// WriteUnsynced replaces a file that need not survive a power loss.
+func (d *Disk) WriteUnsynced(name string, content []byte) error {
+	d.files[name] = append([]byte(nil), content...)
 	return nil
 }
 
-// Close lets it go.
+// Close does nothing.
 func (d *Disk) Close() error { return nil }
 
-// PowerLost forgets what was not on the disk.
+// PowerLost drops what would not survive a power loss.
 func (d *Disk) PowerLost() { d.files = maps.Clone(d.durable) }
--- a/internal/lab/sim/inject.go
+++ b/internal/lab/sim/inject.go
@@ -15,198 +15,305 @@
 	"ravenpond/internal/standin"
 )
 
-// inject lets a fault happen.
-func (st *environment) inject(f Fault) {
-	c := st.clock
-	c.tracef("fault %s %s %s\n", f.Kind, f.Target, f.Peer)
-	after := func(run func()) { c.schedule(nil, c.now+f.Duration, run) }
-	var s *scheduler
-	for _, x := range st.schedulers {
-		if x.name == f.Target {
-			s = x
+// Times of faults in ms.
+const (
+	killedRestartDelay = 100  // of a process that was killed within what it did
+	stallGrace         = 100  // in which a client that was stalled reads what arrived
+	maxWindowJump      = 80   // by which a wall clock may jump where maintenance windows go by it: less than the guard
+	windowNotice       = 1500 // before the lead of a maintenance window
+	calendarInterval   = 1000 // in which a scheduler notices that a window begins
+)
+
+// injection is a fault that happens, with what it hits.
+type injection struct {
+	env       *environment
+	clock     *Clock
+	fault     Fault
+	scheduler *scheduler    // nil if it hits none
+	node      *standin.Node // nil if it hits none
+}
+
+// injectors hold how each kind of fault is injected.
+var injectors = map[string]func(*injection){
+	"kill":          (*injection).kill,
+	"kill-in":       (*injection).killAfterEffects,
+	"power":         (*injection).losePower,
+	"pause":         (*injection).pause,
+	"jump":          (*injection).jumpClock,
+	"panic":         func(in *injection) { in.scheduler.effectsUntilPanic = max(1, int(in.fault.Size)) },
+	"shards":        (*injection).resize,
+	"reset":         func(in *injection) { in.resetConnections(true) },
+	"half":          func(in *injection) { in.resetConnections(false) },
+	"cut":           (*injection).cutLink,
+	"refuse":        (*injection).refuseConnections,
+	"slow":          (*injection).slowLink,
+	"stall":         (*injection).stallPeer,
+	"stall-back":    (*injection).stallReader,
+	"list-away":     (*injection).failList,
+	"list-behind":   (*injection).delayList,
+	"hang":          (*injection).hang,
+	"mute":          (*injection).loseAnswers,
+	"deaf":          func(in *injection) { in.disturbDatagrams(DatagramLink{Cut: true}) },
+	"lossy":         func(in *injection) { in.disturbDatagrams(DatagramLink{Loss: in.fault.Size}) },
+	"errors":        func(in *injection) { in.failJob(false) },
+	"silence":       func(in *injection) { in.failJob(true) },
+	"restart":       func(in *injection) { in.crashNodes([]*standin.Node{in.node}) },
+	"lost":          func(in *injection) { in.crashNodes([]*standin.Node{in.node}) },
+	"hall":          (*injection).crashZone,
+	"drain":         (*injection).drain,
+	"flood":         (*injection).flood,
+	"withdraw":      (*injection).withdraw,
+	"window":        (*injection).addMaintenance,
+	"tenant-pause":  func(in *injection) { in.env.pauseTenant(in.fault) },
+	"tenant-limit":  func(in *injection) { in.env.limitTenant(in.fault) },
+	"tenant-remove": func(in *injection) { in.env.removeTenant(in.fault) },
+}
+
+// inject has a fault happen now.
+func (e *environment) inject(f Fault) {
+	e.clock.tracef("fault %s %s %s\n", f.Kind, f.Target, f.Peer)
+	in := &injection{env: e, clock: e.clock, fault: f, node: e.node(f.Target)}
+	for _, s := range e.schedulers {
+		if s.name == f.Target {
+			in.scheduler = s
 		}
 	}
-	n := st.node(f.Target)
-	if n == nil {
-		n = st.node(f.Peer)
-	}
-	switch f.Kind {
-	case "kill":
-		s.process.Kill(false)
-		s.restartAfter(f.Duration)
-	case "kill-in":
-		s.process.KillAfterEffects(max(1, int(f.Size)))
-		dies := s.process.incarnation
-		after(func() {
-			if s.process.incarnation == dies { // nothing was done meanwhile
-				s.process.Kill(false)
-			}
-			s.restartAfter(100)
-		})
-	case "power":
-		s.process.Kill(true)
-		s.disk.PowerLost()
-		s.restartAfter(f.Duration)
-	case "pause":
-		if s.process.dead || s.process.paused {
-			return
-		}
-		life := s.process.incarnation
-		s.process.Pause()
-		st.testbed.Trace.Add(audit.Record{At: c.now, Kind: audit.SchedulerPaused, Scheduler: s.name})
-		after(func() {
-			if s.process.incarnation == life {
-				st.testbed.Trace.Add(audit.Record{At: c.now, Kind: audit.SchedulerResumed, Scheduler: s.name})
-				s.process.Resume()
-			}
-		})
-	case "jump":
-		if slices.ContainsFunc(st.Faults, func(f Fault) bool { return f.Kind == "window" }) {
-			f.Size = math.Mod(f.Size, 80) // windows go by the wall clock, which must be right within the guard
-		}
-		s.process.JumpClock(f.Size)
-	case "panic":
-		s.effectsUntilPanic = max(1, int(f.Size))
-	case "shards":
-		if !s.process.dead && s.server != nil {
-			want := max(1, min(maxShards, int(f.Size+0.5)))
-			c.schedule(s.process, c.now, func() { _ = s.server.Resize(want) })
-		}
-	case "reset", "half":
-		for _, x := range st.connections(f.Target, f.Peer) {
-			x.Reset(f.Kind == "reset")
-		}
-	case "cut":
-		w := c.link(f.Target, f.Peer)
-		w.cut = true
-		after(func() { w.cut = false })
-	case "refuse":
-		w := c.link(f.Target, f.Peer)
-		w.refuse = true
-		for _, x := range st.connections(f.Target, f.Peer) {
-			x.Reset(true)
-		}
-		after(func() { w.refuse = false })
-	case "slow":
-		w := c.link(f.Target, f.Peer)
-		w.maxExtraDelay = f.Size
-		after(func() { w.maxExtraDelay = 0 })
-	case "stall":
-		for _, x := range st.connections(f.Target, f.Peer) {
-			x.remote.Stall(f.Duration)
-		}
-	case "stall-back":
-		at := f.Target
-		if f.Peer[0] == 'o' { // it is the owner who does not read: its answers are late, but not the scheduler's fault
-			i, _ := strconv.Atoi(f.Peer[1:])
-			st.stalledClients[i] = max(st.stalledClients[i], c.now+f.Duration+100)
-			at = f.Peer
-		}
-		for _, x := range append(st.connections(f.Target, f.Peer), st.connections(f.Peer, f.Target)...) {
-			if x.process.Name == at {
-				x.Stall(f.Duration)
-			}
-		}
-	case "list-away":
-		st.list.Update(func(l *standin.List) { l.Unavailable = true })
-		after(func() { st.list.Update(func(l *standin.List) { l.Unavailable = false }) })
-	case "list-behind":
-		st.list.Update(func(l *standin.List) { l.ExtraDelay = f.Size })
-		after(func() { st.list.Update(func(l *standin.List) { l.ExtraDelay = 0 }) })
-	case "hang":
-		n.Machine.Hung = true
-		after(func() { n.Machine.Hung = false })
-	case "mute":
-		n.Machine.AnswerLoss = f.Size
-		after(func() { n.Machine.AnswerLoss = 0 })
-	case "deaf", "lossy":
-		l := c.DatagramLink(f.Peer, f.Target)
-		if f.Kind == "deaf" {
-			l.Cut = true
-		} else {
-			l.Loss = f.Size
-		}
-		after(func() { *l = DatagramLink{} })
-	case "errors", "silence":
-		n.Machine.FailingJob, n.Machine.FailingFraction, n.Machine.FailSilently = st.rng.IntN(len(jobRules)), f.Size, f.Kind == "silence"
-		after(func() { n.Machine.FailingJob = -1 })
-	case "restart", "lost":
-		st.crashNodes([]*standin.Node{n}, f.Duration)
-	case "hall":
-		zone, half := st.site.Zones[st.rng.IntN(2)], []*standin.Node(nil)
-		for _, x := range st.nodes {
-			if x.Zone == zone {
-				half = append(half, x)
-			}
-		}
-		st.crashNodes(half, f.Duration)
-	case "drain":
-		if n.Lost {
-			return
+	if in.node == nil {
+		in.node = e.node(f.Peer)
+	}
+	if inject := injectors[f.Kind]; inject != nil {
+		inject(in)
+	}
+}
+
+// after calls f when the fault ends.
+func (in *injection) after(f func()) { in.clock.schedule(nil, in.clock.now+in.fault.Duration, f) }
+
+func (in *injection) kill() {
+	in.scheduler.process.Kill(false)
+	in.scheduler.restartAfter(in.fault.Duration)
+}
+
+// killAfterEffects kills a scheduler within what it does, at the latest when the fault ends.
+func (in *injection) killAfterEffects() {
+	s := in.scheduler
+	s.process.KillAfterEffects(max(1, int(in.fault.Size)))
+	incarnation := s.process.incarnation
+	in.after(func() {
+		if s.process.incarnation == incarnation {
+			s.process.Kill(false)
 		}
-		n.Draining = true
-		n.Machine.Drain(c.now, true, false)
-		after(func() { n.Draining = false; n.Machine.Undrain() })
-	case "flood":
-		st.loadFactor = max(1, f.Size)
-		after(func() { st.loadFactor = 1 })
-	case "withdraw":
-		if i, err := strconv.Atoi(strings.TrimPrefix(f.Target, "o")); err == nil {
-			st.clients[i].Withdraw(f.Size)
+		s.restartAfter(killedRestartDelay)
+	})
+}
+
+func (in *injection) losePower() {
+	in.scheduler.process.Kill(true)
+	in.scheduler.disk.PowerLost()
+	in.scheduler.restartAfter(in.fault.Duration)
+}
+
+func (in *injection) pause() {
+	s, trace := in.scheduler, &in.env.testbed.Trace
+	if s.process.dead || s.process.paused {
+		return
+	}
+	incarnation := s.process.incarnation
+	s.process.Pause()
+	trace.Add(audit.Record{At: in.clock.now, Kind: audit.SchedulerPaused, Scheduler: s.name})
+	in.after(func() {
+		if s.process.incarnation == incarnation {
+			trace.Add(audit.Record{At: in.clock.now, Kind: audit.SchedulerResumed, Scheduler: s.name})
+			s.process.Resume()
 		}
-	case "window":
-		st.addMaintenance(n, f)
-	case "tenant-pause", "tenant-limit", "tenant-remove":
-		st.injectTenantFault(f)
+	})
+}
+
+func (in *injection) jumpClock() {
+	by := in.fault.Size
+	if slices.ContainsFunc(in.env.Faults, func(f Fault) bool { return f.Kind == "window" }) {
+		by = math.Mod(by, maxWindowJump)
 	}
+	in.scheduler.process.JumpClock(by)
 }
 
-// addMaintenance takes a node out for maintenance by every scheduler's calendar, with a lead.
-func (st *environment) addMaintenance(n *standin.Node, f Fault) {
-	c := st.clock
-	start := env.Epoch.Add(time.Duration((clockOrigin + c.now + f.Size + 1500) * 1e6)).Truncate(time.Second)
-	w := calendar.Window{
-		ID: fmt.Sprintf("w%.0f", f.At), Scope: calendar.OneNode, Target: strconv.Itoa(int(n.ID)), Start: start,
-		Duration: time.Duration(max(1, f.Duration/1000)) * time.Second, Lead: time.Duration(math.Ceil(f.Size/1000)) * time.Second, CreatedAt: start,
+func (in *injection) resize() {
+	s := in.scheduler
+	if s.process.dead || s.server == nil {
+		return
 	}
-	for _, s := range st.schedulers {
-		s.maintenance.calendar.Windows = append(s.maintenance.calendar.Windows, w)
+	shards := max(1, min(maxShards, int(in.fault.Size+0.5)))
+	in.clock.schedule(s.process, in.clock.now, func() { _ = s.server.Resize(shards) }) // refused while another change is under way
+}
+
+func (in *injection) resetConnections(both bool) {
+	for _, c := range in.env.connections(in.fault.Target, in.fault.Peer) {
+		c.Reset(both)
 	}
-	ms := func(t time.Time) float64 { return float64(t.Sub(env.Epoch))/1e6 - clockOrigin }
-	mark := func(at float64, word string) {
-		c.schedule(nil, at, func() {
-			st.testbed.Trace.Add(audit.Record{At: c.now, Kind: audit.MaintenanceChanged, Node: n.ID, Detail: word})
-		})
+}
+
+func (in *injection) cutLink() {
+	l := in.clock.link(in.fault.Target, in.fault.Peer)
+	l.cut = true
+	in.after(func() { l.cut = false })
+}
+
+func (in *injection) refuseConnections() {
+	l := in.clock.link(in.fault.Target, in.fault.Peer)
+	l.refuse = true
+	in.resetConnections(true)
+	in.after(func() { l.refuse = false })
+}
+
+func (in *injection) slowLink() {
+	l := in.clock.link(in.fault.Target, in.fault.Peer)
+	l.maxExtraDelay = in.fault.Size
+	in.after(func() { l.maxExtraDelay = 0 })
+}
+
+// stallPeer has the peer read nothing.
+func (in *injection) stallPeer() {
+	for _, c := range in.env.connections(in.fault.Target, in.fault.Peer) {
+		c.remote.Stall(in.fault.Duration)
 	}
-	skew := 0.0 // clocks that the script has set wrong
-	for _, s := range st.schedulers {
-		skew = max(skew, math.Abs(s.process.clockError))
+}
+
+// stallReader has the scheduler read nothing from its peer, or a client nothing from the scheduler. Answers that a stalled client reads
+// late are not the scheduler's fault.
+func (in *injection) stallReader() {
+	e, target, peer := in.env, in.fault.Target, in.fault.Peer
+	reader := target
+	if peer[0] == 'o' {
+		i, _ := strconv.Atoi(peer[1:]) // Script.Check has read it
+		e.stalledClients[i] = max(e.stalledClients[i], in.clock.now+in.fault.Duration+stallGrace)
+		reader = peer
 	}
-	out, back := ms(start.Add(-w.Lead))+1000+skew, ms(start.Add(w.Duration))-1000-skew // a scheduler looks once a second
-	if out < back {
-		mark(out, "out")
-		mark(back, "back")
+	for _, c := range append(e.connections(target, peer), e.connections(peer, target)...) {
+		if c.process.Name == reader {
+			c.Stall(in.fault.Duration)
+		}
 	}
 }
 
-// crashNodes takes nodes away and brings them back cold.
-func (st *environment) crashNodes(nodes []*standin.Node, after float64) {
+func (in *injection) failList() {
+	list := in.env.list
+	list.Update(func(l *standin.List) { l.Unavailable = true })
+	in.after(func() { list.Update(func(l *standin.List) { l.Unavailable = false }) })
+}
+
+func (in *injection) delayList() {
+	list := in.env.list
+	list.Update(func(l *standin.List) { l.ExtraDelay = in.fault.Size })
+	in.after(func() { list.Update(func(l *standin.List) { l.ExtraDelay = 0 }) })
+}
+
+func (in *injection) hang() {
+	in.node.Machine.Hung = true
+	in.after(func() { in.node.Machine.Hung = false })
+}
+
+func (in *injection) loseAnswers() {
+	in.node.Machine.AnswerLoss = in.fault.Size
+	in.after(func() { in.node.Machine.AnswerLoss = 0 })
+}
+
+// disturbDatagrams disturbs datagrams from the peer to the target.
+func (in *injection) disturbDatagrams(disturbed DatagramLink) {
+	l := in.clock.DatagramLink(in.fault.Peer, in.fault.Target)
+	if disturbed.Cut {
+		l.Cut = true
+	} else {
+		l.Loss = disturbed.Loss
+	}
+	in.after(func() { *l = DatagramLink{} })
+}
+
+// failJob has a fraction of the attempts of a random job class fail, silently or with an error.
+func (in *injection) failJob(silently bool) {
+	m := in.node.Machine
+	m.FailingJob, m.FailingFraction, m.FailSilently = in.env.rng.IntN(len(jobRules)), in.fault.Size, silently
+	in.after(func() { m.FailingJob = -1 })
+}
+
+// crashNodes takes nodes away, and brings them back cold when the fault ends.
+func (in *injection) crashNodes(nodes []*standin.Node) {
 	for _, n := range nodes {
 		if n.Lost {
 			continue
 		}
-		n.Crash(st.clock.now)
-		st.clock.schedule(nil, st.clock.now+after, func() {
+		n.Crash(in.clock.now)
+		in.after(func() {
 			if err := n.Restart(); err != nil {
-				st.fail(0, err.Error())
+				in.env.fail(0, err.Error())
 			}
 		})
 	}
 }
 
+// crashZone crashes all nodes of a random zone.
+func (in *injection) crashZone() {
+	zone, nodes := in.env.site.Zones[in.env.rng.IntN(2)], []*standin.Node(nil)
+	for _, n := range in.env.nodes {
+		if n.Zone == zone {
+			nodes = append(nodes, n)
+		}
+	}
+	in.crashNodes(nodes)
+}
+
+func (in *injection) drain() {
+	n := in.node
+	if n.Lost {
+		return
+	}
+	n.Draining = true
+	n.Machine.Drain(in.clock.now, true, false)
+	in.after(func() { n.Draining = false; n.Machine.Undrain() })
+}
+
+func (in *injection) flood() {
+	in.env.loadFactor = max(1, in.fault.Size)
+	in.after(func() { in.env.loadFactor = 1 })
+}
+
+func (in *injection) withdraw() {
+	if i, err := strconv.Atoi(strings.TrimPrefix(in.fault.Target, "o")); err == nil {
+		in.env.clients[i].Withdraw(in.fault.Size)
+	}
+}
+
+// addMaintenance adds a maintenance window of a node to the calendar of every scheduler, with a lead of the fault's size in ms. The auditor
+// is told of the part of the window that all schedulers notice, whatever their clocks.
+func (in *injection) addMaintenance() {
+	e, f, node := in.env, in.fault, in.node
+	start := env.Epoch.Add(time.Duration((clockOrigin + in.clock.now + f.Size + windowNotice) * 1e6)).Truncate(time.Second)
+	w := calendar.Window{
+		ID: fmt.Sprintf("w%.0f", f.At), Scope: calendar.OneNode, Target: strconv.Itoa(int(node.ID)), Start: start,
+		Duration: time.Duration(max(1, f.Duration/1000)) * time.Second, Lead: time.Duration(math.Ceil(f.Size/1000)) * time.Second, CreatedAt: start,
+	}
+	maxClockError := 0.0
+	for _, s := range e.schedulers {
+		s.maintenance.calendar.Windows = append(s.maintenance.calendar.Windows, w)
+		maxClockError = max(maxClockError, math.Abs(s.process.clockError))
+	}
+	trueTime := func(t time.Time) float64 { return float64(t.Sub(env.Epoch))/1e6 - clockOrigin }
+	record := func(at float64, detail string) {
+		in.clock.schedule(nil, at, func() {
+			e.testbed.Trace.Add(audit.Record{At: in.clock.now, Kind: audit.MaintenanceChanged, Node: node.ID, Detail: detail})
+		})
+	}
+	out := trueTime(start.Add(-w.Lead)) + calendarInterval + maxClockError
+	back := trueTime(start.Add(w.Duration)) - calendarInterval - maxClockError
+	if out < back {
+		record(out, "out")
+		record(back, audit.MaintenanceOver)
+	}
+}
+
+// plannedPanic is the panic of a shard that a script plans.
 const plannedPanic = "of the script"
 
-// panicInjector lets a shard panic in the midst of its effects.
+// panicInjector has a shard panic within its effects: before or after one that the engine asks of its router.
 type panicInjector struct {
 	engine.Effects
 	scheduler *scheduler
--- /dev/null
+++ b/internal/lab/sim/network.go
@@ -0,0 +1,129 @@
+package sim
+
+import (
+	"errors"
+	"fmt"
+
+	"ravenpond/internal/env"
+)
+
+// Latency of the network in ms: a base and two random parts, up to maxJitter and up to the link's maxExtraDelay.
+const (
+	baseLatency = 0.1
+	maxJitter   = 0.9
+)
+
+var (
+	errAddressInUse = errors.New("address is taken")
+	errRefused      = fmt.Errorf("connection %w", env.ErrRefused)
+	errTimeout      = errors.New("connection timed out")
+	errReset        = errors.New("connection reset")
+)
+
+// link is the network between two hosts.
+type link struct {
+	cut           bool    // nothing passes, and no end is told
+	refuse        bool    // connections are refused
+	maxExtraDelay float64 // ms
+}
+
+// link returns the link between two hosts.
+func (c *Clock) link(a, b string) *link {
+	if a > b {
+		a, b = b, a
+	}
+	l := c.links[[2]string{a, b}]
+	if l == nil {
+		l = &link{}
+		c.links[[2]string{a, b}] = l
+	}
+	return l
+}
+
+// Cut has nothing pass between two hosts, or lets it pass again; no end is told.
+func (c *Clock) Cut(a, b string, cut bool) { c.link(a, b).cut = cut }
+
+// Slow delays all between two hosts by up to so many ms more.
+func (c *Clock) Slow(a, b string, ms float64) { c.link(a, b).maxExtraDelay = ms }
+
+// delay draws how long a piece takes on a link, in ms.
+func (c *Clock) delay(l *link) float64 {
+	return baseLatency + maxJitter*c.rng.Float64() + l.maxExtraDelay*c.rng.Float64()
+}
+
+// listener implements env.Listener.
+type listener struct {
+	process *Process
+	address string
+	accept  func(env.Conn)
+}
+
+// Address implements env.Listener.
+func (l *listener) Address() string { return l.address }
+
+// Close implements env.Listener.
+func (l *listener) Close() {
+	if l.process.clock.listeners[l.address] == l {
+		delete(l.process.clock.listeners, l.address)
+	}
+}
+
+// Listen implements env.Environment; an address is any name.
+func (p *Process) Listen(address string, accept func(env.Conn)) (env.Listener, error) {
+	if p.clock.listeners[address] != nil {
+		return nil, errAddressInUse
+	}
+	l := &listener{p, address, accept}
+	p.clock.listeners[address] = l
+	return l, nil
+}
+
+// Dial implements env.Environment.
+func (p *Process) Dial(address string, within float64, done func(env.Conn, error)) {
+	if !p.effect() {
+		return
+	}
+	if p.cpu != nil { // dialing is an event of its own
+		p.clock.schedule(p, p.clock.now, func() {
+			p.charge(func(cost *CPUCost) float64 { return cost.Dial })
+			p.afterWork(func() { p.dial(address, within, done) })
+		})
+		return
+	}
+	p.dial(address, within, done)
+}
+
+func (p *Process) dial(address string, within float64, done func(env.Conn, error)) {
+	c := p.clock
+	fail := func(after float64, err error) { c.schedule(p, c.now+after, func() { done(nil, err) }) }
+	target := c.listeners[address]
+	if target == nil {
+		fail(c.delay(&link{}), errRefused)
+		return
+	}
+	between := c.link(p.Name, target.process.Name)
+	switch there, back := c.delay(between), c.delay(between); {
+	case between.cut || there+back > within:
+		fail(within, errTimeout)
+	case between.refuse:
+		fail(there+back, errRefused)
+	default:
+		c.schedule(nil, c.now+there, func() {
+			if c.listeners[address] != target || target.process.dead || p.dead {
+				fail(back, errRefused)
+				return
+			}
+			near, far := newConnPair(p, target.process, between)
+			c.schedule(target.process, c.now, func() { target.accept(far) })
+			c.schedule(p, c.now+back, func() { done(near, nil) })
+		})
+	}
+}
+
+// newConnPair connects two processes and returns the end of each.
+func newConnPair(p, q *Process, between *link) (near, far *conn) {
+	near, far = &conn{process: p, link: between}, &conn{process: q, link: between}
+	near.remote, far.remote = far, near
+	p.conns, q.conns = append(p.conns, near), append(q.conns, far)
+	return near, far
+}
--- a/internal/lab/sim/programfaults.go
+++ b/internal/lab/sim/programfaults.go
@@ -9,20 +9,21 @@
 	"ravenpond/logic"
 )
 
-// ProgramFault is a fault in the program that must be found.
+// ProgramFault is a fault that is put into the program, to show that the checks find it. The zero value puts none.
 type ProgramFault struct {
-	Name        string
-	Site        func(*site.Config) // what the scheduler takes the site for
-	Server      serve.Faults
-	DelayedSync bool                  // the disk keeps nothing for a second
-	Tenant      func(*tenancy.Tenant) // what it takes a tenant for
+	Name        string                // lab run --plant names it
+	Site        func(*site.Config)    // changes the site as the scheduler reads it
+	Server      serve.Faults          // in the scheduler itself
+	DelayedSync bool                  // of its disk: see Disk
+	Tenant      func(*tenancy.Tenant) // changes a tenant as the scheduler reads it
 }
 
-// withEdge wraps the effects of a shard.
-func withEdge(f func(e engine.Effects) engine.Effects) serve.Faults {
+// withEffects wraps the effects of a shard.
+func withEffects(f func(e engine.Effects) engine.Effects) serve.Faults {
 	return serve.Faults{WrapEffects: f}
 }
 
+// adoptsUnknown has a shard keep tasks of which the router knows nothing.
 type adoptsUnknown struct{ engine.Effects }
 
 func (e adoptsUnknown) RecoverTask(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
@@ -35,18 +36,21 @@
 	return epoch, owner, ref, ok
 }
 
+// rejectsRecovered has a shard keep no task that a node recovers.
 type rejectsRecovered struct{ engine.Effects }
 
 func (e rejectsRecovered) RecoverTask(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
 	return 0, 0, 0, false
 }
 
+// reportsNeverRan has a shard report of each outcome that the attempt never ran.
 type reportsNeverRan struct{ engine.Effects }
 
 func (e reportsNeverRan) RecordOutcome(tenant int, token uint64, epoch uint32, _ bool) {
 	e.Effects.RecordOutcome(tenant, token, epoch, true)
 }
 
+// leaksOwnership has a shard release only 15 of 16 tasks.
 type leaksOwnership struct{ engine.Effects }
 
 func (e leaksOwnership) ReleaseTask(tenant int, token uint64, service uint64, epoch uint32) {
@@ -55,6 +59,7 @@
 	}
 }
 
+// declinesFailed has a shard answer "declined" in place of "failed".
 type declinesFailed struct{ engine.Effects }
 
 func (e declinesFailed) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
@@ -64,6 +69,7 @@
 	e.Effects.Answer(owner, ref, answer, nd, why, holdOff)
 }
 
+// dropsFailures has a shard never answer "failed".
 type dropsFailures struct{ engine.Effects }
 
 func (e dropsFailures) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
@@ -72,15 +78,14 @@
 	}
 }
 
-// MissedFaults are faults that random scripts did not find within 600 seeds. The first shows only when a shard goes on in the very
-// moment after it was fenced, which lab/shards and lab/modelcheck bring about; the second hardly at all, as the module answers at
-// once what may have run.
+// MissedFaults are faults that random scripts did not find within 600 seeds. The first shows only when a shard runs on in the moment after it
+// was fenced, which lab/shards and lab/modelcheck bring about; the second hardly at all, as the module answers at once what may have run.
 var MissedFaults = []ProgramFault{
 	{Name: "no epoch is checked", Server: serve.Faults{PermitAnyEpoch: true}},
-	{Name: "every outcome counts as never ran", Server: withEdge(func(e engine.Effects) engine.Effects { return reportsNeverRan{e} })},
+	{Name: "every outcome counts as never ran", Server: withEffects(func(e engine.Effects) engine.Effects { return reportsNeverRan{e} })},
 }
 
-// ProgramFaults are faults that the laboratory is to find.
+// ProgramFaults are faults that scripts find. Their names are those of lab run --plant.
 var ProgramFaults = []ProgramFault{
 	{Name: "run-once ones are tried again", Site: func(p *site.Config) { p.Cluster.JobClasses[2].Semantics = logic.Restartable }},
 	{Name: "tokens are taken for harmless", Site: func(p *site.Config) { p.Cluster.JobClasses[1].Semantics = logic.Restartable }},
@@ -98,11 +103,11 @@
 	}}},
 	{Name: "answers come at the expiry", Site: func(p *site.Config) { p.AnswerMargin = 0.4 }},
 	{Name: "answers are given twice", Server: serve.Faults{RepeatAnswers: true}},
-	{Name: "failed ones get no answer", Server: withEdge(func(e engine.Effects) engine.Effects { return dropsFailures{e} })},
-	{Name: "what may have run is declined", Server: withEdge(func(e engine.Effects) engine.Effects { return declinesFailed{e} })},
-	{Name: "found ones are adopted unasked", Server: withEdge(func(e engine.Effects) engine.Effects { return adoptsUnknown{e} })},
-	{Name: "found ones are not taken", Server: withEdge(func(e engine.Effects) engine.Effects { return rejectsRecovered{e} })},
-	{Name: "the ledger keeps what has ended", Server: withEdge(func(e engine.Effects) engine.Effects { return leaksOwnership{e} })},
+	{Name: "failed ones get no answer", Server: withEffects(func(e engine.Effects) engine.Effects { return dropsFailures{e} })},
+	{Name: "what may have run is declined", Server: withEffects(func(e engine.Effects) engine.Effects { return declinesFailed{e} })},
+	{Name: "found ones are adopted unasked", Server: withEffects(func(e engine.Effects) engine.Effects { return adoptsUnknown{e} })},
+	{Name: "found ones are not taken", Server: withEffects(func(e engine.Effects) engine.Effects { return rejectsRecovered{e} })},
+	{Name: "the ledger keeps what has ended", Server: withEffects(func(e engine.Effects) engine.Effects { return leaksOwnership{e} })},
 	{Name: "the life is used before it is on the disk", DelayedSync: true},
 	{Name: "a pause is not read", Tenant: func(t *tenancy.Tenant) {
 		if t.State == tenancy.Paused {
--- /dev/null
+++ b/internal/lab/sim/scheduler.go
@@ -0,0 +1,159 @@
+package sim
+
+import (
+	"bytes"
+	"cmp"
+	"fmt"
+	"slices"
+
+	"github.com/rs/zerolog"
+
+	"ravenpond/internal/audit"
+	"ravenpond/internal/engine"
+	"ravenpond/internal/serve"
+	"ravenpond/internal/site"
+	"ravenpond/internal/standin"
+)
+
+// Factors of a scheduler's seed.
+const (
+	seedPerIndex       = 977
+	seedPerIncarnation = 7919
+)
+
+// leasedPart is the part of limits that schedulers lease to each other where they know each other.
+const leasedPart = 0.5
+
+var memberKey = []byte("the laboratory's member key")
+
+// scheduler is a scheduler process and its machine.
+type scheduler struct {
+	env               *environment
+	name              string
+	index             int
+	process           *Process
+	disk              *Disk
+	maintenance       *maintenanceStore
+	tenants           *tenantStore
+	server            *serve.Server // nil until it has started once
+	incarnations      int
+	effectsUntilPanic int // of a shard, 0: no panic is planned
+}
+
+// start starts the next incarnation of a scheduler.
+func (s *scheduler) start() {
+	e := s.env
+	s.incarnations++
+	e.testbed.Trace.Add(audit.Record{At: e.clock.now, Kind: audit.SchedulerStarted, Scheduler: s.name})
+	faults := e.fault.Server
+	wrap := faults.WrapEffects
+	faults.WrapEffects = func(effects engine.Effects) engine.Effects {
+		if wrap != nil {
+			effects = wrap(effects)
+		}
+		return panicInjector{effects, s}
+	}
+	var err error
+	s.server, err = serve.Start(s.process, serve.Config{
+		Site: s.siteConfig(), Name: s.name, Index: s.index, Disk: s.disk,
+		Maintenance: func() (serve.MaintenanceStore, error) { return s.maintenance.open(), nil },
+		Tenants:     func() (serve.TenantStore, error) { return s.tenants, nil },
+		MemberKey:   memberKey, Seed: e.Seed + uint64(s.index)*seedPerIndex + uint64(s.incarnations)*seedPerIncarnation,
+		Log: s.logger(), Faults: faults, Policy: e.simulation.Policy,
+	})
+	if err != nil && !s.process.dead {
+		e.fail(0, fmt.Sprintf("scheduler %s does not begin: %v", s.name, err))
+	}
+}
+
+// siteConfig is the site as the scheduler reads it, with the program fault if there is one.
+func (s *scheduler) siteConfig() *site.Config {
+	e := s.env
+	config := *e.site
+	config.ClientsListen = s.name + ":1"
+	if e.Members {
+		config.Members = site.Members{
+			Listen: fmt.Sprint("10.0.0.", 1+s.index, ":1"), Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, LeasedPart: leasedPart,
+		}
+	}
+	config.WorkingSet = e.workingSet()
+	config.Cluster.JobClasses = slices.Clone(config.Cluster.JobClasses)
+	if e.fault.Site != nil {
+		e.fault.Site(&config)
+	}
+	return &config
+}
+
+// shardNames are the names under which nodes may know a scheduler: its own, and those of its shards.
+func (s *scheduler) shardNames() []string {
+	names := []string{s.name}
+	for shard := range maxShards {
+		names = append(names, fmt.Sprintf("%s.%d", s.name, shard))
+	}
+	return names
+}
+
+// restartAfter starts a scheduler again after so many ms, unless it runs by then.
+func (s *scheduler) restartAfter(ms float64) {
+	clock := s.env.clock
+	clock.schedule(nil, clock.now+ms, func() {
+		if s.process.dead {
+			s.process.Start()
+			s.start()
+		}
+	})
+}
+
+// logger is a scheduler's log; a trace as text holds all of it.
+func (s *scheduler) logger() zerolog.Logger {
+	level := zerolog.WarnLevel
+	if s.env.clock.traceOut != nil {
+		level = zerolog.DebugLevel
+	}
+	return zerolog.New(panicDetector{s}).Level(level)
+}
+
+// panicDetector fails the simulation when a log tells of a panic that the script did not plan.
+type panicDetector struct{ scheduler *scheduler }
+
+// Write takes a line of the log; it never fails.
+func (d panicDetector) Write(line []byte) (int, error) {
+	s, e := d.scheduler, d.scheduler.env
+	if bytes.Contains(line, []byte("fenced: panic")) && !bytes.Contains(line, []byte(plannedPanic)) {
+		e.fail(0, "scheduler "+s.name+": "+string(bytes.TrimSpace(line)))
+	}
+	if out := e.clock.traceOut; out != nil {
+		fmt.Fprintf(out, "%.3f %s %s", e.clock.now, s.name, line)
+	}
+	return len(line), nil
+}
+
+// jobMix is drawn from for the job class of a request.
+var jobMix = []int{0, 0, 0, 1, 1, 2, 2, 3}
+
+// sendNext has a client request the next task, and schedules the one after it.
+func (e *environment) sendNext() {
+	if e.clock.now > e.Duration {
+		return
+	}
+	e.lastKey++
+	job := jobMix[e.rng.IntN(len(jobMix))]
+	key, service := fmt.Sprint("k", e.lastKey), fmt.Sprint("v", job, e.rng.IntN(cmp.Or(e.simulation.Services, defaultServices)))
+	tenant := tenantNames[e.rng.IntN(2)]
+	c := e.clients[e.rng.IntN(len(e.clients))]
+	if e.DynamicTenants {
+		tenant = tenantOf(c.ID)
+	}
+	if c.Connected() {
+		token := serve.Token(tenant, key)
+		if e.DynamicTenants {
+			e.tenants.wanted[token] = tenantRequest{tenant, e.clock.now}
+		}
+		c.Request(&standin.Demand{
+			Key: key, Tenant: tenant, JobType: e.site.JobClasses[job], Service: service, Job: job,
+			Semantics: jobRules[job].Semantics, Token: token, ServiceKey: serve.Service(tenant, service),
+			Cores: 0.5 + e.rng.Float64(), Memory: 1, Timeout: e.site.Deadlines[job], LatencyObjective: latencyObjective, GiveUpAt: e.Duration,
+		})
+	}
+	e.clock.schedule(nil, e.clock.now+e.rng.ExpFloat64()*1000/(e.Rate*e.loadFactor), e.sendNext)
+}
--- a/internal/lab/sim/seeds.go
+++ b/internal/lab/sim/seeds.go
@@ -9,86 +9,123 @@
 	"time"
 )
 
-// Summary is what came of many seeds.
+const (
+	progressInterval = 100 // seeds between two lines of progress
+	maxPrinted       = 20  // failures that Summary.Print tells of
+	traceFactor      = 0x9e3779b97f4a7c15
+	msPerHour        = 3600e3
+)
+
+// Batch is a range of seeds whose scripts are run.
+type Batch struct {
+	From, To    uint64              // To is left out
+	Workers     int                 // at a time; no more than there are cores
+	Fault       *ProgramFault       // nil: none
+	MaxFailures int                 // stop after so many, 0: run all
+	Progress    io.Writer           // nil: none
+	Change      func(Script) Script // changes each script, nil: none
+}
+
+// Summary is what came of a batch.
 type Summary struct {
 	Seeds, Requests, Served int
 	Steps                   uint64
-	VirtualHours            float64 // of virtual time
+	VirtualHours            float64
 	Elapsed                 time.Duration
-	Trace                   uint64   // of all their traces, in order of the seeds
+	Trace                   uint64   // hash over the traces of all, in order of the seeds
 	Failures                []Result // in order of the seeds
 }
 
-// RunSeeds plays the scripts of the seeds from a to b, the latter left out, on so many cores; it stops after so many that
-// broke, if that is not 0.
-func RunSeeds(ctx context.Context, a, b uint64, workers int, plant *ProgramFault, most int, progress io.Writer) Summary {
-	return RunSeedsWith(ctx, a, b, workers, plant, most, progress, func(s Script) Script { return s })
+// batchRun is a batch while it runs.
+type batchRun struct {
+	Batch
+	startedAt time.Time
+
+	mu       sync.Mutex // guards all below, and writes to Progress
+	next     uint64
+	results  map[uint64]Result
+	failures int
 }
 
-// RunSeedsWith plays the scripts of the seeds after a change that is the same for all.
-func RunSeedsWith(ctx context.Context, a, b uint64, workers int, plant *ProgramFault, most int, progress io.Writer,
-	change func(Script) Script,
-) Summary {
-	var mu sync.Mutex
-	next, done := a, map[uint64]Result{}
-	broken, began := 0, time.Now()
-	var work sync.WaitGroup
-	for range max(1, min(workers, runtime.NumCPU())) {
-		work.Go(func() {
-			for {
-				mu.Lock()
-				if next >= b || ctx.Err() != nil || most > 0 && broken >= most {
-					mu.Unlock()
-					return
-				}
-				seed := next
-				next++
-				mu.Unlock()
-				v := Run(change(Draw(seed)), plant, nil)
-				mu.Lock()
-				done[seed] = v
-				if v.Failure != "" {
-					broken++
-				}
-				if n := len(done); progress != nil && n%100 == 0 {
-					fmt.Fprintf(progress, "\r%d of %d seeds, %d broken, %.0f a second ", n, b-a, broken,
-						float64(n)/time.Since(began).Seconds())
-				}
-				mu.Unlock()
+// Run runs a batch until all of it is done, so many have failed, or the context ends. Seeds that were not run are not in the summary.
+func (b Batch) Run(ctx context.Context) Summary {
+	r := &batchRun{Batch: b, startedAt: time.Now(), next: b.From, results: map[uint64]Result{}}
+	var workers sync.WaitGroup
+	for range max(1, min(b.Workers, runtime.NumCPU())) {
+		workers.Go(func() {
+			for seed, ok := r.take(ctx); ok; seed, ok = r.take(ctx) {
+				r.done(seed, Run(r.script(seed), b.Fault, nil))
 			}
 		})
 	}
-	work.Wait()
-	if progress != nil {
-		fmt.Fprintln(progress)
+	workers.Wait()
+	if b.Progress != nil {
+		fmt.Fprintln(b.Progress)
 	}
-	sum := Summary{Elapsed: time.Since(began)}
-	for seed := a; seed < b; seed++ {
-		v, ok := done[seed]
+	return r.summary()
+}
+
+func (r *batchRun) script(seed uint64) Script {
+	s := Draw(seed)
+	if r.Change != nil {
+		s = r.Change(s)
+	}
+	return s
+}
+
+// take returns the next seed to run, false if there is none.
+func (r *batchRun) take(ctx context.Context) (seed uint64, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.next >= r.To || ctx.Err() != nil || r.MaxFailures > 0 && r.failures >= r.MaxFailures {
+		return 0, false
+	}
+	seed = r.next
+	r.next++
+	return seed, true
+}
+
+func (r *batchRun) done(seed uint64, result Result) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.results[seed] = result
+	if result.Failure != "" {
+		r.failures++
+	}
+	if n := len(r.results); r.Progress != nil && n%progressInterval == 0 {
+		fmt.Fprintf(r.Progress, "\r%d of %d seeds, %d broken, %.0f a second ", n, r.To-r.From, r.failures,
+			float64(n)/time.Since(r.startedAt).Seconds())
+	}
+}
+
+func (r *batchRun) summary() Summary {
+	s := Summary{Elapsed: time.Since(r.startedAt)}
+	for seed := r.From; seed < r.To; seed++ {
+		result, ok := r.results[seed]
 		if !ok {
 			continue
 		}
-		sum.Seeds++
-		sum.Requests += v.Requests
-		sum.Served += v.Served
-		sum.Steps += v.Steps
-		sum.VirtualHours += v.VirtualMs / 3600e3
-		sum.Trace = sum.Trace*0x9e3779b97f4a7c15 + v.Trace
-		if v.Failure != "" {
-			sum.Failures = append(sum.Failures, v)
+		s.Seeds++
+		s.Requests += result.Requests
+		s.Served += result.Served
+		s.Steps += result.Steps
+		s.VirtualHours += result.VirtualMs / msPerHour
+		s.Trace = s.Trace*traceFactor + result.Trace
+		if result.Failure != "" {
+			s.Failures = append(s.Failures, result)
 		}
 	}
-	return sum
+	return s
 }
 
-// Print writes the sum; its last line counts the seeds that broke something.
+// Print writes the summary; its last line counts the seeds that failed.
 func (s Summary) Print(out io.Writer) {
-	for i, v := range s.Failures {
-		if i == 20 {
+	for i, r := range s.Failures {
+		if i == maxPrinted {
 			fmt.Fprintf(out, "and %d more\n", len(s.Failures)-i)
 			break
 		}
-		fmt.Fprintf(out, "seed %d, %s: %.300s\n", v.Script.Seed, v.kind(), v.Failure)
+		fmt.Fprintf(out, "seed %d, %s: %.300s\n", r.Script.Seed, r.failureKind(), r.Failure)
 	}
 	seconds := s.Elapsed.Seconds()
 	fmt.Fprintf(out, "%d seeds in %.1f s, %.1f a second, %.1f virtual hours a second; %d asks, %d served, %d steps\n", s.Seeds, seconds,
@@ -96,9 +133,10 @@
 	fmt.Fprintf(out, "trace %016x\nbroken: %d\n", s.Trace, len(s.Failures))
 }
 
-func (v Result) kind() string {
-	if v.FailedRule == 0 {
+// failureKind says what a failure broke: an invariant of the program, or a rule.
+func (r Result) failureKind() string {
+	if r.FailedRule == 0 {
 		return "invariant"
 	}
-	return fmt.Sprint("rule ", v.FailedRule)
+	return fmt.Sprint("rule ", r.FailedRule)
 }
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -1,7 +1,6 @@
 package sim
 
 import (
-	"context"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -13,7 +12,7 @@
 
 // TestSeeds plays scripts drawn from seeds: nothing may break.
 func TestSeeds(t *testing.T) {
-	sum := RunSeeds(context.Background(), 0, 40, runtime.NumCPU(), nil, 0, nil)
+	sum := Batch{To: 40, Workers: runtime.NumCPU()}.Run(t.Context())
 	for _, v := range sum.Failures {
 		t.Errorf("seed %d: %s\n%s", v.Script.Seed, v.Failure, v.Script)
 	}
@@ -25,14 +24,14 @@
 // TestSameTrace plays seeds twice, with other numbers of processors and another pace of the garbage collector.
 func TestSameTrace(t *testing.T) {
 	const seeds = 8
-	first := RunSeeds(context.Background(), 500, 500+seeds, runtime.NumCPU(), nil, 0, nil)
+	first := Batch{From: 500, To: 500 + seeds, Workers: runtime.NumCPU()}.Run(t.Context())
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	defer debug.SetGCPercent(debug.SetGCPercent(5))
-	again := RunSeeds(context.Background(), 500, 500+seeds, 1, nil, 0, nil)
+	again := Batch{From: 500, To: 500 + seeds, Workers: 1}.Run(t.Context())
 	if first.Trace != again.Trace || first.Steps != again.Steps || first.Trace == 0 {
 		t.Errorf("traces %x and %x, %d and %d steps", first.Trace, again.Trace, first.Steps, again.Steps)
 	}
-	if other := RunSeeds(context.Background(), 501, 501+seeds, 1, nil, 0, nil); other.Trace == first.Trace {
+	if other := (Batch{From: 501, To: 501 + seeds, Workers: 1}.Run(t.Context())); other.Trace == first.Trace {
 		t.Error("other seeds give the same trace")
 	}
 }
@@ -74,7 +73,7 @@
 		p := &ProgramFaults[i]
 		t.Run(p.Name, func(t *testing.T) {
 			t.Parallel()
-			sum := RunSeeds(context.Background(), from[p.Name], from[p.Name]+40, 1, p, 1, nil)
+			sum := Batch{From: from[p.Name], To: from[p.Name] + 40, Workers: 1, Fault: p, MaxFailures: 1}.Run(t.Context())
 			if len(sum.Failures) == 0 {
 				t.Errorf("not found by %d seeds", sum.Seeds)
 			} else {
--- a/internal/lab/sim/tenants.go
+++ b/internal/lab/sim/tenants.go
@@ -5,223 +5,196 @@
 	"math"
 	"slices"
 	"strings"
-	"time"
 
 	"ravenpond/internal/audit"
 	"ravenpond/internal/decide/fairqueue"
 	"ravenpond/internal/decide/tenancy"
-	"ravenpond/internal/serve"
-	"ravenpond/internal/state/tenants"
 )
 
+// Times of changes of tenants in ms.
 const (
-	changeStagger = 150  // ms between two schedulers' word of a change
-	changeDelay   = 1500 // ms in which one that runs has taken it up
-	stopDelay     = 1200 // and what runs of a removed tenant has been stopped
+	changeStagger = 150  // between two schedulers that get a change
+	changeDelay   = 1500 // in which a running scheduler has applied a change
+	stopDelay     = 1200 // in which the tasks of a removed tenant are stopped
 )
 
-// tenantStore keeps tenants as the real store does, over the deaths of its process. Changes come from outside and are whole.
-type tenantStore struct {
-	env      *environment
-	registry *tenancy.Registry
-	version  uint64
-}
+// stopSize is the size of a removal fault from which the tenant's tasks are stopped.
+const stopSize = 0.5
 
-func newTenantStore(st *environment) *tenantStore {
-	c := &tenantStore{env: st, registry: tenancy.New(len(st.site.Tenants))}
-	for _, name := range tenantNames {
-		c.apply(tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 200}}})
-	}
-	return c
+// tenantChecks is what is known of tenants, to check what schedulers do for them. Times are ms.
+type tenantChecks struct {
+	wanted       map[uint64]tenantRequest // by token
+	requested    map[requestKey]tenantRequest
+	closedSince  map[string]float64 // paused and removed tenants, since all schedulers could know
+	removedSince map[string]float64
+	limits       map[string]limit
 }
 
-var tenantNames = []string{"a", "b"}
-
-// authTokenOf is what a tenant's owners show; its first twelve letters are its id.
-func authTokenOf(tenant string) string { return "token-" + tenant + "-0000.secret" }
-
-func (c *tenantStore) apply(ch tenancy.Change) {
-	if _, f := c.registry.Apply(c.env.clock.now, ch); f != nil {
-		return // a removed tenant is not paused
-	}
-	c.version++
+// requestKey identifies a request: references are unique to a client.
+type requestKey struct {
+	client int
+	ref    uint64
 }
 
-func (c *tenantStore) Close() error                 { return nil }
-func (c *tenantStore) Fingerprint() (uint64, error) { return c.version, nil }
+// tenantRequest is a request of a tenant.
+type tenantRequest struct {
+	tenant      string
+	firstSentAt float64 // ms
+}
 
-// Read gives what is kept, as a planted fault has the program take it.
-func (c *tenantStore) Read() (tenants.State, error) {
-	s := tenants.State{Tenants: tenancy.New(c.registry.Slots()), Tokens: map[string]tenants.Token{}, Changes: c.version}
-	for _, t := range c.registry.All() {
-		if c.env.fault.Tenant != nil {
-			c.env.fault.Tenant(&t)
-		}
-		if err := s.Tenants.Restore(t); err != nil {
-			return s, err
-		}
-		s.Tokens[authTokenOf(t.Name)[:12]] = tenants.Token{Tenant: t.Name, Expires: time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)}
-	}
-	return s, nil
+// limit is how many of a tenant's allocations may be open, and from when on no more are.
+type limit struct {
+	open int
+	from float64 // ms
 }
 
-func (c *tenantStore) TokenVerifier(known map[string]tenants.Token) func(time.Time, string) (string, bool) {
-	return func(_ time.Time, shown string) (string, bool) {
-		if len(shown) < 12 || shown != authTokenOf(known[shown[:12]].Tenant) {
-			return "", false
-		}
-		return known[shown[:12]].Tenant, true
+func newTenantChecks() tenantChecks {
+	return tenantChecks{
+		wanted: map[uint64]tenantRequest{}, requested: map[requestKey]tenantRequest{}, closedSince: map[string]float64{},
+		removedSince: map[string]float64{}, limits: map[string]limit{},
 	}
 }
 
-func (c *tenantStore) FinishRemoval(_ time.Time, name string) (bool, error) {
-	_, ok := c.registry.CompleteRemoval(c.env.clock.now, name)
-	if ok {
-		c.version++
+// applyEverywhere has a change reach all schedulers, one after the other. It returns when the last has it.
+func (e *environment) applyEverywhere(change tenancy.Change) (last float64) {
+	for i, s := range e.schedulers {
+		last = e.clock.now + float64(i)*changeStagger
+		e.clock.schedule(nil, last, func() { s.tenants.apply(change) })
 	}
-	return ok, nil
+	return last
 }
 
-// tenantRequest is what the stage knows of an ask.
-type tenantRequest struct {
-	tenant      string
-	firstSentAt float64 // when it was asked for first
+// tenantMayChange reports whether a fault of a tenant can be injected: tenants change, and it was not removed.
+func (e *environment) tenantMayChange(f Fault) bool {
+	return e.DynamicTenants && !(e.tenants.removedSince[f.Target] > 0)
 }
 
-// tenantOf gives the tenant of an owner: each asks for one alone.
-func tenantOf(owner int) string { return tenantNames[owner%len(tenantNames)] }
-
-// applyEverywhere lets a change reach all schedulers, one after the other, and gives when the last has it.
-func (st *environment) applyEverywhere(ch tenancy.Change) (all float64) {
-	for i, s := range st.schedulers {
-		all = st.clock.now + float64(i)*changeStagger
-		st.clock.schedule(nil, all, func() { s.tenants.apply(ch) })
+// pauseTenant pauses a tenant, and resumes it later unless it was paused again or removed meanwhile.
+func (e *environment) pauseTenant(f Fault) {
+	if !e.tenantMayChange(f) {
+		return
 	}
-	return all
+	since := e.applyEverywhere(tenancy.Change{Kind: tenancy.Pause, Name: f.Target})
+	e.tenants.closedSince[f.Target] = since
+	e.clock.schedule(nil, since+f.Duration, func() {
+		if e.tenants.removedSince[f.Target] == 0 && e.tenants.closedSince[f.Target] == since {
+			delete(e.tenants.closedSince, f.Target)
+			e.applyEverywhere(tenancy.Change{Kind: tenancy.Resume, Name: f.Target})
+		}
+	})
 }
 
-// injectTenantFault lets a tenant be paused for a while, limited or removed.
-func (st *environment) injectTenantFault(f Fault) {
-	if !st.DynamicTenants || st.removedSince[f.Target] > 0 {
+// limitTenant limits the open allocations of a tenant.
+func (e *environment) limitTenant(f Fault) {
+	if !e.tenantMayChange(f) {
 		return
 	}
-	switch f.Kind {
-	case "tenant-pause":
-		all := st.applyEverywhere(tenancy.Change{Kind: tenancy.Pause, Name: f.Target})
-		st.closedSince[f.Target] = all
-		st.clock.schedule(nil, all+f.Duration, func() {
-			if st.removedSince[f.Target] == 0 && st.closedSince[f.Target] == all {
-				delete(st.closedSince, f.Target)
-				st.applyEverywhere(tenancy.Change{Kind: tenancy.Resume, Name: f.Target})
-			}
-		})
-	case "tenant-limit":
-		l := limit{open: max(1, int(f.Size))}
-		l.from = st.maxExpiry() + changeDelay + st.applyEverywhere(tenancy.Change{Kind: tenancy.Limit, Name: f.Target, Limits: tenancy.Limits{Limits: fairqueue.Limits{
-			Share: 1, MaxOpen: l.open,
-			MaxWaiting: 20,
-		}}})
-		for _, s := range st.schedulers {
-			if s.process.paused { // it hears of the change when it wakes
-				l.from = math.Inf(1)
-			}
-		}
-		st.limits[f.Target] = l
-	case "tenant-remove":
-		ending := tenancy.FinishRunning
-		if f.Size >= 0.5 {
-			ending = tenancy.StopRunning
-		}
-		all := st.applyEverywhere(tenancy.Change{Kind: tenancy.Remove, Name: f.Target, Removal: ending})
-		st.removedSince[f.Target], st.closedSince[f.Target] = all, all
-		if ending == tenancy.StopRunning && st.isUndisturbed(f.At, all+stopDelay) {
-			st.clock.schedule(nil, all+stopDelay, func() { st.checkStopped(f.Target) })
+	l := limit{open: max(1, int(f.Size))}
+	l.from = e.maxExpiry() + changeDelay + e.applyEverywhere(tenancy.Change{
+		Kind: tenancy.Limit, Name: f.Target,
+		Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxOpen: l.open, MaxWaiting: limitedMaxWaiting}},
+	})
+	for _, s := range e.schedulers {
+		if s.process.paused { // checkTenantLimits dates the limit by its resumption
+			l.from = math.Inf(1)
 		}
 	}
+	e.tenants.limits[f.Target] = l
 }
 
-// limit is how many of a tenant's allocations may be open, and from when on no more are.
-type limit struct {
-	open int
-	from float64
+// removeTenant removes a tenant; its tasks are stopped, or end by themselves.
+func (e *environment) removeTenant(f Fault) {
+	if !e.tenantMayChange(f) {
+		return
+	}
+	removal := tenancy.FinishRunning
+	if f.Size >= stopSize {
+		removal = tenancy.StopRunning
+	}
+	since := e.applyEverywhere(tenancy.Change{Kind: tenancy.Remove, Name: f.Target, Removal: removal})
+	e.tenants.removedSince[f.Target], e.tenants.closedSince[f.Target] = since, since
+	if removal == tenancy.StopRunning && e.isUndisturbed(f.At, since+stopDelay) {
+		e.clock.schedule(nil, since+stopDelay, func() { e.checkStopped(f.Target) })
+	}
 }
 
-// maxExpiry is the longest expiry that owners ask for, ms.
-func (st *environment) maxExpiry() float64 { return slices.Max(st.site.Deadlines) }
+// maxExpiry is the longest time-out of a request, ms.
+func (e *environment) maxExpiry() float64 { return slices.Max(e.site.Deadlines) }
 
-// checkTenantLimits holds what all schedulers have open of a tenant against its limit.
-func (st *environment) checkTenantLimits() {
+// checkTenantLimits checks what all schedulers together have open of a tenant against its limit. A scheduler that was paused applies the
+// limit late.
+func (e *environment) checkTenantLimits() {
 	for slot, name := range tenantNames {
-		l, ok := st.limits[name]
-		if !ok || st.removedSince[name] > 0 {
+		l, ok := e.tenants.limits[name]
+		if !ok || e.tenants.removedSince[name] > 0 {
 			continue
 		}
-		all, sum := make([]int, len(st.schedulers)), 0
-		for i, s := range st.schedulers {
+		open, sum := make([]int, len(e.schedulers)), 0
+		for i, s := range e.schedulers {
 			if s.server != nil && !s.process.dead {
-				all[i] = s.server.OpenAllocations(slot)
-				sum += all[i]
+				open[i] = s.server.OpenAllocations(slot)
+				sum += open[i]
 			}
-			if s.process.resumedAt > l.from-st.maxExpiry()-changeDelay {
-				l.from = max(l.from, s.process.resumedAt+st.maxExpiry()+changeDelay)
+			if s.process.resumedAt > l.from-e.maxExpiry()-changeDelay {
+				l.from = max(l.from, s.process.resumedAt+e.maxExpiry()+changeDelay)
 			}
 		}
-		if st.simulation.OnUsage != nil {
-			st.simulation.OnUsage(st.clock.now, name, all)
+		if e.simulation.OnUsage != nil {
+			e.simulation.OnUsage(e.clock.now, name, open)
 		}
-		if st.clock.now >= l.from && sum > l.open {
-			st.fail(0, fmt.Sprintf("%v of tenant %s are open, %d may be", all, name, l.open))
+		if e.clock.now >= l.from && sum > l.open {
+			e.fail(0, fmt.Sprintf("%v of tenant %s are open, %d may be", open, name, l.open))
 		}
 	}
 }
 
-// harmlessFaults are faults that keep nobody from stopping what runs.
+// harmlessFaults don't keep a scheduler from stopping tasks.
 var harmlessFaults = []string{
 	"jump", "list-away", "list-behind", "errors", "flood", "withdraw", "window", "drain", "tenant-limit", "tenant-pause",
 	"tenant-remove",
 }
 
-// isUndisturbed tells whether nothing goes wrong in a time between schedulers and nodes.
-func (st *environment) isUndisturbed(from, to float64) bool {
-	return !slices.ContainsFunc(st.Faults, func(f Fault) bool {
-		return f.At <= to && f.At+f.Duration+changeDelay/2 >= from && f.Peer != "list" && !strings.HasPrefix(f.Peer, "o") && !slices.Contains(harmlessFaults, f.Kind)
+// isUndisturbed reports whether no fault between schedulers and nodes falls in a time.
+func (e *environment) isUndisturbed(from, to float64) bool {
+	return !slices.ContainsFunc(e.Faults, func(f Fault) bool {
+		return f.At <= to && f.At+f.Duration+changeDelay/2 >= from && f.Peer != "list" && !strings.HasPrefix(f.Peer, "o") &&
+			!slices.Contains(harmlessFaults, f.Kind)
 	})
 }
 
-// checkStopped checks that nothing of a removed tenant runs.
-func (st *environment) checkStopped(tenant string) {
-	for _, n := range st.nodes {
-		for _, s := range st.schedulers {
+// checkStopped checks that nodes hold nothing of a removed tenant.
+func (e *environment) checkStopped(tenant string) {
+	for _, n := range e.nodes {
+		for _, s := range e.schedulers {
 			for _, name := range s.shardNames() {
-				n.Machine.EachHeld(st.clock.now, name, func(_ uint64, _ uint8, _ bool, _, _ int, _, token uint64, _, _ float64) {
-					if st.wanted[token].tenant == tenant {
-						st.fail(0, fmt.Sprintf("node %d holds %x of tenant %s, which was removed with all that runs", n.ID, token, tenant))
+				for _, held := range n.Machine.Held(e.clock.now, name) {
+					if e.tenants.wanted[held.Token].tenant == tenant {
+						e.fail(0, fmt.Sprintf("node %d holds %x of tenant %s, which was removed with all that runs", n.ID, held.Token, tenant))
 					}
-				})
+				}
 			}
 		}
 	}
 }
 
-// checkClosedTenant checks that nothing new is placed for a tenant that takes nothing.
-func (st *environment) checkClosedTenant(r *audit.Record) {
-	key := [2]uint64{uint64(r.Client), r.RequestRef}
+// checkClosedTenant checks that nothing is placed for a tenant that was paused or removed before the request.
+func (e *environment) checkClosedTenant(r *audit.Record) {
+	key := requestKey{r.Client, r.RequestRef}
 	if r.Kind == audit.RequestSent {
-		st.requested[key] = st.wanted[r.Token]
+		e.tenants.requested[key] = e.tenants.wanted[r.Token]
 	}
-	if r.Kind != audit.ResponseReceived || r.Detail != "served" {
+	if r.Kind != audit.ResponseReceived || r.Detail != audit.AnswerServed {
 		return
 	}
-	w, ok := st.requested[key]
-	since, shut := st.closedSince[w.tenant]
-	if !ok || !shut || w.firstSentAt < since+changeDelay {
+	req, ok := e.tenants.requested[key]
+	since, closed := e.tenants.closedSince[req.tenant]
+	if !ok || !closed || req.firstSentAt < since+changeDelay {
 		return
 	}
-	for _, s := range st.schedulers {
-		if s.name == r.Scheduler && !s.process.paused && w.firstSentAt > s.process.resumedAt+changeDelay {
-			st.fail(0, fmt.Sprintf("ask %d of tenant %s was served, which takes nothing since %.0f ms; it was asked for at %.0f", r.RequestRef, w.tenant, since, w.firstSentAt))
+	for _, s := range e.schedulers {
+		if s.name == r.Scheduler && !s.process.paused && req.firstSentAt > s.process.resumedAt+changeDelay {
+			e.fail(0, fmt.Sprintf("ask %d of tenant %s was served, which takes nothing since %.0f ms; it was asked for at %.0f", r.RequestRef, req.tenant,
+				since, req.firstSentAt))
 		}
 	}
 }
-
-var _ serve.TenantStore = (*tenantStore)(nil)
--- a/internal/lab/sim/workingset_test.go
+++ b/internal/lab/sim/workingset_test.go
@@ -1,7 +1,6 @@
 package sim
 
 import (
-	"context"
 	"runtime"
 	"strings"
 	"testing"
@@ -12,7 +11,7 @@
 
 // TestSeedsWithSet plays drawn scripts with working sets: nothing may break.
 func TestSeedsWithSet(t *testing.T) {
-	sum := RunSeedsWith(context.Background(), 0, 40, runtime.NumCPU(), nil, 0, nil, func(s Script) Script { return s.WithWorkingSet(2) })
+	sum := Batch{To: 40, Workers: runtime.NumCPU(), Change: func(s Script) Script { return s.WithWorkingSet(2) }}.Run(t.Context())
 	for _, v := range sum.Failures {
 		t.Errorf("seed %d: %s\n%s", v.Script.Seed, v.Failure, v.Script)
 	}
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -81,7 +81,7 @@
 	groups := []*standin.Group{standin.NewGroup(), standin.NewGroup()}
 	for i := range nodes {
 		n := &standin.Node{ID: uint32(i + 1), Zone: siteConfig.Zones[i%2], Cell: siteConfig.Zones[i%2], Kind: "plain", Jobs: 3, Tenants: 1}
-		if err := s.world.StartNode(n, mk, groups[i%2], uint64(i), cold, ""); err != nil {
+		if err := s.world.StartNode(n, standin.NodeStart{Machine: mk, Group: groups[i%2], Seed: uint64(i), Cold: cold}); err != nil {
 			t.Fatal(err)
 		}
 		s.nodes = append(s.nodes, n)
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -3,94 +3,115 @@
 import (
 	"cmp"
 	"fmt"
-	"maps"
 	"math"
-	"slices"
 	"sync"
 
 	"ravenpond/internal/audit"
 	"ravenpond/internal/env"
-	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/list"
 )
 
-// List is the node list: it looks at its nodes ten times a second and tells what it saw a while ago.
+// Places in list.AvailabilityNames.
+const (
+	availabilityGone = iota
+	availabilityReady
+	availabilityDraining
+)
+
+const (
+	pollInterval     = 100  // ms between two health checks of all nodes
+	reportInterval   = 1000 // ms for which a change of free cores alone is not listed
+	minCoresChange   = 0.5  // cores by which an entry has to change to be listed anew
+	maxSnapshots     = 600  // that are kept: a minute
+	listWriteTimeout = 2000 // ms
+)
+
+// List is the node list: it checks its nodes ten times a second and serves what it saw some time ago.
 type List struct {
-	testbed     *Testbed
-	listener    env.Listener
-	mu          sync.Mutex
+	testbed  *Testbed
+	listener env.Listener
+
+	mu          sync.Mutex // guards all below
 	nodes       []*Node
-	unreachable map[uint32]entry // addresses that nobody answers at
-	history     []snapshot
-	maintenance map[uint32]map[string]float64 // until when schedulers have nodes out
+	unreachable map[uint32]entry              // listed addresses that nobody listens at
+	history     []snapshot                    // in order of time
+	maintenance map[uint32]map[string]float64 // by node and scheduler: ms until which the scheduler has the node out
 	version     uint64
-	newest      snapshot // the newest that was told: versions only grow
+	newest      snapshot // of those that were served: versions only grow
+
+	ListFaults
+}
 
-	Delay       float64 // ms that its news are late
-	ExtraDelay  float64 // and more, while it runs behind
-	Unavailable bool    // calls fail
+// ListFaults are injected into a node list; the zero value injects none. Change them by List.Update.
+type ListFaults struct {
+	Delay       float64 // ms by which all that it serves is late
+	ExtraDelay  float64 // ms more
+	Unavailable bool    // calls fail and watches break
 }
 
+// entry is a node as the list has it.
 type entry struct {
 	address          string
 	availability     int
-	startedAt        float64
-	cores, memory    float64
+	startedAt        float64 // ms of the wall clock
+	cores, memory    float64 // free, memory in GiB
 	zone, cell, kind string
-	observedAt       float64
+	observedAt       float64 // ms
 }
 
-// snapshot is what the list saw at a time; each change of an entry has a version.
+// snapshot is what the list saw at a time; each change of an entry makes a version.
 type snapshot struct {
-	at      float64
+	at      float64 // ms
 	version uint64
 	entries map[uint32]entry
 }
 
-const pollInterval = 100 // ms between two looks
-
-// StartList puts a list on the network, at an address of its own or, if that is empty, on a loopback port.
-func (w *Testbed) StartList(lag float64, nodes []*Node, address string) (*List, error) {
+// StartList puts a list on the network, at an address of its own or, if that is empty, on a free loopback port. What it serves is late by
+// a delay in ms.
+func (tb *Testbed) StartList(delay float64, nodes []*Node, address string) (*List, error) {
 	if address == "" {
-		address = "127.0.0.1:0"
+		address = anyLoopbackPort
+	}
+	l := &List{
+		testbed: tb, nodes: nodes, ListFaults: ListFaults{Delay: delay}, unreachable: map[uint32]entry{},
+		maintenance: map[uint32]map[string]float64{},
 	}
-	l := &List{testbed: w, nodes: nodes, Delay: lag, unreachable: map[uint32]entry{}, maintenance: map[uint32]map[string]float64{}}
 	l.poll()
-	l.history[0].at = math.Inf(-1) // what it knows at the start it has known for long
+	l.history[0].at = math.Inf(-1) // what it saw first counts as known for long
 	var err error
-	if l.listener, err = w.Listen(address, l.accept); err != nil {
+	if l.listener, err = tb.Listen(address, l.accept); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	env.Every(w, pollInterval, func() bool { l.poll(); return true })
+	env.Every(tb, pollInterval, func() bool { l.poll(); return true })
 	return l, nil
 }
 
 // Address is where the list listens.
 func (l *List) Address() string { return l.listener.Address() }
 
-// Add puts a node on the list.
+// Add lists a node.
 func (l *List) Add(n *Node) {
 	l.mu.Lock()
 	l.nodes = append(l.nodes, n)
 	l.mu.Unlock()
 }
 
-// AddUnreachable lists a node whose address nobody answers at.
+// AddUnreachable lists a node whose address nobody listens at.
 func (l *List) AddUnreachable(id uint32, address, zone, cell, kind string) {
 	l.mu.Lock()
-	l.unreachable[id] = entry{address: address, availability: 1, zone: zone, cell: cell, kind: kind}
+	l.unreachable[id] = entry{address: address, availability: availabilityReady, zone: zone, cell: cell, kind: kind}
 	l.mu.Unlock()
 	l.poll()
 }
 
-// Update changes the list's faults.
+// Update calls f under the list's lock, to change its faults.
 func (l *List) Update(f func(l *List)) {
 	l.mu.Lock()
 	f(l)
 	l.mu.Unlock()
 }
 
-// poll looks at all nodes.
+// poll checks all nodes and keeps a snapshot if anything has changed.
 func (l *List) poll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,23 +123,15 @@
 	next, changed := map[uint32]entry{}, false
 	l.testbed.WithLock(func(float64) {
 		for _, n := range l.nodes {
-			en := entry{address: cmp.Or(n.ListedAddress, n.address), availability: 1, startedAt: n.StartedAt, zone: n.Zone, cell: n.Cell, kind: n.Kind}
-			if n.Lost {
-				en.availability = 0
-			} else if n.Draining || l.inMaintenance(n.ID, now) {
-				en.availability = 2
-			}
-			en.cores, en.memory = n.Machine.FreeCapacity()
+			observed := l.observe(n, now)
 			old, known := last[n.ID]
-			if known && old.availability == en.availability && old.startedAt == en.startedAt &&
-				(now-old.observedAt < 1000 || math.Abs(en.cores-old.cores) < 0.5) {
+			if known && !observed.differs(&old, now) {
 				next[n.ID] = old
 				continue
 			}
-			en.observedAt, changed = now, true
-			next[n.ID] = en
-			if !known || old.availability != en.availability {
-				l.testbed.Trace.Add(audit.Record{At: now, Kind: audit.EndpointChanged, Node: n.ID, Detail: list.AvailabilityNames[en.availability]})
+			next[n.ID], changed = observed, true
+			if !known || old.availability != observed.availability {
+				l.testbed.Trace.Add(audit.Record{At: now, Kind: audit.EndpointChanged, Node: n.ID, Detail: list.AvailabilityNames[observed.availability]})
 			}
 		}
 	})
@@ -131,12 +144,33 @@
 	}
 	l.version++
 	l.history = append(l.history, snapshot{now, l.version, next})
-	if len(l.history) > 600 {
-		l.history = l.history[len(l.history)-600:]
+	if len(l.history) > maxSnapshots {
+		l.history = l.history[len(l.history)-maxSnapshots:]
 	}
 }
 
-// inMaintenance tells whether some scheduler has a node out.
+// observe returns a node's entry now. The caller holds the locks of list and testbed.
+func (l *List) observe(n *Node, now float64) entry {
+	en := entry{
+		address: cmp.Or(n.ListedAddress, n.address), availability: availabilityReady, startedAt: n.StartedAt, zone: n.Zone, cell: n.Cell,
+		kind: n.Kind, observedAt: now,
+	}
+	if n.Lost {
+		en.availability = availabilityGone
+	} else if n.Draining || l.inMaintenance(n.ID, now) {
+		en.availability = availabilityDraining
+	}
+	en.cores, en.memory = n.Machine.FreeCapacity()
+	return en
+}
+
+// differs reports whether an entry has to be listed in place of an old one.
+func (e *entry) differs(old *entry, now float64) bool {
+	return old.availability != e.availability || old.startedAt != e.startedAt ||
+		now-old.observedAt >= reportInterval && math.Abs(e.cores-old.cores) >= minCoresChange
+}
+
+// inMaintenance reports whether some scheduler has a node out. The caller holds the list's lock.
 func (l *List) inMaintenance(id uint32, now float64) bool {
 	for _, until := range l.maintenance[id] {
 		if now < until {
@@ -146,162 +180,17 @@
 	return false
 }
 
-// visible is what the list tells now.
+// visible returns the snapshot that the list serves now. The caller holds the list's lock.
 func (l *List) visible() snapshot {
 	at := l.testbed.Now() - l.Delay - l.ExtraDelay
-	v := l.history[0]
-	for _, h := range l.history {
-		if h.at <= at {
-			v = h
+	visible := l.history[0]
+	for _, s := range l.history {
+		if s.at <= at {
+			visible = s
 		}
 	}
-	if v.version > l.newest.version || l.newest.entries == nil {
-		l.newest = v
+	if visible.version > l.newest.version || l.newest.entries == nil {
+		l.newest = visible
 	}
 	return l.newest
 }
-
-// listConn is a scheduler's connection.
-type listConn struct {
-	list      *List
-	scheduler string
-	conn      env.Conn
-	in        line.Splitter
-	mu        sync.Mutex
-	closed    bool
-	sent      *snapshot
-	watching  bool
-}
-
-const listWriteTimeout = 2000
-
-func (l *List) accept(conn env.Conn) {
-	conn.Start(&listConn{list: l, conn: conn}, listWriteTimeout)
-}
-
-// OnData takes what a scheduler sends.
-func (c *listConn) OnData(b []byte) {
-	if c.scheduler == "" {
-		head, after, err := c.in.Greeting(b, list.GreetingLine)
-		if err != nil {
-			c.conn.Close(false, list.AppendBye(nil, err.Error()))
-			return
-		}
-		if head == nil {
-			return
-		}
-		c.scheduler, b = head.Get("Scheduler"), after
-		c.conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.GreetingLine) })
-		env.Every(c.list.testbed, pollInterval, func() bool {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			if c.watching && !c.closed && !c.sendChanges(false) {
-				c.conn.Close(false, nil)
-				return false
-			}
-			return !c.closed
-		})
-	}
-	if err := c.in.Feed(b, func(fields [][]byte) error { return list.DecodeScheduler(fields, c) }); err != nil {
-		c.conn.Close(true, list.AppendBye(nil, err.Error()))
-	}
-}
-
-// OnClose meets the end of the connection.
-func (c *listConn) OnClose(error) {
-	c.mu.Lock()
-	c.closed = true
-	c.mu.Unlock()
-}
-
-// sendChanges sends what changed since the last answer; an answer to a call is sent even if nothing did. While the list
-// is away calls fail and watches break.
-func (c *listConn) sendChanges(called bool) bool {
-	l := c.list
-	l.mu.Lock()
-	away, v := l.Unavailable, l.visible()
-	l.mu.Unlock()
-	if away {
-		if !called {
-			return false
-		}
-		l.testbed.Trace.Add(audit.Record{At: l.testbed.Now(), Kind: audit.ListDelivered, Scheduler: c.scheduler, Detail: "failed"})
-		c.conn.Send(func(b []byte) []byte { return list.AppendFailed(b, "out of reach") })
-		return true
-	}
-	if c.sent != nil && v.version <= c.sent.version && !called {
-		return true
-	}
-	kind, old := list.KindFull, map[uint32]entry{}
-	if c.sent != nil {
-		kind, old = list.KindChanges, c.sent.entries
-		if v.version < c.sent.version {
-			v = *c.sent
-		}
-	}
-	b, told := list.AppendBegin(nil, kind, v.version), []audit.Record(nil)
-	put := func(id uint32, en entry) {
-		if en.availability == 0 && kind == list.KindFull {
-			told = append(told, audit.Record{Kind: audit.EndpointDelivered, Scheduler: c.scheduler, Node: id, Detail: "gone"}) // by its absence
-			return
-		}
-		b = list.AppendEntry(b, id, en.address, en.availability, en.startedAt, en.cores, en.memory, en.zone, en.cell, en.kind)
-		told = append(told, audit.Record{Kind: audit.EndpointDelivered, Scheduler: c.scheduler, Node: id, Detail: list.AvailabilityNames[en.availability]})
-	}
-	for _, id := range slices.Sorted(maps.Keys(v.entries)) {
-		if was, ok := old[id]; !ok || was != v.entries[id] {
-			put(id, v.entries[id])
-		}
-	}
-	b = list.AppendEnd(b)
-	c.conn.Send(func(q []byte) []byte { return append(q, b...) })
-	now := l.testbed.Now()
-	for _, r := range append(told, audit.Record{Kind: audit.ListDelivered, Scheduler: c.scheduler}) {
-		r.At = now
-		l.testbed.Trace.Add(r)
-	}
-	c.sent = &v
-	return true
-}
-
-func (c *listConn) respond(watches, fresh bool) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if fresh {
-		c.sent = nil
-	}
-	if c.sendChanges(true) {
-		c.watching = c.watching || watches
-	}
-	return nil
-}
-
-// OnWatch answers with all that changed; a version that this connection was not told begins anew.
-func (c *listConn) OnWatch(since uint64) error {
-	return c.respond(true, c.sent == nil || c.sent.version != since)
-}
-func (c *listConn) OnFullRequest() error { return c.respond(false, true) }
-func (c *listConn) OnUnwatch() error {
-	c.mu.Lock()
-	c.watching = false
-	c.mu.Unlock()
-	return nil
-}
-
-// OnMaintenance and Back are a scheduler's word of its maintenance windows.
-func (c *listConn) OnMaintenance(id uint32, lasts float64) error {
-	c.list.Update(func(l *List) {
-		if l.maintenance[id] == nil {
-			l.maintenance[id] = map[string]float64{}
-		}
-		l.maintenance[id][c.scheduler] = l.testbed.Now() + lasts
-	})
-	return nil
-}
-
-func (c *listConn) OnMaintenanceEnd(id uint32) error {
-	c.list.Update(func(l *List) { delete(l.maintenance[id], c.scheduler) })
-	return nil
-}
-
-func (c *listConn) OnBye(why string) error { return fmt.Errorf("farewell: %s", why) }
--- /dev/null
+++ b/internal/standin/list_conn.go
@@ -0,0 +1,173 @@
+package standin
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"sync"
+
+	"ravenpond/internal/audit"
+	"ravenpond/internal/env"
+	"ravenpond/internal/proto/line"
+	"ravenpond/internal/proto/list"
+)
+
+// listConn is a scheduler's connection to the list. It implements env.ConnHandler and list.SchedulerHandler; the connection calls it
+// from one goroutine, and the environment's timer from another.
+type listConn struct {
+	list      *List
+	scheduler string // empty until the greeting is complete
+	conn      env.Conn
+	splitter  line.Splitter
+
+	mu       sync.Mutex
+	closed   bool      // guarded by mu
+	sent     *snapshot // guarded by mu; nil: nothing was sent
+	watching bool      // guarded by mu
+}
+
+func (l *List) accept(conn env.Conn) { conn.Start(&listConn{list: l, conn: conn}, listWriteTimeout) }
+
+// OnData takes what a scheduler sends.
+func (c *listConn) OnData(b []byte) {
+	if c.scheduler == "" {
+		header, rest, err := c.splitter.Greeting(b, list.GreetingLine)
+		if err != nil {
+			c.conn.Close(false, list.AppendBye(nil, err.Error()))
+			return
+		}
+		if header == nil {
+			return
+		}
+		c.scheduler, b = header.Get("Scheduler"), rest
+		c.conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.GreetingLine) })
+		env.Every(c.list.testbed, pollInterval, c.push)
+	}
+	if err := c.splitter.Feed(b, func(fields [][]byte) error { return list.DecodeScheduler(fields, c) }); err != nil {
+		c.conn.Close(true, list.AppendBye(nil, err.Error()))
+	}
+}
+
+// OnClose ends the watch.
+func (c *listConn) OnClose(error) {
+	c.mu.Lock()
+	c.closed = true
+	c.mu.Unlock()
+}
+
+// push sends changes to a scheduler that watches. It reports whether to go on.
+func (c *listConn) push() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.watching && !c.closed && !c.sendChanges(false) {
+		c.conn.Close(false, nil)
+		return false
+	}
+	return !c.closed
+}
+
+// sendChanges sends what changed since the last answer; the answer to a call is sent even if nothing did. While the list is unavailable
+// a call fails, and a watch has to be broken: then it returns false. The caller holds the lock.
+func (c *listConn) sendChanges(called bool) bool {
+	l := c.list
+	l.mu.Lock()
+	unavailable, current := l.Unavailable, l.visible()
+	l.mu.Unlock()
+	if unavailable {
+		if !called {
+			return false
+		}
+		l.testbed.Trace.Add(audit.Record{At: l.testbed.Now(), Kind: audit.ListDelivered, Scheduler: c.scheduler, Detail: "failed"})
+		c.conn.Send(func(b []byte) []byte { return list.AppendFailed(b, "out of reach") })
+		return true
+	}
+	if c.sent != nil && current.version <= c.sent.version && !called {
+		return true
+	}
+	kind, old := list.KindFull, map[uint32]entry{}
+	if c.sent != nil {
+		kind, old = list.KindChanges, c.sent.entries
+		if current.version < c.sent.version {
+			current = *c.sent
+		}
+	}
+	b, records := c.appendAnswer(kind, &current, old)
+	c.conn.Send(func(queue []byte) []byte { return append(queue, b...) })
+	now := l.testbed.Now()
+	for _, r := range append(records, audit.Record{Kind: audit.ListDelivered, Scheduler: c.scheduler}) {
+		r.At = now
+		l.testbed.Trace.Add(r)
+	}
+	c.sent = &current
+	return true
+}
+
+// appendAnswer returns an answer with the entries that differ from the old ones, and records of each.
+func (c *listConn) appendAnswer(kind int, current *snapshot, old map[uint32]entry) ([]byte, []audit.Record) {
+	b, records := list.AppendBegin(nil, kind, current.version), []audit.Record(nil)
+	for _, id := range slices.Sorted(maps.Keys(current.entries)) {
+		en := current.entries[id]
+		if before, ok := old[id]; ok && before == en {
+			continue
+		}
+		records = append(records, audit.Record{
+			Kind: audit.EndpointDelivered, Scheduler: c.scheduler, Node: id,
+			Detail: list.AvailabilityNames[en.availability],
+		})
+		if en.availability == availabilityGone && kind == list.KindFull {
+			continue // a full list says so by its absence
+		}
+		b = list.AppendEntry(b, id, en.address, en.availability, en.startedAt, en.cores, en.memory, en.zone, en.cell, en.kind)
+	}
+	return list.AppendEnd(b), records
+}
+
+// answer answers a call, with all entries if fresh is set.
+func (c *listConn) answer(watch, fresh bool) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if fresh {
+		c.sent = nil
+	}
+	if c.sendChanges(true) {
+		c.watching = c.watching || watch
+	}
+	return nil
+}
+
+// OnWatch implements list.SchedulerHandler. It answers with all changes since a version, with all entries if this connection was not
+// sent that version.
+func (c *listConn) OnWatch(since uint64) error {
+	return c.answer(true, c.sent == nil || c.sent.version != since)
+}
+
+// OnFullRequest implements list.SchedulerHandler.
+func (c *listConn) OnFullRequest() error { return c.answer(false, true) }
+
+// OnUnwatch implements list.SchedulerHandler.
+func (c *listConn) OnUnwatch() error {
+	c.mu.Lock()
+	c.watching = false
+	c.mu.Unlock()
+	return nil
+}
+
+// OnMaintenance implements list.SchedulerHandler: the scheduler has a node out for a duration in ms.
+func (c *listConn) OnMaintenance(id uint32, duration float64) error {
+	c.list.Update(func(l *List) {
+		if l.maintenance[id] == nil {
+			l.maintenance[id] = map[string]float64{}
+		}
+		l.maintenance[id][c.scheduler] = l.testbed.Now() + duration
+	})
+	return nil
+}
+
+// OnMaintenanceEnd implements list.SchedulerHandler.
+func (c *listConn) OnMaintenanceEnd(id uint32) error {
+	c.list.Update(func(l *List) { delete(l.maintenance[id], c.scheduler) })
+	return nil
+}
+
+// OnBye implements list.SchedulerHandler: it ends the connection.
+func (c *listConn) OnBye(reason string) error { return fmt.Errorf("farewell: %s", reason) }
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -1,5 +1,3 @@
-// Package standin holds stand-ins for what surrounds a scheduler: nodes, the node list and owners, with the faults
-// that a drill asks of them. A Machine is the model of a node, free of I/O and clocks; Node puts it on a socket.
 package standin
 
 import (
@@ -8,125 +6,145 @@
 	"ravenpond/internal/proto/node"
 )
 
-// MachineConfig is how a machine is built.
+// MachineConfig says how a machine is built. Times and durations are ms, memory is GiB.
 type MachineConfig struct {
 	Cores, Memory           float64
-	CoresLimit, MemoryLimit float64
-	InspectTime             float64 // ms to look at one ask
-	QueueLimit              int     // asks that may wait
-	ConcurrentStarts        int     // at a time
-	ProgramMissFactor       float64 // times the work where the program is not held
-	ProgramCacheSize        int     // kept after their last allocation
-	WarmupPace              float64 // part of its pace at which it begins
+	CoresLimit, MemoryLimit float64 // factors up to which cores and memory may be reserved
+	InspectTime             float64 // to inspect one placement request
+	QueueLimit              int     // placement requests that may wait for inspection
+	ConcurrentStarts        int
+	ProgramMissFactor       float64 // by which a start takes longer where the program is not cached
+	ProgramCacheSize        int     // programs kept after their last task
+	WarmupPace              float64 // fraction of its pace at which a cold machine starts
 	WarmupDuration          float64
-	OverloadFactor          float64 // times what it can start, sent for FallFor, that push it over
+	OverloadFactor          float64 // times what it can start within OverloadWindow that break a cold machine down
 	OverloadWindow          float64
-	SlowStartLimit          int // offers within FallFor that it always bears
-	ReportsUse              bool
-	Preempts                bool
+	SlowStartLimit          int  // placements within OverloadWindow that a cold machine always takes
+	ReportsUse              bool // load reports hold what is in use, not what is reserved
+	Preempts                bool // a task may displace one of lower priority
 	JobProfiles             []JobProfile
 }
 
-// EventHandler is how a machine speaks to a scheduler, and what it did.
+// EventHandler gets what a machine sends to schedulers, and what happens in it. Durations are ms.
 type EventHandler interface {
-	OnStarted(sched string, ticket uint64, try uint8, took float64)
-	OnConcluded(sched string, ticket uint64, try uint8, outcome, reason int, report []float64)
-	OnNote(sched string, ticket uint64, try uint8, kind int, value float64)
-	OnReport(sched string, seq uint64, report []float64)
-	OnClaimed(sched string, ticket uint64, try uint8, claim, reason int)
-	OnRun(sched string, ticket uint64, try uint8)
+	// OnStarted: the attempt runs, so long after it was received.
+	OnStarted(id AttemptID, took float64)
+	// OnConcluded: the attempt has an outcome.
+	OnConcluded(id AttemptID, conclusion Conclusion)
+	// OnNote: a running task uses so much; kind is one of node.NoteNames.
+	OnNote(id AttemptID, kind int, value float64)
+	// OnReport answers a probe with a load report.
+	OnReport(scheduler string, seq uint64, report []float64)
+	// OnClaimed answers a claim; claim is one of node.ClaimNames, reason one of node.ReasonNames.
+	OnClaimed(id AttemptID, claim, reason int)
+	// OnRun: the attempt has its effect now.
+	OnRun(id AttemptID)
+	// OnOverload: the machine broke down.
 	OnOverload()
 }
 
-// Faults is what ails a machine.
+// Conclusion is the outcome of an attempt.
+type Conclusion struct {
+	Outcome int       // one of node.OutcomeNames
+	Reason  int       // one of node.ReasonNames
+	Report  []float64 // load after it
+}
+
+// Faults are injected into a machine; the zero value, but for FailingJob and UseFactor, injects none.
 type Faults struct {
-	Hung            bool    // takes offers and answers nothing
-	AnswerLoss      float64 // part of answers to tries that are lost; probes work
-	FailingJob      int     // job type that fails here, -1: none
-	FailingFraction float64 // part of its tries
-	FailSilently    bool    // by silence, else with an error
-	StaleReports    bool    // reports stay as they were
-	ForeignUse      float64 // part of the machine that other programs use
-	UseFactor       float64 // times the usual use of its allocations
+	Hung            bool    // it takes placement requests and answers nothing
+	AnswerLoss      float64 // fraction of answers to attempts that are lost; probes are answered
+	FailingJob      int     // job class that fails here, -1: none
+	FailingFraction float64 // of its attempts
+	FailSilently    bool    // they fail without an answer, else with an error
+	StaleReports    bool    // load reports stay as they were
+	ForeignUse      float64 // fraction of the machine that other programs use
+	UseFactor       float64 // by which tasks use more than usual
 }
 
-// Machine is the model of a node.
+// Machine is the model of a node. It has neither I/O nor a clock: each call passes the time, in ms, which never goes back. Machines of
+// one Group belong to one goroutine at a time.
 type Machine struct {
 	MachineConfig
 	Faults
-	events         EventHandler
-	rng            *rand.Rand
-	group          *Group
-	now, startedAt float64
-	cold           bool
-	down           bool // fell over
-	queue          []*task
-	inspectedAt    float64
-	tasks          map[attemptID]*task
-	accepted       []*task // accepted, in order of acceptance
-	programs       []uint64
-	reserved       [2]float64
-	outcomes       map[attemptID]pastOutcome
-	barred         map[attemptID]bool
-	epochs         map[epochKey]uint32 // the highest seen
-	placements     []float64
-	lastUseNote    float64
-	lastReport     []float64
-	draining       bool
-	evicting       bool // sends its allocations away bit by bit
-	nextEviction   float64
+	events          EventHandler
+	rng             *rand.Rand
+	group           *Group
+	now, startedAt  float64
+	cold            bool
+	down            bool    // it broke down under overload
+	queue           []*task // placement requests and probes that wait for inspection
+	inspectedAt     float64 // when the first of the queue is inspected
+	tasks           map[AttemptID]*task
+	accepted        []*task // in order of acceptance
+	programs        []uint64
+	reserved        [2]float64 // cores and memory
+	outcomes        map[AttemptID]pastOutcome
+	barred          map[AttemptID]bool // attempts that are rejected if they ever arrive
+	epochs          map[epochKey]uint32
+	placements      []float64 // times in the last overload window
+	lastMaintenance float64
+	lastReport      []float64
+	draining        bool
+	evicting        bool // it drains by evicting its tasks one after the other
+	nextEviction    float64
 }
 
-// NewMachine starts a machine; a cold one begins slowly.
-func NewMachine(mk MachineConfig, voice EventHandler, group *Group, seed uint64, now float64, cold bool) *Machine {
-	m := &Machine{MachineConfig: mk, events: voice, group: group, rng: rand.New(rand.NewPCG(seed, 7))}
+// NewMachine returns a machine that starts now; a cold one warms up.
+func NewMachine(config MachineConfig, events EventHandler, group *Group, seed uint64, now float64, cold bool) *Machine {
+	m := &Machine{MachineConfig: config, events: events, group: group, rng: rand.New(rand.NewPCG(seed, 7))}
 	m.FailingJob, m.UseFactor = -1, 1
 	m.Restart(now, cold)
 	return m
 }
 
-// Restart loses all that the machine held.
+// Restart drops all that the machine holds.
 func (m *Machine) Restart(now float64, cold bool) {
 	for _, t := range m.accepted {
 		m.releaseToken(t)
 	}
 	m.now, m.startedAt, m.cold, m.down, m.draining, m.evicting = now, now, cold, false, false, false
 	m.queue, m.accepted, m.programs, m.reserved, m.placements = nil, nil, nil, [2]float64{}, nil
-	m.tasks, m.outcomes, m.barred, m.epochs = map[attemptID]*task{}, map[attemptID]pastOutcome{}, map[attemptID]bool{}, map[epochKey]uint32{}
+	m.tasks, m.outcomes = map[AttemptID]*task{}, map[AttemptID]pastOutcome{}
+	m.barred, m.epochs = map[AttemptID]bool{}, map[epochKey]uint32{}
 	m.lastReport = nil
 }
 
-// Uptime is how long the machine has run, in ms: since long ago where it did not begin cold.
+// longAgo is added to the uptime of a machine that did not start cold, ms.
+const longAgo = 3600e3
+
+// Uptime is how long the machine has run, in ms: for over an hour where it did not start cold.
 func (m *Machine) Uptime(now float64) float64 {
 	if !m.cold {
-		return now - m.startedAt + 3600e3
+		return now - m.startedAt + longAgo
 	}
 	return now - m.startedAt
 }
 
-// IsDown tells whether it fell over.
+// IsDown reports whether it broke down under overload.
 func (m *Machine) IsDown() bool { return m.down }
 
-// Drain begins a drain: nothing new is accepted, and what runs ends by itself or is sent away bit by bit, or all
-// at once.
-func (m *Machine) Drain(now float64, sends, atOnce bool) {
-	m.now, m.draining, m.evicting, m.nextEviction = now, true, sends, now
+// Drain begins a drain: nothing new is accepted, and what is queued is handed back. Running tasks end by themselves, or are evicted one
+// after the other, or all at once.
+func (m *Machine) Drain(now float64, evict, atOnce bool) {
+	m.now, m.draining, m.evicting, m.nextEviction = now, true, evict, now
 	for i := len(m.queue) - 1; i >= 0; i-- {
 		if t := m.queue[i]; !t.isProbe {
-			m.conclude(t, node.OutcomeRefused, 4)
+			m.conclude(t, node.OutcomeRefused, reasonNotHere)
 		}
 	}
 	for atOnce && len(m.accepted) > 0 {
-		m.evict(m.accepted[0], 7)
+		m.evict(m.accepted[0], reasonSentAway)
 	}
 }
 
 // Undrain ends a drain.
 func (m *Machine) Undrain() { m.draining, m.evicting = false, false }
 
-// TaskCount is the number of allocations accepted.
+// TaskCount is the number of accepted tasks, running or starting.
 func (m *Machine) TaskCount() int { return len(m.accepted) }
 
+// pace is the fraction of its full pace at which the machine works now.
 func (m *Machine) pace() float64 {
 	if !m.cold || m.now >= m.startedAt+m.WarmupDuration {
 		return 1
--- /dev/null
+++ b/internal/standin/node_conn.go
@@ -0,0 +1,255 @@
+package standin
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net/textproto"
+	"strconv"
+	"sync"
+
+	"ravenpond/internal/audit"
+	"ravenpond/internal/decide/admission"
+	"ravenpond/internal/env"
+	"ravenpond/internal/proto/line"
+	"ravenpond/internal/proto/node"
+)
+
+const (
+	maxQueuedBytes = 1 << 20 // that wait for a scheduler; more end its connection
+	maxPending     = 1 << 14 // messages kept while the machine hangs
+)
+
+// errUnavailable ends a greeting while the node answers nobody.
+var errUnavailable = errors.New("away")
+
+// nodeConn is a scheduler's connection to a node. It implements env.ConnHandler and node.SchedulerHandler; the connection calls it from
+// one goroutine.
+type nodeConn struct {
+	node     *Node
+	conn     env.Conn
+	splitter line.Splitter
+	lag      admission.DelayEstimator // of messages from the scheduler
+
+	mu           sync.Mutex
+	scheduler    string  // guarded by mu; empty until the greeting is complete
+	lastReceived float64 // guarded by mu; ms
+	closed       bool    // guarded by mu
+}
+
+// accept takes a connection, and watches that its scheduler is not silent for too long.
+func (n *Node) accept(conn env.Conn) {
+	c := &nodeConn{node: n, conn: conn, lastReceived: n.testbed.Now()}
+	conn.Start(c, node.WriteTimeout)
+	env.Every(n.testbed, node.HandshakeTimeout, func() bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		timeout := float64(node.SilenceTimeout)
+		if c.scheduler == "" {
+			timeout = node.HandshakeTimeout
+		}
+		if !c.closed && n.testbed.Now()-c.lastReceived >= timeout {
+			c.closeLocked("silent")
+		}
+		return !c.closed
+	})
+}
+
+// OnData takes what a scheduler sends.
+func (c *nodeConn) OnData(b []byte) {
+	c.mu.Lock()
+	c.lastReceived = c.node.testbed.Now()
+	c.mu.Unlock()
+	if c.scheduler == "" {
+		header, rest, err := c.splitter.Greeting(b, node.GreetingLine)
+		if err == nil && header == nil {
+			return
+		}
+		if err == nil {
+			err = c.handshake(header)
+		}
+		if err != nil {
+			c.close(err.Error())
+			return
+		}
+		b = rest
+	}
+	if err := c.splitter.Feed(b, func(fields [][]byte) error { return node.DecodeScheduler(fields, c) }); err != nil {
+		c.close(err.Error())
+	}
+}
+
+// OnClose releases the scheduler's name.
+func (c *nodeConn) OnClose(err error) {
+	c.close(err.Error())
+	n := c.node
+	n.testbed.WithLock(func(float64) {
+		if c.scheduler != "" && n.conns[c.scheduler] == c {
+			delete(n.conns, c.scheduler)
+			n.recordLink(audit.LinkClosed, c.scheduler, err.Error())
+		}
+	})
+}
+
+// handshake begins to serve a scheduler; a later connection of the same name ends the earlier one.
+func (c *nodeConn) handshake(header textproto.MIMEHeader) (err error) {
+	n, scheduler := c.node, header.Get("Scheduler")
+	if scheduler == "" || header.Get("Node") != strconv.FormatUint(uint64(n.ID), 10) {
+		return errors.New("not the node that was meant, or no name")
+	}
+	if text := header.Get("Sent"); text != "" {
+		sent, err := strconv.ParseFloat(text, 64)
+		if err != nil || math.IsNaN(sent) || math.IsInf(sent, 0) {
+			return fmt.Errorf("greeting: bad time sent %.20q", text)
+		}
+		c.lag.OnRequest(n.testbed.Now(), sent, 0, 0)
+	}
+	n.testbed.WithLock(func(now float64) {
+		if n.Lost || n.Machine.IsDown() || n.Machine.Hung {
+			err = errUnavailable
+			return
+		}
+		n.Machine.Advance(now) // what was due before is sent to the old connection
+		if old := n.conns[scheduler]; old != nil {
+			old.close("replaced by a later connection")
+			n.recordLink(audit.LinkClosed, scheduler, "")
+		}
+		c.mu.Lock()
+		c.scheduler = scheduler
+		c.mu.Unlock()
+		n.conns[scheduler] = c
+		n.recordLink(audit.LinkOpened, scheduler, "")
+		c.send(func(b []byte) []byte {
+			return line.AppendGreeting(b, node.GreetingLine, "Node", strconv.FormatUint(uint64(n.ID), 10),
+				"Life", strconv.FormatUint(n.incarnation, 10), "Up", strconv.FormatFloat(n.Machine.Uptime(now), 'f', 3, 64))
+		})
+		c.sendHeld(now)
+	})
+	return err
+}
+
+// sendHeld sends all that the node holds for the scheduler. The caller holds the testbed's lock.
+func (c *nodeConn) sendHeld(now float64) {
+	var b []byte
+	for _, held := range c.node.Machine.Held(now, c.scheduler) {
+		if held.Running {
+			c.node.recordAttempt(audit.StartConfirmed, held.ID, "")
+		}
+		b = held.Append(b)
+	}
+	c.send(func(queue []byte) []byte { return node.AppendHeldAll(append(queue, b...)) })
+}
+
+// Append appends the message that tells a scheduler of a held task.
+func (h *HeldTask) Append(b []byte) []byte {
+	state := node.ClaimWaiting
+	if h.Running {
+		state = node.ClaimRunning
+	}
+	return node.AppendHeld(b, h.ID.Ticket, h.ID.Attempt, state, h.Job, h.Tenant, h.Service, h.Token, h.Cores, h.Memory)
+}
+
+func (c *nodeConn) close(reason string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closeLocked(reason)
+}
+
+func (c *nodeConn) closeLocked(reason string) {
+	if !c.closed {
+		c.closed = true
+		c.conn.Close(true, node.AppendBye(nil, reason))
+	}
+}
+
+// send queues a message; a scheduler that reads too slowly is disconnected.
+func (c *nodeConn) send(appendTo func([]byte) []byte) {
+	if _, waiting, _ := c.conn.Send(appendTo); waiting > maxQueuedBytes {
+		c.close("slow reader")
+	}
+}
+
+// deliver has the machine handle a message, now or once it hangs no more; it wakes the node's loop.
+func (c *nodeConn) deliver(handle func(now float64)) error {
+	n := c.node
+	n.testbed.WithLock(func(now float64) {
+		switch {
+		case n.conns[c.scheduler] != c:
+		case n.Machine.Hung && len(n.pending) < maxPending:
+			n.pending = append(n.pending, func(now float64) {
+				if n.conns[c.scheduler] == c {
+					handle(now)
+				}
+			})
+		case !n.Machine.Hung:
+			n.processPending(now)
+			handle(now)
+		}
+	})
+	n.loop.Wake()
+	return nil
+}
+
+func (c *nodeConn) attemptID(ticket uint64, attempt uint8) AttemptID {
+	return AttemptID{Scheduler: c.scheduler, Ticket: ticket, Attempt: attempt}
+}
+
+// OnOffer implements node.SchedulerHandler. The time that the message was on its way counts against its time-out: a late one is
+// rejected.
+func (c *nodeConn) OnOffer(ticket uint64, attempt uint8, epoch uint32, sent, timeout float64, job, tenant int,
+	service, token uint64, cores, memory float64,
+) error {
+	n := c.node
+	if job >= n.Jobs || tenant >= n.Tenants {
+		return fmt.Errorf("unknown job type %d or tenant %d", job, tenant)
+	}
+	received := n.testbed.Now()
+	late := c.lag.OnRequest(received, sent, 0, 0)
+	timeout -= late
+	n.testbed.Trace.Add(audit.Record{
+		At: received, Kind: audit.PlacementReceived, Scheduler: c.scheduler, Node: n.ID, Ticket: ticket,
+		Attempt: attempt, Job: job, Token: token, Service: service, Deadline: received + timeout, SentAt: received - late,
+	})
+	return c.deliver(func(now float64) {
+		n.Machine.Place(now, Placement{
+			ID: c.attemptID(ticket, attempt), Epoch: epoch, Timeout: timeout - (now - received), Job: job,
+			Tenant: tenant, Service: service, Token: token, Cores: cores, Memory: memory,
+		})
+	})
+}
+
+// OnRecall implements node.SchedulerHandler.
+func (c *nodeConn) OnRecall(ticket uint64, attempt uint8) error {
+	return c.deliver(func(now float64) {
+		id := c.attemptID(ticket, attempt)
+		c.node.recordAttempt(audit.RecallReceived, id, "")
+		c.node.Machine.Recall(now, id)
+	})
+}
+
+// OnStop implements node.SchedulerHandler.
+func (c *nodeConn) OnStop(ticket uint64, attempt uint8) error {
+	return c.deliver(func(now float64) { c.node.Machine.Stop(now, c.attemptID(ticket, attempt)) })
+}
+
+// OnClaim implements node.SchedulerHandler.
+func (c *nodeConn) OnClaim(ticket uint64, attempt uint8) error {
+	return c.deliver(func(now float64) { c.node.Machine.Claim(now, c.attemptID(ticket, attempt)) })
+}
+
+// OnProbe implements node.SchedulerHandler.
+func (c *nodeConn) OnProbe(seq uint64) error {
+	return c.deliver(func(now float64) { c.node.Machine.Probe(now, c.scheduler, seq) })
+}
+
+// OnPing implements node.SchedulerHandler.
+func (c *nodeConn) OnPing(sent float64) error {
+	c.lag.OnRequest(c.node.testbed.Now(), sent, 0, 0)
+	return c.deliver(func(float64) { c.send(node.AppendPong) })
+}
+
+// OnResync implements node.SchedulerHandler.
+func (c *nodeConn) OnResync() error { return c.deliver(c.sendHeld) }
+
+// OnBye implements node.SchedulerHandler: it ends the connection.
+func (c *nodeConn) OnBye(reason string) error { return fmt.Errorf("farewell: %s", reason) }
--- a/internal/standin/placement.go
+++ b/internal/standin/placement.go
@@ -6,33 +6,39 @@
 	"ravenpond/internal/proto/node"
 )
 
-// Place takes an offer into the line.
-func (m *Machine) Place(now float64, sched string, ticket uint64, try uint8, epoch uint32, timeout float64,
-	job, tenant int, service, token uint64, cores, memory float64,
-) {
+// Reasons of outcomes, by their places in node.ReasonNames.
+const (
+	reasonNone = iota
+	reasonNoCores
+	reasonNoMemory
+	reasonQueueFull
+	reasonNotHere
+	reasonOutOfMemory
+	reasonPreempted
+	reasonSentAway
+)
+
+// Place takes a placement request into the queue, or rejects it.
+func (m *Machine) Place(now float64, p Placement) {
 	m.Advance(now)
 	if m.down {
 		return
 	}
-	n := attemptID{sched, ticket, try}
-	t := &task{
-		attemptID: n, machine: m, job: job, tenant: tenant, service: service, token: token, cores: cores, memory: memory,
-		epoch: epoch, receivedAt: now, deadline: now + timeout,
-	}
+	t := &task{Placement: p, machine: m, receivedAt: now, deadline: now + p.Timeout}
 	m.checkOverload()
 	if m.down {
 		return
 	}
-	m.tasks[n] = t
+	m.tasks[p.ID] = t
 	switch {
-	case m.barred[n], epoch < m.epochs[epochKeyOf(t)]: // given up before it came, or of an owner that lost it
-		m.conclude(t, node.OutcomeRefused, 4)
+	case m.barred[p.ID], p.Epoch < m.epochs[p.epochKey()]: // withdrawn before it arrived, or of a former owner
+		m.conclude(t, node.OutcomeRefused, reasonNotHere)
 	case m.draining:
-		m.conclude(t, node.OutcomeRefused, 4)
+		m.conclude(t, node.OutcomeRefused, reasonNotHere)
 	case len(m.queue) >= m.QueueLimit:
-		m.conclude(t, node.OutcomeRefused, 3)
+		m.conclude(t, node.OutcomeRefused, reasonQueueFull)
 	default:
-		m.epochs[epochKeyOf(t)] = epoch
+		m.epochs[p.epochKey()] = p.Epoch
 		m.enqueue(t)
 	}
 }
@@ -44,87 +50,87 @@
 	m.queue = append(m.queue, t)
 }
 
-// checkOverload makes a cold machine fall that is sent far more than it can start.
+// checkOverload breaks a cold machine down that is sent far more than it can start.
 func (m *Machine) checkOverload() {
 	if !m.cold || m.now >= m.startedAt+m.WarmupDuration {
 		return
 	}
 	m.placements = slices.DeleteFunc(m.placements, func(at float64) bool { return at <= m.now-m.OverloadWindow })
 	m.placements = append(m.placements, m.now)
-	can := m.pace() * float64(m.ConcurrentStarts) * m.OverloadWindow / (m.JobProfiles[0].StartWork * m.ProgramMissFactor)
-	if len(m.placements) > m.SlowStartLimit && float64(len(m.placements)) > m.OverloadFactor*can {
+	capacity := m.pace() * float64(m.ConcurrentStarts) * m.OverloadWindow / (m.JobProfiles[0].StartWork * m.ProgramMissFactor)
+	if len(m.placements) > m.SlowStartLimit && float64(len(m.placements)) > m.OverloadFactor*capacity {
 		m.Restart(m.now, true)
 		m.down = true
 		m.events.OnOverload()
 	}
 }
 
-// Recall hands back what does not run yet.
-func (m *Machine) Recall(now float64, sched string, ticket uint64, try uint8) {
+// Recall hands back an attempt that does not run yet, and bars one that has not arrived.
+func (m *Machine) Recall(now float64, id AttemptID) {
 	m.Advance(now)
-	n := attemptID{sched, ticket, try}
-	if t := m.tasks[n]; t != nil && t.stage != running {
-		m.conclude(t, node.OutcomeRefused, 0)
+	if t := m.tasks[id]; t != nil && t.stage != running {
+		m.conclude(t, node.OutcomeRefused, reasonNone)
 	} else if t == nil {
-		if _, ok := m.outcomes[n]; !ok { // not seen yet: it will be turned away
-			m.barred[n] = true
+		if _, ok := m.outcomes[id]; !ok {
+			m.barred[id] = true
 		}
 	}
 }
 
-// Stop ends what runs.
-func (m *Machine) Stop(now float64, sched string, ticket uint64, try uint8) {
+// Stop ends an attempt, whether it runs or not.
+func (m *Machine) Stop(now float64, id AttemptID) {
 	m.Advance(now)
-	switch t := m.tasks[attemptID{sched, ticket, try}]; {
+	switch t := m.tasks[id]; {
 	case t == nil:
 	case t.stage == running:
-		m.conclude(t, node.OutcomeStopped, 0)
+		m.conclude(t, node.OutcomeStopped, reasonNone)
 	default:
-		m.conclude(t, node.OutcomeRefused, 0)
+		m.conclude(t, node.OutcomeRefused, reasonNone)
 	}
 }
 
-// Claim tells what became of a try, and bars one never seen.
-func (m *Machine) Claim(now float64, sched string, ticket uint64, try uint8) {
+// Claim answers what became of an attempt, and bars one that has not arrived.
+func (m *Machine) Claim(now float64, id AttemptID) {
 	m.Advance(now)
-	n := attemptID{sched, ticket, try}
-	if t := m.tasks[n]; t != nil {
+	if t := m.tasks[id]; t != nil {
 		claim := node.ClaimWaiting
 		if t.stage == running {
 			claim = node.ClaimRunning
 		}
-		m.events.OnClaimed(sched, ticket, try, claim, 0)
+		m.events.OnClaimed(id, claim, reasonNone)
 		return
 	}
-	p, ok := m.outcomes[n]
+	past, ok := m.outcomes[id]
 	switch {
 	case ok:
 	case len(m.outcomes) >= maxOutcomes:
-		p.outcome = node.OutcomeUnknown
+		past.outcome = node.OutcomeUnknown
 	default:
-		m.barred[n] = true
-		p = pastOutcome{now, node.OutcomeBarred, 0}
-		m.outcomes[n] = p
+		m.barred[id] = true
+		past = pastOutcome{now, node.OutcomeBarred, reasonNone}
+		m.outcomes[id] = past
 	}
-	m.events.OnClaimed(sched, ticket, try, node.ClaimOutcome+p.outcome, p.reason)
+	m.events.OnClaimed(id, node.ClaimOutcome+past.outcome, past.reason)
 }
 
-// Probe puts a probe into the line of offers.
-func (m *Machine) Probe(now float64, sched string, seq uint64) {
+// Probe queues a probe among the placement requests; its answer tells how long the queue takes.
+func (m *Machine) Probe(now float64, scheduler string, seq uint64) {
 	m.Advance(now)
-	m.enqueue(&task{attemptID: attemptID{scheduler: sched}, machine: m, isProbe: true, probeSeq: seq})
+	m.enqueue(&task{Placement: Placement{ID: AttemptID{Scheduler: scheduler}}, machine: m, isProbe: true, probeSeq: seq})
 }
 
-// EachHeld calls for each thing held for a scheduler, in order of coming.
-func (m *Machine) EachHeld(now float64, sched string, each func(ticket uint64, try uint8, runs bool, job, tenant int,
-	service, token uint64, cores, memory float64),
-) {
+// Held returns all that the machine holds for a scheduler: what was accepted, then what is queued, each in order of arrival.
+func (m *Machine) Held(now float64, scheduler string) (held []HeldTask) {
 	m.Advance(now)
-	for _, all := range [][]*task{m.accepted, m.queue} {
-		for _, t := range all {
-			if t.scheduler == sched && !t.isProbe {
-				each(t.ticket, t.attempt, t.stage == running, t.job, t.tenant, t.service, t.token, t.cores, t.memory)
+	for _, tasks := range [][]*task{m.accepted, m.queue} {
+		for _, t := range tasks {
+			if t.ID.Scheduler == scheduler && !t.isProbe {
+				held = append(held, HeldTask{
+					ID: t.ID, Running: t.stage == running, Job: t.Job, Tenant: t.Tenant, Service: t.Service, Token: t.Token,
+					Cores: t.Cores, Memory: t.Memory,
+				})
 			}
 		}
 	}
+	return held
 }
--- a/internal/standin/progress.go
+++ b/internal/standin/progress.go
@@ -7,7 +7,20 @@
 	"ravenpond/internal/proto/node"
 )
 
-// Advance moves time.
+// Intervals of a machine in ms.
+const (
+	evictionInterval    = 150  // between two evictions of a drain
+	maintenanceInterval = 1000 // between two notes of use
+)
+
+// Random factors of a task.
+const (
+	minRuntimeFactor, runtimeFactorRange = 0.25, 1.5
+	minUseFactor, useFactorRange         = 0.8, 0.4
+	memoryUseFactor                      = 1.3 // tasks use more of their memory than of their cores
+)
+
+// Advance moves the machine's time to now, and has happen what was due until then.
 func (m *Machine) Advance(now float64) {
 	for {
 		at, t := m.nextCompletion()
@@ -22,29 +35,29 @@
 		return
 	}
 	if m.evicting && len(m.accepted) > 0 && now >= m.nextEviction {
-		m.nextEviction = now + 150
-		m.evict(m.accepted[0], 7)
+		m.nextEviction = now + evictionInterval
+		m.evict(m.accepted[0], reasonSentAway)
 	}
-	if now-m.lastUseNote >= 1000 {
-		m.lastUseNote = now
+	if now-m.lastMaintenance >= maintenanceInterval {
+		m.lastMaintenance = now
 		m.maintain()
 	}
 }
 
-// NextEvent is when Tick has something to do.
+// NextEvent is when Advance has something to do, in ms.
 func (m *Machine) NextEvent() float64 {
 	at, t := m.nextCompletion()
 	if t == nil || m.Hung {
 		at = math.Inf(1)
 	}
-	at = min(at, m.lastUseNote+1000)
+	at = min(at, m.lastMaintenance+maintenanceInterval)
 	if m.evicting && len(m.accepted) > 0 {
 		at = min(at, m.nextEviction)
 	}
 	return at
 }
 
-// nextCompletion is the next thing that gets done: a look, a start, an end.
+// nextCompletion returns the task whose stage ends first, and when: the inspection of the first in the queue, a start, or an end.
 func (m *Machine) nextCompletion() (float64, *task) {
 	at, next := math.Inf(1), (*task)(nil)
 	if len(m.queue) > 0 {
@@ -60,6 +73,7 @@
 	return at, next
 }
 
+// complete ends a task's stage.
 func (m *Machine) complete(t *task) {
 	switch t.stage {
 	case queued:
@@ -68,151 +82,168 @@
 			m.inspectedAt = m.now + m.InspectTime/m.pace()
 		}
 		if t.isProbe {
-			m.events.OnReport(t.scheduler, t.probeSeq, m.report())
+			m.events.OnReport(t.ID.Scheduler, t.probeSeq, m.report())
 		} else {
 			m.inspect(t)
 		}
 	case starting:
-		if m.now > t.deadline {
-			m.conclude(t, node.OutcomeRefused, 4)
-			return
-		}
-		if m.FailingJob == t.job && m.rng.Float64() < m.FailingFraction {
-			m.failStart(t)
-			return
-		}
-		t.stage = running
-		took := m.now - t.receivedAt
-		life := m.JobProfiles[t.job].MeanRuntime * (0.25 + 1.5*m.rng.Float64())
-		t.deadline = m.now + life
-		m.events.OnRun(t.scheduler, t.ticket, t.attempt)
-		m.events.OnStarted(t.scheduler, t.ticket, t.attempt, took)
-		m.beginStarts()
+		m.completeStart(t)
 	case running:
-		m.conclude(t, node.OutcomeEnded, 0)
+		m.conclude(t, node.OutcomeEnded, reasonNone)
+	}
+}
+
+func (m *Machine) completeStart(t *task) {
+	if m.now > t.deadline {
+		m.conclude(t, node.OutcomeRefused, reasonNotHere)
+		return
+	}
+	if m.FailingJob == t.Job && m.rng.Float64() < m.FailingFraction {
+		m.failStart(t)
+		return
 	}
+	t.stage = running
+	took := m.now - t.receivedAt
+	t.deadline = m.now + m.JobProfiles[t.Job].MeanRuntime*(minRuntimeFactor+runtimeFactorRange*m.rng.Float64())
+	m.events.OnRun(t.ID)
+	m.events.OnStarted(t.ID, took)
+	m.beginStarts()
 }
 
-// failStart lets a try of the ailing job type fail after it may have had an effect.
+// failStart has an attempt of the failing job class fail after it had its effect.
 func (m *Machine) failStart(t *task) {
-	m.events.OnRun(t.scheduler, t.ticket, t.attempt)
+	m.events.OnRun(t.ID)
 	if m.FailSilently {
 		m.remove(t)
-		m.outcomes[t.attemptID] = pastOutcome{m.now, node.OutcomeUnknown, 0}
+		m.outcomes[t.ID] = pastOutcome{m.now, node.OutcomeUnknown, reasonNone}
 	} else {
-		m.conclude(t, node.OutcomeErrored, 0)
+		m.conclude(t, node.OutcomeErrored, reasonNone)
 	}
 	m.beginStarts()
 }
 
+// inspect accepts a placement request or rejects it.
 func (m *Machine) inspect(t *task) {
-	w := m.JobProfiles[t.job]
-	if m.now > t.deadline {
-		m.conclude(t, node.OutcomeRefused, 4)
+	profile := m.JobProfiles[t.Job]
+	if m.now > t.deadline || profile.Deduplicated && m.isDuplicate(t) {
+		m.conclude(t, node.OutcomeRefused, reasonNotHere)
 		return
 	}
-	if w.Deduplicated {
-		if h := m.group.holders[t.token]; h != nil && h.machine == m && h.attemptID != t.attemptID && h.stage != running {
-			h.machine.conclude(h, node.OutcomeRefused, 0) // a copy that nobody waits for gives way
-		} else if h != nil && h.attemptID != t.attemptID {
-			m.conclude(t, node.OutcomeRefused, 4)
-			return
-		}
-	}
-	for m.Preempts && m.shortage(t) > 0 {
-		i := slices.IndexFunc(m.accepted, func(o *task) bool { return m.JobProfiles[o.job].Priority < w.Priority })
+	for m.Preempts && m.shortage(t) != reasonNone {
+		i := slices.IndexFunc(m.accepted, func(other *task) bool { return m.JobProfiles[other.Job].Priority < profile.Priority })
 		if i < 0 {
 			break
 		}
-		m.evict(m.accepted[i], 6)
+		m.evict(m.accepted[i], reasonPreempted)
 	}
-	if why := m.shortage(t); why > 0 {
-		m.conclude(t, node.OutcomeRefused, why)
+	if reason := m.shortage(t); reason != reasonNone {
+		m.conclude(t, node.OutcomeRefused, reason)
 		return
 	}
 	t.stage = starting
-	if w.Deduplicated {
-		m.group.holders[t.token] = t
+	if profile.Deduplicated {
+		m.group.holders[t.Token] = t
 	}
-	part := w.MeanUse * (0.8 + 0.4*m.rng.Float64())
-	t.use = [2]float64{min(1, part) * t.cores, min(1, part*1.3) * t.memory}
-	m.reserved = [2]float64{m.reserved[0] + t.cores, m.reserved[1] + t.memory}
+	fraction := profile.MeanUse * (minUseFactor + useFactorRange*m.rng.Float64())
+	t.use = [2]float64{min(1, fraction) * t.Cores, min(1, fraction*memoryUseFactor) * t.Memory}
+	m.reserved = [2]float64{m.reserved[0] + t.Cores, m.reserved[1] + t.Memory}
 	m.accepted = append(m.accepted, t)
 	m.beginStarts()
 }
 
+// isDuplicate reports whether the group holds another attempt of the same key. One on this machine that does not run yet gives way: its
+// scheduler has given it up.
+func (m *Machine) isDuplicate(t *task) bool {
+	holder := m.group.holders[t.Token]
+	if holder == nil || holder.ID == t.ID {
+		return false
+	}
+	if holder.machine == m && holder.stage != running {
+		m.conclude(holder, node.OutcomeRefused, reasonNone)
+		return false
+	}
+	return true
+}
+
+// shortage returns why the machine has no capacity for a task, reasonNone if it has.
 func (m *Machine) shortage(t *task) int {
 	switch {
-	case m.reserved[0]+t.cores > m.Cores*m.CoresLimit:
-		return 1
-	case m.reserved[1]+t.memory > m.Memory*m.MemoryLimit:
-		return 2
+	case m.reserved[0]+t.Cores > m.Cores*m.CoresLimit:
+		return reasonNoCores
+	case m.reserved[1]+t.Memory > m.Memory*m.MemoryLimit:
+		return reasonNoMemory
 	}
-	return 0
+	return reasonNone
 }
 
-// beginStarts begins starts while there are places for them.
+// beginStarts begins starts while there are slots for them.
 func (m *Machine) beginStarts() {
-	under := 0
+	startCount := 0
 	for _, t := range m.accepted {
 		if t.stage != starting {
 			continue
 		}
-		if under++; under > m.ConcurrentStarts {
+		if startCount++; startCount > m.ConcurrentStarts {
 			return
 		}
 		if t.readyAt == 0 {
-			work := m.JobProfiles[t.job].StartWork
-			if !m.hasProgram(t) {
-				work *= m.ProgramMissFactor
-			}
-			if c, _ := m.inUse(); c > m.Cores {
-				work *= c / m.Cores
-			}
-			t.readyAt = m.now + work/m.pace()
+			t.readyAt = m.now + m.startWork(t)/m.pace()
 		}
 	}
 }
 
+// startWork is how long a start takes at full pace, in ms.
+func (m *Machine) startWork(t *task) float64 {
+	work := m.JobProfiles[t.Job].StartWork
+	if !m.hasProgram(t) {
+		work *= m.ProgramMissFactor
+	}
+	if cores, _ := m.inUse(); cores > m.Cores {
+		work *= cores / m.Cores
+	}
+	return work
+}
+
 func (m *Machine) hasProgram(t *task) bool {
-	return slices.Contains(m.programs, t.service) || slices.ContainsFunc(m.accepted, func(o *task) bool {
-		return o != t && o.service == t.service && o.stage == running
+	return slices.Contains(m.programs, t.Service) || slices.ContainsFunc(m.accepted, func(other *task) bool {
+		return other != t && other.Service == t.Service && other.stage == running
 	})
 }
 
-// EvictPrograms forgets a part of the kept programs.
-func (m *Machine) EvictPrograms(part float64) {
-	m.programs = slices.DeleteFunc(m.programs, func(uint64) bool { return m.rng.Float64() < part })
+// EvictPrograms drops a random fraction of the cached programs.
+func (m *Machine) EvictPrograms(fraction float64) {
+	m.programs = slices.DeleteFunc(m.programs, func(uint64) bool { return m.rng.Float64() < fraction })
 }
 
+// inUse is what tasks and other programs use.
 func (m *Machine) inUse() (cores, memory float64) {
 	cores, memory = m.ForeignUse*m.Cores, m.ForeignUse*m.Memory
 	for _, t := range m.accepted {
 		cores += t.use[0] * m.UseFactor
 		memory += t.use[1] * m.UseFactor
 	}
-	return
+	return cores, memory
 }
 
-// evict ends an accepted task that has to go: one that does not run yet is handed back.
-func (m *Machine) evict(t *task, why int) {
+// evict ends an accepted task: one that does not run yet is handed back.
+func (m *Machine) evict(t *task, reason int) {
 	if t.stage == running {
-		m.conclude(t, node.OutcomeLost, why)
+		m.conclude(t, node.OutcomeLost, reason)
 	} else {
-		m.conclude(t, node.OutcomeRefused, 4)
+		m.conclude(t, node.OutcomeRefused, reasonNotHere)
 	}
 }
 
-// conclude ends a task or a try with an outcome.
-func (m *Machine) conclude(t *task, outcome, why int) {
+// conclude ends an attempt with an outcome.
+func (m *Machine) conclude(t *task, outcome, reason int) {
 	m.remove(t)
-	m.outcomes[t.attemptID] = pastOutcome{m.now, outcome, why}
-	m.events.OnConcluded(t.scheduler, t.ticket, t.attempt, outcome, why, m.report())
+	m.outcomes[t.ID] = pastOutcome{m.now, outcome, reason}
+	m.events.OnConcluded(t.ID, Conclusion{Outcome: outcome, Reason: reason, Report: m.report()})
 	m.beginStarts()
 }
 
 func (m *Machine) releaseToken(t *task) {
-	if m.group.holders[t.token] == t {
-		delete(m.group.holders, t.token)
+	if m.group.holders[t.Token] == t {
+		delete(m.group.holders, t.Token)
 	}
 }
