--- a/internal/lab/cluster/site.go
+++ b/internal/lab/cluster/site.go
@@ -55,7 +55,7 @@
 	for i := range r.Nodes {
 		zone := i % len(place.Zones)
 		n := &standin.Node{ID: uint32(i + 1), Zone: place.Zones[zone], Cell: place.Zones[zone], Kind: "plain", Jobs: 3, Tenants: 1}
-		if err := r.testbed.StartNode(n, standin.NodeStart{Machine: mk, Group: groups[zone], Seed: r.Seed+uint64(i)}); err != nil {
+		if err := r.testbed.StartNode(n, standin.NodeStart{Machine: mk, Group: groups[zone], Seed: r.Seed + uint64(i)}); err != nil {
 			return err
 		}
 		if r.Relays {
--- a/internal/lab/tenants/trial.go
+++ b/internal/lab/tenants/trial.go
@@ -202,7 +202,7 @@
 	group := standin.NewGroup()
 	for i := range day.Nodes {
 		n := &standin.Node{ID: uint32(i + 1), Zone: "one", Cell: "one", Kind: "plain", Jobs: 2, Tenants: day.Tenants}
-		if err := w.StartNode(n, standin.NodeStart{Machine: mk, Group: group, Seed: day.Seed+uint64(i)}); err != nil {
+		if err := w.StartNode(n, standin.NodeStart{Machine: mk, Group: group, Seed: day.Seed + uint64(i)}); err != nil {
 			return nil, err
 		}
 		nodes = append(nodes, n)
