--- a/cmd/ravenpond/admin.go
+++ b/cmd/ravenpond/admin.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"google.golang.org/grpc"
@@ -15,28 +15,29 @@
 	pb "ravenpond/internal/proto/admin"
 )
 
-// adminCommands speak the administration API of a running scheduler.
+// adminCommands call the administration API of a running scheduler.
 type adminCommands struct {
 	Add    adminAdd    `cmd:"" help:"Add a tenant."`
-	Limit  adminLimit  `cmd:"" help:"Change a tenant's limits: those that are not named stay."`
-	Pause  adminPause  `cmd:"" help:"Take nothing new of a tenant."`
-	Resume adminResume `cmd:"" help:"Take its asks again."`
+	Limit  adminLimit  `cmd:"" help:"Change a tenant's limits; those that are not given stay."`
+	Pause  adminPause  `cmd:"" help:"Accept no new requests of a tenant."`
+	Resume adminResume `cmd:"" help:"Accept its requests again."`
 	Remove adminRemove `cmd:"" help:"Remove a tenant."`
 	List   adminList   `cmd:"" help:"List the tenants that you may see."`
-	Token  adminToken  `cmd:"" help:"Issue a token for a tenant's programs, and print it this once."`
+	Token  adminToken  `cmd:"" help:"Issue a token for a tenant's clients. It is printed once and not stored."`
 	Revoke adminRevoke `cmd:"" help:"Revoke a token by its id."`
-	Log    adminLog    `cmd:"" help:"Print the record of changes."`
+	Log    adminLog    `cmd:"" help:"Print the audit log of changes."`
 }
 
+// adminFlags say where the API is and who calls.
 type adminFlags struct {
-	Address  string        `name:"at" required:"" help:"Address of the administration."`
+	Address  string        `name:"at" required:"" help:"Address of the administration API."`
 	Keys     string        `required:"" type:"path" help:"Folder with the authority's ca.pem and your NAME.pem and NAME.key."`
-	Identity string        `name:"as" required:"" help:"Your NAME there."`
-	Timeout  time.Duration `name:"wait" default:"5s" help:"Time for the call."`
+	Identity string        `name:"as" required:"" help:"Your NAME in that folder."`
+	Timeout  time.Duration `name:"wait" default:"5s" help:"Time-out of the call."`
 }
 
-// call makes a call and says what went wrong in a line.
-func (f adminFlags) call(ctx context.Context, do func(ctx context.Context, c pb.TenantsClient) error) error {
+// call connects to the API and makes calls on it. An error of the API is returned as its code and message.
+func (f adminFlags) call(ctx context.Context, calls func(ctx context.Context, api pb.TenantsClient) error) (err error) {
 	creds, err := keys.ClientCredentials(f.Keys, f.Identity)
 	if err != nil {
 		return err
@@ -45,26 +46,28 @@
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
+	defer func() { err = errors.Join(err, conn.Close()) }()
 	ctx, stop := context.WithTimeout(ctx, f.Timeout)
 	defer stop()
-	if err := do(ctx, pb.NewTenantsClient(conn)); err != nil {
+	if err := calls(ctx, pb.NewTenantsClient(conn)); err != nil {
 		s := status.Convert(err)
 		return fmt.Errorf("%s: %s", strings.ToLower(s.Code().String()), s.Message())
 	}
 	return nil
 }
 
+// adminChange are the flags of a change of one tenant.
 type adminChange struct {
 	adminFlags
 	Name    string `arg:"" help:"The tenant's name."`
-	Version uint64 `help:"Only if the tenant is still of this version."`
-	Request string `help:"Id of this request: made again, it changes nothing and has the same answer."`
+	Version uint64 `help:"Change only a tenant that still has this version."`
+	Request string `help:"Idempotency key: a repeated request with the same key changes nothing and has the same answer."`
 }
 
-func (f adminChange) change(ctx context.Context, do func(ctx context.Context, c pb.TenantsClient) (*pb.Tenant, error)) error {
-	return f.call(ctx, func(ctx context.Context, c pb.TenantsClient) error {
-		t, err := do(ctx, c)
+// change makes a call that changes the tenant, and prints its new state.
+func (f adminChange) change(ctx context.Context, do func(ctx context.Context, api pb.TenantsClient) (*pb.Tenant, error)) error {
+	return f.call(ctx, func(ctx context.Context, api pb.TenantsClient) error {
+		t, err := do(ctx, api)
 		if err == nil {
 			fmt.Printf("%s: %s, version %d\n", t.Name, strings.ToLower(t.State.String()), t.Version)
 		}
@@ -72,108 +75,128 @@
 	})
 }
 
+// adminLimits are the limits of a tenant; those that are not given are nil.
 type adminLimits struct {
-	Share          *float64 `help:"Its share of the machines, beside those of others."`
-	Rate           *float64 `help:"Asks a second that may pass; 0: as many as its share brings."`
-	Burst          *float64 `help:"Asks that may pass at once after a calm time."`
-	MaxOpen        *int64   `name:"open" help:"Asks that may be open at once; 0: as many as there is room for."`
-	QueueLength    *int64   `name:"line" help:"Asks that may wait in its line."`
-	MaxConnections *int64   `name:"conns" help:"Connections of its owners at once; 0: by its share of the door."`
-	Bytes          *float64 `help:"Bytes that its owners may send a second; 0: as many as usual."`
+	Share          *float64 `help:"Share of the machines, relative to other tenants."`
+	Rate           *float64 `help:"Requests a second; 0: no limit beside the share."`
+	Burst          *float64 `help:"Requests that may pass at once after an idle time."`
+	MaxOpen        *int64   `name:"open" help:"Open requests; 0: no limit beside the capacity."`
+	QueueLength    *int64   `name:"line" help:"Length of its queue, in requests."`
+	MaxConnections *int64   `name:"conns" help:"Client connections; 0: by its share."`
+	Bytes          *float64 `help:"Bytes a second from its clients; 0: the default."`
 }
 
+// message returns the limits in the form of the API.
 func (l adminLimits) message() *pb.Limits {
 	return &pb.Limits{Share: l.Share, Rate: l.Rate, Burst: l.Burst, Open: l.MaxOpen, Wait: l.QueueLength, Conns: l.MaxConnections, Bytes: l.Bytes}
 }
 
+// adminAdd adds a tenant.
 type adminAdd struct {
 	adminChange
 	adminLimits
 }
 
+// Run adds the tenant and prints its state.
 func (c *adminAdd) Run(ctx context.Context) error {
-	return c.change(ctx, func(ctx context.Context, to pb.TenantsClient) (*pb.Tenant, error) {
-		return to.Add(ctx, &pb.AddRequest{Name: c.Name, Limits: c.message(), RequestId: c.Request})
+	return c.change(ctx, func(ctx context.Context, api pb.TenantsClient) (*pb.Tenant, error) {
+		return api.Add(ctx, &pb.AddRequest{Name: c.Name, Limits: c.message(), RequestId: c.Request})
 	})
 }
 
+// adminLimit changes limits of a tenant.
 type adminLimit struct {
 	adminChange
 	adminLimits
 }
 
+// Run changes the limits and prints the state of the tenant.
 func (c *adminLimit) Run(ctx context.Context) error {
-	return c.change(ctx, func(ctx context.Context, to pb.TenantsClient) (*pb.Tenant, error) {
-		return to.Limit(ctx, &pb.LimitRequest{Name: c.Name, Limits: c.message(), Version: c.Version, RequestId: c.Request})
+	return c.change(ctx, func(ctx context.Context, api pb.TenantsClient) (*pb.Tenant, error) {
+		return api.Limit(ctx, &pb.LimitRequest{Name: c.Name, Limits: c.message(), Version: c.Version, RequestId: c.Request})
 	})
 }
 
+// request returns a change without further arguments.
 func (f adminChange) request() *pb.ChangeRequest {
 	return &pb.ChangeRequest{Name: f.Name, Version: f.Version, RequestId: f.Request}
 }
 
+// adminPause pauses a tenant.
 type adminPause struct{ adminChange }
 
+// Run pauses the tenant and prints its state.
 func (c *adminPause) Run(ctx context.Context) error {
-	return c.change(ctx, func(ctx context.Context, to pb.TenantsClient) (*pb.Tenant, error) { return to.Pause(ctx, c.request()) })
+	return c.change(ctx, func(ctx context.Context, api pb.TenantsClient) (*pb.Tenant, error) {
+		return api.Pause(ctx, c.request())
+	})
 }
 
+// adminResume resumes a paused tenant.
 type adminResume struct{ adminChange }
 
+// Run resumes the tenant and prints its state.
 func (c *adminResume) Run(ctx context.Context) error {
-	return c.change(ctx, func(ctx context.Context, to pb.TenantsClient) (*pb.Tenant, error) { return to.Resume(ctx, c.request()) })
+	return c.change(ctx, func(ctx context.Context, api pb.TenantsClient) (*pb.Tenant, error) {
+		return api.Resume(ctx, c.request())
+	})
 }
 
+// adminRemove removes a tenant.
 type adminRemove struct {
 	adminChange
-	Ending string `enum:"run-out,stop" default:"run-out" help:"What becomes of what runs: run-out or stop."`
+	Ending string `enum:"run-out,stop" default:"run-out" help:"Running tasks run out, or are stopped: run-out or stop."`
 }
 
+// Run begins the removal and prints the state of the tenant.
 func (c *adminRemove) Run(ctx context.Context) error {
 	ending := pb.Ending_RUN_OUT
 	if c.Ending == "stop" {
 		ending = pb.Ending_STOP
 	}
-	return c.change(ctx, func(ctx context.Context, to pb.TenantsClient) (*pb.Tenant, error) {
-		return to.Remove(ctx, &pb.RemoveRequest{Name: c.Name, Ending: ending, Version: c.Version, RequestId: c.Request})
+	return c.change(ctx, func(ctx context.Context, api pb.TenantsClient) (*pb.Tenant, error) {
+		return api.Remove(ctx, &pb.RemoveRequest{Name: c.Name, Ending: ending, Version: c.Version, RequestId: c.Request})
 	})
 }
 
+// adminList lists tenants.
 type adminList struct {
 	adminFlags
-	All bool `help:"Those that were removed too."`
+	All bool `help:"Removed ones too."`
 }
 
+// Run prints a table of the tenants, page by page.
 func (c *adminList) Run(ctx context.Context) error {
-	return c.call(ctx, func(ctx context.Context, to pb.TenantsClient) error {
-		out := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-		fmt.Fprintln(out, "tenant\tstate\tshare\trate\tburst\topen\tline\tversion")
+	return c.call(ctx, func(ctx context.Context, api pb.TenantsClient) error {
+		out := newTable(os.Stdout, "tenant\tstate\tshare\trate\tburst\topen\tline\tversion")
 		for token := ""; ; {
-			page, err := to.List(ctx, &pb.ListRequest{PageToken: token, Removed: c.All})
+			page, err := api.List(ctx, &pb.ListRequest{PageToken: token, Removed: c.All})
 			if err != nil {
 				return err
 			}
 			for _, t := range page.Tenants {
-				l := t.Limits
-				fmt.Fprintf(out, "%s\t%s\t%g\t%g\t%g\t%d\t%d\t%d\n", t.Name, strings.ToLower(t.State.String()), l.GetShare(), l.GetRate(),
-					l.GetBurst(), l.GetOpen(), l.GetWait(), t.Version)
+				limits := t.Limits
+				out.row("%s\t%s\t%g\t%g\t%g\t%d\t%d\t%d", t.Name, strings.ToLower(t.State.String()), limits.GetShare(), limits.GetRate(),
+					limits.GetBurst(), limits.GetOpen(), limits.GetWait(), t.Version)
 			}
 			if token = page.NextPageToken; token == "" {
-				return out.Flush()
+				return out.flush()
 			}
 		}
 	})
 }
 
+// adminToken issues a token.
 type adminToken struct {
 	adminFlags
 	Name     string        `arg:"" help:"The tenant's name."`
-	Lifetime time.Duration `name:"last" default:"2160h" help:"How long it is good."`
+	Lifetime time.Duration `name:"last" default:"2160h" help:"Validity."`
 }
 
+// Run issues the token and prints it.
 func (c *adminToken) Run(ctx context.Context) error {
-	return c.call(ctx, func(ctx context.Context, to pb.TenantsClient) error {
-		got, err := to.IssueToken(ctx, &pb.IssueTokenRequest{Name: c.Name, LastsS: int64(c.Lifetime / time.Second)})
+	return c.call(ctx, func(ctx context.Context, api pb.TenantsClient) error {
+		got, err := api.IssueToken(ctx, &pb.IssueTokenRequest{Name: c.Name, LastsS: int64(c.Lifetime / time.Second)})
 		if err == nil {
 			fmt.Println(got.Token)
 		}
@@ -181,38 +204,41 @@
 	})
 }
 
+// adminRevoke revokes a token.
 type adminRevoke struct {
 	adminFlags
-	ID string `arg:"" help:"The token's id: what stands before the point."`
+	ID string `arg:"" help:"Id of the token: the part before the dot."`
 }
 
+// Run revokes the token.
 func (c *adminRevoke) Run(ctx context.Context) error {
-	return c.call(ctx, func(ctx context.Context, to pb.TenantsClient) error {
-		_, err := to.RevokeToken(ctx, &pb.RevokeTokenRequest{Id: c.ID})
+	return c.call(ctx, func(ctx context.Context, api pb.TenantsClient) error {
+		_, err := api.RevokeToken(ctx, &pb.RevokeTokenRequest{Id: c.ID})
 		return err
 	})
 }
 
+// adminLog prints the audit log.
 type adminLog struct {
 	adminFlags
-	From uint64 `default:"1" help:"The first record."`
+	From uint64 `default:"1" help:"Number of the first record."`
 }
 
+// Run prints the records from the given one on, page by page.
 func (c *adminLog) Run(ctx context.Context) error {
-	return c.call(ctx, func(ctx context.Context, to pb.TenantsClient) error {
-		out := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-		fmt.Fprintln(out, "no\tat\tby\twhat\ttenant\tafter it")
+	return c.call(ctx, func(ctx context.Context, api pb.TenantsClient) error {
+		out := newTable(os.Stdout, "no\tat\tby\twhat\ttenant\tafter it")
 		for from := c.From; ; {
-			page, err := to.Records(ctx, &pb.RecordsRequest{From: from})
+			page, err := api.Records(ctx, &pb.RecordsRequest{From: from})
 			if err != nil {
 				return err
 			}
 			for _, r := range page.Records {
-				fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%s\t%s\n", r.Number, time.UnixMilli(int64(r.AtMs)).UTC().Format(time.RFC3339), r.By,
+				out.row("%d\t%s\t%s\t%s\t%s\t%s", r.Number, time.UnixMilli(int64(r.AtMs)).UTC().Format(time.RFC3339), r.By,
 					r.What, r.Tenant, r.After)
 			}
 			if from = page.Next; from == 0 {
-				return out.Flush()
+				return out.flush()
 			}
 		}
 	})
--- a/cmd/ravenpond/ci_test.go
+++ b/cmd/ravenpond/ci_test.go
@@ -32,11 +32,11 @@
 		cmd.Dir = "../.."
 		var out, wrong strings.Builder
 		cmd.Stdout, cmd.Stderr = &out, &wrong
-		got := ""
-		if err := cmd.Run(); err != nil {
-			got = "error" + strings.TrimPrefix(wrong.String(), file)
-		} else {
+		got := "error"
+		if err := cmd.Run(); err == nil {
 			got = strings.TrimSpace(out.String())
+		} else {
+			got += strings.TrimPrefix(wrong.String(), file)
 		}
 		if !strings.HasPrefix(got, c.want) || c.want == "" && got != "" {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
--- a/cmd/ravenpond/deploy_test.go
+++ b/cmd/ravenpond/deploy_test.go
@@ -44,7 +44,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() {
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	libraries, err := f.ImportedLibraries()
 	if err != nil || !slices.Contains(libraries, "libc.so.6") {
 		t.Errorf("linked against %q, %v", libraries, err)
--- a/cmd/ravenpond/drain.go
+++ b/cmd/ravenpond/drain.go
@@ -9,7 +9,6 @@
 	"slices"
 	"strconv"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"ravenpond/internal/decide/calendar"
@@ -20,29 +19,31 @@
 	"ravenpond/internal/state/maintenancestore"
 )
 
-// drainCommands change and show the calendar in a scheduler's state folder. Every scheduler of a site needs the same.
+// drainCommands change and show the calendar of maintenance windows in a scheduler's state folder. All schedulers of a site need the same
+// calendar.
 type drainCommands struct {
 	Add      drainAdd      `cmd:"" help:"Add windows and protected times from an iCalendar file, or one window by flags."`
 	List     drainList     `cmd:"" help:"List windows and protected times, or write them as iCalendar."`
-	Show     drainShow     `cmd:"" help:"Show a window and what became of its drains."`
-	Usual    drainUsual    `cmd:"" help:"Print the load that was measured by hour of the week, or publish a table of it."`
-	Cancel   drainCancel   `cmd:"" help:"Cancel a window, or one start of it."`
-	Simulate drainSimulate `cmd:"" help:"Print what the windows of a month come to."`
+	Show     drainShow     `cmd:"" help:"Show a window and its drains."`
+	Usual    drainUsual    `cmd:"" help:"Print the measured load by hour of the week, or publish a table of it."`
+	Cancel   drainCancel   `cmd:"" help:"Cancel a window, or one occurrence of it."`
+	Simulate drainSimulate `cmd:"" help:"Print which windows of a month are kept, postponed or refused."`
 }
 
+// stateFlag names a state folder.
 type stateFlag struct {
 	State string `required:"" type:"path" help:"The scheduler's state folder."`
 }
 
-// withStore does something with the store, waiting for a scheduler that looks at it just now.
+// withStore opens the store of windows, uses it and closes it; it waits while a scheduler reads the store.
 func (f stateFlag) withStore(do func(s *maintenancestore.Store) error) error {
 	return useStore(func() (*maintenancestore.Store, error) { return maintenancestore.Open(f.State) }, do)
 }
 
-// maxOpenAttempts is how often a store that a scheduler has just now is tried, 0.2 s each.
+// maxOpenAttempts is how often a locked store is tried, 0.2 s apart.
 const maxOpenAttempts = 10
 
-// useStore opens a store, again while somebody else has it, does something with it and closes it.
+// useStore opens a store, retrying while another process has locked it, uses it and closes it.
 func useStore[S io.Closer](open func() (S, error), use func(S) error) (err error) {
 	var s S
 	if err = bolt.RetryWhileLocked(context.Background(), maxOpenAttempts, func() error { s, err = open(); return err }); err != nil {
@@ -51,7 +52,7 @@
 	return errors.Join(use(s), s.Close())
 }
 
-// calendar gives the store's windows and protected times.
+// calendar returns the store's windows and protected times.
 func (f stateFlag) calendar() (cal *calendar.Calendar, err error) {
 	err = f.withStore(func(s *maintenancestore.Store) error {
 		cal, err = s.Calendar()
@@ -60,6 +61,7 @@
 	return cal, err
 }
 
+// drainAdd adds windows and protected times.
 type drainAdd struct {
 	stateFlag
 	File     string        `arg:"" optional:"" help:"iCalendar file, - for standard input."`
@@ -68,15 +70,16 @@
 	Cell     string        `help:"Cell to drain."`
 	Zone     string        `help:"Zone to drain."`
 	Start    string        `help:"First start, as 2026-03-02T10:00 in the time zone of --tz."`
-	TZ       string        `default:"UTC" help:"Time zone that the starts follow."`
-	Duration time.Duration `name:"last" help:"How long the nodes are out."`
+	TZ       string        `default:"UTC" help:"Time zone of the starts."`
+	Duration time.Duration `name:"last" help:"Length of the maintenance."`
 	Rule     string        `help:"Recurrence, RFC 5545, such as FREQ=WEEKLY."`
-	Lead     time.Duration `default:"10m" help:"The drain begins so long before."`
-	Slack    time.Duration `help:"The window may begin so much later."`
-	Priority int           `help:"Higher goes first."`
-	Ending   string        `enum:"release,sweep,hold" default:"release" help:"With work left at the end: release, sweep or hold."`
+	Lead     time.Duration `default:"10m" help:"Time by which the drain begins before the start."`
+	Slack    time.Duration `help:"Time by which the start may be postponed."`
+	Priority int           `help:"Priority among windows; higher ones are planned first."`
+	Ending   string        `enum:"release,sweep,hold" default:"release" help:"If tasks are left at the end: release the nodes, sweep the tasks, or hold the nodes."`
 }
 
+// Run adds them and prints how many.
 func (c *drainAdd) Run() error {
 	cal, err := c.requestedCalendar()
 	if err != nil {
@@ -89,13 +92,13 @@
 	return nil
 }
 
+// requestedCalendar returns what is to be added: the content of the file, or the window that flags describe.
 func (c *drainAdd) requestedCalendar() (*calendar.Calendar, error) {
 	if c.File != "" {
 		in, err := openInput(c.File)
 		if err != nil {
 			return nil, err
 		}
-		defer in.Close()
 		return ics.Decode(in)
 	}
 	zone, err := time.LoadLocation(c.TZ)
@@ -127,11 +130,16 @@
 	return &calendar.Calendar{Windows: []calendar.Window{window}}, nil
 }
 
+// windowTime is how starts and ends of windows are printed.
+const windowTime = "2006-01-02 15:04 MST"
+
+// drainList lists windows and protected times.
 type drainList struct {
 	stateFlag
 	ICal bool `name:"ical" help:"Write an iCalendar file."`
 }
 
+// Run prints them as a table or as iCalendar.
 func (c *drainList) Run() error {
 	cal, err := c.calendar()
 	if err != nil {
@@ -140,23 +148,24 @@
 	if c.ICal {
 		return ics.Encode(os.Stdout, cal, time.Now())
 	}
-	out := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "NAME\tWHAT\tFIRST START\tLENGTH\tRULE\tSLACK\tPRIORITY")
+	out := newTable(os.Stdout, "NAME\tWHAT\tFIRST START\tLENGTH\tRULE\tSLACK\tPRIORITY")
 	for _, w := range cal.Windows {
-		fmt.Fprintf(out, "%s\t%s %s\t%s\t%s\t%s\t%s\t%d\n", w.ID, w.Scope, w.Target, w.Start.Format("2006-01-02 15:04 MST"), w.Duration,
+		out.row("%s\t%s %s\t%s\t%s\t%s\t%s\t%d", w.ID, w.Scope, w.Target, w.Start.Format(windowTime), w.Duration,
 			w.Rule, w.Slack, w.Priority)
 	}
 	for _, p := range cal.Protected {
-		fmt.Fprintf(out, "%s\tprotected\t%s\t%s\t%s\t\t\n", p.ID, p.Start.Format("2006-01-02 15:04 MST"), p.Duration, p.Rule)
+		out.row("%s\tprotected\t%s\t%s\t%s\t\t", p.ID, p.Start.Format(windowTime), p.Duration, p.Rule)
 	}
-	return out.Flush()
+	return out.flush()
 }
 
+// drainShow shows one window.
 type drainShow struct {
 	stateFlag
 	ID string `arg:"" help:"Name of the window."`
 }
 
+// Run prints the window and its drains.
 func (c *drainShow) Run() error {
 	cal, err := c.calendar()
 	if err != nil {
@@ -171,14 +180,14 @@
 		if w.ID == c.ID {
 			known = true
 			fmt.Printf("%s: %s %s, first %s, %s long, lead %s, slack %s, rule %q, at its end: %s\n", w.ID, w.Scope, w.Target,
-				w.Start.Format("2006-01-02 15:04 MST"), w.Duration, w.Lead, w.Slack, w.Rule, w.Ending)
+				w.Start.Format(windowTime), w.Duration, w.Lead, w.Slack, w.Rule, w.Ending)
 		}
 	}
 	for _, b := range begun {
 		if b.Verdict.Window == c.ID {
 			known = true
-			fmt.Printf("  %s: %s, %d nodes, %s to %s\n", b.Verdict.ScheduledStart.Format("2006-01-02 15:04 MST"), b.Stage,
-				len(b.Verdict.Nodes), b.Verdict.DrainStart.Format("15:04"), b.Verdict.End.Format("2006-01-02 15:04 MST"))
+			fmt.Printf("  %s: %s, %d nodes, %s to %s\n", b.Verdict.ScheduledStart.Format(windowTime), b.Stage,
+				len(b.Verdict.Nodes), b.Verdict.DrainStart.Format("15:04"), b.Verdict.End.Format(windowTime))
 		}
 	}
 	if !known {
@@ -187,12 +196,14 @@
 	return nil
 }
 
+// drainCancel cancels a window or one occurrence.
 type drainCancel struct {
 	stateFlag
 	ID    string `arg:"" help:"Name of the window."`
-	Start string `help:"Only the start at this time, RFC 3339."`
+	Start string `help:"Only the occurrence that starts at this time, RFC 3339."`
 }
 
+// Run cancels it.
 func (c *drainCancel) Run() error {
 	var start time.Time
 	if c.Start != "" {
@@ -204,12 +215,14 @@
 	return c.withStore(func(s *maintenancestore.Store) error { return s.CancelWindow(c.ID, start, time.Now()) })
 }
 
+// drainUsual prints or publishes the usual load by hour of the week.
 type drainUsual struct {
 	stateFlag
-	File  string `arg:"" optional:"" help:"Publish this table, - for standard input, instead of printing what was measured."`
-	Clear bool   `help:"Publish none any more."`
+	File  string `arg:"" optional:"" help:"Publish this table, - for standard input, instead of printing the measured load."`
+	Clear bool   `help:"Withdraw the published table."`
 }
 
+// Run publishes the table, withdraws it, or prints the measured load.
 func (c *drainUsual) Run() error {
 	if c.Clear {
 		return c.withStore(func(s *maintenancestore.Store) error { return s.PublishLoad(nil) })
@@ -227,7 +240,6 @@
 	if err != nil {
 		return err
 	}
-	defer in.Close()
 	table, err := calendar.ReadTable(in)
 	if err != nil {
 		return err
@@ -235,21 +247,15 @@
 	return c.withStore(func(s *maintenancestore.Store) error { return s.PublishLoad(table) })
 }
 
-// openInput gives a file to read, - for standard input.
-func openInput(path string) (io.ReadCloser, error) {
-	if path == "-" {
-		return io.NopCloser(os.Stdin), nil
-	}
-	return os.Open(path)
-}
-
+// drainSimulate prints what becomes of windows.
 type drainSimulate struct {
 	stateFlag
 	Site string `required:"" type:"existingfile" help:"The site file, for its limits."`
-	From string `help:"First day, as 2026-03-02; today without it."`
-	Days int    `default:"31" help:"How many days."`
+	From string `help:"First day, as 2026-03-02; default: today."`
+	Days int    `default:"31" help:"Number of days."`
 }
 
+// Run prints a table of the occurrences with their verdicts.
 func (c *drainSimulate) Run() error {
 	place, err := site.Load(c.Site)
 	if err != nil {
@@ -279,21 +285,20 @@
 		return err
 	}
 	fmt.Printf("%d nodes on the last list; usual load: %s\n", len(fleet), source)
-	out := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
-	fmt.Fprintln(out, "WINDOW\tCALENDAR\tVERDICT\tDRAINS FROM\tOUT\tBACK\tNODES\tMOST OUT\tWHY")
+	out := newTable(os.Stdout, "WINDOW\tCALENDAR\tVERDICT\tDRAINS FROM\tOUT\tBACK\tNODES\tMOST OUT\tWHY")
 	for _, v := range calendar.Plan(cal, fleet, place.Maintenance, load, from, from.AddDate(0, 0, c.Days)) {
 		const at = "2 Jan 15:04"
 		if v.Outcome == calendar.Refused {
-			fmt.Fprintf(out, "%s\t%s\trefused\t\t\t\t%d\t\t%s\n", v.Window, v.ScheduledStart.Format(at), len(v.Nodes), v.Reason)
+			out.row("%s\t%s\trefused\t\t\t\t%d\t\t%s", v.Window, v.ScheduledStart.Format(at), len(v.Nodes), v.Reason)
 			continue
 		}
-		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.0f%%\t%s\n", v.Window, v.ScheduledStart.Format(at), v.Outcome, v.DrainStart.Format(at),
+		out.row("%s\t%s\t%s\t%s\t%s\t%s\t%d\t%.0f%%\t%s", v.Window, v.ScheduledStart.Format(at), v.Outcome, v.DrainStart.Format(at),
 			v.Start.Format(at), v.End.Format(at), len(v.Nodes), 100*v.FleetFraction, v.Reason)
 	}
-	return out.Flush()
+	return out.flush()
 }
 
-// lastFleet is the fleet of a scheduler's last list, read beside a scheduler that may be running.
+// lastFleet returns the nodes of a scheduler's last node list. The scheduler may be running.
 func lastFleet(folder string, place *site.Config) (fleet []calendar.Node, err error) {
 	list, err := state.ReadList(folder)
 	if err != nil || list == nil {
--- a/cmd/ravenpond/drill.go
+++ b/cmd/ravenpond/drill.go
@@ -10,81 +10,81 @@
 	"ravenpond/internal/site"
 )
 
+// drillCommand plays a scripted day of faults with real processes.
 type drillCommand struct {
-	Day         string `type:"existingfile" help:"Day file; without it the day in the program."`
-	Site        string `type:"existingfile" help:"Site file with 127.0.0.1:0 for both addresses; without it the one in the program."`
-	Seed        uint64 `default:"1" help:"Seed of the day's chance."`
-	Out         string `type:"path" help:"Folder for logs and the trace; without it a new one in the temporary folder."`
+	Day         string `type:"existingfile" help:"Day file; default: the day in the program."`
+	Site        string `type:"existingfile" help:"Site file with 127.0.0.1:0 for both addresses; default: the one in the program."`
+	Seed        uint64 `default:"1" help:"Seed of the random numbers."`
+	Out         string `type:"path" help:"Folder for logs and the trace; default: a new temporary folder."`
 	Shards      int    `default:"1" help:"Shards of each scheduler process."`
-	Connections string `name:"share" enum:"own,shared,informed" default:"shared" help:"What they share: own, shared or informed connections."`
-	Placement   string `name:"place" enum:"service,tenant,in-turn" default:"service" help:"How allocations are placed on them."`
-	Quiet       bool   `help:"Print the table alone."`
-	ShowDay     bool   `help:"Print the day in the program, and play nothing."`
+	Connections string `name:"share" enum:"own,shared,informed" default:"shared" help:"Connections to nodes: own (by shard), shared, or informed (shared, and reports go to all shards)."`
+	Placement   string `name:"place" enum:"service,tenant,in-turn" default:"service" help:"How requests are placed on shards."`
+	Quiet       bool   `help:"Print only the table."`
+	ShowDay     bool   `help:"Print the day in the program and exit."`
 }
 
+// breaksStatus is the exit status if rules were broken.
+const breaksStatus = 2
+
+// Run plays the day on loopback, audits it and prints the result. It exits with breaksStatus if a rule was broken.
 func (c *drillCommand) Run(ctx context.Context) error {
 	if c.ShowDay {
-		fmt.Print(drill.DefaultDay)
-		return nil
-	}
-	day, source, err := readOrDefault(c.Day, drill.DefaultDay)
-	if err != nil {
+		_, err := fmt.Print(drill.DefaultDay)
 		return err
 	}
-	text, _, err := readOrDefault(c.Site, drill.DefaultSite)
+	plan, err := c.plan()
 	if err != nil {
 		return err
 	}
-	if c.Shards > 1 {
-		text = withShardsElement(text, c.Shards, c.Connections, c.Placement)
-	}
-	place, faults := site.Read(strings.NewReader(text))
-	if len(faults) > 0 {
-		return fmt.Errorf("site: %s", faults[0])
-	}
-	plan, faults := drill.ReadDay(strings.NewReader(day), place)
-	for _, f := range faults {
-		fmt.Fprintf(os.Stderr, "%s: %s\n", source, f)
-	}
-	if plan == nil {
-		return fmt.Errorf("%s: %d faults", source, len(faults))
-	}
-	if c.Out == "" {
-		if c.Out, err = os.MkdirTemp("", "ravenpond-drill-"); err != nil {
-			return err
-		}
-	} else if err := os.MkdirAll(c.Out, 0o750); err != nil {
+	if c.Out, err = outputFolder(c.Out, "ravenpond-drill-"); err != nil {
 		return err
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	report := func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
+	plan.Command, plan.Seed, plan.OutDir = []string{self}, c.Seed, c.Out
+	plan.Logf = func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 	if c.Quiet {
-		report = func(string, ...any) {}
+		plan.Logf = func(string, ...any) {}
 	}
-	report("day %s, seed %d, logs and trace in %s", plan.Name, c.Seed, c.Out)
-	res, err := drill.Play(ctx, drill.Drill{
-		Day: plan, Deployment: place, SiteText: text, Command: []string{self}, Seed: c.Seed,
-		OutDir: c.Out, Logf: report,
-	})
+	plan.Logf("day %s, seed %d, logs and trace in %s", plan.Day.Name, c.Seed, c.Out)
+	result, err := drill.Play(ctx, plan)
 	if err != nil {
 		return err
 	}
-	if err := res.Print(os.Stdout); err != nil {
+	if err := result.Print(os.Stdout); err != nil {
 		return err
 	}
-	if n := len(res.Violations); n > 0 {
-		os.Exit(2)
+	if len(result.Violations) > 0 {
+		os.Exit(breaksStatus)
 	}
 	return nil
 }
 
-func readOrDefault(path, text string) (string, string, error) {
-	if path == "" {
-		return text, "the day in the program", nil
+// plan reads the day and the site. Faults of the day are printed.
+func (c *drillCommand) plan() (drill.Drill, error) {
+	dayText, source, err := readOrDefault(c.Day, drill.DefaultDay)
+	if err != nil {
+		return drill.Drill{}, err
+	}
+	siteText, _, err := readOrDefault(c.Site, drill.DefaultSite)
+	if err != nil {
+		return drill.Drill{}, err
+	}
+	if c.Shards > 1 {
+		siteText = withShardsElement(siteText, c.Shards, c.Connections, c.Placement)
+	}
+	config, faults := site.Read(strings.NewReader(siteText))
+	if len(faults) > 0 {
+		return drill.Drill{}, fmt.Errorf("site: %s", faults[0])
+	}
+	day, faults := drill.ReadDay(strings.NewReader(dayText), config)
+	for _, fault := range faults {
+		fmt.Fprintf(os.Stderr, "%s: %s\n", source, fault)
+	}
+	if day == nil {
+		return drill.Drill{}, fmt.Errorf("%s: %d faults", source, len(faults))
 	}
-	b, err := os.ReadFile(path)
-	return string(b), path, err
+	return drill.Drill{Day: day, Deployment: config, SiteText: siteText}, nil
 }
--- a/cmd/ravenpond/keys.go
+++ b/cmd/ravenpond/keys.go
@@ -8,34 +8,39 @@
 	"ravenpond/internal/keys"
 )
 
-// keysCommands see to the authority of the administration.
+// keysCommands manage the certificate authority of the administration API.
 type keysCommands struct {
-	Init   keysInit   `cmd:"" help:"Make an authority in a folder."`
-	Issue  keysIssue  `cmd:"" help:"Issue a certificate for a server or a person; one of the same name is replaced."`
-	Rotate keysRotate `cmd:"" help:"Give the authority a new key; what the old one signed stays good until it expires."`
-	Revoke keysRevoke `cmd:"" help:"Revoke a certificate: its connections end within seconds."`
+	Init   keysInit   `cmd:"" help:"Create a certificate authority in a folder."`
+	Issue  keysIssue  `cmd:"" help:"Issue a certificate for a server or a person; an earlier one of that name is replaced."`
+	Rotate keysRotate `cmd:"" help:"Give the authority a new key; certificates signed by the old one are valid until they expire."`
+	Revoke keysRevoke `cmd:"" help:"Revoke a certificate; connections that use it are closed within seconds."`
 }
 
+// keysFolder names the folder of the authority.
 type keysFolder struct {
 	Folder string `name:"keys" required:"" type:"path" help:"Folder of keys."`
 }
 
+// keysInit creates an authority.
 type keysInit struct{ keysFolder }
 
+// Run creates it.
 func (c *keysInit) Run() error {
 	_, err := keys.Init(c.Folder, time.Now())
 	return err
 }
 
+// keysIssue issues a certificate.
 type keysIssue struct {
 	keysFolder
-	Name     string        `arg:"" help:"Name of the files, and of whom it is for."`
-	Hosts    []string      `name:"host" help:"Names and addresses of a server."`
+	Name     string        `arg:"" help:"Name of the files, and of the server or person."`
+	Hosts    []string      `name:"host" help:"Host names and addresses of a server."`
 	Role     string        `help:"Role of a person: operator, reader, tenant-admin or tenant-reader."`
-	Tenant   string        `help:"The tenant of the last two."`
-	Lifetime time.Duration `name:"last" default:"168h" help:"How long it is good."`
+	Tenant   string        `help:"Tenant of a tenant-admin or tenant-reader."`
+	Lifetime time.Duration `name:"last" default:"168h" help:"Validity."`
 }
 
+// Run issues the certificate, writes its files and prints until when it is valid.
 func (c *keysIssue) Run() error {
 	ca, err := keys.Open(c.Folder)
 	if err != nil {
@@ -54,8 +59,10 @@
 	return err
 }
 
+// keysRotate replaces the key of the authority.
 type keysRotate struct{ keysFolder }
 
+// Run replaces it.
 func (c *keysRotate) Run() error {
 	ca, err := keys.Open(c.Folder)
 	if err != nil {
@@ -64,11 +71,13 @@
 	return ca.Rotate(time.Now())
 }
 
+// keysRevoke revokes a certificate.
 type keysRevoke struct {
 	keysFolder
 	Name string `arg:"" help:"Name of the certificate's file."`
 }
 
+// Run revokes it.
 func (c *keysRevoke) Run() error {
 	ca, err := keys.Open(c.Folder)
 	if err != nil {
--- a/cmd/ravenpond/lab.go
+++ b/cmd/ravenpond/lab.go
@@ -1,5 +1,21 @@
 package main
 
+import (
+	"errors"
+	"runtime"
+)
+
+// errBroken reports that a simulation or check broke a rule. What broke was printed before.
+var errBroken = errors.New("something broke")
+
+// workersOrCPUs returns the number of workers that a flag gives, or one for each core if it gives none.
+func workersOrCPUs(workers int) int {
+	if workers > 0 {
+		return workers
+	}
+	return runtime.NumCPU()
+}
+
 // labCommands are the measurements and simulations.
 type labCommands struct {
 	Load        loadCommand         `cmd:"" help:"Load a scheduler on loopback and print its latency and CPU time."`
--- a/cmd/ravenpond/lab_balance.go
+++ b/cmd/ravenpond/lab_balance.go
@@ -4,34 +4,32 @@
 	"context"
 	"fmt"
 	"os"
-	"runtime"
 
 	"ravenpond/internal/lab/balance"
 	"ravenpond/internal/lab/sim"
 	"ravenpond/internal/site"
 )
 
+// balanceCommand simulates how evenly many schedulers load nodes.
 type balanceCommand struct {
-	Schedulers      int      `default:"30" help:"How many."`
-	Nodes           int      `default:"40" help:"How many."`
-	Utilization     float64  `name:"filled" default:"0.7" help:"Part of all room that work fills."`
-	RunTimeSeconds  float64  `name:"life" default:"4" help:"Seconds that work runs."`
-	DurationSeconds float64  `name:"lasts" default:"20" help:"Seconds; the first one and a half lives do not count."`
+	Schedulers      int      `default:"30" help:"Number."`
+	Nodes           int      `default:"40" help:"Number."`
+	Utilization     float64  `name:"filled" default:"0.7" help:"Part of the capacity that is used."`
+	RunTimeSeconds  float64  `name:"life" default:"4" help:"Run time of tasks, in seconds."`
+	DurationSeconds float64  `name:"lasts" default:"20" help:"Length in seconds; the first one and a half run times are not measured."`
 	Services        int      `default:"100" help:"Services of each job type."`
-	Seeds           int      `default:"5" help:"How many of each policy."`
-	Workers         int      `default:"0" help:"Seeds at a time; 0: one a core."`
-	Policies        []string `help:"design (the module), random, least-loaded, best-of-two, careful, true-state; all without."`
-	MinWorkingSet   int      `name:"set" help:"Schedulers work with a set of so many nodes at least; 0: with all."`
-	Spare           float64  `default:"8" help:"Where they do: nodes for each machine that own work would fill."`
-	Membership      bool     `name:"members" help:"Schedulers know each other."`
-	Faults          []string `name:"fault" sep:"none" help:"What goes wrong, as in lab run's scripts: 'MS KIND WHO OTHER FOR-MS SIZE', - for none. May be given again."`
+	Seeds           int      `default:"5" help:"Seeds of each policy."`
+	Workers         int      `default:"0" help:"Seeds played at a time; 0: one for each core."`
+	Policies        []string `help:"Policies: design (the program's), random, least-loaded, best-of-two, careful, true-state; default: all."`
+	MinWorkingSet   int      `name:"set" help:"Minimum size of a scheduler's working set, in nodes; 0: all nodes."`
+	Spare           float64  `default:"8" help:"Nodes in a working set for each machine that the scheduler's own tasks would fill."`
+	Membership      bool     `name:"members" help:"Schedulers know each other (membership)."`
+	Faults          []string `name:"fault" sep:"none" help:"A fault, as in the scripts of lab run: 'MS KIND WHO OTHER FOR-MS SIZE', - for none. May be given more than once."`
 }
 
-// Run plays many schedulers and tells how evenly nodes are loaded; all of it is simulated.
+// Run simulates each policy and prints a table of how evenly nodes are loaded.
 func (c *balanceCommand) Run(ctx context.Context) error {
-	if c.Workers == 0 {
-		c.Workers = runtime.NumCPU()
-	}
+	c.Workers = workersOrCPUs(c.Workers)
 	if len(c.Policies) == 0 {
 		c.Policies = balance.Names
 	}
@@ -43,11 +41,11 @@
 		scene.WorkingSet = &site.WorkingSet{MinNodes: c.MinWorkingSet, Coverage: 1, SpareFactor: c.Spare, NodesPerStart: 1, MinPerStratum: 3, NarrowAfter: 30_000}
 	}
 	for _, text := range c.Faults {
-		f, err := sim.ParseFault(text)
+		fault, err := sim.ParseFault(text)
 		if err != nil {
 			return fmt.Errorf("fault %q: MS KIND WHO OTHER FOR-MS SIZE is expected: %w", text, err)
 		}
-		scene.Faults = append(scene.Faults, f)
+		scene.Faults = append(scene.Faults, fault)
 	}
 	_, err := balance.CompareTable(ctx, os.Stdout, scene, c.Policies, c.Seeds, c.Workers)
 	return err
--- a/cmd/ravenpond/lab_cluster.go
+++ b/cmd/ravenpond/lab_cluster.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -10,42 +11,39 @@
 	"ravenpond/internal/lab/cluster"
 )
 
+// clusterCommand runs many scheduler processes under a script of faults.
 type clusterCommand struct {
-	Script            string  `arg:"" optional:"" type:"existingfile" help:"The script; without one nothing goes wrong."`
-	Schedulers        int     `default:"9" help:"How many."`
-	Nodes             int     `default:"20" help:"How many stand-ins for nodes."`
-	Rate              float64 `default:"100" help:"Asks a second, of all owners together."`
-	Seconds           float64 `default:"10" help:"Before the script, and after it."`
-	Seed              uint64  `default:"1" help:"Seed of all chance."`
-	WithoutMembership bool    `name:"apart" help:"Schedulers do not know each other."`
-	Zones             int     `default:"2" help:"How many zones, two to a region; 2 to 6."`
-	CoresPerNode      int     `name:"cores" default:"64" help:"Of a node."`
-	ZoneLatency       bool    `name:"near" help:"The site file says how far zones are from each other."`
-	Voters            int     `name:"stewards" default:"0" help:"How many keep the book that all agree on: 0, 3 or 5."`
-	Out               string  `type:"path" help:"Folder for logs; without it a new one in the temporary folder."`
+	Script            string  `arg:"" optional:"" type:"existingfile" help:"The script of faults; default: none."`
+	Schedulers        int     `default:"9" help:"Number."`
+	Nodes             int     `default:"20" help:"Stand-in nodes."`
+	Rate              float64 `default:"100" help:"Requests a second of all clients."`
+	Seconds           float64 `default:"10" help:"Time before the script, and after it."`
+	Seed              uint64  `default:"1" help:"Seed of the random numbers."`
+	WithoutMembership bool    `name:"apart" help:"Schedulers do not know each other (no membership)."`
+	Zones             int     `default:"2" help:"Zones, two in each region; 2 to 6."`
+	CoresPerNode      int     `name:"cores" default:"64" help:"Cores of a node."`
+	ZoneLatency       bool    `name:"near" help:"The site file gives the latency between zones."`
+	Voters            int     `name:"stewards" default:"0" help:"Voters of the cluster state: 0, 3 or 5."`
+	Out               string  `type:"path" help:"Folder for logs; default: a new temporary folder."`
 }
 
+// maxPrintedBreaks is how many broken rules are printed.
+const maxPrintedBreaks = 10
+
+// detectionTimeout is how long a death may take to be noticed by a scheduler, to be counted as detected.
+const detectionTimeout = 10 * time.Second
+
+// Run starts the processes, plays the script and prints what was measured. A broken rule is an error.
 func (c *clusterCommand) Run(ctx context.Context) error {
-	var steps []cluster.Step
-	if c.Script != "" {
-		f, err := os.Open(c.Script)
-		if err != nil {
-			return err
-		}
-		defer f.Close()
-		if steps, err = cluster.Parse(f, c.Schedulers); err != nil {
-			return err
-		}
+	steps, err := c.steps()
+	if err != nil {
+		return err
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	if c.Out == "" {
-		if c.Out, err = os.MkdirTemp("", "ravenpond-procs-"); err != nil {
-			return err
-		}
-	} else if err := os.MkdirAll(c.Out, 0o750); err != nil {
+	if c.Out, err = outputFolder(c.Out, "ravenpond-procs-"); err != nil {
 		return err
 	}
 	rig, err := cluster.Start(ctx, cluster.Config{
@@ -56,7 +54,7 @@
 		return err
 	}
 	began := time.Now()
-	pause := time.Duration(c.Seconds * 1e9)
+	pause := time.Duration(c.Seconds * float64(time.Second))
 	convergence := waitForAgreement(rig, pause)
 	fmt.Printf("%d schedulers, logs in %s; all know all after %s\n", c.Schedulers, c.Out, convergence)
 	time.Sleep(max(0, pause-time.Since(began)))
@@ -65,17 +63,45 @@
 		return err
 	}
 	fmt.Printf("one view again after %s\n", waitForAgreement(rig, pause))
-	detections, undetected, falsePositives, err := rig.DetectionTimes(10 * time.Second)
+	detections, undetected, falsePositives, err := rig.DetectionTimes(detectionTimeout)
 	result := rig.Finish()
 	if err != nil {
 		return err
 	}
-	if n := len(detections); n > 0 {
-		fmt.Printf("deaths known: %d, p50 %.2f s, p99 %.2f s, most %.2f s; not known to %d, of those who lived %d\n", n,
-			detections[n/2].Seconds(), detections[n*99/100].Seconds(), detections[n-1].Seconds(), undetected, falsePositives)
-	} else {
+	printDetections(detections, undetected, falsePositives)
+	c.printResult(result, time.Since(began))
+	if len(result.Violations) > 0 {
+		return errors.New("rules were broken")
+	}
+	return nil
+}
+
+// steps reads the script; without one there are none.
+func (c *clusterCommand) steps() ([]cluster.Step, error) {
+	if c.Script == "" {
+		return nil, nil
+	}
+	text, err := os.ReadFile(c.Script)
+	if err != nil {
+		return nil, err
+	}
+	return cluster.Parse(bytes.NewReader(text), c.Schedulers)
+}
+
+// printDetections prints how long deaths took to be detected, sorted; how many were not detected; and how many living schedulers were
+// reported dead.
+func printDetections(detections []time.Duration, undetected, falsePositives int) {
+	n := len(detections)
+	if n == 0 {
 		fmt.Printf("deaths of those who lived: %d\n", falsePositives)
+		return
 	}
+	fmt.Printf("deaths known: %d, p50 %.2f s, p99 %.2f s, most %.2f s; not known to %d, of those who lived %d\n", n,
+		detections[n/2].Seconds(), detections[n*99/100].Seconds(), detections[n-1].Seconds(), undetected, falsePositives)
+}
+
+// printResult prints what clients saw, what the schedulers used, and the first broken rules.
+func (c *clusterCommand) printResult(result cluster.Result, elapsed time.Duration) {
 	fmt.Printf("answers %v, broken rules %d, ran in the own zone %.3f\n", result.Answers, len(result.Violations), result.LocalFraction)
 	if n := len(result.ScriptLatencies); n > 0 {
 		fmt.Printf("while the script was played: %.3f of the value served in time, start p50 %.1f ms, p99 %.1f ms\n", result.Value, result.ScriptLatencies[n/2], result.ScriptLatencies[n*99/100])
@@ -84,29 +110,27 @@
 		fmt.Printf("start p50 %.1f ms, p99 %.1f ms\n", result.StartLatencies[n/2], result.StartLatencies[n*99/100])
 	}
 	fmt.Printf("CPU of all schedulers %.2f s: %.2f%% of a core each\n", result.CPU.Seconds(),
-		100*result.CPU.Seconds()/time.Since(began).Seconds()/float64(c.Schedulers))
-	for i, b := range result.Violations {
-		if i < 10 {
-			fmt.Println(b)
-		}
-	}
-	if len(result.Violations) > 0 {
-		return errors.New("rules were broken")
+		100*result.CPU.Seconds()/elapsed.Seconds()/float64(c.Schedulers))
+	for _, b := range result.Violations[:min(len(result.Violations), maxPrintedBreaks)] {
+		fmt.Println(b)
 	}
-	return nil
 }
 
-// waitForAgreement waits until all hold one view, and tells how long that took.
+// pollInterval is the time between two looks at the views of all schedulers.
+const pollInterval = 50 * time.Millisecond
+
+// waitForAgreement waits until all schedulers hold the same view of who is alive, and returns how long that took, or, after the time-out, how
+// they differ.
 func waitForAgreement(rig *cluster.Rig, timeout time.Duration) string {
 	began := time.Now()
 	for {
-		ok, why := rig.MembersConverged()
+		agreed, difference := rig.MembersConverged()
 		switch {
-		case ok:
+		case agreed:
 			return time.Since(began).Round(10 * time.Millisecond).String()
 		case time.Since(began) > timeout:
-			return "not within " + timeout.String() + ": " + why[:min(len(why), 200)]
+			return "not within " + timeout.String() + ": " + difference[:min(len(difference), 200)]
 		}
-		time.Sleep(50 * time.Millisecond)
+		time.Sleep(pollInterval)
 	}
 }
--- a/cmd/ravenpond/lab_maintenance.go
+++ b/cmd/ravenpond/lab_maintenance.go
@@ -7,13 +7,15 @@
 	"ravenpond/internal/lab/maintenance"
 )
 
+// maintenanceCommand simulates maintenance windows of a month.
 type maintenanceCommand struct {
 	Seed      uint64 `default:"1" help:"First seed."`
-	Seeds     uint64 `default:"1" help:"How many seeds."`
+	Seeds     uint64 `default:"1" help:"Number of seeds."`
 	Days      int    `default:"30" help:"Days of each run."`
 	Processes int    `default:"8" help:"Scheduler processes."`
 }
 
+// Run simulates each seed and prints a row for it. Late placements and forbidden overlaps are an error.
 func (c *maintenanceCommand) Run() error {
 	fmt.Printf("%6s %8s %6s %10s %8s %9s %7s %9s %6s  %-16s\n", "seed", "windows", "kept", "postponed", "refused", "offers", "moved",
 		"restarts", "halls", "trace")
--- a/cmd/ravenpond/lab_membership.go
+++ b/cmd/ravenpond/lab_membership.go
@@ -6,24 +6,24 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"runtime"
 	"strings"
 
 	"ravenpond/internal/decide/membership"
 	membershiplab "ravenpond/internal/lab/membership"
 )
 
+// membershipCommand simulates or measures the failure detectors of many schedulers.
 type membershipCommand struct {
-	Seeds   string    `default:"0:1000" help:"Seeds A:B, B left out."`
-	Workers int       `default:"0" help:"Seeds at a time; 0: one a core."`
-	Fault   string    `name:"plant" help:"Plant a fault that must be found; list prints them."`
-	Sizes   []int     `help:"Measure calm circles of these sizes instead: detection, cost, growth."`
-	Losses  []float64 `default:"0,0.05,0.2" help:"And at these parts of datagrams lost."`
-	Runs    int       `default:"5" help:"How many of each size."`
-	Plots   string    `type:"path" help:"Draw the times of detection into this file, by size, and into its neighbour, by loss (SVG)."`
+	Seeds   string    `default:"0:1000" help:"Seeds A:B, without B."`
+	Workers int       `default:"0" help:"Seeds played at a time; 0: one for each core."`
+	Fault   string    `name:"plant" help:"Inject a fault that must be found; list prints the faults."`
+	Sizes   []int     `help:"Measure groups of these sizes without faults instead: detection, cost, growth."`
+	Losses  []float64 `default:"0,0.05,0.2" help:"Parts of datagrams that are lost in these measurements."`
+	Runs    int       `default:"5" help:"Runs of each size."`
+	Plots   string    `type:"path" help:"Plot detection times by size into this file, and by loss into NAME-by-loss (SVG)."`
 }
 
-// drawPlots draws both.
+// drawPlots writes the plot by size, and beside it the plot by loss.
 func (c *membershipCommand) drawPlots(rows []membershiplab.Row) error {
 	for _, byLoss := range []bool{false, true} {
 		name := c.Plots
@@ -43,39 +43,50 @@
 	return nil
 }
 
+// Run plays the seeds, or measures groups of the given sizes. A seed that breaks a rule is an error, unless a fault was injected.
 func (c *membershipCommand) Run(ctx context.Context) error {
-	if c.Workers == 0 {
-		c.Workers = runtime.NumCPU()
-	}
-	if len(c.Sizes) > 0 {
-		rows, err := membershiplab.Measure(ctx, os.Stdout, c.Sizes, c.Losses, c.Runs, c.Workers)
-		if err != nil || c.Plots == "" {
-			return err
-		}
-		return c.drawPlots(rows)
-	}
-	var plant *membership.Faults
-	for _, p := range membershiplab.Faults {
-		if c.Fault == "list" {
-			fmt.Println(p.Name)
-		} else if c.Fault == p.Name {
-			plant = &p.Plant
-		}
-	}
+	c.Workers = workersOrCPUs(c.Workers)
 	switch {
+	case len(c.Sizes) > 0:
+		return c.measure(ctx)
 	case c.Fault == "list":
+		for _, fault := range membershiplab.Faults {
+			fmt.Println(fault.Name)
+		}
 		return nil
-	case c.Fault != "" && plant == nil:
-		return fmt.Errorf("no fault %q to plant; --plant list prints them", c.Fault)
-	case plant == nil:
-		plant = &membership.Faults{}
 	}
-	a, b, err := parseSeedRange(c.Seeds)
+	faults, err := c.faults()
+	if err != nil {
+		return err
+	}
+	first, end, err := parseSeedRange(c.Seeds)
 	if err != nil {
 		return err
 	}
-	if membershiplab.Print(os.Stdout, membershiplab.Seeds(ctx, a, b, c.Workers, *plant)) > 0 && c.Fault == "" {
-		return errors.New("something broke")
+	if membershiplab.Print(os.Stdout, membershiplab.Seeds(ctx, first, end, c.Workers, faults)) > 0 && c.Fault == "" {
+		return errBroken
 	}
 	return nil
 }
+
+// measure measures groups of the given sizes and draws the plots.
+func (c *membershipCommand) measure(ctx context.Context) error {
+	rows, err := membershiplab.Measure(ctx, os.Stdout, c.Sizes, c.Losses, c.Runs, c.Workers)
+	if err != nil || c.Plots == "" {
+		return err
+	}
+	return c.drawPlots(rows)
+}
+
+// faults returns the fault that is to be injected; without a name, none.
+func (c *membershipCommand) faults() (membership.Faults, error) {
+	if c.Fault == "" {
+		return membership.Faults{}, nil
+	}
+	for _, fault := range membershiplab.Faults {
+		if fault.Name == c.Fault {
+			return fault.Plant, nil
+		}
+	}
+	return membership.Faults{}, fmt.Errorf("no fault %q to plant; --plant list prints them", c.Fault)
+}
--- a/cmd/ravenpond/lab_model_check.go
+++ b/cmd/ravenpond/lab_model_check.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"strings"
 	"time"
@@ -9,19 +8,21 @@
 	"ravenpond/internal/lab/modelcheck"
 )
 
+// modelCheckCommand explores a small model exhaustively.
 type modelCheckCommand struct {
-	MaxStates  int    `name:"most" default:"50000" help:"States of each effect at most."`
-	MaxDepth   int    `name:"depth" default:"20" help:"Steps on one path at most."`
-	MaxFaults  int    `name:"faults" default:"2" help:"Faults on one path at most."`
-	FaultKinds string `name:"kinds" help:"Kinds of faults: b connections break, f shards are fenced, h they give, n nodes restart, w owners withdraw; all without it."`
+	MaxStates  int    `name:"most" default:"50000" help:"Maximum number of states for each effect."`
+	MaxDepth   int    `name:"depth" default:"20" help:"Maximum number of steps on one path."`
+	MaxFaults  int    `name:"faults" default:"2" help:"Maximum number of faults on one path."`
+	FaultKinds string `name:"kinds" help:"Kinds of faults: b connections break, f shards are fenced, h shards hand over, n nodes restart, w clients withdraw; default: all."`
 }
 
+// Run explores each kind of effect and prints how far. A broken rule is an error.
 func (c *modelCheckCommand) Run() error {
 	fmt.Printf("%-14s %9s %9s %9s %6s %8s\n", "effect", "states", "paths", "steps", "depth", "seconds")
 	broken := 0
-	for job, effect := range []string{"restartable", "tokened zone", "tokened all", "run-once"} {
+	for jobClass, effect := range []string{"restartable", "tokened zone", "tokened all", "run-once"} {
 		began := time.Now()
-		r := modelcheck.Model{Job: job, Faults: c.MaxFaults, Depth: c.MaxDepth, Kinds: c.FaultKinds}.Explore(c.MaxStates)
+		r := modelcheck.Model{Job: jobClass, Faults: c.MaxFaults, Depth: c.MaxDepth, Kinds: c.FaultKinds}.Explore(c.MaxStates)
 		fmt.Printf("%-14s %9d %9d %9d %6d %8.1f\n", effect, r.States, r.Paths, r.Steps, r.Deepest, time.Since(began).Seconds())
 		if r.Failure != "" {
 			broken++
@@ -30,7 +31,7 @@
 	}
 	fmt.Printf("broken: %d\n", broken)
 	if broken > 0 {
-		return errors.New("something broke")
+		return errBroken
 	}
 	return nil
 }
--- a/cmd/ravenpond/lab_scale.go
+++ b/cmd/ravenpond/lab_scale.go
@@ -14,27 +14,30 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
+// scaleCommand measures real processes at the points of a plan.
 type scaleCommand struct {
-	Dimension     string        `arg:"" enum:"nodes,schedulers,tasks,off-axis" help:"What is varied: nodes, schedulers, tasks, or off-axis for the points off the axes."`
-	Phases        []string      `default:"rest,starts" help:"What is played at each point, in order: rest, starts, churn, rack, zone, restart, propagation."`
-	Sizes         []int         `help:"Only the points of these sizes of the dimension; without it all."`
+	Dimension     string        `arg:"" enum:"nodes,schedulers,tasks,off-axis" help:"Dimension that varies: nodes, schedulers, tasks, or off-axis for points off the axes."`
+	Phases        []string      `default:"rest,starts" help:"Phases at each point, in order: rest, starts, churn, rack, zone, restart, propagation."`
+	Sizes         []int         `help:"Only the points with these sizes of the dimension; default: all."`
 	Nodes         int           `help:"Nodes at each point, instead of those of the plan."`
 	Schedulers    int           `help:"Schedulers at each point, instead of those of the plan."`
 	Tasks         int           `help:"Running tasks of a real process at each point, instead of those of the plan."`
 	Runs          int           `default:"3" help:"Repetitions of each point."`
 	FirstRun      int           `default:"1" help:"Number of the first repetition."`
-	RealProcesses int           `name:"real" default:"1" help:"Real processes."`
-	WarmUp        time.Duration `name:"warm" default:"4s" help:"Before each measurement."`
-	MinDuration   time.Duration `name:"last" default:"8s" help:"Length of each measurement, at least."`
+	RealProcesses int           `name:"real" default:"1" help:"Real scheduler processes."`
+	WarmUp        time.Duration `name:"warm" default:"4s" help:"Time before each measurement."`
+	MinDuration   time.Duration `name:"last" default:"8s" help:"Minimum length of each measurement."`
 	Seed          uint64        `default:"1" help:"Seed of the first run; each run has the next."`
-	Variant       string        `help:"Name of what is set apart by --elements; it is added to the scenario."`
-	Elements      string        `help:"More elements of the site file."`
+	Variant       string        `help:"Name of the variant that --elements makes; it is appended to the scenario."`
+	Elements      string        `help:"Additional elements of the site file."`
 	Connected     int           `help:"Nodes that a real process is connected to before it is measured; 0: all."`
 	Commit        string        `help:"Commit that is measured, for the result files."`
 	Out           string        `type:"path" default:"docs/scale" help:"Folder of the result files."`
-	Logs          string        `type:"path" help:"Folder for logs; without it a new one in the temporary folder."`
+	Logs          string        `type:"path" help:"Folder for logs; default: a new temporary folder."`
 }
 
+// Run measures each selected point as often as asked for and writes a result file for each. A run that failed is printed and does not end the
+// others.
 func (c *scaleCommand) Run(ctx context.Context) error {
 	points, err := scale.Points(c.Dimension)
 	if err != nil {
@@ -48,10 +51,8 @@
 	if err != nil {
 		return err
 	}
-	if c.Logs == "" {
-		if c.Logs, err = os.MkdirTemp("", "ravenpond-scale-"); err != nil {
-			return err
-		}
+	if c.Logs, err = folderOrTemporary(c.Logs, "ravenpond-scale-"); err != nil {
+		return err
 	}
 	var errs []error
 	for _, sizes := range points {
@@ -77,7 +78,7 @@
 	return errors.Join(append(errs, ctx.Err())...)
 }
 
-// selects tells whether a point is to be run.
+// selects reports whether a point is to be measured.
 func (c *scaleCommand) selects(sizes result.Sizes) bool {
 	for _, size := range c.Sizes {
 		if of := map[string]int{scale.Nodes: sizes.Nodes, scale.Schedulers: sizes.Schedulers, scale.Tasks: sizes.RunningTasks, scale.OffAxis: sizes.Nodes}; of[c.Dimension] == size {
@@ -87,7 +88,7 @@
 	return len(c.Sizes) == 0
 }
 
-// withOverrides is a point with the sizes that were given.
+// withOverrides returns a point with the sizes that flags give in place of its own.
 func (c *scaleCommand) withOverrides(sizes result.Sizes) result.Sizes {
 	for _, override := range []struct {
 		value int
@@ -100,28 +101,32 @@
 	return sizes
 }
 
-// hollowGC is how much hollow processes let the heap grow, in percent: they have memory to spare and share their cores with
-// what is measured.
+// hollowGC is the garbage collection target of hollow processes, in percent: they have memory to spare and share their cores with what is
+// measured.
 const hollowGC = 400
 
+// scaleNodesCommand is the process of hollow nodes.
 type scaleNodesCommand struct{}
 
+// Run serves orders on standard input until it ends.
 func (scaleNodesCommand) Run(ctx context.Context) error {
 	debug.SetGCPercent(hollowGC)
 	return hollow.RunNodes(ctx, os.Stdin, os.Stdout)
 }
 
+// scaleSchedulersCommand is the process of hollow schedulers.
 type scaleSchedulersCommand struct {
 	Profile string `type:"path" help:"Write a CPU profile of the whole run to this file."`
 }
 
-func (c *scaleSchedulersCommand) Run(ctx context.Context) error {
+// Run serves orders on standard input until it ends.
+func (c *scaleSchedulersCommand) Run(ctx context.Context) (err error) {
 	if c.Profile != "" {
-		ended, err := startCPUProfile(c.Profile)
+		stopProfile, err := startCPUProfile(c.Profile)
 		if err != nil {
 			return err
 		}
-		defer ended()
+		defer func() { err = errors.Join(err, stopProfile()) }()
 	}
 	debug.SetGCPercent(hollowGC)
 	return hollow.RunSchedulers(ctx, os.Stdin, os.Stdout)
--- a/cmd/ravenpond/lab_scale_fit.go
+++ b/cmd/ravenpond/lab_scale_fit.go
@@ -12,9 +12,10 @@
 type scaleFitCommand struct {
 	Folder string             `arg:"" type:"existingdir" help:"Folder of result files."`
 	At     map[string]float64 `help:"Sizes to predict, as nodes=20000;schedulers=100."`
-	Plots  string             `type:"path" help:"Folder for plots, one for each scenario, dimension and unit; without it none are drawn."`
+	Plots  string             `type:"path" help:"Folder for plots, one for each scenario, dimension and unit; default: none are drawn."`
 }
 
+// errNoResults reports a folder without result files.
 var errNoResults = errors.New("no result files")
 
 // Run prints the fits as Markdown tables.
--- a/cmd/ravenpond/lab_scale_regions.go
+++ b/cmd/ravenpond/lab_scale_regions.go
@@ -12,26 +12,26 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// scaleRegionsCommand cuts regions from each other for long, on the virtual clock.
+// scaleRegionsCommand simulates regions that are partitioned from each other for a long time.
 type scaleRegionsCommand struct {
 	Seed             uint64        `default:"1" help:"Seed of the run."`
-	Processes        int           `default:"60" help:"Schedulers, in turn in all zones."`
+	Processes        int           `default:"60" help:"Schedulers, spread over the zones in turn."`
 	Regions          int           `default:"6" help:"Regions."`
-	Zones            int           `default:"14" help:"Zones, in turn in all regions."`
-	Voters           int           `default:"5" help:"Schedulers that keep the replicated state, the first ones."`
-	CutRegions       int           `default:"3" help:"Regions that are cut from the others, the last ones."`
-	WarmUp           time.Duration `name:"warm" default:"5m" help:"Virtual time before the cut."`
-	CutDuration      time.Duration `name:"cut" default:"1h" help:"Virtual time for which the regions are cut."`
-	Recovery         time.Duration `name:"settle" default:"10m" help:"Virtual time after the heal."`
-	CommandsPerDay   float64       `default:"7400" help:"Commands that schedulers, in turn, put into the replicated state."`
-	AbsentSchedulers int           `name:"absent" default:"0" help:"Schedulers that stand in the replicated state and are not played."`
-	AbsentName       int           `default:"0" help:"Bytes of their names at least."`
-	Restart          bool          `default:"true" negatable:"" help:"Restart one scheduler of the cut regions in the midst of the cut."`
-	Out              string        `type:"path" help:"Write the result to this file, in the form of scale runs' results."`
+	Zones            int           `default:"14" help:"Zones, spread over the regions in turn."`
+	Voters           int           `default:"5" help:"Voters of the cluster state: the first schedulers."`
+	CutRegions       int           `default:"3" help:"Regions that are partitioned from the others: the last ones."`
+	WarmUp           time.Duration `name:"warm" default:"5m" help:"Virtual time before the partition."`
+	CutDuration      time.Duration `name:"cut" default:"1h" help:"Virtual length of the partition."`
+	Recovery         time.Duration `name:"settle" default:"10m" help:"Virtual time after the partition has healed."`
+	CommandsPerDay   float64       `default:"7400" help:"Commands a day that schedulers propose in turn."`
+	AbsentSchedulers int           `name:"absent" default:"0" help:"Schedulers that the cluster state lists and that are not simulated."`
+	AbsentName       int           `default:"0" help:"Minimum length of their names, in bytes."`
+	Restart          bool          `default:"true" negatable:"" help:"Restart one scheduler of the partitioned regions during the partition."`
+	Out              string        `type:"path" help:"Write the result to this file, in the format of scale runs."`
 	Minutes          string        `type:"path" help:"Write each reading of each process to this file, as JSON."`
 }
 
-// Run prints the table; all of its figures are simulated. A bound that was broken is an error.
+// Run prints the table and writes the results; all figures are simulated. A bound that was exceeded is an error.
 func (c *scaleRegionsCommand) Run(ctx context.Context) error {
 	began := time.Now()
 	report, err := regions.Run(ctx, regions.Config{
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// revision is the commit that the program was built from, empty if the build does not say.
+// revision returns the commit that the program was built from, or "" if the build does not say.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/ravenpond/lab_script.go
+++ b/cmd/ravenpond/lab_script.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -9,80 +10,101 @@
 	"ravenpond/internal/lab/sim"
 )
 
+// drawCommand prints the script of a seed.
 type drawCommand struct {
 	Seed uint64 `arg:"" help:"The seed."`
 }
 
-func (c *drawCommand) Run() error { fmt.Print(sim.Draw(c.Seed)); return nil }
+// Run prints it.
+func (c *drawCommand) Run() error {
+	_, err := fmt.Print(sim.Draw(c.Seed))
+	return err
+}
 
+// replayCommand simulates a script.
 type replayCommand struct {
 	File  string `arg:"" type:"existingfile" help:"The script."`
-	Fault string `name:"plant" help:"Plant a fault."`
-	Trace string `type:"path" help:"Write all that happened to this file."`
+	Fault string `name:"plant" help:"Inject a fault."`
+	Trace string `type:"path" help:"Write all events to this file."`
 }
 
+// readScript reads a script from a file.
 func readScript(path string) (sim.Script, error) {
-	f, err := os.Open(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return sim.Script{}, err
 	}
-	defer f.Close()
-	return sim.Parse(f)
+	return sim.Parse(bytes.NewReader(text))
 }
 
+// Run plays the script, prints what came of it and writes the trace. A broken rule is an error.
 func (c *replayCommand) Run() error {
-	s, err := readScript(c.File)
+	script, err := readScript(c.File)
 	if err != nil {
 		return err
 	}
-	plant, err := faultNamed(c.Fault)
+	fault, err := faultNamed(c.Fault)
 	if err != nil {
 		return err
 	}
-	var v sim.Result
-	if c.Trace != "" {
-		f, err := os.Create(c.Trace)
-		if err != nil {
-			return err
-		}
-		defer f.Close()
-		v = sim.Run(s, plant, f)
-	} else {
-		v = sim.Run(s, plant, nil)
+	result, err := c.play(script, fault)
+	if err != nil {
+		return err
 	}
-	fmt.Printf("%d asks, %d served, %d steps, %.1f s of virtual time\ntrace %016x\n", v.Requests, v.Served, v.Steps, v.VirtualMs/1000, v.Trace)
-	if v.Failure != "" {
-		return errors.New(v.Failure)
+	fmt.Printf("%d asks, %d served, %d steps, %.1f s of virtual time\ntrace %016x\n", result.Requests, result.Served, result.Steps, result.VirtualMs/1000, result.Trace)
+	if result.Failure != "" {
+		return errors.New(result.Failure)
 	}
 	fmt.Println("broken: 0")
 	return nil
 }
 
+// play plays the script and writes its trace where a file for it was named.
+func (c *replayCommand) play(script sim.Script, fault *sim.ProgramFault) (result sim.Result, err error) {
+	if c.Trace == "" {
+		return sim.Run(script, fault, nil), nil
+	}
+	f, err := os.Create(c.Trace)
+	if err != nil {
+		return sim.Result{}, err
+	}
+	result = sim.Run(script, fault, f)
+	return result, f.Close()
+}
+
+// errBreaksNothing reports that a script breaks no rule.
+var errBreaksNothing = errors.New("it breaks nothing")
+
+// shrinkCommand makes a script that breaks a rule smaller.
 type shrinkCommand struct {
-	File  string `arg:"" type:"existingfile" help:"A script that breaks something."`
-	Fault string `name:"plant" help:"Plant a fault."`
+	File  string `arg:"" type:"existingfile" help:"A script that breaks a rule."`
+	Fault string `name:"plant" help:"Inject a fault."`
 }
 
+// Run removes faults, nodes, schedulers, shards and time from the script while it still breaks the same rule, and prints the rest. It stops
+// early when the context ends.
 func (c *shrinkCommand) Run(ctx context.Context) error {
-	s, err := readScript(c.File)
+	script, err := readScript(c.File)
 	if err != nil {
 		return err
 	}
-	plant, err := faultNamed(c.Fault)
+	fault, err := faultNamed(c.Fault)
 	if err != nil {
 		return err
 	}
-	first := sim.Run(s, plant, nil)
+	//nolint:contextcheck // a simulation runs in one call on the virtual clock; the context is looked at between simulations
+	play := func(script sim.Script) sim.Result { return sim.Run(script, fault, nil) }
+	first := play(script)
 	if first.Failure == "" {
-		return errors.New("it breaks nothing")
+		return errBreaksNothing
 	}
-	small := sim.Shrink(s, func(t sim.Script) bool {
-		v := sim.Run(t, plant, nil)
-		return ctx.Err() == nil && v.Failure != "" && v.FailedRule == first.FailedRule
-	}, func(t sim.Script) {
-		fmt.Fprintf(os.Stderr, "%d faults, %d nodes, %d schedulers, %d shards, %.0f ms\n", len(t.Faults), t.Nodes, t.Schedulers,
-			t.Shards, t.Duration)
+	small := sim.Shrink(script, func(smaller sim.Script) bool {
+		result := play(smaller)
+		return ctx.Err() == nil && result.Failure != "" && result.FailedRule == first.FailedRule
+	}, func(smaller sim.Script) {
+		fmt.Fprintf(os.Stderr, "%d faults, %d nodes, %d schedulers, %d shards, %.0f ms\n", len(smaller.Faults), smaller.Nodes, smaller.Schedulers,
+			smaller.Shards, smaller.Duration)
 	})
-	fmt.Printf("%s# %s\n", small, sim.Run(small, plant, nil).Failure)
+	fmt.Printf("%s# %s\n", small, play(small).Failure)
 	return nil
 }
--- a/cmd/ravenpond/lab_shards.go
+++ b/cmd/ravenpond/lab_shards.go
@@ -10,19 +10,21 @@
 	"ravenpond/internal/lab/shards"
 )
 
+// shardsCommand measures and checks several shards.
 type shardsCommand struct {
-	ShardCounts   []int         `name:"counts" default:"1,2,4,8" help:"Counts of shards."`
+	ShardCounts   []int         `name:"counts" default:"1,2,4,8" help:"Numbers of shards."`
 	Nodes         int           `default:"130" help:"Stand-in nodes."`
-	Rate          float64       `default:"1500" help:"Asks a second for latency and CPU time."`
-	OverloadRate  float64       `name:"flood" default:"9000" help:"Asks a second for throughput: more than can be carried."`
+	Rate          float64       `default:"1500" help:"Requests a second for the measurement of latency and CPU time."`
+	OverloadRate  float64       `name:"flood" default:"9000" help:"Requests a second for the measurement of throughput: more than can be served."`
 	Duration      time.Duration `name:"last" default:"4s" help:"Length of each trial over sockets."`
-	Requests      int           `name:"asks" default:"60000" help:"Asks of each trial in memory."`
-	CheckRequests int           `name:"check" default:"500000" help:"Asks of the check, at 4 and at 8 shards each; 0 leaves it out."`
+	Requests      int           `name:"asks" default:"60000" help:"Requests of each trial in memory."`
+	CheckRequests int           `name:"check" default:"500000" help:"Requests of the check, at 4 and at 8 shards each; 0: no check."`
 	Tables        bool          `default:"true" negatable:"" help:"Print the tables."`
 	Overload      bool          `default:"true" negatable:"" name:"overload" help:"Print the table of overload."`
 	Seed          uint64        `default:"1" help:"Seed of the check."`
 }
 
+// Run prints the tables of the measurements and the result of the check.
 func (c *shardsCommand) Run(ctx context.Context) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -32,20 +34,20 @@
 	if err != nil {
 		return err
 	}
-	t := shards.Measurements{
+	tables := shards.Measurements{
 		Command: []string{self}, ShardCounts: c.ShardCounts, Nodes: c.Nodes, Rate: c.Rate, OverloadRate: c.OverloadRate, Duration: c.Duration,
 		Requests: c.Requests, Cores: runtime.NumCPU(), Out: out,
 	}
 	if c.Tables {
-		if err := t.Sockets(ctx, os.Stdout); err != nil {
+		if err := tables.Sockets(ctx, os.Stdout); err != nil {
 			return err
 		}
-		if err := t.Memory(ctx, os.Stdout); err != nil {
+		if err := tables.Memory(ctx, os.Stdout); err != nil {
 			return err
 		}
 	}
 	if c.Overload {
-		if err := t.Overload(ctx, os.Stdout); err != nil {
+		if err := tables.Overload(ctx, os.Stdout); err != nil {
 			return err
 		}
 	}
--- a/cmd/ravenpond/lab_tenants.go
+++ b/cmd/ravenpond/lab_tenants.go
@@ -9,17 +9,19 @@
 	"ravenpond/internal/lab/tenants"
 )
 
+// tenantLoadCommand measures tenants beside one that floods.
 type tenantLoadCommand struct {
 	Tenants     int           `default:"20" help:"Tenants."`
 	Nodes       int           `default:"20" help:"Stand-in nodes of 32 cores."`
 	Shards      int           `default:"2" help:"Shards of the scheduler."`
-	FloodFactor float64       `name:"flood" default:"10" help:"Times its share that the first tenant asks for."`
-	Reconnects  bool          `name:"returns" default:"true" negatable:"" help:"Somebody without a token connects anew without end."`
+	FloodFactor float64       `name:"flood" default:"10" help:"Load of the first tenant, as a multiple of its share."`
+	Reconnects  bool          `name:"returns" default:"true" negatable:"" help:"A client without a token reconnects all the time."`
 	Duration    time.Duration `name:"last" default:"10s" help:"Length of each day."`
 	Seed        uint64        `default:"1" help:"Seed of the arrivals."`
-	HalfOpen    int           `name:"half-open" help:"Instead of the flood: handshakes that are begun at a TLS door and never ended."`
+	HalfOpen    int           `name:"half-open" help:"Instead of the flood: TLS handshakes that are begun and never completed."`
 }
 
+// Run prints a table of a day without and one with the flood, or measures incomplete handshakes.
 func (c *tenantLoadCommand) Run(ctx context.Context) error {
 	if c.Tenants < 2 || c.Nodes < 1 || c.Shards < 1 || !(c.FloodFactor > 0) || c.Duration <= 0 {
 		return errors.New("two tenants or more, nodes, shards, a flood and a length above 0 are expected")
@@ -34,14 +36,16 @@
 	return err
 }
 
+// removalsCommand removes tenants while the scheduler is killed.
 type removalsCommand struct {
-	Rounds            int    `default:"20" help:"Rounds, each with a kill; one takes some 25 s."`
-	TenantsPerRound   int    `name:"each" default:"50" help:"Tenants that are removed in a round."`
-	RequestsPerTenant int    `name:"asks" default:"20" help:"Asks of each."`
+	Rounds            int    `default:"20" help:"Rounds, each with a kill; one takes about 25 s."`
+	TenantsPerRound   int    `name:"each" default:"50" help:"Tenants that are removed in each round."`
+	RequestsPerTenant int    `name:"asks" default:"20" help:"Requests of each tenant."`
 	Nodes             int    `default:"20" help:"Stand-in nodes of 32 cores."`
 	Seed              uint64 `default:"1" help:"Seed of arrivals and kills."`
 }
 
+// Run plays the rounds. A removal that was not completed is an error.
 func (c *removalsCommand) Run(ctx context.Context) error {
 	if c.Rounds < 1 || c.TenantsPerRound < 1 || c.RequestsPerTenant < 1 || c.Nodes < 1 {
 		return errors.New("rounds, tenants, asks and nodes above 0 are expected")
@@ -50,12 +54,12 @@
 	if err != nil {
 		return err
 	}
-	got, err := tenants.RemovalTrial{Command: []string{self}, Rounds: c.Rounds, TenantsPerRound: c.TenantsPerRound, RequestsPerTenant: c.RequestsPerTenant, Nodes: c.Nodes, Seed: c.Seed}.Play(ctx)
+	result, err := tenants.RemovalTrial{Command: []string{self}, Rounds: c.Rounds, TenantsPerRound: c.TenantsPerRound, RequestsPerTenant: c.RequestsPerTenant, Nodes: c.Nodes, Seed: c.Seed}.Play(ctx)
 	if err != nil {
 		return err
 	}
-	got.Print(os.Stdout)
-	if got.NotRemoved+got.HeldAtNodes+got.Unanswered+got.SecondStarts > 0 {
+	result.Print(os.Stdout)
+	if result.NotRemoved+result.HeldAtNodes+result.Unanswered+result.SecondStarts > 0 {
 		return errors.New("removals do not hold")
 	}
 	return nil
--- a/cmd/ravenpond/members.go
+++ b/cmd/ravenpond/members.go
@@ -5,20 +5,21 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"text/tabwriter"
 	"time"
 
 	"ravenpond/internal/serve"
 )
 
+// membersCommand prints a scheduler's view of the others.
 type membersCommand struct {
-	State string `required:"" type:"existingdir" help:"The folder of a scheduler."`
+	State string `required:"" type:"existingdir" help:"The state folder of a scheduler."`
 	JSON  bool   `name:"json" help:"Print it as JSON."`
 }
 
-// maxViewAge is how old a view may be that is still said to be that of a running scheduler.
+// maxViewAge is how old the view of a running scheduler may be: it is written once a second.
 const maxViewAge = 5 * time.Second
 
+// Run prints the view as a table or as JSON.
 func (c *membersCommand) Run() error {
 	path := filepath.Join(c.State, serve.MembersFile)
 	b, err := os.ReadFile(path)
@@ -45,10 +46,9 @@
 	default:
 		fmt.Printf("one of %d that share cold nodes, %d leaves, %d needed\n", v.Sharers, v.Permits, v.PermitsNeeded)
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "member\taddress\tlife\tversion\tstate\tsince s\theard s\tby")
+	out := newTable(os.Stdout, "member\taddress\tlife\tversion\tstate\tsince s\theard s\tby")
 	for _, m := range v.Members {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%.1f\t%.1f\t%s\n", m.Name, m.Address, m.Incarnation, m.Version, m.State, m.InState, m.LastContact, m.ReportedBy)
+		out.row("%s\t%s\t%d\t%d\t%s\t%.1f\t%.1f\t%s", m.Name, m.Address, m.Incarnation, m.Version, m.State, m.InState, m.LastContact, m.ReportedBy)
 	}
-	return w.Flush()
+	return out.flush()
 }
--- a/cmd/ravenpond/platform.go
+++ b/cmd/ravenpond/platform.go
@@ -6,11 +6,13 @@
 	"ravenpond/internal/platform"
 )
 
+// platformCommand runs a scheduler on the platform; its configuration comes from the environment.
 type platformCommand struct {
-	Log   string `enum:"json,plain" default:"json" help:"Form of the log: json or plain."`
-	Level string `enum:"debug,info,warn" default:"info" help:"debug traces each message and try."`
+	Log   string `enum:"json,plain" default:"json" help:"Format of the log: json or plain."`
+	Level string `enum:"debug,info,warn" default:"info" help:"Level of the log; debug traces each message and attempt."`
 }
 
+// Run runs the scheduler until SIGTERM.
 func (c *platformCommand) Run() error {
 	log, err := newLogger(c.Log, c.Level, os.Stderr)
 	if err != nil {
--- a/cmd/ravenpond/profile.go
+++ b/cmd/ravenpond/profile.go
@@ -11,11 +11,11 @@
 	"syscall"
 )
 
-// heapSuffix is added to the path of a CPU profile for the heap profile beside it.
+// heapSuffix is appended to the path of a CPU profile to name the heap profile beside it.
 const heapSuffix = ".heap"
 
-// startCPUProfile writes a CPU profile of the whole run. ended finishes it.
-func startCPUProfile(path string) (stop func(), err error) {
+// startCPUProfile starts writing a CPU profile. stop ends it and closes the file.
+func startCPUProfile(path string) (stop func() error, err error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, err
@@ -23,39 +23,39 @@
 	if err := pprof.StartCPUProfile(f); err != nil {
 		return nil, errors.Join(err, f.Close())
 	}
-	return func() {
+	return func() error {
 		pprof.StopCPUProfile()
-		f.Close()
+		return f.Close()
 	}, nil
 }
 
-// profileOnSignals writes a CPU profile of the time between two signals SIGUSR1, and a heap profile at the second, until the
-// context ends. Faults are given to failed. A later pair of signals writes both anew.
+// profileOnSignals writes a CPU profile of the time between two signals SIGUSR1, and a heap profile at the second one, until the context ends.
+// A later pair of signals overwrites both. Errors go to onError.
 func profileOnSignals(ctx context.Context, path string, onError func(error)) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1)
 	defer signal.Stop(signals)
-	for {
-		if !waitSignal(ctx, signals) {
-			return
-		}
+	for waitForSignal(ctx, signals) {
 		stopProfile, err := startCPUProfile(path)
 		if err != nil {
 			onError(fmt.Errorf("profile: %w", err))
 			continue
 		}
-		signalled := waitSignal(ctx, signals)
-		stopProfile()
+		signalled := waitForSignal(ctx, signals)
+		if err := stopProfile(); err != nil {
+			onError(fmt.Errorf("profile: %w", err))
+		}
 		if !signalled {
 			return
 		}
-		if err := writeHeap(path + heapSuffix); err != nil {
+		if err := writeHeapProfile(path + heapSuffix); err != nil {
 			onError(fmt.Errorf("heap profile: %w", err))
 		}
 	}
 }
 
-func waitSignal(ctx context.Context, signals <-chan os.Signal) bool {
+// waitForSignal waits for a signal and returns false if the context ended first.
+func waitForSignal(ctx context.Context, signals <-chan os.Signal) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -64,8 +64,8 @@
 	}
 }
 
-// writeHeap writes what is in use after a collection. The file appears whole.
-func writeHeap(path string) error {
+// writeHeapProfile writes what is in use after a garbage collection. The file appears at once with its whole content.
+func writeHeapProfile(path string) error {
 	runtime.GC()
 	part := path + ".part"
 	f, err := os.Create(part)
--- a/cmd/ravenpond/serve.go
+++ b/cmd/ravenpond/serve.go
@@ -9,6 +9,7 @@
 	"math/rand/v2"
 	"os"
 	"os/signal"
+	"sync"
 	"syscall"
 	"time"
 
@@ -22,23 +23,28 @@
 	"ravenpond/internal/state/tenants"
 )
 
+// serveCommand runs a scheduler of a site.
 type serveCommand struct {
 	Site          string `required:"" type:"existingfile" help:"The site file."`
-	State         string `required:"" type:"path" help:"Folder for what outlives the process."`
-	Name          string `default:"s0" help:"The scheduler's name, the same at each start."`
-	Index         int    `default:"0" help:"Its number among all schedulers, from 0."`
-	Seed          uint64 `default:"0" help:"Seed of its chance; 0 draws one."`
-	ClientListen  string `name:"owners" help:"Listen for owners here instead of where the site file says."`
-	AddressFile   string `type:"path" help:"Write the owners' address to this file once they may connect."`
-	Log           string `enum:"json,plain" default:"json" help:"Form of the log: json or plain."`
-	Keys          string `type:"path" help:"Folder of keys of the administration, where the site file has its address."`
-	KeyName       string `default:"server" help:"Name of the server's certificate there."`
+	State         string `required:"" type:"path" help:"State folder: what outlives the process."`
+	Name          string `default:"s0" help:"Name of the scheduler, the same at each start."`
+	Index         int    `default:"0" help:"Number of the scheduler among all of the site, from 0."`
+	Seed          uint64 `default:"0" help:"Seed of its random numbers; 0: a random one."`
+	ClientListen  string `name:"owners" help:"Listen for clients at this address instead of the site file's."`
+	AddressFile   string `type:"path" help:"Write the address for clients to this file once they may connect."`
+	Log           string `enum:"json,plain" default:"json" help:"Format of the log: json or plain."`
+	Keys          string `type:"path" help:"Folder of keys, where the site file asks for TLS."`
+	KeyName       string `default:"server" help:"Name of the server's certificate in that folder."`
 	Profile       string `type:"path" xor:"profile" help:"Write a CPU profile of the whole run to this file."`
-	Level         string `enum:"debug,info,warn" default:"info" help:"debug adds a line for each try."`
+	Level         string `enum:"debug,info,warn" default:"info" help:"Level of the log; debug adds a line for each attempt."`
 	ProfileWindow string `type:"path" xor:"profile" help:"Write a CPU profile of the time between two signals SIGUSR1 to this file, and a heap profile beside it."`
-	Zone          string `help:"The zone in which the scheduler runs, one of the site file's."`
+	Zone          string `help:"Zone of the site file in which the scheduler runs."`
 }
 
+// errKeysExpected reports that the site file asks for TLS and no folder of keys was given.
+var errKeysExpected = errors.New("the site file wants TLS, for owners or for the administration: --keys is expected")
+
+// newLogger returns a logger that prints lines of JSON, or of plain text if form is "plain", from the given level on.
 func newLogger(form, level string, out io.Writer) (zerolog.Logger, error) {
 	minLevel, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -50,129 +56,161 @@
 	return zerolog.New(out).Level(minLevel).With().Timestamp().Logger(), nil
 }
 
-func (c *serveCommand) Run(ctx context.Context) error {
-	deployment, err := site.Load(c.Site)
+// Run runs the scheduler until the context ends.
+func (c *serveCommand) Run(ctx context.Context) (err error) {
+	config, err := site.Load(c.Site)
 	if err != nil {
 		return err
 	}
-	if c.Index < 0 || c.Index >= deployment.Cluster.Schedulers {
-		return fmt.Errorf("index %d: the site file has schedulers 0 to %d", c.Index, deployment.Cluster.Schedulers-1)
+	if c.Index < 0 || c.Index >= config.Cluster.Schedulers {
+		return fmt.Errorf("index %d: the site file has schedulers 0 to %d", c.Index, config.Cluster.Schedulers-1)
 	}
-	initial := *deployment
+	fromFile := *config // without what flags change: later versions of the file are compared with it
 	if c.ClientListen != "" {
-		deployment.ClientsListen = c.ClientListen
+		config.ClientsListen = c.ClientListen
 	}
 	log, err := newLogger(c.Log, c.Level, os.Stderr)
 	if err != nil {
 		return err
 	}
+	schedulerLog := log.With().Str("scheduler", c.Name).Logger()
+
+	stopProfile, err := c.startProfile(ctx, log)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, stopProfile()) }()
+
+	clientTLS, stopAdmin, err := c.startAdmin(ctx, config, schedulerLog)
+	if err != nil {
+		return err
+	}
+	defer stopAdmin()
+
+	resize, stopWatch := c.watchSiteFile(ctx, &fromFile, log)
+	defer stopWatch()
+
 	seed := c.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	if c.Profile != "" {
-		stopProfile, err := startCPUProfile(c.Profile)
-		if err != nil {
-			return err
-		}
-		defer stopProfile()
-	}
-	if c.ProfileWindow != "" {
-		windowDone := make(chan struct{})
-		window, closeWindow := context.WithCancel(ctx)
-		go func() {
-			defer close(windowDone)
-			profileOnSignals(window, c.ProfileWindow, func(err error) { log.Error().Str("mode", "profile").Err(err).Msg("not written") })
-		}()
-		defer func() {
-			closeWindow()
-			<-windowDone
-		}()
-	}
-	var clientTLS *tls.Config
-	if deployment.AdminListen != "" || deployment.ClientsTLS {
-		if c.Keys == "" {
-			return errors.New("the site file wants TLS, for owners or for the administration: --keys is expected")
-		}
-		guard, err := keys.NewGuard(c.Keys, c.KeyName)
-		if err != nil {
-			return err
-		}
-		if deployment.ClientsTLS {
-			clientTLS = guard.ServerConfig()
-		}
-		stopProfile, err := c.serveAdmin(ctx, deployment, guard, log.With().Str("scheduler", c.Name).Logger())
-		if err != nil {
-			return err
-		}
-		defer stopProfile()
-	}
 	var addressErr error
-	resize := make(chan int)
-	go c.watchSiteFile(ctx, &initial, log, resize)
 	scheduler := serve.Config{
-		Resize: resize, TLS: clientTLS, Site: deployment, Name: c.Name, Index: c.Index, Folder: c.State, Seed: seed, Zone: c.Zone,
-		Log: log.With().Str("scheduler", c.Name).Logger(), Ready: func(owners string) {
-			if c.AddressFile != "" {
-				addressErr = renameio.WriteFile(c.AddressFile, []byte(owners+"\n"), 0o640)
-			}
-		},
+		Site: config, Name: c.Name, Index: c.Index, Zone: c.Zone, Folder: c.State, Seed: seed, TLS: clientTLS, Resize: resize,
+		Log: schedulerLog, Ready: func(address string) { addressErr = c.writeAddress(address) },
 	}
 	return errors.Join(serve.Run(ctx, scheduler), addressErr)
 }
 
-// serveAdmin looks after the keys, and serves the administration API where it has an address, until the scheduler ends; ended
-// waits for that.
-func (c *serveCommand) serveAdmin(ctx context.Context, place *site.Config, guard *keys.Guard, log zerolog.Logger) (ended func(), err error) {
-	api := &admin.Server{Open: func() (*tenants.Store, error) { return tenants.Open(c.State, place.MaxHostedTenants) }, Guard: guard, Log: log, Now: time.Now}
-	ctx, stop := context.WithCancel(ctx)
+// writeAddress writes the address at which clients may connect, where a file for it was named.
+func (c *serveCommand) writeAddress(address string) error {
+	if c.AddressFile == "" {
+		return nil
+	}
+	return renameio.WriteFile(c.AddressFile, []byte(address+"\n"), 0o640)
+}
+
+// startProfile starts the profile that flags ask for. stop ends it and waits until it is written.
+func (c *serveCommand) startProfile(ctx context.Context, log zerolog.Logger) (stop func() error, err error) {
+	switch {
+	case c.Profile != "":
+		return startCPUProfile(c.Profile)
+	case c.ProfileWindow != "":
+		ctx, cancel := context.WithCancel(ctx)
+		var running sync.WaitGroup
+		running.Go(func() {
+			profileOnSignals(ctx, c.ProfileWindow, func(err error) { log.Error().Str("mode", "profile").Err(err).Msg("not written") })
+		})
+		return func() error { cancel(); running.Wait(); return nil }, nil
+	}
+	return func() error { return nil }, nil
+}
+
+// startAdmin loads the keys where the site file asks for TLS, and starts serving the administration API where the file has an address for it.
+// clientTLS is the configuration of the client listener, nil without TLS. stop ends the API and waits for it.
+func (c *serveCommand) startAdmin(ctx context.Context, config *site.Config, log zerolog.Logger) (clientTLS *tls.Config, stop func(), err error) {
+	if config.AdminListen == "" && !config.ClientsTLS {
+		return nil, func() {}, nil
+	}
+	if c.Keys == "" {
+		return nil, nil, errKeysExpected
+	}
+	guard, err := keys.NewGuard(c.Keys, c.KeyName)
+	if err != nil {
+		return nil, nil, err
+	}
+	if config.ClientsTLS {
+		clientTLS = guard.ServerConfig()
+	}
+	stop, err = c.serveAdmin(ctx, config, guard, log)
+	return clientTLS, stop, err
+}
+
+// serveAdmin rereads the keys while the scheduler runs, and serves the administration API where it has an address. It returns once the API
+// takes calls. stop ends it and waits.
+func (c *serveCommand) serveAdmin(ctx context.Context, config *site.Config, guard *keys.Guard, log zerolog.Logger) (stop func(), err error) {
+	openStore := func() (*tenants.Store, error) { return tenants.Open(c.State, config.MaxHostedTenants) }
+	api := &admin.Server{Open: openStore, Guard: guard, Log: log, Now: time.Now}
+	ctx, cancel := context.WithCancel(ctx)
 	done, ready := make(chan error, 1), make(chan struct{})
 	go func() {
-		if place.AdminListen == "" {
+		if config.AdminListen == "" {
 			close(ready)
 			guard.Watch(ctx, time.Now, func(_ bool, line string) { log.Warn().Str("mode", "keys").Msg(line) })
 			done <- nil
 			return
 		}
-		done <- api.Serve(ctx, place.AdminListen, func(string) { close(ready) })
+		done <- api.Serve(ctx, config.AdminListen, func(string) { close(ready) })
 	}()
 	select {
 	case <-ready:
 	case err := <-done:
-		stop()
+		cancel()
 		return nil, err
 	}
 	return func() {
-		stop()
+		cancel()
 		if err := <-done; err != nil {
 			log.Error().Str("mode", "admin").Err(err).Msg("administration ended")
 		}
 	}, nil
 }
 
-// watchSiteFile follows the count of shards in the site file, which is read anew at each SIGHUP, until the context ends.
-func (c *serveCommand) watchSiteFile(ctx context.Context, first *site.Config, log zerolog.Logger, resize chan<- int) {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	defer signal.Stop(hup)
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-hup:
-		}
-		n := 0
-		place, err := site.Load(c.Site)
-		if err == nil {
-			n, err = first.Resized(place)
-		}
-		if err != nil {
-			log.Error().Str("mode", "shards").Err(err).Msg("site file not taken, going on as before")
-			continue
-		}
-		select {
-		case resize <- n:
-		case <-ctx.Done():
+// watchSiteFile rereads the site file at each SIGHUP and sends the number of shards in it; a file with a fault, or with other differences to
+// the one at the start, is logged and ignored. stop ends it and waits.
+func (c *serveCommand) watchSiteFile(ctx context.Context, atStart *site.Config, log zerolog.Logger) (shards <-chan int, stop func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	resize := make(chan int)
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	var running sync.WaitGroup
+	running.Go(func() {
+		defer signal.Stop(hangup)
+		for {
+			select {
+			case <-ctx.Done():
+				return
+			case <-hangup:
+			}
+			count, err := c.shardsInSiteFile(atStart)
+			if err != nil {
+				log.Error().Str("mode", "shards").Err(err).Msg("site file not taken, going on as before")
+				continue
+			}
+			select {
+			case resize <- count:
+			case <-ctx.Done():
+			}
 		}
+	})
+	return resize, func() { cancel(); running.Wait() }
+}
+
+// shardsInSiteFile reads the number of shards in the site file, which may differ from the one at the start in nothing else.
+func (c *serveCommand) shardsInSiteFile(atStart *site.Config) (int, error) {
+	config, err := site.Load(c.Site)
+	if err != nil {
+		return 0, err
 	}
+	return atStart.Resized(config)
 }
--- a/cmd/ravenpond/tenant.go
+++ b/cmd/ravenpond/tenant.go
@@ -2,12 +2,10 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
 	"os/user"
-	"text/tabwriter"
 	"time"
 
 	"ravenpond/internal/decide/fairqueue"
@@ -20,23 +18,24 @@
 // tenantCommands change and show the tenants in a scheduler's state folder, also while it runs: it looks twice a second.
 type tenantCommands struct {
 	Add    tenantAdd    `cmd:"" help:"Add a tenant."`
-	Limit  tenantLimit  `cmd:"" help:"Change a tenant's limits: those that are not named stay."`
-	Pause  tenantPause  `cmd:"" help:"Take nothing new of a tenant; what is open and runs goes on."`
-	Resume tenantResume `cmd:"" help:"Take its asks again."`
-	Remove tenantRemove `cmd:"" help:"Remove a tenant: what is open is answered, what runs is stopped or runs out."`
+	Limit  tenantLimit  `cmd:"" help:"Change a tenant's limits; those that are not given stay."`
+	Pause  tenantPause  `cmd:"" help:"Accept no new requests of a tenant; open requests and running tasks go on."`
+	Resume tenantResume `cmd:"" help:"Accept its requests again."`
+	Remove tenantRemove `cmd:"" help:"Remove a tenant: open requests are answered, running tasks run out or are stopped."`
 	List   tenantList   `cmd:"" help:"List tenants."`
-	Token  tenantToken  `cmd:"" help:"Issue a token for a tenant's programs, and print it this once."`
-	Revoke tenantRevoke `cmd:"" help:"Revoke a token by its id: connections that showed it end."`
-	Copy   tenantCopy   `cmd:"" help:"Put the store into the state folders of a site's other processes."`
-	Log    tenantLog    `cmd:"" help:"Print the record of changes, and hold it against its codes."`
+	Token  tenantToken  `cmd:"" help:"Issue a token for a tenant's clients. It is printed once and not stored."`
+	Revoke tenantRevoke `cmd:"" help:"Revoke a token by its id and close the connections that use it."`
+	Copy   tenantCopy   `cmd:"" help:"Copy the store into the state folders of a site's other processes."`
+	Log    tenantLog    `cmd:"" help:"Print the audit log of changes and verify its chain of codes."`
 }
 
+// tenantFlags name the store of tenants.
 type tenantFlags struct {
 	Site  string `required:"" type:"existingfile" help:"The site file."`
 	State string `required:"" type:"path" help:"The scheduler's state folder."`
 }
 
-// withStore does something with the store, waiting for a scheduler that looks at it just now.
+// withStore opens the store, uses it and closes it; it waits while a scheduler reads the store.
 func (f tenantFlags) withStore(do func(s *tenants.Store) error) error {
 	place, err := site.Load(f.Site)
 	if err != nil {
@@ -48,7 +47,7 @@
 	return useStore(func() (*tenants.Store, error) { return tenants.Open(f.State, place.MaxHostedTenants) }, do)
 }
 
-// currentUser names the person at the command line, for the record.
+// currentUser returns the name of the operating system's user, for the audit log.
 func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -56,13 +55,15 @@
 	return fmt.Sprint("uid ", os.Getuid())
 }
 
+// changeFlags are the flags of a change of one tenant.
 type changeFlags struct {
 	tenantFlags
 	Name    string `arg:"" help:"The tenant's name."`
-	Version uint64 `help:"Only if the tenant is still of this version."`
-	Request string `help:"Id of this request: made again, it changes nothing and has the same answer."`
+	Version uint64 `help:"Change only a tenant that still has this version."`
+	Request string `help:"Idempotency key: a repeated request with the same key changes nothing and has the same answer."`
 }
 
+// apply makes a change and prints the state of the tenant after it.
 func (f changeFlags) apply(change func(s *tenants.Store) (tenancy.Change, error)) error {
 	return f.withStore(func(s *tenants.Store) error {
 		c, err := change(s)
@@ -82,21 +83,24 @@
 	})
 }
 
+// changeOfKind returns a change without further arguments.
 func changeOfKind(k tenancy.Kind) func(*tenants.Store) (tenancy.Change, error) {
 	return func(*tenants.Store) (tenancy.Change, error) { return tenancy.Change{Kind: k}, nil }
 }
 
+// tenantAdd adds a tenant.
 type tenantAdd struct {
 	changeFlags
-	Share          float64 `default:"1" help:"Its share of the machines, beside those of others."`
-	Rate           float64 `help:"Asks a second that may pass; 0: as many as its share brings."`
-	Burst          float64 `default:"10" help:"Asks that may pass at once after a calm time, where there is a rate."`
-	MaxOpen        int     `name:"open" help:"Asks that may be open at once; 0: as many as there is room for."`
-	QueueLength    int     `name:"wait" default:"1000" help:"Asks that may wait in its line; beyond it they are declined at once."`
-	MaxConnections int     `name:"conns" help:"Connections of its owners at once; 0: by its share of the door."`
-	Bytes          float64 `help:"Bytes that its owners may send a second; 0: as many as usual."`
+	Share          float64 `default:"1" help:"Share of the machines, relative to other tenants."`
+	Rate           float64 `help:"Requests a second; 0: no limit beside the share."`
+	Burst          float64 `default:"10" help:"Requests that may pass at once after an idle time, where there is a rate."`
+	MaxOpen        int     `name:"open" help:"Open requests; 0: no limit beside the capacity."`
+	QueueLength    int     `name:"wait" default:"1000" help:"Length of its queue, in requests; more are declined at once."`
+	MaxConnections int     `name:"conns" help:"Client connections; 0: by its share."`
+	Bytes          float64 `help:"Bytes a second from its clients; 0: the default."`
 }
 
+// Run adds the tenant.
 func (c *tenantAdd) Run() error {
 	return c.apply(func(*tenants.Store) (tenancy.Change, error) {
 		return tenancy.Change{Kind: tenancy.Add, Limits: tenancy.Limits{Limits: fairqueue.Limits{
@@ -106,17 +110,19 @@
 	})
 }
 
+// tenantLimit changes limits of a tenant; those that are not given are nil.
 type tenantLimit struct {
 	changeFlags
-	Share          *float64 `help:"Its share of the machines."`
-	Rate           *float64 `help:"Asks a second that may pass, 0: no limit."`
-	Burst          *float64 `help:"Asks that may pass at once after a calm time."`
-	MaxOpen        *int     `name:"open" help:"Asks that may be open at once, 0: no limit."`
-	QueueLength    *int     `name:"wait" help:"Asks that may wait in its line."`
-	MaxConnections *int     `name:"conns" help:"Connections of its owners at once, 0: by its share of the door."`
-	Bytes          *float64 `help:"Bytes that its owners may send a second, 0: as many as usual."`
+	Share          *float64 `help:"Share of the machines, relative to other tenants."`
+	Rate           *float64 `help:"Requests a second; 0: no limit beside the share."`
+	Burst          *float64 `help:"Requests that may pass at once after an idle time."`
+	MaxOpen        *int     `name:"open" help:"Open requests; 0: no limit beside the capacity."`
+	QueueLength    *int     `name:"wait" help:"Length of its queue, in requests."`
+	MaxConnections *int     `name:"conns" help:"Client connections; 0: by its share."`
+	Bytes          *float64 `help:"Bytes a second from its clients; 0: the default."`
 }
 
+// Run reads the limits, replaces the given ones and writes all.
 func (c *tenantLimit) Run() error {
 	return c.apply(func(s *tenants.Store) (tenancy.Change, error) {
 		all, err := s.Read()
@@ -136,25 +142,32 @@
 	})
 }
 
+// setIfGiven copies a value that is not nil.
 func setIfGiven[T any](to *T, from *T) {
 	if from != nil {
 		*to = *from
 	}
 }
 
+// tenantPause pauses a tenant.
 type tenantPause struct{ changeFlags }
 
+// Run pauses the tenant.
 func (c *tenantPause) Run() error { return c.apply(changeOfKind(tenancy.Pause)) }
 
+// tenantResume resumes a paused tenant.
 type tenantResume struct{ changeFlags }
 
+// Run resumes the tenant.
 func (c *tenantResume) Run() error { return c.apply(changeOfKind(tenancy.Resume)) }
 
+// tenantRemove removes a tenant.
 type tenantRemove struct {
 	changeFlags
-	Ending string `enum:"run-out,stop" default:"run-out" help:"What becomes of what runs: run-out or stop."`
+	Ending string `enum:"run-out,stop" default:"run-out" help:"Running tasks run out, or are stopped: run-out or stop."`
 }
 
+// Run begins the removal; running schedulers complete it.
 func (c *tenantRemove) Run() error {
 	ending, fault := tenancy.ParseRemovalMode(c.Ending)
 	if fault != nil {
@@ -165,11 +178,13 @@
 	})
 }
 
+// tenantList lists tenants.
 type tenantList struct {
 	tenantFlags
-	All bool `help:"Those that were removed too."`
+	All bool `help:"Removed ones too."`
 }
 
+// Run prints a table of the tenants.
 func (c *tenantList) Run() error {
 	return c.withStore(func(s *tenants.Store) error {
 		all, err := s.Read()
@@ -182,26 +197,27 @@
 				tokens[k.Tenant]++
 			}
 		}
-		out := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-		fmt.Fprintln(out, "tenant\tstate\tshare\trate\tburst\topen\twait\tconns\tbytes\ttokens\tversion\tsince")
+		out := newTable(os.Stdout, "tenant\tstate\tshare\trate\tburst\topen\twait\tconns\tbytes\ttokens\tversion\tsince")
 		for _, t := range all.Tenants.All() {
 			if t.State == tenancy.Removed && !c.All {
 				continue
 			}
 			limits := t.Limits
-			fmt.Fprintf(out, "%s\t%s\t%g\t%g\t%g\t%d\t%d\t%d\t%g\t%d\t%d\t%s\n", t.Name, t.State, limits.Share, limits.Rate, limits.Burst, limits.MaxOpen, limits.MaxWaiting, limits.MaxConns, limits.BytesPerSecond,
+			out.row("%s\t%s\t%g\t%g\t%g\t%d\t%d\t%d\t%g\t%d\t%d\t%s", t.Name, t.State, limits.Share, limits.Rate, limits.Burst, limits.MaxOpen, limits.MaxWaiting, limits.MaxConns, limits.BytesPerSecond,
 				tokens[t.Name], t.Version, time.UnixMilli(int64(t.StateChangedAt)).UTC().Format(time.RFC3339))
 		}
-		return out.Flush()
+		return out.flush()
 	})
 }
 
+// tenantToken issues a token.
 type tenantToken struct {
 	tenantFlags
 	Name     string        `arg:"" help:"The tenant's name."`
-	Lifetime time.Duration `name:"last" default:"2160h" help:"How long it is good."`
+	Lifetime time.Duration `name:"last" default:"2160h" help:"Validity."`
 }
 
+// Run issues the token and prints it.
 func (c *tenantToken) Run() error {
 	if c.Lifetime <= 0 {
 		return errors.New("--last: a time above 0 is expected")
@@ -215,42 +231,47 @@
 	})
 }
 
+// tenantCopy copies the store.
 type tenantCopy struct {
 	tenantFlags
-	To []string `required:"" type:"path" help:"The state folder of another process; more than one may be named."`
+	To []string `required:"" type:"path" help:"State folder of another process; may be given more than once."`
 }
 
+// Run copies the store into each folder; one that fails does not keep the others from it.
 func (c *tenantCopy) Run() error {
 	return c.withStore(func(s *tenants.Store) (err error) {
-		for _, folder := range c.To { // one that can't be written keeps none of the others from it
+		for _, folder := range c.To {
 			err = errors.Join(err, bolt.RetryWhileLocked(context.Background(), maxOpenAttempts, func() error { return s.CopyTo(folder) }))
 		}
 		return err
 	})
 }
 
+// tenantRevoke revokes a token.
 type tenantRevoke struct {
 	tenantFlags
-	ID string `arg:"" help:"The token's id: what stands before the point."`
+	ID string `arg:"" help:"Id of the token: the part before the dot."`
 }
 
+// Run revokes the token.
 func (c *tenantRevoke) Run() error {
 	return c.withStore(func(s *tenants.Store) error { return s.RevokeToken(time.Now(), currentUser(), c.ID) })
 }
 
+// tenantLog prints the audit log.
 type tenantLog struct {
 	tenantFlags
-	From uint64 `default:"1" help:"The first record that is printed; all are checked."`
+	From uint64 `default:"1" help:"Number of the first record that is printed; all are verified."`
 }
 
+// Run verifies all records and prints those from the given one on.
 func (c *tenantLog) Run() error {
 	return c.withStore(func(s *tenants.Store) error {
-		out := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-		fmt.Fprintln(out, "no\tat\tby\twhat\ttenant\tafter it")
+		out := newTable(os.Stdout, "no\tat\tby\twhat\ttenant\tafter it")
 		err := s.Records(c.From, func(n uint64, r tenants.Record) error {
-			_, err := fmt.Fprintf(out, "%d\t%s\t%s\t%s\t%s\t%s\n", n, r.At.UTC().Format(time.RFC3339), r.Actor, r.Action, r.Tenant, json.RawMessage(r.After))
-			return err
+			out.row("%d\t%s\t%s\t%s\t%s\t%s", n, r.At.UTC().Format(time.RFC3339), r.Actor, r.Action, r.Tenant, r.After)
+			return nil
 		})
-		return errors.Join(out.Flush(), err)
+		return errors.Join(out.flush(), err)
 	})
 }
