--- /dev/null
+++ b/cmd/ravenpond/docs_test.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// TestDocumentedPaths checks that the folders, files and pages that the documentation names are there. Pages that record earlier results may
+// name what is gone.
+func TestDocumentedPaths(t *testing.T) {
+	const root = "../.."
+	var pages []string
+	for _, pattern := range []string{"*.md", "docs/*.md", "docs/design/*.md", "docs/protocols/*.md"} {
+		found, err := filepath.Glob(filepath.Join(root, pattern))
+		if err != nil || len(found) == 0 {
+			t.Fatalf("%s: %d pages, %v", pattern, len(found), err)
+		}
+		pages = append(pages, found...)
+	}
+	records := []string{"results.md", "performance.md", "CAPACITY.md"}
+	for _, page := range pages {
+		if slices.Contains(records, filepath.Base(page)) {
+			continue
+		}
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, path := range documentedPaths(string(text)) {
+			if !anyExists(filepath.Join(root, path), filepath.Join(root, "internal", path)) {
+				t.Errorf("%s names %s, which is not there", page, path)
+			}
+		}
+		for _, link := range documentedLinks(string(text)) {
+			if !anyExists(filepath.Join(filepath.Dir(page), link)) {
+				t.Errorf("%s links to %s, which is not there", page, link)
+			}
+		}
+	}
+}
+
+var (
+	codePath = regexp.MustCompile("`((?:internal|cmd|docs|deploy|tools|\\.ci|decide|lab|proto|state|serve|platform|engine|env)(?:/[A-Za-z0-9_.*-]+)+/?)`")
+	pageLink = regexp.MustCompile(`\]\(([^):#]+)(?:#[^)]*)?\)`)
+)
+
+// documentedPaths returns the paths in code spans of a page.
+func documentedPaths(text string) (paths []string) {
+	for _, match := range codePath.FindAllStringSubmatch(text, -1) {
+		paths = append(paths, strings.TrimSuffix(match[1], "/"))
+	}
+	return paths
+}
+
+// documentedLinks returns the targets of a page's links to other files.
+func documentedLinks(text string) (links []string) {
+	for _, match := range pageLink.FindAllStringSubmatch(text, -1) {
+		links = append(links, match[1])
+	}
+	return links
+}
+
+// anyExists reports whether a file matches one of the patterns.
+func anyExists(patterns ...string) bool {
+	return slices.ContainsFunc(patterns, func(pattern string) bool {
+		found, err := filepath.Glob(pattern)
+		return err == nil && len(found) > 0
+	})
+}
