--- a/internal/decide/quotalease/quotalease.go
+++ b/internal/decide/quotalease/quotalease.go
@@ -1,53 +1,60 @@
-// Package quotalease decides how much of a limit that holds for all processes together one of them may use while processes come,
-// fail, stand still and lose each other. A part of each limit is divided by place and never lent, so who hears nobody still
-// serves; the rest goes, in equal parts, to those who hold a lease on it (decide/slowstart). What all may use never exceeds the
-// limit: those who hold a lease each reckon with all who do, and who held one reckons with what is still open by it.
+// Package quotalease decides how much of a limit that holds for all processes together one process may use, while processes start, fail,
+// pause and are partitioned.
+//
+// A fraction of each limit is leased: it is divided equally among the processes that hold a lease on it (package slowstart). The rest is
+// divided by place and never leased, so that a process that reaches no other still serves. All processes together never use more than the
+// limit: each lease holder counts all others, and one whose lease expired counts what it has still open.
+//
+// Share computes a process's part of a limit; Lease tracks how many processes share the leased fraction. The package does no I/O and
+// returns no errors. A Lease is not safe for concurrent use. Times are milliseconds on the caller's clock.
 package quotalease
 
 import "ravenpond/internal/decide/fairqueue"
 
-// Share is what a process may use of limits at a moment. The zero value is of a process that is alone.
+// Share is a process's share of all limits at one moment. The zero value is of a process that is alone.
 type Share struct {
-	Places, Index  int
-	LeasedFraction float64 // part of each limit that is lent, from 0 to 1
-	Sharers        int     // who share that; 0: this process has no lease on it
+	Places         int     // processes in the site file
+	Index          int     // of this process, from 0
+	LeasedFraction float64 // of each limit that is leased, from 0 to 1
+	Sharers        int     // processes that share the leased fraction; 0: this process has no lease on it
 }
 
-// Count is a process's part of a limit that is a number. What is lent is so much that it can be divided by place with nothing left,
-// so that where all are there nothing lies idle.
-func (p Share) Count(limit int) int {
-	lent := 0
-	if p.Places > 0 && limit > 0 {
-		lent = int(float64(limit)*p.LeasedFraction/float64(p.Places)) * p.Places
+// Count returns a process's part of a limit that is a whole number. The leased part is rounded down to a multiple of the places, so that
+// nothing is left over when all processes hold a lease.
+func (s Share) Count(limit int) int {
+	leased := 0
+	if s.Places > 0 && limit > 0 {
+		leased = int(float64(limit)*s.LeasedFraction/float64(s.Places)) * s.Places
 	}
-	part := fairqueue.DivideLimit(limit-lent, p.Places, p.Index)
-	if p.Sharers > 0 {
-		part += lent / p.Sharers
+	part := fairqueue.DivideLimit(limit-leased, s.Places, s.Index)
+	if s.Sharers > 0 {
+		part += leased / s.Sharers
 	}
 	return part
 }
 
-// Rate is a process's part of a limit that can be divided as it is.
-func (p Share) Rate(limit float64) float64 {
-	part := limit * (1 - p.LeasedFraction) / float64(max(1, p.Places))
-	if p.Sharers > 0 {
-		part += limit * p.LeasedFraction / float64(p.Sharers)
+// Rate returns a process's part of a limit that is a real number, as a rate.
+func (s Share) Rate(limit float64) float64 {
+	part := limit * (1 - s.LeasedFraction) / float64(max(1, s.Places))
+	if s.Sharers > 0 {
+		part += limit * s.LeasedFraction / float64(s.Sharers)
 	}
 	return part
 }
 
-// Lease is what a process holds on lease: it ends by time alone, whatever the last look said, as after a stand-still.
+// Lease is what a process knows of its lease on the leased fraction. It ends by time alone, so that it also ends for a process that was
+// paused. The zero value is of a process without a lease.
 type Lease struct {
 	sharers int
 	expiry  float64
-	applied int // by which the limits were last set
+	applied int // sharers that Current returned last, by which the limits are set
 }
 
-// Set takes what the last look says: how many share, 0 if there is no lease, and until when that holds.
-func (l *Lease) Set(sharers int, until float64) { l.sharers, l.expiry = sharers, until }
+// Set records how many processes share, 0 if this one has no lease, and until when that holds.
+func (l *Lease) Set(sharers int, expiry float64) { l.sharers, l.expiry = sharers, expiry }
 
-// Current is how many share as far as this process may use its part now, and whether that differs from the last time it was asked: then
-// limits are to be set anew before anything passes by them.
+// Current returns how many processes share now, and whether that has changed since the last call: then the caller sets the limits anew
+// before anything passes by them.
 func (l *Lease) Current(now float64) (sharers int, changed bool) {
 	if now < l.expiry {
 		sharers = l.sharers
--- a/internal/decide/quotalease/quotalease_test.go
+++ b/internal/decide/quotalease/quotalease_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestNeverMore draws who shares at each of some processes, as leases allow it: each who shares reckons with all who do, or more. What
-// all may use never exceeds a limit, and all of it may be used where all are there.
-func TestNeverMore(t *testing.T) {
+// TestNeverAboveLimit draws lease holders that each count all holders or more. All processes together never exceed a limit, and use all of
+// it when all hold a lease.
+func TestNeverAboveLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		places := rapid.IntRange(1, 40).Draw(t, "places")
 		limit := rapid.IntRange(1, 500).Draw(t, "limit")
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestParts(t *testing.T) {
+func TestShare(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		p      Share
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestLoan ends a lease by time alone, and says once that limits are to be set anew.
-func TestLoan(t *testing.T) {
+// TestLease checks that a lease ends by time alone, and that each change is reported once.
+func TestLease(t *testing.T) {
 	var l Lease
 	for _, c := range []struct {
 		name    string
--- a/internal/decide/slowstart/slowstart_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -7,88 +7,88 @@
 	"testing"
 )
 
-// world plays holders with their own clocks, ways that lose and delay, stops and restarts. A process that takes part sends
-// as much as it may at any moment; what all send within a window is held against the whole.
-type world struct {
-	rng   *rand.Rand
-	who   Config
-	now   float64
-	all   []*proc
-	cut   map[[2]int]bool
-	mails []mail
-	worst float64 // the most that was ever sent in a window, as a part of the whole
-	log   [][][2]float64
-	plant plant
+// simulation runs holders with their own clocks over a network that loses and delays messages, with pauses and restarts. A process that
+// takes part sends as much as it may at any time; the sum of all within a window is compared with the limit.
+type simulation struct {
+	rng       *rand.Rand
+	config    Config
+	now       float64
+	processes []*process
+	cut       map[[2]int]bool
+	messages  []message
+	maxUsed   float64 // largest part of the limit that was used within a window
+	usage     [][][2]float64
+	faults    faults
 }
 
-type plant struct {
-	short  float64 // leases that givers reckon with, as a part of those that hold
-	alone  bool    // a process reckons with those alone whom it counts itself
-	early  bool    // who comes has leave at once
-	forget bool    // a restart takes part at once
+type faults struct {
+	leaseFactor  float64 // of the duration that grants are counted for; 0: 1
+	countsAlone  bool    // a process ignores whom the others count
+	grantsAtOnce bool    // a new process gets grants at once
+	joinsAtOnce  bool    // a restarted process takes part at once
 }
 
-type proc struct {
-	h      *Holder
-	place  int
-	rate   float64
-	base   float64
-	began  float64
-	down   float64 // until then it is dead
-	paused float64
-	box    []mail
-	next   float64
-	turn   int
-	life   int // an answer to another life's ask is nobody's, as the datagrams have it
+type process struct {
+	holder        *Holder
+	place         int
+	rate          float64
+	clockBase     float64
+	startedAt     float64
+	downUntil     float64 // while it is dead
+	pausedUntil   float64
+	inbox         []message
+	nextRequestAt float64
+	lastAsked     int
+	incarnation   int // answers to requests of an earlier incarnation are dropped, as datagrams are
 }
 
-type mail struct {
-	at       float64
-	from, to int
-	ask      bool
-	sent     float64
-	given    bool
-	counts   PlaceSet
-	life     int
+type message struct {
+	at          float64
+	from, to    int
+	request     bool
+	requestedAt float64
+	granted     bool
+	counted     PlaceSet
+	incarnation int
 }
 
-func (p *proc) clock(now float64) float64 { return p.base + (now-p.began)*p.rate }
+func (p *process) clock(now float64) float64 { return p.clockBase + (now-p.startedAt)*p.rate }
 
-func newWorld(seed uint64, places, procs int, pl plant) *world {
-	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 5)), who: Config{Places: places, LeaseDuration: MinLeaseDuration(places, 200), Window: 1500},
-		cut: map[[2]int]bool{}, plant: pl,
+func newSimulation(seed uint64, places, procs int, pl faults) *simulation {
+	w := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 5)), config: Config{Places: places, LeaseDuration: MinLeaseDuration(places, 200), Window: 1500},
+		cut: map[[2]int]bool{}, faults: pl,
 	}
 	for i := range procs {
-		p := &proc{place: i}
-		w.all = append(w.all, p)
-		w.log = append(w.log, nil)
+		p := &process{place: i}
+		w.processes = append(w.processes, p)
+		w.usage = append(w.usage, nil)
 		w.start(p)
 	}
 	return w
 }
 
-func (w *world) start(p *proc) {
-	p.rate, p.base, p.began = 1+(w.rng.Float64()-0.5)*MaxClockDrift*0.9, 1e6*w.rng.Float64(), w.now
-	who := w.who
-	if w.plant.short > 0 {
-		who.LeaseDuration *= w.plant.short
-	}
-	p.h = New(p.clock(w.now), who, p.place)
-	p.h.config.LeaseDuration = who.LeaseDuration
-	p.box, p.next = nil, w.now
-	p.life++
-	if w.plant.forget {
-		p.h.startedAt = math.Inf(-1)
-	}
-	if w.plant.early {
-		for i := range p.h.given {
-			p.h.given[i].countedSince = math.Inf(-1)
+func (w *simulation) start(p *process) {
+	p.rate, p.clockBase, p.startedAt = 1+(w.rng.Float64()-0.5)*MaxClockDrift*0.9, 1e6*w.rng.Float64(), w.now
+	who := w.config
+	if w.faults.leaseFactor > 0 {
+		who.LeaseDuration *= w.faults.leaseFactor
+	}
+	p.holder = New(p.clock(w.now), who, p.place)
+	p.holder.config.LeaseDuration = who.LeaseDuration
+	p.inbox, p.nextRequestAt = nil, w.now
+	p.incarnation++
+	if w.faults.joinsAtOnce {
+		p.holder.startedAt = math.Inf(-1)
+	}
+	if w.faults.grantsAtOnce {
+		for i := range p.holder.given {
+			p.holder.given[i].countedSince = math.Inf(-1)
 		}
 	}
 }
 
-func (w *world) post(m mail) {
+func (w *simulation) send(m message) {
 	if w.cut[[2]int{m.from, m.to}] || w.rng.Float64() < 0.05 {
 		return
 	}
@@ -96,100 +96,129 @@
 	if w.rng.IntN(20) == 0 {
 		m.at += 3000 * w.rng.Float64() // very late
 	}
-	w.mails = append(w.mails, m)
+	w.messages = append(w.messages, m)
 }
 
-// step lets 20 ms go by.
-func (w *world) step() {
+// step lets 20 ms pass.
+func (w *simulation) step() {
 	w.now += 20
-	kept := w.mails[:0]
-	for _, m := range w.mails {
-		if m.at > w.now {
-			kept = append(kept, m)
-			continue
-		}
-		if p := w.all[m.to]; p.down <= w.now {
-			p.box = append(p.box, m)
-		}
-	}
-	w.mails = kept
-	for i, p := range w.all {
-		if p.down > w.now || p.paused > w.now {
+	w.deliver()
+	for i, p := range w.processes {
+		if p.downUntil > w.now || p.pausedUntil > w.now {
 			continue
 		}
-		if p.down > 0 {
-			p.down = 0
+		if p.downUntil > 0 {
+			p.downUntil = 0
 			w.start(p)
 		}
-		box := p.box
-		p.box = nil
-		for _, m := range box {
-			if m.ask {
-				given, counts := p.h.OnRequest(p.clock(w.now), w.all[m.from].place)
-				if w.plant.early {
-					p.h.given[min(w.all[m.from].place, len(p.h.given)-1)].countedSince = math.Inf(-1)
-				}
-				w.post(mail{from: i, to: m.from, sent: m.sent, given: given, counts: counts, life: m.life})
-			} else if m.life == p.life {
-				p.h.OnGrant(m.sent, w.all[m.from].place, m.given, m.counts)
-			}
-		}
-		if w.now >= p.next {
-			p.next = w.now + 200
-			p.turn++ // all others in turn, as the detector probes
-			if to := p.turn % len(w.all); to != i {
-				w.post(mail{from: i, to: to, ask: true, sent: p.clock(w.now), life: p.life})
-			}
+		w.receive(i)
+		w.request(i)
+		if n := w.sharers(p); n > 0 {
+			w.usage[i] = append(w.usage[i], [2]float64{w.now, 1 / float64(n)})
 		}
-		now := p.clock(w.now)
-		n := p.h.Sharers(now)
-		if w.plant.short > 0 { // it goes on for as long as it was promised
-			long := *p.h
-			long.config.LeaseDuration = w.who.LeaseDuration
-			n = long.Sharers(now)
+	}
+	w.measure()
+}
+
+// deliver puts the messages that have arrived into the inboxes.
+func (w *simulation) deliver() {
+	kept := w.messages[:0]
+	for _, m := range w.messages {
+		if m.at > w.now {
+			kept = append(kept, m)
+		} else if p := w.processes[m.to]; p.downUntil <= w.now {
+			p.inbox = append(p.inbox, m)
 		}
-		if w.plant.alone && n > 0 {
-			n = p.h.Counted(now).Len()
+	}
+	w.messages = kept
+}
+
+// receive has a process handle its inbox.
+func (w *simulation) receive(index int) {
+	p := w.processes[index]
+	inbox := p.inbox
+	p.inbox = nil
+	for _, m := range inbox {
+		place := w.processes[m.from].place
+		if !m.request {
+			if m.incarnation == p.incarnation {
+				p.holder.OnGrant(m.requestedAt, place, m.granted, m.counted)
+			}
+			continue
 		}
-		if n > 0 {
-			w.log[i] = append(w.log[i], [2]float64{w.now, 1 / float64(n)})
+		granted, counted := p.holder.OnRequest(p.clock(w.now), place)
+		if w.faults.grantsAtOnce {
+			p.holder.given[min(place, len(p.holder.given)-1)].countedSince = math.Inf(-1)
 		}
+		w.send(message{from: index, to: m.from, requestedAt: m.requestedAt, granted: granted, counted: counted, incarnation: m.incarnation})
+	}
+}
+
+// request has a process ask the others in turn, as the failure detector probes.
+func (w *simulation) request(index int) {
+	p := w.processes[index]
+	if w.now < p.nextRequestAt {
+		return
+	}
+	p.nextRequestAt = w.now + 200
+	p.lastAsked++
+	if to := p.lastAsked % len(w.processes); to != index {
+		w.send(message{from: index, to: to, request: true, requestedAt: p.clock(w.now), incarnation: p.incarnation})
+	}
+}
+
+// sharers returns how many processes share the limit as a process sees it, with the injected faults.
+func (w *simulation) sharers(p *process) int {
+	now := p.clock(w.now)
+	n := p.holder.Sharers(now)
+	if w.faults.leaseFactor > 0 { // it uses the whole duration
+		long := *p.holder
+		long.config.LeaseDuration = w.config.LeaseDuration
+		n = long.Sharers(now)
+	}
+	if w.faults.countsAlone && n > 0 {
+		n = p.holder.Counted(now).Len()
 	}
+	return n
+}
+
+// measure sums up the largest parts that all processes used within the last window.
+func (w *simulation) measure() {
 	sum := 0.0
-	for i := range w.log {
-		for len(w.log[i]) > 0 && w.log[i][0][0] <= w.now-w.who.Window {
-			w.log[i] = w.log[i][1:]
+	for i := range w.usage {
+		for len(w.usage[i]) > 0 && w.usage[i][0][0] <= w.now-w.config.Window {
+			w.usage[i] = w.usage[i][1:]
 		}
-		most := 0.0
-		for _, x := range w.log[i] {
-			most = max(most, x[1])
+		largest := 0.0
+		for _, use := range w.usage[i] {
+			largest = max(largest, use[1])
 		}
-		sum += most
+		sum += largest
 	}
-	w.worst = max(w.worst, sum)
+	w.maxUsed = max(w.maxUsed, sum)
 }
 
-// trouble draws something that goes wrong, or right again.
-func (w *world) trouble() {
-	i, j := w.rng.IntN(len(w.all)), w.rng.IntN(len(w.all))
+// injectFault injects a random fault, or ends all partitions.
+func (w *simulation) injectFault() {
+	i, j := w.rng.IntN(len(w.processes)), w.rng.IntN(len(w.processes))
 	switch w.rng.IntN(9) {
 	case 0:
-		w.all[i].down = w.now + 20000*w.rng.Float64()*w.rng.Float64()
+		w.processes[i].downUntil = w.now + 20000*w.rng.Float64()*w.rng.Float64()
 	case 1:
-		w.all[i].paused = w.now + 12000*w.rng.Float64()
+		w.processes[i].pausedUntil = w.now + 12000*w.rng.Float64()
 	case 2:
 		w.cut[[2]int{i, j}] = true
 	case 3, 4:
 		side := w.rng.Uint64()
-		for a := range w.all {
-			for b := range w.all {
+		for a := range w.processes {
+			for b := range w.processes {
 				w.cut[[2]int{a, b}] = side>>a&1 != side>>b&1
 			}
 		}
 	case 5:
-		for _, p := range w.all {
+		for _, p := range w.processes {
 			if w.rng.IntN(10) < 7 {
-				p.down = w.now + 1000
+				p.downUntil = w.now + 1000
 			}
 		}
 	default:
@@ -197,39 +226,39 @@
 	}
 }
 
-// play plays a seed for some minutes; it returns the most that was sent in a window, and the part of the time in which the
-// whole was in use at the end, undisturbed.
-func play(seed uint64, places, procs int, pl plant) (worst, used float64) {
-	w := newWorld(seed, places, procs, pl)
+// simulate runs a seed for two minutes with faults and then without. It returns the largest part of the limit that was used within a
+// window, and the part that is in use at the end.
+func simulate(seed uint64, places, procs int, pl faults) (worst, used float64) {
+	w := newSimulation(seed, places, procs, pl)
 	for at := 0.0; w.now < 120000; {
 		if w.step(); w.now > at {
-			w.trouble()
+			w.injectFault()
 			at = w.now + 12000*w.rng.Float64()
 		}
 	}
-	worst = w.worst
+	worst = w.maxUsed
 	clear(w.cut)
-	for _, p := range w.all {
-		p.down, p.paused = min(p.down, w.now), 0
+	for _, p := range w.processes {
+		p.downUntil, p.pausedUntil = min(p.downUntil, w.now), 0
 	}
-	for end := w.now + 4*w.who.LeaseDuration + 10000; w.now < end; {
+	for end := w.now + 4*w.config.LeaseDuration + 10000; w.now < end; {
 		w.step()
 	}
-	for _, p := range w.all {
-		if n := p.h.Sharers(p.clock(w.now)); n > 0 {
+	for _, p := range w.processes {
+		if n := p.holder.Sharers(p.clock(w.now)); n > 0 {
 			used += 1 / float64(n)
 		}
 	}
-	return max(worst, w.worst), used
+	return max(worst, w.maxUsed), used
 }
 
-// TestNeverOver plays troubles: what all send within any window never passes the whole, and once they are over it is in
-// use again but for the parts of those who take none.
-func TestNeverOver(t *testing.T) {
+// TestNeverAboveLimit injects faults: all processes together never exceed the limit within any window, and once the faults are over it is
+// all in use again.
+func TestNeverAboveLimit(t *testing.T) {
 	for _, c := range []struct{ places, procs int }{{1, 1}, {2, 2}, {3, 3}, {5, 5}, {9, 9}, {5, 8}, {9, 6}} {
 		t.Run(fmt.Sprint(c.procs, " of ", c.places), func(t *testing.T) {
 			for seed := range uint64(8) {
-				worst, used := play(seed, c.places, c.procs, plant{})
+				worst, used := simulate(seed, c.places, c.procs, faults{})
 				if worst > 1+1e-9 {
 					t.Fatalf("seed %d: %.3f of the whole within a window", seed, worst)
 				}
@@ -241,20 +270,20 @@
 	}
 }
 
-// TestPlanted plants what the proof forbids, and looks that it is found.
-func TestPlanted(t *testing.T) {
+// TestFaultsAreDetected injects what the proof forbids, and checks that the simulation detects it.
+func TestFaultsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		plant plant
+		plant faults
 	}{
-		{"givers forget too soon", plant{short: 0.3}},
-		{"each counts for itself alone", plant{alone: true}},
-		{"leave is given at once", plant{early: true}},
-		{"a restart takes part at once", plant{forget: true, early: true}},
+		{"grants are forgotten too soon", faults{leaseFactor: 0.3}},
+		{"each counts for itself alone", faults{countsAlone: true}},
+		{"grants are given at once", faults{grantsAtOnce: true}},
+		{"a restart takes part at once", faults{joinsAtOnce: true, grantsAtOnce: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(60) {
-				if worst, _ := play(seed, 5, 5, c.plant); worst > 1+1e-9 {
+				if worst, _ := simulate(seed, 5, 5, c.plant); worst > 1+1e-9 {
 					t.Logf("found by seed %d: %.2f of the whole", seed, worst)
 					return
 				}
@@ -264,66 +293,71 @@
 	}
 }
 
-// TestLost has one process die for good: its part goes to the others once its lease and a window are over, not before.
-func TestLost(t *testing.T) {
-	w := newWorld(3, 5, 5, plant{})
+// TestDeadProcess has one process die: its part goes to the others after its lease and a window, and not before.
+func TestDeadProcess(t *testing.T) {
+	w := newSimulation(3, 5, 5, faults{})
 	for w.now < 40000 {
 		w.step()
 	}
-	w.all[4].down = math.Inf(1)
+	w.processes[4].downUntil = math.Inf(1)
 	died := w.now
-	for w.now < died+w.who.LeaseDuration+w.who.Window {
+	for w.now < died+w.config.LeaseDuration+w.config.Window {
 		w.step()
-		for _, p := range w.all[:4] {
-			if n := p.h.Sharers(p.clock(w.now)); n > 0 && n < 5 {
+		for _, p := range w.processes[:4] {
+			if n := p.holder.Sharers(p.clock(w.now)); n > 0 && n < 5 {
 				t.Fatalf("%.0f ms after its death %d share", w.now-died, n)
 			}
 		}
 	}
-	for w.now < died+3*w.who.LeaseDuration {
+	for w.now < died+3*w.config.LeaseDuration {
 		w.step()
 	}
-	for _, p := range w.all[:4] {
-		if n := p.h.Sharers(p.clock(w.now)); n != 4 {
+	for _, p := range w.processes[:4] {
+		if n := p.holder.Sharers(p.clock(w.now)); n != 4 {
 			t.Errorf("place %d reckons with %d", p.place, n)
 		}
 	}
 }
 
-// TestPairs walks every pair of views: of any two sets of places that two processes may have leave of, one place is in
-// both, and whom that one counts both reckon with.
-func TestPairs(t *testing.T) {
+// TestQuorumsIntersect tries every pair of views: of any two sets of places that grant to two processes, one place is in both, and both
+// processes count whom that place counts.
+func TestQuorumsIntersect(t *testing.T) {
 	for places := 1; places <= 6; places++ {
 		for a := range 1 << places {
 			for b := range 1 << places {
-				who := Config{Places: places, LeaseDuration: 1000, Window: 100}
-				begin := func(place int, view int) *Holder {
-					h := New(0, who, place)
-					for k := range places {
-						if view>>k&1 == 1 && k != place {
-							h.OnGrant(5000, k, true, PlaceSet{uint64(a&b) | 1<<k})
-						}
-					}
-					return h
-				}
-				x, y := begin(0, a), begin(places-1, b)
-				now := 5500.0 // all that they gave themselves is over by then
-				if x.Sharers(now) == 0 || y.Sharers(now) == 0 {
-					continue
-				}
-				if places > 1 && (a|1)&(b|1<<(places-1)) == 0 {
-					t.Fatalf("%d places: %b and %b both take part, and nobody told both", places, a, b)
-				}
-				if x.Expiry(now) < now || x.Sharers(x.Expiry(now)+1) != 0 && places > 1 {
-					t.Fatalf("%d places: lease of %b ends at %g, and it takes part after", places, a, x.Expiry(now))
-				}
+				checkViews(t, places, a, b)
 			}
 		}
 	}
 }
 
-// TestStrangers holds that places beyond those of the site file take no part, and are given nothing.
-func TestStrangers(t *testing.T) {
+// checkViews checks the first and the last of some places, which have grants of two sets of places.
+func checkViews(t *testing.T, places, a, b int) {
+	t.Helper()
+	holder := func(place int, view int) *Holder {
+		h := New(0, Config{Places: places, LeaseDuration: 1000, Window: 100}, place)
+		for k := range places {
+			if view>>k&1 == 1 && k != place {
+				h.OnGrant(5000, k, true, PlaceSet{uint64(a&b) | 1<<k})
+			}
+		}
+		return h
+	}
+	x, y := holder(0, a), holder(places-1, b)
+	now := 5500.0 // what they granted before their start has ended
+	if x.Sharers(now) == 0 || y.Sharers(now) == 0 {
+		return
+	}
+	if places > 1 && (a|1)&(b|1<<(places-1)) == 0 {
+		t.Fatalf("%d places: %b and %b both take part, and no place granted to both", places, a, b)
+	}
+	if x.Expiry(now) < now || x.Sharers(x.Expiry(now)+1) != 0 && places > 1 {
+		t.Fatalf("%d places: lease of %b ends at %g, and it takes part after", places, a, x.Expiry(now))
+	}
+}
+
+// TestUnknownPlaces checks that places beyond those of the site file take no part, and are granted nothing.
+func TestUnknownPlaces(t *testing.T) {
 	h := New(0, Config{Places: 3, LeaseDuration: 1000, Window: 100}, 3)
 	for k := range 3 {
 		h.OnGrant(9000, k, true, PlaceSet{7})
@@ -333,9 +367,9 @@
 	}
 	h = New(0, Config{Places: 3, LeaseDuration: 1000, Window: 100}, 0)
 	if leave, _ := h.OnRequest(9000, 3); leave {
-		t.Error("a fourth of three has leave")
+		t.Error("a fourth of three gets a grant")
 	}
 	if leave, _ := h.OnRequest(9000, -1); leave {
-		t.Error("nobody has leave")
+		t.Error("no place gets a grant")
 	}
 }
