--- a/internal/decide/reachability/reachability_test.go
+++ b/internal/decide/reachability/reachability_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestWord(t *testing.T) {
+func TestOnAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		do    func(b *Tracker)
@@ -18,7 +18,7 @@
 		{"before it fell silent", func(b *Tracker) { b.OnAnswer(1800, 7, 5, 900) }, 2000, false, ""},
 		{"just as it fell silent", func(b *Tracker) { b.OnAnswer(1800, 7, 5, 650) }, 2000, false, ""},
 		{"long ago", func(b *Tracker) { b.OnAnswer(1800, 7, 5, 100) }, 5000, false, ""},
-		{"older word after newer", func(b *Tracker) { b.OnAnswer(4000, 7, 5, 0); b.OnAnswer(4500, 7, 5, 3000) }, 5000, true, ""},
+		{"older answer after newer", func(b *Tracker) { b.OnAnswer(4000, 7, 5, 0); b.OnAnswer(4500, 7, 5, 3000) }, 5000, true, ""},
 		{"of another node", func(b *Tracker) { b.OnAnswer(1800, 8, 5, 100) }, 2000, false, ""},
 		{"in another life", func(b *Tracker) { b.OnAnswer(1800, 7, 6, 100) }, 2000, false, "7:5 "},
 		{"in another life, before it fell silent", func(b *Tracker) { b.OnAnswer(1800, 7, 6, 900) }, 2000, false, ""},
@@ -39,7 +39,7 @@
 				t.Error("it lives in a life in which it was not lost")
 			}
 			ended := ""
-			for range 2 { // once alone
+			for range 2 { // it is yielded once
 				b.Ended(func(node uint32, life uint64) { ended += fmt.Sprintf("%d:%d ", node, life) })
 			}
 			if ended != c.ended {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestAsks asks for all nodes in turn, so many at a time, and for none that was lost too long ago.
-func TestAsks(t *testing.T) {
+// TestQuestions checks that all nodes are asked for in turn, MaxQuestions at a time, and none that was lost too long ago.
+func TestQuestions(t *testing.T) {
 	b := &Tracker{}
 	for i := range 5000 {
 		b.OnUnreachable(float64(i), uint32(i), 1)
--- a/internal/decide/workingset/rendezvous.go
+++ b/internal/decide/workingset/rendezvous.go
@@ -8,36 +8,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// view is the schedulers among which nodes are shared out, and which of them this one is.
+// view is the schedulers among which nodes are divided, and which of them this one is.
 type view struct {
 	names  []string // sorted
 	hashes []uint64 // of the names, in their order
-	own    uint64
+	self   uint64   // hash of this scheduler's name
 }
 
 // newView hashes the names. The scheduler itself is always one of them.
-func newView(key, own string, names []string) view {
-	v := view{names: withName(names, own), own: hashOfName(key, own)}
+func newView(key, self string, names []string) view {
+	v := view{names: withName(names, self), self: hashOfName(key, self)}
 	for _, name := range v.names {
 		v.hashes = append(v.hashes, hashOfName(key, name))
 	}
 	return v
 }
 
-// withName sorts names, own among them, each once.
-func withName(names []string, own string) []string {
-	sorted := append(slices.Clone(names), own)
+// withName returns names and self, sorted, each once.
+func withName(names []string, self string) []string {
+	sorted := append(slices.Clone(names), self)
 	slices.Sort(sorted)
 	return slices.Compact(sorted)
 }
 
 func (v *view) schedulers() float64 { return float64(len(v.names)) }
 
-// position tells how far back this scheduler stands among all that want a node: its rank by rendezvous hashing
-// (Thaler and Ravishankar, 1998) plus a fraction from 0 to 1. A node of which each scheduler takes the positions below
-// k is in floor(k) or floor(k)+1 sets, and in k on average.
+// position returns this scheduler's position among all that want a node: its rank by rendezvous hashing (Thaler and Ravishankar, 1998)
+// plus a fraction from 0 to 1. A node of which each scheduler takes the positions below k is in floor(k) or floor(k)+1 sets, and in k on
+// average.
 func (v *view) position(node uint64) float64 {
-	own := mix(node ^ v.own)
+	own := mix(node ^ v.self)
 	rank := 0
 	for _, scheduler := range v.hashes {
 		if mix(node^scheduler) > own {
--- a/internal/decide/workingset/visits.go
+++ b/internal/decide/workingset/visits.go
@@ -1,20 +1,21 @@
 package workingset
 
 const (
-	maxActiveVisits    = 64   // under way
+	maxActiveVisits    = 64
 	visitRetryInterval = 2000 // ms after a visit that failed
 )
 
-// Visits are the nodes outside the set that are still to be asked once what they hold for this scheduler: an earlier
-// incarnation of it may have left tasks there. The zero value has none.
+// Visits are the nodes outside the set that this scheduler still has to ask once for the tasks that they hold for it: an earlier
+// incarnation of the scheduler may have left some there. The zero value is empty.
 type Visits struct {
-	waiting []uint32 // in the order in which they came
-	failed  []retry  // in the order of their time
+	waiting []uint32     // in order of arrival
+	failed  []visitRetry // in order of time
 	states  map[uint32]visitState
 	active  int
 }
 
-type retry struct {
+// visitRetry is a failed visit that is made again.
+type visitRetry struct {
 	at float64
 	id uint32
 }
@@ -22,22 +23,22 @@
 type visitState uint8
 
 const (
-	visitWaits visitState = iota + 1
+	visitWaiting visitState = iota + 1
 	visitActive
 )
 
-// Add asks for a visit to a node.
+// Add adds a node to visit.
 func (v *Visits) Add(id uint32) {
 	if v.states == nil {
 		v.states = map[uint32]visitState{}
 	}
 	if v.states[id] == 0 {
-		v.states[id] = visitWaits
+		v.states[id] = visitWaiting
 		v.waiting = append(v.waiting, id)
 	}
 }
 
-// Remove says that a visit is not needed any more, or was made.
+// Remove removes a node whose visit is done or no longer needed.
 func (v *Visits) Remove(id uint32) {
 	if v.states[id] == visitActive {
 		v.active--
@@ -45,7 +46,7 @@
 	delete(v.states, id)
 }
 
-// Next gives a node to visit now, if one is due.
+// Next returns a node to visit now; false if none is due.
 func (v *Visits) Next(now float64) (id uint32, ok bool) {
 	if v.active >= maxActiveVisits {
 		return 0, false
@@ -56,7 +57,7 @@
 	}
 	for len(v.waiting) > 0 {
 		id, v.waiting = v.waiting[0], v.waiting[1:]
-		if v.states[id] == visitWaits { // else it was dropped
+		if v.states[id] == visitWaiting { // else it was removed
 			v.states[id] = visitActive
 			v.active++
 			return id, true
@@ -65,15 +66,15 @@
 	return 0, false
 }
 
-// OnFailed says that a visit came to nothing: it is made again.
+// OnFailed records that a visit failed. It is made again.
 func (v *Visits) OnFailed(now float64, id uint32) {
 	if v.states[id] != visitActive {
 		return
 	}
 	v.active--
-	v.states[id] = visitWaits
-	v.failed = append(v.failed, retry{now + visitRetryInterval, id})
+	v.states[id] = visitWaiting
+	v.failed = append(v.failed, visitRetry{now + visitRetryInterval, id})
 }
 
-// Pending is how many visits are still to be made, or under way.
+// Pending returns how many visits are still to be made or active.
 func (v *Visits) Pending() int { return len(v.states) }
--- a/internal/decide/workingset/visits_test.go
+++ b/internal/decide/workingset/visits_test.go
@@ -2,40 +2,49 @@
 
 import "testing"
 
-func TestVisits(t *testing.T) {
-	var v Visits
+// startVisits returns visits of nodes 0 to 99 without 5, and the nodes that are visited at once.
+func startVisits(t *testing.T) (visits *Visits, active []uint32) {
+	t.Helper()
+	visits = &Visits{}
 	for id := range uint32(100) {
-		v.Add(id)
-		v.Add(id)
+		visits.Add(id)
+		visits.Add(id)
 	}
-	v.Remove(5)
-	var out []uint32
-	for id, ok := v.Next(0); ok; id, ok = v.Next(0) {
-		out = append(out, id)
+	visits.Remove(5)
+	for id, ok := visits.Next(0); ok; id, ok = visits.Next(0) {
+		active = append(active, id)
 	}
-	if len(out) != maxActiveVisits || out[5] != 6 || v.Pending() != 99 {
-		t.Fatalf("%d at once, %v, %d left", len(out), out, v.Pending())
+	if len(active) != maxActiveVisits || active[5] != 6 || visits.Pending() != 99 {
+		t.Fatalf("%d at once, %v, %d pending", len(active), active, visits.Pending())
 	}
-	v.OnFailed(0, out[0])
-	for _, id := range out[1:] {
-		v.Remove(id)
+	return visits, active
+}
+
+func TestVisits(t *testing.T) {
+	visits, active := startVisits(t)
+	visits.OnFailed(0, active[0])
+	for _, id := range active[1:] {
+		visits.Remove(id)
 	}
 	made := map[uint32]int{}
 	for now := 0.0; now < 3*visitRetryInterval; now += 100 {
-		for id, ok := v.Next(now); ok; id, ok = v.Next(now) {
+		for id, ok := visits.Next(now); ok; id, ok = visits.Next(now) {
 			made[id]++
-			if id == out[0] && now < visitRetryInterval {
+			if id == active[0] && now < visitRetryInterval {
 				t.Errorf("visited again after %.0f ms", now)
 			}
-			v.Remove(id)
+			visits.Remove(id)
 		}
 	}
-	if made[out[0]] != 1 || made[99] != 1 || made[5] != 0 || v.Pending() != 0 || v.active != 0 {
-		t.Errorf("%v, %d left, %d active", made, v.Pending(), v.active)
+	if made[active[0]] != 1 || made[99] != 1 || made[5] != 0 {
+		t.Errorf("%v", made)
+	}
+	if visits.Pending() != 0 || visits.active != 0 {
+		t.Errorf("%d pending, %d active", visits.Pending(), visits.active)
 	}
-	v.OnFailed(0, 3) // late word of one that was dropped
-	v.Add(3)
-	if id, ok := v.Next(0); !ok || id != 3 {
+	visits.OnFailed(0, 3) // late failure of a visit that was removed
+	visits.Add(3)
+	if id, ok := visits.Next(0); !ok || id != 3 {
 		t.Errorf("%d %t", id, ok)
 	}
 }
--- a/internal/decide/workingset/widen_test.go
+++ b/internal/decide/workingset/widen_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// shortage has nothing fit for a while, and tells how many nodes entered in the worst second and how long it took
-// until the set had doubled.
-func shortage(plant Faults) (worst int, doubled float64) {
+// simulateShortage reports a shortage for a while. It returns how many nodes were added in the worst second, and how many ms it took until the
+// set had grown by half.
+func simulateShortage(plant Faults) (worst int, doubled float64) {
 	c, s := oneOf(30, 14000, Config{MinNodes: 480, Coverage: 1, Faults: plant})
 	usual, began := s.Size(), c.now
 	var entered []int
@@ -28,19 +28,19 @@
 }
 
 func TestWidensAtABoundedRate(t *testing.T) {
-	worst, doubled := shortage(Faults{})
+	worst, doubled := simulateShortage(Faults{})
 	if worst > 480*3/2+10 || doubled == 0 || doubled > 1000 {
 		t.Errorf("%d nodes in the worst second, half as many again after %.0f ms", worst, doubled)
 	}
-	if worst, _ := shortage(Faults{UnboundedWidening: true}); worst <= 480*3/2+10 {
+	if worst, _ := simulateShortage(Faults{UnboundedWidening: true}); worst <= 480*3/2+10 {
 		t.Errorf("unbounded widening passes the check: %d in a second", worst)
 	}
 }
 
-// TestShortKindWidensAlone has a kind of machine be short.
+// TestShortKindWidensAlone reports a shortage of one machine kind.
 func TestShortKindWidensAlone(t *testing.T) {
 	c, s := oneOf(30, 1300, Config{MinNodes: 60, Coverage: 1})
-	for range 50 { // as the pace is 60 nodes a second
+	for range 50 { // because 60 nodes per second are added
 		s.OnShortage(1)
 		s.Step(c.now)
 		c.now += 300
@@ -56,8 +56,8 @@
 	}
 }
 
-// pulses has a shortage come each few seconds, and tells how often nodes entered, beside the nodes of the set at most.
-func pulses(every, total float64, plant Faults) (entered, most int) {
+// simulatePulses reports a shortage every few seconds. It returns how many nodes were added, and the largest size of the set.
+func simulatePulses(every, total float64, plant Faults) (entered, most int) {
 	c, s := oneOf(30, 1300, Config{MinNodes: 100, Coverage: 1, Faults: plant})
 	usual := s.Size()
 	next := c.now
@@ -74,12 +74,12 @@
 
 func TestDoesNotFlap(t *testing.T) {
 	for _, every := range []float64{2000, 40_000, 70_000} {
-		entered, extra := pulses(every, 20*60_000, Faults{})
+		entered, extra := simulatePulses(every, 20*60_000, Faults{})
 		if entered > 6*max(extra, 100) {
 			t.Errorf("a shortage each %.0f ms: %d entered, the set was at most %d beyond its usual size", every, entered, extra)
 		}
 	}
-	if entered, extra := pulses(2000, 20*60_000, Faults{Flap: true}); entered <= 6*max(extra, 100) {
+	if entered, extra := simulatePulses(2000, 20*60_000, Faults{Flap: true}); entered <= 6*max(extra, 100) {
 		t.Errorf("a set that flaps passes the check: %d entered, %d beyond", entered, extra)
 	}
 }
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestLostNodesAreReplaced has all nodes of a set be lost at once: others take their place within a second, and the
-// set does not go back to those that are lost.
+// TestLostNodesAreReplaced has all nodes of a set be unreachable at once: others are added within a second, and the set does not narrow to
+// the unreachable ones.
 func TestLostNodesAreReplaced(t *testing.T) {
 	c, s := oneOf(30, 1300, Config{MinNodes: 100, Coverage: 1})
 	lost := map[uint32]bool{}
--- a/internal/decide/workingset/workingset_test.go
+++ b/internal/decide/workingset/workingset_test.go
@@ -40,7 +40,7 @@
 	return c
 }
 
-// oneOf makes the set of one of several schedulers, which stay.
+// oneOf returns the set of one of several schedulers, which stay the same.
 func oneOf(schedulers, nodes int, config Config) (*cluster, *Set) {
 	c := &cluster{nodes: nodes}
 	for i := range schedulers {
@@ -61,7 +61,7 @@
 	return s
 }
 
-// run lets time pass; each set hears of the members.
+// run lets time pass; each set gets the names of the members.
 func (c *cluster) run(ms float64) (changes []Change) {
 	for end := c.now + ms; c.now < end; c.now += 100 {
 		for _, s := range c.sets {
@@ -72,7 +72,7 @@
 	return changes
 }
 
-// coverage is in how many sets each node is, the least and the most.
+// coverage returns the least and the largest number of sets that a node is in.
 func (c *cluster) coverage() (least, most int) {
 	least = math.MaxInt
 	for i := range c.nodes {
@@ -87,10 +87,10 @@
 	return least, most
 }
 
-// bound is the largest size that is to be expected of a set: four standard deviations of a binomial count above its mean.
+// bound returns the largest size that is to be expected of a set: four standard deviations of a binomial count above its mean.
 func bound(mean float64) float64 { return mean + 4*math.Sqrt(mean) + zones*kinds*perStratum }
 
-// checkSizes tells what is wrong with the sizes and the coverage of a cluster's sets.
+// checkSizes returns what is wrong with the sizes and the coverage of a cluster's sets.
 func (c *cluster) checkSizes(mean float64) error {
 	for _, s := range c.sets {
 		if float64(s.Size()) > bound(mean) || float64(s.Size()) < mean-4*math.Sqrt(mean) {
@@ -137,7 +137,7 @@
 	}
 }
 
-// memberChange has one of the schedulers go, or a new one come, and tells which part of the sets changes.
+// memberChange removes a scheduler or adds one, and returns which fraction of the sets changes.
 func memberChange(joins bool, plant Faults) (part float64, least int) {
 	const schedulers, nodes = 30, 1300
 	c := newCluster(schedulers, nodes, Config{MinNodes: 480, Coverage: 1, Faults: plant})
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestMembersSettle has a scheduler come and go faster than the others take notice.
+// TestMembersSettle has a scheduler start and end faster than the others apply it.
 func TestMembersSettle(t *testing.T) {
 	c := newCluster(10, 500, Config{MinNodes: 100, Coverage: 1})
 	all := c.names
@@ -198,7 +198,7 @@
 	}
 }
 
-// TestEveryStratum has few nodes of one kind: each set holds some of each zone and kind.
+// TestEveryStratum checks that each set holds nodes of each zone and kind where one kind is rare.
 func TestEveryStratum(t *testing.T) {
 	s := New(0, Config{Self: "a", Schedulers: 30, MinNodes: 20, Coverage: 1, PerStratum: perStratum, NarrowAfter: narrowAfter})
 	for i := range 1300 {
@@ -236,7 +236,7 @@
 	}
 }
 
-// TestDrainingStays has a node of the set drain: it stays until it is gone, and one outside does not enter.
+// TestDrainingStays checks that a draining node stays in the set until it is removed from the list, and is not added.
 func TestDrainingStays(t *testing.T) {
 	c, s := oneOf(2, 40, Config{MinNodes: 10, Coverage: 1})
 	for i := range c.nodes {
@@ -259,66 +259,87 @@
 	}
 }
 
-// TestRandomHistories plays random events; what the changes tell and what the set holds stay the same.
+// TestRandomHistories makes random calls: the sum of the changes is what the set holds.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(0, Config{Self: "a", Schedulers: 5, MinNodes: 8, Coverage: 1, Spare: 4, PerStratum: 1, NarrowAfter: narrowAfter})
-		now, told := 0.0, map[uint32]bool{}
-		listed := map[uint32]State{}
+		config := Config{Self: "a", Schedulers: 5, MinNodes: 8, Coverage: 1, Spare: 4, PerStratum: 1, NarrowAfter: narrowAfter}
+		m := &setModel{t: t, set: New(0, config), inSet: map[uint32]bool{}, listed: map[uint32]State{}}
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
-			id := uint32(rapid.IntRange(1, 60).Draw(t, "node"))
-			switch rapid.IntRange(0, 8).Draw(t, "event") {
-			case 0, 1, 2:
-				n := Node{
-					ID: id, Zone: rapid.IntRange(0, 2).Draw(t, "zone"), Kind: rapid.IntRange(0, 1).Draw(t, "kind"),
-					State: State(rapid.IntRange(0, 1).Draw(t, "state")),
-				}
-				s.PutNode(n)
-				listed[id] = n.State
-			case 3:
-				s.RemoveNode(id)
-				delete(listed, id)
-				delete(told, id)
-			case 4:
-				s.SetMembers(now, []string{"a", "b", "c", "d"}[:rapid.IntRange(0, 4).Draw(t, "members")])
-			case 5:
-				s.OnShortage(rapid.IntRange(-1, 1).Draw(t, "kind"))
-			case 6:
-				s.SetReachable(id, rapid.Bool().Draw(t, "reachable"))
-			case 7:
-				s.SetLoad(Load{Machines: rapid.Float64Range(0, 20).Draw(t, "machines")})
-			}
-			now += rapid.Float64Range(0, 40_000).Draw(t, "passes")
-			change := s.Step(now)
-			for _, id := range change.Added {
-				if state, ok := listed[id]; told[id] || !ok || state != Ready {
-					t.Fatalf("%d enters, in the set %t, listed %t %d", id, told[id], ok, state)
-				}
-				told[id] = true
-			}
-			for _, left := range change.Removed {
-				if !told[left.ID] {
-					t.Fatalf("%d leaves and is not in the set", left.ID)
-				}
-				delete(told, left.ID)
-			}
-			if len(told) != s.Size() {
-				t.Fatalf("%d told, size %d", len(told), s.Size())
-			}
-			ready := 0
-			for _, state := range listed {
-				if state == Ready {
-					ready++
-				}
-			}
-			if ready != s.ready || ready > 0 && s.Size() == 0 {
-				t.Fatalf("%d ready, counted %d, %d in the set", ready, s.ready, s.Size())
-			}
+			m.call(uint32(rapid.IntRange(1, 60).Draw(t, "node")))
+			m.step()
+			m.check()
 		}
 	})
 }
 
-// TestSameHistorySameSet: the order in which the list names nodes and members does not matter.
+// setModel is a set, the node list, and what the set holds by its changes.
+type setModel struct {
+	t      *rapid.T
+	set    *Set
+	now    float64
+	listed map[uint32]State
+	inSet  map[uint32]bool
+}
+
+// call makes a random call, for a node if it needs one.
+func (m *setModel) call(id uint32) {
+	switch rapid.IntRange(0, 8).Draw(m.t, "event") {
+	case 0, 1, 2:
+		n := Node{
+			ID: id, Zone: rapid.IntRange(0, 2).Draw(m.t, "zone"), Kind: rapid.IntRange(0, 1).Draw(m.t, "kind"),
+			State: State(rapid.IntRange(0, 1).Draw(m.t, "state")),
+		}
+		m.set.PutNode(n)
+		m.listed[id] = n.State
+	case 3:
+		m.set.RemoveNode(id)
+		delete(m.listed, id)
+		delete(m.inSet, id)
+	case 4:
+		m.set.SetMembers(m.now, []string{"a", "b", "c", "d"}[:rapid.IntRange(0, 4).Draw(m.t, "members")])
+	case 5:
+		m.set.OnShortage(rapid.IntRange(-1, 1).Draw(m.t, "kind"))
+	case 6:
+		m.set.SetReachable(id, rapid.Bool().Draw(m.t, "reachable"))
+	case 7:
+		m.set.SetLoad(Load{Machines: rapid.Float64Range(0, 20).Draw(m.t, "machines")})
+	}
+}
+
+// step lets time pass and applies what changes.
+func (m *setModel) step() {
+	m.now += rapid.Float64Range(0, 40_000).Draw(m.t, "passes")
+	change := m.set.Step(m.now)
+	for _, id := range change.Added {
+		if state, ok := m.listed[id]; m.inSet[id] || !ok || state != Ready {
+			m.t.Fatalf("%d is added, in the set %t, listed %t %d", id, m.inSet[id], ok, state)
+		}
+		m.inSet[id] = true
+	}
+	for _, removal := range change.Removed {
+		if !m.inSet[removal.ID] {
+			m.t.Fatalf("%d is removed and is not in the set", removal.ID)
+		}
+		delete(m.inSet, removal.ID)
+	}
+}
+
+func (m *setModel) check() {
+	if len(m.inSet) != m.set.Size() {
+		m.t.Fatalf("%d by the changes, size %d", len(m.inSet), m.set.Size())
+	}
+	ready := 0
+	for _, state := range m.listed {
+		if state == Ready {
+			ready++
+		}
+	}
+	if ready != m.set.ready || ready > 0 && m.set.Size() == 0 {
+		m.t.Fatalf("%d ready, counted %d, %d in the set", ready, m.set.ready, m.set.Size())
+	}
+}
+
+// TestSameHistorySameSet checks that the order of nodes and members does not matter.
 func TestSameHistorySameSet(t *testing.T) {
 	build := func(reverse bool) (in []uint32) {
 		names := []string{"a", "b", "c", "d"}
