--- a/internal/decide/connadmission/connadmission.go
+++ b/internal/decide/connadmission/connadmission.go
@@ -1,9 +1,12 @@
-// Package connadmission decides about the connections at the owners' door of a hosted service: who comes in, who has to go for
-// somebody else, and how much of what a tenant sends is read. It guards against callers without a token that fill the door, and
-// against a tenant whose connections or bytes leave none for the others.
+// Package connadmission decides about the connections at the client listener of a hosted service: which is accepted, which is closed for
+// another, and how much of what a tenant sends is read. It guards against callers that fill the listener without a token, and against a
+// tenant whose connections or bytes leave none for the others.
 //
-// A caller is a stranger until it has shown a token. Strangers are bounded by themselves, and the one that has waited longest
-// makes way: a caller that shows its token at once is let in whatever the number of those that do not.
+// A connection is unauthenticated until it has shown a tenant's token. Unauthenticated connections have a limit of their own, beyond which
+// the oldest is closed for a new one, so that a client that shows its token at once is accepted however many others do not.
+//
+// Connections, tokens, bytes and times go in; decisions come out. The package does no I/O, starts no goroutines and returns no errors. A
+// Controller is not safe for concurrent use. Times are milliseconds on the caller's clock.
 package connadmission
 
 import (
@@ -12,180 +15,155 @@
 )
 
 const (
-	maxUnauthenticatedFraction = 0.25      // part of the door that is open to strangers
-	crowdedFraction            = 0.5       // part of the door in use from which a tenant is held to its share
-	shareFactor                = 2         // times its share that it may have then
-	minConns                   = 2         // that a tenant may always have: one goes while the next comes
-	authenticationTimeout      = 3000      // ms for a stranger to show a token
-	maxUnauthenticatedBytes    = 4 << 10   // that a stranger may send
-	defaultBytesPerSecond      = 512 << 10 // a second of each tenant that has no limit of its own: some 2,000 asks
-	burstDuration              = 2000      // ms at that rate that may come at once
-	maxExcessBursts            = 2         // bursts beyond it, from which a connection ends instead of being told to wait
+	maxUnauthenticatedFraction = 0.25 // of all connections
+	crowdedFraction            = 0.5  // of the connections for tenants, in use, from which a tenant is held to its share
+	shareFactor                = 2    // times its share that a tenant may have then
+	minConns                   = 2    // that a tenant may always have: one closes while the next opens
+	authenticationTimeout      = 3000 // ms
+	maxUnauthenticatedBytes    = 4 << 10
 )
 
-// Limits are a tenant's.
+// Limits are a tenant's limits.
 type Limits struct {
-	Share          float64 // beside those of others
-	MaxConns       int     // at once, 0: by its share of the door
-	BytesPerSecond float64 // a second, 0: as many as usual
+	Share          float64 // in proportion to those of others
+	MaxConns       int     // connections at once; 0: by its share of all
+	BytesPerSecond float64 // 0: defaultBytesPerSecond
 }
 
+// tenantUsage is what a tenant uses.
 type tenantUsage struct {
 	limits    Limits
 	conns     int
-	level     float64 // bytes that came, less what drained since
-	updatedAt float64 // when that was reckoned
+	level     float64 // bytes received, less those that its rate has drained since
+	updatedAt float64 // when the level was computed
 }
 
+// unauthenticated is the slot of connections without a token.
+const unauthenticated = -1
+
+// connection is an accepted connection.
 type connection struct {
 	id         uint32
 	acceptedAt float64
-	slot       int // -1: a stranger
-	received   int // as a stranger
+	slot       int // of its tenant, or unauthenticated
+	received   int // bytes before authentication
 }
 
-// Controller holds the counts.
+// Controller decides about the connections of a listener.
 type Controller struct {
 	maxConns        int
 	conns           map[uint32]*connection
-	unauthenticated []uint32 // strangers in the order of their coming
-	tenants         map[int]*tenantUsage
-	shares          float64
+	unauthenticated []uint32             // in order of arrival
+	tenants         map[int]*tenantUsage // by slot
+	shares          float64              // sum of all tenants' shares
 }
 
-// New makes a door for so many connections.
-func New(most int) *Controller {
-	return &Controller{maxConns: most, conns: map[uint32]*connection{}, tenants: map[int]*tenantUsage{}}
+// New returns a controller for a number of connections at once.
+func New(maxConns int) *Controller {
+	return &Controller{maxConns: maxConns, conns: map[uint32]*connection{}, tenants: map[int]*tenantUsage{}}
 }
 
-// SetLimits sets a tenant's limits. Connections that it has beyond smaller ones stay.
-func (d *Controller) SetLimits(slot int, l Limits) {
-	g := d.tenant(slot)
-	d.shares += l.Share - g.limits.Share
-	g.limits = l
+// SetLimits sets a tenant's limits. Connections that it has beyond lower ones stay.
+func (c *Controller) SetLimits(slot int, limits Limits) {
+	t := c.tenant(slot)
+	c.shares += limits.Share - t.limits.Share
+	t.limits = limits
 }
 
-func (d *Controller) tenant(slot int) *tenantUsage {
-	if d.tenants[slot] == nil {
-		d.tenants[slot] = &tenantUsage{}
+func (c *Controller) tenant(slot int) *tenantUsage {
+	if c.tenants[slot] == nil {
+		c.tenants[slot] = &tenantUsage{}
 	}
-	return d.tenants[slot]
+	return c.tenants[slot]
 }
 
-// Accept takes a new connection, a stranger. Another one may have to go for it (0: none); if it is not let in, no other can.
-func (d *Controller) Accept(now float64, id uint32) (in bool, out uint32) {
-	if len(d.conns) >= d.maxConns || len(d.unauthenticated) >= d.maxUnauthenticated() {
-		if len(d.unauthenticated) == 0 {
+// Accept decides about a new connection, which is unauthenticated. If it is accepted in the place of another, that one is to be closed;
+// 0 if there is none.
+func (c *Controller) Accept(now float64, id uint32) (accepted bool, closed uint32) {
+	if len(c.conns) >= c.maxConns || len(c.unauthenticated) >= c.maxUnauthenticated() {
+		if len(c.unauthenticated) == 0 {
 			return false, 0
 		}
-		out = d.unauthenticated[0]
-		d.OnClose(out)
+		closed = c.unauthenticated[0]
+		c.OnClose(closed)
 	}
-	d.conns[id] = &connection{id: id, acceptedAt: now, slot: -1}
-	d.unauthenticated = append(d.unauthenticated, id)
-	return true, out
+	c.conns[id] = &connection{id: id, acceptedAt: now, slot: unauthenticated}
+	c.unauthenticated = append(c.unauthenticated, id)
+	return true, closed
 }
 
-func (d *Controller) maxUnauthenticated() int {
-	return max(1, int(maxUnauthenticatedFraction*float64(d.maxConns)))
+func (c *Controller) maxUnauthenticated() int {
+	return max(1, int(maxUnauthenticatedFraction*float64(c.maxConns)))
 }
 
-// Authenticate takes it that a connection has shown a tenant's token. False if the tenant has as many connections as it may.
-func (d *Controller) Authenticate(id uint32, slot int) bool {
-	c := d.conns[id]
-	if c == nil || c.slot >= 0 {
-		return c != nil && c.slot == slot
+// Authenticate records that a connection has shown a tenant's token; false if the tenant has as many connections as it may.
+func (c *Controller) Authenticate(id uint32, slot int) bool {
+	conn := c.conns[id]
+	if conn == nil {
+		return false
 	}
-	g := d.tenant(slot)
-	if g.conns >= d.maxConnsOf(g) {
+	if conn.slot >= 0 {
+		return conn.slot == slot
+	}
+	t := c.tenant(slot)
+	if t.conns >= c.maxConnsOf(t) {
 		return false
 	}
-	d.unauthenticated = slices.DeleteFunc(d.unauthenticated, func(w uint32) bool { return w == id })
-	c.slot = slot
-	g.conns++
+	c.removeUnauthenticated(id)
+	conn.slot = slot
+	t.conns++
 	return true
 }
 
-// maxConnsOf is how many connections a tenant may have.
-func (d *Controller) maxConnsOf(g *tenantUsage) int {
-	if g.limits.MaxConns > 0 {
-		return g.limits.MaxConns
+func (c *Controller) removeUnauthenticated(id uint32) {
+	c.unauthenticated = slices.DeleteFunc(c.unauthenticated, func(x uint32) bool { return x == id })
+}
+
+// maxConnsOf returns how many connections a tenant may have.
+func (c *Controller) maxConnsOf(t *tenantUsage) int {
+	if t.limits.MaxConns > 0 {
+		return t.limits.MaxConns
 	}
-	room := float64(d.maxConns - d.maxUnauthenticated())
-	if float64(len(d.conns)-len(d.unauthenticated)) < crowdedFraction*room {
-		return max(minConns, int(crowdedFraction*room))
+	available := float64(c.maxConns - c.maxUnauthenticated())
+	inUse := float64(len(c.conns) - len(c.unauthenticated))
+	if inUse < crowdedFraction*available {
+		return max(minConns, int(crowdedFraction*available))
 	}
-	return max(minConns, int(math.Ceil(shareFactor*g.limits.Share/max(d.shares, g.limits.Share, 1e-9)*room)))
+	return max(minConns, int(math.Ceil(shareFactor*t.limits.Share/max(c.shares, t.limits.Share, 1e-9)*available)))
 }
 
-// OnClose takes it that a connection is over.
-func (d *Controller) OnClose(id uint32) {
-	c := d.conns[id]
-	if c == nil {
+// OnClose records that a connection is closed.
+func (c *Controller) OnClose(id uint32) {
+	conn := c.conns[id]
+	if conn == nil {
 		return
 	}
-	delete(d.conns, id)
-	if c.slot < 0 {
-		d.unauthenticated = slices.DeleteFunc(d.unauthenticated, func(w uint32) bool { return w == id })
+	delete(c.conns, id)
+	if conn.slot < 0 {
+		c.removeUnauthenticated(id)
 		return
 	}
-	d.tenants[c.slot].conns--
+	c.tenants[conn.slot].conns--
 }
 
-// AuthenticationExpired gives the strangers whose time to show a token is up. The caller ends them.
-func (d *Controller) AuthenticationExpired(now float64) (late []uint32) {
-	for _, id := range d.unauthenticated {
-		if now-d.conns[id].acceptedAt <= authenticationTimeout {
-			break // the rest came later
+// AuthenticationExpired returns the connections that have shown no token in time. The caller closes them.
+func (c *Controller) AuthenticationExpired(now float64) (expired []uint32) {
+	for _, id := range c.unauthenticated {
+		if now-c.conns[id].acceptedAt <= authenticationTimeout {
+			break // the rest arrived later
 		}
-		late = append(late, id)
+		expired = append(expired, id)
 	}
-	return late
+	return expired
 }
 
-// Verdict is about bytes that came.
-type Verdict uint8
-
-const (
-	Accept   Verdict = iota
-	Throttle         // read, but asks in them are declined: their tenant has sent more than it may
-	Close            // the connection ends
-)
-
-// OnBytes takes bytes that came on a connection. With Hold it gives the time, in ms, in which the tenant may ask again.
-func (d *Controller) OnBytes(now float64, id uint32, bytes int) (v Verdict, back float64) {
-	c := d.conns[id]
-	switch {
-	case c == nil:
-		return Close, 0
-	case c.slot < 0:
-		if c.received += bytes; c.received > maxUnauthenticatedBytes {
-			return Close, 0
-		}
-		return Accept, 0
-	}
-	g, rate := d.tenants[c.slot], float64(defaultBytesPerSecond)
-	if g.limits.BytesPerSecond > 0 {
-		rate = g.limits.BytesPerSecond
-	}
-	full := max(rate*burstDuration/1000, maxUnauthenticatedBytes)
-	g.level = max(0, g.level-max(0, now-g.updatedAt)/1000*rate) + float64(bytes)
-	g.updatedAt = max(g.updatedAt, now)
-	switch {
-	case g.level <= full:
-		return Accept, 0
-	case g.level > (1+maxExcessBursts)*full:
-		g.level = (1 + maxExcessBursts) * full // who comes back finds it no fuller
-		return Close, 0
-	}
-	return Throttle, math.Ceil((g.level - full) / rate * 1000)
-}
-
-// Conns is how many connections a tenant has, Strangers how many callers have shown no token.
-func (d *Controller) Conns(slot int) int {
-	if g := d.tenants[slot]; g != nil {
-		return g.conns
+// Conns returns how many connections a tenant has.
+func (c *Controller) Conns(slot int) int {
+	if t := c.tenants[slot]; t != nil {
+		return t.conns
 	}
 	return 0
 }
-func (d *Controller) Unauthenticated() int { return len(d.unauthenticated) }
+
+// Unauthenticated returns how many connections have shown no token.
+func (c *Controller) Unauthenticated() int { return len(c.unauthenticated) }
--- a/internal/decide/connadmission/connadmission_test.go
+++ b/internal/decide/connadmission/connadmission_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestStrangers has callers that show no token fill the door: one that shows its token at once is let in all the same.
-func TestStrangers(t *testing.T) {
+// TestUnauthenticated fills the listener with connections that show no token: one that shows its token at once is accepted all the same.
+func TestUnauthenticated(t *testing.T) {
 	d := New(40)
 	for slot := range 4 {
 		d.SetLimits(slot, Limits{Share: 1})
@@ -18,7 +18,7 @@
 			t.Fatalf("%d not let in", id)
 		}
 		if out > 0 {
-			for oldest%100 == 0 { // known
+			for oldest%100 == 0 { // authenticated
 				oldest++
 			}
 			if out != oldest {
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestConns holds tenants to their connections.
+// TestConns checks the limits of connections.
 func TestConns(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -50,51 +50,61 @@
 		want  int
 	}{
 		{"its own limit", Limits{Share: 1, MaxConns: 3}, 0, 3},
-		{"alone: half of the door", Limits{Share: 1}, 0, 15},
-		{"a crowded door: twice its share", Limits{Share: 1}, 15, 10},
+		{"alone: half of all", Limits{Share: 1}, 0, 15},
+		{"crowded: twice its share", Limits{Share: 1}, 15, 10},
 		{"a small share: two at least", Limits{Share: 0.001}, 15, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := New(40)
-			id := uint32(0)
-			come := func(slot int) bool {
-				id++
-				in, _ := d.Accept(0, id)
-				ok := in && d.Authenticate(id, slot)
-				if !ok {
-					d.OnClose(id)
-				}
-				return ok
-			}
-			d.SetLimits(0, c.limit)
+			x := &connector{controller: New(40)}
+			x.controller.SetLimits(0, c.limit)
 			for slot := 1; slot < 6; slot++ {
-				d.SetLimits(slot, Limits{Share: 1, MaxConns: c.other})
-			}
-			for range c.other {
-				if !come(1) {
-					t.Fatal("the other was not let in")
-				}
+				x.controller.SetLimits(slot, Limits{Share: 1, MaxConns: c.other})
 			}
-			got := 0
-			for range 60 {
-				if come(0) {
-					got++
-				}
+			if got := x.connectAll(1, c.other); got != c.other {
+				t.Fatalf("%d connections of the other, want %d", got, c.other)
 			}
-			if got != c.want || d.Conns(0) != c.want || d.Unauthenticated() != 0 {
-				t.Errorf("%d connections, %d strangers; want %d", got, d.Unauthenticated(), c.want)
+			got := x.connectAll(0, 60)
+			if got != c.want || x.controller.Conns(0) != c.want || x.controller.Unauthenticated() != 0 {
+				t.Errorf("%d connections, %d unauthenticated; want %d", got, x.controller.Unauthenticated(), c.want)
 			}
-			d.OnClose(id)
-			d.OnClose(uint32(c.other + 1))
-			if !come(0) {
-				t.Error("not let in after one went")
+			x.controller.OnClose(x.lastID)
+			x.controller.OnClose(uint32(c.other + 1))
+			if !x.connect(0) {
+				t.Error("not accepted after one was closed")
 			}
 		})
 	}
 }
 
-// TestFull turns strangers away when the door is full of those who are known.
-func TestFull(t *testing.T) {
+// connector opens connections that show their token at once.
+type connector struct {
+	controller *Controller
+	lastID     uint32
+}
+
+// connect reports whether a connection of a tenant is accepted.
+func (x *connector) connect(slot int) bool {
+	x.lastID++
+	accepted, _ := x.controller.Accept(0, x.lastID)
+	ok := accepted && x.controller.Authenticate(x.lastID, slot)
+	if !ok {
+		x.controller.OnClose(x.lastID)
+	}
+	return ok
+}
+
+// connectAll returns how many of a number of connections are accepted.
+func (x *connector) connectAll(slot, conns int) (accepted int) {
+	for range conns {
+		if x.connect(slot) {
+			accepted++
+		}
+	}
+	return accepted
+}
+
+// TestListenerFull checks that no connection is accepted when all are authenticated.
+func TestListenerFull(t *testing.T) {
 	d := New(4)
 	for id := uint32(1); id <= 4; id++ {
 		d.SetLimits(int(id), Limits{Share: 1, MaxConns: 4})
@@ -114,7 +124,7 @@
 	}
 }
 
-// TestBytes lets a tenant send so much at once and so much a second, holds back what is beyond, and ends what goes on.
+// TestBytes checks that a tenant may send a burst and a rate, is throttled beyond it, and is closed if it goes on.
 func TestBytes(t *testing.T) {
 	d := New(8)
 	d.SetLimits(0, Limits{Share: 1, BytesPerSecond: 10000})
@@ -157,49 +167,75 @@
 	}
 }
 
-// TestCounts draws any order of calls: nothing is counted twice or lost, and the door never holds more than it may.
+// TestCounts makes random calls: no connection is counted twice or lost, and there are never too many.
 func TestCounts(t *testing.T) {
 	for seed := range uint64(200) {
-		rng := rand.New(rand.NewPCG(seed, 1))
-		d, of := New(20), map[uint32]int{}
+		m := &connModel{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), controller: New(20), slots: map[uint32]int{}}
 		for slot := range 3 {
-			d.SetLimits(slot, Limits{Share: 1, MaxConns: rng.IntN(12)})
+			m.controller.SetLimits(slot, Limits{Share: 1, MaxConns: m.rng.IntN(12)})
 		}
-		next := uint32(0)
 		for range 400 {
-			id := uint32(rng.IntN(int(next)+1)) + 1
-			switch rng.IntN(4) {
-			case 0, 1:
-				next++
-				in, out := d.Accept(0, next)
-				delete(of, out)
-				if in {
-					of[next] = -1
-				}
-			case 2:
-				slot, had := rng.IntN(3), 0
-				for _, s := range of {
-					if s == slot {
-						had++
-					}
-				}
-				was, ok := of[id]
-				if got := d.Authenticate(id, slot); got != (ok && (was == slot || was < 0 && had < d.maxConnsOf(d.tenant(slot)))) {
-					t.Fatalf("seed %d: known %t, was %d, has %d", seed, got, was, had)
-				} else if got {
-					of[id] = slot
-				}
-			case 3:
-				d.OnClose(id)
-				delete(of, id)
-			}
-			var by [4]int
-			for _, s := range of {
-				by[s+1]++
-			}
-			if by != [4]int{d.Unauthenticated(), d.Conns(0), d.Conns(1), d.Conns(2)} || len(of) > 20 || d.Unauthenticated() > 5 {
-				t.Fatalf("seed %d: %v, counted %d %d %d %d", seed, by, d.Unauthenticated(), d.Conns(0), d.Conns(1), d.Conns(2))
-			}
+			m.step()
+			m.check()
+		}
+	}
+}
+
+// connModel is a controller and its connections.
+type connModel struct {
+	t          *testing.T
+	seed       uint64
+	rng        *rand.Rand
+	controller *Controller
+	slots      map[uint32]int // of connections; unauthenticated: no token was shown
+	lastID     uint32
+}
+
+// step makes a random call for a random connection.
+func (m *connModel) step() {
+	id := uint32(m.rng.IntN(int(m.lastID)+1)) + 1
+	switch m.rng.IntN(4) {
+	case 0, 1:
+		m.lastID++
+		accepted, closed := m.controller.Accept(0, m.lastID)
+		delete(m.slots, closed)
+		if accepted {
+			m.slots[m.lastID] = unauthenticated
 		}
+	case 2:
+		m.authenticate(id, m.rng.IntN(3))
+	case 3:
+		m.controller.OnClose(id)
+		delete(m.slots, id)
+	}
+}
+
+func (m *connModel) authenticate(id uint32, slot int) {
+	conns := 0
+	for _, s := range m.slots {
+		if s == slot {
+			conns++
+		}
+	}
+	current, ok := m.slots[id]
+	mayAdd := current < 0 && conns < m.controller.maxConnsOf(m.controller.tenant(slot))
+	got := m.controller.Authenticate(id, slot)
+	if got != (ok && (current == slot || mayAdd)) {
+		m.t.Fatalf("seed %d: authenticated %t, was %d, has %d", m.seed, got, current, conns)
+	}
+	if got {
+		m.slots[id] = slot
+	}
+}
+
+func (m *connModel) check() {
+	var want [4]int // unauthenticated, and of each tenant
+	for _, slot := range m.slots {
+		want[slot+1]++
+	}
+	c := m.controller
+	got := [4]int{c.Unauthenticated(), c.Conns(0), c.Conns(1), c.Conns(2)}
+	if want != got || len(m.slots) > 20 || got[0] > 5 {
+		m.t.Fatalf("seed %d: %v, counted %v", m.seed, want, got)
 	}
 }
