--- a/internal/decide/shardplacement/shardplacement.go
+++ b/internal/decide/shardplacement/shardplacement.go
@@ -1,7 +1,10 @@
-// Package shares decides which shard an allocation goes to. Tasks of one service go to one shard, as a shard that
-// holds a service's own tasks places the next one better; which shard that is, is found by weighted rendezvous
-// hashing, so that a shard lost or added moves its own share and nothing else. Load is bounded: a shard that holds
-// far more than its part passes new work on to the service's next shard, so that a hot service can't sink it.
+// Package shardplacement decides which shard an allocation goes to. The tasks of a service go to one shard, because the shard that holds
+// them places the next one better. Weighted rendezvous hashing finds that shard, so that a shard that is lost or added moves only its own
+// services. The load is bounded: a shard that holds far more than its part passes new allocations on to the service's next shard, so that
+// one hot service cannot overload it.
+//
+// Allocations that are added and removed, shards that go up and down, and delays of shards go in; shards come out. The package does no
+// I/O, starts no goroutines and returns no errors. A Table is not safe for concurrent use.
 package shardplacement
 
 import (
@@ -13,88 +16,102 @@
 
 const (
 	maxLoadFactor   = 1.25 // times its part of all open allocations that a shard may hold
-	loadAllowance   = 16   // and so many more, so that small numbers pass nothing on
-	minWeight       = 0.1  // least weight of a slow shard: it still shows whether it recovers
+	loadAllowance   = 16   // further allocations that it may hold, so that small numbers pass nothing on
+	minWeight       = 0.1  // weight of a slow shard: it still shows whether it recovers
 	usualDelay      = 5    // ms that events may wait before a shard counts as slow
-	weightRetention = 0.7  // of the old weight at each look, so that one hiccup moves little
+	weightRetention = 0.7  // of the old weight at each update, so that one hiccup moves little
+	fullWeight      = 0.95 // fraction of its given weight from which a shard has all of it again
 )
 
-// Policy is how allocations are placed on shards.
+// Policy is how allocations are assigned to shards.
 type Policy uint8
 
+// Policies.
 const (
 	ByService  Policy = iota
-	ByTenant          // baseline: all of a tenant's go to one shard
-	RoundRobin        // baseline: each to the next shard
+	ByTenant          // baseline: all of a tenant's allocations go to one shard
+	RoundRobin        // baseline: each goes to the next shard
 )
 
-// Table is what is known of the shards.
+// Table is the load and state of all shards.
 type Table struct {
 	policy      Policy
 	shards      []shard
-	open        int
-	totalWeight float64 // of all that live
-	lastShard   int
-	homes       map[uint64]home // where a service has open or running allocations
+	open        int     // allocations at all shards
+	totalWeight float64 // of all shards that get new allocations
+	lastShard   int     // of RoundRobin
+	homes       map[uint64]home
 }
 
-// home is the shard that a service's allocations are at. While it has any there, new ones join them, unless the
-// shard is over its bound: then they go elsewhere, but the home stays.
+// home is the shard that holds a service's allocations. While it holds any, new ones join them unless the shard is over its bound: then
+// they go elsewhere, but the home stays.
 type home struct{ shard, count int }
 
 type shard struct {
-	weight, base float64 // now, and as given
+	weight, base float64 // present and given weight
 	open         int
 	down         bool
-	draining     bool // it gets nothing new, but what must be kept together stays with it until it is handed over
+	draining     bool // it gets nothing new, except for allocations that must stay together
 }
 
-// New makes a table of shards of the given weights, which say what part of the work each should get.
-func New(way Policy, weights []float64) *Table {
-	t := &Table{policy: way, homes: map[uint64]home{}}
-	for _, w := range weights {
-		t.shards = append(t.shards, shard{weight: w, base: w})
-		t.totalWeight += w
+// isOpen reports whether a shard gets new allocations.
+func (s *shard) isOpen() bool { return !s.down && !s.draining }
+
+// New returns a table of shards with given weights, which say what part of the work each should get.
+func New(policy Policy, weights []float64) *Table {
+	t := &Table{policy: policy, homes: map[uint64]home{}}
+	for _, weight := range weights {
+		t.shards = append(t.shards, shard{weight: weight, base: weight})
+		t.totalWeight += weight
 	}
 	return t
 }
 
-// Place gives the shard for an allocation and counts it there; false if no shard lives. A pinned one goes to its
-// service's home whatever that holds, as where a spread must be kept by one who sees all of the service.
-func (t *Table) Place(service uint64, tenant int, pinned bool) (int, bool) {
-	at := t.Choose(service, tenant, pinned)
-	if at < 0 {
+// Place chooses the shard for an allocation and adds it there; false if no shard runs. See Choose for pinned.
+func (t *Table) Place(service uint64, tenant int, pinned bool) (shard int, ok bool) {
+	shard = t.Choose(service, tenant, pinned)
+	if shard < 0 {
 		return 0, false
 	}
-	t.Add(at, service)
-	return at, true
+	t.Add(shard, service)
+	return shard, true
 }
 
-// Add counts an allocation at a shard, as one that was found there.
-func (t *Table) Add(at int, service uint64) {
-	t.shards[at].open++
+// Add adds an allocation of a service to a shard.
+func (t *Table) Add(shard int, service uint64) {
+	t.shards[shard].open++
 	t.open++
 	h, ok := t.homes[service]
 	if !ok {
-		h.shard = at
+		h.shard = shard
 	}
-	if h.shard == at {
+	if h.shard == shard {
 		h.count++
 		t.homes[service] = h
 	}
 }
 
-// Choose gives the shard for an allocation without counting it, -1 if none lives.
+// Remove removes an allocation of a service from a shard.
+func (t *Table) Remove(shard int, service uint64) {
+	t.shards[shard].open--
+	t.open--
+	h, ok := t.homes[service]
+	if !ok || h.shard != shard {
+		return
+	}
+	if h.count--; h.count <= 0 {
+		delete(t.homes, service)
+	} else {
+		t.homes[service] = h
+	}
+}
+
+// Choose returns the shard for an allocation, -1 if none runs. A pinned allocation goes to its service's home whatever that holds, because
+// the shard that keeps a spread must see all tasks of the service.
 func (t *Table) Choose(service uint64, tenant int, pinned bool) int {
 	switch t.policy {
 	case RoundRobin:
-		for range t.shards {
-			t.lastShard = (t.lastShard + 1) % len(t.shards)
-			if s := &t.shards[t.lastShard]; !s.down && !s.draining {
-				return t.lastShard
-			}
-		}
-		return -1
+		return t.nextShard()
 	case ByTenant:
 		return t.best(uint64(tenant), false)
 	}
@@ -106,34 +123,54 @@
 	if pinned {
 		return t.best(service, false)
 	}
-	if at := t.best(service, true); at >= 0 {
-		return at
+	if shard := t.best(service, true); shard >= 0 {
+		return shard
+	}
+	return t.best(service, false)
+}
+
+// TargetOf returns the shard to which a service belongs when bounds are ignored, -1 if none gets new allocations. A draining shard gives
+// its services there, and an added shard gets its services by it.
+func (t *Table) TargetOf(service uint64, tenant int) int {
+	if t.policy == ByTenant {
+		service = uint64(tenant)
 	}
 	return t.best(service, false)
 }
 
-// best is the living shard of the highest score for a key, among those with room if that is asked for. The score of
-// a shard depends on itself alone, which is what makes the choice stable.
+// nextShard returns the next shard in turn, -1 if none gets new allocations.
+func (t *Table) nextShard() int {
+	for range t.shards {
+		t.lastShard = (t.lastShard + 1) % len(t.shards)
+		if t.shards[t.lastShard].isOpen() {
+			return t.lastShard
+		}
+	}
+	return -1
+}
+
+// best returns the shard of the highest score for a key, -1 if there is none; with bounded among those that are within their bound. The
+// score of a shard depends on itself alone, which makes the choice stable.
 func (t *Table) best(key uint64, bounded bool) int {
-	best, top := -1, math.Inf(-1)
+	best, highest := -1, math.Inf(-1)
 	for i := range t.shards {
 		s := &t.shards[i]
-		if s.down || s.draining || bounded && !t.hasCapacity(s) {
+		if !s.isOpen() || bounded && !t.hasCapacity(s) {
 			continue
 		}
-		if score := s.weight / -math.Log(draw(key, i)); score > top {
-			best, top = i, score
+		if score := s.weight / -math.Log(draw(key, i)); score > highest {
+			best, highest = i, score
 		}
 	}
 	return best
 }
 
-// hasCapacity tells whether a shard is within its bound of what all hold.
+// hasCapacity reports whether a shard is within its bound of the open allocations.
 func (t *Table) hasCapacity(s *shard) bool {
 	return float64(s.open) < maxLoadFactor*float64(t.open+1)*s.weight/t.totalWeight+loadAllowance
 }
 
-// draw gives a key and a shard a number between 0 and 1, both left out.
+// draw returns a pseudo-random number above 0 and below 1 for a key and a shard.
 func draw(key uint64, shard int) float64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], key)
@@ -141,63 +178,42 @@
 	return (float64(xxhash.Sum64(b[:])>>11) + 0.5) / (1 << 53)
 }
 
-// Remove counts an allocation out.
-func (t *Table) Remove(at int, service uint64) {
-	t.shards[at].open--
-	t.open--
-	if h, ok := t.homes[service]; ok && h.shard == at {
-		if h.count--; h.count <= 0 {
-			delete(t.homes, service)
-		} else {
-			t.homes[service] = h
-		}
-	}
-}
-
-// MarkDown takes a shard out of the choice; Up brings it back at its given weight.
-func (t *Table) MarkDown(at int) {
-	if !t.shards[at].down {
-		t.shards[at].down = true
+// MarkDown excludes a shard.
+func (t *Table) MarkDown(shard int) {
+	if !t.shards[shard].down {
+		t.shards[shard].down = true
 		t.updateTotalWeight()
 	}
 }
 
-// MarkUp brings a shard back.
-func (t *Table) MarkUp(at int) {
-	t.shards[at].down, t.shards[at].draining, t.shards[at].weight = false, false, t.shards[at].base
+// MarkUp includes a shard at its given weight.
+func (t *Table) MarkUp(shard int) {
+	s := &t.shards[shard]
+	s.down, s.draining, s.weight = false, false, s.base
 	t.updateTotalWeight()
 }
 
-// MarkDraining takes a shard out of the choice for what is new; Lives stays true until it is down.
-func (t *Table) MarkDraining(at int) {
-	t.shards[at].draining = true
+// MarkDraining excludes a shard for new allocations. IsUp stays true until it is down.
+func (t *Table) MarkDraining(shard int) {
+	t.shards[shard].draining = true
 	t.updateTotalWeight()
 }
 
-// TargetOf is the shard where a service belongs when bounds are left aside, -1 if none is in the choice: where what a
-// leaving shard holds is to go, and what goes to an added one.
-func (t *Table) TargetOf(service uint64, tenant int) int {
-	if t.policy == ByTenant {
-		service = uint64(tenant)
-	}
-	return t.best(service, false)
-}
-
-// IsUp tells whether a shard is in the choice.
-func (t *Table) IsUp(at int) bool { return !t.shards[at].down }
+// IsUp reports whether a shard is not down.
+func (t *Table) IsUp(shard int) bool { return !t.shards[shard].down }
 
-// Open is the number of open allocations at a shard.
-func (t *Table) Open(at int) int { return t.shards[at].open }
+// Open returns the number of open allocations at a shard.
+func (t *Table) Open(shard int) int { return t.shards[shard].open }
 
-// OnDelay tells how long, in ms, events lately waited at a shard: a slow one gets less of what is new.
-func (t *Table) OnDelay(at int, waited float64) {
-	s := &t.shards[at]
-	want := s.base
-	if waited > usualDelay {
-		want = max(minWeight, usualDelay/waited) * s.base
+// OnDelay records how long, in ms, events waited at a shard lately. A slow shard gets less of what is new.
+func (t *Table) OnDelay(shard int, delay float64) {
+	s := &t.shards[shard]
+	target := s.base
+	if delay > usualDelay {
+		target = max(minWeight, usualDelay/delay) * s.base
 	}
-	s.weight = weightRetention*s.weight + (1-weightRetention)*want
-	if s.weight > 0.95*s.base { // back in full, so that services return to where their tasks are
+	s.weight = weightRetention*s.weight + (1-weightRetention)*target
+	if s.weight > fullWeight*s.base { // services return to where their tasks are
 		s.weight = s.base
 	}
 	t.updateTotalWeight()
@@ -206,7 +222,7 @@
 func (t *Table) updateTotalWeight() {
 	t.totalWeight = 0
 	for i := range t.shards {
-		if !t.shards[i].down && !t.shards[i].draining {
+		if t.shards[i].isOpen() {
 			t.totalWeight += t.shards[i].weight
 		}
 	}
--- a/internal/decide/shardplacement/shardplacement_test.go
+++ b/internal/decide/shardplacement/shardplacement_test.go
@@ -26,7 +26,7 @@
 	for _, c := range []struct {
 		name   string
 		change func(t *Table) *Table
-		from   int // the shard whose services alone may move, or -1: all that move go to shard 4
+		from   int // the only shard whose services may move; -1: all that move go to shard 4
 	}{
 		{"one lost", func(x *Table) *Table { x.MarkDown(2); return x }, 2},
 		{"one lost and back", func(x *Table) *Table { x.MarkDown(2); x.MarkUp(2); return x }, 9},
@@ -80,7 +80,7 @@
 func TestHotService(t *testing.T) {
 	x := New(ByService, ones(4))
 	for i := range 4000 {
-		service := uint64(7) // half of all is of one service
+		service := uint64(7) // half of all allocations are of one service
 		if i%2 == 0 {
 			service = uint64(i)
 		}
