--- a/internal/decide/connlimits/connlimits.go
+++ b/internal/decide/connlimits/connlimits.go
@@ -1,36 +1,38 @@
-// Package connlimits decides what a connection may do, and for how long, before it is closed or passed over. It guards
-// against peers that say nothing, say half, or take nothing, each alone.
+// Package connlimits holds the limits of single connections: what a connection may do, and for how long, before it is closed or passed
+// over. They guard against peers that send nothing, send half a message, or read nothing.
+//
+// The package does no I/O, holds no state and returns no errors.
 package connlimits
 
-// Bounds of a connection that owners opened. Times in milliseconds.
+// Limits of a connection that a client opened. Times are in milliseconds.
 const (
-	FirstMessageTimeout = 2400      // from connecting to something of use
+	FirstMessageTimeout = 2400      // from connecting to the first complete message
 	MessageTimeout      = 2400      // from the first byte of a message to its last
-	MaxUnsentBytes      = 256 << 10 // bytes that a peer has not taken
-	WriteTimeout        = 2000      // for which it may take nothing at all
-	MinIdleTime         = 500       // without work for so long it may give way to another
-	MinTimeLeft         = 1         // to an expiry, in which an answer could still be of use
-	maxExpiryFactor     = 20        // times the usual expiry: more is no time that anybody means
+	MaxUnsentBytes      = 256 << 10 // that the peer has not read
+	WriteTimeout        = 2000      // for which the peer may read nothing
+	MinIdleTime         = 500       // without work after which the connection may be closed for another
+	MinTimeLeft         = 1         // to a deadline in which an answer could still be of use
+	maxExpiryFactor     = 20        // times the usual expiry that a client can mean to wait
 )
 
-// IsPlausibleWait tells whether an owner can mean to wait so long, where the usual expiry is as given.
+// IsPlausibleWait reports whether a client can mean to wait for some ms, if the usual expiry is as given.
 func IsPlausibleWait(left, usual float64) bool {
 	return left >= MinTimeLeft && left <= maxExpiryFactor*usual
 }
 
-// Bounds of what is kept for a node, and of the connections to it.
+// Limits of pending notifications, and of connections to nodes. Times are in milliseconds.
 const (
-	MaxPendingNodeEnds = 256   // ends that a node could not be told yet
-	NodeEndRetention   = 20000 // ms for which they are kept
-	MaxPendingEnds     = 4096  // ends that no owner could be told yet
-	VerifiedConnWait   = 400   // ms of the second that a client may be told an end in, for which it waits for a connection that is proven
-	testTimeout        = 1000  // ms that a test's answer may take before its connection is given up
+	MaxPendingNodeEnds = 256   // ends of tasks that a node could not be notified of yet
+	NodeEndRetention   = 20000 // for which they are kept
+	MaxPendingEnds     = 4096  // ends of tasks that no client could be notified of yet
+	VerifiedConnWait   = 400   // of the second in which a client may be notified of an end, for which it waits for a verified connection
+	testTimeout        = 1000  // of a test message on a connection
 	idleFraction       = 0.6   // of the time after which a node closes an idle connection
 )
 
-// IsReusable tells whether a connection that was idle for so long may still be used, where nodes close after closes: one
-// that the node closes as a set-up leaves puts that in doubt.
-func IsReusable(idle, closes float64) bool { return idle <= idleFraction*closes }
+// IsReusable reports whether a connection that was idle for some ms may still be used, if nodes close idle connections after closeAfter ms:
+// one that the node closes while a request is on its way leaves the request's outcome in doubt.
+func IsReusable(idle, closeAfter float64) bool { return idle <= idleFraction*closeAfter }
 
-// IsUnresponsive tells whether a connection on which a test was not answered for so long is given up.
+// IsUnresponsive reports whether a connection is closed on which a test was not answered for some ms.
 func IsUnresponsive(silent float64) bool { return silent > testTimeout }
--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -1,67 +1,71 @@
-// Package handover decides what of its work a shard gives to others when their number changes: all that a leaving
-// shard holds, and what belongs to one that was added. Work goes by services. A service whose tasks must be spread
-// goes whole, at a moment when nothing of it is out, since its next shard keeps the spread by what it knows; of
-// any other what is out stays until its outcome is known. It guards against a handover that never ends because
-// something new is always out, and against one that buries the shard that receives.
+// Package handover decides which of its services a shard gives to other shards when their number changes: all that a draining shard holds,
+// and those that belong to an added shard.
+//
+// Work moves by services. A service whose tasks must be spread moves as a whole, at a moment when no attempt of it is unresolved, because
+// its next shard keeps the spread by what it knows. Of any other service, what is unresolved stays until its outcome is known. The package
+// guards against a handover that never ends because something new is always unresolved, and against one that overloads the receiver.
+//
+// The shard's services and the time go in; the services to give and to pause come out. The package does no I/O and returns no errors. A
+// Planner is not safe for concurrent use.
 package handover
 
 // Times in milliseconds.
 const (
-	pollInterval  = 100  // between two looks
-	maxPerPoll    = 200  // allocations given at a look
-	maxWait       = 500  // that a whole service may have something out before it rests
-	addedDuration = 5000 // for which an added shard is given what belongs to it
+	pollInterval  = 100  // between two calls of Next
+	maxPerPoll    = 200  // allocations given at once
+	maxWait       = 500  // that a spread service may have something unresolved before it is paused
+	addedDuration = 5000 // for which an added shard gets the services that belong to it
 )
 
-// PollInterval is how often Next is to be called.
+// PollInterval returns the time between two calls of Next, in ms.
 func PollInterval() float64 { return pollInterval }
 
-// IsNewlyAdded tells whether a shard that began at a time still draws what belongs to it.
-func IsNewlyAdded(now, began float64) bool { return now-began < addedDuration }
+// IsNewlyAdded reports whether a shard that was added at a time still gets the services that belong to it.
+func IsNewlyAdded(now, addedAt float64) bool { return now-addedAt < addedDuration }
 
 // ServiceLoad is what a shard holds of a service.
 type ServiceLoad struct {
 	Service          uint64
-	Waiting          int  // no try of it is out, and none may have run
-	Running          int  // its node is connected
-	Unresolved       int  // a try is out or may have run, or it runs at a node that is away
+	Waiting          int  // allocations of which no attempt is open and none may have run
+	Running          int  // allocations whose node is connected
+	Unresolved       int  // allocations with an open attempt, or one that may have run, or whose node is not connected
 	Spread           bool // its tasks must be spread
 	BelongsElsewhere bool // it belongs to another shard
 }
 
-// Planner is what is known of a shard's services that could not go yet.
+// Planner keeps which services could not be given yet.
 type Planner struct {
 	waitingSince map[uint64]float64
 }
 
-// Next tells what to give now, in the order of the parts; those that rest get nothing new until they have gone.
-func (g *Planner) Next(now float64, parts []ServiceLoad) (give, rest []uint64) {
-	room := maxPerPoll
-	since := map[uint64]float64{}
-	for _, p := range parts {
-		if !p.BelongsElsewhere || p.Waiting+p.Running+p.Unresolved == 0 {
+// Next returns the services to give now, in the order of services, and those to pause, which get nothing new until they are given.
+func (p *Planner) Next(now float64, services []ServiceLoad) (give, pause []uint64) {
+	capacity := maxPerPoll
+	waitingSince := map[uint64]float64{}
+	for _, s := range services {
+		if !s.BelongsElsewhere || s.Waiting+s.Running+s.Unresolved == 0 {
 			continue
 		}
-		if p.Spread && p.Unresolved > 0 {
-			at, ok := g.waitingSince[p.Service]
-			if !ok {
-				at = now
+		since, isWaiting := p.waitingSince[s.Service]
+		movable := s.Waiting + s.Running
+		switch {
+		case s.Spread && s.Unresolved > 0:
+			if !isWaiting {
+				since = now
 			}
-			if since[p.Service] = at; now-at >= maxWait {
-				rest = append(rest, p.Service)
+			waitingSince[s.Service] = since
+			if now-since >= maxWait {
+				pause = append(pause, s.Service)
 			}
-			continue
-		}
-		n := p.Waiting + p.Running
-		if n == 0 || room < maxPerPoll && n > room { // the first goes even if it alone is more than one look's part
-			if at, ok := g.waitingSince[p.Service]; ok {
-				since[p.Service] = at
+		case movable == 0 || capacity < maxPerPoll && movable > capacity: // the first is given even if it alone is more than a poll's part
+			if isWaiting {
+				waitingSince[s.Service] = since
 			}
-			continue
+		default:
+			capacity -= movable
+			give = append(give, s.Service)
 		}
-		room -= n
-		give = append(give, p.Service)
 	}
-	g.waitingSince = since
-	return give, rest
+	p.waitingSince = waitingSince
+	return give, pause
 }
--- a/internal/decide/nodefailure/nodefailure.go
+++ b/internal/decide/nodefailure/nodefailure.go
@@ -1,66 +1,73 @@
-// Package nodefailure decides when what stands at a node counts as lost with it. A node that lives sends the end of a task
-// itself; one that died or is cut off can't. Its owner is to hear of the end in time, but a task that is called lost
-// while it runs is work thrown away: only a node that refuses, or that nothing has reached for long, has lost its tasks.
+// Package nodefailure decides when the tasks at a node count as lost with it. A node that is alive sends the end of a task itself; one
+// that died or is cut off cannot. The client is to be notified of the end in time, but a task that is declared lost while it runs is
+// wasted work: only a node that refuses connections, or that has been unreachable for long, has lost its tasks.
+//
+// Contacts, outcomes of health checks and the time go in; health checks to make and losses come out. The package does no I/O and returns
+// no errors. A Detector is not safe for concurrent use.
 package nodefailure
 
 // Times in milliseconds.
 const (
-	silenceThreshold    = 3000 // without a word from a node where something stands, it is looked for
-	probeInterval       = 400  // between two looks
-	refusedTimeout      = 1200 // a node that refuses connections for so long has ended: for a moment it may just be full
-	contactTimeout      = 7600 // and one of which nothing was heard for so long, of the 8 s in which owners are to know that their work is over
-	minProbeFailureTime = 2000 // while looks have failed for so long: one look may have met a lost packet
+	silenceThreshold    = 3000 // without a contact, after which a node with tasks is checked
+	probeInterval       = 400  // between two checks
+	refusedTimeout      = 1200 // of refusing connections after which a node has ended: for a moment it may just be full
+	contactTimeout      = 7600 // without a contact, of the 8 s in which clients are to be notified of a loss
+	minProbeFailureTime = 2000 // for which checks must have failed: one may have met a lost packet
 )
 
-// Detector follows one node. The zero value has heard nothing.
+// Detector follows one node. Its zero value has had no contact.
 type Detector struct {
-	lastContactAt float64 // the last word, or connection made
+	lastContactAt float64 // when a message arrived or a connection was made
 	lastProbeAt   float64
-	failingSince  float64 // of the first look that failed, 0: none has
-	allRefused    bool    // every look since then was refused
+	failingSince  float64 // of the first check that failed since; 0: none has
+	allRefused    bool    // every check since then was refused
 	probing       bool
 }
 
-// OnContact says that something came from the node, or that it took a connection.
-func (w *Detector) OnContact(now float64) { w.lastContactAt, w.failingSince, w.probing = now, 0, false }
+// OnContact records that a message arrived from the node, or that it accepted a connection.
+func (d *Detector) OnContact(now float64) { d.lastContactAt, d.failingSince, d.probing = now, 0, false }
 
-// OnProbeFailed says that a look came to nothing.
-func (w *Detector) OnProbeFailed(now float64, refusal bool) {
-	w.probing = false
-	if w.failingSince == 0 {
-		w.failingSince, w.allRefused = now, true
+// OnProbe records that a check starts.
+func (d *Detector) OnProbe(now float64) { d.probing, d.lastProbeAt = true, now }
+
+// OnProbeFailed records that a check failed, and whether the node refused the connection.
+func (d *Detector) OnProbeFailed(now float64, refused bool) {
+	d.probing = false
+	if d.failingSince == 0 {
+		d.failingSince, d.allRefused = now, true
 	}
-	w.allRefused = w.allRefused && refusal
+	d.allRefused = d.allRefused && refused
 }
 
-// OnProbeSkipped says that a look could not be made here: it says nothing of the node.
-func (w *Detector) OnProbeSkipped() { w.probing = false }
+// OnProbeSkipped records that a check could not be made here, which says nothing about the node.
+func (d *Detector) OnProbeSkipped() { d.probing = false }
 
-// IsProbeDue tells whether to try a new connection now, where something stands at the node: none is open, or all are quiet.
-func (w *Detector) IsProbeDue(now float64, linked bool) bool {
-	return !w.probing && now-w.lastProbeAt >= probeInterval && (!linked || w.failingSince > 0 || now-max(w.lastContactAt, w.lastProbeAt) >= silenceThreshold)
+// IsProbeDue reports whether to try a new connection now to a node with tasks: none is open, or all are silent.
+func (d *Detector) IsProbeDue(now float64, connected bool) bool {
+	if d.probing || now-d.lastProbeAt < probeInterval {
+		return false
+	}
+	return !connected || d.failingSince > 0 || d.SinceContact(now) >= silenceThreshold
 }
 
-// OnProbe says that one is tried.
-func (w *Detector) OnProbe(now float64) { w.probing, w.lastProbeAt = true, now }
-
-// SinceContact is how long ago the node was last looked for, or heard.
-func (w *Detector) SinceContact(now float64) float64 {
-	return now - max(w.lastProbeAt, w.lastContactAt)
+// SinceContact returns how long ago, in ms, the last contact or check was.
+func (d *Detector) SinceContact(now float64) float64 {
+	return now - max(d.lastProbeAt, d.lastContactAt)
 }
 
-// IsLost tells whether what stands there has ended. gone tells that the list no longer has the node: it is not looked
-// for any more, as its address may be another's, and ends with its last connection.
-func (w *Detector) IsLost(now float64, gone, linked bool) bool {
-	if gone && !linked {
+// IsLost reports whether the tasks at the node have ended. removed says that the node is no longer on the node list: it is not checked any
+// more, because its address may be another's, and its tasks end with its last connection.
+func (d *Detector) IsLost(now float64, removed, connected bool) bool {
+	if removed && !connected {
 		return true
 	}
-	if w.failingSince == 0 {
+	if d.failingSince == 0 {
 		return false
 	}
-	heard := w.lastContactAt
-	if heard == 0 { // never: it may have been there until it was looked for
-		heard = w.failingSince
+	lastContactAt := d.lastContactAt
+	if lastContactAt == 0 { // never: it may have been there until it was checked
+		lastContactAt = d.failingSince
 	}
-	return w.allRefused && now-w.failingSince >= refusedTimeout || now-heard >= contactTimeout && now-w.failingSince >= minProbeFailureTime
+	failing := now - d.failingSince
+	return d.allRefused && failing >= refusedTimeout || now-lastContactAt >= contactTimeout && failing >= minProbeFailureTime
 }
--- a/internal/decide/outcome/early.go
+++ b/internal/decide/outcome/early.go
@@ -10,9 +10,9 @@
 	Noted     bool // the node sent notes on the task, which it does only while the task runs
 }
 
-// Ran tells whether the task had been running at its node, so that this is the end of a run and not the failure of an attempt. A note
-// proves it. Without one, a refusal or an offer that never left prove the contrary; the causes of a normal end and of a cancel, and the
-// reasons for which a node removes what it holds, are given for running tasks only.
+// Ran reports whether the task had been running at its node, so that this is the end of a run and not the failure of an attempt. A note
+// proves it. Without one, a refusal or an offer that never left prove the contrary; the causes of a normal end and of a cancellation, and
+// the reasons for which a node removes what it holds, are given for running tasks only.
 func (e EarlyEnd) Ran() bool {
 	if e.Noted {
 		return true
@@ -32,8 +32,8 @@
 	return false
 }
 
-// IsRetrySafeAfterRun tells whether a client whose task ran and ended before it was answered may hear that a retry does no harm; else it
-// hears that the request failed. No other attempt is made for the request in either case: the client is owed the end of the run within a
+// IsRetrySafeAfterRun reports whether a client whose task ran and ended before it was answered may be told that a retry does no harm; else
+// it is told that the request failed. No other attempt is made for the request in either case: the client gets the end of the run within a
 // second, and an answer for a second run would follow it or stand in its place.
 func IsRetrySafeAfterRun(effect logic.RetrySemantics, group logic.IdempotencyScope) bool {
 	return IsRetrySafe(effect, group, false, true)
--- a/internal/decide/overload/overload.go
+++ b/internal/decide/overload/overload.go
@@ -1,54 +1,62 @@
-// Package overload follows how far a process is behind with what comes to it, and decides what follows. A process that was
-// given more than its part of a core can do reads late: answers lie unread while their time-outs run out, and an owner's
-// time runs while its ask does. It guards against trying again what was answered, and against taking what can't be done in
-// time.
+// Package overload measures how far a process is behind with the messages that arrive, and decides what follows. A process with too little
+// CPU reads late: answers lie unread while their time-outs expire, and a client's time runs while its request does. The package guards
+// against retrying what was answered, and against taking what cannot be done in time.
+//
+// The times of the rounds of the process's loop go in; delays come out. The package does no I/O and returns no errors. A Monitor is not
+// safe for concurrent use.
 package overload
 
 import "math"
 
 // Times in milliseconds.
 const (
-	halfLife        = 150 // what was seen counts for half after so long
-	minDelay        = 8   // less is usual
-	maxTimeoutGrace = 400 // a time-out waits no longer for an answer that may lie unread
-	batchDuration   = 8   // a turn takes up new work for about so long, so that what came meanwhile is read
-	minBatchSize    = 4   // but so many asks at least
+	halfLife        = 150 // of a measured delay
+	minDelay        = 8   // shorter ones are usual and count as none
+	maxTimeoutGrace = 400
+	batchDuration   = 8 // of the new requests that a round takes up, so that what arrives meanwhile is read
+	minBatchSize    = 4 // requests that a round takes up at least
+	minRequestTime  = 0.01
 )
 
-// Monitor follows the turns of a process's loop. Its zero value has seen none.
-type Monitor struct{ delay, updatedAt float64 }
+// Monitor follows the rounds of a process's loop. Its zero value has seen none.
+type Monitor struct {
+	delay     float64 // at updatedAt
+	updatedAt float64
+}
 
-// OnTurn says that a turn was due, began and ended then: what came before it began lay unread for as long as it was late, at
-// least, and what came while it ran until it ended.
-func (w *Monitor) OnTurn(due, began, ended float64) {
-	w.delay = max(w.Delay(ended), began-due, ended-began)
-	w.updatedAt = ended
+// OnTurn records when a round was due, when it began and when it ended. What arrived before it began lay unread at least for as long as it
+// was late, and what arrived while it ran until it ended.
+func (m *Monitor) OnTurn(due, began, ended float64) {
+	m.delay = max(m.Delay(ended), began-due, ended-began)
+	m.updatedAt = ended
 }
 
-// Delay is how long what comes now is likely to lie unread, in ms.
-func (w *Monitor) Delay(now float64) float64 {
-	if w.delay == 0 {
+// Delay returns how long, in ms, what arrives now is likely to lie unread.
+func (m *Monitor) Delay(now float64) float64 {
+	if m.delay == 0 {
 		return 0
 	}
-	return w.delay * math.Exp2(-max(0, now-w.updatedAt)/halfLife)
+	return m.delay * math.Exp2(-max(0, now-m.updatedAt)/halfLife)
 }
 
-// TimeoutGrace is how long, in ms, a time-out that runs out now waits yet for an answer that may lie unread.
-func (w *Monitor) TimeoutGrace(now float64) float64 {
-	if b := w.Delay(now); b > minDelay {
-		return min(b, maxTimeoutGrace)
+// TimeoutGrace returns for how long, in ms, a time-out that expires now still waits for an answer that may lie unread.
+func (m *Monitor) TimeoutGrace(now float64) float64 {
+	if delay := m.Delay(now); delay > minDelay {
+		return min(delay, maxTimeoutGrace)
 	}
 	return 0
 }
 
-// RemainingTime is what is left, of the time in ms that an owner said it would wait, to an ask that is read now: it lay unread for a
-// while, and its answer has to wait for its turn as well.
-func (w *Monitor) RemainingTime(now, said float64) float64 {
-	if b := w.Delay(now); b > minDelay {
-		return max(said/2, said-2*b)
+// RemainingTime returns what is left of the time in ms that a client grants a request which is read now: it lay unread for a while, and
+// its answer has to wait for its round as well.
+func (m *Monitor) RemainingTime(now, granted float64) float64 {
+	if delay := m.Delay(now); delay > minDelay {
+		return max(granted/2, granted-2*delay)
 	}
-	return said
+	return granted
 }
 
-// BatchSize is how many asks a turn may take up, each of which takes so many ms.
-func BatchSize(each float64) int { return minBatchSize + int(batchDuration/max(0.01, each)) }
+// BatchSize returns how many requests a round may take up, if each takes some ms.
+func BatchSize(requestTime float64) int {
+	return minBatchSize + int(batchDuration/max(minRequestTime, requestTime))
+}
--- a/internal/decide/reconnect/reconnect.go
+++ b/internal/decide/reconnect/reconnect.go
@@ -1,6 +1,9 @@
-// Package reconnect decides when to connect to which node: at most so many dials at once, nodes that are wanted now
-// first, and a node that does not answer ever more rarely. It guards against a storm of dials when thousands of
-// nodes come up or a hall is lost, and against a loop on nodes whose address refuses.
+// Package reconnect decides when to connect to which node: a limited number of dials at once, nodes that something waits for first, and
+// nodes that do not answer with a growing backoff. It guards against a storm of dials when thousands of nodes start or a zone is lost, and
+// against dialing nodes whose address refuses in a loop.
+//
+// Nodes, outcomes of dials and the time go in; the node to dial comes out. The package does no I/O and returns no errors. A Pacer is not
+// safe for concurrent use.
 package reconnect
 
 import (
@@ -9,13 +12,13 @@
 	"math/rand/v2"
 )
 
-// Times in milliseconds.
 const (
-	maxActiveDials = 64   // dials under way
-	minBackoff     = 50   // before the second dial to a node
-	maxBackoff     = 4000 // between two dials to a node
-	wantedInterval = 150  // between two dials to a node that is wanted
-	stableAfter    = 2000 // a connection that held so long ends the count of failures
+	maxActiveDials = 64
+	minBackoff     = 50   // ms before the second dial to a node
+	maxBackoff     = 4000 // ms between two dials to a node
+	wantedInterval = 150  // ms between two dials to a node that something waits for
+	stableAfter    = 2000 // ms after which a connection ends the count of failures
+	maxDoublings   = 16
 )
 
 // Pacer holds the nodes that should be connected and are not. Nodes are small indices.
@@ -27,81 +30,111 @@
 	lastOrder   uint64
 }
 
+// node is the state of a node.
 type node struct {
-	enabled, dialing, connected bool
-	wanted                      bool
-	failures                    int
-	nextDialAt                  float64 // the next dial
-	lastDialAt, connectedAt     float64
-	position                    int // in the queue, or -1
-	order                       uint64
+	enabled                 bool // it is to be connected
+	dialing, connected      bool
+	wanted                  bool // something waits for it
+	failures                int
+	nextDialAt              float64
+	lastDialAt, connectedAt float64
+	position                int    // in the schedule, or notScheduled
+	order                   uint64 // of its arrival in the schedule
 }
 
-// New starts a pacer; the seed spreads the dials of many schedulers.
+// notScheduled is the position of a node that is not in the schedule.
+const notScheduled = -1
+
+// New returns a pacer. The seed spreads the dials of many schedulers.
 func New(seed uint64) *Pacer {
 	return &Pacer{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15))}
 }
 
-func (p *Pacer) node(nd int) *node {
-	for len(p.nodes) <= nd {
-		p.nodes = append(p.nodes, node{position: -1, lastDialAt: math.Inf(-1)})
+// node returns a node's state, and makes it if there is none.
+func (p *Pacer) node(index int) *node {
+	for len(p.nodes) <= index {
+		p.nodes = append(p.nodes, node{position: notScheduled, lastDialAt: math.Inf(-1)})
 	}
-	return &p.nodes[nd]
+	return &p.nodes[index]
 }
 
-// SetEnabled says that a node is to be connected from now on, or no longer.
-func (p *Pacer) SetEnabled(now float64, nd int, keep bool) {
-	n := p.node(nd)
-	if n.enabled == keep {
+// SetEnabled records whether a node is to be connected from now on.
+func (p *Pacer) SetEnabled(now float64, index int, enabled bool) {
+	n := p.node(index)
+	if n.enabled == enabled {
 		return
 	}
-	n.enabled = keep
-	if keep {
+	n.enabled = enabled
+	switch {
+	case enabled:
 		n.failures = 0
-		p.scheduleDial(nd, now)
-	} else if n.position >= 0 {
-		p.unschedule(nd)
+		p.scheduleDial(index, now)
+	case n.position >= 0:
+		p.unschedule(index)
 	}
 }
 
-// Prioritize says that something waits for the node: it is dialled soon, whatever its failures.
-func (p *Pacer) Prioritize(now float64, nd int) {
-	n := p.node(nd)
+// Prioritize records that something waits for a node: it is dialed soon, whatever its failures.
+func (p *Pacer) Prioritize(now float64, index int) {
+	n := p.node(index)
 	n.wanted = true
 	if n.enabled && n.position >= 0 {
-		p.scheduleDial(nd, min(n.nextDialAt, max(now, n.lastDialAt+wantedInterval)))
+		p.scheduleDial(index, min(n.nextDialAt, max(now, n.lastDialAt+wantedInterval)))
 	}
 }
 
-// IsDialing tells that a dial is under way.
-func (p *Pacer) IsDialing(nd int) bool { return p.node(nd).dialing }
+// IsDialing reports whether a dial to a node is active.
+func (p *Pacer) IsDialing(index int) bool { return p.node(index).dialing }
 
-// OnDialFailed says that a dial came to nothing.
-func (p *Pacer) OnDialFailed(now float64, nd int) {
-	n := p.node(nd)
-	p.endDial(n)
-	p.scheduleRetry(now, nd, n)
+// Next returns a node to dial now; false if none is due.
+func (p *Pacer) Next(now float64) (index int, ok bool) {
+	if p.activeDials >= maxActiveDials || len(p.schedule.order) == 0 {
+		return 0, false
+	}
+	index = p.schedule.order[0]
+	if p.nodes[index].nextDialAt > now {
+		return 0, false
+	}
+	p.unschedule(index)
+	n := &p.nodes[index]
+	n.dialing, n.lastDialAt = true, now
+	p.activeDials++
+	return index, true
+}
+
+// Due returns when Next may have a node, or infinity.
+func (p *Pacer) Due() float64 {
+	if p.activeDials >= maxActiveDials || len(p.schedule.order) == 0 {
+		return math.Inf(1)
+	}
+	return p.nodes[p.schedule.order[0]].nextDialAt
 }
 
-// OnConnected says that there is a connection, made by a dial or found: none is planned any more.
-func (p *Pacer) OnConnected(now float64, nd int) {
-	n := p.node(nd)
+// OnDialFailed records that a dial failed.
+func (p *Pacer) OnDialFailed(now float64, index int) {
+	p.endDial(p.node(index))
+	p.scheduleRetry(now, index)
+}
+
+// OnConnected records that a connection is made, by a dial or by the node.
+func (p *Pacer) OnConnected(now float64, index int) {
+	n := p.node(index)
 	p.endDial(n)
 	if n.position >= 0 {
-		p.unschedule(nd)
+		p.unschedule(index)
 	}
 	n.connected, n.connectedAt, n.wanted = true, now, false
 }
 
-// OnDisconnected says that a connection ended. One that ends soon after it was made counts as a failure: the peer may
-// cut every connection.
-func (p *Pacer) OnDisconnected(now float64, nd int) {
-	n := p.node(nd)
+// OnDisconnected records that a connection ended. One that ends soon after it was made counts as a failure, because the node may close
+// every connection.
+func (p *Pacer) OnDisconnected(now float64, index int) {
+	n := p.node(index)
 	n.connected = false
 	if now-n.connectedAt > stableAfter {
 		n.failures = 0
 	}
-	p.scheduleRetry(now, nd, n)
+	p.scheduleRetry(now, index)
 }
 
 func (p *Pacer) endDial(n *node) {
@@ -111,44 +144,22 @@
 	}
 }
 
-func (p *Pacer) scheduleRetry(now float64, nd int, n *node) {
-	gap := min(maxBackoff, minBackoff*math.Pow(2, float64(min(n.failures, 16)))) * (0.5 + p.rng.Float64())
+// scheduleRetry schedules the next dial after a failure.
+func (p *Pacer) scheduleRetry(now float64, index int) {
+	n := p.node(index)
+	backoff := min(maxBackoff, minBackoff*math.Pow(2, float64(min(n.failures, maxDoublings)))) * (0.5 + p.rng.Float64())
 	if n.wanted {
-		gap = min(gap, wantedInterval)
+		backoff = min(backoff, wantedInterval)
 	}
 	n.wanted = false
 	n.failures++
 	if n.enabled {
-		p.scheduleDial(nd, now+gap)
-	}
-}
-
-// Next gives a node to dial now, if one is due.
-func (p *Pacer) Next(now float64) (nd int, ok bool) {
-	if p.activeDials >= maxActiveDials || len(p.schedule.order) == 0 {
-		return 0, false
-	}
-	nd = p.schedule.order[0]
-	if p.nodes[nd].nextDialAt > now {
-		return 0, false
-	}
-	p.unschedule(nd)
-	n := &p.nodes[nd]
-	n.dialing, n.lastDialAt = true, now
-	p.activeDials++
-	return nd, true
-}
-
-// Due is when Next may have a node, or infinity.
-func (p *Pacer) Due() float64 {
-	if p.activeDials >= maxActiveDials || len(p.schedule.order) == 0 {
-		return math.Inf(1)
+		p.scheduleDial(index, now+backoff)
 	}
-	return p.nodes[p.schedule.order[0]].nextDialAt
 }
 
-func (p *Pacer) scheduleDial(nd int, at float64) {
-	n := &p.nodes[nd]
+func (p *Pacer) scheduleDial(index int, at float64) {
+	n := &p.nodes[index]
 	if n.dialing || n.connected {
 		return
 	}
@@ -160,39 +171,10 @@
 	}
 	p.lastOrder++
 	n.order = p.lastOrder
-	heap.Push(&p.schedule, nd)
+	heap.Push(&p.schedule, index)
 }
 
-func (p *Pacer) unschedule(nd int) {
+func (p *Pacer) unschedule(index int) {
 	p.schedule.nodes = p.nodes
-	heap.Remove(&p.schedule, p.nodes[nd].position)
-}
-
-// dialHeap is a heap of nodes by the time of their next dial, among equals in order of arrival.
-type dialHeap struct {
-	order []int
-	nodes []node
-}
-
-func (d *dialHeap) Len() int { return len(d.order) }
-func (d *dialHeap) Less(i, j int) bool {
-	x, y := &d.nodes[d.order[i]], &d.nodes[d.order[j]]
-	return x.nextDialAt < y.nextDialAt || x.nextDialAt == y.nextDialAt && x.order < y.order
-}
-
-func (d *dialHeap) Swap(i, j int) {
-	d.order[i], d.order[j] = d.order[j], d.order[i]
-	d.nodes[d.order[i]].position, d.nodes[d.order[j]].position = i, j
-}
-
-func (d *dialHeap) Push(x any) {
-	d.nodes[x.(int)].position = len(d.order)
-	d.order = append(d.order, x.(int))
-}
-
-func (d *dialHeap) Pop() any {
-	nd := d.order[len(d.order)-1]
-	d.order = d.order[:len(d.order)-1]
-	d.nodes[nd].position = -1
-	return nd
+	heap.Remove(&p.schedule, p.nodes[index].position)
 }
--- a/internal/decide/watchdog/watchdog.go
+++ b/internal/decide/watchdog/watchdog.go
@@ -1,24 +1,31 @@
-// Package watchdog decides when a shard is to be fenced and started again: it has panicked, or it stands still while the
-// process runs. It guards against a shard that holds its share of the allocations and answers none; and against
-// fencing all shards when it was the whole process that stood still.
+// Package watchdog decides when a shard is fenced and started again: it has panicked, or it stalls while the process runs. It guards
+// against a shard that holds its part of the allocations and answers none, and against fencing all shards when the whole process was
+// paused.
+//
+// The shards' last signs of life and the time go in; the shards to fence and to start come out. The package does no I/O and returns no
+// errors. A Watchdog is not safe for concurrent use.
 package watchdog
 
 import "math"
 
 // Times in milliseconds.
 const (
-	stallTimeout     = 2000  // without a sign of life, while the process runs
-	silenceThreshold = 250   // without a sign of life: still to be expected on a busy machine
-	checkInterval    = 100   // between two looks
-	pauseThreshold   = 400   // between two looks: then the process itself stood still, and every shard gets a new start
-	minRestartDelay  = 250   // before a fenced shard is started again, doubled each time up to
-	maxRestartDelay  = 10000 //
-	stableAfter      = 30000 // a shard that runs so long is trusted again
+	stallTimeout     = 2000  // without a sign of life while the process runs
+	silenceThreshold = 250   // without a sign of life; still to be expected on a busy machine
+	checkInterval    = 100   // between two checks
+	pauseThreshold   = 400   // between two checks, beyond which the process itself was paused
+	minRestartDelay  = 250   // before a fenced shard is started again, doubled with each failure
+	maxRestartDelay  = 10000 // limit of the doubling
+	stableAfter      = 30000 // after which earlier failures of a shard are forgotten
+	maxDoublings     = 10
 )
 
-// CheckInterval is how often Look is to be called.
+// CheckInterval returns the time between two calls of Check, in ms.
 func CheckInterval() float64 { return checkInterval }
 
+// IsSilent reports whether a shard has given no sign of life for longer than its housekeeping takes: what expires there cannot wait.
+func IsSilent(now, lastBeatAt float64) bool { return now-lastBeatAt > silenceThreshold }
+
 // Watchdog watches the shards of a process.
 type Watchdog struct {
 	lastCheckAt float64
@@ -33,22 +40,21 @@
 	restartAt             float64
 }
 
-// New watches so many shards from a time on.
+// New returns a watchdog over a number of shards that run.
 func New(now float64, shards int) *Watchdog {
-	d := &Watchdog{lastCheckAt: now, shards: make([]shard, shards)}
-	for i := range d.shards {
-		d.shards[i].lastBeatAt, d.shards[i].startedAt = now, now
+	w := &Watchdog{lastCheckAt: now, shards: make([]shard, shards)}
+	for i := range w.shards {
+		w.Watch(now, i)
 	}
-	return d
+	return w
 }
 
-// Check takes the time of each shard's last sign of life. It returns the shards to be fenced, and those to be
-// started again.
-func (d *Watchdog) Check(now float64, beats []float64) (fence, start []int) {
-	paused := now-d.lastCheckAt > pauseThreshold
-	d.lastCheckAt = now
-	for i := range d.shards {
-		s := &d.shards[i]
+// Check takes the time of each shard's last sign of life. It returns the shards to fence and the fenced ones to start again.
+func (w *Watchdog) Check(now float64, beats []float64) (fence, start []int) {
+	paused := now-w.lastCheckAt > pauseThreshold
+	w.lastCheckAt = now
+	for i := range w.shards {
+		s := &w.shards[i]
 		if i < len(beats) {
 			s.lastBeatAt = max(s.lastBeatAt, beats[i])
 		}
@@ -61,16 +67,16 @@
 			s.fenced, s.lastBeatAt, s.startedAt = false, now, now
 			start = append(start, i)
 		case !s.fenced && now-s.lastBeatAt > stallTimeout:
-			d.Fence(now, i)
+			w.Fence(now, i)
 			fence = append(fence, i)
 		}
 	}
 	return fence, start
 }
 
-// Fence notes that a shard was fenced, as after a panic, and plans its next start.
-func (d *Watchdog) Fence(now float64, at int) {
-	s := &d.shards[at]
+// Fence records that a shard was fenced, for example after a panic, and schedules its next start.
+func (w *Watchdog) Fence(now float64, index int) {
+	s := &w.shards[index]
 	if s.fenced {
 		return
 	}
@@ -78,19 +84,17 @@
 		s.failures = 0
 	}
 	s.fenced = true
-	s.restartAt = now + min(maxRestartDelay, minRestartDelay*math.Pow(2, float64(min(s.failures, 10))))
+	s.restartAt = now + min(maxRestartDelay, minRestartDelay*math.Pow(2, float64(min(s.failures, maxDoublings))))
 	s.failures++
 }
 
-// Unwatch takes a shard out of the watch: it has ended, or has not begun. Begin takes it in.
-func (d *Watchdog) Unwatch(at int) { d.shards[at].unwatched = true }
-
-// Watch notes that a shard begins.
-func (d *Watchdog) Watch(now float64, at int) { d.shards[at] = shard{lastBeatAt: now, startedAt: now} }
+// IsFenced reports whether a shard is fenced.
+func (w *Watchdog) IsFenced(index int) bool { return w.shards[index].fenced }
 
-// IsSilent tells whether a shard has given no sign of life for longer than its housekeeping comes: what is about to
-// expire there can't wait for it.
-func IsSilent(now, beat float64) bool { return now-beat > silenceThreshold }
+// Watch records that a shard starts.
+func (w *Watchdog) Watch(now float64, index int) {
+	w.shards[index] = shard{lastBeatAt: now, startedAt: now}
+}
 
-// IsFenced tells whether a shard is.
-func (d *Watchdog) IsFenced(at int) bool { return d.shards[at].fenced }
+// Unwatch records that a shard has ended or does not run yet.
+func (w *Watchdog) Unwatch(index int) { w.shards[index].unwatched = true }
--- a/internal/decide/watchretry/watchretry.go
+++ b/internal/decide/watchretry/watchretry.go
@@ -1,77 +1,83 @@
-// Package watchretry decides when the journal service is asked anew: at once after a break, ever more rarely while it can't
-// be reached, and after a silence that its count of every second should have broken. It guards against a connection
-// that stays open and tells nothing.
+// Package watchretry decides when to connect to the journal service whose events the scheduler watches: at once after the connection
+// breaks, with a growing backoff while the service cannot be reached, and after a silence that its heartbeat of every second should have
+// broken. It guards against a connection that stays open and delivers nothing.
+//
+// Connections, bytes, events and the time go in; when to connect or disconnect comes out. The package does no I/O and returns no errors. A
+// Retrier is not safe for concurrent use.
 package watchretry
 
 // Times in milliseconds.
 const (
-	silenceTimeout = 1900 // the count comes every second
-	eventTimeout   = 3800 // and one that trickles is taken for silent when it has told no whole line for so long
-	minBackoff     = 30   // before it is asked again after a break
+	silenceTimeout = 1900 // without a byte; a heartbeat arrives every second
+	eventTimeout   = 3800 // without a complete event, on a connection that trickles
+	minBackoff     = 30   // after the connection broke
 	maxBackoff     = 500
-	connectTimeout = 1000 // to connect
-	failureTimeout = 1200 // without a word from it, a call counts as failed
+	connectTimeout = 1000
+	failureTimeout = 1200 // without an event, after which a request for events counts as failed
+	maxDoublings   = 6
 )
 
-// Retrier follows one journal service. Its zero value asks at once.
+// Retrier follows one journal service. Its zero value connects at once.
 type Retrier struct {
 	connecting, connected bool
 	failures              int
-	nextConnectAt         float64 // the next time to ask
-	lastEventAt           float64 // the last line that could be read, on any connection
-	lastConnEventAt       float64 // the last such line on this one, or when it was made
-	lastByteAt            float64 // the last byte on this one, or when it was made
-	gotEvent              bool    // it has told a line
+	nextConnectAt         float64
+	lastEventAt           float64 // on any connection
+	lastConnEventAt       float64 // on this connection, or when it was made
+	lastByteAt            float64 // on this connection, or when it was made
+	gotEvent              bool    // this connection has delivered an event
 }
 
-// BeginConnect tells whether to connect now; it counts as under way then.
-func (w *Retrier) BeginConnect(now float64) bool {
-	if w.connecting || w.connected || now < w.nextConnectAt {
+// BeginConnect reports whether to connect now. The connection counts as being made from then on.
+func (r *Retrier) BeginConnect(now float64) bool {
+	if r.connecting || r.connected || now < r.nextConnectAt {
 		return false
 	}
-	w.connecting = true
+	r.connecting = true
 	return true
 }
 
-// OnConnected says that the connection is made.
-func (w *Retrier) OnConnected(now float64) {
-	w.connecting, w.connected, w.gotEvent, w.lastConnEventAt, w.lastByteAt = false, true, false, now, now
+// OnConnected records that the connection is made.
+func (r *Retrier) OnConnected(now float64) {
+	r.connecting, r.connected, r.gotEvent = false, true, false
+	r.lastConnEventAt, r.lastByteAt = now, now
 }
 
-// OnBytes says that something came, which need not be a whole line.
-func (w *Retrier) OnBytes(now float64) { w.lastByteAt = now }
+// OnBytes records that bytes arrived, which need not be a complete event.
+func (r *Retrier) OnBytes(now float64) { r.lastByteAt = now }
 
-// OnEvent says that a line came that could be read.
-func (w *Retrier) OnEvent(now float64) {
-	w.lastEventAt, w.lastConnEventAt, w.lastByteAt, w.gotEvent, w.failures = now, now, now, true, 0
+// OnEvent records that a valid event arrived.
+func (r *Retrier) OnEvent(now float64) {
+	r.lastEventAt, r.lastConnEventAt, r.lastByteAt = now, now, now
+	r.gotEvent, r.failures = true, 0
 }
 
-// OnDisconnected says that the connection is no more, or was not made.
-func (w *Retrier) OnDisconnected(now float64) {
-	w.connecting, w.connected, w.gotEvent = false, false, false
-	w.nextConnectAt = now + min(minBackoff*float64(int(1)<<min(w.failures, 6)), maxBackoff)
-	w.failures++
+// OnDisconnected records that the connection broke, or could not be made.
+func (r *Retrier) OnDisconnected(now float64) {
+	r.connecting, r.connected, r.gotEvent = false, false, false
+	r.nextConnectAt = now + min(minBackoff*float64(int(1)<<min(r.failures, maxDoublings)), maxBackoff)
+	r.failures++
 }
 
-// OnAddressChanged says that the service has another address, which is asked at once.
-func (w *Retrier) OnAddressChanged(now float64) {
-	*w = Retrier{nextConnectAt: now, lastEventAt: w.lastEventAt}
+// OnAddressChanged records that the service has another address. The next connection is made at once.
+func (r *Retrier) OnAddressChanged(now float64) {
+	*r = Retrier{nextConnectAt: now, lastEventAt: r.lastEventAt}
 }
 
-// IsSilent tells whether the connection is to be given up.
-func (w *Retrier) IsSilent(now float64) bool {
-	return w.connected && (now-w.lastByteAt > silenceTimeout || now-w.lastConnEventAt > eventTimeout)
+// IsSilent reports whether the connection is to be closed.
+func (r *Retrier) IsSilent(now float64) bool {
+	return r.connected && (now-r.lastByteAt > silenceTimeout || now-r.lastConnEventAt > eventTimeout)
 }
 
-// IsLive tells whether the service is heard as it should be: a connection that has told nothing yet may lack any number of events.
-func (w *Retrier) IsLive(now float64) bool {
-	return w.connected && w.gotEvent && now-w.lastEventAt <= silenceTimeout
+// IsLive reports whether events arrive as they should. A connection that has delivered none yet may lack any number of events.
+func (r *Retrier) IsLive(now float64) bool {
+	return r.connected && r.gotEvent && now-r.lastEventAt <= silenceTimeout
 }
 
-// IsFailing tells whether a call for news is to be answered as failed.
-func (w *Retrier) IsFailing(now float64) bool {
-	return !w.IsLive(now) && now-w.lastEventAt > failureTimeout
+// IsFailing reports whether a request for events is to be answered as failed.
+func (r *Retrier) IsFailing(now float64) bool {
+	return !r.IsLive(now) && now-r.lastEventAt > failureTimeout
 }
 
-// ConnectTimeout is how long a connection may take.
+// ConnectTimeout returns how long a connection may take to be made, in ms.
 func ConnectTimeout() float64 { return connectTimeout }
--- a/internal/decide/watchretry/watchretry_test.go
+++ b/internal/decide/watchretry/watchretry_test.go
@@ -2,69 +2,79 @@
 
 import "testing"
 
-func TestWatch(t *testing.T) {
-	var w Retrier
-	if !w.BeginConnect(10) || w.BeginConnect(11) {
-		t.Fatal("asks at once, and once")
+func TestSilence(t *testing.T) {
+	var r Retrier
+	if !r.BeginConnect(10) || r.BeginConnect(11) {
+		t.Fatal("not connected at once and once")
 	}
-	if !w.IsFailing(5000) || w.IsLive(5000) {
-		t.Error("a service that was never heard")
+	if !r.IsFailing(5000) || r.IsLive(5000) {
+		t.Error("a service that was never heard from")
 	}
-	w.OnConnected(20)
-	w.OnEvent(30)
-	if w.IsSilent(1900) || !w.IsLive(1900) || !w.IsSilent(2000) || w.IsLive(2000) {
-		t.Error("silence")
+	r.OnConnected(20)
+	r.OnEvent(30)
+	if r.IsSilent(1900) || !r.IsLive(1900) {
+		t.Error("silent too early")
 	}
-	w.OnDisconnected(2000)
-	if w.BeginConnect(2010) || !w.BeginConnect(2100) {
-		t.Error("asked again too soon, or not soon")
+	if !r.IsSilent(2000) || r.IsLive(2000) {
+		t.Error("not silent")
 	}
-	last, gap, asks := 2100.0, 0.0, 0
-	w.OnDisconnected(2100)
+	r.OnDisconnected(2000)
+	if r.BeginConnect(2010) || !r.BeginConnect(2100) {
+		t.Error("connected again too soon, or not soon")
+	}
+}
+
+func TestBackoff(t *testing.T) {
+	var r Retrier
+	r.BeginConnect(2000)
+	r.OnDisconnected(2000)
+	r.BeginConnect(2100)
+	r.OnDisconnected(2100)
+	last, gap, attempts := 2100.0, 0.0, 0
 	for now := 2100.0; now < 12100; now += 10 {
-		if w.BeginConnect(now) {
+		if r.BeginConnect(now) {
 			gap, last = now-last, now
-			asks++
-			w.OnDisconnected(now)
+			attempts++
+			r.OnDisconnected(now)
 		}
 	}
-	if gap < 300 || gap > 700 || asks > 40 {
-		t.Errorf("%d asks in 10 s of a service that is not there, the last after %g ms", asks, gap)
+	if gap < 300 || gap > 700 || attempts > 40 {
+		t.Errorf("%d attempts in 10 s to a service that is not there, the last after %g ms", attempts, gap)
 	}
-	w.OnAddressChanged(12100)
-	if !w.BeginConnect(12100) {
-		t.Error("a new address is asked at once")
+	r.OnAddressChanged(12100)
+	if !r.BeginConnect(12100) {
+		t.Error("not connected at once to a new address")
 	}
 }
 
-// TestSilentAnew has a service take connections and say nothing: no call is answered as if there were no news, however often it is
-// connected anew.
-func TestSilentAnew(t *testing.T) {
-	var w Retrier
-	w.BeginConnect(0)
-	w.OnConnected(10)
-	w.OnEvent(20)
-	w.OnDisconnected(30)
+// TestSilentAfterReconnect has a service accept connections and deliver nothing: no request for events is answered as if there were none,
+// however often it is connected again.
+func TestSilentAfterReconnect(t *testing.T) {
+	var r Retrier
+	r.BeginConnect(0)
+	r.OnConnected(10)
+	r.OnEvent(20)
+	r.OnDisconnected(30)
 	failed := false
 	for now := 40.0; now < 20000; now += 10 {
 		switch {
-		case w.BeginConnect(now):
-			w.OnConnected(now)
-		case w.IsSilent(now):
-			w.OnDisconnected(now)
+		case r.BeginConnect(now):
+			r.OnConnected(now)
+		case r.IsSilent(now):
+			r.OnDisconnected(now)
 		}
-		if w.IsLive(now) {
-			t.Fatalf("live at %g ms, on a connection that has told nothing", now)
+		if r.IsLive(now) {
+			t.Fatalf("live at %g ms, on a connection that has delivered nothing", now)
 		}
-		failed = failed || w.IsFailing(now)
+		failed = failed || r.IsFailing(now)
 	}
 	if !failed {
-		t.Error("calls for news wait for ever")
+		t.Error("requests for events wait for ever")
 	}
-	w.BeginConnect(30000)
-	w.OnConnected(30000)
-	w.OnEvent(30001)
-	if !w.IsLive(30002) || w.IsFailing(30002) {
+	r.BeginConnect(30000)
+	r.OnConnected(30000)
+	r.OnEvent(30001)
+	if !r.IsLive(30002) || r.IsFailing(30002) {
 		t.Error("not live after its first line")
 	}
 }
@@ -81,16 +91,16 @@
 		{"it never ends", 100, 1e9, true},
 		{"silence in its midst", 2500, 3000, true},
 	} {
-		var w Retrier
-		w.BeginConnect(0)
-		w.OnConnected(0)
+		var r Retrier
+		r.BeginConnect(0)
+		r.OnConnected(0)
 		next, silent := 0.0, false
 		for now := 0.0; now < 5000 && now < c.line && !silent; now += 10 {
 			if now >= next {
-				w.OnBytes(now)
+				r.OnBytes(now)
 				next = now + c.bytes
 			}
-			silent = w.IsSilent(now)
+			silent = r.IsSilent(now)
 		}
 		if silent != c.silent {
 			t.Errorf("%s: given up %v", c.name, silent)
