--- a/internal/lab/scale/regions/process.go
+++ b/internal/lab/scale/regions/process.go
@@ -131,7 +131,7 @@
 	p.control.Report(sums)
 	p.updateNodes(silent)
 	view, now := p.control.View(), p.env.Now()
-	p.reach.Update(now, view.State, now < view.LeaseExpiry, sums, 0, nil, view.State.ActiveProcesses(p.zone.name))
+	p.reach.Update(zones.Input{Now: now, State: view.State, LeaseValid: now < view.LeaseExpiry, Summaries: sums, Processes: view.State.ActiveProcesses(p.zone.name)})
 }
 
 // updateNodes tells the detector which nodes are lost, or back, when that has changed.
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -215,7 +215,7 @@
 		}
 		x.leaseValid = sure
 		was := x.lastValidShares
-		x.shares = x.reach.Update(x.host.Now(), view.State, sure, sums, 0, x.placed, view.State.ActiveProcesses(x.zone))
+		x.shares = x.reach.Update(zones.Input{Now: x.host.Now(), State: view.State, LeaseValid: sure, Summaries: sums, OwnCores: x.placed, Processes: view.State.ActiveProcesses(x.zone)})
 		if g.faulty.UncappedShares && sure && view.State.Zone(x.zone).State == clusterstate.Closed {
 			for z := range x.shares {
 				if view.State.Zone(z).State == clusterstate.Open {
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -125,7 +125,7 @@
 	if ownState == clusterstate.Closed {
 		s.countOwnCores(nodes)
 	}
-	shares := routing.reach.Update(now, view.State, leaseValid, routing.zoneSums, 0, routing.ownCores, view.State.ActiveProcesses(routing.reach.OwnZone))
+	shares := routing.reach.Update(zones.Input{Now: now, State: view.State, LeaseValid: leaseValid, Summaries: routing.zoneSums, OwnCores: routing.ownCores, Processes: view.State.ActiveProcesses(routing.reach.OwnZone)})
 	if !maps.Equal(shares, routing.shares) || leaseValid != routing.leaseValid || routing.reach.Level() != routing.level {
 		s.log.Info().Str("mode", "zones").Interface("parts", shares).Bool("sure", leaseValid).Int("level", routing.reach.Level()).Uint64("version", view.State.Version()).
 			Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("sends to")
