--- a/internal/decide/membership/member.go
+++ b/internal/decide/membership/member.go
@@ -62,21 +62,25 @@
 	return all
 }
 
+// Counts are numbers of members by state.
+type Counts struct{ Alive, Suspect, Dead, Left int }
+
 // Count returns the number of other members in each state.
-func (d *Detector) Count() (alive, suspect, dead, left int) {
+func (d *Detector) Count() Counts {
+	var n Counts
 	for _, m := range d.members {
 		switch m.State {
 		case Alive:
-			alive++
+			n.Alive++
 		case Suspect:
-			suspect++
+			n.Suspect++
 		case Dead:
-			dead++
+			n.Dead++
 		case Left:
-			left++
+			n.Left++
 		}
 	}
-	return
+	return n
 }
 
 // Digest returns a digest of the full state, equal in processes whose states are equal.
@@ -133,6 +137,13 @@
 	return m
 }
 
+// onRemovalDue forgets a member that has been gone for long. It is nil if it was removed.
+func (d *Detector) onRemovalDue(m *member) {
+	if m != nil && m.State >= Dead && d.now-m.Since >= removeAfter {
+		d.removeMember(m)
+	}
+}
+
 // removeMember forgets a member.
 func (d *Detector) removeMember(m *member) {
 	d.digest ^= m.digest()
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -20,7 +20,6 @@
 	"ravenpond/internal/decide/gossip"
 	"ravenpond/internal/decide/reachability"
 	"ravenpond/internal/decide/slowstart"
-	codec "ravenpond/internal/proto/members"
 	"ravenpond/internal/timers"
 )
 
@@ -121,16 +120,8 @@
 	probeOrder   []string
 	probeIndex   int
 
-	sequence uint64 // last number of a probe, page, hello or message
-	probe    struct {
-		name     string
-		number   uint64
-		sent     float64
-		asked    int
-		nacks    int
-		answered bool
-		out      bool
-	}
+	sequence       uint64 // last number of a probe, page, hello or message
+	probe          probe
 	indirectProbes map[uint64]indirectProbe
 	lateProbes     map[uint64]lateProbe
 	hellos         map[string]uint64 // number of the last hello to an address
@@ -143,18 +134,7 @@
 	recentHellos   float64 // hellos received within the present second
 	helloWindowAt  float64
 
-	header struct {
-		place        int // of the sender, from 1; 0: none
-		given, lent  bool
-		counted      []byte
-		lentCounted  []byte
-		silent       []uint32 // nodes that the sender can't reach and asks for
-		m            *member
-		kind         uint32
-		number, view uint64
-		target       string
-		after, until string
-	}
+	header      header          // of the datagram that is being read
 	syncedNames map[string]bool // names in the page that is being read for which this process holds nothing newer
 
 	carrier      Carrier // nil: none
@@ -178,26 +158,26 @@
 }
 
 // New returns a detector without members, started at a time in ms.
-func New(edge Effects, now float64, who Config) *Detector {
-	d := &Detector{
-		effects: edge, config: who, rng: rand.New(rand.NewPCG(who.Seed, 0x3e3b)), now: now, members: map[string]*member{},
-		byIndex: map[uint64]*member{}, indirectProbes: map[uint64]indirectProbe{}, lateProbes: map[uint64]lateProbe{}, hellos: map[string]uint64{}, lastDeathAt: now, lastSyncAt: math.Inf(-1),
-		resumedAt: math.Inf(-1),
-	}
-	if d.config.Incarnation == 0 {
-		d.config.Incarnation = 1
+func New(effects Effects, now float64, config Config) *Detector {
+	if config.Incarnation == 0 {
+		config.Incarnation = 1
 	}
-	if who.Places > 0 && who.Places <= maxPlaces {
-		lease := slowstart.Config{
-			Places: who.Places, LeaseDuration: slowstart.MinLeaseDuration(who.Places, period), Window: who.SlowStartWindow,
-			ProbeInterval: 2 * period * float64(who.Places),
-		}
-		d.slowStart = slowstart.New(now, lease, who.Place)
-		if lease.Window = who.MaxOpenTime; who.MaxOpenTime > 0 {
-			d.quota = slowstart.New(now, lease, who.Place)
-		}
+	d := &Detector{
+		effects:        effects,
+		config:         config,
+		rng:            rand.New(rand.NewPCG(config.Seed, 0x3e3b)),
+		now:            now,
+		members:        map[string]*member{},
+		byIndex:        map[uint64]*member{},
+		indirectProbes: map[uint64]indirectProbe{},
+		lateProbes:     map[uint64]lateProbe{},
+		hellos:         map[string]uint64{},
+		lastDeathAt:    now,
+		lastSyncAt:     math.Inf(-1),
+		resumedAt:      math.Inf(-1),
 	}
-	d.self = &member{Member: Member{Name: who.Name, Address: who.Address, State: Alive, Since: now, By: who.Name}, transmissions: 0}
+	d.startLeases()
+	d.self = &member{Member: Member{Name: config.Name, Address: config.Address, State: Alive, Since: now, By: config.Name}}
 	d.updates = append(d.updates, d.self)
 	d.digest ^= d.self.digest()
 	d.announceSelf()
@@ -206,6 +186,25 @@
 	return d
 }
 
+// startLeases makes the holders of leases on the slow-start limit and on the quota, if these are shared.
+func (d *Detector) startLeases() {
+	c := &d.config
+	if c.Places <= 0 || c.Places > maxPlaces {
+		return
+	}
+	lease := slowstart.Config{
+		Places:        c.Places,
+		LeaseDuration: slowstart.MinLeaseDuration(c.Places, period),
+		Window:        c.SlowStartWindow,
+		ProbeInterval: 2 * period * float64(c.Places),
+	}
+	d.slowStart = slowstart.New(d.now, lease, c.Place)
+	if c.MaxOpenTime > 0 {
+		lease.Window = c.MaxOpenTime
+		d.quota = slowstart.New(d.now, lease, c.Place)
+	}
+}
+
 // announceSelf updates this process's own version and queues the update.
 func (d *Detector) announceSelf() {
 	d.setVersion(d.self, d.config.Incarnation, d.version)
@@ -231,42 +230,33 @@
 func (d *Detector) Tick(now float64) {
 	d.advance(now)
 	for {
-		b, ok := d.timers.Next(d.now)
+		timer, ok := d.timers.Next(d.now)
 		if !ok {
 			return
 		}
-		switch b.Kind {
-		case dueProbe:
-			d.startProbe()
-		case dueAck:
-			if b.Key == d.probe.number && d.probe.out && !d.probe.answered {
-				d.probeIndirectly()
-			}
-		case dueSuspicion:
-			if m := d.byIndex[b.Key]; m != nil && m.State == Suspect {
-				d.evaluateSuspicion(m)
-			}
-		case dueNack:
-			if h, ok := d.indirectProbes[b.Key]; ok {
-				delete(d.indirectProbes, b.Key)
-				if asker := d.members[h.asker]; asker != nil {
-					d.sendTo(asker, codec.Nack, h.number, "")
-				}
-			}
-		case dueLate:
-			if w, ok := d.lateProbes[b.Key]; ok {
-				delete(d.lateProbes, b.Key)
-				if m := d.members[w.name]; m != nil && m.State == Alive && m.LastContact < w.sent {
-					d.suspect(m, d.config.Name)
-				}
-			}
-		case dueContact:
-			d.contactLost()
-		case dueRemoval:
-			if m := d.byIndex[b.Key]; m != nil && m.State >= Dead && d.now-m.Since >= removeAfter {
-				d.removeMember(m)
-			}
+		d.onTimer(timer.Kind, timer.Key)
+	}
+}
+
+// onTimer executes what a timer was set for.
+func (d *Detector) onTimer(kind due, key uint64) {
+	switch kind {
+	case dueProbe:
+		d.startProbe()
+	case dueAck:
+		if key == d.probe.number && d.probe.out && !d.probe.answered {
+			d.probeIndirectly()
 		}
+	case dueSuspicion:
+		d.onSuspicionTimeout(d.byIndex[key])
+	case dueNack:
+		d.sendNack(key)
+	case dueLate:
+		d.onLateTimeout(key)
+	case dueContact:
+		d.contactLost()
+	case dueRemoval:
+		d.onRemovalDue(d.byIndex[key])
 	}
 }
 
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -5,80 +5,83 @@
 	"testing"
 )
 
-// wire carries datagrams between detectors by hand.
-type wire struct {
+// network records what a detector sends and reports.
+type network struct {
 	sent    []string // addresses
 	last    map[string][]byte
 	changes []string
 }
 
-func (w *wire) Send(address string, b []byte) {
-	w.sent = append(w.sent, address)
-	w.last[address] = b
+func (n *network) Send(address string, b []byte) {
+	n.sent = append(n.sent, address)
+	n.last[address] = b
 }
 
-func (w *wire) OnMemberChanged(m Member, was State) {
-	w.changes = append(w.changes, fmt.Sprint(m.Name, " ", was, " ", m.State))
+func (n *network) OnMemberChanged(m Member, was State) {
+	n.changes = append(n.changes, fmt.Sprint(m.Name, " ", was, " ", m.State))
 }
-func (w *wire) OnNameConflict(string) {}
+func (n *network) OnNameConflict(string) {}
 
-func (w *wire) LastNodeContact(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
+func (n *network) LastNodeContact(uint32) (incarnation uint64, lastContact float64, ok bool) {
+	return 0, 0, false
+}
 
-func detector(name string, plant Faults, seeds ...string) (*Detector, *wire) {
-	w := &wire{last: map[string][]byte{}}
-	return New(w, 1000, Config{Site: "s", Name: name, Address: name + ":1", Incarnation: 1, Key: []byte("k"), Seeds: seeds, Seed: 1, Faults: plant}), w
+func newDetector(name string, faults Faults, seeds ...string) (*Detector, *network) {
+	n := &network{last: map[string][]byte{}}
+	return New(n, 1000, Config{Site: "s", Name: name, Address: name + ":1", Incarnation: 1, Key: []byte("k"), Seeds: seeds, Seed: 1, Faults: faults}), n
 }
 
-// meet has two detectors know each other.
-func meet(t *testing.T, plant Faults) (a, b *Detector, wa, wb *wire) {
-	a, wa = detector("a", plant, "b:1")
-	b, wb = detector("b", plant)
+// newPair returns one of two detectors that know each other, and its network.
+func newPair(t *testing.T, faults Faults) (*Detector, *network) {
+	t.Helper()
+	a, na := newDetector("a", faults, "b:1")
+	b, nb := newDetector("b", faults)
 	a.Tick(1001)                       // hello
-	b.OnDatagram(1002, wa.last["b:1"]) // welcome
-	a.OnDatagram(1003, wb.last["a:1"]) // ping, pages
-	b.OnDatagram(1004, wa.last["b:1"]) // the page: the ping before it is lost here
-	if n, _, _, _ := a.Count(); n != 1 {
-		t.Fatal("they do not meet")
+	b.OnDatagram(1002, na.last["b:1"]) // welcome
+	a.OnDatagram(1003, nb.last["a:1"]) // ping, pages
+	b.OnDatagram(1004, na.last["b:1"]) // the page: the ping before it is lost here
+	if n := a.Count().Alive; n != 1 {
+		t.Fatal("they do not know each other")
 	}
-	if n, _, _, _ := b.Count(); n != 1 {
-		t.Fatal("one alone knows the other")
+	if n := b.Count().Alive; n != 1 {
+		t.Fatal("only one knows the other")
 	}
-	return a, b, wa, wb
+	return a, na
 }
 
-// TestStood has a process stand still with a probe out: when it wakes it accuses nobody, unless it trusts itself always.
-func TestStood(t *testing.T) {
+// TestPause pauses a process with a probe out: when it resumes it accuses nobody, unless it ignores its local health.
+func TestPause(t *testing.T) {
 	for _, healthy := range []bool{false, true} {
-		a, _, wa, _ := meet(t, Faults{IgnoreLocalHealth: healthy})
+		a, network := newPair(t, Faults{IgnoreLocalHealth: healthy})
 		now := a.Next()
 		for a.Stats.Probes == 0 {
 			now = a.Next()
 			a.Tick(now)
 		}
-		a.Tick(now + 5000) // no answer was read, as nothing was
-		if n := len(wa.changes); healthy && n < 2 || !healthy && n > 1 || !healthy && (a.Stats.Stalls != 1 || a.Health() < 2) {
-			t.Errorf("healthy %t: %q, %d stalls, health %d", healthy, wa.changes, a.Stats.Stalls, a.Health())
+		a.Tick(now + 5000) // nothing was read in the meantime
+		if n := len(network.changes); healthy && n < 2 || !healthy && n > 1 || !healthy && (a.Stats.Stalls != 1 || a.Health() < 2) {
+			t.Errorf("healthy %t: %q, %d stalls, health %d", healthy, network.changes, a.Stats.Stalls, a.Health())
 		}
 	}
 }
 
-// TestHello holds that a hello changes nothing, whoever says it and however often, and that its answers are bounded.
+// TestHello checks that hellos change nothing, however many arrive, and that their answers are limited.
 func TestHello(t *testing.T) {
-	a, wa := detector("a", Faults{}, "b:1")
-	b, wb := detector("b", Faults{})
+	a, na := newDetector("a", Faults{}, "b:1")
+	b, nb := newDetector("b", Faults{})
 	a.Tick(1001)
-	hello := wa.last["b:1"]
+	hello := na.last["b:1"]
 	view := b.Digest()
 	for i := range 1000 {
 		b.OnDatagram(1002+float64(i)/10, hello)
 	}
-	if alive, _, _, _ := b.Count(); alive != 0 || b.Digest() != view || len(wb.sent) > maxHellosPerSecond || len(wb.sent) == 0 {
-		t.Errorf("%d known, %d answers", alive, len(wb.sent))
+	if alive := b.Count().Alive; alive != 0 || b.Digest() != view || len(nb.sent) > maxHellosPerSecond || len(nb.sent) == 0 {
+		t.Errorf("%d known, %d answers", alive, len(nb.sent))
 	}
 }
 
-// TestOnce walks counts that come in any order and more than once.
-func TestOnce(t *testing.T) {
+// TestAcceptCount checks counts in any order and more than once.
+func TestAcceptCount(t *testing.T) {
 	m := &member{}
 	for _, c := range []struct {
 		count uint64
@@ -106,9 +109,9 @@
 	}
 }
 
-// TestBounds holds that a suspicion shrinks with each who shares it, and never below what is promised.
+// TestBounds checks that a suspicion gets shorter with each accuser, and not below its lower bound.
 func TestBounds(t *testing.T) {
-	a, _, _, _ := meet(t, Faults{})
+	a, _ := newPair(t, Faults{})
 	for i := range 30 {
 		if m := a.addMember(fmt.Sprint("x", i), fmt.Sprintf("x%d:1", i), 1, 0); m != nil {
 			a.setState(m, Alive, "a")
@@ -119,7 +122,7 @@
 		t.Fatalf("%g, %g", least, most)
 	}
 	for accusers := 1; accusers <= maxAccusers+1; accusers++ {
-		least, most = a.Bounds() // of those who are left
+		least, most = a.Bounds() // of the remaining members
 		x := a.members[fmt.Sprint("x", accusers)]
 		a.now = 5000
 		a.suspect(x, "a")
--- a/internal/decide/membership/probe.go
+++ b/internal/decide/membership/probe.go
@@ -7,6 +7,17 @@
 // Period is the time between two probes of a healthy process, in ms.
 const Period = period
 
+// probe is the current probe.
+type probe struct {
+	name     string
+	number   uint64
+	sent     float64
+	asked    int // members that were asked for an indirect probe
+	nacks    int // of them, that got no ack
+	answered bool
+	out      bool // it was sent, and counts
+}
+
 // indirectProbe is a probe made for another member.
 type indirectProbe struct {
 	asker, target string
@@ -25,21 +36,8 @@
 // startProbe ends the last probe and probes the next member.
 func (d *Detector) startProbe() {
 	d.timers.Set(d.now+d.scaled(period)*(0.95+0.1*d.rng.Float64()), dueProbe, 0)
-	if p := &d.probe; p.out && !p.answered {
-		d.Stats.Missed++
-		if m := d.members[p.name]; m != nil && m.State <= Suspect {
-			d.localHealth = min(maxLocalHealth, d.localHealth+p.asked-p.nacks) // silent helpers: this process may be at fault
-			if p.asked == 0 {
-				d.localHealth = min(maxLocalHealth, d.localHealth+1)
-			}
-			if m.lag == 0 {
-				d.suspect(m, d.config.Name)
-			}
-			if len(d.lateProbes) < maxMembers {
-				d.lateProbes[p.number] = lateProbe{p.name, p.sent}
-				d.timers.Set(p.sent+max(minLateWait, lagFactor*m.lag), dueLate, p.number)
-			}
-		}
+	if d.probe.out && !d.probe.answered {
+		d.onProbeMissed()
 	}
 	d.probe.out = false
 	m := d.nextProbed()
@@ -48,12 +46,56 @@
 	}
 	d.sequence++
 	d.Stats.Probes++
-	d.probe.name, d.probe.number, d.probe.sent, d.probe.asked, d.probe.nacks = m.Name, d.sequence, d.now, 0, 0
-	d.probe.answered, d.probe.out = false, true
+	d.probe = probe{name: m.Name, number: d.sequence, sent: d.now, out: true}
 	d.sendTo(m, codec.Ping, d.sequence, "")
 	d.timers.Set(d.now+d.scaled(ackTimeout), dueAck, d.sequence)
 }
 
+// onProbeMissed handles a probe without an ack in time. The member is suspected at once, or after its usual lag if it is slow.
+func (d *Detector) onProbeMissed() {
+	p := &d.probe
+	d.Stats.Missed++
+	m := d.members[p.name]
+	if m == nil || m.State > Suspect {
+		return
+	}
+	d.localHealth = min(maxLocalHealth, d.localHealth+p.asked-p.nacks) // silent helpers: this process may be at fault
+	if p.asked == 0 {
+		d.localHealth = min(maxLocalHealth, d.localHealth+1)
+	}
+	if m.lag == 0 {
+		d.suspect(m, d.config.Name)
+	}
+	if len(d.lateProbes) < maxMembers {
+		d.lateProbes[p.number] = lateProbe{p.name, p.sent}
+		d.timers.Set(p.sent+max(minLateWait, lagFactor*m.lag), dueLate, p.number)
+	}
+}
+
+// onLateTimeout suspects a slow member whose ack did not arrive within its usual lag either.
+func (d *Detector) onLateTimeout(number uint64) {
+	late, ok := d.lateProbes[number]
+	if !ok {
+		return
+	}
+	delete(d.lateProbes, number)
+	if m := d.members[late.name]; m != nil && m.State == Alive && m.LastContact < late.sent {
+		d.suspect(m, d.config.Name)
+	}
+}
+
+// sendNack tells another member that the target of its indirect probe did not answer.
+func (d *Detector) sendNack(number uint64) {
+	indirect, ok := d.indirectProbes[number]
+	if !ok {
+		return
+	}
+	delete(d.indirectProbes, number)
+	if asker := d.members[indirect.asker]; asker != nil {
+		d.sendTo(asker, codec.Nack, indirect.number, "")
+	}
+}
+
 // nextProbed returns the next member in the probe order that is not known to be gone, nil if there is none.
 func (d *Detector) nextProbed() *member {
 	for range len(d.probeOrder) + 1 {
@@ -92,14 +134,14 @@
 }
 
 // sample returns up to n random members that satisfy a condition.
-func (d *Detector) sample(n int, sort func(*member) bool) (all []*member) {
+func (d *Detector) sample(n int, isEligible func(*member) bool) (all []*member) {
 	if len(d.names) == 0 {
 		return nil
 	}
 	const step = 1299709 // a prime above any number of members: visits all in an order unrelated to their names
 	start := d.rng.IntN(len(d.names))
 	for i := range len(d.names) {
-		if m := d.members[d.names[(start+i*step)%len(d.names)]]; sort(m) {
+		if m := d.members[d.names[(start+i*step)%len(d.names)]]; isEligible(m) {
 			if all = append(all, m); len(all) == n {
 				break
 			}
--- a/internal/decide/membership/receive.go
+++ b/internal/decide/membership/receive.go
@@ -11,7 +11,7 @@
 // OnDatagram handles a datagram that arrived at this process's address.
 func (d *Detector) OnDatagram(now float64, b []byte) {
 	d.advance(now)
-	d.header.kind, d.header.place, d.header.silent = 0, 0, d.header.silent[:0]
+	d.header.kind, d.header.lease.place, d.header.silent = 0, 0, d.header.silent[:0]
 	d.syncedNames = nil
 	switch err := codec.Open(b, d.config.Key, d.config.Site, d.config.Address, datagramHandler{d}); {
 	case errors.Is(err, codec.ErrForeign):
@@ -25,6 +25,24 @@
 	}
 }
 
+// header is what the kind of a datagram is handled by, when all of the datagram is read.
+type header struct {
+	sender       *member
+	kind         uint32
+	number, view uint64
+	target       string
+	after, until string // range of names of a page
+	lease        leaseFields
+	silent       []uint32 // nodes that the sender can't reach and asks for
+}
+
+// leaseFields are the lease fields of a datagram.
+type leaseFields struct {
+	place                 int // of the sender, from 1; 0: none
+	granted, quotaGranted bool
+	counted, quotaCounted []byte
+}
+
 // datagramHandler receives the decoded parts of a datagram.
 type datagramHandler struct{ *Detector }
 
@@ -33,60 +51,77 @@
 func (d datagramHandler) OnHeader(from, address string, incarnation, count, toIncarnation uint64, kind uint32, number uint64, target string, view uint64, after,
 	until string,
 ) bool {
-	h := &d.header
-	if from == d.config.Name {
+	switch {
+	case from == d.config.Name:
 		if address != d.config.Address {
 			d.onNameConflict(address, incarnation)
 		}
 		return false
-	}
-	switch {
 	case kind == codec.Hello:
 		d.onHello(from, address, incarnation, number)
 		return false
 	case toIncarnation != d.config.Incarnation && !d.config.Faults.AcceptReplays:
 		d.Stats.Stale++
 		return false
-	case kind == codec.Welcome:
-		if d.hellos[address] != number {
-			d.Stats.Stale++
-			return false
-		}
-		delete(d.hellos, address)
-		if target != "" && view > d.config.Incarnation { // the sender knows a later incarnation of this name
-			d.raiseIncarnation(view)
-		}
+	case kind == codec.Welcome && !d.onWelcome(address, number, target, view):
+		return false
 	}
-	m := d.members[from]
-	switch {
-	case m != nil && !d.config.Faults.AcceptReplays && (incarnation < m.Incarnation || incarnation == m.Incarnation && address != m.Address):
-		d.Stats.Stale++
+	m := d.senderOf(from, address, incarnation)
+	if m == nil {
 		return false
-	case m == nil:
-		if m = d.addMember(from, address, incarnation, 0); m == nil {
-			return false
-		}
-		d.setState(m, Alive, d.config.Name)
-		d.lastSyncAt = math.Inf(-1)
-	case incarnation > m.Incarnation:
-		d.onNewIncarnation(m, address, incarnation, 0, Alive, d.config.Name)
 	}
 	if kind != codec.Welcome && !m.acceptCount(count) && !d.config.Faults.AcceptReplays {
 		d.Stats.Stale++
 		return false
 	}
 	m.LastContact = d.now
-	h.m, h.kind, h.number, h.view, h.target, h.after, h.until = m, kind, number, view, target, after, until
+	h := &d.header
+	h.sender, h.kind, h.number, h.view, h.target, h.after, h.until = m, kind, number, view, target, after, until
 	if kind == codec.SyncChunk {
 		d.syncedNames = map[string]bool{}
 	}
 	return true
 }
 
+// onWelcome handles an answer to a hello; false if the hello is not the last one to the address.
+func (d *Detector) onWelcome(address string, number uint64, target string, known uint64) bool {
+	if d.hellos[address] != number {
+		d.Stats.Stale++
+		return false
+	}
+	delete(d.hellos, address)
+	if target != "" && known > d.config.Incarnation { // the sender knows a later incarnation of this name
+		d.raiseIncarnation(known)
+	}
+	return true
+}
+
+// senderOf returns the member that sent a datagram, and adds it if it is unknown; nil if the datagram is of an earlier incarnation or there
+// are too many members.
+func (d *Detector) senderOf(name, address string, incarnation uint64) *member {
+	m := d.members[name]
+	if m == nil {
+		if m = d.addMember(name, address, incarnation, 0); m != nil {
+			d.setState(m, Alive, d.config.Name)
+			d.lastSyncAt = math.Inf(-1)
+		}
+		return m
+	}
+	isStale := incarnation < m.Incarnation || incarnation == m.Incarnation && address != m.Address
+	switch {
+	case isStale && !d.config.Faults.AcceptReplays:
+		d.Stats.Stale++
+		return nil
+	case incarnation > m.Incarnation:
+		d.onNewIncarnation(m, address, incarnation, 0, Alive, d.config.Name)
+	}
+	return m
+}
+
 // OnLease keeps a datagram's lease fields until its kind is handled.
-func (d datagramHandler) OnLease(place int, given bool, counted []byte, quotaGranted bool, quotaCounted []byte) {
-	d.header.place, d.header.given, d.header.counted, d.header.lent, d.header.lentCounted = place+1, given, counted, quotaGranted, quotaCounted
-	d.header.m.place = place + 1
+func (d datagramHandler) OnLease(place int, granted bool, counted []byte, quotaGranted bool, quotaCounted []byte) {
+	d.header.lease = leaseFields{place + 1, granted, quotaGranted, counted, quotaCounted}
+	d.header.sender.place = place + 1
 }
 
 // OnNodeState handles gossip about a node.
@@ -117,7 +152,7 @@
 // OnStateVersion handles the version of the cluster state that the sender holds.
 func (d datagramHandler) OnStateVersion(version uint64) {
 	if version > d.stateVersion && d.carrier != nil {
-		d.carrier.Ahead(d.header.m.Name, version)
+		d.carrier.Ahead(d.header.sender.Name, version)
 	}
 }
 
@@ -127,8 +162,8 @@
 	if h.kind != codec.Fragment || d.carrier == nil {
 		return
 	}
-	if all, ok := d.reassembler.Add(h.m.Name, h.m.Incarnation, h.number, index, of, body); ok {
-		d.carrier.Carried(h.m.Name, all)
+	if all, ok := d.reassembler.Add(h.sender.Name, h.sender.Incarnation, h.number, index, of, body); ok {
+		d.carrier.Carried(h.sender.Name, all)
 	}
 }
 
@@ -153,7 +188,7 @@
 // handle executes a datagram after its updates were read.
 func (d *Detector) handle() {
 	h := d.header
-	m := h.m
+	m := h.sender
 	switch h.kind {
 	case codec.Welcome: // the sender is alive: it gets the state that is held of it and can refute it
 		d.sequence++
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -55,33 +55,44 @@
 	return retransmitFactor * int(math.Ceil(math.Log2(float64(d.presentCount()+2))))
 }
 
-// sendTo sends a datagram with updates to a member. A member that is not alive here gets this update first, so that it can refute it.
+// sendTo sends a datagram with leases, reachability and as many updates as fit to a member. A member that is not alive here gets this update first, so that it can refute it.
 func (d *Detector) sendTo(m *member, kind uint32, number uint64, target string) {
 	m.sentCount++
 	var first *member
 	if m.State != Alive {
 		first = m
 	}
-	d.sendWithUpdates(m.Address, m.Incarnation, m.sentCount, kind, number, target, first)
+	b := codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Incarnation, m.sentCount, m.Incarnation, kind, number, target, d.digest, "", "")
+	b = codec.AppendStateVersion(b, d.stateVersion)
+	b = d.appendLease(b, kind)
+	b = d.appendReachability(b, kind)
+	if first != nil {
+		b, _ = appendUpdate(b, first)
+	}
+	d.transmit(m.Address, d.appendUpdates(b, first))
 }
 
-// sendWithUpdates sends a datagram with leases, reachability and as many updates as fit.
-func (d *Detector) sendWithUpdates(address string, incarnation, count uint64, kind uint32, number uint64, target string, first *member) {
-	b := codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Incarnation, count, incarnation, kind, number, target, d.digest, "", "")
-	b = codec.AppendStateVersion(b, d.stateVersion)
+// appendLease appends a request for leases to a ping and the answer to an ack.
+func (d *Detector) appendLease(b []byte, kind uint32) []byte {
 	switch {
 	case d.slowStart == nil || d.leaving || d.nameConflict:
 	case kind == codec.Ping:
-		b = codec.AppendLease(b, d.config.Place, false, nil, false, nil)
-	case kind == codec.Ack && d.header.kind == codec.Ping && d.header.place > 0: // not an ack that is forwarded for another member
-		given, counted := d.slowStart.OnRequest(d.now, d.header.place-1)
-		var lent bool
-		var lentCounted slowstart.PlaceSet
+		return codec.AppendLease(b, d.config.Place, false, nil, false, nil)
+	case kind == codec.Ack && d.header.kind == codec.Ping && d.header.lease.place > 0: // not an ack that is forwarded for another member
+		place := d.header.lease.place - 1
+		granted, counted := d.slowStart.OnRequest(d.now, place)
+		var quotaGranted bool
+		var quotaCounted slowstart.PlaceSet
 		if d.quota != nil {
-			lent, lentCounted = d.quota.OnRequest(d.now, d.header.place-1)
+			quotaGranted, quotaCounted = d.quota.OnRequest(d.now, place)
 		}
-		b = codec.AppendLease(b, d.config.Place, given, counted.Bytes(), lent, lentCounted.Bytes())
+		return codec.AppendLease(b, d.config.Place, granted, counted.Bytes(), quotaGranted, quotaCounted.Bytes())
 	}
+	return b
+}
+
+// appendReachability appends questions about unreachable nodes to a ping and the answers to an ack.
+func (d *Detector) appendReachability(b []byte, kind uint32) []byte {
 	switch {
 	case kind == codec.Ping:
 		d.nodeReachability.Questions(d.now, func(node uint32) (ok bool) {
@@ -90,17 +101,19 @@
 		})
 	case kind == codec.Ack && d.header.kind == codec.Ping:
 		for _, node := range d.header.silent {
-			if incarnation, heard, ok := d.effects.LastNodeContact(node); ok {
-				b, _ = codec.AppendNodeReply(b, node, incarnation, d.now-heard)
+			if incarnation, lastContact, ok := d.effects.LastNodeContact(node); ok {
+				b, _ = codec.AppendNodeReply(b, node, incarnation, d.now-lastContact)
 			}
 		}
 	}
-	if first != nil {
-		b, _ = appendUpdate(b, first)
-	}
+	return b
+}
+
+// appendUpdates appends as many queued updates as fit, those first that were sent least often, and gossip about nodes. first is in the
+// datagram already.
+func (d *Detector) appendUpdates(b []byte, first *member) []byte {
 	slices.SortStableFunc(d.updates, func(x, y *member) int { return cmp.Compare(x.transmissions, y.transmissions) })
-	most, kept := d.retransmitLimit(), d.updates[:0]
-	full := false
+	limit, kept, full := d.retransmitLimit(), d.updates[:0], false
 	for _, m := range d.updates {
 		if !full && m != first {
 			var ok bool
@@ -110,7 +123,7 @@
 				full = true
 			}
 		}
-		if m.transmissions >= most {
+		if m.transmissions >= limit {
 			m.transmissions = -1
 		} else {
 			kept = append(kept, m)
@@ -118,11 +131,11 @@
 	}
 	clear(d.updates[len(kept):])
 	d.updates = kept
-	d.nodeGossip.Piggyback(most, func(node uint32, version uint64, gone bool) (ok bool) {
+	d.nodeGossip.Piggyback(limit, func(node uint32, version uint64, gone bool) (ok bool) {
 		b, ok = codec.AppendNodeState(b, node, version, gone)
 		return ok
 	})
-	d.transmit(address, b)
+	return b
 }
 
 // appendUpdate appends a member's update; false if it does not fit.
--- a/internal/decide/membership/share.go
+++ b/internal/decide/membership/share.go
@@ -24,8 +24,7 @@
 		return 0, now
 	}
 	if d.config.Faults.GrowShares {
-		alive, _, _, _ := d.Count()
-		return alive + 1, math.Inf(1)
+		return d.Count().Alive + 1, math.Inf(1)
 	}
 	return h.Sharers(now), h.Expiry(now)
 }
@@ -40,10 +39,12 @@
 
 // onLeaseReply handles the lease grants in an ack of a probe that was sent at a time.
 func (d *Detector) onLeaseReply(sent float64) {
-	if h := &d.header; d.slowStart != nil && h.place > 0 {
-		d.slowStart.OnGrant(sent, h.place-1, h.given, slowstart.ParsePlaceSet(h.counted))
-		if d.quota != nil {
-			d.quota.OnGrant(sent, h.place-1, h.lent, slowstart.ParsePlaceSet(h.lentCounted))
-		}
+	lease := &d.header.lease
+	if d.slowStart == nil || lease.place == 0 {
+		return
+	}
+	d.slowStart.OnGrant(sent, lease.place-1, lease.granted, slowstart.ParsePlaceSet(lease.counted))
+	if d.quota != nil {
+		d.quota.OnGrant(sent, lease.place-1, lease.quotaGranted, slowstart.ParsePlaceSet(lease.quotaCounted))
 	}
 }
--- a/internal/decide/membership/suspicion.go
+++ b/internal/decide/membership/suspicion.go
@@ -1,8 +1,6 @@
 package membership
 
-import (
-	"math"
-)
+import "math"
 
 // suspect suspects a member, or adds an accuser to its suspicion.
 func (d *Detector) suspect(m *member, by string) {
@@ -31,16 +29,16 @@
 	d.evaluateSuspicion(m)
 }
 
+// onSuspicionTimeout evaluates a suspicion whose timer expired. The member is nil if it was removed.
+func (d *Detector) onSuspicionTimeout(m *member) {
+	if m != nil && m.State == Suspect {
+		d.evaluateSuspicion(m)
+	}
+}
+
 // evaluateSuspicion declares a suspect dead after its time-out, or sets a timer for the rest of it.
 func (d *Detector) evaluateSuspicion(m *member) {
-	least, most := d.Bounds()
-	lasts := most
-	if k := min(maxAccusers, d.presentCount()-1); k < 1 {
-		lasts = least
-	} else {
-		lasts = max(least, most-(most-least)*math.Log(float64(len(m.accusers)))/math.Log(float64(k+1)))
-	}
-	if at := m.suspectAt + lasts; d.now < at {
+	if at := m.suspectAt + d.suspicionDuration(len(m.accusers)); d.now < at {
 		d.timers.Set(at, dueSuspicion, m.index)
 		return
 	}
@@ -49,6 +47,16 @@
 	d.setState(m, Dead, d.config.Name)
 }
 
+// suspicionDuration returns how long a suspicion with a number of accusers lasts, in ms.
+func (d *Detector) suspicionDuration(accusers int) float64 {
+	minDuration, maxDuration := d.Bounds()
+	needed := min(maxAccusers, d.presentCount()-1)
+	if needed < 1 {
+		return minDuration
+	}
+	return max(minDuration, maxDuration-(maxDuration-minDuration)*math.Log(float64(accusers))/math.Log(float64(needed+1)))
+}
+
 // Bounds returns the duration of a suspicion in ms, with enough accusers and with only one.
 func (d *Detector) Bounds() (minDuration, maxDuration float64) {
 	minDuration = suspicionPeriods * period * max(minLogFactor, math.Log10(float64(d.presentCount()+1)))
--- a/internal/decide/membership/sync.go
+++ b/internal/decide/membership/sync.go
@@ -44,8 +44,9 @@
 			longest = name
 		}
 	}
-	b, ok := begin(longest), true // the page's last name is not known yet: room for the longest is reserved
+	b := begin(longest) // the page's last name is not known yet: space for the longest is reserved
 	for n = 0; n < len(names); n++ {
+		var ok bool
 		if b, ok = appendUpdate(b, d.lookup(names[n])); !ok {
 			break
 		}
--- a/internal/decide/membership/update.go
+++ b/internal/decide/membership/update.go
@@ -40,17 +40,10 @@
 	}
 	m := d.members[name]
 	if m == nil {
-		if m = d.addMember(name, address, incarnation, version); m == nil {
-			return
+		if m = d.addMember(name, address, incarnation, version); m != nil {
+			d.setFirstState(m, to, by)
+			d.markSynced(m, incarnation, version, to)
 		}
-		switch to {
-		case Suspect:
-			d.setState(m, Alive, by)
-			d.suspect(m, by)
-		default:
-			d.setState(m, to, by)
-		}
-		d.markSynced(m, incarnation, version, to)
 		return
 	}
 	d.markSynced(m, incarnation, version, to)
@@ -62,6 +55,24 @@
 		d.onNewIncarnation(m, address, incarnation, version, to, by)
 	case version > m.Version:
 		d.onNewerVersion(m, version, to, by)
+	default:
+		d.onSameVersion(m, to, by)
+	}
+}
+
+// setFirstState sets the state of a member that was unknown.
+func (d *Detector) setFirstState(m *member, to State, by string) {
+	if to == Suspect {
+		d.setState(m, Alive, by)
+		d.suspect(m, by)
+		return
+	}
+	d.setState(m, to, by)
+}
+
+// onSameVersion handles a state of a member's present version.
+func (d *Detector) onSameVersion(m *member, to State, by string) {
+	switch {
 	case to <= m.State: // nothing new, except for a further accuser
 		if to == Suspect && m.State == Suspect {
 			d.addAccuser(m, by)
--- a/internal/lab/scale/hollow/schedulers.go
+++ b/internal/lab/scale/hollow/schedulers.go
@@ -230,7 +230,7 @@
 }
 
 func known(s *scheduler) (alive int) {
-	s.members.WithDetector(func(d *membership.Detector) { alive, _, _, _ = d.Count() })
+	s.members.WithDetector(func(d *membership.Detector) { alive = d.Count().Alive })
 	return alive
 }
 
--- a/internal/lab/scale/regions/heal.go
+++ b/internal/lab/scale/regions/heal.go
@@ -53,8 +53,7 @@
 			if d.Digest() != view {
 				return
 			}
-			alive, _, _, _ := d.Count()
-			agrees = alive == len(s.processes)-1
+			agrees = d.Count().Alive == len(s.processes)-1
 		})
 		if !agrees {
 			return false
--- a/internal/lab/scale/regions/reading.go
+++ b/internal/lab/scale/regions/reading.go
@@ -127,7 +127,7 @@
 		r.Sizes[Updates] = f.Updates + f.NodeUpdates
 		r.Sizes[UnreachableNodes] = f.UnreachableNodes
 		r.Sizes[Fragments], r.Sizes[FragmentBytes] = f.Fragments.Messages, f.Fragments.Bytes
-		r.Alive, _, _, _ = d.Count()
+		r.Alive = d.Count().Alive
 		if seconds := (p.cluster.clock.TrueTime() - p.readAt) / 1000; seconds > 0 {
 			r.DatagramsPerSecond = float64(d.Stats.Sent-p.lastSent) / seconds
 			r.BytesPerSecond = float64(d.Stats.Bytes-p.lastSentBytes) / seconds
--- a/internal/serve/membership.go
+++ b/internal/serve/membership.go
@@ -162,8 +162,8 @@
 	var endedNodes []func(sh *shard, now float64)
 	m.runner.WithDetector(func(detector *membership.Detector) {
 		sharers, sharersUntil = detector.SlowStartSharers(now + leaseMargin)
-		aliveCount, suspect, dead, _ := detector.Count()
-		alive, total = aliveCount, aliveCount+suspect+dead
+		members := detector.Count()
+		alive, total = members.Alive, members.Alive+members.Suspect+members.Dead
 		permits, permitsNeeded = detector.Grants(now)
 		heldBack = detector.UnreadyNodes(now)
 		leaseSharers, leasedUntil = detector.QuotaSharers(now + leaseMargin)
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -89,8 +89,8 @@
 	gauge(c.shards, float64(shards))
 	if c.server.membership.runner != nil {
 		c.server.membership.runner.WithDetector(func(desc *membership.Detector) {
-			alive, suspect, dead, left := desc.Count()
-			for state, v := range map[string]int{"alive": alive, "suspect": suspect, "dead": dead, "left": left} {
+			n := desc.Count()
+			for state, v := range map[string]int{"alive": n.Alive, "suspect": n.Suspect, "dead": n.Dead, "left": n.Left} {
 				gauge(c.members, float64(v), state)
 			}
 			counter(c.datagrams, desc.Stats.Sent, "sent")
