--- a/internal/decide/fairqueue/fill.go
+++ b/internal/decide/fairqueue/fill.go
@@ -1,60 +1,66 @@
 package fairqueue
 
-// FillController decides how much of the machines' room may be taken before asks wait in their tenants' lines. What passes beyond what
-// there is waits behind here, where nobody looks at tenants any more, and calm and flooding alike are refused by nodes and
-// tried again; what could pass and does not leaves machines idle. So it is raised while it is what holds asks back and answers
-// come about as fast as they do with room to spare, and lowered when they do not.
-//
-// It goes by how fast seven in ten answers are, not by the mean: a node that hangs makes some answers a hundred times as slow,
-// which is no sign that there is no room.
-type FillController struct {
-	level            float64
-	latency          float64 // of the times to an answer, what seven in ten are below
-	floor, nextFloor float64 // the least that was lately, in the last span and the one that runs
-	since            float64
-	loweredAt        float64 // when it was last lowered
-}
-
 const (
 	initialLevel  = 0.9
-	minLevel      = 0.3  // of the room, by what the list and the site file say of it
-	maxLevel      = 0.95 // full to the brim, each ask is refused by many before one takes it; see docs/design/hosting.md
-	quantile      = 0.7
-	quantileStep  = 0.05  // by which an answer moves the quantile
-	floorSpan     = 10000 // ms after which the floor is found anew: what was possible then may not be now
-	slowFactor    = 2.0   // times the floor, and so many ms more, from which answers are slow
-	slowMargin    = 10.0
-	raiseStep     = 0.0005 // with each answer
-	lowerStep     = 0.005
-	lowerInterval = 20 // ms, at most
+	minLevel      = 0.3    // of the capacity, by what the node list and the site file say of it
+	maxLevel      = 0.95   // on fuller machines each request is rejected by many before one accepts it; see docs/design/hosting.md
+	quantile      = 0.7    // of the latencies that are below the estimate
+	quantileStep  = 0.05   // by which an answer moves the estimate
+	floorSpan     = 10000  // ms after which the lowest latency is measured anew, because it may have changed
+	slowFactor    = 2.0    // latencies above the floor times this factor and slowMargin are slow
+	slowMargin    = 10.0   // ms
+	raiseStep     = 0.0005 // by which the level is raised with each answer
+	lowerStep     = 0.005  // by which it is lowered
+	lowerInterval = 20     // ms between two steps down
+	minLatency    = 0.01   // ms
 )
 
-// NewFillController begins below what there is.
+// FillController decides which fraction of the machines' capacity may be taken before requests wait in their tenants' queues. Requests
+// beyond the capacity wait behind this point, where tenants are not told apart, and are rejected by nodes and retried; a level that is too
+// low leaves machines idle. So the level rises while requests wait for it and answers are about as quick as with capacity to spare, and
+// falls when they are not.
+//
+// It measures the 0.7 quantile of the latencies instead of their mean, because a node that hangs makes a few answers a hundred times as
+// slow, which says nothing about the capacity.
+type FillController struct {
+	level     float64
+	latency   float64 // estimate of the quantile, ms
+	floor     float64 // lowest estimate of the last span, ms
+	nextFloor float64 // lowest estimate of the present span, ms
+	spanStart float64
+	loweredAt float64
+}
+
+// NewFillController returns a controller at its initial level.
 func NewFillController() *FillController { return &FillController{level: initialLevel} }
 
-// Level is how much of the room may be taken.
+// Level returns the fraction of the capacity that may be taken.
 func (f *FillController) Level() float64 { return f.level }
 
-// OnAnswer takes how long it took, in ms, from the pass of an ask to the word that it is served, and whether asks wait for room.
-func (f *FillController) OnAnswer(now, took float64, waiting bool) {
-	took = max(took, 0.01)
+// OnAnswer records that a request was served latency ms after it was admitted, and whether requests wait for capacity.
+func (f *FillController) OnAnswer(now, latency float64, waiting bool) {
+	f.updateLatency(now, max(latency, minLatency))
+	switch {
+	case !waiting:
+	case f.latency <= slowFactor*f.floor+slowMargin:
+		f.level = min(maxLevel, f.level+raiseStep)
+	case now-f.loweredAt > lowerInterval:
+		f.loweredAt, f.level = now, max(minLevel, f.level-lowerStep)
+	}
+}
+
+// updateLatency moves the estimate of the quantile and the floor.
+func (f *FillController) updateLatency(now, latency float64) {
 	switch {
 	case f.latency == 0:
-		f.latency, f.floor, f.nextFloor, f.since = took, took, took, now
-	case took < f.latency:
+		f.latency, f.floor, f.nextFloor, f.spanStart = latency, latency, latency, now
+	case latency < f.latency:
 		f.latency *= 1 - quantileStep*(1-quantile)
 	default:
 		f.latency *= 1 + quantileStep*quantile
 	}
-	if now-f.since > floorSpan {
-		f.floor, f.nextFloor, f.since = min(f.nextFloor, f.latency), f.latency, now
+	if now-f.spanStart > floorSpan {
+		f.floor, f.nextFloor, f.spanStart = min(f.nextFloor, f.latency), f.latency, now
 	}
 	f.floor, f.nextFloor = min(f.floor, f.latency), min(f.nextFloor, f.latency)
-	switch {
-	case !waiting:
-	case f.latency <= slowFactor*f.floor+slowMargin:
-		f.level = min(maxLevel, f.level+raiseStep)
-	case now-f.loweredAt > lowerInterval:
-		f.loweredAt, f.level = now, max(minLevel, f.level-lowerStep)
-	}
 }
--- a/internal/decide/fairqueue/fill_test.go
+++ b/internal/decide/fairqueue/fill_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// TestExpiry lets an ask expire behind a more urgent one that does not: it is given all the same, when its time is up.
+// TestExpiry has a request expire behind a more urgent one that does not.
 func TestExpiry(t *testing.T) {
 	q := New(100, 100, 1)
 	q.SetLimits(0, 0, Limits{Share: 1, MaxWaiting: 10})
-	if a, _ := q.Submit(0, 0, 1, 0, 1, 1, 9000); a != Admitted {
+	if a, _ := q.Submit(0, Request{ID: 1, Cores: 1, Memory: 1, Deadline: 9000}); a != Admitted {
 		t.Fatal(a)
 	}
-	q.Submit(0, 0, 2, 0, 1, 1, 1000)
-	q.Submit(0, 0, 3, 5, 1, 1, 9000)
+	q.Submit(0, Request{ID: 2, Cores: 1, Memory: 1, Deadline: 1000})
+	q.Submit(0, Request{ID: 3, Urgency: 5, Cores: 1, Memory: 1, Deadline: 9000})
 	if at := q.Due(0); at != 1000 {
 		t.Errorf("due at %g", at)
 	}
@@ -23,7 +23,7 @@
 	if q.Expire(999, note); len(lapsed) > 0 {
 		t.Error("too early")
 	}
-	if _, ok := q.Next(1000, note); ok || len(lapsed) != 1 || lapsed[0] != 2 { // the window is full all the while
+	if _, ok := q.Next(1000, note); ok || len(lapsed) != 1 || lapsed[0] != 2 { // all that may be open is open
 		t.Errorf("%t, %v", ok, lapsed)
 	}
 	if q.Waiting(0) != 1 || q.TotalWaiting() != 1 {
@@ -31,20 +31,20 @@
 	}
 }
 
-// TestReserve holds a tenant that has more than its share to what leaves room for one that has less, while that asks.
+// TestReserve checks that capacity is reserved for a tenant below its share while it submits requests.
 func TestReserve(t *testing.T) {
 	q := New(100, 100, 1000)
 	for i := range 2 {
 		q.SetLimits(0, i, Limits{Share: 1, MaxWaiting: 100})
 	}
-	q.AddHeld(0, 90, 90, 1) // the first holds nine tenths
+	q.AddHeld(0, 90, 90, 1) // tenant 0 holds nine tenths
 	q.SetFree(0.05, 0.1, 0)
 	ask := func(now float64, tenant int, id uint64) Verdict {
-		a, _ := q.Submit(now, tenant, id, 0, 1, 1, now+60000)
+		a, _ := q.Submit(now, Request{Tenant: tenant, ID: id, Cores: 1, Memory: 1, Deadline: now + 60000})
 		return a
 	}
 	if a := ask(0, 0, 1); a != Admitted {
-		t.Errorf("while nobody else asks: %d", a)
+		t.Errorf("while nobody else submits: %d", a)
 	}
 	if a := ask(1, 1, 2); a != Admitted {
 		t.Errorf("one that holds nothing: %d", a)
@@ -56,7 +56,7 @@
 		t.Error("it went on all the same")
 	}
 	if a := ask(4, 1, 4); a != Admitted {
-		t.Errorf("one that holds nothing, past the other's line: %d", a)
+		t.Errorf("one that holds nothing, past the other queue: %d", a)
 	}
 	if id, ok := q.Next(4+reserveDuration+1, nil); !ok || id != 3 {
 		t.Error("the reserve is kept for nobody")
@@ -67,12 +67,12 @@
 		q.Release(0)
 	}
 	if a := ask(20000, 0, 9); a != Admitted {
-		t.Errorf("with nothing open, whatever the room is said to be: %d", a)
+		t.Errorf("with nothing open, whatever is said to be free: %d", a)
 	}
 }
 
-// TestTrickle lets few pass where nothing is left, slowly, however soon they are answered: by their number alone hundreds a
-// second would, as answers take some ms.
+// TestTrickle checks that few requests pass where nothing is free, however soon they are answered: minOpen alone would let hundreds per
+// second pass.
 func TestTrickle(t *testing.T) {
 	q := New(100, 100, 1000)
 	q.SetLimits(0, 0, Limits{Share: 1, MaxWaiting: 1000})
@@ -80,7 +80,7 @@
 	q.SetFree(-0.1, 0, 4)
 	passed := 0
 	for now := 0.0; now < 1000; now++ {
-		if a, _ := q.Submit(now, 0, uint64(now)+1, 0, 0.001, 0.001, now+60000); a == Admitted {
+		if a, _ := q.Submit(now, Request{ID: uint64(now) + 1, Cores: 0.001, Memory: 0.001, Deadline: now + 60000}); a == Admitted {
 			passed++
 			q.Release(0)
 		} else if _, ok := q.Next(now, nil); ok {
@@ -93,30 +93,30 @@
 	}
 }
 
-// TestThere lets a calm tenant have what is there, though others are held back as answers are slow.
-func TestThere(t *testing.T) {
+// TestAvailableBelowShare checks that a tenant below its share gets available capacity while the fill level holds others back.
+func TestAvailableBelowShare(t *testing.T) {
 	q := New(100, 100, 1000)
 	for i := range 2 {
 		q.SetLimits(0, i, Limits{Share: 1, MaxWaiting: 100})
 	}
 	q.AddHeld(0, 90, 90, 1)
 	q.SetFree(-0.2, 0.015, 0)
-	want := []Verdict{Queued, Admitted, Admitted, Queued} // the last: nothing is there any more
+	want := []Verdict{Queued, Admitted, Admitted, Queued} // the last: nothing is available any more
 	for i, tenant := range []int{0, 1, 1, 1} {
-		if a, _ := q.Submit(1000+float64(i), tenant, uint64(i+1), 0, 1, 1, 60000); a != want[i] {
-			t.Errorf("ask %d of tenant %d: %d, want %d", i, tenant, a, want[i])
+		if a, _ := q.Submit(1000+float64(i), Request{Tenant: tenant, ID: uint64(i + 1), Cores: 1, Memory: 1, Deadline: 60000}); a != want[i] {
+			t.Errorf("request %d of tenant %d: %d, want %d", i, tenant, a, want[i])
 		}
 	}
 }
 
-// TestReturn gives back what passed: it goes first again, and has cost its tenant nothing.
+// TestReturn returns an admitted request: it goes first again, and costs its tenant nothing.
 func TestReturn(t *testing.T) {
 	q := New(100, 100, 1)
 	q.SetLimits(0, 0, Limits{Share: 1, MaxWaiting: 10, Rate: 1, Burst: 2})
-	q.Submit(0, 0, 1, 0, 1, 1, 9000)
-	q.Submit(0, 0, 2, 0, 1, 1, 9000)
+	q.Submit(0, Request{ID: 1, Cores: 1, Memory: 1, Deadline: 9000})
+	q.Submit(0, Request{ID: 2, Cores: 1, Memory: 1, Deadline: 9000})
 	clock, tokens := q.tenants[0].clock, q.tenants[0].tokens
-	q.Return(0, 0, 1, 0, 1, 1, 9000)
+	q.Return(0, Request{ID: 1, Cores: 1, Memory: 1, Deadline: 9000})
 	if q.Open(0) != 0 || q.tenants[0].clock >= clock || q.tenants[0].tokens != tokens+1 {
 		t.Errorf("%+v", q.tenants[0])
 	}
@@ -125,19 +125,19 @@
 	}
 }
 
-// TestFill plays machines that take longer the fuller they are: the part that may be taken finds where that begins, from
-// above and from below, and a node that hangs does not lower it.
-func TestFill(t *testing.T) {
+// TestFillController simulates machines that are slow beyond a utilization: the level finds it from above and from below, and a node that
+// hangs does not lower it.
+func TestFillController(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		knee        float64 // part of the room beyond which answers are slow
-		hangs       float64 // part of the answers that are slow for another reason
+		knee        float64 // utilization beyond which answers are slow
+		hangs       float64 // fraction of the answers that are slow for another reason
 		least, most float64
 	}{
 		{"all can be taken", 2, 0, maxLevel, maxLevel},
 		{"seven tenths can be taken", 0.7, 0, 0.6, 0.76},
 		{"a tenth of the answers hang", 2, 0.1, maxLevel, maxLevel},
-		{"slow whatever is taken, as the way there is", 0, 0, maxLevel, maxLevel}, // the floor is found anew
+		{"slow whatever is taken, as the way there is", 0, 0, maxLevel, maxLevel}, // the floor is measured anew
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f, rng := NewFillController(), rand.New(rand.NewPCG(1, 2))
@@ -160,7 +160,7 @@
 	}
 }
 
-// BenchmarkTenants is what an ask costs that waits and goes on, beside the same through one plain line for all.
+// BenchmarkTenants measures a request that is queued and admitted, and compares it with a plain channel.
 func BenchmarkTenants(b *testing.B) {
 	for _, n := range []int{20, 200, 20000} {
 		b.Run(fmt.Sprint(n, " tenants"), func(b *testing.B) {
@@ -168,18 +168,18 @@
 			for i := range n {
 				q.SetLimits(0, i, Limits{Share: 1, MaxWaiting: 100})
 			}
-			q.Submit(0, 0, 0, 0, 1, 1, 1e12)
+			q.Submit(0, Request{ID: 0, Cores: 1, Memory: 1, Deadline: 1e12})
 			id := uint64(0)
-			for i := range n { // all have something in their lines
+			for i := range n { // all tenants have waiting requests
 				id++
-				q.Submit(0, i, id, 0, 1, 1, 1e12)
+				q.Submit(0, Request{Tenant: i, ID: id, Cores: 1, Memory: 1, Deadline: 1e12})
 			}
 			last := 0
 			b.ResetTimer()
 			for i := range b.N {
 				now := float64(i)
 				id++
-				q.Submit(now, i%n, id, 0, 1, 1, 1e12)
+				q.Submit(now, Request{Tenant: i % n, ID: id, Cores: 1, Memory: 1, Deadline: 1e12})
 				q.Release(last)
 				if _, ok := q.Next(now, nil); !ok {
 					b.Fatal("nothing goes on")
--- a/internal/decide/fairqueue/heaps.go
+++ b/internal/decide/fairqueue/heaps.go
@@ -1,65 +1,65 @@
 package fairqueue
 
-// request is a request that waits.
-type request struct {
-	id       uint64
-	tenant   int
-	urgency  int // higher goes first in its tenant's queue
-	order    uint64
+// waitingRequest is a request that waits in its tenant's queue.
+type waitingRequest struct {
+	Request
+	order    uint64 // lower goes first among those of one urgency
 	cost     float64
-	expiry   float64
-	position int
-	removed  bool // removed from its queue; it stays in the expiry heap until its expiry
+	position int  // in its tenant's queue
+	removed  bool // from its queue; it stays in the expiry heap until its deadline
 }
 
-// expiryHeap holds all waiting requests by expiry, because one behind more urgent ones expires too.
-type expiryHeap []*request
+// expiryHeap holds all waiting requests by deadline, because one behind more urgent ones expires too.
+type expiryHeap []*waitingRequest
 
-func (e expiryHeap) Len() int { return len(e) }
+func (h expiryHeap) Len() int { return len(h) }
 
-func (e expiryHeap) Less(i, j int) bool { return e[i].expiry < e[j].expiry }
+func (h expiryHeap) Less(i, j int) bool { return h[i].Deadline < h[j].Deadline }
 
-func (e expiryHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (h expiryHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (e *expiryHeap) Push(x any) { *e = append(*e, x.(*request)) }
+func (h *expiryHeap) Push(x any) { *h = append(*h, x.(*waitingRequest)) }
 
-func (e *expiryHeap) Pop() any {
-	old := *e
-	a := old[len(old)-1]
-	old[len(old)-1] = nil
-	*e = old[:len(old)-1]
-	return a
+func (h *expiryHeap) Pop() any {
+	last := len(*h) - 1
+	r := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	return r
 }
 
 // tenantHeap holds the tenants with waiting requests that may pass, by virtual clock, so that no request has to visit thousands of
 // tenants. A tenant whose rate or limit lets nothing pass is left out until it does.
 type tenantHeap struct {
-	queue   *Queue
-	tenants []int
+	queue *Queue
+	slots []int
 }
 
-func (t tenantHeap) Len() int { return len(t.tenants) }
+func (h tenantHeap) Len() int { return len(h.slots) }
 
-func (t tenantHeap) Less(i, j int) bool {
-	x, y := &t.queue.tenants[t.tenants[i]], &t.queue.tenants[t.tenants[j]]
-	return x.clock < y.clock || x.clock == y.clock && t.tenants[i] < t.tenants[j]
+func (h tenantHeap) Less(i, j int) bool {
+	x, y := &h.queue.tenants[h.slots[i]], &h.queue.tenants[h.slots[j]]
+	return x.clock < y.clock || x.clock == y.clock && h.slots[i] < h.slots[j]
 }
 
-func (t tenantHeap) Swap(i, j int) {
-	t.tenants[i], t.tenants[j] = t.tenants[j], t.tenants[i]
-	t.queue.tenants[t.tenants[i]].heapPosition, t.queue.tenants[t.tenants[j]].heapPosition = i+1, j+1
+func (h tenantHeap) Swap(i, j int) {
+	h.slots[i], h.slots[j] = h.slots[j], h.slots[i]
+	h.queue.tenants[h.slots[i]].heapPosition = i + 1
+	h.queue.tenants[h.slots[j]].heapPosition = j + 1
 }
 
-func (t *tenantHeap) Push(x any) {
-	t.tenants = append(t.tenants, x.(int))
-	t.queue.tenants[x.(int)].heapPosition = len(t.tenants)
+func (h *tenantHeap) Push(x any) {
+	slot := x.(int)
+	h.slots = append(h.slots, slot)
+	h.queue.tenants[slot].heapPosition = len(h.slots)
 }
 
-func (t *tenantHeap) Pop() any {
-	last := t.tenants[len(t.tenants)-1]
-	t.tenants = t.tenants[:len(t.tenants)-1]
-	t.queue.tenants[last].heapPosition = 0
-	return last
+func (h *tenantHeap) Pop() any {
+	last := len(h.slots) - 1
+	slot := h.slots[last]
+	h.slots = h.slots[:last]
+	h.queue.tenants[slot].heapPosition = 0
+	return slot
 }
 
 // tokenWait is a tenant that waits for the next token of its rate limit.
@@ -71,45 +71,45 @@
 // tokenHeap holds the tenants that wait for tokens, by the time of the next token.
 type tokenHeap []tokenWait
 
-func (s tokenHeap) Len() int { return len(s) }
+func (h tokenHeap) Len() int { return len(h) }
 
-func (s tokenHeap) Less(i, j int) bool { return s[i].at < s[j].at }
+func (h tokenHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 
-func (s tokenHeap) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (h tokenHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (s *tokenHeap) Push(x any) { *s = append(*s, x.(tokenWait)) }
+func (h *tokenHeap) Push(x any) { *h = append(*h, x.(tokenWait)) }
 
-func (s *tokenHeap) Pop() any {
-	old := *s
-	x := old[len(old)-1]
-	*s = old[:len(old)-1]
-	return x
+func (h *tokenHeap) Pop() any {
+	last := len(*h) - 1
+	wait := (*h)[last]
+	*h = (*h)[:last]
+	return wait
 }
 
-// tenantQueue holds the waiting requests of a tenant, by urgency and order of arrival.
-type tenantQueue []*request
+// tenantQueue holds the waiting requests of a tenant, by urgency and order.
+type tenantQueue []*waitingRequest
 
-func (l tenantQueue) Len() int { return len(l) }
+func (q tenantQueue) Len() int { return len(q) }
 
-func (l tenantQueue) Less(i, j int) bool {
-	return l[i].urgency > l[j].urgency || l[i].urgency == l[j].urgency && l[i].order < l[j].order
+func (q tenantQueue) Less(i, j int) bool {
+	return q[i].Urgency > q[j].Urgency || q[i].Urgency == q[j].Urgency && q[i].order < q[j].order
 }
 
-func (l tenantQueue) Swap(i, j int) {
-	l[i], l[j] = l[j], l[i]
-	l[i].position, l[j].position = i, j
+func (q tenantQueue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].position, q[j].position = i, j
 }
 
-func (l *tenantQueue) Push(x any) {
-	a := x.(*request)
-	a.position = len(*l)
-	*l = append(*l, a)
+func (q *tenantQueue) Push(x any) {
+	r := x.(*waitingRequest)
+	r.position = len(*q)
+	*q = append(*q, r)
 }
 
-func (l *tenantQueue) Pop() any {
-	old := *l
-	a := old[len(old)-1]
-	old[len(old)-1] = nil
-	*l = old[:len(old)-1]
-	return a
+func (q *tenantQueue) Pop() any {
+	last := len(*q) - 1
+	r := (*q)[last]
+	(*q)[last] = nil
+	*q = (*q)[:last]
+	return r
 }
--- a/internal/decide/shardownership/shardownership.go
+++ b/internal/decide/shardownership/shardownership.go
@@ -1,339 +1,207 @@
-// Package shardownership decides who may act for an allocation. Each open or running allocation has one owner among the
-// shards and an epoch that is raised at every handover; a try needs the ownership table's leave, which only the owner's
-// present epoch gets. What a shard has sent and not proven harmless is held here too, so that another can go on
-// where a shard stopped, or end what must not be tried again.
+// Package shardownership records which shard of a process acts for each allocation. Each open or running allocation has one owner among
+// the shards and an epoch, which is raised at every handover and fence. A shard asks the table for a permit before it sends an attempt or
+// the final answer; only the owner under its present epoch gets one, so that a shard that was fenced or gave the allocation away can do no
+// harm when it goes on.
 //
-// It is a table without goroutines; whoever shares it among cores holds it by one lock for each call.
+// The table also keeps the state of each allocation's last attempt. When a shard is fenced, this state decides whether another shard goes
+// on with the allocation, whether the client may retry, or whether nothing can be promised.
+//
+// The package does no I/O, starts no goroutines and returns no errors: a refused permit is false. A Table is not safe for concurrent use;
+// package shardrouter wraps it, and its callers hold one lock for each call. All times are milliseconds on the caller's clock.
 package shardownership
 
-import (
-	"cmp"
-	"slices"
-
-	"ravenpond/internal/decide/outcome"
-	"ravenpond/logic"
-)
+import "ravenpond/logic"
 
-// ID is an allocation's, the same whoever asks for it.
+// ID identifies an allocation, whichever client asks for it.
 type ID struct {
 	Tenant int
 	Token  uint64
 }
 
-// Request is what is wanted, as its owner asked.
+// Request is a client's request for an allocation.
 type Request struct {
 	Client        uint32
-	Ref           uint64
+	Ref           uint64 // the client's number of the request
 	JobClass      int
 	Service       uint64
 	Cores, Memory float64
-	Deadline      float64 // the owner's
-	AssignedAt    float64 // when it was first given to a shard
+	Deadline      float64 // the client's, ms
+	AssignedAt    float64 // when it was first given to a shard, ms
 }
 
-// Attempt is a placement try as the ownership table knows it.
+// Attempt identifies a placement attempt at a node.
 type Attempt struct {
 	Node   uint32
 	Ticket uint64
 	Number uint8
 }
 
+// Claim states that a shard acts for an allocation under an epoch. The table grants nothing to a claim that does not hold.
+type Claim struct {
+	ID    ID
+	Shard int
+	Epoch uint32
+}
+
 // Entry is an allocation that a shard acts for.
 type Entry struct {
 	Request
 	Shard       int
 	Epoch       uint32
-	AttemptOpen bool // a try was sent and its outcome is not known
-	MayHaveRun  bool // an earlier one may have run
-	Answered    bool
-	Served      bool // that was the answer, or it was found running
+	AttemptOpen bool // an attempt was sent and its outcome is not known
+	MayHaveRun  bool // an earlier attempt may have run
+	Answered    bool // the client has the final answer
+	Served      bool // the answer was that the allocation runs, or it was found running
 	LastAttempt Attempt
 }
 
-// State says what is known of an allocation when it is asked for.
+// State is what the table knows of an allocation.
 type State uint8
 
+// States of an allocation.
 const (
-	Unassigned State = iota // nobody acts for it
-	Assigned                // a shard does
-	Barred                  // a shard that was fenced may have started it: its outcome is waited for
+	Unassigned State = iota // no shard acts for it
+	Assigned                // a shard acts for it
+	Barred                  // a shard that was fenced may have started it: its outcome is awaited
 )
 
-// Table records which shard acts for each allocation, and by which epoch.
+// Table records which shard acts for each allocation, and under which epoch.
 type Table struct {
-	jobClasses    []logic.JobClass
-	entries       map[ID]*Entry
-	barred        map[ID]float64 // those that were fenced with a try out, until its time is over
-	spare         []*Entry
-	open          int                                        // entries that are not answered
-	Epoch         uint32                                     // of what is taken now; raised by every fence, never lower than in an earlier life
-	FaultAnyEpoch bool                                       // for tests: gives leave to any epoch, which must be found
-	OnOpenChange  func(tenant, by int)                       // hears of entries that open and are answered, if it is not nil
-	OnHeldChange  func(tenant int, ask *Request, by float64) // and of entries that come and go, by 1 or -1
+	Epoch         uint32 // of allocations that are assigned now; raised by every fence, higher than in any earlier incarnation
+	FaultAnyEpoch bool   // injected fault: any epoch gets a permit
+
+	// OnOpenChange, if set, is called with 1 or -1 for each allocation that is opened or answered.
+	OnOpenChange func(tenant, by int)
+	// OnHeldChange, if set, is called with 1 or -1 for each entry that is added or removed.
+	OnHeldChange func(tenant int, request *Request, by float64)
+
+	jobClasses  []logic.JobClass
+	entries     map[ID]*Entry
+	barredUntil map[ID]float64 // allocations that were fenced with an open attempt
+	free        []*Entry       // removed entries for reuse
+	open        int            // entries that are not answered
 }
 
-// NewTable makes a table for job types, with a first epoch.
-func NewTable(jobs []logic.JobClass, epoch uint32) *Table {
-	return &Table{jobClasses: jobs, entries: map[ID]*Entry{}, barred: map[ID]float64{}, Epoch: epoch}
+// NewTable returns an empty table for job classes, with a first epoch.
+func NewTable(jobClasses []logic.JobClass, epoch uint32) *Table {
+	return &Table{jobClasses: jobClasses, entries: map[ID]*Entry{}, barredUntil: map[ID]float64{}, Epoch: epoch}
 }
 
-// Len is the number of entries, Open that of those not answered yet.
+// Len returns the number of entries.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Open is the number of entries that are not answered yet.
+// Open returns the number of entries that are not answered.
 func (t *Table) Open() int { return t.open }
 
-// TenantOpen is the number of a tenant's entries that are not answered and whose owners still wait.
+// TenantOpen returns the number of a tenant's entries that are not answered and whose clients still wait.
 func (t *Table) TenantOpen(now float64, tenant int) (n int) {
-	for name, en := range t.entries {
-		if name.Tenant == tenant && !en.Answered && now < en.Deadline {
+	for id, entry := range t.entries {
+		if id.Tenant == tenant && !entry.Answered && now < entry.Deadline {
 			n++
 		}
 	}
 	return n
 }
 
-// Entry gives an allocation's entry, nil if there is none.
-func (t *Table) Entry(n ID) *Entry { return t.entries[n] }
-
-// markAnswered marks an entry.
-func (t *Table) markAnswered(n ID, en *Entry) {
-	if !en.Answered {
-		en.Answered = true
-		t.addOpen(n, -1)
-	}
-}
-
-func (t *Table) notifyHeld(n ID, en *Entry, by float64) {
-	if t.OnHeldChange != nil {
-		t.OnHeldChange(n.Tenant, &en.Request, by)
-	}
-}
+// Entry returns an allocation's entry, nil if there is none. The caller must not change it.
+func (t *Table) Entry(id ID) *Entry { return t.entries[id] }
 
-func (t *Table) addOpen(n ID, by int) {
-	t.open += by
-	if t.OnOpenChange != nil {
-		t.OnOpenChange(n.Tenant, by)
+// Lookup returns the state of an allocation, and its shard if one acts for it.
+func (t *Table) Lookup(now float64, id ID) (shard int, state State) {
+	if entry := t.entries[id]; entry != nil {
+		return entry.Shard, Assigned
 	}
-}
-
-// Lookup tells the owner of an allocation.
-func (t *Table) Lookup(now float64, n ID) (shard int, s State) {
-	if en := t.entries[n]; en != nil {
-		return en.Shard, Assigned
-	}
-	if now < t.barred[n] {
+	if now < t.barredUntil[id] {
 		return 0, Barred
 	}
 	return 0, Unassigned
 }
 
-// Assign gives an allocation that nobody acts for to a shard, and returns the epoch that its tries must name.
-func (t *Table) Assign(n ID, shard int, ask Request) uint32 {
-	delete(t.barred, n)
-	var en *Entry
-	if k := len(t.spare); k > 0 {
-		en, t.spare = t.spare[k-1], t.spare[:k-1]
+// Assign gives an allocation for which no shard acts to a shard. It returns the epoch that the shard's claims must name.
+func (t *Table) Assign(id ID, shard int, request Request) uint32 {
+	delete(t.barredUntil, id)
+	var entry *Entry
+	if last := len(t.free) - 1; last >= 0 {
+		entry, t.free = t.free[last], t.free[:last]
 	} else {
-		en = new(Entry)
+		entry = new(Entry)
 	}
-	*en = Entry{Request: ask, Shard: shard, Epoch: t.Epoch}
-	t.entries[n] = en
-	t.addOpen(n, 1)
-	t.notifyHeld(n, en, 1)
+	*entry = Entry{Request: request, Shard: shard, Epoch: t.Epoch}
+	t.entries[id] = entry
+	t.addOpen(id, 1)
+	t.notifyHeld(id, entry, 1)
 	return t.Epoch
 }
 
-// PermitAttempt asks leave for a try. Without it the try must not leave: the shard no longer acts for the allocation.
-func (t *Table) PermitAttempt(n ID, shard int, epoch uint32, try Attempt) bool {
-	en := t.entries[n]
-	if t.FaultAnyEpoch {
-		if en != nil {
-			en.AttemptOpen, en.LastAttempt = true, try
-		}
-		return true
-	}
-	if en == nil || en.Shard != shard || en.Epoch != epoch || en.AttemptOpen || en.Answered {
-		return false
-	}
-	if j := &t.jobClasses[en.JobClass]; en.MayHaveRun && j.Semantics == logic.AtMostOnce {
-		return false // whoever asks, a second try is never right
-	}
-	en.AttemptOpen, en.LastAttempt = true, try
-	return true
-}
-
-// IsOwner tells whether a shard acts for an allocation under an epoch.
-func (t *Table) IsOwner(n ID, shard int, epoch uint32) bool {
-	en := t.entries[n]
-	return en != nil && en.Shard == shard && en.Epoch == epoch
-}
+// NextEpoch raises the epoch. The caller does so before it hands allocations over.
+func (t *Table) NextEpoch() { t.Epoch++ }
 
-// CompleteAttempt notes a try's outcome; never tells that it is proven not to have run.
-func (t *Table) CompleteAttempt(n ID, shard int, epoch uint32, never bool) {
-	if en := t.entries[n]; en != nil && en.Shard == shard && en.Epoch == epoch {
-		en.AttemptOpen = false
-		en.MayHaveRun = en.MayHaveRun || !never
-	}
-}
+// IsOwner reports whether a claim holds.
+func (t *Table) IsOwner(c Claim) bool { return t.owned(c) != nil }
 
-// PermitAnswer notes that the final answer leaves, and which; false if it must not, since another acts or it was given.
-func (t *Table) PermitAnswer(n ID, shard int, epoch uint32, served bool) bool {
-	en := t.entries[n]
-	if en == nil || en.Shard != shard || en.Epoch != epoch || en.Answered {
-		return false
+// owned returns the entry of a claim that holds, nil for any other.
+func (t *Table) owned(c Claim) *Entry {
+	entry := t.entries[c.ID]
+	if entry == nil || entry.Shard != c.Shard || entry.Epoch != c.Epoch {
+		return nil
 	}
-	t.markAnswered(n, en)
-	en.Served = served
-	return true
+	return entry
 }
 
-// Recover gives what a node runs to a shard; false if another acts for it already.
-func (t *Table) Recover(n ID, shard int, ask Request, try Attempt) (epoch uint32, ok bool) {
-	en := t.entries[n]
-	if en != nil && en.Shard != shard {
-		return 0, false
-	}
-	if en == nil {
-		t.Assign(n, shard, ask)
-		en = t.entries[n]
+// SetClient changes the client that is notified of an allocation.
+func (t *Table) SetClient(c Claim, client uint32, ref uint64) {
+	if entry := t.owned(c); entry != nil {
+		entry.Client, entry.Ref = client, ref
 	}
-	t.markAnswered(n, en)
-	en.AttemptOpen, en.Served, en.LastAttempt = false, true, try
-	return en.Epoch, true
 }
 
-// HandOver gives an allocation from one shard to another, under an epoch of which the caller says that it begins with
-// NextEpoch: not while a try is out, nor where an earlier one may have run and it is not answered, as what the
-// present shard still may hear of that would be lost.
-func (t *Table) HandOver(n ID, from int, epoch uint32, to int) (uint32, bool) {
-	en := t.entries[n]
-	if en == nil || en.Shard != from || en.Epoch != epoch {
+// HandOver gives an allocation to another shard under the present epoch, which the caller has raised by NextEpoch. It refuses while an
+// attempt is open, and where an earlier one may have run and the client has no answer, because the outcome would reach the old shard.
+func (t *Table) HandOver(c Claim, to int) (epoch uint32, ok bool) {
+	entry := t.owned(c)
+	if entry == nil {
 		return 0, false
 	}
-	if !en.Answered && (en.AttemptOpen || en.MayHaveRun) && !t.FaultAnyEpoch {
+	if !entry.Answered && (entry.AttemptOpen || entry.MayHaveRun) && !t.FaultAnyEpoch {
 		return 0, false
 	}
-	en.Shard, en.Epoch = to, t.Epoch
+	entry.Shard, entry.Epoch = to, t.Epoch
 	return t.Epoch, true
 }
 
-// NextEpoch begins one.
-func (t *Table) NextEpoch() { t.Epoch++ }
-
-// Holder tells the shard that acts for an allocation by this very try.
-func (t *Table) Holder(n ID, ticket uint64, no uint8) (shard int, ok bool) {
-	en := t.entries[n]
-	if en == nil || en.LastAttempt.Ticket != ticket || en.LastAttempt.Number != no {
-		return 0, false
-	}
-	return en.Shard, true
-}
-
-// SetClient notes who is told of an allocation from now on.
-func (t *Table) SetClient(n ID, shard int, epoch uint32, owner uint32, ref uint64) {
-	if en := t.entries[n]; en != nil && en.Shard == shard && en.Epoch == epoch {
-		en.Client, en.Ref = owner, ref
-	}
-}
-
-// Remove ends an entry; false if another acts for the allocation.
-func (t *Table) Remove(n ID, shard int, epoch uint32) bool {
-	en := t.entries[n]
-	if en == nil || en.Shard != shard || en.Epoch != epoch {
+// Remove ends an entry; false if the claim does not hold.
+func (t *Table) Remove(c Claim) bool {
+	entry := t.owned(c)
+	if entry == nil {
 		return false
 	}
-	t.markAnswered(n, en)
-	t.notifyHeld(n, en, -1)
-	delete(t.entries, n)
-	t.spare = append(t.spare, en)
+	t.remove(c.ID, entry)
 	return true
 }
 
-// Disposition is what becomes of an allocation whose shard is no more.
-type Disposition uint8
-
-const (
-	Reassign Disposition = iota // another shard goes on with it, under the next epoch
-	Shed                        // no try is out, or a repeat does no harm: the owner may ask again
-	Fail                        // it may have run: nothing is promised
-	Continue                    // it was answered; if it runs it will be found at its node
-)
-
-// Orphan is an entry of a fenced shard and its fate.
-type Orphan struct {
-	ID          ID
-	Entry       Entry
-	Disposition Disposition
+func (t *Table) remove(id ID, entry *Entry) {
+	t.markAnswered(id, entry)
+	t.notifyHeld(id, entry, -1)
+	delete(t.entries, id)
+	t.free = append(t.free, entry)
 }
 
-// Fence ends all that a shard acts for. From now on it gets no leave for anything; its entries are returned in
-// order of their names. What moves has the next epoch and stays out of the ownership table until it is taken again.
-//
-// A try that is out when its shard is fenced can't be waited for: the one who would hear of it is gone. A
-// restartable allocation is declined, its owner asks again at once; one that must not take effect twice is
-// barred until its try's time is over, unless its group drops the repeat.
-func (t *Table) Fence(now float64, shard int, leastLeft float64) []Orphan {
-	var all []Orphan
-	for n, en := range t.entries {
-		if en.Shard == shard {
-			all = append(all, Orphan{n, *en, t.disposition(now, en, leastLeft)})
-		}
-	}
-	slices.SortFunc(all, compareID)
-	for _, o := range all {
-		t.markAnswered(o.ID, t.entries[o.ID])
-		t.notifyHeld(o.ID, t.entries[o.ID], -1)
-		t.spare = append(t.spare, t.entries[o.ID])
-		delete(t.entries, o.ID)
-		if o.Entry.AttemptOpen && t.jobClasses[o.Entry.JobClass].Semantics != logic.Restartable {
-			t.barred[o.ID] = max(now, o.Entry.Deadline)
-		}
+func (t *Table) markAnswered(id ID, entry *Entry) {
+	if !entry.Answered {
+		entry.Answered = true
+		t.addOpen(id, -1)
 	}
-	t.Epoch++
-	return all
 }
 
-// ShedOverdue answers what a shard that gives no sign of life has not answered and whose expiry is within so many ms: an
-// answer may not wait until the shard is fenced, or runs on. The shard keeps what it has out but gets no leave any more.
-func (t *Table) ShedOverdue(now float64, shard int, within float64) []Orphan {
-	var all []Orphan
-	for n, en := range t.entries {
-		if en.Shard == shard && !en.Answered && en.Deadline-now < within {
-			t.markAnswered(n, en)
-			o := Orphan{ID: n, Entry: *en, Disposition: Fail}
-			if j := &t.jobClasses[en.JobClass]; outcome.IsRetrySafe(j.Semantics, j.IdempotencyScope, en.AttemptOpen, en.MayHaveRun) {
-				o.Disposition = Shed
-			}
-			all = append(all, o)
-		}
-	}
-	slices.SortFunc(all, compareID)
-	return all
-}
-
-func compareID(x, y Orphan) int {
-	return cmp.Or(cmp.Compare(x.ID.Tenant, y.ID.Tenant), cmp.Compare(x.ID.Token, y.ID.Token))
-}
-
-func (t *Table) disposition(now float64, en *Entry, leastLeft float64) Disposition {
-	j := &t.jobClasses[en.JobClass]
-	switch {
-	case en.Answered:
-		return Continue
-	case !en.AttemptOpen && !en.MayHaveRun && en.Deadline-now > leastLeft:
-		return Reassign
-	case outcome.IsRetrySafe(j.Semantics, j.IdempotencyScope, en.AttemptOpen, en.MayHaveRun):
-		return Shed
+func (t *Table) addOpen(id ID, by int) {
+	t.open += by
+	if t.OnOpenChange != nil {
+		t.OnOpenChange(id.Tenant, by)
 	}
-	return Fail
 }
 
-// ExpireBars drops what is barred no longer.
-func (t *Table) ExpireBars(now float64) {
-	for n, until := range t.barred {
-		if now > until {
-			delete(t.barred, n)
-		}
+func (t *Table) notifyHeld(id ID, entry *Entry, by float64) {
+	if t.OnHeldChange != nil {
+		t.OnHeldChange(id.Tenant, &entry.Request, by)
 	}
 }
--- /dev/null
+++ b/internal/decide/shardrouter/handover.go
@@ -0,0 +1,77 @@
+package shardrouter
+
+import (
+	"ravenpond/internal/decide/handover"
+	"ravenpond/internal/decide/shardownership"
+)
+
+// HandoverItem is an allocation that a shard gives away.
+type HandoverItem struct {
+	ID      shardownership.ID
+	Request shardownership.Request
+	Epoch   uint32
+	Running bool
+}
+
+// HasHandover reports whether a shard has something to give away now: it drains, or another was added lately.
+func (r *Router) HasHandover(now float64, shard int) bool {
+	for added, at := range r.addedAt {
+		if !handover.IsNewlyAdded(now, at) {
+			delete(r.addedAt, added)
+		}
+	}
+	return r.draining[shard] || len(r.addedAt) > 0
+}
+
+// BelongsElsewhere reports whether a service at a shard belongs to another shard now.
+func (r *Router) BelongsElsewhere(shard int, service uint64, tenant int) bool {
+	target := r.placement.TargetOf(service, tenant)
+	if target < 0 || target == shard {
+		return false
+	}
+	_, isNew := r.addedAt[target]
+	return r.draining[shard] || isNew
+}
+
+// PauseServices gives services nothing new for two polls of a handover, so that their open attempts complete.
+func (r *Router) PauseServices(now float64, services []uint64) {
+	for _, service := range services {
+		r.pausedUntil[service] = max(r.pausedUntil[service], now+2*handover.PollInterval())
+	}
+}
+
+// HandOver gives a service's allocations from a shard to the one where they belong now, in order. That may be the giver itself, because
+// the number of shards changed meanwhile or no other shard runs: they get a new epoch like any other. An allocation for which the giver
+// does not act any more gets the disposition Continue.
+func (r *Router) HandOver(now float64, from int, items []HandoverItem) []OrphanDecision {
+	if len(items) == 0 {
+		return nil
+	}
+	to := r.placement.TargetOf(items[0].Request.Service, items[0].ID.Tenant)
+	if to < 0 {
+		to = from
+	}
+	r.ownership.NextEpoch()
+	var decisions []OrphanDecision
+	for _, item := range items {
+		decisions = append(decisions, r.handOverItem(now, from, to, item))
+	}
+	return decisions
+}
+
+func (r *Router) handOverItem(now float64, from, to int, item HandoverItem) OrphanDecision {
+	claim := shardownership.Claim{ID: item.ID, Shard: from, Epoch: item.Epoch}
+	d := OrphanDecision{Orphan: shardownership.Orphan{ID: item.ID, Entry: shardownership.Entry{Request: item.Request}, Disposition: shardownership.Continue}}
+	epoch, ok := r.ownership.HandOver(claim, to)
+	if !ok {
+		r.Remove(claim, item.Request.Service)
+		return d
+	}
+	d.Disposition, d.Shard, d.Epoch = shardownership.Reassign, to, epoch
+	r.placement.Add(to, item.Request.Service)
+	r.placement.Remove(from, item.Request.Service)
+	if item.Running { // it counts as lost until the other shard has it
+		r.addLost(now, item.ID, item.Request, r.ownership.Entry(item.ID).LastAttempt)
+	}
+	return d
+}
--- /dev/null
+++ b/internal/decide/shardrouter/resize.go
@@ -0,0 +1,66 @@
+package shardrouter
+
+import (
+	"fmt"
+
+	"ravenpond/internal/decide/shardownership"
+)
+
+// Resize is a change of the number of shards.
+type Resize struct {
+	Start []int // shards to start
+	Drain []int // shards that are to end once they hold nothing
+}
+
+// Resize changes the number of shards to those with the lowest indices. It returns an error if the number is out of range.
+func (r *Router) Resize(now float64, shards int) (Resize, error) {
+	if shards < 1 || shards > r.config.MaxShards {
+		return Resize{}, fmt.Errorf("%d shards: 1 to %d may run until the next start", shards, r.config.MaxShards)
+	}
+	var change Resize
+	for i := range r.config.MaxShards {
+		switch {
+		case i >= shards && !r.stopped[i] && !r.draining[i]:
+			r.draining[i] = true
+			r.placement.MarkDraining(i)
+			change.Drain = append(change.Drain, i)
+		case i < shards && r.draining[i]: // it stays after all
+			delete(r.draining, i)
+			if r.placement.IsUp(i) {
+				r.placement.MarkUp(i)
+			}
+		case i < shards && r.stopped[i]:
+			delete(r.stopped, i)
+			r.addedAt[i] = now
+			r.watchdog.Watch(now, i)
+			change.Start = append(change.Start, i)
+		}
+	}
+	return change, nil
+}
+
+// IsStopped reports whether a shard has ended or never began.
+func (r *Router) IsStopped(shard int) bool { return r.stopped[shard] }
+
+// IsDraining reports whether a shard is to end.
+func (r *Router) IsDraining(shard int) bool { return r.draining[shard] }
+
+// OnDrained records that a draining shard holds nothing more; false if it is not to end any more. It returns what the shard got in the
+// meantime, to be answered.
+func (r *Router) OnDrained(now float64, shard int) (rest []OrphanDecision, ok bool) {
+	if !r.draining[shard] {
+		return nil, false
+	}
+	delete(r.draining, shard)
+	r.stopped[shard] = true
+	r.placement.MarkDown(shard)
+	r.watchdog.Unwatch(shard)
+	for _, orphan := range r.ownership.Fence(now, shard, 0) {
+		r.placement.Remove(shard, orphan.Entry.Service)
+		if orphan.Disposition == shardownership.Reassign { // it never reached the shard's engine
+			orphan.Disposition = shardownership.Shed
+		}
+		rest = append(rest, OrphanDecision{Orphan: orphan})
+	}
+	return rest, true
+}
--- a/internal/lab/modelcheck/explore.go
+++ b/internal/lab/modelcheck/explore.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"ravenpond/internal/decide/shardownership"
+	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/engine"
 	"ravenpond/logic"
 )
@@ -100,18 +101,18 @@
 	p.requests++
 	ref := uint64(p.requests)
 	p.expiries[ref] = p.now + expiry
-	at, epoch, why := p.router.Route(p.now, allocation, shardownership.Request{
+	d := p.router.Route(p.now, shardrouter.Arrival{ID: allocation, Request: shardownership.Request{
 		Client: clientID, Ref: ref, JobClass: p.model.Job, Service: service, Cores: 1, Memory: 1,
 		Deadline: p.now + expiry,
-	}, 0, neverBehind)
-	if why != "" {
+	}}, neverBehind)
+	if d.IsRejected() {
 		p.onAnswer(ref, engine.Declined)
 		return
 	}
-	if err := p.engines[at].Allocate(p.now, clientID, ref, p.model.Job, 0, service, token, 1, 1, expiry, epoch); err != nil {
+	if err := p.engines[d.Shard].Allocate(p.now, clientID, ref, p.model.Job, 0, service, token, 1, 1, expiry, d.Epoch); err != nil {
 		p.fail("ask %d: %v", ref, err)
 	}
-	p.pendingRound[at] = true
+	p.pendingRound[d.Shard] = true
 }
 
 func (p *path) withdraw() {
--- a/internal/lab/modelcheck/model.go
+++ b/internal/lab/modelcheck/model.go
@@ -180,7 +180,7 @@
 				continue
 			}
 		}
-		if at, _ := p.router.ShardOf(allocation, t.ticket, t.number, service, -1); at != s {
+		if at, _ := p.router.ShardOf(shardrouter.Placed{ID: allocation, Ticket: t.ticket, Number: t.number, Service: service, Shard: -1}); at != s {
 			continue
 		}
 		_ = e.OnHeld(p.now, uint32(n+1), t.ticket, t.number, t.running, p.model.Job, 0, service, token, 1, 1)
@@ -247,11 +247,11 @@
 func (d effects) Log(string)           {}
 
 func (d effects) PermitAttempt(_ int, _ uint64, epoch uint32, nd uint32, ticket uint64, no uint8) bool {
-	return d.path.router.PermitAttempt(allocation, d.shard, epoch, shardownership.Attempt{Node: nd, Ticket: ticket, Number: no})
+	return d.path.router.PermitAttempt(shardownership.Claim{ID: allocation, Shard: d.shard, Epoch: epoch}, shardownership.Attempt{Node: nd, Ticket: ticket, Number: no})
 }
 
 func (d effects) RecordOutcome(_ int, _ uint64, epoch uint32, never bool) {
-	d.path.router.CompleteAttempt(allocation, d.shard, epoch, never)
+	d.path.router.CompleteAttempt(shardownership.Claim{ID: allocation, Shard: d.shard, Epoch: epoch}, never)
 }
 
 func (d effects) RecoverTask(_ int, _ uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
@@ -260,19 +260,20 @@
 	if d.isFenced() {
 		return 0, 0, 0, false
 	}
-	return d.path.router.Recover(allocation, d.shard, shardownership.Request{JobClass: job, Service: service}, shardownership.Attempt{Node: nd, Ticket: ticket, Number: no})
+	recovery, ok := d.path.router.Recover(allocation, d.shard, shardownership.Request{JobClass: job, Service: service}, shardownership.Attempt{Node: nd, Ticket: ticket, Number: no})
+	return recovery.Epoch, recovery.Client, recovery.Ref, ok
 }
 
 func (d effects) SetClient(_ int, _ uint64, epoch uint32, who uint32, ref uint64) {
-	d.path.router.SetClient(allocation, d.shard, epoch, who, ref)
+	d.path.router.SetClient(shardownership.Claim{ID: allocation, Shard: d.shard, Epoch: epoch}, who, ref)
 }
 
 func (d effects) ReleaseTask(_ int, _ uint64, service uint64, epoch uint32) {
-	d.path.router.Remove(allocation, d.shard, service, epoch)
+	d.path.router.Remove(shardownership.Claim{ID: allocation, Shard: d.shard, Epoch: epoch}, service)
 }
 
 func (d effects) PermitAnswer(_ int, _ uint64, epoch uint32, served bool) bool {
-	return d.path.router.PermitAnswer(d.path.now, allocation, d.shard, epoch, served)
+	return d.path.router.PermitAnswer(d.path.now, shardownership.Claim{ID: allocation, Shard: d.shard, Epoch: epoch}, served)
 }
 
 func (d effects) ExpireRequest(uint32, uint64) {
@@ -318,8 +319,8 @@
 	for _, f := range fates {
 		a := f.Entry.Request
 		if p.model.Fault == MovesSentAttempts && f.Disposition != shardownership.Reassign && f.Disposition != shardownership.Continue {
-			if to, epoch, why := p.router.Route(p.now, allocation, a, 0, neverBehind); why == "" {
-				f.Disposition, f.Shard, f.Epoch = shardownership.Reassign, to, epoch
+			if d := p.router.Route(p.now, shardrouter.Arrival{ID: allocation, Request: a}, neverBehind); !d.IsRejected() {
+				f.Disposition, f.Shard, f.Epoch = shardownership.Reassign, d.Shard, d.Epoch
 			}
 		}
 		if p.model.Fault == DeclinesUnknown && f.Disposition == shardownership.Fail {
@@ -353,8 +354,8 @@
 	}
 	var all []engine.Transfer
 	e.TransferOut(p.now, service, true, func(g engine.Transfer) { all = append(all, g) })
-	_, _, _ = p.router.Resize(p.now, 1) // it is to leave, and called back after
-	defer func() { _, _, _ = p.router.Resize(p.now, shards) }()
+	_, _ = p.router.Resize(p.now, 1) // it is to leave, and called back after
+	defer func() { _, _ = p.router.Resize(p.now, shards) }()
 	var items []shardrouter.HandoverItem
 	for _, g := range all {
 		items = append(items, shardrouter.HandoverItem{ID: allocation, Epoch: g.Epoch, Running: g.Running, Request: shardownership.Request{
@@ -426,7 +427,7 @@
 	for _, e := range p.fencedEngines {
 		b = e.AppendState(b)
 	}
-	home, _ := p.router.ShardOf(allocation, 0, 255, service, -1)
+	home, _ := p.router.ShardOf(shardrouter.Placed{ID: allocation, Ticket: 0, Number: 255, Service: service, Shard: -1})
 	b = append(b, byte(home), byte(p.router.Open()), byte(p.router.Epoch()))
 	b = append(b, byte(p.faults), byte(p.requests), byte(p.starts), byte(p.ended))
 	for i := range p.answerCount {
--- a/internal/serve/client_listener.go
+++ b/internal/serve/client_listener.go
@@ -16,6 +16,7 @@
 
 	"ravenpond/internal/decide/admission"
 	"ravenpond/internal/decide/shardownership"
+	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/engine"
 	"ravenpond/internal/env"
 	"ravenpond/internal/proto/client"
@@ -454,7 +455,7 @@
 	ask.Deadline = now + remaining
 	s.routerMu.Lock()
 	rejected := s.checkQuotaLease(now)
-	entry := s.router.Submit(now, name, ask, unreadFor, s.queueState(now))
+	entry := s.router.Submit(now, shardrouter.Arrival{ID: name, Request: ask, Unread: unreadFor}, s.queueState(now))
 	sh := s.recordRoute(c, entry)
 	s.pumpIfFree()
 	s.routerMu.Unlock()
--- a/internal/serve/invariants.go
+++ b/internal/serve/invariants.go
@@ -16,11 +16,11 @@
 			return nil // it will hear of more in a moment
 		}
 	}
-	if err := s.router.CheckInvariants(func(report func(shard int, name shardownership.ID, epoch uint32)) {
+	if err := s.router.CheckInvariants(func(yield func(shardownership.Claim)) {
 		for _, sh := range s.liveShardsLocked() {
 			if !sh.fenced.Load() {
 				sh.engine.ForEachAllocation(func(tenant int, token uint64, epoch uint32, _ bool) {
-					report(sh.index, shardownership.ID{Tenant: tenant, Token: token}, epoch)
+					yield(shardownership.Claim{ID: shardownership.ID{Tenant: tenant, Token: token}, Shard: sh.index, Epoch: epoch})
 				})
 			}
 		}
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"ravenpond/internal/decide/shardownership"
+	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/proto/node"
 	"ravenpond/internal/site"
 	"ravenpond/logic"
@@ -159,7 +160,7 @@
 	if sh != nil && !sh.fenced.Load() {
 		index = sh.index
 	}
-	home, known := s.router.ShardOf(shardownership.ID{Tenant: tenant, Token: token}, ticket, attempt, service, index)
+	home, known := s.router.ShardOf(shardrouter.Placed{ID: shardownership.ID{Tenant: tenant, Token: token}, Ticket: ticket, Number: attempt, Service: service, Shard: index})
 	isOwn := index >= 0 && home == index // else it was handed over, or its shard's life is over
 	if !isOwn && home >= 0 {
 		sh = s.shards[home]
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -14,14 +14,14 @@
 // Resize brings the number of shards to n, of which those with the lowest indices stay.
 func (s *Server) Resize(n int) error {
 	s.routerMu.Lock()
-	starting, leaving, err := s.router.Resize(s.env.Now(), n)
+	change, err := s.router.Resize(s.env.Now(), n)
 	maxOpen := s.router.MaxOpenPerShard(max(1, n))
 	shards := s.liveShardsLocked()
 	s.routerMu.Unlock()
 	if err != nil {
 		return err
 	}
-	for _, i := range starting {
+	for _, i := range change.Start {
 		if err := s.restart(i); err != nil {
 			return err
 		}
@@ -29,7 +29,7 @@
 	for _, sh := range shards {
 		sh.post(func(float64) { sh.engine.SetOpenLimit(maxOpen) })
 	}
-	s.log.Info().Str("mode", "shards").Int("shards", n).Ints("begin", starting).Ints("leave", leaving).Msg("number changes")
+	s.log.Info().Str("mode", "shards").Int("shards", n).Ints("begin", change.Start).Ints("leave", change.Drain).Msg("number changes")
 	return nil
 }
 
@@ -216,7 +216,7 @@
 func (s *Server) currentEpoch(name shardownership.ID, sh *shard, epoch uint32) uint32 {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
-	if !s.router.IsOwner(name, sh.index, epoch) {
+	if !s.router.IsOwner(shardownership.Claim{ID: name, Shard: sh.index, Epoch: epoch}) {
 		return 0
 	}
 	return epoch
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -205,21 +205,21 @@
 	s := e.shard.server
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
-	return s.router.PermitAttempt(shardownership.ID{Tenant: tenant, Token: token}, e.shard.index, epoch,
-		shardownership.Attempt{Node: nodeID, Ticket: ticket, Number: attempt})
+	claim := shardownership.Claim{ID: shardownership.ID{Tenant: tenant, Token: token}, Shard: e.shard.index, Epoch: epoch}
+	return s.router.PermitAttempt(claim, shardownership.Attempt{Node: nodeID, Ticket: ticket, Number: attempt})
 }
 
 func (e shardEffects) RecordOutcome(tenant int, token uint64, epoch uint32, never bool) {
 	s := e.shard.server
 	s.routerMu.Lock()
-	s.router.CompleteAttempt(shardownership.ID{Tenant: tenant, Token: token}, e.shard.index, epoch, never)
+	s.router.CompleteAttempt(shardownership.Claim{ID: shardownership.ID{Tenant: tenant, Token: token}, Shard: e.shard.index, Epoch: epoch}, never)
 	s.routerMu.Unlock()
 }
 
 func (e shardEffects) SetClient(tenant int, token uint64, epoch, clientID uint32, ref uint64) {
 	s := e.shard.server
 	s.routerMu.Lock()
-	s.router.SetClient(shardownership.ID{Tenant: tenant, Token: token}, e.shard.index, epoch, clientID, ref)
+	s.router.SetClient(shardownership.Claim{ID: shardownership.ID{Tenant: tenant, Token: token}, Shard: e.shard.index, Epoch: epoch}, clientID, ref)
 	s.routerMu.Unlock()
 }
 
@@ -232,8 +232,9 @@
 	if e.fenced() {
 		return 0, 0, 0, false
 	}
-	epoch, clientID, ref, ok = s.router.Recover(name, e.shard.index, shardownership.Request{JobClass: job, Service: service, Cores: cores, Memory: memory},
+	recovery, ok := s.router.Recover(name, e.shard.index, shardownership.Request{JobClass: job, Service: service, Cores: cores, Memory: memory},
 		shardownership.Attempt{Node: nodeID, Ticket: ticket, Number: attempt})
+	epoch, clientID, ref = recovery.Epoch, recovery.Client, recovery.Ref
 	if ok && clientID > 0 {
 		s.setRequestShard(clientID, ref, e.shard.index)
 	}
@@ -243,7 +244,7 @@
 func (e shardEffects) ReleaseTask(tenant int, token uint64, service uint64, epoch uint32) {
 	s := e.shard.server
 	s.routerMu.Lock()
-	s.router.Remove(shardownership.ID{Tenant: tenant, Token: token}, e.shard.index, service, epoch)
+	s.router.Remove(shardownership.Claim{ID: shardownership.ID{Tenant: tenant, Token: token}, Shard: e.shard.index, Epoch: epoch}, service)
 	s.pumpIfFree()
 	s.routerMu.Unlock()
 }
@@ -253,7 +254,7 @@
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	defer s.pumpIfFree()
-	return s.router.PermitAnswer(s.env.Now(), shardownership.ID{Tenant: tenant, Token: token}, e.shard.index, epoch, served)
+	return s.router.PermitAnswer(s.env.Now(), shardownership.Claim{ID: shardownership.ID{Tenant: tenant, Token: token}, Shard: e.shard.index, Epoch: epoch}, served)
 }
 
 func (e shardEffects) Answer(clientID uint32, ref uint64, answer engine.Answer, nodeID uint32, reason string, retryAfter float64) {
@@ -336,19 +337,19 @@
 		heartbeats = append(heartbeats, math.Float64frombits(sh.heartbeat.Load()))
 		queueAges = append(queueAges, sh.inbox.oldestAge(now))
 	}
-	toFence, toStart, silent, answers, lostAsks := s.router.CheckHealth(now, heartbeats, queueAges)
-	s.applyFates(answers, "shard-quiet")
-	for _, i := range silent {
+	health := s.router.CheckHealth(now, heartbeats, queueAges)
+	s.applyFates(health.Overdue, "shard-quiet")
+	for _, i := range health.Silent {
 		for _, duplicate := range s.duplicateRequests(i, now+s.router.OverdueMargin()) {
 			duplicate.client.sendAnswer(duplicate.ref, engine.Declined, 0, "shard-quiet", 0)
 		}
 	}
 	var stuck []*shard
-	for _, i := range toFence {
+	for _, i := range health.Fence {
 		stuck = append(stuck, s.shards[i])
 	}
 	s.routerMu.Unlock()
-	for _, ask := range lostAsks {
+	for _, ask := range health.Lost {
 		if c := s.clientByID(ask.Client); c != nil {
 			c.sendEnd(ask.Ref, logic.ConnectionLost, logic.ReasonUnknown)
 		}
@@ -356,7 +357,7 @@
 	for _, sh := range stuck {
 		s.fence(sh, fmt.Sprintf("no sign of life for %.0f ms", now-heartbeats[sh.index]))
 	}
-	for _, i := range toStart {
+	for _, i := range health.Restart {
 		if err := s.restart(i); err != nil {
 			s.log.Error().Str("mode", "shards").Int("shard", i).Err(err).Msg("not started again")
 		}
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -228,7 +228,7 @@
 	}
 	s.mu.Unlock()
 	s.routerMu.Lock()
-	s.router.OnCapacity(total, free, cluster.ListsReportLoad)
+	s.router.OnCapacity(shardrouter.Capacity{Total: total, Free: free, KnowsFree: cluster.ListsReportLoad})
 	s.routerMu.Unlock()
 }
 
@@ -293,11 +293,11 @@
 	switch {
 	case entry.Queued:
 		return
-	case entry.Reason != "" && s.env.Now() >= ask.Deadline: // it stood still: its owner has given up by itself
+	case entry.IsRejected() && s.env.Now() >= ask.Deadline: // it stood still: its owner has given up by itself
 		c.closeRequest(ask.Ref)
 		return
-	case entry.Reason != "":
-		c.sendAnswer(ask.Ref, engine.Declined, 0, entry.Reason, entry.RetryAfter)
+	case entry.IsRejected():
+		c.sendAnswer(ask.Ref, engine.Declined, 0, entry.Reason.String(), entry.RetryAfter)
 		return
 	}
 	s.submit(c, sh, entry)
@@ -352,7 +352,7 @@
 
 // recordRoute notes where an ask went, and gives the shard; under the desk.
 func (s *Server) recordRoute(c *clientConn, entry shardrouter.Decision) *shard {
-	if entry.Queued || entry.Reason != "" {
+	if entry.Queued || entry.IsRejected() {
 		return nil
 	}
 	if entry.Epoch > 0 {
