--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -136,7 +136,7 @@
 		}
 		r.pass(60)
 	}
-	if n, g := len(r.server.clients), r.server.provisionalClients; n-g > r.server.limits.ClientConns || g > r.server.limits.ProvisionalConns {
+	if n, g := len(r.server.clients.conns), r.server.clients.provisional; n-g > r.server.limits.ClientConns || g > r.server.limits.ProvisionalConns {
 		t.Errorf("%d connections, %d of them not let in; %d and %d are allowed", n, g, r.server.limits.ClientConns, r.server.limits.ProvisionalConns)
 	}
 	y := r.dial()
@@ -173,8 +173,8 @@
 	x.request(7, "batch")
 	r.pass(3000)
 	x.want("a usual one", "7 served "+r.nodes["a"].description(7))
-	if len(r.server.clients) != 1 {
-		t.Errorf("%d connections, want the usual one's alone", len(r.server.clients))
+	if len(r.server.clients.conns) != 1 {
+		t.Errorf("%d connections, want the usual one's alone", len(r.server.clients.conns))
 	}
 }
 
@@ -199,8 +199,8 @@
 		t.Fatal("it does not stand: nothing is shown")
 	}
 	r.pass(4000)
-	if len(r.server.clients) != 0 || n.running[7] || !n.running[6] {
-		t.Errorf("%d clients; stands: the one whose answer broke off %v, the other %v", len(r.server.clients), n.running[7], n.running[6])
+	if len(r.server.clients.conns) != 0 || n.running[7] || !n.running[6] {
+		t.Errorf("%d clients; stands: the one whose answer broke off %v, the other %v", len(r.server.clients.conns), n.running[7], n.running[6])
 	}
 }
 
@@ -233,7 +233,7 @@
 		x.request(task+1, "batch")
 	}
 	r.pass(1000)
-	if len(x.received) != 10 || strings.Contains(strings.Join(x.received, " "), "end") || r.server.stats.dials > 4 {
-		t.Errorf("%q over %d connections", x.received, r.server.stats.dials)
+	if len(x.received) != 10 || strings.Contains(strings.Join(x.received, " "), "end") || r.server.telemetry.counts[countDials] > 4 {
+		t.Errorf("%q over %d connections", x.received, r.server.telemetry.counts[countDials])
 	}
 }
--- a/internal/platform/configuration.go
+++ b/internal/platform/configuration.go
@@ -10,17 +10,29 @@
 	"ravenpond/internal/settings"
 )
 
-// Configuration is what the platform tells a scheduler of its place.
+// Configuration is what the platform tells a scheduler at its start.
 type Configuration struct {
-	Name, Listen, Journal string
-	Seed                  uint64
-	Cores                 float64
-	MemoryMB, Sockets     int
-	Deployment            *settings.Deployment
-	InitialEvents         []byte // the journal's, up to now
+	Name              string
+	Listen            string // address for clients
+	Journal           string // address of the journal service
+	Seed              uint64 // of the module's random draws
+	Cores             float64
+	MemoryMB, Sockets int // limits of the process
+	Deployment        *settings.Deployment
+	InitialEvents     []byte // the journal's events up to the start, as JSON
 }
 
-// Load reads it from a file. What stands in the environment beside it, name and address, counts before the file's.
+// configurationSource says where a configuration is read from.
+type configurationSource struct {
+	File   string
+	Name   string // replaces the file's, if not empty
+	Listen string // replaces the file's, if not empty
+}
+
+// load reads the configuration.
+func (s configurationSource) load() (*Configuration, error) { return Load(s.File, s.Name, s.Listen) }
+
+// Load reads a configuration from a file. A name and an address that are not empty replace those of the file.
 func Load(file, name, listen string) (*Configuration, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -45,46 +57,57 @@
 	minSockets, maxSockets   = 32, 1 << 24
 )
 
-// Read reads it from its text.
+// limits are the limits of the process in a configuration file.
+type limits struct {
+	Cores    float64
+	MemoryMB int `json:"memory_mb"`
+	Sockets  int
+}
+
+// check checks the limits against their bounds.
+func (l limits) check() error {
+	if l.MemoryMB < minMemoryMB || l.MemoryMB > maxMemoryMB || l.Sockets < minSockets || l.Sockets > maxSockets {
+		return fmt.Errorf("limits: %d MB of memory (memory_mb, from %d to %d), %d sockets (from %d to %d)", l.MemoryMB, minMemoryMB, maxMemoryMB,
+			l.Sockets, minSockets, maxSockets)
+	}
+	return nil
+}
+
+// Read reads a configuration from its JSON text. An error names the field at fault.
 func Read(text []byte) (*Configuration, error) {
 	var f struct {
 		Name, Listen, Seed, Journal string
-		Limits                      struct {
-			Cores    float64
-			MemoryMB int `json:"memory_mb"`
-			Sockets  int
-		}
-		Known    json.RawMessage
-		Settings json.RawMessage
+		Limits                      limits
+		Known                       json.RawMessage
+		Settings                    json.RawMessage
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
-	for _, a := range []struct{ what, address string }{{"listen", f.Listen}, {"journal", f.Journal}} {
-		if _, _, err := net.SplitHostPort(a.address); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.what, err)
+	for _, field := range []struct{ name, address string }{{"listen", f.Listen}, {"journal", f.Journal}} {
+		if _, _, err := net.SplitHostPort(field.address); err != nil {
+			return nil, fmt.Errorf("%s: %w", field.name, err)
 		}
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	if f.Limits.MemoryMB < minMemoryMB || f.Limits.MemoryMB > maxMemoryMB || f.Limits.Sockets < minSockets || f.Limits.Sockets > maxSockets {
-		return nil, fmt.Errorf("limits: %d MB of memory (memory_mb, from %d to %d), %d sockets (from %d to %d)", f.Limits.MemoryMB, minMemoryMB, maxMemoryMB,
-			f.Limits.Sockets, minSockets, maxSockets)
+	if err := f.Limits.check(); err != nil {
+		return nil, err
 	}
 	if len(f.Known) == 0 || len(f.Settings) == 0 {
 		return nil, fmt.Errorf("known: %d bytes, settings: %d bytes: both are needed", len(f.Known), len(f.Settings))
 	}
-	known, err := settings.Read(f.Settings)
+	deployment, err := settings.Read(f.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := known.ValidateForSockets(); err != nil {
+	if err := deployment.ValidateForSockets(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return &Configuration{
 		Name: f.Name, Listen: f.Listen, Journal: f.Journal, Seed: seed, Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Deployment: known, InitialEvents: f.Known,
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Deployment: deployment, InitialEvents: f.Known,
 	}, nil
 }
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -43,8 +43,8 @@
 				doors = append(doors, x)
 			}
 			r.pass(100)
-			if len(r.server.clients) != r.server.limits.ClientConns {
-				t.Fatalf("%d client connections", len(r.server.clients))
+			if len(r.server.clients.conns) != r.server.limits.ClientConns {
+				t.Fatalf("%d client connections", len(r.server.clients.conns))
 			}
 			most, ended := 0, map[uint64]float64{}
 			count := func() {
@@ -99,17 +99,17 @@
 					late++
 				}
 			}
-			if late+unheard > 0 || r.server.stats.verdicts[logic.ConnectionLost] > 0 || r.server.stats.dialsExhausted > 0 {
-				t.Errorf("of %d ends %d came late, %d never; verdicts %v, %d dials found nothing left", nodes, late, unheard, r.server.stats.verdicts,
-					r.server.stats.dialsExhausted)
+			if late+unheard > 0 || r.server.telemetry.outcomes[logic.ConnectionLost] > 0 || r.server.telemetry.counts[countDialsExhausted] > 0 {
+				t.Errorf("of %d ends %d came late, %d never; verdicts %v, %d dials found nothing left", nodes, late, unheard, r.server.telemetry.outcomes,
+					r.server.telemetry.counts[countDialsExhausted])
 			}
-			for _, p := range r.server.nodes {
+			for _, p := range r.server.nodes.byID {
 				if b, _ := r.server.host.Belief(p.id); b.Unhealthy {
 					t.Errorf("%s is taken for ill", p.name)
 				}
 			}
-			if d := float64(r.server.stats.dials) / (float64(nodes) * 18 / 2); d > 1.3 {
-				t.Errorf("%d dials: %.1f a node in two seconds", r.server.stats.dials, d)
+			if d := float64(r.server.telemetry.counts[countDials]) / (float64(nodes) * 18 / 2); d > 1.3 {
+				t.Errorf("%d dials: %.1f a node in two seconds", r.server.telemetry.counts[countDials], d)
 			}
 		})
 	}
@@ -130,10 +130,10 @@
 	}
 	x.request(8, "single")
 	r.pass(9000)
-	if r.server.stats.dialsExhausted < 5 || r.server.host.RunningTasks() != 1 || len(x.received) != 2 || x.received[1] != "8 end 42" {
-		t.Errorf("%d spent, %d stand, %q", r.server.stats.dialsExhausted, r.server.host.RunningTasks(), x.received)
+	if r.server.telemetry.counts[countDialsExhausted] < 5 || r.server.host.RunningTasks() != 1 || len(x.received) != 2 || x.received[1] != "8 end 42" {
+		t.Errorf("%d spent, %d stand, %q", r.server.telemetry.counts[countDialsExhausted], r.server.host.RunningTasks(), x.received)
 	}
-	for _, p := range r.server.nodes {
+	for _, p := range r.server.nodes.byID {
 		if b, _ := r.server.host.Belief(p.id); b.Unhealthy || b.FailureRate > 0 {
 			t.Errorf("%s is blamed: %+v", p.name, b)
 		}
@@ -157,8 +157,8 @@
 	}
 	x.request(100, "batch")
 	r.pass(500)
-	if len(r.server.requestsByAlloc) != 20 || len(x.received) != 41 || x.received[40] != "100 end 42" {
-		t.Errorf("%d are held, %d turned away", len(r.server.requestsByAlloc), len(x.received))
+	if len(r.server.requests.byAlloc) != 20 || len(x.received) != 41 || x.received[40] != "100 end 42" {
+		t.Errorf("%d are held, %d turned away", len(r.server.requests.byAlloc), len(x.received))
 	}
 }
 
@@ -188,11 +188,11 @@
 		r.pass(100)
 	}
 	r.pass(3000)
-	if len(r.server.requestsByAlloc)+len(r.server.requestsByTask)+len(r.server.clients) > 0 || len(r.server.nodes) > 1 || len(r.server.nodesByName) > 1 || r.server.nodeConns > 5 {
-		t.Errorf("%d asks, %d tasks, %d clients, %d nodes, %d links are kept", len(r.server.requestsByAlloc), len(r.server.requestsByTask), len(r.server.clients), len(r.server.nodes),
-			r.server.nodeConns)
+	if len(r.server.requests.byAlloc)+len(r.server.requests.byTask)+len(r.server.clients.conns) > 0 || len(r.server.nodes.byID) > 1 || len(r.server.nodes.byName) > 1 || r.server.nodes.conns > 5 {
+		t.Errorf("%d asks, %d tasks, %d clients, %d nodes, %d links are kept", len(r.server.requests.byAlloc), len(r.server.requests.byTask), len(r.server.clients.conns), len(r.server.nodes.byID),
+			r.server.nodes.conns)
 	}
-	if r.server.stats.served != int(task) {
-		t.Errorf("%d of %d served", r.server.stats.served, task)
+	if r.server.telemetry.counts[countServed] != int(task) {
+		t.Errorf("%d of %d served", r.server.telemetry.counts[countServed], task)
 	}
 }
--- a/internal/platform/early_end_test.go
+++ b/internal/platform/early_end_test.go
@@ -97,8 +97,8 @@
 					if told := slices.Contains(first.ended, 7); told != (late >= 0) {
 						t.Errorf("the node of the late answer is told to end the task: %t", told)
 					}
-					if len(r.server.requestsByAlloc)+len(r.server.requestsByTask) > 0 || r.server.admission.Open() != 0 {
-						t.Errorf("%d requests, %d tasks, %d open are kept", len(r.server.requestsByAlloc), len(r.server.requestsByTask), r.server.admission.Open())
+					if len(r.server.requests.byAlloc)+len(r.server.requests.byTask) > 0 || r.server.requests.admission.Open() != 0 {
+						t.Errorf("%d requests, %d tasks, %d open are kept", len(r.server.requests.byAlloc), len(r.server.requests.byTask), r.server.requests.admission.Open())
 					}
 				})
 			}
--- a/internal/platform/endpoint_watch.go
+++ b/internal/platform/endpoint_watch.go
@@ -1,261 +1,191 @@
 package platform
 
 import (
-	"bytes"
 	"errors"
-	"slices"
-	"strconv"
 
-	"ravenpond/internal/decide/connlimits"
 	"ravenpond/internal/decide/watchretry"
-	"ravenpond/internal/env"
 	codec "ravenpond/internal/proto/platform"
 	"ravenpond/logic"
 )
 
-// maxLineBytes is the most bytes of a line of the journal: no list of nodes is longer.
-const maxLineBytes = 4 << 20
+// errEventGap reports that the journal service left out events. The watch is begun anew from the last event that was applied.
+var errEventGap = errors.New("events are missing")
 
-// endpointWatch is the connection to the journal service.
+// endpointWatch keeps the node list up to date by the events of the journal service. Server.mu guards it, with its connection.
 type endpointWatch struct {
-	address       string
+	server        *Server
+	address       string // of the journal service
 	retrier       watchretry.Retrier
-	current       *watchConn
-	position      uint64 // of the last event that was applied
-	pollRequested bool   // the module waits for news or for news that there is none
+	current       *watchConn // the last connection that was made or begun
+	position      uint64     // of the last event that was applied
+	pollRequested bool       // the module waits for changes, or for word that there are none
 }
 
-// watchConn is one connection to it, on which events follow.
-type watchConn struct {
-	server  *Server
-	conn    env.Conn
-	partial []byte
-	closed  bool
+func newEndpointWatch(s *Server, address string) endpointWatch {
+	return endpointWatch{server: s, address: address}
 }
 
-// loadInitialEndpoints applies the events that are known at the start.
-func (s *Server) loadInitialEndpoints(now float64, c *Configuration) error {
-	s.endpoints.address = c.Journal
+// poll has the module told of changes, or that there are none, or that the list can't be read.
+func (w *endpointWatch) poll() { w.pollRequested = true }
+
+// loadInitial applies the events that the scheduler is configured with. The error wraps codec.ErrUnreadable.
+func (w *endpointWatch) loadInitial(now float64, events []byte) error {
+	s := w.server
 	s.host.ListBegin(now, logic.ListCached)
-	last, err := codec.ReadInitialEvents(c.InitialEvents, func(pos uint64, _ bool) bool { s.endpoints.position = max(s.endpoints.position, pos); return true }, s.applyEntry(nil))
+	last, err := codec.ReadInitialEvents(events, &initialEvents{w})
 	if err != nil {
 		return err
 	}
-	s.endpoints.position = max(s.endpoints.position, last)
-	for _, p := range s.nodes {
-		if p.availability == logic.Unavailable {
-			delete(s.nodes, p.id)
-			delete(s.nodesByName, p.name)
-		}
-	}
+	w.position = max(w.position, last)
+	s.nodes.removeUnavailable()
 	s.host.ListEnd()
 	return nil
 }
 
-// applyEntry takes a node of the list; named notes it, where a whole list is read.
-func (s *Server) applyEntry(listed map[*node]bool) codec.Entry {
-	return func(name, address, zone, kind string, cell int, avail logic.Availability, since, freeCores, freeMemory float64) {
-		p := s.nodesByName[name]
-		if p == nil {
-			if avail == logic.Unavailable {
-				return // it came and went unseen
-			}
-			p = &node{id: s.nodeID(name), name: name, running: map[*request]bool{}}
-			s.nodesByName[name], s.nodes[p.id] = p, p
-		}
-		if listed != nil {
-			listed[p] = true
-		}
-		if since > 0 {
-			since -= s.epochUnixMs
-		}
-		if address != "" {
-			p.address = address
-		}
-		p.availability = avail
-		if avail == logic.Unavailable {
-			s.closeIdleConns(p)
-		}
-		z, okZone := s.zoneIndex[zone]
-		k, okKind := s.kindIndex[kind]
-		if !okZone || !okKind {
-			s.log.Warn().Str("mode", "list").Str("node", name).Str("zone", zone).Str("kind", kind).Msg("unknown zone or kind")
-		}
-		s.host.ListNode(p.id, avail, since, freeCores, freeMemory, z, cell, k)
-	}
-}
+// initialEvents applies the initial events, as one message of the list. It implements codec.EventReader.
+type initialEvents struct{ watch *endpointWatch }
 
-// closeIdleConns closes idle connections to a node that is gone, unless a task runs there; connections with open requests stay.
-func (s *Server) closeIdleConns(p *node) {
-	if len(p.running) > 0 {
-		return
-	}
-	for _, l := range slices.Clone(p.conns) {
-		if l.conn != nil && l.isIdle() {
-			l.close(true)
-		}
-	}
+// BeginEvent takes every event.
+func (e *initialEvents) BeginEvent(position uint64, _ bool) bool {
+	e.watch.position = max(e.watch.position, position)
+	return true
 }
 
-// endpointTick asks the journal service anew where that is due, and tells the module what a call came to.
-func (s *Server) endpointTick(now float64) {
-	f := &s.endpoints
-	if f.retrier.IsSilent(now) {
-		s.log.Info().Str("mode", "journal").Uint64("pos", f.position).Msg("silent, asked anew")
-		f.current.close(now)
+// AddEndpoint applies one endpoint.
+func (e *initialEvents) AddEndpoint(endpoint codec.Endpoint) { e.watch.apply(endpoint) }
+
+// tick connects to the journal service when that is due, and answers the module's poll.
+func (w *endpointWatch) tick(now float64) {
+	s := w.server
+	if w.retrier.IsSilent(now) {
+		s.log.Info().Str("mode", "journal").Uint64("pos", w.position).Msg("silent, asked anew")
+		w.current.close(now)
 	}
-	if f.retrier.BeginConnect(now) {
-		t := &watchConn{server: s}
-		f.current = t
-		s.env.Dial(f.address, watchretry.ConnectTimeout(), t.onDialed)
+	if w.retrier.BeginConnect(now) {
+		w.current = &watchConn{watch: w}
+		s.env.Dial(w.address, watchretry.ConnectTimeout(), w.current.onDialed)
 	}
 	switch {
-	case f.pollRequested && f.retrier.IsLive(now):
-		f.pollRequested = false
-		s.host.ListBegin(now, logic.ListChanges)
-		s.host.ListEnd()
-	case f.pollRequested && f.retrier.IsFailing(now):
-		f.pollRequested = false
-		s.host.ListBegin(now, logic.ListFailed)
-		s.host.ListEnd()
+	case w.pollRequested && w.retrier.IsLive(now):
+		w.answerPoll(now, logic.ListChanges)
+	case w.pollRequested && w.retrier.IsFailing(now):
+		w.answerPoll(now, logic.ListFailed)
 	}
 }
 
-// setJournalAddress has the journal service asked at another address from now on.
-func (s *Server) setJournalAddress(address string) {
+// answerPoll tells the module that there are no changes, or that the list can't be read.
+func (w *endpointWatch) answerPoll(now float64, kind logic.ListKind) {
+	w.pollRequested = false
+	w.server.host.ListBegin(now, kind)
+	w.server.host.ListEnd()
+}
+
+// setAddress has the journal service watched at another address.
+func (w *endpointWatch) setAddress(address string) {
+	s := w.server
 	now := s.env.Now()
-	f := &s.endpoints
-	if address == f.address {
+	if address == w.address {
 		return
 	}
-	s.log.Info().Str("mode", "journal").Str("address", address).Uint64("pos", f.position).Msg("moved")
-	if f.current != nil {
-		f.current.closed = true
-		if f.current.conn != nil {
-			f.current.conn.Close(false, nil)
-		}
+	s.log.Info().Str("mode", "journal").Str("address", address).Uint64("pos", w.position).Msg("moved")
+	if w.current != nil {
+		w.current.discard()
 	}
-	f.address = address
-	f.retrier.OnAddressChanged(now)
-	s.endpointTick(now)
+	w.address = address
+	w.retrier.OnAddressChanged(now)
+	w.tick(now)
 }
 
-func (t *watchConn) onDialed(c env.Conn, err error) {
-	s := t.server
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.env.Now()
+// applyLine applies a line of the journal: each event once, in order, and none left out. The error is errEventGap, or wraps
+// codec.ErrUnreadable.
+func (w *endpointWatch) applyLine(now float64, line []byte) error {
+	update := listUpdate{watch: w, now: now, listed: map[*node]bool{}}
+	last, err := codec.ReadLine(line, &update)
 	switch {
-	case t.closed && err == nil:
-		c.Close(false, nil)
-	case t.closed:
 	case err != nil:
-		t.closed = true
-		s.endpoints.retrier.OnDisconnected(now)
-	default:
-		t.conn = c
-		s.endpoints.retrier.OnConnected(now)
-		c.Start(t, connlimits.WriteTimeout)
-		c.Send(func(b []byte) []byte {
-			return append(strconv.AppendUint(append(b, "tail "...), s.endpoints.position, 10), '\n')
-		})
+		return err
+	case update.gap || last > w.position:
+		return errEventGap
+	}
+	if update.begun {
+		update.end()
+		w.pollRequested = false
 	}
+	return nil
 }
 
-// close gives the connection up.
-func (t *watchConn) close(now float64) {
-	if t.closed {
-		return
-	}
-	t.closed, t.partial = true, nil
-	t.conn.Close(false, nil)
-	t.server.endpoints.retrier.OnDisconnected(now)
+// listUpdate applies one event. It implements codec.EventReader.
+type listUpdate struct {
+	watch    *endpointWatch
+	now      float64
+	gap      bool // events before this one are missing
+	begun    bool // the event is applied
+	snapshot bool // it names all nodes
+	listed   map[*node]bool
 }
 
-func (t *watchConn) OnData(b []byte) {
-	s := t.server
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if t.closed {
-		return
+// BeginEvent takes the event that follows the last one.
+func (u *listUpdate) BeginEvent(position uint64, snapshot bool) bool {
+	w := u.watch
+	if position <= w.position { // a repeated event
+		return false
 	}
-	now := s.env.Now()
-	if b == nil {
-		t.close(now)
-		return
+	if position > w.position+1 {
+		u.gap = true
+		return false
 	}
-	s.endpoints.retrier.OnBytes(now)
-	t.partial = append(t.partial, b...)
-	consumed := false
-	for {
-		line, rest, complete := bytes.Cut(t.partial, []byte("\n"))
-		if !complete {
-			break
-		}
-		if err := s.applyLine(now, line); err != nil {
-			s.log.Warn().Str("mode", "journal").Uint64("pos", s.endpoints.position).Err(err).Msg("asked anew")
-			t.close(now)
-			return
-		}
-		s.endpoints.retrier.OnEvent(now)
-		t.partial, consumed = rest, true
+	w.position, u.begun, u.snapshot = position, true, snapshot
+	kind := logic.ListChanges
+	if snapshot {
+		kind = logic.ListFull
 	}
-	if len(t.partial) > maxLineBytes {
-		t.close(now)
-		return
-	}
-	if consumed { // what is left gets memory of its own; a line that trickles in is not copied for each byte
-		t.partial = append([]byte(nil), t.partial...)
-	}
-	s.wake()
+	w.server.host.ListBegin(u.now, kind)
+	return true
 }
 
-func (t *watchConn) OnClose(error) {
-	t.server.mu.Lock()
-	defer t.server.mu.Unlock()
-	t.close(t.server.env.Now())
+// AddEndpoint applies one endpoint of the event.
+func (u *listUpdate) AddEndpoint(endpoint codec.Endpoint) {
+	if n := u.watch.apply(endpoint); n != nil {
+		u.listed[n] = true
+	}
 }
 
-var errEventGap = errors.New("events are missing")
-
-// applyLine applies a line of the journal: each event once, in order, none left out.
-func (s *Server) applyLine(now float64, line []byte) error {
-	f := &s.endpoints
-	var gap, applies, snapshot bool
-	listed := map[*node]bool{}
-	last, err := codec.ReadLine(line, func(pos uint64, full bool) bool {
-		switch {
-		case pos <= f.position: // told twice
-			return false
-		case pos > f.position+1:
-			gap = true
-			return false
-		}
-		f.position, applies, snapshot = pos, true, full
-		kind := logic.ListChanges
-		if full {
-			kind = logic.ListFull
-		}
-		s.host.ListBegin(now, kind)
-		return true
-	}, s.applyEntry(listed))
-	switch {
-	case err != nil:
-		return err
-	case gap || last > f.position:
-		return errEventGap
-	}
-	if applies {
-		if snapshot {
-			for _, p := range s.sortedNodes() {
-				if !listed[p] {
-					p.availability = logic.Unavailable
-					s.closeIdleConns(p)
-				}
+// end ends the event. Nodes that a snapshot does not name are unavailable.
+func (u *listUpdate) end() {
+	s := u.watch.server
+	if u.snapshot {
+		for _, n := range s.nodes.sorted() {
+			if !u.listed[n] {
+				n.setState("", logic.Unavailable)
 			}
 		}
-		s.host.ListEnd()
-		f.pollRequested = false
 	}
-	return nil
+	s.host.ListEnd()
+}
+
+// apply takes the state of a node. It returns the node, nil for one that is unavailable and was never known.
+func (w *endpointWatch) apply(endpoint codec.Endpoint) *node {
+	s := w.server
+	n := s.nodes.named(endpoint.Name)
+	if n == nil {
+		if endpoint.Availability == logic.Unavailable {
+			return nil
+		}
+		n = s.nodes.add(endpoint.Name)
+	}
+	startedAt := endpoint.StartedAt
+	if startedAt > 0 {
+		startedAt -= epochUnixMs
+	}
+	n.setState(endpoint.Address, endpoint.Availability)
+	zone, okZone := s.names.zones[endpoint.Zone]
+	kind, okKind := s.names.kinds[endpoint.Kind]
+	if !okZone || !okKind {
+		s.log.Warn().Str("mode", "list").Str("node", n.name).Str("zone", endpoint.Zone).Str("kind", endpoint.Kind).Msg("unknown zone or kind")
+	}
+	s.host.ListNode(logic.ListEntry{
+		Node: n.id, Availability: endpoint.Availability, StartedAt: startedAt, FreeCores: endpoint.FreeCores, FreeMemory: endpoint.FreeMemory,
+		Zone: zone, Cell: endpoint.Cell, Kind: kind,
+	})
+	return n
 }
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -73,7 +73,7 @@
 				r.journal.silent = i == 0
 				r.pass(500)
 				r.server.mu.Lock()
-				r.server.setJournalAddress(fmt.Sprint("journal:", 2+i))
+				r.server.endpoints.setAddress(fmt.Sprint("journal:", 2+i))
 				r.server.mu.Unlock()
 			}
 			r.pass(50)
@@ -84,8 +84,8 @@
 			other.silent = true
 			r.server.mu.Lock()
 			for range 5 {
-				r.server.setJournalAddress("journal:2")
-				r.server.setJournalAddress("journal:1")
+				r.server.endpoints.setAddress("journal:2")
+				r.server.endpoints.setAddress("journal:1")
 			}
 			r.server.mu.Unlock()
 			r.pass(50)
@@ -97,7 +97,7 @@
 			r.journal.events = append([]string(nil), old.events...)
 			old.silent = true
 			r.server.mu.Lock()
-			r.server.setJournalAddress("journal:2")
+			r.server.endpoints.setAddress("journal:2")
 			r.server.mu.Unlock()
 			r.pass(50)
 			r.journal.publish(gone, come)
@@ -117,8 +117,8 @@
 			r.pass(300)
 			x.want("served by b", "7 served "+r.nodes["b"].description(7))
 			r.pass(2500)
-			if r.server.nodesByName["a"] != nil || r.server.nodesByName["b"] == nil {
-				t.Errorf("nodes known: %d", len(r.server.nodesByName))
+			if r.server.nodes.byName["a"] != nil || r.server.nodes.byName["b"] == nil {
+				t.Errorf("nodes known: %d", len(r.server.nodes.byName))
 			}
 			if live := r.server.endpoints.retrier.IsLive(r.process.Now()); !live || len(r.journal.requests) > 3 {
 				t.Errorf("live %v after %q", live, r.journal.requests)
@@ -138,13 +138,13 @@
 	}
 	write(`{"name":"n0","listen":"scheduler:1","seed":"1","limits":{"memory_mb":64,"sockets":256},"journal":"journal:2",` +
 		`"known":{"pos":0,"entries":[]},"settings":` + settingsText + `}`)
-	r.server.reload(file, "", "")
+	r.server.reload(configurationSource{File: file})
 	if r.server.endpoints.address != "journal:2" {
 		t.Errorf("the journal is at %s", r.server.endpoints.address)
 	}
 	write(`{"name":`)
-	r.server.reload(file, "", "")
-	r.server.reload(file+"x", "", "")
+	r.server.reload(configurationSource{File: file})
+	r.server.reload(configurationSource{File: file + "x"})
 	x := r.dial()
 	x.request(7, "batch")
 	r.pass(200)
--- /dev/null
+++ b/internal/platform/host/attempts.go
@@ -0,0 +1,144 @@
+package host
+
+import (
+	"fmt"
+
+	"ravenpond/internal/decide/outcome"
+	"ravenpond/logic"
+)
+
+// attemptInFlight returns the allocation whose attempt with this number is in flight or runs, nil if the attempt has its outcome.
+func (h *Host) attemptInFlight(id uint32, attempt int) *allocation {
+	if a := h.allocations[id]; a != nil && a.inFlight && a.attempts == attempt+1 {
+		return a
+	}
+	return nil
+}
+
+// awaitedAttempt returns the same, but nil if the outcome is decided already.
+func (h *Host) awaitedAttempt(id uint32, attempt int) *allocation {
+	if a := h.attemptInFlight(id, attempt); a != nil && !a.outcomePending {
+		return a
+	}
+	return nil
+}
+
+// startAttempt sends the next attempt of an allocation. One that can't be sent gets its outcome in a later round.
+func (h *Host) startAttempt(a *allocation, node uint32, timeout float64) {
+	if a.inFlight {
+		h.effects.LogLine(fmt.Sprintf("refused to offer %d while its try %d is out", a.id(), a.lastAttempt()))
+		return
+	}
+	a.node, a.sentAt, a.inFlight, a.noted = node, h.now, true, false
+	a.attempts++
+	key := attemptKey(a.id(), a.lastAttempt())
+	left := a.request.Deadline - h.now
+	if timeout > 0 {
+		left = min(left, timeout)
+	}
+	if a.answered || left <= 0 || a.attempts > h.maxAttempts {
+		a.outcomePending = true
+		h.timers.Set(h.now+h.roundInterval, timerUnsent, key)
+		return
+	}
+	h.timers.Set(h.now+left, timerAttempt, key)
+	h.effects.RequestPlacement(a.id(), uint8(a.lastAttempt()), node, left)
+}
+
+// cancelAttempt cancels an attempt that has not started the task. Its outcome follows in a later round.
+func (h *Host) cancelAttempt(a *allocation) {
+	if a.inFlight && !a.running && !a.outcomePending {
+		a.outcomePending = true
+		h.effects.CancelAttempt(a.id(), uint8(a.lastAttempt()), a.node)
+		h.timers.Set(h.now+h.roundInterval, timerCancelled, attemptKey(a.id(), a.lastAttempt()))
+	}
+}
+
+// OnStarted says that the node of an attempt has started the task. It returns false if the attempt is no longer waited for, so that the task
+// has to be stopped.
+func (h *Host) OnStarted(now float64, id uint32, attempt uint8) bool {
+	a := h.awaitedAttempt(id, int(attempt))
+	if a == nil || a.running || a.answered || now >= a.request.Deadline {
+		return false
+	}
+	h.recordEvent(now)
+	a.running = true
+	h.runningCount++
+	h.markAnswered(a)
+	h.callModule(func(m *logic.Scheduler) { m.OnStarted(h.now, id, a.moduleAttempt(), h.now-a.sentAt) })
+	return true
+}
+
+// OnOutcome says how an attempt, or the running task that it started, has ended. The report is the node's load report, valid during the call.
+func (h *Host) OnOutcome(now float64, id uint32, attempt uint8, verdict logic.Outcome, reason logic.Reason, report []float64) {
+	if a := h.awaitedAttempt(id, int(attempt)); a != nil {
+		h.recordEvent(now)
+		h.complete(a, verdict, reason, report)
+	}
+}
+
+// OnEarlyEnd says that a node told the end of an attempt before it answered it. If the task had been running, the request gets its final
+// answer at once and no other attempt; else the outcome is that of an attempt that never started. OnEarlyEnd returns whether the task had
+// been running, so that an answer may still follow.
+func (h *Host) OnEarlyEnd(now float64, id uint32, attempt uint8, end outcome.EarlyEnd, report []float64) (ran bool) {
+	a := h.awaitedAttempt(id, int(attempt))
+	if a == nil || a.running {
+		return false
+	}
+	h.recordEvent(now)
+	end.Noted = a.noted
+	ran = end.Ran()
+	if ran && !a.answered {
+		class := h.supervisor.cluster.JobClasses[a.request.Class]
+		h.answer(a, outcome.IsRetrySafeAfterRun(class.Semantics, class.IdempotencyScope))
+	}
+	h.complete(a, end.Unstarted, end.Reason, report)
+	return ran
+}
+
+// OnTaskLost says that a running task was lost with its node.
+func (h *Host) OnTaskLost(now float64, id uint32) {
+	if a := h.allocations[id]; a != nil && a.running {
+		h.recordEvent(now)
+		h.complete(a, logic.ConnectionLost, logic.ReasonUnknown, nil)
+	}
+}
+
+// OnNote takes a measurement that a node sent of a task.
+func (h *Host) OnNote(now float64, id uint32, metric logic.TaskMetric, value float64) {
+	a := h.allocations[id]
+	if a == nil || !a.inFlight {
+		return
+	}
+	h.recordEvent(now)
+	a.noted = true
+	h.callModule(func(m *logic.Scheduler) {
+		m.OnTaskMetric(h.now, logic.TaskSample{Allocation: id, Attempt: a.moduleAttempt(), Node: a.node, Metric: metric, Value: value})
+	})
+}
+
+func (h *Host) onAttemptTimeout(id uint32, attempt int) {
+	if a := h.awaitedAttempt(id, attempt); a != nil && !a.running {
+		h.effects.CancelAttempt(id, uint8(attempt), a.node)
+		h.complete(a, logic.TimedOut, logic.ReasonUnknown, nil)
+	}
+}
+
+// complete gives the last attempt its outcome.
+func (h *Host) complete(a *allocation, verdict logic.Outcome, reason logic.Reason, report []float64) {
+	if a.running {
+		h.runningCount--
+		if !a.endNotOwed {
+			h.effects.NotifyEnd(a.id(), verdict)
+		}
+	}
+	a.inFlight, a.running, a.outcomePending = false, false, false
+	h.recordBeliefError(a.node, report)
+	h.callModule(func(m *logic.Scheduler) {
+		m.OnOutcome(h.now, logic.AttemptResult{
+			Allocation: a.id(), Node: a.node, Attempt: a.moduleAttempt(), Duration: h.now - a.sentAt, Answered: a.answered, Reason: reason,
+			Outcome: verdict, Report: report,
+		})
+	})
+	h.forgetIfDone(a)
+}
--- a/internal/platform/host/belief_error.go
+++ b/internal/platform/host/belief_error.go
@@ -6,32 +6,38 @@
 	"ravenpond/logic"
 )
 
-// beliefErrorSum sums up how far belief was from reports.
+// BeliefError is how far the module's belief of nodes' free capacity was off when reports came: mean absolute differences.
+type BeliefError struct {
+	Reports       int
+	Cores, Memory float64
+}
+
+// beliefErrorSum sums up differences between belief and reports.
 type beliefErrorSum struct {
 	reports       int
 	cores, memory float64
 }
 
-// Belief is what the module holds of a node.
-func (h *Host) Belief(node uint32) (b logic.Belief, ok bool) {
-	h.diagnostics.Do("beliefs", func() { b, ok = h.module.NodeBelief(node) })
-	return b, ok
+// Belief returns what the module believes of a node, for the log. It reports false if the node is unknown to the module.
+func (h *Host) Belief(node uint32) (belief logic.Belief, ok bool) {
+	h.diagnostics.Do("beliefs", func() { belief, ok = h.module.NodeBelief(node) })
+	return belief, ok
 }
 
-// BeliefError is by how many free cores and how much memory the module's belief was off at reports since it was last
-// called, in the mean, and how many reports there were.
-func (h *Host) BeliefError() (reports int, cores, memory float64) {
-	m := h.beliefErrors
+// TakeBeliefError returns the error of the module's belief since the last call.
+func (h *Host) TakeBeliefError() BeliefError {
+	sum := h.beliefErrors
 	h.beliefErrors = beliefErrorSum{}
-	n := float64(max(1, m.reports))
-	return m.reports, m.cores / n, m.memory / n
+	n := float64(max(1, sum.reports))
+	return BeliefError{Reports: sum.reports, Cores: sum.cores / n, Memory: sum.memory / n}
 }
 
-// recordBeliefError holds belief against a report that is about to be told.
+// recordBeliefError compares the module's belief with a report that the module has not seen yet.
 func (h *Host) recordBeliefError(node uint32, report []float64) {
 	h.diagnostics.Do("mistakes", func() {
-		if c, m, ok := h.module.BeliefError(h.now, node, report); ok {
-			h.beliefErrors = beliefErrorSum{h.beliefErrors.reports + 1, h.beliefErrors.cores + math.Abs(c), h.beliefErrors.memory + math.Abs(m)}
+		if cores, memory, ok := h.module.BeliefError(h.now, node, report); ok {
+			sum := &h.beliefErrors
+			sum.reports, sum.cores, sum.memory = sum.reports+1, sum.cores+math.Abs(cores), sum.memory+math.Abs(memory)
 		}
 	})
 }
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -10,43 +10,46 @@
 
 // script is a host on a virtual clock; its effects are lines, taken by look.
 type script struct {
-	t     *testing.T
-	h     *Host
-	now   float64
-	lines []string
-	offer struct {
-		try   uint8
-		node  uint32
-		until float64
+	t           *testing.T
+	host        *Host
+	now         float64
+	lines       []string
+	lastAttempt struct {
+		number uint8
+		node   uint32
+		until  float64
 	}
 	probe uint32
 }
 
-func (s *script) say(format string, args ...any) {
+func (s *script) record(format string, args ...any) {
 	s.lines = append(s.lines, fmt.Sprintf(format, args...))
 }
 
-func (s *script) RequestPlacement(id uint32, try uint8, node uint32, left float64) {
-	s.offer.try, s.offer.node, s.offer.until = try, node, s.now+left
-	s.say("offer %d.%d", id, try)
+func (s *script) RequestPlacement(id uint32, attempt uint8, node uint32, left float64) {
+	s.lastAttempt.number, s.lastAttempt.node, s.lastAttempt.until = attempt, node, s.now+left
+	s.record("offer %d.%d", id, attempt)
 }
-func (s *script) CancelAttempt(id uint32, try uint8, _ uint32) { s.say("give up %d.%d", id, try) }
-func (s *script) StopTask(id, _ uint32)                        { s.say("cut %d", id) }
-func (s *script) NotifyMove(id uint32)                         { s.say("move %d", id) }
-func (s *script) NotifyEnd(id uint32, v logic.Outcome)         { s.say("over %d %d", id, v) }
-func (s *script) Forget(id uint32)                             { s.say("forget %d", id) }
-func (s *script) Probe(_, seq uint32)                          { s.probe = seq }
-func (s *script) PollEndpoints()                               {}
-func (s *script) LogLine(string)                               {}
+
+func (s *script) CancelAttempt(id uint32, attempt uint8, _ uint32) {
+	s.record("give up %d.%d", id, attempt)
+}
+func (s *script) StopTask(id, _ uint32)                { s.record("cut %d", id) }
+func (s *script) NotifyMove(id uint32)                 { s.record("move %d", id) }
+func (s *script) NotifyEnd(id uint32, v logic.Outcome) { s.record("over %d %d", id, v) }
+func (s *script) Forget(id uint32)                     { s.record("forget %d", id) }
+func (s *script) Probe(_, seq uint32)                  { s.probe = seq }
+func (s *script) PollEndpoints()                       {}
+func (s *script) LogLine(string)                       {}
 func (s *script) AnswerRequest(id uint32, declined bool) {
-	s.say("answer %d %s", id, map[bool]string{true: "declined", false: "failed"}[declined])
+	s.record("answer %d %s", id, map[bool]string{true: "declined", false: "failed"}[declined])
 }
 
 // Job types of the script, by their places.
 const (
 	restartable = iota
-	tokened
-	runOnce
+	idempotent
+	atMostOnce
 )
 
 // begin starts a host of some nodes, in two zones in turn.
@@ -63,26 +66,28 @@
 			NodeKind: -1, MaxPerScope: 1,
 		})
 	}
-	cl.JobClasses[tokened].Spread = logic.PerNode
-	s.h = New(s, s.now, 5, cl)
-	s.h.ListBegin(s.now, logic.ListCached)
+	cl.JobClasses[idempotent].Spread = logic.PerNode
+	s.host = New(s, s.now, 5, cl)
+	s.host.ListBegin(s.now, logic.ListCached)
 	for i := range nodes {
-		s.h.ListNode(uint32(100+i), logic.Ready, 0, 32, 64, i%2, i, 0)
+		s.host.ListNode(logic.ListEntry{
+			Node: uint32(100 + i), Availability: logic.Ready, FreeCores: 32, FreeMemory: 64, Zone: i % 2, Cell: i,
+		})
 	}
-	s.h.ListEnd()
-	s.pass(20)
+	s.host.ListEnd()
+	s.advance(20)
 	return s
 }
 
 // pass lets time go by, with a round each time one is due.
-func (s *script) pass(ms float64) {
+func (s *script) advance(ms float64) {
 	for end := s.now + ms; s.now < end; {
-		s.now = min(end, max(s.now+0.1, s.h.NextRound()))
-		s.h.Round(s.now)
+		s.now = min(end, max(s.now+0.1, s.host.NextRound()))
+		s.host.Round(s.now)
 	}
 }
 
-func (s *script) look() string {
+func (s *script) takeLog() string {
 	got := strings.Join(s.lines, ", ")
 	s.lines = nil
 	return got
@@ -90,19 +95,19 @@
 
 func (s *script) want(what, want string) {
 	s.t.Helper()
-	if got := s.look(); got != want {
+	if got := s.takeLog(); got != want {
 		s.t.Errorf("%s: %q, want %q", what, got, want)
 	}
 }
 
-func (s *script) ask(job int) uint32 {
-	return s.h.Allocate(s.now, job, 0, s.now+2500, 9, 1, 2)
+func (s *script) request(job int) uint32 {
+	return s.host.Allocate(s.now, logic.Request{Class: job, Deadline: s.now + 2500, Service: 9, Cores: 1, Memory: 2})
 }
 
-func (s *script) settle(id uint32, v logic.Outcome, why logic.Reason) {
+func (s *script) complete(id uint32, v logic.Outcome, why logic.Reason) {
 	s.now += 5
-	s.h.OnOutcome(s.now, id, s.offer.try, v, why, nil)
-	s.pass(20)
+	s.host.OnOutcome(s.now, id, s.lastAttempt.number, v, why, nil)
+	s.advance(20)
 }
 
 // TestOutcomes gives each outcome to a first try of each job type, and looks what becomes of the allocation: another
@@ -124,31 +129,31 @@
 		for job, want := range c.want {
 			t.Run(fmt.Sprint(c.verdict, " ", job), func(t *testing.T) {
 				s := begin(t, c.nodes)
-				id := s.ask(job)
-				s.pass(10)
+				id := s.request(job)
+				s.advance(10)
 				s.want("first", "offer 1.0")
-				s.settle(id, c.verdict, logic.InsufficientCores)
+				s.complete(id, c.verdict, logic.InsufficientCores)
 				s.want("then", want)
 			})
 		}
 	}
 }
 
-// TestDeclined declines what provably never ran when its time is up, and fails what may have.
-func TestDeclined(t *testing.T) {
+// TestDeadlineAnswer declines what provably never ran when its time is up, and fails what may have.
+func TestDeadlineAnswer(t *testing.T) {
 	for _, c := range []struct {
 		verdict logic.Outcome
 		job     int
 		want    string
-	}{{logic.Unreachable, runOnce, "declined"}, {logic.ConnectionLost, tokened, "failed"}, {logic.ConnectionLost, restartable, "declined"}} {
+	}{{logic.Unreachable, atMostOnce, "declined"}, {logic.ConnectionLost, idempotent, "failed"}, {logic.ConnectionLost, restartable, "declined"}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			s := begin(t, 1)
-			id := s.ask(c.job)
-			s.pass(10)
-			s.look()
-			s.settle(id, c.verdict, logic.ReasonUnknown)
-			s.pass(2600)
-			if got := s.look(); !strings.Contains(got, "answer 1 "+c.want) || strings.Count(got, "answer") != 1 ||
+			id := s.request(c.job)
+			s.advance(10)
+			s.takeLog()
+			s.complete(id, c.verdict, logic.ReasonUnknown)
+			s.advance(2600)
+			if got := s.takeLog(); !strings.Contains(got, "answer 1 "+c.want) || strings.Count(got, "answer") != 1 ||
 				!strings.HasSuffix(got, "forget 1") {
 				t.Errorf("%q, want one answer: %s", got, c.want)
 			}
@@ -156,61 +161,61 @@
 	}
 }
 
-// TestOnce holds that nothing said twice, late or of another try counts.
-func TestOnce(t *testing.T) {
+// TestStaleOutcomes holds that nothing said twice, late or of another try counts.
+func TestStaleOutcomes(t *testing.T) {
 	s := begin(t, 4)
-	id := s.ask(restartable)
-	s.pass(10)
+	id := s.request(restartable)
+	s.advance(10)
 	s.want("first", "offer 1.0")
-	s.settle(id, logic.Errored, logic.ReasonUnknown)
+	s.complete(id, logic.Errored, logic.ReasonUnknown)
 	s.want("second", "offer 1.1")
-	if s.h.OnStarted(s.now, id, 0) {
+	if s.host.OnStarted(s.now, id, 0) {
 		t.Error("the first try started after its outcome")
 	}
-	s.h.OnOutcome(s.now, id, 0, logic.Rejected, logic.ReasonUnknown, nil)
-	s.pass(20)
+	s.host.OnOutcome(s.now, id, 0, logic.Rejected, logic.ReasonUnknown, nil)
+	s.advance(20)
 	s.want("an outcome told twice", "")
-	if !s.h.OnStarted(s.now, id, 1) || s.h.OnStarted(s.now, id, 1) {
+	if !s.host.OnStarted(s.now, id, 1) || s.host.OnStarted(s.now, id, 1) {
 		t.Error("the second try starts, once")
 	}
-	s.h.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
-	s.h.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
-	s.h.OnTaskLost(s.now, id)
-	s.pass(3000)
+	s.host.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
+	s.host.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
+	s.host.OnTaskLost(s.now, id)
+	s.advance(3000)
 	s.want("its end", "over 1 0, forget 1")
-	if s.h.OpenRequests() != 0 || s.h.RunningTasks() != 0 {
-		t.Errorf("%d open, %d stand", s.h.OpenRequests(), s.h.RunningTasks())
+	if s.host.OpenRequests() != 0 || s.host.RunningTasks() != 0 {
+		t.Errorf("%d open, %d stand", s.host.OpenRequests(), s.host.RunningTasks())
 	}
 }
 
-// TestLate has a try time out and start after that: it is given up, and its start is no start.
-func TestLate(t *testing.T) {
+// TestLateStart has a try time out and start after that: it is given up, and its start is no start.
+func TestLateStart(t *testing.T) {
 	s := begin(t, 4)
-	id := s.ask(restartable)
-	s.pass(10)
-	s.look()
-	s.pass(1700)
-	if got := s.look(); !strings.HasPrefix(got, "give up 1.0, offer 1.1") {
+	id := s.request(restartable)
+	s.advance(10)
+	s.takeLog()
+	s.advance(1700)
+	if got := s.takeLog(); !strings.HasPrefix(got, "give up 1.0, offer 1.1") {
 		t.Errorf("%q", got)
 	}
-	if s.h.OnStarted(s.now, id, 0) {
+	if s.host.OnStarted(s.now, id, 0) {
 		t.Error("started after its time was up")
 	}
-	s.pass(3000)
-	if got := s.look(); strings.Count(got, "answer") != 1 || !strings.HasSuffix(got, "forget 1") {
+	s.advance(3000)
+	if got := s.takeLog(); strings.Count(got, "answer") != 1 || !strings.HasSuffix(got, "forget 1") {
 		t.Errorf("%q", got)
 	}
 }
 
-// TestExpiry answers run-once work before its expiry, calls its try off and hears no more of it.
-func TestExpiry(t *testing.T) {
+// TestDeadlineCancels answers run-once work before its expiry, calls its try off and hears no more of it.
+func TestDeadlineCancels(t *testing.T) {
 	s := begin(t, 4)
-	id := s.ask(runOnce)
-	s.pass(2480)
+	id := s.request(atMostOnce)
+	s.advance(2480)
 	s.want("first", "offer 1.0")
-	s.pass(19)
+	s.advance(19)
 	s.want("at its expiry", "give up 1.0, answer 1 failed, forget 1")
-	if s.h.OnStarted(s.now, id, 0) {
+	if s.host.OnStarted(s.now, id, 0) {
 		t.Error("started after its answer")
 	}
 }
@@ -219,105 +224,107 @@
 func TestWithdrawn(t *testing.T) {
 	t.Run("waits", func(t *testing.T) {
 		s := begin(t, 0)
-		id := s.ask(restartable)
-		s.pass(10)
-		s.h.OnWithdrawn(s.now, id)
-		s.pass(3000)
+		id := s.request(restartable)
+		s.advance(10)
+		s.host.OnWithdrawn(s.now, id)
+		s.advance(3000)
 		s.want("nothing is answered", "forget 1")
 	})
 	t.Run("out", func(t *testing.T) {
 		s := begin(t, 4)
-		id := s.ask(restartable)
-		s.pass(10)
-		s.h.OnWithdrawn(s.now, id)
-		s.h.OnWithdrawn(s.now, id)
-		s.pass(3000)
+		id := s.request(restartable)
+		s.advance(10)
+		s.host.OnWithdrawn(s.now, id)
+		s.host.OnWithdrawn(s.now, id)
+		s.advance(3000)
 		s.want("its try is given up", "offer 1.0, give up 1.0, forget 1")
 	})
 	t.Run("stands", func(t *testing.T) {
 		s := begin(t, 4)
-		id := s.ask(restartable)
-		s.pass(10)
-		s.h.OnStarted(s.now, id, 0)
-		s.h.OnWithdrawn(s.now, id)
-		s.pass(500)
+		id := s.request(restartable)
+		s.advance(10)
+		s.host.OnStarted(s.now, id, 0)
+		s.host.OnWithdrawn(s.now, id)
+		s.advance(500)
 		s.want("its node is told", "offer 1.0, cut 1")
-		s.pass(1000)
+		s.advance(1000)
 		s.want("and has a second to confirm it; nobody is told", "forget 1")
 	})
 	t.Run("stands, and the node confirms", func(t *testing.T) {
 		s := begin(t, 4)
-		id := s.ask(restartable)
-		s.pass(10)
-		s.h.OnStarted(s.now, id, 0)
-		s.h.OnWithdrawn(s.now, id)
-		s.h.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
-		s.pass(3000)
+		id := s.request(restartable)
+		s.advance(10)
+		s.host.OnStarted(s.now, id, 0)
+		s.host.OnWithdrawn(s.now, id)
+		s.host.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
+		s.advance(3000)
 		s.want("once", "offer 1.0, cut 1, forget 1")
 	})
 }
 
-// TestMoved ends what stands by its client, who is to request again. The node hears of it from there; only one that does not
+// TestMigrate ends what stands by its client, who is to request again. The node hears of it from there; only one that does not
 // confirm is told by the scheduler too.
-func TestMoved(t *testing.T) {
+func TestMigrate(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		words func(s *script, id uint32)
 		want  string
 	}{
 		{"the node confirms", func(s *script, id uint32) {
-			s.h.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
+			s.host.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 		{"it ended meanwhile", func(s *script, id uint32) {
-			s.h.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil)
+			s.host.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 		{"the node says nothing", func(*script, uint32) {}, "move 1, cut 1, forget 1"},
 		{"asked twice", func(s *script, id uint32) {
-			moduleEffects{s.h}.Migrate(id)
-			s.h.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
+			moduleEffects{s.host}.Migrate(id)
+			s.host.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 		{"the client ends it too", func(s *script, id uint32) {
-			s.h.OnWithdrawn(s.now, id)
-			s.h.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
+			s.host.OnWithdrawn(s.now, id)
+			s.host.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := begin(t, 4)
-			id := s.ask(restartable)
-			s.pass(10)
-			moduleEffects{s.h}.Migrate(id)
+			id := s.request(restartable)
+			s.advance(10)
+			moduleEffects{s.host}.Migrate(id)
 			s.want("not before it stands", "offer 1.0")
-			s.h.OnStarted(s.now, id, 0)
-			s.pass(10)
-			moduleEffects{s.h}.Migrate(id)
+			s.host.OnStarted(s.now, id, 0)
+			s.advance(10)
+			moduleEffects{s.host}.Migrate(id)
 			c.words(s, id)
-			s.pass(3000)
+			s.advance(3000)
 			s.want("moved", c.want)
 		})
 	}
 }
 
-// TestFound takes what stands already: nothing is answered, its end is told.
-func TestFound(t *testing.T) {
+// TestRecoverTask takes what stands already: nothing is answered, its end is told.
+func TestRecoverTask(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		end  func(s *script, id uint32)
 		want string
 	}{
-		{"it ends", func(s *script, id uint32) { s.h.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil) }, "over 1 0, forget 1"},
-		{"its node is lost", func(s *script, id uint32) { s.h.OnTaskLost(s.now, id) }, "over 1 5, forget 1"},
-		{"it starts, which it can't", func(s *script, id uint32) { s.h.OnStarted(s.now, id, 0) }, ""},
+		{"it ends", func(s *script, id uint32) { s.host.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil) }, "over 1 0, forget 1"},
+		{"its node is lost", func(s *script, id uint32) { s.host.OnTaskLost(s.now, id) }, "over 1 5, forget 1"},
+		{"it starts, which it can't", func(s *script, id uint32) { s.host.OnStarted(s.now, id, 0) }, ""},
 		{"it is told as of another try", func(s *script, id uint32) {
-			s.h.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
+			s.host.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
 		}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := begin(t, 2)
-			id := s.h.RecoverTask(s.now, runOnce, 0, 9, 1, 2, 100)
-			s.pass(3000)
+			id := s.host.RecoverTask(s.now, logic.Recovered{
+				Request: logic.Request{Class: atMostOnce, Service: 9, Cores: 1, Memory: 2}, Node: 100,
+			})
+			s.advance(3000)
 			s.want("nothing", "")
 			c.end(s, id)
-			s.pass(3000)
+			s.advance(3000)
 			s.want("end", c.want)
 		})
 	}
@@ -326,50 +333,50 @@
 // TestClose fails all that is open and leaves what stands.
 func TestClose(t *testing.T) {
 	s := begin(t, 4)
-	a := s.ask(restartable)
-	s.pass(10)
-	s.h.OnStarted(s.now, a, 0)
-	b := s.ask(runOnce)
-	s.pass(10)
-	s.look()
-	s.h.Close(s.now)
-	s.pass(50)
+	a := s.request(restartable)
+	s.advance(10)
+	s.host.OnStarted(s.now, a, 0)
+	b := s.request(atMostOnce)
+	s.advance(10)
+	s.takeLog()
+	s.host.Close(s.now)
+	s.advance(50)
 	s.want("close", fmt.Sprintf("answer %d failed, give up %d.0, forget %d", b, b, b))
-	if s.h.RunningTasks() != 1 {
+	if s.host.RunningTasks() != 1 {
 		t.Error("what stood was ended")
 	}
 }
 
-// TestMost sends no more tries than are allowed.
-func TestMost(t *testing.T) {
+// TestMaxAttempts sends no more tries than are allowed.
+func TestMaxAttempts(t *testing.T) {
 	s := begin(t, 8)
-	id := s.ask(restartable)
+	id := s.request(restartable)
 	for range 6 {
-		s.pass(20)
-		s.h.OnOutcome(s.now, id, s.offer.try, logic.Errored, logic.ReasonUnknown, nil)
+		s.advance(20)
+		s.host.OnOutcome(s.now, id, s.lastAttempt.number, logic.Errored, logic.ReasonUnknown, nil)
 	}
-	s.pass(20)
+	s.advance(20)
 	s.want("four tries", "offer 1.0, offer 1.1, offer 1.2, offer 1.3, answer 1 declined, forget 1")
 }
 
-// TestMistaken sums up by how much belief was off, either way, when reports came; each is held against it once.
-func TestMistaken(t *testing.T) {
+// TestBeliefError sums up by how much belief was off, either way, when reports came; each is held against it once.
+func TestBeliefError(t *testing.T) {
 	s := begin(t, 1)
 	for _, free := range []float64{20, 17, 24} {
-		id := s.ask(restartable)
-		s.pass(10)
-		s.h.OnStarted(s.now, id, 0)
-		s.pass(1000)
-		s.h.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, []float64{free, 50})
-		s.pass(1000)
+		id := s.request(restartable)
+		s.advance(10)
+		s.host.OnStarted(s.now, id, 0)
+		s.advance(1000)
+		s.host.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, []float64{free, 50})
+		s.advance(1000)
 	}
-	if n, cores, memory := s.h.BeliefError(); n != 2 || cores != 5 || memory != 0 {
-		t.Errorf("%d reports, %g cores, %g memory off", n, cores, memory)
+	if got, want := s.host.TakeBeliefError(), (BeliefError{Reports: 2, Cores: 5}); got != want {
+		t.Errorf("%+v, want %+v", got, want)
 	}
-	if n, cores, memory := s.h.BeliefError(); n != 0 || cores != 0 || memory != 0 {
-		t.Errorf("again: %d reports, %g cores, %g memory off", n, cores, memory)
+	if got, want := s.host.TakeBeliefError(), (BeliefError{}); got != want {
+		t.Errorf("again: %+v, want %+v", got, want)
 	}
-	if b, ok := s.h.Belief(100); !ok || b.Cores != 25 { // the last report does not know of the end that brought it
+	if b, ok := s.host.Belief(100); !ok || b.Cores != 25 { // the last report does not know of the end that brought it
 		t.Errorf("%+v", b)
 	}
 }
--- a/internal/platform/host/module_effects.go
+++ b/internal/platform/host/module_effects.go
@@ -1,83 +1,68 @@
 package host
 
-import (
-	"fmt"
+import "ravenpond/internal/decide/outcome"
 
-	"ravenpond/internal/decide/outcome"
-)
+// moduleEffects carries out the module's decisions. It implements logic.Effects.
+type moduleEffects struct{ host *Host }
 
-// moduleEffects carries out what the module decides.
-type moduleEffects struct{ *Host }
-
-func (h moduleEffects) StartAttempt(id, node uint32, timeout float64) {
-	a := h.allocations[id]
-	if a == nil {
-		return // an id that was never given, or is long over: there is nobody to tell
-	}
-	if a.inFlight {
-		h.effects.LogLine(fmt.Sprintf("refused to offer %d while its try %d is out", id, a.attempts-1))
-		return
-	}
-	a.node, a.sentAt, a.inFlight, a.noted = node, h.now, true, false
-	a.attempts++
-	key := attemptKey(id, a.attempts-1)
-	left := a.deadline - h.now
-	if timeout > 0 {
-		left = min(left, timeout)
+// StartAttempt sends an attempt. An allocation that is unknown, or was forgotten, is ignored.
+func (e moduleEffects) StartAttempt(id, node uint32, timeout float64) {
+	if a := e.host.allocations[id]; a != nil {
+		e.host.startAttempt(a, node, timeout)
 	}
-	if a.answered || left <= 0 || a.attempts > h.maxAttempts {
-		a.outcomePending = true
-		h.timers.Set(h.now+h.roundInterval, timerUnsent, key)
-		return
-	}
-	h.timers.Set(h.now+left, timerAttempt, key)
-	h.effects.RequestPlacement(id, uint8(a.attempts-1), node, left)
 }
 
-func (h moduleEffects) Shed(id uint32, _ float64) { h.answer(id, true) }
+// Shed gives a request the final answer that a retry does no harm.
+func (e moduleEffects) Shed(id uint32, _ float64) { e.answer(id, true) }
 
-func (h moduleEffects) Fail(id uint32) { h.answer(id, false) }
+// Fail gives a request the final answer that promises nothing.
+func (e moduleEffects) Fail(id uint32) { e.answer(id, false) }
 
-func (h moduleEffects) answer(id uint32, declined bool) {
+// answer gives a request its final answer. The allocation is forgotten in a later round: the module still uses it in this one.
+func (e moduleEffects) answer(id uint32, shed bool) {
+	h := e.host
 	if a := h.allocations[id]; a != nil && !a.answered {
 		h.markAnswered(a)
-		h.effects.AnswerRequest(id, declined)
+		h.effects.AnswerRequest(id, shed)
 		h.timers.Set(h.now+h.roundInterval, timerForget, uint64(id))
 	}
 }
 
-func (h moduleEffects) Cancel(id uint32, try uint8) {
-	if a := h.allocations[id]; a != nil && a.moduleAttempt() == try {
-		h.cancelAttempt(id, a)
+// Cancel cancels an attempt, by the number that the present module gave it.
+func (e moduleEffects) Cancel(id uint32, attempt uint8) {
+	if a := e.host.allocations[id]; a != nil && a.moduleAttempt() == attempt {
+		e.host.cancelAttempt(a)
 	}
 }
 
-func (h moduleEffects) Migrate(id uint32) {
+// Migrate has a running task requested anew by its client, which also stops it at its node: a stop that arrived there first would leave the
+// client without a notification. Only a node that does not confirm the end in time is told by the scheduler.
+func (e moduleEffects) Migrate(id uint32) {
+	h := e.host
 	if a := h.allocations[id]; a != nil && a.running && !a.endNotOwed {
 		a.endNotOwed, a.moving = true, true
-		h.effects.NotifyMove(id) // ends it at its node too: a cut that came first there would leave the client untold
-		h.timers.Set(h.now+outcome.EndTimeout(), timerStopUnconfirmed, attemptKey(id, a.attempts-1))
+		h.effects.NotifyMove(id)
+		h.timers.Set(h.now+outcome.EndTimeout(), timerStopUnconfirmed, attemptKey(id, a.lastAttempt()))
 	}
 }
 
-func (h moduleEffects) Probe(node uint32) {
-	h.lastID++ // probes and allocations share numbers, so that a late answer never fits a later probe
-	p := pendingProbe{seq: h.lastID, sentAt: h.now}
-	h.probes[node] = p
-	h.timers.Set(h.now+h.probeTimeout, timerProbe, uint64(node)<<32|uint64(p.seq))
-	h.effects.Probe(node, p.seq)
-}
+// Probe sends a probe to a node.
+func (e moduleEffects) Probe(node uint32) { e.host.sendProbe(node) }
 
-func (h moduleEffects) WatchList(active bool) {
+// WatchList polls the node list. The list is watched all the time, so there is nothing to end.
+func (e moduleEffects) WatchList(active bool) {
 	if active {
-		h.effects.PollEndpoints()
+		e.host.effects.PollEndpoints()
 	}
 }
 
-func (h moduleEffects) ReloadList() { h.effects.PollEndpoints() }
+// ReloadList polls the node list.
+func (e moduleEffects) ReloadList() { e.host.effects.PollEndpoints() }
 
-func (h moduleEffects) SetTimer(delay float64, key uint64) {
-	h.timers.Set(h.now+max(0, delay), timerModule, key)
+// SetTimer sets a timer of the module.
+func (e moduleEffects) SetTimer(delay float64, key uint64) {
+	e.host.timers.Set(e.host.now+max(0, delay), timerModule, key)
 }
 
-func (h moduleEffects) Log(line string) { h.effects.LogLine(line) }
+// Log writes a line to the log.
+func (e moduleEffects) Log(line string) { e.host.effects.LogLine(line) }
--- a/internal/platform/host/supervisor_test.go
+++ b/internal/platform/host/supervisor_test.go
@@ -8,28 +8,28 @@
 	"ravenpond/logic"
 )
 
-// mine is a script whose edge panics under the module when it is told to, as a module would that meets what nobody
+// panickingScript is a script whose edge panics under the module when it is told to, as a module would that meets what nobody
 // thought of.
-type mine struct {
+type panickingScript struct {
 	*script
-	blows bool
-	modes []string
+	panics   bool
+	logLines []string
 }
 
-func (m *mine) RequestPlacement(id uint32, try uint8, node uint32, left float64) {
-	if m.blows {
-		m.blows = false
+func (m *panickingScript) RequestPlacement(id uint32, attempt uint8, node uint32, left float64) {
+	if m.panics {
+		m.panics = false
 		var none []int
-		_ = none[try]
+		_ = none[attempt]
 	}
-	m.script.RequestPlacement(id, try, node, left)
+	m.script.RequestPlacement(id, attempt, node, left)
 }
 
-func (m *mine) LogLine(line string) { m.modes = append(m.modes, line) }
+func (m *panickingScript) LogLine(line string) { m.logLines = append(m.logLines, line) }
 
 // told is how often a mode was told that begins so.
-func (m *mine) told(prefix string) (n int) {
-	for _, l := range m.modes {
+func (m *panickingScript) countLog(prefix string) (n int) {
+	for _, l := range m.logLines {
 		if strings.HasPrefix(l, prefix) {
 			n++
 		}
@@ -37,33 +37,33 @@
 	return n
 }
 
-func mined(t *testing.T, nodes int) *mine {
-	m := &mine{script: begin(t, nodes)}
-	m.h.effects = m
+func newPanickingScript(t *testing.T, nodes int) *panickingScript {
+	m := &panickingScript{script: begin(t, nodes)}
+	m.host.effects = m
 	return m
 }
 
-// TestFenced has the module panic with an allocation that stands, one of each job type tried, and more behind them:
+// TestModulePanics has the module panic with an allocation that stands, one of each job type tried, and more behind them:
 // each gets one answer at once, harmless or not as its tries say, and nothing is offered before a new module has begun.
-func TestFenced(t *testing.T) {
-	m := mined(t, 4)
-	stood := m.ask(tokened)
-	m.pass(10)
-	if !m.h.OnStarted(m.now, stood, m.offer.try) {
+func TestModulePanics(t *testing.T) {
+	m := newPanickingScript(t, 4)
+	stood := m.request(idempotent)
+	m.advance(10)
+	if !m.host.OnStarted(m.now, stood, m.lastAttempt.number) {
 		t.Fatal("the first does not start")
 	}
-	at := m.offer.node
+	at := m.lastAttempt.node
 	var tried [3]uint32
 	for job := range tried {
-		tried[job] = m.h.Allocate(m.now, job, 0, m.now+2500, uint64(20+job), 1, 2)
-		m.pass(10)
-	}
-	m.look()
-	m.blows = true
-	fresh := m.ask(runOnce)
-	m.pass(100)
-	got := m.look()
-	for id, want := range map[uint32]string{tried[restartable]: "declined", tried[tokened]: "failed", tried[runOnce]: "failed"} {
+		tried[job] = m.host.Allocate(m.now, logic.Request{Class: job, Deadline: m.now + 2500, Service: uint64(20 + job), Cores: 1, Memory: 2})
+		m.advance(10)
+	}
+	m.takeLog()
+	m.panics = true
+	fresh := m.request(atMostOnce)
+	m.advance(100)
+	got := m.takeLog()
+	for id, want := range map[uint32]string{tried[restartable]: "declined", tried[idempotent]: "failed", tried[atMostOnce]: "failed"} {
 		if strings.Count(got, fmt.Sprintf("answer %d ", id)) != 1 || !strings.Contains(got, fmt.Sprintf("answer %d %s", id, want)) ||
 			!strings.Contains(got, fmt.Sprintf("give up %d.0", id)) {
 			t.Errorf("%d: want it given up and %s, in %q", id, want, got)
@@ -72,94 +72,94 @@
 	if !strings.Contains(got, fmt.Sprintf("answer %d failed", fresh)) || strings.Contains(got, "offer") {
 		t.Errorf("the one under which it fell may have left: %q", got)
 	}
-	late := m.ask(runOnce)
-	m.pass(20)
-	if got := m.look(); got != fmt.Sprintf("answer %d declined, forget %d", late, late) {
+	late := m.request(atMostOnce)
+	m.advance(20)
+	if got := m.takeLog(); got != fmt.Sprintf("answer %d declined, forget %d", late, late) {
 		t.Errorf("asked while it rests: %q", got)
 	}
-	m.pass(400)
-	if m.told("module: fenced") != 1 || m.told("module: begun anew, life 2, 4 nodes, 1 stand") != 1 {
-		t.Errorf("%q", m.modes)
+	m.advance(400)
+	if m.countLog("module: fenced") != 1 || m.countLog("module: begun anew, life 2, 4 nodes, 1 stand") != 1 {
+		t.Errorf("%q", m.logLines)
 	}
-	m.look()
+	m.takeLog()
 	for range 8 { // spread of the tokened type: one a node, and one stands
-		m.ask(tokened)
-		m.pass(10)
-		if m.offer.node == at {
+		m.request(idempotent)
+		m.advance(10)
+		if m.lastAttempt.node == at {
 			t.Error("offered to a node where one of its service stands")
 		}
 	}
-	m.look()
-	m.h.OnOutcome(m.now, stood, 0, logic.Completed, logic.ReasonUnknown, []float64{30, 60})
-	if got := m.look(); got != fmt.Sprintf("over %d 0, forget %d", stood, stood) {
+	m.takeLog()
+	m.host.OnOutcome(m.now, stood, 0, logic.Completed, logic.ReasonUnknown, []float64{30, 60})
+	if got := m.takeLog(); got != fmt.Sprintf("over %d 0, forget %d", stood, stood) {
 		t.Errorf("the end of what stood before: %q", got)
 	}
 }
 
-// TestFencedTries has what stands by a second try end under a new module, which knows it as its first.
-func TestFencedTries(t *testing.T) {
-	m := mined(t, 4)
-	id := m.ask(restartable)
-	m.pass(10)
-	m.settle(id, logic.Rejected, logic.InsufficientCores)
-	if m.offer.try != 1 || !m.h.OnStarted(m.now, id, 1) {
+// TestRestartKeepsAttempts has what stands by a second try end under a new module, which knows it as its first.
+func TestRestartKeepsAttempts(t *testing.T) {
+	m := newPanickingScript(t, 4)
+	id := m.request(restartable)
+	m.advance(10)
+	m.complete(id, logic.Rejected, logic.InsufficientCores)
+	if m.lastAttempt.number != 1 || !m.host.OnStarted(m.now, id, 1) {
 		t.Fatal("no second try")
 	}
-	m.blows = true
-	m.ask(restartable)
-	m.pass(1000)
-	m.look()
-	m.h.OnOutcome(m.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
-	m.pass(50)
-	if got := m.look(); got != fmt.Sprintf("over %d 0, forget %d", id, id) || m.h.RunningTasks() != 0 {
-		t.Errorf("%q, %d stand", got, m.h.RunningTasks())
+	m.panics = true
+	m.request(restartable)
+	m.advance(1000)
+	m.takeLog()
+	m.host.OnOutcome(m.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
+	m.advance(50)
+	if got := m.takeLog(); got != fmt.Sprintf("over %d 0, forget %d", id, id) || m.host.RunningTasks() != 0 {
+		t.Errorf("%q, %d stand", got, m.host.RunningTasks())
 	}
 }
 
-// TestFencedAgain has each new module fall: it rests longer each time, and every ask is answered all the same.
-func TestFencedAgain(t *testing.T) {
-	m := mined(t, 4)
+// TestRepeatedPanics has each new module fall: it rests longer each time, and every ask is answered all the same.
+func TestRepeatedPanics(t *testing.T) {
+	m := newPanickingScript(t, 4)
 	asks := 0
 	for range 200 {
-		m.blows = true
-		m.ask(runOnce)
+		m.panics = true
+		m.request(atMostOnce)
 		asks++
-		m.pass(100)
+		m.advance(100)
 	}
-	m.pass(50)
-	if n := m.told("module: fenced"); n < 4 || n > 8 {
+	m.advance(50)
+	if n := m.countLog("module: fenced"); n < 4 || n > 8 {
 		t.Errorf("fell %d times in 20 s", n)
 	}
-	if got := m.look(); strings.Count(got, "answer") != asks || m.h.OpenRequests() != 0 {
-		t.Errorf("%d asks, %d answers, %d open", asks, strings.Count(got, "answer"), m.h.OpenRequests())
+	if got := m.takeLog(); strings.Count(got, "answer") != asks || m.host.OpenRequests() != 0 {
+		t.Errorf("%d asks, %d answers, %d open", asks, strings.Count(got, "answer"), m.host.OpenRequests())
 	}
 }
 
-// TestFencedList holds what a new module is told: a node that drains gets nothing, one that came up before our eyes is
+// TestRestartReplaysList holds what a new module is told: a node that drains gets nothing, one that came up before our eyes is
 // paced as one that may be cold.
-func TestFencedList(t *testing.T) {
-	m := mined(t, 2)
-	m.h.ListBegin(m.now, logic.ListChanges)
-	m.h.ListNode(100, logic.Draining, 0, 32, 64, 0, 0, 0)
-	m.h.ListNode(101, logic.Unavailable, 0, 32, 64, 0, 0, 0)
-	m.h.ListNode(102, logic.Ready, 0, 32, 64, 0, 0, 0)
-	m.h.ListEnd()
-	m.pass(3000)
-	m.blows = true
-	m.ask(restartable)
-	m.pass(1000)
-	if m.told("module: begun anew") != 1 {
-		t.Fatalf("%q", m.modes)
-	}
-	m.look()
+func TestRestartReplaysList(t *testing.T) {
+	m := newPanickingScript(t, 2)
+	m.host.ListBegin(m.now, logic.ListChanges)
+	m.host.ListNode(logic.ListEntry{Node: 100, Availability: logic.Draining, FreeCores: 32, FreeMemory: 64})
+	m.host.ListNode(logic.ListEntry{Node: 101, Availability: logic.Unavailable, FreeCores: 32, FreeMemory: 64})
+	m.host.ListNode(logic.ListEntry{Node: 102, Availability: logic.Ready, FreeCores: 32, FreeMemory: 64})
+	m.host.ListEnd()
+	m.advance(3000)
+	m.panics = true
+	m.request(restartable)
+	m.advance(1000)
+	if m.countLog("module: begun anew") != 1 {
+		t.Fatalf("%q", m.logLines)
+	}
+	m.takeLog()
 	offers := 0
 	for range 60 {
-		m.ask(restartable)
-		m.pass(15)
-		if got := m.look(); strings.Contains(got, "offer") {
+		m.request(restartable)
+		m.advance(15)
+		if got := m.takeLog(); strings.Contains(got, "offer") {
 			offers++
-			if m.offer.node != 102 {
-				t.Fatalf("offered to node %d", m.offer.node)
+			if m.lastAttempt.node != 102 {
+				t.Fatalf("offered to node %d", m.lastAttempt.node)
 			}
 		}
 	}
@@ -168,21 +168,21 @@
 	}
 }
 
-// TestWords has what is read for people panic: it is switched off, and the allocation under it goes its way.
-func TestWords(t *testing.T) {
-	m := mined(t, 2)
-	mod := m.h.module
-	id := m.ask(restartable)
-	m.pass(10)
-	m.h.module = nil // any read of it panics
-	m.h.Belief(100)
-	m.h.Belief(100)
-	m.h.recordBeliefError(100, []float64{1, 1})
-	m.h.module = mod
-	if _, ok := m.h.Belief(100); ok || m.told("words: beliefs switched off: panic") != 1 || m.told("words: mistakes") != 1 {
-		t.Errorf("%q", m.modes)
-	}
-	if !m.h.OnStarted(m.now, id, 0) || m.told("module") != 0 {
+// TestDiagnosticsPanic has what is read for people panic: it is switched off, and the allocation under it goes its way.
+func TestDiagnosticsPanic(t *testing.T) {
+	m := newPanickingScript(t, 2)
+	mod := m.host.module
+	id := m.request(restartable)
+	m.advance(10)
+	m.host.module = nil // any read of it panics
+	m.host.Belief(100)
+	m.host.Belief(100)
+	m.host.recordBeliefError(100, []float64{1, 1})
+	m.host.module = mod
+	if _, ok := m.host.Belief(100); ok || m.countLog("words: beliefs switched off: panic") != 1 || m.countLog("words: mistakes") != 1 {
+		t.Errorf("%q", m.logLines)
+	}
+	if !m.host.OnStarted(m.now, id, 0) || m.countLog("module") != 0 {
 		t.Error("it no longer serves")
 	}
 }
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -247,7 +247,7 @@
 	if err := r.server.Start(r.configuration); err != nil {
 		t.Fatal(err)
 	}
-	r.address = r.server.listener.Address()
+	r.address = r.server.clients.address()
 	t.Cleanup(func() {
 		for _, g := range r.env.gates() {
 			g.set(false)
@@ -261,7 +261,7 @@
 	r.node.send(1, codec.AppendAnswer(nil, 1, []byte("at a")))
 	x.expect("1 served at a")
 	x.conn.Close()
-	r.until("its client is gone", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return len(r.server.clients) == 0 })
+	r.until("its client is gone", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return len(r.server.clients.conns) == 0 })
 	return r
 }
 
@@ -271,9 +271,9 @@
 	r.env.clockOffset += ms
 	r.env.mu.Unlock()
 	now := r.env.Now()
-	r.until("a turn has met it", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.lastTick >= now })
+	r.until("a turn has met it", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.loop.lastTick >= now })
 	r.server.mu.Lock()
-	r.server.lagMonitor = overload.Monitor{}
+	r.server.load.delay = overload.Monitor{}
 	r.server.mu.Unlock()
 }
 
@@ -298,7 +298,7 @@
 func (r *loopbackRig) drainNodeConns() {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
-	for _, p := range r.server.nodes {
+	for _, p := range r.server.nodes.byID {
 		for _, l := range p.conns {
 			l.draining = true
 		}
@@ -309,7 +309,9 @@
 func (r *loopbackRig) waitIdle() {
 	r.t.Helper()
 	r.until("nothing is open", func() bool {
-		return r.counted(func(s *Server) int { return len(s.inbox) + s.host.OpenRequests() + s.admission.Open() }) == 0
+		return r.counted(func(s *Server) int {
+			return len(s.requests.inbox) + s.host.OpenRequests() + s.requests.admission.Open()
+		}) == 0
 	})
 }
 
--- a/internal/platform/loopback_shutdown_test.go
+++ b/internal/platform/loopback_shutdown_test.go
@@ -27,7 +27,7 @@
 				x.send(codec.AppendTest(nil, 100, false))
 			}
 			r.server.mu.Lock()
-			part := r.server.shutdownPlan.CloseAt
+			part := r.server.shutdown.plan.CloseAt
 			r.server.mu.Unlock()
 			r.env.mu.Lock()
 			r.env.clockOffset += part - r.env.Real.Now() - r.env.clockOffset // answers and parts in one turn
@@ -51,12 +51,12 @@
 	x.request(7, "single")
 	r.server.Stop()
 	r.server.mu.Lock()
-	ahead := r.server.shutdownPlan.CloseAt - r.env.Now()
+	ahead := r.server.shutdown.plan.CloseAt - r.env.Now()
 	r.server.mu.Unlock()
 	r.env.mu.Lock()
 	r.env.clockOffset += ahead
 	r.env.mu.Unlock()
-	r.until("all others are parted with", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.clientsDisconnected })
+	r.until("all others are parted with", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.shutdown.disconnected })
 	r.env.accepts.set(false)
 	first.expect("6 end 42", "closed")
 	x.expect("7 end 42", "closed")
@@ -89,7 +89,7 @@
 				x.send(whole[:20])
 				r.until("half is read", func() bool {
 					return r.counted(func(s *Server) int {
-						for o := range s.clients {
+						for o := range s.clients.conns {
 							return len(o.partial)
 						}
 						return 0
@@ -99,7 +99,7 @@
 				r.env.turns.set(true)
 				x = r.dial()
 				x.send(whole)
-				r.until("it is taken", func() bool { return r.counted(func(s *Server) int { return len(s.inbox) }) == 1 })
+				r.until("it is taken", func() bool { return r.counted(func(s *Server) int { return len(s.requests.inbox) }) == 1 })
 			case "dialling":
 				r.drainNodeConns()
 				r.env.dials.set(true)
@@ -129,7 +129,9 @@
 			}
 			x.expect("closed") // by the scheduler, as it ends
 			<-r.server.Done()
-			if owed := r.counted(func(s *Server) int { return s.admission.Open() + s.host.OpenRequests() + len(s.inbox) }); owed != 0 {
+			if owed := r.counted(func(s *Server) int {
+				return s.requests.admission.Open() + s.host.OpenRequests() + len(s.requests.inbox)
+			}); owed != 0 {
 				t.Errorf("%d answers are owed", owed)
 			}
 		})
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -23,7 +23,7 @@
 				r.env.ends.set(!readFirst)
 				leave(x)
 				if readFirst {
-					r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.clients) }) == 0 })
+					r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.clients.conns) }) == 0 })
 				} else {
 					r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
 				}
@@ -33,7 +33,7 @@
 				r.env.turns.set(true)
 				x := r.dial()
 				x.request(7, "batch")
-				r.until("it is taken", func() bool { return r.counted(func(s *Server) int { return len(s.inbox) }) == 1 })
+				r.until("it is taken", func() bool { return r.counted(func(s *Server) int { return len(s.requests.inbox) }) == 1 })
 				gone(r, x)
 				r.env.turns.set(false)
 				r.waitIdle()
@@ -90,7 +90,7 @@
 		for range r.server.limits.ClientConns {
 			all = append(all, r.dial())
 		}
-		r.until("all are taken", func() bool { return r.counted(func(s *Server) int { return len(s.clients) }) == len(all) })
+		r.until("all are taken", func() bool { return r.counted(func(s *Server) int { return len(s.clients.conns) }) == len(all) })
 		return all
 	}
 	t.Run("all at work", func(t *testing.T) {
@@ -99,7 +99,7 @@
 			x.request(uint64(100+i), "batch")
 		}
 		r.until("all are at work", func() bool {
-			return r.counted(func(s *Server) int { return s.admission.Open() }) == r.server.limits.ClientConns
+			return r.counted(func(s *Server) int { return s.requests.admission.Open() }) == r.server.limits.ClientConns
 		})
 		x := r.dial()
 		x.request(7, "batch")
@@ -115,7 +115,7 @@
 		r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 		x.expect("7 served at a")
 		closed := 0
-		r.until("one has given way", func() bool { return r.counted(func(s *Server) int { return s.stats.evicted }) == 1 })
+		r.until("one has given way", func() bool { return r.counted(func(s *Server) int { return s.telemetry.counts[countEvicted] }) == 1 })
 		for _, y := range idle {
 			_ = y.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 			if _, err := y.conn.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
@@ -153,7 +153,7 @@
 				r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
 				r.node.send(7, codec.AppendEnd(nil, 7, codec.CauseNormal))
 				if !other {
-					r.until("it is over", func() bool { return r.counted(func(s *Server) int { return s.stats.ended }) > 0 })
+					r.until("it is over", func() bool { return r.counted(func(s *Server) int { return s.telemetry.counts[countEnded] }) > 0 })
 					y = r.dial()
 					serve(y, 9)
 				}
@@ -176,7 +176,7 @@
 		r.until("the close has come", func() bool {
 			return r.counted(func(s *Server) int {
 				left := 0
-				for _, p := range s.nodes {
+				for _, p := range s.nodes.byID {
 					for _, l := range p.conns {
 						if l.conn != nil && l.conn.PeerClosed() {
 							left++
@@ -218,8 +218,8 @@
 		t.Helper()
 		r.server.mu.Lock()
 		defer r.server.mu.Unlock()
-		if p := r.server.limits; len(r.server.clients)-r.server.provisionalClients > p.ClientConns || r.server.provisionalClients > p.ProvisionalConns || r.server.nodeConns > p.NodeConns {
-			t.Errorf("%d clients, %d of them provisional connections, %d to nodes; parts %+v", len(r.server.clients), r.server.provisionalClients, r.server.nodeConns, p)
+		if p := r.server.limits; len(r.server.clients.conns)-r.server.clients.provisional > p.ClientConns || r.server.clients.provisional > p.ProvisionalConns || r.server.nodes.conns > p.NodeConns {
+			t.Errorf("%d clients, %d of them provisional connections, %d to nodes; parts %+v", len(r.server.clients.conns), r.server.clients.provisional, r.server.nodes.conns, p)
 		}
 	}
 	x := r.dial()
@@ -236,7 +236,7 @@
 		within()
 	}
 	r.until("they fill their part", func() bool {
-		return r.counted(func(s *Server) int { return len(s.clients) - s.provisionalClients }) == r.server.limits.ClientConns
+		return r.counted(func(s *Server) int { return len(s.clients.conns) - s.clients.provisional }) == r.server.limits.ClientConns
 	})
 	r.advanceClock(600)
 	r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
@@ -348,7 +348,7 @@
 				r.until("half is read", func() bool {
 					return r.counted(func(s *Server) int {
 						n := 0
-						for o := range s.clients {
+						for o := range s.clients.conns {
 							n += len(o.partial)
 						}
 						return n
@@ -390,7 +390,7 @@
 			r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 			x.expect("7 served at a")
 			leave(x)
-			r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.clients) }) == 0 })
+			r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.clients.conns) }) == 0 })
 			y := r.dial()
 			y.request(8, "batch")
 			r.until("the next is offered", func() bool { return slices.Contains(r.node.received(), 8) })
--- /dev/null
+++ b/internal/platform/node.go
@@ -0,0 +1,235 @@
+package platform
+
+import (
+	"maps"
+	"slices"
+
+	"ravenpond/internal/decide/budget"
+	"ravenpond/internal/decide/connlimits"
+	"ravenpond/internal/decide/nodefailure"
+	"ravenpond/logic"
+)
+
+// node is a node of the list. A node that comes up at the address of another is another one: it has its own name.
+type node struct {
+	server          *Server
+	id              uint32
+	name, address   string
+	availability    logic.Availability
+	conns           []*nodeConn
+	running         map[*request]bool
+	pendingStops    []pendingStop // oldest first
+	failureDetector nodefailure.Detector
+}
+
+// pendingStop is a task that is to be stopped, and that no connection to its node could carry yet.
+type pendingStop struct {
+	task    uint64
+	expires float64 // when it is dropped
+}
+
+// isUnavailable returns whether the list no longer has the node.
+func (n *node) isUnavailable() bool { return n.availability == logic.Unavailable }
+
+// addTask adds a task that runs at the node.
+func (n *node) addTask(r *request) { n.running[r] = true }
+
+// removeTask drops a task that has ended.
+func (n *node) removeTask(r *request) { delete(n.running, r) }
+
+// setState takes the state of the node from the list. An empty address leaves the address as it is.
+func (n *node) setState(address string, availability logic.Availability) {
+	if address != "" {
+		n.address = address
+	}
+	n.availability = availability
+	if n.isUnavailable() {
+		n.closeIdleConns()
+	}
+}
+
+// stopTask stops a task at the node, on any connection, at once or when there is one.
+func (n *node) stopTask(task uint64) {
+	for _, c := range n.conns {
+		if c.sendStop(task) {
+			return
+		}
+	}
+	now := n.server.env.Now()
+	n.queueStop(now, task)
+	if !n.isUnavailable() {
+		n.keepConnected(now)
+	}
+}
+
+// queueStop keeps a stop until it can be sent.
+func (n *node) queueStop(now float64, task uint64) {
+	kept := n.pendingStops[max(0, len(n.pendingStops)-connlimits.MaxPendingNodeEnds+1):]
+	n.pendingStops = append(kept, pendingStop{task, now + connlimits.NodeEndRetention})
+}
+
+// takeStops returns the pending stops that have not expired, and keeps none.
+func (n *node) takeStops(now float64) []pendingStop {
+	stops := n.pendingStops
+	n.pendingStops = nil
+	return slices.DeleteFunc(stops, func(stop pendingStop) bool { return now >= stop.expires })
+}
+
+// keepConnected keeps a connection to a node where a task runs or is to be stopped, as any connection may bring word of it.
+func (n *node) keepConnected(now float64) {
+	if n.isUnavailable() || len(n.running) == 0 && len(n.pendingStops) == 0 || len(n.conns) > 0 {
+		return
+	}
+	n.check(now, false)
+}
+
+// check makes a new connection to the node when the failure detector wants one. connected says that there is one that can be used.
+func (n *node) check(now float64, connected bool) {
+	if n.failureDetector.IsProbeDue(now, connected) && n.server.nodes.reserve(now, budget.ForHealthCheck, n) {
+		n.failureDetector.OnProbe(now)
+		n.server.telemetry.count(countNodeChecks)
+		n.dial()
+	}
+}
+
+// tick closes connections that are of no further use, checks the node if tasks run there, and drops it if nothing is left of it.
+func (n *node) tick(now float64) {
+	connected := n.closeStaleConns(now)
+	if len(n.running) > 0 {
+		if !n.isUnavailable() {
+			n.check(now, connected)
+		}
+		if n.failureDetector.IsLost(now, n.isUnavailable(), len(n.conns) > 0) {
+			n.loseTasks(now)
+		}
+	} else {
+		n.keepConnected(now)
+	}
+	if n.isUnavailable() && len(n.conns) == 0 && len(n.running) == 0 {
+		n.server.nodes.remove(n)
+	}
+}
+
+// closeStaleConns closes connections that are of no further use and returns whether others are left.
+func (n *node) closeStaleConns(now float64) (connected bool) {
+	for _, c := range slices.Clone(n.conns) {
+		switch {
+		case c.conn == nil:
+		case c.isStale(now):
+			c.close(true)
+		default:
+			connected = true
+		}
+	}
+	return connected
+}
+
+// closeIdleConns closes idle connections to a node that is unavailable, unless a task runs there. Connections with open requests stay.
+func (n *node) closeIdleConns() {
+	if len(n.running) == 0 {
+		n.closeIdleConnsBut(nil)
+	}
+}
+
+// closeIdleConnsBut closes the idle connections to the node but one.
+func (n *node) closeIdleConnsBut(kept *nodeConn) {
+	for _, c := range slices.Clone(n.conns) {
+		if c != kept && c.conn != nil && c.isIdle() {
+			c.close(true)
+		}
+	}
+}
+
+// loseTasks ends the running tasks of a node that has failed. Should it only be cut off and come back, they are stopped there.
+func (n *node) loseTasks(now float64) {
+	s := n.server
+	s.log.Info().Str("mode", "lost").Str("node", n.name).Int("stood", len(n.running)).Msg("node lost with the running task there")
+	for _, r := range slices.SortedFunc(maps.Keys(n.running), byAllocation) {
+		task := r.task
+		s.telemetry.countOutcome(logic.ConnectionLost)
+		s.host.OnTaskLost(now, r.allocID)
+		if !n.isUnavailable() {
+			n.queueStop(now, task)
+		}
+	}
+	s.loop.wake()
+}
+
+// sendAttempt sends the attempt of a request on a connection, or reports later that there is none.
+func (n *node) sendAttempt(r *request) {
+	c := n.connFor(n.server.env.Now())
+	if c == nil {
+		n.server.requests.completeUnsentLater(r)
+		return
+	}
+	c.addRequest(r)
+}
+
+// connFor returns the connection for a new attempt: one that is idle, else the least busy if there may be no more, else a new one. It returns nil
+// if none can be made.
+func (n *node) connFor(now float64) *nodeConn {
+	var shared *nodeConn
+	for _, c := range n.conns {
+		switch {
+		case c.draining || c.conn != nil && c.isIdle() && !c.isFresh(now):
+		case c.isIdle():
+			if c.isOpen() {
+				return c
+			}
+		case n.server.nodes.isFull() && (shared == nil || len(c.requests) < len(shared.requests)) && c.isOpen():
+			shared = c
+		}
+	}
+	if shared != nil {
+		return shared
+	}
+	if !n.server.nodes.reserve(now, budget.ForPlacement, n) {
+		return nil
+	}
+	return n.dial()
+}
+
+// sendProbe sends a health check to the node. It may share a connection, as its answer can be told from others. If no connection can be made, its
+// time-out follows.
+func (n *node) sendProbe(seq uint32) {
+	s := n.server
+	for _, c := range n.conns {
+		if c.canProbe(s.env.Now()) {
+			c.startProbe(seq)
+			return
+		}
+	}
+	if s.nodes.reserve(s.env.Now(), budget.ForProbe, n) {
+		n.dial().startProbe(seq)
+	}
+}
+
+// dial begins a connection to the node.
+func (n *node) dial() *nodeConn {
+	s := n.server
+	c := &nodeConn{server: s, node: n, idleSince: s.env.Now()}
+	n.conns = append(n.conns, c)
+	s.nodes.addConn()
+	s.telemetry.count(countDials)
+	s.env.Dial(n.address, s.settings.ConnectTimeout, c.onDialed)
+	return c
+}
+
+// removeConn drops a connection that was closed.
+func (n *node) removeConn(c *nodeConn) {
+	n.server.nodes.dropConn()
+	n.conns = removeUnordered(n.conns, c)
+}
+
+// removeUnordered removes an element from a list without keeping its order.
+func removeUnordered[T comparable](list []T, x T) []T {
+	i := slices.Index(list, x)
+	if i < 0 {
+		return list
+	}
+	last := len(list) - 1
+	list[i] = list[last]
+	var zero T
+	list[last] = zero
+	return list[:last]
+}
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -142,7 +142,7 @@
 	if len(x.received) != 8 || strings.Contains(strings.Join(x.received, " "), "end") {
 		t.Errorf("%q, want eight served", x.received)
 	}
-	if r.server.stats.verdicts[logic.Unreachable] == 0 {
+	if r.server.telemetry.outcomes[logic.Unreachable] == 0 {
 		t.Error("the node that refuses was never tried")
 	}
 }
@@ -250,7 +250,7 @@
 	x.want("the new one can't end the old one's", "7 served "+old.description(7), "8 served "+r.nodes["b"].description(8))
 	old.process.Kill(false)
 	r.pass(500)
-	if r.server.nodesByName["a"] != nil {
+	if r.server.nodes.byName["a"] != nil {
 		t.Error("the old one is kept")
 	}
 }
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -8,152 +8,168 @@
 	"ravenpond/logic"
 )
 
-// OnData takes what a node sends.
-func (l *nodeConn) OnData(b []byte) {
-	s := l.server
+// OnData processes received bytes; nil means that the node has closed its side.
+func (c *nodeConn) OnData(b []byte) {
+	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l.closed {
+	if c.closed {
 		return
 	}
 	now := s.env.Now()
 	if b == nil {
-		l.onBroken("closed")
+		c.onBroken("closed")
 		return
 	}
-	l.node.failureDetector.OnContact(now)
-	rest, err := splitMessages(l.partial, b, func(msg []byte) error {
-		if l.closed {
+	c.node.failureDetector.OnContact(now)
+	rest, err := splitMessages(c.partial, b, func(msg []byte) error {
+		if c.closed {
 			return nil
 		}
-		return l.onMessage(now, msg)
+		return c.onMessage(now, msg)
 	})
-	if l.closed {
+	if c.closed {
 		return
 	}
 	if err != nil {
-		s.stats.malformed++
-		s.trace("spoilt", 0, func(e *zerolog.Event) { e.Str("node", l.node.name).Err(err) })
-		l.onMalformed()
+		c.onMalformed(err)
 		return
 	}
-	l.partial = rest
-	s.wake()
+	c.partial = rest
+	s.loop.wake()
 }
 
-// OnClose hears that the connection has ended.
-func (l *nodeConn) OnClose(err error) {
-	l.server.mu.Lock()
-	defer l.server.mu.Unlock()
-	if !l.closed {
-		l.onBroken(err.Error())
+// OnClose is called when the connection has ended.
+func (c *nodeConn) OnClose(err error) {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if !c.closed {
+		c.onBroken(err.Error())
 	}
 }
 
-// onMessage takes one message of a node. An error means that the connection can't be read any more.
-func (l *nodeConn) onMessage(now float64, msg []byte) error {
-	s, task := l.server, codec.Task(msg)
-	s.traceNode(l, msg)
+// onMessage processes one message. The error wraps codec.ErrUnreadable; the connection can't be read any more then.
+func (c *nodeConn) onMessage(now float64, msg []byte) error {
+	s, task := c.server, codec.Task(msg)
+	s.telemetry.traceNodeMessage(c, msg)
 	switch codec.Kind(msg) {
 	case codec.KindAnswer:
-		return l.onAnswer(now, task, msg)
+		return c.onAnswer(now, task, msg)
 	case codec.KindEnd:
-		cause, ok := codec.CauseOf(msg)
-		if !ok {
-			return codec.ErrUnreadable
-		}
-		s.reportBuffer = codec.ParseReport(msg, s.settings.Cluster.ReportFields, s.reportBuffer[:0])
-		a := s.requestsByTask[task]
-		switch {
-		case a == nil || a.node != l.node:
-		case a.conn == l && cause == codec.CauseNormal && codec.HasDescription(msg): // it stood and ended in one
-			if err := l.onAnswer(now, task, msg); err != nil {
-				return err
-			}
-			if a.running {
-				s.completeAttempt(a, codec.VerdictOfRunning(cause), codec.ReasonOf(msg), s.reportBuffer)
-			}
-		case a.conn == l:
-			l.onEarlyEnd(now, a, cause, codec.ReasonOf(msg))
-		case a.running:
-			s.completeAttempt(a, codec.VerdictOfRunning(cause), codec.ReasonOf(msg), s.reportBuffer)
-		}
+		return c.onEnd(now, task, msg)
 	case codec.KindNote:
-		kind, value, ok := codec.ParseNote(msg)
-		if a := s.requestsByTask[task]; ok && a != nil && a.node == l.node && (a.running || a.conn == l) {
-			s.host.OnNote(now, a.allocID, kind, value)
+		metric, value, ok := codec.ParseNote(msg)
+		if r := s.requests.task(task); ok && r != nil && r.node == c.node && (r.running || r.conn == c) {
+			s.host.OnNote(now, r.allocID, metric, value)
 		}
+		return nil
 	case codec.KindTested:
-		cause, ok := codec.CauseOf(msg)
-		if !ok {
-			return codec.ErrUnreadable
-		}
-		if l.probeSeq != 0 && task == uint64(l.probeSeq) {
-			l.probeSeq, l.idleSince = 0, now
-			v := logic.Completed
-			if cause == 0 {
-				v = logic.Errored
-			}
-			s.reportBuffer = codec.ParseReport(msg, s.settings.Cluster.ReportFields, s.reportBuffer[:0])
-			s.host.OnProbeResult(now, l.node.id, uint32(task), v, s.reportBuffer)
-		}
+		return c.onTested(now, task, msg)
 	case codec.KindProgress, codec.KindEndAck:
-	default:
-		return codec.ErrUnreadable
+		return nil
 	}
-	return nil
+	return codec.ErrUnreadable
 }
 
-// onAnswer processes a node's answer: the task runs. It goes to the client only if it is for the attempt that is out at this node.
-func (l *nodeConn) onAnswer(now float64, task uint64, msg []byte) error {
-	s := l.server
+// onAnswer processes a node's answer: the task runs. It goes to the client only if it is for the attempt in flight on this connection.
+func (c *nodeConn) onAnswer(now float64, task uint64, msg []byte) error {
+	s := c.server
 	description, ok := codec.Param(msg, codec.ParamDescription)
 	if !ok || len(description) == 0 {
 		return codec.ErrUnreadable
 	}
-	a := s.requestsByTask[task]
-	if a == nil || a.conn != l {
-		if l.abandoned[task] && (a == nil || a.node != l.node || !a.running) { // too late: it must not run beside another attempt
-			s.stopTask(l.node, task)
-		}
-		delete(l.abandoned, task)
-		return nil // else a second copy, or nobody's
+	r := s.requests.task(task)
+	if r == nil || r.conn != c {
+		c.onStrayAnswer(task, r)
+		return nil
+	}
+	c.removeRequest(r)
+	if !s.host.OnStarted(now, r.allocID, r.attempt) {
+		c.node.stopTask(task)
+		return nil
 	}
-	l.removeRequest(a)
-	if !s.host.OnStarted(now, a.allocID, a.attempt) {
-		s.stopTask(l.node, task)
+	s.requests.markAnswered(r)
+	r.running = true
+	s.telemetry.count(countServed)
+	s.telemetry.trace("served", task, nil)
+	if r.clientGone() || !r.client.sendAnswer(r, description) {
+		s.requests.withdraw(r)
 		return nil
 	}
-	s.markAnswered(a)
-	a.running = true
-	s.stats.served++
-	s.trace("served", task, nil)
-	client, sentThrough := a.client, uint64(0)
-	if !a.clientGone() {
-		sentThrough = client.sendCounted(func(b []byte) []byte { return codec.AppendAnswer(b, task, description) })
+	c.node.addTask(r)
+	r.fields = taskFields{}
+	s.loop.wake()
+	return nil
+}
+
+// onStrayAnswer processes the answer to an attempt that is not in flight here. One that was abandoned here is stopped, as it must not run beside
+// another attempt; any other is a repeated answer.
+func (c *nodeConn) onStrayAnswer(task uint64, r *request) {
+	if c.abandoned[task] && (r == nil || r.node != c.node || !r.running) {
+		c.node.stopTask(task)
+	}
+	delete(c.abandoned, task)
+}
+
+// onEnd processes the end of an attempt or of a running task.
+func (c *nodeConn) onEnd(now float64, task uint64, msg []byte) error {
+	cause, ok := codec.CauseOf(msg)
+	if !ok {
+		return codec.ErrUnreadable
 	}
-	if sentThrough == 0 {
-		s.withdraw(a)
+	s := c.server
+	report := s.nodes.parseReport(msg)
+	r := s.requests.task(task)
+	if r == nil || r.node != c.node {
 		return nil
 	}
-	a.sentThrough = sentThrough
-	client.verified = true
-	client.running[a] = true
-	l.node.running[a] = true
-	a.jobClassName, a.name, a.key, a.description = nil, nil, nil, nil
-	s.wake()
+	reason := codec.ReasonOf(msg)
+	if r.conn == c {
+		if cause != codec.CauseNormal || !codec.HasDescription(msg) {
+			c.onEarlyEnd(now, r, cause, attemptOutcome{reason: reason, report: report})
+			return nil
+		}
+		if err := c.onAnswer(now, task, msg); err != nil { // the task started and completed in one message
+			return err
+		}
+	}
+	if r.running {
+		s.requests.complete(r, attemptOutcome{codec.VerdictOfRunning(cause), reason, report})
+	}
 	return nil
 }
 
-// onEarlyEnd takes the end of an attempt that its node has not answered. Where the task had been running, its answer may still follow; the
-// node is then told to end the task, as the client has its final answer.
-func (l *nodeConn) onEarlyEnd(now float64, a *request, cause byte, reason logic.Reason) {
-	l.removeRequest(a)
-	end := outcome.EarlyEnd{Unstarted: codec.VerdictBeforeAnswer(cause), Started: codec.VerdictOfRunning(cause), Reason: reason}
-	l.server.trace("ended early", a.task, func(e *zerolog.Event) { e.Str("node", l.node.name).Uint8("cause", cause).Uint8("why", uint8(reason)) })
-	l.server.stats.verdicts[end.Unstarted]++
-	if l.server.host.OnEarlyEnd(now, a.allocID, a.attempt, end, l.server.reportBuffer) {
-		l.expectLate(a.task)
-	}
-	l.server.wake()
+// onEarlyEnd processes the end of an attempt that its node has not answered. If the task had been running, its answer may still follow; the node
+// is then told to stop the task, as the client has its final answer.
+func (c *nodeConn) onEarlyEnd(now float64, r *request, cause byte, o attemptOutcome) {
+	s := c.server
+	c.removeRequest(r)
+	end := outcome.EarlyEnd{Unstarted: codec.VerdictBeforeAnswer(cause), Started: codec.VerdictOfRunning(cause), Reason: o.reason}
+	s.telemetry.trace("ended early", r.task, func(e *zerolog.Event) {
+		e.Str("node", c.node.name).Uint8("cause", cause).Uint8("why", uint8(o.reason))
+	})
+	s.telemetry.countOutcome(end.Unstarted)
+	if s.host.OnEarlyEnd(now, r.allocID, r.attempt, end, o.report) {
+		c.expectLateAnswer(r.task)
+	}
+	s.loop.wake()
+}
+
+// onTested processes the answer to a health check.
+func (c *nodeConn) onTested(now float64, task uint64, msg []byte) error {
+	cause, ok := codec.CauseOf(msg)
+	if !ok {
+		return codec.ErrUnreadable
+	}
+	if c.probeSeq == 0 || task != uint64(c.probeSeq) {
+		return nil
+	}
+	s, seq := c.server, c.probeSeq
+	c.probeSeq, c.idleSince = 0, now
+	verdict := logic.Completed
+	if cause == 0 {
+		verdict = logic.Errored
+	}
+	s.host.OnProbeResult(now, c.node.id, seq, verdict, s.nodes.parseReport(msg))
+	return nil
 }
--- /dev/null
+++ b/internal/platform/notifier.go
@@ -0,0 +1,71 @@
+package platform
+
+import (
+	"ravenpond/internal/decide/connlimits"
+	codec "ravenpond/internal/proto/platform"
+	"ravenpond/logic"
+)
+
+// notification tells a client what became of its running task: the end, with a cause, or that the task is to be requested anew.
+type notification struct {
+	task  uint64
+	cause byte    // 0: the task is to be requested anew
+	since float64 // when the notification became pending
+}
+
+// appendTo appends the message of a notification.
+func (n notification) appendTo(b []byte) []byte {
+	if n.cause == 0 {
+		return codec.AppendMove(b, n.task)
+	}
+	return codec.AppendEnd(b, n.task, n.cause)
+}
+
+// notifier sends notifications, and keeps those that no client could be sent yet. Server.mu guards it.
+type notifier struct {
+	server  *Server
+	pending []notification // oldest first
+}
+
+// notifyMove notifies a client that its running task is to be requested anew.
+func (n *notifier) notifyMove(r *request) { n.notify(r, notification{task: r.task}) }
+
+// notifyEnd notifies a client that its running task has ended.
+func (n *notifier) notifyEnd(r *request, verdict logic.Outcome) {
+	cause := byte(codec.CauseReset)
+	switch verdict {
+	case logic.Completed:
+		cause = codec.CauseNormal
+	case logic.Cancelled:
+		cause = codec.CauseElsewhere
+	}
+	n.notify(r, notification{task: r.task, cause: cause})
+}
+
+// notify sends a notification on the connection of the request, else on any other verified one. Without an open connection of that kind it
+// stays pending; the oldest is dropped when there are too many.
+func (n *notifier) notify(r *request, message notification) {
+	if r.client != nil && r.client.isOpen() && r.client.send(message.appendTo) {
+		return
+	}
+	for _, c := range n.server.clients.sorted() {
+		if c.verified && c.isOpen() && c.send(message.appendTo) {
+			return
+		}
+	}
+	message.since = n.server.env.Now()
+	n.pending = append(n.pending[max(0, len(n.pending)-connlimits.MaxPendingEnds+1):], message)
+}
+
+// hasPending returns whether notifications wait for a connection.
+func (n *notifier) hasPending() bool { return len(n.pending) > 0 }
+
+// sendPending sends pending notifications on a connection: all if it is verified, else those that have waited long enough for a verified one.
+func (n *notifier) sendPending(now float64, c *clientConn) {
+	for len(n.pending) > 0 && (c.verified || now-n.pending[0].since >= connlimits.VerifiedConnWait) && c.send(n.pending[0].appendTo) {
+		n.pending = n.pending[1:]
+	}
+	if len(n.pending) == 0 {
+		n.pending = nil
+	}
+}
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -13,31 +13,41 @@
 	"ravenpond/internal/env"
 )
 
-// Run runs a scheduler as the environment says, until it is told to end.
+// Variables of the process environment by which the platform configures a scheduler.
+const (
+	fileVariable   = "GW_CONFIG"
+	nameVariable   = "GW_NAME"
+	listenVariable = "GW_LISTEN"
+)
+
+// exitTimeout bounds how long the environment's goroutines are waited for at the end.
+const exitTimeout = time.Second
+
+// Run runs a scheduler with the configuration that the process environment names. SIGTERM and SIGINT shut it down, SIGHUP has it read the
+// configuration anew. Run returns when the shutdown is complete, or with an error if the scheduler can't start.
 func Run(log zerolog.Logger) error {
-	file, name, listen := os.Getenv("GW_CONFIG"), os.Getenv("GW_NAME"), os.Getenv("GW_LISTEN")
+	source := configurationSource{File: os.Getenv(fileVariable), Name: os.Getenv(nameVariable), Listen: os.Getenv(listenVariable)}
 	hup, term := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	signal.Notify(term, syscall.SIGTERM, os.Interrupt)
-	c, err := Load(file, name, listen)
+	configuration, err := source.load()
 	if err != nil {
 		return err
 	}
-	log = log.With().Str("scheduler", c.Name).Logger()
-	world := env.NewReal()
-	world.WriteThrough = true // what is decided leaves at once, however many wait for their turn
-	defer world.Close(time.Second)
-	s := New(world, log, c)
-	world.MaxLingering = s.limits.LingeringConns
-	runtime.GOMAXPROCS(1) // the machine is one core; more threads at work only wait for each other
+	machine := env.NewReal()
+	machine.WriteThrough = true // a decision is sent at once, however many others wait for their turn
+	defer machine.Close(exitTimeout)
+	s := New(machine, log.With().Str("scheduler", configuration.Name).Logger(), configuration)
+	machine.MaxLingering = s.limits.LingeringConns
+	runtime.GOMAXPROCS(1) // the platform gives a scheduler one core: more running threads would only wait for each other
 	debug.SetMemoryLimit(int64(s.limits.MemorySoftLimit))
-	if err := s.Start(c); err != nil {
+	if err := s.Start(configuration); err != nil {
 		return err
 	}
 	for {
 		select {
 		case <-hup:
-			s.reload(file, name, listen)
+			s.reload(source)
 		case <-term:
 			s.Stop()
 		case <-s.Done():
@@ -46,20 +56,12 @@
 	}
 }
 
-// reload reads the configuration anew: where the journal service is may have changed.
-func (s *Server) reload(file, name, listen string) {
-	c, err := Load(file, name, listen)
+// reload reads the configuration anew. An error is logged, and changes nothing.
+func (s *Server) reload(source configurationSource) {
+	configuration, err := source.load()
 	if err != nil {
 		s.log.Error().Str("mode", "configuration").Err(err).Msg("not taken, going on as before")
 		return
 	}
-	s.ApplyConfiguration(c)
-}
-
-// ApplyConfiguration takes what may change in a configuration while a scheduler runs.
-func (s *Server) ApplyConfiguration(c *Configuration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.setJournalAddress(c.Journal)
-	s.wake()
+	s.ApplyConfiguration(configuration)
 }
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -24,8 +24,8 @@
 			n.conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 			r.pass(3000)
 			x.want("told twice", "9 tested 1", "7 served "+n.description(7), "7 end 16")
-			if len(r.server.requestsByAlloc)+len(r.server.requestsByTask) > 0 || r.server.admission.Open() != 0 {
-				t.Errorf("%d asks, %d tasks, %d open are kept", len(r.server.requestsByAlloc), len(r.server.requestsByTask), r.server.admission.Open())
+			if len(r.server.requests.byAlloc)+len(r.server.requests.byTask) > 0 || r.server.requests.admission.Open() != 0 {
+				t.Errorf("%d asks, %d tasks, %d open are kept", len(r.server.requests.byAlloc), len(r.server.requests.byTask), r.server.requests.admission.Open())
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 func moves(r *simRig) {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
-	hostEffects{r.server}.NotifyMove(r.server.requestsByTask[7].allocID)
+	hostEffects{r.server}.NotifyMove(r.server.requests.byTask[7].allocID)
 }
 
 // TestFound takes over what nodes hold after a start; no answer is owed, its end is told.
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -2,30 +2,70 @@
 
 import (
 	"math"
+	"slices"
+
+	"ravenpond/internal/decide/shutdown"
 )
 
-// shutdown goes through what is due for a scheduler that was told to end.
-func (s *Server) shutdown(now float64) {
-	if now >= s.shutdownPlan.AnswerAt && !s.answeredAll {
-		s.answeredAll = true
-		s.log.Info().Str("mode", "stop").Int("open", s.host.OpenRequests()).Int("inbox", len(s.inbox)).Int("stands", s.host.RunningTasks()).
-			Msg("answers what is open")
-		s.startRequests(now, len(s.inbox))
-		s.host.Close(now)
+// shutdownSequence goes through the steps of a planned shutdown. Server.mu guards it, but for done.
+type shutdownSequence struct {
+	server       *Server
+	requested    bool
+	requestedAt  float64
+	plan         shutdown.Plan
+	answered     bool          // all open requests have been answered
+	disconnected bool          // clients have been disconnected
+	exited       bool          // done is closed
+	done         chan struct{} // closed at the end
+}
+
+func newShutdownSequence(s *Server) shutdownSequence {
+	return shutdownSequence{server: s, done: make(chan struct{})}
+}
+
+// request begins the shutdown. Further requests change nothing.
+func (q *shutdownSequence) request() {
+	if q.requested {
+		return
 	}
-	if now >= s.shutdownPlan.CloseAt && !s.clientsDisconnected {
-		s.clientsDisconnected = true
-		s.listener.Close() // who waits at it is let in first, and answered until the end
-		for _, o := range s.sortedClients() {
-			if owed := len(o.openRequests); owed > 0 {
-				s.log.Error().Str("mode", "stop").Int("open", owed).Msg("a connection is ended on which answers are owed")
-			}
-			o.close()
-		}
+	s := q.server
+	q.requested, q.requestedAt = true, s.env.Now()
+	q.plan = shutdown.NewPlan(q.requestedAt, slices.Max(s.settings.Deadlines))
+	s.log.Info().Str("mode", "stop").Int("open", s.host.OpenRequests()).Int("stands", s.host.RunningTasks()).Msg("told to end")
+}
+
+// rejects returns whether new requests are rejected.
+func (q *shutdownSequence) rejects(now float64) bool { return q.requested && now >= q.plan.RejectAt }
+
+// hasDisconnected returns whether clients were disconnected: a connection that is accepted later gets its answers and is closed.
+func (q *shutdownSequence) hasDisconnected() bool { return q.disconnected }
+
+// step takes the steps that are due.
+func (q *shutdownSequence) step(now float64) {
+	if !q.requested {
+		return
+	}
+	if now >= q.plan.AnswerAt && !q.answered {
+		q.answered = true
+		q.answerAll(now)
 	}
-	if now >= s.shutdownPlan.ExitAt && !s.ended {
-		s.ended = true
-		s.log.Info().Str("mode", "stop").Float64("after_ms", math.Round(now-s.stopRequestedAt)).Msg("ends")
-		close(s.done)
+	if now >= q.plan.CloseAt && !q.disconnected {
+		q.disconnected = true
+		q.server.clients.disconnectAll()
 	}
+	if now >= q.plan.ExitAt && !q.exited {
+		q.exited = true
+		q.server.log.Info().Str("mode", "stop").Float64("after_ms", math.Round(now-q.requestedAt)).Msg("ends")
+		close(q.done)
+	}
+}
+
+// answerAll gives all accepted requests their final answer.
+func (q *shutdownSequence) answerAll(now float64) {
+	s := q.server
+	waiting := s.requests.waiting()
+	s.log.Info().Str("mode", "stop").Int("open", s.host.OpenRequests()).Int("inbox", waiting).Int("stands", s.host.RunningTasks()).
+		Msg("answers what is open")
+	s.requests.start(now, waiting)
+	s.host.Close(now)
 }
--- /dev/null
+++ b/internal/proto/platform/append.go
@@ -0,0 +1,80 @@
+package platform
+
+import (
+	"encoding/binary"
+	"strconv"
+)
+
+// appendHead appends the head of a message; setLength completes it.
+func appendHead(b []byte, kind byte, task uint64) []byte {
+	return binary.BigEndian.AppendUint64(append(b, 0, 0, kind), task)
+}
+
+func appendParam(b []byte, code byte, value []byte) []byte {
+	return append(binary.BigEndian.AppendUint16(append(b, code), uint16(len(value))), value...)
+}
+
+// setLength sets the length of the message that begins at start. A message beyond MaxMessage is dropped: its parts were received in
+// messages that are no longer, so none should be.
+func setLength(b []byte, start int) []byte {
+	if len(b)-start > MaxMessage {
+		return b[:start]
+	}
+	binary.BigEndian.PutUint16(b[start:], uint16(len(b)-start-lengthSize))
+	return b
+}
+
+// SetUp is the request by which a scheduler places a task at a node.
+type SetUp struct {
+	Task        uint64
+	JobClass    []byte
+	Name        []byte
+	Key         []byte // idempotency key, nil for job classes without one
+	Description []byte
+	TimeLeft    float64 // ms until the attempt times out; at least 1 is sent
+}
+
+// AppendSetUp appends a set-up.
+func AppendSetUp(b []byte, s *SetUp) []byte {
+	start := len(b)
+	b = appendParam(appendHead(b, KindSetUp, s.Task), ParamJobClass, s.JobClass)
+	b = appendParam(b, ParamTimeLeft, strconv.AppendInt(nil, int64(max(1, s.TimeLeft)), 10))
+	b = appendParam(b, ParamName, s.Name)
+	if s.Key != nil {
+		b = appendParam(b, ParamKey, s.Key)
+	}
+	return setLength(appendParam(b, ParamDescription, s.Description), start)
+}
+
+// AppendAnswer appends that a task runs, with the description that its node gave.
+func AppendAnswer(b []byte, task uint64, description []byte) []byte {
+	return setLength(appendParam(appendHead(b, KindAnswer, task), ParamDescription, description), len(b))
+}
+
+// AppendEnd appends an end. Its cause says whether it is a rejection, a failure, a cancellation or the end of a running task.
+func AppendEnd(b []byte, task uint64, cause byte) []byte {
+	return setLength(appendParam(appendHead(b, KindEnd, task), ParamCause, []byte{cause}), len(b))
+}
+
+// AppendTest appends a health check, with or without the wish for a load report.
+func AppendTest(b []byte, task uint64, wantReport bool) []byte {
+	return appendFlag(b, KindTest, task, wantReport)
+}
+
+// AppendTested appends the result of a health check.
+func AppendTested(b []byte, task uint64, passed bool) []byte {
+	return appendFlag(b, KindTested, task, passed)
+}
+
+func appendFlag(b []byte, kind byte, task uint64, set bool) []byte {
+	v := []byte{0}
+	if set {
+		v[0] = 1
+	}
+	return setLength(appendParam(appendHead(b, kind, task), ParamCause, v), len(b))
+}
+
+// AppendMove appends that a client is to request a task anew.
+func AppendMove(b []byte, task uint64) []byte {
+	return setLength(appendHead(b, KindMove, task), len(b))
+}
--- a/internal/proto/platform/journal.go
+++ b/internal/proto/platform/journal.go
@@ -4,14 +4,30 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"slices"
 	"strconv"
 
 	"ravenpond/logic"
 )
 
-// Entry takes a node of the list: its cell and start in Unix ms, 0 for long ago, and what nobody has asked for.
-type Entry func(name, address, zone, kind string, cell int, avail logic.Availability, since, freeCores, freeMemory float64)
+// Endpoint is the state of a node in the journal.
+type Endpoint struct {
+	Name, Address, Zone, Kind string
+	Cell                      int
+	Availability              logic.Availability
+	StartedAt                 float64 // Unix ms, 0: long ago
+	FreeCores, FreeMemory     float64 // unallocated
+}
+
+// EventReader receives the events of the journal.
+type EventReader interface {
+	// BeginEvent starts an event: a snapshot of the whole list, or changes. It returns false to skip the endpoints of the event.
+	BeginEvent(position uint64, snapshot bool) bool
+	// AddEndpoint takes one endpoint of the event.
+	AddEndpoint(endpoint Endpoint)
+}
 
+// event is a line of the journal as JSON.
 type event struct {
 	Pos   uint64
 	Hosts *struct {
@@ -25,14 +41,14 @@
 	}
 }
 
-// ReadLine reads a line of the journal service: an event, or the last number alone. All of an event is checked before the
-// first of its entries is given, so that half of one is never taken.
-func ReadLine(line []byte, begin func(pos uint64, whole bool) bool, entry Entry) (last uint64, err error) {
+// ReadLine reads a line of the journal service: an event, or the last position alone, which is returned. An event is checked as a whole
+// before the reader gets any of it. The error wraps ErrUnreadable.
+func ReadLine(line []byte, reader EventReader) (last uint64, err error) {
 	line = bytes.TrimSpace(line)
 	if len(line) > 0 && line[0] != '{' {
-		last, err = strconv.ParseUint(string(line[:min(len(line), 32)]), 10, 64)
+		last, err = strconv.ParseUint(string(line[:min(len(line), maxNumberText)]), 10, 64)
 		if err != nil {
-			return 0, fmt.Errorf("%w: line %.40q of the journal", ErrUnreadable, line)
+			return 0, fmt.Errorf("%w: line %.*q of the journal", ErrUnreadable, maxQuotedInput, line)
 		}
 		return last, nil
 	}
@@ -40,14 +56,15 @@
 	if err := json.Unmarshal(line, &e); err != nil {
 		return 0, fmt.Errorf("%w: event of the journal: %w", ErrUnreadable, err)
 	}
-	if e.Hosts == nil && e.Pos > 0 { // the count of every second
+	if e.Hosts == nil && e.Pos > 0 { // the position that is sent every second
 		return e.Pos, nil
 	}
-	return e.Pos, e.apply(begin, entry)
+	return e.Pos, e.apply(reader)
 }
 
-// ReadInitialEvents reads the events that a scheduler is given at its start.
-func ReadInitialEvents(text []byte, begin func(pos uint64, whole bool) bool, entry Entry) (last uint64, err error) {
+// ReadInitialEvents reads the events that a scheduler is configured with and returns the position of the last. The error wraps
+// ErrUnreadable; events before the one at fault have been applied then.
+func ReadInitialEvents(text []byte, reader EventReader) (last uint64, err error) {
 	var k struct {
 		Pos     uint64
 		Entries []event
@@ -56,40 +73,40 @@
 		return 0, fmt.Errorf("%w: known events: %w", ErrUnreadable, err)
 	}
 	for i := range k.Entries {
-		if err := k.Entries[i].apply(begin, entry); err != nil {
+		if err := k.Entries[i].apply(reader); err != nil {
 			return 0, err
 		}
 	}
 	return k.Pos, nil
 }
 
-// Words of a node's state, in the module's order.
-var availabilityWords = [...]string{"gone", "ready", "draining"}
+// availabilityWords are the states of an endpoint, indexed by logic.Availability.
+var availabilityWords = []string{"gone", "ready", "draining"}
 
-func (e *event) apply(begin func(pos uint64, whole bool) bool, entry Entry) error {
+// apply checks an event and gives it to the reader.
+func (e *event) apply(reader EventReader) error {
 	if e.Pos == 0 || e.Hosts == nil {
 		return fmt.Errorf("%w: event %d of the journal without number or nodes", ErrUnreadable, e.Pos)
 	}
-	avail := make([]logic.Availability, len(e.Hosts.Endpoints))
+	endpoints := make([]Endpoint, len(e.Hosts.Endpoints))
 	for i, x := range e.Hosts.Endpoints {
-		a := -1
-		for s, word := range availabilityWords {
-			if x.Status == word {
-				a = s
-			}
+		availability := slices.Index(availabilityWords, x.Status)
+		if availability < 0 || x.Name == "" || x.Address == "" && x.Status != "gone" {
+			return fmt.Errorf("%w: event %d of the journal: node %.*q in state %.*q", ErrUnreadable, e.Pos, maxQuotedInput, x.Name, maxQuotedInput,
+				x.Status)
 		}
-		if a < 0 || x.Name == "" || x.Address == "" && x.Status != "gone" {
-			return fmt.Errorf("%w: event %d of the journal: node %.40q in state %.40q", ErrUnreadable, e.Pos, x.Name, x.Status)
+		var free [2]float64 // cores and memory
+		copy(free[:], x.Room)
+		endpoints[i] = Endpoint{
+			Name: x.Name, Address: x.Address, Zone: x.Zone, Kind: x.Type, Cell: x.Group, Availability: logic.Availability(availability),
+			StartedAt: x.Since, FreeCores: free[0], FreeMemory: free[1],
 		}
-		avail[i] = logic.Availability(a)
 	}
-	if !begin(e.Pos, e.Hosts.Snapshot) {
+	if !reader.BeginEvent(e.Pos, e.Hosts.Snapshot) {
 		return nil
 	}
-	for i, x := range e.Hosts.Endpoints {
-		var free [2]float64
-		copy(free[:], x.Room)
-		entry(x.Name, x.Address, x.Zone, x.Type, x.Group, avail[i], x.Since, free[0], free[1])
+	for _, endpoint := range endpoints {
+		reader.AddEndpoint(endpoint)
 	}
 	return nil
 }
--- a/internal/proto/platform/journal_test.go
+++ b/internal/proto/platform/journal_test.go
@@ -5,24 +5,22 @@
 	"fmt"
 	"strings"
 	"testing"
-
-	"ravenpond/logic"
 )
 
-// told writes down what a line gives.
-type told struct {
-	lines []string
-	takes bool
+// eventRecorder records the events of a line.
+type eventRecorder struct {
+	lines   []string
+	accepts bool
 }
 
-func (x *told) begin(pos uint64, whole bool) bool {
+func (x *eventRecorder) BeginEvent(pos uint64, whole bool) bool {
 	x.lines = append(x.lines, fmt.Sprintf("event %d %v", pos, whole))
-	return x.takes
+	return x.accepts
 }
 
-func (x *told) entry(name, address, zone, kind string, cell int, avail logic.Availability, since, cores, memory float64) {
-	x.lines = append(x.lines, fmt.Sprint(name, " ", address, " ", zone, " ", kind, " ", cell, " ", avail, " ", since, " ", cores, " ",
-		memory))
+func (x *eventRecorder) AddEndpoint(e Endpoint) {
+	x.lines = append(x.lines, fmt.Sprint(e.Name, " ", e.Address, " ", e.Zone, " ", e.Kind, " ", e.Cell, " ", e.Availability, " ", e.StartedAt, " ",
+		e.FreeCores, " ", e.FreeMemory))
 }
 
 const node = `{"name":"s-1","address":"127.0.0.9:5060","zone":"east","type":"std","group":2,"status":"ready","weight":4,` +
@@ -59,8 +57,8 @@
 		{"nothing", "", true, 0, "event of the journal", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := told{takes: c.takes}
-			last, err := ReadLine([]byte(c.line), x.begin, x.entry)
+			x := eventRecorder{accepts: c.takes}
+			last, err := ReadLine([]byte(c.line), &x)
 			if c.bad {
 				if !errors.Is(err, ErrUnreadable) || !strings.Contains(err.Error(), c.want) || len(x.lines) > 0 {
 					t.Errorf("error %v, want one with %q; taken: %q", err, c.want, x.lines)
@@ -75,14 +73,14 @@
 }
 
 func TestKnown(t *testing.T) {
-	x := told{takes: true}
+	x := eventRecorder{accepts: true}
 	last, err := ReadInitialEvents([]byte(`{"pos":3,"entries":[{"pos":1,"hosts":{"snapshot":true,"endpoints":[`+node+`]}},{"pos":2,"hosts":`+
-		`{"endpoints":[]}}]}`), x.begin, x.entry)
+		`{"endpoints":[]}}]}`), &x)
 	if got := strings.Join(x.lines, ", "); err != nil || last != 3 || !strings.HasPrefix(got, "event 1 true, s-1 ") ||
 		!strings.HasSuffix(got, "event 2 false") {
 		t.Errorf("%q, last %d, %v", got, last, err)
 	}
-	if _, err := ReadInitialEvents([]byte(`[`), x.begin, x.entry); !errors.Is(err, ErrUnreadable) {
+	if _, err := ReadInitialEvents([]byte(`[`), &x); !errors.Is(err, ErrUnreadable) {
 		t.Errorf("torn: %v", err)
 	}
 }
@@ -92,8 +90,8 @@
 	f.Add([]byte(`{"pos":41,"hosts":{"index":7,"snapshot":false,"endpoints":[` + node + `]}}`))
 	f.Add([]byte(`41`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		x := told{takes: true}
-		if _, err := ReadLine(line, x.begin, x.entry); err != nil && len(x.lines) > 0 {
+		x := eventRecorder{accepts: true}
+		if _, err := ReadLine(line, &x); err != nil && len(x.lines) > 0 {
 			t.Errorf("%v after %q", err, x.lines)
 		}
 	})
--- a/internal/proto/platform/messages_test.go
+++ b/internal/proto/platform/messages_test.go
@@ -61,10 +61,14 @@
 		params map[byte]string
 	}{
 		{"set-up", func(b []byte) []byte {
-			return AppendSetUp(b, 7, text("batch"), text("00ab"), text("5c"), text("d\r\n"), 1499.7)
+			return AppendSetUp(b, &SetUp{
+				Task: 7, JobClass: text("batch"), Name: text("00ab"), Key: text("5c"), Description: text("d\r\n"), TimeLeft: 1499.7,
+			})
 		}, KindSetUp, map[byte]string{ParamJobClass: "batch", ParamTimeLeft: "1499", ParamName: "00ab", ParamKey: "5c", ParamDescription: "d\r\n"}},
 		{
-			"set-up without a key", func(b []byte) []byte { return AppendSetUp(b, 7, text("x"), text("y"), nil, text("z"), -3) },
+			"set-up without a key", func(b []byte) []byte {
+				return AppendSetUp(b, &SetUp{Task: 7, JobClass: text("x"), Name: text("y"), Description: text("z"), TimeLeft: -3})
+			},
 			KindSetUp,
 			map[byte]string{ParamJobClass: "x", ParamTimeLeft: "1", ParamName: "y", ParamDescription: "z"},
 		},
@@ -142,8 +146,8 @@
 		{"cores:1;memory:2;" + service + ";at:", "at:"},
 		{"cores:1;memory:2;" + service + ";at:a;at:b", "at:b"},
 	} {
-		cores, memory, s, at, err := ParseDemand([]byte(c.text))
-		got := fmt.Sprintf("%g %g %x %s", cores, memory, s, at)
+		d, err := ParseDemand([]byte(c.text))
+		got := fmt.Sprintf("%g %g %x %s", d.Cores, d.Memory, d.Service, d.RunsAt)
 		if err != nil {
 			if got = err.Error(); !errors.Is(err, ErrUnreadable) || !strings.Contains(got, c.want) {
 				t.Errorf("%q: %v, want %q", c.text, err, c.want)
@@ -220,7 +224,9 @@
 
 // FuzzNext looks for messages that end the process, or are read past their end.
 func FuzzNext(f *testing.F) {
-	f.Add(AppendSetUp(nil, 7, []byte("batch"), []byte("00ab"), []byte("5c"), []byte("d"), 100))
+	f.Add(AppendSetUp(nil, &SetUp{
+		Task: 7, JobClass: []byte("batch"), Name: []byte("00ab"), Key: []byte("5c"), Description: []byte("d"), TimeLeft: 100,
+	}))
 	f.Add(AppendEnd(nil, 7, CauseFull))
 	f.Add(raw(11, append(head(KindEnd), ParamCause, 0)...))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -235,7 +241,7 @@
 			Param(msg, byte(code))
 		}
 		text, _ := Param(msg, ParamDemand)
-		_, _, _, _, _ = ParseDemand(text)
+		_, _ = ParseDemand(text)
 		CauseOf(msg)
 		ParseNote(msg)
 		ReasonOf(msg)
