--- a/internal/decide/consensus/storage.go
+++ b/internal/decide/consensus/storage.go
@@ -13,47 +13,23 @@
 
 // save writes to the disk first and to Raft's in-memory storage after that.
 func (r *Replica) save(rd raft.Ready) error {
-	var hard, snapshot []byte
-	var entries [][]byte
-	var from, held uint64
-	var err error
-	if !raft.IsEmptyHardState(rd.HardState) {
-		if hard, err = proto.Marshal(rd.HardState); err != nil {
-			return err
-		}
-	}
-	if !raft.IsEmptySnap(rd.Snapshot) {
-		if snapshot, err = proto.Marshal(rd.Snapshot); err != nil {
-			return err
-		}
-	}
-	if snapshot != nil { // the snapshot replaces the log
-		held = rd.Snapshot.GetMetadata().GetIndex()
-		from = held + 1
-	}
-	for i, e := range rd.Entries {
-		text, err := proto.Marshal(e)
-		if err != nil {
-			return err
-		}
-		if i == 0 {
-			from = e.GetIndex()
-		}
-		entries = append(entries, text)
+	w, err := encodeReady(rd)
+	if err != nil {
+		return err
 	}
-	if hard == nil && snapshot == nil && entries == nil {
+	if w.hard == nil && w.snapshot == nil && w.entries == nil {
 		return nil
 	}
 	r.Stats.Writes++
-	if err := r.effects.Save(hard, from, entries, snapshot, held); err != nil {
+	if err := r.effects.Save(w.hard, w.from, w.entries, w.snapshot, w.held); err != nil {
 		return err
 	}
-	if snapshot != nil {
+	if w.snapshot != nil {
 		if err := r.storage.ApplySnapshot(rd.Snapshot); err != nil {
 			return err
 		}
 	}
-	if hard != nil {
+	if w.hard != nil {
 		if err := r.storage.SetHardState(rd.HardState); err != nil {
 			return err
 		}
@@ -61,6 +37,42 @@
 	return r.storage.Append(rd.Entries)
 }
 
+// diskWrite is what Effects.Save gets.
+type diskWrite struct {
+	hard, snapshot []byte // nil: unchanged
+	from           uint64 // index of the first entry, 0: none
+	entries        [][]byte
+	held           uint64 // index up to which the snapshot covers the log
+}
+
+func encodeReady(rd raft.Ready) (w diskWrite, err error) {
+	if !raft.IsEmptyHardState(rd.HardState) {
+		if w.hard, err = proto.Marshal(rd.HardState); err != nil {
+			return w, err
+		}
+	}
+	if !raft.IsEmptySnap(rd.Snapshot) {
+		if w.snapshot, err = proto.Marshal(rd.Snapshot); err != nil {
+			return w, err
+		}
+	}
+	if w.snapshot != nil { // the snapshot replaces the log
+		w.held = rd.Snapshot.GetMetadata().GetIndex()
+		w.from = w.held + 1
+	}
+	for i, e := range rd.Entries {
+		text, err := proto.Marshal(e)
+		if err != nil {
+			return w, err
+		}
+		if i == 0 {
+			w.from = e.GetIndex()
+		}
+		w.entries = append(w.entries, text)
+	}
+	return w, nil
+}
+
 // apply applies committed entries to the state.
 func (r *Replica) apply(entries []*pb.Entry) {
 	if len(entries) == 0 {
--- a/internal/decide/consensus/voter.go
+++ b/internal/decide/consensus/voter.go
@@ -19,39 +19,64 @@
 		r.confState.Voters = append(r.confState.Voters, uint64(i+1))
 	}
 	r.storage = raft.NewMemoryStorage()
-	first := &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: r.confState, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 	r.diskWasEmpty = len(saved.Hard) == 0 && len(saved.Snapshot) == 0 && len(saved.Entries) == 0
-	if len(saved.Snapshot) > 0 {
-		first = &pb.Snapshot{}
-		if err := proto.Unmarshal(saved.Snapshot, first); err != nil {
+	if err := r.loadSnapshot(saved.Snapshot); err != nil {
+		return err
+	}
+	if err := r.loadHardState(saved.Hard); err != nil {
+		return err
+	}
+	if err := r.loadEntries(saved.Entries); err != nil {
+		return err
+	}
+	return r.startRaft()
+}
+
+// loadSnapshot loads the saved snapshot, or the empty one if none was saved.
+func (r *Replica) loadSnapshot(text []byte) error {
+	snapshot := &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: r.confState, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
+	if len(text) > 0 {
+		snapshot = &pb.Snapshot{}
+		if err := proto.Unmarshal(text, snapshot); err != nil {
 			return fmt.Errorf("council: snapshot: %w", err)
 		}
 	}
-	if !slices.Equal(first.GetMetadata().GetConfState().GetVoters(), r.confState.Voters) {
-		return fmt.Errorf("council: the folder is of %d stewards, the site file names %d", len(first.GetMetadata().GetConfState().GetVoters()), len(r.confState.Voters))
+	if voters := snapshot.GetMetadata().GetConfState().GetVoters(); !slices.Equal(voters, r.confState.Voters) {
+		return fmt.Errorf("council: the folder is of %d stewards, the site file names %d", len(voters), len(r.confState.Voters))
 	}
-	if err := r.storage.ApplySnapshot(first); err != nil {
+	if err := r.storage.ApplySnapshot(snapshot); err != nil {
 		return fmt.Errorf("council: snapshot: %w", err)
 	}
-	if data := first.GetData(); len(data) > 0 {
-		b, err := clusterstate.Read(data)
+	if data := snapshot.GetData(); len(data) > 0 {
+		state, err := clusterstate.Read(data)
 		if err != nil {
 			return fmt.Errorf("council: snapshot: %w", err)
 		}
-		r.state = b
+		r.state = state
 	}
-	r.compactedTo = first.GetMetadata().GetIndex()
-	if len(saved.Hard) > 0 {
-		var hard pb.HardState
-		if err := proto.Unmarshal(saved.Hard, &hard); err != nil {
-			return fmt.Errorf("council: state: %w", err)
-		}
-		if err := r.storage.SetHardState(&hard); err != nil {
-			return fmt.Errorf("council: state: %w", err)
-		}
+	r.compactedTo = snapshot.GetMetadata().GetIndex()
+	return nil
+}
+
+// loadHardState loads the saved hard state, if there is one.
+func (r *Replica) loadHardState(text []byte) error {
+	if len(text) == 0 {
+		return nil
+	}
+	var hard pb.HardState
+	if err := proto.Unmarshal(text, &hard); err != nil {
+		return fmt.Errorf("council: state: %w", err)
+	}
+	if err := r.storage.SetHardState(&hard); err != nil {
+		return fmt.Errorf("council: state: %w", err)
 	}
+	return nil
+}
+
+// loadEntries loads the saved log entries that the snapshot does not cover.
+func (r *Replica) loadEntries(texts [][]byte) error {
 	var entries []*pb.Entry
-	for _, text := range saved.Entries {
+	for _, text := range texts {
 		e := &pb.Entry{}
 		if err := proto.Unmarshal(text, e); err != nil {
 			return fmt.Errorf("council: entry: %w", err)
@@ -63,7 +88,7 @@
 	if err := r.storage.Append(entries); err != nil {
 		return fmt.Errorf("council: entries: %w", err)
 	}
-	return r.startRaft()
+	return nil
 }
 
 // startRaft starts Raft on its storage.
@@ -147,7 +172,7 @@
 	for r.engine.HasReady() {
 		rd := r.engine.Ready()
 		if rd.SoftState != nil {
-			if leads := rd.SoftState.RaftState == raft.StateLeader; leads != r.isLeader {
+			if leads := rd.RaftState == raft.StateLeader; leads != r.isLeader {
 				r.isLeader = leads
 				r.effects.Log(fmt.Sprintf("leads=%t at version %d", leads, r.state.Version()))
 			}
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -74,9 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.AddEvents(&calendar.Calendar{Windows: windows}, start); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, s.AddEvents(&calendar.Calendar{Windows: windows}, start))
 	h := &fakeExecutor{draining: map[string]bool{}, running: map[string][]int{"n1": {30, 2}, "n2": {20, 0}, "n3": {50, 5}}}
 	return rig{dir, s, controllerOn(s, h), h}
 }
@@ -95,22 +93,21 @@
 	return all
 }
 
-func window(id, node string) calendar.Window {
-	return calendar.Window{ID: id, Target: node, Start: start, Duration: time.Hour, Lead: 10 * time.Minute}
+// window is an hour in which node n1 is out.
+func window(id string) calendar.Window {
+	return calendar.Window{ID: id, Target: "n1", Start: start, Duration: time.Hour, Lead: 10 * time.Minute}
 }
 
 // tickRange has a controller tick every second from one minute to another.
 func tickRange(t *testing.T, c *Controller, from, to int, lost map[string]bool) {
 	t.Helper()
 	for s := from * 60; s < to*60; s++ {
-		if err := c.Tick(start.Add(time.Duration(s)*time.Second), fleet(), lost); err != nil {
-			t.Fatal(err)
-		}
+		noError(t, c.Tick(start.Add(time.Duration(s)*time.Second), fleet(), lost))
 	}
 }
 
 func TestWindow(t *testing.T) {
-	r := newRig(t, window("a", "n1"))
+	r := newRig(t, window("a"))
 	s, k, h := r.store, r.controller, r.executor
 	tickRange(t, k, -12, -10, nil)
 	if len(h.draining) != 0 {
@@ -136,7 +133,7 @@
 func TestKilled(t *testing.T) {
 	for _, at := range []string{"opened", "announced", "closed"} {
 		t.Run(at, func(t *testing.T) {
-			r := newRig(t, window("a", "n1"))
+			r := newRig(t, window("a"))
 			dir, s, k, h := r.folder, r.store, r.controller, r.executor
 			k.Store = &failingStore{Store: s, at: at}
 			var err error
@@ -146,12 +143,12 @@
 			if !errors.Is(err, errKilled) {
 				t.Fatal("not killed: ", err)
 			}
-			s.Close()
+			noError(t, s.Close())
 			s, err = maintenancestore.Open(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer s.Close()
+			defer func() { noError(t, s.Close()) }()
 			h2 := &fakeExecutor{draining: map[string]bool{}, running: h.running} // the next incarnation knows nothing
 			k = controllerOn(s, h2)
 			tickRange(t, k, 20, 21, nil)
@@ -191,12 +188,10 @@
 }
 
 func TestCancelledWhileDraining(t *testing.T) {
-	r := newRig(t, window("a", "n1"))
+	r := newRig(t, window("a"))
 	s, k, h := r.store, r.controller, r.executor
 	tickRange(t, k, -10, -8, nil)
-	if err := s.CancelWindow("a", time.Time{}, start); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, s.CancelWindow("a", time.Time{}, start))
 	tickRange(t, k, -8, -7, nil)
 	if len(h.draining) != 0 || !strings.Contains(h.lines[len(h.lines)-1], "cancelled") {
 		t.Errorf("draining %v, %q", h.draining, h.lines)
@@ -204,7 +199,7 @@
 }
 
 func TestNodesLost(t *testing.T) {
-	r := newRig(t, window("a", "n1"))
+	r := newRig(t, window("a"))
 	k, h := r.controller, r.executor
 	tickRange(t, k, -11, -1, map[string]bool{"n3": true, "n4": true})
 	if !h.draining["n1"] || h.evicted != 0 || !strings.Contains(strings.Join(h.lines, ""), "2 nodes lost") {
@@ -217,9 +212,9 @@
 }
 
 func TestSharedNode(t *testing.T) {
-	b := window("b", "n1")
+	b := window("b")
 	b.Duration = 2 * time.Hour
-	r := newRig(t, window("a", "n1"), b)
+	r := newRig(t, window("a"), b)
 	k, h := r.controller, r.executor
 	tickRange(t, k, -10, 70, nil)
 	if !h.draining["n1"] {
@@ -230,3 +225,11 @@
 		t.Error("the node is still draining")
 	}
 }
+
+// noError ends the test if an error has occurred.
+func noError(tb testing.TB, err error) {
+	tb.Helper()
+	if err != nil {
+		tb.Fatal(err)
+	}
+}
--- a/internal/state/bolt/bolt.go
+++ b/internal/state/bolt/bolt.go
@@ -115,7 +115,7 @@
 	} else if err != nil {
 		return err
 	}
-	defer f.Close() // releases the lock
+	defer f.Close() //nolint:errcheck // it was opened for reading only; closing it releases the lock
 	if err := lockFile(f); err != nil {
 		return err
 	}
--- a/internal/state/bolt/bolt_test.go
+++ b/internal/state/bolt/bolt_test.go
@@ -21,28 +21,35 @@
 }}
 
 // stored creates a store with records and returns its bytes.
-func stored(t testing.TB, format byte) []byte {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "a.db")
+func stored(tb testing.TB, format byte) []byte {
+	tb.Helper()
+	path := filepath.Join(tb.TempDir(), "a.db")
 	s := schema
 	s.Format = format
 	db, err := Open(path, s)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	for i := range 200 {
-		if err := db.Update(func(tx *bbolt.Tx) error {
+		noError(tb, db.Update(func(tx *bbolt.Tx) error {
 			return tx.Bucket([]byte("things")).Put(fmt.Appendf(nil, "k%d", i%70), fmt.Appendf(nil, "v%0200d", i))
-		}); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := db.Close(); err != nil {
-		t.Fatal(err)
+		}))
 	}
+	noError(tb, db.Close())
 	b, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
+	}
+	return b
+}
+
+// damaged returns a copy of a store's bytes with damaged records and valid pages.
+func damaged(store []byte) []byte {
+	b := append([]byte(nil), store...)
+	for i := range len(b) - 1 {
+		if b[i] == 'v' && b[i+1] == '0' {
+			b[i] = 'x'
+		}
 	}
 	return b
 }
@@ -61,21 +68,11 @@
 		{"another file", func() []byte { return make([]byte, 8192) }, ErrDamaged},
 		{"both headers torn", func() []byte { b := append([]byte(nil), good...); b[30] ^= 1; b[4096+30] ^= 1; return b }, ErrDamaged},
 		{"cut", func() []byte { return good[:10000] }, ErrDamaged},
-		{"a record damaged", func() []byte {
-			b := append([]byte(nil), good...)
-			for i := range len(b) - 1 {
-				if b[i] == 'v' && b[i+1] == '0' {
-					b[i] = 'x'
-				}
-			}
-			return b
-		}, ErrDamaged},
+		{"a record damaged", func() []byte { return damaged(good) }, ErrDamaged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "a.db")
-			if err := os.WriteFile(path, c.file(), 0o600); err != nil {
-				t.Fatal(err)
-			}
+			noError(t, os.WriteFile(path, c.file(), 0o600))
 			db, err := Open(path, schema)
 			if !errors.Is(err, c.want) {
 				t.Fatalf("%v, want %v", err, c.want)
@@ -114,38 +111,27 @@
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "a.db")
 			put := func(b []byte, at time.Time) {
-				if err := errors.Join(os.WriteFile(path, b, 0o600), os.Chtimes(path, at, at)); err != nil {
-					t.Fatal(err)
-				}
+				noError(t, errors.Join(os.WriteFile(path, b, 0o600), os.Chtimes(path, at, at)))
 			}
 			put(good, c.was)
 			db, err := Open(path, schema)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := db.Close(); err != nil {
-				t.Fatal(err)
-			}
-			bad := append([]byte(nil), good...)
-			for i := range len(bad) - 1 {
-				if bad[i] == 'v' && bad[i+1] == '0' {
-					bad[i] = 'x'
-				}
-			}
+			noError(t, db.Close())
+			bad := damaged(good)
 			if c.longer {
 				bad = append(bad, make([]byte, 4096)...)
 			}
 			if c.another {
-				if err := os.Rename(path, path+".old"); err != nil {
-					t.Fatal(err)
-				}
+				noError(t, os.Rename(path, path+".old"))
 			}
 			put(bad, c.is)
 			if db, err = Open(path, schema); errors.Is(err, ErrDamaged) != c.verifiedAgain {
 				t.Error(err)
 			}
 			if err == nil {
-				db.Close()
+				noError(t, db.Close())
 			}
 		})
 	}
@@ -162,9 +148,7 @@
 		file := append([]byte(nil), good...)
 		copy(file[int(at)%len(file):], b)
 		path := filepath.Join(t.TempDir(), "a.db")
-		if err := os.WriteFile(path, file, 0o600); err != nil {
-			t.Fatal(err)
-		}
+		noError(t, os.WriteFile(path, file, 0o600))
 		db, err := Open(path, schema)
 		if err != nil {
 			if !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) {
@@ -172,9 +156,15 @@
 			}
 			return
 		}
-		defer db.Close()
-		if err := db.Update(func(tx *bbolt.Tx) error { return tx.Bucket([]byte("things")).Put([]byte("new"), []byte("v")) }); err != nil {
-			t.Fatal(err)
-		}
+		defer func() { noError(t, db.Close()) }()
+		noError(t, db.Update(func(tx *bbolt.Tx) error { return tx.Bucket([]byte("things")).Put([]byte("new"), []byte("v")) }))
 	})
 }
+
+// noError ends the test if an error has occurred.
+func noError(tb testing.TB, err error) {
+	tb.Helper()
+	if err != nil {
+		tb.Fatal(err)
+	}
+}
--- a/internal/state/folder_test.go
+++ b/internal/state/folder_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { f.Close() })
+	t.Cleanup(func() { noError(t, f.Close()) })
 	return f
 }
 
@@ -57,9 +57,7 @@
 	if err := put(list.KindChanges, 4, a); err == nil {
 		t.Error("an older answer is accepted: it would bring back nodes that are gone")
 	}
-	if err := f.SaveList(l.Encode()); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, f.SaveList(l.Encode()))
 	back, err := f.LoadList()
 	if err != nil || len(back.Entries()) != 1 || back.Entries()[0] != b || back.Version != 6 {
 		t.Errorf("%+v, %v", back, err)
@@ -77,9 +75,7 @@
 		{"another file", "RAVENPOND-LIFE 1 0 0\n", ErrDamaged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
-				t.Fatal(err)
-			}
+			noError(t, os.WriteFile(path, []byte(c.text), 0o600))
 			if l, err := f.LoadList(); l != nil || !errors.Is(err, c.want) {
 				t.Errorf("%v, %v, want %v", l, err, c.want)
 			}
@@ -119,9 +115,7 @@
 			t.Error("a damaged file was overwritten")
 		}
 		if l, err := folder.LoadList(); err == nil && l != nil {
-			if err := folder.SaveList(l.Encode()); err != nil {
-				t.Fatal(err)
-			}
+			noError(t, folder.SaveList(l.Encode()))
 			again, err := folder.LoadList()
 			if err != nil || !slices.Equal(again.Entries(), l.Entries()) {
 				t.Errorf("not the same: %v", err)
@@ -137,11 +131,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { noError(t, f.Close()) }()
 	for _, text := range []string{"a long first one", "short"} {
-		if err := f.WriteUnsynced("view.json", []byte(text)); err != nil {
-			t.Fatal(err)
-		}
+		noError(t, f.WriteUnsynced("view.json", []byte(text)))
 		if b, err := os.ReadFile(filepath.Join(path, "view.json")); err != nil || string(b) != text {
 			t.Errorf("%q, %v", b, err)
 		}
@@ -165,9 +157,7 @@
 	}
 	put := func(kind int, version uint64, entries ...Entry) {
 		t.Helper()
-		if err := l.Begin(kind, version); err != nil {
-			t.Fatal(err)
-		}
+		noError(t, l.Begin(kind, version))
 		for _, en := range entries {
 			l.Put(en)
 		}
@@ -194,3 +184,11 @@
 		t.Errorf("entries %v after a full answer", got)
 	}
 }
+
+// noError ends the test if an error has occurred.
+func noError(tb testing.TB, err error) {
+	tb.Helper()
+	if err != nil {
+		tb.Fatal(err)
+	}
+}
--- a/internal/state/format_test.go
+++ b/internal/state/format_test.go
@@ -11,14 +11,12 @@
 // TestFormat1 reads a folder that commit 9c27d6c wrote, and writes the same bytes again.
 func TestFormat1(t *testing.T) {
 	path := t.TempDir()
-	if err := os.CopyFS(path, os.DirFS("testdata/format1")); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, os.CopyFS(path, os.DirFS("testdata/format1")))
 	folder, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer folder.Close()
+	defer func() { noError(t, folder.Close()) }()
 	nodes, err := folder.LoadList()
 	if err != nil {
 		t.Fatal(err)
@@ -30,9 +28,7 @@
 	if nodes.Version != 42 || !slices.Equal(nodes.Entries(), want) {
 		t.Errorf("version %d with %+v, want 42 with %+v", nodes.Version, nodes.Entries(), want)
 	}
-	if err := folder.SaveList(nodes.Encode()); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, folder.SaveList(nodes.Encode()))
 	before, err := os.ReadFile("testdata/format1/nodes")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/state/maintenancestore/store_test.go
+++ b/internal/state/maintenancestore/store_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.Close() })
+	t.Cleanup(func() { noError(t, s.Close()) })
 	return s
 }
 
@@ -36,34 +36,26 @@
 	if _, fresh, err := s.BeginDrain(v, start); !fresh || err != nil {
 		t.Fatal(fresh, err)
 	}
-	if err := s.AdvanceDrain("a", start, Announced, start.Add(time.Second)); err != nil {
-		t.Fatal(err)
-	}
-	s.Close()
+	noError(t, s.AdvanceDrain("a", start, Announced, start.Add(time.Second)))
+	noError(t, s.Close())
 	s = open(t, dir) // as after a kill: Close writes nothing
 	v.Nodes = []string{"7", "8"}
 	b, fresh, err := s.BeginDrain(v, start.Add(time.Minute))
 	if fresh || err != nil || b.Stage != Announced || len(b.Verdict.Nodes) != 1 {
 		t.Errorf("the drain begins twice or has changed: %+v, %t, %v", b, fresh, err)
 	}
-	if err := s.AdvanceDrain("a", start, Opened, start); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, s.AdvanceDrain("a", start, Opened, start))
 	if all, err := s.UnfinishedDrains(); err != nil || len(all) != 1 || all[0].Stage != Announced {
 		t.Errorf("%+v, %v", all, err)
 	}
 	if err := s.AdvanceDrain("b", start, Closed, start); !errors.Is(err, ErrNotFound) {
 		t.Errorf("a drain that was never begun: %v", err)
 	}
-	if err := s.AdvanceDrain("a", start, Closed, start.Add(time.Hour)); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, s.AdvanceDrain("a", start, Closed, start.Add(time.Hour)))
 	if all, _ := s.UnfinishedDrains(); len(all) != 0 {
 		t.Errorf("closed, but unfinished: %+v", all)
 	}
-	if err := s.DeleteClosed(start.Add(2 * time.Hour)); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, s.DeleteClosed(start.Add(2*time.Hour)))
 	if all, _ := s.Drains(); len(all) != 0 {
 		t.Errorf("not deleted: %+v", all)
 	}
@@ -79,12 +71,8 @@
 	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("d"), bad}}, start); err == nil {
 		t.Error("a malformed window is accepted")
 	}
-	if err := s.CancelWindow("a", time.Time{}, start); err != nil {
-		t.Fatal(err)
-	}
-	if err := s.CancelWindow("b", start.AddDate(0, 0, 1), start); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, s.CancelWindow("a", time.Time{}, start))
+	noError(t, s.CancelWindow("b", start.AddDate(0, 0, 1), start))
 	if err := s.CancelWindow("z", time.Time{}, start); !errors.Is(err, ErrNotFound) {
 		t.Errorf("a window that does not exist: %v", err)
 	}
@@ -101,22 +89,34 @@
 		want   error
 	}{
 		{"held", func(t *testing.T, path string) {
+			t.Helper()
 			db, err := bbolt.Open(path, 0o600, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { db.Close() })
+			t.Cleanup(func() { noError(t, db.Close()) })
 		}, ErrLocked},
-		{"not a store", func(t *testing.T, path string) { write(t, path, []byte(strings.Repeat("no store ", 9000))) }, ErrDamaged},
-		{"torn", func(t *testing.T, path string) {
+		{"not a store", func(t *testing.T, path string) {
+			t.Helper()
+			write(t, path, []byte(strings.Repeat("no store ", 9000)))
+		}, ErrDamaged},
+		{"cut off", func(t *testing.T, path string) {
+			t.Helper()
 			text, _ := os.ReadFile(path)
 			write(t, path, text[:5000])
 		}, ErrDamaged},
-		{"later version", func(t *testing.T, path string) { put(t, path, []byte("meta"), []byte("format"), []byte{Format + 1}) }, ErrNewer},
+		{"later version", func(t *testing.T, path string) {
+			t.Helper()
+			put(t, path, []byte("meta"), []byte("format"), []byte{Format + 1})
+		}, ErrNewer},
 		{"a malformed drain", func(t *testing.T, path string) {
+			t.Helper()
 			put(t, path, drainBucket, []byte("x"), []byte(`{"Stage":9}`))
 		}, ErrDamaged},
-		{"a malformed event", func(t *testing.T, path string) { put(t, path, eventBucket, []byte("x"), []byte("y")) }, ErrDamaged},
+		{"a malformed event", func(t *testing.T, path string) {
+			t.Helper()
+			put(t, path, eventBucket, []byte("x"), []byte("y"))
+		}, ErrDamaged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -124,12 +124,12 @@
 			if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("a")}}, start); err != nil {
 				t.Fatal(err)
 			}
-			s.Close()
+			noError(t, s.Close())
 			c.damage(t, filepath.Join(dir, "drains.db"))
 			if s, err := Open(dir); !errors.Is(err, c.want) {
 				t.Errorf("%v, want %v", err, c.want)
 				if err == nil {
-					s.Close()
+					noError(t, s.Close())
 				}
 			}
 		})
@@ -138,9 +138,7 @@
 
 func write(t *testing.T, path string, text []byte) {
 	t.Helper()
-	if err := os.WriteFile(path, text, 0o600); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, os.WriteFile(path, text, 0o600))
 }
 
 // put writes a record past the store.
@@ -150,10 +148,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer db.Close()
-	if err := db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(key, value) }); err != nil {
-		t.Fatal(err)
-	}
+	defer func() { noError(t, db.Close()) }()
+	noError(t, db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(key, value) }))
 }
 
 func TestCopyTo(t *testing.T) {
@@ -162,9 +158,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if err := s.CopyTo(filepath.Join(dir, "drains.db")); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, s.CopyTo(filepath.Join(dir, "drains.db")))
 	if c, err := open(t, dir).Calendar(); err != nil || len(c.Windows) != 1 {
 		t.Errorf("%+v, %v", c, err)
 	}
@@ -178,23 +172,27 @@
 		t.Fatalf("%v, %v in a store that has none", published, err)
 	}
 	measured.Add(start, 0.5, 0.5)
-	if err := errors.Join(s.SaveMeasuredLoad(measured), s.PublishLoad(measured.Table()), s.Close()); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, errors.Join(s.SaveMeasuredLoad(measured), s.PublishLoad(measured.Table()), s.Close()))
 	s = open(t, dir)
 	again, published, err := s.Loads()
 	if err != nil || *again != *measured || *published != *measured.Table() {
 		t.Errorf("not the same, %v", err)
 	}
-	if err := s.PublishLoad(nil); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, s.PublishLoad(nil))
 	if _, published, err = s.Loads(); err != nil || published != nil {
 		t.Errorf("still published: %v", err)
 	}
-	s.Close()
+	noError(t, s.Close())
 	put(t, filepath.Join(dir, "drains.db"), loadBucket, measuredKey, []byte("short"))
 	if _, err := Open(dir); !errors.Is(err, ErrDamaged) {
 		t.Errorf("%v, want damaged", err)
 	}
 }
+
+// noError ends the test if an error has occurred.
+func noError(tb testing.TB, err error) {
+	tb.Helper()
+	if err != nil {
+		tb.Fatal(err)
+	}
+}
--- a/internal/state/raftstore/format_test.go
+++ b/internal/state/raftstore/format_test.go
@@ -23,14 +23,12 @@
 // TestFormat1 opens a voter's store that commit 9c27d6c wrote, and starts a replica on it.
 func TestFormat1(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.CopyFS(dir, os.DirFS("testdata/format1")); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, os.CopyFS(dir, os.DirFS("testdata/format1")))
 	s, err := Open(dir, "main-campus")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer func() { noError(t, s.Close()) }()
 	saved, err := s.Load()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/state/raftstore/raftstore_test.go
+++ b/internal/state/raftstore/raftstore_test.go
@@ -14,65 +14,76 @@
 	"ravenpond/internal/state/bolt"
 )
 
-// TestSave saves at random, with the store closed and opened in between, and compares it with a plain list.
+// model is what a store should hold.
+type model struct {
+	hard, snapshot string
+	first          uint64   // index of the first log entry
+	log            []string // entry first+i
+}
+
+// save is the arguments of one call of Save.
+type save struct {
+	hard, snapshot []byte
+	from, held     uint64
+	entries        [][]byte
+}
+
+// draw draws the n-th save and applies it to the model.
+func (m *model) draw(t *rapid.T, n int) (w save) {
+	if rapid.Bool().Draw(t, "entries") {
+		w.from = m.first + rapid.Uint64Range(0, uint64(len(m.log))).Draw(t, "from")
+		m.log = m.log[:w.from-m.first]
+		for i := range rapid.IntRange(0, 4).Draw(t, "number") {
+			entry := fmt.Sprintf("%d.%d", n, i)
+			w.entries = append(w.entries, []byte(entry))
+			m.log = append(m.log, entry)
+		}
+	}
+	if rapid.Bool().Draw(t, "hard") {
+		m.hard = fmt.Sprint("hard ", n)
+		w.hard = []byte(m.hard)
+	}
+	if rapid.Bool().Draw(t, "snapshot") {
+		m.snapshot = fmt.Sprint("snapshot ", n)
+		w.snapshot = []byte(m.snapshot)
+		w.held = m.first - 1 + rapid.Uint64Range(0, uint64(len(m.log))).Draw(t, "held")
+		m.log = slices.Clone(m.log[w.held+1-m.first:])
+		m.first = w.held + 1
+	}
+	return w
+}
+
+// expect compares a store with the model.
+func (m *model) expect(t *rapid.T, s *Store) {
+	got, err := s.Load()
+	var texts []string
+	for _, e := range got.Entries {
+		texts = append(texts, string(e))
+	}
+	if err != nil || string(got.Hard) != m.hard || string(got.Snapshot) != m.snapshot || !slices.Equal(texts, m.log) {
+		t.Fatalf("%q %q %q, want %q %q %q, %v", got.Hard, got.Snapshot, texts, m.hard, m.snapshot, m.log, err)
+	}
+}
+
+// TestSave saves at random, with the store closed and opened in between, and compares it with a model.
 func TestSave(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "council")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer os.RemoveAll(dir)
+		noError(t, err)
+		defer func() { noError(t, os.RemoveAll(dir)) }()
 		s, err := Open(dir, "lab")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer func() { s.Close() }()
-		var log []string // entry first+i
-		first, hard, snapshot := uint64(2), "", ""
+		noError(t, err)
+		defer func() { noError(t, s.Close()) }()
+		m := &model{first: 2}
 		for n := range rapid.IntRange(1, 12).Draw(t, "saves") {
-			from, held := uint64(0), uint64(0)
-			var entries [][]byte
-			var h, snap []byte
-			if rapid.Bool().Draw(t, "entries") {
-				from = first + rapid.Uint64Range(0, uint64(len(log))).Draw(t, "from")
-				for i := range rapid.IntRange(0, 4).Draw(t, "number") {
-					entries = append(entries, fmt.Appendf(nil, "%d.%d", n, i))
-				}
-				log = log[:from-first]
-				for _, e := range entries {
-					log = append(log, string(e))
-				}
-			}
-			if rapid.Bool().Draw(t, "hard") {
-				hard = fmt.Sprint("hard ", n)
-				h = []byte(hard)
-			}
-			if rapid.Bool().Draw(t, "snapshot") {
-				snapshot = fmt.Sprint("snapshot ", n)
-				snap = []byte(snapshot)
-				held = first - 1 + rapid.Uint64Range(0, uint64(len(log))).Draw(t, "held")
-				log = slices.Clone(log[held+1-first:])
-				first = held + 1
-			}
-			if err := s.Save(h, from, entries, snap, held); err != nil {
-				t.Fatal(err)
-			}
+			w := m.draw(t, n)
+			noError(t, s.Save(w.hard, w.from, w.entries, w.snapshot, w.held))
 			if rapid.Bool().Draw(t, "again") {
-				if err := s.Close(); err != nil {
-					t.Fatal(err)
-				}
-				if s, err = Open(dir, "lab"); err != nil {
-					t.Fatal(err)
-				}
-			}
-			got, err := s.Load()
-			var texts []string
-			for _, e := range got.Entries {
-				texts = append(texts, string(e))
-			}
-			if err != nil || string(got.Hard) != hard || string(got.Snapshot) != snapshot || !slices.Equal(texts, log) {
-				t.Fatalf("%q %q %q, want %q %q %q, %v", got.Hard, got.Snapshot, texts, hard, snapshot, log, err)
+				noError(t, s.Close())
+				s, err = Open(dir, "lab")
+				noError(t, err)
 			}
+			m.expect(t, s)
 		}
 	})
 }
@@ -83,10 +94,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Save(nil, 2, [][]byte{[]byte("x")}, nil, 0); err != nil {
-		t.Fatal(err)
-	}
-	s.Close()
+	noError(t, s.Save(nil, 2, [][]byte{[]byte("x")}, nil, 0))
+	noError(t, s.Close())
 	if _, err := Open(dir, "another"); err == nil || !strings.Contains(err.Error(), `site "lab"`) {
 		t.Errorf("another site's: %v", err)
 	}
@@ -98,10 +107,20 @@
 	for i := 4096; i < len(text); i += 7 {
 		text[i] ^= 0x55
 	}
-	if err := os.WriteFile(path, text, 0o600); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, os.WriteFile(path, text, 0o600))
 	if _, err := Open(dir, "lab"); !errors.Is(err, bolt.ErrDamaged) {
 		t.Errorf("damaged: %v", err)
 	}
 }
+
+// noError ends the test if an error has occurred.
+func noError(t interface {
+	Helper()
+	Fatal(args ...any)
+}, err error,
+) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/state/tenants/copy_test.go
+++ b/internal/state/tenants/copy_test.go
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		do(c)
-		c.Close()
+		noError(t, c.Close())
 	}
 	same := func(c *Store) {
 		t.Helper()
@@ -35,25 +35,21 @@
 			t.Fatal(err)
 		}
 		if who, ok := c.TokenVerifier(st.Tokens)(now, shown); !ok || who != "a" {
-			t.Error("the token is not good there")
+			t.Error("the copy does not have the token")
 		}
 		mine, _ := s.Fingerprint()
 		if theirs, _ := c.Fingerprint(); theirs != mine {
-			t.Errorf("stamps %x and %x", theirs, mine)
+			t.Errorf("fingerprints %x and %x", theirs, mine)
 		}
 		if err := c.Records(0, func(uint64, Record) error { return nil }); err != nil {
 			t.Error(err)
 		}
 	}
-	if err := s.CopyTo(to); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, s.CopyTo(to))
 	in(same)
 	_, _, _ = s.Apply(now, "me", "", tenancy.Change{Kind: tenancy.Remove, Name: "a"})
-	if err := s.CopyTo(to); err != nil {
-		t.Fatal(err)
-	}
-	in(func(c *Store) { // its process ends the removal, then another change is put there: as many changes, another state
+	noError(t, s.CopyTo(to))
+	in(func(c *Store) { // its process finishes the removal, then a copy with another change replaces it: as many changes, another state
 		if ok, err := c.FinishRemoval(now, "a"); !ok || err != nil {
 			t.Error(ok, err)
 		}
@@ -61,19 +57,17 @@
 	_, _, _ = s.Apply(now, "me", "", add("b"))
 	var before uint64
 	in(func(c *Store) { before, _ = c.Fingerprint() })
-	if err := s.CopyTo(to); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, s.CopyTo(to))
 	in(func(c *Store) {
 		if after, _ := c.Fingerprint(); after == before {
-			t.Error("the process there would not see the change")
+			t.Error("the process of the copy would not see the change")
 		}
 		st, _ := c.Read()
 		if a, _ := st.Tenants.Get("a"); a.State != tenancy.Removing {
 			t.Errorf("%v", a.State)
 		}
 		if _, ok := st.Tenants.Get("b"); !ok {
-			t.Error("b is not there")
+			t.Error("the copy does not have b")
 		}
 	})
 }
@@ -83,14 +77,10 @@
 	from := t.TempDir()
 	s := open(t, from)
 	foreign, held, keyless := t.TempDir(), t.TempDir(), t.TempDir()
-	open(t, foreign).Close()
-	if err := s.CopyTo(held); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, open(t, foreign).Close())
+	noError(t, s.CopyTo(held))
 	open(t, held)
-	if err := os.WriteFile(storePath(keyless), []byte("something"), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, os.WriteFile(storePath(keyless), []byte("something"), 0o600))
 	for _, c := range []struct {
 		name, folder string
 		want         error
--- a/internal/state/tenants/open_bench_test.go
+++ b/internal/state/tenants/open_bench_test.go
@@ -16,36 +16,36 @@
 	for _, n := range []int{20, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
-			s, err := Open(dir, n)
-			if err != nil {
-				b.Fatal(err)
-			}
-			for i := range n {
-				if _, fault, err := s.Apply(time.Now(), "b", "", tenancy.Change{
-					Kind: tenancy.Add, Name: fmt.Sprint("t", i),
-					Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1}},
-				}); fault != nil || err != nil {
-					b.Fatal(fault, err)
-				}
-			}
-			s.Close()
-			files, _ := filepath.Glob(filepath.Join(dir, "*.db"))
-			for _, f := range files {
-				at := time.Now().Add(-time.Minute)
-				if err := os.Chtimes(f, at, at); err != nil {
-					b.Fatal(err)
-				}
-			}
+			fill(b, dir, n)
 			for b.Loop() {
 				s, err := Open(dir, n)
-				if err != nil {
-					b.Fatal(err)
-				}
-				if _, err := s.ChangeCount(); err != nil {
-					b.Fatal(err)
-				}
-				s.Close()
+				noError(b, err)
+				_, err = s.ChangeCount()
+				noError(b, err)
+				noError(b, s.Close())
 			}
 		})
 	}
 }
+
+// fill makes a store of n tenants that was last written a minute ago.
+func fill(b *testing.B, dir string, n int) {
+	b.Helper()
+	s, err := Open(dir, n)
+	noError(b, err)
+	for i := range n {
+		if _, fault, err := s.Apply(time.Now(), "b", "", tenancy.Change{
+			Kind: tenancy.Add, Name: fmt.Sprint("t", i),
+			Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1}},
+		}); fault != nil || err != nil {
+			b.Fatal(fault, err)
+		}
+	}
+	noError(b, s.Close())
+	files, err := filepath.Glob(filepath.Join(dir, "*.db"))
+	noError(b, err)
+	at := time.Now().Add(-time.Minute)
+	for _, f := range files {
+		noError(b, os.Chtimes(f, at, at))
+	}
+}
--- a/internal/state/tenants/registry.go
+++ b/internal/state/tenants/registry.go
@@ -150,10 +150,13 @@
 }
 
 func expireResponses(requests *bbolt.Bucket, now time.Time) error {
-	return deleteMatching(requests, maxExpired, func(_, v []byte) (bool, error) {
-		var r response
-		return json.Unmarshal(v, &r) != nil || now.Sub(r.At) > responseRetention, nil
-	})
+	return deleteMatching(requests, maxExpired, func(_, text []byte) (bool, error) { return isExpired(text, now), nil })
+}
+
+// isExpired reports whether a stored response is old enough to be deleted, or malformed.
+func isExpired(text []byte, now time.Time) bool {
+	var r response
+	return json.Unmarshal(text, &r) != nil || now.Sub(r.At) > responseRetention
 }
 
 // FinishRemoval ends the removal of a tenant of which nothing is left at any process, and deletes its tokens. It returns false if no removal
--- a/internal/state/tenants/store_test.go
+++ b/internal/state/tenants/store_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.Close() })
+	t.Cleanup(func() { noError(t, s.Close()) })
 	return s
 }
 
@@ -39,7 +39,7 @@
 		t.Fatal(fault, err)
 	}
 	_, _, _ = s.Apply(now, "me", "", tenancy.Change{Kind: tenancy.Pause, Name: "a"})
-	s.Close()
+	noError(t, s.Close())
 	s = open(t, dir) // as after a kill: Close writes nothing
 	if again, fault, err := s.Apply(now, "me", "r1", add("a")); again != first || fault != nil || err != nil {
 		t.Errorf("requested again: %+v, %v, %v", again, fault, err)
@@ -101,9 +101,7 @@
 			t.Error("the secret is stored")
 		}
 	}
-	if err := s.RevokeToken(now, "me", shown[:12]); err != nil {
-		t.Fatal(err)
-	}
+	noError(t, s.RevokeToken(now, "me", shown[:12]))
 	if err := s.RevokeToken(now, "me", shown[:12]); !errors.Is(err, ErrUnknownToken) {
 		t.Error(err)
 	}
@@ -145,9 +143,7 @@
 					t.Fatal(fault, err)
 				}
 			}
-			if err := s.db.Update(c.damage); err != nil {
-				t.Fatal(err)
-			}
+			noError(t, s.db.Update(c.damage))
 			n := 0
 			err := s.Records(2, func(uint64, Record) error { n++; return nil })
 			if errors.Is(err, ErrTampered) != c.bad || !c.bad && (err != nil || n != 2) {
@@ -168,7 +164,7 @@
 			if err != nil {
 				return err
 			}
-			defer db.Close()
+			defer func() { noError(t, db.Close()) }()
 			return db.Update(func(tx *bbolt.Tx) error {
 				return tx.Bucket(tenantBucket).Put([]byte("z"), []byte(`{"Name":"z","Slot":99}`))
 			})
@@ -177,14 +173,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			s := open(t, dir)
-			s.Close()
-			if err := c.damage(dir); err != nil {
-				t.Fatal(err)
-			}
+			noError(t, s.Close())
+			noError(t, c.damage(dir))
 			if s, err := Open(dir, 4); err == nil {
-				s.Close()
+				noError(t, s.Close())
 				t.Error("opened")
 			}
 		})
 	}
 }
+
+// noError ends the test if an error has occurred.
+func noError(tb testing.TB, err error) {
+	tb.Helper()
+	if err != nil {
+		tb.Fatal(err)
+	}
+}
