--- a/internal/decide/calendar/calendar_test.go
+++ b/internal/decide/calendar/calendar_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -42,96 +43,101 @@
 	return Window{ID: id, Scope: reach, Target: place, Start: start, Duration: 2 * time.Hour, Slack: slack, Priority: priority}
 }
 
-func TestVerdicts(t *testing.T) {
-	for _, c := range []struct {
-		name    string
-		cal     Calendar
-		load    func(*Load)
-		want    string // window, outcome and minutes late, in order of nominal start
-		because string
-	}{
-		{"one", Calendar{Windows: []Window{win("a", "c0", at(0, 10, 0), 0, 0)}}, nil, "a kept 0", ""},
-		{
-			"two that are too much for their zone",
-			Calendar{Windows: []Window{
-				win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 11, 0), 0, 0),
-			}},
-			nil,
-			"a kept 0, b refused 0", "33% of the fleet would be out",
-		},
-		{
-			"the later one has slack",
-			Calendar{Windows: []Window{
-				win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 11, 0), 3*time.Hour, 0),
-			}},
-			nil,
-			"a kept 0, b postponed 75", "33% of the fleet would be out",
-		},
-		{
-			"the later one has priority",
-			Calendar{Windows: []Window{
-				win("a", "c0", at(0, 10, 0), 4*time.Hour, 0), win("b", "c1", at(0, 11, 0), 0, 5),
-			}},
-			nil,
-			"a postponed 195, b kept 0", "33% of the fleet would be out",
-		},
-		{
-			"back to back, closer than the guard",
-			Calendar{Windows: []Window{
-				win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 12, 0), time.Hour, 0),
-			}},
-			nil,
-			"a kept 0, b postponed 15", "",
-		},
-		{
-			"five at once",
-			Calendar{Windows: []Window{
-				win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c2", at(0, 10, 0), 0, 0),
-				win("c", "c4", at(0, 10, 0), 0, 0), win("d", "c1", at(0, 10, 0), 9*time.Hour, 0), win("e", "c3", at(0, 10, 0), 0, 9),
-			}},
-			nil,
-			"a refused 0, b refused 0, c refused 0, d postponed 135, e kept 0", "of the fleet would be out",
-		},
-		{
-			"the last of a kind",
-			Calendar{Windows: []Window{
-				win("a", "n00", at(0, 10, 0), 0, 0), win("b", "n12", at(0, 10, 0), 0, 0),
-			}},
-			nil,
-			"a kept 0, b refused 0", "100% of machine kind rare",
-		},
-		{
-			"on a deadline",
-			Calendar{
-				Windows:   []Window{win("a", "c0", at(6, 20, 0), 5*time.Hour, 0)},
-				Protected: []ProtectedTime{{ID: "contest", Start: at(6, 21, 0), Duration: time.Hour, Lead: 2 * time.Hour, Tail: 30 * time.Minute}},
-			},
-			nil,
-			"a postponed 165", "contest is protected from Sun 8 Mar 19:00",
+// verdictCase is a calendar and the verdicts on its occurrences.
+type verdictCase struct {
+	name    string
+	cal     Calendar
+	load    func(*Load)
+	want    string // window, outcome and minutes late, in order of nominal start
+	because string
+}
+
+var verdictCases = []verdictCase{
+	{"one", Calendar{Windows: []Window{win("a", "c0", at(0, 10, 0), 0, 0)}}, nil, "a kept 0", ""},
+	{
+		"two that are too much for their zone",
+		Calendar{Windows: []Window{
+			win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 11, 0), 0, 0),
+		}},
+		nil,
+		"a kept 0, b refused 0", "33% of the fleet would be out",
+	},
+	{
+		"the later one has slack",
+		Calendar{Windows: []Window{
+			win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 11, 0), 3*time.Hour, 0),
+		}},
+		nil,
+		"a kept 0, b postponed 75", "33% of the fleet would be out",
+	},
+	{
+		"the later one has priority",
+		Calendar{Windows: []Window{
+			win("a", "c0", at(0, 10, 0), 4*time.Hour, 0), win("b", "c1", at(0, 11, 0), 0, 5),
+		}},
+		nil,
+		"a postponed 195, b kept 0", "33% of the fleet would be out",
+	},
+	{
+		"back to back, closer than the guard",
+		Calendar{Windows: []Window{
+			win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c1", at(0, 12, 0), time.Hour, 0),
+		}},
+		nil,
+		"a kept 0, b postponed 15", "",
+	},
+	{
+		"five at once",
+		Calendar{Windows: []Window{
+			win("a", "c0", at(0, 10, 0), 0, 0), win("b", "c2", at(0, 10, 0), 0, 0),
+			win("c", "c4", at(0, 10, 0), 0, 0), win("d", "c1", at(0, 10, 0), 9*time.Hour, 0), win("e", "c3", at(0, 10, 0), 0, 9),
+		}},
+		nil,
+		"a refused 0, b refused 0, c refused 0, d postponed 135, e kept 0", "of the fleet would be out",
+	},
+	{
+		"the last of a kind",
+		Calendar{Windows: []Window{
+			win("a", "n00", at(0, 10, 0), 0, 0), win("b", "n12", at(0, 10, 0), 0, 0),
+		}},
+		nil,
+		"a kept 0, b refused 0", "100% of machine kind rare",
+	},
+	{
+		"on a deadline",
+		Calendar{
+			Windows:   []Window{win("a", "c0", at(6, 20, 0), 5*time.Hour, 0)},
+			Protected: []ProtectedTime{{ID: "contest", Start: at(6, 21, 0), Duration: time.Hour, Lead: 2 * time.Hour, Tail: 30 * time.Minute}},
 		},
-		{"no room at that hour", Calendar{Windows: []Window{win("a", "c0", at(0, 10, 0), 3*time.Hour, 0)}}, func(l *Load) {
-			for i := range 24 * 7 {
-				part := 0.3
-				if i == 11 {
-					part = 0.8
-				}
-				l.Add(monday.Add(time.Duration(i)*time.Hour), part, 0.3)
+		nil,
+		"a postponed 165", "contest is protected from Sun 8 Mar 19:00",
+	},
+	{"no room at that hour", Calendar{Windows: []Window{win("a", "c0", at(0, 10, 0), 3*time.Hour, 0)}}, func(l *Load) {
+		for i := range 24 * 7 {
+			part := 0.3
+			if i == 11 {
+				part = 0.8
 			}
-		}, "a postponed 135", "on Mon 2 Mar 11:00 usually"},
-		{
-			"too many cold at once",
-			Calendar{Windows: []Window{
-				win("a", "c0", at(0, 10, 0), 0, 0), {ID: "b", Scope: Cell, Target: "c2", Start: at(0, 11, 0), Duration: time.Hour},
-			}},
-			nil,
-			"a kept 0, b refused 0", "of the fleet",
-		},
-		{"a place that is not there", Calendar{Windows: []Window{win("a", "c99", at(0, 10, 0), 0, 0)}}, nil, "a kept 0", ""},
-		{"cancelled", Calendar{Windows: []Window{{
-			ID: "a", Scope: Cell, Target: "c0", Start: at(0, 10, 0), Duration: time.Hour,
-			Rule: "FREQ=DAILY;COUNT=3", Exceptions: []time.Time{at(1, 10, 0)},
-		}}}, nil, "a kept 0, a kept 0", ""},
-	} {
+			l.Add(monday.Add(time.Duration(i)*time.Hour), part, 0.3)
+		}
+	}, "a postponed 135", "on Mon 2 Mar 11:00 usually"},
+	{
+		"too many cold at once",
+		Calendar{Windows: []Window{
+			win("a", "c0", at(0, 10, 0), 0, 0), {ID: "b", Scope: Cell, Target: "c2", Start: at(0, 11, 0), Duration: time.Hour},
+		}},
+		nil,
+		"a kept 0, b refused 0", "of the fleet",
+	},
+	{"a place that is not there", Calendar{Windows: []Window{win("a", "c99", at(0, 10, 0), 0, 0)}}, nil, "a kept 0", ""},
+	{"cancelled", Calendar{Windows: []Window{{
+		ID: "a", Scope: Cell, Target: "c0", Start: at(0, 10, 0), Duration: time.Hour,
+		Rule: "FREQ=DAILY;COUNT=3", Exceptions: []time.Time{at(1, 10, 0)},
+	}}}, nil, "a kept 0, a kept 0", ""},
+}
+
+func TestVerdicts(t *testing.T) {
+	for _, c := range verdictCases {
 		t.Run(c.name, func(t *testing.T) {
 			if err := c.cal.Check(); err != nil {
 				t.Fatal(err)
@@ -229,57 +235,69 @@
 	}
 }
 
-// TestNeverTooMuch draws calendars: what is kept or postponed never breaks a limit at any minute, by clocks that
-// are off by the guard either way, and the verdicts do not depend on the time that is asked for.
-func TestNeverTooMuch(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var cal Calendar
-		for i := range rapid.IntRange(1, 14).Draw(t, "windows") {
-			place := rapid.SampledFrom([]string{"n00", "n12", "n09", "c0", "c1", "c2", "c3", "c4", "c5", "z0", "z2"}).Draw(t, "place")
-			w := win(fmt.Sprint("w", i), place, at(rapid.IntRange(0, 8).Draw(t, "day"), rapid.IntRange(0, 23).Draw(t, "h"),
-				15*rapid.IntRange(0, 3).Draw(t, "m")), time.Duration(rapid.IntRange(0, 12).Draw(t, "slack"))*time.Hour,
-				rapid.IntRange(0, 2).Draw(t, "priority"))
-			w.Lead = time.Duration(rapid.IntRange(0, 60).Draw(t, "lead")) * time.Minute
-			w.Rule = rapid.SampledFrom([]string{"", "FREQ=DAILY;COUNT=4", "FREQ=WEEKLY;COUNT=3"}).Draw(t, "rule")
-			cal.Windows = append(cal.Windows, w)
+// drawCalendar draws windows, with a weekly protected time.
+func drawCalendar(t *rapid.T) *Calendar {
+	cal := &Calendar{}
+	for i := range rapid.IntRange(1, 14).Draw(t, "windows") {
+		place := rapid.SampledFrom([]string{"n00", "n12", "n09", "c0", "c1", "c2", "c3", "c4", "c5", "z0", "z2"}).Draw(t, "place")
+		w := win(fmt.Sprint("w", i), place, at(rapid.IntRange(0, 8).Draw(t, "day"), rapid.IntRange(0, 23).Draw(t, "h"),
+			15*rapid.IntRange(0, 3).Draw(t, "m")), time.Duration(rapid.IntRange(0, 12).Draw(t, "slack"))*time.Hour,
+			rapid.IntRange(0, 2).Draw(t, "priority"))
+		w.Lead = time.Duration(rapid.IntRange(0, 60).Draw(t, "lead")) * time.Minute
+		w.Rule = rapid.SampledFrom([]string{"", "FREQ=DAILY;COUNT=4", "FREQ=WEEKLY;COUNT=3"}).Draw(t, "rule")
+		cal.Windows = append(cal.Windows, w)
+	}
+	cal.Protected = []ProtectedTime{{ID: "deadline", Start: at(6, 12, 0), Duration: 12 * time.Hour, Rule: "FREQ=WEEKLY", Lead: time.Hour}}
+	return cal
+}
+
+// unavailable returns the nodes that are out at a time, with the clock guard on both sides.
+func unavailable(verdicts []Verdict, m time.Time) map[string]bool {
+	out := map[string]bool{}
+	for _, v := range verdicts {
+		if v.Outcome != Refused && !m.Before(v.DrainStart.Add(-limits.ClockGuard)) && m.Before(v.End.Add(limits.ClockGuard)) {
+			for _, n := range v.Nodes {
+				out[n] = true
+			}
+		}
+	}
+	return out
+}
+
+// expectWithinLimits checks the nodes that are out at a time.
+func expectWithinLimits(t *rapid.T, m time.Time, out map[string]bool) {
+	zones, kinds := map[string]int{}, map[string]int{}
+	for _, n := range fleet() {
+		if out[n.ID] {
+			zones[n.Zone]++
+			kinds[n.Kind]++
 		}
-		cal.Protected = []ProtectedTime{{ID: "deadline", Start: at(6, 12, 0), Duration: 12 * time.Hour, Rule: "FREQ=WEEKLY", Lead: time.Hour}}
-		end, nodes := monday.AddDate(0, 0, 30), fleet()
-		all := Plan(&cal, fleet(), limits, nil, monday, end)
+	}
+	if len(out) > 6 || zones["z0"] > 4 || zones["z1"] > 4 || zones["z2"] > 4 || kinds["rare"] > 1 {
+		t.Fatalf("%s: %v out", m, out)
+	}
+	if h := m.Sub(at(6, 11, 0)) % (7 * 24 * time.Hour); len(out) > 0 && h >= 0 && h < 13*time.Hour {
+		t.Fatalf("%s: %v out at the deadline", m, out)
+	}
+}
+
+// TestLimits draws calendars: what is kept or postponed never breaks a limit at any minute, by clocks that are off by the guard either way,
+// and the verdicts do not depend on the range that is asked for.
+func TestLimits(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		cal := drawCalendar(t)
+		end := monday.AddDate(0, 0, 30)
+		all := Plan(cal, fleet(), limits, nil, monday, end)
 		for m := monday; m.Before(end); m = m.Add(15 * time.Minute) {
-			out := map[string]bool{}
-			for _, v := range all {
-				if v.Outcome != Refused && !m.Before(v.DrainStart.Add(-limits.ClockGuard)) && m.Before(v.End.Add(limits.ClockGuard)) {
-					for _, n := range v.Nodes {
-						out[n] = true
-					}
-				}
-			}
-			if len(out) == 0 {
-				continue
-			}
-			zones, kinds := map[string]int{}, map[string]int{}
-			for _, n := range nodes {
-				if out[n.ID] {
-					zones[n.Zone]++
-					kinds[n.Kind]++
-				}
-			}
-			if len(out) > 6 || zones["z0"] > 4 || zones["z1"] > 4 || zones["z2"] > 4 || kinds["rare"] > 1 {
-				t.Fatalf("%s: %v out", m, out)
-			}
-			if h := m.Sub(at(6, 11, 0)) % (7 * 24 * time.Hour); len(out) > 0 && h >= 0 && h < 13*time.Hour {
-				t.Fatalf("%s: %v out at the deadline", m, out)
+			if out := unavailable(all, m); len(out) > 0 {
+				expectWithinLimits(t, m, out)
 			}
 		}
 		from := monday.AddDate(0, 0, rapid.IntRange(0, 9).Draw(t, "from"))
-		part := Plan(&cal, fleet(), limits, nil, from, from.AddDate(0, 0, 3))
-		for _, v := range part {
-			found := false
-			for _, w := range all {
-				found = found || w.Window == v.Window && w.ScheduledStart.Equal(v.ScheduledStart) && w.Outcome == v.Outcome && w.Start.Equal(v.Start)
-			}
-			if !found {
+		for _, v := range Plan(cal, fleet(), limits, nil, from, from.AddDate(0, 0, 3)) {
+			if !slices.ContainsFunc(all, func(w Verdict) bool {
+				return w.Window == v.Window && w.ScheduledStart.Equal(v.ScheduledStart) && w.Outcome == v.Outcome && w.Start.Equal(v.Start)
+			}) {
 				t.Fatalf("asked for from %s: %+v", from, v)
 			}
 		}
--- a/internal/decide/clusterstate/clusterstate_test.go
+++ b/internal/decide/clusterstate/clusterstate_test.go
@@ -11,43 +11,49 @@
 	codec "ravenpond/internal/proto/clusterstate"
 )
 
-// proposer writes commands as processes do.
+// proposer applies commands to a state, each with the next number of its process.
 type proposer struct {
-	t       interface{ Fatalf(string, ...any) }
+	t       *testing.T
 	state   *State
 	numbers map[string]uint64
 	now     float64
 }
 
+// newProposer returns a proposer to a state with one active process in each zone.
 func newProposer(t *testing.T, zones ...string) *proposer {
-	h := &proposer{t: t, state: New(), numbers: map[string]uint64{}, now: 1e6}
+	t.Helper()
+	p := &proposer{t: t, state: New(), numbers: map[string]uint64{}, now: 1e6}
 	for _, z := range zones {
-		h.activate("p-"+z, 1, z)
+		p.activate("p-"+z, 1, z)
 	}
-	return h
+	return p
 }
 
-func (h *proposer) apply(name string, incarnation uint64, change Change) Refusal {
-	h.numbers[name]++
-	c := Command{Proposer: name, Incarnation: incarnation, Number: h.numbers[name], ProposedAt: h.now, Change: change}
-	refused, err := h.state.Apply(h.state.Version()+1, c.Append(nil))
+func (p *proposer) apply(name string, incarnation uint64, change Change) Refusal {
+	p.t.Helper()
+	p.numbers[name]++
+	c := Command{Proposer: name, Incarnation: incarnation, Number: p.numbers[name], ProposedAt: p.now, Change: change}
+	refused, err := p.state.Apply(p.state.Version()+1, c.Append(nil))
 	if err != nil {
-		h.t.Fatalf("%v", err)
+		p.t.Fatalf("%v", err)
 	}
 	return refused
 }
 
-func (h *proposer) activate(name string, incarnation uint64, zone string) Refusal {
-	return h.apply(name, incarnation, Activate{name, zone, "r"})
+func (p *proposer) activate(name string, incarnation uint64, zone string) Refusal {
+	p.t.Helper()
+	return p.apply(name, incarnation, Activate{name, zone, "r"})
 }
 
-func (h *proposer) setZoneState(by, zone string, to ZoneState) Refusal {
-	return h.apply(by, 1, SetZoneState{zone, h.state.Zone(zone).Version, to, "for a test"})
+func (p *proposer) setZoneState(by, zone string, to ZoneState) Refusal {
+	p.t.Helper()
+	return p.apply(by, 1, SetZoneState{zone, p.state.Zone(zone).Version, to, "for a test"})
 }
 
-func (h *proposer) expect(what string, got, want Refusal) {
+func (p *proposer) expect(what string, got, want Refusal) {
+	p.t.Helper()
 	if got != want {
-		h.t.Fatalf("%s: %s, want %s", what, got, want)
+		p.t.Fatalf("%s: %s, want %s", what, got, want)
 	}
 }
 
@@ -59,9 +65,9 @@
 	}
 	h.expect("the same again", h.activate("p-a", 1, "a"), Accepted)
 	if again, _ := h.state.Process("p-a"); again.Epoch != 1 {
-		t.Errorf("an epoch for nothing: %+v", again)
+		t.Errorf("a new epoch without need: %+v", again)
 	}
-	h.expect("a later life", h.activate("p-a", 3, "a"), Accepted)
+	h.expect("a later incarnation", h.activate("p-a", 3, "a"), Accepted)
 	if p, _ = h.state.Process("p-a"); p.Epoch != 3 {
 		t.Errorf("%+v", p)
 	}
@@ -79,15 +85,15 @@
 		t.Fatal(err)
 	}
 	if p, _ = h.state.Process("p-a"); p.Zone != "a" || p.Incarnation != 4 {
-		t.Errorf("an older life has spoken: %+v", p)
+		t.Errorf("a command of an older incarnation has an effect: %+v", p)
 	}
 	if _, err := h.state.Apply(version, nil); err == nil {
 		t.Error("an older version was applied")
 	}
 }
 
-// TestAgain has a command come again: it has no effect, and says what it said.
-func TestAgain(t *testing.T) {
+// TestRepeatedCommand applies a command repeatedly: it has no effect and the same result.
+func TestRepeatedCommand(t *testing.T) {
 	h := newProposer(t, "a", "b")
 	command := Command{Proposer: "p-a", Incarnation: 1, Number: 50, ProposedAt: h.now, Change: SetZoneState{"b", 0, Suspect, "x"}}
 	c := command.Append(nil)
@@ -103,24 +109,24 @@
 	}
 }
 
-func TestVerdicts(t *testing.T) {
+func TestSetZoneState(t *testing.T) {
 	h := newProposer(t, "a", "b")
 	h.expect("closed at once", h.setZoneState("p-a", "b", Closed), InvalidTransition)
 	h.expect("suspect", h.setZoneState("p-a", "b", Suspect), Accepted)
-	h.expect("by one who saw it open", h.apply("p-a", 1, SetZoneState{"b", 0, Suspect, "for a test"}), StaleZoneVersion)
+	h.expect("by a proposer that saw it open", h.apply("p-a", 1, SetZoneState{"b", 0, Suspect, "for a test"}), StaleZoneVersion)
 	h.expect("closed", h.setZoneState("p-a", "b", Closed), Accepted)
 	h.expect("suspect", h.setZoneState("p-b", "a", Suspect), Accepted)
 	h.expect("the last one", h.setZoneState("p-b", "a", Closed), LastOpenZone)
-	h.expect("before its rest is over", h.setZoneState("p-a", "b", Returning), HoldDown)
+	h.expect("before the hold-down is over", h.setZoneState("p-a", "b", Returning), HoldDown)
 	h.now += minHoldDown
 	h.expect("returning", h.setZoneState("p-a", "b", Returning), Accepted)
 	h.expect("open", h.setZoneState("p-a", "b", Open), Accepted)
-	h.expect("a name of its own", h.setZoneState("p-a", "", Suspect), InvalidTransition)
+	h.expect("without a name", h.setZoneState("p-a", "", Suspect), InvalidTransition)
 }
 
-// TestComesAndGoes has a zone be lost and be back each 5 s for ten minutes, each time proposed at once: the rests that double
-// bound the verdicts. Quiet for long, it is forgiven.
-func TestComesAndGoes(t *testing.T) {
+// TestFlappingZone has a zone be lost and be back each 5 s for ten minutes, each change proposed at once: the hold-down that doubles bounds
+// the closings. After a long time without one it is as short as at first.
+func TestFlappingZone(t *testing.T) {
 	h := newProposer(t, "a", "b")
 	closings, from := 0, h.now
 	for ; h.now < from+600e3; h.now += 250 {
@@ -145,14 +151,14 @@
 	h.now += maxHoldDown
 	h.setZoneState("p-a", "b", Returning)
 	h.setZoneState("p-a", "b", Open)
-	for range 100 { // quiet, while the clock goes on
+	for range 100 { // no closing, while the clock goes on
 		h.now += closingDecay / 10
 		h.setZoneState("p-a", "a", []ZoneState{Suspect, Open}[h.state.Zone("a").State])
 	}
 	h.setZoneState("p-a", "b", Suspect)
 	h.setZoneState("p-a", "b", Closed)
 	if z := h.state.Zone("b"); z.ClosedUntil-h.state.Now() != minHoldDown {
-		t.Errorf("not forgiven: rests %g ms, %+v", z.ClosedUntil-h.state.Now(), z)
+		t.Errorf("the hold-down is still %g ms, %+v", z.ClosedUntil-h.state.Now(), z)
 	}
 }
 
@@ -167,12 +173,12 @@
 	h.expect("to itself", plan(Share{"a", "a", 1}), InvalidShare)
 	h.expect("twice", plan(Share{"a", "b", 1}, Share{"a", "b", 1}), InvalidShare)
 	if h.state.Share("a", "c") != 600 {
-		t.Error("a refused plan has changed the one that stands")
+		t.Error("a refused plan has changed the present one")
 	}
 	h.setZoneState("p-b", "a", Suspect)
 	h.setZoneState("p-b", "a", Open)
 	if h.state.Share("a", "c") != 0 {
-		t.Error("something still leaves a zone that is open")
+		t.Error("load still leaves a zone that is open")
 	}
 }
 
@@ -185,68 +191,73 @@
 	if err != nil || !bytes.Equal(again.Snapshot(), text) {
 		t.Errorf("%v", err)
 	}
-	for i := range text { // cut anywhere: refused, or a book that holds
+	for i := range text { // cut off anywhere: refused, or a valid state
 		if b, err := Read(text[:i]); err == nil && b.Check() != nil {
-			t.Errorf("cut at %d: a broken book", i)
+			t.Errorf("cut off at %d: an invalid state", i)
 		}
 	}
 	twice := codec.AppendSnapshot(nil, &codec.Snapshot{Version: 3, LastEpoch: 2, Processes: []codec.Process{
 		{Name: "x", Incarnation: 1, Epoch: 1, Zone: "a"}, {Name: "y", Incarnation: 1, Epoch: 1, Zone: "a"},
 	}})
 	if _, err := Read(twice); !errors.Is(err, ErrInvalid) {
-		t.Errorf("two under one epoch: %v", err)
+		t.Errorf("two processes under one epoch: %v", err)
 	}
 	if _, err := Read([]byte{8, 99}); !errors.Is(err, codec.ErrNewer) {
-		t.Errorf("a later form: %v", err)
+		t.Errorf("a later format: %v", err)
 	}
 }
 
-// TestRandom drives the book by random commands, some of them damaged: what must hold holds after each, epochs only grow, the
-// same commands give the same bytes, and a snapshot in between changes nothing.
+// draw draws an encoded command for a state; it may be malformed.
+func draw(t *rapid.T, state *State, now float64) []byte {
+	names, zones := []string{"p", "q", "r"}, []string{"a", "b", "c"}
+	c := codec.Command{Region: "r"}
+	c.Kind = rapid.SampledFrom([]codec.CommandKind{
+		codec.CommandActivate, codec.CommandActivate, codec.CommandDeactivate, codec.CommandSetZoneState, codec.CommandSetZoneState, codec.CommandSetPlan,
+		77, // unknown
+	}).Draw(t, "kind")
+	c.Proposer, c.Subject = rapid.SampledFrom(names).Draw(t, "by"), rapid.SampledFrom(append(names, zones...)).Draw(t, "subject")
+	c.Epoch = rapid.Uint64Range(0, 9).Draw(t, "epoch")
+	if c.Kind == codec.CommandSetZoneState && rapid.Bool().Draw(t, "seen") {
+		c.Epoch = state.Zone(c.Subject).Version
+	}
+	if c.Kind == codec.CommandActivate && rapid.Bool().Draw(t, "own") {
+		c.Subject = c.Proposer
+	}
+	c.ProposedAt = rapid.SampledFrom([]float64{now, now, now, 0, math.Inf(1), math.NaN(), 1e300}).Draw(t, "at")
+	c.Incarnation, c.Number = rapid.Uint64Range(0, 4).Draw(t, "incarnation"), rapid.Uint64Range(0, 30).Draw(t, "number")
+	c.Zone, c.State = rapid.SampledFrom(zones).Draw(t, "zone"), rapid.Uint32Range(0, 5).Draw(t, "state")
+	for range rapid.IntRange(0, 3).Draw(t, "shares") {
+		c.Shares = append(c.Shares, codec.Share{
+			From: rapid.SampledFrom(zones).Draw(t, "from"), To: rapid.SampledFrom(zones).Draw(t, "to"), Cores: rapid.Uint32Range(0, 900).Draw(t, "cores"),
+		})
+	}
+	b := codec.AppendCommand(nil, &c)
+	if rapid.IntRange(0, 9).Draw(t, "damaged") == 0 && len(b) > 0 {
+		b[rapid.IntRange(0, len(b)-1).Draw(t, "where")] ^= byte(rapid.IntRange(1, 255).Draw(t, "how"))
+	}
+	return b
+}
+
+// TestRandom applies random commands, some of them malformed: the invariants hold after each, epochs only grow, the same commands give the
+// same bytes, and a snapshot in between changes nothing.
 func TestRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, two := New(), New()
-		names, zones := []string{"p", "q", "r"}, []string{"a", "b", "c"}
 		last, now := uint64(0), 1e6
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			now += rapid.Float64Range(-1000, 20000).Draw(t, "passes")
-			kind := rapid.SampledFrom([]codec.CommandKind{codec.CommandActivate, codec.CommandActivate, codec.CommandDeactivate, codec.CommandSetZoneState, codec.CommandSetZoneState, codec.CommandSetPlan, 77}).Draw(t, "kind")
-			name, subject := rapid.SampledFrom(names).Draw(t, "by"), rapid.SampledFrom(append(names, zones...)).Draw(t, "subject")
-			epoch := rapid.Uint64Range(0, 9).Draw(t, "epoch")
-			if kind == codec.CommandSetZoneState && rapid.Bool().Draw(t, "seen") {
-				epoch = one.Zone(subject).Version
-			}
-			if kind == codec.CommandActivate && rapid.Bool().Draw(t, "own") {
-				subject = name
-			}
-			at := rapid.SampledFrom([]float64{now, now, now, 0, math.Inf(1), math.NaN(), 1e300}).Draw(t, "at")
-			command := codec.Command{
-				Proposer: name, Incarnation: rapid.Uint64Range(0, 4).Draw(t, "life"), Number: rapid.Uint64Range(0, 30).Draw(t, "number"), ProposedAt: at,
-				Kind: kind, Subject: subject, Zone: rapid.SampledFrom(zones).Draw(t, "zone"), Region: "r", Epoch: epoch,
-				State: rapid.Uint32Range(0, 5).Draw(t, "state"),
-			}
-			for range rapid.IntRange(0, 3).Draw(t, "shares") {
-				command.Shares = append(command.Shares, codec.Share{
-					From: rapid.SampledFrom(zones).Draw(t, "from"), To: rapid.SampledFrom(zones).Draw(t, "to"), Cores: rapid.Uint32Range(0, 900).Draw(t, "part"),
-				})
-			}
-			c := codec.AppendCommand(nil, &command)
-			if rapid.IntRange(0, 9).Draw(t, "damaged") == 0 && len(c) > 0 {
-				c[rapid.IntRange(0, len(c)-1).Draw(t, "where")] ^= byte(rapid.IntRange(1, 255).Draw(t, "how"))
-			}
+			command := draw(t, one, now)
 			version := one.Version() + rapid.Uint64Range(1, 3).Draw(t, "step")
-			r1, err := one.Apply(version, c)
+			r1, err := one.Apply(version, command)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if rapid.IntRange(0, 4).Draw(t, "snapshot") == 0 {
-				again, err := Read(two.Snapshot())
-				if err != nil {
+				if two, err = Read(two.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
-				two = again
 			}
-			if r2, _ := two.Apply(version, c); r1 != r2 || !bytes.Equal(one.Snapshot(), two.Snapshot()) {
+			if r2, _ := two.Apply(version, command); r1 != r2 || !bytes.Equal(one.Snapshot(), two.Snapshot()) {
 				t.Fatalf("%s and %s; %x and %x", r1, r2, one.Snapshot(), two.Snapshot())
 			}
 			if err := one.Check(); err != nil {
--- a/internal/decide/consensus/consensus_test.go
+++ b/internal/decide/consensus/consensus_test.go
@@ -61,7 +61,9 @@
 
 func (s *testNode) Log(line string) { s.lines = append(s.lines, line) }
 
+// newCluster starts a replica for each name. Those named a, b and c are voters.
 func newCluster(t *testing.T, names ...string) *cluster {
+	t.Helper()
 	x := &cluster{t: t, now: 1e6, nodes: map[string]*testNode{}, partitioned: map[string]bool{}}
 	for i, n := range names {
 		x.nodes[n] = &testNode{cluster: x, name: n}
--- a/internal/proto/ics/ics_test.go
+++ b/internal/proto/ics/ics_test.go
@@ -39,21 +39,26 @@
 		t.Fatalf("%+v", out)
 	}
 	for i := range in.Windows {
-		x, y := in.Windows[i], out.Windows[i]
-		if !x.Start.Equal(y.Start) || x.Start.Location().String() != y.Start.Location().String() || len(x.Exceptions) != len(y.Exceptions) ||
-			len(x.Exceptions) > 0 && !x.Exceptions[0].Equal(y.Exceptions[0]) || !x.CreatedAt.Equal(y.CreatedAt) {
-			t.Errorf("times: %+v, %+v", x, y)
-		}
-		x.Start, y.Start, x.Exceptions, y.Exceptions, x.CreatedAt, y.CreatedAt = time.Time{}, time.Time{}, nil, nil, time.Time{}, time.Time{}
-		if !reflect.DeepEqual(x, y) {
-			t.Errorf("%+v\n%+v", x, y)
-		}
+		expectSameWindow(t, in.Windows[i], out.Windows[i])
 	}
 	if x, y := in.Protected[0], out.Protected[0]; x.ID != y.ID || x.Lead != y.Lead || x.Tail != y.Tail || x.Rule != y.Rule {
 		t.Errorf("%+v\n%+v", x, y)
 	}
 }
 
+// expectSameWindow compares two windows; times are the same if they are the same instant in a time zone of the same name.
+func expectSameWindow(t *testing.T, x, y calendar.Window) {
+	t.Helper()
+	if !x.Start.Equal(y.Start) || x.Start.Location().String() != y.Start.Location().String() || len(x.Exceptions) != len(y.Exceptions) ||
+		len(x.Exceptions) > 0 && !x.Exceptions[0].Equal(y.Exceptions[0]) || !x.CreatedAt.Equal(y.CreatedAt) {
+		t.Errorf("times: %+v, %+v", x, y)
+	}
+	x.Start, y.Start, x.Exceptions, y.Exceptions, x.CreatedAt, y.CreatedAt = time.Time{}, time.Time{}, nil, nil, time.Time{}, time.Time{}
+	if !reflect.DeepEqual(x, y) {
+		t.Errorf("%+v\n%+v", x, y)
+	}
+}
+
 func TestFaults(t *testing.T) {
 	event := "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\nBEGIN:VEVENT\r\nUID:a\r\nDTSTAMP:20260101T000000Z\r\nDTSTART:20260301T100000Z\r\n" +
 		"DURATION:PT1H\r\nX-RAVENPOND-PLACE:7\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"
