--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -57,7 +57,7 @@
 	// The fields below belong to the loop.
 	storage          Storage // nil: not a voter, or closed
 	replica          *consensus.Replica
-	announcedVersion uint64 // of the cluster state, told to the members
+	announcedVersion uint64 // of the cluster state, reported to the members
 	zoneConfig       ZoneConfig
 	zones            zones.Controller
 	zonesEvaluatedAt float64
--- a/internal/decide/calendar/calendar_test.go
+++ b/internal/decide/calendar/calendar_test.go
@@ -214,7 +214,7 @@
 	good := win("a", "c0", at(0, 10, 0), 0, 0)
 	for _, c := range []struct {
 		name, fault string
-		spoil       func(w *Window)
+		damage      func(w *Window)
 	}{
 		{"no name", "name missing", func(w *Window) { w.ID = "" }},
 		{"no length", "impossible length", func(w *Window) { w.Duration = 0 }},
@@ -225,7 +225,7 @@
 		{"no place", "no place", func(w *Window) { w.Target = "" }},
 	} {
 		w := good
-		c.spoil(&w)
+		c.damage(&w)
 		if err := (&Calendar{Windows: []Window{w}}).Check(); err == nil || !strings.Contains(err.Error(), c.fault) {
 			t.Errorf("%s: %v", c.name, err)
 		}
--- a/internal/decide/consensus/consensus_test.go
+++ b/internal/decide/consensus/consensus_test.go
@@ -11,7 +11,7 @@
 	codec "ravenpond/internal/proto/clusterstate"
 )
 
-// cluster is replicas that exchange a list of messages, and their disks.
+// cluster is replicas that exchange messages, with their disks.
 type cluster struct {
 	t           *testing.T
 	now         float64
@@ -25,7 +25,7 @@
 	body     []byte
 }
 
-// testNode is one at the table.
+// testNode is a replica of a cluster, and its effects.
 type testNode struct {
 	cluster *cluster
 	name    string
@@ -81,7 +81,7 @@
 	x.nodes[name].replica = c
 }
 
-// advance lets time go by, and messages come after a millisecond.
+// advance lets time pass. Messages arrive after a millisecond.
 func (x *cluster) advance(ms float64) {
 	for end := x.now + ms; x.now < end; x.now++ {
 		way := x.inFlight
@@ -108,7 +108,7 @@
 	return ""
 }
 
-// TestAgree has three voters and one follower agree, lose their leader, and hold a lease or not as they are partitioned.
+// TestAgree has three voters and a follower agree, lose their leader, and hold leases as the partition allows.
 func TestAgree(t *testing.T) {
 	x := newCluster(t, "a", "b", "c", "d")
 	x.advance(6000)
@@ -118,30 +118,30 @@
 	}
 	for name, s := range x.nodes {
 		if p, ok := s.replica.State().Process("d"); !ok || p.Zone != "zd" || s.replica.LeaseExpiry() < x.now {
-			t.Errorf("%s: %+v, sure for %g", name, p, s.replica.LeaseExpiry()-x.now)
+			t.Errorf("%s: %+v, lease valid for %g ms", name, p, s.replica.LeaseExpiry()-x.now)
 		}
 	}
 	x.partitioned[first] = true
 	x.advance(1.1 * Lease)
 	if s := x.nodes[first]; s.replica.LeaseExpiry() > x.now || s.replica.IsLeader() {
-		t.Errorf("cut off, %s is sure for %g, leads %v", first, s.replica.LeaseExpiry()-x.now, s.replica.IsLeader())
+		t.Errorf("partitioned, the lease of %s is valid for %g ms, leader %v", first, s.replica.LeaseExpiry()-x.now, s.replica.IsLeader())
 	}
 	x.advance(4000)
 	if second := x.leader(); second == "" || second == first {
 		t.Fatalf("%q leads after %q", second, first)
 	}
 	if s := x.nodes["d"].replica; s.LeaseExpiry() < x.now {
-		t.Error("two of three stewards do not make sure")
+		t.Error("two of three voters do not renew leases")
 	}
 	x.partitioned[first] = false
 	x.advance(3000)
 	if s := x.nodes[first]; s.replica.LeaseExpiry() < x.now || s.replica.State().Version() != x.nodes["d"].replica.State().Version() {
-		t.Errorf("back, %s is not", first)
+		t.Errorf("%s, reachable again, has no lease", first)
 	}
 }
 
-// TestAnswers has own commands answered once each, with what came of them, though each is sent again and again.
-func TestAnswers(t *testing.T) {
+// TestResults checks that each own command has one result, though it is sent repeatedly.
+func TestResults(t *testing.T) {
 	x := newCluster(t, "a", "b", "c", "d")
 	x.advance(5000)
 	var got []string
@@ -165,11 +165,11 @@
 		verdict("za", clusterstate.Open)
 	}
 	if len(c.proposals) != maxProposals {
-		t.Errorf("%d wait", len(c.proposals))
+		t.Errorf("%d proposals wait", len(c.proposals))
 	}
 }
 
-// TestDisk has a voter that can't write take no part, and one that lost its disk never vote, while both follow.
+// TestDisk checks that a voter that can't write takes no part, and that one that lost its disk never votes, while both follow.
 func TestDisk(t *testing.T) {
 	x := newCluster(t, "a", "b", "c")
 	x.advance(5000)
@@ -180,10 +180,10 @@
 	})
 	x.advance(8000)
 	if s := x.nodes[l]; s.replica.HaltReason() == "" || s.replica.IsLeader() {
-		t.Fatalf("its disk is full, and %s goes on", l)
+		t.Fatalf("the disk of %s is full, and it remains leader", l)
 	}
 	if s := x.nodes[l].replica; s.State().Zone("za").State != clusterstate.Suspect || s.LeaseExpiry() < x.now {
-		t.Errorf("it does not follow: version %d, sure for %g", s.State().Version(), s.LeaseExpiry()-x.now)
+		t.Errorf("it does not follow: version %d, lease valid for %g ms", s.State().Version(), s.LeaseExpiry()-x.now)
 	}
 	other := map[string]string{"a": "b", "b": "c", "c": "a"}[l]
 	x.nodes[l].fails = false
@@ -193,16 +193,16 @@
 	x.start(other, 2, 8, Faults{})
 	x.advance(6000)
 	if s := x.nodes[other]; !strings.Contains(s.replica.HaltReason(), "disk was empty") || s.replica.LeaseExpiry() < x.now {
-		t.Errorf("lost its disk: halted %q, sure for %g", s.replica.HaltReason(), s.replica.LeaseExpiry()-x.now)
+		t.Errorf("lost its disk: halted %q, lease valid for %g ms", s.replica.HaltReason(), s.replica.LeaseExpiry()-x.now)
 	}
 	if x.nodes[l].replica.HaltReason() != "" {
-		t.Error("still halted in its next life")
+		t.Error("still halted in its next incarnation")
 	}
 }
 
-// TestPages has one who follows take pages of one book only, and none that is older than its own.
-func TestPages(t *testing.T) {
-	pages := func(b *clusterstate.State) (all [][]byte) {
+// TestChunks checks that a follower takes chunks of one snapshot only, and none that is older than its state.
+func TestChunks(t *testing.T) {
+	chunks := func(b *clusterstate.State) (all [][]byte) {
 		text := b.Snapshot()
 		for i := 0; i < len(text); i += 40 {
 			all = append(all, codec.AppendMessage(nil, &codec.Message{
@@ -219,42 +219,42 @@
 		}
 		_, _ = newer.Apply(v, c)
 	}
-	for _, plant := range []bool{false, true} {
+	for _, faulty := range []bool{false, true} {
 		x := newCluster(t)
 		x.nodes["d"] = &testNode{cluster: x, name: "d"}
-		x.start("d", 1, 1, Faults{StaleTransfer: plant})
+		x.start("d", 1, 1, Faults{StaleTransfer: faulty})
 		c := x.nodes["d"].replica
 		c.OnNewerVersion(x.now, "a", 8)
-		for _, p := range append(pages(older)[:1], pages(newer)...) { // its source had a later one meanwhile
-			c.OnMessage(x.now, "b", pages(older)[0]) // not asked
+		for _, p := range append(chunks(older)[:1], chunks(newer)...) { // the source has a newer snapshot after the first chunk
+			c.OnMessage(x.now, "b", chunks(older)[0]) // not requested from b
 			c.OnMessage(x.now, "a", p)
 		}
 		if c.State().Version() != 8 {
-			t.Fatalf("version %d of pages of 8", c.State().Version())
+			t.Fatalf("version %d of chunks of 8", c.State().Version())
 		}
-		c.OnNewerVersion(x.now, "b", 99) // who says so holds less
-		for _, p := range pages(older) {
+		c.OnNewerVersion(x.now, "b", 99) // b claims a version that it does not hold
+		for _, p := range chunks(older) {
 			c.OnMessage(x.now, "b", p)
 		}
-		if back := c.State().Version() == 4; back != plant {
-			t.Errorf("an older book, planted %v: version %d", plant, c.State().Version())
+		if back := c.State().Version() == 4; back != faulty {
+			t.Errorf("an older snapshot, fault %v: version %d", faulty, c.State().Version())
 		}
 	}
 }
 
-// TestLost has a process that lost its folder act in a life above the one that the book knows.
-func TestLost(t *testing.T) {
+// TestLostFolder checks that a process that lost its folder raises its incarnation above the one in the state.
+func TestLostFolder(t *testing.T) {
 	x := newCluster(t, "a", "b", "c", "d")
 	x.start("d", 7, 3, Faults{})
 	x.advance(6000)
 	x.start("d", 1, 4, Faults{})
 	x.advance(6000)
 	if p, _ := x.nodes["a"].replica.State().Process("d"); p.Incarnation != 8 || x.nodes["d"].replica.Incarnation() != 8 {
-		t.Errorf("%+v, it thinks it is in life %d", p, x.nodes["d"].replica.Incarnation())
+		t.Errorf("%+v, the replica has incarnation %d", p, x.nodes["d"].replica.Incarnation())
 	}
 }
 
-// TestFolder refuses a folder of other voters, and one that does not fit together.
+// TestFolder checks that a folder of other voters is refused, and one whose parts do not fit together.
 func TestFolder(t *testing.T) {
 	x := newCluster(t, "a", "b", "c")
 	x.advance(5000)
--- a/internal/decide/isolation/isolation_test.go
+++ b/internal/decide/isolation/isolation_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestOf(t *testing.T) {
+func TestClassify(t *testing.T) {
 	for _, c := range []struct {
 		alive, known int
 		want         Degree
@@ -11,45 +11,45 @@
 			t.Errorf("%d of %d: %s, want %s", c.alive, c.known, got, c.want)
 		}
 	}
-	for known := range 30 { // of two parts of one whole, at most one is the larger
+	for known := range 30 { // of two parts, at most one is the majority
 		for alive := range known + 1 {
 			if other := known - 1 - alive; other >= 0 && Classify(alive, known) == Majority && Classify(other, known) == Majority {
-				t.Errorf("%d and %d of %d are both the larger part", alive+1, other+1, known+1)
+				t.Errorf("%d and %d of %d are both the majority", alive+1, other+1, known+1)
 			}
 		}
 	}
 }
 
-// TestLook holds that degrees come late, go later, and do not flap.
-func TestLook(t *testing.T) {
-	var g Monitor
-	turns := 0
-	look := func(from, to float64, alive func(i int) int) {
+// TestUpdate checks that a worse degree takes effect after a delay, a better one after a longer one, and none flaps.
+func TestUpdate(t *testing.T) {
+	var m Monitor
+	changes := 0
+	update := func(from, to float64, alive func(i int) int) {
 		for i, now := 0, from; now < to; i, now = i+1, now+100 {
-			if _, turned := g.Update(now, alive(i), 8); turned {
-				turns++
+			if _, changed := m.Update(now, alive(i), 8); changed {
+				changes++
 			}
 		}
 	}
-	look(0, 1000, func(int) int { return 8 })
-	look(1000, 1400, func(int) int { return 2 })
-	if turns != 0 {
-		t.Error("a moment counts")
+	update(0, 1000, func(int) int { return 8 })
+	update(1000, 1400, func(int) int { return 2 })
+	if changes != 0 {
+		t.Error("a short change takes effect")
 	}
-	look(1400, 2000, func(int) int { return 2 })
-	if turns != 1 || g.Degree() != Minority {
-		t.Errorf("%d turns, %s", turns, g.Degree())
+	update(1400, 2000, func(int) int { return 2 })
+	if changes != 1 || m.Degree() != Minority {
+		t.Errorf("%d changes, %s", changes, m.Degree())
 	}
-	look(2000, 10000, func(i int) int { return 8 - 6*(i/10%2) }) // there and away, a second each
-	if turns != 1 || g.Degree() != Minority {
-		t.Errorf("%d turns, %s: it flaps", turns, g.Degree())
+	update(2000, 10000, func(i int) int { return 8 - 6*(i/10%2) }) // alternating each second
+	if changes != 1 || m.Degree() != Minority {
+		t.Errorf("%d changes, %s: it flaps", changes, m.Degree())
 	}
-	look(10000, 14000, func(int) int { return 8 })
-	if turns != 2 || g.Degree() != Complete {
-		t.Errorf("%d turns, %s", turns, g.Degree())
+	update(10000, 14000, func(int) int { return 8 })
+	if changes != 2 || m.Degree() != Complete {
+		t.Errorf("%d changes, %s", changes, m.Degree())
 	}
-	look(14000, 16000, func(i int) int { return max(0, 3-i/2) }) // ever worse: its time runs from the first
-	if g.Degree() != Isolated {
-		t.Errorf("%s", g.Degree())
+	update(14000, 16000, func(i int) int { return max(0, 3-i/2) }) // ever worse: the delay runs from the first change
+	if m.Degree() != Isolated {
+		t.Errorf("%s", m.Degree())
 	}
 }
--- a/internal/maintenance/round.go
+++ b/internal/maintenance/round.go
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// announce starts the drain of the nodes, once in the life of the process: after a restart it is repeated, which has no effect if the
-// process was killed after it, and is needed if it was killed before.
+// announce starts the drain of the nodes, once by each incarnation of the process: repeating it after a restart has no effect if the process
+// was killed after it, and is needed if it was killed before.
 func (r *round) announce(v calendar.Verdict) error {
 	name := drainName(v)
 	if r.announced[name] {
--- a/internal/state/folder_test.go
+++ b/internal/state/folder_test.go
@@ -104,14 +104,14 @@
 	_ = folder.SaveList(l.Encode())
 	f.Add(m["life"], m["nodes"])
 	f.Add(m["life"][:20], bytes.Replace(m["nodes"], []byte("a:1"), []byte("b:1"), 1))
-	f.Fuzz(func(t *testing.T, life, nodes []byte) {
-		m := memoryDisk{"life": life, "nodes": nodes}
+	f.Fuzz(func(t *testing.T, incarnation, nodes []byte) {
+		m := memoryDisk{"life": incarnation, "nodes": nodes}
 		folder := NewFolder(m)
 		if first, err := folder.NextIncarnation(); err == nil {
 			if second, err := folder.NextIncarnation(); err != nil || second != first+1 {
 				t.Errorf("incarnation %d after %d, %v", second, first, err)
 			}
-		} else if !bytes.Equal(m["life"], life) {
+		} else if !bytes.Equal(m["life"], incarnation) {
 			t.Error("a damaged file was overwritten")
 		}
 		if l, err := folder.LoadList(); err == nil && l != nil {
