--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -32,10 +32,10 @@
 
 // ZoneConfig is what decisions on zones rest on. Without zones there are none.
 type ZoneConfig struct {
-	Zones     []string
-	Overrides map[string]clusterstate.ZoneState // states that operators have set
-	Latency   func(from, to string) float64     // ms one way; nil: equal for all
-	Judge     zones.Controller                  // with the faults that tests inject
+	Zones      []string
+	Overrides  map[string]clusterstate.ZoneState // states that operators have set
+	Latency    func(from, to string) float64     // ms one way; nil: equal for all
+	Controller zones.Controller                  // with the faults that tests inject
 }
 
 // View is the cluster state at one moment. It never changes.
@@ -72,7 +72,7 @@
 		zoneConfig.Latency = func(string, string) float64 { return 0 }
 	}
 	r := &Runner{
-		environment: environment, log: log, members: members, storage: storage, zoneConfig: zoneConfig, zones: zoneConfig.Judge,
+		environment: environment, log: log, members: members, storage: storage, zoneConfig: zoneConfig, zones: zoneConfig.Controller,
 	}
 	var saved consensus.PersistedState
 	if storage != nil {
--- a/internal/control/footprint.go
+++ b/internal/control/footprint.go
@@ -11,7 +11,7 @@
 	PendingMessageBytes int
 	PendingCalls        int
 	Replica             consensus.Footprint
-	Judge               zones.Footprint
+	Zones               zones.Footprint
 }
 
 // Measure queues a call of f with the footprint on the loop's goroutine. What is pending is counted when Measure is called. The call is dropped
@@ -20,7 +20,7 @@
 	footprint := r.inbox.footprint()
 	r.Enqueue(func(replica *consensus.Replica) {
 		footprint.Replica = replica.Footprint()
-		footprint.Judge = r.zones.Footprint()
+		footprint.Zones = r.zones.Footprint()
 		f(footprint)
 	})
 }
--- a/internal/lab/scale/regions/reading.go
+++ b/internal/lab/scale/regions/reading.go
@@ -145,5 +145,5 @@
 	r.Sizes[Proposals], r.Sizes[ProposalBytes] = c.Proposals, c.ProposalBytes
 	r.Sizes[LogEntries], r.Sizes[LogBytes] = c.LogEntries, c.LogBytes
 	r.Sizes[SnapshotBytes], r.Sizes[TransferBytes] = c.SnapshotBytes, c.TransferBytes
-	r.Sizes[Reports], r.Sizes[ReportBytes], r.Sizes[Verdicts] = f.Judge.Reports, f.Judge.ReportBytes, f.Judge.Verdicts
+	r.Sizes[Reports], r.Sizes[ReportBytes], r.Sizes[Verdicts] = f.Zones.Reports, f.Zones.ReportBytes, f.Zones.Verdicts
 }
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -149,7 +149,7 @@
 			return 1
 		}
 		return 10
-	}, Judge: zones.Controller{FaultSingleZone: g.faulty.SingleWitness}}
+	}, Controller: zones.Controller{FaultSingleZone: g.faulty.SingleWitness}}
 	var err error
 	who := consensus.Config{Zone: x.zone, Incarnation: x.incarnation, Voters: g.voters}
 	if x.runner, err = lab.Begin(x.host, g.rng.Uint64(), who, x.disk, site); err != nil {
