--- a/cmd/ravenpond/ci_test.go
+++ b/cmd/ravenpond/ci_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -8,14 +9,14 @@
 	"testing"
 )
 
-// TestKnownRed holds what CI takes for the list of tests that are known to fail: three lines at most, each of which names a test that
-// is there, a cause and an issue.
+// TestKnownRed checks what CI accepts as the list of tests that are known to fail: at most three lines, each of which names a test that
+// exists, a cause and an issue.
 func TestKnownRed(t *testing.T) {
 	const one = "./cmd/ravenpond TestKnownRed; a cause; issue 1\n"
 	for _, c := range []struct{ name, text, want string }{
 		{"none", "", ""},
 		{"one", one, "ravenpond/cmd/ravenpond TestKnownRed"},
-		{"one without a line's end", strings.TrimSpace(one), "ravenpond/cmd/ravenpond TestKnownRed"},
+		{"one without a newline", strings.TrimSpace(one), "ravenpond/cmd/ravenpond TestKnownRed"},
 		{"two of one package", one + one, "ravenpond/cmd/ravenpond TestKnownRed|TestKnownRed"},
 		{"four", one + one + one + one, "error: more than three lines"},
 		{"no cause", "./cmd/ravenpond TestKnownRed; issue 1\n", "error: not"},
@@ -24,28 +25,32 @@
 		{"no such package", "./cmd/nowhere TestKnownRed; a cause; issue 1\n", "error: no test"},
 		{"an empty line", one + "\n", "error: not"},
 	} {
-		file := filepath.Join(t.TempDir(), "red")
-		if err := os.WriteFile(file, []byte(c.text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		cmd := exec.Command(".ci/known-red", file)
-		cmd.Dir = "../.."
-		var out, wrong strings.Builder
-		cmd.Stdout, cmd.Stderr = &out, &wrong
-		got := "error"
-		if err := cmd.Run(); err == nil {
-			got = strings.TrimSpace(out.String())
-		} else {
-			got += strings.TrimPrefix(wrong.String(), file)
-		}
-		if !strings.HasPrefix(got, c.want) || c.want == "" && got != "" {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			got := runKnownRed(t, c.text)
+			if !strings.HasPrefix(got, c.want) || c.want == "" && got != "" {
+				t.Errorf("%q, want %q", got, c.want)
+			}
+		})
+	}
+}
+
+// runKnownRed runs CI's reader of a list with the given text and returns what it prints, or "error" and its message.
+func runKnownRed(t *testing.T, text string) string {
+	t.Helper()
+	list := filepath.Join(t.TempDir(), "red")
+	writeFile(t, list, text)
+	cmd := exec.CommandContext(t.Context(), ".ci/known-red", list)
+	cmd.Dir = "../.."
+	var stdout, stderr strings.Builder
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
+	if err := cmd.Run(); err != nil {
+		return "error" + strings.TrimPrefix(stderr.String(), list)
 	}
+	return strings.TrimSpace(stdout.String())
 }
 
-// TestLint runs the linter of CI on a module of its own with a planted unused function, and holds what it makes of the counts that its
-// baseline lists.
+// TestLint runs the linter of CI on a module of its own into which a finding was planted, and checks what it makes of the counts in its
+// baseline.
 func TestLint(t *testing.T) {
 	const (
 		clean    = "// Package planted has nothing to find.\npackage planted\n\n// Used is exported.\nfunc Used() {}\n"
@@ -80,7 +85,7 @@
 			if c.packages == "" {
 				c.packages = "./..."
 			}
-			out, err := runLint(module, baseline, c.packages)
+			out, err := runLint(t.Context(), module, baseline, c.packages)
 			if passed := err == nil; passed != (c.fails == "") {
 				t.Errorf("passed %v: %s", passed, out)
 			}
@@ -90,27 +95,27 @@
 		})
 	}
 	t.Run("no baseline", func(t *testing.T) {
-		if out, err := runLint(plantedModule(t, clean), filepath.Join(t.TempDir(), "nowhere.txt"), "./..."); err == nil {
+		if out, err := runLint(t.Context(), plantedModule(t, clean), filepath.Join(t.TempDir(), "nowhere.txt"), "./..."); err == nil {
 			t.Errorf("passed: %s", out)
 		}
 	})
 	t.Run("update", func(t *testing.T) {
 		module, baseline := plantedModule(t, faulty), filepath.Join(t.TempDir(), "baseline.txt")
 		writeFile(t, baseline, "other errcheck 3\nplanted unused 5\n")
-		if out, err := runLint(module, baseline, "-update", "./planted"); err != nil {
+		if out, err := runLint(t.Context(), module, baseline, "-update", "./planted"); err != nil {
 			t.Fatalf("%v: %s", err, out)
 		}
 		got, err := os.ReadFile(baseline)
 		if err != nil || !strings.HasSuffix(string(got), "\nother errcheck 3\nplanted unused 1\n") {
 			t.Errorf("written: %s, %v", got, err)
 		}
-		if out, err := runLint(module, baseline, "./planted"); err != nil {
+		if out, err := runLint(t.Context(), module, baseline, "./planted"); err != nil {
 			t.Errorf("after the update: %v: %s", err, out)
 		}
 	})
 }
 
-// plantedModule makes a module with one package, planted, and returns its folder.
+// plantedModule creates a module with one package, planted, and returns its folder.
 func plantedModule(t *testing.T, source string) string {
 	t.Helper()
 	module := t.TempDir()
@@ -129,9 +134,9 @@
 	}
 }
 
-// runLint runs CI's linter on a module and gives all that it prints.
-func runLint(module, baseline string, args ...string) (string, error) {
-	cmd := exec.Command(".ci/lint", append([]string{"-dir", module, "-baseline", baseline}, args...)...)
+// runLint runs CI's linter on a module and returns all that it prints.
+func runLint(ctx context.Context, module, baseline string, args ...string) (string, error) {
+	cmd := exec.CommandContext(ctx, ".ci/lint", append([]string{"-dir", module, "-baseline", baseline}, args...)...)
 	cmd.Dir = "../.."
 	out, err := cmd.CombinedOutput()
 	return string(out), err
--- a/cmd/ravenpond/deploy_test.go
+++ b/cmd/ravenpond/deploy_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestDeploy builds by the deploy file's own line, in a folder of its own, and holds what the platform asks of the program:
-// linked dynamically against the C library, started by exec as one process.
+// TestDeploy builds with the deploy file's own command, in a folder of its own, and checks what the platform requires of the program: it is
+// linked dynamically against the C library and started with exec, as one process.
 func TestDeploy(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	word := func(key string) string {
+	value := func(key string) string {
 		m := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(text)
 		if m == nil {
 			t.Fatalf("no %s in the deploy file", key)
@@ -30,12 +30,12 @@
 		return string(m[1])
 	}
 	for _, key := range []string{"run", "sim"} {
-		if !strings.HasPrefix(word(key), "exec bin/") {
-			t.Errorf("%s = %q: exec of a program that build leaves is expected", key, word(key))
+		if !strings.HasPrefix(value(key), "exec bin/") {
+			t.Errorf("%s = %q: exec of a program that build leaves is expected", key, value(key))
 		}
 	}
 	bin := filepath.Join(t.TempDir(), "bin")
-	cmd := exec.Command("sh", "-c", strings.ReplaceAll(strings.ReplaceAll(word("build"), "-p bin", "-p "+bin), "-o bin/", "-o "+bin+"/"))
+	cmd := exec.CommandContext(t.Context(), "sh", "-c", strings.ReplaceAll(strings.ReplaceAll(value("build"), "-p bin", "-p "+bin), "-o bin/", "-o "+bin+"/"))
 	cmd.Dir = root
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -58,8 +58,7 @@
 	}
 }
 
-// TestRunPath holds that nothing on the platform's route starts programs or speaks to Unix sockets, and that nothing hands
-// one descriptor to another in the kernel.
+// TestRunPath checks that no code of ravenpond platform starts programs, uses Unix sockets, or copies between descriptors in the kernel.
 func TestRunPath(t *testing.T) {
 	for _, dir := range []string{
 		"internal/platform", "internal/platform/host", "internal/proto/platform", "internal/settings", "internal/env",
