--- a/cmd/ravenpond/docs_test.go
+++ b/cmd/ravenpond/docs_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -22,6 +23,7 @@
 		pages = append(pages, found...)
 	}
 	records := []string{"results.md", "performance.md", "CAPACITY.md"}
+	sources := sourceNames(t, root)
 	for _, page := range pages {
 		if slices.Contains(records, filepath.Base(page)) {
 			continue
@@ -35,6 +37,11 @@
 				t.Errorf("%s names %s, which is not there", page, path)
 			}
 		}
+		for _, name := range documentedSources(string(text)) {
+			if !sources[name] {
+				t.Errorf("%s names %s, which is in no folder", page, name)
+			}
+		}
 		for _, link := range documentedLinks(string(text)) {
 			if !anyExists(filepath.Join(filepath.Dir(page), link)) {
 				t.Errorf("%s links to %s, which is not there", page, link)
@@ -45,6 +52,7 @@
 
 var (
 	codePath = regexp.MustCompile("`((?:internal|cmd|docs|deploy|tools|\\.ci|decide|lab|proto|state|serve|platform|engine|env)(?:/[A-Za-z0-9_.*-]+)+/?)`")
+	goFile   = regexp.MustCompile("`([a-z0-9_]+\\.go)`")
 	pageLink = regexp.MustCompile(`\]\(([^):#]+)(?:#[^)]*)?\)`)
 )
 
@@ -56,6 +64,30 @@
 	return paths
 }
 
+// documentedSources returns the names of Go files without a folder in code spans of a page.
+func documentedSources(text string) (names []string) {
+	for _, match := range goFile.FindAllStringSubmatch(text, -1) {
+		names = append(names, match[1])
+	}
+	return names
+}
+
+// sourceNames returns the names of all Go files below a folder.
+func sourceNames(t *testing.T, root string) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err == nil && !entry.IsDir() && filepath.Ext(path) == ".go" {
+			names[entry.Name()] = true
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
+
 // documentedLinks returns the targets of a page's links to other files.
 func documentedLinks(text string) (links []string) {
 	for _, match := range pageLink.FindAllStringSubmatch(text, -1) {
