--- /dev/null
+++ b/internal/engine/abandoned.go
@@ -0,0 +1,233 @@
+package engine
+
+import (
+	"slices"
+
+	"ravenpond/internal/decide/outcome"
+	"ravenpond/logic"
+)
+
+// abandonedAttempt is an attempt that was given up but may still start.
+type abandonedAttempt struct {
+	allocationID uint32 // for which it was made, if that is still open
+	nodeIndex    int
+	task         Task
+	sentAt       float64
+	started      bool   // its node said so
+	stopped      bool   // its node is to stop it
+	policyID     uint32 // the number under which the policy counts it for its service's spread, 0: it does not
+}
+
+// pendingClaim is an abandoned attempt that is to be claimed, and how often after that.
+type pendingClaim struct {
+	attempt   AttemptID
+	remaining int
+}
+
+// scheduleClaims has an abandoned attempt be claimed several times: if it runs after all, the client's next request has to
+// find that out and not start a second.
+func (e *Engine) scheduleClaims(id AttemptID, times int) {
+	if times > 0 {
+		e.claims = append(e.claims, pendingClaim{id, times - 1})
+		e.timers.Set(e.now+outcome.ClaimInterval(e.config.SettleTime), timerClaim, 0)
+	}
+}
+
+// scheduleForget has abandoned attempts be looked through after a while.
+func (e *Engine) scheduleForget() { e.timers.Set(e.now+outcome.AttemptRetention()/4, timerForget, 0) }
+
+// rememberAbandoned remembers an attempt, or replaces what is remembered of it.
+func (e *Engine) rememberAbandoned(id AttemptID, g abandonedAttempt) {
+	if len(e.abandoned) == 0 {
+		e.scheduleForget()
+	}
+	if _, ok := e.abandoned[id]; !ok {
+		e.nodes[g.nodeIndex].abandoned++
+		if outcome.CountsAfterAbandon(e.config.Cluster.JobClasses[g.task.JobClass].Spread) {
+			e.lastID++
+			g.policyID = e.lastID
+			e.policy.OnRecovered(e.now, logic.Recovered{Request: g.task.policyRequest(g.policyID), Node: e.nodes[g.nodeIndex].id})
+		}
+	}
+	e.abandoned[id] = g
+}
+
+// forgetAbandoned forgets an attempt that can't start any more or that an allocation stands for again.
+func (e *Engine) forgetAbandoned(id AttemptID) {
+	g, ok := e.abandoned[id]
+	if !ok {
+		return
+	}
+	n := &e.nodes[g.nodeIndex]
+	n.abandoned--
+	delete(e.abandoned, id)
+	if g.policyID > 0 {
+		e.policy.OnOutcome(e.now, logic.AttemptResult{
+			Allocation: g.policyID, Node: n.id, Duration: e.now - g.sentAt, Answered: true,
+			Reason: logic.ReasonUnknown, Outcome: logic.Completed,
+		})
+	}
+}
+
+// forgetMatching forgets all attempts that match, in the order of their names.
+func (e *Engine) forgetMatching(match func(abandonedAttempt) bool) {
+	for _, id := range e.abandonedMatching(match) {
+		e.forgetAbandoned(id)
+	}
+}
+
+// abandonedMatching are the attempts that match, in the order of their names, so that effects don't depend on the order of the
+// map.
+func (e *Engine) abandonedMatching(match func(abandonedAttempt) bool) []AttemptID {
+	var ids []AttemptID
+	for id, g := range e.abandoned {
+		if match(g) {
+			ids = append(ids, id)
+		}
+	}
+	slices.SortFunc(ids, AttemptID.compare)
+	return ids
+}
+
+// endAbandoned takes a node's message that an abandoned attempt ended. It tells whether the node has such an attempt.
+func (e *Engine) endAbandoned(nodeID uint32, id AttemptID) bool {
+	g, ok := e.abandoned[id]
+	if !ok || e.nodes[g.nodeIndex].id != nodeID {
+		return false
+	}
+	e.forgetAbandoned(id)
+	if slot, ok := e.byID[g.allocationID]; ok && e.allocations[slot].lateStart == id {
+		e.allocations[slot].lateStart = AttemptID{}
+	}
+	return true
+}
+
+// handleLateStart takes the start of an attempt that had been given up.
+func (e *Engine) handleLateStart(id AttemptID, g abandonedAttempt) {
+	g.started = true
+	e.abandoned[id] = g
+	e.stats.LateStarts++
+	slot, open := e.byID[g.allocationID]
+	open = open && e.isOpen(slot)
+	if other, ok := e.byKey[g.task.Key()]; ok && (!open || other != slot) {
+		if e.allocations[other].phase == phaseRunning { // the task runs elsewhere by now
+			e.stopAbandoned(id)
+			return
+		}
+		if e.isOpen(other) { // it was requested again
+			slot, open = other, true
+		}
+	}
+	attempting := open && e.allocations[slot].phase != phaseWaiting
+	switch outcome.OnLateStart(e.jobEffects[g.task.JobClass], open, attempting) {
+	case outcome.Stop:
+		e.stopAbandoned(id)
+	case outcome.Serve:
+		e.policy.OnExpired(e.now, e.allocations[slot].id)
+		e.answerWithLateStart(id, slot)
+	case outcome.Await:
+		e.awaitAttempt(slot, id)
+	case outcome.Keep:
+		e.recoverForRetry(id, g)
+	}
+}
+
+// isOpen tells whether an allocation's request is not answered and its deadline has not passed.
+func (e *Engine) isOpen(slot int) bool {
+	a := &e.allocations[slot]
+	return !a.answered && e.now < a.deadline
+}
+
+// awaitAttempt calls the last attempt of an allocation back, of which an earlier one started. The one that ends without a start
+// leaves the other.
+func (e *Engine) awaitAttempt(slot int, late AttemptID) {
+	a := &e.allocations[slot]
+	if !a.lateStart.IsZero() {
+		e.stopAbandoned(late)
+		return
+	}
+	a.lateStart = late
+	if a.phase == phaseConnecting {
+		e.cancelUnsent(a)
+	} else if !a.recalled {
+		e.recall(a)
+	}
+}
+
+// answerWithLateStart answers the request of an allocation that has no attempt with the start of an abandoned one.
+func (e *Engine) answerWithLateStart(id AttemptID, slot int) {
+	a := &e.allocations[slot]
+	g := e.abandoned[id]
+	request := a.request
+	e.answer(a, Answer{Kind: Served, Node: e.nodes[g.nodeIndex].id, Reason: ReasonLateStart})
+	if a.request.Client == noClient { // too late after all
+		request.Client = noClient
+	}
+	a.lateStart = AttemptID{}
+	e.clearClient(a)
+	e.removeAllocation(slot)
+	recovered, ok := e.recoverTask(id, g)
+	if !ok {
+		return
+	}
+	e.setClient(recovered, request)
+	if request.Client == noClient {
+		e.keepForRetry(&e.allocations[recovered])
+	}
+}
+
+// resolveLateStart decides about a late start whose allocation was answered without it.
+func (e *Engine) resolveLateStart(id AttemptID) {
+	g, ok := e.abandoned[id]
+	if !ok || id.IsZero() || g.stopped {
+		return
+	}
+	if outcome.OnLateStart(e.jobEffects[g.task.JobClass], false, false) == outcome.Stop {
+		e.stopAbandoned(id)
+	} else {
+		e.recoverForRetry(id, g)
+	}
+}
+
+// recoverForRetry keeps the task of a late start for its client's next request.
+func (e *Engine) recoverForRetry(id AttemptID, g abandonedAttempt) {
+	if slot, ok := e.recoverTask(id, g); ok {
+		e.keepForRetry(&e.allocations[slot])
+	}
+}
+
+// stopAbandoned asks the node of an abandoned attempt to stop it.
+func (e *Engine) stopAbandoned(id AttemptID) {
+	g, ok := e.abandoned[id]
+	if !ok {
+		return
+	}
+	g.stopped = true
+	e.abandoned[id] = g
+	if n := &e.nodes[g.nodeIndex]; n.connected {
+		e.effects.Stop(n.id, id)
+	}
+}
+
+// recoverTask makes an allocation of a task that runs and reports it to the policy. If another engine acts for the task, it is
+// stopped instead and ok is false.
+func (e *Engine) recoverTask(id AttemptID, g abandonedAttempt) (slot int, ok bool) {
+	nodeID := e.nodes[g.nodeIndex].id
+	recovered, ok := e.effects.RecoverTask(RunningTask{Task: g.task, Node: nodeID, Attempt: id})
+	if !ok {
+		e.stopAbandoned(id)
+		return 0, false
+	}
+	e.forgetAbandoned(id)
+	slot, a := e.newAllocation()
+	a.phase, a.answered, a.recovered, a.reported = phaseRunning, true, true, true
+	a.task, a.epoch = g.task, recovered.Epoch
+	a.attempt, a.sentAt = id, e.now
+	e.attach(slot, g.nodeIndex)
+	e.recovered[id] = slot
+	e.byKey[a.task.Key()] = slot
+	e.setClient(slot, recovered.Request)
+	e.stats.Recovered++
+	e.policy.OnRecovered(e.now, logic.Recovered{Request: a.task.policyRequest(a.id), Node: nodeID})
+	return slot, true
+}
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -2,212 +2,234 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"ravenpond/internal/decide/outcome"
 	"ravenpond/logic"
 )
 
-// attach counts a try in at its node, pull counts it out.
-func (e *Engine) attach(p, nd int) {
-	a, n := &e.allocations[p], &e.nodes[nd]
-	a.nodeIndex, a.positionAtNode = nd, len(n.allocations)
-	n.allocations = append(n.allocations, p)
+// Errors of nodes that break the protocol.
+var (
+	ErrDuplicateAnswer   = errors.New("second answer for a try")
+	ErrRefusedAfterStart = errors.New("try refused after its start")
+)
+
+// UnknownAttemptError is returned for a message about an attempt that was not sent to the node, or that ended.
+type UnknownAttemptError struct{ Attempt AttemptID }
+
+func (e *UnknownAttemptError) Error() string {
+	return fmt.Sprintf("answer for unknown try %x.%d", e.Attempt.Ticket, e.Attempt.Number)
+}
+
+// outcomeOf is the outcome of an attempt of which no node told.
+func outcomeOf(result logic.Outcome) Outcome {
+	return Outcome{Result: result, Reason: logic.ReasonUnknown}
+}
+
+// OnStarted takes a node's message that the task of an attempt runs; took is how long its start took. An error means that the node
+// broke the protocol.
+func (e *Engine) OnStarted(now float64, nodeID uint32, id AttemptID, took float64) error {
+	e.observe(now)
+	if slot, ok := e.findAttempt(id); ok {
+		a := &e.allocations[slot]
+		switch {
+		case e.nodes[a.nodeIndex].id != nodeID:
+			return &UnknownAttemptError{id}
+		case a.phase == phaseRunning:
+			return ErrDuplicateAnswer
+		}
+		e.handleStart(slot, took)
+		return nil
+	}
+	g, ok := e.abandoned[id]
+	switch {
+	case !ok || e.nodes[g.nodeIndex].id != nodeID:
+		return &UnknownAttemptError{id}
+	case g.started:
+		return ErrDuplicateAnswer
+	}
+	e.handleLateStart(id, g)
+	return nil
+}
+
+// OnOutcome takes a node's message on the end of an attempt. An error means that the node broke the protocol.
+func (e *Engine) OnOutcome(now float64, nodeID uint32, o Outcome) error {
+	e.observe(now)
+	if slot, ok := e.findAttempt(o.Attempt); ok {
+		a := &e.allocations[slot]
+		switch {
+		case e.nodes[a.nodeIndex].id != nodeID:
+			return &UnknownAttemptError{o.Attempt}
+		case a.phase == phaseRunning && o.Result == logic.Rejected:
+			return ErrRefusedAfterStart
+		}
+		e.completeAttempt(slot, o)
+		return nil
+	}
+	if e.endAbandoned(nodeID, o.Attempt) {
+		return nil
+	}
+	return &UnknownAttemptError{o.Attempt}
+}
+
+// OnNote takes a node's message on a running task. The task may just have ended.
+func (e *Engine) OnNote(now float64, nodeID uint32, id AttemptID, kind logic.TaskMetric, value float64) {
+	e.observe(now)
+	if slot, ok := e.findAttempt(id); ok && e.nodes[e.allocations[slot].nodeIndex].id == nodeID {
+		a := &e.allocations[slot]
+		e.policy.OnTaskMetric(now, logic.TaskSample{
+			Allocation: a.id, Attempt: a.policyAttempt(), Node: nodeID, Metric: kind, Value: value,
+		})
+	}
+}
+
+// OnSharedReport takes a load report of a node that came as an answer to another engine.
+func (e *Engine) OnSharedReport(now float64, nodeID uint32, report []float64) {
+	e.now = now
+	// No allocation has the number 0, so the policy takes the report alone.
+	e.policy.OnOutcome(now, logic.AttemptResult{
+		Node: nodeID, Answered: true, Reason: logic.ReasonUnknown, Outcome: logic.Completed, Report: report,
+	})
+}
+
+// attach counts an allocation in at the node of its attempt.
+func (e *Engine) attach(slot, nodeIndex int) {
+	a, n := &e.allocations[slot], &e.nodes[nodeIndex]
+	a.nodeIndex, a.nodeSlot = nodeIndex, len(n.allocations)
+	n.allocations = append(n.allocations, slot)
 	if n.released {
-		e.retain(e.now, nd)
+		e.retain(e.now, nodeIndex)
 	}
 }
 
-func (e *Engine) detach(p int) {
-	a := &e.allocations[p]
+// detach counts an allocation out at the node of its attempt. The last in the node's list takes its place.
+func (e *Engine) detach(slot int) {
+	a := &e.allocations[slot]
 	n := &e.nodes[a.nodeIndex]
 	last := len(n.allocations) - 1
 	moved := n.allocations[last]
-	n.allocations[a.positionAtNode] = moved
-	e.allocations[moved].positionAtNode = a.positionAtNode
+	n.allocations[a.nodeSlot] = moved
+	e.allocations[moved].nodeSlot = a.nodeSlot
 	n.allocations = n.allocations[:last]
 }
 
-// completeAttempt ends a try and tells the module.
-func (e *Engine) completeAttempt(p int, verdict logic.Outcome, why logic.Reason, report []float64) {
-	a := &e.allocations[p]
+// completeAttempt ends an attempt and reports its outcome to the policy. If the request was answered, the allocation ends with
+// the attempt. If an earlier attempt started meanwhile, that one answers the request. Otherwise the policy goes on with the
+// allocation.
+func (e *Engine) completeAttempt(slot int, o Outcome) {
+	a := &e.allocations[slot]
 	ran := a.phase == phaseRunning
-	e.detach(p)
-	nd, id, try, took := e.nodes[a.nodeIndex].id, a.id, a.policyAttempt(), e.now-a.sentAt
+	e.detach(slot)
+	result := logic.AttemptResult{
+		Allocation: a.id, Node: e.nodes[a.nodeIndex].id, Attempt: a.policyAttempt(), Duration: e.now - a.sentAt,
+		Reason: o.Reason, Outcome: o.Result, Report: o.Report,
+	}
 	a.phase, a.confirmBy, a.waitingSince = phaseWaiting, 0, e.now
-	never := verdict == logic.Rejected || verdict == logic.Unreachable || verdict == logic.NotSent
-	a.mayHaveRun = a.mayHaveRun || !never
-	e.effects.RecordOutcome(a.tenant, a.token, a.epoch, never)
-	over := ran || a.answered
-	if ran && a.client != noClient {
-		e.effects.NotifyEnd(a.client, a.requestID, verdict, why)
-	}
-	if over {
-		late := a.lateStart
-		e.forgetAllocation(p)
-		e.policy.OnOutcome(e.now, logic.AttemptResult{
-			Allocation: id, Node: nd, Attempt: try, Duration: took,
-			Answered: true, Reason: why, Outcome: verdict, Report: report,
-		})
+	neverRan := o.Result == logic.Rejected || o.Result == logic.Unreachable || o.Result == logic.NotSent
+	a.mayHaveRun = a.mayHaveRun || !neverRan
+	e.effects.RecordOutcome(a.owned(), neverRan)
+	if ran && a.request.Client != noClient {
+		e.effects.NotifyEnd(a.request, o.Result, o.Reason)
+	}
+	late := a.lateStart
+	switch {
+	case ran || a.answered:
+		result.Answered = true
+		e.removeAllocation(slot)
+		e.policy.OnOutcome(e.now, result)
 		e.resolveLateStart(late)
-		return
-	}
-	if a.lateStart.ticket != 0 { // the earlier one runs: it serves, and the module need not try again
-		late := a.lateStart
-		e.policy.OnExpired(e.now, id)
-		e.policy.OnOutcome(e.now, logic.AttemptResult{
-			Allocation: id, Node: nd, Attempt: try, Duration: took,
-			Answered: true, Reason: why, Outcome: verdict, Report: report,
-		})
-		e.answerWithLateStart(late, p)
-		return
+	case !late.IsZero():
+		result.Answered = true
+		e.policy.OnExpired(e.now, result.Allocation) // it need not make another attempt
+		e.policy.OnOutcome(e.now, result)
+		e.answerWithLateStart(late, slot)
+	default:
+		e.policy.OnOutcome(e.now, result)
 	}
-	e.policy.OnOutcome(e.now, logic.AttemptResult{
-		Allocation: id, Node: nd, Attempt: try, Duration: took, Reason: why,
-		Outcome: verdict, Report: report,
-	})
 }
 
-// abandonAttempt ends a try without word from its node; what may yet be heard of it is remembered.
-func (e *Engine) abandonAttempt(p int, verdict logic.Outcome) {
-	a := &e.allocations[p]
+// abandonAttempt ends an attempt without an answer of its node. The attempt is remembered, as the node may still start it.
+func (e *Engine) abandonAttempt(slot int, result logic.Outcome) {
+	a := &e.allocations[slot]
 	if !a.recalled {
 		e.recall(a)
 	}
-	e.rememberAbandoned(attemptID{a.ticket, a.attempt}, abandonedAttempt{
-		allocationID: a.id, nodeIndex: a.nodeIndex, jobClass: a.jobClass, tenant: a.tenant,
-		service: a.service, token: a.token, cores: a.cores, memory: a.memory, sentAt: a.sentAt,
-	})
-	if e.jobEffects[a.jobClass] != logic.Restartable {
-		e.scheduleClaim(attemptID{a.ticket, a.attempt}, outcome.MaxClaims())
+	id, class := a.attempt, a.task.JobClass
+	e.rememberAbandoned(id, abandonedAttempt{allocationID: a.id, nodeIndex: a.nodeIndex, task: a.task, sentAt: a.sentAt})
+	if e.jobEffects[class] != logic.Restartable {
+		e.scheduleClaims(id, outcome.MaxClaims())
 	}
-	e.completeAttempt(p, verdict, logic.ReasonUnknown, nil)
+	e.completeAttempt(slot, outcomeOf(result))
+}
+
+// deferredOutcome is the outcome of an attempt that was not sent. It is reported to the policy in the next round, as the policy
+// may be in the middle of a decision.
+type deferredOutcome struct {
+	allocationID uint32
+	attempt      uint8
+	result       logic.Outcome
 }
 
-// cancelUnsent ends a try that waits for its node's connection: it must not leave any more, even if that comes right now.
+// callBack has an attempt not start, if it does not run yet.
+func (e *Engine) callBack(a *allocation) {
+	switch a.phase {
+	case phaseConnecting:
+		e.cancelUnsent(a)
+	case phaseInFlight:
+		if !a.recalled {
+			e.recall(a)
+		}
+	}
+}
+
+// cancelUnsent ends an attempt that waits for the connection to its node: it is not sent any more, even if the connection comes
+// before the next round.
 func (e *Engine) cancelUnsent(a *allocation) {
 	a.recalled = true
-	e.deferred = append(e.deferred, deferredOutcome{a.id, a.attempt, logic.NotSent})
+	e.deferred = append(e.deferred, deferredOutcome{a.id, a.attempt.Number, logic.NotSent})
 }
 
+// recall asks the node of an attempt in flight to hand it back.
 func (e *Engine) recall(a *allocation) {
 	a.recalled = true
-	if e.nodes[a.nodeIndex].ready {
-		e.effects.Recall(e.nodes[a.nodeIndex].id, a.ticket, a.attempt)
-	}
-}
-
-// OnStarted is a node's word that a try runs. An error is the peer's fault: its connection should end.
-func (e *Engine) OnStarted(now float64, nd uint32, ticket uint64, try uint8, took float64) error {
-	e.now, e.hasEvents = now, true
-	name := attemptID{ticket, try}
-	if p, ok := e.findAttempt(ticket, try); ok {
-		a := &e.allocations[p]
-		if e.nodes[a.nodeIndex].id != nd {
-			return e.errUnknownAttempt(ticket, try)
-		}
-		if a.phase == phaseRunning {
-			return errDuplicateAnswer
-		}
-		e.handleStart(p, took)
-		return nil
-	}
-	g, ok := e.abandoned[name]
-	if !ok || e.nodes[g.nodeIndex].id != nd {
-		return e.errUnknownAttempt(ticket, try)
+	if n := &e.nodes[a.nodeIndex]; n.ready {
+		e.effects.Recall(n.id, a.attempt)
 	}
-	if g.started {
-		return errDuplicateAnswer
-	}
-	e.handleLateStart(name, g)
-	return nil
 }
 
-func (e *Engine) handleStart(p int, took float64) {
-	a := &e.allocations[p]
+// handleStart takes the start of an allocation's last attempt and answers its request.
+func (e *Engine) handleStart(slot int, took float64) {
+	a := &e.allocations[slot]
 	a.phase, a.confirmBy = phaseRunning, 0
 	late := a.lateStart
-	a.lateStart = attemptID{}
+	a.lateStart = AttemptID{}
 	e.policy.OnStarted(e.now, a.id, a.policyAttempt(), took)
 	if !a.answered {
-		e.answer(a, Served, e.nodes[a.nodeIndex].id, "", 0)
+		e.answer(a, Answer{Kind: Served, Node: e.nodes[a.nodeIndex].id})
 	}
-	if a.client == noClient { // answered before, or too late to be told
+	if a.request.Client == noClient { // answered before, or too late to be answered
 		e.stats.LateStarts++
-		if outcome.OnLateStart(e.jobEffects[a.jobClass], false, false) == outcome.Stop {
-			e.stop(a)
+		if outcome.OnLateStart(e.jobEffects[a.task.JobClass], false, false) == outcome.Stop {
+			e.stopTask(a)
 		} else {
 			e.keepForRetry(a)
 		}
 	}
-	if late.ticket != 0 { // this try was faster than the recall: the other start is one too many
+	if !late.IsZero() { // this start came before the recall: the earlier attempt's start is one too many
 		e.stopAbandoned(late)
 	}
 }
 
-// stop asks the node of a running allocation to end it; a node that is away is asked when it is back.
-func (e *Engine) stop(a *allocation) {
+// stopTask asks the node of a running task to end it. A node without a connection is asked when it is back.
+func (e *Engine) stopTask(a *allocation) {
 	a.stopping = true
-	if e.nodes[a.nodeIndex].ready {
-		e.effects.Stop(e.nodes[a.nodeIndex].id, a.ticket, a.attempt)
+	if n := &e.nodes[a.nodeIndex]; n.ready {
+		e.effects.Stop(n.id, a.attempt)
 	}
 }
 
-// keepForRetry holds a running allocation of nobody's for its owner's next ask.
+// keepForRetry keeps a running task for which nobody waits until its client may have asked for it again.
 func (e *Engine) keepForRetry(a *allocation) {
 	a.dueAt = e.now + outcome.LateStartRetention(e.config.SettleTime)
 	e.timers.Set(a.dueAt, timerKeep, uint64(a.id))
 }
-
-// OnOutcome is a node's word on a try's outcome; never tells that the node proves that it never ran.
-func (e *Engine) OnOutcome(now float64, nd uint32, ticket uint64, try uint8, verdict logic.Outcome, why logic.Reason,
-	report []float64,
-) error {
-	e.now, e.hasEvents = now, true
-	if p, ok := e.findAttempt(ticket, try); ok {
-		a := &e.allocations[p]
-		if e.nodes[a.nodeIndex].id != nd {
-			return e.errUnknownAttempt(ticket, try)
-		}
-		if a.phase == phaseRunning && verdict == logic.Rejected {
-			return errors.New("try refused after its start")
-		}
-		e.completeAttempt(p, verdict, why, report)
-		return nil
-	}
-	name := attemptID{ticket, try}
-	if g, ok := e.abandoned[name]; ok && e.nodes[g.nodeIndex].id == nd {
-		e.forgetAbandoned(name)
-		if p, ok := e.byID[g.allocationID]; ok && e.allocations[p].lateStart == name {
-			e.allocations[p].lateStart = attemptID{}
-		}
-		return nil
-	}
-	return e.errUnknownAttempt(ticket, try)
-}
-
-// OnNote is a node's word on a running allocation. One that has just ended may still be named.
-func (e *Engine) OnNote(now float64, nd uint32, ticket uint64, try uint8, kind logic.TaskMetric, value float64) error {
-	e.now, e.hasEvents = now, true
-	if p, ok := e.findAttempt(ticket, try); ok && e.nodes[e.allocations[p].nodeIndex].id == nd {
-		a := &e.allocations[p]
-		e.policy.OnTaskMetric(now, logic.TaskSample{Allocation: a.id, Attempt: a.policyAttempt(), Node: nd, Metric: kind, Value: value})
-	}
-	return nil
-}
-
-// OnSharedReport is a load report that another engine heard from a node.
-func (e *Engine) OnSharedReport(now float64, nd uint32, report []float64) {
-	e.now = now
-	e.policy.OnOutcome(now, logic.AttemptResult{
-		Allocation: 0, Node: nd, Answered: true, Outcome: logic.Completed,
-		Report: report,
-	}) // no allocation has the number 0
-}
-
-// policyAttempt is the number by which the module knows the try: what was found is its first.
-func (a *allocation) policyAttempt() uint8 {
-	if a.recovered {
-		return 0
-	}
-	return a.attempt
-}
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -8,18 +8,18 @@
 	"ravenpond/logic"
 )
 
-// silent drops effects but keeps the last offer.
-type silent struct {
-	script
-}
+// lastOfferEffects drops effects but keeps the last offer.
+type lastOfferEffects struct{ harness }
 
-func (s *silent) Offer(nd uint32, ticket uint64, try uint8, _ uint32, _ float64, _, _ int, _, _ uint64, _, _ float64) {
-	s.last.nd, s.last.ticket, s.last.try = nd, ticket, try
-}
-func (s *silent) Answer(uint32, uint64, Answer, uint32, string, float64) {}
-func (s *silent) NotifyEnd(uint32, uint64, logic.Outcome, logic.Reason)  {}
-func (s *silent) Log(string)                                             {}
-func (s *silent) Dial(uint32, string)                                    {}
+func (e *lastOfferEffects) Offer(node uint32, offer Offer) { e.last = sentOffer{node, offer.Attempt} }
+
+func (e *lastOfferEffects) Answer(RequestID, Answer) {}
+
+func (e *lastOfferEffects) NotifyEnd(RequestID, logic.Outcome, logic.Reason) {}
+
+func (e *lastOfferEffects) Log(string) {}
+
+func (e *lastOfferEffects) Dial(uint32, string) {}
 
 const benchNodes = 130
 
@@ -32,13 +32,13 @@
 	}
 }
 
-// BenchmarkEngine is the whole life of an allocation through the engine, one a round of 1 ms.
+// BenchmarkEngine takes an allocation from its request to its end through the engine, one in each round of 1 ms.
 func BenchmarkEngine(b *testing.B) {
-	s := &silent{}
-	e := New(s, 1, Config{Cluster: benchCluster(), Shares: []float64{1}, MaxOpen: 1000, AnswerMargin: 100, SettleTime: 3000, Incarnation: 1, Seed: 1})
+	effects := &lastOfferEffects{}
+	e := New(effects, 1, Config{Cluster: benchCluster(), Shares: []float64{1}, MaxOpen: 1000, AnswerMargin: 100, SettleTime: 3000, Incarnation: 1, Seed: 1})
 	e.BeginList(1, logic.ListCached)
 	for i := range uint32(benchNodes) {
-		e.AddListNode(i+1, "a", logic.Ready, 0, 64, 128, int(i%2), int(i%2), 0)
+		e.AddListEntry(ListEntry{Node: i + 1, Address: "a", Availability: logic.Ready, FreeCores: 64, FreeMemory: 128, Zone: int(i % 2), Cell: int(i % 2)})
 	}
 	e.EndList()
 	for i := range uint32(benchNodes) {
@@ -50,40 +50,41 @@
 	b.ReportAllocs()
 	for i := uint64(1); b.Loop(); i++ {
 		now++
-		if err := e.Allocate(now, 1, i, 0, 0, i%50, i, 0.5, 1, 5000, 1); err != nil {
+		if err := e.Allocate(now, newRequest(1, i, Task{Service: i % 50, Token: i, Cores: 0.5, Memory: 1}, 5000)); err != nil {
 			b.Fatal(err)
 		}
 		e.Round(now)
-		if e.OnStarted(now, s.last.nd, s.last.ticket, s.last.try, 1) != nil ||
-			e.OnOutcome(now, s.last.nd, s.last.ticket, s.last.try, logic.Completed, logic.ReasonUnknown, report) != nil {
+		if e.OnStarted(now, effects.last.node, effects.last.attempt, 1) != nil ||
+			e.OnOutcome(now, effects.last.node, Outcome{Attempt: effects.last.attempt, Result: logic.Completed, Reason: logic.ReasonUnknown, Report: report}) != nil {
 			b.Fatal("lost")
 		}
 	}
 }
 
-// bare is a host that only keeps the last offer.
-type bare struct{ nd, alloc uint32 }
-
-func (h *bare) StartAttempt(alloc, nd uint32, _ float64) { h.alloc, h.nd = alloc, nd }
-func (h *bare) Shed(uint32, float64)                     {}
-func (h *bare) Fail(uint32)                              {}
-func (h *bare) Cancel(uint32, uint8)                     {}
-func (h *bare) Migrate(uint32)                           {}
-func (h *bare) Probe(uint32)                             {}
-func (h *bare) WatchList(bool)                           {}
-func (h *bare) ReloadList()                              {}
-func (h *bare) SetTimer(float64, uint64)                 {}
-func (h *bare) Log(string)                               {}
-
-// BenchmarkModule is the same calls on the module alone, with the timers that the engine would ring.
-func BenchmarkModule(b *testing.B) {
-	h := &bare{}
+// lastAttempt keeps the last attempt of a policy and drops its other effects.
+type lastAttempt struct{ node, allocation uint32 }
+
+func (h *lastAttempt) StartAttempt(allocation, node uint32, _ float64) {
+	h.allocation, h.node = allocation, node
+}
+func (h *lastAttempt) Shed(uint32, float64)     {}
+func (h *lastAttempt) Fail(uint32)              {}
+func (h *lastAttempt) Cancel(uint32, uint8)     {}
+func (h *lastAttempt) Migrate(uint32)           {}
+func (h *lastAttempt) Probe(uint32)             {}
+func (h *lastAttempt) WatchList(bool)           {}
+func (h *lastAttempt) ReloadList()              {}
+func (h *lastAttempt) SetTimer(float64, uint64) {}
+func (h *lastAttempt) Log(string)               {}
+
+// BenchmarkPolicy makes the same calls on the policy alone, with the timers that the engine would fire.
+func BenchmarkPolicy(b *testing.B) {
+	h := &lastAttempt{}
 	s := logic.New(h, 1, 1, benchCluster())
 	s.OnListBegin(1, logic.ListCached)
 	for i := range uint32(benchNodes) {
 		s.OnListNode(1, logic.ListEntry{
-			Node: i + 1, Availability: logic.Ready, FreeCores: 64, FreeMemory: 128,
-			Zone: int(i % 2), Cell: int(i % 2),
+			Node: i + 1, Availability: logic.Ready, FreeCores: 64, FreeMemory: 128, Zone: int(i % 2), Cell: int(i % 2),
 		})
 	}
 	s.OnListEnd(1)
@@ -99,23 +100,23 @@
 		s.Decide(now)
 		s.OnStarted(now, i, 0, 1)
 		s.OnOutcome(now, logic.AttemptResult{
-			Allocation: i, Node: h.nd, Duration: 1, Answered: true,
-			Outcome: logic.Completed, Report: report,
+			Allocation: i, Node: h.node, Duration: 1, Answered: true,
+			Reason: logic.ReasonUnknown, Outcome: logic.Completed, Report: report,
 		})
 	}
 }
 
-// BenchmarkOpen measures what an open allocation holds in memory, engine and module together, at 100,000.
+// BenchmarkOpen measures the memory of an open allocation, engine and policy together, at 100,000.
 func BenchmarkOpen(b *testing.B) {
 	const many = 100000
 	for b.Loop() {
-		s := &silent{}
-		e := New(s, 1, Config{Cluster: benchCluster(), Shares: []float64{1}, MaxOpen: many, AnswerMargin: 100, SettleTime: 3000, Incarnation: 1, Seed: 1})
+		effects := &lastOfferEffects{}
+		e := New(effects, 1, Config{Cluster: benchCluster(), Shares: []float64{1}, MaxOpen: many, AnswerMargin: 100, SettleTime: 3000, Incarnation: 1, Seed: 1})
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := uint64(1); i <= many; i++ {
-			if err := e.Allocate(2, 1, i, 0, 0, i%50, i, 0.5, 1, 60000, 1); err != nil {
+			if err := e.Allocate(2, newRequest(1, i, Task{Service: i % 50, Token: i, Cores: 0.5, Memory: 1}, 60000)); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -128,9 +129,9 @@
 	}
 }
 
-// BenchmarkTries finds an open try by its ticket among 10,000: by a map of places in a table, as the engine does, and
-// by a map of pointers with a lock, the plain way.
-func BenchmarkTries(b *testing.B) {
+// BenchmarkFindAttempt finds an open attempt by its ticket among 10,000: by a map of places in a table, as the engine does, and by a
+// map of pointers with a lock.
+func BenchmarkFindAttempt(b *testing.B) {
 	const many = 10000
 	b.Run("table and map", func(b *testing.B) {
 		table, at := make([]allocation, many), map[uint32]int{}
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -1,113 +1,70 @@
 package engine
 
-import (
-	"math"
+import "ravenpond/logic"
 
-	"ravenpond/internal/decide/outcome"
-)
+// Effects carries out what the engine decides, in the order of the calls. The methods must neither block nor call the
+// engine back.
+type Effects interface {
+	NodeConnections
+	NodeList
+	Ownership
+	Clients
 
-// policyEffects carries out what the module decides.
-type policyEffects struct{ e *Engine }
-
-func (h policyEffects) StartAttempt(id, nodeID uint32, timeout float64) {
-	e := h.e
-	p := e.byID[id]
-	a := &e.allocations[p]
-	nd := e.nodeIndex[nodeID]
-	if a.attempted {
-		a.attempt++
-	}
-	a.attempted = true
-	a.sentAt, a.recalled, a.confirmBy = e.now, false, 0
-	a.dueAt = min(e.now+timeout, a.deadline)
-	e.stats.Offers++
-	e.attach(p, nd)
-	if n := &e.nodes[nd]; n.ready {
-		e.sendOffer(a, n)
-		return
-	}
-	a.phase = phaseConnecting
-	e.pacer.Prioritize(e.now, nd)
-	e.timers.Set(e.now+min(outcome.ConnectTimeout(), timeout), timerConnect, attemptTimerKey(id, a.attempt))
-}
-
-func (e *Engine) sendOffer(a *allocation, n *node) {
-	a.phase = phaseInFlight
-	if !e.effects.PermitAttempt(a.tenant, a.token, a.epoch, n.id, a.ticket, a.attempt) {
-		a.phase = phaseConnecting // never sent, and no other try will be either
-		e.cancelUnsent(a)
-		return
-	}
-	e.timers.Set(a.dueAt, timerAttempt, attemptTimerKey(a.id, a.attempt))
-	e.effects.Offer(n.id, a.ticket, a.attempt, a.epoch, a.dueAt-e.now, a.jobClass, a.tenant, a.service, a.token, a.cores, a.memory)
+	// Log writes a diagnostic line.
+	Log(line string)
 }
 
-func (h policyEffects) Shed(id uint32, holdOff float64) {
-	h.e.giveFinalAnswer(id, Declined, holdOff)
-}
-
-func (h policyEffects) Fail(id uint32) { h.e.giveFinalAnswer(id, Failed, 0) }
-
-func (e *Engine) giveFinalAnswer(id uint32, answer Answer, holdOff float64) {
-	p, ok := e.byID[id]
-	if !ok || e.allocations[p].answered {
-		return
-	}
-	a := &e.allocations[p]
-	e.answer(a, answer, 0, "", holdOff)
-	late := a.lateStart
-	a.lateStart = attemptID{}
-	if a.phase == phaseWaiting {
-		e.forgetAllocation(p)
-	}
-	e.resolveLateStart(late)
+// NodeConnections opens and closes connections to nodes and sends messages over them. A message to a node without a
+// connection is dropped.
+type NodeConnections interface {
+	// Dial connects to a node; Engine.OnConnected or Engine.OnDialFailed reports the result.
+	Dial(node uint32, address string)
+	// Disconnect closes the connection to a node; Engine.OnDisconnected reports its end.
+	Disconnect(node uint32, reason string)
+	// Offer asks a node to start a task.
+	Offer(node uint32, offer Offer)
+	// Recall asks a node to hand an attempt back unless its task runs.
+	Recall(node uint32, attempt AttemptID)
+	// Stop asks a node to end the task of an attempt.
+	Stop(node uint32, attempt AttemptID)
+	// Claim asks a node what became of an attempt. A node that has not seen it rejects it from then on.
+	Claim(node uint32, attempt AttemptID)
+	// Probe asks a node for a load report.
+	Probe(node uint32, sequence uint64)
 }
 
-func (h policyEffects) Cancel(id uint32, try uint8) {
-	e := h.e
-	p, ok := e.byID[id]
-	if !ok || e.allocations[p].attempt != try {
-		return
-	}
-	switch a := &e.allocations[p]; a.phase {
-	case phaseConnecting:
-		e.cancelUnsent(a)
-	case phaseInFlight:
-		if !a.recalled {
-			e.recall(a)
-		}
-	}
+// NodeList controls the subscription to the node list.
+type NodeList interface {
+	// WatchList starts or ends the watch on changes of the list.
+	WatchList(active bool)
+	// ReloadList requests the full list once.
+	ReloadList()
 }
 
-func (h policyEffects) Migrate(id uint32) {
-	if p, ok := h.e.byID[id]; ok && h.e.allocations[p].phase == phaseRunning {
-		h.e.stop(&h.e.allocations[p])
-	}
+// Ownership records which engine acts for a task, so that two engines never do. Its answers hold until the call
+// returns and the effect that was permitted has been sent.
+type Ownership interface {
+	// PermitAttempt tells whether an attempt may be sent: not if another engine acts for the task by now.
+	PermitAttempt(task OwnedTask, node uint32, attempt AttemptID) bool
+	// RecordOutcome records the end of an attempt; neverRan says that its task provably never ran.
+	RecordOutcome(task OwnedTask, neverRan bool)
+	// RecoverTask asks whether this engine is to keep a task that it found running. If it is, the result names the epoch under
+	// which it does, and the client that was told that the task runs.
+	RecoverTask(running RunningTask) (recovered RecoveredTask, ok bool)
+	// SetClient records that another request is the one to be notified of the task's end.
+	SetClient(task OwnedTask, request RequestID)
+	// ReleaseTask ends this engine's ownership of a task.
+	ReleaseTask(task OwnedTask, service uint64)
+	// PermitAnswer tells whether the final answer may be given, and records it: not if another engine acts for the task by now.
+	PermitAnswer(task OwnedTask, served bool) bool
 }
 
-func (h policyEffects) Probe(nodeID uint32) {
-	e := h.e
-	nd := e.nodeIndex[nodeID]
-	n := &e.nodes[nd]
-	if n.probing {
-		return
-	}
-	n.probing, n.probeSent, n.probeStartedAt = true, n.ready, e.now
-	n.probeSeq++
-	e.timers.Set(e.now+outcome.ProbeTimeout(), timerProbe, uint64(uint32(n.probeSeq))<<32|uint64(uint32(nd)))
-	if n.ready {
-		e.effects.Probe(n.id, n.probeSeq)
-	} else {
-		e.pacer.Prioritize(e.now, nd)
-	}
+// Clients sends messages to the clients that requested allocations.
+type Clients interface {
+	// Answer sends the final answer to a request.
+	Answer(request RequestID, answer Answer)
+	// NotifyEnd sends the end of a task whose request was answered with Served.
+	NotifyEnd(request RequestID, result logic.Outcome, reason logic.Reason)
+	// ExpireRequest reports that the deadline of a request passed before it could be answered. Nothing is sent for it.
+	ExpireRequest(request RequestID)
 }
-
-func (h policyEffects) WatchList(active bool) { h.e.effects.WatchList(active) }
-
-func (h policyEffects) ReloadList() { h.e.effects.ReloadList() }
-
-func (h policyEffects) SetTimer(delay float64, key uint64) {
-	h.e.timers.Set(h.e.now+math.Max(0, delay), timerPolicyWake, key)
-}
-
-func (h policyEffects) Log(line string) { h.e.effects.Log(line) }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,58 +8,56 @@
 	"ravenpond/logic"
 )
 
-const (
-	restartable = iota
-	zoned       // tokened, group zone
-	everywhere  // tokened, group all
-	once
-)
-
 func TestBrokenConnection(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		left bool
-		back func(s *script) // how the node comes back
-		want [4]string       // by job type: what follows within two seconds
+		sent bool
+		back func(h *harness) // how the node comes back
+		want [4]string        // by job class: what follows within two seconds
 	}{
 		{"never left", false, nil, [4]string{"offer 1.1", "offer 1.1", "offer 1.1", "offer 1.1"}},
 		{"left, node stays away", true, nil, [4]string{"offer 1.1", "offer 1.1", "offer 1.1", "answer 1 failed"}},
-		{"left, node says it never saw it", true, func(s *script) {
-			s.link(s.last.nd, 1)
-			s.e.OnClaimOutcome(s.now, s.last.nd, s.last.ticket, s.last.try, logic.Rejected, logic.ReasonUnknown)
+		{"left, node says it never saw it", true, func(h *harness) {
+			h.connect(h.last.node, 1)
+			h.engine.OnClaimOutcome(h.now, h.last.node, Outcome{Attempt: h.last.attempt, Result: logic.Rejected, Reason: logic.ReasonUnknown})
 		}, [4]string{"claim 1.0, offer 1.1", "claim 1.0, offer 1.1", "claim 1.0, offer 1.1", "claim 1.0, offer 1.1"}},
 		{
-			"left, node comes back in another life", true, func(s *script) { s.link(s.last.nd, 2) },
+			"left, node comes back in another life", true, func(h *harness) { h.connect(h.last.node, 2) },
 			[4]string{"offer 1.1", "offer 1.1", "offer 1.1", "answer 1 failed"},
 		},
-		{"left, node holds it and it runs", true, func(s *script) {
-			s.e.OnConnected(s.now, s.last.nd, 1, 0)
-			if err := s.e.OnHeld(s.now, s.last.nd, s.last.ticket, s.last.try, true, 0, 0, 99, 1001, 1, 2); err != nil {
-				s.t.Fatal(err)
+		{"left, node holds it and it runs", true, func(h *harness) {
+			h.engine.OnConnected(h.now, h.last.node, 1, 0)
+			err := h.engine.OnHeld(h.now, h.last.node, HeldTask{
+				Attempt: h.last.attempt,
+				Running: true,
+				Task:    Task{Service: 99, Token: 1001, Cores: 1, Memory: 2},
+			})
+			if err != nil {
+				h.t.Fatal(err)
 			}
-			s.e.OnHeldAll(s.now, s.last.nd)
+			h.engine.OnHeldAll(h.now, h.last.node)
 		}, [4]string{"answer 1 served", "answer 1 served", "answer 1 served", "answer 1 served"}},
 	} {
 		for job, want := range c.want {
 			t.Run(fmt.Sprintf("%s/%d", c.name, job), func(t *testing.T) {
-				s := begin(t, false)
-				s.ask(1, job, 5000)
-				s.want("offer", s.look(), "offer 1.0")
-				first := s.last.nd
-				s.broken(c.left)
-				s.pass(50)
+				h := start(t, true)
+				h.request(1, job, 5000)
+				h.want("offer", h.takeEffects(), "offer 1.0")
+				first := h.last.node
+				h.breakConnection(c.sent)
+				h.pass(50)
 				if c.back != nil {
-					c.back(s)
+					c.back(h)
 				}
-				s.pass(1900)
-				got := s.look()
+				h.pass(1900)
+				got := h.takeEffects()
 				if i := strings.Index(got, ", recall"); i >= 0 {
 					got = got[:i] // what comes after the first effect does not matter here
 				}
-				s.want("then", got, want)
-				if job == zoned && c.left && strings.Contains(got, "offer 1.1") && c.back == nil &&
-					(first-1)/2 != (s.last.nd-1)/2 {
-					t.Errorf("second try at node %d left the zone of node %d", s.last.nd, first)
+				h.want("then", got, want)
+				if job == zoned && c.sent && strings.Contains(got, "offer 1.1") && c.back == nil &&
+					(first-1)/2 != (h.last.node-1)/2 {
+					t.Errorf("second try at node %d left the zone of node %d", h.last.node, first)
 				}
 			})
 		}
@@ -70,7 +68,7 @@
 	for _, c := range []struct {
 		name string
 		job  int
-		wait float64 // after which the start of the first try is told
+		wait float64 // after which the start of the first attempt is reported
 		want string
 	}{
 		{"restartable, another try out", restartable, 2500, "recall 1.1"},
@@ -79,100 +77,98 @@
 		{"restartable, after the answer: stopped", restartable, 6000, "stop 1.0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := begin(t, false)
-			s.ask(1, c.job, 5000)
-			nd, ticket := s.last.nd, s.last.ticket
-			s.pass(c.wait)
-			s.look()
-			if err := s.e.OnStarted(s.now, nd, ticket, 0, c.wait); err != nil {
+			h := start(t, true)
+			h.request(1, c.job, 5000)
+			first := h.last
+			h.pass(c.wait)
+			h.takeEffects()
+			if err := h.engine.OnStarted(h.now, first.node, first.attempt, c.wait); err != nil {
 				t.Fatal(err)
 			}
 			if c.want == "answer 2 served" {
-				if err := s.e.Allocate(s.now, 7, 2, c.job, 0, 99, 1001, 1, 2, 5000, 1); err != nil {
-					t.Fatal(err)
-				}
+				h.allocate(newRequest(7, 2, Task{JobClass: c.job, Service: 99, Token: 1001, Cores: 1, Memory: 2}, 5000))
 			}
-			s.want("then", s.look(), c.want)
-			if c.want == "recall 1.1" { // handed back: the late one serves
-				if err := s.settled(logic.Rejected); err != nil {
+			h.want("then", h.takeEffects(), c.want)
+			if c.want == "recall 1.1" { // handed back: the late start serves
+				if err := h.reportEnd(logic.Rejected); err != nil {
 					t.Fatal(err)
 				}
-				s.want("then", s.look(), "answer 1 served")
+				h.want("then", h.takeEffects(), "answer 1 served")
 			}
 		})
 	}
 	t.Run("kept, but nobody asks", func(t *testing.T) {
-		s := begin(t, false)
-		s.ask(1, once, 5000)
-		s.pass(6000)
-		s.look()
-		if err := s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 6000); err != nil {
+		h := start(t, true)
+		h.request(1, once, 5000)
+		h.pass(6000)
+		h.takeEffects()
+		if err := h.reportStart(6000); err != nil {
 			t.Fatal(err)
 		}
-		s.pass(9000)
-		s.want("then", s.look(), "stop 1.0")
+		h.pass(9000)
+		h.want("then", h.takeEffects(), "stop 1.0")
 	})
 }
 
 func TestAnswers(t *testing.T) {
 	t.Run("start that crosses the expiry", func(t *testing.T) {
-		s := begin(t, false)
-		s.ask(1, once, 2000)
-		s.look()
-		s.now += 2500 // stood still beyond the expiry: the owner has given up, nothing more is sent to it
-		if err := s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 10); err != nil {
+		h := start(t, true)
+		h.request(1, once, 2000)
+		h.takeEffects()
+		h.now += 2500 // a pause beyond the deadline: the client has given up, nothing more is sent to it
+		if err := h.reportStart(10); err != nil {
 			t.Fatal(err)
 		}
-		s.pass(500)
-		s.want("after", s.look(), "")
+		h.pass(500)
+		h.want("after", h.takeEffects(), "")
 	})
 	t.Run("each once, before the expiry", func(t *testing.T) {
-		s := begin(t, true) // every node refuses connections
-		for ref := range uint64(4) {
-			s.ask(ref+1, int(ref), 1500)
+		h := start(t, false) // every node refuses connections
+		for number := range uint64(4) {
+			h.request(number+1, int(number), 1500)
 		}
 		for range 150 {
-			s.pass(10)
-			for nd := range uint32(4) {
-				if s.e.pacer.IsDialing(int(nd)) {
-					s.e.OnDialFailed(s.now, nd+1, "refused")
+			h.pass(10)
+			for node := range uint32(4) {
+				if h.engine.pacer.IsDialing(int(node)) {
+					h.engine.OnDialFailed(h.now, node+1)
 				}
 			}
 		}
-		got := s.look()
-		for ref := range 4 {
-			if n := strings.Count(got, fmt.Sprintf("answer %d declined", ref+1)); n != 1 {
-				t.Errorf("ask %d declined %d times in %q", ref+1, n, got)
+		got := h.takeEffects()
+		for number := range 4 {
+			if n := strings.Count(got, fmt.Sprintf("answer %d declined", number+1)); n != 1 {
+				t.Errorf("ask %d declined %d times in %q", number+1, n, got)
 			}
 		}
-		if len(s.e.byID) != 0 || s.e.admission.Open() != 0 || len(s.e.byKey) != 0 || len(s.e.requests) != 0 {
-			t.Errorf("left over: %+v", s.e.Stats())
+		if len(h.engine.byID) != 0 || h.engine.admission.Open() != 0 || len(h.engine.byKey) != 0 || len(h.engine.requests) != 0 {
+			t.Errorf("left over: %+v", h.engine.Stats())
 		}
 	})
 	t.Run("over the limit", func(t *testing.T) {
-		s := begin(t, true)
-		for ref := range uint64(140) {
-			_ = s.e.Allocate(s.now, 7, ref+1, restartable, int(ref%2), 99, 1000+ref, 1, 2, 5000, 1)
+		h := start(t, false)
+		for number := range uint64(140) {
+			_ = h.engine.Allocate(h.now, newRequest(7, number+1, Task{JobClass: restartable, Tenant: int(number % 2), Service: 99, Token: 1000 + number, Cores: 1, Memory: 2}, 5000))
 		}
-		if got := strings.Count(s.look(), "declined"); got != 40 {
+		if got := strings.Count(h.takeEffects(), "declined"); got != 40 {
 			t.Errorf("%d declined at once, want 40", got)
 		}
 	})
 	t.Run("too large for any machine", func(t *testing.T) {
-		s := begin(t, false)
-		_ = s.e.Allocate(s.now, 7, 1, restartable, 0, 99, 1, 33, 2, 5000, 1)
-		s.want("answer", s.look(), "answer 1 declined")
+		h := start(t, true)
+		_ = h.engine.Allocate(h.now, newRequest(7, 1, Task{JobClass: restartable, Service: 99, Token: 1, Cores: 33, Memory: 2}, 5000))
+		h.want("answer", h.takeEffects(), "answer 1 declined")
 	})
 	t.Run("the same key twice", func(t *testing.T) {
-		s := begin(t, false)
-		s.ask(1, once, 5000)
-		s.look()
-		_ = s.e.Allocate(s.now, 8, 9, once, 0, 99, 1001, 1, 2, 5000, 1)
-		s.want("while open", s.look(), "answer 9 declined")
-		_ = s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 10)
-		s.want("its start", s.look(), "answer 1 served")
-		_ = s.e.Allocate(s.now, 8, 10, once, 0, 99, 1001, 1, 2, 5000, 1)
-		s.want("while it runs", s.look(), "answer 10 served")
+		h := start(t, true)
+		h.request(1, once, 5000)
+		h.takeEffects()
+		_ = h.engine.Allocate(h.now, newRequest(8, 9, Task{JobClass: once, Service: 99, Token: 1001, Cores: 1, Memory: 2}, 5000))
+		h.want("while open", h.takeEffects(), "answer 9 declined")
+		_ = h.reportStart(10)
+		h.want("its start", h.takeEffects(), "answer 1 served")
+		_ = h.engine.Allocate(h.now, newRequest(8, 10, Task{JobClass: once, Service: 99, Token: 1001, Cores: 1, Memory: 2}, 5000))
+		h.want("while it runs", h.takeEffects(), "answer 10 served")
 	})
 }
 
@@ -182,19 +178,19 @@
 		"answer 1 failed, recall 1.0", "answer 1 failed, recall 1.0",
 	} {
 		t.Run(fmt.Sprint(job), func(t *testing.T) {
-			s := begin(t, false)
-			s.ask(1, job, 5000)
-			s.look()
-			if err := s.e.Withdraw(s.now, 7, 1); err != nil {
+			h := start(t, true)
+			h.request(1, job, 5000)
+			h.takeEffects()
+			if err := h.engine.Withdraw(h.now, RequestID{Client: 7, Number: 1}); err != nil {
 				t.Fatal(err)
 			}
-			s.want("out", s.look(), want)
-			if err := s.settled(logic.Rejected); err != nil {
+			h.want("out", h.takeEffects(), want)
+			if err := h.reportEnd(logic.Rejected); err != nil {
 				t.Fatal(err)
 			}
-			s.pass(100)
-			s.want("after", s.look(), "")
-			if err := s.e.Withdraw(s.now, 7, 1); err == nil {
+			h.pass(100)
+			h.want("after", h.takeEffects(), "")
+			if err := h.engine.Withdraw(h.now, RequestID{Client: 7, Number: 1}); err == nil {
 				t.Error("withdrawn twice")
 			}
 		})
@@ -204,32 +200,40 @@
 func TestPeerFaults(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(s *script) error
+		do   func(h *harness) error
 	}{
-		{"unknown try", func(s *script) error { return s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 9, 1) }},
-		{"another node's try", func(s *script) error { return s.e.OnStarted(s.now, s.last.nd%4+1, s.last.ticket, 0, 1) }},
-		{"second start", func(s *script) error {
-			_ = s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 1)
-			return s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 1)
+		{"unknown try", func(h *harness) error {
+			return h.engine.OnStarted(h.now, h.last.node, AttemptID{Ticket: h.last.attempt.Ticket, Number: 9}, 1)
+		}},
+		{"another node's try", func(h *harness) error {
+			return h.engine.OnStarted(h.now, h.last.node%4+1, AttemptID{Ticket: h.last.attempt.Ticket}, 1)
 		}},
-		{"second outcome", func(s *script) error {
-			_ = s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 1)
-			_ = s.settled(logic.Completed)
-			return s.settled(logic.Completed)
+		{"second start", func(h *harness) error {
+			_ = h.reportStart(1)
+			return h.reportStart(1)
 		}},
-		{"refused after its start", func(s *script) error {
-			_ = s.e.OnStarted(s.now, s.last.nd, s.last.ticket, 0, 1)
-			return s.settled(logic.Rejected)
+		{"second outcome", func(h *harness) error {
+			_ = h.reportStart(1)
+			_ = h.reportEnd(logic.Completed)
+			return h.reportEnd(logic.Completed)
 		}},
-		{"report never asked for", func(s *script) error { return s.e.OnProbeReport(s.now, 1, 1<<40, nil) }},
-		{"held, of an unknown job type", func(s *script) error {
-			return s.e.OnHeld(s.now, 1, 5, 0, true, 17, 0, 1, 1, 1, 1)
+		{"refused after its start", func(h *harness) error {
+			_ = h.reportStart(1)
+			return h.reportEnd(logic.Rejected)
+		}},
+		{"report never asked for", func(h *harness) error { return h.engine.OnProbeReport(h.now, 1, 1<<40, nil) }},
+		{"held, of an unknown job type", func(h *harness) error {
+			return h.engine.OnHeld(h.now, 1, HeldTask{
+				Attempt: AttemptID{Ticket: 5},
+				Running: true,
+				Task:    Task{JobClass: 17, Service: 1, Token: 1, Cores: 1, Memory: 1},
+			})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := begin(t, false)
-			s.ask(1, once, 5000)
-			if c.do(s) == nil {
+			h := start(t, true)
+			h.request(1, once, 5000)
+			if c.do(h) == nil {
 				t.Error("not noticed")
 			}
 		})
@@ -237,157 +241,152 @@
 }
 
 func TestRestart(t *testing.T) {
-	s := begin(t, true)
-	s.e.OnConnected(s.now, 2, 1, 0)
-	for i, runs := range []bool{true, false} { // of an earlier life of this scheduler
-		if err := s.e.OnHeld(s.now, 2, uint64(77+i), 1, runs, once, 0, 99, uint64(1001+i), 1, 2); err != nil {
+	h := start(t, false)
+	h.engine.OnConnected(h.now, 2, 1, 0)
+	for i, running := range []bool{true, false} { // of an earlier incarnation of this scheduler
+		err := h.engine.OnHeld(h.now, 2, HeldTask{
+			Attempt: AttemptID{Ticket: uint64(77 + i), Number: 1},
+			Running: running,
+			Task:    Task{JobClass: once, Service: 99, Token: uint64(1001 + i), Cores: 1, Memory: 2},
+		})
+		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.e.OnHeldAll(s.now, 2)
-	s.want("what waits is recalled", s.look(), "recall 78.1")
-	_ = s.e.Allocate(s.now, 7, 1, once, 0, 99, 1001, 1, 2, 5000, 1)
-	s.want("what runs is found", s.look(), "answer 1 served")
-	if err := s.e.OnOutcome(s.now, 2, 77, 1, logic.Completed, logic.ReasonUnknown, nil); err != nil {
+	h.engine.OnHeldAll(h.now, 2)
+	h.want("what waits is recalled", h.takeEffects(), "recall 78.1")
+	_ = h.engine.Allocate(h.now, newRequest(7, 1, Task{JobClass: once, Service: 99, Token: 1001, Cores: 1, Memory: 2}, 5000))
+	h.want("what runs is found", h.takeEffects(), "answer 1 served")
+	if err := h.engine.OnOutcome(h.now, 2, Outcome{Attempt: AttemptID{Ticket: 77, Number: 1}, Result: logic.Completed, Reason: logic.ReasonUnknown}); err != nil {
 		t.Fatal(err)
 	}
-	s.want("its end", s.look(), fmt.Sprintf("over 1 %d", logic.Completed))
+	h.want("its end", h.takeEffects(), fmt.Sprintf("over 1 %d", logic.Completed))
 }
 
-func TestStandStill(t *testing.T) {
-	s := begin(t, false)
-	s.ask(1, restartable, 8000)
-	s.look()
-	nd := s.last.nd
-	s.now += 3000
-	s.e.Round(s.now) // the try's time is up, but first what came in meanwhile is heard
-	s.want("at once", s.look(), "")
-	if err := s.e.OnStarted(s.now, nd, s.last.ticket, 0, 30); err != nil {
+// TestPause has the process stand still while an attempt is in flight.
+func TestPause(t *testing.T) {
+	h := start(t, true)
+	h.request(1, restartable, 8000)
+	h.takeEffects()
+	h.now += 3000
+	h.engine.Round(h.now) // the attempt has timed out, but messages that came in meanwhile are taken first
+	h.want("at once", h.takeEffects(), "")
+	if err := h.reportStart(30); err != nil {
 		t.Fatal(err)
 	}
-	s.pass(200)
-	s.want("after", s.look(), "answer 1 served")
+	h.pass(200)
+	h.want("after", h.takeEffects(), "answer 1 served")
 }
 
-// TestGive gives allocations in each phase to a second engine: what is out stays, what waits or runs goes, and the
-// second one answers for it.
-func TestGive(t *testing.T) {
-	s, to := begin(t, false), begin(t, false)
-	to.now = s.now
-	ask := func(ref uint64, job int) uint64 {
-		if err := s.e.Allocate(s.now, 1, ref, job, 0, 9, ref, 1, 2, 3000, 1); err != nil {
-			t.Fatal(err)
-		}
-		s.pass(20)
-		return s.last.ticket
-	}
-	runs := ask(1, once)
-	nd := s.last.nd
-	if err := s.e.OnStarted(s.now, nd, runs, 0, 1); err != nil {
-		t.Fatal(err)
+// TestTransfer hands allocations in each phase over to a second engine: what is in flight stays, what waits or runs goes, and
+// the second one answers for it.
+func TestTransfer(t *testing.T) {
+	h, to := start(t, true), start(t, true)
+	to.now = h.now
+	place := func(number uint64, job int) sentOffer {
+		h.t.Helper()
+		h.allocate(newRequest(1, number, Task{JobClass: job, Service: 9, Token: number, Cores: 1, Memory: 2}, 3000))
+		h.pass(20)
+		return h.last
 	}
-	out := ask(2, once)
-	outAt := s.last.nd
-	if err := s.e.Allocate(s.now, 1, 3, restartable, 0, 9, 3, 1, 2, 3000, 1); err != nil { // no round: it waits
+	running := place(1, once)
+	if err := h.engine.OnStarted(h.now, running.node, running.attempt, 1); err != nil {
 		t.Fatal(err)
 	}
-	parts := s.e.CountByService(nil, true, func(uint64, int) bool { return true })
-	if len(parts) != 1 || parts[0].Waiting != 1 || parts[0].Running != 1 || parts[0].Unresolved != 1 || !parts[0].BelongsElsewhere {
-		t.Fatalf("%+v", parts)
+	inFlight := place(2, once)
+	h.allocate(newRequest(1, 3, Task{JobClass: restartable, Service: 9, Token: 3, Cores: 1, Memory: 2}, 3000)) // it waits for a round
+	counts := h.engine.CountByService(nil, true, func(uint64, int) bool { return true })
+	if len(counts) != 1 || counts[0].Waiting != 1 || counts[0].Running != 1 || counts[0].Unresolved != 1 || !counts[0].BelongsElsewhere {
+		t.Fatalf("%+v", counts)
 	}
-	var given []Transfer
-	s.e.TransferOut(s.now, 9, true, func(g Transfer) { given = append(given, g) })
-	if len(given) != 2 {
-		t.Fatalf("%+v", given)
+	var transfers []Transfer
+	h.engine.TransferOut(h.now, 9, true, func(transfer Transfer) { transfers = append(transfers, transfer) })
+	if len(transfers) != 2 {
+		t.Fatalf("%+v", transfers)
 	}
-	for _, g := range given {
-		if !g.Running {
-			if err := to.e.Allocate(to.now, g.Client, g.RequestID, g.JobClass, g.Tenant, g.Service, g.Token, g.Cores, g.Memory,
-				g.Deadline-to.now, 2); err != nil {
-				t.Fatal(err)
-			}
-		} else if !to.e.TransferIn(to.now, g) || g.Ticket != runs || g.Node != nd {
-			t.Errorf("not taken: %+v", g)
+	for _, x := range transfers {
+		if !x.Running {
+			to.allocate(Request{ID: x.Request, Task: x.Task, TimeLeft: x.Deadline - to.now, Epoch: 2})
+		} else if !to.engine.TransferIn(to.now, x) || x.Attempt != running.attempt || x.Node != running.node {
+			t.Errorf("not taken: %+v", x)
 		}
 	}
-	s.look()
-	s.pass(50)
+	h.takeEffects()
+	h.pass(50)
 	to.pass(50)
-	if got := s.e.Stats(); got.Open != 1 || got.Held != 1 || s.e.IsIdle() {
+	if got := h.engine.Stats(); got.Open != 1 || got.Held != 1 || h.engine.IsIdle() {
 		t.Errorf("the giver holds %+v", got)
 	}
-	if got := to.e.Stats(); got.Open != 1 || got.Held != 2 {
+	if got := to.engine.Stats(); got.Open != 1 || got.Held != 2 {
 		t.Errorf("the receiver holds %+v", got)
 	}
-	if err := s.e.OnOutcome(s.now, outAt, out, 0, logic.Rejected, logic.ReasonUnknown, nil); err != nil {
+	if err := h.engine.OnOutcome(h.now, inFlight.node, Outcome{Attempt: inFlight.attempt, Result: logic.Rejected, Reason: logic.ReasonUnknown}); err != nil {
 		t.Error(err)
 	}
-	if err := s.e.OnOutcome(s.now, nd, runs, 0, logic.Completed, logic.ReasonUnknown, nil); err == nil {
+	if err := h.engine.OnOutcome(h.now, running.node, Outcome{Attempt: running.attempt, Result: logic.Completed, Reason: logic.ReasonUnknown}); err == nil {
 		t.Error("the giver still knows what it gave")
 	}
-	if err := to.e.OnOutcome(to.now, nd, runs, 0, logic.Completed, logic.ReasonUnknown, nil); err != nil {
+	if err := to.engine.OnOutcome(to.now, running.node, Outcome{Attempt: running.attempt, Result: logic.Completed, Reason: logic.ReasonUnknown}); err != nil {
 		t.Error(err)
 	}
-	if to.e.TransferIn(to.now, Transfer{Running: true, Node: 77}) {
+	if to.engine.TransferIn(to.now, Transfer{Running: true, Node: 77}) {
 		t.Error("taken at a node that is not known")
 	}
-	if err := to.e.Withdraw(to.now, 1, 3); err != nil {
+	if err := to.engine.Withdraw(to.now, RequestID{Client: 1, Number: 3}); err != nil {
 		t.Error("the receiver does not know whose it is:", err)
 	}
 }
 
-// TestNoticeBeforeSend lets word of a window or a drain come between a decision and its send, and between an ask and
-// its decision: nothing leaves for that node.
+// TestNoticeBeforeSend has a notice of maintenance or of a drain arrive between a decision and its send, and between a request
+// and its decision: nothing is sent to that node.
 func TestNoticeBeforeSend(t *testing.T) {
-	notices := map[string]func(s *script, nd uint32){
-		"calendar": func(s *script, nd uint32) { s.e.SetMaintenance(s.now, []uint32{nd}, true) },
-		"list": func(s *script, nd uint32) {
-			s.e.BeginList(s.now, logic.ListChanges)
-			s.e.AddListNode(nd, "a", logic.Draining, 0, 16, 32, 0, 0, 0)
-			s.e.EndList()
+	notices := map[string]func(h *harness, node uint32){
+		"calendar": func(h *harness, node uint32) { h.engine.SetMaintenance(h.now, []uint32{node}, true) },
+		"list": func(h *harness, node uint32) {
+			h.engine.BeginList(h.now, logic.ListChanges)
+			h.engine.AddListEntry(ListEntry{Node: node, Address: "a", Availability: logic.Draining, FreeCores: 16, FreeMemory: 32})
+			h.engine.EndList()
 		},
-		"list, gone": func(s *script, nd uint32) {
-			s.e.BeginList(s.now, logic.ListChanges)
-			s.e.AddListNode(nd, "a", logic.Unavailable, 0, 16, 32, 0, 0, 0)
-			s.e.EndList()
+		"list, gone": func(h *harness, node uint32) {
+			h.engine.BeginList(h.now, logic.ListChanges)
+			h.engine.AddListEntry(ListEntry{Node: node, Address: "a", Availability: logic.Unavailable, FreeCores: 16, FreeMemory: 32})
+			h.engine.EndList()
 		},
 	}
 	for name, notice := range notices {
 		for job := range 4 {
 			t.Run(fmt.Sprintf("%s, a try waits for its connection/%d", name, job), func(t *testing.T) {
-				s := begin(t, true)
-				s.ask(1, job, 5000)
-				var nd uint32
-				for i := range s.e.nodes {
-					if len(s.e.nodes[i].allocations) > 0 {
-						nd = s.e.nodes[i].id
+				h := start(t, false)
+				h.request(1, job, 5000)
+				var node uint32
+				for i := range h.engine.nodes {
+					if len(h.engine.nodes[i].allocations) > 0 {
+						node = h.engine.nodes[i].id
 					}
 				}
-				if nd == 0 {
+				if node == 0 {
 					t.Fatal("no try waits")
 				}
-				notice(s, nd)
-				if name == "calendar" { // of the list's word the grace is what the module goes by
-					s.link(nd, 1)
+				notice(h, node)
+				if name == "calendar" { // after a notice of the list the policy goes by the drain grace
+					h.connect(node, 1)
 				}
-				s.pass(50)
-				if s.seen[nd] > 0 {
+				h.pass(50)
+				if h.offers[node] > 0 {
 					t.Error("sent after the notice")
 				}
 			})
 			t.Run(fmt.Sprintf("%s, an ask in the same round/%d", name, job), func(t *testing.T) {
-				s := begin(t, false)
-				for ref := range uint64(12) {
-					if err := s.e.Allocate(s.now, 1, ref+1, job, 0, 9, ref+1, 1, 2, 5000, 1); err != nil {
-						t.Fatal(err)
-					}
+				h := start(t, true)
+				for number := range uint64(12) {
+					h.allocate(newRequest(1, number+1, Task{JobClass: job, Service: 9, Token: number + 1, Cores: 1, Memory: 2}, 5000))
 				}
-				notice(s, 2)
-				s.pass(300)
-				if s.seen[2] > 0 {
-					t.Errorf("%d sent after the notice", s.seen[2])
+				notice(h, 2)
+				h.pass(300)
+				if h.offers[2] > 0 {
+					t.Errorf("%d sent after the notice", h.offers[2])
 				}
-				if s.seen[1]+s.seen[3]+s.seen[4] == 0 {
+				if h.offers[1]+h.offers[3]+h.offers[4] == 0 {
 					t.Error("nothing was sent at all")
 				}
 			})
--- /dev/null
+++ b/internal/engine/exclusions_test.go
@@ -0,0 +1,116 @@
+package engine
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"ravenpond/logic"
+)
+
+// TestMaintenance takes a node out while an attempt is in flight to it, for each job class: the attempt is recalled, and another
+// one goes elsewhere only once it has come back.
+func TestMaintenance(t *testing.T) {
+	for job := range 4 {
+		for _, c := range []struct {
+			name   string
+			answer func(h *harness) error
+			want   string
+		}{
+			{"handed back", func(h *harness) error { return h.reportEnd(logic.Rejected) }, "offer 1.1"},
+			{
+				"runs after all", func(h *harness) error { return h.reportStart(9) },
+				"answer 1 served",
+			},
+		} {
+			t.Run(fmt.Sprintf("%s/%d", c.name, job), func(t *testing.T) {
+				h := start(t, true)
+				h.request(1, job, 5000)
+				h.takeEffects()
+				out := h.last.node
+				h.engine.SetMaintenance(h.now, []uint32{out}, true)
+				h.pass(300)
+				h.want("at the opening", h.takeEffects(), "recall 1.0")
+				if err := c.answer(h); err != nil {
+					t.Fatal(err)
+				}
+				h.pass(100)
+				h.want("after", h.takeEffects(), c.want)
+				if c.want == "offer 1.1" && h.last.node == out {
+					t.Error("offered again to the node that is out")
+				}
+				for number := range uint64(20) {
+					h.request(10+number, restartable, 5000)
+					if h.last.node == out && c.want == "offer 1.1" {
+						t.Fatal("offered to the node that is out")
+					}
+				}
+				h.engine.BeginList(h.now, logic.ListChanges) // an update by which it is ready changes nothing
+				h.engine.AddListEntry(ListEntry{Node: out, Address: "a", Availability: logic.Ready, FreeCores: 16, FreeMemory: 32})
+				h.engine.EndList()
+				before := h.offers[out]
+				for number := range uint64(20) {
+					h.request(40+number, restartable, 5000)
+				}
+				if h.offers[out] != before {
+					t.Error("offered to the node that is out, once the list had it ready")
+				}
+				h.engine.SetMaintenance(h.now, []uint32{out}, false)
+				for number := range uint64(60) {
+					h.request(70+number, restartable, 5000)
+					_ = h.reportStart(5)
+				}
+				if h.offers[out] == before {
+					t.Error("not offered to again once it is back")
+				}
+			})
+		}
+	}
+	t.Run("work is moved off, run-once is not", func(t *testing.T) {
+		h := start(t, true)
+		for number, job := range []int{restartable, zoned, once} {
+			h.request(uint64(number+1), job, 5000)
+			if err := h.reportStart(5); err != nil {
+				t.Fatal(err)
+			}
+		}
+		h.takeEffects()
+		stopped := 0
+		for node := range uint32(4) {
+			stopped += h.engine.MigrateFrom(h.now, node+1, []bool{true, true, true, false}, 9)
+			stopped += h.engine.MigrateFrom(h.now, node+1, []bool{true, true, true, false}, 9) // each once
+		}
+		if stopped != 2 || strings.Contains(h.takeEffects(), "stop 3.0") {
+			t.Errorf("%d stopped", stopped)
+		}
+	})
+}
+
+// TestCalendarIsNoList guards against a change of the calendar counting as an update of the list, which then is polled late.
+func TestCalendarIsNoList(t *testing.T) {
+	polledAt := map[bool]float64{}
+	for _, calendar := range []bool{false, true} {
+		h := start(t, true)
+		h.engine.config.Cluster.PollsList = true
+		watcher := &listWatcher{harness: h}
+		h.engine.effects = watcher
+		if calendar {
+			h.engine.SetMaintenance(h.now, []uint32{1}, true)
+		}
+		for h.now < 30000 && watcher.at == 0 {
+			h.pass(10)
+		}
+		polledAt[calendar] = watcher.at
+	}
+	if polledAt[false] != polledAt[true] || polledAt[true] == 0 {
+		t.Errorf("first asked for the list at %g, with a calendar at %g", polledAt[false], polledAt[true])
+	}
+}
+
+// listWatcher notes when the engine watched the list last.
+type listWatcher struct {
+	*harness
+	at float64
+}
+
+func (w *listWatcher) WatchList(bool) { w.at = w.now }
--- /dev/null
+++ b/internal/engine/harness_test.go
@@ -0,0 +1,201 @@
+package engine
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"ravenpond/logic"
+)
+
+// Job classes of the harness.
+const (
+	restartable = iota
+	zoned       // idempotent inside a zone
+	everywhere  // idempotent everywhere
+	once        // at most once
+)
+
+const harnessNodes = 4
+
+// harness is an engine on a virtual clock. Its effects are written down as lines.
+type harness struct {
+	t      *testing.T
+	engine *Engine
+	now    float64
+	lines  []string
+	offers map[uint32]int // by node
+	last   sentOffer
+}
+
+// sentOffer is an attempt and the node that it was sent to.
+type sentOffer struct {
+	node    uint32
+	attempt AttemptID
+}
+
+func (h *harness) record(format string, args ...any) {
+	h.lines = append(h.lines, fmt.Sprintf(format, args...))
+}
+
+// label names an attempt in a line, by the allocation and the number of the attempt.
+func label(id AttemptID) string { return fmt.Sprintf("%d.%d", uint32(id.Ticket), id.Number) }
+
+func (h *harness) Dial(node uint32, _ string) { h.record("dial %d", node) }
+
+func (h *harness) Disconnect(node uint32, _ string) { h.record("hang %d", node) }
+
+func (h *harness) WatchList(bool) {}
+
+func (h *harness) ReloadList() {}
+
+func (h *harness) Log(line string) { h.record("mode %s", line) }
+
+func (h *harness) Probe(uint32, uint64) {}
+
+func (h *harness) Offer(node uint32, offer Offer) {
+	h.last = sentOffer{node, offer.Attempt}
+	h.offers[node]++
+	h.record("offer %s", label(offer.Attempt))
+}
+
+func (h *harness) Recall(_ uint32, id AttemptID) { h.record("recall %s", label(id)) }
+
+func (h *harness) Stop(_ uint32, id AttemptID) { h.record("stop %s", label(id)) }
+
+func (h *harness) Claim(_ uint32, id AttemptID) { h.record("claim %s", label(id)) }
+
+func (h *harness) Answer(request RequestID, answer Answer) {
+	h.record("answer %d %s", request.Number, answer.Kind)
+}
+
+func (h *harness) NotifyEnd(request RequestID, result logic.Outcome, _ logic.Reason) {
+	h.record("over %d %d", request.Number, result)
+}
+
+func (h *harness) PermitAttempt(OwnedTask, uint32, AttemptID) bool { return true }
+
+func (h *harness) ExpireRequest(RequestID) {}
+
+func (h *harness) SetClient(OwnedTask, RequestID) {}
+
+func (h *harness) RecordOutcome(OwnedTask, bool) {}
+
+func (h *harness) ReleaseTask(OwnedTask, uint64) {}
+
+func (h *harness) PermitAnswer(OwnedTask, bool) bool { return true }
+
+func (h *harness) RecoverTask(RunningTask) (RecoveredTask, bool) {
+	return RecoveredTask{Epoch: 1}, true
+}
+
+// start starts an engine with four nodes, two to a zone, all connected unless that is not wanted.
+func start(t *testing.T, connected bool) *harness {
+	t.Helper()
+	h := &harness{t: t, offers: map[uint32]int{}, now: 1000}
+	cluster := &logic.Cluster{
+		Schedulers: 1, ListMaxSilence: 10000, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true,
+		KindCores: []float64{16}, KindMemory: []float64{32}, CoresOvercommit: 2, MemoryOvercommit: 1.5, ListsReportLoad: true,
+		ReportFields: []string{"x0", "x1"}, ReportsPiggybacked: true,
+		SlowStartLimit: 20, SlowStartDuration: 8000, SlowStartWindow: 2000, MeanCores: 1, MeanMemory: 2,
+		JobClasses: []logic.JobClass{
+			{Semantics: logic.Restartable, LatencyObjective: 700, PriorityWeight: 1, NodeKind: -1},
+			{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone, IdempotencyWindow: 8000, LatencyObjective: 700, PriorityWeight: 2, NodeKind: -1},
+			{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeAll, IdempotencyWindow: 8000, LatencyObjective: 700, PriorityWeight: 2, NodeKind: -1},
+			{Semantics: logic.AtMostOnce, LatencyObjective: 2000, PriorityWeight: 3, NodeKind: -1},
+		},
+	}
+	h.engine = New(h, h.now, Config{
+		Cluster: cluster, Shares: []float64{0.5, 0.5}, MaxOpen: 100, AnswerMargin: 100, SettleTime: 3000,
+		Incarnation: 1, Seed: 5,
+	})
+	h.engine.BeginList(h.now, logic.ListCached)
+	for i := range uint32(harnessNodes) {
+		h.engine.AddListEntry(ListEntry{
+			Node: i + 1, Address: "a", Availability: logic.Ready, FreeCores: 16, FreeMemory: 32,
+			Zone: int(i / 2), Cell: int(i / 2),
+		})
+	}
+	h.engine.EndList()
+	h.engine.Round(h.now)
+	for i := range uint32(harnessNodes) {
+		if connected {
+			h.connect(i+1, 1)
+		}
+	}
+	h.takeEffects()
+	return h
+}
+
+// connect connects a node that holds nothing.
+func (h *harness) connect(node uint32, incarnation uint64) {
+	h.engine.OnConnected(h.now, node, incarnation, 0)
+	h.engine.OnHeldAll(h.now, node)
+}
+
+// pass lets time pass in steps of 10 ms.
+func (h *harness) pass(ms float64) {
+	for end := h.now + ms; h.now < end; {
+		h.now = min(end, h.now+10)
+		h.engine.Round(h.now)
+	}
+}
+
+// newRequest is a request of the first epoch.
+func newRequest(client uint32, number uint64, task Task, timeLeft float64) Request {
+	return Request{ID: RequestID{Client: client, Number: number}, Task: task, TimeLeft: timeLeft, Epoch: 1}
+}
+
+// request requests a task of the token 1000 + number, and lets the policy decide.
+func (h *harness) request(number uint64, jobClass int, timeLeft float64) {
+	h.t.Helper()
+	h.allocate(newRequest(7, number, Task{JobClass: jobClass, Service: 99, Token: 1000 + number, Cores: 1, Memory: 2}, timeLeft))
+	h.pass(10)
+}
+
+// allocate reports a request, which must be accepted.
+func (h *harness) allocate(r Request) {
+	h.t.Helper()
+	if err := h.engine.Allocate(h.now, r); err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+// takeEffects returns the effects since the last call, but for dials and diagnostic lines.
+func (h *harness) takeEffects() string {
+	var effects []string
+	for _, line := range h.lines {
+		if !strings.HasPrefix(line, "dial") && !strings.HasPrefix(line, "mode") {
+			effects = append(effects, line)
+		}
+	}
+	h.lines = nil
+	return strings.Join(effects, ", ")
+}
+
+func (h *harness) want(what, got, want string) {
+	h.t.Helper()
+	if got != want {
+		h.t.Errorf("%s: got %q, want %q", what, got, want)
+	}
+}
+
+// reportStart has the node of the last offer report its start.
+func (h *harness) reportStart(took float64) error {
+	return h.engine.OnStarted(h.now, h.last.node, h.last.attempt, took)
+}
+
+// reportEnd has the node of the last offer report its end.
+func (h *harness) reportEnd(result logic.Outcome) error {
+	return h.engine.OnOutcome(h.now, h.last.node, Outcome{
+		Attempt: h.last.attempt, Result: result, Reason: logic.ReasonUnknown, Report: []float64{16, 32},
+	})
+}
+
+// breakConnection breaks the connection of the last offer; sent tells whether the offer may have got through.
+func (h *harness) breakConnection(sent bool) {
+	if !sent {
+		h.engine.OnUnsent(h.now, h.last.attempt)
+	}
+	h.engine.OnDisconnected(h.now, h.last.node)
+}
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -1,246 +1,220 @@
 package engine
 
 import (
-	"errors"
 	"fmt"
 
 	"ravenpond/internal/decide/admission"
 	"ravenpond/internal/decide/outcome"
-	"ravenpond/logic"
 )
 
-// setClient makes an owner hear of an allocation; disown ends that.
-func (e *Engine) setClient(p int, owner uint32, ref uint64) {
-	e.allocations[p].client, e.allocations[p].requestID = owner, ref
-	if owner != noClient {
-		e.requests[requestKey{owner, ref}] = p
+// Allocate takes a request. An error means that the client broke the protocol, and no answer follows.
+func (e *Engine) Allocate(now float64, r Request) error {
+	e.observe(now)
+	if _, ok := e.requests[r.ID]; ok {
+		return fmt.Errorf("ask %d is not over", r.ID.Number)
 	}
-}
-
-func (e *Engine) clearClient(a *allocation) {
-	if a.client != noClient {
-		delete(e.requests, requestKey{a.client, a.requestID})
-		a.client = noClient
-	}
-}
-
-// answer gives the final answer, once, and never after the owner's time is up.
-func (e *Engine) answer(a *allocation, answer Answer, nd uint32, why string, holdOff float64) {
-	a.answered = true
-	e.admission.Release(a.tenant)
-	if a.client == noClient {
-		return
-	}
-	if e.now >= a.deadline { // stood still: the owner has given up by itself, and nothing more is sent for it
-		e.stats.Expired++
-		e.effects.ExpireRequest(a.client, a.requestID)
-		e.clearClient(a)
-		return
-	}
-	if !e.effects.PermitAnswer(a.tenant, a.token, a.epoch, answer == Served) {
-		e.clearClient(a)
-		return
-	}
-	switch answer {
-	case Served:
-		e.stats.Served++
-	case Declined:
-		e.stats.Declined++
-	case Failed:
-		e.stats.Failed++
-	}
-	e.effects.Answer(a.client, a.requestID, answer, nd, why, holdOff)
-	if answer != Served {
-		e.clearClient(a)
-	}
-}
-
-// Allocate takes an ask under an epoch of the one who says which engine acts for it: left is the time that its owner
-// still waits, counted from now. An error means that it was not understood as a new one, and no answer follows.
-func (e *Engine) Allocate(now float64, owner uint32, ref uint64, jobType, tenant int, service, token uint64,
-	cores, memory, left float64, epoch uint32,
-) error {
-	e.now, e.hasEvents = now, true
-	if _, ok := e.requests[requestKey{owner, ref}]; ok {
-		return fmt.Errorf("ask %d is not over", ref)
-	}
-	name := idempotencyKey{tenant, token}
-	if p, ok := e.byKey[name]; ok {
-		e.answerDuplicate(p, owner, ref)
+	key := r.Task.Key()
+	if slot, ok := e.byKey[key]; ok {
+		e.answerDuplicate(slot, r.ID)
 		return nil
 	}
-	if epoch == 0 { // meant for one that was here a moment ago
+	if r.Epoch == 0 {
 		e.stats.Rejected++
-		e.effects.Answer(owner, ref, Declined, 0, "just-ended", 0)
+		e.effects.Answer(r.ID, Answer{Kind: Declined, Reason: ReasonJustEnded})
 		return nil
 	}
-	least := e.config.AnswerMargin + 4*e.config.Cluster.MinRoundInterval
-	if why := e.admission.Admit(tenant, left, least, e.fits(jobType, cores, memory)); why != admission.Admitted {
-		e.stats.Rejected++
-		if e.effects.PermitAnswer(tenant, token, epoch, false) {
-			e.effects.Answer(owner, ref, Declined, 0, why.String(), 0)
-		}
-		e.effects.ReleaseTask(tenant, token, service, epoch)
+	if reason := e.admit(&r); reason != admission.Admitted {
+		e.reject(&r, reason)
 		return nil
 	}
 	e.stats.Admitted++
-	p, a := e.newAllocation()
-	a.jobClass, a.tenant, a.service, a.token, a.epoch = jobType, tenant, service, token, epoch
-	e.setClient(p, owner, ref)
-	a.cores, a.memory, a.deadline, a.waitingSince = cores, memory, now+left, now
-	e.byKey[name] = p
-	e.policy.OnRequest(now, logic.Request{
-		Allocation: a.id, Class: jobType, Tenant: tenant,
-		Deadline: a.deadline - e.config.AnswerMargin, Service: service, Cores: cores, Memory: memory,
-	})
+	slot, a := e.newAllocation()
+	a.task, a.epoch = r.Task, r.Epoch
+	e.setClient(slot, r.ID)
+	a.deadline, a.waitingSince = now+r.TimeLeft, now
+	e.byKey[key] = slot
+	request := a.task.policyRequest(a.id)
+	request.Deadline = a.deadline - e.config.AnswerMargin
+	e.policy.OnRequest(now, request)
 	return nil
 }
 
-// answerDuplicate meets an ask for what is open or runs already: a second start is what its key guards against.
-func (e *Engine) answerDuplicate(p int, owner uint32, ref uint64) {
-	a := &e.allocations[p]
+// policySteps is how many rounds an allocation needs at least to be placed.
+const policySteps = 4
+
+// admit decides whether a request is taken at all.
+func (e *Engine) admit(r *Request) admission.Verdict {
+	needed := e.config.AnswerMargin + policySteps*e.config.Cluster.MinRoundInterval
+	return e.admission.Admit(r.Task.Tenant, r.TimeLeft, needed, e.fitsAnyMachine(&r.Task))
+}
+
+// reject declines a request that is not taken.
+func (e *Engine) reject(r *Request, reason admission.Verdict) {
+	task := OwnedTask{TaskKey: r.Task.Key(), Epoch: r.Epoch}
+	e.stats.Rejected++
+	if e.effects.PermitAnswer(task, false) {
+		e.effects.Answer(r.ID, Answer{Kind: Declined, Reason: AnswerReason(reason.String())})
+	}
+	e.effects.ReleaseTask(task, r.Task.Service)
+}
+
+// answerDuplicate answers a request for a task that is open or runs already. A second start is what its idempotency key guards
+// against.
+func (e *Engine) answerDuplicate(slot int, request RequestID) {
+	a := &e.allocations[slot]
 	switch {
 	case a.phase == phaseRunning:
 		e.clearClient(a)
-		e.setClient(p, owner, ref)
-		e.effects.SetClient(a.tenant, a.token, a.epoch, owner, ref)
+		e.setClient(slot, request)
+		e.effects.SetClient(a.owned(), request)
 		e.stats.Served++
-		e.effects.Answer(owner, ref, Served, e.nodes[a.nodeIndex].id, "runs", 0)
+		e.effects.Answer(request, Answer{Kind: Served, Node: e.nodes[a.nodeIndex].id, Reason: ReasonRunning})
 	case !a.answered:
 		e.stats.Rejected++
-		e.effects.Answer(owner, ref, Declined, 0, "open-already", 0)
-	default: // answered, and a try of it is still out: its outcome decides what a next ask may do
+		e.effects.Answer(request, Answer{Kind: Declined, Reason: ReasonAlreadyOpen})
+	default: // an attempt is still in flight: its outcome decides what the next request may do
 		e.stats.Rejected++
-		e.effects.Answer(owner, ref, Declined, 0, "earlier-try-out", 0)
+		e.effects.Answer(request, Answer{Kind: Declined, Reason: ReasonEarlierInDoubt})
 	}
 }
 
-// fits tells whether an empty machine of the kind that the job type needs would accept so much.
-func (e *Engine) fits(jobType int, cores, memory float64) bool {
-	cl := e.config.Cluster
-	for k := range cl.KindCores {
-		if kind := cl.JobClasses[jobType].NodeKind; (kind < 0 || kind == k) &&
-			cores <= cl.KindCores[k]*cl.CoresOvercommit && memory <= cl.KindMemory[k]*cl.MemoryOvercommit {
+// fitsAnyMachine tells whether an empty machine of the kind that the job class needs would accept a task.
+func (e *Engine) fitsAnyMachine(t *Task) bool {
+	cluster := e.config.Cluster
+	needed := cluster.JobClasses[t.JobClass].NodeKind // negative: any
+	for kind := range cluster.KindCores {
+		if (needed < 0 || needed == kind) &&
+			t.Cores <= cluster.KindCores[kind]*cluster.CoresOvercommit && t.Memory <= cluster.KindMemory[kind]*cluster.MemoryOvercommit {
 			return true
 		}
 	}
 	return false
 }
 
-// Withdraw ends an ask that its owner gives up: an open one is answered at once, one that runs is stopped.
-func (e *Engine) Withdraw(now float64, owner uint32, ref uint64) error {
-	e.now, e.hasEvents = now, true
-	if p, ok := e.requests[requestKey{owner, ref}]; ok {
-		e.withdrawAllocation(p, true)
-		return nil
+// answer gives the final answer to an allocation's request, but never after the client's deadline: the client has given up by
+// itself then, and nothing more is sent to it.
+func (e *Engine) answer(a *allocation, answer Answer) {
+	a.answered = true
+	e.admission.Release(a.task.Tenant)
+	if a.request.Client == noClient {
+		return
 	}
-	return fmt.Errorf("no ask %d to withdraw", ref)
+	if e.now >= a.deadline {
+		e.stats.Expired++
+		e.effects.ExpireRequest(a.request)
+		e.clearClient(a)
+		return
+	}
+	if !e.effects.PermitAnswer(a.owned(), answer.Kind == Served) {
+		e.clearClient(a)
+		return
+	}
+	switch answer.Kind {
+	case Served:
+		e.stats.Served++
+	case Declined:
+		e.stats.Declined++
+	case Failed:
+		e.stats.Failed++
+	}
+	e.effects.Answer(a.request, answer)
+	if answer.Kind != Served {
+		e.clearClient(a)
+	}
+}
+
+// Withdraw ends a request that its client gives up: an open one is answered at once, a running task is stopped. An error means
+// that there is no such request.
+func (e *Engine) Withdraw(now float64, request RequestID) error {
+	e.observe(now)
+	slot, ok := e.requests[request]
+	if !ok {
+		return fmt.Errorf("no ask %d to withdraw", request.Number)
+	}
+	e.withdrawAllocation(slot, true)
+	return nil
 }
 
-func (e *Engine) withdrawAllocation(p int, answer bool) {
-	a := &e.allocations[p]
+// withdrawAllocation ends an allocation as far as it can be ended. If notify is false, its client is not answered.
+func (e *Engine) withdrawAllocation(slot int, notify bool) {
+	a := &e.allocations[slot]
 	if a.phase == phaseRunning {
-		e.stop(a)
+		e.stopTask(a)
 		return
 	}
-	if !answer {
+	if !notify {
 		e.clearClient(a)
 	}
-	jt, verdict := &e.config.Cluster.JobClasses[a.jobClass], Failed
-	if outcome.IsRetrySafe(jt.Semantics, jt.IdempotencyScope, a.phase == phaseInFlight, a.mayHaveRun) {
-		verdict = Declined
+	kind, class := Failed, &e.config.Cluster.JobClasses[a.task.JobClass]
+	if outcome.IsRetrySafe(class.Semantics, class.IdempotencyScope, a.phase == phaseInFlight, a.mayHaveRun) {
+		kind = Declined
 	}
 	late := a.lateStart
-	a.lateStart = attemptID{}
-	e.answer(a, verdict, 0, "withdrawn", 0)
+	a.lateStart = AttemptID{}
+	e.answer(a, Answer{Kind: kind, Reason: ReasonWithdrawn})
 	e.clearClient(a)
 	e.policy.OnExpired(e.now, a.id)
-	switch a.phase {
-	case phaseInFlight:
-		if !a.recalled {
-			e.recall(a)
-		}
-	case phaseConnecting:
-		e.cancelUnsent(a)
-	case phaseWaiting:
-		e.forgetAllocation(p)
+	if a.phase == phaseWaiting {
+		e.removeAllocation(slot)
+	} else {
+		e.callBack(a)
 	}
 	e.resolveLateStart(late)
 }
 
-// OnClientDisconnected ends all open asks of an owner whose connection is gone; what runs goes on for nobody.
-func (e *Engine) OnClientDisconnected(now float64, owner uint32) {
-	e.now, e.hasEvents = now, true
-	for p := range e.allocations {
-		a := &e.allocations[p]
-		if _, ok := e.byID[a.id]; !ok || a.client != owner || owner == noClient {
+// OnClientDisconnected ends all open requests of a client whose connection ended. Its running tasks go on without a client.
+func (e *Engine) OnClientDisconnected(now float64, client uint32) {
+	e.observe(now)
+	if client == noClient {
+		return
+	}
+	for slot := range e.allocations {
+		a := &e.allocations[slot]
+		if !e.isInUse(slot) || a.request.Client != client {
 			continue
 		}
 		if a.phase == phaseRunning {
 			e.clearClient(a)
 		} else {
-			e.withdrawAllocation(p, false)
+			e.withdrawAllocation(slot, false)
 		}
 	}
 }
 
-// Close answers all that is open, as the process is about to end: what an owner is told now it need not wait for.
+// Close answers all open requests, as the process is about to end.
 func (e *Engine) Close(now float64) {
 	e.now = now
-	for p := range e.allocations {
-		a := &e.allocations[p]
-		if _, ok := e.byID[a.id]; ok && !a.answered {
-			e.withdrawAllocation(p, true)
+	for slot := range e.allocations {
+		if e.isInUse(slot) && !e.allocations[slot].answered {
+			e.withdrawAllocation(slot, true)
 		}
 	}
 }
 
-var errDuplicateAnswer = errors.New("second answer for a try")
-
-// findAttempt gives the place of the allocation whose try is named.
-func (e *Engine) findAttempt(ticket uint64, try uint8) (int, bool) {
-	if p, ok := e.recovered[attemptID{ticket, try}]; ok {
-		return p, true
-	}
-	if uint32(ticket>>32) != e.config.Incarnation {
-		return 0, false
+// EvictTenant ends what there is of a tenant: open requests are answered at once, as the effect of their tasks allows, and
+// running tasks are stopped if that is wanted. It returns how many allocations and abandoned attempts are left, and should be
+// called again until there are none.
+func (e *Engine) EvictTenant(now float64, tenant int, stop bool) (remaining int) {
+	e.observe(now)
+	for slot := range e.allocations {
+		a := &e.allocations[slot]
+		if !e.isInUse(slot) || a.task.Tenant != tenant {
+			continue
+		}
+		switch {
+		case a.phase == phaseRunning && stop && !a.stopping:
+			e.stopTask(a)
+		case a.phase != phaseRunning && !a.answered:
+			e.withdrawAllocation(slot, true)
+		}
+		if e.isInUse(slot) {
+			remaining++
+		}
 	}
-	p, ok := e.byID[uint32(ticket)]
-	if !ok || e.allocations[p].attempt != try || e.allocations[p].phase < phaseInFlight || e.allocations[p].ticket != ticket {
-		return 0, false
+	for _, g := range e.abandoned { // a count: the order has no effect
+		if g.task.Tenant == tenant && !g.stopped {
+			remaining++
+		}
 	}
-	return p, true
-}
-
-func (e *Engine) errUnknownAttempt(ticket uint64, try uint8) error {
-	return fmt.Errorf("answer for unknown try %x.%d", ticket, try)
-}
-
-// recoverTask makes a running allocation of what a node runs and tells the module.
-//
-// It returns -1 and stops it if another acts for it by now.
-func (e *Engine) recoverTask(name attemptID, g abandonedAttempt) int {
-	epoch, owner, ref, ok := e.effects.RecoverTask(g.tenant, g.token, g.jobClass, g.service, g.cores, g.memory,
-		e.nodes[g.nodeIndex].id, name.ticket, name.number)
-	if !ok {
-		e.stopAbandoned(name)
-		return -1
-	}
-	e.forgetAbandoned(name)
-	p, a := e.newAllocation()
-	a.epoch = epoch
-	a.phase, a.answered, a.recovered = phaseRunning, true, true
-	a.jobClass, a.tenant, a.service, a.token, a.cores, a.memory = g.jobClass, g.tenant, g.service, g.token, g.cores, g.memory
-	a.ticket, a.attempt, a.sentAt = name.ticket, name.number, e.now
-	e.attach(p, g.nodeIndex)
-	e.recovered[name] = p
-	e.byKey[idempotencyKey{a.tenant, a.token}] = p
-	a.reported = true
-	e.setClient(p, owner, ref)
-	e.stats.Recovered++
-	e.policy.OnRecovered(e.now, logic.Recovered{Request: logic.Request{
-		Allocation: a.id, Class: a.jobClass,
-		Tenant: a.tenant, Service: a.service, Cores: a.cores, Memory: a.memory,
-	}, Node: e.nodes[g.nodeIndex].id})
-	return p
+	return remaining
 }
--- a/internal/engine/workingset_test.go
+++ b/internal/engine/workingset_test.go
@@ -8,219 +8,213 @@
 	"ravenpond/logic"
 )
 
-// dials is which nodes were dialled since the last look.
-func (s *script) dials() (nodes []string) {
-	for _, line := range s.lines {
+// dials are the dials since the effects were taken last.
+func (h *harness) dials() (nodes []string) {
+	for _, line := range h.lines {
 		if strings.HasPrefix(line, "dial ") {
 			nodes = append(nodes, line)
 		}
 	}
-	s.lines = nil
+	h.lines = nil
 	return nodes
 }
 
-// setAsideAll sets all nodes aside and tells which the engine releases.
-func (s *script) setAsideAll() (released []uint32) {
+// excludeAll moves all nodes out of the working set. It returns those that the engine releases.
+func (h *harness) excludeAll() (released []uint32) {
 	all := []uint32{1, 2, 3, 4}
-	s.e.SetOutsideWorkingSet(s.now, all, true)
+	h.engine.SetOutsideWorkingSet(h.now, all, true)
 	for _, id := range all {
-		if s.e.Release(s.now, id) {
+		if h.engine.Release(h.now, id) {
 			released = append(released, id)
 		}
 	}
 	return released
 }
 
-// TestReleaseKeepsTheWayToATask runs a task at a node that is set aside: the node is kept connected until the task ends.
-func TestReleaseKeepsTheWayToATask(t *testing.T) {
-	for _, abandons := range []bool{false, true} {
-		s := begin(t, false)
-		if err := s.e.Allocate(s.now, 1, 1, restartable, 0, 7, 7, 1, 1, 5000, 1); err != nil {
+// TestReleaseKeepsConnectionToTask runs a task at a node outside the working set: the node is kept connected until the task ends.
+func TestReleaseKeepsConnectionToTask(t *testing.T) {
+	for _, forced := range []bool{false, true} {
+		h := start(t, true)
+		h.allocate(newRequest(1, 1, Task{JobClass: restartable, Service: 7, Token: 7, Cores: 1, Memory: 1}, 5000))
+		h.engine.Round(h.now)
+		node := h.last.node
+		if err := h.reportStart(100); err != nil {
 			t.Fatal(err)
 		}
-		s.e.Round(s.now)
-		nd := s.last.nd
-		if err := s.e.OnStarted(s.now, nd, s.last.ticket, s.last.try, 100); err != nil {
-			t.Fatal(err)
-		}
-		if released := s.setAsideAll(); len(released) != 3 || slices.Contains(released, nd) {
-			t.Fatalf("%v released while a task runs at %d", released, nd)
+		if released := h.excludeAll(); len(released) != 3 || slices.Contains(released, node) {
+			t.Fatalf("%v released while a task runs at %d", released, node)
 		}
-		if abandons {
-			s.e.ForceRelease(s.now, nd)
+		if forced {
+			h.engine.ForceRelease(h.now, node)
 		}
-		s.pass(5000)
-		s.dials()
+		h.pass(5000)
+		h.dials()
 		for _, id := range []uint32{1, 2, 3, 4} {
-			s.e.OnDisconnected(s.now, id, "broken")
+			h.engine.OnDisconnected(h.now, id)
 		}
-		s.pass(200)
-		if redialled := len(s.dials()); (redialled == 1) == abandons {
-			t.Fatalf("%d nodes dialled again, way given up: %t", redialled, abandons)
+		h.pass(200)
+		if redialled := len(h.dials()); (redialled == 1) == forced {
+			t.Fatalf("%d nodes dialled again, released by force: %t", redialled, forced)
 		}
-		if abandons {
+		if forced {
 			continue
 		}
-		s.e.OnConnected(s.now, nd, 1, 0)
-		if err := s.e.OnHeld(s.now, nd, s.last.ticket, s.last.try, true, restartable, 0, 7, 7, 1, 1); err != nil {
+		h.engine.OnConnected(h.now, node, 1, 0)
+		err := h.engine.OnHeld(h.now, node, HeldTask{
+			Attempt: h.last.attempt,
+			Running: true,
+			Task:    Task{JobClass: restartable, Service: 7, Token: 7, Cores: 1, Memory: 1},
+		})
+		if err != nil {
 			t.Fatal(err)
 		}
-		s.e.OnHeldAll(s.now, nd)
-		if err := s.e.OnOutcome(s.now, nd, s.last.ticket, s.last.try, logic.Completed, logic.ReasonUnknown, nil); err != nil {
+		h.engine.OnHeldAll(h.now, node)
+		if err := h.engine.OnOutcome(h.now, node, Outcome{Attempt: h.last.attempt, Result: logic.Completed, Reason: logic.ReasonUnknown}); err != nil {
 			t.Fatal(err)
 		}
-		s.e.Round(s.now)
-		if !s.e.Release(s.now, nd) {
+		h.engine.Round(h.now)
+		if !h.engine.Release(h.now, node) {
 			t.Error("not released after the task ended")
 		}
 	}
 }
 
-// TestSetAsideGetsNothing sets nodes aside and takes one back, which is not paced as cold.
-func TestSetAsideGetsNothing(t *testing.T) {
-	s := begin(t, false)
-	s.setAsideAll()
-	for ref := range uint64(10) {
-		if err := s.e.Allocate(s.now, 1, ref+1, restartable, 0, ref, ref, 1, 1, 5000, 1); err != nil {
-			t.Fatal(err)
-		}
-	}
-	s.now += 20
-	s.e.Round(s.now)
-	if len(s.seen) > 0 {
-		t.Fatalf("offers to nodes set aside: %v", s.seen)
-	}
-	if d := s.e.Demand(s.now+150, 100); !d.Short[len(d.Short)-1] || d.Cores != 0 {
+// TestOutsideWorkingSetGetsNothing moves nodes out of the working set and one back, which is not paced as one that warms up.
+func TestOutsideWorkingSetGetsNothing(t *testing.T) {
+	h := start(t, true)
+	h.excludeAll()
+	for number := range uint64(10) {
+		h.allocate(newRequest(1, number+1, Task{JobClass: restartable, Service: number, Token: number, Cores: 1, Memory: 1}, 5000))
+	}
+	h.now += 20
+	h.engine.Round(h.now)
+	if len(h.offers) > 0 {
+		t.Fatalf("offers to nodes outside the set: %v", h.offers)
+	}
+	if d := h.engine.Demand(h.now+150, 100); !d.Short[len(d.Short)-1] || d.Cores != 0 {
 		t.Errorf("no shortage while nothing can be placed: %+v", d)
 	}
-	s.e.SetOutsideWorkingSet(s.now, []uint32{2}, false)
-	s.now += 30
-	s.e.Round(s.now)
-	if s.seen[2] == 0 || len(s.seen) != 1 {
-		t.Errorf("offers %v after node 2 came back", s.seen)
+	h.engine.SetOutsideWorkingSet(h.now, []uint32{2}, false)
+	h.now += 30
+	h.engine.Round(h.now)
+	if h.offers[2] == 0 || len(h.offers) != 1 {
+		t.Errorf("offers %v after node 2 came back", h.offers)
 	}
-	if d := s.e.Demand(s.now, 100); d.Cores == 0 {
+	if d := h.engine.Demand(h.now, 100); d.Cores == 0 {
 		t.Errorf("nothing counts as asked for: %+v", d)
 	}
 }
 
 // TestReleasedIsDialledAgain has a node that was released enter the set anew.
 func TestReleasedIsDialledAgain(t *testing.T) {
-	s := begin(t, false)
-	if released := s.setAsideAll(); len(released) != 4 {
+	h := start(t, true)
+	if released := h.excludeAll(); len(released) != 4 {
 		t.Fatalf("%v released", released)
 	}
-	s.e.OnDisconnected(s.now, 3, "left the working set")
-	s.pass(1000)
-	s.e.BeginList(s.now, logic.ListChanges) // news of a node that was released does not keep it
-	s.e.AddListNode(3, "a", logic.Ready, 0, 8, 32, 1, 1, 0)
-	s.e.EndList()
-	s.pass(1000)
-	if dialled := s.dials(); len(dialled) > 0 {
+	h.engine.OnDisconnected(h.now, 3)
+	h.pass(1000)
+	h.engine.BeginList(h.now, logic.ListChanges) // an update of a node that was released does not keep it connected
+	h.engine.AddListEntry(ListEntry{Node: 3, Address: "a", Availability: logic.Ready, FreeCores: 8, FreeMemory: 32, Zone: 1, Cell: 1})
+	h.engine.EndList()
+	h.pass(1000)
+	if dialled := h.dials(); len(dialled) > 0 {
 		t.Fatalf("%v while outside the set", dialled)
 	}
-	s.e.SetOutsideWorkingSet(s.now, []uint32{3}, false)
-	s.pass(20)
-	if dialled := s.dials(); !slices.Equal(dialled, []string{"dial 3"}) {
+	h.engine.SetOutsideWorkingSet(h.now, []uint32{3}, false)
+	h.pass(20)
+	if dialled := h.dials(); !slices.Equal(dialled, []string{"dial 3"}) {
 		t.Errorf("dialled %v", dialled)
 	}
 }
 
-// TestEnterNodes has a node be told of that the list has had for long, and one that is new to the list: the new one
-// is paced as cold.
-func TestEnterNodes(t *testing.T) {
+// TestEnterWorkingSet has a node enter that the list has had for long, and one that is new to the list: the new one is paced as one
+// that warms up.
+func TestEnterWorkingSet(t *testing.T) {
 	for _, isNew := range []bool{false, true} {
-		s := begin(t, false)
-		s.setAsideAll()
-		s.e.BeginWorkingSet(s.now, isNew)
-		s.e.AddListNode(9, "b", logic.Ready, 0, 16, 32, 0, 0, 0)
-		s.e.OnConnected(s.now, 9, 1, 0)
-		s.e.OnHeldAll(s.now, 9)
-		s.now += 30 // the cold budget of 20 is under that
-		for ref := range uint64(40) {
-			if err := s.e.Allocate(s.now, 1, ref+1, restartable, 0, ref, ref, 0.1, 0.1, 5000, 1); err != nil {
-				t.Fatal(err)
-			}
+		h := start(t, true)
+		h.excludeAll()
+		h.engine.BeginWorkingSet(h.now, isNew)
+		h.engine.AddListEntry(ListEntry{Node: 9, Address: "b", Availability: logic.Ready, FreeCores: 16, FreeMemory: 32})
+		h.engine.OnConnected(h.now, 9, 1, 0)
+		h.engine.OnHeldAll(h.now, 9)
+		h.now += 30 // the slow-start limit of 20 is under that
+		for number := range uint64(40) {
+			h.allocate(newRequest(1, number+1, Task{JobClass: restartable, Service: number, Token: number, Cores: 0.1, Memory: 0.1}, 5000))
 		}
 		offered := map[uint64]bool{}
 		for range 200 {
-			s.now += 10
-			s.e.Round(s.now)
-			if s.last.ticket != 0 && !offered[s.last.ticket] {
-				offered[s.last.ticket] = true
+			h.now += 10
+			h.engine.Round(h.now)
+			if !h.last.attempt.IsZero() && !offered[h.last.attempt.Ticket] {
+				offered[h.last.attempt.Ticket] = true
 			}
 			for ticket := range offered {
-				_ = s.e.OnStarted(s.now, 9, ticket, 0, 10)
+				_ = h.engine.OnStarted(h.now, 9, AttemptID{Ticket: ticket}, 10)
 			}
 		}
-		if (s.seen[9] > 20) == isNew {
-			t.Errorf("new %t: %d offers within 2 s", isNew, s.seen[9])
+		if (h.offers[9] > 20) == isNew {
+			t.Errorf("new %t: %d offers within 2 s", isNew, h.offers[9])
 		}
 	}
 }
 
-// offersAfter lets a node of the set that began a life at a time get as much as it may for a while, and tells how much
-// that is.
-func (s *script) offersAfter(start, wait float64) int {
-	s.now = start + wait
-	for ref := range uint64(40) {
-		if err := s.e.Allocate(s.now, 1, ref+1, restartable, 0, ref, ref, 0.1, 0.1, 5000, 1); err != nil {
-			s.t.Fatal(err)
-		}
+// offersAfter lets a node of the set that started at a time get as many offers as it may for a while, and returns how many it got.
+func (h *harness) offersAfter(start, wait float64) int {
+	h.now = start + wait
+	for number := range uint64(40) {
+		h.allocate(newRequest(1, number+1, Task{JobClass: restartable, Service: number, Token: number, Cores: 0.1, Memory: 0.1}, 5000))
 	}
 	for range 20 {
-		s.pass(10)
-		for ref := range uint32(60) {
-			_ = s.e.OnStarted(s.now, 9, 1<<32|uint64(ref), 0, 10)
+		h.pass(10)
+		for number := range uint32(60) {
+			_ = h.engine.OnStarted(h.now, 9, AttemptID{Ticket: 1<<32 | uint64(number)}, 10)
 		}
 	}
-	return s.seen[9]
+	return h.offers[9]
 }
 
-// TestStartByAnotherClock has a node enter the set right before its time as a cold one is over by the list's clock: it is
-// paced for as long as clocks may differ.
+// TestStartByAnotherClock has a node enter the set right before its warm-up ends by the list's clock: it is paced for as long as
+// clocks may differ.
 func TestStartByAnotherClock(t *testing.T) {
-	const coldFor, coldBears = 8000, 20
-	for _, back := range []bool{false, true} { // from outside, where the engine knows it
-		s := begin(t, false)
-		s.setAsideAll()
-		s.pass(10_000)
-		start := s.now - coldFor + 20
-		if back {
-			s.e.SetOutsideWorkingSet(s.now, []uint32{9}, true)
-		}
-		s.e.BeginWorkingSet(s.now, false)
-		s.e.AddListNode(9, "b", logic.Ready, start, 16, 32, 0, 0, 0)
-		s.e.OnConnected(s.now, 9, 1, 0)
-		s.e.OnHeldAll(s.now, 9)
-		s.e.SetOutsideWorkingSet(s.now, []uint32{9}, false)
-		if offers := s.offersAfter(start, coldFor+30); offers == 0 || offers > coldBears {
-			t.Errorf("known before %t: %d offers to a node that may be cold", back, offers)
+	const warmUp, slowStartLimit = 8000, 20
+	for _, known := range []bool{false, true} { // as a node outside the set
+		h := start(t, true)
+		h.excludeAll()
+		h.pass(10_000)
+		start := h.now - warmUp + 20
+		if known {
+			h.engine.SetOutsideWorkingSet(h.now, []uint32{9}, true)
+		}
+		h.engine.BeginWorkingSet(h.now, false)
+		h.engine.AddListEntry(ListEntry{Node: 9, Address: "b", Availability: logic.Ready, StartedAt: start, FreeCores: 16, FreeMemory: 32})
+		h.engine.OnConnected(h.now, 9, 1, 0)
+		h.engine.OnHeldAll(h.now, 9)
+		h.engine.SetOutsideWorkingSet(h.now, []uint32{9}, false)
+		if offers := h.offersAfter(start, warmUp+30); offers == 0 || offers > slowStartLimit {
+			t.Errorf("known before %t: %d offers to a node that may be cold", known, offers)
 		}
 	}
 }
 
-// TestHeldForANodeThatJustStarted has attempts wait for the connection to a warm node that was started anew meanwhile, of
-// an engine that takes no part in cold nodes: none is sent.
-func TestHeldForANodeThatJustStarted(t *testing.T) {
-	s := begin(t, false)
-	s.pass(10_000)
-	s.e.SetSchedulerCount(0)
-	s.e.SetOutsideWorkingSet(s.now, []uint32{2, 3, 4}, true)
-	s.e.OnDisconnected(s.now, 1, "restart")
-	for ref := range uint64(40) {
-		if err := s.e.Allocate(s.now, 1, ref+1, restartable, 0, ref, ref, 0.1, 0.1, 5000, 1); err != nil {
-			t.Fatal(err)
-		}
-	}
-	s.pass(20)
-	if held := len(s.e.nodes[s.e.nodeIndex[1]].allocations); held == 0 {
+// TestUnsentToNodeThatJustStarted has attempts wait for the connection to a warm node that was restarted meanwhile, of an engine
+// that sends nothing to nodes that warm up: none is sent.
+func TestUnsentToNodeThatJustStarted(t *testing.T) {
+	h := start(t, true)
+	h.pass(10_000)
+	h.engine.SetSchedulerCount(0)
+	h.engine.SetOutsideWorkingSet(h.now, []uint32{2, 3, 4}, true)
+	h.engine.OnDisconnected(h.now, 1)
+	for number := range uint64(40) {
+		h.allocate(newRequest(1, number+1, Task{JobClass: restartable, Service: number, Token: number, Cores: 0.1, Memory: 0.1}, 5000))
+	}
+	h.pass(20)
+	if waiting := len(h.engine.nodes[h.engine.nodeIndex[1]].allocations); waiting == 0 {
 		t.Fatal("no attempt waits for the node")
 	}
-	s.e.OnConnected(s.now, 1, 2, s.now-5)
-	s.e.OnHeldAll(s.now, 1)
-	s.pass(200)
-	if s.seen[1] > 0 {
-		t.Errorf("%d offers to a cold node", s.seen[1])
+	h.engine.OnConnected(h.now, 1, 2, h.now-5)
+	h.engine.OnHeldAll(h.now, 1)
+	h.pass(200)
+	if h.offers[1] > 0 {
+		t.Errorf("%d offers to a cold node", h.offers[1])
 	}
 }
--- a/internal/lab/maintenance/effects.go
+++ b/internal/lab/maintenance/effects.go
@@ -28,7 +28,7 @@
 			return
 		}
 		if s.lost {
-			p.engine.OnDialFailed(p.clock(), nd, "refused")
+			p.engine.OnDialFailed(p.clock(), nd)
 			return
 		}
 		p.engine.OnConnected(p.clock(), nd, s.incarnation, 0)
@@ -42,26 +42,26 @@
 
 func (h effects) Disconnect(uint32, string) {}
 
-func (h effects) Offer(nd uint32, ticket uint64, try uint8, epoch uint32, timeout float64, jobType, tenant int, service, token uint64,
-	cores, memory float64,
-) {
+func (h effects) Offer(nd uint32, o engine.Offer) {
 	h.process.sim.report.Offers++
-	h.process.sim.tracef("offer %d %x.%d to %d", h.process.index, ticket, try, nd)
-	h.send(nd, node.AppendOffer(nil, ticket, try, epoch, h.process.clock(), timeout, jobType, tenant, service, token, cores, memory))
+	h.process.sim.tracef("offer %d %x.%d to %d", h.process.index, o.Attempt.Ticket, o.Attempt.Number, nd)
+	h.send(nd, node.AppendOffer(nil, node.Offer{
+		Attempt: node.AttemptID(o.Attempt), Epoch: o.Epoch, SentAt: h.process.clock(), Timeout: o.Timeout, Task: node.Task(o.Task),
+	}))
 }
 
-func (h effects) Recall(nd uint32, ticket uint64, try uint8) {
+func (h effects) Recall(nd uint32, attempt engine.AttemptID) {
 	if h.process.sim.Fault != NoRecall {
-		h.send(nd, node.AppendRecall(nil, ticket, try))
+		h.send(nd, node.AppendRecall(nil, node.AttemptID(attempt)))
 	}
 }
 
-func (h effects) Stop(nd uint32, ticket uint64, try uint8) {
-	h.send(nd, node.AppendStop(nil, ticket, try))
+func (h effects) Stop(nd uint32, attempt engine.AttemptID) {
+	h.send(nd, node.AppendStop(nil, node.AttemptID(attempt)))
 }
 
-func (h effects) Claim(nd uint32, ticket uint64, try uint8) {
-	h.send(nd, node.AppendClaim(nil, ticket, try))
+func (h effects) Claim(nd uint32, attempt engine.AttemptID) {
+	h.send(nd, node.AppendClaim(nil, node.AttemptID(attempt)))
 }
 
 func (h effects) Probe(nd uint32, seq uint64) { h.send(nd, node.AppendProbe(nil, seq)) }
@@ -70,29 +70,29 @@
 
 func (h effects) ReloadList() {}
 
-func (h effects) PermitAttempt(int, uint64, uint32, uint32, uint64, uint8) bool {
+func (h effects) PermitAttempt(engine.OwnedTask, uint32, engine.AttemptID) bool {
 	return true
 }
 
-func (h effects) ExpireRequest(uint32, uint64) {}
+func (h effects) ExpireRequest(engine.RequestID) {}
 
-func (h effects) SetClient(int, uint64, uint32, uint32, uint64) {}
+func (h effects) SetClient(engine.OwnedTask, engine.RequestID) {}
 
-func (h effects) RecordOutcome(int, uint64, uint32, bool) {}
+func (h effects) RecordOutcome(engine.OwnedTask, bool) {}
 
-func (h effects) RecoverTask(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
-	return 1, 0, 0, true
+func (h effects) RecoverTask(engine.RunningTask) (engine.RecoveredTask, bool) {
+	return engine.RecoveredTask{Epoch: 1}, true
 }
 
-func (h effects) ReleaseTask(int, uint64, uint64, uint32) {}
+func (h effects) ReleaseTask(engine.OwnedTask, uint64) {}
 
-func (h effects) PermitAnswer(int, uint64, uint32, bool) bool { return true }
+func (h effects) PermitAnswer(engine.OwnedTask, bool) bool { return true }
 
-func (h effects) Answer(_ uint32, ref uint64, a engine.Answer, _ uint32, _ string, _ float64) {
-	h.process.sim.tracef("answer %d %d %s", h.process.index, ref, a)
+func (h effects) Answer(request engine.RequestID, a engine.Answer) {
+	h.process.sim.tracef("answer %d %d %s", h.process.index, request.Number, a.Kind)
 }
 
-func (h effects) NotifyEnd(uint32, uint64, logic.Outcome, logic.Reason) {}
+func (h effects) NotifyEnd(engine.RequestID, logic.Outcome, logic.Reason) {}
 
 func (h effects) Log(l string) { h.process.sim.tracef("%d %s", h.process.index, l) }
 
--- a/internal/lab/maintenance/handlers.go
+++ b/internal/lab/maintenance/handlers.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ravenpond/internal/decide/calendar"
+	"ravenpond/internal/engine"
 	"ravenpond/internal/proto/node"
 	"ravenpond/internal/standin"
 	"ravenpond/internal/state/maintenancestore"
@@ -19,32 +20,32 @@
 	process *process
 }
 
-func (a nodeHandler) id(ticket uint64, attempt uint8) standin.AttemptID {
-	return standin.AttemptID{Scheduler: a.process.name(), Ticket: ticket, Attempt: attempt}
+// id names an attempt of the process as the machine does.
+func (a nodeHandler) id(attempt node.AttemptID) standin.AttemptID {
+	return standin.AttemptID{Scheduler: a.process.name(), Ticket: attempt.Ticket, Attempt: attempt.Number}
 }
 
-func (a nodeHandler) OnOffer(ticket uint64, try uint8, epoch uint32, _, timeout float64, job, tenant int, service, token uint64,
-	cores, memory float64,
-) error {
-	a.node.checkPlacement("offer", ticket)
+func (a nodeHandler) OnOffer(o node.Offer) error {
+	a.node.checkPlacement("offer", o.Attempt.Ticket)
 	a.node.machine.Place(a.node.sim.now, standin.Placement{
-		ID: a.id(ticket, try), Epoch: epoch, Timeout: timeout, Job: job, Tenant: tenant, Service: service, Token: token, Cores: cores, Memory: memory,
+		ID: a.id(o.Attempt), Epoch: o.Epoch, Timeout: o.Timeout, Job: o.Task.JobClass, Tenant: o.Task.Tenant,
+		Service: o.Task.Service, Token: o.Task.Token, Cores: o.Task.Cores, Memory: o.Task.Memory,
 	})
 	return nil
 }
 
-func (a nodeHandler) OnRecall(t uint64, n uint8) error {
-	a.node.machine.Recall(a.node.sim.now, a.id(t, n))
+func (a nodeHandler) OnRecall(attempt node.AttemptID) error {
+	a.node.machine.Recall(a.node.sim.now, a.id(attempt))
 	return nil
 }
 
-func (a nodeHandler) OnStop(t uint64, n uint8) error {
-	a.node.machine.Stop(a.node.sim.now, a.id(t, n))
+func (a nodeHandler) OnStop(attempt node.AttemptID) error {
+	a.node.machine.Stop(a.node.sim.now, a.id(attempt))
 	return nil
 }
 
-func (a nodeHandler) OnClaim(t uint64, n uint8) error {
-	a.node.machine.Claim(a.node.sim.now, a.id(t, n))
+func (a nodeHandler) OnClaim(attempt node.AttemptID) error {
+	a.node.machine.Claim(a.node.sim.now, a.id(attempt))
 	return nil
 }
 
@@ -69,14 +70,19 @@
 	})
 }
 
+// attemptOf names an attempt as the protocol does.
+func attemptOf(id standin.AttemptID) node.AttemptID {
+	return node.AttemptID{Ticket: id.Ticket, Number: id.Attempt}
+}
+
 // OnStarted implements standin.EventHandler.
 func (s *simNode) OnStarted(id standin.AttemptID, took float64) {
-	s.send(id.Scheduler, node.AppendStarted(nil, id.Ticket, id.Attempt, took))
+	s.send(id.Scheduler, node.AppendStarted(nil, attemptOf(id), took))
 }
 
 // OnConcluded implements standin.EventHandler.
 func (s *simNode) OnConcluded(id standin.AttemptID, c standin.Conclusion) {
-	s.send(id.Scheduler, node.AppendOutcome(nil, id.Ticket, id.Attempt, c.Outcome, c.Reason, c.Report))
+	s.send(id.Scheduler, node.AppendOutcome(nil, node.Outcome{Attempt: attemptOf(id), Result: c.Outcome, Reason: c.Reason, Report: c.Report}))
 }
 
 // OnNote implements standin.EventHandler: schedulers here don't learn from notes.
@@ -89,7 +95,7 @@
 
 // OnClaimed implements standin.EventHandler.
 func (s *simNode) OnClaimed(id standin.AttemptID, claim, reason int) {
-	s.send(id.Scheduler, node.AppendClaimAnswer(nil, id.Ticket, id.Attempt, claim, reason))
+	s.send(id.Scheduler, node.AppendClaimAnswer(nil, node.ClaimAnswer{Attempt: attemptOf(id), Claim: claim, Reason: reason}))
 }
 
 // OnRun implements standin.EventHandler. A start at a node that is out counts unless its process could not have recalled the attempt.
@@ -110,29 +116,35 @@
 	node    *simNode
 }
 
-func (r processHandler) OnStarted(t uint64, n uint8, took float64) error {
-	return r.process.engine.OnStarted(r.process.clock(), r.node.id, t, n, took)
+func (r processHandler) OnStarted(id node.AttemptID, took float64) error {
+	return r.process.engine.OnStarted(r.process.clock(), r.node.id, engine.AttemptID(id), took)
 }
 
-func (r processHandler) OnOutcome(t uint64, n uint8, outcome, reason int, report []float64) error {
-	return r.process.engine.OnOutcome(r.process.clock(), r.node.id, t, n, node.Verdicts[outcome], logic.Reason(reason), report)
+func (r processHandler) OnOutcome(o node.Outcome) error {
+	return r.process.engine.OnOutcome(r.process.clock(), r.node.id, engine.Outcome{
+		Attempt: engine.AttemptID(o.Attempt), Result: node.Verdicts[o.Result], Reason: logic.Reason(o.Reason), Report: o.Report,
+	})
 }
-func (r processHandler) OnNote(uint64, uint8, int, float64) error { return nil }
+func (r processHandler) OnNote(node.Note) error { return nil }
 func (r processHandler) OnReport(seq uint64, report []float64) error {
 	return r.process.engine.OnProbeReport(r.process.clock(), r.node.id, seq, report)
 }
 
-func (r processHandler) OnClaimAnswer(t uint64, n uint8, claim, reason int) error {
-	if claim < node.ClaimOutcome {
-		r.process.engine.OnClaimHeld(r.process.clock(), r.node.id, t, n, claim == node.ClaimRunning)
+func (r processHandler) OnClaimAnswer(a node.ClaimAnswer) error {
+	id := engine.AttemptID(a.Attempt)
+	if a.Claim < node.ClaimOutcome {
+		r.process.engine.OnClaimHeld(r.process.clock(), r.node.id, id, a.Claim == node.ClaimRunning)
 	} else {
-		r.process.engine.OnClaimOutcome(r.process.clock(), r.node.id, t, n, node.Verdicts[claim-node.ClaimOutcome], logic.Reason(reason))
+		result := node.Verdicts[a.Claim-node.ClaimOutcome]
+		r.process.engine.OnClaimOutcome(r.process.clock(), r.node.id, engine.Outcome{Attempt: id, Result: result, Reason: logic.Reason(a.Reason)})
 	}
 	return nil
 }
 
-func (r processHandler) OnHeld(t uint64, n uint8, state, job, tenant int, service, token uint64, cores, memory float64) error {
-	return r.process.engine.OnHeld(r.process.clock(), r.node.id, t, n, state == 1, job, tenant, service, token, cores, memory)
+func (r processHandler) OnHeld(h node.HeldTask) error {
+	return r.process.engine.OnHeld(r.process.clock(), r.node.id, engine.HeldTask{
+		Attempt: engine.AttemptID(h.Attempt), Running: h.State == node.StateRunning, Task: engine.Task(h.Task),
+	})
 }
 
 func (r processHandler) OnHeldAll() error {
--- a/internal/lab/maintenance/process.go
+++ b/internal/lab/maintenance/process.go
@@ -62,7 +62,7 @@
 	p.keeper = &maintenance.Controller{Store: p.store, Executor: effects{p}, Limits: lim, Policies: []drainpace.Policy{drainpace.Late, drainpace.Early, drainpace.RunOut}}
 	p.engine.BeginList(p.clock(), logic.ListCached)
 	for _, s := range p.sim.nodes {
-		p.engine.AddListNode(s.id, "x", logic.Ready, 0, 32, 64, s.zone, s.cell, s.kind)
+		p.engine.AddListEntry(engine.ListEntry{Node: s.id, Address: "x", Availability: logic.Ready, FreeCores: 32, FreeMemory: 64, Zone: s.zone, Cell: s.cell, Kind: s.kind})
 	}
 	p.engine.EndList()
 	p.keepWindows() // what an earlier life took out is known before anything is placed
@@ -82,7 +82,7 @@
 	p.engine.BeginList(p.clock(), logic.ListChanges)
 	for _, s := range p.sim.nodes {
 		if s.zone == zone {
-			p.engine.AddListNode(s.id, "x", avail, 0, 32, 64, s.zone, s.cell, s.kind)
+			p.engine.AddListEntry(engine.ListEntry{Node: s.id, Address: "x", Availability: avail, FreeCores: 32, FreeMemory: 64, Zone: s.zone, Cell: s.cell, Kind: s.kind})
 			id := strconv.Itoa(int(s.id))
 			if delete(p.lostNodes, id); avail == logic.Unavailable {
 				p.lostNodes[id] = true
@@ -104,7 +104,7 @@
 	p.lastRef++
 	p.sim.nextID++
 	job := p.sim.rng.IntN(jobClasses)
-	_ = p.engine.Allocate(p.clock(), 1, p.lastRef, job, 0, uint64(p.sim.rng.IntN(12)), p.sim.nextID, 1, 2, 8000, 1) // refs are never reused
+	_ = p.engine.Allocate(p.clock(), engine.Request{ID: engine.RequestID{Client: 1, Number: p.lastRef}, Task: engine.Task{JobClass: job, Tenant: 0, Service: uint64(p.sim.rng.IntN(12)), Token: p.sim.nextID, Cores: 1, Memory: 2}, TimeLeft: 8000, Epoch: 1}) // refs are never reused
 	p.nextRound = p.sim.now
 }
 
--- a/internal/lab/maintenance/simulation.go
+++ b/internal/lab/maintenance/simulation.go
@@ -337,7 +337,7 @@
 		s.machine.Restart(w.now, true)
 		for _, p := range w.processes {
 			if !p.down {
-				p.engine.OnDisconnected(p.clock(), s.id, "lost")
+				p.engine.OnDisconnected(p.clock(), s.id)
 			}
 		}
 	}
--- a/internal/lab/modelcheck/explore.go
+++ b/internal/lab/modelcheck/explore.go
@@ -109,7 +109,7 @@
 		p.onAnswer(ref, engine.Declined)
 		return
 	}
-	if err := p.engines[d.Shard].Allocate(p.now, clientID, ref, p.model.Job, 0, service, token, 1, 1, expiry, d.Epoch); err != nil {
+	if err := p.engines[d.Shard].Allocate(p.now, p.engineRequest(ref, expiry, d.Epoch)); err != nil {
 		p.fail("ask %d: %v", ref, err)
 	}
 	p.pendingRound[d.Shard] = true
@@ -117,7 +117,7 @@
 
 func (p *path) withdraw() {
 	for s := range shards {
-		_ = p.engines[s].Withdraw(p.now, clientID, uint64(p.requests)) // the one that does not know it says so
+		_ = p.engines[s].Withdraw(p.now, engine.RequestID{Client: clientID, Number: uint64(p.requests)}) // the one that does not know it says so
 		p.pendingRound[s] = true
 	}
 }
@@ -201,14 +201,14 @@
 	var err error
 	switch m.kind {
 	case 'S':
-		err = e.OnStarted(p.now, nd, m.ticket, m.attempt, 1)
+		err = e.OnStarted(p.now, nd, engine.AttemptID{Ticket: m.ticket, Number: m.attempt}, 1)
 	case 'E':
-		err = e.OnOutcome(p.now, nd, m.ticket, m.attempt, verdicts[m.outcome], logic.ReasonUnknown, nil)
+		err = e.OnOutcome(p.now, nd, engine.Outcome{Attempt: engine.AttemptID{Ticket: m.ticket, Number: m.attempt}, Result: verdicts[m.outcome], Reason: logic.ReasonUnknown})
 	case 'C':
 		if m.outcome >= 3 {
-			e.OnClaimHeld(p.now, nd, m.ticket, m.attempt, m.outcome == 4)
+			e.OnClaimHeld(p.now, nd, engine.AttemptID{Ticket: m.ticket, Number: m.attempt}, m.outcome == 4)
 		} else {
-			e.OnClaimOutcome(p.now, nd, m.ticket, m.attempt, verdicts[m.outcome], logic.ReasonUnknown)
+			e.OnClaimOutcome(p.now, nd, engine.Outcome{Attempt: engine.AttemptID{Ticket: m.ticket, Number: m.attempt}, Result: verdicts[m.outcome], Reason: logic.ReasonUnknown})
 		}
 	}
 	p.pendingRound[s] = true
@@ -220,7 +220,7 @@
 // disconnect breaks a connection. What was not handed to the network has left by then: all of it may have arrived or not.
 func (p *path) disconnect(s, n int) {
 	p.connected[s][n], p.toNode[s][n], p.toShard[s][n] = false, nil, nil
-	p.engines[s].OnDisconnected(p.now, uint32(n+1), "cut")
+	p.engines[s].OnDisconnected(p.now, uint32(n+1))
 	p.pendingRound[s] = true
 }
 
--- a/internal/lab/modelcheck/model.go
+++ b/internal/lab/modelcheck/model.go
@@ -160,7 +160,7 @@
 	e := p.engines[s]
 	e.BeginList(p.now, logic.ListCached)
 	for n := range nodes {
-		e.AddListNode(uint32(n+1), "n", logic.Ready, 0, 8, 8, 0, n, 0) // one zone, two cells
+		e.AddListEntry(engine.ListEntry{Node: uint32(n + 1), Address: "n", Availability: logic.Ready, FreeCores: 8, FreeMemory: 8, Cell: n}) // one zone, two cells
 	}
 	e.EndList()
 	for n := range nodes {
@@ -183,7 +183,7 @@
 		if at, _ := p.router.ShardOf(shardrouter.Placed{ID: allocation, Ticket: t.ticket, Number: t.number, Service: service, Shard: -1}); at != s {
 			continue
 		}
-		_ = e.OnHeld(p.now, uint32(n+1), t.ticket, t.number, t.running, p.model.Job, 0, service, token, 1, 1)
+		_ = e.OnHeld(p.now, uint32(n+1), engine.HeldTask{Attempt: engine.AttemptID{Ticket: t.ticket, Number: t.number}, Running: t.running, Task: engine.Task{JobClass: p.model.Job, Tenant: 0, Service: service, Token: token, Cores: 1, Memory: 1}})
 	}
 	e.OnHeldAll(p.now, uint32(n+1))
 }
@@ -211,91 +211,108 @@
 
 func (d effects) Dial(uint32, string)       {}
 func (d effects) Disconnect(uint32, string) {}
-func (d effects) Offer(nd uint32, ticket uint64, no uint8, epoch uint32, timeout float64, _, _ int, _, _ uint64, _, _ float64) {
-	p := d.path
+func (d effects) Offer(nd uint32, o engine.Offer) {
+	p, id := d.path, o.Attempt
 	for n := range nodes { // never two tries out: one that is held, on its way, or told of by a word on its way
 		for _, t := range p.held[n] {
 			if t.request == p.requests && p.now < t.deadline {
-				p.fail("try %x.%d sent while %x.%d is held by node %d", ticket, no, t.ticket, t.number, n+1)
+				p.fail("try %x.%d sent while %x.%d is held by node %d", id.Ticket, id.Number, t.ticket, t.number, n+1)
 			}
 		}
 		for s := range shards {
 			for _, m := range p.toNode[s][n] {
 				if m.kind == 'o' && m.request == p.requests && p.now < m.deadline {
-					p.fail("try %x.%d sent while %x.%d is on its way", ticket, no, m.ticket, m.attempt)
+					p.fail("try %x.%d sent while %x.%d is on its way", id.Ticket, id.Number, m.ticket, m.attempt)
 				}
 			}
 		}
 	}
-	d.send(nd, message{kind: 'o', ticket: ticket, attempt: no, epoch: epoch, deadline: p.now + timeout, request: p.requests})
+	d.send(nd, message{kind: 'o', ticket: id.Ticket, attempt: id.Number, epoch: o.Epoch, deadline: p.now + o.Timeout, request: p.requests})
 }
 
-func (d effects) Recall(nd uint32, ticket uint64, no uint8) {
-	d.send(nd, message{kind: 'r', ticket: ticket, attempt: no})
+func (d effects) Recall(nd uint32, id engine.AttemptID) {
+	d.send(nd, message{kind: 'r', ticket: id.Ticket, attempt: id.Number})
 }
 
-func (d effects) Stop(nd uint32, ticket uint64, no uint8) {
-	d.send(nd, message{kind: 's', ticket: ticket, attempt: no})
+func (d effects) Stop(nd uint32, id engine.AttemptID) {
+	d.send(nd, message{kind: 's', ticket: id.Ticket, attempt: id.Number})
 }
 
-func (d effects) Claim(nd uint32, ticket uint64, no uint8) {
-	d.send(nd, message{kind: 'c', ticket: ticket, attempt: no})
+func (d effects) Claim(nd uint32, id engine.AttemptID) {
+	d.send(nd, message{kind: 'c', ticket: id.Ticket, attempt: id.Number})
 }
 func (d effects) Probe(uint32, uint64) {}
 func (d effects) WatchList(bool)       {}
 func (d effects) ReloadList()          {}
 func (d effects) Log(string)           {}
 
-func (d effects) PermitAttempt(_ int, _ uint64, epoch uint32, nd uint32, ticket uint64, no uint8) bool {
-	return d.path.router.PermitAttempt(shardownership.Claim{ID: allocation, Shard: d.shard, Epoch: epoch}, shardownership.Attempt{Node: nd, Ticket: ticket, Number: no})
+// engineRequest is the request for the allocation as an engine takes it.
+func (p *path) engineRequest(number uint64, timeLeft float64, epoch uint32) engine.Request {
+	return engine.Request{
+		ID:       engine.RequestID{Client: clientID, Number: number},
+		Task:     engine.Task{JobClass: p.model.Job, Service: service, Token: token, Cores: 1, Memory: 1},
+		TimeLeft: timeLeft,
+		Epoch:    epoch,
+	}
+}
+
+// claim is the shard's claim to act for the allocation.
+func (d effects) claim(task engine.OwnedTask) shardownership.Claim {
+	return shardownership.Claim{ID: allocation, Shard: d.shard, Epoch: task.Epoch}
+}
+
+func (d effects) PermitAttempt(task engine.OwnedTask, nd uint32, id engine.AttemptID) bool {
+	return d.path.router.PermitAttempt(d.claim(task), shardownership.Attempt{Node: nd, Ticket: id.Ticket, Number: id.Number})
 }
 
-func (d effects) RecordOutcome(_ int, _ uint64, epoch uint32, never bool) {
-	d.path.router.CompleteAttempt(shardownership.Claim{ID: allocation, Shard: d.shard, Epoch: epoch}, never)
+func (d effects) RecordOutcome(task engine.OwnedTask, neverRan bool) {
+	d.path.router.CompleteAttempt(d.claim(task), neverRan)
 }
 
-func (d effects) RecoverTask(_ int, _ uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
-	no uint8,
-) (epoch, who uint32, ref uint64, ok bool) {
+func (d effects) RecoverTask(running engine.RunningTask) (engine.RecoveredTask, bool) {
 	if d.isFenced() {
-		return 0, 0, 0, false
+		return engine.RecoveredTask{}, false
 	}
-	recovery, ok := d.path.router.Recover(allocation, d.shard, shardownership.Request{JobClass: job, Service: service}, shardownership.Attempt{Node: nd, Ticket: ticket, Number: no})
-	return recovery.Epoch, recovery.Client, recovery.Ref, ok
+	recovery, ok := d.path.router.Recover(allocation, d.shard,
+		shardownership.Request{JobClass: running.Task.JobClass, Service: running.Task.Service},
+		shardownership.Attempt{Node: running.Node, Ticket: running.Attempt.Ticket, Number: running.Attempt.Number})
+	return engine.RecoveredTask{
+		Epoch: recovery.Epoch, Request: engine.RequestID{Client: recovery.Client, Number: recovery.Ref},
+	}, ok
 }
 
-func (d effects) SetClient(_ int, _ uint64, epoch uint32, who uint32, ref uint64) {
-	d.path.router.SetClient(shardownership.Claim{ID: allocation, Shard: d.shard, Epoch: epoch}, who, ref)
+func (d effects) SetClient(task engine.OwnedTask, request engine.RequestID) {
+	d.path.router.SetClient(d.claim(task), request.Client, request.Number)
 }
 
-func (d effects) ReleaseTask(_ int, _ uint64, service uint64, epoch uint32) {
-	d.path.router.Remove(shardownership.Claim{ID: allocation, Shard: d.shard, Epoch: epoch}, service)
+func (d effects) ReleaseTask(task engine.OwnedTask, service uint64) {
+	d.path.router.Remove(d.claim(task), service)
 }
 
-func (d effects) PermitAnswer(_ int, _ uint64, epoch uint32, served bool) bool {
-	return d.path.router.PermitAnswer(d.path.now, shardownership.Claim{ID: allocation, Shard: d.shard, Epoch: epoch}, served)
+func (d effects) PermitAnswer(task engine.OwnedTask, served bool) bool {
+	return d.path.router.PermitAnswer(d.path.now, d.claim(task), served)
 }
 
-func (d effects) ExpireRequest(uint32, uint64) {
+func (d effects) ExpireRequest(engine.RequestID) {
 	if !d.isFenced() {
 		d.path.fail("an ask lapsed though nothing stood still")
 	}
 }
 
-func (d effects) Answer(_ uint32, ref uint64, a engine.Answer, _ uint32, _ string, _ float64) {
+func (d effects) Answer(request engine.RequestID, a engine.Answer) {
 	if !d.isFenced() {
-		d.path.onAnswer(ref, a)
+		d.path.onAnswer(request.Number, a.Kind)
 	}
 }
 
-func (d effects) NotifyEnd(uint32, uint64, logic.Outcome, logic.Reason) {
+func (d effects) NotifyEnd(engine.RequestID, logic.Outcome, logic.Reason) {
 	if !d.isFenced() {
 		d.path.ended++
 	}
 }
 
 // onAnswer takes the final answer to an ask.
-func (p *path) onAnswer(ref uint64, a engine.Answer) {
+func (p *path) onAnswer(ref uint64, a engine.AnswerKind) {
 	p.answerCount[ref]++
 	p.answers[ref] = a.String()
 	switch {
@@ -328,7 +345,7 @@
 		}
 		switch f.Disposition {
 		case shardownership.Reassign:
-			_ = p.engines[f.Shard].Allocate(p.now, clientID, a.Ref, p.model.Job, 0, service, token, 1, 1, a.Deadline-p.now, f.Epoch)
+			_ = p.engines[f.Shard].Allocate(p.now, p.engineRequest(a.Ref, a.Deadline-p.now, f.Epoch))
 			p.pendingRound[f.Shard] = true
 		case shardownership.Shed:
 			p.onAnswer(a.Ref, engine.Declined)
@@ -359,7 +376,7 @@
 	var items []shardrouter.HandoverItem
 	for _, g := range all {
 		items = append(items, shardrouter.HandoverItem{ID: allocation, Epoch: g.Epoch, Running: g.Running, Request: shardownership.Request{
-			Client: g.Client, Ref: g.RequestID, JobClass: g.JobClass,
+			Client: g.Request.Client, Ref: g.Request.Number, JobClass: g.Task.JobClass,
 			Service: service, Deadline: g.Deadline,
 		}})
 	}
@@ -371,7 +388,7 @@
 		}
 		to, g.Epoch = f.Shard, f.Epoch
 		if !g.Running {
-			_ = p.engines[to].Allocate(p.now, g.Client, g.RequestID, g.JobClass, g.Tenant, g.Service, g.Token, g.Cores, g.Memory, g.Deadline-p.now, g.Epoch)
+			_ = p.engines[to].Allocate(p.now, engine.Request{ID: g.Request, Task: g.Task, TimeLeft: g.Deadline - p.now, Epoch: g.Epoch})
 			continue
 		}
 		if !p.engines[to].TransferIn(p.now, g) {
@@ -379,13 +396,13 @@
 		}
 		n := int(g.Node) - 1
 		for i := range p.held[n] { // its words go to the other shard from now on
-			if t := &p.held[n][i]; t.ticket == g.Ticket && t.number == g.Attempt {
+			if t := &p.held[n][i]; t.ticket == g.Attempt.Ticket && t.number == g.Attempt.Number {
 				t.shard = to
 			}
 		}
 		rest := p.toShard[s][n][:0]
 		for _, m := range p.toShard[s][n] {
-			if m.ticket == g.Ticket && m.attempt == g.Attempt {
+			if m.ticket == g.Attempt.Ticket && m.attempt == g.Attempt.Number {
 				p.toShard[to][n] = append(p.toShard[to][n], m)
 			} else {
 				rest = append(rest, m)
--- a/internal/lab/scale/hollow/list.go
+++ b/internal/lab/scale/hollow/list.go
@@ -132,7 +132,7 @@
 }
 
 func (e *Entry) append(b []byte) []byte {
-	return list.AppendEntry(b, e.ID, e.Address, e.Availability, e.StartedAt, e.Cores, e.Memory, e.Zone, e.Zone, "plain")
+	return list.AppendEntry(b, list.Entry{ID: e.ID, Address: e.Address, Availability: e.Availability, StartedAt: e.StartedAt, FreeCores: e.Cores, FreeMemory: e.Memory, Zone: e.Zone, Cell: e.Zone, Kind: "plain"})
 }
 
 // OnFullRequest tells all.
--- a/internal/lab/shards/check.go
+++ b/internal/lab/shards/check.go
@@ -21,6 +21,7 @@
 
 	"ravenpond/internal/engine"
 	"ravenpond/internal/proto/list"
+	"ravenpond/internal/proto/node"
 	"ravenpond/internal/serve"
 	"ravenpond/internal/site"
 	"ravenpond/internal/state"
@@ -84,7 +85,7 @@
 
 type runningTask struct {
 	node     uint32
-	attempt  string
+	attempt  node.AttemptID
 	deadline time.Time
 }
 
@@ -209,13 +210,13 @@
 	bench   *testbench
 	mu      sync.Mutex
 	sentAt  map[uint64]time.Time
-	answers map[uint64]engine.Answer
+	answers map[uint64]engine.AnswerKind
 	slots   chan struct{}
 }
 
 func (s *clientRecorder) OnEnd(uint64) {}
 
-func (s *clientRecorder) OnAnswer(ref uint64, answer engine.Answer) {
+func (s *clientRecorder) OnAnswer(ref uint64, answer engine.AnswerKind) {
 	s.mu.Lock()
 	_, twice := s.answers[ref]
 	s.answers[ref] = answer
@@ -261,7 +262,7 @@
 	var conns [owners]*serve.LocalClient
 	for i := range all {
 		all[i] = &clientRecorder{
-			bench: b, sentAt: map[uint64]time.Time{}, answers: map[uint64]engine.Answer{},
+			bench: b, sentAt: map[uint64]time.Time{}, answers: map[uint64]engine.AnswerKind{},
 			slots: make(chan struct{}, max(1, b.Concurrency/owners)),
 		}
 		conns[i] = l.Connect(all[i])
--- a/internal/lab/shards/faults.go
+++ b/internal/lab/shards/faults.go
@@ -37,7 +37,7 @@
 
 // PermitAttempt is where a shard stands still: longer than the watchdog allows, so that it is fenced and wakes up later with
 // a try in hand. Sometimes it has leave for it already, and sometimes it panics with that.
-func (h *faultyEffects) PermitAttempt(tenant int, token uint64, epoch uint32, nd uint32, ticket uint64, try uint8) bool {
+func (h *faultyEffects) PermitAttempt(task engine.OwnedTask, node uint32, attempt engine.AttemptID) bool {
 	harm, kind := h.faultDue(), h.rng.IntN(8)
 	if h.bench.SkipEpochCheck { // what is left out guards against that alone
 		kind = 0
@@ -45,7 +45,7 @@
 	if harm && kind < 2 {
 		time.Sleep(2400 * time.Millisecond)
 	}
-	ok := h.Effects.PermitAttempt(tenant, token, epoch, nd, ticket, try)
+	ok := h.Effects.PermitAttempt(task, node, attempt)
 	if harm && kind == 2 {
 		time.Sleep(2400 * time.Millisecond)
 	} else if harm && kind > 2 {
@@ -55,9 +55,9 @@
 }
 
 // RecordOutcome is where it panics with an outcome in hand.
-func (h *faultyEffects) RecordOutcome(tenant int, token uint64, epoch uint32, never bool) {
+func (h *faultyEffects) RecordOutcome(task engine.OwnedTask, neverRan bool) {
 	if h.rng.IntN(4) == 0 && h.faultDue() {
 		panic("planted, with an outcome")
 	}
-	h.Effects.RecordOutcome(tenant, token, epoch, never)
+	h.Effects.RecordOutcome(task, neverRan)
 }
--- a/internal/lab/shards/peer.go
+++ b/internal/lab/shards/peer.go
@@ -27,11 +27,9 @@
 }
 
 type task struct {
-	ticket         uint64
-	attempt        uint8
-	job, tenant    int
-	service, token uint64
-	endsAt         time.Time
+	attempt node.AttemptID
+	node.Task
+	endsAt time.Time
 }
 
 func (b *testbench) node(nd uint32, conn net.Conn) {
@@ -82,8 +80,8 @@
 		left := p.tasks[:0]
 		for _, o := range p.tasks {
 			if now.After(o.endsAt) {
-				p.bench.onEnd(o.token, p.node, o.ticket, o.attempt)
-				p.queue = node.AppendOutcome(p.queue, o.ticket, o.attempt, node.OutcomeEnded, 0, []float64{900, 1800})
+				p.bench.onEnd(o.Token, p.node, o.attempt)
+				p.queue = node.AppendOutcome(p.queue, node.Outcome{Attempt: o.attempt, Result: node.OutcomeEnded, Report: []float64{900, 1800}})
 			} else {
 				left = append(left, o)
 			}
@@ -105,36 +103,30 @@
 	p.wakeWriter()
 }
 
-func (b *testbench) onEnd(token uint64, nd uint32, ticket uint64, try uint8) {
+func (b *testbench) onEnd(token uint64, nd uint32, attempt node.AttemptID) {
 	b.mu.Lock()
-	if h, ok := b.running[token]; ok && h.node == nd && h.attempt == attemptName(ticket, try) {
+	if h, ok := b.running[token]; ok && h.node == nd && h.attempt == attempt {
 		delete(b.running, token)
 	}
 	b.mu.Unlock()
 }
 
-func attemptName(ticket uint64, try uint8) string {
-	return strconv.FormatUint(ticket, 16) + "." + strconv.Itoa(int(try))
-}
-
-func (p *nodePeer) OnOffer(ticket uint64, try uint8, epoch uint32, _, timeout float64, job, tenant int, service, token uint64,
-	_, _ float64,
-) error {
-	b, now := p.bench, time.Now()
+func (p *nodePeer) OnOffer(o node.Offer) error {
+	b, now, token := p.bench, time.Now(), o.Task.Token
 	b.mu.Lock()
 	seen := b.epochs[p.node][token]
-	turned := epoch < seen || p.rng.IntN(20) == 0
-	if epoch < b.newest[token] {
+	turned := o.Epoch < seen || p.rng.IntN(20) == 0
+	if o.Epoch < b.newest[token] {
 		b.result.StaleEpochs++
 	}
-	b.newest[token] = max(b.newest[token], epoch)
+	b.newest[token] = max(b.newest[token], o.Epoch)
 	if !turned {
-		b.epochs[p.node][token] = epoch
+		b.epochs[p.node][token] = o.Epoch
 		if h, ok := b.running[token]; ok && now.Before(h.deadline) {
 			b.result.Duplicates++
 		}
-		b.running[token] = runningTask{p.node, attemptName(ticket, try), now.Add(time.Duration(timeout * 1e6))}
-		if job == 2 {
+		b.running[token] = runningTask{p.node, o.Attempt, now.Add(time.Duration(o.Timeout * 1e6))}
+		if o.Task.JobClass == 2 {
 			if b.started[token]++; b.started[token] > 1 {
 				b.result.SecondStarts++
 			}
@@ -143,20 +135,20 @@
 	b.mu.Unlock()
 	p.send(func(q []byte) []byte {
 		if turned {
-			return node.AppendOutcome(q, ticket, try, node.OutcomeRefused, 1+p.rng.IntN(2), []float64{900, 1800})
+			return node.AppendOutcome(q, node.Outcome{Attempt: o.Attempt, Result: node.OutcomeRefused, Reason: 1 + p.rng.IntN(2), Report: []float64{900, 1800}})
 		}
-		p.tasks = append(p.tasks, task{ticket, try, job, tenant, service, token, now.Add(time.Duration(60+p.rng.IntN(40)) * time.Millisecond)})
-		return node.AppendStarted(q, ticket, try, 1)
+		p.tasks = append(p.tasks, task{o.Attempt, o.Task, now.Add(time.Duration(60+p.rng.IntN(40)) * time.Millisecond)})
+		return node.AppendStarted(q, o.Attempt, 1)
 	})
 	return nil
 }
 
-func (p *nodePeer) OnRecall(uint64, uint8) error { return nil } // all starts at once: there is nothing to hand back
+func (p *nodePeer) OnRecall(node.AttemptID) error { return nil } // all starts at once: there is nothing to hand back
 
-func (p *nodePeer) OnStop(ticket uint64, try uint8) error {
+func (p *nodePeer) OnStop(attempt node.AttemptID) error {
 	p.mu.Lock()
 	for i := range p.tasks {
-		if p.tasks[i].ticket == ticket && p.tasks[i].attempt == try {
+		if p.tasks[i].attempt == attempt {
 			p.tasks[i].endsAt = time.Time{}
 		}
 	}
@@ -165,14 +157,14 @@
 	return nil
 }
 
-func (p *nodePeer) OnClaim(ticket uint64, try uint8) error {
+func (p *nodePeer) OnClaim(attempt node.AttemptID) error {
 	p.send(func(q []byte) []byte {
 		for _, o := range p.tasks {
-			if o.ticket == ticket && o.attempt == try {
-				return node.AppendClaimAnswer(q, ticket, try, node.ClaimRunning, 0)
+			if o.attempt == attempt {
+				return node.AppendClaimAnswer(q, node.ClaimAnswer{Attempt: attempt, Claim: node.ClaimRunning})
 			}
 		}
-		return node.AppendClaimAnswer(q, ticket, try, node.ClaimOutcome+node.OutcomeUnknown, 0)
+		return node.AppendClaimAnswer(q, node.ClaimAnswer{Attempt: attempt, Claim: node.ClaimOutcome + node.OutcomeUnknown})
 	})
 	return nil
 }
@@ -190,7 +182,9 @@
 func (p *nodePeer) OnResync() error {
 	p.send(func(q []byte) []byte {
 		for _, o := range p.tasks {
-			q = node.AppendHeld(q, o.ticket, o.attempt, 1, o.job, o.tenant, o.service, o.token, 1, 2)
+			held := o.Task
+			held.Cores, held.Memory = 1, 2
+			q = node.AppendHeld(q, node.HeldTask{Attempt: o.attempt, State: node.StateRunning, Task: held})
 		}
 		return node.AppendHeldAll(q)
 	})
--- a/internal/lab/sim/agree_test.go
+++ b/internal/lab/sim/agree_test.go
@@ -73,21 +73,21 @@
 		say(line.AppendGreeting(nil, node.GreetingLine, "Scheduler", "s", "Life", "1", "Node", "7"))
 		zero := w.Now()
 		offer := func(ticket uint64, epoch uint32, late, timeout float64, job int, token uint64, cores float64) {
-			say(node.AppendOffer(nil, ticket, 0, epoch, w.Now()-zero-late, timeout, job, 0, 9, token, cores, 1))
+			say(node.AppendOffer(nil, node.Offer{Attempt: node.AttemptID{Ticket: ticket}, Epoch: epoch, SentAt: w.Now() - zero - late, Timeout: timeout, Task: node.Task{JobClass: job, Service: 9, Token: token, Cores: cores, Memory: 1}}))
 		}
 		for i, step := range []func(){
 			func() { say(node.AppendPing(nil, w.Now()-zero)) },
 			func() { offer(1, 5, 0, 1000, 0, 11, 2) },
-			func() { offer(2, 5, 0, 1000, 0, 12, 7) },    // no room
-			func() { offer(3, 5, 0, 1000, 1, 13, 1) },    // starts slowly
-			func() { say(node.AppendRecall(nil, 3, 0)) }, // in time
-			func() { say(node.AppendClaim(nil, 3, 0)) },
-			func() { say(node.AppendClaim(nil, 4, 0)) },
+			func() { offer(2, 5, 0, 1000, 0, 12, 7) },                         // no room
+			func() { offer(3, 5, 0, 1000, 1, 13, 1) },                         // starts slowly
+			func() { say(node.AppendRecall(nil, node.AttemptID{Ticket: 3})) }, // in time
+			func() { say(node.AppendClaim(nil, node.AttemptID{Ticket: 3})) },
+			func() { say(node.AppendClaim(nil, node.AttemptID{Ticket: 4})) },
 			func() { offer(4, 5, 0, 1000, 0, 14, 1) },   // barred by now
 			func() { offer(5, 4, 0, 1000, 0, 11, 1) },   // of an older epoch
 			func() { offer(6, 5, 700, 600, 0, 16, 1) },  // it lay on the way for 700 ms
 			func() { offer(7, 5, 300, 5000, 0, 17, 1) }, // this one less than its time
-			func() { say(node.AppendStop(nil, 7, 0)) },
+			func() { say(node.AppendStop(nil, node.AttemptID{Ticket: 7})) },
 			func() { say(node.AppendProbe(nil, 1)) },
 		} {
 			w.After(40+60*float64(i), step)
@@ -123,7 +123,9 @@
 			}
 			say(line.AppendGreeting(nil, node.GreetingLine, head...))
 			sent := 5000 + w.Now() + 30
-			w.After(4000, func() { say(node.AppendOffer(nil, 1, 0, 5, sent, 1500, 0, 0, 9, 11, 1, 1)) })
+			w.After(4000, func() {
+				say(node.AppendOffer(nil, node.Offer{Attempt: node.AttemptID{Ticket: 1}, Epoch: 5, SentAt: sent, Timeout: 1500, Task: node.Task{Service: 9, Token: 11, Cores: 1, Memory: 1}}))
+			})
 		})
 		for c.step(6000) {
 		}
--- a/internal/lab/sim/checks.go
+++ b/internal/lab/sim/checks.go
@@ -5,6 +5,8 @@
 	"strconv"
 	"strings"
 
+	"ravenpond/internal/engine"
+
 	"ravenpond/internal/standin"
 )
 
@@ -50,7 +52,7 @@
 // checkHeld checks that a scheduler knows what a node holds for one of its names.
 func (e *environment) checkHeld(n *standin.Node, s *scheduler, name string) {
 	for _, held := range n.Machine.Held(e.clock.now, name) {
-		if !s.process.dead && !s.server.KnowsAttempt(held.ID.Ticket, held.ID.Attempt) {
+		if !s.process.dead && !s.server.KnowsAttempt(engine.AttemptID{Ticket: held.ID.Ticket, Number: held.ID.Attempt}) {
 			e.fail(0, fmt.Sprintf("node %d holds try %x.%d of %x for %s, which does not know it", n.ID, held.ID.Ticket, held.ID.Attempt, held.Token, name))
 		}
 	}
--- a/internal/lab/sim/inject.go
+++ b/internal/lab/sim/inject.go
@@ -327,20 +327,20 @@
 	}
 }
 
-func (e panicInjector) PermitAttempt(tenant int, token uint64, epoch uint32, nd uint32, ticket uint64, try uint8) bool {
+func (e panicInjector) PermitAttempt(task engine.OwnedTask, node uint32, attempt engine.AttemptID) bool {
 	e.step()
-	ok := e.Effects.PermitAttempt(tenant, token, epoch, nd, ticket, try)
+	ok := e.Effects.PermitAttempt(task, node, attempt)
 	e.step()
 	return ok
 }
 
-func (e panicInjector) RecordOutcome(tenant int, token uint64, epoch uint32, never bool) {
+func (e panicInjector) RecordOutcome(task engine.OwnedTask, neverRan bool) {
 	e.step()
-	e.Effects.RecordOutcome(tenant, token, epoch, never)
+	e.Effects.RecordOutcome(task, neverRan)
 	e.step()
 }
 
-func (e panicInjector) PermitAnswer(tenant int, token uint64, epoch uint32, served bool) bool {
+func (e panicInjector) PermitAnswer(task engine.OwnedTask, served bool) bool {
 	e.step()
-	return e.Effects.PermitAnswer(tenant, token, epoch, served)
+	return e.Effects.PermitAnswer(task, served)
 }
--- a/internal/lab/sim/programfaults.go
+++ b/internal/lab/sim/programfaults.go
@@ -26,55 +26,53 @@
 // adoptsUnknown has a shard keep tasks of which the router knows nothing.
 type adoptsUnknown struct{ engine.Effects }
 
-func (e adoptsUnknown) RecoverTask(tenant int, token uint64, job int, service uint64, cores, memory float64, nd uint32, ticket uint64,
-	try uint8,
-) (uint32, uint32, uint64, bool) {
-	epoch, owner, ref, ok := e.Effects.RecoverTask(tenant, token, job, service, cores, memory, nd, ticket, try)
+func (e adoptsUnknown) RecoverTask(running engine.RunningTask) (engine.RecoveredTask, bool) {
+	recovered, ok := e.Effects.RecoverTask(running)
 	if !ok {
-		return 1, 0, 0, true
+		return engine.RecoveredTask{Epoch: 1}, true
 	}
-	return epoch, owner, ref, ok
+	return recovered, ok
 }
 
 // rejectsRecovered has a shard keep no task that a node recovers.
 type rejectsRecovered struct{ engine.Effects }
 
-func (e rejectsRecovered) RecoverTask(int, uint64, int, uint64, float64, float64, uint32, uint64, uint8) (uint32, uint32, uint64, bool) {
-	return 0, 0, 0, false
+func (e rejectsRecovered) RecoverTask(engine.RunningTask) (engine.RecoveredTask, bool) {
+	return engine.RecoveredTask{}, false
 }
 
 // reportsNeverRan has a shard report of each outcome that the attempt never ran.
 type reportsNeverRan struct{ engine.Effects }
 
-func (e reportsNeverRan) RecordOutcome(tenant int, token uint64, epoch uint32, _ bool) {
-	e.Effects.RecordOutcome(tenant, token, epoch, true)
+func (e reportsNeverRan) RecordOutcome(task engine.OwnedTask, _ bool) {
+	e.Effects.RecordOutcome(task, true)
 }
 
 // leaksOwnership has a shard release only 15 of 16 tasks.
 type leaksOwnership struct{ engine.Effects }
 
-func (e leaksOwnership) ReleaseTask(tenant int, token uint64, service uint64, epoch uint32) {
-	if token%16 > 0 {
-		e.Effects.ReleaseTask(tenant, token, service, epoch)
+func (e leaksOwnership) ReleaseTask(task engine.OwnedTask, service uint64) {
+	if task.Token%16 > 0 {
+		e.Effects.ReleaseTask(task, service)
 	}
 }
 
 // declinesFailed has a shard answer "declined" in place of "failed".
 type declinesFailed struct{ engine.Effects }
 
-func (e declinesFailed) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
-	if answer == engine.Failed {
-		answer = engine.Declined
+func (e declinesFailed) Answer(request engine.RequestID, answer engine.Answer) {
+	if answer.Kind == engine.Failed {
+		answer.Kind = engine.Declined
 	}
-	e.Effects.Answer(owner, ref, answer, nd, why, holdOff)
+	e.Effects.Answer(request, answer)
 }
 
 // dropsFailures has a shard never answer "failed".
 type dropsFailures struct{ engine.Effects }
 
-func (e dropsFailures) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
-	if answer != engine.Failed {
-		e.Effects.Answer(owner, ref, answer, nd, why, holdOff)
+func (e dropsFailures) Answer(request engine.RequestID, answer engine.Answer) {
+	if answer.Kind != engine.Failed {
+		e.Effects.Answer(request, answer)
 	}
 }
 
--- /dev/null
+++ b/internal/proto/line/splitter.go
@@ -0,0 +1,83 @@
+package line
+
+import (
+	"bytes"
+	"fmt"
+	"net/textproto"
+)
+
+// Splitter takes a stream in the pieces in which it arrives: a greeting first, then lines.
+type Splitter struct {
+	partial []byte // a message that is not complete
+	fields  [][]byte
+}
+
+// Greeting takes a piece of the greeting, whose opening line must be want. The header is nil until it is complete; rest is what
+// came after it, to be fed.
+func (s *Splitter) Greeting(piece []byte, want string) (header textproto.MIMEHeader, rest []byte, err error) {
+	s.partial = append(s.partial, piece...)
+	if first := bytes.IndexByte(s.partial, '\n'); first >= 0 { // a wrong opening line is reported at once
+		if got := bytes.TrimSuffix(s.partial[:first], []byte("\r")); string(got) != want {
+			return nil, nil, fmt.Errorf("greeting: %.40q, expected %q", got, want)
+		}
+	}
+	end, ok := headerEnd(s.partial)
+	if !ok {
+		if len(s.partial) > MaxHeader*MaxLine {
+			return nil, nil, ErrTooLong
+		}
+		return nil, nil, nil
+	}
+	if header, err = NewReader(bytes.NewReader(s.partial[:end])).Greeting(want); err != nil {
+		return nil, nil, err
+	}
+	rest = bytes.Clone(s.partial[end:])
+	s.partial = s.partial[:0]
+	return header, rest, nil
+}
+
+// headerEnd finds the end of the first empty line, which ends a header block.
+func headerEnd(text []byte) (end int, ok bool) {
+	end = -1
+	for _, separator := range []string{"\n\r\n", "\n\n"} {
+		if at := bytes.Index(text, []byte(separator)); at >= 0 && (end < 0 || at+len(separator) < end) {
+			end = at + len(separator)
+		}
+	}
+	return end, end >= 0
+}
+
+// Feed takes a piece and passes on the fields of each line that it completes; they hold for that call alone. The first error of the
+// stream or of the callee ends it.
+func (s *Splitter) Feed(piece []byte, accept func(fields [][]byte) error) error {
+	for len(piece) > 0 {
+		end := bytes.IndexByte(piece, '\n')
+		if end < 0 {
+			if s.partial = append(s.partial, piece...); len(s.partial) > MaxLine {
+				return ErrTooLong
+			}
+			return nil
+		}
+		text := piece[:end]
+		if len(s.partial) > 0 {
+			s.partial = append(s.partial, text...)
+			text = s.partial
+		}
+		if len(text) >= MaxLine {
+			return ErrTooLong
+		}
+		piece = piece[end+1:]
+		var err error
+		if s.fields, err = splitFields(s.fields[:0], bytes.TrimSuffix(text, []byte("\r"))); err != nil {
+			return err
+		}
+		if err = accept(s.fields); err != nil {
+			return err
+		}
+		s.partial = s.partial[:0]
+	}
+	return nil
+}
+
+// InsideMessage tells whether the stream stands inside a message.
+func (s *Splitter) InsideMessage() bool { return len(s.partial) > 0 }
--- a/internal/proto/list/list_test.go
+++ b/internal/proto/list/list_test.go
@@ -23,8 +23,8 @@
 	return nil
 }
 
-func (e *ear) OnEntry(id uint32, address string, avail int, started, cores, memory float64, zone, cell, kind string) error {
-	e.b = AppendEntry(e.b, id, address, avail, started, cores, memory, zone, cell, kind)
+func (e *ear) OnEntry(entry Entry) error {
+	e.b = AppendEntry(e.b, entry)
 	return nil
 }
 func (e *ear) OnEnd() error              { e.b = AppendEnd(e.b); return nil }
--- a/internal/proto/node/node_test.go
+++ b/internal/proto/node/node_test.go
@@ -21,42 +21,44 @@
 	return nil
 }
 
-func (h *heard) OnOffer(ticket uint64, try uint8, epoch uint32, sent, timeout float64, jobType, tenant int,
-	service, token uint64, cores, memory float64,
-) error {
-	return h.put("offer %x %d %d %g %g %d %d %x %x %g %g", ticket, try, epoch, sent, timeout, jobType, tenant, service, token, cores, memory)
+func (h *heard) OnOffer(o Offer) error {
+	t := o.Task
+	return h.put("offer %x %d %d %g %g %d %d %x %x %g %g", o.Attempt.Ticket, o.Attempt.Number, o.Epoch, o.SentAt, o.Timeout,
+		t.JobClass, t.Tenant, t.Service, t.Token, t.Cores, t.Memory)
 }
-func (h *heard) OnRecall(t uint64, n uint8) error { return h.put("recall %x %d", t, n) }
-func (h *heard) OnStop(t uint64, n uint8) error   { return h.put("stop %x %d", t, n) }
-func (h *heard) OnClaim(t uint64, n uint8) error  { return h.put("claim %x %d", t, n) }
-func (h *heard) OnProbe(seq uint64) error         { return h.put("probe %d", seq) }
-func (h *heard) OnPing(sent float64) error        { return h.put("ping %g", sent) }
-func (h *heard) OnResync() error                  { return h.put("tell") }
-func (h *heard) OnPong() error                    { return h.put("pong") }
-func (h *heard) OnHeldAll() error                 { return h.put("held-all") }
-func (h *heard) OnBye(why string) error           { return h.put("bye %s", why) }
-func (h *heard) OnStarted(t uint64, n uint8, took float64) error {
-	return h.put("started %x %d %g", t, n, took)
+func (h *heard) OnRecall(a AttemptID) error { return h.put("recall %x %d", a.Ticket, a.Number) }
+func (h *heard) OnStop(a AttemptID) error   { return h.put("stop %x %d", a.Ticket, a.Number) }
+func (h *heard) OnClaim(a AttemptID) error  { return h.put("claim %x %d", a.Ticket, a.Number) }
+func (h *heard) OnProbe(seq uint64) error   { return h.put("probe %d", seq) }
+func (h *heard) OnPing(sent float64) error  { return h.put("ping %g", sent) }
+func (h *heard) OnResync() error            { return h.put("tell") }
+func (h *heard) OnPong() error              { return h.put("pong") }
+func (h *heard) OnHeldAll() error           { return h.put("held-all") }
+func (h *heard) OnBye(why string) error     { return h.put("bye %s", why) }
+func (h *heard) OnStarted(a AttemptID, took float64) error {
+	return h.put("started %x %d %g", a.Ticket, a.Number, took)
 }
 
-func (h *heard) OnOutcome(t uint64, n uint8, o, r int, report []float64) error {
-	return h.put("settled %x %d %d %d %v", t, n, o, r, report)
+func (h *heard) OnOutcome(o Outcome) error {
+	return h.put("settled %x %d %d %d %v", o.Attempt.Ticket, o.Attempt.Number, o.Result, o.Reason, o.Report)
 }
 
-func (h *heard) OnNote(t uint64, n uint8, k int, v float64) error {
-	return h.put("noted %x %d %d %g", t, n, k, v)
+func (h *heard) OnNote(n Note) error {
+	return h.put("noted %x %d %d %g", n.Attempt.Ticket, n.Attempt.Number, n.Kind, n.Value)
 }
 
 func (h *heard) OnReport(seq uint64, report []float64) error {
 	return h.put("reported %d %v", seq, report)
 }
 
-func (h *heard) OnClaimAnswer(t uint64, n uint8, c, r int) error {
-	return h.put("claimed %x %d %d %d", t, n, c, r)
+func (h *heard) OnClaimAnswer(a ClaimAnswer) error {
+	return h.put("claimed %x %d %d %d", a.Attempt.Ticket, a.Attempt.Number, a.Claim, a.Reason)
 }
 
-func (h *heard) OnHeld(t uint64, n uint8, state, job, tenant int, service, token uint64, cores, memory float64) error {
-	return h.put("held %x %d %d %d %d %x %x %g %g", t, n, state, job, tenant, service, token, cores, memory)
+func (h *heard) OnHeld(held HeldTask) error {
+	t := held.Task
+	return h.put("held %x %d %d %d %d %x %x %g %g", held.Attempt.Ticket, held.Attempt.Number, held.State,
+		t.JobClass, t.Tenant, t.Service, t.Token, t.Cores, t.Memory)
 }
 
 // hear decodes a stream as one side does.
@@ -81,31 +83,34 @@
 
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ticket, try := rapid.Uint64().Draw(t, "ticket"), rapid.Uint8().Draw(t, "try")
+		attempt := AttemptID{Ticket: rapid.Uint64().Draw(t, "ticket"), Number: rapid.Uint8().Draw(t, "try")}
 		num := func(what string) float64 { return float64(rapid.Int64Range(1, 1e9).Draw(t, what)) / 8 }
 		small := func(what string) int { return rapid.IntRange(0, 65535).Draw(t, what) }
 		a, c, d := num("a"), num("c"), num("d")
 		job, tenant, epoch := small("job"), small("tenant"), rapid.Uint32().Draw(t, "epoch")
 		service, token := rapid.Uint64().Draw(t, "service"), rapid.Uint64().Draw(t, "token")
-		outcome, reason := small("o")%len(OutcomeNames), small("r")%len(ReasonNames)
-		claim, note := small("cl")%len(ClaimNames), small("n")%len(NoteNames)
+		result, reason := small("o")%len(OutcomeNames), small("r")%len(ReasonNames)
+		claim, kind := small("cl")%len(ClaimNames), small("n")%len(NoteNames)
+		task := Task{JobClass: job, Tenant: tenant, Service: service, Token: token, Cores: c, Memory: d}
+		offer := Offer{Attempt: attempt, Epoch: epoch, SentAt: d, Timeout: a, Task: task}
+		held := HeldTask{Attempt: attempt, State: claim % 2, Task: task}
+		outcome := Outcome{Attempt: attempt, Result: result, Reason: reason, Report: []float64{c, -d}}
+		note := Note{Attempt: attempt, Kind: kind, Value: d}
+		answer := ClaimAnswer{Attempt: attempt, Claim: claim, Reason: reason}
 		want := &heard{}
-		var b []byte
-		b = AppendOffer(b, ticket, try, epoch, d, a, job, tenant, service, token, c, d)
-		b = AppendBye(AppendPing(AppendProbe(AppendClaim(AppendStop(AppendRecall(b, ticket, try), ticket, try),
-			ticket, try), token), c), "all is said")
-		_ = want.OnOffer(ticket, try, epoch, d, a, job, tenant, service, token, c, d)
-		_, _, _ = want.OnRecall(ticket, try), want.OnStop(ticket, try), want.OnClaim(ticket, try)
+		b := AppendOffer(nil, offer)
+		b = AppendClaim(AppendStop(AppendRecall(b, attempt), attempt), attempt)
+		b = AppendBye(AppendPing(AppendProbe(b, token), c), "all is said")
+		_ = want.OnOffer(offer)
+		_, _, _ = want.OnRecall(attempt), want.OnStop(attempt), want.OnClaim(attempt)
 		_, _, _ = want.OnProbe(token), want.OnPing(c), want.OnBye("all-is-said")
 		n := &heard{}
-		x := AppendHeldAll(AppendHeld(nil, ticket, try, claim%2, job, tenant, service, token, c, d))
-		x = AppendOutcome(AppendStarted(x, ticket, try, a), ticket, try, outcome, reason, []float64{c, -d})
-		x = AppendPong(AppendClaimAnswer(AppendReport(AppendNote(x, ticket, try, note, d), token, []float64{a}), ticket, try, claim, reason))
-		_ = n.OnHeld(ticket, try, claim%2, job, tenant, service, token, c, d)
-		_, _ = n.OnHeldAll(), n.OnStarted(ticket, try, a)
-		_ = n.OnOutcome(ticket, try, outcome, reason, []float64{c, -d})
-		_, _ = n.OnNote(ticket, try, note, d), n.OnReport(token, []float64{a})
-		_, _ = n.OnClaimAnswer(ticket, try, claim, reason), n.OnPong()
+		x := AppendHeldAll(AppendHeld(nil, held))
+		x = AppendOutcome(AppendStarted(x, attempt, a), outcome)
+		x = AppendPong(AppendClaimAnswer(AppendReport(AppendNote(x, note), token, []float64{a}), answer))
+		_, _, _ = n.OnHeld(held), n.OnHeldAll(), n.OnStarted(attempt, a)
+		_, _, _ = n.OnOutcome(outcome), n.OnNote(note), n.OnReport(token, []float64{a})
+		_, _ = n.OnClaimAnswer(answer), n.OnPong()
 		for _, side := range []struct {
 			stream []byte
 			want   []string
@@ -170,12 +175,16 @@
 
 func BenchmarkOffer(b *testing.B) {
 	h := &count{}
+	offer := Offer{
+		Attempt: AttemptID{Ticket: 1<<32 | 77, Number: 1}, Epoch: 1, SentAt: 5e9 + 0.125, Timeout: 1200,
+		Task: Task{JobClass: 1, Tenant: 2, Service: 0xfeed, Token: 0xbeef, Cores: 1.5, Memory: 2.5},
+	}
 	var out []byte
 	r := &loop{}
 	in := line.NewReader(r)
 	b.ReportAllocs()
 	for b.Loop() {
-		out = AppendOffer(out[:0], 1<<32|77, 1, 1, 5e9+0.125, 1200, 1, 2, 0xfeed, 0xbeef, 1.5, 2.5)
+		out = AppendOffer(out[:0], offer)
 		r.b = out
 		fields, err := in.Next()
 		if err == nil {
@@ -200,7 +209,7 @@
 	n int
 }
 
-func (c *count) OnOffer(uint64, uint8, uint32, float64, float64, int, int, uint64, uint64, float64, float64) error {
+func (c *count) OnOffer(Offer) error {
 	c.n++
 	return nil
 }
--- a/internal/serve/client_listener.go
+++ b/internal/serve/client_listener.go
@@ -301,24 +301,24 @@
 	return append(append(append(make([]byte, 0, 128), `{"jsonrpc":"2.0","method":"`...), method...), `","params":{"ref":`...)
 }
 
-func (c *clientConn) sendAnswer(ref uint64, answer engine.Answer, nodeID uint32, reason string, retryAfter float64) {
-	if !c.markAnswered(ref, answer == engine.Served) {
+func (c *clientConn) sendAnswer(ref uint64, answer engine.Answer) {
+	if !c.markAnswered(ref, answer.Kind == engine.Served) {
 		return
 	}
 	if c.local != nil {
-		c.local.OnAnswer(ref, answer)
+		c.local.OnAnswer(ref, answer.Kind)
 		return
 	}
 	b := strconv.AppendUint(beginNotification("answer"), ref, 10)
-	b = append(append(append(b, `,"answer":"`...), answer.String()...), '"')
-	if answer == engine.Served {
-		b = strconv.AppendUint(append(b, `,"node":`...), uint64(nodeID), 10)
+	b = append(append(append(b, `,"answer":"`...), answer.Kind.String()...), '"')
+	if answer.Kind == engine.Served {
+		b = strconv.AppendUint(append(b, `,"node":`...), uint64(answer.Node), 10)
 	}
-	if reason != "" {
-		b = append(append(append(b, `,"why":"`...), reason...), '"')
+	if answer.Reason != "" {
+		b = append(append(append(b, `,"why":"`...), answer.Reason...), '"')
 	}
-	if retryAfter > 0 {
-		b = strconv.AppendFloat(append(b, `,"hold-off-ms":`...), retryAfter, 'f', 0, 64)
+	if answer.RetryAfter > 0 {
+		b = strconv.AppendFloat(append(b, `,"hold-off-ms":`...), answer.RetryAfter, 'f', 0, 64)
 	}
 	b = append(b, "}}"...)
 	c.send(b)
@@ -432,11 +432,11 @@
 		return jrpc2.Errorf(jrpc2.InvalidParams, "ref: %d is not over", request.Ref)
 	}
 	if removed {
-		c.sendAnswer(request.Ref, engine.Declined, 0, "tenant-removed", 0)
+		c.sendAnswer(request.Ref, engine.Answer{Kind: engine.Declined, Reason: "tenant-removed"})
 		return nil
 	}
 	if c.retryAfter > 0 {
-		c.sendAnswer(request.Ref, engine.Declined, 0, "too-many-bytes", c.retryAfter)
+		c.sendAnswer(request.Ref, engine.Answer{Kind: engine.Declined, Reason: "too-many-bytes", RetryAfter: c.retryAfter})
 		return nil
 	}
 	name := shardownership.ID{Tenant: tenant, Token: Token(request.Tenant, request.Key)}
--- a/internal/serve/invariants.go
+++ b/internal/serve/invariants.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 
+	"ravenpond/internal/engine"
+
 	"ravenpond/internal/decide/shardownership"
 )
 
@@ -19,8 +21,8 @@
 	if err := s.router.CheckInvariants(func(yield func(shardownership.Claim)) {
 		for _, sh := range s.liveShardsLocked() {
 			if !sh.fenced.Load() {
-				sh.engine.ForEachAllocation(func(tenant int, token uint64, epoch uint32, _ bool) {
-					yield(shardownership.Claim{ID: shardownership.ID{Tenant: tenant, Token: token}, Shard: sh.index, Epoch: epoch})
+				sh.engine.ForEachAllocation(func(task engine.OwnedTask, _ bool) {
+					yield(sh.claim(task))
 				})
 			}
 		}
@@ -48,12 +50,12 @@
 	return s.router.TenantOpen(s.env.Now(), tenant)
 }
 
-// KnowsAttempt tells whether some shard knows a try.
-func (s *Server) KnowsAttempt(ticket uint64, attempt uint8) bool {
+// KnowsAttempt tells whether some shard knows an attempt.
+func (s *Server) KnowsAttempt(attempt engine.AttemptID) bool {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	for _, sh := range s.liveShardsLocked() {
-		if sh.engine.KnowsAttempt(ticket, attempt) {
+		if sh.engine.KnowsAttempt(attempt) {
 			return true
 		}
 	}
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -10,6 +10,8 @@
 	"sync"
 	"sync/atomic"
 
+	"ravenpond/internal/engine"
+
 	"ravenpond/internal/env"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/node"
@@ -186,10 +188,10 @@
 			delete(sh.links, l.node)
 			for _, mark := range unsent {
 				if uint32(mark.ticket>>32) == sh.incarnation {
-					sh.engine.OnUnsent(now, l.node, mark.ticket, mark.attempt)
+					sh.engine.OnUnsent(now, engine.AttemptID{Ticket: mark.ticket, Number: mark.attempt})
 				}
 			}
-			sh.engine.OnDisconnected(now, l.node, reason)
+			sh.engine.OnDisconnected(now, l.node)
 		})
 	}
 	conns.mu.Unlock()
@@ -250,50 +252,3 @@
 
 // maxMarks is how many marks are kept before a look at which have left.
 const maxMarks = 64
-
-func (e shardEffects) Offer(nodeID uint32, ticket uint64, attempt uint8, epoch uint32, timeout float64, jobClass, tenant int,
-	service, token uint64, cores, memory float64,
-) {
-	s := e.shard.server
-	s.log.Debug().Uint64("allocation", ticket).Uint8("try", attempt).Uint32("node", nodeID).Int("tenant", tenant).Msg("offer")
-	// A shard that stood still with leave in hand may have been fenced meanwhile and its allocation answered for, after
-	// which nothing may be sent for it: a fence comes before this or after it, not in between.
-	s.routerMu.Lock()
-	defer s.routerMu.Unlock()
-	if e.fenced() && !s.config.Faults.PermitAnyEpoch {
-		return
-	}
-	if link := e.shard.links[nodeID]; link != nil {
-		link.sendMarked(func(b []byte) []byte {
-			return node.AppendOffer(b, ticket, attempt, epoch, s.env.Now(), timeout, jobClass, tenant, service, token, cores, memory)
-		}, sendMark{ticket: ticket, attempt: attempt})
-	}
-}
-
-func (e shardEffects) send(nodeID uint32, appendTo func([]byte) []byte) {
-	if link := e.shard.links[nodeID]; link != nil && !e.fenced() {
-		link.send(appendTo)
-	}
-}
-
-func (e shardEffects) Recall(nodeID uint32, ticket uint64, attempt uint8) {
-	e.send(nodeID, func(b []byte) []byte { return node.AppendRecall(b, ticket, attempt) })
-}
-
-func (e shardEffects) Stop(nodeID uint32, ticket uint64, attempt uint8) {
-	e.send(nodeID, func(b []byte) []byte { return node.AppendStop(b, ticket, attempt) })
-}
-
-func (e shardEffects) Claim(nodeID uint32, ticket uint64, attempt uint8) {
-	e.send(nodeID, func(b []byte) []byte { return node.AppendClaim(b, ticket, attempt) })
-}
-
-// Probe names the shard in the lowest bits of the number, as several may probe over one connection.
-func (e shardEffects) Probe(nodeID uint32, seq uint64) {
-	e.send(nodeID, func(b []byte) []byte { return node.AppendProbe(b, seq<<8|uint64(e.shard.index)) })
-}
-
-var (
-	errFarewell       = errors.New("farewell")
-	errInventoryOrder = errors.New("HELD after HELD-ALL, or an answer before it")
-)
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -7,22 +7,33 @@
 
 	"ravenpond/internal/decide/shardownership"
 	"ravenpond/internal/decide/shardrouter"
+	"ravenpond/internal/engine"
 	"ravenpond/internal/proto/node"
 	"ravenpond/internal/site"
 	"ravenpond/logic"
 )
 
-// shardOf gives the shard that a ticket belongs to; nil if its shard's life is over, an error if nobody ever made it. Under the
-// desk.
-func (l *nodeLink) shardOf(ticket uint64, final bool) (*shard, error) {
+// The methods of nodeLink in this file take a node's messages, on the goroutine of its connection, and post them to the shard
+// whose attempt they are about.
+
+// Errors of nodes that break the protocol.
+var (
+	errFarewell       = errors.New("farewell")
+	errInventoryOrder = errors.New("HELD after HELD-ALL, or an answer before it")
+	errNoSuchProbe    = errors.New("report for a probe never sent")
+)
+
+// shardOf is the shard that a ticket belongs to: nil if its incarnation has ended, an error if no scheduler made the ticket.
+// ended tells that the node has nothing of the ticket any more. The caller holds the router lock.
+func (l *nodeLink) shardOf(ticket uint64, ended bool) (*shard, error) {
 	l.mu.Lock()
-	beforeInventory := !l.inventoryReceived
+	early := !l.inventoryReceived
 	sh := l.reassigned[ticket]
-	if final {
+	if ended {
 		delete(l.reassigned, ticket)
 	}
 	l.mu.Unlock()
-	if beforeInventory {
+	if early {
 		return nil, errInventoryOrder
 	}
 	if sh == nil {
@@ -37,12 +48,12 @@
 	return sh, nil
 }
 
-// dispatch hands a node's word to the shard that the ticket belongs to, before or after a handover of it but not in between: what
-// came before is in the giver's inbox when it has given. A fault of the peer's ends the connection.
-func (l *nodeLink) dispatch(ticket uint64, final bool, handle func(sh *shard, now float64) error) error {
+// dispatch posts a message about a ticket to its shard. The router lock orders it before or after a handover of the ticket: what
+// came before is in the inbox of the shard that gives it away.
+func (l *nodeLink) dispatch(ticket uint64, handle func(sh *shard, now float64) error) error {
 	l.server.routerMu.Lock()
 	defer l.server.routerMu.Unlock()
-	sh, err := l.shardOf(ticket, final)
+	sh, err := l.shardOf(ticket, false)
 	if sh == nil {
 		return err
 	}
@@ -50,54 +61,60 @@
 	return nil
 }
 
-// post hands a word to a shard; under the desk.
+// post posts a message to a shard, and from there to the shard to which the ticket was handed over meanwhile. An error of the
+// node closes the connection.
 func (l *nodeLink) post(sh *shard, ticket uint64, handle func(sh *shard, now float64) error) {
-	var deliver func(sh *shard)
-	deliver = func(sh *shard) {
-		sh.post(func(now float64) {
-			if next := sh.handedOver[ticket]; next != nil { // handed over while this was on its way
-				deliver(next)
-			} else if err := handle(sh, now); err != nil {
-				l.disconnect(err.Error(), false)
-			}
-		})
-	}
-	deliver(sh)
+	sh.post(func(now float64) {
+		if to := sh.handedOver[ticket]; to != nil {
+			l.post(to, ticket, handle)
+		} else if err := handle(sh, now); err != nil {
+			l.disconnect(err.Error(), false)
+		}
+	})
 }
 
-func (l *nodeLink) OnStarted(ticket uint64, attempt uint8, startTime float64) error {
-	return l.dispatch(ticket, false, func(sh *shard, now float64) error {
-		return sh.engine.OnStarted(now, l.node, ticket, attempt, startTime)
+// OnStarted takes the start of a task.
+func (l *nodeLink) OnStarted(id node.AttemptID, took float64) error {
+	return l.dispatch(id.Ticket, func(sh *shard, now float64) error {
+		return sh.engine.OnStarted(now, l.node, engine.AttemptID(id), took)
 	})
 }
 
-func (l *nodeLink) OnOutcome(ticket uint64, attempt uint8, outcome, reasonCode int, report []float64) error {
-	if values := len(report); values != 0 && values != len(l.server.config.Site.Cluster.ReportFields) {
-		return fmt.Errorf("report of %d values, expected %d", values, len(l.server.config.Site.Cluster.ReportFields))
+// OnOutcome takes the end of an attempt. If its shard was fenced while the task ran, the client is notified here.
+func (l *nodeLink) OnOutcome(o node.Outcome) error {
+	if n, want := len(o.Report), l.reportLength(); n != 0 && n != want {
+		return fmt.Errorf("report of %d values, expected %d", n, want)
+	}
+	outcome := engine.Outcome{
+		Attempt: engine.AttemptID(o.Attempt), Result: node.Verdicts[o.Result], Reason: logic.Reason(o.Reason),
+		Report: slices.Clone(o.Report),
 	}
-	report = slices.Clone(report)
-	if l.server.config.Site.Connections == site.SharedReports && len(report) > 0 {
-		l.broadcastReport(ticket, report)
+	ticket := o.Attempt.Ticket
+	if l.server.config.Site.Connections == site.SharedReports && len(outcome.Report) > 0 {
+		l.broadcastReport(ticket, outcome.Report)
 	}
-	s, verdict, reason := l.server, node.Verdicts[outcome], logic.Reason(reasonCode)
+	s := l.server
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	sh, err := l.shardOf(ticket, true)
 	if sh == nil {
-		if ask, ok := s.router.OnLostEnded(shardownership.Attempt{Node: l.node, Ticket: ticket, Number: attempt}); ok { // its shard was fenced while it ran
-			if c := s.clientByID(ask.Client); c != nil {
-				c.sendEnd(ask.Ref, verdict, reason)
+		if request, ok := s.router.OnLostEnded(routerAttempt(l.node, outcome.Attempt)); ok {
+			if c := s.clientByID(request.Client); c != nil {
+				c.sendEnd(request.Ref, outcome.Result, outcome.Reason)
 			}
 		}
 		return err
 	}
 	l.post(sh, ticket, func(sh *shard, now float64) error {
-		return sh.engine.OnOutcome(now, l.node, ticket, attempt, verdict, reason, report)
+		return sh.engine.OnOutcome(now, l.node, outcome)
 	})
 	return nil
 }
 
-// broadcastReport tells a report to the shards that the answer is not for.
+// reportLength is how many values a load report has at this site.
+func (l *nodeLink) reportLength() int { return len(l.server.config.Site.Cluster.ReportFields) }
+
+// broadcastReport passes a load report to the shards that the outcome is not for.
 func (l *nodeLink) broadcastReport(ticket uint64, report []float64) {
 	for _, sh := range l.connections.attachedShards() {
 		if uint32(ticket>>32) != sh.incarnation {
@@ -106,103 +123,139 @@
 	}
 }
 
-func (l *nodeLink) OnClaimAnswer(ticket uint64, attempt uint8, claim, reason int) error {
-	return l.dispatch(ticket, false, func(sh *shard, now float64) error {
-		if claim < node.ClaimOutcome {
-			sh.engine.OnClaimHeld(now, l.node, ticket, attempt, claim == node.ClaimRunning)
+// OnClaimAnswer takes the answer to a claim.
+func (l *nodeLink) OnClaimAnswer(a node.ClaimAnswer) error {
+	id := engine.AttemptID(a.Attempt)
+	return l.dispatch(id.Ticket, func(sh *shard, now float64) error {
+		if a.Claim < node.ClaimOutcome {
+			sh.engine.OnClaimHeld(now, l.node, id, a.Claim == node.ClaimRunning)
 		} else {
-			sh.engine.OnClaimOutcome(now, l.node, ticket, attempt, node.Verdicts[claim-node.ClaimOutcome], logic.Reason(reason))
+			result := node.Verdicts[a.Claim-node.ClaimOutcome]
+			sh.engine.OnClaimOutcome(now, l.node, engine.Outcome{Attempt: id, Result: result, Reason: logic.Reason(a.Reason)})
 		}
 		return nil
 	})
 }
 
-func (l *nodeLink) OnNote(ticket uint64, attempt uint8, kind int, value float64) error {
-	return l.dispatch(ticket, false, func(sh *shard, now float64) error {
-		return sh.engine.OnNote(now, l.node, ticket, attempt, logic.TaskMetric(kind), value)
+// OnNote takes something that the node observed of a running task.
+func (l *nodeLink) OnNote(n node.Note) error {
+	return l.dispatch(n.Attempt.Ticket, func(sh *shard, now float64) error {
+		sh.engine.OnNote(now, l.node, engine.AttemptID(n.Attempt), logic.TaskMetric(n.Kind), n.Value)
+		return nil
 	})
 }
 
-func (l *nodeLink) OnReport(seq uint64, report []float64) error {
-	if len(report) != len(l.server.config.Site.Cluster.ReportFields) {
-		return fmt.Errorf("report of %d values, expected %d", len(report), len(l.server.config.Site.Cluster.ReportFields))
+// OnReport takes the answer to a probe. The lowest bits of its number name the shard that sent the probe.
+func (l *nodeLink) OnReport(sequence uint64, report []float64) error {
+	if want := l.reportLength(); len(report) != want {
+		return fmt.Errorf("report of %d values, expected %d", len(report), want)
 	}
-	report = slices.Clone(report)
+	index := int(sequence & (1<<shardBits - 1))
 	for _, sh := range l.connections.attachedShards() {
-		if sh.index == int(seq&0xff) {
-			sh.post(func(now float64) {
-				if err := sh.engine.OnProbeReport(now, l.node, seq>>8, report); err != nil {
-					l.disconnect(err.Error(), false)
-				}
-			})
-			return nil
+		if sh.index != index {
+			continue
 		}
+		report = slices.Clone(report)
+		sh.post(func(now float64) {
+			if err := sh.engine.OnProbeReport(now, l.node, sequence>>shardBits, report); err != nil {
+				l.disconnect(err.Error(), false)
+			}
+		})
+		return nil
 	}
-	return errors.New("report for a probe never sent")
+	return errNoSuchProbe
 }
 
-// OnHeld goes to the shard whose try it is; one of a life that is over to the shard that has its service now.
-func (l *nodeLink) OnHeld(ticket uint64, attempt uint8, state, jobType, tenant int, service, token uint64,
-	cores, memory float64,
-) error {
-	s := l.server
-	if jobType >= len(s.config.Site.JobClasses) || tenant >= len(s.config.Site.Tenants) {
-		return fmt.Errorf("held try %x of unknown job type %d or tenant %d", ticket, jobType, tenant)
+// OnHeld takes a task that the node holds: for the shard whose attempt it is or, if that shard's incarnation has ended, for the
+// shard that has its service now.
+func (l *nodeLink) OnHeld(h node.HeldTask) error {
+	s, t := l.server, &h.Task
+	if t.JobClass >= len(s.config.Site.JobClasses) || t.Tenant >= len(s.config.Site.Tenants) {
+		return fmt.Errorf("held try %x of unknown job type %d or tenant %d", h.Attempt.Ticket, t.JobClass, t.Tenant)
 	}
 	if l.isVisit() {
 		if err := l.keepVisited(); err != nil {
 			return err
 		}
 	}
-	s.routerMu.Lock()
-	sh := s.incarnations[uint32(ticket>>32)]
-	index := -1
-	if sh != nil && !sh.fenced.Load() {
-		index = sh.index
+	holder, err := l.holderOf(&h)
+	if err != nil || holder.shard == nil {
+		return err
+	}
+	if holder.own && holder.known && !holder.waits || !holder.own && !holder.waits && !l.inventoryReceived {
+		return nil
 	}
-	home, known := s.router.ShardOf(shardrouter.Placed{ID: shardownership.ID{Tenant: tenant, Token: token}, Ticket: ticket, Number: attempt, Service: service, Shard: index})
-	isOwn := index >= 0 && home == index // else it was handed over, or its shard's life is over
-	if !isOwn && home >= 0 {
-		sh = s.shards[home]
+	held := engine.HeldTask{
+		Attempt: engine.AttemptID(h.Attempt), Running: h.State == node.StateRunning, Task: engine.Task(h.Task),
 	}
-	s.routerMu.Unlock()
+	sh := holder.shard
+	sh.post(func(now float64) {
+		if holder.own {
+			delete(sh.handedOver, held.Attempt.Ticket)
+		}
+		if err := sh.engine.OnHeld(now, l.node, held); err != nil {
+			l.disconnect(err.Error(), false)
+		}
+	})
+	return nil
+}
+
+// taskHolder is the shard that a held task is for.
+type taskHolder struct {
+	shard *shard // nil: there is none
+	own   bool   // it made the attempt itself
+	known bool   // the router knows that it holds the task
+	waits bool   // it waits for the node to name what it holds
+}
+
+// holderOf decides which shard a held task is for, and remembers it for further messages about the task.
+func (l *nodeLink) holderOf(h *node.HeldTask) (taskHolder, error) {
+	holder := l.routedHolder(h)
 	attached := l.connections.attachedShards()
+	ticket := h.Attempt.Ticket
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	if len(l.inventoryWaiters) == 0 {
-		l.mu.Unlock()
-		return errInventoryOrder
+		return taskHolder{}, errInventoryOrder
 	}
-	if previous := l.reassigned[ticket]; previous != nil && !previous.fenced.Load() {
-		sh, isOwn = previous, false
+	if other := l.reassigned[ticket]; other != nil && !other.fenced.Load() {
+		holder.shard, holder.own = other, false
 	}
-	if isOwn {
-		delete(l.reassigned, ticket) // it was given away, but the one that got it is no more
-	} else if sh != nil {
-		if len(attached) == 1 { // its connections are its own: what they hold is its own too
-			sh = attached[0]
+	if holder.own {
+		delete(l.reassigned, ticket) // it was handed over, but the shard that took it has ended
+	} else if holder.shard != nil {
+		if len(attached) == 1 { // the connection is that shard's own, and so is what the node holds
+			holder.shard = attached[0]
 		}
-		l.reassigned[ticket] = sh
+		l.reassigned[ticket] = holder.shard
 	}
-	waiting := slices.Contains(l.inventoryWaiters[0], sh)
-	l.mu.Unlock()
-	if sh == nil || !isOwn && !waiting && !l.inventoryReceived {
-		return nil
-	}
-	if isOwn && known && !waiting {
-		return nil
+	holder.waits = slices.Contains(l.inventoryWaiters[0], holder.shard)
+	return holder, nil
+}
+
+// routedHolder is the shard that a held task is for by the router: the one that made the attempt, unless it was handed over or that
+// shard's incarnation has ended.
+func (l *nodeLink) routedHolder(h *node.HeldTask) taskHolder {
+	s, t := l.server, &h.Task
+	s.routerMu.Lock()
+	defer s.routerMu.Unlock()
+	sh := s.incarnations[uint32(h.Attempt.Ticket>>32)]
+	maker := -1
+	if sh != nil && !sh.fenced.Load() {
+		maker = sh.index
 	}
-	sh.post(func(now float64) {
-		if isOwn {
-			delete(sh.handedOver, ticket)
-		}
-		err := sh.engine.OnHeld(now, l.node, ticket, attempt, state == 1, jobType, tenant, service, token, cores, memory)
-		if err != nil {
-			l.disconnect(err.Error(), false)
-		}
+	index, known := s.router.ShardOf(shardrouter.Placed{
+		ID: shardownership.ID{Tenant: t.Tenant, Token: t.Token}, Ticket: h.Attempt.Ticket, Number: h.Attempt.Number,
+		Service: t.Service, Shard: maker,
 	})
-	return nil
+	own := maker >= 0 && index == maker
+	if !own && index >= 0 {
+		sh = s.shards[index]
+	}
+	return taskHolder{shard: sh, own: own, known: known}
 }
 
+// OnHeldAll takes the end of the held tasks.
 func (l *nodeLink) OnHeldAll() error {
 	if l.isVisit() && l.finishVisit() {
 		return nil
@@ -221,6 +274,8 @@
 	return nil
 }
 
+// OnPong takes the answer to a ping; that a message came was noted before.
 func (l *nodeLink) OnPong() error { return nil }
 
+// OnBye takes why the node closes the connection.
 func (l *nodeLink) OnBye(reason string) error { return fmt.Errorf("%w: %s", errFarewell, reason) }
--- a/internal/serve/list_client.go
+++ b/internal/serve/list_client.go
@@ -279,15 +279,13 @@
 }
 
 // OnEntry is one node of it.
-func (l *listClient) OnEntry(id uint32, address string, avail int, startedAt, cores, memory float64,
-	zone, cell, kind string,
-) error {
+func (l *listClient) OnEntry(e list.Entry) error {
 	if !l.inAnswer || len(l.entries) >= maxEntries {
 		return errListOrder
 	}
 	l.entries = append(l.entries, state.Entry{
-		ID: id, Address: address, Avail: avail, StartedAt: startedAt,
-		FreeCores: cores, FreeMemory: memory, Zone: zone, Cell: cell, Kind: kind,
+		ID: e.ID, Address: e.Address, Avail: e.Availability, StartedAt: e.StartedAt,
+		FreeCores: e.FreeCores, FreeMemory: e.FreeMemory, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind,
 	})
 	return nil
 }
--- a/internal/serve/node_connections.go
+++ b/internal/serve/node_connections.go
@@ -115,7 +115,7 @@
 		c.server.workingSet.onVisitFailed(nodeID)
 	}
 	for _, sh := range c.attachedShards() {
-		sh.post(func(now float64) { sh.engine.OnDialFailed(now, nodeID, err.Error()) })
+		sh.post(func(now float64) { sh.engine.OnDialFailed(now, nodeID) })
 	}
 	c.server.log.Debug().Uint32("node", nodeID).Err(err).Msg("no connection")
 }
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -121,10 +121,10 @@
 	var items []shardrouter.HandoverItem
 	for _, allocation := range allocations {
 		items = append(items, shardrouter.HandoverItem{
-			ID: shardownership.ID{Tenant: allocation.Tenant, Token: allocation.Token}, Epoch: allocation.Epoch, Running: allocation.Running,
+			ID: ownerID(allocation.Task.Key()), Epoch: allocation.Epoch, Running: allocation.Running,
 			Request: shardownership.Request{
-				Client: allocation.Client, Ref: allocation.RequestID, JobClass: allocation.JobClass, Service: allocation.Service, Cores: allocation.Cores, Memory: allocation.Memory,
-				Deadline: allocation.Deadline,
+				Client: allocation.Request.Client, Ref: allocation.Request.Number, JobClass: allocation.Task.JobClass, Service: allocation.Task.Service,
+				Cores: allocation.Task.Cores, Memory: allocation.Task.Memory, Deadline: allocation.Deadline,
 			},
 		})
 	}
@@ -137,7 +137,7 @@
 		}
 		target := s.shards[fate.Shard]
 		allocation.Epoch = fate.Epoch
-		s.setRequestShard(allocation.Client, allocation.RequestID, fate.Shard)
+		s.setRequestShard(allocation.Request.Client, allocation.Request.Number, fate.Shard)
 		s.continueAt(target, allocation)
 		if !allocation.Running {
 			sh.handoverCounts[0].Add(1)
@@ -145,10 +145,10 @@
 		}
 		sh.handoverCounts[1].Add(1)
 		sh.lastRunningHandover = now
-		sh.handedOver[allocation.Ticket] = target
+		sh.handedOver[allocation.Attempt.Ticket] = target
 		if link := sh.links[allocation.Node]; link != nil {
 			link.mu.Lock()
-			link.reassigned[allocation.Ticket] = target
+			link.reassigned[allocation.Attempt.Ticket] = target
 			link.mu.Unlock()
 		}
 	}
@@ -158,17 +158,19 @@
 func (s *Server) continueAt(sh *shard, allocation engine.Transfer) {
 	sh.post(func(now float64) {
 		if allocation.Running {
-			delete(sh.handedOver, allocation.Ticket) // it is back: a word of it is for nobody else now, or the two would pass it on for good
+			delete(sh.handedOver, allocation.Attempt.Ticket) // it is back: a word of it is for nobody else now, or the two would pass it on for good
 			if !sh.engine.TransferIn(now, allocation) && !sh.fenced.Load() {
 				s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Uint32("node", allocation.Node).
 					Msg("what runs not taken over; its node will tell of it")
 			}
 		} else {
-			_ = sh.engine.Allocate(now, allocation.Client, allocation.RequestID, allocation.JobClass, allocation.Tenant, allocation.Service, allocation.Token, allocation.Cores, allocation.Memory, allocation.Deadline-now,
-				s.currentEpoch(shardownership.ID{Tenant: allocation.Tenant, Token: allocation.Token}, sh, allocation.Epoch)) // the ask was free at this owner, and still is
+			_ = sh.engine.Allocate(now, engine.Request{ // its number was free at this client, and still is
+				ID: allocation.Request, Task: allocation.Task, TimeLeft: allocation.Deadline - now,
+				Epoch: s.currentEpoch(ownerID(allocation.Task.Key()), sh, allocation.Epoch),
+			})
 		}
-		if s.clientByID(allocation.Client) == nil {
-			sh.engine.OnClientDisconnected(now, allocation.Client)
+		if s.clientByID(allocation.Request.Client) == nil {
+			sh.engine.OnClientDisconnected(now, allocation.Request.Client)
 		}
 	})
 }
@@ -202,7 +204,7 @@
 	sh := s.shards[shard]
 	s.routerMu.Unlock()
 	sh.post(func(now float64) {
-		if sh.engine.Withdraw(now, c.id, ref) == nil {
+		if sh.engine.Withdraw(now, engine.RequestID{Client: c.id, Number: ref}) == nil {
 			return
 		}
 		if next, ok := c.requestShard(ref); ok && next >= 0 && (next != shard || attempts > 1) {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -418,7 +418,7 @@
 
 // AnswerHandler hears what an owner hears. It must not block.
 type AnswerHandler interface {
-	OnAnswer(ref uint64, answer engine.Answer)
+	OnAnswer(ref uint64, answer engine.AnswerKind)
 	OnEnd(ref uint64)
 }
 
@@ -454,10 +454,12 @@
 	return s.clients[id]
 }
 
-func (s *Server) answerClient(clientID uint32, ref uint64, answer engine.Answer, nodeID uint32, reason string, retryAfter float64) {
-	s.log.Debug().Uint32("owner", clientID).Uint64("ref", ref).Stringer("answer", answer).Uint32("node", nodeID).Msg(reason)
-	if c := s.clientByID(clientID); c != nil {
-		c.sendAnswer(ref, answer, nodeID, reason, retryAfter)
+// answerClient sends the final answer to a request, if its client is still connected.
+func (s *Server) answerClient(request engine.RequestID, answer engine.Answer) {
+	s.log.Debug().Uint32("owner", request.Client).Uint64("ref", request.Number).Stringer("answer", answer.Kind).
+		Uint32("node", answer.Node).Msg(string(answer.Reason))
+	if c := s.clientByID(request.Client); c != nil {
+		c.sendAnswer(request.Number, answer)
 	}
 }
 
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -160,36 +160,31 @@
 // faultyEffects wraps an edge.
 type faultyEffects struct {
 	engine.Effects
-	answer func(e engine.Effects, owner uint32, ref uint64, answer engine.Answer, nd uint32)
-	offer  func(e engine.Effects, nd uint32, ticket uint64, try uint8, job int, send func(nd uint32, try uint8))
+	answer func(e engine.Effects, request engine.RequestID, answer engine.Answer)
+	offer  func(e engine.Effects, node uint32, offer engine.Offer)
 }
 
-func (p faultyEffects) Answer(owner uint32, ref uint64, answer engine.Answer, nd uint32, why string, holdOff float64) {
+func (p faultyEffects) Answer(request engine.RequestID, answer engine.Answer) {
 	if p.answer == nil {
-		p.Effects.Answer(owner, ref, answer, nd, why, holdOff)
+		p.Effects.Answer(request, answer)
 	} else {
-		p.answer(p.Effects, owner, ref, answer, nd)
+		p.answer(p.Effects, request, answer)
 	}
 }
 
-func (p faultyEffects) Offer(nd uint32, ticket uint64, try uint8, epoch uint32, timeout float64, job, tenant int,
-	service, token uint64, cores, memory float64,
-) {
-	send := func(nd uint32, try uint8) {
-		p.Effects.Offer(nd, ticket, try, epoch, timeout, job, tenant, service, token, cores, memory)
-	}
+func (p faultyEffects) Offer(node uint32, offer engine.Offer) {
 	if p.offer == nil {
-		send(nd, try)
+		p.Effects.Offer(node, offer)
 	} else {
-		p.offer(p.Effects, nd, ticket, try, job, send)
+		p.offer(p.Effects, node, offer)
 	}
 }
 
-func withOffer(f func(e engine.Effects, nd uint32, ticket uint64, try uint8, job int, send func(nd uint32, try uint8))) Faults {
+func withOffer(f func(e engine.Effects, node uint32, offer engine.Offer)) Faults {
 	return Faults{WrapEffects: func(e engine.Effects) engine.Effects { return faultyEffects{Effects: e, offer: f} }}
 }
 
-func withAnswer(f func(e engine.Effects, owner uint32, ref uint64, answer engine.Answer, nd uint32)) Faults {
+func withAnswer(f func(e engine.Effects, request engine.RequestID, answer engine.Answer)) Faults {
 	return Faults{WrapEffects: func(e engine.Effects) engine.Effects { return faultyEffects{Effects: e, answer: f} }}
 }
 
@@ -226,22 +221,23 @@
 		{name: "none, all cold", jobs: "0012", cold: true},
 		{name: "an answer given twice", rule: 1, jobs: "0", Plant: Faults{RepeatAnswers: true}},
 		{name: "no answer", rule: 1, jobs: "0", Plant: withAnswer(
-			func(e engine.Effects, owner uint32, ref uint64, a engine.Answer, nd uint32) {
-				if ref%5 != 0 {
-					e.Answer(owner, ref, a, nd, "", 0)
+			func(e engine.Effects, request engine.RequestID, answer engine.Answer) {
+				if request.Number%5 != 0 {
+					e.Answer(request, engine.Answer{Kind: answer.Kind, Node: answer.Node})
 				}
 			})},
 		{name: "a second try while one is out", rule: 2, jobs: "0", Plant: withOffer(
-			func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
-				send(nd, try)
-				send(nd%4+1, try+1)
+			func(e engine.Effects, node uint32, offer engine.Offer) {
+				e.Offer(node, offer)
+				offer.Attempt.Number++
+				e.Offer(node%4+1, offer)
 			})},
 		{name: "a run-once one declined that may have run", rule: 2, jobs: "2", trouble: mute, Plant: withAnswer(
-			func(e engine.Effects, owner uint32, ref uint64, a engine.Answer, nd uint32) {
-				if a == engine.Failed {
-					a = engine.Declined
+			func(e engine.Effects, request engine.RequestID, answer engine.Answer) {
+				if answer.Kind == engine.Failed {
+					answer.Kind = engine.Declined
 				}
-				e.Answer(owner, ref, a, nd, "", 0)
+				e.Answer(request, engine.Answer{Kind: answer.Kind, Node: answer.Node})
 			})},
 		{name: "a try after the window", rule: 2, jobs: "1", trouble: mute, place: func(p *site.Config) {
 			p.Cluster.JobClasses[1].IdempotencyWindow, p.Deadlines[1] = 60000, 6000
@@ -250,11 +246,11 @@
 			p.Cluster.JobClasses[1].Semantics = 0
 		}},
 		{name: "a late send to a draining node", rule: 3, jobs: "0", trouble: drain, longer: 2000, Plant: withOffer(
-			func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
+			func(e engine.Effects, node uint32, offer engine.Offer) {
 				if time.Since(lastLate) > 300*time.Millisecond { // each costs the connection, as the engine knows nothing of it
-					nd, lastLate = 1, time.Now()
+					node, lastLate = 1, time.Now()
 				}
-				send(nd, try)
+				e.Offer(node, offer)
 			})},
 		// the node turns all away, so the module leaves it alone for up to 2 s at a time
 		{name: "news of a drain lost", rule: 3, jobs: "0", trouble: drain, longer: 6500, Plant: Faults{ListEntry: func(en *state.Entry) {
@@ -263,12 +259,12 @@
 			}
 		}}},
 		{name: "too many offers to a cold node", rule: 4, jobs: "0", cold: true, Plant: withOffer(
-			func(_ engine.Effects, _ uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) { send(1, try) })},
+			func(e engine.Effects, _ uint32, offer engine.Offer) { e.Offer(1, offer) })},
 		{name: "more expected of a cold node than it bears", rule: 4, jobs: "0", cold: true, place: func(p *site.Config) {
 			p.Cluster.SlowStartLimit, p.Cluster.KindCores = 500, []float64{320}
 		}},
 		{name: "a service all at one node", rule: 5, jobs: "1", Plant: withOffer(
-			func(_ engine.Effects, _ uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) { send(2, try) })},
+			func(e engine.Effects, _ uint32, offer engine.Offer) { e.Offer(2, offer) })},
 		{name: "a most that is too high", rule: 5, jobs: "1", place: func(p *site.Config) {
 			p.Cluster.JobClasses[1].MaxPerScope = 50
 		}},
--- /dev/null
+++ b/internal/serve/shard_failover.go
@@ -0,0 +1,149 @@
+package serve
+
+import (
+	"fmt"
+	"math"
+
+	"ravenpond/internal/decide/shardownership"
+	"ravenpond/internal/decide/shardrouter"
+	"ravenpond/internal/engine"
+	"ravenpond/internal/site"
+	"ravenpond/logic"
+)
+
+// Reasons of answers that a shard's failure brings.
+const (
+	reasonShardFenced engine.AnswerReason = "shard-fenced" // the shard acts for nothing any more
+	reasonShardSilent engine.AnswerReason = "shard-quiet"  // the shard may not answer before the deadline
+	reasonShardLeft   engine.AnswerReason = "shard-left"   // the shard was ended
+)
+
+// fence ends a shard whose state can't be trusted any more. The router permits it nothing from then on; what it acted for goes on at
+// other shards, ends as its effect allows, or is found running by the shard's next incarnation.
+func (s *Server) fence(sh *shard, cause string) {
+	if !sh.fenced.CompareAndSwap(false, true) {
+		return
+	}
+	now := s.env.Now()
+	s.routerMu.Lock()
+	counts := s.applyFates(s.router.Fence(now, sh.index), reasonShardFenced)
+	duplicates := s.duplicateRequests(sh.index, math.Inf(1))
+	s.routerMu.Unlock()
+	sh.inbox.close()
+	for _, d := range duplicates {
+		d.client.sendAnswer(d.ref, engine.Answer{Kind: engine.Declined, Reason: reasonShardFenced})
+	}
+	if s.config.Site.Connections == site.OwnConnections {
+		sh.connections.close("shard fenced", false)
+	}
+	s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Int("moved", counts[shardownership.Reassign]).
+		Int("declined", counts[shardownership.Shed]).Int("failed", counts[shardownership.Fail]).Int("run", counts[shardownership.Continue]).
+		Float64("ms", s.env.Now()-now).Msg("fenced: " + cause)
+}
+
+// applyFates carries out what the router decided about allocations whose shard can't go on with them. It counts them by what was
+// decided. The caller holds the router lock.
+func (s *Server) applyFates(fates []shardrouter.OrphanDecision, reason engine.AnswerReason) (counts [4]int) {
+	for i := range fates {
+		f := &fates[i]
+		request := &f.Entry.Request
+		counts[f.Disposition]++
+		switch {
+		case f.Disposition == shardownership.Reassign:
+			s.setRequestShard(request.Client, request.Ref, f.Shard)
+			s.continueAt(s.shards[f.Shard], engine.Transfer{
+				Request: requestID(request), Task: taskOf(f.ID, request), Deadline: request.Deadline, Epoch: f.Epoch,
+			})
+		case f.Disposition == shardownership.Continue:
+		case s.env.Now() >= request.Deadline: // its client has given up by itself
+			if c := s.clientByID(request.Client); c != nil {
+				c.closeRequest(request.Ref)
+			}
+		case f.Disposition == shardownership.Shed:
+			s.answerClient(requestID(request), engine.Answer{Kind: engine.Declined, Reason: reason})
+		case f.Disposition == shardownership.Fail:
+			s.answerClient(requestID(request), engine.Answer{Kind: engine.Failed, Reason: reason})
+		}
+	}
+	return counts
+}
+
+// checkShards fences the shards that stand still and restarts those that were fenced.
+func (s *Server) checkShards() {
+	now := s.env.Now()
+	s.recordCheck(now)
+	s.routerMu.Lock()
+	var heartbeats, oldest []float64
+	for _, sh := range s.shards {
+		heartbeats = append(heartbeats, math.Float64frombits(sh.heartbeat.Load()))
+		oldest = append(oldest, sh.inbox.oldestAge(now))
+	}
+	health := s.router.CheckHealth(now, heartbeats, oldest)
+	s.applyFates(health.Overdue, reasonShardSilent)
+	for _, index := range health.Silent {
+		for _, d := range s.duplicateRequests(index, now+s.router.OverdueMargin()) {
+			d.client.sendAnswer(d.ref, engine.Answer{Kind: engine.Declined, Reason: reasonShardSilent})
+		}
+	}
+	var toFence []*shard
+	for _, index := range health.Fence {
+		toFence = append(toFence, s.shards[index])
+	}
+	s.routerMu.Unlock()
+	for _, request := range health.Lost {
+		if c := s.clientByID(request.Client); c != nil {
+			c.sendEnd(request.Ref, logic.ConnectionLost, logic.ReasonUnknown)
+		}
+	}
+	for _, sh := range toFence {
+		s.fence(sh, fmt.Sprintf("no sign of life for %.0f ms", now-heartbeats[sh.index]))
+	}
+	for _, index := range health.Restart {
+		if err := s.restart(index); err != nil {
+			s.log.Error().Str("mode", "shards").Int("shard", index).Err(err).Msg("not started again")
+		}
+	}
+}
+
+// restart starts a new incarnation of a fenced shard. The nodes name what runs for it.
+func (s *Server) restart(index int) error {
+	sh, err := s.newShard(index)
+	if err != nil {
+		return err
+	}
+	if s.config.Site.Connections == site.OwnConnections {
+		sh.connections = newNodeConnections(s, index)
+		sh.connections.attach(sh)
+	}
+	s.routerMu.Lock()
+	if sh.connections == nil {
+		sh.connections = s.shards[0].connections
+	}
+	if index < len(s.shards) {
+		s.shards[index] = sh
+	} else {
+		s.shards = append(s.shards, sh)
+	}
+	s.incarnations[sh.incarnation] = sh
+	s.router.OnShardStarted(index, sh.incarnation)
+	s.routerMu.Unlock()
+	s.sendCachedList(sh)
+	if s.config.Site.Connections != site.OwnConnections {
+		sh.connections.replayTo(sh)
+	}
+	sh.start()
+	s.log.Info().Str("mode", "shards").Int("shard", index).Uint32("life", sh.incarnation).Msg("started")
+	return nil
+}
+
+// requestID is a request of the router as the engine names it.
+func requestID(r *shardownership.Request) engine.RequestID {
+	return engine.RequestID{Client: r.Client, Number: r.Ref}
+}
+
+// taskOf is a request of the router as the engine has it.
+func taskOf(id shardownership.ID, r *shardownership.Request) engine.Task {
+	return engine.Task{
+		JobClass: r.JobClass, Tenant: id.Tenant, Service: r.Service, Token: id.Token, Cores: r.Cores, Memory: r.Memory,
+	}
+}
--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -41,8 +41,8 @@
 				if lives.Add(1) != 2 { // the second shard's first life alone
 					return e
 				}
-				return faultyEffects{Effects: e, offer: func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
-					send(nd, try)
+				return faultyEffects{Effects: e, offer: func(e engine.Effects, node uint32, offer engine.Offer) {
+					e.Offer(node, offer)
 					if offers.Add(1) == 25 {
 						c.harm()
 					}
@@ -292,11 +292,11 @@
 		if lives.Add(1) != 2 {
 			return e
 		}
-		return faultyEffects{Effects: e, offer: func(_ engine.Effects, nd uint32, _ uint64, try uint8, _ int, send func(uint32, uint8)) {
+		return faultyEffects{Effects: e, offer: func(e engine.Effects, node uint32, offer engine.Offer) {
 			if fence.Load() {
 				panic("planted")
 			}
-			send(nd, try)
+			e.Offer(node, offer)
 		}}
 	}})
 	c := connect(t, s.clients[0].SchedulerAddress())
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -297,7 +297,7 @@
 		c.closeRequest(ask.Ref)
 		return
 	case entry.IsRejected():
-		c.sendAnswer(ask.Ref, engine.Declined, 0, entry.Reason.String(), entry.RetryAfter)
+		c.sendAnswer(ask.Ref, engine.Answer{Kind: engine.Declined, Reason: engine.AnswerReason(entry.Reason.String()), RetryAfter: entry.RetryAfter})
 		return
 	}
 	s.submit(c, sh, entry)
@@ -377,17 +377,18 @@
 		if entry.Epoch > 0 {
 			sh.roundRequests++
 		}
-		err := sh.engine.Allocate(now, ask.Client, ask.Ref, ask.JobClass, name.Tenant, ask.Service, name.Token, ask.Cores, ask.Memory,
-			ask.Deadline-now, s.currentEpoch(name, sh, entry.Epoch))
+		err := sh.engine.Allocate(now, engine.Request{
+			ID: requestID(&ask), Task: taskOf(name, &ask), TimeLeft: ask.Deadline - now, Epoch: s.currentEpoch(name, sh, entry.Epoch),
+		})
 		if err != nil && !sh.fenced.Load() { // the door lets no ref in twice: it was moved here by a fence
-			c.sendAnswer(ask.Ref, engine.Declined, 0, "open-already", 0)
+			c.sendAnswer(ask.Ref, engine.Answer{Kind: engine.Declined, Reason: engine.ReasonAlreadyOpen})
 		}
 		if s.clientByID(ask.Client) == nil && s.hostsTenants() { // it waited in a line, and its owner has left meanwhile
 			sh.engine.OnClientDisconnected(now, ask.Client)
 		}
 	})
 	if !ok && entry.Epoch == 0 { // the shard was fenced a moment ago; what was taken for it, its fence has answered or moved
-		c.sendAnswer(ask.Ref, engine.Declined, 0, "shard-fenced", 0)
+		c.sendAnswer(ask.Ref, engine.Answer{Kind: engine.Declined, Reason: reasonShardFenced})
 	}
 }
 
@@ -397,7 +398,7 @@
 	ok := s.router.Withdraw(c.id, ref)
 	s.routerMu.Unlock()
 	if ok {
-		c.sendAnswer(ref, engine.Declined, 0, "withdrawn", 0)
+		c.sendAnswer(ref, engine.Answer{Kind: engine.Declined, Reason: engine.ReasonWithdrawn})
 	}
 	return ok
 }
--- a/internal/standin/list_conn.go
+++ b/internal/standin/list_conn.go
@@ -117,7 +117,7 @@
 		if en.availability == availabilityGone && kind == list.KindFull {
 			continue // a full list says so by its absence
 		}
-		b = list.AppendEntry(b, id, en.address, en.availability, en.startedAt, en.cores, en.memory, en.zone, en.cell, en.kind)
+		b = list.AppendEntry(b, list.Entry{ID: id, Address: en.address, Availability: en.availability, StartedAt: en.startedAt, FreeCores: en.cores, FreeMemory: en.memory, Zone: en.zone, Cell: en.cell, Kind: en.kind})
 	}
 	return list.AppendEnd(b), records
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -162,7 +162,9 @@
 
 // OnStarted implements EventHandler.
 func (n *Node) OnStarted(id AttemptID, took float64) {
-	if n.send(id.Scheduler, true, func(b []byte) []byte { return node.AppendStarted(b, id.Ticket, id.Attempt, took) }) {
+	if n.send(id.Scheduler, true, func(b []byte) []byte {
+		return node.AppendStarted(b, node.AttemptID{Ticket: id.Ticket, Number: id.Attempt}, took)
+	}) {
 		n.recordAttempt(audit.StartConfirmed, id, "")
 	}
 }
@@ -171,13 +173,15 @@
 func (n *Node) OnConcluded(id AttemptID, c Conclusion) {
 	n.recordAttempt(audit.AttemptConcluded, id, node.OutcomeNames[c.Outcome])
 	n.send(id.Scheduler, c.Outcome == node.OutcomeErrored, func(b []byte) []byte {
-		return node.AppendOutcome(b, id.Ticket, id.Attempt, c.Outcome, c.Reason, c.Report)
+		return node.AppendOutcome(b, node.Outcome{Attempt: node.AttemptID{Ticket: id.Ticket, Number: id.Attempt}, Result: c.Outcome, Reason: c.Reason, Report: c.Report})
 	})
 }
 
 // OnNote implements EventHandler.
 func (n *Node) OnNote(id AttemptID, kind int, value float64) {
-	n.send(id.Scheduler, false, func(b []byte) []byte { return node.AppendNote(b, id.Ticket, id.Attempt, kind, value) })
+	n.send(id.Scheduler, false, func(b []byte) []byte {
+		return node.AppendNote(b, node.Note{Attempt: node.AttemptID{Ticket: id.Ticket, Number: id.Attempt}, Kind: kind, Value: value})
+	})
 }
 
 // OnReport implements EventHandler.
@@ -192,7 +196,9 @@
 	} else if claim >= node.ClaimOutcome {
 		n.recordAttempt(audit.AttemptConcluded, id, node.ClaimNames[claim])
 	}
-	n.send(id.Scheduler, false, func(b []byte) []byte { return node.AppendClaimAnswer(b, id.Ticket, id.Attempt, claim, reason) })
+	n.send(id.Scheduler, false, func(b []byte) []byte {
+		return node.AppendClaimAnswer(b, node.ClaimAnswer{Attempt: node.AttemptID{Ticket: id.Ticket, Number: id.Attempt}, Claim: claim, Reason: reason})
+	})
 }
 
 // OnRun implements EventHandler.
--- a/internal/standin/node_conn.go
+++ b/internal/standin/node_conn.go
@@ -146,7 +146,7 @@
 	if h.Running {
 		state = node.ClaimRunning
 	}
-	return node.AppendHeld(b, h.ID.Ticket, h.ID.Attempt, state, h.Job, h.Tenant, h.Service, h.Token, h.Cores, h.Memory)
+	return node.AppendHeld(b, node.HeldTask{Attempt: node.AttemptID{Ticket: h.ID.Ticket, Number: h.ID.Attempt}, State: state, Task: node.Task{JobClass: h.Job, Tenant: h.Tenant, Service: h.Service, Token: h.Token, Cores: h.Cores, Memory: h.Memory}})
 }
 
 func (c *nodeConn) close(reason string) {
@@ -190,51 +190,49 @@
 	return nil
 }
 
-func (c *nodeConn) attemptID(ticket uint64, attempt uint8) AttemptID {
-	return AttemptID{Scheduler: c.scheduler, Ticket: ticket, Attempt: attempt}
+func (c *nodeConn) attemptID(attempt node.AttemptID) AttemptID {
+	return AttemptID{Scheduler: c.scheduler, Ticket: attempt.Ticket, Attempt: attempt.Number}
 }
 
 // OnOffer implements node.SchedulerHandler. The time that the message was on its way counts against its time-out: a late one is
 // rejected.
-func (c *nodeConn) OnOffer(ticket uint64, attempt uint8, epoch uint32, sent, timeout float64, job, tenant int,
-	service, token uint64, cores, memory float64,
-) error {
-	n := c.node
-	if job >= n.Jobs || tenant >= n.Tenants {
-		return fmt.Errorf("unknown job type %d or tenant %d", job, tenant)
+func (c *nodeConn) OnOffer(o node.Offer) error {
+	n, t := c.node, &o.Task
+	if t.JobClass >= n.Jobs || t.Tenant >= n.Tenants {
+		return fmt.Errorf("unknown job type %d or tenant %d", t.JobClass, t.Tenant)
 	}
 	received := n.testbed.Now()
-	late := c.lag.OnRequest(received, sent, 0, 0)
-	timeout -= late
+	late := c.lag.OnRequest(received, o.SentAt, 0, 0)
+	timeout := o.Timeout - late
 	n.testbed.Trace.Add(audit.Record{
-		At: received, Kind: audit.PlacementReceived, Scheduler: c.scheduler, Node: n.ID, Ticket: ticket,
-		Attempt: attempt, Job: job, Token: token, Service: service, Deadline: received + timeout, SentAt: received - late,
+		At: received, Kind: audit.PlacementReceived, Scheduler: c.scheduler, Node: n.ID, Ticket: o.Attempt.Ticket,
+		Attempt: o.Attempt.Number, Job: t.JobClass, Token: t.Token, Service: t.Service, Deadline: received + timeout, SentAt: received - late,
 	})
 	return c.deliver(func(now float64) {
 		n.Machine.Place(now, Placement{
-			ID: c.attemptID(ticket, attempt), Epoch: epoch, Timeout: timeout - (now - received), Job: job,
-			Tenant: tenant, Service: service, Token: token, Cores: cores, Memory: memory,
+			ID: c.attemptID(o.Attempt), Epoch: o.Epoch, Timeout: timeout - (now - received), Job: t.JobClass,
+			Tenant: t.Tenant, Service: t.Service, Token: t.Token, Cores: t.Cores, Memory: t.Memory,
 		})
 	})
 }
 
 // OnRecall implements node.SchedulerHandler.
-func (c *nodeConn) OnRecall(ticket uint64, attempt uint8) error {
+func (c *nodeConn) OnRecall(attempt node.AttemptID) error {
 	return c.deliver(func(now float64) {
-		id := c.attemptID(ticket, attempt)
+		id := c.attemptID(attempt)
 		c.node.recordAttempt(audit.RecallReceived, id, "")
 		c.node.Machine.Recall(now, id)
 	})
 }
 
 // OnStop implements node.SchedulerHandler.
-func (c *nodeConn) OnStop(ticket uint64, attempt uint8) error {
-	return c.deliver(func(now float64) { c.node.Machine.Stop(now, c.attemptID(ticket, attempt)) })
+func (c *nodeConn) OnStop(attempt node.AttemptID) error {
+	return c.deliver(func(now float64) { c.node.Machine.Stop(now, c.attemptID(attempt)) })
 }
 
 // OnClaim implements node.SchedulerHandler.
-func (c *nodeConn) OnClaim(ticket uint64, attempt uint8) error {
-	return c.deliver(func(now float64) { c.node.Machine.Claim(now, c.attemptID(ticket, attempt)) })
+func (c *nodeConn) OnClaim(attempt node.AttemptID) error {
+	return c.deliver(func(now float64) { c.node.Machine.Claim(now, c.attemptID(attempt)) })
 }
 
 // OnProbe implements node.SchedulerHandler.
--- a/internal/state/nodelist.go
+++ b/internal/state/nodelist.go
@@ -115,8 +115,10 @@
 func (l *NodeList) Encode() []byte {
 	b := list.AppendBegin(nil, list.KindFull, l.Version)
 	for _, entry := range l.Entries() {
-		b = list.AppendEntry(b, entry.ID, entry.Address, entry.Avail, entry.StartedAt, entry.FreeCores, entry.FreeMemory,
-			entry.Zone, entry.Cell, entry.Kind)
+		b = list.AppendEntry(b, list.Entry{
+			ID: entry.ID, Address: entry.Address, Availability: entry.Avail, StartedAt: entry.StartedAt,
+			FreeCores: entry.FreeCores, FreeMemory: entry.FreeMemory, Zone: entry.Zone, Cell: entry.Cell, Kind: entry.Kind,
+		})
 	}
 	return list.AppendEnd(b)
 }
@@ -153,27 +155,23 @@
 // listDecoder applies the lines of a saved list.
 type listDecoder struct{ list *NodeList }
 
-// OnBegin implements list.ListHandler.
+// OnBegin implements list.Handler.
 func (d listDecoder) OnBegin(kind int, version uint64) error { return d.list.Begin(kind, version) }
 
-// OnEnd implements list.ListHandler.
+// OnEnd implements list.Handler.
 func (d listDecoder) OnEnd() error {
 	d.list.End()
 	return nil
 }
 
-// OnFailed implements list.ListHandler.
+// OnFailed implements list.Handler.
 func (d listDecoder) OnFailed(string) error { return errors.New("a failure in a saved list") }
 
-// OnBye implements list.ListHandler.
+// OnBye implements list.Handler.
 func (d listDecoder) OnBye(string) error { return errors.New("a farewell in a saved list") }
 
-// OnEntry implements list.ListHandler.
-//
-//nolint:revive // argument-limit: the interface of package list
-func (d listDecoder) OnEntry(id uint32, address string, avail int, startedAt, cores, memory float64,
-	zone, cell, kind string,
-) error {
-	d.list.Put(Entry{id, address, avail, startedAt, cores, memory, zone, cell, kind})
+// OnEntry implements list.Handler.
+func (d listDecoder) OnEntry(e list.Entry) error {
+	d.list.Put(Entry{e.ID, e.Address, e.Availability, e.StartedAt, e.FreeCores, e.FreeMemory, e.Zone, e.Cell, e.Kind})
 	return nil
 }
