--- a/internal/engine/end_before_start_test.go
+++ b/internal/engine/end_before_start_test.go
@@ -16,41 +16,47 @@
 	for _, result := range []logic.Outcome{logic.Completed, logic.Errored, logic.ConnectionLost, logic.Cancelled} {
 		for job, retried := range []bool{restartable: true, zoned: true, everywhere: true, once: false} {
 			t.Run(fmt.Sprintf("verdict %d, job %d", result, job), func(t *testing.T) {
-				h := start(t, true)
-				h.request(1, job, 3000)
-				h.pass(20)
-				first := h.last
-				if err := h.reportEnd(result); err != nil {
-					t.Fatal(err)
-				}
-				h.pass(100)
-				got := h.takeEffects()
-				if !retried {
-					if strings.Count(got, "answer 1 failed") != 1 || h.last != first {
-						t.Fatalf("run-once work after its end: %q", got)
-					}
-					return
-				}
-				if h.last.attempt.Number != 1 || strings.Contains(got, "answer") {
-					t.Fatalf("no second attempt: %q", got)
-				}
-				if job == zoned && (h.last.node-1)/2 != (first.node-1)/2 {
-					t.Errorf("keyed work went on from node %d to node %d in another zone", first.node, h.last.node)
-				}
-				if err := h.engine.OnStarted(h.now, first.node, first.attempt, 10); err == nil {
-					t.Error("a start after the end of the same attempt is no fault of its node")
-				}
-				if got := h.takeEffects(); strings.Contains(got, "answer") {
-					t.Errorf("the late start answers: %q", got)
-				}
-				if err := h.reportStart(10); err != nil {
-					t.Error(err)
-				}
-				h.pass(4000)
-				if got := h.takeEffects(); strings.Count(got, "answer 1 served") != 1 || strings.Count(got, "answer") != 1 {
-					t.Errorf("the answer: %q", got)
-				}
+				testEndBeforeStart(t, job, result, retried)
 			})
 		}
 	}
 }
+
+// testEndBeforeStart has the first attempt end before its start. retried tells whether another attempt follows.
+func testEndBeforeStart(t *testing.T, job int, result logic.Outcome, retried bool) {
+	t.Helper()
+	h := start(t, true)
+	h.request(1, job, 3000)
+	h.pass(20)
+	first := h.last
+	if err := h.reportEnd(result); err != nil {
+		t.Fatal(err)
+	}
+	h.pass(100)
+	got := h.takeEffects()
+	if !retried {
+		if strings.Count(got, "answer 1 failed") != 1 || h.last != first {
+			t.Fatalf("run-once work after its end: %q", got)
+		}
+		return
+	}
+	if h.last.attempt.Number != 1 || strings.Contains(got, "answer") {
+		t.Fatalf("no second attempt: %q", got)
+	}
+	if job == zoned && (h.last.node-1)/2 != (first.node-1)/2 {
+		t.Errorf("keyed work went on from node %d to node %d in another zone", first.node, h.last.node)
+	}
+	if err := h.engine.OnStarted(h.now, first.node, first.attempt, 10); err == nil {
+		t.Error("a start after the end of the same attempt is no fault of its node")
+	}
+	if got := h.takeEffects(); strings.Contains(got, "answer") {
+		t.Errorf("the late start answers: %q", got)
+	}
+	if err := h.reportStart(10); err != nil {
+		t.Error(err)
+	}
+	h.pass(4000)
+	if got := h.takeEffects(); strings.Count(got, "answer 1 served") != 1 || strings.Count(got, "answer") != 1 {
+		t.Errorf("the answer: %q", got)
+	}
+}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -295,15 +295,7 @@
 	}
 	inFlight := place(2, once)
 	h.allocate(newRequest(1, 3, Task{JobClass: restartable, Service: 9, Token: 3, Cores: 1, Memory: 2}, 3000)) // it waits for a round
-	counts := h.engine.CountByService(nil, true, func(uint64, int) bool { return true })
-	if len(counts) != 1 || counts[0].Waiting != 1 || counts[0].Running != 1 || counts[0].Unresolved != 1 || !counts[0].BelongsElsewhere {
-		t.Fatalf("%+v", counts)
-	}
-	var transfers []Transfer
-	h.engine.TransferOut(h.now, 9, true, func(transfer Transfer) { transfers = append(transfers, transfer) })
-	if len(transfers) != 2 {
-		t.Fatalf("%+v", transfers)
-	}
+	transfers := transferAll(t, h)
 	for _, x := range transfers {
 		if !x.Running {
 			to.allocate(Request{ID: x.Request, Task: x.Task, TimeLeft: x.Deadline - to.now, Epoch: 2})
@@ -314,6 +306,32 @@
 	h.takeEffects()
 	h.pass(50)
 	to.pass(50)
+	checkTransferred(t, h, to, running, inFlight)
+	if to.engine.TransferIn(to.now, Transfer{Running: true, Node: 77}) {
+		t.Error("taken at a node that is not known")
+	}
+	if err := to.engine.Withdraw(to.now, RequestID{Client: 1, Number: 3}); err != nil {
+		t.Error("the receiver does not know whose it is:", err)
+	}
+}
+
+// transferAll takes what can be handed over of service 9 out of an engine that holds a waiting, a running and an in-flight allocation.
+func transferAll(t *testing.T, h *harness) (transfers []Transfer) {
+	t.Helper()
+	counts := h.engine.CountByService(nil, true, func(uint64, int) bool { return true })
+	if len(counts) != 1 || counts[0].Waiting != 1 || counts[0].Running != 1 || counts[0].Unresolved != 1 || !counts[0].BelongsElsewhere {
+		t.Fatalf("%+v", counts)
+	}
+	h.engine.TransferOut(h.now, 9, true, func(transfer Transfer) { transfers = append(transfers, transfer) })
+	if len(transfers) != 2 {
+		t.Fatalf("%+v", transfers)
+	}
+	return transfers
+}
+
+// checkTransferred checks that the giver holds the attempt in flight alone, and the receiver the other two allocations.
+func checkTransferred(t *testing.T, h, to *harness, running, inFlight sentOffer) {
+	t.Helper()
 	if got := h.engine.Stats(); got.Open != 1 || got.Held != 1 || h.engine.IsIdle() {
 		t.Errorf("the giver holds %+v", got)
 	}
@@ -329,12 +347,6 @@
 	if err := to.engine.OnOutcome(to.now, running.node, Outcome{Attempt: running.attempt, Result: logic.Completed, Reason: logic.ReasonUnknown}); err != nil {
 		t.Error(err)
 	}
-	if to.engine.TransferIn(to.now, Transfer{Running: true, Node: 77}) {
-		t.Error("taken at a node that is not known")
-	}
-	if err := to.engine.Withdraw(to.now, RequestID{Client: 1, Number: 3}); err != nil {
-		t.Error("the receiver does not know whose it is:", err)
-	}
 }
 
 // TestNoticeBeforeSend has a notice of maintenance or of a drain arrive between a decision and its send, and between a request
@@ -356,40 +368,54 @@
 	for name, notice := range notices {
 		for job := range 4 {
 			t.Run(fmt.Sprintf("%s, a try waits for its connection/%d", name, job), func(t *testing.T) {
-				h := start(t, false)
-				h.request(1, job, 5000)
-				var node uint32
-				for i := range h.engine.nodes {
-					if len(h.engine.nodes[i].allocations) > 0 {
-						node = h.engine.nodes[i].id
-					}
-				}
-				if node == 0 {
-					t.Fatal("no try waits")
-				}
-				notice(h, node)
-				if name == "calendar" { // after a notice of the list the policy goes by the drain grace
-					h.connect(node, 1)
-				}
-				h.pass(50)
-				if h.offers[node] > 0 {
-					t.Error("sent after the notice")
-				}
+				// After a notice of the list the policy goes by the drain grace.
+				testNoticeBeforeConnection(t, job, notice, name == "calendar")
 			})
 			t.Run(fmt.Sprintf("%s, an ask in the same round/%d", name, job), func(t *testing.T) {
-				h := start(t, true)
-				for number := range uint64(12) {
-					h.allocate(newRequest(1, number+1, Task{JobClass: job, Service: 9, Token: number + 1, Cores: 1, Memory: 2}, 5000))
-				}
-				notice(h, 2)
-				h.pass(300)
-				if h.offers[2] > 0 {
-					t.Errorf("%d sent after the notice", h.offers[2])
-				}
-				if h.offers[1]+h.offers[3]+h.offers[4] == 0 {
-					t.Error("nothing was sent at all")
-				}
+				testNoticeBeforeDecision(t, job, notice)
 			})
 		}
 	}
 }
+
+// testNoticeBeforeConnection gives notice of a node while an attempt waits for its connection. If connects is set, the node
+// connects afterwards.
+func testNoticeBeforeConnection(t *testing.T, job int, notice func(h *harness, node uint32), connects bool) {
+	t.Helper()
+	h := start(t, false)
+	h.request(1, job, 5000)
+	var node uint32
+	for i := range h.engine.nodes {
+		if len(h.engine.nodes[i].allocations) > 0 {
+			node = h.engine.nodes[i].id
+		}
+	}
+	if node == 0 {
+		t.Fatal("no try waits")
+	}
+	notice(h, node)
+	if connects {
+		h.connect(node, 1)
+	}
+	h.pass(50)
+	if h.offers[node] > 0 {
+		t.Error("sent after the notice")
+	}
+}
+
+// testNoticeBeforeDecision gives notice of a node between requests and the decision on them.
+func testNoticeBeforeDecision(t *testing.T, job int, notice func(h *harness, node uint32)) {
+	t.Helper()
+	h := start(t, true)
+	for number := range uint64(12) {
+		h.allocate(newRequest(1, number+1, Task{JobClass: job, Service: 9, Token: number + 1, Cores: 1, Memory: 2}, 5000))
+	}
+	notice(h, 2)
+	h.pass(300)
+	if h.offers[2] > 0 {
+		t.Errorf("%d sent after the notice", h.offers[2])
+	}
+	if h.offers[1]+h.offers[3]+h.offers[4] == 0 {
+		t.Error("nothing was sent at all")
+	}
+}
--- a/internal/engine/exclusions_test.go
+++ b/internal/engine/exclusions_test.go
@@ -18,72 +18,79 @@
 			want   string
 		}{
 			{"handed back", func(h *harness) error { return h.reportEnd(logic.Rejected) }, "offer 1.1"},
-			{
-				"runs after all", func(h *harness) error { return h.reportStart(9) },
-				"answer 1 served",
-			},
+			{"runs after all", func(h *harness) error { return h.reportStart(9) }, "answer 1 served"},
 		} {
 			t.Run(fmt.Sprintf("%s/%d", c.name, job), func(t *testing.T) {
-				h := start(t, true)
-				h.request(1, job, 5000)
-				h.takeEffects()
-				out := h.last.node
-				h.engine.SetMaintenance(h.now, []uint32{out}, true)
-				h.pass(300)
-				h.want("at the opening", h.takeEffects(), "recall 1.0")
-				if err := c.answer(h); err != nil {
-					t.Fatal(err)
-				}
-				h.pass(100)
-				h.want("after", h.takeEffects(), c.want)
-				if c.want == "offer 1.1" && h.last.node == out {
-					t.Error("offered again to the node that is out")
-				}
-				for number := range uint64(20) {
-					h.request(10+number, restartable, 5000)
-					if h.last.node == out && c.want == "offer 1.1" {
-						t.Fatal("offered to the node that is out")
-					}
-				}
-				h.engine.BeginList(h.now, logic.ListChanges) // an update by which it is ready changes nothing
-				h.engine.AddListEntry(ListEntry{Node: out, Address: "a", Availability: logic.Ready, FreeCores: 16, FreeMemory: 32})
-				h.engine.EndList()
-				before := h.offers[out]
-				for number := range uint64(20) {
-					h.request(40+number, restartable, 5000)
-				}
-				if h.offers[out] != before {
-					t.Error("offered to the node that is out, once the list had it ready")
-				}
-				h.engine.SetMaintenance(h.now, []uint32{out}, false)
-				for number := range uint64(60) {
-					h.request(70+number, restartable, 5000)
-					_ = h.reportStart(5)
-				}
-				if h.offers[out] == before {
-					t.Error("not offered to again once it is back")
-				}
+				testNodeOut(t, job, c.answer, c.want)
 			})
 		}
 	}
-	t.Run("work is moved off, run-once is not", func(t *testing.T) {
-		h := start(t, true)
-		for number, job := range []int{restartable, zoned, once} {
-			h.request(uint64(number+1), job, 5000)
-			if err := h.reportStart(5); err != nil {
-				t.Fatal(err)
-			}
-		}
-		h.takeEffects()
-		stopped := 0
-		for node := range uint32(4) {
-			stopped += h.engine.MigrateFrom(h.now, node+1, []bool{true, true, true, false}, 9)
-			stopped += h.engine.MigrateFrom(h.now, node+1, []bool{true, true, true, false}, 9) // each once
+	t.Run("work is moved off, run-once is not", testMigrateFrom)
+}
+
+// testNodeOut takes a node out whose attempt is answered in one of two ways, and brings it back.
+func testNodeOut(t *testing.T, job int, answer func(h *harness) error, want string) {
+	t.Helper()
+	h := start(t, true)
+	h.request(1, job, 5000)
+	h.takeEffects()
+	out := h.last.node
+	h.engine.SetMaintenance(h.now, []uint32{out}, true)
+	h.pass(300)
+	h.want("at the opening", h.takeEffects(), "recall 1.0")
+	if err := answer(h); err != nil {
+		t.Fatal(err)
+	}
+	h.pass(100)
+	h.want("after", h.takeEffects(), want)
+	if want == "offer 1.1" && h.last.node == out {
+		t.Error("offered again to the node that is out")
+	}
+	for number := range uint64(20) {
+		h.request(10+number, restartable, 5000)
+		if h.last.node == out && want == "offer 1.1" {
+			t.Fatal("offered to the node that is out")
 		}
-		if stopped != 2 || strings.Contains(h.takeEffects(), "stop 3.0") {
-			t.Errorf("%d stopped", stopped)
+	}
+	h.engine.BeginList(h.now, logic.ListChanges) // an update by which it is ready changes nothing
+	h.engine.AddListEntry(ListEntry{Node: out, Address: "a", Availability: logic.Ready, FreeCores: 16, FreeMemory: 32})
+	h.engine.EndList()
+	before := h.offers[out]
+	for number := range uint64(20) {
+		h.request(40+number, restartable, 5000)
+	}
+	if h.offers[out] != before {
+		t.Error("offered to the node that is out, once the list had it ready")
+	}
+	h.engine.SetMaintenance(h.now, []uint32{out}, false)
+	for number := range uint64(60) {
+		h.request(70+number, restartable, 5000)
+		_ = h.reportStart(5)
+	}
+	if h.offers[out] == before {
+		t.Error("not offered to again once it is back")
+	}
+}
+
+// testMigrateFrom stops the tasks at all nodes, but for those that run at most once.
+func testMigrateFrom(t *testing.T) {
+	t.Helper()
+	h := start(t, true)
+	for number, job := range []int{restartable, zoned, once} {
+		h.request(uint64(number+1), job, 5000)
+		if err := h.reportStart(5); err != nil {
+			t.Fatal(err)
 		}
-	})
+	}
+	h.takeEffects()
+	stopped := 0
+	for node := range uint32(4) {
+		stopped += h.engine.MigrateFrom(h.now, node+1, []bool{true, true, true, false}, 9)
+		stopped += h.engine.MigrateFrom(h.now, node+1, []bool{true, true, true, false}, 9) // each once
+	}
+	if stopped != 2 || strings.Contains(h.takeEffects(), "stop 3.0") {
+		t.Errorf("%d stopped", stopped)
+	}
 }
 
 // TestCalendarIsNoList guards against a change of the calendar counting as an update of the list, which then is polled late.
