--- a/internal/proto/line/line_test.go
+++ b/internal/proto/line/line_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// whole reads a stream by the reader, pieces by the splitter cut at every so many bytes: both must see the same lines.
-func whole(stream []byte) (lines []string, err error) {
+// readAll reads the lines of a stream by the reader.
+func readAll(stream []byte) (lines []string, err error) {
 	in := NewReader(bytes.NewReader(stream))
 	for {
 		fields, err := in.Next()
@@ -22,7 +22,8 @@
 	}
 }
 
-func pieces(stream []byte, size int) (lines []string, err error) {
+// readPieces reads the lines of a stream by the splitter, in pieces of a size.
+func readPieces(stream []byte, size int) (lines []string, err error) {
 	var s Splitter
 	for at := 0; at < len(stream); at += size {
 		if err := s.Feed(stream[at:min(len(stream), at+size)], func(fields [][]byte) error {
@@ -38,6 +39,7 @@
 	return lines, io.EOF
 }
 
+// FuzzSplitter checks that the reader and the splitter see the same lines.
 func FuzzSplitter(f *testing.F) {
 	f.Add([]byte("OFFER 1 2\nPING\r\n"), 1)
 	f.Add([]byte("a  b\n"), 2)
@@ -45,8 +47,8 @@
 	f.Add([]byte("half a line"), 3)
 	f.Fuzz(func(t *testing.T, stream []byte, size int) {
 		size = 1 + max(0, size)%97
-		want, werr := whole(stream)
-		got, gerr := pieces(stream, size)
+		want, werr := readAll(stream)
+		got, gerr := readPieces(stream, size)
 		if !slices.Equal(want, got) || (werr == nil) != (gerr == nil) || errors.Is(werr, io.EOF) != errors.Is(gerr, io.EOF) {
 			t.Errorf("reader %q %v, splitter %q %v", want, werr, got, gerr)
 		}
@@ -56,28 +58,7 @@
 func TestSplitterGreeting(t *testing.T) {
 	full := string(AppendGreeting(nil, "TEST 1", "Name", "x")) + "LINE one\n"
 	for size := 1; size <= len(full); size++ {
-		var s Splitter
-		var got []string
-		greeted := false
-		for at := 0; at < len(full); at += size {
-			b := []byte(full[at:min(len(full), at+size)])
-			if !greeted {
-				head, after, err := s.Greeting(b, "TEST 1")
-				if err != nil {
-					t.Fatal(size, err)
-				}
-				if head == nil {
-					continue
-				}
-				if greeted, b = true, after; head.Get("Name") != "x" {
-					t.Fatal(head)
-				}
-			}
-			if err := s.Feed(b, func(fields [][]byte) error { got = append(got, fmt.Sprintf("%s", fields)); return nil }); err != nil {
-				t.Fatal(err)
-			}
-		}
-		if !slices.Equal(got, []string{"[LINE one]"}) {
+		if got := readAfterGreeting(t, full, size); !slices.Equal(got, []string{"[LINE one]"}) {
 			t.Errorf("pieces of %d: %q", size, got)
 		}
 	}
@@ -89,3 +70,33 @@
 		}
 	}
 }
+
+// readAfterGreeting reads a stream in pieces of a size: the greeting, which must name x, and the lines after it.
+func readAfterGreeting(t *testing.T, stream string, size int) (lines []string) {
+	t.Helper()
+	var s Splitter
+	greeted := false
+	for at := 0; at < len(stream); at += size {
+		piece := []byte(stream[at:min(len(stream), at+size)])
+		if !greeted {
+			header, rest, err := s.Greeting(piece, "TEST 1")
+			if err != nil {
+				t.Fatal(size, err)
+			}
+			if header == nil {
+				continue
+			}
+			if greeted, piece = true, rest; header.Get("Name") != "x" {
+				t.Fatal(header)
+			}
+		}
+		err := s.Feed(piece, func(fields [][]byte) error {
+			lines = append(lines, fmt.Sprintf("%s", fields))
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return lines
+}
--- a/internal/proto/list/decode.go
+++ b/internal/proto/list/decode.go
@@ -43,7 +43,7 @@
 }
 
 // DecodeList decodes a line of the list into a call of the handler.
-func DecodeList(fields [][]byte, handler ListHandler) error {
+func DecodeList(fields [][]byte, handler Handler) error {
 	f := line.NewFields(fields)
 	switch keyword := string(fields[0]); keyword {
 	case "LIST":
--- a/internal/proto/list/list.go
+++ b/internal/proto/list/list.go
@@ -44,9 +44,9 @@
 	OnBye(reason string) error
 }
 
-// ListHandler takes the messages of the list, at a scheduler. An answer is OnBegin, OnEntry for each entry and OnEnd; or
+// Handler takes the messages of the list, at a scheduler. An answer is OnBegin, OnEntry for each entry and OnEnd; or
 // OnFailed.
-type ListHandler interface {
+type Handler interface {
 	OnBegin(kind int, version uint64) error
 	OnEntry(entry Entry) error
 	OnEnd() error
--- a/internal/proto/list/list_test.go
+++ b/internal/proto/list/list_test.go
@@ -2,37 +2,38 @@
 
 import (
 	"bytes"
-	"fmt"
 	"testing"
 )
 
-// ear writes down what it hears as it would be said.
-type ear struct{ b []byte }
+// recorder encodes each message that it takes.
+type recorder struct{ b []byte }
 
-func (e *ear) OnFullRequest() error       { e.b = AppendFullRequest(e.b); return nil }
-func (e *ear) OnWatch(since uint64) error { e.b = AppendWatch(e.b, since); return nil }
-func (e *ear) OnUnwatch() error           { e.b = AppendUnwatch(e.b); return nil }
-func (e *ear) OnMaintenance(id uint32, lasts float64) error {
-	e.b = AppendMaintenance(e.b, id, lasts)
+func (r *recorder) OnFullRequest() error       { r.b = AppendFullRequest(r.b); return nil }
+func (r *recorder) OnWatch(since uint64) error { r.b = AppendWatch(r.b, since); return nil }
+func (r *recorder) OnUnwatch() error           { r.b = AppendUnwatch(r.b); return nil }
+func (r *recorder) OnMaintenance(id uint32, duration float64) error {
+	r.b = AppendMaintenance(r.b, id, duration)
 	return nil
 }
-func (e *ear) OnMaintenanceEnd(id uint32) error { e.b = AppendMaintenanceEnd(e.b, id); return nil }
-func (e *ear) OnBye(why string) error           { e.b = AppendBye(e.b, why); return nil }
-func (e *ear) OnBegin(kind int, version uint64) error {
-	e.b = AppendBegin(e.b, kind, version)
+
+func (r *recorder) OnMaintenanceEnd(id uint32) error { r.b = AppendMaintenanceEnd(r.b, id); return nil }
+func (r *recorder) OnBye(reason string) error        { r.b = AppendBye(r.b, reason); return nil }
+func (r *recorder) OnBegin(kind int, version uint64) error {
+	r.b = AppendBegin(r.b, kind, version)
 	return nil
 }
 
-func (e *ear) OnEntry(entry Entry) error {
-	e.b = AppendEntry(e.b, entry)
+func (r *recorder) OnEntry(entry Entry) error {
+	r.b = AppendEntry(r.b, entry)
 	return nil
 }
-func (e *ear) OnEnd() error              { e.b = AppendEnd(e.b); return nil }
-func (e *ear) OnFailed(why string) error { e.b = AppendFailed(e.b, why); return nil }
+func (r *recorder) OnEnd() error                 { r.b = AppendEnd(r.b); return nil }
+func (r *recorder) OnFailed(reason string) error { r.b = AppendFailed(r.b, reason); return nil }
 
-// again decodes a line and says it again: decoded anew it must be the same, whatever the line was.
-func again(t *testing.T, text []byte, decode func([][]byte, *ear) error) {
-	var first, second ear
+// checkRoundTrip decodes a line, encodes the result and decodes that again: both results must be the same, whatever the line was.
+func checkRoundTrip(t *testing.T, text []byte, decode func([][]byte, *recorder) error) {
+	t.Helper()
+	var first, second recorder
 	if decode(bytes.Fields(text), &first) != nil {
 		return
 	}
@@ -52,14 +53,14 @@
 		if len(bytes.Fields(text)) == 0 {
 			return
 		}
-		again(t, text, func(fields [][]byte, e *ear) error { return DecodeScheduler(fields, e) })
-		again(t, text, func(fields [][]byte, e *ear) error { return DecodeList(fields, e) })
+		checkRoundTrip(t, text, func(fields [][]byte, e *recorder) error { return DecodeScheduler(fields, e) })
+		checkRoundTrip(t, text, func(fields [][]byte, e *recorder) error { return DecodeList(fields, e) })
 	})
 }
 
-func TestMarks(t *testing.T) {
+func TestMaintenanceNotices(t *testing.T) {
 	b := AppendMaintenanceEnd(AppendMaintenance(nil, 7, 60000), 8)
-	var e ear
+	var e recorder
 	for _, text := range bytes.Split(bytes.TrimSpace(b), []byte("\n")) {
 		if err := DecodeScheduler(bytes.Fields(text), &e); err != nil {
 			t.Fatal(err)
@@ -70,7 +71,7 @@
 	}
 	for _, bad := range []string{"OUT 7", "OUT x 1", "OUT 7 1 1", "BACK", "BACK 7 7", "OUT 7 NaN"} {
 		if err := DecodeScheduler(bytes.Fields([]byte(bad)), &e); err == nil {
-			t.Error(fmt.Sprint(bad, ": taken"))
+			t.Errorf("%s: accepted", bad)
 		}
 	}
 }
--- a/internal/proto/node/decode.go
+++ b/internal/proto/node/decode.go
@@ -66,7 +66,7 @@
 }
 
 // DecodeNode decodes a node's line into a call of the handler. Load reports are read into the buffer, which the caller reuses.
-func DecodeNode(fields [][]byte, handler NodeHandler, buffer []float64) error {
+func DecodeNode(fields [][]byte, handler Handler, buffer []float64) error {
 	f := line.NewFields(fields)
 	switch string(fields[0]) {
 	case "STARTED":
@@ -92,7 +92,7 @@
 	}
 }
 
-func decodeStarted(f *line.Fields, handler NodeHandler) error {
+func decodeStarted(f *line.Fields, handler Handler) error {
 	attempt := readAttempt(f)
 	took := f.Float("time")
 	if err := f.End(); err != nil {
@@ -101,7 +101,7 @@
 	return handler.OnStarted(attempt, took)
 }
 
-func decodeOutcome(f *line.Fields, handler NodeHandler, buffer []float64) error {
+func decodeOutcome(f *line.Fields, handler Handler, buffer []float64) error {
 	o := Outcome{Attempt: readAttempt(f)}
 	o.Result, o.Reason = f.Keyword("outcome", OutcomeNames), f.Keyword("reason", ReasonNames)
 	var err error
@@ -111,7 +111,7 @@
 	return handler.OnOutcome(o)
 }
 
-func decodeClaimAnswer(f *line.Fields, handler NodeHandler) error {
+func decodeClaimAnswer(f *line.Fields, handler Handler) error {
 	a := ClaimAnswer{Attempt: readAttempt(f)}
 	a.Claim, a.Reason = f.Keyword("claim", ClaimNames), f.Keyword("reason", ReasonNames)
 	if err := f.End(); err != nil {
@@ -120,7 +120,7 @@
 	return handler.OnClaimAnswer(a)
 }
 
-func decodeNote(f *line.Fields, handler NodeHandler) error {
+func decodeNote(f *line.Fields, handler Handler) error {
 	n := Note{Attempt: readAttempt(f)}
 	n.Kind, n.Value = f.Keyword("note", NoteNames), f.Float("value")
 	if err := f.End(); err != nil {
@@ -129,7 +129,7 @@
 	return handler.OnNote(n)
 }
 
-func decodeReport(f *line.Fields, handler NodeHandler, buffer []float64) error {
+func decodeReport(f *line.Fields, handler Handler, buffer []float64) error {
 	sequence := f.Uint("sequence", 64)
 	report, err := readReport(f, buffer[:0])
 	if err != nil {
@@ -138,7 +138,7 @@
 	return handler.OnReport(sequence, report)
 }
 
-func decodeHeld(f *line.Fields, handler NodeHandler) error {
+func decodeHeld(f *line.Fields, handler Handler) error {
 	h := HeldTask{Attempt: readAttempt(f)}
 	h.State = f.Keyword("state", StateNames)
 	h.Task = readTask(f)
--- a/internal/proto/node/node.go
+++ b/internal/proto/node/node.go
@@ -143,8 +143,8 @@
 	OnBye(reason string) error
 }
 
-// NodeHandler takes the messages of a node, at the scheduler.
-type NodeHandler interface {
+// Handler takes the messages of a node, at the scheduler.
+type Handler interface {
 	OnStarted(attempt AttemptID, took float64) error
 	OnOutcome(outcome Outcome) error
 	OnNote(note Note) error
--- a/internal/proto/node/node_test.go
+++ b/internal/proto/node/node_test.go
@@ -13,57 +13,62 @@
 	"ravenpond/internal/proto/line"
 )
 
-// heard writes every call down as one line, for both sides.
-type heard struct{ lines []string }
+// callRecorder writes down each call as a line, for both sides.
+type callRecorder struct{ lines []string }
 
-func (h *heard) put(format string, args ...any) error {
+func (h *callRecorder) record(format string, args ...any) error {
 	h.lines = append(h.lines, fmt.Sprintf(format, args...))
 	return nil
 }
 
-func (h *heard) OnOffer(o Offer) error {
+func (h *callRecorder) OnOffer(o Offer) error {
 	t := o.Task
-	return h.put("offer %x %d %d %g %g %d %d %x %x %g %g", o.Attempt.Ticket, o.Attempt.Number, o.Epoch, o.SentAt, o.Timeout,
+	return h.record("offer %x %d %d %g %g %d %d %x %x %g %g", o.Attempt.Ticket, o.Attempt.Number, o.Epoch, o.SentAt, o.Timeout,
 		t.JobClass, t.Tenant, t.Service, t.Token, t.Cores, t.Memory)
 }
-func (h *heard) OnRecall(a AttemptID) error { return h.put("recall %x %d", a.Ticket, a.Number) }
-func (h *heard) OnStop(a AttemptID) error   { return h.put("stop %x %d", a.Ticket, a.Number) }
-func (h *heard) OnClaim(a AttemptID) error  { return h.put("claim %x %d", a.Ticket, a.Number) }
-func (h *heard) OnProbe(seq uint64) error   { return h.put("probe %d", seq) }
-func (h *heard) OnPing(sent float64) error  { return h.put("ping %g", sent) }
-func (h *heard) OnResync() error            { return h.put("tell") }
-func (h *heard) OnPong() error              { return h.put("pong") }
-func (h *heard) OnHeldAll() error           { return h.put("held-all") }
-func (h *heard) OnBye(why string) error     { return h.put("bye %s", why) }
-func (h *heard) OnStarted(a AttemptID, took float64) error {
-	return h.put("started %x %d %g", a.Ticket, a.Number, took)
+
+func (h *callRecorder) OnRecall(a AttemptID) error {
+	return h.record("recall %x %d", a.Ticket, a.Number)
+}
+
+func (h *callRecorder) OnStop(a AttemptID) error { return h.record("stop %x %d", a.Ticket, a.Number) }
+
+func (h *callRecorder) OnClaim(a AttemptID) error { return h.record("claim %x %d", a.Ticket, a.Number) }
+func (h *callRecorder) OnProbe(seq uint64) error  { return h.record("probe %d", seq) }
+func (h *callRecorder) OnPing(sent float64) error { return h.record("ping %g", sent) }
+func (h *callRecorder) OnResync() error           { return h.record("tell") }
+func (h *callRecorder) OnPong() error             { return h.record("pong") }
+func (h *callRecorder) OnHeldAll() error          { return h.record("held-all") }
+func (h *callRecorder) OnBye(why string) error    { return h.record("bye %s", why) }
+func (h *callRecorder) OnStarted(a AttemptID, took float64) error {
+	return h.record("started %x %d %g", a.Ticket, a.Number, took)
 }
 
-func (h *heard) OnOutcome(o Outcome) error {
-	return h.put("settled %x %d %d %d %v", o.Attempt.Ticket, o.Attempt.Number, o.Result, o.Reason, o.Report)
+func (h *callRecorder) OnOutcome(o Outcome) error {
+	return h.record("settled %x %d %d %d %v", o.Attempt.Ticket, o.Attempt.Number, o.Result, o.Reason, o.Report)
 }
 
-func (h *heard) OnNote(n Note) error {
-	return h.put("noted %x %d %d %g", n.Attempt.Ticket, n.Attempt.Number, n.Kind, n.Value)
+func (h *callRecorder) OnNote(n Note) error {
+	return h.record("noted %x %d %d %g", n.Attempt.Ticket, n.Attempt.Number, n.Kind, n.Value)
 }
 
-func (h *heard) OnReport(seq uint64, report []float64) error {
-	return h.put("reported %d %v", seq, report)
+func (h *callRecorder) OnReport(seq uint64, report []float64) error {
+	return h.record("reported %d %v", seq, report)
 }
 
-func (h *heard) OnClaimAnswer(a ClaimAnswer) error {
-	return h.put("claimed %x %d %d %d", a.Attempt.Ticket, a.Attempt.Number, a.Claim, a.Reason)
+func (h *callRecorder) OnClaimAnswer(a ClaimAnswer) error {
+	return h.record("claimed %x %d %d %d", a.Attempt.Ticket, a.Attempt.Number, a.Claim, a.Reason)
 }
 
-func (h *heard) OnHeld(held HeldTask) error {
+func (h *callRecorder) OnHeld(held HeldTask) error {
 	t := held.Task
-	return h.put("held %x %d %d %d %d %x %x %g %g", held.Attempt.Ticket, held.Attempt.Number, held.State,
+	return h.record("held %x %d %d %d %d %x %x %g %g", held.Attempt.Ticket, held.Attempt.Number, held.State,
 		t.JobClass, t.Tenant, t.Service, t.Token, t.Cores, t.Memory)
 }
 
-// hear decodes a stream as one side does.
-func hear(stream []byte, scheduler bool) ([]string, error) {
-	h, in := &heard{}, line.NewReader(bytes.NewReader(stream))
+// decodeAll decodes a stream as one side does.
+func decodeAll(stream []byte, scheduler bool) ([]string, error) {
+	h, in := &callRecorder{}, line.NewReader(bytes.NewReader(stream))
 	var buf [MaxReportValues]float64
 	for {
 		fields, err := in.Next()
@@ -97,14 +102,14 @@
 		outcome := Outcome{Attempt: attempt, Result: result, Reason: reason, Report: []float64{c, -d}}
 		note := Note{Attempt: attempt, Kind: kind, Value: d}
 		answer := ClaimAnswer{Attempt: attempt, Claim: claim, Reason: reason}
-		want := &heard{}
+		want := &callRecorder{}
 		b := AppendOffer(nil, offer)
 		b = AppendClaim(AppendStop(AppendRecall(b, attempt), attempt), attempt)
 		b = AppendBye(AppendPing(AppendProbe(b, token), c), "all is said")
 		_ = want.OnOffer(offer)
 		_, _, _ = want.OnRecall(attempt), want.OnStop(attempt), want.OnClaim(attempt)
 		_, _, _ = want.OnProbe(token), want.OnPing(c), want.OnBye("all-is-said")
-		n := &heard{}
+		n := &callRecorder{}
 		x := AppendHeldAll(AppendHeld(nil, held))
 		x = AppendOutcome(AppendStarted(x, attempt, a), outcome)
 		x = AppendPong(AppendClaimAnswer(AppendReport(AppendNote(x, note), token, []float64{a}), answer))
@@ -116,7 +121,7 @@
 			want   []string
 			sched  bool
 		}{{b, want.lines, false}, {x, n.lines, true}} {
-			got, err := hear(side.stream, side.sched)
+			got, err := decodeAll(side.stream, side.sched)
 			if err != nil || strings.Join(got, "\n") != strings.Join(side.want, "\n") {
 				t.Fatalf("%v\n%q\n%q", err, got, side.want)
 			}
@@ -143,12 +148,12 @@
 		{"negative time", "OFFER 1 0 1 5 -1 0 0 1 1 1 1\n", "impossible size"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := hear([]byte(c.in), false); err == nil || !strings.Contains(err.Error(), c.fault) {
+			if _, err := decodeAll([]byte(c.in), false); err == nil || !strings.Contains(err.Error(), c.fault) {
 				t.Errorf("error %v, want %q", err, c.fault)
 			}
 		})
 	}
-	if _, err := hear([]byte("SETTLED 1 0 ended - 1 2 3 4 5\n"), true); err == nil {
+	if _, err := decodeAll([]byte("SETTLED 1 0 ended - 1 2 3 4 5\n"), true); err == nil {
 		t.Error("a report of five values passes")
 	}
 	t.Run("endless header", func(t *testing.T) {
@@ -168,19 +173,19 @@
 	f.Add([]byte("OFFER 1 0 1 5 0 0 1 1 1 1\nSETTLED 1 0 ended - 1 2\n"))
 	f.Add([]byte("HELD 1 0 runs 0 0 1 1 1 1\nHELD-ALL\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		_, _ = hear(in, true)
-		_, _ = hear(in, false)
+		_, _ = decodeAll(in, true)
+		_, _ = decodeAll(in, false)
 	})
 }
 
 func BenchmarkOffer(b *testing.B) {
-	h := &count{}
+	h := &offerCounter{}
 	offer := Offer{
 		Attempt: AttemptID{Ticket: 1<<32 | 77, Number: 1}, Epoch: 1, SentAt: 5e9 + 0.125, Timeout: 1200,
 		Task: Task{JobClass: 1, Tenant: 2, Service: 0xfeed, Token: 0xbeef, Cores: 1.5, Memory: 2.5},
 	}
 	var out []byte
-	r := &loop{}
+	r := &messageReader{}
 	in := line.NewReader(r)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -196,20 +201,22 @@
 	}
 }
 
-type loop struct{ b []byte }
+// messageReader reads the bytes that it holds.
+type messageReader struct{ b []byte }
 
-func (l *loop) Read(p []byte) (int, error) {
+func (l *messageReader) Read(p []byte) (int, error) {
 	n := copy(p, l.b)
 	l.b = l.b[n:]
 	return n, nil
 }
 
-type count struct {
-	heard
+// offerCounter counts offers.
+type offerCounter struct {
+	callRecorder
 	n int
 }
 
-func (c *count) OnOffer(Offer) error {
+func (c *offerCounter) OnOffer(Offer) error {
 	c.n++
 	return nil
 }
