--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -12,12 +12,12 @@
 var update = flag.Bool("update", false, "write site.xsd anew")
 
 func TestExample(t *testing.T) {
-	p, faults := Read(strings.NewReader(Example))
+	config, faults := Read(strings.NewReader(Example))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	if p.Cluster.JobClasses[1].IdempotencyWindow != 7000 || p.Cluster.JobClasses[2].NodeKind != 1 || p.Deadlines[0] != 5000 {
-		t.Errorf("%+v", p)
+	if config.Cluster.JobClasses[1].IdempotencyWindow != 7000 || config.Cluster.JobClasses[2].NodeKind != 1 || config.Deadlines[0] != 5000 {
+		t.Errorf("%+v", config)
 	}
 	if *update {
 		if err := os.WriteFile("site.xsd", []byte(strictxml.Schema(Grammar)), 0o644); err != nil {
@@ -61,12 +61,12 @@
 			if text == Example {
 				t.Fatal("nothing replaced")
 			}
-			p, faults := Read(strings.NewReader(text))
+			config, faults := Read(strings.NewReader(text))
 			all := ""
 			for _, f := range faults {
 				all += f.String() + "\n"
 			}
-			if p != nil || !strings.Contains(all, c.fault) {
+			if config != nil || !strings.Contains(all, c.fault) {
 				t.Errorf("faults %q, want %q", all, c.fault)
 			}
 		})
@@ -80,29 +80,29 @@
 }
 
 func TestWorkingSet(t *testing.T) {
-	p, _ := Read(strings.NewReader(Example))
-	if p.WorkingSet != (WorkingSet{}) {
-		t.Errorf("a working set without the element: %+v", p.WorkingSet)
+	config, _ := Read(strings.NewReader(Example))
+	if config.WorkingSet != (WorkingSet{}) {
+		t.Errorf("a working set without the element: %+v", config.WorkingSet)
 	}
-	p, faults := Read(strings.NewReader(strings.Replace(Example, `<limits`, `<working-set nodes-least="480" spare="6.5"/><limits`, 1)))
+	config, faults := Read(strings.NewReader(strings.Replace(Example, `<limits`, `<working-set nodes-least="480" spare="6.5"/><limits`, 1)))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	if want := (WorkingSet{MinNodes: 480, Coverage: 1, SpareFactor: 6.5, NodesPerStart: 1, MinPerStratum: 3, NarrowAfter: 30000}); p.WorkingSet != want {
-		t.Errorf("%+v, want %+v", p.WorkingSet, want)
+	if want := (WorkingSet{MinNodes: 480, Coverage: 1, SpareFactor: 6.5, NodesPerStart: 1, MinPerStratum: 3, NarrowAfter: 30000}); config.WorkingSet != want {
+		t.Errorf("%+v, want %+v", config.WorkingSet, want)
 	}
 }
 
-// FuzzRead reads any text as a site file: faults or a place, never both or neither, and no panic.
+// FuzzRead reads any text as a site file: faults or a configuration, never both or neither, and no panic.
 func FuzzRead(f *testing.F) {
 	f.Add(Example)
 	f.Add(strings.Replace(Example, `target="800ms"`, `target="-1h"`, 1))
 	f.Add("<site name='x'><cluster/></site>")
 	f.Add("<!-- --><site")
 	f.Fuzz(func(t *testing.T, text string) {
-		p, faults := Read(strings.NewReader(text))
-		if (p == nil) != (len(faults) > 0) {
-			t.Errorf("place %v, faults %v", p != nil, faults)
+		config, faults := Read(strings.NewReader(text))
+		if (config == nil) != (len(faults) > 0) {
+			t.Errorf("configuration %v, faults %v", config != nil, faults)
 		}
 	})
 }
--- /dev/null
+++ b/internal/strictxml/reader.go
@@ -0,0 +1,187 @@
+package strictxml
+
+import (
+	"encoding/xml"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+)
+
+// maxBytes is the length of the longest document that is read.
+const maxBytes = 4 << 20
+
+// reader reads one document and collects its faults.
+type reader struct {
+	decoder *xml.Decoder
+	faults  []Fault
+}
+
+// Read reads a document whose root is the element. The item is nil if there are faults.
+func Read(in io.Reader, root *Element) (*Item, []Fault) {
+	r := &reader{decoder: xml.NewDecoder(io.LimitReader(in, maxBytes))}
+	item := r.readDocument(root)
+	if len(r.faults) > 0 {
+		return nil, r.faults
+	}
+	return item, nil
+}
+
+// readDocument reads to the end of the document, or to a fault after which nothing else can be read.
+func (r *reader) readDocument(root *Element) (item *Item) {
+	for {
+		token, err := r.decoder.Token()
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			r.fault(r.line(), "not well-formed: %v", err)
+			break
+		}
+		switch t := token.(type) {
+		case xml.StartElement:
+			if item != nil || t.Name.Local != root.Name {
+				r.fault(r.line(), "root <%s>, expected one <%s>", t.Name.Local, root.Name)
+				return nil
+			}
+			if item = r.readElement(t, root); item == nil {
+				return nil
+			}
+		case xml.CharData:
+			r.checkBlank(t)
+		case xml.Directive:
+			r.fault(r.line(), "document type declarations are not read")
+		}
+	}
+	if item == nil && len(r.faults) == 0 {
+		r.fault(1, "no <%s>", root.Name)
+	}
+	return item
+}
+
+func (r *reader) fault(line int, format string, args ...any) {
+	r.faults = append(r.faults, Fault{line, fmt.Sprintf(format, args...)})
+}
+
+// line is the line of the last token.
+func (r *reader) line() int {
+	line, _ := r.decoder.InputPos()
+	return line
+}
+
+func (r *reader) checkBlank(text xml.CharData) {
+	if s := strings.TrimSpace(string(text)); s != "" {
+		r.fault(r.line(), "text %.30q where only elements stand", s)
+	}
+}
+
+// readElement reads up to the element's end. It returns nil if nothing else of the document can be read.
+func (r *reader) readElement(start xml.StartElement, element *Element) *Item {
+	item := &Item{Line: r.line(), element: element, attrs: map[string]string{}}
+	if start.Name.Space != "" {
+		r.fault(item.Line, "<%s>: namespaces are not used", element.Name)
+	}
+	for _, attr := range start.Attr {
+		r.readAttr(item, attr)
+	}
+	r.setDefaults(item)
+	for {
+		token, err := r.decoder.Token()
+		if err != nil {
+			r.fault(r.line(), "<%s>: not well-formed: %v", element.Name, err)
+			return nil
+		}
+		switch t := token.(type) {
+		case xml.CharData:
+			r.checkBlank(t)
+		case xml.StartElement:
+			if !r.readChild(item, t) {
+				return nil
+			}
+		case xml.EndElement:
+			r.checkOccurrences(item)
+			return item
+		}
+	}
+}
+
+// readAttr takes an attribute of an item.
+func (r *reader) readAttr(item *Item, given xml.Attr) {
+	element := item.element
+	attr := element.attr(given.Name.Local)
+	if attr == nil || given.Name.Space != "" {
+		r.fault(item.Line, "<%s>: unknown attribute %q", element.Name, given.Name.Local)
+		return
+	}
+	if _, duplicate := item.attrs[attr.Name]; duplicate {
+		r.fault(item.Line, "<%s>: attribute %q twice", element.Name, attr.Name)
+		return
+	}
+	item.attrs[attr.Name] = given.Value
+	if err := attr.check(given.Value); err != nil {
+		r.fault(item.Line, "<%s %s=%q>: %v", element.Name, attr.Name, given.Value, err)
+	}
+}
+
+// setDefaults fills in the attributes that were not given.
+func (r *reader) setDefaults(item *Item) {
+	for _, attr := range item.element.Attrs {
+		if item.Has(attr.Name) {
+			continue
+		}
+		if attr.Required {
+			r.fault(item.Line, "<%s>: attribute %q is missing", item.element.Name, attr.Name)
+		} else if attr.Default != "" {
+			item.attrs[attr.Name] = attr.Default
+		}
+	}
+}
+
+// readChild reads a child of an item. It returns false if nothing else of the document can be read.
+func (r *reader) readChild(item *Item, start xml.StartElement) bool {
+	element := item.element.child(start.Name.Local)
+	if element == nil {
+		r.fault(r.line(), "<%s>: unknown element <%s>", item.element.Name, start.Name.Local)
+		return r.decoder.Skip() == nil
+	}
+	child := r.readElement(start, element)
+	if child == nil {
+		return false
+	}
+	item.children = append(item.children, child)
+	return true
+}
+
+// checkOccurrences checks how often the children of an item occur, and their keys.
+func (r *reader) checkOccurrences(item *Item) {
+	for _, element := range item.element.Children {
+		count, lineOf := 0, map[string]int{} // lines by key
+		for _, child := range item.children {
+			if child.element != element {
+				continue
+			}
+			count++
+			if element.MaxOccurs > 0 && count > element.MaxOccurs {
+				r.fault(child.Line, "<%s>: <%s> more than %d times", item.element.Name, element.Name, element.MaxOccurs)
+			}
+			r.checkKey(child, lineOf)
+		}
+		if count < element.MinOccurs {
+			r.fault(item.Line, "<%s>: <%s> is missing", item.element.Name, element.Name)
+		}
+	}
+}
+
+// checkKey checks that no earlier sibling has the key of an item. lineOf has the lines of the siblings by their keys.
+func (r *reader) checkKey(item *Item, lineOf map[string]int) {
+	element := item.element
+	key, ok := item.attrs[element.Key]
+	if !ok || element.Key == "" {
+		return
+	}
+	if first := lineOf[key]; first > 0 {
+		r.fault(item.Line, "<%s %s=%q> stands in line %d already", element.Name, element.Key, key, first)
+	} else {
+		lineOf[key] = item.Line
+	}
+}
--- a/internal/strictxml/schema.go
+++ b/internal/strictxml/schema.go
@@ -5,50 +5,57 @@
 	"strings"
 )
 
-// Schema writes the XML schema of a grammar. What a schema of version 1.0 can't say (sums, references, bounds of
-// durations) is left to the reader.
+// simpleTypes are the types of the schema for the kinds that XML schemas lack.
+var simpleTypes = []struct{ name, pattern string }{
+	{"name", `[A-Za-z0-9._-]+`},
+	{"duration", `([0-9]+(\.[0-9]*)?(ms|s|m|h))+`},
+	{"address", `[^ ]*:[0-9]{1,5}`},
+}
+
+// baseTypes are the types of the schema by the kind of an attribute.
+var baseTypes = map[Kind]string{
+	Name:     "name",
+	Duration: "duration",
+	Number:   "xs:decimal",
+	Integer:  "xs:integer",
+	Bool:     "xs:string",
+	Enum:     "xs:string",
+	Address:  "address",
+	Text:     "xs:string",
+}
+
+// Schema writes the XML schema of a grammar. What a schema of version 1.0 can't say (occurrences of children in any order, sums,
+// references, bounds of durations) is left to Read.
 func Schema(root *Element) string {
 	var b strings.Builder
 	b.WriteString("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n")
 	b.WriteString("<xs:schema xmlns:xs=\"http://www.w3.org/2001/XMLSchema\">\n")
-	for _, t := range []struct{ name, pattern string }{
-		{"name", "[A-Za-z0-9._-]+"},
-		{"duration", "([0-9]+(\\.[0-9]*)?(ms|s|m|h))+"},
-		{"address", "[^ ]*:[0-9]{1,5}"},
-	} {
-		fmt.Fprintf(&b, "  <xs:simpleType name=%q><xs:restriction base=\"xs:string\"><xs:pattern value=%q/>"+
-			"</xs:restriction></xs:simpleType>\n", t.name, strings.ReplaceAll(t.pattern, "\\\\", "\\"))
+	for _, t := range simpleTypes {
+		fmt.Fprintf(&b, "  <xs:simpleType name=\"%s\"><xs:restriction base=\"xs:string\"><xs:pattern value=\"%s\"/>"+
+			"</xs:restriction></xs:simpleType>\n", t.name, t.pattern)
 	}
-	writeElement(&b, root, "  ", true)
+	writeElement(&b, root, "  ")
 	b.WriteString("</xs:schema>\n")
-	return strings.ReplaceAll(b.String(), "\\\\", "\\")
+	return b.String()
 }
 
-func writeElement(b *strings.Builder, e *Element, indent string, top bool) {
-	occurs := ""
-	if !top {
-		maxOccurs := "unbounded"
-		if e.MaxOccurs > 0 {
-			maxOccurs = fmt.Sprint(e.MaxOccurs)
-		}
-		occurs = fmt.Sprintf(" minOccurs=\"%d\" maxOccurs=%q", e.MinOccurs, maxOccurs)
-	}
-	fmt.Fprintf(b, "%s<xs:element name=%q%s>\n%s  <xs:complexType>\n", indent, e.Name, occurs, indent)
+func writeElement(b *strings.Builder, e *Element, indent string) {
+	fmt.Fprintf(b, "%s<xs:element name=%q>\n%s  <xs:complexType>\n", indent, e.Name, indent)
 	if len(e.Children) > 0 {
 		fmt.Fprintf(b, "%s    <xs:choice minOccurs=\"0\" maxOccurs=\"unbounded\">\n", indent)
-		for _, c := range e.Children {
-			writeElement(b, c, indent+"      ", true)
+		for _, child := range e.Children {
+			writeElement(b, child, indent+"      ")
 		}
 		fmt.Fprintf(b, "%s    </xs:choice>\n", indent)
 	}
-	for _, a := range e.Attrs {
-		writeAttr(b, a, indent+"    ")
+	for _, attr := range e.Attrs {
+		writeAttr(b, attr, indent+"    ")
 	}
 	fmt.Fprintf(b, "%s  </xs:complexType>\n", indent)
-	for _, c := range e.Children {
-		if c.Key != "" {
+	for _, child := range e.Children {
+		if child.Key != "" {
 			fmt.Fprintf(b, "%s  <xs:unique name=\"%s-%s\"><xs:selector xpath=%q/><xs:field xpath=\"@%s\"/></xs:unique>\n",
-				indent, e.Name, c.Name, c.Name, c.Key)
+				indent, e.Name, child.Name, child.Name, child.Key)
 		}
 	}
 	fmt.Fprintf(b, "%s</xs:element>\n", indent)
@@ -59,27 +66,30 @@
 	if a.Required {
 		use = " use=\"required\""
 	}
-	base := map[Kind]string{
-		Name: "name", Duration: "duration", Number: "xs:decimal", Integer: "xs:integer",
-		Bool: "xs:string", Enum: "xs:string", Address: "address", Text: "xs:string",
-	}[a.Kind]
-	var limits strings.Builder
-	switch {
-	case a.Kind == Enum || a.Kind == Bool:
-		values := a.Values
-		if a.Kind == Bool {
-			values = []string{"true", "false"}
-		}
-		for _, w := range values {
-			fmt.Fprintf(&limits, "<xs:enumeration value=%q/>", w)
-		}
-	case (a.Kind == Number || a.Kind == Integer) && (a.Min != 0 || a.Max != 0):
-		fmt.Fprintf(&limits, "<xs:minInclusive value=%q/><xs:maxInclusive value=%q/>", a.format(a.Min), a.format(a.Max))
-	}
-	if limits.Len() == 0 {
+	base, restriction := baseTypes[a.Kind], restrictionOf(&a)
+	if restriction == "" {
 		fmt.Fprintf(b, "%s<xs:attribute name=%q type=%q%s/>\n", indent, a.Name, base, use)
 		return
 	}
 	fmt.Fprintf(b, "%s<xs:attribute name=%q%s><xs:simpleType><xs:restriction base=%q>%s</xs:restriction>"+
-		"</xs:simpleType></xs:attribute>\n", indent, a.Name, use, base, limits.String())
+		"</xs:simpleType></xs:attribute>\n", indent, a.Name, use, base, restriction)
+}
+
+// restrictionOf writes the values or bounds of an attribute, "" if it has none that a schema can say.
+func restrictionOf(a *Attr) string {
+	values := a.Values
+	switch {
+	case a.Kind == Bool:
+		values = []string{"true", "false"}
+	case a.Kind == Enum:
+	case (a.Kind == Number || a.Kind == Integer) && (a.Min != 0 || a.Max != 0):
+		return fmt.Sprintf("<xs:minInclusive value=%q/><xs:maxInclusive value=%q/>", a.format(a.Min), a.format(a.Max))
+	default:
+		return ""
+	}
+	var b strings.Builder
+	for _, value := range values {
+		fmt.Fprintf(&b, "<xs:enumeration value=%q/>", value)
+	}
+	return b.String()
 }
--- a/internal/strictxml/strictxml.go
+++ b/internal/strictxml/strictxml.go
@@ -1,53 +1,56 @@
-// Package strictxml reads XML documents strictly against a grammar given as a table, and names every fault with its
-// line. The same table gives the XML schema, so that reader and schema can't part.
+// Package strictxml reads XML documents strictly against a grammar that is given as a table, and reports each fault with its line.
+// Schema writes the XML schema of the same table, so that the reader and the schema can't differ.
+//
+// Input is an io.Reader of at most 4 MiB; output is a tree of items with defaults filled in, or a list of faults. A grammar is
+// not changed by reading, so any number of goroutines may read by it. Durations are milliseconds.
 package strictxml
 
 import (
-	"encoding/xml"
 	"errors"
 	"fmt"
-	"io"
 	"math"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
 )
 
-// Kind is what an attribute holds.
+// Kind is the type of an attribute's value.
 type Kind uint8
 
+// Kinds of attributes.
 const (
 	Name     Kind = iota // letters, digits, dots, dashes, underscores
-	Duration             // a number and ms, s, m or h
+	Duration             // a number with the unit ms, s, m or h
 	Number               // a decimal number
-	Integer              // a whole number
-	Bool
-	Enum
+	Integer
+	Bool    // true or false
+	Enum    // one of the attribute's values
 	Address // host:port
-	Text    // anything but nothing
+	Text    // any text that is not blank
 )
 
-// Attr is one attribute. Bounds of durations are in ms.
+// Attr is an attribute of an element.
 type Attr struct {
 	Name     string
 	Kind     Kind
-	Default  string // "" with Must false: absent
 	Required bool
-	Min, Max float64 // both 0: none
-	Values   []string
+	Default  string   // of an attribute that is not required; empty: it may be absent
+	Min, Max float64  // bounds of numbers and, in ms, of durations; both 0: none
+	Values   []string // of an Enum
 }
 
-// Element is one element: its attributes and children, and the attribute that no two of its siblings share.
+// Element is an element with its attributes and children.
 type Element struct {
 	Name      string
 	Attrs     []Attr
 	Children  []*Element
-	MinOccurs int // times it must appear
-	MaxOccurs int // times it may appear, 0 for any number
-	Key       string
+	MinOccurs int
+	MaxOccurs int    // 0: any number
+	Key       string // the attribute whose value no two siblings share; empty: none
 }
 
-// Fault is what is wrong, and in which line.
+// Fault is what is wrong with a document, and in which line.
 type Fault struct {
 	Line int
 	Text string
@@ -55,211 +58,58 @@
 
 func (f Fault) String() string { return fmt.Sprintf("line %d: %s", f.Line, f.Text) }
 
-// Item is an element that was read, with defaults filled in.
-type Item struct {
-	Line     int
-	rule     *Element
-	attrs    map[string]string
-	children []*Item
-}
-
-// maxBytes is the largest document that is read.
-const maxBytes = 4 << 20
-
-type reader struct {
-	decoder *xml.Decoder
-	faults  []Fault
-}
-
-func (r *reader) fault(line int, format string, args ...any) {
-	r.faults = append(r.faults, Fault{line, fmt.Sprintf(format, args...)})
-}
-
-func (r *reader) line() int {
-	line, _ := r.decoder.InputPos()
-	return line
-}
-
-// Read reads a document whose root is the element. The item is nil if there are faults.
-func Read(in io.Reader, root *Element) (*Item, []Fault) {
-	r := &reader{decoder: xml.NewDecoder(io.LimitReader(in, maxBytes))}
-	var item *Item
-	for {
-		tok, err := r.decoder.Token()
-		if errors.Is(err, io.EOF) {
-			break
-		}
-		if err != nil {
-			r.fault(r.line(), "not well-formed: %v", err)
-			break
-		}
-		switch t := tok.(type) {
-		case xml.StartElement:
-			if item != nil || t.Name.Local != root.Name {
-				r.fault(r.line(), "root <%s>, expected one <%s>", t.Name.Local, root.Name)
-				return nil, r.faults
-			}
-			if item = r.element(t, root); item == nil {
-				return nil, r.faults
-			}
-		case xml.CharData:
-			r.text(t)
-		case xml.Directive:
-			r.fault(r.line(), "document type declarations are not read")
-		}
-	}
-	if item == nil && len(r.faults) == 0 {
-		r.fault(1, "no <%s>", root.Name)
-	}
-	if len(r.faults) > 0 {
-		return nil, r.faults
-	}
-	return item, nil
-}
-
-func (r *reader) text(t xml.CharData) {
-	if s := strings.TrimSpace(string(t)); s != "" {
-		r.fault(r.line(), "text %.30q where only elements stand", s)
-	}
-}
-
-// element reads up to the element's end; nil ends the whole reading.
-func (r *reader) element(start xml.StartElement, rule *Element) *Item {
-	it := &Item{Line: r.line(), rule: rule, attrs: map[string]string{}}
-	if start.Name.Space != "" {
-		r.fault(it.Line, "<%s>: namespaces are not used", rule.Name)
-	}
-	for _, at := range start.Attr {
-		a := rule.attr(at.Name.Local)
-		if a == nil || at.Name.Space != "" {
-			r.fault(it.Line, "<%s>: unknown attribute %q", rule.Name, at.Name.Local)
-			continue
-		}
-		if _, twice := it.attrs[a.Name]; twice {
-			r.fault(it.Line, "<%s>: attribute %q twice", rule.Name, a.Name)
-			continue
-		}
-		it.attrs[a.Name] = at.Value
-		if err := a.check(at.Value); err != nil {
-			r.fault(it.Line, "<%s %s=%q>: %v", rule.Name, a.Name, at.Value, err)
-		}
-	}
-	for _, a := range rule.Attrs {
-		if _, ok := it.attrs[a.Name]; ok {
-			continue
-		}
-		if a.Required {
-			r.fault(it.Line, "<%s>: attribute %q is missing", rule.Name, a.Name)
-		} else if a.Default != "" {
-			it.attrs[a.Name] = a.Default
-		}
-	}
-	for {
-		tok, err := r.decoder.Token()
-		if err != nil {
-			r.fault(r.line(), "<%s>: not well-formed: %v", rule.Name, err)
-			return nil
-		}
-		switch t := tok.(type) {
-		case xml.CharData:
-			r.text(t)
-		case xml.StartElement:
-			child := rule.child(t.Name.Local)
-			if child == nil {
-				r.fault(r.line(), "<%s>: unknown element <%s>", rule.Name, t.Name.Local)
-				if r.decoder.Skip() != nil {
-					return nil
-				}
-				continue
-			}
-			sub := r.element(t, child)
-			if sub == nil {
-				return nil
-			}
-			it.children = append(it.children, sub)
-		case xml.EndElement:
-			r.checkOccurrences(it)
-			return it
-		}
-	}
-}
-
-func (r *reader) checkOccurrences(it *Item) {
-	for _, c := range it.rule.Children {
-		seen, keys := 0, map[string]int{}
-		for _, sub := range it.children {
-			if sub.rule != c {
-				continue
-			}
-			seen++
-			if c.MaxOccurs > 0 && seen > c.MaxOccurs {
-				r.fault(sub.Line, "<%s>: <%s> more than %d times", it.rule.Name, c.Name, c.MaxOccurs)
-			}
-			if key, ok := sub.attrs[c.Key]; ok && c.Key != "" {
-				if first := keys[key]; first > 0 {
-					r.fault(sub.Line, "<%s %s=%q> stands in line %d already", c.Name, c.Key, key, first)
-				} else {
-					keys[key] = sub.Line
-				}
-			}
-		}
-		if seen < c.MinOccurs {
-			r.fault(it.Line, "<%s>: <%s> is missing", it.rule.Name, c.Name)
-		}
-	}
-}
-
 func (e *Element) attr(name string) *Attr {
-	for i := range e.Attrs {
-		if e.Attrs[i].Name == name {
-			return &e.Attrs[i]
-		}
+	i := slices.IndexFunc(e.Attrs, func(a Attr) bool { return a.Name == name })
+	if i < 0 {
+		return nil
 	}
-	return nil
+	return &e.Attrs[i]
 }
 
 func (e *Element) child(name string) *Element {
-	for _, c := range e.Children {
-		if c.Name == name {
-			return c
-		}
+	i := slices.IndexFunc(e.Children, func(c *Element) bool { return c.Name == name })
+	if i < 0 {
+		return nil
 	}
-	return nil
+	return e.Children[i]
 }
 
-func (a *Attr) check(s string) error {
+// check returns an error if a text is no value of the attribute.
+func (a *Attr) check(text string) error {
 	switch a.Kind {
 	case Name:
-		if s == "" || strings.IndexFunc(s, badInName) >= 0 {
+		if text == "" || strings.ContainsFunc(text, isNotInNames) {
 			return errors.New("a name of letters, digits, dots, dashes and underscores is expected")
 		}
 		return nil
 	case Bool:
-		if s != "true" && s != "false" {
+		if text != "true" && text != "false" {
 			return errors.New("true or false is expected")
 		}
 		return nil
 	case Enum:
-		for _, w := range a.Values {
-			if s == w {
-				return nil
-			}
+		if !slices.Contains(a.Values, text) {
+			return fmt.Errorf("one of %s is expected", strings.Join(a.Values, ", "))
 		}
-		return fmt.Errorf("one of %s is expected", strings.Join(a.Values, ", "))
+		return nil
 	case Text:
-		if strings.TrimSpace(s) == "" {
+		if strings.TrimSpace(text) == "" {
 			return errors.New("some text is expected")
 		}
 		return nil
 	case Address:
-		if i := strings.LastIndexByte(s, ':'); i >= 0 {
-			if port, err := strconv.ParseUint(s[i+1:], 10, 16); err == nil && port < 1<<16 && !strings.Contains(s, " ") {
-				return nil
-			}
+		if !isAddress(text) {
+			return errors.New("host:port is expected")
 		}
-		return errors.New("host:port is expected")
+		return nil
+	default:
+		return a.checkNumber(text)
 	}
-	v, err := a.parse(s)
+}
+
+// checkNumber returns an error if a text is no number within the attribute's bounds.
+func (a *Attr) checkNumber(text string) error {
+	v, err := a.parse(text)
 	if err != nil {
 		return err
 	}
@@ -269,84 +119,56 @@
 	return nil
 }
 
-func badInName(c rune) bool {
-	return !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.ContainsRune(".-_", c))
+func isNotInNames(c rune) bool {
+	switch {
+	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
+		return false
+	}
+	return !strings.ContainsRune(".-_", c)
+}
+
+// isAddress tells whether a text is host:port. The host may be empty.
+func isAddress(text string) bool {
+	i := strings.LastIndexByte(text, ':')
+	if i < 0 || strings.Contains(text, " ") {
+		return false
+	}
+	_, err := strconv.ParseUint(text[i+1:], 10, 16)
+	return err == nil
 }
 
-func (a *Attr) parse(s string) (float64, error) {
+// parse returns the number of a text, a duration's in ms.
+func (a *Attr) parse(text string) (float64, error) {
 	switch a.Kind {
 	case Duration:
-		d, err := time.ParseDuration(s)
-		if err != nil || strings.TrimLeft(s, "0123456789.") == s || strings.ContainsAny(s, "nuµ") {
-			return 0, errors.New("a duration with its unit (ms, s, m, h) is expected")
-		}
-		return float64(d) / float64(time.Millisecond), nil
+		return parseDuration(text)
 	case Integer:
-		v, err := strconv.ParseInt(s, 10, 53)
+		v, err := strconv.ParseInt(text, 10, 53) // what a float64 holds exactly
 		if err != nil {
 			return 0, errors.New("a whole number is expected")
 		}
 		return float64(v), nil
 	}
-	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || strings.Trim(s, "0123456789.+-") != "" || math.IsNaN(v) || math.IsInf(v, 0) {
+	v, err := strconv.ParseFloat(text, 64)
+	if err != nil || strings.Trim(text, "0123456789.+-") != "" || math.IsNaN(v) || math.IsInf(v, 0) {
 		return 0, errors.New("a number is expected")
 	}
 	return v, nil
 }
 
+// parseDuration returns a duration in ms. Units below ms are not allowed.
+func parseDuration(text string) (float64, error) {
+	d, err := time.ParseDuration(text)
+	if err != nil || strings.TrimLeft(text, "0123456789.") == text || strings.ContainsAny(text, "nuµ") {
+		return 0, errors.New("a duration with its unit (ms, s, m, h) is expected")
+	}
+	return float64(d) / float64(time.Millisecond), nil
+}
+
+// format writes a number as the attribute has it.
 func (a *Attr) format(v float64) string {
 	if a.Kind == Duration {
 		return time.Duration(v * float64(time.Millisecond)).String()
 	}
 	return strconv.FormatFloat(v, 'f', -1, 64)
 }
-
-// Has tells whether an attribute was given or has a default.
-func (it *Item) Has(name string) bool { _, ok := it.attrs[name]; return ok }
-
-// Text is an attribute as it stands, "" if absent.
-func (it *Item) Text(name string) string { return it.attrs[name] }
-
-// Number is an attribute's number, a duration's ms; 0 if absent.
-func (it *Item) Number(name string) float64 {
-	v, _ := it.rule.attr(name).parse(it.attrs[name]) // checked when it was read
-	return v
-}
-
-// Int is a whole number.
-func (it *Item) Int(name string) int { return int(it.Number(name)) }
-
-// Bool is a truth.
-func (it *Item) Bool(name string) bool { return it.attrs[name] == "true" }
-
-// EnumIndex is the place of an attribute's word in the grammar.
-func (it *Item) EnumIndex(name string) int {
-	for i, w := range it.rule.attr(name).Values {
-		if w == it.attrs[name] {
-			return i
-		}
-	}
-	return 0
-}
-
-// Children are the children of a name, in order.
-func (it *Item) Children(name string) []*Item {
-	var all []*Item
-	for _, c := range it.children {
-		if c.rule.Name == name {
-			all = append(all, c)
-		}
-	}
-	return all
-}
-
-// Child is the first child of a name, nil if there is none.
-func (it *Item) Child(name string) *Item {
-	for _, c := range it.children {
-		if c.rule.Name == name {
-			return c
-		}
-	}
-	return nil
-}
