--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -43,9 +43,9 @@
 		t.Error("an authority was made over another")
 	}
 	for _, c := range []struct {
-		name string
-		whom Subject
-		ok   bool
+		name    string
+		subject Subject
+		ok      bool
 	}{
 		{"an operator", Subject{Name: "ana", Role: access.Operator, Lifetime: time.Hour}, true},
 		{"a tenant's", Subject{Name: "bob", Role: access.TenantAdmin, Tenant: "a", Lifetime: time.Hour}, true},
@@ -59,7 +59,7 @@
 		{"over the authority's own", Subject{Name: "ca", Role: access.Operator, Lifetime: time.Hour}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := a.Issue(now, c.whom)
+			got, err := a.Issue(now, c.subject)
 			if (err == nil) != c.ok {
 				t.Fatal(err)
 			}
@@ -69,13 +69,13 @@
 			if !trusted(t, dir, got) || got.NotAfter.After(now.Add(authorityLifetime)) {
 				t.Errorf("until %s, trusted %t", got.NotAfter, trusted(t, dir, got))
 			}
-			if len(c.whom.Hosts) > 0 {
+			if len(c.subject.Hosts) > 0 {
 				return
 			}
-			if who, err := CallerOf(got); err != nil || who.Role != c.whom.Role || who.Tenant != c.whom.Tenant || who.Name != c.whom.Name {
-				t.Errorf("%+v, %v", who, err)
+			if caller, err := CallerOf(got); err != nil || caller.Role != c.subject.Role || caller.Tenant != c.subject.Tenant || caller.Name != c.subject.Name {
+				t.Errorf("%+v, %v", caller, err)
 			}
-			if info, err := os.Stat(filepath.Join(dir, c.whom.Name+".key")); err != nil || info.Mode().Perm() != 0o600 {
+			if info, err := os.Stat(filepath.Join(dir, c.subject.Name+".key")); err != nil || info.Mode().Perm() != 0o600 {
 				t.Errorf("its key: %v, %v", info.Mode(), err)
 			}
 		})
@@ -103,12 +103,12 @@
 				t.Fatal(err)
 			}
 		}
-		young, err := a.Issue(now, Subject{Name: "eva", Role: access.Operator, Lifetime: time.Hour})
+		renewed, err := a.Issue(now, Subject{Name: "eva", Role: access.Operator, Lifetime: time.Hour})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !trusted(t, dir, old) || !trusted(t, dir, young) {
-			t.Errorf("killed %t: old %t, young %t", killed, trusted(t, dir, old), trusted(t, dir, young))
+		if !trusted(t, dir, old) || !trusted(t, dir, renewed) {
+			t.Errorf("killed %t: old %t, renewed %t", killed, trusted(t, dir, old), trusted(t, dir, renewed))
 		}
 		entries, err := a.revoked()
 		if err != nil || len(entries) != 1 || entries[0].SerialNumber.Cmp(old.SerialNumber) != 0 {
