--- a/logic/allocations.go
+++ b/logic/allocations.go
@@ -134,7 +134,7 @@
 func (s *Scheduler) countPlacement(alloc *allocation, by int) {
 	node := &s.nodes.all[alloc.node]
 	if by > 0 {
-		alloc.usage = s.usage.expected(alloc.size)
+		alloc.usage = alloc.size.scale(s.usage.ratio())
 	}
 	node.capacity.reserved = node.capacity.reserved.plus(alloc.size.times(float64(by)))
 	node.capacity.ownUsage = node.capacity.ownUsage.plus(alloc.usage.times(float64(by)))
--- a/logic/resources.go
+++ b/logic/resources.go
@@ -11,10 +11,16 @@
 	return resources{r.cores - other.cores, r.memory - other.memory}
 }
 
+// times multiplies both by a factor.
 func (r resources) times(factor float64) resources {
 	return resources{factor * r.cores, factor * r.memory}
 }
 
+// scale multiplies cores and memory each by their own factor.
+func (r resources) scale(factors resources) resources {
+	return resources{r.cores * factors.cores, r.memory * factors.memory}
+}
+
 // of is the amount that a metric of use is about, which has to be CoresUsed or MemoryUsed.
 func (r *resources) of(metric TaskMetric) *float64 {
 	if metric == MemoryUsed {
--- a/logic/scoring.go
+++ b/logic/scoring.go
@@ -58,7 +58,8 @@
 // rent is the larger part of cores or memory in use with the allocation on the node, dearer when the node is nearly full, and dearer for
 // each attempt that the node has not answered.
 func (s *Scheduler) rent(node *nodeState, alloc *allocation) float64 {
-	used, added, size := s.usageOn(node), s.usage.expected(alloc.size), node.capacity.size
+	ratio, size := s.usage.ratio(), node.capacity.size
+	used, added := node.capacity.used(ratio), alloc.size.scale(ratio)
 	usage := max((used.cores+added.cores)/size.cores, (used.memory+added.memory)/size.memory)
 	usage += crowdedSlope * max(0, usage-crowdedUsage)
 	return usage + unansweredCost*float64(len(node.unanswered))
--- a/logic/survey.go
+++ b/logic/survey.go
@@ -56,8 +56,9 @@
 }
 
 func (s *Scheduler) measureFleet() {
-	f := &s.fleet
+	f, ratio := &s.fleet, s.usage.ratio()
 	*f = fleetSurvey{byLoad: f.byLoad[:0]}
+	overcommit := resources{s.cluster.CoresOvercommit, s.cluster.MemoryOvercommit}
 	for i := range s.nodes.all {
 		node := &s.nodes.all[i]
 		if node.availability != Ready {
@@ -70,13 +71,13 @@
 		if !node.capacity.reported {
 			continue
 		}
-		used, size := s.usageOn(node), node.capacity.size
+		used, size := node.capacity.used(ratio), node.capacity.size
 		load := max(used.cores/size.cores, used.memory/size.memory)
 		f.byLoad = append(f.byLoad, candidate{i, load})
 		f.meanLoad += load
 		f.used = f.used.plus(used)
 		f.allocated = f.allocated.plus(node.capacity.allocated())
-		f.limit = f.limit.plus(resources{size.cores * s.cluster.CoresOvercommit, size.memory * s.cluster.MemoryOvercommit})
+		f.limit = f.limit.plus(size.scale(overcommit))
 	}
 	f.meanLoad /= max(1, float64(len(f.byLoad)))
 }
--- a/logic/usage.go
+++ b/logic/usage.go
@@ -18,12 +18,6 @@
 	return resources{u.used.cores / u.allocated.cores, u.used.memory / u.allocated.memory}
 }
 
-// expected is what an allocation of a size uses.
-func (u *usageModel) expected(size resources) resources {
-	ratio := u.ratio()
-	return resources{size.cores * ratio.cores, size.memory * ratio.memory}
-}
-
 // observe takes a measurement of an allocation of a size.
 func (u *usageModel) observe(metric TaskMetric, value float64, size resources) {
 	used, allocated := u.used.of(metric), u.allocated.of(metric)
@@ -31,13 +25,10 @@
 	*allocated = *allocated*usageMemory + *size.of(metric)
 }
 
-// usageOn is what is in use on a node: by own tasks as measured, by others the usual part of what is allocated to them.
-func (s *Scheduler) usageOn(node *nodeState) resources {
-	allocated, ratio := node.capacity.allocated(), s.usage.ratio()
-	return resources{
-		node.capacity.ownUsage.cores + ratio.cores*(allocated.cores-node.capacity.reserved.cores),
-		node.capacity.ownUsage.memory + ratio.memory*(allocated.memory-node.capacity.reserved.memory),
-	}
+// used is what is in use on the node: by own tasks as measured, by others the part of what is allocated to them that the ratio says.
+func (c *capacity) used(ratio resources) resources {
+	others := c.allocated().minus(c.reserved)
+	return c.ownUsage.plus(others.scale(ratio))
 }
 
 // OnTaskMetric implements EventHandler: it learns how much of their resources allocations use, and how well they are served.
