--- a/logic/doc.go
+++ b/logic/doc.go
@@ -19,7 +19,7 @@
 //   - attempts.go: retry rules, time-outs, final answers
 //   - queue.go: allocations that wait for a node, highest priority weight first
 //   - health.go: reachability, failures by job class, degraded service
-//   - slowstart.go: this scheduler's part of the attempts that a node bears while it warms up
+//   - slowstart.go: this scheduler's part of the attempts that a node tolerates while it warms up
 //   - probing.go: health checks and requests for load reports
 //   - timers.go: timers and periodic work
 //   - allocations.go: the tables of allocations and services
--- a/logic/iface.go
+++ b/logic/iface.go
@@ -113,7 +113,7 @@
 	Schedulers         int
 	Index              int     // of this scheduler, from 0
 	PollsList          bool    // the node list has to be asked for; otherwise changes are pushed
-	ListMaxSilence     float64 // where it is polled: after so long without news a scheduler counts as informed of all changes
+	ListMaxSilence     float64 // where it is polled: after so long without a message a scheduler counts as informed of all changes
 	MinRoundInterval   float64 // the least time between two rounds
 	MaxAttempts        int     // for each allocation
 	CanCancel          bool    // attempts in flight may be cancelled
@@ -127,7 +127,7 @@
 	ReportsMeasureUse  bool      // load reports subtract what is in use from a node's size; otherwise what is allocated
 	ReportFields       []string  // names of the values in a load report
 	ReportsPiggybacked bool      // load reports come with outcomes; otherwise only with probe results
-	SlowStartLimit     float64   // attempts that a node in slow start bears within SlowStartWindow, from all schedulers together
+	SlowStartLimit     float64   // attempts that a node in slow start tolerates within SlowStartWindow, from all schedulers together
 	SlowStartDuration  float64   // a node is warm no later than this after its start
 	SlowStartWindow    float64
 	Preempts           bool    // nodes evict allocations of lower priority to make room
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -83,7 +83,7 @@
 	return candidates, excluded
 }
 
-// selectTop brings the n best to the front in order; of equals those that stood first.
+// selectTop brings the n best to the front in order; of equals those that came first.
 func selectTop(all []candidate, n int) {
 	for i := range min(n, len(all)) {
 		best := i
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// slowStartShare is this scheduler's part of the attempts that a node in slow start bears from all schedulers together.
+// slowStartShare is this scheduler's part of the attempts that a node in slow start tolerates from all schedulers together.
 type slowStartShare struct {
 	attempts int    // that it may send to one node within the window
 	cycle    uint64 // where that is 0: it may send one attempt in every so many turns; 0: none
@@ -47,7 +47,7 @@
 	return len(node.sentAttempts) < limit && from >= s.startedAt && !s.slowStart.excluded
 }
 
-// recordSlowStart notes an attempt. Attempts before the news of a start count too, so the last few are kept for every node.
+// recordSlowStart notes an attempt. Attempts before the message about a start count too, so the last few are kept for every node.
 func (s *Scheduler) recordSlowStart(node *nodeState) {
 	keep := max(1, s.slowStart.attempts)
 	node.sentAttempts = append(node.sentAttempts[max(0, len(node.sentAttempts)-keep):], s.now)
--- a/logic/usage.go
+++ b/logic/usage.go
@@ -27,8 +27,8 @@
 
 // used is what is in use on the node: by own tasks as measured, by others the part of what is allocated to them that the ratio says.
 func (c *capacity) used(ratio resources) resources {
-	others := c.allocated().minus(c.reserved)
-	return c.ownUsage.plus(others.scale(ratio))
+	foreign := c.allocated().minus(c.reserved)
+	return c.ownUsage.plus(foreign.scale(ratio))
 }
 
 // OnTaskMetric implements EventHandler: it learns how much of their resources allocations use, and how well they are served.
