--- /dev/null
+++ b/internal/env/conn_read.go
@@ -0,0 +1,152 @@
+package env
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// Sizes of reads in bytes. With write-through a connection holds memory for a read only while there is something to read, and reads more at once:
+// a message that cancels another is not to lie unread behind it.
+const (
+	readBufferSize             = 4096
+	writeThroughReadBufferSize = 16 << 10
+)
+
+var readBuffers = sync.Pool{New: func() any { b := make([]byte, writeThroughReadBufferSize); return &b }}
+
+// read delivers what is received until the connection ends, and returns why.
+func (c *realConn) read(handler ConnHandler) error {
+	if c.raw != nil {
+		return c.readPooled(handler)
+	}
+	b := make([]byte, readBufferSize)
+	for {
+		n, err := c.netConn.Read(b)
+		if err = c.deliver(handler, b[:n], err); err != nil {
+			return err
+		}
+	}
+}
+
+// readPooled does the same with memory that is shared with other connections.
+func (c *realConn) readPooled(handler ConnHandler) error {
+	for {
+		buffer, n, err := c.readAvailable()
+		err = c.deliver(handler, (*buffer)[:n], err)
+		readBuffers.Put(buffer)
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// readAvailable waits for something to read and reads it into a buffer of the pool, which the caller gives back. Nothing is io.EOF.
+func (c *realConn) readAvailable() (buffer *[]byte, n int, err error) {
+	waitErr := c.raw.Read(func(fd uintptr) bool {
+		buffer = takeReadBuffer()
+		n, err = readRetrying(int(fd), *buffer)
+		if errors.Is(err, syscall.EAGAIN) {
+			readBuffers.Put(buffer)
+			buffer = nil
+		}
+		return buffer != nil
+	})
+	if buffer == nil { // the wait was ended by a deadline, or the socket is closed
+		buffer, n, err = takeReadBuffer(), 0, waitErr
+	}
+	n = max(n, 0)
+	if err == nil && n == 0 {
+		err = io.EOF
+	}
+	return buffer, n, err
+}
+
+func takeReadBuffer() *[]byte {
+	buffer, _ := readBuffers.Get().(*[]byte) // the pool holds nothing else
+	return buffer
+}
+
+// readRetrying reads from a socket, again after an interruption.
+func readRetrying(fd int, b []byte) (n int, err error) {
+	for {
+		if n, err = syscall.Read(fd, b); !errors.Is(err, syscall.EINTR) {
+			return n, err
+		}
+	}
+}
+
+// deliver hands received bytes to the handler. An error says why nothing more is read.
+func (c *realConn) deliver(handler ConnHandler, b []byte, err error) error {
+	c.mu.Lock()
+	closing := c.closing
+	c.mu.Unlock()
+	if closing {
+		return ErrClosed
+	}
+	if len(b) > 0 {
+		c.traffic.addReceived(len(b))
+		handler.OnData(b)
+	}
+	if errors.Is(err, io.EOF) {
+		handler.OnData(nil)
+		return io.EOF
+	}
+	if err != nil {
+		return fmt.Errorf("read: %w", err)
+	}
+	return nil
+}
+
+// drain reads on from a connection that was closed gracefully until its peer closes too: closed with bytes unread it would be reset, and what was
+// handed over last could be lost to the peer.
+func (c *realConn) drain() {
+	c.mu.Lock()
+	halfClosed := c.halfClosed
+	c.mu.Unlock()
+	if !halfClosed || !c.env.addLingering(c) {
+		return
+	}
+	buffer := takeReadBuffer()
+	defer readBuffers.Put(buffer)
+	_ = c.netConn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	for {
+		if _, err := c.netConn.Read(*buffer); err != nil {
+			break
+		}
+	}
+	c.env.removeLingering(c)
+}
+
+// addLingering adds a connection that waits for its peer to close. Beyond the limit the oldest is closed for good. It returns false if the
+// environment is closed.
+func (r *Real) addLingering(c *realConn) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.closed {
+		return false
+	}
+	limit := r.MaxLingering
+	if limit == 0 {
+		limit = defaultMaxLingering
+	}
+	if len(r.lingering) >= limit {
+		closeQuietly(r.lingering[0].netConn)
+		r.lingering = slices.Delete(r.lingering, 0, 1)
+	}
+	r.lingering = append(r.lingering, c)
+	return true
+}
+
+// removeLingering drops a connection that no longer waits.
+func (r *Real) removeLingering(c *realConn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if i := slices.Index(r.lingering, c); i >= 0 {
+		r.lingering = slices.Delete(r.lingering, i, i+1)
+	}
+}
--- a/internal/env/conn_test.go
+++ b/internal/env/conn_test.go
@@ -9,8 +9,7 @@
 	"time"
 )
 
-// dialedPair gives both ends of a prompt connection on loopback, the far one from outside. The near one's peer is held in its first Heard
-// until hold is closed.
+// dialedPair returns both ends of a write-through connection on loopback.
 func dialedPair(t *testing.T, r *Real, p ConnHandler, stuck float64) (Conn, *net.TCPConn) {
 	t.Helper()
 	r.WriteThrough = true
@@ -23,11 +22,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { remote.Close() })
+	t.Cleanup(func() { closeQuietly(remote) })
 	return <-made, remote.(*net.TCPConn)
 }
 
-// blockedHandler is a peer that is held in what it hears.
+// blockedHandler is a handler whose OnData blocks until release is closed.
 type blockedHandler struct {
 	data    chan string
 	release chan struct{}
@@ -42,7 +41,7 @@
 
 func (h *blockedHandler) OnClose(err error) { h.closed <- err }
 
-// until waits for something that comes to be.
+// until waits for a condition, however long the machine takes.
 func until(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
@@ -52,12 +51,12 @@
 	}
 }
 
-// TestPeerClosed tells that a peer has gone while what it sent before lies unread, by each way there is of going.
+// TestPeerClosed checks that a peer is known to have closed while data that it sent before is unread, for each way to close.
 func TestPeerClosed(t *testing.T) {
 	for name, go_ := range map[string]func(c *net.TCPConn){
-		"closes":      func(c *net.TCPConn) { c.Close() },
+		"closes":      func(c *net.TCPConn) { closeQuietly(c) },
 		"closes half": func(c *net.TCPConn) { _ = c.CloseWrite() },
-		"resets":      func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
+		"resets":      func(c *net.TCPConn) { _ = c.SetLinger(0); closeQuietly(c) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewReal()
@@ -73,7 +72,9 @@
 			go_(there)
 			until(t, "left", c.PeerClosed)
 			close(h.release)
-			<-h.closed
+			if err := <-h.closed; err == nil {
+				t.Error("closed without a cause")
+			}
 			if !c.PeerClosed() {
 				t.Error("it is back")
 			}
@@ -81,8 +82,8 @@
 	}
 }
 
-// TestGracefulClose ends a connection on which bytes lie unread: what was sent last is read whole, then an end, and no reset. The peer may
-// send on, or never close: then the connection does not last.
+// TestGracefulClose closes a connection with unread data: the peer reads all that was sent, then the end, and no reset. The peer may
+// send on, or never close: the connection does not last then.
 func TestGracefulClose(t *testing.T) {
 	for _, how := range []struct{ sendsOn, readsLast bool }{{false, false}, {true, false}, {false, true}, {true, true}} {
 		r := NewReal()
@@ -98,7 +99,7 @@
 		}
 		if how.readsLast {
 			close(h.release)
-			if err := <-h.closed; err != ErrClosed {
+			if err := <-h.closed; err != ErrClosed { //nolint:errorlint // it has to be this error itself
 				t.Error(err)
 			}
 			until(t, "it waits for its peer", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.lingering) == 1 })
@@ -109,17 +110,17 @@
 		}
 		if !how.readsLast {
 			close(h.release)
-			if err := <-h.closed; err != ErrClosed {
+			if err := <-h.closed; err != ErrClosed { //nolint:errorlint // it has to be this error itself
 				t.Error(err)
 			}
 		}
-		there.Close()
+		closeQuietly(there)
 		until(t, "it is closed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.conns)+len(r.lingering) == 0 })
 		r.Close(5 * time.Second)
 	}
 }
 
-// TestMaxLingering bounds the connections that wait for their peers to close: the first of them goes.
+// TestMaxLingering checks that the oldest of too many connections that wait for their peers is closed.
 func TestMaxLingering(t *testing.T) {
 	r := NewReal()
 	defer r.Close(5 * time.Second)
@@ -129,7 +130,9 @@
 		e := newRecorder()
 		c, there := dialedPair(t, r, e, 1000)
 		c.Close(true, nil)
-		<-e.closed
+		if err := <-e.closed; err == nil {
+			t.Error("closed without a cause")
+		}
 		all = append(all, there)
 	}
 	until(t, "two are left", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.conns) <= 2 && len(r.lingering) <= 2 })
@@ -141,8 +144,8 @@
 	}
 }
 
-// TestListenerCloseTakesBacklog closes a door at which some wait that the kernel has let in: each is given over, with what it sent, before nobody comes
-// any more.
+// TestListenerCloseTakesBacklog closes a listener with connections that the kernel has accepted: each is handed over, with what its peer sent,
+// before the address refuses connections.
 func TestListenerCloseTakesBacklog(t *testing.T) {
 	r := NewReal()
 	defer r.Close(5 * time.Second)
@@ -166,7 +169,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer closeQuietly(c)
 		_, _ = c.Write([]byte("ask"))
 		if i == 0 {
 			<-came // the others wait behind it
@@ -187,18 +190,18 @@
 	until(t, "the door is closed", func() bool {
 		c, err := net.Dial("tcp", d.Address())
 		if err == nil {
-			c.Close()
+			closeQuietly(c)
 		}
 		return err != nil
 	})
 }
 
-// TestSlowReader has a peer that takes a little at a time, for longer than one that takes nothing is waited for: it gets all.
+// TestSlowReader has a peer read a little at a time, for longer than the stall time-out: it gets all.
 func TestSlowReader(t *testing.T) {
 	r := NewReal()
 	defer r.Close(5 * time.Second)
 	here, there := net.Pipe() // it has no memory of its own: what is not read was not taken
-	defer there.Close()
+	defer closeQuietly(there)
 	r.Connect = func(context.Context, string) (net.Conn, error) { return here, nil }
 	made := make(chan Conn, 1)
 	r.Dial("", 1000, func(c Conn, _ error) { made <- c })
@@ -225,8 +228,8 @@
 	}
 }
 
-// TestCloseWaitsForGracefulClose closes a world while a connection that ended softly has words to hand over: they are handed over yet, as its peer
-// takes them only then.
+// TestCloseWaitsForGracefulClose closes an environment while a connection that was closed gracefully has bytes to hand over: its peer, which
+// reads only then, gets them.
 func TestCloseWaitsForGracefulClose(t *testing.T) {
 	r := NewReal()
 	c, there := pipe(t, r)
--- /dev/null
+++ b/internal/env/conn_write.go
@@ -0,0 +1,193 @@
+package env
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"syscall"
+	"time"
+)
+
+// maxKeptQueue bounds the memory of a queue that is kept for the next one, in bytes: that of a burst is freed.
+const maxKeptQueue = 1 << 16
+
+// Send implements Conn.
+func (c *realConn) Send(appendTo func(b []byte) []byte) (sent uint64, queued int, ok bool) {
+	c.mu.Lock()
+	if c.closing {
+		defer c.mu.Unlock()
+		return c.sent, 0, false
+	}
+	before := len(c.queue)
+	c.queue = appendTo(c.queue)
+	c.sent += uint64(len(c.queue) - before)
+	c.traffic.sentMessages.Add(1)
+	if c.raw != nil && c.started && !c.writerRunning {
+		if c.writeAvailable(); len(c.queue) > 0 {
+			c.writerRunning = c.env.spawn(c.writeLoop)
+		}
+	}
+	sent, queued = c.sent, len(c.queue)
+	c.mu.Unlock()
+	if c.raw == nil || queued > 0 {
+		c.wakeWriter()
+	}
+	return sent, queued, true
+}
+
+// Unsend implements Conn.
+func (c *realConn) Unsend(sent uint64, n int) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closing || sent != c.sent || len(c.queue) < n {
+		return false
+	}
+	c.queue = c.queue[:len(c.queue)-n]
+	c.sent -= uint64(n)
+	return true
+}
+
+// wakeWriter has the writer look at the queue.
+func (c *realConn) wakeWriter() {
+	select {
+	case c.wake <- struct{}{}:
+	default: // it is woken already
+	}
+}
+
+// writeLoop is the writer goroutine. It writes the queue until the connection is closed, with write-through only until the queue is empty.
+func (c *realConn) writeLoop() {
+	var spare []byte // memory for the next queue: one is written while the other fills
+	for {
+		b, state := c.takeQueue(spare)
+		spare = nil
+		switch state {
+		case queueDone:
+			return
+		case queueClosing:
+			c.writeLast(b)
+			return
+		case queueEmpty:
+			spare = b
+			<-c.wake
+			continue
+		}
+		if err := c.writeAll(b); err != nil {
+			c.shutDown(closeRequest{cause: err})
+		}
+		if cap(b) <= maxKeptQueue {
+			spare = b[:0]
+		}
+	}
+}
+
+// queueState is what a writer finds.
+type queueState uint8
+
+const (
+	queueFilled  queueState = iota // something to write
+	queueEmpty                     // nothing to write for now
+	queueClosing                   // the last to write
+	queueDone                      // nothing to write, and no writer is needed
+)
+
+// takeQueue takes the queue, which goes on in the memory of spare.
+func (c *realConn) takeQueue(spare []byte) ([]byte, queueState) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	b := c.queue
+	if len(b) == 0 && !c.closing && c.raw != nil {
+		c.writerRunning = false
+		_ = c.netConn.SetWriteDeadline(time.Time{})
+		return nil, queueDone
+	}
+	c.queue = spare[:0]
+	if !c.closing || c.graceful {
+		c.inHandover = len(b)
+	}
+	switch {
+	case c.closing:
+		return b, queueClosing
+	case len(b) == 0:
+		return b, queueEmpty
+	}
+	return b, queueFilled
+}
+
+// writeLast writes the rest of the queue if the connection is closed gracefully, and then the final bytes.
+func (c *realConn) writeLast(b []byte) {
+	c.mu.Lock()
+	graceful, final := c.graceful, c.final
+	c.mu.Unlock()
+	if graceful && c.writeAll(b) != nil {
+		graceful = false
+	}
+	c.finishWriting(graceful, final)
+}
+
+// writeAll writes to the network and counts the bytes that it took. A peer that takes some is waited for, however slow it is; once the connection
+// is being closed, no longer than one that takes nothing.
+func (c *realConn) writeAll(b []byte) error {
+	for {
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(c.stallTimeout))
+		n, err := c.netConn.Write(b)
+		c.traffic.addSent(n)
+		b = b[n:]
+		slow := n > 0 && errors.Is(err, os.ErrDeadlineExceeded)
+		c.mu.Lock()
+		c.handedOver += uint64(n)
+		c.inHandover = 0
+		slow = slow && !c.closing
+		if slow {
+			c.inHandover = len(b)
+		}
+		c.mu.Unlock()
+		if slow {
+			continue
+		}
+		if err != nil {
+			return fmt.Errorf("write: %w", err)
+		}
+		return nil
+	}
+}
+
+// writeAvailable writes what the network takes at once. The rest of the queue, and any error, is left to a writer. realConn.mu is held, and there
+// is no writer.
+func (c *realConn) writeAvailable() {
+	for again := true; again; {
+		again = false
+		err := c.raw.Write(func(fd uintptr) bool {
+			n, err := syscall.Write(int(fd), c.queue)
+			c.traffic.addSent(n)
+			again = errors.Is(err, syscall.EINTR)
+			if n > 0 {
+				c.handedOver += uint64(n)
+				c.queue = c.queue[:copy(c.queue, c.queue[n:])]
+			}
+			return true
+		})
+		if err != nil {
+			return
+		}
+	}
+}
+
+// finishWriting writes the final bytes, as far as the peer still receives, and closes the socket: after a graceful close for writing alone, where
+// the network can do that.
+func (c *realConn) finishWriting(graceful bool, final []byte) {
+	defer close(c.writerDone)
+	if len(final) > 0 {
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(finalWriteTimeout))
+		n, _ := c.netConn.Write(final) // an error says that the peer has gone
+		c.traffic.addSent(n)
+	}
+	half, ok := c.netConn.(interface{ CloseWrite() error })
+	if !graceful || !ok || half.CloseWrite() != nil {
+		closeQuietly(c.netConn)
+		return
+	}
+	c.mu.Lock()
+	c.halfClosed = true
+	c.mu.Unlock()
+}
--- a/internal/env/packetconn.go
+++ b/internal/env/packetconn.go
@@ -8,13 +8,19 @@
 	"time"
 )
 
-// realPacketConn takes datagrams on a goroutine of its own.
+// Times of datagrams.
+const (
+	datagramSendTimeout = 5 * time.Millisecond // for a place in the kernel's queue
+	datagramRetry       = time.Millisecond     // after a failure to receive
+)
+
+// realPacketConn receives datagrams on a goroutine of its own.
 type realPacketConn struct {
 	env *Real
 	udp *net.UDPConn
 }
 
-// ListenPacket takes datagrams at an address of digits and a port.
+// ListenPacket implements Environment.
 func (r *Real) ListenPacket(address string, onDatagram func(b []byte)) (PacketConn, error) {
 	local, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -24,37 +30,42 @@
 	if err != nil {
 		return nil, fmt.Errorf("datagrams: %w", err)
 	}
-	packetConn := &realPacketConn{r, udp}
+	p := &realPacketConn{r, udp}
 	r.mu.Lock()
-	r.packetConns[packetConn] = true
+	r.packetConns[p] = true
 	r.mu.Unlock()
-	ok := r.spawn(func() {
-		b := make([]byte, MaxDatagram+1) // one that is longer shows
-		for {
-			n, _, err := udp.ReadFromUDPAddrPort(b)
-			switch {
-			case err == nil && n <= MaxDatagram:
-				packetConn.env.trafficByKind[Datagram].addReceived(n)
-				onDatagram(b[:n])
-			case errors.Is(err, net.ErrClosed) || r.ctx.Err() != nil:
-				return
-			case err != nil: // a port that nobody listens at answers so
-				time.Sleep(time.Millisecond)
-			}
+	if !r.spawn(func() { p.receiveLoop(onDatagram) }) {
+		closeQuietly(udp)
+	}
+	return p, nil
+}
+
+// receiveLoop hands over datagrams until the socket or the environment is closed. Datagrams beyond MaxDatagram are dropped.
+func (p *realPacketConn) receiveLoop(onDatagram func(b []byte)) {
+	b := make([]byte, MaxDatagram+1) // a datagram that is too long fills it
+	for {
+		n, _, err := p.udp.ReadFromUDPAddrPort(b)
+		switch {
+		case err == nil && n <= MaxDatagram:
+			p.env.trafficByKind[Datagram].addReceived(n)
+			onDatagram(b[:n])
+		case errors.Is(err, net.ErrClosed) || p.env.ctx.Err() != nil:
+			return
+		case err != nil: // as when nobody listens at an address that was sent to
+			time.Sleep(datagramRetry)
 		}
-	})
-	if !ok {
-		udp.Close()
 	}
-	return packetConn, nil
 }
 
+// Address implements PacketConn.
 func (p *realPacketConn) Address() string { return p.udp.LocalAddr().String() }
 
+// Send implements PacketConn. A datagram that is too long, or for an address that is none, counts as lost: addresses are checked when the site
+// file is read.
 func (p *realPacketConn) Send(to string, b []byte) {
 	target, err := netip.ParseAddrPort(to)
 	if err != nil || len(b) > MaxDatagram {
-		return // as if lost: an address that is none is found when the site file is read
+		return
 	}
 	_ = p.udp.SetWriteDeadline(time.Now().Add(datagramSendTimeout))
 	n, _ := p.udp.WriteToUDPAddrPort(b, target)
@@ -62,12 +73,10 @@
 	p.env.trafficByKind[Datagram].addSent(n)
 }
 
-// datagramSendTimeout bounds how long a datagram waits for a place in the kernel's queue.
-const datagramSendTimeout = 5 * time.Millisecond
-
+// Close implements PacketConn.
 func (p *realPacketConn) Close() {
 	p.env.mu.Lock()
 	delete(p.env.packetConns, p)
 	p.env.mu.Unlock()
-	p.udp.Close()
+	closeQuietly(p.udp)
 }
--- a/internal/env/real.go
+++ b/internal/env/real.go
@@ -12,51 +12,61 @@
 	"time"
 )
 
-// Real is the world of sockets and of the machine's clock.
+// msToNs is the number of nanoseconds in a millisecond.
+const msToNs = 1e6
+
+// TCP keep-alive of dialed connections.
+const (
+	keepAliveIdle     = 5 * time.Second
+	keepAliveInterval = 2 * time.Second
+	keepAliveCount    = 3
+)
+
+// Real is the environment of sockets and of the machine's clock. Its exported fields are set before it is used.
 type Real struct {
 	// Connect makes connections, over TCP if it is nil.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
-	// TLS is the TLS that connections which are taken speak, none if it is nil.
+	// TLS is the configuration of accepted connections, which speak plain TCP if it is nil.
 	TLS *tls.Config
-	// WriteThrough has what is sent leave with the call that sends it, as far as the network takes it at once, so that nothing
-	// leaves later than it was decided; a writer is there only for what is left. Without it writers gather what is sent in a
-	// moment, which costs less where many messages share a connection. Not for TLS.
+	// WriteThrough has Send write as much as the network takes at once, so that nothing is sent later than it was decided; a writer goroutine
+	// exists only while something is left. Without it a writer goroutine gathers what is sent in a moment, which costs less where many messages
+	// share a connection. It does not apply to TLS.
 	WriteThrough bool
-	// MaxLingering is how many connections that ended softly are kept at most until their peers close too, 64 if it is 0. Beyond
-	// that the oldest of them is closed for good.
+	// MaxLingering bounds the connections that were closed gracefully and wait for their peers to close too; 64 if it is 0. Beyond it the oldest
+	// is closed for good.
 	MaxLingering int
-	// EndpointListAddress is the node list's, whose connection is counted apart from those to nodes.
+	// EndpointListAddress is the address of the endpoint list, whose connection is counted apart from those to nodes.
 	EndpointListAddress string
 
 	trafficByKind [numKinds]trafficCounters
 
 	startTime  time.Time
 	startMs    float64
-	ctx        context.Context
+	ctx        context.Context //nolint:containedctx // it is the environment's own lifetime, which Close ends
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup
+	goroutines sync.WaitGroup // and timers that have not fired
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below; realConn.mu is never taken under it
 	closed      bool
 	timers      map[*realTimer]bool
 	listeners   map[*realListener]bool
 	packetConns map[*realPacketConn]bool
 	conns       map[*realConn]bool
-	lingering   []*realConn // ended softly and not closed, in the order of their ends
+	lingering   []*realConn // closed gracefully, with peers that have not closed, in the order of their closing
 }
 
-// NewReal begins a world. Its clock is told by the wall once, from then on by the monotonic clock alone.
+// NewReal returns an environment. Its clock is set by the machine's clock once, and is monotonic from then on.
 func NewReal() *Real {
 	now := time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Real{
-		startTime: now, startMs: float64(now.Sub(Epoch)) / 1e6, ctx: ctx, cancel: cancel, timers: map[*realTimer]bool{},
+		startTime: now, startMs: float64(now.Sub(Epoch)) / msToNs, ctx: ctx, cancel: cancel, timers: map[*realTimer]bool{},
 		listeners: map[*realListener]bool{}, packetConns: map[*realPacketConn]bool{}, conns: map[*realConn]bool{},
 	}
 }
 
-// Close ends all that runs in the world and waits for it: timers are stopped, doors and connections closed. A loop's
-// turn that stands still is waited for, as long as the time given.
+// Close stops all timers, closes all listeners and connections, and waits for the goroutines of the environment, but no longer than the time
+// given: a callback may hang.
 func (r *Real) Close(wait time.Duration) {
 	r.mu.Lock()
 	r.closed = true
@@ -66,22 +76,27 @@
 			r.goroutines.Done()
 		}
 	}
-	doors, conns, ports, linger := r.listeners, r.conns, r.packetConns, slices.Clone(r.lingering)
+	listeners, conns, packetConns, lingering := r.listeners, r.conns, r.packetConns, slices.Clone(r.lingering)
 	r.listeners, r.conns, r.packetConns = map[*realListener]bool{}, map[*realConn]bool{}, map[*realPacketConn]bool{}
 	r.mu.Unlock()
 	r.cancel()
-	for d := range doors {
-		d.tcp.Close()
+	for l := range listeners {
+		closeQuietly(l.tcp)
 	}
 	for c := range conns {
 		c.Close(false, nil)
 	}
-	for _, c := range linger { // all is said on these; on others that end softly it is handed over yet
-		c.netConn.Close()
+	for _, c := range lingering { // all was handed over on these; others that are being closed gracefully still hand over their queues
+		closeQuietly(c.netConn)
 	}
-	for p := range ports {
-		p.udp.Close()
+	for p := range packetConns {
+		closeQuietly(p.udp)
 	}
+	r.waitForGoroutines(wait)
+}
+
+// waitForGoroutines waits for all goroutines, but no longer than the time given.
+func (r *Real) waitForGoroutines(wait time.Duration) {
 	done := make(chan struct{})
 	go func() { r.goroutines.Wait(); close(done) }()
 	select {
@@ -90,61 +105,63 @@
 	}
 }
 
-// spawn runs a goroutine that Close waits for; false if the world is closed.
+// closeQuietly closes a socket. An error says that it was closed already, or that its peer has gone: either way it is closed.
+func closeQuietly(c interface{ Close() error }) { _ = c.Close() }
+
+// spawn runs a goroutine that Close waits for. It returns false if the environment is closed.
 func (r *Real) spawn(f func()) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
 		return false
 	}
-	r.goroutines.Add(1)
-	go func() {
-		defer r.goroutines.Done()
-		f()
-	}()
+	r.goroutines.Go(f)
 	return true
 }
 
-// Now is ms since the Epoch.
-func (r *Real) Now() float64 { return r.startMs + float64(time.Since(r.startTime))/1e6 }
+// Now implements Environment.
+func (r *Real) Now() float64 { return r.startMs + float64(time.Since(r.startTime))/msToNs }
 
-// WallClock is the machine's clock.
+// WallClock implements Environment.
 func (r *Real) WallClock() time.Time { return time.Now() }
 
-// Dial connects on a goroutine of its own.
+// Dial implements Environment, on a goroutine for each dial.
 func (r *Real) Dial(address string, timeoutMs float64, onDone func(Conn, error)) {
 	connect := r.Connect
 	if connect == nil {
-		d := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second,
-			Count: 3,
-		}}
-		connect = func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }
+		connect = connectTCP
 	}
 	r.spawn(func() {
-		ctx, cancel := context.WithTimeout(r.ctx, time.Duration(timeoutMs*1e6))
+		ctx, cancel := context.WithTimeout(r.ctx, time.Duration(timeoutMs*msToNs))
 		defer cancel()
 		c, err := connect(ctx, address)
-		err = classifyDialError(err)
 		if err != nil {
-			onDone(nil, err)
+			onDone(nil, classifyDialError(err))
 			return
 		}
 		onDone(r.newConn(c, r.dialTraffic(address)), nil)
 	})
 }
 
-// classifyDialError tells in the error of a dial whose want it was.
+func connectTCP(ctx context.Context, address string) (net.Conn, error) {
+	dialer := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{
+		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
+	}}
+	return dialer.DialContext(ctx, "tcp", address)
+}
+
+// exhaustionErrors are the errors of a dial that say that this machine lacks a resource.
+var exhaustionErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
+
+// classifyDialError wraps the error of a dial in ErrRefused or ErrExhausted where it is one of them.
 func classifyDialError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	for _, local := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
-		if errors.Is(err, local) {
+	for _, exhaustion := range exhaustionErrors {
+		if errors.Is(err, exhaustion) {
 			return fmt.Errorf("%w: %w", ErrExhausted, err)
 		}
 	}
 	return err
 }
-
-// Bounds of letting in who waits at a door that closes.
--- a/internal/env/real_test.go
+++ b/internal/env/real_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// recorder hears a connection.
+// recorder records the events of a connection.
 type recorder struct {
 	data   chan string
 	closed chan error
@@ -23,11 +23,11 @@
 func (e *recorder) OnData(b []byte)   { e.data <- string(b) }
 func (e *recorder) OnClose(err error) { e.closed <- err }
 
-// pipe gives a connection and its far end.
+// pipe returns a connection over net.Pipe, and its other end.
 func pipe(t *testing.T, r *Real) (Conn, net.Conn) {
 	t.Helper()
 	here, there := net.Pipe()
-	t.Cleanup(func() { there.Close() })
+	t.Cleanup(func() { closeQuietly(there) })
 	r.Connect = func(context.Context, string) (net.Conn, error) { return here, nil }
 	made := make(chan Conn, 1)
 	r.Dial("", 1000, func(c Conn, _ error) { made <- c })
@@ -81,7 +81,7 @@
 		t.Fatalf("sent %d, %d wait, %v", second, waits, ok)
 	}
 	c.Close(false, nil)
-	if err := <-e.closed; err != ErrClosed {
+	if err := <-e.closed; err != ErrClosed { //nolint:errorlint // it has to be this error itself
 		t.Error(err)
 	}
 	if h := c.HandedOver(); h != 4 {
@@ -98,7 +98,7 @@
 		end  func(c Conn, there net.Conn)
 		why  string
 	}{
-		{"peer closes", func(_ Conn, there net.Conn) { there.Close() }, "EOF"},
+		{"peer closes", func(_ Conn, there net.Conn) { closeQuietly(there) }, "EOF"},
 		{"peer takes nothing", func(c Conn, _ net.Conn) {
 			c.Send(func(b []byte) []byte { return append(b, make([]byte, 100000)...) })
 		}, "write"},
@@ -149,9 +149,12 @@
 		t.Errorf("loop ended %v, %d turns, %d calls", l.HasEnded(), after, calls.Load())
 	}
 	select {
-	case <-e.closed:
+	case err := <-e.closed:
+		if err == nil {
+			t.Error("closed without a cause")
+		}
 	default:
-		t.Error("a connection outlives its world")
+		t.Error("a connection outlives its environment")
 	}
 	time.Sleep(10 * time.Millisecond)
 	if turns.Load() != after {
@@ -176,27 +179,31 @@
 	}
 }
 
+// dialLoopback dials a listener on loopback and returns both ends of the connection.
+func dialLoopback(t *testing.T, r *Real) (Conn, net.Conn) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeQuietly(l)
+	made := make(chan Conn, 1)
+	r.Dial(l.Addr().String(), 1000, func(c Conn, _ error) { made <- c })
+	there, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeQuietly(there) })
+	return <-made, there
+}
+
 // TestWriteThrough holds that what is sent leaves with the call that sends it, that what the network does not take at once follows
 // in order, and that what has not left can be taken back.
 func TestWriteThrough(t *testing.T) {
 	r := NewReal()
 	r.WriteThrough = true
 	defer r.Close(time.Second)
-	came := make(chan net.Conn, 1)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	go func() {
-		if c, err := l.Accept(); err == nil {
-			came <- c
-		}
-	}()
-	made := make(chan Conn, 1)
-	r.Dial(l.Addr().String(), 1000, func(c Conn, err error) { made <- c })
-	c, there := <-made, <-came
-	defer there.Close()
+	c, there := dialLoopback(t, r)
 	e := newRecorder()
 	c.Start(e, 5000)
 	line := func(n int) func([]byte) []byte {
@@ -237,7 +244,7 @@
 		}
 	}
 	c.Close(true, []byte("bye"))
-	if err := <-e.closed; err != ErrClosed {
+	if err := <-e.closed; err != ErrClosed { //nolint:errorlint // it has to be this error itself
 		t.Error(err)
 	}
 	if n := <-got; n != int64(all)+100+3 {
@@ -270,7 +277,10 @@
 	}
 	for range 200 {
 		select {
-		case <-overs:
+		case err := <-overs:
+			if err == nil {
+				t.Error("closed without a cause")
+			}
 		case <-time.After(5 * time.Second):
 			t.Fatal("a connection is not over")
 		}
@@ -286,19 +296,7 @@
 	r := NewReal()
 	r.WriteThrough = true
 	defer r.Close(time.Second)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	made := make(chan Conn, 1)
-	r.Dial(l.Addr().String(), 1000, func(c Conn, _ error) { made <- c })
-	there, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer there.Close()
-	c := <-made
+	c, there := dialLoopback(t, r)
 	c.Send(func(b []byte) []byte { return append(b, "early"...) })
 	c.Start(newRecorder(), 1000)
 	_ = there.SetReadDeadline(time.Now().Add(5 * time.Second))
--- a/internal/env/timers.go
+++ b/internal/env/timers.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
+// realTimer is a call in the future. Real.mu guards it.
 type realTimer struct {
 	env   *Real
 	timer *time.Timer
 }
 
-// After calls f on a goroutine of its own.
+// After implements Environment. The call comes on a goroutine of its own.
 func (r *Real) After(ms float64, f func()) Timer {
 	t := &realTimer{env: r}
 	r.mu.Lock()
@@ -20,7 +21,7 @@
 	}
 	r.goroutines.Add(1)
 	r.timers[t] = true
-	t.timer = time.AfterFunc(time.Duration(ms*1e6), func() {
+	t.timer = time.AfterFunc(time.Duration(ms*msToNs), func() {
 		defer r.goroutines.Done()
 		r.mu.Lock()
 		delete(r.timers, t)
@@ -33,6 +34,7 @@
 	return t
 }
 
+// Stop implements Timer.
 func (t *realTimer) Stop() {
 	t.env.mu.Lock()
 	defer t.env.mu.Unlock()
@@ -42,43 +44,48 @@
 	}
 }
 
+// realLoop is a loop on a goroutine of its own.
 type realLoop struct {
-	wake  chan struct{}
+	wake  chan struct{} // holds one signal
 	ended atomic.Bool
 }
 
+// StartLoop implements Environment.
+func (r *Real) StartLoop(turn func() (wait float64)) Loop {
+	l := &realLoop{wake: make(chan struct{}, 1)}
+	if !r.spawn(func() { l.run(r, turn) }) {
+		l.ended.Store(true)
+	}
+	return l
+}
+
+// run takes turns until one ends the loop, or the environment is closed.
+func (l *realLoop) run(r *Real, turn func() (wait float64)) {
+	defer l.ended.Store(true)
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-r.ctx.Done():
+			return
+		case <-l.wake:
+		case <-timer.C:
+		}
+		wait := turn()
+		if wait < 0 {
+			return
+		}
+		timer.Reset(time.Duration(wait * msToNs))
+	}
+}
+
+// Wake implements Loop.
 func (l *realLoop) Wake() {
 	select {
 	case l.wake <- struct{}{}:
-	default:
+	default: // it is woken already
 	}
 }
 
+// HasEnded implements Loop.
 func (l *realLoop) HasEnded() bool { return l.ended.Load() }
-
-// StartLoop runs turn on a goroutine of its own.
-func (r *Real) StartLoop(turn func() (wait float64)) Loop {
-	l := &realLoop{wake: make(chan struct{}, 1)}
-	ok := r.spawn(func() {
-		defer l.ended.Store(true)
-		t := time.NewTimer(0)
-		defer t.Stop()
-		for {
-			select {
-			case <-r.ctx.Done():
-				return
-			case <-l.wake:
-			case <-t.C:
-			}
-			wait := turn()
-			if wait < 0 {
-				return
-			}
-			t.Reset(time.Duration(wait * 1e6))
-		}
-	})
-	if !ok {
-		l.ended.Store(true)
-	}
-	return l
-}
--- a/internal/env/traffic.go
+++ b/internal/env/traffic.go
@@ -7,45 +7,51 @@
 
 // Kinds of connections.
 const (
-	Accepted     ConnKind = iota // connections that were let in at a door
-	Dialed                       // connections that were made, as to nodes
-	EndpointList                 // the connection to the node list, where the world is told its address
-	Datagram                     // datagrams
+	Accepted     ConnKind = iota // accepted by a listener
+	Dialed                       // dialed, as to nodes
+	EndpointList                 // dialed at Real.EndpointListAddress
+	Datagram                     // packet connections
 	numKinds
 )
 
-// String is the kind in counts.
+// String returns the name of the kind in metrics.
 func (k ConnKind) String() string { return [...]string{"taken", "dialed", "list", "datagrams"}[k] }
 
-// Traffic is what passed over all connections of a kind since the start.
+// Traffic counts what passed over all connections of a kind since the start.
 type Traffic struct {
 	Kind              ConnKind
 	SentMessages      uint64 // calls of Send
-	SentBytes         uint64 // handed to the network
+	SentBytes         uint64 // handed over to the network
 	ReceivedMessages  uint64 // datagrams, or reads of a connection, each of which may hold several lines or a part of one
 	ReceivedBytes     uint64
 	OpenedConnections uint64 // since the start
-	OpenConnections   int64  // now; of datagrams there are none
+	OpenConnections   int64  // now; 0 for datagrams
 }
 
-// trafficCounters counts the flow of one kind.
+// trafficCounters counts the traffic of one kind. It is safe for concurrent use.
 type trafficCounters struct {
 	sentMessages, sentBytes, receivedMessages, receivedBytes, opened atomic.Uint64
 	open                                                             atomic.Int64
 }
 
+// addSent counts bytes that were handed over; a negative number counts as none.
 func (t *trafficCounters) addSent(bytes int) { t.sentBytes.Add(uint64(max(0, bytes))) }
 
+// addReceived counts a datagram, or a read of a connection.
 func (t *trafficCounters) addReceived(bytes int) {
 	t.receivedMessages.Add(1)
 	t.receivedBytes.Add(uint64(bytes))
 }
 
+// addOpened counts a connection.
 func (t *trafficCounters) addOpened() {
 	t.opened.Add(1)
 	t.open.Add(1)
 }
 
+// addClosed counts a connection that was closed.
+func (t *trafficCounters) addClosed() { t.open.Add(-1) }
+
 func (t *trafficCounters) snapshot(kind ConnKind) Traffic {
 	return Traffic{
 		Kind: kind, SentMessages: t.sentMessages.Load(), SentBytes: t.sentBytes.Load(), ReceivedMessages: t.receivedMessages.Load(),
@@ -53,7 +59,7 @@
 	}
 }
 
-// Traffic tells what passed since the start, by kind.
+// Traffic returns the traffic since the start, for each kind.
 func (r *Real) Traffic() []Traffic {
 	all := make([]Traffic, 0, numKinds)
 	for kind := range numKinds {
@@ -62,7 +68,7 @@
 	return all
 }
 
-// dialTraffic is the count of a connection that is made to an address.
+// dialTraffic returns the counters for a connection to an address.
 func (r *Real) dialTraffic(address string) *trafficCounters {
 	if address == r.EndpointListAddress && address != "" {
 		return &r.trafficByKind[EndpointList]
@@ -70,10 +76,10 @@
 	return &r.trafficByKind[Dialed]
 }
 
-// removeConn drops an ended connection from those that are closed with the world; under the world's lock.
+// removeConn drops a connection that was closed. Real.mu is held.
 func (r *Real) removeConn(c *realConn) {
 	if r.conns[c] {
 		delete(r.conns, c)
-		c.traffic.open.Add(-1)
+		c.traffic.addClosed()
 	}
 }
--- a/internal/env/traffic_test.go
+++ b/internal/env/traffic_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// listener hears a connection and counts the bytes.
-type listener struct{ came chan int }
+// byteCounter reports how many bytes each call received.
+type byteCounter struct{ came chan int }
 
-func (l *listener) OnData(b []byte) { l.came <- len(b) }
-func (l *listener) OnClose(error)   {}
+func (l *byteCounter) OnData(b []byte) { l.came <- len(b) }
+func (l *byteCounter) OnClose(error)   {}
 
 // TestTraffic counts what passes over a connection that is let in, one that is made, and datagrams, each by its kind.
 func TestTraffic(t *testing.T) {
 	w := NewReal()
 	defer w.Close(time.Second)
-	there, here := &listener{make(chan int, 10)}, &listener{make(chan int, 10)}
+	there, here := &byteCounter{make(chan int, 10)}, &byteCounter{make(chan int, 10)}
 	door, err := w.Listen("127.0.0.1:0", func(c Conn) {
 		c.Start(there, 1000)
 		c.Send(func(b []byte) []byte { return append(b, "hello"...) })
