--- a/internal/proto/platform/messages_test.go
+++ b/internal/proto/platform/messages_test.go
@@ -180,29 +180,21 @@
 	}
 }
 
-// TestVerdicts holds what a node's words prove: two causes prove that a try never ran, and those alone.
+// TestVerdicts checks what the causes of a node's end prove: two prove that an attempt never ran, and those alone.
 func TestVerdicts(t *testing.T) {
-	for cause := range 256 {
-		want := logic.ConnectionLost
-		switch cause {
-		case 34:
-			want = logic.Rejected
-		case 102:
-			want = logic.NotSent
-		case 47:
-			want = logic.Errored
+	wantBefore := map[int]logic.Outcome{34: logic.Rejected, 102: logic.NotSent, 47: logic.Errored}
+	wantRunning := map[int]logic.Outcome{16: logic.Completed, 31: logic.Cancelled}
+	wanted := func(of map[int]logic.Outcome, cause int) logic.Outcome {
+		if want, ok := of[cause]; ok {
+			return want
 		}
-		if got := VerdictBeforeAnswer(byte(cause)); got != want {
+		return logic.ConnectionLost
+	}
+	for cause := range 256 {
+		if got, want := VerdictBeforeAnswer(byte(cause)), wanted(wantBefore, cause); got != want {
 			t.Errorf("before, cause %d: %d, want %d", cause, got, want)
 		}
-		want = logic.ConnectionLost
-		switch cause {
-		case 16:
-			want = logic.Completed
-		case 31:
-			want = logic.Cancelled
-		}
-		if got := VerdictOfRunning(byte(cause)); got != want {
+		if got, want := VerdictOfRunning(byte(cause)), wanted(wantRunning, cause); got != want {
 			t.Errorf("after, cause %d: %d, want %d", cause, got, want)
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,25 +25,25 @@
   {"name": "marked", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "guarded", "worth": 1, "group": "zone", "window-ns": 8000000000},
   {"name": "single", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "single_shot", "worth": 1, "group": "all", "window-ns": 1000000}]}`
 
-// quiet is a host that only listens.
-type quiet struct{ offers int }
+// countingEffects counts the attempts that a module starts, and does nothing else.
+type countingEffects struct{ attempts int }
 
-func (q *quiet) StartAttempt(uint32, uint32, float64) { q.offers++ }
-func (q *quiet) Shed(uint32, float64)                 {}
-func (q *quiet) Fail(uint32)                          {}
-func (q *quiet) Cancel(uint32, uint8)                 {}
-func (q *quiet) Migrate(uint32)                       {}
-func (q *quiet) Probe(uint32)                         {}
-func (q *quiet) WatchList(bool)                       {}
-func (q *quiet) ReloadList()                          {}
-func (q *quiet) SetTimer(float64, uint64)             {}
-func (q *quiet) Log(string)                           {}
+func (e *countingEffects) StartAttempt(uint32, uint32, float64) { e.attempts++ }
+func (e *countingEffects) Shed(uint32, float64)                 {}
+func (e *countingEffects) Fail(uint32)                          {}
+func (e *countingEffects) Cancel(uint32, uint8)                 {}
+func (e *countingEffects) Migrate(uint32)                       {}
+func (e *countingEffects) Probe(uint32)                         {}
+func (e *countingEffects) WatchList(bool)                       {}
+func (e *countingEffects) ReloadList()                          {}
+func (e *countingEffects) SetTimer(float64, uint64)             {}
+func (e *countingEffects) Log(string)                           {}
 
-// play has a module of a deployment place some work.
-func play(d *Deployment) (offers int) {
-	q := &quiet{}
+// play has a module of a deployment place some requests, and returns how many attempts it starts.
+func play(d *Deployment) (attempts int) {
+	effects := &countingEffects{}
 	now := 1e6
-	s := logic.New(q, now, 7, d.Cluster)
+	s := logic.New(effects, now, 7, d.Cluster)
 	s.OnListBegin(now, logic.ListCached)
 	for i := range 6 {
 		s.OnListNode(now, logic.ListEntry{
@@ -63,10 +63,10 @@
 		s.OnTimer(now, 0)
 		s.Decide(now)
 	}
-	return q.offers
+	return effects.attempts
 }
 
-// leaves gives every place in a settings object, as a path of keys and numbers.
+// leaves calls each with every place in a settings object, as a path of keys and indexes.
 func leaves(v any, at []any, each func([]any)) {
 	switch x := v.(type) {
 	case map[string]any:
@@ -82,8 +82,9 @@
 	}
 }
 
-// with gives a settings object in which one place holds something else; nil takes the place out.
+// with returns the settings with another value in one place; nil removes the place.
 func with(t *testing.T, path []any, to any) []byte {
+	t.Helper()
 	var all any
 	if err := json.Unmarshal([]byte(settings), &all); err != nil {
 		t.Fatal(err)
@@ -113,8 +114,8 @@
 	return text
 }
 
-// means are fields that may be absent or 0, and what that means.
-var means = map[string]string{
+// meanings are the fields that may be absent or 0, and what that means.
+var meanings = map[string]string{
 	"self-index": "the first", "kinds": "kinds have no names", "zones": "there are none", "projects": "there are none", "portion": "no part",
 	"kind-by-class": "any kind", "spread-over": "anywhere", "most-together": "one", "lists-free": "no", "cold-bears": "nothing goes to a cold node",
 	"settle-ns": "no time", "measured-by": "asked", "displaces": "no", "probes": "no", "cancel": "no", "prices": "none", "fleet": "no price", "report": "none",
@@ -122,8 +123,8 @@
 	"overload-for-ns": "no window", "ask-every-ns": "where news is pushed", "worth": "nothing", "window-ns": "no repeat", "group": "where it is not guarded",
 }
 
-// TestOddFields puts an absent, empty, zero, negative, huge or strange value in each place of a settings object. Each ends the start with
-// one line that names its field, or has a meaning that is written down, with which a module places work and does not panic.
+// TestOddFields puts an absent, empty, zero, negative, huge or strange value in each place of a settings object. Each is an error of one line
+// that names its field, or has a meaning that is written down, with which a module places work and does not panic.
 func TestOddFields(t *testing.T) {
 	if d, err := Read([]byte(settings)); err != nil || play(d) == 0 {
 		t.Fatalf("%v: the settings as they are place nothing", err)
@@ -142,29 +143,36 @@
 		}
 		for _, to := range []any{nil, 0.0, -1.0, 1e300, "", "odd", []any{}, map[string]any{}, true} {
 			tried++
-			d, err := Read(with(t, path, to))
-			if err == nil {
-				err = d.ValidateForSockets()
-			}
-			what := fmt.Sprintf("%v = %v", path, to)
-			if err != nil {
-				if s := err.Error(); strings.Contains(s, "\n") || !strings.Contains(s, field) && !strings.Contains(s, path[0].(string)) {
-					t.Errorf("%s: %q does not name the field", what, s)
-				}
-				continue
-			}
-			if n, isNumber := to.(float64); isNumber && (n < 0 || n > 1e9) && field != "kind-by-class" && field != "fleet" {
-				t.Errorf("%s is taken", what)
-			}
-			if to == nil || to == 0.0 {
-				if _, index := path[len(path)-1].(int); means[field] == "" && !index {
-					t.Errorf("%s is taken, and nothing says what it means", what)
-				}
-			}
-			play(d)
+			checkOddValue(t, path, field, to)
 		}
 	})
 	if tried < 300 {
 		t.Errorf("%d values tried", tried)
 	}
 }
+
+// checkOddValue reads the settings with a value in one place, which field names, and checks that the error names the field, or that the value has
+// a meaning with which a module works.
+func checkOddValue(t *testing.T, path []any, field string, to any) {
+	t.Helper()
+	d, err := Read(with(t, path, to))
+	if err == nil {
+		err = d.ValidateForSockets()
+	}
+	what := fmt.Sprintf("%v = %v", path, to)
+	if err != nil {
+		if s := err.Error(); strings.Contains(s, "\n") || !strings.Contains(s, field) && !strings.Contains(s, path[0].(string)) {
+			t.Errorf("%s: %q does not name the field", what, s)
+		}
+		return
+	}
+	if n, isNumber := to.(float64); isNumber && (n < 0 || n > 1e9) && field != "kind-by-class" && field != "fleet" {
+		t.Errorf("%s is taken", what)
+	}
+	if to == nil || to == 0.0 {
+		if _, index := path[len(path)-1].(int); meanings[field] == "" && !index {
+			t.Errorf("%s is taken, and nothing says what it means", what)
+		}
+	}
+	play(d)
+}
