--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -160,8 +160,7 @@
 	x, slow := r.dial(), r.dial()
 	slow.request(6, "batch")
 	r.pass(200)
-	var far interface{ Stall(float64) } = slow.conn.(interface{ Stall(float64) })
-	far.Stall(60000)
+	slow.conn.(interface{ Stall(float64) }).Stall(60000)
 	for range 30 {
 		var b []byte
 		for i := range 1000 {
--- a/internal/platform/configuration_test.go
+++ b/internal/platform/configuration_test.go
@@ -10,81 +10,93 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestOddStarts begins schedulers under what no list of faults names.
+// TestOddStarts starts schedulers in conditions that no list of faults names.
 func TestOddStarts(t *testing.T) {
-	t.Run("the journal service is silent", func(t *testing.T) {
-		r := startRig(t, "a", "b")
-		r.journal.silent = true
-		r.process.Kill(false)
-		r.process.Start()
-		r.start()
-		x := r.dial()
-		x.request(7, "single")
-		r.pass(3000)
-		if len(x.received) != 1 || !strings.HasPrefix(x.received[0], "7 served") {
-			t.Errorf("%q", x.received)
-		}
-		r.journal.silent = false
-		r.journal.publish(entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
-		r.pass(6000)
-		x.received = nil
-		x.request(8, "single")
-		r.pass(3000)
-		x.want("all drain, as it hears once it is not silent any more", "8 end 42")
-	})
-	t.Run("known holds gone and draining nodes alone", func(t *testing.T) {
-		r := startRig(t, "a", "b")
-		r.process.Kill(false)
-		r.process.Start()
-		first := event(1, true, entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
-		r.journal.events = []string{first}
-		r.configuration.InitialEvents = []byte(`{"pos":1,"entries":[` + first + `]}`)
-		r.start()
-		x := r.dial()
-		x.send(setUp(6, "batch", codec.ParamDemand, demandText+";at:a"))
-		r.pass(200)
-		r.nodes["a"].conns[len(r.nodes["a"].conns)-1].send(message(codec.KindEnd, 6, codec.ParamCause, string(byte(codec.CauseNormal)), codec.ParamReport, "x0:3;x1:9"))
-		x.request(7, "single")
-		r.pass(6000)
-		x.want("the end of the running task where it drains, and none served", "6 end 16", "7 end 42")
-		r.journal.publish(entryOf("b", "b", "ready"))
-		r.pass(3000)
-		x.received = nil
-		x.request(8, "single")
-		r.pass(1000)
-		x.want("one is back", "8 served "+r.nodes["b"].description(8))
-	})
-	t.Run("a node is named twice", func(t *testing.T) {
-		r := startRig(t, "a", "b")
-		r.journal.publish(entryOf("a", "a", "ready"), entryOf("a", "a", "draining"), entryOf("a", "a", "draining"))
-		r.pass(2000)
-		x := r.dial()
-		for task := range uint64(6) {
-			x.request(task+1, "batch")
-		}
-		r.pass(500)
-		if n := len(r.nodes["a"].starts); n != 0 || len(x.received) != 6 {
-			t.Errorf("%d offered to the one that drains, as its last entry says; %q", n, x.received)
-		}
-	})
-	t.Run("the configuration changes while it ends", func(t *testing.T) {
-		r := startRig(t, "a")
-		x := r.dial()
-		r.nodes["a"].onSetUp = func(*testConn, uint64) {}
-		x.request(7, "single")
-		r.pass(20)
-		r.server.Stop()
-		moved := *r.configuration
-		moved.Journal = "journal:2"
-		r.server.ApplyConfiguration(&moved)
-		r.pass(6000)
-		x.want("one answer", "7 end 41")
-		select {
-		case <-r.server.Done():
-		default:
-			t.Error("it does not end")
-		}
-	})
+	t.Run("the journal service is silent", startWithSilentJournal)
+	t.Run("known holds gone and draining nodes alone", startWithoutReadyNodes)
+	t.Run("a node is named twice", startWithNodeNamedTwice)
+	t.Run("the configuration changes while it ends", configureWhileStopping)
+}
+
+func startWithSilentJournal(t *testing.T) {
+	t.Helper()
+	r := startRig(t, "a", "b")
+	r.journal.silent = true
+	r.process.Kill(false)
+	r.process.Start()
+	r.start()
+	x := r.dial()
+	x.request(7, "single")
+	r.pass(3000)
+	if len(x.received) != 1 || !strings.HasPrefix(x.received[0], "7 served") {
+		t.Errorf("%q", x.received)
+	}
+	r.journal.silent = false
+	r.journal.publish(entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
+	r.pass(6000)
+	x.received = nil
+	x.request(8, "single")
+	r.pass(3000)
+	x.want("all drain, as it hears once it is not silent any more", "8 end 42")
+}
+
+func startWithoutReadyNodes(t *testing.T) {
+	t.Helper()
+	r := startRig(t, "a", "b")
+	r.process.Kill(false)
+	r.process.Start()
+	first := event(1, true, entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
+	r.journal.events = []string{first}
+	r.configuration.InitialEvents = []byte(`{"pos":1,"entries":[` + first + `]}`)
+	r.start()
+	x := r.dial()
+	x.send(setUp(6, "batch", codec.ParamDemand, demandText+";at:a"))
+	r.pass(200)
+	r.nodes["a"].conns[len(r.nodes["a"].conns)-1].send(message(codec.KindEnd, 6, codec.ParamCause, string(byte(codec.CauseNormal)), codec.ParamReport, "x0:3;x1:9"))
+	x.request(7, "single")
+	r.pass(6000)
+	x.want("the end of the running task where it drains, and none served", "6 end 16", "7 end 42")
+	r.journal.publish(entryOf("b", "b", "ready"))
+	r.pass(3000)
+	x.received = nil
+	x.request(8, "single")
+	r.pass(1000)
+	x.want("one is back", "8 served "+r.nodes["b"].description(8))
+}
+
+func startWithNodeNamedTwice(t *testing.T) {
+	t.Helper()
+	r := startRig(t, "a", "b")
+	r.journal.publish(entryOf("a", "a", "ready"), entryOf("a", "a", "draining"), entryOf("a", "a", "draining"))
+	r.pass(2000)
+	x := r.dial()
+	for task := range uint64(6) {
+		x.request(task+1, "batch")
+	}
+	r.pass(500)
+	if n := len(r.nodes["a"].starts); n != 0 || len(x.received) != 6 {
+		t.Errorf("%d offered to the one that drains, as its last entry says; %q", n, x.received)
+	}
+}
+
+func configureWhileStopping(t *testing.T) {
+	t.Helper()
+	r := startRig(t, "a")
+	x := r.dial()
+	r.nodes["a"].onSetUp = func(*testConn, uint64) {}
+	x.request(7, "single")
+	r.pass(20)
+	r.server.Stop()
+	moved := *r.configuration
+	moved.Journal = "journal:2"
+	r.server.ApplyConfiguration(&moved)
+	r.pass(6000)
+	x.want("one answer", "7 end 41")
+	select {
+	case <-r.server.Done():
+	default:
+		t.Error("it does not end")
+	}
 }
 
 // TestRun names what is wrong, where, and does not start.
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -19,8 +19,94 @@
 	return all
 }
 
-// TestDescriptors fills the door and has something stand at every node, of which there are more than the scheduler may
-// have connections to: it never holds more than it may, calls no node lost or ill, and hears of every end in time.
+// descriptorRun is a run of TestDescriptors.
+type descriptorRun struct {
+	*simRig
+	names   []string           // of the nodes
+	held    []*testClient      // which fill the client listener
+	maxHeld int                // connections at once
+	endedAt map[uint64]float64 // when the first client was sent the end of a task
+}
+
+// connectClients opens as many connections of clients as the scheduler accepts.
+func (d *descriptorRun) connectClients() {
+	for range d.server.limits.ClientConns {
+		x := &testClient{testConn: &testConn{}, rig: d.simRig}
+		x.onMessage = func([]byte) {}
+		d.clients.Dial(clientAddress, 1000, func(c env.Conn, err error) {
+			if err == nil {
+				x.conn = c
+				c.Start(x, 5000)
+				x.send(codec.AppendTest(nil, 9, false))
+			}
+		})
+		d.held = append(d.held, x)
+	}
+}
+
+// step lets 60 ms go by and counts the connections.
+func (d *descriptorRun) step() {
+	d.pass(60)
+	held := 0
+	for _, n := range d.nodes {
+		held += len(open(n))
+	}
+	for _, x := range d.held {
+		if !x.ended {
+			held++
+		}
+	}
+	d.maxHeld = max(d.maxHeld, held)
+}
+
+// endTasks has every node send the end of its task, on each connection that is open, and on each that comes.
+func (d *descriptorRun) endTasks() {
+	for i, name := range d.names {
+		n, task := d.nodes[name], uint64(1000+i)
+		end := codec.AppendEnd(nil, task, codec.CauseNormal)
+		for _, e := range open(n) {
+			e.send(end)
+		}
+		n.onConnect = func(e *testConn) { e.send(end) }
+	}
+}
+
+// countEnds counts the ends that were sent to the client after a time, and those that were not sent.
+func (d *descriptorRun) countEnds(deadline float64) (late, missing int) {
+	for i := range d.names {
+		at, ok := d.endedAt[uint64(1000+i)]
+		if !ok {
+			missing++
+		} else if at > deadline {
+			late++
+		}
+	}
+	return late, missing
+}
+
+// check checks what the scheduler held, how it judged the nodes, and how often it dialed them.
+func (d *descriptorRun) check() {
+	t, s := d.t, d.server
+	t.Helper()
+	if d.maxHeld > s.limits.ClientConns+s.limits.NodeConns || d.maxHeld > d.configuration.Sockets*98/100-8 {
+		t.Errorf("%d connections at once, %d and %d are allowed of %d descriptors", d.maxHeld, s.limits.ClientConns, s.limits.NodeConns,
+			d.configuration.Sockets)
+	}
+	if s.telemetry.outcomes[logic.ConnectionLost] > 0 || s.telemetry.counts[countDialsExhausted] > 0 {
+		t.Errorf("verdicts %v, %d dials found nothing left", s.telemetry.outcomes, s.telemetry.counts[countDialsExhausted])
+	}
+	for _, n := range s.nodes.byID {
+		if b, _ := s.host.Belief(n.id); b.Unhealthy {
+			t.Errorf("%s is taken for unhealthy", n.name)
+		}
+	}
+	if dials := float64(s.telemetry.counts[countDials]) / (float64(len(d.names)) * 18 / 2); dials > 1.3 {
+		t.Errorf("%d dials: %.1f a node in two seconds", s.telemetry.counts[countDials], dials)
+	}
+}
+
+// TestDescriptors fills the client listener and has a task run at every node, of which there are more than the scheduler may have connections
+// to: it never holds more connections than it may, takes no node for lost or unhealthy, and learns of every end in time.
 func TestDescriptors(t *testing.T) {
 	for _, nodes := range []int{40, 120, 200} {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
@@ -28,89 +114,35 @@
 			for i := range nodes {
 				names = append(names, fmt.Sprint("n", i))
 			}
-			r := startRig(t, names...)
-			var doors []*testClient
-			for range r.server.limits.ClientConns {
-				x := &testClient{testConn: &testConn{}, rig: r}
-				x.onMessage = func([]byte) {}
-				r.clients.Dial(clientAddress, 1000, func(c env.Conn, err error) {
-					if err == nil {
-						x.conn = c
-						c.Start(x, 5000)
-						x.send(codec.AppendTest(nil, 9, false))
-					}
-				})
-				doors = append(doors, x)
-			}
-			r.pass(100)
-			if len(r.server.clients.conns) != r.server.limits.ClientConns {
-				t.Fatalf("%d client connections", len(r.server.clients.conns))
+			d := &descriptorRun{simRig: startRig(t, names...), names: names, endedAt: map[uint64]float64{}}
+			d.connectClients()
+			d.pass(100)
+			if len(d.server.clients.conns) != d.server.limits.ClientConns {
+				t.Fatalf("%d client connections", len(d.server.clients.conns))
 			}
-			most, ended := 0, map[uint64]float64{}
-			count := func() {
-				held := 0
-				for _, n := range r.nodes {
-					held += len(open(n))
-				}
-				for _, x := range doors {
-					if !x.ended {
-						held++
-					}
-				}
-				most = max(most, held)
-			}
-			x := doors[0]
+			x := d.held[0]
 			x.onMessage = func(msg []byte) {
 				if codec.Kind(msg) == codec.KindEnd {
-					ended[codec.Task(msg)] = r.clock.TrueTime()
+					d.endedAt[codec.Task(msg)] = d.clock.TrueTime()
 				}
 			}
 			for i, name := range names {
 				x.send(setUp(uint64(1000+i), "single", codec.ParamDemand, demandText+";at:"+name))
-				r.nodes[name].running[uint64(1000+i)] = true
+				d.nodes[name].running[uint64(1000+i)] = true
 			}
 			for i := range 200 {
 				x.request(uint64(1+i), "batch")
-				r.pass(60)
-				count()
-			}
-			ends := r.clock.TrueTime()
-			for i, name := range names { // on what is open, and on what comes next
-				n, task := r.nodes[name], uint64(1000+i)
-				end := codec.AppendEnd(nil, task, codec.CauseNormal)
-				for _, e := range open(n) {
-					e.send(end)
-				}
-				n.onConnect = func(e *testConn) { e.send(end) }
+				d.step()
 			}
+			ends := d.clock.TrueTime()
+			d.endTasks()
 			for range 100 {
-				r.pass(60)
-				count()
-			}
-			if most > r.server.limits.ClientConns+r.server.limits.NodeConns || most > r.configuration.Sockets*98/100-8 {
-				t.Errorf("%d connections at once, %d and %d are allowed of %d descriptors", most, r.server.limits.ClientConns, r.server.limits.NodeConns, r.configuration.Sockets)
-			}
-			late, unheard := 0, 0
-			for i := range names {
-				at, ok := ended[uint64(1000+i)]
-				if !ok {
-					unheard++
-				} else if at > ends+5500 {
-					late++
-				}
-			}
-			if late+unheard > 0 || r.server.telemetry.outcomes[logic.ConnectionLost] > 0 || r.server.telemetry.counts[countDialsExhausted] > 0 {
-				t.Errorf("of %d ends %d came late, %d never; verdicts %v, %d dials found nothing left", nodes, late, unheard, r.server.telemetry.outcomes,
-					r.server.telemetry.counts[countDialsExhausted])
-			}
-			for _, p := range r.server.nodes.byID {
-				if b, _ := r.server.host.Belief(p.id); b.Unhealthy {
-					t.Errorf("%s is taken for ill", p.name)
-				}
+				d.step()
 			}
-			if d := float64(r.server.telemetry.counts[countDials]) / (float64(nodes) * 18 / 2); d > 1.3 {
-				t.Errorf("%d dials: %.1f a node in two seconds", r.server.telemetry.counts[countDials], d)
+			if late, missing := d.countEnds(ends + 5500); late+missing > 0 {
+				t.Errorf("of %d ends %d came late, %d never", nodes, late, missing)
 			}
+			d.check()
 		})
 	}
 }
--- a/internal/platform/early_end_test.go
+++ b/internal/platform/early_end_test.go
@@ -8,14 +8,17 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// earlyEnds are ends that a node sends for a task before its answer.
-var earlyEnds = []struct {
+// earlyEnd is a way in which a node ends a task before its answer.
+type earlyEnd struct {
 	name  string
 	cause byte
 	word  string
 	notes bool // before it
 	ran   bool // it is the end of a run
-}{
+}
+
+// earlyEnds are ends that a node sends for a task before its answer.
+var earlyEnds = []earlyEnd{
 	{"cut, sent away, after notes", codec.CauseReset, "sent_away", true, true},
 	{"cut, sent away", codec.CauseReset, "sent_away", false, true},
 	{"cut, evicted", codec.CauseReset, "evicted", false, true},
@@ -46,6 +49,69 @@
 	return append(b, message(codec.KindEnd, task, codec.ParamCause, string(rune(cause)), codec.ParamReason, word)...)
 }
 
+// earlyEndRun is what happened to the request of TestEndBeforeAnswer.
+type earlyEndRun struct {
+	attempts int
+	first    *fakeNode // that was tried first
+	endedAt  float64   // when it sends the end
+}
+
+// arrange has the first node that is tried end the task after 500 ms, and answer it so many ms later: never if late is negative. Any other node
+// answers as usual.
+func (run *earlyEndRun) arrange(r *simRig, c earlyEnd, late float64) {
+	for _, n := range r.nodes {
+		n.onSetUp = func(e *testConn, task uint64) {
+			if run.attempts++; run.attempts > 1 {
+				n.answer(e, task)
+				return
+			}
+			run.first, run.endedAt = n, r.clock.TrueTime()+500
+			answer := codec.AppendAnswer(nil, task, []byte(n.description(task)))
+			n.process.After(500, func() {
+				b := early(task, c.cause, c.word, c.notes)
+				if late == 0 { // in one piece
+					b = append(b, answer...)
+				}
+				e.send(b)
+			})
+			if late > 0 {
+				n.process.After(500+late, func() { e.send(answer) })
+			}
+		}
+	}
+}
+
+// checkEarlyEnd plays one case of TestEndBeforeAnswer.
+func checkEarlyEnd(t *testing.T, c earlyEnd, job string, late float64) {
+	t.Helper()
+	r := startRig(t, "a", "b")
+	x := r.dial()
+	var run earlyEndRun
+	run.arrange(r, c, late)
+	x.request(7, job)
+	r.pass(5000)
+	if !c.ran {
+		mayRetry := job != "single" || c.cause == codec.CauseFull
+		if (run.attempts > 1) != mayRetry || len(x.received) == 0 {
+			t.Errorf("%d attempts, heard %q", run.attempts, x.received)
+		}
+		return
+	}
+	x.want("the final answer", "7 "+afterRun[job])
+	if run.attempts != 1 {
+		t.Errorf("%d attempts after a run", run.attempts)
+	}
+	if len(x.receivedAt) > 0 && x.receivedAt[0] > run.endedAt+50 {
+		t.Errorf("told %.0f ms after the end", x.receivedAt[0]-run.endedAt)
+	}
+	if told := slices.Contains(run.first.ended, 7); told != (late >= 0) {
+		t.Errorf("the node of the late answer is told to end the task: %t", told)
+	}
+	if len(r.server.requests.byAlloc)+len(r.server.requests.byTask) > 0 || r.server.requests.admission.Open() != 0 {
+		t.Errorf("%d requests, %d tasks, %d open are kept", len(r.server.requests.byAlloc), len(r.server.requests.byTask), r.server.requests.admission.Open())
+	}
+}
+
 // TestEndBeforeAnswer has a node end a task before its answer, which follows late, never, or in the same moment. The end of a run gives the
 // client its final answer at once and no second attempt is made; the late answer reaches nobody, and the node is told to end the task. An
 // attempt that was not a run is followed by another as before, but for run-once work that may have run.
@@ -54,52 +120,7 @@
 		for _, job := range []string{"batch", "marked", "single"} {
 			for _, late := range []float64{0, 1, 1700, -1} {
 				t.Run(fmt.Sprintf("%s, %s, answer after %g", c.name, job, late), func(t *testing.T) {
-					r := startRig(t, "a", "b")
-					x := r.dial()
-					attempts, ended := 0, 0.0
-					var first *fakeNode
-					for _, n := range r.nodes {
-						n.onSetUp = func(e *testConn, task uint64) {
-							if attempts++; attempts > 1 {
-								n.answer(e, task)
-								return
-							}
-							first, ended = n, r.clock.TrueTime()+500
-							answer := codec.AppendAnswer(nil, task, []byte(n.description(task)))
-							n.process.After(500, func() {
-								b := early(task, c.cause, c.word, c.notes)
-								if late == 0 { // in one piece
-									b = append(b, answer...)
-								}
-								e.send(b)
-							})
-							if late > 0 {
-								n.process.After(500+late, func() { e.send(answer) })
-							}
-						}
-					}
-					x.request(7, job)
-					r.pass(5000)
-					if !c.ran {
-						mayRetry := job != "single" || c.cause == codec.CauseFull
-						if (attempts > 1) != mayRetry || len(x.received) == 0 {
-							t.Errorf("%d attempts, heard %q", attempts, x.received)
-						}
-						return
-					}
-					x.want("the final answer", "7 "+afterRun[job])
-					if attempts != 1 {
-						t.Errorf("%d attempts after a run", attempts)
-					}
-					if len(x.receivedAt) > 0 && x.receivedAt[0] > ended+50 {
-						t.Errorf("told %.0f ms after the end", x.receivedAt[0]-ended)
-					}
-					if told := slices.Contains(first.ended, 7); told != (late >= 0) {
-						t.Errorf("the node of the late answer is told to end the task: %t", told)
-					}
-					if len(r.server.requests.byAlloc)+len(r.server.requests.byTask) > 0 || r.server.requests.admission.Open() != 0 {
-						t.Errorf("%d requests, %d tasks, %d open are kept", len(r.server.requests.byAlloc), len(r.server.requests.byTask), r.server.requests.admission.Open())
-					}
+					checkEarlyEnd(t, c, job, late)
 				})
 			}
 		}
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -7,106 +7,114 @@
 	"testing"
 )
 
-// TestJournal has the journal service do what it does on bad days. In the end node b is known, once, and a is gone.
-func TestJournal(t *testing.T) {
-	gone, come := entryOf("a", "a", "gone"), entryOf("b", "b", "ready")
-	for _, c := range []struct {
-		name string
-		do   func(r *simRig)
-		in   float64 // ms until the news must be there
-	}{
-		{"as it should", func(r *simRig) { r.journal.publish(gone); r.journal.publish(come) }, 100},
-		{"twice", func(r *simRig) {
-			r.journal.publish(come)
-			r.journal.broadcast(r.journal.events[1] + "\n" + r.journal.events[0] + "\n")
-			r.journal.publish(gone)
-		}, 100},
-		{"torn, and breaks off", func(r *simRig) {
-			r.journal.events = append(r.journal.events, event(2, false, gone, come))
-			r.journal.broadcast(r.journal.events[1][:40])
-			for _, x := range r.journal.conns {
-				x.conn.Close(true, nil)
-			}
-		}, 300},
-		{"noise", func(r *simRig) {
-			r.journal.events = append(r.journal.events, event(2, false, gone, come))
-			r.journal.broadcast("{\"pos\":2,\"hosts\":{\"endpo\n")
-		}, 300},
-		{"one left out", func(r *simRig) {
-			r.journal.events = append(r.journal.events, event(2, false, gone))
-			r.journal.publish(come)
-		}, 300},
-		{"silent but open", func(r *simRig) {
-			r.journal.silent = true
-			r.journal.publish(gone, come)
-			r.pass(1000)
-			r.journal.silent = false
-			r.journal.conns[0].closed = true // nothing more comes on the old connection
-		}, 3000},
-		{"silent in the midst of a line", func(r *simRig) {
-			r.journal.events = append(r.journal.events, event(2, false, gone, come))
-			r.journal.broadcast(r.journal.events[1][:60])
-			r.journal.conns[0].closed = true
-		}, 3000},
-		{"in a trickle", func(r *simRig) {
-			r.journal.events = append(r.journal.events, event(2, false, gone, come))
-			x, line := r.journal.conns[0], r.journal.events[1]+"\n"
-			x.closed = true // no count comes between
-			for i := range line {
-				r.clock.At(r.clock.TrueTime()+8*float64(i), func() { x.send(line[i : i+1]) })
-			}
-		}, 8*400 + 200},
-		{"in a trickle without end", func(r *simRig) {
-			r.journal.events = append(r.journal.events, event(2, false, gone, come))
-			x := r.journal.conns[0]
-			x.closed = true
-			for i := range 100 {
-				r.clock.At(r.clock.TrueTime()+100*float64(i), func() { x.send("{") })
-			}
-		}, 5000},
-		{"silent, at another address, where it is silent too, and at a third", func(r *simRig) {
-			old := r.journal
-			old.silent = true
-			for i := range 2 {
-				r.journal = newFakeJournal(r, fmt.Sprint("journal:", 2+i))
-				r.journal.events = append([]string(nil), old.events...)
-				r.journal.silent = i == 0
-				r.pass(500)
-				r.server.mu.Lock()
-				r.server.endpoints.setAddress(fmt.Sprint("journal:", 2+i))
-				r.server.mu.Unlock()
-			}
-			r.pass(50)
-			r.journal.publish(gone, come)
-		}, 100},
-		{"moved and moved back before a connection is made", func(r *simRig) {
-			other := newFakeJournal(r, "journal:2")
-			other.silent = true
-			r.server.mu.Lock()
-			for range 5 {
-				r.server.endpoints.setAddress("journal:2")
-				r.server.endpoints.setAddress("journal:1")
-			}
-			r.server.mu.Unlock()
-			r.pass(50)
-			r.journal.publish(gone, come)
-		}, 100},
-		{"at another address", func(r *simRig) {
-			old := r.journal
-			r.journal = newFakeJournal(r, "journal:2")
+// Events of TestJournal.
+var (
+	goneA  = entryOf("a", "a", "gone")
+	readyB = entryOf("b", "b", "ready")
+)
+
+// journalFaults are ways in which the journal service tells that node a is gone and node b is ready.
+var journalFaults = []struct {
+	name string
+	do   func(r *simRig)
+	in   float64 // ms until the scheduler has to know
+}{
+	{"as it should", func(r *simRig) { r.journal.publish(goneA); r.journal.publish(readyB) }, 100},
+	{"twice", func(r *simRig) {
+		r.journal.publish(readyB)
+		r.journal.broadcast(r.journal.events[1] + "\n" + r.journal.events[0] + "\n")
+		r.journal.publish(goneA)
+	}, 100},
+	{"torn, and breaks off", func(r *simRig) {
+		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
+		r.journal.broadcast(r.journal.events[1][:40])
+		for _, x := range r.journal.conns {
+			x.conn.Close(true, nil)
+		}
+	}, 300},
+	{"noise", func(r *simRig) {
+		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
+		r.journal.broadcast("{\"pos\":2,\"hosts\":{\"endpo\n")
+	}, 300},
+	{"one left out", func(r *simRig) {
+		r.journal.events = append(r.journal.events, event(2, false, goneA))
+		r.journal.publish(readyB)
+	}, 300},
+	{"silent but open", func(r *simRig) {
+		r.journal.silent = true
+		r.journal.publish(goneA, readyB)
+		r.pass(1000)
+		r.journal.silent = false
+		r.journal.conns[0].closed = true // nothing more comes on the old connection
+	}, 3000},
+	{"silent in the midst of a line", func(r *simRig) {
+		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
+		r.journal.broadcast(r.journal.events[1][:60])
+		r.journal.conns[0].closed = true
+	}, 3000},
+	{"in a trickle", func(r *simRig) {
+		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
+		x, line := r.journal.conns[0], r.journal.events[1]+"\n"
+		x.closed = true // no count comes between
+		for i := range line {
+			r.clock.At(r.clock.TrueTime()+8*float64(i), func() { x.send(line[i : i+1]) })
+		}
+	}, 8*400 + 200},
+	{"in a trickle without end", func(r *simRig) {
+		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
+		x := r.journal.conns[0]
+		x.closed = true
+		for i := range 100 {
+			r.clock.At(r.clock.TrueTime()+100*float64(i), func() { x.send("{") })
+		}
+	}, 5000},
+	{"silent, at another address, where it is silent too, and at a third", func(r *simRig) {
+		old := r.journal
+		old.silent = true
+		for i := range 2 {
+			r.journal = newFakeJournal(r, fmt.Sprint("journal:", 2+i))
 			r.journal.events = append([]string(nil), old.events...)
-			old.silent = true
+			r.journal.silent = i == 0
+			r.pass(500)
 			r.server.mu.Lock()
-			r.server.endpoints.setAddress("journal:2")
+			r.server.endpoints.setAddress(fmt.Sprint("journal:", 2+i))
 			r.server.mu.Unlock()
-			r.pass(50)
-			r.journal.publish(gone, come)
-		}, 100},
-		{"a whole list", func(r *simRig) {
-			r.journal.events = append(r.journal.events, event(2, true, come))
-			r.journal.broadcast(r.journal.events[1] + "\n")
-		}, 100},
-	} {
+		}
+		r.pass(50)
+		r.journal.publish(goneA, readyB)
+	}, 100},
+	{"moved and moved back before a connection is made", func(r *simRig) {
+		other := newFakeJournal(r, "journal:2")
+		other.silent = true
+		r.server.mu.Lock()
+		for range 5 {
+			r.server.endpoints.setAddress("journal:2")
+			r.server.endpoints.setAddress("journal:1")
+		}
+		r.server.mu.Unlock()
+		r.pass(50)
+		r.journal.publish(goneA, readyB)
+	}, 100},
+	{"at another address", func(r *simRig) {
+		old := r.journal
+		r.journal = newFakeJournal(r, "journal:2")
+		r.journal.events = append([]string(nil), old.events...)
+		old.silent = true
+		r.server.mu.Lock()
+		r.server.endpoints.setAddress("journal:2")
+		r.server.mu.Unlock()
+		r.pass(50)
+		r.journal.publish(goneA, readyB)
+	}, 100},
+	{"a whole list", func(r *simRig) {
+		r.journal.events = append(r.journal.events, event(2, true, readyB))
+		r.journal.broadcast(r.journal.events[1] + "\n")
+	}, 100},
+}
+
+// TestJournal has the journal service do what it does on bad days. In the end node b is known, once, and a is gone.
+func TestJournal(t *testing.T) {
+	for _, c := range journalFaults {
 		t.Run(c.name, func(t *testing.T) {
 			r := startRig(t, "a")
 			newFakeNode(r, "b", "b")
@@ -127,7 +135,7 @@
 	}
 }
 
-// TestReread follows a changed configuration, and stays with the old values where it can't be read.
+// TestReread checks that a changed configuration is followed, and that one that can't be read changes nothing.
 func TestReread(t *testing.T) {
 	r := startRig(t, "a")
 	file := filepath.Join(t.TempDir(), "config.json")
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -54,6 +54,7 @@
 
 // begin starts a host of some nodes, in two zones in turn.
 func begin(t *testing.T, nodes int) *script {
+	t.Helper()
 	s := &script{t: t, now: 1e6}
 	cl := &logic.Cluster{
 		Schedulers: 1, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true, KindCores: []float64{32},
--- a/internal/platform/host/host_timing_test.go
+++ b/internal/platform/host/host_timing_test.go
@@ -75,6 +75,77 @@
 	}
 }
 
+// race is a case of TestRacesWithTimers.
+type race struct {
+	what       string
+	say        func(s *script, id uint32) bool // returns whether the task runs then
+	atDeadline bool                            // at the client's deadline, else at the attempt's time-out
+	before     bool                            // before the round that fires the timer, else after it
+	job        int
+}
+
+// start requests a task and lets time go by until the timer is due.
+func (c race) start(t *testing.T) (s *script, id uint32) {
+	t.Helper()
+	s = begin(t, 4)
+	id = s.request(c.job)
+	deadline := s.now + 2500
+	s.advance(10)
+	if s.takeLog() != "offer 1.0" {
+		t.Fatal("not offered")
+	}
+	at := s.lastAttempt.until
+	if c.atDeadline {
+		for at = deadline; s.lastAttempt.until < deadline; { // attempts until one lasts to the deadline, or none is left
+			until := s.lastAttempt.until
+			if s.advance(until - s.now + 5); s.lastAttempt.until == until {
+				break
+			}
+		}
+		s.takeLog()
+	}
+	s.now = max(s.now, at)
+	return s, id
+}
+
+// check plays the race and checks what is sent.
+func (c race) check(t *testing.T) {
+	t.Helper()
+	s, id := c.start(t)
+	if !c.before {
+		s.host.Round(s.now)
+	}
+	runs := c.say(s, id)
+	if c.before {
+		s.host.Round(s.now)
+	}
+	s.advance(4000)
+	c.checkAnswers(t, runs, s.takeLog())
+	if runs {
+		s.host.OnOutcome(s.now, id, s.lastAttempt.number, logic.Completed, 0, nil)
+		s.advance(100)
+	}
+	if len(s.host.allocations) > 0 || s.host.OpenRequests() != 0 || s.host.RunningTasks() != 0 {
+		t.Errorf("%d are kept, %d open, %d run", len(s.host.allocations), s.host.OpenRequests(), s.host.RunningTasks())
+	}
+}
+
+// checkAnswers checks what the host has sent after the race: at most one answer, and none if the task runs.
+func (c race) checkAnswers(t *testing.T, runs bool, said string) {
+	t.Helper()
+	answers := strings.Count(said, "answer")
+	switch {
+	case runs && (answers > 0 || strings.Contains(said, "give up")):
+		t.Errorf("it runs, and then %q", said)
+	case !runs && c.what == "withdrawn" && answers > 1, !runs && c.what != "withdrawn" && !c.atDeadline && answers != 1:
+		t.Errorf("%d answers: %q", answers, said)
+	case c.atDeadline && answers > 1:
+		t.Errorf("%d answers: %q", answers, said)
+	case c.atDeadline && c.what == "started" && runs:
+		t.Errorf("started at its deadline: %q", said)
+	}
+}
+
 // TestRacesWithTimers has what a node or a client says come in the very moment in which a try's time-out or the expiry falls due, before the turn
 // that meets it and after it. The client hears once or not at all if it is gone, a start that counts is never given up, one that does not is
 // no start, and nothing is kept.
@@ -96,52 +167,8 @@
 			for _, first := range []bool{true, false} {
 				for job := range 3 {
 					t.Run(fmt.Sprintf("%s at the %s, before it %v, job %d", what, due, first, job), func(t *testing.T) {
-						s := begin(t, 4)
-						id := s.request(job)
-						expiry := s.now + 2500
-						s.advance(10)
-						if s.takeLog() != "offer 1.0" {
-							t.Fatal("not offered")
-						}
-						at := s.lastAttempt.until
-						if due == "expiry" {
-							for at = expiry; s.lastAttempt.until < expiry; { // tries until one lasts to the expiry, or none is left
-								until := s.lastAttempt.until
-								if s.advance(until - s.now + 5); s.lastAttempt.until == until {
-									break
-								}
-							}
-							s.takeLog()
-						}
-						s.now = max(s.now, at)
-						stands := false
-						if first {
-							stands = say(s, id)
-							s.host.Round(s.now)
-						} else {
-							s.host.Round(s.now)
-							stands = say(s, id)
-						}
-						s.advance(4000)
-						said := s.takeLog()
-						answers := strings.Count(said, "answer")
-						switch {
-						case stands && (answers > 0 || strings.Contains(said, "give up")):
-							t.Errorf("it stands, and then %q", said)
-						case !stands && what == "withdrawn" && answers > 1, !stands && what != "withdrawn" && due == "time-out" && answers != 1:
-							t.Errorf("%d answers: %q", answers, said)
-						case due == "expiry" && answers > 1:
-							t.Errorf("%d answers: %q", answers, said)
-						case due == "expiry" && what == "started" && stands:
-							t.Errorf("started at its expiry: %q", said)
-						}
-						if stands {
-							s.host.OnOutcome(s.now, id, s.lastAttempt.number, logic.Completed, 0, nil)
-							s.advance(100)
-						}
-						if len(s.host.allocations) > 0 || s.host.OpenRequests() != 0 || s.host.RunningTasks() != 0 {
-							t.Errorf("%d are kept, %d open, %d stand", len(s.host.allocations), s.host.OpenRequests(), s.host.RunningTasks())
-						}
+						c := race{what: what, say: say, atDeadline: due == "expiry", before: first, job: job}
+						c.check(t)
 					})
 				}
 			}
--- a/internal/platform/host/supervisor_test.go
+++ b/internal/platform/host/supervisor_test.go
@@ -38,6 +38,7 @@
 }
 
 func newPanickingScript(t *testing.T, nodes int) *panickingScript {
+	t.Helper()
 	m := &panickingScript{script: begin(t, nodes)}
 	m.host.effects = m
 	return m
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -141,7 +141,12 @@
 	connOf map[uint64]net.Conn
 }
 
+// closeQuietly closes what may be closed already.
+func closeQuietly(c io.Closer) { _ = c.Close() }
+
+// serveTCP runs a function for each connection to a listener on loopback, until the end of the test.
 func serveTCP(t *testing.T, each func(net.Conn)) net.Listener {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -158,14 +163,14 @@
 			mu.Lock()
 			all = append(all, c)
 			mu.Unlock()
-			work.Go(func() { defer c.Close(); each(c) })
+			work.Go(func() { defer closeQuietly(c); each(c) })
 		}
 	})
 	t.Cleanup(func() {
-		l.Close()
+		closeQuietly(l)
 		mu.Lock()
 		for _, c := range all {
-			c.Close()
+			closeQuietly(c)
 		}
 		mu.Unlock()
 		work.Wait()
@@ -174,6 +179,7 @@
 }
 
 func newTCPNode(t *testing.T) *tcpNode {
+	t.Helper()
 	n := &tcpNode{connOf: map[uint64]net.Conn{}}
 	n.listener = serveTCP(t, func(c net.Conn) {
 		var in []byte
@@ -216,6 +222,16 @@
 	return slices.Contains(n.ends, task)
 }
 
+// disconnect closes the connection on which a task's set-up was received, or resets it.
+func (n *tcpNode) disconnect(task uint64, reset bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if c, ok := n.connOf[task].(*net.TCPConn); ok && reset {
+		_ = c.SetLinger(0)
+	}
+	closeQuietly(n.connOf[task])
+}
+
 // send sends a message on the connection on which a task's set-up came.
 func (n *tcpNode) send(task uint64, b []byte) {
 	n.mu.Lock()
@@ -225,6 +241,7 @@
 
 // startLoopback starts a scheduler that may use its nodes at once.
 func startLoopback(t *testing.T, change func(*Configuration)) *loopbackRig {
+	t.Helper()
 	r := &loopbackRig{t: t, env: &gatedEnv{
 		Real: env.NewReal(), turns: newGate(), reads: newGate(), ends: newGate(), dials: newGate(), accepts: newGate(),
 		nodes: newGate(),
@@ -260,8 +277,8 @@
 	r.until("the first is offered", func() bool { return len(r.node.received()) == 1 })
 	r.node.send(1, codec.AppendAnswer(nil, 1, []byte("at a")))
 	x.expect("1 served at a")
-	x.conn.Close()
-	r.until("its client is gone", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return len(r.server.clients.conns) == 0 })
+	closeQuietly(x.conn)
+	r.untilNoClients()
 	return r
 }
 
@@ -315,6 +332,15 @@
 	})
 }
 
+// serve has a client's request served by the node.
+func (r *loopbackRig) serve(x *tcpClient, task uint64, job string) {
+	r.t.Helper()
+	x.request(task, job)
+	r.until("it is offered", func() bool { return slices.Contains(r.node.received(), task) })
+	r.node.send(task, codec.AppendAnswer(nil, task, []byte("at a")))
+	x.expect(fmt.Sprintf("%d served at a", task))
+}
+
 // tcpClient is a client on a connection.
 type tcpClient struct {
 	rig     *loopbackRig
@@ -328,7 +354,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { c.Close() })
+	r.t.Cleanup(func() { closeQuietly(c) })
 	return &tcpClient{rig: r, conn: c.(*net.TCPConn)}
 }
 
@@ -383,7 +409,7 @@
 
 // departures has a client go in one of the ways that there are.
 var departures = map[string]func(x *tcpClient){
-	"closes": func(x *tcpClient) { x.conn.Close() },
-	"resets": func(x *tcpClient) { _ = x.conn.SetLinger(0); x.conn.Close() },
+	"closes": func(x *tcpClient) { closeQuietly(x.conn) },
+	"resets": func(x *tcpClient) { _ = x.conn.SetLinger(0); closeQuietly(x.conn) },
 	"half":   func(x *tcpClient) { _ = x.conn.CloseWrite() },
 }
--- a/internal/platform/loopback_shutdown_test.go
+++ b/internal/platform/loopback_shutdown_test.go
@@ -8,8 +8,8 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestLastWords has requests and other bytes come as a scheduler that was told to end parts with its clients: each that was taken is
-// answered, and what was answered is read whole and without a reset, though its peer sends on.
+// TestLastWords has requests and other bytes received while a scheduler that shuts down disconnects its clients: each request that was accepted
+// is answered, and the client reads the answer whole and without a reset, though it sends on.
 func TestLastWords(t *testing.T) {
 	for _, sendsOn := range []bool{false, true} {
 		t.Run(fmt.Sprintf("sends on %v", sendsOn), func(t *testing.T) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestLetInLast has a client wait at the door with its request until the door is closed and all others have been parted with: it is let in
-// and answered, then closed.
+// TestLetInLast has a client wait to be accepted until the listener is closed and all others are disconnected: it is accepted, its request is
+// answered, then it is disconnected.
 func TestLetInLast(t *testing.T) {
 	r := startLoopback(t, nil)
 	r.env.accepts.set(true)
@@ -62,62 +62,72 @@
 	x.expect("7 end 42", "closed")
 }
 
-// TestStopsAtEachStep tells a scheduler to end while a request is at each step of its life: it has one answer, and nothing is owed.
+// batchSetUp is the request of TestStopsAtEachStep, and halfSetUp the length of its first part.
+var batchSetUp = setUp(7, "batch")
+
+const halfSetUp = 20
+
+// requestUntil has a client's request come as far as a step, and holds it there with the rig's gates.
+func (r *loopbackRig) requestUntil(step string) (x *tcpClient) {
+	r.t.Helper()
+	switch step {
+	case "before accept":
+		r.env.accepts.set(true)
+		first := r.dial() // its coming is held, and so x waits in the kernel
+		r.until("the door is held", func() bool { return r.env.accepts.blocked() > 0 })
+		x = r.dial()
+		x.send(batchSetUp)
+		_ = first
+	case "accepted":
+		r.env.accepts.set(true)
+		x = r.dial()
+		x.send(batchSetUp)
+		r.until("the door is held", func() bool { return r.env.accepts.blocked() > 0 })
+	case "half read":
+		x = r.dial()
+		x.send(batchSetUp[:halfSetUp])
+		r.until("half is read", func() bool {
+			return r.counted(func(s *Server) int {
+				for o := range s.clients.conns {
+					return len(o.partial)
+				}
+				return 0
+			}) == halfSetUp
+		})
+	case "in the inbox":
+		r.env.turns.set(true)
+		x = r.dial()
+		x.send(batchSetUp)
+		r.until("it is taken", func() bool { return r.counted(func(s *Server) int { return len(s.requests.inbox) }) == 1 })
+	case "dialling":
+		r.drainNodeConns()
+		r.env.dials.set(true)
+		x = r.dial()
+		x.send(batchSetUp)
+		r.until("a connection is made", func() bool { return r.env.dials.blocked() > 0 })
+	default:
+		x = r.dial()
+		x.send(batchSetUp)
+		r.until("it is offered", func() bool { return len(r.node.received()) == 2 })
+	}
+	return x
+}
+
+// TestStopsAtEachStep stops a scheduler while a request is at each of its steps: it gets one answer, and none is left open.
 func TestStopsAtEachStep(t *testing.T) {
 	for _, step := range []string{"before accept", "accepted", "half read", "in the inbox", "dialling", "sent", "answered"} {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
 			r := startLoopback(t, nil)
-			var x *tcpClient
-			whole := setUp(7, "batch")
-			want := "7 served at a"
-			switch step {
-			case "before accept":
-				r.env.accepts.set(true)
-				first := r.dial() // its coming is held, and so x waits in the kernel
-				r.until("the door is held", func() bool { return r.env.accepts.blocked() > 0 })
-				x = r.dial()
-				x.send(whole)
-				_ = first
-			case "accepted":
-				r.env.accepts.set(true)
-				x = r.dial()
-				x.send(whole)
-				r.until("the door is held", func() bool { return r.env.accepts.blocked() > 0 })
-			case "half read":
-				x = r.dial()
-				x.send(whole[:20])
-				r.until("half is read", func() bool {
-					return r.counted(func(s *Server) int {
-						for o := range s.clients.conns {
-							return len(o.partial)
-						}
-						return 0
-					}) == 20
-				})
-			case "in the inbox":
-				r.env.turns.set(true)
-				x = r.dial()
-				x.send(whole)
-				r.until("it is taken", func() bool { return r.counted(func(s *Server) int { return len(s.requests.inbox) }) == 1 })
-			case "dialling":
-				r.drainNodeConns()
-				r.env.dials.set(true)
-				x = r.dial()
-				x.send(whole)
-				r.until("a connection is made", func() bool { return r.env.dials.blocked() > 0 })
-			default:
-				x = r.dial()
-				x.send(whole)
-				r.until("it is offered", func() bool { return len(r.node.received()) == 2 })
-			}
+			const want = "7 served at a"
+			x := r.requestUntil(step)
 			if step == "answered" {
 				r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 				x.expect(want)
 			}
 			r.server.Stop()
 			if step == "half read" {
-				x.send(whole[20:])
+				x.send(batchSetUp[halfSetUp:])
 			}
 			for _, g := range r.env.gates() {
 				g.set(false)
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -12,22 +12,31 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
+// depart has a client leave, with the news of it read by the scheduler, or held.
+func (r *loopbackRig) depart(x *tcpClient, leave func(*tcpClient), readFirst bool) {
+	r.t.Helper()
+	r.env.ends.set(!readFirst)
+	leave(x)
+	if readFirst {
+		r.untilNoClients()
+	} else {
+		r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
+	}
+}
+
+// untilNoClients waits until the scheduler knows that all clients are gone.
+func (r *loopbackRig) untilNoClients() {
+	r.t.Helper()
+	r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.clients.conns) }) == 0 })
+}
+
 // TestGone has clients leave at each step of a request's life, and the news of it be read last: nothing begins for them. In the other
 // order, where the news is read first, the same.
 func TestGone(t *testing.T) {
 	for how, leave := range departures {
 		for _, readFirst := range []bool{false, true} {
 			name := fmt.Sprintf("%s, news read first %v", how, readFirst)
-			// gone has the client leave, with the news of it held or read.
-			gone := func(r *loopbackRig, x *tcpClient) {
-				r.env.ends.set(!readFirst)
-				leave(x)
-				if readFirst {
-					r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.clients.conns) }) == 0 })
-				} else {
-					r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
-				}
-			}
+			gone := func(r *loopbackRig, x *tcpClient) { r.depart(x, leave, readFirst) }
 			t.Run("in the inbox, "+name, func(t *testing.T) {
 				r := startLoopback(t, nil)
 				r.env.turns.set(true)
@@ -135,12 +144,7 @@
 		for _, other := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, another is there %v", how, other), func(t *testing.T) {
 				r := startLoopback(t, nil)
-				serve := func(x *tcpClient, task uint64) {
-					x.request(task, "batch")
-					r.until("it is offered", func() bool { return slices.Contains(r.node.received(), task) })
-					r.node.send(task, codec.AppendAnswer(nil, task, []byte("at a")))
-					x.expect(fmt.Sprintf("%d served at a", task))
-				}
+				serve := func(x *tcpClient, task uint64) { t.Helper(); r.serve(x, task, "batch") }
 				x := r.dial()
 				serve(x, 7)
 				var y *tcpClient
@@ -170,7 +174,7 @@
 		r.env.nodes.set(true)
 		r.node.mu.Lock()
 		for _, c := range r.node.connOf {
-			c.Close()
+			closeQuietly(c)
 		}
 		r.node.mu.Unlock()
 		r.until("the close has come", func() bool {
@@ -206,6 +210,19 @@
 	})
 }
 
+// checkConnections checks that each side keeps to its part of the connections.
+func (r *loopbackRig) checkConnections() {
+	r.t.Helper()
+	s, limits := r.server, r.server.limits
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.clients.conns)-s.clients.provisional > limits.ClientConns || s.clients.provisional > limits.ProvisionalConns ||
+		s.nodes.conns > limits.NodeConns {
+		r.t.Errorf("%d clients, %d of them provisional connections, %d to nodes; limits %+v", len(s.clients.conns), s.clients.provisional,
+			s.nodes.conns, limits)
+	}
+}
+
 // TestIdleCrowd has idle clients come by hundreds while the journal service can't be reached: each side keeps to its part of the
 // descriptors, what is stood up for work in hand is found room for, the next useful client is served, and the journal service is
 // connected once it is there.
@@ -214,14 +231,6 @@
 		c.Sockets = 100
 		c.Journal = "127.0.0.1:1" // nobody listens there
 	})
-	within := func() {
-		t.Helper()
-		r.server.mu.Lock()
-		defer r.server.mu.Unlock()
-		if p := r.server.limits; len(r.server.clients.conns)-r.server.clients.provisional > p.ClientConns || r.server.clients.provisional > p.ProvisionalConns || r.server.nodes.conns > p.NodeConns {
-			t.Errorf("%d clients, %d of them provisional connections, %d to nodes; parts %+v", len(r.server.clients.conns), r.server.clients.provisional, r.server.nodes.conns, p)
-		}
-	}
 	x := r.dial()
 	x.request(7, "single")
 	r.until("work is in hand", func() bool { return slices.Contains(r.node.received(), 7) })
@@ -231,9 +240,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { closeQuietly(c) })
 		}
-		within()
+		r.checkConnections()
 	}
 	r.until("they fill their part", func() bool {
 		return r.counted(func(s *Server) int { return len(s.clients.conns) - s.clients.provisional }) == r.server.limits.ClientConns
@@ -246,7 +255,7 @@
 	r.until("the next is offered", func() bool { return slices.Contains(r.node.received(), 8) })
 	r.node.send(8, codec.AppendAnswer(nil, 8, []byte("at a")))
 	y.expect("8 served at a")
-	within()
+	r.checkConnections()
 	tails := make(chan string, 1)
 	journal := serveTCP(t, func(c net.Conn) {
 		b := make([]byte, 64)
@@ -269,7 +278,7 @@
 		defer r.server.mu.Unlock()
 		return r.server.endpoints.retrier.IsLive(r.env.Now())
 	})
-	within()
+	r.checkConnections()
 }
 
 // TestTrickles has a request come a byte at a time, and its answer from the node, with another client's whole request and answer in between:
@@ -280,13 +289,7 @@
 		t.Run(ends, func(t *testing.T) {
 			r := startLoopback(t, nil)
 			x, y := r.dial(), r.dial()
-			beside := func(task uint64) {
-				t.Helper()
-				y.request(task, "single")
-				r.until("it is offered beside", func() bool { return slices.Contains(r.node.received(), task) })
-				r.node.send(task, codec.AppendAnswer(nil, task, []byte("at a")))
-				y.expect(fmt.Sprintf("%d served at a", task))
-			}
+			beside := func(task uint64) { t.Helper(); r.serve(y, task, "single") }
 			request := setUp(7, "single")
 			for i := range request {
 				if i == len(request)/2 {
@@ -299,13 +302,7 @@
 				if i == len(answer)/2 {
 					beside(101)
 					if ends != "whole" {
-						r.node.mu.Lock()
-						c := r.node.connOf[7].(*net.TCPConn)
-						if ends == "reset" {
-							_ = c.SetLinger(0)
-						}
-						c.Close()
-						r.node.mu.Unlock()
+						r.node.disconnect(7, ends == "reset")
 						x.expect("7 end 41")
 						return
 					}
@@ -317,58 +314,63 @@
 	}
 }
 
-// TestGoneEarly has clients leave before their request is taken: while they wait at the door, when they were let in and not read, with half of
-// the request read, and in one read with it. Nothing begins for them. One that leaves once its task stands leaves it standing.
+// singleSetUp is the request of TestGoneEarly.
+var singleSetUp = setUp(7, "single")
+
+// earlyDepartures have a client leave before its request is accepted, at each step.
+var earlyDepartures = map[string]func(r *loopbackRig, leave func(*tcpClient)){
+	"at the door": func(r *loopbackRig, leave func(*tcpClient)) {
+		r.env.accepts.set(true)
+		r.dial() // its coming is held, so that the next waits in the kernel
+		r.until("the door is held", func() bool { return r.env.accepts.blocked() > 0 })
+		x := r.dial()
+		x.send(singleSetUp)
+		leave(x)
+		r.env.accepts.set(false)
+	},
+	"let in": func(r *loopbackRig, leave func(*tcpClient)) {
+		r.env.reads.set(true)
+		r.env.ends.set(true)
+		x := r.dial()
+		x.send(singleSetUp)
+		r.until("its reader is held", func() bool { return r.env.reads.blocked() > 0 })
+		leave(x)
+		r.env.reads.set(false)
+		r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
+	},
+	"half read": func(r *loopbackRig, leave func(*tcpClient)) {
+		x := r.dial()
+		x.send(singleSetUp[:30])
+		r.until("half is read", func() bool {
+			return r.counted(func(s *Server) int {
+				n := 0
+				for o := range s.clients.conns {
+					n += len(o.partial)
+				}
+				return n
+			}) == 30
+		})
+		r.env.reads.set(true)
+		r.env.ends.set(true)
+		x.send(singleSetUp[30:])
+		r.until("its reader is held", func() bool { return r.env.reads.blocked() > 0 })
+		leave(x)
+		r.env.reads.set(false)
+		r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
+	},
+}
+
+// TestGoneEarly has clients leave before their request is accepted: while they wait to be accepted, when they were accepted and not read, with half
+// of the request read, and in one read with it. Nothing begins for them. A client that leaves once its task runs leaves it running.
 func TestGoneEarly(t *testing.T) {
-	whole := setUp(7, "single")
 	for how, leave := range departures {
-		for step, play := range map[string]func(t *testing.T, r *loopbackRig, x func() *tcpClient){
-			"at the door": func(t *testing.T, r *loopbackRig, dial func() *tcpClient) {
-				r.env.accepts.set(true)
-				dial() // its coming is held, so that the next waits in the kernel
-				r.until("the door is held", func() bool { return r.env.accepts.blocked() > 0 })
-				x := dial()
-				x.send(whole)
-				leave(x)
-				r.env.accepts.set(false)
-			},
-			"let in": func(t *testing.T, r *loopbackRig, dial func() *tcpClient) {
-				r.env.reads.set(true)
-				r.env.ends.set(true)
-				x := dial()
-				x.send(whole)
-				r.until("its reader is held", func() bool { return r.env.reads.blocked() > 0 })
-				leave(x)
-				r.env.reads.set(false)
-				r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
-			},
-			"half read": func(t *testing.T, r *loopbackRig, dial func() *tcpClient) {
-				x := dial()
-				x.send(whole[:30])
-				r.until("half is read", func() bool {
-					return r.counted(func(s *Server) int {
-						n := 0
-						for o := range s.clients.conns {
-							n += len(o.partial)
-						}
-						return n
-					}) == 30
-				})
-				r.env.reads.set(true)
-				r.env.ends.set(true)
-				x.send(whole[30:])
-				r.until("its reader is held", func() bool { return r.env.reads.blocked() > 0 })
-				leave(x)
-				r.env.reads.set(false)
-				r.until("the news of it is held", func() bool { return r.env.ends.blocked() > 0 })
-			},
-		} {
+		for step, play := range earlyDepartures {
 			t.Run(step+", "+how, func(t *testing.T) {
 				r := startLoopback(t, nil)
 				if step != "at the door" {
 					r.env.turns.set(true)
 				}
-				play(t, r, r.dial)
+				play(r, leave)
 				r.env.turns.set(false)
 				y := r.dial()
 				y.request(8, "batch") // what comes after it is served: so the other was met
@@ -390,7 +392,7 @@
 			r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 			x.expect("7 served at a")
 			leave(x)
-			r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.clients.conns) }) == 0 })
+			r.untilNoClients()
 			y := r.dial()
 			y.request(8, "batch")
 			r.until("the next is offered", func() bool { return slices.Contains(r.node.received(), 8) })
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -8,78 +8,89 @@
 	"ravenpond/logic"
 )
 
-// TestBadAnswers has the node that is tried first answer badly. Restartable work is served by the other node; run-once
-// work fails, as it may have run, unless it provably did not. Nothing is ever started twice at one time.
+// badAnswer is a way in which a node answers an attempt.
+type badAnswer struct {
+	name   string
+	does   func(n *fakeNode, e *testConn, task uint64)
+	batch  string // "again": served by the other node, "served": by this one
+	single string
+}
+
+// badAnswers are the cases of TestBadAnswers.
+var badAnswers = []badAnswer{
+	{"full", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseFull)) }, "again", "again"},
+	{"moot", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseNotStarted)) }, "again", "again"},
+	{"error", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseErrored)) }, "again", "end 41"},
+	{"broken on its way", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseReset)) }, "again", "end 41"},
+	{"a normal end", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseNormal)) }, "end 42", "end 41"},
+	{"closed under it", func(_ *fakeNode, e *testConn, _ uint64) { e.conn.Close(true, nil) }, "again", "end 41"},
+	{"noise", func(_ *fakeNode, e *testConn, _ uint64) { e.send([]byte("\x00\x40\xf3 noise, noise and more noise")) }, "again", "end 41"},
+	{"an answer said to be huge", func(_ *fakeNode, e *testConn, _ uint64) { e.send([]byte("\xff\xff\x09")) }, "again", "end 41"},
+	{"without a description", func(_ *fakeNode, e *testConn, task uint64) { e.send(message(codec.KindAnswer, task)) }, "again", "end 41"},
+	{"cut short", func(n *fakeNode, e *testConn, task uint64) {
+		b := codec.AppendAnswer(nil, task, []byte(n.description(task)))
+		e.send(b[:len(b)-3])
+		e.conn.Close(true, nil)
+	}, "again", "end 41"},
+	{"never", func(*fakeNode, *testConn, uint64) {}, "again", "end 41"},
+	{"doubled", func(n *fakeNode, e *testConn, task uint64) { n.answer(e, task); n.answer(e, task) }, "served", "served"},
+	{"behind one for nobody", func(n *fakeNode, e *testConn, task uint64) { n.answer(e, 99); n.answer(e, task) }, "served", "served"},
+	{"good", func(n *fakeNode, e *testConn, task uint64) { n.answer(e, task) }, "served", "served"},
+}
+
+// TestBadAnswers has the node that is tried first answer badly. Restartable work is served by the other node; at-most-once work fails, as it may have
+// run, unless it provably did not. Nothing is ever started twice at one time.
 func TestBadAnswers(t *testing.T) {
-	good := func(n *fakeNode, e *testConn, task uint64) { n.answer(e, task) }
-	for _, c := range []struct {
-		name   string
-		does   func(n *fakeNode, e *testConn, task uint64)
-		batch  string // "again": served by the other node, "served": by this one
-		single string
-	}{
-		{"full", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseFull)) }, "again", "again"},
-		{"moot", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseNotStarted)) }, "again", "again"},
-		{"error", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseErrored)) }, "again", "end 41"},
-		{"broken on its way", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseReset)) }, "again", "end 41"},
-		{"a normal end", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseNormal)) }, "end 42", "end 41"},
-		{"closed under it", func(_ *fakeNode, e *testConn, _ uint64) { e.conn.Close(true, nil) }, "again", "end 41"},
-		{"noise", func(_ *fakeNode, e *testConn, _ uint64) { e.send([]byte("\x00\x40\xf3 noise, noise and more noise")) }, "again", "end 41"},
-		{"an answer said to be huge", func(_ *fakeNode, e *testConn, _ uint64) { e.send([]byte("\xff\xff\x09")) }, "again", "end 41"},
-		{"without a description", func(_ *fakeNode, e *testConn, task uint64) { e.send(message(codec.KindAnswer, task)) }, "again", "end 41"},
-		{"cut short", func(n *fakeNode, e *testConn, task uint64) {
-			b := codec.AppendAnswer(nil, task, []byte(n.description(task)))
-			e.send(b[:len(b)-3])
-			e.conn.Close(true, nil)
-		}, "again", "end 41"},
-		{"never", func(*fakeNode, *testConn, uint64) {}, "again", "end 41"},
-		{"doubled", func(n *fakeNode, e *testConn, task uint64) { n.answer(e, task); n.answer(e, task) }, "served", "served"},
-		{"behind one for nobody", func(n *fakeNode, e *testConn, task uint64) { n.answer(e, 99); n.answer(e, task) }, "served", "served"},
-		{"good", good, "served", "served"},
-	} {
+	for _, c := range badAnswers {
 		for _, job := range []string{"batch", "single"} {
 			t.Run(c.name+" "+job, func(t *testing.T) {
-				r := startRig(t, "a", "b")
-				x := r.dial()
-				var first *fakeNode
-				for _, n := range r.nodes {
-					n.onSetUp = func(e *testConn, task uint64) {
-						if first == nil {
-							first = n
-							c.does(n, e, task)
-						} else {
-							n.answer(e, task)
-						}
-					}
-				}
-				x.request(7, job)
-				r.pass(4000)
-				want := map[string]string{"batch": c.batch, "single": c.single}[job]
-				other := r.nodes["a"]
-				if first == other {
-					other = r.nodes["b"]
-				}
-				switch want {
-				case "again": // by the other, or once more by the same where it had turned it away
-					want = "served " + other.description(7)
-					if first.starts[7] > 1 {
-						want = "served " + first.description(7)
-					}
-				case "served":
-					want = "served " + first.description(7)
-				}
-				x.want("answer", "7 "+want)
-				if (job == "single" && c.single != "again" || c.batch == "end 42") && first.starts[7]+other.starts[7] != 1 {
-					t.Errorf("given to nodes %d times", first.starts[7]+other.starts[7])
-				}
-				if strings.HasPrefix(want, "served") && len(x.receivedAt) > 0 && x.receivedAt[0] > r.clock.TrueTime()-4000+2500 {
-					t.Error("after its expiry")
-				}
+				checkBadAnswer(t, c, job)
 			})
 		}
 	}
 }
 
+// checkBadAnswer plays one case of TestBadAnswers.
+func checkBadAnswer(t *testing.T, c badAnswer, job string) {
+	t.Helper()
+	r := startRig(t, "a", "b")
+	x := r.dial()
+	var first *fakeNode
+	for _, n := range r.nodes {
+		n.onSetUp = func(e *testConn, task uint64) {
+			if first == nil {
+				first = n
+				c.does(n, e, task)
+			} else {
+				n.answer(e, task)
+			}
+		}
+	}
+	x.request(7, job)
+	r.pass(4000)
+	want := map[string]string{"batch": c.batch, "single": c.single}[job]
+	other := r.nodes["a"]
+	if first == other {
+		other = r.nodes["b"]
+	}
+	switch want {
+	case "again": // by the other, or once more by the same where it had turned it away
+		want = "served " + other.description(7)
+		if first.starts[7] > 1 {
+			want = "served " + first.description(7)
+		}
+	case "served":
+		want = "served " + first.description(7)
+	}
+	x.want("answer", "7 "+want)
+	if (job == "single" && c.single != "again" || c.batch == "end 42") && first.starts[7]+other.starts[7] != 1 {
+		t.Errorf("given to nodes %d times", first.starts[7]+other.starts[7])
+	}
+	if strings.HasPrefix(want, "served") && len(x.receivedAt) > 0 && x.receivedAt[0] > r.clock.TrueTime()-4000+2500 {
+		t.Error("after its expiry")
+	}
+}
+
 // TestResets has connections to nodes reset when they are new and when they are idle. Run-once work has one final
 // answer, and is served only once, whatever was on its way.
 func TestResets(t *testing.T) {
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -44,8 +44,9 @@
 	return strings.Contains(l.all.String(), text)
 }
 
-// tailed is a journal service that writes down what it is asked.
+// tailed starts a journal service that counts how often it is asked.
 func tailed(t *testing.T) (address string, asked func() int) {
+	t.Helper()
 	var mu sync.Mutex
 	n := 0
 	l := serveTCP(t, func(c net.Conn) {
@@ -82,12 +83,16 @@
 }
 
 func startProcess(t *testing.T, journal string) *process {
+	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{loopbackRig: &loopbackRig{t: t, node: newTCPNode(t), address: free.Addr().String()}, file: filepath.Join(t.TempDir(), "config.json"), err: &lines{}}
-	free.Close()
+	p := &process{
+		loopbackRig: &loopbackRig{t: t, node: newTCPNode(t), address: free.Addr().String()},
+		file:        filepath.Join(t.TempDir(), "config.json"), err: &lines{},
+	}
+	closeQuietly(free)
 	p.write(journal)
 	exe, err := os.Executable()
 	if err != nil {
--- a/internal/platform/sim_rig_test.go
+++ b/internal/platform/sim_rig_test.go
@@ -47,11 +47,13 @@
 
 // startRig starts a scheduler that knows the nodes with these names, at addresses of the same names.
 func startRig(t *testing.T, names ...string) *simRig {
+	t.Helper()
 	return startRigWith(t, settingsText, entryOf, names...)
 }
 
 // startRigWith starts one on other settings, with entries of the list as they want them.
 func startRigWith(t *testing.T, settingsText string, entryOf func(name, address, status string) string, names ...string) *simRig {
+	t.Helper()
 	r := &simRig{t: t, clock: sim.NewClock(7), nodes: map[string]*fakeNode{}}
 	r.process, r.clients = r.clock.NewProcess("scheduler"), r.clock.NewProcess("clients")
 	r.journal = newFakeJournal(r, "journal:1")
@@ -314,7 +316,7 @@
 		return
 	}
 	var from int
-	fmt.Sscanf(line, "tail %d", &from)
+	_, _ = fmt.Sscanf(line, "tail %d", &from) // anything else asks for all events
 	for _, e := range x.journal.events {
 		var p struct{ Pos int }
 		_ = json.Unmarshal([]byte(e), &p)
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
@@ -13,13 +14,12 @@
 	"ravenpond/logic"
 )
 
-// TestCustomers plays a small day of each customer in deploy/sites, by settings as the bench hands them over: names, deadlines, tenants
-// and zones are theirs. Nodes drain, go, come cold and crash, the journal service is silent for a while, clients leave, and the scheduler
-// is told to end. Each client that stays hears once, in time; nothing has effect twice; drains are kept.
+// TestCustomers plays a siteDay with the settings of each site in deploy/sites: its names, deadlines, tenants and zones. Each client that stays is
+// answered once and in time, nothing takes effect twice, and draining nodes get no new work.
 func TestCustomers(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*/settings.json")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("%d customers, %v", len(files), err)
+		t.Fatalf("%d sites, %v", len(files), err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(filepath.Dir(file)), func(t *testing.T) {
@@ -27,171 +27,229 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			customerDay(t, string(text))
+			playSiteDay(t, string(text))
 		})
 	}
 }
 
-func customerDay(t *testing.T, text string) {
-	known, err := settings.Read([]byte(text))
-	if err != nil {
-		t.Fatal(err)
-	}
-	rng := rand.New(rand.NewPCG(5, 6))
-	cold := map[string]float64{}
-	entry := func(name, address, status string) string {
-		i := int(name[1] - '0')
-		return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":%d,"status":%q,"since_ms":%.0f,"room":[24,48]}`, name, address,
-			known.Zones[i%len(known.Zones)], known.Kinds[i%len(known.Kinds)], i, status, cold[name])
-	}
-	r := startRigWith(t, text, entry, "s0", "s1", "s2", "s3", "s4", "s5")
-	type request struct {
-		x           *testClient
-		job         int
-		until       float64
-		left, heard bool
-		starts      int
-		barred      bool // one may have run: no other may follow
-	}
-	all := map[uint64]*request{}
-	began := r.clock.TrueTime()
-	drains := map[string]float64{}
-	serve := func(n *fakeNode) {
-		n.onSetUp = func(e *testConn, task uint64) {
-			a := all[task]
-			a.starts++
-			if at, ok := drains[n.name]; ok && r.clock.TrueTime() > at+500+50 {
-				t.Errorf("%s was sent %d %g ms after it was told to drain", n.name, task, r.clock.TrueTime()-at)
-			}
-			if known.Cluster.JobClasses[a.job].Semantics == logic.AtMostOnce && a.barred {
-				t.Errorf("%d, which may have run, is tried again", task)
-			}
-			if rng.IntN(8) == 0 {
-				e.send(codec.AppendEnd(nil, task, codec.CauseFull))
-				return
-			}
-			a.barred = true
-			n.process.After(20+40*rng.Float64(), func() {
-				n.answer(e, task)
-				n.process.After(1500, func() {
-					if n.running[task] {
-						delete(n.running, task)
-						e.send(codec.AppendEnd(nil, task, codec.CauseNormal))
-					}
-				})
-			})
-		}
-	}
-	for _, n := range r.nodes {
-		serve(n)
-	}
-	var task uint64
-	x := r.dial()
-	ask := func() {
-		task++
-		job := rng.IntN(len(known.JobClasses))
-		more := []any{codec.ParamTimeLeft, fmt.Sprint(int(known.Deadlines[job]))}
-		if len(known.Tenants) > 0 {
-			more = append(more, codec.ParamTenant, known.Tenants[rng.IntN(len(known.Tenants))])
-		}
-		b := setUp(task, known.JobClasses[job], more...)
-		if len(known.Tenants) == 0 { // a customer without tenants names none
-			b = message(codec.KindSetUp, task, codec.ParamJobClass, known.JobClasses[job], codec.ParamTimeLeft, fmt.Sprint(int(known.Deadlines[job])), codec.ParamName,
-				fmt.Sprintf("%016x", task), codec.ParamKey, strings.Repeat("5c", 16), codec.ParamDemand, demandText, codec.ParamDescription, "owner's")
+// siteRequest is a request of siteDay.
+type siteRequest struct {
+	client     *testClient
+	job        int
+	deadline   float64
+	departed   bool // the client left before it was answered
+	answered   bool
+	starts     int
+	mayHaveRun bool
+}
+
+// siteDay plays a site's settings for 15 s and a shutdown, with clients that leave, nodes that reject, drain, fail and join, and a journal
+// service that falls silent.
+type siteDay struct {
+	*simRig
+	known     *settings.Deployment
+	rng       *rand.Rand
+	startedAt map[string]float64 // Unix ms, of nodes that join
+	drainedAt map[string]float64
+	requests  map[uint64]*siteRequest
+	client    *testClient // which requests
+	lastTask  uint64
+}
+
+// entry is a node's entry in the list.
+func (d *siteDay) entry(name, address, status string) string {
+	i := int(name[1] - '0')
+	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":%d,"status":%q,"since_ms":%.0f,"room":[24,48]}`, name, address,
+		d.known.Zones[i%len(d.known.Zones)], d.known.Kinds[i%len(d.known.Kinds)], i, status, d.startedAt[name])
+}
+
+// publish has the journal service tell a node's state.
+func (d *siteDay) publish(name, status string) { d.journal.publish(d.entry(name, name, status)) }
+
+// serve has a node reject one attempt in eight, and start and then complete the others.
+func (d *siteDay) serve(n *fakeNode) {
+	n.onSetUp = func(e *testConn, task uint64) {
+		d.onSetUp(n, task)
+		if d.rng.IntN(8) == 0 {
+			e.send(codec.AppendEnd(nil, task, codec.CauseFull))
+			return
 		}
-		a := &request{x: x, job: job, until: r.clock.TrueTime() + known.Deadlines[job]}
-		all[task] = a
-		x.send(b)
-		if rng.IntN(15) == 0 { // it leaves with all that is open
-			y := x
-			r.clock.At(r.clock.TrueTime()+60*rng.Float64(), func() {
-				for _, o := range all {
-					o.left = o.left || o.x == y && !o.heard
+		d.requests[task].mayHaveRun = true
+		n.process.After(20+40*d.rng.Float64(), func() {
+			n.answer(e, task)
+			n.process.After(1500, func() {
+				if n.running[task] {
+					delete(n.running, task)
+					e.send(codec.AppendEnd(nil, task, codec.CauseNormal))
 				}
-				y.conn.Close(true, nil)
 			})
-			x = r.dial()
-		}
+		})
 	}
-	tell := func(name, status string) { r.journal.publish(entry(name, name, status)) }
-	at := func(ms float64, f func()) { r.clock.At(began+ms, f) }
-	at(4000, func() { tell("s0", "draining"); drains["s0"] = r.clock.TrueTime() })
-	at(6000, func() { tell("s0", "gone") })
-	at(5000, func() {
-		cold["s6"] = r.process.Now() + unixBase
-		serve(newFakeNode(r, "s6", "s6"))
-		tell("s6", "ready")
-	})
-	at(8000, func() { r.nodes["s1"].process.Kill(false); tell("s1", "gone") })
-	at(9000, func() { r.journal.silent = true })
-	at(12000, func() { r.journal.silent = false })
-	hears := func() { // what the clients got
-		for _, a := range all {
-			for i, got := range a.x.received {
-				var id uint64
-				var word string
-				fmt.Sscanf(got, "%d %s", &id, &word)
-				o := all[id]
-				if o == nil || o.x != a.x || o.heard {
-					continue
-				}
-				if o.heard = true; a.x.receivedAt[i] > o.until+50 {
-					t.Errorf("%d heard %g ms late", id, a.x.receivedAt[i]-o.until)
-				}
-			}
-		}
+}
+
+// onSetUp checks that an attempt may be made at a node.
+func (d *siteDay) onSetUp(n *fakeNode, task uint64) {
+	r := d.requests[task]
+	r.starts++
+	if at, ok := d.drainedAt[n.name]; ok && d.clock.TrueTime() > at+500+50 {
+		d.t.Errorf("%s was sent %d %g ms after it was told to drain", n.name, task, d.clock.TrueTime()-at)
+	}
+	if d.known.Cluster.JobClasses[r.job].Semantics == logic.AtMostOnce && r.mayHaveRun {
+		d.t.Errorf("%d, which may have run, is tried again", task)
 	}
-	for r.clock.TrueTime() < began+15000 {
-		ask()
-		r.pass(40)
+}
+
+// request has the client make a request. One time in fifteen it leaves soon after, with all that it has open, and another takes its place.
+func (d *siteDay) request() {
+	d.lastTask++
+	job := d.rng.IntN(len(d.known.JobClasses))
+	left := fmt.Sprint(int(d.known.Deadlines[job]))
+	var b []byte
+	if len(d.known.Tenants) > 0 {
+		b = setUp(d.lastTask, d.known.JobClasses[job], codec.ParamTimeLeft, left, codec.ParamTenant, d.known.Tenants[d.rng.IntN(len(d.known.Tenants))])
+	} else { // a site without tenants names none
+		b = message(codec.KindSetUp, d.lastTask, codec.ParamJobClass, d.known.JobClasses[job], codec.ParamTimeLeft, left, codec.ParamName,
+			fmt.Sprintf("%016x", d.lastTask), codec.ParamKey, strings.Repeat("5c", 16), codec.ParamDemand, demandText, codec.ParamDescription, "owner's")
 	}
-	told := r.clock.TrueTime()
-	r.server.Stop()
-	for range 10 { // requests come for a while yet
-		ask()
-		r.pass(50)
+	d.requests[d.lastTask] = &siteRequest{client: d.client, job: job, deadline: d.clock.TrueTime() + d.known.Deadlines[job]}
+	d.client.send(b)
+	if d.rng.IntN(15) == 0 {
+		leaving := d.client
+		d.clock.At(d.clock.TrueTime()+60*d.rng.Float64(), func() { d.leave(leaving) })
+		d.client = d.dial()
 	}
-	longest := 0.0
-	for _, e := range known.Deadlines {
-		longest = max(longest, e)
+}
+
+// leave closes a client's connection.
+func (d *siteDay) leave(client *testClient) {
+	for _, r := range d.requests {
+		r.departed = r.departed || r.client == client && !r.answered
 	}
-	for ended := false; !ended; r.pass(10) {
+	client.conn.Close(true, nil)
+}
+
+// schedule plans what happens to the nodes and the journal service, after a time.
+func (d *siteDay) schedule(began float64) {
+	at := func(ms float64, f func()) { d.clock.At(began+ms, f) }
+	at(4000, func() { d.publish("s0", "draining"); d.drainedAt["s0"] = d.clock.TrueTime() })
+	at(6000, func() { d.publish("s0", "gone") })
+	at(5000, func() {
+		d.startedAt["s6"] = d.process.Now() + unixBase
+		d.serve(newFakeNode(d.simRig, "s6", "s6"))
+		d.publish("s6", "ready")
+	})
+	at(8000, func() { d.nodes["s1"].process.Kill(false); d.publish("s1", "gone") })
+	at(9000, func() { d.journal.silent = true })
+	at(12000, func() { d.journal.silent = false })
+}
+
+// stop shuts the scheduler down, with requests that come for a while yet, and checks that it ends in time.
+func (d *siteDay) stop() {
+	stopped := d.clock.TrueTime()
+	d.server.Stop()
+	for range 10 {
+		d.request()
+		d.pass(50)
+	}
+	longest := slices.Max(d.known.Deadlines)
+	for {
 		select {
-		case <-r.server.Done():
-			ended = true
+		case <-d.server.Done():
+			d.pass(10)
+			return
 		default:
-			if r.clock.TrueTime() > told+min(longest, 3000)+700 {
-				t.Fatal("it would have been killed")
+			if d.clock.TrueTime() > stopped+min(longest, 3000)+700 {
+				d.t.Fatal("it would have been killed")
 			}
 		}
+		d.pass(10)
 	}
-	r.pass(100)
-	hears()
-	served, count := 0, 0
-	for id, a := range all {
-		words := 0
-		for _, got := range a.x.received {
-			var g uint64
-			var word string
-			fmt.Sscanf(got, "%d %s", &g, &word)
-			if g != id {
+}
+
+// notice is a message that a client received: what became of a task.
+type notice struct {
+	task uint64
+	word string
+}
+
+func readNotice(text string) (n notice) {
+	_, _ = fmt.Sscanf(text, "%d %s", &n.task, &n.word) // a text of another form names task 0, which nobody requests
+	return n
+}
+
+// checkDeadlines checks that first messages were received in time.
+func (d *siteDay) checkDeadlines() {
+	for _, r := range d.requests {
+		for i, text := range r.client.received {
+			n := readNotice(text)
+			about := d.requests[n.task]
+			if about == nil || about.client != r.client || about.answered {
 				continue
 			}
-			if words++; words == 1 {
-				count++
-				if word == "served" {
-					served++
-				}
+			if about.answered = true; r.client.receivedAt[i] > about.deadline+50 {
+				d.t.Errorf("%d heard %g ms late", n.task, r.client.receivedAt[i]-about.deadline)
 			}
-			if words > 2 || words == 2 && word != "end" && word != "move" {
-				t.Errorf("%d heard %q", id, a.x.received)
+		}
+	}
+}
+
+// checkAnswers checks that each request was answered once, and at most one notification followed, and that enough were served.
+func (d *siteDay) checkAnswers() {
+	served, answered := 0, 0
+	for task, r := range d.requests {
+		words := d.wordsFor(task, r)
+		if len(words) > 0 {
+			answered++
+			if words[0] == "served" {
+				served++
 			}
 		}
-		if words == 0 && !a.left {
-			t.Errorf("%d (%s) of a client that stayed was never answered", id, known.JobClasses[a.job])
+		if len(words) > 2 || len(words) == 2 && words[1] != "end" && words[1] != "move" {
+			d.t.Errorf("%d heard %q", task, r.client.received)
+		}
+		if len(words) == 0 && !r.departed {
+			d.t.Errorf("%d (%s) of a client that stayed was never answered", task, d.known.JobClasses[r.job])
+		}
+	}
+	if float64(served) < 0.85*float64(answered) || answered < 200 {
+		d.t.Errorf("%d of %d served", served, answered)
+	}
+}
+
+// wordsFor returns what a client received about a task.
+func (d *siteDay) wordsFor(task uint64, r *siteRequest) (words []string) {
+	for _, text := range r.client.received {
+		if n := readNotice(text); n.task == task {
+			words = append(words, n.word)
 		}
 	}
-	if float64(served) < 0.85*float64(count) || count < 200 {
-		t.Errorf("%d of %d served", served, count)
+	return words
+}
+
+// playSiteDay plays a siteDay with a site's settings.
+func playSiteDay(t *testing.T, text string) {
+	t.Helper()
+	known, err := settings.Read([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := &siteDay{
+		known: known, rng: rand.New(rand.NewPCG(5, 6)), startedAt: map[string]float64{}, drainedAt: map[string]float64{},
+		requests: map[uint64]*siteRequest{},
+	}
+	d.simRig = startRigWith(t, text, d.entry, "s0", "s1", "s2", "s3", "s4", "s5")
+	began := d.clock.TrueTime()
+	for _, n := range d.nodes {
+		d.serve(n)
+	}
+	d.client = d.dial()
+	d.schedule(began)
+	for d.clock.TrueTime() < began+15000 {
+		d.request()
+		d.pass(40)
 	}
+	d.stop()
+	d.pass(100)
+	d.checkDeadlines()
+	d.checkAnswers()
 }
