--- a/internal/besteffort/besteffort.go
+++ b/internal/besteffort/besteffort.go
@@ -14,14 +14,14 @@
 	// Report reports which diagnostic was switched off and why. It may be nil.
 	Report func(what, why string)
 
-	mu  sync.Mutex
-	off map[string]bool
+	mu          sync.Mutex
+	switchedOff map[string]bool // by name; guarded by mu
 }
 
 // Do runs the diagnostic of a name unless it has panicked before. It reports whether it completed.
 func (g *Guard) Do(name string, run func()) (ok bool) {
 	g.mu.Lock()
-	off := g.off[name]
+	off := g.switchedOff[name]
 	g.mu.Unlock()
 	if off {
 		return false
@@ -32,11 +32,11 @@
 			return
 		}
 		g.mu.Lock()
-		first := !g.off[name]
-		if g.off == nil {
-			g.off = map[string]bool{}
+		first := !g.switchedOff[name]
+		if g.switchedOff == nil {
+			g.switchedOff = map[string]bool{}
 		}
-		g.off[name] = true
+		g.switchedOff[name] = true
 		g.mu.Unlock()
 		if first && g.Report != nil {
 			g.Report(name, fmt.Sprintf("panic: %v\n%s", p, debug.Stack()))
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -8,7 +8,7 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestClientEnds has clients end what they asked for: while it is out, while it stands, by closing.
+// TestClientEnds has clients end what they requested: while the attempt is in flight, while the task runs, and by closing the connection.
 func TestClientEnds(t *testing.T) {
 	t.Run("out", func(t *testing.T) {
 		r := startRig(t, "a")
@@ -62,8 +62,7 @@
 	})
 }
 
-// TestBadClients has clients send what can't be used. Each gets an end or a close within 3 s and is never served, a
-// usual one beside it is.
+// TestBadClients has clients send what can't be used. Each gets an end, or is disconnected, within 3 s and is never served; a usual client beside it is.
 func TestBadClients(t *testing.T) {
 	ask := func(more ...any) []byte { return setUp(66, "batch", more...) }
 	for _, c := range []struct {
@@ -115,8 +114,8 @@
 	}
 }
 
-// TestFlood has hundreds connect and say nothing: usual clients still get in, and the silent are closed.
-func TestFlood(t *testing.T) {
+// TestSilentClients has hundreds of clients connect and send nothing: usual clients are still served, and the silent ones are disconnected.
+func TestSilentClients(t *testing.T) {
 	r := startRig(t, "a")
 	var silent []*testClient
 	x := r.dial()
@@ -154,7 +153,7 @@
 	}
 }
 
-// TestSlowReader has a client that takes nothing: it is cut off alone.
+// TestSlowReader has a client that reads nothing: it alone is disconnected.
 func TestSlowReader(t *testing.T) {
 	r := startRig(t, "a")
 	x, slow := r.dial(), r.dial()
@@ -177,8 +176,8 @@
 	}
 }
 
-// TestAnswerBreaksOff has a client that takes nothing while its task starts: of the answer nothing is handed over before the connection is
-// ended, so the client knows that it was not served, and the task ends at its node. One whose answer had left stands on.
+// TestAnswerBreaksOff has a client that reads nothing while its task starts. Its answer is not handed over before the connection is closed, so the client
+// knows that it was not served, and the task is stopped at its node. A task whose answer was handed over runs on.
 func TestAnswerBreaksOff(t *testing.T) {
 	r := startRig(t, "a")
 	n, slow := r.nodes["a"], r.dial()
@@ -203,9 +202,9 @@
 	}
 }
 
-// TestOwedInTime has a task end whose client's connection has closed, while nothing is served that could prove another: the end is told
-// within a second all the same, on one on which something was requested, and not on one on which nothing was.
-func TestOwedInTime(t *testing.T) {
+// TestPendingNotificationInTime has a task end after its client's connection has closed, while nothing is served that could verify another: the end is notified within
+// a second all the same, on a connection on which something was requested, and not on one without a request.
+func TestPendingNotificationInTime(t *testing.T) {
 	r := startRig(t, "a")
 	n, x := r.nodes["a"], r.dial()
 	x.request(7, "single")
@@ -223,8 +222,8 @@
 	idle.want("one that did not", "9 tested 1")
 }
 
-// TestShares has descriptors so short that set-ups share connections: all are served, and few connections are made.
-func TestShares(t *testing.T) {
+// TestSharedConnections has so few descriptors that set-ups share connections: all are served, and few connections are made.
+func TestSharedConnections(t *testing.T) {
 	r := startRig(t, "a", "b")
 	r.server.limits.NodeConns = 2
 	x := r.dial()
--- a/internal/platform/configuration_test.go
+++ b/internal/platform/configuration_test.go
@@ -10,8 +10,8 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestOddStarts starts schedulers in conditions that no list of faults names.
-func TestOddStarts(t *testing.T) {
+// TestUnusualStarts starts schedulers in conditions that no list of faults names.
+func TestUnusualStarts(t *testing.T) {
 	t.Run("the journal service is silent", startWithSilentJournal)
 	t.Run("known holds gone and draining nodes alone", startWithoutReadyNodes)
 	t.Run("a node is named twice", startWithNodeNamedTwice)
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestRun names what is wrong, where, and does not start.
+// TestRun checks that the error of a file that can't be read names it.
 func TestRun(t *testing.T) {
 	t.Setenv("GW_CONFIG", filepath.Join(t.TempDir(), "none.json"))
 	if err := Run(zerolog.Nop()); err == nil || !strings.Contains(err.Error(), "none.json") {
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestRead names what a configuration lacks.
+// TestRead checks that an error names what a configuration lacks.
 func TestRead(t *testing.T) {
 	good := `{"name":"n3","listen":"10.0.0.4:5060","seed":"8c1f30d27a5be964","limits":{"cores":0.5,"memory_mb":64,"sockets":256},` +
 		`"journal":"10.2.0.1:4222","known":{"pos":0,"entries":[]},"settings":` + settingsText + `}`
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -9,7 +9,7 @@
 	"ravenpond/logic"
 )
 
-// open is a node's connections that have not ended.
+// open returns a node's connections that have not ended.
 func open(n *fakeNode) (all []*testConn) {
 	for _, e := range n.conns {
 		if !e.ended {
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestSpent has dials fail for want of descriptors here: no node is blamed, nothing that stands is called lost, and what
-// provably never left is offered again.
-func TestSpent(t *testing.T) {
+// TestDialsExhausted has dials fail for want of descriptors: no node is taken for unhealthy, no running task for lost, and what provably never left is
+// attempted again.
+func TestDialsExhausted(t *testing.T) {
 	r := startRig(t, "a", "b")
 	x := r.dial()
 	x.request(7, "single")
@@ -172,15 +172,15 @@
 	}
 }
 
-// spent is a world with no descriptor left for a dial.
+// spent is an environment without a descriptor left for a dial.
 type spent struct{ env.Environment }
 
 func (w spent) Dial(_ string, _ float64, done func(env.Conn, error)) {
 	w.After(0.1, func() { done(nil, fmt.Errorf("socket: %w", env.ErrExhausted)) })
 }
 
-// TestHeld has a client name more than can be held as standing at a node.
-func TestHeld(t *testing.T) {
+// TestHeldLimit has a client name more running tasks than may be held.
+func TestHeldLimit(t *testing.T) {
 	r := startRig(t, "a")
 	r.server.limits.Held = 20
 	x := r.dial()
@@ -194,8 +194,8 @@
 	}
 }
 
-// TestFlat replaces nodes, tasks and connections for long: nothing of what is over is kept.
-func TestFlat(t *testing.T) {
+// TestNothingIsKept replaces nodes, tasks and connections for a long time: nothing that is over is kept.
+func TestNothingIsKept(t *testing.T) {
 	r := startRig(t, "n0")
 	task := uint64(0)
 	for i := range 60 {
--- a/internal/platform/early_end_test.go
+++ b/internal/platform/early_end_test.go
@@ -34,11 +34,11 @@
 	{"full, sent away", codec.CauseFull, "sent_away", false, false},
 }
 
-// afterRun is what a client hears whose task ran and ended without an answer, by job type: marked work is dropped everywhere if it comes
-// again, so a retry of it is as harmless as one of restartable work.
+// afterRun is the answer to a client whose task ran and ended without an answer, by job class. A retry of marked work is dropped wherever it is
+// sent, so it is as harmless as one of restartable work.
 var afterRun = map[string]string{"batch": "end 42", "marked": "end 42", "single": "end 41"}
 
-// early is what a node sends before its answer: notes, if the task ran for a while, and its end.
+// early returns what a node sends before its answer: notes if the task ran for a while, and its end.
 func early(task uint64, cause byte, word string, notes bool) (b []byte) {
 	if notes {
 		b = append(b, message(codec.KindNote, task, codec.ParamReason, "cores", codec.ParamValue, "0.6")...)
@@ -113,8 +113,8 @@
 }
 
 // TestEndBeforeAnswer has a node end a task before its answer, which follows late, never, or in the same moment. The end of a run gives the
-// client its final answer at once and no second attempt is made; the late answer reaches nobody, and the node is told to end the task. An
-// attempt that was not a run is followed by another as before, but for run-once work that may have run.
+// client its final answer at once, and no second attempt is made; the late answer reaches nobody, and the node is told to stop the task. An
+// attempt that was not a run is followed by another, but for at-most-once work that may have run.
 func TestEndBeforeAnswer(t *testing.T) {
 	for _, c := range earlyEnds {
 		for _, job := range []string{"batch", "marked", "single"} {
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestNotesOfAnEarlierAttempt holds that notes count for the attempt that is out alone: a refusal of the second is no end of a run, though
-// the first ran before it was given up.
+// TestNotesOfAnEarlierAttempt checks that notes count for the attempt in flight alone: a rejection of the second is no end of a run, though the first ran
+// before it was cancelled.
 func TestNotesOfAnEarlierAttempt(t *testing.T) {
 	r := startRig(t, "a", "b")
 	x := r.dial()
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestReread checks that a changed configuration is followed, and that one that can't be read changes nothing.
-func TestReread(t *testing.T) {
+// TestReload checks that a changed configuration is followed, and that one that can't be read changes nothing.
+func TestReload(t *testing.T) {
 	r := startRig(t, "a")
 	file := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -8,7 +8,7 @@
 	"ravenpond/logic"
 )
 
-// script is a host on a virtual clock; its effects are lines, taken by look.
+// script is a host on a virtual clock that records its effects as lines.
 type script struct {
 	t           *testing.T
 	host        *Host
@@ -45,14 +45,14 @@
 	s.record("answer %d %s", id, map[bool]string{true: "declined", false: "failed"}[declined])
 }
 
-// Job types of the script, by their places.
+// Job classes of the script, by their indexes.
 const (
 	restartable = iota
 	idempotent
 	atMostOnce
 )
 
-// begin starts a host of some nodes, in two zones in turn.
+// begin starts a host with some nodes, alternately in two zones.
 func begin(t *testing.T, nodes int) *script {
 	t.Helper()
 	s := &script{t: t, now: 1e6}
@@ -80,7 +80,7 @@
 	return s
 }
 
-// pass lets time go by, with a round each time one is due.
+// advance lets time go by, with a round each time one is due.
 func (s *script) advance(ms float64) {
 	for end := s.now + ms; s.now < end; {
 		s.now = min(end, max(s.now+0.1, s.host.NextRound()))
@@ -111,8 +111,7 @@
 	s.advance(20)
 }
 
-// TestOutcomes gives each outcome to a first try of each job type, and looks what becomes of the allocation: another
-// try, a decline or a failure.
+// TestOutcomes gives each outcome to a first attempt of each job class, and checks what becomes of the allocation: another attempt, or an answer.
 func TestOutcomes(t *testing.T) {
 	const again, failed = "offer 1.1", "answer 1 failed, forget 1"
 	for _, c := range []struct {
@@ -140,7 +139,7 @@
 	}
 }
 
-// TestDeadlineAnswer declines what provably never ran when its time is up, and fails what may have.
+// TestDeadlineAnswer checks that at its deadline a request is shed if it provably never ran, and else failed.
 func TestDeadlineAnswer(t *testing.T) {
 	for _, c := range []struct {
 		verdict logic.Outcome
@@ -162,7 +161,7 @@
 	}
 }
 
-// TestStaleOutcomes holds that nothing said twice, late or of another try counts.
+// TestStaleOutcomes checks that nothing counts that is reported twice, late, or of another attempt.
 func TestStaleOutcomes(t *testing.T) {
 	s := begin(t, 4)
 	id := s.request(restartable)
@@ -189,7 +188,7 @@
 	}
 }
 
-// TestLateStart has a try time out and start after that: it is given up, and its start is no start.
+// TestLateStart has an attempt time out and start after that: it is cancelled, and the start does not count.
 func TestLateStart(t *testing.T) {
 	s := begin(t, 4)
 	id := s.request(restartable)
@@ -208,7 +207,7 @@
 	}
 }
 
-// TestDeadlineCancels answers run-once work before its expiry, calls its try off and hears no more of it.
+// TestDeadlineCancels answers at-most-once work before its deadline, cancels its attempt and ignores the rest.
 func TestDeadlineCancels(t *testing.T) {
 	s := begin(t, 4)
 	id := s.request(atMostOnce)
@@ -221,7 +220,7 @@
 	}
 }
 
-// TestWithdrawn has clients give up what waits, what is out and what stands.
+// TestWithdrawn has clients withdraw requests that wait, are in flight, and run.
 func TestWithdrawn(t *testing.T) {
 	t.Run("waits", func(t *testing.T) {
 		s := begin(t, 0)
@@ -263,8 +262,7 @@
 	})
 }
 
-// TestMigrate ends what stands by its client, who is to request again. The node hears of it from there; only one that does not
-// confirm is told by the scheduler too.
+// TestMigrate has a client stop its running task to request it anew. Only a node that does not confirm the stop is told by the scheduler too.
 func TestMigrate(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -303,7 +301,7 @@
 	}
 }
 
-// TestRecoverTask takes what stands already: nothing is answered, its end is told.
+// TestRecoverTask takes over a running task: no answer is given, its end is notified.
 func TestRecoverTask(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -331,7 +329,7 @@
 	}
 }
 
-// TestClose fails all that is open and leaves what stands.
+// TestClose fails all open requests and leaves running tasks.
 func TestClose(t *testing.T) {
 	s := begin(t, 4)
 	a := s.request(restartable)
@@ -348,7 +346,7 @@
 	}
 }
 
-// TestMaxAttempts sends no more tries than are allowed.
+// TestMaxAttempts checks that no more attempts are made than are allowed.
 func TestMaxAttempts(t *testing.T) {
 	s := begin(t, 8)
 	id := s.request(restartable)
@@ -360,7 +358,7 @@
 	s.want("four tries", "offer 1.0, offer 1.1, offer 1.2, offer 1.3, answer 1 declined, forget 1")
 }
 
-// TestBeliefError sums up by how much belief was off, either way, when reports came; each is held against it once.
+// TestBeliefError checks the mean error of belief, in either direction, against the reports; each report counts once.
 func TestBeliefError(t *testing.T) {
 	s := begin(t, 1)
 	for _, free := range []float64{20, 17, 24} {
--- a/internal/platform/host/host_timing_test.go
+++ b/internal/platform/host/host_timing_test.go
@@ -8,7 +8,7 @@
 	"ravenpond/logic"
 )
 
-// TestRoundInterval lets the module decide no more often than the step allows, on all news of a moment.
+// TestRoundInterval checks that the module decides no more often than the interval allows, on all events up to then.
 func TestRoundInterval(t *testing.T) {
 	s := begin(t, 4)
 	s.request(restartable)
@@ -19,7 +19,7 @@
 	s.want("at the step", "offer 1.0")
 }
 
-// TestReadsAfterStall reads what came in before it acts on timers, after the process stood still.
+// TestReadsAfterStall checks that after a pause of the process what was received is read before timers fire.
 func TestReadsAfterStall(t *testing.T) {
 	s := begin(t, 4)
 	id := s.request(atMostOnce)
@@ -34,7 +34,7 @@
 	s.want("after", "")
 }
 
-// TestTimeoutGrace has time-outs wait for answers that may lie unread, once; an expiry waits for nothing.
+// TestTimeoutGrace checks that time-outs are put off once for answers that may lie unread, and deadlines never.
 func TestTimeoutGrace(t *testing.T) {
 	s := begin(t, 4)
 	id := s.request(restartable)
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestProbeTimeout has a probe wait for a connection that may take long: it times out no sooner, and its answer is heard until then.
+// TestProbeTimeout has a probe wait for a connection that takes long: it times out no sooner, and its answer counts until then.
 func TestProbeTimeout(t *testing.T) {
 	for _, c := range []struct{ connects, after, want float64 }{{250, 490, 1}, {250, 520, 0}, {1000, 1900, 1}, {1000, 2020, 0}} {
 		s := begin(t, 1)
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestRacesWithTimers has what a node or a client says come in the very moment in which a try's time-out or the expiry falls due, before the turn
-// that meets it and after it. The client hears once or not at all if it is gone, a start that counts is never given up, one that does not is
-// no start, and nothing is kept.
+// TestRacesWithTimers has an event of a node or a client come in the very moment in which an attempt's time-out or the deadline is due, before the round that
+// fires the timer and after it. The client gets one answer, or none if it is gone; a start that counts is never cancelled, one that does not count is no
+// start, and nothing is kept.
 func TestRacesWithTimers(t *testing.T) {
 	says := map[string]func(s *script, id uint32) bool{
 		"started": func(s *script, id uint32) bool { return s.host.OnStarted(s.now, id, s.lastAttempt.number) },
--- a/internal/platform/host/supervisor_test.go
+++ b/internal/platform/host/supervisor_test.go
@@ -8,8 +8,7 @@
 	"ravenpond/logic"
 )
 
-// panickingScript is a script whose edge panics under the module when it is told to, as a module would that meets what nobody
-// thought of.
+// panickingScript is a script whose effects panic under the module on demand, as a module with a fault would.
 type panickingScript struct {
 	*script
 	panics   bool
@@ -27,7 +26,7 @@
 
 func (m *panickingScript) LogLine(line string) { m.logLines = append(m.logLines, line) }
 
-// told is how often a mode was told that begins so.
+// countLog returns how many log lines begin with a prefix.
 func (m *panickingScript) countLog(prefix string) (n int) {
 	for _, l := range m.logLines {
 		if strings.HasPrefix(l, prefix) {
@@ -44,8 +43,8 @@
 	return m
 }
 
-// TestModulePanics has the module panic with an allocation that stands, one of each job type tried, and more behind them:
-// each gets one answer at once, harmless or not as its tries say, and nothing is offered before a new module has begun.
+// TestModulePanics has the module panic with a running task, one request of each job class attempted, and more behind them: each request gets one
+// answer at once, shed or failed as its attempts require, and no attempt is made before a new module has started.
 func TestModulePanics(t *testing.T) {
 	m := newPanickingScript(t, 4)
 	stood := m.request(idempotent)
@@ -83,7 +82,7 @@
 		t.Errorf("%q", m.logLines)
 	}
 	m.takeLog()
-	for range 8 { // spread of the tokened type: one a node, and one stands
+	for range 8 { // the idempotent class is spread one a node, and one runs
 		m.request(idempotent)
 		m.advance(10)
 		if m.lastAttempt.node == at {
@@ -97,7 +96,7 @@
 	}
 }
 
-// TestRestartKeepsAttempts has what stands by a second try end under a new module, which knows it as its first.
+// TestRestartKeepsAttempts has a task of a second attempt end under a new module, which knows it as its first.
 func TestRestartKeepsAttempts(t *testing.T) {
 	m := newPanickingScript(t, 4)
 	id := m.request(restartable)
@@ -117,7 +116,7 @@
 	}
 }
 
-// TestRepeatedPanics has each new module fall: it rests longer each time, and every ask is answered all the same.
+// TestRepeatedPanics has each new module panic: the pause grows each time, and every request is answered all the same.
 func TestRepeatedPanics(t *testing.T) {
 	m := newPanickingScript(t, 4)
 	asks := 0
@@ -136,8 +135,7 @@
 	}
 }
 
-// TestRestartReplaysList holds what a new module is told: a node that drains gets nothing, one that came up before our eyes is
-// paced as one that may be cold.
+// TestRestartReplaysList checks what a new module knows of the list: a draining node gets nothing, and a node that was seen starting is in slow start.
 func TestRestartReplaysList(t *testing.T) {
 	m := newPanickingScript(t, 2)
 	m.host.ListBegin(m.now, logic.ListChanges)
@@ -169,7 +167,7 @@
 	}
 }
 
-// TestDiagnosticsPanic has what is read for people panic: it is switched off, and the allocation under it goes its way.
+// TestDiagnosticsPanic has reads of the module for the log panic: they are switched off, and the allocation is not affected.
 func TestDiagnosticsPanic(t *testing.T) {
 	m := newPanickingScript(t, 2)
 	mod := m.host.module
--- a/internal/platform/leak_test.go
+++ b/internal/platform/leak_test.go
@@ -12,7 +12,7 @@
 // runs, in the environment, has the tests' binary be a scheduler.
 const runs = "RAVENPOND_TEST_RUNS"
 
-// TestMain holds that every goroutine has come to its end when the tests have.
+// TestMain checks that every goroutine has ended when the tests have.
 func TestMain(m *testing.M) {
 	if os.Getenv(runs) != "" {
 		if err := Run(zerolog.New(os.Stderr)); err != nil {
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -19,7 +19,7 @@
 	"ravenpond/internal/settings"
 )
 
-// callGate holds calls back while it is shut.
+// callGate blocks calls while it is closed.
 type callGate struct {
 	mu      sync.Mutex
 	cond    *sync.Cond
@@ -56,8 +56,8 @@
 	return g.waiting
 }
 
-// gatedEnv is the real one, on loopback, whose calls into the scheduler can be held: so a test decides which of two events that
-// cross is met first.
+// gatedEnv is the real environment on loopback, whose calls into the scheduler can be blocked, so that a test decides which of two events that
+// cross is processed first.
 type gatedEnv struct {
 	*env.Real
 	turns, reads, ends, dials, accepts *callGate // reads and ends are those of client connections
@@ -95,7 +95,7 @@
 	})
 }
 
-// heldConn is a connection of which what is heard can be held.
+// heldConn is a connection whose events can be blocked.
 type heldConn struct {
 	env.Conn
 	reads, ends *callGate
@@ -131,7 +131,7 @@
 	configuration *Configuration
 }
 
-// tcpNode takes set-ups; what it says to them is the test's to say.
+// tcpNode receives set-ups; the test sends its answers.
 type tcpNode struct {
 	listener net.Listener
 
@@ -232,14 +232,14 @@
 	closeQuietly(n.connOf[task])
 }
 
-// send sends a message on the connection on which a task's set-up came.
+// send sends a message on the connection on which a task's set-up was received.
 func (n *tcpNode) send(task uint64, b []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	_, _ = n.connOf[task].Write(b) // one that is closed shows at the scheduler
 }
 
-// startLoopback starts a scheduler that may use its nodes at once.
+// startLoopback starts a scheduler that has served one request, so that it may use its node at once.
 func startLoopback(t *testing.T, change func(*Configuration)) *loopbackRig {
 	t.Helper()
 	r := &loopbackRig{t: t, env: &gatedEnv{
@@ -282,7 +282,7 @@
 	return r
 }
 
-// advanceClock has the scheduler's clock go on by so many ms, and the scheduler forget that it did not turn meanwhile.
+// advanceClock advances the scheduler's clock, and has the scheduler forget that it did not turn meanwhile.
 func (r *loopbackRig) advanceClock(ms float64) {
 	r.env.mu.Lock()
 	r.env.clockOffset += ms
@@ -294,7 +294,7 @@
 	r.server.mu.Unlock()
 }
 
-// until waits for something that comes to be, however long the machine takes.
+// until waits for a condition, however long the machine takes.
 func (r *loopbackRig) until(what string, is func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
@@ -304,7 +304,7 @@
 	}
 }
 
-// counted gives one of the scheduler's figures.
+// counted reads a figure of the scheduler under its lock.
 func (r *loopbackRig) counted(f func(s *Server) int) int {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
@@ -322,7 +322,7 @@
 	}
 }
 
-// waitIdle waits until nothing is under way in the scheduler for any ask.
+// waitIdle waits until the scheduler has no open request.
 func (r *loopbackRig) waitIdle() {
 	r.t.Helper()
 	r.until("nothing is open", func() bool {
@@ -367,7 +367,7 @@
 
 func (x *tcpClient) request(task uint64, job string) { x.send(setUp(task, job)) }
 
-// next is the next message in words, or how the connection ended.
+// next returns the next message as text, or how the connection ended.
 func (x *tcpClient) next() string {
 	_ = x.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	b := make([]byte, 4096)
@@ -407,7 +407,7 @@
 	}
 }
 
-// departures has a client go in one of the ways that there are.
+// departures are the ways in which a client leaves.
 var departures = map[string]func(x *tcpClient){
 	"closes": func(x *tcpClient) { closeQuietly(x.conn) },
 	"resets": func(x *tcpClient) { _ = x.conn.SetLinger(0); closeQuietly(x.conn) },
--- a/internal/platform/loopback_shutdown_test.go
+++ b/internal/platform/loopback_shutdown_test.go
@@ -8,9 +8,9 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestLastWords has requests and other bytes received while a scheduler that shuts down disconnects its clients: each request that was accepted
+// TestAnswersAtShutdown has requests and other bytes received while a scheduler that shuts down disconnects its clients: each request that was accepted
 // is answered, and the client reads the answer whole and without a reset, though it sends on.
-func TestLastWords(t *testing.T) {
+func TestAnswersAtShutdown(t *testing.T) {
 	for _, sendsOn := range []bool{false, true} {
 		t.Run(fmt.Sprintf("sends on %v", sendsOn), func(t *testing.T) {
 			r := startLoopback(t, nil)
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestLetInLast has a client wait to be accepted until the listener is closed and all others are disconnected: it is accepted, its request is
+// TestAcceptedAtShutdown has a client wait to be accepted until the listener is closed and all others are disconnected: it is accepted, its request is
 // answered, then it is disconnected.
-func TestLetInLast(t *testing.T) {
+func TestAcceptedAtShutdown(t *testing.T) {
 	r := startLoopback(t, nil)
 	r.env.accepts.set(true)
 	first := r.dial() // its coming is held, and x waits in the kernel behind it
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -30,9 +30,9 @@
 	r.until("it is known to be gone", func() bool { return r.counted(func(s *Server) int { return len(s.clients.conns) }) == 0 })
 }
 
-// TestGone has clients leave at each step of a request's life, and the news of it be read last: nothing begins for them. In the other
-// order, where the news is read first, the same.
-func TestGone(t *testing.T) {
+// TestClientGone has clients leave at each step of a request, with the close of the connection read last: nothing begins for them. The same holds if it is
+// read first.
+func TestClientGone(t *testing.T) {
 	for how, leave := range departures {
 		for _, readFirst := range []bool{false, true} {
 			name := fmt.Sprintf("%s, news read first %v", how, readFirst)
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestTurnedAway has connections come when there is no room for them: one that says something takes the place of one that does
-// nothing, and where all are at work it is answered before it is closed. None is closed on a request.
-func TestTurnedAway(t *testing.T) {
+// TestConnectionLimit has connections come at the limit: one on which something useful is received replaces an idle one, and if there is none, what is
+// received is answered before the connection is closed.
+func TestConnectionLimit(t *testing.T) {
 	short := func(c *Configuration) { c.Sockets = 60 }
 	fill := func(r *loopbackRig) (all []*tcpClient) {
 		for range r.server.limits.ClientConns {
@@ -137,9 +137,9 @@
 	})
 }
 
-// TestEndsAreTold has a task end while the connection that its client asked on has closed, unread: the client hears of it on another on which
-// something was served, and if there is none yet, on the next.
-func TestEndsAreTold(t *testing.T) {
+// TestEndNotified has a task end while its client's connection has closed, unread: the client is notified on another verified connection, and if there
+// is none yet, on the next.
+func TestEndNotified(t *testing.T) {
 	for how, leave := range departures {
 		for _, other := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, another is there %v", how, other), func(t *testing.T) {
@@ -167,8 +167,8 @@
 	}
 }
 
-// TestNodeCloses has a node close a connection as at-most-once work is offered to it, the close unread: the work goes on a new connection,
-// and so does a cut. Written on the closed one it might have run, or not, and nobody could tell.
+// TestNodeCloses has a node close a connection, unread, as at-most-once work is sent to it: the attempt goes on a new connection, and so does a stop.
+// Sent on the closed one it might have run, or not, and nobody could tell.
 func TestNodeCloses(t *testing.T) {
 	closed := func(r *loopbackRig) {
 		r.env.nodes.set(true)
@@ -223,9 +223,8 @@
 	}
 }
 
-// TestIdleCrowd has idle clients come by hundreds while the journal service can't be reached: each side keeps to its part of the
-// descriptors, what is stood up for work in hand is found room for, the next useful client is served, and the journal service is
-// connected once it is there.
+// TestIdleCrowd has idle clients connect by hundreds while the journal service can't be reached: each side keeps to its part of the descriptors, work in
+// hand gets its connections, the next useful client is served, and the journal service is connected once it is there.
 func TestIdleCrowd(t *testing.T) {
 	r := startLoopback(t, func(c *Configuration) {
 		c.Sockets = 100
@@ -281,9 +280,9 @@
 	r.checkConnections()
 }
 
-// TestTrickles has a request come a byte at a time, and its answer from the node, with another client's whole request and answer in between:
-// nobody else waits. An answer that breaks off after some bytes, by a close or a reset, is no answer, and at-most-once work has failed.
-func TestTrickles(t *testing.T) {
+// TestByteByByte has a request received a byte at a time, and its answer from the node, with another client's request and answer in between: nobody else
+// waits. An answer that is cut off, by a close or a reset, is no answer, and at-most-once work has failed.
+func TestByteByByte(t *testing.T) {
 	answer := codec.AppendAnswer(nil, 7, []byte("at a"))
 	for _, ends := range []string{"whole", "closed", "reset"} {
 		t.Run(ends, func(t *testing.T) {
@@ -314,7 +313,7 @@
 	}
 }
 
-// singleSetUp is the request of TestGoneEarly.
+// singleSetUp is the request of TestClientGoneEarly.
 var singleSetUp = setUp(7, "single")
 
 // earlyDepartures have a client leave before its request is accepted, at each step.
@@ -360,9 +359,9 @@
 	},
 }
 
-// TestGoneEarly has clients leave before their request is accepted: while they wait to be accepted, when they were accepted and not read, with half
+// TestClientGoneEarly has clients leave before their request is accepted: while they wait to be accepted, when they were accepted and not read, with half
 // of the request read, and in one read with it. Nothing begins for them. A client that leaves once its task runs leaves it running.
-func TestGoneEarly(t *testing.T) {
+func TestClientGoneEarly(t *testing.T) {
 	for how, leave := range departures {
 		for step, play := range earlyDepartures {
 			t.Run(step+", "+how, func(t *testing.T) {
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestResets has connections to nodes reset when they are new and when they are idle. Run-once work has one final
-// answer, and is served only once, whatever was on its way.
+// TestResets has connections to nodes reset when they are new and when they are idle. At-most-once work has one final answer, and is served only
+// once, whatever was under way.
 func TestResets(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestUnmade offers run-once work to a node that refuses connections: it provably never ran, and goes elsewhere.
-func TestUnmade(t *testing.T) {
+// TestConnectionRefused sends at-most-once work to a node that refuses connections: it provably never ran, and goes elsewhere.
+func TestConnectionRefused(t *testing.T) {
 	r := startRig(t, "a", "b")
 	r.nodes["a"].listener.Close()
 	x := r.dial()
@@ -158,8 +158,8 @@
 	}
 }
 
-// TestLate has a node answer after the try's time is up: what started late is cut, and one stands.
-func TestLate(t *testing.T) {
+// TestLateAnswer has a node answer after the attempt has timed out: the task that started late is stopped, and one runs.
+func TestLateAnswer(t *testing.T) {
 	r := startRig(t, "a", "b")
 	x := r.dial()
 	var first *fakeNode
@@ -183,8 +183,8 @@
 	}
 }
 
-// TestStoodAndEnded passes on that a task stood and ended in one.
-func TestStoodAndEnded(t *testing.T) {
+// TestStartAndEndInOne checks that the start and the end of a task that come in one message are both passed on.
+func TestStartAndEndInOne(t *testing.T) {
 	r := startRig(t, "a", "b")
 	for _, n := range r.nodes {
 		n.onSetUp = func(e *testConn, task uint64) {
@@ -197,8 +197,7 @@
 	x.want("answer and end", "7 served short", "7 end 16")
 }
 
-// TestNodeLost tells the end of the running task at a node that died or is cut off within 8 s, and not when it is merely a
-// connection that broke.
+// TestNodeLost checks that the end of a running task is notified within 8 s if its node has died or is cut off, and not if only a connection broke.
 func TestNodeLost(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -239,7 +238,7 @@
 	}
 }
 
-// TestAddressReused has a new node come up at the address of one that is gone: nothing of the old one's passes to it.
+// TestAddressReused has a new node come up at the address of one that is gone: nothing of the old one passes to it.
 func TestAddressReused(t *testing.T) {
 	r := startRig(t, "a")
 	old := r.nodes["a"]
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -26,7 +26,7 @@
 	err  *lines
 }
 
-// lines keeps what a process says.
+// lines keeps what a process prints.
 type lines struct {
 	mu  sync.Mutex
 	all bytes.Buffer
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestSignals has a program hear SIGHUP in quick succession, with files that can't be read among them, and SIGTERM right behind one, while
-// work is in hand: the last address is followed, what is in hand is answered, and it ends with status 0.
+// TestSignals sends a program SIGHUP in quick succession, with files that can't be read among them, and SIGTERM right after one, while work is in hand:
+// the last address is followed, what is in hand is answered, and the program exits with status 0.
 func TestSignals(t *testing.T) {
 	first, askedFirst := tailed(t)
 	second, askedSecond := tailed(t)
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -8,7 +8,7 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestServed goes the whole way: a set-up, its answer with the node's description byte for byte, its end.
+// TestServed follows a request all the way: a set-up, its answer with the node's description byte for byte, its end.
 func TestServed(t *testing.T) {
 	for _, job := range []string{"batch", "marked", "single"} {
 		t.Run(job, func(t *testing.T) {
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestOutlives has what stands outlive the client's connection: its end, or that it is to be asked for again, is told on
-// another, or on the next to come.
-func TestOutlives(t *testing.T) {
+// TestTaskOutlivesConnection has a running task outlive the client's connection: its end, or that it is to be requested anew, is notified on another connection, or on
+// the next one.
+func TestTaskOutlivesConnection(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		another bool
@@ -83,8 +83,8 @@
 	hostEffects{r.server}.NotifyMove(r.server.requests.byTask[7].allocID)
 }
 
-// TestFound takes over what nodes hold after a start; no answer is owed, its end is told.
-func TestFound(t *testing.T) {
+// TestRecoverTask takes over tasks that run at nodes after a start: no answer is sent for them, their ends are notified.
+func TestRecoverTask(t *testing.T) {
 	r := startRig(t, "a")
 	x := r.dial()
 	x.send(setUp(7, "single", codec.ParamDemand, demandText+";at:a"))
@@ -104,7 +104,7 @@
 	x.want("its end", "8 end 41", "7 end 16")
 }
 
-// TestStop has a scheduler told to end under load: all that it takes is answered, and what stands is left standing.
+// TestStop stops a scheduler under load: all that it accepts is answered, and running tasks run on.
 func TestStop(t *testing.T) {
 	r := startRig(t, "a")
 	n := r.nodes["a"]
--- a/internal/platform/sim_rig_test.go
+++ b/internal/platform/sim_rig_test.go
@@ -51,7 +51,7 @@
 	return startRigWith(t, settingsText, entryOf, names...)
 }
 
-// startRigWith starts one on other settings, with entries of the list as they want them.
+// startRigWith starts a scheduler with other settings, whose node list has entries to match.
 func startRigWith(t *testing.T, settingsText string, entryOf func(name, address, status string) string, names ...string) *simRig {
 	t.Helper()
 	r := &simRig{t: t, clock: sim.NewClock(7), nodes: map[string]*fakeNode{}}
@@ -118,7 +118,7 @@
 
 func (e *testConn) send(b []byte) { e.conn.Send(func(x []byte) []byte { return append(x, b...) }) }
 
-// fakeNode is a stand-in for a node. Unless a test says otherwise it starts what it is given after 30 ms.
+// fakeNode is a stand-in for a node. Unless a test says otherwise it starts a task 30 ms after the set-up.
 type fakeNode struct {
 	rig       *simRig
 	name      string
@@ -183,7 +183,7 @@
 	}
 }
 
-// description is a node's description of a task, with bytes that are no text.
+// description returns a node's description of a task, with bytes that are no text.
 func (n *fakeNode) description(task uint64) string {
 	return fmt.Sprintf("%s\x00\xff\r\n%x", n.name, task)
 }
@@ -229,7 +229,7 @@
 	}
 }
 
-// message builds one from codes and values.
+// message builds a message from codes and values.
 func message(kind byte, task uint64, params ...any) []byte {
 	b := binary.BigEndian.AppendUint64([]byte{0, 0, kind}, task)
 	for i := 0; i < len(params); i += 2 {
@@ -242,7 +242,7 @@
 
 const demandText = "cores:1;memory:2;service:00000000b4d65521"
 
-// setUp is a client's set-up; more parameters take the place of those with the same code.
+// setUp returns a client's set-up; further parameters replace those with the same code.
 func setUp(task uint64, job string, more ...any) []byte {
 	params := []any{
 		codec.ParamJobClass, job, codec.ParamTimeLeft, "2500", codec.ParamTenant, "acme", codec.ParamName, fmt.Sprintf("%016x", task), codec.ParamKey,
@@ -330,7 +330,7 @@
 	x.conn.Send(func(b []byte) []byte { return append(b, text...) })
 }
 
-// broadcast says something on all connections.
+// broadcast sends text on all connections.
 func (j *fakeJournal) broadcast(text string) {
 	if j.silent {
 		return
@@ -342,7 +342,7 @@
 	}
 }
 
-// publish adds an event and tells it.
+// publish adds an event and sends it.
 func (j *fakeJournal) publish(entries ...string) {
 	e := event(j.last()+1, false, entries...)
 	j.events = append(j.events, e)
--- a/internal/proto/platform/journal_test.go
+++ b/internal/proto/platform/journal_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// FuzzLine looks for lines that end the process or are half taken.
+// FuzzLine looks for lines that panic, or of which a part is applied.
 func FuzzLine(f *testing.F) {
 	f.Add([]byte(`{"pos":41,"hosts":{"index":7,"snapshot":false,"endpoints":[` + node + `]}}`))
 	f.Add([]byte(`41`))
--- a/internal/proto/platform/messages_test.go
+++ b/internal/proto/platform/messages_test.go
@@ -11,7 +11,7 @@
 	"ravenpond/logic"
 )
 
-// raw is a message with a false length or odd parameters.
+// raw builds a message with a false length or odd parameters.
 func raw(length int, rest ...byte) []byte {
 	return append(binary.BigEndian.AppendUint16(nil, uint16(length)), rest...)
 }
@@ -97,7 +97,7 @@
 	}
 }
 
-// message is one with these parameters.
+// message builds a message with parameters.
 func message(kind byte, params ...any) []byte {
 	b := appendHead(nil, kind, 7)
 	for i := 0; i < len(params); i += 2 {
@@ -214,7 +214,7 @@
 	}
 }
 
-// FuzzNext looks for messages that end the process, or are read past their end.
+// FuzzNext looks for messages that panic, or are read past their end.
 func FuzzNext(f *testing.F) {
 	f.Add(AppendSetUp(nil, &SetUp{
 		Task: 7, JobClass: []byte("batch"), Name: []byte("00ab"), Key: []byte("5c"), Description: []byte("d"), TimeLeft: 100,
