--- a/internal/decide/access/access_test.go
+++ b/internal/decide/access/access_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-func TestMay(t *testing.T) {
+func TestCan(t *testing.T) {
 	acts := []Action{View, ViewAudit, Manage, PauseResume, ManageTokens}
 	for _, c := range []struct {
 		who   Caller
-		own   string // of acts on its own tenant a, + or -
-		other string // on another
-		all   string // on none by name
+		own   string // for each action on its own tenant a, + or -
+		other string // on another tenant
+		all   string // on all tenants
 	}{
 		{Caller{Role: Operator}, "+++++", "+++++", "+++++"},
 		{Caller{Role: Reader}, "++---", "++---", "++---"},
@@ -21,7 +21,7 @@
 			for i, act := range acts {
 				for tenant, want := range map[string]string{"a": c.own, "b": c.other, "": c.all} {
 					if got := c.who.Can(act, tenant); got != (want[i] == '+') {
-						t.Errorf("act %d on %q: %t", act, tenant, got)
+						t.Errorf("action %d on %q: %t", act, tenant, got)
 					}
 				}
 			}
@@ -33,6 +33,6 @@
 		}
 	}
 	if _, err := ParseRole("nobody"); err == nil {
-		t.Error("nobody is no role")
+		t.Error("the name of NoRole is no role")
 	}
 }
--- a/internal/decide/budget/budget_test.go
+++ b/internal/decide/budget/budget_test.go
@@ -6,7 +6,7 @@
 	for _, c := range []struct{ sockets, memory int }{{256, 32}, {384, 64}, {1024, 192}, {4096, 2048}, {16, 8}} {
 		p := Divide(c.sockets, c.memory)
 		if c.sockets > 100 && (p.ClientConns+p.NodeConns+p.LingeringConns+p.ProvisionalConns > c.sockets-reservedDescriptors || p.LingeringConns < 3 || p.ProvisionalConns < 3 || p.ClientConns < c.sockets/3 || p.NodeConns < c.sockets/4) {
-			t.Errorf("%d sockets: %+v", c.sockets, p)
+			t.Errorf("%d descriptors: %+v", c.sockets, p)
 		}
 		if p.ClientConns < 1 || p.NodeConns < 1 || p.Open < 64 || p.OpenPerConn > p.Open || p.MemorySoftLimit >= c.memory<<20 {
 			t.Errorf("%+v: %+v", c, p)
@@ -14,23 +14,23 @@
 	}
 }
 
-// TestNode walks all that a connection may be wanted for: what is held never passes what may be.
-func TestNode(t *testing.T) {
+// TestDecideNodeConn tries each purpose of a connection: there are never more connections than the limit.
+func TestDecideNodeConn(t *testing.T) {
 	p := Limits{NodeConns: 10}
 	for _, c := range []struct {
 		name string
 		w    NodeConnRequest
 		want Action
 	}{
-		{"below the bound", NodeConnRequest{Purpose: ForHealthCheck, Held: 9}, Connect},
-		{"an offer takes a spare one", NodeConnRequest{Purpose: ForPlacement, Held: 10, Idle: 3, Spare: 1}, Replace},
-		{"an offer takes any that is idle", NodeConnRequest{Purpose: ForPlacement, Held: 10, Idle: 1}, Replace},
-		{"an offer where all are at work", NodeConnRequest{Purpose: ForPlacement, Held: 10}, Skip},
+		{"below the limit", NodeConnRequest{Purpose: ForHealthCheck, Held: 9}, Connect},
+		{"a placement takes a spare one", NodeConnRequest{Purpose: ForPlacement, Held: 10, Idle: 3, Spare: 1}, Replace},
+		{"a placement takes any that is idle", NodeConnRequest{Purpose: ForPlacement, Held: 10, Idle: 1}, Replace},
+		{"a placement where all are in use", NodeConnRequest{Purpose: ForPlacement, Held: 10}, Skip},
 		{"a probe takes a spare one", NodeConnRequest{Purpose: ForProbe, Held: 11, Idle: 1, Spare: 1}, Replace},
-		{"a look takes a spare one", NodeConnRequest{Purpose: ForHealthCheck, Held: 10, Idle: 2, Spare: 1}, Replace},
-		{"a look leaves another's alone", NodeConnRequest{Purpose: ForHealthCheck, Held: 10, Idle: 2, SinceCheck: 500}, Skip},
-		{"but not for ever", NodeConnRequest{Purpose: ForHealthCheck, Held: 10, Idle: 2, SinceCheck: 3000}, Replace},
-		{"a look where all are at work", NodeConnRequest{Purpose: ForHealthCheck, Held: 10, SinceCheck: 9000}, Skip},
+		{"a health check takes a spare one", NodeConnRequest{Purpose: ForHealthCheck, Held: 10, Idle: 2, Spare: 1}, Replace},
+		{"a health check leaves another's alone", NodeConnRequest{Purpose: ForHealthCheck, Held: 10, Idle: 2, SinceCheck: 500}, Skip},
+		{"but not for long", NodeConnRequest{Purpose: ForHealthCheck, Held: 10, Idle: 2, SinceCheck: 3000}, Replace},
+		{"a health check where all are in use", NodeConnRequest{Purpose: ForHealthCheck, Held: 10, SinceCheck: 9000}, Skip},
 	} {
 		if got := p.DecideNodeConn(c.w); got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
--- a/internal/decide/connadmission/connadmission_test.go
+++ b/internal/decide/connadmission/connadmission_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if d.Unauthenticated() != 9 || d.Conns(0)+d.Conns(1)+d.Conns(2)+d.Conns(3) != 10 {
-		t.Errorf("%d strangers, %d %d %d %d", d.Unauthenticated(), d.Conns(0), d.Conns(1), d.Conns(2), d.Conns(3))
+		t.Errorf("%d unauthenticated, %d %d %d %d", d.Unauthenticated(), d.Conns(0), d.Conns(1), d.Conns(2), d.Conns(3))
 	}
 	if d.Authenticate(1, 0) {
 		t.Error("one that is gone is let in")
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -81,7 +81,7 @@
 		want   []float64 // done per second
 	}{
 		{"by share", []Limits{{Share: 3, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{75, 25}},
-		{"what one leaves is lent", []Limits{{Share: 3, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{20, 300}, [][2]float64{one, one}, []float64{20, 80}},
+		{"what one leaves is used by the other", []Limits{{Share: 3, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{20, 300}, [][2]float64{one, one}, []float64{20, 80}},
 		{"larger ones cost more", []Limits{{Share: 1, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, {3, 1}}, []float64{75, 25}},
 		{"by memory as well", []Limits{{Share: 1, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{{1, 4}, one}, []float64{20, 80}},
 		{"a rate", []Limits{{Share: 1, MaxWaiting: 500, Rate: 10, Burst: 5}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{10, 90}},
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handover/handover_test.go
@@ -12,16 +12,16 @@
 		give, rest []uint64
 	}{
 		{"what belongs here stays", []ServiceLoad{{Service: 1, Waiting: 3, Running: 2}}, nil, nil},
-		{"what is out stays, the rest goes", []ServiceLoad{{Service: 1, Waiting: 3, Unresolved: 2, BelongsElsewhere: true}}, []uint64{1}, nil},
-		{"only out", []ServiceLoad{{Service: 1, Unresolved: 2, BelongsElsewhere: true}}, nil, nil},
-		{"whole and at rest", []ServiceLoad{{Service: 1, Waiting: 1, Running: 3, Spread: true, BelongsElsewhere: true}}, []uint64{1}, nil},
-		{"whole with one out for long", []ServiceLoad{{Service: 1, Running: 3, Unresolved: 1, Spread: true, BelongsElsewhere: true}}, nil, []uint64{1}},
-		{"paced", []ServiceLoad{
+		{"what is unresolved stays, the rest is given", []ServiceLoad{{Service: 1, Waiting: 3, Unresolved: 2, BelongsElsewhere: true}}, []uint64{1}, nil},
+		{"only unresolved", []ServiceLoad{{Service: 1, Unresolved: 2, BelongsElsewhere: true}}, nil, nil},
+		{"spread, nothing unresolved", []ServiceLoad{{Service: 1, Waiting: 1, Running: 3, Spread: true, BelongsElsewhere: true}}, []uint64{1}, nil},
+		{"spread, one unresolved for long", []ServiceLoad{{Service: 1, Running: 3, Unresolved: 1, Spread: true, BelongsElsewhere: true}}, nil, []uint64{1}},
+		{"limited per poll", []ServiceLoad{
 			{Service: 1, Running: maxPerPoll - 1, BelongsElsewhere: true},
 			{Service: 2, Running: 2, BelongsElsewhere: true},
 			{Service: 3, Running: 1, BelongsElsewhere: true},
 		}, []uint64{1, 3}, nil},
-		{"one that is large goes all the same", []ServiceLoad{
+		{"a large one is given all the same", []ServiceLoad{
 			{Service: 1, Running: 3 * maxPerPoll, BelongsElsewhere: true},
 			{Service: 2, Running: 1, BelongsElsewhere: true},
 		}, []uint64{1}, nil},
@@ -30,18 +30,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			var g Planner
 			if _, rest := g.Next(1000, c.parts); len(rest) > 0 {
-				t.Errorf("rests at once: %v", rest)
+				t.Errorf("paused at once: %v", rest)
 			}
 			give, rest := g.Next(1000+maxWait, c.parts)
 			if !slices.Equal(give, c.give) || !slices.Equal(rest, c.rest) {
-				t.Errorf("gives %v, %v rest; want %v, %v", give, rest, c.give, c.rest)
+				t.Errorf("gives %v, pauses %v; want %v, %v", give, rest, c.give, c.rest)
 			}
 		})
 	}
 }
 
-// TestEnds plays a busy service that must go whole: it always has something out until it rests, and then goes.
-func TestEnds(t *testing.T) {
+// TestSpreadServiceEnds simulates a busy service whose tasks must be spread: something is unresolved until it is paused, and then it is given.
+func TestSpreadServiceEnds(t *testing.T) {
 	var g Planner
 	now, out, resting := 0.0, 1, false
 	for range 100 {
@@ -54,17 +54,17 @@
 		give, rest := g.Next(now, []ServiceLoad{{Service: 7, Running: 4, Unresolved: out, Spread: true, BelongsElsewhere: true}})
 		if len(give) == 1 {
 			if out > 0 || now > maxWait+4*pollInterval {
-				t.Errorf("went at %g with %d out", now, out)
+				t.Errorf("given at %g with %d unresolved", now, out)
 			}
 			return
 		}
 		resting = len(rest) > 0
 	}
-	t.Error("never went")
+	t.Error("never given")
 }
 
-func TestFresh(t *testing.T) {
+func TestIsNewlyAdded(t *testing.T) {
 	if !IsNewlyAdded(100, 100) || IsNewlyAdded(100+addedDuration, 100) {
-		t.Error("fresh for the wrong time")
+		t.Error("newly added for the wrong time")
 	}
 }
--- a/internal/decide/outcome/early_test.go
+++ b/internal/decide/outcome/early_test.go
@@ -6,8 +6,8 @@
 	"ravenpond/logic"
 )
 
-// TestEarlyEnd goes through each cause that a node may give for an attempt that it has not answered, with each reason, with and without
-// notes before it.
+// TestEarlyEnd tries each cause that a node may give for an attempt that it has not answered, with each reason, with and without notes
+// before it.
 func TestEarlyEnd(t *testing.T) {
 	removed := map[logic.Reason]bool{logic.Evicted: true, logic.Preempted: true, logic.Displaced: true}
 	for _, cause := range []struct {
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestDeclinedAfterRun has a client hear that a retry is harmless only where a second effect can't come of it.
-func TestDeclinedAfterRun(t *testing.T) {
+// TestIsRetrySafeAfterRun checks that a client is told that a retry is safe only where it cannot cause a second effect.
+func TestIsRetrySafeAfterRun(t *testing.T) {
 	for _, c := range []struct {
 		effect logic.RetrySemantics
 		group  logic.IdempotencyScope
--- a/internal/decide/outcome/outcome_test.go
+++ b/internal/decide/outcome/outcome_test.go
@@ -6,20 +6,20 @@
 	"ravenpond/logic"
 )
 
-func TestFates(t *testing.T) {
+func TestAttemptState(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		got, want AttemptState
 	}{
-		{"broke before its last byte left", AfterDisconnect(false), NeverRan},
-		{"broke after", AfterDisconnect(true), MustClaim},
-		{"back, in the same life, and named", AfterReconnect(true, true), InProgress},
-		{"back in another life, and named", AfterReconnect(false, true), InProgress},
-		{"back in the same life, not named", AfterReconnect(true, false), MustClaim},
-		{"back in another life, not named", AfterReconnect(false, false), MayHaveRun},
-		{"gone from the list, still connected", AfterNodeRemoved(true, true), InProgress},
-		{"gone, and it may have got there", AfterNodeRemoved(false, true), MayHaveRun},
-		{"gone, and never sent", AfterNodeRemoved(false, false), NeverRan},
+		{"disconnected before its last byte left", AfterDisconnect(false), NeverRan},
+		{"disconnected after", AfterDisconnect(true), MustClaim},
+		{"reconnected in the same incarnation, named", AfterReconnect(true, true), InProgress},
+		{"reconnected in another incarnation, named", AfterReconnect(false, true), InProgress},
+		{"reconnected in the same incarnation, not named", AfterReconnect(true, false), MustClaim},
+		{"reconnected in another incarnation, not named", AfterReconnect(false, false), MayHaveRun},
+		{"removed from the list, still connected", AfterNodeRemoved(true, true), InProgress},
+		{"removed, and it may have arrived", AfterNodeRemoved(false, true), MayHaveRun},
+		{"removed, and never sent", AfterNodeRemoved(false, false), NeverRan},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, c.got, c.want)
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestLate(t *testing.T) {
+func TestOnLateStart(t *testing.T) {
 	for _, effect := range []logic.RetrySemantics{logic.Restartable, logic.Idempotent, logic.AtMostOnce} {
 		answered := Keep
 		if effect == logic.Restartable {
@@ -43,11 +43,11 @@
 		}
 	}
 	if LateStartRetention(3000) <= 2*3000 || float64(MaxClaims())*ClaimInterval(3000) >= 3000 {
-		t.Error("a late start must outlast its owner's wait, and be claimed within it")
+		t.Error("a late start must be kept longer than the client waits, and be claimed within that time")
 	}
 }
 
-func TestWithdrawn(t *testing.T) {
+func TestIsRetrySafe(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		effect       logic.RetrySemantics
@@ -55,13 +55,13 @@
 		out, mayHave bool
 		want         bool
 	}{
-		{"restartable, out", logic.Restartable, logic.ScopeAll, true, true, true},
-		{"run-once, nothing sent", logic.AtMostOnce, logic.ScopeAll, false, false, true},
-		{"run-once, out", logic.AtMostOnce, logic.ScopeAll, true, false, false},
-		{"run-once, may have run", logic.AtMostOnce, logic.ScopeAll, false, true, false},
-		{"tokened everywhere, may have run", logic.Idempotent, logic.ScopeAll, false, true, true},
-		{"tokened everywhere, out", logic.Idempotent, logic.ScopeAll, true, false, false},
-		{"tokened in a zone, may have run", logic.Idempotent, logic.ScopeZone, false, true, false},
+		{"restartable, open", logic.Restartable, logic.ScopeAll, true, true, true},
+		{"at most once, nothing sent", logic.AtMostOnce, logic.ScopeAll, false, false, true},
+		{"at most once, open", logic.AtMostOnce, logic.ScopeAll, true, false, false},
+		{"at most once, may have run", logic.AtMostOnce, logic.ScopeAll, false, true, false},
+		{"idempotent everywhere, may have run", logic.Idempotent, logic.ScopeAll, false, true, true},
+		{"idempotent everywhere, open", logic.Idempotent, logic.ScopeAll, true, false, false},
+		{"idempotent in a zone, may have run", logic.Idempotent, logic.ScopeZone, false, true, false},
 	} {
 		if got := IsRetrySafe(c.effect, c.group, c.out, c.mayHave); got != c.want {
 			t.Errorf("%s: %t", c.name, got)
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestProbeWithin gives a probe the time that a connection may take to be made, and as long again for its answer.
-func TestProbeWithin(t *testing.T) {
+// TestProbeTimeoutFor checks that a probe gets the time of a connection, and as long again for its answer.
+func TestProbeTimeoutFor(t *testing.T) {
 	for connect, want := range map[float64]float64{0: 500, 150: 500, 250: 500, 400: 800, 1000: 2000} {
 		if got := ProbeTimeoutFor(connect); got != want {
 			t.Errorf("connections in %g ms: %g, want %g", connect, got, want)
--- a/internal/decide/pausedetect/pausedetect_test.go
+++ b/internal/decide/pausedetect/pausedetect_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-func TestRound(t *testing.T) {
+func TestOnRound(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		gap   float64
-		news  float64 // for so long after, each round brings news
+		news  float64 // ms after the pause in which something arrives before each round
 		stood bool
 		until float64 // after the gap
 	}{
 		{"as usual", 100, 0, false, 0},
-		{"stood still, nothing came", 3000, 0, true, settleTime},
-		{"stood still, much came", 3000, 200, true, 205},
-		{"news without end", 3000, 1e9, true, maxSettleTime - settleTime},
+		{"paused, nothing arrived", 3000, 0, true, settleTime},
+		{"paused, much arrived", 3000, 200, true, 205},
+		{"arrivals without end", 3000, 1e9, true, maxSettleTime - settleTime},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var w Detector
@@ -21,7 +21,7 @@
 			begin := 1000 + c.gap
 			stood, act := w.OnRound(begin, true)
 			if (stood > 0) != c.stood || act == c.stood {
-				t.Fatalf("stood %g, acts %t", stood, act)
+				t.Fatalf("pause %g, may act %t", stood, act)
 			}
 			at := begin
 			for !act && at < begin+10000 {
--- a/internal/decide/quotalease/quotalease_test.go
+++ b/internal/decide/quotalease/quotalease_test.go
@@ -49,9 +49,9 @@
 		{"all are there", Share{Places: 4, LeasedFraction: 0.5, Sharers: 4}, 16, 4, 4},
 		{"one is lost", Share{Places: 4, LeasedFraction: 0.5, Sharers: 3}, 24, 7, 7},
 		{"no lease", Share{Places: 4, LeasedFraction: 0.5}, 24, 3, 3},
-		{"nothing is lent", Share{Places: 4, Sharers: 2}, 24, 6, 6},
-		{"all is lent, no lease", Share{Places: 4, LeasedFraction: 1}, 24, 0, 0},
-		{"too little to be lent", Share{Places: 4, Index: 3, LeasedFraction: 0.5, Sharers: 1}, 3, 0, 1.875},
+		{"nothing is leased", Share{Places: 4, Sharers: 2}, 24, 6, 6},
+		{"all is leased, no lease here", Share{Places: 4, LeasedFraction: 1}, 24, 0, 0},
+		{"too little to be leased", Share{Places: 4, Index: 3, LeasedFraction: 0.5, Sharers: 1}, 3, 0, 1.875},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.p.Count(c.limit); got != c.whole {
--- a/internal/decide/reconnect/reconnect_test.go
+++ b/internal/decide/reconnect/reconnect_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestStorm(t *testing.T) {
+func TestMaxActiveDials(t *testing.T) {
 	p := New(1)
 	for nd := range 2000 {
 		p.SetEnabled(0, nd, true)
@@ -26,11 +26,11 @@
 		under = under[:0]
 	}
 	if linked != 2000 || p.activeDials != 0 {
-		t.Errorf("%d linked, %d under way", linked, p.activeDials)
+		t.Errorf("%d connected, %d dials active", linked, p.activeDials)
 	}
 }
 
-func TestPace(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		wanted      bool
@@ -72,19 +72,18 @@
 		p.SetEnabled(0, 4, true)
 		p.SetEnabled(0, 4, false)
 		if _, ok := p.Next(100); ok {
-			t.Error("dialled")
+			t.Error("dialed")
 		}
 	})
 }
 
-// TestFoundConnection has a node be connected without a dial of this pacer's: it is not dialled, and is once that
-// connection breaks.
-func TestFoundConnection(t *testing.T) {
+// TestConnectedByNode has a node connect by itself: it is not dialed until that connection breaks.
+func TestConnectedByNode(t *testing.T) {
 	p := New(1)
 	p.SetEnabled(0, 3, true)
 	p.OnConnected(1, 3)
 	if nd, ok := p.Next(2); ok {
-		t.Fatalf("node %d is dialled, and is connected", nd)
+		t.Fatalf("node %d is dialed, and is connected", nd)
 	}
 	p.OnDisconnected(5000, 3)
 	if nd, ok := p.Next(5000 + maxBackoff); !ok || nd != 3 {
--- a/internal/decide/shutdown/shutdown.go
+++ b/internal/decide/shutdown/shutdown.go
@@ -26,8 +26,10 @@
 type Plan struct {
 	RejectAt float64 // new requests are shed
 	AnswerAt float64 // what is still open is answered, because nobody can follow it any more
-	CloseAt  float64 // the listener is closed, and client connections on which no message is pending; those that were waiting to be accepted still get answers
-	ExitAt   float64
+	// CloseAt is when the listener is closed, and client connections on which no message is pending. Those that waited to be accepted still
+	// get answers.
+	CloseAt float64
+	ExitAt  float64
 }
 
 // NewPlan returns the plan of a scheduler that is told to end now, from the longest expiry of its clients' requests in ms.
--- a/internal/decide/slowstart/slowstart_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -273,8 +273,8 @@
 // TestFaultsAreDetected injects what the proof forbids, and checks that the simulation detects it.
 func TestFaultsAreDetected(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		plant faults
+		name   string
+		faults faults
 	}{
 		{"grants are forgotten too soon", faults{leaseFactor: 0.3}},
 		{"each counts for itself alone", faults{countsAlone: true}},
@@ -283,7 +283,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(60) {
-				if worst, _ := simulate(seed, 5, 5, c.plant); worst > 1+1e-9 {
+				if worst, _ := simulate(seed, 5, 5, c.faults); worst > 1+1e-9 {
 					t.Logf("found by seed %d: %.2f of the whole", seed, worst)
 					return
 				}
--- a/internal/decide/watchretry/watchretry_test.go
+++ b/internal/decide/watchretry/watchretry_test.go
@@ -79,17 +79,17 @@
 	}
 }
 
-// TestTrickle tells a line that comes slowly from one that never ends, and from silence in its midst.
+// TestTrickle distinguishes a line that arrives slowly from one that never ends, and from silence within it.
 func TestTrickle(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		bytes, line float64 // ms between bytes, and from the first to the line's end
 		silent      bool
 	}{
-		{"a long line comes slowly", 100, 3000, false},
-		{"slower than its service's count", 1000, 3000, false},
+		{"a long line arrives slowly", 100, 3000, false},
+		{"slower than the heartbeat", 1000, 3000, false},
 		{"it never ends", 100, 1e9, true},
-		{"silence in its midst", 2500, 3000, true},
+		{"silence within it", 2500, 3000, true},
 	} {
 		var r Retrier
 		r.BeginConnect(0)
--- a/internal/decide/workingset/widen_test.go
+++ b/internal/decide/workingset/widen_test.go
@@ -4,8 +4,8 @@
 
 // simulateShortage reports a shortage for a while. It returns how many nodes were added in the worst second, and how many ms it took until the
 // set had grown by half.
-func simulateShortage(plant Faults) (worst int, doubled float64) {
-	c, s := oneOf(30, 14000, Config{MinNodes: 480, Coverage: 1, Faults: plant})
+func simulateShortage(faults Faults) (worst int, doubled float64) {
+	c, s := oneOf(30, 14000, Config{MinNodes: 480, Coverage: 1, Faults: faults})
 	usual, began := s.Size(), c.now
 	var entered []int
 	for range 50 {
@@ -57,8 +57,8 @@
 }
 
 // simulatePulses reports a shortage every few seconds. It returns how many nodes were added, and the largest size of the set.
-func simulatePulses(every, total float64, plant Faults) (entered, most int) {
-	c, s := oneOf(30, 1300, Config{MinNodes: 100, Coverage: 1, Faults: plant})
+func simulatePulses(every, total float64, faults Faults) (entered, most int) {
+	c, s := oneOf(30, 1300, Config{MinNodes: 100, Coverage: 1, Faults: faults})
 	usual := s.Size()
 	next := c.now
 	for end := c.now + total; c.now < end; c.now += 100 {
--- a/internal/decide/workingset/workingset_test.go
+++ b/internal/decide/workingset/workingset_test.go
@@ -138,9 +138,9 @@
 }
 
 // memberChange removes a scheduler or adds one, and returns which fraction of the sets changes.
-func memberChange(joins bool, plant Faults) (part float64, least int) {
+func memberChange(joins bool, faults Faults) (part float64, least int) {
 	const schedulers, nodes = 30, 1300
-	c := newCluster(schedulers, nodes, Config{MinNodes: 480, Coverage: 1, Faults: plant})
+	c := newCluster(schedulers, nodes, Config{MinNodes: 480, Coverage: 1, Faults: faults})
 	if joins {
 		c.names = append(c.names, "another")
 	} else {
