--- a/internal/decide/fragment/fragment.go
+++ b/internal/decide/fragment/fragment.go
@@ -1,16 +1,20 @@
-// Package fragment splits messages into fragments that fit a datagram and reassembles them. A message of which a fragment is lost is lost;
-// its sender sends it again, or something newer. The package tolerates duplicate, late, reordered and missing fragments, and limits what
-// senders of many incomplete messages can occupy.
+// Package fragment splits messages into fragments that fit a datagram, and reassembles them. A message of which a fragment is lost is lost;
+// its sender sends it again, or a newer one. The package tolerates duplicate, late, reordered and missing fragments, and limits what senders
+// of many incomplete messages can occupy. A Reassembler is not safe for concurrent use.
 package fragment
 
-// Limits.
+import "slices"
+
+// MaxFragments is the number of fragments of a message at most. Datagrams may be reordered by as many.
+const MaxFragments = 64
+
 const (
-	MaxFragments  = 64  // fragments of a message; datagrams may be reordered by as many
-	maxIncomplete = 8   // incomplete messages of a sender
-	maxSenders    = 512 // senders
+	maxIncomplete = 8   // messages of one sender
+	maxSenders    = 512 // that a Reassembler remembers
+	maskBits      = 64  // message numbers below the highest complete one that a sender's mask covers
 )
 
-// Split splits a message into fragments of at most that many bytes. It returns nil if there would be more than MostParts.
+// Split splits a message into fragments of at most maxBytes. It returns nil if there would be more than MaxFragments.
 func Split(body []byte, maxBytes int) (fragments [][]byte) {
 	if len(body) > MaxFragments*maxBytes {
 		return nil
@@ -24,63 +28,60 @@
 // Reassembler reassembles messages. Its zero value is ready to use.
 type Reassembler struct {
 	senders map[string]*sender
-	order   []string // senders, the one heard first in front
+	order   []string // names of senders, the one that is known for longest first
 }
 
+// sender is what is kept of one incarnation of a sender.
 type sender struct {
 	incarnation   uint64
-	messages      []*message // the oldest first
-	highest       uint64     // the highest number of a complete message
-	completeBelow uint64     // bit set of the 64 numbers below it that are complete
+	messages      []*message // incomplete ones, the oldest first
+	highest       uint64     // number of a complete message
+	completeBelow uint64     // bit i: message highest-1-i is complete
 }
 
+// message is a message of which fragments are missing.
 type message struct {
 	number    uint64
-	fragments [][]byte
+	fragments [][]byte // nil: missing
 	missing   int
 }
 
-// Add adds a fragment of a message that an incarnation of its sender has numbered. It returns the message if this was the last missing
-// fragment. The bytes are copied.
-func (r *Reassembler) Add(from string, incarnation, number uint64, index, total int, body []byte) ([]byte, bool) {
-	if total > MaxFragments || index < 0 || index >= total {
+// Fragment is one of Total fragments of the message that an incarnation of its sender has numbered.
+type Fragment struct {
+	From                string
+	Incarnation, Number uint64
+	Index, Total        int
+	Body                []byte
+}
+
+// Add adds a fragment. It returns the message if this was the last missing fragment. The body is copied.
+func (r *Reassembler) Add(f Fragment) ([]byte, bool) {
+	if f.Total > MaxFragments || f.Index < 0 || f.Index >= f.Total {
 		return nil, false
 	}
-	s := r.sender(from, incarnation)
-	if s == nil || s.isComplete(number) {
+	s := r.sender(f.From, f.Incarnation)
+	if s == nil || s.isComplete(f.Number) {
 		return nil, false
 	}
-	var m *message
-	for _, x := range s.messages {
-		if x.number == number {
-			m = x
-		}
-	}
-	if m == nil {
-		if len(s.messages) == maxIncomplete { // the oldest one lacks a lost fragment
-			s.messages = append(s.messages[:0], s.messages[1:]...)
-		}
-		m = &message{number: number, fragments: make([][]byte, total), missing: total}
-		s.messages = append(s.messages, m)
-	}
-	if len(m.fragments) != total || m.fragments[index] != nil {
+	m := s.message(f.Number, f.Total)
+	if len(m.fragments) != f.Total || m.fragments[f.Index] != nil {
 		return nil, false
 	}
-	m.fragments[index] = append([]byte{}, body...)
+	m.fragments[f.Index] = append([]byte{}, f.Body...) // never nil
 	if m.missing--; m.missing > 0 {
 		return nil, false
 	}
 	s.markComplete(m)
 	var all []byte
-	for _, p := range m.fragments {
-		all = append(all, p...)
+	for _, body := range m.fragments {
+		all = append(all, body...)
 	}
 	return all, true
 }
 
-// sender returns what is kept of a sender's incarnation, nil if it is outdated.
-func (r *Reassembler) sender(from string, incarnation uint64) *sender {
-	s := r.senders[from]
+// sender returns what is kept of a sender's incarnation, nil if a later one is known.
+func (r *Reassembler) sender(name string, incarnation uint64) *sender {
+	s := r.senders[name]
 	switch {
 	case s == nil:
 		if r.senders == nil {
@@ -88,11 +89,11 @@
 		}
 		if len(r.order) == maxSenders {
 			delete(r.senders, r.order[0])
-			r.order = append(r.order[:0], r.order[1:]...)
+			r.order = slices.Delete(r.order, 0, 1)
 		}
 		s = &sender{incarnation: incarnation}
-		r.senders[from] = s
-		r.order = append(r.order, from)
+		r.senders[name] = s
+		r.order = append(r.order, name)
 	case incarnation < s.incarnation:
 		return nil
 	case incarnation > s.incarnation:
@@ -101,15 +102,31 @@
 	return s
 }
 
-// isComplete reports whether a message was complete before.
+// message returns an incomplete message, and begins it if need be: the oldest one lacks a lost fragment and makes place for it.
+func (s *sender) message(number uint64, total int) *message {
+	for _, m := range s.messages {
+		if m.number == number {
+			return m
+		}
+	}
+	if len(s.messages) == maxIncomplete {
+		s.messages = slices.Delete(s.messages, 0, 1)
+	}
+	m := &message{number: number, fragments: make([][]byte, total), missing: total}
+	s.messages = append(s.messages, m)
+	return m
+}
+
+// isComplete reports whether a message was complete before, or is too old to tell.
 func (s *sender) isComplete(number uint64) bool {
-	return number <= s.highest && (s.highest-number >= 64 || number == s.highest || s.completeBelow>>(s.highest-number-1)&1 == 1)
+	return number <= s.highest &&
+		(s.highest-number >= maskBits || number == s.highest || s.completeBelow>>(s.highest-number-1)&1 == 1)
 }
 
-// markComplete records a complete message.
+// markComplete records a message as complete and removes it.
 func (s *sender) markComplete(m *message) {
 	if by := m.number - s.highest; m.number > s.highest {
-		if by < 64 {
+		if by < maskBits {
 			s.completeBelow = s.completeBelow<<by | 1<<(by-1)
 		} else {
 			s.completeBelow = 0
@@ -118,10 +135,5 @@
 	} else {
 		s.completeBelow |= 1 << (s.highest - m.number - 1)
 	}
-	for i, x := range s.messages {
-		if x == m {
-			s.messages = append(s.messages[:i], s.messages[i+1:]...)
-			return
-		}
-	}
+	s.messages = slices.DeleteFunc(s.messages, func(x *message) bool { return x == m })
 }
--- a/internal/decide/fragment/fragment_test.go
+++ b/internal/decide/fragment/fragment_test.go
@@ -7,66 +7,68 @@
 	"pgregory.net/rapid"
 )
 
-// TestCarry sends messages whose parts are lost, doubled and out of order: what comes out is what went in, at most once, and
-// whole where nothing was lost.
-func TestCarry(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		type part struct {
-			number    uint64
-			index, of int
-			body      []byte
-		}
-		var w Reassembler
-		var way []part
-		sent, lost := map[uint64][]byte{}, map[uint64]bool{}
-		for number := uint64(1); number <= uint64(rapid.IntRange(1, 5).Draw(t, "messages")); number++ {
-			body := bytes.Repeat([]byte{byte(number)}, rapid.IntRange(0, 30).Draw(t, "bytes"))
-			sent[number] = body
-			parts := Split(body, 7)
-			for i, p := range parts {
-				for range rapid.IntRange(0, 2).Draw(t, "times") {
-					way = append(way, part{number, i, len(parts), p})
-				}
-				lost[number] = lost[number] || len(way) == 0 || way[len(way)-1].number != number || way[len(way)-1].index != i
+// draw splits messages of one sender into fragments that may be lost or doubled. It returns them, the messages by number, and those of which a
+// fragment is lost.
+func draw(t *rapid.T) (sent []Fragment, messages map[uint64][]byte, lost map[uint64]bool) {
+	messages, lost = map[uint64][]byte{}, map[uint64]bool{}
+	for number := uint64(1); number <= uint64(rapid.IntRange(1, 5).Draw(t, "messages")); number++ {
+		body := bytes.Repeat([]byte{byte(number)}, rapid.IntRange(0, 30).Draw(t, "bytes"))
+		messages[number] = body
+		parts := Split(body, 7)
+		for i, p := range parts {
+			times := rapid.IntRange(0, 2).Draw(t, "times")
+			for range times {
+				sent = append(sent, Fragment{From: "a", Incarnation: 1, Number: number, Index: i, Total: len(parts), Body: p})
 			}
+			lost[number] = lost[number] || times == 0
 		}
+	}
+	return sent, messages, lost
+}
+
+// TestReassembly sends messages whose fragments are lost, doubled and out of order: each message is reassembled as it was sent, at most once,
+// and once if no fragment was lost.
+func TestReassembly(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		sent, messages, lost := draw(t)
+		var r Reassembler
 		got := map[uint64]int{}
-		for _, p := range rapid.Permutation(way).Draw(t, "way") {
-			if body, ok := w.Add("a", 1, p.number, p.index, p.of, p.body); ok {
-				if got[p.number]++; got[p.number] > 1 || !bytes.Equal(body, sent[p.number]) {
-					t.Fatalf("message %d came %d times as %v, sent as %v", p.number, got[p.number], body, sent[p.number])
+		for _, f := range rapid.Permutation(sent).Draw(t, "order") {
+			if body, ok := r.Add(f); ok {
+				if got[f.Number]++; got[f.Number] > 1 || !bytes.Equal(body, messages[f.Number]) {
+					t.Fatalf("message %d arrived %d times as %v, sent as %v", f.Number, got[f.Number], body, messages[f.Number])
 				}
 			}
 		}
-		for number := range sent {
+		for number := range messages {
 			if !lost[number] && got[number] == 0 {
-				t.Fatalf("message %d did not come", number)
+				t.Fatalf("message %d did not arrive", number)
 			}
 		}
 	})
 }
 
 func TestBounds(t *testing.T) {
-	var w Reassembler
+	var r Reassembler
 	if Split(make([]byte, MaxFragments*10+1), 10) != nil || len(Split(nil, 10)) != 1 {
-		t.Error("cut what is too long, or nothing into nothing")
+		t.Error("a message that is too long is split, or an empty one is not")
 	}
-	for n := uint64(1); n <= 100; n++ { // begun and never ended
-		w.Add("a", 1, n, 0, 2, nil)
+	for n := uint64(1); n <= 100; n++ { // never complete
+		r.Add(Fragment{From: "a", Incarnation: 1, Number: n, Total: 2})
 	}
-	if got := len(w.senders["a"].messages); got != maxIncomplete {
+	if got := len(r.senders["a"].messages); got != maxIncomplete {
 		t.Errorf("%d messages are kept", got)
 	}
-	if _, ok := w.Add("a", 2, 1, 0, 1, []byte("x")); !ok {
-		t.Error("a message of the next life")
+	if _, ok := r.Add(Fragment{From: "a", Incarnation: 2, Number: 1, Total: 1, Body: []byte("x")}); !ok {
+		t.Error("a message of the next incarnation is dropped")
 	}
-	if _, ok := w.Add("a", 1, 200, 0, 1, nil); ok {
-		t.Error("a message of the life before")
+	if _, ok := r.Add(Fragment{From: "a", Incarnation: 1, Number: 200, Total: 1}); ok {
+		t.Error("a message of an earlier incarnation is reassembled")
 	}
 	for i := range maxSenders + 50 {
-		w.Add(string(rune(i+1000)), 1, 1, 0, 2, nil)
+		r.Add(Fragment{From: string(rune(i + 1000)), Incarnation: 1, Number: 1, Total: 2})
 	}
-	if len(w.senders) > maxSenders {
-		t.Errorf("%d senders are kept", len(w.senders))
+	if len(r.senders) > maxSenders {
+		t.Errorf("%d senders are kept", len(r.senders))
 	}
 }
--- a/internal/decide/membership/receive.go
+++ b/internal/decide/membership/receive.go
@@ -4,6 +4,7 @@
 	"errors"
 	"math"
 
+	"ravenpond/internal/decide/fragment"
 	"ravenpond/internal/decide/reachability"
 	codec "ravenpond/internal/proto/members"
 )
@@ -48,36 +49,35 @@
 
 // OnHeader checks a datagram against what is known of its sender. Only a sender that knows this process's incarnation may change anything, and
 // each count is accepted once, so that replays have no effect.
-func (d datagramHandler) OnHeader(from, address string, incarnation, count, toIncarnation uint64, kind uint32, number uint64, target string, view uint64, after,
-	until string,
-) bool {
+func (d datagramHandler) OnHeader(received codec.Header) bool {
 	switch {
-	case from == d.config.Name:
-		if address != d.config.Address {
-			d.onNameConflict(address, incarnation)
+	case received.From == d.config.Name:
+		if received.Address != d.config.Address {
+			d.onNameConflict(received.Address, received.Incarnation)
 		}
 		return false
-	case kind == codec.Hello:
-		d.onHello(from, address, incarnation, number)
+	case received.Kind == codec.Hello:
+		d.onHello(received.From, received.Address, received.Incarnation, received.Number)
 		return false
-	case toIncarnation != d.config.Incarnation && !d.config.Faults.AcceptReplays:
+	case received.ReceiverIncarnation != d.config.Incarnation && !d.config.Faults.AcceptReplays:
 		d.Stats.Stale++
 		return false
-	case kind == codec.Welcome && !d.onWelcome(address, number, target, view):
+	case received.Kind == codec.Welcome && !d.onWelcome(received.Address, received.Number, received.Target, received.Digest):
 		return false
 	}
-	m := d.senderOf(from, address, incarnation)
+	m := d.senderOf(received.From, received.Address, received.Incarnation)
 	if m == nil {
 		return false
 	}
-	if kind != codec.Welcome && !m.acceptCount(count) && !d.config.Faults.AcceptReplays {
+	if received.Kind != codec.Welcome && !m.acceptCount(received.Count) && !d.config.Faults.AcceptReplays {
 		d.Stats.Stale++
 		return false
 	}
 	m.LastContact = d.now
 	h := &d.header
-	h.sender, h.kind, h.number, h.view, h.target, h.after, h.until = m, kind, number, view, target, after, until
-	if kind == codec.SyncChunk {
+	h.sender, h.kind, h.number, h.view = m, received.Kind, received.Number, received.Digest
+	h.target, h.after, h.until = received.Target, received.After, received.Until
+	if received.Kind == codec.SyncChunk {
 		d.syncedNames = map[string]bool{}
 	}
 	return true
@@ -119,9 +119,9 @@
 }
 
 // OnLease keeps a datagram's lease fields until its kind is handled.
-func (d datagramHandler) OnLease(place int, granted bool, counted []byte, quotaGranted bool, quotaCounted []byte) {
-	d.header.lease = leaseFields{place + 1, granted, quotaGranted, counted, quotaCounted}
-	d.header.sender.place = place + 1
+func (d datagramHandler) OnLease(l codec.Lease) {
+	d.header.lease = leaseFields{l.Place + 1, l.Granted, l.QuotaGranted, l.Counted, l.QuotaCounted}
+	d.header.sender.place = l.Place + 1
 }
 
 // OnNodeState handles gossip about a node.
@@ -157,13 +157,14 @@
 }
 
 // OnFragment handles a fragment of a message for other parts of the program.
-func (d datagramHandler) OnFragment(index, of int, body []byte) {
+func (d datagramHandler) OnFragment(index, total int, body []byte) {
 	h := &d.header
 	if h.kind != codec.Fragment || d.carrier == nil {
 		return
 	}
-	if all, ok := d.reassembler.Add(h.sender.Name, h.sender.Incarnation, h.number, index, of, body); ok {
-		d.carrier.Carried(h.sender.Name, all)
+	part := fragment.Fragment{From: h.sender.Name, Incarnation: h.sender.Incarnation, Number: h.number, Index: index, Total: total, Body: body}
+	if message, ok := d.reassembler.Add(part); ok {
+		d.carrier.Carried(h.sender.Name, message)
 	}
 }
 
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -36,7 +36,7 @@
 	parts := fragment.Split(body, codec.MaxFragmentBytes)
 	for i, p := range parts {
 		m.sentCount++
-		b := codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Incarnation, m.sentCount, m.Incarnation, codec.Fragment, d.sequence, "", 0, "", "")
+		b := d.appendHeader(m.Incarnation, codec.Header{Count: m.sentCount, Kind: codec.Fragment, Number: d.sequence})
 		d.transmit(m.Address, codec.AppendFragment(b, i, len(parts), p))
 	}
 	return len(parts) > 0
@@ -62,7 +62,7 @@
 	if m.State != Alive {
 		first = m
 	}
-	b := codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Incarnation, m.sentCount, m.Incarnation, kind, number, target, d.digest, "", "")
+	b := d.appendHeader(m.Incarnation, codec.Header{Count: m.sentCount, Kind: kind, Number: number, Target: target, Digest: d.digest})
 	b = codec.AppendStateVersion(b, d.stateVersion)
 	b = d.appendLease(b, kind)
 	b = d.appendReachability(b, kind)
@@ -77,7 +77,7 @@
 	switch {
 	case d.slowStart == nil || d.leaving || d.nameConflict:
 	case kind == codec.Ping:
-		return codec.AppendLease(b, d.config.Place, false, nil, false, nil)
+		return codec.AppendLease(b, codec.Lease{Place: d.config.Place})
 	case kind == codec.Ack && d.header.kind == codec.Ping && d.header.lease.place > 0: // not an ack that is forwarded for another member
 		place := d.header.lease.place - 1
 		granted, counted := d.slowStart.OnRequest(d.now, place)
@@ -86,7 +86,9 @@
 		if d.quota != nil {
 			quotaGranted, quotaCounted = d.quota.OnRequest(d.now, place)
 		}
-		return codec.AppendLease(b, d.config.Place, granted, counted.Bytes(), quotaGranted, quotaCounted.Bytes())
+		return codec.AppendLease(b, codec.Lease{
+			Place: d.config.Place, Granted: granted, Counted: counted.Bytes(), QuotaGranted: quotaGranted, QuotaCounted: quotaCounted.Bytes(),
+		})
 	}
 	return b
 }
@@ -140,12 +142,20 @@
 
 // appendUpdate appends a member's update; false if it does not fit.
 func appendUpdate(b []byte, m *member) ([]byte, bool) {
-	return codec.AppendMember(b, m.Name, m.Address, m.Incarnation, m.Version, uint32(m.State), m.By)
+	return codec.AppendMember(b, codec.Member{
+		Name: m.Name, Address: m.Address, Incarnation: m.Incarnation, Version: m.Version, State: uint32(m.State), By: m.By,
+	})
 }
 
 // sendBare sends a datagram without count and updates, to a process that may not know this one's incarnation.
 func (d *Detector) sendBare(address string, incarnation uint64, kind uint32, number uint64, target string, view uint64) {
-	d.transmit(address, codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Incarnation, 0, incarnation, kind, number, target, view, "", ""))
+	d.transmit(address, d.appendHeader(incarnation, codec.Header{Kind: kind, Number: number, Target: target, Digest: view}))
+}
+
+// appendHeader begins a datagram for an incarnation of the receiver. The sender's fields of the header are set here.
+func (d *Detector) appendHeader(receiverIncarnation uint64, h codec.Header) []byte {
+	h.From, h.Address, h.Incarnation, h.ReceiverIncarnation = d.config.Name, d.config.Address, d.config.Incarnation, receiverIncarnation
+	return codec.AppendHeader(nil, d.config.Site, h)
 }
 
 // transmit seals and sends a datagram.
--- a/internal/decide/membership/sync.go
+++ b/internal/decide/membership/sync.go
@@ -36,7 +36,9 @@
 	d.sequence++
 	m.sentCount++
 	begin := func(until string) []byte {
-		return codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Incarnation, m.sentCount, m.Incarnation, codec.SyncChunk, d.sequence, "", d.digest, after, until)
+		return d.appendHeader(m.Incarnation, codec.Header{
+			Count: m.sentCount, Kind: codec.SyncChunk, Number: d.sequence, Digest: d.digest, After: after, Until: until,
+		})
 	}
 	longest := ""
 	for _, name := range names {
@@ -87,7 +89,7 @@
 		for range 2 {
 			if b == nil {
 				m.sentCount++
-				b = codec.AppendHeader(nil, d.config.Site, d.config.Name, d.config.Address, d.config.Incarnation, m.sentCount, m.Incarnation, codec.SyncReply, number, "", d.digest, "", "")
+				b = d.appendHeader(m.Incarnation, codec.Header{Count: m.sentCount, Kind: codec.SyncReply, Number: number, Digest: d.digest})
 			}
 			var ok bool
 			if b, ok = appendUpdate(b, d.lookup(name)); ok {
--- a/internal/decide/membership/update.go
+++ b/internal/decide/membership/update.go
@@ -1,5 +1,7 @@
 package membership
 
+import codec "ravenpond/internal/proto/members"
+
 // raiseIncarnation gives this process a later incarnation than others know of its name.
 func (d *Detector) raiseIncarnation(known uint64) {
 	d.config.Incarnation, d.version = known+1, 0
@@ -29,34 +31,34 @@
 }
 
 // OnMember handles an update of a member.
-func (d datagramHandler) OnMember(name, address string, incarnation, version uint64, state uint32, by string) {
-	to := State(state)
-	if name == d.config.Name {
+func (d datagramHandler) OnMember(u codec.Member) {
+	to := State(u.State)
+	if u.Name == d.config.Name {
 		if d.syncedNames != nil {
-			d.syncedNames[name] = incarnation == d.config.Incarnation && version == d.version && (to < Dead) == !d.leaving
+			d.syncedNames[u.Name] = u.Incarnation == d.config.Incarnation && u.Version == d.version && (to < Dead) == !d.leaving
 		}
-		d.onSelfUpdate(address, incarnation, version, to)
+		d.onSelfUpdate(u.Address, u.Incarnation, u.Version, to)
 		return
 	}
-	m := d.members[name]
+	m := d.members[u.Name]
 	if m == nil {
-		if m = d.addMember(name, address, incarnation, version); m != nil {
-			d.setFirstState(m, to, by)
-			d.markSynced(m, incarnation, version, to)
+		if m = d.addMember(u.Name, u.Address, u.Incarnation, u.Version); m != nil {
+			d.setFirstState(m, to, u.By)
+			d.markSynced(m, u.Incarnation, u.Version, to)
 		}
 		return
 	}
-	d.markSynced(m, incarnation, version, to)
+	d.markSynced(m, u.Incarnation, u.Version, to)
 	switch {
-	case d.config.Faults.AcceptStale && (incarnation < m.Incarnation || version < m.Version):
-		d.onNewIncarnation(m, address, incarnation, version, to, by)
-	case incarnation < m.Incarnation || incarnation == m.Incarnation && version < m.Version:
-	case incarnation > m.Incarnation:
-		d.onNewIncarnation(m, address, incarnation, version, to, by)
-	case version > m.Version:
-		d.onNewerVersion(m, version, to, by)
+	case d.config.Faults.AcceptStale && (u.Incarnation < m.Incarnation || u.Version < m.Version):
+		d.onNewIncarnation(m, u.Address, u.Incarnation, u.Version, to, u.By)
+	case u.Incarnation < m.Incarnation || u.Incarnation == m.Incarnation && u.Version < m.Version:
+	case u.Incarnation > m.Incarnation:
+		d.onNewIncarnation(m, u.Address, u.Incarnation, u.Version, to, u.By)
+	case u.Version > m.Version:
+		d.onNewerVersion(m, u.Version, to, u.By)
 	default:
-		d.onSameVersion(m, to, by)
+		d.onSameVersion(m, to, u.By)
 	}
 }
 
--- a/internal/proto/members/members_test.go
+++ b/internal/proto/members/members_test.go
@@ -1,57 +1,60 @@
 package members
 
 import (
+	"errors"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 )
 
-// recorder writes down what it is given.
+// recorder is a DatagramHandler that records its calls.
 type recorder struct {
 	lines []string
 	stop  bool
 }
 
-func (t *recorder) OnHeader(from, address string, life, count, toLife uint64, kind uint32, number uint64, target string, view uint64, after,
-	until string,
-) bool {
-	t.lines = append(t.lines, fmt.Sprint(from, address, life, count, toLife, kind, number, target, view, after, until))
-	return !t.stop
-}
+func (r *recorder) record(values ...any) { r.lines = append(r.lines, fmt.Sprint(values...)) }
 
-func (t *recorder) OnLease(place int, given bool, counted []byte, lent bool, lentCounted []byte) {
-	t.lines = append(t.lines, fmt.Sprint("place ", place, given, counted, lent, lentCounted))
+func (r *recorder) OnHeader(h Header) bool {
+	r.record(h.From, h.Address, h.Incarnation, h.Count, h.ReceiverIncarnation, h.Kind, h.Number, h.Target, h.Digest, h.After, h.Until)
+	return !r.stop
 }
 
-func (t *recorder) OnNodeState(node uint32, version uint64, gone bool) {
-	t.lines = append(t.lines, fmt.Sprint("word ", node, version, gone))
+func (r *recorder) OnLease(l Lease) {
+	r.record("lease ", l.Place, l.Granted, l.Counted, l.QuotaGranted, l.QuotaCounted)
 }
 
-func (t *recorder) OnStateVersion(version uint64) {
-	t.lines = append(t.lines, fmt.Sprint("book ", version))
+func (r *recorder) OnNodeState(node uint32, version uint64, removed bool) {
+	r.record("node state ", node, version, removed)
 }
 
-func (t *recorder) OnFragment(index, of int, body []byte) {
-	t.lines = append(t.lines, fmt.Sprint("part ", index, of, len(body)))
+func (r *recorder) OnStateVersion(version uint64) { r.record("state version ", version) }
+
+func (r *recorder) OnFragment(index, total int, body []byte) {
+	r.record("fragment ", index, total, len(body))
 }
 
-func (t *recorder) OnNodeQuery(node uint32) { t.lines = append(t.lines, fmt.Sprint("silent ", node)) }
+func (r *recorder) OnNodeQuery(node uint32) { r.record("node query ", node) }
 
-func (t *recorder) OnNodeReply(node uint32, life uint64, ago float64) {
-	t.lines = append(t.lines, fmt.Sprint("hears ", node, life, ago))
+func (r *recorder) OnNodeReply(node uint32, incarnation uint64, ago float64) {
+	r.record("node reply ", node, incarnation, ago)
 }
 
-func (t *recorder) OnMember(name, address string, life, version uint64, state uint32, by string) {
-	t.lines = append(t.lines, fmt.Sprint(name, address, life, version, state, by))
+func (r *recorder) OnMember(m Member) {
+	r.record(m.Name, m.Address, m.Incarnation, m.Version, m.State, m.By)
 }
 
 var key = []byte("a member key of some length")
 
 func datagram() []byte {
-	b := AppendHeader(nil, "site", "s1", "1.2.3.4:5", 7, 9, 3, Ping, 11, "s2", 0xfeed, "a", "b")
-	b = AppendLease(b, 4, true, []byte{3, 1}, true, []byte{5})
-	b, _ = AppendMember(b, "s3", "1.2.3.5:5", 4, 6, Suspect, "s1")
-	b, _ = AppendMember(b, "s4", "1.2.3.6:5", 1, 0, Alive, "")
+	b := AppendHeader(nil, "site", Header{
+		From: "s1", Address: "1.2.3.4:5", Incarnation: 7, Count: 9, ReceiverIncarnation: 3, Kind: Ping, Number: 11, Target: "s2", Digest: 0xfeed,
+		After: "a", Until: "b",
+	})
+	b = AppendLease(b, Lease{Place: 4, Granted: true, Counted: []byte{3, 1}, QuotaGranted: true, QuotaCounted: []byte{5}})
+	b, _ = AppendMember(b, Member{Name: "s3", Address: "1.2.3.5:5", Incarnation: 4, Version: 6, State: Suspect, By: "s1"})
+	b, _ = AppendMember(b, Member{Name: "s4", Address: "1.2.3.6:5", Incarnation: 1, Version: 0, State: Alive})
 	b, _ = AppendNodeState(b, 1<<32-1, 77, true)
 	b, _ = AppendNodeQuery(b, 1<<32-1)
 	b, _ = AppendNodeReply(b, 7, 1<<63, 1234.5)
@@ -63,18 +66,30 @@
 	if err := Open(Seal(datagram(), key, "9.9.9.9:1"), key, "site", "9.9.9.9:1", &x); err != nil {
 		t.Fatal(err)
 	}
-	want := fmt.Sprint("s1", "1.2.3.4:5", 7, 9, 3, Ping, 11, "s2", 0xfeed, "a", "b") + "\n" + fmt.Sprint("place ", 4, true, []byte{3, 1}, true, []byte{5}) + "\n" + fmt.Sprint("s3", "1.2.3.5:5", 4, 6, Suspect, "s1") +
-		"\n" + fmt.Sprint("s4", "1.2.3.6:5", 1, 0, Alive, "") + "\n" + fmt.Sprint("word ", 1<<32-1, 77, true) + "\n" + fmt.Sprint("silent ", uint32(1<<32-1)) + "\n" + fmt.Sprint("hears ", 7, uint64(1<<63), 1235.0)
-	if got := strings.Join(x.lines, "\n"); got != want {
-		t.Errorf("%s\nwant\n%s", got, want)
+	want := []string{
+		fmt.Sprint("s1", "1.2.3.4:5", 7, 9, 3, Ping, 11, "s2", 0xfeed, "a", "b"),
+		"lease 4 true [3 1] true [5]",
+		fmt.Sprint("s3", "1.2.3.5:5", 4, 6, Suspect, "s1"),
+		fmt.Sprint("s4", "1.2.3.6:5", 1, 0, Alive, ""),
+		fmt.Sprint("node state ", 1<<32-1, 77, true),
+		fmt.Sprint("node query ", uint32(1<<32-1)),
+		fmt.Sprint("node reply ", 7, uint64(1<<63), 1235.0),
+	}
+	if !slices.Equal(x.lines, want) {
+		t.Errorf("%q, want %q", x.lines, want)
 	}
 	x = recorder{stop: true}
 	if err := Open(Seal(datagram(), key, "r"), key, "site", "r", &x); err != nil || len(x.lines) != 1 {
-		t.Errorf("%v, %q: nothing after a head that is turned away", err, x.lines)
+		t.Errorf("%v, %q: nothing after a header that is rejected", err, x.lines)
 	}
 }
 
-// TestForeign turns away what is not sealed for this receiver with this site's key, whole.
+// header encodes the header of a ping.
+func header(site, from string, incarnation uint64) []byte {
+	return AppendHeader(nil, site, Header{From: from, Address: "a", Incarnation: incarnation, Count: 1, ReceiverIncarnation: 1, Kind: Ping, Number: 1})
+}
+
+// TestForeign rejects datagrams that are not sealed for this receiver with this site's key.
 func TestForeign(t *testing.T) {
 	good := Seal(datagram(), key, "r")
 	for _, c := range []struct {
@@ -90,10 +105,10 @@
 		{"nothing", nil, string(key), "site", "r"},
 		{"cut short", good[:len(good)-1], string(key), "site", "r"},
 		{"too long", Seal(append(datagram(), make([]byte, MaxDatagramBytes)...), key, "r"), string(key), "site", "r"},
-		{"no sender", Seal(AppendHeader(nil, "site", "", "a", 1, 1, 1, Ping, 1, "", 0, "", ""), key, "r"), string(key), "site", "r"},
-		{"no life", Seal(AppendHeader(nil, "site", "s", "a", 0, 1, 1, Ping, 1, "", 0, "", ""), key, "r"), string(key), "site", "r"},
+		{"no sender", Seal(header("site", "", 1), key, "r"), string(key), "site", "r"},
+		{"no incarnation", Seal(header("site", "s", 0), key, "r"), string(key), "site", "r"},
 		{
-			"a name too long", Seal(AppendHeader(nil, "site", strings.Repeat("s", 65), "a", 1, 1, 1, Ping, 1, "", 0, "", ""), key, "r"), string(key),
+			"a name too long", Seal(header("site", strings.Repeat("s", 65), 1), key, "r"), string(key),
 			"site", "r",
 		},
 	} {
@@ -106,19 +121,21 @@
 		bad := append([]byte{}, good...)
 		bad[i] ^= 1
 		if err := Open(bad, key, "site", "r", &recorder{}); err == nil {
-			t.Errorf("byte %d changed, and taken", i)
+			t.Errorf("byte %d changed, and accepted", i)
 		}
 	}
 }
 
-// TestFits fills datagrams with news: none is longer than it may be, sealed.
+// TestFits fills a datagram with updates: sealed, it is not longer than it may be.
 func TestFits(t *testing.T) {
 	b, n := datagram(), 0
 	for ok := true; ok; n++ {
-		b, ok = AppendMember(b, fmt.Sprint("scheduler-", n), "127.0.0.1:12345", 1, 2, Alive, "scheduler-1")
+		b, ok = AppendMember(b, Member{
+			Name: fmt.Sprint("scheduler-", n), Address: "127.0.0.1:12345", Incarnation: 1, Version: 2, State: Alive, By: "scheduler-1",
+		})
 	}
 	if b = Seal(b, key, "r"); len(b) > MaxDatagramBytes || n < 20 {
-		t.Errorf("%d items in %d bytes", n, len(b))
+		t.Errorf("%d updates in %d bytes", n, len(b))
 	}
 	if err := Open(b, key, "site", "r", &recorder{}); err != nil {
 		t.Error(err)
@@ -130,21 +147,24 @@
 	f.Fuzz(func(_ *testing.T, b []byte) { _ = Open(Seal(b, key, "r"), key, "site", "r", &recorder{}) })
 }
 
-// TestPart holds that the longest part fits a datagram with the longest head, and comes out as it went in.
-func TestPart(t *testing.T) {
+// TestFragment checks that the longest fragment fits a datagram with the longest header, and is decoded as it was encoded.
+func TestFragment(t *testing.T) {
 	long := strings.Repeat("x", maxNameBytes)
-	b := AppendHeader(nil, long, long, long, 1<<63, 1<<63, 1<<63, Fragment, 1<<63, long, 1<<63, long, long)
+	b := AppendHeader(nil, long, Header{
+		From: long, Address: long, Incarnation: 1 << 63, Count: 1 << 63, ReceiverIncarnation: 1 << 63, Kind: Fragment, Number: 1 << 63,
+		Target: long, Digest: 1 << 63, After: long, Until: long,
+	})
 	b = AppendFragment(AppendStateVersion(b, 1<<63), 62, 64, make([]byte, MaxFragmentBytes))
 	if b = Seal(b, key, "9.9.9.9:1"); len(b) > MaxDatagramBytes {
 		t.Errorf("%d bytes", len(b))
 	}
 	var x recorder
-	if err := Open(b, key, long, "9.9.9.9:1", &x); err != nil || len(x.lines) != 3 || x.lines[1] != fmt.Sprint("book ", uint64(1<<63)) ||
-		x.lines[2] != fmt.Sprint("part ", 62, 64, MaxFragmentBytes) {
+	if err := Open(b, key, long, "9.9.9.9:1", &x); err != nil || len(x.lines) != 3 || x.lines[1] != fmt.Sprint("state version ", uint64(1<<63)) ||
+		x.lines[2] != fmt.Sprint("fragment ", 62, 64, MaxFragmentBytes) {
 		t.Errorf("%q, %v", x.lines, err)
 	}
-	bad := AppendFragment(AppendHeader(nil, "s", "a", "b", 1, 1, 1, Fragment, 1, "", 0, "", ""), 3, 3, nil)
-	if err := Open(Seal(bad, key, "c"), key, "s", "c", &recorder{}); err != ErrMalformed {
-		t.Errorf("a part beyond the last: %v", err)
+	bad := AppendFragment(AppendHeader(nil, "s", Header{From: "a", Address: "b", Incarnation: 1, Count: 1, ReceiverIncarnation: 1, Kind: Fragment, Number: 1}), 3, 3, nil)
+	if err := Open(Seal(bad, key, "c"), key, "s", "c", &recorder{}); !errors.Is(err, ErrMalformed) {
+		t.Errorf("a fragment beyond the last: %v", err)
 	}
 }
