--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -15,9 +15,6 @@
 	"math/rand/v2"
 	"slices"
 
-	raft "go.etcd.io/raft/v3"
-	pb "go.etcd.io/raft/v3/raftpb"
-
 	"ravenpond/internal/decide/clusterstate"
 	codec "ravenpond/internal/proto/clusterstate"
 )
@@ -41,8 +38,9 @@
 	compactKeep      = 64       // log entries that are kept for lagging voters
 	maxMessageBytes  = 16 << 10 // of log entries in a message
 
-	maxChunkAttempts     = 3 // for one chunk, after the first
-	maxIncarnationRaises = 3 // how often a process raises its incarnation: two processes of one name would do so for ever
+	maxChunkAttempts     = 3      // for one chunk, after the first
+	seedStream           = 0xb00c // of the random source, so that it differs from others of the same seed
+	maxIncarnationRaises = 3      // how often a process raises its incarnation: two processes of one name would do so for ever
 )
 
 // Effects executes what a replica decides.
@@ -83,45 +81,23 @@
 
 // Replica is one process's replica of the cluster state. It is not safe for concurrent use.
 type Replica struct {
-	effects     Effects
-	config      Config
-	rng         *rand.Rand
-	now         float64
-	state       *clusterstate.State
-	leaseExpiry float64
-	probes      map[string]probeReply
-
-	probeTimes  [8]float64 // when the latest rounds of probes were sent, by number
-	lastProbe   uint64
-	nextProbeAt float64
-	nextTickAt  float64
-
-	proposals         []proposal // without results yet; the first has been sent
-	lastProposal      uint64
-	nextSendAt        float64
-	nextVoter         int
-	incarnationRaises int
-
-	transfer         transfer
-	snapshot         []byte // the encoded state at a version
-	snapshotVersion  uint64
-	previousSnapshot []byte // the one sent before it
-	previousVersion  uint64
-
-	raftID         uint64 // Raft ID: position among the voters, from 1; 0: not a voter
-	engine         *raft.RawNode
-	storage        *raft.MemoryStorage
-	diskWasEmpty   bool // the disk was empty: this voter waits until all others report empty disks
-	answeredVoters map[string]bool
-	haltReason     string
-	campaignAt     float64 // when this voter campaigns
-	isLeader       bool
-	compactedTo    uint64 // index of the last compaction of the log
-	confState      *pb.ConfState
-	Stats          Stats
-	onResult       func(number uint64, r clusterstate.Refusal)
-	leader         string // last known, empty if none
-	onReport       func(from string, b []byte)
+	Stats Stats
+
+	effects    Effects
+	config     Config
+	rng        *rand.Rand
+	now        float64
+	nextTickAt float64
+	state      *clusterstate.State
+	leader     string // last known, empty if none
+	onResult   func(number uint64, r clusterstate.Refusal)
+	onReport   func(from string, b []byte)
+
+	lease     lease
+	queue     proposalQueue
+	transfer  transfer
+	snapshots snapshotCache
+	voter     voter
 }
 
 // Stats counts what a replica did.
@@ -134,11 +110,18 @@
 // New starts a replica at a time in ms. saved is what a voter finds on its disk; an error means that saved can't be used.
 func New(effects Effects, now float64, config Config, saved PersistedState) (*Replica, error) {
 	replica := &Replica{
-		effects: effects, config: config, rng: rand.New(rand.NewPCG(config.Seed, 0xb00c)), now: now, state: clusterstate.New(), probes: map[string]probeReply{},
-		nextProbeAt: now, nextTickAt: now, answeredVoters: map[string]bool{}, onResult: func(uint64, clusterstate.Refusal) {}, onReport: func(string, []byte) {},
+		effects:    effects,
+		config:     config,
+		rng:        rand.New(rand.NewPCG(config.Seed, seedStream)),
+		now:        now,
+		nextTickAt: now,
+		state:      clusterstate.New(),
+		onResult:   func(uint64, clusterstate.Refusal) {},
+		onReport:   func(string, []byte) {},
+		lease:      lease{replies: map[string]probeReply{}, nextProbeAt: now},
+		voter:      voter{raftID: uint64(slices.Index(config.Voters, config.Name) + 1), answered: map[string]bool{}},
 	}
-	replica.raftID = uint64(slices.Index(config.Voters, config.Name) + 1)
-	if replica.raftID > 0 {
+	if replica.voter.raftID > 0 {
 		if err := replica.startVoter(saved); err != nil {
 			return nil, err
 		}
@@ -151,15 +134,15 @@
 func (r *Replica) State() *clusterstate.State { return r.state }
 
 // IsLeader reports whether this replica believes that it is the leader.
-func (r *Replica) IsLeader() bool { return r.isLeader }
+func (r *Replica) IsLeader() bool { return r.voter.isLeader }
 
 // HaltReason returns why this voter has stopped voting, or an empty string.
-func (r *Replica) HaltReason() string { return r.haltReason }
+func (r *Replica) HaltReason() string { return r.voter.haltReason }
 
 // Report sends a message of kind Report to the leader, if one is known. On the leader the report handler gets it at once.
 func (r *Replica) Report(b []byte) {
 	switch {
-	case r.isLeader:
+	case r.voter.isLeader:
 		r.onReport(r.config.Name, b)
 	case r.leader != "":
 		r.send(r.leader, b)
@@ -171,9 +154,9 @@
 
 // Next returns the latest time in ms at which Tick must be called.
 func (r *Replica) Next() float64 {
-	at := min(r.nextTickAt, r.nextProbeAt)
-	if len(r.proposals) > 0 {
-		at = min(at, r.nextSendAt)
+	at := min(r.nextTickAt, r.lease.nextProbeAt)
+	if len(r.queue.proposals) > 0 {
+		at = min(at, r.queue.nextSendAt)
 	}
 	return at
 }
@@ -185,12 +168,12 @@
 		r.nextTickAt = r.now + raftTick
 		r.tickRaft()
 	}
-	if r.now >= r.nextProbeAt {
-		r.nextProbeAt = r.now + probeInterval
+	if r.now >= r.lease.nextProbeAt {
+		r.lease.nextProbeAt = r.now + probeInterval
 		r.probeVoters()
 	}
-	if len(r.proposals) > 0 && r.now >= r.nextSendAt {
-		r.nextSendAt = r.now + retryInterval
+	if len(r.queue.proposals) > 0 && r.now >= r.queue.nextSendAt {
+		r.queue.nextSendAt = r.now + retryInterval
 		r.sendProposal()
 	}
 	if r.transfer.from != "" && r.now-r.transfer.requestedAt > retryInterval {
@@ -205,7 +188,7 @@
 
 // sendMessage encodes and sends a message.
 func (r *Replica) sendMessage(to string, m codec.Message) {
-	m.FromLeader = m.Kind == codec.MessageProbeReply && r.isLeader
+	m.FromLeader = m.Kind == codec.MessageProbeReply && r.voter.isLeader
 	r.send(to, codec.AppendMessage(nil, &m))
 }
 
@@ -235,7 +218,7 @@
 	case codec.MessageRaft:
 		r.stepRaft(from, m.Body)
 	case codec.MessageProbe:
-		if r.engine != nil && r.haltReason == "" {
+		if r.voter.engine != nil && r.voter.haltReason == "" {
 			r.sendProbeReply(from, m.Number, r.state.Version())
 		}
 	case codec.MessageProbeReply:
@@ -252,7 +235,7 @@
 	case codec.MessageProposal:
 		r.onProposal(m.Body)
 	case codec.MessageZoneReport:
-		if r.isLeader {
+		if r.voter.isLeader {
 			r.onReport(from, b)
 		}
 	}
--- a/internal/decide/consensus/consensus_test.go
+++ b/internal/decide/consensus/consensus_test.go
@@ -164,8 +164,8 @@
 	for range 2 * maxProposals {
 		verdict("za", clusterstate.Open)
 	}
-	if len(c.proposals) != maxProposals {
-		t.Errorf("%d proposals wait", len(c.proposals))
+	if len(c.queue.proposals) != maxProposals {
+		t.Errorf("%d proposals wait", len(c.queue.proposals))
 	}
 }
 
@@ -285,7 +285,7 @@
 			t.Errorf("in %s's state d acts in incarnation %d, %v", name, p.Incarnation, ok)
 		}
 	}
-	if n := len(x.nodes["d"].replica.proposals); n > 0 {
+	if n := len(x.nodes["d"].replica.queue.proposals); n > 0 {
 		t.Errorf("%d proposals of d still wait", n)
 	}
 }
--- a/internal/decide/consensus/footprint.go
+++ b/internal/decide/consensus/footprint.go
@@ -29,22 +29,22 @@
 // Footprint counts what the replica holds.
 func (r *Replica) Footprint() Footprint {
 	f := Footprint{
-		Proposals:     len(r.proposals),
+		Proposals:     len(r.queue.proposals),
 		SnapshotBytes: len(r.state.Snapshot()),
-		TransferBytes: len(r.snapshot) + len(r.previousSnapshot) + len(r.transfer.received),
+		TransferBytes: len(r.snapshots.current.text) + len(r.snapshots.previous.text) + len(r.transfer.received),
 	}
-	for _, w := range r.proposals {
+	for _, w := range r.queue.proposals {
 		f.ProposalBytes += len(w.body)
 	}
-	if r.storage == nil {
+	if r.voter.storage == nil {
 		return f
 	}
-	first, errFirst := r.storage.FirstIndex()
-	last, errLast := r.storage.LastIndex()
+	first, errFirst := r.voter.storage.FirstIndex()
+	last, errLast := r.voter.storage.LastIndex()
 	if errFirst != nil || errLast != nil || last < first {
 		return f
 	}
-	entries, err := r.storage.Entries(first, last+1, math.MaxUint64)
+	entries, err := r.voter.storage.Entries(first, last+1, math.MaxUint64)
 	if err != nil {
 		return f
 	}
--- a/internal/decide/consensus/lease.go
+++ b/internal/decide/consensus/lease.go
@@ -10,6 +10,18 @@
 // Lease is the validity of a read lease after its probes were sent, in ms.
 const Lease = 2500
 
+// probeRounds is the number of latest rounds of probes whose replies count.
+const probeRounds = 8
+
+// lease is a replica's read lease.
+type lease struct {
+	expiry      float64               // ms
+	replies     map[string]probeReply // the latest by voter
+	probeTimes  [probeRounds]float64  // when the latest rounds of probes were sent, by number
+	lastProbe   uint64                // number of the last round
+	nextProbeAt float64
+}
+
 // probeReply is a voter's latest reply to a probe.
 type probeReply struct {
 	probedAt float64
@@ -17,18 +29,18 @@
 }
 
 // LeaseExpiry returns the time in ms until which the state is known to be current. After it, callers act in degraded mode.
-func (r *Replica) LeaseExpiry() float64 { return r.leaseExpiry }
+func (r *Replica) LeaseExpiry() float64 { return r.lease.expiry }
 
 // probeVoters asks all voters for the last log index on their disks.
 func (r *Replica) probeVoters() {
-	r.lastProbe++
-	r.probeTimes[r.lastProbe%uint64(len(r.probeTimes))] = r.now
+	r.lease.lastProbe++
+	r.lease.probeTimes[r.lease.lastProbe%uint64(len(r.lease.probeTimes))] = r.now
 	for _, name := range r.config.Voters {
 		switch {
 		case name != r.config.Name:
-			r.sendMessage(name, codec.Message{Kind: codec.MessageProbe, Number: r.lastProbe, Version: r.state.Version()})
+			r.sendMessage(name, codec.Message{Kind: codec.MessageProbe, Number: r.lease.lastProbe, Version: r.state.Version()})
 		case r.isVoting():
-			r.probes[name] = probeReply{r.now, r.lastWritten()}
+			r.lease.replies[name] = probeReply{r.now, r.lastWritten()}
 		}
 	}
 	r.renewLease()
@@ -37,7 +49,7 @@
 // renewLease extends the lease by the probes that a quorum answered.
 func (r *Replica) renewLease() {
 	var probedAt []float64
-	for _, reply := range r.probes {
+	for _, reply := range r.lease.replies {
 		if reply.written > 1 && reply.written <= r.state.Version() { // an empty disk may have been lost: it proves nothing
 			probedAt = append(probedAt, reply.probedAt)
 		}
@@ -54,7 +66,7 @@
 	if r.config.Faults.EndlessLease {
 		until += 1e9
 	}
-	r.leaseExpiry = max(r.leaseExpiry, until)
+	r.lease.expiry = max(r.lease.expiry, until)
 }
 
 // onProbeReply handles a voter's reply to a probe.
@@ -63,21 +75,21 @@
 		return
 	}
 	r.OnNewerVersion(r.now, from, m.Version)
-	if m.Number > r.lastProbe || r.lastProbe-m.Number >= uint64(len(r.probeTimes)) {
+	if m.Number > r.lease.lastProbe || r.lease.lastProbe-m.Number >= uint64(len(r.lease.probeTimes)) {
 		return
 	}
-	r.answeredVoters[from] = true
-	if r.diskWasEmpty && r.haltReason == "" && !r.config.Faults.VoteAfterLoss {
+	r.voter.answered[from] = true
+	if r.voter.diskWasEmpty && r.voter.haltReason == "" && !r.config.Faults.VoteAfterLoss {
 		switch {
 		case m.Written > 1:
 			r.halt("its disk was empty, and others hold commands: it may have voted before")
-		case len(r.answeredVoters) == len(r.config.Voters)-1:
-			r.diskWasEmpty = false
+		case len(r.voter.answered) == len(r.config.Voters)-1:
+			r.voter.diskWasEmpty = false
 			r.scheduleCampaign()
 		}
 	}
-	if probedAt := r.probeTimes[m.Number%uint64(len(r.probeTimes))]; probedAt >= r.probes[from].probedAt {
-		r.probes[from] = probeReply{probedAt, m.Written}
+	if probedAt := r.lease.probeTimes[m.Number%uint64(len(r.lease.probeTimes))]; probedAt >= r.lease.replies[from].probedAt {
+		r.lease.replies[from] = probeReply{probedAt, m.Written}
 		r.renewLease()
 	}
 }
--- a/internal/decide/consensus/proposals.go
+++ b/internal/decide/consensus/proposals.go
@@ -13,6 +13,15 @@
 	encodedAt float64 // ms
 }
 
+// proposalQueue is the own commands without results. They are sent one at a time, the first one first.
+type proposalQueue struct {
+	proposals         []proposal
+	lastNumber        uint64
+	nextSendAt        float64
+	nextVoter         int // index of the voter that the next attempt is sent to
+	incarnationRaises int // how often the replica has raised its incarnation
+}
+
 // SetResultHandler sets the function that is called with the result of each own proposal.
 func (r *Replica) SetResultHandler(f func(number uint64, refusal clusterstate.Refusal)) {
 	r.onResult = f
@@ -21,17 +30,17 @@
 // Propose queues a command and returns its number, or 0 if too many are queued. build returns the change and the time in ms at which it is
 // proposed. The command is sent repeatedly until its result is known; build is called again where that takes long.
 func (r *Replica) Propose(build func() (proposedAt float64, change clusterstate.Change)) uint64 {
-	if len(r.proposals) >= maxProposals {
+	if len(r.queue.proposals) >= maxProposals {
 		return 0
 	}
-	r.lastProposal++
-	p := proposal{number: r.lastProposal, build: build}
+	r.queue.lastNumber++
+	p := proposal{number: r.queue.lastNumber, build: build}
 	r.encode(&p)
-	r.proposals = append(r.proposals, p)
-	if len(r.proposals) == 1 {
-		r.nextSendAt = r.now
+	r.queue.proposals = append(r.queue.proposals, p)
+	if len(r.queue.proposals) == 1 {
+		r.queue.nextSendAt = r.now
 	}
-	return r.lastProposal
+	return r.queue.lastNumber
 }
 
 // encode encodes a proposal with the present time.
@@ -43,16 +52,16 @@
 
 // sendProposal sends the first queued proposal to a voter, to another one at each attempt.
 func (r *Replica) sendProposal() {
-	first := &r.proposals[0]
+	first := &r.queue.proposals[0]
 	if r.now-first.encodedAt >= renewAge { // the number stays: whichever form is committed first has the effect, the other none
 		r.encode(first)
 	}
 	if r.isVoting() {
-		_ = r.engine.Propose(first.body) // dropped while there is no leader: it is sent again
+		_ = r.voter.engine.Propose(first.body) // dropped while there is no leader: it is sent again
 		return
 	}
-	to := r.config.Voters[r.nextVoter%len(r.config.Voters)]
-	r.nextVoter++
+	to := r.config.Voters[r.queue.nextVoter%len(r.config.Voters)]
+	r.queue.nextVoter++
 	if to != r.config.Name {
 		r.sendMessage(to, codec.Message{Kind: codec.MessageProposal, Body: first.body})
 	}
@@ -73,7 +82,7 @@
 		return
 	}
 	if command.ProposedAt >= r.now-maxCommandAge && command.ProposedAt <= r.now+maxClockSkew { // an old command may have been sent repeatedly for long
-		_ = r.engine.Propose(body)
+		_ = r.voter.engine.Propose(body)
 	}
 }
 
--- a/internal/decide/consensus/storage.go
+++ b/internal/decide/consensus/storage.go
@@ -25,16 +25,16 @@
 		return err
 	}
 	if w.snapshot != nil {
-		if err := r.storage.ApplySnapshot(rd.Snapshot); err != nil {
+		if err := r.voter.storage.ApplySnapshot(rd.Snapshot); err != nil {
 			return err
 		}
 	}
 	if w.hard != nil {
-		if err := r.storage.SetHardState(rd.HardState); err != nil {
+		if err := r.voter.storage.SetHardState(rd.HardState); err != nil {
 			return err
 		}
 	}
-	return r.storage.Append(rd.Entries)
+	return r.voter.storage.Append(rd.Entries)
 }
 
 // diskWrite is what Effects.Save gets.
@@ -100,7 +100,7 @@
 		}
 	}
 	r.adoptState(state)
-	if !r.isLeader {
+	if !r.voter.isLeader {
 		return
 	}
 	for _, p := range state.Processes() { // followers would learn of it by their next probe; commits are rare and should take effect soon
@@ -113,14 +113,14 @@
 // compactLog replaces old log entries by a snapshot.
 func (r *Replica) compactLog() {
 	v := r.state.Version()
-	if v < r.compactedTo+compactThreshold {
+	if v < r.voter.compactedTo+compactThreshold {
 		return
 	}
 	text := r.state.Snapshot()
 	if len(text) > maxStateBytes {
 		return // the snapshot would not fit a message: the log is kept
 	}
-	snap, err := r.storage.CreateSnapshot(v, r.confState, text)
+	snap, err := r.voter.storage.CreateSnapshot(v, r.voter.confState, text)
 	if err != nil {
 		return
 	}
@@ -133,6 +133,6 @@
 		return
 	}
 	r.Stats.Writes++
-	r.compactedTo = v
-	_ = r.storage.Compact(v - compactKeep)
+	r.voter.compactedTo = v
+	_ = r.voter.storage.Compact(v - compactKeep)
 }
--- a/internal/decide/consensus/transfer.go
+++ b/internal/decide/consensus/transfer.go
@@ -16,6 +16,15 @@
 	attempts    int // for the next chunk
 }
 
+// encodedState is the encoded state at a version.
+type encodedState struct {
+	text    []byte
+	version uint64
+}
+
+// snapshotCache keeps the state that followers fetch, and the one before it: their transfers go on when the state changes.
+type snapshotCache struct{ current, previous encodedState }
+
 // OnNewerVersion tells the replica that another member holds a version. A follower that is behind starts a state transfer.
 func (r *Replica) OnNewerVersion(now float64, from string, version uint64) {
 	r.now = max(r.now, now)
@@ -38,24 +47,26 @@
 
 // sendChunk sends a chunk of the snapshot that the receiver started with, or the first chunk of the current one if that is gone.
 func (r *Replica) sendChunk(to string, version, offset uint64) {
-	if r.snapshotVersion != r.state.Version() || r.snapshot == nil {
-		r.previousSnapshot, r.previousVersion = r.snapshot, r.snapshotVersion
-		r.snapshot, r.snapshotVersion = r.state.Snapshot(), r.state.Version()
+	if r.snapshots.current.version != r.state.Version() || r.snapshots.current.text == nil {
+		r.snapshots.previous = r.snapshots.current
+		r.snapshots.current = encodedState{r.state.Snapshot(), r.state.Version()}
 	}
-	text, textVersion := r.snapshot, r.snapshotVersion
-	if version == r.previousVersion && r.previousSnapshot != nil {
-		text, textVersion = r.previousSnapshot, r.previousVersion
+	sent := r.snapshots.current
+	if version == r.snapshots.previous.version && r.snapshots.previous.text != nil {
+		sent = r.snapshots.previous
 	}
-	if version != textVersion || offset > uint64(len(text)) {
-		text, textVersion, offset = r.snapshot, r.snapshotVersion, 0
+	size := uint64(len(sent.text))
+	if version != sent.version || offset > size {
+		sent, offset = r.snapshots.current, 0
+		size = uint64(len(sent.text))
 	}
 	r.Stats.Chunks++
 	r.sendMessage(to, codec.Message{
 		Kind:    codec.MessageChunk,
-		Body:    text[offset:min(offset+chunkBytes, uint64(len(text)))],
-		Version: textVersion,
+		Body:    sent.text[offset:min(offset+chunkBytes, size)],
+		Version: sent.version,
 		Offset:  offset,
-		Total:   uint64(len(text)),
+		Total:   size,
 	})
 }
 
@@ -95,16 +106,16 @@
 func (r *Replica) adoptState(state *clusterstate.State) {
 	r.state = state
 	r.renewLease()
-	if len(r.proposals) == 0 {
+	if len(r.queue.proposals) == 0 {
 		return
 	}
-	if number, refusal, ok := state.LastResult(r.config.Name, r.config.Incarnation); ok && number >= r.proposals[0].number {
-		r.proposals = r.proposals[1:] // proposals are sent one at a time: it is the first one's result
-		r.nextSendAt = r.now
+	if number, refusal, ok := state.LastResult(r.config.Name, r.config.Incarnation); ok && number >= r.queue.proposals[0].number {
+		r.queue.proposals = r.queue.proposals[1:] // proposals are sent one at a time: it is the first one's result
+		r.queue.nextSendAt = r.now
 		r.onResult(number, refusal)
-	} else if p, there := state.Process(r.config.Name); there && p.Incarnation > r.config.Incarnation && r.incarnationRaises < maxIncarnationRaises { // this process's data directory was lost
-		r.incarnationRaises++
-		r.config.Incarnation, r.lastProposal, r.proposals = p.Incarnation+1, 0, nil
+	} else if p, there := state.Process(r.config.Name); there && p.Incarnation > r.config.Incarnation && r.queue.incarnationRaises < maxIncarnationRaises { // this process's data directory was lost
+		r.queue.incarnationRaises++
+		r.config.Incarnation, r.queue.lastNumber, r.queue.proposals = p.Incarnation+1, 0, nil
 		r.join()
 	}
 }
