--- a/internal/decide/consensus/lease.go
+++ b/internal/decide/consensus/lease.go
@@ -71,7 +71,7 @@
 
 // onProbeReply handles a voter's reply to a probe.
 func (r *Replica) onProbeReply(from string, m codec.Message) {
-	if slices.Index(r.config.Voters, from) < 0 {
+	if !slices.Contains(r.config.Voters, from) {
 		return
 	}
 	r.OnNewerVersion(r.now, from, m.Version)
--- a/internal/decide/consensus/storage.go
+++ b/internal/decide/consensus/storage.go
@@ -104,7 +104,7 @@
 		return
 	}
 	for _, p := range state.Processes() { // followers would learn of it by their next probe; commits are rare and should take effect soon
-		if !p.Inactive && slices.Index(r.config.Voters, p.Name) < 0 {
+		if !p.Inactive && !slices.Contains(r.config.Voters, p.Name) {
 			r.sendProbeReply(p.Name, 0, state.Version())
 		}
 	}
--- a/internal/decide/consensus/transfer.go
+++ b/internal/decide/consensus/transfer.go
@@ -113,7 +113,11 @@
 		r.queue.proposals = r.queue.proposals[1:] // proposals are sent one at a time: it is the first one's result
 		r.queue.nextSendAt = r.now
 		r.onResult(number, refusal)
-	} else if p, there := state.Process(r.config.Name); there && p.Incarnation > r.config.Incarnation && r.queue.incarnationRaises < maxIncarnationRaises { // this process's data directory was lost
+		return
+	}
+	// A later incarnation of this process is in the state if its data directory was lost.
+	p, known := state.Process(r.config.Name)
+	if known && p.Incarnation > r.config.Incarnation && r.queue.incarnationRaises < maxIncarnationRaises {
 		r.queue.incarnationRaises++
 		r.config.Incarnation, r.queue.lastNumber, r.queue.proposals = p.Incarnation+1, 0, nil
 		r.join()
