--- a/cmd/ravenpond/lab_run.go
+++ b/cmd/ravenpond/lab_run.go
@@ -56,7 +56,9 @@
 		batch.Change = func(s sim.Script) sim.Script { return s.WithWorkingSet(c.MinWorkingSet) }
 	}
 	summary := batch.Run(ctx)
-	summary.Print(os.Stdout)
+	if err := summary.Print(os.Stdout); err != nil {
+		return err
+	}
 	if len(summary.Failures) > 0 && fault == nil {
 		return errBroken
 	}
--- a/internal/lab/sim/clock.go
+++ b/internal/lab/sim/clock.go
@@ -99,12 +99,12 @@
 	return true
 }
 
-// tracef adds a line to the trace.
+// tracef adds a line to the trace. What can't be written as text is lost; the hash holds it all the same.
 func (c *Clock) tracef(format string, args ...any) {
-	fmt.Fprintf(&c.trace, "%.6f ", c.now)
-	fmt.Fprintf(&c.trace, format, args...)
+	_, _ = fmt.Fprintf(&c.trace, "%.6f ", c.now)
+	_, _ = fmt.Fprintf(&c.trace, format, args...)
 	if c.traceOut != nil {
-		fmt.Fprintf(c.traceOut, "%.3f ", c.now)
-		fmt.Fprintf(c.traceOut, format, args...)
+		_, _ = fmt.Fprintf(c.traceOut, "%.3f ", c.now)
+		_, _ = fmt.Fprintf(c.traceOut, format, args...)
 	}
 }
--- a/internal/lab/sim/conn.go
+++ b/internal/lab/sim/conn.go
@@ -164,7 +164,8 @@
 	})
 }
 
-// transmit hands queued bytes to the network in segments of any size, as far as the window allows.
+// transmit hands over what is queued, then the last message of a connection that was closed. What is left is tried again, until the write
+// time-out.
 func (c *conn) transmit() {
 	clock := c.process.clock
 	if c.closed {
@@ -174,18 +175,7 @@
 		clock.schedule(c.process, clock.now+clock.delay(c.link), func() { c.close(errReset) })
 		return
 	}
-	for len(c.outgoing) > 0 && c.inFlight < sendWindow && !c.link.cut {
-		n := min(len(c.outgoing), 1+clock.rng.IntN(maxSegment), sendWindow-c.inFlight)
-		if clock.rng.IntN(fullSegments) > 0 {
-			n = min(len(c.outgoing), maxSegment, sendWindow-c.inFlight)
-		}
-		segment := append([]byte(nil), c.outgoing[:n]...)
-		c.outgoing = c.outgoing[:copy(c.outgoing, c.outgoing[n:])]
-		c.handedOver += uint64(n)
-		c.updateHandedOver()
-		c.lastProgress = clock.now
-		c.carry(segment)
-	}
+	c.sendSegments()
 	if c.ended && len(c.outgoing) == 0 && len(c.farewell) > 0 && !c.link.cut {
 		farewell := c.farewell
 		c.farewell = nil
@@ -201,6 +191,23 @@
 	}
 }
 
+// sendSegments hands queued bytes to the network in segments of any size, as far as the window allows.
+func (c *conn) sendSegments() {
+	clock := c.process.clock
+	for len(c.outgoing) > 0 && c.inFlight < sendWindow && !c.link.cut {
+		n := min(len(c.outgoing), 1+clock.rng.IntN(maxSegment), sendWindow-c.inFlight)
+		if clock.rng.IntN(fullSegments) > 0 {
+			n = min(len(c.outgoing), maxSegment, sendWindow-c.inFlight)
+		}
+		segment := append([]byte(nil), c.outgoing[:n]...)
+		c.outgoing = c.outgoing[:copy(c.outgoing, c.outgoing[n:])]
+		c.handedOver += uint64(n)
+		c.updateHandedOver()
+		c.lastProgress = clock.now
+		c.carry(segment)
+	}
+}
+
 // carry brings a segment to the other end, after all that was sent before it.
 func (c *conn) carry(segment []byte) {
 	clock, remote := c.process.clock, c.remote
--- a/internal/lab/sim/lease_test.go
+++ b/internal/lab/sim/lease_test.go
@@ -7,65 +7,75 @@
 	"ravenpond/internal/site"
 )
 
-// TestLent has three schedulers share a tenant's limit, under more load than it allows. When one dies the others use what it may use no
-// more, once it provably uses it no more; when it is back, all three share again; when none hears another each has what is
-// never lent alone. At no time more is open than the limit says.
-func TestLent(t *testing.T) {
-	const may = 12 // 2 each that are never lent, and 6 among all
-	parts := func() (all []Fault) {
-		for i := range 3 {
-			for j := range 3 {
-				if i != j {
-					all = append(all, Fault{At: 26000, Kind: "deaf", Target: fmt.Sprint("s", i), Peer: fmt.Sprint("s", j), Duration: 15000})
-				}
+// leaseLimit is how many allocations of the tenant may be open: 2 of each scheduler that it never leases, and 6 that are leased among all.
+const leaseLimit = 12
+
+// openCounts are the most open allocations of the tenant in four phases of TestLeasedQuota.
+type openCounts struct{ all, dead, back, apart int }
+
+func (c *openCounts) onUsage(now float64, tenant string, open []int) {
+	sum := open[0] + open[1] + open[2]
+	switch {
+	case tenant != "a":
+	case now > 6000 && now < 8000:
+		c.all = max(c.all, sum)
+	case now > 13500 && now < 16900:
+		c.dead = max(c.dead, open[0]+open[1])
+	case now > 23500 && now < 26000:
+		c.back = max(c.back, sum)
+	case now > 32000 && now < 40000:
+		c.apart = max(c.apart, sum)
+	}
+}
+
+// leaseScript has three schedulers under more load than a tenant's limit allows. All links between schedulers are cut from 26 s on.
+func leaseScript(fault Fault) Script {
+	s := Script{
+		Seed: 3, Nodes: 4, Schedulers: 3, Shards: 1, ConnectionSharing: "shared", Rate: 90, Duration: 40000, Members: true, DynamicTenants: true,
+		Faults: []Fault{{At: 10, Kind: "tenant-limit", Target: "a", Size: leaseLimit}},
+	}
+	for i := range s.Schedulers {
+		for j := range s.Schedulers {
+			if i != j {
+				s.Faults = append(s.Faults, Fault{At: 26000, Kind: "deaf", Target: fmt.Sprint("s", i), Peer: fmt.Sprint("s", j), Duration: 15000})
 			}
 		}
-		return all
-	}()
+	}
+	s.Faults = append(s.Faults, fault)
+	for i := range s.Schedulers {
+		for n := range s.Nodes { // each start takes long enough to fill the limit
+			s.Faults = append(s.Faults, Fault{At: 5, Kind: "slow", Target: fmt.Sprint("s", i), Peer: fmt.Sprint("n", n+1), Duration: 50000, Size: 300})
+		}
+	}
+	return s
+}
+
+// TestLeasedQuota has three schedulers lease parts of a tenant's limit to each other. When one dies the others use what it may use no more,
+// once its leases have expired; when it is back all three share again; when no scheduler reaches another, each has only what it never
+// leases. At no time more is open than the limit allows.
+func TestLeasedQuota(t *testing.T) {
 	for _, c := range []struct {
-		name                   string
-		faults                 []Fault
-		plant                  *ProgramFault
-		all, dead, back, apart int // the most that are seen open while all are there, one is dead, is back, and none hears another
+		name  string
+		fault Fault
+		plant *ProgramFault
+		want  openCounts
 	}{
-		{name: "killed", faults: append(parts, Fault{At: 8000, Kind: "kill", Target: "s2", Duration: 9000}), all: 12, dead: 10, back: 12, apart: 6},
-		{name: "stopped", faults: append(parts, Fault{At: 8000, Kind: "pause", Target: "s2", Duration: 9000}), all: 12, dead: 10, back: 12, apart: 6},
+		{name: "killed", fault: Fault{At: 8000, Kind: "kill", Target: "s2", Duration: 9000}, want: openCounts{all: 12, dead: 10, back: 12, apart: 6}},
+		{name: "paused", fault: Fault{At: 8000, Kind: "pause", Target: "s2", Duration: 9000}, want: openCounts{all: 12, dead: 10, back: 12, apart: 6}},
 		{
-			name: "lent nothing", faults: append(parts, Fault{At: 8000, Kind: "kill", Target: "s2", Duration: 9000}), plant: &ProgramFault{Site: func(p *site.Config) { p.Members.LeasedPart = 0 }},
-			all: 12, dead: 8, back: 12, apart: 12,
+			name: "nothing is leased", fault: Fault{At: 8000, Kind: "kill", Target: "s2", Duration: 9000},
+			plant: &ProgramFault{Site: func(config *site.Config) { config.Members.LeasedPart = 0 }},
+			want:  openCounts{all: 12, dead: 8, back: 12, apart: 12},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := Script{
-				Seed: 3, Nodes: 4, Schedulers: 3, Shards: 1, ConnectionSharing: "shared", Rate: 90, Duration: 40000, Members: true, DynamicTenants: true,
-				Faults: append([]Fault{{At: 10, Kind: "tenant-limit", Target: "a", Size: may}}, c.faults...),
-			}
-			for i := range s.Schedulers {
-				for n := range s.Nodes { // each start takes long enough to fill the limit
-					s.Faults = append(s.Faults, Fault{At: 5, Kind: "slow", Target: fmt.Sprint("s", i), Peer: fmt.Sprint("n", n+1), Duration: 50000, Size: 300})
-				}
-			}
-			var all, dead, back, apart int
-			v := Simulation{Script: s, ProgramFault: c.plant, OnUsage: func(now float64, tenant string, open []int) {
-				sum := open[0] + open[1] + open[2]
-				switch {
-				case tenant != "a":
-				case now > 6000 && now < 8000:
-					all = max(all, sum)
-				case now > 13500 && now < 16900:
-					dead = max(dead, open[0]+open[1])
-				case now > 23500 && now < 26000:
-					back = max(back, sum)
-				case now > 32000 && now < 40000:
-					apart = max(apart, sum)
-				}
-			}}.Run()
-			if v.Failure != "" {
-				t.Error(v.Failure)
+			var got openCounts
+			result := Simulation{Script: leaseScript(c.fault), ProgramFault: c.plant, OnUsage: got.onUsage}.Run()
+			if result.Failure != "" {
+				t.Error(result.Failure)
 			}
-			if all != c.all || dead != c.dead || back != c.back || apart != c.apart {
-				t.Errorf("open of %d: %d with all, %d with one dead, %d when it was back, %d where none hears another; %d, %d, %d, %d are expected",
-					may, all, dead, back, apart, c.all, c.dead, c.back, c.apart)
+			if got != c.want {
+				t.Errorf("open of %d, with all, with one dead, when it was back, with none that reaches another: %+v, want %+v", leaseLimit, got, c.want)
 			}
 		})
 	}
--- a/internal/lab/sim/members_test.go
+++ b/internal/lab/sim/members_test.go
@@ -6,9 +6,9 @@
 	"ravenpond/internal/audit"
 )
 
-// TestWords cuts a scheduler off from the node list while a node drains: where schedulers know each other it hears of it
-// from the others within two seconds, and gives the node nothing new; where they don't, it goes on blindly.
-func TestWords(t *testing.T) {
+// TestDrainByGossip cuts a scheduler off from the node list while a node drains. Where schedulers know each other, it learns of the drain
+// from the others within two seconds and places nothing more there; where they don't, it goes on placing.
+func TestDrainByGossip(t *testing.T) {
 	for _, members := range []bool{true, false} {
 		s := Script{Seed: 4, Nodes: 5, Schedulers: 3, Shards: 2, ConnectionSharing: "shared", Rate: 60, Duration: 12000, Members: members, Faults: []Fault{
 			{At: 2000, Kind: "cut", Target: "s0", Peer: "list", Duration: 9000},
--- a/internal/lab/sim/scheduler.go
+++ b/internal/lab/sim/scheduler.go
@@ -123,7 +123,7 @@
 		e.fail(0, "scheduler "+s.name+": "+string(bytes.TrimSpace(line)))
 	}
 	if out := e.clock.traceOut; out != nil {
-		fmt.Fprintf(out, "%.3f %s %s", e.clock.now, s.name, line)
+		_, _ = fmt.Fprintf(out, "%.3f %s %s", e.clock.now, s.name, line)
 	}
 	return len(line), nil
 }
--- a/internal/lab/sim/script.go
+++ b/internal/lab/sim/script.go
@@ -136,24 +136,33 @@
 
 // Check returns what is wrong with a script, nil if it can be run.
 func (s *Script) Check() error {
+	within := func(n, most int) bool { return n >= 1 && n <= most }
+	above0 := func(x, most float64) bool { return x > 0 && x <= most } // not NaN either
 	switch {
-	case s.Nodes < 1 || s.Nodes > maxNodes || s.Schedulers < 1 || s.Schedulers > maxSchedulers || s.Shards < 1 || s.Shards > maxShards:
+	case !within(s.Nodes, maxNodes) || !within(s.Schedulers, maxSchedulers) || !within(s.Shards, maxShards):
 		return fmt.Errorf("script: 1 to %d nodes, 1 to %d schedulers and 1 to %d shards are expected", maxNodes, maxSchedulers, maxShards)
-	case !(s.Rate > 0) || !(s.Duration > 0) || s.Rate > maxRate || s.Duration > maxDuration:
+	case !above0(s.Rate, maxRate) || !above0(s.Duration, maxDuration):
 		return errors.New("script: rate and lasts above 0 are expected")
 	case s.WorkingSetSize < 0 || s.WorkingSetSize > 0 && s.ConnectionSharing == "own":
 		return errors.New("script: a set of 0 nodes or more is expected, of shards that share connections")
-	case s.ConnectionSharing != "shared" && s.ConnectionSharing != "own" && s.ConnectionSharing != "informed":
+	case !slices.Contains([]string{"shared", "own", "informed"}, s.ConnectionSharing):
 		return fmt.Errorf("script: shards share %q: shared, own or informed is expected", s.ConnectionSharing)
 	}
-	for _, f := range s.Faults {
-		if !(f.At >= 0) || !(f.Duration >= 0) {
-			return fmt.Errorf("script: fault %s: times from 0 on are expected", f.Kind)
+	for i := range s.Faults {
+		if err := s.checkFault(&s.Faults[i]); err != nil {
+			return err
 		}
-		for _, name := range []string{f.Target, f.Peer} {
-			if !s.hasName(name) {
-				return fmt.Errorf("script: fault %s: nobody is called %q here", f.Kind, name)
-			}
+	}
+	return nil
+}
+
+func (s *Script) checkFault(f *Fault) error {
+	if !(f.At >= 0) || !(f.Duration >= 0) { // NaN neither
+		return fmt.Errorf("script: fault %s: times from 0 on are expected", f.Kind)
+	}
+	for _, name := range []string{f.Target, f.Peer} {
+		if !s.hasName(name) {
+			return fmt.Errorf("script: fault %s: nobody is called %q here", f.Kind, name)
 		}
 	}
 	return nil
--- a/internal/lab/sim/seeds.go
+++ b/internal/lab/sim/seeds.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"runtime"
+	"strings"
 	"sync"
 	"time"
 )
@@ -54,13 +55,13 @@
 	for range max(1, min(b.Workers, runtime.NumCPU())) {
 		workers.Go(func() {
 			for seed, ok := r.take(ctx); ok; seed, ok = r.take(ctx) {
-				r.done(seed, Run(r.script(seed), b.Fault, nil))
+				r.done(seed, Run(r.script(seed), b.Fault, nil)) //nolint:contextcheck // a run on the virtual clock is not broken off
 			}
 		})
 	}
 	workers.Wait()
 	if b.Progress != nil {
-		fmt.Fprintln(b.Progress)
+		_, _ = fmt.Fprintln(b.Progress)
 	}
 	return r.summary()
 }
@@ -93,7 +94,7 @@
 		r.failures++
 	}
 	if n := len(r.results); r.Progress != nil && n%progressInterval == 0 {
-		fmt.Fprintf(r.Progress, "\r%d of %d seeds, %d broken, %.0f a second ", n, r.To-r.From, r.failures,
+		_, _ = fmt.Fprintf(r.Progress, "\r%d of %d seeds, %d broken, %.0f a second ", n, r.To-r.From, r.failures,
 			float64(n)/time.Since(r.startedAt).Seconds())
 	}
 }
@@ -118,19 +119,22 @@
 	return s
 }
 
-// Print writes the summary; its last line counts the seeds that failed.
-func (s Summary) Print(out io.Writer) {
+// Print writes the summary; its last line counts the seeds that failed. It returns the writer's error.
+func (s Summary) Print(out io.Writer) error {
+	var b strings.Builder
 	for i, r := range s.Failures {
 		if i == maxPrinted {
-			fmt.Fprintf(out, "and %d more\n", len(s.Failures)-i)
+			fmt.Fprintf(&b, "and %d more\n", len(s.Failures)-i)
 			break
 		}
-		fmt.Fprintf(out, "seed %d, %s: %.300s\n", r.Script.Seed, r.failureKind(), r.Failure)
+		fmt.Fprintf(&b, "seed %d, %s: %.300s\n", r.Script.Seed, r.failureKind(), r.Failure)
 	}
 	seconds := s.Elapsed.Seconds()
-	fmt.Fprintf(out, "%d seeds in %.1f s, %.1f a second, %.1f virtual hours a second; %d asks, %d served, %d steps\n", s.Seeds, seconds,
+	fmt.Fprintf(&b, "%d seeds in %.1f s, %.1f a second, %.1f virtual hours a second; %d asks, %d served, %d steps\n", s.Seeds, seconds,
 		float64(s.Seeds)/seconds, s.VirtualHours/seconds, s.Requests, s.Served, s.Steps)
-	fmt.Fprintf(out, "trace %016x\nbroken: %d\n", s.Trace, len(s.Failures))
+	fmt.Fprintf(&b, "trace %016x\nbroken: %d\n", s.Trace, len(s.Failures))
+	_, err := io.WriteString(out, b.String())
+	return err
 }
 
 // failureKind says what a failure broke: an invariant of the program, or a rule.
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -49,7 +49,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer f.Close()
+			defer func() { _ = f.Close() }()
 			s, err := Parse(f)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/lab/sim/slow_test.go
+++ b/internal/lab/sim/slow_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestSlowNodes has all words between one scheduler and its nodes take 300 ms each way, so that tries are given up before their nodes
-// are heard: what may run there goes on to count for its service's spread.
+// TestSlowNodes has all messages between a scheduler and its nodes take 300 ms each way, so that attempts are given up before their nodes
+// answer: those that may run there go on to count for their service's spread.
 func TestSlowNodes(t *testing.T) {
 	for _, seed := range []uint64{3, 4, 5} {
 		s := Script{Seed: seed, Nodes: 4, Schedulers: 1, Shards: 1, ConnectionSharing: "shared", Rate: 100, Duration: 15000}
--- a/internal/lab/sim/witness_test.go
+++ b/internal/lab/sim/witness_test.go
@@ -6,54 +6,71 @@
 	"ravenpond/internal/audit"
 )
 
-// TestWitness cuts the way between one scheduler and a node on which its work runs. Where the others hear the node, nobody is told
-// that the work is lost, as it runs on; where they hear it in a later life, its owners are told soon. A scheduler that is alone waits as
-// long as it does for any silent node, and then gives up what runs, or what is long over.
+// repeatWatch counts requests for tasks that ran on node 1 when the link of s0 to it was cut: their clients were notified that they are
+// over, and request them again.
+type repeatWatch struct {
+	requested map[requestKey]uint64 // token by request
+	servedAt  map[uint64]float64    // ms, by token
+	node      map[uint64]uint32     // of the last attempt, by token
+
+	repeats     int
+	first, last float64 // ms
+}
+
+func (w *repeatWatch) onRecord(r *audit.Record) {
+	key := requestKey{r.Client, r.RequestRef}
+	switch {
+	case r.Kind == audit.PlacementReceived:
+		w.node[r.Token] = r.Node
+	case r.Kind == audit.RequestSent:
+		if w.isRepeat(r) {
+			if w.repeats++; w.repeats == 1 {
+				w.first = r.At
+			}
+			w.last = r.At
+		}
+		w.requested[key] = r.Token
+		delete(w.servedAt, r.Token)
+	case r.Kind == audit.ResponseReceived && r.Detail == audit.AnswerServed:
+		w.servedAt[w.requested[key]] = r.At
+	}
+}
+
+func (w *repeatWatch) isRepeat(r *audit.Record) bool {
+	at, ok := w.servedAt[r.Token]
+	return ok && at < 9000 && w.node[r.Token] == 1 && r.Scheduler == "s0" && r.At > 10000 && r.At < 26000
+}
+
+// TestWitness cuts the link of one scheduler to a node that runs its tasks. Where other schedulers still reach the node, no client is
+// notified, as the tasks run on; where they reach it in its next incarnation, clients are notified soon. A scheduler without peers waits as
+// long as for any silent node and then gives the tasks up.
 func TestWitness(t *testing.T) {
 	cut := Fault{At: 10000, Kind: "cut", Target: "s0", Peer: "n1", Duration: 16000}
 	for _, c := range []struct {
 		name     string
 		members  bool
 		faults   []Fault
-		lost     bool    // owners are told that work on the node is over while it is cut off
-		from, to float64 // and when
+		lost     bool    // clients are notified of ends while the link is cut
+		from, to float64 // and when, ms
 	}{
-		{"the way is broken, others hear the node", true, []Fault{cut}, false, 0, 0},
-		{"the way is broken, nobody is asked", false, []Fault{cut}, true, 19000, 23000},
-		{"the node began anew, others hear it", true, []Fault{cut, {At: 10100, Kind: "restart", Target: "n1", Duration: 500}}, true, 13000, 17000},
-		{"the node began anew, nobody is asked", false, []Fault{cut, {At: 10100, Kind: "restart", Target: "n1", Duration: 500}}, true, 19000, 23000},
-		{"the node is dead, the list has it as gone", true, []Fault{cut, {At: 10100, Kind: "lost", Target: "n1", Duration: 30000}}, true, 13000, 23000},
+		{"link cut, others reach the node", true, []Fault{cut}, false, 0, 0},
+		{"link cut, no peers", false, []Fault{cut}, true, 19000, 23000},
+		{"node restarted, others reach it", true, []Fault{cut, {At: 10100, Kind: "restart", Target: "n1", Duration: 500}}, true, 13000, 17000},
+		{"node restarted, no peers", false, []Fault{cut, {At: 10100, Kind: "restart", Target: "n1", Duration: 500}}, true, 19000, 23000},
+		{"node dead, the list has it as gone", true, []Fault{cut, {At: 10100, Kind: "lost", Target: "n1", Duration: 30000}}, true, 13000, 23000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := Script{Seed: 8, Nodes: 4, Schedulers: 3, Shards: 2, ConnectionSharing: "shared", Rate: 12, Duration: 30000, Members: c.members, Faults: c.faults}
-			type ask struct {
-				owner int
-				ref   uint64
+			s := Script{
+				Seed: 8, Nodes: 4, Schedulers: 3, Shards: 2, ConnectionSharing: "shared", Rate: 12, Duration: 30000, Members: c.members,
+				Faults: c.faults,
 			}
-			asked, served, at := map[ask]uint64{}, map[uint64]float64{}, map[uint64]uint32{}
-			lost, first, last := 0, 0.0, 0.0
-			v := Simulation{Script: s, TaskRuntime: 60000, SettleTime: 62000, OnRecord: func(r *audit.Record) {
-				switch key := (ask{r.Client, r.RequestRef}); {
-				case r.Kind == audit.PlacementReceived:
-					at[r.Token] = r.Node
-				case r.Kind == audit.RequestSent:
-					if when, ok := served[r.Token]; ok && when < 9000 && at[r.Token] == 1 && r.Scheduler == "s0" && r.At > 10000 && r.At < 26000 {
-						if lost++; lost == 1 {
-							first = r.At
-						}
-						last = r.At
-					}
-					asked[key] = r.Token
-					delete(served, r.Token)
-				case r.Kind == audit.ResponseReceived && r.Detail == "served":
-					served[asked[key]] = r.At
-				}
-			}}.Run()
-			if v.Failure != "" {
-				t.Error(v.Failure)
+			w := &repeatWatch{requested: map[requestKey]uint64{}, servedAt: map[uint64]float64{}, node: map[uint64]uint32{}}
+			result := Simulation{Script: s, TaskRuntime: 60000, SettleTime: 62000, OnRecord: w.onRecord}.Run()
+			if result.Failure != "" {
+				t.Error(result.Failure)
 			}
-			if c.lost != (lost > 0) || c.lost && (first < c.from || last > c.to) {
-				t.Errorf("%d told that their work is over, from %.0f to %.0f ms", lost, first, last)
+			if c.lost != (w.repeats > 0) || c.lost && (w.first < c.from || w.last > c.to) {
+				t.Errorf("%d notified that their work is over, from %.0f to %.0f ms", w.repeats, w.first, w.last)
 			}
 		})
 	}
--- a/internal/lab/sim/workingset_test.go
+++ b/internal/lab/sim/workingset_test.go
@@ -7,22 +7,23 @@
 
 	"ravenpond/internal/audit"
 	"ravenpond/internal/site"
+	"ravenpond/internal/standin"
 )
 
-// TestSeedsWithSet plays drawn scripts with working sets: nothing may break.
-func TestSeedsWithSet(t *testing.T) {
+// TestSeedsWithWorkingSet runs drawn scripts with working sets: nothing may break.
+func TestSeedsWithWorkingSet(t *testing.T) {
 	sum := Batch{To: 40, Workers: runtime.NumCPU(), Change: func(s Script) Script { return s.WithWorkingSet(2) }}.Run(t.Context())
-	for _, v := range sum.Failures {
-		t.Errorf("seed %d: %s\n%s", v.Script.Seed, v.Failure, v.Script)
+	for _, r := range sum.Failures {
+		t.Errorf("seed %d: %s\n%s", r.Script.Seed, r.Failure, r.Script)
 	}
 	if sum.Seeds != 40 || sum.Served < sum.Requests*7/10 {
 		t.Errorf("%d seeds, %d of %d asks served", sum.Seeds, sum.Served, sum.Requests)
 	}
 }
 
-// longWork is a script of work that runs longer than a scheduler waits for a node that is gone, with sets that follow
-// the load: they grow and shrink with bursts, and begin small again when a scheduler comes back.
-func longWork(seed uint64) Simulation {
+// longTasks is a script of tasks that run longer than a scheduler waits for a node that is gone, with working sets that follow the load:
+// they grow and shrink with bursts, and start small again when a scheduler restarts.
+func longTasks(seed uint64) Simulation {
 	working := site.WorkingSet{MinNodes: 2, SpareFactor: 3, NodesPerStart: 0.2, MinPerStratum: 1, NarrowAfter: 400}
 	faults := []Fault{
 		{At: 2000, Kind: "flood", Duration: 1500, Size: 4},
@@ -36,61 +37,67 @@
 	}}
 }
 
-// harm is what a scheduler without a way to its work does: it tells that work is lost that runs, and starts work that
-// runs already. Some of the latter comes of a kill itself: owners ask again before all nodes were heard.
+// harm is what a scheduler does that can't reach its tasks: it notifies that running tasks are lost, and starts tasks twice. Some second
+// starts follow from the kills: clients request again before all nodes were heard.
 type harm struct{ lost, twice int }
 
-// played plays work that runs long, of several seeds, and sums up what went wrong. No node fails, so no work is lost.
-func played(t *testing.T, least int, plant *ProgramFault) (all harm) {
-	for seed := range uint64(6) {
-		type attempt struct {
-			ticket uint64
-			number uint8
-		}
-		tokens, runs := map[attempt]uint64{}, map[uint64]int{}
-		g := longWork(seed)
-		g.WorkingSet.MinNodes, g.ProgramFault = least, plant
-		g.OnRecord = func(r *audit.Record) {
-			a := attempt{r.Ticket, r.Attempt}
-			switch r.Kind {
-			case audit.PlacementReceived:
-				tokens[a] = r.Token
-			case audit.TaskStarted:
-				if runs[tokens[a]]++; runs[tokens[a]] > 1 {
-					all.twice++
-				}
-			case audit.AttemptConcluded:
-				runs[tokens[a]] = max(0, runs[tokens[a]]-1)
-			}
+// startCount counts second starts of running tasks.
+type startCount struct {
+	tokens  map[standin.AttemptID]uint64
+	running map[uint64]int // by token
+	twice   int
+}
+
+func (c *startCount) onRecord(r *audit.Record) {
+	id := standin.AttemptID{Ticket: r.Ticket, Attempt: r.Attempt}
+	switch r.Kind {
+	case audit.PlacementReceived:
+		c.tokens[id] = r.Token
+	case audit.TaskStarted:
+		if c.running[c.tokens[id]]++; c.running[c.tokens[id]] > 1 {
+			c.twice++
 		}
-		v := g.Run()
-		if v.Failure != "" && plant == nil || v.Served < 50 {
-			t.Errorf("seed %d: %d served, %s", seed, v.Served, v.Failure)
+	case audit.AttemptConcluded:
+		c.running[c.tokens[id]] = max(0, c.running[c.tokens[id]]-1)
+	}
+}
+
+// runLongTasks runs long tasks of six seeds and sums up the harm. No node fails, so no task may be lost.
+func runLongTasks(t *testing.T, minNodes int, fault *ProgramFault) (total harm) {
+	t.Helper()
+	for seed := range uint64(6) {
+		starts := &startCount{tokens: map[standin.AttemptID]uint64{}, running: map[uint64]int{}}
+		sim := longTasks(seed)
+		sim.WorkingSet.MinNodes, sim.ProgramFault, sim.OnRecord = minNodes, fault, starts.onRecord
+		r := sim.Run()
+		if r.Failure != "" && fault == nil || r.Served < 50 {
+			t.Errorf("seed %d: %d served, %s", seed, r.Served, r.Failure)
 		}
-		all.lost += v.LostTasks
+		total.lost += r.LostTasks
+		total.twice += starts.twice
 	}
-	return all
+	return total
 }
 
-// TestSetPlants plants faults in what keeps a scheduler's way to its work: each must be found, and without them work
-// fares as it does where schedulers work with all nodes.
-func TestSetPlants(t *testing.T) {
-	full, set := played(t, 0, nil), played(t, 2, nil)
-	wrong := func(h harm) bool { return h.lost > full.lost || h.twice > 2*full.twice }
-	if full.lost > 0 || wrong(set) {
+// TestWorkingSetFaults puts faults into what lets a scheduler reach its tasks: each must be found. Without them tasks fare as where
+// schedulers work with all nodes.
+func TestWorkingSetFaults(t *testing.T) {
+	full, set := runLongTasks(t, 0, nil), runLongTasks(t, 2, nil)
+	isWrong := func(h harm) bool { return h.lost > full.lost || h.twice > 2*full.twice }
+	if full.lost > 0 || isWrong(set) {
 		t.Errorf("all nodes: %+v, working sets: %+v", full, set)
 	}
 	for i := range WorkingSetFaults {
-		h := played(t, 2, &WorkingSetFaults[i])
+		h := runLongTasks(t, 2, &WorkingSetFaults[i])
 		t.Logf("%q: %+v, without it %+v, with all nodes %+v", WorkingSetFaults[i].Name, h, set, full)
-		if !wrong(h) {
+		if !isWrong(h) {
 			t.Errorf("%q is not found", WorkingSetFaults[i].Name)
 		}
 	}
 }
 
-// TestSetText writes and reads a script with a set.
-func TestSetText(t *testing.T) {
+// TestWorkingSetText writes and reads a script with a working set.
+func TestWorkingSetText(t *testing.T) {
 	s := Draw(3).WithWorkingSet(7)
 	back, err := Parse(strings.NewReader(s.String()))
 	if err != nil || back.WorkingSetSize != 7 || back.String() != s.String() {
