--- a/cmd/ravenpond/lab_run.go
+++ b/cmd/ravenpond/lab_run.go
@@ -68,7 +68,9 @@
 // runPlatform simulates ravenpond platform.
 func (c *runCommand) runPlatform(ctx context.Context, first, end uint64) error {
 	all := platformsim.Seeds(ctx, first, end, c.Workers)
-	platformsim.Print(os.Stdout, all)
+	if err := platformsim.Print(os.Stdout, all); err != nil {
+		return err
+	}
 	if platformsim.CountFailures(all) > 0 {
 		return errBroken
 	}
--- a/internal/lab/platformsim/abandoned.go
+++ b/internal/lab/platformsim/abandoned.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	abandonGrace    = 100 // ms after an owner left, or gave up, for which something may still begin for what it asked
-	maxLateAttempts = 2   // times that it may begin later in a flood: a process that was given far more than it can do reads late
+	abandonGrace    = 100 // ms after a request was abandoned in which attempts may still begin
+	maxLateAttempts = 2   // that may begin later under overload: a scheduler that is overloaded reads late
 )
 
-// observedEnvironment is a scheduler's world in which each set-up that it sends is seen as it is sent.
+// observedEnvironment is a scheduler's environment in which each attempt is observed as it is sent.
 type observedEnvironment struct {
 	env.Environment
 	sim *simulation
 }
 
-func (w observedEnvironment) Dial(address string, within float64, done func(env.Conn, error)) {
-	w.Environment.Dial(address, within, func(c env.Conn, err error) {
+// Dial implements env.Environment.
+func (oe observedEnvironment) Dial(address string, within float64, done func(env.Conn, error)) {
+	oe.Environment.Dial(address, within, func(c env.Conn, err error) {
 		if err == nil {
-			c = &observedConn{Conn: c, sim: w.sim}
+			c = &observedConn{Conn: c, sim: oe.sim}
 		}
 		done(c, err)
 	})
@@ -32,36 +33,26 @@
 	sim *simulation
 }
 
-func (s *observedConn) Send(f func([]byte) []byte) (uint64, int, bool) {
-	return s.Conn.Send(func(b []byte) []byte {
+// Send implements env.Conn.
+func (oc *observedConn) Send(appendTo func([]byte) []byte) (uint64, int, bool) {
+	return oc.Conn.Send(func(b []byte) []byte {
 		before := len(b)
-		b = f(b)
-		if msg, took, err := codec.Next(b[before:]); err == nil && took > 0 && codec.Kind(msg) == codec.KindSetUp {
-			s.sim.onAttempt(codec.Task(msg))
+		b = appendTo(b)
+		if msg, size, err := codec.Next(b[before:]); err == nil && size > 0 && codec.Kind(msg) == codec.KindSetUp {
+			oc.sim.onAttempt(codec.Task(msg))
 		}
 		return b
 	})
 }
 
-// onAttempt meets that an attempt begins.
-func (g *simulation) onAttempt(id uint64) {
-	if t := g.tasks[id]; t != nil && t.abandonedAt > 0 && g.clock.TrueTime() > t.abandonedAt+abandonGrace {
-		if g.lateAttempts++; g.overload != nil && g.lateAttempts <= maxLateAttempts {
-			return
-		}
-		g.fail(fmt.Sprintf("gone: an attempt for ask %d began %.0f ms after its owner had left it", id, g.clock.TrueTime()-t.abandonedAt))
+// onAttempt checks that an attempt does not begin long after its request was abandoned.
+func (sm *simulation) onAttempt(id uint64) {
+	t := sm.tasks[id]
+	if t == nil || !(t.abandonedAt > 0) || !(sm.clock.TrueTime() > t.abandonedAt+abandonGrace) {
+		return
 	}
-}
-
-// disconnect has an owner close its connection under what it asked, and come again. Not in a flood: an end of this network hears nothing
-// once it is closed, and its close lies behind all that it sent, so what is told it until that comes would be lost to it alone.
-func (o *client) disconnect() {
-	if e := o.conn; e != nil && e.conn != nil && !e.closed && o.scheduler.stoppedAt == 0 {
-		for _, id := range sorted(o.pending) {
-			if t := o.pending[id]; t.conn == e {
-				t.abandonedAt = o.sim.clock.TrueTime()
-			}
-		}
-		e.conn.Close(true, nil)
+	if sm.lateAttempts++; sm.overload != nil && sm.lateAttempts <= maxLateAttempts {
+		return
 	}
+	sm.fail(fmt.Sprintf("gone: an attempt for ask %d began %.0f ms after its owner had left it", id, sm.clock.TrueTime()-t.abandonedAt))
 }
--- a/internal/lab/platformsim/faults.go
+++ b/internal/lab/platformsim/faults.go
@@ -2,137 +2,157 @@
 
 import "fmt"
 
-// drawFaults plans what goes wrong. A list that changes amid restarts, all of them one after another, is part of every
-// other seed.
-func (g *simulation) drawFaults() {
-	at := func(f func()) { g.clock.At(500+(activeTime-2500)*g.rng.Float64(), f) }
-	some := func() *node { return g.nodes[g.rng.IntN(len(g.nodes))] }
-	anyone := func() *scheduler { return g.schedulers[g.rng.IntN(len(g.schedulers))] }
-	if g.rng.IntN(2) == 0 { // a rolling restart under a changing list
-		from := 1000 + 3000*g.rng.Float64()
-		for i, s := range g.schedulers {
-			g.clock.At(from+float64(i)*1500, s.stop)
-		}
-		for range 3 {
-			g.clock.At(from+4000*g.rng.Float64(), func() { g.drain(some()) })
+// Times of faults in ms.
+const (
+	faultsFrom      = 500
+	faultSpan       = activeTime - 2500 // from faultsFrom on
+	minFaultTime    = 300
+	faultTimeRange  = 3000
+	restartStagger  = 1500 // between two schedulers of a rolling restart
+	minDrainTime    = 1500
+	drainTimeRange  = 2000
+	minGoneTime     = 300
+	goneTimeRange   = 1000
+	maxCrashNotice  = 300  // after a crash until the list has it
+	silenceRecovery = 1500 // after a journal service's silence until its scheduler has read all
+	restoreRetry    = 300
+)
+
+// minReadyNodes is how many nodes are ready before one may be drained or crash.
+const minReadyNodes = 3
+
+// faultTarget is what a drawn fault hits, and for how many ms.
+type faultTarget struct {
+	sim       *simulation
+	scheduler *scheduler
+	node      *node
+	duration  float64
+}
+
+// faultKinds are drawn from.
+var faultKinds = []func(faultTarget){
+	func(t faultTarget) { t.scheduler.kill(t.duration) },
+	func(t faultTarget) { t.scheduler.stop() },
+	func(t faultTarget) { t.scheduler.reload() },
+	func(t faultTarget) {
+		t.scheduler.reload()
+		t.scheduler.stop()
+		t.sim.after(t.duration/3, t.scheduler.reload)
+	},
+	func(t faultTarget) { t.scheduler.journal.silence(t.duration) },
+	func(t faultTarget) { t.sim.drain(t.node) },
+	func(t faultTarget) { t.sim.crash(t.node, t.duration) },
+	func(t faultTarget) { t.fault(nodeFaults{errorRate: 5}) },
+	func(t faultTarget) { t.fault(nodeFaults{answerLossRate: 3}) },
+	func(t faultTarget) { t.fault(nodeFaults{rejectRate: 6}) },
+	func(t faultTarget) { t.fault(nodeFaults{hung: true}) },
+	func(t faultTarget) {
+		for _, pc := range t.node.conns {
+			pc.reset(t.sim.rng.IntN(2) == 0)
 		}
-		g.clock.At(from+3000*g.rng.Float64(), func() { anyone().reload() })
+	},
+	func(t faultTarget) {
+		a, b := t.scheduler.process.Name, t.node.process.Name
+		t.sim.clock.Cut(a, b, true)
+		t.sim.after(t.duration/2, func() { t.sim.clock.Cut(a, b, false) })
+	},
+	func(t faultTarget) { t.fault(nodeFaults{lateAnswerRate: 5}) },
+}
+
+// fault adds faults to the node, until the fault's time is over.
+func (t faultTarget) fault(f nodeFaults) {
+	n := t.node
+	n.errorRate, n.answerLossRate = max(n.errorRate, f.errorRate), max(n.answerLossRate, f.answerLossRate)
+	n.rejectRate, n.lateAnswerRate, n.hung = max(n.rejectRate, f.rejectRate), max(n.lateAnswerRate, f.lateAnswerRate), n.hung || f.hung
+	t.sim.after(t.duration, n.clearFaults)
+}
+
+// drawFaults draws what goes wrong and when. In every other seed schedulers are restarted one after the other while the list changes.
+func (sm *simulation) drawFaults() {
+	if sm.rng.IntN(2) == 0 {
+		sm.drawRollingRestart()
 	}
-	for range 3 + g.rng.IntN(8) {
-		s, n := anyone(), some()
-		most := 300 + 3000*g.rng.Float64()
-		switch g.rng.IntN(14) {
-		case 0:
-			at(func() { s.kill(most) })
-		case 1:
-			at(s.stop)
-		case 2:
-			at(s.reload)
-		case 3:
-			at(func() { s.reload(); s.stop(); g.clock.At(g.clock.TrueTime()+most/3, s.reload) })
-		case 4:
-			at(func() { s.journal.silence(most) })
-		case 5:
-			at(func() { g.drain(n) })
-		case 6:
-			at(func() { g.crash(n, most) })
-		case 7:
-			at(func() { n.errorRate = 5; g.recoverLater(n, most) })
-		case 8:
-			at(func() { n.answerLossRate = 3; g.recoverLater(n, most) })
-		case 9:
-			at(func() { n.rejectRate = 6; g.recoverLater(n, most) })
-		case 10:
-			at(func() { n.hung = true; g.recoverLater(n, most) })
-		case 11:
-			at(func() {
-				for _, e := range n.conns {
-					e.reset(g.rng.IntN(2) == 0)
-				}
-			})
-		case 12:
-			at(func() {
-				g.clock.Cut(s.process.Name, n.process.Name, true)
-				g.clock.At(g.clock.TrueTime()+most/2, func() { g.clock.Cut(s.process.Name, n.process.Name, false) })
-			})
-		case 13:
-			at(func() { n.lateAnswerRate = 5; g.recoverLater(n, most) })
-		}
+	for range 3 + sm.rng.IntN(8) {
+		target := faultTarget{sim: sm, scheduler: sm.anyScheduler(), node: sm.anyNode()}
+		target.duration = minFaultTime + faultTimeRange*sm.rng.Float64()
+		inject := faultKinds[sm.rng.IntN(len(faultKinds))]
+		sm.clock.At(faultsFrom+faultSpan*sm.rng.Float64(), func() { inject(target) })
 	}
 }
 
-// recoverLater has a node behave again after a while.
-func (g *simulation) recoverLater(n *node, ms float64) {
-	g.clock.At(g.clock.TrueTime()+ms, n.clearFaults)
+func (sm *simulation) drawRollingRestart() {
+	from := 1000 + 3000*sm.rng.Float64()
+	for i, s := range sm.schedulers {
+		sm.clock.At(from+float64(i)*restartStagger, s.stop)
+	}
+	for range 3 {
+		sm.clock.At(from+4000*sm.rng.Float64(), func() { sm.drain(sm.anyNode()) })
+	}
+	sm.clock.At(from+3000*sm.rng.Float64(), func() { sm.anyScheduler().reload() })
 }
 
-// clearFaults ends the node's faults.
-func (n *node) clearFaults() {
-	n.errorRate, n.answerLossRate, n.rejectRate, n.lateAnswerRate, n.hung = 0, 0, 0, 0, false
+func (sm *simulation) anyNode() *node { return sm.nodes[sm.rng.IntN(len(sm.nodes))] }
+
+func (sm *simulation) anyScheduler() *scheduler {
+	return sm.schedulers[sm.rng.IntN(len(sm.schedulers))]
 }
 
-// drain takes a node out of use: it drains, ends what it holds, and is gone. Then it comes back cold under its name, or
-// another does at its address.
-func (g *simulation) drain(n *node) {
-	if n.status != "ready" || g.readyNodes() < 3 {
+// clearFaults ends all faults of the node.
+func (n *node) clearFaults() { n.nodeFaults = nodeFaults{} }
+
+// drain takes a node out of service: it drains, ends with what it holds, and is gone. Then it comes back cold, or another node does at its
+// address.
+func (sm *simulation) drain(n *node) {
+	if n.status != statusReady || sm.readyNodes() < minReadyNodes {
 		return
 	}
-	n.status = "draining"
-	g.announce(n)
-	g.clock.At(g.clock.TrueTime()+1500+2000*g.rng.Float64(), func() {
-		if n.status != "draining" {
+	n.status = statusDraining
+	sm.announce(n)
+	sm.after(minDrainTime+drainTimeRange*sm.rng.Float64(), func() {
+		if n.status != statusDraining {
 			return
 		}
-		n.status = "gone"
+		n.status = statusGone
 		n.crash(false)
-		g.announce(n)
-		g.clock.At(g.clock.TrueTime()+300+1000*g.rng.Float64(), func() { g.restoreNode(n) })
+		sm.announce(n)
+		sm.after(minGoneTime+goneTimeRange*sm.rng.Float64(), func() { sm.restoreNode(n) })
 	})
 }
 
-// crash has a node die, and tells of it a little later.
-func (g *simulation) crash(n *node, away float64) {
-	if n.status != "ready" || g.readyNodes() < 3 {
+// crash ends a node at once; the list has it a little later. It comes back after a while.
+func (sm *simulation) crash(n *node, downtime float64) {
+	if n.status != statusReady || sm.readyNodes() < minReadyNodes {
 		return
 	}
-	n.status = "gone"
-	n.crash(g.rng.IntN(2) == 0)
-	g.clock.At(g.clock.TrueTime()+300*g.rng.Float64(), func() { g.announce(n) })
-	g.clock.At(g.clock.TrueTime()+300+away, func() { g.restoreNode(n) })
+	n.status = statusGone
+	n.crash(sm.rng.IntN(2) == 0)
+	sm.after(maxCrashNotice*sm.rng.Float64(), func() { sm.announce(n) })
+	sm.after(maxCrashNotice+downtime, func() { sm.restoreNode(n) })
 }
 
-// restoreNode has a node come up again, once every scheduler can hear of it: who can't be told may send to it as before.
-func (g *simulation) restoreNode(n *node) {
-	for _, s := range g.schedulers {
-		if g.clock.TrueTime() < s.journal.silentUntil+1500 && s.journal.silentUntil > 0 {
-			g.clock.At(g.clock.TrueTime()+300, func() { g.restoreNode(n) })
+// restoreNode starts a node again once every scheduler can have been notified that it was gone: one that was not may go on sending to it.
+func (sm *simulation) restoreNode(n *node) {
+	for _, s := range sm.schedulers {
+		if sm.clock.TrueTime() < s.journal.silentUntil+silenceRecovery && s.journal.silentUntil > 0 {
+			sm.after(restoreRetry, func() { sm.restoreNode(n) })
 			return
 		}
 	}
-	if g.rng.IntN(2) == 0 {
-		g.addNode(fmt.Sprintf("%s-%d", n.name, len(g.nodes)), n.address, true)
+	if sm.rng.IntN(2) == 0 {
+		sm.addNode(fmt.Sprintf("%s-%d", n.name, len(sm.nodes)), n.address, true)
 		return
 	}
 	n.process.Start()
-	n.status, n.coldSince = "ready", g.unix()
+	n.status, n.startedAt = statusReady, sm.unixTime()
 	n.start(true)
-	g.announce(n)
+	sm.announce(n)
 }
 
-func (g *simulation) readyNodes() (all int) {
-	for _, n := range g.nodes {
-		if n.status == "ready" {
-			all++
+func (sm *simulation) readyNodes() (count int) {
+	for _, n := range sm.nodes {
+		if n.status == statusReady {
+			count++
 		}
 	}
-	return all
-}
-
-// crash ends a node with all that it holds.
-func (n *node) crash(power bool) {
-	n.process.Kill(power)
-	for id, r := range n.tasks {
-		n.conclude(id, r, "cut")
-	}
-	n.tasks = map[uint64]*attempt{}
+	return count
 }
--- a/internal/lab/platformsim/overload.go
+++ b/internal/lab/platformsim/overload.go
@@ -1,75 +1,73 @@
 package platformsim
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// overload gives one scheduler far more than it can do: all others are killed, and what they were given comes to it, and more.
-// Its code takes time, and no way is cut, so what it does late is its own.
+// taskCost is what a scheduler spends on an allocation, in ms of a core.
+const taskCost = 0.3
+
+// endNoticeLimit is the time in which a client has to be notified that its task has ended, ms.
+const endNoticeLimit = 1000
+
+// nodeFaultTime is how long faults of nodes last under overload, ms.
+const nodeFaultTime = 2000
+
+// overload gives one scheduler far more than it can do: all others are killed, their clients' requests go to it, and there are more of
+// them. Its code takes time, and no link is cut, so what it does late is its own fault.
 type overload struct {
 	sim      *simulation
 	share    float64 // of a core that each scheduler has
-	from, to float64
-	factor   float64 // so many times what it can do
+	from, to float64 // true time in ms
+	factor   float64 // how many times what it can do is requested
 	survivor *scheduler
 }
 
-// Times in ms, and what an allocation costs of a core.
-const (
-	overloadSlack  = 60
-	taskCost       = 0.3
-	endNoticeLimit = 1000 // owners are to hear within it that what stood is over
-)
-
-func (g *simulation) drawOverload() *overload {
-	f := &overload{sim: g, share: 0.015 + 0.015*g.rng.Float64(), factor: 5 + 5*g.rng.Float64()}
-	f.from = 3000 + 1000*g.rng.Float64()
-	f.to = f.from + 1500 + 1500*g.rng.Float64()
-	return f
+func (sm *simulation) drawOverload() *overload {
+	o := &overload{sim: sm, share: 0.015 + 0.015*sm.rng.Float64(), factor: 5 + 5*sm.rng.Float64()}
+	o.from = 3000 + 1000*sm.rng.Float64()
+	o.to = o.from + 1500 + 1500*sm.rng.Float64()
+	return o
 }
 
-// plan kills all schedulers but one as the flood begins, and has nodes fail, drain and die around it.
-func (f *overload) plan() {
-	g := f.sim
-	f.survivor = g.schedulers[g.rng.IntN(len(g.schedulers))]
-	for _, s := range g.schedulers {
-		if s != f.survivor {
-			g.clock.At(f.from, func() { s.kill(f.to - f.from + 2000*g.rng.Float64()) })
+// plan schedules that all schedulers but one are killed as the overload begins, and that nodes fail, drain and end meanwhile.
+func (o *overload) plan() {
+	sm := o.sim
+	o.survivor = sm.anyScheduler()
+	for _, s := range sm.schedulers {
+		if s != o.survivor {
+			sm.clock.At(o.from, func() { s.kill(o.to - o.from + 2000*sm.rng.Float64()) })
 		}
 	}
 	for range 3 {
-		n, at := g.nodes[g.rng.IntN(len(g.nodes))], f.from+(f.to-f.from)*g.rng.Float64()
-		switch g.rng.IntN(4) {
-		case 0:
-			g.clock.At(at, func() { g.drain(n) })
-		case 1:
-			g.clock.At(at, func() { g.crash(n, 2000) })
-		case 2:
-			g.clock.At(at, func() { n.rejectRate = 5; g.recoverLater(n, 2000) })
-		case 3:
-			g.clock.At(at, func() { n.errorRate = 4; g.recoverLater(n, 2000) })
-		}
+		target := faultTarget{sim: sm, node: sm.anyNode(), duration: nodeFaultTime}
+		at := o.from + (o.to-o.from)*sm.rng.Float64()
+		inject := []func(){
+			func() { sm.drain(target.node) },
+			func() { sm.crash(target.node, nodeFaultTime) },
+			func() { target.fault(nodeFaults{rejectRate: 5}) },
+			func() { target.fault(nodeFaults{errorRate: 4}) },
+		}[sm.rng.IntN(4)]
+		sm.clock.At(at, inject)
 	}
 }
 
-// nextRequest is in how many ms the next is asked, and whom.
-func (f *overload) nextRequest() (float64, *scheduler) {
-	g, now := f.sim, f.sim.clock.TrueTime()
-	if now < f.from || now > f.to {
-		return 20 + 60*g.rng.Float64(), g.schedulers[g.rng.IntN(len(g.schedulers))]
+// nextRequest returns in how many ms the next request is sent, and to whom.
+func (o *overload) nextRequest() (float64, *scheduler) {
+	sm, now := o.sim, o.sim.clock.TrueTime()
+	if now < o.from || now > o.to {
+		return minPause + pauseRange*sm.rng.Float64(), sm.anyScheduler()
 	}
-	return 2 * g.rng.Float64() * taskCost / f.share / f.factor, f.survivor
+	return 2 * sm.rng.Float64() * taskCost / o.share / o.factor, o.survivor
 }
 
-// expectEnd holds that an owner hears in time of the end that a node has told its scheduler.
-func (g *simulation) expectEnd(t *task, n *node, e *peerConn) {
-	if g.overload == nil || e.closed || !t.running {
+// expectEnd checks, under overload, that a client is notified in time of an end that a node has sent to its scheduler on a connection.
+func (sm *simulation) expectEnd(t *task, n *node, pc *peerConn) {
+	if sm.overload == nil || pc.closed || !t.running {
 		return
 	}
-	s, lives := t.scheduler, t.scheduler.incarnation
-	g.clock.At(g.clock.TrueTime()+endNoticeLimit+overloadSlack, func() {
-		if t.running && t.node == n && s.incarnation == lives && s.server != nil && !s.client.conn.closed && !e.closed {
-			g.fail(fmt.Sprintf("rule 1: task %x was over at %s, and %s did not tell its owner within a second, %.0f ms behind", t.id, n.name, s.name,
+	s, incarnation := t.scheduler, t.scheduler.incarnation
+	sm.after(endNoticeLimit+overloadSlack, func() {
+		if t.running && t.node == n && s.incarnation == incarnation && s.server != nil && !s.client.conn.closed && !pc.closed {
+			sm.fail(fmt.Sprintf("rule 1: task %x was over at %s, and %s did not tell its owner within a second, %.0f ms behind", t.id, n.name, s.name,
 				s.process.Backlog()))
 		}
 	})
--- /dev/null
+++ b/internal/lab/platformsim/scheduler.go
@@ -0,0 +1,182 @@
+package platformsim
+
+import (
+	"bytes"
+	"fmt"
+
+	"github.com/rs/zerolog"
+
+	"ravenpond/internal/audit"
+	"ravenpond/internal/env"
+	"ravenpond/internal/lab/sim"
+	"ravenpond/internal/platform"
+	"ravenpond/internal/settings"
+)
+
+// Times of schedulers in ms.
+const (
+	endPollInterval   = 20  // between two checks whether a process has ended
+	endRestartDelay   = 200 // until a process that ended is started again
+	reconnectWindow   = 400 // after a scheduler is stopped in which clients still make connections
+	maxInitialSilence = 2000
+)
+
+const settingsText = `{"instances": %d, "self-index": %d, "discovery": "push", "step-ns": 2000000, "kinds": ["std"], "zones": ["east", "west"],
+ "projects": [{"name": "acme", "portion": 1}],
+ "policy-limits": {"cancel": true, "max-attempts": 4, "probes": true, "conn-idle-ns": 4000000000, "connect-timeout-ns": 500000000, "open-cap": 500},
+ "family-info": {"cores-multiple": 2, "memory-multiple": 1.5, "cpu-of-kind": [16], "mem-of-kind": [32], "kind-by-class": [-1, -1, -1],
+  "spread-over": ["silent", "machine", "silent"], "most-together": [9, 3, 9], "lists-free": true, "cold-bears": 6, "unit-cores": 1,
+  "mean-memory": 2, "settle-ns": 600000000},
+ "report": {"fields": ["x0", "x1"], "how": "%s"},
+ "rules": {"cold-ns": 4000000000, "overload-for-ns": 1500000000, "ask-every-ns": 4000000000},
+ "services": [
+  {"name": "batch", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "free", "worth": 1, "group": "all"},
+  {"name": "marked", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "guarded", "worth": 2, "group": "zone", "window-ns": 1500000000},
+  {"name": "single", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "single_shot", "worth": 3, "group": "all"}]}`
+
+// forbiddenLogs are in log lines of what must never happen.
+var forbiddenLogs = [][]byte{[]byte("switched off"), []byte("module: fenced"), []byte("refused to offer")}
+
+// scheduler is a scheduler process, with its journal service and its client.
+type scheduler struct {
+	sim         *simulation
+	name        string
+	settings    string
+	process     *sim.Process
+	server      *platform.Server // nil while the process is dead
+	journal     *journal
+	client      *client
+	incarnation int
+	stoppedAt   float64 // when it was told to stop, 0: it was not; true time in ms
+}
+
+func (sm *simulation) addScheduler(index, count int) {
+	s := &scheduler{sim: sm, name: fmt.Sprint("s", index), settings: fmt.Sprintf(settingsText, count, index, sm.reportMode)}
+	s.process = sm.clock.NewProcess(s.name)
+	s.process.SynchronousWrites = !sm.AsynchronousWrites
+	if sm.overload != nil {
+		s.process.LimitCPU(sm.overload.share, sim.MeasuredCost)
+	}
+	s.client = &client{sim: sm, scheduler: s, process: sm.clock.NewProcess("o-" + s.name)}
+	sm.schedulers = append(sm.schedulers, s)
+	s.start()
+}
+
+// Write takes the scheduler's log; it never fails.
+func (s *scheduler) Write(line []byte) (int, error) {
+	for _, forbidden := range forbiddenLogs {
+		if bytes.Contains(line, forbidden) {
+			s.sim.fail(s.name + " says: " + string(line))
+		}
+	}
+	return len(line), nil
+}
+
+// start starts the next incarnation, with all events of its journal service.
+func (s *scheduler) start() {
+	sm := s.sim
+	s.incarnation++
+	s.stoppedAt = 0
+	s.journal = newJournal(sm, fmt.Sprintf("journal-%s-%d:1", s.name, s.incarnation))
+	if s.incarnation > 1 && sm.rng.IntN(4) == 0 {
+		s.journal.silence(maxInitialSilence * sm.rng.Float64())
+	}
+	config := s.configuration()
+	environment := env.Environment(s.process)
+	if sm.World != nil {
+		environment = sm.World(environment)
+	}
+	environment = observedEnvironment{environment, sm}
+	sm.record(audit.Record{Kind: audit.SchedulerStarted, Scheduler: s.name})
+	for _, n := range sm.nodes { // the initial events count as a notification
+		if n.status != statusReady {
+			sm.record(audit.Record{Kind: audit.EndpointDelivered, Scheduler: s.name, Node: n.id, Detail: n.status})
+		}
+	}
+	s.server = platform.New(environment, zerolog.New(s), config)
+	if err := s.server.Start(config); err != nil {
+		sm.fail(err.Error())
+		return
+	}
+	s.watchEnd()
+	s.client.start()
+}
+
+// watchEnd waits until the server ends by itself, checks that it has answered all, and starts it again.
+func (s *scheduler) watchEnd() {
+	incarnation, done := s.incarnation, s.server.Done()
+	env.Every(s.process, endPollInterval, func() bool {
+		select {
+		case <-done:
+			s.process.After(1, func() {
+				if open := sortedIDs(s.client.pending); len(open) > 0 && s.incarnation == incarnation {
+					s.sim.fail(fmt.Sprintf("rule 1: %s ended, and ask %d had no answer", s.name, open[0]))
+				}
+				s.kill(endRestartDelay)
+			})
+			return false
+		default:
+			return incarnation == s.incarnation
+		}
+	})
+}
+
+func (s *scheduler) configuration() *platform.Configuration {
+	deployment, err := settings.Read([]byte(s.settings))
+	if err != nil {
+		s.sim.fail(err.Error())
+		return nil
+	}
+	events := s.journal.snapshot()
+	if s.sim.InitialEvents != nil {
+		events = s.sim.InitialEvents(events)
+	}
+	return &platform.Configuration{
+		Name: s.name, Listen: s.name + ":1", Journal: s.journal.address, Seed: s.sim.rng.Uint64(), MemoryMB: 64, Sockets: 200,
+		Deployment: deployment, InitialEvents: events,
+	}
+}
+
+// kill ends the process at once, and starts it again in so many ms.
+func (s *scheduler) kill(restartDelay float64) {
+	if s.server == nil {
+		return
+	}
+	s.server = nil
+	s.process.Kill(false)
+	s.sim.record(audit.Record{Kind: audit.SchedulerKilled, Scheduler: s.name})
+	s.client.markDisconnected()
+	s.sim.after(restartDelay, func() {
+		s.process.Start()
+		s.start()
+	})
+}
+
+// stop begins a graceful shutdown, as of a planned restart. Clients go on requesting on the connections that they have, and make new ones
+// for a while.
+func (s *scheduler) stop() {
+	if s.server == nil || s.stoppedAt > 0 {
+		return
+	}
+	s.stoppedAt = s.sim.clock.TrueTime()
+	s.server.Stop()
+	incarnation := s.incarnation
+	for range 2 {
+		s.sim.clock.At(s.stoppedAt+reconnectWindow*s.sim.rng.Float64(), func() {
+			if s.server != nil && s.incarnation == incarnation {
+				s.client.dial(nil)
+			}
+		})
+	}
+}
+
+// reload moves the journal service, and has the scheduler read its configuration again.
+func (s *scheduler) reload() {
+	if s.server == nil {
+		return
+	}
+	old := s.journal
+	s.journal = old.moveTo(fmt.Sprintf("journal-%s-%d-%d:1", s.name, s.incarnation, s.sim.rng.Uint32()))
+	s.server.ApplyConfiguration(s.configuration())
+	old.close()
+}
--- /dev/null
+++ b/internal/lab/platformsim/seeds.go
@@ -0,0 +1,49 @@
+package platformsim
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+
+	"ravenpond/internal/lab/seeds"
+)
+
+// maxPrinted is how many failures Print tells of.
+const maxPrinted = 20
+
+// Seeds plays the seeds from first to end, the latter left out, so many at a time. The results are in order of the seeds; those that were
+// not played when the context ended are left out.
+func Seeds(ctx context.Context, first, end uint64, workers int) []Result {
+	results := seeds.Run(ctx, first, end, workers, func(seed uint64) Result { return Play(seed, Faults{}) })
+	return slices.DeleteFunc(results, func(r Result) bool { return r.Requests == 0 && r.Failure == "" })
+}
+
+// CountFailures is how many seeds failed.
+func CountFailures(results []Result) (n int) {
+	for i := range results {
+		if results[i].Failure != "" {
+			n++
+		}
+	}
+	return n
+}
+
+// Print writes what came of seeds; the last line counts those that failed. It returns the writer's error.
+func Print(w io.Writer, results []Result) error {
+	var b strings.Builder
+	printed, requests, served, starts, restored := 0, 0, 0, 0, 0
+	for i := range results {
+		r := &results[i]
+		requests, served, starts, restored = requests+r.Requests, served+r.Served, starts+r.Starts, restored+r.Restored
+		if r.Failure != "" && printed < maxPrinted {
+			printed++
+			fmt.Fprintf(&b, "seed %d: %.1500s\n", r.Seed, r.Failure)
+		}
+	}
+	fmt.Fprintf(&b, "%d seeds of the platform's route: %d asks, %d served, %d starts at nodes, %d found again\nbroken: %d\n", len(results), requests,
+		served, starts, restored, CountFailures(results))
+	_, err := io.WriteString(w, b.String())
+	return err
+}
