--- a/internal/lab/consensus/consensus_test.go
+++ b/internal/lab/consensus/consensus_test.go
@@ -1,21 +1,20 @@
 package consensus
 
 import (
-	"context"
 	"runtime"
 	"testing"
 
 	"ravenpond/internal/decide/consensus"
 )
 
-// TestSeeds plays schedulers that agree on a book among kills, stops, cuts, loss and full disks.
+// TestSeeds simulates schedulers that agree on the cluster state among kills, pauses, cuts, loss and full disks.
 func TestSeeds(t *testing.T) {
 	versions, answered := uint64(0), 0
-	for _, v := range Seeds(context.Background(), 1, 25, runtime.NumCPU(), consensus.Faults{}) {
-		if v.Failure != "" {
-			t.Errorf("seed %d: %.1200s", v.Seed, v.Failure)
+	for _, r := range Seeds(t.Context(), 1, 25, runtime.NumCPU(), consensus.Faults{}) {
+		if r.Failure != "" {
+			t.Errorf("seed %d: %.1200s", r.Seed, r.Failure)
 		}
-		versions, answered = versions+v.Versions, answered+v.Answered
+		versions, answered = versions+r.Versions, answered+r.Answered
 	}
 	if versions < 500 || answered < 300 {
 		t.Errorf("%d versions, %d answers: the seeds show too little", versions, answered)
@@ -25,22 +24,22 @@
 	}
 }
 
-// TestPlanted plants faults in the council and looks that the seeds find each.
-func TestPlanted(t *testing.T) {
+// TestInjectedFaults puts faults into the consensus: the seeds have to find each.
+func TestInjectedFaults(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		plant consensus.Faults
-		from  uint64 // seeds from here on
+		fault consensus.Faults
+		from  uint64 // the first seed
 	}{
-		{"answered before it is written", consensus.Faults{SendBeforeWrite: true}, 1},
-		{"one steward's word makes sure", consensus.Faults{SingleVoter: true}, 1},
-		{"a lease that nothing ends", consensus.Faults{EndlessLease: true}, 1},
-		{"a steward that lost its disk votes", consensus.Faults{VoteAfterLoss: true}, 14},
+		{"answers are sent before they are written", consensus.Faults{SendBeforeWrite: true}, 1},
+		{"one voter makes a lease valid", consensus.Faults{SingleVoter: true}, 1},
+		{"a lease never expires", consensus.Faults{EndlessLease: true}, 1},
+		{"a voter that lost its disk votes", consensus.Faults{VoteAfterLoss: true}, 14},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := c.from; seed < c.from+40; seed++ {
-				if v := Play(seed, c.plant); v.Failure != "" {
-					t.Logf("found by seed %d: %.120s", v.Seed, v.Failure)
+				if r := Play(seed, c.fault); r.Failure != "" {
+					t.Logf("found by seed %d: %.120s", r.Seed, r.Failure)
 					return
 				}
 			}
@@ -49,7 +48,7 @@
 	}
 }
 
-// TestRest holds what the book costs while nothing happens: who follows asks three stewards twice a second whatever the number of
+// TestRest bounds what consensus costs while nothing happens: a follower polls three voters twice a second whatever the number of
 // processes, and nothing is written.
 func TestRest(t *testing.T) {
 	for _, n := range []int{3, 12, 50} {
--- a/internal/lab/zones/zones_test.go
+++ b/internal/lab/zones/zones_test.go
@@ -1,17 +1,16 @@
 package zones
 
 import (
-	"context"
 	"runtime"
 	"testing"
 )
 
-// TestSeeds plays zones that are lost, cut off, come and go, among kills and stops: what must hold holds, a lost zone is left in
+// TestSeeds simulates zones that are lost, cut off, come and go, among kills and pauses: nothing breaks, a lost zone is evacuated in
 // time, and one that comes and goes gets few verdicts.
 func TestSeeds(t *testing.T) {
-	all := Seeds(context.Background(), 1, 9, runtime.NumCPU(), Faults{})
-	all = append(all, Seeds(context.Background(), 12, 19, runtime.NumCPU(), Faults{})...) // 11 and 19 last ten minutes, as 3 does
-	all = append(all, Seeds(context.Background(), 24, 25, 1, Faults{})...)
+	all := Seeds(t.Context(), 1, 9, runtime.NumCPU(), Faults{})
+	all = append(all, Seeds(t.Context(), 12, 19, runtime.NumCPU(), Faults{})...) // 11 and 19 last ten minutes, as 3 does
+	all = append(all, Seeds(t.Context(), 24, 25, 1, Faults{})...)
 	var undisturbed []Result
 	for _, v := range all {
 		if v.Failure != "" {
@@ -34,15 +33,15 @@
 	}
 }
 
-// TestPlanted plants faults and looks that the seeds find each.
-func TestPlanted(t *testing.T) {
+// TestInjectedFaults puts faults into the program: the seeds have to find each.
+func TestInjectedFaults(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		plant Faults
 	}{
-		{"the word of one other zone closes a zone", Faults{SingleWitness: true}},
-		{"what the book last said counts for ever", Faults{StaleVerdicts: true}},
-		{"shares of the plan are not kept to", Faults{UncappedShares: true}},
+		{"one other zone closes a zone", Faults{SingleWitness: true}},
+		{"a verdict holds without a lease", Faults{StaleVerdicts: true}},
+		{"shares of the plan are not kept", Faults{UncappedShares: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := uint64(1); seed < 80; seed++ {
