--- a/cmd/ravenpond/lab_compare.go
+++ b/cmd/ravenpond/lab_compare.go
@@ -34,7 +34,7 @@
 	for i := range c.Days {
 		seeds = append(seeds, c.Seed+uint64(i))
 	}
-	comparison, err := compare.Run(ctx, c.A, c.B, seeds, c.Nodes, c.Load, c.Faults)
+	comparison, err := compare.Run(ctx, compare.Config{A: c.A, B: c.B, Seeds: seeds, Nodes: c.Nodes, Load: c.Load, Faults: c.Faults})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/balance/figures.go
+++ b/internal/lab/balance/figures.go
@@ -1,4 +1,4 @@
-// Package herd measures how evenly the load of many schedulers spreads over nodes: how full the fullest is beside the mean, who
+// Package balance measures how evenly the load of many schedulers spreads over nodes: how full the fullest is beside the mean, who
 // stands idle and for how long, how many offers meet at one node, and how soon all is even again after something has happened.
 package balance
 
--- a/internal/lab/cluster/rig.go
+++ b/internal/lab/cluster/rig.go
@@ -1,4 +1,4 @@
-// Package procs is the rig of processes: many schedulers of one site on loopback, each a process of its own, with stand-ins
+// Package cluster is the rig of processes: many schedulers of one site on loopback, each a process of its own, with stand-ins
 // for nodes, list and owners in this one. What schedulers say to each other passes relays that drop and cut by a script
 // with a seed; processes are killed, stopped and started again. The auditor watches all that reaches the stand-ins.
 package cluster
@@ -88,13 +88,33 @@
 	if err := r.startNodes(); err != nil {
 		return r, err
 	}
-	places := make(chan bool, 16)
-	errs := make(chan error, p.Schedulers)
+	if err := r.startSchedulers(); err != nil {
+		return r, err
+	}
+	for i, x := range r.processes {
+		x.client = &standin.Client{ID: i, Scheduler: x.name, SettleTime: r.site.SettleTime, SchedulerAddress: x.clientAddress}
+		r.testbed.StartClient(x.client, p.Seed*clientSeedFactor+uint64(i))
+	}
+	if p.Rate > 0 {
+		r.background.Go(r.generateLoad)
+	}
+	return r, nil
+}
+
+const (
+	concurrentStarts = 16 // of schedulers
+	clientSeedFactor = 7919
+)
+
+// startSchedulers starts all schedulers, some at a time, and returns an error of those that did not start.
+func (r *Rig) startSchedulers() (err error) {
+	slots := make(chan bool, concurrentStarts)
+	errs := make(chan error, len(r.processes))
 	for i := range r.processes {
 		go func() {
-			places <- true
+			slots <- true
 			errs <- r.StartScheduler(i)
-			<-places
+			<-slots
 		}()
 	}
 	for range r.processes {
@@ -102,24 +122,18 @@
 			err = e
 		}
 	}
-	if err != nil {
-		return r, err
-	}
-	for i, x := range r.processes {
-		x.client = &standin.Client{ID: i, Scheduler: x.name, SettleTime: r.site.SettleTime, SchedulerAddress: func() string {
-			x.mu.Lock()
-			defer x.mu.Unlock()
-			if x.command == nil {
-				return ""
-			} else if x.clientRelay != nil {
-				return x.clientRelay.address()
-			}
-			return x.address
-		}}
-		r.testbed.StartClient(x.client, p.Seed*7919+uint64(i))
-	}
-	if p.Rate > 0 {
-		r.background.Go(r.generateLoad)
+	return err
+}
+
+// clientAddress is where the scheduler's client connects, empty while the scheduler does not run.
+func (x *process) clientAddress() string {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	switch {
+	case x.command == nil:
+		return ""
+	case x.clientRelay != nil:
+		return x.clientRelay.address()
 	}
-	return r, nil
+	return x.address
 }
--- a/internal/lab/cluster/script.go
+++ b/internal/lab/cluster/script.go
@@ -122,91 +122,131 @@
 	}
 }
 
-// inject has a step happen, and end.
+// slowNodes is the fraction of nodes that node-slow and trickle hit.
+const slowNodes = 0.1
+
+// resetInterval is the time between two resets of a step.
+const resetInterval = 250 * time.Millisecond
+
+// injection is a step that happens.
+type injection struct {
+	*Rig
+	Step
+	hit []int // schedulers
+}
+
+// injectors hold how each kind of step is injected, and ended after its time.
+var injectors = map[string]func(*injection){
+	"kill": (*injection).kill,
+	"stop": (*injection).pause,
+	"part": func(in *injection) {
+		in.linkFault(func(i, j int) bool { return in.hits(i) != in.hits(j) }, DatagramLink{Cut: true})
+	},
+	"deaf": func(in *injection) {
+		in.linkFault(func(i, j int) bool { return i == in.hit[1] && j == in.hit[0] }, DatagramLink{Cut: true})
+	},
+	"lossy": func(in *injection) {
+		in.linkFault(func(i, j int) bool { return in.hits(i) || in.hits(j) }, DatagramLink{Loss: in.Size})
+	},
+	"slow": func(in *injection) {
+		in.linkFault(func(i, _ int) bool { return in.hits(i) }, DatagramLink{Delay: in.delay()})
+	},
+	"list-cut": func(in *injection) { in.routeFault([]string{"list"}, Route{Cut: true}, Route{Cut: true}) },
+	"list-slow": func(in *injection) {
+		in.routeFault([]string{"list"}, Route{Delay: in.delay()}, Route{Delay: in.delay()})
+	},
+	"node-cut":  func(in *injection) { in.routeFault(in.firstNodes(in.Size), Route{Cut: true}, Route{Cut: true}) },
+	"node-slow": func(in *injection) { in.routeFault(in.firstNodes(slowNodes), Route{}, Route{Delay: in.delay()}) },
+	"trickle": func(in *injection) {
+		slow := Route{BytesPerSecond: int(in.Size)}
+		in.routeFault(in.firstNodes(slowNodes), slow, slow)
+	},
+	"reset": (*injection).reset,
+	"zone":  (*injection).isolate,
+	"cold":  func(in *injection) { in.CrashNodes(in.Size, in.Duration) },
+}
+
+// inject has a step happen, and schedules its end.
 func (r *Rig) inject(s Step) {
-	who := s.Schedulers
-	if len(who) == 0 {
+	in := &injection{Rig: r, Step: s, hit: s.Schedulers}
+	if len(in.hit) == 0 {
 		for i := range r.processes {
-			who = append(who, i)
+			in.hit = append(in.hit, i)
 		}
 	}
-	lanes := func(hits func(from, to int) bool, l DatagramLink) {
-		set := func(l DatagramLink) {
-			for i := range r.processes {
-				for j := range r.processes {
-					if i != j && hits(i, j) {
-						r.SetDatagramLink(i, j, l)
-					}
-				}
+	injectors[s.Kind](in)
+}
+
+// hits reports whether the step hits a scheduler.
+func (in *injection) hits(i int) bool { return slices.Contains(in.hit, i) }
+
+// delay is the step's size as a time; it is in ms.
+func (in *injection) delay() time.Duration { return time.Duration(in.Size * 1e6) }
+
+func (in *injection) kill() {
+	for _, i := range in.hit {
+		in.KillScheduler(i)
+		in.runAfter(in.Duration, func() { _ = in.StartScheduler(i) }) // whoever polls finds that it is missing
+	}
+}
+
+func (in *injection) pause() {
+	for _, i := range in.hit {
+		in.PauseScheduler(i, true)
+		in.runAfter(in.Duration, func() { in.PauseScheduler(i, false) })
+	}
+}
+
+func (in *injection) reset() {
+	for at := time.Duration(0); at <= in.Duration; at += resetInterval {
+		in.runAfter(at, func() {
+			for _, i := range in.hit {
+				in.ResetConnections(i)
 			}
-		}
-		set(l)
-		r.runAfter(s.Duration, func() { set(DatagramLink{}) })
+		})
 	}
-	ways := func(parties []string, there, back Route) {
-		set := func(there, back Route) {
-			for _, i := range who {
-				for _, p := range parties {
-					r.SetRoute(i, p, there, back)
+}
+
+func (in *injection) isolate() {
+	zone := in.zoneOf(int(in.Size))
+	in.IsolateZone(zone, true)
+	in.runAfter(in.Duration, func() { in.IsolateZone(zone, false) })
+}
+
+// linkFault sets datagram links between schedulers for the step's time.
+func (in *injection) linkFault(hits func(from, to int) bool, faulty DatagramLink) {
+	set := func(l DatagramLink) {
+		for i := range in.processes {
+			for j := range in.processes {
+				if i != j && hits(i, j) {
+					in.SetDatagramLink(i, j, l)
 				}
 			}
 		}
-		set(there, back)
-		r.runAfter(s.Duration, func() { set(Route{}, Route{}) })
 	}
-	nodes := func(part float64) (all []string) {
-		for i := range r.nodes {
-			if float64(i) < part*float64(len(r.nodes)) {
-				all = append(all, strconv.Itoa(int(r.nodes[i].ID)))
+	set(faulty)
+	in.runAfter(in.Duration, func() { set(DatagramLink{}) })
+}
+
+// routeFault sets routes between the schedulers that the step hits and other parties for its time.
+func (in *injection) routeFault(parties []string, there, back Route) {
+	set := func(there, back Route) {
+		for _, i := range in.hit {
+			for _, party := range parties {
+				in.SetRoute(i, party, there, back)
 			}
 		}
-		return all
 	}
-	late := Route{Delay: time.Duration(s.Size * 1e6)}
-	in := func(i int) bool { return slices.Contains(who, i) }
-	switch s.Kind {
-	case "kill":
-		for _, i := range who {
-			r.KillScheduler(i)
-			r.runAfter(s.Duration, func() { _ = r.StartScheduler(i) }) // one that does not start is missed by all who look
-		}
-	case "stop":
-		for _, i := range who {
-			r.PauseScheduler(i, true)
-			r.runAfter(s.Duration, func() { r.PauseScheduler(i, false) })
-		}
-	case "part":
-		lanes(func(i, j int) bool { return in(i) != in(j) }, DatagramLink{Cut: true})
-	case "deaf":
-		lanes(func(i, j int) bool { return i == who[1] && j == who[0] }, DatagramLink{Cut: true})
-	case "lossy":
-		lanes(func(i, j int) bool { return in(i) || in(j) }, DatagramLink{Loss: s.Size})
-	case "slow":
-		lanes(func(i, _ int) bool { return in(i) }, DatagramLink{Delay: time.Duration(s.Size * 1e6)})
-	case "list-cut":
-		ways([]string{"list"}, Route{Cut: true}, Route{Cut: true})
-	case "list-slow":
-		ways([]string{"list"}, late, late)
-	case "node-cut":
-		ways(nodes(s.Size), Route{Cut: true}, Route{Cut: true})
-	case "node-slow":
-		ways(nodes(0.1), Route{}, late)
-	case "trickle":
-		few := Route{BytesPerSecond: int(s.Size)}
-		ways(nodes(0.1), few, few)
-	case "reset":
-		for at := time.Duration(0); at <= s.Duration; at += 250 * time.Millisecond {
-			r.runAfter(at, func() {
-				for _, i := range who {
-					r.ResetConnections(i)
-				}
-			})
+	set(there, back)
+	in.runAfter(in.Duration, func() { set(Route{}, Route{}) })
+}
+
+// firstNodes are the names of the first nodes, a fraction of all.
+func (r *Rig) firstNodes(fraction float64) (names []string) {
+	for i := range r.nodes {
+		if float64(i) < fraction*float64(len(r.nodes)) {
+			names = append(names, strconv.Itoa(int(r.nodes[i].ID)))
 		}
-	case "zone":
-		zone := r.zoneOf(int(s.Size))
-		r.IsolateZone(zone, true)
-		r.runAfter(s.Duration, func() { r.IsolateZone(zone, false) })
-	case "cold":
-		r.CrashNodes(s.Size, s.Duration)
 	}
+	return names
 }
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -3,6 +3,7 @@
 package compare
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"io"
@@ -11,6 +12,7 @@
 	"runtime"
 	"slices"
 	"sync"
+	"sync/atomic"
 
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
@@ -129,12 +131,14 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// metrics are what is compared of a day; more is better where good is above 0.
-var metrics = []struct {
+// metric is what is compared of a day.
+type metric struct {
 	Name string
-	Good int
+	Good int // above 0 if more is better, below if less is
 	of   func(f *Figures) float64
-}{
+}
+
+var metrics = []metric{
 	{"served, part of asks", 1, func(f *Figures) float64 { return float64(f.Served) / float64(max(1, f.Requests)) }},
 	{"in time, part of asks", 1, func(f *Figures) float64 { return float64(f.InTime) / float64(max(1, f.Requests)) }},
 	{"start p50, ms", -1, func(f *Figures) float64 { return quantile(f.Latencies, 0.5) }},
@@ -165,73 +169,93 @@
 	scenarios []sim.Script
 }
 
-// Run plays days with both policies.
-func Run(ctx context.Context, a, b string, seeds []uint64, nodes int, load float64, faults bool) (*Comparison, error) {
-	pa, err := newPolicy(a)
+// Config says what is compared, and on which days.
+type Config struct {
+	A, B   string // policies
+	Seeds  []uint64
+	Nodes  int
+	Load   float64 // fraction of the fleet that is filled
+	Faults bool    // drawn from the seeds
+}
+
+// Run plays all days with both policies, on all cores. It returns an error for a policy that there is not, and of the first day that could
+// not be played.
+func Run(ctx context.Context, config Config) (*Comparison, error) {
+	policyA, err := newPolicy(config.A)
 	if err != nil {
 		return nil, err
 	}
-	pb, err := newPolicy(b)
+	policyB, err := newPolicy(config.B)
 	if err != nil {
 		return nil, err
 	}
+	n := len(config.Seeds)
 	c := &Comparison{
-		A: a, B: b, Days: len(seeds), Nodes: nodes, Load: load, a: make([]*Figures, len(seeds)),
-		b: make([]*Figures, len(seeds)), scenarios: make([]sim.Script, len(seeds)),
+		A: config.A, B: config.B, Days: n, Nodes: config.Nodes, Load: config.Load, a: make([]*Figures, n), b: make([]*Figures, n),
+		scenarios: make([]sim.Script, n),
 	}
-	var mu sync.Mutex
-	var failed error
-	next := 0
-	var work sync.WaitGroup
+	var failed firstError
+	var next atomic.Int64
+	var workers sync.WaitGroup
 	for range runtime.NumCPU() {
-		work.Go(func() {
-			for {
-				mu.Lock()
-				i := next
-				next++
-				stop := i >= len(seeds) || failed != nil || ctx.Err() != nil
-				mu.Unlock()
-				if stop {
-					return
-				}
-				day := Scenario(seeds[i], nodes, load, faults)
-				fa, err := run(day, pa)
-				fb, errB := run(day, pb)
-				mu.Lock()
-				if c.scenarios[i], c.a[i], c.b[i] = day, fa, fb; failed == nil && err != nil {
-					failed = fmt.Errorf("%s: %w", a, err)
-				} else if failed == nil && errB != nil {
-					failed = fmt.Errorf("%s: %w", b, errB)
-				}
-				mu.Unlock()
+		workers.Go(func() {
+			for i := int(next.Add(1)) - 1; i < n && failed.get() == nil && ctx.Err() == nil; i = int(next.Add(1)) - 1 {
+				day := Scenario(config.Seeds[i], config.Nodes, config.Load, config.Faults)
+				figuresA, errA := run(day, policyA) //nolint:contextcheck // a day on the virtual clock is not broken off
+				figuresB, errB := run(day, policyB) //nolint:contextcheck // a day on the virtual clock is not broken off
+				c.scenarios[i], c.a[i], c.b[i] = day, figuresA, figuresB
+				failed.set(config.A, errA)
+				failed.set(config.B, errB)
 			}
 		})
 	}
-	work.Wait()
-	if failed != nil {
-		return nil, failed
-	}
-	if err := ctx.Err(); err != nil {
+	workers.Wait()
+	if err := cmp.Or(failed.get(), ctx.Err()); err != nil {
 		return nil, err
 	}
 	for _, m := range metrics {
-		var x, y, d []float64
-		for i := range c.a {
-			x, y = append(x, m.of(c.a[i])), append(y, m.of(c.b[i]))
-			d = append(d, y[i]-x[i])
-		}
-		row := Row{Name: m.Name, A: stat.Mean(x, nil), B: stat.Mean(y, nil), Verdict: "no difference told"}
-		row.Diff, row.Low, row.High = interval(d)
-		if better := float64(m.Good); row.Low*better > 0 && row.High*better > 0 {
-			row.Verdict = b + " is better"
-		} else if row.Low*better < 0 && row.High*better < 0 {
-			row.Verdict = a + " is better"
-		}
-		c.Rows = append(c.Rows, row)
+		c.Rows = append(c.Rows, c.row(m))
 	}
 	return c, nil
 }
 
+// firstError keeps the first error that several goroutines meet.
+type firstError struct {
+	mu  sync.Mutex
+	err error // guarded by mu
+}
+
+func (f *firstError) set(policy string, err error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.err == nil && err != nil {
+		f.err = fmt.Errorf("%s: %w", policy, err)
+	}
+}
+
+func (f *firstError) get() error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.err
+}
+
+// row compares a metric over all days.
+func (c *Comparison) row(m metric) Row {
+	var a, b, differences []float64
+	for i := range c.a {
+		a, b = append(a, m.of(c.a[i])), append(b, m.of(c.b[i]))
+		differences = append(differences, b[i]-a[i])
+	}
+	row := Row{Name: m.Name, A: stat.Mean(a, nil), B: stat.Mean(b, nil), Verdict: "no difference told"}
+	row.Diff, row.Low, row.High = interval(differences)
+	if better := float64(m.Good); row.Low*better > 0 && row.High*better > 0 {
+		row.Verdict = c.B + " is better"
+	} else if row.Low*better < 0 && row.High*better < 0 {
+		row.Verdict = c.A + " is better"
+	}
+	return row
+}
+
 // interval gives the mean of paired differences and its 95% confidence interval by Student's distribution.
 func interval(d []float64) (mean, low, high float64) {
 	mean, sd := stat.MeanStdDev(d, nil)
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/xml"
 	"math"
 	"strings"
@@ -13,7 +12,7 @@
 // rules; a policy compared with itself must not differ at all.
 func TestRun(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4, 5, 6}
-	c, err := Run(context.Background(), "random", "design", seeds, 6, 0.7, true)
+	c, err := Run(t.Context(), Config{A: "random", B: "design", Seeds: seeds, Nodes: 6, Load: 0.7, Faults: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +45,7 @@
 			}
 		}
 	}
-	same, err := Run(context.Background(), "design", "design", seeds[:3], 6, 0.7, true)
+	same, err := Run(t.Context(), Config{A: "design", B: "design", Seeds: seeds[:3], Nodes: 6, Load: 0.7, Faults: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +54,7 @@
 			t.Errorf("a policy differs from itself: %+v", r)
 		}
 	}
-	if _, err := Run(context.Background(), "design", "best", seeds, 6, 0.7, true); err == nil {
+	if _, err := Run(t.Context(), Config{A: "design", B: "best", Seeds: seeds, Nodes: 6, Load: 0.7, Faults: true}); err == nil {
 		t.Error("a policy that is not there was compared")
 	}
 }
--- a/internal/lab/drill/day.go
+++ b/internal/lab/drill/day.go
@@ -137,22 +137,19 @@
 	overloadFactor, listDelay                  float64
 }
 
-// ReadDay reads a day for a site and names what is wrong with it.
-func ReadDay(in io.Reader, place *site.Config) (*Day, []strictxml.Fault) {
+// dayReader reads a day file for a site.
+type dayReader struct {
+	site   *site.Config
+	day    *Day
+	faults []strictxml.Fault
+}
+
+// ReadDay reads a day for a site. It returns what is wrong with it, each with its line; the day is nil then.
+func ReadDay(in io.Reader, config *site.Config) (*Day, []strictxml.Fault) {
 	top, faults := strictxml.Read(in, Grammar)
 	if top == nil {
 		return nil, faults
 	}
-	index := func(it *strictxml.Item, attr, what string, names []string) int {
-		i := slices.Index(names, it.Text(attr))
-		if i < 0 && it.Has(attr) {
-			faults = append(faults, strictxml.Fault{
-				Line: it.Line,
-				Text: fmt.Sprintf("the site has no %s %q", what, it.Text(attr)),
-			})
-		}
-		return i
-	}
 	n := top.Child("node")
 	d := &Day{
 		Name: top.Text("name"), duration: top.Number("lasts"), settleTime: top.Number("settles"),
@@ -161,63 +158,95 @@
 		programMissFactor: n.Number("no-program"), warmupPace: n.Number("cold-from"), overloadFactor: n.Number("fall"),
 		listDelay: top.Child("list").Number("lag"),
 	}
+	r := &dayReader{site: config, day: d, faults: faults}
+	r.readNodeGroups(top)
+	r.readJobs(top)
+	r.readWindows(top)
+	r.readFaults(top)
+	slices.SortStableFunc(d.jobs, func(x, y jobSpec) int { return x.job - y.job })
+	slices.SortStableFunc(d.faults, func(x, y faultSpec) int { return int(x.at - y.at) })
+	if len(r.faults) > 0 {
+		return nil, r.faults
+	}
+	return d, nil
+}
+
+func (r *dayReader) fault(line int, format string, args ...any) {
+	r.faults = append(r.faults, strictxml.Fault{Line: line, Text: fmt.Sprintf(format, args...)})
+}
+
+// index is the place of an attribute's text among names of the site, -1 if it has none.
+func (r *dayReader) index(item *strictxml.Item, attr, what string, names []string) int {
+	i := slices.Index(names, item.Text(attr))
+	if i < 0 && item.Has(attr) {
+		r.fault(item.Line, "the site has no %s %q", what, item.Text(attr))
+	}
+	return i
+}
+
+func (r *dayReader) readNodeGroups(top *strictxml.Item) {
 	for _, f := range top.Children("fleet") {
-		index(f, "zone", "zone", place.Zones)
-		d.nodeGroups = append(d.nodeGroups, nodeGroup{
-			index(f, "machine", "machine kind", place.MachineKinds), f.Int("cells"),
+		r.index(f, "zone", "zone", r.site.Zones)
+		r.day.nodeGroups = append(r.day.nodeGroups, nodeGroup{
+			r.index(f, "machine", "machine kind", r.site.MachineKinds), f.Int("cells"),
 			f.Int("nodes"), f.Text("zone"),
 		})
 	}
+}
+
+// readJobs reads the job classes; each class of the site needs an entry, and the fractions have to sum to 1.
+func (r *dayReader) readJobs(top *strictxml.Item) {
 	sum := 0.0
 	for _, w := range top.Children("work") {
-		job := index(w, "job-type", "job type", place.JobClasses)
+		job := r.index(w, "job-type", "job type", r.site.JobClasses)
 		if job < 0 {
 			continue
 		}
-		jt := place.Cluster.JobClasses[job]
-		d.jobs = append(d.jobs, jobSpec{
-			job: job, fraction: w.Number("part"), cores: w.Number("cores"),
-			memory: w.Number("memory"), start: w.Number("start"), runtime: w.Number("life"), use: w.Number("use"),
-			priority: w.Int("priority"), name: w.Text("job-type"), timeout: place.Deadlines[job], latencyObjective: jt.LatencyObjective,
-			semantics: audit.Semantics(jt.Semantics), spread: audit.Spread(jt.Spread), maxTogether: jt.MaxPerScope, scope: audit.IdempotencyScope(jt.IdempotencyScope), window: jt.IdempotencyWindow,
+		class := r.site.Cluster.JobClasses[job]
+		r.day.jobs = append(r.day.jobs, jobSpec{
+			job: job, fraction: w.Number("part"), cores: w.Number("cores"), memory: w.Number("memory"), start: w.Number("start"),
+			runtime: w.Number("life"), use: w.Number("use"), priority: w.Int("priority"), name: w.Text("job-type"),
+			timeout: r.site.Deadlines[job], latencyObjective: class.LatencyObjective, semantics: audit.Semantics(class.Semantics),
+			spread: audit.Spread(class.Spread), maxTogether: class.MaxPerScope, scope: audit.IdempotencyScope(class.IdempotencyScope),
+			window: class.IdempotencyWindow,
 		})
 		sum += w.Number("part")
 	}
-	if len(faults) == 0 && len(d.jobs) != len(place.JobClasses) {
-		faults = append(faults, strictxml.Fault{Line: top.Line, Text: "each job type of the site needs its <work>"})
+	if len(r.faults) == 0 && len(r.day.jobs) != len(r.site.JobClasses) {
+		r.fault(top.Line, "each job type of the site needs its <work>")
 	}
 	if sum < 0.999 || sum > 1.001 {
-		faults = append(faults, strictxml.Fault{Line: top.Line, Text: fmt.Sprintf("parts of the works sum to %.4g, not 1", sum)})
+		r.fault(top.Line, "parts of the works sum to %.4g, not 1", sum)
 	}
+}
+
+func (r *dayReader) readWindows(top *strictxml.Item) {
 	for _, w := range top.Children("window") {
 		if w.Has("cell") == w.Has("zone") {
-			faults = append(faults, strictxml.Fault{Line: w.Line, Text: "a window needs a cell or a zone"})
+			r.fault(w.Line, "a window needs a cell or a zone")
 		}
-		d.windows = append(d.windows, maintenanceWindow{
+		r.day.windows = append(r.day.windows, maintenanceWindow{
 			w.Text("name"), w.Text("cell"), w.Text("zone"), w.Number("at"), w.Number("lead"),
 			w.Number("for"), w.EnumIndex("ending"),
 		})
 	}
+}
+
+func (r *dayReader) readFaults(top *strictxml.Item) {
 	for _, t := range top.Children("trouble") {
-		index(t, "zone", "zone", place.Zones)
-		index(t, "tenant", "tenant", place.Tenants)
-		tr := faultSpec{
+		r.index(t, "zone", "zone", r.site.Zones)
+		r.index(t, "tenant", "tenant", r.site.Tenants)
+		f := faultSpec{
 			kind: t.EnumIndex("kind"), at: t.Number("at"), duration: t.Number("for"), fraction: t.Number("part"),
 			size: t.Number("size"), zone: t.Text("zone"), tenant: t.Text("tenant"),
-			job: index(t, "job-type", "job type", place.JobClasses), mode: t.Text("how"), line: t.Line,
+			job: r.index(t, "job-type", "job type", r.site.JobClasses), mode: t.Text("how"), line: t.Line,
 		}
-		if tr.at > d.duration {
-			faults = append(faults, strictxml.Fault{Line: t.Line, Text: "trouble after the end of the day"})
+		if f.at > r.day.duration {
+			r.fault(t.Line, "trouble after the end of the day")
 		}
-		if FaultKinds[tr.kind] == "job-fails" && tr.job < 0 {
-			faults = append(faults, strictxml.Fault{Line: t.Line, Text: "job-fails needs a job-type"})
+		if FaultKinds[f.kind] == "job-fails" && f.job < 0 {
+			r.fault(t.Line, "job-fails needs a job-type")
 		}
-		d.faults = append(d.faults, tr)
-	}
-	slices.SortStableFunc(d.jobs, func(x, y jobSpec) int { return x.job - y.job })
-	slices.SortStableFunc(d.faults, func(x, y faultSpec) int { return int(x.at - y.at) })
-	if len(faults) > 0 {
-		return nil, faults
+		r.day.faults = append(r.day.faults, f)
 	}
-	return d, nil
 }
--- a/internal/lab/drill/faults.go
+++ b/internal/lab/drill/faults.go
@@ -8,6 +8,14 @@
 	"ravenpond/internal/standin"
 )
 
+const (
+	raisedUse       = 1.2 // by which tasks use more under raised demand
+	restartAttempts = 20
+	restartPause    = 20  // ms between two attempts to restart a node
+	restartTime     = 300 // ms over which the nodes of a fault restart
+	growthPause     = 60  // ms between two nodes that are added
+)
+
 // pickNodes draws a part of the nodes, of one zone if that is named.
 func (p *player) pickNodes(tr faultSpec, rng *rand.Rand) []*standin.Node {
 	var all []*standin.Node
@@ -38,112 +46,162 @@
 	})
 }
 
-// inject plays one trouble from its beginning to its end.
-func (p *player) inject(tr faultSpec, rng *rand.Rand) {
-	kind := FaultKinds[tr.kind]
-	p.Logf("%6.1f s  %s begins", p.testbed.Now()/1000, kind)
-	nodes := p.pickNodes(tr, rng)
-	switch kind {
-	case "list-away":
-		p.list.Update(func(l *standin.List) { l.Unavailable = true })
-		p.sleep(tr.duration)
-		p.list.Update(func(l *standin.List) { l.Unavailable = false })
-	case "list-behind":
-		p.list.Update(func(l *standin.List) { l.ExtraDelay = tr.size * 1000 })
-		p.sleep(tr.duration)
-		p.list.Update(func(l *standin.List) { l.ExtraDelay = 0 })
-	case "demand":
-		p.locked(func() { p.rateFactor = tr.size })
-		p.withFault(p.nodes, tr.duration, func(n *standin.Node) { n.Machine.UseFactor = 1.2 },
-			func(n *standin.Node) { n.Machine.UseFactor = 1 })
-		p.locked(func() { p.rateFactor = 1 })
-	case "flood":
-		tenant := tr.tenant
-		if tenant == "" {
-			tenant = p.Deployment.Tenants[0]
-		}
-		p.locked(func() { p.tenantFactors[tenant] = tr.size })
-		p.sleep(tr.duration)
-		p.locked(func() { delete(p.tenantFactors, tenant) })
-	case "hang":
-		p.withFault(nodes, tr.duration, func(n *standin.Node) { n.Machine.Hung = true },
-			func(n *standin.Node) { n.Machine.Hung = false })
-	case "answers-lost":
-		p.withFault(nodes, tr.duration, func(n *standin.Node) { n.Machine.AnswerLoss = tr.size },
-			func(n *standin.Node) { n.Machine.AnswerLoss = 0 })
-	case "job-fails":
-		p.withFault(nodes, tr.duration, func(n *standin.Node) {
-			n.Machine.FailingJob, n.Machine.FailingFraction, n.Machine.FailSilently = tr.job, tr.size, tr.mode == "silence"
+// injection is a fault of the day while it lasts.
+type injection struct {
+	*player
+	faultSpec
+	rng   *rand.Rand
+	nodes []*standin.Node // that it hits
+
+	aborted bool // it did not come to its end
+}
+
+// injectors hold how each of FaultKinds is injected, from its beginning to its end.
+var injectors = map[string]func(*injection){
+	"list-away":   (*injection).failList,
+	"list-behind": (*injection).delayList,
+	"demand":      (*injection).raiseDemand,
+	"flood":       (*injection).floodTenant,
+	"hang": func(in *injection) {
+		in.withFault(in.nodes, in.duration, func(n *standin.Node) { n.Machine.Hung = true }, func(n *standin.Node) { n.Machine.Hung = false })
+	},
+	"answers-lost": func(in *injection) {
+		in.withFault(in.nodes, in.duration, func(n *standin.Node) { n.Machine.AnswerLoss = in.size }, func(n *standin.Node) { n.Machine.AnswerLoss = 0 })
+	},
+	"job-fails": func(in *injection) {
+		in.withFault(in.nodes, in.duration, func(n *standin.Node) {
+			n.Machine.FailingJob, n.Machine.FailingFraction, n.Machine.FailSilently = in.job, in.size, in.mode == "silence"
 		}, func(n *standin.Node) { n.Machine.FailingJob = -1 })
-	case "reports-late":
-		p.withFault(nodes, tr.duration, func(n *standin.Node) { n.Machine.StaleReports = true },
-			func(n *standin.Node) { n.Machine.StaleReports = false })
-	case "neighbours":
-		p.withFault(nodes, tr.duration, func(n *standin.Node) { n.Machine.ForeignUse = tr.size },
-			func(n *standin.Node) { n.Machine.ForeignUse = 0 })
-	case "pressure":
-		p.withFault(nodes, tr.duration, func(n *standin.Node) { n.Machine.UseFactor = tr.size },
-			func(n *standin.Node) { n.Machine.UseFactor = 1 })
-	case "programs-lost":
-		p.forEach(nodes, func(n *standin.Node) { n.Machine.EvictPrograms(tr.size) })
-	case "hall-lost", "restart":
-		if kind == "hall-lost" {
-			tr.fraction = 1
-			nodes = p.pickNodes(tr, rng)
-		}
-		p.testbed.WithLock(func(now float64) {
-			for _, n := range nodes {
-				n.Crash(now)
-			}
-		})
-		if !p.sleep(tr.duration) {
-			return
+	},
+	"reports-late": func(in *injection) {
+		in.withFault(in.nodes, in.duration, func(n *standin.Node) { n.Machine.StaleReports = true }, func(n *standin.Node) { n.Machine.StaleReports = false })
+	},
+	"neighbours": func(in *injection) {
+		in.withFault(in.nodes, in.duration, func(n *standin.Node) { n.Machine.ForeignUse = in.size }, func(n *standin.Node) { n.Machine.ForeignUse = 0 })
+	},
+	"pressure": func(in *injection) {
+		in.withFault(in.nodes, in.duration, func(n *standin.Node) { n.Machine.UseFactor = in.size }, func(n *standin.Node) { n.Machine.UseFactor = 1 })
+	},
+	"programs-lost": func(in *injection) { in.forEach(in.nodes, func(n *standin.Node) { n.Machine.EvictPrograms(in.size) }) },
+	"hall-lost":     (*injection).crashZone,
+	"restart":       func(in *injection) { in.crash(in.nodes) },
+	"drain":         (*injection).drain,
+	"grow":          (*injection).grow,
+	"kill":          func(in *injection) { in.injectProcessFault(in.faultSpec, true, in.rng) },
+	"stand-still":   func(in *injection) { in.injectProcessFault(in.faultSpec, false, in.rng) },
+	"services-stop": func(in *injection) {
+		for _, c := range in.clients {
+			c.Withdraw(in.fraction)
 		}
+	},
+}
+
+// inject has a fault happen, and returns when it is over.
+func (p *player) inject(f faultSpec, rng *rand.Rand) {
+	kind := FaultKinds[f.kind]
+	p.Logf("%6.1f s  %s begins", p.testbed.Now()/1000, kind)
+	in := &injection{player: p, faultSpec: f, rng: rng, nodes: p.pickNodes(f, rng)}
+	injectors[kind](in)
+	if !in.aborted {
+		p.Logf("%6.1f s  %s is over", p.testbed.Now()/1000, kind)
+	}
+}
+
+func (in *injection) failList() {
+	in.list.Update(func(l *standin.List) { l.Unavailable = true })
+	in.sleep(in.duration)
+	in.list.Update(func(l *standin.List) { l.Unavailable = false })
+}
+
+// delayList delays the list by the size, in seconds.
+func (in *injection) delayList() {
+	in.list.Update(func(l *standin.List) { l.ExtraDelay = in.size * 1000 })
+	in.sleep(in.duration)
+	in.list.Update(func(l *standin.List) { l.ExtraDelay = 0 })
+}
+
+// raiseDemand multiplies the rate of requests by the size, and has tasks use more.
+func (in *injection) raiseDemand() {
+	p := in.player
+	p.locked(func() { p.rateFactor = in.size })
+	p.withFault(p.nodes, in.duration, func(n *standin.Node) { n.Machine.UseFactor = raisedUse }, func(n *standin.Node) { n.Machine.UseFactor = 1 })
+	p.locked(func() { p.rateFactor = 1 })
+}
+
+// floodTenant multiplies the requests of a tenant by the size.
+func (in *injection) floodTenant() {
+	p, tenant := in.player, in.tenant
+	if tenant == "" {
+		tenant = p.Deployment.Tenants[0]
+	}
+	p.locked(func() { p.tenantFactors[tenant] = in.size })
+	p.sleep(in.duration)
+	p.locked(func() { delete(p.tenantFactors, tenant) })
+}
+
+// crashZone crashes all nodes that the fault may hit.
+func (in *injection) crashZone() {
+	all := in.faultSpec
+	all.fraction = 1
+	in.crash(in.pickNodes(all, in.rng))
+}
+
+// crash takes nodes away and brings them back cold, one after the other.
+func (in *injection) crash(nodes []*standin.Node) {
+	in.testbed.WithLock(func(now float64) {
 		for _, n := range nodes {
-			err := n.Restart()
-			for i := 0; i < 20 && err != nil; i++ { // its port may not be free at once
-				p.sleep(20)
-				err = n.Restart()
-			}
-			if err != nil {
-				p.addError(fmt.Errorf("does not come back: %w", err))
-			}
-			p.sleep(300 / float64(len(nodes)))
+			n.Crash(now)
 		}
-	case "drain":
-		for _, n := range nodes { // in waves
-			p.testbed.WithLock(func(now float64) {
-				if !n.Lost {
-					n.Draining = true
-					n.Machine.Drain(now, tr.mode == "bit-by-bit", tr.mode == "at-once")
-				}
-			})
-			p.sleep(tr.duration / 4 / float64(len(nodes)))
+	})
+	if !in.sleep(in.duration) {
+		in.aborted = true
+		return
+	}
+	for _, n := range nodes {
+		err := n.Restart()
+		for i := 0; i < restartAttempts && err != nil; i++ { // its port may not be free at once
+			in.sleep(restartPause)
+			err = n.Restart()
 		}
-		p.sleep(tr.duration * 3 / 4)
-		p.forEach(nodes, func(n *standin.Node) { n.Draining = false; n.Machine.Undrain() })
-	case "grow":
-		for range int(tr.size * float64(len(p.nodes))) {
-			f := p.Day.nodeGroups[rng.IntN(len(p.Day.nodeGroups))]
-			p.mu.Lock()
-			err := p.addNode(f, rng.IntN(f.cells), true)
-			n := p.nodes[len(p.nodes)-1]
-			p.mu.Unlock()
-			if err != nil {
-				p.addError(err)
-				return
-			}
-			p.list.Add(n)
-			p.sleep(60)
+		if err != nil {
+			in.addError(fmt.Errorf("does not come back: %w", err))
 		}
-	case "kill", "stand-still":
-		p.injectProcessFault(tr, kind == "kill", rng)
-	case "services-stop":
-		for _, o := range p.clients {
-			o.Withdraw(tr.fraction)
+		in.sleep(restartTime / float64(len(nodes)))
+	}
+}
+
+// drain drains nodes in waves, and ends the drains.
+func (in *injection) drain() {
+	for _, n := range in.nodes {
+		in.testbed.WithLock(func(now float64) {
+			if !n.Lost {
+				n.Draining = true
+				n.Machine.Drain(now, in.mode == "bit-by-bit", in.mode == "at-once")
+			}
+		})
+		in.sleep(in.duration / 4 / float64(len(in.nodes)))
+	}
+	in.sleep(in.duration * 3 / 4)
+	in.forEach(in.nodes, func(n *standin.Node) { n.Draining = false; n.Machine.Undrain() })
+}
+
+// grow adds nodes, as many as the size says of those that are there.
+func (in *injection) grow() {
+	p := in.player
+	for range int(in.size * float64(len(p.nodes))) {
+		group := p.Day.nodeGroups[in.rng.IntN(len(p.Day.nodeGroups))]
+		p.mu.Lock()
+		err := p.addNode(group, in.rng.IntN(group.cells), true)
+		n := p.nodes[len(p.nodes)-1]
+		p.mu.Unlock()
+		if err != nil {
+			p.addError(err)
+			in.aborted = true
+			return
 		}
+		p.list.Add(n)
+		p.sleep(growthPause)
 	}
-	p.Logf("%6.1f s  %s is over", p.testbed.Now()/1000, kind)
 }
 
 func (p *player) locked(f func()) {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -75,97 +75,136 @@
 	StartLatency                 *hdrhistogram.Histogram
 }
 
-// Run plays a trial.
+// Times of a trial.
+const (
+	connectPoll     = 20 * time.Millisecond
+	maxConnectPolls = 500
+	clientStartTime = 300 * time.Millisecond
+	answerTime      = 700 * time.Millisecond // after the last request
+	stopTimeout     = 10 * time.Second
+	requestTimeout  = 5000 // ms
+	objectiveMs     = 1000
+	giveUpAfter     = 50 // ms: nothing is requested twice
+	settleTime      = 3000
+)
+
+// run is a trial that is under way.
+type run struct {
+	Trial
+	testbed *standin.Testbed
+	nodes   []*standin.Node
+	clients []*standin.Client
+	rng     *rand.Rand
+	sent    int                // requests
+	meantAt map[uint64]float64 // when each request was meant to be sent, by its token, ms
+}
+
+// Run plays a trial: it starts nodes, the list, the scheduler process and clients, loads the scheduler and stops all.
 func Run(ctx context.Context, tr Trial) (*Figures, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	place, faults := site.Read(strings.NewReader(tr.Site))
+	config, faults := site.Read(strings.NewReader(tr.Site))
 	if len(faults) > 0 {
 		return nil, fmt.Errorf("site of the load: %s", faults[0])
 	}
-	real := env.NewReal()
-	defer real.Close(time.Second)
-	w := standin.NewTestbed(real)
-	nodes, err := startNodes(w, place, tr)
-	if err != nil {
+	environment := env.NewReal()
+	defer environment.Close(time.Second)
+	r := &run{Trial: tr, testbed: standin.NewTestbed(environment), rng: rand.New(rand.NewPCG(tr.Seed, 5)), meantAt: map[uint64]float64{}}
+	var err error
+	if r.nodes, err = startNodes(r.testbed, config, tr); err != nil {
 		return nil, err
 	}
-	list, err := w.StartList(0, nodes, "")
+	list, err := r.testbed.StartList(0, r.nodes, "")
 	if err != nil {
 		return nil, err
 	}
-	cmd, addr, err := startScheduler(ctx, tr, list.Address())
+	cmd, address, err := startScheduler(ctx, tr, list.Address())
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = cmd.Process.Kill() }()
+	if err := r.awaitNodes(); err != nil {
+		return nil, err
+	}
+	r.startClients(address)
+	r.sendRequests(tr.Warm)
+	figures := r.measure(cmd.Process.Pid)
+	_ = cmd.Process.Signal(syscall.SIGTERM)
+	limit := time.AfterFunc(stopTimeout, func() { _ = cmd.Process.Kill() })
+	defer limit.Stop()
+	if err := cmd.Wait(); err != nil {
+		return nil, fmt.Errorf("scheduler ended with %w, see its log in %s", err, tr.OutDir)
+	}
+	return figures, nil
+}
+
+// awaitNodes waits until the scheduler is connected to all nodes, or to half of its working set; the nodes outside it are visited then.
+func (r *run) awaitNodes() error {
 	for i := 0; ; i++ {
-		linked := 0
-		w.WithLock(func(float64) {
-			for _, n := range nodes {
-				linked += n.Connections()
+		connected := 0
+		r.testbed.WithLock(func(float64) {
+			for _, n := range r.nodes {
+				connected += n.Connections()
 			}
 		})
-		if linked >= len(nodes) || tr.WorkingSet > 0 && linked >= min(tr.WorkingSet, len(nodes))/2 {
+		if connected >= len(r.nodes) || r.WorkingSet > 0 && connected >= min(r.WorkingSet, len(r.nodes))/2 {
 			break
 		}
-		if i > 500 {
-			return nil, fmt.Errorf("only %d of %d nodes connected", linked, len(nodes))
+		if i > maxConnectPolls {
+			return fmt.Errorf("only %d of %d nodes connected", connected, len(r.nodes))
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(connectPoll)
 	}
-	if tr.WorkingSet > 0 { // the nodes outside are visited, and left
-		time.Sleep(time.Second + visitTime(len(nodes)))
+	if r.WorkingSet > 0 {
+		time.Sleep(time.Second + visitTime(len(r.nodes)))
 	}
-	var asking []*standin.Client
-	for i := range tr.Clients {
-		o := &standin.Client{ID: i, Scheduler: "s0", SchedulerAddress: func() string { return addr }, SettleTime: 3000}
-		asking = append(asking, o)
-		w.StartClient(o, uint64(i))
+	return nil
+}
+
+func (r *run) startClients(address string) {
+	for i := range r.Clients {
+		c := &standin.Client{ID: i, Scheduler: "s0", SchedulerAddress: func() string { return address }, SettleTime: settleTime}
+		r.clients = append(r.clients, c)
+		r.testbed.StartClient(c, uint64(i))
 	}
-	time.Sleep(300 * time.Millisecond)
-	n, meant := 0, map[uint64]float64{} // when each ask was meant to be made, by its token
-	rng := rand.New(rand.NewPCG(tr.Seed, 5))
-	ask := func(last time.Duration) {
-		begin, since := w.Now(), time.Now()
-		for at := 0.0; ; n++ { // arrivals do not wait for anything
-			rate := tr.Rate
-			if b := tr.Burst; b.Interval > 0 && math.Mod(at, b.Interval.Seconds()) < b.Duration.Seconds() {
-				rate *= b.Factor
-			}
-			if at += rng.ExpFloat64() / rate; at > last.Seconds() {
-				return
-			}
-			time.Sleep(time.Until(since.Add(time.Duration(at * 1e9))))
-			key, service := fmt.Sprint("k", n), fmt.Sprint("s", n%tr.Services)
-			token := serve.Token("t", key)
-			meant[token] = begin + at*1000
-			asking[n%tr.Clients].Request(&standin.Demand{
-				Key: key, Tenant: "t", JobType: "work", Service: service,
-				Token: token, ServiceKey: serve.Service("t", service), Cores: 0.5, Memory: 1,
-				Timeout: 5000, LatencyObjective: 1000, GiveUpAt: w.Now() + 50,
-			}) // soon unwanted: nothing is asked twice
+	time.Sleep(clientStartTime)
+}
+
+// sendRequests sends requests for a time, open loop: arrivals do not wait for anything.
+func (r *run) sendRequests(duration time.Duration) {
+	begin, since := r.testbed.Now(), time.Now()
+	for at := 0.0; ; r.sent++ {
+		rate := r.Rate
+		if b := r.Burst; b.Interval > 0 && math.Mod(at, b.Interval.Seconds()) < b.Duration.Seconds() {
+			rate *= b.Factor
+		}
+		if at += r.rng.ExpFloat64() / rate; at > duration.Seconds() {
+			return
 		}
+		time.Sleep(time.Until(since.Add(time.Duration(at * 1e9))))
+		key, service := fmt.Sprint("k", r.sent), fmt.Sprint("s", r.sent%r.Services)
+		token := serve.Token("t", key)
+		r.meantAt[token] = begin + at*1000
+		r.clients[r.sent%r.Clients].Request(&standin.Demand{
+			Key: key, Tenant: "t", JobType: "work", Service: service, Token: token, ServiceKey: serve.Service("t", service), Cores: 0.5, Memory: 1,
+			Timeout: requestTimeout, LatencyObjective: objectiveMs, GiveUpAt: r.testbed.Now() + giveUpAfter,
+		})
 	}
-	ask(tr.Warm)
-	from, used := w.Now(), cpuTime(cmd.Process.Pid)
-	before := n
-	ask(tr.Duration)
-	to, asked := w.Now(), n-before
-	spent := cpuTime(cmd.Process.Pid) - used
+}
+
+// measure loads the scheduler process for the trial's duration.
+func (r *run) measure(pid int) *Figures {
+	from, cpuBefore, sentBefore := r.testbed.Now(), cpuTime(pid), r.sent
+	r.sendRequests(r.Duration)
+	to, requests := r.testbed.Now(), r.sent-sentBefore
+	spent := cpuTime(pid) - cpuBefore
 	f := &Figures{
-		Requests: asked, CPU: spent, CPUPerRequest: spent / time.Duration(max(1, asked)), PeakResidentKiB: peakResident(cmd.Process.Pid), ResidentKiB: resident(cmd.Process.Pid),
+		Requests: requests, CPU: spent, CPUPerRequest: spent / time.Duration(max(1, requests)), PeakResidentKiB: peakResident(pid), ResidentKiB: resident(pid),
 		OfferLatency: hdrhistogram.New(1, 1e7, 3), StartLatency: hdrhistogram.New(1, 1e7, 3),
 	}
-	time.Sleep(700 * time.Millisecond)
-	f.addRecords(w.Trace.Records(), meant, from, to)
-	_ = cmd.Process.Signal(syscall.SIGTERM)
-	limit := time.AfterFunc(10*time.Second, func() { _ = cmd.Process.Kill() })
-	defer limit.Stop()
-	if err := cmd.Wait(); err != nil {
-		return nil, fmt.Errorf("scheduler ended with %w, see its log in %s", err, tr.OutDir)
-	}
-	return f, nil
+	time.Sleep(answerTime)
+	f.addRecords(r.testbed.Trace.Records(), r.meantAt, from, to)
+	return f
 }
 
 // visitTime is ample time for visits to so many nodes on loopback.
--- a/internal/lab/maintenance/simulation.go
+++ b/internal/lab/maintenance/simulation.go
@@ -1,4 +1,4 @@
-// Package month runs maintenance windows of a month on a virtual clock: several scheduler processes with skewed clocks,
+// Package maintenance simulates maintenance windows of a month on a virtual clock: several scheduler processes with skewed clocks,
 // their real engines, keepers and codecs, and the stand-in nodes' model, with failures drawn from a seed. Time between
 // windows is passed over in jumps, as nothing happens there that windows touch.
 package maintenance
@@ -118,7 +118,22 @@
 	return w.report
 }
 
+// build makes nodes, the calendar and its plan, and starts the processes.
 func (w *simulation) build() {
+	w.addNodes()
+	w.drawWindows()
+	w.applyPlan()
+	for i := range w.Processes {
+		p := &process{
+			sim: w, index: i, skew: (2*w.rng.Float64() - 1) * maxSkew, store: &memoryStore{calendar: w.calendarFor(i)},
+			lostNodes: map[string]bool{},
+		}
+		w.processes = append(w.processes, p)
+		p.start()
+	}
+}
+
+func (w *simulation) addNodes() {
 	for z := range zoneCount {
 		for c := range cellsPerZone {
 			for i := range nodesPerCell {
@@ -139,11 +154,15 @@
 			}
 		}
 	}
+}
+
+// drawWindows draws the month's windows. Most are near others, so that many overlap, some of them back to back.
+func (w *simulation) drawWindows() {
 	w.calendar = &calendar.Calendar{Protected: []calendar.ProtectedTime{{
 		ID: "deadline", Start: epoch.Add((6*24 + 18) * time.Hour),
 		Duration: 5 * time.Hour, Lead: time.Hour, Rule: "FREQ=WEEKLY",
 	}}}
-	for i := range w.Days * 6 { // most near others, so that many meet, some back to back: a length and a lead apart
+	for i := range w.Days * 6 {
 		start := epoch.Add(time.Duration(w.rng.IntN(w.Days)) * 24 * time.Hour).Add(time.Duration(w.rng.IntN(4)) * 21 * time.Minute)
 		win := calendar.Window{
 			ID: fmt.Sprintf("w%03d", i), Scope: calendar.Cell, Target: fmt.Sprint("c", w.rng.IntN(zoneCount*cellsPerZone)),
@@ -158,6 +177,10 @@
 		}
 		w.calendar.Windows = append(w.calendar.Windows, win)
 	}
+}
+
+// applyPlan plans the windows over the true fleet, and notes when each node is out.
+func (w *simulation) applyPlan() {
 	w.plan = calendar.Plan(w.calendar, w.fleet, limits, nil, epoch, epoch.AddDate(0, 0, w.Days))
 	for _, v := range w.plan {
 		w.report.Windows++
@@ -176,14 +199,6 @@
 			s.maintenance = append(s.maintenance, [2]float64{ms(v.DrainStart), ms(v.End)})
 		}
 	}
-	for i := range w.Processes {
-		p := &process{
-			sim: w, index: i, skew: (2*w.rng.Float64() - 1) * maxSkew, store: &memoryStore{calendar: w.calendarFor(i)},
-			lostNodes: map[string]bool{},
-		}
-		w.processes = append(w.processes, p)
-		p.start()
-	}
 }
 
 // calendarFor is the whole calendar, unless overlaps are to be looked for by each process in its part alone.
--- a/internal/lab/membership/cluster.go
+++ b/internal/lab/membership/cluster.go
@@ -1,4 +1,4 @@
-// Package circle plays detectors of many schedulers on the laboratory's clock and network: who knows of whom, how soon, and
+// Package membership simulates detectors of many schedulers on the laboratory's clock and network: who knows of whom, how soon, and
 // what goes wrong when processes are killed or stand still, when datagrams are lost, late, doubled, or go one way only.
 package membership
 
--- a/internal/lab/modelcheck/model.go
+++ b/internal/lab/modelcheck/model.go
@@ -1,4 +1,4 @@
-// Package states explores exhaustively what can become of one allocation: two shards on the engine's own code and the
+// Package modelcheck explores exhaustively what can become of one allocation: two shards on the engine's own code and the
 // ledger, two nodes, and every order of what may happen to them, a few faults included. It plays each path anew from
 // the beginning; states that look alike are gone on from once.
 package modelcheck
--- a/internal/lab/shards/check.go
+++ b/internal/lab/shards/check.go
@@ -1,4 +1,4 @@
-// Package cores measures what several shards gain and cost, and checks by a great many allocations under races,
+// Package shards measures what several shards gain and cost, and checks by a great many allocations under races,
 // shard kills and stand-stills that no allocation ever has two tries out, no run-once one starts twice, and none
 // stays without an answer.
 package shards
--- a/internal/lab/tenants/trial.go
+++ b/internal/lab/tenants/trial.go
@@ -1,4 +1,4 @@
-// Package clubs plays a hosted service: many tenants on sockets, one of which floods, and tenants that are removed while they
+// Package tenants plays a hosted service: many tenants on sockets, one of which floods, and tenants that are removed while they
 // ask. It tells what each tenant got beside what it gets on a calm day.
 package tenants
 
