--- a/internal/lab/sim/agree_test.go
+++ b/internal/lab/sim/agree_test.go
@@ -78,8 +78,8 @@
 		for i, step := range []func(){
 			func() { send(node.AppendPing(nil, w.Now()-zero)) },
 			func() { offer(1, 5, 0, 1000, 0, 11, 2) },
-			func() { offer(2, 5, 0, 1000, 0, 12, 7) },                         // no room
-			func() { offer(3, 5, 0, 1000, 1, 13, 1) },                         // starts slowly
+			func() { offer(2, 5, 0, 1000, 0, 12, 7) },                          // no room
+			func() { offer(3, 5, 0, 1000, 1, 13, 1) },                          // starts slowly
 			func() { send(node.AppendRecall(nil, node.AttemptID{Ticket: 3})) }, // in time
 			func() { send(node.AppendClaim(nil, node.AttemptID{Ticket: 3})) },
 			func() { send(node.AppendClaim(nil, node.AttemptID{Ticket: 4})) },
