--- a/internal/proto/client/framing.go
+++ b/internal/proto/client/framing.go
@@ -1,5 +1,5 @@
-// Package owners frames JSON-RPC 2.0 messages for the owners' door: a header block with the length of the body,
-// then the body, as docs/protocols/owners.md has it. Its Splitter bounds what a peer may make this side hold.
+// Package client frames the JSON-RPC 2.0 messages of the client protocol: a header block with the length of the body, then the body, as
+// docs/protocols/owners.md has it. A Splitter bounds what a peer may make this side hold. It is not safe for concurrent use.
 package client
 
 import (
@@ -17,12 +17,15 @@
 	maxHeader = 2 << 10
 )
 
+// contentLength is the header field that carries the length of the body.
+const contentLength = "Content-Length"
+
 // ErrTooLong is returned for a message or header beyond the limits.
 var ErrTooLong = errors.New("message too long")
 
-// contentLength is the body's, by its header block.
-func contentLength(head textproto.MIMEHeader) (int, error) {
-	lengths := head.Values("Content-Length")
+// bodyLength returns the length of the body that follows a header block.
+func bodyLength(header textproto.MIMEHeader) (int, error) {
+	lengths := header.Values(contentLength)
 	if len(lengths) != 1 {
 		return 0, fmt.Errorf("%d Content-Length fields, expected one", len(lengths))
 	}
@@ -36,40 +39,26 @@
 	return int(n), nil
 }
 
-// Splitter takes a stream in the pieces in which it comes.
+// Splitter splits a stream into messages, in whatever pieces it arrives. The zero value is ready to use.
 type Splitter struct {
 	buffered   []byte
-	haveHeader bool // the header of the next is complete
-	bodyLength int  // and its body is so long
+	haveHeader bool // the header of the next message is complete
+	bodyLength int  // of that message
 }
 
-// Feed takes a piece and gives the body of each message that it completes; it holds for that call alone. The first
-// fault ends the stream.
+// Feed takes a piece of the stream and calls onMessage with the body of each message that it completes. A body is valid for that call
+// alone. The first error, of the framing or of onMessage, ends the stream: Feed must not be called again.
 func (s *Splitter) Feed(piece []byte, onMessage func(body []byte) error) error {
 	s.buffered = append(s.buffered, piece...)
 	consumed := 0
 	defer func() { s.buffered = s.buffered[:copy(s.buffered, s.buffered[consumed:])] }()
 	for {
 		if !s.haveHeader {
-			rest := s.buffered[consumed:]
-			end := bytes.Index(rest, []byte("\n\r\n")) + 3
-			if lf := bytes.Index(rest, []byte("\n\n")) + 2; lf > 1 && (end < 3 || lf < end) {
-				end = lf
-			}
-			if end < 3 && len(rest) <= maxHeader {
-				return nil
-			}
-			if end < 3 || end > maxHeader {
-				return ErrTooLong
-			}
-			header, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(rest[:end]))).ReadMIMEHeader()
-			if err != nil {
+			end, err := s.readHeader(s.buffered[consumed:])
+			if err != nil || end == 0 {
 				return err
 			}
-			if s.bodyLength, err = contentLength(header); err != nil {
-				return err
-			}
-			s.haveHeader, consumed = true, consumed+end
+			consumed += end
 		}
 		if len(s.buffered)-consumed < s.bodyLength {
 			return nil
@@ -82,8 +71,39 @@
 	}
 }
 
+// readHeader reads the header block at the start of b and returns its length, 0 if it is not complete.
+func (s *Splitter) readHeader(b []byte) (end int, err error) {
+	end = headerEnd(b)
+	if end == 0 && len(b) <= maxHeader {
+		return 0, nil
+	}
+	if end == 0 || end > maxHeader {
+		return 0, ErrTooLong
+	}
+	header, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(b[:end]))).ReadMIMEHeader()
+	if err != nil {
+		return 0, err
+	}
+	if s.bodyLength, err = bodyLength(header); err != nil {
+		return 0, err
+	}
+	s.haveHeader = true
+	return end, nil
+}
+
+// headerEnd returns the length of the header block at the start of b: up to its first empty line, whether lines end in CR LF or LF. It
+// returns 0 if there is none.
+func headerEnd(b []byte) (end int) {
+	for _, blank := range []string{"\n\r\n", "\n\n"} {
+		if at := bytes.Index(b, []byte(blank)); at >= 0 && (end == 0 || at+len(blank) < end) {
+			end = at + len(blank)
+		}
+	}
+	return end
+}
+
 // AppendMessage appends a message with a body.
 func AppendMessage(b, body []byte) []byte {
-	b = strconv.AppendInt(append(b, "Content-Length: "...), int64(len(body)), 10)
+	b = strconv.AppendInt(append(b, contentLength+": "...), int64(len(body)), 10)
 	return append(append(b, "\r\n\r\n"...), body...)
 }
--- a/internal/proto/client/framing_test.go
+++ b/internal/proto/client/framing_test.go
@@ -12,8 +12,8 @@
 
 func (*stream) Close() error { return nil }
 
-// FuzzSplitter holds the splitter against the JSON-RPC library's own framing: cut anywhere, a stream has the same messages,
-// as far as the splitter's bounds allow.
+// FuzzSplitter compares the splitter with the JSON-RPC library's own framing: whatever the pieces, a stream has the same messages, as far
+// as the splitter's bounds allow.
 func FuzzSplitter(f *testing.F) {
 	f.Add(AppendMessage(AppendMessage(nil, []byte(`{"a":1}`)), []byte(`[]`)), 3)
 	f.Add([]byte("Content-Length: 3\n\nabcContent-Length: 99999999\r\n\r\n"), 1)
@@ -49,7 +49,7 @@
 	})
 }
 
-// TestFraming lets the library speak to the splitter and hear what Append frames.
+// TestFraming splits what the library frames, and has the library read what AppendMessage frames.
 func TestFraming(t *testing.T) {
 	out := &stream{}
 	c := channel.LSP(out, out)
@@ -71,6 +71,7 @@
 	}
 }
 
+// TestSplitterBounds feeds header blocks that must be rejected.
 func TestSplitterBounds(t *testing.T) {
 	for name, text := range map[string]string{
 		"endless header": strings.Repeat("X: y\r\n", 1000),
@@ -79,9 +80,11 @@
 		"two lengths":    "Content-Length: 1\r\nContent-Length: 2\r\n\r\n",
 		"negative":       "Content-Length: -1\r\n\r\n",
 	} {
-		var s Splitter
-		if err := s.Feed([]byte(text), func([]byte) error { return nil }); err == nil {
-			t.Errorf("%s: taken", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			var s Splitter
+			if err := s.Feed([]byte(text), func([]byte) error { return nil }); err == nil {
+				t.Error("taken")
+			}
+		})
 	}
 }
