--- a/internal/lab/scale/profile.go
+++ b/internal/lab/scale/profile.go
@@ -51,6 +51,7 @@
 	{"ravenpond/internal/decide/zones", partZones},
 	{"internal/serve/zones.go", partZones},
 	{"internal/serve/list", partList},
+	{"internal/serve/endpoint_list", partList},
 	{"ravenpond/internal/proto/list", partList},
 	{"ravenpond/internal/state.", partList},
 	{"internal/state/nodelist.go", partList},
--- a/internal/lab/shards/check.go
+++ b/internal/lab/shards/check.go
@@ -272,8 +272,8 @@
 		s.mu.Lock()
 		s.sentAt[ref] = time.Now()
 		s.mu.Unlock()
-		conns[i].Allocate(ref, 0, job, serve.Hash("service", strconv.FormatUint(key%997, 10)), serve.Hash("key",
-			strconv.FormatUint(key, 10)), 1, 2, 4000)
+		service, token := serve.Hash("service", strconv.FormatUint(key%997, 10)), serve.Hash("key", strconv.FormatUint(key, 10))
+		conns[i].Allocate(serve.LocalRequest{Ref: ref, JobClass: job, Service: service, Token: token, Cores: 1, Memory: 2, Within: 4000})
 	}
 	var work sync.WaitGroup
 	began := time.Now()
--- a/internal/serve/cluster_state.go
+++ b/internal/serve/cluster_state.go
@@ -3,78 +3,132 @@
 import (
 	"fmt"
 	"slices"
+	"sync"
 
 	"github.com/cespare/xxhash/v2"
 
 	"ravenpond/internal/control"
+	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/consensus"
-	store "ravenpond/internal/state/raftstore"
+	"ravenpond/internal/site"
+	"ravenpond/internal/state/raftstore"
 )
 
-// startControl begins to know the others, and to agree with them on the book where the site file names stewards.
-func (s *Server) startControl() error {
-	if err := s.startMembership(); err != nil {
-		return err
-	}
-	siteConfig := s.config.Site
+// clusterControl is this process's part in the replicated cluster state, where the site file names voters. A nil one does nothing.
+type clusterControl struct {
+	*process
+	runner *control.Runner
+	zones  *zoneRouting
+
+	mu     sync.Mutex // guards status; a leaf
+	status consensusStatus
+}
+
+// consensusStatus is what the replica said of itself last.
+type consensusStatus struct {
+	isVoter  bool
+	isLeader bool
+	halted   string
+	stats    consensus.Stats
+}
+
+// startClusterControl starts the replica and the routing by zones. It returns nil if the site file names no voters.
+func startClusterControl(s *Server) (*clusterControl, error) {
+	siteConfig, own := s.config.Site, s.config.Zone
 	if len(siteConfig.Members.Voters) == 0 {
-		return nil
+		return nil, nil
 	}
-	config := consensus.Config{Name: s.config.Name, Zone: s.config.Zone, Incarnation: s.membership.incarnation, Voters: siteConfig.Members.Voters, Seed: s.config.Seed}
-	switch zone := slices.Index(siteConfig.Zones, s.config.Zone); {
+	config := consensus.Config{Name: s.config.Name, Zone: own, Incarnation: s.membership.incarnation, Voters: siteConfig.Members.Voters, Seed: s.config.Seed}
+	switch zone := slices.Index(siteConfig.Zones, own); {
 	case zone >= 0:
 		config.Region = siteConfig.Regions[zone]
-	case s.config.Zone != "":
-		return fmt.Errorf("zone %q: the site file has %q", s.config.Zone, siteConfig.Zones)
+	case own != "":
+		return nil, fmt.Errorf("zone %q: the site file has %q", own, siteConfig.Zones)
 	}
-	var disk control.Storage
-	isVoter := slices.Contains(config.Voters, config.Name)
-	if isVoter {
-		open := s.config.VoterDisk
-		if open == nil {
-			open = func() (control.Storage, error) { return store.Open(s.config.Folder, siteConfig.Name) }
-		}
-		var err error
-		if disk, err = open(); err != nil {
-			return err
-		}
+	storage, err := openVoterStorage(s.process)
+	if err != nil {
+		return nil, err
 	}
-	runner, err := control.Start(s.env, s.log, s.membership.runner, config, disk, s.controlSite(siteConfig))
+	runner, err := control.Start(s.env, s.log, s.membership.runner, config, storage, zoneConfig(siteConfig))
 	if err != nil {
-		return err
+		return nil, err
+	}
+	c := &clusterControl{process: s.process, runner: runner, zones: newZoneRouting(s, runner)}
+	c.zones.start()
+	s.log.Info().Str("mode", "council").Bool("steward", c.isVoter()).Strs("stewards", config.Voters).Str("zone", config.Zone).Str("region", config.Region).Msg("agrees")
+	return c, nil
+}
+
+// openVoterStorage opens what a voter has to keep, nil for other schedulers.
+func openVoterStorage(p *process) (control.Storage, error) {
+	switch {
+	case !slices.Contains(p.config.Site.Members.Voters, p.config.Name):
+		return nil, nil
+	case p.config.VoterDisk != nil:
+		return p.config.VoterDisk()
 	}
-	s.control = runner
-	s.zones = s.newZoneRouting(siteConfig)
-	s.every(zonePollInterval, s.pollZones)
-	s.log.Info().Str("mode", "council").Bool("steward", isVoter).Strs("stewards", config.Voters).Str("zone", config.Zone).Str("region", config.Region).Msg("agrees")
-	return nil
+	return raftstore.Open(p.config.Folder, p.config.Site.Name)
 }
 
-// clusterStateView is what people are shown of the book. The council's own part comes with the next look.
-func (s *Server) clusterStateView(now float64) *ClusterStateView {
-	if s.control == nil {
+// zoneConfig is what decisions about zones rest on.
+func zoneConfig(siteConfig *site.Config) control.ZoneConfig {
+	states := map[string]clusterstate.ZoneState{"open": clusterstate.Open, "closed": clusterstate.Closed}
+	overrides := map[string]clusterstate.ZoneState{}
+	for zone, state := range siteConfig.ZoneHolds {
+		overrides[zone] = states[state]
+	}
+	return control.ZoneConfig{
+		Zones: siteConfig.Zones, Overrides: overrides,
+		Latency: func(from, to string) float64 { return siteConfig.RouteLatency[[2]string{from, to}] },
+	}
+}
+
+func (c *clusterControl) isVoter() bool {
+	return slices.Contains(c.config.Site.Members.Voters, c.config.Name)
+}
+
+// stop ends the replica.
+func (c *clusterControl) stop() {
+	if c != nil {
+		c.runner.Stop()
+	}
+}
+
+// sendExcluded tells a shard that starts which nodes are excluded for their zone.
+func (c *clusterControl) sendExcluded(sh *shard) {
+	if c != nil {
+		c.zones.sendExcluded(sh)
+	}
+}
+
+// view returns what people are shown, nil without voters. The replica's own part is as of the last call: it is asked for the next one.
+func (c *clusterControl) view(now float64) *ClusterStateView {
+	if c == nil {
 		return nil
 	}
-	view := s.control.View()
-	out := &ClusterStateView{
-		Version: view.State.Version(), Digest: fmt.Sprintf("%016x", xxhash.Sum64(view.State.Snapshot())), LeaseSeconds: (view.LeaseExpiry - now) / 1000,
-		Zones: map[string]string{},
+	current := c.runner.View()
+	view := &ClusterStateView{
+		Version: current.State.Version(), Digest: fmt.Sprintf("%016x", xxhash.Sum64(current.State.Snapshot())),
+		LeaseSeconds: (current.LeaseExpiry - now) / msPerSecond, Zones: map[string]string{},
 	}
-	if process, ok := view.State.Process(s.config.Name); ok {
-		out.Epoch = process.Epoch
+	if process, ok := current.State.Process(c.config.Name); ok {
+		view.Epoch = process.Epoch
 	}
-	for _, zone := range view.State.Zones() {
-		out.Zones[zone.Name] = zone.State.String()
+	for _, zone := range current.State.Zones() {
+		view.Zones[zone.Name] = zone.State.String()
 	}
-	out.ZoneShares, out.SearchLevel = s.zones.currentShares()
-	m := &s.membership
-	m.mu.Lock()
-	out.IsVoter, out.IsLeader, out.Halted, out.Stats = m.controlView.IsVoter, m.controlView.IsLeader, m.controlView.Halted, m.controlView.Stats
-	m.mu.Unlock()
-	s.control.Enqueue(func(replica *consensus.Replica) {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		m.controlView = ClusterStateView{IsVoter: slices.Contains(s.config.Site.Members.Voters, s.config.Name), IsLeader: replica.IsLeader(), Halted: replica.HaltReason(), Stats: replica.Stats}
-	})
-	return out
+	view.ZoneShares, view.SearchLevel = c.zones.currentShares()
+	c.mu.Lock()
+	status := c.status
+	c.mu.Unlock()
+	view.IsVoter, view.IsLeader, view.Halted, view.Stats = status.isVoter, status.isLeader, status.halted, status.stats
+	c.runner.Enqueue(c.setStatus)
+	return view
+}
+
+// setStatus reads the replica's status, on the replica's goroutine.
+func (c *clusterControl) setStatus(replica *consensus.Replica) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.status = consensusStatus{isVoter: c.isVoter(), isLeader: replica.IsLeader(), halted: replica.HaltReason(), stats: replica.Stats}
 }
--- a/internal/serve/cluster_state_test.go
+++ b/internal/serve/cluster_state_test.go
@@ -8,33 +8,33 @@
 	"ravenpond/internal/site"
 )
 
-// TestControlStalled has the goroutine of what is agreed on stand still while a scheduler that can't reach the other stewards is
-// asked: traffic waits for none of it, by the last view in its careful reading.
+// TestControlStalled has the goroutine of the consensus replica stall while a scheduler serves that can't reach the other voters: requests
+// wait for none of it, and are placed in degraded mode.
 func TestControlStalled(t *testing.T) {
 	s := newTestCluster(t, 1, 4, false)
 	local := make(chan *Server, 1)
-	s.configure = func(who *Config) {
-		who.MemberKey = []byte("a key of some length")
-		who.Zone = who.Site.Zones[0]
-		who.OnLocalListener = func(l *LocalListener) { local <- l.server }
+	s.configure = func(config *Config) {
+		config.MemberKey = []byte("a key of some length")
+		config.Zone = config.Site.Zones[0]
+		config.OnLocalListener = func(l *LocalListener) { local <- l.server }
 	}
 	place := *s.siteConfig
 	place.Members = site.Members{Listen: "127.0.0.1:0", Seeds: []string{"127.0.0.1:9"}, Voters: []string{"s0", "s1", "s2"}}
 	s.start(0, place, Faults{})
 	server := <-local
 	s.load(5000, 60, "0001112")
-	stands, goes := make(chan bool), make(chan bool)
-	server.control.Enqueue(func(*consensus.Replica) { close(stands); <-goes })
-	<-stands
+	stalled, resume := make(chan bool), make(chan bool)
+	server.clusterControl.runner.Enqueue(func(*consensus.Replica) { close(stalled); <-resume })
+	<-stalled
 	began := s.world.Now()
 	s.load(2500, 60, "0001112")
 	time.Sleep(500 * time.Millisecond)
-	view := server.control.View()
-	close(goes)
+	view := server.clusterControl.runner.View()
+	close(resume)
 	asked, served := 0, 0
-	for _, x := range s.clients[0].Outcomes() {
-		if x.SentAt >= began {
-			if asked++; x.Result == "served" {
+	for _, outcome := range s.clients[0].Outcomes() {
+		if outcome.SentAt >= began {
+			if asked++; outcome.Result == "served" {
 				served++
 			}
 		}
@@ -45,7 +45,7 @@
 	if view.State.Version() != 0 || view.LeaseExpiry > server.env.Now() {
 		t.Errorf("sure of version %d without the other stewards, for %g", view.State.Version(), view.LeaseExpiry)
 	}
-	if parts, _ := server.zones.currentShares(); len(parts) != len(place.Zones) || parts[place.Zones[1]] != 1 {
-		t.Errorf("without a book it sends to %v", parts)
+	if shares, _ := server.clusterControl.zones.currentShares(); len(shares) != len(place.Zones) || shares[place.Zones[1]] != 1 {
+		t.Errorf("without a book it sends to %v", shares)
 	}
 }
--- /dev/null
+++ b/internal/serve/handover.go
@@ -0,0 +1,146 @@
+package serve
+
+import (
+	"ravenpond/internal/decide/handover"
+	"ravenpond/internal/decide/shardownership"
+	"ravenpond/internal/decide/shardrouter"
+	"ravenpond/internal/engine"
+	"ravenpond/internal/site"
+)
+
+// handoverGrace is how long after a handover, in ms, a message for the shard that gave may still wait in a queue, as after a stall.
+const handoverGrace = 2000
+
+// startHandovers has each shard hand over what belongs elsewhere, and ends removed ones that hold nothing more, from now on.
+func (s *shardSet) startHandovers() {
+	s.every(handover.PollInterval(), func() {
+		for _, sh := range s.shardsWithHandovers() {
+			if sh.handoverActive.CompareAndSwap(false, true) { // else the last poll's is still under way
+				s.postHandover(sh)
+			}
+		}
+	})
+}
+
+// movesRunning reports whether running allocations may be handed over. Where shards have connections of their own, those of a shard reach
+// what runs for it.
+func (s *shardSet) movesRunning() bool { return s.config.Site.Connections != site.OwnConnections }
+
+// shardsWithHandovers returns the shards that hold what belongs elsewhere, and those that are being removed.
+func (s *shardSet) shardsWithHandovers() (shards []*shard) {
+	now := s.env.Now()
+	s.routerMu.Lock()
+	defer s.routerMu.Unlock()
+	for _, sh := range s.liveShardsLocked() {
+		if handsOver := s.router.HasHandover(now, sh.index); handsOver && s.movesRunning() || s.router.IsDraining(sh.index) {
+			shards = append(shards, sh)
+		}
+	}
+	return shards
+}
+
+// postHandover has a shard hand over what it may, and end if it was removed and holds nothing more.
+func (s *shardSet) postHandover(sh *shard) {
+	posted := sh.post(func(now float64) {
+		idle := s.handOverShard(now, sh)
+		sh.handoverActive.Store(false)
+		if idle {
+			s.endShard(sh)
+		}
+	})
+	if !posted {
+		sh.handoverActive.Store(false)
+	}
+}
+
+// handOverShard hands over the next services of a shard, on its loop. It reports whether the shard was removed and holds nothing more.
+func (s *shardSet) handOverShard(now float64, sh *shard) (idle bool) {
+	includeRunning := s.movesRunning()
+	if now-sh.lastRunningHandover > handoverGrace {
+		clear(sh.handedOver)
+	}
+	s.routerMu.Lock()
+	leaving := s.router.IsDraining(sh.index)
+	s.routerMu.Unlock()
+	shares := sh.engine.CountByService(nil, includeRunning, func(service uint64, tenant int) bool {
+		s.routerMu.Lock()
+		defer s.routerMu.Unlock()
+		return s.router.BelongsElsewhere(sh.index, service, tenant)
+	})
+	services, remaining := sh.handover.Next(now, shares)
+	s.routerMu.Lock()
+	s.router.PauseServices(now, remaining)
+	s.routerMu.Unlock()
+	for _, service := range services {
+		var allocations []engine.Transfer
+		sh.engine.TransferOut(now, service, includeRunning, func(allocation engine.Transfer) { allocations = append(allocations, allocation) })
+		s.handOverService(now, sh, allocations)
+	}
+	return leaving && sh.engine.IsIdle()
+}
+
+// handOverService hands one service's allocations to its next shard, on the loop of the shard that gives. It holds routerMu throughout, so
+// that a request for one of them, or a fence of one of the two shards, comes before or after.
+func (s *shardSet) handOverService(now float64, sh *shard, allocations []engine.Transfer) {
+	items := make([]shardrouter.HandoverItem, 0, len(allocations))
+	for _, allocation := range allocations {
+		items = append(items, handoverItem(&allocation))
+	}
+	s.routerMu.Lock()
+	defer s.routerMu.Unlock()
+	for i, fate := range s.router.HandOver(now, sh.index, items) {
+		allocation := allocations[i]
+		if fate.Disposition != shardownership.Reassign {
+			continue // fenced meanwhile
+		}
+		target := s.shards[fate.Shard]
+		allocation.Epoch = fate.Epoch
+		s.setRequestShard(allocation.Request.Client, allocation.Request.Number, fate.Shard)
+		s.continueAt(target, allocation)
+		if !allocation.Running {
+			sh.handoverCounts[0].Add(1)
+			continue
+		}
+		sh.handoverCounts[1].Add(1)
+		sh.lastRunningHandover = now
+		sh.handedOver[allocation.Attempt.Ticket] = target
+		if link := sh.links[allocation.Node]; link != nil {
+			link.mu.Lock()
+			link.reassigned[allocation.Attempt.Ticket] = target
+			link.mu.Unlock()
+		}
+	}
+}
+
+// handoverItem is an allocation as the router has it.
+func handoverItem(a *engine.Transfer) shardrouter.HandoverItem {
+	return shardrouter.HandoverItem{
+		ID: ownerID(a.Task.Key()), Epoch: a.Epoch, Running: a.Running,
+		Request: shardownership.Request{
+			Client: a.Request.Client, Ref: a.Request.Number, JobClass: a.Task.JobClass, Service: a.Task.Service,
+			Cores: a.Task.Cores, Memory: a.Task.Memory, Deadline: a.Deadline,
+		},
+	}
+}
+
+// continueAt has a shard go on with an allocation that another handed over or lost. A client that disconnected meanwhile was
+// withdrawn here before the shard knew the allocation.
+func (s *shardSet) continueAt(sh *shard, allocation engine.Transfer) {
+	sh.post(func(now float64) {
+		if allocation.Running {
+			delete(sh.handedOver, allocation.Attempt.Ticket) // it is back: messages for it are for no other shard now, or the two would forward them without end
+			if !sh.engine.TransferIn(now, allocation) && !sh.fenced.Load() {
+				s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Uint32("node", allocation.Node).
+					Msg("what runs not taken over; its node will tell of it")
+			}
+		} else {
+			_ = sh.engine.Allocate(now, engine.Request{ // it can't fail: the client's request number was free, and still is
+				ID: allocation.Request, Task: allocation.Task, TimeLeft: allocation.Deadline - now,
+				Epoch: s.currentEpoch(ownerID(allocation.Task.Key()), sh, allocation.Epoch),
+			})
+		}
+		if s.clients.byID(allocation.Request.Client) == nil {
+			sh.engine.OnClientDisconnected(now, allocation.Request.Client)
+		}
+	})
+}
--- a/internal/serve/invariants.go
+++ b/internal/serve/invariants.go
@@ -3,26 +3,28 @@
 import (
 	"fmt"
 
-	"ravenpond/internal/engine"
-
 	"ravenpond/internal/decide/shardownership"
+	"ravenpond/internal/engine"
 )
 
-// CheckInvariants holds what shards share against what each holds: one owner for each allocation, and nothing that nobody acts
-// for. It is for worlds without concurrency, at a moment when no shard has events before it.
-func (s *Server) CheckInvariants() error {
+// overdueMargin is how long after its deadline, in ms, a request may still be unanswered.
+const overdueMargin = 1000
+
+// CheckInvariants checks what the router holds against what each shard holds: one shard acts for each allocation, and one for each that is
+// held. It also checks that no request is overdue. It may only be called in an environment without concurrency.
+func (s *shardSet) CheckInvariants() error {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	for _, sh := range s.liveShardsLocked() {
 		if !sh.fenced.Load() && sh.inbox.hasEvents() {
-			return nil // it will hear of more in a moment
+			return nil // the shard holds less or more in a moment
 		}
 	}
 	if err := s.router.CheckInvariants(func(yield func(shardownership.Claim)) {
 		for _, sh := range s.liveShardsLocked() {
 			if !sh.fenced.Load() {
 				sh.engine.ForEachAllocation(func(task engine.OwnedTask, _ bool) {
-					yield(sh.claim(task))
+					yield(shardownership.Claim{ID: ownerID(task.TaskKey), Shard: sh.index, Epoch: task.Epoch})
 				})
 			}
 		}
@@ -30,28 +32,23 @@
 		return err
 	}
 	now := s.env.Now()
-	for _, c := range s.connectedClients() {
-		c.mu.Lock()
-		for ref, req := range c.requests {
-			if !req.answered && req.expiry < now-1000 {
-				c.mu.Unlock()
-				return fmt.Errorf("ask %d of owner %d is open beyond its expiry", ref, c.id)
-			}
+	for _, c := range s.clients.connected() {
+		if id, ok := c.overdue(now - overdueMargin); ok {
+			return fmt.Errorf("ask %d of owner %d is open beyond its expiry", id, c.id)
 		}
-		c.mu.Unlock()
 	}
 	return nil
 }
 
-// OpenAllocations is how many of a tenant's allocations are open here by which its limit is held.
-func (s *Server) OpenAllocations(tenant int) int {
+// OpenAllocations returns how many of a tenant's allocations count against its limit here.
+func (s *shardSet) OpenAllocations(tenant int) int {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	return s.router.TenantOpen(s.env.Now(), tenant)
 }
 
-// KnowsAttempt tells whether some shard knows an attempt.
-func (s *Server) KnowsAttempt(attempt engine.AttemptID) bool {
+// KnowsAttempt reports whether some shard knows an attempt.
+func (s *shardSet) KnowsAttempt(attempt engine.AttemptID) bool {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	for _, sh := range s.liveShardsLocked() {
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -29,7 +29,7 @@
 // nodeLink is the connection to a node. Bytes handed to the network are counted, so that a try whose last byte never
 // left can be told from one that may have arrived.
 type nodeLink struct {
-	server        *Server
+	set           *shardSet
 	connections   *nodeConnections
 	node          uint32
 	address       string
@@ -52,17 +52,17 @@
 
 // newNodeLink greets a node over a connection that was just made.
 func newNodeLink(conns *nodeConnections, nodeID uint32, address string, conn env.Conn, isVisit bool) {
-	l := &nodeLink{server: conns.server, connections: conns, node: nodeID, address: address, conn: conn, reassigned: map[uint64]*shard{}}
+	l := &nodeLink{set: conns.set, connections: conns, node: nodeID, address: address, conn: conn, reassigned: map[uint64]*shard{}}
 	if isVisit {
 		l.visit = visiting
 	}
-	l.lastReceived.Store(math.Float64bits(conns.server.env.Now()))
+	l.lastReceived.Store(math.Float64bits(conns.set.env.Now()))
 	conn.Start(l, node.WriteTimeout)
 	conn.Send(func(b []byte) []byte {
 		return line.AppendGreeting(b, node.GreetingLine, "Scheduler", conns.name, "Node", strconv.FormatUint(uint64(nodeID), 10),
-			"Sent", strconv.FormatFloat(conns.server.env.Now(), 'f', 3, 64)) // so that the first offer can't lie on the way unseen
+			"Sent", strconv.FormatFloat(conns.set.env.Now(), 'f', 3, 64)) // so that the first offer can't lie on the way unseen
 	})
-	conns.server.env.After(node.HandshakeTimeout, func() {
+	conns.set.env.After(node.HandshakeTimeout, func() {
 		if !l.isGreeted() {
 			l.disconnect("greeting: none in time", false)
 		}
@@ -81,7 +81,7 @@
 		l.disconnect("peer closed: EOF", false)
 		return
 	}
-	l.lastReceived.Store(math.Float64bits(l.server.env.Now()))
+	l.lastReceived.Store(math.Float64bits(l.set.env.Now()))
 	if l.incarnation == 0 { // set here alone
 		header, rest, err := l.splitter.Greeting(b, node.GreetingLine)
 		if err == nil && header == nil {
@@ -116,7 +116,7 @@
 		if err != nil || !(uptime >= 0) {
 			return fmt.Errorf("greeting: bad time up %.20q", text)
 		}
-		l.nodeStartedAt = max(0, l.server.env.Now()-uptime)
+		l.nodeStartedAt = max(0, l.set.env.Now()-uptime)
 	}
 	conns.mu.Lock()
 	defer conns.mu.Unlock()
@@ -138,7 +138,7 @@
 	if !isVisit {
 		conns.register(l)
 	}
-	env.Every(l.server.env, node.PingInterval, l.ping)
+	env.Every(l.set.env, node.PingInterval, l.ping)
 	return nil
 }
 
@@ -150,11 +150,11 @@
 	if closed {
 		return false
 	}
-	if l.server.env.Now()-math.Float64frombits(l.lastReceived.Load()) > node.SilenceTimeout {
+	if l.set.env.Now()-math.Float64frombits(l.lastReceived.Load()) > node.SilenceTimeout {
 		l.disconnect(fmt.Sprintf("silent for %d ms", node.SilenceTimeout), false)
 		return false
 	}
-	l.send(func(b []byte) []byte { return node.AppendPing(b, l.server.env.Now()) })
+	l.send(func(b []byte) []byte { return node.AppendPing(b, l.set.env.Now()) })
 	return true
 }
 
@@ -178,8 +178,8 @@
 	}
 	conns.mu.Lock()
 	delete(conns.links, l.node)
-	l.server.onNodeDisconnected(l)
-	l.server.workingSet.onConnection(l.node, false)
+	l.set.membership.onNodeDisconnected(l)
+	l.set.workingSet.onConnection(l.node, false)
 	for _, sh := range conns.shards {
 		sh.post(func(now float64) {
 			if sh.links[l.node] != l {
@@ -195,7 +195,7 @@
 		})
 	}
 	conns.mu.Unlock()
-	l.server.log.Debug().Uint32("node", l.node).Str("why", reason).Msg("connection ended")
+	l.set.log.Debug().Uint32("node", l.node).Str("why", reason).Msg("connection ended")
 }
 
 func (l *nodeLink) notifyLinked(sh *shard) {
@@ -245,8 +245,8 @@
 		l.marks = append(l.marks, mark)
 	}
 	l.mu.Unlock()
-	if ok && queued > l.server.config.Site.NodeQueue {
-		l.disconnect(fmt.Sprintf("slow reader: over %d bytes queued", l.server.config.Site.NodeQueue), false)
+	if ok && queued > l.set.config.Site.NodeQueue {
+		l.disconnect(fmt.Sprintf("slow reader: over %d bytes queued", l.set.config.Site.NodeQueue), false)
 	}
 }
 
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -38,7 +38,7 @@
 	}
 	if sh == nil {
 		var ok bool
-		if sh, ok = l.server.incarnations[uint32(ticket>>32)]; !ok {
+		if sh, ok = l.set.incarnations[uint32(ticket>>32)]; !ok {
 			return nil, fmt.Errorf("answer for unknown try %x", ticket)
 		}
 	}
@@ -51,8 +51,8 @@
 // dispatch posts a message about a ticket to its shard. The router lock orders it before or after a handover of the ticket: what
 // came before is in the inbox of the shard that gives it away.
 func (l *nodeLink) dispatch(ticket uint64, handle func(sh *shard, now float64) error) error {
-	l.server.routerMu.Lock()
-	defer l.server.routerMu.Unlock()
+	l.set.routerMu.Lock()
+	defer l.set.routerMu.Unlock()
 	sh, err := l.shardOf(ticket, false)
 	if sh == nil {
 		return err
@@ -90,16 +90,16 @@
 		Report: slices.Clone(o.Report),
 	}
 	ticket := o.Attempt.Ticket
-	if l.server.config.Site.Connections == site.SharedReports && len(outcome.Report) > 0 {
+	if l.set.config.Site.Connections == site.SharedReports && len(outcome.Report) > 0 {
 		l.broadcastReport(ticket, outcome.Report)
 	}
-	s := l.server
+	s := l.set
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	sh, err := l.shardOf(ticket, true)
 	if sh == nil {
 		if request, ok := s.router.OnLostEnded(routerAttempt(l.node, outcome.Attempt)); ok {
-			if c := s.clientByID(request.Client); c != nil {
+			if c := s.clients.byID(request.Client); c != nil {
 				c.sendEnd(request.Ref, outcome.Result, outcome.Reason)
 			}
 		}
@@ -112,7 +112,7 @@
 }
 
 // reportLength is how many values a load report has at this site.
-func (l *nodeLink) reportLength() int { return len(l.server.config.Site.Cluster.ReportFields) }
+func (l *nodeLink) reportLength() int { return len(l.set.config.Site.Cluster.ReportFields) }
 
 // broadcastReport passes a load report to the shards that the outcome is not for.
 func (l *nodeLink) broadcastReport(ticket uint64, report []float64) {
@@ -169,7 +169,7 @@
 // OnHeld takes a task that the node holds: for the shard whose attempt it is or, if that shard's incarnation has ended, for the
 // shard that has its service now.
 func (l *nodeLink) OnHeld(h node.HeldTask) error {
-	s, t := l.server, &h.Task
+	s, t := l.set, &h.Task
 	if t.JobClass >= len(s.config.Site.JobClasses) || t.Tenant >= len(s.config.Site.Tenants) {
 		return fmt.Errorf("held try %x of unknown job type %d or tenant %d", h.Attempt.Ticket, t.JobClass, t.Tenant)
 	}
@@ -236,7 +236,7 @@
 // routedHolder is the shard that a held task is for by the router: the one that made the attempt, unless it was handed over or that
 // shard's incarnation has ended.
 func (l *nodeLink) routedHolder(h *node.HeldTask) taskHolder {
-	s, t := l.server, &h.Task
+	s, t := l.set, &h.Task
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	sh := s.incarnations[uint32(h.Attempt.Ticket>>32)]
--- a/internal/serve/list_client.go
+++ b/internal/serve/list_client.go
@@ -1,7 +1,6 @@
 package serve
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"sync"
@@ -10,102 +9,120 @@
 	"ravenpond/internal/env"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/list"
-	"ravenpond/internal/state"
-	"ravenpond/logic"
 )
 
-// listCall is something asked of the node list.
+// listCall is a request to the list server.
 type listCall uint8
 
 const (
-	watchCall listCall = iota
-	unwatchCall
-	fullCall
-	maintenanceCall // which nodes are out; nothing is answered
+	watchCall       listCall = iota // send changes from now on
+	unwatchCall                     // send no more changes
+	fullCall                        // send the whole list once
+	maintenanceCall                 // take note of nodes under maintenance; it has no answer
 )
 
-// Times of the node list in ms.
+// hasAnswer reports whether the list server answers a call at once.
+func (c listCall) hasAnswer() bool { return c == watchCall || c == fullCall }
+
+// Times of the list connection in ms, and bounds.
 const (
 	listDialTimeout   = 1000
-	listAnswerTimeout = 3000 // a call unanswered for so long has failed
-	listStuckTimeout  = 3000
-	maxCalls          = 8 // that wait for a connection
+	listAnswerTimeout = 3000
+	listStuckTimeout  = 3000 // for which the list server may take no byte
+	maxPendingCalls   = 8
+	maxRetryDelay     = 3600e3 // a later retry means never
 )
 
-// listClient makes calls to the node list, one connection at a time. Where the list tells unasked, it keeps a watch of its
-// own.
+// listHandler takes what the list server says. It is called without a lock held.
+type listHandler interface {
+	// onListAnswer takes a complete answer. An error closes the connection.
+	onListAnswer(listAnswer) error
+	// onListFailed is called when a call was not answered.
+	onListFailed()
+}
+
+// listClient makes calls to the list server over one connection at a time. Where the list server pushes changes, it keeps a watch and
+// connects again by itself; elsewhere it connects only for calls.
+//
+// Calls may come from any goroutine, events of the connection come one at a time. The lock order is listClient, then maintenance or
+// endpointList.
 type listClient struct {
-	server  *Server
-	watches bool
+	*process
+	endpoints   *endpointList
+	maintenance *maintenanceRunner
+	handler     listHandler
+	watches     bool // the list server pushes changes
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below
 	pace        *reconnect.Pacer
 	pending     []listCall
 	conn        env.Conn // nil while there is none
 	dialing     bool
 	greeted     bool
-	sentCall    bool // something that is answered was sent on this connection
+	sentCall    bool // a call other than maintenanceCall is pending or was sent on this connection
 	dialedAt    float64
-	splitter    line.Splitter
-	answerTimer env.Timer // runs while an answer is owed
+	answerTimer env.Timer // runs while an answer is due
 	closed      bool
 
-	inAnswer   bool // an answer is being told
-	answerKind int
-	version    uint64
-	entries    []state.Entry
+	// The events of the connection alone use these; they are reset between two connections.
+	splitter line.Splitter
+	answer   listAnswerReader
 }
 
-func newListClient(s *Server) *listClient {
-	return &listClient{server: s, watches: !s.config.Site.Cluster.PollsList, pace: reconnect.New(s.config.Seed + 1)}
+func newListClient(p *process, endpoints *endpointList, maintenance *maintenanceRunner, handler listHandler) *listClient {
+	l := &listClient{
+		process: p, endpoints: endpoints, maintenance: maintenance, handler: handler,
+		watches: !p.config.Site.Cluster.PollsList, pace: reconnect.New(p.config.Seed + 1),
+	}
+	l.answer = listAnswerReader{complete: l.onAnswer, failed: l.onFailure}
+	return l
 }
 
-// start begins the watch where the list tells unasked.
+// start opens the watch where the list server pushes changes.
 func (l *listClient) start() {
 	if !l.watches {
 		return
 	}
 	l.mu.Lock()
-	l.pace.SetEnabled(l.server.env.Now(), 0, true)
+	l.pace.SetEnabled(l.env.Now(), 0, true)
 	l.mu.Unlock()
 	l.dialWhenDue()
 }
 
-// call makes a call. Where too many wait an earlier one is still under way, and this one has failed, as far as the
-// module is concerned.
+// call makes a call. It fails at once while maxPendingCalls wait for a connection.
 func (l *listClient) call(call listCall) {
 	l.mu.Lock()
-	full := len(l.pending) >= maxCalls
+	full := len(l.pending) >= maxPendingCalls
 	if !full {
 		l.pending = append(l.pending, call)
 	}
 	l.mu.Unlock()
 	if !full {
-		l.server.async(l.flush)
+		l.async(l.flush)
 	} else if call != maintenanceCall {
-		l.server.async(l.server.onListFailed)
+		l.async(l.handler.onListFailed)
 	}
 }
 
-// dialWhenDue dials when the pace allows it, for the watch.
+// dialWhenDue connects for the watch, now or when the pace allows it.
 func (l *listClient) dialWhenDue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed || l.dialing || l.conn != nil {
 		return
 	}
-	now := l.server.env.Now()
+	now := l.env.Now()
 	if _, ok := l.pace.Next(now); ok {
 		l.pending = append([]listCall{watchCall}, l.pending...)
 		l.dial()
 		return
 	}
-	if due := l.pace.Due(); due < now+3600e3 {
-		l.server.env.After(max(1, due-now), l.dialWhenDue)
+	if due := l.pace.Due(); due < now+maxRetryDelay {
+		l.env.After(max(1, due-now), l.dialWhenDue)
 	}
 }
 
-// flush sends what waits, over a new connection if there is none.
+// flush sends the pending calls, over a new connection if there is none.
 func (l *listClient) flush() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,13 +132,7 @@
 		l.sendPending()
 	case l.dialing || l.conn != nil:
 	default:
-		l.pending = slices.DeleteFunc(l.pending, func(call listCall) bool {
-			if call == maintenanceCall && l.watches { // a connection begins with a watch; the marks follow at the next look
-				l.server.resendMarks()
-				return true
-			}
-			return call == unwatchCall // there is no connection, hence no watch
-		})
+		l.dropNeedless()
 		if len(l.pending) == 0 {
 			return
 		}
@@ -132,38 +143,53 @@
 	}
 }
 
-// dial connects; under the lock.
+// dropNeedless removes the pending calls for which no connection is opened. The caller holds mu.
+func (l *listClient) dropNeedless() {
+	l.pending = slices.DeleteFunc(l.pending, func(call listCall) bool {
+		if call == maintenanceCall && l.watches { // a connection begins with the watch; the marks follow at the next poll
+			l.maintenance.resendMarks()
+			return true
+		}
+		return call == unwatchCall // there is no connection, hence no watch
+	})
+}
+
+// dial connects. The caller holds mu.
 func (l *listClient) dial() {
-	l.dialing, l.dialedAt = true, l.server.env.Now()
+	l.dialing, l.dialedAt = true, l.env.Now()
 	l.sentCall = slices.ContainsFunc(l.pending, func(call listCall) bool { return call != maintenanceCall })
-	l.server.env.Dial(l.server.config.Site.ListAddress, listDialTimeout, func(conn env.Conn, err error) {
-		l.mu.Lock()
-		l.dialing = false
-		if err == nil && l.closed {
-			conn.Close(false, nil)
-		}
-		if err != nil || l.closed {
-			l.mu.Unlock()
-			l.onLost(fmt.Errorf("no connection: %w", err))
-			return
-		}
-		l.conn, l.splitter, l.greeted, l.inAnswer = conn, line.Splitter{}, false, false
-		l.startAnswerTimer()
+	l.env.Dial(l.config.Site.ListAddress, listDialTimeout, l.onDialed)
+}
+
+func (l *listClient) onDialed(conn env.Conn, err error) {
+	l.mu.Lock()
+	l.dialing = false
+	if err == nil && l.closed {
+		conn.Close(false, nil)
+	}
+	if err != nil || l.closed {
 		l.mu.Unlock()
-		conn.Start(l, listStuckTimeout)
-		conn.Send(func(b []byte) []byte {
-			return line.AppendGreeting(b, list.GreetingLine, "Scheduler", l.server.config.Name)
-		})
+		l.onLost(fmt.Errorf("no connection: %w", err))
+		return
+	}
+	l.conn, l.greeted = conn, false
+	l.splitter, l.answer.open = line.Splitter{}, false
+	l.startAnswerTimer()
+	l.mu.Unlock()
+	conn.Start(l, listStuckTimeout)
+	conn.Send(func(b []byte) []byte {
+		return line.AppendGreeting(b, list.GreetingLine, "Scheduler", l.config.Name)
 	})
 }
 
-// startAnswerTimer begins the time for an answer, settled ends it; under the lock.
+// startAnswerTimer closes the connection unless an answer comes in time. The caller holds mu.
 func (l *listClient) startAnswerTimer() {
 	l.stopAnswerTimer()
 	conn := l.conn
-	l.answerTimer = l.server.env.After(listAnswerTimeout, func() { conn.Close(false, nil) })
+	l.answerTimer = l.env.After(listAnswerTimeout, func() { conn.Close(false, nil) })
 }
 
+// stopAnswerTimer stops the timer, if it runs. The caller holds mu.
 func (l *listClient) stopAnswerTimer() {
 	if l.answerTimer != nil {
 		l.answerTimer.Stop()
@@ -171,32 +197,32 @@
 	}
 }
 
-// sendPending sends the calls that wait; under the lock.
+// sendPending sends the pending calls. The caller holds mu.
 func (l *listClient) sendPending() {
 	for _, call := range l.pending {
 		l.sentCall = l.sentCall || call != maintenanceCall
-		if call == watchCall || call == fullCall { // these are answered, or have failed
+		if call.hasAnswer() {
 			l.startAnswerTimer()
 		}
-		l.conn.Send(func(b []byte) []byte {
-			switch call {
-			case watchCall:
-				l.server.mu.Lock()
-				defer l.server.mu.Unlock()
-				return list.AppendWatch(b, l.server.list.Version)
-			case fullCall:
-				return list.AppendFullRequest(b)
-			case unwatchCall:
-				return list.AppendUnwatch(b)
-			default:
-				return l.server.appendMarks(b)
-			}
-		})
+		l.conn.Send(func(b []byte) []byte { return l.appendCall(b, call) })
 	}
 	l.pending = l.pending[:0]
 }
 
-// OnData takes what the list sends.
+func (l *listClient) appendCall(b []byte, call listCall) []byte {
+	switch call {
+	case watchCall:
+		return list.AppendWatch(b, l.endpoints.version())
+	case fullCall:
+		return list.AppendFullRequest(b)
+	case unwatchCall:
+		return list.AppendUnwatch(b)
+	default:
+		return l.maintenance.appendMarks(b)
+	}
+}
+
+// OnData takes bytes of the list server.
 func (l *listClient) OnData(b []byte) {
 	l.mu.Lock()
 	if !l.greeted {
@@ -214,12 +240,28 @@
 	}
 	conn := l.conn
 	l.mu.Unlock()
-	if err := l.splitter.Feed(b, func(fields [][]byte) error { return list.DecodeList(fields, l) }); err != nil {
+	if err := l.splitter.Feed(b, func(fields [][]byte) error { return list.DecodeList(fields, &l.answer) }); err != nil {
 		conn.Close(false, list.AppendBye(nil, err.Error()))
 	}
 }
 
-// OnClose meets the end of the connection.
+// onAnswer takes a complete answer.
+func (l *listClient) onAnswer(answer listAnswer) error {
+	l.mu.Lock()
+	l.stopAnswerTimer()
+	l.mu.Unlock()
+	return l.handler.onListAnswer(answer)
+}
+
+// onFailure takes the list server's answer that a call has failed.
+func (l *listClient) onFailure() {
+	l.mu.Lock()
+	l.stopAnswerTimer()
+	l.mu.Unlock()
+	l.handler.onListFailed()
+}
+
+// OnClose takes the end of the connection.
 func (l *listClient) OnClose(err error) {
 	l.mu.Lock()
 	l.stopAnswerTimer()
@@ -228,10 +270,10 @@
 	l.onLost(err)
 }
 
-// onLost tells that calls have failed, and plans the next connection.
+// onLost fails the calls of a connection that ended or was never made, and plans the next one.
 func (l *listClient) onLost(err error) {
 	l.mu.Lock()
-	closed, sentCall, now := l.closed, l.sentCall, l.server.env.Now()
+	closed, sentCall, now := l.closed, l.sentCall, l.env.Now()
 	l.pending = l.pending[:0]
 	if l.watches && now-l.dialedAt > 2*listAnswerTimeout {
 		l.pace.OnConnected(now, 0)
@@ -243,15 +285,16 @@
 	if closed {
 		return
 	}
-	l.server.log.Debug().Str("why", fmt.Sprint(err)).Msg("node list connection ended")
-	if sentCall { // else nothing but marks was sent: no call has failed
-		l.server.onListFailed()
+	l.log.Debug().Str("why", fmt.Sprint(err)).Msg("node list connection ended")
+	if sentCall {
+		l.handler.onListFailed()
 	}
 	if l.watches {
 		l.dialWhenDue()
 	}
 }
 
+// close ends the connection and opens no other.
 func (l *listClient) close() {
 	l.mu.Lock()
 	l.closed = true
@@ -262,135 +305,3 @@
 		conn.Close(false, list.AppendBye(nil, "scheduler ends"))
 	}
 }
-
-// An answer of the list is gathered until its end, and told as one.
-
-const maxEntries = 1 << 20
-
-var errListOrder = errors.New("list answer out of order")
-
-// OnBegin opens an answer.
-func (l *listClient) OnBegin(kind int, version uint64) error {
-	if l.inAnswer {
-		return errListOrder
-	}
-	l.inAnswer, l.answerKind, l.version, l.entries = true, kind, version, l.entries[:0]
-	return nil
-}
-
-// OnEntry is one node of it.
-func (l *listClient) OnEntry(e list.Entry) error {
-	if !l.inAnswer || len(l.entries) >= maxEntries {
-		return errListOrder
-	}
-	l.entries = append(l.entries, state.Entry{
-		ID: e.ID, Address: e.Address, Avail: e.Availability, StartedAt: e.StartedAt,
-		FreeCores: e.FreeCores, FreeMemory: e.FreeMemory, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind,
-	})
-	return nil
-}
-
-// OnEnd closes it; only now it counts.
-func (l *listClient) OnEnd() error {
-	if !l.inAnswer {
-		return errListOrder
-	}
-	l.inAnswer = false
-	l.mu.Lock()
-	l.stopAnswerTimer()
-	l.mu.Unlock()
-	s := l.server
-	s.mu.Lock()
-	if err := s.list.Begin(l.answerKind, l.version); err != nil {
-		s.mu.Unlock()
-		return err
-	}
-	for _, entry := range l.entries {
-		s.list.Put(entry)
-	}
-	s.list.End()
-	s.recordNodes(l.entries)
-	entries := s.resolveEntries(l.entries)
-	s.mu.Unlock()
-	s.gossipList(l.version, l.entries)
-	kind := logic.ListFull
-	if l.answerKind == list.KindChanges {
-		kind = logic.ListChanges
-	}
-	s.broadcastList(kind, entries)
-	return nil
-}
-
-// OnFailed tells that a call has failed.
-func (l *listClient) OnFailed(string) error {
-	l.mu.Lock()
-	l.stopAnswerTimer()
-	l.mu.Unlock()
-	l.server.onListFailed()
-	return nil
-}
-
-// OnBye is the list's farewell.
-func (l *listClient) OnBye(reason string) error { return fmt.Errorf("%w: %s", errFarewell, reason) }
-
-func (s *Server) onListFailed() { s.broadcastList(logic.ListFailed, nil) }
-
-// broadcastList tells news of the list to every shard: whichever asked, all may know.
-func (s *Server) broadcastList(kind logic.ListKind, entries []listEntry) {
-	if s.workingSet != nil && kind != logic.ListFailed {
-		s.workingSet.onList(kind, entries)
-		return
-	}
-	for _, sh := range s.liveShards() {
-		sh.postList(kind, entries)
-	}
-}
-
-// sendCachedList tells a new shard what is known of the list, even if that is nothing.
-func (s *Server) sendCachedList(sh *shard) {
-	if s.workingSet != nil {
-		s.workingSet.sendKnownNodes(sh)
-	} else {
-		s.mu.Lock()
-		entries := s.resolveEntries(s.list.Entries())
-		s.mu.Unlock()
-		sh.postList(logic.ListCached, entries)
-	}
-	s.routerMu.Lock()
-	var excluded []uint32
-	for id := range s.underMaintenance {
-		excluded = append(excluded, id)
-	}
-	s.routerMu.Unlock()
-	slices.Sort(excluded)
-	sh.post(func(now float64) { sh.engine.SetMaintenance(now, excluded, true) })
-	s.sendHeldBack(sh)
-	s.zones.sendExcluded(sh)
-}
-
-// resolveEntries gives entries their places as small indices; under the lock. Those whose zone or kind the site file lacks
-// are left out: nothing can be decided about them.
-func (s *Server) resolveEntries(entries []state.Entry) []listEntry {
-	resolved := make([]listEntry, 0, len(entries))
-	skipped := 0
-	for _, entry := range entries {
-		if s.config.Faults.ListEntry != nil {
-			s.config.Faults.ListEntry(&entry)
-		}
-		zone, kind := slices.Index(s.config.Site.Zones, entry.Zone), slices.Index(s.config.Site.MachineKinds, entry.Kind)
-		if entry.Avail != 0 && (zone < 0 || kind < 0) {
-			skipped++
-			continue
-		}
-		cell, ok := s.cellIndex[entry.Cell]
-		if !ok {
-			cell = len(s.cellIndex)
-			s.cellIndex[entry.Cell] = cell
-		}
-		resolved = append(resolved, listEntry{entry, max(0, zone), cell, max(0, kind)})
-	}
-	if skipped > 0 {
-		s.log.Warn().Str("mode", "list").Int("skipped", skipped).Msg("entries of unknown zone or kind left out")
-	}
-	return resolved
-}
--- /dev/null
+++ b/internal/serve/list_updates.go
@@ -0,0 +1,42 @@
+package serve
+
+import "ravenpond/logic"
+
+// onListAnswer takes a complete answer of the list server over, and hands it to the other schedulers and to all shards, whichever of them
+// has polled.
+func (s *Server) onListAnswer(answer listAnswer) error {
+	entries, err := s.endpoints.update(answer.kind, answer.version, answer.entries)
+	if err != nil {
+		return err
+	}
+	s.membership.gossipList(answer.version, answer.entries)
+	s.broadcastList(answer.listKind(), entries)
+	return nil
+}
+
+// onListFailed tells all shards that a call to the list server has failed.
+func (s *Server) onListFailed() { s.broadcastList(logic.ListFailed, nil) }
+
+// broadcastList hands what the list server said to all shards. With a working set they are told only of the nodes that they know.
+func (s *Server) broadcastList(kind logic.ListKind, entries []listEntry) {
+	if s.workingSet != nil && kind != logic.ListFailed {
+		s.workingSet.onList(kind, entries)
+		return
+	}
+	for _, sh := range s.liveShards() {
+		sh.postList(kind, entries)
+	}
+}
+
+// initShard posts to a shard that starts what is known of nodes, even if that is nothing.
+func (s *Server) initShard(sh *shard) {
+	if s.workingSet != nil {
+		s.workingSet.sendKnownNodes(sh)
+	} else {
+		sh.postList(logic.ListCached, s.endpoints.all())
+	}
+	out := s.maintenance.nodesOut()
+	sh.post(func(now float64) { sh.engine.SetMaintenance(now, out, true) })
+	s.membership.sendHeldBack(sh)
+	s.clusterControl.sendExcluded(sh)
+}
--- a/internal/serve/maintenance.go
+++ b/internal/serve/maintenance.go
@@ -5,16 +5,17 @@
 	"maps"
 	"slices"
 	"strconv"
+	"sync"
 	"time"
 
 	"ravenpond/internal/decide/calendar"
 	"ravenpond/internal/maintenance"
 	"ravenpond/internal/proto/list"
-	"ravenpond/internal/state"
 	"ravenpond/internal/state/maintenancestore"
 )
 
-// MaintenanceStore is the store of maintenance windows, opened for one look at a time.
+// MaintenanceStore holds maintenance windows and the measured load. It is opened for one poll at a time, so that the command line can
+// change the calendar while the process runs.
 type MaintenanceStore interface {
 	maintenance.Store
 	Loads() (measured *calendar.Load, published *calendar.Table, err error)
@@ -22,288 +23,276 @@
 	Close() error
 }
 
-// maintenanceInterval is how often windows are looked at, in ms.
-const maintenanceInterval = 1000
+const (
+	// maintenanceInterval is the time between two polls of the windows, ms.
+	maintenanceInterval = 1000
+	// outMarkLifetime is how long, in ms, the list server keeps a mark that is not renewed: a scheduler that is gone for good
+	// must not keep a node out.
+	outMarkLifetime = 60000
+	// marksPerLifetime is how often a mark is renewed in its lifetime.
+	marksPerLifetime = 3
+	// loadSaveInterval is the time between two saves of the measured load.
+	loadSaveInterval = 10 * time.Minute
+)
 
-// startMaintenance carries out the maintenance windows of the state folder's store. The store is opened for each look alone,
-// so that the command line can change the calendar while the process runs.
-func (s *Server) startMaintenance() {
-	siteConfig := s.config.Site
-	var effects maintenance.Executor = maintenanceEffects{s}
-	if s.config.Faults.WrapMaintenance != nil {
-		effects = s.config.Faults.WrapMaintenance(effects)
-	}
-	keeper := &maintenance.Controller{Executor: effects, Limits: siteConfig.Maintenance, Policies: siteConfig.DrainManners}
-	history := &loadHistory{}
-	lastFault := ""
-	run := func() {
-		fault := ""
-		if err := s.runMaintenance(keeper, history); err != nil && !errors.Is(err, maintenancestore.ErrLocked) { // the command line has it just now
-			fault = err.Error()
-		}
-		if fault != lastFault && fault != "" { // windows are not carried out meanwhile; placing goes on
-			s.log.Error().Str("mode", "drains").Msg(fault)
-		}
-		lastFault = fault
+// maintenanceRunner carries out the maintenance windows of the state folder's store: it keeps tasks off nodes whose window is open, moves
+// running ones away, and tells the list server, for schedulers without a calendar.
+//
+// The polls run one at a time, on a timer. mu is a leaf: no other lock is taken while it is held.
+type maintenanceRunner struct {
+	*process
+	endpoints  *endpointList
+	listClient *listClient
+	shards     shardLister
+
+	// The polls alone use these.
+	controller *maintenance.Controller
+	history    loadHistory
+	lastFault  string // of the last poll, so that one that stays is logged once
+
+	mu          sync.Mutex // guards the fields below
+	out         map[uint32]bool
+	returned    []uint32 // nodes that came back, of which the list server has not been told
+	marksSentAt float64
+	taskCounts  map[int]taskCount // by shard
+}
+
+// shardLister gives the shards that run.
+type shardLister interface{ liveShards() []*shard }
+
+// loadHistory is the load measured by hour of the week.
+type loadHistory struct {
+	measured *calendar.Load
+	savedAt  time.Time
+	source   string // of the load that the calendar plans with, as last logged
+}
+
+// taskCount is what a shard holds: on nodes that are out, by job class, and in all.
+type taskCount struct {
+	incarnation uint32
+	byNode      map[uint32][]int
+	all         int
+}
+
+func newMaintenanceRunner(p *process, endpoints *endpointList, shards shardLister) *maintenanceRunner {
+	m := &maintenanceRunner{process: p, endpoints: endpoints, shards: shards, out: map[uint32]bool{}, taskCounts: map[int]taskCount{}}
+	var executor maintenance.Executor = maintenanceExecutor{m}
+	if wrap := p.config.Faults.WrapMaintenance; wrap != nil {
+		executor = wrap(executor)
 	}
-	s.async(func() {
-		run() // what opened while no process ran
-		s.every(maintenanceInterval, run)
-	})
+	m.controller = &maintenance.Controller{Executor: executor, Limits: p.config.Site.Maintenance, Policies: p.config.Site.DrainManners}
+	return m
 }
 
-// loadOpenWindows are the nodes that an earlier life of this process took out: its shards know before they place anything.
-func (s *Server) loadOpenWindows() error {
-	store, err := s.config.Maintenance()
+// loadOpenWindows reads which nodes an earlier incarnation took out: the shards have to know before they place anything.
+func (m *maintenanceRunner) loadOpenWindows() error {
+	store, err := m.config.Maintenance()
 	if err != nil || store == nil {
 		return err
 	}
-	defer store.Close()
+	defer func() { _ = store.Close() }() // each change was committed by itself
 	open, err := store.UnfinishedDrains()
 	if err != nil {
 		return err
 	}
-	for _, window := range open {
-		for _, id := range ids(window.Verdict.Nodes) {
-			s.underMaintenance[id] = true
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, drain := range open {
+		for _, id := range parseNodeIDs(drain.Verdict.Nodes) {
+			m.out[id] = true
 		}
 	}
 	return nil
 }
 
-// loadHistory is the load measured by hour of the week, and when it was last kept.
-type loadHistory struct {
-	measured *calendar.Load
-	savedAt  time.Time
-	source   string
+// start polls the windows from now on.
+func (m *maintenanceRunner) start() {
+	m.async(func() {
+		m.poll() // what opened while no process ran
+		m.every(maintenanceInterval, m.poll)
+	})
 }
 
-const loadSaveInterval = 10 * time.Minute
+// poll carries out what is due. While it fails, windows stand still and placement goes on.
+func (m *maintenanceRunner) poll() {
+	fault := ""
+	if err := m.run(); err != nil && !errors.Is(err, maintenancestore.ErrLocked) { // the command line has the store just now
+		fault = err.Error()
+	}
+	if fault != m.lastFault && fault != "" {
+		m.log.Error().Str("mode", "drains").Msg(fault)
+	}
+	m.lastFault = fault
+}
 
-func (s *Server) runMaintenance(keeper *maintenance.Controller, history *loadHistory) error {
-	store, err := s.config.Maintenance()
+func (m *maintenanceRunner) run() error {
+	store, err := m.config.Maintenance()
 	if err != nil || store == nil {
 		return err
 	}
-	defer store.Close()
-	keeper.Store = store
-	fleet, lost := s.calendarNodes()
-	now := s.env.WallClock()
+	defer func() { _ = store.Close() }() // each change was committed by itself
+	m.controller.Store = store
+	nodes, lost := m.endpoints.calendarNodes()
+	now := m.env.WallClock()
+	if err := m.measureLoad(store, now, nodes); err != nil {
+		return err
+	}
+	m.countTasks()
+	err = m.controller.Tick(now, nodes, lost)
+	m.sendMarks() // after it, so that what has just opened or closed goes to the list server at once
+	return err
+}
+
+// measureLoad adds the present load to the history, saves that now and then, and gives the controller the load to plan with.
+func (m *maintenanceRunner) measureLoad(store MaintenanceStore, now time.Time, nodes []calendar.Node) error {
+	h := &m.history
 	measured, published, err := store.Loads()
 	if err != nil {
 		return err
 	}
-	if history.measured == nil {
-		history.measured, history.savedAt = measured, now
+	if h.measured == nil {
+		h.measured, h.savedAt = measured, now
 	}
-	if cores, memory, ok := requestedShare(fleet, s.freeCapacity()); ok {
-		history.measured.Add(now, cores, memory)
+	if cores, memory, ok := requestedShare(nodes, m.endpoints.freeCapacity()); ok {
+		h.measured.Add(now, cores, memory)
 	}
-	if now.Sub(history.savedAt) > loadSaveInterval {
-		if err := store.SaveMeasuredLoad(history.measured); err != nil {
+	if now.Sub(h.savedAt) > loadSaveInterval {
+		if err := store.SaveMeasuredLoad(h.measured); err != nil {
 			return err
 		}
-		history.savedAt = now
+		h.savedAt = now
 	}
-	source := ""
-	if keeper.UsualLoad, source = calendar.ChooseEstimate(history.measured, published, s.config.Site.Cluster.Schedulers); source != history.source {
-		history.source = source
-		s.log.Info().Str("mode", "drains").Msg("usual load: " + source)
+	estimate, source := calendar.ChooseEstimate(h.measured, published, m.config.Site.Cluster.Schedulers)
+	m.controller.UsualLoad = estimate
+	if source != h.source {
+		h.source = source
+		m.log.Info().Str("mode", "drains").Msg("usual load: " + source)
 	}
-	s.countTasksUnderMaintenance()
-	err = keeper.Tick(now, fleet, lost)
-	s.sendMaintenanceMarks() // after it, so that what has just opened or closed goes to the list at once
-	return err
+	return nil
 }
 
-// recordNodes keeps the nodes that were on the list, at all news of it and not only when windows are looked at: a window
-// must hold a node that is away when it opens and comes back before it ends. Under the lock.
-func (s *Server) recordNodes(entries []state.Entry) {
-	for _, entry := range entries {
-		kind := slices.Index(s.config.Site.MachineKinds, entry.Kind)
-		if kind < 0 || entry.Avail == 0 {
+// requestedShare returns which shares, from 0 to 1, of all cores and memory are requested; not ok if no node is known.
+func requestedShare(nodes []calendar.Node, free map[string]resources) (cores, memory float64, ok bool) {
+	var total, used resources
+	for _, node := range nodes {
+		nodeFree, listed := free[node.ID]
+		if !listed {
 			continue
 		}
-		id := strconv.FormatUint(uint64(entry.ID), 10)
-		s.knownNodes[id] = calendar.Node{
-			ID: id, Zone: entry.Zone, Cell: entry.Cell, Kind: entry.Kind,
-			Cores: s.config.Site.Cluster.KindCores[kind], Memory: s.config.Site.Cluster.KindMemory[kind],
-		}
-		delete(s.lostSince, id)
-	}
-}
-
-// calendarNodes is the node list as the calendar takes it. Nodes that left the list while the process runs are lost, not
-// forgotten: what is left must carry their work too.
-func (s *Server) calendarNodes() (nodes []calendar.Node, lost map[string]bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	lost = map[string]bool{}
-	entries := s.list.Entries()
-	s.recordNodes(entries)
-	listed := map[string]bool{}
-	for _, entry := range entries {
-		listed[strconv.FormatUint(uint64(entry.ID), 10)] = true
+		total.cores, total.memory = total.cores+node.Cores, total.memory+node.Memory
+		used.cores, used.memory = used.cores+node.Cores-nodeFree.cores, used.memory+node.Memory-nodeFree.memory
 	}
-	now := s.env.WallClock()
-	for id, node := range s.knownNodes {
-		if !listed[id] {
-			lost[id] = true
-			if since, ok := s.lostSince[id]; !ok {
-				s.lostSince[id] = now
-			} else if now.Sub(since) > forgetLostAfter {
-				delete(s.knownNodes, id)
-				delete(s.lostSince, id)
-				delete(lost, id)
-				continue
-			}
-		}
-		nodes = append(nodes, node)
+	if total.cores <= 0 || total.memory <= 0 {
+		return 0, 0, false
 	}
-	return nodes, lost
+	return used.cores / total.cores, used.memory / total.memory, true
 }
 
-// outMarkLifetime is how long the list holds a node for out when it hears no more of it, in ms: a scheduler that is gone for
-// good must not keep a node out. It is told anew three times in that time.
-const outMarkLifetime = 60000
-
-// sendMaintenanceMarks has the list told which nodes are out, for schedulers that have no calendar.
-func (s *Server) sendMaintenanceMarks() {
-	now := s.env.Now()
-	s.routerMu.Lock()
-	due := len(s.underMaintenance)+len(s.returned) > 0 && now-s.marksSentAt > outMarkLifetime/3
+// sendMarks has the list server told which nodes are out, when that is due.
+func (m *maintenanceRunner) sendMarks() {
+	now := m.env.Now()
+	m.mu.Lock()
+	due := len(m.out)+len(m.returned) > 0 && now-m.marksSentAt > outMarkLifetime/marksPerLifetime
 	if due {
-		s.marksSentAt = now
+		m.marksSentAt = now
 	}
-	s.routerMu.Unlock()
+	m.mu.Unlock()
 	if due {
-		s.listClient.call(maintenanceCall)
+		m.listClient.call(maintenanceCall)
 	}
 }
 
-// resendMarks has the list told anew at the next look.
-func (s *Server) resendMarks() {
-	s.routerMu.Lock()
-	s.marksSentAt = 0
-	s.routerMu.Unlock()
+// resendMarks has the list server told at the next poll.
+func (m *maintenanceRunner) resendMarks() {
+	m.mu.Lock()
+	m.marksSentAt = 0
+	m.mu.Unlock()
 }
 
-// appendMarks appends the lines that tell the list what is out and what has come back. The latter are told once; if that is
-// lost, the mark ends by itself.
-func (s *Server) appendMarks(b []byte) []byte {
-	s.routerMu.Lock()
-	defer s.routerMu.Unlock()
-	for _, id := range slices.Sorted(maps.Keys(s.underMaintenance)) {
+// appendMarks appends the lines that tell the list server which nodes are out and which have returned. The latter are sent once; if they
+// are lost, the marks expire.
+func (m *maintenanceRunner) appendMarks(b []byte) []byte {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, id := range slices.Sorted(maps.Keys(m.out)) {
 		b = list.AppendMaintenance(b, id, outMarkLifetime)
 	}
-	for _, id := range s.returned {
+	for _, id := range m.returned {
 		b = list.AppendMaintenanceEnd(b, id)
 	}
-	s.returned = nil
+	m.returned = nil
 	return b
 }
 
-// taskCount is what a shard holds: at nodes that are out by job type, and in all.
-type taskCount struct {
-	incarnation uint32
-	byNode      map[uint32][]int
-	all         int
+// nodesOut returns the nodes that are out, sorted.
+func (m *maintenanceRunner) nodesOut() []uint32 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.Sorted(maps.Keys(m.out))
 }
 
-// countTasksUnderMaintenance has every shard count what it holds at the nodes that are out, for the next look.
-func (s *Server) countTasksUnderMaintenance() {
-	s.routerMu.Lock()
-	ids := slices.Sorted(maps.Keys(s.underMaintenance))
-	shards := s.liveShardsLocked()
-	s.routerMu.Unlock()
+// countTasks has each shard count what it holds on the nodes that are out, for the next poll.
+func (m *maintenanceRunner) countTasks() {
+	ids := m.nodesOut()
 	if len(ids) == 0 {
 		return
 	}
-	for _, sh := range shards {
+	for _, sh := range m.shards.liveShards() {
 		sh.post(func(float64) {
 			counts := taskCount{sh.incarnation, map[uint32][]int{}, sh.engine.Stats().Held}
 			for _, id := range ids {
-				counts.byNode[id] = make([]int, len(s.config.Site.JobClasses))
+				counts.byNode[id] = make([]int, len(m.config.Site.JobClasses))
 				sh.engine.CountRunning(id, counts.byNode[id])
 			}
-			s.routerMu.Lock()
-			s.taskCounts[sh.index] = counts
-			s.routerMu.Unlock()
+			m.mu.Lock()
+			m.taskCounts[sh.index] = counts
+			m.mu.Unlock()
 		})
 	}
 }
 
-// forgetLostAfter is when a node that left the list counts as taken away for good.
-const forgetLostAfter = 30 * time.Minute
-
-// freeCapacity is what the list says nobody has asked for.
-func (s *Server) freeCapacity() map[string][2]float64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	free := map[string][2]float64{}
-	for _, entry := range s.list.Entries() {
-		free[strconv.FormatUint(uint64(entry.ID), 10)] = [2]float64{entry.FreeCores, entry.FreeMemory}
-	}
-	return free
+// tasksOf returns what a shard held when it was last counted.
+func (m *maintenanceRunner) tasksOf(shard int) taskCount {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.taskCounts[shard]
 }
 
-// requestedShare gives the parts of all cores and memory that are asked for.
-func requestedShare(nodes []calendar.Node, free map[string][2]float64) (usedCores, usedMemory float64, ok bool) {
-	allCores, allMemory := 0.0, 0.0
-	for _, node := range nodes {
-		nodeFree, listed := free[node.ID]
-		if !listed {
-			continue
+// setOut marks nodes as out, or as returned.
+func (m *maintenanceRunner) setOut(ids []uint32, out bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, id := range ids {
+		if out {
+			m.out[id] = true
+		} else if m.out[id] {
+			delete(m.out, id)
+			m.returned = append(m.returned, id)
 		}
-		allCores, allMemory = allCores+node.Cores, allMemory+node.Memory
-		usedCores, usedMemory = usedCores+node.Cores-nodeFree[0], usedMemory+node.Memory-nodeFree[1]
-	}
-	if allCores <= 0 || allMemory <= 0 {
-		return 0, 0, false
 	}
-	return usedCores / allCores, usedMemory / allMemory, true
+	m.marksSentAt = 0 // the list server is told at the end of this poll
 }
 
-// maintenanceEffects act on all shards.
-type maintenanceEffects struct{ server *Server }
-
-func ids(nodes []string) (all []uint32) {
-	for _, text := range nodes {
-		if id, err := strconv.ParseUint(text, 10, 32); err == nil {
-			all = append(all, uint32(id))
-		}
-	}
-	return all
-}
+// maintenanceExecutor carries out the controller's decisions on all shards.
+type maintenanceExecutor struct{ m *maintenanceRunner }
 
-func (e maintenanceEffects) SetDraining(nodes []string, out bool) {
-	all := ids(nodes)
-	e.server.routerMu.Lock()
-	for _, id := range all {
-		if out {
-			e.server.underMaintenance[id] = true
-		} else if e.server.underMaintenance[id] {
-			delete(e.server.underMaintenance, id)
-			e.server.returned = append(e.server.returned, id)
-		}
-	}
-	e.server.marksSentAt = 0 // the list hears at the end of this look
-	e.server.routerMu.Unlock()
-	for _, sh := range e.server.liveShards() {
-		sh.post(func(now float64) { sh.engine.SetMaintenance(now, all, out) })
+// SetDraining takes nodes out or brings them back.
+func (e maintenanceExecutor) SetDraining(nodes []string, out bool) {
+	ids := parseNodeIDs(nodes)
+	e.m.setOut(ids, out)
+	for _, sh := range e.m.shards.liveShards() {
+		sh.post(func(now float64) { sh.engine.SetMaintenance(now, ids, out) })
 	}
 }
 
-// CountRunning sums what the shards counted at the last look. What none has counted since its node went out, or since its
-// life began, is not known: such a node is not empty.
-func (e maintenanceEffects) CountRunning(nodes []string) (byJobClass []int, all int) {
-	byJobClass = make([]int, len(e.server.config.Site.JobClasses))
-	e.server.routerMu.Lock()
-	defer e.server.routerMu.Unlock()
-	for _, sh := range e.server.liveShardsLocked() {
-		counts := e.server.taskCounts[sh.index]
+// CountRunning sums what the shards last counted: the running tasks on nodes by job class, and all tasks. A node counts as occupied while
+// a shard has not counted it since the node went out or the shard started.
+func (e maintenanceExecutor) CountRunning(nodes []string) (byJobClass []int, all int) {
+	byJobClass = make([]int, len(e.m.config.Site.JobClasses))
+	for _, sh := range e.m.shards.liveShards() {
+		counts := e.m.tasksOf(sh.index)
 		all += counts.all
-		for _, id := range ids(nodes) {
+		for _, id := range parseNodeIDs(nodes) {
 			byJob, ok := counts.byNode[id]
 			if !ok || counts.incarnation != sh.incarnation || sh.fenced.Load() {
 				byJobClass[0]++
@@ -316,19 +305,17 @@
 	return byJobClass, all
 }
 
-// Evict has the shards stop work at nodes, each its part of the number.
-func (e maintenanceEffects) Evict(nodes []string, job, limit int) int {
-	movable := make([]bool, len(e.server.config.Site.JobClasses))
-	movable[job] = true
+// Evict has the shards stop up to limit tasks of a job class on nodes, and returns how many they stop.
+func (e maintenanceExecutor) Evict(nodes []string, jobClass, limit int) int {
+	movable := make([]bool, len(e.m.config.Site.JobClasses))
+	movable[jobClass] = true
 	left := limit
-	for _, sh := range e.server.liveShards() {
-		e.server.routerMu.Lock()
-		counts := e.server.taskCounts[sh.index]
-		e.server.routerMu.Unlock()
-		for _, id := range ids(nodes) {
+	for _, sh := range e.m.shards.liveShards() {
+		counts := e.m.tasksOf(sh.index)
+		for _, id := range parseNodeIDs(nodes) {
 			share := 0
 			if byJob := counts.byNode[id]; byJob != nil {
-				share = min(left, byJob[job])
+				share = min(left, byJob[jobClass])
 			}
 			if share > 0 && sh.post(func(now float64) { sh.engine.MigrateFrom(now, id, movable, share) }) {
 				left -= share
@@ -338,4 +325,15 @@
 	return limit - left
 }
 
-func (e maintenanceEffects) Log(line string) { e.server.log.Info().Str("mode", "drains").Msg(line) }
+// Log writes a line of the controller.
+func (e maintenanceExecutor) Log(line string) { e.m.log.Info().Str("mode", "drains").Msg(line) }
+
+// parseNodeIDs reads the calendar's node ids. Those that are no numbers are left out.
+func parseNodeIDs(nodes []string) (ids []uint32) {
+	for _, text := range nodes {
+		if id, err := strconv.ParseUint(text, 10, 32); err == nil {
+			ids = append(ids, uint32(id))
+		}
+	}
+	return ids
+}
--- a/internal/serve/maintenance_test.go
+++ b/internal/serve/maintenance_test.go
@@ -23,7 +23,7 @@
 	"ravenpond/internal/state/maintenancestore"
 )
 
-// TestMain runs as a scheduler process if it is told so: for what only a process that is killed can show.
+// TestMain runs a scheduler process in place of the tests if the environment says so, for what only a process that is killed can show.
 func TestMain(m *testing.M) {
 	if folder := os.Getenv("RAVENPOND_TEST_SERVE"); folder != "" {
 		serveAlone(folder)
@@ -32,10 +32,10 @@
 	goleak.VerifyTestMain(m)
 }
 
-// killingExecutor kills its process when windows are told of, or lets them be.
+// killingExecutor kills its process when a window opens.
 type killingExecutor struct {
 	maintenance.Executor
-	before bool // the shards were told
+	before bool // before the shards are told
 }
 
 func (k killingExecutor) SetDraining(nodes []string, out bool) {
@@ -47,20 +47,23 @@
 	select {}
 }
 
+// serveAlone runs a scheduler until it is killed.
 func serveAlone(folder string) {
-	place, faults := site.Read(strings.NewReader(strings.Replace(fmt.Sprintf(testSite, 1), "127.0.0.1:1",
+	siteConfig, faults := site.Read(strings.NewReader(strings.Replace(fmt.Sprintf(testSite, 1), "127.0.0.1:1",
 		os.Getenv("RAVENPOND_TEST_LIST"), 1)))
 	if len(faults) > 0 {
 		panic(faults)
 	}
-	who := Config{Site: place, Name: "s0", Folder: folder, Seed: 1, Log: zerolog.Nop(), Ready: func(a string) {
+	config := Config{Site: siteConfig, Name: "s0", Folder: folder, Seed: 1, Log: zerolog.Nop(), Ready: func(a string) {
 		_ = os.WriteFile(filepath.Join(folder, "address.new"), []byte(a), 0o600)
 		_ = os.Rename(filepath.Join(folder, "address.new"), filepath.Join(folder, "address"))
 	}}
 	if kill := os.Getenv("RAVENPOND_TEST_KILL"); kill != "" {
-		who.Faults.WrapMaintenance = func(h maintenance.Executor) maintenance.Executor { return killingExecutor{h, kill == "before"} }
+		config.Faults.WrapMaintenance = func(e maintenance.Executor) maintenance.Executor {
+			return killingExecutor{e, kill == "before"}
+		}
 	}
-	if err := Run(context.Background(), who); err != nil {
+	if err := Run(context.Background(), config); err != nil {
 		panic(err)
 	}
 }
@@ -72,91 +75,117 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer store.Close()
+	defer func() { _ = store.Close() }()
 	w := calendar.Window{ID: "w", Start: start, Duration: last, Lead: lead, Scope: calendar.OneNode, Target: node, CreatedAt: start}
 	if err := store.AddEvents(&calendar.Calendar{Windows: []calendar.Window{w}}, start); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestKilledAtOpening kills a scheduler process between the disk's word that a window is open and the shards', or just
-// after: its next life takes the nodes out before it places anything, once.
+// TestKilledAtOpening kills a scheduler process after it wrote that a window is open and before it told the shards, or just after: its next
+// incarnation takes the nodes out before it places anything, once.
 func TestKilledAtOpening(t *testing.T) {
-	self, err := os.Executable()
-	if err != nil {
-		t.Fatal(err)
-	}
 	for _, kill := range []string{"before", "after"} {
 		t.Run(kill, func(t *testing.T) {
 			t.Parallel()
-			s := newTestCluster(t, 1, 8, false)
-			folder := filepath.Join(s.dir, "alone")
-			addWindow(t, folder, time.Now().Add(4500*time.Millisecond).Truncate(time.Second), 2*time.Second, 20*time.Second, "2")
-			run := func(kill string) *exec.Cmd {
-				cmd := exec.Command(self)
-				cmd.Env = append(os.Environ(), "RAVENPOND_TEST_SERVE="+folder, "RAVENPOND_TEST_LIST="+s.list.Address(),
-					"RAVENPOND_TEST_KILL="+kill)
-				cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-				s.world.Trace.Add(audit.Record{At: s.world.Now(), Kind: audit.SchedulerStarted, Scheduler: "s0"})
-				if err := cmd.Start(); err != nil {
-					t.Fatal(err)
-				}
-				return cmd
-			}
-			first := run(kill)
-			addr := func() string { b, _ := os.ReadFile(filepath.Join(folder, "address")); return string(b) }
-			for addr() == "" {
-				time.Sleep(10 * time.Millisecond)
-			}
-			o := &standin.Client{Scheduler: "s0", SchedulerAddress: addr, SettleTime: s.siteConfig.SettleTime}
-			s.clients = append(s.clients, o)
-			s.world.StartClient(o, 0)
-			killed := make(chan struct{})
-			go func() { _ = first.Wait(); close(killed) }()
-			for done := false; !done; {
-				s.load(200, 40, "0")
-				select {
-				case <-killed:
-					done = true
-				case <-s.ctx.Done():
-					t.Fatal("not killed")
-				default:
-				}
-			}
-			s.world.Trace.Add(audit.Record{At: s.world.Now(), Kind: audit.SchedulerKilled, Scheduler: "s0"})
-			_ = os.Remove(filepath.Join(folder, "address"))
-			second := run("")
-			defer func() { _ = second.Process.Kill(); _ = second.Wait() }()
-			for addr() == "" {
-				time.Sleep(10 * time.Millisecond)
-			}
-			now := s.world.Now()
-			for _, n := range s.nodes {
-				if n.ID == 2 {
-					s.world.Trace.Add(audit.Record{At: now - s.rules.DrainGrace, Kind: audit.MaintenanceChanged, Node: n.ID, Detail: "out"}) // no grace any more
-				}
-			}
-			s.load(2500, 60, "0")
-			breaks, served := s.violations()
-			if len(breaks) > 0 || served < 50 {
-				t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
-			}
-			_ = second.Process.Signal(syscall.SIGKILL)
-			_ = second.Wait()
-			store, err := maintenancestore.Open(folder)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer store.Close()
-			begun, err := store.Drains()
-			if err != nil || len(begun) != 1 || begun[0].Stage < maintenancestore.Announced {
-				t.Errorf("%+v, %v", begun, err)
-			}
+			testKilledAtOpening(t, kill)
 		})
 	}
 }
 
-// TestListCarriesWindows opens a window at one scheduler; another, which has no calendar, hears of it by the list.
+func testKilledAtOpening(t *testing.T, kill string) {
+	t.Helper()
+	s := newTestCluster(t, 1, 8, false)
+	p := &schedulerProcess{testCluster: s, folder: filepath.Join(s.dir, "alone")}
+	addWindow(t, p.folder, time.Now().Add(4500*time.Millisecond).Truncate(time.Second), 2*time.Second, 20*time.Second, "2")
+	first := p.run(t, kill)
+	p.awaitAddress()
+	o := &standin.Client{Scheduler: "s0", SchedulerAddress: p.address, SettleTime: s.siteConfig.SettleTime}
+	s.clients = append(s.clients, o)
+	s.world.StartClient(o, 0)
+	p.loadUntilKilled(t, first)
+	s.world.Trace.Add(audit.Record{At: s.world.Now(), Kind: audit.SchedulerKilled, Scheduler: "s0"})
+	_ = os.Remove(filepath.Join(p.folder, "address"))
+	second := p.run(t, "")
+	defer func() { _ = second.Process.Kill(); _ = second.Wait() }()
+	p.awaitAddress()
+	now := s.world.Now()
+	for _, n := range s.nodes {
+		if n.ID == 2 {
+			s.world.Trace.Add(audit.Record{At: now - s.rules.DrainGrace, Kind: audit.MaintenanceChanged, Node: n.ID, Detail: "out"}) // no grace any more
+		}
+	}
+	s.load(2500, 60, "0")
+	breaks, served := s.violations()
+	if len(breaks) > 0 || served < 50 {
+		t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
+	}
+	_ = second.Process.Signal(syscall.SIGKILL)
+	_ = second.Wait()
+	store, err := maintenancestore.Open(p.folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = store.Close() }()
+	begun, err := store.Drains()
+	if err != nil || len(begun) != 1 || begun[0].Stage < maintenancestore.Announced {
+		t.Errorf("%+v, %v", begun, err)
+	}
+}
+
+// schedulerProcess runs schedulers in processes of their own, on one state folder.
+type schedulerProcess struct {
+	*testCluster
+	folder string
+}
+
+// run starts a process, which is killed as TestKilledAtOpening has it.
+func (p *schedulerProcess) run(t *testing.T, kill string) *exec.Cmd {
+	t.Helper()
+	self, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	cmd := exec.Command(self)
+	cmd.Env = append(os.Environ(), "RAVENPOND_TEST_SERVE="+p.folder, "RAVENPOND_TEST_LIST="+p.list.Address(), "RAVENPOND_TEST_KILL="+kill)
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	p.world.Trace.Add(audit.Record{At: p.world.Now(), Kind: audit.SchedulerStarted, Scheduler: "s0"})
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	return cmd
+}
+
+// address returns where the process listens, empty until it does.
+func (p *schedulerProcess) address() string {
+	b, _ := os.ReadFile(filepath.Join(p.folder, "address"))
+	return string(b)
+}
+
+func (p *schedulerProcess) awaitAddress() {
+	for p.address() == "" {
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+// loadUntilKilled requests until the process has been killed.
+func (p *schedulerProcess) loadUntilKilled(t *testing.T, cmd *exec.Cmd) {
+	t.Helper()
+	killed := make(chan struct{})
+	go func() { _ = cmd.Wait(); close(killed) }()
+	for {
+		p.load(200, 40, "0")
+		select {
+		case <-killed:
+			return
+		case <-p.ctx.Done():
+			t.Fatal("not killed")
+		default:
+		}
+	}
+}
+
+// TestListCarriesWindows opens a window at one scheduler. Another, which has no calendar, learns of it from the list server.
 func TestListCarriesWindows(t *testing.T) {
 	s := newTestCluster(t, 2, 8, false)
 	for _, folder := range []string{"s0", "s1"} {
@@ -186,7 +215,7 @@
 	}
 }
 
-// listMarks gives the nodes that a scheduler's last word by the list has as so.
+// listMarks returns the nodes of which the list server last told a scheduler this state.
 func (s *testCluster) listMarks(sched, word string) (nodes []uint32) {
 	last := map[uint32]string{}
 	for _, r := range s.world.Trace.Records() {
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -1,38 +1,30 @@
 package serve
 
 import (
-	"context"
-	"errors"
-	"fmt"
-	"net"
-	"net/http"
+	"syscall"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
-	"github.com/prometheus/client_golang/prometheus/collectors"
-	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"ravenpond/internal/decide/consensus"
 	"ravenpond/internal/decide/membership"
 	"ravenpond/internal/engine"
+	"ravenpond/internal/env"
 )
 
-// Bounds of the page of counts.
-const (
-	collectTimeout       = 200 * time.Millisecond // a shard that says nothing for so long is left out
-	httpTimeout          = 2 * time.Second
-	maxHeaderBytes       = 8 << 10
-	maxConcurrentScrapes = 4 // at once
-)
+// collectTimeout is how long a scrape waits for the shards and for the consensus replica. What has not answered by then is left out.
+const collectTimeout = 200 * time.Millisecond
 
-// metricsCollector gathers what a scheduler counts when it is asked for, by asking each part: nothing is counted twice or kept for it.
+// metricsCollector reads the metrics of a scheduler at each scrape from the parts that hold them. It keeps none itself and implements
+// prometheus.Collector.
 type metricsCollector struct {
 	server *Server
 
 	answers, attempts, open, running, shards *prometheus.Desc
 	members, datagrams, deaths               *prometheus.Desc
 	version, leaseSeconds, messages, writes  *prometheus.Desc
-	zoneShare, cpu                           *prometheus.Desc
+	zoneShare                                *prometheus.Desc
+	cpu                                      *prometheus.Desc
 	traffic, trafficBytes                    *prometheus.Desc
 	connections, opened                      *prometheus.Desc
 }
@@ -42,22 +34,25 @@
 		return prometheus.NewDesc("ravenpond_"+name, help, labels, prometheus.Labels{"scheduler": s.config.Name})
 	}
 	return &metricsCollector{
-		server:       s,
-		answers:      desc("allocations_total", "Allocations by what became of them.", "became"),
-		attempts:     desc("tries_total", "Placement tries that were sent."),
-		open:         desc("allocations_open", "Allocations without a final answer."),
-		running:      desc("tries_held", "Allocations with a try that is out or runs."),
-		shards:       desc("shards", "Shards that answered when they were asked."),
-		members:      desc("members", "Other schedulers by the state in which they are held.", "state"),
-		datagrams:    desc("members_datagrams_total", "Members' datagrams.", "way"),
-		deaths:       desc("members_deaths_total", "Other schedulers that were held for dead."),
+		server: s,
+
+		answers:  desc("allocations_total", "Allocations by what became of them.", "became"),
+		attempts: desc("tries_total", "Placement tries that were sent."),
+		open:     desc("allocations_open", "Allocations without a final answer."),
+		running:  desc("tries_held", "Allocations with a try that is out or runs."),
+		shards:   desc("shards", "Shards that answered when they were asked."),
+
+		members:   desc("members", "Other schedulers by the state in which they are held.", "state"),
+		datagrams: desc("members_datagrams_total", "Members' datagrams.", "way"),
+		deaths:    desc("members_deaths_total", "Other schedulers that were held for dead."),
+
 		version:      desc("book_version", "Version of the book that is held."),
 		leaseSeconds: desc("book_sure_seconds", "For how long it may be acted on yet; under 0 by its careful reading."),
 		messages:     desc("book_messages_total", "Messages sent for the book."),
 		writes:       desc("book_writes_total", "Writes of a steward."),
 		zoneShare:    desc("zone_part", "Part of a zone's nodes that is sent to.", "zone"),
-		cpu:          desc("cpu_seconds_total", "CPU time of the process, user and system."),
 
+		cpu:          desc("cpu_seconds_total", "CPU time of the process, user and system."),
 		traffic:      desc("traffic_messages_total", "Messages handed over, and reads that brought something, by kind of connection.", "kind", "way"),
 		trafficBytes: desc("traffic_bytes_total", "Bytes of connections and datagrams.", "kind", "way"),
 		connections:  desc("connections", "Open connections.", "kind"),
@@ -65,64 +60,103 @@
 	}
 }
 
-// Describe names all counts.
+// Describe sends the descriptions of all metrics.
 func (c *metricsCollector) Describe(out chan<- *prometheus.Desc) {
 	prometheus.DescribeByCollect(c, out)
 }
 
-// Collect asks all parts.
+// Collect sends all metrics. It waits for shards and control up to collectTimeout each.
 func (c *metricsCollector) Collect(out chan<- prometheus.Metric) {
-	counter := func(desc *prometheus.Desc, v uint64, labels ...string) {
-		out <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(v), labels...)
-	}
-	gauge := func(desc *prometheus.Desc, v float64, labels ...string) {
-		out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, v, labels...)
-	}
-	totals, shards := c.server.stats()
-	for outcome, v := range map[string]uint64{"taken": totals.Admitted, "refused": totals.Rejected, "served": totals.Served, "declined": totals.Declined, "failed": totals.Failed, "lapsed": totals.Expired} {
-		counter(c.answers, v, outcome)
-	}
-	counter(c.attempts, totals.Offers)
+	c.collectShards(out)
 	c.collectProcess(out)
-	gauge(c.open, float64(totals.Open))
-	gauge(c.running, float64(totals.Held))
-	gauge(c.shards, float64(shards))
-	if c.server.membership.runner != nil {
-		c.server.membership.runner.WithDetector(func(desc *membership.Detector) {
-			n := desc.Count()
-			for state, v := range map[string]int{"alive": n.Alive, "suspect": n.Suspect, "dead": n.Dead, "left": n.Left} {
-				gauge(c.members, float64(v), state)
-			}
-			counter(c.datagrams, desc.Stats.Sent, "sent")
-			counter(c.datagrams, desc.Stats.Got, "got")
-			counter(c.deaths, desc.Stats.Deaths)
-		})
+	c.collectMembership(out)
+	c.collectControl(out)
+}
+
+func counter(out chan<- prometheus.Metric, desc *prometheus.Desc, value uint64, labels ...string) {
+	out <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(value), labels...)
+}
+
+func gauge(out chan<- prometheus.Metric, desc *prometheus.Desc, value float64, labels ...string) {
+	out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
+}
+
+func (c *metricsCollector) collectShards(out chan<- prometheus.Metric) {
+	totals, shards := c.server.stats()
+	for outcome, value := range map[string]uint64{
+		"taken": totals.Admitted, "refused": totals.Rejected, "served": totals.Served,
+		"declined": totals.Declined, "failed": totals.Failed, "lapsed": totals.Expired,
+	} {
+		counter(out, c.answers, value, outcome)
 	}
-	if c.server.control == nil {
+	counter(out, c.attempts, totals.Offers)
+	gauge(out, c.open, float64(totals.Open))
+	gauge(out, c.running, float64(totals.Held))
+	gauge(out, c.shards, float64(shards))
+}
+
+func (c *metricsCollector) collectMembership(out chan<- prometheus.Metric) {
+	c.server.membership.withDetector(func(detector *membership.Detector) {
+		count := detector.Count()
+		for state, value := range map[string]int{"alive": count.Alive, "suspect": count.Suspect, "dead": count.Dead, "left": count.Left} {
+			gauge(out, c.members, float64(value), state)
+		}
+		counter(out, c.datagrams, detector.Stats.Sent, "sent")
+		counter(out, c.datagrams, detector.Stats.Got, "got")
+		counter(out, c.deaths, detector.Stats.Deaths)
+	})
+}
+
+func (c *metricsCollector) collectControl(out chan<- prometheus.Metric) {
+	control := c.server.clusterControl
+	if control == nil {
 		return
 	}
-	view := c.server.control.View()
-	gauge(c.version, float64(view.State.Version()))
-	gauge(c.leaseSeconds, (view.LeaseExpiry-c.server.env.Now())/1000)
-	parts, _ := c.server.zones.currentShares()
-	for zone, part := range parts {
-		gauge(c.zoneShare, part, zone)
+	view := control.runner.View()
+	gauge(out, c.version, float64(view.State.Version()))
+	gauge(out, c.leaseSeconds, (view.LeaseExpiry-c.server.env.Now())/1000)
+	shares, _ := control.zones.currentShares()
+	for zone, share := range shares {
+		gauge(out, c.zoneShare, share, zone)
 	}
-	stats := make(chan consensus.Stats, 1)
-	c.server.control.Enqueue(func(replica *consensus.Replica) { stats <- replica.Stats })
+	replies := make(chan consensus.Stats, 1)
+	control.runner.Enqueue(func(replica *consensus.Replica) { replies <- replica.Stats })
 	select {
-	case stats := <-stats:
-		counter(c.messages, stats.Messages)
-		counter(c.writes, stats.Writes)
+	case stats := <-replies:
+		counter(out, c.messages, stats.Messages)
+		counter(out, c.writes, stats.Writes)
 	case <-time.After(collectTimeout):
 	}
 }
 
-// stats sums up what shards count, and tells how many answered.
+// trafficCounter is an environment that counts what passes through it.
+type trafficCounter interface{ Traffic() []env.Traffic }
+
+// collectProcess sends what the process as a whole used: CPU time, finer than the kernel's ticks, and its traffic.
+func (c *metricsCollector) collectProcess(out chan<- prometheus.Metric) {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) == nil {
+		seconds := float64(usage.Utime.Nano()+usage.Stime.Nano()) / float64(time.Second)
+		out <- prometheus.MustNewConstMetric(c.cpu, prometheus.CounterValue, seconds)
+	}
+	environment, ok := c.server.env.(trafficCounter)
+	if !ok {
+		return
+	}
+	for _, traffic := range environment.Traffic() {
+		kind := traffic.Kind.String()
+		counter(out, c.traffic, traffic.SentMessages, kind, "sent")
+		counter(out, c.traffic, traffic.ReceivedMessages, kind, "received")
+		counter(out, c.trafficBytes, traffic.SentBytes, kind, "sent")
+		counter(out, c.trafficBytes, traffic.ReceivedBytes, kind, "received")
+		gauge(out, c.connections, float64(traffic.OpenConnections), kind)
+		counter(out, c.opened, traffic.OpenedConnections, kind)
+	}
+}
+
+// stats sums up what the shards count, and returns how many of them answered within collectTimeout.
 func (s *Server) stats() (sum engine.Stats, shards int) {
-	s.routerMu.Lock()
-	live := s.liveShardsLocked()
-	s.routerMu.Unlock()
+	live := s.liveShards()
 	replies := make(chan engine.Stats, len(live))
 	expected := 0
 	for _, sh := range live {
@@ -133,17 +167,9 @@
 	timeout := time.After(collectTimeout)
 	for range expected {
 		select {
-		case shardStats := <-replies:
+		case stats := <-replies:
 			shards++
-			sum.Admitted += shardStats.Admitted
-			sum.Rejected += shardStats.Rejected
-			sum.Served += shardStats.Served
-			sum.Declined += shardStats.Declined
-			sum.Failed += shardStats.Failed
-			sum.Expired += shardStats.Expired
-			sum.Offers += shardStats.Offers
-			sum.Open += shardStats.Open
-			sum.Held += shardStats.Held
+			addStats(&sum, stats)
 		case <-timeout:
 			return sum, shards
 		}
@@ -151,42 +177,15 @@
 	return sum, shards
 }
 
-// serveMetrics serves the page of counts where the site file has an address for it. ended closes it and waits.
-func (s *Server) serveMetrics(listen string) (address string, closeServer func(), err error) {
-	if listen == "" {
-		return "", func() {}, nil
-	}
-	listener, err := net.Listen("tcp", listen)
-	if err != nil {
-		return "", nil, fmt.Errorf("counts: %w", err)
-	}
-	registry := prometheus.NewRegistry()
-	err = errors.Join(registry.Register(newMetricsCollector(s)), registry.Register(collectors.NewGoCollector()),
-		registry.Register(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{})))
-	if err != nil {
-		listener.Close()
-		return "", nil, fmt.Errorf("counts: %w", err)
-	}
-	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes, Timeout: httpTimeout}))
-	server := &http.Server{
-		Handler: mux, ReadHeaderTimeout: httpTimeout, ReadTimeout: httpTimeout, WriteTimeout: 2 * httpTimeout,
-		IdleTimeout: 30 * time.Second, MaxHeaderBytes: maxHeaderBytes,
-	}
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			s.log.Error().Str("mode", "counts").Err(err).Msg("page ended")
-		}
-	}()
-	s.log.Info().Str("mode", "counts").Str("address", listener.Addr().String()).Msg("page")
-	return listener.Addr().String(), func() {
-		ctx, stop := context.WithTimeout(context.Background(), collectTimeout)
-		defer stop()
-		if server.Shutdown(ctx) != nil {
-			server.Close()
-		}
-		<-done
-	}, nil
+// addStats adds what is shown and logged of a shard's statistics.
+func addStats(sum *engine.Stats, stats engine.Stats) {
+	sum.Admitted += stats.Admitted
+	sum.Rejected += stats.Rejected
+	sum.Served += stats.Served
+	sum.Declined += stats.Declined
+	sum.Failed += stats.Failed
+	sum.Expired += stats.Expired
+	sum.Offers += stats.Offers
+	sum.Open += stats.Open
+	sum.Held += stats.Held
 }
--- a/internal/serve/metrics_test.go
+++ b/internal/serve/metrics_test.go
@@ -9,14 +9,13 @@
 	"time"
 )
 
-// TestCounts reads the page of counts of a scheduler that has served: each is there once, and who asks while others do is not
-// kept waiting for ever.
+// TestCounts reads the metrics page of a scheduler that has served: each metric is there once, and the page ends with the scheduler.
 func TestCounts(t *testing.T) {
 	s := newTestCluster(t, 1, 4, false)
 	at := make(chan string, 1)
 	s.configure = func(who *Config) {
 		ready := who.Ready
-		who.OnLocalListener = func(l *LocalListener) { at <- l.server.metricsAddress }
+		who.OnLocalListener = func(l *LocalListener) { at <- l.server.metrics.address }
 		who.Ready = ready
 	}
 	place := *s.siteConfig
@@ -30,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer r.Body.Close()
+		defer func() { _ = r.Body.Close() }()
 		b, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/serve/node_connections.go
+++ b/internal/serve/node_connections.go
@@ -10,27 +10,31 @@
 	"ravenpond/internal/site"
 )
 
-// nodeConnections is a set of connections to nodes, one each, and the shards whose tries they carry: one shard, or all.
+// nodeConnections is a set of connections to nodes, one each, and the shards whose attempts they carry: one shard, or all.
+//
+// mu is the first in the package's lock order: it is held while the working set, the membership and the shards are told of a connection,
+// so that all see connections and their ends in the same order.
 type nodeConnections struct {
-	server *Server
-	name   string // by which nodes know its shards
+	set  *shardSet
+	name string // by which nodes know the shards
 
-	mu      sync.Mutex
-	shards  []*shard
+	mu      sync.Mutex // guards the fields below
+	shards  []*shard   // in the order in which they were attached
 	links   map[uint32]*nodeLink
-	dialing map[uint32]bool
+	dialing map[uint32]bool // nodes to which a connection is being made
 	closed  bool
 }
 
-func newNodeConnections(s *Server, index int) *nodeConnections {
-	c := &nodeConnections{server: s, name: s.config.Name, links: map[uint32]*nodeLink{}, dialing: map[uint32]bool{}}
+// newNodeConnections makes the connections of one shard, or those that all shards share.
+func newNodeConnections(s *shardSet, index int) *nodeConnections {
+	c := &nodeConnections{set: s, name: s.config.Name, links: map[uint32]*nodeLink{}, dialing: map[uint32]bool{}}
 	if s.config.Site.Connections == site.OwnConnections && s.config.Site.MaxShards > 1 {
 		c.name = fmt.Sprintf("%s.%d", s.config.Name, index)
 	}
 	return c
 }
 
-// attach puts a shard on the trunk, in the place of its earlier life if it had one.
+// attach adds a shard, in the place of its earlier incarnation if it had one.
 func (c *nodeConnections) attach(sh *shard) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,14 +45,14 @@
 	}
 }
 
-// attachedShards gives the shards.
+// attachedShards returns the shards.
 func (c *nodeConnections) attachedShards() []*shard {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.shards)
 }
 
-// dial connects to a node unless that is done or under way: all shards hear what comes of it.
+// dial connects to a node unless that is done or under way. All shards are told the outcome.
 func (c *nodeConnections) dial(nodeID uint32, address string) {
 	c.mu.Lock()
 	if c.closed || c.dialing[nodeID] || c.links[nodeID] != nil {
@@ -60,7 +64,7 @@
 	c.connect(nodeID, address, false)
 }
 
-// visit connects to a node that the shards do not know, to hear whether it holds something of this scheduler's.
+// visit connects to a node that the shards do not know, to learn whether tasks of this scheduler run there.
 func (c *nodeConnections) visit(nodeID uint32, address string) {
 	c.mu.Lock()
 	busy := c.closed || c.dialing[nodeID] || c.links[nodeID] != nil
@@ -69,14 +73,15 @@
 	}
 	c.mu.Unlock()
 	if busy {
-		c.server.workingSet.onVisitFailed(nodeID)
+		c.set.workingSet.onVisitFailed(nodeID)
 		return
 	}
 	c.connect(nodeID, address, true)
 }
 
+// connect connects to a node that is noted in dialing.
 func (c *nodeConnections) connect(nodeID uint32, address string, isVisit bool) {
-	c.server.env.Dial(address, nodeDialTimeout, func(conn env.Conn, err error) {
+	c.set.env.Dial(address, nodeDialTimeout, func(conn env.Conn, err error) {
 		if err != nil {
 			c.onDialFailed(nodeID, err)
 			return
@@ -85,17 +90,17 @@
 	})
 }
 
-// register has the shards hear of a connection; under the lock.
+// register tells the shards of a connection. The caller holds mu.
 func (c *nodeConnections) register(l *nodeLink) {
 	c.links[l.node] = l
-	c.server.onNodeConnected(l)
-	c.server.workingSet.onConnection(l.node, true)
+	c.set.membership.onNodeConnected(l)
+	c.set.workingSet.onConnection(l.node, true)
 	for _, sh := range c.shards {
 		l.notifyLinked(sh)
 	}
 }
 
-// disconnect ends the connection to a node, if there is one.
+// disconnect closes the connection to a node, if there is one, once what is queued has been handed to the network.
 func (c *nodeConnections) disconnect(nodeID uint32, reason string) {
 	c.mu.Lock()
 	l := c.links[nodeID]
@@ -105,22 +110,22 @@
 	}
 }
 
-// onDialFailed tells that a node was not reached.
+// onDialFailed tells the shards that a node was not reached.
 func (c *nodeConnections) onDialFailed(nodeID uint32, err error) {
 	c.mu.Lock()
 	delete(c.dialing, nodeID)
 	c.mu.Unlock()
-	if c.server.workingSet != nil {
-		c.server.workingSet.onConnection(nodeID, false)
-		c.server.workingSet.onVisitFailed(nodeID)
+	if c.set.workingSet != nil {
+		c.set.workingSet.onConnection(nodeID, false)
+		c.set.workingSet.onVisitFailed(nodeID)
 	}
 	for _, sh := range c.attachedShards() {
 		sh.post(func(now float64) { sh.engine.OnDialFailed(now, nodeID) })
 	}
-	c.server.log.Debug().Uint32("node", nodeID).Err(err).Msg("no connection")
+	c.set.log.Debug().Uint32("node", nodeID).Err(err).Msg("no connection")
 }
 
-// orderedLinks gives the links in order of their nodes; under the lock.
+// orderedLinks returns the connections in the order of their nodes. The caller holds mu.
 func (c *nodeConnections) orderedLinks() (links []*nodeLink) {
 	for _, nodeID := range slices.Sorted(maps.Keys(c.links)) {
 		links = append(links, c.links[nodeID])
@@ -128,7 +133,7 @@
 	return links
 }
 
-// replayTo tells a shard that has just begun of the connections that stand, and has the nodes tell what they hold.
+// replayTo tells a shard that starts of the connections there are, and asks the nodes what they hold for it.
 func (c *nodeConnections) replayTo(sh *shard) {
 	c.attach(sh)
 	c.mu.Lock()
@@ -138,7 +143,7 @@
 	}
 }
 
-// close ends all connections; soft lets what is queued still go out.
+// close closes all connections, and makes no others. With flush, what is queued is still handed to the network.
 func (c *nodeConnections) close(reason string, flush bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/serve/node_visits.go
+++ b/internal/serve/node_visits.go
@@ -7,27 +7,27 @@
 	"ravenpond/internal/proto/node"
 )
 
-// visitPhase is how far a connection is that is made to hear what a node outside the working set holds.
+// visitPhase is how far a connection is that is made to learn what a node outside the working set holds.
 type visitPhase uint8
 
 const (
-	noVisit visitPhase = iota // the shards know the node, or will stay connected to it
-	visiting
-	visited // nothing is held: the connection ends
+	noVisit  visitPhase = iota // the shards know the node, and stay connected to it
+	visiting                   // the node has not told all it holds
+	visited                    // the node holds nothing of this scheduler: the connection ends
 )
 
 var errNotListed = errors.New("holds something and is not on the list")
 
-// isVisit tells whether the connection is a visit.
+// isVisit reports whether the connection is a visit.
 func (l *nodeLink) isVisit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.visit == visiting
 }
 
-// keepVisited makes a visit a connection that stays, as the node holds something of this scheduler's.
+// keepVisited makes a visit a connection that stays, as the node holds tasks of this scheduler.
 func (l *nodeLink) keepVisited() error {
-	if !l.server.workingSet.keepNode(l.node) {
+	if !l.set.workingSet.keepNode(l.node) {
 		return errNotListed
 	}
 	l.connections.mu.Lock()
@@ -35,7 +35,7 @@
 	return l.keepLocked()
 }
 
-// keepLocked has the shards hear of a connection that was a visit; under the trunk's lock.
+// keepLocked tells the shards of a connection that was a visit. The caller holds the lock of the nodeConnections.
 func (l *nodeLink) keepLocked() error {
 	conns := l.connections
 	l.mu.Lock()
@@ -51,13 +51,12 @@
 	return nil
 }
 
-// finishVisit ends a visit to a node that holds nothing, unless the shards came to know the node meanwhile. It tells whether
-// it did.
+// finishVisit ends a visit to a node that holds nothing, unless the shards came to know the node meanwhile. It reports whether it ended.
 func (l *nodeLink) finishVisit() bool {
 	conns := l.connections
 	conns.mu.Lock()
 	defer conns.mu.Unlock()
-	if l.server.workingSet.onVisitDone(l.node) {
+	if l.set.workingSet.onVisitDone(l.node) {
 		return l.keepLocked() != nil
 	}
 	delete(conns.dialing, l.node)
@@ -72,27 +71,27 @@
 	return true
 }
 
-// startVisits begins as many visits as may be under way: at each step, and when one ends.
+// startVisits starts as many visits as may be under way. It is called at each step, and when a visit ends.
 func (w *workingSet) startVisits() {
-	if w.server.stopped.Load() {
+	if w.stopped.Load() {
 		return
 	}
 	w.mu.Lock()
-	visits := w.nextVisits(w.server.env.Now())
+	visits := w.nextVisits(w.env.Now())
 	w.mu.Unlock()
 	for _, entry := range visits {
-		w.server.connections.visit(entry.ID, entry.Address)
+		w.connections.visit(entry.ID, entry.Address)
 	}
 }
 
-// nextVisits gives the nodes to visit now.
+// nextVisits returns the nodes to visit now. The caller holds mu.
 func (w *workingSet) nextVisits(now float64) (entries []listEntry) {
 	for id, ok := w.visits.Next(now); ok; id, ok = w.visits.Next(now) {
-		if _, known := w.nodeStates[id]; known { // its connection will tell
+		if _, known := w.nodeStates[id]; known { // its connection tells
 			w.visits.Remove(id)
 			continue
 		}
-		entry := w.entriesOf([]uint32{id})
+		entry := w.endpoints.entriesOf([]uint32{id})
 		if len(entry) == 0 {
 			w.visits.Remove(id)
 			continue
@@ -102,22 +101,22 @@
 	return entries
 }
 
-// onVisitFailed says that a node was not reached; it is visited again if that was a visit.
+// onVisitFailed takes it that a node was not reached. It is visited again later if that was a visit.
 func (w *workingSet) onVisitFailed(id uint32) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.visits.OnFailed(w.server.env.Now(), id)
+	w.visits.OnFailed(w.env.Now(), id)
 	w.continueVisits()
 }
 
-// continueVisits has visits begin in the place of one that has ended; under the lock.
+// continueVisits starts visits in the place of one that has ended. The caller holds mu.
 func (w *workingSet) continueVisits() {
 	if w.visits.Pending() > 0 {
-		w.server.async(w.startVisits)
+		w.async(w.startVisits)
 	}
 }
 
-// onVisitDone says that a node told all it holds: nothing. It tells whether the shards know the node all the same.
+// onVisitDone takes it that a node holds nothing. It reports whether the shards know the node all the same.
 func (w *workingSet) onVisitDone(id uint32) (known bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -127,8 +126,7 @@
 	return known
 }
 
-// keepNode has the shards know a node outside the set that holds something of this scheduler's. It tells whether the
-// node is on the list.
+// keepNode tells the shards of a node outside the set that holds tasks of this scheduler. It reports whether the node is on the list.
 func (w *workingSet) keepNode(id uint32) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -137,7 +135,7 @@
 	if _, known := w.nodeStates[id]; known {
 		return true
 	}
-	if len(w.entriesOf([]uint32{id})) == 0 {
+	if len(w.endpoints.entriesOf([]uint32{id})) == 0 {
 		return false
 	}
 	w.nodeStates[id] = nodeAside
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -36,13 +36,13 @@
   <owners listen="127.0.0.1:0"/>
 </site>`
 
-// testCluster is a small world around schedulers that run in this process.
+// testCluster is nodes and a list server around schedulers that run in this process.
 type testCluster struct {
 	t          *testing.T
 	dir        string // made before the clean-up below it, so removed after
 	env        *env.Real
 	world      *standin.Testbed
-	ctx        context.Context
+	ctx        context.Context //nolint:containedctx // ends with the test, when its schedulers are to end
 	stop       context.CancelFunc
 	siteConfig *site.Config
 	nodes      []*standin.Node
@@ -61,8 +61,8 @@
 		t.Fatal(faults)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
-	real := env.NewReal()
-	s := &testCluster{t: t, dir: t.TempDir(), env: real, world: standin.NewTestbed(real), ctx: ctx, stop: stop, siteConfig: siteConfig}
+	environment := env.NewReal()
+	s := &testCluster{t: t, dir: t.TempDir(), env: environment, world: standin.NewTestbed(environment), ctx: ctx, stop: stop, siteConfig: siteConfig}
 	s.rules = audit.Rules{
 		Nodes: map[uint32]audit.Location{}, DrainGrace: siteConfig.DrainGrace, SlowStartLimit: 12, SlowStartDuration: 6000,
 		SlowStartWindow: 1000, Slack: 400, Jobs: []audit.JobRules{
@@ -101,7 +101,7 @@
 	s.env.Close(time.Second)
 }
 
-// start runs a scheduler with an owner at it.
+// start runs a scheduler, and a client of it.
 func (s *testCluster) start(i int, siteConfig site.Config, faults Faults) {
 	siteConfig.ListAddress = s.list.Address()
 	name, ready := fmt.Sprintf("s%d", i), make(chan string, 1)
@@ -127,7 +127,7 @@
 	s.world.StartClient(client, uint64(i))
 }
 
-// load asks at a rate for a while: jobs gives the parts of the three job types in ten.
+// load requests at a rate per second for a duration in ms. jobs is the mix of job classes, a digit each.
 func (s *testCluster) load(duration, rate float64, jobs string) {
 	for end := s.world.Now() + duration; s.world.Now() < end; {
 		s.lastKey++
@@ -145,7 +145,7 @@
 
 // violations ends the day and returns the broken rules, and how often something was served.
 func (s *testCluster) violations() ([]audit.Violation, int) {
-	time.Sleep(3600 * time.Millisecond) // every ask is answered or overdue
+	time.Sleep(3600 * time.Millisecond) // every request is answered or overdue
 	records, served := s.world.Trace.Records(), 0
 	for _, c := range s.clients {
 		for _, t := range c.Outcomes() {
@@ -188,9 +188,48 @@
 	return Faults{WrapEffects: func(e engine.Effects) engine.Effects { return faultyEffects{Effects: e, answer: f} }}
 }
 
-// TestInjectedFaults puts faults into schedulers, two for each rule at least; the auditor must name the rule. Without a
-// fault it must name none.
-func TestInjectedFaults(t *testing.T) {
+// injectedFault is a fault, and the rule that it breaks.
+type injectedFault struct {
+	name    string
+	rule    int    // 0: none may break
+	jobs    string // the mix of job classes
+	cold    bool   // all nodes warm up at first
+	trouble func(s *testCluster)
+	longer  float64 // ms that the run lasts beyond the others'
+	change  func(p *site.Config)
+	faults  Faults
+}
+
+// test runs a scheduler with the fault, and checks which rules are broken.
+func (f *injectedFault) test(t *testing.T) {
+	t.Helper()
+	s := newTestCluster(t, 1, 8, f.cold)
+	siteConfig := *s.siteConfig
+	siteConfig.Cluster.JobClasses = append(siteConfig.Cluster.JobClasses[:0:0], siteConfig.Cluster.JobClasses...)
+	siteConfig.Deadlines = append(siteConfig.Deadlines[:0:0], siteConfig.Deadlines...)
+	if f.change != nil {
+		f.change(&siteConfig)
+		s.siteConfig.Deadlines = siteConfig.Deadlines
+	}
+	s.start(0, siteConfig, f.faults)
+	s.load(2200, 50, f.jobs) // a scheduler without a last list paces all nodes at first
+	if f.trouble != nil {
+		f.trouble(s)
+	}
+	s.load(2000+f.longer, 50, f.jobs)
+	breaks, served := s.violations()
+	named := false
+	for _, b := range breaks {
+		named = named || int(b.Rule) == f.rule
+	}
+	if f.rule == 0 && (len(breaks) > 0 || served == 0) || f.rule > 0 && !named {
+		t.Errorf("%d served, breaks %v, want rule %d", served, breaks[:min(3, len(breaks))], f.rule)
+	}
+}
+
+// TestInjectedFaults injects faults into schedulers, two for each rule at least. The auditor must name the rule. Without a fault it must name
+// none.
+func TestInjectedFaults(t *testing.T) { //nolint:funlen // one table of cases
 	mute := func(s *testCluster) {
 		s.world.WithLock(func(float64) {
 			for _, n := range s.nodes {
@@ -205,47 +244,38 @@
 			s.nodes[0].Machine.Drain(now, false, false)
 		})
 	}
-	for _, c := range []struct {
-		name    string
-		rule    int // 0: none may break
-		jobs    string
-		cold    bool
-		trouble func(s *testCluster)
-		longer  float64 // ms that the day lasts beyond the others'
-		place   func(p *site.Config)
-		Plant   Faults
-	}{
+	for _, f := range []injectedFault{
 		{name: "none", jobs: "0012"},
 		{name: "none, answers lost", jobs: "0012", trouble: mute},
 		{name: "none, a drain", jobs: "0012", trouble: drain},
 		{name: "none, all cold", jobs: "0012", cold: true},
-		{name: "an answer given twice", rule: 1, jobs: "0", Plant: Faults{RepeatAnswers: true}},
-		{name: "no answer", rule: 1, jobs: "0", Plant: withAnswer(
+		{name: "an answer given twice", rule: 1, jobs: "0", faults: Faults{RepeatAnswers: true}},
+		{name: "no answer", rule: 1, jobs: "0", faults: withAnswer(
 			func(e engine.Effects, request engine.RequestID, answer engine.Answer) {
 				if request.Number%5 != 0 {
 					e.Answer(request, engine.Answer{Kind: answer.Kind, Node: answer.Node})
 				}
 			})},
-		{name: "a second try while one is out", rule: 2, jobs: "0", Plant: withOffer(
+		{name: "a second try while one is out", rule: 2, jobs: "0", faults: withOffer(
 			func(e engine.Effects, node uint32, offer engine.Offer) {
 				e.Offer(node, offer)
 				offer.Attempt.Number++
 				e.Offer(node%4+1, offer)
 			})},
-		{name: "a run-once one declined that may have run", rule: 2, jobs: "2", trouble: mute, Plant: withAnswer(
+		{name: "a run-once one declined that may have run", rule: 2, jobs: "2", trouble: mute, faults: withAnswer(
 			func(e engine.Effects, request engine.RequestID, answer engine.Answer) {
 				if answer.Kind == engine.Failed {
 					answer.Kind = engine.Declined
 				}
 				e.Answer(request, engine.Answer{Kind: answer.Kind, Node: answer.Node})
 			})},
-		{name: "a try after the window", rule: 2, jobs: "1", trouble: mute, place: func(p *site.Config) {
+		{name: "a try after the window", rule: 2, jobs: "1", trouble: mute, change: func(p *site.Config) {
 			p.Cluster.JobClasses[1].IdempotencyWindow, p.Deadlines[1] = 60000, 6000
 		}},
-		{name: "tokens taken for harmless", rule: 2, jobs: "1", trouble: mute, place: func(p *site.Config) {
+		{name: "tokens taken for harmless", rule: 2, jobs: "1", trouble: mute, change: func(p *site.Config) {
 			p.Cluster.JobClasses[1].Semantics = 0
 		}},
-		{name: "a late send to a draining node", rule: 3, jobs: "0", trouble: drain, longer: 2000, Plant: withOffer(
+		{name: "a late send to a draining node", rule: 3, jobs: "0", trouble: drain, longer: 2000, faults: withOffer(
 			func(e engine.Effects, node uint32, offer engine.Offer) {
 				if time.Since(lastLate) > 300*time.Millisecond { // each costs the connection, as the engine knows nothing of it
 					node, lastLate = 1, time.Now()
@@ -253,57 +283,37 @@
 				e.Offer(node, offer)
 			})},
 		// the node turns all away, so the module leaves it alone for up to 2 s at a time
-		{name: "news of a drain lost", rule: 3, jobs: "0", trouble: drain, longer: 6500, Plant: Faults{ListEntry: func(en *state.Entry) {
+		{name: "news of a drain lost", rule: 3, jobs: "0", trouble: drain, longer: 6500, faults: Faults{ListEntry: func(en *state.Entry) {
 			if en.Avail == 2 {
 				en.Avail = 1
 			}
 		}}},
-		{name: "too many offers to a cold node", rule: 4, jobs: "0", cold: true, Plant: withOffer(
+		{name: "too many offers to a cold node", rule: 4, jobs: "0", cold: true, faults: withOffer(
 			func(e engine.Effects, _ uint32, offer engine.Offer) { e.Offer(1, offer) })},
-		{name: "more expected of a cold node than it bears", rule: 4, jobs: "0", cold: true, place: func(p *site.Config) {
+		{name: "more expected of a cold node than it bears", rule: 4, jobs: "0", cold: true, change: func(p *site.Config) {
 			p.Cluster.SlowStartLimit, p.Cluster.KindCores = 500, []float64{320}
 		}},
-		{name: "a service all at one node", rule: 5, jobs: "1", Plant: withOffer(
+		{name: "a service all at one node", rule: 5, jobs: "1", faults: withOffer(
 			func(e engine.Effects, _ uint32, offer engine.Offer) { e.Offer(2, offer) })},
-		{name: "a most that is too high", rule: 5, jobs: "1", place: func(p *site.Config) {
+		{name: "a most that is too high", rule: 5, jobs: "1", change: func(p *site.Config) {
 			p.Cluster.JobClasses[1].MaxPerScope = 50
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
-			s := newTestCluster(t, 1, 8, c.cold)
-			place := *s.siteConfig
-			place.Cluster.JobClasses = append(place.Cluster.JobClasses[:0:0], place.Cluster.JobClasses...)
-			place.Deadlines = append(place.Deadlines[:0:0], place.Deadlines...)
-			if c.place != nil {
-				c.place(&place)
-				s.siteConfig.Deadlines = place.Deadlines
-			}
-			s.start(0, place, c.Plant)
-			s.load(2200, 50, c.jobs) // a scheduler without a last list paces all nodes at first
-			if c.trouble != nil {
-				c.trouble(s)
-			}
-			s.load(2000+c.longer, 50, c.jobs)
-			breaks, served := s.violations()
-			named := false
-			for _, b := range breaks {
-				named = named || int(b.Rule) == c.rule
-			}
-			if c.rule == 0 && (len(breaks) > 0 || served == 0) || c.rule > 0 && !named {
-				t.Errorf("%d served, breaks %v, want rule %d", served, breaks[:min(3, len(breaks))], c.rule)
-			}
+			f.test(t)
 		})
 	}
 }
 
-// startBadNode answers connections with what a bad peer would say, and keeps what it hears last.
+// startBadNode accepts connections, sends what a bad peer would send, and keeps the last farewell that it receives.
 func startBadNode(t *testing.T, id uint32, say string, then func(net.Conn)) (addr string, heard func() string) {
+	t.Helper()
 	door, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { door.Close() })
+	t.Cleanup(func() { _ = door.Close() })
 	var mu sync.Mutex
 	last := ""
 	go func() {
@@ -313,7 +323,7 @@
 				return
 			}
 			go func() {
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				in := bufio.NewReader(conn)
 				for line, err := in.ReadString('\n'); err == nil && line != "\r\n"; line, err = in.ReadString('\n') {
 				}
@@ -367,7 +377,7 @@
 	for i := range 10 { // and ten that refuse connections
 		s.list.AddUnreachable(uint32(200+i), closed.Addr().String(), "west", "west", "plain")
 	}
-	closed.Close()
+	_ = closed.Close()
 	s.start(0, *s.siteConfig, Faults{})
 	s.load(2500, 40, "0012")
 	breaks, served := s.violations()
@@ -416,12 +426,12 @@
 	w := env.NewReal()
 	defer w.Close(time.Second)
 	here, there := net.Pipe() // nobody reads there
-	defer there.Close()
+	defer func() { _ = there.Close() }()
 	w.Connect = func(context.Context, string) (net.Conn, error) { return here, nil }
-	s := &Server{config: Config{Site: &site.Config{NodeQueue: 100}}, env: w}
+	s := &shardSet{process: &process{config: Config{Site: &site.Config{NodeQueue: 100}}, env: w}}
 	made := make(chan *nodeLink, 1)
 	w.Dial("", 1000, func(conn env.Conn, _ error) {
-		l := &nodeLink{server: s, connections: &nodeConnections{server: s, dialing: map[uint32]bool{}}, conn: conn}
+		l := &nodeLink{set: s, connections: &nodeConnections{set: s, dialing: map[uint32]bool{}}, conn: conn}
 		conn.Start(l, 1000)
 		made <- l
 	})
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -32,7 +32,7 @@
 	lastRunningHandover float64              // time at which a running task was handed over last
 	handover            handover.Planner
 
-	server      *Server // these don't change after the shard is started
+	set         *shardSet // these don't change after the shard is started
 	index       int
 	incarnation uint32
 	connections *nodeConnections
@@ -48,13 +48,13 @@
 }
 
 // newShard makes a shard of a new incarnation. It runs no round before it is started.
-func (s *Server) newShard(index int) (*shard, error) {
+func (s *shardSet) newShard(index int) (*shard, error) {
 	incarnation, err := s.folder.NextIncarnation()
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	sh := &shard{
-		server: s, index: index, incarnation: incarnation,
+		set: s, index: index, incarnation: incarnation,
 		links: map[uint32]*nodeLink{}, handedOver: map[uint64]*shard{},
 	}
 	now := s.env.Now()
@@ -69,7 +69,7 @@
 }
 
 // wrapEffects lets tests inject faults into the effects of a shard.
-func (s *Server) wrapEffects(effects engine.Effects) engine.Effects {
+func (s *shardSet) wrapEffects(effects engine.Effects) engine.Effects {
 	if s.config.Faults.WrapEffects != nil {
 		return s.config.Faults.WrapEffects(effects)
 	}
@@ -78,7 +78,7 @@
 
 // engineConfig is the configuration of a shard's engine. Each shard that may run counts as a scheduler where slow-start limits are
 // shared.
-func (s *Server) engineConfig(index int, incarnation uint32) engine.Config {
+func (s *shardSet) engineConfig(index int, incarnation uint32) engine.Config {
 	site := s.config.Site
 	cluster := site.Cluster
 	cluster.Schedulers *= site.MaxShards
@@ -93,7 +93,7 @@
 		Seed:           s.config.Seed + uint64(incarnation)*seedFactor,
 		WallClockStart: float64(env.Epoch.UnixMilli()),
 		NewPolicy:      s.config.Policy,
-		AliveAtPeers:   s.nodeAlive,
+		AliveAtPeers:   s.membership.nodeAlive,
 	}
 }
 
@@ -106,9 +106,9 @@
 // post queues an event for the shard's goroutine. It returns false if the shard takes no events any more. A shard that lets too
 // many events wait is fenced, by another goroutine, as the caller may hold locks that fencing needs.
 func (sh *shard) post(ev event) bool {
-	ok, full := sh.inbox.put(sh.server.env.Now(), ev)
+	ok, full := sh.inbox.put(sh.set.env.Now(), ev)
 	if full {
-		sh.server.async(func() { sh.server.fence(sh, fmt.Sprintf("%d events wait", maxInbox)) })
+		sh.set.async(func() { sh.set.fence(sh, fmt.Sprintf("%d events wait", maxInbox)) })
 	}
 	return ok
 }
@@ -118,14 +118,14 @@
 func (sh *shard) runRound() (wait float64) {
 	defer func() {
 		if p := recover(); p != nil {
-			sh.server.fence(sh, fmt.Sprint("panic: ", p))
+			sh.set.fence(sh, fmt.Sprint("panic: ", p))
 			wait = -1
 		}
 	}()
-	clock := sh.server.env
+	clock := sh.set.env
 	began := clock.Now()
-	switch rest := sh.lastRound + sh.server.config.Site.Cluster.MinRoundInterval - began; {
-	case sh.fenced.Load() || sh.server.stopped.Load():
+	switch rest := sh.lastRound + sh.set.config.Site.Cluster.MinRoundInterval - began; {
+	case sh.fenced.Load() || sh.set.stopped.Load():
 		return -1
 	case !sh.started.Load():
 		return maxIdle
@@ -151,7 +151,7 @@
 		if sh.fenced.Load() {
 			return false
 		}
-		handle(sh.server.env.Now())
+		handle(sh.set.env.Now())
 		events[i] = nil
 	}
 	if sh.spare = events; cap(sh.spare) > maxSpareEvents {
@@ -162,11 +162,11 @@
 
 // updateSharers tells the engine how many schedulers share the slow-start limits, if that has changed.
 func (sh *shard) updateSharers() {
-	s := sh.server
-	if s.membership.runner == nil {
+	s := sh.set
+	if !s.membership.isMember() {
 		return
 	}
-	if n := s.sharers(sh.lastRound); n != sh.sharers {
+	if n := s.membership.slowStartSharers(sh.lastRound); n != sh.sharers {
 		sh.sharers = n
 		sh.engine.SetSchedulerCount(n * s.config.Site.MaxShards)
 	}
@@ -177,7 +177,7 @@
 	if sh.roundRequests == 0 {
 		return
 	}
-	s := sh.server
+	s := sh.set
 	s.routerMu.Lock()
 	s.router.OnRound(sh.index, s.env.Now()-began, sh.roundRequests)
 	s.routerMu.Unlock()
--- a/internal/serve/shard_effects.go
+++ b/internal/serve/shard_effects.go
@@ -45,7 +45,7 @@
 // A shard that paused after it was permitted to send may have been fenced meanwhile, and its task answered for; nothing may be
 // sent for it then. The router lock orders a fence before this or after it.
 func (e shardEffects) Offer(nodeID uint32, o engine.Offer) {
-	s, id := e.shard.server, o.Attempt
+	s, id := e.shard.set, o.Attempt
 	s.log.Debug().Uint64("allocation", id.Ticket).Uint8("try", id.Number).Uint32("node", nodeID).Int("tenant", o.Task.Tenant).Msg("offer")
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
@@ -95,18 +95,18 @@
 // WatchList starts or ends the watch on the node list.
 func (e shardEffects) WatchList(active bool) {
 	if active {
-		e.shard.server.listClient.call(watchCall)
+		e.shard.set.listClient.call(watchCall)
 	} else {
-		e.shard.server.listClient.call(unwatchCall)
+		e.shard.set.listClient.call(unwatchCall)
 	}
 }
 
 // ReloadList requests the full node list.
-func (e shardEffects) ReloadList() { e.shard.server.listClient.call(fullCall) }
+func (e shardEffects) ReloadList() { e.shard.set.listClient.call(fullCall) }
 
 // PermitAttempt asks the router whether the shard still owns the task.
 func (e shardEffects) PermitAttempt(task engine.OwnedTask, node uint32, id engine.AttemptID) bool {
-	s := e.shard.server
+	s := e.shard.set
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	return s.router.PermitAttempt(e.shard.claim(task), routerAttempt(node, id))
@@ -114,7 +114,7 @@
 
 // RecordOutcome tells the router of the end of an attempt.
 func (e shardEffects) RecordOutcome(task engine.OwnedTask, neverRan bool) {
-	s := e.shard.server
+	s := e.shard.set
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	s.router.CompleteAttempt(e.shard.claim(task), neverRan)
@@ -122,7 +122,7 @@
 
 // RecoverTask asks the router whether the shard owns a task that was found running.
 func (e shardEffects) RecoverTask(running engine.RunningTask) (recovered engine.RecoveredTask, ok bool) {
-	s, t := e.shard.server, &running.Task
+	s, t := e.shard.set, &running.Task
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	if e.fenced() {
@@ -140,7 +140,7 @@
 
 // SetClient tells the router which request is to be notified of the task's end.
 func (e shardEffects) SetClient(task engine.OwnedTask, request engine.RequestID) {
-	s := e.shard.server
+	s := e.shard.set
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	s.router.SetClient(e.shard.claim(task), request.Client, request.Number)
@@ -148,7 +148,7 @@
 
 // ReleaseTask tells the router that the shard holds the task no more.
 func (e shardEffects) ReleaseTask(task engine.OwnedTask, service uint64) {
-	s := e.shard.server
+	s := e.shard.set
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	s.router.Remove(e.shard.claim(task), service)
@@ -157,7 +157,7 @@
 
 // PermitAnswer asks the router whether the shard still owns the task.
 func (e shardEffects) PermitAnswer(task engine.OwnedTask, served bool) bool {
-	s := e.shard.server
+	s := e.shard.set
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	defer s.pumpIfFree()
@@ -167,7 +167,7 @@
 // Answer sends the final answer to a request.
 func (e shardEffects) Answer(request engine.RequestID, a engine.Answer) {
 	if !e.fenced() {
-		e.shard.server.answerClient(request, a)
+		e.shard.set.answerClient(request, a)
 	}
 }
 
@@ -176,19 +176,19 @@
 	if e.fenced() {
 		return
 	}
-	if c := e.shard.server.clientByID(request.Client); c != nil {
+	if c := e.shard.set.clients.byID(request.Client); c != nil {
 		c.sendEnd(request.Number, result, reason)
 	}
 }
 
 // ExpireRequest closes a request whose deadline has passed.
 func (e shardEffects) ExpireRequest(request engine.RequestID) {
-	if c := e.shard.server.clientByID(request.Client); c != nil && !e.fenced() {
+	if c := e.shard.set.clients.byID(request.Client); c != nil && !e.fenced() {
 		c.closeRequest(request.Number)
 	}
 }
 
 // Log writes a diagnostic line of the engine.
 func (e shardEffects) Log(line string) {
-	e.shard.server.log.Info().Str("mode", "engine").Int("shard", e.shard.index).Msg(line)
+	e.shard.set.log.Info().Str("mode", "engine").Int("shard", e.shard.index).Msg(line)
 }
--- a/internal/serve/shard_failover.go
+++ b/internal/serve/shard_failover.go
@@ -20,7 +20,7 @@
 
 // fence ends a shard whose state can't be trusted any more. The router permits it nothing from then on; what it acted for goes on at
 // other shards, ends as its effect allows, or is found running by the shard's next incarnation.
-func (s *Server) fence(sh *shard, cause string) {
+func (s *shardSet) fence(sh *shard, cause string) {
 	if !sh.fenced.CompareAndSwap(false, true) {
 		return
 	}
@@ -43,7 +43,7 @@
 
 // applyFates carries out what the router decided about allocations whose shard can't go on with them. It counts them by what was
 // decided. The caller holds the router lock.
-func (s *Server) applyFates(fates []shardrouter.OrphanDecision, reason engine.AnswerReason) (counts [4]int) {
+func (s *shardSet) applyFates(fates []shardrouter.OrphanDecision, reason engine.AnswerReason) (counts [4]int) {
 	for i := range fates {
 		f := &fates[i]
 		request := &f.Entry.Request
@@ -56,7 +56,7 @@
 			})
 		case f.Disposition == shardownership.Continue:
 		case s.env.Now() >= request.Deadline: // its client has given up by itself
-			if c := s.clientByID(request.Client); c != nil {
+			if c := s.clients.byID(request.Client); c != nil {
 				c.closeRequest(request.Ref)
 			}
 		case f.Disposition == shardownership.Shed:
@@ -69,9 +69,9 @@
 }
 
 // checkShards fences the shards that stand still and restarts those that were fenced.
-func (s *Server) checkShards() {
+func (s *shardSet) checkShards() {
 	now := s.env.Now()
-	s.recordCheck(now)
+	s.stalls.check(now)
 	s.routerMu.Lock()
 	var heartbeats, oldest []float64
 	for _, sh := range s.shards {
@@ -91,7 +91,7 @@
 	}
 	s.routerMu.Unlock()
 	for _, request := range health.Lost {
-		if c := s.clientByID(request.Client); c != nil {
+		if c := s.clients.byID(request.Client); c != nil {
 			c.sendEnd(request.Ref, logic.ConnectionLost, logic.ReasonUnknown)
 		}
 	}
@@ -106,7 +106,7 @@
 }
 
 // restart starts a new incarnation of a fenced shard. The nodes name what runs for it.
-func (s *Server) restart(index int) error {
+func (s *shardSet) restart(index int) error {
 	sh, err := s.newShard(index)
 	if err != nil {
 		return err
@@ -127,7 +127,7 @@
 	s.incarnations[sh.incarnation] = sh
 	s.router.OnShardStarted(index, sh.incarnation)
 	s.routerMu.Unlock()
-	s.sendCachedList(sh)
+	s.initShard(sh)
 	if s.config.Site.Connections != site.OwnConnections {
 		sh.connections.replayTo(sh)
 	}
--- /dev/null
+++ b/internal/serve/shard_set.go
@@ -0,0 +1,160 @@
+package serve
+
+import (
+	"sync"
+
+	"ravenpond/internal/site"
+
+	"ravenpond/internal/decide/shardplacement"
+	"ravenpond/internal/decide/watchdog"
+
+	"ravenpond/internal/decide/shardrouter"
+)
+
+// shardSet is the shards of the process, and the router that decides which shard acts for which allocation.
+//
+// routerMu is held for a few look-ups at a time. The lock order of the package is nodeConnections, workingSet, routerMu, clientListener,
+// clientConn, and each shard's inbox last; the other parts' locks are leaves that may be taken under any of these.
+type shardSet struct {
+	*process
+	clients     *clientListener
+	tenants     *tenantHosting
+	membership  *clusterMembership
+	listClient  *listClient
+	workingSet  *workingSet      // nil: the shards work with all nodes; set before the shards start
+	connections *nodeConnections // that the shards share, if they do
+	initShard   func(*shard)     // posts to a shard that starts what it has to know
+	stalls      stallDetector
+
+	routerMu     sync.Mutex // guards the fields below
+	router       *shardrouter.Router
+	shards       []*shard          // the present incarnation of each
+	incarnations map[uint32]*shard // all incarnations of this process's shards
+	pumping      bool              // a call of pump is under way
+	plannedPump  float64           // when the next call of pump is planned, ms; 0: none is
+}
+
+func newShardSet(p *process, tenants *tenantHosting) *shardSet {
+	siteConfig := p.config.Site
+	return &shardSet{
+		process: p, tenants: tenants, incarnations: map[uint32]*shard{},
+		stalls: stallDetector{interval: min(watchdog.CheckInterval(), siteConfig.AnswerMargin/4)},
+		router: shardrouter.New(p.env.Now(), shardrouter.Config{
+			JobClasses: siteConfig.Cluster.JobClasses, Placement: shardplacement.Policy(siteConfig.ShardBy), Shards: siteConfig.Shards,
+			MaxShards: siteConfig.MaxShards, MaxOpen: siteConfig.MaxOpen, AnswerMargin: siteConfig.AnswerMargin,
+			RoundInterval: siteConfig.Cluster.MinRoundInterval, FaultAnyEpoch: p.config.Faults.PermitAnyEpoch, MultiTenant: p.hostsTenants(),
+		}),
+	}
+}
+
+// createShards makes the shards of the site file.
+func (s *shardSet) createShards() error {
+	var conns *nodeConnections
+	for i := range s.config.Site.Shards {
+		sh, err := s.newShard(i)
+		if err != nil {
+			return err
+		}
+		if i == 0 || s.config.Site.Connections == site.OwnConnections {
+			conns = newNodeConnections(s, i)
+		}
+		sh.connections, s.connections = conns, conns
+		sh.connections.attach(sh)
+		s.shards = append(s.shards, sh)
+		s.incarnations[sh.incarnation] = sh
+		s.router.OnShardStarted(i, sh.incarnation)
+	}
+	return nil
+}
+
+// epoch returns the router's first epoch.
+func (s *shardSet) epoch() uint32 {
+	s.routerMu.Lock()
+	defer s.routerMu.Unlock()
+	return s.router.Epoch()
+}
+
+// liveShards returns the shards that have not ended.
+func (s *shardSet) liveShards() []*shard {
+	s.routerMu.Lock()
+	defer s.routerMu.Unlock()
+	return s.liveShardsLocked()
+}
+
+// liveShardsLocked is liveShards for callers that hold routerMu.
+func (s *shardSet) liveShardsLocked() (live []*shard) {
+	for i, sh := range s.shards {
+		if !s.router.IsStopped(i) {
+			live = append(live, sh)
+		}
+	}
+	return live
+}
+
+// postAll queues an event at every live shard.
+func (s *shardSet) postAll(handle func(sh *shard, now float64)) {
+	for _, sh := range s.liveShards() {
+		sh.post(func(now float64) { handle(sh, now) })
+	}
+}
+
+// setCapacity tells the router how much there is to share between tenants.
+func (s *shardSet) setCapacity(capacity shardrouter.Capacity) {
+	s.routerMu.Lock()
+	defer s.routerMu.Unlock()
+	s.router.OnCapacity(capacity)
+}
+
+// setTenants sets the policies of all tenants and returns the queued requests of those that may submit nothing any more. load is called
+// with routerMu held.
+func (s *shardSet) setTenants(load func(now float64) []tenantPolicy) (rejected []shardrouter.Decision) {
+	now := s.env.Now()
+	s.routerMu.Lock()
+	defer s.routerMu.Unlock()
+	return s.setPolicies(now, load(now))
+}
+
+// setPolicies sets tenants' policies and returns the queued requests of those that may submit nothing any more. The caller holds routerMu.
+func (s *shardSet) setPolicies(now float64, policies []tenantPolicy) (rejected []shardrouter.Decision) {
+	for _, t := range policies {
+		rejected = append(rejected, s.router.SetTenant(now, t.slot, t.policy)...)
+	}
+	return rejected
+}
+
+// checkQuotaLease follows the lease on the tenants' limits, before a request passes by them. It returns the queued requests that are
+// rejected for it. The caller holds routerMu.
+func (s *shardSet) checkQuotaLease(now float64) (rejected []shardrouter.Decision) {
+	policies, changed := s.tenants.renewedPolicies(now)
+	if !changed {
+		return nil
+	}
+	return s.setPolicies(now, policies)
+}
+
+// setQuotaLease takes over how many schedulers share the leased part of the limits, and until when, ms.
+func (s *shardSet) setQuotaLease(now float64, sharers int, expiry float64) {
+	s.routerMu.Lock()
+	s.tenants.setQuotaLease(sharers, expiry)
+	rejected := s.checkQuotaLease(now)
+	s.pumpIfFree()
+	s.routerMu.Unlock()
+	s.rejectAll(rejected)
+}
+
+// tenantCount returns how many requests and allocations of a tenant the router knows.
+func (s *shardSet) tenantCount(slot int) int {
+	s.routerMu.Lock()
+	defer s.routerMu.Unlock()
+	return s.router.TenantCount(slot)
+}
+
+// logQueues logs the state of the tenants' queues.
+func (s *shardSet) logQueues() {
+	s.routerMu.Lock()
+	defer s.routerMu.Unlock()
+	longest, waiting := s.router.OldestWait(s.env.Now())
+	capacity, held := s.router.FillLevel()
+	s.log.Debug().Str("mode", "tenants").Float64("may_fill", capacity).Float64("held", held).Int("open", s.router.Open()).
+		Int("waiting", waiting).Float64("longest", longest).Msg("lines")
+}
--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -38,7 +38,7 @@
 			place.Shards, place.MaxShards, place.Connections = 3, 3, c.share
 			var offers, lives atomic.Int32
 			s.start(0, place, Faults{WrapEffects: func(e engine.Effects) engine.Effects {
-				if lives.Add(1) != 2 { // the second shard's first life alone
+				if lives.Add(1) != 2 { // the second shard's first incarnation alone
 					return e
 				}
 				return faultyEffects{Effects: e, offer: func(e engine.Effects, node uint32, offer engine.Offer) {
@@ -60,14 +60,16 @@
 	}
 }
 
-// testClient is a bare owner.
+// testClient is a client that keeps all notifications.
 type testClient struct {
 	*jrpc2.Client
 	mu       sync.Mutex
 	received []string
 }
 
+// connect connects a client by TCP.
 func connect(t *testing.T, addr string) *testClient {
+	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -75,14 +77,16 @@
 	return newTestClient(t, conn)
 }
 
+// newTestClient speaks the client protocol over a connection.
 func newTestClient(t *testing.T, conn net.Conn) *testClient {
+	t.Helper()
 	c := &testClient{}
 	c.Client = jrpc2.NewClient(channel.LSP(conn, conn), &jrpc2.ClientOptions{OnNotify: func(r *jrpc2.Request) {
 		c.mu.Lock()
 		c.received = append(c.received, r.Method()+r.ParamString())
 		c.mu.Unlock()
 	}})
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
@@ -100,47 +104,27 @@
 	return append([]string(nil), c.received...)
 }
 
-// TestSameKey submits keys on two connections at the same moment, withdraws some as they are offered, and comes back
-// on another connection: each ask has one answer, and no run-once key starts twice.
+// TestSameKey submits keys on two connections at the same moment, withdraws some as they are offered, and comes back on another
+// connection: each request has one answer, and no at-most-once key starts twice.
 func TestSameKey(t *testing.T) {
 	s := newTestCluster(t, 1, 8, false)
-	place := *s.siteConfig
-	place.Shards, place.MaxShards = 4, 4
-	s.start(0, place, Faults{})
+	siteConfig := *s.siteConfig
+	siteConfig.Shards, siteConfig.MaxShards = 4, 4
+	s.start(0, siteConfig, Faults{})
 	addr := s.clients[0].SchedulerAddress()
 	time.Sleep(1800 * time.Millisecond)
 	a, b := connect(t, addr), connect(t, addr)
 	const many = 60
 	var both sync.WaitGroup
 	for _, c := range []*testClient{a, b} {
-		both.Go(func() {
-			for i := range uint64(many) {
-				if err := c.allocate(i+1, "once", fmt.Sprint("key", i)); err != nil {
-					t.Error(err)
-				}
-				if i%5 == 0 {
-					_, _ = c.Call(context.Background(), "withdraw", map[string]any{"ref": i + 1}) // may be answered already
-				}
-			}
-		})
+		both.Go(func() { c.allocateAndWithdraw(t, many) })
 	}
 	both.Wait()
 	time.Sleep(1700 * time.Millisecond)
 	for _, c := range []*testClient{a, b} {
-		answers := map[string]int{}
-		for _, n := range c.notifications() {
-			var ref int
-			if _, err := fmt.Sscanf(n, `answer{"ref":%d`, &ref); err == nil {
-				answers[fmt.Sprint(ref)]++
-			}
-		}
-		for i := range many {
-			if n := answers[fmt.Sprint(i+1)]; n != 1 {
-				t.Errorf("ask %d has %d answers", i+1, n)
-			}
-		}
+		c.checkOneAnswerEach(t, many)
 	}
-	a.Close() // what runs is found again by whoever asks for its key
+	_ = a.Close() // what runs is found again by whoever requests its key
 	c := connect(t, addr)
 	for i := range uint64(many) {
 		if err := c.allocate(i+1, "once", fmt.Sprint("key", i)); err != nil {
@@ -152,38 +136,67 @@
 		t.Error(breaks)
 	}
 	starts := map[uint64]int{}
-	ended := map[uint64]bool{}
 	for _, r := range s.world.Trace.Records() {
-		switch r.Kind.String() {
-		case "ran":
+		if r.Kind.String() == "ran" {
 			if starts[r.Ticket]++; starts[r.Ticket] > 1 {
 				t.Errorf("ticket %x ran twice", r.Ticket)
 			}
-		case "concluded":
-			ended[r.Ticket] = true
 		}
 	}
-	t.Run("faults", func(t *testing.T) {
-		for name, call := range map[string]func() error{
-			"ref not over":     func() error { _ = c.allocate(900, "free", "x"); return c.allocate(900, "free", "y") },
-			"unknown job type": func() error { return c.allocate(901, "none", "x") },
-			"no key":           func() error { return c.allocate(902, "free", "") },
-			"no ref":           func() error { return c.allocate(0, "free", "x") },
-			"unknown method":   func() error { _, err := c.Call(context.Background(), "shutdown", nil); return err },
-			"unknown field": func() error {
-				_, err := c.Call(context.Background(), "withdraw", map[string]any{"ref": 1, "x": 2})
-				return err
-			},
-			"nothing to withdraw": func() error {
-				_, err := c.Call(context.Background(), "withdraw", map[string]any{"ref": 12345})
-				return err
-			},
-		} {
-			if call() == nil {
-				t.Errorf("%s: no error", name)
-			}
+	t.Run("faults", c.testInvalidCalls)
+}
+
+// allocateAndWithdraw requests so many keys and withdraws each fifth at once.
+func (c *testClient) allocateAndWithdraw(t *testing.T, keys uint64) {
+	t.Helper()
+	for i := range keys {
+		if err := c.allocate(i+1, "once", fmt.Sprint("key", i)); err != nil {
+			t.Error(err)
 		}
-	})
+		if i%5 == 0 {
+			_, _ = c.Call(context.Background(), "withdraw", map[string]any{"ref": i + 1}) // may be answered already
+		}
+	}
+}
+
+// checkOneAnswerEach checks that each of so many requests had one answer.
+func (c *testClient) checkOneAnswerEach(t *testing.T, requests int) {
+	t.Helper()
+	answers := map[string]int{}
+	for _, n := range c.notifications() {
+		var ref int
+		if _, err := fmt.Sscanf(n, `answer{"ref":%d`, &ref); err == nil {
+			answers[fmt.Sprint(ref)]++
+		}
+	}
+	for i := range requests {
+		if n := answers[fmt.Sprint(i+1)]; n != 1 {
+			t.Errorf("ask %d has %d answers", i+1, n)
+		}
+	}
+}
+
+// testInvalidCalls makes calls that must be refused.
+func (c *testClient) testInvalidCalls(t *testing.T) {
+	for name, call := range map[string]func() error{
+		"ref not over":     func() error { _ = c.allocate(900, "free", "x"); return c.allocate(900, "free", "y") },
+		"unknown job type": func() error { return c.allocate(901, "none", "x") },
+		"no key":           func() error { return c.allocate(902, "free", "") },
+		"no ref":           func() error { return c.allocate(0, "free", "x") },
+		"unknown method":   func() error { _, err := c.Call(context.Background(), "shutdown", nil); return err },
+		"unknown field": func() error {
+			_, err := c.Call(context.Background(), "withdraw", map[string]any{"ref": 1, "x": 2})
+			return err
+		},
+		"nothing to withdraw": func() error {
+			_, err := c.Call(context.Background(), "withdraw", map[string]any{"ref": 12345})
+			return err
+		},
+	} {
+		if call() == nil {
+			t.Errorf("%s: no error", name)
+		}
+	}
 }
 
 func BenchmarkInbox(b *testing.B) {
@@ -277,8 +290,8 @@
 	}
 }
 
-// TestReceiverFenced fences a shard that was just given what ran at another: its maker has long forgotten it, yet the nodes'
-// word must bring it back to somebody, and each owner hears how it ended.
+// TestReceiverFenced fences a shard that was just handed what ran at another. The shard that made it has forgotten it, yet the nodes'
+// reports must bring it back to some shard, and the client is told how each ended.
 func TestReceiverFenced(t *testing.T) {
 	s := newTestCluster(t, 1, 8, false)
 	place := *s.siteConfig
@@ -335,7 +348,7 @@
 	waitFor(t, "each owner hears the end", func() bool { return len(served()) == 0 })
 }
 
-// waitFor waits for something that comes by itself within seconds.
+// waitFor waits for a condition, up to 6 s.
 func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for range 600 {
@@ -347,7 +360,7 @@
 	t.Fatalf("not in 6 s: %s", what)
 }
 
-// TestResizeRefused asks for numbers of shards that may not run.
+// TestResizeRefused resizes to numbers of shards that may not run.
 func TestResizeRefused(t *testing.T) {
 	s := newTestCluster(t, 1, 2, false)
 	place := *s.siteConfig
--- a/internal/serve/tenant_auth.go
+++ b/internal/serve/tenant_auth.go
@@ -3,101 +3,88 @@
 import (
 	"encoding/json"
 
-	"ravenpond/internal/decide/connadmission"
+	"github.com/creachadair/jrpc2"
+
 	"ravenpond/internal/decide/tenancy"
 )
 
-// authenticate binds a connection to a tenant, once.
-func (c *clientConn) authenticate(params json.RawMessage) error {
-	var request struct {
+// maxAuthFailures is how many tokens a connection may show that are not valid: guessing costs a connection for each few of them.
+const maxAuthFailures = 8
+
+// Codes of errors of the client protocol.
+const (
+	codeNotAllowed         = jrpc2.Code(-32001)
+	codeTooManyConnections = jrpc2.Code(-32002)
+)
+
+var (
+	// errNotAllowed says no more, as whoever receives it has shown no valid token.
+	errNotAllowed         = jrpc2.Errorf(codeNotAllowed, "not allowed")
+	errTooManyConnections = jrpc2.Errorf(codeTooManyConnections, "as many connections as may be")
+)
+
+// onAuthenticate takes the call authenticate, which binds the connection to a tenant, once.
+func (c *clientConn) onAuthenticate(params json.RawMessage) error {
+	var p struct {
 		Token string `json:"token"`
 	}
-	if err := decodeParams(params, &request); err != nil {
+	if err := decodeParams(params, &p); err != nil {
 		return err
 	}
-	s := c.server
-	s.routerMu.Lock()
-	verify := s.hosting.verify
-	s.routerMu.Unlock()
+	l := c.listener
+	verify := l.tenants.verifier()
 	if verify == nil {
 		return errNotAllowed
 	}
-	tenant, ok := verify(s.env.WallClock(), request.Token)
-	c.mu.Lock()
-	bound := c.tenant
-	c.mu.Unlock()
+	tenant, ok := verify(l.env.WallClock(), p.Token)
+	bound := c.boundTenant()
 	if !ok || bound != "" && bound != tenant {
-		c.authFailures++
-		if c.authFailures == maxAuthFailures { // who guesses pays with a connection for each few words
-			s.async(func() { c.disconnect("not allowed, again and again") })
-		}
-		return errNotAllowed
+		return c.onAuthFailure()
 	}
-	if !s.admitTenantConnection(c.id, tenant) {
-		s.log.Debug().Str("mode", "tenants").Str("tenant", tenant).Msg("one connection more than it may have")
-		return errTooManyConnections // it is a stranger still, and goes as one
+	stored, ok := l.tenants.tenant(tenant)
+	if !ok || !l.bindTenant(c.id, stored.Slot) {
+		l.log.Debug().Str("mode", "tenants").Str("tenant", tenant).Msg("one connection more than it may have")
+		return errTooManyConnections // it stays unauthenticated, and is closed as such
 	}
 	c.mu.Lock()
-	c.tenant, c.tokenID = tenant, request.Token[:12]
-	c.mu.Unlock()
+	defer c.mu.Unlock()
+	c.tenant, c.tokenID = tenant, p.Token[:tokenIDBytes]
 	return nil
 }
 
-// admitTenantConnection takes it that a connection is a tenant's; false if that has as many as it may.
-func (s *Server) admitTenantConnection(id uint32, tenant string) bool {
-	s.routerMu.Lock()
-	stored, ok := s.hosting.tenants.Get(tenant)
-	s.routerMu.Unlock()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return ok && s.admission.Authenticate(id, stored.Slot)
-}
+// tokenIDBytes is how many bytes of a token are its id.
+const tokenIDBytes = 12
 
-// admitBytes tells whether what an owner sends is read, and keeps in which time it may ask again if it sent too much.
-func (c *clientConn) admitBytes(bytes int) bool {
-	s := c.server
-	if !s.hostsTenants() || bytes == 0 {
-		return true
-	}
-	s.mu.Lock()
-	verdict, retryAfter := s.admission.OnBytes(s.env.Now(), c.id, bytes)
-	s.mu.Unlock()
-	c.retryAfter = retryAfter
-	if verdict == connadmission.Close {
-		c.disconnect("sent far more than it may")
+// onAuthFailure counts an invalid token, and disconnects the client after too many.
+func (c *clientConn) onAuthFailure() error {
+	c.authFailures++
+	if c.authFailures == maxAuthFailures {
+		c.listener.async(func() { c.disconnect("not allowed, again and again") })
 	}
-	return verdict != connadmission.Close
+	return errNotAllowed
 }
 
-// disconnectUnauthenticated ends callers that show no token in time.
-func (s *Server) disconnectUnauthenticated() {
-	s.mu.Lock()
-	var late []*clientConn
-	for _, id := range s.admission.AuthenticationExpired(s.env.Now()) {
-		if c := s.clients[id]; c != nil {
-			late = append(late, c)
-		}
-	}
-	s.mu.Unlock()
-	for _, c := range late {
-		c.disconnect("showed no token")
-	}
+// boundTenant returns the tenant that the connection has authenticated as, empty if none.
+func (c *clientConn) boundTenant() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.tenant
 }
 
-const maxAuthFailures = 8
+// authenticatedBy returns the id of the token that the connection has authenticated with, empty if none.
+func (c *clientConn) authenticatedBy() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.tokenID
+}
 
-// tenantSlot finds the slot of a tenant that a connection may ask for, -1 if it is removed: what is asked for it then is declined, as
-// whoever had a token must not wait for an answer that never comes.
+// tenantSlot returns the slot of a tenant that the connection may request for, -1 if the tenant is removed: such requests are shed, as
+// whoever had a valid token must not wait for an answer that never comes.
 func (c *clientConn) tenantSlot(name string) (slot int, err error) {
-	c.mu.Lock()
-	bound := c.tenant
-	c.mu.Unlock()
-	if bound == "" || bound != name {
+	if bound := c.boundTenant(); bound == "" || bound != name {
 		return 0, errNotAllowed
 	}
-	c.server.routerMu.Lock()
-	stored, ok := c.server.hosting.tenants.Get(name)
-	c.server.routerMu.Unlock()
+	stored, ok := c.listener.tenants.tenant(name)
 	switch {
 	case !ok:
 		return 0, errNotAllowed
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -4,401 +4,287 @@
 	"context"
 	"errors"
 	"slices"
+	"sync"
 	"time"
 
-	"github.com/creachadair/jrpc2"
-
 	"ravenpond/internal/decide/connadmission"
 	"ravenpond/internal/decide/quotalease"
-	"ravenpond/internal/decide/shardrouter"
 	"ravenpond/internal/decide/tenancy"
-	"ravenpond/internal/engine"
 	"ravenpond/internal/state/bolt"
 	"ravenpond/internal/state/tenants"
 )
 
-// Where tenants come and go, the store in the state folder says who they are. It is opened for a look at a time, so that
-// the command line and the administration can change it while the process runs.
-
-// TenantStore is that store.
+// TenantStore says which tenants there are. It is opened for one poll at a time, so that the command line and the administration can
+// change it while the process runs.
 type TenantStore interface {
+	// Fingerprint differs after each change.
 	Fingerprint() (uint64, error)
 	Read() (tenants.State, error)
-	TokenVerifier(known map[string]tenants.Token) func(now time.Time, shown string) (tenant string, ok bool)
+	TokenVerifier(known map[string]tenants.Token) tokenVerifier
 	FinishRemoval(now time.Time, name string) (bool, error)
 	Close() error
 }
 
-// Times in ms.
+// tokenVerifier returns the tenant of a token that is valid at a time.
+type tokenVerifier = func(now time.Time, token string) (tenant string, ok bool)
+
 const (
+	// tenantPollInterval is the time between two polls of the store, ms.
 	tenantPollInterval = 500
-	recoveryPeriod     = 20000 // of a life, after which nodes have told what they hold, but for those that are away
+	// recoveryPeriod is after how many ms of an incarnation all nodes that are reachable have reported what they hold.
+	recoveryPeriod = 20000
+	// storeOpenAttempts is how often a store is tried at a start. A process that gave up at once would not come back when it is started
+	// while somebody changes something.
+	storeOpenAttempts = 25
 )
 
-// tenantHosting is what is known of the tenants; under the desk.
+// tenantHosting knows the tenants where they come and go: their limits, their tokens, and what is left of those that are being removed.
+// Without hosted tenants it stays empty.
+//
+// The polls run one at a time, on a timer. mu is a leaf: it may be taken with the router's lock held, and no lock is taken under it.
 type tenantHosting struct {
-	loaded      bool
-	storeStamp  uint64
-	tenants     *tenancy.Registry
-	tokens      map[string]tenants.Token
-	verify      func(now time.Time, shown string) (tenant string, ok bool)
-	remaining   map[int]map[int]taskCount // by slot of those that are removed, and shard: what is left there
+	*process
+	shards    *shardSet
+	clients   *clientListener
+	endpoints *endpointList
+
+	// The polls alone use these.
 	startedAt   float64
-	lastFault   string
-	pumping     bool
-	plannedPump float64 // when lines are looked at again, 0: no plan
-	quotaLease  quotalease.Lease
+	lastFault   string // of the last poll, so that one that stays is logged once
+	loaded      bool
+	fingerprint uint64 // of the store when it was last read
+
+	mu         sync.Mutex // guards the fields below
+	registry   *tenancy.Registry
+	tokens     map[string]tenants.Token
+	verify     tokenVerifier             // nil until the store was read
+	remaining  map[int]map[int]taskCount // what shards hold of tenants that are being removed, by slot and shard
+	quotaLease quotalease.Lease
 }
 
-// errNotAllowed says nothing more to who may not.
-var errNotAllowed = jrpc2.Errorf(jrpc2.Code(-32001), "not allowed")
-
-// errTooManyConnections is told to who has shown a good token.
-var errTooManyConnections = jrpc2.Errorf(jrpc2.Code(-32002), "as many connections as may be")
-
-func (s *Server) hostsTenants() bool { return s.config.Site.MaxHostedTenants > 0 }
+func newTenantHosting(p *process, endpoints *endpointList) *tenantHosting {
+	return &tenantHosting{process: p, endpoints: endpoints, remaining: map[int]map[int]taskCount{}, registry: tenancy.New(p.config.Site.MaxHostedTenants)}
+}
 
-// startTenants looks at the store from now on.
-func (s *Server) startTenants() error {
-	if !s.hostsTenants() {
+// start reads the store, and polls it from now on. A damaged store is an error.
+func (h *tenantHosting) start() error {
+	if !h.hostsTenants() {
 		return nil
 	}
-	s.admission = connadmission.New(s.config.Site.MaxClients)
-	s.hosting.startedAt, s.hosting.remaining, s.hosting.tenants = s.env.Now(), map[int]map[int]taskCount{}, tenancy.New(s.config.Site.MaxHostedTenants)
-	if s.config.Tenants == nil {
-		s.config.Tenants = func() (TenantStore, error) { return tenants.Open(s.config.Folder, s.config.Site.MaxHostedTenants) }
-	}
-	if err := bolt.RetryWhileLocked(context.Background(), storeOpenAttempts, s.readTenants); err != nil { // a store that is damaged is to be seen at the start
+	h.startedAt = h.env.Now()
+	if err := bolt.RetryWhileLocked(context.Background(), storeOpenAttempts, h.read); err != nil {
 		return err
 	}
-	s.every(tenantPollInterval, func() {
-		s.pollTenants()
-		s.disconnectUnauthenticated()
+	h.every(tenantPollInterval, func() {
+		h.poll()
+		h.clients.disconnectUnauthenticated()
 	})
 	return nil
 }
 
-// storeOpenAttempts is how often a store is tried at a start: a process that gave up at once would not come back if it is started while
-// somebody changes something.
-const storeOpenAttempts = 25
+// openStore opens the store of the configuration, else that in the state folder.
+func (h *tenantHosting) openStore() (TenantStore, error) {
+	if h.config.Tenants != nil {
+		return h.config.Tenants()
+	}
+	return tenants.Open(h.config.Folder, h.config.Site.MaxHostedTenants)
+}
 
-// pollTenants looks once and logs a fault when it is a new one; what was known holds meanwhile.
-func (s *Server) pollTenants() {
+// poll reads the store if it has changed. While that fails, what was read last holds.
+func (h *tenantHosting) poll() {
 	fault := ""
-	if err := s.readTenants(); err != nil && !errors.Is(err, bolt.ErrLocked) {
+	if err := h.read(); err != nil && !errors.Is(err, bolt.ErrLocked) { // the command line has the store just now
 		fault = err.Error()
 	}
-	if fault != "" && fault != s.hosting.lastFault {
-		s.log.Error().Str("mode", "tenants").Msg(fault)
+	if fault != "" && fault != h.lastFault {
+		h.log.Error().Str("mode", "tenants").Msg(fault)
 	}
-	s.hosting.lastFault = fault
+	h.lastFault = fault
 }
 
-func (s *Server) readTenants() error {
-	store, err := s.config.Tenants()
+func (h *tenantHosting) read() error {
+	store, err := h.openStore()
 	if err != nil {
 		return err
 	}
-	defer store.Close()
-	stamp, err := store.Fingerprint()
+	defer func() { _ = store.Close() }() // each change was committed by itself
+	fingerprint, err := store.Fingerprint()
 	if err != nil {
 		return err
 	}
-	if !s.hosting.loaded || stamp != s.hosting.storeStamp {
+	if !h.loaded || fingerprint != h.fingerprint {
 		stored, err := store.Read()
 		if err != nil {
 			return err
 		}
-		s.hosting.storeStamp = stamp
-		s.applyTenants(stored, store.TokenVerifier(stored.Tokens))
+		h.fingerprint, h.loaded = fingerprint, true
+		h.apply(stored, store.TokenVerifier(stored.Tokens))
 	}
-	s.updateCapacity()
-	s.diagnostics.Do("lines", func() {
-		s.routerMu.Lock()
-		defer s.routerMu.Unlock()
-		ms, waiting := s.router.OldestWait(s.env.Now())
-		capacity, held := s.router.FillLevel()
-		s.log.Debug().Str("mode", "tenants").Float64("may_fill", capacity).Float64("held", held).Int("open", s.router.Open()).Int("waiting", waiting).Float64("longest", ms).Msg("lines")
-	})
-	return s.evictRemoved(store)
+	h.shards.setCapacity(h.endpoints.capacity())
+	h.diagnostics.Do("lines", h.shards.logQueues)
+	return h.evictRemoved(store)
 }
 
-// applyTenants takes what the store says now: limits, who takes nothing any more, whose token is gone.
-func (s *Server) applyTenants(stored tenants.State, verify func(time.Time, string) (string, bool)) {
-	now := s.env.Now()
-	s.routerMu.Lock()
-	h := &s.hosting
-	h.loaded, h.tenants, h.tokens, h.verify = true, stored.Tenants, stored.Tokens, verify
-	active := 0
+// apply takes over what the store says: limits, tenants that may submit nothing any more, tokens that were revoked.
+func (h *tenantHosting) apply(stored tenants.State, verify tokenVerifier) {
 	limits := map[int]connadmission.Limits{}
-	sharers, _ := h.quotaLease.Current(now)
-	for _, tenant := range stored.Tenants.All() {
-		if limits[tenant.Slot] = tenant.PolicyFor(s.quotaShare(sharers)).Connections; tenant.State == tenancy.Removed {
-			limits[tenant.Slot] = connadmission.Limits{}
-		}
-		if tenant.State == tenancy.Active {
-			active++
+	active := 0
+	rejected := h.shards.setTenants(func(now float64) []tenantPolicy {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.registry, h.tokens, h.verify = stored.Tenants, stored.Tokens, verify
+		sharers, _ := h.quotaLease.Current(now)
+		for _, tenant := range stored.Tenants.All() {
+			if limits[tenant.Slot] = tenant.PolicyFor(h.quotaShare(sharers)).Connections; tenant.State == tenancy.Removed {
+				limits[tenant.Slot] = connadmission.Limits{}
+			}
+			if tenant.State == tenancy.Active {
+				active++
+			}
 		}
-	}
-	rejected := s.setTenantLimits(now, sharers)
-	s.routerMu.Unlock()
-	s.mu.Lock()
-	for slot, limit := range limits {
-		s.admission.SetLimits(slot, limit)
-	}
-	s.mu.Unlock()
-	s.rejectAll(rejected)
-	s.log.Info().Str("mode", "tenants").Uint64("changes", stored.Changes).Int("active", active).Int("turned_away", len(rejected)).Msg("tenants read")
-	s.disconnectRevoked()
+		return h.policies(sharers)
+	})
+	h.clients.setLimits(limits)
+	h.shards.rejectAll(rejected)
+	h.log.Info().Str("mode", "tenants").Uint64("changes", stored.Changes).Int("active", active).Int("turned_away", len(rejected)).Msg("tenants read")
+	h.disconnectRevoked()
 }
 
-// quotaShare is what this process may use of all limits where so many share what is lent of them.
-func (s *Server) quotaShare(sharers int) quotalease.Share {
-	share := quotalease.Share{Places: s.config.Site.Cluster.Schedulers, Index: s.config.Index, Sharers: sharers}
-	if s.config.Site.Members.Listen != "" {
-		share.LeasedFraction = s.config.Site.Members.LeasedPart
-	}
-	return share
+// tenantPolicy is how a tenant's requests are treated.
+type tenantPolicy struct {
+	slot   int
+	policy tenancy.Policy
 }
 
-// setTenantLimits sets all tenants' limits by that part, and gives what waits of those that take nothing any more; under the desk.
-func (s *Server) setTenantLimits(now float64, sharers int) (rejected []shardrouter.Decision) {
-	for _, tenant := range s.hosting.tenants.All() {
-		rejected = append(rejected, s.router.SetTenant(now, tenant.Slot, tenant.PolicyFor(s.quotaShare(sharers)))...)
+// policies returns the policies of all tenants where the leased part of their limits is shared by so many. The caller holds mu.
+func (h *tenantHosting) policies(sharers int) (policies []tenantPolicy) {
+	for _, tenant := range h.registry.All() {
+		policies = append(policies, tenantPolicy{tenant.Slot, tenant.PolicyFor(h.quotaShare(sharers))})
 	}
-	return rejected
+	return policies
 }
 
-// checkQuotaLease holds the lease on what is lent of limits against the clock, before anything passes by them; under the desk.
-func (s *Server) checkQuotaLease(now float64) (rejected []shardrouter.Decision) {
-	sharers, changed := s.hosting.quotaLease.Current(now)
+// renewedPolicies returns the policies of all tenants if the lease on their limits began, ended or changed since the last call.
+func (h *tenantHosting) renewedPolicies(now float64) (policies []tenantPolicy, changed bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	sharers, changed := h.quotaLease.Current(now)
 	if !changed {
-		return nil
+		return nil, false
 	}
-	s.log.Info().Str("mode", "tenants").Int("share", sharers).Float64("lends", s.quotaShare(0).LeasedFraction).Msg("limits")
-	return s.setTenantLimits(now, sharers)
+	h.log.Info().Str("mode", "tenants").Int("share", sharers).Float64("lends", h.quotaShare(0).LeasedFraction).Msg("limits")
+	return h.policies(sharers), true
+}
+
+// setQuotaLease takes over how many share the leased part of the limits, and until when, ms.
+func (h *tenantHosting) setQuotaLease(sharers int, expiry float64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.quotaLease.Set(sharers, expiry)
 }
 
-// longestDeadline is the longest that an allocation may be open where limits are lent, ms: for so long what was lent stays in use.
-func (s *Server) longestDeadline() float64 { return slices.Max(s.config.Site.Deadlines) }
+// quotaShare returns the share of all limits that this process may use where so many share the leased part.
+func (h *tenantHosting) quotaShare(sharers int) quotalease.Share {
+	share := quotalease.Share{Places: h.config.Site.Cluster.Schedulers, Index: h.config.Index, Sharers: sharers}
+	if h.config.Site.Members.Listen != "" {
+		share.LeasedFraction = h.config.Site.Members.LeasedPart
+	}
+	return share
+}
 
-func (s *Server) leasesQuotas() bool { return s.hostsTenants() && s.quotaShare(0).LeasedFraction > 0 }
+// leasesQuotas reports whether schedulers lease parts of the tenants' limits to each other.
+func (h *tenantHosting) leasesQuotas() bool {
+	return h.hostsTenants() && h.quotaShare(0).LeasedFraction > 0
+}
 
-func (s *Server) rejectAll(rejected []shardrouter.Decision) {
-	for _, entry := range rejected {
-		s.deliver(s.requester(entry), entry, nil)
+// maxDeadline returns how long, in ms, an allocation may be open where limits are leased: for so long a lease stays in use. It returns 0
+// where they are not.
+func (h *tenantHosting) maxDeadline() float64 {
+	if !h.leasesQuotas() {
+		return 0
 	}
+	return slices.Max(h.config.Site.Deadlines)
 }
 
-// disconnectRevoked ends connections whose token is not good any more, by the store or by time.
-func (s *Server) disconnectRevoked() {
-	now := s.env.WallClock()
-	for _, c := range s.connectedClients() {
-		c.mu.Lock()
-		id := c.tokenID
-		c.mu.Unlock()
+// verifier returns the function that checks tokens, nil until the store was read.
+func (h *tenantHosting) verifier() tokenVerifier {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.verify
+}
+
+// tenant returns a tenant as it was last read.
+func (h *tenantHosting) tenant(name string) (tenancy.Tenant, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.registry.Get(name)
+}
+
+// disconnectRevoked closes connections whose token was revoked or has expired.
+func (h *tenantHosting) disconnectRevoked() {
+	now := h.env.WallClock()
+	for _, c := range h.clients.connected() {
+		id := c.authenticatedBy()
 		if id == "" {
 			continue
 		}
-		s.routerMu.Lock()
-		token, ok := s.hosting.tokens[id]
-		s.routerMu.Unlock()
+		h.mu.Lock()
+		token, ok := h.tokens[id]
+		h.mu.Unlock()
 		if !ok || !now.Before(token.Expires) {
 			c.disconnect("its token is not good any more")
 		}
 	}
 }
 
-// updateCapacity tells the desk how much there is to share, by the list: of nodes that take work, as far as they may be asked for.
-func (s *Server) updateCapacity() {
-	cluster := &s.config.Site.Cluster
-	var total, free shardrouter.Resources
-	s.mu.Lock()
-	for _, entry := range s.list.Entries() {
-		kind := slices.Index(s.config.Site.MachineKinds, entry.Kind)
-		if kind < 0 || entry.Avail != 1 {
-			continue
-		}
-		cores, memory := cluster.KindCores[kind]*cluster.CoresOvercommit, cluster.KindMemory[kind]*cluster.MemoryOvercommit
-		total.Cores, total.Memory = total.Cores+cores, total.Memory+memory
-		if cluster.ListsReportLoad { // what the list says is free is of the machine, not of what may be asked for
-			cores, memory = cores-cluster.KindCores[kind]+entry.FreeCores, memory-cluster.KindMemory[kind]+entry.FreeMemory
-		}
-		free.Cores, free.Memory = free.Cores+max(0, cores), free.Memory+max(0, memory)
-	}
-	s.mu.Unlock()
-	s.routerMu.Lock()
-	s.router.OnCapacity(shardrouter.Capacity{Total: total, Free: free, KnowsFree: cluster.ListsReportLoad})
-	s.routerMu.Unlock()
-}
-
-// evictRemoved ends what there is of tenants that are being removed, and the removal where nothing is left. After a restart nodes
-// may hold what this life has not heard of: a removal ends only when they had time to tell.
-func (s *Server) evictRemoved(store TenantStore) error {
-	now := s.env.Now()
-	s.routerMu.Lock()
-	shards := s.liveShardsLocked()
-	removing := s.hosting.tenants.All()
-	s.routerMu.Unlock()
-	for _, tenant := range removing {
+// evictRemoved ends what there is of tenants that are being removed, and the removal where nothing is left. After a restart nodes may hold
+// what this incarnation does not know: a removal ends only when they had time to report it.
+func (h *tenantHosting) evictRemoved(store TenantStore) error {
+	now := h.env.Now()
+	shards := h.shards.liveShards()
+	h.mu.Lock()
+	all := h.registry.All()
+	h.mu.Unlock()
+	for _, tenant := range all {
 		if tenant.State != tenancy.Removing {
 			continue
 		}
-		if s.holdsNothingOf(tenant.Slot, shards) && now-s.hosting.startedAt > recoveryPeriod {
-			if _, err := store.FinishRemoval(s.env.WallClock(), tenant.Name); err != nil {
+		if h.countedNothing(tenant.Slot, shards) && h.shards.tenantCount(tenant.Slot) == 0 && now-h.startedAt > recoveryPeriod {
+			if _, err := store.FinishRemoval(h.env.WallClock(), tenant.Name); err != nil {
 				return err
 			}
-			s.log.Info().Str("mode", "tenants").Str("tenant", tenant.Name).Msg("removed: nothing is left of it")
+			h.log.Info().Str("mode", "tenants").Str("tenant", tenant.Name).Msg("removed: nothing is left of it")
 			continue
 		}
 		for _, sh := range shards {
 			sh.post(func(now float64) {
-				remaining := sh.engine.EvictTenant(now, tenant.Slot, tenant.Removal == tenancy.StopRunning)
-				s.routerMu.Lock()
-				if s.hosting.remaining[tenant.Slot] == nil {
-					s.hosting.remaining[tenant.Slot] = map[int]taskCount{}
-				}
-				s.hosting.remaining[tenant.Slot][sh.index] = taskCount{incarnation: sh.incarnation, all: remaining}
-				s.routerMu.Unlock()
+				left := sh.engine.EvictTenant(now, tenant.Slot, tenant.Removal == tenancy.StopRunning)
+				h.setRemaining(tenant.Slot, sh.index, taskCount{incarnation: sh.incarnation, all: left})
 			})
 		}
 	}
 	return nil
 }
 
-// holdsNothingOf tells whether no shard holds anything of a tenant, as last counted.
-func (s *Server) holdsNothingOf(slot int, shards []*shard) bool {
-	s.routerMu.Lock()
-	defer s.routerMu.Unlock()
-	for _, sh := range shards {
-		if counts, ok := s.hosting.remaining[slot][sh.index]; !ok || counts.incarnation != sh.incarnation || counts.all > 0 || sh.fenced.Load() {
-			return false
-		}
-	}
-	return s.router.TenantCount(slot) == 0
-}
-
-// requester gives who asked. One that is gone has nothing to be told; the shard finds that out by itself.
-func (s *Server) requester(entry shardrouter.Decision) *clientConn {
-	if c := s.clientByID(entry.Request.Client); c != nil {
-		return c
-	}
-	return &clientConn{server: s, closed: true, requests: map[uint64]request{}}
-}
-
-// deliver has an ask go to the shard that the desk gave it to, or answers it. The shard is the one that entered gave, under the same
-// hold of the desk: a later life of it knows nothing of the epoch.
-func (s *Server) deliver(c *clientConn, entry shardrouter.Decision, sh *shard) {
-	ask := entry.Request
-	switch {
-	case entry.Queued:
-		return
-	case entry.IsRejected() && s.env.Now() >= ask.Deadline: // it stood still: its owner has given up by itself
-		c.closeRequest(ask.Ref)
-		return
-	case entry.IsRejected():
-		c.sendAnswer(ask.Ref, engine.Answer{Kind: engine.Declined, Reason: engine.AnswerReason(entry.Reason.String()), RetryAfter: entry.RetryAfter})
-		return
-	}
-	s.submit(c, sh, entry)
-}
-
-// queueState tells the desk of a shard's queue; under the desk.
-func (s *Server) queueState(now float64) shardrouter.ShardLoad {
-	return func(shard int) (float64, int) {
-		sh := s.shards[shard]
-		return sh.inbox.stalledFor(now), int(sh.queuedRequests.Load())
-	}
-}
-
-// pump lets asks go on whose turn has come.
-func (s *Server) pump() {
-	now := s.env.Now()
-	s.routerMu.Lock()
-	s.hosting.pumping = false
-	entries := append(s.checkQuotaLease(now), s.router.Dequeue(now, s.queueState(now))...)
-	shards, clients := make([]*shard, len(entries)), make([]*clientConn, len(entries))
-	for i, entry := range entries {
-		clients[i] = s.requester(entry)
-		shards[i] = s.recordRoute(clients[i], entry)
-	}
-	due := s.router.Due(now)
-	h := &s.hosting
-	plan := due < now+pumpHorizon && (h.plannedPump == 0 || due < h.plannedPump)
-	if plan {
-		h.plannedPump = due
-	}
-	s.routerMu.Unlock()
-	for i, entry := range entries {
-		s.deliver(clients[i], entry, shards[i])
-	}
-	if plan { // one plan at a time, or each call would bring another
-		s.env.After(max(1, due-now), func() {
-			s.routerMu.Lock()
-			if h.plannedPump == due {
-				h.plannedPump = 0
-			}
-			s.routerMu.Unlock()
-			s.pump()
-		})
+// setRemaining notes what a shard holds of a tenant that is being removed.
+func (h *tenantHosting) setRemaining(slot, shard int, left taskCount) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.remaining[slot] == nil {
+		h.remaining[slot] = map[int]taskCount{}
 	}
+	h.remaining[slot][shard] = left
 }
 
-// pumpSoon is how far ahead, in ms, a call is planned; what is due later finds another occasion.
-const (
-	pumpHorizon  = 200
-	pumpInterval = 100
-)
-
-// recordRoute notes where an ask went, and gives the shard; under the desk.
-func (s *Server) recordRoute(c *clientConn, entry shardrouter.Decision) *shard {
-	if entry.Queued || entry.IsRejected() {
-		return nil
-	}
-	if entry.Epoch > 0 {
-		s.shards[entry.Shard].queuedRequests.Add(1)
-	}
-	c.setShard(entry.Request.Ref, entry.Shard)
-	return s.shards[entry.Shard]
-}
-
-// pumpIfFree has asks go on when there is room for one; under the desk.
-func (s *Server) pumpIfFree() {
-	if !s.hosting.pumping && s.router.MayDequeue(s.env.Now()) {
-		s.hosting.pumping = true
-		s.async(s.pump)
-	}
-}
-
-// submit tells a shard of an ask.
-func (s *Server) submit(c *clientConn, sh *shard, entry shardrouter.Decision) {
-	ask, name := entry.Request, entry.ID
-	ok := sh.post(func(now float64) {
-		if entry.Epoch > 0 {
-			sh.roundRequests++
-		}
-		err := sh.engine.Allocate(now, engine.Request{
-			ID: requestID(&ask), Task: taskOf(name, &ask), TimeLeft: ask.Deadline - now, Epoch: s.currentEpoch(name, sh, entry.Epoch),
-		})
-		if err != nil && !sh.fenced.Load() { // the door lets no ref in twice: it was moved here by a fence
-			c.sendAnswer(ask.Ref, engine.Answer{Kind: engine.Declined, Reason: engine.ReasonAlreadyOpen})
-		}
-		if s.clientByID(ask.Client) == nil && s.hostsTenants() { // it waited in a line, and its owner has left meanwhile
-			sh.engine.OnClientDisconnected(now, ask.Client)
+// countedNothing reports whether no shard held anything of a tenant when it was last counted.
+func (h *tenantHosting) countedNothing(slot int, shards []*shard) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, sh := range shards {
+		counts, ok := h.remaining[slot][sh.index]
+		if !ok || counts.incarnation != sh.incarnation || counts.all > 0 || sh.fenced.Load() {
+			return false
 		}
-	})
-	if !ok && entry.Epoch == 0 { // the shard was fenced a moment ago; what was taken for it, its fence has answered or moved
-		c.sendAnswer(ask.Ref, engine.Answer{Kind: engine.Declined, Reason: reasonShardFenced})
-	}
-}
-
-// cancelQueued answers an ask that waits for its turn as its owner gives it up; false if it does not wait.
-func (s *Server) cancelQueued(c *clientConn, ref uint64) bool {
-	s.routerMu.Lock()
-	ok := s.router.Withdraw(c.id, ref)
-	s.routerMu.Unlock()
-	if ok {
-		c.sendAnswer(ref, engine.Answer{Kind: engine.Declined, Reason: engine.ReasonWithdrawn})
 	}
-	return ok
+	return true
 }
--- a/internal/serve/tenants_test.go
+++ b/internal/serve/tenants_test.go
@@ -21,51 +21,80 @@
 	"ravenpond/internal/state/tenants"
 )
 
-// startHosting starts a scheduler with tenants a and b, and gives a way to their store and a token each.
-func startHosting(t *testing.T) (s *testCluster, with func(do func(st *tenants.Store)), tokens map[string]string) {
+// hostingTest is a cluster whose scheduler hosts tenants a and b.
+type hostingTest struct {
+	*testCluster
+	folder  string            // the scheduler's state folder
+	tokens  map[string]string // a valid token of each tenant
+	address string            // where clients connect
+}
+
+// startHosting starts a scheduler with tenants a and b.
+func startHosting(t *testing.T) *hostingTest {
 	t.Helper()
-	s = newTestCluster(t, 1, 4, false)
-	place := *s.siteConfig
-	place.Shards, place.MaxShards, place.MaxHostedTenants = 2, 2, 4
-	place.Tenants, place.Shares = make([]string, 4), []float64{1, 1, 1, 1}
-	folder := filepath.Join(s.dir, "s0")
-	with = func(do func(st *tenants.Store)) {
-		for {
-			st, err := tenants.Open(folder, 4)
-			if errors.Is(err, bolt.ErrLocked) {
-				continue
-			}
-			if err != nil {
-				t.Fatal(err)
-			}
-			do(st)
-			st.Close()
-			return
-		}
-	}
-	tokens = map[string]string{}
-	with(func(st *tenants.Store) {
-		for _, name := range []string{"a", "b"} {
-			if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{
-				Kind: tenancy.Add, Name: name,
-				Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 50}},
-			}); fault != nil || err != nil {
-				t.Fatal(fault, err)
-			}
+	h := &hostingTest{testCluster: newTestCluster(t, 1, 4, false), tokens: map[string]string{}}
+	h.folder = filepath.Join(h.dir, "s0")
+	for _, name := range []string{"a", "b"} {
+		h.change(t, tenancy.Change{
+			Kind: tenancy.Add, Name: name,
+			Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 50}},
+		})
+		h.withStore(t, func(store *tenants.Store) {
 			var err error
-			if tokens[name], err = st.IssueToken(time.Now(), "test", name, time.Hour); err != nil {
+			if h.tokens[name], err = store.IssueToken(time.Now(), "test", name, time.Hour); err != nil {
 				t.Fatal(err)
 			}
-		}
-	})
-	s.world.WithLock(func(float64) {
-		for _, n := range s.nodes {
+		})
+	}
+	h.world.WithLock(func(float64) {
+		for _, n := range h.nodes {
 			n.Tenants = 4
 		}
 	})
-	s.start(0, place, Faults{})
+	siteConfig := *h.siteConfig
+	siteConfig.Shards, siteConfig.MaxShards, siteConfig.MaxHostedTenants = 2, 2, 4
+	siteConfig.Tenants, siteConfig.Shares = make([]string, 4), []float64{1, 1, 1, 1}
+	h.start(0, siteConfig, Faults{})
 	time.Sleep(1800 * time.Millisecond)
-	return s, with, tokens
+	h.address = h.clients[0].SchedulerAddress()
+	return h
+}
+
+// withStore opens the tenants' store for a call, once the scheduler does not have it open.
+func (h *hostingTest) withStore(t *testing.T, do func(store *tenants.Store)) {
+	t.Helper()
+	for {
+		store, err := tenants.Open(h.folder, 4)
+		if errors.Is(err, bolt.ErrLocked) {
+			continue
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		do(store)
+		_ = store.Close()
+		return
+	}
+}
+
+// change changes a tenant.
+func (h *hostingTest) change(t *testing.T, change tenancy.Change) {
+	t.Helper()
+	h.withStore(t, func(store *tenants.Store) {
+		if _, fault, err := store.Apply(time.Now(), "test", "", change); fault != nil || err != nil {
+			t.Fatal(fault, err)
+		}
+	})
+}
+
+// connectAs connects a client that authenticates as a tenant.
+func (h *hostingTest) connectAs(t *testing.T, tenant string) *testClient {
+	t.Helper()
+	c := connect(t, h.address)
+	if c.authenticate(h.tokens[tenant]) != nil {
+		t.Fatal("not let in")
+	}
+	return c
 }
 
 func (c *testClient) authenticate(token string) error {
@@ -81,235 +110,266 @@
 	return err
 }
 
+// count returns how often a text is in the notifications.
 func (c *testClient) count(what string) int {
 	return strings.Count(strings.Join(c.notifications(), "\n"), what)
 }
 
-// TestHosting has tenants ask with their tokens and without, and one paused, resumed and removed while it asks.
+// TestHosting has tenants request with their tokens and without, and one paused, resumed and removed while it requests.
 func TestHosting(t *testing.T) {
 	t.Parallel()
-	s, with, tokens := startHosting(t)
-	addr := s.clients[0].SchedulerAddress()
-	t.Run("who may ask", func(t *testing.T) {
-		for _, c := range []struct {
-			name, token, tenant string
-			ok                  bool
-		}{
-			{"without a token", "", "a", false},
-			{"with its own", tokens["a"], "a", true},
-			{"for another tenant", tokens["b"], "a", false},
-			{"with a token made up", strings.Repeat("x", len(tokens["a"])), "a", false},
-			{"for nobody", tokens["a"], "", false},
-		} {
-			t.Run(c.name, func(t *testing.T) {
-				o := connect(t, addr)
-				if c.token != "" {
-					_ = o.authenticate(c.token)
-				}
-				err := o.allocateFor(c.tenant, 1, "free")
-				if (err == nil) != c.ok || err != nil && !strings.Contains(err.Error(), "not allowed") {
-					t.Fatal(err)
-				}
-				if c.ok {
-					waitFor(t, "served", func() bool { return o.count(`"answer":"served"`) == 1 })
-				}
-			})
-		}
-	})
-	t.Run("who guesses is cut off", func(t *testing.T) {
-		o := connect(t, addr)
-		for range maxAuthFailures {
-			if err := o.authenticate(tokens["a"][:13] + strings.Repeat("y", 32)); err == nil {
-				t.Fatal("let in")
-			}
-		}
-		waitFor(t, "cut off", func() bool {
-			err := o.authenticate(tokens["a"])
-			var e *jrpc2.Error
-			return err != nil && !errors.As(err, &e)
-		})
-	})
-	a, b := connect(t, addr), connect(t, addr)
-	if a.authenticate(tokens["a"]) != nil || b.authenticate(tokens["b"]) != nil {
-		t.Fatal("not let in")
+	h := startHosting(t)
+	t.Run("who may ask", h.testAccess)
+	t.Run("who guesses is cut off", h.testGuessing)
+	r := &removalTest{hostingTest: h, a: h.connectAs(t, "a"), b: h.connectAs(t, "b"), lastRef: 1000}
+	t.Run("paused and resumed", r.testPause)
+	t.Run("removed while it asks", r.testRemoval)
+	if breaks, _ := h.violations(); len(breaks) > 0 {
+		t.Error(breaks)
 	}
-	change := func(k tenancy.Kind, e tenancy.RemovalMode) {
-		with(func(st *tenants.Store) {
-			if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{Kind: k, Name: "a", Removal: e}); fault != nil || err != nil {
-				t.Fatal(fault, err)
+}
+
+// testAccess requests with tokens and tenants that fit, and that do not.
+func (h *hostingTest) testAccess(t *testing.T) {
+	for _, c := range []struct {
+		name, token, tenant string
+		ok                  bool
+	}{
+		{"without a token", "", "a", false},
+		{"with its own", h.tokens["a"], "a", true},
+		{"for another tenant", h.tokens["b"], "a", false},
+		{"with a token made up", strings.Repeat("x", len(h.tokens["a"])), "a", false},
+		{"for nobody", h.tokens["a"], "", false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			o := connect(t, h.address)
+			if c.token != "" {
+				_ = o.authenticate(c.token)
 			}
-		})
-	}
-	const removed = "declined while removed"
-	ref := uint64(1000)
-	until := func(what, answer string) { // it asks until the scheduler has read what changed
-		waitFor(t, what, func() bool {
-			ref++
-			if err := a.allocateFor("a", ref, "free"); err != nil {
-				return what == removed // the removal may be over by now, and the token gone with it
+			err := o.allocateFor(c.tenant, 1, "free")
+			if (err == nil) != c.ok || err != nil && !strings.Contains(err.Error(), "not allowed") {
+				t.Fatal(err)
+			}
+			if c.ok {
+				waitFor(t, "served", func() bool { return o.count(`"answer":"served"`) == 1 })
 			}
-			time.Sleep(50 * time.Millisecond)
-			return a.count(answer) > 0
 		})
 	}
-	t.Run("paused and resumed", func(t *testing.T) {
-		change(tenancy.Pause, 0)
-		until("declined while paused", `"answer":"declined","why":"over-share"`)
-		change(tenancy.Resume, 0)
-		before := a.count(`"answer":"served"`)
-		waitFor(t, "served again", func() bool {
-			ref++
-			_ = a.allocateFor("a", ref, "free")
-			time.Sleep(50 * time.Millisecond)
-			return a.count(`"answer":"served"`) > before
-		})
+}
+
+// testGuessing shows invalid tokens until the connection is closed.
+func (h *hostingTest) testGuessing(t *testing.T) {
+	o := connect(t, h.address)
+	for range maxAuthFailures {
+		if err := o.authenticate(h.tokens["a"][:13] + strings.Repeat("y", 32)); err == nil {
+			t.Fatal("let in")
+		}
+	}
+	waitFor(t, "cut off", func() bool {
+		err := o.authenticate(h.tokens["a"])
+		var e *jrpc2.Error
+		return err != nil && !errors.As(err, &e)
 	})
-	t.Run("removed while it asks", func(t *testing.T) {
-		const many = 60
-		for i := range uint64(many) {
-			if err := a.allocateFor("a", 100+i, []string{"free", "once"}[i%2]); err != nil {
-				t.Fatal(err)
-			}
+}
+
+// removalTest pauses, resumes and removes tenant a while clients of both tenants request.
+type removalTest struct {
+	*hostingTest
+	a, b    *testClient // clients of the tenants a and b
+	lastRef uint64      // of client a
+}
+
+func (r *removalTest) changeA(t *testing.T, kind tenancy.Kind, removal tenancy.RemovalMode) {
+	t.Helper()
+	r.change(t, tenancy.Change{Kind: kind, Name: "a", Removal: removal})
+}
+
+const removed = "declined while removed"
+
+// requestUntil has client a request until the scheduler has read what changed, and answers so.
+func (r *removalTest) requestUntil(t *testing.T, what, answer string) {
+	t.Helper()
+	waitFor(t, what, func() bool {
+		r.lastRef++
+		if err := r.a.allocateFor("a", r.lastRef, "free"); err != nil {
+			return what == removed // the removal may be over by now, and the token gone with it
 		}
-		change(tenancy.Remove, tenancy.StopRunning)
-		until(removed, `"why":"tenant-removed"`)
-		if err := b.allocateFor("b", 1, "free"); err != nil {
-			t.Error(err)
+		time.Sleep(50 * time.Millisecond)
+		return r.a.count(answer) > 0
+	})
+}
+
+func (r *removalTest) testPause(t *testing.T) {
+	r.changeA(t, tenancy.Pause, 0)
+	r.requestUntil(t, "declined while paused", `"answer":"declined","why":"over-share"`)
+	r.changeA(t, tenancy.Resume, 0)
+	before := r.a.count(`"answer":"served"`)
+	waitFor(t, "served again", func() bool {
+		r.lastRef++
+		_ = r.a.allocateFor("a", r.lastRef, "free")
+		time.Sleep(50 * time.Millisecond)
+		return r.a.count(`"answer":"served"`) > before
+	})
+}
+
+func (r *removalTest) testRemoval(t *testing.T) {
+	const many = 60
+	for i := range uint64(many) {
+		if err := r.a.allocateFor("a", 100+i, []string{"free", "once"}[i%2]); err != nil {
+			t.Fatal(err)
 		}
-		waitFor(t, "all are answered", func() bool {
-			for i := range many {
-				if a.count(fmt.Sprintf(`answer{"ref":%d,`, 100+i)) != 1 {
-					return false
-				}
-			}
-			return true
-		})
-		waitFor(t, "the other is served", func() bool { return b.count(`"answer":"served"`) == 1 })
-		waitFor(t, "nothing of it runs", func() bool {
-			held := 0
-			s.world.WithLock(func(float64) {
-				for _, n := range s.nodes {
-					held += n.Machine.TaskCount()
-				}
-			})
-			return held <= 1 // the other's
-		})
-		for range 500 { // nodes had time to tell what they hold, then the removal is over
-			var state tenancy.State
-			with(func(st *tenants.Store) {
-				all, err := st.Read()
-				if err != nil {
-					t.Fatal(err)
-				}
-				a, _ := all.Tenants.Get("a")
-				state = a.State
-			})
-			if state == tenancy.Removed {
-				return
+	}
+	r.changeA(t, tenancy.Remove, tenancy.StopRunning)
+	r.requestUntil(t, removed, `"why":"tenant-removed"`)
+	if err := r.b.allocateFor("b", 1, "free"); err != nil {
+		t.Error(err)
+	}
+	waitFor(t, "all are answered", func() bool {
+		for i := range many {
+			if r.a.count(fmt.Sprintf(`answer{"ref":%d,`, 100+i)) != 1 {
+				return false
 			}
-			time.Sleep(50 * time.Millisecond)
 		}
-		t.Error("the removal does not end")
+		return true
 	})
-	if breaks, _ := s.violations(); len(breaks) > 0 {
-		t.Error(breaks)
+	waitFor(t, "the other is served", func() bool { return r.b.count(`"answer":"served"`) == 1 })
+	waitFor(t, "nothing of it runs", func() bool {
+		return r.runningTasks() <= 1 // the other's
+	})
+	for range 500 { // nodes had time to report what they hold, then the removal is over
+		if r.stateOfA(t) == tenancy.Removed {
+			return
+		}
+		time.Sleep(50 * time.Millisecond)
 	}
+	t.Error("the removal does not end")
 }
 
-// TestConnectionLimits bounds connections and bytes of each tenant, and callers that show no token; the other tenant notices nothing.
-func TestConnectionLimits(t *testing.T) {
-	t.Parallel()
-	s, with, tokens := startHosting(t)
-	addr := s.clients[0].SchedulerAddress()
-	with(func(st *tenants.Store) {
-		if _, fault, err := st.Apply(time.Now(), "test", "", tenancy.Change{Kind: tenancy.Limit, Name: "a", Limits: tenancy.Limits{
-			Limits: fairqueue.Limits{Share: 1, MaxWaiting: 50}, MaxConns: 2, BytesPerSecond: 2000,
-		}}); fault != nil || err != nil {
-			t.Fatal(fault, err)
+// runningTasks counts the tasks on all nodes.
+func (r *removalTest) runningTasks() (tasks int) {
+	r.world.WithLock(func(float64) {
+		for _, n := range r.nodes {
+			tasks += n.Machine.TaskCount()
 		}
 	})
-	a, b := connect(t, addr), connect(t, addr)
-	if a.authenticate(tokens["a"]) != nil || b.authenticate(tokens["b"]) != nil {
-		t.Fatal("not let in")
-	}
-	asks := uint64(0)
-	served := func(what string) {
-		t.Helper()
-		asks++
-		before := b.count(`"answer":"served"`)
-		if err := b.allocateFor("b", asks, "free"); err != nil {
-			t.Fatal(what, err)
+	return tasks
+}
+
+// stateOfA reads the state of tenant a.
+func (r *removalTest) stateOfA(t *testing.T) (state tenancy.State) {
+	t.Helper()
+	r.withStore(t, func(store *tenants.Store) {
+		all, err := store.Read()
+		if err != nil {
+			t.Fatal(err)
 		}
-		waitFor(t, what, func() bool { return b.count(`"answer":"served"`) == before+1 })
-	}
-	t.Run("connections", func(t *testing.T) {
-		var second *testClient
-		waitFor(t, "a third is told that it is too many", func() bool {
-			second = connect(t, addr)
-			if second.authenticate(tokens["a"]) != nil { // those of the last round are not gone yet
-				second.Close()
-				return false
-			}
-			third := connect(t, addr)
-			err := third.authenticate(tokens["a"])
-			if err != nil && !strings.Contains(err.Error(), "as many connections") {
-				t.Fatal(err)
-			}
-			if err == nil { // the limit has not been read
-				second.Close()
-				third.Close()
-				return false
-			}
-			return third.allocateFor("a", 1, "free") != nil
-		})
-		second.Close()
-		waitFor(t, "another when one has gone", func() bool { return connect(t, addr).authenticate(tokens["a"]) == nil })
-		served("the other tenant")
+		a, _ := all.Tenants.Get("a")
+		state = a.State
 	})
-	t.Run("bytes", func(t *testing.T) {
-		waitFor(t, "declined with a time to come back", func() bool {
-			asks++
-			_ = a.allocateFor("a", asks, "free")
-			return a.count(`"why":"too-many-bytes","hold-off-ms":`) > 0
-		})
-		served("the other tenant")
-		before := a.count(`"answer":"served"`)
-		waitFor(t, "served again in time", func() bool {
-			time.Sleep(700 * time.Millisecond)
-			asks++
-			return a.allocateFor("a", asks, "free") == nil && a.count(`"answer":"served"`) > before
-		})
-		waitFor(t, "ended when it goes on", func() bool {
-			for range 50 {
-				asks++
-				if a.allocateFor("a", asks, "free") != nil {
-					return true
-				}
-			}
+	return state
+}
+
+// TestConnectionLimits bounds connections and bytes of each tenant, and clients that show no token. The other tenant notices nothing.
+func TestConnectionLimits(t *testing.T) {
+	t.Parallel()
+	h := startHosting(t)
+	h.change(t, tenancy.Change{Kind: tenancy.Limit, Name: "a", Limits: tenancy.Limits{
+		Limits: fairqueue.Limits{Share: 1, MaxWaiting: 50}, MaxConns: 2, BytesPerSecond: 2000,
+	}})
+	l := &limitsTest{hostingTest: h, a: h.connectAs(t, "a"), b: h.connectAs(t, "b")}
+	t.Run("connections", l.testConnections)
+	t.Run("bytes", l.testBytes)
+	t.Run("no token", l.testUnauthenticated)
+}
+
+// limitsTest exceeds the limits of tenant a while tenant b requests.
+type limitsTest struct {
+	*hostingTest
+	a, b    *testClient // clients of the tenants a and b
+	lastRef uint64
+}
+
+// serveOther has tenant b request, and waits until it is served.
+func (l *limitsTest) serveOther(t *testing.T) {
+	t.Helper()
+	const what = "the other tenant"
+	l.lastRef++
+	before := l.b.count(`"answer":"served"`)
+	if err := l.b.allocateFor("b", l.lastRef, "free"); err != nil {
+		t.Fatal(what, err)
+	}
+	waitFor(t, what, func() bool { return l.b.count(`"answer":"served"`) == before+1 })
+}
+
+func (l *limitsTest) testConnections(t *testing.T) {
+	var second *testClient
+	waitFor(t, "a third is told that it is too many", func() bool {
+		second = connect(t, l.address)
+		if second.authenticate(l.tokens["a"]) != nil { // those of the last round are not gone yet
+			_ = second.Close()
 			return false
-		})
-		served("the other tenant")
+		}
+		third := connect(t, l.address)
+		err := third.authenticate(l.tokens["a"])
+		if err != nil && !strings.Contains(err.Error(), "as many connections") {
+			t.Fatal(err)
+		}
+		if err == nil { // the limit has not been read
+			_ = second.Close()
+			_ = third.Close()
+			return false
+		}
+		return third.allocateFor("a", 1, "free") != nil
 	})
-	t.Run("no token", func(t *testing.T) {
-		for range 400 { // more than may be there at once
-			silent, err := net.Dial("tcp", addr)
-			if err != nil {
-				t.Fatal(err)
+	_ = second.Close()
+	waitFor(t, "another when one has gone", func() bool { return connect(t, l.address).authenticate(l.tokens["a"]) == nil })
+	l.serveOther(t)
+}
+
+func (l *limitsTest) testBytes(t *testing.T) {
+	waitFor(t, "declined with a time to come back", func() bool {
+		l.lastRef++
+		_ = l.a.allocateFor("a", l.lastRef, "free")
+		return l.a.count(`"why":"too-many-bytes","hold-off-ms":`) > 0
+	})
+	l.serveOther(t)
+	before := l.a.count(`"answer":"served"`)
+	waitFor(t, "served again in time", func() bool {
+		time.Sleep(700 * time.Millisecond)
+		l.lastRef++
+		return l.a.allocateFor("a", l.lastRef, "free") == nil && l.a.count(`"answer":"served"`) > before
+	})
+	waitFor(t, "ended when it goes on", func() bool {
+		for range 50 {
+			l.lastRef++
+			if l.a.allocateFor("a", l.lastRef, "free") != nil {
+				return true
 			}
-			defer silent.Close()
 		}
-		served("the other tenant")
-		late := connect(t, addr)
-		if err := late.authenticate(tokens["b"]); err != nil {
-			t.Error(err)
+		return false
+	})
+	l.serveOther(t)
+}
+
+func (l *limitsTest) testUnauthenticated(t *testing.T) {
+	for range 400 { // more than may be there at once
+		silent, err := net.Dial("tcp", l.address)
+		if err != nil {
+			t.Fatal(err)
 		}
-		long := connect(t, addr)
-		waitFor(t, "one that shows none in time ends", func() bool {
-			err := long.allocateFor("a", 1, "free")
-			return err != nil && !strings.Contains(err.Error(), "not allowed")
-		})
-		served("the other tenant")
+		defer func() { _ = silent.Close() }()
+	}
+	l.serveOther(t)
+	late := connect(t, l.address)
+	if err := late.authenticate(l.tokens["b"]); err != nil {
+		t.Error(err)
+	}
+	long := connect(t, l.address)
+	waitFor(t, "one that shows none in time ends", func() bool {
+		err := long.allocateFor("a", 1, "free")
+		return err != nil && !strings.Contains(err.Error(), "not allowed")
 	})
+	l.serveOther(t)
 }
 
 // TestStartWhileHeld starts a scheduler while somebody changes the tenants: it waits for the store.
@@ -322,12 +382,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.AfterFunc(time.Second, func() { st.Close() })
+	time.AfterFunc(time.Second, func() { _ = st.Close() })
 	s.start(0, place, Faults{}) // fails the test if the scheduler ends
 }
 
-// TestTLSListener asks over TLS; who speaks none, an older one, or begins a handshake and says no more gets no further, and keeps
-// nobody out.
+// TestTLSListener requests over TLS. Clients without TLS, with an older version, or that stop in the handshake get no further, and keep no
+// other out.
 func TestTLSListener(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), "keys")
@@ -358,10 +418,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer silent.Close()
+		defer func() { _ = silent.Close() }()
 	}
 	if c, err := tls.Dial("tcp", addr, &tls.Config{RootCAs: pool, MaxVersion: tls.VersionTLS12}); err == nil {
-		c.Close()
+		_ = c.Close()
 		t.Error("an older TLS was spoken")
 	}
 	plain := connect(t, addr)
--- a/internal/serve/workingset_test.go
+++ b/internal/serve/working_set_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"path/filepath"
-	"strings"
 	"testing"
 	"time"
 
@@ -20,16 +19,24 @@
 	setLeast      = 12 // a node is in one set in the mean
 )
 
-// newWorkingSetCluster is a stage with one of five schedulers, each of which works with a fifth of the nodes.
-func newWorkingSetCluster(t *testing.T, p Faults) (s *testCluster, v *workingSet, address string) {
+// workingSetCluster is a cluster with one of five schedulers, each of which works with a fifth of the nodes.
+type workingSetCluster struct {
+	*testCluster
+	set     *workingSet
+	address string // where clients connect
+}
+
+// newWorkingSetCluster starts the scheduler, and waits until it has visited all nodes.
+func newWorkingSetCluster(t *testing.T, faults Faults) *workingSetCluster {
 	t.Helper()
-	s = newTestCluster(t, setSchedulers, setNodes, false)
+	s := newTestCluster(t, setSchedulers, setNodes, false)
 	began := make(chan *workingSet, 1)
-	s.configure = func(who *Config) { who.OnLocalListener = func(l *LocalListener) { began <- l.server.workingSet } }
-	s.start(0, s.workingSetSite(), p)
-	v = <-began
-	waitFor(t, "a settled set", func() bool { return v.isSettled() })
-	return s, v, s.clients[0].SchedulerAddress()
+	s.configure = func(config *Config) { config.OnLocalListener = func(l *LocalListener) { began <- l.server.workingSet } }
+	s.start(0, s.workingSetSite(), faults)
+	c := &workingSetCluster{testCluster: s, set: <-began}
+	waitFor(t, "a settled set", func() bool { return c.set.isSettled() })
+	c.address = s.clients[0].SchedulerAddress()
+	return c
 }
 
 // workingSetSite is the stage's site with a working set.
@@ -40,29 +47,29 @@
 	return siteConfig
 }
 
-// isSettled tells that all nodes outside have been visited, and left where nothing stands.
-func (v *workingSet) isSettled() bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for _, state := range v.nodeStates {
+// isSettled reports whether all nodes outside have been visited, and disconnected where no task runs.
+func (w *workingSet) isSettled() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, state := range w.nodeStates {
 		if state == nodeAside {
 			return false
 		}
 	}
-	return v.set.Size() > 0 && v.visits.Pending() == 0
+	return w.set.Size() > 0 && w.visits.Pending() == 0
 }
 
-// setMembers has the set be shared out among others than before.
-func (v *workingSet) setMembers(names ...string) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.set.SetMembers(v.server.env.Now(), names)
+// setMembers has the set shared by others than before.
+func (w *workingSet) setMembers(names ...string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.set.SetMembers(w.env.Now(), names)
 }
 
-func (v *workingSet) size() int {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.set.Size()
+func (w *workingSet) size() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.set.Size()
 }
 
 // linked counts nodes that are connected to a scheduler.
@@ -81,8 +88,9 @@
 // as its set has nodes, and breaks no rule.
 func TestWorkingSetConnections(t *testing.T) {
 	t.Parallel()
-	s, v, _ := newWorkingSetCluster(t, Faults{})
-	s.load(6000, 5, "0012") // so few that its load asks for no larger set
+	s := newWorkingSetCluster(t, Faults{})
+	v := s.set
+	s.load(6000, 5, "0012") // so few that its load needs no larger set
 	waitFor(t, "idle connections to end", func() bool { return v.isSettled() && s.linked("s0") == v.size() })
 	if size := v.size(); size < setLeast/2 || size > 3*setLeast {
 		t.Errorf("%d nodes in the set", size)
@@ -101,57 +109,57 @@
 	}
 }
 
-// tasksOutside runs tasks and has the nodes be shared out anew, until the tasks have ended.
-//
-// It tells of how many tasks the owner heard that they ended, and of how many that they were lost.
-func tasksOutside(t *testing.T, p Faults) (ended, lost int, v *workingSet, s *testCluster) {
-	s, v, address := newWorkingSetCluster(t, p)
-	c := connect(t, address)
+// runTasksOutside runs tasks and has their nodes leave the set, until the tasks have ended. It returns of how many tasks the client was told
+// that they ended, and of how many that they were lost.
+func (s *workingSetCluster) runTasksOutside(t *testing.T) (ended, lost int) {
+	t.Helper()
+	c := connect(t, s.address)
 	const tasks = 30
 	for ref := range uint64(tasks) {
 		if err := c.allocate(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	count := func(what string) int { return strings.Count(strings.Join(c.notifications(), "\n"), what) }
-	waitFor(t, "tasks to run", func() bool { return count(`"served"`) == tasks })
-	v.setMembers("x", "y", "z", "w")
-	for end := time.Now().Add(12 * time.Second); count("over") < tasks && time.Now().Before(end); { // lost ones take 8 s
+	waitFor(t, "tasks to run", func() bool { return c.count(`"served"`) == tasks })
+	s.set.setMembers("x", "y", "z", "w")
+	for end := time.Now().Add(12 * time.Second); c.count("over") < tasks && time.Now().Before(end); { // lost ones take 8 s
 		time.Sleep(10 * time.Millisecond)
 	}
-	return count(`"ended"`), tasks - count(`"ended"`), v, s
+	ended = c.count(`"ended"`)
+	return ended, tasks - ended
 }
 
-// TestTaskOutsideTheSet runs tasks at nodes that leave the set: each is heard to end, and only then is its node left.
+// TestTaskOutsideTheSet runs tasks on nodes that leave the set: each is told to end, and only then is its node disconnected.
 func TestTaskOutsideTheSet(t *testing.T) {
 	t.Parallel()
-	ended, lost, v, s := tasksOutside(t, Faults{})
-	if lost > 0 {
+	s := newWorkingSetCluster(t, Faults{})
+	if ended, lost := s.runTasksOutside(t); lost > 0 {
 		t.Errorf("%d tasks ended, %d were lost", ended, lost)
 	}
-	waitFor(t, "idle connections to end", func() bool { return v.isSettled() && s.linked("s0") == v.size() })
+	waitFor(t, "idle connections to end", func() bool { return s.set.isSettled() && s.linked("s0") == s.set.size() })
 }
 
-// TestAbandonedTaskIsRecovered plants a scheduler that hangs up on nodes outside its set whatever runs there.
+// TestAbandonedTaskIsRecovered injects a scheduler that disconnects nodes outside its set whatever runs there.
 func TestAbandonedTaskIsRecovered(t *testing.T) {
 	t.Parallel()
-	if _, lost, _, _ := tasksOutside(t, Faults{AbandonTasks: true}); lost == 0 {
+	if _, lost := newWorkingSetCluster(t, Faults{AbandonTasks: true}).runTasksOutside(t); lost == 0 {
 		t.Error("tasks without a way home are not found")
 	}
 }
 
-// TestNodeOutsideTheSetDies has a node die that left the set while tasks run there: their owner hears of it within the
-// patience that a broken connection has.
+// TestNodeOutsideTheSetDies has a node die that left the set while tasks run there: their client is told within the
+// time that a broken connection is given.
 func TestNodeOutsideTheSetDies(t *testing.T) {
 	t.Parallel()
-	s, v, address := newWorkingSetCluster(t, Faults{})
+	s := newWorkingSetCluster(t, Faults{})
+	v, address := s.set, s.address
 	c := connect(t, address)
 	for ref := range uint64(30) {
 		if err := c.allocate(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.notifications(), "\n"), `"served"`) == 30 })
+	waitFor(t, "tasks to run", func() bool { return c.count(`"served"`) == 30 })
 	before := map[uint32]bool{}
 	v.mu.Lock()
 	for id, state := range v.nodeStates {
@@ -173,15 +181,16 @@
 	if died == 0 {
 		t.Fatal("no task at a node outside the set")
 	}
-	waitFor(t, "the owner to hear of all", func() bool { return strings.Count(strings.Join(c.notifications(), "\n"), "over") == 30 })
-	if lost := strings.Count(strings.Join(c.notifications(), "\n"), `"lost"`); lost != died || time.Since(at) > 8500*time.Millisecond {
+	waitFor(t, "the owner to hear of all", func() bool { return c.count("over") == 30 })
+	if lost := c.count(`"lost"`); lost != died || time.Since(at) > 8500*time.Millisecond {
 		t.Errorf("%d tasks were at nodes that died, %d are told lost after %v", died, lost, time.Since(at))
 	}
 }
 
-// restartElsewhere runs tasks, starts the scheduler anew with a set of other nodes, and asks for the same tasks again. It
-// tells how often they were started in all.
+// restartElsewhere runs tasks, restarts the scheduler with a set of other nodes, and requests the same tasks again. It returns how often
+// they were started in all.
 func restartElsewhere(t *testing.T, p Faults) (tasks, starts int) {
+	t.Helper()
 	s := newTestCluster(t, setSchedulers, setNodes, false)
 	place := s.workingSetSite()
 	place.ListAddress = s.list.Address()
@@ -212,14 +221,14 @@
 				t.Fatal(err)
 			}
 		}
-		waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.notifications(), "\n"), `"served"`) == tasks })
+		waitFor(t, "tasks to run", func() bool { return c.count(`"served"`) == tasks })
 	}
 	address, v, end := run(0)
 	waitFor(t, "a settled set", v.isSettled)
 	askAll(address)
 	end()
 	address, _, end = run(3)
-	time.Sleep(time.Duration(s.siteConfig.SettleTime) * time.Millisecond) // as owners do
+	time.Sleep(time.Duration(s.siteConfig.SettleTime) * time.Millisecond) // as clients do
 	askAll(address)
 	end()
 	for _, r := range s.world.Trace.Records() {
@@ -230,8 +239,8 @@
 	return tasks, starts
 }
 
-// TestTasksOfAnEarlierIncarnation has a scheduler find what it left running at nodes that are not in its set any more: it does
-// not start it a second time. One that does not visit these nodes does.
+// TestTasksOfAnEarlierIncarnation has a scheduler recover what it left running on nodes that are not in its set any more: it does not start
+// it a second time. One that does not visit these nodes does.
 func TestTasksOfAnEarlierIncarnation(t *testing.T) {
 	t.Parallel()
 	if tasks, starts := restartElsewhere(t, Faults{}); starts != tasks {
@@ -245,7 +254,8 @@
 // TestWidensWhenNothingFits fills the set: tasks find nodes beyond it in time.
 func TestWidensWhenNothingFits(t *testing.T) {
 	t.Parallel()
-	s, v, address := newWorkingSetCluster(t, Faults{})
+	s := newWorkingSetCluster(t, Faults{})
+	v, address := s.set, s.address
 	usual := v.size()
 	c := connect(t, address)
 	const tasks = 40
@@ -258,17 +268,18 @@
 			t.Fatal(err)
 		}
 	}
-	served := func() int { return strings.Count(strings.Join(c.notifications(), "\n"), `"served"`) }
+	served := func() int { return c.count(`"served"`) }
 	waitFor(t, "tasks to run", func() bool { return served() == tasks })
 	if size := v.size(); size <= usual {
 		t.Errorf("%d nodes, %d before", size, usual)
 	}
 }
 
-// TestWholeSetDies has all nodes of the set die at once: what is asked for right after starts elsewhere in time.
+// TestWholeSetDies has all nodes of the set die at once: requests right after start elsewhere in time.
 func TestWholeSetDies(t *testing.T) {
 	t.Parallel()
-	s, v, address := newWorkingSetCluster(t, Faults{})
+	s := newWorkingSetCluster(t, Faults{})
+	v, address := s.set, s.address
 	c := connect(t, address)
 	s.world.WithLock(func(now float64) {
 		for _, n := range s.nodes {
@@ -284,7 +295,7 @@
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "tasks to run", func() bool { return strings.Count(strings.Join(c.notifications(), "\n"), `"served"`) == tasks })
+	waitFor(t, "tasks to run", func() bool { return c.count(`"served"`) == tasks })
 	if took := time.Since(began); took > 1800*time.Millisecond {
 		t.Errorf("%d tasks run %v after their scheduler's set died", tasks, took)
 	}
