--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -7,221 +7,200 @@
 	"slices"
 	"sync"
 
-	"github.com/cespare/xxhash/v2"
-
 	"ravenpond/internal/control"
 	"ravenpond/internal/decide/clusterstate"
 	"ravenpond/internal/decide/zones"
 	"ravenpond/internal/env"
 	"ravenpond/internal/proto/node"
-	"ravenpond/internal/site"
-	"ravenpond/logic"
 )
 
-// Times in ms, and bounds.
+// Times of zone routing in ms, and bounds.
 const (
-	zonePollInterval    = 100  // between two looks at which zones to send to
-	zoneSumInterval     = 250  // between two sums of what is heard of them
-	zonePingInterval    = 400  // between two pings of a node that is looked at
-	zoneSilentAfter     = 1000 // after which it counts as silent
-	nodesSampledPerZone = 6    // nodes of each zone: others look at others
+	zonePollInterval    = 100
+	zoneSumInterval     = 250  // between two summaries of the zones
+	zonePingInterval    = 400  // between two pings of a sampled node
+	zoneSilentAfter     = 1000 // after the last byte of a sampled node it counts as unreachable
+	nodesSampledPerZone = 6    // other schedulers sample other nodes
 )
 
-// zoneRouting is what a scheduler makes of the zones of its site.
+// zoneRouting decides which zones the shards use, and of each which share of the nodes, by the replicated cluster state. It also reports
+// to the leader what this process observes of the zones.
+//
+// The polls run one at a time, on a timer. mu is taken before the locks of shards' inboxes and of membership links, and by shards for
+// ownCores.
 type zoneRouting struct {
-	server *Server
-	reach  zones.Selector
-
-	mu         sync.Mutex
+	*process
+	membership *clusterMembership
+	shards     *shardSet
+	endpoints  *endpointList
+	workingSet *workingSet
+	control    *control.Runner
+
+	// The polls alone use these.
+	summaryAt float64            // when zoneSums was made
+	lastPing  map[uint32]float64 // of the nodes that were last sampled
+
+	mu         sync.Mutex // guards the fields below
+	selector   zones.Selector
 	zoneSums   map[string]zones.Summary
-	summedAt   float64
-	lastPing   map[uint32]float64
-	shares     map[string]float64
-	excluded   []uint32           // nodes that nothing is sent to for their zone, sorted
-	ownCores   map[string]float64 // cores of own work by zone, as last asked for
-	leaseValid bool
-	level      int
-	state      *clusterstate.State // by which that is
-
-	nodes         []listedNode // of the list that are ready, at a revision of it; under the lock of the list
-	nodesRevision uint64
-}
-
-// controlSite is what verdicts on zones rest on, as the site file has it.
-func (s *Server) controlSite(siteConfig *site.Config) control.ZoneConfig {
-	heldStates := map[string]clusterstate.ZoneState{}
-	for zone, state := range siteConfig.ZoneHolds {
-		heldStates[zone] = map[string]clusterstate.ZoneState{"open": clusterstate.Open, "closed": clusterstate.Closed}[state]
-	}
-	return control.ZoneConfig{Zones: siteConfig.Zones, Overrides: heldStates, Latency: func(from, to string) float64 { return siteConfig.RouteLatency[[2]string{from, to}] }}
+	shares     map[string]float64  // of the zones' nodes that are used
+	excluded   []uint32            // nodes that are not used for their zone, sorted
+	ownCores   map[string]float64  // cores of this process's tasks by zone, as last counted
+	leaseValid bool                // of the cluster state, at the last decision
+	level      int                 // of the last decision: 0 its own zone, 1 its region, 2 all
+	state      *clusterstate.State // that the last decision rests on
 }
 
-func (s *Server) newZoneRouting(siteConfig *site.Config) *zoneRouting {
-	routing := &zoneRouting{
-		server: s, lastPing: map[uint32]float64{}, zoneSums: map[string]zones.Summary{}, ownCores: map[string]float64{}, leaseValid: true,
-		reach: zones.Selector{OwnZone: s.config.Zone, LocalityAware: len(siteConfig.RouteLatency) > 0},
+func newZoneRouting(s *Server, runner *control.Runner) *zoneRouting {
+	siteConfig := s.config.Site
+	z := &zoneRouting{
+		process: s.process, membership: s.membership, shards: s.shardSet, endpoints: s.endpoints, workingSet: s.workingSet, control: runner,
+		lastPing: map[uint32]float64{}, zoneSums: map[string]zones.Summary{}, ownCores: map[string]float64{}, leaseValid: true,
+		selector: zones.Selector{OwnZone: s.config.Zone, LocalityAware: len(siteConfig.RouteLatency) > 0},
 	}
 	for i, zone := range siteConfig.Zones {
-		routing.reach.Zones = append(routing.reach.Zones, zones.Location{Name: zone, Region: siteConfig.Regions[i]})
+		z.selector.Zones = append(z.selector.Zones, zones.Location{Name: zone, Region: siteConfig.Regions[i]})
 	}
-	return routing
+	return z
 }
 
-// listedNode is a node of the list.
-type listedNode struct {
-	id    uint32
-	zone  string
-	cores float64
-	free  float64
-	hash  float64 // from 0 to 1, the same at all: by it a zone that returns is let in
-}
+// start polls from now on.
+func (z *zoneRouting) start() { z.every(zonePollInterval, z.poll) }
 
-// readyNodes returns the nodes that the list has ready, by their numbers. The slice is shared by all calls until the list changes and must not
-// be modified.
-func (s *Server) readyNodes() []listedNode {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	routing, revision := s.zones, s.list.Revision()
-	if routing.nodes != nil && routing.nodesRevision == revision {
-		return routing.nodes
-	}
-	siteConfig, nodes := s.config.Site, make([]listedNode, 0, s.list.Len())
-	for _, entry := range s.list.Entries() {
-		if logic.Availability(entry.Avail) != logic.Ready {
-			continue
-		}
-		node := listedNode{id: entry.ID, zone: entry.Zone, free: entry.FreeCores, hash: nodeHash("", entry.ID)}
-		if kind := slices.Index(siteConfig.MachineKinds, entry.Kind); kind >= 0 {
-			node.cores = siteConfig.Cluster.KindCores[kind]
-		}
-		nodes = append(nodes, node)
-	}
-	routing.nodes, routing.nodesRevision = nodes, revision
-	return nodes
-}
-
-func nodeHash(name string, id uint32) float64 {
-	hash := xxhash.Sum64(append([]byte(name), byte(id), byte(id>>8), byte(id>>16), byte(id>>24)))
-	return float64(hash>>11) / (1 << 53)
-}
-
-// pollZones sums up what is heard of the zones for the leader, and has shards send where the book allows.
-func (s *Server) pollZones() {
-	routing, now := s.zones, s.env.Now()
-	view := s.control.View()
-	if now < routing.summedAt+zoneSumInterval && view.State == routing.state && (now < view.LeaseExpiry) == routing.leaseValid { // by this loop alone
+// poll summarizes the zones for the leader now and then, and decides anew when that, the cluster state or its lease has changed.
+func (z *zoneRouting) poll() {
+	now, view := z.env.Now(), z.control.View()
+	summaryDue := now >= z.summaryAt+zoneSumInterval
+	if !summaryDue && view.State == z.state && (now < view.LeaseExpiry) == z.leaseValid { // the polls alone write these two
 		return
 	}
-	nodes := s.readyNodes()
-	routing.mu.Lock()
-	defer routing.mu.Unlock()
-	routing.state = view.State
-	if now >= routing.summedAt+zoneSumInterval {
-		routing.summedAt = now
-		routing.zoneSums = s.summarizeZones(now, nodes)
-		s.control.Report(routing.zoneSums)
+	nodes := z.endpoints.readyNodes()
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	z.state = view.State
+	if summaryDue {
+		z.summaryAt = now
+		z.zoneSums = z.summarize(now, nodes)
+		z.control.Report(z.zoneSums)
 	}
-	leaseValid, ownState := now < view.LeaseExpiry, view.State.Zone(routing.reach.OwnZone).State
-	if ownState == clusterstate.Closed {
-		s.countOwnCores(nodes)
+	if view.State.Zone(z.selector.OwnZone).State == clusterstate.Closed {
+		z.countOwnCores(nodes)
 	}
-	shares := routing.reach.Update(zones.Input{Now: now, State: view.State, LeaseValid: leaseValid, Summaries: routing.zoneSums, OwnCores: routing.ownCores, Processes: view.State.ActiveProcesses(routing.reach.OwnZone)})
-	if !maps.Equal(shares, routing.shares) || leaseValid != routing.leaseValid || routing.reach.Level() != routing.level {
-		s.log.Info().Str("mode", "zones").Interface("parts", shares).Bool("sure", leaseValid).Int("level", routing.reach.Level()).Uint64("version", view.State.Version()).
+	z.updateShares(now, view)
+	z.updateExcluded(nodes)
+}
+
+// updateShares decides which share of each zone is used. The caller holds mu.
+func (z *zoneRouting) updateShares(now float64, view *control.View) {
+	state, leaseValid := view.State, now < view.LeaseExpiry
+	shares := z.selector.Update(zones.Input{
+		Now: now, State: state, LeaseValid: leaseValid, Summaries: z.zoneSums, OwnCores: z.ownCores,
+		Processes: state.ActiveProcesses(z.selector.OwnZone),
+	})
+	level := z.selector.Level()
+	if !maps.Equal(shares, z.shares) || leaseValid != z.leaseValid || level != z.level {
+		z.log.Info().Str("mode", "zones").Interface("parts", shares).Bool("sure", leaseValid).Int("level", level).Uint64("version", state.Version()).
 			Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("sends to")
 	}
-	routing.shares, routing.leaseValid, routing.level = shares, leaseValid, routing.reach.Level()
+	z.shares, z.leaseValid, z.level = shares, leaseValid, level
+}
+
+// updateExcluded has the shards avoid the nodes beyond the share of their zone. The caller holds mu.
+func (z *zoneRouting) updateExcluded(nodes []readyNode) {
 	var excluded []uint32
 	for _, node := range nodes {
-		if node.hash >= shares[node.zone] {
+		if node.hash >= z.shares[node.zone] {
 			excluded = append(excluded, node.id)
 		}
 	}
 	slices.Sort(excluded)
-	if slices.Equal(excluded, routing.excluded) {
+	if slices.Equal(excluded, z.excluded) {
 		return
 	}
-	readmitted := slices.DeleteFunc(slices.Clone(routing.excluded), func(id uint32) bool { _, found := slices.BinarySearch(excluded, id); return found })
-	routing.excluded = excluded
-	s.postAll(func(sh *shard, now float64) {
+	readmitted := slices.DeleteFunc(slices.Clone(z.excluded), func(id uint32) bool {
+		_, found := slices.BinarySearch(excluded, id)
+		return found
+	})
+	z.excluded = excluded
+	z.shards.postAll(func(sh *shard, now float64) {
 		sh.engine.SetZoneClosed(now, readmitted, false)
 		sh.engine.SetZoneClosed(now, excluded, true)
 	})
 }
 
-// summarizeZones looks at a few nodes of each zone, which differ from process to process, and pings them.
-func (s *Server) summarizeZones(now float64, nodes []listedNode) map[string]zones.Summary {
-	routing, sums := s.zones, map[string]zones.Summary{}
-	byZone := map[string][]listedNode{}
-	for _, listed := range nodes {
-		sum := sums[listed.zone]
-		sum.Capacity += listed.cores * s.config.Site.Cluster.CoresOvercommit
-		sum.Used += max(0, listed.cores-listed.free)
-		sums[listed.zone] = sum
-		if s.workingSet.contains(listed.id) {
-			byZone[listed.zone] = append(byZone[listed.zone], listed)
+// summarize returns the capacity and the use of each zone by the endpoint list, and how many of a few sampled nodes are reachable. It
+// pings the sampled ones, which differ from process to process.
+func (z *zoneRouting) summarize(now float64, nodes []readyNode) map[string]zones.Summary {
+	sums, byZone := map[string]zones.Summary{}, map[string][]readyNode{}
+	for _, ready := range nodes {
+		sum := sums[ready.zone]
+		sum.Capacity += ready.cores * z.config.Site.Cluster.CoresOvercommit
+		sum.Used += max(0, ready.cores-ready.free)
+		sums[ready.zone] = sum
+		if z.workingSet.contains(ready.id) {
+			byZone[ready.zone] = append(byZone[ready.zone], ready)
 		}
 	}
 	lastPing := map[uint32]float64{}
 	for zone, zoneNodes := range byZone {
-		slices.SortFunc(zoneNodes, func(x, y listedNode) int {
-			return cmp.Compare(nodeHash(s.config.Name, x.id), nodeHash(s.config.Name, y.id))
+		slices.SortFunc(zoneNodes, func(x, y readyNode) int {
+			return cmp.Compare(nodeHash(z.config.Name, x.id), nodeHash(z.config.Name, y.id))
 		})
 		sum := sums[zone]
-		for _, listed := range zoneNodes[:min(nodesSampledPerZone, len(zoneNodes))] {
+		for _, sampled := range zoneNodes[:min(nodesSampledPerZone, len(zoneNodes))] {
 			sum.Nodes++
-			s.membership.linksMu.Lock()
-			link := s.membership.links[listed.id]
-			s.membership.linksMu.Unlock()
-			lastPing[listed.id] = routing.lastPing[listed.id]
-			if link == nil {
-				continue
-			}
-			if now-math.Float64frombits(link.lastReceived.Load()) < zoneSilentAfter {
+			if z.sample(now, sampled.id, lastPing) {
 				sum.Reachable++
 			}
-			if now-lastPing[listed.id] >= zonePingInterval {
-				lastPing[listed.id] = now
-				link.send(func(b []byte) []byte { return node.AppendPing(b, now) })
-			}
 		}
 		sums[zone] = sum
 	}
-	routing.lastPing = lastPing
+	z.lastPing = lastPing
 	return sums
 }
 
-// countOwnCores asks all shards for the cores of own work in each zone; what they say is there at the next look.
-func (s *Server) countOwnCores(nodes []listedNode) {
-	routing, shards := s.zones, s.liveShards()
-	sum, pending := map[string]float64{}, len(shards)
-	var mu sync.Mutex
-	s.postAll(func(sh *shard, _ float64) {
+// sample reports whether a node is reachable, and pings it when that is due. It notes in lastPing when the node was last pinged.
+func (z *zoneRouting) sample(now float64, id uint32, lastPing map[uint32]float64) (reachable bool) {
+	lastPing[id] = z.lastPing[id]
+	link := z.membership.link(id)
+	if link == nil {
+		return false
+	}
+	reachable = now-math.Float64frombits(link.lastReceived.Load()) < zoneSilentAfter
+	if now-lastPing[id] >= zonePingInterval {
+		lastPing[id] = now
+		link.send(func(b []byte) []byte { return node.AppendPing(b, now) })
+	}
+	return reachable
+}
+
+// countOwnCores asks all shards for the cores of their tasks in each zone. The sum is there at a later poll, once all have answered.
+func (z *zoneRouting) countOwnCores(nodes []readyNode) {
+	var mu sync.Mutex // guards the two below
+	sum, pending := map[string]float64{}, len(z.shards.liveShards())
+	z.shards.postAll(func(sh *shard, _ float64) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, node := range nodes {
-			sum[node.zone] += sh.engine.CoresAt(node.id)
+		for _, ready := range nodes {
+			sum[ready.zone] += sh.engine.CoresAt(ready.id)
 		}
 		if pending--; pending == 0 {
-			routing.mu.Lock()
-			routing.ownCores = sum
-			routing.mu.Unlock()
+			z.mu.Lock()
+			z.ownCores = sum
+			z.mu.Unlock()
 		}
 	})
 }
 
-// sendExcluded tells a new shard which nodes get nothing for their zone.
+// sendExcluded tells a shard that starts which nodes are excluded for their zone.
 func (z *zoneRouting) sendExcluded(sh *shard) {
-	if z == nil {
-		return
-	}
 	z.mu.Lock()
 	excluded := slices.Clone(z.excluded)
 	z.mu.Unlock()
 	sh.post(func(now float64) { sh.engine.SetZoneClosed(now, excluded, true) })
 }
 
-// currentShares is which parts of zones are used, and how far this scheduler looks.
+// currentShares returns which shares of the zones are used, and the level of the decision.
 func (z *zoneRouting) currentShares() (shares map[string]float64, level int) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
