--- a/internal/serve/client_listener.go
+++ b/internal/serve/client_listener.go
@@ -25,8 +25,7 @@
 // clientListener accepts clients, as many as the site file allows, and holds their connections. Where tenants come and go it bounds
 // connections and bytes by tenant.
 //
-// The lock order is routerMu, then clientListener, then clientConn; the environment's connections are called with clientConn's lock held
-// by none.
+// mu comes after routerMu and before the locks of clientConns. Connections are closed without it.
 type clientListener struct {
 	*process
 	handler  clientHandler
--- a/internal/serve/shard_set.go
+++ b/internal/serve/shard_set.go
@@ -3,18 +3,17 @@
 import (
 	"sync"
 
-	"ravenpond/internal/site"
-
 	"ravenpond/internal/decide/shardplacement"
-	"ravenpond/internal/decide/watchdog"
-
 	"ravenpond/internal/decide/shardrouter"
+	"ravenpond/internal/decide/watchdog"
+	"ravenpond/internal/site"
 )
 
 // shardSet is the shards of the process, and the router that decides which shard acts for which allocation.
 //
-// routerMu is held for a few look-ups at a time. The lock order of the package is nodeConnections, workingSet, routerMu, clientListener,
-// clientConn, and each shard's inbox last; the other parts' locks are leaves that may be taken under any of these.
+// routerMu is held for a few look-ups at a time. The package takes its locks in this order: nodeConnections, workingSet or zoneRouting,
+// routerMu, clientListener, clientConn or nodeLink, and an inbox last. The locks of the other parts are leaves that may be taken under any of
+// these; listClient's comes before those of the endpoint list and of maintenance.
 type shardSet struct {
 	*process
 	clients     *clientListener
