--- a/internal/serve/inbox.go
+++ b/internal/serve/inbox.go
@@ -2,26 +2,30 @@
 
 import "sync"
 
-// event is something that a shard's engine is told; it runs on the shard's goroutine.
+// event is a call of a shard's engine, or of something else that the shard's loop alone uses. It runs on that loop.
 type event func(now float64)
 
-// maxInbox bounds what waits for a shard. One that lets so much lie is as good as stopped.
-const maxInbox = 1 << 17
+const (
+	// maxInbox bounds the events that wait for a shard. A shard that lets so many wait is fenced.
+	maxInbox = 1 << 17
+	// stallThreshold is how long, in ms, a shard seldom takes for one batch.
+	stallThreshold = 50
+)
 
-// inbox hands events to a shard from many goroutines: both sides swap two slices under a lock. A channel measured
-// some 35 ns an event faster with four producers (BenchmarkInbox), but it can't tell how long the oldest event has
-// waited, which admission rests on, nor give what waits as one batch.
+// inbox hands events to a shard from many goroutines: the shard swaps the slice of what waits for an empty one, under a lock. A channel
+// measured some 35 ns per event faster with four producers (BenchmarkInbox), but it can't tell how long the oldest event has waited, which
+// admission rests on, nor give what waits as one batch. mu is the last in the package's lock order; wake is called without it.
 type inbox struct {
-	mu            sync.Mutex
+	mu            sync.Mutex // guards all fields but wake
 	queue         []event
-	oldestAt      float64 // when the oldest that waits came
-	batchOldestAt float64 // and the oldest of those that are being worked on, 0: none
-	batchTakenAt  float64 // when the latter were taken
+	oldestAt      float64 // when the oldest event that waits was queued, ms
+	batchOldestAt float64 // when the oldest event of the batch under way was queued, 0: no batch is
+	batchTakenAt  float64 // when that batch was taken
 	closed        bool
-	wake          func() // called when something waits where nothing did
+	wake          func() // called when an event waits where none did
 }
 
-// put queues an event; false if the shard takes none any more. full tells that it should be given up.
+// put queues an event. It returns ok false if the shard takes none any more, and full if too many wait: the shard is to be fenced.
 func (b *inbox) put(now float64, queued event) (ok, full bool) {
 	b.mu.Lock()
 	if b.closed {
@@ -44,7 +48,7 @@
 	return true, false
 }
 
-// take gives all that waits, in order; spare is a slice that may be filled next.
+// take returns all events that wait, in order, as a batch. spare is a slice that put may fill next.
 func (b *inbox) take(now float64, spare []event) []event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,21 +60,21 @@
 	return all
 }
 
-// done says that what was taken is worked off.
+// done ends the batch.
 func (b *inbox) done() {
 	b.mu.Lock()
 	b.batchOldestAt = 0
 	b.mu.Unlock()
 }
 
-// hasEvents tells whether there are events before the shard.
+// hasEvents reports whether events wait.
 func (b *inbox) hasEvents() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.queue) > 0
 }
 
-// oldestAge is how long the oldest event has waited, those being worked on included.
+// oldestAge returns how long the oldest event has waited, those of the batch under way included, in ms.
 func (b *inbox) oldestAge(now float64) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,7 +87,7 @@
 	return 0
 }
 
-// stalledFor is how long the shard has been at the same events, 0 while that is not out of the common.
+// stalledFor returns how long the shard has been at the batch under way, in ms: 0 up to stallThreshold.
 func (b *inbox) stalledFor(now float64) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,9 +97,7 @@
 	return 0
 }
 
-// stallThreshold is how long, in ms, a shard is seldom at one batch.
-const stallThreshold = 50
-
+// close drops what waits and takes no further event.
 func (b *inbox) close() {
 	b.mu.Lock()
 	b.closed, b.queue = true, nil
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -11,46 +11,48 @@
 	"sync/atomic"
 
 	"ravenpond/internal/engine"
-
 	"ravenpond/internal/env"
 	"ravenpond/internal/proto/line"
 	"ravenpond/internal/proto/node"
 )
 
-const nodeDialTimeout = 250 // ms
+// nodeDialTimeout is how long a connection to a node may take to be made, ms.
+const nodeDialTimeout = 250
 
-// sendMark tells up to which byte of the stream a try's offer reaches.
+// sendMark notes up to which byte of the stream the offer of an attempt reaches.
 type sendMark struct {
 	offset  uint64
 	ticket  uint64
 	attempt uint8
 }
 
-// nodeLink is the connection to a node. Bytes handed to the network are counted, so that a try whose last byte never
-// left can be told from one that may have arrived.
+// nodeLink is the connection to a node. Bytes handed to the network are counted, so that an attempt whose last byte never left can be told
+// from one that may have arrived.
+//
+// Events of the connection come one at a time. mu comes after routerMu and the lock of the nodeConnections, and before the connection's own.
 type nodeLink struct {
 	set           *shardSet
 	connections   *nodeConnections
 	node          uint32
 	address       string
-	incarnation   uint64  // the node's, 0 until it has greeted
-	nodeStartedAt float64 // when that began by our clock, 0: it did not say
+	incarnation   uint64  // the node's, 0 until it has greeted; set once, with mu held
+	nodeStartedAt float64 // when that began by this process's clock, 0: unknown
 	conn          env.Conn
 	splitter      line.Splitter
 	report        [node.MaxReportValues]float64
-	lastReceived  atomic.Uint64 // bits of the time
+	lastReceived  atomic.Uint64 // bits of when bytes were received last, ms
 
-	mu                sync.Mutex
+	mu                sync.Mutex // guards the fields below
 	marks             []sendMark
 	visit             visitPhase
 	closed            bool
 	reason            string
-	inventoryWaiters  [][]*shard        // who waits to be told what the node holds, first the one of the next HELD-ALL
-	inventoryReceived bool              // HELD-ALL was heard
-	reassigned        map[uint64]*shard // tries of earlier lives, by their tickets
+	inventoryWaiters  [][]*shard        // the shards that wait for each HELD-ALL to come, the next first
+	inventoryReceived bool              // a HELD-ALL was received
+	reassigned        map[uint64]*shard // the shards of attempts that another shard made, by ticket
 }
 
-// newNodeLink greets a node over a connection that was just made.
+// newNodeLink sends the greeting to a node over a connection that was just made.
 func newNodeLink(conns *nodeConnections, nodeID uint32, address string, conn env.Conn, isVisit bool) {
 	l := &nodeLink{set: conns.set, connections: conns, node: nodeID, address: address, conn: conn, reassigned: map[uint64]*shard{}}
 	if isVisit {
@@ -60,7 +62,7 @@
 	conn.Start(l, node.WriteTimeout)
 	conn.Send(func(b []byte) []byte {
 		return line.AppendGreeting(b, node.GreetingLine, "Scheduler", conns.name, "Node", strconv.FormatUint(uint64(nodeID), 10),
-			"Sent", strconv.FormatFloat(conns.set.env.Now(), 'f', 3, 64)) // so that the first offer can't lie on the way unseen
+			"Sent", strconv.FormatFloat(conns.set.env.Now(), 'f', 3, 64)) // so that the node sees how long the first offer was on its way
 	})
 	conns.set.env.After(node.HandshakeTimeout, func() {
 		if !l.isGreeted() {
@@ -69,13 +71,14 @@
 	})
 }
 
+// isGreeted reports whether the node has sent its greeting.
 func (l *nodeLink) isGreeted() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.incarnation > 0
 }
 
-// OnData takes what the node sends.
+// OnData takes bytes of the node.
 func (l *nodeLink) OnData(b []byte) {
 	if len(b) == 0 {
 		l.disconnect("peer closed: EOF", false)
@@ -101,7 +104,7 @@
 	}
 }
 
-// onGreeting takes the node's greeting; the shards hear that it is connected.
+// onGreeting takes the node's greeting and tells the shards of the connection, unless it is a visit.
 func (l *nodeLink) onGreeting(header textproto.MIMEHeader) error {
 	conns := l.connections
 	if got := header.Get("Node"); got != strconv.FormatUint(uint64(l.node), 10) {
@@ -142,7 +145,7 @@
 	return nil
 }
 
-// ping keeps the connection alive and ends it when the node is silent.
+// ping sends a ping, or closes the connection of a node that is silent. It reports whether the connection goes on.
 func (l *nodeLink) ping() bool {
 	l.mu.Lock()
 	closed := l.closed
@@ -158,7 +161,7 @@
 	return true
 }
 
-// OnClose meets the end of the connection: the shards hear which tries never left.
+// OnClose takes the end of the connection and tells the shards, and which of their attempts never left.
 func (l *nodeLink) OnClose(err error) {
 	conns := l.connections
 	l.mu.Lock()
@@ -198,6 +201,7 @@
 	l.set.log.Debug().Uint32("node", l.node).Str("why", reason).Msg("connection ended")
 }
 
+// notifyLinked tells a shard of the connection.
 func (l *nodeLink) notifyLinked(sh *shard) {
 	sh.post(func(now float64) {
 		sh.links[l.node] = l
@@ -205,7 +209,7 @@
 	})
 }
 
-// join brings a shard to a connection that stands already.
+// join tells a shard that starts of the connection, and asks the node what it holds.
 func (l *nodeLink) join(sh *shard) {
 	l.notifyLinked(sh)
 	l.mu.Lock()
@@ -214,7 +218,7 @@
 	l.send(node.AppendResync)
 }
 
-// disconnect ends the link for a reason; the first one counts.
+// disconnect closes the connection. The first reason counts. With flush, what is queued is still handed to the network.
 func (l *nodeLink) disconnect(reason string, flush bool) {
 	l.mu.Lock()
 	first := !l.closed
@@ -227,10 +231,10 @@
 	}
 }
 
-// send queues a line. A node that lets the queue run full is cut off, and its tries are told apart by their marks.
+// send queues a message. A node that lets its queue run full is disconnected; the marks tell which attempts never left.
 func (l *nodeLink) send(appendTo func([]byte) []byte) { l.sendMarked(appendTo, sendMark{}) }
 
-// sendMarked queues a line with the mark of its try, if it has one. A try that finds the link shut was never sent.
+// sendMarked queues a message, with the mark of its attempt if it has one. An attempt that finds the connection closed was never sent.
 func (l *nodeLink) sendMarked(appendTo func([]byte) []byte, mark sendMark) {
 	l.mu.Lock()
 	sent, queued, ok := l.conn.Send(appendTo)
@@ -238,7 +242,7 @@
 		if mark.offset = sent; !ok {
 			mark.offset = math.MaxUint64
 		}
-		if len(l.marks) >= maxMarks { // those that have left need no mark
+		if len(l.marks) >= maxMarks { // attempts that have left need none
 			handed := l.conn.HandedOver()
 			l.marks = slices.DeleteFunc(l.marks, func(mark sendMark) bool { return mark.offset <= handed })
 		}
@@ -250,5 +254,5 @@
 	}
 }
 
-// maxMarks is how many marks are kept before a look at which have left.
+// maxMarks is at how many marks those are dropped whose attempts have left.
 const maxMarks = 64
