--- a/internal/serve/cluster_state_test.go
+++ b/internal/serve/cluster_state_test.go
@@ -18,9 +18,9 @@
 		config.Zone = config.Site.Zones[0]
 		config.OnLocalListener = func(l *LocalListener) { local <- l.server }
 	}
-	place := *s.siteConfig
-	place.Members = site.Members{Listen: "127.0.0.1:0", Seeds: []string{"127.0.0.1:9"}, Voters: []string{"s0", "s1", "s2"}}
-	s.start(0, place, Faults{})
+	siteConfig := *s.siteConfig
+	siteConfig.Members = site.Members{Listen: "127.0.0.1:0", Seeds: []string{"127.0.0.1:9"}, Voters: []string{"s0", "s1", "s2"}}
+	s.start(0, siteConfig, Faults{})
 	server := <-local
 	s.load(5000, 60, "0001112")
 	stalled, resume := make(chan bool), make(chan bool)
@@ -31,21 +31,21 @@
 	time.Sleep(500 * time.Millisecond)
 	view := server.clusterControl.runner.View()
 	close(resume)
-	asked, served := 0, 0
+	requests, served := 0, 0
 	for _, outcome := range s.clients[0].Outcomes() {
 		if outcome.SentAt >= began {
-			if asked++; outcome.Result == "served" {
+			if requests++; outcome.Result == "served" {
 				served++
 			}
 		}
 	}
-	if served < 60 || served < asked*9/10 {
-		t.Errorf("%d of %d were served while control stood still", served, asked)
+	if served < 60 || served < requests*9/10 {
+		t.Errorf("%d of %d were served while control stood still", served, requests)
 	}
 	if view.State.Version() != 0 || view.LeaseExpiry > server.env.Now() {
 		t.Errorf("sure of version %d without the other stewards, for %g", view.State.Version(), view.LeaseExpiry)
 	}
-	if shares, _ := server.clusterControl.zones.currentShares(); len(shares) != len(place.Zones) || shares[place.Zones[1]] != 1 {
+	if shares, _ := server.clusterControl.zones.currentShares(); len(shares) != len(siteConfig.Zones) || shares[siteConfig.Zones[1]] != 1 {
 		t.Errorf("without a book it sends to %v", shares)
 	}
 }
--- a/internal/serve/maintenance_test.go
+++ b/internal/serve/maintenance_test.go
@@ -216,10 +216,10 @@
 }
 
 // listMarks returns the nodes of which the list server last told a scheduler this state.
-func (s *testCluster) listMarks(sched, word string) (nodes []uint32) {
+func (s *testCluster) listMarks(scheduler, word string) (nodes []uint32) {
 	last := map[uint32]string{}
 	for _, r := range s.world.Trace.Records() {
-		if r.Kind == audit.EndpointDelivered && r.Scheduler == sched {
+		if r.Kind == audit.EndpointDelivered && r.Scheduler == scheduler {
 			last[r.Node] = r.Detail
 		}
 	}
--- a/internal/serve/metrics_test.go
+++ b/internal/serve/metrics_test.go
@@ -13,14 +13,14 @@
 func TestCounts(t *testing.T) {
 	s := newTestCluster(t, 1, 4, false)
 	at := make(chan string, 1)
-	s.configure = func(who *Config) {
-		ready := who.Ready
-		who.OnLocalListener = func(l *LocalListener) { at <- l.server.metrics.address }
-		who.Ready = ready
+	s.configure = func(config *Config) {
+		ready := config.Ready
+		config.OnLocalListener = func(l *LocalListener) { at <- l.server.metrics.address }
+		config.Ready = ready
 	}
-	place := *s.siteConfig
-	place.StatsListen = "127.0.0.1:0"
-	s.start(0, place, Faults{})
+	siteConfig := *s.siteConfig
+	siteConfig.StatsListen = "127.0.0.1:0"
+	s.start(0, siteConfig, Faults{})
 	address := <-at
 	s.load(4000, 60, "0001112")
 	get := func(path string) (int, string) {
--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -34,10 +34,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newTestCluster(t, 1, 8, false)
-			place := *s.siteConfig
-			place.Shards, place.MaxShards, place.Connections = 3, 3, c.share
+			siteConfig := *s.siteConfig
+			siteConfig.Shards, siteConfig.MaxShards, siteConfig.Connections = 3, 3, c.share
 			var offers, lives atomic.Int32
-			s.start(0, place, Faults{WrapEffects: func(e engine.Effects) engine.Effects {
+			s.start(0, siteConfig, Faults{WrapEffects: func(e engine.Effects) engine.Effects {
 				if lives.Add(1) != 2 { // the second shard's first incarnation alone
 					return e
 				}
@@ -258,12 +258,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newTestCluster(t, 1, 8, false)
-			place := *s.siteConfig
-			place.Shards, place.MaxShards, place.Connections = 1, 4, c.share
+			siteConfig := *s.siteConfig
+			siteConfig.Shards, siteConfig.MaxShards, siteConfig.Connections = 1, 4, c.share
 			var log logLines
 			resize := make(chan int, 1)
-			s.configure = func(who *Config) { who.Resize, who.Log = resize, zerolog.New(&log) }
-			s.start(0, place, Faults{})
+			s.configure = func(config *Config) { config.Resize, config.Log = resize, zerolog.New(&log) }
+			s.start(0, siteConfig, Faults{})
 			s.load(2200, 60, "0012")
 			for _, n := range c.sizes {
 				resize <- n
@@ -294,14 +294,14 @@
 // reports must bring it back to some shard, and the client is told how each ended.
 func TestReceiverFenced(t *testing.T) {
 	s := newTestCluster(t, 1, 8, false)
-	place := *s.siteConfig
-	place.Shards, place.MaxShards = 1, 2
+	siteConfig := *s.siteConfig
+	siteConfig.Shards, siteConfig.MaxShards = 1, 2
 	var log logLines
 	var fence atomic.Bool
 	var lives atomic.Int32
 	resize := make(chan int, 1)
-	s.configure = func(who *Config) { who.Resize, who.Log = resize, zerolog.New(&log) }
-	s.start(0, place, Faults{WrapEffects: func(e engine.Effects) engine.Effects {
+	s.configure = func(config *Config) { config.Resize, config.Log = resize, zerolog.New(&log) }
+	s.start(0, siteConfig, Faults{WrapEffects: func(e engine.Effects) engine.Effects {
 		if lives.Add(1) != 2 {
 			return e
 		}
@@ -363,12 +363,12 @@
 // TestResizeRefused resizes to numbers of shards that may not run.
 func TestResizeRefused(t *testing.T) {
 	s := newTestCluster(t, 1, 2, false)
-	place := *s.siteConfig
-	place.MaxShards = 2
+	siteConfig := *s.siteConfig
+	siteConfig.MaxShards = 2
 	var log logLines
 	resize := make(chan int)
-	s.configure = func(who *Config) { who.Resize, who.Log = resize, zerolog.New(&log) }
-	s.start(0, place, Faults{})
+	s.configure = func(config *Config) { config.Resize, config.Log = resize, zerolog.New(&log) }
+	s.start(0, siteConfig, Faults{})
 	for _, n := range []int{0, 3} {
 		resize <- n
 	}
--- a/internal/serve/tenants_test.go
+++ b/internal/serve/tenants_test.go
@@ -376,14 +376,14 @@
 func TestStartWhileHeld(t *testing.T) {
 	t.Parallel()
 	s := newTestCluster(t, 1, 2, false)
-	place := *s.siteConfig
-	place.MaxHostedTenants, place.Tenants, place.Shares = 2, make([]string, 2), []float64{1, 1}
+	siteConfig := *s.siteConfig
+	siteConfig.MaxHostedTenants, siteConfig.Tenants, siteConfig.Shares = 2, make([]string, 2), []float64{1, 1}
 	st, err := tenants.Open(filepath.Join(s.dir, "s0"), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	time.AfterFunc(time.Second, func() { _ = st.Close() })
-	s.start(0, place, Faults{}) // fails the test if the scheduler ends
+	s.start(0, siteConfig, Faults{}) // fails the test if the scheduler ends
 }
 
 // TestTLSListener requests over TLS. Clients without TLS, with an older version, or that stop in the handshake get no further, and keep no
@@ -403,7 +403,7 @@
 		t.Fatal(err)
 	}
 	s := newTestCluster(t, 1, 4, false)
-	s.configure = func(who *Config) { who.TLS = guard.ServerConfig() }
+	s.configure = func(config *Config) { config.TLS = guard.ServerConfig() }
 	s.start(0, *s.siteConfig, Faults{})
 	time.Sleep(1800 * time.Millisecond)
 	addr := s.clients[0].SchedulerAddress()
--- a/internal/serve/working_set_test.go
+++ b/internal/serve/working_set_test.go
@@ -192,8 +192,8 @@
 func restartElsewhere(t *testing.T, p Faults) (tasks, starts int) {
 	t.Helper()
 	s := newTestCluster(t, setSchedulers, setNodes, false)
-	place := s.workingSetSite()
-	place.ListAddress = s.list.Address()
+	siteConfig := s.workingSetSite()
+	siteConfig.ListAddress = s.list.Address()
 	for _, n := range s.nodes { // work runs long enough
 		n.Machine.JobProfiles[2].MeanRuntime = 20_000
 	}
@@ -202,7 +202,7 @@
 		ready, began, done := make(chan string, 1), make(chan *workingSet, 1), make(chan error, 1)
 		go func() {
 			done <- Run(ctx, Config{
-				Site: &place, Name: "s0", Index: index, Folder: filepath.Join(s.dir, "s0"), Seed: uint64(index + 1),
+				Site: &siteConfig, Name: "s0", Index: index, Folder: filepath.Join(s.dir, "s0"), Seed: uint64(index + 1),
 				Log: zerolog.Nop(), Faults: p, Ready: func(a string) { ready <- a }, OnLocalListener: func(l *LocalListener) { began <- l.server.workingSet },
 			})
 		}()
