--- a/internal/lab/tenants/removals.go
+++ b/internal/lab/tenants/removals.go
@@ -56,93 +56,49 @@
 	command *exec.Cmd
 }
 
-// Play plays it.
+// Play plays the trial.
 func (r RemovalTrial) Play(ctx context.Context) (out RemovalResult, err error) {
-	slots := r.Rounds * r.TenantsPerRound
-	text := fmt.Sprintf(siteText, fmt.Sprintf("<hosting tenants=\"%d\"/>", slots), 2, 2)
-	text = strings.Replace(text, `<limits open="20000"/>`, `<limits open="20000" owners="20000"/>`, 1)
 	dir, err := os.MkdirTemp("", "ravenpond-removals-")
 	if err != nil {
 		return out, err
 	}
-	defer os.RemoveAll(dir)
-	real := env.NewReal()
-	defer real.Close(time.Second)
-	p := &removalRun{RemovalTrial: r, testbed: standin.NewTestbed(real), dir: dir, path: filepath.Join(dir, "site.xml")}
-	nodes, err := startNodes(p.testbed, Trial{Tenants: slots, Nodes: r.Nodes, Seed: r.Seed})
-	if err != nil {
-		return out, err
-	}
-	list, err := p.testbed.StartList(0, nodes, "")
+	defer func() { _ = os.RemoveAll(dir) }()
+	environment := env.NewReal()
+	defer environment.Close(time.Second)
+	p := &removalRun{RemovalTrial: r, testbed: standin.NewTestbed(environment), dir: dir, path: filepath.Join(dir, "site.xml")}
+	nodes, err := p.prepare()
 	if err != nil {
 		return out, err
 	}
-	text = strings.Replace(text, "127.0.0.1:1\"", list.Address()+"\"", 1)
-	place, faults := site.Read(strings.NewReader(text))
-	if len(faults) > 0 {
-		return out, fmt.Errorf("site of the removals: %s", faults[0])
-	}
-	p.site = place
-	if err := os.WriteFile(p.path, []byte(text), 0o640); err != nil {
-		return out, err
-	}
-	if p.log, err = os.Create(filepath.Join(dir, "log")); err != nil {
-		return out, err
-	}
-	defer p.log.Close()
+	defer func() { _ = p.log.Close() }()
 	if err := p.start(ctx); err != nil {
 		return out, err
 	}
 	defer func() { p.kill() }()
 	rng := rand.New(rand.NewPCG(r.Seed, 8))
-	var owners []*standin.Client
+	var clients []*standin.Client
 	for round := range r.Rounds {
-		made, err := p.round(ctx, rng, round)
+		started, err := p.round(ctx, rng, round)
 		if err != nil {
 			return out, err
 		}
-		owners = append(owners, made...)
+		clients = append(clients, started...)
 		out.Kills++
 	}
-	time.Sleep(4 * time.Second) // every ask is answered or overdue
-	for _, o := range owners {
-		for _, t := range o.Outcomes() {
-			out.Requests++
-			switch t.Result {
-			case "served":
-				out.Served++
-			case "declined":
-				out.Declined++
-			case "failed":
-				out.Failed++
-			case "cut-off":
-				out.CutOff++
-			default:
-				out.Unanswered++
-			}
-		}
-	}
-	score, starts := map[uint64]bool{}, map[uint64]int{}
-	records := p.testbed.Trace.Records()
-	for _, rec := range records {
-		if rec.Kind == audit.RequestSent && rec.Job == 1 {
-			score[rec.Token] = true
-		}
-	}
-	for _, rec := range records {
-		if rec.Kind == audit.TaskStarted && score[rec.Token] {
-			if starts[rec.Token]++; starts[rec.Token] > 1 {
-				out.SecondStarts++
-			}
+	time.Sleep(removalAnswerTime)
+	for _, c := range clients {
+		for _, o := range c.Outcomes() {
+			out.add(o)
 		}
 	}
+	out.SecondStarts = secondStarts(p.testbed.Trace.Records())
 	p.testbed.WithLock(func(float64) {
 		for _, n := range nodes {
 			out.HeldAtNodes += n.Machine.TaskCount()
 		}
 	})
-	err = p.withStore(func(st *tenants.Store) error {
-		all, err := st.Read()
+	err = p.withStore(func(store *tenants.Store) error {
+		all, err := store.Read()
 		if err != nil {
 			return err
 		}
@@ -151,103 +107,203 @@
 				out.NotRemoved++
 			}
 		}
-		return st.Records(1, func(uint64, tenants.Record) error { return nil })
+		return store.Records(1, func(uint64, tenants.Record) error { return nil })
 	})
 	return out, err
 }
 
-// round adds tenants, lets them ask, removes them meanwhile, kills the process at some moment of that, and waits until the
-// removals are over.
-func (p *removalRun) round(ctx context.Context, rng *rand.Rand, round int) (owners []*standin.Client, err error) {
-	var names, tokens []string
-	for i := range p.TenantsPerRound {
-		names = append(names, fmt.Sprintf("r%d-%d", round, i))
+// prepare starts nodes and list, writes the site file and opens the log.
+func (p *removalRun) prepare() ([]*standin.Node, error) {
+	slots := p.Rounds * p.TenantsPerRound
+	nodes, err := startNodes(p.testbed, Trial{Tenants: slots, Nodes: p.Nodes, Seed: p.Seed})
+	if err != nil {
+		return nil, err
 	}
-	if err := p.withStore(func(st *tenants.Store) error {
-		for _, name := range names {
-			if err := p.change(st, tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 100}}}); err != nil {
-				return err
-			}
-			token, err := st.IssueToken(time.Now(), "lab", name, time.Hour)
-			if err != nil {
-				return err
+	list, err := p.testbed.StartList(0, nodes, "")
+	if err != nil {
+		return nil, err
+	}
+	text := fmt.Sprintf(siteText, fmt.Sprintf("<hosting tenants=\"%d\"/>", slots), 2, 2)
+	text = strings.Replace(text, `<limits open="20000"/>`, `<limits open="20000" owners="20000"/>`, 1)
+	text = strings.Replace(text, "127.0.0.1:1\"", list.Address()+"\"", 1)
+	config, faults := site.Read(strings.NewReader(text))
+	if len(faults) > 0 {
+		return nil, fmt.Errorf("site of the removals: %s", faults[0])
+	}
+	p.site = config
+	if err := os.WriteFile(p.path, []byte(text), 0o640); err != nil {
+		return nil, err
+	}
+	p.log, err = os.Create(filepath.Join(p.dir, "log"))
+	return nodes, err
+}
+
+func (r *RemovalResult) add(o standin.Outcome) {
+	r.Requests++
+	switch o.Result {
+	case standin.Served:
+		r.Served++
+	case standin.Declined:
+		r.Declined++
+	case standin.Failed:
+		r.Failed++
+	case standin.Disconnected:
+		r.CutOff++
+	default:
+		r.Unanswered++
+	}
+}
+
+// secondStarts counts second starts of scoring tasks.
+func secondStarts(records []audit.Record) (count int) {
+	scoring, starts := map[uint64]bool{}, map[uint64]int{}
+	for i := range records {
+		if r := &records[i]; r.Kind == audit.RequestSent && r.Job == 1 {
+			scoring[r.Token] = true
+		}
+	}
+	for i := range records {
+		if r := &records[i]; r.Kind == audit.TaskStarted && scoring[r.Token] {
+			if starts[r.Token]++; starts[r.Token] > 1 {
+				count++
 			}
-			tokens = append(tokens, token)
 		}
-		return nil
-	}); err != nil {
-		return nil, err
 	}
-	time.Sleep(1200 * time.Millisecond)      // the process has read them
-	at := make([]float64, p.TenantsPerRound) // when each is removed, ms from now
-	for i := range at {
-		at[i] = float64(2500 * (i + 1) / p.TenantsPerRound)
+	return count
+}
+
+// Times of a round.
+const (
+	readTime          = 1200 * time.Millisecond // in which the process has read new tenants
+	removalSpan       = 2500                    // ms over which tenants are removed
+	requestOverrun    = 400                     // ms after its removal until which a tenant's requests are sent
+	maxKillDelay      = 3000                    // ms
+	restartDelay      = 200 * time.Millisecond
+	removalAnswerTime = 4 * time.Second
+	removalPoll       = 100 * time.Millisecond
+	maxRemovalPolls   = 600
+)
+
+// roundTenant is a tenant of a round.
+type roundTenant struct {
+	name, token string
+	removedAt   float64 // ms since the round began
+}
+
+// round adds tenants, has them send requests, removes them meanwhile, kills the process at some moment of that, and waits until the removals
+// are complete.
+func (p *removalRun) round(ctx context.Context, rng *rand.Rand, round int) (clients []*standin.Client, err error) {
+	added, err := p.addTenants(round)
+	if err != nil {
+		return nil, err
 	}
+	time.Sleep(readTime)
 	began := time.Now()
-	for i, name := range names {
-		o := &standin.Client{ID: round*p.TenantsPerRound + i, Scheduler: "s0", SettleTime: 600, AuthToken: tokens[i], SchedulerAddress: func() string {
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			return p.address
-		}}
-		p.testbed.StartClient(o, uint64(i))
-		owners = append(owners, o)
-		for n := range p.RequestsPerTenant {
-			job := n % 2
-			key, service := fmt.Sprint("k", n), fmt.Sprint("v", job)
-			p.testbed.After(float64(rng.IntN(int(at[i])+400)), func() { // up to a moment after the removal
-				o.Request(&standin.Demand{
-					Key: key, Tenant: name, JobType: p.site.JobClasses[job], Service: service, Job: job,
-					Semantics: audit.Semantics(p.site.Cluster.JobClasses[job].Semantics), Token: serve.Token(name, key),
-					ServiceKey: serve.Service(name, service), Cores: 1, Memory: 2, Timeout: p.site.Deadlines[job], LatencyObjective: 1000,
-					GiveUpAt: p.testbed.Now() + 20,
-				}) // not again: after a removal the token is gone, and what is asked without one is not taken
-			})
-		}
+	for i := range added {
+		clients = append(clients, p.startClient(rng, &added[i], round*p.TenantsPerRound+i, i))
 	}
-	var harm sync.WaitGroup
-	when := time.Duration(rng.IntN(3000)) * time.Millisecond
+	var restart sync.WaitGroup
+	killDelay := time.Duration(rng.IntN(maxKillDelay)) * time.Millisecond
 	var failed error
-	harm.Go(func() {
-		time.Sleep(when)
+	restart.Go(func() {
+		time.Sleep(killDelay)
 		p.kill()
-		time.Sleep(200 * time.Millisecond)
+		time.Sleep(restartDelay)
 		failed = p.start(ctx)
 	})
-	for i, name := range names {
-		time.Sleep(time.Until(began.Add(time.Duration(at[i] * 1e6))))
-		if err := p.withStore(func(st *tenants.Store) error {
-			return p.change(st, tenancy.Change{Kind: tenancy.Remove, Name: name, Removal: tenancy.RemovalMode(rng.IntN(2))})
-		}); err != nil {
-			return nil, err
-		}
+	if err := p.removeTenants(rng, added, began); err != nil {
+		return nil, err
 	}
-	harm.Wait()
+	restart.Wait()
 	if failed != nil {
 		return nil, failed
 	}
-	for range 600 {
+	if err := p.awaitRemovals(ctx, added); err != nil {
+		return nil, err
+	}
+	return clients, ctx.Err()
+}
+
+func (p *removalRun) addTenants(round int) (added []roundTenant, err error) {
+	for i := range p.TenantsPerRound {
+		added = append(added, roundTenant{name: fmt.Sprintf("r%d-%d", round, i), removedAt: float64(removalSpan * (i + 1) / p.TenantsPerRound)})
+	}
+	limits := tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 100}}
+	err = p.withStore(func(store *tenants.Store) error {
+		for i := range added {
+			if err := p.change(store, tenancy.Change{Kind: tenancy.Add, Name: added[i].name, Limits: limits}); err != nil {
+				return err
+			}
+			var err error
+			if added[i].token, err = store.IssueToken(time.Now(), "lab", added[i].name, time.Hour); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+	return added, err
+}
+
+// startClient starts a tenant's client, and schedules its requests up to a moment after the removal. None is sent again: after a removal the
+// token is gone, and requests without one are not taken.
+func (p *removalRun) startClient(rng *rand.Rand, tenant *roundTenant, id, seed int) *standin.Client {
+	c := &standin.Client{ID: id, Scheduler: "s0", SettleTime: 600, AuthToken: tenant.token, SchedulerAddress: func() string {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		return p.address
+	}}
+	p.testbed.StartClient(c, uint64(seed))
+	for n := range p.RequestsPerTenant {
+		job := n % 2
+		key, service := fmt.Sprint("k", n), fmt.Sprint("v", job)
+		p.testbed.After(float64(rng.IntN(int(tenant.removedAt)+requestOverrun)), func() {
+			c.Request(&standin.Demand{
+				Key: key, Tenant: tenant.name, JobType: p.site.JobClasses[job], Service: service, Job: job,
+				Semantics: audit.Semantics(p.site.Cluster.JobClasses[job].Semantics), Token: serve.Token(tenant.name, key),
+				ServiceKey: serve.Service(tenant.name, service), Cores: 1, Memory: 2, Timeout: p.site.Deadlines[job], LatencyObjective: 1000,
+				GiveUpAt: p.testbed.Now() + 20,
+			})
+		})
+	}
+	return c
+}
+
+func (p *removalRun) removeTenants(rng *rand.Rand, removed []roundTenant, began time.Time) error {
+	for _, t := range removed {
+		time.Sleep(time.Until(began.Add(time.Duration(t.removedAt * 1e6))))
+		if err := p.withStore(func(store *tenants.Store) error {
+			return p.change(store, tenancy.Change{Kind: tenancy.Remove, Name: t.name, Removal: tenancy.RemovalMode(rng.IntN(2))})
+		}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// awaitRemovals waits until no tenant of a round is left, for a minute at most.
+func (p *removalRun) awaitRemovals(ctx context.Context, removed []roundTenant) error {
+	for range maxRemovalPolls {
 		left := 0
-		if err := p.withStore(func(st *tenants.Store) error {
-			all, err := st.Read()
+		if err := p.withStore(func(store *tenants.Store) error {
+			all, err := store.Read()
 			if err != nil {
 				return err
 			}
-			for _, name := range names {
-				if t, _ := all.Tenants.Get(name); t.State != tenancy.Removed {
+			for _, t := range removed {
+				if entry, _ := all.Tenants.Get(t.name); entry.State != tenancy.Removed {
 					left++
 				}
 			}
 			return nil
 		}); err != nil {
-			return nil, err
+			return err
 		}
 		if left == 0 || ctx.Err() != nil {
-			break
+			return nil
 		}
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(removalPoll)
 	}
-	return owners, ctx.Err()
+	return nil
 }
 
 func (p *removalRun) change(st *tenants.Store, c tenancy.Change) error {
--- a/internal/lab/tenants/trial.go
+++ b/internal/lab/tenants/trial.go
@@ -47,9 +47,6 @@
 	scoreInterval = 4      // every so many asks of a tenant are for scoring
 )
 
-// startupTime is how long a day takes to begin.
-const startupTime = 1800 * time.Millisecond
-
 // Trial is a trial.
 type Trial struct {
 	Tenants        int
@@ -75,86 +72,117 @@
 	SecondStarts             int // second starts of scoring
 }
 
-// Play plays a day and tells what each tenant got, the flooding one first.
-func Play(ctx context.Context, day Trial) (all []TenantResult, err error) {
+// Times of a trial.
+const (
+	startupTime     = 1800 * time.Millisecond // from the start of the scheduler until requests are sent
+	clientStartTime = 300 * time.Millisecond  // the last part of it, for clients to connect
+	answerTime      = 3500 * time.Millisecond // after the last request, by when all are answered or overdue
+)
+
+// trialRun is a trial that is under way.
+type trialRun struct {
+	Trial
+	testbed *standin.Testbed
+	site    *site.Config
+	tokens  []string // of tenants
+	clients []*standin.Client
+	end     time.Time // of requests
+}
+
+// Play plays a trial and returns what each tenant got, the flooding one first.
+func Play(ctx context.Context, trial Trial) (results []TenantResult, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	who := fmt.Sprintf("<hosting tenants=\"%d\"/>", day.Tenants)
-	if day.Unqueued {
-		var b strings.Builder
-		for i := range day.Tenants {
-			fmt.Fprintf(&b, "<tenant name=%q share=%q/>", tenantName(i), fmt.Sprint(1/float64(day.Tenants)))
-		}
-		who = b.String()
-	}
-	place, faults := site.Read(strings.NewReader(fmt.Sprintf(siteText, who, day.Shards, day.Shards)))
-	if len(faults) > 0 {
-		return nil, fmt.Errorf("site of the clubs: %s", faults[0])
-	}
 	dir, err := os.MkdirTemp("", "ravenpond-clubs-")
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
-	tokens, err := addTenants(dir, day)
-	if err != nil {
-		return nil, err
-	}
-	real := env.NewReal()
-	defer real.Close(time.Second)
-	w := standin.NewTestbed(real)
-	nodes, err := startNodes(w, day)
-	if err != nil {
+	defer func() { _ = os.RemoveAll(dir) }()
+	environment := env.NewReal()
+	defer environment.Close(time.Second)
+	r := &trialRun{Trial: trial, testbed: standin.NewTestbed(environment)}
+	if err := r.prepare(dir); err != nil {
 		return nil, err
 	}
-	list, err := w.StartList(0, nodes, "")
-	if err != nil {
-		return nil, err
-	}
-	place.ListAddress = list.Address()
 	ready, ended := make(chan string, 1), make(chan error, 1)
-	sched := serve.Config{Site: place, Name: "s0", Folder: dir, Seed: day.Seed, Log: zerolog.Nop(), Ready: func(a string) { ready <- a }}
-	if day.TLS {
-		if sched.TLS, real.Connect, err = newAuthority(filepath.Join(dir, "keys")); err != nil {
+	config := serve.Config{Site: r.site, Name: "s0", Folder: dir, Seed: trial.Seed, Log: zerolog.Nop(), Ready: func(address string) { ready <- address }}
+	if trial.TLS {
+		if config.TLS, environment.Connect, err = newAuthority(filepath.Join(dir, "keys")); err != nil {
 			return nil, err
 		}
 	}
-	go func() { ended <- serve.Run(ctx, sched) }()
-	var addr string
+	go func() { ended <- serve.Run(ctx, config) }()
 	select {
-	case addr = <-ready:
+	case address := <-ready:
+		r.load(ctx, address)
 	case err := <-ended:
 		return nil, err
 	}
-	var asking sync.WaitGroup
-	for range day.HalfOpen { // before the owners come
-		asking.Go(func() { halfOpen(ctx, time.Now().Add(startupTime+day.Duration), addr) })
+	results = tally(r.testbed.Trace.Records(), r.clients)
+	stop()
+	return results, <-ended
+}
+
+// prepare reads the site, fills the tenant store, and starts nodes and list.
+func (r *trialRun) prepare(dir string) error {
+	elements := fmt.Sprintf("<hosting tenants=\"%d\"/>", r.Tenants)
+	if r.Unqueued {
+		var b strings.Builder
+		for i := range r.Tenants {
+			fmt.Fprintf(&b, "<tenant name=%q share=%q/>", tenantName(i), fmt.Sprint(1/float64(r.Tenants)))
+		}
+		elements = b.String()
 	}
-	time.Sleep(startupTime - 300*time.Millisecond) // connections, and the pace of the first moments
-	var owners []*standin.Client
-	for i := range day.Tenants {
-		o := &standin.Client{ID: i, Scheduler: "s0", SchedulerAddress: func() string { return addr }, SettleTime: place.SettleTime, AuthToken: tokens[i]}
-		owners = append(owners, o)
-		w.StartClient(o, uint64(i))
+	config, faults := site.Read(strings.NewReader(fmt.Sprintf(siteText, elements, r.Shards, r.Shards)))
+	if len(faults) > 0 {
+		return fmt.Errorf("site of the clubs: %s", faults[0])
 	}
-	time.Sleep(300 * time.Millisecond)
-	end := time.Now().Add(day.Duration)
-	if day.ReconnectFlood {
-		asking.Go(func() { reconnectForever(end, addr) })
+	r.site = config
+	var err error
+	if r.tokens, err = addTenants(dir, r.Trial); err != nil {
+		return err
 	}
-	share := float64(day.Nodes*cores) / (taskRuntime / 1000) / float64(day.Tenants)
-	for i, o := range owners {
+	nodes, err := startNodes(r.testbed, r.Trial)
+	if err != nil {
+		return err
+	}
+	list, err := r.testbed.StartList(0, nodes, "")
+	if err != nil {
+		return err
+	}
+	r.site.ListAddress = list.Address()
+	return nil
+}
+
+// load sends the requests of all tenants to a scheduler, and waits until they are answered or overdue.
+func (r *trialRun) load(ctx context.Context, address string) {
+	var senders sync.WaitGroup
+	for range r.HalfOpen {
+		senders.Go(func() { halfOpen(ctx, time.Now().Add(startupTime+r.Duration), address) })
+	}
+	time.Sleep(startupTime - clientStartTime)
+	for i := range r.Tenants {
+		c := &standin.Client{
+			ID: i, Scheduler: "s0", SchedulerAddress: func() string { return address }, SettleTime: r.site.SettleTime, AuthToken: r.tokens[i],
+		}
+		r.clients = append(r.clients, c)
+		r.testbed.StartClient(c, uint64(i))
+	}
+	time.Sleep(clientStartTime)
+	r.end = time.Now().Add(r.Duration)
+	if r.ReconnectFlood {
+		senders.Go(func() { reconnectForever(r.end, address) })
+	}
+	share := float64(r.Nodes*cores) / (taskRuntime / 1000) / float64(r.Tenants)
+	for i := range r.clients {
 		rate := calmLoad * share
-		if i == 0 && day.Flood > 0 {
-			rate = day.Flood * share
+		if i == 0 && r.Flood > 0 {
+			rate = r.Flood * share
 		}
-		asking.Go(func() { sendRequests(w, place, o, i, rate, end, day.Seed) })
+		senders.Go(func() { r.sendRequests(i, rate) })
 	}
-	asking.Wait()
-	time.Sleep(3500 * time.Millisecond) // every ask is answered or overdue
-	all = tally(w.Trace.Records(), owners)
-	stop()
-	return all, <-ended
+	senders.Wait()
+	time.Sleep(answerTime)
 }
 
 func tenantName(i int) string { return fmt.Sprintf("club-%02d", i) }
@@ -169,7 +197,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer store.Close()
+	defer func() { _ = store.Close() }()
 	for i := range day.Tenants {
 		share := 1.0
 		if i == 0 && day.FirstShare > 0 {
@@ -210,13 +238,13 @@
 	return nodes, nil
 }
 
-// sendRequests asks for a tenant at a rate, whatever becomes of it; nothing is asked for twice.
-func sendRequests(w *standin.Testbed, place *site.Config, o *standin.Client, i int, rate float64, end time.Time, seed uint64) {
-	rng := rand.New(rand.NewPCG(seed, uint64(i)+40))
+// sendRequests sends a tenant's requests at a rate, open loop; nothing is requested twice.
+func (r *trialRun) sendRequests(tenantIndex int, rate float64) {
+	rng := rand.New(rand.NewPCG(r.Seed, uint64(tenantIndex)+40))
 	at := time.Now()
 	for n := 0; ; n++ {
 		at = at.Add(time.Duration(rng.ExpFloat64() / rate * 1e9))
-		if at.After(end) {
+		if at.After(r.end) {
 			return
 		}
 		time.Sleep(time.Until(at))
@@ -224,18 +252,17 @@
 		if n%scoreInterval == 0 {
 			job = 1
 		}
-		key, service, tenant := fmt.Sprint("k", n), fmt.Sprint("v", job, n%3), tenantName(i)
-		jt := place.Cluster.JobClasses[job]
-		o.Request(&standin.Demand{
-			Key: key, Tenant: tenant, JobType: place.JobClasses[job], Service: service, Job: job, Semantics: audit.Semantics(jt.Semantics),
+		key, service, tenant := fmt.Sprint("k", n), fmt.Sprint("v", job, n%3), tenantName(tenantIndex)
+		class := r.site.Cluster.JobClasses[job]
+		r.clients[tenantIndex].Request(&standin.Demand{
+			Key: key, Tenant: tenant, JobType: r.site.JobClasses[job], Service: service, Job: job, Semantics: audit.Semantics(class.Semantics),
 			Token: serve.Token(tenant, key), ServiceKey: serve.Service(tenant, service), Cores: 1, Memory: 2,
-			Timeout: place.Deadlines[job], LatencyObjective: jt.LatencyObjective, GiveUpAt: w.Now() + 50,
+			Timeout: r.site.Deadlines[job], LatencyObjective: class.LatencyObjective, GiveUpAt: r.testbed.Now() + 50,
 		})
 	}
 }
 
-// count tells from the trace what each tenant got.
-
+// tally sums up what each tenant got.
 func tally(records []audit.Record, owners []*standin.Client) []TenantResult {
 	all := make([]TenantResult, len(owners))
 	value := [...]float64{1, 3}
