--- a/internal/serve/maintenance.go
+++ b/internal/serve/maintenance.go
@@ -80,7 +80,7 @@
 	if wrap := p.config.Faults.WrapMaintenance; wrap != nil {
 		executor = wrap(executor)
 	}
-	m.controller = &maintenance.Controller{Executor: executor, Limits: p.config.Site.Maintenance, Policies: p.config.Site.DrainManners}
+	m.controller = &maintenance.Controller{Executor: executor, Limits: p.config.Site.Maintenance, Policies: p.config.Site.DrainPolicies}
 	return m
 }
 
--- a/internal/site/read.go
+++ b/internal/site/read.go
@@ -191,7 +191,7 @@
 		if item.Has("drain") {
 			policy = drainpace.Policy(item.EnumIndex("drain"))
 		}
-		c.DrainManners = append(c.DrainManners, policy)
+		c.DrainPolicies = append(c.DrainPolicies, policy)
 		c.JobClasses = append(c.JobClasses, item.Text("name"))
 		c.Deadlines = append(c.Deadlines, item.Number("expiry"))
 		c.Cluster.JobClasses = append(c.Cluster.JobClasses, class)
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -51,9 +51,9 @@
 	RouteLatency map[[2]string]float64 // one way from zone to zone, the same in both directions; empty: no zone is nearer than another
 	MachineKinds []string
 
-	JobClasses   []string
-	Deadlines    []float64          // by job class, for requests that name none
-	DrainManners []drainpace.Policy // by job class, how its tasks leave a node that is taken out
+	JobClasses    []string
+	Deadlines     []float64          // by job class, for requests that name none
+	DrainPolicies []drainpace.Policy // by job class, how its tasks leave a node that is taken out
 
 	Tenants          []string
 	Shares           []float64 // of the tenants
