--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -197,44 +198,51 @@
 	}
 }
 
+// isUnknownAttempt tells whether an error is about an attempt that is not known.
+func isUnknownAttempt(err error) bool {
+	var unknown *UnknownAttemptError
+	return errors.As(err, &unknown)
+}
+
 func TestPeerFaults(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		do   func(h *harness) error
+		name    string
+		do      func(h *harness) error
+		matches func(err error) bool
 	}{
 		{"unknown try", func(h *harness) error {
 			return h.engine.OnStarted(h.now, h.last.node, AttemptID{Ticket: h.last.attempt.Ticket, Number: 9}, 1)
-		}},
+		}, isUnknownAttempt},
 		{"another node's try", func(h *harness) error {
 			return h.engine.OnStarted(h.now, h.last.node%4+1, AttemptID{Ticket: h.last.attempt.Ticket}, 1)
-		}},
+		}, isUnknownAttempt},
 		{"second start", func(h *harness) error {
 			_ = h.reportStart(1)
 			return h.reportStart(1)
-		}},
+		}, func(err error) bool { return errors.Is(err, ErrDuplicateAnswer) }},
 		{"second outcome", func(h *harness) error {
 			_ = h.reportStart(1)
 			_ = h.reportEnd(logic.Completed)
 			return h.reportEnd(logic.Completed)
-		}},
+		}, isUnknownAttempt},
 		{"refused after its start", func(h *harness) error {
 			_ = h.reportStart(1)
 			return h.reportEnd(logic.Rejected)
-		}},
-		{"report never asked for", func(h *harness) error { return h.engine.OnProbeReport(h.now, 1, 1<<40, nil) }},
+		}, func(err error) bool { return errors.Is(err, ErrRefusedAfterStart) }},
+		{"report never asked for", func(h *harness) error { return h.engine.OnProbeReport(h.now, 1, 1<<40, nil) }, func(err error) bool { return err != nil }},
 		{"held, of an unknown job type", func(h *harness) error {
 			return h.engine.OnHeld(h.now, 1, HeldTask{
 				Attempt: AttemptID{Ticket: 5},
 				Running: true,
 				Task:    Task{JobClass: 17, Service: 1, Token: 1, Cores: 1, Memory: 1},
 			})
-		}},
+		}, func(err error) bool { var held *HeldTaskError; return errors.As(err, &held) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := start(t, true)
 			h.request(1, once, 5000)
-			if c.do(h) == nil {
-				t.Error("not noticed")
+			if err := c.do(h); !c.matches(err) {
+				t.Errorf("error %v", err)
 			}
 		})
 	}
