--- a/internal/lab/scale/profile.go
+++ b/internal/lab/scale/profile.go
@@ -64,13 +64,13 @@
 	{"ravenpond/internal/decide/shardownership", partRouter},
 	{"ravenpond/internal/decide/shardplacement", partRouter},
 	{"internal/serve/client", partClients},
-	{"ravenpond/internal/proto/owners", partClients},
+	{"ravenpond/internal/proto/client", partClients},
 	{"internal/serve/metrics", partCounts},
 	{"prometheus", partCounts},
 }
 
 // fallbackRules are the parts of samples that no rule has.
-var fallbackRules = []rule{{"ravenpond/internal/outside", partSockets}, {moduleMarker, partElse}}
+var fallbackRules = []rule{{"ravenpond/internal/env", partSockets}, {moduleMarker, partElse}}
 
 // componentOf is the part of the program that a sample belongs to.
 func componentOf(s *profile.Sample) string {
