--- a/internal/decide/consensus/footprint.go
+++ b/internal/decide/consensus/footprint.go
@@ -8,33 +8,33 @@
 
 // Bounds of a Footprint, for tests and measurements.
 const (
-	// MaxProposals is how many own commands wait for their results at most.
+	// MaxProposals is the maximum number of own commands that wait for their results.
 	MaxProposals = maxProposals
-	// MaxLogEntries is how many committed commands the log holds at most as long as it can be compacted.
+	// MaxLogEntries is the maximum number of committed log entries, as long as the log can be compacted.
 	MaxLogEntries = compactThreshold + compactKeep
-	// MaxSnapshotBytes is the size of a snapshot beyond which the log is not compacted and followers can't receive it.
+	// MaxSnapshotBytes is the size of a snapshot above which the log is not compacted and followers reject the snapshot.
 	MaxSnapshotBytes = maxStateBytes
 )
 
-// Footprint is the size of what a replica holds, by structure.
+// Footprint is the size of a replica's data structures.
 type Footprint struct {
 	Proposals     int // own commands without a result
 	ProposalBytes int
-	LogEntries    int // in memory, at a voter
+	LogEntries    int // in a voter's memory
 	LogBytes      int
-	SnapshotBytes int // of the state as it is held
-	TransferBytes int // of snapshots that are sent, and of one that is half received
+	SnapshotBytes int // size of the current state, encoded
+	TransferBytes int // encoded states cached for followers, and the part of a fetched one that has been received
 }
 
-// Footprint counts what the replica holds.
+// Footprint returns the size of the replica's data structures.
 func (r *Replica) Footprint() Footprint {
 	f := Footprint{
 		Proposals:     len(r.queue.proposals),
 		SnapshotBytes: len(r.state.Snapshot()),
-		TransferBytes: len(r.snapshots.current.text) + len(r.snapshots.previous.text) + len(r.transfer.received),
+		TransferBytes: len(r.snapshots.current.data) + len(r.snapshots.previous.data) + len(r.transfer.received),
 	}
-	for _, w := range r.queue.proposals {
-		f.ProposalBytes += len(w.body)
+	for _, p := range r.queue.proposals {
+		f.ProposalBytes += len(p.body)
 	}
 	if r.voter.storage == nil {
 		return f
--- a/internal/decide/consensus/lease.go
+++ b/internal/decide/consensus/lease.go
@@ -7,28 +7,28 @@
 	codec "ravenpond/internal/proto/clusterstate"
 )
 
-// Lease is the validity of a read lease after its probes were sent, in ms.
+// Lease is the duration of a read lease in ms, counted from when its probes were sent. Clock drift is deducted from it.
 const Lease = 2500
 
-// probeRounds is the number of latest rounds of probes whose replies count.
+// probeRounds is the number of rounds of probes, the latest ones, to which replies are accepted.
 const probeRounds = 8
 
 // lease is a replica's read lease.
 type lease struct {
 	expiry      float64               // ms
-	replies     map[string]probeReply // the latest by voter
-	probeTimes  [probeRounds]float64  // when the latest rounds of probes were sent, by number
+	replies     map[string]probeReply // latest reply by voter
+	probeTimes  [probeRounds]float64  // when the latest rounds of probes were sent, by round number modulo probeRounds
 	lastProbe   uint64                // number of the last round
 	nextProbeAt float64
 }
 
 // probeReply is a voter's latest reply to a probe.
 type probeReply struct {
-	probedAt float64
-	written  uint64
+	probedAt    float64 // when the probe was sent
+	lastWritten uint64  // last log index on the voter's disk
 }
 
-// LeaseExpiry returns the time in ms until which the state is known to be current. After it, callers act in degraded mode.
+// LeaseExpiry returns the time in ms until which the state is known to be current. From then on, callers act in degraded mode.
 func (r *Replica) LeaseExpiry() float64 { return r.lease.expiry }
 
 // probeVoters asks all voters for the last log index on their disks.
@@ -46,11 +46,11 @@
 	r.renewLease()
 }
 
-// renewLease extends the lease by the probes that a quorum answered.
+// renewLease extends the lease if a quorum has reported log indexes that this replica has applied.
 func (r *Replica) renewLease() {
 	var probedAt []float64
 	for _, reply := range r.lease.replies {
-		if reply.written > 1 && reply.written <= r.state.Version() { // an empty disk may have been lost: it proves nothing
+		if reply.lastWritten > 1 && reply.lastWritten <= r.state.Version() { // a voter with an empty disk may have lost its log: its index proves nothing
 			probedAt = append(probedAt, reply.probedAt)
 		}
 	}
@@ -62,11 +62,11 @@
 	if len(probedAt) < quorum {
 		return
 	}
-	until := probedAt[quorum-1] + Lease*(1-clockDrift)
+	expiry := probedAt[quorum-1] + Lease*(1-clockDrift)
 	if r.config.Faults.EndlessLease {
-		until += 1e9
+		expiry += 1e9
 	}
-	r.lease.expiry = max(r.lease.expiry, until)
+	r.lease.expiry = max(r.lease.expiry, expiry)
 }
 
 // onProbeReply handles a voter's reply to a probe.
@@ -82,7 +82,7 @@
 	if r.voter.diskWasEmpty && r.voter.haltReason == "" && !r.config.Faults.VoteAfterLoss {
 		switch {
 		case m.Written > 1:
-			r.halt("its disk was empty, and others hold commands: it may have voted before")
+			r.halt("its disk was empty, but other voters hold commands: it may have voted before it lost its disk")
 		case len(r.voter.answered) == len(r.config.Voters)-1:
 			r.voter.diskWasEmpty = false
 			r.scheduleCampaign()
--- a/internal/decide/consensus/raftlogger.go
+++ b/internal/decide/consensus/raftlogger.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// silentLogger drops Raft's log lines. Fatal conditions still panic.
+// silentLogger discards Raft's log lines. Its methods for fatal conditions panic.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any) {}
--- a/internal/decide/consensus/storage.go
+++ b/internal/decide/consensus/storage.go
@@ -11,25 +11,25 @@
 	"ravenpond/internal/decide/clusterstate"
 )
 
-// save writes to the disk first and to Raft's in-memory storage after that.
+// save writes what Raft wants stored, first to the disk, then to Raft's in-memory storage.
 func (r *Replica) save(rd raft.Ready) error {
-	w, err := encodeReady(rd)
+	write, err := encodeReady(rd)
 	if err != nil {
 		return err
 	}
-	if w.hard == nil && w.snapshot == nil && w.entries == nil {
+	if write.hardState == nil && write.snapshot == nil && write.entries == nil {
 		return nil
 	}
 	r.Stats.Writes++
-	if err := r.effects.Save(w.hard, w.from, w.entries, w.snapshot, w.held); err != nil {
+	if err := r.effects.Save(write.hardState, write.firstIndex, write.entries, write.snapshot, write.snapshotIndex); err != nil {
 		return err
 	}
-	if w.snapshot != nil {
+	if write.snapshot != nil {
 		if err := r.voter.storage.ApplySnapshot(rd.Snapshot); err != nil {
 			return err
 		}
 	}
-	if w.hard != nil {
+	if write.hardState != nil {
 		if err := r.voter.storage.SetHardState(rd.HardState); err != nil {
 			return err
 		}
@@ -37,43 +37,44 @@
 	return r.voter.storage.Append(rd.Entries)
 }
 
-// diskWrite is what Effects.Save gets.
+// diskWrite holds the arguments of Effects.Save.
 type diskWrite struct {
-	hard, snapshot []byte // nil: unchanged
-	from           uint64 // index of the first entry, 0: none
-	entries        [][]byte
-	held           uint64 // index up to which the snapshot covers the log
+	hardState, snapshot []byte // nil: unchanged
+	firstIndex          uint64 // index of the first entry, 0: none
+	entries             [][]byte
+	snapshotIndex       uint64 // index of the last log entry that the snapshot covers
 }
 
-func encodeReady(rd raft.Ready) (w diskWrite, err error) {
+// encodeReady encodes what Raft wants stored.
+func encodeReady(rd raft.Ready) (write diskWrite, err error) {
 	if !raft.IsEmptyHardState(rd.HardState) {
-		if w.hard, err = proto.Marshal(rd.HardState); err != nil {
-			return w, err
+		if write.hardState, err = proto.Marshal(rd.HardState); err != nil {
+			return write, err
 		}
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		if w.snapshot, err = proto.Marshal(rd.Snapshot); err != nil {
-			return w, err
+		if write.snapshot, err = proto.Marshal(rd.Snapshot); err != nil {
+			return write, err
 		}
 	}
-	if w.snapshot != nil { // the snapshot replaces the log
-		w.held = rd.Snapshot.GetMetadata().GetIndex()
-		w.from = w.held + 1
+	if write.snapshot != nil { // a received snapshot replaces the whole log
+		write.snapshotIndex = rd.Snapshot.GetMetadata().GetIndex()
+		write.firstIndex = write.snapshotIndex + 1
 	}
 	for i, e := range rd.Entries {
-		text, err := proto.Marshal(e)
+		encoded, err := proto.Marshal(e)
 		if err != nil {
-			return w, err
+			return write, err
 		}
 		if i == 0 {
-			w.from = e.GetIndex()
+			write.firstIndex = e.GetIndex()
 		}
-		w.entries = append(w.entries, text)
+		write.entries = append(write.entries, encoded)
 	}
-	return w, nil
+	return write, nil
 }
 
-// apply applies committed entries to the state.
+// apply applies committed log entries to a copy of the state and adopts it. The leader also tells active followers of the new version.
 func (r *Replica) apply(entries []*pb.Entry) {
 	if len(entries) == 0 {
 		return
@@ -96,43 +97,43 @@
 			panic(err)
 		}
 		if refusal != clusterstate.Accepted {
-			r.effects.Log(fmt.Sprintf("command %d refused: %s", e.GetIndex(), refusal))
+			r.effects.Log(fmt.Sprintf("command at log index %d refused: %s", e.GetIndex(), refusal))
 		}
 	}
 	r.adoptState(state)
 	if !r.voter.isLeader {
 		return
 	}
-	for _, p := range state.Processes() { // followers would learn of it by their next probe; commits are rare and should take effect soon
+	for _, p := range state.Processes() { // their next probe would tell them too, but commits are rare and should take effect soon
 		if !p.Inactive && !slices.Contains(r.config.Voters, p.Name) {
 			r.sendProbeReply(p.Name, 0, state.Version())
 		}
 	}
 }
 
-// compactLog replaces old log entries by a snapshot.
+// compactLog writes a snapshot of the state and drops old log entries, except the last ones, which lagging voters may need.
 func (r *Replica) compactLog() {
-	v := r.state.Version()
-	if v < r.voter.compactedTo+compactThreshold {
+	version := r.state.Version()
+	if version < r.voter.compactedTo+compactThreshold {
 		return
 	}
-	text := r.state.Snapshot()
-	if len(text) > maxStateBytes {
-		return // the snapshot would not fit a message: the log is kept
+	data := r.state.Snapshot()
+	if len(data) > maxStateBytes {
+		return // the snapshot would not fit one message, so the log is kept
 	}
-	snap, err := r.voter.storage.CreateSnapshot(v, r.voter.confState, text)
+	snapshot, err := r.voter.storage.CreateSnapshot(version, r.voter.confState, data)
 	if err != nil {
 		return
 	}
-	encoded, err := proto.Marshal(snap)
+	encoded, err := proto.Marshal(snapshot)
 	if err != nil {
 		return
 	}
-	if err := r.effects.Save(nil, 0, nil, encoded, v); err != nil {
-		r.halt("can't write: " + err.Error())
+	if err := r.effects.Save(nil, 0, nil, encoded, version); err != nil {
+		r.halt("disk write failed: " + err.Error())
 		return
 	}
 	r.Stats.Writes++
-	r.voter.compactedTo = v
-	_ = r.voter.storage.Compact(v - compactKeep)
+	r.voter.compactedTo = version
+	_ = r.voter.storage.Compact(version - compactKeep)
 }
--- a/internal/decide/consensus/voter.go
+++ b/internal/decide/consensus/voter.go
@@ -12,7 +12,7 @@
 	codec "ravenpond/internal/proto/clusterstate"
 )
 
-// voter is the part of a replica that takes part in Raft. A follower does not use it, except for answered.
+// voter is the state that a replica needs to take part in Raft. A follower does not use it, except for answered.
 type voter struct {
 	raftID       uint64 // position among the voters, from 1; 0: not a voter
 	engine       *raft.RawNode
@@ -20,13 +20,13 @@
 	confState    *pb.ConfState
 	campaignAt   float64 // when this voter campaigns
 	isLeader     bool
-	compactedTo  uint64          // index of the last compaction of the log
-	diskWasEmpty bool            // this voter waits until all others report empty disks
+	compactedTo  uint64          // log index of the last snapshot
+	diskWasEmpty bool            // this voter does not vote until all others have reported empty disks
 	answered     map[string]bool // voters that have answered a probe
-	haltReason   string          // why this voter has stopped voting, empty: it has not
+	haltReason   string          // why this voter has stopped voting, empty if it has not
 }
 
-// startVoter starts Raft on the saved state. All voters start from the same empty snapshot.
+// startVoter starts Raft from the saved state. A voter without a saved snapshot starts from an empty one, which is the same on all voters.
 func (r *Replica) startVoter(saved PersistedState) error {
 	r.voter.confState = &pb.ConfState{}
 	for i := range r.config.Voters {
@@ -47,24 +47,24 @@
 }
 
 // loadSnapshot loads the saved snapshot, or the empty one if none was saved.
-func (r *Replica) loadSnapshot(text []byte) error {
+func (r *Replica) loadSnapshot(encoded []byte) error {
 	snapshot := &pb.Snapshot{Metadata: &pb.SnapshotMetadata{ConfState: r.voter.confState, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
-	if len(text) > 0 {
+	if len(encoded) > 0 {
 		snapshot = &pb.Snapshot{}
-		if err := proto.Unmarshal(text, snapshot); err != nil {
-			return fmt.Errorf("council: snapshot: %w", err)
+		if err := proto.Unmarshal(encoded, snapshot); err != nil {
+			return fmt.Errorf("consensus: decode snapshot: %w", err)
 		}
 	}
 	if voters := snapshot.GetMetadata().GetConfState().GetVoters(); !slices.Equal(voters, r.voter.confState.Voters) {
-		return fmt.Errorf("council: the folder is of %d stewards, the site file names %d", len(voters), len(r.voter.confState.Voters))
+		return fmt.Errorf("consensus: the stored state has %d voters, the site file names %d", len(voters), len(r.voter.confState.Voters))
 	}
 	if err := r.voter.storage.ApplySnapshot(snapshot); err != nil {
-		return fmt.Errorf("council: snapshot: %w", err)
+		return fmt.Errorf("consensus: load snapshot: %w", err)
 	}
 	if data := snapshot.GetData(); len(data) > 0 {
 		state, err := clusterstate.Read(data)
 		if err != nil {
-			return fmt.Errorf("council: snapshot: %w", err)
+			return fmt.Errorf("consensus: decode state in snapshot: %w", err)
 		}
 		r.state = state
 	}
@@ -73,43 +73,43 @@
 }
 
 // loadHardState loads the saved hard state, if there is one.
-func (r *Replica) loadHardState(text []byte) error {
-	if len(text) == 0 {
+func (r *Replica) loadHardState(data []byte) error {
+	if len(data) == 0 {
 		return nil
 	}
 	var hard pb.HardState
-	if err := proto.Unmarshal(text, &hard); err != nil {
-		return fmt.Errorf("council: state: %w", err)
+	if err := proto.Unmarshal(data, &hard); err != nil {
+		return fmt.Errorf("consensus: decode hard state: %w", err)
 	}
 	if err := r.voter.storage.SetHardState(&hard); err != nil {
-		return fmt.Errorf("council: state: %w", err)
+		return fmt.Errorf("consensus: load hard state: %w", err)
 	}
 	return nil
 }
 
 // loadEntries loads the saved log entries that the snapshot does not cover.
-func (r *Replica) loadEntries(texts [][]byte) error {
+func (r *Replica) loadEntries(encoded [][]byte) error {
 	var entries []*pb.Entry
-	for _, text := range texts {
+	for _, data := range encoded {
 		e := &pb.Entry{}
-		if err := proto.Unmarshal(text, e); err != nil {
-			return fmt.Errorf("council: entry: %w", err)
+		if err := proto.Unmarshal(data, e); err != nil {
+			return fmt.Errorf("consensus: decode log entry: %w", err)
 		}
 		if e.GetIndex() > r.voter.compactedTo {
 			entries = append(entries, e)
 		}
 	}
 	if err := r.voter.storage.Append(entries); err != nil {
-		return fmt.Errorf("council: entries: %w", err)
+		return fmt.Errorf("consensus: load log entries: %w", err)
 	}
 	return nil
 }
 
-// startRaft starts Raft on its storage.
+// startRaft starts Raft on the loaded storage.
 func (r *Replica) startRaft() (err error) {
 	defer func() {
 		if p := recover(); p != nil { // Raft panics on inconsistent storage
-			err = fmt.Errorf("council: the folder does not fit together: %v", p)
+			err = fmt.Errorf("consensus: the stored hard state, snapshot and log are inconsistent: %v", p)
 		}
 	}()
 	r.voter.engine, err = raft.NewRawNode(&raft.Config{
@@ -121,12 +121,12 @@
 	return err
 }
 
-// scheduleCampaign sets the time at which this voter campaigns unless it hears from a leader before.
+// scheduleCampaign sets the time at which this voter campaigns unless it hears from a leader before that.
 func (r *Replica) scheduleCampaign() {
 	r.voter.campaignAt = r.now + campaignTimeout*(1+r.rng.Float64())
 }
 
-// tickRaft ticks Raft. Campaigns are timed by the replica's own random source, so that simulations are reproducible.
+// tickRaft ticks Raft. The replica's own random source determines the times of campaigns, so that simulations are reproducible.
 func (r *Replica) tickRaft() {
 	if !r.isVoting() {
 		return
@@ -139,78 +139,78 @@
 	if r.now >= r.voter.campaignAt {
 		r.scheduleCampaign()
 		r.Stats.Elections++
-		_ = r.voter.engine.Campaign() // an error means that it may not campaign now: the next attempt is scheduled
+		_ = r.voter.engine.Campaign() // Raft returns an error if it may not campaign now; the next attempt is scheduled
 	}
 }
 
-// isVoting reports whether this replica is a voter that takes part.
+// isVoting reports whether this replica is a voter that may vote: it has not halted, and does not wait because its disk was empty.
 func (r *Replica) isVoting() bool {
 	return r.voter.engine != nil && r.voter.haltReason == "" && (!r.voter.diskWasEmpty || r.config.Faults.VoteAfterLoss)
 }
 
-// lastWritten returns the last log index on this voter's disk, committed or not.
+// lastWritten returns the last log index on this voter's disk, whether committed or not.
 func (r *Replica) lastWritten() uint64 {
 	last, _ := r.voter.storage.LastIndex()
 	return last
 }
 
-// stepRaft passes a voter's message to Raft.
+// stepRaft passes a message from another voter to Raft.
 func (r *Replica) stepRaft(from string, body []byte) {
-	voter := slices.Index(r.config.Voters, from)
+	sender := slices.Index(r.config.Voters, from)
 	var m pb.Message
-	if !r.isVoting() || voter < 0 || proto.Unmarshal(body, &m) != nil || m.GetFrom() != uint64(voter+1) || m.GetTo() != r.voter.raftID || raft.IsLocalMsg(m.GetType()) {
+	if !r.isVoting() || sender < 0 || proto.Unmarshal(body, &m) != nil || m.GetFrom() != uint64(sender+1) || m.GetTo() != r.voter.raftID || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
 	switch m.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
 		r.scheduleCampaign()
 	}
-	_ = r.voter.engine.Step(&m) // a message that Raft rejects counts as lost
+	_ = r.voter.engine.Step(&m) // a message that Raft rejects is treated as lost
 }
 
-// halt makes this voter a follower for the rest of its incarnation.
+// halt makes this voter a follower until the process restarts.
 func (r *Replica) halt(reason string) {
 	r.voter.haltReason, r.voter.isLeader = reason, false
 	delete(r.lease.replies, r.config.Name)
-	r.effects.Log("steward halted: " + reason)
+	r.effects.Log("voter halted: " + reason)
 }
 
-// processReady writes what Raft wants written, then sends its messages, then applies the committed entries.
+// processReady handles Raft's output: it writes to the disk, then sends messages, then applies the committed entries. A panic halts the voter.
 func (r *Replica) processReady() {
 	if !r.isVoting() {
 		return
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			r.halt(fmt.Sprint("the engine found itself broken: ", p))
+			r.halt(fmt.Sprint("panic in Raft or while applying its entries: ", p))
 		}
 	}()
 	for r.voter.engine.HasReady() {
 		rd := r.voter.engine.Ready()
 		if rd.SoftState != nil {
-			if leads := rd.RaftState == raft.StateLeader; leads != r.voter.isLeader {
-				r.voter.isLeader = leads
-				r.effects.Log(fmt.Sprintf("leads=%t at version %d", leads, r.state.Version()))
+			if isLeader := rd.RaftState == raft.StateLeader; isLeader != r.voter.isLeader {
+				r.voter.isLeader = isLeader
+				r.effects.Log(fmt.Sprintf("leader=%t at version %d", isLeader, r.state.Version()))
 			}
 		}
 		if r.config.Faults.SendBeforeWrite {
 			r.sendRaftMessages(rd.Messages)
 		}
 		if err := r.save(rd); err != nil {
-			r.halt("can't write: " + err.Error())
+			r.halt("disk write failed: " + err.Error())
 			return
 		}
 		if !r.config.Faults.SendBeforeWrite {
 			r.sendRaftMessages(rd.Messages)
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			b, err := clusterstate.Read(rd.Snapshot.GetData())
+			state, err := clusterstate.Read(rd.Snapshot.GetData())
 			if err != nil {
-				r.halt("a snapshot of the leader can't be read: " + err.Error())
+				r.halt("can't decode the state in the leader's snapshot: " + err.Error())
 				return
 			}
 			r.voter.compactedTo = rd.Snapshot.GetMetadata().GetIndex()
-			r.adoptState(b)
+			r.adoptState(state)
 		}
 		r.apply(rd.CommittedEntries)
 		r.voter.engine.Advance(rd)
@@ -219,14 +219,14 @@
 }
 
 // sendRaftMessages sends Raft's messages to the other voters.
-func (r *Replica) sendRaftMessages(all []*pb.Message) {
-	for _, m := range all {
+func (r *Replica) sendRaftMessages(messages []*pb.Message) {
+	for _, m := range messages {
 		body, err := proto.Marshal(m)
 		if err != nil || m.GetTo() == 0 || m.GetTo() > uint64(len(r.config.Voters)) {
 			continue
 		}
 		r.sendMessage(r.config.Voters[m.GetTo()-1], codec.Message{Kind: codec.MessageRaft, Body: body})
-		if m.GetType() == pb.MsgSnap { // the receiver's next message shows whether it arrived
+		if m.GetType() == pb.MsgSnap { // Raft learns from the receiver's next message whether the snapshot arrived
 			r.voter.engine.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
