--- a/internal/decide/consensus/voter.go
+++ b/internal/decide/consensus/voter.go
@@ -64,7 +64,7 @@
 	if data := snapshot.GetData(); len(data) > 0 {
 		state, err := clusterstate.Read(data)
 		if err != nil {
-			return fmt.Errorf("consensus: decode state in snapshot: %w", err)
+			return fmt.Errorf("consensus: load state from snapshot: %w", err)
 		}
 		r.state = state
 	}
@@ -206,7 +206,7 @@
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			state, err := clusterstate.Read(rd.Snapshot.GetData())
 			if err != nil {
-				r.halt("can't decode the state in the leader's snapshot: " + err.Error())
+				r.halt("can't load the leader's snapshot: " + err.Error())
 				return
 			}
 			r.voter.compactedTo = rd.Snapshot.GetMetadata().GetIndex()
