--- a/internal/decide/clusterstate/command.go
+++ b/internal/decide/clusterstate/command.go
@@ -6,21 +6,21 @@
 	codec "ravenpond/internal/proto/clusterstate"
 )
 
-// Change is what a command does: Activate, Deactivate, SetZoneState or SetPlan.
+// Change is the effect of a command: Activate, Deactivate, SetZoneState or SetPlan.
 type Change interface {
-	// apply changes the state by a command that has not been applied before.
-	apply(s *State, by *Command) Refusal
-	// encode sets the fields that the kind of command uses.
+	// apply applies the change to the state. The command that contains the change has not been applied before.
+	apply(s *State, command *Command) Refusal
+	// encode sets the fields of c that this kind of change uses.
 	encode(c *codec.Command)
 }
 
-// Command is a change with what identifies it.
+// Command is a change with the identity of its proposal.
 type Command struct {
 	Proposer    string
-	Incarnation uint64 // of the proposer
-	Number      uint64 // grows with each command of the incarnation
-	ProposedAt  float64
-	Change      Change // nil if this version of the program does not know the kind
+	Incarnation uint64  // of the proposer
+	Number      uint64  // increases with each command of the incarnation
+	ProposedAt  float64 // ms, by the proposer's clock
+	Change      Change  // nil if this version of the program does not know the kind of change
 }
 
 // Append appends the encoded command to b.
@@ -34,19 +34,19 @@
 func ReadCommand(b []byte) (Command, error) {
 	encoded, err := codec.ReadCommand(b)
 	if err != nil {
-		return Command{}, fmt.Errorf("command: %w", err)
+		return Command{}, fmt.Errorf("decode command: %w", err)
 	}
 	return Command{
 		Proposer:    encoded.Proposer,
 		Incarnation: encoded.Incarnation,
 		Number:      encoded.Number,
 		ProposedAt:  encoded.ProposedAt,
-		Change:      changeOf(&encoded),
+		Change:      decodeChange(&encoded),
 	}, nil
 }
 
-// changeOf returns the change that a command encodes, and nil for an unknown kind.
-func changeOf(c *codec.Command) Change {
+// decodeChange returns the change that an encoded command contains, or nil if its kind is unknown.
+func decodeChange(c *codec.Command) Change {
 	switch c.Kind {
 	case codec.CommandActivate:
 		return Activate{Process: c.Subject, Zone: c.Zone, Region: c.Region}
@@ -83,12 +83,12 @@
 	}
 }
 
-// Apply applies the next command, of a later version than all before it, and returns why it has no effect, if so. An empty command changes
-// the version alone. A command that can't be read is Malformed: every replica treats it alike. The error means that the version is not
-// later.
+// Apply applies the next command, whose version must be later than that of all commands before it. It returns why the command has no effect, or
+// Accepted. An empty command changes the version only. A command that can't be decoded is refused as Malformed on every replica. Apply
+// returns an error only if the version is not later.
 func (s *State) Apply(version uint64, command []byte) (Refusal, error) {
 	if version <= s.version {
-		return Accepted, fmt.Errorf("command of version %d after %d", version, s.version)
+		return Accepted, fmt.Errorf("command version %d is not later than state version %d", version, s.version)
 	}
 	s.version = version
 	if len(command) == 0 {
@@ -96,23 +96,23 @@
 	}
 	c, err := ReadCommand(command)
 	if err != nil {
-		return Malformed, nil //nolint:nilerr // the refusal says it
+		return Malformed, nil //nolint:nilerr // the refusal reports the error
 	}
 	return s.apply(&c), nil
 }
 
-// apply applies a command unless it, or a later one of its proposer, has been applied before.
+// apply applies a command unless the same or a later command of its proposer has been applied before.
 func (s *State) apply(c *Command) Refusal {
 	last := s.processes[c.Proposer]
 	if c.Incarnation < last.commandIncarnation || c.Incarnation == last.commandIncarnation && c.Number <= last.commandNumber {
 		return last.commandRefusal
 	}
-	s.now = max(s.now, c.ProposedAt) // voters reject times far from their clocks, see package consensus
+	s.now = max(s.now, c.ProposedAt) // voters drop commands whose time is far from their clocks, see package consensus
 	refusal := Malformed
 	if c.Change != nil {
 		refusal = c.Change.apply(s, c)
 	}
-	if p, known := s.processes[c.Proposer]; known { // nothing is kept of a proposer that is not part of the state
+	if p, known := s.processes[c.Proposer]; known { // no result is stored for a proposer that is not in the state
 		p.commandIncarnation, p.commandNumber, p.commandRefusal = c.Incarnation, c.Number, refusal
 		s.processes[c.Proposer] = p
 	}
--- a/internal/decide/clusterstate/refusal.go
+++ b/internal/decide/clusterstate/refusal.go
@@ -1,23 +1,23 @@
 package clusterstate
 
-// Refusal says why a command had no effect. The values are part of snapshots.
+// Refusal says why a command had no effect. The values are part of the snapshot format.
 type Refusal uint32
 
 // Results of commands.
 const (
 	Accepted          Refusal = iota
 	StaleIncarnation          // a later incarnation of the process is active
-	UnknownProcess            // no such process, or it is inactive, or the proposer may not speak for it
+	UnknownProcess            // the process is unknown, inactive or has another epoch, or the proposer may not activate it
 	StaleZoneVersion          // the zone's state has changed since the proposer saw it
 	InvalidTransition         // a zone's state can't change that way
-	HoldDown                  // a zone that was closed repeatedly does not reopen yet
-	LastOpenZone              // no other zone would be left open
-	InvalidShare              // a share of the plan is given twice, of no cores, or of a zone to itself
-	LimitReached              // the state has grown to its bound
-	Malformed                 // this version of the program can't read the command
+	HoldDown                  // the hold-down of a closed zone has not passed yet
+	LastOpenZone              // no other zone with an active process would remain that is not closed
+	InvalidShare              // a share of the plan has a route that occurs twice, no cores, or the same zone as source and target
+	LimitReached              // the state has reached a size limit
+	Malformed                 // this version of the program can't decode the command
 )
 
-// refusalNames are shown in logs and by commands for operators.
+// refusalNames are the names that logs and operators' commands show.
 var refusalNames = [...]string{
 	Accepted:          "taken",
 	StaleIncarnation:  "older-life",
@@ -31,5 +31,5 @@
 	Malformed:         "unreadable",
 }
 
-// String returns the name that logs show. A value of a later version shows as the last one known.
+// String returns the name that logs show. A value that only a later version of the program defines has the name of Malformed.
 func (r Refusal) String() string { return refusalNames[min(int(r), len(refusalNames)-1)] }
--- a/internal/decide/clusterstate/snapshot.go
+++ b/internal/decide/clusterstate/snapshot.go
@@ -8,9 +8,9 @@
 )
 
 // ErrInvalid means that a state violates an invariant.
-var ErrInvalid = errors.New("the state is broken")
+var ErrInvalid = errors.New("cluster state violates an invariant")
 
-// Check verifies the invariants of the state and returns an error that wraps ErrInvalid if one is violated.
+// Check verifies the state's invariants. It returns an error that wraps ErrInvalid if one is violated.
 func (s *State) Check() error {
 	if err := s.checkProcesses(); err != nil {
 		return err
@@ -18,25 +18,26 @@
 	for name, z := range s.zones {
 		if z.Name != name || z.State > Returning || z.Version == 0 || z.Version > s.version || z.Since > s.now ||
 			z.State == Closed && z.RecentClosings == 0 {
-			return fmt.Errorf("%w: zone %s: %+v at version %d", ErrInvalid, name, z, s.version)
+			return fmt.Errorf("%w: zone %s is %+v at version %d", ErrInvalid, name, z, s.version)
 		}
 	}
 	for route, cores := range s.shares {
 		if cores == 0 || cores > codec.MaxCores || route.From == route.To {
-			return fmt.Errorf("%w: %d cores of what leaves %s to %s", ErrInvalid, cores, route.From, route.To)
+			return fmt.Errorf("%w: share of %d cores from zone %s to zone %s", ErrInvalid, cores, route.From, route.To)
 		}
 	}
 	return nil
 }
 
+// checkProcesses verifies that all processes have valid names and incarnations and different epochs.
 func (s *State) checkProcesses() error {
 	byEpoch := map[uint64]string{}
 	for name, p := range s.processes {
-		switch other, twice := byEpoch[p.Epoch]; {
-		case twice:
-			return fmt.Errorf("%w: %s and %s act under epoch %d", ErrInvalid, other, name, p.Epoch)
+		switch other, duplicate := byEpoch[p.Epoch]; {
+		case duplicate:
+			return fmt.Errorf("%w: processes %s and %s both have epoch %d", ErrInvalid, other, name, p.Epoch)
 		case p.Epoch == 0 || p.Epoch > s.lastEpoch || p.Name != name || p.Incarnation == 0:
-			return fmt.Errorf("%w: process %s: %+v of %d epochs", ErrInvalid, name, p, s.lastEpoch)
+			return fmt.Errorf("%w: process %s is %+v, and the last epoch is %d", ErrInvalid, name, p, s.lastEpoch)
 		}
 		byEpoch[p.Epoch] = name
 	}
@@ -64,12 +65,12 @@
 	return codec.AppendSnapshot(nil, &snapshot)
 }
 
-// Read decodes a snapshot. It returns an error if the snapshot is malformed, was written by a later version of the program, or violates an
+// Read decodes a snapshot. It returns an error if the snapshot is malformed, has a format of a later version of the program, or violates an
 // invariant.
 func Read(snapshot []byte) (*State, error) {
 	decoded, err := codec.ReadSnapshot(snapshot)
 	if err != nil {
-		return nil, fmt.Errorf("cluster state: %w", err)
+		return nil, fmt.Errorf("decode cluster state: %w", err)
 	}
 	s := New()
 	s.version, s.now, s.lastEpoch, s.planVersion = decoded.Version, decoded.Now, decoded.LastEpoch, decoded.PlanVersion
