--- a/internal/decide/watchretry/watchretry_test.go
+++ b/internal/decide/watchretry/watchretry_test.go
@@ -5,22 +5,22 @@
 func TestSilence(t *testing.T) {
 	var r Retrier
 	if !r.BeginConnect(10) || r.BeginConnect(11) {
-		t.Fatal("not connected at once and once")
+		t.Fatal("got no first connection at once, or a second one, want exactly one")
 	}
 	if !r.IsFailing(5000) || r.IsLive(5000) {
-		t.Error("a service that was never heard from")
+		t.Error("a service that has never sent an event is live or not failing, want failing")
 	}
 	r.OnConnected(20)
 	r.OnEvent(30)
 	if r.IsSilent(1900) || !r.IsLive(1900) {
-		t.Error("silent too early")
+		t.Error("the connection is silent or not live 1870 ms after an event, want live")
 	}
 	if !r.IsSilent(2000) || r.IsLive(2000) {
-		t.Error("not silent")
+		t.Error("the connection is live or not silent 1970 ms after an event, want silent")
 	}
 	r.OnDisconnected(2000)
 	if r.BeginConnect(2010) || !r.BeginConnect(2100) {
-		t.Error("connected again too soon, or not soon")
+		t.Error("reconnected within 10 ms, or not within 100 ms, want a backoff of 30 ms")
 	}
 }
 
@@ -39,16 +39,16 @@
 		}
 	}
 	if gap < 300 || gap > 700 || attempts > 40 {
-		t.Errorf("%d attempts in 10 s to a service that is not there, the last after %g ms", attempts, gap)
+		t.Errorf("unreachable service: got %d attempts in 10 s, the last one after %g ms; want at most 40, the last one after 300 to 700 ms", attempts, gap)
 	}
 	r.OnAddressChanged(12100)
 	if !r.BeginConnect(12100) {
-		t.Error("not connected at once to a new address")
+		t.Error("got no connection at once to a new address")
 	}
 }
 
-// TestSilentAfterReconnect has a service accept connections and deliver nothing: no request for events is answered as if there were none,
-// however often it is connected again.
+// TestSilentAfterReconnect simulates a service that accepts connections and delivers nothing. However often the scheduler reconnects, requests
+// for events fail instead of reporting that there are no events.
 func TestSilentAfterReconnect(t *testing.T) {
 	var r Retrier
 	r.BeginConnect(0)
@@ -64,46 +64,46 @@
 			r.OnDisconnected(now)
 		}
 		if r.IsLive(now) {
-			t.Fatalf("live at %g ms, on a connection that has delivered nothing", now)
+			t.Fatalf("live at %g ms on a connection that has delivered nothing, want not live", now)
 		}
 		failed = failed || r.IsFailing(now)
 	}
 	if !failed {
-		t.Error("requests for events wait for ever")
+		t.Error("requests for events never fail, want a failure")
 	}
 	r.BeginConnect(30000)
 	r.OnConnected(30000)
 	r.OnEvent(30001)
 	if !r.IsLive(30002) || r.IsFailing(30002) {
-		t.Error("not live after its first line")
+		t.Error("not live or failing after the first event of a connection, want live")
 	}
 }
 
-// TestTrickle distinguishes a line that arrives slowly from one that never ends, and from silence within it.
+// TestTrickle distinguishes an event that arrives slowly from one that never ends, and from silence within an event.
 func TestTrickle(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		bytes, line float64 // ms between bytes, and from the first to the line's end
-		silent      bool
+		name                        string
+		byteInterval, eventDuration float64 // ms between bytes, and from the first byte to the end of the event
+		wantSilent                  bool
 	}{
-		{"a long line arrives slowly", 100, 3000, false},
-		{"slower than the heartbeat", 1000, 3000, false},
-		{"it never ends", 100, 1e9, true},
-		{"silence within it", 2500, 3000, true},
+		{"a long event arrives slowly", 100, 3000, false},
+		{"bytes arrive once per heartbeat interval", 1000, 3000, false},
+		{"an event that never ends", 100, 1e9, true},
+		{"silence within an event", 2500, 3000, true},
 	} {
 		var r Retrier
 		r.BeginConnect(0)
 		r.OnConnected(0)
 		next, silent := 0.0, false
-		for now := 0.0; now < 5000 && now < c.line && !silent; now += 10 {
+		for now := 0.0; now < 5000 && now < c.eventDuration && !silent; now += 10 {
 			if now >= next {
 				r.OnBytes(now)
-				next = now + c.bytes
+				next = now + c.byteInterval
 			}
 			silent = r.IsSilent(now)
 		}
-		if silent != c.silent {
-			t.Errorf("%s: given up %v", c.name, silent)
+		if silent != c.wantSilent {
+			t.Errorf("%s: got silent %v, want the opposite", c.name, silent)
 		}
 	}
 }
