--- a/internal/decide/fragment/fragment.go
+++ b/internal/decide/fragment/fragment.go
@@ -1,20 +1,20 @@
-// Package fragment splits messages into fragments that fit a datagram, and reassembles them. A message of which a fragment is lost is lost;
-// its sender sends it again, or a newer one. The package tolerates duplicate, late, reordered and missing fragments, and limits what senders
-// of many incomplete messages can occupy. A Reassembler is not safe for concurrent use.
+// Package fragment splits messages into fragments that fit a datagram, and reassembles them. If one fragment is lost, the whole message is
+// lost; its sender has to send it again, or a newer one. The package tolerates duplicate, late, reordered and missing fragments, and limits
+// the memory that senders of many incomplete messages can use. A Reassembler is not safe for concurrent use.
 package fragment
 
 import "slices"
 
-// MaxFragments is the number of fragments of a message at most. Datagrams may be reordered by as many.
+// MaxFragments is the maximum number of fragments of a message. Datagrams may be reordered by that many.
 const MaxFragments = 64
 
 const (
-	maxIncomplete = 8   // messages of one sender
-	maxSenders    = 512 // that a Reassembler remembers
-	maskBits      = 64  // message numbers below the highest complete one that a sender's mask covers
+	maxIncomplete = 8   // incomplete messages of one sender
+	maxSenders    = 512 // senders that a Reassembler remembers
+	maskBits      = 64  // message numbers below the highest complete one that sender.completeBelow covers
 )
 
-// Split splits a message into fragments of at most maxBytes. It returns nil if there would be more than MaxFragments.
+// Split splits a message into fragments of at most maxBytes each. It returns nil if that would take more than MaxFragments.
 func Split(body []byte, maxBytes int) (fragments [][]byte) {
 	if len(body) > MaxFragments*maxBytes {
 		return nil
@@ -28,25 +28,25 @@
 // Reassembler reassembles messages. Its zero value is ready to use.
 type Reassembler struct {
 	senders map[string]*sender
-	order   []string // names of senders, the one that is known for longest first
+	order   []string // names of senders, in the order in which they were first seen
 }
 
-// sender is what is kept of one incarnation of a sender.
+// sender is the state of one incarnation of a sender.
 type sender struct {
 	incarnation   uint64
-	messages      []*message // incomplete ones, the oldest first
-	highest       uint64     // number of a complete message
+	messages      []*message // incomplete messages, the oldest first
+	highest       uint64     // highest number of a complete message
 	completeBelow uint64     // bit i: message highest-1-i is complete
 }
 
-// message is a message of which fragments are missing.
+// message is an incomplete message.
 type message struct {
 	number    uint64
 	fragments [][]byte // nil: missing
-	missing   int
+	missing   int      // number of missing fragments
 }
 
-// Fragment is one of Total fragments of the message that an incarnation of its sender has numbered.
+// Fragment is one of Total fragments of a message, which the sender's incarnation and the number identify.
 type Fragment struct {
 	From                string
 	Incarnation, Number uint64
@@ -54,7 +54,7 @@
 	Body                []byte
 }
 
-// Add adds a fragment. It returns the message if this was the last missing fragment. The body is copied.
+// Add adds a fragment. It returns the message and true if no fragment of it is missing any more. The fragment's body is copied.
 func (r *Reassembler) Add(f Fragment) ([]byte, bool) {
 	if f.Total > MaxFragments || f.Index < 0 || f.Index >= f.Total {
 		return nil, false
@@ -67,7 +67,7 @@
 	if len(m.fragments) != f.Total || m.fragments[f.Index] != nil {
 		return nil, false
 	}
-	m.fragments[f.Index] = append([]byte{}, f.Body...) // never nil
+	m.fragments[f.Index] = append([]byte{}, f.Body...) // not nil, even if the body is empty
 	if m.missing--; m.missing > 0 {
 		return nil, false
 	}
@@ -79,7 +79,8 @@
 	return all, true
 }
 
-// sender returns what is kept of a sender's incarnation, nil if a later one is known.
+// sender returns the state of a sender's incarnation, or nil if a later one is known. A new sender replaces the longest known one if there are
+// too many, and a later incarnation replaces an earlier one.
 func (r *Reassembler) sender(name string, incarnation uint64) *sender {
 	s := r.senders[name]
 	switch {
@@ -102,7 +103,8 @@
 	return s
 }
 
-// message returns an incomplete message, and begins it if need be: the oldest one lacks a lost fragment and makes place for it.
+// message returns an incomplete message and adds it if it is new. If there are too many, it removes the oldest one, of which a fragment has
+// presumably been lost.
 func (s *sender) message(number uint64, total int) *message {
 	for _, m := range s.messages {
 		if m.number == number {
@@ -117,17 +119,17 @@
 	return m
 }
 
-// isComplete reports whether a message was complete before, or is too old to tell.
+// isComplete reports whether a message has been completed before, or is too old for that to be known.
 func (s *sender) isComplete(number uint64) bool {
 	return number <= s.highest &&
 		(s.highest-number >= maskBits || number == s.highest || s.completeBelow>>(s.highest-number-1)&1 == 1)
 }
 
-// markComplete records a message as complete and removes it.
+// markComplete records that a message is complete and removes it from the incomplete ones.
 func (s *sender) markComplete(m *message) {
-	if by := m.number - s.highest; m.number > s.highest {
-		if by < maskBits {
-			s.completeBelow = s.completeBelow<<by | 1<<(by-1)
+	if shift := m.number - s.highest; m.number > s.highest {
+		if shift < maskBits {
+			s.completeBelow = s.completeBelow<<shift | 1<<(shift-1)
 		} else {
 			s.completeBelow = 0
 		}
