--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -21,12 +21,12 @@
 
 // Times in milliseconds, sizes in bytes, and limits.
 const (
-	raftTick         = 100  // between two ticks of Raft
+	raftTick         = 100  // time between two ticks of Raft
 	heartbeatTicks   = 2    // ticks between two heartbeats of the leader
 	electionTicks    = 10   // ticks without a heartbeat after which a voter may vote for another leader
 	campaignTimeout  = 1200 // time without a heartbeat before a voter campaigns; up to the same time again is added at random
-	probeInterval    = 500  // between two rounds of probes
-	retryInterval    = 300  // after which a proposal or a request for a chunk is sent again
+	probeInterval    = 500  // time between two rounds of probes
+	retryInterval    = 300  // time after which a proposal or a request for a chunk is sent again
 	clockDrift       = 0.01 // relative drift between two clocks that the lease allows for
 	maxClockSkew     = 5000 // a voter drops a proposal whose time is further ahead of its clock
 	maxCommandAge    = 60e3 // a voter drops a proposal whose time is further behind its clock
@@ -242,6 +242,7 @@
 	}
 }
 
+// Name returns the replica's name, which is that of its process.
 func (r *Replica) Name() string { return r.config.Name }
 
 // Incarnation returns the replica's current incarnation. It is higher than the configured one if the cluster state already contained a later
