--- a/internal/decide/shardrouter/capacity.go
+++ b/internal/decide/shardrouter/capacity.go
@@ -1,8 +1,8 @@
 package shardrouter
 
 const (
-	othersWeight  = 0.1 // weight of the node list's latest answer, twice a second, in the estimate of what other processes hold
-	listLagRounds = 5   // answers by which the node list may be late
+	heldByOthersSmoothing = 0.1 // weight of the node list's latest answer, twice a second, in the estimate of what other processes hold
+	maxNodeListLag        = 5   // answers by which the node list may be late
 )
 
 // Resources are cores and memory.
@@ -23,7 +23,7 @@
 	if q == nil || !(c.Total.Cores > 0) || !(c.Total.Memory > 0) {
 		return
 	}
-	if q.recentHeld = append(q.recentHeld, q.held); len(q.recentHeld) > listLagRounds {
+	if q.recentHeld = append(q.recentHeld, q.held); len(q.recentHeld) > maxNodeListLag {
 		q.recentHeld = q.recentHeld[1:]
 	}
 	minHeld, maxHeld := q.held, q.held
@@ -31,24 +31,24 @@
 		minHeld = Resources{min(minHeld.Cores, held.Cores), min(minHeld.Memory, held.Memory)}
 		maxHeld = Resources{max(maxHeld.Cores, held.Cores), max(maxHeld.Memory, held.Memory)}
 	}
-	taken := Resources{c.Total.Cores - c.Free.Cores, c.Total.Memory - c.Free.Memory}
+	used := Resources{c.Total.Cores - c.Free.Cores, c.Total.Memory - c.Free.Memory}
 	if !c.KnowsFree { // assume that others hold nothing
-		taken, minHeld, maxHeld = Resources{}, Resources{}, Resources{}
+		used, minHeld, maxHeld = Resources{}, Resources{}, Resources{}
 	}
 	isFirst := q.capacity.Cores == 0
-	q.others.Cores = estimateOthers(q.others.Cores, taken.Cores-maxHeld.Cores, taken.Cores-minHeld.Cores, isFirst)
-	q.others.Memory = estimateOthers(q.others.Memory, taken.Memory-maxHeld.Memory, taken.Memory-minHeld.Memory, isFirst)
+	q.heldByOthers.Cores = smoothHeldByOthers(q.heldByOthers.Cores, used.Cores-maxHeld.Cores, used.Cores-minHeld.Cores, isFirst)
+	q.heldByOthers.Memory = smoothHeldByOthers(q.heldByOthers.Memory, used.Memory-maxHeld.Memory, used.Memory-minHeld.Memory, isFirst)
 	q.capacity = c.Total
 	q.fair.SetCapacity(c.Total.Cores, c.Total.Memory, r.config.MaxOpen)
 }
 
-// estimateOthers moves an estimate toward the range of values that the list allows.
-func estimateOthers(estimate, lowest, highest float64, isFirst bool) float64 {
+// smoothHeldByOthers moves an estimate toward the range of values that the list allows.
+func smoothHeldByOthers(estimate, lowest, highest float64, isFirst bool) float64 {
 	target := min(max(estimate, lowest), highest)
 	if isFirst {
 		return target
 	}
-	return estimate + othersWeight*(target-estimate)
+	return estimate + heldByOthersSmoothing*(target-estimate)
 }
 
 // updateFree tells the fair queue what may still be taken: the fill level, less what this process and others hold. The estimate of others
@@ -58,7 +58,7 @@
 	if q.capacity.Cores <= 0 || q.capacity.Memory <= 0 {
 		return
 	}
-	held := max(0, (q.held.Cores+q.others.Cores)/q.capacity.Cores, (q.held.Memory+q.others.Memory)/q.capacity.Memory)
+	held := max(0, (q.held.Cores+q.heldByOthers.Cores)/q.capacity.Cores, (q.held.Memory+q.heldByOthers.Memory)/q.capacity.Memory)
 	q.fair.SetFree(q.fill.Level()-held, 1-held, minOpenPerShard*r.config.MaxShards)
 }
 
--- a/internal/decide/shardrouter/handover.go
+++ b/internal/decide/shardrouter/handover.go
@@ -90,7 +90,7 @@
 	d.Disposition, d.Shard, d.Epoch = shardownership.Reassign, to, epoch
 	r.placement.Move(from, to, item.Request.Service)
 	if item.Running { // it counts as lost until the other shard has it
-		r.addLost(now, item.ID, item.Request, r.ownership.Entry(item.ID).LastAttempt)
+		r.addUnrecovered(now, item.ID, item.Request, r.ownership.Entry(item.ID).LastAttempt)
 	}
 	return d
 }
--- a/internal/decide/shardrouter/health.go
+++ b/internal/decide/shardrouter/health.go
@@ -44,7 +44,7 @@
 	case d.Disposition == shardownership.Reassign:
 		r.reassign(&d, spread)
 	case d.Disposition == shardownership.Continue && orphan.Entry.Served: // else the client knows that it was not served
-		r.addLost(now, orphan.ID, orphan.Entry.Request, orphan.Entry.LastAttempt)
+		r.addUnrecovered(now, orphan.ID, orphan.Entry.Request, orphan.Entry.LastAttempt)
 	}
 	return d
 }
@@ -72,21 +72,21 @@
 }
 
 // CheckHealth takes the time of each shard's last sign of life and how long its events wait, in ms.
-func (r *Router) CheckHealth(now float64, beats, delays []float64) Health {
+func (r *Router) CheckHealth(now float64, heartbeats, delays []float64) Health {
 	for shard, delay := range delays {
 		r.placement.OnDelay(shard, delay)
 	}
 	var h Health
-	h.Fence, h.Restart = r.watchdog.Check(now, beats)
+	h.Fence, h.Restart = r.watchdog.Check(now, heartbeats)
 	for _, shard := range h.Restart { // starting takes as long as the disk takes
 		r.watchdog.Unwatch(shard)
 	}
-	for shard, beat := range beats {
-		if r.stopped[shard] || !r.hasMissedAnswers(now, beat) {
+	for shard, lastHeartbeat := range heartbeats {
+		if r.stopped[shard] || !r.hasMissedAnswers(now, lastHeartbeat) {
 			continue
 		}
 		h.Silent = append(h.Silent, shard)
-		for _, orphan := range r.ownership.ShedOverdue(now, shard, r.OverdueMargin()+(now-beat)*silenceFraction) {
+		for _, orphan := range r.ownership.ShedOverdue(now, shard, r.OverdueMargin()+(now-lastHeartbeat)*silenceFraction) {
 			h.Overdue = append(h.Overdue, OrphanDecision{Orphan: orphan})
 		}
 	}
@@ -96,7 +96,7 @@
 			delete(r.pausedUntil, service)
 		}
 	}
-	h.Lost = r.expireLost(now)
+	h.Lost = r.expireUnrecovered(now)
 	return h
 }
 
--- a/internal/decide/shardrouter/lost.go
+++ b/internal/decide/shardrouter/lost.go
@@ -10,21 +10,21 @@
 // recoveryTimeout is how long, in ms, an allocation that ran at a fenced shard may take to be reported by its node, which may be away.
 const recoveryTimeout = 15000
 
-// lostAllocation runs at a node, but no shard knows of it.
-type lostAllocation struct {
+// unrecoveredAllocation runs at a node, but no shard knows of it.
+type unrecoveredAllocation struct {
 	shardownership.Request
-	attempt shardownership.Attempt
-	until   float64
+	attempt   shardownership.Attempt
+	recoverBy float64
 }
 
-func (r *Router) addLost(now float64, id shardownership.ID, request shardownership.Request, attempt shardownership.Attempt) {
-	r.lost[id] = lostAllocation{request, attempt, now + recoveryTimeout}
-	r.lostByAttempt[attempt] = id
+func (r *Router) addUnrecovered(now float64, id shardownership.ID, request shardownership.Request, attempt shardownership.Attempt) {
+	r.unrecovered[id] = unrecoveredAllocation{request, attempt, now + recoveryTimeout}
+	r.unrecoveredByAttempt[attempt] = id
 }
 
-func (r *Router) removeLost(id shardownership.ID) {
-	delete(r.lostByAttempt, r.lost[id].attempt)
-	delete(r.lost, id)
+func (r *Router) removeUnrecovered(id shardownership.ID) {
+	delete(r.unrecoveredByAttempt, r.unrecovered[id].attempt)
+	delete(r.unrecovered, id)
 }
 
 // Recovery is a recovered allocation's epoch, and the client that waits for news of it; 0 if none does.
@@ -44,32 +44,32 @@
 	if r.ownership.Len() > before {
 		r.placement.Add(shard, request.Service)
 	}
-	lost, wasLost := r.lost[id]
-	if wasLost {
-		r.removeLost(id)
-		r.ownership.SetClient(shardownership.Claim{ID: id, Shard: shard, Epoch: epoch}, lost.Client, lost.Ref)
+	previous, wasUnrecovered := r.unrecovered[id]
+	if wasUnrecovered {
+		r.removeUnrecovered(id)
+		r.ownership.SetClient(shardownership.Claim{ID: id, Shard: shard, Epoch: epoch}, previous.Client, previous.Ref)
 	}
-	return Recovery{epoch, lost.Client, lost.Ref}, true
+	return Recovery{epoch, previous.Client, previous.Ref}, true
 }
 
 // OnLostEnded records the end of an attempt whose allocation no shard knows of, and returns its request, so that the client is notified
 // of the end; false if there is none.
 func (r *Router) OnLostEnded(attempt shardownership.Attempt) (request shardownership.Request, ok bool) {
-	id, ok := r.lostByAttempt[attempt]
+	id, ok := r.unrecoveredByAttempt[attempt]
 	if ok {
-		request = r.lost[id].Request
-		r.removeLost(id)
+		request = r.unrecovered[id].Request
+		r.removeUnrecovered(id)
 	}
 	return request, ok
 }
 
-// expireLost returns the requests of allocations that were not recovered in time, in order of their clients.
-func (r *Router) expireLost(now float64) []shardownership.Request {
+// expireUnrecovered returns the requests of allocations that were not recovered in time, in order of their clients.
+func (r *Router) expireUnrecovered(now float64) []shardownership.Request {
 	var expired []shardownership.Request
-	for id, lost := range r.lost {
-		if now > lost.until {
-			r.removeLost(id)
-			expired = append(expired, lost.Request)
+	for id, allocation := range r.unrecovered {
+		if now > allocation.recoverBy {
+			r.removeUnrecovered(id)
+			expired = append(expired, allocation.Request)
 		}
 	}
 	slices.SortFunc(expired, func(x, y shardownership.Request) int {
--- a/internal/decide/shardrouter/queue.go
+++ b/internal/decide/shardrouter/queue.go
@@ -26,16 +26,16 @@
 	byClient map[shardownership.RequestKey]uint64
 	retryAt  float64 // when to ask a shard again that was behind; 0: none was
 
-	capacity   Resources   // of the nodes that accept work
-	others     Resources   // held by other processes, as estimated
-	held       Resources   // held by this process's shards, open or running
-	recentHeld []Resources // held, at the latest answers of the node list
+	capacity     Resources   // of the nodes that accept work
+	heldByOthers Resources   // held by other processes, as estimated
+	held         Resources   // held by this process's shards, open or running
+	recentHeld   []Resources // held, at the latest answers of the node list
 }
 
 // queuedRequest is a request that waits.
 type queuedRequest struct {
 	Arrival
-	since float64
+	queuedAt float64
 }
 
 // startQueue makes the queue and connects it with the ownership table.
@@ -229,7 +229,7 @@
 // TenantCount returns how much there is of a tenant: waiting requests, open allocations, and lost ones.
 func (r *Router) TenantCount(slot int) int {
 	count := r.queue.fair.Waiting(slot) + r.queue.fair.Open(slot)
-	for id := range r.lost {
+	for id := range r.unrecovered {
 		if id.Tenant == slot {
 			count++
 		}
@@ -243,7 +243,7 @@
 		return 0, 0
 	}
 	for _, request := range r.queue.waiting {
-		oldest = max(oldest, now-request.since)
+		oldest = max(oldest, now-request.queuedAt)
 	}
 	return oldest, len(r.queue.waiting)
 }
--- a/internal/decide/shardrouter/queue_test.go
+++ b/internal/decide/shardrouter/queue_test.go
@@ -93,8 +93,8 @@
 			free := 20 - max(0, float64(i)-2)
 			r.OnCapacity(Capacity{Total: Resources{20, 20}, Free: Resources{free, free}, KnowsFree: true})
 		}
-		if r.queue.others.Cores != 0 || r.queue.others.Memory != 0 {
-			t.Errorf("others are believed to hold %+v", r.queue.others)
+		if r.queue.heldByOthers.Cores != 0 || r.queue.heldByOthers.Memory != 0 {
+			t.Errorf("others are believed to hold %+v", r.queue.heldByOthers)
 		}
 	})
 }
--- a/internal/decide/shardrouter/route.go
+++ b/internal/decide/shardrouter/route.go
@@ -85,15 +85,15 @@
 	if _, isMoving := r.moving[a.Request.Service]; isMoving {
 		return ShardFenced
 	}
-	if _, isLost := r.lost[a.ID]; isLost { // it runs at a node that has not reported it yet: an attempt now would start it twice
+	if _, isUnrecovered := r.unrecovered[a.ID]; isUnrecovered { // it runs at a node that has not reported it yet: an attempt now would start it twice
 		return ShardFenced
 	}
 	return NoReason
 }
 
 // OnRound tells a shard's admission gate how long a round took, in ms, and how many requests it handled.
-func (r *Router) OnRound(shard int, took float64, requests int) {
-	r.gates[shard].OnRound(took, requests)
+func (r *Router) OnRound(shard int, duration float64, requests int) {
+	r.gates[shard].OnRound(duration, requests)
 }
 
 // PermitAttempt permits an attempt, which must not be sent without.
--- a/internal/decide/shardrouter/shardrouter.go
+++ b/internal/decide/shardrouter/shardrouter.go
@@ -35,20 +35,20 @@
 
 // Router decides which shard of a process acts for each allocation.
 type Router struct {
-	config        Config
-	ownership     *shardownership.Table
-	placement     *shardplacement.Table
-	watchdog      *watchdog.Watchdog
-	gates         []admission.Gate // by shard
-	lost          map[shardownership.ID]lostAllocation
-	lostByAttempt map[shardownership.Attempt]shardownership.ID
-	pausedUntil   map[uint64]float64 // services that get nothing new, until a time
-	lateness      float64            // of the checks of shards, ms
-	moving        map[uint64]int     // services that are being given away, by the shard that gives
-	draining      map[int]bool       // shards that are to end
-	stopped       map[int]bool       // shards that have ended or never began
-	addedAt       map[int]float64    // when shards were added that still draw their services
-	queue         *tenantQueue       // nil: requests do not wait
+	config               Config
+	ownership            *shardownership.Table
+	placement            *shardplacement.Table
+	watchdog             *watchdog.Watchdog
+	gates                []admission.Gate // by shard
+	unrecovered          map[shardownership.ID]unrecoveredAllocation
+	unrecoveredByAttempt map[shardownership.Attempt]shardownership.ID
+	pausedUntil          map[uint64]float64 // services that get nothing new, until a time
+	lateness             float64            // of the checks of shards, ms
+	moving               map[uint64]int     // services that are being given away, by the shard that gives
+	draining             map[int]bool       // shards that are to end
+	stopped              map[int]bool       // shards that have ended or never began
+	addedAt              map[int]float64    // when shards were added that still draw their services
+	queue                *tenantQueue       // nil: requests do not wait
 }
 
 // New returns a router whose first shards run.
@@ -58,18 +58,18 @@
 		weights[i] = 1
 	}
 	r := &Router{
-		config:        config,
-		ownership:     shardownership.NewTable(config.JobClasses, config.FirstEpoch),
-		placement:     shardplacement.New(config.Placement, weights),
-		watchdog:      watchdog.New(now, config.MaxShards),
-		gates:         make([]admission.Gate, config.MaxShards),
-		lost:          map[shardownership.ID]lostAllocation{},
-		lostByAttempt: map[shardownership.Attempt]shardownership.ID{},
-		pausedUntil:   map[uint64]float64{},
-		moving:        map[uint64]int{},
-		draining:      map[int]bool{},
-		stopped:       map[int]bool{},
-		addedAt:       map[int]float64{},
+		config:               config,
+		ownership:            shardownership.NewTable(config.JobClasses, config.FirstEpoch),
+		placement:            shardplacement.New(config.Placement, weights),
+		watchdog:             watchdog.New(now, config.MaxShards),
+		gates:                make([]admission.Gate, config.MaxShards),
+		unrecovered:          map[shardownership.ID]unrecoveredAllocation{},
+		unrecoveredByAttempt: map[shardownership.Attempt]shardownership.ID{},
+		pausedUntil:          map[uint64]float64{},
+		moving:               map[uint64]int{},
+		draining:             map[int]bool{},
+		stopped:              map[int]bool{},
+		addedAt:              map[int]float64{},
 	}
 	r.ownership.FaultAnyEpoch = config.FaultAnyEpoch
 	if config.MultiTenant {
