--- a/internal/decide/shardplacement/shardplacement.go
+++ b/internal/decide/shardplacement/shardplacement.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	maxLoadFactor   = 1.25 // times its part of all open allocations that a shard may hold
-	loadAllowance   = 16   // further allocations that it may hold, so that small numbers pass nothing on
-	minWeight       = 0.1  // weight of a slow shard: it still shows whether it recovers
-	usualDelay      = 5    // ms that events may wait before a shard counts as slow
-	weightRetention = 0.7  // of the old weight at each update, so that one hiccup moves little
-	fullWeight      = 0.95 // fraction of its given weight from which a shard has all of it again
+	maxLoadFactor       = 1.25 // times its part of all open allocations that a shard may hold
+	loadAllowance       = 16   // further allocations that it may hold, so that small numbers pass nothing on
+	minWeight           = 0.1  // weight of a slow shard: it still shows whether it recovers
+	maxNormalDelay      = 5    // ms that events may wait before a shard counts as slow
+	weightRetention     = 0.7  // of the old weight at each update, so that one hiccup moves little
+	fullWeightThreshold = 0.95 // fraction of its given weight from which a shard has all of it again
 )
 
 // Policy is how allocations are assigned to shards.
@@ -35,12 +35,12 @@
 
 // Table is the load and state of all shards.
 type Table struct {
-	policy      Policy
-	shards      []shard
-	open        int     // allocations at all shards
-	totalWeight float64 // of all shards that get new allocations
-	lastShard   int     // of RoundRobin
-	homes       map[uint64]home
+	policy         Policy
+	shards         []shard
+	open           int     // allocations at all shards
+	totalWeight    float64 // of all shards that get new allocations
+	lastRoundRobin int     // of RoundRobin
+	homes          map[uint64]home
 }
 
 // home is the shard that holds a service's allocations. While it holds any, new ones join them unless the shard is over its bound: then
@@ -48,20 +48,20 @@
 type home struct{ shard, count int }
 
 type shard struct {
-	weight, base float64 // present and given weight
-	open         int
-	down         bool
-	draining     bool // it gets nothing new, except for allocations that must stay together
+	weight, baseWeight float64 // present and given weight
+	open               int
+	down               bool
+	draining           bool // it gets nothing new, except for allocations that must stay together
 }
 
-// isOpen reports whether a shard gets new allocations.
-func (s *shard) isOpen() bool { return !s.down && !s.draining }
+// acceptsNew reports whether a shard gets new allocations.
+func (s *shard) acceptsNew() bool { return !s.down && !s.draining }
 
 // New returns a table of shards with given weights, which say what part of the work each should get.
 func New(policy Policy, weights []float64) *Table {
 	t := &Table{policy: policy, homes: map[uint64]home{}}
 	for _, weight := range weights {
-		t.shards = append(t.shards, shard{weight: weight, base: weight})
+		t.shards = append(t.shards, shard{weight: weight, baseWeight: weight})
 		t.totalWeight += weight
 	}
 	return t
@@ -121,7 +121,7 @@
 		}
 	}
 	if pinned {
-		return t.bestByGivenWeight(service)
+		return t.bestByBaseWeight(service)
 	}
 	if shard := t.best(service, true); shard >= 0 {
 		return shard
@@ -141,9 +141,9 @@
 // nextShard returns the next shard in turn, -1 if none gets new allocations.
 func (t *Table) nextShard() int {
 	for range t.shards {
-		t.lastShard = (t.lastShard + 1) % len(t.shards)
-		if t.shards[t.lastShard].isOpen() {
-			return t.lastShard
+		t.lastRoundRobin = (t.lastRoundRobin + 1) % len(t.shards)
+		if t.shards[t.lastRoundRobin].acceptsNew() {
+			return t.lastRoundRobin
 		}
 	}
 	return -1
@@ -153,14 +153,14 @@
 // score of a shard depends on itself alone, which makes the choice stable.
 func (t *Table) best(key uint64, bounded bool) int {
 	return t.highestScore(key, func(s *shard) (weight float64, ok bool) {
-		return s.weight, s.isOpen() && (!bounded || t.hasCapacity(s))
+		return s.weight, s.acceptsNew() && (!bounded || t.hasCapacity(s))
 	})
 }
 
-// bestByGivenWeight does the same by the weights that the shards were given, which no load changes: the choice for allocations that must stay
+// bestByBaseWeight does the same by the weights that the shards were given, which no load changes: the choice for allocations that must stay
 // together may change only with the set of shards.
-func (t *Table) bestByGivenWeight(key uint64) int {
-	return t.highestScore(key, func(s *shard) (weight float64, ok bool) { return s.base, s.isOpen() })
+func (t *Table) bestByBaseWeight(key uint64) int {
+	return t.highestScore(key, func(s *shard) (weight float64, ok bool) { return s.baseWeight, s.acceptsNew() })
 }
 
 // highestScore returns the shard of the highest score for a key among those that are accepted, -1 if none is.
@@ -171,7 +171,7 @@
 		if !ok {
 			continue
 		}
-		if score := weight / -math.Log(draw(key, i)); score > highest {
+		if score := weight / -math.Log(uniformHash(key, i)); score > highest {
 			best, highest = i, score
 		}
 	}
@@ -183,8 +183,8 @@
 	return float64(s.open) < maxLoadFactor*float64(t.open+1)*s.weight/t.totalWeight+loadAllowance
 }
 
-// draw returns a pseudo-random number above 0 and below 1 for a key and a shard.
-func draw(key uint64, shard int) float64 {
+// uniformHash returns a pseudo-random number above 0 and below 1 for a key and a shard.
+func uniformHash(key uint64, shard int) float64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], key)
 	binary.LittleEndian.PutUint64(b[8:], uint64(shard))
@@ -215,7 +215,7 @@
 // MarkUp includes a shard at its given weight.
 func (t *Table) MarkUp(shard int) {
 	s := &t.shards[shard]
-	s.down, s.draining, s.weight = false, false, s.base
+	s.down, s.draining, s.weight = false, false, s.baseWeight
 	t.updateTotalWeight()
 }
 
@@ -234,13 +234,13 @@
 // OnDelay records how long, in ms, events waited at a shard lately. A slow shard gets less of what is new.
 func (t *Table) OnDelay(shard int, delay float64) {
 	s := &t.shards[shard]
-	target := s.base
-	if delay > usualDelay {
-		target = max(minWeight, usualDelay/delay) * s.base
+	target := s.baseWeight
+	if delay > maxNormalDelay {
+		target = max(minWeight, maxNormalDelay/delay) * s.baseWeight
 	}
 	s.weight = weightRetention*s.weight + (1-weightRetention)*target
-	if s.weight > fullWeight*s.base { // services return to where their tasks are
-		s.weight = s.base
+	if s.weight > fullWeightThreshold*s.baseWeight { // services return to where their tasks are
+		s.weight = s.baseWeight
 	}
 	t.updateTotalWeight()
 }
@@ -248,7 +248,7 @@
 func (t *Table) updateTotalWeight() {
 	t.totalWeight = 0
 	for i := range t.shards {
-		if t.shards[i].isOpen() {
+		if t.shards[i].acceptsNew() {
 			t.totalWeight += t.shards[i].weight
 		}
 	}
