--- a/internal/decide/handover/handover.go
+++ b/internal/decide/handover/handover.go
@@ -11,17 +11,17 @@
 
 // Times in milliseconds.
 const (
-	pollInterval  = 100  // between two calls of Next
-	maxPerPoll    = 200  // allocations given at once
-	maxWait       = 500  // that a spread service may have something unresolved before it is paused
-	addedDuration = 5000 // for which an added shard gets the services that belong to it
+	pollInterval    = 100  // between two calls of Next
+	maxPerPoll      = 200  // allocations given at once
+	pauseAfter      = 500  // that a spread service may have something unresolved before it is paused
+	rebalancePeriod = 5000 // for which an added shard gets the services that belong to it
 )
 
 // PollInterval returns the time between two calls of Next, in ms.
 func PollInterval() float64 { return pollInterval }
 
 // IsNewlyAdded reports whether a shard that was added at a time still gets the services that belong to it.
-func IsNewlyAdded(now, addedAt float64) bool { return now-addedAt < addedDuration }
+func IsNewlyAdded(now, addedAt float64) bool { return now-addedAt < rebalancePeriod }
 
 // ServiceLoad is what a shard holds of a service.
 type ServiceLoad struct {
@@ -35,37 +35,37 @@
 
 // Planner keeps which services could not be given yet.
 type Planner struct {
-	waitingSince map[uint64]float64
+	unresolvedSince map[uint64]float64
 }
 
 // Next returns the services to give now, in the order of services, and those to pause, which get nothing new until they are given.
-func (p *Planner) Next(now float64, services []ServiceLoad) (give, pause []uint64) {
+func (p *Planner) Next(now float64, services []ServiceLoad) (handOver, pause []uint64) {
 	capacity := maxPerPoll
-	waitingSince := map[uint64]float64{}
+	unresolvedSince := map[uint64]float64{}
 	for _, s := range services {
 		if !s.BelongsElsewhere || s.Waiting+s.Running+s.Unresolved == 0 {
 			continue
 		}
-		since, isWaiting := p.waitingSince[s.Service]
+		since, wasUnresolved := p.unresolvedSince[s.Service]
 		movable := s.Waiting + s.Running
 		switch {
 		case s.Spread && s.Unresolved > 0:
-			if !isWaiting {
+			if !wasUnresolved {
 				since = now
 			}
-			waitingSince[s.Service] = since
-			if now-since >= maxWait {
+			unresolvedSince[s.Service] = since
+			if now-since >= pauseAfter {
 				pause = append(pause, s.Service)
 			}
 		case movable == 0 || capacity < maxPerPoll && movable > capacity: // the first is given even if it alone is more than a poll's part
-			if isWaiting {
-				waitingSince[s.Service] = since
+			if wasUnresolved {
+				unresolvedSince[s.Service] = since
 			}
 		default:
 			capacity -= movable
-			give = append(give, s.Service)
+			handOver = append(handOver, s.Service)
 		}
 	}
-	p.waitingSince = waitingSince
-	return give, pause
+	p.unresolvedSince = unresolvedSince
+	return handOver, pause
 }
--- a/internal/decide/handover/handover_test.go
+++ b/internal/decide/handover/handover_test.go
@@ -32,7 +32,7 @@
 			if _, rest := g.Next(1000, c.parts); len(rest) > 0 {
 				t.Errorf("paused at once: %v", rest)
 			}
-			give, rest := g.Next(1000+maxWait, c.parts)
+			give, rest := g.Next(1000+pauseAfter, c.parts)
 			if !slices.Equal(give, c.give) || !slices.Equal(rest, c.rest) {
 				t.Errorf("gives %v, pauses %v; want %v, %v", give, rest, c.give, c.rest)
 			}
@@ -53,7 +53,7 @@
 		}
 		give, rest := g.Next(now, []ServiceLoad{{Service: 7, Running: 4, Unresolved: out, Spread: true, BelongsElsewhere: true}})
 		if len(give) == 1 {
-			if out > 0 || now > maxWait+4*pollInterval {
+			if out > 0 || now > pauseAfter+4*pollInterval {
 				t.Errorf("given at %g with %d unresolved", now, out)
 			}
 			return
@@ -64,7 +64,7 @@
 }
 
 func TestIsNewlyAdded(t *testing.T) {
-	if !IsNewlyAdded(100, 100) || IsNewlyAdded(100+addedDuration, 100) {
+	if !IsNewlyAdded(100, 100) || IsNewlyAdded(100+rebalancePeriod, 100) {
 		t.Error("newly added for the wrong time")
 	}
 }
