--- a/internal/decide/shardrouter/capacity.go
+++ b/internal/decide/shardrouter/capacity.go
@@ -1,23 +1,24 @@
 package shardrouter
 
 const (
-	heldByOthersSmoothing = 0.1 // weight of the node list's latest answer, twice a second, in the estimate of what other processes hold
-	maxNodeListLag        = 5   // answers by which the node list may be late
+	heldByOthersSmoothing = 0.1 // weight of the node list's latest answer in the estimate of what other processes hold; an answer comes twice a second
+	maxNodeListLag        = 5   // number of answers by which the node list may lag behind this process
 )
 
-// Resources are cores and memory.
+// Resources is an amount of cores and memory.
 type Resources struct{ Cores, Memory float64 }
 
-// Capacity is an answer of the node list about all nodes that accept work.
+// Capacity is the node list's answer, summed over all nodes that accept work.
 type Capacity struct {
 	Total     Resources
-	Free      Resources // that nobody asks for
-	KnowsFree bool      // the list says what is free
+	Free      Resources // not held by any process
+	KnowsFree bool      // the node list reports load, so that Free is valid
 }
 
-// OnCapacity updates the capacity and the estimate of what other processes hold: the part of the capacity that is not free, less what this
-// process holds. The list is late, so the part was not free at some time of the last listLagRounds answers, when this process held between
-// the least and the most of that time; while its own load changes, the estimate stays within what this range allows.
+// OnCapacity updates the capacity and the estimate of what other processes hold, which is the used part of the capacity less what this process
+// holds. The list lags: the used part is that of some time within the last maxNodeListLag answers. What this process held then lies
+// between the least and the most that it held since. This range gives a lowest and a highest value for the other processes, and the estimate
+// moves only if it is outside these bounds, so that changes of the process's own load do not distort it.
 func (r *Router) OnCapacity(c Capacity) {
 	q := r.queue
 	if q == nil || !(c.Total.Cores > 0) || !(c.Total.Memory > 0) {
@@ -32,7 +33,7 @@
 		maxHeld = Resources{max(maxHeld.Cores, held.Cores), max(maxHeld.Memory, held.Memory)}
 	}
 	used := Resources{c.Total.Cores - c.Free.Cores, c.Total.Memory - c.Free.Memory}
-	if !c.KnowsFree { // assume that others hold nothing
+	if !c.KnowsFree { // assume that other processes hold nothing
 		used, minHeld, maxHeld = Resources{}, Resources{}, Resources{}
 	}
 	isFirst := q.capacity.Cores == 0
@@ -42,7 +43,7 @@
 	q.fair.SetCapacity(c.Total.Cores, c.Total.Memory, r.config.MaxOpen)
 }
 
-// smoothHeldByOthers moves an estimate toward the range of values that the list allows.
+// smoothHeldByOthers moves an estimate toward the nearest value from lowest to highest, and takes that value at once if isFirst.
 func smoothHeldByOthers(estimate, lowest, highest float64, isFirst bool) float64 {
 	target := min(max(estimate, lowest), highest)
 	if isFirst {
@@ -51,8 +52,8 @@
 	return estimate + heldByOthersSmoothing*(target-estimate)
 }
 
-// updateFree tells the fair queue what may still be taken: the fill level, less what this process and others hold. The estimate of others
-// may be negative: this process holds allocations at nodes that accept no work any more.
+// updateFree tells the fair queue which fraction of the capacity may still be taken: the fill level less what this and other processes hold.
+// The estimate for other processes is negative if this process holds allocations at nodes that no longer accept work.
 func (r *Router) updateFree() {
 	q := r.queue
 	if q.capacity.Cores <= 0 || q.capacity.Memory <= 0 {
@@ -62,7 +63,7 @@
 	q.fair.SetFree(q.fill.Level()-held, 1-held, minOpenPerShard*r.config.MaxShards)
 }
 
-// FillLevel returns which fraction of the capacity may be taken now, and which fraction this process holds.
+// FillLevel returns the fraction of the capacity that may be taken now, and the fraction that this process holds.
 func (r *Router) FillLevel() (level, held float64) {
 	q := r.queue
 	return q.fill.Level(), max(q.held.Cores/max(1e-9, q.capacity.Cores), q.held.Memory/max(1e-9, q.capacity.Memory))
--- a/internal/decide/shardrouter/handover.go
+++ b/internal/decide/shardrouter/handover.go
@@ -5,7 +5,7 @@
 	"ravenpond/internal/decide/shardownership"
 )
 
-// HandoverItem is an allocation that a shard gives away.
+// HandoverItem is an allocation that a shard hands over.
 type HandoverItem struct {
 	ID      shardownership.ID
 	Request shardownership.Request
@@ -13,7 +13,7 @@
 	Running bool
 }
 
-// HasHandover reports whether a shard has something to give away now: it drains, or another was added lately.
+// HasHandover reports whether a shard may have services to hand over now: it is draining, or a shard was added recently.
 func (r *Router) HasHandover(now float64, shard int) bool {
 	for added, at := range r.addedAt {
 		if !handover.IsNewlyAdded(now, at) {
@@ -23,7 +23,8 @@
 	return r.draining[shard] || len(r.addedAt) > 0
 }
 
-// BelongsElsewhere reports whether a service at a shard belongs to another shard now.
+// BelongsElsewhere reports whether a shard is to hand a service over: the service's target is another shard, and either the shard is
+// draining or the target was added recently.
 func (r *Router) BelongsElsewhere(shard int, service uint64, tenant int) bool {
 	target := r.placement.TargetOf(service, tenant)
 	if target < 0 || target == shard {
@@ -33,18 +34,19 @@
 	return r.draining[shard] || isNew
 }
 
-// PauseServices gives services nothing new for two polls of a handover, so that their open attempts complete.
+// PauseServices rejects new requests of services for two handover polls, so that their open attempts complete.
 func (r *Router) PauseServices(now float64, services []uint64) {
 	for _, service := range services {
 		r.pausedUntil[service] = max(r.pausedUntil[service], now+2*handover.PollInterval())
 	}
 }
 
-// BeginHandover reports whether a shard may give away a service, of which it knows a number of allocations. From then until EndHandover
-// the service gets nothing new.
+// BeginHandover reports whether a shard may hand a service over now. known is the number of the service's allocations that the shard's engine
+// knows.
 //
-// A service that must be spread is given as a whole: tasks at two shards are counted by neither. While a request for it waits in the inbox of
-// its shard, which knows nothing of it yet, the service stays, and is paused so that nothing more comes.
+// A service that must be spread is handed over as a whole, because no shard would count the tasks that another one has, and it gets no new
+// allocations until EndHandover. If the ownership table has more or fewer allocations of it than the engine, for example because a request
+// still waits in the shard's inbox, the service stays for now and is paused, so that no further requests arrive.
 func (r *Router) BeginHandover(now float64, shard int, service uint64, known int) bool {
 	held, spread := r.ownership.CountService(shard, service, r.isSpread)
 	if spread && held != known {
@@ -57,12 +59,12 @@
 	return true
 }
 
-// EndHandover records that a service has been given away, or was not after all.
+// EndHandover records that the handover of a service is over, whether or not anything was handed over.
 func (r *Router) EndHandover(service uint64) { delete(r.moving, service) }
 
-// HandOver gives a service's allocations from a shard to the one where they belong now, in order. That may be the giver itself, because
-// the number of shards changed meanwhile or no other shard runs: they get a new epoch like any other. An allocation for which the giver
-// does not act any more gets the disposition Continue.
+// HandOver assigns a service's allocations, in order, from the source shard to the shard to which the service belongs now. That may be the
+// source itself, because the number of shards has changed meanwhile or no other shard runs; the allocations get a new epoch all the same. An
+// allocation that the source no longer owns, or that must not be handed over, gets the disposition Continue.
 func (r *Router) HandOver(now float64, from int, items []HandoverItem) []OrphanDecision {
 	if len(items) == 0 {
 		return nil
@@ -89,7 +91,7 @@
 	}
 	d.Disposition, d.Shard, d.Epoch = shardownership.Reassign, to, epoch
 	r.placement.Move(from, to, item.Request.Service)
-	if item.Running { // it counts as lost until the other shard has it
+	if item.Running { // it awaits recovery until the new owner has taken it over
 		r.addUnrecovered(now, item.ID, item.Request, r.ownership.Entry(item.ID).LastAttempt)
 	}
 	return d
--- a/internal/decide/shardrouter/health.go
+++ b/internal/decide/shardrouter/health.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// pauseAfterFence is how long, in ms, a service whose tasks must be spread is paused after a fence: until its next shard has heard
-	// from the nodes what runs.
+	// pauseAfterFence is how long, in ms, a service whose tasks must be spread is paused after a fence, so that the nodes can report to the
+	// service's next shard what runs.
 	pauseAfterFence = 2500
 
-	minRoundsLeft = 10 // rounds before the answer margin that an allocation needs to be reassigned
+	minRoundsLeft = 10 // an allocation is reassigned only if this many rounds of a shard fit before its answer margin
 )
 
-// OrphanDecision is what becomes of an allocation whose shard is fenced or gave it away.
+// OrphanDecision is the decision about an allocation whose shard was fenced or handed it over.
 type OrphanDecision struct {
 	shardownership.Orphan
-	Shard int    // the shard that goes on with an allocation that is reassigned
-	Epoch uint32 // and its epoch there
+	Shard int    // the new owner, if the disposition is Reassign
+	Epoch uint32 // the epoch of the new owner's claim
 }
 
-// Fence takes all allocations from a shard that is not to be trusted any more, and decides what becomes of each.
+// Fence takes all allocations from a shard whose state can't be trusted any more, and returns the decision about each.
 func (r *Router) Fence(now float64, shard int) []OrphanDecision {
 	r.watchdog.Fence(now, shard)
 	r.placement.MarkDown(shard)
-	maps.DeleteFunc(r.moving, func(_ uint64, giver int) bool { return giver == shard })
+	maps.DeleteFunc(r.moving, func(_ uint64, source int) bool { return source == shard })
 	var decisions []OrphanDecision
 	for _, orphan := range r.ownership.Fence(now, shard, r.config.AnswerMargin+minRoundsLeft*r.config.RoundInterval) {
 		decisions = append(decisions, r.decideOrphan(now, shard, orphan))
@@ -37,19 +37,19 @@
 	d, service := OrphanDecision{Orphan: orphan}, orphan.Entry.Service
 	r.placement.Remove(shard, service)
 	spread := r.isSpread(orphan.Entry.JobClass)
-	if spread { // the next shard must first hear what runs, or it would break the spread
+	if spread { // the next shard must first learn what runs, or its placements could violate the spread
 		r.pausedUntil[service] = now + pauseAfterFence
 	}
 	switch {
 	case d.Disposition == shardownership.Reassign:
 		r.reassign(&d, spread)
-	case d.Disposition == shardownership.Continue && orphan.Entry.Served: // else the client knows that it was not served
+	case d.Disposition == shardownership.Continue && orphan.Entry.Served: // otherwise the client was told that the allocation is not served
 		r.addUnrecovered(now, orphan.ID, orphan.Entry.Request, orphan.Entry.LastAttempt)
 	}
 	return d
 }
 
-// reassign gives an orphan to another shard, or sheds it if none can take it.
+// reassign assigns an orphan to another shard. It sheds the orphan if its service must be spread or no shard accepts it.
 func (r *Router) reassign(d *OrphanDecision, spread bool) {
 	d.Disposition = shardownership.Shed
 	if spread {
@@ -60,25 +60,26 @@
 	}
 }
 
-// Health is what a check of all shards asks for.
+// Health is the result of a check of all shards.
 type Health struct {
 	Fence   []int // shards to fence
-	Restart []int // shards to start, each until OnShardStarted or OnStartFailed
-	Silent  []int // shards that have missed what is overdue
-	// Overdue are allocations of silent shards that are answered for them now.
+	Restart []int // shards to start; each is reported by OnShardStarted or OnStartFailed
+	Silent  []int // shards that have missed the time to answer overdue allocations
+	// Overdue are allocations of silent shards that the caller answers in their place.
 	Overdue []OrphanDecision
-	// Lost are requests whose allocations ran at a fenced shard and were not recovered.
+	// Lost are the requests of allocations that were running when their shard was fenced or handed them over, and that were not recovered
+	// within recoveryTimeout.
 	Lost []shardownership.Request
 }
 
-// CheckHealth takes the time of each shard's last sign of life and how long its events wait, in ms.
+// CheckHealth checks all shards. heartbeats are the times of their last heartbeats, delays the ms that the oldest event waits at each.
 func (r *Router) CheckHealth(now float64, heartbeats, delays []float64) Health {
 	for shard, delay := range delays {
 		r.placement.OnDelay(shard, delay)
 	}
 	var h Health
 	h.Fence, h.Restart = r.watchdog.Check(now, heartbeats)
-	for _, shard := range h.Restart { // starting takes as long as the disk takes
+	for _, shard := range h.Restart { // a start writes to the disk and can take longer than a shard may be silent
 		r.watchdog.Unwatch(shard)
 	}
 	for shard, lastHeartbeat := range heartbeats {
@@ -100,28 +101,29 @@
 	return h
 }
 
-// hasMissedAnswers reports whether a shard whose last round was at a time has missed what is overdue now. A shard that runs has a round when
-// an answer is due, AnswerMargin before the deadline. A fixed time of silence must not decide: one that is longer than the margin lets
-// deadlines pass before the silence is noticed. Where checks come late, so do the rounds of shards that run.
+// hasMissedAnswers reports whether a shard whose last round was at lastRoundAt has missed answers that are overdue now. A shard that runs has
+// a round when an answer is due, AnswerMargin before the deadline. The limit is derived from AnswerMargin, because with a fixed time of
+// silence that is longer than the margin, deadlines would pass before the silence is noticed. The lateness of the checks is added, because
+// on a busy machine the rounds of healthy shards come as late as the checks.
 func (r *Router) hasMissedAnswers(now, lastRoundAt float64) bool {
 	return now-lastRoundAt > r.config.AnswerMargin*(1-overdueFraction)+r.lateness
 }
 
-// overdueFraction is at which part of the answer margin before its deadline an allocation of a silent shard is answered for it.
+// overdueFraction is the fraction of the answer margin that is left before the deadline when the router answers in place of a silent shard.
 const overdueFraction = 0.75
 
-// silenceFraction is by which part of its silence a shard's allocations are answered earlier still: the longer it is silent, the less it is
-// likely to answer, and the next check may be the first that comes late.
+// silenceFraction is the fraction of a shard's silence by which its allocations are answered earlier still: the longer a shard is silent, the
+// less likely it is to answer, and the next check may be the first that comes late.
 const silenceFraction = 0.25
 
-// OverdueMargin returns how long before a deadline, in ms, an allocation of a silent shard is answered for it: earlier by as much as checks
-// come late, because the next one may come as late as the last.
+// OverdueMargin returns how long before a deadline, in ms, the router answers in place of a silent shard. It grows with the lateness of the
+// checks, because the next check may come as late as the last one.
 func (r *Router) OverdueMargin() float64 { return r.config.AnswerMargin*overdueFraction + r.lateness }
 
-// SetLateness tells the router how late, in ms, the calls of CheckHealth come.
+// SetLateness sets how late, in ms, the calls of CheckHealth come.
 func (r *Router) SetLateness(lateness float64) { r.lateness = lateness }
 
-// OnShardStarted records that a shard runs in its next incarnation, whose epochs begin at a value. A draining shard still ends.
+// OnShardStarted records that the next incarnation of a shard runs. Its epochs begin at epoch. A shard that was draining keeps draining.
 func (r *Router) OnShardStarted(now float64, shard int, epoch uint32) {
 	r.watchdog.Watch(now, shard)
 	r.ownership.Epoch = max(r.ownership.Epoch, epoch)
@@ -131,7 +133,7 @@
 	}
 }
 
-// OnStartFailed records that a shard could not be started. It is to be started again after a while.
+// OnStartFailed records that a shard could not be started. The watchdog schedules the next start as after a fence.
 func (r *Router) OnStartFailed(now float64, shard int) {
 	r.watchdog.Watch(now, shard)
 	r.watchdog.Fence(now, shard)
--- a/internal/decide/shardrouter/invariants.go
+++ b/internal/decide/shardrouter/invariants.go
@@ -6,7 +6,8 @@
 	"ravenpond/internal/decide/shardownership"
 )
 
-// CheckInvariants compares what the shards hold with the router's tables. claims yields one claim for each allocation that a shard holds.
+// CheckInvariants returns an error if the allocations that the shards hold differ from the router's tables. claims must yield a claim for each
+// allocation that a shard holds.
 func (r *Router) CheckInvariants(claims func(yield func(shardownership.Claim))) error {
 	held := map[shardownership.ID]bool{}
 	var err error
@@ -25,9 +26,9 @@
 	}
 	switch {
 	case len(held) != r.ownership.Len():
-		return fmt.Errorf("shards hold %d allocations, the ownership table %d", len(held), r.ownership.Len())
+		return fmt.Errorf("shards hold %d allocations, but the ownership table has %d", len(held), r.ownership.Len())
 	case open != r.ownership.Len():
-		return fmt.Errorf("the table of shards counts %d allocations, the ownership table %d", open, r.ownership.Len())
+		return fmt.Errorf("the placement table counts %d allocations, but the ownership table has %d", open, r.ownership.Len())
 	}
 	return nil
 }
@@ -36,9 +37,9 @@
 	entry := r.ownership.Entry(c.ID)
 	switch {
 	case entry == nil:
-		return fmt.Errorf("shard %d holds allocation %x that the ownership table does not know", c.Shard, c.ID.Token)
+		return fmt.Errorf("shard %d holds allocation %x, which is not in the ownership table", c.Shard, c.ID.Token)
 	case entry.Shard != c.Shard || entry.Epoch != c.Epoch:
-		return fmt.Errorf("shard %d holds allocation %x by epoch %d, the ownership table has it at %d by %d", c.Shard, c.ID.Token, c.Epoch,
+		return fmt.Errorf("shard %d holds allocation %x under epoch %d, but the ownership table has shard %d and epoch %d", c.Shard, c.ID.Token, c.Epoch,
 			entry.Shard, entry.Epoch)
 	}
 	return nil
--- a/internal/decide/shardrouter/lost.go
+++ b/internal/decide/shardrouter/lost.go
@@ -7,10 +7,10 @@
 	"ravenpond/internal/decide/shardownership"
 )
 
-// recoveryTimeout is how long, in ms, an allocation that ran at a fenced shard may take to be reported by its node, which may be away.
+// recoveryTimeout is how long, in ms, a running allocation may await recovery: its node may be disconnected and report it late.
 const recoveryTimeout = 15000
 
-// unrecoveredAllocation runs at a node, but no shard knows of it.
+// unrecoveredAllocation runs at a node, but no shard's engine knows of it yet, because its shard was fenced or handed it over.
 type unrecoveredAllocation struct {
 	shardownership.Request
 	attempt   shardownership.Attempt
@@ -27,14 +27,15 @@
 	delete(r.unrecovered, id)
 }
 
-// Recovery is a recovered allocation's epoch, and the client that waits for news of it; 0 if none does.
+// Recovery describes a recovered allocation: its epoch, the client that is notified of it, and the client's number of the request. Client and
+// Ref are 0 if no client is to be notified.
 type Recovery struct {
 	Epoch  uint32
 	Client uint32
 	Ref    uint64
 }
 
-// Recover gives an allocation that a node reports as running to a shard; false if another shard acts for it.
+// Recover assigns an allocation that a node reports as running to a shard. It returns false if another shard owns the allocation.
 func (r *Router) Recover(id shardownership.ID, shard int, request shardownership.Request, attempt shardownership.Attempt) (Recovery, bool) {
 	before := r.ownership.Len()
 	epoch, ok := r.ownership.Recover(id, shard, request, attempt)
@@ -52,8 +53,8 @@
 	return Recovery{epoch, previous.Client, previous.Ref}, true
 }
 
-// OnLostEnded records the end of an attempt whose allocation no shard knows of, and returns its request, so that the client is notified
-// of the end; false if there is none.
+// OnLostEnded records the end of an attempt whose allocation awaits recovery. It returns the request, so that the client is notified of the
+// end, and false if no such allocation awaits recovery.
 func (r *Router) OnLostEnded(attempt shardownership.Attempt) (request shardownership.Request, ok bool) {
 	id, ok := r.unrecoveredByAttempt[attempt]
 	if ok {
@@ -63,7 +64,7 @@
 	return request, ok
 }
 
-// expireUnrecovered returns the requests of allocations that were not recovered in time, in order of their clients.
+// expireUnrecovered removes the allocations that were not recovered in time, and returns their requests in order of clients and Ref.
 func (r *Router) expireUnrecovered(now float64) []shardownership.Request {
 	var expired []shardownership.Request
 	for id, allocation := range r.unrecovered {
--- a/internal/decide/shardrouter/queue.go
+++ b/internal/decide/shardrouter/queue.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	minOpenPerShard = 2 // requests that may be open for each shard, whatever the free capacity
-	retryInterval   = 5 // ms after which a shard that was behind is asked again
+	minOpenPerShard = 2 // requests that may be open per shard, whatever the free capacity
+	retryInterval   = 5 // ms after which a request is routed again that its shard rejected as overloaded
 )
 
-// tenantQueue holds requests until their tenant's turn, before they are routed: from there on no tenant is looked at. A request that its
-// shard rejects as Behind returns to the queue and costs its tenant nothing.
+// tenantQueue holds requests until their tenant's turn. Requests are routed after that, without regard to their tenants. A request whose shard
+// is overloaded returns to the queue, at no cost to its tenant.
 type tenantQueue struct {
 	fair     *fairqueue.Queue
 	fill     *fairqueue.FillController
 	urgency  []int // by job class
 	lastID   uint64
-	waiting  map[uint64]queuedRequest // by ID in the fair queue
+	waiting  map[uint64]queuedRequest // by ID in the fair queue, which lastID counts
 	byClient map[shardownership.RequestKey]uint64
-	retryAt  float64 // when to ask a shard again that was behind; 0: none was
+	retryAt  float64 // when to route again after a shard was overloaded; 0: none was
 
-	capacity     Resources   // of the nodes that accept work
-	heldByOthers Resources   // held by other processes, as estimated
-	held         Resources   // held by this process's shards, open or running
-	recentHeld   []Resources // held, at the latest answers of the node list
+	capacity     Resources   // total of the nodes that accept work
+	heldByOthers Resources   // estimate of what other processes hold
+	held         Resources   // held by this process's shards, for open and running allocations
+	recentHeld   []Resources // values of held at the latest answers of the node list
 }
 
 // queuedRequest is a request that waits.
@@ -38,7 +38,7 @@
 	queuedAt float64
 }
 
-// startQueue makes the queue and connects it with the ownership table.
+// startQueue creates the queue and has the ownership table report changes to it.
 func (r *Router) startQueue() {
 	q := &tenantQueue{
 		fair:     fairqueue.New(1, 1, r.config.MaxOpen),
@@ -57,7 +57,7 @@
 	r.queue = q
 }
 
-// urgencies returns the urgency of each job class: the rank of its priority weight, from 0.
+// urgencies returns the urgency of each job class: the rank of its priority weight, the lowest being 0.
 func urgencies(config Config) []int {
 	weights := make([]float64, len(config.JobClasses))
 	for i := range config.JobClasses {
@@ -76,7 +76,7 @@
 	if r.queue == nil {
 		return r.Route(now, a, load)
 	}
-	if _, state := r.ownership.Lookup(now, a.ID); state != shardownership.Unassigned { // it does not wait for what a shard acts for already
+	if _, state := r.ownership.Lookup(now, a.ID); state != shardownership.Unassigned { // the allocation has an owner or is barred: no need to wait
 		return r.Route(now, a, load)
 	}
 	r.queue.lastID++
@@ -93,7 +93,7 @@
 	return Decision{ID: a.ID, Request: a.Request, Reason: OverShare, RetryAfter: retryAfter}
 }
 
-// fairRequest returns a request as the fair queue takes it. It expires there in time for an answer.
+// fairRequest converts a request for the fair queue. It expires there AnswerMargin before its deadline, in time for an answer.
 func (r *Router) fairRequest(id uint64, a Arrival) fairqueue.Request {
 	return fairqueue.Request{
 		ID:       id,
@@ -105,7 +105,8 @@
 	}
 }
 
-// routeAdmitted routes a request whose turn has come. If its shard is behind and there is time, it returns to the queue.
+// routeAdmitted routes a request whose turn has come. If its shard is overloaded and its deadline allows a retry, the request returns to the
+// queue.
 func (r *Router) routeAdmitted(now float64, id uint64, request queuedRequest, load ShardLoad) Decision {
 	d := r.Route(now, request.Arrival, load)
 	if fair := r.fairRequest(id, request.Arrival); d.Reason == Behind && fair.Deadline > now+retryInterval {
@@ -114,7 +115,7 @@
 		r.queue.retryAt = now + retryInterval
 		return Decision{ID: request.ID, Request: request.Request, Queued: true}
 	}
-	r.queue.fair.Release(request.ID.Tenant) // if a shard took it, the ownership table counts it now
+	r.queue.fair.Release(request.ID.Tenant) // an assigned allocation is counted as open by the ownership table
 	return d
 }
 
@@ -141,7 +142,7 @@
 			return decisions
 		}
 		request := q.remove(id)
-		request.Unread = 0 // it was read long ago: its time in this queue says nothing about the queue at the socket
+		request.Unread = 0 // it was read long ago, so this delay no longer shows how long requests wait at the socket
 		d := r.routeAdmitted(now, id, request, load)
 		if d.Queued {
 			return decisions
@@ -150,7 +151,7 @@
 	}
 }
 
-// Due returns when Dequeue may have something by time alone, infinite if it has not.
+// Due returns the time at which Dequeue should be called again even if nothing ends before, +Inf if no request waits.
 func (r *Router) Due(now float64) float64 {
 	if r.queue == nil || len(r.queue.waiting) == 0 {
 		return math.Inf(1)
@@ -162,12 +163,12 @@
 	return due
 }
 
-// MayDequeue reports whether requests wait that may go on now that something has ended.
+// MayDequeue reports whether Dequeue is worth a call now that an allocation has ended: requests wait, and no retry delay is running.
 func (r *Router) MayDequeue(now float64) bool {
 	return r.queue != nil && len(r.queue.waiting) > 0 && now >= r.queue.retryAt
 }
 
-// Withdraw removes a waiting request that its client gives up; false if it does not wait.
+// Withdraw removes a waiting request that its client has cancelled. It returns false if the request does not wait.
 func (r *Router) Withdraw(client uint32, ref uint64) bool {
 	if r.queue == nil {
 		return false
@@ -197,7 +198,7 @@
 	}
 }
 
-// RejectWaiting ends the waiting of all requests, as the process is about to end, and returns decisions for them.
+// RejectWaiting rejects all waiting requests, because the process is about to end. It returns the decisions in order of arrival.
 func (r *Router) RejectWaiting() []Decision {
 	if r.queue == nil {
 		return nil
@@ -212,7 +213,8 @@
 	return rejected
 }
 
-// SetTenant applies a tenant's policy. It returns decisions for the waiting requests of a tenant that takes nothing any more.
+// SetTenant applies a tenant's policy. If the tenant accepts no new requests any more, its waiting requests are rejected, and their decisions
+// returned.
 func (r *Router) SetTenant(now float64, slot int, policy tenancy.Policy) []Decision {
 	r.queue.fair.SetLimits(now, slot, policy.Limits)
 	if policy.AcceptsNew {
@@ -226,7 +228,7 @@
 	return rejected
 }
 
-// TenantCount returns how much there is of a tenant: waiting requests, open allocations, and lost ones.
+// TenantCount returns the number of a tenant's waiting requests, open allocations, and allocations that await recovery.
 func (r *Router) TenantCount(slot int) int {
 	count := r.queue.fair.Waiting(slot) + r.queue.fair.Open(slot)
 	for id := range r.unrecovered {
--- a/internal/decide/shardrouter/resize.go
+++ b/internal/decide/shardrouter/resize.go
@@ -9,13 +9,13 @@
 // Resize is a change of the number of shards.
 type Resize struct {
 	Start []int // shards to start
-	Drain []int // shards that are to end once they hold nothing
+	Drain []int // shards that end once they hold nothing
 }
 
-// Resize changes the number of shards to those with the lowest indices. It returns an error if the number is out of range.
+// Resize changes the number of shards: those with the lowest indices run, the others drain. It returns an error if the number is out of range.
 func (r *Router) Resize(now float64, shards int) (Resize, error) {
 	if shards < 1 || shards > r.config.MaxShards {
-		return Resize{}, fmt.Errorf("%d shards: 1 to %d may run until the next start", shards, r.config.MaxShards)
+		return Resize{}, fmt.Errorf("cannot run %d shards: until the process is restarted, the number must be from 1 to %d", shards, r.config.MaxShards)
 	}
 	var change Resize
 	for i := range r.config.MaxShards {
@@ -24,7 +24,7 @@
 			r.draining[i] = true
 			r.placement.MarkDraining(i)
 			change.Drain = append(change.Drain, i)
-		case i < shards && r.draining[i]: // it stays after all
+		case i < shards && r.draining[i]: // its drain is cancelled
 			delete(r.draining, i)
 			if r.placement.IsUp(i) {
 				r.placement.MarkUp(i)
@@ -38,14 +38,14 @@
 	return change, nil
 }
 
-// IsStopped reports whether a shard has ended or never began.
+// IsStopped reports whether a shard has ended or was never started.
 func (r *Router) IsStopped(shard int) bool { return r.stopped[shard] }
 
-// IsDraining reports whether a shard is to end.
+// IsDraining reports whether a shard is to end once it holds nothing.
 func (r *Router) IsDraining(shard int) bool { return r.draining[shard] }
 
-// OnDrained records that a draining shard holds nothing more; false if it is not to end any more. It returns what the shard got in the
-// meantime, to be answered.
+// OnDrained ends a draining shard whose engine holds nothing more. It returns false if the drain was cancelled. rest are the decisions about
+// allocations that were assigned to the shard in the meantime, which the caller answers.
 func (r *Router) OnDrained(now float64, shard int) (rest []OrphanDecision, ok bool) {
 	if !r.draining[shard] {
 		return nil, false
@@ -56,7 +56,7 @@
 	r.watchdog.Unwatch(shard)
 	for _, orphan := range r.ownership.Fence(now, shard, 0) {
 		r.placement.Remove(shard, orphan.Entry.Service)
-		if orphan.Disposition == shardownership.Reassign { // it never reached the shard's engine
+		if orphan.Disposition == shardownership.Reassign { // its request never reached the shard's engine, so a retry is safe
 			orphan.Disposition = shardownership.Shed
 		}
 		rest = append(rest, OrphanDecision{Orphan: orphan})
--- a/internal/decide/shardrouter/route.go
+++ b/internal/decide/shardrouter/route.go
@@ -2,51 +2,51 @@
 
 import "ravenpond/internal/decide/shardownership"
 
-// Reason is why a request was not taken. Its text goes to clients.
+// Reason states why a request was rejected. Its text is sent to clients.
 type Reason uint8
 
-// Reasons.
+// Reasons of a rejection.
 const (
-	NoReason    Reason = iota // the request was taken, or waits
-	AttemptOpen               // a shard that was fenced may have started it
-	Full                      // as many allocations are open as may be
-	ShardFenced               // what runs of it, or of its service, is not known yet after a fence
-	NoShard                   // no shard runs
-	Behind                    // its shard is behind with its work
-	OverShare                 // its tenant has used its share
-	TooLate                   // its turn does not come before its deadline
-	NotTaken                  // its tenant takes nothing any more
+	NoReason    Reason = iota // the request was accepted or queued
+	AttemptOpen               // a fenced shard had an attempt open, so that the allocation may have been started
+	Full                      // the limit of open allocations is reached
+	ShardFenced               // after a fence or during a handover it is not known yet what runs of the allocation or its service
+	NoShard                   // no shard accepts new allocations
+	Behind                    // its shard is overloaded
+	OverShare                 // the fair queue shed it: its tenant is blocked, its tenant's queue is full, or its turn would come too late
+	TooLate                   // its tenant's turn did not come in time for its deadline
+	NotTaken                  // its tenant accepts no new requests, or the process is shutting down
 )
 
 func (r Reason) String() string {
 	return [...]string{"", "earlier-try-out", "full", "shard-fenced", "no-shard", "behind", "over-share", "too-late", "not-taken"}[r]
 }
 
-// Arrival is a request that has arrived.
+// Arrival is a request that the process has read from a client.
 type Arrival struct {
 	ID      shardownership.ID
 	Request shardownership.Request
-	Unread  float64 // ms for which it lay unread on its way
+	Unread  float64 // ms that it waited to be read, beyond the usual delay of its client
 }
 
-// ShardLoad returns how long a shard has been at one event, beyond what is usual, and how many requests wait there.
-type ShardLoad func(shard int) (stuck float64, waiting int)
+// ShardLoad returns for how many ms beyond the usual a shard has been processing its current event, and how many requests wait at it.
+type ShardLoad func(shard int) (stalled float64, waiting int)
 
-// Decision is what becomes of a request.
+// Decision is the router's decision about a request.
 type Decision struct {
 	ID         shardownership.ID
 	Request    shardownership.Request
-	Queued     bool    // it waits for its tenant's turn
-	Shard      int     // the shard that acts for it
-	Epoch      uint32  // 0: the shard acts for an earlier request of the same ID
-	Reason     Reason  // why it is not taken
-	RetryAfter float64 // ms after which the client may ask again; 0: unknown
+	Queued     bool    // it waits for its tenant's turn, and Dequeue decides later
+	Shard      int     // the shard that owns the allocation
+	Epoch      uint32  // 0: the shard owns the allocation already, by an earlier request of the same ID
+	Reason     Reason  // why it is rejected
+	RetryAfter float64 // ms after which the client may retry; 0: unknown
 }
 
-// IsRejected reports whether the request is not taken.
 func (d *Decision) IsRejected() bool { return d.Reason != NoReason }
 
-// Route finds the shard for a request: the one that acts for its ID already, else the one to which its service belongs.
+// Route returns the shard for a request: the owner if the allocation has one, else the shard to which its service belongs. In the latter
+// case it assigns the allocation to that shard.
 func (r *Router) Route(now float64, a Arrival, load ShardLoad) Decision {
 	d := Decision{ID: a.ID, Request: a.Request}
 	shard, state := r.ownership.Lookup(now, a.ID)
@@ -62,7 +62,7 @@
 		d.Reason = NoShard
 		return d
 	}
-	if stuck, waiting := load(shard); !r.gates[shard].Admit(now, max(a.Unread, stuck), waiting) {
+	if stalled, waiting := load(shard); !r.gates[shard].Admit(now, max(a.Unread, stalled), waiting) {
 		d.Reason = Behind
 		return d
 	}
@@ -72,7 +72,7 @@
 	return d
 }
 
-// reasonToReject returns why no shard may take a request for which none acts.
+// reasonToReject returns why an allocation without an owner must not be assigned to any shard, NoReason if it may be.
 func (r *Router) reasonToReject(now float64, a Arrival, state shardownership.State) Reason {
 	switch {
 	case state == shardownership.Barred:
@@ -85,28 +85,29 @@
 	if _, isMoving := r.moving[a.Request.Service]; isMoving {
 		return ShardFenced
 	}
-	if _, isUnrecovered := r.unrecovered[a.ID]; isUnrecovered { // it runs at a node that has not reported it yet: an attempt now would start it twice
+	if _, isUnrecovered := r.unrecovered[a.ID]; isUnrecovered { // it runs, but its node has not reported it yet: an attempt now would start it twice
 		return ShardFenced
 	}
 	return NoReason
 }
 
-// OnRound tells a shard's admission gate how long a round took, in ms, and how many requests it handled.
+// OnRound tells a shard's admission gate how long a round of the shard's event loop took, in ms, and how many requests it handled.
 func (r *Router) OnRound(shard int, duration float64, requests int) {
 	r.gates[shard].OnRound(duration, requests)
 }
 
-// PermitAttempt permits an attempt, which must not be sent without.
+// PermitAttempt reports whether an attempt may be sent, and records it as open if so. An attempt must not be sent without a permit.
 func (r *Router) PermitAttempt(c shardownership.Claim, a shardownership.Attempt) bool {
 	return r.ownership.PermitAttempt(c, a)
 }
 
-// CompleteAttempt records the outcome of an attempt. neverRan says that it provably did not run.
+// CompleteAttempt records the outcome of an attempt. neverRan is true if the attempt provably did not run.
 func (r *Router) CompleteAttempt(c shardownership.Claim, neverRan bool) {
 	r.ownership.CompleteAttempt(c, neverRan)
 }
 
-// PermitAnswer permits the final answer, which must not leave without, and records whether it is that the allocation runs.
+// PermitAnswer reports whether the final answer may be sent, and records it as sent if so. It must not be sent without a permit. served is
+// true if the answer says that the allocation runs.
 func (r *Router) PermitAnswer(now float64, c shardownership.Claim, served bool) bool {
 	if !r.ownership.PermitAnswer(c, served) {
 		return false
@@ -117,10 +118,10 @@
 	return true
 }
 
-// IsOwner reports whether a shard acts for an allocation under an epoch.
+// IsOwner reports whether a shard owns an allocation under an epoch.
 func (r *Router) IsOwner(c shardownership.Claim) bool { return r.ownership.IsOwner(c) }
 
-// OpenRequests returns the requests at a shard that have no answer and for which the shard acts.
+// OpenRequests returns the requests of the allocations that a shard owns and that have no final answer yet.
 func (r *Router) OpenRequests(shard int) map[shardownership.RequestKey]bool {
 	return r.ownership.OpenRequests(shard)
 }
@@ -130,7 +131,7 @@
 	r.ownership.SetClient(c, client, ref)
 }
 
-// Remove ends an allocation of a service. It does nothing if the claim does not hold.
+// Remove removes an allocation of a service that has ended. It does nothing if the claim is not valid.
 func (r *Router) Remove(c shardownership.Claim, service uint64) {
 	if r.ownership.Remove(c) {
 		r.placement.Remove(c.Shard, service)
@@ -143,12 +144,12 @@
 	Ticket  uint64
 	Number  uint8
 	Service uint64
-	Shard   int // the shard that made the attempt, if it still runs; -1: its incarnation has ended
+	Shard   int // the shard that sent the attempt; -1: that incarnation of the shard has ended
 }
 
-// ShardOf returns the shard that a reported attempt belongs to, -1 if none runs: the shard that holds the allocation by this attempt, else
-// the one that made it, else the one to which its service belongs. knows reports that the shard is sure to know of the attempt; one that
-// made it may have given it away.
+// ShardOf returns the shard that a reported attempt belongs to, -1 if there is none: the owner of the allocation if this is its last attempt,
+// else the shard that sent the attempt, else the shard to which the service belongs. knows is true if the shard certainly knows of the
+// attempt; a shard that only sent it may have handed the allocation over since.
 func (r *Router) ShardOf(p Placed) (shard int, knows bool) {
 	if shard, ok := r.ownership.HolderOf(p.ID, p.Ticket, p.Number); ok && r.placement.IsUp(shard) {
 		return shard, true
