--- a/internal/decide/shardrouter/fence_test.go
+++ b/internal/decide/shardrouter/fence_test.go
@@ -22,7 +22,7 @@
 			r.PermitAttempt(c, shardownership.Attempt{Node: 3})
 		}, shardownership.Shed},
 		{"it runs", atMostOnce, func(r *Router, c shardownership.Claim) {
-			r.run(c, shardownership.Attempt{Node: 3, Ticket: 9})
+			r.markRunning(c, shardownership.Attempt{Node: 3, Ticket: 9})
 		}, shardownership.Continue},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -60,10 +60,10 @@
 }
 
 // checkReassigned checks that allocation 1 of a fenced shard is at another shard, which gets a permit.
-func checkReassigned(t *testing.T, r *Router, fenced int, to OrphanDecision) {
+func checkReassigned(t *testing.T, r *Router, fenced int, decision OrphanDecision) {
 	t.Helper()
-	if to.Shard == fenced || !r.PermitAttempt(claimOf(1, to.Shard, to.Epoch), shardownership.Attempt{}) {
-		t.Errorf("reassigned to %d, which gets no permit", to.Shard)
+	if decision.Shard == fenced || !r.PermitAttempt(claimOf(1, decision.Shard, decision.Epoch), shardownership.Attempt{}) {
+		t.Errorf("reassigned to %d, which gets no permit", decision.Shard)
 	}
 }
 
@@ -74,8 +74,8 @@
 	if d := r.Route(6000, arrival(1, atMostOnce, 7, 9000), idle); d.Epoch > 0 || d.Reason != ShardFenced {
 		t.Errorf("requested again before it is recovered: epoch %d, %q", d.Epoch, d.Reason)
 	}
-	maker := (fenced + 2) % 3 // a shard that gave it away
-	if shard, knows := r.ShardOf(Placed{ID: idOf(1), Ticket: 9, Service: 7, Shard: maker}); shard != maker || knows {
+	sender := (fenced + 2) % 3 // a shard that gave it away
+	if shard, knows := r.ShardOf(Placed{ID: idOf(1), Ticket: 9, Service: 7, Shard: sender}); shard != sender || knows {
 		t.Errorf("it belongs to %d, which knows of it: %t", shard, knows)
 	}
 	to := (fenced + 1) % 3
@@ -89,12 +89,12 @@
 	}
 }
 
-func TestLost(t *testing.T) {
-	beats, delays := []float64{15000, 15000}, []float64{0, 0}
+func TestUnrecovered(t *testing.T) {
+	heartbeats, delays := []float64{15000, 15000}, []float64{0, 0}
 	t.Run("ended before it is recovered", func(t *testing.T) {
 		r := newRouter(2)
 		claim := r.mustRoute(t, 0, 1, atMostOnce, 7)
-		r.run(claim, shardownership.Attempt{Node: 3, Ticket: 9, Number: 1})
+		r.markRunning(claim, shardownership.Attempt{Node: 3, Ticket: 9, Number: 1})
 		r.Fence(100, claim.Shard)
 		if _, ok := r.OnLostEnded(shardownership.Attempt{Node: 3, Ticket: 9}); ok {
 			t.Error("another attempt ended it")
@@ -102,19 +102,19 @@
 		if request, ok := r.OnLostEnded(shardownership.Attempt{Node: 3, Ticket: 9, Number: 1}); !ok || request.Ref != 1 {
 			t.Errorf("%+v, %t", request, ok)
 		}
-		if lost := r.CheckHealth(101+recoveryTimeout, beats, delays).Lost; len(lost) > 0 {
+		if lost := r.CheckHealth(101+recoveryTimeout, heartbeats, delays).Lost; len(lost) > 0 {
 			t.Errorf("returned twice: %+v", lost)
 		}
 	})
 	t.Run("never recovered", func(t *testing.T) {
 		r := newRouter(2)
 		claim := r.mustRoute(t, 0, 1, atMostOnce, 7)
-		r.run(claim, shardownership.Attempt{})
+		r.markRunning(claim, shardownership.Attempt{})
 		r.Fence(100, claim.Shard)
-		if lost := r.CheckHealth(100+recoveryTimeout, beats, delays).Lost; len(lost) > 0 {
+		if lost := r.CheckHealth(100+recoveryTimeout, heartbeats, delays).Lost; len(lost) > 0 {
 			t.Error("given up too early")
 		}
-		if lost := r.CheckHealth(101+recoveryTimeout, beats, delays).Lost; len(lost) != 1 || lost[0].Ref != 1 {
+		if lost := r.CheckHealth(101+recoveryTimeout, heartbeats, delays).Lost; len(lost) != 1 || lost[0].Ref != 1 {
 			t.Errorf("%+v", lost)
 		}
 	})
--- a/internal/decide/shardrouter/queue_test.go
+++ b/internal/decide/shardrouter/queue_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestKnownKeyIsNotQueued submits a second request for an allocation that a shard acts for.
-func TestKnownKeyIsNotQueued(t *testing.T) {
+// TestOwnedAllocationIsNotQueued submits a second request for an allocation that a shard acts for.
+func TestOwnedAllocationIsNotQueued(t *testing.T) {
 	r := newFullRouter(t)
 	if d := r.Submit(0, tenantArrival(0, 3, 60), idle); d.Queued || d.IsRejected() || d.Epoch != 0 {
 		t.Errorf("%+v", d)
--- a/internal/decide/shardrouter/resize_test.go
+++ b/internal/decide/shardrouter/resize_test.go
@@ -89,7 +89,7 @@
 			}
 			claim := r.mustRoute(t, 0, 1, atMostOnce, service)
 			attempt := shardownership.Attempt{Node: 3, Ticket: 9}
-			r.run(claim, attempt)
+			r.markRunning(claim, attempt)
 			_, _ = r.Resize(10, 1)
 			if !r.BelongsElsewhere(claim.Shard, service, 0) {
 				t.Fatal("a draining shard keeps what it has")
--- a/internal/decide/shardrouter/shardrouter_test.go
+++ b/internal/decide/shardrouter/shardrouter_test.go
@@ -51,8 +51,8 @@
 	return shardownership.Claim{ID: d.ID, Shard: d.Shard, Epoch: d.Epoch}
 }
 
-// run permits an attempt and the answer that it runs.
-func (r *Router) run(c shardownership.Claim, attempt shardownership.Attempt) {
+// markRunning permits an attempt and the answer that it runs.
+func (r *Router) markRunning(c shardownership.Claim, attempt shardownership.Attempt) {
 	r.PermitAttempt(c, attempt)
 	r.PermitAnswer(0, c, true)
 }
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestEndsBeforeItsRequestArrives has a node report an attempt that ran and ended while a request for the same key is on its way to its
+// TestAllocationEndsBeforeItsRequestIsHandled has a node report an attempt that ran and ended while a request for the same key is on its way to its
 // shard: the shard does not act for the request any more.
-func TestEndsBeforeItsRequestArrives(t *testing.T) {
+func TestAllocationEndsBeforeItsRequestIsHandled(t *testing.T) {
 	r := newRouter(2)
 	claim := r.mustRoute(t, 0, 1, restartable, 7)
 	if !r.IsOwner(claim) || r.IsOwner(claimOf(1, 1-claim.Shard, claim.Epoch)) || r.IsOwner(claimOf(2, claim.Shard, claim.Epoch)) {
@@ -106,9 +106,9 @@
 func TestSilentShard(t *testing.T) {
 	r := newRouter(2)
 	claim := r.mustRoute(t, 0, 1, atMostOnce, 7)
-	beats := []float64{4900, 4900}
-	beats[claim.Shard] = 4000
-	health := r.CheckHealth(4900, beats, []float64{0, 0})
+	heartbeats := []float64{4900, 4900}
+	heartbeats[claim.Shard] = 4000
+	health := r.CheckHealth(4900, heartbeats, []float64{0, 0})
 	if !slices.Equal(health.Silent, []int{claim.Shard}) || len(health.Overdue) != 1 || health.Overdue[0].Disposition != shardownership.Shed {
 		t.Errorf("silent %v, %+v", health.Silent, health.Overdue)
 	}
@@ -131,9 +131,9 @@
 			r.PermitAttempt(claim, shardownership.Attempt{Node: 3, Ticket: 9})
 			answeredAt := 0.0
 			for now := 4000 + phase; now < deadline && answeredAt == 0; now += checkInterval {
-				beats := []float64{now, now}
-				beats[claim.Shard] = min(now, stoppedAt)
-				if overdue := r.CheckHealth(now, beats, []float64{0, 0}).Overdue; len(overdue) > 0 {
+				heartbeats := []float64{now, now}
+				heartbeats[claim.Shard] = min(now, stoppedAt)
+				if overdue := r.CheckHealth(now, heartbeats, []float64{0, 0}).Overdue; len(overdue) > 0 {
 					answeredAt = now
 				}
 			}
@@ -158,9 +158,9 @@
 		answeredAt := 0.0
 		for now := 2400.0; now < deadline && answeredAt == 0; now += checkInterval {
 			r.SetLateness(checkInterval)
-			beats := []float64{now, now}
-			beats[claim.Shard] = min(now, stoppedAt)
-			if overdue := r.CheckHealth(now, beats, []float64{0, 0}).Overdue; len(overdue) > 0 {
+			heartbeats := []float64{now, now}
+			heartbeats[claim.Shard] = min(now, stoppedAt)
+			if overdue := r.CheckHealth(now, heartbeats, []float64{0, 0}).Overdue; len(overdue) > 0 {
 				answeredAt = now
 			}
 		}
@@ -184,9 +184,9 @@
 			if now == lateAt+checkInterval {
 				now += late
 			}
-			beats := []float64{now, now}
-			beats[claim.Shard] = min(now, stoppedAt)
-			if overdue := r.CheckHealth(now, beats, []float64{0, 0}).Overdue; len(overdue) > 0 {
+			heartbeats := []float64{now, now}
+			heartbeats[claim.Shard] = min(now, stoppedAt)
+			if overdue := r.CheckHealth(now, heartbeats, []float64{0, 0}).Overdue; len(overdue) > 0 {
 				answeredAt = now
 			}
 		}
--- a/internal/decide/shardrouter/spread_test.go
+++ b/internal/decide/shardrouter/spread_test.go
@@ -6,20 +6,20 @@
 	"ravenpond/internal/decide/shardownership"
 )
 
-// spreadService routes two requests of a spread service, whose tasks run, and drains their shard. It returns what the shard holds.
-func (r *Router) spreadService(t *testing.T, service uint64) (giver int, items []HandoverItem) {
+// drainSpreadService routes two requests of a spread service, whose tasks run, and drains their shard. It returns what the shard holds.
+func (r *Router) drainSpreadService(t *testing.T, service uint64) (source int, items []HandoverItem) {
 	t.Helper()
 	for key := 1; key <= 2; key++ {
 		claim := r.mustRoute(t, 0, key, spread, service)
-		r.run(claim, shardownership.Attempt{Node: 3, Ticket: uint64(key)})
-		giver = claim.Shard
+		r.markRunning(claim, shardownership.Attempt{Node: 3, Ticket: uint64(key)})
+		source = claim.Shard
 		items = append(items, HandoverItem{
 			ID: claim.ID, Epoch: claim.Epoch, Running: true, Request: shardownership.Request{JobClass: spread, Service: service},
 		})
 	}
-	r.draining[giver] = true
-	r.placement.MarkDraining(giver)
-	return giver, items
+	r.draining[source] = true
+	r.placement.MarkDraining(source)
+	return source, items
 }
 
 // TestSpreadServiceStaysTogether hands a spread service over and has its new shard be slow before the service's next request: the request goes
@@ -31,8 +31,8 @@
 func TestSpreadServiceStaysTogether(t *testing.T) {
 	for service := range uint64(40) {
 		r := newRouter(4)
-		giver, items := r.spreadService(t, service)
-		target := r.HandOver(100, giver, items)[0].Shard
+		source, items := r.drainSpreadService(t, service)
+		target := r.HandOver(100, source, items)[0].Shard
 		delays := make([]float64, 4)
 		delays[target] = 500
 		for range 20 {
@@ -52,12 +52,12 @@
 func TestSpreadServiceMovesWhole(t *testing.T) {
 	const service = 7
 	r := newRouter(4)
-	giver, items := r.spreadService(t, service)
+	source, items := r.drainSpreadService(t, service)
 	inInbox := r.mustRoute(t, 50, 3, spread, service)
-	if inInbox.Shard != giver {
-		t.Fatalf("routed to %d, its service is at %d", inInbox.Shard, giver)
+	if inInbox.Shard != source {
+		t.Fatalf("routed to %d, its service is at %d", inInbox.Shard, source)
 	}
-	if r.BeginHandover(100, giver, service, len(items)) {
+	if r.BeginHandover(100, source, service, len(items)) {
 		t.Error("given without the request in the inbox")
 	}
 	next := func(now float64) Decision { return r.Route(now, arrival(4, spread, service, now+5000), idle) }
@@ -65,16 +65,16 @@
 		t.Error("a service that waits for its handover is not paused")
 	}
 	items = append(items, HandoverItem{ID: inInbox.ID, Epoch: inInbox.Epoch, Request: shardownership.Request{JobClass: spread, Service: service}})
-	if !r.BeginHandover(1000, giver, service, len(items)) {
+	if !r.BeginHandover(1000, source, service, len(items)) {
 		t.Fatal("not given though the shard knows all of it")
 	}
 	if d := next(1001); !d.IsRejected() {
 		t.Error("a service that moves gets something new")
 	}
-	target := r.HandOver(1002, giver, items)[0].Shard
+	target := r.HandOver(1002, source, items)[0].Shard
 	r.EndHandover(service)
-	if d := next(1003); d.IsRejected() || d.Shard != target || target == giver {
-		t.Errorf("moved from %d to %d, the next request goes to %d, %s", giver, target, d.Shard, d.Reason)
+	if d := next(1003); d.IsRejected() || d.Shard != target || target == source {
+		t.Errorf("moved from %d to %d, the next request goes to %d, %s", source, target, d.Shard, d.Reason)
 	}
 	if !r.BeginHandover(1004, target, service, 4) {
 		t.Fatal("not given again")
--- a/internal/decide/shardrouter/start_test.go
+++ b/internal/decide/shardrouter/start_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// TestShardsThatStartSlowly adds shards and takes longer to start them than a shard may be silent: none is fenced or started meanwhile. Then
+// TestSlowShardStart adds shards and takes longer to start them than a shard may be silent: none is fenced or started meanwhile. Then
 // one can't be started, and is to be started again.
 //
 // The whole process ended with "index out of range" in the check of its shards, and callers lost all that was open. A shard was watched from
 // the moment at which the number of shards was changed. To start one writes its incarnation to the disk; where that took over two seconds for
 // those before it, the check asked to fence a shard that did not exist yet.
-func TestShardsThatStartSlowly(t *testing.T) {
+func TestSlowShardStart(t *testing.T) {
 	r := newRouter(1)
 	change := r.mustResize(t, 0, 4)
 	now := 0.0
