--- a/internal/decide/shardrouter/model_test.go
+++ b/internal/decide/shardrouter/model_test.go
@@ -8,8 +8,8 @@
 	"ravenpond/internal/decide/shardownership"
 )
 
-// TestOneOwner makes random requests, attempts, answers, fences, handovers and resizes: the router's tables agree after each step, and one
-// shard at a time gets permits.
+// TestOneOwner makes random requests, attempts, outcomes, removals, fences, handovers and resizes. The router's tables must agree with what
+// the shards hold after each step, and only the owner of an allocation may get a permit.
 func TestOneOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &routerModel{t: t, router: newRouter(rapid.IntRange(1, 4).Draw(t, "shards")), held: map[int]heldItem{}, incarnation: 1}
@@ -20,16 +20,16 @@
 	})
 }
 
-// modelKeys is the number of allocations of the model.
+// modelKeys is the number of keys, each for one allocation.
 const modelKeys = 10
 
-// routerModel is a router and what its shards hold.
+// routerModel holds a router and what its shards hold.
 type routerModel struct {
 	t           *rapid.T
 	router      *Router
 	now         float64
-	held        map[int]heldItem // by key
-	incarnation uint32           // of the shard that was started last
+	held        map[int]heldItem // by key of the allocation
+	incarnation uint32           // of the shard that was started last, and its first epoch
 }
 
 type heldItem struct {
@@ -63,7 +63,7 @@
 func serviceOf(key int) uint64 { return uint64(key % 3) }
 
 func (m *routerModel) route(key int) {
-	a := arrival(key, rapid.IntRange(0, 2).Draw(m.t, "job"), serviceOf(key), m.now+900)
+	a := arrival(key, rapid.IntRange(0, 2).Draw(m.t, "job class"), serviceOf(key), m.now+900)
 	held, isHeld := m.held[key]
 	d := m.router.Route(m.now, a, idle)
 	switch {
@@ -71,7 +71,7 @@
 	case d.Epoch > 0:
 		m.held[key] = heldItem{HandoverItem{ID: a.ID, Epoch: d.Epoch, Request: a.Request}, d.Shard}
 	case isHeld != (d.Shard == held.shard):
-		m.t.Fatalf("key %d is at %d, known at %d", key, held.shard, d.Shard)
+		m.t.Fatalf("key %d is held by shard %d, but the router names shard %d as the owner", key, held.shard, d.Shard)
 	}
 }
 
@@ -79,13 +79,13 @@
 	held, isHeld := m.held[key]
 	permitted := m.router.PermitAttempt(claimOf(key, shard, held.Epoch), shardownership.Attempt{Node: 1})
 	if permitted && (!isHeld || shard != held.shard) {
-		m.t.Fatal("a permit for a shard that does not act for it")
+		m.t.Fatal("a shard that does not own the allocation got a permit for an attempt")
 	}
 }
 
 func (m *routerModel) complete(key int) {
 	if held, ok := m.held[key]; ok {
-		m.router.CompleteAttempt(claimOf(key, held.shard, held.Epoch), rapid.Bool().Draw(m.t, "never"))
+		m.router.CompleteAttempt(claimOf(key, held.shard, held.Epoch), rapid.Bool().Draw(m.t, "never ran"))
 	}
 }
 
@@ -115,7 +115,7 @@
 	m.router.OnShardStarted(m.now, shard, m.incarnation)
 }
 
-// handOver has a shard give a service away, whether it belongs elsewhere or not: the number of shards may have changed in the meantime.
+// handOver hands a service over, whether or not it belongs elsewhere: the number of shards may change after a shard has decided to hand over.
 func (m *routerModel) handOver(shard int, service uint64) {
 	var items []HandoverItem
 	for key := range modelKeys {
@@ -128,7 +128,7 @@
 	}
 	decisions := m.router.HandOver(m.now, shard, items)
 	for _, d := range decisions {
-		// An attempt was open: the allocation is removed, because the engine gives no such.
+		// An attempt was open, so the router removed the allocation: an engine never hands one over that has an open attempt.
 		if d.Disposition == shardownership.Continue && m.router.ownership.Entry(d.ID) == nil {
 			delete(m.held, int(d.ID.Token))
 		}
@@ -146,7 +146,7 @@
 	}
 }
 
-// apply moves or drops what the router decided about.
+// apply carries out the router's decisions: it moves reassigned allocations, and removes all others except those that continue.
 func (m *routerModel) apply(decisions []OrphanDecision) {
 	for _, d := range decisions {
 		key := int(d.ID.Token)
--- a/internal/decide/shardrouter/queue_model_test.go
+++ b/internal/decide/shardrouter/queue_model_test.go
@@ -8,8 +8,8 @@
 	"ravenpond/internal/decide/shardownership"
 )
 
-// TestRandomQueue makes random calls: each request is routed, rejected or withdrawn exactly once, and the queue counts as open and held what
-// the ownership table has.
+// TestRandomQueue makes random calls. Each request must be routed, rejected or withdrawn exactly once, and the queue's counts of open and held
+// allocations must agree with the ownership table.
 func TestRandomQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &queueModel{
@@ -24,10 +24,10 @@
 	})
 }
 
-// modelMaxOpen is how many allocations of the model may be open.
+// modelMaxOpen is the limit of open allocations.
 const modelMaxOpen = 12
 
-// queueModel is a multi-tenant router, the requests that wait and the allocations that are open.
+// queueModel holds a multi-tenant router, the requests that wait and the allocations that shards hold.
 type queueModel struct {
 	t           *rapid.T
 	router      *Router
@@ -38,7 +38,7 @@
 	open        map[shardownership.ID]Decision
 }
 
-// step makes a random call for a random allocation.
+// step makes a random call for a random allocation, shard or waiting request.
 func (m *queueModel) step() {
 	m.now += float64(rapid.IntRange(0, 400).Draw(m.t, "time"))
 	id := shardownership.ID{Tenant: rapid.IntRange(0, 2).Draw(m.t, "tenant"), Token: uint64(rapid.IntRange(0, 9).Draw(m.t, "key"))}
@@ -78,7 +78,7 @@
 	}
 }
 
-// onDecision records a decision about a request that does not wait any more.
+// onDecision records the decision about a request that no longer waits.
 func (m *queueModel) onDecision(d Decision) {
 	delete(m.waiting, d.Request.Ref)
 	if !d.IsRejected() && d.Epoch > 0 {
@@ -109,7 +109,7 @@
 		oldest = min(oldest, ref)
 	}
 	if !m.router.Withdraw(1, oldest) {
-		m.t.Fatalf("request %d does not wait", oldest)
+		m.t.Fatalf("request %d could not be withdrawn, want it to wait", oldest)
 	}
 	delete(m.waiting, oldest)
 }
@@ -117,7 +117,7 @@
 func (m *queueModel) dequeue() {
 	for _, d := range m.router.Dequeue(m.now, idle) {
 		if _, ok := m.waiting[d.Request.Ref]; !ok {
-			m.t.Fatalf("request %d has a second outcome", d.Request.Ref)
+			m.t.Fatalf("request %d got a second decision, want one", d.Request.Ref)
 		}
 		m.onDecision(d)
 	}
@@ -126,16 +126,16 @@
 func (m *queueModel) check() {
 	queue := m.router.queue
 	if n := len(queue.waiting); n != len(m.waiting) || n != queue.fair.TotalWaiting() {
-		m.t.Fatalf("%d wait, the router has %d, the queue %d", len(m.waiting), n, queue.fair.TotalWaiting())
+		m.t.Fatalf("want %d waiting requests, got %d in the router and %d in the fair queue", len(m.waiting), n, queue.fair.TotalWaiting())
 	}
 	if queue.fair.TotalOpen() != m.router.Open() || m.router.Open() > modelMaxOpen {
-		m.t.Fatalf("the queue has %d open, the ownership table %d", queue.fair.TotalOpen(), m.router.Open())
+		m.t.Fatalf("the fair queue has %d open, the ownership table %d: want equal, at most modelMaxOpen", queue.fair.TotalOpen(), m.router.Open())
 	}
 	held := 0.0
 	for _, d := range m.open {
 		held += d.Request.Cores
 	}
 	if held != queue.held.Cores {
-		m.t.Fatalf("%g cores are held, the router counts %g", held, queue.held.Cores)
+		m.t.Fatalf("want %g cores held, got %g in the router", held, queue.held.Cores)
 	}
 }
--- a/internal/decide/shardrouter/queue_test.go
+++ b/internal/decide/shardrouter/queue_test.go
@@ -8,7 +8,7 @@
 	"ravenpond/internal/decide/tenancy"
 )
 
-// newMultiTenant returns a router of three tenants over ten cores.
+// newMultiTenant returns a router with three tenants and a capacity of ten cores.
 func newMultiTenant(shards, maxOpen int) *Router {
 	r := New(0, Config{JobClasses: jobClasses, Shards: shards, MaxShards: shards, MaxOpen: maxOpen, AnswerMargin: 100, FirstEpoch: 1, MultiTenant: true})
 	for slot := range 3 {
@@ -18,7 +18,7 @@
 	return r
 }
 
-// tenantArrival is the arrival of a request of client 1 for a core.
+// tenantArrival returns a request of client 1 for one core.
 func tenantArrival(tenant int, key, ref uint64) Arrival {
 	return Arrival{
 		ID:      shardownership.ID{Tenant: tenant, Token: key},
@@ -26,7 +26,7 @@
 	}
 }
 
-// newFullRouter returns a router of one shard whose ten cores are taken.
+// newFullRouter returns a router with one shard, all of whose ten cores are held.
 func newFullRouter(t *testing.T) *Router {
 	t.Helper()
 	r := newMultiTenant(1, 100)
@@ -40,21 +40,21 @@
 func (r *Router) mustSubmit(t *testing.T, a Arrival) {
 	t.Helper()
 	if d := r.Submit(0, a, idle); d.IsRejected() || d.Queued {
-		t.Fatalf("%+v", d)
+		t.Fatalf("got decision %+v, want routed", d)
 	}
 }
 
 func TestQueuedUntilCapacity(t *testing.T) {
 	r := newFullRouter(t)
 	if d := r.Submit(0, tenantArrival(1, 50, 50), idle); !d.Queued {
-		t.Fatalf("%+v", d)
+		t.Fatalf("got decision %+v, want queued", d)
 	}
 	if decisions := r.Dequeue(1, idle); len(decisions) > 0 || !r.MayDequeue(1) {
-		t.Fatalf("%+v", decisions)
+		t.Fatalf("before a removal: got decisions %+v, want none, and that Dequeue may be called", decisions)
 	}
 	r.Remove(claimOf(0, 0, 1), 0)
 	if decisions := r.Dequeue(2, idle); len(decisions) != 1 || decisions[0].Epoch != 1 || decisions[0].Request.Ref != 50 {
-		t.Fatalf("%+v", decisions)
+		t.Fatalf("after a removal: got decisions %+v, want request 50 routed under epoch 1", decisions)
 	}
 }
 
@@ -65,12 +65,12 @@
 		knowsFree   bool
 		queued      bool
 	}{
-		{"others hold the rest and more", 30, -1, true, true},
-		{"others hold all but one", 30, 1, true, false},
-		{"nobody else holds any", 30, 20, true, false},
-		{"most of what is held is at nodes that drain", 5, 4, true, false},
-		{"it does not say, and all is held here", 10, 10, false, true},
-		{"it does not say", 30, 30, false, false},
+		{"other processes hold more than the rest", 30, -1, true, true},
+		{"other processes leave one core", 30, 1, true, false},
+		{"other processes hold nothing", 30, 20, true, false},
+		{"more held than the accepting nodes have", 5, 4, true, false},
+		{"free unknown, all cores held here", 10, 10, false, true},
+		{"free unknown, cores left", 30, 30, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newFullRouter(t)
@@ -81,20 +81,20 @@
 				r.PermitAttempt(claimOf(key, 0, 1), shardownership.Attempt{Node: 1})
 			}
 			if d := r.Submit(1, tenantArrival(1, 50, 50), idle); d.Queued != c.queued {
-				t.Errorf("%+v", d)
+				t.Errorf("got decision %+v, want it queued only if the case says so", d)
 			}
 		})
 	}
-	t.Run("the list is behind while the load grows", func(t *testing.T) {
+	t.Run("node list lags while the load grows", func(t *testing.T) {
 		r := newMultiTenant(1, 100)
 		r.OnCapacity(Capacity{Total: Resources{20, 20}, Free: Resources{20, 20}, KnowsFree: true})
-		for i := range uint64(18) { // the list is three answers behind
+		for i := range uint64(18) { // the node list lags by three answers
 			r.mustSubmit(t, tenantArrival(int(i%3), i, i))
 			free := 20 - max(0, float64(i)-2)
 			r.OnCapacity(Capacity{Total: Resources{20, 20}, Free: Resources{free, free}, KnowsFree: true})
 		}
 		if r.queue.heldByOthers.Cores != 0 || r.queue.heldByOthers.Memory != 0 {
-			t.Errorf("others are believed to hold %+v", r.queue.heldByOthers)
+			t.Errorf("got %+v held by other processes, want none", r.queue.heldByOthers)
 		}
 	})
 }
@@ -104,16 +104,16 @@
 	r.OnRound(0, 10, 10)
 	busy := func(int) (float64, int) { return 0, 1000 }
 	if d := r.Submit(0, tenantArrival(1, 50, 50), busy); !d.Queued {
-		t.Fatalf("%+v", d)
+		t.Fatalf("got decision %+v, want queued", d)
 	}
 	if decisions := r.Dequeue(1, idle); len(decisions) > 0 {
-		t.Errorf("routed again at once: %+v", decisions)
+		t.Errorf("before the retry interval: got decisions %+v, want none", decisions)
 	}
 	if due := r.Due(1); due > retryInterval {
-		t.Errorf("due at %g", due)
+		t.Errorf("got due at %g ms, want at most retryInterval", due)
 	}
 	if decisions := r.Dequeue(retryInterval, idle); len(decisions) != 1 || decisions[0].IsRejected() {
-		t.Errorf("%+v", decisions)
+		t.Errorf("after the retry interval: got decisions %+v, want one that is routed", decisions)
 	}
 }
 
@@ -121,10 +121,10 @@
 	r := newFullRouter(t)
 	r.Submit(0, tenantArrival(1, 50, 50), idle)
 	if due := r.Due(0); due != 4900 {
-		t.Errorf("due at %g", due)
+		t.Errorf("got due at %g ms, want 4900", due)
 	}
 	if decisions := r.Dequeue(4900, idle); len(decisions) != 1 || decisions[0].Reason != TooLate {
-		t.Errorf("%+v", decisions)
+		t.Errorf("got decisions %+v, want one with reason too-late", decisions)
 	}
 }
 
@@ -132,12 +132,12 @@
 	r := newFullRouter(t)
 	r.Submit(0, tenantArrival(1, 50, 50), idle)
 	if !r.Withdraw(1, 50) || r.Withdraw(1, 50) {
-		t.Error("not withdrawn once")
+		t.Error("a waiting request was not withdrawn exactly once")
 	}
 	r.Submit(0, tenantArrival(1, 51, 51), idle)
 	r.WithdrawClient(1)
 	if n := r.TenantCount(1); n != 0 {
-		t.Errorf("%d are left", n)
+		t.Errorf("got %d requests of the tenant after its client withdrew, want 0", n)
 	}
 }
 
@@ -146,34 +146,34 @@
 	r.Submit(0, tenantArrival(1, 50, 50), idle)
 	decisions := r.SetTenant(1, 1, tenancy.Policy{Limits: fairqueue.Limits{Share: 1, Blocked: true}})
 	if len(decisions) != 1 || decisions[0].Reason != NotTaken {
-		t.Errorf("%+v", decisions)
+		t.Errorf("got decisions %+v, want one with reason not-taken", decisions)
 	}
 	if d := r.Submit(2, tenantArrival(1, 51, 51), idle); d.Reason != OverShare {
-		t.Errorf("%+v", d)
+		t.Errorf("request of a blocked tenant: got decision %+v, want reason over-share", d)
 	}
 }
 
-// TestOwnedAllocationIsNotQueued submits a second request for an allocation that a shard acts for.
+// TestOwnedAllocationIsNotQueued submits a second request for an allocation that a shard owns: it goes to that shard at once.
 func TestOwnedAllocationIsNotQueued(t *testing.T) {
 	r := newFullRouter(t)
 	if d := r.Submit(0, tenantArrival(0, 3, 60), idle); d.Queued || d.IsRejected() || d.Epoch != 0 {
-		t.Errorf("%+v", d)
+		t.Errorf("got decision %+v, want routed to the owner with epoch 0", d)
 	}
 }
 
-// TestRejectWaiting ends the process while requests wait: each is rejected once, in the order in which they came.
+// TestRejectWaiting shuts down while requests wait: each must be rejected once, in order of arrival.
 func TestRejectWaiting(t *testing.T) {
 	r := newFullRouter(t)
 	for ref := uint64(50); ref < 53; ref++ {
 		if d := r.Submit(0, tenantArrival(1, ref, ref), idle); !d.Queued {
-			t.Fatalf("%+v", d)
+			t.Fatalf("got decision %+v, want queued", d)
 		}
 	}
 	rejected := r.RejectWaiting()
 	if len(rejected) != 3 || rejected[0].Request.Ref != 50 || rejected[2].Request.Ref != 52 || rejected[0].Reason != NotTaken {
-		t.Errorf("%+v", rejected)
+		t.Errorf("got decisions %+v, want requests 50 to 52 with reason not-taken", rejected)
 	}
 	if again := r.RejectWaiting(); len(again) > 0 || len(newRouter(1).RejectWaiting()) > 0 {
-		t.Errorf("%+v", again)
+		t.Errorf("second call or empty queue: got decisions %+v, want none", again)
 	}
 }
--- a/internal/decide/shardrouter/shardrouter_test.go
+++ b/internal/decide/shardrouter/shardrouter_test.go
@@ -8,10 +8,10 @@
 	"ravenpond/logic"
 )
 
-// Job classes of the tests.
+// Indices of the tests' job classes.
 const (
 	restartable = iota
-	spread      // idempotent, and its tasks must be spread
+	spread      // idempotent, and its tasks must be spread over nodes
 	atMostOnce
 )
 
@@ -21,7 +21,7 @@
 	atMostOnce:  {Semantics: logic.AtMostOnce},
 }
 
-// idle is the load of shards that wait for nothing.
+// idle is the load of shards without stalls and waiting requests.
 func idle(int) (float64, int) { return 0, 0 }
 
 func newRouter(shards int) *Router {
@@ -34,7 +34,7 @@
 	return shardownership.Claim{ID: idOf(key), Shard: shard, Epoch: epoch}
 }
 
-// arrival is the arrival of a request without a client.
+// arrival returns a request without a client.
 func arrival(key, jobClass int, service uint64, deadline float64) Arrival {
 	return Arrival{ID: idOf(key), Request: shardownership.Request{JobClass: jobClass, Service: service, Deadline: deadline}}
 }
@@ -46,12 +46,12 @@
 	a.Request.Client, a.Request.Ref = 1, uint64(key)
 	d := r.Route(now, a, idle)
 	if d.Reason != NoReason || d.Epoch == 0 {
-		t.Fatalf("request %d: epoch %d, %s", key, d.Epoch, d.Reason)
+		t.Fatalf("request %d: got epoch %d, reason %q, want assigned", key, d.Epoch, d.Reason)
 	}
 	return shardownership.Claim{ID: d.ID, Shard: d.Shard, Epoch: d.Epoch}
 }
 
-// markRunning permits an attempt and the answer that it runs.
+// markRunning gets permits for an attempt and for the answer that the allocation runs.
 func (r *Router) markRunning(c shardownership.Claim, attempt shardownership.Attempt) {
 	r.PermitAttempt(c, attempt)
 	r.PermitAnswer(0, c, true)
@@ -61,7 +61,7 @@
 	r := New(0, Config{JobClasses: jobClasses, Shards: 1, MaxShards: 1, MaxOpen: 2, AnswerMargin: 200, FirstEpoch: 1})
 	r.mustRoute(t, 0, 1, restartable, 7)
 	if d := r.Route(0, arrival(1, restartable, 0, 5000), idle); d.Shard != 0 || d.Epoch != 0 || d.Reason != NoReason {
-		t.Errorf("a known key: %d, %d, %s", d.Shard, d.Epoch, d.Reason)
+		t.Errorf("second request: got shard %d, epoch %d, reason %q, want shard 0, epoch 0, no reason", d.Shard, d.Epoch, d.Reason)
 	}
 	r.OnRound(0, 10, 10)
 	busy := func(int) (float64, int) { return 0, 1000 }
@@ -80,26 +80,26 @@
 		Behind: "behind", OverShare: "over-share", TooLate: "too-late", NotTaken: "not-taken",
 	} {
 		if got := reason.String(); got != want { // clients and logs get these texts
-			t.Errorf("%d: %q, want %q", reason, got, want)
+			t.Errorf("reason %d: got %q, want %q", reason, got, want)
 		}
 	}
 }
 
-// TestAllocationEndsBeforeItsRequestIsHandled has a node report an attempt that ran and ended while a request for the same key is on its way to its
-// shard: the shard does not act for the request any more.
+// TestAllocationEndsBeforeItsRequestIsHandled has a node report that an allocation ran and ended, while a request for the same allocation is
+// on its way to the shard. The shard no longer owns the allocation by the claim of that request.
 func TestAllocationEndsBeforeItsRequestIsHandled(t *testing.T) {
 	r := newRouter(2)
 	claim := r.mustRoute(t, 0, 1, restartable, 7)
 	if !r.IsOwner(claim) || r.IsOwner(claimOf(1, 1-claim.Shard, claim.Epoch)) || r.IsOwner(claimOf(2, claim.Shard, claim.Epoch)) {
-		t.Fatal("the shard acts for the request alone")
+		t.Fatal("want the assigned shard to own allocation 1, no other shard to own it, and the shard to own no other allocation")
 	}
 	recovery, ok := r.Recover(idOf(1), claim.Shard, shardownership.Request{Service: 7}, shardownership.Attempt{Node: 3, Ticket: 9})
 	if !ok {
-		t.Fatal("what runs is not recovered")
+		t.Fatal("a running allocation could not be recovered by its owner")
 	}
 	r.Remove(claimOf(1, claim.Shard, recovery.Epoch), 7)
 	if r.IsOwner(claim) {
-		t.Error("the shard acts for a request that an ended attempt took the place of")
+		t.Error("the claim of the request is still valid after the allocation ended")
 	}
 }
 
@@ -110,20 +110,21 @@
 	heartbeats[claim.Shard] = 4000
 	health := r.CheckHealth(4900, heartbeats, []float64{0, 0})
 	if !slices.Equal(health.Silent, []int{claim.Shard}) || len(health.Overdue) != 1 || health.Overdue[0].Disposition != shardownership.Shed {
-		t.Errorf("silent %v, %+v", health.Silent, health.Overdue)
+		t.Errorf("got silent %v, overdue %+v, want the shard silent and one overdue that is shed", health.Silent, health.Overdue)
 	}
 	if r.PermitAnswer(0, claimOf(1, claim.Shard, 1), true) {
-		t.Error("answered again")
+		t.Error("a shard got a permit for an answer that the router has given in its place")
 	}
 }
 
-// TestOverdueIsAnsweredInTime has a shard stop at each moment around that in which it would have answered a request: the router answers in its
-// place before the deadline, however the checks fall.
+// TestOverdueIsAnsweredInTime stops a shard at different times before it would have answered a request. Whatever the phase of the checks, the
+// router must answer in its place before the deadline.
 //
-// Callers got no answer at all (rule 1): a shard counted as silent after 250 ms alone, but answers leave only 200 ms before the deadline. A
-// request that was due in the first 100 ms after its shard had stopped was noticed when its deadline had passed, and then nothing may be sent.
+// The test guards against requests that get no answer at all. A shard used to count as silent only after a fixed 250 ms, but answers are sent
+// only 200 ms before the deadline. If a request was due within the first 100 ms after its shard had stopped, the silence was noticed after
+// the deadline, when no answer may be sent any more.
 func TestOverdueIsAnsweredInTime(t *testing.T) {
-	const deadline, checkInterval, answerMargin = 5000.0, 50.0, 200.0 // serve checks four times in an answer margin
+	const deadline, checkInterval, answerMargin = 5000.0, 50.0, 200.0 // package serve checks four times per answer margin
 	for stoppedAt := deadline - 2*answerMargin; stoppedAt < deadline-answerMargin; stoppedAt += 10 {
 		for phase := 0.0; phase < checkInterval; phase += 10 {
 			r := newRouter(2)
@@ -138,17 +139,19 @@
 				}
 			}
 			if answeredAt == 0 {
-				t.Errorf("stopped %.0f ms before the deadline, checks at %.0f ms: no answer", deadline-stoppedAt, phase)
+				t.Errorf("shard stopped %.0f ms before the deadline, checks with a phase of %.0f ms: got no answer, want one before the deadline",
+					deadline-stoppedAt, phase)
 			}
 		}
 	}
 }
 
-// TestOverdueWhileChecksComeLate has a shard stand still and the checks come 300 ms apart, as on a busy machine: each request is answered before
-// its deadline all the same.
+// TestOverdueWhileChecksComeLate stops a shard while the checks come 300 ms apart, as on a busy machine. Each request must still be answered
+// before its deadline.
 //
-// Callers got no answer, or a late one (rule 1), beside load: 9 requests in 48 runs of TestFencedShard. The logs say that their shard had been
-// silent for 1.6 to 2.0 s and that checks came 110 to 350 ms apart instead of 50, while the router took over 150 ms before a deadline.
+// The test guards against answers that are late or missing on a loaded machine, as happened to 9 requests in 48 runs of TestFencedShard. Their
+// shard had been silent for 1.6 to 2.0 s, and checks came 110 to 350 ms apart instead of 50 ms, but the router answered in a silent shard's
+// place only 150 ms before a deadline.
 func TestOverdueWhileChecksComeLate(t *testing.T) {
 	const checkInterval, stoppedAt = 300.0, 2500.0
 	for deadline := 4000.0; deadline < 4000+checkInterval; deadline += 10 {
@@ -165,15 +168,16 @@
 			}
 		}
 		if answeredAt == 0 || deadline-answeredAt < 100 {
-			t.Errorf("deadline %.0f: answered at %.0f", deadline, answeredAt)
+			t.Errorf("deadline %.0f ms: answered at %.0f ms, want at least 100 ms before the deadline (0: no answer)", deadline, answeredAt)
 		}
 	}
 }
 
-// TestOverdueBeforeALateCheck has a shard stand still for 1.5 s, and then one check come 400 ms late: each request is answered before its
-// deadline all the same.
+// TestOverdueBeforeALateCheck stops a shard, and after 1.5 s one check comes 400 ms late. Each request must still be answered before its
+// deadline.
 //
-// Callers got no answer (rule 1) in 1 of 48 runs of TestFencedShard beside load, with checks that had come on time until then.
+// The test guards against a request that gets no answer, as happened in 1 of 48 runs of TestFencedShard on a loaded machine, where all checks
+// before the late one had come on time.
 func TestOverdueBeforeALateCheck(t *testing.T) {
 	const checkInterval, stoppedAt, lateAt, late = 50.0, 2500.0, 4000.0, 400.0
 	for deadline := lateAt; deadline < lateAt+late+200; deadline += 10 {
@@ -191,7 +195,7 @@
 			}
 		}
 		if answeredAt == 0 || answeredAt >= deadline {
-			t.Errorf("deadline %.0f: looked at at %.0f", deadline, answeredAt)
+			t.Errorf("deadline %.0f ms: answered at %.0f ms, want before the deadline (0: no answer)", deadline, answeredAt)
 		}
 	}
 }
