--- a/internal/decide/shardownership/attempts.go
+++ b/internal/decide/shardownership/attempts.go
@@ -2,8 +2,8 @@
 
 import "ravenpond/logic"
 
-// PermitAttempt permits an attempt and records it as open. Without a permit the attempt must not be sent: the shard does not act for the
-// allocation any more, another attempt is open, the client has its answer, or a second attempt is never right.
+// PermitAttempt reports whether an attempt may be sent, and records it as open if so. It refuses the permit if the claim is not valid, another
+// attempt is open, the client has its answer, or an earlier attempt of an at-most-once allocation may have run.
 func (t *Table) PermitAttempt(c Claim, a Attempt) bool {
 	entry := t.owned(c)
 	if t.FaultAnyEpoch {
@@ -22,7 +22,7 @@
 	return true
 }
 
-// CompleteAttempt records the outcome of the open attempt. neverRan says that it provably did not run.
+// CompleteAttempt records the outcome of the open attempt. neverRan is true if the attempt provably did not run.
 func (t *Table) CompleteAttempt(c Claim, neverRan bool) {
 	if entry := t.owned(c); entry != nil {
 		entry.AttemptOpen = false
@@ -30,8 +30,8 @@
 	}
 }
 
-// PermitAnswer permits the final answer and records whether it is that the allocation runs; false if the claim does not hold or the
-// client was answered.
+// PermitAnswer reports whether the final answer may be sent, and records it as sent if so. It refuses the permit if the claim is not valid or
+// the client was already answered. served is true if the answer says that the allocation runs.
 func (t *Table) PermitAnswer(c Claim, served bool) bool {
 	entry := t.owned(c)
 	if entry == nil || entry.Answered {
@@ -42,7 +42,7 @@
 	return true
 }
 
-// Recover gives an allocation that a node reports as running to a shard; false if another shard acts for it.
+// Recover makes a shard the owner of an allocation that a node reports as running. It returns false if another shard owns it.
 func (t *Table) Recover(id ID, shard int, request Request, attempt Attempt) (epoch uint32, ok bool) {
 	entry := t.entries[id]
 	if entry != nil && entry.Shard != shard {
@@ -57,7 +57,7 @@
 	return entry.Epoch, true
 }
 
-// HolderOf returns the shard that acts for an allocation by a given attempt.
+// HolderOf returns the owner of an allocation if the given attempt is the allocation's last one.
 func (t *Table) HolderOf(id ID, ticket uint64, number uint8) (shard int, ok bool) {
 	entry := t.entries[id]
 	if entry == nil || entry.LastAttempt.Ticket != ticket || entry.LastAttempt.Number != number {
--- a/internal/decide/shardownership/fence.go
+++ b/internal/decide/shardownership/fence.go
@@ -8,30 +8,30 @@
 	"ravenpond/logic"
 )
 
-// Disposition is what becomes of an allocation whose shard no longer acts for it.
+// Disposition is the decision about an allocation that its shard no longer owns.
 type Disposition uint8
 
 // Dispositions.
 const (
-	Reassign Disposition = iota // another shard goes on with it, under the next epoch
-	Shed                        // the client may retry: no attempt is open, or a second run does no harm
-	Fail                        // it may have run: nothing is promised
-	Continue                    // the client has its answer; if it runs, its node will report it
+	Reassign Disposition = iota // another shard takes it over, under the next epoch
+	Shed                        // the client may retry: no attempt can have run, or a second run does no harm
+	Fail                        // it may have run, and a second run could do harm: the client gets no promise
+	Continue                    // the client has its answer; if the allocation runs, its node will report it
 )
 
-// Orphan is an allocation whose shard no longer acts for it.
+// Orphan is an allocation that its shard no longer owns.
 type Orphan struct {
 	ID          ID
 	Entry       Entry
 	Disposition Disposition
 }
 
-// Fence takes all allocations from a shard and raises the epoch, so that the shard gets no further permit. It returns them in order of
-// their IDs. Those to be reassigned need minTimeLeft milliseconds to their deadline, and are not in the table until they are assigned
-// again.
+// Fence removes all allocations of a shard from the table and raises the epoch, so that the shard gets no further permit. It returns the
+// allocations in order of their IDs. One is reassigned only if more than minTimeLeft milliseconds are left until its deadline, and is not in
+// the table until the caller assigns it again.
 //
-// The outcome of an attempt that is open cannot be awaited, because the shard that would receive it is gone. A restartable allocation is
-// shed; its client retries at once. Any other is barred until its deadline.
+// The outcome of an open attempt cannot be awaited, because the shard that would receive it is gone. A restartable allocation with an open
+// attempt is shed, and its client may retry at once. Any other allocation with an open attempt is barred until its deadline.
 func (t *Table) Fence(now float64, shard int, minTimeLeft float64) []Orphan {
 	var orphans []Orphan
 	for id, entry := range t.entries {
@@ -62,15 +62,15 @@
 	return Fail
 }
 
-// isRetrySafe reports whether the client may retry an allocation without a risk of a second effect.
+// isRetrySafe reports whether the client may retry an allocation without the risk of a second effect.
 func (t *Table) isRetrySafe(entry *Entry) bool {
 	class := &t.jobClasses[entry.JobClass]
 	return outcome.IsRetrySafe(class.Semantics, class.IdempotencyScope, entry.AttemptOpen, entry.MayHaveRun)
 }
 
-// ShedOverdue marks the allocations of a silent shard as answered that have no answer and whose deadline is closer than within
-// milliseconds, and returns them in order of their IDs: their answers cannot wait until the shard is fenced. The shard keeps its open
-// attempts but gets no further permit for them.
+// ShedOverdue returns, in order of their IDs, the unanswered allocations of a silent shard whose deadline is less than within milliseconds
+// away, and marks them as answered: their answers cannot wait until the shard is fenced. The shard remains the owner and may complete open
+// attempts, but gets no further permit for these allocations.
 func (t *Table) ShedOverdue(now float64, shard int, within float64) []Orphan {
 	var orphans []Orphan
 	for id, entry := range t.entries {
@@ -88,7 +88,7 @@
 	return orphans
 }
 
-// ExpireBars forgets the allocations that are barred no longer.
+// ExpireBars deletes the bars that have ended.
 func (t *Table) ExpireBars(now float64) {
 	for id, until := range t.barredUntil {
 		if now > until {
