--- a/internal/decide/shardownership/shardownership_test.go
+++ b/internal/decide/shardownership/shardownership_test.go
@@ -17,21 +17,21 @@
 
 func TestFence(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		do   func(table *Table, id ID)
-		want [4]Disposition // by job class
+		name  string
+		setup func(table *Table, id ID)
+		want  [4]Disposition // by job class
 	}{
 		{"no attempt yet", func(*Table, ID) {}, [4]Disposition{Reassign, Reassign, Reassign, Reassign}},
-		{"an open attempt", func(table *Table, id ID) { table.PermitAttempt(Claim{id, 1, 1}, Attempt{}) }, [4]Disposition{Shed, Fail, Fail, Fail}},
-		{"an earlier one provably never ran", func(table *Table, id ID) {
+		{"open attempt", func(table *Table, id ID) { table.PermitAttempt(Claim{id, 1, 1}, Attempt{}) }, [4]Disposition{Shed, Fail, Fail, Fail}},
+		{"earlier attempt provably never ran", func(table *Table, id ID) {
 			table.PermitAttempt(Claim{id, 1, 1}, Attempt{})
 			table.CompleteAttempt(Claim{id, 1, 1}, true)
 		}, [4]Disposition{Reassign, Reassign, Reassign, Reassign}},
-		{"an earlier one may have run", func(table *Table, id ID) {
+		{"earlier attempt may have run", func(table *Table, id ID) {
 			table.PermitAttempt(Claim{id, 1, 1}, Attempt{})
 			table.CompleteAttempt(Claim{id, 1, 1}, false)
 		}, [4]Disposition{Shed, Fail, Shed, Fail}},
-		{"it runs", func(table *Table, id ID) {
+		{"running", func(table *Table, id ID) {
 			table.PermitAttempt(Claim{id, 1, 1}, Attempt{})
 			table.PermitAnswer(Claim{id, 1, 1}, true)
 		}, [4]Disposition{Continue, Continue, Continue, Continue}},
@@ -40,43 +40,43 @@
 			for jobClass, want := range c.want {
 				table, id := NewTable(jobClasses, 1), ID{0, 7}
 				table.Assign(id, 1, Request{JobClass: jobClass, Deadline: 5000})
-				c.do(table, id)
-				all := table.Fence(1000, 1, 300)
-				if len(all) != 1 || all[0].Disposition != want {
-					t.Errorf("job class %d: %+v, want disposition %d", jobClass, all, want)
+				c.setup(table, id)
+				orphans := table.Fence(1000, 1, 300)
+				if len(orphans) != 1 || orphans[0].Disposition != want {
+					t.Errorf("job class %d: got orphans %+v, want one with disposition %d", jobClass, orphans, want)
 				}
 				if table.PermitAttempt(Claim{id, 1, 1}, Attempt{}) || table.PermitAnswer(Claim{id, 1, 1}, true) {
-					t.Errorf("job class %d: the fenced shard got a permit", jobClass)
+					t.Errorf("job class %d: the fenced shard got a permit for an attempt or an answer", jobClass)
 				}
 			}
 		})
 	}
-	t.Run("too late to move", func(t *testing.T) {
+	t.Run("too little time left to reassign", func(t *testing.T) {
 		table, id := NewTable(jobClasses, 1), ID{0, 7}
 		table.Assign(id, 1, Request{JobClass: 3, Deadline: 1200})
-		if all := table.Fence(1000, 1, 300); all[0].Disposition != Shed {
-			t.Errorf("%+v", all)
+		if orphans := table.Fence(1000, 1, 300); orphans[0].Disposition != Shed {
+			t.Errorf("got orphans %+v, want one that is shed", orphans)
 		}
 	})
 }
 
 func TestHandOver(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		do   func(table *Table, id ID)
-		ok   bool
+		name  string
+		setup func(table *Table, id ID)
+		ok    bool
 	}{
-		{"never tried", func(*Table, ID) {}, true},
-		{"an open attempt", func(table *Table, id ID) { table.PermitAttempt(Claim{id, 1, 1}, Attempt{Ticket: 5}) }, false},
-		{"it provably never ran", func(table *Table, id ID) {
+		{"no attempt yet", func(*Table, ID) {}, true},
+		{"open attempt", func(table *Table, id ID) { table.PermitAttempt(Claim{id, 1, 1}, Attempt{Ticket: 5}) }, false},
+		{"earlier attempt provably never ran", func(table *Table, id ID) {
 			table.PermitAttempt(Claim{id, 1, 1}, Attempt{Ticket: 5})
 			table.CompleteAttempt(Claim{id, 1, 1}, true)
 		}, true},
-		{"it may have run", func(table *Table, id ID) {
+		{"earlier attempt may have run", func(table *Table, id ID) {
 			table.PermitAttempt(Claim{id, 1, 1}, Attempt{Ticket: 5})
 			table.CompleteAttempt(Claim{id, 1, 1}, false)
 		}, false},
-		{"it runs", func(table *Table, id ID) {
+		{"running", func(table *Table, id ID) {
 			table.PermitAttempt(Claim{id, 1, 1}, Attempt{Ticket: 5})
 			table.PermitAnswer(Claim{id, 1, 1}, true)
 		}, true},
@@ -84,25 +84,25 @@
 		t.Run(c.name, func(t *testing.T) {
 			table, id := NewTable(jobClasses, 1), ID{0, 7}
 			table.Assign(id, 1, Request{JobClass: 3, Deadline: 5000, Client: 4, Ref: 9})
-			c.do(table, id)
+			c.setup(table, id)
 			table.NextEpoch()
 			epoch, ok := table.HandOver(Claim{id, 1, 1}, 2)
 			if ok != c.ok || ok && epoch != 2 {
-				t.Fatalf("epoch %d, %v", epoch, ok)
+				t.Fatalf("got epoch %d, %v, want epoch 2 if the handover is allowed in this case", epoch, ok)
 			}
 			if _, again := table.HandOver(Claim{id, 1, 1}, 2); ok && again {
-				t.Error("handed over twice")
+				t.Error("the old owner handed the allocation over a second time")
 			}
-			table.SetClient(Claim{id, 1, 1}, 5, 10) // only the owner may
+			table.SetClient(Claim{id, 1, 1}, 5, 10) // this takes effect only if shard 1 still owns the allocation
 			entry, want := table.entries[id], Entry{Request: Request{Client: 5}, Shard: 1}
 			if ok {
 				want = Entry{Request: Request{Client: 4}, Shard: 2}
 			}
 			if entry.Client != want.Client || entry.Shard != want.Shard {
-				t.Errorf("%+v", entry)
+				t.Errorf("got entry %+v, want client 4 at shard 2 after a handover, client 5 at shard 1 without", entry)
 			}
 			if shard, held := table.HolderOf(id, 5, 0); held && shard != entry.Shard || held != (entry.LastAttempt.Ticket == 5) {
-				t.Errorf("held by %d, %v", shard, held)
+				t.Errorf("HolderOf: got shard %d, %v, want the owner, and true only if ticket 5 is the last attempt", shard, held)
 			}
 		})
 	}
@@ -110,42 +110,42 @@
 
 func TestShedOverdue(t *testing.T) {
 	table := NewTable(jobClasses, 1)
-	for i, expiry := range []float64{1100, 1100, 5000, 1100} {
-		table.Assign(ID{0, uint64(i)}, i/3, Request{JobClass: 3, Deadline: expiry})
+	for i, deadline := range []float64{1100, 1100, 5000, 1100} {
+		table.Assign(ID{0, uint64(i)}, i/3, Request{JobClass: 3, Deadline: deadline})
 	}
 	table.PermitAttempt(Claim{ID{0, 1}, 0, 1}, Attempt{})
-	all := table.ShedOverdue(1000, 0, 150)
-	if len(all) != 2 || all[0].Disposition != Shed || all[1].Disposition != Fail {
-		t.Errorf("%+v", all)
+	orphans := table.ShedOverdue(1000, 0, 150)
+	if len(orphans) != 2 || orphans[0].Disposition != Shed || orphans[1].Disposition != Fail {
+		t.Errorf("got orphans %+v, want allocation 0 shed and allocation 1 failed", orphans)
 	}
 	if table.PermitAnswer(Claim{ID{0, 0}, 0, 1}, true) || table.PermitAttempt(Claim{ID{0, 0}, 0, 1}, Attempt{}) {
-		t.Error("a permit after the answer was given")
+		t.Error("the shard got a permit for an allocation that was answered in its place")
 	}
 	if len(table.ShedOverdue(1000, 0, 150)) != 0 {
-		t.Error("answered twice")
+		t.Error("an allocation was returned as overdue twice, want once")
 	}
 }
 
 func TestBarredAfterFence(t *testing.T) {
-	for job, want := range []State{Unassigned, Barred, Barred, Barred} {
+	for jobClass, want := range []State{Unassigned, Barred, Barred, Barred} {
 		table, id := NewTable(jobClasses, 1), ID{0, 7}
-		table.Assign(id, 1, Request{JobClass: job, Deadline: 5000})
+		table.Assign(id, 1, Request{JobClass: jobClass, Deadline: 5000})
 		table.PermitAttempt(Claim{id, 1, 1}, Attempt{})
 		table.Fence(1000, 1, 300)
-		if _, s := table.Lookup(2000, id); s != want {
-			t.Errorf("job class %d: %d, want %d", job, s, want)
+		if _, state := table.Lookup(2000, id); state != want {
+			t.Errorf("job class %d: got state %d before the deadline, want %d", jobClass, state, want)
 		}
-		if _, s := table.Lookup(6000, id); s != Unassigned {
-			t.Errorf("job class %d: still %d after its time", job, s)
+		if _, state := table.Lookup(6000, id); state != Unassigned {
+			t.Errorf("job class %d: got state %d after the deadline, want unassigned", jobClass, state)
 		}
-		if epoch := table.Assign(id, 2, Request{JobClass: job}); epoch != 2 {
-			t.Errorf("epoch %d after a fence", epoch)
+		if epoch := table.Assign(id, 2, Request{JobClass: jobClass}); epoch != 2 {
+			t.Errorf("got epoch %d after one fence, want 2", epoch)
 		}
 	}
 }
 
-// TestOneOwner makes random calls by three shards with outdated views: no two attempts of one allocation are permitted at once, and no
-// answer is permitted twice. The injected fault must be detected.
+// TestOneOwner makes random calls by three shards whose views may be outdated. The table must not permit two attempts of one allocation at
+// once, and must not permit a second answer. With the injected fault, the test must detect a violation.
 func TestOneOwner(t *testing.T) {
 	detected := false
 	for _, anyEpoch := range []bool{false, true} {
@@ -159,43 +159,43 @@
 		})
 	}
 	if !detected {
-		t.Error("the table that permits any epoch was not detected")
+		t.Error("no violation was detected in a table that permits any epoch")
 	}
 }
 
-// ownershipModel is three shards with outdated views of one allocation.
+// ownershipModel holds three shards and their views, which may be outdated, of one allocation.
 type ownershipModel struct {
-	t        *rapid.T
-	table    *Table
-	id       ID
-	jobClass int
-	now      float64
-	views    [3]shardView
-	answers  int
-	ran      bool // an attempt may have run
-	detected bool // the injected fault
+	t          *rapid.T
+	table      *Table
+	id         ID
+	jobClass   int
+	now        float64
+	views      [3]shardView
+	answers    int
+	mayHaveRun bool // an attempt may have run
+	detected   bool // the injected fault caused a violation
 }
 
-// shardView is what a shard believes of the allocation.
+// shardView is what a shard knows of the allocation.
 type shardView struct {
 	epoch uint32
 	open  bool // an attempt is open
 }
 
 func newOwnershipModel(t *rapid.T, anyEpoch bool) *ownershipModel {
-	m := &ownershipModel{t: t, table: NewTable(jobClasses, 1), id: ID{0, 1}, jobClass: rapid.IntRange(0, 3).Draw(t, "job")}
+	m := &ownershipModel{t: t, table: NewTable(jobClasses, 1), id: ID{0, 1}, jobClass: rapid.IntRange(0, 3).Draw(t, "job class")}
 	m.table.FaultAnyEpoch = anyEpoch
 	return m
 }
 
-// violated records a violation, which only the injected fault may cause.
-func (m *ownershipModel) violated(isViolated bool, what string) {
+// reportViolation records a violation if there is one. It fails the test unless the fault is injected.
+func (m *ownershipModel) reportViolation(isViolated bool, violation string) {
 	if !isViolated {
 		return
 	}
 	m.detected = true
 	if !m.table.FaultAnyEpoch {
-		m.t.Fatal(what)
+		m.t.Fatal(violation)
 	}
 }
 
@@ -224,7 +224,7 @@
 func (m *ownershipModel) assign(shard int) {
 	if _, state := m.table.Lookup(m.now, m.id); state == Unassigned {
 		m.views[shard] = shardView{epoch: m.table.Assign(m.id, shard, Request{JobClass: m.jobClass, Deadline: 1e6})}
-		m.answers, m.ran = 0, false
+		m.answers, m.mayHaveRun = 0, false
 	}
 }
 
@@ -233,9 +233,9 @@
 		return
 	}
 	for _, view := range m.views {
-		m.violated(view.open, "two attempts open")
+		m.reportViolation(view.open, "an attempt was permitted while another one is open")
 	}
-	m.violated(m.ran && jobClasses[m.jobClass].Semantics == logic.AtMostOnce, "a second attempt of a run-once job")
+	m.reportViolation(m.mayHaveRun && jobClasses[m.jobClass].Semantics == logic.AtMostOnce, "a second attempt of an at-most-once allocation")
 	m.views[shard].open = true
 }
 
@@ -243,10 +243,10 @@
 	if !m.views[shard].open {
 		return
 	}
-	never := rapid.Bool().Draw(m.t, "never")
+	neverRan := rapid.Bool().Draw(m.t, "never ran")
 	m.views[shard].open = false
-	m.ran = m.ran || !never
-	m.table.CompleteAttempt(m.claim(shard), never)
+	m.mayHaveRun = m.mayHaveRun || !neverRan
+	m.table.CompleteAttempt(m.claim(shard), neverRan)
 }
 
 func (m *ownershipModel) answer(shard int) {
@@ -254,16 +254,16 @@
 		return
 	}
 	if m.answers++; m.answers > 1 {
-		m.t.Fatal("answered twice")
+		m.t.Fatal("a second answer was permitted")
 	}
 }
 
-// fence fences a shard: its attempts end by the epoch check of their nodes.
+// fence fences a shard. Nodes check the epoch, so that the attempts of a fenced shard end: no view has an open attempt afterwards.
 func (m *ownershipModel) fence(shard int) {
-	for _, o := range m.table.Fence(m.now, shard, 0) {
-		m.violated(o.Disposition == Reassign && m.views[shard].open, "moved with an open attempt")
-		m.now = max(m.now, o.Entry.Deadline+1)
-		m.ran = false
+	for _, orphan := range m.table.Fence(m.now, shard, 0) {
+		m.reportViolation(orphan.Disposition == Reassign && m.views[shard].open, "an allocation with an open attempt was reassigned")
+		m.now = max(m.now, orphan.Entry.Deadline+1)
+		m.mayHaveRun = false
 	}
 	for i := range m.views {
 		m.views[i].open = false
@@ -279,15 +279,15 @@
 		return
 	}
 	view := &m.views[shard]
-	m.violated(view.open && m.answers == 0, "handed over with an open attempt")
+	m.reportViolation(view.open && m.answers == 0, "an allocation with an open attempt was handed over")
 	m.views[to] = shardView{epoch: epoch, open: view.open}
 	view.open = false
 	if m.table.PermitAttempt(claim, Attempt{}) && !m.table.FaultAnyEpoch || m.table.PermitAnswer(claim, true) {
-		m.t.Fatal("a permit after it was handed over")
+		m.t.Fatal("the old owner got a permit after the handover")
 	}
 }
 
-// checkOpen compares the number of open entries with the table's count.
+// checkOpen checks that the table's count of open entries is right.
 func (m *ownershipModel) checkOpen() {
 	open := 0
 	for _, entry := range m.table.entries {
@@ -296,6 +296,6 @@
 		}
 	}
 	if open != m.table.Open() {
-		m.t.Fatalf("%d open, counted %d", open, m.table.Open())
+		m.t.Fatalf("want %d open entries, got a count of %d", open, m.table.Open())
 	}
 }
