--- a/internal/decide/shardrouter/route.go
+++ b/internal/decide/shardrouter/route.go
@@ -43,6 +43,7 @@
 	RetryAfter float64 // ms after which the client may retry; 0: unknown
 }
 
+// IsRejected reports whether the request was neither routed nor queued.
 func (d *Decision) IsRejected() bool { return d.Reason != NoReason }
 
 // Route returns the shard for a request: the owner if the allocation has one, else the shard to which its service belongs. In the latter
