--- a/internal/decide/shardplacement/shardplacement.go
+++ b/internal/decide/shardplacement/shardplacement.go
@@ -1,10 +1,10 @@
 // Package shardplacement decides which shard an allocation goes to. The tasks of a service go to one shard, because the shard that holds
-// them places the next one better. Weighted rendezvous hashing finds that shard, so that a shard that is lost or added moves only its own
-// services. The load is bounded: a shard that holds far more than its part passes new allocations on to the service's next shard, so that
-// one hot service cannot overload it.
+// them can place the next one better. The shard is chosen by weighted rendezvous hashing, so that only the services of a shard that is lost
+// or added move. The load is bounded: if a shard holds far more than its part, new allocations go to the service's next shard, so that one
+// hot service cannot overload a shard.
 //
-// Allocations that are added and removed, shards that go up and down, and delays of shards go in; shards come out. The package does no
-// I/O, starts no goroutines and returns no errors. A Table is not safe for concurrent use.
+// The inputs are allocations that are added and removed, shards that go up and down, and delays of shards; the output is a shard. The
+// package does no I/O, starts no goroutines and returns no errors. A Table is not safe for concurrent use.
 package shardplacement
 
 import (
@@ -15,49 +15,49 @@
 )
 
 const (
-	maxLoadFactor       = 1.25 // times its part of all open allocations that a shard may hold
-	loadAllowance       = 16   // further allocations that it may hold, so that small numbers pass nothing on
-	minWeight           = 0.1  // weight of a slow shard: it still shows whether it recovers
-	maxNormalDelay      = 5    // ms that events may wait before a shard counts as slow
-	weightRetention     = 0.7  // of the old weight at each update, so that one hiccup moves little
-	fullWeightThreshold = 0.95 // fraction of its given weight from which a shard has all of it again
+	maxLoadFactor       = 1.25 // a shard may hold this many times its part of all allocations
+	loadAllowance       = 16   // allocations that a shard may hold in addition, so that the bound has no effect on small numbers
+	minWeight           = 0.1  // minimum fraction of its base weight that a slow shard keeps, so that it gets work by which a recovery shows
+	maxNormalDelay      = 5    // ms; a shard is slow if its events wait longer
+	weightRetention     = 0.7  // fraction of the old weight that is kept at each update, so that one delay has little effect
+	fullWeightThreshold = 0.95 // fraction of its base weight above which a shard gets the full base weight again
 )
 
 // Policy is how allocations are assigned to shards.
 type Policy uint8
 
-// Policies.
+// Policies of assignment.
 const (
-	ByService  Policy = iota
-	ByTenant          // baseline: all of a tenant's allocations go to one shard
-	RoundRobin        // baseline: each goes to the next shard
+	ByService  Policy = iota // all of a service's allocations go to one shard, within its bound
+	ByTenant                 // baseline: all of a tenant's allocations go to one shard
+	RoundRobin               // baseline: each allocation goes to the next shard in turn
 )
 
-// Table is the load and state of all shards.
+// Table holds the load and state of all shards, and the home shard of each service.
 type Table struct {
 	policy         Policy
 	shards         []shard
-	open           int     // allocations at all shards
-	totalWeight    float64 // of all shards that get new allocations
-	lastRoundRobin int     // of RoundRobin
+	open           int     // number of allocations at all shards
+	totalWeight    float64 // sum over the shards that accept new allocations
+	lastRoundRobin int     // shard that RoundRobin chose last
 	homes          map[uint64]home
 }
 
-// home is the shard that holds a service's allocations. While it holds any, new ones join them unless the shard is over its bound: then
-// they go elsewhere, but the home stays.
+// home is the shard that holds a service's allocations, and their number there. While it holds any, new allocations join them unless the
+// shard has reached its bound. In that case they go to other shards, but the home stays the same.
 type home struct{ shard, count int }
 
 type shard struct {
-	weight, baseWeight float64 // present and given weight
+	weight, baseWeight float64 // current weight, reduced while the shard is slow, and the weight that was given to New
 	open               int
 	down               bool
-	draining           bool // it gets nothing new, except for allocations that must stay together
+	draining           bool // it accepts no new allocations, except pinned ones of services that have their home there
 }
 
-// acceptsNew reports whether a shard gets new allocations.
+// acceptsNew reports whether a shard is neither down nor draining.
 func (s *shard) acceptsNew() bool { return !s.down && !s.draining }
 
-// New returns a table of shards with given weights, which say what part of the work each should get.
+// New returns a table of shards with the given base weights. The work is divided in proportion to the weights.
 func New(policy Policy, weights []float64) *Table {
 	t := &Table{policy: policy, homes: map[uint64]home{}}
 	for _, weight := range weights {
@@ -67,7 +67,7 @@
 	return t
 }
 
-// Place chooses the shard for an allocation and adds it there; false if no shard runs. See Choose for pinned.
+// Place chooses the shard for an allocation and adds the allocation there. It returns false if there is no shard. Choose describes pinned.
 func (t *Table) Place(service uint64, tenant int, pinned bool) (shard int, ok bool) {
 	shard = t.Choose(service, tenant, pinned)
 	if shard < 0 {
@@ -106,8 +106,8 @@
 	}
 }
 
-// Choose returns the shard for an allocation, -1 if none runs. A pinned allocation goes to its service's home whatever that holds, because
-// the shard that keeps a spread must see all tasks of the service.
+// Choose returns the shard for an allocation, -1 if there is none. A pinned allocation goes to its service's home however much that shard
+// holds, because the shard that spreads the tasks of a service must know all of them.
 func (t *Table) Choose(service uint64, tenant int, pinned bool) int {
 	switch t.policy {
 	case RoundRobin:
@@ -129,8 +129,8 @@
 	return t.best(service, false)
 }
 
-// TargetOf returns the shard to which a service belongs when bounds are ignored, -1 if none gets new allocations. A draining shard gives
-// its services there, and an added shard gets its services by it.
+// TargetOf returns the shard to which a service belongs, regardless of bounds, -1 if no shard accepts new allocations. A draining shard hands
+// its services over to their targets, and an added shard receives the services whose target it is.
 func (t *Table) TargetOf(service uint64, tenant int) int {
 	if t.policy == ByTenant {
 		service = uint64(tenant)
@@ -138,7 +138,7 @@
 	return t.best(service, false)
 }
 
-// nextShard returns the next shard in turn, -1 if none gets new allocations.
+// nextShard returns the next shard in turn, -1 if no shard accepts new allocations.
 func (t *Table) nextShard() int {
 	for range t.shards {
 		t.lastRoundRobin = (t.lastRoundRobin + 1) % len(t.shards)
@@ -149,21 +149,21 @@
 	return -1
 }
 
-// best returns the shard of the highest score for a key, -1 if there is none; with bounded among those that are within their bound. The
-// score of a shard depends on itself alone, which makes the choice stable.
+// best returns the shard with the highest score for a key, -1 if there is none. If bounded is true, it considers only shards below their bound.
+// The score of a shard depends on the key and on that shard alone, which makes the choice stable.
 func (t *Table) best(key uint64, bounded bool) int {
 	return t.highestScore(key, func(s *shard) (weight float64, ok bool) {
 		return s.weight, s.acceptsNew() && (!bounded || t.hasCapacity(s))
 	})
 }
 
-// bestByBaseWeight does the same by the weights that the shards were given, which no load changes: the choice for allocations that must stay
-// together may change only with the set of shards.
+// bestByBaseWeight returns the shard with the highest score by base weight, -1 if there is none. Load does not change base weights, so that the
+// choice for allocations that must stay together changes only with the set of shards.
 func (t *Table) bestByBaseWeight(key uint64) int {
 	return t.highestScore(key, func(s *shard) (weight float64, ok bool) { return s.baseWeight, s.acceptsNew() })
 }
 
-// highestScore returns the shard of the highest score for a key among those that are accepted, -1 if none is.
+// highestScore returns the shard with the highest score for a key among those for which accept returns true, -1 if there is none.
 func (t *Table) highestScore(key uint64, accept func(s *shard) (weight float64, ok bool)) int {
 	best, highest := -1, math.Inf(-1)
 	for i := range t.shards {
@@ -178,12 +178,12 @@
 	return best
 }
 
-// hasCapacity reports whether a shard is within its bound of the open allocations.
+// hasCapacity reports whether a shard is below its bound of open allocations.
 func (t *Table) hasCapacity(s *shard) bool {
 	return float64(s.open) < maxLoadFactor*float64(t.open+1)*s.weight/t.totalWeight+loadAllowance
 }
 
-// uniformHash returns a pseudo-random number above 0 and below 1 for a key and a shard.
+// uniformHash returns a pseudo-random number above 0 and below 1 that depends on a key and a shard alone.
 func uniformHash(key uint64, shard int) float64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], key)
@@ -191,8 +191,8 @@
 	return (float64(xxhash.Sum64(b[:])>>11) + 0.5) / (1 << 53)
 }
 
-// Move counts an allocation of a service at another shard from now on, and makes that shard the service's home. Without a home, the next
-// request of a service that was handed over would go to the shard that is drawn for it, which is another one as soon as a shard is slow.
+// Move moves the count of an allocation from one shard to another, and makes the new shard the service's home. Without a home, the next request
+// of a service that was handed over would go to the shard with the highest score, which is another one as soon as a shard is slow.
 func (t *Table) Move(from, to int, service uint64) {
 	if from == to {
 		return
@@ -204,7 +204,7 @@
 	t.Add(to, service)
 }
 
-// MarkDown excludes a shard.
+// MarkDown excludes a shard from all choices.
 func (t *Table) MarkDown(shard int) {
 	if !t.shards[shard].down {
 		t.shards[shard].down = true
@@ -212,14 +212,14 @@
 	}
 }
 
-// MarkUp includes a shard at its given weight.
+// MarkUp includes a shard in the choices, at its base weight, and ends its draining.
 func (t *Table) MarkUp(shard int) {
 	s := &t.shards[shard]
 	s.down, s.draining, s.weight = false, false, s.baseWeight
 	t.updateTotalWeight()
 }
 
-// MarkDraining excludes a shard for new allocations. IsUp stays true until it is down.
+// MarkDraining excludes a shard from choices for new allocations. IsUp stays true until the shard is marked down.
 func (t *Table) MarkDraining(shard int) {
 	t.shards[shard].draining = true
 	t.updateTotalWeight()
@@ -228,10 +228,10 @@
 // IsUp reports whether a shard is not down.
 func (t *Table) IsUp(shard int) bool { return !t.shards[shard].down }
 
-// Open returns the number of open allocations at a shard.
+// Open returns the number of allocations at a shard.
 func (t *Table) Open(shard int) int { return t.shards[shard].open }
 
-// OnDelay records how long, in ms, events waited at a shard lately. A slow shard gets less of what is new.
+// OnDelay records how long, in ms, events waited at a shard recently. A slow shard gets fewer new allocations.
 func (t *Table) OnDelay(shard int, delay float64) {
 	s := &t.shards[shard]
 	target := s.baseWeight
@@ -239,7 +239,7 @@
 		target = max(minWeight, maxNormalDelay/delay) * s.baseWeight
 	}
 	s.weight = weightRetention*s.weight + (1-weightRetention)*target
-	if s.weight > fullWeightThreshold*s.baseWeight { // services return to where their tasks are
+	if s.weight > fullWeightThreshold*s.baseWeight { // new allocations of a service then return to the shard that has its tasks
 		s.weight = s.baseWeight
 	}
 	t.updateTotalWeight()
