--- a/internal/decide/shardrouter/queue_test.go
+++ b/internal/decide/shardrouter/queue_test.go
@@ -68,7 +68,7 @@
 		{"other processes hold more than the rest", 30, -1, true, true},
 		{"other processes leave one core", 30, 1, true, false},
 		{"other processes hold nothing", 30, 20, true, false},
-		{"more held than the accepting nodes have", 5, 4, true, false},
+		{"most held cores are at draining nodes", 5, 4, true, false},
 		{"free unknown, all cores held here", 10, 10, false, true},
 		{"free unknown, cores left", 30, 30, false, false},
 	} {
--- a/internal/decide/shardrouter/resize_test.go
+++ b/internal/decide/shardrouter/resize_test.go
@@ -75,7 +75,7 @@
 }
 
 // TestHandOverToItself changes the set of shards after a shard has decided to hand a service over, so that the service belongs to that same
-// shard again. The shard must keep the allocation under a new epoch, and the allocation must not await recovery for ever.
+// shard again. The shard must keep the allocation under a new epoch, and the allocation must not await recovery forever.
 func TestHandOverToItself(t *testing.T) {
 	for name, change := range map[string]func(r *Router, source int){
 		"drain cancelled":    func(r *Router, _ int) { _, _ = r.Resize(30, 2) },
