--- a/internal/engine/abandoned.go
+++ b/internal/engine/abandoned.go
@@ -33,46 +33,46 @@
 	}
 }
 
-// scheduleForget has abandoned attempts be looked through after a while.
-func (e *Engine) scheduleForget() { e.timers.Set(e.now+outcome.AttemptRetention()/4, timerForget, 0) }
+// scheduleCleanup has abandoned attempts be looked through after a while.
+func (e *Engine) scheduleCleanup() { e.timers.Set(e.now+outcome.AttemptRetention()/4, timerCleanup, 0) }
 
-// rememberAbandoned remembers an attempt, or replaces what is remembered of it.
-func (e *Engine) rememberAbandoned(id AttemptID, g abandonedAttempt) {
+// recordAbandoned remembers an attempt, or replaces what is remembered of it.
+func (e *Engine) recordAbandoned(id AttemptID, abandoned abandonedAttempt) {
 	if len(e.abandoned) == 0 {
-		e.scheduleForget()
+		e.scheduleCleanup()
 	}
 	if _, ok := e.abandoned[id]; !ok {
-		e.nodes[g.nodeIndex].abandoned++
-		if outcome.CountsAfterAbandon(e.config.Cluster.JobClasses[g.task.JobClass].Spread) {
+		e.nodes[abandoned.nodeIndex].abandoned++
+		if outcome.CountsAfterAbandon(e.config.Cluster.JobClasses[abandoned.task.JobClass].Spread) {
 			e.lastID++
-			g.policyID = e.lastID
-			e.policy.OnRecovered(e.now, logic.Recovered{Request: g.task.policyRequest(g.policyID), Node: e.nodes[g.nodeIndex].id})
+			abandoned.policyID = e.lastID
+			e.policy.OnRecovered(e.now, logic.Recovered{Request: abandoned.task.policyRequest(abandoned.policyID), Node: e.nodes[abandoned.nodeIndex].id})
 		}
 	}
-	e.abandoned[id] = g
+	e.abandoned[id] = abandoned
 }
 
-// forgetAbandoned forgets an attempt that can't start any more or that an allocation stands for again.
-func (e *Engine) forgetAbandoned(id AttemptID) {
-	g, ok := e.abandoned[id]
+// removeAbandoned forgets an attempt that can't start any more or that an allocation stands for again.
+func (e *Engine) removeAbandoned(id AttemptID) {
+	abandoned, ok := e.abandoned[id]
 	if !ok {
 		return
 	}
-	n := &e.nodes[g.nodeIndex]
+	n := &e.nodes[abandoned.nodeIndex]
 	n.abandoned--
 	delete(e.abandoned, id)
-	if g.policyID > 0 {
+	if abandoned.policyID > 0 {
 		e.policy.OnOutcome(e.now, logic.AttemptResult{
-			Allocation: g.policyID, Node: n.id, Duration: e.now - g.sentAt, Answered: true,
+			Allocation: abandoned.policyID, Node: n.id, Duration: e.now - abandoned.sentAt, Answered: true,
 			Reason: logic.ReasonUnknown, Outcome: logic.Completed,
 		})
 	}
 }
 
-// forgetMatching forgets all attempts that match, in the order of their names.
-func (e *Engine) forgetMatching(match func(abandonedAttempt) bool) {
+// removeMatching forgets all attempts that match, in the order of their names.
+func (e *Engine) removeMatching(match func(abandonedAttempt) bool) {
 	for _, id := range e.abandonedMatching(match) {
-		e.forgetAbandoned(id)
+		e.removeAbandoned(id)
 	}
 }
 
@@ -80,8 +80,8 @@
 // map.
 func (e *Engine) abandonedMatching(match func(abandonedAttempt) bool) []AttemptID {
 	var ids []AttemptID
-	for id, g := range e.abandoned {
-		if match(g) {
+	for id, abandoned := range e.abandoned {
+		if match(abandoned) {
 			ids = append(ids, id)
 		}
 	}
@@ -91,25 +91,25 @@
 
 // endAbandoned takes a node's message that an abandoned attempt ended. It tells whether the node has such an attempt.
 func (e *Engine) endAbandoned(nodeID uint32, id AttemptID) bool {
-	g, ok := e.abandoned[id]
-	if !ok || e.nodes[g.nodeIndex].id != nodeID {
+	abandoned, ok := e.abandoned[id]
+	if !ok || e.nodes[abandoned.nodeIndex].id != nodeID {
 		return false
 	}
-	e.forgetAbandoned(id)
-	if slot, ok := e.byID[g.allocationID]; ok && e.allocations[slot].lateStart == id {
+	e.removeAbandoned(id)
+	if slot, ok := e.byID[abandoned.allocationID]; ok && e.allocations[slot].lateStart == id {
 		e.allocations[slot].lateStart = AttemptID{}
 	}
 	return true
 }
 
 // handleLateStart takes the start of an attempt that had been given up.
-func (e *Engine) handleLateStart(id AttemptID, g abandonedAttempt) {
-	g.started = true
-	e.abandoned[id] = g
+func (e *Engine) handleLateStart(id AttemptID, abandoned abandonedAttempt) {
+	abandoned.started = true
+	e.abandoned[id] = abandoned
 	e.stats.LateStarts++
-	slot, open := e.byID[g.allocationID]
+	slot, open := e.byID[abandoned.allocationID]
 	open = open && e.isOpen(slot)
-	if other, ok := e.byKey[g.task.Key()]; ok && (!open || other != slot) {
+	if other, ok := e.byKey[abandoned.task.Key()]; ok && (!open || other != slot) {
 		if e.allocations[other].phase == phaseRunning { // the task runs elsewhere by now
 			e.stopAbandoned(id)
 			return
@@ -119,7 +119,7 @@
 		}
 	}
 	attempting := open && e.allocations[slot].phase != phaseWaiting
-	switch outcome.OnLateStart(e.jobEffects[g.task.JobClass], open, attempting) {
+	switch outcome.OnLateStart(e.jobEffects[abandoned.task.JobClass], open, attempting) {
 	case outcome.Stop:
 		e.stopAbandoned(id)
 	case outcome.Serve:
@@ -128,7 +128,7 @@
 	case outcome.Await:
 		e.awaitAttempt(slot, id)
 	case outcome.Keep:
-		e.recoverForRetry(id, g)
+		e.recoverForRetry(id, abandoned)
 	}
 }
 
@@ -157,16 +157,16 @@
 // answerWithLateStart answers the request of an allocation that has no attempt with the start of an abandoned one.
 func (e *Engine) answerWithLateStart(id AttemptID, slot int) {
 	a := &e.allocations[slot]
-	g := e.abandoned[id]
+	abandoned := e.abandoned[id]
 	request := a.request
-	e.answer(a, Answer{Kind: Served, Node: e.nodes[g.nodeIndex].id, Reason: ReasonLateStart})
+	e.answer(a, Answer{Kind: Served, Node: e.nodes[abandoned.nodeIndex].id, Reason: ReasonLateStart})
 	if a.request.Client == noClient { // too late after all
 		request.Client = noClient
 	}
 	a.lateStart = AttemptID{}
 	e.clearClient(a)
 	e.removeAllocation(slot)
-	recovered, ok := e.recoverTask(id, g)
+	recovered, ok := e.recoverTask(id, abandoned)
 	if !ok {
 		return
 	}
@@ -178,52 +178,52 @@
 
 // resolveLateStart decides about a late start whose allocation was answered without it.
 func (e *Engine) resolveLateStart(id AttemptID) {
-	g, ok := e.abandoned[id]
-	if !ok || id.IsZero() || g.stopped {
+	abandoned, ok := e.abandoned[id]
+	if !ok || id.IsZero() || abandoned.stopped {
 		return
 	}
-	if outcome.OnLateStart(e.jobEffects[g.task.JobClass], false, false) == outcome.Stop {
+	if outcome.OnLateStart(e.jobEffects[abandoned.task.JobClass], false, false) == outcome.Stop {
 		e.stopAbandoned(id)
 	} else {
-		e.recoverForRetry(id, g)
+		e.recoverForRetry(id, abandoned)
 	}
 }
 
 // recoverForRetry keeps the task of a late start for its client's next request.
-func (e *Engine) recoverForRetry(id AttemptID, g abandonedAttempt) {
-	if slot, ok := e.recoverTask(id, g); ok {
+func (e *Engine) recoverForRetry(id AttemptID, abandoned abandonedAttempt) {
+	if slot, ok := e.recoverTask(id, abandoned); ok {
 		e.keepForRetry(&e.allocations[slot])
 	}
 }
 
 // stopAbandoned asks the node of an abandoned attempt to stop it.
 func (e *Engine) stopAbandoned(id AttemptID) {
-	g, ok := e.abandoned[id]
+	abandoned, ok := e.abandoned[id]
 	if !ok {
 		return
 	}
-	g.stopped = true
-	e.abandoned[id] = g
-	if n := &e.nodes[g.nodeIndex]; n.connected {
+	abandoned.stopped = true
+	e.abandoned[id] = abandoned
+	if n := &e.nodes[abandoned.nodeIndex]; n.connected {
 		e.effects.Stop(n.id, id)
 	}
 }
 
 // recoverTask makes an allocation of a task that runs and reports it to the policy. If another engine acts for the task, it is
 // stopped instead and ok is false.
-func (e *Engine) recoverTask(id AttemptID, g abandonedAttempt) (slot int, ok bool) {
-	nodeID := e.nodes[g.nodeIndex].id
-	recovered, ok := e.effects.RecoverTask(RunningTask{Task: g.task, Node: nodeID, Attempt: id})
+func (e *Engine) recoverTask(id AttemptID, abandoned abandonedAttempt) (slot int, ok bool) {
+	nodeID := e.nodes[abandoned.nodeIndex].id
+	recovered, ok := e.effects.RecoverTask(RunningTask{Task: abandoned.task, Node: nodeID, Attempt: id})
 	if !ok {
 		e.stopAbandoned(id)
 		return 0, false
 	}
-	e.forgetAbandoned(id)
+	e.removeAbandoned(id)
 	slot, a := e.newAllocation()
 	a.phase, a.answered, a.recovered, a.reported = phaseRunning, true, true, true
-	a.task, a.epoch = g.task, recovered.Epoch
+	a.task, a.epoch = abandoned.task, recovered.Epoch
 	a.attempt, a.sentAt = id, e.now
-	e.attach(slot, g.nodeIndex)
+	e.attach(slot, abandoned.nodeIndex)
 	e.recovered[id] = slot
 	e.byKey[a.task.Key()] = slot
 	e.setClient(slot, recovered.Request)
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -28,7 +28,7 @@
 
 // OnStarted takes a node's message that the task of an attempt runs; took is how long its start took. An error means that the node
 // broke the protocol.
-func (e *Engine) OnStarted(now float64, nodeID uint32, id AttemptID, took float64) error {
+func (e *Engine) OnStarted(now float64, nodeID uint32, id AttemptID, startDuration float64) error {
 	e.observe(now)
 	if slot, ok := e.findAttempt(id); ok {
 		a := &e.allocations[slot]
@@ -38,17 +38,17 @@
 		case a.phase == phaseRunning:
 			return ErrDuplicateAnswer
 		}
-		e.handleStart(slot, took)
+		e.handleStart(slot, startDuration)
 		return nil
 	}
-	g, ok := e.abandoned[id]
+	abandoned, ok := e.abandoned[id]
 	switch {
-	case !ok || e.nodes[g.nodeIndex].id != nodeID:
+	case !ok || e.nodes[abandoned.nodeIndex].id != nodeID:
 		return &UnknownAttemptError{id}
-	case g.started:
+	case abandoned.started:
 		return ErrDuplicateAnswer
 	}
-	e.handleLateStart(id, g)
+	e.handleLateStart(id, abandoned)
 	return nil
 }
 
@@ -155,7 +155,7 @@
 		e.recall(a)
 	}
 	id, class := a.attempt, a.task.JobClass
-	e.rememberAbandoned(id, abandonedAttempt{allocationID: a.id, nodeIndex: a.nodeIndex, task: a.task, sentAt: a.sentAt})
+	e.recordAbandoned(id, abandonedAttempt{allocationID: a.id, nodeIndex: a.nodeIndex, task: a.task, sentAt: a.sentAt})
 	if e.jobEffects[class] != logic.Restartable {
 		e.scheduleClaims(id, outcome.MaxClaims())
 	}
@@ -170,8 +170,8 @@
 	result       logic.Outcome
 }
 
-// callBack has an attempt not start, if it does not run yet.
-func (e *Engine) callBack(a *allocation) {
+// cancelAttempt has an attempt not start, if it does not run yet.
+func (e *Engine) cancelAttempt(a *allocation) {
 	switch a.phase {
 	case phaseConnecting:
 		e.cancelUnsent(a)
@@ -198,12 +198,12 @@
 }
 
 // handleStart takes the start of an allocation's last attempt and answers its request.
-func (e *Engine) handleStart(slot int, took float64) {
+func (e *Engine) handleStart(slot int, startDuration float64) {
 	a := &e.allocations[slot]
 	a.phase, a.confirmBy = phaseRunning, 0
 	late := a.lateStart
 	a.lateStart = AttemptID{}
-	e.policy.OnStarted(e.now, a.id, a.policyAttempt(), took)
+	e.policy.OnStarted(e.now, a.id, a.policyAttempt(), startDuration)
 	if !a.answered {
 		e.answer(a, Answer{Kind: Served, Node: e.nodes[a.nodeIndex].id})
 	}
@@ -231,5 +231,5 @@
 // keepForRetry keeps a running task for which nobody waits until its client may have asked for it again.
 func (e *Engine) keepForRetry(a *allocation) {
 	a.dueAt = e.now + outcome.LateStartRetention(e.config.SettleTime)
-	e.timers.Set(a.dueAt, timerKeep, uint64(a.id))
+	e.timers.Set(a.dueAt, timerRetention, uint64(a.id))
 }
--- a/internal/engine/exclusions.go
+++ b/internal/engine/exclusions.go
@@ -7,7 +7,7 @@
 
 const (
 	excludedMaintenance exclusion = 1 << iota // the calendar has taken it out
-	excludedWarned                            // others say that it drains or is gone
+	excludedByPeers                           // others say that it drains or is gone
 	excludedZone                              // its zone is closed to this scheduler
 	excludedWorkingSet                        // it is outside the working set
 )
@@ -15,20 +15,20 @@
 // SetMaintenance takes nodes out for maintenance, or brings them back, whatever the list says. Attempts in flight to a node that is
 // taken out are recalled; each comes back or runs after all, but is never doubled. A node that is brought back and that the
 // list has as ready is ready again.
-func (e *Engine) SetMaintenance(now float64, nodes []uint32, out bool) {
-	e.setExcluded(now, nodes, excludedMaintenance, out)
+func (e *Engine) SetMaintenance(now float64, nodes []uint32, excluded bool) {
+	e.setExcluded(now, nodes, excludedMaintenance, excluded)
 }
 
 // SetWarned excludes nodes, or no longer, that other schedulers say drain or are gone, ahead of the list here. Attempts in
 // flight to them go on.
-func (e *Engine) SetWarned(now float64, nodes []uint32, out bool) {
-	e.setExcluded(now, nodes, excludedWarned, out)
+func (e *Engine) SetWarned(now float64, nodes []uint32, excluded bool) {
+	e.setExcluded(now, nodes, excludedByPeers, excluded)
 }
 
 // SetZoneClosed excludes nodes, or no longer, of zones that this scheduler sends nothing to. Attempts in flight to them and
 // running tasks go on: they may run, so nothing of them is started elsewhere that must not be.
-func (e *Engine) SetZoneClosed(now float64, nodes []uint32, out bool) {
-	e.setExcluded(now, nodes, excludedZone, out)
+func (e *Engine) SetZoneClosed(now float64, nodes []uint32, excluded bool) {
+	e.setExcluded(now, nodes, excludedZone, excluded)
 }
 
 // setExcluded adds a reason to the exclusions of nodes, or removes it. A node that the list names later is excluded from then on.
--- a/internal/engine/held.go
+++ b/internal/engine/held.go
@@ -33,26 +33,26 @@
 		e.confirmHeld(slot, held.Running)
 		return nil
 	}
-	g, known := e.abandoned[held.Attempt]
+	abandoned, known := e.abandoned[held.Attempt]
 	if !known {
-		g = e.rememberHeld(index, &held)
+		abandoned = e.recordHeld(index, &held)
 	}
-	if g.nodeIndex != index {
+	if abandoned.nodeIndex != index {
 		return &HeldTaskError{held.Attempt, "belongs to another node"}
 	}
 	switch {
 	case !held.Running: // given up, or of an earlier incarnation: nobody waits for it
 		e.effects.Recall(nodeID, held.Attempt)
-	case g.stopped:
+	case abandoned.stopped:
 		e.effects.Stop(nodeID, held.Attempt)
 	case !known:
 		if _, requested := e.byKey[held.Task.Key()]; requested {
-			e.handleLateStart(held.Attempt, g)
+			e.handleLateStart(held.Attempt, abandoned)
 		} else {
-			e.recoverTask(held.Attempt, g) // of an earlier incarnation: it runs on for its client's next request
+			e.recoverTask(held.Attempt, abandoned) // of an earlier incarnation: it runs on for its client's next request
 		}
-	case !g.started:
-		e.handleLateStart(held.Attempt, g)
+	case !abandoned.started:
+		e.handleLateStart(held.Attempt, abandoned)
 	}
 	return nil
 }
@@ -72,14 +72,14 @@
 	}
 }
 
-// rememberHeld remembers a task that a node holds and that is not known here as an abandoned attempt.
-func (e *Engine) rememberHeld(index int, held *HeldTask) abandonedAttempt {
-	g := abandonedAttempt{nodeIndex: index, task: held.Task, sentAt: e.now}
+// recordHeld remembers a task that a node holds and that is not known here as an abandoned attempt.
+func (e *Engine) recordHeld(index int, held *HeldTask) abandonedAttempt {
+	abandoned := abandonedAttempt{nodeIndex: index, task: held.Task, sentAt: e.now}
 	if slot, ok := e.byKey[held.Task.Key()]; ok {
-		g.allocationID = e.allocations[slot].id
+		abandoned.allocationID = e.allocations[slot].id
 	}
-	e.rememberAbandoned(held.Attempt, g)
-	return g
+	e.recordAbandoned(held.Attempt, abandoned)
+	return abandoned
 }
 
 // OnHeldAll reports that a node has named all that it holds: it may be sent to from now on.
@@ -117,7 +117,7 @@
 
 // claimAbandoned claims the abandoned attempts of a node that came back, so that none that lay unread on the way starts yet.
 func (e *Engine) claimAbandoned(index int) {
-	ids := e.abandonedMatching(func(g abandonedAttempt) bool { return g.nodeIndex == index && !g.started })
+	ids := e.abandonedMatching(func(abandoned abandonedAttempt) bool { return abandoned.nodeIndex == index && !abandoned.started })
 	for _, id := range ids {
 		e.effects.Claim(e.nodes[index].id, id)
 	}
@@ -136,14 +136,14 @@
 		}
 		return
 	}
-	g, ok := e.abandoned[id]
-	if !ok || e.nodes[g.nodeIndex].id != nodeID {
+	abandoned, ok := e.abandoned[id]
+	if !ok || e.nodes[abandoned.nodeIndex].id != nodeID {
 		return
 	}
 	if !running {
 		e.effects.Recall(nodeID, id)
-	} else if !g.started {
-		e.handleLateStart(id, g)
+	} else if !abandoned.started {
+		e.handleLateStart(id, abandoned)
 	}
 }
 
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -71,7 +71,7 @@
 	}
 	n.startDelayed = n.startDelayed && start < n.listed.startedAt+startTolerance
 	if n.startDelayed {
-		start += clockSlack
+		start += maxClockSkew
 	}
 	return start
 }
@@ -91,14 +91,14 @@
 // reportToPolicy tells the policy of a node: as the list has it, but draining if it is excluded.
 func (e *Engine) reportToPolicy(index int) {
 	n := &e.nodes[index]
-	l, availability := n.listed, n.listed.availability
+	listed, availability := n.listed, n.listed.availability
 	if n.excluded && availability == logic.Ready {
 		availability = logic.Draining
 	}
 	e.setAvailability(index, availability)
 	e.policy.OnListNode(e.now, logic.ListEntry{
-		Node: n.id, Availability: availability, StartedAt: l.startedAt,
-		FreeCores: l.freeCores, FreeMemory: l.freeMemory, Zone: l.zone, Cell: l.cell, Kind: l.kind,
+		Node: n.id, Availability: availability, StartedAt: listed.startedAt,
+		FreeCores: listed.freeCores, FreeMemory: listed.freeMemory, Zone: listed.zone, Cell: listed.cell, Kind: listed.kind,
 	})
 }
 
@@ -108,6 +108,6 @@
 	n.availability = availability
 	e.pacer.SetEnabled(e.now, index, availability != logic.Unavailable && !n.released)
 	if availability == logic.Unavailable && !n.connected {
-		e.endRemoved(index)
+		e.endAttemptsAt(index)
 	}
 }
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -23,11 +23,11 @@
 	startedAt       float64 // as the node said itself, if that is later than what the list said
 	startDelayed    bool    // it counts as started a little later than the list says
 
-	connected     bool
-	ready         bool    // and it has named all that it holds
-	everReady     bool    // it was ready once
-	lostAt        float64 // when its connection ended last
-	graceExtended bool    // since then its running tasks were waited for longer because others hear it
+	connected       bool
+	ready           bool    // and it has named all that it holds
+	everReady       bool    // it was ready once
+	lostAt          float64 // when its connection ended last
+	confirmExtended bool    // since then its running tasks were waited for longer because others hear it
 
 	probing        bool
 	probeSent      bool
@@ -83,7 +83,7 @@
 		e.allocations[slot].reported = false
 	}
 	if !n.sameIncarnation && n.abandoned > 0 { // the earlier incarnation took its attempts with it
-		e.forgetMatching(func(g abandonedAttempt) bool { return g.nodeIndex == index })
+		e.removeMatching(func(abandoned abandonedAttempt) bool { return abandoned.nodeIndex == index })
 	}
 }
 
@@ -114,10 +114,10 @@
 		return
 	}
 	n := &e.nodes[index]
-	n.connected, n.ready, n.lostAt, n.graceExtended = false, false, now, false
+	n.connected, n.ready, n.lostAt, n.confirmExtended = false, false, now, false
 	e.pacer.OnDisconnected(now, index)
 	if n.availability == logic.Unavailable {
-		e.endRemoved(index)
+		e.endAttemptsAt(index)
 		return
 	}
 	for _, slot := range n.allocations {
@@ -132,8 +132,8 @@
 	}
 }
 
-// endRemoved ends the attempts at a node that the list no longer has and that is not connected.
-func (e *Engine) endRemoved(index int) {
+// endAttemptsAt ends the attempts at a node that the list no longer has and that is not connected.
+func (e *Engine) endAttemptsAt(index int) {
 	for _, slot := range slices.Backward(e.nodes[index].allocations) { // completing one removes it from the list
 		switch outcome.AfterNodeRemoved(false, e.allocations[slot].phase != phaseConnecting) {
 		case outcome.MayHaveRun:
@@ -159,7 +159,7 @@
 			ended++
 		}
 	}
-	e.forgetMatching(func(g abandonedAttempt) bool { return g.nodeIndex == index })
+	e.removeMatching(func(abandoned abandonedAttempt) bool { return abandoned.nodeIndex == index })
 	e.effects.Log(fmt.Sprintf("node %d: others hear it in a later life, %d that were with it are over", id, ended))
 }
 
--- a/internal/engine/policy_effects.go
+++ b/internal/engine/policy_effects.go
@@ -77,7 +77,7 @@
 	if !ok || e.allocations[slot].attempt.Number != attempt {
 		return
 	}
-	e.callBack(&e.allocations[slot])
+	e.cancelAttempt(&e.allocations[slot])
 }
 
 // Migrate stops a running task so that its client asks for it again.
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -43,12 +43,12 @@
 	return nil
 }
 
-// policySteps is how many rounds an allocation needs at least to be placed.
-const policySteps = 4
+// minPlacementRounds is how many rounds an allocation needs at least to be placed.
+const minPlacementRounds = 4
 
 // admit decides whether a request is taken at all.
 func (e *Engine) admit(r *Request) admission.Verdict {
-	needed := e.config.AnswerMargin + policySteps*e.config.Cluster.MinRoundInterval
+	needed := e.config.AnswerMargin + minPlacementRounds*e.config.Cluster.MinRoundInterval
 	return e.admission.Admit(r.Task.Tenant, r.TimeLeft, needed, e.fitsAnyMachine(&r.Task))
 }
 
@@ -166,7 +166,7 @@
 	if a.phase == phaseWaiting {
 		e.removeAllocation(slot)
 	} else {
-		e.callBack(a)
+		e.cancelAttempt(a)
 	}
 	e.resolveLateStart(late)
 }
@@ -203,7 +203,7 @@
 // EvictTenant ends what there is of a tenant: open requests are answered at once, as the effect of their tasks allows, and
 // running tasks are stopped if that is wanted. It returns how many allocations and abandoned attempts are left, and should be
 // called again until there are none.
-func (e *Engine) EvictTenant(now float64, tenant int, stop bool) (remaining int) {
+func (e *Engine) EvictTenant(now float64, tenant int, stopRunning bool) (remaining int) {
 	e.observe(now)
 	for slot := range e.allocations {
 		a := &e.allocations[slot]
@@ -211,7 +211,7 @@
 			continue
 		}
 		switch {
-		case a.phase == phaseRunning && stop && !a.stopping:
+		case a.phase == phaseRunning && stopRunning && !a.stopping:
 			e.stopTask(a)
 		case a.phase != phaseRunning && !a.answered:
 			e.withdrawAllocation(slot, true)
@@ -220,8 +220,8 @@
 			remaining++
 		}
 	}
-	for _, g := range e.abandoned { // a count: the order has no effect
-		if g.task.Tenant == tenant && !g.stopped {
+	for _, abandoned := range e.abandoned { // a count: the order has no effect
+		if abandoned.task.Tenant == tenant && !abandoned.stopped {
 			remaining++
 		}
 	}
--- a/internal/engine/state.go
+++ b/internal/engine/state.go
@@ -44,10 +44,10 @@
 
 func (e *Engine) writeAbandoned(w *stateWriter) {
 	for _, id := range e.abandonedMatching(func(abandonedAttempt) bool { return true }) {
-		g := e.abandoned[id]
-		w.numbers(float64(id.Ticket), float64(id.Number), float64(g.allocationID), float64(g.nodeIndex),
-			float64(g.policyID), w.relative(g.sentAt))
-		w.flags(g.started, g.stopped)
+		abandoned := e.abandoned[id]
+		w.numbers(float64(id.Ticket), float64(id.Number), float64(abandoned.allocationID), float64(abandoned.nodeIndex),
+			float64(abandoned.policyID), w.relative(abandoned.sentAt))
+		w.flags(abandoned.started, abandoned.stopped)
 	}
 }
 
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -16,14 +16,14 @@
 type timerKind uint8
 
 const (
-	timerPolicy  timerKind = iota // a timer of the policy; its key is the policy's
-	timerAttempt                  // the time-out of an attempt; its key is made by attemptTimerKey
-	timerConfirm                  // the end of waiting for an attempt whose connection broke; by the allocation's number
-	timerKeep                     // a late start is kept no longer; by the allocation's number
-	timerProbe                    // the time-out of a probe; its key is made by probeTimerKey
-	timerConnect                  // the end of waiting for a connection; its key is made by attemptTimerKey
-	timerClaim                    // the first of the pending claims is due
-	timerForget                   // abandoned attempts may be forgotten
+	timerPolicy    timerKind = iota // a timer of the policy; its key is the policy's
+	timerAttempt                    // the time-out of an attempt; its key is made by attemptTimerKey
+	timerConfirm                    // the end of waiting for an attempt whose connection broke; by the allocation's number
+	timerRetention                  // a late start is kept no longer; by the allocation's number
+	timerProbe                      // the time-out of a probe; its key is made by probeTimerKey
+	timerConnect                    // the end of waiting for a connection; its key is made by attemptTimerKey
+	timerClaim                      // the first of the pending claims is due
+	timerCleanup                    // abandoned attempts may be forgotten
 )
 
 // attemptTimerKey is the key of a timer for an attempt of an allocation.
@@ -45,16 +45,16 @@
 		e.onAttemptTimeout(t)
 	case timerConfirm:
 		e.onConfirmTimeout(t)
-	case timerKeep:
-		e.onKeepTimeout(t)
+	case timerRetention:
+		e.onRetentionTimeout(t)
 	case timerProbe:
 		e.onProbeTimeout(t)
 	case timerConnect:
 		e.onConnectTimeout(t)
 	case timerClaim:
 		e.onClaimDue()
-	case timerForget:
-		e.onForgetDue()
+	case timerCleanup:
+		e.onCleanupDue()
 	}
 }
 
@@ -98,15 +98,15 @@
 	}
 	a.confirmBy = e.now + extension
 	e.timers.Set(a.confirmBy, timerConfirm, uint64(a.id))
-	if !n.graceExtended {
-		n.graceExtended = true
+	if !n.confirmExtended {
+		n.confirmExtended = true
 		e.effects.Log(fmt.Sprintf("node %d: silent here for %.1f s, others hear it: what runs there is waited for", n.id, silence/1000))
 	}
 	return true
 }
 
-// onKeepTimeout stops a task that was kept for its client's next request, which did not come.
-func (e *Engine) onKeepTimeout(t timer) {
+// onRetentionTimeout stops a task that was kept for its client's next request, which did not come.
+func (e *Engine) onRetentionTimeout(t timer) {
 	slot, ok := e.byID[uint32(t.Key)]
 	if !ok {
 		return
@@ -146,20 +146,20 @@
 func (e *Engine) onClaimDue() {
 	c := e.claims[0]
 	e.claims = e.claims[1:]
-	g, ok := e.abandoned[c.attempt]
-	if !ok || g.started {
+	abandoned, ok := e.abandoned[c.attempt]
+	if !ok || abandoned.started {
 		return
 	}
-	if n := &e.nodes[g.nodeIndex]; n.ready {
+	if n := &e.nodes[abandoned.nodeIndex]; n.ready {
 		e.effects.Claim(n.id, c.attempt)
 	}
 	e.scheduleClaims(c.attempt, c.remaining)
 }
 
-// onForgetDue forgets the attempts that were abandoned long ago.
-func (e *Engine) onForgetDue() {
-	e.forgetMatching(func(g abandonedAttempt) bool { return e.now-g.sentAt > outcome.AttemptRetention() })
+// onCleanupDue forgets the attempts that were abandoned long ago.
+func (e *Engine) onCleanupDue() {
+	e.removeMatching(func(abandoned abandonedAttempt) bool { return e.now-abandoned.sentAt > outcome.AttemptRetention() })
 	if len(e.abandoned) > 0 {
-		e.scheduleForget()
+		e.scheduleCleanup()
 	}
 }
--- a/internal/engine/transfer.go
+++ b/internal/engine/transfer.go
@@ -52,9 +52,9 @@
 			count.Waiting++
 		}
 	}
-	for _, g := range e.abandoned { // counts alone: the order has no effect
-		if !g.started || !g.stopped {
-			countOf(&g.task).Unresolved++
+	for _, abandoned := range e.abandoned { // counts alone: the order has no effect
+		if !abandoned.started || !abandoned.stopped {
+			countOf(&abandoned.task).Unresolved++
 		}
 	}
 	slices.SortFunc(counts, func(a, b handover.ServiceLoad) int { return cmp.Compare(a.Service, b.Service) })
@@ -128,9 +128,9 @@
 	if _, ok := e.findAttempt(t.Attempt); ok { // its node has named it before
 		return true
 	}
-	g := abandonedAttempt{nodeIndex: index, task: t.Task, sentAt: now, started: true}
-	e.rememberAbandoned(t.Attempt, g)
-	slot, ok := e.recoverTask(t.Attempt, g)
+	abandoned := abandonedAttempt{nodeIndex: index, task: t.Task, sentAt: now, started: true}
+	e.recordAbandoned(t.Attempt, abandoned)
+	slot, ok := e.recoverTask(t.Attempt, abandoned)
 	if !ok {
 		return false
 	}
--- a/internal/engine/workingset.go
+++ b/internal/engine/workingset.go
@@ -5,8 +5,8 @@
 // A scheduler with a working set shows its policy the nodes of that set alone. The engine knows these, and the nodes outside
 // at which it has attempts: they get nothing new and are released once nothing is left there.
 
-// clockSlack is how much, in ms, the clocks of schedulers and of the list may differ.
-const clockSlack = 500
+// maxClockSkew is how much, in ms, the clocks of schedulers and of the list may differ.
+const maxClockSkew = 500
 
 // BeginWorkingSet opens an update of nodes that enter the working set; AddListEntry follows for each, and no EndList. If isNew
 // is set, they came to the list just now, and the policy paces them as nodes that are warming up.
@@ -40,8 +40,8 @@
 // the first time it takes for cold from that moment on.
 func (e *Engine) delayStart(n *node) {
 	start := n.listed.startedAt
-	if start > 0 && !n.startDelayed && e.now-start < e.config.Cluster.SlowStartDuration+clockSlack {
-		n.startDelayed, n.listed.startedAt = true, start+clockSlack
+	if start > 0 && !n.startDelayed && e.now-start < e.config.Cluster.SlowStartDuration+maxClockSkew {
+		n.startDelayed, n.listed.startedAt = true, start+maxClockSkew
 	}
 }
 
@@ -90,14 +90,14 @@
 
 // Demand sums up what tasks ask for. A task is short of nodes if it has waited for longer than the patience since it was
 // requested or since its last attempt ended.
-func (e *Engine) Demand(now, patience float64) Demand {
+func (e *Engine) Demand(now, minWait float64) Demand {
 	d := Demand{Offers: e.stats.Offers, Short: make([]bool, len(e.config.Cluster.KindCores)+1)}
 	for slot := range e.allocations {
 		a := &e.allocations[slot]
 		switch {
 		case a.phase != phaseWaiting:
 			d.Cores, d.Memory = d.Cores+a.task.Cores, d.Memory+a.task.Memory
-		case !a.answered && now-a.waitingSince > patience && e.isInUse(slot):
+		case !a.answered && now-a.waitingSince > minWait && e.isInUse(slot):
 			kind := e.config.Cluster.JobClasses[a.task.JobClass].NodeKind
 			if kind < 0 {
 				kind = len(d.Short) - 1
