--- a/internal/engine/abandoned.go
+++ b/internal/engine/abandoned.go
@@ -37,33 +37,33 @@
 func (e *Engine) scheduleCleanup() { e.timers.Set(e.now+outcome.AttemptRetention()/4, timerCleanup, 0) }
 
 // recordAbandoned remembers an attempt, or replaces what is remembered of it.
-func (e *Engine) recordAbandoned(id AttemptID, abandoned abandonedAttempt) {
+func (e *Engine) recordAbandoned(id AttemptID, entry abandonedAttempt) {
 	if len(e.abandoned) == 0 {
 		e.scheduleCleanup()
 	}
 	if _, ok := e.abandoned[id]; !ok {
-		e.nodes[abandoned.nodeIndex].abandoned++
-		if outcome.CountsAfterAbandon(e.config.Cluster.JobClasses[abandoned.task.JobClass].Spread) {
+		e.nodes[entry.nodeIndex].abandoned++
+		if outcome.CountsAfterAbandon(e.config.Cluster.JobClasses[entry.task.JobClass].Spread) {
 			e.lastID++
-			abandoned.policyID = e.lastID
-			e.policy.OnRecovered(e.now, logic.Recovered{Request: abandoned.task.policyRequest(abandoned.policyID), Node: e.nodes[abandoned.nodeIndex].id})
+			entry.policyID = e.lastID
+			e.policy.OnRecovered(e.now, logic.Recovered{Request: entry.task.policyRequest(entry.policyID), Node: e.nodes[entry.nodeIndex].id})
 		}
 	}
-	e.abandoned[id] = abandoned
+	e.abandoned[id] = entry
 }
 
 // removeAbandoned forgets an attempt that can't start any more or that an allocation stands for again.
 func (e *Engine) removeAbandoned(id AttemptID) {
-	abandoned, ok := e.abandoned[id]
+	entry, ok := e.abandoned[id]
 	if !ok {
 		return
 	}
-	n := &e.nodes[abandoned.nodeIndex]
+	n := &e.nodes[entry.nodeIndex]
 	n.abandoned--
 	delete(e.abandoned, id)
-	if abandoned.policyID > 0 {
+	if entry.policyID > 0 {
 		e.policy.OnOutcome(e.now, logic.AttemptResult{
-			Allocation: abandoned.policyID, Node: n.id, Duration: e.now - abandoned.sentAt, Answered: true,
+			Allocation: entry.policyID, Node: n.id, Duration: e.now - entry.sentAt, Answered: true,
 			Reason: logic.ReasonUnknown, Outcome: logic.Completed,
 		})
 	}
@@ -80,8 +80,8 @@
 // map.
 func (e *Engine) abandonedMatching(match func(abandonedAttempt) bool) []AttemptID {
 	var ids []AttemptID
-	for id, abandoned := range e.abandoned {
-		if match(abandoned) {
+	for id, entry := range e.abandoned {
+		if match(entry) {
 			ids = append(ids, id)
 		}
 	}
@@ -91,25 +91,25 @@
 
 // endAbandoned takes a node's message that an abandoned attempt ended. It tells whether the node has such an attempt.
 func (e *Engine) endAbandoned(nodeID uint32, id AttemptID) bool {
-	abandoned, ok := e.abandoned[id]
-	if !ok || e.nodes[abandoned.nodeIndex].id != nodeID {
+	entry, ok := e.abandoned[id]
+	if !ok || e.nodes[entry.nodeIndex].id != nodeID {
 		return false
 	}
 	e.removeAbandoned(id)
-	if slot, ok := e.byID[abandoned.allocationID]; ok && e.allocations[slot].lateStart == id {
+	if slot, ok := e.byID[entry.allocationID]; ok && e.allocations[slot].lateStart == id {
 		e.allocations[slot].lateStart = AttemptID{}
 	}
 	return true
 }
 
 // handleLateStart takes the start of an attempt that had been given up.
-func (e *Engine) handleLateStart(id AttemptID, abandoned abandonedAttempt) {
-	abandoned.started = true
-	e.abandoned[id] = abandoned
+func (e *Engine) handleLateStart(id AttemptID, entry abandonedAttempt) {
+	entry.started = true
+	e.abandoned[id] = entry
 	e.stats.LateStarts++
-	slot, open := e.byID[abandoned.allocationID]
+	slot, open := e.byID[entry.allocationID]
 	open = open && e.isOpen(slot)
-	if other, ok := e.byKey[abandoned.task.Key()]; ok && (!open || other != slot) {
+	if other, ok := e.byKey[entry.task.Key()]; ok && (!open || other != slot) {
 		if e.allocations[other].phase == phaseRunning { // the task runs elsewhere by now
 			e.stopAbandoned(id)
 			return
@@ -119,7 +119,7 @@
 		}
 	}
 	attempting := open && e.allocations[slot].phase != phaseWaiting
-	switch outcome.OnLateStart(e.jobEffects[abandoned.task.JobClass], open, attempting) {
+	switch outcome.OnLateStart(e.jobEffects[entry.task.JobClass], open, attempting) {
 	case outcome.Stop:
 		e.stopAbandoned(id)
 	case outcome.Serve:
@@ -128,7 +128,7 @@
 	case outcome.Await:
 		e.awaitAttempt(slot, id)
 	case outcome.Keep:
-		e.recoverForRetry(id, abandoned)
+		e.recoverForRetry(id, entry)
 	}
 }
 
@@ -157,16 +157,16 @@
 // answerWithLateStart answers the request of an allocation that has no attempt with the start of an abandoned one.
 func (e *Engine) answerWithLateStart(id AttemptID, slot int) {
 	a := &e.allocations[slot]
-	abandoned := e.abandoned[id]
+	entry := e.abandoned[id]
 	request := a.request
-	e.answer(a, Answer{Kind: Served, Node: e.nodes[abandoned.nodeIndex].id, Reason: ReasonLateStart})
+	e.answer(a, Answer{Kind: Served, Node: e.nodes[entry.nodeIndex].id, Reason: ReasonLateStart})
 	if a.request.Client == noClient { // too late after all
 		request.Client = noClient
 	}
 	a.lateStart = AttemptID{}
 	e.clearClient(a)
 	e.removeAllocation(slot)
-	recovered, ok := e.recoverTask(id, abandoned)
+	recovered, ok := e.recoverTask(id, entry)
 	if !ok {
 		return
 	}
@@ -178,42 +178,42 @@
 
 // resolveLateStart decides about a late start whose allocation was answered without it.
 func (e *Engine) resolveLateStart(id AttemptID) {
-	abandoned, ok := e.abandoned[id]
-	if !ok || id.IsZero() || abandoned.stopped {
+	entry, ok := e.abandoned[id]
+	if !ok || id.IsZero() || entry.stopped {
 		return
 	}
-	if outcome.OnLateStart(e.jobEffects[abandoned.task.JobClass], false, false) == outcome.Stop {
+	if outcome.OnLateStart(e.jobEffects[entry.task.JobClass], false, false) == outcome.Stop {
 		e.stopAbandoned(id)
 	} else {
-		e.recoverForRetry(id, abandoned)
+		e.recoverForRetry(id, entry)
 	}
 }
 
 // recoverForRetry keeps the task of a late start for its client's next request.
-func (e *Engine) recoverForRetry(id AttemptID, abandoned abandonedAttempt) {
-	if slot, ok := e.recoverTask(id, abandoned); ok {
+func (e *Engine) recoverForRetry(id AttemptID, entry abandonedAttempt) {
+	if slot, ok := e.recoverTask(id, entry); ok {
 		e.keepForRetry(&e.allocations[slot])
 	}
 }
 
 // stopAbandoned asks the node of an abandoned attempt to stop it.
 func (e *Engine) stopAbandoned(id AttemptID) {
-	abandoned, ok := e.abandoned[id]
+	entry, ok := e.abandoned[id]
 	if !ok {
 		return
 	}
-	abandoned.stopped = true
-	e.abandoned[id] = abandoned
-	if n := &e.nodes[abandoned.nodeIndex]; n.connected {
+	entry.stopped = true
+	e.abandoned[id] = entry
+	if n := &e.nodes[entry.nodeIndex]; n.connected {
 		e.effects.Stop(n.id, id)
 	}
 }
 
 // recoverTask makes an allocation of a task that runs and reports it to the policy. If another engine acts for the task, it is
 // stopped instead and ok is false.
-func (e *Engine) recoverTask(id AttemptID, abandoned abandonedAttempt) (slot int, ok bool) {
-	nodeID := e.nodes[abandoned.nodeIndex].id
-	recovered, ok := e.effects.RecoverTask(RunningTask{Task: abandoned.task, Node: nodeID, Attempt: id})
+func (e *Engine) recoverTask(id AttemptID, entry abandonedAttempt) (slot int, ok bool) {
+	nodeID := e.nodes[entry.nodeIndex].id
+	recovered, ok := e.effects.RecoverTask(RunningTask{Task: entry.task, Node: nodeID, Attempt: id})
 	if !ok {
 		e.stopAbandoned(id)
 		return 0, false
@@ -221,9 +221,9 @@
 	e.removeAbandoned(id)
 	slot, a := e.newAllocation()
 	a.phase, a.answered, a.recovered, a.reported = phaseRunning, true, true, true
-	a.task, a.epoch = abandoned.task, recovered.Epoch
+	a.task, a.epoch = entry.task, recovered.Epoch
 	a.attempt, a.sentAt = id, e.now
-	e.attach(slot, abandoned.nodeIndex)
+	e.attach(slot, entry.nodeIndex)
 	e.recovered[id] = slot
 	e.byKey[a.task.Key()] = slot
 	e.setClient(slot, recovered.Request)
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -41,14 +41,14 @@
 		e.handleStart(slot, startDuration)
 		return nil
 	}
-	abandoned, ok := e.abandoned[id]
+	entry, ok := e.abandoned[id]
 	switch {
-	case !ok || e.nodes[abandoned.nodeIndex].id != nodeID:
+	case !ok || e.nodes[entry.nodeIndex].id != nodeID:
 		return &UnknownAttemptError{id}
-	case abandoned.started:
+	case entry.started:
 		return ErrDuplicateAnswer
 	}
-	e.handleLateStart(id, abandoned)
+	e.handleLateStart(id, entry)
 	return nil
 }
 
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -11,7 +11,9 @@
 // lastOfferEffects drops effects but keeps the last offer.
 type lastOfferEffects struct{ harness }
 
-func (e *lastOfferEffects) Offer(node uint32, offer Offer) { e.last = sentOffer{node, offer.Attempt} }
+func (e *lastOfferEffects) Offer(node uint32, offer Offer) {
+	e.lastOffer = sentOffer{node, offer.Attempt}
+}
 
 func (e *lastOfferEffects) Answer(RequestID, Answer) {}
 
@@ -54,8 +56,8 @@
 			b.Fatal(err)
 		}
 		e.Round(now)
-		if e.OnStarted(now, effects.last.node, effects.last.attempt, 1) != nil ||
-			e.OnOutcome(now, effects.last.node, Outcome{Attempt: effects.last.attempt, Result: logic.Completed, Reason: logic.ReasonUnknown, Report: report}) != nil {
+		if e.OnStarted(now, effects.lastOffer.node, effects.lastOffer.attempt, 1) != nil ||
+			e.OnOutcome(now, effects.lastOffer.node, Outcome{Attempt: effects.lastOffer.attempt, Result: logic.Completed, Reason: logic.ReasonUnknown, Report: report}) != nil {
 			b.Fatal("lost")
 		}
 	}
--- a/internal/engine/end_before_start_test.go
+++ b/internal/engine/end_before_start_test.go
@@ -14,37 +14,37 @@
 // error of the node.
 func TestEndBeforeStart(t *testing.T) {
 	for _, result := range []logic.Outcome{logic.Completed, logic.Errored, logic.ConnectionLost, logic.Cancelled} {
-		for job, retried := range []bool{restartable: true, zoned: true, everywhere: true, once: false} {
-			t.Run(fmt.Sprintf("verdict %d, job %d", result, job), func(t *testing.T) {
-				testEndBeforeStart(t, job, result, retried)
+		for jobClass, retried := range []bool{restartable: true, idempotentInZone: true, idempotentEverywhere: true, atMostOnce: false} {
+			t.Run(fmt.Sprintf("verdict %d, jobClass %d", result, jobClass), func(t *testing.T) {
+				testEndBeforeStart(t, jobClass, result, retried)
 			})
 		}
 	}
 }
 
 // testEndBeforeStart has the first attempt end before its start. retried tells whether another attempt follows.
-func testEndBeforeStart(t *testing.T, job int, result logic.Outcome, retried bool) {
+func testEndBeforeStart(t *testing.T, jobClass int, result logic.Outcome, retried bool) {
 	t.Helper()
-	h := start(t, true)
-	h.request(1, job, 3000)
-	h.pass(20)
-	first := h.last
+	h := newHarness(t, true)
+	h.request(1, jobClass, 3000)
+	h.advance(20)
+	first := h.lastOffer
 	if err := h.reportEnd(result); err != nil {
 		t.Fatal(err)
 	}
-	h.pass(100)
+	h.advance(100)
 	got := h.takeEffects()
 	if !retried {
-		if strings.Count(got, "answer 1 failed") != 1 || h.last != first {
+		if strings.Count(got, "answer 1 failed") != 1 || h.lastOffer != first {
 			t.Fatalf("run-once work after its end: %q", got)
 		}
 		return
 	}
-	if h.last.attempt.Number != 1 || strings.Contains(got, "answer") {
+	if h.lastOffer.attempt.Number != 1 || strings.Contains(got, "answer") {
 		t.Fatalf("no second attempt: %q", got)
 	}
-	if job == zoned && (h.last.node-1)/2 != (first.node-1)/2 {
-		t.Errorf("keyed work went on from node %d to node %d in another zone", first.node, h.last.node)
+	if jobClass == idempotentInZone && (h.lastOffer.node-1)/2 != (first.node-1)/2 {
+		t.Errorf("keyed work went on from node %d to node %d in another zone", first.node, h.lastOffer.node)
 	}
 	if err := h.engine.OnStarted(h.now, first.node, first.attempt, 10); err == nil {
 		t.Error("a start after the end of the same attempt is no fault of its node")
@@ -55,7 +55,7 @@
 	if err := h.reportStart(10); err != nil {
 		t.Error(err)
 	}
-	h.pass(4000)
+	h.advance(4000)
 	if got := h.takeEffects(); strings.Count(got, "answer 1 served") != 1 || strings.Count(got, "answer") != 1 {
 		t.Errorf("the answer: %q", got)
 	}
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -10,22 +10,22 @@
 
 // Job classes of the harness.
 const (
-	restartable = iota
-	zoned       // idempotent inside a zone
-	everywhere  // idempotent everywhere
-	once        // at most once
+	restartable          = iota
+	idempotentInZone     // idempotent inside a zone
+	idempotentEverywhere // idempotent everywhere
+	atMostOnce           // at most once
 )
 
 const harnessNodes = 4
 
 // harness is an engine on a virtual clock. Its effects are written down as lines.
 type harness struct {
-	t      *testing.T
-	engine *Engine
-	now    float64
-	lines  []string
-	offers map[uint32]int // by node
-	last   sentOffer
+	t         *testing.T
+	engine    *Engine
+	now       float64
+	lines     []string
+	offers    map[uint32]int // by node
+	lastOffer sentOffer
 }
 
 // sentOffer is an attempt and the node that it was sent to.
@@ -38,8 +38,8 @@
 	h.lines = append(h.lines, fmt.Sprintf(format, args...))
 }
 
-// label names an attempt in a line, by the allocation and the number of the attempt.
-func label(id AttemptID) string { return fmt.Sprintf("%d.%d", uint32(id.Ticket), id.Number) }
+// attemptLabel names an attempt in a line, by the allocation and the number of the attempt.
+func attemptLabel(id AttemptID) string { return fmt.Sprintf("%d.%d", uint32(id.Ticket), id.Number) }
 
 func (h *harness) Dial(node uint32, _ string) { h.record("dial %d", node) }
 
@@ -54,16 +54,16 @@
 func (h *harness) Probe(uint32, uint64) {}
 
 func (h *harness) Offer(node uint32, offer Offer) {
-	h.last = sentOffer{node, offer.Attempt}
+	h.lastOffer = sentOffer{node, offer.Attempt}
 	h.offers[node]++
-	h.record("offer %s", label(offer.Attempt))
+	h.record("offer %s", attemptLabel(offer.Attempt))
 }
 
-func (h *harness) Recall(_ uint32, id AttemptID) { h.record("recall %s", label(id)) }
+func (h *harness) Recall(_ uint32, id AttemptID) { h.record("recall %s", attemptLabel(id)) }
 
-func (h *harness) Stop(_ uint32, id AttemptID) { h.record("stop %s", label(id)) }
+func (h *harness) Stop(_ uint32, id AttemptID) { h.record("stop %s", attemptLabel(id)) }
 
-func (h *harness) Claim(_ uint32, id AttemptID) { h.record("claim %s", label(id)) }
+func (h *harness) Claim(_ uint32, id AttemptID) { h.record("claim %s", attemptLabel(id)) }
 
 func (h *harness) Answer(request RequestID, answer Answer) {
 	h.record("answer %d %s", request.Number, answer.Kind)
@@ -89,8 +89,8 @@
 	return RecoveredTask{Epoch: 1}, true
 }
 
-// start starts an engine with four nodes, two to a zone, all connected unless that is not wanted.
-func start(t *testing.T, connected bool) *harness {
+// newHarness starts an engine with four nodes, two to a zone, all connected unless that is not wanted.
+func newHarness(t *testing.T, connected bool) *harness {
 	t.Helper()
 	h := &harness{t: t, offers: map[uint32]int{}, now: 1000}
 	cluster := &logic.Cluster{
@@ -133,8 +133,8 @@
 	h.engine.OnHeldAll(h.now, node)
 }
 
-// pass lets time pass in steps of 10 ms.
-func (h *harness) pass(ms float64) {
+// advance lets time pass in steps of 10 ms.
+func (h *harness) advance(ms float64) {
 	for end := h.now + ms; h.now < end; {
 		h.now = min(end, h.now+10)
 		h.engine.Round(h.now)
@@ -150,7 +150,7 @@
 func (h *harness) request(number uint64, jobClass int, timeLeft float64) {
 	h.t.Helper()
 	h.allocate(newRequest(7, number, Task{JobClass: jobClass, Service: 99, Token: 1000 + number, Cores: 1, Memory: 2}, timeLeft))
-	h.pass(10)
+	h.advance(10)
 }
 
 // allocate reports a request, which must be accepted.
@@ -173,7 +173,7 @@
 	return strings.Join(effects, ", ")
 }
 
-func (h *harness) want(what, got, want string) {
+func (h *harness) expect(what, got, want string) {
 	h.t.Helper()
 	if got != want {
 		h.t.Errorf("%s: got %q, want %q", what, got, want)
@@ -181,21 +181,21 @@
 }
 
 // reportStart has the node of the last offer report its start.
-func (h *harness) reportStart(took float64) error {
-	return h.engine.OnStarted(h.now, h.last.node, h.last.attempt, took)
+func (h *harness) reportStart(startDuration float64) error {
+	return h.engine.OnStarted(h.now, h.lastOffer.node, h.lastOffer.attempt, startDuration)
 }
 
 // reportEnd has the node of the last offer report its end.
 func (h *harness) reportEnd(result logic.Outcome) error {
-	return h.engine.OnOutcome(h.now, h.last.node, Outcome{
-		Attempt: h.last.attempt, Result: result, Reason: logic.ReasonUnknown, Report: []float64{16, 32},
+	return h.engine.OnOutcome(h.now, h.lastOffer.node, Outcome{
+		Attempt: h.lastOffer.attempt, Result: result, Reason: logic.ReasonUnknown, Report: []float64{16, 32},
 	})
 }
 
 // breakConnection breaks the connection of the last offer; sent tells whether the offer may have got through.
-func (h *harness) breakConnection(sent bool) {
-	if !sent {
-		h.engine.OnUnsent(h.now, h.last.attempt)
+func (h *harness) breakConnection(mayHaveBeenSent bool) {
+	if !mayHaveBeenSent {
+		h.engine.OnUnsent(h.now, h.lastOffer.attempt)
 	}
-	h.engine.OnDisconnected(h.now, h.last.node)
+	h.engine.OnDisconnected(h.now, h.lastOffer.node)
 }
--- a/internal/engine/held.go
+++ b/internal/engine/held.go
@@ -33,26 +33,26 @@
 		e.confirmHeld(slot, held.Running)
 		return nil
 	}
-	abandoned, known := e.abandoned[held.Attempt]
+	entry, known := e.abandoned[held.Attempt]
 	if !known {
-		abandoned = e.recordHeld(index, &held)
+		entry = e.recordHeld(index, &held)
 	}
-	if abandoned.nodeIndex != index {
+	if entry.nodeIndex != index {
 		return &HeldTaskError{held.Attempt, "belongs to another node"}
 	}
 	switch {
 	case !held.Running: // given up, or of an earlier incarnation: nobody waits for it
 		e.effects.Recall(nodeID, held.Attempt)
-	case abandoned.stopped:
+	case entry.stopped:
 		e.effects.Stop(nodeID, held.Attempt)
 	case !known:
 		if _, requested := e.byKey[held.Task.Key()]; requested {
-			e.handleLateStart(held.Attempt, abandoned)
+			e.handleLateStart(held.Attempt, entry)
 		} else {
-			e.recoverTask(held.Attempt, abandoned) // of an earlier incarnation: it runs on for its client's next request
+			e.recoverTask(held.Attempt, entry) // of an earlier incarnation: it runs on for its client's next request
 		}
-	case !abandoned.started:
-		e.handleLateStart(held.Attempt, abandoned)
+	case !entry.started:
+		e.handleLateStart(held.Attempt, entry)
 	}
 	return nil
 }
@@ -74,12 +74,12 @@
 
 // recordHeld remembers a task that a node holds and that is not known here as an abandoned attempt.
 func (e *Engine) recordHeld(index int, held *HeldTask) abandonedAttempt {
-	abandoned := abandonedAttempt{nodeIndex: index, task: held.Task, sentAt: e.now}
+	entry := abandonedAttempt{nodeIndex: index, task: held.Task, sentAt: e.now}
 	if slot, ok := e.byKey[held.Task.Key()]; ok {
-		abandoned.allocationID = e.allocations[slot].id
+		entry.allocationID = e.allocations[slot].id
 	}
-	e.recordAbandoned(held.Attempt, abandoned)
-	return abandoned
+	e.recordAbandoned(held.Attempt, entry)
+	return entry
 }
 
 // OnHeldAll reports that a node has named all that it holds: it may be sent to from now on.
@@ -117,7 +117,7 @@
 
 // claimAbandoned claims the abandoned attempts of a node that came back, so that none that lay unread on the way starts yet.
 func (e *Engine) claimAbandoned(index int) {
-	ids := e.abandonedMatching(func(abandoned abandonedAttempt) bool { return abandoned.nodeIndex == index && !abandoned.started })
+	ids := e.abandonedMatching(func(entry abandonedAttempt) bool { return entry.nodeIndex == index && !entry.started })
 	for _, id := range ids {
 		e.effects.Claim(e.nodes[index].id, id)
 	}
@@ -136,14 +136,14 @@
 		}
 		return
 	}
-	abandoned, ok := e.abandoned[id]
-	if !ok || e.nodes[abandoned.nodeIndex].id != nodeID {
+	entry, ok := e.abandoned[id]
+	if !ok || e.nodes[entry.nodeIndex].id != nodeID {
 		return
 	}
 	if !running {
 		e.effects.Recall(nodeID, id)
-	} else if !abandoned.started {
-		e.handleLateStart(id, abandoned)
+	} else if !entry.started {
+		e.handleLateStart(id, entry)
 	}
 }
 
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -83,7 +83,7 @@
 		e.allocations[slot].reported = false
 	}
 	if !n.sameIncarnation && n.abandoned > 0 { // the earlier incarnation took its attempts with it
-		e.removeMatching(func(abandoned abandonedAttempt) bool { return abandoned.nodeIndex == index })
+		e.removeMatching(func(entry abandonedAttempt) bool { return entry.nodeIndex == index })
 	}
 }
 
@@ -159,7 +159,7 @@
 			ended++
 		}
 	}
-	e.removeMatching(func(abandoned abandonedAttempt) bool { return abandoned.nodeIndex == index })
+	e.removeMatching(func(entry abandonedAttempt) bool { return entry.nodeIndex == index })
 	e.effects.Log(fmt.Sprintf("node %d: others hear it in a later life, %d that were with it are over", id, ended))
 }
 
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -220,8 +220,8 @@
 			remaining++
 		}
 	}
-	for _, abandoned := range e.abandoned { // a count: the order has no effect
-		if abandoned.task.Tenant == tenant && !abandoned.stopped {
+	for _, entry := range e.abandoned { // a count: the order has no effect
+		if entry.task.Tenant == tenant && !entry.stopped {
 			remaining++
 		}
 	}
--- a/internal/engine/state.go
+++ b/internal/engine/state.go
@@ -44,10 +44,10 @@
 
 func (e *Engine) writeAbandoned(w *stateWriter) {
 	for _, id := range e.abandonedMatching(func(abandonedAttempt) bool { return true }) {
-		abandoned := e.abandoned[id]
-		w.numbers(float64(id.Ticket), float64(id.Number), float64(abandoned.allocationID), float64(abandoned.nodeIndex),
-			float64(abandoned.policyID), w.relative(abandoned.sentAt))
-		w.flags(abandoned.started, abandoned.stopped)
+		entry := e.abandoned[id]
+		w.numbers(float64(id.Ticket), float64(id.Number), float64(entry.allocationID), float64(entry.nodeIndex),
+			float64(entry.policyID), w.relative(entry.sentAt))
+		w.flags(entry.started, entry.stopped)
 	}
 }
 
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -146,11 +146,11 @@
 func (e *Engine) onClaimDue() {
 	c := e.claims[0]
 	e.claims = e.claims[1:]
-	abandoned, ok := e.abandoned[c.attempt]
-	if !ok || abandoned.started {
+	entry, ok := e.abandoned[c.attempt]
+	if !ok || entry.started {
 		return
 	}
-	if n := &e.nodes[abandoned.nodeIndex]; n.ready {
+	if n := &e.nodes[entry.nodeIndex]; n.ready {
 		e.effects.Claim(n.id, c.attempt)
 	}
 	e.scheduleClaims(c.attempt, c.remaining)
@@ -158,7 +158,7 @@
 
 // onCleanupDue forgets the attempts that were abandoned long ago.
 func (e *Engine) onCleanupDue() {
-	e.removeMatching(func(abandoned abandonedAttempt) bool { return e.now-abandoned.sentAt > outcome.AttemptRetention() })
+	e.removeMatching(func(entry abandonedAttempt) bool { return e.now-entry.sentAt > outcome.AttemptRetention() })
 	if len(e.abandoned) > 0 {
 		e.scheduleCleanup()
 	}
--- a/internal/engine/transfer.go
+++ b/internal/engine/transfer.go
@@ -52,9 +52,9 @@
 			count.Waiting++
 		}
 	}
-	for _, abandoned := range e.abandoned { // counts alone: the order has no effect
-		if !abandoned.started || !abandoned.stopped {
-			countOf(&abandoned.task).Unresolved++
+	for _, entry := range e.abandoned { // counts alone: the order has no effect
+		if !entry.started || !entry.stopped {
+			countOf(&entry.task).Unresolved++
 		}
 	}
 	slices.SortFunc(counts, func(a, b handover.ServiceLoad) int { return cmp.Compare(a.Service, b.Service) })
@@ -128,9 +128,9 @@
 	if _, ok := e.findAttempt(t.Attempt); ok { // its node has named it before
 		return true
 	}
-	abandoned := abandonedAttempt{nodeIndex: index, task: t.Task, sentAt: now, started: true}
-	e.recordAbandoned(t.Attempt, abandoned)
-	slot, ok := e.recoverTask(t.Attempt, abandoned)
+	entry := abandonedAttempt{nodeIndex: index, task: t.Task, sentAt: now, started: true}
+	e.recordAbandoned(t.Attempt, entry)
+	slot, ok := e.recoverTask(t.Attempt, entry)
 	if !ok {
 		return false
 	}
--- a/internal/engine/workingset_test.go
+++ b/internal/engine/workingset_test.go
@@ -34,10 +34,10 @@
 // TestReleaseKeepsConnectionToTask runs a task at a node outside the working set: the node is kept connected until the task ends.
 func TestReleaseKeepsConnectionToTask(t *testing.T) {
 	for _, forced := range []bool{false, true} {
-		h := start(t, true)
+		h := newHarness(t, true)
 		h.allocate(newRequest(1, 1, Task{JobClass: restartable, Service: 7, Token: 7, Cores: 1, Memory: 1}, 5000))
 		h.engine.Round(h.now)
-		node := h.last.node
+		node := h.lastOffer.node
 		if err := h.reportStart(100); err != nil {
 			t.Fatal(err)
 		}
@@ -47,12 +47,12 @@
 		if forced {
 			h.engine.ForceRelease(h.now, node)
 		}
-		h.pass(5000)
+		h.advance(5000)
 		h.dials()
 		for _, id := range []uint32{1, 2, 3, 4} {
 			h.engine.OnDisconnected(h.now, id)
 		}
-		h.pass(200)
+		h.advance(200)
 		if redialled := len(h.dials()); (redialled == 1) == forced {
 			t.Fatalf("%d nodes dialled again, released by force: %t", redialled, forced)
 		}
@@ -61,7 +61,7 @@
 		}
 		h.engine.OnConnected(h.now, node, 1, 0)
 		err := h.engine.OnHeld(h.now, node, HeldTask{
-			Attempt: h.last.attempt,
+			Attempt: h.lastOffer.attempt,
 			Running: true,
 			Task:    Task{JobClass: restartable, Service: 7, Token: 7, Cores: 1, Memory: 1},
 		})
@@ -69,7 +69,7 @@
 			t.Fatal(err)
 		}
 		h.engine.OnHeldAll(h.now, node)
-		if err := h.engine.OnOutcome(h.now, node, Outcome{Attempt: h.last.attempt, Result: logic.Completed, Reason: logic.ReasonUnknown}); err != nil {
+		if err := h.engine.OnOutcome(h.now, node, Outcome{Attempt: h.lastOffer.attempt, Result: logic.Completed, Reason: logic.ReasonUnknown}); err != nil {
 			t.Fatal(err)
 		}
 		h.engine.Round(h.now)
@@ -81,7 +81,7 @@
 
 // TestOutsideWorkingSetGetsNothing moves nodes out of the working set and one back, which is not paced as one that warms up.
 func TestOutsideWorkingSetGetsNothing(t *testing.T) {
-	h := start(t, true)
+	h := newHarness(t, true)
 	h.excludeAll()
 	for number := range uint64(10) {
 		h.allocate(newRequest(1, number+1, Task{JobClass: restartable, Service: number, Token: number, Cores: 1, Memory: 1}, 5000))
@@ -105,23 +105,23 @@
 	}
 }
 
-// TestReleasedIsDialledAgain has a node that was released enter the set anew.
-func TestReleasedIsDialledAgain(t *testing.T) {
-	h := start(t, true)
+// TestReleasedNodeIsDialledAgain has a node that was released enter the set anew.
+func TestReleasedNodeIsDialledAgain(t *testing.T) {
+	h := newHarness(t, true)
 	if released := h.excludeAll(); len(released) != 4 {
 		t.Fatalf("%v released", released)
 	}
 	h.engine.OnDisconnected(h.now, 3)
-	h.pass(1000)
+	h.advance(1000)
 	h.engine.BeginList(h.now, logic.ListChanges) // an update of a node that was released does not keep it connected
 	h.engine.AddListEntry(ListEntry{Node: 3, Address: "a", Availability: logic.Ready, FreeCores: 8, FreeMemory: 32, Zone: 1, Cell: 1})
 	h.engine.EndList()
-	h.pass(1000)
+	h.advance(1000)
 	if dialled := h.dials(); len(dialled) > 0 {
 		t.Fatalf("%v while outside the set", dialled)
 	}
 	h.engine.SetOutsideWorkingSet(h.now, []uint32{3}, false)
-	h.pass(20)
+	h.advance(20)
 	if dialled := h.dials(); !slices.Equal(dialled, []string{"dial 3"}) {
 		t.Errorf("dialled %v", dialled)
 	}
@@ -131,7 +131,7 @@
 // that warms up.
 func TestEnterWorkingSet(t *testing.T) {
 	for _, isNew := range []bool{false, true} {
-		h := start(t, true)
+		h := newHarness(t, true)
 		h.excludeAll()
 		h.engine.BeginWorkingSet(h.now, isNew)
 		h.engine.AddListEntry(ListEntry{Node: 9, Address: "b", Availability: logic.Ready, FreeCores: 16, FreeMemory: 32})
@@ -145,8 +145,8 @@
 		for range 200 {
 			h.now += 10
 			h.engine.Round(h.now)
-			if !h.last.attempt.IsZero() && !offered[h.last.attempt.Ticket] {
-				offered[h.last.attempt.Ticket] = true
+			if !h.lastOffer.attempt.IsZero() && !offered[h.lastOffer.attempt.Ticket] {
+				offered[h.lastOffer.attempt.Ticket] = true
 			}
 			for ticket := range offered {
 				_ = h.engine.OnStarted(h.now, 9, AttemptID{Ticket: ticket}, 10)
@@ -165,7 +165,7 @@
 		h.allocate(newRequest(1, number+1, Task{JobClass: restartable, Service: number, Token: number, Cores: 0.1, Memory: 0.1}, 5000))
 	}
 	for range 20 {
-		h.pass(10)
+		h.advance(10)
 		for number := range uint32(60) {
 			_ = h.engine.OnStarted(h.now, 9, AttemptID{Ticket: 1<<32 | uint64(number)}, 10)
 		}
@@ -173,14 +173,14 @@
 	return h.offers[9]
 }
 
-// TestStartByAnotherClock has a node enter the set right before its warm-up ends by the list's clock: it is paced for as long as
+// TestClockSkewOfNodeStart has a node enter the set right before its warm-up ends by the list's clock: it is paced for as long as
 // clocks may differ.
-func TestStartByAnotherClock(t *testing.T) {
+func TestClockSkewOfNodeStart(t *testing.T) {
 	const warmUp, slowStartLimit = 8000, 20
 	for _, known := range []bool{false, true} { // as a node outside the set
-		h := start(t, true)
+		h := newHarness(t, true)
 		h.excludeAll()
-		h.pass(10_000)
+		h.advance(10_000)
 		start := h.now - warmUp + 20
 		if known {
 			h.engine.SetOutsideWorkingSet(h.now, []uint32{9}, true)
@@ -199,21 +199,21 @@
 // TestUnsentToNodeThatJustStarted has attempts wait for the connection to a warm node that was restarted meanwhile, of an engine
 // that sends nothing to nodes that warm up: none is sent.
 func TestUnsentToNodeThatJustStarted(t *testing.T) {
-	h := start(t, true)
-	h.pass(10_000)
+	h := newHarness(t, true)
+	h.advance(10_000)
 	h.engine.SetSchedulerCount(0)
 	h.engine.SetOutsideWorkingSet(h.now, []uint32{2, 3, 4}, true)
 	h.engine.OnDisconnected(h.now, 1)
 	for number := range uint64(40) {
 		h.allocate(newRequest(1, number+1, Task{JobClass: restartable, Service: number, Token: number, Cores: 0.1, Memory: 0.1}, 5000))
 	}
-	h.pass(20)
+	h.advance(20)
 	if waiting := len(h.engine.nodes[h.engine.nodeIndex[1]].allocations); waiting == 0 {
 		t.Fatal("no attempt waits for the node")
 	}
 	h.engine.OnConnected(h.now, 1, 2, h.now-5)
 	h.engine.OnHeldAll(h.now, 1)
-	h.pass(200)
+	h.advance(200)
 	if h.offers[1] > 0 {
 		t.Errorf("%d offers to a cold node", h.offers[1])
 	}
