--- a/internal/engine/abandoned.go
+++ b/internal/engine/abandoned.go
@@ -7,25 +7,25 @@
 	"ravenpond/logic"
 )
 
-// abandonedAttempt is an attempt that was given up but may still start.
+// abandonedAttempt is an attempt that was given up without an answer and may still start.
 type abandonedAttempt struct {
-	allocationID uint32 // for which it was made, if that is still open
+	allocationID uint32 // the allocation that the attempt was made for, which may have been removed
 	nodeIndex    int
 	task         Task
 	sentAt       float64
-	started      bool   // its node said so
-	stopped      bool   // its node is to stop it
-	policyID     uint32 // the number under which the policy counts it for its service's spread, 0: it does not
+	started      bool   // the node reported the start
+	stopped      bool   // the node was asked to stop the task, or will be once it is connected
+	policyID     uint32 // the number under which the policy counts the attempt towards its service's spread; 0: not counted
 }
 
-// pendingClaim is an abandoned attempt that is to be claimed, and how often after that.
+// pendingClaim is a scheduled claim of an abandoned attempt.
 type pendingClaim struct {
 	attempt   AttemptID
-	remaining int
+	remaining int // number of claims that follow this one
 }
 
-// scheduleClaims has an abandoned attempt be claimed several times: if it runs after all, the client's next request has to
-// find that out and not start a second.
+// scheduleClaims schedules a number of claims of an abandoned attempt. If its task runs after all, this has to be known before the
+// client retries, so that the retry does not start the task a second time.
 func (e *Engine) scheduleClaims(id AttemptID, times int) {
 	if times > 0 {
 		e.claims = append(e.claims, pendingClaim{id, times - 1})
@@ -33,10 +33,10 @@
 	}
 }
 
-// scheduleCleanup has abandoned attempts be looked through after a while.
+// scheduleCleanup schedules the next removal of old abandoned attempts.
 func (e *Engine) scheduleCleanup() { e.timers.Set(e.now+outcome.AttemptRetention()/4, timerCleanup, 0) }
 
-// recordAbandoned remembers an attempt, or replaces what is remembered of it.
+// recordAbandoned adds an abandoned attempt or replaces its entry.
 func (e *Engine) recordAbandoned(id AttemptID, entry abandonedAttempt) {
 	if len(e.abandoned) == 0 {
 		e.scheduleCleanup()
@@ -52,7 +52,7 @@
 	e.abandoned[id] = entry
 }
 
-// removeAbandoned forgets an attempt that can't start any more or that an allocation stands for again.
+// removeAbandoned removes an abandoned attempt that can no longer start or that belongs to an allocation again.
 func (e *Engine) removeAbandoned(id AttemptID) {
 	entry, ok := e.abandoned[id]
 	if !ok {
@@ -69,15 +69,15 @@
 	}
 }
 
-// removeMatching forgets all attempts that match, in the order of their names.
+// removeMatching removes all abandoned attempts that match, ordered by ID.
 func (e *Engine) removeMatching(match func(abandonedAttempt) bool) {
 	for _, id := range e.abandonedMatching(match) {
 		e.removeAbandoned(id)
 	}
 }
 
-// abandonedMatching are the attempts that match, in the order of their names, so that effects don't depend on the order of the
-// map.
+// abandonedMatching returns the abandoned attempts that match, ordered by ID so that effects do not depend on the iteration order of
+// the map.
 func (e *Engine) abandonedMatching(match func(abandonedAttempt) bool) []AttemptID {
 	var ids []AttemptID
 	for id, entry := range e.abandoned {
@@ -89,7 +89,7 @@
 	return ids
 }
 
-// endAbandoned takes a node's message that an abandoned attempt ended. It tells whether the node has such an attempt.
+// endAbandoned handles a node's message that an abandoned attempt has ended. It reports whether the node has such an attempt.
 func (e *Engine) endAbandoned(nodeID uint32, id AttemptID) bool {
 	entry, ok := e.abandoned[id]
 	if !ok || e.nodes[entry.nodeIndex].id != nodeID {
@@ -102,7 +102,7 @@
 	return true
 }
 
-// handleLateStart takes the start of an attempt that had been given up.
+// handleLateStart handles the start of an abandoned attempt.
 func (e *Engine) handleLateStart(id AttemptID, entry abandonedAttempt) {
 	entry.started = true
 	e.abandoned[id] = entry
@@ -110,11 +110,11 @@
 	slot, open := e.byID[entry.allocationID]
 	open = open && e.isOpen(slot)
 	if other, ok := e.byKey[entry.task.Key()]; ok && (!open || other != slot) {
-		if e.allocations[other].phase == phaseRunning { // the task runs elsewhere by now
+		if e.allocations[other].phase == phaseRunning { // the task already runs under another attempt
 			e.stopAbandoned(id)
 			return
 		}
-		if e.isOpen(other) { // it was requested again
+		if e.isOpen(other) { // the client requested the task again
 			slot, open = other, true
 		}
 	}
@@ -132,14 +132,14 @@
 	}
 }
 
-// isOpen tells whether an allocation's request is not answered and its deadline has not passed.
+// isOpen reports whether an allocation's request is unanswered and its deadline has not passed.
 func (e *Engine) isOpen(slot int) bool {
 	a := &e.allocations[slot]
 	return !a.answered && e.now < a.deadline
 }
 
-// awaitAttempt calls the last attempt of an allocation back, of which an earlier one started. The one that ends without a start
-// leaves the other.
+// awaitAttempt recalls the latest attempt of an allocation after an earlier attempt has started. If the latest attempt ends without
+// a start, the earlier one serves the request; if it starts all the same, the earlier one is stopped.
 func (e *Engine) awaitAttempt(slot int, late AttemptID) {
 	a := &e.allocations[slot]
 	if !a.lateStart.IsZero() {
@@ -154,13 +154,13 @@
 	}
 }
 
-// answerWithLateStart answers the request of an allocation that has no attempt with the start of an abandoned one.
+// answerWithLateStart answers the request of an allocation that has no current attempt with the start of an abandoned attempt.
 func (e *Engine) answerWithLateStart(id AttemptID, slot int) {
 	a := &e.allocations[slot]
 	entry := e.abandoned[id]
 	request := a.request
 	e.answer(a, Answer{Kind: Served, Node: e.nodes[entry.nodeIndex].id, Reason: ReasonLateStart})
-	if a.request.Client == noClient { // too late after all
+	if a.request.Client == noClient { // the deadline has passed, or the answer was not permitted
 		request.Client = noClient
 	}
 	a.lateStart = AttemptID{}
@@ -176,7 +176,7 @@
 	}
 }
 
-// resolveLateStart decides about a late start whose allocation was answered without it.
+// resolveLateStart decides what to do with a late start whose allocation was answered otherwise.
 func (e *Engine) resolveLateStart(id AttemptID) {
 	entry, ok := e.abandoned[id]
 	if !ok || id.IsZero() || entry.stopped {
@@ -189,14 +189,14 @@
 	}
 }
 
-// recoverForRetry keeps the task of a late start for its client's next request.
+// recoverForRetry keeps the task of a late start running for a retry by its client.
 func (e *Engine) recoverForRetry(id AttemptID, entry abandonedAttempt) {
 	if slot, ok := e.recoverTask(id, entry); ok {
 		e.keepForRetry(&e.allocations[slot])
 	}
 }
 
-// stopAbandoned asks the node of an abandoned attempt to stop it.
+// stopAbandoned asks the node of an abandoned attempt to stop its task.
 func (e *Engine) stopAbandoned(id AttemptID) {
 	entry, ok := e.abandoned[id]
 	if !ok {
@@ -209,8 +209,8 @@
 	}
 }
 
-// recoverTask makes an allocation of a task that runs and reports it to the policy. If another engine acts for the task, it is
-// stopped instead and ok is false.
+// recoverTask creates an allocation for the running task of an abandoned attempt and reports it to the policy. If another engine owns
+// the task, the task is stopped instead and ok is false.
 func (e *Engine) recoverTask(id AttemptID, entry abandonedAttempt) (slot int, ok bool) {
 	nodeID := e.nodes[entry.nodeIndex].id
 	recovered, ok := e.effects.RecoverTask(RunningTask{Task: entry.task, Node: nodeID, Attempt: id})
--- a/internal/engine/allocation.go
+++ b/internal/engine/allocation.go
@@ -1,47 +1,47 @@
 package engine
 
-// phase says where an allocation stands.
+// phase is the state of an allocation's latest attempt.
 type phase uint8
 
 const (
-	phaseWaiting    phase = iota // no attempt is made
-	phaseConnecting              // an attempt waits for the connection to its node and was not sent
-	phaseInFlight                // an attempt was sent
+	phaseWaiting    phase = iota // there is no attempt
+	phaseConnecting              // the attempt waits for the connection to its node and was not sent
+	phaseInFlight                // the attempt was sent
 	phaseRunning                 // the task runs
 )
 
-// noClient is the client of an allocation for whose outcome nobody waits.
+// noClient is the client ID of an allocation for which no client is waiting.
 const noClient = 0
 
-// allocation is a request and the attempt that was made for it last.
+// allocation is a request together with its latest attempt.
 type allocation struct {
-	id           uint32 // by which the policy knows it
-	epoch        uint32 // under which this engine acts for its task
+	id           uint32 // the allocation's number in the policy
+	epoch        uint32 // under which this engine owns the task
 	phase        phase
 	answered     bool // the final answer was given
-	recalled     bool // the attempt was called back
-	attempted    bool // an attempt was made
-	recovered    bool // its task was found running: the policy knows that attempt as the first
-	stopping     bool // its node was asked to stop the task
+	recalled     bool // the attempt was recalled, or cancelled before it was sent
+	attempted    bool // at least one attempt was made
+	recovered    bool // the task was found running; its attempt is number 0 to the policy
+	stopping     bool // the node was asked to stop the task, or will be once it is connected
 	mayHaveRun   bool // an earlier attempt may have run
-	reported     bool // its node has named it since the node connected
+	reported     bool // the node has reported the attempt as held since it connected
 	task         Task
-	request      RequestID // that has to be notified, if it has a client
-	attempt      AttemptID // the last
+	request      RequestID // the request that is answered and notified, if its client is not noClient
+	attempt      AttemptID // the latest attempt
 	deadline     float64   // of the client
-	sentAt       float64   // time of the attempt
-	dueAt        float64   // time-out of the attempt; for a late start: until when it is kept
-	waitingSince float64   // without an attempt
-	confirmBy    float64   // an attempt whose connection broke is given up then, 0: it is not in doubt
-	nodeIndex    int       // of the attempt's node
-	nodeSlot     int       // place in the node's list of allocations
-	lateStart    AttemptID // an earlier attempt that started after it had been given up
+	sentAt       float64   // when the attempt was made, or when its task was recovered
+	dueAt        float64   // time-out of the attempt, or the end of the retention of a late start
+	waitingSince float64   // since when there has been no attempt
+	confirmBy    float64   // when an attempt whose connection broke is given up; 0: the attempt is not in doubt
+	nodeIndex    int       // index of the attempt's node
+	nodeSlot     int       // index into the node's list of allocations
+	lateStart    AttemptID // an earlier attempt that started after it had been abandoned
 }
 
-// owned is the allocation's task with the epoch under which this engine acts for it.
+// owned returns the allocation's task key and the epoch under which this engine owns the task.
 func (a *allocation) owned() OwnedTask { return OwnedTask{TaskKey: a.task.Key(), Epoch: a.epoch} }
 
-// policyAttempt is the number by which the policy knows the last attempt.
+// policyAttempt returns the policy's number for the latest attempt.
 func (a *allocation) policyAttempt() uint8 {
 	if a.recovered {
 		return 0
@@ -49,7 +49,7 @@
 	return a.attempt.Number
 }
 
-// newAllocation takes a slot and gives the allocation in it a number.
+// newAllocation creates an allocation with a new number in a free slot.
 func (e *Engine) newAllocation() (slot int, a *allocation) {
 	if n := len(e.freeSlots); n > 0 {
 		slot, e.freeSlots = e.freeSlots[n-1], e.freeSlots[:n-1]
@@ -66,7 +66,7 @@
 	return slot, a
 }
 
-// removeAllocation forgets an allocation that is answered and has no attempt, and ends the ownership of its task.
+// removeAllocation removes an allocation that is answered and has no attempt, and releases the ownership of its task.
 func (e *Engine) removeAllocation(slot int) {
 	a := &e.allocations[slot]
 	delete(e.byID, a.id)
@@ -76,7 +76,7 @@
 	e.freeSlot(slot)
 }
 
-// removeTransferred forgets an allocation for which another engine acts from now on.
+// removeTransferred removes an allocation whose task another engine owns from now on.
 func (e *Engine) removeTransferred(slot int) {
 	a := &e.allocations[slot]
 	delete(e.byID, a.id)
@@ -85,7 +85,7 @@
 	e.freeSlot(slot)
 }
 
-// removeKeys removes an allocation from the tables by which it is found.
+// removeKeys removes an allocation from the indices by task key and by recovered attempt.
 func (e *Engine) removeKeys(slot int) {
 	a := &e.allocations[slot]
 	if key := a.task.Key(); e.byKey[key] == slot {
@@ -99,13 +99,13 @@
 	e.allocations[slot].phase = phaseWaiting
 }
 
-// isInUse tells whether a slot holds an allocation.
+// isInUse reports whether a slot contains an allocation.
 func (e *Engine) isInUse(slot int) bool {
 	current, ok := e.byID[e.allocations[slot].id]
 	return ok && current == slot
 }
 
-// setClient has a request be notified of what becomes of an allocation.
+// setClient sets the request that is answered and notified for an allocation.
 func (e *Engine) setClient(slot int, request RequestID) {
 	e.allocations[slot].request = request
 	if request.Client != noClient {
@@ -113,7 +113,7 @@
 	}
 }
 
-// clearClient has nobody be notified of what becomes of an allocation.
+// clearClient removes the request from an allocation, so that no client is answered or notified for it any more.
 func (e *Engine) clearClient(a *allocation) {
 	if a.request.Client != noClient {
 		delete(e.requests, a.request)
@@ -121,7 +121,7 @@
 	}
 }
 
-// findAttempt is the slot of the allocation whose last attempt is named, if that was sent.
+// findAttempt returns the slot of the allocation whose latest attempt has the given ID, if that attempt was sent.
 func (e *Engine) findAttempt(id AttemptID) (slot int, ok bool) {
 	if slot, ok := e.recovered[id]; ok {
 		return slot, true
@@ -136,7 +136,7 @@
 	return slot, true
 }
 
-// KnowsAttempt tells whether an attempt is known, if only as one that was given up.
+// KnowsAttempt reports whether an attempt is known, be it in progress or abandoned.
 func (e *Engine) KnowsAttempt(id AttemptID) bool {
 	if _, ok := e.findAttempt(id); ok {
 		return true
@@ -145,7 +145,7 @@
 	return ok
 }
 
-// ForEachAllocation reports each allocation: its task, and whether its request was answered.
+// ForEachAllocation calls report for each allocation with its task and whether its request was answered.
 func (e *Engine) ForEachAllocation(report func(task OwnedTask, answered bool)) {
 	for slot := range e.allocations {
 		if a := &e.allocations[slot]; e.isInUse(slot) {
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -8,26 +8,26 @@
 	"ravenpond/logic"
 )
 
-// Errors of nodes that break the protocol.
+// Protocol violations by nodes. The texts are sent to the node as the reason for disconnecting it.
 var (
 	ErrDuplicateAnswer   = errors.New("second answer for a try")
 	ErrRefusedAfterStart = errors.New("try refused after its start")
 )
 
-// UnknownAttemptError is returned for a message about an attempt that was not sent to the node, or that ended.
+// UnknownAttemptError is returned for a message about an attempt that was not sent to the node or that has ended.
 type UnknownAttemptError struct{ Attempt AttemptID }
 
 func (e *UnknownAttemptError) Error() string {
 	return fmt.Sprintf("answer for unknown try %x.%d", e.Attempt.Ticket, e.Attempt.Number)
 }
 
-// outcomeOf is the outcome of an attempt of which no node told.
+// outcomeOf returns an outcome that the engine concluded itself, without a report from the node.
 func outcomeOf(result logic.Outcome) Outcome {
 	return Outcome{Result: result, Reason: logic.ReasonUnknown}
 }
 
-// OnStarted takes a node's message that the task of an attempt runs; took is how long its start took. An error means that the node
-// broke the protocol.
+// OnStarted handles a node's message that the task of an attempt is running. An error means that the node violated the
+// protocol.
 func (e *Engine) OnStarted(now float64, nodeID uint32, id AttemptID, startDuration float64) error {
 	e.observe(now)
 	if slot, ok := e.findAttempt(id); ok {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// OnOutcome takes a node's message on the end of an attempt. An error means that the node broke the protocol.
+// OnOutcome handles a node's message that an attempt has ended. An error means that the node violated the protocol.
 func (e *Engine) OnOutcome(now float64, nodeID uint32, o Outcome) error {
 	e.observe(now)
 	if slot, ok := e.findAttempt(o.Attempt); ok {
@@ -72,7 +72,7 @@
 	return &UnknownAttemptError{o.Attempt}
 }
 
-// OnNote takes a node's message on a running task. The task may just have ended.
+// OnNote handles a node's metric of a running task. The message is ignored if the task has just ended.
 func (e *Engine) OnNote(now float64, nodeID uint32, id AttemptID, kind logic.TaskMetric, value float64) {
 	e.observe(now)
 	if slot, ok := e.findAttempt(id); ok && e.nodes[e.allocations[slot].nodeIndex].id == nodeID {
@@ -83,16 +83,16 @@
 	}
 }
 
-// OnSharedReport takes a load report of a node that came as an answer to another engine.
+// OnSharedReport handles a load report that a node sent in an answer to another engine.
 func (e *Engine) OnSharedReport(now float64, nodeID uint32, report []float64) {
 	e.now = now
-	// No allocation has the number 0, so the policy takes the report alone.
+	// No allocation has the number 0, so the policy uses only the report.
 	e.policy.OnOutcome(now, logic.AttemptResult{
 		Node: nodeID, Answered: true, Reason: logic.ReasonUnknown, Outcome: logic.Completed, Report: report,
 	})
 }
 
-// attach counts an allocation in at the node of its attempt.
+// attach adds an allocation to the list of the node of its attempt.
 func (e *Engine) attach(slot, nodeIndex int) {
 	a, n := &e.allocations[slot], &e.nodes[nodeIndex]
 	a.nodeIndex, a.nodeSlot = nodeIndex, len(n.allocations)
@@ -102,7 +102,7 @@
 	}
 }
 
-// detach counts an allocation out at the node of its attempt. The last in the node's list takes its place.
+// detach removes an allocation from the list of the node of its attempt. The last element of the list takes its place.
 func (e *Engine) detach(slot int) {
 	a := &e.allocations[slot]
 	n := &e.nodes[a.nodeIndex]
@@ -113,9 +113,9 @@
 	n.allocations = n.allocations[:last]
 }
 
-// completeAttempt ends an attempt and reports its outcome to the policy. If the request was answered, the allocation ends with
-// the attempt. If an earlier attempt started meanwhile, that one answers the request. Otherwise the policy goes on with the
-// allocation.
+// completeAttempt ends an attempt and reports its outcome to the policy. If the request has been answered, the allocation ends with
+// the attempt. If an earlier attempt has started in the meantime, its start answers the request. Otherwise the policy continues with
+// the allocation.
 func (e *Engine) completeAttempt(slot int, o Outcome) {
 	a := &e.allocations[slot]
 	ran := a.phase == phaseRunning
@@ -140,7 +140,7 @@
 		e.resolveLateStart(late)
 	case !late.IsZero():
 		result.Answered = true
-		e.policy.OnExpired(e.now, result.Allocation) // it need not make another attempt
+		e.policy.OnExpired(e.now, result.Allocation) // so that it makes no further attempt
 		e.policy.OnOutcome(e.now, result)
 		e.answerWithLateStart(late, slot)
 	default:
@@ -148,7 +148,7 @@
 	}
 }
 
-// abandonAttempt ends an attempt without an answer of its node. The attempt is remembered, as the node may still start it.
+// abandonAttempt ends an attempt that its node has not answered. The attempt is recorded as abandoned, because the node may still start it.
 func (e *Engine) abandonAttempt(slot int, result logic.Outcome) {
 	a := &e.allocations[slot]
 	if !a.recalled {
@@ -162,7 +162,7 @@
 	e.completeAttempt(slot, outcomeOf(result))
 }
 
-// deferredOutcome is the outcome of an attempt that was not sent. It is reported to the policy in the next round, as the policy
+// deferredOutcome is the outcome of an attempt that was not sent. It is reported to the policy in the next round, because the policy
 // may be in the middle of a decision.
 type deferredOutcome struct {
 	allocationID uint32
@@ -170,7 +170,7 @@
 	result       logic.Outcome
 }
 
-// cancelAttempt has an attempt not start, if it does not run yet.
+// cancelAttempt cancels an attempt that is waiting for its connection, and recalls one that is in flight.
 func (e *Engine) cancelAttempt(a *allocation) {
 	switch a.phase {
 	case phaseConnecting:
@@ -182,14 +182,14 @@
 	}
 }
 
-// cancelUnsent ends an attempt that waits for the connection to its node: it is not sent any more, even if the connection comes
+// cancelUnsent cancels an attempt that is waiting for the connection to its node. It will not be sent, even if the connection is made
 // before the next round.
 func (e *Engine) cancelUnsent(a *allocation) {
 	a.recalled = true
 	e.deferred = append(e.deferred, deferredOutcome{a.id, a.attempt.Number, logic.NotSent})
 }
 
-// recall asks the node of an attempt in flight to hand it back.
+// recall asks the node of an attempt in flight to return it.
 func (e *Engine) recall(a *allocation) {
 	a.recalled = true
 	if n := &e.nodes[a.nodeIndex]; n.ready {
@@ -197,7 +197,7 @@
 	}
 }
 
-// handleStart takes the start of an allocation's last attempt and answers its request.
+// handleStart handles the start of an allocation's latest attempt and answers the request.
 func (e *Engine) handleStart(slot int, startDuration float64) {
 	a := &e.allocations[slot]
 	a.phase, a.confirmBy = phaseRunning, 0
@@ -207,7 +207,7 @@
 	if !a.answered {
 		e.answer(a, Answer{Kind: Served, Node: e.nodes[a.nodeIndex].id})
 	}
-	if a.request.Client == noClient { // answered before, or too late to be answered
+	if a.request.Client == noClient { // the request was answered before, or its deadline has passed
 		e.stats.LateStarts++
 		if outcome.OnLateStart(e.jobEffects[a.task.JobClass], false, false) == outcome.Stop {
 			e.stopTask(a)
@@ -215,12 +215,12 @@
 			e.keepForRetry(a)
 		}
 	}
-	if !late.IsZero() { // this start came before the recall: the earlier attempt's start is one too many
+	if !late.IsZero() { // the latest attempt started before it could be recalled, so the earlier one is stopped
 		e.stopAbandoned(late)
 	}
 }
 
-// stopTask asks the node of a running task to end it. A node without a connection is asked when it is back.
+// stopTask asks the node of a running task to stop it. A node that is not connected is asked when it reconnects.
 func (e *Engine) stopTask(a *allocation) {
 	a.stopping = true
 	if n := &e.nodes[a.nodeIndex]; n.ready {
@@ -228,7 +228,7 @@
 	}
 }
 
-// keepForRetry keeps a running task for which nobody waits until its client may have asked for it again.
+// keepForRetry keeps a running task that has no client long enough for its client to retry the request.
 func (e *Engine) keepForRetry(a *allocation) {
 	a.dueAt = e.now + outcome.LateStartRetention(e.config.SettleTime)
 	e.timers.Set(a.dueAt, timerRetention, uint64(a.id))
--- a/internal/engine/effects.go
+++ b/internal/engine/effects.go
@@ -2,32 +2,32 @@
 
 import "ravenpond/logic"
 
-// Effects carries out what the engine decides, in the order of the calls. The methods must neither block nor call the
-// engine back.
+// Effects carries out the engine's decisions in the order of the calls. The methods must not block and must not call
+// back into the engine.
 type Effects interface {
 	NodeConnections
 	NodeList
 	Ownership
 	Clients
 
-	// Log writes a diagnostic line.
+	// Log writes a line to the operator's log.
 	Log(line string)
 }
 
-// NodeConnections opens and closes connections to nodes and sends messages over them. A message to a node without a
-// connection is dropped.
+// NodeConnections opens and closes connections to nodes and sends messages on them. A message to a node that is not
+// connected is dropped.
 type NodeConnections interface {
-	// Dial connects to a node; Engine.OnConnected or Engine.OnDialFailed reports the result.
+	// Dial connects to a node. The result is reported to Engine.OnConnected or Engine.OnDialFailed.
 	Dial(node uint32, address string)
-	// Disconnect closes the connection to a node; Engine.OnDisconnected reports its end.
+	// Disconnect closes the connection to a node. Its end is reported to Engine.OnDisconnected.
 	Disconnect(node uint32, reason string)
 	// Offer asks a node to start a task.
 	Offer(node uint32, offer Offer)
-	// Recall asks a node to hand an attempt back unless its task runs.
+	// Recall asks a node to return an attempt unless its task is running.
 	Recall(node uint32, attempt AttemptID)
-	// Stop asks a node to end the task of an attempt.
+	// Stop asks a node to stop the task of an attempt.
 	Stop(node uint32, attempt AttemptID)
-	// Claim asks a node what became of an attempt. A node that has not seen it rejects it from then on.
+	// Claim asks a node for the state of an attempt. A node that has not received the attempt will reject it from then on.
 	Claim(node uint32, attempt AttemptID)
 	// Probe asks a node for a load report.
 	Probe(node uint32, sequence uint64)
@@ -35,36 +35,36 @@
 
 // NodeList controls the subscription to the node list.
 type NodeList interface {
-	// WatchList starts or ends the watch on changes of the list.
+	// WatchList starts or stops watching the list for changes.
 	WatchList(active bool)
 	// ReloadList requests the full list once.
 	ReloadList()
 }
 
-// Ownership records which engine acts for a task, so that two engines never do. Its answers hold until the call
-// returns and the effect that was permitted has been sent.
+// Ownership records which engine owns a task, so that two engines never act for the same task. A permission holds
+// until the call returns and the permitted message has been sent.
 type Ownership interface {
-	// PermitAttempt tells whether an attempt may be sent: not if another engine acts for the task by now.
+	// PermitAttempt reports whether an attempt may be sent. It may not if another engine owns the task by now.
 	PermitAttempt(task OwnedTask, node uint32, attempt AttemptID) bool
-	// RecordOutcome records the end of an attempt; neverRan says that its task provably never ran.
+	// RecordOutcome records the end of an attempt. neverRan is set if the task provably never ran.
 	RecordOutcome(task OwnedTask, neverRan bool)
-	// RecoverTask asks whether this engine is to keep a task that it found running. If it is, the result names the epoch under
-	// which it does, and the client that was told that the task runs.
+	// RecoverTask asks whether this engine should keep a task that it found running. If ok is true, the result holds the epoch under
+	// which the engine owns the task, and the request whose client was told that the task runs.
 	RecoverTask(running RunningTask) (recovered RecoveredTask, ok bool)
-	// SetClient records that another request is the one to be notified of the task's end.
+	// SetClient records which request is notified of the task's end from now on.
 	SetClient(task OwnedTask, request RequestID)
 	// ReleaseTask ends this engine's ownership of a task.
 	ReleaseTask(task OwnedTask, service uint64)
-	// PermitAnswer tells whether the final answer may be given, and records it: not if another engine acts for the task by now.
+	// PermitAnswer reports whether the final answer may be given, and records the answer. It may not if another engine owns the task by now.
 	PermitAnswer(task OwnedTask, served bool) bool
 }
 
-// Clients sends messages to the clients that requested allocations.
+// Clients sends messages to clients.
 type Clients interface {
 	// Answer sends the final answer to a request.
 	Answer(request RequestID, answer Answer)
-	// NotifyEnd sends the end of a task whose request was answered with Served.
+	// NotifyEnd notifies a client that a task whose request was answered with Served has ended.
 	NotifyEnd(request RequestID, result logic.Outcome, reason logic.Reason)
-	// ExpireRequest reports that the deadline of a request passed before it could be answered. Nothing is sent for it.
+	// ExpireRequest records that the deadline of a request passed before the request was answered. Nothing is sent to the client.
 	ExpireRequest(request RequestID)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -10,77 +10,77 @@
 	"ravenpond/logic"
 )
 
-// Config is what an engine is started with.
+// Config holds the parameters of an engine.
 type Config struct {
 	Cluster        *logic.Cluster
-	Shares         []float64 // of the tenants, their sum is 1 at most
-	MaxOpen        int       // allocations without a final answer at once
-	AnswerMargin   float64   // an answer is sent at least so long before the client's deadline
-	SettleTime     float64   // a client waits so long before it asks again where a second start could do harm
-	Incarnation    uint32    // of this scheduler, higher at each start of the process
+	Shares         []float64 // by tenant; their sum is at most 1
+	MaxOpen        int       // limit on the allocations that have no final answer yet
+	AnswerMargin   float64   // minimum time between an answer and the client's deadline
+	SettleTime     float64   // how long a client waits before it retries a task that must not run twice
+	Incarnation    uint32    // of this scheduler; increases with each start of the process
 	Seed           uint64
-	WallClockStart float64       // the wall clock at the engine's time 0
+	WallClockStart float64       // wall-clock time of the engine's time 0
 	NewPolicy      PolicyFactory // nil: logic.New
-	// AliveAtPeers tells whether other schedulers hear a node in the incarnation in which it was lost here. Nil: none is
-	// asked.
+	// AliveAtPeers reports whether other schedulers still hear from a node in the incarnation to which this scheduler
+	// lost its connection. If it is nil, other schedulers are not consulted.
 	AliveAtPeers func(now float64, node uint32, incarnation uint64) bool
 }
 
-// PolicyFactory makes a placement policy.
+// PolicyFactory creates a placement policy.
 type PolicyFactory func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler
 
-// Engine is one scheduler instance. See the package comment for who may call it.
+// Engine runs one policy instance. The package comment states the rules for concurrent use.
 type Engine struct {
 	effects Effects
 	policy  logic.EventHandler
 	config  Config
 
 	now           float64
-	closed        bool // each further request is declined
-	hasEvents     bool // something was reported since the last round
+	closed        bool // new requests are declined
+	hasEvents     bool // at least one event was reported since the last round
 	timers        timers.Heap[timerKind]
 	pauseDetector pausedetect.Detector
 	admission     *admission.Limiter
 
-	allocations []allocation // slots, some of them free
+	allocations []allocation // indexed by slot; some slots are free
 	freeSlots   []int
-	byID        map[uint32]int    // slots by the number under which the policy knows an allocation
+	byID        map[uint32]int    // slots by the allocation's number in the policy
 	byKey       map[TaskKey]int   // slots of open and running allocations
-	requests    map[RequestID]int // slots of allocations whose end has to be notified
-	recovered   map[AttemptID]int // slots of running allocations that an earlier incarnation or another engine placed
-	lastID      uint32            // given to an allocation, or to an abandoned attempt that the policy counts
+	requests    map[RequestID]int // slots of allocations whose client is notified of the end
+	recovered   map[AttemptID]int // slots of running allocations that recoverTask created, such as those placed by an earlier incarnation or by another engine
+	lastID      uint32            // last number given to an allocation or to an abandoned attempt that the policy counts
 
 	abandoned  map[AttemptID]abandonedAttempt
 	claims     []pendingClaim         // in the order of their timers
-	deferred   []deferredOutcome      // outcomes that became known while the policy decided
+	deferred   []deferredOutcome      // outcomes that are reported to the policy in the next round
 	jobEffects []logic.RetrySemantics // by job class
 
 	pacer      *reconnect.Pacer
 	nodes      []node
-	nodeIndex  map[uint32]int       // places in nodes
-	exclusions map[uint32]exclusion // nodes that get nothing new, whatever the list says, also nodes that are not known yet
+	nodeIndex  map[uint32]int       // indices into nodes, by node ID
+	exclusions map[uint32]exclusion // nodes that get no new tasks, whatever the list says; includes nodes that are not known yet
 
 	listGeneration int // counts list updates
 	listKind       logic.ListKind
-	enteringNodes  bool // the update is of nodes that enter the working set
+	enteringNodes  bool // the current update consists of nodes that enter the working set
 
 	stats Stats
 }
 
-// Stats are counters since the start, and the sizes of tables.
+// Stats contains counters since the start and current table sizes.
 type Stats struct {
 	Admitted, Rejected       uint64 // requests
 	Served, Declined, Failed uint64 // answers
 	Offers                   uint64 // attempts
-	Recovered                uint64 // tasks found running
-	LateStarts               uint64 // of attempts that had been given up
-	Expired                  uint64 // requests whose deadline passed unanswered
+	Recovered                uint64 // tasks that were found running
+	LateStarts               uint64 // starts of attempts that had been abandoned
+	Expired                  uint64 // requests whose deadline passed before they were answered
 	Open                     int    // allocations without a final answer
 	Held                     int    // allocations
-	Abandoned                int    // attempts that were given up but may still start
+	Abandoned                int    // abandoned attempts that may still start
 }
 
-// New starts an engine at a time. The last known node list should be reported next.
+// New returns an engine that starts at time now. The caller should report the last known node list next.
 func New(effects Effects, now float64, config Config) *Engine {
 	e := &Engine{
 		effects:    effects,
@@ -109,30 +109,30 @@
 	return e
 }
 
-// Stats returns the counters.
+// Stats returns the current statistics.
 func (e *Engine) Stats() Stats {
 	s := e.stats
 	s.Open, s.Held, s.Abandoned = e.admission.Open(), len(e.byID), len(e.abandoned)
 	return s
 }
 
-// IsIdle tells whether the engine holds nothing and needs no message any more.
+// IsIdle reports whether the engine has no allocations and no abandoned attempts, so that it needs no further messages.
 func (e *Engine) IsIdle() bool { return len(e.byID) == 0 && len(e.abandoned) == 0 }
 
-// SetOpenLimit changes how many allocations may be open.
+// SetOpenLimit sets how many allocations may be open at once.
 func (e *Engine) SetOpenLimit(open int) { e.admission.SetLimit(open) }
 
-// observe takes note of an event at a time.
+// observe advances the time to that of an event and records that there was one since the last round.
 func (e *Engine) observe(now float64) { e.now, e.hasEvents = now, true }
 
 // Round fires the timers that are due, lets the policy decide on the events since the last round, and dials nodes.
-// After a pause of the process it only returns, so that the messages that came in meanwhile are taken first.
+// After a pause of the process it does none of this, so that messages received during the pause are processed first.
 func (e *Engine) Round(now float64) {
 	e.now = now
 	paused, act := e.pauseDetector.OnRound(now, e.hasEvents)
 	e.hasEvents = false
 	if paused > 0 {
-		e.effects.Log(fmt.Sprintf("stall: stood still %.0f ms, %d open, reads before it acts", paused, e.admission.Open()))
+		e.effects.Log(fmt.Sprintf("process was paused for %.0f ms with %d open allocations; processing received messages before acting", paused, e.admission.Open()))
 	}
 	if !act {
 		return
@@ -147,9 +147,9 @@
 	}
 }
 
-// completeDeferred reports the outcomes that became known while the policy decided.
+// completeDeferred completes the attempts whose outcomes were deferred because the policy may have been deciding.
 func (e *Engine) completeDeferred() {
-	for i := 0; i < len(e.deferred); i++ { // the policy may add to them
+	for i := 0; i < len(e.deferred); i++ { // the policy may append to the slice
 		d := e.deferred[i]
 		slot, ok := e.byID[d.allocationID]
 		if ok && e.allocations[slot].attempt.Number == d.attempt && e.allocations[slot].phase == phaseConnecting {
@@ -159,7 +159,7 @@
 	e.deferred = e.deferred[:0]
 }
 
-// NextRound is when Round has to be called at the latest, unless an event is reported before.
+// NextRound returns the latest time at which Round must be called if no event is reported before.
 func (e *Engine) NextRound() float64 {
 	if len(e.deferred) > 0 {
 		return max(e.now, e.pauseDetector.ResumeAt())
@@ -171,8 +171,8 @@
 	return max(at, e.pauseDetector.ResumeAt())
 }
 
-// SetSchedulerCount tells the policy how many schedulers share the slow-start limit of a node; 0: this one sends nothing to nodes that
-// are warming up. A policy without such a limit goes on as it began.
+// SetSchedulerCount tells the policy how many schedulers share a node's slow-start limit. With 0, this scheduler sends nothing to nodes
+// that are warming up. A policy that does not implement SetSchedulerCount is unaffected.
 func (e *Engine) SetSchedulerCount(schedulers int) {
 	if policy, ok := e.policy.(interface{ SetSchedulerCount(int) }); ok {
 		policy.SetSchedulerCount(schedulers)
--- a/internal/engine/exclusions.go
+++ b/internal/engine/exclusions.go
@@ -2,39 +2,39 @@
 
 import "ravenpond/logic"
 
-// exclusion is a set of reasons for which a node gets nothing new, whatever the list says.
+// exclusion is a set of reasons why a node gets no new tasks, whatever the node list says.
 type exclusion uint8
 
 const (
-	excludedMaintenance exclusion = 1 << iota // the calendar has taken it out
-	excludedByPeers                           // others say that it drains or is gone
-	excludedZone                              // its zone is closed to this scheduler
-	excludedWorkingSet                        // it is outside the working set
+	excludedMaintenance exclusion = 1 << iota // the node is in a maintenance window
+	excludedByPeers                           // other schedulers report that it is draining or gone
+	excludedZone                              // this scheduler sends nothing to its zone
+	excludedWorkingSet                        // the node is outside the working set
 )
 
-// SetMaintenance takes nodes out for maintenance, or brings them back, whatever the list says. Attempts in flight to a node that is
-// taken out are recalled; each comes back or runs after all, but is never doubled. A node that is brought back and that the
-// list has as ready is ready again.
+// SetMaintenance excludes nodes for maintenance or ends that exclusion, whatever the list says. Attempts in flight to a node that is
+// excluded are recalled; each is either returned or runs after all, and is never duplicated. A node whose exclusion ends and that
+// is ready in the list is ready again.
 func (e *Engine) SetMaintenance(now float64, nodes []uint32, excluded bool) {
 	e.setExcluded(now, nodes, excludedMaintenance, excluded)
 }
 
-// SetWarned excludes nodes, or no longer, that other schedulers say drain or are gone, ahead of the list here. Attempts in
-// flight to them go on.
+// SetWarned excludes nodes that other schedulers report as draining or gone before this scheduler's list does, or ends that
+// exclusion. Attempts in flight to these nodes continue.
 func (e *Engine) SetWarned(now float64, nodes []uint32, excluded bool) {
 	e.setExcluded(now, nodes, excludedByPeers, excluded)
 }
 
-// SetZoneClosed excludes nodes, or no longer, of zones that this scheduler sends nothing to. Attempts in flight to them and
-// running tasks go on: they may run, so nothing of them is started elsewhere that must not be.
+// SetZoneClosed excludes nodes in zones that this scheduler sends nothing to, or ends that exclusion. Attempts in flight to these
+// nodes and running tasks continue: since they may run, a task that must not run twice is not started elsewhere.
 func (e *Engine) SetZoneClosed(now float64, nodes []uint32, excluded bool) {
 	e.setExcluded(now, nodes, excludedZone, excluded)
 }
 
-// setExcluded adds a reason to the exclusions of nodes, or removes it. A node that the list names later is excluded from then on.
+// setExcluded adds a reason to the exclusions of nodes or removes it. It also applies to nodes that only a later list update adds.
 func (e *Engine) setExcluded(now float64, ids []uint32, reason exclusion, exclude bool) {
 	e.observe(now)
-	// There is no end of this update: the policy would take that for a sign of life of the list, and request the next later.
+	// OnListEnd is not called: the policy would take it as a sign that the list was received, and would request the next update later.
 	e.policy.OnListBegin(now, logic.ListChanges)
 	for _, id := range ids {
 		excluded := e.updateExclusion(id, reason, exclude)
@@ -52,7 +52,7 @@
 	}
 }
 
-// updateExclusion changes a node's reasons. It tells whether any is left.
+// updateExclusion adds or removes a reason for a node's exclusion. It reports whether any reason is left.
 func (e *Engine) updateExclusion(id uint32, reason exclusion, exclude bool) (excluded bool) {
 	reasons := e.exclusions[id]
 	if exclude {
@@ -68,7 +68,7 @@
 	return reasons != 0
 }
 
-// recallFromNode calls the attempts at a node back that don't run yet.
+// recallFromNode cancels or recalls the attempts at a node whose tasks are not running.
 func (e *Engine) recallFromNode(index int) {
 	for _, slot := range e.nodes[index].allocations {
 		switch a := &e.allocations[slot]; a.phase {
--- a/internal/engine/held.go
+++ b/internal/engine/held.go
@@ -8,7 +8,7 @@
 	"ravenpond/logic"
 )
 
-// HeldTaskError is returned for a task that a node can't hold.
+// HeldTaskError is returned for a task that a node cannot hold. Its text is sent to the node as the reason for disconnecting it.
 type HeldTaskError struct {
 	Attempt AttemptID
 	Problem string
@@ -18,8 +18,8 @@
 	return fmt.Sprintf("held try %x.%d %s", e.Attempt.Ticket, e.Attempt.Number, e.Problem)
 }
 
-// OnHeld takes a task that a node holds for this scheduler. A node names all of them before anything else on a connection. An error means
-// that the node broke the protocol.
+// OnHeld handles a node's message that it holds a task for this scheduler. A node reports all held tasks before it sends anything else on
+// a connection. An error means that the node violated the protocol.
 func (e *Engine) OnHeld(now float64, nodeID uint32, held HeldTask) error {
 	e.observe(now)
 	index, ok := e.nodeIndex[nodeID]
@@ -41,7 +41,7 @@
 		return &HeldTaskError{held.Attempt, "belongs to another node"}
 	}
 	switch {
-	case !held.Running: // given up, or of an earlier incarnation: nobody waits for it
+	case !held.Running: // abandoned, or from an earlier incarnation of this scheduler: no client waits for it
 		e.effects.Recall(nodeID, held.Attempt)
 	case entry.stopped:
 		e.effects.Stop(nodeID, held.Attempt)
@@ -49,7 +49,7 @@
 		if _, requested := e.byKey[held.Task.Key()]; requested {
 			e.handleLateStart(held.Attempt, entry)
 		} else {
-			e.recoverTask(held.Attempt, entry) // of an earlier incarnation: it runs on for its client's next request
+			e.recoverTask(held.Attempt, entry) // from an earlier incarnation of this scheduler: the task continues for a retry by its client
 		}
 	case !entry.started:
 		e.handleLateStart(held.Attempt, entry)
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// confirmHeld takes a node's message that it holds the last attempt of an allocation.
+// confirmHeld handles a node's message that it holds the latest attempt of an allocation.
 func (e *Engine) confirmHeld(slot int, running bool) {
 	a := &e.allocations[slot]
 	nodeID := e.nodes[a.nodeIndex].id
@@ -72,7 +72,7 @@
 	}
 }
 
-// recordHeld remembers a task that a node holds and that is not known here as an abandoned attempt.
+// recordHeld records a held task whose attempt is unknown to this engine as an abandoned attempt.
 func (e *Engine) recordHeld(index int, held *HeldTask) abandonedAttempt {
 	entry := abandonedAttempt{nodeIndex: index, task: held.Task, sentAt: e.now}
 	if slot, ok := e.byKey[held.Task.Key()]; ok {
@@ -82,7 +82,7 @@
 	return entry
 }
 
-// OnHeldAll reports that a node has named all that it holds: it may be sent to from now on.
+// OnHeldAll reports that a node has reported all the tasks that it holds. From now on messages may be sent to it.
 func (e *Engine) OnHeldAll(now float64, id uint32) {
 	e.observe(now)
 	index, ok := e.nodeIndex[id]
@@ -91,7 +91,7 @@
 	}
 	n := &e.nodes[index]
 	n.ready, n.everReady = true, true
-	for _, slot := range slices.Backward(n.allocations) { // completing one removes it from the list
+	for _, slot := range slices.Backward(n.allocations) { // completeAttempt removes the slot from the list
 		a := &e.allocations[slot]
 		if a.phase == phaseConnecting {
 			if !a.recalled {
@@ -115,7 +115,7 @@
 	}
 }
 
-// claimAbandoned claims the abandoned attempts of a node that came back, so that none that lay unread on the way starts yet.
+// claimAbandoned claims the abandoned attempts at a node that reconnected, so that none that is still unread on the way can start.
 func (e *Engine) claimAbandoned(index int) {
 	ids := e.abandonedMatching(func(entry abandonedAttempt) bool { return entry.nodeIndex == index && !entry.started })
 	for _, id := range ids {
@@ -123,7 +123,7 @@
 	}
 }
 
-// OnClaimHeld takes a node's answer to a claim: it holds the attempt, whose task runs or not.
+// OnClaimHeld handles a node's answer to a claim that says that it holds the attempt and whether the task is running.
 func (e *Engine) OnClaimHeld(now float64, nodeID uint32, id AttemptID, running bool) {
 	e.observe(now)
 	if slot, ok := e.findAttempt(id); ok && e.nodes[e.allocations[slot].nodeIndex].id == nodeID {
@@ -147,7 +147,7 @@
 	}
 }
 
-// OnClaimOutcome takes a node's answer to a claim: the attempt's outcome, which the node may have sent before.
+// OnClaimOutcome handles a node's answer to a claim that reports the attempt's outcome. The node may have sent this outcome before.
 func (e *Engine) OnClaimOutcome(now float64, nodeID uint32, o Outcome) {
 	e.observe(now)
 	slot, ok := e.findAttempt(o.Attempt)
@@ -156,7 +156,7 @@
 		return
 	}
 	if e.allocations[slot].phase == phaseRunning && o.Result == logic.Rejected {
-		o.Result = logic.ConnectionLost // the node forgot what it started
+		o.Result = logic.ConnectionLost // the node no longer knows the task that it started
 	}
 	e.completeAttempt(slot, o)
 }
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -2,10 +2,11 @@
 
 import "ravenpond/logic"
 
-// startTolerance is how much, in ms, two clocks may differ about the same start of a node.
+// startTolerance is the largest difference, in ms, between two start times that are taken as the same start of a node. They may be
+// reported by different clocks.
 const startTolerance = 1000
 
-// listState is what the list said last of a node.
+// listState is the latest list entry of a node.
 type listState struct {
 	availability          logic.Availability
 	startedAt             float64
@@ -13,7 +14,7 @@
 	zone, cell, kind      int
 }
 
-// BeginList opens an update of the node list; AddListEntry for each entry and EndList follow.
+// BeginList begins an update of the node list. AddListEntry follows for each entry, then EndList.
 func (e *Engine) BeginList(now float64, kind logic.ListKind) {
 	e.observe(now)
 	e.listKind, e.enteringNodes = kind, false
@@ -21,7 +22,7 @@
 	e.policy.OnListBegin(now, kind)
 }
 
-// AddListEntry takes an entry of the update.
+// AddListEntry handles an entry of the current update.
 func (e *Engine) AddListEntry(entry ListEntry) {
 	index, ok := e.nodeIndex[entry.Node]
 	if !ok {
@@ -48,25 +49,25 @@
 	e.reportToPolicy(index)
 }
 
-// addNode adds a node that was not known before.
+// addNode adds a node that is not known yet.
 func (e *Engine) addNode(id uint32) (index int) {
 	index = len(e.nodes)
 	e.nodeIndex[id] = index
 	e.nodes = append(e.nodes, node{
 		id:            id,
-		probeSequence: uint64(e.config.Incarnation) << 24, // above those of any earlier incarnation
+		probeSequence: uint64(e.config.Incarnation) << 24, // above the sequence numbers of earlier incarnations of this scheduler
 		excluded:      e.exclusions[id] != 0,
 	})
 	return index
 }
 
-// startOf is when a node started, on the engine's clock: as the list says, or later if the node said so itself.
+// startOf returns when a node started, on the engine's clock: the time in the list, or a later one that the node reported itself.
 func (e *Engine) startOf(n *node, wallClock float64) float64 {
 	start := 0.0
 	if wallClock > 0 {
-		start = max(0, wallClock-e.config.WallClockStart) // a start before the engine's time 0 was long ago
+		start = max(0, wallClock-e.config.WallClockStart) // a start before the engine's time 0 counts as long ago
 	}
-	if start < n.startedAt+startTolerance { // an earlier start, or the same one by another clock
+	if start < n.startedAt+startTolerance { // an earlier start, or the same start by another clock
 		start = n.startedAt
 	}
 	n.startDelayed = n.startDelayed && start < n.listed.startedAt+startTolerance
@@ -76,7 +77,7 @@
 	return start
 }
 
-// EndList closes an update. Nodes that a full list does not name are gone.
+// EndList ends an update. Nodes that are missing from a full list become unavailable.
 func (e *Engine) EndList() {
 	if e.listKind == logic.ListFull || e.listKind == logic.ListCached {
 		for index := range e.nodes {
@@ -88,7 +89,7 @@
 	e.policy.OnListEnd(e.now)
 }
 
-// reportToPolicy tells the policy of a node: as the list has it, but draining if it is excluded.
+// reportToPolicy reports a node's list entry to the policy. An excluded node that is ready in the list is reported as draining.
 func (e *Engine) reportToPolicy(index int) {
 	n := &e.nodes[index]
 	listed, availability := n.listed, n.listed.availability
@@ -102,7 +103,7 @@
 	})
 }
 
-// setAvailability changes a node's availability. Nodes that are on the list are kept connected.
+// setAvailability sets a node's availability. Nodes that are on the list are kept connected unless they are released.
 func (e *Engine) setAvailability(index int, availability logic.Availability) {
 	n := &e.nodes[index]
 	n.availability = availability
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -8,37 +8,37 @@
 	"ravenpond/logic"
 )
 
-// node is what the engine knows of a node. Nodes are never forgotten.
+// node is the state of a node. Nodes are never removed.
 type node struct {
 	id             uint32
 	address        string
-	availability   logic.Availability // as the policy knows it
-	listed         listState          // as the list has it
-	listGeneration int                // of the last list update that named it
-	excluded       bool               // it gets nothing new, whatever the list says
-	released       bool               // it is outside the working set and not kept connected
+	availability   logic.Availability // as reported to the policy
+	listed         listState          // as in the latest list entry
+	listGeneration int                // of the last list update that included the node
+	excluded       bool               // the node gets no new tasks, whatever the list says
+	released       bool               // the node is outside the working set and not kept connected
 
 	incarnation     uint64
-	sameIncarnation bool    // it came back in the incarnation in which its connection ended
-	startedAt       float64 // as the node said itself, if that is later than what the list said
-	startDelayed    bool    // it counts as started a little later than the list says
+	sameIncarnation bool    // the node reconnected in the incarnation in which its connection ended
+	startedAt       float64 // as the node reported itself, if that is later than in the list
+	startDelayed    bool    // the start in listed is maxClockSkew later than the list says
 
 	connected       bool
-	ready           bool    // and it has named all that it holds
-	everReady       bool    // it was ready once
-	lostAt          float64 // when its connection ended last
-	confirmExtended bool    // since then its running tasks were waited for longer because others hear it
+	ready           bool    // the node is connected and has reported all the tasks that it holds
+	everReady       bool    // the node has been ready at least once
+	lostAt          float64 // when the connection ended last
+	confirmExtended bool    // since lostAt, the wait for the running tasks was extended because other schedulers hear from the node
 
 	probing        bool
 	probeSent      bool
 	probeSequence  uint64
 	probeStartedAt float64
 
-	allocations []int // slots of allocations with an attempt here
-	abandoned   int   // number of abandoned attempts here
+	allocations []int // slots of the allocations whose current attempt is at this node
+	abandoned   int   // number of abandoned attempts at this node
 }
 
-// OnDialFailed reports that no connection to a node could be made.
+// OnDialFailed reports that connecting to a node failed.
 func (e *Engine) OnDialFailed(now float64, id uint32) {
 	e.observe(now)
 	index, ok := e.nodeIndex[id]
@@ -57,9 +57,9 @@
 	}
 }
 
-// OnConnected reports that a node is connected: its incarnation, and when that began, 0 if it did not say. OnHeld for each task
-// that it holds and OnHeldAll follow. A start that the list does not know of is reported to the policy before anything is
-// sent, as the node may be warming up.
+// OnConnected reports that a node is connected, with its incarnation and the time at which that began, or 0 if the node did not
+// report the time. OnHeld follows for each task that the node holds, then OnHeldAll. If the list does not have this start yet, it is
+// reported to the policy before anything is sent, because the node may be warming up.
 func (e *Engine) OnConnected(now float64, id uint32, incarnation uint64, startedAt float64) {
 	e.observe(now)
 	index, ok := e.nodeIndex[id]
@@ -69,9 +69,9 @@
 	e.pacer.OnConnected(now, index)
 	n := &e.nodes[index]
 	warmUp := e.config.Cluster.SlowStartDuration
-	if startedAt > n.listed.startedAt+startTolerance && now-startedAt < warmUp { // the policy takes a later start for a cold one
+	if startedAt > n.listed.startedAt+startTolerance && now-startedAt < warmUp { // the policy treats a node with a later start as cold
 		n.startedAt, n.listed.startedAt = startedAt, startedAt
-		e.policy.OnListBegin(now, logic.ListChanges) // without an end, as it is no update of the list
+		e.policy.OnListBegin(now, logic.ListChanges) // no OnListEnd, because this is not an update of the list
 		e.reportToPolicy(index)
 	}
 	n.connected, n.ready = true, false
@@ -82,13 +82,13 @@
 	for _, slot := range n.allocations {
 		e.allocations[slot].reported = false
 	}
-	if !n.sameIncarnation && n.abandoned > 0 { // the earlier incarnation took its attempts with it
+	if !n.sameIncarnation && n.abandoned > 0 { // the attempts ended with the earlier incarnation
 		e.removeMatching(func(entry abandonedAttempt) bool { return entry.nodeIndex == index })
 	}
 }
 
-// reconsiderUnsent takes back the attempts that wait for the connection to a node that has just started: the policy chose it as a
-// warm one and has to decide anew.
+// reconsiderUnsent cancels the attempts that are waiting for the connection to a node that has just started. The policy chose the node
+// as a warm one and has to decide again.
 func (e *Engine) reconsiderUnsent(n *node) {
 	for _, slot := range n.allocations {
 		if a := &e.allocations[slot]; a.phase == phaseConnecting && !a.recalled {
@@ -97,7 +97,7 @@
 	}
 }
 
-// OnUnsent reports that the last byte of an attempt provably never left this machine. It comes before OnDisconnected.
+// OnUnsent reports that the last byte of an attempt provably never left this machine. It is called before OnDisconnected.
 func (e *Engine) OnUnsent(now float64, id AttemptID) {
 	e.observe(now)
 	slot, ok := e.findAttempt(id)
@@ -132,7 +132,7 @@
 	}
 }
 
-// endAttemptsAt ends the attempts at a node that the list no longer has and that is not connected.
+// endAttemptsAt ends the attempts at a node that is no longer on the list and is not connected.
 func (e *Engine) endAttemptsAt(index int) {
 	for _, slot := range slices.Backward(e.nodes[index].allocations) { // completing one removes it from the list
 		switch outcome.AfterNodeRemoved(false, e.allocations[slot].phase != phaseConnecting) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// OnIncarnationEnded reports, by what other schedulers heard, that the incarnation of a node has ended in which it was lost here.
-// Its running tasks ended with it; what it was offered may have run.
+// OnIncarnationEnded reports that, according to other schedulers, the incarnation in which a node lost its connection to this
+// scheduler has ended. Its running tasks ended with it; tasks that were offered to it may have run.
 func (e *Engine) OnIncarnationEnded(now float64, id uint32, incarnation uint64) {
 	e.observe(now)
 	index, ok := e.nodeIndex[id]
@@ -160,10 +160,11 @@
 		}
 	}
 	e.removeMatching(func(entry abandonedAttempt) bool { return entry.nodeIndex == index })
-	e.effects.Log(fmt.Sprintf("node %d: others hear it in a later life, %d that were with it are over", id, ended))
+	e.effects.Log(fmt.Sprintf("node %d: other schedulers hear from a later incarnation; ended %d attempts of the earlier one", id, ended))
 }
 
-// OnProbeReport takes a node's answer to a probe. An error means that the probe was never sent.
+// OnProbeReport handles a node's answer to a probe. An error means that the probe was never sent. Its text is sent to the node as the
+// reason for disconnecting it.
 func (e *Engine) OnProbeReport(now float64, id uint32, sequence uint64, report []float64) error {
 	e.observe(now)
 	index, ok := e.nodeIndex[id]
@@ -180,7 +181,7 @@
 	return nil
 }
 
-// completeProbe reports the outcome of a probe to the policy.
+// completeProbe ends a probe and reports its outcome to the policy.
 func (e *Engine) completeProbe(index int, result logic.Outcome, report []float64) {
 	n := &e.nodes[index]
 	n.probing = false
@@ -189,7 +190,7 @@
 	})
 }
 
-// CountRunning adds the tasks that run at a node and are not being stopped, by job class.
+// CountRunning adds to byClass the number of tasks of each job class that run on a node and are not being stopped.
 func (e *Engine) CountRunning(id uint32, byClass []int) {
 	for _, slot := range e.slotsAt(id) {
 		if a := &e.allocations[slot]; a.phase == phaseRunning && !a.stopping {
@@ -198,7 +199,7 @@
 	}
 }
 
-// CoresAt is how many cores the tasks ask for that run at a node or were offered to it.
+// CoresAt returns the total of the cores requested by the tasks that run on a node or have an attempt there.
 func (e *Engine) CoresAt(id uint32) (cores float64) {
 	for _, slot := range e.slotsAt(id) {
 		cores += e.allocations[slot].task.Cores
@@ -206,8 +207,8 @@
 	return cores
 }
 
-// MigrateFrom stops at most limit tasks that run at a node, of the job classes that may be; their clients request them again. It
-// returns how many it stopped.
+// MigrateFrom stops at most limit of the tasks that run on a node and whose job class is set in classes, so that their clients
+// request them again. It returns the number of tasks that it stopped.
 func (e *Engine) MigrateFrom(now float64, id uint32, classes []bool, limit int) (stopped int) {
 	e.observe(now)
 	for _, slot := range e.slotsAt(id) {
@@ -219,7 +220,7 @@
 	return stopped
 }
 
-// slotsAt are the slots of the allocations with an attempt at a node.
+// slotsAt returns the slots of the allocations whose current attempt is at a node.
 func (e *Engine) slotsAt(id uint32) []int {
 	index, ok := e.nodeIndex[id]
 	if !ok {
--- a/internal/engine/policy_effects.go
+++ b/internal/engine/policy_effects.go
@@ -6,10 +6,10 @@
 	"ravenpond/internal/decide/outcome"
 )
 
-// policyEffects carries out the decisions of the policy.
+// policyEffects implements logic.Effects: it carries out the decisions of the policy.
 type policyEffects struct{ engine *Engine }
 
-// StartAttempt begins an attempt. It is sent at once if the node is connected, else as soon as it connects.
+// StartAttempt begins an attempt. The offer is sent at once if the node is ready, otherwise when the node has become ready.
 func (p policyEffects) StartAttempt(allocationID, nodeID uint32, timeout float64) {
 	e := p.engine
 	slot := e.byID[allocationID]
@@ -32,11 +32,11 @@
 	e.timers.Set(e.now+min(outcome.ConnectTimeout(), timeout), timerConnect, attemptTimerKey(a.id, a.attempt.Number))
 }
 
-// sendOffer sends an attempt to its node if this engine still acts for the task.
+// sendOffer sends an attempt to its node if this engine still owns the task.
 func (e *Engine) sendOffer(a *allocation, n *node) {
 	a.phase = phaseInFlight
 	if !e.effects.PermitAttempt(a.owned(), n.id, a.attempt) {
-		a.phase = phaseConnecting // it was not sent, and no other attempt will be
+		a.phase = phaseConnecting // the offer was not sent, and no other attempt will be permitted
 		e.cancelUnsent(a)
 		return
 	}
@@ -44,17 +44,17 @@
 	e.effects.Offer(n.id, Offer{Attempt: a.attempt, Epoch: a.epoch, Timeout: a.dueAt - e.now, Task: a.task})
 }
 
-// Shed answers a request: its task does not run, and requesting it again does no harm.
+// Shed declines a request: the task does not run, and it is safe to retry the request.
 func (p policyEffects) Shed(allocationID uint32, retryAfter float64) {
 	p.engine.giveFinalAnswer(allocationID, Answer{Kind: Declined, RetryAfter: retryAfter})
 }
 
-// Fail answers a request: its task may have run.
+// Fail answers a request whose task may have run.
 func (p policyEffects) Fail(allocationID uint32) {
 	p.engine.giveFinalAnswer(allocationID, Answer{Kind: Failed})
 }
 
-// giveFinalAnswer answers a request that is not served.
+// giveFinalAnswer answers a request that was not served.
 func (e *Engine) giveFinalAnswer(allocationID uint32, answer Answer) {
 	slot, ok := e.byID[allocationID]
 	if !ok || e.allocations[slot].answered {
@@ -70,7 +70,7 @@
 	e.resolveLateStart(late)
 }
 
-// Cancel calls an attempt back.
+// Cancel cancels or recalls an attempt whose task is not running.
 func (p policyEffects) Cancel(allocationID uint32, attempt uint8) {
 	e := p.engine
 	slot, ok := e.byID[allocationID]
@@ -80,7 +80,7 @@
 	e.cancelAttempt(&e.allocations[slot])
 }
 
-// Migrate stops a running task so that its client asks for it again.
+// Migrate stops a running task so that its client requests it again.
 func (p policyEffects) Migrate(allocationID uint32) {
 	e := p.engine
 	if slot, ok := e.byID[allocationID]; ok && e.allocations[slot].phase == phaseRunning {
@@ -88,7 +88,7 @@
 	}
 }
 
-// Probe asks a node for a load report, once it is connected.
+// Probe asks a node for a load report, as soon as the node is ready. It does nothing while an earlier probe is in progress.
 func (p policyEffects) Probe(nodeID uint32) {
 	e := p.engine
 	index := e.nodeIndex[nodeID]
@@ -106,7 +106,7 @@
 	}
 }
 
-// WatchList starts or ends the watch on the node list.
+// WatchList starts or stops watching the node list for changes.
 func (p policyEffects) WatchList(active bool) { p.engine.effects.WatchList(active) }
 
 // ReloadList requests the full node list.
@@ -117,5 +117,5 @@
 	p.engine.timers.Set(p.engine.now+math.Max(0, delay), timerPolicy, key)
 }
 
-// Log writes a diagnostic line.
+// Log writes a line to the operator's log.
 func (p policyEffects) Log(line string) { p.engine.effects.Log(line) }
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -7,11 +7,11 @@
 	"ravenpond/internal/decide/outcome"
 )
 
-// Allocate takes a request. An error means that the client broke the protocol, and no answer follows.
+// Allocate handles a client's request. An error means that the client violated the protocol, and no answer follows.
 func (e *Engine) Allocate(now float64, r Request) error {
 	e.observe(now)
 	if _, ok := e.requests[r.ID]; ok {
-		return fmt.Errorf("ask %d is not over", r.ID.Number)
+		return fmt.Errorf("request %d has not ended", r.ID.Number)
 	}
 	key := r.Task.Key()
 	if slot, ok := e.byKey[key]; ok {
@@ -43,21 +43,21 @@
 	return nil
 }
 
-// minPlacementRounds is how many rounds an allocation needs at least to be placed.
+// minPlacementRounds is the minimum number of rounds that it takes to place an allocation.
 const minPlacementRounds = 4
 
-// admit decides whether a request is taken at all.
+// admit decides whether a request is admitted.
 func (e *Engine) admit(r *Request) admission.Verdict {
 	needed := e.config.AnswerMargin + minPlacementRounds*e.config.Cluster.MinRoundInterval
 	return e.admission.Admit(r.Task.Tenant, r.TimeLeft, needed, e.fitsAnyMachine(&r.Task))
 }
 
-// reject declines a request that is not taken.
+// reject declines a request that is not admitted.
 func (e *Engine) reject(r *Request, reason admission.Verdict) {
 	e.declineAdmitted(r, AnswerReason(reason.String()))
 }
 
-// declineAdmitted declines a request for which this engine acts, and acts for it no more.
+// declineAdmitted declines a request whose task this engine owns, and releases the ownership.
 func (e *Engine) declineAdmitted(r *Request, reason AnswerReason) {
 	task := OwnedTask{TaskKey: r.Task.Key(), Epoch: r.Epoch}
 	e.stats.Rejected++
@@ -67,8 +67,8 @@
 	e.effects.ReleaseTask(task, r.Task.Service)
 }
 
-// answerDuplicate answers a request for a task that is open or runs already. A second start is what its idempotency key guards
-// against.
+// answerDuplicate answers a request whose idempotency key belongs to an open or running allocation. The task is not started a second
+// time.
 func (e *Engine) answerDuplicate(slot int, request RequestID) {
 	a := &e.allocations[slot]
 	switch {
@@ -81,16 +81,16 @@
 	case !a.answered:
 		e.stats.Rejected++
 		e.effects.Answer(request, Answer{Kind: Declined, Reason: ReasonAlreadyOpen})
-	default: // an attempt is still in flight: its outcome decides what the next request may do
+	default: // an earlier attempt is still in progress, and its outcome decides whether a retry may start the task
 		e.stats.Rejected++
 		e.effects.Answer(request, Answer{Kind: Declined, Reason: ReasonEarlierInDoubt})
 	}
 }
 
-// fitsAnyMachine tells whether an empty machine of the kind that the job class needs would accept a task.
+// fitsAnyMachine reports whether a task fits on an empty machine of a kind that its job class allows.
 func (e *Engine) fitsAnyMachine(t *Task) bool {
 	cluster := e.config.Cluster
-	needed := cluster.JobClasses[t.JobClass].NodeKind // negative: any
+	needed := cluster.JobClasses[t.JobClass].NodeKind // negative: any kind
 	for kind := range cluster.KindCores {
 		if (needed < 0 || needed == kind) &&
 			t.Cores <= cluster.KindCores[kind]*cluster.CoresOvercommit && t.Memory <= cluster.KindMemory[kind]*cluster.MemoryOvercommit {
@@ -100,8 +100,8 @@
 	return false
 }
 
-// answer gives the final answer to an allocation's request, but never after the client's deadline: the client has given up by
-// itself then, and nothing more is sent to it.
+// answer gives the final answer to an allocation's request. After the client's deadline nothing is sent, because the client has
+// given up by then.
 func (e *Engine) answer(a *allocation, answer Answer) {
 	a.answered = true
 	e.admission.Release(a.task.Tenant)
@@ -132,19 +132,20 @@
 	}
 }
 
-// Withdraw ends a request that its client gives up: an open one is answered at once, a running task is stopped. An error means
+// Withdraw ends a request that its client withdraws: an open request is answered at once, a running task is stopped. An error means
 // that there is no such request.
 func (e *Engine) Withdraw(now float64, request RequestID) error {
 	e.observe(now)
 	slot, ok := e.requests[request]
 	if !ok {
-		return fmt.Errorf("no ask %d to withdraw", request.Number)
+		return fmt.Errorf("request %d to withdraw does not exist", request.Number)
 	}
 	e.withdrawAllocation(slot, true)
 	return nil
 }
 
-// withdrawAllocation ends an allocation as far as it can be ended. If notify is false, its client is not answered.
+// withdrawAllocation answers an open allocation and cancels its attempt, or stops a running task. If notify is false, the client of an open
+// allocation gets no answer.
 func (e *Engine) withdrawAllocation(slot int, notify bool) {
 	a := &e.allocations[slot]
 	if a.phase == phaseRunning {
@@ -171,7 +172,7 @@
 	e.resolveLateStart(late)
 }
 
-// OnClientDisconnected ends all open requests of a client whose connection ended. Its running tasks go on without a client.
+// OnClientDisconnected withdraws all open requests of a client whose connection ended. Its running tasks continue without a client.
 func (e *Engine) OnClientDisconnected(now float64, client uint32) {
 	e.observe(now)
 	if client == noClient {
@@ -190,7 +191,7 @@
 	}
 }
 
-// Close answers all open requests, as the process is about to end. Requests that come later are declined.
+// Close answers all open requests because the process is shutting down. Later requests are declined.
 func (e *Engine) Close(now float64) {
 	e.now, e.closed = now, true
 	for slot := range e.allocations {
@@ -200,9 +201,9 @@
 	}
 }
 
-// EvictTenant ends what there is of a tenant: open requests are answered at once, as the effect of their tasks allows, and
-// running tasks are stopped if that is wanted. It returns how many allocations and abandoned attempts are left, and should be
-// called again until there are none.
+// EvictTenant withdraws a tenant's open requests, which are answered as the retry semantics of their tasks allow, and stops its running
+// tasks if stopRunning is set. It returns the number of the tenant's remaining allocations and abandoned attempts, and should be called
+// again until there are none.
 func (e *Engine) EvictTenant(now float64, tenant int, stopRunning bool) (remaining int) {
 	e.observe(now)
 	for slot := range e.allocations {
@@ -220,7 +221,7 @@
 			remaining++
 		}
 	}
-	for _, entry := range e.abandoned { // a count: the order has no effect
+	for _, entry := range e.abandoned { // only counted, so the iteration order does not matter
 		if entry.task.Tenant == tenant && !entry.stopped {
 			remaining++
 		}
--- a/internal/engine/state.go
+++ b/internal/engine/state.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// AppendState appends what the engine holds, with times relative to now, so that two engines that will go on alike give the
-// same bytes. The policy's state is not in it. It is for the exhaustive exploration of an engine's states (lab/modelcheck).
+// AppendState appends an encoding of the engine's state, with times relative to now, so that two engines that will behave alike
+// give the same bytes. The policy's state is not included. The model checker (lab/modelcheck) uses it to explore all states.
 func (e *Engine) AppendState(b []byte) []byte {
 	w := stateWriter{bytes: b, now: e.now}
 	e.writeAllocations(&w)
@@ -51,7 +51,7 @@
 	}
 }
 
-// stateWriter appends values to bytes.
+// stateWriter encodes values into a byte slice.
 type stateWriter struct {
 	bytes []byte
 	now   float64
@@ -73,7 +73,7 @@
 	}
 }
 
-// relative is a time relative to now, -1 for none.
+// relative returns t relative to now, or -1 if t is 0, which stands for no time.
 func (w *stateWriter) relative(t float64) float64 {
 	if t == 0 {
 		return -1
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -8,35 +8,35 @@
 	"ravenpond/logic"
 )
 
-// timer is a time at which something is due. Most timers are never taken back: one that fires checks whether it still
+// timer is a scheduled action. Timers are usually not cancelled; the handler checks whether a timer that fires still
 // applies.
 type timer = timers.Timer[timerKind]
 
-// timerKind says what is due.
+// timerKind is the action that a timer triggers.
 type timerKind uint8
 
 const (
-	timerPolicy    timerKind = iota // a timer of the policy; its key is the policy's
-	timerAttempt                    // the time-out of an attempt; its key is made by attemptTimerKey
-	timerConfirm                    // the end of waiting for an attempt whose connection broke; by the allocation's number
-	timerRetention                  // a late start is kept no longer; by the allocation's number
-	timerProbe                      // the time-out of a probe; its key is made by probeTimerKey
-	timerConnect                    // the end of waiting for a connection; its key is made by attemptTimerKey
-	timerClaim                      // the first of the pending claims is due
-	timerCleanup                    // abandoned attempts may be forgotten
+	timerPolicy    timerKind = iota // a timer of the policy; the key is the policy's
+	timerAttempt                    // time-out of an attempt; the key is attemptTimerKey
+	timerConfirm                    // end of the wait for an attempt whose connection broke; the key is the allocation's number
+	timerRetention                  // end of the retention of a late start; the key is the allocation's number
+	timerProbe                      // time-out of a probe; the key is probeTimerKey
+	timerConnect                    // end of the wait for a connection; the key is attemptTimerKey
+	timerClaim                      // the first pending claim is due
+	timerCleanup                    // removal of old abandoned attempts
 )
 
-// attemptTimerKey is the key of a timer for an attempt of an allocation.
+// attemptTimerKey returns the key of a timer for an attempt of an allocation.
 func attemptTimerKey(allocationID uint32, attempt uint8) uint64 {
 	return uint64(attempt)<<32 | uint64(allocationID)
 }
 
-// probeTimerKey is the key of a timer for a probe of a node.
+// probeTimerKey returns the key of a timer for a probe of a node.
 func probeTimerKey(nodeIndex int, sequence uint64) uint64 {
 	return uint64(uint32(sequence))<<32 | uint64(uint32(nodeIndex))
 }
 
-// fire acts on a timer that is due.
+// fire handles a timer that is due.
 func (e *Engine) fire(t timer) {
 	switch t.Kind {
 	case timerPolicy:
@@ -58,7 +58,7 @@
 	}
 }
 
-// onAttemptTimeout gives up an attempt that was not answered in time.
+// onAttemptTimeout abandons an attempt that was not answered in time.
 func (e *Engine) onAttemptTimeout(t timer) {
 	slot, ok := e.byID[uint32(t.Key)]
 	if !ok {
@@ -70,7 +70,7 @@
 	}
 }
 
-// onConfirmTimeout gives up an attempt whose connection broke and of which its node has said nothing since.
+// onConfirmTimeout gives up an attempt whose connection broke and that its node has not reported since.
 func (e *Engine) onConfirmTimeout(t timer) {
 	slot, ok := e.byID[uint32(t.Key)]
 	if !ok || e.allocations[slot].confirmBy != t.At {
@@ -86,7 +86,7 @@
 	}
 }
 
-// extendConfirmation waits longer for a node with a running task while other schedulers hear it. It tells whether it does.
+// extendConfirmation extends the wait for a running task while other schedulers hear from its node. It reports whether the wait was extended.
 func (e *Engine) extendConfirmation(slot int) bool {
 	a := &e.allocations[slot]
 	n := &e.nodes[a.nodeIndex]
@@ -100,12 +100,12 @@
 	e.timers.Set(a.confirmBy, timerConfirm, uint64(a.id))
 	if !n.confirmExtended {
 		n.confirmExtended = true
-		e.effects.Log(fmt.Sprintf("node %d: silent here for %.1f s, others hear it: what runs there is waited for", n.id, silence/1000))
+		e.effects.Log(fmt.Sprintf("node %d has not been connected for %.1f s, but other schedulers hear from it; still waiting for its running tasks", n.id, silence/1000))
 	}
 	return true
 }
 
-// onRetentionTimeout stops a task that was kept for its client's next request, which did not come.
+// onRetentionTimeout stops a task that was kept for a retry by its client, because no retry was received.
 func (e *Engine) onRetentionTimeout(t timer) {
 	slot, ok := e.byID[uint32(t.Key)]
 	if !ok {
@@ -116,7 +116,7 @@
 	}
 }
 
-// onProbeTimeout ends a probe that was not answered in time.
+// onProbeTimeout ends a probe that was not answered in time, or not sent because its node did not connect.
 func (e *Engine) onProbeTimeout(t timer) {
 	index := int(uint32(t.Key))
 	n := &e.nodes[index]
@@ -141,8 +141,8 @@
 	}
 }
 
-// onClaimDue claims the abandoned attempt that is due. All claims wait equally long, so the first one that was scheduled is the
-// first one due.
+// onClaimDue claims the abandoned attempt whose claim is due. All claims are scheduled with the same delay, so they become due in
+// the order in which they were scheduled.
 func (e *Engine) onClaimDue() {
 	c := e.claims[0]
 	e.claims = e.claims[1:]
@@ -156,7 +156,7 @@
 	e.scheduleClaims(c.attempt, c.remaining)
 }
 
-// onCleanupDue forgets the attempts that were abandoned long ago.
+// onCleanupDue removes the abandoned attempts whose retention has ended.
 func (e *Engine) onCleanupDue() {
 	e.removeMatching(func(entry abandonedAttempt) bool { return e.now-entry.sentAt > outcome.AttemptRetention() })
 	if len(e.abandoned) > 0 {
--- a/internal/engine/transfer.go
+++ b/internal/engine/transfer.go
@@ -9,19 +9,19 @@
 	"ravenpond/logic"
 )
 
-// Transfer is an allocation that one engine hands over to another: all that is needed to go on with it.
+// Transfer is an allocation that one engine hands over to another, with all that the receiving engine needs to continue it.
 type Transfer struct {
 	Request  RequestID
 	Task     Task
 	Deadline float64 // of the client
-	Epoch    uint32  // under which it was held
-	Running  bool    // at the node, by the attempt
+	Epoch    uint32  // under which the sending engine owned the task
+	Running  bool    // the task runs on Node under Attempt
 	Node     uint32
 	Attempt  AttemptID
 }
 
-// CountByService appends what the engine holds, by service in ascending order. belongsElsewhere tells which services belong to
-// another engine; withRunning tells whether running tasks can be handed over at all.
+// CountByService appends the number of allocations and abandoned attempts of each service, in ascending order of the service.
+// belongsElsewhere reports whether a service belongs to another engine. withRunning is set if running tasks can be handed over.
 func (e *Engine) CountByService(counts []handover.ServiceLoad, withRunning bool,
 	belongsElsewhere func(service uint64, tenant int) bool,
 ) []handover.ServiceLoad {
@@ -52,7 +52,7 @@
 			count.Waiting++
 		}
 	}
-	for _, entry := range e.abandoned { // counts alone: the order has no effect
+	for _, entry := range e.abandoned { // only counted, so the iteration order does not matter
 		if !entry.started || !entry.stopped {
 			countOf(&entry.task).Unresolved++
 		}
@@ -61,8 +61,8 @@
 	return counts
 }
 
-// isTransferable tells whether an allocation can be handed over: it waits and has only attempts that provably never ran, or it
-// runs at a node that is connected.
+// isTransferable reports whether an allocation can be handed over. It can if it has no current attempt and its earlier attempts provably
+// never ran, or if its task runs on a node that is ready.
 func (e *Engine) isTransferable(a *allocation, withRunning bool) bool {
 	if !a.lateStart.IsZero() {
 		return false
@@ -71,7 +71,7 @@
 	case phaseWaiting:
 		return !a.answered && !a.mayHaveRun
 	case phaseRunning:
-		kept := a.request.Client == noClient && a.dueAt > e.now // and stopped then, which is known here alone
+		kept := a.request.Client == noClient && a.dueAt > e.now // for a retry and stopped at dueAt, which only this engine knows
 		return withRunning && e.nodes[a.nodeIndex].ready && !a.stopping && !kept
 	}
 	return false
@@ -92,7 +92,7 @@
 	}
 }
 
-// transferOut removes an allocation from this engine.
+// transferOut removes an allocation from this engine and returns it as a Transfer.
 func (e *Engine) transferOut(slot int) Transfer {
 	a := &e.allocations[slot]
 	t := Transfer{
@@ -117,15 +117,15 @@
 	return t
 }
 
-// TransferIn takes a running task over from another engine. Effects.RecoverTask must know it as this engine's. It returns false
-// if the task's node is not known here, or another engine acts for the task by now.
+// TransferIn takes over a running task from another engine. By then, the ownership of the task must have moved to this engine, as
+// Effects.RecoverTask checks. TransferIn returns false if the task's node is not known here or another engine owns the task by now.
 func (e *Engine) TransferIn(now float64, t Transfer) bool {
 	e.observe(now)
 	index, ok := e.nodeIndex[t.Node]
 	if !ok {
 		return false
 	}
-	if _, ok := e.findAttempt(t.Attempt); ok { // its node has named it before
+	if _, ok := e.findAttempt(t.Attempt); ok { // the node has already reported it as held
 		return true
 	}
 	entry := abandonedAttempt{nodeIndex: index, task: t.Task, sentAt: now, started: true}
@@ -134,7 +134,7 @@
 	if !ok {
 		return false
 	}
-	if a := &e.allocations[slot]; !e.nodes[index].connected { // the connection broke meanwhile
+	if a := &e.allocations[slot]; !e.nodes[index].connected { // the connection broke during the transfer
 		a.confirmBy = now + outcome.ClaimTimeout(true)
 		e.timers.Set(a.confirmBy, timerConfirm, uint64(a.id))
 	}
--- a/internal/engine/workingset.go
+++ b/internal/engine/workingset.go
@@ -2,14 +2,14 @@
 
 import "ravenpond/logic"
 
-// A scheduler with a working set shows its policy the nodes of that set alone. The engine knows these, and the nodes outside
-// at which it has attempts: they get nothing new and are released once nothing is left there.
+// A scheduler with a working set gives its policy only the nodes of that set. The engine knows these nodes and, in addition, nodes
+// outside the set at which it still has attempts. The latter get no new tasks and are released once no attempts are left there.
 
-// maxClockSkew is how much, in ms, the clocks of schedulers and of the list may differ.
+// maxClockSkew is the largest difference, in ms, between the clocks of schedulers and of the list server.
 const maxClockSkew = 500
 
-// BeginWorkingSet opens an update of nodes that enter the working set; AddListEntry follows for each, and no EndList. If isNew
-// is set, they came to the list just now, and the policy paces them as nodes that are warming up.
+// BeginWorkingSet begins an update of nodes that enter the working set. AddListEntry follows for each node; EndList is not called. If
+// isNew is set, the nodes have just been added to the list, and the policy paces them as nodes that are warming up.
 func (e *Engine) BeginWorkingSet(now float64, isNew bool) {
 	e.observe(now)
 	e.enteringNodes = true
@@ -21,7 +21,7 @@
 	e.policy.OnListBegin(now, kind)
 }
 
-// SetOutsideWorkingSet moves nodes out of the working set, where they get nothing new, or into it.
+// SetOutsideWorkingSet moves nodes out of the working set, so that they get no new tasks, or into it.
 func (e *Engine) SetOutsideWorkingSet(now float64, ids []uint32, outside bool) {
 	if !outside {
 		for _, id := range ids {
@@ -35,9 +35,9 @@
 	e.setExcluded(now, ids, excludedWorkingSet, outside)
 }
 
-// delayStart has a node that started a short while ago, by the list's clock, count as started a little later. The policy
-// would take a node that enters now for warm as soon as its warm-up is over by that clock; a node that the list names for
-// the first time it takes for cold from that moment on.
+// delayStart shifts the start time of a node that started recently by the list's clock to maxClockSkew later. Without the shift, the
+// policy would treat a node that enters now as warm as soon as its warm-up is over by that clock. A node that is new to the list is
+// treated as cold from the time of its first entry anyway.
 func (e *Engine) delayStart(n *node) {
 	start := n.listed.startedAt
 	if start > 0 && !n.startDelayed && e.now-start < e.config.Cluster.SlowStartDuration+maxClockSkew {
@@ -45,22 +45,22 @@
 	}
 }
 
-// retain keeps a node connected that may have been released.
+// retain keeps a node connected, also if it was released before.
 func (e *Engine) retain(now float64, index int) {
 	n := &e.nodes[index]
 	n.released = false
 	e.pacer.SetEnabled(now, index, n.availability != logic.Unavailable)
 }
 
-// Release has a node outside the working set not be kept connected any more, if the engine has nothing there. It tells whether it
-// did.
+// Release stops keeping a node outside the working set connected if the engine has no attempts and no probe there. It reports whether
+// the node is released.
 func (e *Engine) Release(now float64, id uint32) bool {
 	index, ok := e.nodeIndex[id]
 	if !ok {
 		return true
 	}
 	n := &e.nodes[index]
-	unknownTasks := !n.everReady && n.availability != logic.Unavailable // of an earlier incarnation: it has not named them yet
+	unknownTasks := !n.everReady && n.availability != logic.Unavailable // the node may hold tasks of an earlier incarnation of this scheduler that it has not reported yet
 	busy := len(n.allocations) > 0 || n.abandoned > 0 || n.probing
 	if unknownTasks || busy || e.exclusions[id]&excludedWorkingSet == 0 {
 		return false
@@ -69,7 +69,7 @@
 	return true
 }
 
-// ForceRelease releases a node whatever the engine has there. That is a fault which tests inject.
+// ForceRelease releases a node even if the engine has attempts there. Tests use it to inject that fault.
 func (e *Engine) ForceRelease(now float64, id uint32) {
 	if index, ok := e.nodeIndex[id]; ok {
 		e.release(now, index)
@@ -81,14 +81,14 @@
 	e.pacer.SetEnabled(now, index, false)
 }
 
-// Demand is what an engine's tasks ask for, and which of them find no node.
+// Demand is the amount of resources that an engine's tasks request, and the machine kinds that are short.
 type Demand struct {
-	Cores, Memory float64 // of all tasks that run or have an attempt
-	Offers        uint64  // since the start
-	Short         []bool  // by machine kind, the last for tasks that run on any: one waits for longer than the patience
+	Cores, Memory float64 // total of all tasks that run or have an attempt
+	Offers        uint64  // number of attempts since the start
+	Short         []bool  // by machine kind, the last element for tasks that run on any kind; set if a task has waited longer than minWait
 }
 
-// Demand sums up what tasks ask for. A task is short of nodes if it has waited for longer than the patience since it was
+// Demand returns the current demand. A machine kind is short if a task that needs it has waited for longer than minWait since the task was
 // requested or since its last attempt ended.
 func (e *Engine) Demand(now, minWait float64) Demand {
 	d := Demand{Offers: e.stats.Offers, Short: make([]bool, len(e.config.Cluster.KindCores)+1)}
