--- a/internal/engine/abandoned.go
+++ b/internal/engine/abandoned.go
@@ -119,7 +119,7 @@
 		}
 	}
 	attempting := open && e.allocations[slot].phase != phaseWaiting
-	switch outcome.OnLateStart(e.jobEffects[entry.task.JobClass], open, attempting) {
+	switch outcome.OnLateStart(e.retrySemantics[entry.task.JobClass], open, attempting) {
 	case outcome.Stop:
 		e.stopAbandoned(id)
 	case outcome.Serve:
@@ -182,7 +182,7 @@
 	if !ok || id.IsZero() || entry.stopped {
 		return
 	}
-	if outcome.OnLateStart(e.jobEffects[entry.task.JobClass], false, false) == outcome.Stop {
+	if outcome.OnLateStart(e.retrySemantics[entry.task.JobClass], false, false) == outcome.Stop {
 		e.stopAbandoned(id)
 	} else {
 		e.recoverForRetry(id, entry)
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -156,7 +156,7 @@
 	}
 	id, class := a.attempt, a.task.JobClass
 	e.recordAbandoned(id, abandonedAttempt{allocationID: a.id, nodeIndex: a.nodeIndex, task: a.task, sentAt: a.sentAt})
-	if e.jobEffects[class] != logic.Restartable {
+	if e.retrySemantics[class] != logic.Restartable {
 		e.scheduleClaims(id, outcome.MaxClaims())
 	}
 	e.completeAttempt(slot, outcomeOf(result))
@@ -209,7 +209,7 @@
 	}
 	if a.request.Client == noClient { // the request was answered before, or its deadline has passed
 		e.stats.LateStarts++
-		if outcome.OnLateStart(e.jobEffects[a.task.JobClass], false, false) == outcome.Stop {
+		if outcome.OnLateStart(e.retrySemantics[a.task.JobClass], false, false) == outcome.Stop {
 			e.stopTask(a)
 		} else {
 			e.keepForRetry(a)
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -8,7 +8,7 @@
 	"ravenpond/logic"
 )
 
-// lastOfferEffects drops effects but keeps the last offer.
+// lastOfferEffects ignores all effects but records the last offer.
 type lastOfferEffects struct{ harness }
 
 func (e *lastOfferEffects) Offer(node uint32, offer Offer) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// BenchmarkEngine takes an allocation from its request to its end through the engine, one in each round of 1 ms.
+// BenchmarkEngine measures an allocation from its request to its end in the engine, with one allocation per round of 1 ms.
 func BenchmarkEngine(b *testing.B) {
 	effects := &lastOfferEffects{}
 	e := New(effects, 1, Config{Cluster: benchCluster(), Shares: []float64{1}, MaxOpen: 1000, AnswerMargin: 100, SettleTime: 3000, Incarnation: 1, Seed: 1})
@@ -58,12 +58,12 @@
 		e.Round(now)
 		if e.OnStarted(now, effects.lastOffer.node, effects.lastOffer.attempt, 1) != nil ||
 			e.OnOutcome(now, effects.lastOffer.node, Outcome{Attempt: effects.lastOffer.attempt, Result: logic.Completed, Reason: logic.ReasonUnknown, Report: report}) != nil {
-			b.Fatal("lost")
+			b.Fatal("start or end of the attempt was rejected")
 		}
 	}
 }
 
-// lastAttempt keeps the last attempt of a policy and drops its other effects.
+// lastAttempt records the last attempt of a policy and ignores its other effects.
 type lastAttempt struct{ node, allocation uint32 }
 
 func (h *lastAttempt) StartAttempt(allocation, node uint32, _ float64) {
@@ -79,7 +79,7 @@
 func (h *lastAttempt) SetTimer(float64, uint64) {}
 func (h *lastAttempt) Log(string)               {}
 
-// BenchmarkPolicy makes the same calls on the policy alone, with the timers that the engine would fire.
+// BenchmarkPolicy makes the same calls to the policy without an engine, and fires the timer that the engine would fire.
 func BenchmarkPolicy(b *testing.B) {
 	h := &lastAttempt{}
 	s := logic.New(h, 1, 1, benchCluster())
@@ -108,7 +108,7 @@
 	}
 }
 
-// BenchmarkOpen measures the memory of an open allocation, engine and policy together, at 100,000.
+// BenchmarkOpen measures the memory per open allocation in the engine and the policy together, with 100,000 open allocations.
 func BenchmarkOpen(b *testing.B) {
 	const many = 100000
 	for b.Loop() {
@@ -125,17 +125,17 @@
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		if e.admission.Open() != many {
-			b.Fatal("not all open")
+			b.Fatal("not all allocations are open")
 		}
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/many, "B/open")
 	}
 }
 
-// BenchmarkFindAttempt finds an open attempt by its ticket among 10,000: by a map of places in a table, as the engine does, and by a
-// map of pointers with a lock.
+// BenchmarkFindAttempt compares two ways to find one of 10,000 open attempts by its ticket: a map of indices into a slice, which the
+// engine uses, and a map of pointers with a lock.
 func BenchmarkFindAttempt(b *testing.B) {
 	const many = 10000
-	b.Run("table and map", func(b *testing.B) {
+	b.Run("map of slice indices", func(b *testing.B) {
 		table, at := make([]allocation, many), map[uint32]int{}
 		for i := range many {
 			at[uint32(i)] = i
--- a/internal/engine/end_before_start_test.go
+++ b/internal/engine/end_before_start_test.go
@@ -8,21 +8,21 @@
 	"ravenpond/logic"
 )
 
-// TestEndBeforeStart has a node report the end of an attempt whose start was never reported, as after a lost message. A client that
-// was not answered is not notified of an end, so a restartable task gets another attempt, an idempotent one inside its
-// scope alone, and an at-most-once task fails. The first attempt's start may still be reported: it serves nobody, and is an
-// error of the node.
+// TestEndBeforeStart has a node report the end of an attempt whose start was not reported, as happens when a message is lost. A client
+// that has no answer yet cannot be notified of the end. Therefore a restartable task gets another attempt, an idempotent one gets
+// another attempt within its scope only, and an at-most-once task fails. If the start of the first attempt is reported afterwards, it
+// must serve no request and is a protocol violation by the node.
 func TestEndBeforeStart(t *testing.T) {
 	for _, result := range []logic.Outcome{logic.Completed, logic.Errored, logic.ConnectionLost, logic.Cancelled} {
 		for jobClass, retried := range []bool{restartable: true, idempotentInZone: true, idempotentEverywhere: true, atMostOnce: false} {
-			t.Run(fmt.Sprintf("verdict %d, jobClass %d", result, jobClass), func(t *testing.T) {
+			t.Run(fmt.Sprintf("outcome %d, job class %d", result, jobClass), func(t *testing.T) {
 				testEndBeforeStart(t, jobClass, result, retried)
 			})
 		}
 	}
 }
 
-// testEndBeforeStart has the first attempt end before its start. retried tells whether another attempt follows.
+// testEndBeforeStart reports the end of the first attempt before its start. retried says whether another attempt must follow.
 func testEndBeforeStart(t *testing.T, jobClass int, result logic.Outcome, retried bool) {
 	t.Helper()
 	h := newHarness(t, true)
@@ -36,27 +36,27 @@
 	got := h.takeEffects()
 	if !retried {
 		if strings.Count(got, "answer 1 failed") != 1 || h.lastOffer != first {
-			t.Fatalf("run-once work after its end: %q", got)
+			t.Fatalf("got effects %q, want one failed answer and no other attempt", got)
 		}
 		return
 	}
 	if h.lastOffer.attempt.Number != 1 || strings.Contains(got, "answer") {
-		t.Fatalf("no second attempt: %q", got)
+		t.Fatalf("got effects %q, want a second attempt and no answer", got)
 	}
 	if jobClass == idempotentInZone && (h.lastOffer.node-1)/2 != (first.node-1)/2 {
-		t.Errorf("keyed work went on from node %d to node %d in another zone", first.node, h.lastOffer.node)
+		t.Errorf("first attempt at node %d, second at node %d, want both in the same zone", first.node, h.lastOffer.node)
 	}
 	if err := h.engine.OnStarted(h.now, first.node, first.attempt, 10); err == nil {
-		t.Error("a start after the end of the same attempt is no fault of its node")
+		t.Error("start after the end of the same attempt: got no error")
 	}
 	if got := h.takeEffects(); strings.Contains(got, "answer") {
-		t.Errorf("the late start answers: %q", got)
+		t.Errorf("got effects %q of the late start, want no answer", got)
 	}
 	if err := h.reportStart(10); err != nil {
 		t.Error(err)
 	}
 	h.advance(4000)
 	if got := h.takeEffects(); strings.Count(got, "answer 1 served") != 1 || strings.Count(got, "answer") != 1 {
-		t.Errorf("the answer: %q", got)
+		t.Errorf("got effects %q, want one answer, which is served", got)
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -27,7 +27,7 @@
 }
 
 // PolicyFactory creates a placement policy.
-type PolicyFactory func(host logic.Effects, now float64, seed uint64, cl *logic.Cluster) logic.EventHandler
+type PolicyFactory func(host logic.Effects, now float64, seed uint64, cluster *logic.Cluster) logic.EventHandler
 
 // Engine runs one policy instance. The package comment states the rules for concurrent use.
 type Engine struct {
@@ -46,14 +46,14 @@
 	freeSlots   []int
 	byID        map[uint32]int    // slots by the allocation's number in the policy
 	byKey       map[TaskKey]int   // slots of open and running allocations
-	requests    map[RequestID]int // slots of allocations whose client is notified of the end
+	requests    map[RequestID]int // slots of allocations by the request that is answered and notified
 	recovered   map[AttemptID]int // slots of running allocations that recoverTask created, such as those placed by an earlier incarnation or by another engine
 	lastID      uint32            // last number given to an allocation or to an abandoned attempt that the policy counts
 
-	abandoned  map[AttemptID]abandonedAttempt
-	claims     []pendingClaim         // in the order of their timers
-	deferred   []deferredOutcome      // outcomes that are reported to the policy in the next round
-	jobEffects []logic.RetrySemantics // by job class
+	abandoned      map[AttemptID]abandonedAttempt
+	claims         []pendingClaim         // in the order of their timers
+	deferred       []deferredOutcome      // outcomes that are reported to the policy in the next round
+	retrySemantics []logic.RetrySemantics // by job class
 
 	pacer      *reconnect.Pacer
 	nodes      []node
@@ -97,7 +97,7 @@
 		exclusions: map[uint32]exclusion{},
 	}
 	for _, class := range config.Cluster.JobClasses {
-		e.jobEffects = append(e.jobEffects, class.Semantics)
+		e.retrySemantics = append(e.retrySemantics, class.Semantics)
 	}
 	newPolicy := config.NewPolicy
 	if newPolicy == nil {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -9,24 +9,26 @@
 	"ravenpond/logic"
 )
 
+// TestBrokenConnection breaks the connection to a node while an attempt is in flight. A second attempt may follow only if the first provably
+// never ran or if the job class allows a second run; a task that is idempotent in a zone gets its second attempt in the same zone.
 func TestBrokenConnection(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		sent bool
-		back func(h *harness) // how the node comes back
-		want [4]string        // by jobClass class: what follows within two seconds
+		name      string
+		sent      bool
+		reconnect func(h *harness) // how the node reconnects; nil: it does not
+		want      [4]string        // effects within two seconds, by job class
 	}{
-		{"never left", false, nil, [4]string{"offer 1.1", "offer 1.1", "offer 1.1", "offer 1.1"}},
-		{"left, node stays away", true, nil, [4]string{"offer 1.1", "offer 1.1", "offer 1.1", "answer 1 failed"}},
-		{"left, node says it never saw it", true, func(h *harness) {
+		{"offer not sent", false, nil, [4]string{"offer 1.1", "offer 1.1", "offer 1.1", "offer 1.1"}},
+		{"offer may have been sent, node does not reconnect", true, nil, [4]string{"offer 1.1", "offer 1.1", "offer 1.1", "answer 1 failed"}},
+		{"offer may have been sent, node rejects the claim", true, func(h *harness) {
 			h.connect(h.lastOffer.node, 1)
 			h.engine.OnClaimOutcome(h.now, h.lastOffer.node, Outcome{Attempt: h.lastOffer.attempt, Result: logic.Rejected, Reason: logic.ReasonUnknown})
 		}, [4]string{"claim 1.0, offer 1.1", "claim 1.0, offer 1.1", "claim 1.0, offer 1.1", "claim 1.0, offer 1.1"}},
 		{
-			"left, node comes back in another life", true, func(h *harness) { h.connect(h.lastOffer.node, 2) },
+			"offer may have been sent, node reconnects in another incarnation", true, func(h *harness) { h.connect(h.lastOffer.node, 2) },
 			[4]string{"offer 1.1", "offer 1.1", "offer 1.1", "answer 1 failed"},
 		},
-		{"left, node holds it and it runs", true, func(h *harness) {
+		{"offer may have been sent, node reports the task as running", true, func(h *harness) {
 			h.engine.OnConnected(h.now, h.lastOffer.node, 1, 0)
 			err := h.engine.OnHeld(h.now, h.lastOffer.node, HeldTask{
 				Attempt: h.lastOffer.attempt,
@@ -43,38 +45,40 @@
 			t.Run(fmt.Sprintf("%s/%d", c.name, jobClass), func(t *testing.T) {
 				h := newHarness(t, true)
 				h.request(1, jobClass, 5000)
-				h.expect("offer", h.takeEffects(), "offer 1.0")
+				h.expect("effects of the request", h.takeEffects(), "offer 1.0")
 				first := h.lastOffer.node
 				h.breakConnection(c.sent)
 				h.advance(50)
-				if c.back != nil {
-					c.back(h)
+				if c.reconnect != nil {
+					c.reconnect(h)
 				}
 				h.advance(1900)
 				got := h.takeEffects()
 				if i := strings.Index(got, ", recall"); i >= 0 {
-					got = got[:i] // what comes after the first effect does not matter here
+					got = got[:i] // ignore the effects from the first recall on
 				}
-				h.expect("then", got, want)
-				if jobClass == idempotentInZone && c.sent && strings.Contains(got, "offer 1.1") && c.back == nil &&
+				h.expect("effects after the connection broke", got, want)
+				if jobClass == idempotentInZone && c.sent && strings.Contains(got, "offer 1.1") && c.reconnect == nil &&
 					(first-1)/2 != (h.lastOffer.node-1)/2 {
-					t.Errorf("second try at node %d left the zone of node %d", h.lastOffer.node, first)
+					t.Errorf("second attempt at node %d, want one in the zone of node %d", h.lastOffer.node, first)
 				}
 			})
 		}
 	}
 }
 
+// TestLateStart has a node report the start of an attempt after the attempt has been abandoned. While the client waits, the start serves its
+// request unless a later attempt starts first. Afterwards a restartable task is stopped, and any other task is kept for a retry by the client.
 func TestLateStart(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		jobClass int
-		wait     float64 // after which the start of the first attempt is reported
+		wait     float64 // ms after which the start of the first attempt is reported
 		want     string
 	}{
-		{"restartable, another try out", restartable, 2500, "recall 1.1"},
-		{"tokened, after the answer: kept for the next ask", idempotentInZone, 6000, "answer 2 served"},
-		{"run-once, after the answer: kept for the next ask", atMostOnce, 6000, "answer 2 served"},
+		{"restartable, another attempt in flight", restartable, 2500, "recall 1.1"},
+		{"idempotent, after the answer: kept for a retry", idempotentInZone, 6000, "answer 2 served"},
+		{"at most once, after the answer: kept for a retry", atMostOnce, 6000, "answer 2 served"},
 		{"restartable, after the answer: stopped", restartable, 6000, "stop 1.0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -89,16 +93,16 @@
 			if c.want == "answer 2 served" {
 				h.allocate(newRequest(7, 2, Task{JobClass: c.jobClass, Service: 99, Token: 1001, Cores: 1, Memory: 2}, 5000))
 			}
-			h.expect("then", h.takeEffects(), c.want)
-			if c.want == "recall 1.1" { // handed back: the late start serves
+			h.expect("effects of the late start", h.takeEffects(), c.want)
+			if c.want == "recall 1.1" { // once the second attempt is returned, the late start serves the request
 				if err := h.reportEnd(logic.Rejected); err != nil {
 					t.Fatal(err)
 				}
-				h.expect("then", h.takeEffects(), "answer 1 served")
+				h.expect("effects of the returned attempt", h.takeEffects(), "answer 1 served")
 			}
 		})
 	}
-	t.Run("kept, but nobody asks", func(t *testing.T) {
+	t.Run("kept for a retry that is not made", func(t *testing.T) {
 		h := newHarness(t, true)
 		h.request(1, atMostOnce, 5000)
 		h.advance(6000)
@@ -107,23 +111,25 @@
 			t.Fatal(err)
 		}
 		h.advance(9000)
-		h.expect("then", h.takeEffects(), "stop 1.0")
+		h.expect("effects after the retention", h.takeEffects(), "stop 1.0")
 	})
 }
 
+// TestAnswers checks the answers to requests: at most one for each, none after the deadline, and a decline of what exceeds the limit of
+// open allocations, fits on no machine or repeats an open request.
 func TestAnswers(t *testing.T) {
-	t.Run("start that crosses the expiry", func(t *testing.T) {
+	t.Run("start after the deadline", func(t *testing.T) {
 		h := newHarness(t, true)
 		h.request(1, atMostOnce, 2000)
 		h.takeEffects()
-		h.now += 2500 // a pause beyond the deadline: the client has given up, nothing more is sent to it
+		h.now += 2500 // the process is paused beyond the deadline: the client has given up, and nothing is sent to it
 		if err := h.reportStart(10); err != nil {
 			t.Fatal(err)
 		}
 		h.advance(500)
-		h.expect("after", h.takeEffects(), "")
+		h.expect("effects after the deadline", h.takeEffects(), "")
 	})
-	t.Run("each once, before the expiry", func(t *testing.T) {
+	t.Run("one answer for each request before its deadline", func(t *testing.T) {
 		h := newHarness(t, false) // every node refuses connections
 		for number := range uint64(4) {
 			h.request(number+1, int(number), 1500)
@@ -139,40 +145,42 @@
 		got := h.takeEffects()
 		for number := range 4 {
 			if n := strings.Count(got, fmt.Sprintf("answer %d declined", number+1)); n != 1 {
-				t.Errorf("ask %d declined %d times in %q", number+1, n, got)
+				t.Errorf("request %d declined %d times, want once, in %q", number+1, n, got)
 			}
 		}
 		if len(h.engine.byID) != 0 || h.engine.admission.Open() != 0 || len(h.engine.byKey) != 0 || len(h.engine.requests) != 0 {
-			t.Errorf("left over: %+v", h.engine.Stats())
+			t.Errorf("allocations are left after all answers: %+v", h.engine.Stats())
 		}
 	})
-	t.Run("over the limit", func(t *testing.T) {
+	t.Run("over the limit of open allocations", func(t *testing.T) {
 		h := newHarness(t, false)
 		for number := range uint64(140) {
 			_ = h.engine.Allocate(h.now, newRequest(7, number+1, Task{JobClass: restartable, Tenant: int(number % 2), Service: 99, Token: 1000 + number, Cores: 1, Memory: 2}, 5000))
 		}
 		if got := strings.Count(h.takeEffects(), "declined"); got != 40 {
-			t.Errorf("%d declined at once, want 40", got)
+			t.Errorf("%d requests declined at once, want 40", got)
 		}
 	})
 	t.Run("too large for any machine", func(t *testing.T) {
 		h := newHarness(t, true)
 		_ = h.engine.Allocate(h.now, newRequest(7, 1, Task{JobClass: restartable, Service: 99, Token: 1, Cores: 33, Memory: 2}, 5000))
-		h.expect("answer", h.takeEffects(), "answer 1 declined")
+		h.expect("effects of the request", h.takeEffects(), "answer 1 declined")
 	})
-	t.Run("the same key twice", func(t *testing.T) {
+	t.Run("same idempotency key twice", func(t *testing.T) {
 		h := newHarness(t, true)
 		h.request(1, atMostOnce, 5000)
 		h.takeEffects()
 		_ = h.engine.Allocate(h.now, newRequest(8, 9, Task{JobClass: atMostOnce, Service: 99, Token: 1001, Cores: 1, Memory: 2}, 5000))
-		h.expect("while open", h.takeEffects(), "answer 9 declined")
+		h.expect("effects of the second request while the first is open", h.takeEffects(), "answer 9 declined")
 		_ = h.reportStart(10)
-		h.expect("its start", h.takeEffects(), "answer 1 served")
+		h.expect("effects of the start", h.takeEffects(), "answer 1 served")
 		_ = h.engine.Allocate(h.now, newRequest(8, 10, Task{JobClass: atMostOnce, Service: 99, Token: 1001, Cores: 1, Memory: 2}, 5000))
-		h.expect("while it runs", h.takeEffects(), "answer 10 served")
+		h.expect("effects of a request while the task runs", h.takeEffects(), "answer 10 served")
 	})
 }
 
+// TestWithdraw withdraws a request whose attempt is in flight. The client is answered at once, and the attempt is recalled. Only a restartable
+// task is declined; any other may have run.
 func TestWithdraw(t *testing.T) {
 	for jobClass, want := range [4]string{
 		"answer 1 declined, recall 1.0", "answer 1 failed, recall 1.0",
@@ -185,35 +193,36 @@
 			if err := h.engine.Withdraw(h.now, RequestID{Client: 7, Number: 1}); err != nil {
 				t.Fatal(err)
 			}
-			h.expect("out", h.takeEffects(), want)
+			h.expect("effects of the withdrawal", h.takeEffects(), want)
 			if err := h.reportEnd(logic.Rejected); err != nil {
 				t.Fatal(err)
 			}
 			h.advance(100)
-			h.expect("after", h.takeEffects(), "")
+			h.expect("effects after the attempt was returned", h.takeEffects(), "")
 			if err := h.engine.Withdraw(h.now, RequestID{Client: 7, Number: 1}); err == nil {
-				t.Error("withdrawn twice")
+				t.Error("second withdrawal of a request: got no error")
 			}
 		})
 	}
 }
 
-// isUnknownAttempt tells whether an error is about an attempt that is not known.
+// isUnknownAttempt reports whether an error is an UnknownAttemptError.
 func isUnknownAttempt(err error) bool {
 	var unknown *UnknownAttemptError
 	return errors.As(err, &unknown)
 }
 
+// TestPeerFaults has a node violate the protocol in several ways. The engine must return the matching error.
 func TestPeerFaults(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		do      func(h *harness) error
+		act     func(h *harness) error
 		matches func(err error) bool
 	}{
-		{"unknown try", func(h *harness) error {
+		{"unknown attempt", func(h *harness) error {
 			return h.engine.OnStarted(h.now, h.lastOffer.node, AttemptID{Ticket: h.lastOffer.attempt.Ticket, Number: 9}, 1)
 		}, isUnknownAttempt},
-		{"another node's try", func(h *harness) error {
+		{"attempt at another node", func(h *harness) error {
 			return h.engine.OnStarted(h.now, h.lastOffer.node%4+1, AttemptID{Ticket: h.lastOffer.attempt.Ticket}, 1)
 		}, isUnknownAttempt},
 		{"second start", func(h *harness) error {
@@ -225,12 +234,12 @@
 			_ = h.reportEnd(logic.Completed)
 			return h.reportEnd(logic.Completed)
 		}, isUnknownAttempt},
-		{"refused after its start", func(h *harness) error {
+		{"rejection after the start", func(h *harness) error {
 			_ = h.reportStart(1)
 			return h.reportEnd(logic.Rejected)
 		}, func(err error) bool { return errors.Is(err, ErrRefusedAfterStart) }},
-		{"report never asked for", func(h *harness) error { return h.engine.OnProbeReport(h.now, 1, 1<<40, nil) }, func(err error) bool { return err != nil }},
-		{"held, of an unknown jobClass type", func(h *harness) error {
+		{"report for a probe that was not sent", func(h *harness) error { return h.engine.OnProbeReport(h.now, 1, 1<<40, nil) }, func(err error) bool { return err != nil }},
+		{"held task of an unknown job class", func(h *harness) error {
 			return h.engine.OnHeld(h.now, 1, HeldTask{
 				Attempt: AttemptID{Ticket: 5},
 				Running: true,
@@ -241,17 +250,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, true)
 			h.request(1, atMostOnce, 5000)
-			if err := c.do(h); !c.matches(err) {
-				t.Errorf("error %v", err)
+			if err := c.act(h); !c.matches(err) {
+				t.Errorf("got the unexpected error %v", err)
 			}
 		})
 	}
 }
 
+// TestRestart has a node report tasks that it holds for an earlier incarnation of the scheduler. The one that waits for its start is recalled;
+// the one that runs is kept, and serves the client's next request for it.
 func TestRestart(t *testing.T) {
 	h := newHarness(t, false)
 	h.engine.OnConnected(h.now, 2, 1, 0)
-	for i, running := range []bool{true, false} { // of an earlier incarnation of this scheduler
+	for i, running := range []bool{true, false} { // held for an earlier incarnation of this scheduler
 		err := h.engine.OnHeld(h.now, 2, HeldTask{
 			Attempt: AttemptID{Ticket: uint64(77 + i), Number: 1},
 			Running: running,
@@ -262,32 +273,33 @@
 		}
 	}
 	h.engine.OnHeldAll(h.now, 2)
-	h.expect("what waits is recalled", h.takeEffects(), "recall 78.1")
+	h.expect("effects of the held tasks", h.takeEffects(), "recall 78.1")
 	_ = h.engine.Allocate(h.now, newRequest(7, 1, Task{JobClass: atMostOnce, Service: 99, Token: 1001, Cores: 1, Memory: 2}, 5000))
-	h.expect("what runs is found", h.takeEffects(), "answer 1 served")
+	h.expect("effects of a request for the running task", h.takeEffects(), "answer 1 served")
 	if err := h.engine.OnOutcome(h.now, 2, Outcome{Attempt: AttemptID{Ticket: 77, Number: 1}, Result: logic.Completed, Reason: logic.ReasonUnknown}); err != nil {
 		t.Fatal(err)
 	}
-	h.expect("its end", h.takeEffects(), fmt.Sprintf("over 1 %d", logic.Completed))
+	h.expect("effects of the task's end", h.takeEffects(), fmt.Sprintf("end 1 %d", logic.Completed))
 }
 
-// TestPause has the process stand still while an attempt is in flight.
+// TestPause pauses the process for longer than the time-out of an attempt in flight. A start that was received during the pause must be
+// processed before the time-out.
 func TestPause(t *testing.T) {
 	h := newHarness(t, true)
 	h.request(1, restartable, 8000)
 	h.takeEffects()
 	h.now += 3000
-	h.engine.Round(h.now) // the attempt has timed out, but messages that came in meanwhile are taken first
-	h.expect("at once", h.takeEffects(), "")
+	h.engine.Round(h.now) // the attempt has timed out, but messages received during the pause are processed first
+	h.expect("effects of the first round after the pause", h.takeEffects(), "")
 	if err := h.reportStart(30); err != nil {
 		t.Fatal(err)
 	}
 	h.advance(200)
-	h.expect("after", h.takeEffects(), "answer 1 served")
+	h.expect("effects of the start", h.takeEffects(), "answer 1 served")
 }
 
-// TestTransfer hands allocations in each phase over to a second engine: what is in flight stays, what waits or runs goes, and
-// the second one answers for it.
+// TestTransfer hands over a service to a second engine. Attempts in flight stay with the first engine; waiting and running allocations are
+// handed over, and the second engine answers and ends them.
 func TestTransfer(t *testing.T) {
 	h, receiver := newHarness(t, true), newHarness(t, true)
 	receiver.now = h.now
@@ -302,13 +314,13 @@
 		t.Fatal(err)
 	}
 	inFlight := place(2, atMostOnce)
-	h.allocate(newRequest(1, 3, Task{JobClass: restartable, Service: 9, Token: 3, Cores: 1, Memory: 2}, 3000)) // it waits for a round
+	h.allocate(newRequest(1, 3, Task{JobClass: restartable, Service: 9, Token: 3, Cores: 1, Memory: 2}, 3000)) // it waits for the next round
 	transfers := transferAll(t, h)
-	for _, x := range transfers {
-		if !x.Running {
-			receiver.allocate(Request{ID: x.Request, Task: x.Task, TimeLeft: x.Deadline - receiver.now, Epoch: 2})
-		} else if !receiver.engine.TransferIn(receiver.now, x) || x.Attempt != running.attempt || x.Node != running.node {
-			t.Errorf("not taken: %+v", x)
+	for _, transfer := range transfers {
+		if !transfer.Running {
+			receiver.allocate(Request{ID: transfer.Request, Task: transfer.Task, TimeLeft: transfer.Deadline - receiver.now, Epoch: 2})
+		} else if !receiver.engine.TransferIn(receiver.now, transfer) || transfer.Attempt != running.attempt || transfer.Node != running.node {
+			t.Errorf("running task not taken over, or handed over with another node or attempt: %+v", transfer)
 		}
 	}
 	h.takeEffects()
@@ -316,58 +328,58 @@
 	receiver.advance(50)
 	checkTransferred(t, h, receiver, running, inFlight)
 	if receiver.engine.TransferIn(receiver.now, Transfer{Running: true, Node: 77}) {
-		t.Error("taken at a node that is not known")
+		t.Error("task at an unknown node: taken over, want it refused")
 	}
 	if err := receiver.engine.Withdraw(receiver.now, RequestID{Client: 1, Number: 3}); err != nil {
-		t.Error("the receiver does not know whose it is:", err)
+		t.Error("withdrawal of a request that was handed over:", err)
 	}
 }
 
-// transferAll takes what can be handed over of service 9 out of an engine that holds a waiting, a running and an in-flight allocation.
+// transferAll hands over service 9 from an engine that has a waiting allocation, a running one and one with an attempt in flight.
 func transferAll(t *testing.T, h *harness) (transfers []Transfer) {
 	t.Helper()
 	counts := h.engine.CountByService(nil, true, func(uint64, int) bool { return true })
 	if len(counts) != 1 || counts[0].Waiting != 1 || counts[0].Running != 1 || counts[0].Unresolved != 1 || !counts[0].BelongsElsewhere {
-		t.Fatalf("%+v", counts)
+		t.Fatalf("got counts %+v, want one waiting, one running and one unresolved allocation that belong elsewhere", counts)
 	}
 	h.engine.TransferOut(h.now, 9, true, func(transfer Transfer) { transfers = append(transfers, transfer) })
 	if len(transfers) != 2 {
-		t.Fatalf("%+v", transfers)
+		t.Fatalf("got transfers %+v, want 2", transfers)
 	}
 	return transfers
 }
 
-// checkTransferred checks that the giver holds the attempt in flight alone, and the receiver the other two allocations.
+// checkTransferred checks that the sending engine h has only the attempt in flight, and the receiver the other two allocations.
 func checkTransferred(t *testing.T, h, receiver *harness, running, inFlight sentOffer) {
 	t.Helper()
 	if got := h.engine.Stats(); got.Open != 1 || got.Held != 1 || h.engine.IsIdle() {
-		t.Errorf("the giver holds %+v", got)
+		t.Errorf("the sending engine has %+v, want one open allocation", got)
 	}
 	if got := receiver.engine.Stats(); got.Open != 1 || got.Held != 2 {
-		t.Errorf("the receiver holds %+v", got)
+		t.Errorf("the receiving engine has %+v, want one open and two in total", got)
 	}
 	if err := h.engine.OnOutcome(h.now, inFlight.node, Outcome{Attempt: inFlight.attempt, Result: logic.Rejected, Reason: logic.ReasonUnknown}); err != nil {
 		t.Error(err)
 	}
 	if err := h.engine.OnOutcome(h.now, running.node, Outcome{Attempt: running.attempt, Result: logic.Completed, Reason: logic.ReasonUnknown}); err == nil {
-		t.Error("the giver still knows what it gave")
+		t.Error("outcome of a task that was handed over: got no error from the sending engine")
 	}
 	if err := receiver.engine.OnOutcome(receiver.now, running.node, Outcome{Attempt: running.attempt, Result: logic.Completed, Reason: logic.ReasonUnknown}); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestNoticeBeforeSend has a notice of maintenance or of a drain arrive between a decision and its send, and between a request
-// and its decision: nothing is sent to that node.
+// TestNoticeBeforeSend has a node enter maintenance, start draining or leave the list between a decision and its offer, and between a
+// request and the decision. Nothing may be sent to that node.
 func TestNoticeBeforeSend(t *testing.T) {
 	notices := map[string]func(h *harness, node uint32){
-		"calendar": func(h *harness, node uint32) { h.engine.SetMaintenance(h.now, []uint32{node}, true) },
-		"list": func(h *harness, node uint32) {
+		"maintenance": func(h *harness, node uint32) { h.engine.SetMaintenance(h.now, []uint32{node}, true) },
+		"draining": func(h *harness, node uint32) {
 			h.engine.BeginList(h.now, logic.ListChanges)
 			h.engine.AddListEntry(ListEntry{Node: node, Address: "a", Availability: logic.Draining, FreeCores: 16, FreeMemory: 32})
 			h.engine.EndList()
 		},
-		"list, gone": func(h *harness, node uint32) {
+		"unavailable": func(h *harness, node uint32) {
 			h.engine.BeginList(h.now, logic.ListChanges)
 			h.engine.AddListEntry(ListEntry{Node: node, Address: "a", Availability: logic.Unavailable, FreeCores: 16, FreeMemory: 32})
 			h.engine.EndList()
@@ -375,18 +387,18 @@
 	}
 	for name, notice := range notices {
 		for jobClass := range 4 {
-			t.Run(fmt.Sprintf("%s, a try waits for its connection/%d", name, jobClass), func(t *testing.T) {
-				// After a notice of the list the policy goes by the drain grace.
-				testNoticeBeforeConnection(t, jobClass, notice, name == "calendar")
+			t.Run(fmt.Sprintf("%s, attempt waits for its connection/%d", name, jobClass), func(t *testing.T) {
+				// After a notice in the list, the policy applies the drain grace period.
+				testNoticeBeforeConnection(t, jobClass, notice, name == "maintenance")
 			})
-			t.Run(fmt.Sprintf("%s, an ask in the same round/%d", name, jobClass), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, request in the same round/%d", name, jobClass), func(t *testing.T) {
 				testNoticeBeforeDecision(t, jobClass, notice)
 			})
 		}
 	}
 }
 
-// testNoticeBeforeConnection gives notice of a node while an attempt waits for its connection. If connects is set, the node
+// testNoticeBeforeConnection calls notice for a node while an attempt waits for the connection to it. If connects is set, the node
 // connects afterwards.
 func testNoticeBeforeConnection(t *testing.T, jobClass int, notice func(h *harness, node uint32), connects bool) {
 	t.Helper()
@@ -399,7 +411,7 @@
 		}
 	}
 	if node == 0 {
-		t.Fatal("no try waits")
+		t.Fatal("no attempt waits for a connection")
 	}
 	notice(h, node)
 	if connects {
@@ -407,11 +419,11 @@
 	}
 	h.advance(50)
 	if h.offers[node] > 0 {
-		t.Error("sent after the notice")
+		t.Error("an offer was sent to the node after the notice")
 	}
 }
 
-// testNoticeBeforeDecision gives notice of a node between requests and the decision on them.
+// testNoticeBeforeDecision calls notice for a node between requests and the decision on them.
 func testNoticeBeforeDecision(t *testing.T, jobClass int, notice func(h *harness, node uint32)) {
 	t.Helper()
 	h := newHarness(t, true)
@@ -421,9 +433,9 @@
 	notice(h, 2)
 	h.advance(300)
 	if h.offers[2] > 0 {
-		t.Errorf("%d sent after the notice", h.offers[2])
+		t.Errorf("%d offers sent to node 2 after the notice, want 0", h.offers[2])
 	}
 	if h.offers[1]+h.offers[3]+h.offers[4] == 0 {
-		t.Error("nothing was sent at all")
+		t.Error("no offers were sent to the other nodes")
 	}
 }
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -8,27 +8,27 @@
 	"ravenpond/logic"
 )
 
-// Job classes of the harness.
+// Job classes of the harness, as indices into Cluster.JobClasses.
 const (
-	restartable          = iota
-	idempotentInZone     // idempotent inside a zone
-	idempotentEverywhere // idempotent everywhere
-	atMostOnce           // at most once
+	restartable = iota
+	idempotentInZone
+	idempotentEverywhere
+	atMostOnce
 )
 
 const harnessNodes = 4
 
-// harness is an engine on a virtual clock. Its effects are written down as lines.
+// harness runs an engine on a virtual clock and records its effects as lines of text.
 type harness struct {
 	t         *testing.T
 	engine    *Engine
 	now       float64
 	lines     []string
-	offers    map[uint32]int // by node
+	offers    map[uint32]int // number of offers by node
 	lastOffer sentOffer
 }
 
-// sentOffer is an attempt and the node that it was sent to.
+// sentOffer is an attempt and the node that its offer was sent to.
 type sentOffer struct {
 	node    uint32
 	attempt AttemptID
@@ -38,18 +38,18 @@
 	h.lines = append(h.lines, fmt.Sprintf(format, args...))
 }
 
-// attemptLabel names an attempt in a line, by the allocation and the number of the attempt.
+// attemptLabel returns the text for an attempt in a recorded line: the allocation's number and the attempt's number.
 func attemptLabel(id AttemptID) string { return fmt.Sprintf("%d.%d", uint32(id.Ticket), id.Number) }
 
 func (h *harness) Dial(node uint32, _ string) { h.record("dial %d", node) }
 
-func (h *harness) Disconnect(node uint32, _ string) { h.record("hang %d", node) }
+func (h *harness) Disconnect(node uint32, _ string) { h.record("disconnect %d", node) }
 
 func (h *harness) WatchList(bool) {}
 
 func (h *harness) ReloadList() {}
 
-func (h *harness) Log(line string) { h.record("mode %s", line) }
+func (h *harness) Log(line string) { h.record("log %s", line) }
 
 func (h *harness) Probe(uint32, uint64) {}
 
@@ -70,7 +70,7 @@
 }
 
 func (h *harness) NotifyEnd(request RequestID, result logic.Outcome, _ logic.Reason) {
-	h.record("over %d %d", request.Number, result)
+	h.record("end %d %d", request.Number, result)
 }
 
 func (h *harness) PermitAttempt(OwnedTask, uint32, AttemptID) bool { return true }
@@ -89,7 +89,7 @@
 	return RecoveredTask{Epoch: 1}, true
 }
 
-// newHarness starts an engine with four nodes, two to a zone, all connected unless that is not wanted.
+// newHarness starts an engine with four ready nodes, two in each zone. If connected is set, all nodes are connected and hold nothing.
 func newHarness(t *testing.T, connected bool) *harness {
 	t.Helper()
 	h := &harness{t: t, offers: map[uint32]int{}, now: 1000}
@@ -127,13 +127,13 @@
 	return h
 }
 
-// connect connects a node that holds nothing.
+// connect reports that a node has connected and holds no tasks.
 func (h *harness) connect(node uint32, incarnation uint64) {
 	h.engine.OnConnected(h.now, node, incarnation, 0)
 	h.engine.OnHeldAll(h.now, node)
 }
 
-// advance lets time pass in steps of 10 ms.
+// advance advances the time in steps of 10 ms and runs a round after each.
 func (h *harness) advance(ms float64) {
 	for end := h.now + ms; h.now < end; {
 		h.now = min(end, h.now+10)
@@ -141,19 +141,19 @@
 	}
 }
 
-// newRequest is a request of the first epoch.
+// newRequest returns a request with epoch 1.
 func newRequest(client uint32, number uint64, task Task, timeLeft float64) Request {
 	return Request{ID: RequestID{Client: client, Number: number}, Task: task, TimeLeft: timeLeft, Epoch: 1}
 }
 
-// request requests a task of the token 1000 + number, and lets the policy decide.
+// request reports a request for a task with the token 1000 + number, and lets the policy decide.
 func (h *harness) request(number uint64, jobClass int, timeLeft float64) {
 	h.t.Helper()
 	h.allocate(newRequest(7, number, Task{JobClass: jobClass, Service: 99, Token: 1000 + number, Cores: 1, Memory: 2}, timeLeft))
 	h.advance(10)
 }
 
-// allocate reports a request, which must be accepted.
+// allocate reports a request and fails the test if it violates the protocol.
 func (h *harness) allocate(r Request) {
 	h.t.Helper()
 	if err := h.engine.Allocate(h.now, r); err != nil {
@@ -161,11 +161,11 @@
 	}
 }
 
-// takeEffects returns the effects since the last call, but for dials and diagnostic lines.
+// takeEffects returns the effects since the last call, without dials and log lines.
 func (h *harness) takeEffects() string {
 	var effects []string
 	for _, line := range h.lines {
-		if !strings.HasPrefix(line, "dial") && !strings.HasPrefix(line, "mode") {
+		if !strings.HasPrefix(line, "dial") && !strings.HasPrefix(line, "log") {
 			effects = append(effects, line)
 		}
 	}
@@ -180,19 +180,19 @@
 	}
 }
 
-// reportStart has the node of the last offer report its start.
+// reportStart reports that the task of the last offer has started.
 func (h *harness) reportStart(startDuration float64) error {
 	return h.engine.OnStarted(h.now, h.lastOffer.node, h.lastOffer.attempt, startDuration)
 }
 
-// reportEnd has the node of the last offer report its end.
+// reportEnd reports that the attempt of the last offer has ended.
 func (h *harness) reportEnd(result logic.Outcome) error {
 	return h.engine.OnOutcome(h.now, h.lastOffer.node, Outcome{
 		Attempt: h.lastOffer.attempt, Result: result, Reason: logic.ReasonUnknown, Report: []float64{16, 32},
 	})
 }
 
-// breakConnection breaks the connection of the last offer; sent tells whether the offer may have got through.
+// breakConnection ends the connection to the node of the last offer. If mayHaveBeenSent is not set, the offer provably was not sent.
 func (h *harness) breakConnection(mayHaveBeenSent bool) {
 	if !mayHaveBeenSent {
 		h.engine.OnUnsent(h.now, h.lastOffer.attempt)
--- a/internal/engine/held.go
+++ b/internal/engine/held.go
@@ -26,7 +26,7 @@
 	if !ok {
 		return nil
 	}
-	if t := &held.Task; t.JobClass >= len(e.jobEffects) || t.Tenant >= len(e.config.Shares) {
+	if t := &held.Task; t.JobClass >= len(e.retrySemantics) || t.Tenant >= len(e.config.Shares) {
 		return &HeldTaskError{held.Attempt, fmt.Sprintf("of unknown job type %d or tenant %d", t.JobClass, t.Tenant)}
 	}
 	if slot, ok := e.findAttempt(held.Attempt); ok && e.allocations[slot].nodeIndex == index {
--- a/internal/engine/workingset_test.go
+++ b/internal/engine/workingset_test.go
@@ -8,7 +8,7 @@
 	"ravenpond/logic"
 )
 
-// dials are the dials since the effects were taken last.
+// dials returns the recorded dials and clears the recorded effects.
 func (h *harness) dials() (nodes []string) {
 	for _, line := range h.lines {
 		if strings.HasPrefix(line, "dial ") {
@@ -19,7 +19,7 @@
 	return nodes
 }
 
-// excludeAll moves all nodes out of the working set. It returns those that the engine releases.
+// excludeAll moves all nodes out of the working set and returns the nodes that the engine released.
 func (h *harness) excludeAll() (released []uint32) {
 	all := []uint32{1, 2, 3, 4}
 	h.engine.SetOutsideWorkingSet(h.now, all, true)
@@ -31,7 +31,8 @@
 	return released
 }
 
-// TestReleaseKeepsConnectionToTask runs a task at a node outside the working set: the node is kept connected until the task ends.
+// TestReleaseKeepsConnectionToTask runs a task on a node outside the working set. The node must be kept connected until the task ends, unless its
+// release is forced.
 func TestReleaseKeepsConnectionToTask(t *testing.T) {
 	for _, forced := range []bool{false, true} {
 		h := newHarness(t, true)
@@ -42,7 +43,7 @@
 			t.Fatal(err)
 		}
 		if released := h.excludeAll(); len(released) != 3 || slices.Contains(released, node) {
-			t.Fatalf("%v released while a task runs at %d", released, node)
+			t.Fatalf("released nodes %v, want the three other than node %d, which runs a task", released, node)
 		}
 		if forced {
 			h.engine.ForceRelease(h.now, node)
@@ -54,7 +55,7 @@
 		}
 		h.advance(200)
 		if redialled := len(h.dials()); (redialled == 1) == forced {
-			t.Fatalf("%d nodes dialled again, released by force: %t", redialled, forced)
+			t.Fatalf("%d nodes redialled, want 1 unless the release was forced (forced: %t)", redialled, forced)
 		}
 		if forced {
 			continue
@@ -74,12 +75,13 @@
 		}
 		h.engine.Round(h.now)
 		if !h.engine.Release(h.now, node) {
-			t.Error("not released after the task ended")
+			t.Error("node was not released after its task ended")
 		}
 	}
 }
 
-// TestOutsideWorkingSetGetsNothing moves nodes out of the working set and one back, which is not paced as one that warms up.
+// TestOutsideWorkingSetGetsNothing moves all nodes out of the working set, so that they get no tasks, and then one node back. That node is not
+// paced as one that is warming up.
 func TestOutsideWorkingSetGetsNothing(t *testing.T) {
 	h := newHarness(t, true)
 	h.excludeAll()
@@ -89,46 +91,46 @@
 	h.now += 20
 	h.engine.Round(h.now)
 	if len(h.offers) > 0 {
-		t.Fatalf("offers to nodes outside the set: %v", h.offers)
+		t.Fatalf("got offers %v to nodes outside the working set, want none", h.offers)
 	}
 	if d := h.engine.Demand(h.now+150, 100); !d.Short[len(d.Short)-1] || d.Cores != 0 {
-		t.Errorf("no shortage while nothing can be placed: %+v", d)
+		t.Errorf("got demand %+v while nothing can be placed, want a shortage and no cores", d)
 	}
 	h.engine.SetOutsideWorkingSet(h.now, []uint32{2}, false)
 	h.now += 30
 	h.engine.Round(h.now)
 	if h.offers[2] == 0 || len(h.offers) != 1 {
-		t.Errorf("offers %v after node 2 came back", h.offers)
+		t.Errorf("got offers %v, want offers to node 2 only, which is back in the working set", h.offers)
 	}
 	if d := h.engine.Demand(h.now, 100); d.Cores == 0 {
-		t.Errorf("nothing counts as asked for: %+v", d)
+		t.Errorf("got demand %+v after tasks were placed, want cores", d)
 	}
 }
 
-// TestReleasedNodeIsDialledAgain has a node that was released enter the set anew.
+// TestReleasedNodeIsDialledAgain has a released node enter the working set again. It must be dialled then, and not before.
 func TestReleasedNodeIsDialledAgain(t *testing.T) {
 	h := newHarness(t, true)
 	if released := h.excludeAll(); len(released) != 4 {
-		t.Fatalf("%v released", released)
+		t.Fatalf("released nodes %v, want all 4", released)
 	}
 	h.engine.OnDisconnected(h.now, 3)
 	h.advance(1000)
-	h.engine.BeginList(h.now, logic.ListChanges) // an update of a node that was released does not keep it connected
+	h.engine.BeginList(h.now, logic.ListChanges) // a list update must not reconnect a released node
 	h.engine.AddListEntry(ListEntry{Node: 3, Address: "a", Availability: logic.Ready, FreeCores: 8, FreeMemory: 32, Zone: 1, Cell: 1})
 	h.engine.EndList()
 	h.advance(1000)
 	if dialled := h.dials(); len(dialled) > 0 {
-		t.Fatalf("%v while outside the set", dialled)
+		t.Fatalf("got dials %v while the node is outside the working set, want none", dialled)
 	}
 	h.engine.SetOutsideWorkingSet(h.now, []uint32{3}, false)
 	h.advance(20)
 	if dialled := h.dials(); !slices.Equal(dialled, []string{"dial 3"}) {
-		t.Errorf("dialled %v", dialled)
+		t.Errorf("got dials %v, want only one, to node 3", dialled)
 	}
 }
 
-// TestEnterWorkingSet has a node enter that the list has had for long, and one that is new to the list: the new one is paced as one
-// that warms up.
+// TestEnterWorkingSet has a node enter the working set that either has been on the list for long or is new to it. Only the new one is paced as
+// a node that is warming up.
 func TestEnterWorkingSet(t *testing.T) {
 	for _, isNew := range []bool{false, true} {
 		h := newHarness(t, true)
@@ -137,7 +139,7 @@
 		h.engine.AddListEntry(ListEntry{Node: 9, Address: "b", Availability: logic.Ready, FreeCores: 16, FreeMemory: 32})
 		h.engine.OnConnected(h.now, 9, 1, 0)
 		h.engine.OnHeldAll(h.now, 9)
-		h.now += 30 // the slow-start limit of 20 is under that
+		h.now += 30 // the slow-start limit of 20 is below the number of requests
 		for number := range uint64(40) {
 			h.allocate(newRequest(1, number+1, Task{JobClass: restartable, Service: number, Token: number, Cores: 0.1, Memory: 0.1}, 5000))
 		}
@@ -153,12 +155,12 @@
 			}
 		}
 		if (h.offers[9] > 20) == isNew {
-			t.Errorf("new %t: %d offers within 2 s", isNew, h.offers[9])
+			t.Errorf("new %t: %d offers within 2 s, want more than 20 only if the node is not new", isNew, h.offers[9])
 		}
 	}
 }
 
-// offersAfter lets a node of the set that started at a time get as many offers as it may for a while, and returns how many it got.
+// offersAfter advances to wait ms after start, makes 40 requests, and returns how many offers node 9 has after another 200 ms.
 func (h *harness) offersAfter(start, wait float64) int {
 	h.now = start + wait
 	for number := range uint64(40) {
@@ -173,11 +175,11 @@
 	return h.offers[9]
 }
 
-// TestClockSkewOfNodeStart has a node enter the set right before its warm-up ends by the list's clock: it is paced for as long as
-// clocks may differ.
+// TestClockSkewOfNodeStart has a node enter the working set right before its warm-up ends by the list's clock. It must be paced for longer, by
+// the largest difference between clocks, because it may still be cold.
 func TestClockSkewOfNodeStart(t *testing.T) {
 	const warmUp, slowStartLimit = 8000, 20
-	for _, known := range []bool{false, true} { // as a node outside the set
+	for _, known := range []bool{false, true} { // whether the node was known before, as one outside the working set
 		h := newHarness(t, true)
 		h.excludeAll()
 		h.advance(10_000)
@@ -191,13 +193,13 @@
 		h.engine.OnHeldAll(h.now, 9)
 		h.engine.SetOutsideWorkingSet(h.now, []uint32{9}, false)
 		if offers := h.offersAfter(start, warmUp+30); offers == 0 || offers > slowStartLimit {
-			t.Errorf("known before %t: %d offers to a node that may be cold", known, offers)
+			t.Errorf("known before %t: %d offers to a node that may be cold, want at least 1 and at most the slow-start limit", known, offers)
 		}
 	}
 }
 
-// TestUnsentToNodeThatJustStarted has attempts wait for the connection to a warm node that was restarted meanwhile, of an engine
-// that sends nothing to nodes that warm up: none is sent.
+// TestUnsentToNodeThatJustStarted has attempts wait for the connection to a warm node that restarts before it connects. The engine sends
+// nothing to nodes that are warming up, so none of the attempts may be sent.
 func TestUnsentToNodeThatJustStarted(t *testing.T) {
 	h := newHarness(t, true)
 	h.advance(10_000)
@@ -209,12 +211,12 @@
 	}
 	h.advance(20)
 	if waiting := len(h.engine.nodes[h.engine.nodeIndex[1]].allocations); waiting == 0 {
-		t.Fatal("no attempt waits for the node")
+		t.Fatal("no attempt waits for the connection to the node")
 	}
 	h.engine.OnConnected(h.now, 1, 2, h.now-5)
 	h.engine.OnHeldAll(h.now, 1)
 	h.advance(200)
 	if h.offers[1] > 0 {
-		t.Errorf("%d offers to a cold node", h.offers[1])
+		t.Errorf("%d offers to a cold node, want 0", h.offers[1])
 	}
 }
