--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -10,8 +10,8 @@
 
 // Protocol violations by nodes. The texts are sent to the node as the reason for disconnecting it.
 var (
-	ErrDuplicateAnswer   = errors.New("second answer for a try")
-	ErrRefusedAfterStart = errors.New("try refused after its start")
+	ErrDuplicateAnswer    = errors.New("second answer for a try")
+	ErrRejectedAfterStart = errors.New("try refused after its start")
 )
 
 // UnknownAttemptError is returned for a message about an attempt that was not sent to the node or that has ended.
@@ -61,7 +61,7 @@
 		case e.nodes[a.nodeIndex].id != nodeID:
 			return &UnknownAttemptError{o.Attempt}
 		case a.phase == phaseRunning && o.Result == logic.Rejected:
-			return ErrRefusedAfterStart
+			return ErrRejectedAfterStart
 		}
 		e.completeAttempt(slot, o)
 		return nil
@@ -131,18 +131,18 @@
 	if ran && a.request.Client != noClient {
 		e.effects.NotifyEnd(a.request, o.Result, o.Reason)
 	}
-	late := a.lateStart
+	lateStart := a.lateStart
 	switch {
 	case ran || a.answered:
 		result.Answered = true
 		e.removeAllocation(slot)
 		e.policy.OnOutcome(e.now, result)
-		e.resolveLateStart(late)
-	case !late.IsZero():
+		e.resolveLateStart(lateStart)
+	case !lateStart.IsZero():
 		result.Answered = true
 		e.policy.OnExpired(e.now, result.Allocation) // so that it makes no further attempt
 		e.policy.OnOutcome(e.now, result)
-		e.answerWithLateStart(late, slot)
+		e.answerWithLateStart(lateStart, slot)
 	default:
 		e.policy.OnOutcome(e.now, result)
 	}
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -110,51 +110,51 @@
 
 // BenchmarkOpen measures the memory per open allocation in the engine and the policy together, with 100,000 open allocations.
 func BenchmarkOpen(b *testing.B) {
-	const many = 100000
+	const allocationCount = 100000
 	for b.Loop() {
 		effects := &lastOfferEffects{}
-		e := New(effects, 1, Config{Cluster: benchCluster(), Shares: []float64{1}, MaxOpen: many, AnswerMargin: 100, SettleTime: 3000, Incarnation: 1, Seed: 1})
+		e := New(effects, 1, Config{Cluster: benchCluster(), Shares: []float64{1}, MaxOpen: allocationCount, AnswerMargin: 100, SettleTime: 3000, Incarnation: 1, Seed: 1})
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		for i := uint64(1); i <= many; i++ {
+		for i := uint64(1); i <= allocationCount; i++ {
 			if err := e.Allocate(2, newRequest(1, i, Task{Service: i % 50, Token: i, Cores: 0.5, Memory: 1}, 60000)); err != nil {
 				b.Fatal(err)
 			}
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		if e.admission.Open() != many {
+		if e.admission.Open() != allocationCount {
 			b.Fatal("not all allocations are open")
 		}
-		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/many, "B/open")
+		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/allocationCount, "B/open")
 	}
 }
 
 // BenchmarkFindAttempt compares two ways to find one of 10,000 open attempts by its ticket: a map of indices into a slice, which the
 // engine uses, and a map of pointers with a lock.
 func BenchmarkFindAttempt(b *testing.B) {
-	const many = 10000
+	const attemptCount = 10000
 	b.Run("map of slice indices", func(b *testing.B) {
-		table, at := make([]allocation, many), map[uint32]int{}
-		for i := range many {
+		table, at := make([]allocation, attemptCount), map[uint32]int{}
+		for i := range attemptCount {
 			at[uint32(i)] = i
 		}
 		sum := 0.0
 		for i := uint32(0); b.Loop(); i++ {
-			sum += table[at[i*7919%many]].deadline
+			sum += table[at[i*7919%attemptCount]].deadline
 		}
 	})
 	b.Run("map of pointers with a lock", func(b *testing.B) {
 		var mu sync.RWMutex
 		at := map[uint64]*allocation{}
-		for i := range uint64(many) {
+		for i := range uint64(attemptCount) {
 			at[1<<32|i] = &allocation{}
 		}
 		sum := 0.0
 		for i := uint64(0); b.Loop(); i++ {
 			mu.RLock()
-			sum += at[1<<32|i*7919%many].deadline
+			sum += at[1<<32|i*7919%attemptCount].deadline
 			mu.RUnlock()
 		}
 	})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -27,7 +27,7 @@
 }
 
 // PolicyFactory creates a placement policy.
-type PolicyFactory func(host logic.Effects, now float64, seed uint64, cluster *logic.Cluster) logic.EventHandler
+type PolicyFactory func(effects logic.Effects, now float64, seed uint64, cluster *logic.Cluster) logic.EventHandler
 
 // Engine runs one policy instance. The package comment states the rules for concurrent use.
 type Engine struct {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -237,7 +237,7 @@
 		{"rejection after the start", func(h *harness) error {
 			_ = h.reportStart(1)
 			return h.reportEnd(logic.Rejected)
-		}, func(err error) bool { return errors.Is(err, ErrRefusedAfterStart) }},
+		}, func(err error) bool { return errors.Is(err, ErrRejectedAfterStart) }},
 		{"report for a probe that was not sent", func(h *harness) error { return h.engine.OnProbeReport(h.now, 1, 1<<40, nil) }, func(err error) bool { return err != nil }},
 		{"held task of an unknown job class", func(h *harness) error {
 			return h.engine.OnHeld(h.now, 1, HeldTask{
--- a/internal/engine/nodes.go
+++ b/internal/engine/nodes.go
@@ -47,7 +47,7 @@
 	}
 	e.pacer.OnDialFailed(now, index)
 	n := &e.nodes[index]
-	for _, slot := range slices.Backward(n.allocations) { // completing one removes it from the list
+	for _, slot := range slices.Backward(n.allocations) { // completeAttempt removes the slot from the list
 		if e.allocations[slot].phase == phaseConnecting {
 			e.completeAttempt(slot, outcomeOf(logic.Unreachable))
 		}
@@ -134,7 +134,7 @@
 
 // endAttemptsAt ends the attempts at a node that is no longer on the list and is not connected.
 func (e *Engine) endAttemptsAt(index int) {
-	for _, slot := range slices.Backward(e.nodes[index].allocations) { // completing one removes it from the list
+	for _, slot := range slices.Backward(e.nodes[index].allocations) { // completeAttempt removes the slot from the list
 		switch outcome.AfterNodeRemoved(false, e.allocations[slot].phase != phaseConnecting) {
 		case outcome.MayHaveRun:
 			e.completeAttempt(slot, outcomeOf(logic.ConnectionLost))
@@ -153,7 +153,7 @@
 		return
 	}
 	ended := 0
-	for _, slot := range slices.Backward(e.nodes[index].allocations) { // completing one removes it from the list
+	for _, slot := range slices.Backward(e.nodes[index].allocations) { // completeAttempt removes the slot from the list
 		if e.allocations[slot].phase != phaseConnecting {
 			e.completeAttempt(slot, outcomeOf(logic.ConnectionLost))
 			ended++
--- a/internal/engine/transfer.go
+++ b/internal/engine/transfer.go
@@ -25,12 +25,12 @@
 func (e *Engine) CountByService(counts []handover.ServiceLoad, withRunning bool,
 	belongsElsewhere func(service uint64, tenant int) bool,
 ) []handover.ServiceLoad {
-	at := map[uint64]int{}
+	positions := map[uint64]int{}
 	countOf := func(t *Task) *handover.ServiceLoad {
-		i, ok := at[t.Service]
+		i, ok := positions[t.Service]
 		if !ok {
 			i = len(counts)
-			at[t.Service] = i
+			positions[t.Service] = i
 			counts = append(counts, handover.ServiceLoad{Service: t.Service, BelongsElsewhere: belongsElsewhere(t.Service, t.Tenant)})
 		}
 		if e.config.Cluster.JobClasses[t.JobClass].Spread != logic.Anywhere {
