--- a/internal/decide/membership/contact.go
+++ b/internal/decide/membership/contact.go
@@ -4,28 +4,28 @@
 	codec "ravenpond/internal/proto/members"
 )
 
-// contactLost sends a hello to one dead member or unknown seed after the other, without end.
-func (d *Detector) contactLost() {
-	gap := min(contactMaxInterval, max(contactMinInterval, (d.now-d.lastDeathAt)/10))
+// sendNextHello sends a hello to one dead member or unknown seed after the other, without end.
+func (d *Detector) sendNextHello() {
+	interval := min(contactMaxInterval, max(contactMinInterval, (d.now-d.lastDeathAt)/10))
 	if d.now-d.lastDeathAt > contactSlowAfter {
-		gap = contactSlowInterval
+		interval = contactSlowInterval
 	}
-	var strangers []string
+	var candidates []string
 	for _, a := range d.config.Seeds {
 		if a != d.config.Address && !d.isKnownAddress(a) {
-			strangers = append(strangers, a)
+			candidates = append(candidates, a)
 		}
 	}
 	for _, n := range d.names {
 		if m := d.members[n]; m.State == Dead {
-			strangers = append(strangers, m.Address)
+			candidates = append(candidates, m.Address)
 		}
 	}
-	if len(strangers) > 0 && !d.leaving {
+	if len(candidates) > 0 && !d.leaving {
 		d.contactIndex++
-		d.sendHello(strangers[d.contactIndex%len(strangers)])
+		d.sendHello(candidates[d.contactIndex%len(candidates)])
 	}
-	d.timers.Set(d.now+gap*(0.8+0.4*d.rng.Float64()), dueContact, 0)
+	d.timers.Set(d.now+interval*(0.8+0.4*d.rng.Float64()), timerContact, 0)
 }
 
 // isKnownAddress reports whether a member at an address is known, dead or alive.
@@ -45,7 +45,7 @@
 		clear(d.hellos)
 	}
 	d.hellos[address] = d.sequence
-	d.sendBare(address, 0, codec.Hello, d.sequence, "", d.digest)
+	d.sendWithoutUpdates(address, 0, codec.Hello, d.sequence, "", d.digest)
 }
 
 // AnnounceLeave announces that this process ends intentionally.
@@ -66,15 +66,15 @@
 // onHello answers a hello with this process's incarnation, and with the sender's known incarnation if that is later. It changes no state,
 // as a hello may be a replay.
 func (d *Detector) onHello(from, address string, incarnation, number uint64) {
-	if d.now-d.helloWindowAt > 1000 {
-		d.helloWindowAt, d.recentHellos = d.now, 0
+	if d.now-d.helloWindowStart > 1000 {
+		d.helloWindowStart, d.hellosInWindow = d.now, 0
 	}
-	if d.recentHellos++; d.recentHellos > maxHellosPerSecond {
+	if d.hellosInWindow++; d.hellosInWindow > maxHellosPerSecond {
 		return
 	}
 	known, target := uint64(0), ""
 	if m := d.members[from]; m != nil && (m.Incarnation > incarnation || m.Incarnation == incarnation && m.Address != address) {
 		known, target = m.Incarnation, from
 	}
-	d.sendBare(address, incarnation, codec.Welcome, number, target, known)
+	d.sendWithoutUpdates(address, incarnation, codec.Welcome, number, target, known)
 }
--- a/internal/decide/membership/footprint.go
+++ b/internal/decide/membership/footprint.go
@@ -36,10 +36,10 @@
 		Fragments:        d.reassembler.Footprint(),
 	}
 	for _, m := range d.members {
-		f.Accusers += len(m.accusers)
+		f.Accusers += len(m.reporters)
 		f.MemberBytes += int(unsafe.Sizeof(*m)) + len(m.Name) + len(m.Address) + len(m.By)
-		for accuser := range m.accusers {
-			f.MemberBytes += len(accuser)
+		for reporter := range m.reporters {
+			f.MemberBytes += len(reporter)
 		}
 	}
 	return f
--- a/internal/decide/membership/member.go
+++ b/internal/decide/membership/member.go
@@ -38,8 +38,8 @@
 	highestCount    uint64 // highest count received from it
 	receivedMask    uint64 // which of the 64 counts up to it were received
 	sentCount       uint64 // count of datagrams sent to it
-	suspectAt       float64
-	accusers        map[string]bool
+	suspectedAt     float64
+	reporters       map[string]bool
 	fromDeathReport bool    // the suspicion began with a report of its death, of which it may not know yet
 	place           int     // its place, from 1; 0: unknown
 	transmissions   int     // of its update so far; -1: no update is queued
@@ -90,16 +90,16 @@
 func (d *Detector) presentCount() (n int) { return len(d.members) - d.deadCount }
 
 // setState changes a member's state and queues the update.
-func (d *Detector) setState(m *member, to State, by string) {
-	was := m.State
+func (d *Detector) setState(m *member, state State, by string) {
+	previous := m.State
 	d.digest ^= m.digest()
-	if was >= Dead {
+	if previous >= Dead {
 		d.deadCount--
 	}
-	if to >= Dead {
+	if state >= Dead {
 		d.deadCount++
-		d.timers.Set(d.now+removeAfter, dueRemoval, m.index)
-		if to == Dead {
+		d.timers.Set(d.now+removeAfter, timerRemoval, m.index)
+		if state == Dead {
 			d.lastDeathAt = d.now
 		}
 		if d.slowStart != nil {
@@ -109,14 +109,14 @@
 			d.quota.OnDead(m.place - 1)
 		}
 	}
-	if to != was {
+	if state != previous {
 		m.Since = d.now
 	}
-	m.State, m.By = to, by
+	m.State, m.By = state, by
 	d.digest ^= m.digest()
 	d.queueUpdate(m)
-	if to != was {
-		d.effects.OnMemberChanged(m.Member, was)
+	if state != previous {
+		d.effects.OnMemberChanged(m.Member, previous)
 	}
 }
 
@@ -128,8 +128,8 @@
 	d.lastIndex++
 	m := &member{Member: Member{Name: name, Address: address, Incarnation: incarnation, Version: version, Since: d.now}, index: d.lastIndex, transmissions: -1}
 	d.members[name], d.byIndex[m.index] = m, m
-	at, _ := slices.BinarySearch(d.names, name)
-	d.names = slices.Insert(d.names, at, name)
+	i, _ := slices.BinarySearch(d.names, name)
+	d.names = slices.Insert(d.names, i, name)
 	d.digest ^= m.digest()
 	if len(d.probeOrder) > 0 { // at a random position of the round
 		d.probeOrder = slices.Insert(d.probeOrder, d.probeIndex+d.rng.IntN(len(d.probeOrder)-d.probeIndex+1), name)
@@ -137,8 +137,8 @@
 	return m
 }
 
-// onRemovalDue forgets a member that has been gone for long. It is nil if it was removed.
-func (d *Detector) onRemovalDue(m *member) {
+// onRemovalTimer forgets a member that has been gone for long. It is nil if it was removed.
+func (d *Detector) onRemovalTimer(m *member) {
 	if m != nil && m.State >= Dead && d.now-m.Since >= removeAfter {
 		d.removeMember(m)
 	}
@@ -150,8 +150,8 @@
 	delete(d.members, m.Name)
 	delete(d.byIndex, m.index)
 	d.deadCount--
-	if at, ok := slices.BinarySearch(d.names, m.Name); ok {
-		d.names = slices.Delete(d.names, at, at+1)
+	if i, ok := slices.BinarySearch(d.names, m.Name); ok {
+		d.names = slices.Delete(d.names, i, i+1)
 	}
 	d.updates = slices.DeleteFunc(d.updates, func(x *member) bool { return x == m })
 }
@@ -165,10 +165,10 @@
 	}
 	mix(m.Incarnation)
 	mix(m.Version)
-	there := uint64(0)
+	goneState := uint64(0)
 	if m.State >= Dead {
-		there = uint64(m.State)
+		goneState = uint64(m.State)
 	}
-	mix(there)
+	mix(goneState)
 	return h
 }
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -27,12 +27,12 @@
 const (
 	period              = 200  // between two probes
 	ackTimeout          = 80   // time-out of a probe's ack before indirect probes are sent
-	helperCount         = 3    // members that are asked for an indirect probe
+	indirectProberCount = 3    // members that are asked for an indirect probe
 	maxLocalHealth      = 8    // limit of the local health score, by which time-outs are multiplied
 	suspicionPeriods    = 3    // least duration of a suspicion in periods, times the logarithm of the number of members
 	minLogFactor        = 1.34 // least value of that logarithm
 	maxSuspicionFactor  = 6    // factor of a suspicion's duration while nobody else suspects
-	maxAccusers         = 3    // further accusers that shorten a suspicion to its least duration
+	maxConfirmations    = 3    // further accusers that shorten a suspicion to its least duration
 	retransmitFactor    = 3    // transmissions of an update, times the logarithm of the number of members
 	syncInterval        = 1000 // between two synchronizations of the full state
 	maxSyncPages        = 128  // of one synchronization
@@ -87,16 +87,16 @@
 	GrowShares        bool // shares of dead members are taken at once
 }
 
-type due uint8
+type timerKind uint8
 
 const (
-	dueProbe     due = iota // the next probe
-	dueAck                  // the ack of the current probe
-	dueSuspicion            // the end of a suspicion, by member
-	dueNack                 // the ack of an indirect probe for another member, by number
-	dueLate                 // the end of waiting for a late ack, by number
-	dueContact              // contact of a dead or unknown member
-	dueRemoval              // removal of a member that is long gone
+	timerProbe     timerKind = iota // the next probe
+	timerAck                        // the ack of the current probe
+	timerSuspicion                  // the end of a suspicion, by member
+	timerNack                       // the ack of an indirect probe for another member, by number
+	timerLateAck                    // the end of waiting for a late ack, by number
+	timerContact                    // contact of a dead or unknown member
+	timerRemoval                    // removal of a member that is long gone
 )
 
 // Detector is one process's failure detector. It is not safe for concurrent use.
@@ -105,7 +105,7 @@
 	config  Config
 	rng     *rand.Rand
 	now     float64
-	timers  timers.Heap[due]
+	timers  timers.Heap[timerKind]
 
 	version      uint64
 	leaving      bool
@@ -120,19 +120,19 @@
 	probeOrder   []string
 	probeIndex   int
 
-	sequence       uint64 // last number of a probe, page, hello or message
-	probe          probe
-	indirectProbes map[uint64]indirectProbe
-	lateProbes     map[uint64]lateProbe
-	hellos         map[string]uint64 // number of the last hello to an address
-	contactIndex   int
-	deadCount      int
-	lastDeathAt    float64 // time of the last death, or of the start
-	localHealth    int
-	resumedAt      float64 // when the process last resumed from a pause
-	lastSyncAt     float64
-	recentHellos   float64 // hellos received within the present second
-	helloWindowAt  float64
+	sequence         uint64 // last number of a probe, page, hello or message
+	probe            probe
+	indirectProbes   map[uint64]indirectProbe
+	lateProbes       map[uint64]lateProbe
+	hellos           map[string]uint64 // number of the last hello to an address
+	contactIndex     int
+	deadCount        int
+	lastDeathAt      float64 // time of the last death, or of the start
+	localHealth      int
+	resumedAt        float64 // when the process last resumed from a pause
+	lastSyncAt       float64
+	hellosInWindow   float64 // hellos received within the present second
+	helloWindowStart float64
 
 	header      header          // of the datagram that is being read
 	syncedNames map[string]bool // names in the page that is being read for which this process holds nothing newer
@@ -152,9 +152,9 @@
 
 // Stats counts what a detector did.
 type Stats struct {
-	Sent, Bytes, Got, Foreign, Bad, Stale uint64
-	Probes, Missed, Suspicions, Refuted   uint64
-	Deaths, Stalls, Syncs, Pages          uint64
+	Sent, Bytes, Got, Foreign, Malformed, Stale   uint64
+	Probes, MissedProbes, Suspicions, Refutations uint64
+	Deaths, Pauses, Syncs, Pages                  uint64
 }
 
 // New returns a detector without members, started at a time in ms.
@@ -181,8 +181,8 @@
 	d.updates = append(d.updates, d.self)
 	d.digest ^= d.self.digest()
 	d.announceSelf()
-	d.timers.Set(now+period*d.rng.Float64(), dueProbe, 0)
-	d.timers.Set(now, dueContact, 0)
+	d.timers.Set(now+period*d.rng.Float64(), timerProbe, 0)
+	d.timers.Set(now, timerContact, 0)
 	return d
 }
 
@@ -239,24 +239,24 @@
 }
 
 // onTimer executes what a timer was set for.
-func (d *Detector) onTimer(kind due, key uint64) {
+func (d *Detector) onTimer(kind timerKind, key uint64) {
 	switch kind {
-	case dueProbe:
+	case timerProbe:
 		d.startProbe()
-	case dueAck:
-		if key == d.probe.number && d.probe.out && !d.probe.answered {
+	case timerAck:
+		if key == d.probe.number && d.probe.outstanding && !d.probe.answered {
 			d.probeIndirectly()
 		}
-	case dueSuspicion:
+	case timerSuspicion:
 		d.onSuspicionTimeout(d.byIndex[key])
-	case dueNack:
+	case timerNack:
 		d.sendNack(key)
-	case dueLate:
+	case timerLateAck:
 		d.onLateTimeout(key)
-	case dueContact:
-		d.contactLost()
-	case dueRemoval:
-		d.onRemovalDue(d.byIndex[key])
+	case timerContact:
+		d.sendNextHello()
+	case timerRemoval:
+		d.onRemovalTimer(d.byIndex[key])
 	}
 }
 
@@ -269,12 +269,12 @@
 		return
 	}
 	d.resumedAt = d.now
-	d.Stats.Stalls++
+	d.Stats.Pauses++
 	d.localHealth = min(maxLocalHealth, d.localHealth+2)
-	d.probe.out = false
+	d.probe.outstanding = false
 	for _, n := range d.names {
 		if m := d.members[n]; m.State == Suspect {
-			m.suspectAt = d.now
+			m.suspectedAt = d.now
 		}
 	}
 }
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -51,16 +51,16 @@
 
 // TestPause pauses a process with a probe out: when it resumes it accuses nobody, unless it ignores its local health.
 func TestPause(t *testing.T) {
-	for _, healthy := range []bool{false, true} {
-		a, network := newPair(t, Faults{IgnoreLocalHealth: healthy})
+	for _, ignoresLocalHealth := range []bool{false, true} {
+		a, effects := newPair(t, Faults{IgnoreLocalHealth: ignoresLocalHealth})
 		now := a.Next()
 		for a.Stats.Probes == 0 {
 			now = a.Next()
 			a.Tick(now)
 		}
 		a.Tick(now + 5000) // nothing was read in the meantime
-		if n := len(network.changes); healthy && n < 2 || !healthy && n > 1 || !healthy && (a.Stats.Stalls != 1 || a.Health() < 2) {
-			t.Errorf("healthy %t: %q, %d stalls, health %d", healthy, network.changes, a.Stats.Stalls, a.Health())
+		if n := len(effects.changes); ignoresLocalHealth && n < 2 || !ignoresLocalHealth && n > 1 || !ignoresLocalHealth && (a.Stats.Pauses != 1 || a.Health() < 2) {
+			t.Errorf("healthy %t: %q, %d stalls, health %d", ignoresLocalHealth, effects.changes, a.Stats.Pauses, a.Health())
 		}
 	}
 }
@@ -71,11 +71,11 @@
 	b, nb := newDetector("b", Faults{})
 	a.Tick(1001)
 	hello := na.last["b:1"]
-	view := b.Digest()
+	digest := b.Digest()
 	for i := range 1000 {
 		b.OnDatagram(1002+float64(i)/10, hello)
 	}
-	if alive := b.Count().Alive; alive != 0 || b.Digest() != view || len(nb.sent) > maxHellosPerSecond || len(nb.sent) == 0 {
+	if alive := b.Count().Alive; alive != 0 || b.Digest() != digest || len(nb.sent) > maxHellosPerSecond || len(nb.sent) == 0 {
 		t.Errorf("%d known, %d answers", alive, len(nb.sent))
 	}
 }
@@ -117,16 +117,16 @@
 			a.setState(m, Alive, "a")
 		}
 	}
-	least, most := a.Bounds()
-	if least < 800 || most != maxSuspicionFactor*least {
-		t.Fatalf("%g, %g", least, most)
+	minDuration, maxDuration := a.Bounds()
+	if minDuration < 800 || maxDuration != maxSuspicionFactor*minDuration {
+		t.Fatalf("%g, %g", minDuration, maxDuration)
 	}
-	for accusers := 1; accusers <= maxAccusers+1; accusers++ {
-		least, most = a.Bounds() // of the remaining members
-		x := a.members[fmt.Sprint("x", accusers)]
+	for reporters := 1; reporters <= maxConfirmations+1; reporters++ {
+		minDuration, maxDuration = a.Bounds() // of the remaining members
+		x := a.members[fmt.Sprint("x", reporters)]
 		a.now = 5000
 		a.suspect(x, "a")
-		for i := 1; i < accusers; i++ {
+		for i := 1; i < reporters; i++ {
 			a.suspect(x, fmt.Sprint("y", i))
 		}
 		at := 5000.0
@@ -135,8 +135,8 @@
 			a.evaluateSuspicion(x)
 		}
 		lasted := at - 10 - 5000
-		if accusers == 1 && lasted < most-20 || accusers == maxAccusers+1 && lasted > least+20 || lasted < least-20 {
-			t.Errorf("%d accusers: %g ms", accusers, lasted)
+		if reporters == 1 && lasted < maxDuration-20 || reporters == maxConfirmations+1 && lasted > minDuration+20 || lasted < minDuration-20 {
+			t.Errorf("%d accusers: %g ms", reporters, lasted)
 		}
 	}
 }
--- a/internal/decide/membership/nodes.go
+++ b/internal/decide/membership/nodes.go
@@ -17,8 +17,8 @@
 func (d *Detector) EndedNodes(yield func(node uint32, life uint64)) { d.nodeReachability.Ended(yield) }
 
 // OnNodeList records an answer of this process's node list. Its changes are gossiped.
-func (d *Detector) OnNodeList(now float64, version uint64, each func(yield func(node uint32, ready, gone bool))) {
-	d.nodeGossip.OnList(now, version, each)
+func (d *Detector) OnNodeList(now float64, version uint64, nodes func(yield func(node uint32, ready, gone bool))) {
+	d.nodeGossip.OnList(now, version, nodes)
 }
 
 // UnreadyNodes returns, sorted, the nodes that are not ready according to others that know a later version of the node list.
--- a/internal/decide/membership/probe.go
+++ b/internal/decide/membership/probe.go
@@ -9,13 +9,13 @@
 
 // probe is the current probe.
 type probe struct {
-	name     string
-	number   uint64
-	sent     float64
-	asked    int // members that were asked for an indirect probe
-	nacks    int // of them, that got no ack
-	answered bool
-	out      bool // it was sent, and counts
+	name         string
+	number       uint64
+	sent         float64
+	probersAsked int // members that were asked for an indirect probe
+	nacks        int // of them, that got no ack
+	answered     bool
+	outstanding  bool // it was sent, and counts
 }
 
 // indirectProbe is a probe made for another member.
@@ -30,37 +30,37 @@
 	sent float64
 }
 
-// scaled returns a time-out of own probes, multiplied by the local health score.
-func (d *Detector) scaled(ms float64) float64 { return ms * float64(1+d.localHealth) }
+// scaleTimeout returns a time-out of own probes, multiplied by the local health score.
+func (d *Detector) scaleTimeout(ms float64) float64 { return ms * float64(1+d.localHealth) }
 
 // startProbe ends the last probe and probes the next member.
 func (d *Detector) startProbe() {
-	d.timers.Set(d.now+d.scaled(period)*(0.95+0.1*d.rng.Float64()), dueProbe, 0)
-	if d.probe.out && !d.probe.answered {
+	d.timers.Set(d.now+d.scaleTimeout(period)*(0.95+0.1*d.rng.Float64()), timerProbe, 0)
+	if d.probe.outstanding && !d.probe.answered {
 		d.onProbeMissed()
 	}
-	d.probe.out = false
+	d.probe.outstanding = false
 	m := d.nextProbed()
 	if m == nil {
 		return
 	}
 	d.sequence++
 	d.Stats.Probes++
-	d.probe = probe{name: m.Name, number: d.sequence, sent: d.now, out: true}
+	d.probe = probe{name: m.Name, number: d.sequence, sent: d.now, outstanding: true}
 	d.sendTo(m, codec.Ping, d.sequence, "")
-	d.timers.Set(d.now+d.scaled(ackTimeout), dueAck, d.sequence)
+	d.timers.Set(d.now+d.scaleTimeout(ackTimeout), timerAck, d.sequence)
 }
 
 // onProbeMissed handles a probe without an ack in time. The member is suspected at once, or after its usual lag if it is slow.
 func (d *Detector) onProbeMissed() {
 	p := &d.probe
-	d.Stats.Missed++
+	d.Stats.MissedProbes++
 	m := d.members[p.name]
 	if m == nil || m.State > Suspect {
 		return
 	}
-	d.localHealth = min(maxLocalHealth, d.localHealth+p.asked-p.nacks) // silent helpers: this process may be at fault
-	if p.asked == 0 {
+	d.localHealth = min(maxLocalHealth, d.localHealth+p.probersAsked-p.nacks) // silent helpers: this process may be at fault
+	if p.probersAsked == 0 {
 		d.localHealth = min(maxLocalHealth, d.localHealth+1)
 	}
 	if m.lag == 0 {
@@ -68,7 +68,7 @@
 	}
 	if len(d.lateProbes) < maxMembers {
 		d.lateProbes[p.number] = lateProbe{p.name, p.sent}
-		d.timers.Set(p.sent+max(minLateWait, lagFactor*m.lag), dueLate, p.number)
+		d.timers.Set(p.sent+max(minLateWait, lagFactor*m.lag), timerLateAck, p.number)
 	}
 }
 
@@ -126,8 +126,8 @@
 	if target == nil {
 		return
 	}
-	for _, m := range d.sample(helperCount, func(m *member) bool { return m.State == Alive && m != target }) {
-		d.probe.asked++
+	for _, m := range d.sample(indirectProberCount, func(m *member) bool { return m.State == Alive && m != target }) {
+		d.probe.probersAsked++
 		d.sendTo(m, codec.PingRequest, d.probe.number, target.Name)
 	}
 	d.sendTo(target, codec.Ping, d.probe.number, "") // once more: a single datagram is easily lost
@@ -152,7 +152,7 @@
 
 // onAck handles the ack of an own probe or of an indirect probe for another member.
 func (d *Detector) onAck(m *member, number uint64) {
-	if d.probe.out && number == d.probe.number && !d.probe.answered {
+	if d.probe.outstanding && number == d.probe.number && !d.probe.answered {
 		d.probe.answered = true
 		d.onLeaseReply(d.probe.sent)
 		d.localHealth = max(0, d.localHealth-1)
@@ -163,15 +163,15 @@
 		}
 		return
 	}
-	if w, ok := d.lateProbes[number]; ok && w.name == m.Name { // late, but alive
+	if late, ok := d.lateProbes[number]; ok && late.name == m.Name { // late, but alive
 		delete(d.lateProbes, number)
-		d.onLeaseReply(w.sent)
-		m.lag = max(m.lag, d.now-w.sent)
+		d.onLeaseReply(late.sent)
+		m.lag = max(m.lag, d.now-late.sent)
 	}
-	if h, ok := d.indirectProbes[number]; ok && h.target == m.Name {
+	if indirect, ok := d.indirectProbes[number]; ok && indirect.target == m.Name {
 		delete(d.indirectProbes, number)
-		if asker := d.members[h.asker]; asker != nil {
-			d.sendTo(asker, codec.Ack, h.number, "")
+		if asker := d.members[indirect.asker]; asker != nil {
+			d.sendTo(asker, codec.Ack, indirect.number, "")
 		}
 	}
 }
@@ -185,5 +185,5 @@
 	d.sequence++
 	d.indirectProbes[d.sequence] = indirectProbe{asker: asker.Name, target: target, number: number}
 	d.sendTo(m, codec.Ping, d.sequence, "")
-	d.timers.Set(d.now+ackTimeout, dueNack, d.sequence)
+	d.timers.Set(d.now+ackTimeout, timerNack, d.sequence)
 }
--- a/internal/decide/membership/receive.go
+++ b/internal/decide/membership/receive.go
@@ -12,13 +12,13 @@
 // OnDatagram handles a datagram that arrived at this process's address.
 func (d *Detector) OnDatagram(now float64, b []byte) {
 	d.advance(now)
-	d.header.kind, d.header.lease.place, d.header.silent = 0, 0, d.header.silent[:0]
+	d.header.kind, d.header.lease.place, d.header.queriedNodes = 0, 0, d.header.queriedNodes[:0]
 	d.syncedNames = nil
 	switch err := codec.Open(b, d.config.Key, d.config.Site, d.config.Address, datagramHandler{d}); {
 	case errors.Is(err, codec.ErrForeign):
 		d.Stats.Foreign++
 	case err != nil:
-		d.Stats.Bad++ // what was read before the error is kept: the datagram was authentic
+		d.Stats.Malformed++ // what was read before the error is kept: the datagram was authentic
 	}
 	if d.header.kind != 0 {
 		d.Stats.Got++
@@ -28,13 +28,13 @@
 
 // header is what the kind of a datagram is handled by, when all of the datagram is read.
 type header struct {
-	sender       *member
-	kind         uint32
-	number, view uint64
-	target       string
-	after, until string // range of names of a page
-	lease        leaseFields
-	silent       []uint32 // nodes that the sender can't reach and asks for
+	sender         *member
+	kind           uint32
+	number, digest uint64
+	target         string
+	after, until   string // range of names of a page
+	lease          leaseFields
+	queriedNodes   []uint32 // nodes that the sender can't reach and asks for
 }
 
 // leaseFields are the lease fields of a datagram.
@@ -75,7 +75,7 @@
 	}
 	m.LastContact = d.now
 	h := &d.header
-	h.sender, h.kind, h.number, h.view = m, received.Kind, received.Number, received.Digest
+	h.sender, h.kind, h.number, h.digest = m, received.Kind, received.Number, received.Digest
 	h.target, h.after, h.until = received.Target, received.After, received.Until
 	if received.Kind == codec.SyncChunk {
 		d.syncedNames = map[string]bool{}
@@ -125,14 +125,14 @@
 }
 
 // OnNodeState handles gossip about a node.
-func (d datagramHandler) OnNodeState(node uint32, version uint64, gone bool) {
-	d.nodeGossip.OnUpdate(d.now, node, version, gone)
+func (d datagramHandler) OnNodeState(node uint32, version uint64, removed bool) {
+	d.nodeGossip.OnUpdate(d.now, node, version, removed)
 }
 
 // OnNodeQuery keeps a question about a node for the ack of the probe that carries it.
 func (d datagramHandler) OnNodeQuery(node uint32) {
-	if len(d.header.silent) < reachability.MaxQuestions {
-		d.header.silent = append(d.header.silent, node)
+	if len(d.header.queriedNodes) < reachability.MaxQuestions {
+		d.header.queriedNodes = append(d.header.queriedNodes, node)
 	}
 }
 
@@ -142,10 +142,10 @@
 	if h.kind != codec.Ack {
 		return
 	}
-	if h.number == d.probe.number && d.probe.out {
+	if h.number == d.probe.number && d.probe.outstanding {
 		d.nodeReachability.OnAnswer(d.probe.sent, node, incarnation, ago)
-	} else if w, ok := d.lateProbes[h.number]; ok {
-		d.nodeReachability.OnAnswer(w.sent, node, incarnation, ago)
+	} else if late, ok := d.lateProbes[h.number]; ok {
+		d.nodeReachability.OnAnswer(late.sent, node, incarnation, ago)
 	}
 }
 
@@ -197,14 +197,14 @@
 		d.sync(m)
 	case codec.Ping:
 		d.sendTo(m, codec.Ack, h.number, "")
-		d.syncIfDifferent(m, h.view)
+		d.syncIfDifferent(m, h.digest)
 	case codec.Ack:
 		d.onAck(m, h.number)
-		d.syncIfDifferent(m, h.view)
+		d.syncIfDifferent(m, h.digest)
 	case codec.PingRequest:
 		d.onIndirectProbe(m, h.number, h.target)
 	case codec.Nack:
-		if d.probe.out && h.number == d.probe.number {
+		if d.probe.outstanding && h.number == d.probe.number {
 			d.probe.nacks++
 		}
 	case codec.SyncChunk:
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -102,7 +102,7 @@
 			return ok
 		})
 	case kind == codec.Ack && d.header.kind == codec.Ping:
-		for _, node := range d.header.silent {
+		for _, node := range d.header.queriedNodes {
 			if incarnation, lastContact, ok := d.effects.LastNodeContact(node); ok {
 				b, _ = codec.AppendNodeReply(b, node, incarnation, d.now-lastContact)
 			}
@@ -133,8 +133,8 @@
 	}
 	clear(d.updates[len(kept):])
 	d.updates = kept
-	d.nodeGossip.Piggyback(limit, func(node uint32, version uint64, gone bool) (ok bool) {
-		b, ok = codec.AppendNodeState(b, node, version, gone)
+	d.nodeGossip.Piggyback(limit, func(node uint32, version uint64, removed bool) (ok bool) {
+		b, ok = codec.AppendNodeState(b, node, version, removed)
 		return ok
 	})
 	return b
@@ -147,9 +147,9 @@
 	})
 }
 
-// sendBare sends a datagram without count and updates, to a process that may not know this one's incarnation.
-func (d *Detector) sendBare(address string, incarnation uint64, kind uint32, number uint64, target string, view uint64) {
-	d.transmit(address, d.appendHeader(incarnation, codec.Header{Kind: kind, Number: number, Target: target, Digest: view}))
+// sendWithoutUpdates sends a datagram without count and updates, to a process that may not know this one's incarnation.
+func (d *Detector) sendWithoutUpdates(address string, incarnation uint64, kind uint32, number uint64, target string, digest uint64) {
+	d.transmit(address, d.appendHeader(incarnation, codec.Header{Kind: kind, Number: number, Target: target, Digest: digest}))
 }
 
 // appendHeader begins a datagram for an incarnation of the receiver. The sender's fields of the header are set here.
--- a/internal/decide/membership/share.go
+++ b/internal/decide/membership/share.go
@@ -9,28 +9,28 @@
 // SlowStartSharers returns how many processes share the slow-start budget at most, or 0 if this one has no lease on a share, and the time in ms
 // until which this holds without further replies.
 func (d *Detector) SlowStartSharers(now float64) (n int, until float64) {
-	return d.sharersBy(d.slowStart, now)
+	return d.leaseSharers(d.slowStart, now)
 }
 
 // QuotaSharers returns how many processes share the leased quota at most, or 0 if this one has no lease on a share, and the time in ms until
 // which this holds without further replies.
 func (d *Detector) QuotaSharers(now float64) (n int, until float64) {
-	return d.sharersBy(d.quota, now)
+	return d.leaseSharers(d.quota, now)
 }
 
-// sharersBy returns the number of sharers by a lease and the lease's end.
-func (d *Detector) sharersBy(h *slowstart.Holder, now float64) (n int, until float64) {
-	if h == nil || d.nameConflict || d.leaving {
+// leaseSharers returns the number of sharers by a lease and the lease's end.
+func (d *Detector) leaseSharers(holder *slowstart.Holder, now float64) (n int, until float64) {
+	if holder == nil || d.nameConflict || d.leaving {
 		return 0, now
 	}
 	if d.config.Faults.GrowShares {
 		return d.Count().Alive + 1, math.Inf(1)
 	}
-	return h.Sharers(now), h.Expiry(now)
+	return holder.Sharers(now), holder.Expiry(now)
 }
 
 // Grants returns how many others grant this process its lease, and how many grants it needs.
-func (d *Detector) Grants(now float64) (has, needs int) {
+func (d *Detector) Grants(now float64) (granted, needed int) {
 	if d.slowStart == nil {
 		return 0, 0
 	}
--- a/internal/decide/membership/suspicion.go
+++ b/internal/decide/membership/suspicion.go
@@ -5,7 +5,7 @@
 // suspect suspects a member, or adds an accuser to its suspicion.
 func (d *Detector) suspect(m *member, by string) {
 	if m.State == Suspect {
-		d.addAccuser(m, by)
+		d.addReporter(m, by)
 		return
 	}
 	d.Stats.Suspicions++
@@ -15,16 +15,16 @@
 
 // startSuspicion starts the time-out of a suspicion with its first accuser.
 func (d *Detector) startSuspicion(m *member, by string) {
-	m.suspectAt, m.accusers, m.fromDeathReport = d.now, map[string]bool{by: true}, false
+	m.suspectedAt, m.reporters, m.fromDeathReport = d.now, map[string]bool{by: true}, false
 	d.evaluateSuspicion(m)
 }
 
-// addAccuser adds an accuser to a suspicion, which shortens it.
-func (d *Detector) addAccuser(m *member, by string) {
-	if by == m.Name || m.accusers[by] || len(m.accusers) > maxAccusers {
+// addReporter adds an accuser to a suspicion, which shortens it.
+func (d *Detector) addReporter(m *member, by string) {
+	if by == m.Name || m.reporters[by] || len(m.reporters) > maxConfirmations {
 		return
 	}
-	m.accusers[by], m.By = true, by
+	m.reporters[by], m.By = true, by
 	d.queueUpdate(m) // each accuser is gossiped
 	d.evaluateSuspicion(m)
 }
@@ -38,23 +38,23 @@
 
 // evaluateSuspicion declares a suspect dead after its time-out, or sets a timer for the rest of it.
 func (d *Detector) evaluateSuspicion(m *member) {
-	if at := m.suspectAt + d.suspicionDuration(len(m.accusers)); d.now < at {
-		d.timers.Set(at, dueSuspicion, m.index)
+	if at := m.suspectedAt + d.suspicionDuration(len(m.reporters)); d.now < at {
+		d.timers.Set(at, timerSuspicion, m.index)
 		return
 	}
 	d.Stats.Deaths++
-	m.accusers = nil
+	m.reporters = nil
 	d.setState(m, Dead, d.config.Name)
 }
 
 // suspicionDuration returns how long a suspicion with a number of accusers lasts, in ms.
-func (d *Detector) suspicionDuration(accusers int) float64 {
+func (d *Detector) suspicionDuration(reporters int) float64 {
 	minDuration, maxDuration := d.Bounds()
-	needed := min(maxAccusers, d.presentCount()-1)
+	needed := min(maxConfirmations, d.presentCount()-1)
 	if needed < 1 {
 		return minDuration
 	}
-	return max(minDuration, maxDuration-(maxDuration-minDuration)*math.Log(float64(accusers))/math.Log(float64(needed+1)))
+	return max(minDuration, maxDuration-(maxDuration-minDuration)*math.Log(float64(reporters))/math.Log(float64(needed+1)))
 }
 
 // Bounds returns the duration of a suspicion in ms, with enough accusers and with only one.
--- a/internal/decide/membership/sync.go
+++ b/internal/decide/membership/sync.go
@@ -7,8 +7,8 @@
 )
 
 // syncIfDifferent synchronizes the full state with a member whose digest differs.
-func (d *Detector) syncIfDifferent(m *member, view uint64) {
-	if view != d.digest && d.now-d.lastSyncAt >= syncInterval {
+func (d *Detector) syncIfDifferent(m *member, digest uint64) {
+	if digest != d.digest && d.now-d.lastSyncAt >= syncInterval {
 		d.sync(m)
 	}
 }
@@ -18,8 +18,8 @@
 	d.Stats.Syncs++
 	d.lastSyncAt = d.now
 	all := slices.Clone(d.names)
-	at, _ := slices.BinarySearch(all, d.config.Name)
-	all = slices.Insert(all, at, d.config.Name)
+	i, _ := slices.BinarySearch(all, d.config.Name)
+	all = slices.Insert(all, i, d.config.Name)
 	after := ""
 	for range maxSyncPages {
 		until, n := d.sendSyncPage(m, all, after)
@@ -35,7 +35,7 @@
 	d.Stats.Pages++
 	d.sequence++
 	m.sentCount++
-	begin := func(until string) []byte {
+	beginPage := func(until string) []byte {
 		return d.appendHeader(m.Incarnation, codec.Header{
 			Count: m.sentCount, Kind: codec.SyncChunk, Number: d.sequence, Digest: d.digest, After: after, Until: until,
 		})
@@ -46,7 +46,7 @@
 			longest = name
 		}
 	}
-	b := begin(longest) // the page's last name is not known yet: space for the longest is reserved
+	b := beginPage(longest) // the page's last name is not known yet: space for the longest is reserved
 	for n = 0; n < len(names); n++ {
 		var ok bool
 		if b, ok = appendUpdate(b, d.lookup(names[n])); !ok {
@@ -56,7 +56,7 @@
 	if n < len(names) && n > 0 {
 		until = names[n-1]
 	}
-	b = begin(until)
+	b = beginPage(until)
 	for _, name := range names[:n] {
 		b, _ = appendUpdate(b, d.lookup(name))
 	}
@@ -102,8 +102,8 @@
 }
 
 // markSynced notes that the page has a name's present or a newer update, so that the answer can omit it.
-func (d *Detector) markSynced(m *member, incarnation, version uint64, to State) {
+func (d *Detector) markSynced(m *member, incarnation, version uint64, state State) {
 	if d.syncedNames != nil {
-		d.syncedNames[m.Name] = incarnation > m.Incarnation || incarnation == m.Incarnation && (version > m.Version || version == m.Version && (to >= m.State || m.State < Dead))
+		d.syncedNames[m.Name] = incarnation > m.Incarnation || incarnation == m.Incarnation && (version > m.Version || version == m.Version && (state >= m.State || m.State < Dead))
 	}
 }
--- a/internal/decide/membership/update.go
+++ b/internal/decide/membership/update.go
@@ -11,7 +11,7 @@
 // onNewIncarnation handles a member's new incarnation.
 func (d *Detector) onNewIncarnation(m *member, address string, incarnation, version uint64, state State, by string) {
 	d.setVersion(m, incarnation, version)
-	m.Address, m.highestCount, m.receivedMask, m.sentCount, m.accusers = address, 0, 0, 0, nil
+	m.Address, m.highestCount, m.receivedMask, m.sentCount, m.reporters = address, 0, 0, 0, nil
 	d.setState(m, state, by)
 	if state == Suspect {
 		d.startSuspicion(m, by)
@@ -32,79 +32,79 @@
 
 // OnMember handles an update of a member.
 func (d datagramHandler) OnMember(u codec.Member) {
-	to := State(u.State)
+	state := State(u.State)
 	if u.Name == d.config.Name {
 		if d.syncedNames != nil {
-			d.syncedNames[u.Name] = u.Incarnation == d.config.Incarnation && u.Version == d.version && (to < Dead) == !d.leaving
+			d.syncedNames[u.Name] = u.Incarnation == d.config.Incarnation && u.Version == d.version && (state < Dead) == !d.leaving
 		}
-		d.onSelfUpdate(u.Address, u.Incarnation, u.Version, to)
+		d.onSelfUpdate(u.Address, u.Incarnation, u.Version, state)
 		return
 	}
 	m := d.members[u.Name]
 	if m == nil {
 		if m = d.addMember(u.Name, u.Address, u.Incarnation, u.Version); m != nil {
-			d.setFirstState(m, to, u.By)
-			d.markSynced(m, u.Incarnation, u.Version, to)
+			d.setInitialState(m, state, u.By)
+			d.markSynced(m, u.Incarnation, u.Version, state)
 		}
 		return
 	}
-	d.markSynced(m, u.Incarnation, u.Version, to)
+	d.markSynced(m, u.Incarnation, u.Version, state)
 	switch {
 	case d.config.Faults.AcceptStale && (u.Incarnation < m.Incarnation || u.Version < m.Version):
-		d.onNewIncarnation(m, u.Address, u.Incarnation, u.Version, to, u.By)
+		d.onNewIncarnation(m, u.Address, u.Incarnation, u.Version, state, u.By)
 	case u.Incarnation < m.Incarnation || u.Incarnation == m.Incarnation && u.Version < m.Version:
 	case u.Incarnation > m.Incarnation:
-		d.onNewIncarnation(m, u.Address, u.Incarnation, u.Version, to, u.By)
+		d.onNewIncarnation(m, u.Address, u.Incarnation, u.Version, state, u.By)
 	case u.Version > m.Version:
-		d.onNewerVersion(m, u.Version, to, u.By)
+		d.onNewerVersion(m, u.Version, state, u.By)
 	default:
-		d.onSameVersion(m, to, u.By)
+		d.onSameVersion(m, state, u.By)
 	}
 }
 
-// setFirstState sets the state of a member that was unknown.
-func (d *Detector) setFirstState(m *member, to State, by string) {
-	if to == Suspect {
+// setInitialState sets the state of a member that was unknown.
+func (d *Detector) setInitialState(m *member, state State, by string) {
+	if state == Suspect {
 		d.setState(m, Alive, by)
 		d.suspect(m, by)
 		return
 	}
-	d.setState(m, to, by)
+	d.setState(m, state, by)
 }
 
 // onSameVersion handles a state of a member's present version.
-func (d *Detector) onSameVersion(m *member, to State, by string) {
+func (d *Detector) onSameVersion(m *member, state State, by string) {
 	switch {
-	case to <= m.State: // nothing new, except for a further accuser
-		if to == Suspect && m.State == Suspect {
-			d.addAccuser(m, by)
+	case state <= m.State: // nothing new, except for a further accuser
+		if state == Suspect && m.State == Suspect {
+			d.addReporter(m, by)
 		}
-	case to == Dead && m.State == Suspect:
+	case state == Dead && m.State == Suspect:
 		if !m.fromDeathReport { // after a partition heals, each side reports all members of the other as dead
-			d.addAccuser(m, by)
+			d.addReporter(m, by)
 		}
-	case to == Dead, to == Suspect: // a new report of a death starts a suspicion: the death may have been refuted
+	case state == Dead, state == Suspect: // a new report of a death starts a suspicion: the death may have been refuted
 		d.suspect(m, by)
-		m.fromDeathReport = to == Dead
+		m.fromDeathReport = state == Dead
 	default:
-		d.setState(m, to, by)
+		d.setState(m, state, by)
 	}
 }
 
 // onNewerVersion handles a higher version of a member.
-func (d *Detector) onNewerVersion(m *member, version uint64, to State, by string) {
-	was := m.State
+func (d *Detector) onNewerVersion(m *member, version uint64, state State, by string) {
+	previous := m.State
 	d.setVersion(m, m.Incarnation, version)
 	switch {
-	case to == Alive:
-		if was == Suspect {
-			d.Stats.Refuted++
+	case state == Alive:
+		if previous == Suspect {
+			d.Stats.Refutations++
 		}
-		m.accusers = nil
+		m.reporters = nil
 		d.setState(m, Alive, by)
-	case to == Left:
+	case state == Left:
 		d.setState(m, Left, by)
-	case was == Dead && to == Dead:
+	case previous == Dead && state == Dead:
 		d.setState(m, Dead, by)
 	default:
 		d.setState(m, Alive, by)
@@ -113,7 +113,7 @@
 }
 
 // onSelfUpdate handles an update about this process. It refutes a wrong one by a higher version.
-func (d *Detector) onSelfUpdate(address string, incarnation, version uint64, to State) {
+func (d *Detector) onSelfUpdate(address string, incarnation, version uint64, state State) {
 	switch {
 	case incarnation < d.config.Incarnation || d.leaving:
 	case address != d.config.Address:
@@ -121,7 +121,7 @@
 	case incarnation > d.config.Incarnation:
 		d.raiseIncarnation(incarnation)
 	case d.config.Faults.NoRefutation:
-	case to != Alive && version >= d.version:
+	case state != Alive && version >= d.version:
 		if !d.config.Faults.SameVersion {
 			d.version = version + 1
 		}
