--- a/internal/decide/membership/contact.go
+++ b/internal/decide/membership/contact.go
@@ -4,20 +4,21 @@
 	codec "ravenpond/internal/proto/members"
 )
 
-// sendNextHello sends a hello to one dead member or unknown seed after the other, without end.
+// sendNextHello sends a hello to the next dead member or seed that is not yet a member, and schedules the following one. The interval is a
+// tenth of the time since the last death, within contactMinInterval and contactMaxInterval, and contactSlowInterval after contactSlowAfter.
 func (d *Detector) sendNextHello() {
 	interval := min(contactMaxInterval, max(contactMinInterval, (d.now-d.lastDeathAt)/10))
 	if d.now-d.lastDeathAt > contactSlowAfter {
 		interval = contactSlowInterval
 	}
 	var candidates []string
-	for _, a := range d.config.Seeds {
-		if a != d.config.Address && !d.isKnownAddress(a) {
-			candidates = append(candidates, a)
+	for _, seed := range d.config.Seeds {
+		if seed != d.config.Address && !d.isKnownAddress(seed) {
+			candidates = append(candidates, seed)
 		}
 	}
-	for _, n := range d.names {
-		if m := d.members[n]; m.State == Dead {
+	for _, name := range d.names {
+		if m := d.members[name]; m.State == Dead {
 			candidates = append(candidates, m.Address)
 		}
 	}
@@ -28,7 +29,7 @@
 	d.timers.Set(d.now+interval*(0.8+0.4*d.rng.Float64()), timerContact, 0)
 }
 
-// isKnownAddress reports whether a member at an address is known, dead or alive.
+// isKnownAddress reports whether any member, dead or alive, has the address.
 func (d *Detector) isKnownAddress(address string) bool {
 	for _, m := range d.members {
 		if m.Address == address {
@@ -38,7 +39,7 @@
 	return false
 }
 
-// sendHello sends a hello to an address.
+// sendHello sends a hello and records its number, by which the answer is recognized.
 func (d *Detector) sendHello(address string) {
 	d.sequence++
 	if len(d.hellos) >= maxMembers {
@@ -48,7 +49,7 @@
 	d.sendWithoutUpdates(address, 0, codec.Hello, d.sequence, "", d.digest)
 }
 
-// AnnounceLeave announces that this process ends intentionally.
+// AnnounceLeave tells a few members that this process shuts down intentionally; gossip tells the rest.
 func (d *Detector) AnnounceLeave(now float64) {
 	d.now = max(d.now, now)
 	d.leaving = true
@@ -63,8 +64,8 @@
 	}
 }
 
-// onHello answers a hello with this process's incarnation, and with the sender's known incarnation if that is later. It changes no state,
-// as a hello may be a replay.
+// onHello answers a hello with this process's incarnation. If a later incarnation of the sender is known here, or the same one at another
+// address, the answer contains it. No membership state changes, because the hello may be a replay.
 func (d *Detector) onHello(from, address string, incarnation, number uint64) {
 	if d.now-d.helloWindowStart > 1000 {
 		d.helloWindowStart, d.hellosInWindow = d.now, 0
--- a/internal/decide/membership/footprint.go
+++ b/internal/decide/membership/footprint.go
@@ -6,23 +6,23 @@
 	"ravenpond/internal/decide/fragment"
 )
 
-// Footprint is the size of what a detector holds, by structure. Bytes are those of the records and their texts, without what
-// maps and the allocator add.
+// Footprint is the number of entries in each of a detector's structures, and their memory. Bytes count the records and their strings, not
+// the overhead of maps and the allocator.
 type Footprint struct {
-	Members          int // others, the dead with them
+	Members          int // other members, including dead ones
 	MemberBytes      int
-	Accusers         int // of all suspects
+	Accusers         int // processes that report a suspicion, over all suspects
 	Timers           int
-	IndirectProbes   int // probes made for others that were not answered yet
-	LateProbes       int // probes that were not answered in time
-	Hellos           int // addresses whose answer to a hello is awaited
-	Updates          int // of members, that are still told
-	NodeUpdates      int // of nodes
-	UnreachableNodes int // that others are asked for
+	IndirectProbes   int // unanswered probes on behalf of other members
+	LateProbes       int // probes that got no ack in time
+	Hellos           int // addresses that have not answered a hello yet
+	Updates          int // queued updates of members
+	NodeUpdates      int // stored updates of nodes
+	UnreachableNodes int // nodes that other schedulers are asked about
 	Fragments        fragment.Footprint
 }
 
-// Footprint counts what the detector holds.
+// Footprint returns the present sizes.
 func (d *Detector) Footprint() Footprint {
 	f := Footprint{
 		Members:          len(d.members),
--- a/internal/decide/membership/member.go
+++ b/internal/decide/membership/member.go
@@ -9,7 +9,7 @@
 // State is the state of a member.
 type State uint8
 
-// States, in the order of their precedence at one version.
+// States in ascending order of precedence: of two states of the same version, the later one in this list wins.
 const (
 	Alive   State = codec.Alive
 	Suspect State = codec.Suspect
@@ -21,32 +21,32 @@
 	return [...]string{"unknown", "alive", "suspect", "dead", "left"}[min(s, 5)%5]
 }
 
-// Member is what this process knows of a member.
+// Member is what this process knows about a member.
 type Member struct {
 	Name, Address        string
 	Incarnation, Version uint64
 	State                State
-	Since                float64 // when the state was entered, ms
-	By                   string  // who reported the state
-	LastContact          float64 // when its last own datagram arrived, ms; 0: never
+	Since                float64 // time at which the member entered the state, ms
+	By                   string  // name of the process that reported the state
+	LastContact          float64 // time of the last datagram from the member itself, ms; 0: none yet
 }
 
-// member is a member with the detector's bookkeeping.
+// member adds the detector's internal state to a Member.
 type member struct {
 	Member
 	index           uint64
-	highestCount    uint64 // highest count received from it
-	receivedMask    uint64 // which of the 64 counts up to it were received
-	sentCount       uint64 // count of datagrams sent to it
-	suspectedAt     float64
-	reporters       map[string]bool
-	fromDeathReport bool    // the suspicion began with a report of its death, of which it may not know yet
-	place           int     // its place, from 1; 0: unknown
-	transmissions   int     // of its update so far; -1: no update is queued
-	lag             float64 // decaying latency of its late acks, ms
+	highestCount    uint64          // highest datagram count received from the member
+	receivedMask    uint64          // bit i is set if highestCount-i was received
+	sentCount       uint64          // number of datagrams sent to the member
+	suspectedAt     float64         // start of the suspicion, ms
+	reporters       map[string]bool // names of the processes that suspect the member
+	fromDeathReport bool            // the suspicion began with a report of the member's death, which the member may not know about yet
+	place           int             // index among the processes that share by leases, plus 1; 0: unknown
+	transmissions   int             // how often the queued update was sent; -1: no update is queued
+	lag             float64         // decaying latency of the member's late acks, ms; 0: its acks are in time
 }
 
-// setVersion sets a member's incarnation and version, and updates the digest.
+// setVersion sets a member's incarnation and version and updates the digest.
 func (d *Detector) setVersion(m *member, incarnation, version uint64) {
 	d.digest ^= m.digest()
 	m.Incarnation, m.Version = incarnation, version
@@ -56,13 +56,13 @@
 // All returns all other members, sorted by name.
 func (d *Detector) All() []Member {
 	all := make([]Member, 0, len(d.names))
-	for _, n := range d.names {
-		all = append(all, d.members[n].Member)
+	for _, name := range d.names {
+		all = append(all, d.members[name].Member)
 	}
 	return all
 }
 
-// Counts are numbers of members by state.
+// Counts holds the number of members in each state.
 type Counts struct{ Alive, Suspect, Dead, Left int }
 
 // Count returns the number of other members in each state.
@@ -83,13 +83,13 @@
 	return n
 }
 
-// Digest returns a digest of the full state, equal in processes whose states are equal.
+// Digest returns a digest of the membership state. Processes with the same state have the same digest.
 func (d *Detector) Digest() uint64 { return d.digest }
 
-// presentCount returns how many others are not known to be gone.
+// presentCount returns the number of other members that are neither dead nor left.
 func (d *Detector) presentCount() (n int) { return len(d.members) - d.deadCount }
 
-// setState changes a member's state and queues the update.
+// setState changes a member's state and queues the update for gossip.
 func (d *Detector) setState(m *member, state State, by string) {
 	previous := m.State
 	d.digest ^= m.digest()
@@ -120,7 +120,7 @@
 	}
 }
 
-// addMember adds a member; nil if there are too many.
+// addMember adds a member. It returns nil at the limit of maxMembers.
 func (d *Detector) addMember(name, address string, incarnation, version uint64) *member {
 	if len(d.members) >= maxMembers {
 		return nil
@@ -131,20 +131,20 @@
 	i, _ := slices.BinarySearch(d.names, name)
 	d.names = slices.Insert(d.names, i, name)
 	d.digest ^= m.digest()
-	if len(d.probeOrder) > 0 { // at a random position of the round
+	if len(d.probeOrder) > 0 { // at a random position in the rest of the probe round
 		d.probeOrder = slices.Insert(d.probeOrder, d.probeIndex+d.rng.IntN(len(d.probeOrder)-d.probeIndex+1), name)
 	}
 	return m
 }
 
-// onRemovalTimer forgets a member that has been gone for long. It is nil if it was removed.
+// onRemovalTimer removes a member that has been dead or left for removeAfter. The member is nil if it was removed before.
 func (d *Detector) onRemovalTimer(m *member) {
 	if m != nil && m.State >= Dead && d.now-m.Since >= removeAfter {
 		d.removeMember(m)
 	}
 }
 
-// removeMember forgets a member.
+// removeMember removes a dead or left member from all structures.
 func (d *Detector) removeMember(m *member) {
 	d.digest ^= m.digest()
 	delete(d.members, m.Name)
@@ -156,7 +156,8 @@
 	d.updates = slices.DeleteFunc(d.updates, func(x *member) bool { return x == m })
 }
 
-// digest returns a member's part of the digest: its versions and whether it is gone. Suspicions are transient and left out.
+// digest returns a member's contribution to the digest: its name, incarnation, version, and whether it is dead or left. Suspicions are
+// omitted because they are transient.
 func (m *member) digest() uint64 {
 	h := uint64(14695981039346656037)
 	mix := func(v uint64) { h = (h ^ v) * 0x9e3779b97f4a7c15; h ^= h >> 29 }
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -1,15 +1,17 @@
-// Package membership is the failure detector among a site's schedulers. Datagrams and time go in; datagrams and membership changes come
-// out. It follows the SWIM and Lifeguard papers; docs/design/members.md compares the alternatives and derives the limits.
+// Package membership implements the failure detector among a site's schedulers. Its inputs are datagrams and the time, its outputs
+// datagrams and membership changes. It follows the SWIM and Lifeguard papers; docs/design/members.md compares the alternatives and derives
+// the limits.
 //
 // Each process probes one member per period, in an order that is shuffled in each round. A member that does not answer is probed
-// indirectly through a few others and then suspected; it refutes the suspicion by a higher version of itself. The time-out of a
-// suspicion starts long and shrinks with each further process that suspects independently. A process that was late itself, or whose
-// helpers are silent, first assumes that it is at fault: its probes wait longer, and after a pause it accuses nobody. Updates are
-// piggybacked on probes and acks, a limited number of times each; a process whose digest differs from a peer's synchronizes its full
-// state with the peer. Dead members are contacted for ever at growing intervals, so that two halves of a partition find each other.
+// indirectly through a few other members and then suspected; it refutes the suspicion by announcing a higher version of itself. The
+// time-out of a suspicion starts long and shrinks with each further process that suspects the member independently. A process whose own
+// timers were late, or whose indirect probers do not reply, first assumes that it is at fault itself: its probes wait longer, and after a
+// pause it suspects nobody for the outstanding probe and restarts all suspicions. Updates are piggybacked on probes and acks, a limited
+// number of times each; a process whose digest differs from a peer's synchronizes its full state with the peer. Dead members are contacted
+// at growing intervals until they are removed, so that the two sides of a partition find each other after it heals.
 //
 // The package tolerates lost, late, duplicate and replayed datagrams, one-way partitions, paused processes, reused names, and datagrams
-// of other sites. Its verdicts are advisory: nothing that must happen at most once may rest on them alone.
+// of other sites. The reported states are advisory: nothing that must happen at most once may depend on them alone.
 package membership
 
 import (
@@ -23,141 +25,143 @@
 	"ravenpond/internal/timers"
 )
 
-// Times in milliseconds, unless another unit is given.
+// Times are in milliseconds; the other constants are counts and factors.
 const (
-	period              = 200  // between two probes
-	ackTimeout          = 80   // time-out of a probe's ack before indirect probes are sent
-	indirectProberCount = 3    // members that are asked for an indirect probe
-	maxLocalHealth      = 8    // limit of the local health score, by which time-outs are multiplied
-	suspicionPeriods    = 3    // least duration of a suspicion in periods, times the logarithm of the number of members
-	minLogFactor        = 1.34 // least value of that logarithm
-	maxSuspicionFactor  = 6    // factor of a suspicion's duration while nobody else suspects
-	maxConfirmations    = 3    // further accusers that shorten a suspicion to its least duration
-	retransmitFactor    = 3    // transmissions of an update, times the logarithm of the number of members
-	syncInterval        = 1000 // between two synchronizations of the full state
-	maxSyncPages        = 128  // of one synchronization
-	contactMinInterval  = 500  // between two contacts of dead members, soon after a death
-	contactMaxInterval  = 4000 // the same, later
-	contactSlowAfter    = 600e3
-	contactSlowInterval = 30000 // between two contacts after that time
-	pauseThreshold      = 250   // lateness of a timer that indicates a pause of the process
-	maxHellosPerSecond  = 64    // hellos that are answered per second
-	maxMembers          = 4096  // limit of the number of members
-	lagFactor           = 1.5   // factor of a slow member's lag that its ack is waited for
-	minLateWait         = 3000  // least time that a late ack is waited for
-	lagDecay            = 0.8   // part of the lag that remains after each ack in time
-	removeAfter         = 24 * 3600e3
-	maxPlaces           = 4096 // limit of the places that share: their set has to fit beside the updates
-	leaveNotices        = 8    // members that are told at once that a process leaves
+	period              = 200         // interval between two probes
+	ackTimeout          = 80          // time-out of a direct probe, after which indirect probes are requested
+	indirectProberCount = 3           // number of members that are asked for an indirect probe
+	maxLocalHealth      = 8           // worst local health score; time-outs are multiplied by the score plus 1
+	suspicionPeriods    = 3           // shortest suspicion in periods, times the decimal logarithm of the number of members
+	minLogFactor        = 1.34        // lower limit of that logarithm
+	maxSuspicionFactor  = 6           // duration of a suspicion without confirmations, relative to the shortest one
+	maxConfirmations    = 3           // further processes that have to suspect a member for the shortest suspicion
+	retransmitFactor    = 3           // transmissions of an update, times the binary logarithm of the number of members
+	syncInterval        = 1000        // shortest interval between two synchronizations of the full state
+	maxSyncPages        = 128         // pages of one synchronization
+	contactMinInterval  = 500         // interval between two hellos soon after a death
+	contactMaxInterval  = 4000        // upper limit of that interval until contactSlowAfter
+	contactSlowAfter    = 600e3       // time since the last death after which contactSlowInterval applies
+	contactSlowInterval = 30000       // interval between two hellos long after the last death
+	pauseThreshold      = 250         // lateness of a timer that indicates a pause of the process
+	maxHellosPerSecond  = 64          // limit of the hellos that are answered per second
+	maxMembers          = 4096        // limit of the number of members
+	lagFactor           = 1.5         // wait for the ack of a slow member, relative to its lag
+	minLateWait         = 3000        // shortest wait for a late ack
+	lagDecay            = 0.8         // fraction of the lag that remains after each ack in time
+	removeAfter         = 24 * 3600e3 // time after which a dead or left member is removed
+	maxPlaces           = 4096        // limit of Config.Places: a datagram has to hold the set of places and updates too
+	leaveNotices        = 8           // number of members that a leaving process notifies directly
 )
 
-// Effects executes what the detector decides.
+// Effects executes the detector's decisions.
 type Effects interface {
-	// Send sends a datagram, which may be lost.
+	// Send sends a datagram without a guarantee of delivery.
 	Send(address string, datagram []byte)
-	// OnMemberChanged reports a member whose state or incarnation has changed.
-	OnMemberChanged(m Member, was State)
-	// OnNameConflict reports that another process at an address uses this one's name.
+	// OnMemberChanged reports a change of a member's state, and the previous state.
+	OnMemberChanged(m Member, previous State)
+	// OnNameConflict reports that another process, at the given address, uses this process's name and takes precedence.
 	OnNameConflict(address string)
-	// LastNodeContact returns the incarnation of a node that this process hears and when it was last heard, ms; false if it does not hear it.
-	LastNodeContact(node uint32) (life uint64, heard float64, ok bool)
+	// LastNodeContact returns the incarnation of a node and the time in ms of the last contact with it, or false if this process has no
+	// contact with the node.
+	LastNodeContact(node uint32) (incarnation uint64, lastContact float64, ok bool)
 }
 
 // Config identifies this process and the members that it contacts first.
 type Config struct {
 	Site, Name, Address string
-	Incarnation         uint64 // incarnation, higher than that of any earlier start; raised if others know a higher one
-	Key                 []byte // secret key of the site's members
-	Seeds               []string
-	Place               int     // index among the processes that share the slow-start budget, from 0
-	Places              int     // number of places in the site file; 0: nothing is shared
-	SlowStartWindow     float64 // of the slow-start budget, ms
-	MaxOpenTime         float64 // longest time that an allocation is open and uses leased quota, ms; 0: no quota is leased
+	Incarnation         uint64   // higher than at any earlier start; the detector raises it if other members know a higher one
+	Key                 []byte   // secret key of the site's members
+	Seeds               []string // addresses that are contacted first
+	Place               int      // index of this process among those that share the slow-start limit, from 0
+	Places              int      // number of places in the site file; 0: no leases are held
+	SlowStartWindow     float64  // window of the slow-start limit, ms
+	MaxOpenTime         float64  // longest time for which an open allocation uses leased quota, ms; 0: no quota is leased
 	Faults              Faults
-	Seed                uint64 // of the random choices
+	Seed                uint64 // seed of the random choices
 }
 
 // Faults injects faults for tests that must detect them. The zero value injects none.
 type Faults struct {
-	NoRefutation      bool // it does not refute suspicions
-	SameVersion       bool // it refutes suspicions without a higher version
-	AcceptStale       bool // older updates are accepted
+	NoRefutation      bool // suspicions of this process are not refuted
+	SameVersion       bool // suspicions are refuted without a higher version
+	AcceptStale       bool // updates with an older incarnation or version are accepted
 	AcceptReplays     bool // replayed datagrams of any incarnation are accepted
-	IgnoreLocalHealth bool // it never lowers its local health
-	GrowShares        bool // shares of dead members are taken at once
+	IgnoreLocalHealth bool // pauses of the process are not detected
+	GrowShares        bool // the number of sharers follows the alive members instead of the leases
 }
 
+// timerKind tells what a timer is set for. The timer's key depends on the kind.
 type timerKind uint8
 
 const (
-	timerProbe     timerKind = iota // the next probe
-	timerAck                        // the ack of the current probe
-	timerSuspicion                  // the end of a suspicion, by member
-	timerNack                       // the ack of an indirect probe for another member, by number
-	timerLateAck                    // the end of waiting for a late ack, by number
-	timerContact                    // contact of a dead or unknown member
-	timerRemoval                    // removal of a member that is long gone
+	timerProbe     timerKind = iota // start of the next probe
+	timerAck                        // time-out of the current probe's ack; the key is the probe's number
+	timerSuspicion                  // end of a suspicion; the key is the member's index
+	timerNack                       // time-out of a probe on behalf of another member; the key is the probe's number
+	timerLateAck                    // time-out of a late ack; the key is the probe's number
+	timerContact                    // hello to a dead member or an unknown seed
+	timerRemoval                    // removal of a dead or left member; the key is the member's index
 )
 
-// Detector is one process's failure detector. It is not safe for concurrent use.
+// Detector is the failure detector of one process. It is not safe for concurrent use.
 type Detector struct {
 	effects Effects
 	config  Config
 	rng     *rand.Rand
-	now     float64
+	now     float64 // ms
 	timers  timers.Heap[timerKind]
 
-	version      uint64
+	version      uint64 // version of this process within its incarnation
 	leaving      bool
-	nameConflict bool
-	members      map[string]*member
-	byIndex      map[uint64]*member
+	nameConflict bool               // another process uses this one's name and takes precedence
+	members      map[string]*member // other members by name
+	byIndex      map[uint64]*member // the same by index, the key of their timers
 	lastIndex    uint64
-	names        []string // of all other members, sorted
-	digest       uint64   // digest of the full state
-	updates      []*member
-	self         *member // this process
-	probeOrder   []string
-	probeIndex   int
+	names        []string  // names of all other members, sorted
+	digest       uint64    // digest of the membership state
+	updates      []*member // members with a queued update
+	self         *member   // this process
+	probeOrder   []string  // names of the members in this probe round
+	probeIndex   int       // position in probeOrder of the next probe
 
-	sequence         uint64 // last number of a probe, page, hello or message
+	sequence         uint64 // number of the last probe, page, hello or message
 	probe            probe
-	indirectProbes   map[uint64]indirectProbe
-	lateProbes       map[uint64]lateProbe
-	hellos           map[string]uint64 // number of the last hello to an address
-	contactIndex     int
-	deadCount        int
-	lastDeathAt      float64 // time of the last death, or of the start
-	localHealth      int
-	resumedAt        float64 // when the process last resumed from a pause
-	lastSyncAt       float64
-	hellosInWindow   float64 // hellos received within the present second
-	helloWindowStart float64
+	indirectProbes   map[uint64]indirectProbe // by number of the probe
+	lateProbes       map[uint64]lateProbe     // by number of the probe
+	hellos           map[string]uint64        // number of the unanswered hello to an address
+	contactIndex     int                      // counts hellos, to take the addresses in turn
+	deadCount        int                      // number of dead and left members
+	lastDeathAt      float64                  // time of the last death, or of the start, ms
+	localHealth      int                      // local health score; 0: healthy
+	resumedAt        float64                  // time at which the process last resumed from a pause, ms
+	lastSyncAt       float64                  // ms
+	hellosInWindow   float64                  // hellos received within the current second
+	helloWindowStart float64                  // ms
 
-	header      header          // of the datagram that is being read
-	syncedNames map[string]bool // names in the page that is being read for which this process holds nothing newer
+	header      header          // parts of the datagram that is being decoded
+	syncedNames map[string]bool // by name in the page that is being decoded: whether the page is at least as recent as this process; nil: no page
 
-	carrier      Carrier // nil: none
+	carrier      Carrier // nil: messages are dropped
 	stateVersion uint64  // version of the cluster state that this process holds
 	reassembler  fragment.Reassembler
 
 	nodeGossip       gossip.Store
 	nodeReachability reachability.Tracker
-	slowStart        *slowstart.Holder // nil: nothing is shared
-	quota            *slowstart.Holder // nil: nothing is lent
+	slowStart        *slowstart.Holder // leases on the slow-start limit; nil: not shared
+	quota            *slowstart.Holder // leases on quota; nil: not shared
 
-	// Stats are totals since the start.
+	// Stats holds the counters since the start.
 	Stats Stats
 }
 
-// Stats counts what a detector did.
+// Stats holds a detector's counters. Foreign datagrams have no valid seal, stale ones belong to an earlier incarnation or are replays.
 type Stats struct {
 	Sent, Bytes, Got, Foreign, Malformed, Stale   uint64
 	Probes, MissedProbes, Suspicions, Refutations uint64
 	Deaths, Pauses, Syncs, Pages                  uint64
 }
 
-// New returns a detector without members, started at a time in ms.
+// New returns a detector that knows no other members and starts at the given time in ms.
 func New(effects Effects, now float64, config Config) *Detector {
 	if config.Incarnation == 0 {
 		config.Incarnation = 1
@@ -186,7 +190,7 @@
 	return d
 }
 
-// startLeases makes the holders of leases on the slow-start limit and on the quota, if these are shared.
+// startLeases creates the lease holders for the slow-start limit and for quota if these are shared.
 func (d *Detector) startLeases() {
 	c := &d.config
 	if c.Places <= 0 || c.Places > maxPlaces {
@@ -205,7 +209,7 @@
 	}
 }
 
-// announceSelf updates this process's own version and queues the update.
+// announceSelf applies the current incarnation and version to this process's entry and queues the update for gossip.
 func (d *Detector) announceSelf() {
 	d.setVersion(d.self, d.config.Incarnation, d.version)
 	d.queueUpdate(d.self)
@@ -214,19 +218,20 @@
 // Incarnation returns this process's incarnation.
 func (d *Detector) Incarnation() uint64 { return d.config.Incarnation }
 
-// Health returns the local health score: 0 is healthy, 8 the worst.
+// Health returns the local health score, from 0 (healthy) to 8.
 func (d *Detector) Health() int { return d.localHealth }
 
-// HasNameConflict reports whether another process with a later incarnation uses this one's name. This process then takes no part any more.
+// HasNameConflict reports whether another process uses this one's name and takes precedence. This process then holds no leases and sends no
+// messages.
 func (d *Detector) HasNameConflict() bool { return d.nameConflict }
 
-// Next returns the latest time in ms at which Tick must be called.
+// Next returns the time in ms by which Tick must be called.
 func (d *Detector) Next() float64 {
-	at, _ := d.timers.First() // a probe is always due
+	at, _ := d.timers.First() // there always is a timer for the next probe
 	return at
 }
 
-// Tick executes what is due. A late call tells the detector that the process was paused.
+// Tick handles all expired timers. From a late call the detector concludes that the process was paused.
 func (d *Detector) Tick(now float64) {
 	d.advance(now)
 	for {
@@ -238,7 +243,7 @@
 	}
 }
 
-// onTimer executes what a timer was set for.
+// onTimer handles an expired timer.
 func (d *Detector) onTimer(kind timerKind, key uint64) {
 	switch kind {
 	case timerProbe:
@@ -260,8 +265,8 @@
 	}
 }
 
-// advance sets the clock and detects a pause of the process: a timer that is long overdue. Datagrams that arrived meanwhile are unread and
-// outdated, so nobody is accused for them and suspicions start again.
+// advance sets the clock and detects a pause of the process by a timer that is overdue by more than pauseThreshold. Datagrams that arrived
+// during the pause have not been read and are outdated, so the outstanding probe is dropped and all suspicions restart.
 func (d *Detector) advance(now float64) {
 	d.now = max(d.now, now)
 	first, _ := d.timers.First()
@@ -272,8 +277,8 @@
 	d.Stats.Pauses++
 	d.localHealth = min(maxLocalHealth, d.localHealth+2)
 	d.probe.outstanding = false
-	for _, n := range d.names {
-		if m := d.members[n]; m.State == Suspect {
+	for _, name := range d.names {
+		if m := d.members[name]; m.State == Suspect {
 			m.suspectedAt = d.now
 		}
 	}
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// network records what a detector sends and reports.
+// network records the datagrams and membership changes of a detector. It implements Effects.
 type network struct {
-	sent    []string // addresses
-	last    map[string][]byte
-	changes []string
+	sent    []string          // receivers' addresses of all datagrams
+	last    map[string][]byte // the last datagram by receiver's address
+	changes []string          // "name previous-state state"
 }
 
 func (n *network) Send(address string, b []byte) {
@@ -17,9 +17,10 @@
 	n.last[address] = b
 }
 
-func (n *network) OnMemberChanged(m Member, was State) {
-	n.changes = append(n.changes, fmt.Sprint(m.Name, " ", was, " ", m.State))
+func (n *network) OnMemberChanged(m Member, previous State) {
+	n.changes = append(n.changes, fmt.Sprint(m.Name, " ", previous, " ", m.State))
 }
+
 func (n *network) OnNameConflict(string) {}
 
 func (n *network) LastNodeContact(uint32) (incarnation uint64, lastContact float64, ok bool) {
@@ -31,25 +32,26 @@
 	return New(n, 1000, Config{Site: "s", Name: name, Address: name + ":1", Incarnation: 1, Key: []byte("k"), Seeds: seeds, Seed: 1, Faults: faults}), n
 }
 
-// newPair returns one of two detectors that know each other, and its network.
+// newPair connects two detectors, a and b, and returns a and its network. Datagrams between them are delivered here only.
 func newPair(t *testing.T, faults Faults) (*Detector, *network) {
 	t.Helper()
 	a, na := newDetector("a", faults, "b:1")
 	b, nb := newDetector("b", faults)
-	a.Tick(1001)                       // hello
-	b.OnDatagram(1002, na.last["b:1"]) // welcome
-	a.OnDatagram(1003, nb.last["a:1"]) // ping, pages
-	b.OnDatagram(1004, na.last["b:1"]) // the page: the ping before it is lost here
+	a.Tick(1001)                       // sends a hello
+	b.OnDatagram(1002, na.last["b:1"]) // sends a welcome
+	a.OnDatagram(1003, nb.last["a:1"]) // sends a ping and a page
+	b.OnDatagram(1004, na.last["b:1"]) // receives the page; the ping, which was sent before it, is dropped
 	if n := a.Count().Alive; n != 1 {
-		t.Fatal("they do not know each other")
+		t.Fatal("a does not have exactly one other alive member")
 	}
 	if n := b.Count().Alive; n != 1 {
-		t.Fatal("only one knows the other")
+		t.Fatal("b does not have exactly one other alive member")
 	}
 	return a, na
 }
 
-// TestPause pauses a process with a probe out: when it resumes it accuses nobody, unless it ignores its local health.
+// TestPause guards against suspicions by a process that was paused while a probe was outstanding: it has not read the ack. With the fault
+// IgnoreLocalHealth it does suspect the member.
 func TestPause(t *testing.T) {
 	for _, ignoresLocalHealth := range []bool{false, true} {
 		a, effects := newPair(t, Faults{IgnoreLocalHealth: ignoresLocalHealth})
@@ -58,14 +60,14 @@
 			now = a.Next()
 			a.Tick(now)
 		}
-		a.Tick(now + 5000) // nothing was read in the meantime
+		a.Tick(now + 5000) // a pause of 5 s, in which no datagram is read
 		if n := len(effects.changes); ignoresLocalHealth && n < 2 || !ignoresLocalHealth && n > 1 || !ignoresLocalHealth && (a.Stats.Pauses != 1 || a.Health() < 2) {
-			t.Errorf("healthy %t: %q, %d stalls, health %d", ignoresLocalHealth, effects.changes, a.Stats.Pauses, a.Health())
+			t.Errorf("IgnoreLocalHealth %t: got changes %q, %d pauses, health score %d; want a suspicion only if true, else 1 pause and a score of 2 or more", ignoresLocalHealth, effects.changes, a.Stats.Pauses, a.Health())
 		}
 	}
 }
 
-// TestHello checks that hellos change nothing, however many arrive, and that their answers are limited.
+// TestHello checks that any number of hellos leaves the membership state unchanged, and that the answers are limited.
 func TestHello(t *testing.T) {
 	a, na := newDetector("a", Faults{}, "b:1")
 	b, nb := newDetector("b", Faults{})
@@ -76,11 +78,11 @@
 		b.OnDatagram(1002+float64(i)/10, hello)
 	}
 	if alive := b.Count().Alive; alive != 0 || b.Digest() != digest || len(nb.sent) > maxHellosPerSecond || len(nb.sent) == 0 {
-		t.Errorf("%d known, %d answers", alive, len(nb.sent))
+		t.Errorf("got %d alive members and %d answers; want 0, an unchanged digest, and 1 to maxHellosPerSecond answers", alive, len(nb.sent))
 	}
 }
 
-// TestAcceptCount checks counts in any order and more than once.
+// TestAcceptCount checks that each count is accepted once, in any order within a window of 64.
 func TestAcceptCount(t *testing.T) {
 	m := &member{}
 	for _, c := range []struct {
@@ -104,12 +106,13 @@
 		{936, false},
 	} {
 		if got := m.acceptCount(c.count); got != c.want {
-			t.Errorf("count %d: %t", c.count, got)
+			t.Errorf("count %d: got accepted %t, want the opposite", c.count, got)
 		}
 	}
 }
 
-// TestBounds checks that a suspicion gets shorter with each accuser, and not below its lower bound.
+// TestBounds checks that a suspicion has the longest time-out with one reporter and the shortest one with maxConfirmations more, and never
+// ends before the shortest one.
 func TestBounds(t *testing.T) {
 	a, _ := newPair(t, Faults{})
 	for i := range 30 {
@@ -119,10 +122,10 @@
 	}
 	minDuration, maxDuration := a.Bounds()
 	if minDuration < 800 || maxDuration != maxSuspicionFactor*minDuration {
-		t.Fatalf("%g, %g", minDuration, maxDuration)
+		t.Fatalf("got time-outs from %g to %g ms, want at least 800 ms and maxSuspicionFactor times the shortest", minDuration, maxDuration)
 	}
 	for reporters := 1; reporters <= maxConfirmations+1; reporters++ {
-		minDuration, maxDuration = a.Bounds() // of the remaining members
+		minDuration, maxDuration = a.Bounds() // depend on the number of remaining members
 		x := a.members[fmt.Sprint("x", reporters)]
 		a.now = 5000
 		a.suspect(x, "a")
@@ -136,7 +139,7 @@
 		}
 		lasted := at - 10 - 5000
 		if reporters == 1 && lasted < maxDuration-20 || reporters == maxConfirmations+1 && lasted > minDuration+20 || lasted < minDuration-20 {
-			t.Errorf("%d accusers: %g ms", reporters, lasted)
+			t.Errorf("%d reporters: got a suspicion of %g ms, want the longest with 1, the shortest with maxConfirmations+1, and never less", reporters, lasted)
 		}
 	}
 }
--- a/internal/decide/membership/probe.go
+++ b/internal/decide/membership/probe.go
@@ -4,36 +4,36 @@
 	codec "ravenpond/internal/proto/members"
 )
 
-// Period is the time between two probes of a healthy process, in ms.
+// Period is the interval between two probes of a healthy process, in ms.
 const Period = period
 
-// probe is the current probe.
+// probe is the state of the current direct probe.
 type probe struct {
 	name         string
 	number       uint64
-	sent         float64
-	probersAsked int // members that were asked for an indirect probe
-	nacks        int // of them, that got no ack
+	sent         float64 // ms
+	probersAsked int     // members that were asked for an indirect probe
+	nacks        int     // nacks from these members
 	answered     bool
-	outstanding  bool // it was sent, and counts
+	outstanding  bool // a missing ack counts against the member
 }
 
-// indirectProbe is a probe made for another member.
+// indirectProbe is a probe that this process sends on behalf of another member.
 type indirectProbe struct {
 	asker, target string
 	number        uint64 // number of the asker's probe
 }
 
-// lateProbe is a probe without an ack in time.
+// lateProbe is a probe that got no ack in time.
 type lateProbe struct {
 	name string
-	sent float64
+	sent float64 // ms
 }
 
-// scaleTimeout returns a time-out of own probes, multiplied by the local health score.
+// scaleTimeout multiplies a time-out of this process's probes by the local health score plus 1.
 func (d *Detector) scaleTimeout(ms float64) float64 { return ms * float64(1+d.localHealth) }
 
-// startProbe ends the last probe and probes the next member.
+// startProbe ends the current probe and probes the next member.
 func (d *Detector) startProbe() {
 	d.timers.Set(d.now+d.scaleTimeout(period)*(0.95+0.1*d.rng.Float64()), timerProbe, 0)
 	if d.probe.outstanding && !d.probe.answered {
@@ -51,7 +51,8 @@
 	d.timers.Set(d.now+d.scaleTimeout(ackTimeout), timerAck, d.sequence)
 }
 
-// onProbeMissed handles a probe without an ack in time. The member is suspected at once, or after its usual lag if it is slow.
+// onProbeMissed handles a probe that got no ack in time. The member is suspected at once, or, if its acks are usually late, when its lag has
+// passed too.
 func (d *Detector) onProbeMissed() {
 	p := &d.probe
 	d.Stats.MissedProbes++
@@ -59,7 +60,7 @@
 	if m == nil || m.State > Suspect {
 		return
 	}
-	d.localHealth = min(maxLocalHealth, d.localHealth+p.probersAsked-p.nacks) // silent helpers: this process may be at fault
+	d.localHealth = min(maxLocalHealth, d.localHealth+p.probersAsked-p.nacks) // a prober that sends neither ack nor nack: this process may be at fault
 	if p.probersAsked == 0 {
 		d.localHealth = min(maxLocalHealth, d.localHealth+1)
 	}
@@ -72,7 +73,7 @@
 	}
 }
 
-// onLateTimeout suspects a slow member whose ack did not arrive within its usual lag either.
+// onLateTimeout suspects a member that sent nothing within the wait for a late ack either.
 func (d *Detector) onLateTimeout(number uint64) {
 	late, ok := d.lateProbes[number]
 	if !ok {
@@ -84,7 +85,7 @@
 	}
 }
 
-// sendNack tells another member that the target of its indirect probe did not answer.
+// sendNack tells another member that the target of its indirect probe did not ack in time.
 func (d *Detector) sendNack(number uint64) {
 	indirect, ok := d.indirectProbes[number]
 	if !ok {
@@ -96,14 +97,15 @@
 	}
 }
 
-// nextProbed returns the next member in the probe order that is not known to be gone, nil if there is none.
+// nextProbed returns the next alive or suspect member in the probe order, or nil if there is none. It shuffles a new order at the end of
+// each round.
 func (d *Detector) nextProbed() *member {
 	for range len(d.probeOrder) + 1 {
 		if d.probeIndex >= len(d.probeOrder) {
 			d.probeOrder, d.probeIndex = d.probeOrder[:0], 0
-			for _, n := range d.names {
-				if m := d.members[n]; m.State <= Suspect {
-					d.probeOrder = append(d.probeOrder, n)
+			for _, name := range d.names {
+				if m := d.members[name]; m.State <= Suspect {
+					d.probeOrder = append(d.probeOrder, name)
 				}
 			}
 			d.rng.Shuffle(len(d.probeOrder), func(i, j int) { d.probeOrder[i], d.probeOrder[j] = d.probeOrder[j], d.probeOrder[i] })
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// probeIndirectly asks a few others to probe the member that did not answer.
+// probeIndirectly asks a few other members to probe the member that did not ack in time.
 func (d *Detector) probeIndirectly() {
 	target := d.members[d.probe.name]
 	if target == nil {
@@ -130,15 +132,15 @@
 		d.probe.probersAsked++
 		d.sendTo(m, codec.PingRequest, d.probe.number, target.Name)
 	}
-	d.sendTo(target, codec.Ping, d.probe.number, "") // once more: a single datagram is easily lost
+	d.sendTo(target, codec.Ping, d.probe.number, "") // repeats the direct probe, because a single datagram is easily lost
 }
 
-// sample returns up to n random members that satisfy a condition.
+// sample returns up to n random members that are eligible.
 func (d *Detector) sample(n int, isEligible func(*member) bool) (all []*member) {
 	if len(d.names) == 0 {
 		return nil
 	}
-	const step = 1299709 // a prime above any number of members: visits all in an order unrelated to their names
+	const step = 1299709 // a prime above maxMembers: the steps visit each member once, in an order unrelated to the names
 	start := d.rng.IntN(len(d.names))
 	for i := range len(d.names) {
 		if m := d.members[d.names[(start+i*step)%len(d.names)]]; isEligible(m) {
@@ -150,7 +152,7 @@
 	return all
 }
 
-// onAck handles the ack of an own probe or of an indirect probe for another member.
+// onAck handles the ack of this process's current probe, of a late one, or of a probe on behalf of another member.
 func (d *Detector) onAck(m *member, number uint64) {
 	if d.probe.outstanding && number == d.probe.number && !d.probe.answered {
 		d.probe.answered = true
@@ -163,7 +165,7 @@
 		}
 		return
 	}
-	if late, ok := d.lateProbes[number]; ok && late.name == m.Name { // late, but alive
+	if late, ok := d.lateProbes[number]; ok && late.name == m.Name { // late, but the member is alive
 		delete(d.lateProbes, number)
 		d.onLeaseReply(late.sent)
 		m.lag = max(m.lag, d.now-late.sent)
@@ -176,7 +178,7 @@
 	}
 }
 
-// onIndirectProbe probes a member for another that gets no ack from it.
+// onIndirectProbe probes the target on behalf of another member that got no ack from it.
 func (d *Detector) onIndirectProbe(asker *member, number uint64, target string) {
 	m := d.members[target]
 	if m == nil || len(d.indirectProbes) >= maxMembers {
--- a/internal/decide/membership/receive.go
+++ b/internal/decide/membership/receive.go
@@ -9,7 +9,7 @@
 	codec "ravenpond/internal/proto/members"
 )
 
-// OnDatagram handles a datagram that arrived at this process's address.
+// OnDatagram handles a received datagram.
 func (d *Detector) OnDatagram(now float64, b []byte) {
 	d.advance(now)
 	d.header.kind, d.header.lease.place, d.header.queriedNodes = 0, 0, d.header.queriedNodes[:0]
@@ -18,7 +18,7 @@
 	case errors.Is(err, codec.ErrForeign):
 		d.Stats.Foreign++
 	case err != nil:
-		d.Stats.Malformed++ // what was read before the error is kept: the datagram was authentic
+		d.Stats.Malformed++ // the parts decoded before the error are kept, because the seal was valid
 	}
 	if d.header.kind != 0 {
 		d.Stats.Got++
@@ -26,29 +26,29 @@
 	}
 }
 
-// header is what the kind of a datagram is handled by, when all of the datagram is read.
+// header holds the parts of a datagram that are handled by its kind after all of it is decoded.
 type header struct {
 	sender         *member
 	kind           uint32
-	number, digest uint64
-	target         string
-	after, until   string // range of names of a page
+	number, digest uint64 // number of the probe, page or message; digest of the sender's membership state
+	target         string // of an indirect probe
+	after, until   string // range of the names in a page: after is excluded, until included; until is empty on the last page
 	lease          leaseFields
-	queriedNodes   []uint32 // nodes that the sender can't reach and asks for
+	queriedNodes   []uint32 // nodes that the sender cannot reach and asks about
 }
 
-// leaseFields are the lease fields of a datagram.
+// leaseFields holds the lease fields of a datagram.
 type leaseFields struct {
-	place                 int // of the sender, from 1; 0: none
+	place                 int // index of the sender among the processes that share, plus 1; 0: no lease fields
 	granted, quotaGranted bool
 	counted, quotaCounted []byte
 }
 
-// datagramHandler receives the decoded parts of a datagram.
+// datagramHandler receives the decoded parts of a datagram. It implements codec.DatagramHandler.
 type datagramHandler struct{ *Detector }
 
-// OnHeader checks a datagram against what is known of its sender. Only a sender that knows this process's incarnation may change anything, and
-// each count is accepted once, so that replays have no effect.
+// OnHeader checks whether a datagram is current. Only a sender that knows this process's incarnation may change the state, and each count is
+// accepted once, so that replays have no effect.
 func (d datagramHandler) OnHeader(received codec.Header) bool {
 	switch {
 	case received.From == d.config.Name:
@@ -83,21 +83,21 @@
 	return true
 }
 
-// onWelcome handles an answer to a hello; false if the hello is not the last one to the address.
+// onWelcome handles an answer to a hello. It returns false if the answer does not belong to the last hello to the address.
 func (d *Detector) onWelcome(address string, number uint64, target string, known uint64) bool {
 	if d.hellos[address] != number {
 		d.Stats.Stale++
 		return false
 	}
 	delete(d.hellos, address)
-	if target != "" && known > d.config.Incarnation { // the sender knows a later incarnation of this name
+	if target != "" && known > d.config.Incarnation { // the sender knows a later incarnation of this process's name
 		d.raiseIncarnation(known)
 	}
 	return true
 }
 
-// senderOf returns the member that sent a datagram, and adds it if it is unknown; nil if the datagram is of an earlier incarnation or there
-// are too many members.
+// senderOf returns the member that sent a datagram, and adds it if it is unknown. It returns nil if the datagram belongs to an earlier
+// incarnation, to the same incarnation at another address, or if maxMembers is reached.
 func (d *Detector) senderOf(name, address string, incarnation uint64) *member {
 	m := d.members[name]
 	if m == nil {
@@ -118,25 +118,25 @@
 	return m
 }
 
-// OnLease keeps a datagram's lease fields until its kind is handled.
+// OnLease stores the lease fields until the datagram's kind is handled.
 func (d datagramHandler) OnLease(l codec.Lease) {
 	d.header.lease = leaseFields{l.Place + 1, l.Granted, l.QuotaGranted, l.Counted, l.QuotaCounted}
 	d.header.sender.place = l.Place + 1
 }
 
-// OnNodeState handles gossip about a node.
+// OnNodeState handles a gossiped update of a node.
 func (d datagramHandler) OnNodeState(node uint32, version uint64, removed bool) {
 	d.nodeGossip.OnUpdate(d.now, node, version, removed)
 }
 
-// OnNodeQuery keeps a question about a node for the ack of the probe that carries it.
+// OnNodeQuery stores a query about a node; the ack of the probe that contains it replies to it.
 func (d datagramHandler) OnNodeQuery(node uint32) {
 	if len(d.header.queriedNodes) < reachability.MaxQuestions {
 		d.header.queriedNodes = append(d.header.queriedNodes, node)
 	}
 }
 
-// OnNodeReply handles the sender's answer about a node in an ack of this process's probe.
+// OnNodeReply handles a reply about a node in the ack of a probe of this process. Replies in other datagrams are ignored.
 func (d datagramHandler) OnNodeReply(node uint32, incarnation uint64, ago float64) {
 	h := &d.header
 	if h.kind != codec.Ack {
@@ -149,14 +149,14 @@
 	}
 }
 
-// OnStateVersion handles the version of the cluster state that the sender holds.
+// OnStateVersion handles the sender's version of the cluster state.
 func (d datagramHandler) OnStateVersion(version uint64) {
 	if version > d.stateVersion && d.carrier != nil {
 		d.carrier.Ahead(d.header.sender.Name, version)
 	}
 }
 
-// OnFragment handles a fragment of a message for other parts of the program.
+// OnFragment handles a fragment of a message and delivers the message when it is complete.
 func (d datagramHandler) OnFragment(index, total int, body []byte) {
 	h := &d.header
 	if h.kind != codec.Fragment || d.carrier == nil {
@@ -168,7 +168,8 @@
 	}
 }
 
-// acceptCount reports whether a count is new. Datagrams may be reordered by up to 64.
+// acceptCount reports whether a datagram's count is new, and records it. Counts that are 64 or more below the highest one are rejected, so
+// datagrams may be reordered by up to 64.
 func (m *member) acceptCount(count uint64) bool {
 	switch {
 	case count > m.highestCount:
@@ -186,12 +187,12 @@
 	return true
 }
 
-// handle executes a datagram after its updates were read.
+// handle handles a datagram by its kind after all its parts were decoded.
 func (d *Detector) handle() {
 	h := d.header
 	m := h.sender
 	switch h.kind {
-	case codec.Welcome: // the sender is alive: it gets the state that is held of it and can refute it
+	case codec.Welcome: // the ping contains this process's state of the sender if it is not alive, so that the sender can refute it
 		d.sequence++
 		d.sendTo(m, codec.Ping, d.sequence, "")
 		d.sync(m)
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -10,22 +10,22 @@
 	codec "ravenpond/internal/proto/members"
 )
 
-// Carrier receives messages that other parts of the program send over the members' datagrams.
+// Carrier receives the messages of other components that are sent as fragments in the members' datagrams.
 type Carrier interface {
-	// Carried delivers a message. The receiver owns its body.
+	// Carried delivers a message. The callee owns the body.
 	Carried(from string, body []byte)
-	// Ahead reports a member that holds a later version of the cluster state than this process.
+	// Ahead reports that a member has a later version of the cluster state than this process.
 	Ahead(from string, version uint64)
 }
 
-// SetCarrier sets the receiver of messages.
+// SetCarrier sets the receiver of messages; nil drops them.
 func (d *Detector) SetCarrier(c Carrier) { d.carrier = c }
 
-// SetStateVersion sets the version of the cluster state that this process holds. Each probe carries it.
+// SetStateVersion sets this process's version of the cluster state, which its probes and acks contain.
 func (d *Detector) SetStateVersion(version uint64) { d.stateVersion = version }
 
-// SendMessage sends a message to a member in as many datagrams as needed, each of which may be lost. It reports whether the member is known
-// and not gone.
+// SendMessage sends a message to a member in as many datagrams as it needs, without a guarantee of delivery. It returns false if the member
+// is unknown, dead or left, if this process lost its name to another one, or if the message is too long.
 func (d *Detector) SendMessage(now float64, to string, body []byte) bool {
 	d.now = max(d.now, now)
 	m := d.members[to]
@@ -42,7 +42,7 @@
 	return len(parts) > 0
 }
 
-// queueUpdate piggybacks an update of a member on the next datagrams.
+// queueUpdate queues an update of a member to be piggybacked on the next datagrams. A queued update starts again.
 func (d *Detector) queueUpdate(m *member) {
 	if m.transmissions < 0 {
 		d.updates = append(d.updates, m)
@@ -50,12 +50,13 @@
 	m.transmissions = 0
 }
 
-// retransmitLimit returns how often an update is sent.
+// retransmitLimit returns how many times an update is sent.
 func (d *Detector) retransmitLimit() int {
 	return retransmitFactor * int(math.Ceil(math.Log2(float64(d.presentCount()+2))))
 }
 
-// sendTo sends a datagram with leases, reachability and as many updates as fit to a member. A member that is not alive here gets this update first, so that it can refute it.
+// sendTo sends a datagram with lease fields, reachability queries or replies, and as many updates as fit. If this process does not hold the
+// receiver for alive, the first update is about the receiver, so that it can refute it.
 func (d *Detector) sendTo(m *member, kind uint32, number uint64, target string) {
 	m.sentCount++
 	var first *member
@@ -72,13 +73,13 @@
 	d.transmit(m.Address, d.appendUpdates(b, first))
 }
 
-// appendLease appends a request for leases to a ping and the answer to an ack.
+// appendLease appends a lease request to a ping, and the reply to an ack.
 func (d *Detector) appendLease(b []byte, kind uint32) []byte {
 	switch {
 	case d.slowStart == nil || d.leaving || d.nameConflict:
 	case kind == codec.Ping:
 		return codec.AppendLease(b, codec.Lease{Place: d.config.Place})
-	case kind == codec.Ack && d.header.kind == codec.Ping && d.header.lease.place > 0: // not an ack that is forwarded for another member
+	case kind == codec.Ack && d.header.kind == codec.Ping && d.header.lease.place > 0: // an ack that is forwarded for another member contains no reply
 		place := d.header.lease.place - 1
 		granted, counted := d.slowStart.OnRequest(d.now, place)
 		var quotaGranted bool
@@ -93,7 +94,7 @@
 	return b
 }
 
-// appendReachability appends questions about unreachable nodes to a ping and the answers to an ack.
+// appendReachability appends queries about unreachable nodes to a ping, and the replies to an ack.
 func (d *Detector) appendReachability(b []byte, kind uint32) []byte {
 	switch {
 	case kind == codec.Ping:
@@ -111,8 +112,8 @@
 	return b
 }
 
-// appendUpdates appends as many queued updates as fit, those first that were sent least often, and gossip about nodes. first is in the
-// datagram already.
+// appendUpdates appends as many queued updates of members as fit, those sent least often first, and then updates of nodes. The datagram
+// already contains the update of first.
 func (d *Detector) appendUpdates(b []byte, first *member) []byte {
 	slices.SortStableFunc(d.updates, func(x, y *member) int { return cmp.Compare(x.transmissions, y.transmissions) })
 	limit, kept, full := d.retransmitLimit(), d.updates[:0], false
@@ -140,19 +141,19 @@
 	return b
 }
 
-// appendUpdate appends a member's update; false if it does not fit.
+// appendUpdate appends an update of a member. It returns false if the update does not fit.
 func appendUpdate(b []byte, m *member) ([]byte, bool) {
 	return codec.AppendMember(b, codec.Member{
 		Name: m.Name, Address: m.Address, Incarnation: m.Incarnation, Version: m.Version, State: uint32(m.State), By: m.By,
 	})
 }
 
-// sendWithoutUpdates sends a datagram without count and updates, to a process that may not know this one's incarnation.
+// sendWithoutUpdates sends a datagram with neither count nor updates to a process that may not know this one's incarnation.
 func (d *Detector) sendWithoutUpdates(address string, incarnation uint64, kind uint32, number uint64, target string, digest uint64) {
 	d.transmit(address, d.appendHeader(incarnation, codec.Header{Kind: kind, Number: number, Target: target, Digest: digest}))
 }
 
-// appendHeader begins a datagram for an incarnation of the receiver. The sender's fields of the header are set here.
+// appendHeader begins a datagram to an incarnation of the receiver, and fills in the header fields about the sender.
 func (d *Detector) appendHeader(receiverIncarnation uint64, h codec.Header) []byte {
 	h.From, h.Address, h.Incarnation, h.ReceiverIncarnation = d.config.Name, d.config.Address, d.config.Incarnation, receiverIncarnation
 	return codec.AppendHeader(nil, d.config.Site, h)
--- a/internal/decide/membership/share.go
+++ b/internal/decide/membership/share.go
@@ -6,19 +6,19 @@
 	"ravenpond/internal/decide/slowstart"
 )
 
-// SlowStartSharers returns how many processes share the slow-start budget at most, or 0 if this one has no lease on a share, and the time in ms
-// until which this holds without further replies.
+// SlowStartSharers returns the largest number of processes that may share the slow-start limit, or 0 if this process holds no lease, and the
+// time in ms until which the number is valid without further replies.
 func (d *Detector) SlowStartSharers(now float64) (n int, until float64) {
 	return d.leaseSharers(d.slowStart, now)
 }
 
-// QuotaSharers returns how many processes share the leased quota at most, or 0 if this one has no lease on a share, and the time in ms until
-// which this holds without further replies.
+// QuotaSharers returns the largest number of processes that may share the leased quota, or 0 if this process holds no lease, and the time in
+// ms until which the number is valid without further replies.
 func (d *Detector) QuotaSharers(now float64) (n int, until float64) {
 	return d.leaseSharers(d.quota, now)
 }
 
-// leaseSharers returns the number of sharers by a lease and the lease's end.
+// leaseSharers returns the number of sharers according to a holder, and when its lease expires in ms.
 func (d *Detector) leaseSharers(holder *slowstart.Holder, now float64) (n int, until float64) {
 	if holder == nil || d.nameConflict || d.leaving {
 		return 0, now
@@ -29,7 +29,7 @@
 	return holder.Sharers(now), holder.Expiry(now)
 }
 
-// Grants returns how many others grant this process its lease, and how many grants it needs.
+// Grants returns how many other processes grant this one its slow-start lease, and how many grants it needs.
 func (d *Detector) Grants(now float64) (granted, needed int) {
 	if d.slowStart == nil {
 		return 0, 0
@@ -37,7 +37,7 @@
 	return d.slowStart.Grants(now), d.config.Places / 2
 }
 
-// onLeaseReply handles the lease grants in an ack of a probe that was sent at a time.
+// onLeaseReply handles the lease reply in the ack of a probe that was sent at the given time.
 func (d *Detector) onLeaseReply(sent float64) {
 	lease := &d.header.lease
 	if d.slowStart == nil || lease.place == 0 {
--- a/internal/decide/membership/suspicion.go
+++ b/internal/decide/membership/suspicion.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// suspect suspects a member, or adds an accuser to its suspicion.
+// suspect starts a suspicion of a member, or adds a reporter to the present one.
 func (d *Detector) suspect(m *member, by string) {
 	if m.State == Suspect {
 		d.addReporter(m, by)
@@ -13,30 +13,30 @@
 	d.startSuspicion(m, by)
 }
 
-// startSuspicion starts the time-out of a suspicion with its first accuser.
+// startSuspicion starts the time-out of a suspicion with its first reporter.
 func (d *Detector) startSuspicion(m *member, by string) {
 	m.suspectedAt, m.reporters, m.fromDeathReport = d.now, map[string]bool{by: true}, false
 	d.evaluateSuspicion(m)
 }
 
-// addReporter adds an accuser to a suspicion, which shortens it.
+// addReporter adds a process that suspects the member independently, which shortens the time-out.
 func (d *Detector) addReporter(m *member, by string) {
 	if by == m.Name || m.reporters[by] || len(m.reporters) > maxConfirmations {
 		return
 	}
 	m.reporters[by], m.By = true, by
-	d.queueUpdate(m) // each accuser is gossiped
+	d.queueUpdate(m) // gossips the reporter, so that other processes count it too
 	d.evaluateSuspicion(m)
 }
 
-// onSuspicionTimeout evaluates a suspicion whose timer expired. The member is nil if it was removed.
+// onSuspicionTimeout evaluates a suspicion whose timer expired. The member is nil if it was removed before.
 func (d *Detector) onSuspicionTimeout(m *member) {
 	if m != nil && m.State == Suspect {
 		d.evaluateSuspicion(m)
 	}
 }
 
-// evaluateSuspicion declares a suspect dead after its time-out, or sets a timer for the rest of it.
+// evaluateSuspicion declares a suspect dead if its time-out has passed, and otherwise sets a timer for the remaining time.
 func (d *Detector) evaluateSuspicion(m *member) {
 	if at := m.suspectedAt + d.suspicionDuration(len(m.reporters)); d.now < at {
 		d.timers.Set(at, timerSuspicion, m.index)
@@ -47,17 +47,18 @@
 	d.setState(m, Dead, d.config.Name)
 }
 
-// suspicionDuration returns how long a suspicion with a number of accusers lasts, in ms.
+// suspicionDuration returns the time-out in ms of a suspicion with the given number of reporters.
 func (d *Detector) suspicionDuration(reporters int) float64 {
 	minDuration, maxDuration := d.Bounds()
-	needed := min(maxConfirmations, d.presentCount()-1)
-	if needed < 1 {
+	confirmations := min(maxConfirmations, d.presentCount()-1)
+	if confirmations < 1 {
 		return minDuration
 	}
-	return max(minDuration, maxDuration-(maxDuration-minDuration)*math.Log(float64(reporters))/math.Log(float64(needed+1)))
+	return max(minDuration, maxDuration-(maxDuration-minDuration)*math.Log(float64(reporters))/math.Log(float64(confirmations+1)))
 }
 
-// Bounds returns the duration of a suspicion in ms, with enough accusers and with only one.
+// Bounds returns the shortest and the longest time-out of a suspicion in ms: with maxConfirmations further reporters, and with only one
+// reporter.
 func (d *Detector) Bounds() (minDuration, maxDuration float64) {
 	minDuration = suspicionPeriods * period * max(minLogFactor, math.Log10(float64(d.presentCount()+1)))
 	return minDuration, minDuration * maxSuspicionFactor
--- a/internal/decide/membership/sync.go
+++ b/internal/decide/membership/sync.go
@@ -6,14 +6,14 @@
 	codec "ravenpond/internal/proto/members"
 )
 
-// syncIfDifferent synchronizes the full state with a member whose digest differs.
-func (d *Detector) syncIfDifferent(m *member, digest uint64) {
-	if digest != d.digest && d.now-d.lastSyncAt >= syncInterval {
+// syncIfDifferent synchronizes the full state with a member whose digest differs, at most once per syncInterval.
+func (d *Detector) syncIfDifferent(m *member, peerDigest uint64) {
+	if peerDigest != d.digest && d.now-d.lastSyncAt >= syncInterval {
 		d.sync(m)
 	}
 }
 
-// sync sends the full state in pages. The receiver reads what is newer and answers each page with what is newer on its side.
+// sync sends the full state to a member in pages. The receiver applies the newer updates and answers each page with its own newer ones.
 func (d *Detector) sync(m *member) {
 	d.Stats.Syncs++
 	d.lastSyncAt = d.now
@@ -30,7 +30,8 @@
 	}
 }
 
-// sendSyncPage sends the updates of as many names as fit. It returns the last name sent, empty if all were, and their number.
+// sendSyncPage sends a page with the updates of as many names as fit. It returns the last name in the page, or an empty string if all names
+// were sent, and the number of names.
 func (d *Detector) sendSyncPage(m *member, names []string, after string) (until string, n int) {
 	d.Stats.Pages++
 	d.sequence++
@@ -46,7 +47,7 @@
 			longest = name
 		}
 	}
-	b := beginPage(longest) // the page's last name is not known yet: space for the longest is reserved
+	b := beginPage(longest) // reserves space for the longest name, because the page's last name is not known yet
 	for n = 0; n < len(names); n++ {
 		var ok bool
 		if b, ok = appendUpdate(b, d.lookup(names[n])); !ok {
@@ -64,7 +65,7 @@
 	return until, n
 }
 
-// lookup returns the member of a name, which may be this process.
+// lookup returns the member with a name, which may be this process.
 func (d *Detector) lookup(name string) *member {
 	if name == d.config.Name {
 		return d.self
@@ -72,7 +73,7 @@
 	return d.members[name]
 }
 
-// onSyncPage answers a page with the updates of its range of names that are newer here or missing in it.
+// onSyncPage answers a page with the updates, within its range of names, that are newer here or missing in the page.
 func (d *Detector) onSyncPage(m *member, number uint64, after, until string) {
 	from, _ := slices.BinarySearch(d.names, after)
 	var b []byte
@@ -101,7 +102,7 @@
 	flush()
 }
 
-// markSynced notes that the page has a name's present or a newer update, so that the answer can omit it.
+// markSynced records whether the page has an update of a member that is at least as recent as this process's state. The answer omits these.
 func (d *Detector) markSynced(m *member, incarnation, version uint64, state State) {
 	if d.syncedNames != nil {
 		d.syncedNames[m.Name] = incarnation > m.Incarnation || incarnation == m.Incarnation && (version > m.Version || version == m.Version && (state >= m.State || m.State < Dead))
--- a/internal/decide/membership/update.go
+++ b/internal/decide/membership/update.go
@@ -2,13 +2,13 @@
 
 import codec "ravenpond/internal/proto/members"
 
-// raiseIncarnation gives this process a later incarnation than others know of its name.
+// raiseIncarnation sets this process's incarnation above the one that other members know for its name.
 func (d *Detector) raiseIncarnation(known uint64) {
 	d.config.Incarnation, d.version = known+1, 0
 	d.announceSelf()
 }
 
-// onNewIncarnation handles a member's new incarnation.
+// onNewIncarnation applies a new incarnation of a member and resets the datagram counts.
 func (d *Detector) onNewIncarnation(m *member, address string, incarnation, version uint64, state State, by string) {
 	d.setVersion(m, incarnation, version)
 	m.Address, m.highestCount, m.receivedMask, m.sentCount, m.reporters = address, 0, 0, 0, nil
@@ -18,8 +18,8 @@
 	}
 }
 
-// onNameConflict handles another process that uses this one's name. The later incarnation keeps the name, and of equal ones that at the
-// lower address; the other process takes no part any more.
+// onNameConflict handles another process that uses this one's name. The process with the later incarnation keeps the name; if they are
+// equal, the one with the lower address does.
 func (d *Detector) onNameConflict(address string, incarnation uint64) {
 	if incarnation < d.config.Incarnation || incarnation == d.config.Incarnation && d.config.Address < address {
 		return
@@ -30,7 +30,7 @@
 	}
 }
 
-// OnMember handles an update of a member.
+// OnMember applies an update of a member if it is newer than the known state.
 func (d datagramHandler) OnMember(u codec.Member) {
 	state := State(u.State)
 	if u.Name == d.config.Name {
@@ -62,7 +62,7 @@
 	}
 }
 
-// setInitialState sets the state of a member that was unknown.
+// setInitialState sets the state of a member that was just added.
 func (d *Detector) setInitialState(m *member, state State, by string) {
 	if state == Suspect {
 		d.setState(m, Alive, by)
@@ -72,18 +72,18 @@
 	d.setState(m, state, by)
 }
 
-// onSameVersion handles a state of a member's present version.
+// onSameVersion applies a reported state of a member's present version.
 func (d *Detector) onSameVersion(m *member, state State, by string) {
 	switch {
-	case state <= m.State: // nothing new, except for a further accuser
+	case state <= m.State: // no news, unless it is a further reporter
 		if state == Suspect && m.State == Suspect {
 			d.addReporter(m, by)
 		}
 	case state == Dead && m.State == Suspect:
-		if !m.fromDeathReport { // after a partition heals, each side reports all members of the other as dead
+		if !m.fromDeathReport { // otherwise the report may be outdated: after a partition heals, each side reports all members of the other side as dead
 			d.addReporter(m, by)
 		}
-	case state == Dead, state == Suspect: // a new report of a death starts a suspicion: the death may have been refuted
+	case state == Dead, state == Suspect: // a reported death only starts a suspicion, because it may have been refuted
 		d.suspect(m, by)
 		m.fromDeathReport = state == Dead
 	default:
@@ -91,7 +91,7 @@
 	}
 }
 
-// onNewerVersion handles a higher version of a member.
+// onNewerVersion applies a higher version of a member.
 func (d *Detector) onNewerVersion(m *member, version uint64, state State, by string) {
 	previous := m.State
 	d.setVersion(m, m.Incarnation, version)
@@ -112,7 +112,7 @@
 	}
 }
 
-// onSelfUpdate handles an update about this process. It refutes a wrong one by a higher version.
+// onSelfUpdate handles an update about this process, and refutes a false one by announcing a higher version.
 func (d *Detector) onSelfUpdate(address string, incarnation, version uint64, state State) {
 	switch {
 	case incarnation < d.config.Incarnation || d.leaving:
