--- a/internal/decide/gossip/gossip.go
+++ b/internal/decide/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip decides which changes of the node list schedulers gossip: that a node is draining or removed, as of a version of the list. A
-// scheduler that can't reach the list service learns of them from others. Gossip makes it more cautious only: it places nothing new on such a
-// node until its own list has that version. Nothing is gossiped about ready nodes.
+// Package gossip decides which changes of the node list schedulers gossip: that a node is draining or removed as of a version of the list. A
+// scheduler that cannot reach the node list service learns of these changes from other schedulers. Gossip can only stop placements: the
+// scheduler places no new work on such a node until its own list has reached that version. Ready nodes are not gossiped.
 //
 // The caller passes the time in ms. A Store is not safe for concurrent use.
 package gossip
@@ -11,73 +11,74 @@
 )
 
 const (
-	updateLifetime = 60000 // ms for which an update counts if the own list never reaches its version
-	maxUpdates     = 4096  // that are kept
+	updateLifetime = 60000 // ms for which an update applies if this scheduler's list does not reach its version
+	maxUpdates     = 4096  // limit of the stored updates, and of the queued ones
 )
 
-// update says that a node is not ready as of a version of the list.
+// update states that a node is draining or removed as of a version of the list.
 type update struct {
 	node          uint32
 	version       uint64
-	removed       bool // else it is draining
-	at            float64
+	removed       bool    // false: the node is draining
+	storedAt      float64 // ms
 	transmissions int
-	received      bool // from another scheduler, ahead of the own list
+	received      bool // from another scheduler, whose list was ahead of this one's
 }
 
-// Store keeps updates. Its zero value is empty.
+// Store holds the updates of one scheduler. Its zero value is empty.
 type Store struct {
-	listVersion uint64
+	listVersion uint64             // version of this scheduler's list
 	updates     map[uint32]*update // by node
-	queue       []*update          // that are still sent
+	queue       []*update          // updates that are still to be sent
 }
 
-// Len returns the number of updates that are kept.
+// Len returns the number of stored updates.
 func (s *Store) Len() int { return len(s.updates) }
 
-// OnList handles an answer of the list service: its version, and each node in it.
+// OnList handles a node list from the node list service: its version, and the state of each node in it.
 func (s *Store) OnList(now float64, version uint64, nodes func(yield func(node uint32, ready, removed bool))) {
 	s.listVersion = max(s.listVersion, version)
 	nodes(func(node uint32, ready, removed bool) {
 		known := s.updates[node]
 		switch {
-		case known != nil && known.version > version: // another scheduler's list is ahead
+		case known != nil && known.version > version: // the update of another scheduler is newer than this list
 		case ready:
 			s.drop(node)
 		case known == nil || known.removed != removed:
-			s.put(&update{node: node, version: version, removed: removed, at: now})
+			s.put(&update{node: node, version: version, removed: removed, storedAt: now})
 		}
 	})
 	for node, known := range s.updates {
-		if known.received && known.version <= s.listVersion { // the own list is as recent
+		if known.received && known.version <= s.listVersion { // this scheduler's list has caught up
 			s.drop(node)
 		}
 	}
 }
 
-// OnUpdate handles an update from another scheduler and reports whether it is new.
+// OnUpdate handles an update from another scheduler and reports whether it was stored. It is ignored if it is not newer than this scheduler's
+// list and the stored update of the node, or if the store is full.
 func (s *Store) OnUpdate(now float64, node uint32, version uint64, removed bool) bool {
 	if known := s.updates[node]; version <= s.listVersion || known != nil && known.version >= version || len(s.updates) >= maxUpdates {
 		return false
 	}
-	s.put(&update{node: node, version: version, removed: removed, at: now, received: true})
+	s.put(&update{node: node, version: version, removed: removed, storedAt: now, received: true})
 	return true
 }
 
-// put stores an update in place of an earlier one of its node.
-func (s *Store) put(added *update) {
+// put stores and queues an update, and replaces the stored one of the same node. A full queue drops its first entries.
+func (s *Store) put(latest *update) {
 	if s.updates == nil {
 		s.updates = map[uint32]*update{}
 	}
-	s.drop(added.node)
-	s.updates[added.node] = added
-	s.queue = append(s.queue, added)
+	s.drop(latest.node)
+	s.updates[latest.node] = latest
+	s.queue = append(s.queue, latest)
 	if len(s.queue) > maxUpdates {
 		s.queue = slices.Delete(s.queue, 0, len(s.queue)-maxUpdates)
 	}
 }
 
-// drop removes the update of a node.
+// drop removes the update of a node from the store and the queue.
 func (s *Store) drop(node uint32) {
 	if known := s.updates[node]; known != nil {
 		delete(s.updates, node)
@@ -85,8 +86,8 @@
 	}
 }
 
-// Piggyback passes updates to send, the least sent first, until send returns false because one does not fit. Each is sent maxTransmissions
-// times.
+// Piggyback passes queued updates to send, those sent least often first, until send returns false because an update does not fit. Each update
+// is sent maxTransmissions times.
 func (s *Store) Piggyback(maxTransmissions int, send func(node uint32, version uint64, removed bool) bool) {
 	if len(s.queue) == 0 {
 		return
@@ -107,10 +108,10 @@
 	s.queue = kept
 }
 
-// Unready returns the nodes that are not ready according to other schedulers, sorted.
+// Unready returns the nodes that are draining or removed according to other schedulers whose list is newer, sorted.
 func (s *Store) Unready(now float64) (nodes []uint32) {
 	for node, known := range s.updates {
-		if known.received && known.version > s.listVersion && now-known.at < updateLifetime {
+		if known.received && known.version > s.listVersion && now-known.storedAt < updateLifetime {
 			nodes = append(nodes, node)
 		}
 	}
--- a/internal/decide/membership/receive.go
+++ b/internal/decide/membership/receive.go
@@ -131,7 +131,7 @@
 
 // OnNodeQuery stores a query about a node; the ack of the probe that contains it replies to it.
 func (d datagramHandler) OnNodeQuery(node uint32) {
-	if len(d.header.queriedNodes) < reachability.MaxQuestions {
+	if len(d.header.queriedNodes) < reachability.MaxQueries {
 		d.header.queriedNodes = append(d.header.queriedNodes, node)
 	}
 }
@@ -143,9 +143,9 @@
 		return
 	}
 	if h.number == d.probe.number && d.probe.outstanding {
-		d.nodeReachability.OnAnswer(d.probe.sent, node, incarnation, ago)
+		d.nodeReachability.OnReply(d.probe.sent, node, incarnation, ago)
 	} else if late, ok := d.lateProbes[h.number]; ok {
-		d.nodeReachability.OnAnswer(late.sent, node, incarnation, ago)
+		d.nodeReachability.OnReply(late.sent, node, incarnation, ago)
 	}
 }
 
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -98,7 +98,7 @@
 func (d *Detector) appendReachability(b []byte, kind uint32) []byte {
 	switch {
 	case kind == codec.Ping:
-		d.nodeReachability.Questions(d.now, func(node uint32) (ok bool) {
+		d.nodeReachability.Queries(d.now, func(node uint32) (ok bool) {
 			b, ok = codec.AppendNodeQuery(b, node)
 			return ok
 		})
--- a/internal/decide/reachability/reachability.go
+++ b/internal/decide/reachability/reachability.go
@@ -1,10 +1,10 @@
-// Package reachability decides by indirect probing whether an unreachable node is dead or only the network path to it is broken: other
-// schedulers say when they last heard from it. Their answers never cause anything to be sent to the node. The process may wait longer for
-// tasks there, because the node runs, or give them up sooner, because the node has started a new incarnation.
+// Package reachability determines whether an unreachable node is dead or only the network path to it is broken, by asking other schedulers
+// when they last had contact with it. Their replies never cause anything to be sent to the node. The process may wait longer for the node's
+// tasks, because the node runs, or give them up sooner, because the node has started a new incarnation.
 //
-// Losses of contact and answers go in; questions and verdicts come out. The package ignores answers that are older than the loss of
-// contact, tolerates paths that are broken for most schedulers, and limits questions and answers. It does no I/O and returns no errors. A
-// Tracker is not safe for concurrent use. Times are milliseconds on the process's clock.
+// Inputs are losses of contact and replies; outputs are queries and the state of the node. The package ignores replies that are older than
+// the loss of contact, tolerates paths that are broken for most schedulers, and limits the number of queries and replies. It does no I/O and
+// returns no errors. A Tracker is not safe for concurrent use. Times are milliseconds on the process's clock.
 package reachability
 
 import (
@@ -13,38 +13,38 @@
 	"slices"
 )
 
-// MaxQuestions is the number of nodes that one datagram asks for or answers for at most.
-const MaxQuestions = 16
+// MaxQueries is the largest number of nodes that one datagram asks about or replies about.
+const MaxQueries = 16
 
 const (
-	maxAnswerAge   = 3000  // ms for which an answer that a node is reachable counts, from the contact that it reports
-	queryDuration  = 60000 // ms for which a node is asked for after it became unreachable
-	minAnswerDelay = 200   // ms by which a contact has to be later than the loss, because messages may have been in flight
-	maxNodes       = 4096  // unreachable nodes at once
+	maxContactAge   = 3000  // ms after a reported contact for which the node is taken to be reachable
+	queryDuration   = 60000 // ms after the loss of contact for which other schedulers are asked about a node
+	minContactDelay = 200   // ms by which a reported contact has to be later than the loss, because messages may have been in flight
+	maxNodes        = 4096  // limit of the unreachable nodes that are tracked
 )
 
 // unreachableNode is a node that this process cannot reach.
 type unreachableNode struct {
 	node             uint32
 	incarnation      uint64
-	since            float64
-	lastContactAt    float64 // when another scheduler last heard from this incarnation; 0: never
-	otherIncarnation uint64  // another incarnation that others hear from; 0: none
-	lastRound        uint64  // round in which it was last asked for
+	since            float64 // time of the loss of contact, ms
+	lastContactAt    float64 // last contact of another scheduler with this incarnation, ms; 0: none since the loss
+	otherIncarnation uint64  // different incarnation that other schedulers have contact with; 0: none
+	queriedInRound   uint64  // last round of queries that contained the node
 }
 
-// Tracker keeps the unreachable nodes and what others say of them. Its zero value is empty.
+// Tracker holds the unreachable nodes and what other schedulers reported about them. Its zero value is empty.
 type Tracker struct {
 	nodes []*unreachableNode // sorted by node
-	round uint64
+	round uint64             // number of calls of Queries that had nodes to ask about
 }
 
-// find returns a node's position, or where it would be.
+// find returns the position of a node and true, or the position at which to insert it and false.
 func (t *Tracker) find(node uint32) (int, bool) {
 	return slices.BinarySearchFunc(t.nodes, node, func(n *unreachableNode, node uint32) int { return cmp.Compare(n.node, node) })
 }
 
-// OnUnreachable records that this process no longer hears from an incarnation of a node.
+// OnUnreachable records that this process has lost contact with an incarnation of a node. Earlier replies about the node are discarded.
 func (t *Tracker) OnUnreachable(now float64, node uint32, incarnation uint64) {
 	i, ok := t.find(node)
 	switch {
@@ -55,40 +55,41 @@
 	}
 }
 
-// OnReachable records that this process hears from the node again.
+// OnReachable records that this process is in contact with the node again.
 func (t *Tracker) OnReachable(node uint32) {
 	if i, ok := t.find(node); ok {
 		t.nodes = slices.Delete(t.nodes, i, i+1)
 	}
 }
 
-// Questions yields the nodes to ask another scheduler for, the least recently asked first.
-func (t *Tracker) Questions(now float64, yield func(node uint32) bool) {
+// Queries yields the nodes to ask another scheduler about, those asked about least recently first. Nodes that have been unreachable for
+// queryDuration are removed.
+func (t *Tracker) Queries(now float64, yield func(node uint32) bool) {
 	t.nodes = slices.DeleteFunc(t.nodes, func(n *unreachableNode) bool { return now-n.since >= queryDuration })
 	if len(t.nodes) == 0 {
 		return
 	}
 	t.round++
 	order := slices.Clone(t.nodes)
-	slices.SortStableFunc(order, func(x, y *unreachableNode) int { return cmp.Compare(x.lastRound, y.lastRound) })
-	for _, n := range order[:min(MaxQuestions, len(order))] {
+	slices.SortStableFunc(order, func(x, y *unreachableNode) int { return cmp.Compare(x.queriedInRound, y.queriedInRound) })
+	for _, n := range order[:min(MaxQueries, len(order))] {
 		if !yield(n.node) {
 			return
 		}
-		n.lastRound = t.round
+		n.queriedInRound = t.round
 	}
 }
 
-// OnAnswer records an answer: another scheduler heard from an incarnation of the node ago ms before it answered a question that was sent at
-// a time. So the contact was no earlier than ago ms before that time.
-func (t *Tracker) OnAnswer(sent float64, node uint32, incarnation uint64, ago float64) {
+// OnReply records a reply to a query that was sent at the given time: the other scheduler had contact with an incarnation of the node ago ms
+// before it replied. So the contact was no earlier than ago ms before the query was sent.
+func (t *Tracker) OnReply(sent float64, node uint32, incarnation uint64, ago float64) {
 	i, ok := t.find(node)
 	if !ok || !(ago >= 0) || math.IsInf(ago, 1) || incarnation == 0 {
 		return
 	}
 	n, contactAt := t.nodes[i], sent-ago
 	switch {
-	case contactAt <= n.since+minAnswerDelay:
+	case contactAt <= n.since+minContactDelay:
 	case incarnation == n.incarnation:
 		n.lastContactAt = max(n.lastContactAt, contactAt)
 	default:
@@ -96,18 +97,19 @@
 	}
 }
 
-// IsReachable reports whether others hear from the incarnation of a node that this process cannot reach: only the path is broken, and the
-// node's tasks go on.
+// IsReachable reports whether other schedulers have contact with an incarnation of a node that this process cannot reach. Then only the
+// network path is broken, and the node's tasks continue.
 func (t *Tracker) IsReachable(now float64, node uint32, incarnation uint64) bool {
 	i, ok := t.find(node)
 	if !ok {
 		return false
 	}
 	n := t.nodes[i]
-	return n.incarnation == incarnation && n.otherIncarnation == 0 && n.lastContactAt > 0 && now-n.lastContactAt < maxAnswerAge
+	return n.incarnation == incarnation && n.otherIncarnation == 0 && n.lastContactAt > 0 && now-n.lastContactAt < maxContactAge
 }
 
-// Ended yields each node once that others hear from in another incarnation than the lost one. The tasks of the lost incarnation have ended.
+// Ended yields, once, each unreachable node of which other schedulers know a different incarnation. The tasks of the yielded incarnation have
+// ended.
 func (t *Tracker) Ended(yield func(node uint32, incarnation uint64)) {
 	t.nodes = slices.DeleteFunc(t.nodes, func(n *unreachableNode) bool {
 		hasEnded := n.otherIncarnation != 0
