--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -42,7 +42,7 @@
 	return len(parts) > 0
 }
 
-// queueUpdate queues an update of a member to be piggybacked on the next datagrams. A queued update starts again.
+// queueUpdate queues an update of a member to be piggybacked on the next datagrams. The count of its transmissions restarts.
 func (d *Detector) queueUpdate(m *member) {
 	if m.transmissions < 0 {
 		d.updates = append(d.updates, m)
@@ -55,8 +55,8 @@
 	return retransmitFactor * int(math.Ceil(math.Log2(float64(d.presentCount()+2))))
 }
 
-// sendTo sends a datagram with lease fields, reachability queries or replies, and as many updates as fit. If this process does not hold the
-// receiver for alive, the first update is about the receiver, so that it can refute it.
+// sendTo sends a datagram with lease fields, reachability queries or replies, and as many updates as fit. If the receiver is not alive in this
+// process's state, the first update is the one about the receiver, so that it can refute it.
 func (d *Detector) sendTo(m *member, kind uint32, number uint64, target string) {
 	m.sentCount++
 	var first *member
--- a/internal/decide/membership/update.go
+++ b/internal/decide/membership/update.go
@@ -75,7 +75,7 @@
 // onSameVersion applies a reported state of a member's present version.
 func (d *Detector) onSameVersion(m *member, state State, by string) {
 	switch {
-	case state <= m.State: // no news, unless it is a further reporter
+	case state <= m.State: // nothing new, except for a further reporter
 		if state == Suspect && m.State == Suspect {
 			d.addReporter(m, by)
 		}
--- a/internal/decide/zones/footprint.go
+++ b/internal/decide/zones/footprint.go
@@ -2,15 +2,15 @@
 
 import "unsafe"
 
-// Footprint is the size of what a controller holds, by structure. Bytes are those of the records and their texts, without what maps and
-// the allocator add.
+// Footprint is the number of entries in each of a controller's structures, and their memory. Bytes count the records and their strings, not
+// the overhead of maps and the allocator.
 type Footprint struct {
-	Reports     int // of processes
+	Reports     int // reports of processes
 	ReportBytes int
-	Verdicts    int // observations, proposals and recorded uses of zones
+	Verdicts    int // observations, proposals and recorded numbers of used cores, all by zone
 }
 
-// Footprint counts what the controller holds.
+// Footprint returns the present sizes.
 func (c *Controller) Footprint() Footprint {
 	f := Footprint{
 		Reports:  len(c.reports),
--- a/internal/decide/zones/plan.go
+++ b/internal/decide/zones/plan.go
@@ -11,42 +11,41 @@
 )
 
 const (
-	planInterval  = 2000 // ms between two plans, unless a zone has closed since
-	minPlanChange = 0.1  // fraction of the load that leaves closed zones by which a new plan has to differ
+	planInterval  = 2000 // shortest interval between two plans in ms, unless the committed plan is empty, as when the first zone closes
+	minPlanChange = 0.1  // smallest difference of a new plan, as a fraction of the load that has to leave closed zones
 )
 
-// Transfer is how many cores of the load that leaves one zone another is to take.
+// Transfer is the part of one zone's load, in cores, that another zone takes over.
 type Transfer struct {
 	From, To string
 	Cores    uint32
 }
 
-// Latency returns how far one zone is from another. Only the order of the values counts.
+// Latency returns the network latency from one zone to another. Only the order of the values matters.
 type Latency func(from, to string) float64
 
-// Plan divides the load of closed zones among the others, nearest first, within the capacity that maxUtilization leaves them: all
-// processes together never fill a zone beyond it, and load that fits nowhere is taken by nobody. It returns false if the committed plan
-// still serves.
+// Plan divides the load of closed zones among the others, nearest first. The processes together fill no zone beyond maxUtilization, and load
+// that fits nowhere is not taken over. It returns false if the committed plan remains in effect.
 func (c *Controller) Plan(now float64, state *clusterstate.State, zones []string, latency Latency) ([]Transfer, bool) {
-	capacities := c.capacities(now)
-	c.recordUse(now, state, zones, capacities)
-	b := planner{state: state, zones: zones, capacities: capacities, lastUsed: c.lastUsed}
-	b.balance()
-	want := b.divide(latency)
-	if !c.isPlanDue(now, state, want, b.totalNeed()) {
+	summaries := c.bestSummaries(now)
+	c.recordUse(now, state, zones, summaries)
+	p := planner{state: state, zones: zones, summaries: summaries, lastUsed: c.lastUsed}
+	p.balance()
+	transfers := p.divide(latency)
+	if !c.isPlanDue(now, state, transfers, p.totalDisplaced()) {
 		return nil, false
 	}
 	c.lastPlanAt = now
 	var plan []Transfer
-	for way, cores := range want {
-		plan = append(plan, Transfer{way.From, way.To, cores})
+	for route, cores := range transfers {
+		plan = append(plan, Transfer{route.From, route.To, cores})
 	}
 	slices.SortFunc(plan, func(x, y Transfer) int { return cmp.Or(cmp.Compare(x.From, y.From), cmp.Compare(x.To, y.To)) })
 	return plan, true
 }
 
-// capacities returns the most plausible summary of each zone: the one of the highest capacity in the reports that count.
-func (c *Controller) capacities(now float64) map[string]Summary {
+// bestSummaries returns for each zone the summary with the highest capacity among the recent reports, because it is the most plausible one.
+func (c *Controller) bestSummaries(now float64) map[string]Summary {
 	best := map[string]Summary{}
 	for _, name := range slices.Sorted(maps.Keys(c.reports)) {
 		report := c.reports[name]
@@ -54,7 +53,7 @@
 			continue
 		}
 		for zone, s := range report.summaries {
-			if b, ok := best[zone]; !ok || s.Capacity > b.Capacity {
+			if other, ok := best[zone]; !ok || s.Capacity > other.Capacity {
 				best[zone] = s
 			}
 		}
@@ -62,100 +61,100 @@
 	return best
 }
 
-// recordUse remembers the use of open zones that are not lost. It is the load that has to go elsewhere if the zone closes; after the loss
-// the reported use falls, because the tasks there end.
-func (c *Controller) recordUse(now float64, state *clusterstate.State, zones []string, capacities map[string]Summary) {
+// recordUse records how many cores are in use in each open zone that is not lost. This load has to go elsewhere if the zone closes; after a
+// loss the reported use falls, because the tasks in the zone end.
+func (c *Controller) recordUse(now float64, state *clusterstate.State, zones []string, summaries map[string]Summary) {
 	if c.lastUsed == nil {
 		return
 	}
 	for _, name := range zones {
 		zone := state.Zone(name)
 		if zone.State == clusterstate.Open && now-zone.Since > reopenAfter && c.observations[name].health != lost {
-			c.lastUsed[name] = capacities[name].Used
+			c.lastUsed[name] = summaries[name].Used
 		}
 	}
 }
 
-// isPlanDue reports whether a plan replaces the committed one: it differs enough from it, and the last change was long enough ago.
-func (c *Controller) isPlanDue(now float64, state *clusterstate.State, want map[clusterstate.Route]uint32, totalNeed float64) bool {
-	version, each := state.Plan()
+// isPlanDue reports whether a plan replaces the committed one, because it differs enough and the last plan was made long enough ago.
+func (c *Controller) isPlanDue(now float64, state *clusterstate.State, transfers map[clusterstate.Route]uint32, totalDisplaced float64) bool {
+	version, shares := state.Plan()
 	difference, count := uint32(0), 0
-	each(func(way clusterstate.Route, cores uint32) bool {
+	shares(func(route clusterstate.Route, cores uint32) bool {
 		count++
-		difference = max(difference, max(cores, want[way])-min(cores, want[way]))
+		difference = max(difference, max(cores, transfers[route])-min(cores, transfers[route]))
 		return true
 	})
 	switch {
-	case count == len(want) && float64(difference) < minPlanChange*totalNeed:
+	case count == len(transfers) && float64(difference) < minPlanChange*totalDisplaced:
 		return false
 	case now-c.lastPlanAt < planInterval && version > 0 && count > 0:
 		return false
 	}
-	return len(want) > 0 || count > 0
+	return len(transfers) > 0 || count > 0
 }
 
-// planner balances the zones' spare capacity and the load of closed zones.
+// planner distributes the load of closed zones over the spare capacity of the others.
 type planner struct {
-	state      *clusterstate.State
-	zones      []string
-	capacities map[string]Summary
-	lastUsed   map[string]float64
+	state     *clusterstate.State
+	zones     []string
+	summaries map[string]Summary
+	lastUsed  map[string]float64
 
-	spare map[string]float64 // cores that a zone can take
-	need  map[string]float64 // cores that have to leave a zone
+	spare     map[string]float64 // cores that each zone can take over
+	displaced map[string]float64 // cores in use that have to leave each closed zone
 }
 
-// balance computes what each zone can take or has to give.
+// balance computes spare and displaced.
 func (p *planner) balance() {
-	p.spare, p.need = map[string]float64{}, map[string]float64{}
+	p.spare, p.displaced = map[string]float64{}, map[string]float64{}
 	for _, name := range p.zones {
-		summary := p.capacities[name]
+		summary := p.summaries[name]
 		switch p.state.Zone(name).State {
 		case clusterstate.Open, clusterstate.Suspect:
 			p.spare[name] = max(0, maxUtilization*summary.Capacity-summary.Used)
 		case clusterstate.Closed:
-			p.need[name] = p.lastUsed[name]
-			if p.need[name] == 0 { // this leader has not seen the zone open: assume as much as the others use
-				p.need[name] = max(summary.Used, p.meanUsed())
+			p.displaced[name] = p.lastUsed[name]
+			if p.displaced[name] == 0 { // this leader has not seen the zone open, so it assumes the mean use of the others
+				p.displaced[name] = max(summary.Used, p.meanUsed())
 			}
 		}
 	}
 }
 
-// meanUsed returns the mean use of the zones that are not closed.
+// meanUsed returns the mean number of used cores in the zones that are not closed.
 func (p *planner) meanUsed() float64 {
 	sum, n := 0.0, 0.0
 	for _, name := range p.zones {
-		if s := p.capacities[name]; s.Capacity > 0 && p.state.Zone(name).State != clusterstate.Closed {
+		if s := p.summaries[name]; s.Capacity > 0 && p.state.Zone(name).State != clusterstate.Closed {
 			sum, n = sum+s.Used, n+1
 		}
 	}
 	return sum / max(1, n)
 }
 
-// divide gives the load of each closed zone to the others, the nearest first. Each closed zone gets an equal part of the spare capacity.
+// divide assigns the load of each closed zone to the other zones, nearest first. Each closed zone gets an equal part of the spare capacity.
 func (p *planner) divide(latency Latency) map[clusterstate.Route]uint32 {
 	transfers := map[clusterstate.Route]uint32{}
-	closed := slices.Sorted(maps.Keys(p.need))
+	closed := slices.Sorted(maps.Keys(p.displaced))
 	for _, from := range closed {
-		rest := p.need[from]
+		remaining := p.displaced[from]
 		nearest := slices.SortedFunc(maps.Keys(p.spare), func(x, y string) int {
 			return cmp.Or(cmp.Compare(latency(from, x), latency(from, y)), cmp.Compare(x, y))
 		})
 		for _, to := range nearest {
-			if cores := math.Floor(min(rest, p.spare[to]/float64(len(closed)), codec.MaxCores)); cores > 0 {
+			if cores := math.Floor(min(remaining, p.spare[to]/float64(len(closed)), codec.MaxCores)); cores > 0 {
 				transfers[clusterstate.Route{From: from, To: to}] = uint32(cores)
-				rest -= cores
+				remaining -= cores
 			}
 		}
 	}
 	return transfers
 }
 
-// totalNeed returns the cores that have to leave all closed zones.
-func (p *planner) totalNeed() float64 {
+// totalDisplaced returns the number of cores in use that have to leave all closed zones.
+func (p *planner) totalDisplaced() float64 {
 	total := 0.0
-	for _, cores := range p.need {
+	for _, cores := range p.displaced {
 		total += cores
 	}
 	return total
--- a/internal/decide/zones/reports.go
+++ b/internal/decide/zones/reports.go
@@ -2,12 +2,12 @@
 
 import "ravenpond/internal/decide/clusterstate"
 
-// maxReportAge is the age in milliseconds from which a process's report counts no more.
+// maxReportAge is the age in milliseconds beyond which a process's report is ignored.
 const maxReportAge = 1500
 
 // processReport is the last report of a process.
 type processReport struct {
-	receivedAt float64
+	receivedAt float64            // ms
 	summaries  map[string]Summary // by zone
 }
 
@@ -19,7 +19,7 @@
 	c.reports[process] = processReport{now, summaries}
 }
 
-// health is how the other zones see a zone.
+// health is the health of a zone as observed from the other zones.
 type health int
 
 const (
@@ -28,13 +28,13 @@
 	healthy
 )
 
-// observation is how a zone is seen, and since when without a change.
+// observation is the health of a zone and the time in ms since which it has not changed.
 type observation struct {
 	health health
 	since  float64
 }
 
-// observe records how a zone is seen now.
+// observe records the present health of a zone and returns the observation.
 func (c *Controller) observe(now float64, zone string, h health) observation {
 	o, ok := c.observations[zone]
 	if !ok || o.health != h {
@@ -46,14 +46,14 @@
 	return o
 }
 
-// votes counts zones by what most of their processes report of another zone.
+// votes counts the zones by what most of their processes report about another zone.
 type votes struct {
-	zones   int // that report
-	lost    int
-	healthy int
+	zones   int // zones with at least one report
+	lost    int // zones that report the other zone as lost
+	healthy int // zones that report the other zone as healthy
 }
 
-// countVotes counts what the processes of other zones reported lately of a zone.
+// countVotes counts the recent reports of the processes of other zones about a zone.
 func (c *Controller) countVotes(now float64, state *clusterstate.State, zone string) votes {
 	type reporters struct{ all, lost, healthy int }
 	byZone := map[string]reporters{}
@@ -88,11 +88,11 @@
 	return v
 }
 
-// minLostVotes is the number of zones that have to find a zone lost.
+// minLostVotes is the smallest number of zones that have to report a zone as lost.
 const minLostVotes = 2
 
-// health returns what the votes say: lost needs more than half of the zones that report and at least minLostVotes of them; with
-// singleZone, an injected fault, one zone suffices.
+// health returns the result of the votes. A zone is lost if more than half of the zones that report, and at least minLostVotes of them, report
+// it as lost; with singleZone, an injected fault, one zone suffices.
 func (v votes) health(singleZone bool) health {
 	switch {
 	case v.lost >= minLostVotes && 2*v.lost > v.zones, singleZone && v.lost >= 1:
--- a/internal/decide/zones/selector.go
+++ b/internal/decide/zones/selector.go
@@ -7,30 +7,30 @@
 	"ravenpond/internal/decide/clusterstate"
 )
 
-// Selector decides which zones a process sends to. Its own zone may be empty; then no zone is near.
+// Selector decides which zones a process sends to. OwnZone may be empty; then locality does not restrict the zones.
 type Selector struct {
 	OwnZone          string
 	Zones            []Location
-	LocalityAware    bool // the site file has latencies between zones: near zones are preferred
-	FaultIgnoreLease bool // injected fault: an expired state is treated as current
+	LocalityAware    bool // near zones are preferred, because the site file has latencies between zones
+	FaultIgnoreLease bool // injected fault: the cluster state counts as current even if the lease has expired
 
 	level       int                // levelZone, levelRegion or levelSite
-	belowSince  float64            // since when the next nearer level has had room
-	lastWeights map[string]float64 // weights when the lease was last valid
+	belowSince  float64            // time in ms since which the next nearer level has had room
+	lastWeights map[string]float64 // weights of the zones when the lease was last valid
 }
 
-// Input is what the weights of zones follow from.
+// Input contains the values from which the weights of the zones are derived.
 type Input struct {
-	Now        float64
+	Now        float64 // ms
 	State      *clusterstate.State
-	LeaseValid bool               // the state is known to be current; else the process acts in degraded mode
-	Summaries  map[string]Summary // by zone, of this process
-	Waiting    int                // requests that find no room in the zones in use
-	OwnCores   map[string]float64 // cores of this process's own tasks in each zone
-	Processes  int                // processes that act from this process's zone
+	LeaseValid bool               // the cluster state is known to be current; false: the process is in degraded mode
+	Summaries  map[string]Summary // this process's summaries by zone
+	Waiting    int                // number of requests that find no room in the zones in use
+	OwnCores   map[string]float64 // cores in use by this process's tasks, by zone
+	Processes  int                // number of active processes in this process's zone
 }
 
-// Update returns the fraction of each zone's nodes that this process sends to now, from 0 to 1.
+// Update returns the weight of each zone: the fraction of its nodes to which this process sends, from 0 to 1.
 func (s *Selector) Update(in Input) map[string]float64 {
 	in.LeaseValid = in.LeaseValid || s.FaultIgnoreLease
 	s.updateLevel(in)
@@ -49,19 +49,19 @@
 	return weights
 }
 
-// followsPlan reports whether the process's own zone is closed and the plan that was committed since divides its load.
+// followsPlan reports whether the process's own zone is closed and a plan that divides its load has been committed since.
 func (s *Selector) followsPlan(state *clusterstate.State) bool {
-	home := state.Zone(s.OwnZone)
+	ownZone := state.Zone(s.OwnZone)
 	plan, _ := state.Plan()
-	return s.LocalityAware && home.State == clusterstate.Closed && plan > home.Version
+	return s.LocalityAware && ownZone.State == clusterstate.Closed && plan > ownZone.Version
 }
 
-// permittedWeight returns the weight of a zone that its state permits.
+// permittedWeight returns the largest weight that a zone's state permits.
 func (s *Selector) permittedWeight(in Input, name string) float64 {
 	zone := in.State.Zone(name)
 	switch zone.State {
 	case clusterstate.Closed:
-		if name == s.OwnZone && !in.LeaseValid { // the process may be cut off together with its zone, which is all that it can serve
+		if name == s.OwnZone && !in.LeaseValid { // the process may be partitioned together with its zone, and can then serve no other zone
 			return 1
 		}
 		return 0
@@ -75,16 +75,16 @@
 	return 1
 }
 
-// mayUseOther reports whether the process may send to a zone other than its own whose state permits it.
+// mayUseOther reports whether the process may send to another zone, given that the zone's state permits it.
 func (s *Selector) mayUseOther(in Input, zone Location, followsPlan bool) bool {
 	summary := in.Summaries[zone.Name]
 	switch {
 	case !in.LeaseValid && s.lastWeights != nil && s.lastWeights[zone.Name] == 0:
-		return false // degraded mode starts to use nothing
+		return false // in degraded mode a process does not start to use a zone
 	case !followsPlan && s.isBeyondLevel(zone):
 		return false
 	case s.LocalityAware && summary.Capacity > 0 && summary.Used >= maxUtilization*summary.Capacity:
-		return false // the rest is for the zone's own load
+		return false // the remaining capacity is reserved for the zone's own load
 	case followsPlan:
 		share := float64(in.State.Share(s.OwnZone, zone.Name)) / float64(max(1, in.Processes))
 		return in.OwnCores[zone.Name] < share
