--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -155,10 +155,19 @@
 }
 
 // Stats holds a detector's counters. Foreign datagrams have no valid seal, stale ones belong to an earlier incarnation or are replays.
+// members.json holds the counters in the order of the fields. The JSON keys are an interface.
 type Stats struct {
-	Sent, Bytes, Got, Foreign, Malformed, Stale   uint64
-	Probes, MissedProbes, Suspicions, Refutations uint64
-	Deaths, Pauses, Syncs, Pages                  uint64
+	Sent, Bytes   uint64
+	Received      uint64 `json:"Got"`
+	Foreign       uint64
+	Malformed     uint64 `json:"Bad"`
+	Stale, Probes uint64
+	MissedProbes  uint64 `json:"Missed"`
+	Suspicions    uint64
+	Refutations   uint64 `json:"Refuted"`
+	Deaths        uint64
+	Pauses        uint64 `json:"Stalls"`
+	Syncs, Pages  uint64
 }
 
 // New returns a detector that knows no other members and starts at the given time in ms.
--- a/internal/decide/membership/receive.go
+++ b/internal/decide/membership/receive.go
@@ -21,7 +21,7 @@
 		d.Stats.Malformed++ // the parts decoded before the error are kept, because the seal was valid
 	}
 	if d.header.kind != 0 {
-		d.Stats.Got++
+		d.Stats.Received++
 		d.handle()
 	}
 }
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -102,7 +102,7 @@
 			gauge(out, c.members, float64(value), state)
 		}
 		counter(out, c.datagrams, detector.Stats.Sent, "sent")
-		counter(out, c.datagrams, detector.Stats.Got, "got")
+		counter(out, c.datagrams, detector.Stats.Received, "got")
 		counter(out, c.deaths, detector.Stats.Deaths)
 	})
 }
