--- a/logic/allocations.go
+++ b/logic/allocations.go
@@ -84,12 +84,12 @@
 }
 
 // count adds to the number of allocations on a node.
-func (v *service) count(node, by int) {
-	at := slices.IndexFunc(v.placements, func(p placement) bool { return p.node == node })
-	if at < 0 {
-		v.placements = append(v.placements, placement{node, by})
-	} else if v.placements[at].count += by; v.placements[at].count == 0 {
-		v.placements = slices.Delete(v.placements, at, at+1)
+func (v *service) count(node, delta int) {
+	i := slices.IndexFunc(v.placements, func(p placement) bool { return p.node == node })
+	if i < 0 {
+		v.placements = append(v.placements, placement{node, delta})
+	} else if v.placements[i].count += delta; v.placements[i].count == 0 {
+		v.placements = slices.Delete(v.placements, i, i+1)
 	}
 }
 
@@ -106,8 +106,8 @@
 	return i
 }
 
-// forget removes an allocation from the table if it is answered and has no attempt in flight.
-func (s *Scheduler) forget(i int) {
+// removeIfDone removes an allocation from the table if it is answered and has no attempt in flight.
+func (s *Scheduler) removeIfDone(i int) {
 	alloc := &s.allocations.all[i]
 	if alloc.inFlight || !alloc.answered {
 		return
@@ -131,12 +131,12 @@
 }
 
 // countPlacement adds an allocation to (by 1) or removes it from (by -1) the counts of its node and service.
-func (s *Scheduler) countPlacement(alloc *allocation, by int) {
+func (s *Scheduler) countPlacement(alloc *allocation, delta int) {
 	node := &s.nodes.all[alloc.node]
-	if by > 0 {
+	if delta > 0 {
 		alloc.usage = alloc.size.scale(s.usage.ratio())
 	}
-	node.capacity.reserved = node.capacity.reserved.plus(alloc.size.times(float64(by)))
-	node.capacity.ownUsage = node.capacity.ownUsage.plus(alloc.usage.times(float64(by)))
-	s.services.all[alloc.service].count(alloc.node, by)
+	node.capacity.reserved = node.capacity.reserved.plus(alloc.size.times(float64(delta)))
+	node.capacity.ownUsage = node.capacity.ownUsage.plus(alloc.usage.times(float64(delta)))
+	s.services.all[alloc.service].count(alloc.node, delta)
 }
--- a/logic/attempts.go
+++ b/logic/attempts.go
@@ -39,9 +39,9 @@
 	if class.Semantics == AtMostOnce || alloc.attempts+1 >= s.cluster.MaxAttempts {
 		return remaining
 	}
-	patience := max(minAttemptTimeout, timeoutFactor*class.startTimes.quantile(startTimeQuantile))
-	if patience+minAttemptTimeout/2 < remaining {
-		return patience
+	timeout := max(minAttemptTimeout, timeoutFactor*class.startTimes.quantile(startTimeQuantile))
+	if timeout+minAttemptTimeout/2 < remaining {
+		return timeout
 	}
 	return remaining
 }
@@ -58,7 +58,7 @@
 	s.removeUnanswered(alloc, node)
 	alloc.running, alloc.answered = true, true
 	node.rejections = 0
-	s.noteReachability(node, true)
+	s.setReachability(node, true)
 	node.health.record(alloc.class, 1)
 	s.classes[alloc.class].startTimes.add(took)
 }
@@ -82,8 +82,8 @@
 // neverRan reports whether an outcome proves that the attempt did not run.
 func (o Outcome) neverRan() bool { return o == Rejected || o == Unreachable || o == NotSent }
 
-// noteMayHaveRun is the way back of the stage that allows attempts: it remembers the first attempt that may have run.
-func (s *Scheduler) noteMayHaveRun(alloc *allocation, _ *nodeState, outcome Outcome, _ Reason) {
+// recordMayHaveRun is the way back of the stage that allows attempts: it remembers the first attempt that may have run.
+func (s *Scheduler) recordMayHaveRun(alloc *allocation, _ *nodeState, outcome Outcome, _ Reason) {
 	if !outcome.neverRan() && !alloc.mayHaveRun {
 		alloc.mayHaveRun, alloc.mayHaveRunSince, alloc.mayHaveRunNode = true, alloc.sentAt, alloc.node
 	}
@@ -105,9 +105,9 @@
 // answer gives the final answer: Shed where another request does no harm, else Fail.
 func (s *Scheduler) answer(alloc *allocation) {
 	class := &s.classes[alloc.class]
-	harmless := class.Semantics == Restartable ||
+	retrySafe := class.Semantics == Restartable ||
 		!alloc.inFlight && (!alloc.mayHaveRun || class.Semantics == Idempotent && class.IdempotencyScope == ScopeAll)
-	if harmless {
+	if retrySafe {
 		s.effects.Shed(alloc.id, 0)
 	} else {
 		s.effects.Fail(alloc.id)
--- a/logic/belief.go
+++ b/logic/belief.go
@@ -37,11 +37,11 @@
 	if !ok || !c.reported || at <= c.measuredAt {
 		return 0, 0, false
 	}
-	off := c.free.minus(free)
+	difference := c.free.minus(free)
 	for _, change := range c.changes {
 		if change.at > c.measuredAt && change.at <= at {
-			off = off.minus(change.size)
+			difference = difference.minus(change.size)
 		}
 	}
-	return off.cores, off.memory, true
+	return difference.cores, difference.memory, true
 }
--- a/logic/belief_test.go
+++ b/logic/belief_test.go
@@ -88,26 +88,26 @@
 	}
 }
 
-// beliefHistory draws events for a scheduler.
-type beliefHistory struct {
+// estimateHistory draws events for a scheduler.
+type estimateHistory struct {
 	*harness
 	rt     *rapid.T
 	lastID uint32
 }
 
-func (h *beliefHistory) restart() {
+func (h *estimateHistory) restart() {
 	h.harness, h.lastID = &harness{t: h.t, effects: &recorder{}, now: testStart}, 0
 	h.scheduler = New(h.effects, testStart, rapid.Uint64().Draw(h.rt, "seed"), testCluster())
 }
 
-func (h *beliefHistory) drawNode() uint32 { return uint32(rapid.IntRange(10, 16).Draw(h.rt, "node")) }
-func (h *beliefHistory) drawClass() int   { return rapid.IntRange(0, 2).Draw(h.rt, "class") }
+func (h *estimateHistory) drawNode() uint32 { return uint32(rapid.IntRange(10, 16).Draw(h.rt, "node")) }
+func (h *estimateHistory) drawClass() int   { return rapid.IntRange(0, 2).Draw(h.rt, "class") }
 
-func (h *beliefHistory) drawOutcome() Outcome {
+func (h *estimateHistory) drawOutcome() Outcome {
 	return Outcome(rapid.IntRange(0, int(NotSent)).Draw(h.rt, "outcome"))
 }
 
-func (h *beliefHistory) drawReport() []float64 {
+func (h *estimateHistory) drawReport() []float64 {
 	if rapid.Bool().Draw(h.rt, "without a report") {
 		return nil
 	}
@@ -115,7 +115,7 @@
 }
 
 // drawInFlight is an allocation with an attempt in flight, nil if the draw meets none.
-func (h *beliefHistory) drawInFlight() *allocation {
+func (h *estimateHistory) drawInFlight() *allocation {
 	id := rapid.Uint32Range(1, 20).Draw(h.rt, "alloc")
 	if i, ok := h.scheduler.allocations.index[id]; ok && h.scheduler.allocations.all[i].inFlight {
 		return &h.scheduler.allocations.all[i]
@@ -123,34 +123,34 @@
 	return nil
 }
 
-func (h *beliefHistory) list(*rapid.T) {
+func (h *estimateHistory) list(*rapid.T) {
 	h.scheduler.OnListBegin(h.now, ListKind(rapid.IntRange(0, int(ListFailed)).Draw(h.rt, "kind")))
 	for range rapid.IntRange(0, 4).Draw(h.rt, "nodes") {
 		since := rapid.SampledFrom([]float64{0, h.now - 100, h.now + 50}).Draw(h.rt, "since")
-		h.node(h.drawNode(), Availability(rapid.IntRange(0, int(Draining)).Draw(h.rt, "state")), since)
+		h.listNode(h.drawNode(), Availability(rapid.IntRange(0, int(Draining)).Draw(h.rt, "state")), since)
 	}
 	h.scheduler.OnListEnd(h.now)
 }
 
-func (h *beliefHistory) recovered(*rapid.T) {
+func (h *estimateHistory) recovered(*rapid.T) {
 	h.lastID++
 	node := h.drawNode()
 	request := Request{Allocation: h.lastID, Class: h.drawClass(), Service: 9, Cores: 1, Memory: 2}
 	h.scheduler.OnRecovered(h.now, Recovered{Request: request, Node: node})
 }
 
-func (h *beliefHistory) requested(*rapid.T) {
+func (h *estimateHistory) requested(*rapid.T) {
 	h.lastID++
 	h.request(h.lastID, h.drawClass(), 9)
 }
 
-func (h *beliefHistory) started(*rapid.T) {
+func (h *estimateHistory) started(*rapid.T) {
 	if a := h.drawInFlight(); a != nil && !a.running {
 		h.scheduler.OnStarted(h.now, a.id, uint8(a.attempts-1), 50)
 	}
 }
 
-func (h *beliefHistory) completed(*rapid.T) {
+func (h *estimateHistory) completed(*rapid.T) {
 	if a := h.drawInFlight(); a != nil {
 		h.scheduler.OnOutcome(h.now, AttemptResult{
 			Allocation: a.id, Node: h.scheduler.nodes.all[a.node].id, Attempt: uint8(a.attempts - 1), Duration: 50, Answered: a.answered,
@@ -159,12 +159,12 @@
 	}
 }
 
-func (h *beliefHistory) probed(*rapid.T) {
+func (h *estimateHistory) probed(*rapid.T) {
 	h.scheduler.OnProbeResult(h.now, ProbeResult{Node: h.drawNode(), Outcome: h.drawOutcome(), Duration: 5, Report: h.drawReport()})
 }
 
 // readAll reads the belief of every node and of two that are not known.
-func (h *beliefHistory) readAll(*rapid.T) {
+func (h *estimateHistory) readAll(*rapid.T) {
 	for id := uint32(9); id < 18; id++ {
 		h.scheduler.NodeBelief(id)
 		h.scheduler.BeliefError(h.now, id, []float64{1, 1})
@@ -176,7 +176,7 @@
 // reports from any of them; after each event the belief of every node is read.
 func TestBeliefAnyHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		h := &beliefHistory{harness: &harness{t: t}, rt: rt}
+		h := &estimateHistory{harness: &harness{t: t}, rt: rt}
 		h.restart()
 		rt.Repeat(map[string]func(*rapid.T){
 			"restart": func(*rapid.T) {
--- a/logic/capacity.go
+++ b/logic/capacity.go
@@ -29,8 +29,8 @@
 	sumValid bool
 }
 
-// measure takes a report of what was unallocated at a time, unless a newer one is known.
-func (c *capacity) measure(free resources, at float64) {
+// applyMeasurement takes a report of what was unallocated at a time, unless a newer one is known.
+func (c *capacity) applyMeasurement(free resources, at float64) {
 	if at >= c.measuredAt {
 		c.free, c.measuredAt, c.reported, c.sumValid = free, at, true, false
 	}
@@ -96,7 +96,7 @@
 // applyReport takes a load report that has just arrived.
 func (s *Scheduler) applyReport(node *nodeState, report []float64) {
 	if free, ok := s.decodeReport(node, report); ok {
-		node.capacity.measure(free, s.now-reportDelay)
+		node.capacity.applyMeasurement(free, s.now-reportDelay)
 	}
 }
 
@@ -107,12 +107,12 @@
 		allocated.memory+demand.memory <= size.memory*s.cluster.MemoryOvercommit
 }
 
-// believeRejection takes a rejection for lack of room as the newest report: just less than was asked for is free. It prevents attempt after
+// applyRejection takes a rejection for lack of room as the newest report: just less than was asked for is free. It prevents attempt after
 // attempt while late reports still show room. It may keep this scheduler off a node that has just been emptied, until the next report.
-func (s *Scheduler) believeRejection(node *nodeState, alloc *allocation, why Reason) {
+func (s *Scheduler) applyRejection(node *nodeState, alloc *allocation, reason Reason) {
 	c := &node.capacity
 	allocated := c.allocated()
-	if why == InsufficientCores {
+	if reason == InsufficientCores {
 		allocated.cores = max(allocated.cores, c.size.cores*s.cluster.CoresOvercommit-alloc.size.cores*rejectionMargin)
 	} else {
 		allocated.memory = max(allocated.memory, c.size.memory*s.cluster.MemoryOvercommit-alloc.size.memory*rejectionMargin)
--- a/logic/chain.go
+++ b/logic/chain.go
@@ -15,19 +15,19 @@
 	handleOutcome func(*Scheduler, *allocation, *nodeState, Outcome, Reason)
 }
 
-// chain lists the stages in the order of the way to a node.
-var chain = [...]stage{
+// pipeline lists the stages in the order of the way to a node.
+var pipeline = [...]stage{
 	{(*Scheduler).checkDeadline, (*Scheduler).requeueOrAnswer},
-	{(*Scheduler).checkAttempts, (*Scheduler).noteMayHaveRun},
-	{(*Scheduler).chooseNode, (*Scheduler).learnFromOutcome},
+	{(*Scheduler).checkAttempts, (*Scheduler).recordMayHaveRun},
+	{(*Scheduler).chooseNode, (*Scheduler).updateNodeFromOutcome},
 	{(*Scheduler).sendAttempt, (*Scheduler).releaseAttempt},
 }
 
 // advance takes an allocation as far along the chain as it gets.
 func (s *Scheduler) advance(alloc *allocation) decision {
 	result := proceed
-	for i := 0; i < len(chain) && result == proceed; i++ {
-		result = chain[i].advance(s, alloc)
+	for i := 0; i < len(pipeline) && result == proceed; i++ {
+		result = pipeline[i].advance(s, alloc)
 	}
 	if result == finish {
 		s.answer(alloc)
@@ -51,9 +51,9 @@
 	}
 	alloc.answered = alloc.answered || result.Answered
 	node := &s.nodes.all[alloc.node]
-	for x := len(chain) - 1; x >= 0; x-- {
-		chain[x].handleOutcome(s, alloc, node, result.Outcome, result.Reason)
+	for x := len(pipeline) - 1; x >= 0; x-- {
+		pipeline[x].handleOutcome(s, alloc, node, result.Outcome, result.Reason)
 	}
-	s.forget(i)
+	s.removeIfDone(i)
 	s.queue.nextScanAt = min(s.queue.nextScanAt, now+rescanDelay)
 }
--- a/logic/filters.go
+++ b/logic/filters.go
@@ -50,11 +50,11 @@
 		return true
 	}
 	maxDiversity := [...]int{Anywhere: 0, PerNode: sameNode, PerCell: sameCell, PerZone: sameZone}[class.Spread]
-	together := 0
+	inScope := 0
 	for _, p := range s.services.all[alloc.service].placements {
 		if diversity(&s.nodes.all[p.node], node, p.node == i) <= maxDiversity {
-			together += p.count
+			inScope += p.count
 		}
 	}
-	return together < class.MaxPerScope
+	return inScope < class.MaxPerScope
 }
--- a/logic/health.go
+++ b/logic/health.go
@@ -45,8 +45,8 @@
 	h.history[class] = (h.history[class]<<1 | success) & historyMask
 }
 
-// forgive counts the latest failure of a job class as a success.
-func (h *nodeHealth) forgive(class int) {
+// clearLatestFailure counts the latest failure of a job class as a success.
+func (h *nodeHealth) clearLatestFailure(class int) {
 	h.history[class] = (h.history[class] | (h.history[class] + 1)) & historyMask
 }
 
@@ -76,47 +76,47 @@
 	h.degradation, h.degradedAt = (h.degradationAt(now)+1-served)/2, now
 }
 
-// noteReachability notes that a node answers, or does not.
-func (s *Scheduler) noteReachability(node *nodeState, answers bool) {
-	if answers {
+// setReachability notes that a node answers, or does not.
+func (s *Scheduler) setReachability(node *nodeState, reachable bool) {
+	if reachable {
 		node.health.lastAnswerAt = s.now
 	}
-	if node.health.unreachable == answers {
-		node.health.unreachable, node.probedAt = !answers, s.now
+	if node.health.unreachable == reachable {
+		node.health.unreachable, node.probedAt = !reachable, s.now
 		silence := (s.now - max(node.health.lastAnswerAt, s.startedAt)) / 1000
 		s.effects.Log(fmt.Sprintf("node %d: ill=%t, unheard %.1f s", node.id, node.health.unreachable, silence))
 	}
 }
 
-// isSilent reports whether a node owes an answer for longer than starts take.
-func (s *Scheduler) isSilent(node *nodeState) bool {
+// isUnresponsive reports whether a node owes an answer for longer than starts take.
+func (s *Scheduler) isUnresponsive(node *nodeState) bool {
 	if len(node.unanswered) == 0 {
 		return false
 	}
 	first := &s.allocations.all[node.unanswered[0]]
-	usual := s.classes[first.class].startTimes.quantile(startTimeQuantile)
-	return s.now-max(first.sentAt, node.health.lastAnswerAt) > max(minAttemptTimeout, usual)
+	expected := s.classes[first.class].startTimes.quantile(startTimeQuantile)
+	return s.now-max(first.sentAt, node.health.lastAnswerAt) > max(minAttemptTimeout, expected)
 }
 
-// checkSilence probes a node that does not answer.
-func (s *Scheduler) checkSilence(node *nodeState) {
-	if !node.probing && s.now-node.probedAt > unhealthyProbeInterval && (node.health.unreachable || s.isSilent(node)) {
-		s.noteReachability(node, !s.cluster.CanProbe)
+// checkResponsiveness probes a node that does not answer.
+func (s *Scheduler) checkResponsiveness(node *nodeState) {
+	if !node.probing && s.now-node.probedAt > unhealthyProbeInterval && (node.health.unreachable || s.isUnresponsive(node)) {
+		s.setReachability(node, !s.cluster.CanProbe)
 		s.probe(node)
 	}
 }
 
-// learnFromOutcome is the way back of the placement stage: what an attempt that did not start says of its node.
-func (s *Scheduler) learnFromOutcome(alloc *allocation, node *nodeState, outcome Outcome, why Reason) {
+// updateNodeFromOutcome is the way back of the placement stage: what an attempt that did not start says of its node.
+func (s *Scheduler) updateNodeFromOutcome(alloc *allocation, node *nodeState, outcome Outcome, reason Reason) {
 	if alloc.running {
 		return
 	}
 	switch outcome {
 	case Rejected:
-		s.noteReachability(node, true)
-		s.learnFromRejection(alloc, node, why)
+		s.setReachability(node, true)
+		s.updateNodeFromRejection(alloc, node, reason)
 	case Unreachable:
-		s.noteReachability(node, false)
+		s.setReachability(node, false)
 		alloc.failedNodes = append(alloc.failedNodes, alloc.node)
 	case TimedOut, Errored, ConnectionLost:
 		alloc.failedNodes = append(alloc.failedNodes, alloc.node)
@@ -130,17 +130,17 @@
 	}
 }
 
-// learnFromRejection corrects the belief of a node's capacity, or leaves the node alone for a while. A node that drains without this
+// updateNodeFromRejection corrects the belief of a node's capacity, or leaves the node alone for a while. A node that drains without this
 // scheduler's knowledge rejects everything, so the backoff grows with each rejection. One without a reason counts only after such a
 // rejection: by itself it may be for lack of room.
-func (s *Scheduler) learnFromRejection(alloc *allocation, node *nodeState, why Reason) {
-	switch why {
+func (s *Scheduler) updateNodeFromRejection(alloc *allocation, node *nodeState, reason Reason) {
+	switch reason {
 	case InsufficientCores, InsufficientMemory:
-		s.believeRejection(node, alloc, why)
+		s.applyRejection(node, alloc, reason)
 	case QueueFull:
 		node.backoffUntil = s.now + queueFullBackoff
 	case NotAccepting, ReasonUnknown:
-		if why == ReasonUnknown && node.rejections == 0 {
+		if reason == ReasonUnknown && node.rejections == 0 {
 			return
 		}
 		alloc.failedNodes = append(alloc.failedNodes, alloc.node)
@@ -159,7 +159,7 @@
 		return
 	}
 	for _, node := range alloc.erroredNodes {
-		s.nodes.all[node].health.forgive(alloc.class)
+		s.nodes.all[node].health.clearLatestFailure(alloc.class)
 	}
 	alloc.erroredNodes = alloc.erroredNodes[:0]
 	alloc.faulty = true
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -74,7 +74,7 @@
 	x.scheduler = New(x.effects, testStart, 7, cl)
 	x.scheduler.OnListBegin(testStart, ListCached)
 	for i := range nodes {
-		x.node(uint32(10+i), Ready, 0)
+		x.listNode(uint32(10+i), Ready, 0)
 	}
 	x.scheduler.OnListEnd(testStart)
 	for i := range x.scheduler.nodes.all {
@@ -83,18 +83,18 @@
 	return x
 }
 
-func (x *harness) node(id uint32, avail Availability, since float64) {
+func (x *harness) listNode(id uint32, availability Availability, startedAt float64) {
 	i := int(id - 10)
 	x.scheduler.OnListNode(x.now, ListEntry{
-		Node: id, Availability: avail, StartedAt: since, FreeCores: 40, FreeMemory: 80,
+		Node: id, Availability: availability, StartedAt: startedAt, FreeCores: 40, FreeMemory: 80,
 		Zone: i / 4, Cell: i / 2,
 	})
 }
 
 // updateNode delivers a change of one node.
-func (x *harness) updateNode(id uint32, avail Availability, since float64) {
+func (x *harness) updateNode(id uint32, availability Availability, startedAt float64) {
 	x.scheduler.OnListBegin(x.now, ListChanges)
-	x.node(id, avail, since)
+	x.listNode(id, availability, startedAt)
 	x.scheduler.OnListEnd(x.now)
 }
 
@@ -105,10 +105,10 @@
 }
 
 // complete delivers the outcome of the last attempt of an allocation.
-func (x *harness) complete(id uint32, attempt uint8, v Outcome, why Reason) {
+func (x *harness) complete(id uint32, attempt uint8, outcome Outcome, reason Reason) {
 	x.scheduler.OnOutcome(x.now, AttemptResult{
 		Allocation: id, Node: x.effects.lastNode(), Attempt: attempt, Duration: 100,
-		Reason: why, Outcome: v,
+		Reason: reason, Outcome: outcome,
 	})
 	x.scheduler.Decide(x.now)
 }
--- a/logic/histogram.go
+++ b/logic/histogram.go
@@ -1,9 +1,9 @@
 package logic
 
 const (
-	firstBucket     = 100 // upper bound of the first bucket, ms
-	bucketCount     = 8
-	histogramWeight = 200 // counts are halved when their sum exceeds this, so that old durations lose weight
+	firstBucketBound  = 100 // upper bound of the first bucket, ms
+	bucketCount       = 8
+	maxHistogramCount = 200 // counts are halved when their sum exceeds this, so that old durations lose weight
 )
 
 // histogram counts durations in buckets, each twice as wide as the one before. The last has no upper bound.
@@ -15,12 +15,12 @@
 // add counts a duration in milliseconds.
 func (h *histogram) add(duration float64) {
 	bucket := 0
-	for top := float64(firstBucket); duration > top && bucket < len(h.counts)-1; top *= 2 {
+	for bound := float64(firstBucketBound); duration > bound && bucket < len(h.counts)-1; bound *= 2 {
 		bucket++
 	}
 	h.counts[bucket]++
 	h.total++
-	if h.total > histogramWeight {
+	if h.total > maxHistogramCount {
 		h.total = 0
 		for i := range h.counts {
 			h.counts[i] /= 2
@@ -31,12 +31,12 @@
 
 // quantile is the upper bound of the bucket in which the given fraction of all durations is reached.
 func (h *histogram) quantile(fraction float64) float64 {
-	seen, top := 0.0, float64(firstBucket)
+	seen, bound := 0.0, float64(firstBucketBound)
 	for i := range h.counts {
 		if seen += h.counts[i]; seen >= fraction*h.total {
 			break
 		}
-		top *= 2
+		bound *= 2
 	}
-	return top
+	return bound
 }
--- a/logic/list.go
+++ b/logic/list.go
@@ -3,10 +3,10 @@
 import "fmt"
 
 const (
-	firstPollSpread  = 25   // first polls are spread over so long for each scheduler, ms
-	pollBackoff      = 1500 // until the next poll after one that failed, ms; grows with each failure
-	maxBackoffFactor = 4    // to this multiple
-	pollAt           = 0.7  // part of ListMaxSilence after which a silent subscription is renewed
+	firstPollSpread      = 25   // first polls are spread over so long for each scheduler, ms
+	pollBackoff          = 1500 // until the next poll after one that failed, ms; grows with each failure
+	maxPollBackoffFactor = 4    // to this multiple
+	pollFraction         = 0.7  // part of ListMaxSilence after which a silent subscription is renewed
 )
 
 // listState is the state of the subscription to the node list.
@@ -23,7 +23,7 @@
 	s.now, s.list.kind = now, kind
 	s.list.version++
 	if kind == ListCached {
-		s.probeCredit = initialProbeCredit
+		s.probeBudget = initialProbeBudget
 	}
 }
 
@@ -44,7 +44,7 @@
 		node.capacity.resize(resources{s.cluster.KindCores[entry.Kind], s.cluster.KindMemory[entry.Kind]})
 	}
 	if entry.Availability == Ready && (restarted || node.availability != Ready) {
-		s.bringIntoUse(node, entry.StartedAt, restarted)
+		s.activateNode(node, entry.StartedAt, restarted)
 	}
 	node.availability, node.startedAt = entry.Availability, entry.StartedAt
 	if s.cluster.ListsReportLoad && entry.Availability == Ready {
@@ -52,7 +52,7 @@
 		if s.list.kind == ListCached {
 			delay = changeRetention
 		}
-		node.capacity.measure(resources{entry.FreeCores, entry.FreeMemory}, now-delay)
+		node.capacity.applyMeasurement(resources{entry.FreeCores, entry.FreeMemory}, now-delay)
 	}
 }
 
@@ -77,7 +77,7 @@
 // pollFailed plans the next poll.
 func (s *Scheduler) pollFailed(now float64) {
 	s.list.failures++
-	s.list.nextPollAt = now + pollBackoff*float64(min(s.list.failures, maxBackoffFactor))*(0.5+s.random.float())
+	s.list.nextPollAt = now + pollBackoff*float64(min(s.list.failures, maxPollBackoffFactor))*(0.5+s.random.float())
 	if s.list.failures == 1 {
 		s.effects.Log(fmt.Sprintf("list: call failed, %.1f s after the last news", (now-s.list.lastAt)/1000))
 	}
@@ -89,7 +89,7 @@
 		s.effects.Log(fmt.Sprintf("list: back after %d failed calls, %.1f s", s.list.failures, (now-s.list.lastAt)/1000))
 	}
 	s.list.failures, s.list.lastAt = 0, now
-	s.list.nextPollAt = now + s.cluster.ListMaxSilence*pollAt
+	s.list.nextPollAt = now + s.cluster.ListMaxSilence*pollFraction
 }
 
 // pollList subscribes to the list again when that is due.
--- a/logic/nodes.go
+++ b/logic/nodes.go
@@ -11,11 +11,11 @@
 	capacity capacity
 	health   nodeHealth
 
-	unanswered   []int     // allocations with an attempt that it has not answered
-	sentAttempts []float64 // when the last attempts were sent, for slow start
-	warmingUntil float64   // end of slow start
-	rejections   int       // in a row, for a reason other than lack of room
-	backoffUntil float64   // no attempt before
+	unanswered    []int     // allocations with an attempt that it has not answered
+	attemptSentAt []float64 // when the last attempts were sent, for slow start
+	warmingUntil  float64   // end of slow start
+	rejections    int       // in a row, for a reason other than lack of room
+	backoffUntil  float64   // no attempt before
 
 	probing          bool
 	probedAt         float64
@@ -38,8 +38,8 @@
 	return &t.all[i], true
 }
 
-// bringIntoUse resets a node that becomes ready. One that has just started or come back warms up for as long as it may be cold.
-func (s *Scheduler) bringIntoUse(node *nodeState, startedAt float64, restarted bool) {
+// activateNode resets a node that becomes ready. One that has just started or come back warms up for as long as it may be cold.
+func (s *Scheduler) activateNode(node *nodeState, startedAt float64, restarted bool) {
 	node.health.history, node.health.unreachable = cleanHistory(len(s.classes)), false
 	node.backoffUntil, node.rejections = 0, 0
 	if startedAt > 0 {
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -13,24 +13,24 @@
 	score float64
 }
 
-// flaw ranks nodes: only those of the least flaw are candidates, so no flaw excludes every node.
-type flaw uint8
+// preferenceTier ranks nodes: only those of the least flaw are candidates, so no flaw excludes every node.
+type preferenceTier uint8
 
 const (
-	sound flaw = iota
-	beyondNeed
-	unreachable
-	worstFlaw // none has it
+	tierNormal preferenceTier = iota
+	tierSurplus
+	tierUnreachable
+	tierNone // none has it
 )
 
-func (n *nodeState) flaw() flaw {
+func (n *nodeState) tier() preferenceTier {
 	switch {
 	case n.health.unreachable:
-		return unreachable
+		return tierUnreachable
 	case n.surplus:
-		return beyondNeed
+		return tierSurplus
 	}
-	return sound
+	return tierNormal
 }
 
 // chooseNode is the stage that draws a node: filters, net benefit, and a uniform draw among the best.
@@ -50,18 +50,18 @@
 	if s.awaitProbes(alloc, candidates[:min(probedCandidates, len(candidates))]) {
 		return wait
 	}
-	good := 1 // so many are as good as the best
-	for good < min(maxDrawCandidates, len(candidates)) && candidates[good].score > candidates[0].score-drawMargin {
-		good++
+	tied := 1 // so many are as good as the best
+	for tied < min(maxDrawCandidates, len(candidates)) && candidates[tied].score > candidates[0].score-drawMargin {
+		tied++
 	}
-	alloc.node = candidates[s.random.below(good)].node
+	alloc.node = candidates[s.random.intN(tied)].node
 	return proceed
 }
 
 // collectCandidates scores the nodes of the least flaw that pass the filters. It also reports whether a node was excluded for a reason that
 // lies in this allocation, so that another of the same demand may find room. The result is valid until the next call.
 func (s *Scheduler) collectCandidates(alloc *allocation) (candidates []candidate, excluded bool) {
-	candidates, bestFlaw := s.candidates[:0], worstFlaw
+	candidates, bestTier := s.candidates[:0], tierNone
 	for i := range s.nodes.all {
 		node := &s.nodes.all[i]
 		if node.availability != Ready || !s.nodeAccepts(alloc, node) {
@@ -71,11 +71,11 @@
 			excluded = true
 			continue
 		}
-		nodeFlaw := node.flaw()
-		if nodeFlaw < bestFlaw {
-			candidates, bestFlaw = candidates[:0], nodeFlaw
+		tier := node.tier()
+		if tier < bestTier {
+			candidates, bestTier = candidates[:0], tier
 		}
-		if nodeFlaw == bestFlaw {
+		if tier == bestTier {
 			candidates = append(candidates, candidate{i, s.netBenefit(alloc, i, s.fleet.meanLoad)})
 		}
 	}
@@ -104,13 +104,13 @@
 	size     resources
 }
 
-// covers reports whether a fleet that has no room for d has none for other.
-func (d demand) covers(other demand) bool {
+// noStricterThan reports whether a fleet that has no room for d has none for other.
+func (d demand) noStricterThan(other demand) bool {
 	return (d.nodeKind < 0 || d.nodeKind == other.nodeKind) && d.size.cores <= other.size.cores && d.size.memory <= other.size.memory
 }
 
 // isUnplaceable reports whether a smaller demand found no node in this scan. Within a scan nodes only fill, and later allocations have no
 // higher weight; scoring all nodes for each of hundreds that wait would take longer than their clients wait.
 func (q *placementQueue) isUnplaceable(need demand) bool {
-	return slices.ContainsFunc(q.unplaceable, func(d demand) bool { return d.covers(need) })
+	return slices.ContainsFunc(q.unplaceable, func(d demand) bool { return d.noStricterThan(need) })
 }
--- a/logic/probing.go
+++ b/logic/probing.go
@@ -2,7 +2,7 @@
 
 const (
 	minProbeAge        = 400  // a younger report needs no probe, ms
-	initialProbeCredit = 32   // probes that no allocation has to pay for
+	initialProbeBudget = 32   // probes that no allocation has to pay for
 	probedCandidates   = 2    // so many of the best candidates are probed before the draw
 	staleReportAge     = 1500 // if their reports are older, ms
 	probeWait          = 150  // and their answers are waited for so long, ms
@@ -21,8 +21,8 @@
 	}
 	for _, c := range best {
 		node := &s.nodes.all[c.node]
-		if first && s.probeCredit >= 1 && s.now-reportDelay-node.capacity.measuredAt > staleReportAge && !node.probing {
-			s.probeCredit--
+		if first && s.probeBudget >= 1 && s.now-reportDelay-node.capacity.measuredAt > staleReportAge && !node.probing {
+			s.probeBudget--
 			s.probe(node)
 		}
 		waiting = waiting || node.probing && s.now-alloc.probedAt < probeWait
@@ -35,7 +35,7 @@
 	if s.cluster.ReportsPiggybacked {
 		return
 	}
-	for ; s.probeCredit >= 1; s.probeCredit-- {
+	for ; s.probeBudget >= 1; s.probeBudget-- {
 		oldest := s.oldestReport()
 		if oldest == nil || s.now-reportDelay-oldest.capacity.measuredAt < minProbeAge {
 			return
@@ -73,7 +73,7 @@
 	}
 	node.probing = false
 	s.queue.nextScanAt = now
-	s.noteReachability(node, result.Outcome == Completed)
+	s.setReachability(node, result.Outcome == Completed)
 	if result.Outcome == Completed {
 		s.applyReport(node, result.Report)
 	}
--- a/logic/probing_test.go
+++ b/logic/probing_test.go
@@ -23,7 +23,7 @@
 			for id := uint32(10); id < 12; id++ {
 				x.scheduler.OnProbeResult(x.now, ProbeResult{Node: id, Outcome: Completed, Duration: 1, Report: []float64{20, 40}})
 			}
-			x.scheduler.probeCredit, x.scheduler.queue.nextScanAt = 2, 0
+			x.scheduler.probeBudget, x.scheduler.queue.nextScanAt = 2, 0
 			if !c.fresh {
 				x.now += 20000
 			}
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -30,7 +30,7 @@
 	s.observeSize(alloc)
 	s.queue.waiting = append(s.queue.waiting, i)
 	s.effects.SetTimer(alloc.deadline-now, timerDeadline+uint64(alloc.id))
-	s.probeCredit = min(s.probeCredit+1, float64(len(s.nodes.all)))
+	s.probeBudget = min(s.probeBudget+1, float64(len(s.nodes.all)))
 	s.queue.nextScanAt = now
 }
 
@@ -60,14 +60,14 @@
 	slices.SortStableFunc(q.waiting, func(x, y int) int {
 		return cmp.Compare(s.priorityWeight(y), s.priorityWeight(x))
 	})
-	s.survey()
+	s.updateFleetStats()
 	q.unplaceable = q.unplaceable[:0]
 	remaining := q.waiting[:0]
 	for _, i := range q.waiting {
 		if alloc := &s.allocations.all[i]; !alloc.answered && s.advance(alloc) == wait {
 			remaining = append(remaining, i)
 		} else {
-			s.forget(i)
+			s.removeIfDone(i)
 		}
 	}
 	q.waiting = remaining
--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// newLoad is a scheduler with four nodes of two kinds, on which loads are played.
-func newLoad(t *testing.T, seed uint64) *harness {
+// newLoadHarness is a scheduler with four nodes of two kinds, on which loads are played.
+func newLoadHarness(t *testing.T, seed uint64) *harness {
 	t.Helper()
 	cl := testCluster()
 	cl.SlowStartLimit = 0
@@ -93,7 +93,7 @@
 	skipped, sent := 0, 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		x := newLoad(t, seed)
+		x := newLoadHarness(t, seed)
 		for id := uint32(1); id < 120; id++ {
 			x.drawRequest(rng, id)
 			skipped += len(x.scheduler.queue.waiting) - len(x.scheduler.queue.unplaceable)
--- a/logic/random.go
+++ b/logic/random.go
@@ -16,5 +16,5 @@
 // float is uniform over [0, 1).
 func (p *pcg) float() float64 { return float64(p.next()) / (1 << 32) }
 
-// below is uniform over the integers from 0 to n-1.
-func (p *pcg) below(n int) int { return int(math.Floor(p.float() * float64(n))) }
+// intN is uniform over the integers from 0 to n-1.
+func (p *pcg) intN(n int) int { return int(math.Floor(p.float() * float64(n))) }
--- a/logic/resources.go
+++ b/logic/resources.go
@@ -21,8 +21,8 @@
 	return resources{r.cores * factors.cores, r.memory * factors.memory}
 }
 
-// of is the amount that a metric of use is about, which has to be CoresUsed or MemoryUsed.
-func (r *resources) of(metric TaskMetric) *float64 {
+// byMetric is the amount that a metric of use is about, which has to be CoresUsed or MemoryUsed.
+func (r *resources) byMetric(metric TaskMetric) *float64 {
 	if metric == MemoryUsed {
 		return &r.memory
 	}
--- a/logic/scheduler.go
+++ b/logic/scheduler.go
@@ -26,9 +26,9 @@
 	usage       usageModel
 	slowStart   slowStartShare
 	large       largeAllocations
-	fleet       fleetSurvey
+	fleet       fleetStats
 
-	probeCredit float64     // probes that allocations have paid for
+	probeBudget float64     // probes that allocations have paid for
 	candidates  []candidate // buffer of chooseNode
 	tickDue     bool        // the tick timer fired in this round
 }
--- a/logic/scoring.go
+++ b/logic/scoring.go
@@ -1,13 +1,13 @@
 package logic
 
 const (
-	diversityWeight  = 0.02 // weight of diversity beside a usage of 0 to 1
-	fetchCostPerRank = 0.4  // cost of each rank further back in a service's order of nodes, in units of usage
-	maxFetchCost     = 4    // at most: a start where the program is not cached takes several times the work
-	unansweredCost   = 0.05 // cost of each own unanswered attempt, in units of usage: starts queue behind it
-	crowdedUsage     = 0.85 // usage from which allocations are served worse or evicted
-	crowdedSlope     = 3    // so much faster the cost of usage grows from there
-	failureCost      = 4    // cost of an attempt that surely fails, or of an allocation that is not served at all, in units of usage
+	diversityWeight    = 0.02 // weight of diversity beside a usage of 0 to 1
+	fetchCostPerRank   = 0.4  // cost of each rank further back in a service's order of nodes, in units of usage
+	maxFetchCost       = 4    // at most: a start where the program is not cached takes several times the work
+	unansweredCost     = 0.05 // cost of each own unanswered attempt, in units of usage: starts queue behind it
+	highUsageThreshold = 0.85 // usage from which allocations are served worse or evicted
+	highUsageSlope     = 3    // so much faster the cost of usage grows from there
+	failureCost        = 4    // cost of an attempt that surely fails, or of an allocation that is not served at all, in units of usage
 )
 
 // Diversity of two nodes.
@@ -36,32 +36,32 @@
 func (s *Scheduler) netBenefit(alloc *allocation, i int, meanLoad float64) float64 {
 	node := &s.nodes.all[i]
 	placements := s.services.all[alloc.service].placements
-	present, sum := false, 0.0
+	present, diversitySum := false, 0.0
 	for _, p := range placements {
 		present = present || p.node == i
-		sum += float64(diversity(&s.nodes.all[p.node], node, p.node == i))
+		diversitySum += float64(diversity(&s.nodes.all[p.node], node, p.node == i))
 	}
 	if len(placements) > 0 {
-		sum /= float64(len(placements))
+		diversitySum /= float64(len(placements))
 	}
-	rent := meanLoad
+	cost := meanLoad
 	if node.capacity.reported && s.now >= node.warmingUntil {
-		rent = s.rent(node, alloc)
+		cost = s.loadCost(node, alloc)
 	}
 	if !present {
-		place := hashFraction(s.services.all[alloc.service].key, node.id)
-		rent += min(maxFetchCost, fetchCostPerRank*place*float64(s.fleet.readyNodes))
+		rank := hashFraction(s.services.all[alloc.service].key, node.id)
+		cost += min(maxFetchCost, fetchCostPerRank*rank*float64(s.fleet.readyNodes))
 	}
-	return diversityWeight*sum - rent - failureCost*(node.health.failureRate(alloc.class)+node.health.degradationAt(s.now))
+	return diversityWeight*diversitySum - cost - failureCost*(node.health.failureRate(alloc.class)+node.health.degradationAt(s.now))
 }
 
-// rent is the larger part of cores or memory in use with the allocation on the node, dearer when the node is nearly full, and dearer for
+// loadCost is the larger part of cores or memory in use with the allocation on the node, dearer when the node is nearly full, and dearer for
 // each attempt that the node has not answered.
-func (s *Scheduler) rent(node *nodeState, alloc *allocation) float64 {
+func (s *Scheduler) loadCost(node *nodeState, alloc *allocation) float64 {
 	ratio, size := s.usage.ratio(), node.capacity.size
 	used, added := node.capacity.used(ratio), alloc.size.scale(ratio)
 	usage := max((used.cores+added.cores)/size.cores, (used.memory+added.memory)/size.memory)
-	usage += crowdedSlope * max(0, usage-crowdedUsage)
+	usage += highUsageSlope * max(0, usage-highUsageThreshold)
 	return usage + unansweredCost*float64(len(node.unanswered))
 }
 
--- a/logic/scoring_test.go
+++ b/logic/scoring_test.go
@@ -14,7 +14,7 @@
 		x.scheduler.OnRecovered(x.now, Recovered{Request: Request{Allocation: id, Service: 5, Cores: 1, Memory: 2}, Node: 10 + 4*id})
 	}
 	a := &x.scheduler.allocations.all[x.scheduler.track(&Request{Allocation: 9, Service: 5, Cores: 1, Memory: 2})]
-	x.scheduler.survey()
+	x.scheduler.updateFleetStats()
 	fetch := func(i int) float64 {
 		return min(maxFetchCost, 12*fetchCostPerRank*hashFraction(5, x.scheduler.nodes.all[i].id))
 	}
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -35,20 +35,20 @@
 // before a restart is forgotten but still counts, so it sends nothing in a window that began before its start.
 func (s *Scheduler) slowStartAllows(node *nodeState) bool {
 	window := s.cluster.SlowStartWindow + reportDelay
-	from, limit := s.now-window, s.slowStart.attempts
+	windowStart, limit := s.now-window, s.slowStart.attempts
 	if limit == 0 {
 		turn := math.Floor(s.now / window)
 		if s.slowStart.cycle == 0 || (uint64(turn)+uint64(node.id)+uint64(s.cluster.Index))%s.slowStart.cycle != 0 {
 			return false
 		}
-		from, limit = turn*window, 1
+		windowStart, limit = turn*window, 1
 	}
-	node.sentAttempts = slices.DeleteFunc(node.sentAttempts, func(at float64) bool { return at < from })
-	return len(node.sentAttempts) < limit && from >= s.startedAt && !s.slowStart.excluded
+	node.attemptSentAt = slices.DeleteFunc(node.attemptSentAt, func(at float64) bool { return at < windowStart })
+	return len(node.attemptSentAt) < limit && windowStart >= s.startedAt && !s.slowStart.excluded
 }
 
 // recordSlowStart notes an attempt. Attempts before the message about a start count too, so the last few are kept for every node.
 func (s *Scheduler) recordSlowStart(node *nodeState) {
 	keep := max(1, s.slowStart.attempts)
-	node.sentAttempts = append(node.sentAttempts[max(0, len(node.sentAttempts)-keep):], s.now)
+	node.attemptSentAt = append(node.attemptSentAt[max(0, len(node.attemptSentAt)-keep):], s.now)
 }
--- a/logic/slowstart_fleet_test.go
+++ b/logic/slowstart_fleet_test.go
@@ -8,28 +8,28 @@
 	"pgregory.net/rapid"
 )
 
-// coldFleet is the schedulers of one site, each with its own view, and what all of them sent to nodes in slow start.
-type coldFleet struct {
-	t            *rapid.T
-	cluster      Cluster
-	members      []*fleetMember
-	now          float64
-	lastID       uint32
-	arrivals     map[uint32][]float64 // when attempts reached a node, by node
-	networkDelay func() float64       // of an attempt on its way to a node
+// slowStartFleet is the schedulers of one site, each with its own view, and what all of them sent to nodes in slow start.
+type slowStartFleet struct {
+	t                *rapid.T
+	cluster          Cluster
+	members          []*fleetMember
+	now              float64
+	lastID           uint32
+	arrivals         map[uint32][]float64 // when attempts reached a node, by node
+	drawNetworkDelay func() float64       // of an attempt on its way to a node
 }
 
 // fleetMember is one of the schedulers, over its restarts. It implements Effects.
 type fleetMember struct {
-	fleet     *coldFleet
+	fleet     *slowStartFleet
 	scheduler *Scheduler
 	seed      uint64
-	pending   []pendingView // changes of nodes that it has not learned of
+	pending   []pendingChange // changes of nodes that it has not learned of
 	known     map[uint32]float64
 	inFlight  []sentAttempt
 }
 
-type pendingView struct {
+type pendingChange struct {
 	at        float64
 	node      uint32
 	startedAt float64 // as the list has it
@@ -54,7 +54,7 @@
 func (p *fleetMember) Log(string)               {}
 func (p *fleetMember) StartAttempt(alloc, node uint32, _ float64) {
 	g := p.fleet
-	g.arrivals[node] = append(g.arrivals[node], g.now+g.networkDelay())
+	g.arrivals[node] = append(g.arrivals[node], g.now+g.drawNetworkDelay())
 	attempt := uint8(0)
 	for _, o := range p.inFlight {
 		if o.alloc == alloc {
@@ -86,7 +86,7 @@
 // learn delivers the changes that have reached the scheduler by now.
 func (p *fleetMember) learn() {
 	now := p.fleet.now
-	p.pending = slices.DeleteFunc(p.pending, func(v pendingView) bool {
+	p.pending = slices.DeleteFunc(p.pending, func(v pendingChange) bool {
 		if v.at > now {
 			return false
 		}
@@ -127,14 +127,14 @@
 )
 
 // drawFleet draws the site and starts its schedulers.
-func drawFleet(rt *rapid.T) *coldFleet {
+func drawFleet(rt *rapid.T) *slowStartFleet {
 	n := rapid.IntRange(3, 30).Draw(rt, "schedulers")
-	g := &coldFleet{t: rt, cluster: *testCluster(), now: testStart, arrivals: map[uint32][]float64{}}
+	g := &slowStartFleet{t: rt, cluster: *testCluster(), now: testStart, arrivals: map[uint32][]float64{}}
 	g.cluster.Schedulers = n
 	g.cluster.PollsList = rapid.Bool().Draw(rt, "asks")
 	g.cluster.SlowStartLimit = float64(rapid.IntRange(2, 60).Draw(rt, "limit"))
 	g.cluster.SlowStartWindow = rapid.SampledFrom([]float64{500, 1000, 2000, 3000}).Draw(rt, "window")
-	g.networkDelay = func() float64 { return rapid.Float64Range(0, reportDelay).Draw(rt, "way") }
+	g.drawNetworkDelay = func() float64 { return rapid.Float64Range(0, reportDelay).Draw(rt, "way") }
 	for i := range n {
 		p := &fleetMember{fleet: g, seed: uint64(i) * 1000, known: map[uint32]float64{}}
 		p.restart(i)
@@ -144,21 +144,21 @@
 }
 
 // planStarts has nodes start one after the other, one of them again under its id. It returns when each started last.
-func (g *coldFleet) planStarts() map[uint32]float64 {
+func (g *slowStartFleet) planStarts() map[uint32]float64 {
 	started := map[uint32]float64{}
 	for k := range fleetNodes + 1 {
 		id, at := uint32(10+k%fleetNodes), testStart+1000+float64(k)*700
 		started[id] = max(started[id], at)
 		for _, p := range g.members {
 			late := rapid.Float64Range(0, 3000).Draw(g.t, "late")
-			p.pending = append(p.pending, pendingView{at + late, id, at})
+			p.pending = append(p.pending, pendingChange{at + late, id, at})
 		}
 	}
 	return started
 }
 
 // check compares the attempts that reached each node in slow start with the limit.
-func (g *coldFleet) check(started map[uint32]float64) {
+func (g *slowStartFleet) check(started map[uint32]float64) {
 	limit, window := g.cluster.SlowStartLimit, g.cluster.SlowStartWindow
 	allowed := limit + 2*math.Sqrt(limit) + 2
 	sent := 0
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -31,7 +31,7 @@
 				kind = ListChanges
 			}
 			x.scheduler.OnListBegin(x.now, kind)
-			x.node(10, Ready, x.now-c.since)
+			x.listNode(10, Ready, x.now-c.since)
 			x.scheduler.OnListEnd(x.now)
 			x.scheduler.nodes.all[0].health.lastAnswerAt = x.now
 			if c.since > 0 {
@@ -53,8 +53,8 @@
 	}
 }
 
-// turns is when a scheduler may send attempts to a node that stays in slow start for a minute; it looks every 500 ms.
-func turns(t *testing.T, cl *Cluster) (at []float64) {
+// turnTimes is when a scheduler may send attempts to a node that stays in slow start for a minute; it looks every 500 ms.
+func turnTimes(t *testing.T, cl *Cluster) (at []float64) {
 	t.Helper()
 	x := newHarness(t, cl, 0)
 	x.updateNode(10, Ready, testStart)
@@ -62,7 +62,7 @@
 	node.warmingUntil = math.Inf(1)
 	for x.now = testStart; x.now < testStart+60000; x.now += 500 {
 		if x.scheduler.now = x.now; x.scheduler.slowStartAllows(node) {
-			node.sentAttempts = append(node.sentAttempts, x.now)
+			node.attemptSentAt = append(node.attemptSentAt, x.now)
 			at = append(at, x.now)
 		}
 	}
@@ -82,7 +82,7 @@
 			cl.Schedulers, cl.SlowStartLimit, cl.SlowStartWindow = c.schedulers, c.limit, 2000
 			var at []float64 // attempts of all schedulers
 			for cl.Index = range c.schedulers {
-				own := turns(t, cl)
+				own := turnTimes(t, cl)
 				if c.reach && len(own) == 0 {
 					t.Errorf("scheduler %d never has a turn", cl.Index)
 				}
--- a/logic/survey.go
+++ b/logic/survey.go
@@ -37,8 +37,8 @@
 	s.large.kind, s.large.weight = class.NodeKind, class.PriorityWeight
 }
 
-// fleetSurvey is the state of all ready nodes, taken before each scan of the queue.
-type fleetSurvey struct {
+// fleetStats is the state of all ready nodes, taken before each scan of the queue.
+type fleetStats struct {
 	readyNodes    int
 	nodesForLarge float64     // ready nodes on which large allocations may run
 	byLoad        []candidate // ready nodes with a report, score: load
@@ -48,16 +48,16 @@
 	limit         resources // up to which they accept allocations
 }
 
-// survey takes the survey and marks two kinds of nodes that small allocations are to leave alone.
-func (s *Scheduler) survey() {
-	s.measureFleet()
+// updateFleetStats takes the survey and marks two kinds of nodes that small allocations are to leave alone.
+func (s *Scheduler) updateFleetStats() {
+	s.collectFleetStats()
 	s.markSurplus()
 	s.reserveForLarge()
 }
 
-func (s *Scheduler) measureFleet() {
+func (s *Scheduler) collectFleetStats() {
 	f, ratio := &s.fleet, s.usage.ratio()
-	*f = fleetSurvey{byLoad: f.byLoad[:0]}
+	*f = fleetStats{byLoad: f.byLoad[:0]}
 	overcommit := resources{s.cluster.CoresOvercommit, s.cluster.MemoryOvercommit}
 	for i := range s.nodes.all {
 		node := &s.nodes.all[i]
@@ -90,13 +90,13 @@
 			return cmp.Or(cmp.Compare(y.score, x.score), cmp.Compare(x.node, y.node))
 		})
 	}
-	var have resources
+	var capacitySum resources
 	for _, c := range s.fleet.byLoad {
 		node := &s.nodes.all[c.node]
 		node.surplus = s.cluster.FleetPrice > 0 &&
-			have.cores*consolidationLoad >= s.fleet.used.cores && have.memory*consolidationLoad >= s.fleet.used.memory
+			capacitySum.cores*consolidationLoad >= s.fleet.used.cores && capacitySum.memory*consolidationLoad >= s.fleet.used.memory
 		if !node.health.unreachable {
-			have = have.plus(node.capacity.size)
+			capacitySum = capacitySum.plus(node.capacity.size)
 		}
 	}
 }
--- a/logic/timers.go
+++ b/logic/timers.go
@@ -42,7 +42,7 @@
 func (s *Scheduler) tick() {
 	for i := range s.nodes.all {
 		if node := &s.nodes.all[i]; node.availability == Ready {
-			s.checkSilence(node)
+			s.checkResponsiveness(node)
 			node.health.decay(s.now)
 		}
 	}
--- a/logic/usage.go
+++ b/logic/usage.go
@@ -1,8 +1,8 @@
 package logic
 
 const (
-	usageGrowthTime = 8000  // for so long after a start the use of memory grows, ms
-	usageMemory     = 0.998 // weight that a past measurement keeps with each new one
+	usageGrowthTime  = 8000  // for so long after a start the use of memory grows, ms
+	usageDecayFactor = 0.998 // weight that a past measurement keeps with each new one
 )
 
 // initialUsage is a guess of little weight, for the time before the first measurements.
@@ -20,15 +20,15 @@
 
 // observe takes a measurement of an allocation of a size.
 func (u *usageModel) observe(metric TaskMetric, value float64, size resources) {
-	used, allocated := u.used.of(metric), u.allocated.of(metric)
-	*used = *used*usageMemory + value
-	*allocated = *allocated*usageMemory + *size.of(metric)
+	used, allocated := u.used.byMetric(metric), u.allocated.byMetric(metric)
+	*used = *used*usageDecayFactor + value
+	*allocated = *allocated*usageDecayFactor + *size.byMetric(metric)
 }
 
 // used is what is in use on the node: by own tasks as measured, by others the part of what is allocated to them that the ratio says.
 func (c *capacity) used(ratio resources) resources {
-	foreign := c.allocated().minus(c.reserved)
-	return c.ownUsage.plus(foreign.scale(ratio))
+	others := c.allocated().minus(c.reserved)
+	return c.ownUsage.plus(others.scale(ratio))
 }
 
 // OnTaskMetric implements EventHandler: it learns how much of their resources allocations use, and how well they are served.
@@ -53,11 +53,11 @@
 
 // observeUsage takes a measurement of what an allocation uses. Until its use has stopped growing it counts with no less than expected.
 func (s *Scheduler) observeUsage(alloc *allocation, metric TaskMetric, value float64) {
-	known := alloc.usage.of(metric)
+	known := alloc.usage.byMetric(metric)
 	if s.now-alloc.sentAt < usageGrowthTime {
 		value = max(value, *known)
 	}
-	*s.nodes.all[alloc.node].capacity.ownUsage.of(metric) += value - *known
+	*s.nodes.all[alloc.node].capacity.ownUsage.byMetric(metric) += value - *known
 	*known = value
 	s.usage.observe(metric, value, alloc.size)
 }
