--- a/logic/scheduler.go
+++ b/logic/scheduler.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// jobClass is a job class with the start times seen for it.
+// jobClass is a job class with its observed start times.
 type jobClass struct {
 	JobClass
 	startTimes histogram
 }
 
-// Scheduler is the placement module of one scheduler process. It implements EventHandler.
+// Scheduler makes the placement decisions of one scheduler process. It implements EventHandler.
 type Scheduler struct {
 	effects   Effects
 	random    pcg
-	now       float64 // time of the present round
+	now       float64 // time of the current round
 	startedAt float64
 	cluster   *Cluster
 	classes   []jobClass
@@ -28,15 +28,15 @@
 	large       largeAllocations
 	fleet       fleetStats
 
-	probeBudget float64     // probes that allocations have paid for
-	candidates  []candidate // buffer of chooseNode
-	tickDue     bool        // the tick timer fired in this round
+	probeBudget float64     // number of probes that may be sent; each request adds one
+	candidates  []candidate // reusable buffer of collectCandidates
+	tickDue     bool        // the tick timer has fired in this round
 }
 
 var _ EventHandler = (*Scheduler)(nil)
 
-// New starts a scheduler that knows no node yet: the cached list comes next. The seed determines all its random draws. The cluster must not
-// change afterwards.
+// New returns a scheduler that knows no nodes yet; the caller delivers the cached node list next. The seed determines all its random
+// numbers. The cluster must not be changed afterwards.
 func New(effects Effects, now float64, seed uint64, cluster *Cluster) *Scheduler {
 	s := &Scheduler{
 		effects: effects, random: pcg{seed}, now: now, startedAt: now, cluster: cluster,
@@ -63,10 +63,10 @@
 	return s
 }
 
-// Decide implements EventHandler: it does periodic work that is due, then scans the queue.
+// Decide implements EventHandler: it does the periodic work that is due, then scans the queue.
 func (s *Scheduler) Decide(now float64) {
 	s.now = now
-	if s.tickDue { // after all events of the round: after a pause, answers arrive behind the timers that were due before them
+	if s.tickDue { // runs last in the round: after a pause, timers that were due fire before the answers that arrived meanwhile
 		s.tickDue = false
 		s.tick()
 	}
