--- a/logic/allocations.go
+++ b/logic/allocations.go
@@ -2,37 +2,37 @@
 
 import "slices"
 
-// allocation is one that waits, has an attempt in flight, or runs.
+// allocation is an allocation that waits for a node, has an attempt in flight, or is running.
 type allocation struct {
 	id       uint32
 	class    int // index of its job class
 	service  int // index of its service
 	size     resources
-	deadline float64   // of its start, by this module's reckoning
-	node     int       // index of the node of the attempt in flight, or where it runs
-	usage    resources // in use, as measured or as expected
+	deadline float64   // time by which it has to start or get its final answer, slightly before the client's deadline
+	node     int       // index of the node of the attempt in flight or of the running allocation
+	usage    resources // resources in use, measured or expected
 	sentAt   float64   // when the last attempt was sent
 	attempts int
-	probedAt float64 // when its best candidates were probed, 0: never
+	probedAt float64 // when its best candidates were probed; 0: never
 
-	inFlight bool // an attempt has no outcome yet; also while it runs
-	running  bool // the attempt has started it
-	answered bool // the final answer is given
+	inFlight bool // an attempt has no outcome yet; remains true while the allocation is running
+	running  bool // the attempt has started the allocation
+	answered bool // the final answer has been given
 
-	mayHaveRun      bool // an earlier attempt may have run; the first such attempt:
-	mayHaveRunSince float64
-	mayHaveRunNode  int
+	mayHaveRun      bool    // an earlier attempt may have run
+	mayHaveRunSince float64 // when the first such attempt was sent
+	mayHaveRunNode  int     // index of that attempt's node
 
-	failedNodes  []int // nodes that are not attempted again
-	erroredNodes []int // nodes that answered with an error
-	faulty       bool  // it erred at several nodes, so that its failures say nothing of nodes
+	failedNodes  []int // nodes that get no further attempt of this allocation
+	erroredNodes []int // nodes at which an attempt ended with an error
+	faulty       bool  // it failed with errors at several nodes, so its failures are not counted against nodes
 }
 
-// allocationTable holds the allocations that are not forgotten yet.
+// allocationTable holds the allocations until they are answered and have no attempt in flight.
 type allocationTable struct {
 	all   []allocation
 	index map[uint32]int // by id
-	free  []int          // slots of forgotten allocations
+	free  []int          // slots of removed allocations
 }
 
 // placement counts a service's allocations on a node.
@@ -41,18 +41,18 @@
 // service is a group of allocations that share a program.
 type service struct {
 	key        uint64
-	refs       int         // allocations in the table
-	placements []placement // running or in flight, from this scheduler
+	refs       int         // number of its allocations in the allocation table
+	placements []placement // this scheduler's allocations that are running or in flight
 }
 
-// serviceTable holds the services of all allocations in the table.
+// serviceTable holds the services of all allocations in the allocation table.
 type serviceTable struct {
 	all   []service
 	index map[uint64]int // by key
 	free  []int          // slots of services without allocations
 }
 
-// takeSlot takes a slot from the free list, or appends one.
+// takeSlot returns a slot from the free list, or appends a new one if the list is empty.
 func takeSlot[T any](free []int, all []T) (slot int, remaining []int, allNow []T) {
 	if n := len(free); n > 0 {
 		return free[n-1], free[:n-1], all
@@ -61,7 +61,7 @@
 	return len(all), free, append(all, zero)
 }
 
-// acquire finds or adds a service and counts a reference to it.
+// acquire returns the index of the service with a key, which it adds if it is missing, and increments its reference count.
 func (t *serviceTable) acquire(key uint64) int {
 	i, ok := t.index[key]
 	if !ok {
@@ -73,7 +73,7 @@
 	return i
 }
 
-// release drops a reference, and with the last the service.
+// release drops a reference to a service, and removes the service with its last reference.
 func (t *serviceTable) release(i int) {
 	if dropped := &t.all[i]; dropped.refs == 1 {
 		delete(t.index, dropped.key)
@@ -83,7 +83,7 @@
 	}
 }
 
-// count adds to the number of allocations on a node.
+// count changes the number of the service's allocations on a node by delta.
 func (v *service) count(node, delta int) {
 	i := slices.IndexFunc(v.placements, func(p placement) bool { return p.node == node })
 	if i < 0 {
@@ -106,7 +106,7 @@
 	return i
 }
 
-// removeIfDone removes an allocation from the table if it is answered and has no attempt in flight.
+// removeIfDone removes an allocation from the table if it has its final answer and no attempt in flight.
 func (s *Scheduler) removeIfDone(i int) {
 	alloc := &s.allocations.all[i]
 	if alloc.inFlight || !alloc.answered {
@@ -117,7 +117,7 @@
 	s.allocations.free = append(s.allocations.free, i)
 }
 
-// OnRecovered implements EventHandler.
+// OnRecovered implements EventHandler. An allocation at an unknown node is ignored.
 func (s *Scheduler) OnRecovered(now float64, recovered Recovered) {
 	s.now = now
 	node, ok := s.nodes.index[recovered.Node]
@@ -130,7 +130,7 @@
 	s.countPlacement(alloc, 1)
 }
 
-// countPlacement adds an allocation to (by 1) or removes it from (by -1) the counts of its node and service.
+// countPlacement adds an allocation to (delta 1) or removes it from (delta -1) the counts of its node and service.
 func (s *Scheduler) countPlacement(alloc *allocation, delta int) {
 	node := &s.nodes.all[alloc.node]
 	if delta > 0 {
--- a/logic/attempts.go
+++ b/logic/attempts.go
@@ -3,12 +3,12 @@
 import "slices"
 
 const (
-	minAttemptTimeout = 1200 // no attempt is given up sooner, ms
-	startTimeQuantile = 0.95 // of the start times seen, on which time-outs are based
-	timeoutFactor     = 2    // time-out as a multiple of that quantile
+	minAttemptTimeout = 1200 // minimum time-out of an attempt, ms
+	startTimeQuantile = 0.95 // quantile of the observed start times on which time-outs are based
+	timeoutFactor     = 2    // multiple of that quantile that gives the time-out
 )
 
-// checkAttempts is the stage that decides whether the job class allows another attempt.
+// checkAttempts is the stage that ends an allocation if the retry semantics of its job class or MaxAttempts allow no further attempt.
 func (s *Scheduler) checkAttempts(alloc *allocation) decision {
 	class := &s.classes[alloc.class]
 	expired := class.Semantics == Idempotent && s.now >= alloc.mayHaveRunSince+class.IdempotencyWindow-s.cluster.MinRoundInterval
@@ -18,7 +18,7 @@
 	return proceed
 }
 
-// sendAttempt is the last stage.
+// sendAttempt is the last stage: it sends an attempt to the chosen node.
 func (s *Scheduler) sendAttempt(alloc *allocation) decision {
 	node := &s.nodes.all[alloc.node]
 	timeout := s.attemptTimeout(alloc)
@@ -32,8 +32,8 @@
 	return proceed
 }
 
-// attemptTimeout is how long the next attempt may take: by the start times seen for the job class, if there is time and leave for another
-// attempt after it, else up to the deadline.
+// attemptTimeout returns the time-out of the next attempt. It follows from the observed start times of the job class if another attempt is
+// allowed afterwards and enough time would remain for it; otherwise the attempt may take until the deadline.
 func (s *Scheduler) attemptTimeout(alloc *allocation) float64 {
 	remaining, class := alloc.deadline-s.now, &s.classes[alloc.class]
 	if class.Semantics == AtMostOnce || alloc.attempts+1 >= s.cluster.MaxAttempts {
@@ -63,12 +63,12 @@
 	s.classes[alloc.class].startTimes.add(took)
 }
 
-// releaseAttempt is the way back of the last stage: the attempt no longer counts on its node.
+// releaseAttempt is the outcome handler of the last stage: the attempt no longer counts on its node.
 func (s *Scheduler) releaseAttempt(alloc *allocation, node *nodeState, outcome Outcome, _ Reason) {
 	s.countPlacement(alloc, -1)
 	alloc.inFlight = false
 	s.removeUnanswered(alloc, node)
-	if outcome.neverRan() { // as if it had not been sent
+	if outcome.neverRan() { // cancels the change that was recorded when the attempt was sent
 		node.capacity.record(s.now, change{alloc.sentAt, alloc.size.times(-1)})
 	} else if alloc.running {
 		node.capacity.record(s.now, change{s.now, alloc.size.times(-1)})
@@ -82,15 +82,15 @@
 // neverRan reports whether an outcome proves that the attempt did not run.
 func (o Outcome) neverRan() bool { return o == Rejected || o == Unreachable || o == NotSent }
 
-// recordMayHaveRun is the way back of the stage that allows attempts: it remembers the first attempt that may have run.
+// recordMayHaveRun is the outcome handler of the stage checkAttempts: it records the first attempt that may have run.
 func (s *Scheduler) recordMayHaveRun(alloc *allocation, _ *nodeState, outcome Outcome, _ Reason) {
 	if !outcome.neverRan() && !alloc.mayHaveRun {
 		alloc.mayHaveRun, alloc.mayHaveRunSince, alloc.mayHaveRunNode = true, alloc.sentAt, alloc.node
 	}
 }
 
-// requeueOrAnswer is the way back of the first stage: an allocation that was not started waits for another attempt, or gets its final answer
-// at once.
+// requeueOrAnswer is the outcome handler of the first stage: an allocation that was not started is queued for another attempt, or gets its
+// final answer at once if no further attempt is allowed.
 func (s *Scheduler) requeueOrAnswer(alloc *allocation, _ *nodeState, _ Outcome, _ Reason) {
 	switch {
 	case alloc.answered:
@@ -102,7 +102,7 @@
 	}
 }
 
-// answer gives the final answer: Shed where another request does no harm, else Fail.
+// answer gives the final answer: Shed if the client may safely request the allocation again, Fail otherwise.
 func (s *Scheduler) answer(alloc *allocation) {
 	class := &s.classes[alloc.class]
 	retrySafe := class.Semantics == Restartable ||
--- a/logic/belief.go
+++ b/logic/belief.go
@@ -1,14 +1,14 @@
 package logic
 
-// Belief is what the module believes of a node, for comparison with what the node reports. It decides nothing.
+// Belief is the scheduler's estimate of a node's state, for comparison with the node's reports. It does not affect decisions.
 type Belief struct {
-	Cores, Memory float64 // unallocated
-	Degradation   float64 // the part of their service that allocations lack, 0 to 1
-	FailureRate   float64 // of the worst job class: the part of its last attempts that failed
-	Unhealthy     bool    // the node does not answer
+	Cores, Memory float64 // estimated to be unallocated
+	Degradation   float64 // the fraction of their service that allocations do not get, 0 to 1
+	FailureRate   float64 // the fraction of the last attempts that failed, for the job class with the most failures
+	Unhealthy     bool    // the node counts as unreachable
 }
 
-// NodeBelief is what the module believes of a node, false if there has been no report.
+// NodeBelief returns the estimate of a node's state, and false if the node is unknown or there has been no report.
 func (s *Scheduler) NodeBelief(id uint32) (Belief, bool) {
 	node, ok := s.nodes.find(id)
 	if !ok || !node.capacity.reported {
@@ -25,8 +25,9 @@
 	return belief, true
 }
 
-// BeliefError is by how much more free cores and memory were believed than a report says that is about to be passed in: the last report with
-// own changes up to the time of the new one. Changes by other schedulers since then are in it. It is false without a comparison.
+// BeliefError returns by how much the estimates of unallocated cores and memory exceed a new report, which must not have been applied yet.
+// The estimate is the last report with this scheduler's own changes up to the time of the new report, so the error contains the changes
+// that other schedulers made in between. It returns false if there is nothing to compare.
 func (s *Scheduler) BeliefError(now float64, id uint32, report []float64) (cores, memory float64, ok bool) {
 	node, ok := s.nodes.find(id)
 	if !ok {
--- a/logic/chain.go
+++ b/logic/chain.go
@@ -1,21 +1,21 @@
 package logic
 
-// decision is what a stage makes of an allocation.
+// decision is the result of a stage for an allocation.
 type decision uint8
 
 const (
-	proceed decision = iota // pass it to the next stage
+	proceed decision = iota // pass the allocation to the next stage
 	wait                    // keep it in the queue
-	finish                  // give it its final answer
+	finish                  // give the final answer
 )
 
-// stage is one link of the chain: advance on the way to a node, handleOutcome on the way back with the outcome of the attempt.
+// stage is one step of the pipeline: advance runs before an attempt is sent, handleOutcome when the outcome of the attempt has arrived.
 type stage struct {
 	advance       func(*Scheduler, *allocation) decision
 	handleOutcome func(*Scheduler, *allocation, *nodeState, Outcome, Reason)
 }
 
-// pipeline lists the stages in the order of the way to a node.
+// pipeline lists the stages in the order in which advance runs; handleOutcome runs in reverse order.
 var pipeline = [...]stage{
 	{(*Scheduler).checkDeadline, (*Scheduler).requeueOrAnswer},
 	{(*Scheduler).checkAttempts, (*Scheduler).recordMayHaveRun},
@@ -23,7 +23,7 @@
 	{(*Scheduler).sendAttempt, (*Scheduler).releaseAttempt},
 }
 
-// advance takes an allocation as far along the chain as it gets.
+// advance runs the stages for an allocation until one of them does not return proceed.
 func (s *Scheduler) advance(alloc *allocation) decision {
 	result := proceed
 	for i := 0; i < len(pipeline) && result == proceed; i++ {
@@ -35,7 +35,7 @@
 	return result
 }
 
-// OnOutcome implements EventHandler: the outcome passes the stages in reverse order.
+// OnOutcome implements EventHandler: the outcome passes through the stages in reverse order.
 func (s *Scheduler) OnOutcome(now float64, result AttemptResult) {
 	s.now = now
 	if node, ok := s.nodes.find(result.Node); ok {
--- a/logic/filters.go
+++ b/logic/filters.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// maxUnanswered is how many own attempts at one node may be unanswered at once.
+// maxUnanswered is the maximum number of this scheduler's attempts at one node that are unanswered at the same time.
 const maxUnanswered = 6
 
-// nodeAccepts applies the filters that depend on what a node can take: they are alike for all allocations of the same demand and weight.
+// nodeAccepts applies the filters that depend on the state of the node. Their result is the same for all allocations with the same demand
+// and priority weight.
 func (s *Scheduler) nodeAccepts(alloc *allocation, node *nodeState) bool {
 	class := &s.classes[alloc.class]
 	if s.now < node.backoffUntil || len(node.unanswered) >= maxUnanswered || class.NodeKind >= 0 && node.kind != class.NodeKind {
@@ -21,13 +22,13 @@
 	return !node.capacity.reported || s.fits(node, alloc.size)
 }
 
-// allocationAllows applies the filters that depend on the allocation's past and on its service: nodes that failed it, its idempotency scope,
-// its spread constraint.
+// allocationAllows applies the filters that depend on the allocation's earlier attempts and on its service: nodes at which it failed, its
+// idempotency scope and its spread constraint.
 func (s *Scheduler) allocationAllows(alloc *allocation, i int, node *nodeState) bool {
 	return !slices.Contains(alloc.failedNodes, i) && s.withinIdempotencyScope(alloc, node) && s.spreadAllows(alloc, i, node)
 }
 
-// withinIdempotencyScope reports whether a node recognises a repeat of the allocation, if an earlier attempt may have run.
+// withinIdempotencyScope reports whether a node recognises a repeat of the allocation, which matters only if an earlier attempt may have run.
 func (s *Scheduler) withinIdempotencyScope(alloc *allocation, node *nodeState) bool {
 	class := &s.classes[alloc.class]
 	if !alloc.mayHaveRun || class.Semantics != Idempotent {
@@ -43,7 +44,7 @@
 	return true
 }
 
-// spreadAllows reports whether the spread constraint admits one more allocation of the service on a node.
+// spreadAllows reports whether the spread constraint permits one more allocation of the service on a node.
 func (s *Scheduler) spreadAllows(alloc *allocation, i int, node *nodeState) bool {
 	class := &s.classes[alloc.class]
 	if class.Spread == Anywhere {
--- a/logic/health.go
+++ b/logic/health.go
@@ -7,55 +7,55 @@
 )
 
 const (
-	historyLength          = 4 // last outcomes of a job class that judge a node
+	historyLength          = 4 // number of last outcomes of a job class that count for a node
 	historyMask            = 1<<historyLength - 1
-	faultyAfterNodes       = 3    // nodes at which an allocation errs before it is taken to be faulty itself
-	failureDecayInterval   = 8000 // every so long the oldest outcome is forgotten, so that no node is left out for long, ms
-	degradationDecay       = 6000 // a measurement of degraded service loses its weight over so long, ms
-	queueFullBackoff       = 250  // of a node whose queue is too long, ms; also the first backoff after rejections in a row
-	maxRejectionBackoff    = 2000 // longest backoff after rejections in a row, ms
+	faultyAfterNodes       = 3    // number of nodes at which an allocation fails with an error before it counts as faulty itself
+	failureDecayInterval   = 8000 // interval at which the oldest outcome is dropped, so that no node is avoided for long, ms
+	degradationDecay       = 6000 // time over which a measurement of degraded service loses its weight, ms
+	queueFullBackoff       = 250  // backoff of a node whose queue is full, ms; also the first backoff after consecutive rejections
+	maxRejectionBackoff    = 2000 // maximum backoff after consecutive rejections, ms
 	maxBackoffDoublings    = 8
-	unhealthyProbeInterval = 1000 // between two health checks of a node that does not answer, ms
+	unhealthyProbeInterval = 1000 // minimum interval between health checks of a node that does not answer, ms
 )
 
-// nodeHealth is what outcomes, health checks and measurements say of a node.
+// nodeHealth is the health of a node according to outcomes, health checks and measurements.
 type nodeHealth struct {
-	history      []uint // by job class the last outcomes, one bit each, 1: success
+	history      []uint // last outcomes by job class, one bit each; 1: success
 	nextDecayAt  float64
-	lastAnswerAt float64 // -1: none since it came into use
+	lastAnswerAt float64 // -1: the node has not answered since it came into use
 	unreachable  bool
-	degradation  float64 // part of their service that allocations lacked, when last measured
-	degradedAt   float64 // then
+	degradation  float64 // fraction of their service that allocations did not get, when last measured
+	degradedAt   float64 // when degradation was last measured
 }
 
-// newNodeHealth is the health of a node that is not known yet.
+// newNodeHealth returns the health of a node that is not known yet.
 func newNodeHealth(classes int) nodeHealth {
 	return nodeHealth{history: cleanHistory(classes), lastAnswerAt: -1}
 }
 
-// cleanHistory is the history of a node at which nothing has failed. Every node has one from the moment it is named: one that was never
-// ready may run allocations from before a restart, and reports come with their ends.
+// cleanHistory returns the history of a node without failures. Every node gets one with its first list entry, because also a node that was
+// never ready may run allocations from before a restart of the scheduler, whose outcomes carry reports.
 func cleanHistory(classes int) []uint {
 	return slices.Repeat([]uint{historyMask}, classes)
 }
 
-// record adds an outcome of a job class, 1 for a success. An answered health check is none: it proves that the node can be reached, and a
-// node may fail one job class while it serves others.
+// record adds an outcome of a job class, 1 for a success. An answered health check does not count as a success: it proves only that the
+// node can be reached, and a node may fail one job class while it serves others.
 func (h *nodeHealth) record(class int, success uint) {
 	h.history[class] = (h.history[class]<<1 | success) & historyMask
 }
 
-// clearLatestFailure counts the latest failure of a job class as a success.
+// clearLatestFailure turns the latest failure in the history of a job class into a success.
 func (h *nodeHealth) clearLatestFailure(class int) {
 	h.history[class] = (h.history[class] | (h.history[class] + 1)) & historyMask
 }
 
-// failureRate is the part of a job class's last few attempts that failed.
+// failureRate returns the fraction of a job class's last historyLength outcomes that are failures.
 func (h *nodeHealth) failureRate(class int) float64 {
 	return 1 - float64(bits.OnesCount(h.history[class]))/historyLength
 }
 
-// decay forgets the oldest outcomes when that is due.
+// decay adds a success to the history of each job class, which drops the oldest outcome, if that is due.
 func (h *nodeHealth) decay(now float64) {
 	if now > h.nextDecayAt {
 		h.nextDecayAt = now + failureDecayInterval
@@ -65,18 +65,18 @@
 	}
 }
 
-// degradationAt is the part of their service that allocations lack, as lately measured. It shows nodes whose cores are taken by what no
-// load report counts.
+// degradationAt returns the fraction of their service that allocations do not get, according to recent measurements. It detects nodes whose
+// cores are used by something that load reports do not count.
 func (h *nodeHealth) degradationAt(now float64) float64 {
 	return h.degradation * max(0, 1-(now-h.degradedAt)/degradationDecay)
 }
 
-// observeService takes a measurement of the part of its service that an allocation gets.
+// observeService adds a measurement of the fraction of its service that an allocation gets.
 func (h *nodeHealth) observeService(now, served float64) {
 	h.degradation, h.degradedAt = (h.degradationAt(now)+1-served)/2, now
 }
 
-// setReachability notes that a node answers, or does not.
+// setReachability records whether a node answers.
 func (s *Scheduler) setReachability(node *nodeState, reachable bool) {
 	if reachable {
 		node.health.lastAnswerAt = s.now
@@ -84,11 +84,11 @@
 	if node.health.unreachable == reachable {
 		node.health.unreachable, node.probedAt = !reachable, s.now
 		silence := (s.now - max(node.health.lastAnswerAt, s.startedAt)) / 1000
-		s.effects.Log(fmt.Sprintf("node %d: ill=%t, unheard %.1f s", node.id, node.health.unreachable, silence))
+		s.effects.Log(fmt.Sprintf("node %d: unreachable=%t, no answer for %.1f s", node.id, node.health.unreachable, silence))
 	}
 }
 
-// isUnresponsive reports whether a node owes an answer for longer than starts take.
+// isUnresponsive reports whether an answer of a node has been due for longer than starts usually take.
 func (s *Scheduler) isUnresponsive(node *nodeState) bool {
 	if len(node.unanswered) == 0 {
 		return false
@@ -98,7 +98,8 @@
 	return s.now-max(first.sentAt, node.health.lastAnswerAt) > max(minAttemptTimeout, expected)
 }
 
-// checkResponsiveness probes a node that does not answer.
+// checkResponsiveness probes a node that does not answer and counts it as unreachable until the result arrives. Where nodes cannot be
+// probed, it counts the node as reachable instead.
 func (s *Scheduler) checkResponsiveness(node *nodeState) {
 	if !node.probing && s.now-node.probedAt > unhealthyProbeInterval && (node.health.unreachable || s.isUnresponsive(node)) {
 		s.setReachability(node, !s.cluster.CanProbe)
@@ -106,7 +107,7 @@
 	}
 }
 
-// updateNodeFromOutcome is the way back of the placement stage: what an attempt that did not start says of its node.
+// updateNodeFromOutcome is the outcome handler of the placement stage: it updates the node's state after an attempt that did not start.
 func (s *Scheduler) updateNodeFromOutcome(alloc *allocation, node *nodeState, outcome Outcome, reason Reason) {
 	if alloc.running {
 		return
@@ -130,9 +131,9 @@
 	}
 }
 
-// updateNodeFromRejection corrects the belief of a node's capacity, or leaves the node alone for a while. A node that drains without this
-// scheduler's knowledge rejects everything, so the backoff grows with each rejection. One without a reason counts only after such a
-// rejection: by itself it may be for lack of room.
+// updateNodeFromRejection corrects the estimate of a node's capacity, or backs off from the node. A node that drains without this scheduler
+// having learned of it rejects everything, so the backoff grows with each rejection. A rejection without a reason counts only after one with
+// NotAccepting, because on its own it may be due to lack of cores or memory.
 func (s *Scheduler) updateNodeFromRejection(alloc *allocation, node *nodeState, reason Reason) {
 	switch reason {
 	case InsufficientCores, InsufficientMemory:
@@ -151,9 +152,9 @@
 	}
 }
 
-// detectFaulty clears nodes of the errors of an allocation that erred at several: what no node can run is at fault itself. Without it, bad
-// allocations of one client would make all nodes look unhealthy in turn. Where as many nodes do fail a job class, an allocation that meets
-// no other node hides their failures.
+// detectFaulty marks an allocation that failed with errors at several nodes as faulty and removes these errors from the nodes' histories:
+// the fault then lies with the allocation. Without this rule, faulty allocations of one client would make all nodes look unhealthy one after
+// the other. The drawback: if that many nodes do fail a job class, an allocation that is sent to no other node hides their failures.
 func (s *Scheduler) detectFaulty(alloc *allocation) {
 	if len(alloc.erroredNodes) < faultyAfterNodes {
 		return
--- a/logic/histogram.go
+++ b/logic/histogram.go
@@ -3,7 +3,7 @@
 const (
 	firstBucketBound  = 100 // upper bound of the first bucket, ms
 	bucketCount       = 8
-	maxHistogramCount = 200 // counts are halved when their sum exceeds this, so that old durations lose weight
+	maxHistogramCount = 200 // counts are halved when their total exceeds this, so that old durations lose weight
 )
 
 // histogram counts durations in buckets, each twice as wide as the one before. The last has no upper bound.
@@ -29,7 +29,7 @@
 	}
 }
 
-// quantile is the upper bound of the bucket in which the given fraction of all durations is reached.
+// quantile returns the upper bound of the bucket in which the given fraction of all durations is reached.
 func (h *histogram) quantile(fraction float64) float64 {
 	seen, bound := 0.0, float64(firstBucketBound)
 	for i := range h.counts {
--- a/logic/list.go
+++ b/logic/list.go
@@ -3,18 +3,18 @@
 import "fmt"
 
 const (
-	firstPollSpread      = 25   // first polls are spread over so long for each scheduler, ms
-	pollBackoff          = 1500 // until the next poll after one that failed, ms; grows with each failure
-	maxPollBackoffFactor = 4    // to this multiple
-	pollFraction         = 0.7  // part of ListMaxSilence after which a silent subscription is renewed
+	firstPollSpread      = 25   // first polls are spread over this time multiplied by the number of schedulers, ms
+	pollBackoff          = 1500 // mean time until the next poll after the first failure, ms; it grows with each failure
+	maxPollBackoffFactor = 4    // up to this multiple
+	pollFraction         = 0.7  // fraction of ListMaxSilence after which a subscription without messages is renewed
 )
 
 // listState is the state of the subscription to the node list.
 type listState struct {
-	kind       ListKind // of the present message
-	version    int      // number of the present message
-	failures   int      // of polls, in a row
-	lastAt     float64  // the last message
+	kind       ListKind // of the current message
+	version    int      // number of the current message
+	failures   int      // number of consecutive polls that failed
+	lastAt     float64  // when the last message arrived
 	nextPollAt float64
 }
 
@@ -36,7 +36,7 @@
 		s.nodes.all = append(s.nodes.all, nodeState{id: entry.Node, availability: Unavailable, health: newNodeHealth(len(s.classes))})
 	}
 	node := &s.nodes.all[i]
-	// whether the node has started, or come back, since the last message
+	// restarted: the node has started or become available again since the last message
 	restarted := !known && s.list.kind != ListCached ||
 		known && (node.availability == Unavailable || entry.StartedAt > node.startedAt)
 	node.listVersion, node.zone, node.cell, node.kind = s.list.version, entry.Zone, entry.Cell, entry.Kind
@@ -74,25 +74,25 @@
 	}
 }
 
-// pollFailed plans the next poll.
+// pollFailed schedules the next poll after a failure.
 func (s *Scheduler) pollFailed(now float64) {
 	s.list.failures++
 	s.list.nextPollAt = now + pollBackoff*float64(min(s.list.failures, maxPollBackoffFactor))*(0.5+s.random.float())
 	if s.list.failures == 1 {
-		s.effects.Log(fmt.Sprintf("list: call failed, %.1f s after the last news", (now-s.list.lastAt)/1000))
+		s.effects.Log(fmt.Sprintf("node list: poll failed, last message %.1f s ago", (now-s.list.lastAt)/1000))
 	}
 }
 
-// listReceived plans the next poll well before silence counts as informed.
+// listReceived schedules the next poll well before ListMaxSilence has passed without a message.
 func (s *Scheduler) listReceived(now float64) {
 	if s.list.failures > 0 {
-		s.effects.Log(fmt.Sprintf("list: back after %d failed calls, %.1f s", s.list.failures, (now-s.list.lastAt)/1000))
+		s.effects.Log(fmt.Sprintf("node list: received again after %d failed polls, %.1f s after the previous message", s.list.failures, (now-s.list.lastAt)/1000))
 	}
 	s.list.failures, s.list.lastAt = 0, now
 	s.list.nextPollAt = now + s.cluster.ListMaxSilence*pollFraction
 }
 
-// pollList subscribes to the list again when that is due.
+// pollList renews the subscription to the node list if that is due.
 func (s *Scheduler) pollList() {
 	if s.cluster.PollsList && s.now >= s.list.nextPollAt {
 		s.list.nextPollAt = s.now + 2*pollBackoff*(1+s.random.float())
--- a/logic/nodes.go
+++ b/logic/nodes.go
@@ -1,35 +1,35 @@
 package logic
 
-// nodeState is what is known of a node.
+// nodeState is the state of a node as known to this scheduler.
 type nodeState struct {
 	id               uint32
 	zone, cell, kind int
 	availability     Availability
-	listVersion      int     // of the last list message that named it
-	startedAt        float64 // by the list, 0: long ago
+	listVersion      int     // number of the last list message with an entry of the node
+	startedAt        float64 // when the node started according to the list; 0: long ago
 
 	capacity capacity
 	health   nodeHealth
 
-	unanswered    []int     // allocations with an attempt that it has not answered
-	attemptSentAt []float64 // when the last attempts were sent, for slow start
+	unanswered    []int     // indexes of allocations with an attempt that the node has not answered
+	attemptSentAt []float64 // when the last attempts were sent, for the slow-start limit
 	warmingUntil  float64   // end of slow start
-	rejections    int       // in a row, for a reason other than lack of room
-	backoffUntil  float64   // no attempt before
+	rejections    int       // consecutive rejections with NotAccepting, or without a reason after one of these
+	backoffUntil  float64   // no attempt is sent before this time
 
 	probing          bool
 	probedAt         float64
-	surplus          bool // beyond what the fleet needs: takes new work last
-	reservedForLarge bool // keeps room for a large allocation
+	surplus          bool // not needed for the current load: gets allocations only if no other node is suitable
+	reservedForLarge bool // keeps free capacity for a large allocation
 }
 
-// nodeTable holds all nodes ever named; their indexes do not change.
+// nodeTable holds all nodes that have ever been in the list; their indexes do not change.
 type nodeTable struct {
 	all   []nodeState
-	index map[uint32]int // by id
+	index map[uint32]int // index of a node by its id
 }
 
-// find is the node of an id. The pointer is valid until a node is added.
+// find returns the node with an id. The pointer is valid until a node is added.
 func (t *nodeTable) find(id uint32) (*nodeState, bool) {
 	i, ok := t.index[id]
 	if !ok {
@@ -38,7 +38,8 @@
 	return &t.all[i], true
 }
 
-// activateNode resets a node that becomes ready. One that has just started or come back warms up for as long as it may be cold.
+// activateNode resets the state of a node that becomes ready. A node that has just started or become available again is in slow start for
+// as long as it may be cold.
 func (s *Scheduler) activateNode(node *nodeState, startedAt float64, restarted bool) {
 	node.health.history, node.health.unreachable = cleanHistory(len(s.classes)), false
 	node.backoffUntil, node.rejections = 0, 0
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	maxDrawCandidates = 3    // nodes in the draw, at most
-	drawMargin        = 0.05 // difference in net benefit within which nodes count as equally good
+	maxDrawCandidates = 3    // maximum number of nodes among which one is drawn
+	drawMargin        = 0.05 // maximum difference in net benefit to the best node for a node to count as equally good
 )
 
 // candidate is a node with its score.
@@ -13,14 +13,14 @@
 	score float64
 }
 
-// preferenceTier ranks nodes: only those of the least flaw are candidates, so no flaw excludes every node.
+// preferenceTier ranks nodes: only the nodes of the lowest tier present are candidates, so a higher tier is used if no lower one is left.
 type preferenceTier uint8
 
 const (
 	tierNormal preferenceTier = iota
 	tierSurplus
 	tierUnreachable
-	tierNone // none has it
+	tierNone // above all tiers, no node has it
 )
 
 func (n *nodeState) tier() preferenceTier {
@@ -33,7 +33,7 @@
 	return tierNormal
 }
 
-// chooseNode is the stage that draws a node: filters, net benefit, and a uniform draw among the best.
+// chooseNode is the stage that chooses a node: it filters the nodes, scores them by net benefit and draws uniformly among the best.
 func (s *Scheduler) chooseNode(alloc *allocation) decision {
 	need := demand{s.classes[alloc.class].NodeKind, alloc.size}
 	if s.queue.isUnplaceable(need) {
@@ -50,7 +50,7 @@
 	if s.awaitProbes(alloc, candidates[:min(probedCandidates, len(candidates))]) {
 		return wait
 	}
-	tied := 1 // so many are as good as the best
+	tied := 1 // number of candidates that count as equal to the best, which is included
 	for tied < min(maxDrawCandidates, len(candidates)) && candidates[tied].score > candidates[0].score-drawMargin {
 		tied++
 	}
@@ -58,8 +58,8 @@
 	return proceed
 }
 
-// collectCandidates scores the nodes of the least flaw that pass the filters. It also reports whether a node was excluded for a reason that
-// lies in this allocation, so that another of the same demand may find room. The result is valid until the next call.
+// collectCandidates scores the nodes of the lowest tier that pass the filters. It also reports whether allocationAllows excluded a node, in
+// which case another allocation with the same demand may still be placed. The result is valid until the next call.
 func (s *Scheduler) collectCandidates(alloc *allocation) (candidates []candidate, excluded bool) {
 	candidates, bestTier := s.candidates[:0], tierNone
 	for i := range s.nodes.all {
@@ -83,7 +83,7 @@
 	return candidates, excluded
 }
 
-// selectTop brings the n best to the front in order; of equals those that came first.
+// selectTop moves the n best candidates to the front in descending order of score; the order of equals is kept.
 func selectTop(all []candidate, n int) {
 	for i := range min(n, len(all)) {
 		best := i
@@ -98,19 +98,20 @@
 	}
 }
 
-// demand is what an allocation needs of a node.
+// demand is what an allocation requires of a node.
 type demand struct {
 	nodeKind int
 	size     resources
 }
 
-// noStricterThan reports whether a fleet that has no room for d has none for other.
+// noStricterThan reports whether a fleet without room for d has no room for other either.
 func (d demand) noStricterThan(other demand) bool {
 	return (d.nodeKind < 0 || d.nodeKind == other.nodeKind) && d.size.cores <= other.size.cores && d.size.memory <= other.size.memory
 }
 
-// isUnplaceable reports whether a smaller demand found no node in this scan. Within a scan nodes only fill, and later allocations have no
-// higher weight; scoring all nodes for each of hundreds that wait would take longer than their clients wait.
+// isUnplaceable reports whether a demand that is no stricter has found no node in this scan. It then need not be tried again, because within
+// a scan nodes only fill up and later allocations have no higher priority weight. If hundreds of allocations wait, scoring all nodes for
+// each of them would take longer than their clients wait.
 func (q *placementQueue) isUnplaceable(need demand) bool {
 	return slices.ContainsFunc(q.unplaceable, func(d demand) bool { return d.noStricterThan(need) })
 }
--- a/logic/probing.go
+++ b/logic/probing.go
@@ -1,16 +1,16 @@
 package logic
 
 const (
-	minProbeAge        = 400  // a younger report needs no probe, ms
-	initialProbeBudget = 32   // probes that no allocation has to pay for
-	probedCandidates   = 2    // so many of the best candidates are probed before the draw
-	staleReportAge     = 1500 // if their reports are older, ms
-	probeWait          = 150  // and their answers are waited for so long, ms
+	minProbeAge        = 400  // minimum age of a report before its node is probed to refresh it, ms
+	initialProbeBudget = 32   // number of probes that may be sent before any request arrives
+	probedCandidates   = 2    // number of the best candidates that are probed before the draw
+	staleReportAge     = 1500 // age of a report from which such a candidate is probed, ms
+	probeWait          = 150  // maximum wait for the answers of these probes, ms
 )
 
-// awaitProbes probes the best candidates whose reports are old, once for each allocation, and reports whether to wait for the answers. As
-// allocations pay for few probes, the state of a large fleet would otherwise be long out of date at the draw. A node that does not answer in
-// time is drawn on what is known.
+// awaitProbes probes the best candidates whose reports are old, once for each allocation, and reports whether to wait for the answers. The
+// probe budget grows by only one probe for each request, so without this the reports of a large fleet would be long out of date at the draw.
+// If a node does not answer in time, the draw uses its last known state.
 func (s *Scheduler) awaitProbes(alloc *allocation, best []candidate) bool {
 	if s.cluster.ReportsPiggybacked || !s.cluster.CanProbe {
 		return false
@@ -30,7 +30,7 @@
 	return waiting
 }
 
-// refreshReports probes the nodes with the oldest reports, as far as allocations have paid for it.
+// refreshReports probes the nodes with the oldest reports as far as the probe budget allows.
 func (s *Scheduler) refreshReports() {
 	if s.cluster.ReportsPiggybacked {
 		return
@@ -44,7 +44,7 @@
 	}
 }
 
-// oldestReport is the ready node with the oldest report that is not being probed, nil if there is none.
+// oldestReport returns the ready node with the oldest report among those that are not being probed, or nil if there is none.
 func (s *Scheduler) oldestReport() *nodeState {
 	var oldest *nodeState
 	for i := range s.nodes.all {
@@ -56,7 +56,7 @@
 	return oldest
 }
 
-// probe sends a probe unless one is out.
+// probe sends a probe to a node unless one is outstanding.
 func (s *Scheduler) probe(node *nodeState) {
 	if s.cluster.CanProbe && !node.probing {
 		node.probing, node.probedAt = true, s.now
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	scanInterval   = 20               // between two scans of the queue, ms
-	rescanDelay    = scanInterval / 4 // until the next scan after an outcome, at most, ms
-	minTimeToStart = 60               // no attempt is sent with less time left, ms
+	scanInterval   = 20               // interval between scans of the queue, ms
+	rescanDelay    = scanInterval / 4 // maximum time from an outcome to the next scan, ms
+	minTimeToStart = 60               // minimum time before the deadline at which an attempt is still sent, ms
 )
 
 // placementQueue holds allocations that wait for a node.
 type placementQueue struct {
-	waiting      []int // indexes of allocations
+	waiting      []int // indexes of the allocations
 	nextScanAt   float64
 	scanTimerSet bool
-	shortage     bool     // as last logged: many allocations wait
-	unplaceable  []demand // demands that found no node in this scan
+	shortage     bool     // state last logged by logShortage
+	unplaceable  []demand // demands for which no node was found in this scan
 }
 
 // OnRequest implements EventHandler: the allocation joins the queue.
@@ -26,7 +26,7 @@
 	s.now = now
 	i := s.track(&request)
 	alloc := &s.allocations.all[i]
-	alloc.deadline = request.Deadline - 2*s.cluster.MinRoundInterval // so that the answer arrives before the client stops waiting
+	alloc.deadline = request.Deadline - 2*s.cluster.MinRoundInterval // the answer has to arrive before the client stops waiting
 	s.observeSize(alloc)
 	s.queue.waiting = append(s.queue.waiting, i)
 	s.effects.SetTimer(alloc.deadline-now, timerDeadline+uint64(alloc.id))
@@ -34,7 +34,7 @@
 	s.queue.nextScanAt = now
 }
 
-// OnExpired implements EventHandler. An allocation that waits leaves the queue at the next scan.
+// OnExpired implements EventHandler. An allocation in the queue is removed at the next scan.
 func (s *Scheduler) OnExpired(now float64, id uint32) {
 	s.now = now
 	if i, ok := s.allocations.index[id]; ok {
@@ -43,7 +43,7 @@
 	}
 }
 
-// checkDeadline is the stage that ends an allocation that no attempt can start in time.
+// checkDeadline is the stage that ends an allocation if too little time is left to start it before its deadline.
 func (s *Scheduler) checkDeadline(alloc *allocation) decision {
 	if alloc.deadline-s.now < minTimeToStart {
 		return finish
@@ -51,7 +51,7 @@
 	return proceed
 }
 
-// scanQueue sends the allocations that wait along the chain if a scan is due: in order of priority weight, among equals of arrival.
+// scanQueue runs the pipeline for the waiting allocations if a scan is due, in descending order of priority weight and then by arrival.
 func (s *Scheduler) scanQueue() {
 	q := &s.queue
 	if len(q.waiting) == 0 || s.now < q.nextScanAt {
@@ -83,12 +83,12 @@
 	return s.classes[s.allocations.all[i].class].PriorityWeight
 }
 
-// logShortage logs when more than two allocations for each job class wait, and when none waits any more.
+// logShortage logs when more than two allocations per job class are waiting, and when none is waiting any more.
 func (s *Scheduler) logShortage() {
 	waiting := len(s.queue.waiting)
 	shortage := waiting > 2*len(s.classes)
 	if shortage != s.queue.shortage && (shortage || waiting == 0) {
 		s.queue.shortage = shortage
-		s.effects.Log(fmt.Sprintf("room: short=%t, %d wait", shortage, waiting))
+		s.effects.Log(fmt.Sprintf("queue: capacity shortage=%t, %d allocations waiting", shortage, waiting))
 	}
 }
--- a/logic/random.go
+++ b/logic/random.go
@@ -13,8 +13,8 @@
 	return x>>r | x<<(-r&31)
 }
 
-// float is uniform over [0, 1).
+// float returns a uniformly distributed number in [0, 1).
 func (p *pcg) float() float64 { return float64(p.next()) / (1 << 32) }
 
-// intN is uniform over the integers from 0 to n-1.
+// intN returns a uniformly distributed integer in [0, n).
 func (p *pcg) intN(n int) int { return int(math.Floor(p.float() * float64(n))) }
--- a/logic/resources.go
+++ b/logic/resources.go
@@ -11,7 +11,7 @@
 	return resources{r.cores - other.cores, r.memory - other.memory}
 }
 
-// times multiplies both by a factor.
+// times multiplies cores and memory by the same factor.
 func (r resources) times(factor float64) resources {
 	return resources{factor * r.cores, factor * r.memory}
 }
@@ -21,7 +21,7 @@
 	return resources{r.cores * factors.cores, r.memory * factors.memory}
 }
 
-// byMetric is the amount that a metric of use is about, which has to be CoresUsed or MemoryUsed.
+// byMetric returns the amount that a usage metric refers to. The metric has to be CoresUsed or MemoryUsed.
 func (r *resources) byMetric(metric TaskMetric) *float64 {
 	if metric == MemoryUsed {
 		return &r.memory
--- a/logic/scoring.go
+++ b/logic/scoring.go
@@ -1,16 +1,16 @@
 package logic
 
 const (
-	diversityWeight    = 0.02 // weight of diversity beside a usage of 0 to 1
-	fetchCostPerRank   = 0.4  // cost of each rank further back in a service's order of nodes, in units of usage
-	maxFetchCost       = 4    // at most: a start where the program is not cached takes several times the work
-	unansweredCost     = 0.05 // cost of each own unanswered attempt, in units of usage: starts queue behind it
-	highUsageThreshold = 0.85 // usage from which allocations are served worse or evicted
-	highUsageSlope     = 3    // so much faster the cost of usage grows from there
-	failureCost        = 4    // cost of an attempt that surely fails, or of an allocation that is not served at all, in units of usage
+	diversityWeight    = 0.02 // weight of diversity relative to usage, which is from 0 to 1
+	fetchCostPerRank   = 0.4  // cost of each further rank in a service's ranking of the nodes, in units of usage
+	maxFetchCost       = 4    // maximum of that cost: a start on a node that has not cached the program takes several times the work
+	unansweredCost     = 0.05 // cost of each own unanswered attempt, in units of usage: starts are queued behind it
+	highUsageThreshold = 0.85 // usage from which allocations get degraded service or are evicted
+	highUsageSlope     = 3    // additional cost per unit of usage above that threshold
+	failureCost        = 4    // cost of an attempt that is certain to fail, or of an allocation that gets no service at all, in units of usage
 )
 
-// Diversity of two nodes.
+// Geographic diversity of two nodes.
 const (
 	sameNode  = 0
 	sameCell  = 1
@@ -18,7 +18,7 @@
 	otherZone = 7
 )
 
-// diversity is the geographic diversity of two nodes; same says that they are one node.
+// diversity returns the geographic diversity of two nodes; same means that both are the same node.
 func diversity(x, y *nodeState, same bool) int {
 	switch {
 	case same:
@@ -31,8 +31,9 @@
 	return sameCell
 }
 
-// netBenefit is the score of a node for an allocation: the diversity that it adds to the service's placements, less the rent of the node and
-// the cost of likely failures. Nodes that warm up or have sent no report rank with the mean load of the fleet.
+// netBenefit returns the score of a node for an allocation: the diversity that it adds to the service's placements, less the load cost of the
+// node, the cost of fetching the program, and the expected cost of failures and degraded service. Nodes that are in slow start or have sent
+// no report are scored with the mean load of the fleet.
 func (s *Scheduler) netBenefit(alloc *allocation, i int, meanLoad float64) float64 {
 	node := &s.nodes.all[i]
 	placements := s.services.all[alloc.service].placements
@@ -55,8 +56,8 @@
 	return diversityWeight*diversitySum - cost - failureCost*(node.health.failureRate(alloc.class)+node.health.degradationAt(s.now))
 }
 
-// loadCost is the larger part of cores or memory in use with the allocation on the node, dearer when the node is nearly full, and dearer for
-// each attempt that the node has not answered.
+// loadCost returns the cost of a node's load with the allocation on it: the larger of the fractions of cores and memory in use, plus a cost
+// that grows from highUsageThreshold and a cost for each attempt that the node has not answered.
 func (s *Scheduler) loadCost(node *nodeState, alloc *allocation) float64 {
 	ratio, size := s.usage.ratio(), node.capacity.size
 	used, added := node.capacity.used(ratio), alloc.size.scale(ratio)
@@ -65,8 +66,8 @@
 	return usage + unansweredCost*float64(len(node.unanswered))
 }
 
-// hashFraction maps a service's key and a node to a number from 0 to 1, the same at all schedulers. It gives each service an order of nodes,
-// in which its allocations meet (rendezvous hashing).
+// hashFraction maps a service's key and a node to a number from 0 to 1 that is the same on all schedulers. It gives each service a ranking of
+// the nodes, so that all schedulers prefer the same nodes for its allocations (rendezvous hashing).
 func hashFraction(key uint64, id uint32) float64 {
 	hash := pcg{key ^ uint64(id)*0x9e3779b97f4a7c15}
 	hash.next()
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// slowStartShare is this scheduler's part of the attempts that a node in slow start tolerates from all schedulers together.
+// slowStartShare is this scheduler's share of the attempts that a node in slow start accepts from all schedulers together.
 type slowStartShare struct {
-	attempts int    // that it may send to one node within the window
-	cycle    uint64 // where that is 0: it may send one attempt in every so many turns; 0: none
-	excluded bool   // it sends none
+	attempts int    // number of attempts that it may send to one node within the window
+	cycle    uint64 // if attempts is 0: it may send one attempt once in this number of turns; 0: it sends none
+	excluded bool   // it sends no attempts to nodes in slow start
 }
 
 func newSlowStartShare(cluster *Cluster) slowStartShare {
@@ -20,8 +20,8 @@
 	return share
 }
 
-// SetSchedulerCount says how many schedulers share the limit of nodes in slow start, when that changes. 0 excludes this one. Where schedulers
-// take turns, the turns of those that are excluded are not used.
+// SetSchedulerCount sets how many schedulers share the attempt limit of nodes in slow start. A count of 0 excludes this scheduler. Where
+// schedulers take turns, the turns of excluded schedulers stay unused.
 func (s *Scheduler) SetSchedulerCount(schedulers int) {
 	s.slowStart.excluded = schedulers == 0
 	if s.slowStart.attempts > 0 && schedulers > 0 {
@@ -29,10 +29,11 @@
 	}
 }
 
-// slowStartAllows reports whether a node in slow start may get one more attempt from this scheduler. All schedulers together keep within the
-// node's limit: each has its share of it in any window, lengthened for attempts on their way. Where the share is less than one attempt,
-// schedulers take turns of one window each; half of the limit goes to one turn, as a window may touch two turns. What this scheduler sent
-// before a restart is forgotten but still counts, so it sends nothing in a window that began before its start.
+// slowStartAllows reports whether this scheduler may send one more attempt to a node in slow start. To keep all schedulers together within the
+// node's limit, each of them sends at most its share within any window, which is extended by reportDelay for attempts in transit. If the
+// share is less than one attempt, schedulers take turns of one window each; each turn gets half of the limit, because a window may overlap
+// two turns. After a restart the scheduler does not know which attempts it sent before, although they still count, so it sends none in a
+// window that began before it started.
 func (s *Scheduler) slowStartAllows(node *nodeState) bool {
 	window := s.cluster.SlowStartWindow + reportDelay
 	windowStart, limit := s.now-window, s.slowStart.attempts
@@ -47,7 +48,8 @@
 	return len(node.attemptSentAt) < limit && windowStart >= s.startedAt && !s.slowStart.excluded
 }
 
-// recordSlowStart notes an attempt. Attempts before the message about a start count too, so the last few are kept for every node.
+// recordSlowStart records when an attempt was sent. Attempts that were sent before the scheduler learned of a node's start count too, so the
+// last few are kept for every node.
 func (s *Scheduler) recordSlowStart(node *nodeState) {
 	keep := max(1, s.slowStart.attempts)
 	node.attemptSentAt = append(node.attemptSentAt[max(0, len(node.attemptSentAt)-keep):], s.now)
--- a/logic/survey.go
+++ b/logic/survey.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	consolidationLoad    = 0.65 // mean load up to which nodes in use are filled, where nodes in use have a price
-	reservationThreshold = 0.6  // part of all resources allocated from which nodes are reserved for large allocations
-	reservationFactor    = 2    // nodes reserved, as a multiple of the part of memory that large allocations ask for
-	largeSizeFactor      = 4    // mean sizes from which an allocation is large
+	consolidationLoad    = 0.65 // mean load up to which nodes are filled if FleetPrice is set
+	reservationThreshold = 0.6  // allocated fraction of all resources above which nodes are reserved for large allocations
+	reservationFactor    = 2    // fraction of nodes reserved, as a multiple of the fraction of memory that large allocations request
+	largeSizeFactor      = 4    // multiple of the mean size from which an allocation counts as large
 )
 
-// largeAllocations is what is known of large allocations.
+// largeAllocations holds statistics of the large allocations that were requested.
 type largeAllocations struct {
-	size        resources // the largest cores and the largest memory seen
-	weight      float64   // priority weight of the last one's class
-	kind        int       // node kind that the last one's class needs, or -1
-	memory      float64   // sum over large allocations
-	totalMemory float64   // sum over all allocations
+	size        resources // maximum of cores and maximum of memory requested so far
+	weight      float64   // priority weight of the job class of the last one
+	kind        int       // node kind that the job class of the last one requires, or -1 for any
+	memory      float64   // memory requested by large allocations
+	totalMemory float64   // memory requested by all allocations
 }
 
-// runsOn reports whether large allocations may run on a node kind.
+// runsOn reports whether large allocations may run on nodes of a kind.
 func (l *largeAllocations) runsOn(kind int) bool { return l.kind < 0 || l.kind == kind }
 
-// observeSize counts an allocation that is asked for.
+// observeSize adds a requested allocation to the statistics.
 func (s *Scheduler) observeSize(alloc *allocation) {
 	s.large.totalMemory += alloc.size.memory
 	isLarge := (alloc.size.cores/s.cluster.MeanCores+alloc.size.memory/s.cluster.MeanMemory)/2 >= largeSizeFactor
@@ -37,18 +37,18 @@
 	s.large.kind, s.large.weight = class.NodeKind, class.PriorityWeight
 }
 
-// fleetStats is the state of all ready nodes, taken before each scan of the queue.
+// fleetStats is the aggregate state of all ready nodes, computed before each scan of the queue.
 type fleetStats struct {
 	readyNodes    int
-	nodesForLarge float64     // ready nodes on which large allocations may run
-	byLoad        []candidate // ready nodes with a report, score: load
-	meanLoad      float64     // of these
-	used          resources   // sums over these
-	allocated     resources
-	limit         resources // up to which they accept allocations
+	nodesForLarge float64     // number of ready nodes on which large allocations may run
+	byLoad        []candidate // ready nodes with a report, with their load as score
+	meanLoad      float64     // mean load of the nodes in byLoad
+	used          resources   // sum over the nodes in byLoad
+	allocated     resources   // sum over the nodes in byLoad
+	limit         resources   // sum of the amounts up to which they accept allocations
 }
 
-// updateFleetStats takes the survey and marks two kinds of nodes that small allocations are to leave alone.
+// updateFleetStats computes the fleet statistics and marks surplus nodes and nodes reserved for large allocations.
 func (s *Scheduler) updateFleetStats() {
 	s.collectFleetStats()
 	s.markSurplus()
@@ -82,8 +82,8 @@
 	f.meanLoad /= max(1, float64(len(f.byLoad)))
 }
 
-// markSurplus marks the least loaded nodes beyond those that all use together needs, where nodes in use have a price. They get nothing new
-// while another node is left, so they empty and stay last.
+// markSurplus marks the least loaded nodes that are not needed for the total load, if FleetPrice is set. Surplus nodes get no new allocation
+// while another node is suitable, so they become empty and remain the least loaded.
 func (s *Scheduler) markSurplus() {
 	if s.cluster.FleetPrice > 0 {
 		slices.SortFunc(s.fleet.byLoad, func(x, y candidate) int {
@@ -101,8 +101,8 @@
 	}
 }
 
-// reserveForLarge marks nodes that keep room for a large allocation, while room is short and nodes do not preempt. They are chosen by id, so
-// that all schedulers choose the same.
+// reserveForLarge marks nodes that keep free capacity for a large allocation, while capacity is scarce and nodes do not preempt. The choice
+// depends on a hash of the node id, so that all schedulers choose the same nodes.
 func (s *Scheduler) reserveForLarge() {
 	f, reserved := &s.fleet, 0.0
 	if !s.cluster.Preempts &&
--- a/logic/timers.go
+++ b/logic/timers.go
@@ -1,13 +1,13 @@
 package logic
 
-// tickInterval is the interval of periodic work, ms.
+// tickInterval is the interval between runs of the periodic work, ms.
 const tickInterval = 100
 
 // Keys of timers.
 const (
 	timerTick     = iota    // periodic work
 	timerScan               // scan of the queue
-	timerDeadline = 1 << 32 // plus an allocation's id: its deadline
+	timerDeadline = 1 << 32 // plus the id of an allocation: the deadline of that allocation
 )
 
 // OnTimer implements EventHandler.
@@ -24,7 +24,7 @@
 	}
 }
 
-// deadlineReached gives an allocation its final answer. An attempt in flight is cancelled where that is possible.
+// deadlineReached gives an allocation its final answer. An attempt in flight is cancelled if the cluster supports that.
 func (s *Scheduler) deadlineReached(id uint32) {
 	i, ok := s.allocations.index[id]
 	if !ok || s.allocations.all[i].answered {
@@ -38,7 +38,7 @@
 	s.queue.nextScanAt = s.now
 }
 
-// tick does periodic work: health checks, decay of failures, probes for load reports, polls of the node list.
+// tick does the periodic work: health checks, decay of failure histories, probes for load reports and polls of the node list.
 func (s *Scheduler) tick() {
 	for i := range s.nodes.all {
 		if node := &s.nodes.all[i]; node.availability == Ready {
