--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -2,18 +2,19 @@
 
 import "testing"
 
-// BenchmarkDecide measures one allocation from request to outcome among 400 nodes, with room for it and while hundreds wait.
+// BenchmarkDecide measures the handling of one allocation from request to outcome with 400 nodes, both without other waiting allocations and
+// while 500 are waiting that fit on no node.
 func BenchmarkDecide(b *testing.B) {
 	for _, c := range []struct {
-		name  string
-		waits int
-		cores float64
+		name    string
+		waiting int
+		cores   float64
 	}{{"room", 0, 1}, {"500 wait", 500, 100}} {
 		b.Run(c.name, func(b *testing.B) {
-			cl := testCluster()
-			cl.JobClasses[2].PriorityWeight = 0.5
-			h := &recorder{}
-			s := New(h, testStart, 7, cl)
+			cluster := testCluster()
+			cluster.JobClasses[2].PriorityWeight = 0.5
+			r := &recorder{}
+			s := New(r, testStart, 7, cluster)
 			s.OnListBegin(testStart, ListCached)
 			for i := range 400 {
 				s.OnListNode(testStart, ListEntry{
@@ -23,7 +24,7 @@
 			}
 			s.OnListEnd(testStart)
 			now := testStart
-			for i := range c.waits {
+			for i := range c.waiting {
 				s.OnRequest(now, Request{
 					Allocation: uint32(1e6 + i), Class: 2, Deadline: now + 1e12, Service: uint64(i),
 					Cores: c.cores, Memory: 2,
@@ -31,7 +32,7 @@
 			}
 			for id := uint32(1); b.Loop(); id++ {
 				now += 2
-				h.lines = h.lines[:0]
+				r.lines = r.lines[:0]
 				s.OnRequest(now, Request{Allocation: id, Deadline: now + 5000, Service: uint64(id % 40), Cores: 1, Memory: 2})
 				s.Decide(now)
 				s.OnStarted(now, id, 0, 50)
--- a/logic/helper_test.go
+++ b/logic/helper_test.go
@@ -6,28 +6,30 @@
 	"testing"
 )
 
-// recorder implements Effects: it keeps one line for each call.
+// recorder implements Effects and records one line for each call, except for timers.
 type recorder struct{ lines []string }
 
-func (b *recorder) record(f string, args ...any) { b.lines = append(b.lines, fmt.Sprintf(f, args...)) }
+func (r *recorder) record(format string, args ...any) {
+	r.lines = append(r.lines, fmt.Sprintf(format, args...))
+}
 
-func (b *recorder) StartAttempt(alloc, node uint32, _ float64) {
-	b.record("attempt %d %d", alloc, node)
+func (r *recorder) StartAttempt(alloc, node uint32, _ float64) {
+	r.record("attempt %d %d", alloc, node)
 }
-func (b *recorder) Shed(alloc uint32, _ float64)       { b.record("shed %d", alloc) }
-func (b *recorder) Fail(alloc uint32)                  { b.record("fail %d", alloc) }
-func (b *recorder) Cancel(alloc uint32, attempt uint8) { b.record("cancel %d %d", alloc, attempt) }
-func (b *recorder) Migrate(alloc uint32)               { b.record("migrate %d", alloc) }
-func (b *recorder) Probe(node uint32)                  { b.record("probe %d", node) }
-func (b *recorder) WatchList(active bool)              { b.record("watch") }
-func (b *recorder) ReloadList()                        { b.record("reload") }
-func (b *recorder) SetTimer(float64, uint64)           {}
-func (b *recorder) Log(line string)                    { b.record("log %s", line) }
-
-// count is the number of lines with a prefix.
-func (b *recorder) count(prefix string) int {
+func (r *recorder) Shed(alloc uint32, _ float64)       { r.record("shed %d", alloc) }
+func (r *recorder) Fail(alloc uint32)                  { r.record("fail %d", alloc) }
+func (r *recorder) Cancel(alloc uint32, attempt uint8) { r.record("cancel %d %d", alloc, attempt) }
+func (r *recorder) Migrate(alloc uint32)               { r.record("migrate %d", alloc) }
+func (r *recorder) Probe(node uint32)                  { r.record("probe %d", node) }
+func (r *recorder) WatchList(active bool)              { r.record("watch") }
+func (r *recorder) ReloadList()                        { r.record("reload") }
+func (r *recorder) SetTimer(float64, uint64)           {}
+func (r *recorder) Log(line string)                    { r.record("log %s", line) }
+
+// count returns the number of recorded lines with a prefix.
+func (r *recorder) count(prefix string) int {
 	n := 0
-	for _, l := range b.lines {
+	for _, l := range r.lines {
 		if strings.HasPrefix(l, prefix) {
 			n++
 		}
@@ -35,18 +37,18 @@
 	return n
 }
 
-// lastNode is the node of the last attempt, or 0.
-func (b *recorder) lastNode() uint32 {
+// lastNode returns the node of the last attempt, or 0 if there was none.
+func (r *recorder) lastNode() uint32 {
 	var alloc, node uint32
-	for _, l := range b.lines {
+	for _, l := range r.lines {
 		_, _ = fmt.Sscanf(l, "attempt %d %d", &alloc, &node)
 	}
 	return node
 }
 
-const testStart = 1e6 // when a test begins, ms
+const testStart = 1e6 // time at which each test starts, ms
 
-// testCluster is a deployment of three job classes, one of each retry semantics, on nodes of two kinds.
+// testCluster returns a deployment with three job classes, one for each retry semantics, and two node kinds.
 func testCluster() *Cluster {
 	return &Cluster{
 		Schedulers: 2, ListMaxSilence: 10000, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true,
@@ -60,7 +62,7 @@
 	}
 }
 
-// harness is a scheduler with a record of its effects. Node ids begin at 10; a cell has two nodes, a zone two cells.
+// harness is a scheduler whose effects are recorded. Node ids start at 10; a cell has two nodes and a zone two cells.
 type harness struct {
 	t         *testing.T
 	effects   *recorder
@@ -68,6 +70,7 @@
 	now       float64
 }
 
+// newHarness starts a scheduler that has received a cached list with a number of ready nodes, all of which have answered before.
 func newHarness(t *testing.T, cl *Cluster, nodes int) *harness {
 	t.Helper()
 	x := &harness{t: t, effects: &recorder{}, now: testStart}
@@ -83,6 +86,7 @@
 	return x
 }
 
+// listNode delivers one list entry of an empty node.
 func (x *harness) listNode(id uint32, availability Availability, startedAt float64) {
 	i := int(id - 10)
 	x.scheduler.OnListNode(x.now, ListEntry{
@@ -91,20 +95,20 @@
 	})
 }
 
-// updateNode delivers a change of one node.
+// updateNode delivers a list message with a change of one node.
 func (x *harness) updateNode(id uint32, availability Availability, startedAt float64) {
 	x.scheduler.OnListBegin(x.now, ListChanges)
 	x.listNode(id, availability, startedAt)
 	x.scheduler.OnListEnd(x.now)
 }
 
-// request asks for an allocation of 1 core and 2 memory with a deadline in 5 s.
+// request delivers a request for an allocation of 1 core and 2 units of memory with a deadline in 5 s.
 func (x *harness) request(id uint32, class int, service uint64) {
 	x.scheduler.OnRequest(x.now, Request{Allocation: id, Class: class, Deadline: x.now + 5000, Service: service, Cores: 1, Memory: 2})
 	x.scheduler.Decide(x.now)
 }
 
-// complete delivers the outcome of the last attempt of an allocation.
+// complete delivers the outcome of an attempt of an allocation at the node of the last attempt.
 func (x *harness) complete(id uint32, attempt uint8, outcome Outcome, reason Reason) {
 	x.scheduler.OnOutcome(x.now, AttemptResult{
 		Allocation: id, Node: x.effects.lastNode(), Attempt: attempt, Duration: 100,
@@ -113,7 +117,7 @@
 	x.scheduler.Decide(x.now)
 }
 
-// advance lets time pass and the timers fire.
+// advance moves time forward and fires the timers.
 func (x *harness) advance(ms float64) {
 	for end := x.now + ms; x.now < end; {
 		x.now = min(x.now+tickInterval, end)
@@ -123,10 +127,10 @@
 	}
 }
 
-// expect checks how many lines have a prefix.
+// expect checks the number of recorded effects with a prefix.
 func (x *harness) expect(prefix string, n int) {
 	x.t.Helper()
 	if got := x.effects.count(prefix); got != n {
-		x.t.Errorf("%q: %d times, want %d, in %q", prefix, got, n, x.effects.lines)
+		x.t.Errorf("effects with prefix %q: got %d, want %d; all effects: %q", prefix, got, n, x.effects.lines)
 	}
 }
--- a/logic/placement_test.go
+++ b/logic/placement_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestSelectTop compares with a full sort that keeps the order of equals.
+// TestSelectTop compares the result of selectTop with a stable sort of all candidates.
 func TestSelectTop(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
@@ -18,7 +18,7 @@
 		slices.SortStableFunc(want, func(x, y candidate) int { return int(y.score - x.score) })
 		selectTop(all, 3)
 		if n := min(3, len(all)); !slices.Equal(all[:n], want[:n]) {
-			t.Fatalf("%v, want %v first", all, want)
+			t.Fatalf("got %v, want the order of the sorted candidates %v for the first three", all, want)
 		}
 	}
 }
--- a/logic/probing_test.go
+++ b/logic/probing_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// TestProbeBeforeDraw checks that, where reports come only with probes, the best candidates with old reports are probed first and their
-// answers count; without answers the attempt is sent all the same.
+// TestProbeBeforeDraw checks that, where reports arrive only with probe results, the best candidates with old reports are probed before the draw
+// and the draw uses their answers. If no answers arrive, the attempt is sent after probeWait.
 func TestProbeBeforeDraw(t *testing.T) {
 	for _, c := range []struct {
 		name               string
-		piggybacked, fresh bool // reports are piggybacked, are recent
-		answer             bool
-		probes             int
+		piggybacked, fresh bool // whether reports arrive with outcomes; whether the last ones are recent
+		answer             bool // whether the probes are answered
+		probes             int  // expected number
 	}{
-		{"old", false, false, true, 2},
-		{"no answer", false, false, false, 2},
-		{"recent", false, true, true, 0},
-		{"piggybacked", true, false, true, 0},
+		{"old reports", false, false, true, 2},
+		{"old reports, no answer", false, false, false, 2},
+		{"recent reports", false, true, true, 0},
+		{"piggybacked reports", true, false, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cl := testCluster()
@@ -30,7 +30,7 @@
 			x.request(1, 0, 5)
 			x.expect("probe", c.probes)
 			x.expect("attempt", (2-c.probes)/2)
-			if c.answer && c.probes > 0 { // node 10 is full
+			if c.answer && c.probes > 0 { // node 10 reports that it is full
 				x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1, Report: []float64{-40, 40}})
 				x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 11, Outcome: Completed, Duration: 1, Report: []float64{20, 40}})
 				x.scheduler.Decide(x.now)
--- a/logic/queue_test.go
+++ b/logic/queue_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// newLoadHarness is a scheduler with four nodes of two kinds, on which loads are played.
+// newLoadHarness starts a scheduler with four nodes of two kinds for random loads.
 func newLoadHarness(t *testing.T, seed uint64) *harness {
 	t.Helper()
 	cl := testCluster()
@@ -23,7 +23,7 @@
 	return x
 }
 
-// drawRequest plays a round with one request.
+// drawRequest runs a round with one random request.
 func (x *harness) drawRequest(rng *rand.Rand, id uint32) {
 	x.now += 100 * rng.Float64()
 	size := float64(1 + rng.IntN(12))
@@ -38,7 +38,7 @@
 	x.scheduler.Decide(x.now)
 }
 
-// drawOutcome delivers a start or an outcome of one attempt in flight, if there is one.
+// drawOutcome delivers a random start or outcome of one attempt in flight, and reports whether there is one.
 func (x *harness) drawOutcome(rng *rand.Rand) bool {
 	inFlight := slices.DeleteFunc(slices.Clone(x.scheduler.allocations.all), func(a allocation) bool { return !a.inFlight })
 	if len(inFlight) == 0 {
@@ -60,7 +60,7 @@
 	return true
 }
 
-// checkPlaced fails if an allocation waits that some node would take.
+// checkPlaced fails the test if an allocation waits although some node accepts it.
 func (x *harness) checkPlaced(seed uint64) {
 	x.t.Helper()
 	s := x.scheduler
@@ -68,13 +68,13 @@
 		a := &s.allocations.all[i]
 		for n := range s.nodes.all {
 			if node := &s.nodes.all[n]; node.availability == Ready && s.nodeAccepts(a, node) && s.allocationAllows(a, n, node) {
-				x.t.Fatalf("seed %d: %d waits, and node %d would take it", seed, a.id, node.id)
+				x.t.Fatalf("seed %d: allocation %d waits, but node %d accepts it", seed, a.id, node.id)
 			}
 		}
 	}
 }
 
-// checkSums fails if a cached sum is not what the changes since the last report come to.
+// checkSums fails the test if a cached sum differs from the sum of the last report and the changes since.
 func (x *harness) checkSums(seed uint64) {
 	x.t.Helper()
 	for n := range x.scheduler.nodes.all {
@@ -82,13 +82,13 @@
 		cached := node.capacity.allocated()
 		node.capacity.sumValid = false
 		if summed := node.capacity.allocated(); cached != summed {
-			x.t.Fatalf("seed %d: node %d has %+v allocated, cached as %+v", seed, node.id, summed, cached)
+			x.t.Fatalf("seed %d: node %d: resources summed from the changes are %+v, but the cached sum is %+v", seed, node.id, summed, cached)
 		}
 	}
 }
 
-// TestQueueFullyPlaced plays random loads on few nodes: after each round no allocation waits that some node would take, and cached sums equal
-// what the changes since the last report come to.
+// TestQueueFullyPlaced runs random loads on few nodes. After each round no allocation may wait that some node accepts, and cached sums have to
+// equal the sum of the last report and the changes since.
 func TestQueueFullyPlaced(t *testing.T) {
 	skipped, sent := 0, 0
 	for seed := range uint64(200) {
@@ -105,6 +105,6 @@
 		}
 	}
 	if skipped < 1000 || sent < 1000 {
-		t.Errorf("%d scans were skipped, %d outcomes: too few for a result", skipped, sent)
+		t.Errorf("got %d skipped allocations and %d outcomes, want at least 1000 of each for a meaningful result", skipped, sent)
 	}
 }
--- a/logic/scheduler_test.go
+++ b/logic/scheduler_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// TestUnusualEvents checks that unusual but legal events stop nothing, and that what waits is placed once a node is there.
+// TestUnusualEvents checks that unusual but valid events do not stop the scheduler, and that a request is placed once a node is available.
 func TestUnusualEvents(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		cl    func(*Cluster)
 		setUp func(*harness)
 	}{
-		{"a list with no nodes", func(*Cluster) {}, func(x *harness) { x.scheduler.OnListBegin(x.now, ListFull); x.scheduler.OnListEnd(x.now) }},
-		{"no reports", func(cl *Cluster) { cl.ReportFields, cl.ReportsPiggybacked = nil, false }, func(*harness) {}},
+		{"full list without nodes", func(*Cluster) {}, func(x *harness) { x.scheduler.OnListBegin(x.now, ListFull); x.scheduler.OnListEnd(x.now) }},
+		{"no load reports", func(cl *Cluster) { cl.ReportFields, cl.ReportsPiggybacked = nil, false }, func(*harness) {}},
 		{"one scheduler", func(cl *Cluster) { cl.Schedulers = 1 }, func(*harness) {}},
-		{"an index past all others", func(cl *Cluster) { cl.Schedulers, cl.Index, cl.SlowStartLimit = 9, 60000, 3 }, func(*harness) {}},
-		{"events for unknown allocations", func(*Cluster) {}, func(x *harness) {
+		{"index not below the number of schedulers", func(cl *Cluster) { cl.Schedulers, cl.Index, cl.SlowStartLimit = 9, 60000, 3 }, func(*harness) {}},
+		{"events for unknown allocations and nodes", func(*Cluster) {}, func(x *harness) {
 			x.scheduler.OnOutcome(x.now, AttemptResult{
 				Allocation: 7, Node: 10, Attempt: 3, Duration: 5, Answered: true,
 				Outcome: Completed, Report: []float64{1},
@@ -27,7 +27,7 @@
 			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 99, Outcome: Completed, Duration: 1})
 			x.scheduler.OnTimer(x.now, timerDeadline+7)
 		}},
-		{"a node kind without sizes", func(*Cluster) {}, func(x *harness) {
+		{"node kind without sizes", func(*Cluster) {}, func(x *harness) {
 			x.scheduler.OnListBegin(x.now, ListChanges)
 			x.scheduler.OnListNode(x.now, ListEntry{Node: 50, Availability: Ready, FreeCores: 0, FreeMemory: 0, Zone: 9, Cell: 99, Kind: 7})
 			x.scheduler.OnListEnd(x.now)
@@ -41,7 +41,7 @@
 			x.request(1, 0, 5)
 			x.advance(200)
 			x.updateNode(10, Unavailable, 0)
-			x.updateNode(10, Ready, x.now) // back under its id, in slow start
+			x.updateNode(10, Ready, x.now) // restarted with the same id, in slow start
 			x.advance(cl.SlowStartDuration + 1000)
 			x.scheduler.OnOutcome(x.now, AttemptResult{Allocation: 1, Node: 10, Duration: 5, Answered: true, Outcome: ConnectionLost})
 			x.request(2, 0, 5)
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestDeterminism checks that the same polls and seed give the same decisions.
+// TestDeterminism checks that the same events and seed give the same decisions.
 func TestDeterminism(t *testing.T) {
 	var runs [2][]string
 	for r := range runs {
@@ -66,6 +66,6 @@
 		runs[r] = x.effects.lines
 	}
 	if !reflect.DeepEqual(runs[0], runs[1]) {
-		t.Error("two runs differ")
+		t.Error("got different effects in two runs with the same events and seed, want the same")
 	}
 }
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -7,39 +7,39 @@
 	"testing"
 )
 
-// TestSlowStartShare checks rule 4: a node in slow start gets at most this scheduler's share, rejected attempts counted, and nothing at once
-// after a restart that forgot what was sent.
+// TestSlowStartShare checks that a node in slow start gets at most this scheduler's share of attempts, including rejected ones, and none directly
+// after a restart of the scheduler, which does not know the attempts it sent before (rule 4).
 func TestSlowStartShare(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		since float64 // before the list came
-		after float64
-		v     Outcome
-		want  int
+		name    string
+		uptime  float64 // time from the start of the node to the list message
+		delay   float64
+		outcome Outcome
+		want    int
 	}{
-		{"cold", 0, 5000, Rejected, 4},
-		{"cold, starts", 0, 5000, Completed, 4},
-		{"restarted scheduler", 5000, 0, Completed, 0},
-		{"restarted, later", 5000, 2600, Completed, 4},
-		{"warm", 20000, 0, Completed, maxUnanswered},
+		{"cold node rejects", 0, 5000, Rejected, 4},
+		{"cold node", 0, 5000, Completed, 4},
+		{"directly after a restart", 5000, 0, Completed, 0},
+		{"later after a restart", 5000, 2600, Completed, 4},
+		{"warm node", 20000, 0, Completed, maxUnanswered},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newHarness(t, testCluster(), 0)
 			kind := ListCached
-			if c.since == 0 {
-				x.advance(c.after)
+			if c.uptime == 0 {
+				x.advance(c.delay)
 				kind = ListChanges
 			}
 			x.scheduler.OnListBegin(x.now, kind)
-			x.listNode(10, Ready, x.now-c.since)
+			x.listNode(10, Ready, x.now-c.uptime)
 			x.scheduler.OnListEnd(x.now)
 			x.scheduler.nodes.all[0].health.lastAnswerAt = x.now
-			if c.since > 0 {
-				x.advance(c.after)
+			if c.uptime > 0 {
+				x.advance(c.delay)
 			}
 			for id := range uint32(9) {
 				x.request(id, 0, 5)
-				if c.v == Rejected {
+				if c.outcome == Rejected {
 					x.scheduler.OnOutcome(x.now, AttemptResult{
 						Allocation: id, Node: 10, Duration: 5,
 						Reason: NotAccepting, Outcome: Rejected,
@@ -53,7 +53,7 @@
 	}
 }
 
-// turnTimes is when a scheduler may send attempts to a node that stays in slow start for a minute; it looks every 500 ms.
+// turnTimes returns the times at which a scheduler may send attempts to a node that stays in slow start for a minute, checked every 500 ms.
 func turnTimes(t *testing.T, cl *Cluster) (at []float64) {
 	t.Helper()
 	x := newHarness(t, cl, 0)
@@ -69,22 +69,22 @@
 	return at
 }
 
-// TestSlowStartTurns checks rule 4 where a share is less than one attempt: the turns of all schedulers together keep within the limit in
-// any window, however they lie, and each scheduler has one before the node can be warm.
+// TestSlowStartTurns checks shares of less than one attempt: the turns of all schedulers together keep within the limit in any window, and each
+// scheduler has a turn within a minute where the limit is large enough for that (rule 4).
 func TestSlowStartTurns(t *testing.T) {
 	for _, c := range []struct {
-		schedulers int
-		limit      float64
-		reach      bool // whether each has a turn within a minute
+		schedulers  int
+		limit       float64
+		allHaveTurn bool // whether each scheduler is expected to have a turn within a minute
 	}{{300, 49, true}, {230, 90, true}, {1000, 3, false}, {5000, 2, false}, {40, 1, false}, {40, 0, false}} {
 		t.Run(fmt.Sprint(c.schedulers, c.limit), func(t *testing.T) {
 			cl := testCluster()
 			cl.Schedulers, cl.SlowStartLimit, cl.SlowStartWindow = c.schedulers, c.limit, 2000
-			var at []float64 // attempts of all schedulers
+			var at []float64 // send times of the attempts of all schedulers
 			for cl.Index = range c.schedulers {
 				own := turnTimes(t, cl)
-				if c.reach && len(own) == 0 {
-					t.Errorf("scheduler %d never has a turn", cl.Index)
+				if c.allHaveTurn && len(own) == 0 {
+					t.Errorf("scheduler %d: got no turn within a minute, want at least one", cl.Index)
 				}
 				at = append(at, own...)
 			}
@@ -94,22 +94,22 @@
 					i++
 				}
 				if n := j - i + 1; float64(n) > c.limit {
-					t.Fatalf("%d attempts within a window, the limit is %v", n, c.limit)
+					t.Fatalf("got %d attempts within a window, want at most %v", n, c.limit)
 				}
 			}
 		})
 	}
 }
 
-// TestFirstAnswer checks that a node that started long ago but has not answered yet gets one attempt until its first answer, whatever the
-// slow-start share.
+// TestFirstAnswer checks that a node that started long ago but has not answered yet gets only one attempt until its first answer, regardless of
+// the slow-start share.
 func TestFirstAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		limit  float64
 		answer bool
 		want   int
-	}{{"no share", 0, false, 1}, {"a large share", 100, false, 1}, {"answered", 0, true, maxUnanswered + 1}} {
+	}{{"no answer, no share", 0, false, 1}, {"no answer, large share", 100, false, 1}, {"answered, no share", 0, true, maxUnanswered + 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			cl := testCluster()
 			cl.SlowStartLimit = c.limit
