--- a/logic/allocations.go
+++ b/logic/allocations.go
@@ -84,12 +84,12 @@
 }
 
 // count changes the number of the service's allocations on a node by delta.
-func (v *service) count(node, delta int) {
-	i := slices.IndexFunc(v.placements, func(p placement) bool { return p.node == node })
+func (svc *service) count(node, delta int) {
+	i := slices.IndexFunc(svc.placements, func(p placement) bool { return p.node == node })
 	if i < 0 {
-		v.placements = append(v.placements, placement{node, delta})
-	} else if v.placements[i].count += delta; v.placements[i].count == 0 {
-		v.placements = slices.Delete(v.placements, i, i+1)
+		svc.placements = append(svc.placements, placement{node, delta})
+	} else if svc.placements[i].count += delta; svc.placements[i].count == 0 {
+		svc.placements = slices.Delete(svc.placements, i, i+1)
 	}
 }
 
--- a/logic/belief.go
+++ b/logic/belief.go
@@ -15,14 +15,14 @@
 		return Belief{}, false
 	}
 	free := node.capacity.size.minus(node.capacity.allocated())
-	belief := Belief{
+	estimate := Belief{
 		Cores: free.cores, Memory: free.memory,
 		Degradation: node.health.degradationAt(s.now), Unhealthy: node.health.unreachable,
 	}
 	for class := range s.classes {
-		belief.FailureRate = max(belief.FailureRate, node.health.failureRate(class))
+		estimate.FailureRate = max(estimate.FailureRate, node.health.failureRate(class))
 	}
-	return belief, true
+	return estimate, true
 }
 
 // BeliefError returns by how much the estimates of unallocated cores and memory exceed a new report, which must not have been applied yet.
--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -9,7 +9,7 @@
 		name    string
 		waiting int
 		cores   float64
-	}{{"room", 0, 1}, {"500 wait", 500, 100}} {
+	}{{"none waiting", 0, 1}, {"500 waiting", 500, 100}} {
 		b.Run(c.name, func(b *testing.B) {
 			cluster := testCluster()
 			cluster.JobClasses[2].PriorityWeight = 0.5
--- a/logic/health.go
+++ b/logic/health.go
@@ -93,9 +93,9 @@
 	if len(node.unanswered) == 0 {
 		return false
 	}
-	first := &s.allocations.all[node.unanswered[0]]
-	expected := s.classes[first.class].startTimes.quantile(startTimeQuantile)
-	return s.now-max(first.sentAt, node.health.lastAnswerAt) > max(minAttemptTimeout, expected)
+	oldest := &s.allocations.all[node.unanswered[0]]
+	expected := s.classes[oldest.class].startTimes.quantile(startTimeQuantile)
+	return s.now-max(oldest.sentAt, node.health.lastAnswerAt) > max(minAttemptTimeout, expected)
 }
 
 // checkResponsiveness probes a node that does not answer and counts it as unreachable until the result arrives. Where nodes cannot be
--- a/logic/list.go
+++ b/logic/list.go
@@ -36,7 +36,7 @@
 		s.nodes.all = append(s.nodes.all, nodeState{id: entry.Node, availability: Unavailable, health: newNodeHealth(len(s.classes))})
 	}
 	node := &s.nodes.all[i]
-	// restarted: the node has started or become available again since the last message
+	// restarted is whether the node has started or become available again since the last message.
 	restarted := !known && s.list.kind != ListCached ||
 		known && (node.availability == Unavailable || entry.StartedAt > node.startedAt)
 	node.listVersion, node.zone, node.cell, node.kind = s.list.version, entry.Zone, entry.Cell, entry.Kind
--- a/logic/placement.go
+++ b/logic/placement.go
@@ -17,10 +17,10 @@
 type preferenceTier uint8
 
 const (
-	tierNormal preferenceTier = iota
-	tierSurplus
-	tierUnreachable
-	tierNone // above all tiers, no node has it
+	tierNormal      preferenceTier = iota
+	tierSurplus                    // not needed for the current load
+	tierUnreachable                // does not answer
+	tierNone                       // upper bound that no node has
 )
 
 func (n *nodeState) tier() preferenceTier {
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -9,7 +9,7 @@
 const (
 	scanInterval   = 20               // interval between scans of the queue, ms
 	rescanDelay    = scanInterval / 4 // maximum time from an outcome to the next scan, ms
-	minTimeToStart = 60               // minimum time before the deadline at which an attempt is still sent, ms
+	minTimeToStart = 60               // minimum time left before the deadline for an attempt to be sent, ms
 )
 
 // placementQueue holds allocations that wait for a node.
--- a/logic/random.go
+++ b/logic/random.go
@@ -16,5 +16,5 @@
 // float returns a uniformly distributed number in [0, 1).
 func (p *pcg) float() float64 { return float64(p.next()) / (1 << 32) }
 
-// intN returns a uniformly distributed integer in [0, n).
+// intN returns a uniformly distributed integer from 0 to n-1.
 func (p *pcg) intN(n int) int { return int(math.Floor(p.float() * float64(n))) }
