--- a/logic/chain.go
+++ b/logic/chain.go
@@ -1,33 +1,33 @@
 package logic
 
-// decision is what a stage makes of an allocation.
+// decision is the result of a stage for an allocation.
 type decision uint8
 
 const (
-	proceed decision = iota // pass it to the next stage
+	proceed decision = iota // pass the allocation to the next stage
 	wait                    // keep it in the queue
-	finish                  // give it its final answer
+	finish                  // give the final answer
 )
 
-// stage is one link of the chain: advance on the way to a node, handleOutcome on the way back with the outcome of the attempt.
+// stage is one step of the pipeline: advance runs before an attempt is sent, handleOutcome when the outcome of the attempt has arrived.
 type stage struct {
 	advance       func(*Scheduler, *allocation) decision
 	handleOutcome func(*Scheduler, *allocation, *nodeState, Outcome, Reason)
 }
 
-// chain lists the stages in the order of the way to a node.
-var chain = [...]stage{
+// pipeline lists the stages in the order in which advance runs; handleOutcome runs in reverse order.
+var pipeline = [...]stage{
 	{(*Scheduler).checkDeadline, (*Scheduler).requeueOrAnswer},
-	{(*Scheduler).checkAttempts, (*Scheduler).noteMayHaveRun},
-	{(*Scheduler).chooseNode, (*Scheduler).learnFromOutcome},
+	{(*Scheduler).checkAttempts, (*Scheduler).recordMayHaveRun},
+	{(*Scheduler).chooseNode, (*Scheduler).updateNodeFromOutcome},
 	{(*Scheduler).sendAttempt, (*Scheduler).releaseAttempt},
 }
 
-// advance takes an allocation as far along the chain as it gets.
+// advance runs the stages for an allocation until one of them does not return proceed.
 func (s *Scheduler) advance(alloc *allocation) decision {
 	result := proceed
-	for i := 0; i < len(chain) && result == proceed; i++ {
-		result = chain[i].advance(s, alloc)
+	for i := 0; i < len(pipeline) && result == proceed; i++ {
+		result = pipeline[i].advance(s, alloc)
 	}
 	if result == finish {
 		s.answer(alloc)
@@ -35,7 +35,7 @@
 	return result
 }
 
-// OnOutcome implements EventHandler: the outcome passes the stages in reverse order.
+// OnOutcome implements EventHandler: the outcome passes through the stages in reverse order.
 func (s *Scheduler) OnOutcome(now float64, result AttemptResult) {
 	s.now = now
 	if node, ok := s.nodes.find(result.Node); ok {
@@ -51,9 +51,9 @@
 	}
 	alloc.answered = alloc.answered || result.Answered
 	node := &s.nodes.all[alloc.node]
-	for x := len(chain) - 1; x >= 0; x-- {
-		chain[x].handleOutcome(s, alloc, node, result.Outcome, result.Reason)
+	for x := len(pipeline) - 1; x >= 0; x-- {
+		pipeline[x].handleOutcome(s, alloc, node, result.Outcome, result.Reason)
 	}
-	s.forget(i)
+	s.removeIfDone(i)
 	s.queue.nextScanAt = min(s.queue.nextScanAt, now+rescanDelay)
 }
