--- a/internal/serve/cluster_state.go
+++ b/internal/serve/cluster_state.go
@@ -34,16 +34,16 @@
 
 // startClusterControl starts the replica and the routing by zones. It returns nil if the site file names no voters.
 func startClusterControl(s *Server) (*clusterControl, error) {
-	siteConfig, own := s.config.Site, s.config.Zone
+	siteConfig, ownZone := s.config.Site, s.config.Zone
 	if len(siteConfig.Members.Voters) == 0 {
 		return nil, nil
 	}
-	config := consensus.Config{Name: s.config.Name, Zone: own, Incarnation: s.membership.incarnation, Voters: siteConfig.Members.Voters, Seed: s.config.Seed}
-	switch zone := slices.Index(siteConfig.Zones, own); {
+	config := consensus.Config{Name: s.config.Name, Zone: ownZone, Incarnation: s.membership.incarnation, Voters: siteConfig.Members.Voters, Seed: s.config.Seed}
+	switch zone := slices.Index(siteConfig.Zones, ownZone); {
 	case zone >= 0:
 		config.Region = siteConfig.Regions[zone]
-	case own != "":
-		return nil, fmt.Errorf("zone %q: the site file has %q", own, siteConfig.Zones)
+	case ownZone != "":
+		return nil, fmt.Errorf("zone %q: the site file has %q", ownZone, siteConfig.Zones)
 	}
 	storage, err := openVoterStorage(s.process)
 	if err != nil {
--- a/internal/serve/cluster_state_test.go
+++ b/internal/serve/cluster_state_test.go
@@ -8,9 +8,9 @@
 	"ravenpond/internal/site"
 )
 
-// TestControlStalled has the goroutine of the consensus replica stall while a scheduler serves that can't reach the other voters: requests
+// TestConsensusReplicaStalled has the goroutine of the consensus replica stall while a scheduler serves that can't reach the other voters: requests
 // wait for none of it, and are placed in degraded mode.
-func TestControlStalled(t *testing.T) {
+func TestConsensusReplicaStalled(t *testing.T) {
 	s := newTestCluster(t, 1, 4, false)
 	local := make(chan *Server, 1)
 	s.configure = func(config *Config) {
--- a/internal/serve/list_client.go
+++ b/internal/serve/list_client.go
@@ -54,7 +54,7 @@
 	watches     bool // the list server pushes changes
 
 	mu          sync.Mutex // guards the fields below
-	pace        *reconnect.Pacer
+	pacer       *reconnect.Pacer
 	pending     []listCall
 	conn        env.Conn // nil while there is none
 	dialing     bool
@@ -72,7 +72,7 @@
 func newListClient(p *process, endpoints *endpointList, maintenance *maintenanceRunner, handler listHandler) *listClient {
 	l := &listClient{
 		process: p, endpoints: endpoints, maintenance: maintenance, handler: handler,
-		watches: !p.config.Site.Cluster.PollsList, pace: reconnect.New(p.config.Seed + 1),
+		watches: !p.config.Site.Cluster.PollsList, pacer: reconnect.New(p.config.Seed + 1),
 	}
 	l.answer = listAnswerReader{complete: l.onAnswer, failed: l.onFailure}
 	return l
@@ -84,7 +84,7 @@
 		return
 	}
 	l.mu.Lock()
-	l.pace.SetEnabled(l.env.Now(), 0, true)
+	l.pacer.SetEnabled(l.env.Now(), 0, true)
 	l.mu.Unlock()
 	l.dialWhenDue()
 }
@@ -112,12 +112,12 @@
 		return
 	}
 	now := l.env.Now()
-	if _, ok := l.pace.Next(now); ok {
+	if _, ok := l.pacer.Next(now); ok {
 		l.pending = append([]listCall{watchCall}, l.pending...)
 		l.dial()
 		return
 	}
-	if due := l.pace.Due(); due < now+maxRetryDelay {
+	if due := l.pacer.Due(); due < now+maxRetryDelay {
 		l.env.After(max(1, due-now), l.dialWhenDue)
 	}
 }
@@ -132,7 +132,7 @@
 		l.sendPending()
 	case l.dialing || l.conn != nil:
 	default:
-		l.dropNeedless()
+		l.dropUnneeded()
 		if len(l.pending) == 0 {
 			return
 		}
@@ -143,8 +143,8 @@
 	}
 }
 
-// dropNeedless removes the pending calls for which no connection is opened. The caller holds mu.
-func (l *listClient) dropNeedless() {
+// dropUnneeded removes the pending calls for which no connection is opened. The caller holds mu.
+func (l *listClient) dropUnneeded() {
 	l.pending = slices.DeleteFunc(l.pending, func(call listCall) bool {
 		if call == maintenanceCall && l.watches { // a connection begins with the watch; the marks follow at the next poll
 			l.maintenance.resendMarks()
@@ -276,10 +276,10 @@
 	closed, sentCall, now := l.closed, l.sentCall, l.env.Now()
 	l.pending = l.pending[:0]
 	if l.watches && now-l.dialedAt > 2*listAnswerTimeout {
-		l.pace.OnConnected(now, 0)
-		l.pace.OnDisconnected(now, 0)
+		l.pacer.OnConnected(now, 0)
+		l.pacer.OnDisconnected(now, 0)
 	} else if l.watches {
-		l.pace.OnDialFailed(now, 0)
+		l.pacer.OnDialFailed(now, 0)
 	}
 	l.mu.Unlock()
 	if closed {
--- a/internal/serve/list_updates.go
+++ b/internal/serve/list_updates.go
@@ -35,8 +35,8 @@
 	} else {
 		sh.postList(logic.ListCached, s.endpoints.all())
 	}
-	out := s.maintenance.nodesOut()
-	sh.post(func(now float64) { sh.engine.SetMaintenance(now, out, true) })
-	s.membership.sendHeldBack(sh)
+	nodes := s.maintenance.nodesInMaintenance()
+	sh.post(func(now float64) { sh.engine.SetMaintenance(now, nodes, true) })
+	s.membership.sendUnready(sh)
 	s.clusterControl.sendExcluded(sh)
 }
--- a/internal/serve/maintenance.go
+++ b/internal/serve/maintenance.go
@@ -26,9 +26,9 @@
 const (
 	// maintenanceInterval is the time between two polls of the windows, ms.
 	maintenanceInterval = 1000
-	// outMarkLifetime is how long, in ms, the list server keeps a mark that is not renewed: a scheduler that is gone for good
+	// maintenanceMarkLifetime is how long, in ms, the list server keeps a mark that is not renewed: a scheduler that is gone for good
 	// must not keep a node out.
-	outMarkLifetime = 60000
+	maintenanceMarkLifetime = 60000
 	// marksPerLifetime is how often a mark is renewed in its lifetime.
 	marksPerLifetime = 3
 	// loadSaveInterval is the time between two saves of the measured load.
@@ -48,13 +48,13 @@
 	// The polls alone use these.
 	controller *maintenance.Controller
 	history    loadHistory
-	lastFault  string // of the last poll, so that one that stays is logged once
+	lastError  string // of the last poll, so that one that stays is logged once
 
-	mu          sync.Mutex // guards the fields below
-	out         map[uint32]bool
-	returned    []uint32 // nodes that came back, of which the list server has not been told
-	marksSentAt float64
-	taskCounts  map[int]taskCount // by shard
+	mu            sync.Mutex // guards the fields below
+	inMaintenance map[uint32]bool
+	returned      []uint32 // nodes that came back, of which the list server has not been told
+	marksSentAt   float64
+	taskCounts    map[int]taskCount // by shard
 }
 
 // shardLister gives the shards that run.
@@ -75,7 +75,7 @@
 }
 
 func newMaintenanceRunner(p *process, endpoints *endpointList, shards shardLister) *maintenanceRunner {
-	m := &maintenanceRunner{process: p, endpoints: endpoints, shards: shards, out: map[uint32]bool{}, taskCounts: map[int]taskCount{}}
+	m := &maintenanceRunner{process: p, endpoints: endpoints, shards: shards, inMaintenance: map[uint32]bool{}, taskCounts: map[int]taskCount{}}
 	var executor maintenance.Executor = maintenanceExecutor{m}
 	if wrap := p.config.Faults.WrapMaintenance; wrap != nil {
 		executor = wrap(executor)
@@ -99,7 +99,7 @@
 	defer m.mu.Unlock()
 	for _, drain := range open {
 		for _, id := range parseNodeIDs(drain.Verdict.Nodes) {
-			m.out[id] = true
+			m.inMaintenance[id] = true
 		}
 	}
 	return nil
@@ -115,14 +115,14 @@
 
 // poll carries out what is due. While it fails, windows stand still and placement goes on.
 func (m *maintenanceRunner) poll() {
-	fault := ""
+	failure := ""
 	if err := m.run(); err != nil && !errors.Is(err, maintenancestore.ErrLocked) { // the command line has the store just now
-		fault = err.Error()
+		failure = err.Error()
 	}
-	if fault != m.lastFault && fault != "" {
-		m.log.Error().Str("mode", "drains").Msg(fault)
+	if failure != m.lastError && failure != "" {
+		m.log.Error().Str("mode", "drains").Msg(failure)
 	}
-	m.lastFault = fault
+	m.lastError = failure
 }
 
 func (m *maintenanceRunner) run() error {
@@ -192,7 +192,7 @@
 func (m *maintenanceRunner) sendMarks() {
 	now := m.env.Now()
 	m.mu.Lock()
-	due := len(m.out)+len(m.returned) > 0 && now-m.marksSentAt > outMarkLifetime/marksPerLifetime
+	due := len(m.inMaintenance)+len(m.returned) > 0 && now-m.marksSentAt > maintenanceMarkLifetime/marksPerLifetime
 	if due {
 		m.marksSentAt = now
 	}
@@ -214,8 +214,8 @@
 func (m *maintenanceRunner) appendMarks(b []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, id := range slices.Sorted(maps.Keys(m.out)) {
-		b = list.AppendMaintenance(b, id, outMarkLifetime)
+	for _, id := range slices.Sorted(maps.Keys(m.inMaintenance)) {
+		b = list.AppendMaintenance(b, id, maintenanceMarkLifetime)
 	}
 	for _, id := range m.returned {
 		b = list.AppendMaintenanceEnd(b, id)
@@ -224,16 +224,16 @@
 	return b
 }
 
-// nodesOut returns the nodes that are out, sorted.
-func (m *maintenanceRunner) nodesOut() []uint32 {
+// nodesInMaintenance returns the nodes that are out, sorted.
+func (m *maintenanceRunner) nodesInMaintenance() []uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Sorted(maps.Keys(m.out))
+	return slices.Sorted(maps.Keys(m.inMaintenance))
 }
 
 // countTasks has each shard count what it holds on the nodes that are out, for the next poll.
 func (m *maintenanceRunner) countTasks() {
-	ids := m.nodesOut()
+	ids := m.nodesInMaintenance()
 	if len(ids) == 0 {
 		return
 	}
@@ -258,15 +258,15 @@
 	return m.taskCounts[shard]
 }
 
-// setOut marks nodes as out, or as returned.
-func (m *maintenanceRunner) setOut(ids []uint32, out bool) {
+// setInMaintenance marks nodes as out, or as returned.
+func (m *maintenanceRunner) setInMaintenance(ids []uint32, out bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, id := range ids {
 		if out {
-			m.out[id] = true
-		} else if m.out[id] {
-			delete(m.out, id)
+			m.inMaintenance[id] = true
+		} else if m.inMaintenance[id] {
+			delete(m.inMaintenance, id)
 			m.returned = append(m.returned, id)
 		}
 	}
@@ -279,7 +279,7 @@
 // SetDraining takes nodes out or brings them back.
 func (e maintenanceExecutor) SetDraining(nodes []string, out bool) {
 	ids := parseNodeIDs(nodes)
-	e.m.setOut(ids, out)
+	e.m.setInMaintenance(ids, out)
 	for _, sh := range e.m.shards.liveShards() {
 		sh.post(func(now float64) { sh.engine.SetMaintenance(now, ids, out) })
 	}
--- a/internal/serve/maintenance_test.go
+++ b/internal/serve/maintenance_test.go
@@ -26,7 +26,7 @@
 // TestMain runs a scheduler process in place of the tests if the environment says so, for what only a process that is killed can show.
 func TestMain(m *testing.M) {
 	if folder := os.Getenv("RAVENPOND_TEST_SERVE"); folder != "" {
-		serveAlone(folder)
+		runTestScheduler(folder)
 		return
 	}
 	goleak.VerifyTestMain(m)
@@ -35,11 +35,11 @@
 // killingExecutor kills its process when a window opens.
 type killingExecutor struct {
 	maintenance.Executor
-	before bool // before the shards are told
+	beforeShards bool // before the shards are told
 }
 
 func (k killingExecutor) SetDraining(nodes []string, out bool) {
-	if !k.before {
+	if !k.beforeShards {
 		k.Executor.SetDraining(nodes, out)
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -47,8 +47,8 @@
 	select {}
 }
 
-// serveAlone runs a scheduler until it is killed.
-func serveAlone(folder string) {
+// runTestScheduler runs a scheduler until it is killed.
+func runTestScheduler(folder string) {
 	siteConfig, faults := site.Read(strings.NewReader(strings.Replace(fmt.Sprintf(testSite, 1), "127.0.0.1:1",
 		os.Getenv("RAVENPOND_TEST_LIST"), 1)))
 	if len(faults) > 0 {
@@ -82,18 +82,18 @@
 	}
 }
 
-// TestKilledAtOpening kills a scheduler process after it wrote that a window is open and before it told the shards, or just after: its next
+// TestKilledWhenWindowOpens kills a scheduler process after it wrote that a window is open and before it told the shards, or just after: its next
 // incarnation takes the nodes out before it places anything, once.
-func TestKilledAtOpening(t *testing.T) {
+func TestKilledWhenWindowOpens(t *testing.T) {
 	for _, kill := range []string{"before", "after"} {
 		t.Run(kill, func(t *testing.T) {
 			t.Parallel()
-			testKilledAtOpening(t, kill)
+			testKilledWhenWindowOpens(t, kill)
 		})
 	}
 }
 
-func testKilledAtOpening(t *testing.T, kill string) {
+func testKilledWhenWindowOpens(t *testing.T, kill string) {
 	t.Helper()
 	s := newTestCluster(t, 1, 8, false)
 	p := &schedulerProcess{testCluster: s, folder: filepath.Join(s.dir, "alone")}
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestListCarriesWindows opens a window at one scheduler. Another, which has no calendar, learns of it from the list server.
-func TestListCarriesWindows(t *testing.T) {
+// TestListServerForwardsMaintenance opens a window at one scheduler. Another, which has no calendar, learns of it from the list server.
+func TestListServerForwardsMaintenance(t *testing.T) {
 	s := newTestCluster(t, 2, 8, false)
 	for _, folder := range []string{"s0", "s1"} {
 		if err := os.MkdirAll(filepath.Join(s.dir, folder), 0o750); err != nil {
--- a/internal/serve/membership.go
+++ b/internal/serve/membership.go
@@ -22,7 +22,7 @@
 	membershipPollInterval = 100
 	viewWriteInterval      = 1000 // between two writes of what `ravenpond members` shows
 	leaseMargin            = 200  // a lease counts as expired so long before it is: what is decided under it has left by then
-	coldWindowMargin       = 500  // by which the policy module lengthens the slow-start window of a node
+	slowStartWindowMargin  = 500  // by which the policy module lengthens the slow-start window of a node
 )
 
 // minKeyBytes is the least length of a member key.
@@ -49,8 +49,8 @@
 	isolation     isolation.Monitor
 	viewWrittenAt float64
 
-	mu       sync.Mutex // guards heldBack
-	heldBack []uint32   // nodes that others say are not ready, ahead of the list here; sorted
+	mu      sync.Mutex // guards heldBack
+	unready []uint32   // nodes that others say are not ready, ahead of the list here; sorted
 
 	linksMu sync.Mutex           // guards links
 	links   map[uint32]*nodeLink // to nodes, over all sets of connections
@@ -77,7 +77,7 @@
 	runner, err := members.Start(m.env, config.Listen, membership.Config{
 		Site: m.config.Site.Name, Name: m.config.Name, Address: config.Advertise, Incarnation: uint64(incarnation), Key: key,
 		Seeds: config.Seeds, Seed: m.config.Seed, Place: m.config.Index, Places: cluster.Schedulers,
-		SlowStartWindow: cluster.SlowStartWindow + coldWindowMargin, MaxOpenTime: m.tenants.maxDeadline(),
+		SlowStartWindow: cluster.SlowStartWindow + slowStartWindowMargin, MaxOpenTime: m.tenants.maxDeadline(),
 	}, membershipEvents{m})
 	if err != nil {
 		return err
@@ -265,7 +265,7 @@
 	if m.tenants.leasesQuotas() {
 		m.shards.setQuotaLease(now, p.quotaSharers, p.quotaUntil-leaseMargin)
 	}
-	m.holdBack(p.unready)
+	m.setUnready(p.unready)
 	if previous := int(m.sharers.Load()); previous != p.sharers {
 		m.log.Info().Str("mode", "members").Int("share", p.sharers).Int("was", previous).Int("leaves", p.permits).Int("needs", p.permitsNeeded).Msg("cold nodes")
 	}
@@ -280,11 +280,11 @@
 	}
 }
 
-// holdBack has all shards place nothing new on nodes that others say are not ready, and no longer avoid the rest.
-func (m *clusterMembership) holdBack(nodes []uint32) {
+// setUnready has all shards place nothing new on nodes that others say are not ready, and no longer avoid the rest.
+func (m *clusterMembership) setUnready(nodes []uint32) {
 	m.mu.Lock()
-	previous := m.heldBack
-	m.heldBack = nodes
+	previous := m.unready
+	m.unready = nodes
 	m.mu.Unlock()
 	if slices.Equal(previous, nodes) {
 		return
@@ -297,10 +297,10 @@
 	})
 }
 
-// sendHeldBack tells a shard that starts which nodes are held back.
-func (m *clusterMembership) sendHeldBack(sh *shard) {
+// sendUnready tells a shard that starts which nodes are held back.
+func (m *clusterMembership) sendUnready(sh *shard) {
 	m.mu.Lock()
-	nodes := m.heldBack
+	nodes := m.unready
 	m.mu.Unlock()
 	if len(nodes) > 0 {
 		sh.post(func(now float64) { sh.engine.SetWarned(now, nodes, true) })
--- a/internal/serve/metrics_test.go
+++ b/internal/serve/metrics_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestCounts reads the metrics page of a scheduler that has served: each metric is there once, and the page ends with the scheduler.
-func TestCounts(t *testing.T) {
+// TestMetricsPage reads the metrics page of a scheduler that has served: each metric is there once, and the page ends with the scheduler.
+func TestMetricsPage(t *testing.T) {
 	s := newTestCluster(t, 1, 4, false)
 	at := make(chan string, 1)
 	s.configure = func(config *Config) {
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -50,7 +50,7 @@
 
 	// The polls alone use these.
 	startedAt   float64
-	lastFault   string // of the last poll, so that one that stays is logged once
+	lastError   string // of the last poll, so that one that stays is logged once
 	loaded      bool
 	fingerprint uint64 // of the store when it was last read
 
@@ -92,14 +92,14 @@
 
 // poll reads the store if it has changed. While that fails, what was read last holds.
 func (h *tenantHosting) poll() {
-	fault := ""
+	failure := ""
 	if err := h.read(); err != nil && !errors.Is(err, bolt.ErrLocked) { // the command line has the store just now
-		fault = err.Error()
+		failure = err.Error()
 	}
-	if fault != "" && fault != h.lastFault {
-		h.log.Error().Str("mode", "tenants").Msg(fault)
+	if failure != "" && failure != h.lastError {
+		h.log.Error().Str("mode", "tenants").Msg(failure)
 	}
-	h.lastFault = fault
+	h.lastError = failure
 }
 
 func (h *tenantHosting) read() error {
@@ -122,7 +122,7 @@
 	}
 	h.shards.setCapacity(h.endpoints.capacity())
 	h.diagnostics.Do("lines", h.shards.logQueues)
-	return h.evictRemoved(store)
+	return h.evictRemovedTenants(store)
 }
 
 // apply takes over what the store says: limits, tenants that may submit nothing any more, tokens that were revoked.
@@ -237,9 +237,9 @@
 	}
 }
 
-// evictRemoved ends what there is of tenants that are being removed, and the removal where nothing is left. After a restart nodes may hold
+// evictRemovedTenants ends what there is of tenants that are being removed, and the removal where nothing is left. After a restart nodes may hold
 // what this incarnation does not know: a removal ends only when they had time to report it.
-func (h *tenantHosting) evictRemoved(store TenantStore) error {
+func (h *tenantHosting) evictRemovedTenants(store TenantStore) error {
 	now := h.env.Now()
 	shards := h.shards.liveShards()
 	h.mu.Lock()
@@ -249,7 +249,7 @@
 		if tenant.State != tenancy.Removing {
 			continue
 		}
-		if h.countedNothing(tenant.Slot, shards) && h.shards.tenantCount(tenant.Slot) == 0 && now-h.startedAt > recoveryPeriod {
+		if h.noneRemaining(tenant.Slot, shards) && h.shards.tenantCount(tenant.Slot) == 0 && now-h.startedAt > recoveryPeriod {
 			if _, err := store.FinishRemoval(h.env.WallClock(), tenant.Name); err != nil {
 				return err
 			}
@@ -276,8 +276,8 @@
 	h.remaining[slot][shard] = left
 }
 
-// countedNothing reports whether no shard held anything of a tenant when it was last counted.
-func (h *tenantHosting) countedNothing(slot int, shards []*shard) bool {
+// noneRemaining reports whether no shard held anything of a tenant when it was last counted.
+func (h *tenantHosting) noneRemaining(slot int, shards []*shard) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, sh := range shards {
--- a/internal/serve/tenants_test.go
+++ b/internal/serve/tenants_test.go
@@ -115,8 +115,8 @@
 	return strings.Count(strings.Join(c.notifications(), "\n"), what)
 }
 
-// TestHosting has tenants request with their tokens and without, and one paused, resumed and removed while it requests.
-func TestHosting(t *testing.T) {
+// TestTenantHosting has tenants request with their tokens and without, and one paused, resumed and removed while it requests.
+func TestTenantHosting(t *testing.T) {
 	t.Parallel()
 	h := startHosting(t)
 	t.Run("who may ask", h.testAccess)
@@ -372,8 +372,8 @@
 	l.serveOther(t)
 }
 
-// TestStartWhileHeld starts a scheduler while somebody changes the tenants: it waits for the store.
-func TestStartWhileHeld(t *testing.T) {
+// TestStartWhileTenantStoreLocked starts a scheduler while somebody changes the tenants: it waits for the store.
+func TestStartWhileTenantStoreLocked(t *testing.T) {
 	t.Parallel()
 	s := newTestCluster(t, 1, 2, false)
 	siteConfig := *s.siteConfig
--- a/internal/serve/working_set.go
+++ b/internal/serve/working_set.go
@@ -113,13 +113,13 @@
 	for _, sh := range w.shards.liveShards() {
 		sh.postList(kind, known)
 	}
-	w.setAsideUnlisted(removed)
+	w.setUnlistedOutside(removed)
 	w.apply(now, w.set.Step(now))
 	w.continueVisits()
 }
 
-// setAsideUnlisted sets nodes aside that left the list. They are forgotten once no task runs there. The caller holds mu.
-func (w *workingSet) setAsideUnlisted(removed []uint32) {
+// setUnlistedOutside sets nodes aside that left the list. They are forgotten once no task runs there. The caller holds mu.
+func (w *workingSet) setUnlistedOutside(removed []uint32) {
 	var known []uint32
 	for _, id := range removed {
 		if _, ok := w.nodeStates[id]; ok {
@@ -127,7 +127,7 @@
 			known = append(known, id)
 		}
 	}
-	w.setAside(known, true)
+	w.setOutside(known, true)
 }
 
 // putEntry puts an entry of the list into the set, or removes it. The caller holds mu.
@@ -215,7 +215,7 @@
 
 // apply tells the shards which nodes join and leave the set. The caller holds mu.
 func (w *workingSet) apply(now float64, change workingset.Change) {
-	var leaving, returning, newcomers, warm []uint32
+	var leaving, returning, slowStarting, warm []uint32
 	for _, departure := range change.Removed {
 		w.nodeStates[departure.ID] = nodeAside
 		leaving = append(leaving, departure.ID)
@@ -224,15 +224,15 @@
 		if _, ok := w.nodeStates[id]; ok {
 			returning = append(returning, id)
 		} else if since, isNew := w.newNodes[id]; isNew && now-since < w.config.Site.Cluster.SlowStartDuration {
-			newcomers = append(newcomers, id)
+			slowStarting = append(slowStarting, id)
 		} else {
 			warm = append(warm, id)
 		}
 		w.nodeStates[id] = nodeInside
 	}
-	w.setAside(leaving, true)
-	w.setAside(returning, false)
-	w.introduce(newcomers, true, false)
+	w.setOutside(leaving, true)
+	w.setOutside(returning, false)
+	w.introduce(slowStarting, true, false)
 	w.introduce(warm, false, false)
 	maps.DeleteFunc(w.newNodes, func(_ uint32, since float64) bool { return now-since >= w.config.Site.Cluster.SlowStartDuration })
 	if len(change.Added)+len(change.Removed) > 0 {
@@ -241,8 +241,8 @@
 	}
 }
 
-// setAside has all shards use nodes no longer, or again.
-func (w *workingSet) setAside(ids []uint32, out bool) {
+// setOutside has all shards use nodes no longer, or again.
+func (w *workingSet) setOutside(ids []uint32, out bool) {
 	if len(ids) > 0 {
 		w.shards.postAll(func(sh *shard, now float64) { sh.engine.SetOutsideWorkingSet(now, ids, out) })
 	}
--- a/internal/serve/working_set_release.go
+++ b/internal/serve/working_set_release.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// releaseVote counts the shards that have released nodes.
-type releaseVote struct {
+// releaseReplies counts the shards that have released nodes.
+type releaseReplies struct {
 	mu       sync.Mutex // guards the fields below
 	pending  int        // shards that have not voted
 	released map[uint32]int
@@ -27,18 +27,18 @@
 	}
 	slices.Sort(ids)
 	shards := w.shards.liveShards()
-	vote := &releaseVote{pending: len(shards), released: map[uint32]int{}}
+	replies := &releaseReplies{pending: len(shards), released: map[uint32]int{}}
 	for _, sh := range shards { // a fenced shard does not vote, and so holds all up until it starts again
 		sh.post(func(now float64) {
-			vote.mu.Lock()
-			defer vote.mu.Unlock()
+			replies.mu.Lock()
+			defer replies.mu.Unlock()
 			for _, id := range ids {
 				if w.releaseNode(sh, now, id) {
-					vote.released[id]++
+					replies.released[id]++
 				}
 			}
-			if vote.pending--; vote.pending == 0 {
-				w.async(func() { w.disconnectReleased(ids, vote.released, len(shards)) })
+			if replies.pending--; replies.pending == 0 {
+				w.async(func() { w.disconnectReleased(ids, replies.released, len(shards)) })
 			}
 		})
 	}
--- a/internal/serve/working_set_test.go
+++ b/internal/serve/working_set_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	setNodes      = 60
-	setSchedulers = 5
-	setLeast      = 12 // a node is in one set in the mean
+	clusterNodes      = 60
+	clusterSchedulers = 5
+	minSetSize        = 12 // a node is in one set in the mean
 )
 
 // workingSetCluster is a cluster with one of five schedulers, each of which works with a fifth of the nodes.
@@ -29,7 +29,7 @@
 // newWorkingSetCluster starts the scheduler, and waits until it has visited all nodes.
 func newWorkingSetCluster(t *testing.T, faults Faults) *workingSetCluster {
 	t.Helper()
-	s := newTestCluster(t, setSchedulers, setNodes, false)
+	s := newTestCluster(t, clusterSchedulers, clusterNodes, false)
 	began := make(chan *workingSet, 1)
 	s.configure = func(config *Config) { config.OnLocalListener = func(l *LocalListener) { began <- l.server.workingSet } }
 	s.start(0, s.workingSetSite(), faults)
@@ -43,7 +43,7 @@
 func (s *testCluster) workingSetSite() site.Config {
 	siteConfig := *s.siteConfig
 	siteConfig.Cluster.SlowStartDuration = 50 // the nodes are warm from the start
-	siteConfig.WorkingSet = site.WorkingSet{MinNodes: setLeast, Coverage: 1, SpareFactor: 1, NodesPerStart: 1, MinPerStratum: 2, NarrowAfter: 1000}
+	siteConfig.WorkingSet = site.WorkingSet{MinNodes: minSetSize, Coverage: 1, SpareFactor: 1, NodesPerStart: 1, MinPerStratum: 2, NarrowAfter: 1000}
 	return siteConfig
 }
 
@@ -92,7 +92,7 @@
 	v := s.set
 	s.load(6000, 5, "0012") // so few that its load needs no larger set
 	waitFor(t, "idle connections to end", func() bool { return v.isSettled() && s.linked("s0") == v.size() })
-	if size := v.size(); size < setLeast/2 || size > 3*setLeast {
+	if size := v.size(); size < minSetSize/2 || size > 3*minSetSize {
 		t.Errorf("%d nodes in the set", size)
 	}
 	met := map[uint32]bool{}
@@ -101,8 +101,8 @@
 			met[r.Node] = true
 		}
 	}
-	if len(met) != setNodes {
-		t.Errorf("%d of %d nodes were connected or visited", len(met), setNodes)
+	if len(met) != clusterNodes {
+		t.Errorf("%d of %d nodes were connected or visited", len(met), clusterNodes)
 	}
 	if breaks, served := s.violations(); len(breaks) > 0 || served < 25 {
 		t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
@@ -129,8 +129,8 @@
 	return ended, tasks - ended
 }
 
-// TestTaskOutsideTheSet runs tasks on nodes that leave the set: each is told to end, and only then is its node disconnected.
-func TestTaskOutsideTheSet(t *testing.T) {
+// TestTasksOutsideWorkingSetEnd runs tasks on nodes that leave the set: each is told to end, and only then is its node disconnected.
+func TestTasksOutsideWorkingSetEnd(t *testing.T) {
 	t.Parallel()
 	s := newWorkingSetCluster(t, Faults{})
 	if ended, lost := s.runTasksOutside(t); lost > 0 {
@@ -139,17 +139,17 @@
 	waitFor(t, "idle connections to end", func() bool { return s.set.isSettled() && s.linked("s0") == s.set.size() })
 }
 
-// TestAbandonedTaskIsRecovered injects a scheduler that disconnects nodes outside its set whatever runs there.
-func TestAbandonedTaskIsRecovered(t *testing.T) {
+// TestAbandonedTasksAreDetected injects a scheduler that disconnects nodes outside its set whatever runs there.
+func TestAbandonedTasksAreDetected(t *testing.T) {
 	t.Parallel()
 	if _, lost := newWorkingSetCluster(t, Faults{AbandonTasks: true}).runTasksOutside(t); lost == 0 {
 		t.Error("tasks without a way home are not found")
 	}
 }
 
-// TestNodeOutsideTheSetDies has a node die that left the set while tasks run there: their client is told within the
+// TestNodeOutsideWorkingSetCrashes has a node die that left the set while tasks run there: their client is told within the
 // time that a broken connection is given.
-func TestNodeOutsideTheSetDies(t *testing.T) {
+func TestNodeOutsideWorkingSetCrashes(t *testing.T) {
 	t.Parallel()
 	s := newWorkingSetCluster(t, Faults{})
 	v, address := s.set, s.address
@@ -189,9 +189,9 @@
 
 // restartElsewhere runs tasks, restarts the scheduler with a set of other nodes, and requests the same tasks again. It returns how often
 // they were started in all.
-func restartElsewhere(t *testing.T, p Faults) (tasks, starts int) {
+func restartElsewhere(t *testing.T, faults Faults) (tasks, starts int) {
 	t.Helper()
-	s := newTestCluster(t, setSchedulers, setNodes, false)
+	s := newTestCluster(t, clusterSchedulers, clusterNodes, false)
 	siteConfig := s.workingSetSite()
 	siteConfig.ListAddress = s.list.Address()
 	for _, n := range s.nodes { // work runs long enough
@@ -203,7 +203,7 @@
 		go func() {
 			done <- Run(ctx, Config{
 				Site: &siteConfig, Name: "s0", Index: index, Folder: filepath.Join(s.dir, "s0"), Seed: uint64(index + 1),
-				Log: zerolog.Nop(), Faults: p, Ready: func(a string) { ready <- a }, OnLocalListener: func(l *LocalListener) { began <- l.server.workingSet },
+				Log: zerolog.Nop(), Faults: faults, Ready: func(a string) { ready <- a }, OnLocalListener: func(l *LocalListener) { began <- l.server.workingSet },
 			})
 		}()
 		return <-ready, <-began, func() {
@@ -214,7 +214,7 @@
 		}
 	}
 	tasks = 20
-	askAll := func(address string) {
+	requestAll := func(address string) {
 		c := connect(t, address)
 		for ref := range uint64(tasks) {
 			if err := c.allocate(ref+1, "once", fmt.Sprint("task", ref)); err != nil {
@@ -225,11 +225,11 @@
 	}
 	address, v, end := run(0)
 	waitFor(t, "a settled set", v.isSettled)
-	askAll(address)
+	requestAll(address)
 	end()
 	address, _, end = run(3)
 	time.Sleep(time.Duration(s.siteConfig.SettleTime) * time.Millisecond) // as clients do
-	askAll(address)
+	requestAll(address)
 	end()
 	for _, r := range s.world.Trace.Records() {
 		if r.Kind == audit.TaskStarted {
@@ -239,9 +239,9 @@
 	return tasks, starts
 }
 
-// TestTasksOfAnEarlierIncarnation has a scheduler recover what it left running on nodes that are not in its set any more: it does not start
+// TestTasksOfEarlierIncarnation has a scheduler recover what it left running on nodes that are not in its set any more: it does not start
 // it a second time. One that does not visit these nodes does.
-func TestTasksOfAnEarlierIncarnation(t *testing.T) {
+func TestTasksOfEarlierIncarnation(t *testing.T) {
 	t.Parallel()
 	if tasks, starts := restartElsewhere(t, Faults{}); starts != tasks {
 		t.Errorf("%d starts of %d tasks", starts, tasks)
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestWidensWhenNothingFits fills the set: tasks find nodes beyond it in time.
-func TestWidensWhenNothingFits(t *testing.T) {
+// TestWorkingSetWidensWhenFull fills the set: tasks find nodes beyond it in time.
+func TestWorkingSetWidensWhenFull(t *testing.T) {
 	t.Parallel()
 	s := newWorkingSetCluster(t, Faults{})
 	v, address := s.set, s.address
@@ -275,8 +275,8 @@
 	}
 }
 
-// TestWholeSetDies has all nodes of the set die at once: requests right after start elsewhere in time.
-func TestWholeSetDies(t *testing.T) {
+// TestWholeWorkingSetCrashes has all nodes of the set die at once: requests right after start elsewhere in time.
+func TestWholeWorkingSetCrashes(t *testing.T) {
 	t.Parallel()
 	s := newWorkingSetCluster(t, Faults{})
 	v, address := s.set, s.address
