--- a/internal/serve/endpoint_list.go
+++ b/internal/serve/endpoint_list.go
@@ -17,38 +17,39 @@
 )
 
 const (
-	// listSaveInterval is how often, in ms, a changed list is written to the disk. Changes lost in between are fetched again.
+	// listSaveInterval is the time in ms between two writes of a changed list to disk. Changes that a crash loses in between are fetched
+	// again from the list server.
 	listSaveInterval = 1000
-	// nodesSavedPerInterval bounds the mean number of entries written per listSaveInterval where a scheduler has a working set.
+	// nodesSavedPerInterval limits the mean number of entries that a scheduler with a working set writes per listSaveInterval.
 	nodesSavedPerInterval = 1000
-	// forgetLostAfter is when a node that left the list counts as removed for good.
+	// forgetLostAfter is the time after which a node that left the list counts as removed for good.
 	forgetLostAfter = 30 * time.Minute
 )
 
-// endpointList is this process's copy of the endpoint list, and what is derived from it alone. The copy outlives the process in the state
-// folder. All methods are safe for concurrent use; mu is a leaf: no other lock is taken while it is held.
+// endpointList is this process's copy of the endpoint list, with the data that is derived from the list alone. The copy is stored in the
+// state folder and survives a restart. All methods are safe for concurrent use. mu is a leaf lock: no other lock is taken while it is held.
 type endpointList struct {
 	*process
 
 	mu         sync.Mutex // guards all fields below
 	list       *state.NodeList
-	savedAt    float64                  // when the list was last saved, ms
-	cellIndex  map[string]int           // small indices of cells, given at their first mention
-	knownNodes map[string]calendar.Node // each node that was ever on the list, until forgetLostAfter
-	lostSince  map[string]time.Time     // those of knownNodes that are not on the list
-	ready      []readyNode              // cache of readyNodes
-	readyAt    uint64                   // revision of the list that ready belongs to
+	savedAt    float64                  // time in ms when the list was last saved
+	cellIndex  map[string]int           // indices of cells, assigned when a cell first appears on the list
+	knownNodes map[string]calendar.Node // all nodes that are on the list, or left it less than forgetLostAfter ago
+	lostSince  map[string]time.Time     // since when nodes of knownNodes have been missing from the list
+	ready      []readyNode              // cached result of readyNodes
+	readyAt    uint64                   // revision of the list from which ready was computed
 }
 
-// openEndpointList reads the copy that an earlier incarnation saved. A damaged one counts as none.
+// openEndpointList reads the copy that an earlier incarnation saved. If the copy is damaged or missing, the list starts empty.
 func openEndpointList(p *process) (*endpointList, error) {
 	saved, err := p.folder.LoadList()
 	if errors.Is(err, state.ErrDamaged) {
-		p.log.Warn().Str("mode", "list").Err(err).Msg("last list not read, beginning with none")
+		p.log.Warn().Str("mode", "list").Err(err).Msg("saved node list is damaged; starting with an empty list")
 		saved, err = nil, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("state: %w", err)
+		return nil, fmt.Errorf("read node list from state folder: %w", err)
 	}
 	if saved == nil {
 		saved = state.NewNodeList()
@@ -58,7 +59,7 @@
 	return l, nil
 }
 
-// update applies a complete answer of the list server and returns its entries.
+// update applies a complete answer of the list server and returns the answer's entries.
 func (l *endpointList) update(kind int, version uint64, entries []state.Entry) ([]listEntry, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +93,7 @@
 	return l.resolve(l.list.Entries())
 }
 
-// entriesOf returns the entries of those of the nodes that are on the list.
+// entriesOf returns the entries of the given nodes. Nodes that are not on the list are left out.
 func (l *endpointList) entriesOf(ids []uint32) []listEntry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,8 +106,8 @@
 	return l.resolve(entries)
 }
 
-// resolve replaces names by indices. Entries whose zone or machine kind the site file lacks are left out: nothing can be decided about
-// them. The caller holds mu.
+// resolve replaces the names of zones, cells and machine kinds with indices. Entries whose zone or machine kind is not in the site file are
+// left out, because no placement decision can be made about them. The caller holds mu.
 func (l *endpointList) resolve(entries []state.Entry) []listEntry {
 	resolved := make([]listEntry, 0, len(entries))
 	skipped := 0
@@ -127,25 +128,25 @@
 		resolved = append(resolved, listEntry{entry, max(0, zone), cell, max(0, kind)})
 	}
 	if skipped > 0 {
-		l.log.Warn().Str("mode", "list").Int("skipped", skipped).Msg("entries of unknown zone or kind left out")
+		l.log.Warn().Str("mode", "list").Int("skipped", skipped).Msg("node list entries of unknown zone or machine kind ignored")
 	}
 	return resolved
 }
 
-// startSaving writes the list to the state folder from now on, as often as it may be.
+// startSaving starts to write the list to the state folder periodically. With a working set, large lists are written less often.
 func (l *endpointList) startSaving(hasWorkingSet bool) {
 	l.every(listSaveInterval, func() {
 		if hasWorkingSet && l.saveTooSoon() {
 			return
 		}
 		if err := l.save(); err != nil {
-			l.log.Error().Str("mode", "state").Err(err).Msg("list not saved")
+			l.log.Error().Str("mode", "state").Err(err).Msg("cannot save node list")
 		}
 	})
 }
 
-// saveTooSoon reports whether a save now would exceed nodesSavedPerInterval. So a scheduler with a working set does not write more per
-// second the more nodes there are.
+// saveTooSoon reports whether a save now would exceed nodesSavedPerInterval. The limit keeps the bytes that a scheduler with a working set
+// writes per second independent of the number of nodes.
 func (l *endpointList) saveTooSoon() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,8 +168,8 @@
 	return l.folder.SaveList(text)
 }
 
-// recordNodes remembers the nodes of entries. It is called at each update and not only when maintenance windows are polled: a window has
-// to cover a node that is away when it opens and returns before it ends. The caller holds mu.
+// recordNodes adds the nodes of entries to knownNodes. It is called at each update and not only when maintenance windows are polled, because
+// a window has to cover a node that is off the list when the window opens and returns before it ends. The caller holds mu.
 func (l *endpointList) recordNodes(entries []state.Entry) {
 	siteConfig := l.config.Site
 	for _, entry := range entries {
@@ -185,8 +186,8 @@
 	}
 }
 
-// calendarNodes returns the nodes as the maintenance calendar takes them. Nodes that left the list count as lost until forgetLostAfter:
-// the remaining ones have to carry their work too.
+// calendarNodes returns the nodes in the form that the maintenance calendar takes. Nodes that left the list are returned as lost until
+// forgetLostAfter has passed, because the remaining nodes have to carry their work too.
 func (l *endpointList) calendarNodes() (nodes []calendar.Node, lost map[string]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -215,7 +216,7 @@
 	return nodes, lost
 }
 
-// freeCapacity returns the free cores and memory of each node, as the list has them.
+// freeCapacity returns the free cores and memory of each node, as given by the list.
 func (l *endpointList) freeCapacity() map[string]resources {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -226,10 +227,10 @@
 	return free
 }
 
-// resources are the cores and the memory, in GiB, of a node or of a part of it.
+// resources are the cores and the memory, in GiB, of a node or of a part of a node.
 type resources struct{ cores, memory float64 }
 
-// capacity returns the limits of all ready nodes together, and what of it nobody has requested.
+// capacity returns the sum of the limits of all ready nodes, and how much of it is not requested.
 func (l *endpointList) capacity() shardrouter.Capacity {
 	cluster := &l.config.Site.Cluster
 	var total, free shardrouter.Resources
@@ -242,7 +243,7 @@
 		}
 		cores, memory := cluster.KindCores[kind]*cluster.CoresOvercommit, cluster.KindMemory[kind]*cluster.MemoryOvercommit
 		total.Cores, total.Memory = total.Cores+cores, total.Memory+memory
-		if cluster.ListsReportLoad { // the list gives what is free of the machine, not of the limit
+		if cluster.ListsReportLoad { // the list reports what is free of the machine, while capacity counts up to the limit
 			cores, memory = cores-cluster.KindCores[kind]+entry.FreeCores, memory-cluster.KindMemory[kind]+entry.FreeMemory
 		}
 		free.Cores, free.Memory = free.Cores+max(0, cores), free.Memory+max(0, memory)
@@ -250,16 +251,16 @@
 	return shardrouter.Capacity{Total: total, Free: free, KnowsFree: cluster.ListsReportLoad}
 }
 
-// readyNode is a node that takes tasks.
+// readyNode is a node that accepts new tasks.
 type readyNode struct {
 	id    uint32
 	zone  string
 	cores float64 // of its machine kind
 	free  float64 // cores
-	hash  float64 // from 0 to 1, the same at all schedulers: a zone that recovers is readmitted in this order
+	hash  float64 // from 0 to 1 and equal at all schedulers; nodes of a recovering zone are readmitted in this order
 }
 
-// readyNodes returns the ready nodes in the order of their ids. Callers share the slice until the list changes and must not modify it.
+// readyNodes returns the ready nodes sorted by id. The slice is shared between callers until the list changes; they must not modify it.
 func (l *endpointList) readyNodes() []readyNode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -282,11 +283,11 @@
 	return nodes
 }
 
-// nodeHash maps a node to a number from 0 to 1 that differs by salt.
+// nodeHash maps a node to a number from 0 to 1. Different salts give different numbers.
 func nodeHash(salt string, id uint32) float64 {
 	hash := xxhash.Sum64(append([]byte(salt), byte(id), byte(id>>8), byte(id>>16), byte(id>>24)))
 	return float64(hash>>11) / (1 << 53)
 }
 
-// formatNodeID writes a node's id as the maintenance calendar has it.
+// formatNodeID formats a node's id for the maintenance calendar.
 func formatNodeID(id uint32) string { return strconv.FormatUint(uint64(id), 10) }
--- a/internal/serve/list_answer.go
+++ b/internal/serve/list_answer.go
@@ -9,19 +9,19 @@
 	"ravenpond/logic"
 )
 
-// maxListEntries bounds the entries of one answer.
+// maxListEntries is the maximum number of entries of one answer.
 const maxListEntries = 1 << 20
 
 var errListOrder = errors.New("list answer out of order")
 
-// listAnswer is a complete answer of the list server. Its entries are valid until the next answer.
+// listAnswer is a complete answer of the list server. Its entries are valid until the next answer begins.
 type listAnswer struct {
 	kind    int // list.KindFull or list.KindChanges
 	version uint64
 	entries []state.Entry
 }
 
-// listKind is the kind as the policy module has it.
+// listKind returns the kind in the terms of the policy module.
 func (a listAnswer) listKind() logic.ListKind {
 	if a.kind == list.KindChanges {
 		return logic.ListChanges
@@ -29,12 +29,12 @@
 	return logic.ListFull
 }
 
-// listAnswerReader gathers the lines of an answer until it is complete. It implements list.ListHandler.
+// listAnswerReader collects the lines of an answer until the answer is complete. It implements list.ListHandler.
 type listAnswerReader struct {
 	complete func(listAnswer) error
 	failed   func()
 
-	open   bool // between the first and the last line of an answer
+	open   bool // whether an answer has begun and not ended
 	answer listAnswer
 }
 
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// OnEntry takes one node of an answer.
+// OnEntry adds one node to the answer.
 func (r *listAnswerReader) OnEntry(e list.Entry) error {
 	if !r.open || len(r.answer.entries) >= maxListEntries {
 		return errListOrder
@@ -68,13 +68,13 @@
 	return r.complete(r.answer)
 }
 
-// OnFailed takes the list server's answer that a call has failed.
+// OnFailed handles the list server's answer that a call has failed.
 func (r *listAnswerReader) OnFailed(string) error {
 	r.failed()
 	return nil
 }
 
-// OnBye takes the list server's reason for closing the connection.
+// OnBye returns an error with the list server's reason for closing the connection.
 func (r *listAnswerReader) OnBye(reason string) error {
 	return fmt.Errorf("%w: %s", errFarewell, reason)
 }
--- a/internal/serve/list_answer_test.go
+++ b/internal/serve/list_answer_test.go
@@ -8,7 +8,7 @@
 	"ravenpond/logic"
 )
 
-// TestListAnswerReader reads an answer, a failure, and lines out of order.
+// TestListAnswerReader reads a complete answer, a failed call, a closing line, and lines out of order.
 func TestListAnswerReader(t *testing.T) {
 	var answers []listAnswer
 	failures := 0
@@ -23,10 +23,10 @@
 	}
 	t.Run("out of order", func(t *testing.T) {
 		if err := entry(); !errors.Is(err, errListOrder) {
-			t.Errorf("an entry outside of an answer: %v", err)
+			t.Errorf("entry outside of an answer: got error %v, want errListOrder", err)
 		}
 		if err := r.OnEnd(); !errors.Is(err, errListOrder) {
-			t.Errorf("an end outside of an answer: %v", err)
+			t.Errorf("end outside of an answer: got error %v, want errListOrder", err)
 		}
 	})
 	t.Run("complete", func(t *testing.T) {
@@ -34,17 +34,17 @@
 			t.Fatal(err)
 		}
 		if len(answers) != 1 || answers[0].version != 5 || answers[0].listKind() != logic.ListChanges || len(answers[0].entries) != 1 || answers[0].entries[0].ID != 7 {
-			t.Errorf("%+v", answers)
+			t.Errorf("got answers %+v, want one of version 5 with changes of node 7", answers)
 		}
 	})
-	t.Run("begun twice", func(t *testing.T) {
+	t.Run("second begin within an answer", func(t *testing.T) {
 		if err := errors.Join(r.OnBegin(list.KindFull, 6), r.OnBegin(list.KindFull, 6)); !errors.Is(err, errListOrder) {
 			t.Error(err)
 		}
 	})
-	t.Run("failure and farewell", func(t *testing.T) {
+	t.Run("failed call and closing line", func(t *testing.T) {
 		if err := r.OnFailed("busy"); err != nil || failures != 1 {
-			t.Errorf("%v, %d failures", err, failures)
+			t.Errorf("failed call: got error %v and %d failures, want no error and 1", err, failures)
 		}
 		if err := r.OnBye("restart"); !errors.Is(err, errFarewell) {
 			t.Error(err)
--- a/internal/serve/list_client.go
+++ b/internal/serve/list_client.go
@@ -11,60 +11,60 @@
 	"ravenpond/internal/proto/list"
 )
 
-// listCall is a request to the list server.
+// listCall is a kind of request to the list server.
 type listCall uint8
 
 const (
-	watchCall       listCall = iota // send changes from now on
-	unwatchCall                     // send no more changes
-	fullCall                        // send the whole list once
-	maintenanceCall                 // take note of nodes under maintenance; it has no answer
+	watchCall       listCall = iota // asks for the changes from now on
+	unwatchCall                     // ends the watch
+	fullCall                        // asks for the whole list once
+	maintenanceCall                 // reports which nodes are under maintenance; it has no answer
 )
 
-// hasAnswer reports whether the list server answers a call at once.
+// hasAnswer reports whether the list server answers the call immediately.
 func (c listCall) hasAnswer() bool { return c == watchCall || c == fullCall }
 
-// Times of the list connection in ms, and bounds.
+// Times of the list connection in ms, and limits.
 const (
 	listDialTimeout   = 1000
 	listAnswerTimeout = 3000
-	listStuckTimeout  = 3000 // for which the list server may take no byte
+	listStuckTimeout  = 3000 // how long the list server may accept no byte before the connection is closed
 	maxPendingCalls   = 8
-	maxRetryDelay     = 3600e3 // a later retry means never
+	maxRetryDelay     = 3600e3 // a retry that is due later is not scheduled at all
 )
 
-// listHandler takes what the list server says. It is called without a lock held.
+// listHandler handles answers and failures of the list server. Its methods are called without a lock held.
 type listHandler interface {
-	// onListAnswer takes a complete answer. An error closes the connection.
+	// onListAnswer handles a complete answer. An error closes the connection.
 	onListAnswer(listAnswer) error
 	// onListFailed is called when a call was not answered.
 	onListFailed()
 }
 
-// listClient makes calls to the list server over one connection at a time. Where the list server pushes changes, it keeps a watch and
-// connects again by itself; elsewhere it connects only for calls.
+// listClient sends calls to the list server over one connection at a time. If the list server pushes changes, the client keeps a watch open
+// and reconnects by itself; otherwise it connects only to send calls.
 //
-// Calls may come from any goroutine, events of the connection come one at a time. The lock order is listClient, then maintenance or
+// Calls may come from any goroutine; events of the connection come one at a time. The lock order is listClient, then maintenanceRunner or
 // endpointList.
 type listClient struct {
 	*process
 	endpoints   *endpointList
 	maintenance *maintenanceRunner
 	handler     listHandler
-	watches     bool // the list server pushes changes
+	watches     bool // whether the list server pushes changes
 
 	mu          sync.Mutex // guards the fields below
 	pacer       *reconnect.Pacer
 	pending     []listCall
-	conn        env.Conn // nil while there is none
+	conn        env.Conn // nil while there is no connection
 	dialing     bool
 	greeted     bool
-	sentCall    bool // a call other than maintenanceCall is pending or was sent on this connection
+	sentCall    bool // whether a call other than maintenanceCall is pending or was sent on this connection
 	dialedAt    float64
-	answerTimer env.Timer // runs while an answer is due
+	answerTimer env.Timer // runs while the client waits for an answer
 	closed      bool
 
-	// The events of the connection alone use these; they are reset between two connections.
+	// Only the events of the connection use these fields. They are reset between two connections.
 	splitter line.Splitter
 	answer   listAnswerReader
 }
@@ -78,7 +78,7 @@
 	return l
 }
 
-// start opens the watch where the list server pushes changes.
+// start opens the watch if the list server pushes changes.
 func (l *listClient) start() {
 	if !l.watches {
 		return
@@ -89,7 +89,7 @@
 	l.dialWhenDue()
 }
 
-// call makes a call. It fails at once while maxPendingCalls wait for a connection.
+// call sends a call. It fails immediately while maxPendingCalls calls wait for a connection.
 func (l *listClient) call(call listCall) {
 	l.mu.Lock()
 	full := len(l.pending) >= maxPendingCalls
@@ -104,7 +104,7 @@
 	}
 }
 
-// dialWhenDue connects for the watch, now or when the pace allows it.
+// dialWhenDue connects to open the watch, now or as soon as the pacer allows it.
 func (l *listClient) dialWhenDue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +122,7 @@
 	}
 }
 
-// flush sends the pending calls, over a new connection if there is none.
+// flush sends the pending calls. It opens a connection if there is none.
 func (l *listClient) flush() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,18 +143,18 @@
 	}
 }
 
-// dropUnneeded removes the pending calls for which no connection is opened. The caller holds mu.
+// dropUnneeded removes the pending calls that do not justify opening a connection. The caller holds mu.
 func (l *listClient) dropUnneeded() {
 	l.pending = slices.DeleteFunc(l.pending, func(call listCall) bool {
-		if call == maintenanceCall && l.watches { // a connection begins with the watch; the marks follow at the next poll
+		if call == maintenanceCall && l.watches { // a connection begins with the watch; the maintenance marks are sent at the next poll
 			l.maintenance.resendMarks()
 			return true
 		}
-		return call == unwatchCall // there is no connection, hence no watch
+		return call == unwatchCall // without a connection there is no watch to end
 	})
 }
 
-// dial connects. The caller holds mu.
+// dial starts to connect to the list server. The caller holds mu.
 func (l *listClient) dial() {
 	l.dialing, l.dialedAt = true, l.env.Now()
 	l.sentCall = slices.ContainsFunc(l.pending, func(call listCall) bool { return call != maintenanceCall })
@@ -169,7 +169,7 @@
 	}
 	if err != nil || l.closed {
 		l.mu.Unlock()
-		l.onLost(fmt.Errorf("no connection: %w", err))
+		l.onLost(fmt.Errorf("cannot connect: %w", err))
 		return
 	}
 	l.conn, l.greeted = conn, false
@@ -182,14 +182,14 @@
 	})
 }
 
-// startAnswerTimer closes the connection unless an answer comes in time. The caller holds mu.
+// startAnswerTimer closes the connection unless an answer arrives within listAnswerTimeout. The caller holds mu.
 func (l *listClient) startAnswerTimer() {
 	l.stopAnswerTimer()
 	conn := l.conn
 	l.answerTimer = l.env.After(listAnswerTimeout, func() { conn.Close(false, nil) })
 }
 
-// stopAnswerTimer stops the timer, if it runs. The caller holds mu.
+// stopAnswerTimer stops the answer timer if it is running. The caller holds mu.
 func (l *listClient) stopAnswerTimer() {
 	if l.answerTimer != nil {
 		l.answerTimer.Stop()
@@ -222,7 +222,7 @@
 	}
 }
 
-// OnData takes bytes of the list server.
+// OnData handles bytes received from the list server.
 func (l *listClient) OnData(b []byte) {
 	l.mu.Lock()
 	if !l.greeted {
@@ -245,7 +245,7 @@
 	}
 }
 
-// onAnswer takes a complete answer.
+// onAnswer handles a complete answer.
 func (l *listClient) onAnswer(answer listAnswer) error {
 	l.mu.Lock()
 	l.stopAnswerTimer()
@@ -253,7 +253,7 @@
 	return l.handler.onListAnswer(answer)
 }
 
-// onFailure takes the list server's answer that a call has failed.
+// onFailure handles the list server's answer that a call has failed.
 func (l *listClient) onFailure() {
 	l.mu.Lock()
 	l.stopAnswerTimer()
@@ -261,7 +261,7 @@
 	l.handler.onListFailed()
 }
 
-// OnClose takes the end of the connection.
+// OnClose handles the end of the connection.
 func (l *listClient) OnClose(err error) {
 	l.mu.Lock()
 	l.stopAnswerTimer()
@@ -270,7 +270,7 @@
 	l.onLost(err)
 }
 
-// onLost fails the calls of a connection that ended or was never made, and plans the next one.
+// onLost fails the calls of a connection that ended or could not be opened, and schedules the next one.
 func (l *listClient) onLost(err error) {
 	l.mu.Lock()
 	closed, sentCall, now := l.closed, l.sentCall, l.env.Now()
@@ -285,7 +285,7 @@
 	if closed {
 		return
 	}
-	l.log.Debug().Str("why", fmt.Sprint(err)).Msg("node list connection ended")
+	l.log.Debug().Str("why", fmt.Sprint(err)).Msg("connection to list server ended")
 	if sentCall {
 		l.handler.onListFailed()
 	}
@@ -294,7 +294,7 @@
 	}
 }
 
-// close ends the connection and opens no other.
+// close closes the connection and opens no further one.
 func (l *listClient) close() {
 	l.mu.Lock()
 	l.closed = true
--- a/internal/serve/list_updates.go
+++ b/internal/serve/list_updates.go
@@ -2,8 +2,8 @@
 
 import "ravenpond/logic"
 
-// onListAnswer takes a complete answer of the list server over, and hands it to the other schedulers and to all shards, whichever of them
-// has polled.
+// onListAnswer applies a complete answer of the list server. It passes the answer on to the other schedulers and to all shards, not only to
+// the shard that polled.
 func (s *Server) onListAnswer(answer listAnswer) error {
 	entries, err := s.endpoints.update(answer.kind, answer.version, answer.entries)
 	if err != nil {
@@ -17,7 +17,8 @@
 // onListFailed tells all shards that a call to the list server has failed.
 func (s *Server) onListFailed() { s.broadcastList(logic.ListFailed, nil) }
 
-// broadcastList hands what the list server said to all shards. With a working set they are told only of the nodes that they know.
+// broadcastList passes an answer or a failure of the list server on to all shards. With a working set, shards get only the entries of nodes
+// that they know.
 func (s *Server) broadcastList(kind logic.ListKind, entries []listEntry) {
 	if s.workingSet != nil && kind != logic.ListFailed {
 		s.workingSet.onList(kind, entries)
@@ -28,7 +29,7 @@
 	}
 }
 
-// initShard posts to a shard that starts what is known of nodes, even if that is nothing.
+// initShard posts to a starting shard what is known of nodes, even if no node is known.
 func (s *Server) initShard(sh *shard) {
 	if s.workingSet != nil {
 		s.workingSet.sendKnownNodes(sh)
--- a/internal/serve/maintenance.go
+++ b/internal/serve/maintenance.go
@@ -259,11 +259,11 @@
 }
 
 // setInMaintenance marks nodes as out, or as returned.
-func (m *maintenanceRunner) setInMaintenance(ids []uint32, out bool) {
+func (m *maintenanceRunner) setInMaintenance(ids []uint32, inMaintenance bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, id := range ids {
-		if out {
+		if inMaintenance {
 			m.inMaintenance[id] = true
 		} else if m.inMaintenance[id] {
 			delete(m.inMaintenance, id)
@@ -277,11 +277,11 @@
 type maintenanceExecutor struct{ m *maintenanceRunner }
 
 // SetDraining takes nodes out or brings them back.
-func (e maintenanceExecutor) SetDraining(nodes []string, out bool) {
+func (e maintenanceExecutor) SetDraining(nodes []string, draining bool) {
 	ids := parseNodeIDs(nodes)
-	e.m.setInMaintenance(ids, out)
+	e.m.setInMaintenance(ids, draining)
 	for _, sh := range e.m.shards.liveShards() {
-		sh.post(func(now float64) { sh.engine.SetMaintenance(now, ids, out) })
+		sh.post(func(now float64) { sh.engine.SetMaintenance(now, ids, draining) })
 	}
 }
 
