--- a/internal/serve/cluster_state.go
+++ b/internal/serve/cluster_state.go
@@ -14,25 +14,26 @@
 	"ravenpond/internal/state/raftstore"
 )
 
-// clusterControl is this process's part in the replicated cluster state, where the site file names voters. A nil one does nothing.
+// clusterControl is this process's part in the replicated cluster state, if the site file names voters. The methods stop, sendExcluded and view
+// do nothing on a nil clusterControl.
 type clusterControl struct {
 	*process
 	runner *control.Runner
 	zones  *zoneRouting
 
-	mu     sync.Mutex // guards status; a leaf
+	mu     sync.Mutex // guards status; a leaf lock
 	status consensusStatus
 }
 
-// consensusStatus is what the replica said of itself last.
+// consensusStatus is the status that the replica last reported.
 type consensusStatus struct {
 	isVoter  bool
 	isLeader bool
-	halted   string
+	halted   string // why the replica has stopped, empty if it has not
 	stats    consensus.Stats
 }
 
-// startClusterControl starts the replica and the routing by zones. It returns nil if the site file names no voters.
+// startClusterControl starts the replica and zone routing. It returns nil if the site file names no voters.
 func startClusterControl(s *Server) (*clusterControl, error) {
 	siteConfig, ownZone := s.config.Site, s.config.Zone
 	if len(siteConfig.Members.Voters) == 0 {
@@ -43,7 +44,7 @@
 	case zone >= 0:
 		config.Region = siteConfig.Regions[zone]
 	case ownZone != "":
-		return nil, fmt.Errorf("zone %q: the site file has %q", ownZone, siteConfig.Zones)
+		return nil, fmt.Errorf("zone %q is not one of the site file's zones %q", ownZone, siteConfig.Zones)
 	}
 	storage, err := openVoterStorage(s.process)
 	if err != nil {
@@ -55,11 +56,11 @@
 	}
 	c := &clusterControl{process: s.process, runner: runner, zones: newZoneRouting(s, runner)}
 	c.zones.start()
-	s.log.Info().Str("mode", "council").Bool("steward", c.isVoter()).Strs("stewards", config.Voters).Str("zone", config.Zone).Str("region", config.Region).Msg("agrees")
+	s.log.Info().Str("mode", "council").Bool("steward", c.isVoter()).Strs("stewards", config.Voters).Str("zone", config.Zone).Str("region", config.Region).Msg("cluster state replica started")
 	return c, nil
 }
 
-// openVoterStorage opens what a voter has to keep, nil for other schedulers.
+// openVoterStorage opens the storage for the state that a voter must not lose. It returns nil for schedulers that are no voters.
 func openVoterStorage(p *process) (control.Storage, error) {
 	switch {
 	case !slices.Contains(p.config.Site.Members.Voters, p.config.Name):
@@ -70,7 +71,7 @@
 	return raftstore.Open(p.config.Folder, p.config.Site.Name)
 }
 
-// zoneConfig is what decisions about zones rest on.
+// zoneConfig returns the configuration for decisions about zones.
 func zoneConfig(siteConfig *site.Config) control.ZoneConfig {
 	states := map[string]clusterstate.ZoneState{"open": clusterstate.Open, "closed": clusterstate.Closed}
 	overrides := map[string]clusterstate.ZoneState{}
@@ -87,21 +88,22 @@
 	return slices.Contains(c.config.Site.Members.Voters, c.config.Name)
 }
 
-// stop ends the replica.
+// stop stops the replica.
 func (c *clusterControl) stop() {
 	if c != nil {
 		c.runner.Stop()
 	}
 }
 
-// sendExcluded tells a shard that starts which nodes are excluded for their zone.
+// sendExcluded tells a starting shard which nodes are excluded because of their zone.
 func (c *clusterControl) sendExcluded(sh *shard) {
 	if c != nil {
 		c.zones.sendExcluded(sh)
 	}
 }
 
-// view returns what people are shown, nil without voters. The replica's own part is as of the last call: it is asked for the next one.
+// view returns the view written for operators, or nil without voters. The replica's status in it was requested by the previous call; each call
+// requests it for the next one.
 func (c *clusterControl) view(now float64) *ClusterStateView {
 	if c == nil {
 		return nil
@@ -126,7 +128,7 @@
 	return view
 }
 
-// setStatus reads the replica's status, on the replica's goroutine.
+// setStatus stores the replica's status. It runs on the replica's goroutine.
 func (c *clusterControl) setStatus(replica *consensus.Replica) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/serve/maintenance.go
+++ b/internal/serve/maintenance.go
@@ -14,8 +14,8 @@
 	"ravenpond/internal/state/maintenancestore"
 )
 
-// MaintenanceStore holds maintenance windows and the measured load. It is opened for one poll at a time, so that the command line can
-// change the calendar while the process runs.
+// MaintenanceStore stores maintenance windows and the measured load. It is opened for one poll at a time, so that the command line can change
+// the calendar while the process runs.
 type MaintenanceStore interface {
 	maintenance.Store
 	Loads() (measured *calendar.Load, published *calendar.Table, err error)
@@ -24,53 +24,53 @@
 }
 
 const (
-	// maintenanceInterval is the time between two polls of the windows, ms.
+	// maintenanceInterval is the time between two polls of the maintenance windows, ms.
 	maintenanceInterval = 1000
-	// maintenanceMarkLifetime is how long, in ms, the list server keeps a mark that is not renewed: a scheduler that is gone for good
-	// must not keep a node out.
+	// maintenanceMarkLifetime is how long, in ms, the list server keeps a maintenance mark that is not renewed. Marks expire so that a
+	// scheduler that is gone for good does not keep a node out of use.
 	maintenanceMarkLifetime = 60000
-	// marksPerLifetime is how often a mark is renewed in its lifetime.
+	// marksPerLifetime is how many times a mark is renewed during its lifetime.
 	marksPerLifetime = 3
 	// loadSaveInterval is the time between two saves of the measured load.
 	loadSaveInterval = 10 * time.Minute
 )
 
-// maintenanceRunner carries out the maintenance windows of the state folder's store: it keeps tasks off nodes whose window is open, moves
-// running ones away, and tells the list server, for schedulers without a calendar.
+// maintenanceRunner carries out the maintenance windows of the state folder's store. It places no tasks on nodes whose window is open, moves
+// running tasks away from them, and marks the nodes at the list server for schedulers without a calendar.
 //
-// The polls run one at a time, on a timer. mu is a leaf: no other lock is taken while it is held.
+// Polls run one at a time, on a timer. mu is a leaf lock: no other lock is taken while it is held.
 type maintenanceRunner struct {
 	*process
 	endpoints  *endpointList
 	listClient *listClient
 	shards     shardLister
 
-	// The polls alone use these.
+	// Only the polls use these fields.
 	controller *maintenance.Controller
 	history    loadHistory
-	lastError  string // of the last poll, so that one that stays is logged once
+	lastError  string // error of the last poll, empty if none; an error that repeats is logged once
 
 	mu            sync.Mutex // guards the fields below
 	inMaintenance map[uint32]bool
-	returned      []uint32 // nodes that came back, of which the list server has not been told
+	returned      []uint32 // nodes whose maintenance has ended, not yet reported to the list server
 	marksSentAt   float64
 	taskCounts    map[int]taskCount // by shard
 }
 
-// shardLister gives the shards that run.
+// shardLister returns the shards that run.
 type shardLister interface{ liveShards() []*shard }
 
-// loadHistory is the load measured by hour of the week.
+// loadHistory is the measured load by hour of the week.
 type loadHistory struct {
 	measured *calendar.Load
 	savedAt  time.Time
-	source   string // of the load that the calendar plans with, as last logged
+	source   string // source of the load estimate that the calendar plans with, as last logged
 }
 
-// taskCount is what a shard holds: on nodes that are out, by job class, and in all.
+// taskCount is the number of tasks that a shard holds: by node in maintenance and job class, and in total.
 type taskCount struct {
-	incarnation uint32
-	byNode      map[uint32][]int
+	incarnation uint32           // of the shard
+	byNode      map[uint32][]int // by job class
 	all         int
 }
 
@@ -84,7 +84,7 @@
 	return m
 }
 
-// loadOpenWindows reads which nodes an earlier incarnation took out: the shards have to know before they place anything.
+// loadOpenWindows reads which nodes an earlier incarnation took into maintenance. The shards have to know them before they place anything.
 func (m *maintenanceRunner) loadOpenWindows() error {
 	store, err := m.config.Maintenance()
 	if err != nil || store == nil {
@@ -105,18 +105,18 @@
 	return nil
 }
 
-// start polls the windows from now on.
+// start starts to poll the windows.
 func (m *maintenanceRunner) start() {
 	m.async(func() {
-		m.poll() // what opened while no process ran
+		m.poll() // carries out windows that opened while no process ran
 		m.every(maintenanceInterval, m.poll)
 	})
 }
 
-// poll carries out what is due. While it fails, windows stand still and placement goes on.
+// poll carries out what is due. While it fails, no window makes progress, and placement continues.
 func (m *maintenanceRunner) poll() {
 	failure := ""
-	if err := m.run(); err != nil && !errors.Is(err, maintenancestore.ErrLocked) { // the command line has the store just now
+	if err := m.run(); err != nil && !errors.Is(err, maintenancestore.ErrLocked) { // the command line has the store open
 		failure = err.Error()
 	}
 	if failure != m.lastError && failure != "" {
@@ -139,11 +139,12 @@
 	}
 	m.countTasks()
 	err = m.controller.Tick(now, nodes, lost)
-	m.sendMarks() // after it, so that what has just opened or closed goes to the list server at once
+	m.sendMarks() // after Tick, so that windows that have just opened or closed are reported to the list server at once
 	return err
 }
 
-// measureLoad adds the present load to the history, saves that now and then, and gives the controller the load to plan with.
+// measureLoad adds the present load to the history, saves the history every loadSaveInterval, and gives the controller the load estimate to
+// plan with.
 func (m *maintenanceRunner) measureLoad(store MaintenanceStore, now time.Time, nodes []calendar.Node) error {
 	h := &m.history
 	measured, published, err := store.Loads()
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// requestedShare returns which shares, from 0 to 1, of all cores and memory are requested; not ok if no node is known.
+// requestedShare returns the shares, from 0 to 1, of all cores and memory that are requested. ok is false if no node is known.
 func requestedShare(nodes []calendar.Node, free map[string]resources) (cores, memory float64, ok bool) {
 	var total, used resources
 	for _, node := range nodes {
@@ -188,7 +189,7 @@
 	return used.cores / total.cores, used.memory / total.memory, true
 }
 
-// sendMarks has the list server told which nodes are out, when that is due.
+// sendMarks reports to the list server which nodes are in maintenance, if a report is due.
 func (m *maintenanceRunner) sendMarks() {
 	now := m.env.Now()
 	m.mu.Lock()
@@ -202,15 +203,15 @@
 	}
 }
 
-// resendMarks has the list server told at the next poll.
+// resendMarks makes the next poll send the marks to the list server.
 func (m *maintenanceRunner) resendMarks() {
 	m.mu.Lock()
 	m.marksSentAt = 0
 	m.mu.Unlock()
 }
 
-// appendMarks appends the lines that tell the list server which nodes are out and which have returned. The latter are sent once; if they
-// are lost, the marks expire.
+// appendMarks appends the lines that tell the list server which nodes are in maintenance and which have returned from it. Returned nodes are
+// sent once; if that line is lost, the mark of the node expires.
 func (m *maintenanceRunner) appendMarks(b []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -224,14 +225,14 @@
 	return b
 }
 
-// nodesInMaintenance returns the nodes that are out, sorted.
+// nodesInMaintenance returns the nodes in maintenance, sorted.
 func (m *maintenanceRunner) nodesInMaintenance() []uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Sorted(maps.Keys(m.inMaintenance))
 }
 
-// countTasks has each shard count what it holds on the nodes that are out, for the next poll.
+// countTasks makes each shard count its tasks on the nodes in maintenance, for the next poll.
 func (m *maintenanceRunner) countTasks() {
 	ids := m.nodesInMaintenance()
 	if len(ids) == 0 {
@@ -251,14 +252,14 @@
 	}
 }
 
-// tasksOf returns what a shard held when it was last counted.
+// tasksOf returns the last task count of a shard.
 func (m *maintenanceRunner) tasksOf(shard int) taskCount {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.taskCounts[shard]
 }
 
-// setInMaintenance marks nodes as out, or as returned.
+// setInMaintenance marks nodes as in maintenance, or as returned from it.
 func (m *maintenanceRunner) setInMaintenance(ids []uint32, inMaintenance bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -270,13 +271,13 @@
 			m.returned = append(m.returned, id)
 		}
 	}
-	m.marksSentAt = 0 // the list server is told at the end of this poll
+	m.marksSentAt = 0 // the marks are sent at the end of this poll
 }
 
 // maintenanceExecutor carries out the controller's decisions on all shards.
 type maintenanceExecutor struct{ m *maintenanceRunner }
 
-// SetDraining takes nodes out or brings them back.
+// SetDraining puts nodes into maintenance or brings them back.
 func (e maintenanceExecutor) SetDraining(nodes []string, draining bool) {
 	ids := parseNodeIDs(nodes)
 	e.m.setInMaintenance(ids, draining)
@@ -285,8 +286,8 @@
 	}
 }
 
-// CountRunning sums what the shards last counted: the running tasks on nodes by job class, and all tasks. A node counts as occupied while
-// a shard has not counted it since the node went out or the shard started.
+// CountRunning sums the last counts of the shards: the running tasks on nodes by job class, and all tasks. A node counts as occupied until
+// each shard has counted its tasks there, after the node entered maintenance and after the last start of the shard.
 func (e maintenanceExecutor) CountRunning(nodes []string) (byJobClass []int, all int) {
 	byJobClass = make([]int, len(e.m.config.Site.JobClasses))
 	for _, sh := range e.m.shards.liveShards() {
@@ -305,7 +306,7 @@
 	return byJobClass, all
 }
 
-// Evict has the shards stop up to limit tasks of a job class on nodes, and returns how many they stop.
+// Evict makes the shards stop up to limit tasks of a job class on nodes, and returns how many they were told to stop.
 func (e maintenanceExecutor) Evict(nodes []string, jobClass, limit int) int {
 	movable := make([]bool, len(e.m.config.Site.JobClasses))
 	movable[jobClass] = true
@@ -325,10 +326,10 @@
 	return limit - left
 }
 
-// Log writes a line of the controller.
+// Log writes a line of the controller to the log.
 func (e maintenanceExecutor) Log(line string) { e.m.log.Info().Str("mode", "drains").Msg(line) }
 
-// parseNodeIDs reads the calendar's node ids. Those that are no numbers are left out.
+// parseNodeIDs parses the calendar's node ids. Ids that are no numbers are left out.
 func parseNodeIDs(nodes []string) (ids []uint32) {
 	for _, text := range nodes {
 		if id, err := strconv.ParseUint(text, 10, 32); err == nil {
--- a/internal/serve/membership.go
+++ b/internal/serve/membership.go
@@ -20,47 +20,47 @@
 // Times of the membership in ms.
 const (
 	membershipPollInterval = 100
-	viewWriteInterval      = 1000 // between two writes of what `ravenpond members` shows
-	leaseMargin            = 200  // a lease counts as expired so long before it is: what is decided under it has left by then
-	slowStartWindowMargin  = 500  // by which the policy module lengthens the slow-start window of a node
+	viewWriteInterval      = 1000 // between two writes of the view that `ravenpond members` shows
+	leaseMargin            = 200  // a lease is treated as expired this long before it is, so that whatever was decided under it has been sent by then
+	slowStartWindowMargin  = 500  // the policy module lengthens a node's slow-start window by this much
 )
 
-// minKeyBytes is the least length of a member key.
+// minKeyBytes is the minimum length of a member key.
 const minKeyBytes = 16
 
-// clusterMembership is this process's part in the membership of schedulers: who else is alive, how many share the slow start of nodes and
-// the leased part of quotas, and what the others say of nodes. Without members in the site file it stays empty, and its methods do
-// nothing.
+// clusterMembership is this process's part in the membership of schedulers. It tracks which other schedulers are alive, how many share the
+// slow start of nodes and the leased part of quotas, and what the others report about nodes. Without members in the site file it stays empty,
+// and its methods do nothing.
 //
-// The polls run one at a time, on a timer. mu and linksMu are leaves. Methods that call withDetector must not be called from within it.
+// Polls run one at a time, on a timer. mu and linksMu are leaf locks. Methods that call withDetector must not be called from within it.
 type clusterMembership struct {
 	*process
 	shards         *shardSet
 	tenants        *tenantHosting
-	clusterControl atomic.Pointer[clusterControl] // nil without voters, and until they are started
+	clusterControl atomic.Pointer[clusterControl] // nil if the site file names no voters, and until it is started
 
-	runner      *members.Runner // nil without members; set by start, as is incarnation
+	runner      *members.Runner // nil without members; start sets it together with incarnation
 	incarnation uint64
 
-	sharers      atomic.Int64  // schedulers that share the slow start of nodes; 0: this process takes no part
-	sharersUntil atomic.Uint64 // bits of until when that holds, ms
+	sharers      atomic.Int64  // number of schedulers that share the slow start of nodes; 0: this process takes no part
+	sharersUntil atomic.Uint64 // time in ms until which sharers is valid, as the bits of a float64
 
-	// The polls alone use these.
+	// Only the polls use these fields.
 	isolation     isolation.Monitor
 	viewWrittenAt float64
 
 	mu      sync.Mutex // guards heldBack
-	unready []uint32   // nodes that others say are not ready, ahead of the list here; sorted
+	unready []uint32   // nodes that other schedulers report as not ready before the list here does; sorted
 
 	linksMu sync.Mutex           // guards links
-	links   map[uint32]*nodeLink // to nodes, over all sets of connections
+	links   map[uint32]*nodeLink // connections by node, of all nodeConnections
 }
 
 func newClusterMembership(p *process) *clusterMembership {
 	return &clusterMembership{process: p, links: map[uint32]*nodeLink{}}
 }
 
-// start joins the other schedulers, where the site file has members.
+// start joins the other schedulers if the site file has members.
 func (m *clusterMembership) start() error {
 	config, cluster := m.config.Site.Members, &m.config.Site.Cluster
 	if config.Listen == "" {
@@ -72,7 +72,7 @@
 	}
 	incarnation, err := m.folder.NextIncarnation()
 	if err != nil {
-		return fmt.Errorf("state: %w", err)
+		return fmt.Errorf("read incarnation from state folder: %w", err)
 	}
 	runner, err := members.Start(m.env, config.Listen, membership.Config{
 		Site: m.config.Site.Name, Name: m.config.Name, Address: config.Advertise, Incarnation: uint64(incarnation), Key: key,
@@ -83,28 +83,28 @@
 		return err
 	}
 	m.runner, m.incarnation = runner, uint64(incarnation)
-	m.log.Info().Str("mode", "members").Str("address", runner.Address()).Uint32("life", incarnation).Int("places", cluster.Schedulers).Msg("asks for the others")
+	m.log.Info().Str("mode", "members").Str("address", runner.Address()).Uint32("life", incarnation).Int("places", cluster.Schedulers).Msg("joining the other schedulers")
 	m.every(membershipPollInterval, m.poll)
 	return nil
 }
 
-// memberKey returns the key that members sign their datagrams with.
+// memberKey returns the key with which members sign their datagrams.
 func (m *clusterMembership) memberKey() ([]byte, error) {
 	path, key := m.config.Site.Members.Key, m.config.MemberKey
 	if key == nil {
 		b, err := os.ReadFile(path)
 		if err != nil {
-			return nil, fmt.Errorf("member key: %w", err)
+			return nil, fmt.Errorf("read member key: %w", err)
 		}
 		key = []byte(strings.TrimSpace(string(b)))
 	}
 	if len(key) < minKeyBytes {
-		return nil, fmt.Errorf("member key %s: %d bytes, at least %d are expected", path, len(key), minKeyBytes)
+		return nil, fmt.Errorf("member key %s: got %d bytes, want at least %d", path, len(key), minKeyBytes)
 	}
 	return key, nil
 }
 
-// stop leaves the other schedulers.
+// stop leaves the membership.
 func (m *clusterMembership) stop() {
 	if m.runner != nil {
 		m.runner.Stop()
@@ -114,29 +114,29 @@
 // isMember reports whether the site file has members.
 func (m *clusterMembership) isMember() bool { return m.runner != nil }
 
-// withDetector calls f with the detector, which must not be used beyond it. Without members it does nothing.
+// withDetector calls f with the detector, which f must not retain. Without members it does nothing.
 func (m *clusterMembership) withDetector(f func(*membership.Detector)) {
 	if m.runner != nil {
 		m.runner.WithDetector(f)
 	}
 }
 
-// membershipEvents logs changes of the membership, and gives the detector what is known of nodes.
+// membershipEvents logs changes of the membership, and tells the detector when nodes were last heard from.
 type membershipEvents struct{ m *clusterMembership }
 
-// OnChange logs a member's new state.
+// OnChange logs the new state of a member.
 func (e membershipEvents) OnChange(now float64, member membership.Member, previous membership.State) {
 	e.m.log.Info().Str("mode", "members").Str("member", member.Name).Str("address", member.Address).Uint64("life", member.Incarnation).
 		Uint64("version", member.Version).Stringer("was", previous).Stringer("is", member.State).Str("by", member.By).
-		Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("member")
+		Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("member state changed")
 }
 
-// OnNameTaken logs that another scheduler has this one's name.
+// OnNameTaken logs that another scheduler uses this scheduler's name.
 func (e membershipEvents) OnNameTaken(_ float64, address string) {
-	e.m.log.Error().Str("mode", "members").Str("at", address).Msg("another scheduler goes by this one's name: this one takes no part in cold nodes")
+	e.m.log.Error().Str("mode", "members").Str("at", address).Msg("another scheduler uses this scheduler's name; this one takes no part in the slow start of nodes")
 }
 
-// LastHeard returns when this process last received something of a node, and in which incarnation of it.
+// LastHeard returns when this process last received something from a node, and the incarnation of the node.
 func (e membershipEvents) LastHeard(node uint32) (incarnation uint64, lastReceived float64, ok bool) {
 	link := e.m.link(node)
 	if link == nil {
@@ -145,15 +145,15 @@
 	return link.incarnation, math.Float64frombits(link.lastReceived.Load()), true
 }
 
-// link returns the connection to a node, else nil. The tables of nodeConnections can't be asked from within withDetector, which they call
-// with their lock held.
+// link returns the connection to a node, or nil. The tables of nodeConnections can't be read from within withDetector, because
+// nodeConnections call withDetector while they hold their own lock.
 func (m *clusterMembership) link(node uint32) *nodeLink {
 	m.linksMu.Lock()
 	defer m.linksMu.Unlock()
 	return m.links[node]
 }
 
-// onNodeConnected takes a new connection to a node.
+// onNodeConnected records a new connection to a node.
 func (m *clusterMembership) onNodeConnected(l *nodeLink) {
 	if m.runner == nil {
 		return
@@ -164,7 +164,7 @@
 	m.withDetector(func(detector *membership.Detector) { detector.OnNodeReachable(l.node) })
 }
 
-// onNodeDisconnected takes the end of a connection. The other schedulers are then asked whether they still reach the node.
+// onNodeDisconnected records the end of a connection. The other schedulers are then asked whether they still reach the node.
 func (m *clusterMembership) onNodeDisconnected(l *nodeLink) {
 	if m.runner == nil {
 		return
@@ -181,13 +181,13 @@
 	}
 }
 
-// nodeAlive reports whether others still reach a node that a shard has lost.
+// nodeAlive reports whether other schedulers still reach a node to which a shard has lost the connection.
 func (m *clusterMembership) nodeAlive(now float64, nodeID uint32, incarnation uint64) (alive bool) {
 	m.withDetector(func(detector *membership.Detector) { alive = detector.IsNodeAlive(now, nodeID, incarnation) })
 	return alive
 }
 
-// memberNames returns the schedulers that are there; not known without members.
+// memberNames returns the names of the schedulers that are alive or suspect. Without members, known is false.
 func (m *clusterMembership) memberNames() (names []string, known bool) {
 	m.withDetector(func(detector *membership.Detector) {
 		known = true
@@ -200,7 +200,7 @@
 	return names, known
 }
 
-// gossipList has the others hear what an answer of the list server says.
+// gossipList spreads the node states of an answer of the list server to the other schedulers.
 func (m *clusterMembership) gossipList(version uint64, entries []state.Entry) {
 	now := m.env.Now()
 	m.withDetector(func(detector *membership.Detector) {
@@ -213,8 +213,8 @@
 	})
 }
 
-// slowStartSharers returns how many schedulers share the slow start of nodes: 0 once the lease has expired, whatever the last poll said, as
-// after a stall.
+// slowStartSharers returns how many schedulers share the slow start of nodes. It returns 0 once the lease has expired, even if the last poll
+// said otherwise, as after a stall of the process.
 func (m *clusterMembership) slowStartSharers(now float64) int {
 	if now >= math.Float64frombits(m.sharersUntil.Load()) {
 		return 0
@@ -222,16 +222,16 @@
 	return int(m.sharers.Load())
 }
 
-// membershipPoll is what a poll reads from the detector.
+// membershipPoll is the data that a poll reads from the detector.
 type membershipPoll struct {
-	sharers                int // of the slow start of nodes
+	sharers                int // schedulers that share the slow start of nodes
 	sharersUntil           float64
 	alive, total           int // members
 	permits, permitsNeeded int
 	unready                []uint32 // nodes
 	quotaSharers           int
 	quotaUntil             float64
-	ended                  []nodeIncarnation // nodes' incarnations that others know to have ended
+	ended                  []nodeIncarnation // incarnations of nodes that others know to have ended
 }
 
 type nodeIncarnation struct {
@@ -254,8 +254,8 @@
 	return p
 }
 
-// poll takes over what the detector says: how many share slow starts and quotas, what the others say of nodes, and how far this process
-// is cut off.
+// poll applies what the detector reports: how many schedulers share slow starts and quotas, what the others know about nodes, and how
+// isolated this process is.
 func (m *clusterMembership) poll() {
 	now := m.env.Now()
 	p := m.readDetector(now)
@@ -267,12 +267,12 @@
 	}
 	m.setUnready(p.unready)
 	if previous := int(m.sharers.Load()); previous != p.sharers {
-		m.log.Info().Str("mode", "members").Int("share", p.sharers).Int("was", previous).Int("leaves", p.permits).Int("needs", p.permitsNeeded).Msg("cold nodes")
+		m.log.Info().Str("mode", "members").Int("share", p.sharers).Int("was", previous).Int("leaves", p.permits).Int("needs", p.permitsNeeded).Msg("sharing of slow starts changed")
 	}
 	m.sharersUntil.Store(math.Float64bits(p.sharersUntil - leaseMargin))
 	m.sharers.Store(int64(p.sharers))
 	if degree, changed := m.isolation.Update(now, p.alive, p.total); changed {
-		m.log.Warn().Str("mode", "members").Stringer("degree", degree).Int("alive", p.alive).Int("known", p.total).Int("share", p.sharers).Msg("contact with others")
+		m.log.Warn().Str("mode", "members").Stringer("degree", degree).Int("alive", p.alive).Int("known", p.total).Int("share", p.sharers).Msg("contact with other schedulers changed")
 	}
 	if now-m.viewWrittenAt >= viewWriteInterval {
 		m.viewWrittenAt = now
@@ -280,7 +280,8 @@
 	}
 }
 
-// setUnready has all shards place nothing new on nodes that others say are not ready, and no longer avoid the rest.
+// setUnready makes all shards place nothing new on nodes that other schedulers report as not ready, and use the nodes again that are no
+// longer among them.
 func (m *clusterMembership) setUnready(nodes []uint32) {
 	m.mu.Lock()
 	previous := m.unready
@@ -289,15 +290,15 @@
 	if slices.Equal(previous, nodes) {
 		return
 	}
-	released := slices.DeleteFunc(slices.Clone(previous), func(id uint32) bool { return slices.Contains(nodes, id) })
-	m.log.Info().Str("mode", "members").Int("held", len(nodes)).Int("freed", len(released)).Msg("nodes held back on the word of others")
+	readmitted := slices.DeleteFunc(slices.Clone(previous), func(id uint32) bool { return slices.Contains(nodes, id) })
+	m.log.Info().Str("mode", "members").Int("held", len(nodes)).Int("freed", len(readmitted)).Msg("nodes that other schedulers report as not ready changed")
 	m.shards.postAll(func(sh *shard, now float64) {
-		sh.engine.SetWarned(now, released, false)
+		sh.engine.SetWarned(now, readmitted, false)
 		sh.engine.SetWarned(now, nodes, true)
 	})
 }
 
-// sendUnready tells a shard that starts which nodes are held back.
+// sendUnready tells a starting shard which nodes other schedulers report as not ready.
 func (m *clusterMembership) sendUnready(sh *shard) {
 	m.mu.Lock()
 	nodes := m.unready
--- a/internal/serve/membership_view.go
+++ b/internal/serve/membership_view.go
@@ -8,55 +8,55 @@
 	"ravenpond/internal/decide/membership"
 )
 
-// MembersFile is where a scheduler writes its MembershipView, in its state folder.
+// MembersFile is the name of the file in the state folder to which a scheduler writes its MembershipView.
 const MembersFile = "members.json"
 
-// MembershipView is what a scheduler knows of the other schedulers and of the replicated cluster state, as it is written for people. The
-// JSON keys are an interface.
+// MembershipView is what a scheduler knows about the other schedulers and the replicated cluster state, written for operators. The JSON keys
+// are an interface.
 type MembershipView struct {
 	Name          string            `json:"Name"`
 	Address       string            `json:"Address"`
 	Isolation     string            `json:"Degree"`
 	At            time.Time         `json:"At"`
 	Incarnation   uint64            `json:"Life"`
-	Health        int               `json:"Health"` // the detector's local health, from 0, which is best, to 8
-	Sharers       int               `json:"Share"`  // schedulers that share the slow start of nodes; 0: this one takes no part
-	Permits       int               `json:"Leaves"` // members that permit it to take part
-	PermitsNeeded int               `json:"Needs"`
-	NameTaken     bool              `json:"Taken"` // another scheduler has the same name
+	Health        int               `json:"Health"` // the detector's local health, from 0 (best) to 8
+	Sharers       int               `json:"Share"`  // number of schedulers that share the slow start of nodes; 0: this one takes no part
+	Permits       int               `json:"Leaves"` // number of members that grant this scheduler a share
+	PermitsNeeded int               `json:"Needs"`  // number of grants that it needs to take part
+	NameTaken     bool              `json:"Taken"`  // whether another scheduler has the same name
 	Stats         membership.Stats  `json:"Figures"`
 	Members       []MemberView      `json:"Members"`
 	ClusterState  *ClusterStateView `json:"Book,omitempty"`
 }
 
-// MemberView is one of the other schedulers.
+// MemberView is what a scheduler knows about one of the others.
 type MemberView struct {
 	Name        string  `json:"Name"`
 	Address     string  `json:"Address"`
 	State       string  `json:"State"`
-	ReportedBy  string  `json:"By"`
+	ReportedBy  string  `json:"By"` // the member that reported the state
 	Incarnation uint64  `json:"Life"`
 	Version     uint64  `json:"Version"`
-	InState     float64 `json:"Since"` // seconds
-	LastContact float64 `json:"Heard"` // seconds ago, 0: never
+	InState     float64 `json:"Since"` // seconds in this state
+	LastContact float64 `json:"Heard"` // seconds since the last contact, 0: never
 }
 
-// ClusterStateView is what a scheduler knows of the replicated cluster state.
+// ClusterStateView is what a scheduler knows about the replicated cluster state.
 type ClusterStateView struct {
 	Version      uint64             `json:"Version"`
 	Epoch        uint64             `json:"Epoch"`
 	Digest       string             `json:"Digest"` // of the whole state
-	LeaseSeconds float64            `json:"Sure"`   // for which the scheduler may act by it; below 0: it is in degraded mode
+	LeaseSeconds float64            `json:"Sure"`   // how long the scheduler may still act on the state; below 0: it is in degraded mode
 	IsVoter      bool               `json:"Steward"`
 	IsLeader     bool               `json:"Leads"`
-	Halted       string             `json:"Halted,omitempty"` // why the replica has stopped
-	Zones        map[string]string  `json:"Zones"`            // states by zone
-	ZoneShares   map[string]float64 `json:"Uses"`             // shares of the zones' nodes that this scheduler uses
-	SearchLevel  int                `json:"Level"`            // 0: it uses its own zone, 1: its region, 2: all zones
+	Halted       string             `json:"Halted,omitempty"` // why the replica has stopped, empty if it has not
+	Zones        map[string]string  `json:"Zones"`            // states of the zones by name
+	ZoneShares   map[string]float64 `json:"Uses"`             // fraction of each zone's nodes that this scheduler uses
+	SearchLevel  int                `json:"Level"`            // 0: the scheduler uses its own zone, 1: its region, 2: all zones
 	Stats        consensus.Stats    `json:"Figures"`
 }
 
-// writeView writes the view to the state folder. The polls alone call it.
+// writeView writes the view to the state folder. Only polls call it.
 func (m *clusterMembership) writeView() {
 	now := m.env.Now()
 	view := MembershipView{Name: m.config.Name, At: m.env.WallClock(), Sharers: m.slowStartSharers(now), Isolation: m.isolation.Degree().String()}
@@ -74,7 +74,7 @@
 		err = m.folder.WriteUnsynced(MembersFile, b)
 	}
 	if err != nil {
-		m.log.Error().Str("mode", "members").Err(err).Msg("view not written")
+		m.log.Error().Str("mode", "members").Err(err).Msg("cannot write membership view")
 	}
 }
 
--- a/internal/serve/working_set.go
+++ b/internal/serve/working_set.go
@@ -12,25 +12,25 @@
 
 // Times of the working set in ms.
 const (
-	stepInterval    = 100  // between two steps
-	releaseInterval = 1000 // between two polls of which nodes outside the set can be released
-	freeMemoryDelay = 5000 // after the last visit: its timers are over by then
-	shortageAfter   = 100  // for which a task must have found no node to count as short
+	stepInterval    = 100  // between two steps of the set
+	releaseInterval = 1000 // between two attempts to release idle nodes outside the set
+	freeMemoryDelay = 5000 // from the last visit until memory is freed; the timers of the visits have ended by then
+	shortageAfter   = 100  // time that a task must have waited for a node before the shard counts as short of nodes
 )
 
-// nodeState is how the shards know a node.
+// nodeState is the state in which the shards know a node.
 type nodeState uint8
 
 const (
-	nodeInside   nodeState = iota // in the set
-	nodeAside                     // not in the set; tasks of this scheduler may run there
-	nodeReleased                  // not in the set, and no task runs there: it is disconnected
+	nodeInside   nodeState = iota // the node is in the set
+	nodeAside                     // the node is not in the set; tasks of this scheduler may run there
+	nodeReleased                  // the node is not in the set and runs no task of this scheduler; it is disconnected
 )
 
-// workingSet keeps the shards to the working set of the process, where the site file asks for one: they are told of its nodes, and of
-// others where tasks of this scheduler run. A nil one contains all nodes.
+// workingSet limits the shards to the working set of the process, if the site file configures one. Shards know only the nodes of the set and
+// other nodes where tasks of this scheduler run. A nil workingSet contains all nodes.
 //
-// mu is held while events are posted to the shards, so that all see the same order. The lock order is nodeConnections, workingSet,
+// mu is held while events are posted to the shards, so that all shards see the same order. The lock order is nodeConnections, workingSet,
 // routerMu; the locks of reports and of the endpoint list are leaves.
 type workingSet struct {
 	*process
@@ -43,13 +43,13 @@
 	mu         sync.Mutex // guards the fields below
 	set        *workingset.Set
 	visits     workingset.Visits
-	nodeStates map[uint32]nodeState // of the nodes that the shards know
-	newNodes   map[uint32]float64   // nodes that joined the endpoint list less than a slow start ago, and when, ms
+	nodeStates map[uint32]nodeState // states of the nodes that the shards know
+	newNodes   map[uint32]float64   // when nodes joined the endpoint list, ms; only those that joined less than a slow start ago
 	load       loadMeter
-	visiting   bool // visits were pending at the last step
+	visiting   bool // whether visits were pending at the last step
 }
 
-// newWorkingSet returns the working set of a process, nil if the site file asks for none.
+// newWorkingSet returns the working set of a process, or nil if the site file configures none.
 func newWorkingSet(s *Server) *workingSet {
 	siteConfig := s.config.Site
 	limits := siteConfig.WorkingSet
@@ -62,7 +62,7 @@
 		PerStart: limits.NodesPerStart, PerStratum: limits.MinPerStratum, NarrowAfter: limits.NarrowAfter,
 		Faults: s.config.Faults.WorkingSet,
 	}
-	if siteConfig.Members.Listen == "" { // the other schedulers are known by their index alone
+	if siteConfig.Members.Listen == "" { // without membership, the other schedulers are known only by their index
 		config.Self = fmt.Sprint("place ", s.config.Index)
 		for i := range siteConfig.Cluster.Schedulers {
 			config.Members = append(config.Members, fmt.Sprint("place ", i))
@@ -74,9 +74,9 @@
 	}
 }
 
-// start visits all nodes, and lets the set decide from now on.
+// start visits all nodes, and starts the periodic steps of the set.
 func (w *workingSet) start() {
-	w.async(w.startVisits) // clients request at once what an earlier incarnation left running
+	w.async(w.startVisits) // tasks of an earlier incarnation have to be found soon: clients request them again at once
 	w.every(stepInterval, w.step)
 	w.every(releaseInterval, w.releaseIdle)
 }
@@ -91,7 +91,7 @@
 	return w.set.Contains(id)
 }
 
-// onList takes entries of the endpoint list. Shards are told of the nodes that they know.
+// onList handles entries of the endpoint list. Shards get only the entries of nodes that they know.
 func (w *workingSet) onList(kind logic.ListKind, entries []listEntry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,7 +118,7 @@
 	w.continueVisits()
 }
 
-// setUnlistedOutside sets nodes aside that left the list. They are forgotten once no task runs there. The caller holds mu.
+// setUnlistedOutside moves nodes that left the list out of the set. They are forgotten once no task runs there. The caller holds mu.
 func (w *workingSet) setUnlistedOutside(removed []uint32) {
 	var known []uint32
 	for _, id := range removed {
@@ -130,7 +130,7 @@
 	w.setOutside(known, true)
 }
 
-// putEntry puts an entry of the list into the set, or removes it. The caller holds mu.
+// putEntry adds or updates the node of a list entry in the set, or removes an unavailable node. The caller holds mu.
 func (w *workingSet) putEntry(now float64, kind logic.ListKind, entry listEntry) {
 	avail := logic.Availability(entry.Avail)
 	if avail == logic.Unavailable {
@@ -153,7 +153,7 @@
 	}
 }
 
-// removeUnlisted removes the nodes from the set that a full list lacks, and returns them sorted. The caller holds mu.
+// removeUnlisted removes from the set the nodes that are missing from a full list, and returns them sorted. The caller holds mu.
 func (w *workingSet) removeUnlisted(entries []listEntry) (removed []uint32) {
 	listed := make(map[uint32]bool, len(entries))
 	for _, entry := range entries {
@@ -173,7 +173,7 @@
 	return removed
 }
 
-// sendKnownNodes tells a shard that starts of the nodes that the others know.
+// sendKnownNodes sends a starting shard the nodes that the other shards know.
 func (w *workingSet) sendKnownNodes(sh *shard) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -181,7 +181,7 @@
 	var outside []uint32
 	for _, id := range ids {
 		if w.nodeStates[id] != nodeInside {
-			w.nodeStates[id] = nodeAside // this shard has yet to learn what runs there
+			w.nodeStates[id] = nodeAside // the starting shard does not know yet what runs there
 			outside = append(outside, id)
 		}
 	}
@@ -190,7 +190,7 @@
 	sh.postList(logic.ListCached, entries)
 }
 
-// step lets the set decide, and carries that out on the shards.
+// step passes reports to the set, lets it choose nodes, and applies the change to the shards. It also asks the shards for their demand.
 func (w *workingSet) step() {
 	names, known := w.membership.memberNames()
 	now := w.env.Now()
@@ -213,7 +213,7 @@
 	})
 }
 
-// apply tells the shards which nodes join and leave the set. The caller holds mu.
+// apply tells the shards which nodes enter and leave the set. The caller holds mu.
 func (w *workingSet) apply(now float64, change workingset.Change) {
 	var leaving, returning, slowStarting, warm []uint32
 	for _, departure := range change.Removed {
@@ -237,18 +237,18 @@
 	maps.DeleteFunc(w.newNodes, func(_ uint32, since float64) bool { return now-since >= w.config.Site.Cluster.SlowStartDuration })
 	if len(change.Added)+len(change.Removed) > 0 {
 		w.log.Info().Str("mode", "working-set").Int("nodes", w.set.Size()).Int("entered", len(change.Added)).
-			Int("left", len(change.Removed)).Int("known", len(w.nodeStates)).Msg("working set changes")
+			Int("left", len(change.Removed)).Int("known", len(w.nodeStates)).Msg("working set changed")
 	}
 }
 
-// setOutside has all shards use nodes no longer, or again.
+// setOutside makes all shards stop using nodes, or use them again.
 func (w *workingSet) setOutside(ids []uint32, out bool) {
 	if len(ids) > 0 {
 		w.shards.postAll(func(sh *shard, now float64) { sh.engine.SetOutsideWorkingSet(now, ids, out) })
 	}
 }
 
-// introduce tells all shards of nodes that they do not know, inside the set or outside of it.
+// introduce tells all shards about nodes that they do not know yet, inside or outside the set.
 func (w *workingSet) introduce(ids []uint32, isNew, outside bool) {
 	if len(ids) == 0 {
 		return
--- a/internal/serve/working_set_release.go
+++ b/internal/serve/working_set_release.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// releaseReplies counts the shards that have released nodes.
+// releaseReplies counts, for each node, the shards that have released it.
 type releaseReplies struct {
 	mu       sync.Mutex // guards the fields below
-	pending  int        // shards that have not voted
+	pending  int        // shards that have not replied
 	released map[uint32]int
 }
 
-// releaseIdle disconnects the nodes outside the set on which no shard has a task.
+// releaseIdle disconnects the nodes outside the set where no shard has a task.
 func (w *workingSet) releaseIdle() {
 	w.mu.Lock()
 	var ids []uint32
@@ -28,7 +28,7 @@
 	slices.Sort(ids)
 	shards := w.shards.liveShards()
 	replies := &releaseReplies{pending: len(shards), released: map[uint32]int{}}
-	for _, sh := range shards { // a fenced shard does not vote, and so holds all up until it starts again
+	for _, sh := range shards { // a fenced shard does not reply, so nothing is released until it has restarted
 		sh.post(func(now float64) {
 			replies.mu.Lock()
 			defer replies.mu.Unlock()
@@ -44,7 +44,8 @@
 	}
 }
 
-// releaseNode has a shard release a node. It reports whether the shard has no task there.
+// releaseNode makes a shard release a node if the shard has no task there, or in any case under the injected fault AbandonTasks. It reports
+// whether the shard has released the node.
 func (w *workingSet) releaseNode(sh *shard, now float64, id uint32) bool {
 	if w.config.Faults.AbandonTasks {
 		sh.engine.ForceRelease(now, id)
@@ -53,7 +54,7 @@
 	return sh.engine.Release(now, id)
 }
 
-// disconnectReleased disconnects the nodes that all of so many shards have released.
+// disconnectReleased disconnects the nodes that were released by all shards; shards is their number.
 func (w *workingSet) disconnectReleased(ids []uint32, released map[uint32]int, shards int) {
 	var idle []uint32
 	w.mu.Lock()
--- a/internal/serve/working_set_reports.go
+++ b/internal/serve/working_set_reports.go
@@ -12,10 +12,10 @@
 // loadInterval is the time between two measurements of the process's own load, ms.
 const loadInterval = 1000
 
-// workingSetReports collects what connections and shards report between two steps. Its methods are safe for concurrent use; mu is a leaf.
+// workingSetReports collects what connections and shards report between two steps. Its methods are safe for concurrent use; mu is a leaf lock.
 type workingSetReports struct {
-	mu        sync.Mutex // guards the fields below
-	reachable map[uint32]bool
+	mu        sync.Mutex            // guards the fields below
+	reachable map[uint32]bool       // by node
 	demands   map[int]engine.Demand // by shard
 }
 
@@ -23,21 +23,21 @@
 	return workingSetReports{reachable: map[uint32]bool{}, demands: map[int]engine.Demand{}}
 }
 
-// setReachable notes whether a node is connected.
+// setReachable records whether a node is connected.
 func (r *workingSetReports) setReachable(id uint32, reachable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reachable[id] = reachable
 }
 
-// setDemand notes what a shard needs.
+// setDemand records the demand of a shard.
 func (r *workingSetReports) setDemand(shard int, demand engine.Demand) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.demands[shard] = demand
 }
 
-// take returns what was reported since the last call.
+// take returns and clears what was reported since the last call.
 func (r *workingSetReports) take() (reachable map[uint32]bool, demands map[int]engine.Demand) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,14 +46,14 @@
 	return reachable, demands
 }
 
-// onConnection notes whether a node is connected. A nil set does not care.
+// onConnection records whether a node is connected. On a nil set it does nothing.
 func (w *workingSet) onConnection(id uint32, connected bool) {
 	if w != nil {
 		w.reports.setReachable(id, connected)
 	}
 }
 
-// takeReports hands to the set what was reported since the last step. The caller holds mu.
+// takeReports passes to the set what was reported since the last step. The caller holds mu.
 func (w *workingSet) takeReports(now float64) {
 	reachable, demands := w.reports.take()
 	for id, isReachable := range reachable {
@@ -70,7 +70,7 @@
 	}
 }
 
-// reportShortages tells the set of which machine kinds a shard is short. The last of the list stands for tasks that take any kind.
+// reportShortages tells the set which machine kinds a shard is short of. The last element of short stands for tasks that run on any kind.
 func (w *workingSet) reportShortages(short []bool) {
 	for i, isShort := range short {
 		switch {
@@ -85,17 +85,17 @@
 
 // loadMeter measures a scheduler's own load.
 type loadMeter struct {
-	at     float64 // of the last measurement, ms
-	offers uint64  // until then
+	at     float64 // time of the last measurement, ms
+	offers uint64  // offers sent until then
 	starts float64 // attempts per second, smoothed
 }
 
-// measure tells the set of the process's own load, every loadInterval. Machines are counted in those of the mean kind. The caller holds mu.
+// measure tells the set the process's own load, at most every loadInterval. Load is given in machines of average size. The caller holds mu.
 func (w *workingSet) measure(now float64, sum engine.Demand) {
 	if now-w.load.at < loadInterval {
 		return
 	}
-	if sum.Offers >= w.load.offers && w.load.at > 0 { // else a shard has started again
+	if sum.Offers >= w.load.offers && w.load.at > 0 { // otherwise a shard has restarted and counts from 0
 		starts := float64(sum.Offers-w.load.offers) / (now - w.load.at) * msPerSecond
 		w.load.starts = (w.load.starts + starts) / 2
 	}
--- a/internal/serve/zones.go
+++ b/internal/serve/zones.go
@@ -14,20 +14,20 @@
 	"ravenpond/internal/proto/node"
 )
 
-// Times of zone routing in ms, and bounds.
+// Times of zone routing in ms, and limits.
 const (
 	zonePollInterval    = 100
 	zoneSumInterval     = 250  // between two summaries of the zones
 	zonePingInterval    = 400  // between two pings of a sampled node
-	zoneSilentAfter     = 1000 // after the last byte of a sampled node it counts as unreachable
-	nodesSampledPerZone = 6    // other schedulers sample other nodes
+	zoneSilentAfter     = 1000 // a sampled node counts as unreachable if nothing was received from it for this long
+	nodesSampledPerZone = 6    // each scheduler samples different nodes
 )
 
-// zoneRouting decides which zones the shards use, and of each which share of the nodes, by the replicated cluster state. It also reports
-// to the leader what this process observes of the zones.
+// zoneRouting decides from the replicated cluster state which zones the shards use, and which share of each zone's nodes. It also reports
+// this process's observations of the zones to the leader.
 //
-// The polls run one at a time, on a timer. mu is taken before the locks of shards' inboxes and of membership links, and by shards for
-// ownCores.
+// Polls run one at a time, on a timer. mu is taken before the locks of the shards' inboxes and of the membership's links. Shards take mu too,
+// to set ownCores.
 type zoneRouting struct {
 	*process
 	membership *clusterMembership
@@ -36,19 +36,19 @@
 	workingSet *workingSet
 	control    *control.Runner
 
-	// The polls alone use these.
-	summaryAt float64            // when zoneSums was made
-	lastPing  map[uint32]float64 // of the nodes that were last sampled
+	// Only the polls use these fields.
+	summaryAt float64            // time in ms when zoneSums was computed
+	lastPing  map[uint32]float64 // time in ms of the last ping of each node that was sampled last
 
 	mu         sync.Mutex // guards the fields below
 	selector   zones.Selector
 	zoneSums   map[string]zones.Summary
-	shares     map[string]float64  // of the zones' nodes that are used
-	excluded   []uint32            // nodes that are not used for their zone, sorted
-	ownCores   map[string]float64  // cores of this process's tasks by zone, as last counted
-	leaseValid bool                // of the cluster state, at the last decision
-	level      int                 // of the last decision: 0 its own zone, 1 its region, 2 all
-	state      *clusterstate.State // that the last decision rests on
+	shares     map[string]float64  // fraction of each zone's nodes that is used
+	excluded   []uint32            // nodes that are not used because of their zone, sorted
+	ownCores   map[string]float64  // cores of this process's tasks by zone, as counted last
+	leaseValid bool                // whether the lease on the cluster state was valid at the last decision
+	level      int                 // search level of the last decision; 0: its own zone, 1: its region, 2: all zones
+	state      *clusterstate.State // cluster state on which the last decision was based
 }
 
 func newZoneRouting(s *Server, runner *control.Runner) *zoneRouting {
@@ -64,14 +64,15 @@
 	return z
 }
 
-// start polls from now on.
+// start starts the polls.
 func (z *zoneRouting) start() { z.every(zonePollInterval, z.poll) }
 
-// poll summarizes the zones for the leader now and then, and decides anew when that, the cluster state or its lease has changed.
+// poll summarizes the zones for the leader every zoneSumInterval, and decides again after each summary and when the cluster state or the
+// validity of its lease has changed.
 func (z *zoneRouting) poll() {
 	now, view := z.env.Now(), z.control.View()
 	summaryDue := now >= z.summaryAt+zoneSumInterval
-	if !summaryDue && view.State == z.state && (now < view.LeaseExpiry) == z.leaseValid { // the polls alone write these two
+	if !summaryDue && view.State == z.state && (now < view.LeaseExpiry) == z.leaseValid { // no lock is needed: only polls write state and leaseValid
 		return
 	}
 	nodes := z.endpoints.readyNodes()
@@ -90,7 +91,7 @@
 	z.updateExcluded(nodes)
 }
 
-// updateShares decides which share of each zone is used. The caller holds mu.
+// updateShares decides which share of each zone's nodes is used. The caller holds mu.
 func (z *zoneRouting) updateShares(now float64, view *control.View) {
 	state, leaseValid := view.State, now < view.LeaseExpiry
 	shares := z.selector.Update(zones.Input{
@@ -100,12 +101,12 @@
 	level := z.selector.Level()
 	if !maps.Equal(shares, z.shares) || leaseValid != z.leaseValid || level != z.level {
 		z.log.Info().Str("mode", "zones").Interface("parts", shares).Bool("sure", leaseValid).Int("level", level).Uint64("version", state.Version()).
-			Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("sends to")
+			Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("zone shares changed")
 	}
 	z.shares, z.leaseValid, z.level = shares, leaseValid, level
 }
 
-// updateExcluded has the shards avoid the nodes beyond the share of their zone. The caller holds mu.
+// updateExcluded makes the shards avoid the nodes whose hash is beyond the share of their zone. The caller holds mu.
 func (z *zoneRouting) updateExcluded(nodes []readyNode) {
 	var excluded []uint32
 	for _, node := range nodes {
@@ -128,8 +129,8 @@
 	})
 }
 
-// summarize returns the capacity and the use of each zone by the endpoint list, and how many of a few sampled nodes are reachable. It
-// pings the sampled ones, which differ from process to process.
+// summarize returns the capacity and the use of each zone according to the endpoint list, and how many of a few sampled nodes are reachable.
+// It pings the sampled nodes, which differ from process to process.
 func (z *zoneRouting) summarize(now float64, nodes []readyNode) map[string]zones.Summary {
 	sums, byZone := map[string]zones.Summary{}, map[string][]readyNode{}
 	for _, ready := range nodes {
@@ -159,7 +160,7 @@
 	return sums
 }
 
-// sample reports whether a node is reachable, and pings it when that is due. It notes in lastPing when the node was last pinged.
+// sample reports whether a node is reachable, and pings it when a ping is due. It records in lastPing when the node was last pinged.
 func (z *zoneRouting) sample(now float64, id uint32, lastPing map[uint32]float64) (reachable bool) {
 	lastPing[id] = z.lastPing[id]
 	link := z.membership.link(id)
@@ -174,9 +175,9 @@
 	return reachable
 }
 
-// countOwnCores asks all shards for the cores of their tasks in each zone. The sum is there at a later poll, once all have answered.
+// countOwnCores asks all shards for the cores of their tasks in each zone. The sum is available to a later poll, once all shards have answered.
 func (z *zoneRouting) countOwnCores(nodes []readyNode) {
-	var mu sync.Mutex // guards the two below
+	var mu sync.Mutex // guards sum and pending
 	sum, pending := map[string]float64{}, len(z.shards.liveShards())
 	z.shards.postAll(func(sh *shard, _ float64) {
 		mu.Lock()
@@ -192,7 +193,7 @@
 	})
 }
 
-// sendExcluded tells a shard that starts which nodes are excluded for their zone.
+// sendExcluded tells a starting shard which nodes are excluded because of their zone.
 func (z *zoneRouting) sendExcluded(sh *shard) {
 	z.mu.Lock()
 	excluded := slices.Clone(z.excluded)
@@ -200,7 +201,7 @@
 	sh.post(func(now float64) { sh.engine.SetZoneClosed(now, excluded, true) })
 }
 
-// currentShares returns which shares of the zones are used, and the level of the decision.
+// currentShares returns which share of each zone is used, and the search level of the last decision.
 func (z *zoneRouting) currentShares() (shares map[string]float64, level int) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
