--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -12,11 +12,12 @@
 	"ravenpond/internal/env"
 )
 
-// collectTimeout is how long a scrape waits for the shards and for the consensus replica. What has not answered by then is left out.
+// collectTimeout is how long a scrape waits for the shards, and again for the consensus replica. Values of those that have not replied by then
+// are left out.
 const collectTimeout = 200 * time.Millisecond
 
-// metricsCollector reads the metrics of a scheduler at each scrape from the parts that hold them. It keeps none itself and implements
-// prometheus.Collector.
+// metricsCollector reads the metrics of a scheduler at each scrape from the components that hold them. It stores no metrics itself. It
+// implements prometheus.Collector.
 type metricsCollector struct {
 	server *Server
 
@@ -65,7 +66,7 @@
 	prometheus.DescribeByCollect(c, out)
 }
 
-// Collect sends all metrics. It waits for shards and control up to collectTimeout each.
+// Collect sends all metrics. It waits up to collectTimeout for the shards, and as long for the consensus replica.
 func (c *metricsCollector) Collect(out chan<- prometheus.Metric) {
 	c.collectShards(out)
 	c.collectProcess(out)
@@ -129,10 +130,10 @@
 	}
 }
 
-// trafficCounter is an environment that counts what passes through it.
+// trafficCounter is an environment that counts the traffic that passes through it.
 type trafficCounter interface{ Traffic() []env.Traffic }
 
-// collectProcess sends what the process as a whole used: CPU time, finer than the kernel's ticks, and its traffic.
+// collectProcess sends the CPU time of the process, at a finer resolution than the kernel's ticks, and its traffic.
 func (c *metricsCollector) collectProcess(out chan<- prometheus.Metric) {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) == nil {
@@ -154,7 +155,7 @@
 	}
 }
 
-// stats sums up what the shards count, and returns how many of them answered within collectTimeout.
+// stats sums the statistics of the shards, and returns how many shards replied within collectTimeout.
 func (s *Server) stats() (sum engine.Stats, shards int) {
 	live := s.liveShards()
 	replies := make(chan engine.Stats, len(live))
@@ -177,7 +178,7 @@
 	return sum, shards
 }
 
-// addStats adds what is shown and logged of a shard's statistics.
+// addStats adds those of a shard's statistics to sum that are exported as metrics or logged.
 func addStats(sum *engine.Stats, stats engine.Stats) {
 	sum.Admitted += stats.Admitted
 	sum.Rejected += stats.Rejected
--- a/internal/serve/metrics_server.go
+++ b/internal/serve/metrics_server.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Bounds of the metrics page.
+// Limits of the metrics server.
 const (
 	httpTimeout          = 2 * time.Second
 	httpIdleTimeout      = 30 * time.Second
@@ -23,27 +23,27 @@
 	maxConcurrentScrapes = 4
 )
 
-// metricsServer serves the metrics page on a TCP address. Its fields do not change after it was started.
+// metricsServer serves the metrics page on a TCP address. Its fields do not change after the start.
 type metricsServer struct {
-	address string // empty: no page
-	server  *http.Server
-	done    chan struct{} // closed when the serving goroutine has ended
+	address string        // where the server listens; empty: no metrics are served
+	server  *http.Server  // nil if no metrics are served
+	done    chan struct{} // closed when the goroutine that serves has ended
 }
 
-// startMetricsServer serves what collector collects, unless listen is empty.
+// startMetricsServer serves the metrics of collector on the address listen. It serves nothing if listen is empty.
 func startMetricsServer(log zerolog.Logger, listen string, collector prometheus.Collector) (*metricsServer, error) {
 	if listen == "" {
 		return &metricsServer{}, nil
 	}
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		return nil, fmt.Errorf("counts: %w", err)
+		return nil, fmt.Errorf("metrics server: %w", err)
 	}
 	registry := prometheus.NewRegistry()
 	err = errors.Join(registry.Register(collector), registry.Register(collectors.NewGoCollector()),
 		registry.Register(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{})))
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("counts: %w", err), listener.Close())
+		return nil, errors.Join(fmt.Errorf("metrics server: %w", err), listener.Close())
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes, Timeout: httpTimeout}))
@@ -58,14 +58,14 @@
 	go func() {
 		defer close(m.done)
 		if err := m.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			log.Error().Str("mode", "counts").Err(err).Msg("page ended")
+			log.Error().Str("mode", "counts").Err(err).Msg("metrics server ended unexpectedly")
 		}
 	}()
 	log.Info().Str("mode", "counts").Str("address", m.address).Msg("page")
 	return m, nil
 }
 
-// close ends the page and waits until its goroutine has ended. Scrapes under way get closeTimeout.
+// close stops the server and waits until its goroutine has ended. Scrapes in progress may take up to closeTimeout to finish.
 func (m *metricsServer) close() {
 	if m.server == nil {
 		return
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if m.server.Shutdown(ctx) != nil {
-		_ = m.server.Close() // the listener is closed already; connections can't be closed any better
+		_ = m.server.Close() // the listener is closed already, and an error from closing connections can't be handled
 	}
 	<-m.done
 }
--- a/internal/serve/tenant_auth.go
+++ b/internal/serve/tenant_auth.go
@@ -8,22 +8,22 @@
 	"ravenpond/internal/decide/tenancy"
 )
 
-// maxAuthFailures is how many tokens a connection may show that are not valid: guessing costs a connection for each few of them.
+// maxAuthFailures is the number of invalid tokens after which a connection is closed, so that guessing tokens needs many connections.
 const maxAuthFailures = 8
 
-// Codes of errors of the client protocol.
+// Error codes of the client protocol.
 const (
 	codeNotAllowed         = jrpc2.Code(-32001)
 	codeTooManyConnections = jrpc2.Code(-32002)
 )
 
 var (
-	// errNotAllowed says no more, as whoever receives it has shown no valid token.
+	// errNotAllowed gives no details, because its receiver has shown no valid token.
 	errNotAllowed         = jrpc2.Errorf(codeNotAllowed, "not allowed")
 	errTooManyConnections = jrpc2.Errorf(codeTooManyConnections, "as many connections as may be")
 )
 
-// onAuthenticate takes the call authenticate, which binds the connection to a tenant, once.
+// onAuthenticate handles the call authenticate, which binds the connection to a tenant. A connection can't be bound to another tenant later.
 func (c *clientConn) onAuthenticate(params json.RawMessage) error {
 	var p struct {
 		Token string `json:"token"`
@@ -43,8 +43,8 @@
 	}
 	stored, ok := l.tenants.tenant(tenant)
 	if !ok || !l.bindTenant(c.id, stored.Slot) {
-		l.log.Debug().Str("mode", "tenants").Str("tenant", tenant).Msg("one connection more than it may have")
-		return errTooManyConnections // it stays unauthenticated, and is closed as such
+		l.log.Debug().Str("mode", "tenants").Str("tenant", tenant).Msg("connection limit of tenant reached")
+		return errTooManyConnections // the connection stays unauthenticated, and is closed like other unauthenticated ones
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,34 +52,34 @@
 	return nil
 }
 
-// tokenIDBytes is how many bytes of a token are its id.
+// tokenIDBytes is the length of the id at the beginning of a token.
 const tokenIDBytes = 12
 
-// onAuthFailure counts an invalid token, and disconnects the client after too many.
+// onAuthFailure counts an invalid token, and disconnects the client after maxAuthFailures of them.
 func (c *clientConn) onAuthFailure() error {
 	c.authFailures++
 	if c.authFailures == maxAuthFailures {
-		c.listener.async(func() { c.disconnect("not allowed, again and again") })
+		c.listener.async(func() { c.disconnect("too many invalid tokens") })
 	}
 	return errNotAllowed
 }
 
-// boundTenant returns the tenant that the connection has authenticated as, empty if none.
+// boundTenant returns the tenant as which the connection has authenticated, empty if none.
 func (c *clientConn) boundTenant() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tenant
 }
 
-// authenticatedBy returns the id of the token that the connection has authenticated with, empty if none.
+// authenticatedBy returns the id of the token with which the connection has authenticated, empty if none.
 func (c *clientConn) authenticatedBy() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tokenID
 }
 
-// tenantSlot returns the slot of a tenant that the connection may request for, -1 if the tenant is removed: such requests are shed, as
-// whoever had a valid token must not wait for an answer that never comes.
+// tenantSlot returns the slot of a tenant for which the connection may send requests, or -1 if the tenant is removed or being removed. Requests
+// for slot -1 are shed, because a client that had a valid token must not wait for an answer that never comes.
 func (c *clientConn) tenantSlot(name string) (slot int, err error) {
 	if bound := c.boundTenant(); bound == "" || bound != name {
 		return 0, errNotAllowed
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -14,10 +14,10 @@
 	"ravenpond/internal/state/tenants"
 )
 
-// TenantStore says which tenants there are. It is opened for one poll at a time, so that the command line and the administration can
-// change it while the process runs.
+// TenantStore stores the hosted tenants. It is opened for one poll at a time, so that the command line and the administration API can change
+// it while the process runs.
 type TenantStore interface {
-	// Fingerprint differs after each change.
+	// Fingerprint returns a number that changes with each change of the store.
 	Fingerprint() (uint64, error)
 	Read() (tenants.State, error)
 	TokenVerifier(known map[string]tenants.Token) tokenVerifier
@@ -25,40 +25,40 @@
 	Close() error
 }
 
-// tokenVerifier returns the tenant of a token that is valid at a time.
+// tokenVerifier returns the tenant of a token. ok is false if the token is not valid at the time now.
 type tokenVerifier = func(now time.Time, token string) (tenant string, ok bool)
 
 const (
-	// tenantPollInterval is the time between two polls of the store, ms.
+	// tenantPollInterval is the time between two polls of the tenant store, ms.
 	tenantPollInterval = 500
-	// recoveryPeriod is after how many ms of an incarnation all nodes that are reachable have reported what they hold.
+	// recoveryPeriod is the time in ms from the start of an incarnation until all reachable nodes have reported which tasks they hold.
 	recoveryPeriod = 20000
-	// storeOpenAttempts is how often a store is tried at a start. A process that gave up at once would not come back when it is started
-	// while somebody changes something.
+	// storeOpenAttempts is how many times a process tries to open a store when it starts. A process that gave up at the first attempt would
+	// not come back if it was started while somebody changes the store.
 	storeOpenAttempts = 25
 )
 
-// tenantHosting knows the tenants where they come and go: their limits, their tokens, and what is left of those that are being removed.
-// Without hosted tenants it stays empty.
+// tenantHosting holds the hosted tenants, which are added and removed while the process runs: their limits, their tokens, and the remaining
+// tasks of those that are being removed. Without hosted tenants it stays empty.
 //
-// The polls run one at a time, on a timer. mu is a leaf: it may be taken with the router's lock held, and no lock is taken under it.
+// Polls run one at a time, on a timer. mu is a leaf lock: it may be taken while the router's lock is held, and no lock is taken under it.
 type tenantHosting struct {
 	*process
 	shards    *shardSet
 	clients   *clientListener
 	endpoints *endpointList
 
-	// The polls alone use these.
-	startedAt   float64
-	lastError   string // of the last poll, so that one that stays is logged once
-	loaded      bool
-	fingerprint uint64 // of the store when it was last read
+	// Only the polls use these fields.
+	startedAt   float64 // ms
+	lastError   string  // error of the last poll, empty if none; an error that repeats is logged once
+	loaded      bool    // whether the store has been read
+	fingerprint uint64  // fingerprint of the store when it was last read
 
 	mu         sync.Mutex // guards the fields below
 	registry   *tenancy.Registry
 	tokens     map[string]tenants.Token
-	verify     tokenVerifier             // nil until the store was read
-	remaining  map[int]map[int]taskCount // what shards hold of tenants that are being removed, by slot and shard
+	verify     tokenVerifier             // nil until the store has been read
+	remaining  map[int]map[int]taskCount // what shards hold of tenants that are being removed, by tenant slot and shard
 	quotaLease quotalease.Lease
 }
 
@@ -66,7 +66,7 @@
 	return &tenantHosting{process: p, endpoints: endpoints, remaining: map[int]map[int]taskCount{}, registry: tenancy.New(p.config.Site.MaxHostedTenants)}
 }
 
-// start reads the store, and polls it from now on. A damaged store is an error.
+// start reads the store and starts to poll it. A damaged store is an error.
 func (h *tenantHosting) start() error {
 	if !h.hostsTenants() {
 		return nil
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// openStore opens the store of the configuration, else that in the state folder.
+// openStore opens the store given by the configuration, or else the one in the state folder.
 func (h *tenantHosting) openStore() (TenantStore, error) {
 	if h.config.Tenants != nil {
 		return h.config.Tenants()
@@ -90,10 +90,10 @@
 	return tenants.Open(h.config.Folder, h.config.Site.MaxHostedTenants)
 }
 
-// poll reads the store if it has changed. While that fails, what was read last holds.
+// poll reads the store if it has changed. While that fails, the tenants that were read last stay in effect.
 func (h *tenantHosting) poll() {
 	failure := ""
-	if err := h.read(); err != nil && !errors.Is(err, bolt.ErrLocked) { // the command line has the store just now
+	if err := h.read(); err != nil && !errors.Is(err, bolt.ErrLocked) { // the command line has the store open
 		failure = err.Error()
 	}
 	if failure != "" && failure != h.lastError {
@@ -125,7 +125,7 @@
 	return h.evictRemovedTenants(store)
 }
 
-// apply takes over what the store says: limits, tenants that may submit nothing any more, tokens that were revoked.
+// apply applies the content of the store: limits, tenants that may no longer submit requests, and revoked tokens.
 func (h *tenantHosting) apply(stored tenants.State, verify tokenVerifier) {
 	limits := map[int]connadmission.Limits{}
 	active := 0
@@ -146,7 +146,7 @@
 	})
 	h.clients.setLimits(limits)
 	h.shards.rejectAll(rejected)
-	h.log.Info().Str("mode", "tenants").Uint64("changes", stored.Changes).Int("active", active).Int("turned_away", len(rejected)).Msg("tenants read")
+	h.log.Info().Str("mode", "tenants").Uint64("changes", stored.Changes).Int("active", active).Int("turned_away", len(rejected)).Msg("tenant store read")
 	h.disconnectRevoked()
 }
 
@@ -156,7 +156,7 @@
 	policy tenancy.Policy
 }
 
-// policies returns the policies of all tenants where the leased part of their limits is shared by so many. The caller holds mu.
+// policies returns the policies of all tenants if sharers schedulers share the leased part of the limits. The caller holds mu.
 func (h *tenantHosting) policies(sharers int) (policies []tenantPolicy) {
 	for _, tenant := range h.registry.All() {
 		policies = append(policies, tenantPolicy{tenant.Slot, tenant.PolicyFor(h.quotaShare(sharers))})
@@ -176,14 +176,14 @@
 	return h.policies(sharers), true
 }
 
-// setQuotaLease takes over how many share the leased part of the limits, and until when, ms.
+// setQuotaLease sets how many schedulers share the leased part of the limits, and the time in ms at which that lease expires.
 func (h *tenantHosting) setQuotaLease(sharers int, expiry float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.quotaLease.Set(sharers, expiry)
 }
 
-// quotaShare returns the share of all limits that this process may use where so many share the leased part.
+// quotaShare returns the share of all limits that this process may use if sharers schedulers share the leased part.
 func (h *tenantHosting) quotaShare(sharers int) quotalease.Share {
 	share := quotalease.Share{Places: h.config.Site.Cluster.Schedulers, Index: h.config.Index, Sharers: sharers}
 	if h.config.Site.Members.Listen != "" {
@@ -197,8 +197,8 @@
 	return h.hostsTenants() && h.quotaShare(0).LeasedFraction > 0
 }
 
-// maxDeadline returns how long, in ms, an allocation may be open where limits are leased: for so long a lease stays in use. It returns 0
-// where they are not.
+// maxDeadline returns how long, in ms, an allocation may be open, which is how long a lease on limits stays in use. It returns 0 if limits
+// are not leased.
 func (h *tenantHosting) maxDeadline() float64 {
 	if !h.leasesQuotas() {
 		return 0
@@ -206,14 +206,14 @@
 	return slices.Max(h.config.Site.Deadlines)
 }
 
-// verifier returns the function that checks tokens, nil until the store was read.
+// verifier returns the function that checks tokens, or nil until the store has been read.
 func (h *tenantHosting) verifier() tokenVerifier {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.verify
 }
 
-// tenant returns a tenant as it was last read.
+// tenant returns a tenant as last read from the store.
 func (h *tenantHosting) tenant(name string) (tenancy.Tenant, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -232,13 +232,13 @@
 		token, ok := h.tokens[id]
 		h.mu.Unlock()
 		if !ok || !now.Before(token.Expires) {
-			c.disconnect("its token is not good any more")
+			c.disconnect("token revoked or expired")
 		}
 	}
 }
 
-// evictRemovedTenants ends what there is of tenants that are being removed, and the removal where nothing is left. After a restart nodes may hold
-// what this incarnation does not know: a removal ends only when they had time to report it.
+// evictRemovedTenants evicts the requests and tasks of tenants that are being removed, and finishes the removal of tenants with none left. After
+// a restart, nodes may hold tasks that this incarnation does not know, so a removal is finished only after the nodes had time to report them.
 func (h *tenantHosting) evictRemovedTenants(store TenantStore) error {
 	now := h.env.Now()
 	shards := h.shards.liveShards()
@@ -253,7 +253,7 @@
 			if _, err := store.FinishRemoval(h.env.WallClock(), tenant.Name); err != nil {
 				return err
 			}
-			h.log.Info().Str("mode", "tenants").Str("tenant", tenant.Name).Msg("removed: nothing is left of it")
+			h.log.Info().Str("mode", "tenants").Str("tenant", tenant.Name).Msg("tenant removal finished; no requests or tasks of the tenant are left")
 			continue
 		}
 		for _, sh := range shards {
@@ -266,7 +266,7 @@
 	return nil
 }
 
-// setRemaining notes what a shard holds of a tenant that is being removed.
+// setRemaining records what a shard holds of a tenant that is being removed.
 func (h *tenantHosting) setRemaining(slot, shard int, left taskCount) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -276,7 +276,7 @@
 	h.remaining[slot][shard] = left
 }
 
-// noneRemaining reports whether no shard held anything of a tenant when it was last counted.
+// noneRemaining reports whether the last count of each shard found nothing of a tenant.
 func (h *tenantHosting) noneRemaining(slot int, shards []*shard) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
