--- a/internal/serve/cluster_state_test.go
+++ b/internal/serve/cluster_state_test.go
@@ -8,8 +8,8 @@
 	"ravenpond/internal/site"
 )
 
-// TestConsensusReplicaStalled has the goroutine of the consensus replica stall while a scheduler serves that can't reach the other voters: requests
-// wait for none of it, and are placed in degraded mode.
+// TestConsensusReplicaStalled stalls the goroutine of the consensus replica at a scheduler that can't reach the other voters. Requests must not
+// wait for the replica, and have to be placed in degraded mode.
 func TestConsensusReplicaStalled(t *testing.T) {
 	s := newTestCluster(t, 1, 4, false)
 	local := make(chan *Server, 1)
@@ -26,26 +26,26 @@
 	stalled, resume := make(chan bool), make(chan bool)
 	server.clusterControl.runner.Enqueue(func(*consensus.Replica) { close(stalled); <-resume })
 	<-stalled
-	began := s.world.Now()
+	stalledAt := s.world.Now()
 	s.load(2500, 60, "0001112")
 	time.Sleep(500 * time.Millisecond)
 	view := server.clusterControl.runner.View()
 	close(resume)
 	requests, served := 0, 0
 	for _, outcome := range s.clients[0].Outcomes() {
-		if outcome.SentAt >= began {
+		if outcome.SentAt >= stalledAt {
 			if requests++; outcome.Result == "served" {
 				served++
 			}
 		}
 	}
 	if served < 60 || served < requests*9/10 {
-		t.Errorf("%d of %d were served while control stood still", served, requests)
+		t.Errorf("got %d of %d requests served while the replica was stalled, want at least 60, and at least 90%%", served, requests)
 	}
 	if view.State.Version() != 0 || view.LeaseExpiry > server.env.Now() {
-		t.Errorf("sure of version %d without the other stewards, for %g", view.State.Version(), view.LeaseExpiry)
+		t.Errorf("got version %d and a lease until %g ms without the other voters, want version 0 and an expired lease", view.State.Version(), view.LeaseExpiry)
 	}
 	if shares, _ := server.clusterControl.zones.currentShares(); len(shares) != len(siteConfig.Zones) || shares[siteConfig.Zones[1]] != 1 {
-		t.Errorf("without a book it sends to %v", shares)
+		t.Errorf("got zone shares %v without a cluster state, want all zones, the second in full", shares)
 	}
 }
--- a/internal/serve/maintenance_test.go
+++ b/internal/serve/maintenance_test.go
@@ -23,7 +23,7 @@
 	"ravenpond/internal/state/maintenancestore"
 )
 
-// TestMain runs a scheduler process in place of the tests if the environment says so, for what only a process that is killed can show.
+// TestMain runs a scheduler instead of the tests if RAVENPOND_TEST_SERVE is set. Tests that kill a scheduler process start one this way.
 func TestMain(m *testing.M) {
 	if folder := os.Getenv("RAVENPOND_TEST_SERVE"); folder != "" {
 		runTestScheduler(folder)
@@ -32,10 +32,10 @@
 	goleak.VerifyTestMain(m)
 }
 
-// killingExecutor kills its process when a window opens.
+// killingExecutor kills its own process when a maintenance window opens.
 type killingExecutor struct {
 	maintenance.Executor
-	beforeShards bool // before the shards are told
+	beforeShards bool // whether the process is killed before the shards are told
 }
 
 func (k killingExecutor) SetDraining(nodes []string, out bool) {
@@ -47,7 +47,7 @@
 	select {}
 }
 
-// runTestScheduler runs a scheduler until it is killed.
+// runTestScheduler runs a scheduler on a state folder until the process is killed.
 func runTestScheduler(folder string) {
 	siteConfig, faults := site.Read(strings.NewReader(strings.Replace(fmt.Sprintf(testSite, 1), "127.0.0.1:1",
 		os.Getenv("RAVENPOND_TEST_LIST"), 1)))
@@ -68,7 +68,7 @@
 	}
 }
 
-// addWindow puts one window into a state folder, with a lead, from a time on.
+// addWindow adds a maintenance window for one node, with the given start, lead and duration, to a state folder.
 func addWindow(t *testing.T, folder string, start time.Time, lead, last time.Duration, node string) {
 	t.Helper()
 	store, err := maintenancestore.Open(folder)
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestKilledWhenWindowOpens kills a scheduler process after it wrote that a window is open and before it told the shards, or just after: its next
-// incarnation takes the nodes out before it places anything, once.
+// TestKilledWhenWindowOpens kills a scheduler process after it has stored that a window is open, either before or just after it tells the
+// shards. The next incarnation has to put the nodes into maintenance before it places anything, and must not open the window a second time.
 func TestKilledWhenWindowOpens(t *testing.T) {
 	for _, kill := range []string{"before", "after"} {
 		t.Run(kill, func(t *testing.T) {
@@ -100,9 +100,9 @@
 	addWindow(t, p.folder, time.Now().Add(4500*time.Millisecond).Truncate(time.Second), 2*time.Second, 20*time.Second, "2")
 	first := p.run(t, kill)
 	p.awaitAddress()
-	o := &standin.Client{Scheduler: "s0", SchedulerAddress: p.address, SettleTime: s.siteConfig.SettleTime}
-	s.clients = append(s.clients, o)
-	s.world.StartClient(o, 0)
+	client := &standin.Client{Scheduler: "s0", SchedulerAddress: p.address, SettleTime: s.siteConfig.SettleTime}
+	s.clients = append(s.clients, client)
+	s.world.StartClient(client, 0)
 	p.loadUntilKilled(t, first)
 	s.world.Trace.Add(audit.Record{At: s.world.Now(), Kind: audit.SchedulerKilled, Scheduler: "s0"})
 	_ = os.Remove(filepath.Join(p.folder, "address"))
@@ -112,13 +112,13 @@
 	now := s.world.Now()
 	for _, n := range s.nodes {
 		if n.ID == 2 {
-			s.world.Trace.Add(audit.Record{At: now - s.rules.DrainGrace, Kind: audit.MaintenanceChanged, Node: n.ID, Detail: "out"}) // no grace any more
+			s.world.Trace.Add(audit.Record{At: now - s.rules.DrainGrace, Kind: audit.MaintenanceChanged, Node: n.ID, Detail: "out"}) // grace has passed
 		}
 	}
 	s.load(2500, 60, "0")
-	breaks, served := s.violations()
-	if len(breaks) > 0 || served < 50 {
-		t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
+	violations, served := s.violations()
+	if len(violations) > 0 || served < 50 {
+		t.Errorf("got %d requests served, want at least 50; violations: %v", served, violations[:min(4, len(violations))])
 	}
 	_ = second.Process.Signal(syscall.SIGKILL)
 	_ = second.Wait()
@@ -127,19 +127,20 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = store.Close() }()
-	begun, err := store.Drains()
-	if err != nil || len(begun) != 1 || begun[0].Stage < maintenancestore.Announced {
-		t.Errorf("%+v, %v", begun, err)
+	drains, err := store.Drains()
+	if err != nil || len(drains) != 1 || drains[0].Stage < maintenancestore.Announced {
+		t.Errorf("got drains %+v, want one that is at least announced; error: %v", drains, err)
 	}
 }
 
-// schedulerProcess runs schedulers in processes of their own, on one state folder.
+// schedulerProcess runs a scheduler in a process of its own, several times on the same state folder.
 type schedulerProcess struct {
 	*testCluster
 	folder string
 }
 
-// run starts a process, which is killed as TestKilledAtOpening has it.
+// run starts a scheduler process. kill says whether the process kills itself "before" or "after" its shards are told of an open window; if
+// it is empty, the process does not kill itself.
 func (p *schedulerProcess) run(t *testing.T, kill string) *exec.Cmd {
 	t.Helper()
 	self, err := os.Executable()
@@ -156,7 +157,7 @@
 	return cmd
 }
 
-// address returns where the process listens, empty until it does.
+// address returns the address on which the process listens, or an empty string if it does not listen yet.
 func (p *schedulerProcess) address() string {
 	b, _ := os.ReadFile(filepath.Join(p.folder, "address"))
 	return string(b)
@@ -168,7 +169,7 @@
 	}
 }
 
-// loadUntilKilled requests until the process has been killed.
+// loadUntilKilled sends requests until the process has been killed.
 func (p *schedulerProcess) loadUntilKilled(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	killed := make(chan struct{})
@@ -179,13 +180,14 @@
 		case <-killed:
 			return
 		case <-p.ctx.Done():
-			t.Fatal("not killed")
+			t.Fatal("the scheduler process did not kill itself before the test ended")
 		default:
 		}
 	}
 }
 
-// TestListServerForwardsMaintenance opens a window at one scheduler. Another, which has no calendar, learns of it from the list server.
+// TestListServerForwardsMaintenance opens a window at one scheduler. A second scheduler, which has no calendar, has to learn from the list
+// server that the node drains, and later that it is ready again.
 func TestListServerForwardsMaintenance(t *testing.T) {
 	s := newTestCluster(t, 2, 8, false)
 	for _, folder := range []string{"s0", "s1"} {
@@ -197,26 +199,26 @@
 	s.start(0, *s.siteConfig, Faults{})
 	s.start(1, *s.siteConfig, Faults{})
 	for _, until := range []struct {
-		word string
-		is   func(s1 []uint32) bool
+		state   string
+		matches func(nodes []uint32) bool
 	}{
 		{"draining", func(out []uint32) bool { return slices.Equal(out, []uint32{2}) }},
 		{"ready", func(back []uint32) bool { return len(back) == 8 }},
 	} {
-		for end := s.world.Now() + 20000; !until.is(s.listMarks("s1", until.word)); s.load(100, 50, "0012") {
+		for end := s.world.Now() + 20000; !until.matches(s.nodesInState("s1", until.state)); s.load(100, 50, "0012") {
 			if s.world.Now() > end {
-				t.Fatalf("the scheduler without a calendar never heard the right nodes %s, last %v", until.word, s.listMarks("s1", until.word))
+				t.Fatalf("the scheduler without a calendar did not get the expected nodes with state %q within 20 s; got %v", until.state, s.nodesInState("s1", until.state))
 			}
 		}
 	}
 	s.load(1000, 50, "0012")
-	if breaks, served := s.violations(); len(breaks) > 0 || served < 100 {
-		t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
+	if violations, served := s.violations(); len(violations) > 0 || served < 100 {
+		t.Errorf("got %d requests served, want at least 100; violations: %v", served, violations[:min(4, len(violations))])
 	}
 }
 
-// listMarks returns the nodes of which the list server last told a scheduler this state.
-func (s *testCluster) listMarks(scheduler, word string) (nodes []uint32) {
+// nodesInState returns the nodes whose state, as last sent to a scheduler by the list server, is the given one.
+func (s *testCluster) nodesInState(scheduler, state string) (nodes []uint32) {
 	last := map[uint32]string{}
 	for _, r := range s.world.Trace.Records() {
 		if r.Kind == audit.EndpointDelivered && r.Scheduler == scheduler {
@@ -224,7 +226,7 @@
 		}
 	}
 	for _, n := range s.nodes {
-		if last[n.ID] == word {
+		if last[n.ID] == state {
 			nodes = append(nodes, n.ID)
 		}
 	}
--- a/internal/serve/tenants_test.go
+++ b/internal/serve/tenants_test.go
@@ -25,8 +25,8 @@
 type hostingTest struct {
 	*testCluster
 	folder  string            // the scheduler's state folder
-	tokens  map[string]string // a valid token of each tenant
-	address string            // where clients connect
+	tokens  map[string]string // a valid token of each tenant, by name
+	address string            // of the client listener
 }
 
 // startHosting starts a scheduler with tenants a and b.
@@ -60,7 +60,7 @@
 	return h
 }
 
-// withStore opens the tenants' store for a call, once the scheduler does not have it open.
+// withStore opens the tenant store for the call of do, as soon as the scheduler does not have it open.
 func (h *hostingTest) withStore(t *testing.T, do func(store *tenants.Store)) {
 	t.Helper()
 	for {
@@ -77,7 +77,7 @@
 	}
 }
 
-// change changes a tenant.
+// change applies a change of a tenant to the store.
 func (h *hostingTest) change(t *testing.T, change tenancy.Change) {
 	t.Helper()
 	h.withStore(t, func(store *tenants.Store) {
@@ -92,7 +92,7 @@
 	t.Helper()
 	c := connect(t, h.address)
 	if c.authenticate(h.tokens[tenant]) != nil {
-		t.Fatal("not let in")
+		t.Fatal("authentication with a valid token failed")
 	}
 	return c
 }
@@ -110,63 +110,63 @@
 	return err
 }
 
-// count returns how often a text is in the notifications.
+// count returns how many times a text occurs in the notifications.
 func (c *testClient) count(what string) int {
 	return strings.Count(strings.Join(c.notifications(), "\n"), what)
 }
 
-// TestTenantHosting has tenants request with their tokens and without, and one paused, resumed and removed while it requests.
+// TestTenantHosting sends requests with and without tokens, and pauses, resumes and removes a tenant while it sends requests.
 func TestTenantHosting(t *testing.T) {
 	t.Parallel()
 	h := startHosting(t)
-	t.Run("who may ask", h.testAccess)
-	t.Run("who guesses is cut off", h.testGuessing)
+	t.Run("requests need a matching token", h.testAccess)
+	t.Run("connection is closed after invalid tokens", h.testGuessing)
 	r := &removalTest{hostingTest: h, a: h.connectAs(t, "a"), b: h.connectAs(t, "b"), lastRef: 1000}
 	t.Run("paused and resumed", r.testPause)
-	t.Run("removed while it asks", r.testRemoval)
-	if breaks, _ := h.violations(); len(breaks) > 0 {
-		t.Error(breaks)
+	t.Run("removed while sending requests", r.testRemoval)
+	if violations, _ := h.violations(); len(violations) > 0 {
+		t.Error(violations)
 	}
 }
 
-// testAccess requests with tokens and tenants that fit, and that do not.
+// testAccess sends requests with tokens that match the tenant, and with tokens that do not.
 func (h *hostingTest) testAccess(t *testing.T) {
 	for _, c := range []struct {
 		name, token, tenant string
 		ok                  bool
 	}{
 		{"without a token", "", "a", false},
-		{"with its own", h.tokens["a"], "a", true},
-		{"for another tenant", h.tokens["b"], "a", false},
-		{"with a token made up", strings.Repeat("x", len(h.tokens["a"])), "a", false},
-		{"for nobody", h.tokens["a"], "", false},
+		{"with the tenant's own token", h.tokens["a"], "a", true},
+		{"with another tenant's token", h.tokens["b"], "a", false},
+		{"with an unknown token", strings.Repeat("x", len(h.tokens["a"])), "a", false},
+		{"without a tenant", h.tokens["a"], "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			o := connect(t, h.address)
+			client := connect(t, h.address)
 			if c.token != "" {
-				_ = o.authenticate(c.token)
+				_ = client.authenticate(c.token)
 			}
-			err := o.allocateFor(c.tenant, 1, "free")
+			err := client.allocateFor(c.tenant, 1, "free")
 			if (err == nil) != c.ok || err != nil && !strings.Contains(err.Error(), "not allowed") {
 				t.Fatal(err)
 			}
 			if c.ok {
-				waitFor(t, "served", func() bool { return o.count(`"answer":"served"`) == 1 })
+				waitFor(t, "the request is served", func() bool { return client.count(`"answer":"served"`) == 1 })
 			}
 		})
 	}
 }
 
-// testGuessing shows invalid tokens until the connection is closed.
+// testGuessing authenticates with invalid tokens until the connection is closed.
 func (h *hostingTest) testGuessing(t *testing.T) {
-	o := connect(t, h.address)
+	client := connect(t, h.address)
 	for range maxAuthFailures {
-		if err := o.authenticate(h.tokens["a"][:13] + strings.Repeat("y", 32)); err == nil {
-			t.Fatal("let in")
+		if err := client.authenticate(h.tokens["a"][:13] + strings.Repeat("y", 32)); err == nil {
+			t.Fatal("authentication with an invalid token succeeded")
 		}
 	}
-	waitFor(t, "cut off", func() bool {
-		err := o.authenticate(h.tokens["a"])
+	waitFor(t, "the connection is closed", func() bool {
+		err := client.authenticate(h.tokens["a"])
 		var e *jrpc2.Error
 		return err != nil && !errors.As(err, &e)
 	})
@@ -176,7 +176,7 @@
 type removalTest struct {
 	*hostingTest
 	a, b    *testClient // clients of the tenants a and b
-	lastRef uint64      // of client a
+	lastRef uint64      // last request id of client a
 }
 
 func (r *removalTest) changeA(t *testing.T, kind tenancy.Kind, removal tenancy.RemovalMode) {
@@ -184,15 +184,15 @@
 	r.change(t, tenancy.Change{Kind: kind, Name: "a", Removal: removal})
 }
 
-const removed = "declined while removed"
+const declinedWhileRemoved = "a request of a removed tenant is declined"
 
-// requestUntil has client a request until the scheduler has read what changed, and answers so.
+// requestUntil sends requests of client a until the scheduler has read the change of the tenant and gives the answer that follows from it.
 func (r *removalTest) requestUntil(t *testing.T, what, answer string) {
 	t.Helper()
 	waitFor(t, what, func() bool {
 		r.lastRef++
 		if err := r.a.allocateFor("a", r.lastRef, "free"); err != nil {
-			return what == removed // the removal may be over by now, and the token gone with it
+			return what == declinedWhileRemoved // if the removal is finished, the token is no longer valid
 		}
 		time.Sleep(50 * time.Millisecond)
 		return r.a.count(answer) > 0
@@ -201,10 +201,10 @@
 
 func (r *removalTest) testPause(t *testing.T) {
 	r.changeA(t, tenancy.Pause, 0)
-	r.requestUntil(t, "declined while paused", `"answer":"declined","why":"over-share"`)
+	r.requestUntil(t, "a request of a paused tenant is declined", `"answer":"declined","why":"over-share"`)
 	r.changeA(t, tenancy.Resume, 0)
 	before := r.a.count(`"answer":"served"`)
-	waitFor(t, "served again", func() bool {
+	waitFor(t, "a request of the resumed tenant is served", func() bool {
 		r.lastRef++
 		_ = r.a.allocateFor("a", r.lastRef, "free")
 		time.Sleep(50 * time.Millisecond)
@@ -213,39 +213,39 @@
 }
 
 func (r *removalTest) testRemoval(t *testing.T) {
-	const many = 60
-	for i := range uint64(many) {
+	const requests = 60
+	for i := range uint64(requests) {
 		if err := r.a.allocateFor("a", 100+i, []string{"free", "once"}[i%2]); err != nil {
 			t.Fatal(err)
 		}
 	}
 	r.changeA(t, tenancy.Remove, tenancy.StopRunning)
-	r.requestUntil(t, removed, `"why":"tenant-removed"`)
+	r.requestUntil(t, declinedWhileRemoved, `"why":"tenant-removed"`)
 	if err := r.b.allocateFor("b", 1, "free"); err != nil {
 		t.Error(err)
 	}
-	waitFor(t, "all are answered", func() bool {
-		for i := range many {
+	waitFor(t, "each request has exactly one answer", func() bool {
+		for i := range requests {
 			if r.a.count(fmt.Sprintf(`answer{"ref":%d,`, 100+i)) != 1 {
 				return false
 			}
 		}
 		return true
 	})
-	waitFor(t, "the other is served", func() bool { return r.b.count(`"answer":"served"`) == 1 })
-	waitFor(t, "nothing of it runs", func() bool {
-		return r.runningTasks() <= 1 // the other's
+	waitFor(t, "the other tenant's request is served", func() bool { return r.b.count(`"answer":"served"`) == 1 })
+	waitFor(t, "no task of the removed tenant runs", func() bool {
+		return r.runningTasks() <= 1 // the other tenant's task may run
 	})
-	for range 500 { // nodes had time to report what they hold, then the removal is over
+	for range 500 { // the removal is finished after nodes had time to report what they hold
 		if r.stateOfA(t) == tenancy.Removed {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Error("the removal does not end")
+	t.Error("the removal of tenant a was not finished within 25 s")
 }
 
-// runningTasks counts the tasks on all nodes.
+// runningTasks returns the number of tasks on all nodes.
 func (r *removalTest) runningTasks() (tasks int) {
 	r.world.WithLock(func(float64) {
 		for _, n := range r.nodes {
@@ -255,7 +255,7 @@
 	return tasks
 }
 
-// stateOfA reads the state of tenant a.
+// stateOfA reads the state of tenant a from the store.
 func (r *removalTest) stateOfA(t *testing.T) (state tenancy.State) {
 	t.Helper()
 	r.withStore(t, func(store *tenants.Store) {
@@ -269,7 +269,8 @@
 	return state
 }
 
-// TestConnectionLimits bounds connections and bytes of each tenant, and clients that show no token. The other tenant notices nothing.
+// TestConnectionLimits exceeds a tenant's limits on connections and bytes, and opens connections that show no token. Requests of the other
+// tenant have to be served throughout.
 func TestConnectionLimits(t *testing.T) {
 	t.Parallel()
 	h := startHosting(t)
@@ -279,20 +280,20 @@
 	l := &limitsTest{hostingTest: h, a: h.connectAs(t, "a"), b: h.connectAs(t, "b")}
 	t.Run("connections", l.testConnections)
 	t.Run("bytes", l.testBytes)
-	t.Run("no token", l.testUnauthenticated)
+	t.Run("unauthenticated connections", l.testUnauthenticated)
 }
 
-// limitsTest exceeds the limits of tenant a while tenant b requests.
+// limitsTest exceeds the limits of tenant a while tenant b sends requests.
 type limitsTest struct {
 	*hostingTest
 	a, b    *testClient // clients of the tenants a and b
-	lastRef uint64
+	lastRef uint64      // last request id of both clients
 }
 
-// serveOther has tenant b request, and waits until it is served.
+// serveOther sends a request of tenant b, and waits until it is served.
 func (l *limitsTest) serveOther(t *testing.T) {
 	t.Helper()
-	const what = "the other tenant"
+	const what = "serving a request of the other tenant"
 	l.lastRef++
 	before := l.b.count(`"answer":"served"`)
 	if err := l.b.allocateFor("b", l.lastRef, "free"); err != nil {
@@ -303,9 +304,9 @@
 
 func (l *limitsTest) testConnections(t *testing.T) {
 	var second *testClient
-	waitFor(t, "a third is told that it is too many", func() bool {
+	waitFor(t, "a third connection of the tenant is refused", func() bool {
 		second = connect(t, l.address)
-		if second.authenticate(l.tokens["a"]) != nil { // those of the last round are not gone yet
+		if second.authenticate(l.tokens["a"]) != nil { // connections of the previous attempt are still open
 			_ = second.Close()
 			return false
 		}
@@ -314,7 +315,7 @@
 		if err != nil && !strings.Contains(err.Error(), "as many connections") {
 			t.Fatal(err)
 		}
-		if err == nil { // the limit has not been read
+		if err == nil { // the scheduler has not read the limit yet
 			_ = second.Close()
 			_ = third.Close()
 			return false
@@ -322,24 +323,24 @@
 		return third.allocateFor("a", 1, "free") != nil
 	})
 	_ = second.Close()
-	waitFor(t, "another when one has gone", func() bool { return connect(t, l.address).authenticate(l.tokens["a"]) == nil })
+	waitFor(t, "a connection is accepted after another was closed", func() bool { return connect(t, l.address).authenticate(l.tokens["a"]) == nil })
 	l.serveOther(t)
 }
 
 func (l *limitsTest) testBytes(t *testing.T) {
-	waitFor(t, "declined with a time to come back", func() bool {
+	waitFor(t, "a request is declined for too many bytes, with a time to hold off", func() bool {
 		l.lastRef++
 		_ = l.a.allocateFor("a", l.lastRef, "free")
 		return l.a.count(`"why":"too-many-bytes","hold-off-ms":`) > 0
 	})
 	l.serveOther(t)
 	before := l.a.count(`"answer":"served"`)
-	waitFor(t, "served again in time", func() bool {
+	waitFor(t, "a request is served after the hold-off time", func() bool {
 		time.Sleep(700 * time.Millisecond)
 		l.lastRef++
 		return l.a.allocateFor("a", l.lastRef, "free") == nil && l.a.count(`"answer":"served"`) > before
 	})
-	waitFor(t, "ended when it goes on", func() bool {
+	waitFor(t, "the connection is closed after more requests", func() bool {
 		for range 50 {
 			l.lastRef++
 			if l.a.allocateFor("a", l.lastRef, "free") != nil {
@@ -352,7 +353,7 @@
 }
 
 func (l *limitsTest) testUnauthenticated(t *testing.T) {
-	for range 400 { // more than may be there at once
+	for range 400 { // more unauthenticated connections than may be open at once
 		silent, err := net.Dial("tcp", l.address)
 		if err != nil {
 			t.Fatal(err)
@@ -360,34 +361,34 @@
 		defer func() { _ = silent.Close() }()
 	}
 	l.serveOther(t)
-	late := connect(t, l.address)
-	if err := late.authenticate(l.tokens["b"]); err != nil {
+	authenticated := connect(t, l.address)
+	if err := authenticated.authenticate(l.tokens["b"]); err != nil {
 		t.Error(err)
 	}
-	long := connect(t, l.address)
-	waitFor(t, "one that shows none in time ends", func() bool {
-		err := long.allocateFor("a", 1, "free")
+	unauthenticated := connect(t, l.address)
+	waitFor(t, "a connection that shows no token in time is closed", func() bool {
+		err := unauthenticated.allocateFor("a", 1, "free")
 		return err != nil && !strings.Contains(err.Error(), "not allowed")
 	})
 	l.serveOther(t)
 }
 
-// TestStartWhileTenantStoreLocked starts a scheduler while somebody changes the tenants: it waits for the store.
+// TestStartWhileTenantStoreLocked starts a scheduler while the tenant store is open elsewhere. The scheduler has to wait for the store.
 func TestStartWhileTenantStoreLocked(t *testing.T) {
 	t.Parallel()
 	s := newTestCluster(t, 1, 2, false)
 	siteConfig := *s.siteConfig
 	siteConfig.MaxHostedTenants, siteConfig.Tenants, siteConfig.Shares = 2, make([]string, 2), []float64{1, 1}
-	st, err := tenants.Open(filepath.Join(s.dir, "s0"), 2)
+	store, err := tenants.Open(filepath.Join(s.dir, "s0"), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.AfterFunc(time.Second, func() { _ = st.Close() })
-	s.start(0, siteConfig, Faults{}) // fails the test if the scheduler ends
+	time.AfterFunc(time.Second, func() { _ = store.Close() })
+	s.start(0, siteConfig, Faults{}) // start fails the test if the scheduler ends
 }
 
-// TestTLSListener requests over TLS. Clients without TLS, with an older version, or that stop in the handshake get no further, and keep no
-// other out.
+// TestTLSListener sends requests over TLS. Clients without TLS, with an older version of TLS, or that stop during the handshake have to be
+// refused, and must not keep other clients from connecting.
 func TestTLSListener(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), "keys")
@@ -413,7 +414,7 @@
 	}
 	pool := x509.NewCertPool()
 	pool.AddCert(cas[0])
-	for range 200 { // more than may be under way
+	for range 200 { // more handshakes than may be in progress at once
 		silent, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -422,14 +423,14 @@
 	}
 	if c, err := tls.Dial("tcp", addr, &tls.Config{RootCAs: pool, MaxVersion: tls.VersionTLS12}); err == nil {
 		_ = c.Close()
-		t.Error("an older TLS was spoken")
+		t.Error("a connection with TLS 1.2 was accepted, want a refusal")
 	}
 	plain := connect(t, addr)
 	if err := plain.allocate(1, "free", "p"); err == nil {
-		t.Error("asked without TLS")
+		t.Error("a request without TLS was accepted")
 	}
-	for _, again := range []bool{false, true} { // with the certificate of the start, and with another that was put there since
-		if again {
+	for _, renewed := range []bool{false, true} { // first with the certificate from the start, then with a renewed one
+		if renewed {
 			if _, err := ca.Issue(time.Now(), keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}, Lifetime: time.Hour}); err != nil {
 				t.Fatal(err)
 			}
@@ -442,9 +443,9 @@
 			t.Fatal(err)
 		}
 		c := newTestClient(t, conn)
-		if err := c.allocate(1, "free", fmt.Sprint("k", again)); err != nil {
+		if err := c.allocate(1, "free", fmt.Sprint("k", renewed)); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, "served", func() bool { return c.count(`"answer":"served"`) == 1 })
+		waitFor(t, "the request is served", func() bool { return c.count(`"answer":"served"`) == 1 })
 	}
 }
--- a/internal/serve/working_set_test.go
+++ b/internal/serve/working_set_test.go
@@ -16,38 +16,38 @@
 const (
 	clusterNodes      = 60
 	clusterSchedulers = 5
-	minSetSize        = 12 // a node is in one set in the mean
+	minSetSize        = 12 // on average, a node is in one scheduler's set
 )
 
-// workingSetCluster is a cluster with one of five schedulers, each of which works with a fifth of the nodes.
+// workingSetCluster is a cluster that runs one of five schedulers, each of which uses a fifth of the nodes.
 type workingSetCluster struct {
 	*testCluster
 	set     *workingSet
-	address string // where clients connect
+	address string // of the client listener
 }
 
-// newWorkingSetCluster starts the scheduler, and waits until it has visited all nodes.
+// newWorkingSetCluster starts the scheduler, and waits until it has visited all nodes and disconnected those outside its set.
 func newWorkingSetCluster(t *testing.T, faults Faults) *workingSetCluster {
 	t.Helper()
 	s := newTestCluster(t, clusterSchedulers, clusterNodes, false)
-	began := make(chan *workingSet, 1)
-	s.configure = func(config *Config) { config.OnLocalListener = func(l *LocalListener) { began <- l.server.workingSet } }
+	sets := make(chan *workingSet, 1)
+	s.configure = func(config *Config) { config.OnLocalListener = func(l *LocalListener) { sets <- l.server.workingSet } }
 	s.start(0, s.workingSetSite(), faults)
-	c := &workingSetCluster{testCluster: s, set: <-began}
-	waitFor(t, "a settled set", func() bool { return c.set.isSettled() })
+	c := &workingSetCluster{testCluster: s, set: <-sets}
+	waitFor(t, "the working set is settled", func() bool { return c.set.isSettled() })
 	c.address = s.clients[0].SchedulerAddress()
 	return c
 }
 
-// workingSetSite is the stage's site with a working set.
+// workingSetSite returns the test cluster's site configuration with a working set.
 func (s *testCluster) workingSetSite() site.Config {
 	siteConfig := *s.siteConfig
-	siteConfig.Cluster.SlowStartDuration = 50 // the nodes are warm from the start
+	siteConfig.Cluster.SlowStartDuration = 50 // short, so that the nodes' slow start ends at once
 	siteConfig.WorkingSet = site.WorkingSet{MinNodes: minSetSize, Coverage: 1, SpareFactor: 1, NodesPerStart: 1, MinPerStratum: 2, NarrowAfter: 1000}
 	return siteConfig
 }
 
-// isSettled reports whether all nodes outside have been visited, and disconnected where no task runs.
+// isSettled reports whether all nodes have been visited, and those outside the set are disconnected.
 func (w *workingSet) isSettled() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -59,7 +59,7 @@
 	return w.set.Size() > 0 && w.visits.Pending() == 0
 }
 
-// setMembers has the set shared by others than before.
+// setMembers changes the schedulers among which the nodes are divided.
 func (w *workingSet) setMembers(names ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -72,8 +72,8 @@
 	return w.set.Size()
 }
 
-// linked counts nodes that are connected to a scheduler.
-func (s *testCluster) linked(scheduler string) (n int) {
+// connectedNodes returns the number of nodes that are connected to a scheduler.
+func (s *testCluster) connectedNodes(scheduler string) (n int) {
 	s.world.WithLock(func(float64) {
 		for _, node := range s.nodes {
 			if node.IsConnected(scheduler) {
@@ -84,33 +84,33 @@
 	return n
 }
 
-// TestWorkingSetConnections loads a scheduler with a working set: it visits every node once, keeps as many connections
-// as its set has nodes, and breaks no rule.
+// TestWorkingSetConnections loads a scheduler with a working set. The scheduler has to visit every node, to keep connections only to the nodes
+// of its set, and to violate no rule of the audit.
 func TestWorkingSetConnections(t *testing.T) {
 	t.Parallel()
 	s := newWorkingSetCluster(t, Faults{})
-	v := s.set
-	s.load(6000, 5, "0012") // so few that its load needs no larger set
-	waitFor(t, "idle connections to end", func() bool { return v.isSettled() && s.linked("s0") == v.size() })
-	if size := v.size(); size < minSetSize/2 || size > 3*minSetSize {
-		t.Errorf("%d nodes in the set", size)
+	set := s.set
+	s.load(6000, 5, "0012") // few requests, so that the load needs no larger set
+	waitFor(t, "idle connections are closed", func() bool { return set.isSettled() && s.connectedNodes("s0") == set.size() })
+	if size := set.size(); size < minSetSize/2 || size > 3*minSetSize {
+		t.Errorf("got %d nodes in the set, want half to three times the configured minimum", size)
 	}
-	met := map[uint32]bool{}
+	connected := map[uint32]bool{}
 	for _, r := range s.world.Trace.Records() {
 		if r.Kind == audit.LinkOpened {
-			met[r.Node] = true
+			connected[r.Node] = true
 		}
 	}
-	if len(met) != clusterNodes {
-		t.Errorf("%d of %d nodes were connected or visited", len(met), clusterNodes)
+	if len(connected) != clusterNodes {
+		t.Errorf("got %d nodes connected or visited, want %d", len(connected), clusterNodes)
 	}
-	if breaks, served := s.violations(); len(breaks) > 0 || served < 25 {
-		t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
+	if violations, served := s.violations(); len(violations) > 0 || served < 25 {
+		t.Errorf("got %d requests served, want at least 25; violations: %v", served, violations[:min(4, len(violations))])
 	}
 }
 
-// runTasksOutside runs tasks and has their nodes leave the set, until the tasks have ended. It returns of how many tasks the client was told
-// that they ended, and of how many that they were lost.
+// runTasksOutside starts tasks, makes their nodes leave the set, and waits until the tasks are over. It returns how many tasks were reported
+// to the client as ended, and how many were not.
 func (s *workingSetCluster) runTasksOutside(t *testing.T) (ended, lost int) {
 	t.Helper()
 	c := connect(t, s.address)
@@ -120,93 +120,95 @@
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "tasks to run", func() bool { return c.count(`"served"`) == tasks })
+	waitFor(t, "all tasks run", func() bool { return c.count(`"served"`) == tasks })
 	s.set.setMembers("x", "y", "z", "w")
-	for end := time.Now().Add(12 * time.Second); c.count("over") < tasks && time.Now().Before(end); { // lost ones take 8 s
+	for end := time.Now().Add(12 * time.Second); c.count("over") < tasks && time.Now().Before(end); { // a lost task is reported after 8 s
 		time.Sleep(10 * time.Millisecond)
 	}
 	ended = c.count(`"ended"`)
 	return ended, tasks - ended
 }
 
-// TestTasksOutsideWorkingSetEnd runs tasks on nodes that leave the set: each is told to end, and only then is its node disconnected.
+// TestTasksOutsideWorkingSetEnd runs tasks on nodes that leave the set. The end of each task has to be reported to the client, and a node is
+// disconnected only after its tasks have ended.
 func TestTasksOutsideWorkingSetEnd(t *testing.T) {
 	t.Parallel()
 	s := newWorkingSetCluster(t, Faults{})
 	if ended, lost := s.runTasksOutside(t); lost > 0 {
-		t.Errorf("%d tasks ended, %d were lost", ended, lost)
+		t.Errorf("got %d tasks ended and %d lost, want none lost", ended, lost)
 	}
-	waitFor(t, "idle connections to end", func() bool { return s.set.isSettled() && s.linked("s0") == s.set.size() })
+	waitFor(t, "idle connections are closed", func() bool { return s.set.isSettled() && s.connectedNodes("s0") == s.set.size() })
 }
 
-// TestAbandonedTasksAreDetected injects a scheduler that disconnects nodes outside its set whatever runs there.
+// TestAbandonedTasksAreDetected injects the fault that a scheduler disconnects nodes outside its set even if tasks run there. The check of
+// TestTasksOutsideWorkingSetEnd has to find lost tasks.
 func TestAbandonedTasksAreDetected(t *testing.T) {
 	t.Parallel()
 	if _, lost := newWorkingSetCluster(t, Faults{AbandonTasks: true}).runTasksOutside(t); lost == 0 {
-		t.Error("tasks without a way home are not found")
+		t.Error("got no lost task although nodes were disconnected while tasks ran there, want some")
 	}
 }
 
-// TestNodeOutsideWorkingSetCrashes has a node die that left the set while tasks run there: their client is told within the
-// time that a broken connection is given.
+// TestNodeOutsideWorkingSetCrashes crashes nodes that left the set while tasks ran there. The client has to be told that the tasks are lost
+// within the time that a scheduler waits for a broken connection to return.
 func TestNodeOutsideWorkingSetCrashes(t *testing.T) {
 	t.Parallel()
 	s := newWorkingSetCluster(t, Faults{})
-	v, address := s.set, s.address
+	set, address := s.set, s.address
 	c := connect(t, address)
 	for ref := range uint64(30) {
 		if err := c.allocate(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "tasks to run", func() bool { return c.count(`"served"`) == 30 })
-	before := map[uint32]bool{}
-	v.mu.Lock()
-	for id, state := range v.nodeStates {
-		before[id] = state == nodeInside
+	waitFor(t, "all tasks run", func() bool { return c.count(`"served"`) == 30 })
+	inSet := map[uint32]bool{}
+	set.mu.Lock()
+	for id, state := range set.nodeStates {
+		inSet[id] = state == nodeInside
 	}
-	v.mu.Unlock()
-	v.setMembers("x", "y", "z", "w")
+	set.mu.Unlock()
+	set.setMembers("x", "y", "z", "w")
 	time.Sleep(300 * time.Millisecond)
-	died := 0
+	crashedTasks := 0
 	s.world.WithLock(func(now float64) {
 		for _, n := range s.nodes {
-			if before[n.ID] && !v.contains(n.ID) && n.Machine.TaskCount() > 0 {
-				died += n.Machine.TaskCount()
+			if inSet[n.ID] && !set.contains(n.ID) && n.Machine.TaskCount() > 0 {
+				crashedTasks += n.Machine.TaskCount()
 				n.Crash(now)
 			}
 		}
 	})
-	at := time.Now()
-	if died == 0 {
-		t.Fatal("no task at a node outside the set")
+	crashedAt := time.Now()
+	if crashedTasks == 0 {
+		t.Fatal("got no task on a node outside the set, want some")
 	}
-	waitFor(t, "the owner to hear of all", func() bool { return c.count("over") == 30 })
-	if lost := c.count(`"lost"`); lost != died || time.Since(at) > 8500*time.Millisecond {
-		t.Errorf("%d tasks were at nodes that died, %d are told lost after %v", died, lost, time.Since(at))
+	waitFor(t, "the client is told of the end of all tasks", func() bool { return c.count("over") == 30 })
+	if lost := c.count(`"lost"`); lost != crashedTasks || time.Since(crashedAt) > 8500*time.Millisecond {
+		t.Errorf("%d tasks were on crashed nodes, got %d reported lost %v after the crash, want all within 8.5 s", crashedTasks, lost, time.Since(crashedAt))
 	}
 }
 
-// restartElsewhere runs tasks, restarts the scheduler with a set of other nodes, and requests the same tasks again. It returns how often
-// they were started in all.
+// restartElsewhere runs tasks, restarts the scheduler with a set of other nodes, and requests the same tasks again. It returns the number of
+// tasks and how often tasks were started in total.
 func restartElsewhere(t *testing.T, faults Faults) (tasks, starts int) {
 	t.Helper()
 	s := newTestCluster(t, clusterSchedulers, clusterNodes, false)
 	siteConfig := s.workingSetSite()
 	siteConfig.ListAddress = s.list.Address()
-	for _, n := range s.nodes { // work runs long enough
+	for _, n := range s.nodes { // tasks of this job class have to run until the end of the test
 		n.Machine.JobProfiles[2].MeanRuntime = 20_000
 	}
 	run := func(index int) (string, *workingSet, func()) {
 		ctx, stop := context.WithCancel(s.ctx)
-		ready, began, done := make(chan string, 1), make(chan *workingSet, 1), make(chan error, 1)
+		ready, sets, done := make(chan string, 1), make(chan *workingSet, 1), make(chan error, 1)
 		go func() {
 			done <- Run(ctx, Config{
 				Site: &siteConfig, Name: "s0", Index: index, Folder: filepath.Join(s.dir, "s0"), Seed: uint64(index + 1),
-				Log: zerolog.Nop(), Faults: faults, Ready: func(a string) { ready <- a }, OnLocalListener: func(l *LocalListener) { began <- l.server.workingSet },
+				Log: zerolog.Nop(), Faults: faults, Ready: func(a string) { ready <- a }, OnLocalListener: func(l *LocalListener) { sets <- l.server.workingSet },
 			})
 		}()
-		return <-ready, <-began, func() {
+		return <-ready, <-sets, func() {
 			stop()
 			if err := <-done; err != nil {
 				t.Error(err)
@@ -221,16 +223,16 @@
 				t.Fatal(err)
 			}
 		}
-		waitFor(t, "tasks to run", func() bool { return c.count(`"served"`) == tasks })
+		waitFor(t, "all tasks run", func() bool { return c.count(`"served"`) == tasks })
 	}
-	address, v, end := run(0)
-	waitFor(t, "a settled set", v.isSettled)
+	address, set, stopScheduler := run(0)
+	waitFor(t, "the working set is settled", set.isSettled)
 	requestAll(address)
-	end()
-	address, _, end = run(3)
-	time.Sleep(time.Duration(s.siteConfig.SettleTime) * time.Millisecond) // as clients do
+	stopScheduler()
+	address, _, stopScheduler = run(3)
+	time.Sleep(time.Duration(s.siteConfig.SettleTime) * time.Millisecond) // clients wait this long after a restart
 	requestAll(address)
-	end()
+	stopScheduler()
 	for _, r := range s.world.Trace.Records() {
 		if r.Kind == audit.TaskStarted {
 			starts++
@@ -239,27 +241,27 @@
 	return tasks, starts
 }
 
-// TestTasksOfEarlierIncarnation has a scheduler recover what it left running on nodes that are not in its set any more: it does not start
-// it a second time. One that does not visit these nodes does.
+// TestTasksOfEarlierIncarnation restarts a scheduler while its tasks run on nodes that are no longer in its set. The scheduler has to find the
+// tasks by visiting these nodes, and must not start them a second time. With the fault that the nodes are not visited, it does.
 func TestTasksOfEarlierIncarnation(t *testing.T) {
 	t.Parallel()
 	if tasks, starts := restartElsewhere(t, Faults{}); starts != tasks {
-		t.Errorf("%d starts of %d tasks", starts, tasks)
+		t.Errorf("got %d starts of %d tasks, want one start of each", starts, tasks)
 	}
 	if tasks, starts := restartElsewhere(t, Faults{SkipVisits: true}); starts == tasks {
-		t.Error("no second start is seen where nodes outside are not visited")
+		t.Error("got no second start of a task although nodes outside the set were not visited, want some")
 	}
 }
 
-// TestWorkingSetWidensWhenFull fills the set: tasks find nodes beyond it in time.
+// TestWorkingSetWidensWhenFull requests more tasks than the nodes of the set can hold. The set has to grow so that all tasks run in time.
 func TestWorkingSetWidensWhenFull(t *testing.T) {
 	t.Parallel()
 	s := newWorkingSetCluster(t, Faults{})
-	v, address := s.set, s.address
-	usual := v.size()
+	set, address := s.set, s.address
+	sizeBefore := set.size()
 	c := connect(t, address)
 	const tasks = 40
-	for ref := range uint64(tasks) { // each takes more than half of a node: the set holds as many as it has nodes
+	for ref := range uint64(tasks) { // each takes more than half of a node, so each node of the set holds one
 		_, err := c.Call(s.ctx, "allocate", map[string]any{
 			"ref": ref + 1, "tenant": "t", "key": fmt.Sprint("large", ref), "job-type": "free",
 			"service": "large", "cores": 40, "memory": 1,
@@ -269,34 +271,34 @@
 		}
 	}
 	served := func() int { return c.count(`"served"`) }
-	waitFor(t, "tasks to run", func() bool { return served() == tasks })
-	if size := v.size(); size <= usual {
-		t.Errorf("%d nodes, %d before", size, usual)
+	waitFor(t, "all tasks run", func() bool { return served() == tasks })
+	if size := set.size(); size <= sizeBefore {
+		t.Errorf("got %d nodes in the set, want more than the %d before", size, sizeBefore)
 	}
 }
 
-// TestWholeWorkingSetCrashes has all nodes of the set die at once: requests right after start elsewhere in time.
+// TestWholeWorkingSetCrashes crashes all nodes of the set at once. Requests that arrive right after have to start on other nodes in time.
 func TestWholeWorkingSetCrashes(t *testing.T) {
 	t.Parallel()
 	s := newWorkingSetCluster(t, Faults{})
-	v, address := s.set, s.address
+	set, address := s.set, s.address
 	c := connect(t, address)
 	s.world.WithLock(func(now float64) {
 		for _, n := range s.nodes {
-			if v.contains(n.ID) {
+			if set.contains(n.ID) {
 				n.Crash(now)
 			}
 		}
 	})
-	began := time.Now()
+	crashedAt := time.Now()
 	const tasks = 20
 	for ref := range uint64(tasks) {
 		if err := c.allocate(ref+1, "free", fmt.Sprint("task", ref)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "tasks to run", func() bool { return c.count(`"served"`) == tasks })
-	if took := time.Since(began); took > 1800*time.Millisecond {
-		t.Errorf("%d tasks run %v after their scheduler's set died", tasks, took)
+	waitFor(t, "all tasks run", func() bool { return c.count(`"served"`) == tasks })
+	if took := time.Since(crashedAt); took > 1800*time.Millisecond {
+		t.Errorf("%d tasks took %v after the crash of the set to run, want at most 1.8 s", tasks, took)
 	}
 }
