--- a/internal/serve/maintenance.go
+++ b/internal/serve/maintenance.go
@@ -116,7 +116,7 @@
 // poll carries out what is due. While it fails, no window makes progress, and placement continues.
 func (m *maintenanceRunner) poll() {
 	failure := ""
-	if err := m.run(); err != nil && !errors.Is(err, maintenancestore.ErrLocked) { // the command line has the store open
+	if err := m.run(); err != nil && !errors.Is(err, maintenancestore.ErrLocked) { // ErrLocked: the command line has the store open
 		failure = err.Error()
 	}
 	if failure != m.lastError && failure != "" {
--- a/internal/serve/membership.go
+++ b/internal/serve/membership.go
@@ -49,7 +49,7 @@
 	isolation     isolation.Monitor
 	viewWrittenAt float64
 
-	mu      sync.Mutex // guards heldBack
+	mu      sync.Mutex // guards unready
 	unready []uint32   // nodes that other schedulers report as not ready before the list here does; sorted
 
 	linksMu sync.Mutex           // guards links
--- a/internal/serve/membership_view.go
+++ b/internal/serve/membership_view.go
@@ -21,8 +21,8 @@
 	Incarnation   uint64            `json:"Life"`
 	Health        int               `json:"Health"` // the detector's local health, from 0 (best) to 8
 	Sharers       int               `json:"Share"`  // number of schedulers that share the slow start of nodes; 0: this one takes no part
-	Permits       int               `json:"Leaves"` // number of members that grant this scheduler a share
-	PermitsNeeded int               `json:"Needs"`  // number of grants that it needs to take part
+	Permits       int               `json:"Leaves"` // number of members that grant this scheduler its lease to take part
+	PermitsNeeded int               `json:"Needs"`  // number of grants that this scheduler needs for that lease
 	NameTaken     bool              `json:"Taken"`  // whether another scheduler has the same name
 	Stats         membership.Stats  `json:"Figures"`
 	Members       []MemberView      `json:"Members"`
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -93,7 +93,7 @@
 // poll reads the store if it has changed. While that fails, the tenants that were read last stay in effect.
 func (h *tenantHosting) poll() {
 	failure := ""
-	if err := h.read(); err != nil && !errors.Is(err, bolt.ErrLocked) { // the command line has the store open
+	if err := h.read(); err != nil && !errors.Is(err, bolt.ErrLocked) { // ErrLocked: the command line has the store open
 		failure = err.Error()
 	}
 	if failure != "" && failure != h.lastError {
