--- a/internal/serve/endpoint_list.go
+++ b/internal/serve/endpoint_list.go
@@ -256,7 +256,7 @@
 	id    uint32
 	zone  string
 	cores float64 // of its machine kind
-	free  float64 // cores
+	free  float64 // free cores
 	hash  float64 // from 0 to 1 and equal at all schedulers; nodes of a recovering zone are readmitted in this order
 }
 
--- a/internal/serve/maintenance.go
+++ b/internal/serve/maintenance.go
@@ -90,7 +90,7 @@
 	if err != nil || store == nil {
 		return err
 	}
-	defer func() { _ = store.Close() }() // each change was committed by itself
+	defer func() { _ = store.Close() }() // an error loses nothing, as each change was committed by itself
 	open, err := store.UnfinishedDrains()
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 	if err != nil || store == nil {
 		return err
 	}
-	defer func() { _ = store.Close() }() // each change was committed by itself
+	defer func() { _ = store.Close() }() // an error loses nothing, as each change was committed by itself
 	m.controller.Store = store
 	nodes, lost := m.endpoints.calendarNodes()
 	now := m.env.WallClock()
--- a/internal/serve/membership.go
+++ b/internal/serve/membership.go
@@ -228,7 +228,7 @@
 	sharersUntil           float64
 	alive, total           int // members
 	permits, permitsNeeded int
-	unready                []uint32 // nodes
+	unready                []uint32 // nodes that other schedulers report as not ready
 	quotaSharers           int
 	quotaUntil             float64
 	ended                  []nodeIncarnation // incarnations of nodes that others know to have ended
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = store.Close() }() // each change was committed by itself
+	defer func() { _ = store.Close() }() // an error loses nothing, as each change was committed by itself
 	fingerprint, err := store.Fingerprint()
 	if err != nil {
 		return err
--- a/internal/serve/tenants_test.go
+++ b/internal/serve/tenants_test.go
@@ -172,7 +172,7 @@
 	})
 }
 
-// removalTest pauses, resumes and removes tenant a while clients of both tenants request.
+// removalTest pauses, resumes and removes tenant a while clients of both tenants send requests.
 type removalTest struct {
 	*hostingTest
 	a, b    *testClient // clients of the tenants a and b
--- a/internal/serve/working_set_test.go
+++ b/internal/serve/working_set_test.go
@@ -230,7 +230,7 @@
 	requestAll(address)
 	stopScheduler()
 	address, _, stopScheduler = run(3)
-	time.Sleep(time.Duration(s.siteConfig.SettleTime) * time.Millisecond) // clients wait this long after a restart
+	time.Sleep(time.Duration(s.siteConfig.SettleTime) * time.Millisecond) // clients wait this long before they request a task that may start a second time
 	requestAll(address)
 	stopScheduler()
 	for _, r := range s.world.Trace.Records() {
