--- a/internal/serve/client_conn.go
+++ b/internal/serve/client_conn.go
@@ -13,51 +13,51 @@
 	"ravenpond/logic"
 )
 
-// endNames are the protocol's names for how an allocation ended.
-var endNames = [...]string{
+// outcomeNames are the client protocol's names for the outcome of an allocation.
+var outcomeNames = [...]string{
 	logic.Completed: "ended", logic.Errored: "error", logic.Rejected: "refused",
 	logic.TimedOut: "timed-out", logic.Unreachable: "unreached", logic.ConnectionLost: "lost", logic.Cancelled: "stopped",
 	logic.NotSent: "unsent",
 }
 
-// reasonNames are the protocol's names for why a node ended an allocation, by logic.Reason.
+// reasonNames are the client protocol's names for the reason for which a node ended an allocation, by logic.Reason.
 var reasonNames = [...]string{"", "no-cores", "no-memory", "long-line", "not-here", "evicted", "pushed-out", "sent-away"}
 
-// meanAnswerBytes is what an answer counts for in the bound on a client's queue.
+// meanAnswerBytes is the assumed size of an answer. It converts the limit on a client's queue from answers to bytes.
 const meanAnswerBytes = 100
 
 // clientConn is a client's connection. Messages to the client wait in a bounded queue of the connection.
 //
-// Events of the connection come one at a time. mu is a leaf but for sends: the connection is called without it.
+// Events of the connection are delivered one at a time. mu is a leaf lock: it is not held while the connection is called.
 type clientConn struct {
 	listener *clientListener
 	id       uint32
 	conn     env.Conn      // nil for a local client
-	local    AnswerHandler // takes answers in place of conn, if it is not nil
+	local    AnswerHandler // receives the answers instead of conn, if it is not nil
 
-	// The events of the connection alone use these.
+	// Only the events of the connection use these fields.
 	splitter     client.Splitter
 	authFailures int
-	retryAfter   float64 // ms for which requests are shed, as the tenant has sent too many bytes
+	retryAfter   float64 // for how many ms requests are shed because the tenant has sent too many bytes; 0: none are
 
 	mu       sync.Mutex // guards the fields below
 	closed   bool
-	requests map[uint64]requestState  // those that are open or whose task runs
-	sendLag  admission.DelayEstimator // of the client's messages, as far as it says when it sent them
-	tenant   string                   // that the client has authenticated as, where tenants come and go
-	tokenID  string                   // of the token that it showed
+	requests map[uint64]requestState  // requests that are open or whose task runs, by request ID
+	sendLag  admission.DelayEstimator // delay of the client's messages, estimated from those that carry a send time
+	tenant   string                   // the tenant as which the client has authenticated, if the process hosts tenants
+	tokenID  string                   // ID of the token with which the client authenticated
 }
 
-// requestState is where a request is.
+// requestState is the state of a client's request.
 type requestState struct {
-	shard    int // -1: at none yet
+	shard    int // index of its shard; -1: none yet
 	deadline float64
 	answered bool
 }
 
-// OnData takes bytes of the client.
+// OnData handles bytes from the client.
 func (c *clientConn) OnData(b []byte) {
-	if c.listener.drops.Load() || !c.admitBytes(len(b)) {
+	if c.listener.dropInput.Load() || !c.admitBytes(len(b)) {
 		return
 	}
 	if err := c.splitter.Feed(b, c.onMessage); err != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// admitBytes reports whether bytes of the client are read. One that sends far too much is disconnected.
+// admitBytes reports whether bytes from the client are handled. A client that sends far more than its limit is disconnected.
 func (c *clientConn) admitBytes(bytes int) bool {
 	if !c.listener.hostsTenants() || bytes == 0 {
 		return true
@@ -73,23 +73,23 @@
 	verdict, retryAfter := c.listener.admitBytes(c.id, bytes)
 	c.retryAfter = retryAfter
 	if verdict == connadmission.Close {
-		c.disconnect("sent far more than it may")
+		c.disconnect("byte limit far exceeded")
 	}
 	return verdict != connadmission.Close
 }
 
-// OnClose gives up what is open for a client that disconnected.
+// OnClose removes a client that disconnected and withdraws its open requests.
 func (c *clientConn) OnClose(err error) {
 	c.disconnect(err.Error())
 	c.listener.remove(c.id)
 	c.listener.handler.onClientClosed(c.id)
 }
 
-// disconnect closes the connection, and drops what is queued on it. The first reason counts.
+// disconnect closes the connection and drops its queued messages. Only the first reason is logged.
 func (c *clientConn) disconnect(reason string) { c.end(reason, false) }
 
-// disconnectGracefully closes the connection once what is queued on it was sent. What the client still sends is read and dropped, as a reset
-// would take the last answers with it.
+// disconnectGracefully closes the connection after its queued messages have been sent. Bytes that the client still sends are read and dropped,
+// because a reset of the connection would lose the last answers.
 func (c *clientConn) disconnectGracefully(reason string) { c.end(reason, true) }
 
 func (c *clientConn) end(reason string, graceful bool) {
@@ -100,17 +100,17 @@
 	if !first {
 		return
 	}
-	c.listener.log.Debug().Uint32("owner", c.id).Str("why", reason).Msg("owner's connection ends")
+	c.listener.log.Debug().Uint32("owner", c.id).Str("why", reason).Msg("client connection closed")
 	if c.conn != nil {
 		c.conn.Close(graceful, nil)
 	}
 }
 
-// send queues a message. A client that lets its queue run full is disconnected.
+// send queues a message. A client whose queue is full is disconnected.
 func (c *clientConn) send(body []byte) {
 	_, queued, ok := c.conn.Send(func(b []byte) []byte { return client.AppendMessage(b, body) })
 	if ok && queued > c.listener.config.Site.ClientQueue*meanAnswerBytes {
-		c.disconnect("slow reader: answers queue up")
+		c.disconnect("slow reader: too many queued answers")
 	}
 }
 
@@ -123,7 +123,7 @@
 	return ok && queued > 0
 }
 
-// openRequest notes a request. It reports whether its id was free.
+// openRequest records a new request. It reports whether the ID was not in use.
 func (c *clientConn) openRequest(id uint64, deadline float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,7 +134,7 @@
 	return true
 }
 
-// setShard notes the shard that a request is at now.
+// setShard records the shard that a request is at now.
 func (c *clientConn) setShard(id uint64, shard int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,7 +144,7 @@
 	}
 }
 
-// requestShard returns the shard that a request is at, -1 if it has not reached one.
+// requestShard returns the index of the shard that a request is at, -1 if it has not reached one. ok is false if the request is not known.
 func (c *clientConn) requestShard(id uint64) (shard int, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,7 +152,7 @@
 	return request.shard, ok
 }
 
-// markAnswered notes the answer to a request, which ends it unless it was served. It reports whether it is the first.
+// markAnswered records the answer to a request, and removes the request unless it was served. It reports whether this is the first answer.
 func (c *clientConn) markAnswered(id uint64, served bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,14 +169,14 @@
 	return true
 }
 
-// closeRequest forgets a request.
+// closeRequest removes a request.
 func (c *clientConn) closeRequest(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.requests, id)
 }
 
-// unanswered returns the requests at a shard that nobody has answered and whose deadline is before a time, sorted.
+// unanswered returns the IDs, sorted, of the unanswered requests at a shard whose deadline is before a time.
 func (c *clientConn) unanswered(shard int, before float64) (ids []uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,7 +197,7 @@
 	return ok && request.deadline < before
 }
 
-// overdue returns a request that is unanswered though its deadline is before a time, if there is one.
+// overdue returns the ID of an unanswered request whose deadline is before a time, if there is one.
 func (c *clientConn) overdue(before float64) (id uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -209,12 +209,12 @@
 	return 0, false
 }
 
-// shed is the answer to a request that was not served, for a reason.
+// shed returns the answer to a request that is declined for a reason.
 func shed(reason engine.AnswerReason) engine.Answer {
 	return engine.Answer{Kind: engine.Declined, Reason: reason}
 }
 
-// sendAnswer answers a request, unless it was answered before.
+// sendAnswer sends the answer to a request, unless it was answered before.
 func (c *clientConn) sendAnswer(id uint64, a engine.Answer) {
 	if !c.markAnswered(id, a.Kind == engine.Served) {
 		return
@@ -241,7 +241,7 @@
 	}
 }
 
-// sendEnd tells the client how an allocation ended that was served.
+// sendEnd tells the client how a served allocation ended.
 func (c *clientConn) sendEnd(id uint64, outcome logic.Outcome, reason logic.Reason) {
 	c.closeRequest(id)
 	if c.local != nil {
@@ -249,17 +249,17 @@
 		return
 	}
 	b := strconv.AppendUint(beginNotification("over"), id, 10)
-	b = append(append(append(b, `,"how":"`...), endNames[outcome]...), '"')
+	b = append(append(append(b, `,"how":"`...), outcomeNames[outcome]...), '"')
 	if int(reason) < len(reasonNames) && reason > 0 {
 		b = append(append(append(b, `,"why":"`...), reasonNames[reason]...), '"')
 	}
 	c.send(append(b, "}}"...))
 }
 
-// notificationCapacity is more than most notifications take, bytes.
+// notificationCapacity is the capacity in bytes of a new notification. Most notifications are shorter.
 const notificationCapacity = 128
 
-// beginNotification returns the first bytes of a notification, up to the request's id.
+// beginNotification returns the first bytes of a notification, up to the request's ID.
 func beginNotification(method string) []byte {
 	b := append(make([]byte, 0, notificationCapacity), `{"jsonrpc":"2.0","method":"`...)
 	return append(append(b, method...), `","params":{"ref":`...)
--- a/internal/serve/client_listener.go
+++ b/internal/serve/client_listener.go
@@ -11,30 +11,30 @@
 	"ravenpond/internal/env"
 )
 
-// clientStuckTimeout is how long, in ms, a client may take no byte.
+// clientStuckTimeout is how long, in ms, a client may go without reading a byte of what is sent to it.
 const clientStuckTimeout = 5000
 
-// clientHandler takes what clients request. It is called without a lock of the client listener held.
+// clientHandler handles the calls of clients. It is called without a lock of the client listener held.
 type clientHandler interface {
 	// allocate submits a request that the client has opened.
 	allocate(c *clientConn, r allocateRequest)
-	// withdraw gives up a request that waits in the queue or is at a shard.
+	// withdraw withdraws a request that waits in a queue or is at a shard.
 	withdraw(c *clientConn, number uint64) error
-	// onClientClosed gives up all that a client that disconnected has open.
+	// onClientClosed withdraws all open requests of a client that disconnected.
 	onClientClosed(clientID uint32)
 }
 
-// clientListener accepts clients, as many as the site file allows, and holds their connections. Where tenants come and go it bounds
-// connections and bytes by tenant.
+// clientListener accepts clients, up to the limit of the site file, and holds their connections. If the process hosts tenants, it limits the
+// connections and bytes of each tenant.
 //
-// mu comes after routerMu and before the locks of clientConns. Connections are closed without it.
+// mu comes after routerMu and before the locks of clientConns in the lock order. It is not held while connections are closed.
 type clientListener struct {
 	*process
-	handler  clientHandler
-	tenants  *tenantHosting
-	stalls   *stallDetector
-	listener env.Listener // set by listen, before the first client
-	drops    atomic.Bool  // what clients send is dropped
+	handler   clientHandler
+	tenants   *tenantHosting
+	stalls    *stallDetector
+	listener  env.Listener // set by listen, before the first client
+	dropInput atomic.Bool  // bytes from clients are dropped
 
 	mu        sync.Mutex // guards the fields below
 	conns     map[uint32]*clientConn
@@ -50,19 +50,19 @@
 	return l
 }
 
-// listen accepts clients from now on.
+// listen starts to accept clients.
 func (l *clientListener) listen() (err error) {
 	l.listener, err = l.env.Listen(l.config.Site.ClientsListen, l.accept)
 	return err
 }
 
-// address is where clients connect.
+// address returns the address to which clients connect.
 func (l *clientListener) address() string { return l.listener.Address() }
 
-// stopAccepting lets no further client in.
+// stopAccepting closes the listener. Existing connections stay.
 func (l *clientListener) stopAccepting() { l.listener.Close() }
 
-// accept takes a connection, or closes it if there are too many.
+// accept starts a new connection, or closes it if there are too many.
 func (l *clientListener) accept(conn env.Conn) {
 	l.mu.Lock()
 	c := l.newConn()
@@ -80,17 +80,17 @@
 	evicted := l.conns[evictedID]
 	l.mu.Unlock()
 	if evicted != nil {
-		evicted.disconnect("unauthenticated connection closed for a new one")
+		evicted.disconnect("unauthenticated connection closed to accept a new one")
 	}
 	if !accepted {
-		l.log.Warn().Str("mode", "owners").Int("most", l.config.Site.MaxClients).Msg("connection rejected, too many clients")
+		l.log.Warn().Str("mode", "owners").Int("most", l.config.Site.MaxClients).Msg("connection rejected: too many clients")
 		conn.Close(false, nil)
 		return
 	}
 	conn.Start(c, clientStuckTimeout)
 }
 
-// newConn makes a connection with an id of its own. The caller holds mu.
+// newConn creates a connection with a new ID. The caller holds mu.
 func (l *clientListener) newConn() *clientConn {
 	l.lastID++
 	return &clientConn{listener: l, id: l.lastID, requests: map[uint64]requestState{}}
@@ -106,14 +106,14 @@
 	return c
 }
 
-// byID returns a client that is still connected, else nil.
+// byID returns the client with an ID, or nil if it is not connected.
 func (l *clientListener) byID(id uint32) *clientConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conns[id]
 }
 
-// connected returns the clients in the order of their ids.
+// connected returns the clients sorted by ID.
 func (l *clientListener) connected() (conns []*clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,7 +123,7 @@
 	return conns
 }
 
-// remove forgets a connection that ended.
+// remove removes a connection that has ended.
 func (l *clientListener) remove(id uint32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,7 +133,7 @@
 	}
 }
 
-// hasQueuedAnswers reports whether messages to a client wait to be handed to the network.
+// hasQueuedAnswers reports whether messages to any client wait to be handed to the network.
 func (l *clientListener) hasQueuedAnswers() bool {
 	for _, c := range l.connected() {
 		if c.hasQueuedAnswers() {
@@ -143,10 +143,10 @@
 	return false
 }
 
-// stopReading has what clients send from now on dropped: no reply tells them that it was taken.
-func (l *clientListener) stopReading() { l.drops.Store(true) }
+// stopReading has all further bytes from clients dropped. No reply tells clients that these calls were accepted.
+func (l *clientListener) stopReading() { l.dropInput.Store(true) }
 
-// hasOpenRequests reports whether a client has a request without an answer.
+// hasOpenRequests reports whether any client has an unanswered request.
 func (l *clientListener) hasOpenRequests() bool {
 	for _, c := range l.connected() {
 		if _, ok := c.overdue(math.Inf(1)); ok {
@@ -156,29 +156,29 @@
 	return false
 }
 
-// disconnectAll closes all connections. What is queued on them is still sent.
+// disconnectAll closes all connections after their queued messages have been sent.
 func (l *clientListener) disconnectAll(reason string) {
 	for _, c := range l.connected() {
 		c.disconnectGracefully(reason)
 	}
 }
 
-// admitBytes counts bytes that a client sent. It returns what follows for the connection, and for how many ms its tenant may send nothing
-// that is served.
+// admitBytes counts bytes that a client sent. It returns what to do with the connection, and for how many ms the requests of its tenant are
+// shed.
 func (l *clientListener) admitBytes(id uint32, bytes int) (verdict connadmission.Verdict, retryAfter float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.admission.OnBytes(l.env.Now(), id, bytes)
 }
 
-// bindTenant takes it that a connection is a tenant's. It reports whether the tenant may have another.
+// bindTenant assigns a connection to a tenant. It reports whether the tenant's limit allows another connection.
 func (l *clientListener) bindTenant(id uint32, slot int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.admission.Authenticate(id, slot)
 }
 
-// setLimits sets the bounds on connections and bytes by tenant slot.
+// setLimits sets the limits on connections and bytes, by tenant slot.
 func (l *clientListener) setLimits(limits map[int]connadmission.Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -187,7 +187,7 @@
 	}
 }
 
-// disconnectUnauthenticated closes connections that showed no token in time.
+// disconnectUnauthenticated closes connections on which no token was received in time.
 func (l *clientListener) disconnectUnauthenticated() {
 	l.mu.Lock()
 	var late []*clientConn
@@ -198,6 +198,6 @@
 	}
 	l.mu.Unlock()
 	for _, c := range late {
-		c.disconnect("showed no token")
+		c.disconnect("no token received in time")
 	}
 }
--- a/internal/serve/client_requests.go
+++ b/internal/serve/client_requests.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	maxNameBytes = 200    // of a key or a service
-	maxDeadline  = 3600e3 // from a request's arrival, ms
+	maxNameBytes = 200    // longest idempotency key or name of a service
+	maxDeadline  = 3600e3 // longest time from a request's arrival to its deadline, ms
 )
 
-// onMessage takes one message: a request, or a batch of them.
+// onMessage handles one message: a call, or a batch of calls.
 func (c *clientConn) onMessage(body []byte) error {
 	requests, err := jrpc2.ParseRequests(body)
 	if err != nil {
@@ -34,7 +34,7 @@
 			fault = c.dispatch(request.Method, request.Params)
 		}
 		switch {
-		case request.ID == "" && request.Error == nil: // a notification, which has no reply
+		case request.ID == "" && request.Error == nil: // a JSON-RPC notification gets no reply
 		case request.Batch:
 			batch = append(batch, encodeReply(request.ID, fault))
 		default:
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// encodeReply returns the reply to a call: its result, which is true, or its fault.
+// encodeReply returns the reply to a call: the result true, or the error.
 func encodeReply(id string, fault error) []byte {
 	if id == "" {
 		id = "null"
@@ -71,7 +71,7 @@
 	return append(append(append(b, `"error":`...), text...), '}')
 }
 
-// dispatch carries out a call.
+// dispatch executes a call.
 func (c *clientConn) dispatch(method string, params json.RawMessage) error {
 	switch method {
 	case "allocate":
@@ -86,7 +86,7 @@
 	return jrpc2.Errorf(jrpc2.MethodNotFound, "no method %.40q", method)
 }
 
-// decodeParams reads a call's parameters. Fields that the call does not have are faults.
+// decodeParams decodes the parameters of a call. Unknown fields are errors.
 func decodeParams(params json.RawMessage, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(params))
 	decoder.DisallowUnknownFields()
@@ -99,7 +99,7 @@
 // Reasons of answers to requests that are shed before they reach a shard.
 const (
 	reasonTenantRemoved engine.AnswerReason = "tenant-removed"
-	reasonTooManyBytes  engine.AnswerReason = "too-many-bytes" // than the tenant may send
+	reasonTooManyBytes  engine.AnswerReason = "too-many-bytes" // the tenant has sent more bytes than its limit allows
 )
 
 // allocateParams are the parameters of the call allocate. Times are in ms.
@@ -111,11 +111,11 @@
 	Service   string  `json:"service"`
 	Cores     float64 `json:"cores"`
 	Memory    float64 `json:"memory"`
-	Within    float64 `json:"within-ms"`  // 0: the job class's deadline
-	SentAt    float64 `json:"sent-at-ms"` // by the client's wall clock, 0: unknown
+	Within    float64 `json:"within-ms"`  // time until the deadline; 0: the job class's default
+	SentAt    float64 `json:"sent-at-ms"` // by the client's wall clock; 0: unknown
 }
 
-// fault returns what is wrong with the parameters, empty if nothing is. maxWithin bounds Within, 0: not beyond maxDeadline.
+// fault describes what is wrong with the parameters; it is empty if nothing is. maxWithin limits Within; 0: only maxDeadline does.
 func (p *allocateParams) fault(tenantKnown, jobClassKnown bool, maxWithin float64) string {
 	switch {
 	case p.RequestID == 0:
@@ -128,7 +128,7 @@
 		return fmt.Sprintf("key: 1 to %d bytes are expected", maxNameBytes)
 	case p.Service == "" || len(p.Service) > maxNameBytes:
 		return fmt.Sprintf("service: 1 to %d bytes are expected", maxNameBytes)
-	case !(p.Cores > 0) || !(p.Memory > 0) || math.IsInf(p.Cores+p.Memory, 0): // not above 0: also no number
+	case !(p.Cores > 0) || !(p.Memory > 0) || math.IsInf(p.Cores+p.Memory, 0): // !(x > 0) also catches NaN
 		return "cores and memory: numbers above 0 are expected"
 	case p.Within < 0 || p.Within > maxDeadline:
 		return "within-ms: 0 to 3600000 is expected"
@@ -142,10 +142,10 @@
 type allocateRequest struct {
 	id      shardownership.ID
 	request shardownership.Request
-	unread  float64 // for which it lay unread beyond the client's usual delay, ms
+	unread  float64 // how long it lay unread beyond the client's usual delay, ms
 }
 
-// onAllocate takes the call allocate.
+// onAllocate handles the call allocate.
 func (c *clientConn) onAllocate(params json.RawMessage) error {
 	var p allocateParams
 	if err := decodeParams(params, &p); err != nil {
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// tenantOf returns the slot of a tenant that the client may request for: below 0 if there is none such, or if it was removed.
+// tenantOf returns the slot of a tenant for which the client may make requests. The slot is negative if the tenant is not known or was removed.
 func (c *clientConn) tenantOf(name string) (slot int, removed bool, err error) {
 	if !c.listener.hostsTenants() {
 		return slices.Index(c.listener.config.Site.Tenants, name), false, nil
@@ -202,8 +202,8 @@
 	return slot, slot < 0, err
 }
 
-// unreadFor returns how long a request lay unread, as while the process stalled: so much less time it has left. The client's clock need
-// not agree with this one.
+// unreadFor returns how long, in ms, a request lay unread, for example while the process stalled. The time left to the request is shorter by
+// that. The client's clock need not agree with this process's.
 func (c *clientConn) unreadFor(sentAt float64) float64 {
 	l := c.listener
 	stall := l.stalls.recent(l.env.Now())
@@ -212,7 +212,7 @@
 	return c.sendLag.OnRequest(l.env.Now(), sentAt, float64(l.env.WallClock().UnixMilli()), stall)
 }
 
-// onWithdraw takes the call withdraw.
+// onWithdraw handles the call withdraw.
 func (c *clientConn) onWithdraw(params json.RawMessage) error {
 	var p struct {
 		RequestID uint64 `json:"ref"`
@@ -223,19 +223,19 @@
 	return c.listener.handler.withdraw(c, p.RequestID)
 }
 
-// Hash returns the number by which the scheduler knows a name: services and keys are told apart by 64 bits of it.
+// Hash returns the 64-bit hash of a name. Services and idempotency keys are distinguished only by this hash.
 func Hash(parts ...string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	for _, part := range parts {
-		_, _ = digest.WriteString(part) // a digest takes every write
+		_, _ = digest.WriteString(part) // a Digest returns no write errors
 		_, _ = digest.WriteString("\x00")
 	}
 	return digest.Sum64()
 }
 
-// Token returns what tells repeats of an idempotency key apart.
+// Token returns the hash of a tenant's idempotency key, by which repeated requests are recognised.
 func Token(tenant, key string) uint64 { return Hash("key", tenant, key) }
 
-// Service returns a service's number, the same at all schedulers.
+// Service returns the hash of a tenant's service, which is the same at all schedulers.
 func Service(tenant, service string) uint64 { return Hash("service", tenant, service) }
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -16,43 +16,44 @@
 	"ravenpond/internal/proto/node"
 )
 
-// nodeDialTimeout is how long a connection to a node may take to be made, ms.
+// nodeDialTimeout is the time within which a connection to a node has to be made, ms.
 const nodeDialTimeout = 250
 
-// sendMark notes up to which byte of the stream the offer of an attempt reaches.
+// sendMark records the position in the stream at which the offer of an attempt ends.
 type sendMark struct {
 	offset  uint64
 	ticket  uint64
 	attempt uint8
 }
 
-// nodeLink is the connection to a node. Bytes handed to the network are counted, so that an attempt whose last byte never left can be told
-// from one that may have arrived.
+// nodeLink is the connection to a node. The bytes handed to the network are counted, so that an attempt whose last byte was never sent can
+// be told from one that may have arrived.
 //
-// Events of the connection come one at a time. mu comes after routerMu and the lock of the nodeConnections, and before the connection's own.
+// Events of the connection are delivered one at a time. mu comes after routerMu and the lock of the nodeConnections in the lock order, and
+// before the connection's own lock.
 type nodeLink struct {
 	set           *shardSet
 	connections   *nodeConnections
 	node          uint32
 	address       string
-	incarnation   uint64  // the node's, 0 until it has greeted; set once, with mu held
-	nodeStartedAt float64 // when that began by this process's clock, 0: unknown
+	incarnation   uint64  // the node's incarnation, 0 until its greeting was received; set once, with mu held
+	nodeStartedAt float64 // start of that incarnation by this process's clock, ms; 0: unknown
 	conn          env.Conn
 	splitter      line.Splitter
 	report        [node.MaxReportValues]float64
-	lastReceived  atomic.Uint64 // bits of when bytes were received last, ms
+	lastReceived  atomic.Uint64 // math.Float64bits of when bytes were last received, ms
 
 	mu                sync.Mutex // guards the fields below
 	marks             []sendMark
 	visit             visitPhase
 	closed            bool
 	reason            string
-	inventoryWaiters  [][]*shard        // the shards that wait for each HELD-ALL to come, the next first
+	inventoryWaiters  [][]*shard        // the shards that wait for each expected HELD-ALL, in the order of these messages
 	inventoryReceived bool              // a HELD-ALL was received
-	reassigned        map[uint64]*shard // the shards of attempts that another shard made, by ticket
+	reassigned        map[uint64]*shard // the shards that own attempts made by another shard, by ticket
 }
 
-// newNodeLink sends the greeting to a node over a connection that was just made.
+// newNodeLink starts a new connection to a node and sends the greeting.
 func newNodeLink(conns *nodeConnections, nodeID uint32, address string, conn env.Conn, isVisit bool) {
 	l := &nodeLink{set: conns.set, connections: conns, node: nodeID, address: address, conn: conn, reassigned: map[uint64]*shard{}}
 	if isVisit {
@@ -62,7 +63,7 @@
 	conn.Start(l, node.WriteTimeout)
 	conn.Send(func(b []byte) []byte {
 		return line.AppendGreeting(b, node.GreetingLine, "Scheduler", conns.name, "Node", strconv.FormatUint(uint64(nodeID), 10),
-			"Sent", strconv.FormatFloat(conns.set.env.Now(), 'f', 3, 64)) // so that the node sees how long the first offer was on its way
+			"Sent", strconv.FormatFloat(conns.set.env.Now(), 'f', 3, 64)) // lets the node compute how long the first offer was in transit
 	})
 	conns.set.env.After(node.HandshakeTimeout, func() {
 		if !l.isGreeted() {
@@ -71,21 +72,21 @@
 	})
 }
 
-// isGreeted reports whether the node has sent its greeting.
+// isGreeted reports whether the node's greeting was received.
 func (l *nodeLink) isGreeted() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.incarnation > 0
 }
 
-// OnData takes bytes of the node.
+// OnData handles bytes from the node.
 func (l *nodeLink) OnData(b []byte) {
 	if len(b) == 0 {
 		l.disconnect("peer closed: EOF", false)
 		return
 	}
 	l.lastReceived.Store(math.Float64bits(l.set.env.Now()))
-	if l.incarnation == 0 { // set here alone
+	if l.incarnation == 0 { // set only by onGreeting below
 		header, rest, err := l.splitter.Greeting(b, node.GreetingLine)
 		if err == nil && header == nil {
 			return
@@ -104,7 +105,7 @@
 	}
 }
 
-// onGreeting takes the node's greeting and tells the shards of the connection, unless it is a visit.
+// onGreeting handles the node's greeting and tells the shards of the connection, unless it is a visit.
 func (l *nodeLink) onGreeting(header textproto.MIMEHeader) error {
 	conns := l.connections
 	if got := header.Get("Node"); got != strconv.FormatUint(uint64(l.node), 10) {
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// ping sends a ping, or closes the connection of a node that is silent. It reports whether the connection goes on.
+// ping sends a ping, or closes the connection if the node is silent. It reports whether the connection stays open.
 func (l *nodeLink) ping() bool {
 	l.mu.Lock()
 	closed := l.closed
@@ -161,7 +162,7 @@
 	return true
 }
 
-// OnClose takes the end of the connection and tells the shards, and which of their attempts never left.
+// OnClose handles the end of the connection: it tells the shards of it and of those of their attempts that were never sent.
 func (l *nodeLink) OnClose(err error) {
 	conns := l.connections
 	l.mu.Lock()
@@ -198,10 +199,10 @@
 		})
 	}
 	conns.mu.Unlock()
-	l.set.log.Debug().Uint32("node", l.node).Str("why", reason).Msg("connection ended")
+	l.set.log.Debug().Uint32("node", l.node).Str("why", reason).Msg("connection to node closed")
 }
 
-// notifyLinked tells a shard of the connection.
+// notifyLinked tells a shard that the connection was made.
 func (l *nodeLink) notifyLinked(sh *shard) {
 	sh.post(func(now float64) {
 		sh.links[l.node] = l
@@ -209,7 +210,7 @@
 	})
 }
 
-// join tells a shard that starts of the connection, and asks the node what it holds.
+// join tells a shard that is being started of the connection, and asks the node which tasks it holds.
 func (l *nodeLink) join(sh *shard) {
 	l.notifyLinked(sh)
 	l.mu.Lock()
@@ -218,7 +219,7 @@
 	l.send(node.AppendResync)
 }
 
-// disconnect closes the connection. The first reason counts. With flush, what is queued is still handed to the network.
+// disconnect closes the connection. Only the first reason is kept. With flush, queued messages are still handed to the network.
 func (l *nodeLink) disconnect(reason string, flush bool) {
 	l.mu.Lock()
 	first := !l.closed
@@ -231,10 +232,11 @@
 	}
 }
 
-// send queues a message. A node that lets its queue run full is disconnected; the marks tell which attempts never left.
+// send queues a message. A node whose queue is full is disconnected; the marks then tell which attempts were never sent.
 func (l *nodeLink) send(appendTo func([]byte) []byte) { l.sendMarked(appendTo, sendMark{}) }
 
-// sendMarked queues a message, with the mark of its attempt if it has one. An attempt that finds the connection closed was never sent.
+// sendMarked queues a message, with the mark of its attempt if it has one. If the connection is already closed, the mark says that
+// the attempt was never sent.
 func (l *nodeLink) sendMarked(appendTo func([]byte) []byte, mark sendMark) {
 	l.mu.Lock()
 	sent, queued, ok := l.conn.Send(appendTo)
@@ -242,7 +244,7 @@
 		if mark.offset = sent; !ok {
 			mark.offset = math.MaxUint64
 		}
-		if len(l.marks) >= maxMarks { // attempts that have left need none
+		if len(l.marks) >= maxMarks { // attempts that have been sent need no mark
 			handed := l.conn.HandedOver()
 			l.marks = slices.DeleteFunc(l.marks, func(mark sendMark) bool { return mark.offset <= handed })
 		}
@@ -254,5 +256,5 @@
 	}
 }
 
-// maxMarks is at how many marks those are dropped whose attempts have left.
+// maxMarks is the number of marks at which the marks of sent attempts are dropped.
 const maxMarks = 64
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -13,18 +13,19 @@
 	"ravenpond/logic"
 )
 
-// The methods of nodeLink in this file take a node's messages, on the goroutine of its connection, and post them to the shard
-// whose attempt they are about.
+// The methods of nodeLink in this file handle a node's messages, on the goroutine of its connection, and post them to the shard that owns
+// the attempt.
 
-// Errors of nodes that break the protocol.
+// Errors that end a connection: a node's farewell, and violations of the protocol.
 var (
 	errFarewell       = errors.New("farewell")
 	errInventoryOrder = errors.New("HELD after HELD-ALL, or an answer before it")
 	errNoSuchProbe    = errors.New("report for a probe never sent")
 )
 
-// shardOf is the shard that a ticket belongs to: nil if its incarnation has ended, an error if no scheduler made the ticket.
-// ended tells that the node has nothing of the ticket any more. The caller holds the router lock.
+// shardOf returns the shard that a ticket belongs to. It returns nil if the shard is fenced, and an error if no shard of this process made the
+// ticket or if the node has not yet reported the tasks that it holds. ended says that the node no longer
+// holds anything for the ticket. The caller holds routerMu.
 func (l *nodeLink) shardOf(ticket uint64, ended bool) (*shard, error) {
 	l.mu.Lock()
 	early := !l.inventoryReceived
@@ -48,8 +49,8 @@
 	return sh, nil
 }
 
-// dispatch posts a message about a ticket to its shard. The router lock orders it before or after a handover of the ticket: what
-// came before is in the inbox of the shard that gives it away.
+// dispatch posts a message about a ticket to its shard. routerMu orders it before or after a handover of the ticket: a message that came
+// before is in the inbox of the shard that gives the ticket away.
 func (l *nodeLink) dispatch(ticket uint64, handle func(sh *shard, now float64) error) error {
 	l.set.routerMu.Lock()
 	defer l.set.routerMu.Unlock()
@@ -61,8 +62,8 @@
 	return nil
 }
 
-// post posts a message to a shard, and from there to the shard to which the ticket was handed over meanwhile. An error of the
-// node closes the connection.
+// post posts a message to a shard, which forwards it if the ticket was handed over to another shard in the meantime. An error of handle
+// closes the connection.
 func (l *nodeLink) post(sh *shard, ticket uint64, handle func(sh *shard, now float64) error) {
 	sh.post(func(now float64) {
 		if to := sh.handedOver[ticket]; to != nil {
@@ -73,14 +74,14 @@
 	})
 }
 
-// OnStarted takes the start of a task.
+// OnStarted handles the start of a task.
 func (l *nodeLink) OnStarted(id node.AttemptID, took float64) error {
 	return l.dispatch(id.Ticket, func(sh *shard, now float64) error {
 		return sh.engine.OnStarted(now, l.node, engine.AttemptID(id), took)
 	})
 }
 
-// OnOutcome takes the end of an attempt. If its shard was fenced while the task ran, the client is notified here.
+// OnOutcome handles the end of an attempt. If its shard was fenced while the task ran, this method notifies the client.
 func (l *nodeLink) OnOutcome(o node.Outcome) error {
 	if n, want := len(o.Report), l.reportLength(); n != 0 && n != want {
 		return fmt.Errorf("report of %d values, expected %d", n, want)
@@ -111,10 +112,10 @@
 	return nil
 }
 
-// reportLength is how many values a load report has at this site.
+// reportLength returns the number of values in a load report at this site.
 func (l *nodeLink) reportLength() int { return len(l.set.config.Site.Cluster.ReportFields) }
 
-// broadcastReport passes a load report to the shards that the outcome is not for.
+// broadcastReport passes the load report of an outcome to the other shards of the connection.
 func (l *nodeLink) broadcastReport(ticket uint64, report []float64) {
 	for _, sh := range l.connections.attachedShards() {
 		if uint32(ticket>>32) != sh.incarnation {
@@ -123,7 +124,7 @@
 	}
 }
 
-// OnClaimAnswer takes the answer to a claim.
+// OnClaimAnswer handles the answer to a claim.
 func (l *nodeLink) OnClaimAnswer(a node.ClaimAnswer) error {
 	id := engine.AttemptID(a.Attempt)
 	return l.dispatch(id.Ticket, func(sh *shard, now float64) error {
@@ -137,7 +138,7 @@
 	})
 }
 
-// OnNote takes something that the node observed of a running task.
+// OnNote handles a metric of a running task that the node observed.
 func (l *nodeLink) OnNote(n node.Note) error {
 	return l.dispatch(n.Attempt.Ticket, func(sh *shard, now float64) error {
 		sh.engine.OnNote(now, l.node, engine.AttemptID(n.Attempt), logic.TaskMetric(n.Kind), n.Value)
@@ -145,7 +146,7 @@
 	})
 }
 
-// OnReport takes the answer to a probe. The lowest bits of its number name the shard that sent the probe.
+// OnReport handles the answer to a probe. The lowest bits of its sequence number hold the index of the shard that sent the probe.
 func (l *nodeLink) OnReport(sequence uint64, report []float64) error {
 	if want := l.reportLength(); len(report) != want {
 		return fmt.Errorf("report of %d values, expected %d", len(report), want)
@@ -166,8 +167,8 @@
 	return errNoSuchProbe
 }
 
-// OnHeld takes a task that the node holds: for the shard whose attempt it is or, if that shard's incarnation has ended, for the
-// shard that has its service now.
+// OnHeld handles the report of a task that the node holds. It goes to the shard that made the attempt or, if that shard's incarnation has
+// ended, to the shard that has the task's service now.
 func (l *nodeLink) OnHeld(h node.HeldTask) error {
 	s, t := l.set, &h.Task
 	if t.JobClass >= len(s.config.Site.JobClasses) || t.Tenant >= len(s.config.Site.Tenants) {
@@ -179,13 +180,13 @@
 		}
 	}
 	attached := l.connections.attachedShards()
-	s.routerMu.Lock() // a handover of the task comes before this or after it
+	s.routerMu.Lock() // orders a handover of the task before this or after it
 	defer s.routerMu.Unlock()
 	holder, err := l.holderOf(&h, attached)
 	if err != nil || holder.shard == nil {
 		return err
 	}
-	if holder.own && holder.known && !holder.waits || !holder.own && !holder.waits && !l.inventoryReceived {
+	if holder.madeAttempt && holder.known && !holder.awaitsInventory || !holder.madeAttempt && !holder.awaitsInventory && !l.inventoryReceived {
 		return nil
 	}
 	l.postHeld(holder.shard, engine.HeldTask{
@@ -194,8 +195,8 @@
 	return nil
 }
 
-// postHeld posts a held task to a shard, and from there to the shard to which it was handed over meanwhile: to the one that gave it away it
-// would be unknown, and be stopped as another shard's.
+// postHeld posts a held task to a shard, which forwards it if the task was handed over to another shard in the meantime: the shard that gave
+// the task away no longer knows it, and would stop it as another shard's.
 func (l *nodeLink) postHeld(sh *shard, held engine.HeldTask) {
 	sh.post(func(now float64) {
 		ticket := held.Attempt.Ticket
@@ -210,16 +211,16 @@
 	})
 }
 
-// taskHolder is the shard that a held task is for.
+// taskHolder tells which shard a held task is for.
 type taskHolder struct {
-	shard *shard // nil: there is none
-	own   bool   // it made the attempt itself
-	known bool   // the router knows that it holds the task
-	waits bool   // it waits for the node to name what it holds
+	shard           *shard // nil: there is none
+	madeAttempt     bool   // shard made the attempt itself
+	known           bool   // the router has the task at shard
+	awaitsInventory bool   // shard waits for the node to report the tasks that it holds
 }
 
-// holderOf decides which of the shards of the connection a held task is for, and remembers it for further messages about the task. The caller
-// holds the router lock.
+// holderOf decides which of the shards of the connection a held task is for, and records it for later messages about the task. The caller
+// holds routerMu.
 func (l *nodeLink) holderOf(h *node.HeldTask, attached []*shard) (taskHolder, error) {
 	holder := l.routedHolder(h)
 	ticket := h.Attempt.Ticket
@@ -229,41 +230,41 @@
 		return taskHolder{}, errInventoryOrder
 	}
 	if other := l.reassigned[ticket]; other != nil && !other.fenced.Load() {
-		holder.shard, holder.own = other, false
+		holder.shard, holder.madeAttempt = other, false
 	}
-	if holder.own {
-		delete(l.reassigned, ticket) // it was handed over, but the shard that took it has ended
+	if holder.madeAttempt {
+		delete(l.reassigned, ticket) // the task was handed over, but the shard that took it has ended
 	} else if holder.shard != nil {
-		if len(attached) == 1 { // the connection is that shard's own, and so is what the node holds
+		if len(attached) == 1 { // the connection belongs to that shard alone, and so do the tasks that the node reports on it
 			holder.shard = attached[0]
 		}
 		l.reassigned[ticket] = holder.shard
 	}
-	holder.waits = slices.Contains(l.inventoryWaiters[0], holder.shard)
+	holder.awaitsInventory = slices.Contains(l.inventoryWaiters[0], holder.shard)
 	return holder, nil
 }
 
-// routedHolder is the shard that a held task is for by the router: the one that made the attempt, unless it was handed over or that
-// shard's incarnation has ended. The caller holds the router lock.
+// routedHolder returns the shard that a held task is for according to the router: the one that made the attempt, unless the task was handed
+// over or that shard's incarnation has ended. The caller holds routerMu.
 func (l *nodeLink) routedHolder(h *node.HeldTask) taskHolder {
 	s, t := l.set, &h.Task
 	sh := s.incarnations[uint32(h.Attempt.Ticket>>32)]
-	maker := -1
+	makerIndex := -1
 	if sh != nil && !sh.fenced.Load() {
-		maker = sh.index
+		makerIndex = sh.index
 	}
 	index, known := s.router.ShardOf(shardrouter.Placed{
 		ID: shardownership.ID{Tenant: t.Tenant, Token: t.Token}, Ticket: h.Attempt.Ticket, Number: h.Attempt.Number,
-		Service: t.Service, Shard: maker,
+		Service: t.Service, Shard: makerIndex,
 	})
-	own := maker >= 0 && index == maker
-	if !own && index >= 0 {
+	madeAttempt := makerIndex >= 0 && index == makerIndex
+	if !madeAttempt && index >= 0 {
 		sh = s.shards[index]
 	}
-	return taskHolder{shard: sh, own: own, known: known}
+	return taskHolder{shard: sh, madeAttempt: madeAttempt, known: known}
 }
 
-// OnHeldAll takes the end of the held tasks.
+// OnHeldAll handles the end of the list of held tasks.
 func (l *nodeLink) OnHeldAll() error {
 	if l.isVisit() && l.finishVisit() {
 		return nil
@@ -282,8 +283,8 @@
 	return nil
 }
 
-// OnPong takes the answer to a ping; that a message came was noted before.
+// OnPong handles the answer to a ping. It does nothing, because OnData has already recorded the time of the message.
 func (l *nodeLink) OnPong() error { return nil }
 
-// OnBye takes why the node closes the connection.
+// OnBye handles the reason for which the node closes the connection.
 func (l *nodeLink) OnBye(reason string) error { return fmt.Errorf("%w: %s", errFarewell, reason) }
--- a/internal/serve/node_connections.go
+++ b/internal/serve/node_connections.go
@@ -10,13 +10,13 @@
 	"ravenpond/internal/site"
 )
 
-// nodeConnections is a set of connections to nodes, one each, and the shards whose attempts they carry: one shard, or all.
+// nodeConnections is a set of connections, at most one to each node, and the shards whose attempts they carry: one shard, or all.
 //
-// mu is the first in the package's lock order: it is held while the working set, the membership and the shards are told of a connection,
-// so that all see connections and their ends in the same order.
+// mu comes first in the package's lock order, after startMu only: it is held while the working set, the membership and the shards are told
+// of a connection, so that all of them see connections and their ends in the same order.
 type nodeConnections struct {
 	set  *shardSet
-	name string // by which nodes know the shards
+	name string // the name by which nodes know the shards
 
 	mu      sync.Mutex // guards the fields below
 	shards  []*shard   // in the order in which they were attached
@@ -25,7 +25,7 @@
 	closed  bool
 }
 
-// newNodeConnections makes the connections of one shard, or those that all shards share.
+// newNodeConnections creates the set of connections of one shard, or the set that all shards share.
 func newNodeConnections(s *shardSet, index int) *nodeConnections {
 	c := &nodeConnections{set: s, name: s.config.Name, links: map[uint32]*nodeLink{}, dialing: map[uint32]bool{}}
 	if s.config.Site.Connections == site.OwnConnections && s.config.Site.MaxShards > 1 {
@@ -34,7 +34,7 @@
 	return c
 }
 
-// attach adds a shard, in the place of its earlier incarnation if it had one.
+// attach adds a shard. It replaces the shard's earlier incarnation if there is one.
 func (c *nodeConnections) attach(sh *shard) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,14 +45,14 @@
 	}
 }
 
-// attachedShards returns the shards.
+// attachedShards returns a copy of the list of shards.
 func (c *nodeConnections) attachedShards() []*shard {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.shards)
 }
 
-// dial connects to a node unless that is done or under way. All shards are told the outcome.
+// dial connects to a node unless a connection exists or is being made. All shards are told the result.
 func (c *nodeConnections) dial(nodeID uint32, address string) {
 	c.mu.Lock()
 	if c.closed || c.dialing[nodeID] || c.links[nodeID] != nil {
@@ -64,7 +64,7 @@
 	c.connect(nodeID, address, false)
 }
 
-// visit connects to a node that the shards do not know, to learn whether tasks of this scheduler run there.
+// visit connects to a node that the shards do not know, to find out whether tasks of this scheduler run there.
 func (c *nodeConnections) visit(nodeID uint32, address string) {
 	c.mu.Lock()
 	busy := c.closed || c.dialing[nodeID] || c.links[nodeID] != nil
@@ -79,7 +79,7 @@
 	c.connect(nodeID, address, true)
 }
 
-// connect connects to a node that is noted in dialing.
+// connect connects to a node that is already recorded in dialing.
 func (c *nodeConnections) connect(nodeID uint32, address string, isVisit bool) {
 	c.set.env.Dial(address, nodeDialTimeout, func(conn env.Conn, err error) {
 		if err != nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// disconnect closes the connection to a node, if there is one, once what is queued has been handed to the network.
+// disconnect closes the connection to a node, if there is one, after the queued messages have been handed to the network.
 func (c *nodeConnections) disconnect(nodeID uint32, reason string) {
 	c.mu.Lock()
 	l := c.links[nodeID]
@@ -110,7 +110,7 @@
 	}
 }
 
-// onDialFailed tells the shards that a node was not reached.
+// onDialFailed tells the shards that no connection to a node could be made.
 func (c *nodeConnections) onDialFailed(nodeID uint32, err error) {
 	c.mu.Lock()
 	delete(c.dialing, nodeID)
@@ -122,10 +122,10 @@
 	for _, sh := range c.attachedShards() {
 		sh.post(func(now float64) { sh.engine.OnDialFailed(now, nodeID) })
 	}
-	c.set.log.Debug().Uint32("node", nodeID).Err(err).Msg("no connection")
+	c.set.log.Debug().Uint32("node", nodeID).Err(err).Msg("connection to node failed")
 }
 
-// orderedLinks returns the connections in the order of their nodes. The caller holds mu.
+// orderedLinks returns the connections sorted by node ID. The caller holds mu.
 func (c *nodeConnections) orderedLinks() (links []*nodeLink) {
 	for _, nodeID := range slices.Sorted(maps.Keys(c.links)) {
 		links = append(links, c.links[nodeID])
@@ -133,7 +133,7 @@
 	return links
 }
 
-// replayTo tells a shard that starts of the connections there are, and asks the nodes what they hold for it.
+// replayTo tells a shard that is being started of the existing connections, and asks the nodes which tasks they hold.
 func (c *nodeConnections) replayTo(sh *shard) {
 	c.attach(sh)
 	c.mu.Lock()
@@ -143,7 +143,7 @@
 	}
 }
 
-// close closes all connections, and makes no others. With flush, what is queued is still handed to the network.
+// close closes all connections, and no others are made. With flush, queued messages are still handed to the network.
 func (c *nodeConnections) close(reason string, flush bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/serve/node_visits.go
+++ b/internal/serve/node_visits.go
@@ -7,13 +7,13 @@
 	"ravenpond/internal/proto/node"
 )
 
-// visitPhase is how far a connection is that is made to learn what a node outside the working set holds.
+// visitPhase is the state of a visit: a connection that is made to find out which tasks a node outside the working set holds.
 type visitPhase uint8
 
 const (
-	noVisit  visitPhase = iota // the shards know the node, and stay connected to it
-	visiting                   // the node has not told all it holds
-	visited                    // the node holds nothing of this scheduler: the connection ends
+	noVisit  visitPhase = iota // not a visit: the shards know the node and stay connected to it
+	visiting                   // the node has not reported all tasks that it holds
+	visited                    // the node holds no tasks of this scheduler: the connection is being closed
 )
 
 var errNotListed = errors.New("holds something and is not on the list")
@@ -25,18 +25,18 @@
 	return l.visit == visiting
 }
 
-// keepVisited makes a visit a connection that stays, as the node holds tasks of this scheduler.
+// keepVisited turns a visit into a lasting connection, because the node holds tasks of this scheduler.
 func (l *nodeLink) keepVisited() error {
 	if !l.set.workingSet.keepNode(l.node) {
 		return errNotListed
 	}
 	l.connections.mu.Lock()
 	defer l.connections.mu.Unlock()
-	return l.keepLocked()
+	return l.keepVisitedLocked()
 }
 
-// keepLocked tells the shards of a connection that was a visit. The caller holds the lock of the nodeConnections.
-func (l *nodeLink) keepLocked() error {
+// keepVisitedLocked turns a visit into a lasting connection and tells the shards of it. The caller holds the lock of the nodeConnections.
+func (l *nodeLink) keepVisitedLocked() error {
 	conns := l.connections
 	l.mu.Lock()
 	if l.closed {
@@ -51,13 +51,14 @@
 	return nil
 }
 
-// finishVisit ends a visit to a node that holds nothing, unless the shards came to know the node meanwhile. It reports whether it ended.
+// finishVisit ends a visit to a node that holds no tasks, unless the shards have come to know the node in the meantime. It reports whether the
+// visit ended.
 func (l *nodeLink) finishVisit() bool {
 	conns := l.connections
 	conns.mu.Lock()
 	defer conns.mu.Unlock()
 	if l.set.workingSet.onVisitDone(l.node) {
-		return l.keepLocked() != nil
+		return l.keepVisitedLocked() != nil
 	}
 	delete(conns.dialing, l.node)
 	l.mu.Lock()
@@ -71,7 +72,7 @@
 	return true
 }
 
-// startVisits starts as many visits as may be under way. It is called at each step, and when a visit ends.
+// startVisits starts visits up to the limit of concurrent ones. It is called at each step of the working set, and when a visit ends.
 func (w *workingSet) startVisits() {
 	if w.stopped.Load() {
 		return
@@ -87,7 +88,7 @@
 // nextVisits returns the nodes to visit now. The caller holds mu.
 func (w *workingSet) nextVisits(now float64) (entries []listEntry) {
 	for id, ok := w.visits.Next(now); ok; id, ok = w.visits.Next(now) {
-		if _, known := w.nodeStates[id]; known { // its connection tells
+		if _, known := w.nodeStates[id]; known { // the shards' connection to the node gives the same information
 			w.visits.Remove(id)
 			continue
 		}
@@ -101,7 +102,7 @@
 	return entries
 }
 
-// onVisitFailed takes it that a node was not reached. It is visited again later if that was a visit.
+// onVisitFailed records that no connection to a node could be made. If that was for a visit, it is tried again later.
 func (w *workingSet) onVisitFailed(id uint32) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -109,14 +110,14 @@
 	w.continueVisits()
 }
 
-// continueVisits starts visits in the place of one that has ended. The caller holds mu.
+// continueVisits schedules the start of further visits after one has ended. The caller holds mu.
 func (w *workingSet) continueVisits() {
 	if w.visits.Pending() > 0 {
 		w.async(w.startVisits)
 	}
 }
 
-// onVisitDone takes it that a node holds nothing. It reports whether the shards know the node all the same.
+// onVisitDone records that a node holds no tasks of this scheduler. It reports whether the shards know the node nevertheless.
 func (w *workingSet) onVisitDone(id uint32) (known bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -126,7 +127,8 @@
 	return known
 }
 
-// keepNode tells the shards of a node outside the set that holds tasks of this scheduler. It reports whether the node is on the list.
+// keepNode tells the shards of a node outside the working set that holds tasks of this scheduler. It reports whether the node is on the node
+// list.
 func (w *workingSet) keepNode(id uint32) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
