--- a/internal/serve/config.go
+++ b/internal/serve/config.go
@@ -16,63 +16,63 @@
 	"ravenpond/internal/state/maintenancestore"
 )
 
-// Config says which scheduler to run, and on what. The fields up to Log are required.
+// Config configures a scheduler process. The fields up to Log are required.
 type Config struct {
 	Site   *site.Config
-	Name   string // by which nodes and other schedulers know it, the same at each start
-	Index  int    // among all schedulers of the site, from 0
-	Folder string // the state folder, unused with Disk
+	Name   string // the name by which nodes and other schedulers know this one, the same at each start
+	Index  int    // of this scheduler among those of the site, from 0
+	Folder string // path of the state folder; not used if Disk is set
 	Seed   uint64
 	Log    zerolog.Logger
 
-	// Zone is one of the site file's, where the scheduler runs; empty: unknown.
+	// Zone is the zone in which the scheduler runs, one of the site file's; empty if it is unknown.
 	Zone string
-	// Ready is called once, with the address of the client listener, when clients may connect.
+	// Ready, unless it is nil, is called once with the address of the client listener when clients may connect.
 	Ready func(clients string)
-	// Resize takes wanted numbers of shards while Run runs.
+	// Resize carries the wanted numbers of shards while Run runs.
 	Resize <-chan int
 
-	// Disk is where the state folder is, Folder if it is nil.
+	// Disk holds the state folder. If it is nil, the state folder is at the path Folder.
 	Disk state.Disk
-	// Maintenance opens the maintenance windows, those in Folder if it is nil. It may return none.
+	// Maintenance opens the store of maintenance windows, the one in Folder if it is nil. It may return no store.
 	Maintenance func() (MaintenanceStore, error)
-	// VoterDisk opens what a voter of the replicated cluster state must not forget, that in Folder if it is nil.
+	// VoterDisk opens the persistent state of a voter of the replicated cluster state, the one in Folder if it is nil.
 	VoterDisk func() (control.Storage, error)
-	// Tenants opens the store of hosted tenants, that in Folder if it is nil.
+	// Tenants opens the store of hosted tenants, the one in Folder if it is nil.
 	Tenants func() (TenantStore, error)
 
-	// Connect connects Run to a node or to the list server, over TCP if it is nil.
+	// Connect makes a connection to a node or to the list server for Run, over TCP if it is nil.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
-	// TLS is the TLS configuration of the client listener, none if it is nil.
+	// TLS is the TLS configuration of the client listener, which uses no TLS if it is nil.
 	TLS *tls.Config
-	// MemberKey signs the datagrams between schedulers. If it is nil, the site file's key file has it.
+	// MemberKey is the key that signs the datagrams between schedulers. If it is nil, it is read from the site file's key file.
 	MemberKey []byte
 
-	// Policy is used in place of the policy module if it is not nil, for comparisons.
+	// Policy replaces the policy module unless it is nil. Comparisons of policies use it.
 	Policy engine.PolicyFactory
-	// FreeMemory is called, unless it is nil, some time after the start's visits of nodes, which take much memory.
+	// FreeMemory, unless it is nil, is called some time after the visits to nodes at the start, which use much memory.
 	FreeMemory func()
-	// OnLocalListener is called once, unless it is nil, with a way to connect clients without a socket.
+	// OnLocalListener, unless it is nil, is called once with a listener that connects clients without a socket.
 	OnLocalListener func(*LocalListener)
-	// Faults are injected into the scheduler by tests.
+	// Faults are the faults that tests inject into the scheduler.
 	Faults Faults
 }
 
-// Faults are faults that tests and experiments inject to see that they are found. The zero value injects none.
+// Faults are faults that tests and experiments inject to check that they are detected. The zero value injects none.
 type Faults struct {
 	WrapEffects    func(engine.Effects) engine.Effects // wraps the effects of each incarnation of each shard
-	ListEntry      func(*state.Entry)                  // changes entries of the endpoint list
-	PermitAnyEpoch bool                                // attempts are permitted whatever their epoch
-	RepeatAnswers  bool                                // clients are sent each answer twice
+	ListEntry      func(*state.Entry)                  // modifies entries of the endpoint list
+	PermitAnyEpoch bool                                // the router permits attempts of any epoch
+	RepeatAnswers  bool                                // each answer is sent to its client twice
 
-	WrapMaintenance func(maintenance.Executor) maintenance.Executor // wraps what carries out maintenance windows
+	WrapMaintenance func(maintenance.Executor) maintenance.Executor // wraps the executor of maintenance windows
 
 	WorkingSet   workingset.Faults
-	AbandonTasks bool // nodes that leave the working set are disconnected, whatever runs there
+	AbandonTasks bool // nodes that leave the working set are disconnected even if tasks run there
 	SkipVisits   bool // nodes outside the working set are not visited at the start
 }
 
-// withDefaults returns the configuration with what is in the state folder in place of stores that it does not name.
+// withDefaults returns the configuration with the maintenance store of the state folder if it names none.
 func (c Config) withDefaults() Config {
 	if c.Maintenance == nil {
 		folder := c.Folder
@@ -86,7 +86,7 @@
 	return c
 }
 
-// openFolder opens the state folder, which no other process may use meanwhile.
+// openFolder opens and locks the state folder, so that no other process can use it at the same time.
 func (c Config) openFolder() (*state.Folder, error) {
 	if c.Disk != nil {
 		return state.NewFolder(c.Disk), nil
--- a/internal/serve/dispatch.go
+++ b/internal/serve/dispatch.go
@@ -9,29 +9,31 @@
 )
 
 const (
-	// pumpInterval is the time between two calls of pump, ms.
-	pumpInterval = 100
-	// pumpHorizon is how far ahead, in ms, another call of pump is planned. What is due later finds another occasion.
-	pumpHorizon = 200
-	// withdrawAttempts is at how many shards in turn a request is withdrawn that is handed back to the shard that gave it: it is there
-	// only a moment later.
+	// dispatchInterval is the time between two periodic calls of dispatchQueued, ms.
+	dispatchInterval = 100
+	// dispatchHorizon is how far ahead, in ms, an extra call of dispatchQueued is planned. The periodic calls handle what is due later.
+	dispatchHorizon = 200
+	// withdrawAttempts is how many times the withdrawal of a request is tried at the same shard. A request that is handed back to the shard
+	// that gave it away reaches that shard only a moment later.
 	withdrawAttempts = 2
 )
 
-// allocate has a request go to the shard that acts for its idempotency key already, else where the router puts it, or wait in a queue.
+// allocate submits a request to the router, which assigns it to the shard that already owns its idempotency key, assigns it to another shard,
+// puts it into a queue or rejects it.
 func (s *shardSet) allocate(c *clientConn, r allocateRequest) {
 	now := s.env.Now()
 	s.routerMu.Lock()
 	rejected := s.checkQuotaLease(now)
 	decision := s.router.Submit(now, shardrouter.Arrival{ID: r.id, Request: r.request, Unread: r.unread}, s.shardLoad(now))
 	sh := s.recordRoute(c, decision)
-	s.pumpIfFree()
+	s.dispatchIfFree()
 	s.routerMu.Unlock()
 	s.rejectAll(rejected)
 	s.deliver(c, decision, sh)
 }
 
-// shardLoad tells the router of a shard's queue. The caller holds routerMu while the result is used.
+// shardLoad returns a function that tells the router how long a shard has stalled and how many requests wait for it. The caller holds routerMu
+// while that function is used.
 func (s *shardSet) shardLoad(now float64) shardrouter.ShardLoad {
 	return func(shard int) (float64, int) {
 		sh := s.shards[shard]
@@ -39,7 +41,7 @@
 	}
 }
 
-// recordRoute notes where a request goes, and returns the shard, nil if it goes to none. The caller holds routerMu.
+// recordRoute records which shard a request is assigned to and returns that shard, or nil if there is none. The caller holds routerMu.
 func (s *shardSet) recordRoute(c *clientConn, decision shardrouter.Decision) *shard {
 	if decision.Queued || decision.IsRejected() {
 		return nil
@@ -52,13 +54,13 @@
 	return sh
 }
 
-// deliver carries out the router's decision on a request. sh is the shard that recordRoute returned under the same hold of routerMu: a
-// later incarnation of it knows nothing of the epoch.
+// deliver carries out the router's decision on a request. sh is the shard that recordRoute returned while routerMu was held for the decision:
+// a later incarnation of the shard does not know the epoch.
 func (s *shardSet) deliver(c *clientConn, decision shardrouter.Decision, sh *shard) {
 	request := decision.Request
 	switch {
 	case decision.Queued:
-	case decision.IsRejected() && s.env.Now() >= request.Deadline: // the process stalled: the client has given up by itself
+	case decision.IsRejected() && s.env.Now() >= request.Deadline: // the process stalled, and the client has given up without an answer
 		c.closeRequest(request.Ref)
 	case decision.IsRejected():
 		c.sendAnswer(request.Ref, engine.Answer{Kind: engine.Declined, Reason: engine.AnswerReason(decision.Reason.String()), RetryAfter: decision.RetryAfter})
@@ -74,7 +76,8 @@
 	}
 }
 
-// requester returns the client of a request. One that has disconnected gets no answer; its shard finds that out by itself.
+// requester returns the client of a request. For one that has disconnected it returns a closed connection, so that no answer is sent; the
+// shard detects the disconnect by itself.
 func (s *shardSet) requester(decision shardrouter.Decision) *clientConn {
 	if c := s.clients.byID(decision.Request.Client); c != nil {
 		return c
@@ -82,7 +85,7 @@
 	return &clientConn{listener: s.clients, closed: true}
 }
 
-// submit hands a request to a shard.
+// submit posts a request to a shard.
 func (s *shardSet) submit(c *clientConn, sh *shard, decision shardrouter.Decision) {
 	request, id := decision.Request, decision.ID
 	ok := sh.post(func(now float64) {
@@ -92,20 +95,20 @@
 		err := sh.engine.Allocate(now, engine.Request{
 			ID: requestID(&request), Task: taskOf(id, &request), TimeLeft: request.Deadline - now, Epoch: s.currentEpoch(id, sh, decision.Epoch),
 		})
-		if err != nil && !sh.fenced.Load() { // no id is taken twice from a client: it was moved here by a fence
+		if err != nil && !sh.fenced.Load() { // the client did not use the ID twice: a fence has moved the request here already
 			c.sendAnswer(request.Ref, shed(engine.ReasonAlreadyOpen))
 		}
-		if s.hostsTenants() && s.clients.byID(request.Client) == nil { // it waited in a queue, and its client has disconnected meanwhile
+		if s.hostsTenants() && s.clients.byID(request.Client) == nil { // the client disconnected while the request waited in a queue
 			sh.engine.OnClientDisconnected(now, request.Client)
 		}
 	})
-	if !ok && decision.Epoch == 0 { // the shard was fenced just now; what was assigned to it, the fence has answered or moved
+	if !ok && decision.Epoch == 0 { // the shard was fenced just now; the fence has answered or reassigned only requests with an epoch
 		c.sendAnswer(request.Ref, shed(reasonShardFenced))
 	}
 }
 
-// currentEpoch returns the epoch of a request that reaches its shard: 0 if the shard does not act for it any more. While it was on its
-// way, a node may have reported an earlier attempt as running, which took its place, and then as ended.
+// currentEpoch returns the epoch of a request that reaches its shard, or 0 if the shard does not own it any more. While the request was in
+// the inbox, a node may have reported an earlier attempt as running, which took the request's place, and then as ended.
 func (s *shardSet) currentEpoch(id shardownership.ID, sh *shard, epoch uint32) uint32 {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
@@ -115,11 +118,11 @@
 	return epoch
 }
 
-// pump hands queued requests on whose turn has come.
-func (s *shardSet) pump() {
+// dispatchQueued delivers the queued requests that the router releases.
+func (s *shardSet) dispatchQueued() {
 	now := s.env.Now()
 	s.routerMu.Lock()
-	s.pumping = false
+	s.dispatchPending = false
 	decisions := append(s.checkQuotaLease(now), s.router.Dequeue(now, s.shardLoad(now))...)
 	shards, clients := make([]*shard, len(decisions)), make([]*clientConn, len(decisions))
 	for i, decision := range decisions {
@@ -127,38 +130,38 @@
 		shards[i] = s.recordRoute(clients[i], decision)
 	}
 	due := s.router.Due(now)
-	plan := due < now+pumpHorizon && (s.plannedPump == 0 || due < s.plannedPump)
+	plan := due < now+dispatchHorizon && (s.plannedDispatch == 0 || due < s.plannedDispatch)
 	if plan {
-		s.plannedPump = due
+		s.plannedDispatch = due
 	}
 	s.routerMu.Unlock()
 	for i, decision := range decisions {
 		s.deliver(clients[i], decision, shards[i])
 	}
-	if plan { // one plan at a time, or each call would bring another
-		s.env.After(max(1, due-now), func() { s.pumpAsPlanned(due) })
+	if plan { // only one call is planned at a time, otherwise each call would plan another
+		s.env.After(max(1, due-now), func() { s.dispatchAsPlanned(due) })
 	}
 }
 
-// pumpAsPlanned is the call of pump that was planned for a time.
-func (s *shardSet) pumpAsPlanned(due float64) {
+// dispatchAsPlanned is the call of dispatchQueued that was planned for a time.
+func (s *shardSet) dispatchAsPlanned(due float64) {
 	s.routerMu.Lock()
-	if s.plannedPump == due {
-		s.plannedPump = 0
+	if s.plannedDispatch == due {
+		s.plannedDispatch = 0
 	}
 	s.routerMu.Unlock()
-	s.pump()
+	s.dispatchQueued()
 }
 
-// pumpIfFree hands queued requests on if there is capacity for one. The caller holds routerMu.
-func (s *shardSet) pumpIfFree() {
-	if !s.pumping && s.router.MayDequeue(s.env.Now()) {
-		s.pumping = true
-		s.async(s.pump)
+// dispatchIfFree schedules a call of dispatchQueued if there is capacity for a queued request. The caller holds routerMu.
+func (s *shardSet) dispatchIfFree() {
+	if !s.dispatchPending && s.router.MayDequeue(s.env.Now()) {
+		s.dispatchPending = true
+		s.async(s.dispatchQueued)
 	}
 }
 
-// withdraw gives up a client's request, in its queue or at its shard.
+// withdraw withdraws a client's request from its queue or its shard.
 func (s *shardSet) withdraw(c *clientConn, number uint64) error {
 	if s.withdrawQueued(c, number) {
 		return nil
@@ -171,7 +174,7 @@
 	return nil
 }
 
-// withdrawQueued answers a request that waits in a queue. It reports whether it does.
+// withdrawQueued withdraws and answers a request that waits in a queue. It reports whether the request was there.
 func (s *shardSet) withdrawQueued(c *clientConn, number uint64) bool {
 	s.routerMu.Lock()
 	ok := s.router.Withdraw(c.id, number)
@@ -182,7 +185,7 @@
 	return ok
 }
 
-// withdrawAt gives up a request at the shard that it is at, or that it was handed to meanwhile.
+// withdrawAt withdraws a request at its shard, or at the shard to which it was handed over in the meantime.
 func (s *shardSet) withdrawAt(c *clientConn, number uint64, shard, attempts int) {
 	s.routerMu.Lock()
 	sh := s.shards[shard]
@@ -193,11 +196,11 @@
 		}
 		if next, ok := c.requestShard(number); ok && next >= 0 && (next != shard || attempts > 1) {
 			s.withdrawAt(c, number, next, attempts-1)
-		} // else it has just ended, which needs nothing
+		} // else the request has just ended, and there is nothing to withdraw
 	})
 }
 
-// onClientClosed gives up all that a client that disconnected has open.
+// onClientClosed withdraws all open requests of a client that disconnected.
 func (s *shardSet) onClientClosed(clientID uint32) {
 	s.routerMu.Lock()
 	s.router.WithdrawClient(clientID)
@@ -208,25 +211,25 @@
 	}
 }
 
-// duplicateRequest is a request that has no entry of its own in the router.
+// duplicateRequest is an open request that has no entry of its own in the router.
 type duplicateRequest struct {
 	client *clientConn
 	ref    uint64
 }
 
-// duplicateRequests returns the requests at a shard, with a deadline before a time, that neither the router nor an answer accounts for once
-// all that the router holds is dealt with: requests for a key that another request had brought there. No attempt was ever made for them.
-// Those whose deadline has passed are closed without an answer.
+// duplicateRequests returns the unanswered requests at a shard, with a deadline before a time, that have no entry in the router after the
+// router's entries have been handled: requests for a key that another request had brought to the shard. No attempt was ever made for them.
+// Those whose deadline has passed are closed without an answer. The caller holds routerMu.
 func (s *shardSet) duplicateRequests(shard int, before float64) (all []duplicateRequest) {
 	now := s.env.Now()
-	var open map[shardownership.RequestKey]bool // most shards have no candidate, and need none
+	var open map[shardownership.RequestKey]bool // looked up only for shards with a candidate, as most have none
 	for _, c := range s.clients.connected() {
 		for _, ref := range c.unanswered(shard, before) {
 			if open == nil {
 				open = s.router.OpenRequests(shard)
 			}
 			switch {
-			case open[shardownership.RequestKey{Client: c.id, Ref: ref}]: // an attempt may be out for it
+			case open[shardownership.RequestKey{Client: c.id, Ref: ref}]: // an attempt for it may be running
 			case c.isOverdue(ref, now):
 				c.closeRequest(ref)
 			default:
@@ -246,7 +249,7 @@
 	}
 }
 
-// setRequestShard notes which shard a client's request is at now.
+// setRequestShard records the shard that a client's request is at now.
 func (s *shardSet) setRequestShard(clientID uint32, number uint64, shard int) {
 	if c := s.clients.byID(clientID); c != nil {
 		c.setShard(number, shard)
--- a/internal/serve/handover.go
+++ b/internal/serve/handover.go
@@ -8,25 +8,25 @@
 	"ravenpond/internal/site"
 )
 
-// handoverGrace is how long after a handover, in ms, a message for the shard that gave may still wait in a queue, as after a stall.
+// handoverGrace is how long after a handover, in ms, a message for the giving shard may still wait in a queue, for example after a stall.
 const handoverGrace = 2000
 
-// startHandovers has each shard hand over what belongs elsewhere, and ends removed ones that hold nothing more, from now on.
+// startHandovers starts the periodic handover of allocations that belong to other shards, which also ends removed shards that are empty.
 func (s *shardSet) startHandovers() {
 	s.every(handover.PollInterval(), func() {
 		for _, sh := range s.shardsWithHandovers() {
-			if sh.handoverActive.CompareAndSwap(false, true) { // else the last poll's is still under way
+			if sh.handoverActive.CompareAndSwap(false, true) { // else the handover of an earlier poll is still under way
 				s.postHandover(sh)
 			}
 		}
 	})
 }
 
-// movesRunning reports whether running allocations may be handed over. Where shards have connections of their own, those of a shard reach
-// what runs for it.
+// movesRunning reports whether running allocations may be handed over. They may not if shards have connections of their own, because a
+// running task is reached only over the connections of the shard that started it.
 func (s *shardSet) movesRunning() bool { return s.config.Site.Connections != site.OwnConnections }
 
-// shardsWithHandovers returns the shards that hold what belongs elsewhere, and those that are being removed.
+// shardsWithHandovers returns the shards that hold allocations that belong elsewhere, and those that are being removed.
 func (s *shardSet) shardsWithHandovers() (shards []*shard) {
 	now := s.env.Now()
 	s.routerMu.Lock()
@@ -39,7 +39,7 @@
 	return shards
 }
 
-// postHandover has a shard hand over what it may, and end if it was removed and holds nothing more.
+// postHandover posts a handover to a shard, which ends the shard if it was removed and holds nothing more.
 func (s *shardSet) postHandover(sh *shard) {
 	posted := sh.post(func(now float64) {
 		idle := s.handOverShard(now, sh)
@@ -53,7 +53,8 @@
 	}
 }
 
-// handOverShard hands over the next services of a shard, on its loop. It reports whether the shard was removed and holds nothing more.
+// handOverShard hands over the next services of a shard. It reports whether the shard was removed and holds nothing more. It is called on the
+// shard's loop.
 func (s *shardSet) handOverShard(now float64, sh *shard) (idle bool) {
 	includeRunning := s.movesRunning()
 	if now-sh.lastRunningHandover > handoverGrace {
@@ -82,10 +83,11 @@
 	return leaving && sh.isEmpty()
 }
 
-// isEmpty reports whether a shard holds nothing, on its loop. What it gave and got back, because no other shard ran, waits in its inbox.
+// isEmpty reports whether a shard holds nothing. Allocations that it gave away and got back, because no other shard ran, wait in its inbox. It
+// is called on the shard's loop.
 func (sh *shard) isEmpty() bool { return sh.engine.IsIdle() && !sh.inbox.hasEvents() }
 
-// beginHandover reports whether a shard may give away a service now, on its loop.
+// beginHandover reports whether a shard may give away a service now. It is called on the shard's loop.
 func (s *shardSet) beginHandover(now float64, sh *shard, service uint64, shares []handover.ServiceLoad) bool {
 	known := 0
 	for i := range shares {
@@ -98,8 +100,8 @@
 	return s.router.BeginHandover(now, sh.index, service, known)
 }
 
-// handOverService hands one service's allocations to its next shard, on the loop of the shard that gives. It holds routerMu throughout, so
-// that a request for one of them, or a fence of one of the two shards, comes before or after.
+// handOverService hands the allocations of one service over to its next shard. It is called on the loop of the giving shard. It holds
+// routerMu throughout, so that a request for one of the allocations, or a fence of one of the two shards, comes before or after it.
 func (s *shardSet) handOverService(now float64, sh *shard, service uint64, allocations []engine.Transfer) {
 	items := make([]shardrouter.HandoverItem, 0, len(allocations))
 	for _, allocation := range allocations {
@@ -108,14 +110,14 @@
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	defer s.router.EndHandover(service)
-	for i, fate := range s.router.HandOver(now, sh.index, items) {
+	for i, decision := range s.router.HandOver(now, sh.index, items) {
 		allocation := allocations[i]
-		if fate.Disposition != shardownership.Reassign {
-			continue // fenced meanwhile
+		if decision.Disposition != shardownership.Reassign {
+			continue // the shard was fenced in the meantime
 		}
-		target := s.shards[fate.Shard]
-		allocation.Epoch = fate.Epoch
-		s.setRequestShard(allocation.Request.Client, allocation.Request.Number, fate.Shard)
+		target := s.shards[decision.Shard]
+		allocation.Epoch = decision.Epoch
+		s.setRequestShard(allocation.Request.Client, allocation.Request.Number, decision.Shard)
 		s.continueAt(target, allocation)
 		if !allocation.Running {
 			sh.handoverCounts[0].Add(1)
@@ -132,7 +134,7 @@
 	}
 }
 
-// handoverItem is an allocation as the router has it.
+// handoverItem converts an allocation to the router's form.
 func handoverItem(a *engine.Transfer) shardrouter.HandoverItem {
 	return shardrouter.HandoverItem{
 		ID: ownerID(a.Task.Key()), Epoch: a.Epoch, Running: a.Running,
@@ -143,18 +145,19 @@
 	}
 }
 
-// continueAt has a shard go on with an allocation that another handed over or lost. A client that disconnected meanwhile was
-// withdrawn here before the shard knew the allocation.
+// continueAt has a shard go on with an allocation that another shard handed over or lost. If the client disconnected in the meantime, the
+// shard was told so before it knew the allocation, and is told again.
 func (s *shardSet) continueAt(sh *shard, allocation engine.Transfer) {
 	sh.post(func(now float64) {
 		if allocation.Running {
-			delete(sh.handedOver, allocation.Attempt.Ticket) // it is back: messages for it are for no other shard now, or the two would forward them without end
+			// The allocation is back at this shard: without this the two shards would forward messages for it to each other without end.
+			delete(sh.handedOver, allocation.Attempt.Ticket)
 			if !sh.engine.TransferIn(now, allocation) && !sh.fenced.Load() {
 				s.log.Warn().Str("mode", "shards").Int("shard", sh.index).Uint32("node", allocation.Node).
-					Msg("what runs not taken over; its node will tell of it")
+					Msg("running task not taken over; its node will report it")
 			}
 		} else {
-			_ = sh.engine.Allocate(now, engine.Request{ // it can't fail: the client's request number was free, and still is
+			_ = sh.engine.Allocate(now, engine.Request{ // can't fail: the client's request number is not in use at this shard
 				ID: allocation.Request, Task: allocation.Task, TimeLeft: allocation.Deadline - now,
 				Epoch: s.currentEpoch(ownerID(allocation.Task.Key()), sh, allocation.Epoch),
 			})
--- a/internal/serve/inbox.go
+++ b/internal/serve/inbox.go
@@ -2,30 +2,31 @@
 
 import "sync"
 
-// event is a call of a shard's engine, or of something else that the shard's loop alone uses. It runs on that loop.
+// event is a function that calls a shard's engine or uses other state of the shard's loop. It runs on that loop.
 type event func(now float64)
 
 const (
-	// maxInbox bounds the events that wait for a shard. A shard that lets so many wait is fenced.
+	// maxInbox is the greatest number of events that may wait for a shard. A shard with a full inbox is fenced.
 	maxInbox = 1 << 17
-	// stallThreshold is how long, in ms, a shard seldom takes for one batch.
+	// stallThreshold is the time in ms above which a batch counts as stalled. Batches seldom take that long.
 	stallThreshold = 50
 )
 
-// inbox hands events to a shard from many goroutines: the shard swaps the slice of what waits for an empty one, under a lock. A channel
-// measured some 35 ns per event faster with four producers (BenchmarkInbox), but it can't tell how long the oldest event has waited, which
-// admission rests on, nor give what waits as one batch. mu is the last in the package's lock order; wake is called without it.
+// inbox passes events from many goroutines to a shard: the shard swaps the slice of waiting events for an empty one, under a lock. A channel
+// is some 35 ns per event faster with four producers (BenchmarkInbox), but it can't tell how long the oldest event has waited, on which
+// admission depends, nor return all waiting events as one batch. mu is the last in the package's lock order; wake is called without it.
 type inbox struct {
-	mu            sync.Mutex // guards all fields but wake
+	mu            sync.Mutex // guards all fields except wake
 	queue         []event
-	oldestAt      float64 // when the oldest event that waits was queued, ms
-	batchOldestAt float64 // when the oldest event of the batch under way was queued, 0: no batch is
-	batchTakenAt  float64 // when that batch was taken
+	oldestAt      float64 // when the oldest waiting event was queued, ms
+	batchOldestAt float64 // when the oldest event of the current batch was queued, ms; 0: there is no batch
+	batchTakenAt  float64 // when the current batch was taken, ms
 	closed        bool
-	wake          func() // called when an event waits where none did
+	wake          func() // called when an event is put into an empty queue
 }
 
-// put queues an event. It returns ok false if the shard takes none any more, and full if too many wait: the shard is to be fenced.
+// put queues an event. It returns ok false if the event was not queued, because the inbox is closed or full. If it is full, the caller has to
+// fence the shard.
 func (b *inbox) put(now float64, queued event) (ok, full bool) {
 	b.mu.Lock()
 	if b.closed {
@@ -48,7 +49,7 @@
 	return true, false
 }
 
-// take returns all events that wait, in order, as a batch. spare is a slice that put may fill next.
+// take returns all waiting events, in order, as a batch. spare becomes the slice that put fills next.
 func (b *inbox) take(now float64, spare []event) []event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,14 +68,14 @@
 	b.mu.Unlock()
 }
 
-// hasEvents reports whether events wait.
+// hasEvents reports whether events are waiting.
 func (b *inbox) hasEvents() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.queue) > 0
 }
 
-// oldestAge returns how long the oldest event has waited, those of the batch under way included, in ms.
+// oldestAge returns how long, in ms, the oldest event has waited, including the events of the current batch.
 func (b *inbox) oldestAge(now float64) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -87,7 +88,7 @@
 	return 0
 }
 
-// stalledFor returns how long the shard has been at the batch under way, in ms: 0 up to stallThreshold.
+// stalledFor returns how long, in ms, the shard has worked on the current batch, or 0 if that is not above stallThreshold.
 func (b *inbox) stalledFor(now float64) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -97,7 +98,7 @@
 	return 0
 }
 
-// close drops what waits and takes no further event.
+// close drops the waiting events and accepts no others.
 func (b *inbox) close() {
 	b.mu.Lock()
 	b.closed, b.queue = true, nil
--- a/internal/serve/invariants.go
+++ b/internal/serve/invariants.go
@@ -7,17 +7,18 @@
 	"ravenpond/internal/engine"
 )
 
-// overdueMargin is how long after its deadline, in ms, a request may still be unanswered.
+// overdueMargin is how long after its deadline, in ms, a request may remain unanswered.
 const overdueMargin = 1000
 
-// CheckInvariants checks what the router holds against what each shard holds: one shard acts for each allocation, and one for each that is
-// held. It also checks that no request is overdue. It may only be called in an environment without concurrency.
+// CheckInvariants compares the router's entries with the allocations that the shards hold: each entry's owner holds its allocation, and each
+// allocation that a shard holds has an entry with that owner. It also checks that no request is overdue. It may be called only in an
+// environment without concurrency.
 func (s *shardSet) CheckInvariants() error {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	for _, sh := range s.liveShardsLocked() {
 		if !sh.fenced.Load() && sh.inbox.hasEvents() {
-			return nil // the shard holds less or more in a moment
+			return nil // the waiting events change what the shard holds
 		}
 	}
 	if err := s.router.CheckInvariants(func(yield func(shardownership.Claim)) {
@@ -34,20 +35,20 @@
 	now := s.env.Now()
 	for _, c := range s.clients.connected() {
 		if id, ok := c.overdue(now - overdueMargin); ok {
-			return fmt.Errorf("ask %d of owner %d is open beyond its expiry", id, c.id)
+			return fmt.Errorf("request %d of client %d is still open after its deadline", id, c.id)
 		}
 	}
 	return nil
 }
 
-// OpenAllocations returns how many of a tenant's allocations count against its limit here.
+// OpenAllocations returns how many of a tenant's allocations count against its limit at this scheduler.
 func (s *shardSet) OpenAllocations(tenant int) int {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	return s.router.TenantOpen(s.env.Now(), tenant)
 }
 
-// KnowsAttempt reports whether some shard knows an attempt.
+// KnowsAttempt reports whether any shard knows an attempt.
 func (s *shardSet) KnowsAttempt(attempt engine.AttemptID) bool {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
--- a/internal/serve/process.go
+++ b/internal/serve/process.go
@@ -10,24 +10,24 @@
 	"ravenpond/internal/state"
 )
 
-// process is what all parts of a server share. Apart from stopped its fields do not change after Start.
+// process holds what all parts of a server share. Only stopped changes after Start.
 type process struct {
 	config      Config
 	env         env.Environment
 	log         zerolog.Logger
 	folder      *state.Folder
-	diagnostics besteffort.Guard // runs what only people read, so that a panic there ends nothing
-	stopped     atomic.Bool      // set by Shutdown: no further timer, visit or round begins
+	diagnostics besteffort.Guard // runs diagnostics that only people read, so that a panic there does not end the process
+	stopped     atomic.Bool      // set by Shutdown: no timer, visit or round starts any more
 }
 
 func newProcess(e env.Environment, config Config, folder *state.Folder) *process {
 	report := func(diagnostic, reason string) {
-		config.Log.Error().Str("mode", "words").Str("what", diagnostic).Str("why", reason).Msg("switched off")
+		config.Log.Error().Str("mode", "words").Str("what", diagnostic).Str("why", reason).Msg("diagnostic switched off")
 	}
 	return &process{config: config, env: e, log: config.Log, folder: folder, diagnostics: besteffort.Guard{Report: report}}
 }
 
-// every calls f every interval ms until the server stops.
+// every calls f at an interval, in ms, until the server stops.
 func (p *process) every(interval float64, f func()) {
 	env.Every(p.env, interval, func() bool {
 		if p.stopped.Load() {
@@ -38,8 +38,8 @@
 	})
 }
 
-// async calls f from a timer of its own. Callers may hold locks that f takes.
+// async calls f from a timer, so that its caller may hold locks that f takes.
 func (p *process) async(f func()) { p.env.After(0, f) }
 
-// hostsTenants reports whether tenants come and go, as the site file's hosted tenants do.
+// hostsTenants reports whether the site file allows hosted tenants, which are added and removed while the scheduler runs.
 func (p *process) hostsTenants() bool { return p.config.Site.MaxHostedTenants > 0 }
--- a/internal/serve/resize.go
+++ b/internal/serve/resize.go
@@ -4,8 +4,9 @@
 	"ravenpond/internal/site"
 )
 
-// Resize brings the number of shards to n, of which those with the lowest indices stay. An added shard starts like one that was fenced, and
-// is handed the services that belong to it. A removed one gets nothing new, hands over what it may, and ends when it holds nothing.
+// Resize changes the number of shards to n, keeping those with the lowest indices. An added shard starts like the next incarnation of a
+// fenced one, and is handed the services that belong to it. A removed shard gets nothing new, hands over what it may, and ends once it holds
+// nothing.
 func (s *shardSet) Resize(n int) error {
 	s.routerMu.Lock()
 	change, err := s.router.Resize(s.env.Now(), n)
@@ -19,24 +20,24 @@
 	for _, sh := range shards {
 		sh.post(func(float64) { sh.engine.SetOpenLimit(maxOpen) })
 	}
-	s.log.Info().Str("mode", "shards").Int("shards", n).Ints("begin", change.Start).Ints("leave", change.Drain).Msg("number changes")
+	s.log.Info().Str("mode", "shards").Int("shards", n).Ints("begin", change.Start).Ints("leave", change.Drain).Msg("changing the number of shards")
 	return nil
 }
 
-// endShard ends a shard that was removed and has handed over all it had.
+// endShard ends a shard that was removed and has handed over all its allocations.
 func (s *shardSet) endShard(sh *shard) {
 	s.routerMu.Lock()
 	if !s.router.IsDraining(sh.index) || s.shards[sh.index] != sh || !sh.fenced.CompareAndSwap(false, true) {
 		s.routerMu.Unlock()
 		return
 	}
-	orphaned, _ := s.router.OnDrained(s.env.Now(), sh.index) // none, unless something slipped in just now
-	s.applyFates(orphaned, reasonShardLeft)
+	orphaned, _ := s.router.OnDrained(s.env.Now(), sh.index) // none, unless the shard was assigned something just now
+	s.applyOrphanDecisions(orphaned, reasonShardRemoved)
 	s.routerMu.Unlock()
 	sh.inbox.close()
 	if s.config.Site.Connections == site.OwnConnections {
 		sh.connections.close("shard left", false)
 	}
 	s.log.Info().Str("mode", "shards").Int("shard", sh.index).Int64("waits_given", sh.handoverCounts[0].Load()).
-		Int64("runs_given", sh.handoverCounts[1].Load()).Int("left_over", len(orphaned)).Msg("shard left")
+		Int64("runs_given", sh.handoverCounts[1].Load()).Int("left_over", len(orphaned)).Msg("shard removed")
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,9 +1,10 @@
-// Package serve is a scheduler process: it connects the engines of its shards with clients, nodes, the list server, the other schedulers
-// and the state folder. Whatever it touches beside its memory comes with its configuration or goes through the environment, so that the
-// simulator runs the same code on a clock and a network of its own.
+// Package serve implements a scheduler process: it connects the engines of its shards with clients, nodes, the list server, the other
+// schedulers and the state folder. All access to the outside comes with the configuration or goes through the environment, so that the
+// simulator can run the same code on a simulated clock and network.
 //
-// A Server consists of parts, each with its own state and lock; who guards what stands at the fields. Timers, connections and shards call
-// on goroutines of the environment. A shard's engine is called on the loop of its shard alone: other parts post events to its inbox.
+// A Server consists of parts, each with its own state and lock; the comments at the fields say which lock guards them. Timers, connections
+// and shards call the parts on goroutines of the environment. A shard's engine is called only on the loop of its shard: other parts post
+// events to the shard's inbox.
 package serve
 
 import (
@@ -21,7 +22,7 @@
 // closeConnsTimeout is how long Run waits for connections to close.
 const closeConnsTimeout = 2 * time.Second
 
-// Server is a running scheduler process. Its parts do not change after Start.
+// Server is a running scheduler process. The set of its parts does not change after Start.
 type Server struct {
 	*process
 	*shardSet
@@ -36,31 +37,31 @@
 	metrics        *metricsServer
 }
 
-// Run runs a scheduler on sockets until the context ends. All that is open is answered then.
+// Run runs a scheduler on real sockets until the context ends. It then answers all open requests before it returns.
 func Run(ctx context.Context, config Config) error {
-	world := env.NewReal()
-	world.Connect, world.TLS, world.EndpointListAddress = config.Connect, config.TLS, config.Site.ListAddress
-	defer world.Close(closeConnsTimeout)
+	environment := env.NewReal()
+	environment.Connect, environment.TLS, environment.EndpointListAddress = config.Connect, config.TLS, config.Site.ListAddress
+	defer environment.Close(closeConnsTimeout)
 	if config.FreeMemory == nil {
 		config.FreeMemory = debug.FreeOSMemory
 	}
-	s, err := Start(world, config) //nolint:contextcheck // a start retries storeOpenAttempts times and then ends by itself
+	s, err := Start(environment, config) //nolint:contextcheck // Start retries at most storeOpenAttempts times and then returns
 	if err != nil {
 		return err
 	}
 	s.resizeUntilDone(ctx, config.Resize)
 	ended := make(chan error, 1)
-	s.Shutdown(func(err error) { ended <- err }) //nolint:contextcheck // the context has ended; what is open gets its own time
+	s.Shutdown(func(err error) { ended <- err }) //nolint:contextcheck // the context has ended; open requests get time limits of their own
 	return <-ended
 }
 
-// resizeUntilDone brings the number of shards to each number received until the context ends.
+// resizeUntilDone changes the number of shards to each number that it receives, until the context ends.
 func (s *Server) resizeUntilDone(ctx context.Context, sizes <-chan int) {
 	for {
 		select {
 		case n := <-sizes:
 			if err := s.Resize(n); err != nil {
-				s.log.Error().Str("mode", "shards").Int("wanted", n).Err(err).Msg("number not changed")
+				s.log.Error().Str("mode", "shards").Int("wanted", n).Err(err).Msg("number of shards not changed")
 			}
 		case <-ctx.Done():
 			return
@@ -68,7 +69,7 @@
 	}
 }
 
-// Start starts a scheduler in an environment. After an error the environment must not be used further.
+// Start starts a scheduler in an environment. After an error the environment must not be used any more.
 func Start(e env.Environment, config Config) (s *Server, err error) {
 	folder, err := config.openFolder()
 	if err != nil {
@@ -98,7 +99,7 @@
 	return s, nil
 }
 
-// newServer makes the parts and the shards. Nothing runs yet.
+// newServer creates the parts and the shards. It starts none of them.
 func newServer(p *process) (*Server, error) {
 	endpoints, err := openEndpointList(p)
 	if err != nil {
@@ -120,10 +121,10 @@
 	return s, nil
 }
 
-// prepare reads what an earlier incarnation left, and joins the other schedulers.
+// prepare loads the state that an earlier incarnation saved, and joins the other schedulers.
 func (s *Server) prepare() (err error) {
 	if err := bolt.RetryWhileLocked(context.Background(), storeOpenAttempts, s.maintenance.loadOpenWindows); err != nil {
-		return fmt.Errorf("drains: %w", err)
+		return fmt.Errorf("maintenance windows: %w", err)
 	}
 	if s.workingSet = newWorkingSet(s); s.workingSet != nil {
 		s.shardSet.workingSet = s.workingSet
@@ -145,13 +146,13 @@
 	return nil
 }
 
-// start accepts clients, and lets the shards and all that is polled run.
+// start accepts clients, and starts the shards and the periodic tasks of the parts.
 func (s *Server) start() (err error) {
 	if err := s.clients.listen(); err != nil {
-		return fmt.Errorf("owners' door: %w", err)
+		return fmt.Errorf("client listener: %w", err)
 	}
 	s.log.Info().Str("mode", "serve").Uint32("life", s.epoch()).Int("nodes", s.endpoints.size()).
-		Int("shards", s.config.Site.Shards).Str("owners", s.clients.address()).Msg("scheduler begins")
+		Int("shards", s.config.Site.Shards).Str("owners", s.clients.address()).Msg("scheduler started")
 	for _, sh := range s.liveShards() {
 		sh.start()
 	}
@@ -162,7 +163,7 @@
 	s.endpoints.startSaving(s.workingSet != nil)
 	s.maintenance.start()
 	if s.hostsTenants() {
-		s.every(pumpInterval, s.pump)
+		s.every(dispatchInterval, s.dispatchQueued)
 	}
 	s.startHandovers()
 	s.stalls.start(s.env.Now())
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -36,13 +36,13 @@
   <owners listen="127.0.0.1:0"/>
 </site>`
 
-// testCluster is nodes and a list server around schedulers that run in this process.
+// testCluster consists of nodes, a list server, clients and schedulers that all run in this process.
 type testCluster struct {
 	t          *testing.T
-	dir        string // made before the clean-up below it, so removed after
+	dir        string // created before the cleanup of the cluster is registered, so it is removed after that
 	env        *env.Real
 	world      *standin.Testbed
-	ctx        context.Context //nolint:containedctx // ends with the test, when its schedulers are to end
+	ctx        context.Context //nolint:containedctx // ends with the test, and ends the schedulers
 	stop       context.CancelFunc
 	siteConfig *site.Config
 	nodes      []*standin.Node
@@ -51,8 +51,8 @@
 	running    sync.WaitGroup
 	clients    []*standin.Client
 	lastKey    int
-	planned    float64       // requests that load should have made, had the machine run it in time
-	configure  func(*Config) // before a scheduler runs
+	planned    float64       // number of requests that load would have made on a machine that is not busy
+	configure  func(*Config) // changes the configuration of a scheduler before it runs; may be nil
 }
 
 func newTestCluster(t *testing.T, schedulers, nodes int, cold bool) *testCluster {
@@ -72,17 +72,17 @@
 			{Semantics: audit.AtMostOnce},
 		},
 	}
-	mk := standin.MachineConfig{
+	machine := standin.MachineConfig{
 		Cores: 32, Memory: 64, CoresLimit: 2, MemoryLimit: 1.5, InspectTime: 4, QueueLimit: 50, ConcurrentStarts: 8, ProgramMissFactor: 3,
 		ProgramCacheSize: 8, WarmupPace: 0.5, WarmupDuration: 6000, OverloadFactor: 1e9, OverloadWindow: 1000, SlowStartLimit: 12,
 	}
 	for job := range 3 {
-		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 10, MeanRuntime: 2500, MeanUse: 0.5, Priority: job, Deduplicated: job == 1})
+		machine.JobProfiles = append(machine.JobProfiles, standin.JobProfile{StartWork: 10, MeanRuntime: 2500, MeanUse: 0.5, Priority: job, Deduplicated: job == 1})
 	}
 	groups := []*standin.Group{standin.NewGroup(), standin.NewGroup()}
 	for i := range nodes {
 		n := &standin.Node{ID: uint32(i + 1), Zone: siteConfig.Zones[i%2], Cell: siteConfig.Zones[i%2], Kind: "plain", Jobs: 3, Tenants: 1}
-		if err := s.world.StartNode(n, standin.NodeStart{Machine: mk, Group: groups[i%2], Seed: uint64(i), Cold: cold}); err != nil {
+		if err := s.world.StartNode(n, standin.NodeStart{Machine: machine, Group: groups[i%2], Seed: uint64(i), Cold: cold}); err != nil {
 			t.Fatal(err)
 		}
 		s.nodes = append(s.nodes, n)
@@ -102,7 +102,7 @@
 	s.env.Close(time.Second)
 }
 
-// start runs a scheduler, and a client of it.
+// start runs a scheduler and connects a client to it.
 func (s *testCluster) start(i int, siteConfig site.Config, faults Faults) {
 	siteConfig.ListAddress = s.list.Address()
 	name, ready := fmt.Sprintf("s%d", i), make(chan string, 1)
@@ -128,7 +128,7 @@
 	s.world.StartClient(client, uint64(i))
 }
 
-// startServer starts a scheduler of one or two shards, of which two may run, and returns it.
+// startServer starts a scheduler with one or two shards, with a limit of two, and returns it.
 func (s *testCluster) startServer(shards int, faults Faults) *Server {
 	siteConfig := *s.siteConfig
 	siteConfig.Shards, siteConfig.MaxShards = shards, 2
@@ -138,7 +138,7 @@
 	return <-started
 }
 
-// load requests at a rate per second for a duration in ms. jobs is the mix of job classes, a digit each.
+// load makes requests at a rate per second for a duration in ms. jobs is the mix of job classes, one digit for each.
 func (s *testCluster) load(duration, rate float64, jobs string) {
 	s.planned += duration * rate / 1000
 	for end := s.world.Now() + duration; s.world.Now() < end; {
@@ -155,19 +155,19 @@
 	}
 }
 
-// served returns how many requests have to be served, of a number that holds where load made all its requests. A busy machine runs the load
-// late, which leaves requests out: the number shrinks by the part that was never made.
-func (s *testCluster) served(wanted int) int {
+// minServed returns how many requests have to be served. wanted is the number for a load that made all its requests. On a busy machine load
+// falls behind and leaves requests out; the number is reduced by the fraction of requests that were not made.
+func (s *testCluster) minServed(wanted int) int {
 	return int(float64(wanted) * min(1, float64(s.lastKey)/s.planned))
 }
 
-// violations ends the day and returns the broken rules, and how often something was served.
+// violations waits until every request is answered or overdue, and returns the violations of the audit rules and the number of served requests.
 func (s *testCluster) violations() ([]audit.Violation, int) {
-	time.Sleep(3600 * time.Millisecond) // every request is answered or overdue
+	time.Sleep(3600 * time.Millisecond) // longer than any deadline
 	records, served := s.world.Trace.Records(), 0
 	for _, c := range s.clients {
-		for _, t := range c.Outcomes() {
-			if t.Result == "served" {
+		for _, outcome := range c.Outcomes() {
+			if outcome.Result == "served" {
 				served++
 			}
 		}
@@ -175,7 +175,7 @@
 	return audit.Check(records, s.rules), served
 }
 
-// faultyEffects wraps an edge.
+// faultyEffects wraps the effects of a shard and replaces the methods for which it has a function.
 type faultyEffects struct {
 	engine.Effects
 	answer func(e engine.Effects, request engine.RequestID, answer engine.Answer)
@@ -206,56 +206,56 @@
 	return Faults{WrapEffects: func(e engine.Effects) engine.Effects { return faultyEffects{Effects: e, answer: f} }}
 }
 
-// injectedFault is a fault, and the rule that it breaks.
+// injectedFault is a fault and the audit rule that it violates.
 type injectedFault struct {
-	name    string
-	rule    int    // 0: none may break
-	jobs    string // the mix of job classes
-	cold    bool   // all nodes warm up at first
-	trouble func(s *testCluster)
-	longer  float64 // ms that the run lasts beyond the others'
-	change  func(p *site.Config)
-	faults  Faults
+	name       string
+	rule       int                  // 0: no rule may be violated
+	jobs       string               // the mix of job classes
+	cold       bool                 // all nodes start cold and warm up first
+	disturb    func(s *testCluster) // called under load; may be nil
+	extraTime  float64              // by which the load lasts longer than in other cases, ms
+	changeSite func(p *site.Config) // may be nil
+	faults     Faults
 }
 
-// test runs a scheduler with the fault, and checks which rules are broken.
+// test runs a scheduler with the fault and checks which rules are violated.
 func (f *injectedFault) test(t *testing.T) {
 	t.Helper()
 	s := newTestCluster(t, 1, 8, f.cold)
 	siteConfig := *s.siteConfig
 	siteConfig.Cluster.JobClasses = append(siteConfig.Cluster.JobClasses[:0:0], siteConfig.Cluster.JobClasses...)
 	siteConfig.Deadlines = append(siteConfig.Deadlines[:0:0], siteConfig.Deadlines...)
-	if f.change != nil {
-		f.change(&siteConfig)
+	if f.changeSite != nil {
+		f.changeSite(&siteConfig)
 		s.siteConfig.Deadlines = siteConfig.Deadlines
 	}
 	s.start(0, siteConfig, f.faults)
-	s.load(2200, 50, f.jobs) // a scheduler without a last list paces all nodes at first
-	if f.trouble != nil {
-		f.trouble(s)
+	s.load(2200, 50, f.jobs) // a scheduler without a saved node list starts all nodes slowly
+	if f.disturb != nil {
+		f.disturb(s)
 	}
-	s.load(2000+f.longer, 50, f.jobs)
-	breaks, served := s.violations()
-	named := false
-	for _, b := range breaks {
-		named = named || int(b.Rule) == f.rule
+	s.load(2000+f.extraTime, 50, f.jobs)
+	violations, served := s.violations()
+	found := false
+	for _, v := range violations {
+		found = found || int(v.Rule) == f.rule
 	}
-	if f.rule == 0 && (len(breaks) > 0 || served == 0) || f.rule > 0 && !named {
-		t.Errorf("%d served, breaks %v, want rule %d", served, breaks[:min(3, len(breaks))], f.rule)
+	if f.rule == 0 && (len(violations) > 0 || served == 0) || f.rule > 0 && !found {
+		t.Errorf("%d requests served, got violations %v, want rule %d (0: none)", served, violations[:min(3, len(violations))], f.rule)
 	}
 }
 
-// TestInjectedFaults injects faults into schedulers, two for each rule at least. The auditor must name the rule. Without a fault it must name
-// none.
-func TestInjectedFaults(t *testing.T) { //nolint:funlen // one table of cases
-	mute := func(s *testCluster) {
+// TestInjectedFaults injects faults into schedulers, at least two for each audit rule. The auditor must report a violation of that rule, and none
+// without a fault.
+func TestInjectedFaults(t *testing.T) { //nolint:funlen // a single table of cases
+	loseAnswers := func(s *testCluster) {
 		s.world.WithLock(func(float64) {
 			for _, n := range s.nodes {
 				n.Machine.AnswerLoss = 0.8
 			}
 		})
 	}
-	var lastLate time.Time // of one scheduler alone
+	var lastLateOffer time.Time // only one case uses it, and that case runs one scheduler
 	drain := func(s *testCluster) {
 		s.world.WithLock(func(now float64) {
 			s.nodes[0].Draining = true
@@ -263,57 +263,57 @@
 		})
 	}
 	for _, f := range []injectedFault{
-		{name: "none", jobs: "0012"},
-		{name: "none, answers lost", jobs: "0012", trouble: mute},
-		{name: "none, a drain", jobs: "0012", trouble: drain},
-		{name: "none, all cold", jobs: "0012", cold: true},
-		{name: "an answer given twice", rule: 1, jobs: "0", faults: Faults{RepeatAnswers: true}},
-		{name: "no answer", rule: 1, jobs: "0", faults: withAnswer(
+		{name: "no fault", jobs: "0012"},
+		{name: "no fault, answers lost", jobs: "0012", disturb: loseAnswers},
+		{name: "no fault, a node drains", jobs: "0012", disturb: drain},
+		{name: "no fault, all nodes cold", jobs: "0012", cold: true},
+		{name: "answer sent twice", rule: 1, jobs: "0", faults: Faults{RepeatAnswers: true}},
+		{name: "answer missing", rule: 1, jobs: "0", faults: withAnswer(
 			func(e engine.Effects, request engine.RequestID, answer engine.Answer) {
 				if request.Number%5 != 0 {
 					e.Answer(request, engine.Answer{Kind: answer.Kind, Node: answer.Node})
 				}
 			})},
-		{name: "a second try while one is out", rule: 2, jobs: "0", faults: withOffer(
+		{name: "second attempt while the first is unresolved", rule: 2, jobs: "0", faults: withOffer(
 			func(e engine.Effects, node uint32, offer engine.Offer) {
 				e.Offer(node, offer)
 				offer.Attempt.Number++
 				e.Offer(node%4+1, offer)
 			})},
-		{name: "a run-once one declined that may have run", rule: 2, jobs: "2", trouble: mute, faults: withAnswer(
+		{name: "at-most-once request declined that may have run", rule: 2, jobs: "2", disturb: loseAnswers, faults: withAnswer(
 			func(e engine.Effects, request engine.RequestID, answer engine.Answer) {
 				if answer.Kind == engine.Failed {
 					answer.Kind = engine.Declined
 				}
 				e.Answer(request, engine.Answer{Kind: answer.Kind, Node: answer.Node})
 			})},
-		{name: "a try after the window", rule: 2, jobs: "1", trouble: mute, change: func(p *site.Config) {
+		{name: "attempt after the idempotency window", rule: 2, jobs: "1", disturb: loseAnswers, changeSite: func(p *site.Config) {
 			p.Cluster.JobClasses[1].IdempotencyWindow, p.Deadlines[1] = 60000, 6000
 		}},
-		{name: "tokens taken for harmless", rule: 2, jobs: "1", trouble: mute, change: func(p *site.Config) {
+		{name: "idempotent class treated as restartable", rule: 2, jobs: "1", disturb: loseAnswers, changeSite: func(p *site.Config) {
 			p.Cluster.JobClasses[1].Semantics = 0
 		}},
-		{name: "a late send to a draining node", rule: 3, jobs: "0", trouble: drain, longer: 2000, faults: withOffer(
+		{name: "late offer to a draining node", rule: 3, jobs: "0", disturb: drain, extraTime: 2000, faults: withOffer(
 			func(e engine.Effects, node uint32, offer engine.Offer) {
-				if time.Since(lastLate) > 300*time.Millisecond { // each costs the connection, as the engine knows nothing of it
-					node, lastLate = 1, time.Now()
+				if time.Since(lastLateOffer) > 300*time.Millisecond { // each such offer ends the connection, because the engine does not know of it
+					node, lastLateOffer = 1, time.Now()
 				}
 				e.Offer(node, offer)
 			})},
-		// the node turns all away, so the module leaves it alone for up to 2 s at a time
-		{name: "news of a drain lost", rule: 3, jobs: "0", trouble: drain, longer: 6500, faults: Faults{ListEntry: func(en *state.Entry) {
+		// The node rejects every offer, so the policy module sends it none for up to 2 s at a time.
+		{name: "draining state of a node lost", rule: 3, jobs: "0", disturb: drain, extraTime: 6500, faults: Faults{ListEntry: func(en *state.Entry) {
 			if en.Avail == 2 {
 				en.Avail = 1
 			}
 		}}},
 		{name: "too many offers to a cold node", rule: 4, jobs: "0", cold: true, faults: withOffer(
 			func(e engine.Effects, _ uint32, offer engine.Offer) { e.Offer(1, offer) })},
-		{name: "more expected of a cold node than it bears", rule: 4, jobs: "0", cold: true, change: func(p *site.Config) {
+		{name: "slow-start limit of a cold node too high", rule: 4, jobs: "0", cold: true, changeSite: func(p *site.Config) {
 			p.Cluster.SlowStartLimit, p.Cluster.KindCores = 500, []float64{320}
 		}},
-		{name: "a service all at one node", rule: 5, jobs: "1", faults: withOffer(
+		{name: "all tasks of a service at one node", rule: 5, jobs: "1", faults: withOffer(
 			func(e engine.Effects, _ uint32, offer engine.Offer) { e.Offer(2, offer) })},
-		{name: "a most that is too high", rule: 5, jobs: "1", change: func(p *site.Config) {
+		{name: "spread limit too high", rule: 5, jobs: "1", changeSite: func(p *site.Config) {
 			p.Cluster.JobClasses[1].MaxPerScope = 50
 		}},
 	} {
@@ -324,19 +324,20 @@
 	}
 }
 
-// startBadNode accepts connections, sends what a bad peer would send, and keeps the last farewell that it receives.
-func startBadNode(t *testing.T, id uint32, say string, then func(net.Conn)) (addr string, heard func() string) {
+// startBadNode accepts connections, sends the text of a bad peer on them, and keeps the last BYE that it receives. ID in the text stands for the
+// node's ID. then may be nil.
+func startBadNode(t *testing.T, id uint32, text string, then func(net.Conn)) (addr string, lastBye func() string) {
 	t.Helper()
-	door, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = door.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	var mu sync.Mutex
 	last := ""
 	go func() {
 		for {
-			conn, err := door.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -345,7 +346,7 @@
 				in := bufio.NewReader(conn)
 				for line, err := in.ReadString('\n'); err == nil && line != "\r\n"; line, err = in.ReadString('\n') {
 				}
-				_, _ = conn.Write([]byte(strings.ReplaceAll(say, "ID", fmt.Sprint(id))))
+				_, _ = conn.Write([]byte(strings.ReplaceAll(text, "ID", fmt.Sprint(id))))
 				if then != nil {
 					then(conn)
 				}
@@ -360,106 +361,107 @@
 			}()
 		}
 	}()
-	return door.Addr().String(), func() string { mu.Lock(); defer mu.Unlock(); return last }
+	return listener.Addr().String(), func() string { mu.Lock(); defer mu.Unlock(); return last }
 }
 
-// TestBadPeers puts bad nodes beside good ones: each bad connection ends with its reason, and nothing else suffers.
+// TestBadPeers runs bad nodes beside good ones: each bad connection ends with the expected reason, and no audit rule is violated.
 func TestBadPeers(t *testing.T) {
 	hello := node.GreetingLine + "\r\nNode: ID\r\nLife: 3\r\n\r\n"
 	s := newTestCluster(t, 1, 4, false)
 	cases := []struct {
-		name, say, why string
-		then           func(net.Conn)
+		name, text, wantBye string
+		then                func(net.Conn)
 	}{
 		{"endless line", hello + "HELD-ALL\n" + strings.Repeat("x", 100000), "too-long", nil},
 		{"endless header", node.GreetingLine + "\r\n" + strings.Repeat("X-A: "+strings.Repeat("y", 900)+"\r\n", 300), "", nil},
-		{"another node", strings.ReplaceAll(hello, "ID", "999"), "", nil},
-		{"wrong number", hello + "HELD-ALL\nSTARTED zz 0 1\n", "bad-ticket", nil},
-		{"unknown try", hello + "HELD-ALL\nSTARTED ff 0 1\n", "unknown-try", nil},
-		{"answer before all is told", hello + "STARTED ff 0 1\n", "HELD", nil},
-		{"report never asked for", hello + "HELD-ALL\nREPORTED 9999999 1 2\n", "never-sent", nil},
+		{"wrong node ID", strings.ReplaceAll(hello, "ID", "999"), "", nil},
+		{"bad ticket", hello + "HELD-ALL\nSTARTED zz 0 1\n", "bad-ticket", nil},
+		{"unknown attempt", hello + "HELD-ALL\nSTARTED ff 0 1\n", "unknown-try", nil},
+		{"answer before HELD-ALL", hello + "STARTED ff 0 1\n", "HELD", nil},
+		{"report without a probe", hello + "HELD-ALL\nREPORTED 9999999 1 2\n", "never-sent", nil},
 		{"half closed", hello + "HELD-ALL\n", "EOF", func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() }},
 		{"silent", "", "", nil},
-		{"farewell at once", hello + "BYE enough\n", "farewell", nil},
+		{"immediate farewell", hello + "BYE enough\n", "farewell", nil},
 	}
-	var heard []func() string
+	var lastByes []func() string
 	for i, c := range cases {
-		addr, h := startBadNode(t, uint32(100+i), c.say, c.then)
-		heard = append(heard, h)
+		addr, lastBye := startBadNode(t, uint32(100+i), c.text, c.then)
+		lastByes = append(lastByes, lastBye)
 		s.list.AddUnreachable(uint32(100+i), addr, "east", "east", "plain")
 	}
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range 10 { // and ten that refuse connections
+	for i := range 10 { // ten more nodes refuse connections
 		s.list.AddUnreachable(uint32(200+i), closed.Addr().String(), "west", "west", "plain")
 	}
 	_ = closed.Close()
 	s.start(0, *s.siteConfig, Faults{})
 	s.load(2500, 40, "0012")
-	breaks, served := s.violations()
-	if len(breaks) > 0 || served < 30 {
-		t.Errorf("%d served, breaks %v", served, breaks)
+	violations, served := s.violations()
+	if len(violations) > 0 || served < 30 {
+		t.Errorf("%d requests served, want at least 30; got violations %v, want none", served, violations)
 	}
 	for i, c := range cases {
-		if got := heard[i](); !strings.Contains(got, c.why) {
-			t.Errorf("%s: heard %q, want %q", c.name, got, c.why)
+		if got := lastByes[i](); !strings.Contains(got, c.wantBye) {
+			t.Errorf("%s: received BYE %q, want one with %q", c.name, got, c.wantBye)
 		}
 	}
 }
 
-// TestManyConnections opens 2,000 connections at once.
+// TestManyConnections has a scheduler connect to 2,000 nodes at once.
 func TestManyConnections(t *testing.T) {
-	const many = 2000
-	s := newTestCluster(t, 1, many, false)
+	const nodes = 2000
+	s := newTestCluster(t, 1, nodes, false)
 	s.start(0, *s.siteConfig, Faults{})
 	for range 1200 {
-		linked := 0
+		connected := 0
 		s.world.WithLock(func(float64) {
 			for _, n := range s.nodes {
-				linked += n.Connections()
+				connected += n.Connections()
 			}
 		})
-		if linked == many {
+		if connected == nodes {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Error("not all connected after 24 s")
+	t.Error("not all nodes connected after 24 s")
 }
 
-// TestTwoSchedulers shares cold nodes between two schedulers.
+// TestTwoSchedulers runs two schedulers that share cold nodes.
 func TestTwoSchedulers(t *testing.T) {
 	s := newTestCluster(t, 2, 4, true)
 	s.start(0, *s.siteConfig, Faults{})
 	s.start(1, *s.siteConfig, Faults{})
 	s.load(2500, 80, "0012")
-	if breaks, served := s.violations(); len(breaks) > 0 || served < 40 {
-		t.Errorf("%d served, breaks %v", served, breaks)
+	if violations, served := s.violations(); len(violations) > 0 || served < 40 {
+		t.Errorf("%d requests served, want at least 40; got violations %v, want none", served, violations)
 	}
 }
 
+// TestSlowReader sends to a node that reads nothing: the connection is closed.
 func TestSlowReader(t *testing.T) {
-	w := env.NewReal()
-	defer w.Close(time.Second)
-	here, there := net.Pipe() // nobody reads there
-	defer func() { _ = there.Close() }()
-	w.Connect = func(context.Context, string) (net.Conn, error) { return here, nil }
-	s := &shardSet{process: &process{config: Config{Site: &site.Config{NodeQueue: 100}}, env: w}}
-	made := make(chan *nodeLink, 1)
-	w.Dial("", 1000, func(conn env.Conn, _ error) {
+	environment := env.NewReal()
+	defer environment.Close(time.Second)
+	local, remote := net.Pipe() // nobody reads from remote
+	defer func() { _ = remote.Close() }()
+	environment.Connect = func(context.Context, string) (net.Conn, error) { return local, nil }
+	s := &shardSet{process: &process{config: Config{Site: &site.Config{NodeQueue: 100}}, env: environment}}
+	links := make(chan *nodeLink, 1)
+	environment.Dial("", 1000, func(conn env.Conn, _ error) {
 		l := &nodeLink{set: s, connections: &nodeConnections{set: s, dialing: map[uint32]bool{}}, conn: conn}
 		conn.Start(l, 1000)
-		made <- l
+		links <- l
 	})
-	l := <-made
+	l := <-links
 	for i := range uint64(60) {
 		l.send(func(b []byte) []byte { return node.AppendProbe(b, i) })
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.closed || !strings.HasPrefix(l.reason, "slow reader") {
-		t.Errorf("not cut: %t %q", l.closed, l.reason)
+		t.Errorf("got closed %t with reason %q, want closed as a slow reader", l.closed, l.reason)
 	}
 }
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	maxIdle        = 1000    // ms between two rounds of a shard at most
-	maxSpareEvents = 1 << 12 // a longer batch is not kept for reuse, so that a burst's memory is given back
-	seedFactor     = 0x9e3779b97f4a7c15
+	maxIdle        = 1000               // longest time between two rounds of a shard, ms
+	maxSpareEvents = 1 << 12            // a batch with a larger capacity is not reused, so that the memory of a burst is freed
+	seedFactor     = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio; spreads the seeds of successive incarnations
 )
 
-// shard is an engine with a loop of its own. The loop's goroutine alone uses the fields of the first group and the engine; the
-// atomics and the inbox are for all.
+// shard is an engine with a loop of its own. Only the loop's goroutine uses the engine and the other fields of the first two groups; the
+// atomics and the inbox are for all goroutines.
 type shard struct {
 	engine        *engine.Engine
-	lastRound     float64 // time of the last round
-	roundRequests int     // requests that this round takes
-	spare         []event // memory for the next batch
-	sharers       int     // schedulers that share the slow-start limits, as the engine was told last
+	lastRound     float64 // time of the last round, ms
+	roundRequests int     // requests that this round has handled
+	spare         []event // slice to reuse for the next batch
+	sharers       int     // number of schedulers that share the slow-start limits, as last passed to the engine
 
 	links               map[uint32]*nodeLink // connections that the engine knows, by node
-	handedOver          map[uint64]*shard    // tickets of running tasks that were handed over, for messages that were on their way
-	lastRunningHandover float64              // time at which a running task was handed over last
+	handedOver          map[uint64]*shard    // new shards of running tasks that were handed over, by ticket; late messages are forwarded to them
+	lastRunningHandover float64              // time at which a running task was last handed over, ms
 	handover            handover.Planner
 
-	set         *shardSet // these don't change after the shard is started
+	set         *shardSet // the fields of this group do not change after the shard is started
 	index       int
 	incarnation uint32
 	connections *nodeConnections
 	inbox       *inbox
 	loop        env.Loop
 
-	started        atomic.Bool     // it may run rounds
-	queuedRequests atomic.Int64    // requests that were posted and are not taken yet
-	handoverCounts [2]atomic.Int64 // allocations that were handed over: waiting, running
-	handoverActive atomic.Bool
-	heartbeat      atomic.Uint64 // bits of the time of the last round
-	fenced         atomic.Bool   // it acts for nothing any more
+	started        atomic.Bool     // the shard may run rounds
+	queuedRequests atomic.Int64    // requests that were posted and not yet handled
+	handoverCounts [2]atomic.Int64 // number of allocations that were handed over: waiting, running
+	handoverActive atomic.Bool     // a handover is posted or under way
+	heartbeat      atomic.Uint64   // math.Float64bits of the time of the last round
+	fenced         atomic.Bool     // the shard owns nothing any more and its effects are dropped
 }
 
-// newShard makes a shard of a new incarnation. It runs no round before it is started.
+// newShard creates a shard with a new incarnation. The shard runs no round before it is started.
 func (s *shardSet) newShard(index int) (*shard, error) {
 	incarnation, err := s.folder.NextIncarnation()
 	if err != nil {
@@ -61,7 +61,7 @@
 	sh.heartbeat.Store(math.Float64bits(now))
 	sh.engine = engine.New(s.wrapEffects(shardEffects{sh}), now, s.engineConfig(index, incarnation))
 	if s.config.Site.Members.Listen != "" {
-		sh.engine.SetSchedulerCount(0) // until the other schedulers have permitted more
+		sh.engine.SetSchedulerCount(0) // no offers to nodes in slow start until the membership gives this scheduler a share
 	}
 	sh.inbox = &inbox{wake: func() { sh.loop.Wake() }}
 	sh.loop = s.env.StartLoop(sh.runRound)
@@ -76,8 +76,8 @@
 	return effects
 }
 
-// engineConfig is the configuration of a shard's engine. Each shard that may run counts as a scheduler where slow-start limits are
-// shared.
+// engineConfig returns the configuration of a shard's engine. Each shard that may run counts as one scheduler when slow-start limits
+// are shared.
 func (s *shardSet) engineConfig(index int, incarnation uint32) engine.Config {
 	site := s.config.Site
 	cluster := site.Cluster
@@ -97,24 +97,24 @@
 	}
 }
 
-// start lets the shard run rounds.
+// start allows the shard to run rounds.
 func (sh *shard) start() {
 	sh.started.Store(true)
 	sh.loop.Wake()
 }
 
-// post queues an event for the shard's goroutine. It returns false if the shard takes no events any more. A shard that lets too
-// many events wait is fenced, by another goroutine, as the caller may hold locks that fencing needs.
+// post queues an event for the shard's loop. It returns false if the shard accepts no events any more. A shard whose inbox is full is
+// fenced, on another goroutine, because the caller may hold locks that fencing takes.
 func (sh *shard) post(ev event) bool {
 	ok, full := sh.inbox.put(sh.set.env.Now(), ev)
 	if full {
-		sh.set.async(func() { sh.set.fence(sh, fmt.Sprintf("%d events wait", maxInbox)) })
+		sh.set.async(func() { sh.set.fence(sh, fmt.Sprintf("%d events in the inbox", maxInbox)) })
 	}
 	return ok
 }
 
-// runRound gives the engine its events and a round, once in each round interval at most. It returns how long to wait for the next
-// call if no event comes, in ms, or a negative number if the shard has ended. A panic fences the shard.
+// runRound handles the queued events and runs a round of the engine, at most once in each round interval. It returns how long to wait,
+// in ms, for the next call if no event is posted, or a negative number if the shard has ended. A panic fences the shard.
 func (sh *shard) runRound() (wait float64) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -140,11 +140,11 @@
 	sh.heartbeat.Store(math.Float64bits(sh.lastRound))
 	sh.engine.Round(sh.lastRound)
 	sh.inbox.done()
-	sh.recordWork(began)
+	sh.recordRoundTime(began)
 	return min(maxIdle, max(0, sh.engine.NextRound()-sh.lastRound))
 }
 
-// takeEvents handles the events that wait. It returns false if the shard was fenced meanwhile.
+// takeEvents handles the queued events. It returns false if the shard was fenced in the meantime.
 func (sh *shard) takeEvents(now float64) bool {
 	events := sh.inbox.take(now, sh.spare)
 	for i, handle := range events {
@@ -160,7 +160,7 @@
 	return !sh.fenced.Load()
 }
 
-// updateSharers tells the engine how many schedulers share the slow-start limits, if that has changed.
+// updateSharers passes the number of schedulers that share the slow-start limits to the engine if it has changed.
 func (sh *shard) updateSharers() {
 	s := sh.set
 	if !s.membership.isMember() {
@@ -172,8 +172,8 @@
 	}
 }
 
-// recordWork tells the router how long the round took, from which it foretells how long requests wait.
-func (sh *shard) recordWork(began float64) {
+// recordRoundTime tells the router how long the round took. The router uses it to predict how long requests will wait.
+func (sh *shard) recordRoundTime(began float64) {
 	if sh.roundRequests == 0 {
 		return
 	}
@@ -185,7 +185,7 @@
 	sh.roundRequests = 0
 }
 
-// postList posts an update of the node list.
+// postList posts an update of the node list to the shard.
 func (sh *shard) postList(kind logic.ListKind, entries []listEntry) {
 	sh.post(func(now float64) {
 		sh.engine.BeginList(now, kind)
@@ -205,7 +205,7 @@
 	}
 }
 
-// listEntry is an entry of the node list with its zone, cell and kind as places in the site's lists.
+// listEntry is an entry of the node list with its zone, cell and kind as indices in the site's lists.
 type listEntry struct {
 	state.Entry
 	zone, cell, kind int
--- a/internal/serve/shard_effects.go
+++ b/internal/serve/shard_effects.go
@@ -7,26 +7,26 @@
 	"ravenpond/logic"
 )
 
-// shardEffects carries out the effects of a shard's engine: it queues messages and asks the router. The shard's goroutine calls it.
-// Effects of a shard that is fenced are dropped; what concerns the ownership of tasks the router rejects.
+// shardEffects carries out the effects of a shard's engine: it queues messages and calls the router. It is called on the shard's loop.
+// Effects of a fenced shard are dropped, and the router rejects its claims to own tasks.
 type shardEffects struct{ shard *shard }
 
 func (e shardEffects) fenced() bool { return e.shard.fenced.Load() }
 
-// ownerID is a task's name at the router.
+// ownerID converts a task's key to the router's ID.
 func ownerID(key engine.TaskKey) shardownership.ID { return shardownership.ID(key) }
 
-// claim is the shard's claim to act for a task.
+// claim returns the shard's claim to own a task.
 func (sh *shard) claim(task engine.OwnedTask) shardownership.Claim {
 	return shardownership.Claim{ID: ownerID(task.TaskKey), Shard: sh.index, Epoch: task.Epoch}
 }
 
-// routerAttempt is an attempt's name at the router.
+// routerAttempt converts an attempt's ID to the router's form.
 func routerAttempt(node uint32, id engine.AttemptID) shardownership.Attempt {
 	return shardownership.Attempt{Node: node, Ticket: id.Ticket, Number: id.Number}
 }
 
-// Dial connects to a node, unless the connections of the process have one already.
+// Dial connects to a node, unless a connection exists or is being made.
 func (e shardEffects) Dial(node uint32, address string) {
 	if !e.fenced() {
 		e.shard.connections.dial(node, address)
@@ -42,8 +42,8 @@
 
 // Offer queues an offer with a mark, so that an offer whose last byte was not sent can be told from one that may have arrived.
 //
-// A shard that paused after it was permitted to send may have been fenced meanwhile, and its task answered for; nothing may be
-// sent for it then. The router lock orders a fence before this or after it.
+// A shard that paused after it got the permit may have been fenced since, and its task answered elsewhere; nothing may be sent for the
+// task then. routerMu orders a fence before this call or after it.
 func (e shardEffects) Offer(nodeID uint32, o engine.Offer) {
 	s, id := e.shard.set, o.Attempt
 	s.log.Debug().Uint64("allocation", id.Ticket).Uint8("try", id.Number).Uint32("node", nodeID).Int("tenant", o.Task.Tenant).Msg("offer")
@@ -68,31 +68,31 @@
 	}
 }
 
-// Recall queues the request to hand an attempt back unless its task runs.
+// Recall queues the request to give an attempt back unless its task runs.
 func (e shardEffects) Recall(nodeID uint32, id engine.AttemptID) {
 	e.send(nodeID, func(b []byte) []byte { return node.AppendRecall(b, node.AttemptID(id)) })
 }
 
-// Stop queues the request to end a task.
+// Stop queues the request to stop a task.
 func (e shardEffects) Stop(nodeID uint32, id engine.AttemptID) {
 	e.send(nodeID, func(b []byte) []byte { return node.AppendStop(b, node.AttemptID(id)) })
 }
 
-// Claim queues the question what became of an attempt.
+// Claim queues the query for the state or outcome of an attempt.
 func (e shardEffects) Claim(nodeID uint32, id engine.AttemptID) {
 	e.send(nodeID, func(b []byte) []byte { return node.AppendClaim(b, node.AttemptID(id)) })
 }
 
-// Probe queues the request for a load report. The lowest bits of the number name the shard, as several may probe over one
-// connection.
+// Probe queues the request for a load report. The lowest bits of the sequence number hold the shard's index, because several shards may
+// send probes over one connection.
 func (e shardEffects) Probe(nodeID uint32, sequence uint64) {
 	e.send(nodeID, func(b []byte) []byte { return node.AppendProbe(b, sequence<<shardBits|uint64(e.shard.index)) })
 }
 
-// shardBits is how many of the lowest bits of a probe's number name the shard.
+// shardBits is the number of lowest bits of a probe's sequence number that hold the shard's index.
 const shardBits = 8
 
-// WatchList starts or ends the watch on the node list.
+// WatchList starts or ends the watch of the node list.
 func (e shardEffects) WatchList(active bool) {
 	if active {
 		e.shard.set.listClient.call(watchCall)
@@ -112,7 +112,7 @@
 	return s.router.PermitAttempt(e.shard.claim(task), routerAttempt(node, id))
 }
 
-// RecordOutcome tells the router of the end of an attempt.
+// RecordOutcome tells the router that an attempt has ended.
 func (e shardEffects) RecordOutcome(task engine.OwnedTask, neverRan bool) {
 	s := e.shard.set
 	s.routerMu.Lock()
@@ -120,7 +120,7 @@
 	s.router.CompleteAttempt(e.shard.claim(task), neverRan)
 }
 
-// RecoverTask asks the router whether the shard owns a task that was found running.
+// RecoverTask asks the router to make the shard the owner of a task that was found running.
 func (e shardEffects) RecoverTask(running engine.RunningTask) (recovered engine.RecoveredTask, ok bool) {
 	s, t := e.shard.set, &running.Task
 	s.routerMu.Lock()
@@ -138,7 +138,7 @@
 	}, ok
 }
 
-// SetClient tells the router which request is to be notified of the task's end.
+// SetClient tells the router whose request is notified when the task ends.
 func (e shardEffects) SetClient(task engine.OwnedTask, request engine.RequestID) {
 	s := e.shard.set
 	s.routerMu.Lock()
@@ -146,13 +146,13 @@
 	s.router.SetClient(e.shard.claim(task), request.Client, request.Number)
 }
 
-// ReleaseTask tells the router that the shard holds the task no more.
+// ReleaseTask tells the router that the shard no longer holds the task.
 func (e shardEffects) ReleaseTask(task engine.OwnedTask, service uint64) {
 	s := e.shard.set
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	s.router.Remove(e.shard.claim(task), service)
-	s.pumpIfFree()
+	s.dispatchIfFree()
 }
 
 // PermitAnswer asks the router whether the shard still owns the task.
@@ -160,7 +160,7 @@
 	s := e.shard.set
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
-	defer s.pumpIfFree()
+	defer s.dispatchIfFree()
 	return s.router.PermitAnswer(s.env.Now(), e.shard.claim(task), served)
 }
 
@@ -171,7 +171,7 @@
 	}
 }
 
-// NotifyEnd sends the end of a task to the client that was told that it runs.
+// NotifyEnd tells the client of a served request that its task has ended.
 func (e shardEffects) NotifyEnd(request engine.RequestID, result logic.Outcome, reason logic.Reason) {
 	if e.fenced() {
 		return
@@ -188,7 +188,7 @@
 	}
 }
 
-// Log writes a diagnostic line of the engine.
+// Log writes a diagnostic line of the engine to the log.
 func (e shardEffects) Log(line string) {
 	e.shard.set.log.Info().Str("mode", "engine").Int("shard", e.shard.index).Msg(line)
 }
--- a/internal/serve/shard_failover.go
+++ b/internal/serve/shard_failover.go
@@ -12,22 +12,22 @@
 	"ravenpond/logic"
 )
 
-// Reasons of answers that a shard's failure brings.
+// Reasons of answers that follow from the failure or removal of a shard.
 const (
-	reasonShardFenced engine.AnswerReason = "shard-fenced" // the shard acts for nothing any more
-	reasonShardSilent engine.AnswerReason = "shard-quiet"  // the shard may not answer before the deadline
-	reasonShardLeft   engine.AnswerReason = "shard-left"   // the shard was ended
+	reasonShardFenced  engine.AnswerReason = "shard-fenced" // the shard was fenced
+	reasonShardSilent  engine.AnswerReason = "shard-quiet"  // the shard is silent and may not answer before the deadline
+	reasonShardRemoved engine.AnswerReason = "shard-left"   // the shard was removed
 )
 
-// fence ends a shard whose state can't be trusted any more. The router permits it nothing from then on; what it acted for goes on at
-// other shards, ends as its effect allows, or is found running by the shard's next incarnation.
+// fence ends a shard whose state can't be trusted any more. From then on the router rejects all its claims. The allocations that it owned
+// are reassigned to other shards, end as the semantics of their job class allow, or are found running by the shard's next incarnation.
 func (s *shardSet) fence(sh *shard, cause string) {
 	if !sh.fenced.CompareAndSwap(false, true) {
 		return
 	}
 	now := s.env.Now()
 	s.routerMu.Lock()
-	counts := s.applyFates(s.router.Fence(now, sh.index), reasonShardFenced)
+	counts := s.applyOrphanDecisions(s.router.Fence(now, sh.index), reasonShardFenced)
 	duplicates := s.duplicateRequests(sh.index, math.Inf(1))
 	s.routerMu.Unlock()
 	sh.inbox.close()
@@ -42,34 +42,34 @@
 		Float64("ms", s.env.Now()-now).Msg("fenced: " + cause)
 }
 
-// applyFates carries out what the router decided about allocations whose shard can't go on with them. It counts them by what was
-// decided. The caller holds the router lock.
-func (s *shardSet) applyFates(fates []shardrouter.OrphanDecision, reason engine.AnswerReason) (counts [4]int) {
-	for i := range fates {
-		f := &fates[i]
-		request := &f.Entry.Request
-		counts[f.Disposition]++
+// applyOrphanDecisions carries out the router's decisions about allocations whose shard can't go on with them. It counts the allocations by
+// disposition. The caller holds routerMu.
+func (s *shardSet) applyOrphanDecisions(decisions []shardrouter.OrphanDecision, reason engine.AnswerReason) (counts [4]int) {
+	for i := range decisions {
+		d := &decisions[i]
+		request := &d.Entry.Request
+		counts[d.Disposition]++
 		switch {
-		case f.Disposition == shardownership.Reassign:
-			s.setRequestShard(request.Client, request.Ref, f.Shard)
-			s.continueAt(s.shards[f.Shard], engine.Transfer{
-				Request: requestID(request), Task: taskOf(f.ID, request), Deadline: request.Deadline, Epoch: f.Epoch,
+		case d.Disposition == shardownership.Reassign:
+			s.setRequestShard(request.Client, request.Ref, d.Shard)
+			s.continueAt(s.shards[d.Shard], engine.Transfer{
+				Request: requestID(request), Task: taskOf(d.ID, request), Deadline: request.Deadline, Epoch: d.Epoch,
 			})
-		case f.Disposition == shardownership.Continue:
-		case s.env.Now() >= request.Deadline: // its client has given up by itself
+		case d.Disposition == shardownership.Continue:
+		case s.env.Now() >= request.Deadline: // the client has given up without an answer
 			if c := s.clients.byID(request.Client); c != nil {
 				c.closeRequest(request.Ref)
 			}
-		case f.Disposition == shardownership.Shed:
+		case d.Disposition == shardownership.Shed:
 			s.answerClient(requestID(request), engine.Answer{Kind: engine.Declined, Reason: reason})
-		case f.Disposition == shardownership.Fail:
+		case d.Disposition == shardownership.Fail:
 			s.answerClient(requestID(request), engine.Answer{Kind: engine.Failed, Reason: reason})
 		}
 	}
 	return counts
 }
 
-// checkShards fences the shards that stand still and restarts those that were fenced.
+// checkShards fences the shards that are stuck and restarts those that were fenced.
 func (s *shardSet) checkShards() {
 	now := s.env.Now()
 	s.stalls.check(now)
@@ -81,7 +81,7 @@
 	}
 	s.router.SetLateness(s.stalls.recent(now))
 	health := s.router.CheckHealth(now, heartbeats, oldest)
-	s.applyFates(health.Overdue, reasonShardSilent)
+	s.applyOrphanDecisions(health.Overdue, reasonShardSilent)
 	for _, index := range health.Silent {
 		for _, d := range s.duplicateRequests(index, now+s.router.OverdueMargin()) {
 			d.client.sendAnswer(d.ref, engine.Answer{Kind: engine.Declined, Reason: reasonShardSilent})
@@ -98,17 +98,17 @@
 		}
 	}
 	for _, sh := range toFence {
-		s.fence(sh, fmt.Sprintf("no sign of life for %.0f ms", now-heartbeats[sh.index]))
+		s.fence(sh, fmt.Sprintf("no heartbeat for %.0f ms", now-heartbeats[sh.index]))
 	}
-	if len(health.Restart) > 0 { // it writes to the disk, which the next check must not wait for
+	if len(health.Restart) > 0 { // a start writes to the disk, and the next check must not wait for that
 		s.async(func() { s.startShards(health.Restart) })
 	}
 }
 
-// errStartOrder reports that a shard waits for the start of one with a lower index.
+// errStartOrder reports that a shard can't be started before one with a lower index.
 var errStartOrder = errors.New("a shard with a lower index has not started")
 
-// startShards starts new incarnations of shards, in ascending order of their indices. One that can't be started is tried again later.
+// startShards starts new incarnations of shards, in ascending order of their indices. A start that fails is retried later.
 func (s *shardSet) startShards(indices []int) {
 	s.startMu.Lock()
 	defer s.startMu.Unlock()
@@ -117,7 +117,7 @@
 			return
 		}
 		if err := s.startShard(index); err != nil {
-			s.log.Error().Str("mode", "shards").Int("shard", index).Err(err).Msg("not started")
+			s.log.Error().Str("mode", "shards").Int("shard", index).Err(err).Msg("shard not started")
 			s.routerMu.Lock()
 			s.router.OnStartFailed(s.env.Now(), index)
 			s.routerMu.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// startShard starts a new incarnation of a shard. The nodes name what runs for it.
+// startShard starts a new incarnation of a shard. The nodes report the tasks that run for it.
 func (s *shardSet) startShard(index int) error {
 	s.routerMu.Lock()
 	known := len(s.shards)
@@ -142,7 +142,7 @@
 		sh.connections.attach(sh)
 	}
 	s.register(sh)
-	s.initShard(sh) // before it is given anything: a task at a node that it does not know it can't take over
+	s.initShard(sh) // before the router assigns it anything: the shard can't take over a task at a node that it does not know
 	s.routerMu.Lock()
 	s.router.OnShardStarted(s.env.Now(), index, sh.incarnation)
 	s.routerMu.Unlock()
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// register has a shard that is being started get what is posted to all shards.
+// register adds a shard that is being started to the set, so that it gets the events that are posted to all shards.
 func (s *shardSet) register(sh *shard) {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
@@ -169,12 +169,12 @@
 	s.incarnations[sh.incarnation] = sh
 }
 
-// requestID is a request of the router as the engine names it.
+// requestID converts the identity of a router's request to the engine's form.
 func requestID(r *shardownership.Request) engine.RequestID {
 	return engine.RequestID{Client: r.Client, Number: r.Ref}
 }
 
-// taskOf is a request of the router as the engine has it.
+// taskOf converts a request of the router to the engine's task.
 func taskOf(id shardownership.ID, r *shardownership.Request) engine.Task {
 	return engine.Task{
 		JobClass: r.JobClass, Tenant: id.Tenant, Service: r.Service, Token: id.Token, Cores: r.Cores, Memory: r.Memory,
--- a/internal/serve/shard_set.go
+++ b/internal/serve/shard_set.go
@@ -9,11 +9,11 @@
 	"ravenpond/internal/site"
 )
 
-// shardSet is the shards of the process, and the router that decides which shard acts for which allocation.
+// shardSet holds the shards of the process, and the router that decides which shard owns which allocation.
 //
-// routerMu is held for a few look-ups at a time. The package takes its locks in this order: startMu, nodeConnections, workingSet or zoneRouting,
-// routerMu, clientListener, clientConn or nodeLink, and an inbox last. The locks of the other parts are leaves that may be taken under any of
-// these; listClient's comes before those of the endpoint list and of maintenance.
+// routerMu is held only for a few look-ups at a time. The lock order of the package is: startMu, nodeConnections, workingSet or zoneRouting,
+// routerMu, clientListener, clientConn or nodeLink, and an inbox last. The locks of the other parts are leaves that may be taken while any of
+// these is held; listClient's comes before those of the endpoint list and of maintenance.
 type shardSet struct {
 	*process
 	clients     *clientListener
@@ -21,17 +21,17 @@
 	membership  *clusterMembership
 	listClient  *listClient
 	workingSet  *workingSet      // nil: the shards work with all nodes; set before the shards start
-	connections *nodeConnections // that the shards share, if they do
-	initShard   func(*shard)     // posts to a shard that starts what it has to know
+	connections *nodeConnections // connections that the shards share; with own connections, those of the last shard created
+	initShard   func(*shard)     // posts the node list and other initial state to a shard that is being started
 	stalls      stallDetector
-	startMu     sync.Mutex // held while shards are started; taken before all others
-
-	routerMu     sync.Mutex // guards the fields below
-	router       *shardrouter.Router
-	shards       []*shard          // the present incarnation of each
-	incarnations map[uint32]*shard // all incarnations of this process's shards
-	pumping      bool              // a call of pump is under way
-	plannedPump  float64           // when the next call of pump is planned, ms; 0: none is
+	startMu     sync.Mutex // held while shards are started; taken before all other locks
+
+	routerMu        sync.Mutex // guards the fields below
+	router          *shardrouter.Router
+	shards          []*shard          // the current incarnation of each shard, by index
+	incarnations    map[uint32]*shard // every incarnation of this process's shards, ended ones included
+	dispatchPending bool              // a call of dispatchQueued is scheduled
+	plannedDispatch float64           // time of the next planned call of dispatchQueued, ms; 0: none is planned
 }
 
 func newShardSet(p *process, tenants *tenantHosting) *shardSet {
@@ -47,7 +47,7 @@
 	}
 }
 
-// createShards makes the shards of the site file.
+// createShards creates the shards that the site file asks for.
 func (s *shardSet) createShards() error {
 	var conns *nodeConnections
 	for i := range s.config.Site.Shards {
@@ -67,14 +67,14 @@
 	return nil
 }
 
-// epoch returns the router's first epoch.
+// epoch returns the router's current epoch.
 func (s *shardSet) epoch() uint32 {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	return s.router.Epoch()
 }
 
-// liveShards returns the shards that have not ended.
+// liveShards returns the shards that have not been stopped.
 func (s *shardSet) liveShards() []*shard {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
@@ -91,22 +91,22 @@
 	return live
 }
 
-// postAll queues an event at every live shard.
+// postAll posts an event to every live shard.
 func (s *shardSet) postAll(handle func(sh *shard, now float64)) {
 	for _, sh := range s.liveShards() {
 		sh.post(func(now float64) { handle(sh, now) })
 	}
 }
 
-// setCapacity tells the router how much there is to share between tenants.
+// setCapacity tells the router how much capacity the tenants share.
 func (s *shardSet) setCapacity(capacity shardrouter.Capacity) {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
 	s.router.OnCapacity(capacity)
 }
 
-// setTenants sets the policies of all tenants and returns the queued requests of those that may submit nothing any more. load is called
-// with routerMu held.
+// setTenants sets the policies of all tenants and returns the rejections of queued requests whose tenants may no longer submit any. load is
+// called with routerMu held.
 func (s *shardSet) setTenants(load func(now float64) []tenantPolicy) (rejected []shardrouter.Decision) {
 	now := s.env.Now()
 	s.routerMu.Lock()
@@ -114,7 +114,8 @@
 	return s.setPolicies(now, load(now))
 }
 
-// setPolicies sets tenants' policies and returns the queued requests of those that may submit nothing any more. The caller holds routerMu.
+// setPolicies sets the policies of some tenants and returns the rejections of queued requests whose tenants may no longer submit any. The
+// caller holds routerMu.
 func (s *shardSet) setPolicies(now float64, policies []tenantPolicy) (rejected []shardrouter.Decision) {
 	for _, t := range policies {
 		rejected = append(rejected, s.router.SetTenant(now, t.slot, t.policy)...)
@@ -122,8 +123,8 @@
 	return rejected
 }
 
-// checkQuotaLease follows the lease on the tenants' limits, before a request passes by them. It returns the queued requests that are
-// rejected for it. The caller holds routerMu.
+// checkQuotaLease applies changes of the lease on the tenants' limits, before a request is checked against the limits. It returns the
+// rejections of queued requests that follow from it. The caller holds routerMu.
 func (s *shardSet) checkQuotaLease(now float64) (rejected []shardrouter.Decision) {
 	policies, changed := s.tenants.renewedPolicies(now)
 	if !changed {
@@ -132,17 +133,17 @@
 	return s.setPolicies(now, policies)
 }
 
-// setQuotaLease takes over how many schedulers share the leased part of the limits, and until when, ms.
+// setQuotaLease sets how many schedulers share the leased part of the limits, and the time in ms at which the lease expires.
 func (s *shardSet) setQuotaLease(now float64, sharers int, expiry float64) {
 	s.routerMu.Lock()
 	s.tenants.setQuotaLease(sharers, expiry)
 	rejected := s.checkQuotaLease(now)
-	s.pumpIfFree()
+	s.dispatchIfFree()
 	s.routerMu.Unlock()
 	s.rejectAll(rejected)
 }
 
-// tenantCount returns how many requests and allocations of a tenant the router knows.
+// tenantCount returns how many requests and allocations of a tenant the router holds.
 func (s *shardSet) tenantCount(slot int) int {
 	s.routerMu.Lock()
 	defer s.routerMu.Unlock()
@@ -156,5 +157,5 @@
 	longest, waiting := s.router.OldestWait(s.env.Now())
 	capacity, held := s.router.FillLevel()
 	s.log.Debug().Str("mode", "tenants").Float64("may_fill", capacity).Float64("held", held).Int("open", s.router.Open()).
-		Int("waiting", waiting).Float64("longest", longest).Msg("lines")
+		Int("waiting", waiting).Float64("longest", longest).Msg("tenant queues")
 }
--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -18,56 +18,57 @@
 	"github.com/rs/zerolog"
 )
 
-// TestFencedShard lets one of three shards panic or stand still; the others go on, and no rule breaks.
+// TestFencedShard has one of three shards panic or block: the others go on, and no audit rule is violated.
 func TestFencedShard(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		share site.ConnectionMode
-		harm  func()
+		name        string
+		connections site.ConnectionMode
+		fault       func()
 	}{
-		{"panics, shared connections", site.SharedConnections, func() { panic("planted") }},
-		{"panics, own connections", site.OwnConnections, func() { panic("planted") }},
-		{"panics, informed", site.SharedReports, func() { panic("planted") }},
-		{"stands still, shared connections", site.SharedConnections, func() { time.Sleep(4 * time.Second) }},
-		{"stands still, own connections", site.OwnConnections, func() { time.Sleep(4 * time.Second) }},
+		{"panics, shared connections", site.SharedConnections, func() { panic("injected fault") }},
+		{"panics, own connections", site.OwnConnections, func() { panic("injected fault") }},
+		{"panics, shared reports", site.SharedReports, func() { panic("injected fault") }},
+		{"blocks, shared connections", site.SharedConnections, func() { time.Sleep(4 * time.Second) }},
+		{"blocks, own connections", site.OwnConnections, func() { time.Sleep(4 * time.Second) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newTestCluster(t, 1, 8, false)
 			siteConfig := *s.siteConfig
-			siteConfig.Shards, siteConfig.MaxShards, siteConfig.Connections = 3, 3, c.share
-			var offers, lives atomic.Int32
+			siteConfig.Shards, siteConfig.MaxShards, siteConfig.Connections = 3, 3, c.connections
+			var offers, incarnations atomic.Int32
 			s.start(0, siteConfig, Faults{WrapEffects: func(e engine.Effects) engine.Effects {
-				if lives.Add(1) != 2 { // the second shard's first incarnation alone
+				if incarnations.Add(1) != 2 { // only the first incarnation of the second shard has the fault
 					return e
 				}
 				return faultyEffects{Effects: e, offer: func(e engine.Effects, node uint32, offer engine.Offer) {
 					e.Offer(node, offer)
 					if offers.Add(1) == 25 {
-						c.harm()
+						c.fault()
 					}
 				}}
 			}})
 			s.load(6500, 60, "0012")
-			breaks, served := s.violations()
-			if len(breaks) > 0 || served < s.served(200) {
-				t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
+			violations, served := s.violations()
+			if len(violations) > 0 || served < s.minServed(200) {
+				t.Errorf("%d requests served, want 200 if the load made all its requests; got violations %v, want none",
+					served, violations[:min(4, len(violations))])
 			}
-			if offers.Load() < 25 || lives.Load() != 4 {
-				t.Errorf("%d offers before the harm, %d lives of shards, want 4", offers.Load(), lives.Load())
+			if offers.Load() < 25 || incarnations.Load() != 4 {
+				t.Errorf("got %d offers by the faulty shard, want at least 25; %d incarnations, want 4", offers.Load(), incarnations.Load())
 			}
 		})
 	}
 }
 
-// testClient is a client that keeps all notifications.
+// testClient is a client that records all notifications.
 type testClient struct {
 	*jrpc2.Client
 	mu       sync.Mutex
 	received []string
 }
 
-// connect connects a client by TCP.
+// connect connects a client over TCP.
 func connect(t *testing.T, addr string) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -77,7 +78,7 @@
 	return newTestClient(t, conn)
 }
 
-// newTestClient speaks the client protocol over a connection.
+// newTestClient returns a client that speaks the client protocol over a connection.
 func newTestClient(t *testing.T, conn net.Conn) *testClient {
 	t.Helper()
 	c := &testClient{}
@@ -104,8 +105,8 @@
 	return append([]string(nil), c.received...)
 }
 
-// TestSameKey submits keys on two connections at the same moment, withdraws some as they are offered, and comes back on another
-// connection: each request has one answer, and no at-most-once key starts twice.
+// TestSameKey requests the same idempotency keys on two connections at the same time, withdraws some requests at once, and requests the keys
+// again on a third connection: each request has one answer, and no task of an at-most-once class starts twice.
 func TestSameKey(t *testing.T) {
 	s := newTestCluster(t, 1, 8, false)
 	siteConfig := *s.siteConfig
@@ -114,39 +115,39 @@
 	addr := s.clients[0].SchedulerAddress()
 	time.Sleep(1800 * time.Millisecond)
 	a, b := connect(t, addr), connect(t, addr)
-	const many = 60
+	const keys = 60
 	var both sync.WaitGroup
 	for _, c := range []*testClient{a, b} {
-		both.Go(func() { c.allocateAndWithdraw(t, many) })
+		both.Go(func() { c.allocateAndWithdraw(t, keys) })
 	}
 	both.Wait()
 	time.Sleep(1700 * time.Millisecond)
 	for _, c := range []*testClient{a, b} {
-		c.checkOneAnswerEach(t, many)
+		c.checkOneAnswerEach(t, keys)
 	}
-	_ = a.Close() // what runs is found again by whoever requests its key
+	_ = a.Close() // the tasks run on, and a later request for the same key finds them
 	c := connect(t, addr)
-	for i := range uint64(many) {
+	for i := range uint64(keys) {
 		if err := c.allocate(i+1, "once", fmt.Sprint("key", i)); err != nil {
 			t.Error(err)
 		}
 	}
-	breaks, _ := s.violations()
-	if len(breaks) > 0 {
-		t.Error(breaks)
+	violations, _ := s.violations()
+	if len(violations) > 0 {
+		t.Error(violations)
 	}
 	starts := map[uint64]int{}
 	for _, r := range s.world.Trace.Records() {
 		if r.Kind.String() == "ran" {
 			if starts[r.Ticket]++; starts[r.Ticket] > 1 {
-				t.Errorf("ticket %x ran twice", r.Ticket)
+				t.Errorf("ticket %x started twice, want once", r.Ticket)
 			}
 		}
 	}
-	t.Run("faults", c.testInvalidCalls)
+	t.Run("invalid calls", c.testInvalidCalls)
 }
 
-// allocateAndWithdraw requests so many keys and withdraws each fifth at once.
+// allocateAndWithdraw requests a number of keys and withdraws every fifth request at once.
 func (c *testClient) allocateAndWithdraw(t *testing.T, keys uint64) {
 	t.Helper()
 	for i := range keys {
@@ -154,12 +155,12 @@
 			t.Error(err)
 		}
 		if i%5 == 0 {
-			_, _ = c.Call(context.Background(), "withdraw", map[string]any{"ref": i + 1}) // may be answered already
+			_, _ = c.Call(context.Background(), "withdraw", map[string]any{"ref": i + 1}) // fails if the request is already answered
 		}
 	}
 }
 
-// checkOneAnswerEach checks that each of so many requests had one answer.
+// checkOneAnswerEach checks that each of a number of requests had exactly one answer.
 func (c *testClient) checkOneAnswerEach(t *testing.T, requests int) {
 	t.Helper()
 	answers := map[string]int{}
@@ -171,15 +172,15 @@
 	}
 	for i := range requests {
 		if n := answers[fmt.Sprint(i+1)]; n != 1 {
-			t.Errorf("ask %d has %d answers", i+1, n)
+			t.Errorf("request %d got %d answers, want 1", i+1, n)
 		}
 	}
 }
 
-// testInvalidCalls makes calls that must be refused.
+// testInvalidCalls makes calls that must fail.
 func (c *testClient) testInvalidCalls(t *testing.T) {
 	for name, call := range map[string]func() error{
-		"ref not over":     func() error { _ = c.allocate(900, "free", "x"); return c.allocate(900, "free", "y") },
+		"ref in use":       func() error { _ = c.allocate(900, "free", "x"); return c.allocate(900, "free", "y") },
 		"unknown job type": func() error { return c.allocate(901, "none", "x") },
 		"no key":           func() error { return c.allocate(902, "free", "") },
 		"no ref":           func() error { return c.allocate(0, "free", "x") },
@@ -194,11 +195,12 @@
 		},
 	} {
 		if call() == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: got no error, want one", name)
 		}
 	}
 }
 
+// BenchmarkInbox compares an inbox with a channel.
 func BenchmarkInbox(b *testing.B) {
 	ev := event(func(float64) {})
 	b.Run("swapped slices", func(b *testing.B) {
@@ -243,23 +245,23 @@
 	})
 }
 
-// TestResize adds shards and takes them away under load: each allocation goes on, and no rule breaks.
+// TestResize adds and removes shards under load: each allocation goes on, and no audit rule is violated.
 func TestResize(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		share site.ConnectionMode
-		sizes []int
+		name        string
+		connections site.ConnectionMode
+		sizes       []int
 	}{
 		{"one to four, shared connections", site.SharedConnections, []int{4}},
 		{"four to one, shared connections", site.SharedConnections, []int{4, 1}},
-		{"to and fro, informed", site.SharedReports, []int{3, 1, 4, 2}},
+		{"up and down, shared reports", site.SharedReports, []int{3, 1, 4, 2}},
 		{"four to one, own connections", site.OwnConnections, []int{4, 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newTestCluster(t, 1, 8, false)
 			siteConfig := *s.siteConfig
-			siteConfig.Shards, siteConfig.MaxShards, siteConfig.Connections = 1, 4, c.share
+			siteConfig.Shards, siteConfig.MaxShards, siteConfig.Connections = 1, 4, c.connections
 			var log logLines
 			resize := make(chan int, 1)
 			s.configure = func(config *Config) { config.Resize, config.Log = resize, zerolog.New(&log) }
@@ -269,19 +271,19 @@
 				resize <- n
 				s.load(2500, 80, "0012")
 			}
-			breaks, served := s.violations()
-			if len(breaks) > 0 || served < s.served(200+100*len(c.sizes)/2) {
-				t.Errorf("%d served, breaks %v", served, breaks[:min(4, len(breaks))])
+			violations, served := s.violations()
+			if len(violations) > 0 || served < s.minServed(200+100*len(c.sizes)/2) {
+				t.Errorf("%d requests served are too few, or got violations %v, want none", served, violations[:min(4, len(violations))])
 			}
-			left := 0
+			removed := 0
 			for i, n := range c.sizes[1:] {
-				left += max(0, c.sizes[i]-n)
+				removed += max(0, c.sizes[i]-n)
 			}
-			if got := log.count("shard left"); got != left && c.share != site.OwnConnections {
-				t.Errorf("%d shards left, want %d\n%s", got, left, log.text())
+			if got := log.count("shard removed"); got != removed && c.connections != site.OwnConnections {
+				t.Errorf("%d shards removed, want %d\n%s", got, removed, log.text())
 			}
-			if gave := log.count("shard left") - log.count(`"runs_given":0,`); left > 0 && c.share != site.OwnConnections && gave == 0 {
-				t.Errorf("no shard that left gave what ran\n%s", log.text())
+			if gave := log.count("shard removed") - log.count(`"runs_given":0,`); removed > 0 && c.connections != site.OwnConnections && gave == 0 {
+				t.Errorf("no removed shard handed over running allocations\n%s", log.text())
 			}
 			if log.count("not taken over") > 0 || log.count("fenced") > 0 {
 				t.Error(log.text())
@@ -290,53 +292,55 @@
 	}
 }
 
-// TestReceiverFenced fences a shard that was just handed what ran at another. The shard that made it has forgotten it, yet the nodes'
-// reports must bring it back to some shard, and the client is told how each ended.
+// TestReceiverFenced fences a shard that was just handed running tasks of another shard. The shard that made the attempts no longer knows them,
+// but the nodes' reports must bring each task back to some shard, and the client must be told of its end.
 func TestReceiverFenced(t *testing.T) {
 	s := newTestCluster(t, 1, 8, false)
 	siteConfig := *s.siteConfig
 	siteConfig.Shards, siteConfig.MaxShards = 1, 2
 	var log logLines
 	var fence atomic.Bool
-	var lives atomic.Int32
+	var incarnations atomic.Int32
 	resize := make(chan int, 1)
 	s.configure = func(config *Config) { config.Resize, config.Log = resize, zerolog.New(&log) }
 	s.start(0, siteConfig, Faults{WrapEffects: func(e engine.Effects) engine.Effects {
-		if lives.Add(1) != 2 {
+		if incarnations.Add(1) != 2 {
 			return e
 		}
 		return faultyEffects{Effects: e, offer: func(e engine.Effects, node uint32, offer engine.Offer) {
 			if fence.Load() {
-				panic("planted")
+				panic("injected fault")
 			}
 			e.Offer(node, offer)
 		}}
 	}})
 	c := connect(t, s.clients[0].SchedulerAddress())
 	time.Sleep(1800 * time.Millisecond)
-	const many = 80
-	for i := range uint64(many) {
+	const requests = 80
+	for i := range uint64(requests) {
 		if err := c.allocate(i+1, "free", fmt.Sprint("r", i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "the first are served", func() bool { return strings.Count(strings.Join(c.notifications(), ""), `"answer":"served"`) > many/2 })
+	waitFor(t, "more than half of the requests served", func() bool {
+		return strings.Count(strings.Join(c.notifications(), ""), `"answer":"served"`) > requests/2
+	})
 	resize <- 2
-	waitFor(t, "the second shard has some of them", func() bool { return log.count(`"message":"started"`) > 0 })
+	waitFor(t, "second shard started", func() bool { return log.count(`"message":"started"`) > 0 })
 	time.Sleep(400 * time.Millisecond)
 	fence.Store(true)
-	for i := range uint64(many) {
+	for i := range uint64(requests) {
 		_ = c.allocate(1000+i, "free", fmt.Sprint("s", i))
 	}
-	waitFor(t, "the second shard is fenced", func() bool { return log.count(`"message":"fenced: panic`) == 1 })
+	waitFor(t, "second shard fenced", func() bool { return log.count(`"message":"fenced: panic`) == 1 })
 	if log.count(`"run":0,`) > 0 {
-		t.Fatalf("it held nothing\n%s", log.text())
+		t.Fatalf("the fenced shard held no running tasks\n%s", log.text())
 	}
-	served := func() map[uint64]bool {
+	running := func() map[uint64]bool {
 		all := map[uint64]bool{}
 		for _, n := range c.notifications() {
 			var ref uint64
-			if _, err := fmt.Sscanf(n, `answer{"ref":%d,"answer":"served"`, &ref); err == nil && ref <= many {
+			if _, err := fmt.Sscanf(n, `answer{"ref":%d,"answer":"served"`, &ref); err == nil && ref <= requests {
 				all[ref] = true
 			}
 			if _, err := fmt.Sscanf(n, `over{"ref":%d,"how":"ended"`, &ref); err == nil {
@@ -345,10 +349,10 @@
 		}
 		return all
 	}
-	waitFor(t, "each owner hears the end", func() bool { return len(served()) == 0 })
+	waitFor(t, "end of each served request", func() bool { return len(running()) == 0 })
 }
 
-// waitFor waits for a condition, up to 6 s.
+// waitFor waits up to 6 s for a condition.
 func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for range 600 {
@@ -357,10 +361,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("not in 6 s: %s", what)
+	t.Fatalf("waited 6 s in vain for: %s", what)
 }
 
-// TestResizeRefused resizes to numbers of shards that may not run.
+// TestResizeRefused requests numbers of shards that are out of range, and then one that is allowed.
 func TestResizeRefused(t *testing.T) {
 	s := newTestCluster(t, 1, 2, false)
 	siteConfig := *s.siteConfig
@@ -374,12 +378,12 @@
 	}
 	resize <- 2
 	time.Sleep(200 * time.Millisecond)
-	if log.count("number not changed") != 2 || log.count("number changes") != 1 {
+	if log.count("number of shards not changed") != 2 || log.count("changing the number of shards") != 1 {
 		t.Error(log.text())
 	}
 }
 
-// logLines keeps a log.
+// logLines records the lines of a log.
 type logLines struct {
 	mu  sync.Mutex
 	all []string
--- a/internal/serve/shutdown.go
+++ b/internal/serve/shutdown.go
@@ -8,28 +8,29 @@
 	"ravenpond/internal/env"
 )
 
-// Times of a shutdown in ms.
+// Time limits and intervals of a shutdown, ms.
 const (
-	shardCloseTimeout    = 1000 // for the shards' last answers; a stalled one is not waited for longer
-	clientFlushTimeout   = 500  // for answers to be handed to the network
+	shardCloseTimeout    = 1000 // for the shards' last answers; a stalled shard is not waited for any longer
+	clientFlushTimeout   = 500  // for handing the answers to the network
 	shutdownPollInterval = 5
 )
 
-// shutdown waits until all shards have answered what they hold and the answers have left, and then closes what is open. Its polls run one
-// at a time, on a timer.
+// shutdown waits until all shards have answered their open requests and the answers have been handed to the network, and then closes all
+// connections. Its polls run one at a time, on a timer.
 type shutdown struct {
 	server    *Server
 	done      func(error)
 	startedAt float64
-	flushed   bool // no answer was queued at an earlier poll; the polls alone use it
+	flushed   bool // no answer was queued at an earlier poll; only the polls use this field
 
 	mu      sync.Mutex // guards the fields below
-	pending int        // shards that have not answered
+	pending int        // number of shards that have not yet closed
 	total   engine.Stats
 }
 
-// Shutdown answers all that is open and ends the scheduler. Clients go on sending on the connections that they have: what is read meanwhile is
-// declined; once the shards have answered, nothing more is read. It returns at once, and calls done once all is closed and saved.
+// Shutdown answers all open requests and stops the scheduler. Clients may go on sending on their connections: requests that are read before
+// the shards have closed are declined, and after that no more input is handled. It returns at once, and calls done when everything is closed
+// and saved.
 func (s *Server) Shutdown(done func(error)) {
 	s.clients.stopAccepting()
 	s.metrics.close()
@@ -41,7 +42,7 @@
 	env.Every(s.env, shutdownPollInterval, d.poll)
 }
 
-// closeShards has all shards answer what they hold.
+// closeShards has all shards answer their open requests.
 func (d *shutdown) closeShards() {
 	shards := d.server.liveShards()
 	d.pending = len(shards)
@@ -63,14 +64,14 @@
 	addStats(&d.total, stats)
 }
 
-// waitsForShards reports whether shards have not answered that are still waited for.
+// waitsForShards reports whether the shutdown still waits for shards that have not closed.
 func (d *shutdown) waitsForShards(elapsed float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.pending > 0 && elapsed < shardCloseTimeout
 }
 
-// poll reports whether the shutdown goes on, and completes it else.
+// poll completes the shutdown if nothing is left to wait for. It reports whether the shutdown goes on.
 func (d *shutdown) poll() (goesOn bool) {
 	s := d.server
 	elapsed := s.env.Now() - d.startedAt
@@ -85,7 +86,7 @@
 	if s.clients.hasQueuedAnswers() && elapsed < shardCloseTimeout+clientFlushTimeout {
 		return true
 	}
-	if !d.flushed { // for an answer that was taken from a queue just now
+	if !d.flushed { // one more poll, for an answer that was taken from a queue just now
 		d.flushed = true
 		return true
 	}
@@ -95,12 +96,12 @@
 	total := d.total
 	d.mu.Unlock()
 	s.log.Info().Str("mode", "serve").Uint64("served", total.Served).Uint64("declined", total.Declined).
-		Uint64("failed", total.Failed).Uint64("not_taken", total.Rejected).Uint64("offers", total.Offers).Msg("scheduler ends")
+		Uint64("failed", total.Failed).Uint64("not_taken", total.Rejected).Uint64("offers", total.Offers).Msg("scheduler stopped")
 	d.done(errors.Join(s.endpoints.save(), s.folder.Close()))
 	return false
 }
 
-// rejectWaiting answers the requests that wait for their tenant's turn.
+// rejectWaiting rejects the requests that wait in their tenants' queues.
 func (s *Server) rejectWaiting() {
 	s.routerMu.Lock()
 	rejected := s.router.RejectWaiting()
@@ -108,7 +109,7 @@
 	s.rejectAll(rejected)
 }
 
-// disconnectAll closes all connections. What is queued at nodes' connections is still handed to the network: the last recalls go out.
+// disconnectAll closes all connections. Messages that are queued for nodes are still handed to the network, so that the last recalls are sent.
 func (s *Server) disconnectAll() {
 	for _, sh := range s.liveShards() {
 		sh.connections.close("scheduler ends", true)
--- a/internal/serve/stall.go
+++ b/internal/serve/stall.go
@@ -5,24 +5,25 @@
 	"sync/atomic"
 )
 
-// unreadAfterStall is how long after a stall, in ms, bytes may still be read that arrived during it.
+// unreadAfterStall is how long after a stall, in ms, bytes that arrived during the stall may still be unread.
 const unreadAfterStall = 1000
 
-// stallsAfterIntervals is how many check intervals must pass between two checks for the process to count as stalled.
+// stallsAfterIntervals is the number of check intervals: a longer time between two checks counts as a stall.
 const stallsAfterIntervals = 2
 
-// stallDetector notices when the whole process stalled, as the machine was busy or suspended. Its methods are safe for concurrent use.
+// stallDetector detects stalls of the whole process, for example because the machine is busy or suspended. Its methods are safe for
+// concurrent use.
 type stallDetector struct {
 	interval      float64       // between two checks, ms
-	lastCheck     atomic.Uint64 // bits of the time of the last check, ms
-	duration      atomic.Uint64 // bits of how long the last stall was, ms
-	relevantUntil atomic.Uint64 // bits of until when it matters, ms
+	lastCheck     atomic.Uint64 // math.Float64bits of the time of the last check, ms
+	duration      atomic.Uint64 // math.Float64bits of the duration of the last stall, ms
+	relevantUntil atomic.Uint64 // math.Float64bits of the time until which that stall matters, ms
 }
 
-// start begins at a time; checks are to follow at the interval.
+// start sets the time of the first check. The caller then calls check at the interval.
 func (d *stallDetector) start(now float64) { d.lastCheck.Store(math.Float64bits(now)) }
 
-// check notes that the process runs, and a stall before.
+// check records that the process runs, and a stall since the last check if there was one.
 func (d *stallDetector) check(now float64) {
 	gap := now - math.Float64frombits(d.lastCheck.Swap(math.Float64bits(now)))
 	if gap > stallsAfterIntervals*d.interval {
@@ -31,7 +32,8 @@
 	}
 }
 
-// recent returns how long, in ms, the process has stalled just now: a check is overdue, or the last one was.
+// recent returns the duration, in ms, of a current or recent stall: a check is overdue, or one was overdue a short time ago. It returns 0 if
+// there is none.
 func (d *stallDetector) recent(now float64) float64 {
 	gap := now - math.Float64frombits(d.lastCheck.Load())
 	if now < math.Float64frombits(d.relevantUntil.Load()) {
--- a/internal/serve/start_shard_test.go
+++ b/internal/serve/start_shard_test.go
@@ -2,16 +2,17 @@
 
 import "testing"
 
-// TestAddedShardKnowsNodesFirst adds a shard and looks which services belong to it when it is told of the nodes: none yet.
+// TestAddedShardKnowsNodesFirst adds a shard and checks that no services belong to it before the node list is posted to it.
 //
-// The log said "what runs not taken over; its node will tell of it" for tasks that were handed to an added shard, beside load: 1 of 24 runs of
-// TestResize. The router gave services to the shard before the node list was posted to it. A handover that came between was read first, and
-// named nodes that the shard did not know; until the nodes named the tasks no shard counted them, and their services' spread was not kept.
+// The test guards against tasks that an added shard cannot take over, which happened in 1 of 24 runs of TestResize under load and was logged as
+// "running task not taken over; its node will report it". The router assigned services to the shard before the node list was posted to it, and a
+// handover in between came first and referred to nodes that the shard did not know. Until the nodes reported the tasks no shard counted
+// them, and the spread of their services was violated.
 func TestAddedShardKnowsNodesFirst(t *testing.T) {
 	const services = 100
 	s := newTestCluster(t, 1, 2, false)
 	server := s.startServer(1, Faults{})
-	belong := func() (count int) {
+	servicesOfAdded := func() (count int) {
 		server.routerMu.Lock()
 		defer server.routerMu.Unlock()
 		for service := range uint64(services) {
@@ -24,13 +25,13 @@
 	atInit := -1
 	initShard := server.initShard
 	server.shardSet.initShard = func(sh *shard) {
-		atInit = belong()
+		atInit = servicesOfAdded()
 		initShard(sh)
 	}
 	if err := server.Resize(2); err != nil {
 		t.Fatal(err)
 	}
-	if atInit != 0 || belong() == 0 {
-		t.Errorf("%d services belong to the shard before it knows nodes, %d when it has started", atInit, belong())
+	if atInit != 0 || servicesOfAdded() == 0 {
+		t.Errorf("got %d services of the shard before it knows nodes, want 0; %d after its start, want some", atInit, servicesOfAdded())
 	}
 }
