--- a/internal/serve/held_test.go
+++ b/internal/serve/held_test.go
@@ -9,13 +9,15 @@
 	"ravenpond/internal/proto/node"
 )
 
-// TestHeldTaskThatMoves has nodes name what they hold while a shard hands tasks over that it was handed before: the tasks run on.
+// TestHeldTaskDuringHandover has nodes report the tasks that they hold while a shard hands over tasks that it was handed before: the tasks must
+// run on.
 //
-// Callers' running tasks were stopped by the scheduler though nobody had asked for it. When a shard starts, each node names all that it
-// holds. A task that the router had at one shard was posted to that shard after it had been handed over. There it was unknown, and what runs
-// unknown to a shard, with another shard as its owner, is stopped at its node. The log showed in 19 of 24 runs of TestResize beside load, in
-// this order for one attempt: handed over, named by its node for the shard that gave it, stopped by that shard, and ended by the node.
-func TestHeldTaskThatMoves(t *testing.T) {
+// The test guards against running tasks that the scheduler stops though no client has asked for it. When a shard starts, each node reports all
+// tasks that it holds. The report of a task that the router had at one shard was posted to that shard after the task had been handed over. The
+// shard no longer knew the task, and a shard stops running tasks that it does not know and that another shard owns. In 19 of 24 runs
+// of TestResize under load the log showed, in this order for one attempt: the handover, the node's report to the giving shard, the stop by that
+// shard, and the end at the node.
+func TestHeldTaskDuringHandover(t *testing.T) {
 	s := newTestCluster(t, 1, 8, false)
 	server := s.startServer(1, Faults{})
 	s.load(3000, 60, "0")
@@ -27,21 +29,21 @@
 	moved := make(chan int, 1)
 	shards[1].post(func(now float64) { moved <- server.moveWhileNodesReport(t, now, shards[1], shards[0]) })
 	if n := <-moved; n == 0 {
-		t.Fatal("no task was handed over")
+		t.Fatal("no running task was handed over, want at least 1")
 	}
 	time.Sleep(time.Second)
 	for _, r := range s.world.Trace.Records() {
 		if r.Kind == audit.AttemptConcluded && r.Detail == node.OutcomeNames[node.OutcomeStopped] {
-			t.Errorf("node %d was told to stop %x", r.Node, r.Ticket)
+			t.Errorf("node %d was told to stop the attempt with ticket %x, want it to run on", r.Node, r.Ticket)
 		}
 	}
 }
 
-// moveWhileNodesReport has a shard leave, on its loop, and gives all it holds to another shard; between the two steps of the handover the
-// nodes name what they hold. It returns how many tasks moved.
+// moveWhileNodesReport removes a shard and hands all its allocations over to another shard. Between the two steps of the handover the nodes
+// report the tasks that they hold. It returns the number of allocations that were handed over. It is called on the loop of the removed shard.
 func (s *Server) moveWhileNodesReport(t *testing.T, now float64, from, to *shard) (moved int) {
 	t.Helper()
-	from.handoverActive.Store(true) // the polls leave it alone
+	from.handoverActive.Store(true) // keeps the periodic handovers away from the shard
 	if err := s.Resize(1); err != nil {
 		t.Error(err)
 	}
--- a/internal/serve/shutdown_test.go
+++ b/internal/serve/shutdown_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// TestShutdownAnswersWhatItTook shuts a scheduler down while clients go on requesting on the connections that they have, until these end: each
-// request that was taken, as its call's reply says, gets its answer.
+// TestShutdownAnswersAcceptedRequests shuts a scheduler down while clients go on making requests until their connections end: each request that
+// was accepted, according to the reply to its call, must be answered.
 //
-// Callers of `ravenpond serve` whose request came while the process ended were told that it was taken and never heard of it again (rule 1). The
-// shards answered what they held once; a request that was read after that was taken as ever, and then its connection was cut, with the answers
-// that were still queued on it.
-func TestShutdownAnswersWhatItTook(t *testing.T) {
+// The test guards against requests that are accepted during a shutdown and never answered (audit rule 1). The shards answered what they held once;
+// a request that was read after that was accepted as usual, and then its connection was closed, and the answers that were still queued on it
+// were lost.
+func TestShutdownAnswersAcceptedRequests(t *testing.T) {
 	const clients = 8
 	s := newTestCluster(t, 1, 4, false)
 	s.start(0, *s.siteConfig, Faults{})
@@ -21,7 +21,7 @@
 	time.Sleep(1800 * time.Millisecond) // the nodes are warm
 	type client struct {
 		*testClient
-		taken []uint64
+		accepted []uint64
 	}
 	all := make([]*client, clients)
 	done := make(chan bool, clients)
@@ -30,7 +30,7 @@
 		all[i] = c
 		go func() {
 			for ref := uint64(1); c.allocate(ref, "free", fmt.Sprint("c", i, "-", ref)) == nil; ref++ {
-				c.taken = append(c.taken, ref)
+				c.accepted = append(c.accepted, ref)
 			}
 			done <- true
 		}()
@@ -40,17 +40,17 @@
 	for range all {
 		<-done
 	}
-	taken, lost := 0, 0
+	accepted, unanswered := 0, 0
 	for _, c := range all {
 		answers := strings.Join(c.notifications(), "\n")
-		for _, ref := range c.taken {
-			taken++
+		for _, ref := range c.accepted {
+			accepted++
 			if !strings.Contains(answers, fmt.Sprintf(`answer{"ref":%d,`, ref)) {
-				lost++
+				unanswered++
 			}
 		}
 	}
-	if lost > 0 || taken == 0 {
-		t.Errorf("%d of %d requests that were taken have no answer", lost, taken)
+	if unanswered > 0 || accepted == 0 {
+		t.Errorf("%d of %d accepted requests have no answer, want 0 of at least 1", unanswered, accepted)
 	}
 }
