--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -1,38 +1,39 @@
-// Package fairqueue decides whose request is placed next among tenants that share a scheduler. Each tenant has a share, a rate, a number
-// of requests that may be open at once, and a bounded queue. A request beyond these limits is shed at once with a time after which it may
-// be submitted again. The package guards against one tenant's flood that starves the others, and against limits that leave machines idle
-// while requests wait.
+// Package fairqueue implements weighted fair queueing of requests among the tenants that share a scheduler. Each tenant has a share, a
+// rate limit, a limit of open requests and a bounded queue. A request that exceeds them is shed at once, with the time after which it may
+// be submitted again. The package prevents a flood of one tenant from starving the others, and limits from leaving machines idle while
+// requests wait.
 //
-// Shares are of the dominant resource: a request costs the larger of its fractions of all cores and all memory. Each tenant has a virtual
-// clock that advances by the cost of its requests over its share, and the tenant whose clock is behind goes first. A tenant that was idle
-// continues at the clock of the others, so that idle time can be used by others but not saved up.
+// Shares apply to the dominant resource: the cost of a request is the larger of its fractions of all cores and of all memory. Each tenant
+// has a virtual clock that advances by the cost of its admitted requests divided by its share, and the tenant with the lowest clock is
+// served first. The clock of a tenant that was idle is set forward to that of the others, so that others can use the idle time but the
+// tenant cannot save it up.
 //
-// FillController decides which fraction of the machines' capacity may be taken before requests wait. DivideLimit divides a limit among
-// processes.
+// FillController decides which fraction of the machines' capacity may be allocated before requests have to wait. DivideLimit divides a
+// limit among processes.
 //
 // The package does no I/O, starts no goroutines and returns no errors. A Queue is not safe for concurrent use. Times are milliseconds on
-// the caller's clock, costs and fractions are of all cores or all memory.
+// the caller's clock. Costs and fractions refer to all cores or all memory.
 package fairqueue
 
 import "math"
 
-// Limits are the limits of a tenant.
+// Limits are the limits of one tenant.
 type Limits struct {
-	Share      float64 // above 0; only the proportion to others matters
-	Rate       float64 // requests per second that may pass; 0: as many as its share allows
-	Burst      float64 // requests that may pass at once after an idle time, at least 1 if there is a rate
-	MaxOpen    int     `json:"Open"` // requests that may be open at once; 0: as many as the capacity allows
-	MaxWaiting int     `json:"Wait"` // requests that may wait in its queue
-	Blocked    bool    `json:"Stop"` // nothing new passes or waits: the tenant is paused, or being removed
+	Share      float64 // is above 0; only its ratio to the other tenants' shares matters
+	Rate       float64 // admitted requests per second; 0 means no limit other than the share
+	Burst      float64 // requests that may be admitted at once after an idle time; at least 1 if Rate is set
+	MaxOpen    int     `json:"Open"` // requests that may be open at once; 0 means no limit other than the capacity
+	MaxWaiting int     `json:"Wait"` // requests that may wait in the tenant's queue
+	Blocked    bool    `json:"Stop"` // all new requests are shed, because the tenant is paused or being removed
 }
 
-// Request is a tenant's request.
+// Request is a request of a tenant to place work.
 type Request struct {
 	ID            uint64
 	Tenant        int
-	Urgency       int // higher goes first in its tenant's queue
+	Urgency       int // requests of higher urgency are admitted first within a tenant's queue
 	Cores, Memory float64
-	Deadline      float64 // ms, by which it has to leave the queue
+	Deadline      float64 // ms; the request expires if it still waits at this time
 }
 
 // Verdict is the decision about a request.
@@ -40,46 +41,46 @@
 
 // Verdicts.
 const (
-	Admitted Verdict = iota // it goes on to be placed
-	Queued                  // it waits in its tenant's queue
-	Shed                    // it does neither
+	Admitted Verdict = iota // the request may be placed now
+	Queued                  // the request waits in its tenant's queue
+	Shed                    // the request is rejected
 )
 
 // Queue holds the queues of all tenants.
 type Queue struct {
-	cores, memory    float64 // of all machines
-	maxOpen          int     // requests of all tenants that may be open at once
-	free             float64 // fraction of the capacity that may still be taken
-	available        float64 // fraction of the capacity that is not taken
-	minOpen          int     // requests that may be open whatever is free, if they pass slowly: a wrong count must not stop everything
+	cores, memory    float64 // capacity of all machines
+	maxOpen          int     // limit of open requests of all tenants together
+	free             float64 // fraction of the capacity that may still be allocated under the fill level
+	available        float64 // fraction of the capacity that is not allocated
+	minOpen          int     // limit of open requests if no capacity is free; they are admitted slowly, so that a wrong count cannot block all requests
 	lastAdmittedAt   float64
 	tenants          []tenant
 	open             int
-	clock            float64 // virtual clock of the tenant that passed last
-	nextOrder        uint64  // of the next request that is submitted
-	nextReturnOrder  uint64  // of the next request that is returned
+	clock            float64 // highest virtual clock at which a tenant's request was admitted
+	lastOrder        uint64  // of the request submitted last; it counts up
+	nextReturnOrder  uint64  // of the next request that is returned; it counts down
 	waiting          map[uint64]*waitingRequest
 	expiries         expiryHeap
-	belowShare       tenantHeap // tenants that may pass and hold less than their share
-	aboveShare       tenantHeap // tenants that may pass and hold more
+	belowShare       tenantHeap // tenants with admissible requests that hold less than their share
+	aboveShare       tenantHeap // tenants with admissible requests that hold their share or more
 	shares           float64    // sum of the shares of all tenants that are not blocked
-	lastBelowShareAt float64    // when a tenant below its share last submitted a request
+	lastBelowShareAt float64    // time at which a tenant below its share last submitted a request
 	tokenWaits       tokenHeap
 }
 
-// minCapacity avoids divisions by zero.
+// minCapacity prevents a division by zero.
 const minCapacity = 1e-9
 
-// firstOrder leaves room for orders of returned requests, which count down.
+// firstOrder leaves room below it for the orders of returned requests, which count down.
 const firstOrder = 1 << 62
 
-// New returns a queue in front of machines of a total capacity, of which a number of requests may be open at once.
+// New returns a queue for machines with the given total capacity. maxOpen limits the open requests of all tenants together.
 func New(cores, memory float64, maxOpen int) *Queue {
 	q := &Queue{
 		free:             math.Inf(1),
 		available:        math.Inf(1),
 		lastAdmittedAt:   math.Inf(-1),
-		nextOrder:        firstOrder,
+		lastOrder:        firstOrder,
 		nextReturnOrder:  firstOrder,
 		waiting:          map[uint64]*waitingRequest{},
 		lastBelowShareAt: math.Inf(-1),
@@ -89,34 +90,34 @@
 	return q
 }
 
-// SetCapacity changes the total capacity and how many requests may be open. Requests that are open beyond a lower number stay open.
+// SetCapacity changes the total capacity and the limit of open requests. Requests that exceed a lower limit stay open.
 func (q *Queue) SetCapacity(cores, memory float64, maxOpen int) {
 	q.cores, q.memory, q.maxOpen = max(cores, minCapacity), max(memory, minCapacity), maxOpen
 }
 
-// SetFree sets which fraction of the capacity may still be taken, which fraction is not taken, and how many requests may be open even if
-// both are nothing. Each admitted request takes of both until the next call.
+// SetFree sets the fraction of the capacity that may still be allocated (free), the fraction that is not allocated (available), and the
+// number of requests that may be open even if both are 0. Until the next call, the cost of each admitted request is subtracted from both.
 func (q *Queue) SetFree(free, available float64, minOpen int) {
 	q.free, q.available, q.minOpen = free, available, minOpen
 }
 
-// cost returns the fraction of the dominant resource that a request needs.
+// cost returns the fraction of the dominant resource that a request requires.
 func (q *Queue) cost(cores, memory float64) float64 { return max(cores/q.cores, memory/q.memory) }
 
 const (
-	// reserveFraction of the capacity is kept free for tenants below their share while such have submitted requests lately, because full
-	// machines take long to accept a further task.
+	// reserveFraction is the fraction of the capacity that is reserved for tenants below their share, because a further task takes long
+	// to place on full machines. The reserve applies for reserveDuration after such a tenant has submitted a request.
 	reserveFraction = 0.06
 	reserveDuration = 10000 // ms
 
-	// trickleInterval is the time in ms between two requests that pass although nothing is free: answers are quick, so minOpen alone
-	// would not hold them back.
+	// trickleInterval is the minimum time in ms between two requests that are admitted although no capacity is free. Requests are
+	// answered so quickly that minOpen alone would not limit their rate.
 	trickleInterval = 20
 )
 
-// isFull reports whether there is no capacity for requests of tenants above their share, or below it.
+// isFull reports whether there is no capacity for a request of a tenant that is above or below its share, as aboveShare says.
 func (q *Queue) isFull(now float64, aboveShare bool) bool {
-	left := q.available // a tenant below its share is not held back because others slow the machines down
+	left := q.available // the fill level, which falls when other tenants slow the machines down, does not hold back a tenant below its share
 	if aboveShare {
 		left = min(left, q.free)
 		if now-q.lastBelowShareAt < reserveDuration {
@@ -138,8 +139,8 @@
 // Waiting returns the number of a tenant's waiting requests.
 func (q *Queue) Waiting(tenant int) int { return len(q.tenants[tenant].queue) }
 
-// DivideLimit returns a process's part of a limit that holds for all processes together, by its index among them. The parts sum up to the
-// limit, so that no process needs to ask another. The part of a process that is down is not used by the others.
+// DivideLimit returns the part of a limit for all processes together that the process with the given index may use. The parts add up to the
+// limit, so that the processes need not coordinate. The part of a process that is down is not used by the others.
 func DivideLimit(limit, processes, index int) int {
 	if processes <= 0 || index < 0 || index >= processes {
 		return 0
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -9,115 +9,117 @@
 	"pgregory.net/rapid"
 )
 
-// simulate has tenants submit requests at rates, each of which runs for 100 ms. It returns how many requests of each tenant were done,
-// how long they waited at most, and how many were shed.
-func simulate(q *Queue, rates []float64, cost [][2]float64, lasts float64) (done []int, waited []float64, declined []int) {
+// simulate has each tenant submit requests at its rate per second, for a duration in ms. Each admitted request runs for 100 ms. It returns
+// for each tenant how many requests were completed, how many ms one waited at most, and how many were shed or expired.
+func simulate(q *Queue, rates []float64, costs [][2]float64, duration float64) (done []int, maxWaits []float64, shed []int) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	done, waited, declined = make([]int, len(rates)), make([]float64, len(rates)), make([]int, len(rates))
+	done, maxWaits, shed = make([]int, len(rates)), make([]float64, len(rates)), make([]int, len(rates))
 	next := make([]float64, len(rates))
 	type running struct {
-		at     float64
+		endsAt float64
 		tenant int
 	}
-	var runs []running
-	asked := map[uint64]float64{}
-	of := map[uint64]int{}
+	var active []running
+	submittedAt := map[uint64]float64{}
+	tenantOf := map[uint64]int{}
 	id := uint64(0)
 	start := func(now float64, id uint64) {
-		t := of[id]
-		waited[t] = max(waited[t], now-asked[id])
-		runs = append(runs, running{now + 100, t})
-	}
-	for now := 0.0; now < lasts; now++ {
-		for len(runs) > 0 && runs[0].at <= now {
-			q.Release(runs[0].tenant)
-			done[runs[0].tenant]++
-			runs = runs[1:]
+		tenant := tenantOf[id]
+		maxWaits[tenant] = max(maxWaits[tenant], now-submittedAt[id])
+		active = append(active, running{now + 100, tenant})
+	}
+	for now := 0.0; now < duration; now++ {
+		for len(active) > 0 && active[0].endsAt <= now {
+			q.Release(active[0].tenant)
+			done[active[0].tenant]++
+			active = active[1:]
 		}
-		for t, r := range rates {
-			for r > 0 && next[t] <= now {
-				next[t] += rng.ExpFloat64() * 1000 / r
+		for tenant, r := range rates {
+			for r > 0 && next[tenant] <= now {
+				next[tenant] += rng.ExpFloat64() * 1000 / r
 				id++
-				asked[id], of[id] = now, t
-				switch a, back := q.Submit(now, Request{Tenant: t, ID: id, Cores: cost[t][0], Memory: cost[t][1], Deadline: now + 5000}); a {
+				submittedAt[id], tenantOf[id] = now, tenant
+				switch verdict, retryAfter := q.Submit(now, Request{Tenant: tenant, ID: id, Cores: costs[tenant][0], Memory: costs[tenant][1], Deadline: now + 5000}); verdict {
 				case Admitted:
 					start(now, id)
 				case Shed:
-					if back < minRetryAfter || back > maxRetryAfter {
-						panic(back)
+					if retryAfter < minRetryAfter || retryAfter > maxRetryAfter {
+						panic(retryAfter)
 					}
-					declined[t]++
+					shed[tenant]++
 				}
 			}
 		}
 		for {
-			id, ok := q.Next(now, func(id uint64) { declined[of[id]]++ })
+			id, ok := q.Next(now, func(id uint64) { shed[tenantOf[id]]++ })
 			if !ok {
 				break
 			}
 			start(now, id)
 		}
 	}
-	return done, waited, declined
+	return done, maxWaits, shed
 }
 
-func newQueue(window int, limits ...Limits) *Queue {
-	q := New(100, 100, window)
+func newQueue(maxOpen int, limits ...Limits) *Queue {
+	q := New(100, 100, maxOpen)
 	for i, l := range limits {
 		q.SetLimits(0, i, l)
 	}
 	return q
 }
 
-var one = [2]float64{1, 1}
+var unitCost = [2]float64{1, 1}
 
-// TestShares checks who gets how many requests done: ten at a time for 100 ms each are 100 per second.
+// TestShares checks how many requests of each tenant are completed. At most ten are open at once for 100 ms each, which is 100 per second in
+// all.
 func TestShares(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		limits []Limits
 		rates  []float64
 		cost   [][2]float64
-		want   []float64 // done per second
+		want   []float64 // completed requests per second
 	}{
-		{"by share", []Limits{{Share: 3, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{75, 25}},
-		{"what one leaves is used by the other", []Limits{{Share: 3, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{20, 300}, [][2]float64{one, one}, []float64{20, 80}},
-		{"larger ones cost more", []Limits{{Share: 1, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, {3, 1}}, []float64{75, 25}},
-		{"by memory as well", []Limits{{Share: 1, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{{1, 4}, one}, []float64{20, 80}},
-		{"a rate", []Limits{{Share: 1, MaxWaiting: 500, Rate: 10, Burst: 5}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{10, 90}},
-		{"a number open", []Limits{{Share: 9, MaxWaiting: 500, MaxOpen: 2}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{20, 80}},
-		{"stopped", []Limits{{Share: 9, MaxWaiting: 500, Blocked: true}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{one, one}, []float64{0, 100}},
+		{"in proportion to the shares", []Limits{{Share: 3, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{unitCost, unitCost}, []float64{75, 25}},
+		{"one tenant uses what the other leaves", []Limits{{Share: 3, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{20, 300}, [][2]float64{unitCost, unitCost}, []float64{20, 80}},
+		{"larger requests cost more", []Limits{{Share: 1, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{unitCost, {3, 1}}, []float64{75, 25}},
+		{"memory is the dominant resource", []Limits{{Share: 1, MaxWaiting: 500}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{{1, 4}, unitCost}, []float64{20, 80}},
+		{"limited rate", []Limits{{Share: 1, MaxWaiting: 500, Rate: 10, Burst: 5}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{unitCost, unitCost}, []float64{10, 90}},
+		{"limited open requests", []Limits{{Share: 9, MaxWaiting: 500, MaxOpen: 2}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{unitCost, unitCost}, []float64{20, 80}},
+		{"blocked tenant", []Limits{{Share: 9, MaxWaiting: 500, Blocked: true}, {Share: 1, MaxWaiting: 500}}, []float64{300, 300}, [][2]float64{unitCost, unitCost}, []float64{0, 100}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			done, _, _ := simulate(newQueue(10, c.limits...), c.rates, c.cost, 20000)
 			for i, want := range c.want {
 				if got := float64(done[i]) / 20; math.Abs(got-want) > 0.07*want+1 {
-					t.Errorf("tenant %d: %g a second, want %g", i, got, want)
+					t.Errorf("tenant %d: got %g completed requests per second, want %g", i, got, want)
 				}
 			}
 		})
 	}
 }
 
-// TestBelowShareIsNotStarved has one tenant flood: another one of an equal share waits for one running request at most.
+// TestBelowShareIsNotStarved checks that a request of a tenant below its share waits for about one running request at most while another one
+// of equal share floods the queue, and that the flood still uses the whole capacity.
 func TestBelowShareIsNotStarved(t *testing.T) {
-	for _, window := range []int{1, 10, 50} {
-		flood := 40 * float64(window)
-		done, waited, declined := simulate(newQueue(window, Limits{Share: 1, MaxWaiting: 1000}, Limits{Share: 1, MaxWaiting: 100}),
-			[]float64{flood, 3}, [][2]float64{one, one}, 20000)
-		if waited[1] > 120+300/float64(window) || declined[1] > 0 || done[1] < 45 {
-			t.Errorf("window %d: the calm one waited %g ms at most, %d declined, %d done", window, waited[1], declined[1], done[1])
+	for _, maxOpen := range []int{1, 10, 50} {
+		floodRate := 40 * float64(maxOpen)
+		done, maxWaits, shed := simulate(newQueue(maxOpen, Limits{Share: 1, MaxWaiting: 1000}, Limits{Share: 1, MaxWaiting: 100}),
+			[]float64{floodRate, 3}, [][2]float64{unitCost, unitCost}, 20000)
+		if maxWaits[1] > 120+300/float64(maxOpen) || shed[1] > 0 || done[1] < 45 {
+			t.Errorf("%d open: the tenant below its share waited up to %g ms, %d requests shed, %d completed; want none shed, 45 or more completed", maxOpen, maxWaits[1], shed[1], done[1])
 		}
-		if declined[0] == 0 || float64(done[0]+done[1]) < 0.97*200*float64(window)-20 {
-			t.Errorf("window %d: %d declined of the flood, %d done: places stood idle", window, declined[0], done[0])
+		if shed[0] == 0 || float64(done[0]+done[1]) < 0.97*200*float64(maxOpen)-20 {
+			t.Errorf("%d open: %d requests of the flood shed, %d completed; want some shed and no idle capacity", maxOpen, shed[0], done[0])
 		}
 	}
 }
 
-// TestIdleTimeIsNotSavedUp has a tenant return after a long idle time: it must not starve the other for as long.
+// TestIdleTimeIsNotSavedUp checks that a tenant that returns after a long idle time does not starve the other tenant for as long.
 func TestIdleTimeIsNotSavedUp(t *testing.T) {
 	q := newQueue(10, Limits{Share: 1, MaxWaiting: 2000}, Limits{Share: 1, MaxWaiting: 2000})
-	simulate(q, []float64{300, 0}, [][2]float64{one, one}, 20000)
+	simulate(q, []float64{300, 0}, [][2]float64{unitCost, unitCost}, 20000)
 	for i := range q.tenants {
 		q.tenants[i].open = 0
 	}
@@ -125,18 +127,18 @@
 	for i := range q.tenants {
 		q.RemoveAll(i, func(uint64) {})
 	}
-	done, _, _ := simulate(q, []float64{300, 300}, [][2]float64{one, one}, 4000)
+	done, _, _ := simulate(q, []float64{300, 300}, [][2]float64{unitCost, unitCost}, 4000)
 	if float64(done[0]) < 0.4*float64(done[0]+done[1]) {
-		t.Errorf("after its calm one got %d, the other %d", done[1], done[0])
+		t.Errorf("got %d completed requests of the returning tenant and %d of the other, want at least 40%% of all for the other", done[1], done[0])
 	}
 }
 
-// request returns a request of one core and one memory of tenant 0.
+// request returns a request of tenant 0 for one unit each of cores and memory.
 func request(id uint64, urgency int, deadline float64) Request {
 	return Request{ID: id, Urgency: urgency, Cores: 1, Memory: 1, Deadline: deadline}
 }
 
-// newBusyQueue returns a queue of one open request, behind which requests 2 to 4 wait and 5 was shed.
+// newBusyQueue returns a queue whose only slot is taken by request 1. Requests 2 to 4 wait, and request 5 was shed.
 func newBusyQueue(t *testing.T) *Queue {
 	t.Helper()
 	q := newQueue(1, Limits{Share: 1, MaxWaiting: 3})
@@ -148,7 +150,7 @@
 		want    Verdict
 	}{{request(2, 0, 5000), Queued}, {request(3, 2, 5000), Queued}, {request(4, 1, 200), Queued}, {request(5, 9, 5000), Shed}} {
 		if verdict, retryAfter := q.Submit(10, c.request); verdict != c.want || verdict == Shed && retryAfter < minRetryAfter {
-			t.Errorf("request %d: %d, retry after %g", c.request.ID, verdict, retryAfter)
+			t.Errorf("request %d: got verdict %d and retry after %g ms, want the verdict of the table", c.request.ID, verdict, retryAfter)
 		}
 	}
 	return q
@@ -157,23 +159,23 @@
 func TestQueueOrder(t *testing.T) {
 	q := newBusyQueue(t)
 	if _, ok := q.Next(20, nil); ok {
-		t.Error("admitted without capacity")
+		t.Error("got a request admitted without capacity, want none")
 	}
 	q.Release(0)
 	if id, ok := q.Next(30, nil); !ok || id != 3 {
-		t.Errorf("%d, want the most urgent", id)
+		t.Errorf("got request %d admitted, want request 3, which is the most urgent", id)
 	}
 	q.Release(0)
 	if due := q.Due(40); due != 200 {
-		t.Errorf("due at %g, want the deadline of the first", due)
+		t.Errorf("got due at %g ms, want 200, the earliest deadline", due)
 	}
 	var expired []uint64
 	id, ok := q.Next(250, func(id uint64) { expired = append(expired, id) })
 	if !ok || id != 2 || !slices.Equal(expired, []uint64{4}) {
-		t.Errorf("%d, expired %v", id, expired)
+		t.Errorf("got request %d admitted and %v expired, want request 2 and [4]", id, expired)
 	}
 	if verdict, _ := q.Submit(260, request(6, 0, 9000)); verdict != Queued || !q.Remove(6) || q.Remove(6) || q.Waiting(0) != 0 {
-		t.Error("not removed once")
+		t.Error("got a request that was not removed exactly once, want it removed by the first of two calls")
 	}
 }
 
@@ -182,11 +184,11 @@
 	unknown := request(9, 0, 5000)
 	unknown.Tenant = 7
 	if verdict, retryAfter := q.Submit(0, unknown); verdict != Shed || retryAfter != maxRetryAfter {
-		t.Error("a request of an unknown tenant was taken")
+		t.Error("got a request of an unknown tenant not shed with the longest retry time, want it shed")
 	}
 }
 
-// TestDivideLimit checks that the parts of a limit sum up to it for any number of processes.
+// TestDivideLimit checks that the parts of a limit add up to it for any number of processes.
 func TestDivideLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit, processes := rapid.IntRange(0, 1000).Draw(t, "limit"), rapid.IntRange(1, 40).Draw(t, "processes")
@@ -194,12 +196,12 @@
 		for i := range processes {
 			part := DivideLimit(limit, processes, i)
 			if part < limit/processes || part > limit/processes+1 {
-				t.Fatalf("part %d of %d by %d", part, limit, processes)
+				t.Fatalf("got part %d of limit %d for %d processes, want the quotient or 1 more", part, limit, processes)
 			}
 			sum += part
 		}
 		if sum != limit || DivideLimit(limit, processes, processes) != 0 {
-			t.Fatalf("parts of %d sum up to %d", limit, sum)
+			t.Fatalf("limit %d: got parts that add up to %d, want the limit, and 0 for an index out of range", limit, sum)
 		}
 	})
 }
--- a/internal/decide/fairqueue/heaps.go
+++ b/internal/decide/fairqueue/heaps.go
@@ -3,13 +3,13 @@
 // waitingRequest is a request that waits in its tenant's queue.
 type waitingRequest struct {
 	Request
-	order    uint64 // lower goes first among those of one urgency
+	order    uint64 // requests of equal urgency are admitted in ascending order
 	cost     float64
-	position int  // in its tenant's queue
-	removed  bool // from its queue; it stays in the expiry heap until its deadline
+	position int  // index in its tenant's queue
+	removed  bool // it has left its tenant's queue; its entry in the expiry heap is removed later
 }
 
-// expiryHeap holds all waiting requests by deadline, because one behind more urgent ones expires too.
+// expiryHeap holds the waiting requests of all tenants by deadline, because requests expire in another order than that of the queues.
 type expiryHeap []*waitingRequest
 
 func (h expiryHeap) Len() int { return len(h) }
@@ -28,8 +28,8 @@
 	return r
 }
 
-// tenantHeap holds the tenants with waiting requests that may pass, by virtual clock, so that no request has to visit thousands of
-// tenants. A tenant whose rate or limit lets nothing pass is left out until it does.
+// tenantHeap holds the tenants whose next waiting request may be admitted, by virtual clock, so that an admission need not scan thousands
+// of tenants. A tenant that has reached its rate limit or its limit of open requests is left out until a request may be admitted again.
 type tenantHeap struct {
 	queue *Queue
 	slots []int
@@ -62,18 +62,18 @@
 	return slot
 }
 
-// tokenWait is a tenant that waits for the next token of its rate limit.
+// tokenWait is a tenant that waits for the next token of its rate limit, and the time at which it has one.
 type tokenWait struct {
-	at     float64
-	tenant int
+	readyAt float64
+	tenant  int
 }
 
-// tokenHeap holds the tenants that wait for tokens, by the time of the next token.
+// tokenHeap holds the tenants that wait for a token, by the time of their next token.
 type tokenHeap []tokenWait
 
 func (h tokenHeap) Len() int { return len(h) }
 
-func (h tokenHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h tokenHeap) Less(i, j int) bool { return h[i].readyAt < h[j].readyAt }
 
 func (h tokenHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
@@ -86,7 +86,7 @@
 	return wait
 }
 
-// tenantQueue holds the waiting requests of a tenant, by urgency and order.
+// tenantQueue is a heap of a tenant's waiting requests, by urgency and order.
 type tenantQueue []*waitingRequest
 
 func (q tenantQueue) Len() int { return len(q) }
--- a/internal/decide/fairqueue/model_test.go
+++ b/internal/decide/fairqueue/model_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestLimitsHold makes random calls: limits hold at each admission, and no request is counted twice or lost.
+// TestLimitsHold makes random calls and checks that the limits hold at each admission, and that no request is counted twice or lost.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newQueueModel(t)
@@ -20,7 +20,7 @@
 // modelTenants is the number of tenants of the model.
 const modelTenants = 3
 
-// queueModel is a queue and what it holds.
+// queueModel is a queue under test and the state that it is expected to have.
 type queueModel struct {
 	t       *rapid.T
 	queue   *Queue
@@ -38,7 +38,7 @@
 }
 
 func newQueueModel(t *rapid.T) *queueModel {
-	maxOpen := rapid.IntRange(1, 8).Draw(t, "window")
+	maxOpen := rapid.IntRange(1, 8).Draw(t, "max open")
 	m := &queueModel{t: t, queue: New(10, 10, maxOpen), maxOpen: maxOpen, held: map[uint64]heldRequest{}}
 	for tenant := range m.limits {
 		m.setLimits(tenant)
@@ -67,8 +67,8 @@
 func (m *queueModel) setLimits(tenant int) {
 	m.limits[tenant] = Limits{
 		Share: rapid.Float64Range(0.1, 5).Draw(m.t, "share"), Rate: float64(rapid.IntRange(0, 50).Draw(m.t, "rate")),
-		Burst: float64(rapid.IntRange(0, 4).Draw(m.t, "burst")), MaxOpen: rapid.IntRange(0, 4).Draw(m.t, "open"),
-		MaxWaiting: rapid.IntRange(0, 5).Draw(m.t, "wait"), Blocked: rapid.IntRange(0, 9).Draw(m.t, "stop") == 0,
+		Burst: float64(rapid.IntRange(0, 4).Draw(m.t, "burst")), MaxOpen: rapid.IntRange(0, 4).Draw(m.t, "max open"),
+		MaxWaiting: rapid.IntRange(0, 5).Draw(m.t, "max waiting"), Blocked: rapid.IntRange(0, 9).Draw(m.t, "blocked") == 0,
 	}
 	m.queue.SetLimits(m.now, tenant, m.limits[tenant])
 }
@@ -76,7 +76,7 @@
 func (m *queueModel) submit(tenant int) {
 	m.lastID++
 	r := Request{ID: m.lastID, Tenant: tenant, Urgency: rapid.IntRange(0, 2).Draw(m.t, "urgency"), Cores: 1, Memory: 1}
-	r.Deadline = m.now + float64(rapid.IntRange(1, 500).Draw(m.t, "left"))
+	r.Deadline = m.now + float64(rapid.IntRange(1, 500).Draw(m.t, "ms to deadline"))
 	verdict, retryAfter := m.queue.Submit(m.now, r)
 	switch verdict {
 	case Admitted:
@@ -85,12 +85,12 @@
 		m.held[r.ID] = heldRequest{tenant, true}
 	case Shed:
 		if !(retryAfter >= minRetryAfter && retryAfter <= maxRetryAfter) {
-			m.t.Fatalf("retry after %g ms", retryAfter)
+			m.t.Fatalf("got retry after %g ms, want minRetryAfter to maxRetryAfter", retryAfter)
 		}
 	}
 }
 
-// onAdmitted checks the limits at an admission.
+// onAdmitted records an admission and checks the limits.
 func (m *queueModel) onAdmitted(id uint64, tenant int) {
 	m.open[tenant]++
 	total := 0
@@ -98,7 +98,7 @@
 		total += n
 	}
 	if l := m.limits[tenant]; l.MaxOpen > 0 && m.open[tenant] > l.MaxOpen || l.Blocked || total > m.maxOpen {
-		m.t.Fatalf("admitted beyond a limit: %v open, %+v, at most %d", m.open, l, m.maxOpen)
+		m.t.Fatalf("got an admission beyond a limit: %v open by tenant with limits %+v and at most %d in all", m.open, l, m.maxOpen)
 	}
 	m.held[id] = heldRequest{tenant, false}
 }
@@ -106,7 +106,7 @@
 func (m *queueModel) next() {
 	id, ok := m.queue.Next(m.now, func(id uint64) {
 		if !m.held[id].waiting {
-			m.t.Fatal("a request expired that did not wait")
+			m.t.Fatal("got a request expired that did not wait")
 		}
 		delete(m.held, id)
 	})
@@ -114,7 +114,7 @@
 		return
 	}
 	if !m.held[id].waiting {
-		m.t.Fatal("a request was admitted that did not wait")
+		m.t.Fatal("got a request admitted that did not wait")
 	}
 	m.onAdmitted(id, m.held[id].tenant)
 }
@@ -126,11 +126,11 @@
 	}
 }
 
-// remove removes any request, if there is one.
+// remove withdraws an arbitrary request, if there is one.
 func (m *queueModel) remove() {
 	for id, held := range m.held {
 		if held.waiting != m.queue.Remove(id) {
-			m.t.Fatal("removed what did not wait, or not what did")
+			m.t.Fatal("got a request removed that did not wait, or a waiting request not removed")
 		}
 		if held.waiting {
 			delete(m.held, id)
@@ -148,7 +148,7 @@
 			}
 		}
 		if m.queue.Waiting(tenant) != waiting || m.queue.Open(tenant) != m.open[tenant] {
-			m.t.Fatalf("tenant %d: %d wait, counted %d; %d open, counted %d", tenant, waiting, m.queue.Waiting(tenant), m.open[tenant], m.queue.Open(tenant))
+			m.t.Fatalf("tenant %d: want %d waiting, got %d; want %d open, got %d", tenant, waiting, m.queue.Waiting(tenant), m.open[tenant], m.queue.Open(tenant))
 		}
 	}
 }
--- a/internal/decide/fairqueue/submit.go
+++ b/internal/decide/fairqueue/submit.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Submit admits, queues or sheds a request. If it is shed, retryAfter says after how many ms to submit it again. A request whose turn
-// cannot come before its deadline is shed at once.
+// Submit admits, queues or sheds a request. If the request is shed, retryAfter is the number of ms after which to submit it again. A request
+// that is not expected to be admitted before its deadline is shed at once.
 func (q *Queue) Submit(now float64, r Request) (verdict Verdict, retryAfter float64) {
 	if r.Tenant < 0 || r.Tenant >= len(q.tenants) || !q.tenants[r.Tenant].known {
 		return Shed, maxRetryAfter
@@ -37,12 +37,13 @@
 		q.advanceClock(t)
 		t.waitingSince = now
 	}
-	q.nextOrder++
-	q.push(&waitingRequest{Request: r, order: q.nextOrder, cost: cost})
+	q.lastOrder++
+	q.push(&waitingRequest{Request: r, order: q.lastOrder, cost: cost})
 	return Queued, 0
 }
 
-// Return takes back an admitted request that found no place. It is the first of its urgency again, costs nothing, and is no longer open.
+// Return puts an admitted request that could not be placed back into its tenant's queue, as the first of its urgency. The request is no
+// longer open, and its cost and its token are refunded.
 func (q *Queue) Return(now float64, r Request) {
 	t := &q.tenants[r.Tenant]
 	cost := q.cost(r.Cores, r.Memory)
@@ -57,8 +58,9 @@
 	q.Release(r.Tenant)
 }
 
-// Next admits the next waiting request: of the tenant whose clock is farthest behind, first among those below their share. It returns
-// false if there is no capacity or no request may pass. Requests that have expired are given to expired, to be answered.
+// Next admits the next waiting request, which is that of the tenant with the lowest virtual clock; tenants below their share precede all
+// others. It returns false if there is no capacity or no request may be admitted. It calls expired for each request that has expired, so
+// that the caller can answer it.
 func (q *Queue) Next(now float64, expired func(id uint64)) (id uint64, ok bool) {
 	q.Expire(now, expired)
 	q.refillWaiting(now)
@@ -82,7 +84,8 @@
 	return id, true
 }
 
-// Expire gives the requests whose deadline has passed to expired, to be answered. The caller calls it or Next by Due.
+// Expire removes the requests whose deadline has passed and calls expired for each, so that the caller can answer it. The caller has to call
+// Expire or Next at the time that Due returns.
 func (q *Queue) Expire(now float64, expired func(id uint64)) {
 	for len(q.expiries) > 0 && (q.expiries[0].removed || q.expiries[0].Deadline <= now) {
 		if r := heap.Pop(&q.expiries).(*waitingRequest); !r.removed {
@@ -91,7 +94,8 @@
 	}
 }
 
-// Due returns when Next may have something by time alone: a token accrues or a request expires. It is infinite if neither does.
+// Due returns the next time at which a token accrues or a request expires, so that Next may have a result without any other call. It is
+// infinite if neither will happen.
 func (q *Queue) Due(now float64) float64 {
 	for len(q.expiries) > 0 && q.expiries[0].removed {
 		heap.Pop(&q.expiries)
@@ -101,12 +105,12 @@
 		due = q.expiries[0].Deadline
 	}
 	if len(q.tokenWaits) > 0 {
-		due = min(due, q.tokenWaits[0].at)
+		due = min(due, q.tokenWaits[0].readyAt)
 	}
 	return max(due, now)
 }
 
-// Remove takes out a waiting request, because it was withdrawn; false if it does not wait.
+// Remove removes a waiting request that was withdrawn. It returns false if the request does not wait.
 func (q *Queue) Remove(id uint64) bool {
 	r := q.waiting[id]
 	if r == nil {
@@ -116,7 +120,7 @@
 	return true
 }
 
-// RemoveAll takes out all waiting requests of a tenant and gives them to removed in their order, to be answered.
+// RemoveAll removes all waiting requests of a tenant and calls removed for each in queue order, so that the caller can answer them.
 func (q *Queue) RemoveAll(slot int, removed func(id uint64)) {
 	if slot >= len(q.tenants) {
 		return
@@ -133,7 +137,7 @@
 	q.updateHeaps(r.Tenant)
 }
 
-// removeAt removes the request at a position of a tenant's queue.
+// removeAt removes the request at a position of a tenant's queue and returns its ID.
 func (q *Queue) removeAt(t *tenant, position int) (id uint64) {
 	r := t.queue[position]
 	heap.Remove(&t.queue, position)
@@ -145,11 +149,11 @@
 }
 
 const (
-	minCompactedExpiries = 64 // entries of the expiry heap below which it is not compacted
-	maxExpiryFactor      = 4  // entries of the expiry heap for each waiting request above which it is compacted
+	minCompactedExpiries = 64 // number of entries up to which the expiry heap is not compacted
+	maxExpiryFactor      = 4  // entries per waiting request above which the expiry heap is compacted
 )
 
-// compactExpiries drops removed requests from the expiry heap if they are most of it.
+// compactExpiries drops removed requests from the expiry heap if they make up most of it.
 func (q *Queue) compactExpiries() {
 	if len(q.expiries) <= minCompactedExpiries || len(q.expiries) <= maxExpiryFactor*len(q.waiting) {
 		return
--- a/internal/decide/fairqueue/tenant.go
+++ b/internal/decide/fairqueue/tenant.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	minRetryAfter = 50    // ms
-	maxRetryAfter = 60000 // ms
-	gapWeight     = 0.2   // weight of the last request in the mean time between a tenant's requests
-	idleCredit    = 0.02  // of the virtual clock by which an idle tenant may be behind the others: one burst of its own goes first
-	minGap        = 0.01  // ms
-	tokenRounding = 1e-9  // by which a token may be short due to rounding
+	minRetryAfter  = 50    // ms
+	maxRetryAfter  = 60000 // ms
+	intervalWeight = 0.2   // weight of the latest interval in the mean interval between a tenant's admissions
+	idleCredit     = 0.02  // cost by which the clock of a returning idle tenant is set behind the others: it is served first for one burst
+	minInterval    = 0.01  // ms
+	tokenRounding  = 1e-9  // fraction of a token that may be missing due to rounding
 )
 
-// tenant is a tenant's limits and state.
+// tenant is the limits and the state of one tenant.
 type tenant struct {
 	Limits
 	known          bool
-	clock          float64 // virtual: cost of its requests over its share
+	clock          float64 // virtual clock: cost of admitted requests divided by the share
 	open           int
-	tokens         float64 // of its rate limit
+	tokens         float64 // of the rate limit
 	refilledAt     float64
 	queue          tenantQueue
-	gap            float64 // mean ms between its latest requests that passed; 0: unknown
+	meanInterval   float64 // mean ms between the tenant's latest admissions; 0 means unknown
 	lastAdmittedAt float64
-	waitingSince   float64 // since when a request has waited
-	heapPosition   int     // position in a tenantHeap, from 1; 0: in none
-	aboveShare     bool    // the heap is that of tenants above their share
-	held           float64 // fraction of the capacity that it holds, open or running
-	awaitsToken    bool    // it is in the heap of tenants that wait for tokens
+	waitingSince   float64 // time since which the queue has not been empty
+	heapPosition   int     // position in a tenantHeap, from 1; 0 means that the tenant is in none
+	aboveShare     bool    // the tenant belongs in the heap of tenants above their share
+	held           float64 // fraction of the capacity that the tenant's open requests and running tasks hold
+	awaitsToken    bool    // the tenant is in the heap of tenants that wait for tokens
 }
 
-// tenant returns a tenant's record, and makes it if there is none.
+// tenant returns the record of a tenant, which is created if there is none.
 func (q *Queue) tenant(slot int) *tenant {
 	for len(q.tenants) <= slot {
 		q.tenants = append(q.tenants, tenant{})
@@ -40,28 +40,29 @@
 	return &q.tenants[slot]
 }
 
-// AddHeld records that a tenant holds more resources, or less, by a factor of 1 or -1.
-func (q *Queue) AddHeld(slot int, cores, memory, by float64) {
-	q.tenant(slot).held += by * q.cost(cores, memory)
+// AddHeld adds resources to those that a tenant holds, or subtracts them: factor is 1 or -1.
+func (q *Queue) AddHeld(slot int, cores, memory, factor float64) {
+	q.tenant(slot).held += factor * q.cost(cores, memory)
 	q.updateHeaps(slot)
 }
 
-// AddOpen records that more of a tenant's requests are open, or fewer, than were admitted here: work was recovered, moved or completed.
-func (q *Queue) AddOpen(slot, by int) {
-	q.tenant(slot).open += by
-	q.open += by
+// AddOpen adjusts the number of a tenant's open requests by delta. The number can change other than by an admission, because work was
+// recovered, moved or completed.
+func (q *Queue) AddOpen(slot, delta int) {
+	q.tenant(slot).open += delta
+	q.open += delta
 	q.updateHeaps(slot)
 }
 
 // Release records that an admitted request of a tenant is no longer open.
 func (q *Queue) Release(slot int) { q.AddOpen(slot, -1) }
 
-// SetLimits adds a tenant or changes its limits. Requests that are open or wait beyond lower limits stay.
+// SetLimits adds a tenant or changes its limits. Open and waiting requests that exceed lower limits stay.
 func (q *Queue) SetLimits(now float64, slot int, limits Limits) {
 	t := q.tenant(slot)
 	if !t.known {
 		t.known, t.clock, t.refilledAt = true, q.clock, now
-		t.Blocked = true // its share does not count yet
+		t.Blocked = true // its share is not yet part of the sum of shares
 		t.tokens = math.Inf(1)
 	}
 	t.refill(now)
@@ -76,7 +77,7 @@
 	q.updateHeaps(slot)
 }
 
-// maxTokens returns how many tokens a tenant may save up.
+// maxTokens returns the capacity of a tenant's token bucket.
 func (t *tenant) maxTokens() float64 {
 	if t.Rate <= 0 {
 		return math.Inf(1)
@@ -84,7 +85,7 @@
 	return max(1, t.Burst)
 }
 
-// refill adds the tokens that have accrued.
+// refill adds the tokens that have accrued since the last call.
 func (t *tenant) refill(now float64) {
 	if t.Rate > 0 {
 		t.tokens = min(t.maxTokens(), t.tokens+(now-t.refilledAt)/1000*t.Rate)
@@ -92,25 +93,25 @@
 	t.refilledAt = now
 }
 
-// mayPass reports whether a tenant's limits let a request pass now.
+// mayPass reports whether the tenant's limits allow the admission of a request now.
 func (t *tenant) mayPass() bool {
 	return !t.Blocked && t.tokens >= 1 && (t.MaxOpen <= 0 || t.open < t.MaxOpen)
 }
 
-// exceedsShare reports whether a tenant holds its share or more.
+// exceedsShare reports whether a tenant holds its share of the capacity or more.
 func (q *Queue) exceedsShare(t *tenant) bool { return t.held*q.shares >= t.Share }
 
-// advanceClock sets the clock of an idle tenant to that of the others, less a small credit.
+// advanceClock sets the clock of an idle tenant forward to that of the others, less a small credit.
 func (q *Queue) advanceClock(t *tenant) {
 	if t.open == 0 && len(t.queue) == 0 {
 		t.clock = max(t.clock, q.clock-idleCredit/t.weight())
 	}
 }
 
-// weight returns the tenant's share as a divisor.
+// weight returns the tenant's share, or a small positive value so that it can be a divisor.
 func (t *tenant) weight() float64 { return max(t.Share, 1e-9) }
 
-// charge records that a tenant's request passes.
+// charge records the admission of a tenant's request of the given cost.
 func (q *Queue) charge(now float64, t *tenant, cost float64) {
 	t.open++
 	q.open++
@@ -118,16 +119,17 @@
 	t.tokens--
 	q.clock = max(q.clock, t.clock)
 	t.clock += cost / t.weight()
-	if t.lastAdmittedAt > 0 && (len(t.queue) > 0 || t.gap > 0) {
-		gap := now - max(t.lastAdmittedAt, t.waitingSince)
-		t.gap += gapWeight * (max(minGap, gap) - t.gap)
+	if t.lastAdmittedAt > 0 && (len(t.queue) > 0 || t.meanInterval > 0) {
+		interval := now - max(t.lastAdmittedAt, t.waitingSince)
+		t.meanInterval += intervalWeight * (max(minInterval, interval) - t.meanInterval)
 	}
 	t.lastAdmittedAt, q.lastAdmittedAt = now, now
 }
 
-// estimateWait returns after how many ms the tenant's next request of an urgency would pass, by the tenant's pace; 0 if that is unknown.
+// estimateWait estimates from the tenant's mean interval between admissions how many ms a new request of the given urgency would wait. It
+// returns 0 if the interval is unknown.
 func (t *tenant) estimateWait(urgency int) float64 {
-	if t.gap == 0 && t.Rate <= 0 {
+	if t.meanInterval == 0 && t.Rate <= 0 {
 		return 0
 	}
 	ahead := 0
@@ -139,19 +141,19 @@
 	return t.waitFor(ahead + 1)
 }
 
-// waitFor returns how many ms it takes until a number of the tenant's requests have passed.
+// waitFor estimates how many ms it takes until a number of the tenant's requests have been admitted.
 func (t *tenant) waitFor(requests int) float64 {
-	gap := t.gap
+	interval := t.meanInterval
 	if t.Rate > 0 {
-		gap = max(gap, 1000/t.Rate)
+		interval = max(interval, 1000/t.Rate)
 	}
-	return float64(requests) * gap
+	return float64(requests) * interval
 }
 
-// retryAfter returns after how many ms a tenant whose queue is full may submit again: when half of the queue should have passed.
+// retryAfter returns after how many ms a tenant with a full queue may submit again, which is when half of its queue is expected to be empty.
 func (t *tenant) retryAfter(now float64) float64 {
 	half := t.waitFor((len(t.queue) + 1) / 2)
-	if t.gap == 0 || now-t.lastAdmittedAt > 4*t.gap { // the queue does not move now
+	if t.meanInterval == 0 || now-t.lastAdmittedAt > 4*t.meanInterval { // no request of the queue has been admitted lately
 		half = max(half, now-t.lastAdmittedAt)
 	}
 	return clampRetryAfter(half)
@@ -159,7 +161,7 @@
 
 func clampRetryAfter(ms float64) float64 { return min(maxRetryAfter, max(minRetryAfter, ms)) }
 
-// updateHeaps updates a tenant's position in the heaps after a change of its queue, clock or limits.
+// updateHeaps updates the position of a tenant in the heaps after a change of its queue, clock, holdings or limits.
 func (q *Queue) updateHeaps(slot int) {
 	t := &q.tenants[slot]
 	mayPass := len(t.queue) > 0 && !t.Blocked && (t.MaxOpen <= 0 || t.open < t.MaxOpen)
@@ -184,7 +186,7 @@
 	}
 }
 
-// heapOf returns the heap of tenants above or below their share.
+// heapOf returns the heap of tenants above their share, or of those below it.
 func (q *Queue) heapOf(aboveShare bool) *tenantHeap {
 	if aboveShare {
 		return &q.aboveShare
@@ -192,9 +194,9 @@
 	return &q.belowShare
 }
 
-// refillWaiting returns tenants to the heaps whose next token has accrued.
+// refillWaiting refills the tenants whose next token has accrued, and returns them to the tenant heaps.
 func (q *Queue) refillWaiting(now float64) {
-	for len(q.tokenWaits) > 0 && q.tokenWaits[0].at <= now {
+	for len(q.tokenWaits) > 0 && q.tokenWaits[0].readyAt <= now {
 		slot := heap.Pop(&q.tokenWaits).(tokenWait).tenant
 		t := &q.tenants[slot]
 		t.awaitsToken = false
