--- a/internal/decide/tenancy/change.go
+++ b/internal/decide/tenancy/change.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind is a kind of change.
+// Kind is the kind of a change.
 type Kind uint8
 
 // Kinds of change.
@@ -18,13 +18,13 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Change is a change that an administrator requests.
+// Change is a change of a tenant that an administrator requests.
 type Change struct {
 	Kind    Kind
 	Name    string
-	Limits  Limits      // of Add and Limit
-	Removal RemovalMode `json:"Ending"` // of Remove
-	Version uint64      // of the tenant that it was decided on; 0: any
+	Limits  Limits      // for Add and Limit
+	Removal RemovalMode `json:"Ending"` // for Remove
+	Version uint64      // version of the tenant that the change is based on; 0 means any
 }
 
 // ErrorKind is the kind of a ChangeError.
@@ -32,28 +32,28 @@
 
 // Kinds of errors.
 const (
-	Invalid    ErrorKind = iota // the change itself is wrong
-	NotFound                    // there is no such tenant
-	Exists                      // there is a tenant of this name
-	Stale                       // the change was decided on another version
-	NotAllowed                  // the tenant's state does not allow it
-	NoCapacity                  // there are as many tenants as there can be
+	Invalid    ErrorKind = iota // the change itself is invalid
+	NotFound                    // there is no tenant of this name
+	Exists                      // there is already a tenant of this name
+	Stale                       // the change is based on another version
+	NotAllowed                  // the tenant's state does not allow the change
+	NoCapacity                  // the registry is full
 )
 
-// ChangeError is why a change is not taken.
+// ChangeError says why a change is rejected.
 type ChangeError struct {
-	Field string    // of the change
+	Field string    // field of the change that is the reason
 	Kind  ErrorKind `json:"Sort"`
 	Text  string
 }
 
 func (e *ChangeError) Error() string { return e.Field + ": " + e.Text }
 
-// Apply applies a change and returns the tenant after it. On an error the registry is as before, and the tenant is returned as it is, if
-// there is one. A change that changes nothing is no error and raises no version, so that a repeated request gets the same answer.
+// Apply applies a change and returns the changed tenant. On an error the registry is unchanged, and the present tenant is returned if there
+// is one. A change that has no effect is not an error and does not raise the version, so that a repeated request gets the same answer.
 func (r *Registry) Apply(now float64, c Change) (Tenant, *ChangeError) {
 	if !isValidName(c.Name) {
-		return Tenant{}, &ChangeError{"name", Invalid, "1 to 63 small letters, digits and inner hyphens are expected"}
+		return Tenant{}, &ChangeError{"name", Invalid, "must be 1 to 63 lowercase letters, digits and inner hyphens"}
 	}
 	t := r.byName[c.Name]
 	if c.Kind == Add {
@@ -63,11 +63,11 @@
 		return Tenant{}, &ChangeError{"name", NotFound, fmt.Sprintf("no tenant %q", c.Name)}
 	}
 	if c.Version > 0 && c.Version != t.Version {
-		return *t, &ChangeError{"version", Stale, fmt.Sprintf("is %d by now, not %d", t.Version, c.Version)}
+		return *t, &ChangeError{"version", Stale, fmt.Sprintf("tenant is at version %d, change is based on %d", t.Version, c.Version)}
 	}
-	next, err := changed(*t, c)
+	next, err := withChange(*t, c)
 	if err == nil && t.State == Removing && c.Kind != Remove {
-		err = &ChangeError{"name", NotAllowed, fmt.Sprintf("%q is being removed", c.Name)}
+		err = &ChangeError{"name", NotAllowed, fmt.Sprintf("tenant %q is being removed", c.Name)}
 	}
 	if err != nil {
 		return *t, err
@@ -75,8 +75,8 @@
 	return r.update(now, t, next), nil
 }
 
-// changed returns a tenant after a change other than Add.
-func changed(t Tenant, c Change) (Tenant, *ChangeError) {
+// withChange returns a tenant with a change other than Add applied.
+func withChange(t Tenant, c Change) (Tenant, *ChangeError) {
 	next := t
 	switch c.Kind {
 	case Limit:
@@ -91,15 +91,15 @@
 	case Remove:
 		next.State, next.Removal = Removing, c.Removal
 		if t.State == Removing && c.Removal < t.Removal {
-			return t, &ChangeError{"ending", NotAllowed, "what runs is being stopped already"}
+			return t, &ChangeError{"ending", NotAllowed, "the running tasks are already being stopped"}
 		}
 	default:
-		return t, &ChangeError{"kind", Invalid, "no such change"}
+		return t, &ChangeError{"kind", Invalid, "unknown kind of change"}
 	}
 	return next, nil
 }
 
-// update replaces a tenant under its next version, unless nothing changes.
+// update replaces a tenant and raises its version, unless nothing changes.
 func (r *Registry) update(now float64, t *Tenant, next Tenant) Tenant {
 	if next == *t {
 		return next
@@ -112,41 +112,41 @@
 	return next
 }
 
-// add adds a tenant. old is the one of the same name, nil if there is none.
-func (r *Registry) add(now float64, c Change, old *Tenant) (Tenant, *ChangeError) {
+// add adds a tenant. existing is the tenant of the same name, nil if there is none.
+func (r *Registry) add(now float64, c Change, existing *Tenant) (Tenant, *ChangeError) {
 	if err := checkLimits(c.Limits); err != nil {
 		return Tenant{}, err
 	}
 	if c.Version > 0 {
-		return Tenant{}, &ChangeError{"version", Invalid, "none is expected for one that is new"}
+		return Tenant{}, &ChangeError{"version", Invalid, "must not be set for a new tenant"}
 	}
-	if old != nil && old.State != Removed {
-		return *old, &ChangeError{"name", Exists, fmt.Sprintf("%q is %s", c.Name, old.State)}
+	if existing != nil && existing.State != Removed {
+		return *existing, &ChangeError{"name", Exists, fmt.Sprintf("tenant %q already exists and is %s", c.Name, existing.State)}
 	}
 	slot := r.freeSlot(now)
 	if slot < 0 {
 		return Tenant{}, &ChangeError{
 			"name", NoCapacity,
-			fmt.Sprintf("%d tenants are there, or were until %g minutes ago", r.slots, SlotQuarantine/msPerMinute),
+			fmt.Sprintf("all %d slots hold a tenant or one that was removed less than %g minutes ago", r.slots, SlotQuarantine/msPerMinute),
 		}
 	}
 	version := uint64(1)
-	if old != nil {
-		version = old.Version + 1
-		if old.Slot != slot { // its old slot is free for others after its rest
-			rest := *old
-			r.bySlot[rest.Slot] = &rest
+	if existing != nil {
+		version = existing.Version + 1
+		if existing.Slot != slot { // the removed tenant keeps its old slot until the quarantine ends
+			retired := *existing
+			r.bySlot[retired.Slot] = &retired
 		}
 	}
-	if previous := r.bySlot[slot]; previous != nil && r.byName[previous.Name] == previous {
-		delete(r.byName, previous.Name)
+	if occupant := r.bySlot[slot]; occupant != nil && r.byName[occupant.Name] == occupant {
+		delete(r.byName, occupant.Name)
 	}
 	t := &Tenant{Name: c.Name, Slot: slot, State: Active, Limits: c.Limits, Version: version, StateChangedAt: now}
 	r.byName[c.Name], r.bySlot[slot] = t, t
 	return *t, nil
 }
 
-// CompleteRemoval ends the removal of a tenant of which nothing is left; false if it is not being removed.
+// CompleteRemoval marks a tenant of which nothing is left as removed. It returns false if the tenant is not being removed.
 func (r *Registry) CompleteRemoval(now float64, name string) (Tenant, bool) {
 	t := r.byName[name]
 	if t == nil || t.State != Removing {
--- a/internal/decide/tenancy/policy.go
+++ b/internal/decide/tenancy/policy.go
@@ -6,17 +6,17 @@
 	"ravenpond/internal/decide/quotalease"
 )
 
-// Policy is what a tenant's state asks of one process that places for it.
+// Policy is what one scheduler process has to apply to a tenant, as it follows from the tenant's limits and state.
 type Policy struct {
-	Limits      fairqueue.Limits     // the process's part of them
-	Connections connadmission.Limits // the process's part of them
-	AcceptsNew  bool                 // new requests are taken
-	AbortOpen   bool                 // what is open is given up and answered at once
+	Limits      fairqueue.Limits     // the process's part of the limits
+	Connections connadmission.Limits // the process's part of the limits of connections
+	AcceptsNew  bool                 // new requests are accepted
+	AbortOpen   bool                 // open requests are aborted and answered at once
 	StopRunning bool                 // running tasks are stopped
 }
 
-// PolicyFor returns the policy for a process with a share of all limits. The limits of connections are divided by place and never leased,
-// so that a process that is cut off from the others keeps its connections.
+// PolicyFor returns the policy for a process with the given share of all limits. The limits of connections are divided among the processes of
+// the site file and never leased, so that a process that is partitioned from the others keeps its connections.
 func (t *Tenant) PolicyFor(share quotalease.Share) Policy {
 	p := Policy{
 		Limits:      t.Limits.Limits,
@@ -29,14 +29,14 @@
 	p.Limits.Burst = max(1, share.Rate(t.Limits.Burst))
 	if t.Limits.MaxOpen > 0 {
 		p.Limits.MaxOpen = share.Count(t.Limits.MaxOpen)
-		p.AcceptsNew = p.AcceptsNew && p.Limits.MaxOpen > 0 // a limit below the number of processes leaves some of them nothing
+		p.AcceptsNew = p.AcceptsNew && p.Limits.MaxOpen > 0 // if the limit is below the number of processes, some of them get 0
 	}
 	p.Limits.Blocked = !p.AcceptsNew
 	return p
 }
 
-// connLimits returns a process's part of the limits of connections. It is one connection at least, because a client that cannot connect
-// never gets a reason.
+// connLimits returns a process's part of the limits of connections. It allows at least one connection, because a client that cannot connect
+// cannot be told the reason.
 func (t *Tenant) connLimits(share quotalease.Share) connadmission.Limits {
 	limits := connadmission.Limits{Share: t.Limits.Share, BytesPerSecond: t.Limits.BytesPerSecond / float64(max(1, share.Places))}
 	if t.Limits.MaxConns > 0 {
