--- a/internal/decide/admission/admission_test.go
+++ b/internal/decide/admission/admission_test.go
@@ -7,43 +7,44 @@
 )
 
 func TestLimiter(t *testing.T) {
-	d := NewLimiter(100, []float64{0.5, 0.3, 0.2})
-	admit := func(tenant, n int) (taken int, last Verdict) {
-		for range n {
-			if last = d.Admit(tenant, 5000, 100, true); last == Admitted {
-				taken++
+	limiter := NewLimiter(100, []float64{0.5, 0.3, 0.2})
+	admit := func(tenant, requests int) (admitted int, last Verdict) {
+		for range requests {
+			if last = limiter.Admit(tenant, 5000, 100, true); last == Admitted {
+				admitted++
 			}
 		}
 		return
 	}
-	if n, why := admit(0, 200); n != 75 || why != OverShare {
-		t.Errorf("a flood of one tenant: %d taken, then %s; want 75, tenant-flood", n, why)
+	if got, verdict := admit(0, 200); got != 75 || verdict != OverShare {
+		t.Errorf("flood of one tenant: got %d admitted, then %s; want 75, then tenant-flood", got, verdict)
 	}
-	if n, why := admit(2, 50); n != 25 || why != Full {
-		t.Errorf("beside it: %d taken, then %s; want 25, full", n, why)
+	if got, verdict := admit(2, 50); got != 25 || verdict != Full {
+		t.Errorf("another tenant during the flood: got %d admitted, then %s; want 25, then full", got, verdict)
 	}
-	d.Release(0)
-	if why := d.Admit(1, 50, 100, true); why != TooLate {
-		t.Errorf("without time: %s", why)
+	limiter.Release(0)
+	if verdict := limiter.Admit(1, 50, 100, true); verdict != TooLate {
+		t.Errorf("request with too little time left: got %s, want too-late", verdict)
 	}
-	if why := d.Admit(1, 500, 100, false); why != TooLarge {
-		t.Errorf("without a machine: %s", why)
+	if verdict := limiter.Admit(1, 500, 100, false); verdict != TooLarge {
+		t.Errorf("request that fits no machine: got %s, want too-large", verdict)
 	}
-	if why := d.Admit(1, 500, 100, true); why != Admitted || d.Open() != 100 {
-		t.Errorf("after one was released: %s, %d open", why, d.Open())
+	if verdict := limiter.Admit(1, 500, 100, true); verdict != Admitted || limiter.Open() != 100 {
+		t.Errorf("request after a release: got %s, %d open; want taken, 100 open", verdict, limiter.Open())
 	}
 }
 
-// TestGate simulates a shard behind the gate: how long admitted requests waited, and how many were shed.
+// TestGate simulates a shard behind the gate, at 80% and at 200% of its capacity, with and without stalls. It checks how long admitted requests
+// wait and how many are shed.
 func TestGate(t *testing.T) {
-	for _, hiccups := range []bool{false, true} {
-		calm := simulateGate(0.8/simulatedCost, hiccups, 1)
-		if calm.shed > 0.01 {
-			t.Errorf("hiccups %v: at 80%% load %.1f%% were shed", hiccups, 100*calm.shed)
+	for _, stalls := range []bool{false, true} {
+		normal := simulateGate(0.8/simulatedCost, stalls, 1)
+		if normal.shed > 0.01 {
+			t.Errorf("stalls %v: at 80%% load got %.1f%% shed, want at most 1%%", stalls, 100*normal.shed)
 		}
-		flood := simulateGate(2/simulatedCost, hiccups, 2)
-		if flood.p99 > 2*max(calm.p99, 10) || flood.shed < 0.45 || flood.shed > 0.6 {
-			t.Errorf("hiccups %v: p99 %.1f ms at twice the load, %.1f at 80%%; %.0f%% shed", hiccups, flood.p99, calm.p99, 100*flood.shed)
+		overload := simulateGate(2/simulatedCost, stalls, 2)
+		if overload.p99 > 2*max(normal.p99, 10) || overload.shed < 0.45 || overload.shed > 0.6 {
+			t.Errorf("stalls %v: got p99 %.1f ms at 200%% load and %.1f ms at 80%%, %.0f%% shed; want at most double the p99 (or 20 ms), 45%% to 60%% shed", stalls, overload.p99, normal.p99, 100*overload.shed)
 		}
 	}
 }
@@ -51,73 +52,74 @@
 // simulatedCost is the mean time in ms that a request takes in the simulation.
 const simulatedCost = 0.25
 
-// gateResult is the 99th percentile of the waits in ms, and the fraction of the requests that were shed.
+// gateResult holds the 99th percentile of the waits in ms and the fraction of requests that were shed.
 type gateResult struct{ p99, shed float64 }
 
-// simulateGate has a shard handle requests of a rate per ms for 20 s, in batches, as fast as it can.
-func simulateGate(rate float64, hiccups bool, seed uint64) gateResult {
+// simulateGate simulates for 20 s a shard that handles requests, which arrive at a rate per ms, in batches. With stalls, it occasionally stalls
+// for 15 ms.
+func simulateGate(rate float64, stalls bool, seed uint64) gateResult {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	var g Gate
+	var gate Gate
 	var waits, queue, batch []float64
-	next, ends, all, shed := 1.0, 0.0, 0, 0
+	next, endsAt, total, shed := 1.0, 0.0, 0, 0
 	for now := 1.0; now < 20000; {
-		if len(batch) == 0 && len(queue) > 0 && now >= ends {
+		if len(batch) == 0 && len(queue) > 0 && now >= endsAt {
 			batch, queue = queue, nil
-			ends = now + simulatedCost*float64(len(batch))*(0.5+rng.Float64())
-			if hiccups && rng.IntN(300) == 0 {
-				ends += 15
+			endsAt = now + simulatedCost*float64(len(batch))*(0.5+rng.Float64())
+			if stalls && rng.IntN(300) == 0 {
+				endsAt += 15
 			}
 		}
-		if len(batch) > 0 && ends <= next {
-			now = ends
+		if len(batch) > 0 && endsAt <= next {
+			now = endsAt
 			for _, at := range batch {
 				waits = append(waits, now-at)
 			}
-			g.OnRound(simulatedCost*float64(len(batch)), len(batch))
+			gate.OnRound(simulatedCost*float64(len(batch)), len(batch))
 			batch = nil
 			continue
 		}
 		now = next
 		next += rng.ExpFloat64() / rate
-		all++
-		if g.Admit(now, 0, len(queue)+len(batch)) {
+		total++
+		if gate.Admit(now, 0, len(queue)+len(batch)) {
 			queue = append(queue, now)
 		} else {
 			shed++
 		}
 	}
 	slices.Sort(waits)
-	return gateResult{waits[len(waits)*99/100], float64(shed) / float64(all)}
+	return gateResult{waits[len(waits)*99/100], float64(shed) / float64(total)}
 }
 
 func TestGateOpensAgain(t *testing.T) {
-	var g Gate
-	g.OnRound(1, 1)
-	if g.Admit(1, 0, defaultBurstDelay+1) || !g.IsOverloaded() || g.Admit(2, 0, defaultStandingDelay+1) {
-		t.Error("a queue is not shed")
+	var gate Gate
+	gate.OnRound(1, 1)
+	if gate.Admit(1, 0, defaultBurstDelay+1) || !gate.IsOverloaded() || gate.Admit(2, 0, defaultStandingDelay+1) {
+		t.Error("got a request admitted beyond the burst or the standing delay, or no overload; want both shed under overload")
 	}
-	if g.Admit(3, 41, 0) {
-		t.Error("what lay unread for long was admitted")
+	if gate.Admit(3, 41, 0) {
+		t.Error("got a request admitted that lay unread for 41 ms, want it shed")
 	}
-	for now := 4.0; now < 2.5*overloadSpan; now++ {
-		g.Admit(now, 0, 1)
+	for now := 4.0; now < 2.5*overloadWindow; now++ {
+		gate.Admit(now, 0, 1)
 	}
-	if !g.Admit(2.5*overloadSpan, 0, 20) || g.IsOverloaded() {
-		t.Error("not open long after the queue was gone")
+	if !gate.Admit(2.5*overloadWindow, 0, 20) || gate.IsOverloaded() {
+		t.Error("got a request shed long after the queue has emptied, want it admitted")
 	}
 }
 
 func TestDelayEstimator(t *testing.T) {
 	for _, skew := range []float64{0, -5000, 5000} {
-		var l DelayEstimator
+		var estimator DelayEstimator
 		for now := 1000.0; now < 60000; now += 100 {
 			queue := 0.0
 			if now > 20000 && now < 25000 {
 				queue = 300
 			}
-			sent := now - queue - 2 + skew + now/1e5 // a clock that drifts by 10 us per second
-			if got := l.OnRequest(now, sent, now, 0); got < queue-0.5 || got > queue+0.5 {
-				t.Fatalf("skew %g at %g: waited %g, want %g", skew, now, got, queue)
+			sent := now - queue - 2 + skew + now/1e5 // the clock drifts by 10 us per second
+			if got := estimator.OnRequest(now, sent, now, 0); got < queue-0.5 || got > queue+0.5 {
+				t.Fatalf("skew %g ms at %g ms: got delay %g ms, want %g", skew, now, got, queue)
 			}
 		}
 	}
@@ -126,42 +128,42 @@
 		sent, wall, pause, want float64
 	}{
 		{"read at once", 5000, 5002, 0, 0},
-		{"clocks that differ", 1000, 5002, 0, 0},
-		{"the process was paused", 2000, 5002, 3000, 3000},
-		{"and the request came after", 4900, 5002, 3000, 102},
-		{"by a clock that is ahead", 9000, 5002, 3000, 0},
+		{"differing clocks without a pause", 1000, 5002, 0, 0},
+		{"sent during a pause of the process", 2000, 5002, 3000, 3000},
+		{"sent near the end of the pause", 4900, 5002, 3000, 102},
+		{"client clock ahead", 9000, 5002, 3000, 0},
 	} {
-		var l DelayEstimator
-		if got := l.OnRequest(1e6, c.sent, c.wall, c.pause); got != c.want {
-			t.Errorf("%s: %g, want %g", c.name, got, c.want)
+		var estimator DelayEstimator
+		if got := estimator.OnRequest(1e6, c.sent, c.wall, c.pause); got != c.want {
+			t.Errorf("%s: got delay %g ms, want %g", c.name, got, c.want)
 		}
-		if got := l.OnRequest(1e6+100, c.sent+100-50, c.wall, 0); got != 50+c.want {
-			t.Errorf("%s: the next waited %g, want %g", c.name, got, 50+c.want)
+		if got := estimator.OnRequest(1e6+100, c.sent+100-50, c.wall, 0); got != 50+c.want {
+			t.Errorf("%s: got delay %g ms of the next request, want %g", c.name, got, 50+c.want)
 		}
 	}
 }
 
-// TestNewGate has a gate follow a latency objective.
+// TestNewGate checks that the limits of a gate follow its latency objective.
 func TestNewGate(t *testing.T) {
-	g := NewGate(1000)
-	g.OnRound(10, 10)
+	gate := NewGate(1000)
+	gate.OnRound(10, 10)
 	for _, c := range []struct {
 		name   string
 		unread float64
 		ahead  int
 		want   bool
 	}{
-		{"usual", 0, 0, true},
-		{"a burst", 100, 90, true},
-		{"more than that", 100, 110, false},
-		{"shed once it is overloaded", 40, 20, false},
-		{"what is short goes in", 20, 20, true},
+		{"empty queue", 0, 0, true},
+		{"burst within the limit", 100, 90, true},
+		{"burst beyond the limit", 100, 110, false},
+		{"beyond the standing delay under overload", 40, 20, false},
+		{"within the standing delay under overload", 20, 20, true},
 	} {
-		if got := g.Admit(0, c.unread, c.ahead); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+		if got := gate.Admit(0, c.unread, c.ahead); got != c.want {
+			t.Errorf("%s: got admitted %v, want the opposite", c.name, got)
 		}
 	}
-	if !g.IsOverloaded() || g.CostPerRequest() != 1 {
-		t.Errorf("overloaded %v, cost %g", g.IsOverloaded(), g.CostPerRequest())
+	if !gate.IsOverloaded() || gate.CostPerRequest() != 1 {
+		t.Errorf("got overloaded %v and cost %g ms, want true and 1", gate.IsOverloaded(), gate.CostPerRequest())
 	}
 }
--- a/internal/decide/admission/delay.go
+++ b/internal/decide/admission/delay.go
@@ -1,21 +1,21 @@
 package admission
 
-// floorSpan is the time in ms after which the lowest difference is renewed, so that clocks that drift do no harm.
-const floorSpan = 10000
+// floorWindow is the time in ms after which the lowest difference is measured anew, so that clock drift does not falsify the estimate.
+const floorWindow = 10000
 
-// DelayEstimator estimates how long a client's requests lie unread on their way, from the times at which the client's clock says that they
-// were sent. The two clocks need not agree: the lowest difference of the last while is taken as their offset together with the usual
-// latency. It shows queues in front of the process, which no queue inside it shows.
+// DelayEstimator estimates how long a client's requests lay unread before the process read them, from the times at which the client sent them
+// by its own clock. The two clocks need not agree: the lowest recent difference is taken as the sum of their offset and the usual latency.
+// The estimate reveals queues in front of the process, which the queues inside it do not show.
 type DelayEstimator struct {
-	floor     float64 // lowest difference of the last span
-	nextFloor float64 // lowest difference of the present span
-	since     float64 // when the present span began
-	known     bool
+	floor       float64 // lowest difference of the previous window, ms
+	nextFloor   float64 // lowest difference of the current window, ms
+	windowStart float64 // start of the current window
+	known       bool    // whether a request was received yet
 }
 
-// OnRequest returns how long a request lay unread, in ms. now only grows; sent is when the client's clock says that the request was sent.
-// The first request on a connection has no other to be compared with. It is believed as far as the process cannot have read it sooner:
-// pause is for how many ms the process was paused just now, and wall the present time by a clock that should agree with the client's.
+// OnRequest returns how many ms a request lay unread. now must be monotonic, and sent is the time of sending by the client's clock. The first
+// request on a connection cannot be compared with others. For it, the delay by the wall clock, which should agree with the client's, is
+// believed up to pause, the number of ms for which the process was just paused, because it could not have read the request meanwhile.
 func (e *DelayEstimator) OnRequest(now, sent, wall, pause float64) float64 {
 	difference := now - sent
 	switch {
@@ -23,8 +23,8 @@
 		delay := max(0, min(wall-sent, pause))
 		*e = DelayEstimator{difference - delay, difference - delay, now, true}
 		return delay
-	case now-e.since > floorSpan:
-		e.floor, e.nextFloor, e.since = min(e.nextFloor, difference), difference, now
+	case now-e.windowStart > floorWindow:
+		e.floor, e.nextFloor, e.windowStart = min(e.nextFloor, difference), difference, now
 	}
 	e.floor, e.nextFloor = min(e.floor, difference), min(e.nextFloor, difference)
 	return difference - e.floor
