--- a/internal/decide/budget/nodeconn.go
+++ b/internal/decide/budget/nodeconn.go
@@ -1,25 +1,25 @@
 package budget
 
-// Purpose is what a connection to a node is requested for.
+// Purpose is the purpose of a requested connection to a node.
 type Purpose uint8
 
-// Purposes.
+// Purposes of connections.
 const (
-	ForPlacement   Purpose = iota // a placement request waits for it
+	ForPlacement   Purpose = iota // a placement request waits for the connection
 	ForProbe                      // the placement module probes the node
-	ForHealthCheck                // tasks run at a node that is silent
+	ForHealthCheck                // the node is silent and runs tasks
 )
 
-// healthCheckInterval is the time in ms between two health checks of a node that take another node's connection. More frequent ones would
-// take each other's connections away in turn.
+// healthCheckInterval is the minimum time in ms between two health checks of a node that may replace another node's connection. More frequent
+// health checks would close each other's connections in turn.
 const healthCheckInterval = 3000
 
-// NodeConnRequest is a request for a connection to a node, and the connections that are held.
+// NodeConnRequest is a request for a connection to a node, with the numbers of present connections.
 type NodeConnRequest struct {
 	Purpose    Purpose
-	Held       int     // connections to nodes
-	Idle       int     // of them, on which nothing is open
-	Spare      int     // of the idle ones, more than one to their node, or to nodes where no task runs
+	Held       int     // connections to all nodes
+	Idle       int     // of these, connections without an open request
+	Spare      int     // of the idle ones, further connections to the same node or connections to nodes that run no task
 	SinceCheck float64 // ms since the last health check of the node
 }
 
@@ -28,13 +28,13 @@
 
 // Actions.
 const (
-	Connect Action = iota // make it
-	Replace               // close the connection that has been idle for longest, a spare one first, then make it
-	Skip                  // make none: a later time will do, or the request counts as not sent
+	Connect Action = iota // open the connection
+	Replace               // close the connection that has been idle for longest, a spare one if there is one, then open the new one
+	Skip                  // open none: try again later, or treat the request as not sent
 )
 
-// DecideNodeConn decides about a connection to a node. The limit is never exceeded: a connection beyond the process's descriptors would
-// fail and make the node look unreachable.
+// DecideNodeConn decides about a connection to a node. The limit is never exceeded, because a connection for which the process has no
+// descriptor would fail and make the node look unreachable.
 func (l Limits) DecideNodeConn(r NodeConnRequest) Action {
 	mayReplaceIdle := r.Purpose != ForHealthCheck || r.SinceCheck >= healthCheckInterval
 	switch {
