--- a/internal/decide/connadmission/bytes.go
+++ b/internal/decide/connadmission/bytes.go
@@ -3,23 +3,23 @@
 import "math"
 
 const (
-	defaultBytesPerSecond = 512 << 10 // of a tenant that has no limit: some 2,000 requests
-	burstDuration         = 2000      // ms at that rate that may arrive at once
-	maxExcessBursts       = 2         // bursts beyond the first from which a connection is closed instead of throttled
+	defaultBytesPerSecond = 512 << 10 // default limit of a tenant; about 2,000 requests per second
+	burstDuration         = 2000      // ms; a burst is what the rate allows in this time
+	maxExcessBursts       = 2         // bursts beyond the first above which the connection is closed instead of throttled
 )
 
-// Verdict is the decision about received bytes.
+// Verdict is the decision about bytes that were received.
 type Verdict uint8
 
 // Verdicts.
 const (
-	Accept   Verdict = iota
-	Throttle         // they are read, but requests in them are shed: the tenant has sent more than it may
-	Close            // the connection is closed
+	Accept   Verdict = iota // the bytes are within the tenant's limit
+	Throttle                // the bytes are read, but the requests in them are shed, because the tenant has exceeded its limit
+	Close                   // the connection is to be closed
 )
 
-// OnBytes decides about bytes that a connection has received. With Throttle it returns after how many ms the tenant may send requests
-// again.
+// OnBytes decides about bytes that were received on a connection. With Throttle, retryAfter is the number of ms after which the tenant may send
+// requests again.
 func (c *Controller) OnBytes(now float64, id uint32, bytes int) (verdict Verdict, retryAfter float64) {
 	conn := c.conns[id]
 	if conn == nil {
@@ -34,21 +34,21 @@
 	return c.tenants[conn.slot].onBytes(now, bytes)
 }
 
-// onBytes fills the tenant's leaky bucket.
+// onBytes adds bytes to the tenant's leaky bucket and decides by its level.
 func (t *tenantUsage) onBytes(now float64, bytes int) (Verdict, float64) {
 	rate := t.limits.BytesPerSecond
 	if rate <= 0 {
 		rate = defaultBytesPerSecond
 	}
-	full := max(rate*burstDuration/1000, maxUnauthenticatedBytes)
+	burstSize := max(rate*burstDuration/1000, maxUnauthenticatedBytes)
 	t.level = max(0, t.level-max(0, now-t.updatedAt)/1000*rate) + float64(bytes)
 	t.updatedAt = max(t.updatedAt, now)
 	switch {
-	case t.level <= full:
+	case t.level <= burstSize:
 		return Accept, 0
-	case t.level > (1+maxExcessBursts)*full:
-		t.level = (1 + maxExcessBursts) * full // a client that reconnects finds it no fuller
+	case t.level > (1+maxExcessBursts)*burstSize:
+		t.level = (1 + maxExcessBursts) * burstSize // the level is capped, so that further bytes do not lengthen the wait of a client that reconnects
 		return Close, 0
 	}
-	return Throttle, math.Ceil((t.level - full) / rate * 1000)
+	return Throttle, math.Ceil((t.level - burstSize) / rate * 1000)
 }
--- a/internal/decide/connadmission/connadmission_test.go
+++ b/internal/decide/connadmission/connadmission_test.go
@@ -5,43 +5,44 @@
 	"testing"
 )
 
-// TestUnauthenticated fills the listener with connections that show no token: one that shows its token at once is accepted all the same.
+// TestUnauthenticated fills the listener with connections that present no token, and checks that one that presents its token at once is still
+// accepted.
 func TestUnauthenticated(t *testing.T) {
-	d := New(40)
+	controller := New(40)
 	for slot := range 4 {
-		d.SetLimits(slot, Limits{Share: 1})
+		controller.SetLimits(slot, Limits{Share: 1})
 	}
 	oldest := uint32(1)
 	for id := uint32(1); id <= 1000; id++ {
-		in, out := d.Accept(float64(id), id)
-		if !in {
-			t.Fatalf("%d not let in", id)
+		accepted, closed := controller.Accept(float64(id), id)
+		if !accepted {
+			t.Fatalf("got connection %d rejected, want it accepted", id)
 		}
-		if out > 0 {
-			for oldest%100 == 0 { // authenticated
+		if closed > 0 {
+			for oldest%100 == 0 { // these were authenticated
 				oldest++
 			}
-			if out != oldest {
-				t.Fatalf("%d made way for %d, not %d, who waited longest", out, id, oldest)
+			if closed != oldest {
+				t.Fatalf("got connection %d closed for connection %d, want the oldest, %d", closed, id, oldest)
 			}
 			oldest++
 		}
-		if id%100 == 0 && !d.Authenticate(id, int(id/100)%4) {
-			t.Fatalf("%d was not let in with its token", id)
+		if id%100 == 0 && !controller.Authenticate(id, int(id/100)%4) {
+			t.Fatalf("got connection %d with a token rejected, want it authenticated", id)
 		}
 	}
-	if d.Unauthenticated() != 9 || d.Conns(0)+d.Conns(1)+d.Conns(2)+d.Conns(3) != 10 {
-		t.Errorf("%d unauthenticated, %d %d %d %d", d.Unauthenticated(), d.Conns(0), d.Conns(1), d.Conns(2), d.Conns(3))
+	if controller.Unauthenticated() != 9 || controller.Conns(0)+controller.Conns(1)+controller.Conns(2)+controller.Conns(3) != 10 {
+		t.Errorf("got %d connections unauthenticated and %d, %d, %d and %d of the tenants, want 9 and 10 in all", controller.Unauthenticated(), controller.Conns(0), controller.Conns(1), controller.Conns(2), controller.Conns(3))
 	}
-	if d.Authenticate(1, 0) {
-		t.Error("one that is gone is let in")
+	if controller.Authenticate(1, 0) {
+		t.Error("got a closed connection authenticated, want it rejected")
 	}
-	if late := d.AuthenticationExpired(1000 + authenticationTimeout); len(late) != 9 || late[0] != 991 {
-		t.Errorf("%v are late", late)
+	if expired := controller.AuthenticationExpired(1000 + authenticationTimeout); len(expired) != 9 || expired[0] != 991 {
+		t.Errorf("got connections %v expired, want 9 from 991 on", expired)
 	}
 }
 
-// TestConns checks the limits of connections.
+// TestConns checks the limits of a tenant's connections.
 func TestConns(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -49,41 +50,41 @@
 		other int // connections of another tenant of the same share
 		want  int
 	}{
-		{"its own limit", Limits{Share: 1, MaxConns: 3}, 0, 3},
-		{"alone: half of all", Limits{Share: 1}, 0, 15},
-		{"crowded: twice its share", Limits{Share: 1}, 15, 10},
-		{"a small share: two at least", Limits{Share: 0.001}, 15, 2},
+		{"own limit", Limits{Share: 1, MaxConns: 3}, 0, 3},
+		{"not crowded: half of the tenants' connections", Limits{Share: 1}, 0, 15},
+		{"crowded: twice the share", Limits{Share: 1}, 15, 10},
+		{"crowded, small share: the minimum of two", Limits{Share: 0.001}, 15, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := &connector{controller: New(40)}
-			x.controller.SetLimits(0, c.limit)
+			opener := &connectionOpener{controller: New(40)}
+			opener.controller.SetLimits(0, c.limit)
 			for slot := 1; slot < 6; slot++ {
-				x.controller.SetLimits(slot, Limits{Share: 1, MaxConns: c.other})
+				opener.controller.SetLimits(slot, Limits{Share: 1, MaxConns: c.other})
 			}
-			if got := x.connectAll(1, c.other); got != c.other {
-				t.Fatalf("%d connections of the other, want %d", got, c.other)
+			if got := opener.connectAll(1, c.other); got != c.other {
+				t.Fatalf("got %d connections of the other tenant, want %d", got, c.other)
 			}
-			got := x.connectAll(0, 60)
-			if got != c.want || x.controller.Conns(0) != c.want || x.controller.Unauthenticated() != 0 {
-				t.Errorf("%d connections, %d unauthenticated; want %d", got, x.controller.Unauthenticated(), c.want)
+			got := opener.connectAll(0, 60)
+			if got != c.want || opener.controller.Conns(0) != c.want || opener.controller.Unauthenticated() != 0 {
+				t.Errorf("got %d connections and %d unauthenticated, want %d and 0", got, opener.controller.Unauthenticated(), c.want)
 			}
-			x.controller.OnClose(x.lastID)
-			x.controller.OnClose(uint32(c.other + 1))
-			if !x.connect(0) {
-				t.Error("not accepted after one was closed")
+			opener.controller.OnClose(opener.lastID)
+			opener.controller.OnClose(uint32(c.other + 1))
+			if !opener.connect(0) {
+				t.Error("got a connection rejected after one was closed, want it accepted")
 			}
 		})
 	}
 }
 
-// connector opens connections that show their token at once.
-type connector struct {
+// connectionOpener opens connections that present their token at once.
+type connectionOpener struct {
 	controller *Controller
 	lastID     uint32
 }
 
-// connect reports whether a connection of a tenant is accepted.
-func (x *connector) connect(slot int) bool {
+// connect opens a connection of a tenant and reports whether it is accepted.
+func (x *connectionOpener) connect(slot int) bool {
 	x.lastID++
 	accepted, _ := x.controller.Accept(0, x.lastID)
 	ok := accepted && x.controller.Authenticate(x.lastID, slot)
@@ -93,8 +94,8 @@
 	return ok
 }
 
-// connectAll returns how many of a number of connections are accepted.
-func (x *connector) connectAll(slot, conns int) (accepted int) {
+// connectAll opens a number of connections of a tenant and returns how many are accepted.
+func (x *connectionOpener) connectAll(slot, conns int) (accepted int) {
 	for range conns {
 		if x.connect(slot) {
 			accepted++
@@ -103,71 +104,72 @@
 	return accepted
 }
 
-// TestListenerFull checks that no connection is accepted when all are authenticated.
+// TestListenerFull checks that no further connection is accepted at the limit if all are authenticated.
 func TestListenerFull(t *testing.T) {
-	d := New(4)
+	controller := New(4)
 	for id := uint32(1); id <= 4; id++ {
-		d.SetLimits(int(id), Limits{Share: 1, MaxConns: 4})
-		if in, _ := d.Accept(0, id); !in || !d.Authenticate(id, int(id)) {
-			t.Fatal("not let in")
+		controller.SetLimits(int(id), Limits{Share: 1, MaxConns: 4})
+		if accepted, _ := controller.Accept(0, id); !accepted || !controller.Authenticate(id, int(id)) {
+			t.Fatal("got a connection rejected below the limit, want it authenticated")
 		}
 	}
-	if in, _ := d.Accept(0, 5); in {
-		t.Error("one more than there may be")
+	if accepted, _ := controller.Accept(0, 5); accepted {
+		t.Error("got a connection accepted beyond the limit, want it rejected")
 	}
-	d.OnClose(2)
-	if in, out := d.Accept(0, 5); !in || out != 0 {
-		t.Error("not let in where there is room")
+	controller.OnClose(2)
+	if accepted, closed := controller.Accept(0, 5); !accepted || closed != 0 {
+		t.Error("got a connection rejected or another one closed below the limit, want it accepted")
 	}
-	if in, out := d.Accept(0, 6); !in || out != 5 {
-		t.Error("the stranger does not make way")
+	if accepted, closed := controller.Accept(0, 6); !accepted || closed != 5 {
+		t.Error("got the unauthenticated connection not closed for a new one, want it closed")
 	}
 }
 
-// TestBytes checks that a tenant may send a burst and a rate, is throttled beyond it, and is closed if it goes on.
+// TestBytes checks that a tenant may send a burst and then its rate, that it is throttled beyond them, and that its connection is closed if it
+// continues.
 func TestBytes(t *testing.T) {
-	d := New(8)
-	d.SetLimits(0, Limits{Share: 1, BytesPerSecond: 10000})
-	d.SetLimits(1, Limits{Share: 1, BytesPerSecond: 10000})
+	controller := New(8)
+	controller.SetLimits(0, Limits{Share: 1, BytesPerSecond: 10000})
+	controller.SetLimits(1, Limits{Share: 1, BytesPerSecond: 10000})
 	for id, slot := range []int{0, 0, 1} {
-		d.Accept(0, uint32(id+1))
-		d.Authenticate(uint32(id+1), slot)
+		controller.Accept(0, uint32(id+1))
+		controller.Authenticate(uint32(id+1), slot)
 	}
 	for _, c := range []struct {
-		name  string
-		now   float64
-		id    uint32
-		bytes int
-		want  Verdict
-		back  float64
+		name       string
+		now        float64
+		id         uint32
+		bytes      int
+		want       Verdict
+		retryAfter float64
 	}{
-		{"at once", 0, 1, 20000, Accept, 0},
-		{"more, on its other connection", 0, 2, 1000, Throttle, 100},
+		{"burst", 0, 1, 20000, Accept, 0},
+		{"more on another connection of the tenant", 0, 2, 1000, Throttle, 100},
 		{"another tenant", 0, 3, 20000, Accept, 0},
-		{"some time later", 100, 1, 500, Throttle, 50},
-		{"in time", 1000, 1, 500, Accept, 0},
-		{"far more", 1000, 1, 90000, Close, 0},
-		{"and again: no deeper", 1000, 2, 10, Close, 0},
-		{"later it is let in", 5001, 2, 10, Accept, 0},
-		{"the clock goes back", 4000, 2, 10, Throttle, 1},
-		{"nobody", 5001, 9, 1, Close, 0},
+		{"before the excess has drained", 100, 1, 500, Throttle, 50},
+		{"after the excess has drained", 1000, 1, 500, Accept, 0},
+		{"far beyond the burst", 1000, 1, 90000, Close, 0},
+		{"again, with the level capped", 1000, 2, 10, Close, 0},
+		{"after the level has drained", 5001, 2, 10, Accept, 0},
+		{"clock set back", 4000, 2, 10, Throttle, 1},
+		{"unknown connection", 5001, 9, 1, Close, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if v, back := d.OnBytes(c.now, c.id, c.bytes); v != c.want || back != c.back {
-				t.Errorf("%d, back in %g; want %d, %g", v, back, c.want, c.back)
+			if verdict, retryAfter := controller.OnBytes(c.now, c.id, c.bytes); verdict != c.want || retryAfter != c.retryAfter {
+				t.Errorf("got verdict %d and retry after %g ms, want %d and %g", verdict, retryAfter, c.want, c.retryAfter)
 			}
 		})
 	}
-	d.Accept(0, 7)
-	if v, _ := d.OnBytes(0, 7, maxUnauthenticatedBytes); v != Accept {
-		t.Error("a stranger's token is not read")
+	controller.Accept(0, 7)
+	if verdict, _ := controller.OnBytes(0, 7, maxUnauthenticatedBytes); verdict != Accept {
+		t.Error("got bytes of an unauthenticated connection rejected, want them accepted up to the limit")
 	}
-	if v, _ := d.OnBytes(0, 7, 1); v != Close {
-		t.Error("a stranger goes on")
+	if verdict, _ := controller.OnBytes(0, 7, 1); verdict != Close {
+		t.Error("got more bytes of an unauthenticated connection accepted, want it closed")
 	}
 }
 
-// TestCounts makes random calls: no connection is counted twice or lost, and there are never too many.
+// TestCounts makes random calls and checks that no connection is counted twice or lost, and that the limits are never exceeded.
 func TestCounts(t *testing.T) {
 	for seed := range uint64(200) {
 		m := &connModel{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), controller: New(20), slots: map[uint32]int{}}
@@ -181,13 +183,13 @@
 	}
 }
 
-// connModel is a controller and its connections.
+// connModel is a controller under test and the connections that it is expected to have.
 type connModel struct {
 	t          *testing.T
 	seed       uint64
 	rng        *rand.Rand
 	controller *Controller
-	slots      map[uint32]int // of connections; unauthenticated: no token was shown
+	slots      map[uint32]int // slot of each connection, or unauthenticated
 	lastID     uint32
 }
 
@@ -221,7 +223,7 @@
 	mayAdd := current < 0 && conns < m.controller.maxConnsOf(m.controller.tenant(slot))
 	got := m.controller.Authenticate(id, slot)
 	if got != (ok && (current == slot || mayAdd)) {
-		m.t.Fatalf("seed %d: authenticated %t, was %d, has %d", m.seed, got, current, conns)
+		m.t.Fatalf("seed %d: got authenticated %t for a connection of slot %d and a tenant with %d connections, want the opposite", m.seed, got, current, conns)
 	}
 	if got {
 		m.slots[id] = slot
@@ -229,13 +231,13 @@
 }
 
 func (m *connModel) check() {
-	var want [4]int // unauthenticated, and of each tenant
+	var want [4]int // numbers of unauthenticated connections and of those of each tenant
 	for _, slot := range m.slots {
 		want[slot+1]++
 	}
 	c := m.controller
 	got := [4]int{c.Unauthenticated(), c.Conns(0), c.Conns(1), c.Conns(2)}
 	if want != got || len(m.slots) > 20 || got[0] > 5 {
-		m.t.Fatalf("seed %d: %v, counted %v", m.seed, want, got)
+		m.t.Fatalf("seed %d: want %v connections, got %v, within the limits of 20 in all and 5 unauthenticated", m.seed, want, got)
 	}
 }
