--- a/internal/decide/connlimits/connlimits.go
+++ b/internal/decide/connlimits/connlimits.go
@@ -1,38 +1,38 @@
-// Package connlimits holds the limits of single connections: what a connection may do, and for how long, before it is closed or passed
-// over. They guard against peers that send nothing, send half a message, or read nothing.
+// Package connlimits holds the limits of single connections: how much a peer may leave unread, and how long it may take, before its connection
+// is closed or no longer used. They protect against peers that send nothing, send only a part of a message, or read nothing.
 //
 // The package does no I/O, holds no state and returns no errors.
 package connlimits
 
-// Limits of a connection that a client opened. Times are in milliseconds.
+// Limits of a connection that a client opened.
 const (
-	FirstMessageTimeout = 2400      // from connecting to the first complete message
-	MessageTimeout      = 2400      // from the first byte of a message to its last
-	MaxUnsentBytes      = 256 << 10 // that the peer has not read
-	WriteTimeout        = 2000      // for which the peer may read nothing
-	MinIdleTime         = 500       // without work after which the connection may be closed for another
-	MinTimeLeft         = 1         // to a deadline in which an answer could still be of use
-	maxExpiryFactor     = 20        // times the usual expiry that a client can mean to wait
+	FirstMessageTimeout = 2400      // ms from accepting the connection to its first complete message
+	MessageTimeout      = 2400      // ms from the first byte of a message to its last
+	MaxUnsentBytes      = 256 << 10 // bytes that the peer has not read yet
+	WriteTimeout        = 2000      // ms for which the peer may read nothing
+	MinIdleTime         = 500       // ms without work after which the connection may be closed in favor of another
+	MinTimeLeft         = 1         // ms to a deadline below which an answer would come too late
+	maxExpiryFactor     = 20        // longest plausible wait of a client, as a multiple of the usual expiry
 )
 
-// IsPlausibleWait reports whether a client can mean to wait for some ms, if the usual expiry is as given.
-func IsPlausibleWait(left, usual float64) bool {
-	return left >= MinTimeLeft && left <= maxExpiryFactor*usual
+// IsPlausibleWait reports whether timeLeft is a plausible time, in ms, for a client to wait, given the usual expiry.
+func IsPlausibleWait(timeLeft, usualExpiry float64) bool {
+	return timeLeft >= MinTimeLeft && timeLeft <= maxExpiryFactor*usualExpiry
 }
 
-// Limits of pending notifications, and of connections to nodes. Times are in milliseconds.
+// Limits of pending notifications and of connections to nodes.
 const (
-	MaxPendingNodeEnds = 256   // ends of tasks that a node could not be notified of yet
-	NodeEndRetention   = 20000 // for which they are kept
-	MaxPendingEnds     = 4096  // ends of tasks that no client could be notified of yet
-	VerifiedConnWait   = 400   // of the second in which a client may be notified of an end, for which it waits for a verified connection
-	testTimeout        = 1000  // of a test message on a connection
-	idleFraction       = 0.6   // of the time after which a node closes an idle connection
+	MaxPendingNodeEnds = 256   // stops of tasks that are pending for one node, and late answers that are expected on one connection
+	NodeEndRetention   = 20000 // ms for which a pending stop is kept
+	MaxPendingEnds     = 4096  // ends of tasks of which no client could be notified yet
+	VerifiedConnWait   = 400   // ms that a notification of an end, which may take 1 s, waits for a verified connection
+	healthCheckTimeout = 1000  // ms without an answer to a health check
+	idleFraction       = 0.6   // fraction of the time after which a node closes an idle connection
 )
 
-// IsReusable reports whether a connection that was idle for some ms may still be used, if nodes close idle connections after closeAfter ms:
-// one that the node closes while a request is on its way leaves the request's outcome in doubt.
+// IsReusable reports whether a connection that was idle for some ms may still be used, given that nodes close idle connections after closeAfter
+// ms. If a node closes a connection while a request is in flight, the outcome of the request is unknown.
 func IsReusable(idle, closeAfter float64) bool { return idle <= idleFraction*closeAfter }
 
-// IsUnresponsive reports whether a connection is closed on which a test was not answered for some ms.
-func IsUnresponsive(silent float64) bool { return silent > testTimeout }
+// IsUnresponsive reports whether a connection has to be closed because a health check on it was not answered for silent ms.
+func IsUnresponsive(silent float64) bool { return silent > healthCheckTimeout }
