--- a/internal/decide/overload/overload.go
+++ b/internal/decide/overload/overload.go
@@ -1,37 +1,37 @@
-// Package overload measures how far a process is behind with the messages that arrive, and decides what follows. A process with too little
-// CPU reads late: answers lie unread while their time-outs expire, and a client's time runs while its request does. The package guards
-// against retrying what was answered, and against taking what cannot be done in time.
+// Package overload measures how late a process reads the messages that arrive, and adapts time-outs and the time of clients to it. A process
+// with too little CPU reads late: answers lie unread while their time-outs expire, and requests lie unread while the time that the client
+// grants passes. The package prevents retries of requests that were answered, and the admission of requests that cannot be served in time.
 //
-// The times of the rounds of the process's loop go in; delays come out. The package does no I/O and returns no errors. A Monitor is not
-// safe for concurrent use.
+// The inputs are the times of the rounds of the process's event loop; the outputs are delays. The package does no I/O and returns no errors. A
+// Monitor is not safe for concurrent use.
 package overload
 
 import "math"
 
 // Times in milliseconds.
 const (
-	halfLife        = 150 // of a measured delay
-	minDelay        = 8   // shorter ones are usual and count as none
-	maxTimeoutGrace = 400
-	batchDuration   = 8 // of the new requests that a round takes up, so that what arrives meanwhile is read
-	minBatchSize    = 4 // requests that a round takes up at least
-	minRequestTime  = 0.01
+	halfLife        = 150  // half-life of a measured delay
+	minDelay        = 8    // shorter delays are usual and ignored
+	maxTimeoutGrace = 400  // longest extension of a time-out
+	batchDuration   = 8    // work of the new requests that a round starts; a longer round would delay the reading of messages
+	minBatchSize    = 4    // requests that a round may start at least
+	minRequestTime  = 0.01 // prevents a division by zero
 )
 
-// Monitor follows the rounds of a process's loop. Its zero value has seen none.
+// Monitor estimates the delay from the rounds of a process's event loop. The zero value has recorded none.
 type Monitor struct {
-	delay     float64 // at updatedAt
+	delay     float64 // delay at updatedAt
 	updatedAt float64
 }
 
-// OnTurn records when a round was due, when it began and when it ended. What arrived before it began lay unread at least for as long as it
-// was late, and what arrived while it ran until it ended.
-func (m *Monitor) OnTurn(due, began, ended float64) {
-	m.delay = max(m.Delay(ended), began-due, ended-began)
+// OnTurn records when a round was due, when it started and when it ended. A message that arrived before the start has lain unread for the time
+// by which the start was late, and one that arrived during the round lies unread until its end.
+func (m *Monitor) OnTurn(due, started, ended float64) {
+	m.delay = max(m.Delay(ended), started-due, ended-started)
 	m.updatedAt = ended
 }
 
-// Delay returns how long, in ms, what arrives now is likely to lie unread.
+// Delay estimates how many ms a message that arrives now will lie unread.
 func (m *Monitor) Delay(now float64) float64 {
 	if m.delay == 0 {
 		return 0
@@ -39,7 +39,7 @@
 	return m.delay * math.Exp2(-max(0, now-m.updatedAt)/halfLife)
 }
 
-// TimeoutGrace returns for how long, in ms, a time-out that expires now still waits for an answer that may lie unread.
+// TimeoutGrace returns the number of ms by which to extend a time-out that expires now, because the answer may lie unread.
 func (m *Monitor) TimeoutGrace(now float64) float64 {
 	if delay := m.Delay(now); delay > minDelay {
 		return min(delay, maxTimeoutGrace)
@@ -47,8 +47,8 @@
 	return 0
 }
 
-// RemainingTime returns what is left of the time in ms that a client grants a request which is read now: it lay unread for a while, and
-// its answer has to wait for its round as well.
+// RemainingTime returns how much is left of the time, in ms, that a client grants a request that is read now. The request lay unread for the
+// delay, and its answer will be delayed as long.
 func (m *Monitor) RemainingTime(now, granted float64) float64 {
 	if delay := m.Delay(now); delay > minDelay {
 		return max(granted/2, granted-2*delay)
@@ -56,7 +56,7 @@
 	return granted
 }
 
-// BatchSize returns how many requests a round may take up, if each takes some ms.
+// BatchSize returns how many requests a round may start if each takes requestTime ms.
 func BatchSize(requestTime float64) int {
 	return minBatchSize + int(batchDuration/max(minRequestTime, requestTime))
 }
