--- a/internal/decide/watchdog/watchdog.go
+++ b/internal/decide/watchdog/watchdog.go
@@ -1,42 +1,42 @@
-// Package watchdog decides when a shard is fenced and started again: it has panicked, or it stalls while the process runs. It guards
-// against a shard that holds its part of the allocations and answers none, and against fencing all shards when the whole process was
-// paused.
+// Package watchdog decides when to fence a shard and when to restart it: a shard is fenced if it has panicked or if it stalls while the
+// process runs. The package protects against a shard that holds its part of the allocations but answers no requests, and against fencing all
+// shards after a pause of the whole process.
 //
-// The shards' last signs of life and the time go in; the shards to fence and to start come out. The package does no I/O and returns no
-// errors. A Watchdog is not safe for concurrent use.
+// The inputs are the time and the last heartbeat of each shard; the outputs are the shards to fence and to restart. The package does no I/O and
+// returns no errors. A Watchdog is not safe for concurrent use.
 package watchdog
 
 import "math"
 
 // Times in milliseconds.
 const (
-	stallTimeout    = 2000  // without a sign of life while the process runs
-	checkInterval   = 100   // between two checks
-	pauseThreshold  = 400   // between two checks, beyond which the process itself was paused
-	minRestartDelay = 250   // before a fenced shard is started again, doubled with each failure
-	maxRestartDelay = 10000 // limit of the doubling
-	stableAfter     = 30000 // after which earlier failures of a shard are forgotten
-	maxDoublings    = 10
+	heartbeatTimeout = 2000  // time without a heartbeat after which a shard is fenced
+	checkInterval    = 100   // interval between two checks
+	pauseThreshold   = 400   // interval between two checks above which the whole process counts as paused
+	minRestartDelay  = 250   // delay of the first restart of a fenced shard, doubled with each failure
+	maxRestartDelay  = 10000 // limit of the delay
+	stableAfter      = 30000 // time since its start after which the earlier failures of a shard no longer count
+	maxDoublings     = 10    // limit of the exponent
 )
 
-// CheckInterval returns the time between two calls of Check, in ms.
+// CheckInterval returns the interval in ms at which Check is to be called.
 func CheckInterval() float64 { return checkInterval }
 
-// Watchdog watches the shards of a process.
+// Watchdog monitors the shards of a process.
 type Watchdog struct {
 	lastCheckAt float64
 	shards      []shard
 }
 
 type shard struct {
-	lastBeatAt, startedAt float64
-	fenced                bool
-	unwatched             bool // it is not to run
-	failures              int
-	restartAt             float64
+	lastHeartbeatAt, startedAt float64
+	fenced                     bool
+	unwatched                  bool // the shard does not run, so that no heartbeat is expected
+	failures                   int
+	restartAt                  float64
 }
 
-// New returns a watchdog over a number of shards that run.
+// New returns a watchdog for a number of running shards.
 func New(now float64, shards int) *Watchdog {
 	w := &Watchdog{lastCheckAt: now, shards: make([]shard, shards)}
 	for i := range w.shards {
@@ -45,24 +45,24 @@
 	return w
 }
 
-// Check takes the time of each shard's last sign of life. It returns the shards to fence and the fenced ones to start again.
-func (w *Watchdog) Check(now float64, beats []float64) (fence, start []int) {
+// Check evaluates the time of each shard's last heartbeat. It returns the shards to fence and the fenced shards to restart.
+func (w *Watchdog) Check(now float64, heartbeats []float64) (fence, start []int) {
 	paused := now-w.lastCheckAt > pauseThreshold
 	w.lastCheckAt = now
 	for i := range w.shards {
 		s := &w.shards[i]
-		if i < len(beats) {
-			s.lastBeatAt = max(s.lastBeatAt, beats[i])
+		if i < len(heartbeats) {
+			s.lastHeartbeatAt = max(s.lastHeartbeatAt, heartbeats[i])
 		}
 		if paused {
-			s.lastBeatAt = now
+			s.lastHeartbeatAt = now
 		}
 		switch {
 		case s.unwatched:
 		case s.fenced && now >= s.restartAt:
-			s.fenced, s.lastBeatAt, s.startedAt = false, now, now
+			s.fenced, s.lastHeartbeatAt, s.startedAt = false, now, now
 			start = append(start, i)
-		case !s.fenced && now-s.lastBeatAt > stallTimeout:
+		case !s.fenced && now-s.lastHeartbeatAt > heartbeatTimeout:
 			w.Fence(now, i)
 			fence = append(fence, i)
 		}
@@ -70,7 +70,7 @@
 	return fence, start
 }
 
-// Fence records that a shard was fenced, for example after a panic, and schedules its next start.
+// Fence records that a shard is fenced, for example after a panic, and schedules its restart.
 func (w *Watchdog) Fence(now float64, index int) {
 	s := &w.shards[index]
 	if s.fenced {
@@ -87,10 +87,10 @@
 // IsFenced reports whether a shard is fenced.
 func (w *Watchdog) IsFenced(index int) bool { return w.shards[index].fenced }
 
-// Watch records that a shard runs from now on. Its earlier failures count until it has run for a while.
+// Watch records that a shard runs from now on. Its earlier failures count until it has run for stableAfter.
 func (w *Watchdog) Watch(now float64, index int) {
-	w.shards[index] = shard{lastBeatAt: now, startedAt: now, failures: w.shards[index].failures}
+	w.shards[index] = shard{lastHeartbeatAt: now, startedAt: now, failures: w.shards[index].failures}
 }
 
-// Unwatch records that a shard has ended or does not run yet: no sign of life is expected of it.
+// Unwatch records that a shard has ended or does not run yet, so that no heartbeat is expected of it.
 func (w *Watchdog) Unwatch(index int) { w.shards[index].unwatched = true }
