--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -3,7 +3,7 @@
 // allocations from growing until every answer is late, and a flood of one tenant from filling the table.
 //
 // Limiter limits the number of open allocations, Gate limits the time that requests wait at a shard, and DelayEstimator estimates how long
-// requests lay unread before they reached the process.
+// requests lay unread before the process read them.
 //
 // The package does no I/O, starts no goroutines and returns no errors. Its types are not safe for concurrent use. Times are milliseconds
 // on the caller's clock.
--- a/internal/decide/admission/admission_test.go
+++ b/internal/decide/admission/admission_test.go
@@ -44,7 +44,7 @@
 		}
 		overload := simulateGate(2/simulatedCost, stalls, 2)
 		if overload.p99 > 2*max(normal.p99, 10) || overload.shed < 0.45 || overload.shed > 0.6 {
-			t.Errorf("stalls %v: got p99 %.1f ms at 200%% load and %.1f ms at 80%%, %.0f%% shed; want at most double the p99 (or 20 ms), 45%% to 60%% shed", stalls, overload.p99, normal.p99, 100*overload.shed)
+			t.Errorf("stalls %v: got p99 %.1f ms at 200%% load and %.1f ms at 80%%, %.0f%% shed; want p99 at most double that at 80%% or 20 ms, and 45%% to 60%% shed", stalls, overload.p99, normal.p99, 100*overload.shed)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 	return gateResult{waits[len(waits)*99/100], float64(shed) / float64(total)}
 }
 
-func TestGateOpensAgain(t *testing.T) {
+func TestGateRecovers(t *testing.T) {
 	var gate Gate
 	gate.OnRound(1, 1)
 	if gate.Admit(1, 0, defaultBurstDelay+1) || !gate.IsOverloaded() || gate.Admit(2, 0, defaultStandingDelay+1) {
--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -19,7 +19,7 @@
 
 // Limits are the limits of one tenant.
 type Limits struct {
-	Share      float64 // is above 0; only its ratio to the other tenants' shares matters
+	Share      float64 // must be above 0; only its ratio to the other tenants' shares matters
 	Rate       float64 // admitted requests per second; 0 means no limit other than the share
 	Burst      float64 // requests that may be admitted at once after an idle time; at least 1 if Rate is set
 	MaxOpen    int     `json:"Open"` // requests that may be open at once; 0 means no limit other than the capacity
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -138,7 +138,7 @@
 	return Request{ID: id, Urgency: urgency, Cores: 1, Memory: 1, Deadline: deadline}
 }
 
-// newBusyQueue returns a queue whose only slot is taken by request 1. Requests 2 to 4 wait, and request 5 was shed.
+// newBusyQueue returns a queue that allows one open request, which is request 1. Requests 2 to 4 wait, and request 5 was shed.
 func newBusyQueue(t *testing.T) *Queue {
 	t.Helper()
 	q := newQueue(1, Limits{Share: 1, MaxWaiting: 3})
--- a/internal/decide/tenancy/registry.go
+++ b/internal/decide/tenancy/registry.go
@@ -8,8 +8,8 @@
 
 const msPerMinute = 60e3
 
-// SlotQuarantine is the time in ms for which a slot stays unused after a removal. It is longer than a node keeps the outcomes of its tasks, a
-// client waits, and a process lags behind the registry, so that nothing of the old tenant is attributed to the new one.
+// SlotQuarantine is the time in ms for which a slot stays unused after a removal. It exceeds the times for which a node keeps the outcomes of its
+// tasks, a client waits, and a process lags behind the registry, so that nothing of the old tenant is attributed to the new one.
 const SlotQuarantine = 60 * msPerMinute
 
 // Registry holds all tenants.
--- a/internal/decide/tenancy/tenancy_test.go
+++ b/internal/decide/tenancy/tenancy_test.go
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestPolicyOfConnections(t *testing.T) {
+func TestPolicyConnections(t *testing.T) {
 	tenant := withLimits(t, Limits{Limits: fairqueue.Limits{Share: 2}, MaxConns: 7, BytesPerSecond: 900})
 	conns, bytes := 0, 0.0
 	for i := range 3 {
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestPolicyOfOneOpen(t *testing.T) {
+func TestPolicyWithMaxOpenBelowProcesses(t *testing.T) {
 	tenant := withLimits(t, Limits{Limits: fairqueue.Limits{Share: 1, MaxOpen: 1}})
 	first, second := tenant.PolicyFor(quotalease.Share{Places: 2, Index: 0}), tenant.PolicyFor(quotalease.Share{Places: 2, Index: 1})
 	if !first.AcceptsNew || second.AcceptsNew {
