--- a/internal/platform/host/allocations.go
+++ b/internal/platform/host/allocations.go
@@ -10,18 +10,18 @@
 
 // allocation is one request with its attempts, and then its running task.
 type allocation struct {
-	request              logic.Request
-	node                 uint32  // of the last attempt
-	sentAt               float64 // time of the last attempt
-	attempts             int
-	attemptsBeforeModule int  // attempts that were made by modules before the present one
-	inFlight             bool // the last attempt has no outcome yet; it stays so while the task runs
-	running              bool // the last attempt started the task
-	moving               bool // the client was told to request the task anew
-	answered             bool // the request has its final answer, or needs none
-	endNotOwed           bool // the client is not to be told of the end
-	noted                bool // the node sent a note on the last attempt
-	outcomePending       bool // a timer will deliver the outcome of the last attempt
+	request                 logic.Request
+	node                    uint32  // of the last attempt
+	sentAt                  float64 // time of the last attempt
+	attempts                int
+	attemptsBeforeModule    int  // attempts that were made by modules before the present one
+	inFlight                bool // the last attempt has no outcome yet; it stays so while the task runs
+	running                 bool // the last attempt started the task
+	migrating               bool // the client was told to request the task anew
+	answered                bool // the request has its final answer, or needs none
+	suppressEndNotification bool // the client is not to be told of the end
+	metricReceived          bool // the node sent a note on the last attempt
+	outcomePending          bool // a timer will deliver the outcome of the last attempt
 }
 
 func (a *allocation) id() uint32 { return a.request.Allocation }
@@ -72,11 +72,11 @@
 // OnWithdrawn says that the client no longer wants an allocation, whether it waits or runs. The client gets no answer and no notification.
 func (h *Host) OnWithdrawn(now float64, id uint32) {
 	a := h.allocations[id]
-	if a == nil || a.endNotOwed {
+	if a == nil || a.suppressEndNotification {
 		return
 	}
 	h.recordEvent(now)
-	a.endNotOwed = true
+	a.suppressEndNotification = true
 	switch {
 	case a.running:
 		h.effects.StopTask(id, a.node)
--- a/internal/platform/host/attempts.go
+++ b/internal/platform/host/attempts.go
@@ -29,7 +29,7 @@
 		h.effects.LogLine(fmt.Sprintf("refused to offer %d while its try %d is out", a.id(), a.lastAttempt()))
 		return
 	}
-	a.node, a.sentAt, a.inFlight, a.noted = node, h.now, true, false
+	a.node, a.sentAt, a.inFlight, a.metricReceived = node, h.now, true, false
 	a.attempts++
 	key := attemptKey(a.id(), a.lastAttempt())
 	left := a.request.Deadline - h.now
@@ -86,7 +86,7 @@
 		return false
 	}
 	h.recordEvent(now)
-	end.Noted = a.noted
+	end.Noted = a.metricReceived
 	ran = end.Ran()
 	if ran && !a.answered {
 		class := h.supervisor.cluster.JobClasses[a.request.Class]
@@ -111,7 +111,7 @@
 		return
 	}
 	h.recordEvent(now)
-	a.noted = true
+	a.metricReceived = true
 	h.callModule(func(m *logic.Scheduler) {
 		m.OnTaskMetric(h.now, logic.TaskSample{Allocation: id, Attempt: a.moduleAttempt(), Node: a.node, Metric: metric, Value: value})
 	})
@@ -128,7 +128,7 @@
 func (h *Host) complete(a *allocation, verdict logic.Outcome, reason logic.Reason, report []float64) {
 	if a.running {
 		h.runningCount--
-		if !a.endNotOwed {
+		if !a.suppressEndNotification {
 			h.effects.NotifyEnd(a.id(), verdict)
 		}
 	}
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -64,7 +64,7 @@
 	allocations   map[uint32]*allocation
 	lastID        uint32 // of allocations and probes, which share numbers: a late answer to a probe never fits an allocation
 	probes        map[uint32]pendingProbe
-	stallDetector pausedetect.Detector
+	pauseDetector pausedetect.Detector
 	openCount     int // allocations without a final answer
 	runningCount  int // allocations that run at nodes
 	timeoutGrace  float64
@@ -104,10 +104,10 @@
 	}
 	h.recordEvent(now)
 	h.lastRound = h.now
-	stalledFor, act := h.stallDetector.OnRound(h.now, h.hasEvents)
+	pausedFor, act := h.pauseDetector.OnRound(h.now, h.hasEvents)
 	h.hasEvents = false
-	if stalledFor > 0 {
-		h.effects.LogLine(fmt.Sprintf("stall: stood still %.0f ms, %d open, reads before it acts", stalledFor, h.openCount))
+	if pausedFor > 0 {
+		h.effects.LogLine(fmt.Sprintf("stall: stood still %.0f ms, %d open, reads before it acts", pausedFor, h.openCount))
 	}
 	if !act || h.recoverModule() {
 		return
@@ -131,7 +131,7 @@
 	if h.supervisor.failed {
 		at = min(at, h.now+watchdog.CheckInterval())
 	}
-	return max(at, h.EarliestRound(), h.stallDetector.ResumeAt())
+	return max(at, h.EarliestRound(), h.pauseDetector.ResumeAt())
 }
 
 // recordEvent advances the time to that of an event.
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -8,12 +8,12 @@
 	"ravenpond/logic"
 )
 
-// script is a host on a virtual clock that records its effects as lines.
-type script struct {
+// harness is a host on a virtual clock that records its effects as lines.
+type harness struct {
 	t           *testing.T
 	host        *Host
 	now         float64
-	lines       []string
+	effectLines []string
 	lastAttempt struct {
 		number uint8
 		node   uint32
@@ -22,26 +22,26 @@
 	probe uint32
 }
 
-func (s *script) record(format string, args ...any) {
-	s.lines = append(s.lines, fmt.Sprintf(format, args...))
+func (s *harness) record(format string, args ...any) {
+	s.effectLines = append(s.effectLines, fmt.Sprintf(format, args...))
 }
 
-func (s *script) RequestPlacement(id uint32, attempt uint8, node uint32, left float64) {
+func (s *harness) RequestPlacement(id uint32, attempt uint8, node uint32, left float64) {
 	s.lastAttempt.number, s.lastAttempt.node, s.lastAttempt.until = attempt, node, s.now+left
 	s.record("offer %d.%d", id, attempt)
 }
 
-func (s *script) CancelAttempt(id uint32, attempt uint8, _ uint32) {
+func (s *harness) CancelAttempt(id uint32, attempt uint8, _ uint32) {
 	s.record("give up %d.%d", id, attempt)
 }
-func (s *script) StopTask(id, _ uint32)                { s.record("cut %d", id) }
-func (s *script) NotifyMove(id uint32)                 { s.record("move %d", id) }
-func (s *script) NotifyEnd(id uint32, v logic.Outcome) { s.record("over %d %d", id, v) }
-func (s *script) Forget(id uint32)                     { s.record("forget %d", id) }
-func (s *script) Probe(_, seq uint32)                  { s.probe = seq }
-func (s *script) PollEndpoints()                       {}
-func (s *script) LogLine(string)                       {}
-func (s *script) AnswerRequest(id uint32, declined bool) {
+func (s *harness) StopTask(id, _ uint32)                { s.record("cut %d", id) }
+func (s *harness) NotifyMove(id uint32)                 { s.record("move %d", id) }
+func (s *harness) NotifyEnd(id uint32, v logic.Outcome) { s.record("over %d %d", id, v) }
+func (s *harness) Forget(id uint32)                     { s.record("forget %d", id) }
+func (s *harness) Probe(_, seq uint32)                  { s.probe = seq }
+func (s *harness) PollEndpoints()                       {}
+func (s *harness) LogLine(string)                       {}
+func (s *harness) AnswerRequest(id uint32, declined bool) {
 	s.record("answer %d %s", id, map[bool]string{true: "declined", false: "failed"}[declined])
 }
 
@@ -52,10 +52,10 @@
 	atMostOnce
 )
 
-// begin starts a host with some nodes, alternately in two zones.
-func begin(t *testing.T, nodes int) *script {
+// newHarness starts a host with some nodes, alternately in two zones.
+func newHarness(t *testing.T, nodes int) *harness {
 	t.Helper()
-	s := &script{t: t, now: 1e6}
+	s := &harness{t: t, now: 1e6}
 	cl := &logic.Cluster{
 		Schedulers: 1, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true, KindCores: []float64{32},
 		KindMemory: []float64{64}, CoresOvercommit: 2, MemoryOvercommit: 1.5, ReportFields: []string{"x0", "x1"}, ReportsPiggybacked: true, SlowStartLimit: 20,
@@ -81,31 +81,31 @@
 }
 
 // advance lets time go by, with a round each time one is due.
-func (s *script) advance(ms float64) {
+func (s *harness) advance(ms float64) {
 	for end := s.now + ms; s.now < end; {
 		s.now = min(end, max(s.now+0.1, s.host.NextRound()))
 		s.host.Round(s.now)
 	}
 }
 
-func (s *script) takeLog() string {
-	got := strings.Join(s.lines, ", ")
-	s.lines = nil
+func (s *harness) takeEffects() string {
+	got := strings.Join(s.effectLines, ", ")
+	s.effectLines = nil
 	return got
 }
 
-func (s *script) want(what, want string) {
+func (s *harness) expectEffects(what, want string) {
 	s.t.Helper()
-	if got := s.takeLog(); got != want {
+	if got := s.takeEffects(); got != want {
 		s.t.Errorf("%s: %q, want %q", what, got, want)
 	}
 }
 
-func (s *script) request(job int) uint32 {
+func (s *harness) request(job int) uint32 {
 	return s.host.Allocate(s.now, logic.Request{Class: job, Deadline: s.now + 2500, Service: 9, Cores: 1, Memory: 2})
 }
 
-func (s *script) complete(id uint32, v logic.Outcome, why logic.Reason) {
+func (s *harness) complete(id uint32, v logic.Outcome, why logic.Reason) {
 	s.now += 5
 	s.host.OnOutcome(s.now, id, s.lastAttempt.number, v, why, nil)
 	s.advance(20)
@@ -128,12 +128,12 @@
 	} {
 		for job, want := range c.want {
 			t.Run(fmt.Sprint(c.verdict, " ", job), func(t *testing.T) {
-				s := begin(t, c.nodes)
+				s := newHarness(t, c.nodes)
 				id := s.request(job)
 				s.advance(10)
-				s.want("first", "offer 1.0")
+				s.expectEffects("first", "offer 1.0")
 				s.complete(id, c.verdict, logic.InsufficientCores)
-				s.want("then", want)
+				s.expectEffects("then", want)
 			})
 		}
 	}
@@ -147,13 +147,13 @@
 		want    string
 	}{{logic.Unreachable, atMostOnce, "declined"}, {logic.ConnectionLost, idempotent, "failed"}, {logic.ConnectionLost, restartable, "declined"}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			s := begin(t, 1)
+			s := newHarness(t, 1)
 			id := s.request(c.job)
 			s.advance(10)
-			s.takeLog()
+			s.takeEffects()
 			s.complete(id, c.verdict, logic.ReasonUnknown)
 			s.advance(2600)
-			if got := s.takeLog(); !strings.Contains(got, "answer 1 "+c.want) || strings.Count(got, "answer") != 1 ||
+			if got := s.takeEffects(); !strings.Contains(got, "answer 1 "+c.want) || strings.Count(got, "answer") != 1 ||
 				!strings.HasSuffix(got, "forget 1") {
 				t.Errorf("%q, want one answer: %s", got, c.want)
 			}
@@ -163,18 +163,18 @@
 
 // TestStaleOutcomes checks that nothing counts that is reported twice, late, or of another attempt.
 func TestStaleOutcomes(t *testing.T) {
-	s := begin(t, 4)
+	s := newHarness(t, 4)
 	id := s.request(restartable)
 	s.advance(10)
-	s.want("first", "offer 1.0")
+	s.expectEffects("first", "offer 1.0")
 	s.complete(id, logic.Errored, logic.ReasonUnknown)
-	s.want("second", "offer 1.1")
+	s.expectEffects("second", "offer 1.1")
 	if s.host.OnStarted(s.now, id, 0) {
 		t.Error("the first try started after its outcome")
 	}
 	s.host.OnOutcome(s.now, id, 0, logic.Rejected, logic.ReasonUnknown, nil)
 	s.advance(20)
-	s.want("an outcome told twice", "")
+	s.expectEffects("an outcome told twice", "")
 	if !s.host.OnStarted(s.now, id, 1) || s.host.OnStarted(s.now, id, 1) {
 		t.Error("the second try starts, once")
 	}
@@ -182,7 +182,7 @@
 	s.host.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
 	s.host.OnTaskLost(s.now, id)
 	s.advance(3000)
-	s.want("its end", "over 1 0, forget 1")
+	s.expectEffects("its end", "over 1 0, forget 1")
 	if s.host.OpenRequests() != 0 || s.host.RunningTasks() != 0 {
 		t.Errorf("%d open, %d stand", s.host.OpenRequests(), s.host.RunningTasks())
 	}
@@ -190,31 +190,31 @@
 
 // TestLateStart has an attempt time out and start after that: it is cancelled, and the start does not count.
 func TestLateStart(t *testing.T) {
-	s := begin(t, 4)
+	s := newHarness(t, 4)
 	id := s.request(restartable)
 	s.advance(10)
-	s.takeLog()
+	s.takeEffects()
 	s.advance(1700)
-	if got := s.takeLog(); !strings.HasPrefix(got, "give up 1.0, offer 1.1") {
+	if got := s.takeEffects(); !strings.HasPrefix(got, "give up 1.0, offer 1.1") {
 		t.Errorf("%q", got)
 	}
 	if s.host.OnStarted(s.now, id, 0) {
 		t.Error("started after its time was up")
 	}
 	s.advance(3000)
-	if got := s.takeLog(); strings.Count(got, "answer") != 1 || !strings.HasSuffix(got, "forget 1") {
+	if got := s.takeEffects(); strings.Count(got, "answer") != 1 || !strings.HasSuffix(got, "forget 1") {
 		t.Errorf("%q", got)
 	}
 }
 
 // TestDeadlineCancels answers at-most-once work before its deadline, cancels its attempt and ignores the rest.
 func TestDeadlineCancels(t *testing.T) {
-	s := begin(t, 4)
+	s := newHarness(t, 4)
 	id := s.request(atMostOnce)
 	s.advance(2480)
-	s.want("first", "offer 1.0")
+	s.expectEffects("first", "offer 1.0")
 	s.advance(19)
-	s.want("at its expiry", "give up 1.0, answer 1 failed, forget 1")
+	s.expectEffects("at its expiry", "give up 1.0, answer 1 failed, forget 1")
 	if s.host.OnStarted(s.now, id, 0) {
 		t.Error("started after its answer")
 	}
@@ -223,42 +223,42 @@
 // TestWithdrawn has clients withdraw requests that wait, are in flight, and run.
 func TestWithdrawn(t *testing.T) {
 	t.Run("waits", func(t *testing.T) {
-		s := begin(t, 0)
+		s := newHarness(t, 0)
 		id := s.request(restartable)
 		s.advance(10)
 		s.host.OnWithdrawn(s.now, id)
 		s.advance(3000)
-		s.want("nothing is answered", "forget 1")
+		s.expectEffects("nothing is answered", "forget 1")
 	})
 	t.Run("out", func(t *testing.T) {
-		s := begin(t, 4)
+		s := newHarness(t, 4)
 		id := s.request(restartable)
 		s.advance(10)
 		s.host.OnWithdrawn(s.now, id)
 		s.host.OnWithdrawn(s.now, id)
 		s.advance(3000)
-		s.want("its try is given up", "offer 1.0, give up 1.0, forget 1")
+		s.expectEffects("its try is given up", "offer 1.0, give up 1.0, forget 1")
 	})
 	t.Run("stands", func(t *testing.T) {
-		s := begin(t, 4)
+		s := newHarness(t, 4)
 		id := s.request(restartable)
 		s.advance(10)
 		s.host.OnStarted(s.now, id, 0)
 		s.host.OnWithdrawn(s.now, id)
 		s.advance(500)
-		s.want("its node is told", "offer 1.0, cut 1")
+		s.expectEffects("its node is told", "offer 1.0, cut 1")
 		s.advance(1000)
-		s.want("and has a second to confirm it; nobody is told", "forget 1")
+		s.expectEffects("and has a second to confirm it; nobody is told", "forget 1")
 	})
 	t.Run("stands, and the node confirms", func(t *testing.T) {
-		s := begin(t, 4)
+		s := newHarness(t, 4)
 		id := s.request(restartable)
 		s.advance(10)
 		s.host.OnStarted(s.now, id, 0)
 		s.host.OnWithdrawn(s.now, id)
 		s.host.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		s.advance(3000)
-		s.want("once", "offer 1.0, cut 1, forget 1")
+		s.expectEffects("once", "offer 1.0, cut 1, forget 1")
 	})
 }
 
@@ -266,37 +266,37 @@
 func TestMigrate(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		words func(s *script, id uint32)
+		words func(s *harness, id uint32)
 		want  string
 	}{
-		{"the node confirms", func(s *script, id uint32) {
+		{"the node confirms", func(s *harness, id uint32) {
 			s.host.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
-		{"it ended meanwhile", func(s *script, id uint32) {
+		{"it ended meanwhile", func(s *harness, id uint32) {
 			s.host.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
-		{"the node says nothing", func(*script, uint32) {}, "move 1, cut 1, forget 1"},
-		{"asked twice", func(s *script, id uint32) {
+		{"the node says nothing", func(*harness, uint32) {}, "move 1, cut 1, forget 1"},
+		{"asked twice", func(s *harness, id uint32) {
 			moduleEffects{s.host}.Migrate(id)
 			s.host.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
-		{"the client ends it too", func(s *script, id uint32) {
+		{"the client ends it too", func(s *harness, id uint32) {
 			s.host.OnWithdrawn(s.now, id)
 			s.host.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		}, "move 1, forget 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := begin(t, 4)
+			s := newHarness(t, 4)
 			id := s.request(restartable)
 			s.advance(10)
 			moduleEffects{s.host}.Migrate(id)
-			s.want("not before it stands", "offer 1.0")
+			s.expectEffects("not before it stands", "offer 1.0")
 			s.host.OnStarted(s.now, id, 0)
 			s.advance(10)
 			moduleEffects{s.host}.Migrate(id)
 			c.words(s, id)
 			s.advance(3000)
-			s.want("moved", c.want)
+			s.expectEffects("moved", c.want)
 		})
 	}
 }
@@ -305,42 +305,42 @@
 func TestRecoverTask(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		end  func(s *script, id uint32)
+		end  func(s *harness, id uint32)
 		want string
 	}{
-		{"it ends", func(s *script, id uint32) { s.host.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil) }, "over 1 0, forget 1"},
-		{"its node is lost", func(s *script, id uint32) { s.host.OnTaskLost(s.now, id) }, "over 1 5, forget 1"},
-		{"it starts, which it can't", func(s *script, id uint32) { s.host.OnStarted(s.now, id, 0) }, ""},
-		{"it is told as of another try", func(s *script, id uint32) {
+		{"it ends", func(s *harness, id uint32) { s.host.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil) }, "over 1 0, forget 1"},
+		{"its node is lost", func(s *harness, id uint32) { s.host.OnTaskLost(s.now, id) }, "over 1 5, forget 1"},
+		{"it starts, which it can't", func(s *harness, id uint32) { s.host.OnStarted(s.now, id, 0) }, ""},
+		{"it is told as of another try", func(s *harness, id uint32) {
 			s.host.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
 		}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := begin(t, 2)
+			s := newHarness(t, 2)
 			id := s.host.RecoverTask(s.now, logic.Recovered{
 				Request: logic.Request{Class: atMostOnce, Service: 9, Cores: 1, Memory: 2}, Node: 100,
 			})
 			s.advance(3000)
-			s.want("nothing", "")
+			s.expectEffects("nothing", "")
 			c.end(s, id)
 			s.advance(3000)
-			s.want("end", c.want)
+			s.expectEffects("end", c.want)
 		})
 	}
 }
 
 // TestClose fails all open requests and leaves running tasks.
 func TestClose(t *testing.T) {
-	s := begin(t, 4)
+	s := newHarness(t, 4)
 	a := s.request(restartable)
 	s.advance(10)
 	s.host.OnStarted(s.now, a, 0)
 	b := s.request(atMostOnce)
 	s.advance(10)
-	s.takeLog()
+	s.takeEffects()
 	s.host.Close(s.now)
 	s.advance(50)
-	s.want("close", fmt.Sprintf("answer %d failed, give up %d.0, forget %d", b, b, b))
+	s.expectEffects("close", fmt.Sprintf("answer %d failed, give up %d.0, forget %d", b, b, b))
 	if s.host.RunningTasks() != 1 {
 		t.Error("what stood was ended")
 	}
@@ -348,19 +348,19 @@
 
 // TestMaxAttempts checks that no more attempts are made than are allowed.
 func TestMaxAttempts(t *testing.T) {
-	s := begin(t, 8)
+	s := newHarness(t, 8)
 	id := s.request(restartable)
 	for range 6 {
 		s.advance(20)
 		s.host.OnOutcome(s.now, id, s.lastAttempt.number, logic.Errored, logic.ReasonUnknown, nil)
 	}
 	s.advance(20)
-	s.want("four tries", "offer 1.0, offer 1.1, offer 1.2, offer 1.3, answer 1 declined, forget 1")
+	s.expectEffects("four tries", "offer 1.0, offer 1.1, offer 1.2, offer 1.3, answer 1 declined, forget 1")
 }
 
 // TestBeliefError checks the mean error of belief, in either direction, against the reports; each report counts once.
 func TestBeliefError(t *testing.T) {
-	s := begin(t, 1)
+	s := newHarness(t, 1)
 	for _, free := range []float64{20, 17, 24} {
 		id := s.request(restartable)
 		s.advance(10)
--- a/internal/platform/host/module_effects.go
+++ b/internal/platform/host/module_effects.go
@@ -39,8 +39,8 @@
 // client without a notification. Only a node that does not confirm the end in time is told by the scheduler.
 func (e moduleEffects) Migrate(id uint32) {
 	h := e.host
-	if a := h.allocations[id]; a != nil && a.running && !a.endNotOwed {
-		a.endNotOwed, a.moving = true, true
+	if a := h.allocations[id]; a != nil && a.running && !a.suppressEndNotification {
+		a.suppressEndNotification, a.migrating = true, true
 		h.effects.NotifyMove(id)
 		h.timers.Set(h.now+outcome.EndTimeout(), timerStopUnconfirmed, attemptKey(id, a.lastAttempt()))
 	}
--- a/internal/platform/host/node_list.go
+++ b/internal/platform/host/node_list.go
@@ -7,21 +7,21 @@
 	"ravenpond/logic"
 )
 
-// maxGoneNodes is how many unavailable nodes are kept before those without allocations are dropped.
-const maxGoneNodes = 256
+// maxUnavailableNodes is how many unavailable nodes are kept before those without allocations are dropped.
+const maxUnavailableNodes = 256
 
 // nodeList is the node list as last told, for a module that replaces another.
 type nodeList struct {
-	kind      logic.ListKind  // of the message that is being read
-	listed    map[uint32]bool // nodes that it named so far
-	nodes     map[uint32]listedNode
-	goneCount int // unavailable nodes
+	kind             logic.ListKind  // of the message that is being read
+	listed           map[uint32]bool // nodes that it named so far
+	nodes            map[uint32]listedNode
+	unavailableCount int // unavailable nodes
 }
 
 // listedNode is a node of the list.
 type listedNode struct {
 	logic.ListEntry
-	seenStarting float64 // when it appeared while this process ran, 0: it was there before
+	observedStartAt float64 // when it appeared while this process ran, 0: it was there before
 }
 
 // ListBegin starts a message of the node list: ListNode follows for each entry, then ListEnd.
@@ -40,14 +40,14 @@
 // ListEnd ends the message.
 func (h *Host) ListEnd() {
 	h.supervisor.list.end()
-	h.pruneGoneNodes()
+	h.pruneUnavailableNodes()
 	h.callModule(func(m *logic.Scheduler) { m.OnListEnd(h.now) })
 }
 
-// pruneGoneNodes drops unavailable nodes without allocations in flight, once there are many unavailable nodes.
-func (h *Host) pruneGoneNodes() {
+// pruneUnavailableNodes drops unavailable nodes without allocations in flight, once there are many unavailable nodes.
+func (h *Host) pruneUnavailableNodes() {
 	list := &h.supervisor.list
-	if list.goneCount <= maxGoneNodes {
+	if list.unavailableCount <= maxUnavailableNodes {
 		return
 	}
 	inUse := map[uint32]bool{}
@@ -55,7 +55,7 @@
 		inUse[a.node] = inUse[a.node] || a.inFlight
 	}
 	maps.DeleteFunc(list.nodes, func(id uint32, n listedNode) bool { return n.Availability == logic.Unavailable && !inUse[id] })
-	list.goneCount = 0
+	list.unavailableCount = 0
 }
 
 func (l *nodeList) begin(kind logic.ListKind) {
@@ -65,11 +65,11 @@
 // add takes an entry. A node that appears, returns or restarts counts as just started, whatever start it is listed with: it may be cold.
 func (l *nodeList) add(now float64, entry logic.ListEntry) {
 	previous, known := l.nodes[entry.Node]
-	n := listedNode{entry, previous.seenStarting}
+	n := listedNode{entry, previous.observedStartAt}
 	returned := previous.Availability == logic.Unavailable && entry.Availability != logic.Unavailable
 	restarted := entry.StartedAt > previous.StartedAt
 	if !known && l.kind != logic.ListCached || known && (returned || restarted) {
-		n.seenStarting = now
+		n.observedStartAt = now
 	}
 	l.nodes[entry.Node] = n
 	l.listed[entry.Node] = true
@@ -85,10 +85,10 @@
 		}
 	}
 	l.listed = nil
-	l.goneCount = 0
+	l.unavailableCount = 0
 	for _, n := range l.nodes {
 		if n.Availability == logic.Unavailable {
-			l.goneCount++
+			l.unavailableCount++
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		for _, id := range slices.Sorted(maps.Keys(l.nodes)) {
 			n := l.nodes[id]
 			entry := n.ListEntry
-			entry.StartedAt = max(n.StartedAt, n.seenStarting)
+			entry.StartedAt = max(n.StartedAt, n.observedStartAt)
 			m.OnListNode(now, entry)
 		}
 		m.OnListEnd(now)
--- a/internal/platform/host/timers.go
+++ b/internal/platform/host/timers.go
@@ -68,7 +68,7 @@
 		}
 	case timerCancelled, timerStopUnconfirmed:
 		if a := h.attemptInFlight(fromAttemptKey(key)); a != nil {
-			if a.moving {
+			if a.migrating {
 				h.effects.StopTask(a.id(), a.node)
 			}
 			h.complete(a, logic.Cancelled, logic.ReasonUnknown, nil)
