--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -81,10 +81,10 @@
 
 // Words of the settings, indexed by the values that they stand for.
 var (
-	discoveryWords = []string{"push", "ask"}
-	effectWords    = []string{"free", "guarded", "single_shot"}    // logic.RetrySemantics
-	groupWords     = []string{"all", "zone", "cell"}               // logic.IdempotencyScope
-	spreadWords    = []string{"silent", "machine", "cell", "zone"} // logic.SpreadScope
+	discoveryValues = []string{"push", "ask"}
+	effectValues    = []string{"free", "guarded", "single_shot"}    // logic.RetrySemantics
+	groupValues     = []string{"all", "zone", "cell"}               // logic.IdempotencyScope
+	spreadValues    = []string{"silent", "machine", "cell", "zone"} // logic.SpreadScope
 )
 
 // parse reads the JSON object.
@@ -119,7 +119,7 @@
 	if v.err != nil {
 		return v.err
 	}
-	if _, err := wordIndex("discovery", f.Discovery, discoveryWords); err != nil {
+	if _, err := enumIndex("discovery", f.Discovery, discoveryValues); err != nil {
 		return err
 	}
 	return nil
@@ -165,6 +165,6 @@
 		v.checkTime(serviceField(i, s.Name, "deadline-ns"), s.Deadline, false)
 		v.checkTime(serviceField(i, s.Name, "aim-ns"), s.LatencyObjective, true)
 		v.checkTime(serviceField(i, s.Name, "window-ns"), s.IdempotencyWindow, false)
-		v.checkRange(serviceField(i, s.Name, "worth"), s.PriorityWeight, 0, maxFigure)
+		v.checkRange(serviceField(i, s.Name, "worth"), s.PriorityWeight, 0, maxValue)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -77,17 +77,17 @@
 // jobClass returns the job class of a service. The group counts for idempotent classes alone.
 func (f *file) jobClass(i int) (logic.JobClass, error) {
 	s := &f.Services[i]
-	effect, err := wordIndex(serviceField(i, s.Name, "effect"), s.Effect, effectWords)
+	effect, err := enumIndex(serviceField(i, s.Name, "effect"), s.Effect, effectValues)
 	if err != nil {
 		return logic.JobClass{}, err
 	}
 	scope := 0
 	if logic.RetrySemantics(effect) == logic.Idempotent {
-		if scope, err = wordIndex(serviceField(i, s.Name, "group"), s.Group, groupWords); err != nil {
+		if scope, err = enumIndex(serviceField(i, s.Name, "group"), s.Group, groupValues); err != nil {
 			return logic.JobClass{}, err
 		}
 	}
-	spread, err := wordIndex(fmt.Sprintf("family-info.spread-over %d", i), elementOr(f.Info.Spread, i, spreadWords[logic.Anywhere]), spreadWords)
+	spread, err := enumIndex(fmt.Sprintf("family-info.spread-over %d", i), elementOr(f.Info.Spread, i, spreadValues[logic.Anywhere]), spreadValues)
 	if err != nil {
 		return logic.JobClass{}, err
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -39,8 +39,8 @@
 func (e *countingEffects) SetTimer(float64, uint64)             {}
 func (e *countingEffects) Log(string)                           {}
 
-// play has a module of a deployment place some requests, and returns how many attempts it starts.
-func play(d *Deployment) (attempts int) {
+// countAttempts has a module of a deployment place some requests, and returns how many attempts it starts.
+func countAttempts(d *Deployment) (attempts int) {
 	effects := &countingEffects{}
 	now := 1e6
 	s := logic.New(effects, now, 7, d.Cluster)
@@ -66,24 +66,24 @@
 	return effects.attempts
 }
 
-// leaves calls each with every place in a settings object, as a path of keys and indexes.
-func leaves(v any, at []any, each func([]any)) {
+// visitPaths calls each with every place in a settings object, as a path of keys and indexes.
+func visitPaths(v any, at []any, each func([]any)) {
 	switch x := v.(type) {
 	case map[string]any:
 		for k, y := range x {
 			each(append(slices.Clone(at), k))
-			leaves(y, append(slices.Clone(at), k), each)
+			visitPaths(y, append(slices.Clone(at), k), each)
 		}
 	case []any:
 		for i, y := range x {
 			each(append(slices.Clone(at), i))
-			leaves(y, append(slices.Clone(at), i), each)
+			visitPaths(y, append(slices.Clone(at), i), each)
 		}
 	}
 }
 
-// with returns the settings with another value in one place; nil removes the place.
-func with(t *testing.T, path []any, to any) []byte {
+// settingsWith returns the settings with another value in one place; nil removes the place.
+func settingsWith(t *testing.T, path []any, to any) []byte {
 	t.Helper()
 	var all any
 	if err := json.Unmarshal([]byte(settings), &all); err != nil {
@@ -114,8 +114,8 @@
 	return text
 }
 
-// meanings are the fields that may be absent or 0, and what that means.
-var meanings = map[string]string{
+// defaultMeanings are the fields that may be absent or 0, and what that means.
+var defaultMeanings = map[string]string{
 	"self-index": "the first", "kinds": "kinds have no names", "zones": "there are none", "projects": "there are none", "portion": "no part",
 	"kind-by-class": "any kind", "spread-over": "anywhere", "most-together": "one", "lists-free": "no", "cold-bears": "nothing goes to a cold node",
 	"settle-ns": "no time", "measured-by": "asked", "displaces": "no", "probes": "no", "cancel": "no", "prices": "none", "fleet": "no price", "report": "none",
@@ -126,7 +126,7 @@
 // TestOddFields puts an absent, empty, zero, negative, huge or strange value in each place of a settings object. Each is an error of one line
 // that names its field, or has a meaning that is written down, with which a module places work and does not panic.
 func TestOddFields(t *testing.T) {
-	if d, err := Read([]byte(settings)); err != nil || play(d) == 0 {
+	if d, err := Read([]byte(settings)); err != nil || countAttempts(d) == 0 {
 		t.Fatalf("%v: the settings as they are place nothing", err)
 	}
 	var all any
@@ -134,7 +134,7 @@
 		t.Fatal(err)
 	}
 	tried := 0
-	leaves(all, nil, func(path []any) {
+	visitPaths(all, nil, func(path []any) {
 		field := ""
 		for _, k := range path {
 			if name, ok := k.(string); ok {
@@ -155,7 +155,7 @@
 // a meaning with which a module works.
 func checkOddValue(t *testing.T, path []any, field string, to any) {
 	t.Helper()
-	d, err := Read(with(t, path, to))
+	d, err := Read(settingsWith(t, path, to))
 	if err == nil {
 		err = d.ValidateForSockets()
 	}
@@ -170,9 +170,9 @@
 		t.Errorf("%s is taken", what)
 	}
 	if to == nil || to == 0.0 {
-		if _, index := path[len(path)-1].(int); meanings[field] == "" && !index {
+		if _, index := path[len(path)-1].(int); defaultMeanings[field] == "" && !index {
 			t.Errorf("%s is taken, and nothing says what it means", what)
 		}
 	}
-	play(d)
+	countAttempts(d)
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -21,7 +21,7 @@
 // Bounds of figures. A figure beyond them is a mistake, and nothing that follows from it would be right.
 const (
 	maxDurationNs = 31 * 24 * 3600e9 // a month
-	maxFigure     = 1e9              // of a count or a size
+	maxValue      = 1e9              // of a count or a size
 	minPositive   = 1e-9             // of a size that must not be 0
 )
 
@@ -29,9 +29,9 @@
 type validator struct{ err error }
 
 // checkRange checks that a figure is within bounds.
-func (v *validator) checkRange(field string, figure, low, high float64) {
-	if v.err == nil && !(figure >= low && figure <= high) { // NaN is out of bounds
-		v.err = fieldErrorf(field, "%g, from %g to %g is possible", figure, low, high)
+func (v *validator) checkRange(field string, value, low, high float64) {
+	if v.err == nil && !(value >= low && value <= high) { // NaN is out of bounds
+		v.err = fieldErrorf(field, "%g, from %g to %g is possible", value, low, high)
 	}
 }
 
@@ -45,13 +45,13 @@
 }
 
 // checkCount checks a count that has a lower bound.
-func (v *validator) checkCount(field string, figure, low float64) {
-	v.checkRange(field, figure, low, maxFigure)
+func (v *validator) checkCount(field string, value, low float64) {
+	v.checkRange(field, value, low, maxValue)
 }
 
 // checkPositive checks a size that must not be 0.
-func (v *validator) checkPositive(field string, figure float64) {
-	v.checkRange(field, figure, minPositive, maxFigure)
+func (v *validator) checkPositive(field string, value float64) {
+	v.checkRange(field, value, minPositive, maxValue)
 }
 
 // checkDistinct checks that names are neither empty nor used twice.
@@ -64,11 +64,11 @@
 	return nil
 }
 
-// wordIndex returns the position of a word of the settings among those that are possible.
-func wordIndex(field, word string, words []string) (int, error) {
-	i := slices.Index(words, word)
+// enumIndex returns the position of a word of the settings among those that are possible.
+func enumIndex(field, value string, values []string) (int, error) {
+	i := slices.Index(values, value)
 	if i < 0 {
-		return 0, fieldErrorf(field, "unknown word %q, expected one of %q", word, words)
+		return 0, fieldErrorf(field, "unknown word %q, expected one of %q", value, values)
 	}
 	return i, nil
 }
