--- a/internal/platform/host/allocations.go
+++ b/internal/platform/host/allocations.go
@@ -8,31 +8,31 @@
 	"ravenpond/logic"
 )
 
-// allocation is one request with its attempts, and then its running task.
+// allocation is a placement request with its attempts and, once one of them has started it, its running task.
 type allocation struct {
 	request                 logic.Request
-	node                    uint32  // of the last attempt
+	node                    uint32  // target of the last attempt
 	sentAt                  float64 // time of the last attempt
 	attempts                int
-	attemptsBeforeModule    int  // attempts that were made by modules before the present one
-	inFlight                bool // the last attempt has no outcome yet; it stays so while the task runs
-	running                 bool // the last attempt started the task
-	migrating               bool // the client was told to request the task anew
-	answered                bool // the request has its final answer, or needs none
-	suppressEndNotification bool // the client is not to be told of the end
-	metricReceived          bool // the node sent a note on the last attempt
-	outcomePending          bool // a timer will deliver the outcome of the last attempt
+	attemptsBeforeModule    int  // attempts that were made by earlier modules, before the current one was started
+	inFlight                bool // the last attempt has no outcome yet; true also while the task runs
+	running                 bool // the last attempt has started the task
+	migrating               bool // the client was told to request the task again
+	answered                bool // the request has received its final answer, or needs none
+	suppressEndNotification bool // the client is not notified of the end of the task
+	metricReceived          bool // the node has sent a measurement for the last attempt
+	outcomePending          bool // a timer is set that delivers the outcome of the last attempt
 }
 
 func (a *allocation) id() uint32 { return a.request.Allocation }
 
-// lastAttempt returns the number of the last attempt, from 0.
+// lastAttempt returns the number of the last attempt. Attempts are numbered from 0.
 func (a *allocation) lastAttempt() int { return a.attempts - 1 }
 
-// moduleAttempt returns the number by which the present module knows the last attempt.
+// moduleAttempt returns the number under which the current module knows the last attempt.
 func (a *allocation) moduleAttempt() uint8 { return uint8(a.attempts - 1 - a.attemptsBeforeModule) }
 
-// add gives an allocation its number.
+// add stores an allocation under a new ID and returns the ID.
 func (h *Host) add(a *allocation) uint32 {
 	h.lastID++
 	a.request.Allocation = h.lastID
@@ -40,7 +40,7 @@
 	return h.lastID
 }
 
-// Allocate takes a request and returns the number that it gives to the allocation.
+// Allocate accepts a request and returns the ID of its allocation.
 func (h *Host) Allocate(now float64, request logic.Request) uint32 {
 	h.recordEvent(now)
 	a := &allocation{request: request}
@@ -51,8 +51,8 @@
 	return id
 }
 
-// RecoverTask takes a task that runs at a node already, and returns the number that it gives to the allocation. No answer is given for it,
-// only its end is told.
+// RecoverTask takes over a task that already runs on a node, and returns the ID of its allocation. The request is not answered; the client is
+// notified only of the end of the task.
 func (h *Host) RecoverTask(now float64, task logic.Recovered) uint32 {
 	h.recordEvent(now)
 	a := &allocation{request: task.Request, node: task.Node, sentAt: h.now, attempts: 1, inFlight: true, running: true, answered: true}
@@ -62,14 +62,15 @@
 	return id
 }
 
-// recovered returns a running allocation as a module takes it over.
+// recovered returns a running allocation in the form in which a new module takes it over.
 func (a *allocation) recovered() logic.Recovered {
 	task := logic.Recovered{Request: a.request, Node: a.node}
 	task.Deadline = 0
 	return task
 }
 
-// OnWithdrawn says that the client no longer wants an allocation, whether it waits or runs. The client gets no answer and no notification.
+// OnWithdrawn handles a client's withdrawal of an allocation, whether its request is open or its task runs. The client gets neither an answer
+// nor a notification.
 func (h *Host) OnWithdrawn(now float64, id uint32) {
 	a := h.allocations[id]
 	if a == nil || a.suppressEndNotification {
@@ -88,7 +89,7 @@
 	}
 }
 
-// onDeadline fails a request whose client stops waiting.
+// onDeadline answers an open request as failed, because its client stops waiting.
 func (h *Host) onDeadline(id uint32) {
 	if a := h.allocations[id]; a != nil && !a.answered {
 		h.answer(a, false)
@@ -96,7 +97,7 @@
 	}
 }
 
-// answerAll gives all open requests their final answer: shed where a retry does no harm, else failed.
+// answerAll gives all open requests their final answer: shed where a retry is safe, else failed.
 func (h *Host) answerAll(isRetrySafe func(*allocation) bool) {
 	for _, id := range slices.Sorted(maps.Keys(h.allocations)) {
 		if a := h.allocations[id]; a != nil && !a.answered {
@@ -106,19 +107,19 @@
 	}
 }
 
-// answer gives a request a final answer that the module did not decide.
+// answer sends a final answer that the host, not the module, decided on.
 func (h *Host) answer(a *allocation, shed bool) {
 	h.effects.AnswerRequest(a.id(), shed)
 	h.closeRequest(a)
 }
 
-// closeRequest tells the module that a request needs no answer any more.
+// closeRequest marks a request as answered and tells the module that it no longer needs an answer.
 func (h *Host) closeRequest(a *allocation) {
 	h.markAnswered(a)
 	h.callModule(func(m *logic.Scheduler) { m.OnExpired(h.now, a.id()) })
 }
 
-// abandon drops an allocation that needs no answer any more, with its attempt in flight.
+// abandon cancels the attempt in flight of an answered allocation, and drops the allocation if there is none.
 func (h *Host) abandon(a *allocation) {
 	h.cancelAttempt(a)
 	h.forgetIfDone(a)
--- a/internal/platform/host/attempts.go
+++ b/internal/platform/host/attempts.go
@@ -7,7 +7,7 @@
 	"ravenpond/logic"
 )
 
-// attemptInFlight returns the allocation whose attempt with this number is in flight or runs, nil if the attempt has its outcome.
+// attemptInFlight returns the allocation if the attempt with this number is in flight or its task runs, and nil if the attempt has its outcome.
 func (h *Host) attemptInFlight(id uint32, attempt int) *allocation {
 	if a := h.allocations[id]; a != nil && a.inFlight && a.attempts == attempt+1 {
 		return a
@@ -15,7 +15,7 @@
 	return nil
 }
 
-// awaitedAttempt returns the same, but nil if the outcome is decided already.
+// awaitedAttempt is like attemptInFlight, but also returns nil if the outcome of the attempt is already decided.
 func (h *Host) awaitedAttempt(id uint32, attempt int) *allocation {
 	if a := h.attemptInFlight(id, attempt); a != nil && !a.outcomePending {
 		return a
@@ -23,10 +23,10 @@
 	return nil
 }
 
-// startAttempt sends the next attempt of an allocation. One that can't be sent gets its outcome in a later round.
+// startAttempt sends the next attempt of an allocation. An attempt that cannot be sent gets the outcome NotSent in a later round.
 func (h *Host) startAttempt(a *allocation, node uint32, timeout float64) {
 	if a.inFlight {
-		h.effects.LogLine(fmt.Sprintf("refused to offer %d while its try %d is out", a.id(), a.lastAttempt()))
+		h.effects.LogLine(fmt.Sprintf("refused to offer allocation %d again while its attempt %d is in flight", a.id(), a.lastAttempt()))
 		return
 	}
 	a.node, a.sentAt, a.inFlight, a.metricReceived = node, h.now, true, false
@@ -45,7 +45,7 @@
 	h.effects.RequestPlacement(a.id(), uint8(a.lastAttempt()), node, left)
 }
 
-// cancelAttempt cancels an attempt that has not started the task. Its outcome follows in a later round.
+// cancelAttempt cancels an attempt that has not started the task. The outcome is delivered in a later round.
 func (h *Host) cancelAttempt(a *allocation) {
 	if a.inFlight && !a.running && !a.outcomePending {
 		a.outcomePending = true
@@ -54,8 +54,8 @@
 	}
 }
 
-// OnStarted says that the node of an attempt has started the task. It returns false if the attempt is no longer waited for, so that the task
-// has to be stopped.
+// OnStarted handles a node's report that an attempt has started the task. It returns false if the attempt is no longer awaited; the caller
+// must then stop the task.
 func (h *Host) OnStarted(now float64, id uint32, attempt uint8) bool {
 	a := h.awaitedAttempt(id, int(attempt))
 	if a == nil || a.running || a.answered || now >= a.request.Deadline {
@@ -69,7 +69,8 @@
 	return true
 }
 
-// OnOutcome says how an attempt, or the running task that it started, has ended. The report is the node's load report, valid during the call.
+// OnOutcome handles the end of an attempt or of the running task that it started. The report is the node's load report; it is valid only
+// during the call.
 func (h *Host) OnOutcome(now float64, id uint32, attempt uint8, verdict logic.Outcome, reason logic.Reason, report []float64) {
 	if a := h.awaitedAttempt(id, int(attempt)); a != nil {
 		h.recordEvent(now)
@@ -77,9 +78,9 @@
 	}
 }
 
-// OnEarlyEnd says that a node told the end of an attempt before it answered it. If the task had been running, the request gets its final
-// answer at once and no other attempt; else the outcome is that of an attempt that never started. OnEarlyEnd returns whether the task had
-// been running, so that an answer may still follow.
+// OnEarlyEnd handles the end of an attempt that a node reports before it has answered the attempt. If the task had been running, the request
+// gets its final answer at once and no further attempt; otherwise the outcome is that of an attempt that never started. OnEarlyEnd returns
+// whether the task had been running; if so, the node's answer may still arrive.
 func (h *Host) OnEarlyEnd(now float64, id uint32, attempt uint8, end outcome.EarlyEnd, report []float64) (ran bool) {
 	a := h.awaitedAttempt(id, int(attempt))
 	if a == nil || a.running {
@@ -96,7 +97,7 @@
 	return ran
 }
 
-// OnTaskLost says that a running task was lost with its node.
+// OnTaskLost handles the loss of a running task together with its node.
 func (h *Host) OnTaskLost(now float64, id uint32) {
 	if a := h.allocations[id]; a != nil && a.running {
 		h.recordEvent(now)
@@ -104,7 +105,7 @@
 	}
 }
 
-// OnNote takes a measurement that a node sent of a task.
+// OnNote passes a node's measurement of a task to the module.
 func (h *Host) OnNote(now float64, id uint32, metric logic.TaskMetric, value float64) {
 	a := h.allocations[id]
 	if a == nil || !a.inFlight {
@@ -124,7 +125,7 @@
 	}
 }
 
-// complete gives the last attempt its outcome.
+// complete ends the last attempt with an outcome and reports it to the module, and to the client if a running task ended.
 func (h *Host) complete(a *allocation, verdict logic.Outcome, reason logic.Reason, report []float64) {
 	if a.running {
 		h.runningCount--
--- a/internal/platform/host/belief_error.go
+++ b/internal/platform/host/belief_error.go
@@ -6,25 +6,27 @@
 	"ravenpond/logic"
 )
 
-// BeliefError is how far the module's belief of nodes' free capacity was off when reports came: mean absolute differences.
+// BeliefError is the mean absolute difference between the free capacity of nodes that the module assumed and the capacity in their load
+// reports.
 type BeliefError struct {
 	Reports       int
 	Cores, Memory float64
 }
 
-// beliefErrorSum sums up differences between belief and reports.
+// beliefErrorSum accumulates the absolute differences between the module's assumptions and the load reports.
 type beliefErrorSum struct {
 	reports       int
 	cores, memory float64
 }
 
-// Belief returns what the module believes of a node, for the log. It reports false if the node is unknown to the module.
+// Belief returns the module's estimate of a node, for the log. ok is false if the module does not know the node, or if reading its estimates
+// has panicked.
 func (h *Host) Belief(node uint32) (belief logic.Belief, ok bool) {
 	h.diagnostics.Do("beliefs", func() { belief, ok = h.module.NodeBelief(node) })
 	return belief, ok
 }
 
-// TakeBeliefError returns the error of the module's belief since the last call.
+// TakeBeliefError returns the error of the module's estimates since the last call and starts a new measurement.
 func (h *Host) TakeBeliefError() BeliefError {
 	sum := h.beliefErrors
 	h.beliefErrors = beliefErrorSum{}
@@ -32,7 +34,7 @@
 	return BeliefError{Reports: sum.reports, Cores: sum.cores / n, Memory: sum.memory / n}
 }
 
-// recordBeliefError compares the module's belief with a report that the module has not seen yet.
+// recordBeliefError compares the module's estimate of a node with a load report that the module has not received yet.
 func (h *Host) recordBeliefError(node uint32, report []float64) {
 	h.diagnostics.Do("mistakes", func() {
 		if cores, memory, ok := h.module.BeliefError(h.now, node, report); ok {
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -1,12 +1,12 @@
-// Package host runs one placement module (package logic) for the platform's scheduler.
+// Package host runs one placement module (package logic), an instance of the placement policy, for the platform's scheduler.
 //
-// The scheduler reports events to a Host with their times: requests, answers of nodes, outcomes, the node list. The Host passes them to the
-// module and carries out the module's decisions through Effects. Between the two it keeps what the module relies on: it numbers and times
-// attempts, reports as not sent what can't be sent, delivers outcomes in a later round than the action that caused them, gives each request
-// exactly one final answer, and replaces a module that panics.
+// The scheduler reports timestamped events to a Host: requests, answers of nodes, outcomes, the node list. The Host passes them to the module
+// and carries out the module's decisions through Effects. In between it provides the guarantees that the module relies on: it numbers and
+// times attempts, reports attempts that cannot be sent as NotSent, delivers each outcome in a later round than the action that caused it,
+// gives each request exactly one final answer, and replaces a module that panics.
 //
-// A Host does no I/O, reads no clock and starts no goroutine. It has no lock: calls come one at a time, and never from inside an effect. All
-// times are in milliseconds on the caller's clock.
+// A Host does no I/O, reads no clock and starts no goroutine. It has no lock: its methods must be called one at a time, and never from within
+// an effect. All times are in milliseconds on the caller's clock.
 package host
 
 import (
@@ -21,57 +21,57 @@
 	"ravenpond/logic"
 )
 
-// Effects carries out what a Host decides. Its methods must not call the Host.
+// Effects carries out the decisions of a Host. Its methods must not call the Host.
 type Effects interface {
-	// RequestPlacement sends an attempt to a node, which may answer it within timeout ms.
+	// RequestPlacement sends an attempt to a node, which has timeout ms to answer it.
 	RequestPlacement(alloc uint32, attempt uint8, node uint32, timeout float64)
-	// CancelAttempt says that an attempt in flight is no longer waited for.
+	// CancelAttempt cancels an attempt in flight. Its result is no longer awaited.
 	CancelAttempt(alloc uint32, attempt uint8, node uint32)
-	// StopTask ends a running task at its node.
+	// StopTask asks a node to stop a running task.
 	StopTask(alloc, node uint32)
-	// AnswerRequest gives a request its final answer other than that its task runs: shed if a retry does no harm, else failed.
+	// AnswerRequest sends the final answer to a request whose task does not run: shed if a retry is safe, else failed.
 	AnswerRequest(alloc uint32, shed bool)
-	// NotifyMove tells the client to request a running task anew, elsewhere.
+	// NotifyMove tells the client to request its running task again, so that it is placed on another node.
 	NotifyMove(alloc uint32)
-	// NotifyEnd tells the client that its running task has ended.
+	// NotifyEnd notifies the client that its running task has ended.
 	NotifyEnd(alloc uint32, verdict logic.Outcome)
 	// Forget is the last call for an allocation.
 	Forget(alloc uint32)
-	// Probe sends a health check to a node. Its result goes to OnProbeResult with the same number.
+	// Probe sends a health check to a node. The caller passes its result to OnProbeResult with the same sequence number.
 	Probe(node, seq uint32)
-	// PollEndpoints asks for the changes of the node list, or for word that it can't be read.
+	// PollEndpoints requests the changes of the node list. The response may also be that the list cannot be read.
 	PollEndpoints()
-	// LogLine writes a line about the module to the log.
+	// LogLine writes a line about the module or the host to the log.
 	LogLine(line string)
 }
 
-// idleRoundDelay is how long a Host without timers waits for its next round, in ms.
+// idleRoundDelay is the time to the next round of a Host without timers, ms.
 const idleRoundDelay = 1000
 
-// Host is one placement module with its allocations, timers and probes.
+// Host runs one placement module and holds its allocations, timers and probes.
 type Host struct {
 	effects       Effects
 	module        *logic.Scheduler
 	supervisor    moduleSupervisor
-	diagnostics   besteffort.Guard // guards reads of the module that serve the log alone
+	diagnostics   besteffort.Guard // guards reads of the module that are needed only for the log
 	beliefErrors  beliefErrorSum
-	roundInterval float64 // least time between rounds
-	maxAttempts   int     // for each allocation
+	roundInterval float64 // minimum time between rounds
+	maxAttempts   int     // per allocation
 	now           float64 // time of the last event or round
 	lastRound     float64
-	hasEvents     bool // since the last round
+	hasEvents     bool // an event was reported since the last round
 	timers        timers.Heap[timerKind]
 	allocations   map[uint32]*allocation
-	lastID        uint32 // of allocations and probes, which share numbers: a late answer to a probe never fits an allocation
+	lastID        uint32 // last ID of an allocation or probe; they share one sequence, so a late probe answer never matches an allocation
 	probes        map[uint32]pendingProbe
 	pauseDetector pausedetect.Detector
-	openCount     int // allocations without a final answer
-	runningCount  int // allocations that run at nodes
+	openCount     int // number of allocations without a final answer
+	runningCount  int // number of allocations whose tasks run on nodes
 	timeoutGrace  float64
 	probeTimeout  float64
 }
 
-// New returns a Host with a new module. The seed is that of the module's random draws.
+// New returns a Host with a new module. The seed initializes the module's random numbers.
 func New(effects Effects, now float64, seed uint64, cluster *logic.Cluster) *Host {
 	h := &Host{
 		effects: effects, roundInterval: cluster.MinRoundInterval, maxAttempts: cluster.MaxAttempts, now: now, lastRound: math.Inf(-1),
@@ -83,21 +83,22 @@
 	return h
 }
 
-// OpenRequests returns how many allocations have no final answer.
+// OpenRequests returns how many allocations have no final answer yet.
 func (h *Host) OpenRequests() int { return h.openCount }
 
-// RunningTasks returns how many allocations run at nodes.
+// RunningTasks returns how many allocations have a running task.
 func (h *Host) RunningTasks() int { return h.runningCount }
 
-// SetTimeoutGrace sets how long time-outs of attempts and probes are put off when they fire, in ms, because answers may have been received
-// that are not read yet.
+// SetTimeoutGrace sets by how many ms the time-outs of attempts and probes are postponed once when they fire, because answers may have been
+// received that are not read yet.
 func (h *Host) SetTimeoutGrace(ms float64) { h.timeoutGrace = ms }
 
-// SetConnectTimeout sets how long connecting to a node may take, in ms: a probe may have to wait for that.
+// SetConnectTimeout sets how long connecting to a node may take, in ms. The time-out of probes allows for it, because a probe may have to wait
+// for a connection.
 func (h *Host) SetConnectTimeout(ms float64) { h.probeTimeout = outcome.ProbeTimeoutFor(ms) }
 
-// Round fires the timers that are due and lets the module decide. It does nothing before EarliestRound. After a pause of the process a round
-// only takes note of it, so that what was received meanwhile is read before time-outs fire.
+// Round fires the timers that are due and lets the module decide. It does nothing before EarliestRound. After a pause of the process, a round
+// only records the pause, so that messages received in the meantime are read before time-outs fire.
 func (h *Host) Round(now float64) {
 	if now < h.EarliestRound() {
 		return
@@ -107,7 +108,7 @@
 	pausedFor, act := h.pauseDetector.OnRound(h.now, h.hasEvents)
 	h.hasEvents = false
 	if pausedFor > 0 {
-		h.effects.LogLine(fmt.Sprintf("stall: stood still %.0f ms, %d open, reads before it acts", pausedFor, h.openCount))
+		h.effects.LogLine(fmt.Sprintf("process was paused for %.0f ms with %d open allocations; processing received messages before acting", pausedFor, h.openCount))
 	}
 	if !act || h.recoverModule() {
 		return
@@ -116,10 +117,10 @@
 	h.callModule(func(m *logic.Scheduler) { m.Decide(h.now) })
 }
 
-// EarliestRound returns when the next round may be.
+// EarliestRound returns the earliest time of the next round.
 func (h *Host) EarliestRound() float64 { return h.lastRound + h.roundInterval }
 
-// NextRound returns when Round has to be called at the latest.
+// NextRound returns the time by which Round must be called.
 func (h *Host) NextRound() float64 {
 	at, ok := h.timers.First()
 	if !ok {
@@ -134,13 +135,13 @@
 	return max(at, h.EarliestRound(), h.pauseDetector.ResumeAt())
 }
 
-// recordEvent advances the time to that of an event.
+// recordEvent advances the host's time to that of an event and marks that the next round has events to handle.
 func (h *Host) recordEvent(now float64) {
 	h.now = max(h.now, now)
 	h.hasEvents = true
 }
 
-// Close gives all open requests their final answer: they failed, as far as anybody can tell.
+// Close answers all open requests as failed, which does not promise that their tasks never ran.
 func (h *Host) Close(now float64) {
 	h.recordEvent(now)
 	h.answerAll(func(*allocation) bool { return false })
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -8,7 +8,7 @@
 	"ravenpond/logic"
 )
 
-// harness is a host on a virtual clock that records its effects as lines.
+// harness runs a host on a virtual clock and records its effects as lines of text.
 type harness struct {
 	t           *testing.T
 	host        *Host
@@ -32,27 +32,27 @@
 }
 
 func (s *harness) CancelAttempt(id uint32, attempt uint8, _ uint32) {
-	s.record("give up %d.%d", id, attempt)
+	s.record("cancel %d.%d", id, attempt)
 }
-func (s *harness) StopTask(id, _ uint32)                { s.record("cut %d", id) }
-func (s *harness) NotifyMove(id uint32)                 { s.record("move %d", id) }
-func (s *harness) NotifyEnd(id uint32, v logic.Outcome) { s.record("over %d %d", id, v) }
+func (s *harness) StopTask(id, _ uint32)                { s.record("stop %d", id) }
+func (s *harness) NotifyMove(id uint32)                 { s.record("migrate %d", id) }
+func (s *harness) NotifyEnd(id uint32, v logic.Outcome) { s.record("end %d %d", id, v) }
 func (s *harness) Forget(id uint32)                     { s.record("forget %d", id) }
 func (s *harness) Probe(_, seq uint32)                  { s.probe = seq }
 func (s *harness) PollEndpoints()                       {}
 func (s *harness) LogLine(string)                       {}
-func (s *harness) AnswerRequest(id uint32, declined bool) {
-	s.record("answer %d %s", id, map[bool]string{true: "declined", false: "failed"}[declined])
+func (s *harness) AnswerRequest(id uint32, shed bool) {
+	s.record("answer %d %s", id, map[bool]string{true: "shed", false: "failed"}[shed])
 }
 
-// Job classes of the script, by their indexes.
+// Indexes of the job classes of a harness.
 const (
 	restartable = iota
 	idempotent
 	atMostOnce
 )
 
-// newHarness starts a host with some nodes, alternately in two zones.
+// newHarness starts a host with a number of nodes, which alternate between two zones.
 func newHarness(t *testing.T, nodes int) *harness {
 	t.Helper()
 	s := &harness{t: t, now: 1e6}
@@ -80,7 +80,7 @@
 	return s
 }
 
-// advance lets time go by, with a round each time one is due.
+// advance moves the clock forward and runs each round that becomes due.
 func (s *harness) advance(ms float64) {
 	for end := s.now + ms; s.now < end; {
 		s.now = min(end, max(s.now+0.1, s.host.NextRound()))
@@ -101,8 +101,8 @@
 	}
 }
 
-func (s *harness) request(job int) uint32 {
-	return s.host.Allocate(s.now, logic.Request{Class: job, Deadline: s.now + 2500, Service: 9, Cores: 1, Memory: 2})
+func (s *harness) request(class int) uint32 {
+	return s.host.Allocate(s.now, logic.Request{Class: class, Deadline: s.now + 2500, Service: 9, Cores: 1, Memory: 2})
 }
 
 func (s *harness) complete(id uint32, v logic.Outcome, why logic.Reason) {
@@ -111,13 +111,13 @@
 	s.advance(20)
 }
 
-// TestOutcomes gives each outcome to a first attempt of each job class, and checks what becomes of the allocation: another attempt, or an answer.
+// TestOutcomes ends the first attempt of each job class with each outcome, and checks whether another attempt or an answer follows.
 func TestOutcomes(t *testing.T) {
 	const again, failed = "offer 1.1", "answer 1 failed, forget 1"
 	for _, c := range []struct {
 		verdict logic.Outcome
 		nodes   int
-		want    [3]string // by job type
+		want    [3]string // by job class
 	}{
 		{logic.Rejected, 4, [3]string{again, again, again}},
 		{logic.Unreachable, 4, [3]string{again, again, again}},
@@ -126,131 +126,132 @@
 		{logic.Errored, 4, [3]string{again, again, failed}},
 		{logic.TimedOut, 4, [3]string{again, again, failed}},
 	} {
-		for job, want := range c.want {
-			t.Run(fmt.Sprint(c.verdict, " ", job), func(t *testing.T) {
+		for class, want := range c.want {
+			t.Run(fmt.Sprint(c.verdict, ", class ", class), func(t *testing.T) {
 				s := newHarness(t, c.nodes)
-				id := s.request(job)
+				id := s.request(class)
 				s.advance(10)
-				s.expectEffects("first", "offer 1.0")
+				s.expectEffects("first attempt", "offer 1.0")
 				s.complete(id, c.verdict, logic.InsufficientCores)
-				s.expectEffects("then", want)
+				s.expectEffects("after its outcome", want)
 			})
 		}
 	}
 }
 
-// TestDeadlineAnswer checks that at its deadline a request is shed if it provably never ran, and else failed.
+// TestDeadlineAnswer checks that at its deadline a request is shed if its task provably never ran or may safely run again, and else failed.
 func TestDeadlineAnswer(t *testing.T) {
 	for _, c := range []struct {
 		verdict logic.Outcome
-		job     int
+		class   int
 		want    string
-	}{{logic.Unreachable, atMostOnce, "declined"}, {logic.ConnectionLost, idempotent, "failed"}, {logic.ConnectionLost, restartable, "declined"}} {
+	}{{logic.Unreachable, atMostOnce, "shed"}, {logic.ConnectionLost, idempotent, "failed"}, {logic.ConnectionLost, restartable, "shed"}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			s := newHarness(t, 1)
-			id := s.request(c.job)
+			id := s.request(c.class)
 			s.advance(10)
 			s.takeEffects()
 			s.complete(id, c.verdict, logic.ReasonUnknown)
 			s.advance(2600)
 			if got := s.takeEffects(); !strings.Contains(got, "answer 1 "+c.want) || strings.Count(got, "answer") != 1 ||
 				!strings.HasSuffix(got, "forget 1") {
-				t.Errorf("%q, want one answer: %s", got, c.want)
+				t.Errorf("effects %q, want one answer: %s", got, c.want)
 			}
 		})
 	}
 }
 
-// TestStaleOutcomes checks that nothing counts that is reported twice, late, or of another attempt.
+// TestStaleOutcomes checks that reports that come twice, late, or for another attempt are ignored.
 func TestStaleOutcomes(t *testing.T) {
 	s := newHarness(t, 4)
 	id := s.request(restartable)
 	s.advance(10)
-	s.expectEffects("first", "offer 1.0")
+	s.expectEffects("first attempt", "offer 1.0")
 	s.complete(id, logic.Errored, logic.ReasonUnknown)
-	s.expectEffects("second", "offer 1.1")
+	s.expectEffects("second attempt", "offer 1.1")
 	if s.host.OnStarted(s.now, id, 0) {
-		t.Error("the first try started after its outcome")
+		t.Error("a start of the first attempt was accepted after its outcome")
 	}
 	s.host.OnOutcome(s.now, id, 0, logic.Rejected, logic.ReasonUnknown, nil)
 	s.advance(20)
-	s.expectEffects("an outcome told twice", "")
+	s.expectEffects("second outcome of the first attempt", "")
 	if !s.host.OnStarted(s.now, id, 1) || s.host.OnStarted(s.now, id, 1) {
-		t.Error("the second try starts, once")
+		t.Error("the start of the second attempt was not accepted exactly once")
 	}
 	s.host.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
 	s.host.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
 	s.host.OnTaskLost(s.now, id)
 	s.advance(3000)
-	s.expectEffects("its end", "over 1 0, forget 1")
+	s.expectEffects("end of the task, reported three times", "end 1 0, forget 1")
 	if s.host.OpenRequests() != 0 || s.host.RunningTasks() != 0 {
-		t.Errorf("%d open, %d stand", s.host.OpenRequests(), s.host.RunningTasks())
+		t.Errorf("%d open requests and %d running tasks, want none", s.host.OpenRequests(), s.host.RunningTasks())
 	}
 }
 
-// TestLateStart has an attempt time out and start after that: it is cancelled, and the start does not count.
+// TestLateStart checks that an attempt that times out is cancelled, and that its start is not accepted after that.
 func TestLateStart(t *testing.T) {
 	s := newHarness(t, 4)
 	id := s.request(restartable)
 	s.advance(10)
 	s.takeEffects()
 	s.advance(1700)
-	if got := s.takeEffects(); !strings.HasPrefix(got, "give up 1.0, offer 1.1") {
-		t.Errorf("%q", got)
+	if got := s.takeEffects(); !strings.HasPrefix(got, "cancel 1.0, offer 1.1") {
+		t.Errorf("after the time-out: effects %q, want the attempt cancelled and a second one offered", got)
 	}
 	if s.host.OnStarted(s.now, id, 0) {
-		t.Error("started after its time was up")
+		t.Error("a start was accepted after the time-out")
 	}
 	s.advance(3000)
 	if got := s.takeEffects(); strings.Count(got, "answer") != 1 || !strings.HasSuffix(got, "forget 1") {
-		t.Errorf("%q", got)
+		t.Errorf("after the deadline: effects %q, want one answer and the allocation dropped", got)
 	}
 }
 
-// TestDeadlineCancels answers at-most-once work before its deadline, cancels its attempt and ignores the rest.
+// TestDeadlineCancels checks that an at-most-once request is answered before its deadline, that its attempt is cancelled, and that a later start
+// is not accepted.
 func TestDeadlineCancels(t *testing.T) {
 	s := newHarness(t, 4)
 	id := s.request(atMostOnce)
 	s.advance(2480)
-	s.expectEffects("first", "offer 1.0")
+	s.expectEffects("first attempt", "offer 1.0")
 	s.advance(19)
-	s.expectEffects("at its expiry", "give up 1.0, answer 1 failed, forget 1")
+	s.expectEffects("just before the deadline", "cancel 1.0, answer 1 failed, forget 1")
 	if s.host.OnStarted(s.now, id, 0) {
-		t.Error("started after its answer")
+		t.Error("a start was accepted after the answer")
 	}
 }
 
-// TestWithdrawn has clients withdraw requests that wait, are in flight, and run.
+// TestWithdrawn has clients withdraw allocations that wait for a node, have an attempt in flight, or run.
 func TestWithdrawn(t *testing.T) {
-	t.Run("waits", func(t *testing.T) {
+	t.Run("waiting", func(t *testing.T) {
 		s := newHarness(t, 0)
 		id := s.request(restartable)
 		s.advance(10)
 		s.host.OnWithdrawn(s.now, id)
 		s.advance(3000)
-		s.expectEffects("nothing is answered", "forget 1")
+		s.expectEffects("no answer", "forget 1")
 	})
-	t.Run("out", func(t *testing.T) {
+	t.Run("attempt in flight", func(t *testing.T) {
 		s := newHarness(t, 4)
 		id := s.request(restartable)
 		s.advance(10)
 		s.host.OnWithdrawn(s.now, id)
 		s.host.OnWithdrawn(s.now, id)
 		s.advance(3000)
-		s.expectEffects("its try is given up", "offer 1.0, give up 1.0, forget 1")
+		s.expectEffects("attempt is cancelled", "offer 1.0, cancel 1.0, forget 1")
 	})
-	t.Run("stands", func(t *testing.T) {
+	t.Run("running", func(t *testing.T) {
 		s := newHarness(t, 4)
 		id := s.request(restartable)
 		s.advance(10)
 		s.host.OnStarted(s.now, id, 0)
 		s.host.OnWithdrawn(s.now, id)
 		s.advance(500)
-		s.expectEffects("its node is told", "offer 1.0, cut 1")
+		s.expectEffects("node is asked to stop the task", "offer 1.0, stop 1")
 		s.advance(1000)
-		s.expectEffects("and has a second to confirm it; nobody is told", "forget 1")
+		s.expectEffects("node has not confirmed within 1 s; no notification", "forget 1")
 	})
-	t.Run("stands, and the node confirms", func(t *testing.T) {
+	t.Run("running, and the node confirms the stop", func(t *testing.T) {
 		s := newHarness(t, 4)
 		id := s.request(restartable)
 		s.advance(10)
@@ -258,60 +259,61 @@
 		s.host.OnWithdrawn(s.now, id)
 		s.host.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
 		s.advance(3000)
-		s.expectEffects("once", "offer 1.0, cut 1, forget 1")
+		s.expectEffects("task is stopped once", "offer 1.0, stop 1, forget 1")
 	})
 }
 
-// TestMigrate has a client stop its running task to request it anew. Only a node that does not confirm the stop is told by the scheduler too.
+// TestMigrate has a client stop its running task to request it again. The scheduler sends a stop too only if the node does not confirm that the
+// task has ended.
 func TestMigrate(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		words func(s *harness, id uint32)
-		want  string
+		name   string
+		events func(s *harness, id uint32)
+		want   string
 	}{
-		{"the node confirms", func(s *harness, id uint32) {
+		{"the node confirms the stop", func(s *harness, id uint32) {
 			s.host.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
-		}, "move 1, forget 1"},
-		{"it ended meanwhile", func(s *harness, id uint32) {
+		}, "migrate 1, forget 1"},
+		{"the task has completed meanwhile", func(s *harness, id uint32) {
 			s.host.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil)
-		}, "move 1, forget 1"},
-		{"the node says nothing", func(*harness, uint32) {}, "move 1, cut 1, forget 1"},
-		{"asked twice", func(s *harness, id uint32) {
+		}, "migrate 1, forget 1"},
+		{"the node does not confirm", func(*harness, uint32) {}, "migrate 1, stop 1, forget 1"},
+		{"migrated twice", func(s *harness, id uint32) {
 			moduleEffects{s.host}.Migrate(id)
 			s.host.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
-		}, "move 1, forget 1"},
-		{"the client ends it too", func(s *harness, id uint32) {
+		}, "migrate 1, forget 1"},
+		{"the client withdraws it too", func(s *harness, id uint32) {
 			s.host.OnWithdrawn(s.now, id)
 			s.host.OnOutcome(s.now, id, 0, logic.Cancelled, logic.ReasonUnknown, nil)
-		}, "move 1, forget 1"},
+		}, "migrate 1, forget 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newHarness(t, 4)
 			id := s.request(restartable)
 			s.advance(10)
 			moduleEffects{s.host}.Migrate(id)
-			s.expectEffects("not before it stands", "offer 1.0")
+			s.expectEffects("no migration before the task runs", "offer 1.0")
 			s.host.OnStarted(s.now, id, 0)
 			s.advance(10)
 			moduleEffects{s.host}.Migrate(id)
-			c.words(s, id)
+			c.events(s, id)
 			s.advance(3000)
-			s.expectEffects("moved", c.want)
+			s.expectEffects("migration", c.want)
 		})
 	}
 }
 
-// TestRecoverTask takes over a running task: no answer is given, its end is notified.
+// TestRecoverTask takes over a running task: the client gets no answer, only a notification of the end.
 func TestRecoverTask(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		end  func(s *harness, id uint32)
 		want string
 	}{
-		{"it ends", func(s *harness, id uint32) { s.host.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil) }, "over 1 0, forget 1"},
-		{"its node is lost", func(s *harness, id uint32) { s.host.OnTaskLost(s.now, id) }, "over 1 5, forget 1"},
-		{"it starts, which it can't", func(s *harness, id uint32) { s.host.OnStarted(s.now, id, 0) }, ""},
-		{"it is told as of another try", func(s *harness, id uint32) {
+		{"the task completes", func(s *harness, id uint32) { s.host.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, nil) }, "end 1 0, forget 1"},
+		{"the node is lost", func(s *harness, id uint32) { s.host.OnTaskLost(s.now, id) }, "end 1 5, forget 1"},
+		{"a start of the running task is ignored", func(s *harness, id uint32) { s.host.OnStarted(s.now, id, 0) }, ""},
+		{"an outcome of another attempt is ignored", func(s *harness, id uint32) {
 			s.host.OnOutcome(s.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
 		}, ""},
 	} {
@@ -321,15 +323,15 @@
 				Request: logic.Request{Class: atMostOnce, Service: 9, Cores: 1, Memory: 2}, Node: 100,
 			})
 			s.advance(3000)
-			s.expectEffects("nothing", "")
+			s.expectEffects("while the task runs", "")
 			c.end(s, id)
 			s.advance(3000)
-			s.expectEffects("end", c.want)
+			s.expectEffects("after the event", c.want)
 		})
 	}
 }
 
-// TestClose fails all open requests and leaves running tasks.
+// TestClose checks that Close answers all open requests as failed and leaves running tasks alone.
 func TestClose(t *testing.T) {
 	s := newHarness(t, 4)
 	a := s.request(restartable)
@@ -340,13 +342,13 @@
 	s.takeEffects()
 	s.host.Close(s.now)
 	s.advance(50)
-	s.expectEffects("close", fmt.Sprintf("answer %d failed, give up %d.0, forget %d", b, b, b))
+	s.expectEffects("close", fmt.Sprintf("answer %d failed, cancel %d.0, forget %d", b, b, b))
 	if s.host.RunningTasks() != 1 {
-		t.Error("what stood was ended")
+		t.Error("the running task was ended by Close")
 	}
 }
 
-// TestMaxAttempts checks that no more attempts are made than are allowed.
+// TestMaxAttempts checks that no more than the configured number of attempts are made.
 func TestMaxAttempts(t *testing.T) {
 	s := newHarness(t, 8)
 	id := s.request(restartable)
@@ -355,10 +357,11 @@
 		s.host.OnOutcome(s.now, id, s.lastAttempt.number, logic.Errored, logic.ReasonUnknown, nil)
 	}
 	s.advance(20)
-	s.expectEffects("four tries", "offer 1.0, offer 1.1, offer 1.2, offer 1.3, answer 1 declined, forget 1")
+	s.expectEffects("four attempts", "offer 1.0, offer 1.1, offer 1.2, offer 1.3, answer 1 shed, forget 1")
 }
 
-// TestBeliefError checks the mean error of belief, in either direction, against the reports; each report counts once.
+// TestBeliefError checks the mean absolute error of the module's estimates against the load reports, for errors in either direction, and that
+// each report counts once.
 func TestBeliefError(t *testing.T) {
 	s := newHarness(t, 1)
 	for _, free := range []float64{20, 17, 24} {
@@ -370,12 +373,12 @@
 		s.advance(1000)
 	}
 	if got, want := s.host.TakeBeliefError(), (BeliefError{Reports: 2, Cores: 5}); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("error %+v, want %+v", got, want)
 	}
 	if got, want := s.host.TakeBeliefError(), (BeliefError{}); got != want {
-		t.Errorf("again: %+v, want %+v", got, want)
+		t.Errorf("second read: error %+v, want %+v", got, want)
 	}
-	if b, ok := s.host.Belief(100); !ok || b.Cores != 25 { // the last report does not know of the end that brought it
-		t.Errorf("%+v", b)
+	if b, ok := s.host.Belief(100); !ok || b.Cores != 25 { // the last report was taken before the end of the task that it came with
+		t.Errorf("estimate %+v, want a known node with 25 free cores", b)
 	}
 }
--- a/internal/platform/host/module_effects.go
+++ b/internal/platform/host/module_effects.go
@@ -2,23 +2,23 @@
 
 import "ravenpond/internal/decide/outcome"
 
-// moduleEffects carries out the module's decisions. It implements logic.Effects.
+// moduleEffects carries out the module's decisions on the host. It implements logic.Effects.
 type moduleEffects struct{ host *Host }
 
-// StartAttempt sends an attempt. An allocation that is unknown, or was forgotten, is ignored.
+// StartAttempt sends an attempt. The call is ignored if the allocation is unknown or was already dropped.
 func (e moduleEffects) StartAttempt(id, node uint32, timeout float64) {
 	if a := e.host.allocations[id]; a != nil {
 		e.host.startAttempt(a, node, timeout)
 	}
 }
 
-// Shed gives a request the final answer that a retry does no harm.
+// Shed answers a request: its task does not run, and a retry is safe.
 func (e moduleEffects) Shed(id uint32, _ float64) { e.answer(id, true) }
 
-// Fail gives a request the final answer that promises nothing.
+// Fail answers a request: its task may have run.
 func (e moduleEffects) Fail(id uint32) { e.answer(id, false) }
 
-// answer gives a request its final answer. The allocation is forgotten in a later round: the module still uses it in this one.
+// answer gives a request its final answer. The allocation is dropped in a later round, because the module still uses it in this one.
 func (e moduleEffects) answer(id uint32, shed bool) {
 	h := e.host
 	if a := h.allocations[id]; a != nil && !a.answered {
@@ -28,15 +28,15 @@
 	}
 }
 
-// Cancel cancels an attempt, by the number that the present module gave it.
+// Cancel cancels an attempt. The number is the one that the current module uses for it.
 func (e moduleEffects) Cancel(id uint32, attempt uint8) {
 	if a := e.host.allocations[id]; a != nil && a.moduleAttempt() == attempt {
 		e.host.cancelAttempt(a)
 	}
 }
 
-// Migrate has a running task requested anew by its client, which also stops it at its node: a stop that arrived there first would leave the
-// client without a notification. Only a node that does not confirm the end in time is told by the scheduler.
+// Migrate tells the client of a running task to request it again. The client also stops the task at its node: if the scheduler's stop arrived
+// there first, the client would get no notification. The scheduler sends a stop only if the node does not confirm the end in time.
 func (e moduleEffects) Migrate(id uint32) {
 	h := e.host
 	if a := h.allocations[id]; a != nil && a.running && !a.suppressEndNotification {
@@ -46,17 +46,17 @@
 	}
 }
 
-// Probe sends a probe to a node.
+// Probe sends a health check to a node.
 func (e moduleEffects) Probe(node uint32) { e.host.sendProbe(node) }
 
-// WatchList polls the node list. The list is watched all the time, so there is nothing to end.
+// WatchList polls the node list when a watch begins. The list is watched permanently, so nothing has to be done when a watch ends.
 func (e moduleEffects) WatchList(active bool) {
 	if active {
 		e.host.effects.PollEndpoints()
 	}
 }
 
-// ReloadList polls the node list.
+// ReloadList polls the node list, as WatchList does.
 func (e moduleEffects) ReloadList() { e.host.effects.PollEndpoints() }
 
 // SetTimer sets a timer of the module.
--- a/internal/platform/host/node_list.go
+++ b/internal/platform/host/node_list.go
@@ -7,31 +7,31 @@
 	"ravenpond/logic"
 )
 
-// maxUnavailableNodes is how many unavailable nodes are kept before those without allocations are dropped.
+// maxUnavailableNodes is the number of unavailable nodes above which those without an attempt in flight or a running task are dropped.
 const maxUnavailableNodes = 256
 
-// nodeList is the node list as last told, for a module that replaces another.
+// nodeList is a copy of the last known node list, which is replayed to a replacement module.
 type nodeList struct {
-	kind             logic.ListKind  // of the message that is being read
-	listed           map[uint32]bool // nodes that it named so far
+	kind             logic.ListKind  // kind of the message that is being read
+	listed           map[uint32]bool // nodes that the message has named so far
 	nodes            map[uint32]listedNode
-	unavailableCount int // unavailable nodes
+	unavailableCount int // number of unavailable nodes as of the last message
 }
 
 // listedNode is a node of the list.
 type listedNode struct {
 	logic.ListEntry
-	observedStartAt float64 // when it appeared while this process ran, 0: it was there before
+	observedStartAt float64 // when the node appeared, returned or restarted while this process ran; 0 if it did not
 }
 
-// ListBegin starts a message of the node list: ListNode follows for each entry, then ListEnd.
+// ListBegin begins a message of the node list. ListNode is called for each entry after it, then ListEnd.
 func (h *Host) ListBegin(now float64, kind logic.ListKind) {
 	h.recordEvent(now)
 	h.supervisor.list.begin(kind)
 	h.callModule(func(m *logic.Scheduler) { m.OnListBegin(h.now, kind) })
 }
 
-// ListNode takes one entry of the message.
+// ListNode handles one entry of the message.
 func (h *Host) ListNode(entry logic.ListEntry) {
 	h.supervisor.list.add(h.now, entry)
 	h.callModule(func(m *logic.Scheduler) { m.OnListNode(h.now, entry) })
@@ -44,7 +44,8 @@
 	h.callModule(func(m *logic.Scheduler) { m.OnListEnd(h.now) })
 }
 
-// pruneUnavailableNodes drops unavailable nodes without allocations in flight, once there are many unavailable nodes.
+// pruneUnavailableNodes drops the unavailable nodes without an attempt in flight or a running task once there are more than
+// maxUnavailableNodes unavailable nodes.
 func (h *Host) pruneUnavailableNodes() {
 	list := &h.supervisor.list
 	if list.unavailableCount <= maxUnavailableNodes {
@@ -62,7 +63,8 @@
 	l.kind, l.listed = kind, map[uint32]bool{}
 }
 
-// add takes an entry. A node that appears, returns or restarts counts as just started, whatever start it is listed with: it may be cold.
+// add stores an entry. A node that appears, returns or restarts counts as just started, whatever start time it is listed with, because it may
+// need a slow start.
 func (l *nodeList) add(now float64, entry logic.ListEntry) {
 	previous, known := l.nodes[entry.Node]
 	n := listedNode{entry, previous.observedStartAt}
@@ -93,8 +95,8 @@
 	}
 }
 
-// replay returns a call that tells a new module the whole list. Nodes that were seen starting keep that time, so that the new module paces
-// them for as long as they may be cold.
+// replay returns a call that reports the whole list to a new module. Nodes that were observed to start keep that time, so that the new module
+// limits their rate for the rest of their slow start.
 func (l *nodeList) replay(now float64) func(*logic.Scheduler) {
 	return func(m *logic.Scheduler) {
 		m.OnListBegin(now, logic.ListCached)
--- a/internal/platform/host/probes.go
+++ b/internal/platform/host/probes.go
@@ -2,13 +2,13 @@
 
 import "ravenpond/logic"
 
-// pendingProbe is a probe without a result.
+// pendingProbe is a health check whose result has not arrived.
 type pendingProbe struct {
 	seq    uint32
 	sentAt float64
 }
 
-// sendProbe sends a probe to a node. It replaces one that is pending there.
+// sendProbe sends a health check to a node. It replaces a pending one to the same node.
 func (h *Host) sendProbe(node uint32) {
 	h.lastID++
 	p := pendingProbe{seq: h.lastID, sentAt: h.now}
@@ -17,7 +17,7 @@
 	h.effects.Probe(node, p.seq)
 }
 
-// OnProbeResult takes the result of a probe. One that timed out or was replaced is ignored.
+// OnProbeResult handles the result of a health check. The result of one that has timed out or was replaced is ignored.
 func (h *Host) OnProbeResult(now float64, node, seq uint32, verdict logic.Outcome, report []float64) {
 	p, ok := h.probes[node]
 	if !ok || p.seq != seq {
--- a/internal/platform/host/supervisor.go
+++ b/internal/platform/host/supervisor.go
@@ -11,13 +11,13 @@
 	"ravenpond/logic"
 )
 
-// seedStep is added to the seed for each module after the first.
+// seedStep is added to the seed for each module after the first, so that each draws other random numbers.
 const seedStep = 0x9e3779b97f4a7c15
 
-// moduleSupervisor decides when a module that panicked is replaced, and keeps what its successor starts from: the cluster and the node list.
-// Nothing of the failed module is used again, as its tables may be half changed.
+// moduleSupervisor decides when a module that panicked is replaced, and keeps the data that a new module starts from: the cluster and the node
+// list. No state of the failed module is reused, because a panic may have left its tables partly updated.
 type moduleSupervisor struct {
-	failed   bool // there is no module that may be called
+	failed   bool // the module has panicked and must not be called
 	watchdog *watchdog.Watchdog
 	seed     uint64
 	restarts uint64
@@ -30,7 +30,7 @@
 	s.list.nodes = map[uint32]listedNode{}
 }
 
-// callModule calls the module unless it has failed. A panic of the module is logged and marks it as failed.
+// callModule calls the module unless it has failed. A panic of the module is logged and marks the module as failed.
 func (h *Host) callModule(call func(*logic.Scheduler)) {
 	if h.supervisor.failed {
 		return
@@ -39,14 +39,14 @@
 		if p := recover(); p != nil {
 			h.supervisor.failed = true
 			h.supervisor.watchdog.Fence(h.now, 0)
-			h.effects.LogLine(fmt.Sprintf("module: fenced, %d open, %d stand: panic: %v\n%s", h.openCount, h.runningCount, p, debug.Stack()))
+			h.effects.LogLine(fmt.Sprintf("module: fenced after a panic, with %d open requests and %d running tasks: panic: %v\n%s", h.openCount, h.runningCount, p, debug.Stack()))
 		}
 	}()
 	call(h.module)
 }
 
-// recoverModule answers open requests while the module has failed, and replaces it once the watchdog allows that. It returns whether there is
-// still no module.
+// recoverModule answers all open requests if the module has failed, and replaces the module once the watchdog allows it. It returns whether
+// there is still no working module.
 func (h *Host) recoverModule() bool {
 	s := &h.supervisor
 	if !s.failed {
@@ -60,12 +60,13 @@
 	}
 	h.replaceModule()
 	if !s.failed {
-		h.effects.LogLine(fmt.Sprintf("module: begun anew, life %d, %d nodes, %d stand", s.restarts+1, len(s.list.nodes), h.runningCount))
+		h.effects.LogLine(fmt.Sprintf("module: restarted as instance %d with %d nodes and %d running tasks", s.restarts+1, len(s.list.nodes), h.runningCount))
 	}
 	return s.failed
 }
 
-// replaceModule starts a new module and tells it the node list and the running tasks. A module that panics meanwhile has failed again.
+// replaceModule starts a new module and reports the node list and the running tasks to it. If the new module panics during this, it has failed
+// too.
 func (h *Host) replaceModule() {
 	s := &h.supervisor
 	s.failed = false
--- a/internal/platform/host/supervisor_test.go
+++ b/internal/platform/host/supervisor_test.go
@@ -8,7 +8,7 @@
 	"ravenpond/logic"
 )
 
-// panickingHarness is a script whose effects panic under the module on demand, as a module with a fault would.
+// panickingHarness is a harness that panics on demand in an effect that the module calls, as a faulty module would.
 type panickingHarness struct {
 	*harness
 	panics   bool
@@ -43,19 +43,20 @@
 	return m
 }
 
-// TestModulePanics has the module panic with a running task, one request of each job class attempted, and more behind them: each request gets one
-// answer at once, shed or failed as its attempts require, and no attempt is made before a new module has started.
+// TestModulePanics has the module panic while one task runs, a request of each job class has an attempt in flight, and another request is being
+// offered: each open request gets one answer at once, shed or failed as its attempts require, and no attempt is made before a new module has
+// started.
 func TestModulePanics(t *testing.T) {
 	m := newPanickingHarness(t, 4)
-	stood := m.request(idempotent)
+	running := m.request(idempotent)
 	m.advance(10)
-	if !m.host.OnStarted(m.now, stood, m.lastAttempt.number) {
-		t.Fatal("the first does not start")
+	if !m.host.OnStarted(m.now, running, m.lastAttempt.number) {
+		t.Fatal("the start of the first task was not accepted")
 	}
-	at := m.lastAttempt.node
-	var tried [3]uint32
-	for job := range tried {
-		tried[job] = m.host.Allocate(m.now, logic.Request{Class: job, Deadline: m.now + 2500, Service: uint64(20 + job), Cores: 1, Memory: 2})
+	node := m.lastAttempt.node
+	var attempted [3]uint32
+	for class := range attempted {
+		attempted[class] = m.host.Allocate(m.now, logic.Request{Class: class, Deadline: m.now + 2500, Service: uint64(20 + class), Cores: 1, Memory: 2})
 		m.advance(10)
 	}
 	m.takeEffects()
@@ -63,47 +64,48 @@
 	fresh := m.request(atMostOnce)
 	m.advance(100)
 	got := m.takeEffects()
-	for id, want := range map[uint32]string{tried[restartable]: "declined", tried[idempotent]: "failed", tried[atMostOnce]: "failed"} {
+	for id, want := range map[uint32]string{attempted[restartable]: "shed", attempted[idempotent]: "failed", attempted[atMostOnce]: "failed"} {
 		if strings.Count(got, fmt.Sprintf("answer %d ", id)) != 1 || !strings.Contains(got, fmt.Sprintf("answer %d %s", id, want)) ||
-			!strings.Contains(got, fmt.Sprintf("give up %d.0", id)) {
-			t.Errorf("%d: want it given up and %s, in %q", id, want, got)
+			!strings.Contains(got, fmt.Sprintf("cancel %d.0", id)) {
+			t.Errorf("allocation %d: want its attempt cancelled and one answer %s, got effects %q", id, want, got)
 		}
 	}
 	if !strings.Contains(got, fmt.Sprintf("answer %d failed", fresh)) || strings.Contains(got, "offer") {
-		t.Errorf("the one under which it fell may have left: %q", got)
+		t.Errorf("want the request during which the module panicked failed and none offered, got effects %q", got)
 	}
 	late := m.request(atMostOnce)
 	m.advance(20)
-	if got := m.takeEffects(); got != fmt.Sprintf("answer %d declined, forget %d", late, late) {
-		t.Errorf("asked while it rests: %q", got)
+	if got := m.takeEffects(); got != fmt.Sprintf("answer %d shed, forget %d", late, late) {
+		t.Errorf("request while there is no module: effects %q, want it shed and dropped", got)
 	}
 	m.advance(400)
-	if m.countLog("module: fenced") != 1 || m.countLog("module: begun anew, life 2, 4 nodes, 1 stand") != 1 {
-		t.Errorf("%q", m.logLines)
+	if m.countLog("module: fenced") != 1 || m.countLog("module: restarted as instance 2 with 4 nodes and 1 running tasks") != 1 {
+		t.Errorf("want one line for the panic and one for the restart, got %q", m.logLines)
 	}
 	m.takeEffects()
-	for range 8 { // the idempotent class is spread one a node, and one runs
+	for range 8 { // the idempotent class allows one task of a service per node, and one runs
 		m.request(idempotent)
 		m.advance(10)
-		if m.lastAttempt.node == at {
-			t.Error("offered to a node where one of its service stands")
+		if m.lastAttempt.node == node {
+			t.Error("offered to a node on which a task of the same service runs")
 		}
 	}
 	m.takeEffects()
-	m.host.OnOutcome(m.now, stood, 0, logic.Completed, logic.ReasonUnknown, []float64{30, 60})
-	if got := m.takeEffects(); got != fmt.Sprintf("over %d 0, forget %d", stood, stood) {
-		t.Errorf("the end of what stood before: %q", got)
+	m.host.OnOutcome(m.now, running, 0, logic.Completed, logic.ReasonUnknown, []float64{30, 60})
+	if got := m.takeEffects(); got != fmt.Sprintf("end %d 0, forget %d", running, running) {
+		t.Errorf("end of the task that ran before the panic: effects %q, want a notification and the allocation dropped", got)
 	}
 }
 
-// TestRestartKeepsAttempts has a task of a second attempt end under a new module, which knows it as its first.
+// TestRestartKeepsAttempts checks that a task started by a second attempt ends correctly under a new module, which counts that attempt as the
+// first.
 func TestRestartKeepsAttempts(t *testing.T) {
 	m := newPanickingHarness(t, 4)
 	id := m.request(restartable)
 	m.advance(10)
 	m.complete(id, logic.Rejected, logic.InsufficientCores)
 	if m.lastAttempt.number != 1 || !m.host.OnStarted(m.now, id, 1) {
-		t.Fatal("no second try")
+		t.Fatal("the second attempt was not made or its start not accepted")
 	}
 	m.panics = true
 	m.request(restartable)
@@ -111,31 +113,32 @@
 	m.takeEffects()
 	m.host.OnOutcome(m.now, id, 1, logic.Completed, logic.ReasonUnknown, nil)
 	m.advance(50)
-	if got := m.takeEffects(); got != fmt.Sprintf("over %d 0, forget %d", id, id) || m.host.RunningTasks() != 0 {
-		t.Errorf("%q, %d stand", got, m.host.RunningTasks())
+	if got := m.takeEffects(); got != fmt.Sprintf("end %d 0, forget %d", id, id) || m.host.RunningTasks() != 0 {
+		t.Errorf("effects %q, %d running tasks, want a notification of the end and none running", got, m.host.RunningTasks())
 	}
 }
 
-// TestRepeatedPanics has each new module panic: the pause grows each time, and every request is answered all the same.
+// TestRepeatedPanics has each new module panic: the delay before the restart grows each time, and every request is still answered.
 func TestRepeatedPanics(t *testing.T) {
 	m := newPanickingHarness(t, 4)
-	asks := 0
+	requests := 0
 	for range 200 {
 		m.panics = true
 		m.request(atMostOnce)
-		asks++
+		requests++
 		m.advance(100)
 	}
 	m.advance(50)
 	if n := m.countLog("module: fenced"); n < 4 || n > 8 {
-		t.Errorf("fell %d times in 20 s", n)
+		t.Errorf("the module panicked %d times in 20 s, want 4 to 8", n)
 	}
-	if got := m.takeEffects(); strings.Count(got, "answer") != asks || m.host.OpenRequests() != 0 {
-		t.Errorf("%d asks, %d answers, %d open", asks, strings.Count(got, "answer"), m.host.OpenRequests())
+	if got := m.takeEffects(); strings.Count(got, "answer") != requests || m.host.OpenRequests() != 0 {
+		t.Errorf("%d requests, %d answers, %d open, want each answered once", requests, strings.Count(got, "answer"), m.host.OpenRequests())
 	}
 }
 
-// TestRestartReplaysList checks what a new module knows of the list: a draining node gets nothing, and a node that was seen starting is in slow start.
+// TestRestartReplaysList checks what a new module knows of the node list: a draining node gets nothing, and a node that was observed to start is
+// in slow start.
 func TestRestartReplaysList(t *testing.T) {
 	m := newPanickingHarness(t, 2)
 	m.host.ListBegin(m.now, logic.ListChanges)
@@ -147,8 +150,8 @@
 	m.panics = true
 	m.request(restartable)
 	m.advance(1000)
-	if m.countLog("module: begun anew") != 1 {
-		t.Fatalf("%q", m.logLines)
+	if m.countLog("module: restarted as instance") != 1 {
+		t.Fatalf("want one line for the restart, got %q", m.logLines)
 	}
 	m.takeEffects()
 	offers := 0
@@ -158,16 +161,16 @@
 		if got := m.takeEffects(); strings.Contains(got, "offer") {
 			offers++
 			if m.lastAttempt.node != 102 {
-				t.Fatalf("offered to node %d", m.lastAttempt.node)
+				t.Fatalf("offered to node %d, want 102, the only ready one", m.lastAttempt.node)
 			}
 		}
 	}
 	if offers > 20 {
-		t.Errorf("%d offers within a second to a node that came up 4 s ago and bears 20", offers)
+		t.Errorf("%d offers within 1 s to a node that started 4 s ago, want at most its slow-start limit of 20", offers)
 	}
 }
 
-// TestDiagnosticsPanic has reads of the module for the log panic: they are switched off, and the allocation is not affected.
+// TestDiagnosticsPanic has reads of the module for the log panic: they are switched off, and the allocation is not affected by it.
 func TestDiagnosticsPanic(t *testing.T) {
 	m := newPanickingHarness(t, 2)
 	mod := m.host.module
@@ -179,9 +182,9 @@
 	m.host.recordBeliefError(100, []float64{1, 1})
 	m.host.module = mod
 	if _, ok := m.host.Belief(100); ok || m.countLog("words: beliefs switched off: panic") != 1 || m.countLog("words: mistakes") != 1 {
-		t.Errorf("%q", m.logLines)
+		t.Errorf("want each diagnostic switched off with one line, got %q", m.logLines)
 	}
 	if !m.host.OnStarted(m.now, id, 0) || m.countLog("module") != 0 {
-		t.Error("it no longer serves")
+		t.Error("the start was not accepted, or the module was affected")
 	}
 }
--- a/internal/platform/host/timers.go
+++ b/internal/platform/host/timers.go
@@ -2,33 +2,33 @@
 
 import "ravenpond/logic"
 
-// timerKind says what a timer is for, and what its key means.
+// timerKind is the purpose of a timer. It determines what the timer's key means.
 type timerKind uint8
 
 const (
-	timerModule          timerKind = iota // a timer of the module; its own key
-	timerAttempt                          // an attempt timed out; attemptKey
-	timerAttemptGrace                     // the same after the grace for answers that are not read yet
-	timerUnsent                           // an attempt that was not sent gets its outcome; attemptKey
-	timerCancelled                        // an attempt that was cancelled gets its outcome; attemptKey
-	timerDeadline                         // the client stops waiting; allocation
-	timerStopUnconfirmed                  // the node has not confirmed that a task was stopped; attemptKey
-	timerProbe                            // a probe timed out; probeKey
-	timerProbeGrace                       // the same after the grace
-	timerForget                           // an allocation that was answered may be forgotten; allocation
+	timerModule          timerKind = iota // a timer of the module is due; the key is the module's own
+	timerAttempt                          // an attempt timed out; the key is an attemptKey
+	timerAttemptGrace                     // an attempt timed out, and the grace for unread answers has passed; attemptKey
+	timerUnsent                           // the outcome of an attempt that was not sent is due; attemptKey
+	timerCancelled                        // the outcome of a cancelled attempt is due; attemptKey
+	timerDeadline                         // the client stops waiting; the key is the ID of the allocation
+	timerStopUnconfirmed                  // the node has not confirmed in time that a task was stopped; attemptKey
+	timerProbe                            // a health check timed out; the key is a probeKey
+	timerProbeGrace                       // a health check timed out, and the grace for unread answers has passed; probeKey
+	timerForget                           // an answered allocation may be dropped; the key is its ID
 )
 
-// graceTimers are the kinds that are put off once, by Host.timeoutGrace, and the kinds that they become.
+// graceTimers maps the kinds of timers that are postponed once, by Host.timeoutGrace, to the kinds that replace them.
 var graceTimers = map[timerKind]timerKind{timerAttempt: timerAttemptGrace, timerProbe: timerProbeGrace}
 
-// attemptKey packs an allocation and the low byte of an attempt's number into a key.
+// attemptKey packs the ID of an allocation and the low byte of an attempt's number into a key.
 func attemptKey(alloc uint32, attempt int) uint64 {
 	return uint64(alloc)<<8 | uint64(uint8(attempt))
 }
 
 func fromAttemptKey(key uint64) (alloc uint32, attempt int) { return uint32(key >> 8), int(uint8(key)) }
 
-// probeKey packs a node and a probe's number into a key.
+// probeKey packs a node and the sequence number of a health check into a key.
 func probeKey(node, seq uint32) uint64 { return uint64(node)<<32 | uint64(seq) }
 
 func fromProbeKey(key uint64) (node, seq uint32) { return uint32(key >> 32), uint32(key) }
