--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,10 +1,10 @@
-// Package control runs a process's replica of the cluster state: the consensus, its timers, the messages that members carry for it, and, at the
-// leader, the decisions on zones.
+// Package control runs a process's replica of the cluster state: the consensus, its timers, its messages, which the membership protocol carries,
+// and, at the leader, the decisions on zones.
 //
-// Inputs are messages of other members, calls by Enqueue and Report, and the environment's clock. Outputs are messages through the members'
-// runner, writes to a voter's storage, log lines, and a View. The replica and the zone controller belong to one goroutine, the environment's
-// loop. All other goroutines reach it through the inbox, which has a lock of its own, or read the View by an atomic pointer; they never wait
-// for the consensus. The members' lock may be held when the inbox's lock is taken, never the other way round.
+// Inputs are messages of other members, calls by Enqueue and Report, and the environment's clock. Outputs are messages sent by the members'
+// runner, writes to a voter's storage, log lines, and a View. Only one goroutine, the environment's loop, uses the replica and the zone
+// controller. All other goroutines reach them through the inbox, which has its own lock, or read the View through an atomic pointer; they
+// never wait for the consensus. Lock order: the inbox's lock may be taken while the members' lock is held, never the reverse.
 package control
 
 import (
@@ -22,29 +22,29 @@
 	"ravenpond/internal/members"
 )
 
-// Storage keeps the Raft state of a voter. See package raftstore.
+// Storage stores the Raft state of a voter. Package raftstore implements it.
 type Storage interface {
 	Load() (consensus.PersistedState, error)
-	// Save returns when all is on the disk. The arguments are those of consensus.Effects.
+	// Save returns once everything is on the disk. Its arguments are those of consensus.Effects.Save.
 	Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error
 	Close() error
 }
 
-// ZoneConfig is what decisions on zones rest on. Without zones there are none.
+// ZoneConfig configures the decisions on zones. If it has no zones, no decisions are made.
 type ZoneConfig struct {
 	Zones      []string
-	Overrides  map[string]clusterstate.ZoneState // states that operators have set
-	Latency    func(from, to string) float64     // ms one way; nil: equal for all
-	Controller zones.Controller                  // with the faults that tests inject
+	Overrides  map[string]clusterstate.ZoneState // states that operators have set, by zone
+	Latency    func(from, to string) float64     // in ms, one way; nil if it is equal between all zones
+	Controller zones.Controller                  // the initial controller, with the faults that tests inject
 }
 
-// View is the cluster state at one moment. It never changes.
+// View is an immutable snapshot of the cluster state.
 type View struct {
 	State       *clusterstate.State
-	LeaseExpiry float64 // ms of the environment's clock; from then on the process acts in degraded mode
+	LeaseExpiry float64 // ms on the environment's clock; from then on the process acts in degraded mode
 }
 
-// Runner runs a replica. Its methods may be called by any goroutine.
+// Runner runs a replica. Its methods are safe for concurrent use.
 type Runner struct {
 	environment env.Environment
 	log         zerolog.Logger
@@ -54,17 +54,17 @@
 	view        atomic.Pointer[View]
 	stopped     atomic.Bool
 
-	// The fields below belong to the loop.
-	storage          Storage // nil: not a voter, or closed
+	// Only the loop uses the fields below once it has started.
+	storage          Storage // nil if the process is not a voter, or after the storage was closed
 	replica          *consensus.Replica
-	announcedVersion uint64 // of the cluster state, reported to the members
+	announcedVersion uint64 // version of the cluster state that was last reported to the members
 	zoneConfig       ZoneConfig
 	zones            zones.Controller
 	zonesEvaluatedAt float64
 }
 
-// Start starts a process's replica on the members' datagrams. The storage of a voter belongs to the runner from then on; it is nil at other
-// processes. An error means that what is stored can't be used.
+// Start starts a process's replica, which sends its messages in the members' datagrams. storage is nil if the process is not a voter; the runner
+// owns it from then on. Start returns an error if the stored state cannot be used.
 func Start(environment env.Environment, log zerolog.Logger, members *members.Runner, config consensus.Config, storage Storage,
 	zoneConfig ZoneConfig,
 ) (*Runner, error) {
@@ -78,7 +78,7 @@
 	if storage != nil {
 		var err error
 		if saved, err = storage.Load(); err != nil {
-			return nil, fmt.Errorf("council's folder: %w", err)
+			return nil, fmt.Errorf("Raft storage: %w", err)
 		}
 	}
 	replica, err := consensus.New(effects{r}, environment.Now(), config, saved)
@@ -93,17 +93,17 @@
 	return r, nil
 }
 
-// View returns the cluster state as this process holds it now.
+// View returns the cluster state that this process currently holds.
 func (r *Runner) View() *View { return r.view.Load() }
 
-// Enqueue queues a call of f with the replica on the loop's goroutine. The call is dropped if the loop stands still and MaxPendingMessages
-// calls wait.
+// Enqueue queues a call of f with the replica on the loop's goroutine. The call is dropped if MaxPendingMessages calls are pending because the
+// loop does not run.
 func (r *Runner) Enqueue(f func(replica *consensus.Replica)) {
 	r.inbox.putCall(f)
 	r.loop.Wake()
 }
 
-// Stop stops the runner. The loop closes the storage in its last step; Stop does not wait for it.
+// Stop stops the runner. The loop closes the storage in its last step. Stop does not wait for that.
 func (r *Runner) Stop() {
 	if r.stopped.Swap(true) {
 		return
@@ -112,7 +112,7 @@
 	r.loop.Wake()
 }
 
-// effects executes what the replica decides, on the loop's goroutine.
+// effects carries out the replica's decisions on the loop's goroutine. It implements consensus.Effects.
 type effects struct{ *Runner }
 
 // Send implements consensus.Effects.
@@ -128,7 +128,7 @@
 // Log implements consensus.Effects.
 func (e effects) Log(line string) { e.log.Info().Str("mode", "council").Msg(line) }
 
-// messageHandler receives what members carry, under the members' lock: it only queues it.
+// messageHandler receives the replica's messages from the membership protocol. It is called with the members' lock held, so it only queues them.
 type messageHandler struct{ *Runner }
 
 // Carried implements membership.Carrier.
--- a/internal/control/footprint.go
+++ b/internal/control/footprint.go
@@ -5,17 +5,17 @@
 	"ravenpond/internal/decide/zones"
 )
 
-// Footprint is the size of what a Runner holds, by structure.
+// Footprint is the size of a Runner's data structures.
 type Footprint struct {
-	PendingMessages     int // that the loop has not taken yet
+	PendingMessages     int // messages that the loop has not taken yet
 	PendingMessageBytes int
 	PendingCalls        int
 	Replica             consensus.Footprint
 	Zones               zones.Footprint
 }
 
-// Measure queues a call of f with the footprint on the loop's goroutine. What is pending is counted when Measure is called. The call is dropped
-// if the loop stands still and MaxPendingMessages calls wait.
+// Measure queues a call of f with the footprint on the loop's goroutine. Pending messages and calls are counted when Measure is called. The call
+// is dropped if MaxPendingMessages calls are pending because the loop does not run.
 func (r *Runner) Measure(f func(Footprint)) {
 	footprint := r.inbox.footprint()
 	r.Enqueue(func(replica *consensus.Replica) {
--- a/internal/control/inbox.go
+++ b/internal/control/inbox.go
@@ -6,18 +6,18 @@
 	"ravenpond/internal/decide/consensus"
 )
 
-// MaxPendingMessages is how many messages, and how many calls, wait for the loop at most. More are dropped: the senders of messages send
-// newer ones.
+// MaxPendingMessages is the maximum number of messages, and the maximum number of calls, that wait for the loop. Further ones are dropped;
+// members whose messages were dropped send newer ones later.
 const MaxPendingMessages = 1024
 
-// message is a message of another member, or, without a body, the version of the cluster state that the member holds.
+// message is a message of another member or, if body is nil, the version of the cluster state that the member holds.
 type message struct {
 	from    string
 	body    []byte
 	version uint64
 }
 
-// inbox queues what other goroutines have for the loop. It is safe for concurrent use; its lock is held for a few instructions only.
+// inbox queues messages and calls of other goroutines for the loop. It is safe for concurrent use. Its lock is held only briefly.
 type inbox struct {
 	mu       sync.Mutex
 	messages []message                  // guarded by mu
@@ -40,7 +40,7 @@
 	}
 }
 
-// takeAll removes and returns all that waits.
+// takeAll removes and returns all pending messages and calls.
 func (i *inbox) takeAll() ([]message, []func(*consensus.Replica)) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/control/inbox_test.go
+++ b/internal/control/inbox_test.go
@@ -6,7 +6,7 @@
 	"ravenpond/internal/decide/consensus"
 )
 
-// TestInbox checks that an inbox keeps messages and calls in their order, up to its bound, and is empty once they are taken.
+// TestInbox checks that an inbox keeps messages and calls in order, up to MaxPendingMessages of each, and is empty once they are taken.
 func TestInbox(t *testing.T) {
 	var i inbox
 	called := 0
@@ -21,7 +21,7 @@
 	messages, calls := i.takeAll()
 	for n, m := range messages {
 		if m.version != uint64(n) {
-			t.Fatalf("message %d is at %d", m.version, n)
+			t.Fatalf("got message %d at position %d, want them in order", m.version, n)
 		}
 	}
 	for _, f := range calls {
@@ -31,6 +31,6 @@
 		t.Errorf("%d messages, %d calls, want %d of each", len(messages), called, MaxPendingMessages)
 	}
 	if got := i.footprint(); got != (Footprint{}) {
-		t.Errorf("footprint %+v after all is taken", got)
+		t.Errorf("footprint %+v after all were taken, want zero", got)
 	}
 }
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -10,7 +10,7 @@
 	maxWait = 1000
 )
 
-// step does what is due and returns the time in ms until the next step, or -1 after the last one.
+// step handles the pending messages and calls and whatever is due. It returns the time until the next step in ms, or -1 after the last step.
 func (r *Runner) step() (wait float64) {
 	if r.stopped.Load() {
 		r.closeStorage()
@@ -43,7 +43,7 @@
 	r.storage = nil
 }
 
-// publish replaces the view if the state or the lease has changed, and tells the members which version this process holds.
+// publish replaces the view if the state or the lease has changed, and reports to the members which version of the state this process holds.
 func (r *Runner) publish() {
 	previous := r.view.Load()
 	state, leaseExpiry := r.replica.State(), r.replica.LeaseExpiry()
--- a/internal/control/zones.go
+++ b/internal/control/zones.go
@@ -10,10 +10,10 @@
 	codec "ravenpond/internal/proto/clusterstate"
 )
 
-// evaluateInterval is the time between two evaluations of the zones by the leader, ms.
+// evaluateInterval is the minimum time between two evaluations of the zones by the leader, ms.
 const evaluateInterval = 100
 
-// evaluateZones has the leader decide on the zones, and propose the changes that follow.
+// evaluateZones decides on the state of the zones and on transfers between them, and proposes the changes, if this process is the leader.
 func (r *Runner) evaluateZones(now float64) {
 	if !r.replica.IsLeader() {
 		r.zones.Reset()
@@ -26,7 +26,7 @@
 	state := r.replica.State()
 	for _, p := range r.zones.Decide(now, state, r.zoneConfig.Zones, r.zoneConfig.Overrides) {
 		r.log.Info().Str("mode", "zones").Str("zone", p.Zone).Stringer("is", state.Zone(p.Zone).State).Stringer("wanted", p.To).
-			Str("cause", p.Reason).Msg("verdict proposed")
+			Str("cause", p.Reason).Msg("proposed a new zone state")
 		r.propose(now, clusterstate.SetZoneState{Zone: p.Zone, SeenVersion: p.Version, State: p.To, Cause: p.Reason})
 	}
 	if transfers, ok := r.zones.Plan(now, state, r.zoneConfig.Zones, r.zoneConfig.Latency); ok {
@@ -42,19 +42,19 @@
 	r.replica.Propose(func() (proposedAt float64, _ clusterstate.Change) { return now, change })
 }
 
-// Report sends to the leader what this process observes of the zones.
+// Report sends this process's observations of the zones to the leader.
 func (r *Runner) Report(summaries map[string]zones.Summary) {
-	b := codec.AppendMessage(nil, &codec.Message{Kind: codec.MessageZoneReport})
+	body := codec.AppendMessage(nil, &codec.Message{Kind: codec.MessageZoneReport})
 	for _, zone := range slices.Sorted(maps.Keys(summaries)) {
 		s := summaries[zone]
-		b = codec.AppendZoneSummary(b, codec.ZoneSummary{Zone: zone, Nodes: s.Nodes, Reachable: s.Reachable, Capacity: s.Capacity, Used: s.Used})
+		body = codec.AppendZoneSummary(body, codec.ZoneSummary{Zone: zone, Nodes: s.Nodes, Reachable: s.Reachable, Capacity: s.Capacity, Used: s.Used})
 	}
-	r.Enqueue(func(replica *consensus.Replica) { replica.Report(b) })
+	r.Enqueue(func(replica *consensus.Replica) { replica.Report(body) })
 }
 
-// onZoneReport handles a report at the leader. A malformed one is dropped.
-func (r *Runner) onZoneReport(from string, b []byte) {
-	received, err := codec.ReadZoneSummaries(b)
+// onZoneReport handles a member's report on the zones at the leader. A malformed report is dropped.
+func (r *Runner) onZoneReport(from string, body []byte) {
+	received, err := codec.ReadZoneSummaries(body)
 	if err != nil {
 		return
 	}
