--- a/internal/besteffort/besteffort.go
+++ b/internal/besteffort/besteffort.go
@@ -1,5 +1,5 @@
-// Package besteffort runs diagnostics that may fail: statistics, traces, log lines. A panic in one of them does not end a process that
-// holds work.
+// Package besteffort runs diagnostics that may fail, such as statistics, traces and log lines, so that a panic in one of them does not end a
+// process that holds allocations.
 package besteffort
 
 import (
@@ -8,17 +8,17 @@
 	"sync"
 )
 
-// Guard runs diagnostics. One that panics is reported once, with its stack, and not run again. The zero value is ready to use. A Guard is
-// safe for concurrent use.
+// Guard runs diagnostics. A diagnostic that panics is reported once, with its stack, and not run again. The zero value is ready to use. A Guard
+// is safe for concurrent use.
 type Guard struct {
-	// Report reports which diagnostic was switched off and why. It may be nil.
+	// Report is called when a diagnostic is switched off, with its name and the reason. It may be nil.
 	Report func(what, why string)
 
 	mu          sync.Mutex
 	switchedOff map[string]bool // by name; guarded by mu
 }
 
-// Do runs the diagnostic of a name unless it has panicked before. It reports whether it completed.
+// Do runs the named diagnostic unless it has panicked before. It returns whether the diagnostic completed.
 func (g *Guard) Do(name string, run func()) (ok bool) {
 	g.mu.Lock()
 	off := g.switchedOff[name]
--- a/internal/timers/timers.go
+++ b/internal/timers/timers.go
@@ -1,10 +1,10 @@
-// Package timers keeps what is due at which time. It uses no clock: the caller passes the time. A Heap is not safe for concurrent use.
+// Package timers provides a priority queue of timers. It uses no clock: the caller passes the time. A Heap is not safe for concurrent use.
 package timers
 
-// Timer is set for a time. Kind and Key say what is due then.
+// Timer is due at a time. Kind and Key identify what is due.
 type Timer[K any] struct {
 	At    float64
-	order uint64 // in order of setting, among timers of one time
+	order uint64 // sequence number by which timers that are due at the same time are ordered
 	Kind  K
 	Key   uint64
 }
@@ -12,23 +12,23 @@
 // before reports whether x is due before y.
 func before[K any](x, y *Timer[K]) bool { return x.At < y.At || x.At == y.At && x.order < y.order }
 
-// Heap is a binary heap of timers. Timers can't be removed: their users recognise stale ones when they are due, which costs less than to
-// track their places. An allocation sets three timers in its life. The zero value is empty.
+// Heap is a binary heap of timers. Timers cannot be removed: users recognise stale timers when they are due, which costs less than tracking the
+// positions of timers in the heap. An allocation sets three timers during its life. The zero value is an empty heap.
 type Heap[K any] struct {
 	timers   []Timer[K]
 	sequence uint64
 }
 
-// Memory is given back when a heap larger than minShrink has less than a shrinkFraction of its timers left.
+// The heap is moved to a smaller array when its capacity exceeds minShrink timers and less than 1/shrinkFraction of the capacity is used.
 const (
 	minShrink      = 4096
 	shrinkFraction = 8
 )
 
-// Len returns the number of timers that are set, stale ones included.
+// Len returns the number of timers that are set, including stale ones.
 func (h *Heap[K]) Len() int { return len(h.timers) }
 
-// First returns when the first timer is due, and false if none is set.
+// First returns the time at which the first timer is due, and false if no timer is set.
 func (h *Heap[K]) First() (at float64, ok bool) {
 	if len(h.timers) == 0 {
 		return 0, false
@@ -36,7 +36,7 @@
 	return h.timers[0].At, true
 }
 
-// Set sets a timer.
+// Set adds a timer that is due at the given time.
 func (h *Heap[K]) Set(at float64, kind K, key uint64) {
 	h.sequence++
 	h.timers = append(h.timers, Timer[K]{at, h.sequence, kind, key})
@@ -51,7 +51,7 @@
 	}
 }
 
-// Next removes and returns the first timer, and false if it is not due yet.
+// Next removes and returns the first timer. It returns false if no timer is due.
 func (h *Heap[K]) Next(now float64) (Timer[K], bool) {
 	if len(h.timers) == 0 || h.timers[0].At > now {
 		return Timer[K]{}, false
--- a/internal/timers/timers_test.go
+++ b/internal/timers/timers_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestHeap takes all timers in order of their times, and those of one time in order of setting.
+// TestHeap checks that timers are returned in order of their times, and those with the same time in the order in which they were set.
 func TestHeap(t *testing.T) {
 	var h Heap[int]
 	for i := range 1000 {
@@ -16,30 +16,30 @@
 	for range 1000 {
 		next, ok := h.Next(1000)
 		if !ok || next.At < last || next.At == last && next.order < order {
-			t.Fatalf("%v after %g", next, last)
+			t.Fatalf("got timer %v after one due at %g, want them in order", next, last)
 		}
 		last, order = next.At, next.order
 	}
 	if _, ok := h.Next(1000); ok {
-		t.Error("more timers than were set")
+		t.Error("got more timers than were set")
 	}
 }
 
-// standardHeap is a heap of timers by the standard library, which Heap is compared with.
+// standardHeap implements heap.Interface, to compare Heap with the standard library's container/heap.
 type standardHeap []Timer[int]
 
-func (p standardHeap) Len() int           { return len(p) }
-func (p standardHeap) Less(i, j int) bool { return before(&p[i], &p[j]) }
-func (p standardHeap) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
-func (p *standardHeap) Push(x any)        { *p = append(*p, x.(Timer[int])) }
-func (p *standardHeap) Pop() any {
-	last := len(*p) - 1
-	x := (*p)[last]
-	*p = (*p)[:last]
+func (h standardHeap) Len() int           { return len(h) }
+func (h standardHeap) Less(i, j int) bool { return before(&h[i], &h[j]) }
+func (h standardHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *standardHeap) Push(x any)        { *h = append(*h, x.(Timer[int])) }
+func (h *standardHeap) Pop() any {
+	last := len(*h) - 1
+	x := (*h)[last]
+	*h = (*h)[:last]
 	return x
 }
 
-// BenchmarkHeap sets a timer and takes one, with 30,000 set.
+// BenchmarkHeap measures setting a timer and taking one from a heap of 30,000 timers.
 func BenchmarkHeap(b *testing.B) {
 	at := func(i int) float64 { return float64(i) + float64((i*7919)%5000) }
 	b.Run("own heap", func(b *testing.B) {
