--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// file is the JSON object of the settings. Keys that it does not name are skipped.
+// file is the JSON object of the settings. Unknown keys are ignored.
 type file struct {
 	Discovery string       `json:"discovery"`
 	Family    string       `json:"family"` // not used
@@ -42,7 +42,7 @@
 	KindCores        []float64 `json:"cpu-of-kind"`
 	KindMemory       []float64 `json:"mem-of-kind"`
 	Preempts         bool      `json:"displaces"`
-	NodeKinds        []int     `json:"kind-by-class"` // by job class, as MaxPerScope and Spread
+	NodeKinds        []int     `json:"kind-by-class"` // by job class, like MaxPerScope and Spread
 	ListsReportLoad  bool      `json:"lists-free"`
 	MeanCores        float64   `json:"unit-cores"`
 	MeanMemory       float64   `json:"mean-memory"`
@@ -52,7 +52,7 @@
 	RetryDelay       float64   `json:"settle-ns"`
 }
 
-// policyLimits bounds what a scheduler may do.
+// policyLimits contains the capabilities and limits of a scheduler.
 type policyLimits struct {
 	CanCancel      bool    `json:"cancel"`
 	MaxAttempts    int     `json:"max-attempts"`
@@ -62,13 +62,13 @@
 	MaxOpen        int     `json:"open-cap"`
 }
 
-// project is a tenant.
+// project describes a tenant.
 type project struct {
 	Name    string  `json:"name"`
 	Portion float64 `json:"portion"`
 }
 
-// service is a job class.
+// service describes a job class.
 type service struct {
 	Name              string  `json:"name"`
 	Deadline          float64 `json:"deadline-ns"`
@@ -79,7 +79,7 @@
 	PriorityWeight    float64 `json:"worth"`
 }
 
-// Words of the settings, indexed by the values that they stand for.
+// Enum values of the settings. Their positions are the values that they stand for.
 var (
 	discoveryValues = []string{"push", "ask"}
 	effectValues    = []string{"free", "guarded", "single_shot"}    // logic.RetrySemantics
@@ -87,12 +87,12 @@
 	spreadValues    = []string{"silent", "machine", "cell", "zone"} // logic.SpreadScope
 )
 
-// parse reads the JSON object.
+// parse decodes the JSON object of the settings.
 func parse(text []byte) (*file, error) {
 	var f file
 	err := json.Unmarshal(text, &f)
-	if wrong := new(json.UnmarshalTypeError); errors.As(err, &wrong) && wrong.Field != "" { // its own text would show all of our type
-		return nil, fieldErrorf(strings.ToLower(wrong.Field), "a %s can't be meant", wrong.Value)
+	if wrong := new(json.UnmarshalTypeError); errors.As(err, &wrong) && wrong.Field != "" { // the error's own text would show the whole Go type
+		return nil, fieldErrorf(strings.ToLower(wrong.Field), "unexpected JSON %s", wrong.Value)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("facts do not parse: %w", err)
@@ -100,16 +100,16 @@
 	return &f, nil
 }
 
-// pollsList returns whether the node list has to be polled.
+// pollsList returns whether the scheduler has to poll the node list.
 func (f *file) pollsList() bool { return f.Discovery == "ask" }
 
-// check checks all figures, and that lists that belong together have the same length.
+// check checks all numbers, and that lists that belong together have the same length.
 func (f *file) check() error {
 	if len(f.Services) == 0 || f.Instances < 1 {
-		return fieldErrorf("services, instances", "facts name %d job types and %d instances", len(f.Services), f.Instances)
+		return fieldErrorf("services, instances", "got %d services and %d instances, want at least one of each", len(f.Services), f.Instances)
 	}
 	if n := len(f.Info.KindCores); n != len(f.Info.KindMemory) || n == 0 || len(f.Kinds) > 0 && len(f.Kinds) != n {
-		return fieldErrorf("family-info.cpu-of-kind, mem-of-kind, kinds", "facts give cores of %d kinds, memory of %d, names of %d", n,
+		return fieldErrorf("family-info.cpu-of-kind, mem-of-kind, kinds", "got cores of %d kinds, memory of %d and names of %d, want the same number of each and at least one kind", n,
 			len(f.Info.KindMemory), len(f.Kinds))
 	}
 	var v validator
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads the settings that a deployment hands its schedulers at their start, on the platform and in the simulator alike.
+// Package settings reads the settings that a deployment passes to its schedulers when they start, both on the platform and in the simulator.
 //
-// Read turns the JSON text into a Deployment: the cluster as the placement module needs it (logic.Cluster), and the names and bounds that the
-// scheduler itself uses. Each figure is checked against bounds beyond which it can only be a mistake. An error is a FieldError that names the
-// field in one line, or says that the text is no such JSON object. The package holds no state.
+// Read converts the JSON text to a Deployment: the cluster as the placement module needs it (logic.Cluster), and the names and limits that the
+// scheduler itself uses. Each number is checked against bounds beyond which it can only be a mistake. An error is either a FieldError, which
+// names the field in one line, or says that the text is not a valid JSON object of settings. The package holds no state.
 package settings
 
 import (
@@ -11,25 +11,25 @@
 	"ravenpond/logic"
 )
 
-// nsPerMs converts the settings' nanoseconds to the program's milliseconds.
+// nsPerMs converts the nanoseconds of the settings to the milliseconds that the program uses.
 const nsPerMs = 1e6
 
-// Deployment is what a scheduler knows of its deployment. Times are in ms.
+// Deployment describes the deployment of a scheduler. Times are in ms.
 type Deployment struct {
 	Cluster          *logic.Cluster
-	JobClasses       []string  // names, in the order of Cluster.JobClasses
-	Deadlines        []float64 // of clients, by job class
+	JobClasses       []string  // names of the job classes, in the order of Cluster.JobClasses
+	Deadlines        []float64 // time after which clients stop waiting, by job class
 	Tenants          []string
-	Quotas           []float64 // of tenants, as a part of the whole, 0 to 1
+	Quotas           []float64 // by tenant, as a fraction of the capacity, 0 to 1
 	Zones            []string
-	Kinds            []string // of nodes
-	IdleTimeout      float64  // after which nodes close a connection without messages
-	ConnectTimeout   float64  // for a connection to a node
-	ClientRetryDelay float64  // that a client waits before it retries a request that may have run
-	MaxOpen          int      // requests without a final answer
+	Kinds            []string // names of the kinds of nodes
+	IdleTimeout      float64  // time after which nodes close a connection without messages
+	ConnectTimeout   float64  // time-out for connecting to a node
+	ClientRetryDelay float64  // time that a client waits before it retries a request that may have run
+	MaxOpen          int      // maximum number of requests without a final answer
 }
 
-// Read reads a deployment from the JSON text of its settings. Unknown keys are skipped.
+// Read reads a deployment from the JSON text of its settings. Unknown keys are ignored.
 func Read(text []byte) (*Deployment, error) {
 	f, err := parse(text)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return d, nil
 }
 
-// cluster returns the cluster without its job classes.
+// cluster converts the settings to a logic.Cluster without job classes.
 func (f *file) cluster() *logic.Cluster {
 	return &logic.Cluster{
 		Schedulers: f.Instances, Index: f.Index,
@@ -74,7 +74,7 @@
 	}
 }
 
-// jobClass returns the job class of a service. The group counts for idempotent classes alone.
+// jobClass converts a service to a job class. The group is used only for idempotent classes.
 func (f *file) jobClass(i int) (logic.JobClass, error) {
 	s := &f.Services[i]
 	effect, err := enumIndex(serviceField(i, s.Name, "effect"), s.Effect, effectValues)
@@ -98,7 +98,7 @@
 	}, nil
 }
 
-// elementOr returns an element of a list that may be too short, or what stands for an absent one.
+// elementOr returns an element of a list, or the value of absent if the list is too short.
 func elementOr[T any](list []T, i int, absent T) T {
 	if i < len(list) {
 		return list[i]
@@ -106,8 +106,9 @@
 	return absent
 }
 
-// ValidateForSockets checks what a scheduler on sockets needs of a deployment beside what Read checks. A scheduler in the simulator makes no
-// connections, names nothing, is given a deadline with each request and no more requests than it may hold.
+// ValidateForSockets checks what a scheduler that uses sockets requires of a deployment in addition to the checks of Read. A scheduler in the
+// simulator does not require it: it makes no connections, uses no names, and receives a deadline with each request and no more requests than it
+// may hold.
 func (d *Deployment) ValidateForSockets() error {
 	for _, list := range []struct {
 		name  string
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -39,7 +39,7 @@
 func (e *countingEffects) SetTimer(float64, uint64)             {}
 func (e *countingEffects) Log(string)                           {}
 
-// countAttempts has a module of a deployment place some requests, and returns how many attempts it starts.
+// countAttempts has a module place requests in a deployment, and returns how many attempts the module starts.
 func countAttempts(d *Deployment) (attempts int) {
 	effects := &countingEffects{}
 	now := 1e6
@@ -66,7 +66,7 @@
 	return effects.attempts
 }
 
-// visitPaths calls each with every place in a settings object, as a path of keys and indexes.
+// visitPaths calls each with the path of every element in a settings object. A path is a list of keys and indexes.
 func visitPaths(v any, at []any, each func([]any)) {
 	switch x := v.(type) {
 	case map[string]any:
@@ -82,7 +82,7 @@
 	}
 }
 
-// settingsWith returns the settings with another value in one place; nil removes the place.
+// settingsWith returns the settings with the value at a path replaced, or removed if the new value is nil.
 func settingsWith(t *testing.T, path []any, to any) []byte {
 	t.Helper()
 	var all any
@@ -114,20 +114,21 @@
 	return text
 }
 
-// defaultMeanings are the fields that may be absent or 0, and what that means.
+// defaultMeanings lists the fields that may be absent or 0, and what that means.
 var defaultMeanings = map[string]string{
-	"self-index": "the first", "kinds": "kinds have no names", "zones": "there are none", "projects": "there are none", "portion": "no part",
-	"kind-by-class": "any kind", "spread-over": "anywhere", "most-together": "one", "lists-free": "no", "cold-bears": "nothing goes to a cold node",
-	"settle-ns": "no time", "measured-by": "asked", "displaces": "no", "probes": "no", "cancel": "no", "prices": "none", "fleet": "no price", "report": "none",
-	"fields": "none", "how": "none", "rules": "nodes are never cold, and news is pushed", "cold-ns": "nodes are never cold",
-	"overload-for-ns": "no window", "ask-every-ns": "where news is pushed", "worth": "nothing", "window-ns": "no repeat", "group": "where it is not guarded",
+	"self-index": "the first", "kinds": "kinds have no names", "zones": "there are none", "projects": "there are none", "portion": "no quota",
+	"kind-by-class": "any kind", "spread-over": "anywhere", "most-together": "one", "lists-free": "no", "cold-bears": "nothing is placed on a node in slow start",
+	"settle-ns": "no delay", "measured-by": "requested resources", "displaces": "no", "probes": "no", "cancel": "no", "prices": "none", "fleet": "no price", "report": "none",
+	"fields": "none", "how": "none", "rules": "no slow start, and list changes are pushed", "cold-ns": "no slow start",
+	"overload-for-ns": "no window", "ask-every-ns": "list changes are pushed", "worth": "no weight", "window-ns": "no repeat", "group": "class is not idempotent",
 }
 
-// TestOddFields puts an absent, empty, zero, negative, huge or strange value in each place of a settings object. Each is an error of one line
-// that names its field, or has a meaning that is written down, with which a module places work and does not panic.
+// TestOddFields replaces each element of a settings object by an absent, empty, zero, negative, huge or otherwise unexpected value. Read has to
+// return an error of one line that names the field, unless the value has a meaning that defaultMeanings states, with which a module then runs
+// without a panic.
 func TestOddFields(t *testing.T) {
 	if d, err := Read([]byte(settings)); err != nil || countAttempts(d) == 0 {
-		t.Fatalf("%v: the settings as they are place nothing", err)
+		t.Fatalf("unchanged settings: error %v, want a deployment in which a module starts attempts", err)
 	}
 	var all any
 	if err := json.Unmarshal([]byte(settings), &all); err != nil {
@@ -147,31 +148,31 @@
 		}
 	})
 	if tried < 300 {
-		t.Errorf("%d values tried", tried)
+		t.Errorf("%d values tried, want at least 300", tried)
 	}
 }
 
-// checkOddValue reads the settings with a value in one place, which field names, and checks that the error names the field, or that the value has
-// a meaning with which a module works.
+// checkOddValue reads the settings with the value at a path replaced, and checks that the error names the field, or that the value has a meaning
+// and a module runs with it.
 func checkOddValue(t *testing.T, path []any, field string, to any) {
 	t.Helper()
 	d, err := Read(settingsWith(t, path, to))
 	if err == nil {
 		err = d.ValidateForSockets()
 	}
-	what := fmt.Sprintf("%v = %v", path, to)
+	change := fmt.Sprintf("%v = %v", path, to)
 	if err != nil {
 		if s := err.Error(); strings.Contains(s, "\n") || !strings.Contains(s, field) && !strings.Contains(s, path[0].(string)) {
-			t.Errorf("%s: %q does not name the field", what, s)
+			t.Errorf("%s: error %q, want one line that names the field", change, s)
 		}
 		return
 	}
 	if n, isNumber := to.(float64); isNumber && (n < 0 || n > 1e9) && field != "kind-by-class" && field != "fleet" {
-		t.Errorf("%s is taken", what)
+		t.Errorf("%s is accepted, want an error", change)
 	}
 	if to == nil || to == 0.0 {
 		if _, index := path[len(path)-1].(int); defaultMeanings[field] == "" && !index {
-			t.Errorf("%s is taken, and nothing says what it means", what)
+			t.Errorf("%s is accepted, but defaultMeanings does not say what it means", change)
 		}
 	}
 	countAttempts(d)
