--- a/internal/site/grammar.go
+++ b/internal/site/grammar.go
@@ -2,10 +2,10 @@
 
 import "ravenpond/internal/strictxml"
 
-// hour is one hour in ms, the unit of bounds of durations.
+// hour is one hour in ms. Bounds of durations are in ms.
 const hour = 3600e3
 
-// Grammar is the grammar of site files: elements, attributes, defaults and bounds. docs/operating.md describes what they mean.
+// Grammar defines the elements of site files, with their attributes, defaults and bounds. docs/operating.md describes their meaning.
 var Grammar = &strictxml.Element{
 	Name: "site", Attrs: []strictxml.Attr{{Name: "name", Kind: strictxml.Name, Required: true}},
 	Children: []*strictxml.Element{
--- a/internal/site/read.go
+++ b/internal/site/read.go
@@ -14,23 +14,23 @@
 	"ravenpond/logic"
 )
 
-// minRounds is how many rounds an allocation needs at least to be placed.
+// minRounds is the minimum number of rounds that placing an allocation takes.
 const minRounds = 4
 
-// maxIndex is how many zones, and how many machine kinds, a site may have: their places fit into a byte.
+// maxIndex is the maximum number of zones, and of machine kinds, of a site, so that their indexes fit into a byte.
 const maxIndex = 255
 
-// shareTolerance is by how much the sum of the tenants' shares may exceed 1 by rounding.
+// shareTolerance is by how much the sum of the tenants' shares may exceed 1, to allow for rounding.
 const shareTolerance = 1e-9
 
-// reader fills a configuration from the root element and collects what is wrong.
+// reader fills a configuration from the root element and collects the faults.
 type reader struct {
 	root   *strictxml.Item
 	config *Config
 	faults []strictxml.Fault
 }
 
-// Read reads a site file. The configuration is nil if there are faults, which are in the order in which they were found.
+// Read reads a site file. If the file has faults, the configuration is nil and the faults are in the order in which they were found.
 func Read(in io.Reader) (*Config, []strictxml.Fault) {
 	root, faults := strictxml.Read(in, Grammar)
 	if root == nil {
@@ -55,7 +55,7 @@
 	return r.config, nil
 }
 
-// fault records what is wrong with an element.
+// fault records a fault of an element.
 func (r *reader) fault(item *strictxml.Item, format string, args ...any) {
 	r.faults = append(r.faults, strictxml.Fault{Line: item.Line, Text: fmt.Sprintf(format, args...)})
 }
@@ -111,7 +111,7 @@
 	}
 }
 
-// readRoutes reads the latencies between zones.
+// readRoutes reads the latencies between zones. A latency is the same in both directions.
 func (r *reader) readRoutes() {
 	latency := map[[2]string]float64{}
 	r.config.RouteLatency = latency
@@ -119,18 +119,18 @@
 		from, to := route.Text("from"), route.Text("to")
 		for _, zone := range []string{from, to} {
 			if !slices.Contains(r.config.Zones, zone) {
-				r.fault(route, "<way>: zone %q is not one of the site's", zone)
+				r.fault(route, "<way>: unknown zone %q", zone)
 			}
 		}
 		if _, duplicate := latency[[2]string{from, to}]; duplicate || from == to {
-			r.fault(route, "<way>: from %q to %q again, or to itself", from, to)
+			r.fault(route, "<way>: from %q to %q is a duplicate or leads to the same zone", from, to)
 		}
 		latency[[2]string{from, to}] = route.Number("takes")
 		latency[[2]string{to, from}] = route.Number("takes")
 	}
 }
 
-// readMaintenance reads how much may be out of service at once.
+// readMaintenance reads the limits on what may be out of service at once.
 func (r *reader) readMaintenance() {
 	limits := calendar.Limits{Fleet: 0.25, Zone: 0.5, Kind: 0.5, MaxWarmingUp: 20, LoadMargin: 1.2, ClockGuard: 5 * time.Second}
 	if drains := r.root.Child("drains"); drains != nil {
@@ -147,7 +147,7 @@
 	r.config.Maintenance = limits
 }
 
-// milliseconds converts a number of the site file to a duration.
+// milliseconds converts a duration of the site file, in ms, to a time.Duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 func (r *reader) readShards() {
@@ -169,7 +169,7 @@
 	}
 }
 
-// readMachineKinds reads the machine kinds. It returns their places by name.
+// readMachineKinds reads the machine kinds. It returns their indexes by name.
 func (r *reader) readMachineKinds() map[string]int {
 	c := r.config
 	index := map[string]int{}
@@ -217,23 +217,23 @@
 		class.NodeKind = kind
 	}
 	if idempotent := class.Semantics == logic.Idempotent; idempotent != item.Has("group") || idempotent != item.Has("window") {
-		r.fault(item, "<job-type>: group and window stand where the effect is tokened, and only there")
+		r.fault(item, "<job-type>: group and window are required if effect is tokened, and not allowed otherwise")
 	}
 	if spread := class.Spread != logic.Anywhere; spread != item.Has("most") {
-		r.fault(item, "<job-type>: most stands where there is a spread, and only there")
+		r.fault(item, "<job-type>: most is required if there is a spread, and not allowed otherwise")
 	} else if spread {
 		class.MaxPerScope = item.Int("most")
 	}
 	if item.Number("target") > item.Number("expiry") {
-		r.fault(item, "<job-type>: target delay beyond the expiry")
+		r.fault(item, "<job-type>: target exceeds expiry")
 	}
 	if item.Number("expiry") <= r.config.AnswerMargin+minRounds*r.config.Cluster.MinRoundInterval {
-		r.fault(item, "<job-type>: expiry within the answer margin: nothing of it could be taken")
+		r.fault(item, "<job-type>: expiry leaves no time to place a task before the answer margin")
 	}
 	return class
 }
 
-// optionalNumber is a number that may be absent.
+// optionalNumber returns a numeric attribute, or 0 if it is absent.
 func optionalNumber(item *strictxml.Item, name string) float64 {
 	if !item.Has(name) {
 		return 0
@@ -265,27 +265,27 @@
 		LeasedPart: item.Number("lends"),
 	}
 	if !isAddrPort(m.Listen) {
-		r.fault(item, "<members>: listen %q: an address of digits and a port are expected", m.Listen)
+		r.fault(item, "<members>: listen %q: want an IP address and a port", m.Listen)
 	}
 	for _, seed := range m.Seeds {
 		if at, err := netip.ParseAddrPort(seed); err != nil || at.Port() == 0 {
-			r.fault(item, "<members>: seed %q: an address of digits and a port are expected", seed)
+			r.fault(item, "<members>: seed %q: want an IP address and a port", seed)
 		}
 	}
 	if m.Advertise != "" && !isAddrPort(m.Advertise) {
-		r.fault(item, "<members>: advertise %q: an address of digits and a port are expected", m.Advertise)
+		r.fault(item, "<members>: advertise %q: want an IP address and a port", m.Advertise)
 	}
 	slices.Sort(m.Voters)
 	if n := len(m.Voters); n != 0 && n != 3 && n != 5 || len(slices.Compact(slices.Clone(m.Voters))) != n {
-		r.fault(item, "<members>: stewards %q: three or five schedulers by name are expected", item.Text("stewards"))
+		r.fault(item, "<members>: stewards %q: want the names of three or five different schedulers", item.Text("stewards"))
 	}
 	if len(m.Seeds) == 0 {
-		r.fault(item, "<members>: seeds: at least one address is expected")
+		r.fault(item, "<members>: seeds: want at least one address")
 	}
 	r.config.Members = m
 }
 
-// isAddrPort tells whether a text is an IP address and a port.
+// isAddrPort returns whether a text is an IP address and a port.
 func isAddrPort(text string) bool {
 	_, err := netip.ParseAddrPort(text)
 	return err == nil
@@ -305,7 +305,7 @@
 		NarrowAfter:   item.Number("narrow-after"),
 	}
 	if r.config.Connections == OwnConnections {
-		r.fault(item, "<working-set>: shards with connections of their own have no set in common")
+		r.fault(item, "<working-set>: not allowed if connections of <shards> is own, because such shards cannot share a working set")
 	}
 }
 
@@ -318,26 +318,26 @@
 	}
 	switch hosting := r.root.Child("hosting"); {
 	case hosting != nil && len(c.Tenants) > 0:
-		r.fault(hosting, "<hosting>: tenants come and go, so the site file names none")
-	case hosting != nil: // the store has the share of each; here none is limited
+		r.fault(hosting, "<hosting>: not allowed together with <tenant>, because hosted tenants are added and removed at run time")
+	case hosting != nil: // the store of tenants has their shares, so the configuration limits none
 		c.MaxHostedTenants, c.AdminListen = hosting.Int("tenants"), hosting.Text("admin")
 		c.Tenants = make([]string, c.MaxHostedTenants)
 		c.Shares = slices.Repeat([]float64{1}, c.MaxHostedTenants)
 	case len(c.Tenants) == 0:
-		r.fault(r.root, "<site>: a <tenant> or <hosting> is expected")
+		r.fault(r.root, "<site>: want a <tenant> or <hosting>")
 	}
 	if sum > 1+shareTolerance {
-		r.fault(r.root, "shares of the tenants sum to %g, over 1", sum)
+		r.fault(r.root, "<tenant>: shares sum to %g, want at most 1", sum)
 	}
 }
 
-// checkSite checks what several elements together have to keep.
+// checkSite checks conditions that involve several elements.
 func (r *reader) checkSite() {
 	c := r.config
 	if interval := c.Cluster.ListMaxSilence; c.Cluster.PollsList && interval < 4*c.DrainGrace/2 {
-		r.fault(r.root.Child("cluster"), "<cluster>: ask-every %g ms leaves no time to ask again within the drain grace", interval)
+		r.fault(r.root.Child("cluster"), "<cluster>: ask-every %g ms leaves no time to poll the node list again within the drain grace", interval)
 	}
 	if len(c.Zones) > maxIndex || len(c.MachineKinds) > maxIndex {
-		r.fault(r.root, "at most %d zones and machine kinds", maxIndex)
+		r.fault(r.root, "<site>: want at most %d zones and at most as many machine kinds", maxIndex)
 	}
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,9 +1,9 @@
 // Package site reads the site file, in which an operator describes a cluster: its zones, machine kinds, job classes, tenants,
-// limits and listeners. Each fault of a file is reported with its line.
+// limits and listeners. Each fault in a file is reported with its line number.
 //
-// Grammar says which elements and attributes a file may have; Schema is the XML schema of the same grammar. A Config is
-// read once and not changed afterwards, so any number of goroutines may read it. Times and durations are milliseconds,
-// unless their type says otherwise.
+// Grammar defines the elements and attributes of a file; Schema is the XML schema generated from it. A Config is not changed
+// after it was read, so any number of goroutines may use it. Times and durations are in milliseconds unless their type says
+// otherwise.
 package site
 
 import (
@@ -25,85 +25,85 @@
 //go:embed site.xsd
 var Schema string
 
-// Example is a site file to start from.
+// Example is an example of a site file.
 //
 //go:embed example.xml
 var Example string
 
-// ConnectionMode says what the shards of a process share.
+// ConnectionMode is how the shards of a process share connections to nodes and load reports.
 type ConnectionMode int
 
 // Modes of connections.
 const (
-	OwnConnections    ConnectionMode = iota // each shard has its connections to all nodes
+	OwnConnections    ConnectionMode = iota // each shard has its own connections to all nodes
 	SharedConnections                       // all shards send over one connection to each node
-	SharedReports                           // and a load report that one shard receives is passed to all
+	SharedReports                           // like SharedConnections, and a load report that one shard receives is passed to all shards
 )
 
-// Config is what a site file says. Slices that belong together have the same order.
+// Config is the content of a site file. Slices that belong together have the same order.
 type Config struct {
 	Name    string
-	Cluster logic.Cluster // what the policy needs of the site
+	Cluster logic.Cluster // the cluster as the placement policy needs it
 
 	Zones        []string
-	Regions      []string              // of the zones, empty where the file names none
-	ZoneHolds    map[string]string     // zones that an operator holds "open" or "closed"
-	RouteLatency map[[2]string]float64 // one way from zone to zone, the same in both directions; empty: no zone is nearer than another
+	Regions      []string              // by zone, empty where the file names no region
+	ZoneHolds    map[string]string     // "open" or "closed", by zone, for zones whose state an operator has fixed
+	RouteLatency map[[2]string]float64 // one way, by source and target zone, the same in both directions; empty if all zones are equally near
 	MachineKinds []string
 
 	JobClasses    []string
-	Deadlines     []float64          // by job class, for requests that name none
-	DrainPolicies []drainpace.Policy // by job class, how its tasks leave a node that is taken out
+	Deadlines     []float64          // by job class, for requests without a deadline
+	DrainPolicies []drainpace.Policy // by job class, how its tasks leave a draining node
 
 	Tenants          []string
-	Shares           []float64 // of the tenants
-	MaxHostedTenants int       // how many tenants there may be at once, if they come and go; 0: those of the site file
+	Shares           []float64 // by tenant, as a fraction of the capacity
+	MaxHostedTenants int       // maximum number of tenants at once if tenants are added and removed at run time; 0 if the site file names the tenants
 
-	AnswerMargin float64 // an answer is sent at least so long before the client's deadline
-	SettleTime   float64 // a client waits so long before it asks again where a second start could do harm
-	DrainGrace   float64 // from the notice that a node drains until nothing may be sent to it
+	AnswerMargin float64 // minimum time between sending an answer and the client's deadline
+	SettleTime   float64 // time that a client waits before it retries a request where a second start could do harm
+	DrainGrace   float64 // time after the notice that a node drains during which requests may still be sent to it
 	Maintenance  calendar.Limits
 
-	MaxOpen     int // allocations without a final answer at once
-	MaxClients  int // connections of clients
-	ClientQueue int // messages that wait for one client
-	NodeQueue   int // bytes that wait for one node
+	MaxOpen     int // maximum number of allocations without a final answer
+	MaxClients  int // maximum number of connections of clients
+	ClientQueue int // maximum number of messages that wait for one client
+	NodeQueue   int // maximum number of bytes that wait for one node
 
-	Shards, MaxShards int // at the start, and until the next start
+	Shards, MaxShards int // number at the start, and maximum until the next start
 	Connections       ConnectionMode
-	ShardBy           int // how requests are spread over shards, a shardplacement.Policy
+	ShardBy           int // how requests are distributed over shards, a shardplacement.Policy
 
-	ListAddress   string // of the node list
+	ListAddress   string // address of the node list
 	ClientsListen string
-	ClientsTLS    bool   // clients connect by TLS
-	AdminListen   string // of the administration, empty: none
-	StatsListen   string // of the metrics over HTTP, empty: none
+	ClientsTLS    bool   // clients connect over TLS
+	AdminListen   string // address of the administration API; empty if there is none
+	StatsListen   string // address at which metrics are served over HTTP; empty if there is none
 
 	Members    Members
 	WorkingSet WorkingSet
 }
 
-// WorkingSet says how many nodes a scheduler works with. If MinNodes is 0, it works with all.
+// WorkingSet configures the number of nodes that a scheduler uses. If MinNodes is 0, it uses all nodes.
 type WorkingSet struct {
-	MinNodes      int     // nodes in a scheduler's set at least
-	Coverage      float64 // sets that each node is in at least
-	SpareFactor   float64 // nodes for each machine that a scheduler's own tasks would fill
-	NodesPerStart float64 // nodes for each task start a second
-	MinPerStratum int     // nodes of each zone and machine kind in a set at least
-	NarrowAfter   float64 // a set must have been larger than needed for so long before it shrinks
+	MinNodes      int     // minimum number of nodes in a scheduler's set
+	Coverage      float64 // minimum number of sets that each node belongs to
+	SpareFactor   float64 // number of nodes per machine that the scheduler's own tasks would fill
+	NodesPerStart float64 // number of nodes per task started per second
+	MinPerStratum int     // minimum number of nodes of each zone and machine kind in a set
+	NarrowAfter   float64 // time for which a set must have been larger than needed before it shrinks
 }
 
-// Members says how schedulers know each other. If Listen is empty, they don't.
+// Members configures the membership protocol of the schedulers. If Listen is empty, it is not used.
 type Members struct {
 	Listen     string   // IP address and port for datagrams
-	Advertise  string   // the address at which others reach it, if that is another
+	Advertise  string   // the address at which other schedulers reach this one, if it differs from Listen
 	Seeds      []string // addresses that are contacted first
-	Key        string   // file of the site's member key
-	Voters     []string // names of the schedulers that vote on the replicated cluster state, sorted; none: there is no such state
-	LeasedPart float64  // part of the tenants' quotas that is leased to the schedulers that are there, from 0 to 1
+	Key        string   // path of the file with the site's member key
+	Voters     []string // sorted names of the schedulers that vote on the replicated cluster state; empty if there is no such state
+	LeasedPart float64  // fraction of the tenants' quotas that is leased to the schedulers present, from 0 to 1
 }
 
-// FaultsError is returned for a site file with faults.
+// FaultsError reports the faults of a site file.
 type FaultsError struct {
 	Path   string
 	Faults []strictxml.Fault
@@ -118,7 +118,7 @@
 	return b.String()
 }
 
-// Load reads a site file. If it has faults, the error is a FaultsError.
+// Load reads a site file from a path. If the file has faults, the error is a *FaultsError.
 func Load(path string) (config *Config, err error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -132,11 +132,11 @@
 	return config, nil
 }
 
-// ErrRestartNeeded is returned if a changed site file takes effect at the next start alone.
-var ErrRestartNeeded = errors.New("more than the count of shards has changed: start the scheduler anew")
+// ErrRestartNeeded is returned if a change of the site file takes effect only at the next start.
+var ErrRestartNeeded = errors.New("settings other than the number of shards have changed: restart the scheduler")
 
-// Resized is the number of shards that a changed site file wants. All else is read at the start alone: if something else
-// has changed, the error is ErrRestartNeeded.
+// Resized returns the number of shards in a changed site file. Everything else takes effect only at the start: if anything
+// else has changed, the error is ErrRestartNeeded.
 func (c *Config) Resized(changed *Config) (shards int, err error) {
 	unchanged := *changed
 	unchanged.Shards = c.Shards
