--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -108,7 +108,8 @@
 	pausedFor, act := h.pauseDetector.OnRound(h.now, h.hasEvents)
 	h.hasEvents = false
 	if pausedFor > 0 {
-		h.effects.LogLine(fmt.Sprintf("process was paused for %.0f ms with %d open allocations; processing received messages before acting", pausedFor, h.openCount))
+		h.effects.LogLine(fmt.Sprintf("process was paused for %.0f ms with %d open allocations; processing received messages before acting",
+			pausedFor, h.openCount))
 	}
 	if !act || h.recoverModule() {
 		return
--- a/internal/platform/host/supervisor.go
+++ b/internal/platform/host/supervisor.go
@@ -39,7 +39,8 @@
 		if p := recover(); p != nil {
 			h.supervisor.failed = true
 			h.supervisor.watchdog.Fence(h.now, 0)
-			h.effects.LogLine(fmt.Sprintf("module: fenced after a panic, with %d open requests and %d running tasks: panic: %v\n%s", h.openCount, h.runningCount, p, debug.Stack()))
+			h.effects.LogLine(fmt.Sprintf("module: fenced after a panic, with %d open requests and %d running tasks: panic: %v\n%s",
+				h.openCount, h.runningCount, p, debug.Stack()))
 		}
 	}()
 	call(h.module)
@@ -60,7 +61,8 @@
 	}
 	h.replaceModule()
 	if !s.failed {
-		h.effects.LogLine(fmt.Sprintf("module: restarted as instance %d with %d nodes and %d running tasks", s.restarts+1, len(s.list.nodes), h.runningCount))
+		h.effects.LogLine(fmt.Sprintf("module: restarted as instance %d with %d nodes and %d running tasks",
+			s.restarts+1, len(s.list.nodes), h.runningCount))
 	}
 	return s.failed
 }
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -91,8 +91,8 @@
 func parse(text []byte) (*file, error) {
 	var f file
 	err := json.Unmarshal(text, &f)
-	if wrong := new(json.UnmarshalTypeError); errors.As(err, &wrong) && wrong.Field != "" { // the error's own text would show the whole Go type
-		return nil, fieldErrorf(strings.ToLower(wrong.Field), "unexpected JSON %s", wrong.Value)
+	if typeError := new(json.UnmarshalTypeError); errors.As(err, &typeError) && typeError.Field != "" { // the error's own text would show the whole Go type
+		return nil, fieldErrorf(strings.ToLower(typeError.Field), "unexpected JSON %s", typeError.Value)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("facts do not parse: %w", err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,7 +20,7 @@
 	JobClasses       []string  // names of the job classes, in the order of Cluster.JobClasses
 	Deadlines        []float64 // time after which clients stop waiting, by job class
 	Tenants          []string
-	Quotas           []float64 // by tenant, as a fraction of the capacity, 0 to 1
+	Quotas           []float64 // by tenant, as a fraction of the whole, 0 to 1
 	Zones            []string
 	Kinds            []string // names of the kinds of nodes
 	IdleTimeout      float64  // time after which nodes close a connection without messages
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -56,12 +56,12 @@
 	DrainPolicies []drainpace.Policy // by job class, how its tasks leave a draining node
 
 	Tenants          []string
-	Shares           []float64 // by tenant, as a fraction of the capacity
+	Shares           []float64 // by tenant, each a fraction of the whole
 	MaxHostedTenants int       // maximum number of tenants at once if tenants are added and removed at run time; 0 if the site file names the tenants
 
 	AnswerMargin float64 // minimum time between sending an answer and the client's deadline
 	SettleTime   float64 // time that a client waits before it retries a request where a second start could do harm
-	DrainGrace   float64 // time after the notice that a node drains during which requests may still be sent to it
+	DrainGrace   float64 // time after the notice that a node drains during which attempts may still be sent to it
 	Maintenance  calendar.Limits
 
 	MaxOpen     int // maximum number of allocations without a final answer
