--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -39,8 +39,8 @@
 func (e *countingEffects) SetTimer(float64, uint64)             {}
 func (e *countingEffects) Log(string)                           {}
 
-// play has a module of a deployment place some requests, and returns how many attempts it starts.
-func play(d *Deployment) (attempts int) {
+// countAttempts has a module place requests in a deployment, and returns how many attempts the module starts.
+func countAttempts(d *Deployment) (attempts int) {
 	effects := &countingEffects{}
 	now := 1e6
 	s := logic.New(effects, now, 7, d.Cluster)
@@ -66,24 +66,24 @@
 	return effects.attempts
 }
 
-// leaves calls each with every place in a settings object, as a path of keys and indexes.
-func leaves(v any, at []any, each func([]any)) {
+// visitPaths calls each with the path of every element in a settings object. A path is a list of keys and indexes.
+func visitPaths(v any, at []any, each func([]any)) {
 	switch x := v.(type) {
 	case map[string]any:
 		for k, y := range x {
 			each(append(slices.Clone(at), k))
-			leaves(y, append(slices.Clone(at), k), each)
+			visitPaths(y, append(slices.Clone(at), k), each)
 		}
 	case []any:
 		for i, y := range x {
 			each(append(slices.Clone(at), i))
-			leaves(y, append(slices.Clone(at), i), each)
+			visitPaths(y, append(slices.Clone(at), i), each)
 		}
 	}
 }
 
-// with returns the settings with another value in one place; nil removes the place.
-func with(t *testing.T, path []any, to any) []byte {
+// settingsWith returns the settings with the value at a path replaced, or removed if the new value is nil.
+func settingsWith(t *testing.T, path []any, value any) []byte {
 	t.Helper()
 	var all any
 	if err := json.Unmarshal([]byte(settings), &all); err != nil {
@@ -94,15 +94,15 @@
 		last := i == len(path)-1
 		switch x := here.(type) {
 		case map[string]any:
-			if last && to == nil {
+			if last && value == nil {
 				delete(x, k.(string))
 			} else if last {
-				x[k.(string)] = to
+				x[k.(string)] = value
 			}
 			here = x[k.(string)]
 		case []any:
-			if last && to != nil {
-				x[k.(int)] = to
+			if last && value != nil {
+				x[k.(int)] = value
 			}
 			here = x[k.(int)]
 		}
@@ -114,27 +114,28 @@
 	return text
 }
 
-// meanings are the fields that may be absent or 0, and what that means.
-var meanings = map[string]string{
-	"self-index": "the first", "kinds": "kinds have no names", "zones": "there are none", "projects": "there are none", "portion": "no part",
-	"kind-by-class": "any kind", "spread-over": "anywhere", "most-together": "one", "lists-free": "no", "cold-bears": "nothing goes to a cold node",
-	"settle-ns": "no time", "measured-by": "asked", "displaces": "no", "probes": "no", "cancel": "no", "prices": "none", "fleet": "no price", "report": "none",
-	"fields": "none", "how": "none", "rules": "nodes are never cold, and news is pushed", "cold-ns": "nodes are never cold",
-	"overload-for-ns": "no window", "ask-every-ns": "where news is pushed", "worth": "nothing", "window-ns": "no repeat", "group": "where it is not guarded",
+// defaultMeanings lists the fields that may be absent or 0, and what that means.
+var defaultMeanings = map[string]string{
+	"self-index": "the first", "kinds": "kinds have no names", "zones": "there are none", "projects": "there are none", "portion": "no quota",
+	"kind-by-class": "any kind", "spread-over": "anywhere", "most-together": "one", "lists-free": "no", "cold-bears": "nothing is placed on a node in slow start",
+	"settle-ns": "no delay", "measured-by": "requested resources", "displaces": "no", "probes": "no", "cancel": "no", "prices": "none", "fleet": "no price", "report": "none",
+	"fields": "none", "how": "none", "rules": "no slow start, and list changes are pushed", "cold-ns": "no slow start",
+	"overload-for-ns": "no window", "ask-every-ns": "list changes are pushed", "worth": "no weight", "window-ns": "no repeat", "group": "class is not idempotent",
 }
 
-// TestOddFields puts an absent, empty, zero, negative, huge or strange value in each place of a settings object. Each is an error of one line
-// that names its field, or has a meaning that is written down, with which a module places work and does not panic.
+// TestOddFields replaces each element of a settings object by an absent, empty, zero, negative, huge or otherwise unexpected value. Read has to
+// return an error of one line that names the field, unless the value has a meaning that defaultMeanings states, with which a module then runs
+// without a panic.
 func TestOddFields(t *testing.T) {
-	if d, err := Read([]byte(settings)); err != nil || play(d) == 0 {
-		t.Fatalf("%v: the settings as they are place nothing", err)
+	if d, err := Read([]byte(settings)); err != nil || countAttempts(d) == 0 {
+		t.Fatalf("unchanged settings: error %v, want a deployment in which a module starts attempts", err)
 	}
 	var all any
 	if err := json.Unmarshal([]byte(settings), &all); err != nil {
 		t.Fatal(err)
 	}
 	tried := 0
-	leaves(all, nil, func(path []any) {
+	visitPaths(all, nil, func(path []any) {
 		field := ""
 		for _, k := range path {
 			if name, ok := k.(string); ok {
@@ -147,32 +148,32 @@
 		}
 	})
 	if tried < 300 {
-		t.Errorf("%d values tried", tried)
+		t.Errorf("%d values tried, want at least 300", tried)
 	}
 }
 
-// checkOddValue reads the settings with a value in one place, which field names, and checks that the error names the field, or that the value has
-// a meaning with which a module works.
-func checkOddValue(t *testing.T, path []any, field string, to any) {
+// checkOddValue reads the settings with the value at a path replaced, and checks that the error names the field, or that the value has a meaning
+// and a module runs with it.
+func checkOddValue(t *testing.T, path []any, field string, value any) {
 	t.Helper()
-	d, err := Read(with(t, path, to))
+	d, err := Read(settingsWith(t, path, value))
 	if err == nil {
 		err = d.ValidateForSockets()
 	}
-	what := fmt.Sprintf("%v = %v", path, to)
+	change := fmt.Sprintf("%v = %v", path, value)
 	if err != nil {
 		if s := err.Error(); strings.Contains(s, "\n") || !strings.Contains(s, field) && !strings.Contains(s, path[0].(string)) {
-			t.Errorf("%s: %q does not name the field", what, s)
+			t.Errorf("%s: error %q, want one line that names the field", change, s)
 		}
 		return
 	}
-	if n, isNumber := to.(float64); isNumber && (n < 0 || n > 1e9) && field != "kind-by-class" && field != "fleet" {
-		t.Errorf("%s is taken", what)
+	if n, isNumber := value.(float64); isNumber && (n < 0 || n > 1e9) && field != "kind-by-class" && field != "fleet" {
+		t.Errorf("%s is accepted, want an error", change)
 	}
-	if to == nil || to == 0.0 {
-		if _, index := path[len(path)-1].(int); meanings[field] == "" && !index {
-			t.Errorf("%s is taken, and nothing says what it means", what)
+	if value == nil || value == 0.0 {
+		if _, index := path[len(path)-1].(int); defaultMeanings[field] == "" && !index {
+			t.Errorf("%s is accepted, but defaultMeanings does not say what it means", change)
 		}
 	}
-	play(d)
+	countAttempts(d)
 }
