--- a/internal/decide/slowstart/placeset.go
+++ b/internal/decide/slowstart/placeset.go
@@ -6,13 +6,13 @@
 	"math/bits"
 )
 
-// wordBits is the number of places in a word of a PlaceSet.
+// wordBits is the number of places that one word of a PlaceSet holds.
 const wordBits = 64
 
-// PlaceSet is a set of places, as a bit mask.
+// PlaceSet is a set of places, stored as a bit mask.
 type PlaceSet []uint64
 
-// ParsePlaceSet reads a set from bytes. The lowest bit of the first byte is place 0.
+// ParsePlaceSet decodes a set. The lowest bit of the first byte is place 0.
 func ParsePlaceSet(b []byte) (s PlaceSet) {
 	for i, x := range b {
 		if i/8 >= len(s) {
@@ -23,7 +23,7 @@
 	return s
 }
 
-// Bytes encodes the set as ParsePlaceSet reads it, without trailing zeros.
+// Bytes encodes the set for ParsePlaceSet, without trailing zero bytes.
 func (s PlaceSet) Bytes() (b []byte) {
 	for _, word := range s {
 		b = binary.LittleEndian.AppendUint64(b, word)
@@ -44,7 +44,7 @@
 	return n
 }
 
-// add returns the set with a place.
+// add returns the set with a place added.
 func (s PlaceSet) add(place int) PlaceSet {
 	for len(s) <= place/wordBits {
 		s = append(s, 0)
--- a/internal/decide/slowstart/slowstart_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -8,7 +8,7 @@
 )
 
 // simulation runs holders with their own clocks over a network that loses and delays messages, with pauses and restarts. A process that
-// takes part sends as much as it may at any time; the sum of all within a window is compared with the limit.
+// holds a lease sends as much as it may at any time; the sum over all processes within a window is compared with the limit.
 type simulation struct {
 	rng       *rand.Rand
 	config    Config
@@ -16,30 +16,31 @@
 	processes []*process
 	cut       map[[2]int]bool
 	messages  []message
-	maxUsed   float64 // largest part of the limit that was used within a window
-	usage     [][][2]float64
+	maxUsed   float64        // largest fraction of the limit that was used within a window
+	usage     [][][2]float64 // by process: times, and the fraction of the limit used at each
 	faults    faults
 }
 
+// faults breaks what the proof relies on. The zero value injects none.
 type faults struct {
-	leaseFactor  float64 // of the duration that grants are counted for; 0: 1
-	countsAlone  bool    // a process ignores whom the others count
+	leaseFactor  float64 // grants are counted for this multiple of the lease duration; 0 stands for 1
+	countsAlone  bool    // a process ignores the places that the others count
 	grantsAtOnce bool    // a new process gets grants at once
-	joinsAtOnce  bool    // a restarted process takes part at once
+	joinsAtOnce  bool    // a restarted process uses the limit at once
 }
 
 type process struct {
 	holder        *Holder
 	place         int
-	rate          float64
+	rate          float64 // of its clock, relative to the simulation's
 	clockBase     float64
 	startedAt     float64
-	downUntil     float64 // while it is dead
+	downUntil     float64 // end of its downtime, 0 while it is up
 	pausedUntil   float64
 	inbox         []message
 	nextRequestAt float64
 	lastAsked     int
-	incarnation   int // answers to requests of an earlier incarnation are dropped, as datagrams are
+	incarnation   int // answers to requests of an earlier incarnation are dropped, as they are with real datagrams
 }
 
 type message struct {
@@ -54,10 +55,10 @@
 
 func (p *process) clock(now float64) float64 { return p.clockBase + (now-p.startedAt)*p.rate }
 
-func newSimulation(seed uint64, places, procs int, pl faults) *simulation {
+func newSimulation(seed uint64, places, procs int, injected faults) *simulation {
 	w := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 5)), config: Config{Places: places, LeaseDuration: MinLeaseDuration(places, 200), Window: 1500},
-		cut: map[[2]int]bool{}, faults: pl,
+		cut: map[[2]int]bool{}, faults: injected,
 	}
 	for i := range procs {
 		p := &process{place: i}
@@ -70,12 +71,12 @@
 
 func (w *simulation) start(p *process) {
 	p.rate, p.clockBase, p.startedAt = 1+(w.rng.Float64()-0.5)*MaxClockDrift*0.9, 1e6*w.rng.Float64(), w.now
-	who := w.config
+	config := w.config
 	if w.faults.leaseFactor > 0 {
-		who.LeaseDuration *= w.faults.leaseFactor
+		config.LeaseDuration *= w.faults.leaseFactor
 	}
-	p.holder = New(p.clock(w.now), who, p.place)
-	p.holder.config.LeaseDuration = who.LeaseDuration
+	p.holder = New(p.clock(w.now), config, p.place)
+	p.holder.config.LeaseDuration = config.LeaseDuration
 	p.inbox, p.nextRequestAt = nil, w.now
 	p.incarnation++
 	if w.faults.joinsAtOnce {
@@ -94,12 +95,12 @@
 	}
 	m.at = w.now + 0.2 + 20*w.rng.Float64()
 	if w.rng.IntN(20) == 0 {
-		m.at += 3000 * w.rng.Float64() // very late
+		m.at += 3000 * w.rng.Float64() // one message of 20 arrives very late
 	}
 	w.messages = append(w.messages, m)
 }
 
-// step lets 20 ms pass.
+// step advances the simulation by 20 ms.
 func (w *simulation) step() {
 	w.now += 20
 	w.deliver()
@@ -120,20 +121,20 @@
 	w.measure()
 }
 
-// deliver puts the messages that have arrived into the inboxes.
+// deliver puts the messages that have arrived into the inboxes. Messages to a process that is down are lost.
 func (w *simulation) deliver() {
-	kept := w.messages[:0]
+	inFlight := w.messages[:0]
 	for _, m := range w.messages {
 		if m.at > w.now {
-			kept = append(kept, m)
+			inFlight = append(inFlight, m)
 		} else if p := w.processes[m.to]; p.downUntil <= w.now {
 			p.inbox = append(p.inbox, m)
 		}
 	}
-	w.messages = kept
+	w.messages = inFlight
 }
 
-// receive has a process handle its inbox.
+// receive lets a process handle the messages in its inbox.
 func (w *simulation) receive(index int) {
 	p := w.processes[index]
 	inbox := p.inbox
@@ -154,7 +155,7 @@
 	}
 }
 
-// request has a process ask the others in turn, as the failure detector probes.
+// request lets a process ask the others in turn, in the way that the failure detector probes them.
 func (w *simulation) request(index int) {
 	p := w.processes[index]
 	if w.now < p.nextRequestAt {
@@ -171,10 +172,10 @@
 func (w *simulation) sharers(p *process) int {
 	now := p.clock(w.now)
 	n := p.holder.Sharers(now)
-	if w.faults.leaseFactor > 0 { // it uses the whole duration
-		long := *p.holder
-		long.config.LeaseDuration = w.config.LeaseDuration
-		n = long.Sharers(now)
+	if w.faults.leaseFactor > 0 { // its own leases last for the full duration
+		fullLease := *p.holder
+		fullLease.config.LeaseDuration = w.config.LeaseDuration
+		n = fullLease.Sharers(now)
 	}
 	if w.faults.countsAlone && n > 0 {
 		n = p.holder.Counted(now).Len()
@@ -182,7 +183,7 @@
 	return n
 }
 
-// measure sums up the largest parts that all processes used within the last window.
+// measure adds up the largest fraction of the limit that each process used within the last window.
 func (w *simulation) measure() {
 	sum := 0.0
 	for i := range w.usage {
@@ -198,7 +199,7 @@
 	w.maxUsed = max(w.maxUsed, sum)
 }
 
-// injectFault injects a random fault, or ends all partitions.
+// injectFault injects a random fault, or heals all partitions.
 func (w *simulation) injectFault() {
 	i, j := w.rng.IntN(len(w.processes)), w.rng.IntN(len(w.processes))
 	switch w.rng.IntN(9) {
@@ -226,14 +227,14 @@
 	}
 }
 
-// simulate runs a seed for two minutes with faults and then without. It returns the largest part of the limit that was used within a
-// window, and the part that is in use at the end.
-func simulate(seed uint64, places, procs int, pl faults) (worst, used float64) {
-	w := newSimulation(seed, places, procs, pl)
-	for at := 0.0; w.now < 120000; {
-		if w.step(); w.now > at {
+// simulate runs a seed for two minutes with random faults and then without. It returns the largest fraction of the limit that was used
+// within a window, and the fraction that is in use at the end.
+func simulate(seed uint64, places, procs int, injected faults) (worst, used float64) {
+	w := newSimulation(seed, places, procs, injected)
+	for nextFaultAt := 0.0; w.now < 120000; {
+		if w.step(); w.now > nextFaultAt {
 			w.injectFault()
-			at = w.now + 12000*w.rng.Float64()
+			nextFaultAt = w.now + 12000*w.rng.Float64()
 		}
 	}
 	worst = w.maxUsed
@@ -252,75 +253,75 @@
 	return max(worst, w.maxUsed), used
 }
 
-// TestNeverAboveLimit injects faults: all processes together never exceed the limit within any window, and once the faults are over it is
-// all in use again.
+// TestNeverAboveLimit checks, with random faults, that all processes together never exceed the limit within any window, and that once the
+// faults are over, the whole limit is in use again.
 func TestNeverAboveLimit(t *testing.T) {
 	for _, c := range []struct{ places, procs int }{{1, 1}, {2, 2}, {3, 3}, {5, 5}, {9, 9}, {5, 8}, {9, 6}} {
 		t.Run(fmt.Sprint(c.procs, " of ", c.places), func(t *testing.T) {
 			for seed := range uint64(8) {
 				worst, used := simulate(seed, c.places, c.procs, faults{})
 				if worst > 1+1e-9 {
-					t.Fatalf("seed %d: %.3f of the whole within a window", seed, worst)
+					t.Fatalf("seed %d: %.3f of the limit used within a window, want at most 1", seed, worst)
 				}
 				if used < 0.99 {
-					t.Errorf("seed %d: %.3f of the whole in use when all is well", seed, used)
+					t.Errorf("seed %d: %.3f of the limit in use without faults, want at least 0.99", seed, used)
 				}
 			}
 		})
 	}
 }
 
-// TestFaultsAreDetected injects what the proof forbids, and checks that the simulation detects it.
+// TestFaultsAreDetected breaks an assumption of the proof at a time, and checks that the simulation then exceeds the limit.
 func TestFaultsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults faults
 	}{
-		{"grants are forgotten too soon", faults{leaseFactor: 0.3}},
-		{"each counts for itself alone", faults{countsAlone: true}},
-		{"grants are given at once", faults{grantsAtOnce: true}},
-		{"a restart takes part at once", faults{joinsAtOnce: true, grantsAtOnce: true}},
+		{"grants are forgotten too early", faults{leaseFactor: 0.3}},
+		{"each process uses only the places that it counts itself", faults{countsAlone: true}},
+		{"new processes get grants at once", faults{grantsAtOnce: true}},
+		{"restarted processes use the limit at once", faults{joinsAtOnce: true, grantsAtOnce: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(60) {
 				if worst, _ := simulate(seed, 5, 5, c.faults); worst > 1+1e-9 {
-					t.Logf("found by seed %d: %.2f of the whole", seed, worst)
+					t.Logf("seed %d detects the fault: %.2f of the limit used", seed, worst)
 					return
 				}
 			}
-			t.Error("not found in 60 seeds")
+			t.Error("fault not detected by any of 60 seeds")
 		})
 	}
 }
 
-// TestDeadProcess has one process die: its part goes to the others after its lease and a window, and not before.
+// TestDeadProcess checks that the share of a process that died goes to the others after its lease and a window, and not before.
 func TestDeadProcess(t *testing.T) {
 	w := newSimulation(3, 5, 5, faults{})
 	for w.now < 40000 {
 		w.step()
 	}
 	w.processes[4].downUntil = math.Inf(1)
-	died := w.now
-	for w.now < died+w.config.LeaseDuration+w.config.Window {
+	diedAt := w.now
+	for w.now < diedAt+w.config.LeaseDuration+w.config.Window {
 		w.step()
 		for _, p := range w.processes[:4] {
 			if n := p.holder.Sharers(p.clock(w.now)); n > 0 && n < 5 {
-				t.Fatalf("%.0f ms after its death %d share", w.now-died, n)
+				t.Fatalf("%d processes share the limit %.0f ms after the death, want 5", n, w.now-diedAt)
 			}
 		}
 	}
-	for w.now < died+3*w.config.LeaseDuration {
+	for w.now < diedAt+3*w.config.LeaseDuration {
 		w.step()
 	}
 	for _, p := range w.processes[:4] {
 		if n := p.holder.Sharers(p.clock(w.now)); n != 4 {
-			t.Errorf("place %d reckons with %d", p.place, n)
+			t.Errorf("place %d: got %d sharers, want 4", p.place, n)
 		}
 	}
 }
 
-// TestQuorumsIntersect tries every pair of views: of any two sets of places that grant to two processes, one place is in both, and both
-// processes count whom that place counts.
+// TestQuorumsIntersect tries every pair of sets of places that grant leases to two processes: if both processes hold a lease, some place has
+// granted to both of them.
 func TestQuorumsIntersect(t *testing.T) {
 	for places := 1; places <= 6; places++ {
 		for a := range 1 << places {
@@ -331,45 +332,45 @@
 	}
 }
 
-// checkViews checks the first and the last of some places, which have grants of two sets of places.
+// checkViews checks the processes of the first and of the last place, which have grants from the sets of places a and b.
 func checkViews(t *testing.T, places, a, b int) {
 	t.Helper()
-	holder := func(place int, view int) *Holder {
+	holder := func(place int, granters int) *Holder {
 		h := New(0, Config{Places: places, LeaseDuration: 1000, Window: 100}, place)
 		for k := range places {
-			if view>>k&1 == 1 && k != place {
+			if granters>>k&1 == 1 && k != place {
 				h.OnGrant(5000, k, true, PlaceSet{uint64(a&b) | 1<<k})
 			}
 		}
 		return h
 	}
 	x, y := holder(0, a), holder(places-1, b)
-	now := 5500.0 // what they granted before their start has ended
+	now := 5500.0 // what earlier incarnations granted has expired
 	if x.Sharers(now) == 0 || y.Sharers(now) == 0 {
 		return
 	}
 	if places > 1 && (a|1)&(b|1<<(places-1)) == 0 {
-		t.Fatalf("%d places: %b and %b both take part, and no place granted to both", places, a, b)
+		t.Fatalf("%d places: grants from %b and from %b both give a lease, but no place granted to both processes", places, a, b)
 	}
 	if x.Expiry(now) < now || x.Sharers(x.Expiry(now)+1) != 0 && places > 1 {
-		t.Fatalf("%d places: lease of %b ends at %g, and it takes part after", places, a, x.Expiry(now))
+		t.Fatalf("%d places: lease from %b expires at %g, want an expiry after %g and no lease after the expiry", places, a, x.Expiry(now), now)
 	}
 }
 
-// TestUnknownPlaces checks that places beyond those of the site file take no part, and are granted nothing.
+// TestUnknownPlaces checks that a process whose place is not in the site file holds no lease, and is granted none.
 func TestUnknownPlaces(t *testing.T) {
 	h := New(0, Config{Places: 3, LeaseDuration: 1000, Window: 100}, 3)
 	for k := range 3 {
 		h.OnGrant(9000, k, true, PlaceSet{7})
 	}
 	if n := h.Sharers(9001); n != 0 {
-		t.Errorf("a fourth of three reckons with %d", n)
+		t.Errorf("place 3 of 3 places from 0: got %d sharers, want 0", n)
 	}
 	h = New(0, Config{Places: 3, LeaseDuration: 1000, Window: 100}, 0)
-	if leave, _ := h.OnRequest(9000, 3); leave {
-		t.Error("a fourth of three gets a grant")
+	if granted, _ := h.OnRequest(9000, 3); granted {
+		t.Error("place 3 of 3 places from 0 got a grant")
 	}
-	if leave, _ := h.OnRequest(9000, -1); leave {
-		t.Error("no place gets a grant")
+	if granted, _ := h.OnRequest(9000, -1); granted {
+		t.Error("a process without a place got a grant")
 	}
 }
