--- a/internal/decide/workingset/members.go
+++ b/internal/decide/workingset/members.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// settleFraction of NarrowAfter is for how long members must be the same before nodes are divided anew.
+// settleFraction is the fraction of NarrowAfter for which the members must stay the same before the nodes are divided anew.
 const settleFraction = 0.1
 
-// SetMembers sets the names of all schedulers. Nodes are divided anew once the names have been the same for a while.
+// SetMembers sets the names of all schedulers. Nodes are divided anew once the names have stayed the same for a while.
 func (s *Set) SetMembers(now float64, names []string) {
 	sorted := withName(names, s.config.Self)
 	switch {
@@ -19,7 +19,7 @@
 	}
 }
 
-// applyMembers divides the nodes among the pending members, once these have been the same for long enough.
+// applyMembers divides the nodes among the pending members, once these have stayed the same for long enough.
 func (s *Set) applyMembers(now float64) {
 	if s.pending == nil || now-s.pendingSince < settleFraction*s.config.NarrowAfter {
 		return
@@ -38,8 +38,8 @@
 	}
 }
 
-// position returns this scheduler's position among those that want a node. While it knows no other scheduler, it takes a pseudo-random
-// position, as if all schedulers of the site were there.
+// position returns this scheduler's position in the ranking of all schedulers for a node. While it does not know the others, it takes a
+// pseudo-random position, as if all schedulers of the site were running.
 func (s *Set) position(id uint32) float64 {
 	node := hashOfNode(id)
 	if s.config.Faults.SkipNodes && node%10 == 0 {
--- a/internal/decide/workingset/nodes.go
+++ b/internal/decide/workingset/nodes.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// State is what the node list says of a node.
+// State is the state of a node according to the node list.
 type State uint8
 
 // States of a node.
@@ -21,17 +21,17 @@
 	State      State
 }
 
-// record is what the set keeps of each node of the list.
+// record holds the state of each node on the list.
 type record struct {
 	id          uint32
 	stratum     *stratum
-	position    float64
+	position    float64 // of this scheduler in the ranking of all schedulers for the node
 	state       State
 	inSet       bool
 	unreachable bool
 }
 
-// stratum holds the nodes of one zone and machine kind, by position.
+// stratum holds the nodes of one zone and machine kind, sorted by position.
 type stratum struct {
 	zone, kind int
 	nodes      []*record
@@ -64,7 +64,7 @@
 	return isNew
 }
 
-// RemoveNode records that a node is no longer on the list. It is not in the set from now on, without a Removal.
+// RemoveNode records that a node is no longer on the list. The node leaves the set at once, and no later Change names it as removed.
 func (s *Set) RemoveNode(id uint32) {
 	r := s.nodes[id]
 	if r == nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Nodes yields the nodes of the list, in no order.
+// Nodes yields the nodes on the list in no particular order.
 func (s *Set) Nodes(yield func(id uint32) bool) {
 	for id := range s.nodes {
 		if !yield(id) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// stratumOf returns the stratum of a zone and kind, and makes it if there is none.
+// stratumOf returns the stratum of a zone and kind, and creates it if there is none.
 func (s *Set) stratumOf(zone, kind int) *stratum {
 	for len(s.wideners) <= kind {
 		s.wideners = append(s.wideners, widener{minHold: s.config.NarrowAfter})
@@ -127,18 +127,18 @@
 }
 
 func (st *stratum) insert(r *record) {
-	at, _ := slices.BinarySearchFunc(st.nodes, r, comparePosition)
-	st.nodes = slices.Insert(st.nodes, at, r)
+	index, _ := slices.BinarySearchFunc(st.nodes, r, comparePosition)
+	st.nodes = slices.Insert(st.nodes, index, r)
 }
 
 func (st *stratum) remove(r *record) {
-	at, _ := slices.BinarySearchFunc(st.nodes, r, comparePosition)
-	st.nodes = slices.Delete(st.nodes, at, at+1)
+	index, _ := slices.BinarySearchFunc(st.nodes, r, comparePosition)
+	st.nodes = slices.Delete(st.nodes, index, index+1)
 }
 
 func (st *stratum) sort() { slices.SortFunc(st.nodes, comparePosition) }
 
-// readyNodes yields the ready nodes of a stratum with their index among these, by position.
+// readyNodes yields the ready nodes of a stratum by position, each with its index among the ready ones.
 func (st *stratum) readyNodes(yield func(index int, r *record) bool) {
 	index := 0
 	for _, r := range st.nodes {
--- a/internal/decide/workingset/rendezvous.go
+++ b/internal/decide/workingset/rendezvous.go
@@ -8,14 +8,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// view is the schedulers among which nodes are divided, and which of them this one is.
+// view holds the schedulers among which nodes are divided, and which of them this one is.
 type view struct {
 	names  []string // sorted
-	hashes []uint64 // of the names, in their order
+	hashes []uint64 // of the names, in the same order
 	self   uint64   // hash of this scheduler's name
 }
 
-// newView hashes the names. The scheduler itself is always one of them.
+// newView returns the view of a scheduler. Its own name is always one of the names.
 func newView(key, self string, names []string) view {
 	v := view{names: withName(names, self), self: hashOfName(key, self)}
 	for _, name := range v.names {
@@ -24,7 +24,7 @@
 	return v
 }
 
-// withName returns names and self, sorted, each once.
+// withName returns names with self added, sorted and without duplicates.
 func withName(names []string, self string) []string {
 	sorted := append(slices.Clone(names), self)
 	slices.Sort(sorted)
@@ -33,9 +33,9 @@
 
 func (v *view) schedulers() float64 { return float64(len(v.names)) }
 
-// position returns this scheduler's position among all that want a node: its rank by rendezvous hashing (Thaler and Ravishankar, 1998)
-// plus a fraction from 0 to 1. A node of which each scheduler takes the positions below k is in floor(k) or floor(k)+1 sets, and in k on
-// average.
+// position returns this scheduler's position in the ranking of all schedulers for a node: its rank by rendezvous hashing (Thaler and
+// Ravishankar, 1998) plus a fraction from 0 to 1. If each scheduler takes the nodes for which its position is below k, a node is in floor(k)
+// or floor(k)+1 sets, and in k sets on average.
 func (v *view) position(node uint64) float64 {
 	own := mix(node ^ v.self)
 	rank := 0
--- a/internal/decide/workingset/size.go
+++ b/internal/decide/workingset/size.go
@@ -4,21 +4,21 @@
 
 // Load is a scheduler's own load.
 type Load struct {
-	Machines float64 // that its running tasks would fill, by the resources they requested
+	Machines float64 // number of machines that its running tasks would fill, by the resources they requested
 	Starts   float64 // tasks it starts per second
 }
 
-// sizeStep is the ratio of one size to the next smaller one: smaller changes of the load change nothing.
+// sizeStep is the ratio of each size to the next smaller one, so that small changes of the load do not change the size.
 const sizeStep = 1.25
 
-// sizer turns a scheduler's load into a size that grows at once and shrinks late.
+// sizer computes a set size from a scheduler's need. The size grows at once and shrinks late.
 type sizer struct {
-	window            float64 // ms: the largest need of the present window and the previous one counts
+	window            float64 // ms; the size follows the largest need in the present window and in the previous one
 	windowStart       float64 // ms
-	current, previous float64 // largest need in the present window and in the previous one
+	current, previous float64 // largest need in the present window and in the previous one, in nodes
 }
 
-// size returns the size for a need, at least minimum.
+// size returns the set size for a need, at least minimum, all in nodes.
 func (s *sizer) size(now, need, minimum float64) float64 {
 	if now >= s.windowStart+s.window {
 		s.previous = s.current
--- a/internal/decide/workingset/step.go
+++ b/internal/decide/workingset/step.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// minReachableFraction is the fraction of the usual nodes of a kind below which unreachable ones are replaced.
+// minReachableFraction is the fraction of a kind's nodes in a set of the usual size below which unreachable nodes are replaced.
 const minReachableFraction = 0.75
 
-// Step returns what changes now. It is to be called a few times per second.
+// Step updates the set and returns what changed. The caller calls it a few times per second.
 func (s *Set) Step(now float64) Change {
 	s.applyMembers(now)
 	size := s.computeUsualSize(now)
@@ -29,8 +29,8 @@
 	return change
 }
 
-// computeUsualSize returns how many nodes the scheduler's load and the coverage of all nodes need. A scheduler that is cut off from more
-// than half of the others does not cover their nodes for them.
+// computeUsualSize returns how many nodes the set needs for the scheduler's load and for the coverage of all nodes. A scheduler that is
+// partitioned from more than half of the others does not cover all of their nodes in their place.
 func (s *Set) computeUsualSize(now float64) float64 {
 	need := s.config.Spare*s.load.Machines + s.config.PerStart*s.load.Starts
 	size := s.sizer.size(now, need, float64(s.config.MinNodes))
@@ -38,7 +38,7 @@
 	return max(size, s.config.Coverage*float64(s.ready)/schedulers)
 }
 
-// refillTokens lets widening add more nodes: a usual set per second, at most half of one at once.
+// refillTokens refills the token bucket that bounds widening: one set of the usual size per second, at most half of one at once.
 func (s *Set) refillTokens(now, size float64) {
 	s.tokens = min(size/2, s.tokens+size*(now-s.lastStepAt)/1000)
 	s.lastStepAt = now
@@ -47,8 +47,8 @@
 	}
 }
 
-// widen widens for the kinds of machines that are short, or of which too few can be reached, and narrows for those that have not been
-// short for long.
+// widen widens the set for machine kinds with a shortage or with too few reachable nodes, and narrows it for kinds that have had no shortage
+// for long.
 func (s *Set) widen(now, size float64) {
 	for kind := range s.wideners {
 		w := &s.wideners[kind]
@@ -63,15 +63,15 @@
 	}
 }
 
-// counts are numbers of ready nodes of a machine kind.
+// counts has numbers of ready nodes of a machine kind.
 type counts struct {
 	all       int
-	usual     int // that a set of the usual size has
-	inSet     int
-	reachable int // of those in the set
+	usual     int // in a set of the usual size
+	inSet     int // in the set now
+	reachable int // in the set and reachable
 }
 
-// lacksReachable reports whether too few of the nodes in the set can be reached.
+// lacksReachable reports whether too few of the nodes in the set are reachable.
 func (n counts) lacksReachable() bool {
 	return n.inSet > 0 && float64(n.reachable) < minReachableFraction*float64(min(n.usual, n.inSet))
 }
@@ -99,9 +99,9 @@
 	return n
 }
 
-// mayNarrow reports whether a set of half the width would keep enough reachable nodes of a kind.
+// mayNarrow reports whether the set would keep enough reachable nodes of a kind at half its present width.
 func (s *Set) mayNarrow(kind int, size float64) bool {
-	usual, left := 0, 0
+	usual, remaining := 0, 0
 	for _, st := range s.strata {
 		if st.kind != kind {
 			continue
@@ -112,26 +112,26 @@
 				usual++
 			}
 			if r.position < max(limit.usual, limit.present/2) && !r.unreachable {
-				left++
+				remaining++
 			}
 		}
 	}
-	return float64(left) >= minReachableFraction*float64(usual)
+	return float64(remaining) >= minReachableFraction*float64(usual)
 }
 
-// positionLimits are the positions below which the nodes of a stratum are in a set.
+// positionLimits has the positions below which the nodes of a stratum belong to the set.
 type positionLimits struct {
-	usual   float64 // in a set of the usual size
-	present float64 // in the set as it is widened now
+	usual   float64 // for a set of the usual size
+	present float64 // for the set at its present width
 }
 
 func (s *Set) limits(st *stratum, size float64) positionLimits {
 	usual := size * s.schedulers() / float64(max(1, s.ready))
-	return positionLimits{usual, usual * s.wideners[st.kind].times()}
+	return positionLimits{usual, usual * s.wideners[st.kind].widthFactor()}
 }
 
-// updateStratum adds and removes nodes of a stratum. Nodes beyond the usual size are appended to extra, because they are added at a bounded
-// rate. A draining node stays if it is in the set, and is not added if it is not.
+// updateStratum adds and removes nodes of a stratum. It appends the nodes to add beyond the usual size to extra, because these are added at a
+// bounded rate. A draining node stays in the set if it is there, and is not added otherwise.
 func (s *Set) updateStratum(st *stratum, limit positionLimits, change *Change, extra []*record) []*record {
 	for index, r := range st.readyNodes {
 		isMinimum := index < s.config.PerStratum
@@ -149,7 +149,7 @@
 	return extra
 }
 
-// addExtra adds nodes beyond the usual size, by position, as many as the rate allows.
+// addExtra adds as many nodes beyond the usual size as there are tokens, in order of their positions.
 func (s *Set) addExtra(extra []*record, change *Change) {
 	slices.SortFunc(extra, comparePosition)
 	for _, r := range extra {
--- a/internal/decide/workingset/visits.go
+++ b/internal/decide/workingset/visits.go
@@ -2,19 +2,19 @@
 
 const (
 	maxActiveVisits    = 64
-	visitRetryInterval = 2000 // ms after a visit that failed
+	visitRetryInterval = 2000 // ms from a failed visit to the next one of the same node
 )
 
-// Visits are the nodes outside the set that this scheduler still has to ask once for the tasks that they hold for it: an earlier
-// incarnation of the scheduler may have left some there. The zero value is empty.
+// Visits is a queue of nodes to visit: nodes outside the set to which this scheduler still has to connect once, to ask for the tasks that
+// they hold for it. An earlier incarnation of the scheduler may have left some there. The zero value is an empty queue.
 type Visits struct {
 	waiting []uint32     // in order of arrival
-	failed  []visitRetry // in order of time
+	failed  []visitRetry // sorted by time
 	states  map[uint32]visitState
 	active  int
 }
 
-// visitRetry is a failed visit that is made again.
+// visitRetry is the next try of a visit that failed.
 type visitRetry struct {
 	at float64
 	id uint32
@@ -27,7 +27,7 @@
 	visitActive
 )
 
-// Add adds a node to visit.
+// Add adds a node to visit, unless it waits or is being visited already.
 func (v *Visits) Add(id uint32) {
 	if v.states == nil {
 		v.states = map[uint32]visitState{}
@@ -38,7 +38,7 @@
 	}
 }
 
-// Remove removes a node whose visit is done or no longer needed.
+// Remove removes a node whose visit has been completed or is no longer needed.
 func (v *Visits) Remove(id uint32) {
 	if v.states[id] == visitActive {
 		v.active--
@@ -46,7 +46,7 @@
 	delete(v.states, id)
 }
 
-// Next returns a node to visit now; false if none is due.
+// Next returns a node to visit now, or false if none is due or too many visits are active.
 func (v *Visits) Next(now float64) (id uint32, ok bool) {
 	if v.active >= maxActiveVisits {
 		return 0, false
@@ -57,7 +57,7 @@
 	}
 	for len(v.waiting) > 0 {
 		id, v.waiting = v.waiting[0], v.waiting[1:]
-		if v.states[id] == visitWaiting { // else it was removed
+		if v.states[id] == visitWaiting { // otherwise it has been removed
 			v.states[id] = visitActive
 			v.active++
 			return id, true
@@ -66,7 +66,7 @@
 	return 0, false
 }
 
-// OnFailed records that a visit failed. It is made again.
+// OnFailed records that a visit failed, and schedules another one.
 func (v *Visits) OnFailed(now float64, id uint32) {
 	if v.states[id] != visitActive {
 		return
@@ -76,5 +76,5 @@
 	v.failed = append(v.failed, visitRetry{now + visitRetryInterval, id})
 }
 
-// Pending returns how many visits are still to be made or active.
+// Pending returns the number of visits that wait or are active.
 func (v *Visits) Pending() int { return len(v.states) }
--- a/internal/decide/workingset/visits_test.go
+++ b/internal/decide/workingset/visits_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// startVisits returns visits of nodes 0 to 99 without 5, and the nodes that are visited at once.
+// startVisits returns visits of nodes 0 to 99 except 5, which is removed, and the nodes that are visited at once.
 func startVisits(t *testing.T) (visits *Visits, active []uint32) {
 	t.Helper()
 	visits = &Visits{}
@@ -15,7 +15,8 @@
 		active = append(active, id)
 	}
 	if len(active) != maxActiveVisits || active[5] != 6 || visits.Pending() != 99 {
-		t.Fatalf("%d at once, %v, %d pending", len(active), active, visits.Pending())
+		t.Fatalf("got %d active visits (%v) and %d pending, want %d active, node 6 as the sixth, and 99 pending",
+			len(active), active, visits.Pending(), maxActiveVisits)
 	}
 	return visits, active
 }
@@ -26,25 +27,25 @@
 	for _, id := range active[1:] {
 		visits.Remove(id)
 	}
-	made := map[uint32]int{}
+	visitCounts := map[uint32]int{}
 	for now := 0.0; now < 3*visitRetryInterval; now += 100 {
 		for id, ok := visits.Next(now); ok; id, ok = visits.Next(now) {
-			made[id]++
+			visitCounts[id]++
 			if id == active[0] && now < visitRetryInterval {
-				t.Errorf("visited again after %.0f ms", now)
+				t.Errorf("failed visit made again after %.0f ms, want %d ms at least", now, visitRetryInterval)
 			}
 			visits.Remove(id)
 		}
 	}
-	if made[active[0]] != 1 || made[99] != 1 || made[5] != 0 {
-		t.Errorf("%v", made)
+	if visitCounts[active[0]] != 1 || visitCounts[99] != 1 || visitCounts[5] != 0 {
+		t.Errorf("visits by node: %v, want 1 for nodes %d and 99, none for the removed node 5", visitCounts, active[0])
 	}
 	if visits.Pending() != 0 || visits.active != 0 {
-		t.Errorf("%d pending, %d active", visits.Pending(), visits.active)
+		t.Errorf("got %d visits pending and %d active at the end, want none", visits.Pending(), visits.active)
 	}
 	visits.OnFailed(0, 3) // late failure of a visit that was removed
 	visits.Add(3)
 	if id, ok := visits.Next(0); !ok || id != 3 {
-		t.Errorf("%d %t", id, ok)
+		t.Errorf("node added again: Next returned %d, %t, want 3, true", id, ok)
 	}
 }
--- a/internal/decide/workingset/widen.go
+++ b/internal/decide/workingset/widen.go
@@ -1,47 +1,47 @@
 package workingset
 
 const (
-	widenInterval  = 250 // ms between two doublings
-	maxHoldFactor  = 16  // largest hold, in first holds: it doubles while shortages return soon after narrowing
-	soonHoldFactor = 4   // holds within which a shortage returns soon
+	widenInterval    = 250 // ms between two doublings of the width
+	maxHoldFactor    = 16  // largest hold time, as a multiple of minHold: it doubles while shortages return soon after narrowing
+	recurrenceFactor = 4   // multiple of the hold time after narrowing within which a shortage counts as returning soon
 )
 
-// widener computes by how much the set is wider than usual for one machine kind, because nothing in it fits.
+// widener computes by how much the set is wider than usual for one machine kind, while tasks for that kind find no node in it.
 type widener struct {
-	minHold    float64 // first hold, ms
-	hold       float64 // ms without a shortage until the set narrows by half
-	factor     float64 // 0 counts as 1
-	widenedAt  float64
-	shortAt    float64 // when the last shortage was
-	narrowedAt float64
+	minHold        float64 // ms; first hold time
+	hold           float64 // ms without a shortage until the width is halved
+	factor         float64 // ratio of the width to the usual one; 0 stands for 1
+	widenedAt      float64
+	lastShortageAt float64
+	narrowedAt     float64
 }
 
-// times returns the factor by which the set is wider than usual.
-func (w *widener) times() float64 { return max(1, w.factor) }
+// widthFactor returns the ratio of the set's width to the usual one.
+func (w *widener) widthFactor() float64 { return max(1, w.factor) }
 
-// onShortage doubles the width, unless that was done a moment ago or all nodes are in the set.
+// onShortage doubles the width, unless it was doubled within widenInterval or all nodes are in the set.
 func (w *widener) onShortage(now float64, hasAll bool, faults Faults) {
-	w.shortAt = now
+	w.lastShortageAt = now
 	isRecent := now-w.widenedAt < widenInterval && w.factor > 1 && !faults.UnboundedWidening
 	if hasAll || isRecent {
 		return
 	}
 	switch {
-	case w.hold == 0 || w.narrowedAt > 0 && now-w.narrowedAt >= 2*soonHoldFactor*maxHoldFactor*w.minHold:
+	case w.hold == 0 || w.narrowedAt > 0 && now-w.narrowedAt >= 2*recurrenceFactor*maxHoldFactor*w.minHold:
 		w.hold = w.minHold
-	case w.narrowedAt > 0 && now-w.narrowedAt < soonHoldFactor*w.hold && !faults.Flap:
+	case w.narrowedAt > 0 && now-w.narrowedAt < recurrenceFactor*w.hold && !faults.Flap:
 		w.hold = min(maxHoldFactor*w.minHold, 2*w.hold)
-		w.narrowedAt = 0 // one return counts once
+		w.narrowedAt = 0 // further doublings in the same shortage do not lengthen the hold time again
 	}
-	w.factor, w.widenedAt = 2*w.times(), now
+	w.factor, w.widenedAt = 2*w.widthFactor(), now
 }
 
-// isNarrowingDue reports whether it is time to narrow.
+// isNarrowingDue reports whether the width may be halved now.
 func (w *widener) isNarrowingDue(now float64, faults Faults) bool {
 	if faults.Flap {
-		return w.factor > 1 && now-w.shortAt >= widenInterval
+		return w.factor > 1 && now-w.lastShortageAt >= widenInterval
 	}
-	return w.factor > 1 && now-max(w.shortAt, w.narrowedAt) >= w.hold
+	return w.factor > 1 && now-max(w.lastShortageAt, w.narrowedAt) >= w.hold
 }
 
 // narrow halves the width.
--- a/internal/decide/workingset/widen_test.go
+++ b/internal/decide/workingset/widen_test.go
@@ -2,106 +2,110 @@
 
 import "testing"
 
-// simulateShortage reports a shortage for a while. It returns how many nodes were added in the worst second, and how many ms it took until the
-// set had grown by half.
-func simulateShortage(faults Faults) (worst int, doubled float64) {
-	c, s := oneOf(30, 14000, Config{MinNodes: 480, Coverage: 1, Faults: faults})
-	usual, began := s.Size(), c.now
-	var entered []int
+// simulateShortage reports a shortage of all kinds for 5 s. It returns the largest number of nodes that were added within one second, and the
+// time in ms until the set had grown by half, 0 if it never had.
+func simulateShortage(faults Faults) (maxPerSecond int, grownAfter float64) {
+	c, s := newSingleSet(30, 14000, Config{MinNodes: 480, Coverage: 1, Faults: faults})
+	usual, startedAt := s.Size(), c.now
+	var added []int
 	for range 50 {
 		s.OnShortage(AnyKind)
 		n := len(s.Step(c.now).Added)
-		entered = append(entered, n)
-		if doubled == 0 && s.Size() >= 3*usual/2 {
-			doubled = c.now - began + 100
+		added = append(added, n)
+		if grownAfter == 0 && s.Size() >= 3*usual/2 {
+			grownAfter = c.now - startedAt + 100
 		}
 		c.now += 100
 	}
-	for i := range entered[9:] {
+	for i := range added[9:] {
 		sum := 0
-		for _, n := range entered[i : i+10] {
+		for _, n := range added[i : i+10] {
 			sum += n
 		}
-		worst = max(worst, sum)
+		maxPerSecond = max(maxPerSecond, sum)
 	}
-	return worst, doubled
+	return maxPerSecond, grownAfter
 }
 
 func TestWidensAtABoundedRate(t *testing.T) {
-	worst, doubled := simulateShortage(Faults{})
-	if worst > 480*3/2+10 || doubled == 0 || doubled > 1000 {
-		t.Errorf("%d nodes in the worst second, half as many again after %.0f ms", worst, doubled)
+	maxPerSecond, grownAfter := simulateShortage(Faults{})
+	if maxPerSecond > 480*3/2+10 || grownAfter == 0 || grownAfter > 1000 {
+		t.Errorf("got up to %d nodes added in a second, and growth by half after %.0f ms (0: never), want at most 730 nodes and 1000 ms",
+			maxPerSecond, grownAfter)
 	}
-	if worst, _ := simulateShortage(Faults{UnboundedWidening: true}); worst <= 480*3/2+10 {
-		t.Errorf("unbounded widening passes the check: %d in a second", worst)
+	if maxPerSecond, _ := simulateShortage(Faults{UnboundedWidening: true}); maxPerSecond <= 480*3/2+10 {
+		t.Errorf("unbounded widening passes the check: up to %d nodes added in a second, want over 730", maxPerSecond)
 	}
 }
 
-// TestShortKindWidensAlone reports a shortage of one machine kind.
+// TestShortKindWidensAlone checks that a shortage of one machine kind widens the set for that kind only.
 func TestShortKindWidensAlone(t *testing.T) {
-	c, s := oneOf(30, 1300, Config{MinNodes: 60, Coverage: 1})
-	for range 50 { // because 60 nodes per second are added
+	c, s := newSingleSet(30, 1300, Config{MinNodes: 60, Coverage: 1})
+	for range 50 { // 15 s, because widening adds 60 nodes per second
 		s.OnShortage(1)
 		s.Step(c.now)
 		c.now += 300
 	}
-	var inside [kinds]int
+	var inSet [kinds]int
 	for i := range c.nodes {
 		if n := nodeOf(i); s.Contains(n.ID) {
-			inside[n.Kind]++
+			inSet[n.Kind]++
 		}
 	}
-	if inside[0] > 60 || inside[1] < 600 {
-		t.Errorf("%v nodes by kind", inside)
+	if inSet[0] > 60 || inSet[1] < 600 {
+		t.Errorf("nodes in the set by kind: %v, want at most 60 of kind 0 and at least 600 of kind 1", inSet)
 	}
 }
 
-// simulatePulses reports a shortage every few seconds. It returns how many nodes were added, and the largest size of the set.
-func simulatePulses(every, total float64, faults Faults) (entered, most int) {
-	c, s := oneOf(30, 1300, Config{MinNodes: 100, Coverage: 1, Faults: faults})
+// simulatePulses reports a shortage of all kinds once per interval (ms). It returns how many nodes were added, and by how many nodes the set
+// exceeded its usual size at most.
+func simulatePulses(interval, total float64, faults Faults) (added, maxExtra int) {
+	c, s := newSingleSet(30, 1300, Config{MinNodes: 100, Coverage: 1, Faults: faults})
 	usual := s.Size()
 	next := c.now
 	for end := c.now + total; c.now < end; c.now += 100 {
 		if c.now >= next {
 			s.OnShortage(AnyKind)
-			next += every
+			next += interval
 		}
-		entered += len(s.Step(c.now).Added)
-		most = max(most, s.Size())
+		added += len(s.Step(c.now).Added)
+		maxExtra = max(maxExtra, s.Size())
 	}
-	return entered, most - usual
+	return added, maxExtra - usual
 }
 
 func TestDoesNotFlap(t *testing.T) {
-	for _, every := range []float64{2000, 40_000, 70_000} {
-		entered, extra := simulatePulses(every, 20*60_000, Faults{})
-		if entered > 6*max(extra, 100) {
-			t.Errorf("a shortage each %.0f ms: %d entered, the set was at most %d beyond its usual size", every, entered, extra)
+	for _, interval := range []float64{2000, 40_000, 70_000} {
+		added, maxExtra := simulatePulses(interval, 20*60_000, Faults{})
+		if added > 6*max(maxExtra, 100) {
+			t.Errorf("a shortage every %.0f ms: %d nodes added, want at most %d; the set was at most %d above its usual size",
+				interval, added, 6*max(maxExtra, 100), maxExtra)
 		}
 	}
-	if entered, extra := simulatePulses(2000, 20*60_000, Faults{Flap: true}); entered <= 6*max(extra, 100) {
-		t.Errorf("a set that flaps passes the check: %d entered, %d beyond", entered, extra)
+	if added, maxExtra := simulatePulses(2000, 20*60_000, Faults{Flap: true}); added <= 6*max(maxExtra, 100) {
+		t.Errorf("a set that flaps passes the check: %d nodes added, want over %d; the set was at most %d above its usual size",
+			added, 6*max(maxExtra, 100), maxExtra)
 	}
 }
 
 func TestNarrowsAfterAShortage(t *testing.T) {
-	c, s := oneOf(30, 1300, Config{MinNodes: 100, Coverage: 1})
+	c, s := newSingleSet(30, 1300, Config{MinNodes: 100, Coverage: 1})
 	usual := s.Size()
 	s.OnShortage(AnyKind)
 	c.run(1000)
 	if s.Size() < 3*usual/2 {
-		t.Fatalf("%d nodes after a shortage, %d before", s.Size(), usual)
+		t.Fatalf("got %d nodes after a shortage, want at least %d", s.Size(), 3*usual/2)
 	}
 	c.run(narrowAfter + 1000)
 	if s.Size() != usual {
-		t.Errorf("%d nodes after the hold, %d before the shortage", s.Size(), usual)
+		t.Errorf("got %d nodes after the hold time, want %d as before the shortage", s.Size(), usual)
 	}
 }
 
-// TestLostNodesAreReplaced has all nodes of a set be unreachable at once: others are added within a second, and the set does not narrow to
-// the unreachable ones.
+// TestLostNodesAreReplaced makes all nodes of a set unreachable at once: others must be added within a second, and the set must not narrow
+// to the unreachable ones.
 func TestLostNodesAreReplaced(t *testing.T) {
-	c, s := oneOf(30, 1300, Config{MinNodes: 100, Coverage: 1})
+	c, s := newSingleSet(30, 1300, Config{MinNodes: 100, Coverage: 1})
 	lost := map[uint32]bool{}
 	for i := range c.nodes {
 		if id := nodeOf(i).ID; s.Contains(id) {
@@ -119,17 +123,17 @@
 	}
 	c.run(1000)
 	if n := reachable(); n < 70 {
-		t.Errorf("%d reachable nodes after a second", n)
+		t.Errorf("got %d reachable nodes after 1 s, want at least 70", n)
 	}
 	c.run(5 * narrowAfter)
 	if n := reachable(); n < 70 {
-		t.Errorf("%d reachable nodes after minutes", n)
+		t.Errorf("got %d reachable nodes after 150 s, want at least 70", n)
 	}
 	for id := range lost {
 		s.SetReachable(id, true)
 	}
 	c.run(3 * maxHoldFactor * narrowAfter)
 	if s.Size() > 130 {
-		t.Errorf("%d nodes long after all came back", s.Size())
+		t.Errorf("got %d nodes long after all became reachable again, want at most 130", s.Size())
 	}
 }
--- a/internal/decide/workingset/workingset.go
+++ b/internal/decide/workingset/workingset.go
@@ -1,27 +1,28 @@
-// Package workingset decides which nodes a scheduler works with: those to which it keeps connections and which its placement module sees.
+// Package workingset decides which nodes a scheduler uses: the working set, to whose nodes it keeps connections and which its placement
+// module sees.
 //
-// The node list, the names of the other schedulers, this scheduler's load, shortages and the reachability of nodes go in; Step returns the
-// nodes to add and to remove. The size of the set follows from the scheduler's load. The schedulers divide the nodes by rendezvous hashing,
-// so that each node is in about as many sets as any other, and a scheduler that comes or goes moves only its own share of the nodes. A set
-// that lacks room widens at a bounded rate and narrows late.
+// The inputs are the node list, the names of the other schedulers, this scheduler's load, shortages and the reachability of nodes; Step
+// returns the nodes to add and to remove. The size of the set follows the scheduler's load. The schedulers divide the nodes by rendezvous
+// hashing, so that each node is in about as many sets as any other, and a scheduler that joins or leaves moves only its own share of the
+// nodes. A set that lacks room widens at a bounded rate and narrows late.
 //
 // The package does no I/O, starts no goroutines and returns no errors. Set and Visits are not safe for concurrent use. Times are
 // milliseconds on the caller's clock. docs/design/workingset.md has the arithmetic.
 package workingset
 
-// Config is what a set is started with.
+// Config configures a set.
 type Config struct {
-	Key        string   // of the site, so that two sites divide their nodes independently
+	Key        string   // identifies the site, so that two sites divide their nodes independently
 	Self       string   // name of this scheduler
-	Schedulers int      // of the site, until members are known
+	Schedulers int      // number of schedulers of the site, used until the members are known
 	Members    []string // names of all schedulers, if these are known from the start
-	MinNodes   int      // nodes in a set
-	Coverage   float64  // sets that each node is in at least
-	Spare      float64  // nodes for each machine that own tasks would fill
+	MinNodes   int      // minimum number of nodes in a set
+	Coverage   float64  // minimum number of sets that each node is in
+	Spare      float64  // nodes for each machine that the scheduler's own tasks would fill
 	PerStart   float64  // nodes for each task started per second
-	PerStratum int      // nodes of each zone and machine kind at least
-	// NarrowAfter is for how long, in ms, a set must have been larger than needed before it shrinks. A change of members is applied when
-	// they have been the same for a tenth of it.
+	PerStratum int      // minimum number of nodes of each zone and machine kind
+	// NarrowAfter is the time in ms for which a set must have been larger than needed before it shrinks. A change of members is applied once
+	// they have stayed the same for a tenth of it.
 	NarrowAfter float64
 	Faults      Faults
 }
@@ -30,31 +31,31 @@
 type Faults struct {
 	ForgetSet         bool // a change of members empties the set
 	SkipNodes         bool // some nodes are in no scheduler's set
-	UnboundedWidening bool // the set widens at any rate
-	Flap              bool // the set narrows as soon as nothing is short
+	UnboundedWidening bool // widening has no rate limit
+	Flap              bool // the set narrows as soon as there is no shortage
 }
 
-// AnyKind is the machine kind of a task that runs on every kind.
+// AnyKind stands for the machine kind of a task that can run on every kind.
 const AnyKind = -1
 
-// Reason is why a node is removed from the set.
+// Reason is the reason for which a node is removed from the set.
 type Reason uint8
 
 // Reasons of a removal.
 const (
-	Reassigned Reason = iota // members or nodes have changed
+	Reassigned Reason = iota // the nodes were divided anew after a change of members
 	Narrowed                 // fewer nodes are needed
 )
 
 func (r Reason) String() string { return [...]string{"reassigned", "narrowed"}[r] }
 
-// Removal is a node that is removed from the set, and why.
+// Removal is a node that is removed from the set, with the reason.
 type Removal struct {
 	ID     uint32
 	Reason Reason
 }
 
-// Change is what a step changes.
+// Change lists the nodes that a step adds to the set and removes from it.
 type Change struct {
 	Added   []uint32
 	Removed []Removal
@@ -68,18 +69,18 @@
 	strata     []*stratum // by zone and kind
 	ready      int        // nodes that are ready
 	size       int        // nodes in the set
-	usualSize  float64    // size that the last change was made for
+	usualSize  float64    // size for which the set was last updated
 	load       Load
 	sizer      sizer
 	wideners   []widener // by machine kind
-	shortKinds []bool    // by machine kind, since the last step
-	tokens     float64   // nodes that widening may add now
+	shortKinds []bool    // by machine kind, whether there was a shortage since the last step
+	tokens     float64   // number of nodes that widening may add now
 	lastStepAt float64
 
 	dirty        bool     // something changed since the last step, or the set is wider than usual
 	membersKnown bool     // the names of the other schedulers are known
 	reassigned   bool     // nodes were divided anew since the last step
-	pending      []string // members that wait until they are applied
+	pending      []string // members that are not applied yet, because they changed recently
 	pendingSince float64
 }
 
@@ -102,7 +103,7 @@
 // SetLoad sets the scheduler's own load.
 func (s *Set) SetLoad(load Load) { s.load = load }
 
-// OnShortage records that a task for a kind of machine finds no node in the set; AnyKind is a shortage of all kinds.
+// OnShortage records that a task for a machine kind finds no node in the set. AnyKind is a shortage of all kinds.
 func (s *Set) OnShortage(kind int) {
 	for k := range s.shortKinds {
 		s.shortKinds[k] = s.shortKinds[k] || kind == AnyKind || kind == k
--- a/internal/decide/workingset/workingset_test.go
+++ b/internal/decide/workingset/workingset_test.go
@@ -17,7 +17,7 @@
 	settleFor   = settleFraction * narrowAfter
 )
 
-// cluster is the working sets of several schedulers on one clock.
+// cluster holds the working sets of several schedulers, which share a clock.
 type cluster struct {
 	now   float64
 	names []string
@@ -27,7 +27,7 @@
 
 func nodeOf(i int) Node { return Node{ID: uint32(i + 1), Zone: i % zones, Kind: i / zones % kinds} }
 
-// newCluster makes schedulers that know each other and a list of nodes.
+// newCluster returns the sets of schedulers that know each other and a list of nodes.
 func newCluster(schedulers, nodes int, config Config) *cluster {
 	c := &cluster{nodes: nodes}
 	for i := range schedulers {
@@ -40,8 +40,8 @@
 	return c
 }
 
-// oneOf returns the set of one of several schedulers, which stay the same.
-func oneOf(schedulers, nodes int, config Config) (*cluster, *Set) {
+// newSingleSet returns the set of one of several schedulers, and a cluster that has this set alone. The schedulers stay the same.
+func newSingleSet(schedulers, nodes int, config Config) (*cluster, *Set) {
 	c := &cluster{nodes: nodes}
 	for i := range schedulers {
 		c.names = append(c.names, fmt.Sprintf("scheduler%d", i))
@@ -61,7 +61,7 @@
 	return s
 }
 
-// run lets time pass; each set gets the names of the members.
+// run advances the clock, and each set gets the names of the members. It returns the changes of all sets.
 func (c *cluster) run(ms float64) (changes []Change) {
 	for end := c.now + ms; c.now < end; c.now += 100 {
 		for _, s := range c.sets {
@@ -72,7 +72,7 @@
 	return changes
 }
 
-// coverage returns the least and the largest number of sets that a node is in.
+// coverage returns the smallest and the largest number of sets that a node is in.
 func (c *cluster) coverage() (least, most int) {
 	least = math.MaxInt
 	for i := range c.nodes {
@@ -87,20 +87,21 @@
 	return least, most
 }
 
-// bound returns the largest size that is to be expected of a set: four standard deviations of a binomial count above its mean.
-func bound(mean float64) float64 { return mean + 4*math.Sqrt(mean) + zones*kinds*perStratum }
+// maxExpectedSize returns the largest expected size of a set: four standard deviations of a binomial count above its mean, and the minimum
+// of each stratum.
+func maxExpectedSize(mean float64) float64 { return mean + 4*math.Sqrt(mean) + zones*kinds*perStratum }
 
-// checkSizes returns what is wrong with the sizes and the coverage of a cluster's sets.
+// checkSizes returns an error if a set's size is far from the mean, or if some nodes are in too few or too many sets.
 func (c *cluster) checkSizes(mean float64) error {
 	for _, s := range c.sets {
-		if float64(s.Size()) > bound(mean) || float64(s.Size()) < mean-4*math.Sqrt(mean) {
-			return fmt.Errorf("%s has %d nodes, about %.0f are expected", s.config.Self, s.Size(), mean)
+		if float64(s.Size()) > maxExpectedSize(mean) || float64(s.Size()) < mean-4*math.Sqrt(mean) {
+			return fmt.Errorf("%s has %d nodes, want about %.0f", s.config.Self, s.Size(), mean)
 		}
 	}
 	each := mean * float64(len(c.sets)) / float64(c.nodes)
 	least, most := c.coverage()
 	if least < int(each) || most > int(each)+2 {
-		return fmt.Errorf("nodes are in %d to %d sets, %.1f are expected", least, most, each)
+		return fmt.Errorf("nodes are in %d to %d sets, want about %.1f", least, most, each)
 	}
 	return nil
 }
@@ -124,7 +125,8 @@
 		}
 		for _, change := range c.run(5000) {
 			if len(change.Added)+len(change.Removed) > 0 {
-				t.Errorf("%d schedulers, %d nodes: %v changes with nothing to cause it", test.schedulers, test.nodes, change)
+				t.Errorf("%d schedulers, %d nodes: got change %v without a change of nodes, members or load, want none",
+					test.schedulers, test.nodes, change)
 			}
 		}
 	}
@@ -133,12 +135,13 @@
 func TestSkippedNodesAreFound(t *testing.T) {
 	c := newCluster(30, 1300, Config{MinNodes: 480, Coverage: 1, Faults: Faults{SkipNodes: true}})
 	if c.checkSizes(480) == nil {
-		t.Error("nodes in no set pass the check")
+		t.Error("the check passes although some nodes are in no set")
 	}
 }
 
-// memberChange removes a scheduler or adds one, and returns which fraction of the sets changes.
-func memberChange(joins bool, faults Faults) (part float64, least int) {
+// memberChange adds or removes a scheduler. It returns the number of nodes added and removed as a fraction of the sets' sizes, and the
+// smallest number of sets that a node is in afterwards.
+func memberChange(joins bool, faults Faults) (fraction float64, least int) {
 	const schedulers, nodes = 30, 1300
 	c := newCluster(schedulers, nodes, Config{MinNodes: 480, Coverage: 1, Faults: faults})
 	if joins {
@@ -160,17 +163,18 @@
 
 func TestMemberChangeMovesItsShare(t *testing.T) {
 	for _, joins := range []bool{false, true} {
-		part, least := memberChange(joins, Faults{})
-		if part > 2.0/30 || least < 9 {
-			t.Errorf("joins %t: %.3f of the sets change, nodes in %d sets at least", joins, part, least)
+		fraction, least := memberChange(joins, Faults{})
+		if fraction > 2.0/30 || least < 9 {
+			t.Errorf("scheduler joins %t: %.3f of the sets changed, want at most %.3f; nodes are in %d sets at least, want 9",
+				joins, fraction, 2.0/30, least)
 		}
 	}
-	if part, _ := memberChange(false, Faults{ForgetSet: true}); part <= 2.0/30 {
-		t.Errorf("sets that are forgotten pass the check: %.3f change", part)
+	if fraction, _ := memberChange(false, Faults{ForgetSet: true}); fraction <= 2.0/30 {
+		t.Errorf("emptied sets pass the check: %.3f of the sets changed, want over %.3f", fraction, 2.0/30)
 	}
 }
 
-// TestMembersSettle has a scheduler start and end faster than the others apply it.
+// TestMembersSettle checks that a scheduler that starts and stops faster than the others apply a change of members changes no set.
 func TestMembersSettle(t *testing.T) {
 	c := newCluster(10, 500, Config{MinNodes: 100, Coverage: 1})
 	all := c.names
@@ -178,7 +182,7 @@
 		c.names = all[:len(all)-i%2]
 		for _, change := range c.run(settleFor / 3) {
 			if len(change.Added)+len(change.Removed) > 0 {
-				t.Fatalf("%v after a member that flaps", change)
+				t.Fatalf("got change %v while a member flaps, want none", change)
 			}
 		}
 	}
@@ -194,11 +198,11 @@
 		moved += len(change.Added) + len(change.Removed)
 	}
 	if moved > 60 {
-		t.Errorf("%d changes in 30 sets after one node of 1300 left", moved)
+		t.Errorf("got %d changes in 30 sets after one node of 1300 was removed, want at most 60", moved)
 	}
 }
 
-// TestEveryStratum checks that each set holds nodes of each zone and kind where one kind is rare.
+// TestEveryStratum checks that a set holds enough nodes of a machine kind that is rare.
 func TestEveryStratum(t *testing.T) {
 	s := New(0, Config{Self: "a", Schedulers: 30, MinNodes: 20, Coverage: 1, PerStratum: perStratum, NarrowAfter: narrowAfter})
 	for i := range 1300 {
@@ -215,12 +219,12 @@
 		}
 	}
 	if rare < perStratum {
-		t.Errorf("%d nodes of the rare kind", rare)
+		t.Errorf("got %d nodes of the rare kind, want at least %d", rare, perStratum)
 	}
 }
 
 func TestSizeFollowsLoad(t *testing.T) {
-	c, s := oneOf(30, 5000, Config{MinNodes: 100, Spare: 8})
+	c, s := newSingleSet(30, 5000, Config{MinNodes: 100, Spare: 8})
 	sizes := map[float64]int{}
 	for _, machines := range []float64{0, 50, 51, 100, 0} {
 		s.SetLoad(Load{Machines: machines})
@@ -228,25 +232,26 @@
 		sizes[machines] = s.Size()
 	}
 	if sizes[50] < 400 || sizes[50] != sizes[51] || sizes[100] < 800 || sizes[0] != sizes[100] {
-		t.Errorf("sizes by load: %v", sizes)
+		t.Errorf("sizes by load in machines: %v, want 400 at least for 50, the same for 51, 800 at least for 100, and the same for 0 afterwards",
+			sizes)
 	}
 	c.run(2*narrowAfter + 1000)
 	if s.Size() > 150 {
-		t.Errorf("%d nodes long after the load went", s.Size())
+		t.Errorf("got %d nodes long after the load ended, want at most 150", s.Size())
 	}
 }
 
-// TestDrainingStays checks that a draining node stays in the set until it is removed from the list, and is not added.
+// TestDrainingStays checks that a draining node stays in the set until it is removed from the list, and that it is not added to the set.
 func TestDrainingStays(t *testing.T) {
-	c, s := oneOf(2, 40, Config{MinNodes: 10, Coverage: 1})
+	c, s := newSingleSet(2, 40, Config{MinNodes: 10, Coverage: 1})
 	for i := range c.nodes {
 		n := nodeOf(i)
-		was := s.Contains(n.ID)
+		wasInSet := s.Contains(n.ID)
 		n.State = Draining
 		s.PutNode(n)
 		c.run(200)
-		if s.Contains(n.ID) != was {
-			t.Fatalf("node %d: in the set %t, %t when it drains", n.ID, was, s.Contains(n.ID))
+		if s.Contains(n.ID) != wasInSet {
+			t.Fatalf("node %d: in the set %t before it drains, %t while it drains, want no change", n.ID, wasInSet, s.Contains(n.ID))
 		}
 		s.PutNode(nodeOf(i))
 		c.run(200)
@@ -255,11 +260,11 @@
 		s.RemoveNode(nodeOf(i).ID)
 	}
 	if s.Size() != 0 || len(s.nodes) != 0 {
-		t.Errorf("%d in the set, %d known after all left", s.Size(), len(s.nodes))
+		t.Errorf("got %d nodes in the set and %d on the list after all were removed, want none", s.Size(), len(s.nodes))
 	}
 }
 
-// TestRandomHistories makes random calls: the sum of the changes is what the set holds.
+// TestRandomHistories makes random calls, and checks that the changes that Step returned add up to the set's contents.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{Self: "a", Schedulers: 5, MinNodes: 8, Coverage: 1, Spare: 4, PerStratum: 1, NarrowAfter: narrowAfter}
@@ -272,7 +277,7 @@
 	})
 }
 
-// setModel is a set, the node list, and what the set holds by its changes.
+// setModel is a set with a model of it: the node list, and the set's contents according to the changes that it returned.
 type setModel struct {
 	t      *rapid.T
 	set    *Set
@@ -281,7 +286,7 @@
 	inSet  map[uint32]bool
 }
 
-// call makes a random call, for a node if it needs one.
+// call makes a random call, with the ID of a node for calls that take one.
 func (m *setModel) call(id uint32) {
 	switch rapid.IntRange(0, 8).Draw(m.t, "event") {
 	case 0, 1, 2:
@@ -306,19 +311,20 @@
 	}
 }
 
-// step lets time pass and applies what changes.
+// step advances the clock and applies the change to the model.
 func (m *setModel) step() {
-	m.now += rapid.Float64Range(0, 40_000).Draw(m.t, "passes")
+	m.now += rapid.Float64Range(0, 40_000).Draw(m.t, "elapsed")
 	change := m.set.Step(m.now)
 	for _, id := range change.Added {
 		if state, ok := m.listed[id]; m.inSet[id] || !ok || state != Ready {
-			m.t.Fatalf("%d is added, in the set %t, listed %t %d", id, m.inSet[id], ok, state)
+			m.t.Fatalf("node %d added: in the set before %t, on the list %t, state %d; want a ready node on the list that was not in the set",
+				id, m.inSet[id], ok, state)
 		}
 		m.inSet[id] = true
 	}
 	for _, removal := range change.Removed {
 		if !m.inSet[removal.ID] {
-			m.t.Fatalf("%d is removed and is not in the set", removal.ID)
+			m.t.Fatalf("node %d removed, but it was not in the set", removal.ID)
 		}
 		delete(m.inSet, removal.ID)
 	}
@@ -326,7 +332,7 @@
 
 func (m *setModel) check() {
 	if len(m.inSet) != m.set.Size() {
-		m.t.Fatalf("%d by the changes, size %d", len(m.inSet), m.set.Size())
+		m.t.Fatalf("got size %d, want %d according to the changes", m.set.Size(), len(m.inSet))
 	}
 	ready := 0
 	for _, state := range m.listed {
@@ -335,13 +341,14 @@
 		}
 	}
 	if ready != m.set.ready || ready > 0 && m.set.Size() == 0 {
-		m.t.Fatalf("%d ready, counted %d, %d in the set", ready, m.set.ready, m.set.Size())
+		m.t.Fatalf("got %d ready nodes and %d nodes in the set, want %d ready, and a node in the set if any is ready",
+			m.set.ready, m.set.Size(), ready)
 	}
 }
 
-// TestSameHistorySameSet checks that the order of nodes and members does not matter.
+// TestSameHistorySameSet checks that the order in which nodes and members are given does not matter.
 func TestSameHistorySameSet(t *testing.T) {
-	build := func(reverse bool) (in []uint32) {
+	build := func(reverse bool) (inSet []uint32) {
 		names := []string{"a", "b", "c", "d"}
 		s := New(0, Config{Self: "b", Schedulers: 4, MinNodes: 20, PerStratum: perStratum, NarrowAfter: narrowAfter})
 		order := make([]int, 200)
@@ -360,13 +367,13 @@
 		s.Step(settleFor)
 		for i := range 200 {
 			if s.Contains(nodeOf(i).ID) {
-				in = append(in, nodeOf(i).ID)
+				inSet = append(inSet, nodeOf(i).ID)
 			}
 		}
-		return in
+		return inSet
 	}
 	if x, y := build(false), build(true); !slices.Equal(x, y) {
-		t.Errorf("%v and %v", x, y)
+		t.Errorf("got set %v in order and %v in reverse order, want the same", x, y)
 	}
 }
 
