--- a/internal/decide/outcome/early.go
+++ b/internal/decide/outcome/early.go
@@ -2,17 +2,17 @@
 
 import "ravenpond/logic"
 
-// EarlyEnd is an end that a node sent for an attempt which it has not answered yet. The answer may be late or lost.
+// EarlyEnd is the end of an attempt that a node sent before its answer to that attempt arrived. The answer may be late or lost.
 type EarlyEnd struct {
-	Unstarted logic.Outcome // what the cause says of an attempt that never started
-	Started   logic.Outcome // what it says of a task that was running
+	Unstarted logic.Outcome // what the cause of the end means for an attempt that never started
+	Started   logic.Outcome // what it means for a task that was running
 	Reason    logic.Reason
-	Noted     bool // the node sent notes on the task, which it does only while the task runs
+	Noted     bool // the node sent notes about the task, which it does only while the task runs
 }
 
-// Ran reports whether the task had been running at its node, so that this is the end of a run and not the failure of an attempt. A note
-// proves it. Without one, a refusal or an offer that never left prove the contrary; the causes of a normal end and of a cancellation, and
-// the reasons for which a node removes what it holds, are given for running tasks only.
+// Ran reports whether the task ran at its node, so that this is the end of a run and not the failure of an attempt. A note proves that it
+// ran. Without one, a rejection or an offer that was never sent proves that it did not. Completion, cancellation and the reasons for which a
+// node removes tasks are given for running tasks only.
 func (e EarlyEnd) Ran() bool {
 	if e.Noted {
 		return true
@@ -32,9 +32,9 @@
 	return false
 }
 
-// IsRetrySafeAfterRun reports whether a client whose task ran and ended before it was answered may be told that a retry does no harm; else
-// it is told that the request failed. No other attempt is made for the request in either case: the client gets the end of the run within a
-// second, and an answer for a second run would follow it or stand in its place.
-func IsRetrySafeAfterRun(effect logic.RetrySemantics, group logic.IdempotencyScope) bool {
-	return IsRetrySafe(effect, group, false, true)
+// IsRetrySafeAfterRun reports whether a client whose task ran and ended before the client was answered may be told that a retry does no
+// harm; otherwise it is told that the request failed. In neither case is another attempt made for the request: the client gets the end of
+// the run within a second, and an answer for a second run would follow that end or replace it.
+func IsRetrySafeAfterRun(semantics logic.RetrySemantics, scope logic.IdempotencyScope) bool {
+	return IsRetrySafe(semantics, scope, false, true)
 }
--- a/internal/decide/outcome/outcome_test.go
+++ b/internal/decide/outcome/outcome_test.go
@@ -11,51 +11,51 @@
 		name      string
 		got, want AttemptState
 	}{
-		{"disconnected before its last byte left", AfterDisconnect(false), NeverRan},
-		{"disconnected after", AfterDisconnect(true), MustClaim},
-		{"reconnected in the same incarnation, named", AfterReconnect(true, true), InProgress},
-		{"reconnected in another incarnation, named", AfterReconnect(false, true), InProgress},
-		{"reconnected in the same incarnation, not named", AfterReconnect(true, false), MustClaim},
-		{"reconnected in another incarnation, not named", AfterReconnect(false, false), MayHaveRun},
-		{"removed from the list, still connected", AfterNodeRemoved(true, true), InProgress},
-		{"removed, and it may have arrived", AfterNodeRemoved(false, true), MayHaveRun},
-		{"removed, and never sent", AfterNodeRemoved(false, false), NeverRan},
+		{"disconnected before the last byte was sent", AfterDisconnect(false), NeverRan},
+		{"disconnected after the last byte may have been sent", AfterDisconnect(true), MustClaim},
+		{"reconnected in the same incarnation, reported", AfterReconnect(true, true), InProgress},
+		{"reconnected in another incarnation, reported", AfterReconnect(false, true), InProgress},
+		{"reconnected in the same incarnation, not reported", AfterReconnect(true, false), MustClaim},
+		{"reconnected in another incarnation, not reported", AfterReconnect(false, false), MayHaveRun},
+		{"node removed from the list, still connected", AfterNodeRemoved(true, true), InProgress},
+		{"node removed, not connected, may have been sent", AfterNodeRemoved(false, true), MayHaveRun},
+		{"node removed, not connected, never sent", AfterNodeRemoved(false, false), NeverRan},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s: %d, want %d", c.name, c.got, c.want)
+			t.Errorf("%s: got state %d, want %d", c.name, c.got, c.want)
 		}
 	}
 }
 
 func TestOnLateStart(t *testing.T) {
-	for _, effect := range []logic.RetrySemantics{logic.Restartable, logic.Idempotent, logic.AtMostOnce} {
-		answered := Keep
-		if effect == logic.Restartable {
-			answered = Stop
+	for _, semantics := range []logic.RetrySemantics{logic.Restartable, logic.Idempotent, logic.AtMostOnce} {
+		wantIfAnswered := Keep
+		if semantics == logic.Restartable {
+			wantIfAnswered = Stop
 		}
 		for _, c := range []struct {
-			open, out bool
-			want      LateAction
-		}{{true, false, Serve}, {true, true, Await}, {false, false, answered}, {false, true, answered}} {
-			if got := OnLateStart(effect, c.open, c.out); got != c.want {
-				t.Errorf("effect %d, %+v: %d", effect, c, got)
+			waiting, attemptOpen bool
+			want                 LateAction
+		}{{true, false, Serve}, {true, true, Await}, {false, false, wantIfAnswered}, {false, true, wantIfAnswered}} {
+			if got := OnLateStart(semantics, c.waiting, c.attemptOpen); got != c.want {
+				t.Errorf("semantics %d, case %+v: got action %d", semantics, c, got)
 			}
 		}
 	}
 	if LateStartRetention(3000) <= 2*3000 || float64(MaxClaims())*ClaimInterval(3000) >= 3000 {
-		t.Error("a late start must be kept longer than the client waits, and be claimed within that time")
+		t.Error("a late start is not kept for over two settle times, or not all claims are made within one")
 	}
 }
 
 func TestIsRetrySafe(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		effect       logic.RetrySemantics
-		group        logic.IdempotencyScope
-		out, mayHave bool
-		want         bool
+		name                    string
+		semantics               logic.RetrySemantics
+		scope                   logic.IdempotencyScope
+		attemptOpen, mayHaveRun bool
+		want                    bool
 	}{
-		{"restartable, open", logic.Restartable, logic.ScopeAll, true, true, true},
+		{"restartable, open and may have run", logic.Restartable, logic.ScopeAll, true, true, true},
 		{"at most once, nothing sent", logic.AtMostOnce, logic.ScopeAll, false, false, true},
 		{"at most once, open", logic.AtMostOnce, logic.ScopeAll, true, false, false},
 		{"at most once, may have run", logic.AtMostOnce, logic.ScopeAll, false, true, false},
@@ -63,17 +63,17 @@
 		{"idempotent everywhere, open", logic.Idempotent, logic.ScopeAll, true, false, false},
 		{"idempotent in a zone, may have run", logic.Idempotent, logic.ScopeZone, false, true, false},
 	} {
-		if got := IsRetrySafe(c.effect, c.group, c.out, c.mayHave); got != c.want {
-			t.Errorf("%s: %t", c.name, got)
+		if got := IsRetrySafe(c.semantics, c.scope, c.attemptOpen, c.mayHaveRun); got != c.want {
+			t.Errorf("%s: got %t, want the opposite", c.name, got)
 		}
 	}
 }
 
-// TestProbeTimeoutFor checks that a probe gets the time of a connection, and as long again for its answer.
+// TestProbeTimeoutFor checks that a probe's time-out is at least twice the time that making a connection may take.
 func TestProbeTimeoutFor(t *testing.T) {
 	for connect, want := range map[float64]float64{0: 500, 150: 500, 250: 500, 400: 800, 1000: 2000} {
 		if got := ProbeTimeoutFor(connect); got != want {
-			t.Errorf("connections in %g ms: %g, want %g", connect, got, want)
+			t.Errorf("connections made in %g ms: got a time-out of %g ms, want %g ms", connect, got, want)
 		}
 	}
 }
