--- a/internal/decide/nodefailure/nodefailure.go
+++ b/internal/decide/nodefailure/nodefailure.go
@@ -1,36 +1,36 @@
-// Package nodefailure decides when the tasks at a node count as lost with it. A node that is alive sends the end of a task itself; one
-// that died or is cut off cannot. The client is to be notified of the end in time, but a task that is declared lost while it runs is
-// wasted work: only a node that refuses connections, or that has been unreachable for long, has lost its tasks.
+// Package nodefailure decides when the tasks at a node count as lost because the node failed. A node that is alive reports the end of a task
+// itself; a node that died or is partitioned cannot. The client has to be notified of a loss in time, but a task that is declared lost while
+// it runs is wasted work. So the tasks count as lost only if the node refuses connections, or has been unreachable for long.
 //
-// Contacts, outcomes of health checks and the time go in; health checks to make and losses come out. The package does no I/O and returns
-// no errors. A Detector is not safe for concurrent use.
+// The inputs are contacts with the node, outcomes of probes and the time; the outputs are probes to make and losses. A probe tries to make a
+// new connection to the node. The package does no I/O and returns no errors. A Detector is not safe for concurrent use.
 package nodefailure
 
 // Times in milliseconds.
 const (
-	silenceThreshold    = 3000 // without a contact, after which a node with tasks is checked
-	probeInterval       = 400  // between two checks
-	refusedTimeout      = 1200 // of refusing connections after which a node has ended: for a moment it may just be full
-	contactTimeout      = 7600 // without a contact, of the 8 s in which clients are to be notified of a loss
-	minProbeFailureTime = 2000 // for which checks must have failed: one may have met a lost packet
+	silenceThreshold    = 3000 // time without a contact after which a node with tasks is probed
+	probeInterval       = 400  // minimum time between the starts of two probes
+	refusedTimeout      = 1200 // time of refused connections after which a node counts as ended: for a moment it may just be full
+	contactTimeout      = 7600 // time without a contact after which tasks count as lost: clients are to be notified of a loss within 8 s
+	minProbeFailureTime = 2000 // time for which probes must have failed: a single one may fail because a packet is lost
 )
 
-// Detector follows one node. Its zero value has had no contact.
+// Detector detects the failure of one node. The zero value stands for a node without a contact so far.
 type Detector struct {
 	lastContactAt float64 // when a message arrived or a connection was made
 	lastProbeAt   float64
-	failingSince  float64 // of the first check that failed since; 0: none has
-	allRefused    bool    // every check since then was refused
+	failingSince  float64 // when the first probe after the last contact failed; 0: none has failed
+	allRefused    bool    // every probe that failed since then was refused
 	probing       bool
 }
 
 // OnContact records that a message arrived from the node, or that it accepted a connection.
 func (d *Detector) OnContact(now float64) { d.lastContactAt, d.failingSince, d.probing = now, 0, false }
 
-// OnProbe records that a check starts.
+// OnProbe records that a probe starts.
 func (d *Detector) OnProbe(now float64) { d.probing, d.lastProbeAt = true, now }
 
-// OnProbeFailed records that a check failed, and whether the node refused the connection.
+// OnProbeFailed records that a probe failed, and whether the node refused the connection.
 func (d *Detector) OnProbeFailed(now float64, refused bool) {
 	d.probing = false
 	if d.failingSince == 0 {
@@ -39,10 +39,10 @@
 	d.allRefused = d.allRefused && refused
 }
 
-// OnProbeSkipped records that a check could not be made here, which says nothing about the node.
+// OnProbeSkipped records that this process could not make the probe, which says nothing about the node.
 func (d *Detector) OnProbeSkipped() { d.probing = false }
 
-// IsProbeDue reports whether to try a new connection now to a node with tasks: none is open, or all are silent.
+// IsProbeDue reports whether to probe a node with tasks now, because no connection to it is open or because it is silent on all of them.
 func (d *Detector) IsProbeDue(now float64, connected bool) bool {
 	if d.probing || now-d.lastProbeAt < probeInterval {
 		return false
@@ -50,13 +50,13 @@
 	return !connected || d.failingSince > 0 || d.SinceContact(now) >= silenceThreshold
 }
 
-// SinceContact returns how long ago, in ms, the last contact or check was.
+// SinceContact returns the time in ms since the last contact or the start of the last probe.
 func (d *Detector) SinceContact(now float64) float64 {
 	return now - max(d.lastProbeAt, d.lastContactAt)
 }
 
-// IsLost reports whether the tasks at the node have ended. removed says that the node is no longer on the node list: it is not checked any
-// more, because its address may be another's, and its tasks end with its last connection.
+// IsLost reports whether the tasks at the node count as lost. removed says that the node is no longer on the node list: it is not probed any
+// more, because its address may have gone to another node, and its tasks count as lost once its last connection ends.
 func (d *Detector) IsLost(now float64, removed, connected bool) bool {
 	if removed && !connected {
 		return true
@@ -65,9 +65,9 @@
 		return false
 	}
 	lastContactAt := d.lastContactAt
-	if lastContactAt == 0 { // never: it may have been there until it was checked
+	if lastContactAt == 0 { // no contact yet: the node may have been alive until the first probe failed
 		lastContactAt = d.failingSince
 	}
-	failing := now - d.failingSince
-	return d.allRefused && failing >= refusedTimeout || now-lastContactAt >= contactTimeout && failing >= minProbeFailureTime
+	failureTime := now - d.failingSince
+	return d.allRefused && failureTime >= refusedTimeout || now-lastContactAt >= contactTimeout && failureTime >= minProbeFailureTime
 }
