--- a/internal/decide/drainpace/drainpace.go
+++ b/internal/decide/drainpace/drainpace.go
@@ -1,5 +1,6 @@
-// Package drainpace decides at what pace work is evicted from nodes that a maintenance window takes out: by job class, so that neither its
-// services nor the rest of the fleet get more starts at once than they can handle. The functions keep no state.
+// Package drainpace decides how fast allocations are evicted from nodes that are drained for a maintenance window. The pace is set by job
+// class, so that neither the class's services nor the rest of the fleet get more starts at once than they can handle. The functions keep no
+// state.
 package drainpace
 
 import (
@@ -8,25 +9,25 @@
 	"ravenpond/logic"
 )
 
-// Policy is how the work of a job class leaves a draining node.
+// Policy says when the allocations of a job class are evicted from a draining node.
 type Policy uint8
 
 // Policies of a job class.
 const (
 	Early  Policy = iota // from the start of the drain on
-	Late                 // shortly before the start of the window: much of the work has ended by itself then
-	RunOut               // never: it is left to end by itself
+	Late                 // in the last part of the drain: many allocations have ended by themselves until then
+	RunOut               // never: they are left to end by themselves
 )
 
 const (
-	lateStart        = 0.6  // fraction of the lead after which Late begins
-	doneBy           = 0.9  // fraction of the lead after which all work should be evicted
-	maxFleetFraction = 0.02 // of what runs on the fleet, evicted in a second
-	minPerSecond     = 2    // evicted in any case
-	maxElapsed       = 5000 // ms; a process that stood still longer does not catch up at once
+	lateStart        = 0.6  // fraction of the lead time after which Late begins to evict
+	evictedBy        = 0.9  // fraction of the lead time after which all allocations should be evicted
+	maxFleetFraction = 0.02 // maximum fraction of the fleet's running allocations to evict per second
+	minPerSecond     = 2    // rate limit in evictions per second if the fraction gives less
+	maxElapsed       = 5000 // ms; a process that was paused for longer does not catch up at once
 )
 
-// DefaultPolicy returns the policy of a job class for which the site file has none. Work that must not run twice is never evicted.
+// DefaultPolicy returns the policy of a job class for which the site file has none. Allocations that must not run twice are never evicted.
 func DefaultPolicy(effect logic.RetrySemantics) Policy {
 	if effect == logic.AtMostOnce {
 		return RunOut
@@ -34,20 +35,20 @@
 	return Late
 }
 
-// Progress is how far a drain has come. Times are in ms.
+// Progress describes the progress of a drain. Times are in ms.
 type Progress struct {
 	Now         float64
 	DrainStart  float64
 	WindowStart float64
-	LastCall    float64 // of Evictions, for any job class
+	LastCall    float64 // time of the last call of Evictions, for any job class
 	Remaining   int     // allocations of the job class on the draining nodes
 	Running     int     // allocations of all job classes on the whole fleet
 }
 
-// Evictions returns how many allocations of a job class to stop now.
+// Evictions returns how many allocations of a job class to evict now.
 func Evictions(policy Policy, p Progress) int {
 	lead := p.WindowStart - p.DrainStart
-	from, to := p.DrainStart, p.DrainStart+doneBy*lead
+	from, to := p.DrainStart, p.DrainStart+evictedBy*lead
 	if policy == Late {
 		from = p.DrainStart + lateStart*lead
 	}
@@ -58,7 +59,7 @@
 	if elapsed <= 0 {
 		return 0
 	}
-	wanted := math.Inf(1) // late already: as fast as allowed
+	wanted := math.Inf(1) // the time to finish has passed: evict as fast as the limit allows
 	if p.Now < to {
 		wanted = float64(p.Remaining) * elapsed / (to - p.Now + elapsed)
 	}
