--- a/internal/decide/reconnect/reconnect.go
+++ b/internal/decide/reconnect/reconnect.go
@@ -1,9 +1,9 @@
-// Package reconnect decides when to connect to which node: a limited number of dials at once, nodes that something waits for first, and
-// nodes that do not answer with a growing backoff. It guards against a storm of dials when thousands of nodes start or a zone is lost, and
-// against dialing nodes whose address refuses in a loop.
+// Package reconnect decides when to connect to which node. It limits the number of dials at once, dials nodes for which something waits
+// soon, and dials nodes that do not answer with exponential backoff. This prevents a storm of dials when thousands of nodes start or a zone is
+// lost, and a tight loop of dials to an address that refuses connections.
 //
-// Nodes, outcomes of dials and the time go in; the node to dial comes out. The package does no I/O and returns no errors. A Pacer is not
-// safe for concurrent use.
+// The inputs are nodes, outcomes of dials and the time; the output is the node to dial. The package does no I/O and returns no errors. A
+// Pacer is not safe for concurrent use.
 package reconnect
 
 import (
@@ -14,14 +14,14 @@
 
 const (
 	maxActiveDials = 64
-	minBackoff     = 50   // ms before the second dial to a node
-	maxBackoff     = 4000 // ms between two dials to a node
-	wantedInterval = 150  // ms between two dials to a node that something waits for
-	stableAfter    = 2000 // ms after which a connection ends the count of failures
-	maxDoublings   = 16
+	minBackoff     = 50   // ms before the second dial to a node, before jitter
+	maxBackoff     = 4000 // ms between two dials to a node, before jitter
+	wantedInterval = 150  // ms between two dials to a node for which something waits
+	stableAfter    = 2000 // ms for which a connection must last to reset the count of failures
+	maxDoublings   = 16   // of the backoff
 )
 
-// Pacer holds the nodes that should be connected and are not. Nodes are small indices.
+// Pacer schedules dials to the nodes that should be connected and are not. Nodes are identified by small indices.
 type Pacer struct {
 	rng         *rand.Rand
 	nodes       []node
@@ -32,25 +32,25 @@
 
 // node is the state of a node.
 type node struct {
-	enabled                 bool // it is to be connected
+	enabled                 bool // the node should be connected
 	dialing, connected      bool
-	wanted                  bool // something waits for it
+	wanted                  bool // something waits for the node
 	failures                int
 	nextDialAt              float64
 	lastDialAt, connectedAt float64
 	position                int    // in the schedule, or notScheduled
-	order                   uint64 // of its arrival in the schedule
+	order                   uint64 // sequence number of the node's arrival in the schedule
 }
 
 // notScheduled is the position of a node that is not in the schedule.
 const notScheduled = -1
 
-// New returns a pacer. The seed spreads the dials of many schedulers.
+// New returns a pacer. The seed is that of its jitter, so that many schedulers do not dial at the same times.
 func New(seed uint64) *Pacer {
 	return &Pacer{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15))}
 }
 
-// node returns a node's state, and makes it if there is none.
+// node returns a node's state, and creates it if there is none.
 func (p *Pacer) node(index int) *node {
 	for len(p.nodes) <= index {
 		p.nodes = append(p.nodes, node{position: notScheduled, lastDialAt: math.Inf(-1)})
@@ -58,7 +58,7 @@
 	return &p.nodes[index]
 }
 
-// SetEnabled records whether a node is to be connected from now on.
+// SetEnabled records whether a node should be connected from now on.
 func (p *Pacer) SetEnabled(now float64, index int, enabled bool) {
 	n := p.node(index)
 	if n.enabled == enabled {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Prioritize records that something waits for a node: it is dialed soon, whatever its failures.
+// Prioritize records that something waits for a node: the node is dialed soon, however often dials to it have failed.
 func (p *Pacer) Prioritize(now float64, index int) {
 	n := p.node(index)
 	n.wanted = true
@@ -86,7 +86,7 @@
 // IsDialing reports whether a dial to a node is active.
 func (p *Pacer) IsDialing(index int) bool { return p.node(index).dialing }
 
-// Next returns a node to dial now; false if none is due.
+// Next returns a node to dial now, or false if none is due or too many dials are active.
 func (p *Pacer) Next(now float64) (index int, ok bool) {
 	if p.activeDials >= maxActiveDials || len(p.schedule.order) == 0 {
 		return 0, false
@@ -102,7 +102,7 @@
 	return index, true
 }
 
-// Due returns when Next may have a node, or infinity.
+// Due returns the time from which Next may return a node, or infinity.
 func (p *Pacer) Due() float64 {
 	if p.activeDials >= maxActiveDials || len(p.schedule.order) == 0 {
 		return math.Inf(1)
@@ -116,7 +116,7 @@
 	p.scheduleRetry(now, index)
 }
 
-// OnConnected records that a connection is made, by a dial or by the node.
+// OnConnected records that a connection was made, by a dial or by the node itself.
 func (p *Pacer) OnConnected(now float64, index int) {
 	n := p.node(index)
 	p.endDial(n)
@@ -126,8 +126,8 @@
 	n.connected, n.connectedAt, n.wanted = true, now, false
 }
 
-// OnDisconnected records that a connection ended. One that ends soon after it was made counts as a failure, because the node may close
-// every connection.
+// OnDisconnected records that a connection ended. If it ended soon after it was made, it counts as one more failure in a row, because the node
+// may close every connection.
 func (p *Pacer) OnDisconnected(now float64, index int) {
 	n := p.node(index)
 	n.connected = false
@@ -144,7 +144,7 @@
 	}
 }
 
-// scheduleRetry schedules the next dial after a failure.
+// scheduleRetry schedules the next dial after a failed dial or a broken connection.
 func (p *Pacer) scheduleRetry(now float64, index int) {
 	n := p.node(index)
 	backoff := min(maxBackoff, minBackoff*math.Pow(2, float64(min(n.failures, maxDoublings)))) * (0.5 + p.rng.Float64())
--- a/internal/decide/reconnect/reconnect_test.go
+++ b/internal/decide/reconnect/reconnect_test.go
@@ -4,29 +4,29 @@
 
 func TestMaxActiveDials(t *testing.T) {
 	p := New(1)
-	for nd := range 2000 {
-		p.SetEnabled(0, nd, true)
+	for index := range 2000 {
+		p.SetEnabled(0, index, true)
 	}
-	under, linked := []int{}, 0
-	for now := 0.0; now < 20000 && linked < 2000; now += 10 {
-		for nd, ok := p.Next(now); ok; nd, ok = p.Next(now) {
-			under = append(under, nd)
+	active, connected := []int{}, 0
+	for now := 0.0; now < 20000 && connected < 2000; now += 10 {
+		for index, ok := p.Next(now); ok; index, ok = p.Next(now) {
+			active = append(active, index)
 		}
-		if len(under) > maxActiveDials {
-			t.Fatalf("%d dials at once", len(under))
+		if len(active) > maxActiveDials {
+			t.Fatalf("got %d dials at once, want at most 64", len(active))
 		}
-		for _, nd := range under {
-			if nd%7 == 0 && now < 3000 {
-				p.OnDialFailed(now, nd)
+		for _, index := range active {
+			if index%7 == 0 && now < 3000 {
+				p.OnDialFailed(now, index)
 			} else {
-				p.OnConnected(now, nd)
-				linked++
+				p.OnConnected(now, index)
+				connected++
 			}
 		}
-		under = under[:0]
+		active = active[:0]
 	}
-	if linked != 2000 || p.activeDials != 0 {
-		t.Errorf("%d connected, %d dials active", linked, p.activeDials)
+	if connected != 2000 || p.activeDials != 0 {
+		t.Errorf("got %d nodes connected and %d dials active, want 2000 and none", connected, p.activeDials)
 	}
 }
 
@@ -34,8 +34,8 @@
 	for _, c := range []struct {
 		name        string
 		wanted      bool
-		least, most int // dials to a node that refuses, in 60 s
-	}{{"refuses", false, 12, 40}, {"refuses and is wanted", true, 200, 420}} {
+		least, most int // expected number of dials in 60 s to a node that refuses connections
+	}{{"node refuses connections", false, 12, 40}, {"node refuses connections, and something waits for it", true, 200, 420}} {
 		t.Run(c.name, func(t *testing.T) {
 			p, dials := New(3), 0
 			p.SetEnabled(0, 0, true)
@@ -43,50 +43,50 @@
 				if c.wanted {
 					p.Prioritize(now, 0)
 				}
-				if nd, ok := p.Next(now); ok {
+				if index, ok := p.Next(now); ok {
 					dials++
-					p.OnDialFailed(now+5, nd)
+					p.OnDialFailed(now+5, index)
 				}
 			}
 			if dials < c.least || dials > c.most {
-				t.Errorf("%d dials, want %d to %d", dials, c.least, c.most)
+				t.Errorf("got %d dials in 60 s, want %d to %d", dials, c.least, c.most)
 			}
 		})
 	}
-	t.Run("cuts every connection", func(t *testing.T) {
+	t.Run("node closes every connection", func(t *testing.T) {
 		p, dials := New(3), 0
 		p.SetEnabled(0, 0, true)
 		for now := 0.0; now < 60000; now += 10 {
-			if nd, ok := p.Next(now); ok {
+			if index, ok := p.Next(now); ok {
 				dials++
-				p.OnConnected(now, nd)
-				p.OnDisconnected(now+5, nd)
+				p.OnConnected(now, index)
+				p.OnDisconnected(now+5, index)
 			}
 		}
 		if dials > 40 {
-			t.Errorf("%d connections in 60 s", dials)
+			t.Errorf("got %d connections in 60 s, want at most 40", dials)
 		}
 	})
-	t.Run("no longer kept", func(t *testing.T) {
+	t.Run("node disabled before its dial", func(t *testing.T) {
 		p := New(3)
 		p.SetEnabled(0, 4, true)
 		p.SetEnabled(0, 4, false)
 		if _, ok := p.Next(100); ok {
-			t.Error("dialed")
+			t.Error("a disabled node is dialed")
 		}
 	})
 }
 
-// TestConnectedByNode has a node connect by itself: it is not dialed until that connection breaks.
+// TestConnectedByNode checks that a node that connects by itself is not dialed until that connection breaks.
 func TestConnectedByNode(t *testing.T) {
 	p := New(1)
 	p.SetEnabled(0, 3, true)
 	p.OnConnected(1, 3)
-	if nd, ok := p.Next(2); ok {
-		t.Fatalf("node %d is dialed, and is connected", nd)
+	if index, ok := p.Next(2); ok {
+		t.Fatalf("node %d is dialed while it is connected", index)
 	}
 	p.OnDisconnected(5000, 3)
-	if nd, ok := p.Next(5000 + maxBackoff); !ok || nd != 3 {
-		t.Errorf("node %d, %t after its connection broke", nd, ok)
+	if index, ok := p.Next(5000 + maxBackoff); !ok || index != 3 {
+		t.Errorf("after the connection broke, Next returned %d, %t, want 3, true", index, ok)
 	}
 }
--- a/internal/decide/reconnect/schedule.go
+++ b/internal/decide/reconnect/schedule.go
@@ -1,6 +1,6 @@
 package reconnect
 
-// dialHeap is a heap of nodes by the time of their next dial, and by order of arrival.
+// dialHeap is a heap of nodes, ordered by the time of their next dial and then by order of arrival.
 type dialHeap struct {
 	order []int  // indices of nodes
 	nodes []node // by index
