--- a/internal/decide/shutdown/shutdown_test.go
+++ b/internal/decide/shutdown/shutdown_test.go
@@ -2,24 +2,25 @@
 
 import "testing"
 
-// TestNewPlan tries expiries from none to long ones: the process ends before it can be killed, requests that arrive as the protocol's page
-// allows are accepted and answered, and no two steps are due at once.
+// TestNewPlan tries expiries from 0 to 20 s: the process must exit before it may be killed, requests that arrive as late as the protocol
+// allows must be accepted and answered, and the steps must be due in order.
 func TestNewPlan(t *testing.T) {
-	const at = 1000
-	for longest := 0.0; longest <= 20000; longest += 10 {
-		p := NewPlan(at, longest)
-		kill := at + min(longest, 3000) + 700
+	const startAt = 1000
+	for longestExpiry := 0.0; longestExpiry <= 20000; longestExpiry += 10 {
+		p := NewPlan(startAt, longestExpiry)
+		killAt := startAt + min(longestExpiry, 3000) + 700
 		switch {
-		case p.ExitAt > kill-50:
-			t.Errorf("longest %g: ends at %g, may be killed at %g", longest, p.ExitAt, kill)
-		case p.CloseAt < at+600 || p.CloseAt >= p.ExitAt:
-			t.Errorf("longest %g: %+v: the last requests are not accepted", longest, p)
-		case p.RejectAt < at+500 || p.RejectAt > p.AnswerAt || p.AnswerAt >= p.CloseAt:
-			t.Errorf("longest %g: %+v: out of order", longest, p)
-		case longest >= 500 && p.RejectAt < at+700:
-			t.Errorf("longest %g: %+v: rejects too soon", longest, p)
-		case longest >= 500 && p.AnswerAt < at+min(longest, 3000)+300:
-			t.Errorf("longest %g: %+v: what is open is answered too soon", longest, p)
+		case p.ExitAt > killAt-50:
+			t.Errorf("longest expiry %g ms: got exit at %g, want at least 50 ms before the kill at %g", longestExpiry, p.ExitAt, killAt)
+		case p.CloseAt < startAt+600 || p.CloseAt >= p.ExitAt:
+			t.Errorf("longest expiry %g ms: got plan %+v, want CloseAt from 1600 on and before ExitAt", longestExpiry, p)
+		case p.RejectAt < startAt+500 || p.RejectAt > p.AnswerAt || p.AnswerAt >= p.CloseAt:
+			t.Errorf("longest expiry %g ms: got plan %+v, want RejectAt from 1500 on, AnswerAt no earlier, and CloseAt later", longestExpiry, p)
+		case longestExpiry >= 500 && p.RejectAt < startAt+700:
+			t.Errorf("longest expiry %g ms: got plan %+v, want RejectAt from 1700 on", longestExpiry, p)
+		case longestExpiry >= 500 && p.AnswerAt < startAt+min(longestExpiry, 3000)+300:
+			t.Errorf("longest expiry %g ms: got plan %+v, want AnswerAt at least 300 ms after the expiry, which counts as at most 3 s",
+				longestExpiry, p)
 		}
 	}
 }
