--- a/internal/decide/calendar/calendar.go
+++ b/internal/decide/calendar/calendar.go
@@ -1,9 +1,9 @@
-// Package calendar decides when nodes are drained for maintenance: which windows are kept, which are postponed within their slack, which are
-// refused, and why. The same calendar, fleet and load lead to the same verdicts wherever and whenever they are worked out: nothing depends
-// on the present time, so that processes that share a calendar need not agree on verdicts.
+// Package calendar decides when nodes are drained for maintenance: which maintenance windows are kept, which are postponed within their slack,
+// which are refused, and why. The same calendar, fleet and load give the same verdicts wherever and whenever they are computed: nothing
+// depends on the present time, so processes that share a calendar need no agreement on verdicts.
 //
-// Times are time.Time, because rules recur in a time zone with its daylight saving time. The functions keep no state; a Load is not safe for
-// concurrent use.
+// Times are time.Time values, because rules recur in a time zone with its daylight saving time. The functions keep no state. A Load is not
+// safe for concurrent use.
 package calendar
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Scope is what a window drains. The values are part of stored records.
+// Scope says whether a window drains a node, a cell or a zone. The values are part of stored records.
 type Scope uint8
 
 // Scopes of a window.
@@ -22,45 +22,45 @@
 	Zone
 )
 
-// String returns the name that texts show.
+// String returns the name that is shown to operators.
 func (s Scope) String() string { return [...]string{"node", "cell", "zone"}[s] }
 
-// Ending is what happens if nodes are not empty at the end of their window. The values are part of stored records.
+// Ending is what happens if tasks are left on the nodes at the end of their window. The values are part of stored records.
 type Ending uint8
 
 // Endings of a window.
 const (
-	Release Ending = iota // the nodes come back as they are
-	Sweep                 // what may be stopped is stopped, then they come back
-	Hold                  // they come back when they are empty, or when the window's duration has passed once more
+	Release Ending = iota // the nodes return to service as they are
+	Sweep                 // the tasks that may be stopped are stopped, then the nodes return to service
+	Hold                  // the nodes return when they are empty, or when the window's duration has passed once more
 )
 
-// String returns the name that texts show.
+// String returns the name that is shown to operators.
 func (e Ending) String() string { return [...]string{"release", "sweep", "hold"}[e] }
 
-// Window is a maintenance window, once or recurring.
+// Window is a maintenance window, which occurs once or recurs.
 type Window struct {
 	ID         string
 	Scope      Scope
 	Target     string        // ID of the node, or name of the cell or zone
 	Start      time.Time     // of the first occurrence, in the time zone that the rule follows
-	Duration   time.Duration // how long the nodes are out
-	Rule       string        // RFC 5545 recurrence rule, empty: once
+	Duration   time.Duration // how long the nodes are out of service
+	Rule       string        // RFC 5545 recurrence rule; an empty one stands for a single occurrence
 	Lead       time.Duration // how long before Start the drain begins
 	Slack      time.Duration // by how much the window may be postponed
-	Priority   int           // a higher one is decided first
-	CreatedAt  time.Time     // at equal priority the oldest is decided first
+	Priority   int           // windows with higher values are decided first
+	CreatedAt  time.Time     // at equal priority, the oldest window is decided first
 	Ending     Ending
-	Exceptions []time.Time // starts that are cancelled
+	Exceptions []time.Time // starts of cancelled occurrences
 }
 
-// ProtectedTime is a time in which no window may be open, once or recurring.
+// ProtectedTime is a time in which no window may be open. It occurs once or recurs.
 type ProtectedTime struct {
 	ID         string
 	Start      time.Time
 	Duration   time.Duration
-	Rule       string        // RFC 5545 recurrence rule, empty: once
-	Lead, Tail time.Duration // protected before and after
+	Rule       string        // RFC 5545 recurrence rule; an empty one stands for a single occurrence
+	Lead, Tail time.Duration // times before and after that are protected as well
 }
 
 // Node is a node of the fleet.
@@ -70,13 +70,13 @@
 	Cores, Memory    float64
 }
 
-// Limits bound what windows may take out at once.
+// Limits bounds how many nodes windows may take out of service at once.
 type Limits struct {
-	Fleet, Zone, Kind float64       // fractions of the fleet, of a zone and of the nodes of a kind
-	MaxWarmingUp      int           // nodes that may come back within WarmUp; 0: any number
-	WarmUp            time.Duration // how long a node that came back is warming up
-	LoadMargin        float64       // the remaining nodes must have room for the usual load times this
-	ClockGuard        time.Duration // how far clocks and lists of processes may differ: windows are kept apart by twice that
+	Fleet, Zone, Kind float64       // maximum fractions of the fleet, of a zone and of the nodes of a kind
+	MaxWarmingUp      int           // maximum number of nodes that return to service within WarmUp; 0: any number
+	WarmUp            time.Duration // how long a node is warming up after its return
+	LoadMargin        float64       // the remaining nodes must have room for the usual load multiplied by this
+	ClockGuard        time.Duration // how much clocks and node lists of processes may differ in time: windows are kept apart by twice that
 }
 
 // Calendar is a set of windows and protected times.
@@ -85,10 +85,10 @@
 	Protected []ProtectedTime
 }
 
-// maxSpan bounds lead, duration and slack of a window together, so that verdicts of a week depend on that week and the one before it alone.
+// maxSpan bounds the sum of a window's lead, duration and slack, so that the verdicts of a week depend only on that week and the one before.
 const maxSpan = 6 * 24 * time.Hour
 
-// Check returns an error with all faults of a calendar. A window whose target is not in the fleet is no fault, as node lists may be stale:
+// Check returns an error with all faults of a calendar. A window whose target is not in the fleet is valid, because node lists may be stale;
 // it drains nothing.
 func (c *Calendar) Check() error {
 	var faults []error
@@ -96,7 +96,7 @@
 	for i := range c.Windows {
 		w := &c.Windows[i]
 		if w.ID == "" || seen[w.ID] {
-			faults = append(faults, w.fault("name missing or twice"))
+			faults = append(faults, w.fault("name missing or not unique"))
 		}
 		seen[w.ID] = true
 		faults = append(faults, w.check()...)
@@ -109,19 +109,20 @@
 	return errors.Join(faults...)
 }
 
+// fault returns an error that names the window.
 func (w *Window) fault(format string, args ...any) error {
 	return fmt.Errorf("window %q: %s", w.ID, fmt.Sprintf(format, args...))
 }
 
 func (w *Window) check() (faults []error) {
 	if w.Target == "" {
-		faults = append(faults, w.fault("no place"))
+		faults = append(faults, w.fault("no place to drain"))
 	}
 	if w.Duration <= 0 || w.Lead < 0 || w.Slack < 0 {
 		faults = append(faults, w.fault("impossible length %s, lead %s or slack %s", w.Duration, w.Lead, w.Slack))
 	}
 	if span := w.Lead + w.Duration + w.Slack; span > maxSpan {
-		faults = append(faults, w.fault("lead, length and slack of %s together, at most %s", span, maxSpan))
+		faults = append(faults, w.fault("lead, length and slack are %s together, want at most %s", span, maxSpan))
 	}
 	if w.Start.IsZero() {
 		faults = append(faults, w.fault("no start"))
@@ -133,7 +134,7 @@
 
 func (p *ProtectedTime) check() error {
 	if p.Duration <= 0 || p.Lead < 0 || p.Tail < 0 || p.Start.IsZero() {
-		return errors.New("impossible start, length, lead or tail")
+		return errors.New("start missing, length not positive, or lead or tail negative")
 	}
 	_, err := parseRule(p.Rule, p.Start)
 	return err
--- a/internal/decide/calendar/conflict.go
+++ b/internal/decide/calendar/conflict.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// conflict returns why an occurrence can't take place at a time, an empty reason if it can, and the largest fraction of the fleet that would
-// be out. All spans are widened by the clock guard on both sides: another process may see them begin earlier and end later by that much.
+// conflict returns why an occurrence cannot take place at a time, or an empty reason if it can, and the largest fraction of the fleet that
+// would be out of service. Spans are extended by the clock guard on both sides: another process may see them begin earlier and end later by
+// that much.
 func (p *planner) conflict(o occurrence, at span) (reason string, fraction float64) {
 	wide := span{at.from.Add(-p.limits.ClockGuard), at.to.Add(p.limits.ClockGuard)}
 	if reason := p.protection(wide); reason != "" {
 		return reason, 0
 	}
 	if len(o.nodes) == 0 {
-		return "", 0 // the target is not in the fleet now: the window drains nothing
+		return "", 0 // the target is not in the fleet, so the window drains nothing
 	}
 	for _, instant := range p.instants(wide) {
 		reason, unavailable := p.limitViolation(o, instant)
@@ -26,7 +27,7 @@
 	return p.warmUpViolation(o, at.to), fraction
 }
 
-// protection returns which protected time overlaps a span, an empty string if none does.
+// protection returns the reason if a protected time overlaps a span, or an empty string if none does.
 func (p *planner) protection(s span) string {
 	for i := range p.calendar.Protected {
 		protected := &p.calendar.Protected[i]
@@ -41,8 +42,8 @@
 	return ""
 }
 
-// instants returns the instants in a span at which nodes go out, or the hour of the week changes. What limits bound is largest at one of
-// them.
+// instants returns the start of a span and the instants in it at which nodes go out of service or the hour of the week changes. Whatever the
+// limits bound is largest at one of these instants.
 func (p *planner) instants(s span) []time.Time {
 	all := []time.Time{s.from}
 	for _, r := range p.reservations {
@@ -56,7 +57,7 @@
 	return all
 }
 
-// unavailableAt returns the nodes that are out at an instant, with those of an occurrence.
+// unavailableAt returns the nodes that are out of service at an instant, including those of an occurrence.
 func (p *planner) unavailableAt(o occurrence, t time.Time) map[int]bool {
 	unavailable := map[int]bool{}
 	for _, r := range p.reservations {
@@ -72,14 +73,15 @@
 	return unavailable
 }
 
-// remainder is what is out, and what remains of the fleet.
+// remainder has the numbers of nodes that are out of service, and the resources that remain in the fleet.
 type remainder struct {
-	kinds, zones  map[string]int // nodes that are out
-	cores, memory float64        // that remain
-	allCores      float64
-	allMemory     float64
+	kinds, zones  map[string]int // number of nodes out of service
+	cores, memory float64        // of the remaining nodes
+	allCores      float64        // of the whole fleet
+	allMemory     float64        // of the whole fleet
 }
 
+// remainder computes the remainder without some nodes.
 func (p *planner) remainder(unavailable map[int]bool) remainder {
 	r := remainder{kinds: map[string]int{}, zones: map[string]int{}}
 	for i, n := range p.fleet {
@@ -94,14 +96,14 @@
 	return r
 }
 
-// limitViolation returns which limit an occurrence would break at an instant, an empty reason if none, and the fraction of the fleet that
-// would be out.
+// limitViolation returns which limit an occurrence would exceed at an instant, or an empty reason if none, and the fraction of the fleet that
+// would be out of service.
 func (p *planner) limitViolation(o occurrence, t time.Time) (reason string, fraction float64) {
 	unavailable := p.unavailableAt(o, t)
 	fraction = float64(len(unavailable)) / float64(len(p.fleet))
 	when := t.Format(timeFormat)
 	if fraction > p.limits.Fleet {
-		return fmt.Sprintf("%.0f%% of the fleet would be out on %s, at most %.0f%%", 100*fraction, when, 100*p.limits.Fleet), fraction
+		return fmt.Sprintf("%.0f%% of the fleet would be out of service on %s, at most %.0f%% may be", 100*fraction, when, 100*p.limits.Fleet), fraction
 	}
 	r := p.remainder(unavailable)
 	if reason := groupViolation("zone", r.zones, p.zones, p.limits.Zone, when); reason != "" {
@@ -115,31 +117,32 @@
 	}
 	cores, memory := p.load.Usual(t)
 	if cores *= p.limits.LoadMargin; cores*r.allCores > r.cores {
-		return shortage("cores are", when, 100*cores, 100*r.cores/r.allCores), fraction
+		return shortage("cores", when, 100*cores, 100*r.cores/r.allCores), fraction
 	}
 	if memory *= p.limits.LoadMargin; memory*r.allMemory > r.memory {
-		return shortage("memory is", when, 100*memory, 100*r.memory/r.allMemory), fraction
+		return shortage("memory", when, 100*memory, 100*r.memory/r.allMemory), fraction
 	}
 	return "", fraction
 }
 
-// groupViolation returns in which group, such as a zone, too large a fraction of the nodes would be out, an empty string if in none.
+// groupViolation returns the reason if too large a fraction of the nodes in a group, such as a zone, would be out of service, or an empty
+// string. kind names the kind of group.
 func groupViolation(kind string, out, all map[string]int, limit float64, when string) string {
 	for _, name := range slices.Sorted(maps.Keys(out)) {
 		if fraction := float64(out[name]) / float64(all[name]); fraction > limit {
-			return fmt.Sprintf("%.0f%% of %s %s would be out on %s, at most %.0f%%", 100*fraction, kind, name, when, 100*limit)
+			return fmt.Sprintf("%.0f%% of %s %s would be out of service on %s, at most %.0f%% may be", 100*fraction, kind, name, when, 100*limit)
 		}
 	}
 	return ""
 }
 
-// shortage says that the usual load would not fit what remains, both in percent of all. resourceIs names the resource, with its verb.
-func shortage(resourceIs, when string, usual, remaining float64) string {
-	return fmt.Sprintf("on %s usually %.0f%% of all %s asked for, margin included, %.0f%% would be left", when, usual, resourceIs, remaining)
+// shortage returns the reason that the usual load does not fit the remaining nodes. Both are in percent of the whole fleet's resource.
+func shortage(resource, when string, usual, remaining float64) string {
+	return fmt.Sprintf("on %s the usual load needs %.0f%% of all %s, margin included, but %.0f%% would be left", when, usual, resource, remaining)
 }
 
-// warmUpViolation returns that too many nodes would come back around the end of an occurrence, an empty string if not: nodes that are warming
-// up bear little load.
+// warmUpViolation returns the reason if too many nodes would return to service around the end of an occurrence, or an empty string. Nodes that
+// are warming up can take little load.
 func (p *planner) warmUpViolation(o occurrence, end time.Time) string {
 	if p.limits.MaxWarmingUp == 0 {
 		return ""
@@ -157,15 +160,15 @@
 			}
 		}
 	}
-	if len(returning) > p.limits.MaxWarmingUp && len(returning) > own { // one window alone may bring back all that it took out
-		return fmt.Sprintf("%d nodes would come back cold around %s, at most %d", len(returning), end.Format(timeFormat), p.limits.MaxWarmingUp)
+	if len(returning) > p.limits.MaxWarmingUp && len(returning) > own { // a window by itself may return all nodes that it took out
+		return fmt.Sprintf("%d nodes would warm up around %s, at most %d may", len(returning), end.Format(timeFormat), p.limits.MaxWarmingUp)
 	}
 	return ""
 }
 
-// BlockedByLosses returns why work is not to be moved off the nodes of a verdict now, an empty string if it may be. lost and draining are the
-// nodes that are unreachable, and that windows have taken out. The window itself stays open: whether its nodes get new work must be the same
-// at every process, and what each knows of losses is not.
+// BlockedByLosses returns why tasks must not be moved off the nodes of a verdict now, or an empty string if they may be. lost has the nodes
+// that are unreachable, draining those that windows have taken out of service. The window itself stays open: all processes must agree on
+// whether its nodes get new work, and they may differ in what they know of losses.
 func BlockedByLosses(v Verdict, fleet []Node, lost, draining map[string]bool, limits Limits) string {
 	own := map[string]bool{}
 	for _, n := range v.Nodes {
@@ -181,5 +184,6 @@
 	if fraction <= limits.Fleet || len(lost) == 0 {
 		return ""
 	}
-	return fmt.Sprintf("with %d nodes lost %.0f%% of the fleet would be out, at most %.0f%%", len(lost), 100*fraction, 100*limits.Fleet)
+	return fmt.Sprintf("with %d nodes lost, %.0f%% of the fleet would be out of service, at most %.0f%% may be",
+		len(lost), 100*fraction, 100*limits.Fleet)
 }
--- a/internal/decide/calendar/load.go
+++ b/internal/decide/calendar/load.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	bins           = 20   // of a histogram, 5% each
-	halveAt        = 64   // measurements of an hour at which its histogram is halved
-	usualQuantile  = 0.9  // of the measurements, counts as usual
-	unmeasuredLoad = 0.55 // fraction that is assumed for an hour without measurements
+	bins           = 20   // in a histogram, 5% each
+	halveAt        = 64   // number of measurements at which the histogram of an hour is halved
+	usualQuantile  = 0.9  // quantile of the measurements that counts as the usual load
+	unmeasuredLoad = 0.55 // fraction in use that is assumed for an hour without measurements
 
-	loadBytes = 2 * hoursOfWeek * bins * 2
+	loadBytes = 2 * hoursOfWeek * bins * 2 // size of an encoded Load: two resources, 2 bytes for each bin
 )
 
-// Load is the load that one process measured by hour of the week. Each hour has small histograms that are halved as they fill, so that the
-// last weeks count most.
+// Load is the load that one process measured by hour of the week. Each hour has small histograms that are halved when they are full, so that
+// recent weeks weigh most.
 type Load struct {
 	cores, memory [hoursOfWeek]histogram
 }
@@ -46,7 +46,7 @@
 	return t
 }
 
-// MarshalBinary encodes the histograms for UnmarshalBinary. It never fails.
+// MarshalBinary encodes the histograms for UnmarshalBinary. It never returns an error.
 func (l *Load) MarshalBinary() ([]byte, error) {
 	b := make([]byte, 0, loadBytes)
 	for _, hours := range []*[hoursOfWeek]histogram{&l.cores, &l.memory} {
@@ -62,7 +62,7 @@
 // UnmarshalBinary decodes the histograms.
 func (l *Load) UnmarshalBinary(b []byte) error {
 	if len(b) != loadBytes {
-		return fmt.Errorf("measured load of %d bytes, expected %d", len(b), loadBytes)
+		return fmt.Errorf("measured load: got %d bytes, want %d", len(b), loadBytes)
 	}
 	*l = Load{}
 	for _, hours := range []*[hoursOfWeek]histogram{&l.cores, &l.memory} {
@@ -71,7 +71,7 @@
 			for j := range h.counts {
 				h.counts[j], b = binary.BigEndian.Uint16(b), b[2:]
 				if h.counts[j] >= halveAt || h.total+h.counts[j] >= halveAt {
-					return fmt.Errorf("measured load: hour %d has over %d measurements", i, halveAt)
+					return fmt.Errorf("measured load: hour %d of the week has %d or more measurements", i, halveAt)
 				}
 				h.total += h.counts[j]
 			}
--- a/internal/decide/calendar/load_test.go
+++ b/internal/decide/calendar/load_test.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-func TestLoadKept(t *testing.T) {
+func TestLoadRoundTrip(t *testing.T) {
 	var l Load
 	at := time.Date(2026, 3, 2, 10, 30, 0, 0, time.UTC) // a Monday
 	for i := range 200 {
 		l.Add(at, 0.01*float64(i%40), 0.3)
-		l.Add(at.Add(time.Hour), 2, -1) // out of range counts as the end
+		l.Add(at.Add(time.Hour), 2, -1) // values out of range count in the last and the first bin
 	}
 	b, err := l.MarshalBinary()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back Load
-	if err := back.UnmarshalBinary(b); err != nil || back != l {
-		t.Fatalf("not the same, %v", err)
+	var decoded Load
+	if err := decoded.UnmarshalBinary(b); err != nil || decoded != l {
+		t.Fatalf("the decoded load differs, or was not decoded: error %v", err)
 	}
-	if c, m := back.Usual(at); c != 0.4 || m != 0.35 {
-		t.Errorf("usual %g, %g", c, m)
+	if c, m := decoded.Usual(at); c != 0.4 || m != 0.35 {
+		t.Errorf("got usual cores %g, memory %g, want 0.4, 0.35", c, m)
 	}
-	if c, m := back.Usual(at.Add(time.Hour)); c != 1 || m != 0.05 {
-		t.Errorf("usual %g, %g at the ends", c, m)
+	if c, m := decoded.Usual(at.Add(time.Hour)); c != 1 || m != 0.05 {
+		t.Errorf("values out of range: got usual cores %g, memory %g, want 1, 0.05", c, m)
 	}
-	if c, _ := back.Usual(at.Add(2 * time.Hour)); c != unmeasuredLoad {
-		t.Errorf("usual %g where nothing was measured", c)
+	if c, _ := decoded.Usual(at.Add(2 * time.Hour)); c != unmeasuredLoad {
+		t.Errorf("hour without measurements: got usual cores %g, want 0.55", c)
 	}
-	for name, bad := range map[string][]byte{"cut": b[1:], "empty": nil, "too many": bytes.Repeat([]byte{0, 9}, len(b)/2)} {
-		if back.UnmarshalBinary(bad) == nil {
-			t.Errorf("%s: taken", name)
+	for name, malformed := range map[string][]byte{"truncated": b[1:], "empty": nil, "counts too high": bytes.Repeat([]byte{0, 9}, len(b)/2)} {
+		if decoded.UnmarshalBinary(malformed) == nil {
+			t.Errorf("%s: decoded without an error", name)
 		}
 	}
 }
@@ -49,32 +49,32 @@
 	text := b.String()
 	got, err := ReadTable(strings.NewReader(text))
 	if err != nil || *got != *l.Table() {
-		t.Fatalf("not the same, %v", err)
+		t.Fatalf("the table that was read differs, or was not read: error %v", err)
 	}
 	if c, m := got.Usual(at); c != 0.45 || m != 0.15 {
-		t.Errorf("usual %g, %g", c, m)
+		t.Errorf("got usual cores %g, memory %g, want 0.45, 0.15", c, m)
 	}
 	for _, c := range []struct{ name, old, new, want string }{
-		{"an hour missing", "Tuesday,10,0.45,0.15\n", "", "Tuesday 10 h is missing"},
-		{"twice", "Tuesday,10,0.45,0.15\n", "Tuesday,11,0.45,0.15\n", "stands twice"},
-		{"no day", "Tuesday,10", "Tuesda,10", "no hour"},
-		{"no hour", "Tuesday,10", "Tuesday,24", "no hour"},
-		{"over one", "0.45,0.15", "1.45,0.15", `cores "1.45"`},
-		{"no number", "0.45,0.15", "0.45,NaN", `memory "NaN"`},
-		{"a column less", "0.45,0.15", "0.45", "wrong number of fields"},
+		{"missing hour", "Tuesday,10,0.45,0.15\n", "", "Tuesday 10 h is missing"},
+		{"duplicate hour", "Tuesday,10,0.45,0.15\n", "Tuesday,11,0.45,0.15\n", "appears twice"},
+		{"invalid day", "Tuesday,10", "Tuesda,10", `invalid hour "10" or day "Tuesda"`},
+		{"invalid hour", "Tuesday,10", "Tuesday,24", `invalid hour "24" or day "Tuesday"`},
+		{"fraction over 1", "0.45,0.15", "1.45,0.15", `cores "1.45"`},
+		{"fraction is not a number", "0.45,0.15", "0.45,NaN", `memory "NaN"`},
+		{"missing column", "0.45,0.15", "0.45", "wrong number of fields"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := ReadTable(strings.NewReader(strings.Replace(text, c.old, c.new, 1))); err == nil ||
 				!strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("got error %v, want %q", err, c.want)
 			}
 		})
 	}
 }
 
-// TestKnown guards the promise that processes which share a calendar come to the same verdicts: what one measured
-// alone may not decide where there are others.
-func TestKnown(t *testing.T) {
+// TestChooseEstimate checks that what one process measured is not used at a site with several schedulers: they would compute different
+// verdicts.
+func TestChooseEstimate(t *testing.T) {
 	measured, table := &Load{}, &Table{}
 	for _, c := range []struct {
 		name       string
@@ -82,18 +82,18 @@
 		schedulers int
 		want       LoadEstimate
 	}{
-		{"published", table, 3, table},
-		{"published, alone", table, 1, table},
-		{"alone", nil, 1, measured},
-		{"none", nil, 3, UnknownLoad{}},
+		{"published table, three schedulers", table, 3, table},
+		{"published table, one scheduler", table, 1, table},
+		{"no published table, one scheduler", nil, 1, measured},
+		{"no published table, three schedulers", nil, 3, UnknownLoad{}},
 	} {
-		if got, whose := ChooseEstimate(measured, c.table, c.schedulers); got != c.want || whose == "" {
-			t.Errorf("%s: %T", c.name, got)
+		if got, source := ChooseEstimate(measured, c.table, c.schedulers); got != c.want || source == "" {
+			t.Errorf("%s: got an estimate of type %T, or no source", c.name, got)
 		}
 	}
 }
 
-// FuzzStored reads any bytes as a kept load or a published table: a fault, or something that is kept the same.
+// FuzzStored decodes any bytes as a measured load and as a published table. Either must fail, or encode to what decodes to the same value.
 func FuzzStored(f *testing.F) {
 	var l Load
 	l.Add(time.Unix(0, 0), 0.3, 0.4)
@@ -106,11 +106,11 @@
 		var l Load
 		if l.UnmarshalBinary(b) == nil {
 			if again, err := l.MarshalBinary(); err != nil || !bytes.Equal(b, again) {
-				t.Error("not kept the same", err)
+				t.Error("the load encodes to other bytes than it was decoded from, or not at all: error", err)
 			}
 			for h := range 168 {
 				if c, m := l.Usual(time.Unix(int64(h)*3600, 0)); !(c >= 0 && c <= 1 && m >= 0 && m <= 1) {
-					t.Errorf("usual %g, %g", c, m)
+					t.Errorf("got usual cores %g, memory %g, want fractions from 0 to 1", c, m)
 				}
 			}
 		}
@@ -120,7 +120,7 @@
 				t.Fatal(err)
 			}
 			if again, err := ReadTable(&out); err != nil || *again != *table {
-				t.Error("not kept the same", err)
+				t.Error("the written table reads differently, or not at all: error", err)
 			}
 		}
 	})
--- a/internal/decide/calendar/plan.go
+++ b/internal/decide/calendar/plan.go
@@ -11,11 +11,11 @@
 	week = 7 * 24 * time.Hour
 	// slackStep is the step by which a window is postponed within its slack.
 	slackStep = 15 * time.Minute
-	// timeFormat shows times in reasons.
+	// timeFormat is the format of times in reasons.
 	timeFormat = "Mon 2 Jan 15:04"
 )
 
-// Outcome is what becomes of an occurrence of a window. The values are part of stored records.
+// Outcome is the decision on an occurrence of a window. The values are part of stored records.
 type Outcome uint8
 
 // Outcomes of an occurrence.
@@ -25,27 +25,29 @@
 	Refused
 )
 
-// String returns the name that texts show.
+// String returns the name that is shown to operators.
 func (o Outcome) String() string { return [...]string{"kept", "postponed", "refused"}[o] }
 
 // Verdict is the decision on one occurrence of a window.
 type Verdict struct {
 	Window         string    `json:"Window"`
-	ScheduledStart time.Time `json:"Nominal"` // as the calendar has it
+	ScheduledStart time.Time `json:"Nominal"` // according to the calendar
 	Outcome        Outcome   `json:"Outcome"`
-	DrainStart     time.Time `json:"Drain"` // from then on the nodes get no new work
-	Start          time.Time `json:"Start"` // from then on the nodes are out
+	DrainStart     time.Time `json:"Drain"` // the nodes get no new tasks from then on
+	Start          time.Time `json:"Start"` // the nodes are out of service from then on
 	End            time.Time `json:"End"`
 	Nodes          []string  `json:"Nodes"` // IDs
-	Reason         string    `json:"Why"`   // for operators
-	FleetFraction  float64   `json:"Out"`   // largest fraction of the fleet that is out during it, other windows included
+	Reason         string    `json:"Why"`   // text for operators
+	FleetFraction  float64   `json:"Out"`   // largest fraction of the fleet that is out of service meanwhile, other windows included
 	Ending         Ending    `json:"Ending"`
 }
 
-// Plan returns the verdicts on all occurrences that are scheduled from an instant, included, to another, excluded, sorted by scheduled start.
+// Plan returns the verdicts on all occurrences that are scheduled from an instant (inclusive) to another (exclusive), sorted by scheduled
+// start.
 //
-// Occurrences are decided week by week from the calendar's first one on, those of a week in order of priority, then age, then name. Each is
-// checked against those decided before it. So the verdict on an occurrence does not depend on the range that is asked for.
+// Occurrences are decided week by week, from the calendar's first week on. Those of a week are decided in order of priority, then age of the
+// window, then scheduled start, then window ID. Each is checked against those decided before it. Therefore the verdict on an occurrence does
+// not depend on the requested range.
 func Plan(c *Calendar, fleet []Node, limits Limits, load LoadEstimate, from, to time.Time) []Verdict {
 	p := &planner{calendar: c, fleet: slices.Clone(fleet), limits: limits, load: load, kinds: map[string]int{}, zones: map[string]int{}}
 	slices.SortFunc(p.fleet, func(x, y Node) int { return cmp.Compare(x.ID, y.ID) })
@@ -69,7 +71,7 @@
 	return verdicts
 }
 
-// firstWeek returns Monday 0 h UTC of the week of the calendar's first window, the zero time if there is no window.
+// firstWeek returns Monday 0:00 UTC of the week of the calendar's first window, or the zero time if there is no window.
 func (c *Calendar) firstWeek() (first time.Time) {
 	for i := range c.Windows {
 		if t := c.Windows[i].Start; first.IsZero() || t.Before(first) {
@@ -83,36 +85,36 @@
 	return first.AddDate(0, 0, -(int(first.Weekday())+6)%7)
 }
 
-// occurrence is an occurrence of a window without a verdict yet.
+// occurrence is an occurrence of a window on which there is no verdict yet.
 type occurrence struct {
 	window         *Window
 	scheduledStart time.Time
 	nodes          []int // indices in planner.fleet
 }
 
-// span is the time from an instant, included, to another, excluded.
+// span is the time from an instant (inclusive) to another (exclusive).
 type span struct{ from, to time.Time }
 
 func (s span) overlaps(t span) bool { return s.from.Before(t.to) && t.from.Before(s.to) }
 
-// reservation is an occurrence that was kept or postponed, with the time from the start of its drain to its end.
+// reservation is an occurrence that was kept or postponed. Its span is the time from the start of its drain to its end.
 type reservation struct {
 	span
 	window string
 	nodes  []int
 }
 
-// planner decides occurrences one after the other.
+// planner decides on occurrences one after the other.
 type planner struct {
 	calendar     *Calendar
 	fleet        []Node // sorted by ID
 	limits       Limits
-	load         LoadEstimate   // nil: not checked
-	kinds, zones map[string]int // number of nodes
+	load         LoadEstimate   // nil: the load is not checked
+	kinds, zones map[string]int // number of nodes by machine kind and by zone
 	reservations []reservation
 }
 
-// occurrencesOf returns the occurrences of a week in the order in which they are decided.
+// occurrencesOf returns the occurrences of the week that begins on a Monday, in the order in which they are decided.
 func (p *planner) occurrencesOf(monday time.Time) []occurrence {
 	var all []occurrence
 	for i := range p.calendar.Windows {
@@ -153,35 +155,35 @@
 	return false
 }
 
-// dropBefore drops the reservations that can't overlap an occurrence of a later week.
+// dropBefore drops the reservations that ended before a Monday: they cannot overlap an occurrence of a later week.
 func (p *planner) dropBefore(monday time.Time) {
 	p.reservations = slices.DeleteFunc(p.reservations, func(r reservation) bool { return r.to.Before(monday) })
 }
 
-// decide keeps an occurrence, or postpones it to the first time within its slack at which nothing conflicts with it.
+// decide keeps an occurrence, postpones it to the first time within its slack at which nothing conflicts with it, or refuses it.
 func (p *planner) decide(o occurrence) Verdict {
 	v := Verdict{Window: o.window.ID, ScheduledStart: o.scheduledStart, Ending: o.window.Ending}
 	for _, i := range o.nodes {
 		v.Nodes = append(v.Nodes, p.fleet[i].ID)
 	}
-	first := ""
+	firstReason := ""
 	for delay := time.Duration(0); delay <= o.window.Slack; delay += slackStep {
 		start := o.scheduledStart.Add(delay)
 		at := span{start.Add(-o.window.Lead), start.Add(o.window.Duration)}
 		reason, fraction := p.conflict(o, at)
 		if reason != "" {
-			if first == "" {
-				first = reason
+			if firstReason == "" {
+				firstReason = reason
 			}
 			continue
 		}
 		v.DrainStart, v.Start, v.End, v.FleetFraction = at.from, start, at.to, fraction
 		if delay > 0 {
-			v.Outcome, v.Reason = Postponed, fmt.Sprintf("by %s: %s", delay, first)
+			v.Outcome, v.Reason = Postponed, fmt.Sprintf("by %s: %s", delay, firstReason)
 		}
 		p.reservations = append(p.reservations, reservation{at, o.window.ID, o.nodes})
 		return v
 	}
-	v.Outcome, v.Reason = Refused, first
+	v.Outcome, v.Reason = Refused, firstReason
 	return v
 }
--- a/internal/decide/calendar/recurrence.go
+++ b/internal/decide/calendar/recurrence.go
@@ -8,8 +8,8 @@
 	"github.com/teambition/rrule-go"
 )
 
-// parseRule parses a recurrence rule, and returns nil for the empty rule, which stands for once. Times follow the wall clock of the start's
-// time zone, so that a window at two in the morning stays there when daylight saving time begins or ends.
+// parseRule parses a recurrence rule. It returns nil for the empty rule, which stands for a single occurrence. Times follow the wall clock of
+// the start's time zone, so that a window at two in the morning stays at that hour when daylight saving time begins or ends.
 func parseRule(text string, start time.Time) (*rrule.RRule, error) {
 	if text == "" {
 		return nil, nil
@@ -18,8 +18,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("rule %q: %w", text, err)
 	}
-	if option.Freq > rrule.DAILY { // frequencies are ordered from yearly on
-		return nil, fmt.Errorf("rule %q: more often than daily", text)
+	if option.Freq > rrule.DAILY { // frequencies are ordered from yearly to secondly
+		return nil, fmt.Errorf("rule %q: recurs more often than daily", text)
 	}
 	option.Dtstart = start
 	rule, err := rrule.NewRRule(*option)
@@ -29,7 +29,7 @@
 	return rule, nil
 }
 
-// occurrenceStarts returns the starts in a span. A malformed rule has none: Check reports it.
+// occurrenceStarts returns the starts within a span. It returns none for a malformed rule, which Check reports.
 func occurrenceStarts(text string, start time.Time, within span) []time.Time {
 	rule, err := parseRule(text, start)
 	if err != nil {
--- a/internal/decide/calendar/table.go
+++ b/internal/decide/calendar/table.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// hoursOfWeek is the number of hours of a week. Hours are counted in UTC, Sunday 0 h first, so that all processes agree on them.
+// hoursOfWeek is the number of hours in a week. Hours are counted in UTC from Sunday 0:00, so that all processes agree on them.
 const hoursOfWeek = 7 * 24
 
+// hourOfWeek returns the hour of the week at a time, from 0.
 func hourOfWeek(t time.Time) int {
 	t = t.UTC()
 	return int(t.Weekday())*24 + t.Hour()
@@ -19,32 +20,32 @@
 
 // LoadEstimate estimates the load of an hour of the week.
 type LoadEstimate interface {
-	// Usual returns the fractions of all cores and memory that are usually in use at a time.
+	// Usual returns the fractions of all cores and of all memory that are usually in use at a time.
 	Usual(t time.Time) (cores, memory float64)
 }
 
-// UnknownLoad is the estimate where no load is known. It is cautious.
+// UnknownLoad is the estimate if the load is not known. It is conservative.
 type UnknownLoad struct{}
 
-// Usual returns the same for every hour.
+// Usual returns the same fractions for every hour.
 func (UnknownLoad) Usual(time.Time) (cores, memory float64) { return unmeasuredLoad, unmeasuredLoad }
 
-// ChooseEstimate returns the estimate that verdicts rest on, and its source in words. What one process measured decides only at a site of one
-// scheduler: several must come to the same verdicts.
+// ChooseEstimate returns the estimate for verdicts, and its source in words. What one process measured is used only at a site with a single
+// scheduler, because several schedulers must compute the same verdicts.
 func ChooseEstimate(measured *Load, published *Table, schedulers int) (estimate LoadEstimate, source string) {
 	switch {
 	case published != nil:
 		return published, "as published"
 	case schedulers == 1:
-		return measured, "as measured by this scheduler, the only one"
+		return measured, "as measured by this scheduler, the only one of the site"
 	}
-	return UnknownLoad{}, "none published for the site's schedulers, 55% is assumed for each hour"
+	return UnknownLoad{}, "none is published for the site's schedulers, so 55% is assumed for each hour"
 }
 
-// Table is a load that an operator published: the fractions of cores and memory in use by hour of the week.
+// Table is a load that an operator published: the fractions of all cores and of all memory in use, by hour of the week.
 type Table [hoursOfWeek][2]float64
 
-// Usual returns the fractions of an hour.
+// Usual implements LoadEstimate.
 func (l *Table) Usual(t time.Time) (cores, memory float64) {
 	return l[hourOfWeek(t)][0], l[hourOfWeek(t)][1]
 }
@@ -65,7 +66,7 @@
 	return w.Error()
 }
 
-// ReadTable reads a table that Write or a person wrote: every hour of the week once, in any order.
+// ReadTable reads a table as Write or a person writes it: every hour of the week once, in any order.
 func ReadTable(in io.Reader) (*Table, error) {
 	r := csv.NewReader(in)
 	r.FieldsPerRecord = len(tableHeader)
@@ -87,7 +88,7 @@
 			return nil, fmt.Errorf("usual load, line %d: %w", line, err)
 		}
 		if seen[hour] {
-			return nil, fmt.Errorf("usual load, line %d: %s %d h stands twice", line, record[0], hour%24)
+			return nil, fmt.Errorf("usual load, line %d: %s %d h appears twice", line, record[0], hour%24)
 		}
 		seen[hour] = true
 		for i := range l[hour] {
@@ -104,7 +105,7 @@
 	return l, nil
 }
 
-// parseHour returns the hour of the week of a day's name and an hour.
+// parseHour returns the hour of the week for the name of a day and an hour of that day.
 func parseHour(day, hour string) (int, error) {
 	h, err := strconv.Atoi(hour)
 	for d := time.Sunday; d <= time.Saturday; d++ {
@@ -112,14 +113,14 @@
 			return int(d)*24 + h, nil
 		}
 	}
-	return 0, fmt.Errorf("no hour %q of a day %q", hour, day)
+	return 0, fmt.Errorf("invalid hour %q or day %q", hour, day)
 }
 
-// parseFraction returns the fraction in a column of the table.
+// parseFraction parses a fraction in a column of the table.
 func parseFraction(column, text string) (float64, error) {
 	v, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(v >= 0 && v <= 1) { // NaN is refused, too
-		return 0, fmt.Errorf("%s %q: a part from 0 to 1 is expected", column, text)
+	if err != nil || !(v >= 0 && v <= 1) { // rejects NaN as well
+		return 0, fmt.Errorf("%s %q: want a fraction from 0 to 1", column, text)
 	}
 	return v, nil
 }
