--- a/internal/decide/calendar/calendar_test.go
+++ b/internal/decide/calendar/calendar_test.go
@@ -29,6 +29,7 @@
 
 var limits = Limits{Fleet: 0.25, Zone: 0.5, Kind: 0.5, MaxWarmingUp: 6, WarmUp: 10 * time.Minute, LoadMargin: 1.2, ClockGuard: 10 * time.Second}
 
+// at returns the time of day h:m, a number of days after monday.
 func at(day, h, m int) time.Time {
 	return monday.AddDate(0, 0, day).Add(time.Duration(h)*time.Hour + time.Duration(m)*time.Minute)
 }
--- a/internal/decide/calendar/conflict.go
+++ b/internal/decide/calendar/conflict.go
@@ -81,7 +81,7 @@
 	allMemory     float64        // of the whole fleet
 }
 
-// remainder computes the remainder without some nodes.
+// remainder returns what remains of the fleet without the unavailable nodes.
 func (p *planner) remainder(unavailable map[int]bool) remainder {
 	r := remainder{kinds: map[string]int{}, zones: map[string]int{}}
 	for i, n := range p.fleet {
--- a/internal/decide/drainpace/drainpace_test.go
+++ b/internal/decide/drainpace/drainpace_test.go
@@ -36,7 +36,8 @@
 				most = max(most, n)
 			}
 			if first != c.first || last > c.last || most > c.limit || c.first >= 0 && remaining != 0 {
-				t.Errorf("got first eviction at %g s, last at %g s, up to %d in a second, and %d allocations remaining", first, last, most, remaining)
+				t.Errorf("first eviction at %g s, last at %g s, up to %d in a second, %d remaining; want the times and limit of the case, and none remaining",
+					first, last, most, remaining)
 			}
 		})
 	}
--- a/internal/decide/slowstart/slowstart.go
+++ b/internal/decide/slowstart/slowstart.go
@@ -5,9 +5,9 @@
 //
 // Every scheduler of the site file has a place, its index in that file, from 0. A process uses its share of the limit while it holds a lease:
 // grants from the processes of more than half of all places, its own included, none of them older than the lease duration. A process that
-// grants a lease counts the receiver as a sharer before the grant, and for a lease duration and a window after it; with the grant, it sends
-// the receiver the places that it counts. Any two majorities have a place in common, so each process that uses the limit is counted by at
-// least one process that grants a lease to any other user.
+// gives a grant counts the receiver as a sharer before the grant, and for a lease duration and a window after it; with the grant, it sends
+// the receiver the places that it counts. Any two majorities have a place in common, so for any two processes that hold a lease, there is one
+// that has given a grant to both and counts both.
 //
 // Requests for grants and their answers pass through the caller, which carries them in its own messages. The package does no I/O, starts no
 // goroutines and returns no errors. A Holder is not safe for concurrent use. Times are milliseconds on the process's own clock; clocks may
@@ -54,7 +54,7 @@
 	dead          bool // the process is reported dead
 }
 
-// Holder requests and grants leases on behalf of one process.
+// Holder holds the lease of one process: it records the grants that the process gets, and answers requests for grants from others.
 type Holder struct {
 	config    Config
 	place     int
@@ -88,7 +88,7 @@
 // quorum returns the smallest number that is more than half of all places.
 func (h *Holder) quorum() int { return h.config.Places/2 + 1 }
 
-// OnRequest answers a request from the process of a place: whether a lease is granted, and which places this process counts. A place that
+// OnRequest answers a request from the process of a place: whether this process gives the grant, and which places it counts. A place that
 // was not counted, because it had sent no request for a long time, is counted from now on, and gets a grant once every other process can
 // know of it.
 func (h *Holder) OnRequest(now float64, place int) (granted bool, counted PlaceSet) {
@@ -99,7 +99,7 @@
 			g.counted, g.countedSince = true, now
 		}
 		g.dead = false
-		g.lastRequestAt = now // it is counted as if it had been granted a lease, which others may have done
+		g.lastRequestAt = now // it is counted as if it had a grant, because others may have given it one
 		granted = now-g.countedSince >= h.retention()
 	}
 	return granted, h.Counted(now)
--- a/internal/decide/slowstart/slowstart_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -320,8 +320,8 @@
 	}
 }
 
-// TestQuorumsIntersect tries every pair of sets of places that grant leases to two processes: if both processes hold a lease, some place has
-// granted to both of them.
+// TestQuorumsIntersect tries every pair of sets of places that give grants to two processes: if both processes hold a lease, the process of
+// some place has given a grant to both.
 func TestQuorumsIntersect(t *testing.T) {
 	for places := 1; places <= 6; places++ {
 		for a := range 1 << places {
@@ -350,14 +350,14 @@
 		return
 	}
 	if places > 1 && (a|1)&(b|1<<(places-1)) == 0 {
-		t.Fatalf("%d places: grants from %b and from %b both give a lease, but no place granted to both processes", places, a, b)
+		t.Fatalf("%d places: grants from %b and from %b both give a lease, but no place gave a grant to both processes", places, a, b)
 	}
 	if x.Expiry(now) < now || x.Sharers(x.Expiry(now)+1) != 0 && places > 1 {
 		t.Fatalf("%d places: lease from %b expires at %g, want an expiry from 5500 on and no lease after it", places, a, x.Expiry(now))
 	}
 }
 
-// TestUnknownPlaces checks that a process whose place is not in the site file holds no lease, and is granted none.
+// TestUnknownPlaces checks that a process whose place is not in the site file holds no lease, and gets no grant.
 func TestUnknownPlaces(t *testing.T) {
 	h := New(0, Config{Places: 3, LeaseDuration: 1000, Window: 100}, 3)
 	for k := range 3 {
