--- a/internal/decide/nodefailure/nodefailure.go
+++ b/internal/decide/nodefailure/nodefailure.go
@@ -1,4 +1,4 @@
-// Package nodefailure decides when the tasks at a node count as lost because the node failed. A node that is alive reports the end of a task
+// Package nodefailure decides when the tasks at a node count as lost because it failed. A node that is alive reports the end of a task
 // itself; a node that died or is partitioned cannot. The client has to be notified of a loss in time, but a task that is declared lost while
 // it runs is wasted work. So the tasks count as lost only if the node refuses connections, or has been unreachable for long.
 //
--- a/internal/decide/outcome/late.go
+++ b/internal/decide/outcome/late.go
@@ -5,7 +5,7 @@
 // LateAction is what to do with a task that started after its attempt had been abandoned.
 type LateAction uint8
 
-// Actions.
+// Actions for a late start.
 const (
 	Stop  LateAction = iota // stop the task: no client uses it
 	Serve                   // answer the client with it: the client still waits, and no other attempt is open
--- a/internal/decide/slowstart/slowstart_test.go
+++ b/internal/decide/slowstart/slowstart_test.go
@@ -271,7 +271,7 @@
 	}
 }
 
-// TestFaultsAreDetected breaks an assumption of the proof at a time, and checks that the simulation then exceeds the limit.
+// TestFaultsAreDetected breaks one assumption of the proof at a time, and checks that the simulation then exceeds the limit.
 func TestFaultsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
