--- a/cmd/simhost/instance.go
+++ b/cmd/simhost/instance.go
@@ -13,13 +13,13 @@
 	out        *wire.Writer
 	number     uint16
 	jobClasses int    // how many there are
-	round      uint64 // the last batch with an event of this instance
+	lastBatch  uint64 // the last batch with an event of this instance
 }
 
 var _ logic.Effects = (*instance)(nil)
 
-// recoverPanic makes a call and reports a panic in it as a fault of the instance.
-func (i *instance) recoverPanic(call func()) {
+// callWithRecovery makes a call and reports a panic in it as a fault of the instance.
+func (i *instance) callWithRecovery(call func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			i.out.Text(wire.Fault, i.number, fmt.Sprint("panic in a decision: ", p))
@@ -30,7 +30,7 @@
 
 // StartAttempt implements logic.Effects.
 func (i *instance) StartAttempt(alloc, node uint32, timeout float64) {
-	r := i.out.Action(wire.Bind, i.number)
+	r := i.out.Action(wire.StartAttempt, i.number)
 	wire.PutUint32(r, 3, alloc)
 	wire.PutUint32(r, 7, node)
 	wire.PutUint64(r, 11, nanoseconds(timeout))
@@ -38,33 +38,33 @@
 
 // Shed implements logic.Effects.
 func (i *instance) Shed(alloc uint32, retryAfter float64) {
-	r := i.out.Action(wire.Refuse, i.number)
+	r := i.out.Action(wire.Shed, i.number)
 	wire.PutUint32(r, 3, alloc)
 	wire.PutUint64(r, 7, nanoseconds(retryAfter))
 }
 
 // Fail implements logic.Effects.
-func (i *instance) Fail(alloc uint32) { i.writeID(wire.Lose, alloc) }
+func (i *instance) Fail(alloc uint32) { i.writeID(wire.Fail, alloc) }
 
 // Migrate implements logic.Effects.
-func (i *instance) Migrate(alloc uint32) { i.writeID(wire.Shift, alloc) }
+func (i *instance) Migrate(alloc uint32) { i.writeID(wire.Migrate, alloc) }
 
 // Probe implements logic.Effects.
-func (i *instance) Probe(node uint32) { i.writeID(wire.Test, node) }
+func (i *instance) Probe(node uint32) { i.writeID(wire.Probe, node) }
 
 // ReloadList implements logic.Effects.
-func (i *instance) ReloadList() { i.out.Action(wire.Reload, i.number) }
+func (i *instance) ReloadList() { i.out.Action(wire.ReloadList, i.number) }
 
 // Cancel implements logic.Effects.
 func (i *instance) Cancel(alloc uint32, attempt uint8) {
-	r := i.out.Action(wire.Recall, i.number)
+	r := i.out.Action(wire.Cancel, i.number)
 	wire.PutUint32(r, 3, alloc)
 	r[7] = attempt
 }
 
 // WatchList implements logic.Effects.
 func (i *instance) WatchList(active bool) {
-	r := i.out.Action(wire.Follow, i.number)
+	r := i.out.Action(wire.WatchList, i.number)
 	if active {
 		r[3] = 1
 	}
@@ -72,7 +72,7 @@
 
 // SetTimer implements logic.Effects.
 func (i *instance) SetTimer(delay float64, key uint64) {
-	r := i.out.Action(wire.Defer, i.number)
+	r := i.out.Action(wire.SetTimer, i.number)
 	wire.PutUint64(r, 3, nanoseconds(delay))
 	wire.PutUint64(r, 11, key)
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -18,8 +18,8 @@
  "rules": {"cold-ns": 9000000000, "overload-for-ns": 2000000000},
  "services": [{"aim-ns": 700000000, "effect": "free", "worth": 1, "group": "all"}]}`
 
-// frame builds a batch of records, each given as code and fields, and a tail.
-func frame(tail string, records ...[]byte) []byte {
+// batch builds a batch of records, each given as code and fields, and a tail.
+func batch(tail string, records ...[]byte) []byte {
 	b := make([]byte, 16)
 	for _, r := range records {
 		b = append(b, r...)
@@ -47,8 +47,8 @@
 		byte(0))[1:])
 }
 
-// checkFault checks an error for bad input: one line with the cause, and no reply.
-func checkFault(t *testing.T, err error, cause string, reply []byte) {
+// checkInputError checks an error for bad input: one line with the cause, and no reply.
+func checkInputError(t *testing.T, err error, cause string, reply []byte) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), cause) || strings.Contains(err.Error(), "\n") {
 		t.Errorf("error %v, want one line with %q", err, cause)
@@ -58,10 +58,10 @@
 	}
 }
 
-// boundNodes are the nodes to which a reply sends attempts.
-func boundNodes(reply []byte) (nodes []uint32) {
+// attemptedNodes are the nodes to which a reply sends attempts.
+func attemptedNodes(reply []byte) (nodes []uint32) {
 	for b := reply[8:]; len(b) >= 24; b = b[24:] {
-		if b[0] == wire.Bind {
+		if b[0] == wire.StartAttempt {
 			nodes = append(nodes, wire.Uint32(b, 7))
 		}
 	}
@@ -72,54 +72,54 @@
 func TestServe(t *testing.T) {
 	tail := settingsText + entry(77)
 	n := uint32(len(settingsText))
-	create := record(wire.Create, uint16(0), uint64(5), uint32(0), n)
-	table := record(wire.Table, uint32(0), n, uint32(1))
-	sync := record(wire.Sync, uint16(0), byte(1), uint32(1), uint32(0))
-	task := record(wire.Task, uint16(0), uint32(9), byte(0), uint16(0), uint64(1), uint64(6e9), uint64(0), uint64(4),
+	create := record(wire.InstanceCreated, uint16(0), uint64(5), uint32(0), n)
+	table := record(wire.ListEntries, uint32(0), n, uint32(1))
+	sync := record(wire.ListUpdate, uint16(0), byte(1), uint32(1), uint32(0))
+	task := record(wire.TaskRequested, uint16(0), uint32(9), byte(0), uint16(0), uint64(1), uint64(6e9), uint64(0), uint64(4),
 		float32(1), float32(2), byte(0))
-	down := record(wire.Down, uint16(0))
+	down := record(wire.InstanceKilled, uint16(0))
 	for _, c := range []struct {
 		name  string
 		in    []byte
 		binds []uint32 // nodes to which attempts are sent
 		fault string
 	}{
-		{"a task is placed", frame(tail, create, table, sync, task), []uint32{77}, ""},
-		{"killed and created again", frame(tail, create, table, sync, down, create, table, sync, task), []uint32{77}, ""},
-		{"killed with a task waiting", frame(tail, create, table, sync, task, down), nil, ""},
-		{"a number used again", frame(tail+entry(78), create, table, record(wire.Table, uint32(0),
+		{"a task is placed", batch(tail, create, table, sync, task), []uint32{77}, ""},
+		{"killed and created again", batch(tail, create, table, sync, down, create, table, sync, task), []uint32{77}, ""},
+		{"killed with a task waiting", batch(tail, create, table, sync, task, down), nil, ""},
+		{"a number used again", batch(tail+entry(78), create, table, record(wire.ListEntries, uint32(0),
 			n+wire.EntrySize, uint32(1)), sync, task), []uint32{78}, ""},
-		{"events for unknown ids", frame(tail, create, table, sync, record(wire.Lapsed, uint16(0), uint32(1)),
-			record(wire.Echo, uint16(0), uint32(1)), record(wire.Bell, uint16(4), uint64(0))), nil, ""},
-		{"unknown code", frame(tail, record(13, uint16(0))), nil, "unknown event code 13"},
+		{"events for unknown ids", batch(tail, create, table, sync, record(wire.RequestExpired, uint16(0), uint32(1)),
+			record(wire.ProbeResult, uint16(0), uint32(1)), record(wire.TimerFired, uint16(4), uint64(0))), nil, ""},
+		{"unknown code", batch(tail, record(13, uint16(0))), nil, "unknown event code 13"},
 		{
-			"settings that do not parse", frame("{", record(wire.Create, uint16(0), uint64(5), uint32(0), uint32(1))), nil,
+			"settings that do not parse", batch("{", record(wire.InstanceCreated, uint16(0), uint64(5), uint32(0), uint32(1))), nil,
 			"facts do not parse",
 		},
 		{
-			"settings without job classes", frame("{}", record(wire.Create, uint16(0), uint64(5), uint32(0), uint32(2))), nil,
+			"settings without job classes", batch("{}", record(wire.InstanceCreated, uint16(0), uint64(5), uint32(0), uint32(2))), nil,
 			"0 job types",
 		},
-		{"an unknown word in the settings", frame(strings.Replace(tail, `"free", "worth`, `"tree", "worth`, 1), create), nil, "unknown word"},
-		{"list beyond the tail", frame("", table), nil, "impossible tail reference"},
-		{"list number out of range", frame(tail, record(wire.Table, uint32(16), n, uint32(1))), nil, "list number 16"},
+		{"an unknown word in the settings", batch(strings.Replace(tail, `"free", "worth`, `"tree", "worth`, 1), create), nil, "unknown word"},
+		{"list beyond the tail", batch("", table), nil, "impossible tail reference"},
+		{"list number out of range", batch(tail, record(wire.ListEntries, uint32(16), n, uint32(1))), nil, "list number 16"},
 		{
-			"unknown job class", frame(tail, create, table, sync, record(wire.Task, uint16(0), uint32(9), byte(7))), nil,
+			"unknown job class", batch(tail, create, table, sync, record(wire.TaskRequested, uint16(0), uint32(9), byte(7))), nil,
 			"unknown job type 7",
 		},
-		{"cut off", frame(tail, create)[:100], nil, "truncated batch"},
+		{"cut off", batch(tail, create)[:100], nil, "truncated batch"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
 			err := serve(bytes.NewReader(c.in), bufio.NewWriter(&out))
 			if c.fault != "" {
-				checkFault(t, err, c.fault, out.Bytes())
+				checkInputError(t, err, c.fault, out.Bytes())
 				return
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			binds := boundNodes(out.Bytes())
+			binds := attemptedNodes(out.Bytes())
 			if len(binds) != len(c.binds) || len(binds) > 0 && binds[0] != c.binds[0] {
 				t.Errorf("binds to %v, want %v", binds, c.binds)
 			}
--- a/cmd/simhost/server.go
+++ b/cmd/simhost/server.go
@@ -22,7 +22,7 @@
 	out          *wire.Writer
 	instances    []*instance      // by number; nil where none runs
 	lists        [maxLists][]byte // entries of the node lists, by number
-	round        uint64           // number of the present batch
+	batchNumber  uint64           // number of the present batch
 	active       []*instance      // instances with an event in this batch, in order of the first
 	reportBuffer [maxReportFields]float64
 }
@@ -52,7 +52,7 @@
 
 // handleBatch delivers all events of a batch, then lets each instance that had one decide.
 func (s *server) handleBatch(now float64, records int) error {
-	s.round++
+	s.batchNumber++
 	s.active = s.active[:0]
 	for i := range records {
 		if err := s.handleRecord(now, s.in.Record(i)); err != nil {
@@ -61,7 +61,7 @@
 	}
 	for _, inst := range s.active {
 		if s.instances[inst.number] == inst {
-			inst.recoverPanic(func() { inst.scheduler.Decide(now) })
+			inst.callWithRecovery(func() { inst.scheduler.Decide(now) })
 		}
 	}
 	return nil
@@ -70,33 +70,33 @@
 // handleRecord handles an event for the server itself, or passes it to its instance. Events for instances that do not run are ignored.
 func (s *server) handleRecord(now float64, record []byte) error {
 	code := record[0]
-	if code == wire.Table {
+	if code == wire.ListEntries {
 		return s.storeList(record)
 	}
 	number := wire.Uint16(record, 1)
-	if code == wire.Create {
+	if code == wire.InstanceCreated {
 		return s.create(now, number, record)
 	}
-	if code > wire.Bell {
+	if code > wire.TimerFired {
 		return fmt.Errorf("unknown event code %d", code)
 	}
 	if int(number) >= len(s.instances) || s.instances[number] == nil {
 		return nil
 	}
 	inst := s.instances[number]
-	if code == wire.Down {
+	if code == wire.InstanceKilled {
 		s.instances[number] = nil
 		return nil
 	}
-	if inst.round != s.round {
-		inst.round = s.round
+	if inst.lastBatch != s.batchNumber {
+		inst.lastBatch = s.batchNumber
 		s.active = append(s.active, inst)
 	}
-	if (code == wire.Task || code == wire.Found) && int(record[7]) >= inst.jobClasses {
+	if (code == wire.TaskRequested || code == wire.TaskRecovered) && int(record[7]) >= inst.jobClasses {
 		return fmt.Errorf("unknown job type %d", record[7])
 	}
 	var err error
-	inst.recoverPanic(func() { err = s.dispatch(inst.scheduler, code, now, record) })
+	inst.callWithRecovery(func() { err = s.dispatch(inst.scheduler, code, now, record) })
 	return err
 }
 
@@ -128,8 +128,8 @@
 	for int(number) >= len(s.instances) {
 		s.instances = append(s.instances, nil)
 	}
-	inst := &instance{out: s.out, number: number, jobClasses: len(cluster.JobClasses), round: s.round}
-	inst.recoverPanic(func() { inst.scheduler = logic.New(inst, now, wire.Uint64(record, 3), cluster) })
+	inst := &instance{out: s.out, number: number, jobClasses: len(cluster.JobClasses), lastBatch: s.batchNumber}
+	inst.callWithRecovery(func() { inst.scheduler = logic.New(inst, now, wire.Uint64(record, 3), cluster) })
 	s.instances[number] = inst
 	s.active = append(s.active, inst)
 	return nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -17,34 +17,34 @@
 
 // Event codes.
 const (
-	Create    = 0  // an instance starts
-	Echo      = 1  // result of a probe
-	Lapsed    = 2  // a request has expired
-	Confirmed = 3  // an attempt has started its task
-	Table     = 4  // entries of a node list
-	Task      = 5  // a request
-	Settled   = 6  // outcome of an attempt
-	Signal    = 7  // measurement of a running task
-	Sync      = 8  // the node list, or a change of it
-	PeerSays  = 9  // message of another instance
-	Found     = 10 // a running task is recovered
-	Down      = 11 // an instance is killed
-	Bell      = 12 // a timer has fired
+	InstanceCreated = 0  // an instance starts
+	ProbeResult     = 1  // result of a probe
+	RequestExpired  = 2  // a request has expired
+	TaskStarted     = 3  // an attempt has started its task
+	ListEntries     = 4  // entries of a node list
+	TaskRequested   = 5  // a request
+	AttemptOutcome  = 6  // outcome of an attempt
+	TaskMetric      = 7  // measurement of a running task
+	ListUpdate      = 8  // the node list, or a change of it
+	PeerMessage     = 9  // message of another instance
+	TaskRecovered   = 10 // a running task is recovered
+	InstanceKilled  = 11 // an instance is killed
+	TimerFired      = 12 // a timer has fired
 )
 
 // Action codes.
 const (
-	Bind   = 64 // send an attempt
-	Refuse = 65 // final answer: shed
-	Lose   = 66 // final answer: failed
-	Recall = 67 // cancel an attempt
-	Defer  = 68 // set a timer
-	Test   = 69 // probe a node
-	Log    = 72 // log a line
-	Fault  = 73 // report a fault of the instance
-	Follow = 74 // subscribe to the node list
-	Reload = 75 // fetch the node list once
-	Shift  = 76 // migrate a task
+	StartAttempt = 64 // send an attempt
+	Shed         = 65 // final answer: shed
+	Fail         = 66 // final answer: failed
+	Cancel       = 67 // cancel an attempt
+	SetTimer     = 68 // set a timer
+	Probe        = 69 // probe a node
+	Log          = 72 // log a line
+	Fault        = 73 // report a fault of the instance
+	WatchList    = 74 // subscribe to the node list
+	ReloadList   = 75 // fetch the node list once
+	Migrate      = 76 // migrate a task
 )
 
 // Sizes in bytes.
@@ -91,10 +91,10 @@
 	r.frame = r.frame[:0]
 	for len(r.frame) < body { // in steps, so that a wrong length costs no memory
 		step := min(body-len(r.frame), maxReadAhead)
-		at := len(r.frame)
+		offset := len(r.frame)
 		r.frame = append(r.frame, make([]byte, step)...)
-		if n, err := io.ReadFull(r.source, r.frame[at:]); err != nil {
-			return 0, 0, fmt.Errorf("truncated batch: %d of %d bytes", batchHeader+at+n, size)
+		if n, err := io.ReadFull(r.source, r.frame[offset:]); err != nil {
+			return 0, 0, fmt.Errorf("truncated batch: %d of %d bytes", batchHeader+offset+n, size)
 		}
 	}
 	r.records = count
@@ -106,27 +106,27 @@
 
 // Tail is the part of the tail to which the field at a place of a record refers: a number of items, each of a size in bytes. It fails if the
 // reference goes beyond the tail.
-func (r *Reader) Tail(record []byte, at, size int) ([]byte, error) {
+func (r *Reader) Tail(record []byte, offset, size int) ([]byte, error) {
 	tail := r.frame[r.records*EventSize:]
-	from, count := uint64(Uint32(record, at)), uint64(Uint32(record, at+4))
-	if from+count*uint64(size) > uint64(len(tail)) {
+	start, count := uint64(Uint32(record, offset)), uint64(Uint32(record, offset+4))
+	if start+count*uint64(size) > uint64(len(tail)) {
 		return nil, fmt.Errorf("impossible tail reference: %d items of %d bytes at %d, tail of %d bytes",
-			count, size, from, len(tail))
+			count, size, start, len(tail))
 	}
-	return tail[from : from+count*uint64(size)], nil
+	return tail[start : start+count*uint64(size)], nil
 }
 
 // Uint16 reads a number at a place of a record.
-func Uint16(b []byte, at int) uint16 { return binary.BigEndian.Uint16(b[at:]) }
+func Uint16(b []byte, offset int) uint16 { return binary.BigEndian.Uint16(b[offset:]) }
 
 // Uint32 reads a number at a place of a record.
-func Uint32(b []byte, at int) uint32 { return binary.BigEndian.Uint32(b[at:]) }
+func Uint32(b []byte, offset int) uint32 { return binary.BigEndian.Uint32(b[offset:]) }
 
 // Uint64 reads a number at a place of a record.
-func Uint64(b []byte, at int) uint64 { return binary.BigEndian.Uint64(b[at:]) }
+func Uint64(b []byte, offset int) uint64 { return binary.BigEndian.Uint64(b[offset:]) }
 
 // Float32 reads a number of single precision at a place of a record.
-func Float32(b []byte, at int) float64 { return float64(math.Float32frombits(Uint32(b, at))) }
+func Float32(b []byte, offset int) float64 { return float64(math.Float32frombits(Uint32(b, offset))) }
 
 // Writer collects the actions of one reply and sends them in one write.
 type Writer struct {
@@ -142,10 +142,10 @@
 
 // Action adds a record for an instance and returns its bytes, with the fields zeroed. They are valid until the next record is added.
 func (w *Writer) Action(code byte, instance uint16) []byte {
-	at := len(w.frame)
+	offset := len(w.frame)
 	w.frame = append(w.frame, make([]byte, actionSize)...)
 	w.records++
-	record := w.frame[at:]
+	record := w.frame[offset:]
 	record[0] = code
 	PutUint16(record, 1, instance)
 	return record
@@ -170,10 +170,10 @@
 }
 
 // PutUint16 writes a number at a place of a record.
-func PutUint16(b []byte, at int, v uint16) { binary.BigEndian.PutUint16(b[at:], v) }
+func PutUint16(b []byte, offset int, v uint16) { binary.BigEndian.PutUint16(b[offset:], v) }
 
 // PutUint32 writes a number at a place of a record.
-func PutUint32(b []byte, at int, v uint32) { binary.BigEndian.PutUint32(b[at:], v) }
+func PutUint32(b []byte, offset int, v uint32) { binary.BigEndian.PutUint32(b[offset:], v) }
 
 // PutUint64 writes a number at a place of a record.
-func PutUint64(b []byte, at int, v uint64) { binary.BigEndian.PutUint64(b[at:], v) }
+func PutUint64(b []byte, offset int, v uint64) { binary.BigEndian.PutUint64(b[offset:], v) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-func bytesOf(t *testing.T, words string) []byte {
+func decodeHex(t *testing.T, text string) []byte {
 	t.Helper()
-	b, err := hex.DecodeString(strings.ReplaceAll(words, " ", ""))
+	b, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,18 +21,18 @@
 const (
 	emptyBatch = "00000010 00000001f568bf90 00000000"
 	// one bell, then a tail of three bytes
-	bellBatch = "0000004b 0000000000000007 00000001 0c 0003 000000000000004d"
+	timerBatch = "0000004b 0000000000000007 00000001 0c 0003 000000000000004d"
 )
 
 func TestNext(t *testing.T) {
-	bell := bellBatch + strings.Repeat("00", 45) + "616263"
+	timer := timerBatch + strings.Repeat("00", 45) + "616263"
 	for _, c := range []struct {
 		name, in string
 		records  int
 		fault    string // part of the error, or none
 	}{
 		{"empty", emptyBatch, 0, ""},
-		{"bell", bell, 1, ""},
+		{"bell", timer, 1, ""},
 		{"end", "", 0, "EOF"},
 		{"half a header", "00000010 0000", 0, "truncated batch header"},
 		{"half a body", "00000048 0000000000000007 00000001 0c00", 0, "truncated batch"},
@@ -41,7 +41,7 @@
 		{"endless", "ffffffff 0000000000000007 00000000", 0, "impossible batch"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := NewReader(bytes.NewReader(bytesOf(t, c.in)))
+			r := NewReader(bytes.NewReader(decodeHex(t, c.in)))
 			_, n, err := r.Next()
 			if n != c.records || (err == nil) != (c.fault == "") || err != nil && !strings.Contains(err.Error(), c.fault) {
 				t.Fatalf("%d records, %v", n, err)
@@ -54,11 +54,11 @@
 }
 
 func TestTail(t *testing.T) {
-	r := NewReader(bytes.NewReader(bytesOf(t, bellBatch+strings.Repeat("00", 45)+"616263")))
+	r := NewReader(bytes.NewReader(decodeHex(t, timerBatch+strings.Repeat("00", 45)+"616263")))
 	if _, _, err := r.Next(); err != nil {
 		t.Fatal(err)
 	}
-	if rec := r.Record(0); rec[0] != Bell || Uint16(rec, 1) != 3 || Uint64(rec, 3) != 0x4d {
+	if rec := r.Record(0); rec[0] != TimerFired || Uint16(rec, 1) != 3 || Uint64(rec, 3) != 0x4d {
 		t.Errorf("record %x", rec)
 	}
 	for _, c := range []struct {
@@ -73,7 +73,7 @@
 		{"overflow", "ffffffff ffffffff", EntrySize, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := r.Tail(bytesOf(t, c.field), 0, c.size)
+			got, err := r.Tail(decodeHex(t, c.field), 0, c.size)
 			if string(got) != c.want || (err == nil) != (c.want != "") {
 				t.Errorf("%q, %v", got, err)
 			}
@@ -84,7 +84,7 @@
 func TestWriter(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	r := w.Action(Bind, 3)
+	r := w.Action(StartAttempt, 3)
 	PutUint32(r, 3, 0x5d3a91c4)
 	PutUint32(r, 7, 0x03124a07)
 	PutUint64(r, 11, 0x04c4b400)
@@ -94,7 +94,7 @@
 			t.Fatal(err)
 		}
 	}
-	want := bytesOf(t, "00000002 0000003a 40 0003 5d3a91c4 03124a07 0000000004c4b400 0000000000"+
+	want := decodeHex(t, "00000002 0000003a 40 0003 5d3a91c4 03124a07 0000000004c4b400 0000000000"+
 		"48 0005 00000000 00000002"+strings.Repeat("00", 13)+"6869"+"00000000 00000008")
 	if !bytes.Equal(out.Bytes(), want) {
 		t.Errorf("got  %x\nwant %x", out.Bytes(), want)
