--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -71,25 +71,25 @@
 // TestServe plays one batch each: what is bound in the reply, or why the input is refused.
 func TestServe(t *testing.T) {
 	tail := settingsText + entry(77)
-	n := uint32(len(settingsText))
-	create := record(wire.InstanceCreated, uint16(0), uint64(5), uint32(0), n)
-	table := record(wire.ListEntries, uint32(0), n, uint32(1))
-	sync := record(wire.ListUpdate, uint16(0), byte(1), uint32(1), uint32(0))
+	settingsSize := uint32(len(settingsText))
+	create := record(wire.InstanceCreated, uint16(0), uint64(5), uint32(0), settingsSize)
+	listEntries := record(wire.ListEntries, uint32(0), settingsSize, uint32(1))
+	listUpdate := record(wire.ListUpdate, uint16(0), byte(1), uint32(1), uint32(0))
 	task := record(wire.TaskRequested, uint16(0), uint32(9), byte(0), uint16(0), uint64(1), uint64(6e9), uint64(0), uint64(4),
 		float32(1), float32(2), byte(0))
-	down := record(wire.InstanceKilled, uint16(0))
+	killed := record(wire.InstanceKilled, uint16(0))
 	for _, c := range []struct {
 		name  string
 		in    []byte
 		binds []uint32 // nodes to which attempts are sent
 		fault string
 	}{
-		{"a task is placed", batch(tail, create, table, sync, task), []uint32{77}, ""},
-		{"killed and created again", batch(tail, create, table, sync, down, create, table, sync, task), []uint32{77}, ""},
-		{"killed with a task waiting", batch(tail, create, table, sync, task, down), nil, ""},
-		{"a number used again", batch(tail+entry(78), create, table, record(wire.ListEntries, uint32(0),
-			n+wire.EntrySize, uint32(1)), sync, task), []uint32{78}, ""},
-		{"events for unknown ids", batch(tail, create, table, sync, record(wire.RequestExpired, uint16(0), uint32(1)),
+		{"a task is placed", batch(tail, create, listEntries, listUpdate, task), []uint32{77}, ""},
+		{"killed and created again", batch(tail, create, listEntries, listUpdate, killed, create, listEntries, listUpdate, task), []uint32{77}, ""},
+		{"killed with a task waiting", batch(tail, create, listEntries, listUpdate, task, killed), nil, ""},
+		{"a number used again", batch(tail+entry(78), create, listEntries, record(wire.ListEntries, uint32(0),
+			settingsSize+wire.EntrySize, uint32(1)), listUpdate, task), []uint32{78}, ""},
+		{"events for unknown ids", batch(tail, create, listEntries, listUpdate, record(wire.RequestExpired, uint16(0), uint32(1)),
 			record(wire.ProbeResult, uint16(0), uint32(1)), record(wire.TimerFired, uint16(4), uint64(0))), nil, ""},
 		{"unknown code", batch(tail, record(13, uint16(0))), nil, "unknown event code 13"},
 		{
@@ -101,10 +101,10 @@
 			"0 job types",
 		},
 		{"an unknown word in the settings", batch(strings.Replace(tail, `"free", "worth`, `"tree", "worth`, 1), create), nil, "unknown word"},
-		{"list beyond the tail", batch("", table), nil, "impossible tail reference"},
-		{"list number out of range", batch(tail, record(wire.ListEntries, uint32(16), n, uint32(1))), nil, "list number 16"},
+		{"list beyond the tail", batch("", listEntries), nil, "impossible tail reference"},
+		{"list number out of range", batch(tail, record(wire.ListEntries, uint32(16), settingsSize, uint32(1))), nil, "list number 16"},
 		{
-			"unknown job class", batch(tail, create, table, sync, record(wire.TaskRequested, uint16(0), uint32(9), byte(7))), nil,
+			"unknown job class", batch(tail, create, listEntries, listUpdate, record(wire.TaskRequested, uint16(0), uint32(9), byte(7))), nil,
 			"unknown job type 7",
 		},
 		{"cut off", batch(tail, create)[:100], nil, "truncated batch"},
--- a/internal/proto/client/framing.go
+++ b/internal/proto/client/framing.go
@@ -41,9 +41,9 @@
 
 // Splitter splits a stream into messages, in whatever pieces it arrives. The zero value is ready to use.
 type Splitter struct {
-	buffered   []byte
-	haveHeader bool // the header of the next message is complete
-	bodyLength int  // of that message
+	buffered       []byte
+	headerComplete bool // the header of the next message is complete
+	bodyLength     int  // of that message
 }
 
 // Feed takes a piece of the stream and calls onMessage with the body of each message that it completes. A body is valid for that call
@@ -53,7 +53,7 @@
 	consumed := 0
 	defer func() { s.buffered = s.buffered[:copy(s.buffered, s.buffered[consumed:])] }()
 	for {
-		if !s.haveHeader {
+		if !s.headerComplete {
 			end, err := s.readHeader(s.buffered[consumed:])
 			if err != nil || end == 0 {
 				return err
@@ -64,7 +64,7 @@
 			return nil
 		}
 		body := s.buffered[consumed : consumed+s.bodyLength]
-		consumed, s.haveHeader = consumed+s.bodyLength, false
+		consumed, s.headerComplete = consumed+s.bodyLength, false
 		if err := onMessage(body); err != nil {
 			return err
 		}
@@ -87,16 +87,16 @@
 	if s.bodyLength, err = bodyLength(header); err != nil {
 		return 0, err
 	}
-	s.haveHeader = true
+	s.headerComplete = true
 	return end, nil
 }
 
 // headerEnd returns the length of the header block at the start of b: up to its first empty line, whether lines end in CR LF or LF. It
 // returns 0 if there is none.
 func headerEnd(b []byte) (end int) {
-	for _, blank := range []string{"\n\r\n", "\n\n"} {
-		if at := bytes.Index(b, []byte(blank)); at >= 0 && (end == 0 || at+len(blank) < end) {
-			end = at + len(blank)
+	for _, separator := range []string{"\n\r\n", "\n\n"} {
+		if index := bytes.Index(b, []byte(separator)); index >= 0 && (end == 0 || index+len(separator) < end) {
+			end = index + len(separator)
 		}
 	}
 	return end
--- a/internal/proto/client/framing_test.go
+++ b/internal/proto/client/framing_test.go
@@ -31,14 +31,14 @@
 				return nil
 			})
 		}
-		in := &stream{}
-		in.Write(b)
-		c := channel.Header("")(in, in)
+		input := &stream{}
+		input.Write(b)
+		reference := channel.Header("")(input, input)
 		for i, body := range got {
 			if len(body) > MaxBody {
 				t.Fatalf("%d bytes taken", len(body))
 			}
-			want, err := c.Recv()
+			want, err := reference.Recv()
 			if err != nil { // the library takes fewer header blocks, such as those without a CR
 				return
 			}
@@ -52,9 +52,9 @@
 // TestFraming splits what the library frames, and has the library read what AppendMessage frames.
 func TestFraming(t *testing.T) {
 	out := &stream{}
-	c := channel.LSP(out, out)
+	reference := channel.LSP(out, out)
 	for _, body := range []string{`{"a":1}`, ``, `[1,2]`} {
-		if err := c.Send([]byte(body)); err != nil {
+		if err := reference.Send([]byte(body)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -64,9 +64,9 @@
 		strings.Join(got, "|") != `{"a":1}||[1,2]` {
 		t.Errorf("%q, %v", got, err)
 	}
-	back := &stream{}
-	back.Write(AppendMessage(nil, []byte(`{"b":2}`)))
-	if body, err := channel.LSP(back, back).Recv(); err != nil || string(body) != `{"b":2}` {
+	input := &stream{}
+	input.Write(AppendMessage(nil, []byte(`{"b":2}`)))
+	if body, err := channel.LSP(input, input).Recv(); err != nil || string(body) != `{"b":2}` {
 		t.Errorf("%q, %v", body, err)
 	}
 }
--- a/internal/proto/line/fields.go
+++ b/internal/proto/line/fields.go
@@ -43,42 +43,42 @@
 
 // recordError keeps the first error. The field is copied here alone: a string that is made of it in the methods below stays on the
 // stack, so that decoding allocates nothing.
-func (f *Fields) recordError(what string, field []byte, malformed bool) {
+func (f *Fields) recordError(name string, field []byte, malformed bool) {
 	if malformed && f.err == nil {
-		f.err = fmt.Errorf("bad %s %.24q", what, bytes.Clone(field))
+		f.err = fmt.Errorf("bad %s %.24q", name, bytes.Clone(field))
 	}
 }
 
 // Uint takes an unsigned decimal number of at most so many bits.
-func (f *Fields) Uint(what string, bits int) uint64 {
+func (f *Fields) Uint(name string, bits int) uint64 {
 	field := f.next()
 	v, err := strconv.ParseUint(string(field), 10, bits)
-	f.recordError(what, field, err != nil)
+	f.recordError(name, field, err != nil)
 	return v
 }
 
 // Hex takes an unsigned hexadecimal number of at most 64 bits.
-func (f *Fields) Hex(what string) uint64 {
+func (f *Fields) Hex(name string) uint64 {
 	field := f.next()
 	v, err := strconv.ParseUint(string(field), 16, 64)
-	f.recordError(what, field, err != nil)
+	f.recordError(name, field, err != nil)
 	return v
 }
 
 // Float takes a finite decimal number.
-func (f *Fields) Float(what string) float64 {
+func (f *Fields) Float(name string) float64 {
 	field := f.next()
 	v, err := strconv.ParseFloat(string(field), 64)
-	f.recordError(what, field, err != nil || math.IsNaN(v) || math.IsInf(v, 0))
+	f.recordError(name, field, err != nil || math.IsNaN(v) || math.IsInf(v, 0))
 	return v
 }
 
 // Keyword takes one of the keywords and returns its place.
-func (f *Fields) Keyword(what string, keywords []string) int {
+func (f *Fields) Keyword(name string, keywords []string) int {
 	field := f.next()
-	place := slices.Index(keywords, string(field))
-	f.recordError(what, field, place < 0)
-	return max(0, place)
+	index := slices.Index(keywords, string(field))
+	f.recordError(name, field, index < 0)
+	return max(0, index)
 }
 
 // Text takes a field as it is.
--- a/internal/proto/line/line_test.go
+++ b/internal/proto/line/line_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// readAll reads the lines of a stream by the reader.
-func readAll(stream []byte) (lines []string, err error) {
-	in := NewReader(bytes.NewReader(stream))
+// readWithReader reads the lines of a stream by the reader.
+func readWithReader(stream []byte) (lines []string, err error) {
+	reader := NewReader(bytes.NewReader(stream))
 	for {
-		fields, err := in.Next()
+		fields, err := reader.Next()
 		if err != nil {
 			return lines, err
 		}
@@ -22,8 +22,8 @@
 	}
 }
 
-// readPieces reads the lines of a stream by the splitter, in pieces of a size.
-func readPieces(stream []byte, size int) (lines []string, err error) {
+// readWithSplitter reads the lines of a stream by the splitter, in pieces of a size.
+func readWithSplitter(stream []byte, size int) (lines []string, err error) {
 	var s Splitter
 	for at := 0; at < len(stream); at += size {
 		if err := s.Feed(stream[at:min(len(stream), at+size)], func(fields [][]byte) error {
@@ -47,8 +47,8 @@
 	f.Add([]byte("half a line"), 3)
 	f.Fuzz(func(t *testing.T, stream []byte, size int) {
 		size = 1 + max(0, size)%97
-		want, werr := readAll(stream)
-		got, gerr := readPieces(stream, size)
+		want, werr := readWithReader(stream)
+		got, gerr := readWithSplitter(stream, size)
 		if !slices.Equal(want, got) || (werr == nil) != (gerr == nil) || errors.Is(werr, io.EOF) != errors.Is(gerr, io.EOF) {
 			t.Errorf("reader %q %v, splitter %q %v", want, werr, got, gerr)
 		}
--- a/internal/proto/line/splitter.go
+++ b/internal/proto/line/splitter.go
@@ -16,8 +16,8 @@
 // came after it, to be fed.
 func (s *Splitter) Greeting(piece []byte, want string) (header textproto.MIMEHeader, rest []byte, err error) {
 	s.partial = append(s.partial, piece...)
-	if first := bytes.IndexByte(s.partial, '\n'); first >= 0 { // a wrong opening line is reported at once
-		if got := bytes.TrimSuffix(s.partial[:first], []byte("\r")); string(got) != want {
+	if lineEnd := bytes.IndexByte(s.partial, '\n'); lineEnd >= 0 { // a wrong opening line is reported at once
+		if got := bytes.TrimSuffix(s.partial[:lineEnd], []byte("\r")); string(got) != want {
 			return nil, nil, fmt.Errorf("greeting: %.40q, expected %q", got, want)
 		}
 	}
@@ -40,8 +40,8 @@
 func headerEnd(text []byte) (end int, ok bool) {
 	end = -1
 	for _, separator := range []string{"\n\r\n", "\n\n"} {
-		if at := bytes.Index(text, []byte(separator)); at >= 0 && (end < 0 || at+len(separator) < end) {
-			end = at + len(separator)
+		if index := bytes.Index(text, []byte(separator)); index >= 0 && (end < 0 || index+len(separator) < end) {
+			end = index + len(separator)
 		}
 	}
 	return end, end >= 0
@@ -49,7 +49,7 @@
 
 // Feed takes a piece and passes on the fields of each line that it completes; they hold for that call alone. The first error of the
 // stream or of the callee ends it.
-func (s *Splitter) Feed(piece []byte, accept func(fields [][]byte) error) error {
+func (s *Splitter) Feed(piece []byte, onLine func(fields [][]byte) error) error {
 	for len(piece) > 0 {
 		end := bytes.IndexByte(piece, '\n')
 		if end < 0 {
@@ -71,7 +71,7 @@
 		if s.fields, err = splitFields(s.fields[:0], bytes.TrimSuffix(text, []byte("\r"))); err != nil {
 			return err
 		}
-		if err = accept(s.fields); err != nil {
+		if err = onLine(s.fields); err != nil {
 			return err
 		}
 		s.partial = s.partial[:0]
--- a/internal/proto/list/list_test.go
+++ b/internal/proto/list/list_test.go
@@ -31,14 +31,14 @@
 func (r *recorder) OnFailed(reason string) error { r.b = AppendFailed(r.b, reason); return nil }
 
 // checkRoundTrip decodes a line, encodes the result and decodes that again: both results must be the same, whatever the line was.
-func checkRoundTrip(t *testing.T, text []byte, decode func([][]byte, *recorder) error) {
+func checkRoundTrip(t *testing.T, input []byte, decode func([][]byte, *recorder) error) {
 	t.Helper()
 	var first, second recorder
-	if decode(bytes.Fields(text), &first) != nil {
+	if decode(bytes.Fields(input), &first) != nil {
 		return
 	}
 	if err := decode(bytes.Fields(first.b), &second); err != nil || !bytes.Equal(first.b, second.b) {
-		t.Errorf("%q: %q, then %q, %v", text, first.b, second.b, err)
+		t.Errorf("%q: %q, then %q, %v", input, first.b, second.b, err)
 	}
 }
 
--- a/internal/proto/node/decode.go
+++ b/internal/proto/node/decode.go
@@ -94,11 +94,11 @@
 
 func decodeStarted(f *line.Fields, handler Handler) error {
 	attempt := readAttempt(f)
-	took := f.Float("time")
+	startDuration := f.Float("time")
 	if err := f.End(); err != nil {
 		return fmt.Errorf("STARTED: %w", err)
 	}
-	return handler.OnStarted(attempt, took)
+	return handler.OnStarted(attempt, startDuration)
 }
 
 func decodeOutcome(f *line.Fields, handler Handler, buffer []float64) error {
--- a/internal/proto/node/encode.go
+++ b/internal/proto/node/encode.go
@@ -49,8 +49,8 @@
 }
 
 // AppendStarted appends that a task runs, and how long its start took.
-func AppendStarted(b []byte, attempt AttemptID, took float64) []byte {
-	return append(line.AppendNumber(appendAttempt(b, "STARTED", attempt), took), '\n')
+func AppendStarted(b []byte, attempt AttemptID, startDuration float64) []byte {
+	return append(line.AppendNumber(appendAttempt(b, "STARTED", attempt), startDuration), '\n')
 }
 
 // AppendOutcome appends the end of an attempt.
--- a/internal/proto/node/node_test.go
+++ b/internal/proto/node/node_test.go
@@ -67,15 +67,15 @@
 }
 
 // decodeAll decodes a stream as one side does.
-func decodeAll(stream []byte, scheduler bool) ([]string, error) {
-	h, in := &callRecorder{}, line.NewReader(bytes.NewReader(stream))
+func decodeAll(stream []byte, atScheduler bool) ([]string, error) {
+	h, reader := &callRecorder{}, line.NewReader(bytes.NewReader(stream))
 	var buf [MaxReportValues]float64
 	for {
-		fields, err := in.Next()
+		fields, err := reader.Next()
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			return h.lines, nil
 		}
-		if err == nil && scheduler {
+		if err == nil && atScheduler {
 			err = DecodeNode(fields, h, buf[:])
 		} else if err == nil {
 			err = DecodeScheduler(fields, h)
@@ -185,7 +185,7 @@
 		Task: Task{JobClass: 1, Tenant: 2, Service: 0xfeed, Token: 0xbeef, Cores: 1.5, Memory: 2.5},
 	}
 	var out []byte
-	r := &messageReader{}
+	r := &staticReader{}
 	in := line.NewReader(r)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -201,10 +201,10 @@
 	}
 }
 
-// messageReader reads the bytes that it holds.
-type messageReader struct{ b []byte }
+// staticReader reads the bytes that it holds.
+type staticReader struct{ b []byte }
 
-func (l *messageReader) Read(p []byte) (int, error) {
+func (l *staticReader) Read(p []byte) (int, error) {
 	n := copy(p, l.b)
 	l.b = l.b[n:]
 	return n, nil
--- a/internal/proto/platform/append.go
+++ b/internal/proto/platform/append.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// appendHead appends the head of a message; setLength completes it.
-func appendHead(b []byte, kind byte, task uint64) []byte {
+// appendHeader appends the head of a message; setLength completes it.
+func appendHeader(b []byte, kind byte, task uint64) []byte {
 	return binary.BigEndian.AppendUint64(append(b, 0, 0, kind), task)
 }
 
@@ -37,7 +37,7 @@
 // AppendSetUp appends a set-up.
 func AppendSetUp(b []byte, s *SetUp) []byte {
 	start := len(b)
-	b = appendParam(appendHead(b, KindSetUp, s.Task), ParamJobClass, s.JobClass)
+	b = appendParam(appendHeader(b, KindSetUp, s.Task), ParamJobClass, s.JobClass)
 	b = appendParam(b, ParamTimeLeft, strconv.AppendInt(nil, int64(max(1, s.TimeLeft)), 10))
 	b = appendParam(b, ParamName, s.Name)
 	if s.Key != nil {
@@ -48,12 +48,12 @@
 
 // AppendAnswer appends that a task runs, with the description that its node gave.
 func AppendAnswer(b []byte, task uint64, description []byte) []byte {
-	return setLength(appendParam(appendHead(b, KindAnswer, task), ParamDescription, description), len(b))
+	return setLength(appendParam(appendHeader(b, KindAnswer, task), ParamDescription, description), len(b))
 }
 
 // AppendEnd appends an end. Its cause says whether it is a rejection, a failure, a cancellation or the end of a running task.
 func AppendEnd(b []byte, task uint64, cause byte) []byte {
-	return setLength(appendParam(appendHead(b, KindEnd, task), ParamCause, []byte{cause}), len(b))
+	return setLength(appendParam(appendHeader(b, KindEnd, task), ParamCause, []byte{cause}), len(b))
 }
 
 // AppendTest appends a health check, with or without the wish for a load report.
@@ -71,10 +71,10 @@
 	if set {
 		v[0] = 1
 	}
-	return setLength(appendParam(appendHead(b, kind, task), ParamCause, v), len(b))
+	return setLength(appendParam(appendHeader(b, kind, task), ParamCause, v), len(b))
 }
 
 // AppendMove appends that a client is to request a task anew.
 func AppendMove(b []byte, task uint64) []byte {
-	return setLength(appendHead(b, KindMove, task), len(b))
+	return setLength(appendHeader(b, KindMove, task), len(b))
 }
--- a/internal/proto/platform/fields.go
+++ b/internal/proto/platform/fields.go
@@ -26,7 +26,7 @@
 
 // Param returns the value of a parameter. It reports false if the message has none, or has it twice, as nobody could tell which is meant.
 func Param(msg []byte, code byte) (value []byte, ok bool) {
-	for p := msg[headSize:]; len(p) >= paramHeaderSize; {
+	for p := msg[headerSize:]; len(p) >= paramHeaderSize; {
 		size := paramSize(p)
 		if p[0] == code {
 			if ok {
@@ -182,7 +182,7 @@
 	for len(text) > 0 {
 		var field []byte
 		field, text, _ = bytes.Cut(text, []byte(";"))
-		if word, value, _ := bytes.Cut(field, []byte(":")); string(word) == name {
+		if fieldName, value, _ := bytes.Cut(field, []byte(":")); string(fieldName) == name {
 			return parseNumber(value)
 		}
 	}
@@ -191,14 +191,14 @@
 
 // Words of the protocol, indexed by the values of the logic package.
 var (
-	reasonWords = [...]string{"", "no_cores", "no_memory", "queue_full", "not_here", "evicted", "pushed_out", "sent_away"}
-	noteWords   = [...]string{"", "runs", "cores", "memory", "served", "pressure"}
+	reasonNames = [...]string{"", "no_cores", "no_memory", "queue_full", "not_here", "evicted", "pushed_out", "sent_away"}
+	noteNames   = [...]string{"", "runs", "cores", "memory", "served", "pressure"}
 )
 
 // ReasonOf returns the reason that an end gives, logic.ReasonUnknown if it gives none that is known.
 func ReasonOf(msg []byte) logic.Reason {
 	v, _ := Param(msg, ParamReason)
-	for i, w := range reasonWords {
+	for i, w := range reasonNames {
 		if string(v) == w {
 			return logic.Reason(i)
 		}
@@ -209,7 +209,7 @@
 // ParseNote returns what a note measures and the value. It reports false if the note is of no known kind, or lacks the value.
 func ParseNote(msg []byte) (metric logic.TaskMetric, value float64, ok bool) {
 	v, _ := Param(msg, ParamReason)
-	for i, w := range noteWords {
+	for i, w := range noteNames {
 		if i > 0 && string(v) == w {
 			value, ok = Number(msg, ParamValue)
 			metric = logic.TaskMetric(i)
--- a/internal/proto/platform/journal.go
+++ b/internal/proto/platform/journal.go
@@ -59,38 +59,38 @@
 	if e.Hosts == nil && e.Pos > 0 { // the position that is sent every second
 		return e.Pos, nil
 	}
-	return e.Pos, e.apply(reader)
+	return e.Pos, e.deliver(reader)
 }
 
 // ReadInitialEvents reads the events that a scheduler is configured with and returns the position of the last. The error wraps
 // ErrUnreadable; events before the one at fault have been applied then.
 func ReadInitialEvents(text []byte, reader EventReader) (last uint64, err error) {
-	var k struct {
+	var initial struct {
 		Pos     uint64
 		Entries []event
 	}
-	if err := json.Unmarshal(text, &k); err != nil {
+	if err := json.Unmarshal(text, &initial); err != nil {
 		return 0, fmt.Errorf("%w: known events: %w", ErrUnreadable, err)
 	}
-	for i := range k.Entries {
-		if err := k.Entries[i].apply(reader); err != nil {
+	for i := range initial.Entries {
+		if err := initial.Entries[i].deliver(reader); err != nil {
 			return 0, err
 		}
 	}
-	return k.Pos, nil
+	return initial.Pos, nil
 }
 
-// availabilityWords are the states of an endpoint, indexed by logic.Availability.
-var availabilityWords = []string{"gone", "ready", "draining"}
+// availabilityNames are the states of an endpoint, indexed by logic.Availability.
+var availabilityNames = []string{"gone", "ready", "draining"}
 
-// apply checks an event and gives it to the reader.
-func (e *event) apply(reader EventReader) error {
+// deliver checks an event and gives it to the reader.
+func (e *event) deliver(reader EventReader) error {
 	if e.Pos == 0 || e.Hosts == nil {
 		return fmt.Errorf("%w: event %d of the journal without number or nodes", ErrUnreadable, e.Pos)
 	}
 	endpoints := make([]Endpoint, len(e.Hosts.Endpoints))
 	for i, x := range e.Hosts.Endpoints {
-		availability := slices.Index(availabilityWords, x.Status)
+		availability := slices.Index(availabilityNames, x.Status)
 		if availability < 0 || x.Name == "" || x.Address == "" && x.Status != "gone" {
 			return fmt.Errorf("%w: event %d of the journal: node %.*q in state %.*q", ErrUnreadable, e.Pos, maxQuotedInput, x.Name, maxQuotedInput,
 				x.Status)
--- a/internal/proto/platform/journal_test.go
+++ b/internal/proto/platform/journal_test.go
@@ -13,8 +13,8 @@
 	accepts bool
 }
 
-func (x *eventRecorder) BeginEvent(pos uint64, whole bool) bool {
-	x.lines = append(x.lines, fmt.Sprintf("event %d %v", pos, whole))
+func (x *eventRecorder) BeginEvent(pos uint64, snapshot bool) bool {
+	x.lines = append(x.lines, fmt.Sprintf("event %d %v", pos, snapshot))
 	return x.accepts
 }
 
@@ -23,10 +23,10 @@
 		e.FreeCores, " ", e.FreeMemory))
 }
 
-const node = `{"name":"s-1","address":"127.0.0.9:5060","zone":"east","type":"std","group":2,"status":"ready","weight":4,` +
+const endpointJSON = `{"name":"s-1","address":"127.0.0.9:5060","zone":"east","type":"std","group":2,"status":"ready","weight":4,` +
 	`"since_ms":7,"room":[1.5,-2]}`
 
-func TestLine(t *testing.T) {
+func TestReadLine(t *testing.T) {
 	for _, c := range []struct {
 		name, line string
 		takes      bool
@@ -35,11 +35,11 @@
 		bad        bool
 	}{
 		{
-			"an event", `{"pos":41,"hosts":{"index":7,"snapshot":false,"endpoints":[` + node + `]}}`, true, 41,
+			"an event", `{"pos":41,"hosts":{"index":7,"snapshot":false,"endpoints":[` + endpointJSON + `]}}`, true, 41,
 			"event 41 false, s-1 127.0.0.9:5060 east std 2 1 7 1.5 -2", false,
 		},
 		{"the whole list", `{"pos":1,"hosts":{"snapshot":true,"endpoints":[]}}`, true, 1, "event 1 true", false},
-		{"an event that was told before", `{"pos":41,"hosts":{"endpoints":[` + node + `]}}`, false, 41, "event 41 false", false},
+		{"an event that was told before", `{"pos":41,"hosts":{"endpoints":[` + endpointJSON + `]}}`, false, 41, "event 41 false", false},
 		{
 			"gone without an address", `{"pos":2,"hosts":{"endpoints":[{"name":"s-1","status":"gone"}]}}`, true, 2,
 			"event 2 false, s-1    0 0 0 0 0", false,
@@ -49,7 +49,7 @@
 		{"torn", `{"pos":41,"hosts":{"index":7,"snap`, true, 0, "event of the journal", true},
 		{"two in one", `{"pos":41}{"pos":42}`, true, 0, "event of the journal", true},
 		{"no number", `{"hosts":{"endpoints":[]}}`, true, 0, "without number", true},
-		{"a state nobody knows, behind a good one", `{"pos":3,"hosts":{"endpoints":[` + node + `,{"name":"s-2","address":"x",` +
+		{"a state nobody knows, behind a good one", `{"pos":3,"hosts":{"endpoints":[` + endpointJSON + `,{"name":"s-2","address":"x",` +
 			`"status":"odd"}]}}`, true, 3, `"odd"`, true},
 		{"no address", `{"pos":3,"hosts":{"endpoints":[{"name":"s-2","status":"ready"}]}}`, true, 3, "s-2", true},
 		{"words", "hello", true, 0, "line", true},
@@ -72,9 +72,9 @@
 	}
 }
 
-func TestKnown(t *testing.T) {
+func TestReadInitialEvents(t *testing.T) {
 	x := eventRecorder{accepts: true}
-	last, err := ReadInitialEvents([]byte(`{"pos":3,"entries":[{"pos":1,"hosts":{"snapshot":true,"endpoints":[`+node+`]}},{"pos":2,"hosts":`+
+	last, err := ReadInitialEvents([]byte(`{"pos":3,"entries":[{"pos":1,"hosts":{"snapshot":true,"endpoints":[`+endpointJSON+`]}},{"pos":2,"hosts":`+
 		`{"endpoints":[]}}]}`), &x)
 	if got := strings.Join(x.lines, ", "); err != nil || last != 3 || !strings.HasPrefix(got, "event 1 true, s-1 ") ||
 		!strings.HasSuffix(got, "event 2 false") {
@@ -85,9 +85,9 @@
 	}
 }
 
-// FuzzLine looks for lines that panic, or of which a part is applied.
-func FuzzLine(f *testing.F) {
-	f.Add([]byte(`{"pos":41,"hosts":{"index":7,"snapshot":false,"endpoints":[` + node + `]}}`))
+// FuzzReadLine looks for lines that panic, or of which a part is applied.
+func FuzzReadLine(f *testing.F) {
+	f.Add([]byte(`{"pos":41,"hosts":{"index":7,"snapshot":false,"endpoints":[` + endpointJSON + `]}}`))
 	f.Add([]byte(`41`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		x := eventRecorder{accepts: true}
--- a/internal/proto/platform/messages.go
+++ b/internal/proto/platform/messages.go
@@ -20,7 +20,7 @@
 // Sizes of the parts of a message in bytes.
 const (
 	lengthSize      = 2     // length of what follows it, big-endian
-	headSize        = 1 + 8 // kind and task
+	headerSize      = 1 + 8 // kind and task
 	paramHeaderSize = 1 + 2 // code and length of a parameter
 )
 
@@ -74,7 +74,7 @@
 		return nil, 0, nil
 	}
 	n := int(binary.BigEndian.Uint16(b))
-	if n < headSize || n+lengthSize > MaxMessage {
+	if n < headerSize || n+lengthSize > MaxMessage {
 		return nil, 0, fmt.Errorf("%w: a message of %d bytes", ErrUnreadable, n)
 	}
 	if len(b) > lengthSize && !isKnownKind(b[lengthSize]) { // no need to wait for the rest
@@ -84,7 +84,7 @@
 		return nil, 0, nil
 	}
 	msg = b[lengthSize : lengthSize+n]
-	if err := checkParams(msg[headSize:]); err != nil {
+	if err := checkParams(msg[headerSize:]); err != nil {
 		return nil, 0, err
 	}
 	return msg, lengthSize + n, nil
--- a/internal/proto/platform/messages_test.go
+++ b/internal/proto/platform/messages_test.go
@@ -11,12 +11,12 @@
 	"ravenpond/logic"
 )
 
-// raw builds a message with a false length or odd parameters.
-func raw(length int, rest ...byte) []byte {
+// rawMessage builds a message with a false length or odd parameters.
+func rawMessage(length int, rest ...byte) []byte {
 	return append(binary.BigEndian.AppendUint16(nil, uint16(length)), rest...)
 }
 
-func head(kind byte) []byte { return []byte{kind, 0, 0, 0, 0, 0, 0, 0, 7} }
+func header(kind byte) []byte { return []byte{kind, 0, 0, 0, 0, 0, 0, 0, 7} }
 
 func TestNext(t *testing.T) {
 	end := AppendEnd(nil, 7, CauseFull)
@@ -31,21 +31,21 @@
 		{"half a message", end[:8], 0, false},
 		{"a message", end, len(end), false},
 		{"a message and half of the next", append(append([]byte{}, end...), end[:5]...), len(end), false},
-		{"no parameters", raw(9, head(KindMove)...), 11, false},
-		{"too short to name a task", raw(8, head(KindMove)[:8]...), 0, true},
-		{"no bytes", raw(0), 0, true},
-		{"longer than any", raw(MaxMessage-1, head(KindMove)...), 0, true},
-		{"the longest", append(raw(MaxMessage-2, head(KindSetUp)...), append([]byte{9, byte((MaxMessage - 14) >> 8), byte((MaxMessage - 14) & 255)},
+		{"no parameters", rawMessage(9, header(KindMove)...), 11, false},
+		{"too short to name a task", rawMessage(8, header(KindMove)[:8]...), 0, true},
+		{"no bytes", rawMessage(0), 0, true},
+		{"longer than any", rawMessage(MaxMessage-1, header(KindMove)...), 0, true},
+		{"the longest", append(rawMessage(MaxMessage-2, header(KindSetUp)...), append([]byte{9, byte((MaxMessage - 14) >> 8), byte((MaxMessage - 14) & 255)},
 			make([]byte, MaxMessage-14)...)...), MaxMessage, false},
-		{"a kind that nobody sends", raw(9, head(77)...), 0, true},
-		{"such a kind, and the rest is still to come", raw(5000, 77), 0, true},
-		{"half a parameter", raw(11, append(head(KindEnd), ParamCause, 0)...), 0, true},
-		{"a parameter longer than its message", raw(13, append(head(KindEnd), ParamCause, 0, 9, 1)...), 0, true},
+		{"a kind that nobody sends", rawMessage(9, header(77)...), 0, true},
+		{"such a kind, and the rest is still to come", rawMessage(5000, 77), 0, true},
+		{"half a parameter", rawMessage(11, append(header(KindEnd), ParamCause, 0)...), 0, true},
+		{"a parameter longer than its message", rawMessage(13, append(header(KindEnd), ParamCause, 0, 9, 1)...), 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			msg, took, err := Next(c.in)
-			if took != c.took || errors.Is(err, ErrUnreadable) != c.bad || took > 0 && len(msg) != took-2 {
-				t.Errorf("took %d of %d, %v; want %d, unreadable %v", took, len(c.in), err, c.took, c.bad)
+			msg, size, err := Next(c.in)
+			if size != c.took || errors.Is(err, ErrUnreadable) != c.bad || size > 0 && len(msg) != size-2 {
+				t.Errorf("took %d of %d, %v; want %d, unreadable %v", size, len(c.in), err, c.took, c.bad)
 			}
 		})
 	}
@@ -80,9 +80,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := c.build([]byte("before"))
-			msg, took, err := Next(b[6:])
-			if err != nil || took != len(b)-6 || Kind(msg) != c.kind || Task(msg) != 7 {
-				t.Fatalf("% x: took %d, %v", b, took, err)
+			msg, size, err := Next(b[6:])
+			if err != nil || size != len(b)-6 || Kind(msg) != c.kind || Task(msg) != 7 {
+				t.Fatalf("% x: took %d, %v", b, size, err)
 			}
 			for code := range 64 {
 				got, ok := Param(msg, byte(code))
@@ -97,9 +97,9 @@
 	}
 }
 
-// message builds a message with parameters.
-func message(kind byte, params ...any) []byte {
-	b := appendHead(nil, kind, 7)
+// buildMessage builds a message with parameters.
+func buildMessage(kind byte, params ...any) []byte {
+	b := appendHeader(nil, kind, 7)
 	for i := 0; i < len(params); i += 2 {
 		b = appendParam(b, byte(params[i].(int)), []byte(params[i+1].(string)))
 	}
@@ -107,28 +107,28 @@
 }
 
 func TestParam(t *testing.T) {
-	if v, ok := Param(message(KindEnd, ParamCause, "a", ParamCause, "b"), ParamCause); ok {
+	if v, ok := Param(buildMessage(KindEnd, ParamCause, "a", ParamCause, "b"), ParamCause); ok {
 		t.Errorf("one that is there twice: %q", v)
 	}
-	if _, ok := CauseOf(message(KindEnd, ParamCause, "ab")); ok {
+	if _, ok := CauseOf(buildMessage(KindEnd, ParamCause, "ab")); ok {
 		t.Error("a cause of two bytes")
 	}
 	for text, want := range map[string]bool{
 		"1": true, "1.5e3": true, "-2": true, "": false, "NaN": false, "inf": false, "1e999": false,
 		"0x10": false, "7 ": false, strings.Repeat("1", 33): false,
 	} {
-		if _, ok := Number(message(KindSetUp, ParamTimeLeft, text), ParamTimeLeft); ok != want {
+		if _, ok := Number(buildMessage(KindSetUp, ParamTimeLeft, text), ParamTimeLeft); ok != want {
 			t.Errorf("number %q: %v", text, ok)
 		}
 	}
 	for text, want := range map[string]bool{"0123456789abcDEF": true, "0123456789abcde": false, "0123456789abcdeg": false} {
-		if _, ok := Hex(message(KindSetUp, ParamName, text), ParamName, 16); ok != want {
+		if _, ok := Hex(buildMessage(KindSetUp, ParamName, text), ParamName, 16); ok != want {
 			t.Errorf("hex %q: %v", text, ok)
 		}
 	}
 }
 
-func TestAsked(t *testing.T) {
+func TestParseDemand(t *testing.T) {
 	const service = "service:00000000b4d65521"
 	for _, c := range []struct{ text, want string }{
 		{"cores:1;memory:2;" + service, "1 2 b4d65521 "},
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestLoad(t *testing.T) {
+func TestParseReport(t *testing.T) {
 	fields := []string{"x0", "x1"}
 	for _, c := range []struct {
 		text string
@@ -171,45 +171,45 @@
 		{"x0:a;x1:1", nil},
 		{"", nil},
 	} {
-		if got := ParseReport(message(KindEnd, ParamReport, c.text), fields, nil); fmt.Sprint(got) != fmt.Sprint(c.want) {
+		if got := ParseReport(buildMessage(KindEnd, ParamReport, c.text), fields, nil); fmt.Sprint(got) != fmt.Sprint(c.want) {
 			t.Errorf("%q: %v, want %v", c.text, got, c.want)
 		}
 	}
-	if got := ParseReport(message(KindEnd), fields, nil); got != nil {
+	if got := ParseReport(buildMessage(KindEnd), fields, nil); got != nil {
 		t.Errorf("no report: %v", got)
 	}
 }
 
-// TestVerdicts checks what the causes of a node's end prove: two prove that an attempt never ran, and those alone.
-func TestVerdicts(t *testing.T) {
+// TestOutcomesOfCauses checks what the causes of a node's end prove: two prove that an attempt never ran, and those alone.
+func TestOutcomesOfCauses(t *testing.T) {
 	wantBefore := map[int]logic.Outcome{34: logic.Rejected, 102: logic.NotSent, 47: logic.Errored}
 	wantRunning := map[int]logic.Outcome{16: logic.Completed, 31: logic.Cancelled}
-	wanted := func(of map[int]logic.Outcome, cause int) logic.Outcome {
+	wantOutcome := func(of map[int]logic.Outcome, cause int) logic.Outcome {
 		if want, ok := of[cause]; ok {
 			return want
 		}
 		return logic.ConnectionLost
 	}
 	for cause := range 256 {
-		if got, want := VerdictBeforeAnswer(byte(cause)), wanted(wantBefore, cause); got != want {
+		if got, want := VerdictBeforeAnswer(byte(cause)), wantOutcome(wantBefore, cause); got != want {
 			t.Errorf("before, cause %d: %d, want %d", cause, got, want)
 		}
-		if got, want := VerdictOfRunning(byte(cause)), wanted(wantRunning, cause); got != want {
+		if got, want := VerdictOfRunning(byte(cause)), wantOutcome(wantRunning, cause); got != want {
 			t.Errorf("after, cause %d: %d, want %d", cause, got, want)
 		}
 	}
 	for i, w := range []string{"x", "no_cores", "no_memory", "queue_full", "not_here", "evicted", "pushed_out", "sent_away"} {
-		if got := ReasonOf(message(KindEnd, ParamReason, w)); got != logic.Reason(i) {
+		if got := ReasonOf(buildMessage(KindEnd, ParamReason, w)); got != logic.Reason(i) {
 			t.Errorf("%s: %d", w, got)
 		}
 	}
 	for i, w := range []string{"x", "runs", "cores", "memory", "served", "pressure"} {
-		kind, v, ok := ParseNote(message(KindNote, ParamReason, w, ParamValue, "0.5"))
+		kind, v, ok := ParseNote(buildMessage(KindNote, ParamReason, w, ParamValue, "0.5"))
 		if ok != (i > 0) || ok && (kind != logic.TaskMetric(i) || v != 0.5) {
 			t.Errorf("%s: %d %g %v", w, kind, v, ok)
 		}
 	}
-	if _, _, ok := ParseNote(message(KindNote, ParamReason, "cores", ParamValue, "NaN")); ok {
+	if _, _, ok := ParseNote(buildMessage(KindNote, ParamReason, "cores", ParamValue, "NaN")); ok {
 		t.Error("a note without a number")
 	}
 }
@@ -220,13 +220,13 @@
 		Task: 7, JobClass: []byte("batch"), Name: []byte("00ab"), Key: []byte("5c"), Description: []byte("d"), TimeLeft: 100,
 	}))
 	f.Add(AppendEnd(nil, 7, CauseFull))
-	f.Add(raw(11, append(head(KindEnd), ParamCause, 0)...))
+	f.Add(rawMessage(11, append(header(KindEnd), ParamCause, 0)...))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		msg, took, err := Next(b)
-		if took == 0 || err != nil {
+		msg, size, err := Next(b)
+		if size == 0 || err != nil {
 			return
 		}
-		if !bytes.Equal(msg, b[2:took]) {
+		if !bytes.Equal(msg, b[2:size]) {
 			t.Fatal("not the message")
 		}
 		for code := range 256 {
