--- a/cmd/simhost/events.go
+++ b/cmd/simhost/events.go
@@ -9,13 +9,13 @@
 
 const nanosecondsPerMillisecond = 1e6
 
-// listKinds and availabilities map the protocol's numbers.
+// listKinds and availabilities are indexed by the numbers that the protocol uses.
 var (
 	listKinds      = [...]logic.ListKind{logic.ListFull, logic.ListCached, logic.ListChanges, logic.ListFailed}
 	availabilities = [...]logic.Availability{logic.Unavailable, logic.Ready, logic.Draining}
 )
 
-// dispatch decodes an event record and calls the handler. Messages of peers are ignored: this program sends none.
+// dispatch decodes an event record and calls the handler. Messages of peers are ignored, as this program sends none.
 func (s *server) dispatch(handler logic.EventHandler, code byte, now float64, r []byte) error {
 	switch code {
 	case wire.ProbeResult:
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// decodeRequest decodes the fields that Task and Found records share.
+// decodeRequest decodes the fields that TaskRequested and TaskRecovered records share.
 func decodeRequest(r []byte, deadline float64) logic.Request {
 	return logic.Request{
 		Allocation: wire.Uint32(r, 3), Class: int(r[7]), Tenant: int(wire.Uint16(r, 8)), Deadline: deadline,
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// dispatchList delivers a message of the node list from the entries stored before.
+// dispatchList delivers a message of the node list, whose entries storeList has stored.
 func (s *server) dispatchList(handler logic.EventHandler, now float64, r []byte) error {
 	mode, number := r[3], wire.Uint32(r, 8)
 	if int(mode) >= len(listKinds) {
@@ -76,7 +76,7 @@
 	handler.OnListBegin(now, kind)
 	if kind != logic.ListFailed {
 		if number >= maxLists {
-			return fmt.Errorf("impossible list number %d", number)
+			return fmt.Errorf("list number %d out of range", number)
 		}
 		for entries := s.lists[number]; len(entries) >= wire.EntrySize; entries = entries[wire.EntrySize:] {
 			if int(entries[16]) >= len(availabilities) {
@@ -93,12 +93,12 @@
 	return nil
 }
 
-// readMilliseconds reads a time or duration at a place of a record.
+// readMilliseconds returns the time or duration at an offset of a record.
 func readMilliseconds(b []byte, offset int) float64 {
 	return float64(wire.Uint64(b, offset)) / nanosecondsPerMillisecond
 }
 
-// readLoadReport reads the load report at a place of a record; the slice is valid until the next call.
+// readLoadReport returns the load report at an offset of a record. The slice is valid until the next call.
 func (s *server) readLoadReport(b []byte, offset int) []float64 {
 	n := min(int(b[offset]), len(s.reportBuffer))
 	for i := range n {
--- a/cmd/simhost/instance.go
+++ b/cmd/simhost/instance.go
@@ -7,18 +7,18 @@
 	"ravenpond/logic"
 )
 
-// instance runs one scheduler. It implements logic.Effects: each effect is written as an action record.
+// instance runs one scheduler. It implements logic.Effects and writes each effect as an action record.
 type instance struct {
 	scheduler  logic.EventHandler
 	out        *wire.Writer
 	number     uint16
-	jobClasses int    // how many there are
-	lastBatch  uint64 // the last batch with an event of this instance
+	jobClasses int    // number of job classes
+	lastBatch  uint64 // number of the last batch with an event of this instance
 }
 
 var _ logic.Effects = (*instance)(nil)
 
-// callWithRecovery makes a call and reports a panic in it as a fault of the instance.
+// callWithRecovery calls a function and reports a panic in it as a fault of the instance.
 func (i *instance) callWithRecovery(call func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -80,7 +80,7 @@
 // Log implements logic.Effects.
 func (i *instance) Log(line string) { i.out.Text(wire.Log, i.number, line) }
 
-// writeID writes an action whose only field is an id.
+// writeID writes an action whose only field is an ID.
 func (i *instance) writeID(code byte, id uint32) { wire.PutUint32(i.out.Action(code, i.number), 3, id) }
 
 func nanoseconds(milliseconds float64) uint64 {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Simhost runs many schedulers in one process on the bench's wire protocol: it reads batches of events from standard input and writes replies
-// to standard output. Each instance is one placement module (package logic); instances share nothing. A malformed batch ends the process
-// with an error on standard error and status 1, a panic in a decision is reported to the bench as a fault of its instance.
+// Simhost runs many schedulers in one process and speaks the bench's wire protocol: it reads batches of events from standard input and writes
+// replies to standard output. Each instance is one placement module (package logic); instances share nothing. A malformed batch ends the
+// process with an error on standard error and status 1. A panic in a decision is reported to the bench as a fault of its instance.
 package main
 
 import (
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -18,7 +18,7 @@
  "rules": {"cold-ns": 9000000000, "overload-for-ns": 2000000000},
  "services": [{"aim-ns": 700000000, "effect": "free", "worth": 1, "group": "all"}]}`
 
-// batch builds a batch of records, each given as code and fields, and a tail.
+// batch builds a batch from records, each given as its code and fields, and a tail.
 func batch(tail string, records ...[]byte) []byte {
 	b := make([]byte, 16)
 	for _, r := range records {
@@ -36,29 +36,29 @@
 	var b bytes.Buffer
 	b.WriteByte(code)
 	for _, f := range fields {
-		_ = binary.Write(&b, binary.BigEndian, f) // a buffer takes every write
+		_ = binary.Write(&b, binary.BigEndian, f) // writes to a bytes.Buffer do not fail
 	}
 	return b.Bytes()
 }
 
-// entry is a ready node of 32 free cores and 64 free memory.
+// entry builds the list entry of a ready node with 32 free cores and 64 units of free memory.
 func entry(node uint32) string {
 	return string(record(0, float32(64), float32(32), uint64(0), byte(1), node, float32(1), uint16(0), byte(0),
 		byte(0))[1:])
 }
 
-// checkInputError checks an error for bad input: one line with the cause, and no reply.
+// checkInputError checks that malformed input gave an error of one line that names the cause, and no reply.
 func checkInputError(t *testing.T, err error, cause string, reply []byte) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), cause) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("error %v, want one line with %q", err, cause)
+		t.Errorf("got error %v, want one line that contains %q", err, cause)
 	}
 	if len(reply) > 0 {
-		t.Errorf("%d bytes of a reply after bad input", len(reply))
+		t.Errorf("got a reply of %d bytes to malformed input, want none", len(reply))
 	}
 }
 
-// attemptedNodes are the nodes to which a reply sends attempts.
+// attemptedNodes returns the nodes to which a reply sends attempts.
 func attemptedNodes(reply []byte) (nodes []uint32) {
 	for b := reply[8:]; len(b) >= 24; b = b[24:] {
 		if b[0] == wire.StartAttempt {
@@ -68,7 +68,7 @@
 	return nodes
 }
 
-// TestServe plays one batch each: what is bound in the reply, or why the input is refused.
+// TestServe checks for one batch each to which nodes the reply sends attempts, or with which error the batch is rejected.
 func TestServe(t *testing.T) {
 	tail := settingsText + entry(77)
 	settingsSize := uint32(len(settingsText))
@@ -84,14 +84,14 @@
 		binds []uint32 // nodes to which attempts are sent
 		fault string
 	}{
-		{"a task is placed", batch(tail, create, listEntries, listUpdate, task), []uint32{77}, ""},
-		{"killed and created again", batch(tail, create, listEntries, listUpdate, killed, create, listEntries, listUpdate, task), []uint32{77}, ""},
-		{"killed with a task waiting", batch(tail, create, listEntries, listUpdate, task, killed), nil, ""},
-		{"a number used again", batch(tail+entry(78), create, listEntries, record(wire.ListEntries, uint32(0),
+		{"task is placed", batch(tail, create, listEntries, listUpdate, task), []uint32{77}, ""},
+		{"instance killed and created again", batch(tail, create, listEntries, listUpdate, killed, create, listEntries, listUpdate, task), []uint32{77}, ""},
+		{"instance killed with a request waiting", batch(tail, create, listEntries, listUpdate, task, killed), nil, ""},
+		{"list number reused", batch(tail+entry(78), create, listEntries, record(wire.ListEntries, uint32(0),
 			settingsSize+wire.EntrySize, uint32(1)), listUpdate, task), []uint32{78}, ""},
-		{"events for unknown ids", batch(tail, create, listEntries, listUpdate, record(wire.RequestExpired, uint16(0), uint32(1)),
+		{"events for unknown IDs", batch(tail, create, listEntries, listUpdate, record(wire.RequestExpired, uint16(0), uint32(1)),
 			record(wire.ProbeResult, uint16(0), uint32(1)), record(wire.TimerFired, uint16(4), uint64(0))), nil, ""},
-		{"unknown code", batch(tail, record(13, uint16(0))), nil, "unknown event code 13"},
+		{"unknown event code", batch(tail, record(13, uint16(0))), nil, "unknown event code 13"},
 		{
 			"settings that do not parse", batch("{", record(wire.InstanceCreated, uint16(0), uint64(5), uint32(0), uint32(1))), nil,
 			"facts do not parse",
@@ -100,14 +100,14 @@
 			"settings without job classes", batch("{}", record(wire.InstanceCreated, uint16(0), uint64(5), uint32(0), uint32(2))), nil,
 			"0 job types",
 		},
-		{"an unknown word in the settings", batch(strings.Replace(tail, `"free", "worth`, `"tree", "worth`, 1), create), nil, "unknown word"},
-		{"list beyond the tail", batch("", listEntries), nil, "impossible tail reference"},
-		{"list number out of range", batch(tail, record(wire.ListEntries, uint32(16), settingsSize, uint32(1))), nil, "list number 16"},
+		{"unknown keyword in the settings", batch(strings.Replace(tail, `"free", "worth`, `"tree", "worth`, 1), create), nil, "unknown word"},
+		{"list beyond the tail of the batch", batch("", listEntries), nil, "tail reference out of range"},
+		{"list number out of range", batch(tail, record(wire.ListEntries, uint32(16), settingsSize, uint32(1))), nil, "list number 16 out of range"},
 		{
 			"unknown job class", batch(tail, create, listEntries, listUpdate, record(wire.TaskRequested, uint16(0), uint32(9), byte(7))), nil,
-			"unknown job type 7",
+			"unknown job class 7",
 		},
-		{"cut off", batch(tail, create)[:100], nil, "truncated batch"},
+		{"truncated batch", batch(tail, create)[:100], nil, "truncated batch"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -121,7 +121,7 @@
 			}
 			binds := attemptedNodes(out.Bytes())
 			if len(binds) != len(c.binds) || len(binds) > 0 && binds[0] != c.binds[0] {
-				t.Errorf("binds to %v, want %v", binds, c.binds)
+				t.Errorf("got attempts at nodes %v, want %v", binds, c.binds)
 			}
 		})
 	}
--- a/cmd/simhost/server.go
+++ b/cmd/simhost/server.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	maxLists        = 16 // node lists that batches may refer to
+	maxLists        = 16 // number of node lists that batches may refer to
 	maxReportFields = 4
 )
 
-// server holds the instances and the node lists. It runs on one goroutine.
+// server holds the instances and the node lists. It must be used by one goroutine only.
 type server struct {
 	in           *wire.Reader
 	out          *wire.Writer
-	instances    []*instance      // by number; nil where none runs
+	instances    []*instance      // by number; nil if the instance does not run
 	lists        [maxLists][]byte // entries of the node lists, by number
-	batchNumber  uint64           // number of the present batch
-	active       []*instance      // instances with an event in this batch, in order of the first
+	batchNumber  uint64           // number of the current batch
+	active       []*instance      // instances with an event in this batch, in the order of their first events
 	reportBuffer [maxReportFields]float64
 }
 
-// serve answers batch after batch until the input ends.
+// serve answers the batches one by one until the input ends.
 func serve(in io.Reader, out *bufio.Writer) error {
 	s := &server{in: wire.NewReader(in), out: wire.NewWriter(out)}
 	for {
@@ -50,7 +50,7 @@
 	}
 }
 
-// handleBatch delivers all events of a batch, then lets each instance that had one decide.
+// handleBatch delivers all events of a batch, then calls Decide of each instance that had an event.
 func (s *server) handleBatch(now float64, records int) error {
 	s.batchNumber++
 	s.active = s.active[:0]
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// handleRecord handles an event for the server itself, or passes it to its instance. Events for instances that do not run are ignored.
+// handleRecord handles an event for the server itself or passes it to its instance. Events for instances that do not run are ignored.
 func (s *server) handleRecord(now float64, record []byte) error {
 	code := record[0]
 	if code == wire.ListEntries {
@@ -93,18 +93,18 @@
 		s.active = append(s.active, inst)
 	}
 	if (code == wire.TaskRequested || code == wire.TaskRecovered) && int(record[7]) >= inst.jobClasses {
-		return fmt.Errorf("unknown job type %d", record[7])
+		return fmt.Errorf("unknown job class %d", record[7])
 	}
 	var err error
 	inst.callWithRecovery(func() { err = s.dispatch(inst.scheduler, code, now, record) })
 	return err
 }
 
-// storeList keeps the entries of a node list, to which later events refer.
+// storeList stores the entries of a node list, to which later events refer.
 func (s *server) storeList(record []byte) error {
 	number := wire.Uint32(record, 1)
 	if number >= maxLists {
-		return fmt.Errorf("impossible list number %d", number)
+		return fmt.Errorf("list number %d out of range", number)
 	}
 	entries, err := s.in.Tail(record, 5, wire.EntrySize)
 	if err != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,9 +1,9 @@
-// Package wire reads batches of event records and writes replies of action records of the bench's protocol: frames, records of fixed size, and
-// the tail with fields of variable size. It knows the framing and the codes, not the fields; all numbers are big-endian. The codes have the
-// protocol's names.
+// Package wire reads batches of event records and writes replies of action records in the bench's protocol. A batch or reply is a frame of
+// records of fixed size, followed by a tail that holds the fields of variable size. The package knows the framing and the codes, but not the
+// layout of the records; all numbers are big-endian. The comment of a code begins with its name in the protocol.
 //
-// A Reader and a Writer each belong to one goroutine. Reader.Next returns io.EOF at a regular end of input; any other error means that the
-// input is malformed and reading cannot go on.
+// A Reader and a Writer must each be used by one goroutine only. Reader.Next returns io.EOF at a regular end of input; any other error means
+// that the input is malformed and reading cannot go on.
 package wire
 
 import (
@@ -17,34 +17,34 @@
 
 // Event codes.
 const (
-	InstanceCreated = 0  // an instance starts
-	ProbeResult     = 1  // result of a probe
-	RequestExpired  = 2  // a request has expired
-	TaskStarted     = 3  // an attempt has started its task
-	ListEntries     = 4  // entries of a node list
-	TaskRequested   = 5  // a request
-	AttemptOutcome  = 6  // outcome of an attempt
-	TaskMetric      = 7  // measurement of a running task
-	ListUpdate      = 8  // the node list, or a change of it
-	PeerMessage     = 9  // message of another instance
-	TaskRecovered   = 10 // a running task is recovered
-	InstanceKilled  = 11 // an instance is killed
-	TimerFired      = 12 // a timer has fired
+	InstanceCreated = 0  // Create: an instance starts
+	ProbeResult     = 1  // Echo: the result of a probe
+	RequestExpired  = 2  // Lapsed: a request has expired
+	TaskStarted     = 3  // Confirmed: an attempt has started its task
+	ListEntries     = 4  // Table: entries of a node list
+	TaskRequested   = 5  // Task: a client requests a task
+	AttemptOutcome  = 6  // Settled: the outcome of an attempt
+	TaskMetric      = 7  // Signal: a measurement of a running task
+	ListUpdate      = 8  // Sync: the node list, or a change of it
+	PeerMessage     = 9  // PeerSays: a message of another instance
+	TaskRecovered   = 10 // Found: a running task is recovered
+	InstanceKilled  = 11 // Down: an instance is killed
+	TimerFired      = 12 // Bell: a timer has fired
 )
 
 // Action codes.
 const (
-	StartAttempt = 64 // send an attempt
-	Shed         = 65 // final answer: shed
-	Fail         = 66 // final answer: failed
-	Cancel       = 67 // cancel an attempt
-	SetTimer     = 68 // set a timer
-	Probe        = 69 // probe a node
-	Log          = 72 // log a line
-	Fault        = 73 // report a fault of the instance
-	WatchList    = 74 // subscribe to the node list
-	ReloadList   = 75 // fetch the node list once
-	Migrate      = 76 // migrate a task
+	StartAttempt = 64 // Bind: send an attempt
+	Shed         = 65 // Refuse: give the final answer that the request is shed
+	Fail         = 66 // Lose: give the final answer that the request has failed
+	Cancel       = 67 // Recall: cancel an attempt
+	SetTimer     = 68 // Defer: set a timer
+	Probe        = 69 // Test: probe a node
+	Log          = 72 // Log: log a line
+	Fault        = 73 // Fault: report a fault of the instance
+	WatchList    = 74 // Follow: subscribe to the node list, or end the subscription
+	ReloadList   = 75 // Reload: fetch the node list once
+	Migrate      = 76 // Shift: migrate a task
 )
 
 // Sizes in bytes.
@@ -57,7 +57,7 @@
 	actionSize   = 24
 	maxFrame     = 1 << 30
 	readBuffer   = 1 << 16
-	maxReadAhead = 1 << 20 // memory that is allocated before the bytes for it have arrived
+	maxReadAhead = 1 << 20 // most that is allocated ahead of the received bytes
 )
 
 // Reader reads batches from a stream. Its buffer is reused: records and tails are valid until the next call of Next.
@@ -67,13 +67,13 @@
 	records int
 }
 
-// NewReader reads batches from source.
+// NewReader returns a Reader of the batches in source.
 func NewReader(source io.Reader) *Reader {
 	return &Reader{source: bufio.NewReaderSize(source, readBuffer)}
 }
 
-// Next reads one batch and returns its clock in nanoseconds and its number of records. The error is io.EOF only where the stream ends between
-// two batches.
+// Next reads one batch and returns its time in nanoseconds and its number of records. The error is io.EOF only if the stream ends between two
+// batches.
 func (r *Reader) Next() (clock uint64, records int, err error) {
 	var head [batchHeader]byte
 	if n, err := io.ReadFull(r.source, head[:]); err != nil {
@@ -85,11 +85,11 @@
 	size := int(binary.BigEndian.Uint32(head[0:]))
 	count := int(binary.BigEndian.Uint32(head[12:]))
 	if size < batchHeader || size > maxFrame || count > (size-batchHeader)/EventSize {
-		return 0, 0, fmt.Errorf("impossible batch: %d bytes for %d records", size, count)
+		return 0, 0, fmt.Errorf("invalid batch: %d bytes for %d records", size, count)
 	}
 	body := size - batchHeader
 	r.frame = r.frame[:0]
-	for len(r.frame) < body { // in steps, so that a wrong length costs no memory
+	for len(r.frame) < body { // in steps, so that a wrong length allocates at most maxReadAhead bytes in vain
 		step := min(body-len(r.frame), maxReadAhead)
 		offset := len(r.frame)
 		r.frame = append(r.frame, make([]byte, step)...)
@@ -101,46 +101,46 @@
 	return binary.BigEndian.Uint64(head[4:]), count, nil
 }
 
-// Record is the i-th event record of the batch, code included.
+// Record returns the i-th event record of the batch, its code included.
 func (r *Reader) Record(i int) []byte { return r.frame[i*EventSize : (i+1)*EventSize] }
 
-// Tail is the part of the tail to which the field at a place of a record refers: a number of items, each of a size in bytes. It fails if the
-// reference goes beyond the tail.
+// Tail returns the part of the tail that the field at an offset of a record refers to. The field holds a position in the tail and a number of
+// items, each of size bytes. The error says that the reference goes beyond the tail.
 func (r *Reader) Tail(record []byte, offset, size int) ([]byte, error) {
 	tail := r.frame[r.records*EventSize:]
 	start, count := uint64(Uint32(record, offset)), uint64(Uint32(record, offset+4))
 	if start+count*uint64(size) > uint64(len(tail)) {
-		return nil, fmt.Errorf("impossible tail reference: %d items of %d bytes at %d, tail of %d bytes",
+		return nil, fmt.Errorf("tail reference out of range: %d items of %d bytes at %d, tail of %d bytes",
 			count, size, start, len(tail))
 	}
 	return tail[start : start+count*uint64(size)], nil
 }
 
-// Uint16 reads a number at a place of a record.
+// Uint16 returns the 16-bit number at an offset of a record.
 func Uint16(b []byte, offset int) uint16 { return binary.BigEndian.Uint16(b[offset:]) }
 
-// Uint32 reads a number at a place of a record.
+// Uint32 returns the 32-bit number at an offset of a record.
 func Uint32(b []byte, offset int) uint32 { return binary.BigEndian.Uint32(b[offset:]) }
 
-// Uint64 reads a number at a place of a record.
+// Uint64 returns the 64-bit number at an offset of a record.
 func Uint64(b []byte, offset int) uint64 { return binary.BigEndian.Uint64(b[offset:]) }
 
-// Float32 reads a number of single precision at a place of a record.
+// Float32 returns the single-precision number at an offset of a record.
 func Float32(b []byte, offset int) float64 { return float64(math.Float32frombits(Uint32(b, offset))) }
 
-// Writer collects the actions of one reply and sends them in one write.
+// Writer collects the action records of a reply and sends the reply in one write.
 type Writer struct {
 	destination io.Writer
 	frame, tail []byte
 	records     int
 }
 
-// NewWriter writes replies to destination.
+// NewWriter returns a Writer that sends replies to destination.
 func NewWriter(destination io.Writer) *Writer {
 	return &Writer{destination: destination, frame: make([]byte, replyHeader)}
 }
 
-// Action adds a record for an instance and returns its bytes, with the fields zeroed. They are valid until the next record is added.
+// Action adds a record of an instance's action and returns its bytes, with the fields zeroed. They are valid until the next record is added.
 func (w *Writer) Action(code byte, instance uint16) []byte {
 	offset := len(w.frame)
 	w.frame = append(w.frame, make([]byte, actionSize)...)
@@ -151,7 +151,7 @@
 	return record
 }
 
-// Text adds a record whose field at byte 3 refers to a text in the tail.
+// Text adds a record whose field at offset 3 refers to a text, which it adds to the tail.
 func (w *Writer) Text(code byte, instance uint16, text string) {
 	record := w.Action(code, instance)
 	PutUint32(record, 3, uint32(len(w.tail)))
@@ -159,7 +159,7 @@
 	w.tail = append(w.tail, text...)
 }
 
-// Flush sends the reply and begins the next.
+// Flush sends the reply and begins the next one.
 func (w *Writer) Flush() error {
 	w.frame = append(w.frame, w.tail...)
 	PutUint32(w.frame, 0, uint32(w.records))
@@ -169,11 +169,11 @@
 	return err
 }
 
-// PutUint16 writes a number at a place of a record.
+// PutUint16 writes a 16-bit number at an offset of a record.
 func PutUint16(b []byte, offset int, v uint16) { binary.BigEndian.PutUint16(b[offset:], v) }
 
-// PutUint32 writes a number at a place of a record.
+// PutUint32 writes a 32-bit number at an offset of a record.
 func PutUint32(b []byte, offset int, v uint32) { binary.BigEndian.PutUint32(b[offset:], v) }
 
-// PutUint64 writes a number at a place of a record.
+// PutUint64 writes a 64-bit number at an offset of a record.
 func PutUint64(b []byte, offset int, v uint64) { binary.BigEndian.PutUint64(b[offset:], v) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -20,7 +20,7 @@
 
 const (
 	emptyBatch = "00000010 00000001f568bf90 00000000"
-	// one bell, then a tail of three bytes
+	// timerBatch holds the start of a batch with one TimerFired record; 45 zero bytes and a tail of three bytes complete it.
 	timerBatch = "0000004b 0000000000000007 00000001 0c 0003 000000000000004d"
 )
 
@@ -29,25 +29,25 @@
 	for _, c := range []struct {
 		name, in string
 		records  int
-		fault    string // part of the error, or none
+		fault    string // part of the expected error; empty if none is expected
 	}{
-		{"empty", emptyBatch, 0, ""},
-		{"bell", timer, 1, ""},
-		{"end", "", 0, "EOF"},
-		{"half a header", "00000010 0000", 0, "truncated batch header"},
-		{"half a body", "00000048 0000000000000007 00000001 0c00", 0, "truncated batch"},
-		{"length under the header", "0000000f 0000000000000007 00000000", 0, "impossible batch"},
-		{"more records than bytes", "00000048 0000000000000007 00000002", 0, "impossible batch"},
-		{"endless", "ffffffff 0000000000000007 00000000", 0, "impossible batch"},
+		{"batch without records", emptyBatch, 0, ""},
+		{"batch with one record and a tail", timer, 1, ""},
+		{"end of input", "", 0, "EOF"},
+		{"truncated header", "00000010 0000", 0, "truncated batch header"},
+		{"truncated body", "00000048 0000000000000007 00000001 0c00", 0, "truncated batch"},
+		{"length smaller than the header", "0000000f 0000000000000007 00000000", 0, "invalid batch"},
+		{"more records than the length allows", "00000048 0000000000000007 00000002", 0, "invalid batch"},
+		{"length above the limit", "ffffffff 0000000000000007 00000000", 0, "invalid batch"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := NewReader(bytes.NewReader(decodeHex(t, c.in)))
 			_, n, err := r.Next()
 			if n != c.records || (err == nil) != (c.fault == "") || err != nil && !strings.Contains(err.Error(), c.fault) {
-				t.Fatalf("%d records, %v", n, err)
+				t.Fatalf("got %d records, error %v; want %d records, error %q", n, err, c.records, c.fault)
 			}
 			if c.fault == "EOF" && !errors.Is(err, io.EOF) {
-				t.Fatal("the end of input is not io.EOF")
+				t.Fatal("got another error than io.EOF at the end of input")
 			}
 		})
 	}
@@ -59,23 +59,23 @@
 		t.Fatal(err)
 	}
 	if rec := r.Record(0); rec[0] != TimerFired || Uint16(rec, 1) != 3 || Uint64(rec, 3) != 0x4d {
-		t.Errorf("record %x", rec)
+		t.Errorf("got record %x, want TimerFired of instance 3 with key 0x4d", rec)
 	}
 	for _, c := range []struct {
 		name, field string
 		size        int
 		want        string
 	}{
-		{"all", "00000000 00000003", 1, "abc"},
-		{"part", "00000001 00000001", 1, "b"},
-		{"past the end", "00000001 00000003", 1, ""},
-		{"entries past the end", "00000000 00000001", EntrySize, ""},
-		{"overflow", "ffffffff ffffffff", EntrySize, ""},
+		{"whole tail", "00000000 00000003", 1, "abc"},
+		{"part of the tail", "00000001 00000001", 1, "b"},
+		{"beyond the end", "00000001 00000003", 1, ""},
+		{"entry beyond the end", "00000000 00000001", EntrySize, ""},
+		{"largest position and count", "ffffffff ffffffff", EntrySize, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := r.Tail(decodeHex(t, c.field), 0, c.size)
 			if string(got) != c.want || (err == nil) != (c.want != "") {
-				t.Errorf("%q, %v", got, err)
+				t.Errorf("got %q, error %v; want %q", got, err, c.want)
 			}
 		})
 	}
