--- a/internal/proto/node/decode.go
+++ b/internal/proto/node/decode.go
@@ -7,7 +7,7 @@
 	"ravenpond/internal/proto/line"
 )
 
-// DecodeScheduler decodes a scheduler's line into a call of the handler.
+// DecodeScheduler decodes a line that a scheduler sent and calls the handler's method for the message.
 func DecodeScheduler(fields [][]byte, handler SchedulerHandler) error {
 	f := line.NewFields(fields)
 	switch string(fields[0]) {
@@ -49,7 +49,7 @@
 	return handler.OnOffer(o)
 }
 
-// decodeAttemptRequest decodes a message that holds nothing but an attempt.
+// decodeAttemptRequest decodes a message whose only fields are those of an attempt ID.
 func decodeAttemptRequest(f *line.Fields, keyword []byte, handler SchedulerHandler) error {
 	attempt := readAttempt(f)
 	if err := f.End(); err != nil {
@@ -65,7 +65,8 @@
 	}
 }
 
-// DecodeNode decodes a node's line into a call of the handler. Load reports are read into the buffer, which the caller reuses.
+// DecodeNode decodes a line that a node sent and calls the handler's method for the message. Load reports are read into the buffer, which the
+// caller may reuse for the next line.
 func DecodeNode(fields [][]byte, handler Handler, buffer []float64) error {
 	f := line.NewFields(fields)
 	switch string(fields[0]) {
@@ -163,7 +164,7 @@
 	}
 }
 
-// readReport reads the rest of a line into the buffer.
+// readReport appends the remaining fields of a line, which are the values of a load report, to the buffer.
 func readReport(f *line.Fields, buffer []float64) ([]float64, error) {
 	if f.Remaining() > MaxReportValues {
 		return nil, fmt.Errorf("report of %d values, at most %d", f.Remaining(), MaxReportValues)
--- a/internal/proto/node/encode.go
+++ b/internal/proto/node/encode.go
@@ -2,7 +2,7 @@
 
 import "ravenpond/internal/proto/line"
 
-// AppendOffer appends an offer.
+// AppendOffer appends an OFFER message, which asks a node to start a task.
 func AppendOffer(b []byte, o Offer) []byte {
 	b = appendAttempt(b, "OFFER", o.Attempt)
 	b = line.AppendInt(b, uint64(o.Epoch))
@@ -12,17 +12,17 @@
 	return append(b, '\n')
 }
 
-// AppendRecall appends the request to hand an attempt back unless its task runs.
+// AppendRecall appends the request to withdraw an attempt unless its task already runs.
 func AppendRecall(b []byte, attempt AttemptID) []byte {
 	return append(appendAttempt(b, "RECALL", attempt), '\n')
 }
 
-// AppendStop appends the request to end a task, or to hand back what does not run yet.
+// AppendStop appends the request to stop the task of an attempt, or to withdraw the attempt if the task does not run yet.
 func AppendStop(b []byte, attempt AttemptID) []byte {
 	return append(appendAttempt(b, "STOP", attempt), '\n')
 }
 
-// AppendClaim appends the question what became of an attempt. One that has not arrived is barred.
+// AppendClaim appends the query for the state or outcome of an attempt. An attempt that has not arrived becomes barred.
 func AppendClaim(b []byte, attempt AttemptID) []byte {
 	return append(appendAttempt(b, "CLAIM", attempt), '\n')
 }
@@ -32,10 +32,10 @@
 	return append(line.AppendInt(append(b, "PROBE"...), sequence), '\n')
 }
 
-// AppendResync appends the request to name all held tasks again.
+// AppendResync appends the request to list all held tasks again.
 func AppendResync(b []byte) []byte { return append(b, "TELL\n"...) }
 
-// AppendPing appends the request for a sign of life.
+// AppendPing appends a keep-alive request, which the node answers with a pong.
 func AppendPing(b []byte, sentAt float64) []byte {
 	return append(line.AppendNumber(append(b, "PING"...), sentAt), '\n')
 }
@@ -43,17 +43,17 @@
 // AppendPong appends the answer to a ping.
 func AppendPong(b []byte) []byte { return append(b, "PONG\n"...) }
 
-// AppendBye appends why the connection is closed.
+// AppendBye appends the reason for which the sender closes the connection.
 func AppendBye(b []byte, reason string) []byte {
 	return append(line.AppendText(append(b, "BYE"...), line.EscapeText(reason)), '\n')
 }
 
-// AppendStarted appends that a task runs, and how long its start took.
+// AppendStarted appends the notice that a task runs, and how long its start took.
 func AppendStarted(b []byte, attempt AttemptID, startDuration float64) []byte {
 	return append(line.AppendNumber(appendAttempt(b, "STARTED", attempt), startDuration), '\n')
 }
 
-// AppendOutcome appends the end of an attempt.
+// AppendOutcome appends the outcome of an attempt.
 func AppendOutcome(b []byte, o Outcome) []byte {
 	b = appendAttempt(b, "SETTLED", o.Attempt)
 	b = line.AppendText(b, OutcomeNames[o.Result])
@@ -61,7 +61,7 @@
 	return appendReportValues(b, o.Report)
 }
 
-// AppendNote appends something that the node observed of a running task.
+// AppendNote appends a measurement that the node made of a running task.
 func AppendNote(b []byte, n Note) []byte {
 	b = line.AppendText(appendAttempt(b, "NOTED", n.Attempt), NoteNames[n.Kind])
 	return append(line.AppendNumber(b, n.Value), '\n')
@@ -78,16 +78,16 @@
 	return appendReportValues(line.AppendInt(append(b, "REPORTED"...), sequence), report)
 }
 
-// AppendHeld appends a task that the node holds for the scheduler.
+// AppendHeld appends one entry of the list of tasks that the node holds for the scheduler.
 func AppendHeld(b []byte, h HeldTask) []byte {
 	b = line.AppendText(appendAttempt(b, "HELD", h.Attempt), StateNames[h.State])
 	return append(appendTask(b, &h.Task), '\n')
 }
 
-// AppendHeldAll appends the end of the held tasks.
+// AppendHeldAll appends the end of the list of held tasks.
 func AppendHeldAll(b []byte) []byte { return append(b, "HELD-ALL\n"...) }
 
-// appendAttempt appends the keyword of a message and the attempt that it is about.
+// appendAttempt appends the keyword of a message and the ID of the attempt that it is about.
 func appendAttempt(b []byte, keyword string, attempt AttemptID) []byte {
 	b = append(b, keyword...)
 	b = line.AppendHex(b, attempt.Ticket)
@@ -103,7 +103,7 @@
 	return line.AppendNumber(b, t.Memory)
 }
 
-// appendReportValues appends a load report and ends the line.
+// appendReportValues appends the values of a load report and ends the line.
 func appendReportValues(b []byte, report []float64) []byte {
 	for _, value := range report {
 		b = line.AppendNumber(b, value)
--- a/internal/proto/node/node.go
+++ b/internal/proto/node/node.go
@@ -1,33 +1,33 @@
-// Package node is the protocol between a scheduler and a node, as docs/protocols/node.md describes it. A message is a line of
-// fields (package proto/line). The Append functions encode messages; DecodeScheduler and DecodeNode decode a line into one
-// call of a handler.
+// Package node encodes and decodes the messages of the protocol between a scheduler and a node, which docs/protocols/node.md describes. A
+// message is a line of fields (package proto/line). The Append functions encode messages; DecodeScheduler and DecodeNode decode a line and
+// call one method of a handler.
 //
-// The package holds no state, does no I/O and starts no goroutine. Decoding returns an error for a line that does not
-// follow the grammar, or the handler's own error; the connection should then be closed. Times and durations are in ms.
+// The package holds no state, does no I/O and starts no goroutine. Decoding returns an error for a line that does not follow the grammar, or
+// the error that the handler returned; in both cases the connection should be closed. Times and durations are in ms.
 package node
 
 import "ravenpond/logic"
 
-// GreetingLine is the first line of both sides. Its version is raised when an older peer would misread a line.
+// GreetingLine is the first line that each side sends. Its version is raised when an older peer would misread a line.
 const GreetingLine = "RAVENPOND-NODE 1"
 
-// Timeouts of the protocol, in ms. A scheduler pings at an interval; either side closes a connection on which it has received
-// nothing for the silence timeout.
+// Timeouts of the protocol, in ms. A scheduler sends a ping every PingInterval. Either side closes a connection on which it has received
+// nothing for SilenceTimeout.
 const (
 	PingInterval     = 2000
 	SilenceTimeout   = 7000
 	HandshakeTimeout = 2000 // from connecting to the end of the greeting
-	WriteTimeout     = 4000 // a write that takes longer closes the connection
+	WriteTimeout     = 4000 // the connection is closed if a write takes longer
 )
 
-// MaxReportValues is how many values a load report holds at most.
+// MaxReportValues is the maximum number of values in a load report.
 const MaxReportValues = 4
 
-// OutcomeNames are the outcomes of an attempt as they are written. Refused and barred prove that the task never ran: a barred
-// attempt had not arrived when it was claimed, and will be refused if it still arrives.
+// OutcomeNames are the outcomes of an attempt as they are encoded. The outcomes refused and barred prove that the task never ran: a barred
+// attempt had not arrived when it was claimed, and will be refused if it arrives later.
 var OutcomeNames = []string{"ended", "error", "refused", "barred", "lost", "stopped", "unknown"}
 
-// Places in OutcomeNames.
+// Indexes into OutcomeNames.
 const (
 	OutcomeEnded = iota
 	OutcomeErrored
@@ -35,36 +35,37 @@
 	OutcomeBarred
 	OutcomeLost
 	OutcomeStopped
-	OutcomeUnknown // answers a claim of an attempt that the node has forgotten: the task may have run
+	OutcomeUnknown // the node has no record of the claimed attempt; its task may have run
 )
 
-// ReasonNames are the reasons of outcomes as they are written, in the order of logic.Reason.
+// ReasonNames are the reasons of outcomes as they are encoded, in the order of logic.Reason.
 var ReasonNames = []string{"-", "no-cores", "no-memory", "long-line", "not-here", "evicted", "pushed-out", "sent-away"}
 
-// NoteNames are the kinds of notes as they are written, in the order of logic.NoteKind.
+// NoteNames are the kinds of notes as they are encoded, in the order of logic.TaskMetric.
 var NoteNames = []string{"-", "runs", "cores", "memory", "served", "node-memory"}
 
-// StateNames are the states of a task that a node holds, as they are written.
+// StateNames are the states of a task that a node holds, as they are encoded.
 var StateNames = []string{"waits", "runs"}
 
-// Places in StateNames.
+// Indexes into StateNames.
 const (
 	StateWaiting = iota
 	StateRunning
 )
 
-// ClaimNames are the answers to a claim as they are written: a state, or an outcome at its place plus ClaimOutcome.
+// ClaimNames are the answers to a claim as they are encoded: first the states, then the outcomes. The index of an outcome is its index in
+// OutcomeNames plus ClaimOutcome.
 var ClaimNames = append(append([]string{}, StateNames...), OutcomeNames...)
 
-// Places in ClaimNames.
+// Indexes into ClaimNames.
 const (
 	ClaimWaiting = iota
 	ClaimRunning
 	ClaimOutcome
 )
 
-// Verdicts are the verdicts of the policy by the outcome. They decide what may be attempted again: refused and barred attempts
-// provably never ran.
+// Verdicts maps the outcomes of the protocol to those of package logic, which decide whether a task may be attempted again: refused and barred
+// attempts provably never ran.
 var Verdicts = [...]logic.Outcome{
 	OutcomeEnded:   logic.Completed,
 	OutcomeErrored: logic.Errored,
@@ -75,75 +76,75 @@
 	OutcomeUnknown: logic.ConnectionLost,
 }
 
-// AttemptID names a placement attempt, also beyond the incarnation of the scheduler that made it.
+// AttemptID identifies a placement attempt. It stays unique after a restart of the scheduler that made the attempt.
 type AttemptID struct {
-	Ticket uint64 // incarnation of the scheduler in the upper half, number of the allocation in the lower half
-	Number uint8  // of the attempt among those of its allocation, from 0
+	Ticket uint64 // incarnation of the scheduler in the upper 32 bits, number of the allocation in the lower 32 bits
+	Number uint8  // counts the attempts of the allocation from 0
 }
 
-// Task is what is to be started.
+// Task describes a task that a node is to start.
 type Task struct {
-	JobClass, Tenant int // places in the site's lists
+	JobClass, Tenant int // indexes into the site's lists
 	Service          uint64
 	Token            uint64 // idempotency key, unique among the tenant's tasks
 	Cores, Memory    float64
 }
 
-// Offer asks a node to start a task within the timeout from when it was sent.
+// Offer asks a node to start a task. It expires when the timeout has passed since it was sent.
 type Offer struct {
 	Attempt AttemptID
-	Epoch   uint32  // fencing token: a node refuses an offer with an older epoch than it has seen
-	SentAt  float64 // by the scheduler's clock, which a node follows as docs/protocols/node.md describes it
+	Epoch   uint32  // fencing token: a node refuses an offer whose epoch is lower than one that it has seen
+	SentAt  float64 // time on the scheduler's clock, which a node tracks as docs/protocols/node.md describes
 	Timeout float64
 	Task    Task
 }
 
-// Outcome is the end of an attempt.
+// Outcome tells how an attempt has ended.
 type Outcome struct {
 	Attempt AttemptID
-	Result  int       // a place in OutcomeNames
-	Reason  int       // a place in ReasonNames
-	Report  []float64 // load of the node, if it sends one; valid until the handler returns
+	Result  int       // index into OutcomeNames
+	Reason  int       // index into ReasonNames
+	Report  []float64 // load report of the node, empty if it sends none; valid until the handler returns
 }
 
-// Note is something that a node observed of a running task.
+// Note is a measurement that a node made of a running task.
 type Note struct {
 	Attempt AttemptID
-	Kind    int // a place in NoteNames
+	Kind    int // index into NoteNames
 	Value   float64
 }
 
-// ClaimAnswer answers a claim, whatever was sent for the attempt before.
+// ClaimAnswer answers a claim. A node sends it whatever it has sent for the attempt before.
 type ClaimAnswer struct {
 	Attempt AttemptID
-	Claim   int // a place in ClaimNames
-	Reason  int // a place in ReasonNames
+	Claim   int // index into ClaimNames
+	Reason  int // index into ReasonNames
 }
 
 // HeldTask is a task that a node holds for a scheduler.
 type HeldTask struct {
 	Attempt AttemptID
-	State   int // a place in StateNames
+	State   int // index into StateNames
 	Task    Task
 }
 
-// SchedulerHandler takes the messages of a scheduler, at the node.
+// SchedulerHandler is implemented by a node, which receives the messages of a scheduler.
 type SchedulerHandler interface {
 	OnOffer(offer Offer) error
-	// OnRecall takes the request to hand an attempt back unless its task runs.
+	// OnRecall receives the request to withdraw an attempt unless its task already runs.
 	OnRecall(attempt AttemptID) error
-	// OnStop takes the request to end a task, or to hand back what does not run yet.
+	// OnStop receives the request to stop the task of an attempt, or to withdraw the attempt if the task does not run yet.
 	OnStop(attempt AttemptID) error
-	// OnClaim takes the question what became of an attempt. One that has not arrived is barred.
+	// OnClaim receives the query for the state or outcome of an attempt. An attempt that has not arrived becomes barred.
 	OnClaim(attempt AttemptID) error
 	OnProbe(sequence uint64) error
 	OnPing(sentAt float64) error
-	// OnResync takes the request to name all held tasks again.
+	// OnResync receives the request to list all held tasks again.
 	OnResync() error
 	OnBye(reason string) error
 }
 
-// Handler takes the messages of a node, at the scheduler.
+// Handler is implemented by a scheduler, which receives the messages of a node.
 type Handler interface {
 	OnStarted(attempt AttemptID, took float64) error
 	OnOutcome(outcome Outcome) error
@@ -151,7 +152,7 @@
 	OnReport(sequence uint64, report []float64) error
 	OnClaimAnswer(answer ClaimAnswer) error
 	OnHeld(held HeldTask) error
-	// OnHeldAll follows the last held task.
+	// OnHeldAll follows the last OnHeld call of a list of held tasks.
 	OnHeldAll() error
 	OnPong() error
 	OnBye(reason string) error
--- a/internal/proto/node/node_test.go
+++ b/internal/proto/node/node_test.go
@@ -13,7 +13,7 @@
 	"ravenpond/internal/proto/line"
 )
 
-// callRecorder writes down each call as a line, for both sides.
+// callRecorder records each call as a line of text. It implements the handlers of both sides.
 type callRecorder struct{ lines []string }
 
 func (h *callRecorder) record(format string, args ...any) error {
@@ -36,7 +36,7 @@
 func (h *callRecorder) OnClaim(a AttemptID) error { return h.record("claim %x %d", a.Ticket, a.Number) }
 func (h *callRecorder) OnProbe(seq uint64) error  { return h.record("probe %d", seq) }
 func (h *callRecorder) OnPing(sent float64) error { return h.record("ping %g", sent) }
-func (h *callRecorder) OnResync() error           { return h.record("tell") }
+func (h *callRecorder) OnResync() error           { return h.record("resync") }
 func (h *callRecorder) OnPong() error             { return h.record("pong") }
 func (h *callRecorder) OnHeldAll() error          { return h.record("held-all") }
 func (h *callRecorder) OnBye(why string) error    { return h.record("bye %s", why) }
@@ -66,7 +66,7 @@
 		t.JobClass, t.Tenant, t.Service, t.Token, t.Cores, t.Memory)
 }
 
-// decodeAll decodes a stream as one side does.
+// decodeAll decodes a stream as the scheduler or the node does, and returns the handler calls.
 func decodeAll(stream []byte, atScheduler bool) ([]string, error) {
 	h, reader := &callRecorder{}, line.NewReader(bytes.NewReader(stream))
 	var buf [MaxReportValues]float64
@@ -105,10 +105,10 @@
 		want := &callRecorder{}
 		b := AppendOffer(nil, offer)
 		b = AppendClaim(AppendStop(AppendRecall(b, attempt), attempt), attempt)
-		b = AppendBye(AppendPing(AppendProbe(b, token), c), "all is said")
+		b = AppendBye(AppendPing(AppendProbe(b, token), c), "going away now")
 		_ = want.OnOffer(offer)
 		_, _, _ = want.OnRecall(attempt), want.OnStop(attempt), want.OnClaim(attempt)
-		_, _, _ = want.OnProbe(token), want.OnPing(c), want.OnBye("all-is-said")
+		_, _, _ = want.OnProbe(token), want.OnPing(c), want.OnBye("going-away-now")
 		n := &callRecorder{}
 		x := AppendHeldAll(AppendHeld(nil, held))
 		x = AppendOutcome(AppendStarted(x, attempt, a), outcome)
@@ -123,7 +123,7 @@
 		}{{b, want.lines, false}, {x, n.lines, true}} {
 			got, err := decodeAll(side.stream, side.sched)
 			if err != nil || strings.Join(got, "\n") != strings.Join(side.want, "\n") {
-				t.Fatalf("%v\n%q\n%q", err, got, side.want)
+				t.Fatalf("got error %v and calls\n%q, want calls\n%q", err, got, side.want)
 			}
 		}
 	})
@@ -131,40 +131,40 @@
 
 func TestBadInput(t *testing.T) {
 	for _, c := range []struct{ name, in, fault string }{
-		{"endless line", strings.Repeat("x", 1<<20), "too long"},
+		{"line without end", strings.Repeat("x", 1<<20), "too long"},
 		{"long line", "BYE " + strings.Repeat("x", 2000) + "\n", "too long"},
-		{"cut line", "RECALL 12", "unexpected EOF"},
-		{"unknown word", "HELLO 1\n", "unknown word"},
-		{"wrong number", "RECALL 1g 0\n", "bad ticket"},
+		{"truncated line", "RECALL 12", "unexpected EOF"},
+		{"unknown keyword", "HELLO 1\n", "unknown word"},
+		{"malformed hexadecimal number", "RECALL 1g 0\n", "bad ticket"},
 		{"number too large", "RECALL 1 256\n", "bad try"},
 		{"too few fields", "RECALL 1\n", "too few"},
 		{"too many fields", "RECALL 1 2 3\n", "too many"},
 		{"empty field", "RECALL  1\n", "empty field"},
 		{"empty line", "\n", "empty field"},
 		{"control byte", "RECALL 1\x00 1\n", "byte 0x00"},
-		{"not a number", "OFFER 1 0 1 5 NaN 0 0 1 1 1 1\n", "bad timeout"},
-		{"infinite", "OFFER 1 0 1 5 1 0 0 1 1 Inf 1\n", "bad cores"},
-		{"no size", "OFFER 1 0 1 5 1 0 0 1 1 0 1\n", "impossible size"},
-		{"negative time", "OFFER 1 0 1 5 -1 0 0 1 1 1 1\n", "impossible size"},
+		{"timeout is NaN", "OFFER 1 0 1 5 NaN 0 0 1 1 1 1\n", "bad timeout"},
+		{"infinite number of cores", "OFFER 1 0 1 5 1 0 0 1 1 Inf 1\n", "bad cores"},
+		{"no cores", "OFFER 1 0 1 5 1 0 0 1 1 0 1\n", "impossible size"},
+		{"negative timeout", "OFFER 1 0 1 5 -1 0 0 1 1 1 1\n", "impossible size"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := decodeAll([]byte(c.in), false); err == nil || !strings.Contains(err.Error(), c.fault) {
-				t.Errorf("error %v, want %q", err, c.fault)
+				t.Errorf("got error %v, want one that contains %q", err, c.fault)
 			}
 		})
 	}
 	if _, err := decodeAll([]byte("SETTLED 1 0 ended - 1 2 3 4 5\n"), true); err == nil {
-		t.Error("a report of five values passes")
+		t.Error("a load report of five values is accepted, want an error")
 	}
-	t.Run("endless header", func(t *testing.T) {
+	t.Run("header without end", func(t *testing.T) {
 		head := GreetingLine + "\r\n" + strings.Repeat("A: "+strings.Repeat("x", 500)+"\r\n", 1000)
 		if _, err := line.NewReader(strings.NewReader(head)).Greeting(GreetingLine); err == nil {
-			t.Error("passes")
+			t.Error("the greeting is accepted, want an error")
 		}
 	})
-	t.Run("other version", func(t *testing.T) {
+	t.Run("greeting of another version", func(t *testing.T) {
 		if _, err := line.NewReader(strings.NewReader("RAVENPOND-NODE 2\r\n\r\n")).Greeting(GreetingLine); err == nil {
-			t.Error("passes")
+			t.Error("the greeting is accepted, want an error")
 		}
 	})
 }
@@ -201,7 +201,7 @@
 	}
 }
 
-// staticReader reads the bytes that it holds.
+// staticReader returns the bytes that it holds.
 type staticReader struct{ b []byte }
 
 func (l *staticReader) Read(p []byte) (int, error) {
