--- a/internal/proto/platform/append.go
+++ b/internal/proto/platform/append.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// appendHeader appends the head of a message; setLength completes it.
+// appendHeader appends the length field, as 0, and the header of a message. setLength sets the length once the message is complete.
 func appendHeader(b []byte, kind byte, task uint64) []byte {
 	return binary.BigEndian.AppendUint64(append(b, 0, 0, kind), task)
 }
@@ -14,8 +14,8 @@
 	return append(binary.BigEndian.AppendUint16(append(b, code), uint16(len(value))), value...)
 }
 
-// setLength sets the length of the message that begins at start. A message beyond MaxMessage is dropped: its parts were received in
-// messages that are no longer, so none should be.
+// setLength sets the length field of the message that begins at start. A message longer than MaxMessage is dropped. None should be, as the
+// parts of a message were received in messages within that limit.
 func setLength(b []byte, start int) []byte {
 	if len(b)-start > MaxMessage {
 		return b[:start]
@@ -29,12 +29,12 @@
 	Task        uint64
 	JobClass    []byte
 	Name        []byte
-	Key         []byte // idempotency key, nil for job classes without one
+	Key         []byte // idempotency key, nil if the job class has none
 	Description []byte
 	TimeLeft    float64 // ms until the attempt times out; at least 1 is sent
 }
 
-// AppendSetUp appends a set-up.
+// AppendSetUp appends a set-up message.
 func AppendSetUp(b []byte, s *SetUp) []byte {
 	start := len(b)
 	b = appendParam(appendHeader(b, KindSetUp, s.Task), ParamJobClass, s.JobClass)
@@ -46,17 +46,17 @@
 	return setLength(appendParam(b, ParamDescription, s.Description), start)
 }
 
-// AppendAnswer appends that a task runs, with the description that its node gave.
+// AppendAnswer appends the notice that a task runs, with the description that its node gave.
 func AppendAnswer(b []byte, task uint64, description []byte) []byte {
 	return setLength(appendParam(appendHeader(b, KindAnswer, task), ParamDescription, description), len(b))
 }
 
-// AppendEnd appends an end. Its cause says whether it is a rejection, a failure, a cancellation or the end of a running task.
+// AppendEnd appends an end message. Its cause says whether it is a rejection, a failure, a cancellation or the end of a running task.
 func AppendEnd(b []byte, task uint64, cause byte) []byte {
 	return setLength(appendParam(appendHeader(b, KindEnd, task), ParamCause, []byte{cause}), len(b))
 }
 
-// AppendTest appends a health check, with or without the wish for a load report.
+// AppendTest appends a health check, which may ask for a load report.
 func AppendTest(b []byte, task uint64, wantReport bool) []byte {
 	return appendFlag(b, KindTest, task, wantReport)
 }
@@ -74,7 +74,7 @@
 	return setLength(appendParam(appendHeader(b, kind, task), ParamCause, v), len(b))
 }
 
-// AppendMove appends that a client is to request a task anew.
+// AppendMove appends the instruction that a client has to request a task again.
 func AppendMove(b []byte, task uint64) []byte {
 	return setLength(appendHeader(b, KindMove, task), len(b))
 }
--- a/internal/proto/platform/fields.go
+++ b/internal/proto/platform/fields.go
@@ -10,12 +10,12 @@
 	"ravenpond/logic"
 )
 
-// Bounds of values that are text, in bytes.
+// Sizes of text values, in bytes; those that begin with max are limits.
 const (
 	maxNumberText  = 32
 	maxNodeName    = 64
-	serviceDigits  = 16 // hex digits of a service key
-	maxQuotedInput = 40 // of input that an error quotes
+	serviceDigits  = 16 // number of hex digits of a service key
+	maxQuotedInput = 40 // most of the input that an error quotes
 )
 
 // Kind returns the kind of a message that Next found.
@@ -24,7 +24,8 @@
 // Task returns the task that a message names.
 func Task(msg []byte) uint64 { return binary.BigEndian.Uint64(msg[1:]) }
 
-// Param returns the value of a parameter. It reports false if the message has none, or has it twice, as nobody could tell which is meant.
+// Param returns the value of a parameter. It reports false if the message lacks the parameter, or has it more than once, which would be
+// ambiguous.
 func Param(msg []byte, code byte) (value []byte, ok bool) {
 	for p := msg[headerSize:]; len(p) >= paramHeaderSize; {
 		size := paramSize(p)
@@ -39,7 +40,7 @@
 	return value, ok
 }
 
-// CauseOf returns the cause that a message gives. It reports false if there is none, or if it is not one byte.
+// CauseOf returns the cause that a message gives. It reports false if the message has no cause, or one that is not a single byte.
 func CauseOf(msg []byte) (byte, bool) {
 	if v, ok := Param(msg, ParamCause); ok && len(v) == 1 {
 		return v[0], true
@@ -47,13 +48,13 @@
 	return 0, false
 }
 
-// HasDescription reports whether a message carries a description that is not empty.
+// HasDescription reports whether a message has a description that is not empty.
 func HasDescription(msg []byte) bool {
 	v, ok := Param(msg, ParamDescription)
 	return ok && len(v) > 0
 }
 
-// Number returns a parameter that holds a finite number as text.
+// Number returns the value of a parameter that holds a finite number as text. It reports false if there is no such value.
 func Number(msg []byte, code byte) (float64, bool) {
 	v, ok := Param(msg, code)
 	if !ok {
@@ -73,7 +74,7 @@
 	return f, true
 }
 
-// Hex returns a parameter and whether it consists of the given number of hex digits.
+// Hex returns the value of a parameter, and whether it consists of the given number of hex digits.
 func Hex(msg []byte, code byte, digits int) ([]byte, bool) {
 	v, ok := Param(msg, code)
 	return v, ok && isHex(v, digits)
@@ -91,14 +92,14 @@
 	return true
 }
 
-// Demand is what a task needs.
+// Demand describes the resources that a task needs and where it may already run.
 type Demand struct {
 	Cores, Memory float64
 	Service       uint64
-	RunsAt        string // name of the node that runs the task already; empty for a new task
+	RunsAt        string // name of the node on which the task already runs; empty for a new task
 }
 
-// demandFields is a set of the fields of a demand.
+// demandFields is a set of fields of a demand.
 type demandFields uint8
 
 const (
@@ -110,8 +111,9 @@
 	requiredFields = fieldCores | fieldMemory | fieldService
 )
 
-// ParseDemand reads the parameter ParamDemand: fields such as cores:1;memory:2;service:00000000b4d65521. Cores, memory and service are
-// required, at names the node of a running task, and unknown fields are skipped. The error wraps ErrUnreadable.
+// ParseDemand parses the value of ParamDemand, which holds fields such as cores:1;memory:2;service:00000000b4d65521. The fields cores, memory
+// and service are required. The field at gives the node on which the task already runs. Unknown fields are skipped. The error wraps
+// ErrUnreadable.
 func ParseDemand(text []byte) (Demand, error) {
 	var d Demand
 	var seen demandFields
@@ -129,16 +131,16 @@
 		seen |= parsed
 	}
 	if seen&requiredFields != requiredFields {
-		return Demand{}, fmt.Errorf("%w: cores, memory or service missing", ErrUnreadable)
+		return Demand{}, fmt.Errorf("%w: demand lacks cores, memory or service", ErrUnreadable)
 	}
 	return d, nil
 }
 
 func demandError(field []byte) error {
-	return fmt.Errorf("%w: figure %.*q", ErrUnreadable, maxQuotedInput, field)
+	return fmt.Errorf("%w: invalid demand field %.*q", ErrUnreadable, maxQuotedInput, field)
 }
 
-// setField sets one field of a demand and returns which, none if the name is unknown. It reports false if the value is invalid.
+// setField sets one field of a demand and returns it as a set, which is empty if the name is unknown. It reports false if the value is invalid.
 func (d *Demand) setField(name string, value []byte) (field demandFields, ok bool) {
 	switch name {
 	case "cores":
@@ -160,7 +162,7 @@
 	return 0, true
 }
 
-// ParseReport appends the values of a load report to dst, in the order of the fields. It appends nothing if a field is missing.
+// ParseReport appends the values of a load report to dst, in the order of fields. It appends nothing if a field is missing or invalid.
 func ParseReport(msg []byte, fields []string, dst []float64) []float64 {
 	text, ok := Param(msg, ParamReport)
 	if !ok {
@@ -177,7 +179,7 @@
 	return dst
 }
 
-// reportValue returns the value of the first field with a name.
+// reportValue returns the value of the first field with the given name.
 func reportValue(text []byte, name string) (float64, bool) {
 	for len(text) > 0 {
 		var field []byte
@@ -189,13 +191,13 @@
 	return 0, false
 }
 
-// Words of the protocol, indexed by the values of the logic package.
+// Names in the protocol, indexed by logic.Reason and logic.TaskMetric.
 var (
 	reasonNames = [...]string{"", "no_cores", "no_memory", "queue_full", "not_here", "evicted", "pushed_out", "sent_away"}
 	noteNames   = [...]string{"", "runs", "cores", "memory", "served", "pressure"}
 )
 
-// ReasonOf returns the reason that an end gives, logic.ReasonUnknown if it gives none that is known.
+// ReasonOf returns the reason that an end message gives, or logic.ReasonUnknown if it gives no known one.
 func ReasonOf(msg []byte) logic.Reason {
 	v, _ := Param(msg, ParamReason)
 	for i, w := range reasonNames {
@@ -206,7 +208,8 @@
 	return logic.ReasonUnknown
 }
 
-// ParseNote returns what a note measures and the value. It reports false if the note is of no known kind, or lacks the value.
+// ParseNote returns the metric and the value of a note. It reports false if the kind of the note is unknown, or if the value is missing;
+// only a note of logic.TaskRunning needs none.
 func ParseNote(msg []byte) (metric logic.TaskMetric, value float64, ok bool) {
 	v, _ := Param(msg, ParamReason)
 	for i, w := range noteNames {
@@ -219,7 +222,8 @@
 	return 0, 0, false
 }
 
-// VerdictBeforeAnswer returns the outcome of an attempt that a node ended before it answered. Only two causes prove that it never ran.
+// VerdictBeforeAnswer returns the outcome of an attempt that a node ended before it answered. Only two causes prove that the task never ran:
+// CauseFull and CauseNotStarted.
 func VerdictBeforeAnswer(cause byte) logic.Outcome {
 	switch cause {
 	case CauseFull:
@@ -232,7 +236,7 @@
 	return logic.ConnectionLost
 }
 
-// VerdictOfRunning returns the outcome of a running task that a node ended.
+// VerdictOfRunning returns the outcome of a running task whose end a node reports.
 func VerdictOfRunning(cause byte) logic.Outcome {
 	switch cause {
 	case CauseNormal:
--- a/internal/proto/platform/messages.go
+++ b/internal/proto/platform/messages.go
@@ -1,11 +1,12 @@
-// Package platform is the codec of the protocol that the platform's clients, nodes and journal service speak, as described in
-// docs/protocols/platform.md.
+// Package platform encodes and decodes the messages of the protocol of the platform's clients, nodes and journal service, which
+// docs/protocols/platform.md describes.
 //
-// A message has no type of its own: Next finds one in received bytes, Kind, Task, Param and the Parse functions read its fields, and the
-// Append functions write one behind other bytes. Values that are returned point into the message and are valid as long as it is.
+// There is no message type; a message is a byte slice. Next returns the first message in received bytes; Kind, Task, Param and the Parse
+// functions read its fields; the Append functions append a message to a buffer. Byte slices that are returned refer to the message and are
+// valid as long as it is.
 //
-// Input is never trusted: no length is used before that many bytes have been received, and every violation is an error that wraps
-// ErrUnreadable. The package holds no state, so all of it is safe for concurrent use.
+// Input is not trusted: a length is used only once that many bytes have been received, and a violation of the format is returned as an error
+// that wraps ErrUnreadable. The package holds no state, so its functions are safe for concurrent use.
 package platform
 
 import (
@@ -14,12 +15,12 @@
 	"fmt"
 )
 
-// MaxMessage is the size of the largest message in bytes, its length field included.
+// MaxMessage is the maximum size of a message in bytes, its length field included.
 const MaxMessage = 16 << 10
 
 // Sizes of the parts of a message in bytes.
 const (
-	lengthSize      = 2     // length of what follows it, big-endian
+	lengthSize      = 2     // length of the rest of the message, big-endian
 	headerSize      = 1 + 8 // kind and task
 	paramHeaderSize = 1 + 2 // code and length of a parameter
 )
@@ -29,12 +30,12 @@
 	KindSetUp    = 1  // a client requests a task, or a scheduler sends an attempt to a node
 	KindProgress = 6  // ignored
 	KindAnswer   = 9  // the task runs
-	KindEnd      = 12 // a rejection, a failure, a cancellation or the end of a task, by its cause
+	KindEnd      = 12 // a rejection, a failure, a cancellation or the end of a task, depending on its cause
 	KindEndAck   = 16 // ignored
 	KindNote     = 44 // a measurement of a task
-	KindMove     = 51 // the client is to request the task anew
+	KindMove     = 51 // the client has to request the task again
 	KindTest     = 52 // a health check
-	KindTested   = 53 // the answer to a health check
+	KindTested   = 53 // the result of a health check
 )
 
 // Codes of parameters.
@@ -50,35 +51,35 @@
 	ParamValue       = 27 // value of a note
 	ParamKey         = 29 // idempotency key, 32 hex digits
 	ParamCause       = 31 // one byte
-	ParamDescription = 33 // bytes that are passed on unchanged
+	ParamDescription = 33 // bytes that are forwarded unchanged
 )
 
 // Causes of an end.
 const (
-	CauseNormal     = 16 // the task completed, or the request is cancelled
-	CauseElsewhere  = 31 // stopped, as it runs or ends elsewhere
-	CauseFull       = 34 // rejected by a node: it never ran
-	CauseReset      = 41 // failed: it may have run
-	CauseBusy       = 42 // shed: a retry does no harm
-	CauseErrored    = 47 // failed, or the request is invalid
-	CauseNotStarted = 102
+	CauseNormal     = 16  // the task completed, or the request is cancelled
+	CauseElsewhere  = 31  // stopped, as the task runs or has ended elsewhere
+	CauseFull       = 34  // rejected by a node: the task never ran
+	CauseReset      = 41  // failed: the task may have run
+	CauseBusy       = 42  // shed: a retry is safe
+	CauseErrored    = 47  // failed, or the request is invalid
+	CauseNotStarted = 102 // not started: the task never ran
 )
 
-// ErrUnreadable reports a message that violates the protocol. The connection on which it came can't be used any more.
+// ErrUnreadable means that a message violates the protocol. The connection on which the message came can't be used any more.
 var ErrUnreadable = errors.New("unreadable")
 
-// Next finds the first message in b and returns it with its size in bytes, the length field included. The size is 0 while the message is
-// incomplete. The error wraps ErrUnreadable.
+// Next returns the first message in b, without its length field, and the message's size in bytes, including that field. The size is 0 while
+// the message is incomplete. The error wraps ErrUnreadable.
 func Next(b []byte) (msg []byte, size int, err error) {
 	if len(b) < lengthSize {
 		return nil, 0, nil
 	}
 	n := int(binary.BigEndian.Uint16(b))
 	if n < headerSize || n+lengthSize > MaxMessage {
-		return nil, 0, fmt.Errorf("%w: a message of %d bytes", ErrUnreadable, n)
+		return nil, 0, fmt.Errorf("%w: message length of %d bytes is out of range", ErrUnreadable, n)
 	}
 	if len(b) > lengthSize && !isKnownKind(b[lengthSize]) { // no need to wait for the rest
-		return nil, 0, fmt.Errorf("%w: a message of kind %d", ErrUnreadable, b[lengthSize])
+		return nil, 0, fmt.Errorf("%w: unknown message kind %d", ErrUnreadable, b[lengthSize])
 	}
 	if len(b) < lengthSize+n {
 		return nil, 0, nil
@@ -90,15 +91,15 @@
 	return msg, lengthSize + n, nil
 }
 
-// checkParams checks that the parameters fill their part of the message exactly.
+// checkParams checks that the parameters end exactly at the end of the message.
 func checkParams(params []byte) error {
 	for len(params) > 0 {
 		if len(params) < paramHeaderSize {
-			return fmt.Errorf("%w: half a parameter", ErrUnreadable)
+			return fmt.Errorf("%w: truncated parameter header", ErrUnreadable)
 		}
 		size := paramSize(params)
 		if len(params) < size {
-			return fmt.Errorf("%w: parameter %d longer than its message", ErrUnreadable, params[0])
+			return fmt.Errorf("%w: parameter %d is longer than its message", ErrUnreadable, params[0])
 		}
 		params = params[size:]
 	}
