--- a/internal/proto/client/framing.go
+++ b/internal/proto/client/framing.go
@@ -1,5 +1,5 @@
-// Package client frames the JSON-RPC 2.0 messages of the client protocol: a header block with the length of the body, then the body, as
-// docs/protocols/owners.md has it. A Splitter bounds what a peer may make this side hold. It is not safe for concurrent use.
+// Package client frames the JSON-RPC 2.0 messages of the client protocol, as docs/protocols/owners.md describes: a header block with the length
+// of the body, then the body. A Splitter limits how much a peer can make it buffer. It is not safe for concurrent use.
 package client
 
 import (
@@ -27,11 +27,11 @@
 func bodyLength(header textproto.MIMEHeader) (int, error) {
 	lengths := header.Values(contentLength)
 	if len(lengths) != 1 {
-		return 0, fmt.Errorf("%d Content-Length fields, expected one", len(lengths))
+		return 0, fmt.Errorf("got %d Content-Length fields, want one", len(lengths))
 	}
 	n, err := strconv.ParseUint(lengths[0], 10, 32)
 	if err != nil {
-		return 0, fmt.Errorf("bad Content-Length %.20q", lengths[0])
+		return 0, fmt.Errorf("malformed Content-Length %.20q", lengths[0])
 	}
 	if n > MaxBody {
 		return 0, ErrTooLong
@@ -39,15 +39,15 @@
 	return int(n), nil
 }
 
-// Splitter splits a stream into messages, in whatever pieces it arrives. The zero value is ready to use.
+// Splitter splits a stream that arrives in pieces into messages. The zero value is ready to use.
 type Splitter struct {
 	buffered       []byte
-	headerComplete bool // the header of the next message is complete
-	bodyLength     int  // of that message
+	headerComplete bool // the header of the next message has been read
+	bodyLength     int  // of the next message, once its header has been read
 }
 
-// Feed takes a piece of the stream and calls onMessage with the body of each message that it completes. A body is valid for that call
-// alone. The first error, of the framing or of onMessage, ends the stream: Feed must not be called again.
+// Feed takes a piece of the stream and calls onMessage with the body of each message that it completes. A body is valid for that call only.
+// Feed returns at the first error, of the framing or of onMessage, and must not be called again after it.
 func (s *Splitter) Feed(piece []byte, onMessage func(body []byte) error) error {
 	s.buffered = append(s.buffered, piece...)
 	consumed := 0
@@ -71,7 +71,7 @@
 	}
 }
 
-// readHeader reads the header block at the start of b and returns its length, 0 if it is not complete.
+// readHeader reads the header block at the start of b and returns its length, or 0 if the block is incomplete.
 func (s *Splitter) readHeader(b []byte) (end int, err error) {
 	end = headerEnd(b)
 	if end == 0 && len(b) <= maxHeader {
@@ -91,8 +91,8 @@
 	return end, nil
 }
 
-// headerEnd returns the length of the header block at the start of b: up to its first empty line, whether lines end in CR LF or LF. It
-// returns 0 if there is none.
+// headerEnd returns the length of the header block at the start of b, which ends with the first empty line, whether lines end in CR LF or LF.
+// It returns 0 if there is no empty line.
 func headerEnd(b []byte) (end int) {
 	for _, separator := range []string{"\n\r\n", "\n\n"} {
 		if index := bytes.Index(b, []byte(separator)); index >= 0 && (end == 0 || index+len(separator) < end) {
@@ -102,7 +102,7 @@
 	return end
 }
 
-// AppendMessage appends a message with a body.
+// AppendMessage appends the header and the body of a message.
 func AppendMessage(b, body []byte) []byte {
 	b = strconv.AppendInt(append(b, contentLength+": "...), int64(len(body)), 10)
 	return append(append(b, "\r\n\r\n"...), body...)
--- a/internal/proto/client/framing_test.go
+++ b/internal/proto/client/framing_test.go
@@ -12,8 +12,8 @@
 
 func (*stream) Close() error { return nil }
 
-// FuzzSplitter compares the splitter with the JSON-RPC library's own framing: whatever the pieces, a stream has the same messages, as far
-// as the splitter's bounds allow.
+// FuzzSplitter compares the splitter with the framing of the JSON-RPC library: whatever the size of the pieces, both must find the same
+// messages in a stream, as far as the splitter's limits allow.
 func FuzzSplitter(f *testing.F) {
 	f.Add(AppendMessage(AppendMessage(nil, []byte(`{"a":1}`)), []byte(`[]`)), 3)
 	f.Add([]byte("Content-Length: 3\n\nabcContent-Length: 99999999\r\n\r\n"), 1)
@@ -36,20 +36,20 @@
 		reference := channel.Header("")(input, input)
 		for i, body := range got {
 			if len(body) > MaxBody {
-				t.Fatalf("%d bytes taken", len(body))
+				t.Fatalf("got a body of %d bytes, want at most MaxBody", len(body))
 			}
 			want, err := reference.Recv()
-			if err != nil { // the library takes fewer header blocks, such as those without a CR
+			if err != nil { // the library rejects some header blocks that the splitter accepts, such as those without a CR
 				return
 			}
 			if string(want) != body {
-				t.Fatalf("message %d: %q, by the library %q", i, body, want)
+				t.Fatalf("message %d: splitter returned %q, library returned %q", i, body, want)
 			}
 		}
 	})
 }
 
-// TestFraming splits what the library frames, and has the library read what AppendMessage frames.
+// TestFraming checks that Splitter reads messages that the library writes, and that the library reads a message that AppendMessage writes.
 func TestFraming(t *testing.T) {
 	out := &stream{}
 	reference := channel.LSP(out, out)
@@ -62,28 +62,28 @@
 	var got []string
 	if err := s.Feed(out.Bytes(), func(body []byte) error { got = append(got, string(body)); return nil }); err != nil ||
 		strings.Join(got, "|") != `{"a":1}||[1,2]` {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("got messages %q, error %v; want those that the library wrote", got, err)
 	}
 	input := &stream{}
 	input.Write(AppendMessage(nil, []byte(`{"b":2}`)))
 	if body, err := channel.LSP(input, input).Recv(); err != nil || string(body) != `{"b":2}` {
-		t.Errorf("%q, %v", body, err)
+		t.Errorf("library read %q, error %v; want {\"b\":2}", body, err)
 	}
 }
 
-// TestSplitterBounds feeds header blocks that must be rejected.
+// TestSplitterBounds checks that malformed header blocks, and those beyond the limits, are rejected.
 func TestSplitterBounds(t *testing.T) {
 	for name, text := range map[string]string{
-		"endless header": strings.Repeat("X: y\r\n", 1000),
-		"long body":      "Content-Length: 65537\r\n\r\n",
-		"no length":      "X: y\r\n\r\n",
-		"two lengths":    "Content-Length: 1\r\nContent-Length: 2\r\n\r\n",
-		"negative":       "Content-Length: -1\r\n\r\n",
+		"header without end":        strings.Repeat("X: y\r\n", 1000),
+		"body above the limit":      "Content-Length: 65537\r\n\r\n",
+		"no Content-Length":         "X: y\r\n\r\n",
+		"two Content-Length fields": "Content-Length: 1\r\nContent-Length: 2\r\n\r\n",
+		"negative Content-Length":   "Content-Length: -1\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			var s Splitter
 			if err := s.Feed([]byte(text), func([]byte) error { return nil }); err == nil {
-				t.Error("taken")
+				t.Error("the header is accepted, want an error")
 			}
 		})
 	}
--- a/internal/proto/field/field.go
+++ b/internal/proto/field/field.go
@@ -1,5 +1,5 @@
-// Package field encodes and decodes the fields of protobuf messages one by one, for codecs that need no generated types. The functions keep
-// no state and may be called concurrently.
+// Package field encodes and decodes the fields of protobuf messages one by one, for codecs that do not use generated types. The functions
+// keep no state and are safe for concurrent use.
 package field
 
 import (
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// ErrMalformed means that bytes are not an encoded message, or that their reader refused a field.
-var ErrMalformed = errors.New("can't be read")
+// ErrMalformed means that the input is not an encoded message, or that the handler rejected a field.
+var ErrMalformed = errors.New("malformed message")
 
 // AppendString appends a string field, unless it is empty.
 func AppendString(b []byte, number protowire.Number, s string) []byte {
@@ -41,8 +41,8 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, number, protowire.BytesType), content)
 }
 
-// ForEach calls handle with each field of a message in order, unknown ones included: integers and the bits of doubles in value, all else in
-// content, which refers to b. It returns ErrMalformed if the message is malformed or handle returns false.
+// ForEach calls handle with each field of a message in order, unknown ones included. Integers and the bits of doubles are passed as value, all
+// other types as content, which refers to b. ForEach returns ErrMalformed if the message is malformed or handle returns false.
 func ForEach(b []byte, handle func(number protowire.Number, value uint64, content []byte) bool) error {
 	for len(b) > 0 {
 		number, kind, n := protowire.ConsumeTag(b)
--- a/internal/proto/line/append.go
+++ b/internal/proto/line/append.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	maxExactInteger = 1e15 // below it a whole float64 is written without decimals
-	decimals        = 3    // enough for milliseconds and shares
-	maxText         = 200  // bytes of a free text
+	maxExactInteger = 1e15 // absolute value below which a float64 that is an integer is written without decimals
+	decimals        = 3    // enough for durations in ms and for shares
+	maxText         = 200  // bytes of a text that EscapeText returns
 )
 
-// AppendGreeting appends an opening line and header fields, given as name and value in turn.
+// AppendGreeting appends a greeting: an opening line and header fields, which are given as names and values in turn.
 func AppendGreeting(b []byte, opening string, fields ...string) []byte {
 	b = append(append(b, opening...), "\r\n"...)
 	for i := 0; i+1 < len(fields); i += 2 {
@@ -23,7 +23,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendNumber appends a space and a number with at most three decimals.
+// AppendNumber appends a space and a number, without decimals if it is an integer below 1e15 and with three decimals otherwise.
 func AppendNumber(b []byte, v float64) []byte {
 	b = append(b, ' ')
 	if v == math.Trunc(v) && math.Abs(v) < maxExactInteger {
@@ -38,11 +38,11 @@
 // AppendHex appends a space and an unsigned hexadecimal number.
 func AppendHex(b []byte, v uint64) []byte { return strconv.AppendUint(append(b, ' '), v, 16) }
 
-// AppendText appends a space and a text without spaces, such as a keyword. EscapeText makes any text fit.
+// AppendText appends a space and a text that is a valid field, such as a keyword. EscapeText turns any text into a valid field.
 func AppendText(b []byte, text string) []byte { return append(append(b, ' '), text...) }
 
-// EscapeText makes a free text fit one field: it is cut to 200 bytes, spaces become dashes and other bytes that no field may hold
-// question marks. The empty text becomes a dash.
+// EscapeText turns any text into a valid field: the text is truncated to 200 bytes, spaces are replaced by dashes, and other bytes that a
+// field must not contain by question marks. The empty text becomes a dash.
 func EscapeText(text string) string {
 	if text == "" {
 		return "-"
--- a/internal/proto/line/fields.go
+++ b/internal/proto/line/fields.go
@@ -8,19 +8,19 @@
 	"strconv"
 )
 
-// Fields takes the fields of a line one by one and keeps the first error, so that a decoder reads like the grammar.
+// Fields parses the fields of a line one by one and keeps the first error, so that a decoder can check for errors once, after the last field.
 type Fields struct {
 	remaining [][]byte
 	err       error
 }
 
-// NewFields begins after the keyword of a line.
+// NewFields returns the fields of a line that follow its keyword.
 func NewFields(fields [][]byte) Fields { return Fields{remaining: fields[1:]} }
 
-// Remaining is the number of fields that are not taken yet.
+// Remaining returns the number of fields that have not been parsed yet.
 func (f *Fields) Remaining() int { return len(f.remaining) }
 
-// End returns the first error. Fields that are left are one.
+// End returns the first error, or an error if fields remain.
 func (f *Fields) End() error {
 	if f.err == nil && len(f.remaining) > 0 {
 		return fmt.Errorf("%d fields too many", len(f.remaining))
@@ -28,7 +28,7 @@
 	return f.err
 }
 
-// next takes a field, nil if there is none.
+// next returns the next field, or nil if there is none.
 func (f *Fields) next() []byte {
 	if len(f.remaining) == 0 {
 		if f.err == nil {
@@ -41,15 +41,15 @@
 	return field
 }
 
-// recordError keeps the first error. The field is copied here alone: a string that is made of it in the methods below stays on the
-// stack, so that decoding allocates nothing.
+// recordError keeps the first error if the field is malformed. Only this function copies the field: the strings that the methods below
+// convert it to stay on the stack, so that decoding a valid line does not allocate.
 func (f *Fields) recordError(name string, field []byte, malformed bool) {
 	if malformed && f.err == nil {
 		f.err = fmt.Errorf("bad %s %.24q", name, bytes.Clone(field))
 	}
 }
 
-// Uint takes an unsigned decimal number of at most so many bits.
+// Uint parses the next field as an unsigned decimal number of at most the given number of bits.
 func (f *Fields) Uint(name string, bits int) uint64 {
 	field := f.next()
 	v, err := strconv.ParseUint(string(field), 10, bits)
@@ -57,7 +57,7 @@
 	return v
 }
 
-// Hex takes an unsigned hexadecimal number of at most 64 bits.
+// Hex parses the next field as an unsigned hexadecimal number of at most 64 bits.
 func (f *Fields) Hex(name string) uint64 {
 	field := f.next()
 	v, err := strconv.ParseUint(string(field), 16, 64)
@@ -65,7 +65,7 @@
 	return v
 }
 
-// Float takes a finite decimal number.
+// Float parses the next field as a finite decimal number.
 func (f *Fields) Float(name string) float64 {
 	field := f.next()
 	v, err := strconv.ParseFloat(string(field), 64)
@@ -73,7 +73,7 @@
 	return v
 }
 
-// Keyword takes one of the keywords and returns its place.
+// Keyword parses the next field as one of the keywords and returns its index, or 0 if it is none of them.
 func (f *Fields) Keyword(name string, keywords []string) int {
 	field := f.next()
 	index := slices.Index(keywords, string(field))
@@ -81,5 +81,5 @@
 	return max(0, index)
 }
 
-// Text takes a field as it is.
+// Text returns the next field unchanged.
 func (f *Fields) Text() string { return string(f.next()) }
--- a/internal/proto/line/line.go
+++ b/internal/proto/line/line.go
@@ -1,10 +1,9 @@
-// Package line is the common ground of the project's line protocols: a message is a line of fields separated by single
-// spaces; a connection opens with a greeting, an opening line with a header block after it.
+// Package line implements what the project's line protocols have in common: a message is a line of fields that are separated by single
+// spaces; a connection opens with a greeting, which is an opening line followed by a header block.
 //
-// Reader reads messages from an io.Reader, Splitter from pieces of a stream; Fields takes the fields of a line one by one, and
-// the Append functions write them. The package works on bytes alone: timeouts belong to the owner of the connection. No
-// type is safe for concurrent use. Malformed input is returned as an error; the connection
-// should then be closed.
+// Reader reads messages from an io.Reader, and Splitter from a stream that arrives in pieces. Fields parses the fields of a line one by one,
+// and the Append functions write them. The package only processes bytes: the owner of a connection sets its timeouts. No type is safe for
+// concurrent use. Malformed input is returned as an error; the connection should then be closed.
 package line
 
 import (
@@ -18,18 +17,18 @@
 	MaxHeader = 32   // lines of a header block
 )
 
-// readAhead is how many bytes a Reader may read beyond a message.
+// readAhead is the maximum number of bytes that a Reader reads beyond a message.
 const readAhead = 4096
 
-// Errors of a stream.
+// Errors of malformed input.
 var (
-	// ErrTooLong is returned when a peer sends more than a message may hold without ending it.
+	// ErrTooLong is returned for a message that is longer than the limits allow, complete or not.
 	ErrTooLong      = errors.New("message too long")
 	errEmptyField   = errors.New("empty field in a line")
 	errTooFewFields = errors.New("too few fields")
 )
 
-// splitFields appends the fields of a line.
+// splitFields splits a line and appends its fields.
 func splitFields(fields [][]byte, text []byte) ([][]byte, error) {
 	for start := 0; start <= len(text); {
 		end := start
@@ -48,5 +47,5 @@
 	return fields, nil
 }
 
-// isFieldByte tells whether a byte may stand in a field: printable ASCII but the space.
+// isFieldByte returns whether a field may contain a byte: printable ASCII except the space.
 func isFieldByte(c byte) bool { return c >= 0x21 && c <= 0x7e }
--- a/internal/proto/line/line_test.go
+++ b/internal/proto/line/line_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// readWithReader reads the lines of a stream by the reader.
+// readWithReader reads the lines of a stream with a Reader.
 func readWithReader(stream []byte) (lines []string, err error) {
 	reader := NewReader(bytes.NewReader(stream))
 	for {
@@ -22,7 +22,7 @@
 	}
 }
 
-// readWithSplitter reads the lines of a stream by the splitter, in pieces of a size.
+// readWithSplitter reads the lines of a stream with a Splitter, which gets it in pieces of the given size.
 func readWithSplitter(stream []byte, size int) (lines []string, err error) {
 	var s Splitter
 	for at := 0; at < len(stream); at += size {
@@ -39,7 +39,7 @@
 	return lines, io.EOF
 }
 
-// FuzzSplitter checks that the reader and the splitter see the same lines.
+// FuzzSplitter checks that Reader and Splitter return the same lines, whatever the size of the pieces.
 func FuzzSplitter(f *testing.F) {
 	f.Add([]byte("OFFER 1 2\nPING\r\n"), 1)
 	f.Add([]byte("a  b\n"), 2)
@@ -50,7 +50,7 @@
 		want, werr := readWithReader(stream)
 		got, gerr := readWithSplitter(stream, size)
 		if !slices.Equal(want, got) || (werr == nil) != (gerr == nil) || errors.Is(werr, io.EOF) != errors.Is(gerr, io.EOF) {
-			t.Errorf("reader %q %v, splitter %q %v", want, werr, got, gerr)
+			t.Errorf("Reader returned %q, error %v; Splitter returned %q, error %v; want the same", want, werr, got, gerr)
 		}
 	})
 }
@@ -59,19 +59,19 @@
 	full := string(AppendGreeting(nil, "TEST 1", "Name", "x")) + "LINE one\n"
 	for size := 1; size <= len(full); size++ {
 		if got := readAfterGreeting(t, full, size); !slices.Equal(got, []string{"[LINE one]"}) {
-			t.Errorf("pieces of %d: %q", size, got)
+			t.Errorf("pieces of %d bytes: got lines %q, want [LINE one]", size, got)
 		}
 	}
-	for name, text := range map[string]string{"another opening": "OTHER 1\r\n", "endless header": "TEST 1\r\n" +
-		strings.Repeat("X: "+strings.Repeat("y", 500)+"\r\n", 100), "bad header": "TEST 1\r\nno colon\r\n\r\n"} {
+	for name, text := range map[string]string{"wrong opening line": "OTHER 1\r\n", "header without end": "TEST 1\r\n" +
+		strings.Repeat("X: "+strings.Repeat("y", 500)+"\r\n", 100), "malformed header": "TEST 1\r\nno colon\r\n\r\n"} {
 		var s Splitter
 		if _, _, err := s.Greeting([]byte(text), "TEST 1"); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted, want an error", name)
 		}
 	}
 }
 
-// readAfterGreeting reads a stream in pieces of a size: the greeting, which must name x, and the lines after it.
+// readAfterGreeting reads a stream in pieces of the given size and returns the lines after the greeting, whose header field Name must be x.
 func readAfterGreeting(t *testing.T, stream string, size int) (lines []string) {
 	t.Helper()
 	var s Splitter
--- a/internal/proto/line/reader.go
+++ b/internal/proto/line/reader.go
@@ -8,8 +8,8 @@
 	"net/textproto"
 )
 
-// limitedReader stops a stream that sends more than a message may hold before a message ended: a line without end would
-// otherwise fill the memory.
+// limitedReader returns ErrTooLong once the limit of a message has been read without the message being complete. Otherwise a line without
+// end would exhaust the memory.
 type limitedReader struct {
 	source    io.Reader
 	remaining int // bytes
@@ -24,7 +24,7 @@
 	return n, err
 }
 
-// Reader reads messages.
+// Reader reads messages from an io.Reader.
 type Reader struct {
 	source *limitedReader
 	buffer *bufio.Reader
@@ -32,15 +32,15 @@
 	fields [][]byte
 }
 
-// NewReader reads from a source that nobody else reads afterwards.
+// NewReader returns a Reader of a source. As it reads ahead, nothing else may read the source afterwards.
 func NewReader(source io.Reader) *Reader {
 	limited := &limitedReader{source: source, remaining: MaxLine + readAhead}
 	buffer := bufio.NewReaderSize(limited, readAhead)
 	return &Reader{source: limited, buffer: buffer, text: textproto.NewReader(buffer)}
 }
 
-// Next returns the fields of the next line. They hold until the next call. It returns io.EOF between messages and
-// io.ErrUnexpectedEOF inside one.
+// Next returns the fields of the next line, which are valid until the next call. At the end of the stream it returns io.EOF between messages
+// and io.ErrUnexpectedEOF inside one.
 func (r *Reader) Next() ([][]byte, error) {
 	r.source.remaining = MaxLine + readAhead
 	text, err := r.buffer.ReadSlice('\n')
@@ -60,7 +60,7 @@
 	return r.fields, err
 }
 
-// Buffered is how many bytes can be read without another read of the source.
+// Buffered returns the number of bytes that can be read without another read of the source.
 func (r *Reader) Buffered() int { return r.buffer.Buffered() }
 
 // Greeting reads the opening line, which must be want, and the header block after it.
--- a/internal/proto/line/splitter.go
+++ b/internal/proto/line/splitter.go
@@ -6,14 +6,14 @@
 	"net/textproto"
 )
 
-// Splitter takes a stream in the pieces in which it arrives: a greeting first, then lines.
+// Splitter splits a stream that arrives in pieces: first the greeting, then the lines.
 type Splitter struct {
-	partial []byte // a message that is not complete
+	partial []byte // the received part of an incomplete message
 	fields  [][]byte
 }
 
-// Greeting takes a piece of the greeting, whose opening line must be want. The header is nil until it is complete; rest is what
-// came after it, to be fed.
+// Greeting takes a piece of the greeting, whose opening line must be want. The header is nil until the greeting is complete; rest is then the
+// part of the piece that follows the greeting, which has to be passed to Feed.
 func (s *Splitter) Greeting(piece []byte, want string) (header textproto.MIMEHeader, rest []byte, err error) {
 	s.partial = append(s.partial, piece...)
 	if lineEnd := bytes.IndexByte(s.partial, '\n'); lineEnd >= 0 { // a wrong opening line is reported at once
@@ -36,7 +36,7 @@
 	return header, rest, nil
 }
 
-// headerEnd finds the end of the first empty line, which ends a header block.
+// headerEnd returns the end of the first empty line, which ends a header block.
 func headerEnd(text []byte) (end int, ok bool) {
 	end = -1
 	for _, separator := range []string{"\n\r\n", "\n\n"} {
@@ -47,8 +47,8 @@
 	return end, end >= 0
 }
 
-// Feed takes a piece and passes on the fields of each line that it completes; they hold for that call alone. The first error of the
-// stream or of the callee ends it.
+// Feed takes a piece and calls onLine with the fields of each line that it completes; they are valid for that call only. Feed returns at the
+// first error, of the input or of onLine; the stream can't be read further then.
 func (s *Splitter) Feed(piece []byte, onLine func(fields [][]byte) error) error {
 	for len(piece) > 0 {
 		end := bytes.IndexByte(piece, '\n')
@@ -79,5 +79,5 @@
 	return nil
 }
 
-// InsideMessage tells whether the stream stands inside a message.
+// InsideMessage returns whether the stream ends in the middle of a message so far.
 func (s *Splitter) InsideMessage() bool { return len(s.partial) > 0 }
--- a/internal/proto/list/decode.go
+++ b/internal/proto/list/decode.go
@@ -6,7 +6,7 @@
 	"ravenpond/internal/proto/line"
 )
 
-// DecodeScheduler decodes a scheduler's line into a call of the handler.
+// DecodeScheduler decodes a line that a scheduler sent and calls the handler's method for the message.
 func DecodeScheduler(fields [][]byte, handler SchedulerHandler) error {
 	f := line.NewFields(fields)
 	switch keyword := string(fields[0]); keyword {
@@ -42,7 +42,7 @@
 	}
 }
 
-// DecodeList decodes a line of the list into a call of the handler.
+// DecodeList decodes a line that the list server sent and calls the handler's method for the message.
 func DecodeList(fields [][]byte, handler Handler) error {
 	f := line.NewFields(fields)
 	switch keyword := string(fields[0]); keyword {
--- a/internal/proto/list/encode.go
+++ b/internal/proto/list/encode.go
@@ -5,15 +5,15 @@
 // AppendFullRequest appends the request for the full list.
 func AppendFullRequest(b []byte) []byte { return append(b, "WHOLE\n"...) }
 
-// AppendWatch appends the request for all changes after a version, and those to come.
+// AppendWatch appends the request for all changes after a version, including future ones.
 func AppendWatch(b []byte, since uint64) []byte {
 	return append(line.AppendInt(append(b, "WATCH"...), since), '\n')
 }
 
-// AppendUnwatch appends the end of the watch.
+// AppendUnwatch appends the request to end the watch.
 func AppendUnwatch(b []byte) []byte { return append(b, "UNWATCH\n"...) }
 
-// AppendMaintenance appends the notice that a node is out for maintenance, for a duration if no other notice follows.
+// AppendMaintenance appends the notice that a node is out for maintenance, which ends after the duration if no other notice follows.
 func AppendMaintenance(b []byte, id uint32, duration float64) []byte {
 	return append(line.AppendNumber(line.AppendInt(append(b, "OUT"...), uint64(id)), duration), '\n')
 }
@@ -23,7 +23,7 @@
 	return append(line.AppendInt(append(b, "BACK"...), uint64(id)), '\n')
 }
 
-// AppendBye appends why the connection is closed.
+// AppendBye appends the reason for which the sender closes the connection.
 func AppendBye(b []byte, reason string) []byte {
 	return append(line.AppendText(append(b, "BYE"...), line.EscapeText(reason)), '\n')
 }
@@ -50,7 +50,7 @@
 // AppendEnd appends the end of an answer.
 func AppendEnd(b []byte) []byte { return append(b, "END\n"...) }
 
-// AppendFailed appends that a request failed.
+// AppendFailed appends the notice that a request failed.
 func AppendFailed(b []byte, reason string) []byte {
 	return append(line.AppendText(append(b, "FAILED"...), line.EscapeText(reason)), '\n')
 }
--- a/internal/proto/list/list_test.go
+++ b/internal/proto/list/list_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// recorder encodes each message that it takes.
+// recorder encodes each message that it receives. It implements the handlers of both sides.
 type recorder struct{ b []byte }
 
 func (r *recorder) OnFullRequest() error       { r.b = AppendFullRequest(r.b); return nil }
@@ -30,7 +30,7 @@
 func (r *recorder) OnEnd() error                 { r.b = AppendEnd(r.b); return nil }
 func (r *recorder) OnFailed(reason string) error { r.b = AppendFailed(r.b, reason); return nil }
 
-// checkRoundTrip decodes a line, encodes the result and decodes that again: both results must be the same, whatever the line was.
+// checkRoundTrip checks that a line that can be decoded is the same after encoding and decoding it again.
 func checkRoundTrip(t *testing.T, input []byte, decode func([][]byte, *recorder) error) {
 	t.Helper()
 	var first, second recorder
@@ -38,7 +38,7 @@
 		return
 	}
 	if err := decode(bytes.Fields(first.b), &second); err != nil || !bytes.Equal(first.b, second.b) {
-		t.Errorf("%q: %q, then %q, %v", input, first.b, second.b, err)
+		t.Errorf("%q: encoded as %q, after another round trip as %q, error %v", input, first.b, second.b, err)
 	}
 }
 
@@ -67,11 +67,11 @@
 		}
 	}
 	if !bytes.Equal(b, e.b) {
-		t.Errorf("%q, %q", b, e.b)
+		t.Errorf("encoded %q, after decoding %q; want the same", b, e.b)
 	}
 	for _, bad := range []string{"OUT 7", "OUT x 1", "OUT 7 1 1", "BACK", "BACK 7 7", "OUT 7 NaN"} {
 		if err := DecodeScheduler(bytes.Fields([]byte(bad)), &e); err == nil {
-			t.Errorf("%s: accepted", bad)
+			t.Errorf("%s: accepted, want an error", bad)
 		}
 	}
 }
