--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -79,13 +79,14 @@
 		float32(1), float32(2), byte(0))
 	killed := record(wire.InstanceKilled, uint16(0))
 	for _, c := range []struct {
-		name  string
-		in    []byte
-		binds []uint32 // nodes to which attempts are sent
-		fault string
+		name     string
+		in       []byte
+		attempts []uint32 // nodes to which attempts are sent
+		fault    string
 	}{
 		{"task is placed", batch(tail, create, listEntries, listUpdate, task), []uint32{77}, ""},
-		{"instance killed and created again", batch(tail, create, listEntries, listUpdate, killed, create, listEntries, listUpdate, task), []uint32{77}, ""},
+		{"instance killed and created again", batch(tail, create, listEntries, listUpdate, killed, create, listEntries, listUpdate, task), []uint32{77},
+			""},
 		{"instance killed with a request waiting", batch(tail, create, listEntries, listUpdate, task, killed), nil, ""},
 		{"list number reused", batch(tail+entry(78), create, listEntries, record(wire.ListEntries, uint32(0),
 			settingsSize+wire.EntrySize, uint32(1)), listUpdate, task), []uint32{78}, ""},
@@ -119,9 +120,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			binds := attemptedNodes(out.Bytes())
-			if len(binds) != len(c.binds) || len(binds) > 0 && binds[0] != c.binds[0] {
-				t.Errorf("got attempts at nodes %v, want %v", binds, c.binds)
+			attempts := attemptedNodes(out.Bytes())
+			if len(attempts) != len(c.attempts) || len(attempts) > 0 && attempts[0] != c.attempts[0] {
+				t.Errorf("got attempts at nodes %v, want %v", attempts, c.attempts)
 			}
 		})
 	}
--- a/internal/proto/node/node_test.go
+++ b/internal/proto/node/node_test.go
@@ -89,38 +89,38 @@
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		attempt := AttemptID{Ticket: rapid.Uint64().Draw(t, "ticket"), Number: rapid.Uint8().Draw(t, "try")}
-		num := func(what string) float64 { return float64(rapid.Int64Range(1, 1e9).Draw(t, what)) / 8 }
-		small := func(what string) int { return rapid.IntRange(0, 65535).Draw(t, what) }
-		a, c, d := num("a"), num("c"), num("d")
-		job, tenant, epoch := small("job"), small("tenant"), rapid.Uint32().Draw(t, "epoch")
+		drawNumber := func(what string) float64 { return float64(rapid.Int64Range(1, 1e9).Draw(t, what)) / 8 }
+		drawUint16 := func(what string) int { return rapid.IntRange(0, 65535).Draw(t, what) }
+		first, second, third := drawNumber("first"), drawNumber("second"), drawNumber("third")
+		job, tenant, epoch := drawUint16("job"), drawUint16("tenant"), rapid.Uint32().Draw(t, "epoch")
 		service, token := rapid.Uint64().Draw(t, "service"), rapid.Uint64().Draw(t, "token")
-		result, reason := small("o")%len(OutcomeNames), small("r")%len(ReasonNames)
-		claim, kind := small("cl")%len(ClaimNames), small("n")%len(NoteNames)
-		task := Task{JobClass: job, Tenant: tenant, Service: service, Token: token, Cores: c, Memory: d}
-		offer := Offer{Attempt: attempt, Epoch: epoch, SentAt: d, Timeout: a, Task: task}
+		result, reason := drawUint16("outcome")%len(OutcomeNames), drawUint16("reason")%len(ReasonNames)
+		claim, kind := drawUint16("claim")%len(ClaimNames), drawUint16("note")%len(NoteNames)
+		task := Task{JobClass: job, Tenant: tenant, Service: service, Token: token, Cores: second, Memory: third}
+		offer := Offer{Attempt: attempt, Epoch: epoch, SentAt: third, Timeout: first, Task: task}
 		held := HeldTask{Attempt: attempt, State: claim % 2, Task: task}
-		outcome := Outcome{Attempt: attempt, Result: result, Reason: reason, Report: []float64{c, -d}}
-		note := Note{Attempt: attempt, Kind: kind, Value: d}
+		outcome := Outcome{Attempt: attempt, Result: result, Reason: reason, Report: []float64{second, -third}}
+		note := Note{Attempt: attempt, Kind: kind, Value: third}
 		answer := ClaimAnswer{Attempt: attempt, Claim: claim, Reason: reason}
-		want := &callRecorder{}
-		b := AppendOffer(nil, offer)
-		b = AppendClaim(AppendStop(AppendRecall(b, attempt), attempt), attempt)
-		b = AppendBye(AppendPing(AppendProbe(b, token), c), "going away now")
-		_ = want.OnOffer(offer)
-		_, _, _ = want.OnRecall(attempt), want.OnStop(attempt), want.OnClaim(attempt)
-		_, _, _ = want.OnProbe(token), want.OnPing(c), want.OnBye("going-away-now")
-		n := &callRecorder{}
-		x := AppendHeldAll(AppendHeld(nil, held))
-		x = AppendOutcome(AppendStarted(x, attempt, a), outcome)
-		x = AppendPong(AppendClaimAnswer(AppendReport(AppendNote(x, note), token, []float64{a}), answer))
-		_, _, _ = n.OnHeld(held), n.OnHeldAll(), n.OnStarted(attempt, a)
-		_, _, _ = n.OnOutcome(outcome), n.OnNote(note), n.OnReport(token, []float64{a})
-		_, _ = n.OnClaimAnswer(answer), n.OnPong()
+		nodeCalls := &callRecorder{}
+		toNode := AppendOffer(nil, offer)
+		toNode = AppendClaim(AppendStop(AppendRecall(toNode, attempt), attempt), attempt)
+		toNode = AppendBye(AppendPing(AppendProbe(toNode, token), second), "going away now")
+		_ = nodeCalls.OnOffer(offer)
+		_, _, _ = nodeCalls.OnRecall(attempt), nodeCalls.OnStop(attempt), nodeCalls.OnClaim(attempt)
+		_, _, _ = nodeCalls.OnProbe(token), nodeCalls.OnPing(second), nodeCalls.OnBye("going-away-now")
+		schedulerCalls := &callRecorder{}
+		toScheduler := AppendHeldAll(AppendHeld(nil, held))
+		toScheduler = AppendOutcome(AppendStarted(toScheduler, attempt, first), outcome)
+		toScheduler = AppendPong(AppendClaimAnswer(AppendReport(AppendNote(toScheduler, note), token, []float64{first}), answer))
+		_, _, _ = schedulerCalls.OnHeld(held), schedulerCalls.OnHeldAll(), schedulerCalls.OnStarted(attempt, first)
+		_, _, _ = schedulerCalls.OnOutcome(outcome), schedulerCalls.OnNote(note), schedulerCalls.OnReport(token, []float64{first})
+		_, _ = schedulerCalls.OnClaimAnswer(answer), schedulerCalls.OnPong()
 		for _, side := range []struct {
 			stream []byte
 			want   []string
 			sched  bool
-		}{{b, want.lines, false}, {x, n.lines, true}} {
+		}{{toNode, nodeCalls.lines, false}, {toScheduler, schedulerCalls.lines, true}} {
 			got, err := decodeAll(side.stream, side.sched)
 			if err != nil || strings.Join(got, "\n") != strings.Join(side.want, "\n") {
 				t.Fatalf("got error %v and calls\n%q, want calls\n%q", err, got, side.want)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -44,7 +44,7 @@
 			r := NewReader(bytes.NewReader(decodeHex(t, c.in)))
 			_, n, err := r.Next()
 			if n != c.records || (err == nil) != (c.fault == "") || err != nil && !strings.Contains(err.Error(), c.fault) {
-				t.Fatalf("got %d records, error %v; want %d records, error %q", n, err, c.records, c.fault)
+				t.Fatalf("got %d records, error %v; want those of the test case", n, err)
 			}
 			if c.fault == "EOF" && !errors.Is(err, io.EOF) {
 				t.Fatal("got another error than io.EOF at the end of input")
@@ -75,7 +75,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := r.Tail(decodeHex(t, c.field), 0, c.size)
 			if string(got) != c.want || (err == nil) != (c.want != "") {
-				t.Errorf("got %q, error %v; want %q", got, err, c.want)
+				t.Errorf("got %q, error %v; want those of the test case", got, err)
 			}
 		})
 	}
