--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -85,8 +85,11 @@
 		fault    string
 	}{
 		{"task is placed", batch(tail, create, listEntries, listUpdate, task), []uint32{77}, ""},
-		{"instance killed and created again", batch(tail, create, listEntries, listUpdate, killed, create, listEntries, listUpdate, task), []uint32{77},
-			""},
+		{
+			"instance killed and created again", batch(tail, create, listEntries, listUpdate, killed, create, listEntries, listUpdate, task),
+			[]uint32{77},
+			"",
+		},
 		{"instance killed with a request waiting", batch(tail, create, listEntries, listUpdate, task, killed), nil, ""},
 		{"list number reused", batch(tail+entry(78), create, listEntries, record(wire.ListEntries, uint32(0),
 			settingsSize+wire.EntrySize, uint32(1)), listUpdate, task), []uint32{78}, ""},
--- a/internal/proto/line/append.go
+++ b/internal/proto/line/append.go
@@ -23,7 +23,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendNumber appends a space and a number, without decimals if it is an integer below 1e15 and with three decimals otherwise.
+// AppendNumber appends a space and a number: without decimals if it is an integer of an absolute value below 1e15, otherwise with three
+// decimals.
 func AppendNumber(b []byte, v float64) []byte {
 	b = append(b, ' ')
 	if v == math.Trunc(v) && math.Abs(v) < maxExactInteger {
--- a/internal/proto/list/list_test.go
+++ b/internal/proto/list/list_test.go
@@ -30,7 +30,8 @@
 func (r *recorder) OnEnd() error                 { r.b = AppendEnd(r.b); return nil }
 func (r *recorder) OnFailed(reason string) error { r.b = AppendFailed(r.b, reason); return nil }
 
-// checkRoundTrip checks that a line that can be decoded is the same after encoding and decoding it again.
+// checkRoundTrip checks that decoding a line, encoding the result and decoding that again gives the same result. It skips lines that can't be
+// decoded.
 func checkRoundTrip(t *testing.T, input []byte, decode func([][]byte, *recorder) error) {
 	t.Helper()
 	var first, second recorder
