--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -130,7 +130,7 @@
 			older.Write(encodePEM(blockCertificate, c.Raw))
 		}
 	}
-	revoked, err := a.revoked()
+	revoked, err := a.readRevoked()
 	if err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	revoked, err := a.revoked()
+	revoked, err := a.readRevoked()
 	if err != nil {
 		return err
 	}
@@ -156,8 +156,8 @@
 	return a.writeRevoked(now, append(revoked, x509.RevocationListEntry{SerialNumber: serial, RevocationTime: now}))
 }
 
-// revoked reads the entries of the revocation list.
-func (a *Authority) revoked() ([]x509.RevocationListEntry, error) {
+// readRevoked reads the entries of the revocation list.
+func (a *Authority) readRevoked() ([]x509.RevocationListEntry, error) {
 	list, err := readRevocationList(a.folder)
 	if err != nil {
 		return nil, err
--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -36,7 +36,7 @@
 	return credentials.NewTLS(&tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{identity},
-		RootCAs:      poolOf(authorities),
+		RootCAs:      newCertPool(authorities),
 	}), nil
 }
 
--- a/internal/keys/guard.go
+++ b/internal/keys/guard.go
@@ -50,7 +50,7 @@
 	tlsConfig := &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		Certificates:           []tls.Certificate{identity},
-		ClientCAs:              poolOf(authorities),
+		ClientCAs:              newCertPool(authorities),
 		ClientAuth:             tls.RequireAndVerifyClientCert,
 		NextProtos:             []string{"h2"},
 		SessionTicketsDisabled: true,
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -12,7 +12,7 @@
 
 var now = time.Now()
 
-func authority(t *testing.T) (*Authority, string) {
+func newAuthority(t *testing.T) (*Authority, string) {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "keys")
 	a, err := Init(dir, now)
@@ -22,8 +22,8 @@
 	return a, dir
 }
 
-// trusted tells whether a certificate is good by the authorities in a folder.
-func trusted(t *testing.T, dir string, c *x509.Certificate) bool {
+// isTrusted tells whether a certificate is good by the authorities in a folder.
+func isTrusted(t *testing.T, dir string, c *x509.Certificate) bool {
 	t.Helper()
 	cas, err := Certificates(filepath.Join(dir, caFile))
 	if err != nil {
@@ -38,7 +38,7 @@
 }
 
 func TestIssue(t *testing.T) {
-	a, dir := authority(t)
+	a, dir := newAuthority(t)
 	if _, err := Init(dir, now); err == nil {
 		t.Error("an authority was made over another")
 	}
@@ -66,8 +66,8 @@
 			if err != nil {
 				return
 			}
-			if !trusted(t, dir, got) || got.NotAfter.After(now.Add(authorityLifetime)) {
-				t.Errorf("until %s, trusted %t", got.NotAfter, trusted(t, dir, got))
+			if !isTrusted(t, dir, got) || got.NotAfter.After(now.Add(authorityLifetime)) {
+				t.Errorf("until %s, trusted %t", got.NotAfter, isTrusted(t, dir, got))
 			}
 			if len(c.subject.Hosts) > 0 {
 				return
@@ -86,7 +86,7 @@
 // and what was revoked stays so.
 func TestRotate(t *testing.T) {
 	for _, killed := range []bool{false, true} {
-		a, dir := authority(t)
+		a, dir := newAuthority(t)
 		old, err := a.Issue(now, Subject{Name: "ana", Role: access.Operator, Lifetime: time.Hour})
 		if err != nil {
 			t.Fatal(err)
@@ -107,15 +107,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !trusted(t, dir, old) || !trusted(t, dir, renewed) {
-			t.Errorf("killed %t: old %t, renewed %t", killed, trusted(t, dir, old), trusted(t, dir, renewed))
+		if !isTrusted(t, dir, old) || !isTrusted(t, dir, renewed) {
+			t.Errorf("killed %t: old %t, renewed %t", killed, isTrusted(t, dir, old), isTrusted(t, dir, renewed))
 		}
-		entries, err := a.revoked()
+		entries, err := a.readRevoked()
 		if err != nil || len(entries) != 1 || entries[0].SerialNumber.Cmp(old.SerialNumber) != 0 {
 			t.Errorf("killed %t: %d revoked, %v", killed, len(entries), err)
 		}
 	}
-	a, dir := authority(t)
+	a, dir := newAuthority(t)
 	if err := a.Rotate(now.Add(authorityLifetime + time.Hour)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keys/pem.go
+++ b/internal/keys/pem.go
@@ -104,7 +104,7 @@
 	return identity, authorities, nil
 }
 
-func poolOf(certificates []*x509.Certificate) *x509.CertPool {
+func newCertPool(certificates []*x509.Certificate) *x509.CertPool {
 	pool := x509.NewCertPool()
 	for _, c := range certificates {
 		pool.AddCert(c)
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -23,19 +23,19 @@
 	evicted  int
 }
 
-func (h *fakeExecutor) SetDraining(nodes []string, draining bool) {
+func (e *fakeExecutor) SetDraining(nodes []string, draining bool) {
 	for _, n := range nodes {
 		if draining {
-			h.draining[n] = true
+			e.draining[n] = true
 		} else {
-			delete(h.draining, n)
+			delete(e.draining, n)
 		}
 	}
 }
 
-func (h *fakeExecutor) CountRunning(nodes []string) (byJob []int, fleet int) {
+func (e *fakeExecutor) CountRunning(nodes []string) (byJob []int, fleet int) {
 	byJob = make([]int, 2)
-	for n, jobs := range h.running {
+	for n, jobs := range e.running {
 		for job, c := range jobs {
 			fleet += c
 			if slices.Contains(nodes, n) {
@@ -46,28 +46,28 @@
 	return byJob, fleet
 }
 
-func (h *fakeExecutor) Evict(nodes []string, job, limit int) int {
+func (e *fakeExecutor) Evict(nodes []string, job, limit int) int {
 	for _, n := range nodes {
-		for h.running[n][job] > 0 && limit > 0 {
-			h.running[n][job]--
+		for e.running[n][job] > 0 && limit > 0 {
+			e.running[n][job]--
 			limit--
-			h.evicted++
+			e.evicted++
 		}
 	}
 	return 0
 }
 
-func (h *fakeExecutor) Log(line string) { h.lines = append(h.lines, line) }
+func (e *fakeExecutor) Log(line string) { e.lines = append(e.lines, line) }
 
-// rig is a controller on a store in a folder.
-type rig struct {
+// fixture is a controller on a store in a folder.
+type fixture struct {
 	folder     string
 	store      *maintenancestore.Store
 	controller *Controller
 	executor   *fakeExecutor
 }
 
-func newRig(t *testing.T, windows ...calendar.Window) rig {
+func newFixture(t *testing.T, windows ...calendar.Window) fixture {
 	t.Helper()
 	dir := t.TempDir()
 	s, err := maintenancestore.Open(dir)
@@ -75,18 +75,18 @@
 		t.Fatal(err)
 	}
 	noError(t, s.AddEvents(&calendar.Calendar{Windows: windows}, start))
-	h := &fakeExecutor{draining: map[string]bool{}, running: map[string][]int{"n1": {30, 2}, "n2": {20, 0}, "n3": {50, 5}}}
-	return rig{dir, s, controllerOn(s, h), h}
+	executor := &fakeExecutor{draining: map[string]bool{}, running: map[string][]int{"n1": {30, 2}, "n2": {20, 0}, "n3": {50, 5}}}
+	return fixture{dir, s, newController(s, executor), executor}
 }
 
-func controllerOn(s Store, h *fakeExecutor) *Controller {
+func newController(s Store, executor *fakeExecutor) *Controller {
 	return &Controller{
-		Store: s, Executor: h, Limits: calendar.Limits{Fleet: 0.5, Zone: 1, Kind: 1, LoadMargin: 1},
+		Store: s, Executor: executor, Limits: calendar.Limits{Fleet: 0.5, Zone: 1, Kind: 1, LoadMargin: 1},
 		Policies: []drainpace.Policy{drainpace.Late, drainpace.RunOut},
 	}
 }
 
-func fleet() (all []calendar.Node) {
+func testFleet() (all []calendar.Node) {
 	for i := 1; i <= 4; i++ {
 		all = append(all, calendar.Node{ID: fmt.Sprint("n", i), Zone: "z", Cell: fmt.Sprint("c", i/3), Kind: "k", Cores: 1, Memory: 1})
 	}
@@ -102,43 +102,43 @@
 func tickRange(t *testing.T, c *Controller, from, to int, lost map[string]bool) {
 	t.Helper()
 	for s := from * 60; s < to*60; s++ {
-		noError(t, c.Tick(start.Add(time.Duration(s)*time.Second), fleet(), lost))
+		noError(t, c.Tick(start.Add(time.Duration(s)*time.Second), testFleet(), lost))
 	}
 }
 
-func TestWindow(t *testing.T) {
-	r := newRig(t, window("a"))
-	s, k, h := r.store, r.controller, r.executor
-	tickRange(t, k, -12, -10, nil)
-	if len(h.draining) != 0 {
+func TestDrainFollowsWindow(t *testing.T) {
+	r := newFixture(t, window("a"))
+	s, controller, executor := r.store, r.controller, r.executor
+	tickRange(t, controller, -12, -10, nil)
+	if len(executor.draining) != 0 {
 		t.Error("the drain begins before its time")
 	}
-	tickRange(t, k, -10, -5, nil)
-	if !h.draining["n1"] || h.evicted != 0 {
-		t.Errorf("draining %v, %d evicted in the first half of the lead", h.draining, h.evicted)
+	tickRange(t, controller, -10, -5, nil)
+	if !executor.draining["n1"] || executor.evicted != 0 {
+		t.Errorf("draining %v, %d evicted in the first half of the lead", executor.draining, executor.evicted)
 	}
-	tickRange(t, k, -5, 0, nil)
-	if h.running["n1"][0] != 0 || h.running["n1"][1] != 2 {
-		t.Errorf("running at the start of the window: %v", h.running["n1"])
+	tickRange(t, controller, -5, 0, nil)
+	if executor.running["n1"][0] != 0 || executor.running["n1"][1] != 2 {
+		t.Errorf("running at the start of the window: %v", executor.running["n1"])
 	}
-	tickRange(t, k, 0, 61, nil)
-	if len(h.draining) != 0 || len(h.lines) != 2 {
-		t.Errorf("draining %v after the end, lines %q", h.draining, h.lines)
+	tickRange(t, controller, 0, 61, nil)
+	if len(executor.draining) != 0 || len(executor.lines) != 2 {
+		t.Errorf("draining %v after the end, lines %q", executor.draining, executor.lines)
 	}
 	if unfinished, _ := s.UnfinishedDrains(); len(unfinished) != 0 {
 		t.Errorf("unfinished: %+v", unfinished)
 	}
 }
 
-func TestKilled(t *testing.T) {
+func TestRestartAfterKill(t *testing.T) {
 	for _, at := range []string{"opened", "announced", "closed"} {
 		t.Run(at, func(t *testing.T) {
-			r := newRig(t, window("a"))
-			dir, s, k, h := r.folder, r.store, r.controller, r.executor
-			k.Store = &failingStore{Store: s, at: at}
+			r := newFixture(t, window("a"))
+			dir, s, controller, executor := r.folder, r.store, r.controller, r.executor
+			controller.Store = &failingStore{Store: s, at: at}
 			var err error
 			for s := -11 * 60; s < 62*60 && err == nil; s++ {
-				err = k.Tick(start.Add(time.Duration(s)*time.Second), fleet(), nil)
+				err = controller.Tick(start.Add(time.Duration(s)*time.Second), testFleet(), nil)
 			}
 			if !errors.Is(err, errKilled) {
 				t.Fatal("not killed: ", err)
@@ -149,16 +149,16 @@
 				t.Fatal(err)
 			}
 			defer func() { noError(t, s.Close()) }()
-			h2 := &fakeExecutor{draining: map[string]bool{}, running: h.running} // the next incarnation knows nothing
-			k = controllerOn(s, h2)
-			tickRange(t, k, 20, 21, nil)
-			if at != "closed" && !h2.draining["n1"] {
+			restarted := &fakeExecutor{draining: map[string]bool{}, running: executor.running} // the next incarnation knows nothing
+			controller = newController(s, restarted)
+			tickRange(t, controller, 20, 21, nil)
+			if at != "closed" && !restarted.draining["n1"] {
 				t.Error("the next incarnation does not announce the drain")
 			}
-			tickRange(t, k, 59, 63, nil)
+			tickRange(t, controller, 59, 63, nil)
 			drains, _ := s.Drains()
-			if len(h2.draining) != 0 || len(drains) != 1 || drains[0].Stage != maintenancestore.Closed {
-				t.Errorf("draining %v, %+v", h2.draining, drains)
+			if len(restarted.draining) != 0 || len(drains) != 1 || drains[0].Stage != maintenancestore.Closed {
+				t.Errorf("draining %v, %+v", restarted.draining, drains)
 			}
 		})
 	}
@@ -188,40 +188,40 @@
 }
 
 func TestCancelledWhileDraining(t *testing.T) {
-	r := newRig(t, window("a"))
-	s, k, h := r.store, r.controller, r.executor
-	tickRange(t, k, -10, -8, nil)
+	r := newFixture(t, window("a"))
+	s, controller, executor := r.store, r.controller, r.executor
+	tickRange(t, controller, -10, -8, nil)
 	noError(t, s.CancelWindow("a", time.Time{}, start))
-	tickRange(t, k, -8, -7, nil)
-	if len(h.draining) != 0 || !strings.Contains(h.lines[len(h.lines)-1], "cancelled") {
-		t.Errorf("draining %v, %q", h.draining, h.lines)
+	tickRange(t, controller, -8, -7, nil)
+	if len(executor.draining) != 0 || !strings.Contains(executor.lines[len(executor.lines)-1], "cancelled") {
+		t.Errorf("draining %v, %q", executor.draining, executor.lines)
 	}
 }
 
-func TestNodesLost(t *testing.T) {
-	r := newRig(t, window("a"))
-	k, h := r.controller, r.executor
-	tickRange(t, k, -11, -1, map[string]bool{"n3": true, "n4": true})
-	if !h.draining["n1"] || h.evicted != 0 || !strings.Contains(strings.Join(h.lines, ""), "2 nodes lost") {
-		t.Errorf("draining %v, %d evicted, %q", h.draining, h.evicted, h.lines)
+func TestEvictionIsSuspendedWhileNodesAreLost(t *testing.T) {
+	r := newFixture(t, window("a"))
+	controller, executor := r.controller, r.executor
+	tickRange(t, controller, -11, -1, map[string]bool{"n3": true, "n4": true})
+	if !executor.draining["n1"] || executor.evicted != 0 || !strings.Contains(strings.Join(executor.lines, ""), "2 nodes lost") {
+		t.Errorf("draining %v, %d evicted, %q", executor.draining, executor.evicted, executor.lines)
 	}
-	tickRange(t, k, -1, 2, nil) // the nodes are back
-	if h.running["n1"][0] != 0 {
+	tickRange(t, controller, -1, 2, nil) // the nodes are back
+	if executor.running["n1"][0] != 0 {
 		t.Error("work is not evicted when the nodes are back")
 	}
 }
 
-func TestSharedNode(t *testing.T) {
+func TestNodeOfTwoWindows(t *testing.T) {
 	b := window("b")
 	b.Duration = 2 * time.Hour
-	r := newRig(t, window("a"), b)
-	k, h := r.controller, r.executor
-	tickRange(t, k, -10, 70, nil)
-	if !h.draining["n1"] {
+	r := newFixture(t, window("a"), b)
+	controller, executor := r.controller, r.executor
+	tickRange(t, controller, -10, 70, nil)
+	if !executor.draining["n1"] {
 		t.Error("the node is back while another window holds it")
 	}
-	tickRange(t, k, 70, 122, nil)
-	if len(h.draining) != 0 {
+	tickRange(t, controller, 70, 122, nil)
+	if len(executor.draining) != 0 {
 		t.Error("the node is still draining")
 	}
 }
--- a/internal/maintenance/round.go
+++ b/internal/maintenance/round.go
@@ -141,7 +141,7 @@
 	if !cancelled && work.total > 0 {
 		switch v.Ending {
 		case calendar.Sweep:
-			r.sweep(v, work)
+			r.evictStoppable(v, work)
 		case calendar.Hold:
 			if length := v.End.Sub(v.Start); r.now.Before(v.End.Add(length)) { // at most once more its length
 				return nil
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// sweep evicts all work that may be stopped.
-func (r *round) sweep(v calendar.Verdict, work workload) {
+// evictStoppable evicts all work that may be stopped.
+func (r *round) evictStoppable(v calendar.Verdict, work workload) {
 	for job, running := range work.byJob {
 		if r.Policies[job] != drainpace.RunOut {
 			r.Executor.Evict(v.Nodes, job, running)
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -26,8 +26,8 @@
 
 func (r *recorder) LastHeard(uint32) (incarnation uint64, at float64, ok bool) { return 0, 0, false }
 
-// TestSockets has three runners find each other over sockets, from one seed, beside a process with another key; one leaves.
-func TestSockets(t *testing.T) {
+// TestRunnersOverSockets has three runners find each other over sockets, from one seed, beside a process with another key; one leaves.
+func TestRunnersOverSockets(t *testing.T) {
 	environment := env.NewReal()
 	defer environment.Close(time.Second)
 	var runners []*Runner
@@ -57,7 +57,7 @@
 		}
 		t.Fatal(what)
 	}
-	holds := func(i int, name string, s membership.State) bool {
+	hasState := func(i int, name string, s membership.State) bool {
 		recorders[i].mu.Lock()
 		defer recorders[i].mu.Unlock()
 		return recorders[i].states[name] == s
@@ -65,7 +65,7 @@
 	eventually("the members do not find each other", func() bool {
 		for i := range 3 {
 			for j := range 3 {
-				if i != j && !holds(i, fmt.Sprint("m", j), membership.Alive) {
+				if i != j && !hasState(i, fmt.Sprint("m", j), membership.Alive) {
 					return false
 				}
 			}
@@ -73,7 +73,7 @@
 		return true
 	})
 	runners[1].Stop()
-	eventually("the others do not learn that one leaves", func() bool { return holds(0, "m1", membership.Left) && holds(2, "m1", membership.Left) })
+	eventually("the others do not learn that one leaves", func() bool { return hasState(0, "m1", membership.Left) && hasState(2, "m1", membership.Left) })
 	foreign := uint64(0)
 	runners[0].WithDetector(func(d *membership.Detector) { foreign = d.Stats.Foreign })
 	if len(recorders[3].states) > 0 || foreign == 0 {
--- a/internal/proto/admin/gen/main.go
+++ b/internal/proto/admin/gen/main.go
@@ -45,29 +45,29 @@
 	if err != nil {
 		return err
 	}
-	var all []*descriptorpb.FileDescriptorProto
+	var descriptors []*descriptorpb.FileDescriptorProto
 	for _, f := range files {
-		all = append(all, protoutil.ProtoFromFileDescriptor(f))
+		descriptors = append(descriptors, protoutil.ProtoFromFileDescriptor(f))
 	}
-	in, err := proto.Marshal(&pluginpb.CodeGeneratorRequest{FileToGenerate: names, ProtoFile: all, Parameter: proto.String("paths=source_relative")})
+	request, err := proto.Marshal(&pluginpb.CodeGeneratorRequest{FileToGenerate: names, ProtoFile: descriptors, Parameter: proto.String("paths=source_relative")})
 	if err != nil {
 		return err
 	}
 	for _, plugin := range []string{"protoc-gen-go", "protoc-gen-go-grpc"} {
 		cmd := exec.Command("go", "tool", plugin)
-		cmd.Stdin, cmd.Stderr = bytes.NewReader(in), os.Stderr
+		cmd.Stdin, cmd.Stderr = bytes.NewReader(request), os.Stderr
 		out, err := cmd.Output()
 		if err != nil {
 			return fmt.Errorf("%s: %w", plugin, err)
 		}
-		var answer pluginpb.CodeGeneratorResponse
-		if err := proto.Unmarshal(out, &answer); err != nil {
+		var response pluginpb.CodeGeneratorResponse
+		if err := proto.Unmarshal(out, &response); err != nil {
 			return fmt.Errorf("%s: %w", plugin, err)
 		}
-		if answer.GetError() != "" {
-			return fmt.Errorf("%s: %s", plugin, answer.GetError())
+		if response.GetError() != "" {
+			return fmt.Errorf("%s: %s", plugin, response.GetError())
 		}
-		for _, f := range answer.File {
+		for _, f := range response.File {
 			if err := os.WriteFile(filepath.Join(folder, f.GetName()), []byte(f.GetContent()), 0o644); err != nil {
 				return err
 			}
--- a/internal/proto/ics/ics.go
+++ b/internal/proto/ics/ics.go
@@ -19,8 +19,8 @@
 
 // Properties of this program. Durations have Go's form.
 const (
-	propReach    = "X-RAVENPOND-REACH"
-	propPlace    = "X-RAVENPOND-PLACE"
+	propScope    = "X-RAVENPOND-REACH"
+	propTarget   = "X-RAVENPOND-PLACE"
 	propLead     = "X-RAVENPOND-LEAD"
 	propTail     = "X-RAVENPOND-TAIL"
 	propSlack    = "X-RAVENPOND-SLACK"
@@ -28,7 +28,7 @@
 	propEnding   = "X-RAVENPOND-ENDING"
 
 	categoryProtected = "PROTECTED"
-	product           = "-//ravenpond//drains 1//EN"
+	productID         = "-//ravenpond//drains 1//EN"
 )
 
 // Bounds of a calendar.
@@ -47,7 +47,7 @@
 func Encode(out io.Writer, c *calendar.Calendar, stamp time.Time) error {
 	cal := ical.NewCalendar()
 	cal.Props.SetText(ical.PropVersion, "2.0")
-	cal.Props.SetText(ical.PropProductID, product)
+	cal.Props.SetText(ical.PropProductID, productID)
 	for i := range c.Windows {
 		cal.Children = append(cal.Children, encodeWindow(&c.Windows[i], stamp).Component)
 	}
@@ -64,8 +64,8 @@
 	event := newEvent(w.ID, stamp)
 	setTimes(event, w.Start, w.Duration, w.Rule)
 	event.Props.SetText(ical.PropSummary, fmt.Sprintf("drain of %s %s", w.Scope, w.Target))
-	event.Props.SetText(propReach, scopes[w.Scope])
-	event.Props.SetText(propPlace, w.Target)
+	event.Props.SetText(propScope, scopes[w.Scope])
+	event.Props.SetText(propTarget, w.Target)
 	event.Props.SetText(propLead, w.Lead.String())
 	event.Props.SetText(propSlack, w.Slack.String())
 	event.Props.SetText(propPriority, strconv.Itoa(w.Priority))
@@ -176,7 +176,7 @@
 		return
 	}
 	w := calendar.Window{
-		ID: id, Scope: calendar.Scope(r.enum(propReach, scopes)), Target: r.text(propPlace), Start: start, Duration: duration, Rule: rule,
+		ID: id, Scope: calendar.Scope(r.enum(propScope, scopes)), Target: r.text(propTarget), Start: start, Duration: duration, Rule: rule,
 		Lead: lead, Slack: r.duration(propSlack), Ending: calendar.Ending(r.enum(propEnding, endings)),
 	}
 	r.decodeOptional(&w)
--- a/internal/proto/ics/ics_test.go
+++ b/internal/proto/ics/ics_test.go
@@ -41,25 +41,25 @@
 	for i := range in.Windows {
 		expectSameWindow(t, in.Windows[i], out.Windows[i])
 	}
-	if x, y := in.Protected[0], out.Protected[0]; x.ID != y.ID || x.Lead != y.Lead || x.Tail != y.Tail || x.Rule != y.Rule {
-		t.Errorf("%+v\n%+v", x, y)
+	if want, got := in.Protected[0], out.Protected[0]; want.ID != got.ID || want.Lead != got.Lead || want.Tail != got.Tail || want.Rule != got.Rule {
+		t.Errorf("%+v\n%+v", want, got)
 	}
 }
 
 // expectSameWindow compares two windows; times are the same if they are the same instant in a time zone of the same name.
-func expectSameWindow(t *testing.T, x, y calendar.Window) {
+func expectSameWindow(t *testing.T, want, got calendar.Window) {
 	t.Helper()
-	if !x.Start.Equal(y.Start) || x.Start.Location().String() != y.Start.Location().String() || len(x.Exceptions) != len(y.Exceptions) ||
-		len(x.Exceptions) > 0 && !x.Exceptions[0].Equal(y.Exceptions[0]) || !x.CreatedAt.Equal(y.CreatedAt) {
-		t.Errorf("times: %+v, %+v", x, y)
+	if !want.Start.Equal(got.Start) || want.Start.Location().String() != got.Start.Location().String() || len(want.Exceptions) != len(got.Exceptions) ||
+		len(want.Exceptions) > 0 && !want.Exceptions[0].Equal(got.Exceptions[0]) || !want.CreatedAt.Equal(got.CreatedAt) {
+		t.Errorf("times: %+v, %+v", want, got)
 	}
-	x.Start, y.Start, x.Exceptions, y.Exceptions, x.CreatedAt, y.CreatedAt = time.Time{}, time.Time{}, nil, nil, time.Time{}, time.Time{}
-	if !reflect.DeepEqual(x, y) {
-		t.Errorf("%+v\n%+v", x, y)
+	want.Start, got.Start, want.Exceptions, got.Exceptions, want.CreatedAt, got.CreatedAt = time.Time{}, time.Time{}, nil, nil, time.Time{}, time.Time{}
+	if !reflect.DeepEqual(want, got) {
+		t.Errorf("%+v\n%+v", want, got)
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestInvalidCalendars(t *testing.T) {
 	event := "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\nBEGIN:VEVENT\r\nUID:a\r\nDTSTAMP:20260101T000000Z\r\nDTSTART:20260301T100000Z\r\n" +
 		"DURATION:PT1H\r\nX-RAVENPOND-PLACE:7\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"
 	if c, err := Decode(strings.NewReader(event)); err != nil || len(c.Windows) != 1 || c.Windows[0].Duration != time.Hour {
--- a/internal/proto/members/format_test.go
+++ b/internal/proto/members/format_test.go
@@ -10,8 +10,8 @@
 	"9a0101056a190a0273331209312e322e332e353a35180420062802320273318a010a08ffffffff0f104d1801a001ffffffff0faa010e080711000000000000008018d3" +
 	"09ba010a080210031a0470617274a7251c6e2ee51fdb90ad8b45e3efc491"
 
-// TestFormat encodes the same datagram: the bytes on the wire are those of older versions.
-func TestFormat(t *testing.T) {
+// TestWireFormat encodes the same datagram: the bytes on the wire are those of older versions.
+func TestWireFormat(t *testing.T) {
 	b := AppendHeader(nil, "site", Header{
 		From: "s1", Address: "1.2.3.4:5", Incarnation: 7, Count: 9, ReceiverIncarnation: 3, Kind: Ping, Number: 11, Target: "s2", Digest: 0xfeed,
 		After: "a", Until: "b",
--- a/internal/proto/members/members_test.go
+++ b/internal/proto/members/members_test.go
@@ -61,7 +61,7 @@
 	return b
 }
 
-func TestBothWays(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	var x recorder
 	if err := Open(Seal(datagram(), key, "9.9.9.9:1"), key, "site", "9.9.9.9:1", &x); err != nil {
 		t.Fatal(err)
@@ -89,8 +89,8 @@
 	return AppendHeader(nil, site, Header{From: from, Address: "a", Incarnation: incarnation, Count: 1, ReceiverIncarnation: 1, Kind: Ping, Number: 1})
 }
 
-// TestForeign rejects datagrams that are not sealed for this receiver with this site's key.
-func TestForeign(t *testing.T) {
+// TestInvalidDatagramIsRejected rejects datagrams that are not sealed for this receiver with this site's key.
+func TestInvalidDatagramIsRejected(t *testing.T) {
 	good := Seal(datagram(), key, "r")
 	for _, c := range []struct {
 		name string
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestFits fills a datagram with updates: sealed, it is not longer than it may be.
-func TestFits(t *testing.T) {
+// TestUpdatesFitDatagram fills a datagram with updates: sealed, it is not longer than it may be.
+func TestUpdatesFitDatagram(t *testing.T) {
 	b, n := datagram(), 0
 	for ok := true; ok; n++ {
 		b, ok = AppendMember(b, Member{
@@ -147,8 +147,8 @@
 	f.Fuzz(func(_ *testing.T, b []byte) { _ = Open(Seal(b, key, "r"), key, "site", "r", &recorder{}) })
 }
 
-// TestFragment checks that the longest fragment fits a datagram with the longest header, and is decoded as it was encoded.
-func TestFragment(t *testing.T) {
+// TestLongestFragmentFitsDatagram checks that the longest fragment fits a datagram with the longest header, and is decoded as it was encoded.
+func TestLongestFragmentFitsDatagram(t *testing.T) {
 	long := strings.Repeat("x", maxNameBytes)
 	b := AppendHeader(nil, long, Header{
 		From: long, Address: long, Incarnation: 1 << 63, Count: 1 << 63, ReceiverIncarnation: 1 << 63, Kind: Fragment, Number: 1 << 63,
--- a/internal/strictxml/reader.go
+++ b/internal/strictxml/reader.go
@@ -35,13 +35,13 @@
 			break
 		}
 		if err != nil {
-			r.fault(r.line(), "not well-formed: %v", err)
+			r.addFault(r.line(), "not well-formed: %v", err)
 			break
 		}
 		switch t := token.(type) {
 		case xml.StartElement:
 			if item != nil || t.Name.Local != root.Name {
-				r.fault(r.line(), "root <%s>, expected one <%s>", t.Name.Local, root.Name)
+				r.addFault(r.line(), "root <%s>, expected one <%s>", t.Name.Local, root.Name)
 				return nil
 			}
 			if item = r.readElement(t, root); item == nil {
@@ -50,16 +50,16 @@
 		case xml.CharData:
 			r.checkBlank(t)
 		case xml.Directive:
-			r.fault(r.line(), "document type declarations are not read")
+			r.addFault(r.line(), "document type declarations are not read")
 		}
 	}
 	if item == nil && len(r.faults) == 0 {
-		r.fault(1, "no <%s>", root.Name)
+		r.addFault(1, "no <%s>", root.Name)
 	}
 	return item
 }
 
-func (r *reader) fault(line int, format string, args ...any) {
+func (r *reader) addFault(line int, format string, args ...any) {
 	r.faults = append(r.faults, Fault{line, fmt.Sprintf(format, args...)})
 }
 
@@ -71,7 +71,7 @@
 
 func (r *reader) checkBlank(text xml.CharData) {
 	if s := strings.TrimSpace(string(text)); s != "" {
-		r.fault(r.line(), "text %.30q where only elements stand", s)
+		r.addFault(r.line(), "text %.30q where only elements stand", s)
 	}
 }
 
@@ -79,7 +79,7 @@
 func (r *reader) readElement(start xml.StartElement, element *Element) *Item {
 	item := &Item{Line: r.line(), element: element, attrs: map[string]string{}}
 	if start.Name.Space != "" {
-		r.fault(item.Line, "<%s>: namespaces are not used", element.Name)
+		r.addFault(item.Line, "<%s>: namespaces are not used", element.Name)
 	}
 	for _, attr := range start.Attr {
 		r.readAttr(item, attr)
@@ -88,7 +88,7 @@
 	for {
 		token, err := r.decoder.Token()
 		if err != nil {
-			r.fault(r.line(), "<%s>: not well-formed: %v", element.Name, err)
+			r.addFault(r.line(), "<%s>: not well-formed: %v", element.Name, err)
 			return nil
 		}
 		switch t := token.(type) {
@@ -110,16 +110,16 @@
 	element := item.element
 	attr := element.attr(given.Name.Local)
 	if attr == nil || given.Name.Space != "" {
-		r.fault(item.Line, "<%s>: unknown attribute %q", element.Name, given.Name.Local)
+		r.addFault(item.Line, "<%s>: unknown attribute %q", element.Name, given.Name.Local)
 		return
 	}
 	if _, duplicate := item.attrs[attr.Name]; duplicate {
-		r.fault(item.Line, "<%s>: attribute %q twice", element.Name, attr.Name)
+		r.addFault(item.Line, "<%s>: attribute %q twice", element.Name, attr.Name)
 		return
 	}
 	item.attrs[attr.Name] = given.Value
 	if err := attr.check(given.Value); err != nil {
-		r.fault(item.Line, "<%s %s=%q>: %v", element.Name, attr.Name, given.Value, err)
+		r.addFault(item.Line, "<%s %s=%q>: %v", element.Name, attr.Name, given.Value, err)
 	}
 }
 
@@ -130,7 +130,7 @@
 			continue
 		}
 		if attr.Required {
-			r.fault(item.Line, "<%s>: attribute %q is missing", item.element.Name, attr.Name)
+			r.addFault(item.Line, "<%s>: attribute %q is missing", item.element.Name, attr.Name)
 		} else if attr.Default != "" {
 			item.attrs[attr.Name] = attr.Default
 		}
@@ -141,7 +141,7 @@
 func (r *reader) readChild(item *Item, start xml.StartElement) bool {
 	element := item.element.child(start.Name.Local)
 	if element == nil {
-		r.fault(r.line(), "<%s>: unknown element <%s>", item.element.Name, start.Name.Local)
+		r.addFault(r.line(), "<%s>: unknown element <%s>", item.element.Name, start.Name.Local)
 		return r.decoder.Skip() == nil
 	}
 	child := r.readElement(start, element)
@@ -162,12 +162,12 @@
 			}
 			count++
 			if element.MaxOccurs > 0 && count > element.MaxOccurs {
-				r.fault(child.Line, "<%s>: <%s> more than %d times", item.element.Name, element.Name, element.MaxOccurs)
+				r.addFault(child.Line, "<%s>: <%s> more than %d times", item.element.Name, element.Name, element.MaxOccurs)
 			}
 			r.checkKey(child, lineOf)
 		}
 		if count < element.MinOccurs {
-			r.fault(item.Line, "<%s>: <%s> is missing", item.element.Name, element.Name)
+			r.addFault(item.Line, "<%s>: <%s> is missing", item.element.Name, element.Name)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 		return
 	}
 	if first := lineOf[key]; first > 0 {
-		r.fault(item.Line, "<%s %s=%q> stands in line %d already", element.Name, element.Key, key, first)
+		r.addFault(item.Line, "<%s %s=%q> stands in line %d already", element.Name, element.Key, key, first)
 	} else {
 		lineOf[key] = item.Line
 	}
--- a/internal/strictxml/strictxml.go
+++ b/internal/strictxml/strictxml.go
@@ -78,7 +78,7 @@
 func (a *Attr) check(text string) error {
 	switch a.Kind {
 	case Name:
-		if text == "" || strings.ContainsFunc(text, isNotInNames) {
+		if text == "" || strings.ContainsFunc(text, isInvalidNameRune) {
 			return errors.New("a name of letters, digits, dots, dashes and underscores is expected")
 		}
 		return nil
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func isNotInNames(c rune) bool {
+func isInvalidNameRune(c rune) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
 		return false
