--- a/internal/proto/members/decode.go
+++ b/internal/proto/members/decode.go
@@ -8,9 +8,9 @@
 	"ravenpond/internal/proto/field"
 )
 
-// Open decodes a datagram that arrived at the receiver's address. The handler gets nothing of a datagram without a valid seal, and nothing
-// after the header if OnHeader returns false. The error is ErrForeign or ErrMalformed. Parts that come before a malformed one have been
-// handled when Open returns.
+// Open decodes a datagram that arrived at the receiver's address. The handler is not called for a datagram without a valid seal, and is not
+// called again if OnHeader returns false. The error is ErrForeign or ErrMalformed. Parts that precede a malformed one have been handled when
+// Open returns.
 func Open(b, key []byte, site, receiver string, handler DatagramHandler) error {
 	body, ok := unseal(b, key, receiver)
 	if !ok {
@@ -38,13 +38,13 @@
 	})
 }
 
-// preamble is what Open reads of a datagram before all other parts.
+// preamble holds the header and the lease, which Open reads before it reads the other parts of a datagram.
 type preamble struct {
 	site   string
 	header Header
 	kind   uint64
 	lease  Lease
-	place  uint64 // counted from 1; 0: the datagram has no lease
+	place  uint64 // is counted from 1; 0 means that the datagram has no lease
 }
 
 func readPreamble(body []byte) (p preamble, err error) {
@@ -59,7 +59,7 @@
 	return p, err
 }
 
-// text returns where a field's text is kept, nil if the field is no text.
+// text returns the destination of a text field, or nil if the field is not a text.
 func (p *preamble) text(number protowire.Number) *string {
 	switch number {
 	case fieldSite:
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// set keeps a field that is no text.
+// set stores a field that is not a text. It ignores unknown fields.
 func (p *preamble) set(number protowire.Number, value uint64, content []byte) {
 	switch number {
 	case fieldIncarnation:
@@ -198,7 +198,7 @@
 	return true
 }
 
-// nodeNumbers are the fields of a message about a node, by number. The first one is the node's ID.
+// nodeNumbers holds the fields of a message about a node, by field number.
 type nodeNumbers [4]uint64
 
 func (n *nodeNumbers) node() uint32 { return uint32(n[nodeID]) }
--- a/internal/proto/members/encode.go
+++ b/internal/proto/members/encode.go
@@ -8,7 +8,7 @@
 	"ravenpond/internal/proto/field"
 )
 
-// Numbers of a datagram's fields.
+// Field numbers of a datagram.
 const (
 	fieldSite                = 1
 	fieldFrom                = 2
@@ -35,14 +35,14 @@
 	fieldFragment            = 23
 )
 
-// Numbers of a fragment's fields.
+// Field numbers of a fragment.
 const (
 	fragmentIndex = 1
 	fragmentTotal = 2
 	fragmentBody  = 3
 )
 
-// Numbers of a member's fields.
+// Field numbers of a member.
 const (
 	memberName        = 1
 	memberAddress     = 2
@@ -52,7 +52,7 @@
 	memberBy          = 6
 )
 
-// Numbers of the fields of a node's state and of the reply about a node.
+// Field numbers of a node's state and of a reply to a node query.
 const (
 	nodeID = 1
 
@@ -63,7 +63,7 @@
 	nodeReplyAgo         = 3 // ms
 )
 
-// AppendHeader appends the header of a datagram of a site. All other parts follow it.
+// AppendHeader appends the header of a datagram of a site. All other parts are appended after it.
 func AppendHeader(b []byte, site string, h Header) []byte {
 	b = field.AppendString(b, fieldSite, site)
 	b = field.AppendString(b, fieldFrom, h.From)
@@ -81,9 +81,9 @@
 	return field.AppendString(b, fieldUntil, h.Until)
 }
 
-// AppendLease appends the sender's place, and with an answer what it grants.
+// AppendLease appends the sender's place and, in an answer, its grants.
 func AppendLease(b []byte, l Lease) []byte {
-	b = field.AppendUint(b, fieldPlace, uint64(l.Place+1)) // 0 stands for no place
+	b = field.AppendUint(b, fieldPlace, uint64(l.Place+1)) // 0 means that the sender has no place
 	b = appendGrant(b, fieldGranted, l.Granted, fieldCounted, l.Counted)
 	return appendGrant(b, fieldQuotaGranted, l.QuotaGranted, fieldQuotaCounted, l.QuotaCounted)
 }
@@ -103,7 +103,7 @@
 	return field.AppendUint(b, fieldStateVersion, version)
 }
 
-// AppendFragment appends a fragment of at most MaxFragmentBytes.
+// AppendFragment appends a fragment whose body is at most MaxFragmentBytes long.
 func AppendFragment(b []byte, index, total int, body []byte) []byte {
 	f := field.AppendUint(nil, fragmentIndex, uint64(index))
 	f = field.AppendUint(f, fragmentTotal, uint64(total))
@@ -122,8 +122,8 @@
 	return appendIfFits(b, fieldMember, item)
 }
 
-// AppendNodeState appends that a node is draining, or removed, as of a version of the node list, and returns true, or returns b and false
-// if it does not fit.
+// AppendNodeState appends the report that a node is draining, or removed, as of a version of the node list, and returns true, or returns b
+// and false if it does not fit.
 func AppendNodeState(b []byte, node uint32, version uint64, removed bool) ([]byte, bool) {
 	s := field.AppendUint(nil, nodeID, uint64(node))
 	s = field.AppendUint(s, nodeStateVersion, version)
@@ -133,7 +133,7 @@
 	return appendIfFits(b, fieldNodeState, s)
 }
 
-// AppendNodeQuery appends the question when the receiver last heard from a node and returns true, or returns b and false if it does not fit.
+// AppendNodeQuery appends a query of when the receiver last heard from a node and returns true, or returns b and false if it does not fit.
 func AppendNodeQuery(b []byte, node uint32) ([]byte, bool) {
 	q := protowire.AppendVarint(protowire.AppendTag(nil, fieldNodeQuery, protowire.VarintType), uint64(node))
 	if len(b)+len(q)+sealBytes > MaxDatagramBytes {
@@ -142,7 +142,8 @@
 	return append(b, q...), true
 }
 
-// AppendNodeReply appends that a node's incarnation was heard some ms ago and returns true, or returns b and false if it does not fit.
+// AppendNodeReply appends a node's incarnation and how many ms ago the sender last heard from it, rounded up, and returns true, or returns b
+// and false if it does not fit.
 func AppendNodeReply(b []byte, node uint32, incarnation uint64, ago float64) ([]byte, bool) {
 	r := field.AppendUint(nil, nodeID, uint64(node))
 	r = protowire.AppendFixed64(protowire.AppendTag(r, nodeReplyIncarnation, protowire.Fixed64Type), incarnation)
@@ -152,7 +153,7 @@
 
 // appendIfFits appends an encoded message as a field if the sealed datagram has room for it.
 func appendIfFits(b []byte, number protowire.Number, message []byte) ([]byte, bool) {
-	const lengthBytes = 2 // at most, of the message's length
+	const lengthBytes = 2 // maximum size of the encoded length of the message
 	if len(b)+protowire.SizeTag(number)+lengthBytes+len(message)+sealBytes > MaxDatagramBytes {
 		return b, false
 	}
--- a/internal/proto/members/members_test.go
+++ b/internal/proto/members/members_test.go
@@ -76,11 +76,11 @@
 		fmt.Sprint("node reply ", 7, uint64(1<<63), 1235.0),
 	}
 	if !slices.Equal(x.lines, want) {
-		t.Errorf("%q, want %q", x.lines, want)
+		t.Errorf("handler calls %q, want %q", x.lines, want)
 	}
 	x = recorder{stop: true}
 	if err := Open(Seal(datagram(), key, "r"), key, "site", "r", &x); err != nil || len(x.lines) != 1 {
-		t.Errorf("%v, %q: nothing after a header that is rejected", err, x.lines)
+		t.Errorf("error %v and handler calls %q after OnHeader returned false, want no error and the header alone", err, x.lines)
 	}
 }
 
@@ -89,7 +89,7 @@
 	return AppendHeader(nil, site, Header{From: from, Address: "a", Incarnation: incarnation, Count: 1, ReceiverIncarnation: 1, Kind: Ping, Number: 1})
 }
 
-// TestInvalidDatagramIsRejected rejects datagrams that are not sealed for this receiver with this site's key.
+// TestInvalidDatagramIsRejected checks that datagrams that are malformed, or not sealed for this receiver with this site's key, are rejected.
 func TestInvalidDatagramIsRejected(t *testing.T) {
 	good := Seal(datagram(), key, "r")
 	for _, c := range []struct {
@@ -102,31 +102,31 @@
 		{"another key", good, "another", "site", "r"},
 		{"another receiver", good, string(key), "site", "q"},
 		{"another site", good, string(key), "other", "r"},
-		{"nothing", nil, string(key), "site", "r"},
-		{"cut short", good[:len(good)-1], string(key), "site", "r"},
+		{"empty", nil, string(key), "site", "r"},
+		{"truncated", good[:len(good)-1], string(key), "site", "r"},
 		{"too long", Seal(append(datagram(), make([]byte, MaxDatagramBytes)...), key, "r"), string(key), "site", "r"},
 		{"no sender", Seal(header("site", "", 1), key, "r"), string(key), "site", "r"},
 		{"no incarnation", Seal(header("site", "s", 0), key, "r"), string(key), "site", "r"},
 		{
-			"a name too long", Seal(header("site", strings.Repeat("s", 65), 1), key, "r"), string(key),
+			"sender's name too long", Seal(header("site", strings.Repeat("s", 65), 1), key, "r"), string(key),
 			"site", "r",
 		},
 	} {
 		var x recorder
 		if err := Open(c.b, []byte(c.key), c.site, c.to, &x); err == nil || len(x.lines) > 0 {
-			t.Errorf("%s: %v, %q", c.name, err, x.lines)
+			t.Errorf("%s: error %v and handler calls %q, want an error and no call", c.name, err, x.lines)
 		}
 	}
 	for i := range good {
 		bad := append([]byte{}, good...)
 		bad[i] ^= 1
 		if err := Open(bad, key, "site", "r", &recorder{}); err == nil {
-			t.Errorf("byte %d changed, and accepted", i)
+			t.Errorf("datagram with byte %d changed was accepted", i)
 		}
 	}
 }
 
-// TestUpdatesFitDatagram fills a datagram with updates: sealed, it is not longer than it may be.
+// TestUpdatesFitDatagram checks that a datagram that is filled with updates is at most MaxDatagramBytes long with its seal.
 func TestUpdatesFitDatagram(t *testing.T) {
 	b, n := datagram(), 0
 	for ok := true; ok; n++ {
@@ -135,7 +135,7 @@
 		})
 	}
 	if b = Seal(b, key, "r"); len(b) > MaxDatagramBytes || n < 20 {
-		t.Errorf("%d updates in %d bytes", n, len(b))
+		t.Errorf("got %d updates in %d bytes, want at least 20 updates in at most MaxDatagramBytes", n, len(b))
 	}
 	if err := Open(b, key, "site", "r", &recorder{}); err != nil {
 		t.Error(err)
@@ -156,15 +156,15 @@
 	})
 	b = AppendFragment(AppendStateVersion(b, 1<<63), 62, 64, make([]byte, MaxFragmentBytes))
 	if b = Seal(b, key, "9.9.9.9:1"); len(b) > MaxDatagramBytes {
-		t.Errorf("%d bytes", len(b))
+		t.Errorf("sealed datagram is %d bytes long, want at most MaxDatagramBytes", len(b))
 	}
 	var x recorder
 	if err := Open(b, key, long, "9.9.9.9:1", &x); err != nil || len(x.lines) != 3 || x.lines[1] != fmt.Sprint("state version ", uint64(1<<63)) ||
 		x.lines[2] != fmt.Sprint("fragment ", 62, 64, MaxFragmentBytes) {
-		t.Errorf("%q, %v", x.lines, err)
+		t.Errorf("handler calls %q and error %v, want the header, the state version and the fragment", x.lines, err)
 	}
 	bad := AppendFragment(AppendHeader(nil, "s", Header{From: "a", Address: "b", Incarnation: 1, Count: 1, ReceiverIncarnation: 1, Kind: Fragment, Number: 1}), 3, 3, nil)
 	if err := Open(Seal(bad, key, "c"), key, "s", "c", &recorder{}); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a fragment beyond the last: %v", err)
+		t.Errorf("fragment with index 3 of 3: error %v, want ErrMalformed", err)
 	}
 }
--- a/internal/proto/members/seal.go
+++ b/internal/proto/members/seal.go
@@ -5,7 +5,7 @@
 	"crypto/sha256"
 )
 
-// Seal ends a datagram for the receiver at an address.
+// Seal appends the seal to a datagram for the receiver at an address.
 func Seal(b, key []byte, receiver string) []byte { return append(b, computeSeal(b, key, receiver)...) }
 
 func computeSeal(b, key []byte, receiver string) []byte {
@@ -16,7 +16,7 @@
 	return h.Sum(nil)[:sealBytes]
 }
 
-// unseal returns the sealed bytes of a datagram, and false if the seal is not valid for the receiver.
+// unseal returns a datagram without its seal, and reports whether the seal is valid for the receiver.
 func unseal(b, key []byte, receiver string) (body []byte, ok bool) {
 	if len(b) <= sealBytes || len(b) > MaxDatagramBytes {
 		return nil, false
