--- a/internal/proto/clusterstate/clusterstate.go
+++ b/internal/proto/clusterstate/clusterstate.go
@@ -11,23 +11,23 @@
 
 // Bounds of the encoded fields.
 const (
-	// MaxCores is the largest number of cores of one share.
+	// MaxCores is the maximum number of cores of one share.
 	MaxCores = 1 << 20
 
 	maxNameBytes  = 64
 	maxCauseBytes = 200
-	maxShares     = 4096 // of one command
+	maxShares     = 4096 // in one command
 )
 
 // Errors of decoding.
 var (
-	// ErrMalformed means that the input is not an encoded value, or exceeds a bound.
+	// ErrMalformed means that the input is not a valid encoding, or exceeds a bound.
 	ErrMalformed = field.ErrMalformed
 	// ErrNewer means that a later version of the program wrote the snapshot.
-	ErrNewer = errors.New("written by a later version")
+	ErrNewer = errors.New("snapshot was written by a later version of the program")
 )
 
-// Share is the number of cores of the load leaving zone From that zone To takes over.
+// Share is the part of the load moved out of zone From that zone To takes over, in cores.
 type Share struct {
 	From, To string
 	Cores    uint32
--- a/internal/proto/clusterstate/command.go
+++ b/internal/proto/clusterstate/command.go
@@ -8,18 +8,19 @@
 	"ravenpond/internal/proto/field"
 )
 
-// CommandKind says what a Command changes. Kinds that this version does not know are decoded too: all replicas must treat a command alike.
+// CommandKind is the kind of change that a Command makes. Kinds that are unknown to this version are decoded too, because all replicas must
+// treat a command alike.
 type CommandKind uint32
 
 // Kinds of commands. The values are part of the wire format and of stored logs.
 const (
-	CommandActivate     CommandKind = 1 // a process starts a new incarnation
-	CommandDeactivate   CommandKind = 2 // a process is no longer active
+	CommandActivate     CommandKind = 1 // starts a new incarnation of a process
+	CommandDeactivate   CommandKind = 2 // makes a process inactive
 	CommandSetZoneState CommandKind = 3
-	CommandSetPlan      CommandKind = 4 // how the load of zones that are left is shared
+	CommandSetPlan      CommandKind = 4 // sets how load that moves out of zones is shared among the other zones
 )
 
-// Numbers of Command's fields.
+// Field numbers of Command.
 const (
 	commandProposer    = 1
 	commandIncarnation = 2
@@ -34,23 +35,23 @@
 	commandCause       = 11
 	commandShare       = 12
 
-	commandFields = 13 // numbers are below this
+	commandFields = 13 // exceeds all field numbers
 )
 
-// Command changes the replicated state. Proposer, Incarnation and Number identify it: a command that arrives again has no effect. Fields
-// that a kind does not use are zero.
+// Command is a change of the replicated state. Proposer, Incarnation and Number identify it: a command that arrives again has no effect.
+// Fields that a kind does not use are zero.
 type Command struct {
 	Proposer    string
-	Incarnation uint64 // of the proposer
-	Number      uint64 // grows with each command of the incarnation
+	Incarnation uint64 // incarnation of the proposer
+	Number      uint64 // increases with each command of the incarnation
 	ProposedAt  float64
 	Kind        CommandKind
-	Subject     string // process or zone that the command is about
-	Zone        string // CommandActivate: where the process runs
-	Region      string
-	Epoch       uint64 // CommandDeactivate: of the process; CommandSetZoneState: version at which the zone's state was written
-	State       uint32 // CommandSetZoneState
-	Cause       string // for operators
+	Subject     string // process or zone that the command changes
+	Zone        string // zone in which the process runs (CommandActivate)
+	Region      string // region in which the process runs (CommandActivate)
+	Epoch       uint64 // epoch of the process (CommandDeactivate); version at which the zone's state was written (CommandSetZoneState)
+	State       uint32 // new state of the zone (CommandSetZoneState)
+	Cause       string // is shown to operators
 	Shares      []Share
 }
 
@@ -113,7 +114,7 @@
 	}, nil
 }
 
-// Numbers of Share's fields.
+// Field numbers of Share.
 const (
 	shareFrom  = 1
 	shareTo    = 2
--- a/internal/proto/clusterstate/format_test.go
+++ b/internal/proto/clusterstate/format_test.go
@@ -6,22 +6,22 @@
 	"testing"
 )
 
-// Messages that commit 9c27d6c encoded.
+// Messages as encoded by commit 9c27d6c.
 const (
 	encodedReply  = "08031204626f6479180120022803300438054001"
 	encodedReport = "08074a1a0a027a3110091808210000000000a051402900000000000018404a060a027a321001"
 )
 
-// TestMessageFormat encodes and decodes a message with all fields: its bytes are those of older versions.
+// TestMessageFormat checks that a message with all fields is encoded to the same bytes as by earlier versions, and is decoded as it was.
 func TestMessageFormat(t *testing.T) {
 	m := Message{Kind: MessageProbeReply, Body: []byte("body"), Number: 1, Version: 2, Written: 3, Offset: 4, Total: 5, FromLeader: true}
 	b := AppendMessage(nil, &m)
 	if got := hex.EncodeToString(b); got != encodedReply {
-		t.Errorf("%s, want %s", got, encodedReply)
+		t.Errorf("encoded message %s, want %s", got, encodedReply)
 	}
 	got, err := ReadMessage(b)
 	if err != nil || !slices.Equal(got.Body, m.Body) {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("decoded %+v with error %v, want the encoded body", got, err)
 	}
 	got.Body, m.Body = nil, nil
 	if got.Kind != m.Kind || got.Number != m.Number || got.Version != m.Version || got.Written != m.Written || got.Offset != m.Offset ||
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestReportFormat encodes and decodes a report of two zones: its bytes are those of older versions.
+// TestReportFormat checks that a report of two zones is encoded to the same bytes as by earlier versions, and is decoded as it was.
 func TestReportFormat(t *testing.T) {
 	want := []ZoneSummary{{Zone: "z1", Nodes: 9, Reachable: 8, Capacity: 70.5, Used: 6}, {Zone: "z2", Nodes: 1}}
 	b := AppendMessage(nil, &Message{Kind: MessageZoneReport})
@@ -38,12 +38,12 @@
 		b = AppendZoneSummary(b, z)
 	}
 	if got := hex.EncodeToString(b); got != encodedReport {
-		t.Errorf("%s, want %s", got, encodedReport)
+		t.Errorf("encoded report %s, want %s", got, encodedReport)
 	}
 	if got, err := ReadZoneSummaries(b); err != nil || !slices.Equal(got, want) {
-		t.Errorf("decoded %+v, %v, want %+v", got, err, want)
+		t.Errorf("decoded %+v with error %v, want %+v", got, err, want)
 	}
 	if _, err := ReadZoneSummaries(AppendZoneSummary(nil, ZoneSummary{Zone: "z", Nodes: 1, Reachable: 2})); err == nil {
-		t.Error("a report of more reachable nodes than there are is accepted")
+		t.Error("report with more reachable nodes than nodes was accepted")
 	}
 }
--- a/internal/proto/clusterstate/message.go
+++ b/internal/proto/clusterstate/message.go
@@ -8,21 +8,21 @@
 	"ravenpond/internal/proto/field"
 )
 
-// MessageKind says what a Message is for.
+// MessageKind is the purpose of a Message.
 type MessageKind uint32
 
 // Kinds of messages. The values are part of the wire format.
 const (
-	MessageRaft       MessageKind = 1 // a message of Raft, in Body
-	MessageProbe      MessageKind = 2 // asks a voter for the last log index on its disk
+	MessageRaft       MessageKind = 1 // carries a Raft message in Body
+	MessageProbe      MessageKind = 2 // requests the last log index on a voter's disk
 	MessageProbeReply MessageKind = 3
-	MessageFetchChunk MessageKind = 4 // asks for a chunk of a snapshot
+	MessageFetchChunk MessageKind = 4 // requests a chunk of a snapshot
 	MessageChunk      MessageKind = 5
-	MessageProposal   MessageKind = 6 // a command, in Body, for a voter to propose
-	MessageZoneReport MessageKind = 7 // summaries of zones for the leader, see AppendZoneSummary
+	MessageProposal   MessageKind = 6 // carries a command in Body that the voter is to propose
+	MessageZoneReport MessageKind = 7 // carries summaries of zones to the leader, see AppendZoneSummary
 )
 
-// Numbers of Message's fields.
+// Field numbers of Message.
 const (
 	messageKind       = 1
 	messageBody       = 2
@@ -34,19 +34,19 @@
 	messageFromLeader = 8
 	messageSummary    = 9
 
-	messageFields = 9 // scalar fields are numbered below this
+	messageFields = 9 // exceeds the numbers of all scalar fields
 )
 
-// Message is what one replica sends to another. Fields that a kind does not use are zero.
+// Message is a message from one replica to another. Fields that a kind does not use are zero.
 type Message struct {
 	Kind       MessageKind
 	Body       []byte
-	Number     uint64 // of a probe, and of the reply to it; in a MessageFetchChunk the version of the snapshot that was begun, 0: none
-	Version    uint64 // of the state that the sender holds, or of the snapshot that a chunk is part of
+	Number     uint64 // number of a probe and of its reply; in a MessageFetchChunk, version of the partly fetched snapshot, or 0
+	Version    uint64 // version of the state that the sender holds, or of the snapshot that a chunk belongs to
 	Written    uint64 // last log index on the sender's disk, committed or not
-	Offset     uint64 // of a chunk in its snapshot, bytes
+	Offset     uint64 // offset of a chunk in its snapshot, bytes
 	Total      uint64 // size of that snapshot, bytes
-	FromLeader bool   // the sender of a probe reply is the leader
+	FromLeader bool   // whether the sender of a probe reply is the leader
 }
 
 // AppendMessage appends an encoded message to b.
@@ -95,7 +95,7 @@
 	}, nil
 }
 
-// Numbers of ZoneSummary's fields.
+// Field numbers of ZoneSummary.
 const (
 	summaryZone      = 1
 	summaryNodes     = 2
@@ -103,17 +103,17 @@
 	summaryCapacity  = 4
 	summaryUsed      = 5
 
-	summaryFields = 6 // numbers are below this
+	summaryFields = 6 // exceeds all field numbers
 )
 
-// maxSummaryCores bounds the cores in a summary.
+// maxSummaryCores is the exclusive upper bound of the core counts in a summary.
 const maxSummaryCores = 1e12
 
-// ZoneSummary is what one process observes of a zone.
+// ZoneSummary is the state of a zone as one process observes it.
 type ZoneSummary struct {
 	Zone      string
-	Nodes     int     // that the process observes
-	Reachable int     // of them
+	Nodes     int     // number of nodes that the process observes
+	Reachable int     // number of these nodes that are reachable
 	Capacity  float64 // cores of all ready nodes
 	Used      float64 // cores in use
 }
--- a/internal/proto/clusterstate/snapshot.go
+++ b/internal/proto/clusterstate/snapshot.go
@@ -8,10 +8,10 @@
 	"ravenpond/internal/proto/field"
 )
 
-// snapshotFormat is the version of the snapshot's encoding. ReadSnapshot rejects later ones.
+// snapshotFormat is the version of the snapshot's encoding. ReadSnapshot rejects snapshots of later versions.
 const snapshotFormat = 1
 
-// Numbers of Snapshot's fields.
+// Field numbers of Snapshot.
 const (
 	snapshotFormatField = 1
 	snapshotVersion     = 2
@@ -22,10 +22,10 @@
 	snapshotShare       = 7
 	snapshotPlanVersion = 8
 
-	snapshotFields = 9 // numbers are below this
+	snapshotFields = 9 // exceeds all field numbers
 )
 
-// Numbers of Process's fields.
+// Field numbers of Process.
 const (
 	processName               = 1
 	processIncarnation        = 2
@@ -37,10 +37,10 @@
 	processCommandRefusal     = 8
 	processCommandIncarnation = 9
 
-	processFields = 10 // numbers are below this
+	processFields = 10 // exceeds all field numbers
 )
 
-// Numbers of Zone's fields.
+// Field numbers of Zone.
 const (
 	zoneName           = 1
 	zoneState          = 2
@@ -68,9 +68,9 @@
 	Incarnation, Epoch uint64
 	Zone, Region       string
 	Inactive           bool
-	CommandNumber      uint64 // of its last command
-	CommandRefusal     uint32
-	CommandIncarnation uint64 // in which it proposed that
+	CommandNumber      uint64 // number of its last command
+	CommandRefusal     uint32 // reason why that command was refused; 0 if it was accepted
+	CommandIncarnation uint64 // incarnation in which it proposed that command
 }
 
 // Zone is a zone in a snapshot.
@@ -127,7 +127,7 @@
 	return field.AppendString(b, zoneCause, z.Cause)
 }
 
-// ReadSnapshot decodes a snapshot. The caller checks what it says: only its form is checked here.
+// ReadSnapshot decodes a snapshot. It checks the encoding alone; the caller checks the values.
 func ReadSnapshot(b []byte) (Snapshot, error) {
 	var numbers [snapshotFields]uint64
 	err := field.ForEach(b, func(number protowire.Number, value uint64, _ []byte) bool {
