--- a/internal/proto/admin/gen/main.go
+++ b/internal/proto/admin/gen/main.go
@@ -1,4 +1,4 @@
-// Command gen writes the Go code of the .proto files of a folder, by the plugins that go.mod pins and without a protoc:
+// Command gen generates the Go code of the .proto files in a folder. It runs the plugins that go.mod pins and needs no protoc:
 //
 //	go run ./internal/proto/admin/gen internal/proto/admin
 package main
@@ -20,7 +20,7 @@
 
 func main() {
 	if len(os.Args) != 2 {
-		fmt.Fprintln(os.Stderr, "gen: a folder is expected")
+		fmt.Fprintln(os.Stderr, "usage: gen FOLDER")
 		os.Exit(2)
 	}
 	if err := generate(os.Args[1]); err != nil {
--- a/internal/proto/ics/ics.go
+++ b/internal/proto/ics/ics.go
@@ -1,6 +1,6 @@
-// Package ics encodes and decodes maintenance windows and protected times as iCalendar (RFC 5545). A window is a VEVENT with properties of this
-// program beside the standard ones; a protected time is a VEVENT of the category PROTECTED. The functions keep no state and may be called
-// concurrently.
+// Package ics encodes and decodes maintenance windows and protected times as iCalendar data (RFC 5545). A window is a VEVENT with the standard
+// properties and properties specific to this program; a protected time is a VEVENT of the category PROTECTED. The functions keep no state and
+// may be called concurrently.
 package ics
 
 import (
@@ -17,7 +17,7 @@
 	"ravenpond/internal/decide/calendar"
 )
 
-// Properties of this program. Durations have Go's form.
+// Names and values specific to this program. The values of its properties that are durations have the format of time.ParseDuration.
 const (
 	propScope    = "X-RAVENPOND-REACH"
 	propTarget   = "X-RAVENPOND-PLACE"
@@ -31,19 +31,20 @@
 	productID         = "-//ravenpond//drains 1//EN"
 )
 
-// Bounds of a calendar.
+// Bounds of an encoded calendar.
 const (
 	maxBytes  = 16 << 20
 	maxEvents = 100000
 )
 
-// Values of properties, by the values of package calendar.
+// Property values, indexed by the constants of package calendar.
 var (
 	scopes  = []string{calendar.OneNode: "node", calendar.Cell: "cell", calendar.Zone: "zone"}
 	endings = []string{calendar.Release: "release", calendar.Sweep: "sweep", calendar.Hold: "hold"}
 )
 
-// Encode writes a calendar. stamp is when it was made. A calendar without events is empty, as the format does not allow one.
+// Encode writes a calendar. stamp is the time of its creation. Nothing is written for a calendar without events, which the format does not
+// allow.
 func Encode(out io.Writer, c *calendar.Calendar, stamp time.Time) error {
 	cal := ical.NewCalendar()
 	cal.Props.SetText(ical.PropVersion, "2.0")
@@ -106,10 +107,10 @@
 	}
 }
 
-// formatDuration returns a duration in the form of RFC 5545.
+// formatDuration returns a duration in the format of RFC 5545, in whole seconds.
 func formatDuration(d time.Duration) string { return fmt.Sprintf("PT%dS", int64(d/time.Second)) }
 
-// Decode reads a calendar and checks it. The error holds all faults, each with its event.
+// Decode reads and validates a calendar. The error joins all errors that were found, at most one for each event that cannot be decoded.
 func Decode(in io.Reader) (*calendar.Calendar, error) {
 	text, err := io.ReadAll(io.LimitReader(in, maxBytes+1))
 	if err != nil {
@@ -120,15 +121,15 @@
 		return c, nil
 	}
 	if len(text) > maxBytes {
-		return nil, fmt.Errorf("calendar over %d bytes", maxBytes)
+		return nil, fmt.Errorf("calendar is larger than %d bytes", maxBytes)
 	}
 	cal, err := ical.NewDecoder(bytes.NewReader(text)).Decode()
 	if err != nil {
-		return nil, fmt.Errorf("calendar: %w", err)
+		return nil, fmt.Errorf("calendar is not valid iCalendar data: %w", err)
 	}
 	events := cal.Events()
 	if len(events) > maxEvents {
-		return nil, fmt.Errorf("calendar of %d events, at most %d", len(events), maxEvents)
+		return nil, fmt.Errorf("calendar has %d events, maximum is %d", len(events), maxEvents)
 	}
 	var faults []error
 	for i := range events {
@@ -145,20 +146,20 @@
 	return c, c.Check()
 }
 
-// eventReader reads properties of an event and keeps the first error.
+// eventReader reads the properties of an event and records the first error.
 type eventReader struct {
 	event *ical.Event
 	err   error
 }
 
-// fail keeps an error of a property, unless there is one already.
+// fail records an error of a property, unless one is recorded already.
 func (r *eventReader) fail(name string, err error) {
 	if err != nil && r.err == nil {
 		r.err = fmt.Errorf("%s: %w", name, err)
 	}
 }
 
-// decode adds the event to a calendar.
+// decode decodes the event and adds it to a calendar.
 func (r *eventReader) decode(c *calendar.Calendar) {
 	start, err := r.event.DateTimeStart(time.UTC)
 	id := r.text(ical.PropUID)
@@ -183,7 +184,7 @@
 	c.Windows = append(c.Windows, w)
 }
 
-// decodeOptional reads the properties that a window may lack.
+// decodeOptional reads the optional properties of a window.
 func (r *eventReader) decodeOptional(w *calendar.Window) {
 	var err error
 	if s := r.text(propPriority); s != "" {
@@ -201,14 +202,14 @@
 	}
 }
 
-// text returns a text property, empty if there is none.
+// text returns the value of a text property, or an empty string if the event lacks it.
 func (r *eventReader) text(name string) string {
 	s, err := r.event.Props.Text(name)
 	r.fail(name, err)
 	return s
 }
 
-// duration returns a property that holds a duration in Go's form, 0 if there is none.
+// duration returns the value of a duration property of this program, or 0 if the event lacks it.
 func (r *eventReader) duration(name string) time.Duration {
 	s := r.text(name)
 	if s == "" {
@@ -219,7 +220,7 @@
 	return d
 }
 
-// enum returns the index of a property's value among values, 0 if there is no such property.
+// enum returns the index of a property's value in values, or 0 if the event lacks the property.
 func (r *eventReader) enum(name string, values []string) int {
 	s := r.text(name)
 	for i, value := range values {
@@ -228,12 +229,12 @@
 		}
 	}
 	if s != "" {
-		r.fail(name, fmt.Errorf("%q, one of %s is expected", s, strings.Join(values, ", ")))
+		r.fail(name, fmt.Errorf("invalid value %q, must be one of %s", s, strings.Join(values, ", ")))
 	}
 	return 0
 }
 
-// eventDuration returns the event's duration, by its DURATION or its DTEND.
+// eventDuration returns the event's duration, from DURATION if the event has it, else from DTEND.
 func (r *eventReader) eventDuration(start time.Time) time.Duration {
 	if p := r.event.Props.Get(ical.PropDuration); p != nil {
 		d, err := p.Duration()
