--- a/internal/strictxml/reader.go
+++ b/internal/strictxml/reader.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// maxBytes is the length of the longest document that is read.
+// maxBytes is the maximum length of a document.
 const maxBytes = 4 << 20
 
 // reader reads one document and collects its faults.
@@ -17,7 +17,7 @@
 	faults  []Fault
 }
 
-// Read reads a document whose root is the element. The item is nil if there are faults.
+// Read reads a document whose root element is described by root. The item is nil if there are faults.
 func Read(in io.Reader, root *Element) (*Item, []Fault) {
 	r := &reader{decoder: xml.NewDecoder(io.LimitReader(in, maxBytes))}
 	item := r.readDocument(root)
@@ -27,7 +27,7 @@
 	return item, nil
 }
 
-// readDocument reads to the end of the document, or to a fault after which nothing else can be read.
+// readDocument reads up to the end of the document, or up to a fault after which the rest cannot be read.
 func (r *reader) readDocument(root *Element) (item *Item) {
 	for {
 		token, err := r.decoder.Token()
@@ -41,7 +41,7 @@
 		switch t := token.(type) {
 		case xml.StartElement:
 			if item != nil || t.Name.Local != root.Name {
-				r.addFault(r.line(), "root <%s>, expected one <%s>", t.Name.Local, root.Name)
+				r.addFault(r.line(), "unexpected root element <%s>, must be a single <%s>", t.Name.Local, root.Name)
 				return nil
 			}
 			if item = r.readElement(t, root); item == nil {
@@ -50,11 +50,11 @@
 		case xml.CharData:
 			r.checkBlank(t)
 		case xml.Directive:
-			r.addFault(r.line(), "document type declarations are not read")
+			r.addFault(r.line(), "document type declarations are not allowed")
 		}
 	}
 	if item == nil && len(r.faults) == 0 {
-		r.addFault(1, "no <%s>", root.Name)
+		r.addFault(1, "root element <%s> is missing", root.Name)
 	}
 	return item
 }
@@ -63,7 +63,7 @@
 	r.faults = append(r.faults, Fault{line, fmt.Sprintf(format, args...)})
 }
 
-// line is the line of the last token.
+// line returns the line of the last token.
 func (r *reader) line() int {
 	line, _ := r.decoder.InputPos()
 	return line
@@ -71,15 +71,15 @@
 
 func (r *reader) checkBlank(text xml.CharData) {
 	if s := strings.TrimSpace(string(text)); s != "" {
-		r.addFault(r.line(), "text %.30q where only elements stand", s)
+		r.addFault(r.line(), "text %.30q where only elements are allowed", s)
 	}
 }
 
-// readElement reads up to the element's end. It returns nil if nothing else of the document can be read.
+// readElement reads up to the element's end. It returns nil if the rest of the document cannot be read.
 func (r *reader) readElement(start xml.StartElement, element *Element) *Item {
 	item := &Item{Line: r.line(), element: element, attrs: map[string]string{}}
 	if start.Name.Space != "" {
-		r.addFault(item.Line, "<%s>: namespaces are not used", element.Name)
+		r.addFault(item.Line, "<%s>: namespaces are not allowed", element.Name)
 	}
 	for _, attr := range start.Attr {
 		r.readAttr(item, attr)
@@ -105,7 +105,7 @@
 	}
 }
 
-// readAttr takes an attribute of an item.
+// readAttr checks an attribute and adds it to an item.
 func (r *reader) readAttr(item *Item, given xml.Attr) {
 	element := item.element
 	attr := element.attr(given.Name.Local)
@@ -114,7 +114,7 @@
 		return
 	}
 	if _, duplicate := item.attrs[attr.Name]; duplicate {
-		r.addFault(item.Line, "<%s>: attribute %q twice", element.Name, attr.Name)
+		r.addFault(item.Line, "<%s>: duplicate attribute %q", element.Name, attr.Name)
 		return
 	}
 	item.attrs[attr.Name] = given.Value
@@ -123,7 +123,7 @@
 	}
 }
 
-// setDefaults fills in the attributes that were not given.
+// setDefaults sets attributes that were not given to their defaults, and reports required ones that are missing.
 func (r *reader) setDefaults(item *Item) {
 	for _, attr := range item.element.Attrs {
 		if item.Has(attr.Name) {
@@ -137,7 +137,7 @@
 	}
 }
 
-// readChild reads a child of an item. It returns false if nothing else of the document can be read.
+// readChild reads a child of an item. It returns false if the rest of the document cannot be read.
 func (r *reader) readChild(item *Item, start xml.StartElement) bool {
 	element := item.element.child(start.Name.Local)
 	if element == nil {
@@ -152,17 +152,17 @@
 	return true
 }
 
-// checkOccurrences checks how often the children of an item occur, and their keys.
+// checkOccurrences checks how often the children of an item occur, and that their keys are unique.
 func (r *reader) checkOccurrences(item *Item) {
 	for _, element := range item.element.Children {
-		count, lineOf := 0, map[string]int{} // lines by key
+		count, lineOf := 0, map[string]int{} // line of each key
 		for _, child := range item.children {
 			if child.element != element {
 				continue
 			}
 			count++
 			if element.MaxOccurs > 0 && count > element.MaxOccurs {
-				r.addFault(child.Line, "<%s>: <%s> more than %d times", item.element.Name, element.Name, element.MaxOccurs)
+				r.addFault(child.Line, "<%s>: <%s> occurs more than %d times", item.element.Name, element.Name, element.MaxOccurs)
 			}
 			r.checkKey(child, lineOf)
 		}
@@ -172,7 +172,7 @@
 	}
 }
 
-// checkKey checks that no earlier sibling has the key of an item. lineOf has the lines of the siblings by their keys.
+// checkKey checks that no earlier sibling has the same key as an item. lineOf holds the lines of the siblings by key.
 func (r *reader) checkKey(item *Item, lineOf map[string]int) {
 	element := item.element
 	key, ok := item.attrs[element.Key]
--- a/internal/strictxml/schema.go
+++ b/internal/strictxml/schema.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// simpleTypes are the types of the schema for the kinds that XML schemas lack.
+// simpleTypes are the types that the schema defines for kinds without a built-in type.
 var simpleTypes = []struct{ name, pattern string }{
 	{"name", `[A-Za-z0-9._-]+`},
 	{"duration", `([0-9]+(\.[0-9]*)?(ms|s|m|h))+`},
 	{"address", `[^ ]*:[0-9]{1,5}`},
 }
 
-// baseTypes are the types of the schema by the kind of an attribute.
+// baseTypes maps the kind of an attribute to its type in the schema.
 var baseTypes = map[Kind]string{
 	Name:     "name",
 	Duration: "duration",
@@ -24,8 +24,8 @@
 	Text:     "xs:string",
 }
 
-// Schema writes the XML schema of a grammar. What a schema of version 1.0 can't say (occurrences of children in any order, sums,
-// references, bounds of durations) is left to Read.
+// Schema returns the XML schema of a grammar. XML Schema 1.0 cannot express some rules: occurrences of children in any order, sums,
+// references and bounds of durations. Occurrences and bounds of durations are checked by Read, sums and references by its callers.
 func Schema(root *Element) string {
 	var b strings.Builder
 	b.WriteString("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n")
@@ -75,7 +75,7 @@
 		"</xs:simpleType></xs:attribute>\n", indent, a.Name, use, base, restriction)
 }
 
-// restrictionOf writes the values or bounds of an attribute, "" if it has none that a schema can say.
+// restrictionOf returns the schema's restriction to the values or bounds of an attribute, or "" if it has none that a schema can express.
 func restrictionOf(a *Attr) string {
 	values := a.Values
 	switch {
--- a/internal/strictxml/strictxml.go
+++ b/internal/strictxml/strictxml.go
@@ -1,8 +1,8 @@
-// Package strictxml reads XML documents strictly against a grammar that is given as a table, and reports each fault with its line.
-// Schema writes the XML schema of the same table, so that the reader and the schema can't differ.
+// Package strictxml reads XML documents, validates them strictly against a grammar that is given as a table, and reports each fault with its
+// line. Schema returns the XML schema of the same table, so that the reader and the schema cannot differ.
 //
-// Input is an io.Reader of at most 4 MiB; output is a tree of items with defaults filled in, or a list of faults. A grammar is
-// not changed by reading, so any number of goroutines may read by it. Durations are milliseconds.
+// The input is an io.Reader of at most 4 MiB; the output is a tree of items with defaults filled in, or a list of faults. Reading does not
+// change a grammar, so goroutines may use it concurrently. Durations are in milliseconds.
 package strictxml
 
 import (
@@ -20,37 +20,37 @@
 
 // Kinds of attributes.
 const (
-	Name     Kind = iota // letters, digits, dots, dashes, underscores
-	Duration             // a number with the unit ms, s, m or h
-	Number               // a decimal number
+	Name     Kind = iota // letters, digits, dots, dashes and underscores
+	Duration             // number with the unit ms, s, m or h
+	Number               // decimal number
 	Integer
 	Bool    // true or false
 	Enum    // one of the attribute's values
-	Address // host:port
+	Address // host:port, the host may be empty
 	Text    // any text that is not blank
 )
 
-// Attr is an attribute of an element.
+// Attr describes an attribute of an element.
 type Attr struct {
 	Name     string
 	Kind     Kind
 	Required bool
-	Default  string   // of an attribute that is not required; empty: it may be absent
-	Min, Max float64  // bounds of numbers and, in ms, of durations; both 0: none
-	Values   []string // of an Enum
+	Default  string   // default of an optional attribute; empty if there is none
+	Min, Max float64  // inclusive bounds of numbers and, in ms, of durations; both 0 if there are none
+	Values   []string // permitted values of an Enum
 }
 
-// Element is an element with its attributes and children.
+// Element describes an element with its attributes and children.
 type Element struct {
 	Name      string
 	Attrs     []Attr
 	Children  []*Element
 	MinOccurs int
-	MaxOccurs int    // 0: any number
-	Key       string // the attribute whose value no two siblings share; empty: none
+	MaxOccurs int    // 0 if there is no maximum
+	Key       string // attribute whose value is unique among siblings of the same name; empty if there is none
 }
 
-// Fault is what is wrong with a document, and in which line.
+// Fault is an error in a document, with its line.
 type Fault struct {
 	Line int
 	Text string
@@ -74,32 +74,32 @@
 	return e.Children[i]
 }
 
-// check returns an error if a text is no value of the attribute.
+// check returns an error if a text is not a valid value of the attribute.
 func (a *Attr) check(text string) error {
 	switch a.Kind {
 	case Name:
 		if text == "" || strings.ContainsFunc(text, isInvalidNameRune) {
-			return errors.New("a name of letters, digits, dots, dashes and underscores is expected")
+			return errors.New("must be a name of letters, digits, dots, dashes and underscores")
 		}
 		return nil
 	case Bool:
 		if text != "true" && text != "false" {
-			return errors.New("true or false is expected")
+			return errors.New("must be true or false")
 		}
 		return nil
 	case Enum:
 		if !slices.Contains(a.Values, text) {
-			return fmt.Errorf("one of %s is expected", strings.Join(a.Values, ", "))
+			return fmt.Errorf("must be one of %s", strings.Join(a.Values, ", "))
 		}
 		return nil
 	case Text:
 		if strings.TrimSpace(text) == "" {
-			return errors.New("some text is expected")
+			return errors.New("must not be blank")
 		}
 		return nil
 	case Address:
 		if !isAddress(text) {
-			return errors.New("host:port is expected")
+			return errors.New("must be host:port")
 		}
 		return nil
 	default:
@@ -107,14 +107,14 @@
 	}
 }
 
-// checkNumber returns an error if a text is no number within the attribute's bounds.
+// checkNumber returns an error if a text is not a number or duration within the attribute's bounds.
 func (a *Attr) checkNumber(text string) error {
 	v, err := a.parse(text)
 	if err != nil {
 		return err
 	}
 	if (a.Min != 0 || a.Max != 0) && (v < a.Min || v > a.Max) {
-		return fmt.Errorf("outside %s to %s", a.format(a.Min), a.format(a.Max))
+		return fmt.Errorf("must be between %s and %s", a.format(a.Min), a.format(a.Max))
 	}
 	return nil
 }
@@ -127,7 +127,7 @@
 	return !strings.ContainsRune(".-_", c)
 }
 
-// isAddress tells whether a text is host:port. The host may be empty.
+// isAddress reports whether a text is host:port. The host may be empty.
 func isAddress(text string) bool {
 	i := strings.LastIndexByte(text, ':')
 	if i < 0 || strings.Contains(text, " ") {
@@ -137,35 +137,35 @@
 	return err == nil
 }
 
-// parse returns the number of a text, a duration's in ms.
+// parse returns the number that a text represents, or its duration in ms.
 func (a *Attr) parse(text string) (float64, error) {
 	switch a.Kind {
 	case Duration:
 		return parseDuration(text)
 	case Integer:
-		v, err := strconv.ParseInt(text, 10, 53) // what a float64 holds exactly
+		v, err := strconv.ParseInt(text, 10, 53) // a float64 represents integers of 53 bits exactly
 		if err != nil {
-			return 0, errors.New("a whole number is expected")
+			return 0, errors.New("must be an integer")
 		}
 		return float64(v), nil
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.Trim(text, "0123456789.+-") != "" || math.IsNaN(v) || math.IsInf(v, 0) {
-		return 0, errors.New("a number is expected")
+		return 0, errors.New("must be a number")
 	}
 	return v, nil
 }
 
-// parseDuration returns a duration in ms. Units below ms are not allowed.
+// parseDuration returns a duration in ms. Units smaller than ms are not allowed.
 func parseDuration(text string) (float64, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || strings.TrimLeft(text, "0123456789.") == text || strings.ContainsAny(text, "nuµ") {
-		return 0, errors.New("a duration with its unit (ms, s, m, h) is expected")
+		return 0, errors.New("must be a duration with its unit (ms, s, m, h)")
 	}
 	return float64(d) / float64(time.Millisecond), nil
 }
 
-// format writes a number as the attribute has it.
+// format returns a bound of the attribute as text, the bound of a duration with its unit.
 func (a *Attr) format(v float64) string {
 	if a.Kind == Duration {
 		return time.Duration(v * float64(time.Millisecond)).String()
