--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -20,26 +20,26 @@
 const (
 	authorityLifetime = 5 * 365 * 24 * time.Hour
 	crlLifetime       = 365 * 24 * time.Hour
-	clockSkew         = 5 * time.Minute // by which clocks may differ
+	clockSkew         = 5 * time.Minute // maximum tolerated difference between clocks
 	serialBits        = 120
 )
 
-// Authority is a folder with the authority's key.
+// Authority is a certificate authority whose key and certificates are in a folder.
 type Authority struct{ folder string }
 
-// Init makes an authority in a folder that has none.
+// Init creates an authority in a folder that has none.
 func Init(folder string, now time.Time) (*Authority, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
 	if _, err := os.Stat(filepath.Join(folder, caKeyFile)); !errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("keys: %s has an authority already (or: %v)", folder, err) //nolint:errorlint // err is nil if there is one
+		return nil, fmt.Errorf("keys: %s already contains an authority (or cannot be read: %v)", folder, err) //nolint:errorlint // err is nil if there is one
 	}
 	a := &Authority{folder}
 	return a, a.renew(now, nil, nil)
 }
 
-// Open opens the authority of a folder.
+// Open opens the authority in a folder.
 func Open(folder string) (*Authority, error) {
 	if _, err := os.Stat(filepath.Join(folder, caKeyFile)); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
@@ -47,8 +47,8 @@
 	return &Authority{folder}, nil
 }
 
-// renew makes a key and a certificate for the authority itself, which is trusted beside the older certificates. The certificate is
-// written before the key: a process that is killed between leaves the old key, whose old certificate is still trusted.
+// renew creates a key and a self-signed certificate for the authority. The certificate is trusted in addition to the older ones. It is
+// written before the key: a process that is killed in between leaves the old key, whose certificate is still trusted.
 func (a *Authority) renew(now time.Time, older []byte, revoked []x509.RevocationListEntry) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -85,8 +85,8 @@
 	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 }
 
-// signer returns the authority's key and the certificate that belongs to it. After a rotation that was killed halfway that may not
-// be the newest one.
+// signer returns the authority's key and the certificate that matches it. If the process was killed during a rotation, this may not be the
+// newest certificate.
 func (a *Authority) signer() (*x509.Certificate, crypto.Signer, error) {
 	blocks, err := readPEM(filepath.Join(a.folder, caKeyFile), blockKey)
 	if err != nil {
@@ -98,7 +98,7 @@
 	}
 	key, ok := parsed.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, fmt.Errorf("%s: an ECDSA key is expected", caKeyFile)
+		return nil, nil, fmt.Errorf("%s: not an ECDSA key", caKeyFile)
 	}
 	authorities, err := a.certificates()
 	if err != nil {
@@ -109,16 +109,16 @@
 			return c, key, nil
 		}
 	}
-	return nil, nil, fmt.Errorf("%s: none of %d certificates goes with %s", caFile, len(authorities), caKeyFile)
+	return nil, nil, fmt.Errorf("%s: none of %d certificates matches the key in %s", caFile, len(authorities), caKeyFile)
 }
 
-// certificates are the trusted certificates of the authority.
+// certificates returns the trusted certificates of the authority.
 func (a *Authority) certificates() ([]*x509.Certificate, error) {
 	return Certificates(filepath.Join(a.folder, caFile))
 }
 
-// Rotate makes a new key for the authority. What the old key signed stays good until it expires, as its certificate is still
-// trusted; expired certificates of the authority are dropped.
+// Rotate creates a new key for the authority. Certificates that the old key signed stay valid until they expire, because the old certificate
+// of the authority is still trusted; expired certificates of the authority are removed.
 func (a *Authority) Rotate(now time.Time) error {
 	authorities, err := a.certificates()
 	if err != nil {
@@ -137,7 +137,7 @@
 	return a.renew(now, older.Bytes(), revoked)
 }
 
-// Revoke ends the certificate that was issued last for a name.
+// Revoke revokes the certificate that was issued last for a name. It does nothing if that is revoked already.
 func (a *Authority) Revoke(now time.Time, name string) error {
 	issued, err := Certificates(filepath.Join(a.folder, filepath.Base(name)+certificateSuffix))
 	if err != nil {
@@ -156,7 +156,7 @@
 	return a.writeRevoked(now, append(revoked, x509.RevocationListEntry{SerialNumber: serial, RevocationTime: now}))
 }
 
-// readRevoked reads the entries of the revocation list.
+// readRevoked returns the entries of the revocation list.
 func (a *Authority) readRevoked() ([]x509.RevocationListEntry, error) {
 	list, err := readRevocationList(a.folder)
 	if err != nil {
--- a/internal/keys/credentials.go
+++ b/internal/keys/credentials.go
@@ -11,11 +11,11 @@
 
 // Errors of handshakes.
 var (
-	errTooManyHandshakes = errors.New("too many handshakes under way")
-	errServerOnly        = errors.New("keys: a server's credentials")
+	errTooManyHandshakes = errors.New("too many TLS handshakes in progress")
+	errServerOnly        = errors.New("keys: credentials of a server cannot be used by a client")
 )
 
-// Credentials are the guard's credentials for a gRPC server. Each handshake uses what was read last.
+// Credentials returns the credentials for a gRPC server. Each handshake uses the configuration that was loaded last.
 func (g *Guard) Credentials() credentials.TransportCredentials {
 	config := &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -27,7 +27,7 @@
 	return guardedCredentials{credentials.NewTLS(config), g}
 }
 
-// ClientCredentials are a person's credentials for a gRPC client: NAME.pem and NAME.key in a folder that has the authority's ca.pem.
+// ClientCredentials returns a person's credentials for a gRPC client, from NAME.pem and NAME.key in a folder that has the authority's ca.pem.
 func ClientCredentials(folder, name string) (credentials.TransportCredentials, error) {
 	identity, authorities, err := loadIdentity(folder, name)
 	if err != nil {
@@ -40,19 +40,19 @@
 	}), nil
 }
 
-// guardedCredentials bound the handshakes under way and let the guard know the connections.
+// guardedCredentials limits the number of concurrent handshakes and registers connections with a Guard.
 type guardedCredentials struct {
 	credentials.TransportCredentials
 	guard *Guard
 }
 
-// ServerHandshake makes a connection that the guard knows until it closes.
+// ServerHandshake performs a handshake and returns a connection that stays registered until it is closed.
 func (c guardedCredentials) ServerHandshake(raw net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	select {
 	case c.guard.handshakes <- struct{}{}:
 		defer func() { <-c.guard.handshakes }()
 	default:
-		_ = raw.Close() // nothing was sent over it
+		_ = raw.Close() // nothing was sent, so an error does not matter
 		return nil, nil, errTooManyHandshakes
 	}
 	conn, info, err := c.TransportCredentials.ServerHandshake(raw)
@@ -65,23 +65,23 @@
 	return tracked, info, nil
 }
 
-// ClientHandshake fails: the credentials are a server's.
+// ClientHandshake fails, because the credentials are for servers only.
 func (c guardedCredentials) ClientHandshake(context.Context, string, net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	return nil, nil, errServerOnly
 }
 
-// Clone copies the credentials; the copy has the same guard.
+// Clone returns a copy of the credentials with the same Guard.
 func (c guardedCredentials) Clone() credentials.TransportCredentials {
 	return guardedCredentials{c.TransportCredentials.Clone(), c.guard}
 }
 
-// trackedConn is a connection that the guard knows until it closes.
+// trackedConn is a connection that is registered with a Guard until it is closed.
 type trackedConn struct {
 	net.Conn
 	guard *Guard
 }
 
-// Close closes the connection.
+// Close unregisters and closes the connection.
 func (c *trackedConn) Close() error {
 	c.guard.untrack(c)
 	return c.Conn.Close()
--- a/internal/keys/guard.go
+++ b/internal/keys/guard.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// reloadInterval is the time between two readings of the folder.
+// reloadInterval is the time between two reloads of the folder.
 const reloadInterval = time.Second
 
-// maxHandshakes is how many handshakes may be under way, so that clients that never complete one cost no more than that.
+// maxHandshakes is the maximum number of concurrent handshakes. It bounds the cost of clients that never complete one.
 const maxHandshakes = 16
 
-// Guard is the server's side: its certificate, the authorities that it trusts, the revoked certificates, and the open connections.
+// Guard holds the TLS state of a server: its certificate, the trusted authorities, the revoked certificates and the open connections.
 type Guard struct {
 	folder, name string
-	handshakes   chan struct{} // holds one for each handshake under way
+	handshakes   chan struct{} // semaphore: holds one element for each handshake in progress
 
-	mu        sync.Mutex // guards the following fields
+	mu        sync.Mutex // protects the following fields
 	tlsConfig *tls.Config
 	revoked   map[string]bool // by serial number
 	conns     map[*trackedConn]*x509.Certificate
 }
 
-// NewGuard reads the folder for the server whose certificate is NAME.pem.
+// NewGuard loads a folder for the server whose certificate is NAME.pem.
 func NewGuard(folder, name string) (*Guard, error) {
 	g := &Guard{
 		folder: folder, name: name,
@@ -37,7 +37,7 @@
 	return g, g.Load()
 }
 
-// Load reads the folder again. Open connections go on. On an error nothing changes.
+// Load reads the folder again. Open connections stay open. If Load returns an error, the previous configuration stays in use.
 func (g *Guard) Load() error {
 	identity, authorities, err := loadIdentity(g.folder, g.name)
 	if err != nil {
@@ -69,7 +69,7 @@
 
 var errRevoked = errors.New("certificate was revoked")
 
-// loadRevoked reads the serial numbers of the revoked certificates. One of the authorities must have signed the list.
+// loadRevoked returns the serial numbers of the revoked certificates. The list must be signed by one of the authorities.
 func loadRevoked(folder string, authorities []*x509.Certificate) (map[string]bool, error) {
 	list, err := readRevocationList(folder)
 	if err != nil {
@@ -80,7 +80,7 @@
 		signed = signed || list.CheckSignatureFrom(c) == nil
 	}
 	if !signed {
-		return nil, fmt.Errorf("keys: %s: no authority of %s signed it", crlFile, caFile)
+		return nil, fmt.Errorf("keys: %s: not signed by any authority in %s", crlFile, caFile)
 	}
 	revoked := map[string]bool{}
 	for _, entry := range list.RevokedCertificateEntries {
@@ -89,15 +89,15 @@
 	return revoked, nil
 }
 
-// currentConfig is the TLS configuration that was read last.
+// currentConfig returns the TLS configuration that was loaded last.
 func (g *Guard) currentConfig() *tls.Config {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.tlsConfig
 }
 
-// ServerConfig is the TLS configuration of a server that asks clients for no certificate. It uses the certificate that was read
-// last.
+// ServerConfig returns the TLS configuration of a server that does not request client certificates. Each handshake uses the certificate that
+// was loaded last.
 func (g *Guard) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -108,8 +108,8 @@
 	}
 }
 
-// Watch reads the folder each second and closes connections whose certificate is no longer valid, until the context ends. It
-// reports what that changed, and as a fault if the folder can't be read.
+// Watch reloads the folder every second and closes connections whose certificate is no longer valid, until the context ends. It reports how
+// many connections it closed, and as a fault that the folder cannot be loaded; a fault that persists is reported once.
 func (g *Guard) Watch(ctx context.Context, now func() time.Time, report func(fault bool, line string)) {
 	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
@@ -125,20 +125,20 @@
 			fault = err.Error()
 		}
 		if fault != lastFault && fault != "" {
-			report(true, fault+"; those read before hold")
+			report(true, fault+"; still using the certificates that were loaded before")
 		}
 		lastFault = fault
 		if n := g.CloseInvalid(now()); n > 0 {
-			report(false, fmt.Sprintf("%d connections ended: their certificates are not good any more", n))
+			report(false, fmt.Sprintf("closed %d connections whose certificates were revoked or have expired", n))
 		}
 	}
 }
 
-// CloseInvalid closes connections whose certificate was revoked or has expired. It returns how many.
+// CloseInvalid closes connections whose certificate was revoked or has expired, and returns how many it closed.
 func (g *Guard) CloseInvalid(now time.Time) (closed int) {
 	invalid := g.invalidConns(now)
 	for _, c := range invalid {
-		_ = c.Close() // it is not used any more, whether this succeeds or not
+		_ = c.Close() // the connection is unregistered even if this fails
 	}
 	return len(invalid)
 }
--- a/internal/keys/issue.go
+++ b/internal/keys/issue.go
@@ -15,31 +15,31 @@
 	"ravenpond/internal/decide/access"
 )
 
-// Subject is who a certificate is for: a server, which has hosts, or a person, who has a role.
+// Subject describes the server or the person that a certificate is issued for. A server has hosts, a person has a role.
 type Subject struct {
-	Name     string   // of the files, and of the server or person
-	Hosts    []string // names and IP addresses of a server; none: a person
+	Name     string   // name of the server or person, and of the files without their suffixes
+	Hosts    []string // host names and IP addresses of a server; empty for a person
 	Role     access.Role
-	Tenant   string // of a role that is bound to a tenant
+	Tenant   string // tenant of a role that is bound to a tenant
 	Lifetime time.Duration
 }
 
-// check returns an error if no certificate can be issued for a subject.
+// check returns an error if no certificate can be issued for the subject.
 func (s *Subject) check() error {
 	switch {
 	case s.Name == "" || s.Name != filepath.Base(s.Name) || s.Name == "ca" || s.Name == "crl" || s.Name[0] == '.':
-		return fmt.Errorf("keys: name %q: a plain word is expected, not ca or crl", s.Name)
+		return fmt.Errorf("keys: invalid name %q: must be a file name without a path, must not begin with a dot, must not be ca or crl", s.Name)
 	case s.Lifetime <= 0:
-		return errors.New("keys: a time above 0 is expected")
+		return errors.New("keys: lifetime must be greater than 0")
 	case len(s.Hosts) == 0 && s.Role == access.NoRole:
-		return errors.New("keys: a person has a role, a server has hosts")
+		return errors.New("keys: a person needs a role, a server needs hosts")
 	case s.Role.IsTenantRole() != (s.Tenant != ""):
-		return fmt.Errorf("keys: role %s: a tenant stands where the role is one tenant's, and only there", s.Role)
+		return fmt.Errorf("keys: role %s: a tenant must be given for the roles of a tenant, and for no others", s.Role)
 	}
 	return nil
 }
 
-// template is the subject's certificate before it is signed.
+// template returns the subject's certificate without its serial number and signature.
 func (s *Subject) template(now time.Time) *x509.Certificate {
 	c := &x509.Certificate{
 		Subject:   pkix.Name{CommonName: s.Name},
@@ -66,8 +66,8 @@
 	return c
 }
 
-// Issue makes a key and a certificate for a subject and writes them into the folder. The certificate ends with the authority's own at
-// the latest.
+// Issue creates a key and a certificate for a subject and writes them to the folder. The certificate expires no later than the authority's
+// own.
 func (a *Authority) Issue(now time.Time, subject Subject) (*x509.Certificate, error) {
 	if err := subject.check(); err != nil {
 		return nil, err
@@ -100,11 +100,11 @@
 	return x509.ParseCertificate(der)
 }
 
-// CallerOf is the caller that a person's certificate names.
+// CallerOf returns the caller that a person's certificate identifies.
 func CallerOf(c *x509.Certificate) (access.Caller, error) {
 	subject := c.Subject
 	if len(subject.OrganizationalUnit) != 1 {
-		return access.Caller{}, errors.New("certificate without a role")
+		return access.Caller{}, errors.New("certificate must have exactly one role")
 	}
 	role, err := access.ParseRole(subject.OrganizationalUnit[0])
 	if err != nil {
@@ -113,7 +113,7 @@
 	caller := access.Caller{Role: role, Name: subject.CommonName}
 	if role.IsTenantRole() {
 		if len(subject.Organization) != 1 {
-			return access.Caller{}, errors.New("certificate without a tenant")
+			return access.Caller{}, errors.New("certificate of a tenant's role must have exactly one tenant")
 		}
 		caller.Tenant = subject.Organization[0]
 	}
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -22,7 +22,7 @@
 	return a, dir
 }
 
-// isTrusted tells whether a certificate is good by the authorities in a folder.
+// isTrusted reports whether a certificate is valid according to the authorities in a folder.
 func isTrusted(t *testing.T, dir string, c *x509.Certificate) bool {
 	t.Helper()
 	cas, err := Certificates(filepath.Join(dir, caFile))
@@ -40,50 +40,50 @@
 func TestIssue(t *testing.T) {
 	a, dir := newAuthority(t)
 	if _, err := Init(dir, now); err == nil {
-		t.Error("an authority was made over another")
+		t.Error("Init replaced an existing authority")
 	}
 	for _, c := range []struct {
 		name    string
 		subject Subject
 		ok      bool
 	}{
-		{"an operator", Subject{Name: "ana", Role: access.Operator, Lifetime: time.Hour}, true},
-		{"a tenant's", Subject{Name: "bob", Role: access.TenantAdmin, Tenant: "a", Lifetime: time.Hour}, true},
-		{"a server", Subject{Name: "server", Hosts: []string{"127.0.0.1", "a.example"}, Lifetime: time.Hour}, true},
-		{"longer than the authority", Subject{Name: "eva", Role: access.Reader, Lifetime: 10 * authorityLifetime}, true},
-		{"no role", Subject{Name: "x", Lifetime: time.Hour}, false},
-		{"a tenant's without a tenant", Subject{Name: "x", Role: access.TenantReader, Lifetime: time.Hour}, false},
-		{"an operator of a tenant", Subject{Name: "x", Role: access.Operator, Tenant: "a", Lifetime: time.Hour}, false},
-		{"over before it begins", Subject{Name: "x", Role: access.Operator}, false},
-		{"in another folder", Subject{Name: "../x", Role: access.Operator, Lifetime: time.Hour}, false},
-		{"over the authority's own", Subject{Name: "ca", Role: access.Operator, Lifetime: time.Hour}, false},
+		{"operator", Subject{Name: "ana", Role: access.Operator, Lifetime: time.Hour}, true},
+		{"tenant administrator", Subject{Name: "bob", Role: access.TenantAdmin, Tenant: "a", Lifetime: time.Hour}, true},
+		{"server", Subject{Name: "server", Hosts: []string{"127.0.0.1", "a.example"}, Lifetime: time.Hour}, true},
+		{"lifetime longer than the authority's", Subject{Name: "eva", Role: access.Reader, Lifetime: 10 * authorityLifetime}, true},
+		{"person without a role", Subject{Name: "x", Lifetime: time.Hour}, false},
+		{"tenant role without a tenant", Subject{Name: "x", Role: access.TenantReader, Lifetime: time.Hour}, false},
+		{"operator with a tenant", Subject{Name: "x", Role: access.Operator, Tenant: "a", Lifetime: time.Hour}, false},
+		{"no lifetime", Subject{Name: "x", Role: access.Operator}, false},
+		{"name with a path", Subject{Name: "../x", Role: access.Operator, Lifetime: time.Hour}, false},
+		{"name of the authority's files", Subject{Name: "ca", Role: access.Operator, Lifetime: time.Hour}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := a.Issue(now, c.subject)
 			if (err == nil) != c.ok {
-				t.Fatal(err)
+				t.Fatalf("got error %v, want success %t", err, c.ok)
 			}
 			if err != nil {
 				return
 			}
 			if !isTrusted(t, dir, got) || got.NotAfter.After(now.Add(authorityLifetime)) {
-				t.Errorf("until %s, trusted %t", got.NotAfter, isTrusted(t, dir, got))
+				t.Errorf("certificate expires at %s and is trusted %t, want trusted and no later than the authority's", got.NotAfter, isTrusted(t, dir, got))
 			}
 			if len(c.subject.Hosts) > 0 {
 				return
 			}
 			if caller, err := CallerOf(got); err != nil || caller.Role != c.subject.Role || caller.Tenant != c.subject.Tenant || caller.Name != c.subject.Name {
-				t.Errorf("%+v, %v", caller, err)
+				t.Errorf("got caller %+v and error %v, want the subject's role, tenant and name", caller, err)
 			}
 			if info, err := os.Stat(filepath.Join(dir, c.subject.Name+".key")); err != nil || info.Mode().Perm() != 0o600 {
-				t.Errorf("its key: %v, %v", info.Mode(), err)
+				t.Errorf("key file has mode %v and error %v, want mode 0600", info.Mode(), err)
 			}
 		})
 	}
 }
 
-// TestRotate rotates, also as if killed between the two files: what was issued before stays good, what is issued after is good,
-// and what was revoked stays so.
+// TestRotate checks that certificates issued before and after a rotation are valid and that revoked ones stay revoked, also if the process is
+// killed after it wrote the authority's certificate and before it wrote the key.
 func TestRotate(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		a, dir := newAuthority(t)
@@ -98,7 +98,7 @@
 		if err := a.Rotate(now.Add(time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		if killed { // the new certificate was written, the new key was not
+		if killed { // restores the old key: the new certificate was written, the new key was not
 			if err := os.WriteFile(filepath.Join(dir, caKeyFile), key, 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -108,11 +108,11 @@
 			t.Fatal(err)
 		}
 		if !isTrusted(t, dir, old) || !isTrusted(t, dir, renewed) {
-			t.Errorf("killed %t: old %t, renewed %t", killed, isTrusted(t, dir, old), isTrusted(t, dir, renewed))
+			t.Errorf("killed %t: old certificate trusted %t, new one %t, want both trusted", killed, isTrusted(t, dir, old), isTrusted(t, dir, renewed))
 		}
 		entries, err := a.readRevoked()
 		if err != nil || len(entries) != 1 || entries[0].SerialNumber.Cmp(old.SerialNumber) != 0 {
-			t.Errorf("killed %t: %d revoked, %v", killed, len(entries), err)
+			t.Errorf("killed %t: got %d revoked certificates and error %v, want the first certificate alone", killed, len(entries), err)
 		}
 	}
 	a, dir := newAuthority(t)
@@ -120,6 +120,6 @@
 		t.Fatal(err)
 	}
 	if cas, _ := Certificates(filepath.Join(dir, caFile)); len(cas) != 1 {
-		t.Errorf("%d authorities are trusted, one of them expired", len(cas))
+		t.Errorf("got %d trusted authorities after the first one expired, want 1", len(cas))
 	}
 }
--- a/internal/keys/pem.go
+++ b/internal/keys/pem.go
@@ -12,7 +12,7 @@
 	"github.com/google/renameio/v2"
 )
 
-// Files of a folder.
+// File names and suffixes in a folder.
 const (
 	caFile    = "ca.pem"
 	caKeyFile = "ca.key"
@@ -29,13 +29,13 @@
 	blockCRL         = "X509 CRL"
 )
 
-// Modes of files.
+// File modes.
 const (
 	modePublic  os.FileMode = 0o644
 	modePrivate os.FileMode = 0o600
 )
 
-// Certificates reads all certificates of a file.
+// Certificates returns all certificates in a PEM file.
 func Certificates(path string) ([]*x509.Certificate, error) {
 	blocks, err := readPEM(path, blockCertificate)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return certificates, nil
 }
 
-// readPEM reads the contents of all blocks of a type in a file. There must be one at least.
+// readPEM returns the contents of all blocks of a type in a file. It returns an error if there is none.
 func readPEM(path, blockType string) (blocks [][]byte, err error) {
 	rest, err := os.ReadFile(path)
 	if err != nil {
@@ -68,7 +68,7 @@
 		}
 	}
 	if len(blocks) == 0 {
-		return nil, fmt.Errorf("%s: no %s in it", path, blockType)
+		return nil, fmt.Errorf("%s: no PEM block of type %s", path, blockType)
 	}
 	return blocks, nil
 }
@@ -77,7 +77,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
 }
 
-// write replaces a file of the folder.
+// write atomically replaces a file in the folder.
 func (a *Authority) write(name string, b []byte, mode os.FileMode) error {
 	return renameio.WriteFile(filepath.Join(a.folder, name), b, mode)
 }
@@ -90,7 +90,7 @@
 	return a.write(name, encodePEM(blockKey, der), modePrivate)
 }
 
-// loadIdentity reads the certificate and key of a name in a folder, and the authorities that are trusted there.
+// loadIdentity reads the certificate and key with a name from a folder, and the certificates of the trusted authorities.
 func loadIdentity(folder, name string) (identity tls.Certificate, authorities []*x509.Certificate, err error) {
 	base := filepath.Join(folder, name)
 	identity, err = tls.LoadX509KeyPair(base+certificateSuffix, base+keySuffix)
