--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,7 +1,7 @@
-// Package members runs a process's failure detector, see decide/membership, on the datagrams and the clock of an environment.
+// Package members runs the failure detector of package decide/membership with the datagrams and the clock of an environment.
 //
-// One lock guards the detector. Datagrams, the timers of the environment's loop and callers of WithDetector take it in turn, and nothing waits
-// while it is held. The event handler is called under the lock.
+// One lock protects the detector. It is taken for datagrams, for the timers of the environment's loop and by WithDetector, and nothing blocks
+// while it is held. The event handler is called with the lock held.
 package members
 
 import (
@@ -13,24 +13,24 @@
 	codec "ravenpond/internal/proto/members"
 )
 
-// Every datagram of the codec fits the environment's packets: a negative constant does not compile.
+// Compile-time check that every datagram of the codec fits into the environment's packets: a negative constant does not compile.
 const _ = uint(env.MaxDatagram - codec.MaxDatagramBytes)
 
-// minWait is the shortest time between two steps of the loop, ms.
+// minWait is the minimum time between two steps of the loop, in ms.
 const minWait = 0.1
 
-// EventHandler handles the detector's events, and answers what this process knows of nodes. Its methods are called one at a time, under the
-// runner's lock, and must not wait or call the runner.
+// EventHandler handles the detector's events and tells it when this process last heard from a node. Its methods are called one at a time, with
+// the runner's lock held, and must not block or call the runner.
 type EventHandler interface {
-	// OnChange handles a change of a member's state or incarnation. previous is its state before.
+	// OnChange handles a change of a member's state or incarnation. previous is its state before the change.
 	OnChange(now float64, m membership.Member, previous membership.State)
-	// OnNameTaken handles that another process, at an address, uses this one's name.
+	// OnNameTaken handles a name conflict: another process, at an address, uses the name of this one.
 	OnNameTaken(now float64, address string)
-	// LastHeard returns a node's incarnation and when this process last heard from it, ms, and false if it does not hear from the node.
+	// LastHeard returns a node's incarnation and the time in ms when this process last heard from it, and false if it does not hear from the node.
 	LastHeard(node uint32) (incarnation uint64, at float64, ok bool)
 }
 
-// Runner runs a detector. Its methods may be called by any goroutine.
+// Runner runs a detector. Its methods may be called concurrently.
 type Runner struct {
 	environment env.Environment
 	handler     EventHandler
@@ -39,15 +39,15 @@
 	loop        env.Loop
 
 	mu       sync.Mutex
-	detector *membership.Detector // guarded by mu
-	stopped  bool                 // guarded by mu
+	detector *membership.Detector // protected by mu
+	stopped  bool                 // protected by mu
 }
 
-// Start listens for datagrams at an address and runs a detector until Stop. The address that others use is that of the config; if it is empty,
-// it is the one that the environment chose.
+// Start listens for datagrams at an address and runs a detector until Stop. Other members use the address in the config; if that is empty,
+// they use the address that the environment chose.
 func Start(environment env.Environment, listen string, config membership.Config, handler EventHandler) (*Runner, error) {
 	r := &Runner{environment: environment, handler: handler}
-	r.mu.Lock() // a datagram that arrives meanwhile waits for the detector
+	r.mu.Lock() // a datagram that arrives before the detector exists waits for the lock
 	defer r.mu.Unlock()
 	connection, err := environment.ListenPacket(listen, r.onDatagram)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return r, nil
 }
 
-// step does what is due and returns the time in ms until the next step, or -1 after Stop.
+// step runs the detector's due actions and returns the time in ms until the next step, or -1 after Stop.
 func (r *Runner) step() (wait float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,17 +87,17 @@
 	}
 }
 
-// Address returns the address at which others reach this process.
+// Address returns the address at which other members reach this process.
 func (r *Runner) Address() string { return r.address }
 
-// WithDetector calls f with the detector, which f must not keep.
+// WithDetector calls f with the detector and with the lock held. f must not keep the detector.
 func (r *Runner) WithDetector(f func(d *membership.Detector)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.detector)
 }
 
-// Stop tells the other members that this process leaves, and stops the runner. It does not wait for the loop's last step.
+// Stop announces to the other members that this process leaves, and stops the runner. It does not wait for the loop's last step.
 func (r *Runner) Stop() {
 	r.mu.Lock()
 	if !r.stopped {
@@ -109,7 +109,7 @@
 	r.loop.Wake()
 }
 
-// effects executes what the detector decides, under the runner's lock.
+// effects executes the detector's decisions. Its methods are called with the runner's lock held.
 type effects struct{ *Runner }
 
 // Send implements membership.Effects.
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -10,7 +10,7 @@
 	"ravenpond/internal/env"
 )
 
-// recorder keeps the last state of each member that a runner reports.
+// recorder records the last state of each member that a runner reports.
 type recorder struct {
 	mu     sync.Mutex
 	states map[string]membership.State
@@ -26,7 +26,8 @@
 
 func (r *recorder) LastHeard(uint32) (incarnation uint64, at float64, ok bool) { return 0, 0, false }
 
-// TestRunnersOverSockets has three runners find each other over sockets, from one seed, beside a process with another key; one leaves.
+// TestRunnersOverSockets checks that three runners discover each other over sockets from one seed, that they learn that one of them leaves, and
+// that a process with another key neither learns of them nor is accepted.
 func TestRunnersOverSockets(t *testing.T) {
 	environment := env.NewReal()
 	defer environment.Close(time.Second)
@@ -62,7 +63,7 @@
 		defer recorders[i].mu.Unlock()
 		return recorders[i].states[name] == s
 	}
-	eventually("the members do not find each other", func() bool {
+	eventually("the members did not discover each other", func() bool {
 		for i := range 3 {
 			for j := range 3 {
 				if i != j && !hasState(i, fmt.Sprint("m", j), membership.Alive) {
@@ -73,11 +74,11 @@
 		return true
 	})
 	runners[1].Stop()
-	eventually("the others do not learn that one leaves", func() bool { return hasState(0, "m1", membership.Left) && hasState(2, "m1", membership.Left) })
+	eventually("the other members did not learn that m1 left", func() bool { return hasState(0, "m1", membership.Left) && hasState(2, "m1", membership.Left) })
 	foreign := uint64(0)
 	runners[0].WithDetector(func(d *membership.Detector) { foreign = d.Stats.Foreign })
 	if len(recorders[3].states) > 0 || foreign == 0 {
-		t.Errorf("the process with another key knows %v, %d of its datagrams were rejected", recorders[3].states, foreign)
+		t.Errorf("the process with another key knows members %v and %d foreign datagrams were rejected, want no members and at least 1 datagram", recorders[3].states, foreign)
 	}
 	runners[0].Stop()
 	runners[2].Stop()
