--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -1,8 +1,9 @@
-// Package maintenance carries out maintenance windows: it begins the drains of their nodes, has work moved off, and brings the nodes back.
-// Each step is on the disk before it takes effect, so that a restarted process continues where it was.
+// Package maintenance carries out maintenance windows: it drains their nodes, evicts the work on them, and returns the nodes to service. Each
+// step is stored on disk before it takes effect, so that a restarted process resumes a drain: a drain is stored before its nodes drain, and is
+// stored as closed before they return.
 //
-// Tick gets the time, the node list and the lost nodes; an Executor executes what follows. The package uses no clock and no sockets. A
-// Controller is not safe for concurrent use. Errors are those of the store: the step is tried again by the next Tick.
+// Tick takes the time, the node list and the lost nodes; an Executor carries out the decisions. The package uses no clock and no sockets. A
+// Controller is not safe for concurrent use. All errors come from the store; the next Tick tries the step again.
 package maintenance
 
 import (
@@ -16,29 +17,29 @@
 )
 
 const (
-	// replanInterval is how long a plan is used before it is worked out anew.
+	// replanInterval is the maximum age of a plan before it is recomputed.
 	replanInterval = 20 * time.Second
-	// planSpan is how far a plan reaches into the past and the future: longer than any window with its lead and slack.
+	// planSpan is how far a plan extends into the past and into the future. It is longer than any window with its lead and slack.
 	planSpan = 8 * 24 * time.Hour
 	// cleanUpInterval is the time between two deletions of closed drains.
 	cleanUpInterval = time.Hour
-	// closedRetention is how long closed drains are kept: longer than any clock may jump back.
+	// closedRetention is how long closed drains are kept. It is longer than any backward jump of the clock.
 	closedRetention = 40 * 24 * time.Hour
 )
 
-// Executor executes on the scheduler what a Controller decides.
+// Executor carries out a Controller's decisions on the scheduler.
 type Executor interface {
-	// SetDraining starts or ends the drain of nodes. Repeating it has no effect.
+	// SetDraining starts or ends the drain of nodes. It is idempotent.
 	SetDraining(nodes []string, draining bool)
-	// CountRunning counts the running allocations at nodes by job class, and those on the whole fleet.
+	// CountRunning counts the running allocations on nodes by job class, and all those on the whole fleet.
 	CountRunning(nodes []string) (byJob []int, fleet int)
-	// Evict stops up to limit allocations of a job class at nodes, and returns how many it stopped.
+	// Evict stops up to limit allocations of a job class on nodes, and returns how many it stopped.
 	Evict(nodes []string, job, limit int) int
-	// Log writes a line for operators.
+	// Log writes a log line for operators.
 	Log(line string)
 }
 
-// Store keeps the calendar and the drains that were begun. See package maintenancestore.
+// Store stores the calendar and the drains that were begun. See package maintenancestore.
 type Store interface {
 	Calendar() (*calendar.Calendar, error)
 	BeginDrain(v calendar.Verdict, now time.Time) (drain maintenancestore.Drain, isNew bool, err error)
@@ -47,7 +48,7 @@
 	DeleteClosed(before time.Time) error
 }
 
-// Controller carries out the windows at one process. Its exported fields are set before the first Tick.
+// Controller carries out the maintenance windows in one process. Its exported fields must be set before the first Tick.
 type Controller struct {
 	Store     Store
 	Executor  Executor
@@ -55,8 +56,8 @@
 	Policies  []drainpace.Policy    // by job class
 	UsualLoad calendar.LoadEstimate // the same at every process that shares the calendar
 
-	announced   map[string]bool // by drainName: drains that this process has announced
-	suspended   map[string]bool // by drainName: drains that evict nothing, as too many nodes are lost
+	announced   map[string]bool // drains that this process has announced, by drainName
+	suspended   map[string]bool // drains that evict nothing because too many nodes are lost, by drainName
 	lastTick    time.Time
 	cleanedUpAt time.Time
 
@@ -65,7 +66,8 @@
 	planInputs inputSizes
 }
 
-// inputSizes are the sizes of what a plan was made from. A plan is made anew when one changes; other changes wait for replanInterval.
+// inputSizes holds the sizes of a plan's inputs. A plan is recomputed at once when one of them changes; other changes of the inputs take effect
+// after replanInterval.
 type inputSizes struct{ windows, protectedTimes, exceptions, nodes int }
 
 func inputSizesOf(cal *calendar.Calendar, fleet []calendar.Node) inputSizes {
@@ -76,13 +78,13 @@
 	return sizes
 }
 
-// drainName names an occurrence of a window.
+// drainName returns a unique name for the drain of an occurrence of a window.
 func drainName(v calendar.Verdict) string {
 	return v.Window + " " + v.ScheduledStart.UTC().Format(time.RFC3339)
 }
 
-// Tick does what is due: it advances the unfinished drains, begins those of the plan whose time has come, and deletes old ones. lost are
-// the nodes of the fleet that are unreachable.
+// Tick carries out what is due: it advances the unfinished drains, begins the due drains of the plan, and deletes drains that were closed long
+// ago. lost is the set of unreachable nodes of the fleet.
 func (c *Controller) Tick(now time.Time, fleet []calendar.Node, lost map[string]bool) error {
 	if c.announced == nil {
 		c.announced, c.suspended = map[string]bool{}, map[string]bool{}
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// updatePlan makes the plan anew if the present one is old, or was made of something else.
+// updatePlan recomputes the plan if it is older than replanInterval, if the sizes of its inputs have changed, or if the clock went back.
 func (c *Controller) updatePlan(now time.Time, cal *calendar.Calendar, fleet []calendar.Node) {
 	sizes := inputSizesOf(cal, fleet)
 	if sizes == c.planInputs && now.Sub(c.plannedAt) <= replanInterval && !now.Before(c.plannedAt) {
@@ -125,7 +127,7 @@
 	c.plan = calendar.Plan(cal, fleet, c.Limits, c.UsualLoad, now.Add(-planSpan), now.Add(planSpan))
 }
 
-// cleanUp deletes drains that were closed long ago.
+// cleanUp deletes drains that were closed longer than closedRetention ago, once per cleanUpInterval.
 func (c *Controller) cleanUp(now time.Time) error {
 	if now.Sub(c.cleanedUpAt) <= cleanUpInterval {
 		return nil
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// isScheduled reports whether the calendar still has the occurrence that a verdict is about.
+// isScheduled reports whether the calendar still contains the occurrence that a verdict is for.
 func isScheduled(cal *calendar.Calendar, v calendar.Verdict) bool {
 	i := slices.IndexFunc(cal.Windows, func(w calendar.Window) bool { return w.ID == v.Window })
 	return i >= 0 && !slices.ContainsFunc(cal.Windows[i].Exceptions, v.ScheduledStart.Equal)
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Date(2026, 3, 2, 10, 0, 0, 0, time.UTC)
 
-// fakeExecutor records what it is to execute, and holds what runs at each node.
+// fakeExecutor records the calls of a Controller, and simulates the allocations on each node.
 type fakeExecutor struct {
 	draining map[string]bool
 	running  map[string][]int // allocations by node and job class
@@ -59,7 +59,7 @@
 
 func (e *fakeExecutor) Log(line string) { e.lines = append(e.lines, line) }
 
-// fixture is a controller on a store in a folder.
+// fixture is a Controller with a fake executor and a store in a folder.
 type fixture struct {
 	folder     string
 	store      *maintenancestore.Store
@@ -93,12 +93,12 @@
 	return all
 }
 
-// window is an hour in which node n1 is out.
+// window returns a window of an hour that takes node n1 out of service.
 func window(id string) calendar.Window {
 	return calendar.Window{ID: id, Target: "n1", Start: start, Duration: time.Hour, Lead: 10 * time.Minute}
 }
 
-// tickRange has a controller tick every second from one minute to another.
+// tickRange calls Tick for every second between two times, given in minutes after start.
 func tickRange(t *testing.T, c *Controller, from, to int, lost map[string]bool) {
 	t.Helper()
 	for s := from * 60; s < to*60; s++ {
@@ -111,22 +111,22 @@
 	s, controller, executor := r.store, r.controller, r.executor
 	tickRange(t, controller, -12, -10, nil)
 	if len(executor.draining) != 0 {
-		t.Error("the drain begins before its time")
+		t.Error("the drain began before the lead of the window")
 	}
 	tickRange(t, controller, -10, -5, nil)
 	if !executor.draining["n1"] || executor.evicted != 0 {
-		t.Errorf("draining %v, %d evicted in the first half of the lead", executor.draining, executor.evicted)
+		t.Errorf("draining %v and %d evicted in the first half of the lead, want n1 draining and no eviction", executor.draining, executor.evicted)
 	}
 	tickRange(t, controller, -5, 0, nil)
 	if executor.running["n1"][0] != 0 || executor.running["n1"][1] != 2 {
-		t.Errorf("running at the start of the window: %v", executor.running["n1"])
+		t.Errorf("allocations on n1 at the start of the window: got %v, want [0 2]", executor.running["n1"])
 	}
 	tickRange(t, controller, 0, 61, nil)
 	if len(executor.draining) != 0 || len(executor.lines) != 2 {
-		t.Errorf("draining %v after the end, lines %q", executor.draining, executor.lines)
+		t.Errorf("draining %v after the window with log lines %q, want no draining node and 2 lines", executor.draining, executor.lines)
 	}
 	if unfinished, _ := s.UnfinishedDrains(); len(unfinished) != 0 {
-		t.Errorf("unfinished: %+v", unfinished)
+		t.Errorf("got unfinished drains %+v after the window, want none", unfinished)
 	}
 }
 
@@ -141,7 +141,7 @@
 				err = controller.Tick(start.Add(time.Duration(s)*time.Second), testFleet(), nil)
 			}
 			if !errors.Is(err, errKilled) {
-				t.Fatal("not killed: ", err)
+				t.Fatal("the process was not killed by the failing store: ", err)
 			}
 			noError(t, s.Close())
 			s, err = maintenancestore.Open(dir)
@@ -149,16 +149,16 @@
 				t.Fatal(err)
 			}
 			defer func() { noError(t, s.Close()) }()
-			restarted := &fakeExecutor{draining: map[string]bool{}, running: executor.running} // the next incarnation knows nothing
+			restarted := &fakeExecutor{draining: map[string]bool{}, running: executor.running} // the next incarnation starts without state in memory
 			controller = newController(s, restarted)
 			tickRange(t, controller, 20, 21, nil)
 			if at != "closed" && !restarted.draining["n1"] {
-				t.Error("the next incarnation does not announce the drain")
+				t.Error("the next incarnation did not announce the drain of n1")
 			}
 			tickRange(t, controller, 59, 63, nil)
 			drains, _ := s.Drains()
 			if len(restarted.draining) != 0 || len(drains) != 1 || drains[0].Stage != maintenancestore.Closed {
-				t.Errorf("draining %v, %+v", restarted.draining, drains)
+				t.Errorf("draining %v with drains %+v after the window, want no draining node and one closed drain", restarted.draining, drains)
 			}
 		})
 	}
@@ -166,7 +166,7 @@
 
 var errKilled = errors.New("killed")
 
-// failingStore has the process killed between two steps.
+// failingStore simulates a process that is killed between two steps: at the given stage it returns errKilled.
 type failingStore struct {
 	*maintenancestore.Store
 	at string
@@ -194,7 +194,7 @@
 	noError(t, s.CancelWindow("a", time.Time{}, start))
 	tickRange(t, controller, -8, -7, nil)
 	if len(executor.draining) != 0 || !strings.Contains(executor.lines[len(executor.lines)-1], "cancelled") {
-		t.Errorf("draining %v, %q", executor.draining, executor.lines)
+		t.Errorf("draining %v with log lines %q after the window was cancelled, want no draining node and a line that tells of it", executor.draining, executor.lines)
 	}
 }
 
@@ -203,11 +203,11 @@
 	controller, executor := r.controller, r.executor
 	tickRange(t, controller, -11, -1, map[string]bool{"n3": true, "n4": true})
 	if !executor.draining["n1"] || executor.evicted != 0 || !strings.Contains(strings.Join(executor.lines, ""), "2 nodes lost") {
-		t.Errorf("draining %v, %d evicted, %q", executor.draining, executor.evicted, executor.lines)
+		t.Errorf("draining %v, %d evicted and log lines %q with 2 nodes lost, want n1 draining, no eviction and a line that tells of it", executor.draining, executor.evicted, executor.lines)
 	}
-	tickRange(t, controller, -1, 2, nil) // the nodes are back
+	tickRange(t, controller, -1, 2, nil) // no nodes are lost any more
 	if executor.running["n1"][0] != 0 {
-		t.Error("work is not evicted when the nodes are back")
+		t.Error("allocations of the first job class were not evicted after the lost nodes returned")
 	}
 }
 
@@ -218,15 +218,15 @@
 	controller, executor := r.controller, r.executor
 	tickRange(t, controller, -10, 70, nil)
 	if !executor.draining["n1"] {
-		t.Error("the node is back while another window holds it")
+		t.Error("n1 returned to service while another window includes it")
 	}
 	tickRange(t, controller, 70, 122, nil)
 	if len(executor.draining) != 0 {
-		t.Error("the node is still draining")
+		t.Error("n1 is still draining after both windows ended")
 	}
 }
 
-// noError ends the test if an error has occurred.
+// noError fails the test at once if err is not nil.
 func noError(tb testing.TB, err error) {
 	tb.Helper()
 	if err != nil {
--- a/internal/maintenance/round.go
+++ b/internal/maintenance/round.go
@@ -10,7 +10,7 @@
 	"ravenpond/internal/state/maintenancestore"
 )
 
-// round is one call of Tick.
+// round is the state of one call of Tick.
 type round struct {
 	*Controller
 	now      time.Time
@@ -26,7 +26,7 @@
 	}
 }
 
-// beginDue begins the drains of the plan whose time has come. unfinished are those that were begun before this round.
+// beginDue begins the drains of the plan that are due. unfinished holds the drains that were begun before this round.
 func (r *round) beginDue(unfinished []maintenancestore.Drain) error {
 	for _, v := range r.plan {
 		if !r.isDue(v) || slices.ContainsFunc(unfinished, func(d maintenancestore.Drain) bool { return drainName(d.Verdict) == drainName(v) }) {
@@ -36,7 +36,7 @@
 		if err != nil {
 			return storeError(err)
 		}
-		if !isNew { // it was closed before the end of its window
+		if !isNew { // the drain was closed before the end of its window
 			continue
 		}
 		r.markDraining(v.Nodes)
@@ -47,15 +47,15 @@
 	return nil
 }
 
-// isDue reports whether the drain of a verdict is to be in progress now.
+// isDue reports whether the drain of a verdict should be in progress now.
 func (r *round) isDue(v calendar.Verdict) bool {
 	return v.Outcome != calendar.Refused && !r.now.Before(v.DrainStart) && r.now.Before(v.End) && len(v.Nodes) > 0 && isScheduled(r.calendar, v)
 }
 
-// workload is what runs at the nodes of a drain, and on the fleet.
+// workload holds the numbers of running allocations on the nodes of a drain and on the fleet.
 type workload struct {
-	byJob        []int // at the nodes, by job class
-	total, fleet int
+	byJob        []int // on the nodes, by job class
+	total, fleet int   // on the nodes and on the whole fleet
 }
 
 func (r *round) workloadOf(v calendar.Verdict) (w workload) {
@@ -66,7 +66,7 @@
 	return w
 }
 
-// advance takes a drain as far as it can go now.
+// advance carries out the steps of a drain that are due, and evicts work if its window is not over.
 func (r *round) advance(drain maintenancestore.Drain) error {
 	v := drain.Verdict
 	if err := r.announce(v); err != nil {
@@ -75,7 +75,7 @@
 	work := r.workloadOf(v)
 	if work.total == 0 && drain.Stage < maintenancestore.Emptied {
 		opened := drain.ReachedAt[maintenancestore.Opened]
-		r.Executor.Log(fmt.Sprintf("window %s: empty after %.0f s", v.Window, r.now.Sub(opened).Seconds()))
+		r.Executor.Log(fmt.Sprintf("window %s: nodes are empty %.0f s after the drain began", v.Window, r.now.Sub(opened).Seconds()))
 		if err := r.setStage(v, maintenancestore.Emptied); err != nil {
 			return err
 		}
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// announce starts the drain of the nodes, once by each incarnation of the process: repeating it after a restart has no effect if the process
-// was killed after it, and is needed if it was killed before.
+// announce starts the drain of the nodes, once per incarnation of the process. It is repeated after a restart, because the process may have
+// been killed before it announced the drain; if it was killed afterwards, the repetition has no effect.
 func (r *round) announce(v calendar.Verdict) error {
 	name := drainName(v)
 	if r.announced[name] {
@@ -97,7 +97,7 @@
 	}
 	r.Executor.SetDraining(v.Nodes, true)
 	r.announced[name] = true
-	r.Executor.Log(fmt.Sprintf("window %s: %d nodes drain until %s", v.Window, len(v.Nodes), v.End.UTC().Format(time.RFC3339)))
+	r.Executor.Log(fmt.Sprintf("window %s: draining %d nodes until %s", v.Window, len(v.Nodes), v.End.UTC().Format(time.RFC3339)))
 	return r.setStage(v, maintenancestore.Announced)
 }
 
@@ -108,13 +108,14 @@
 	return nil
 }
 
-// evict moves work off the nodes at the pace of each job class. While the rest of the fleet has no capacity for it, work stays where it is.
+// evict evicts allocations from the nodes at the rate of each job class's policy. It evicts none while too much of the fleet would be out
+// because of lost nodes.
 func (r *round) evict(v calendar.Verdict, work workload) {
 	name := drainName(v)
 	if reason := calendar.BlockedByLosses(v, r.fleet, r.lost, r.draining, r.Limits); reason != "" {
 		if !r.suspended[name] {
 			r.suspended[name] = true
-			r.Executor.Log(fmt.Sprintf("window %s: work is left where it is: %s", v.Window, reason))
+			r.Executor.Log(fmt.Sprintf("window %s: evictions suspended: %s", v.Window, reason))
 		}
 		return
 	}
@@ -136,14 +137,15 @@
 
 func milliseconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e6 }
 
-// close brings the nodes of a drain back, unless its window ends by waiting for them to be empty.
+// close closes a drain and returns its nodes to service. If allocations remain at the end of the window, its ending decides whether the nodes
+// return as they are, the allocations are evicted first, or the drain stays open until the nodes are empty.
 func (r *round) close(v calendar.Verdict, work workload, cancelled bool) error {
 	if !cancelled && work.total > 0 {
 		switch v.Ending {
 		case calendar.Sweep:
 			r.evictStoppable(v, work)
 		case calendar.Hold:
-			if length := v.End.Sub(v.Start); r.now.Before(v.End.Add(length)) { // at most once more its length
+			if length := v.End.Sub(v.Start); r.now.Before(v.End.Add(length)) { // waits for at most the length of the window
 				return nil
 			}
 		}
@@ -157,15 +159,15 @@
 	}
 	r.Executor.SetDraining(returning, false)
 	delete(r.announced, drainName(v))
-	outcome := "over"
+	outcome := "ended"
 	if cancelled {
 		outcome = "cancelled"
 	}
-	r.Executor.Log(fmt.Sprintf("window %s: %s, %d nodes back, %d allocations still there", v.Window, outcome, len(returning), work.total))
+	r.Executor.Log(fmt.Sprintf("window %s: %s, returned %d nodes to service, %d allocations still running on the window's nodes", v.Window, outcome, len(returning), work.total))
 	return nil
 }
 
-// evictStoppable evicts all work that may be stopped.
+// evictStoppable evicts all allocations that may be stopped.
 func (r *round) evictStoppable(v calendar.Verdict, work workload) {
 	for job, running := range work.byJob {
 		if r.Policies[job] != drainpace.RunOut {
@@ -174,7 +176,7 @@
 	}
 }
 
-// returningNodes returns the nodes of a drain that no other unfinished drain holds.
+// returningNodes returns the nodes of a drain that belong to no other unfinished drain.
 func (r *round) returningNodes(v calendar.Verdict) ([]string, error) {
 	unfinished, err := r.Store.UnfinishedDrains()
 	if err != nil {
