--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -61,7 +61,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := a.Issue(now, c.subject)
 			if (err == nil) != c.ok {
-				t.Fatalf("got error %v, want success %t", err, c.ok)
+				t.Fatal(err)
 			}
 			if err != nil {
 				return
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -194,7 +194,7 @@
 	noError(t, s.CancelWindow("a", time.Time{}, start))
 	tickRange(t, controller, -8, -7, nil)
 	if len(executor.draining) != 0 || !strings.Contains(executor.lines[len(executor.lines)-1], "cancelled") {
-		t.Errorf("draining %v with log lines %q after the window was cancelled, want no draining node and a line that tells of it", executor.draining, executor.lines)
+		t.Errorf("draining %v, log lines %q, want no draining node and a line that says cancelled", executor.draining, executor.lines)
 	}
 }
 
@@ -203,7 +203,7 @@
 	controller, executor := r.controller, r.executor
 	tickRange(t, controller, -11, -1, map[string]bool{"n3": true, "n4": true})
 	if !executor.draining["n1"] || executor.evicted != 0 || !strings.Contains(strings.Join(executor.lines, ""), "2 nodes lost") {
-		t.Errorf("draining %v, %d evicted and log lines %q with 2 nodes lost, want n1 draining, no eviction and a line that tells of it", executor.draining, executor.evicted, executor.lines)
+		t.Errorf("draining %v, %d evicted, log lines %q, want n1 draining, no eviction and 2 nodes reported lost", executor.draining, executor.evicted, executor.lines)
 	}
 	tickRange(t, controller, -1, 2, nil) // no nodes are lost any more
 	if executor.running["n1"][0] != 0 {
--- a/internal/maintenance/round.go
+++ b/internal/maintenance/round.go
@@ -159,11 +159,11 @@
 	}
 	r.Executor.SetDraining(returning, false)
 	delete(r.announced, drainName(v))
-	outcome := "ended"
+	outcome := "over"
 	if cancelled {
 		outcome = "cancelled"
 	}
-	r.Executor.Log(fmt.Sprintf("window %s: %s, returned %d nodes to service, %d allocations still running on the window's nodes", v.Window, outcome, len(returning), work.total))
+	r.Executor.Log(fmt.Sprintf("window %s: %s, returned %d nodes to service, %d allocations still running", v.Window, outcome, len(returning), work.total))
 	return nil
 }
 
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -78,7 +78,7 @@
 	foreign := uint64(0)
 	runners[0].WithDetector(func(d *membership.Detector) { foreign = d.Stats.Foreign })
 	if len(recorders[3].states) > 0 || foreign == 0 {
-		t.Errorf("the process with another key knows members %v and %d foreign datagrams were rejected, want no members and at least 1 datagram", recorders[3].states, foreign)
+		t.Errorf("the process with another key knows %v and %d of its datagrams were rejected, want none and at least 1", recorders[3].states, foreign)
 	}
 	runners[0].Stop()
 	runners[2].Stop()
