--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -127,7 +127,7 @@
 	c.plan = calendar.Plan(cal, fleet, c.Limits, c.UsualLoad, now.Add(-planSpan), now.Add(planSpan))
 }
 
-// cleanUp deletes drains that were closed longer than closedRetention ago, once per cleanUpInterval.
+// cleanUp deletes drains that were closed longer than closedRetention ago, at most once per cleanUpInterval.
 func (c *Controller) cleanUp(now time.Time) error {
 	if now.Sub(c.cleanedUpAt) <= cleanUpInterval {
 		return nil
--- a/internal/maintenance/round.go
+++ b/internal/maintenance/round.go
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// evict evicts allocations from the nodes at the rate of each job class's policy. It evicts none while too much of the fleet would be out
-// because of lost nodes.
+// evict evicts allocations from the nodes at the rate of each job class's policy. It evicts none while, because of lost nodes, the rest of the
+// fleet has no capacity for them.
 func (r *round) evict(v calendar.Verdict, work workload) {
 	name := drainName(v)
 	if reason := calendar.BlockedByLosses(v, r.fleet, r.lost, r.draining, r.Limits); reason != "" {
@@ -145,7 +145,7 @@
 		case calendar.Sweep:
 			r.evictStoppable(v, work)
 		case calendar.Hold:
-			if length := v.End.Sub(v.Start); r.now.Before(v.End.Add(length)) { // waits for at most the length of the window
+			if length := v.End.Sub(v.Start); r.now.Before(v.End.Add(length)) { // waits after the end for at most the length of the window
 				return nil
 			}
 		}
--- a/internal/proto/members/members.go
+++ b/internal/proto/members/members.go
@@ -73,7 +73,7 @@
 type Lease struct {
 	Place        int    // index of the sender among the members, from 0
 	Granted      bool   // whether the receiver may use its share of the slow-start limit
-	Counted      []byte // bit set of the places among which the sender divides that limit
+	Counted      []byte // bit set of the places that the sender counts as sharing that limit
 	QuotaGranted bool   // the same as Granted for the quotas of tenants
 	QuotaCounted []byte // the same as Counted for the quotas of tenants
 }
