--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -15,32 +15,32 @@
 // clientConn is a connection that a client opened. It implements env.ConnHandler. Server.mu guards it.
 type clientConn struct {
 	server       *Server
-	number       uint64 // counts connections in the order of their acceptance
+	number       uint64 // the position in the order in which connections were accepted
 	conn         env.Conn
 	partial      []byte // the received part of an incomplete message
 	partialSince float64
 	acceptedAt   float64
 	lastUsed     float64
-	openRequests map[uint64]*request // requests without a final answer, by task
+	openRequests map[uint64]*request // requests without a final answer, by the client's task number
 	running      map[*request]bool   // tasks whose answers were sent on this connection
 	unconfirmed  []*request          // running tasks whose answers were not yet handed to the kernel when the connection was closed
-	rejections   []byte              // answers to rejected requests, sent together once all that was read is processed
-	active       bool                // a readable request or test was received
-	requested    bool                // a request that could be accepted was received
-	verified     bool                // a request was served
-	provisional  bool                // beyond the limit of connections, and nothing useful was received yet
+	rejections   []byte              // answers to rejected requests, sent together once all received bytes are processed
+	active       bool                // a valid request or a test message was received
+	requested    bool                // a valid request for a new task was received
+	verified     bool                // a request was answered with a running task
+	provisional  bool                // it is beyond the limit of connections, and not promoted yet
 	closed       bool
 }
 
-// isOpen returns whether the connection is open on both sides, so that the client can still receive.
+// isOpen reports whether neither side has closed the connection, so that the client can still receive.
 func (c *clientConn) isOpen() bool { return !c.closed && !c.conn.PeerClosed() }
 
-// isIdle returns whether nothing depends on the connection.
+// isIdle reports whether no open request, running task or incomplete message belongs to the connection.
 func (c *clientConn) isIdle() bool {
 	return len(c.openRequests) == 0 && len(c.running) == 0 && len(c.partial) == 0
 }
 
-// evictedBefore returns whether an idle connection is evicted before another: an inactive one first, then the one idle for longer.
+// evictedBefore reports whether this idle connection is evicted before another: inactive ones go first, then those idle for longer.
 func (c *clientConn) evictedBefore(x *clientConn) bool {
 	if c.active != x.active {
 		return x.active
@@ -75,7 +75,7 @@
 	switch {
 	case err != nil:
 		c.evict(err.Error())
-	case rejected && !c.closed && (c.provisional || s.shutdown.hasDisconnected()): // it was accepted only to be answered
+	case rejected && !c.closed && (c.provisional || s.shutdown.hasDisconnected()): // the connection was accepted only so that its requests are answered
 		c.evict("no room")
 	}
 	if c.closed {
@@ -85,8 +85,8 @@
 	s.loop.wake()
 }
 
-// OnClose is called when the connection has ended. Tasks are stopped whose answers were not sent completely: the client knows from that that
-// it was not served.
+// OnClose is called when the connection has ended. It stops tasks whose answers were not sent completely: from an incomplete answer the client
+// knows that it was not served.
 func (c *clientConn) OnClose(error) {
 	s := c.server
 	s.mu.Lock()
@@ -102,7 +102,7 @@
 	c.unconfirmed = nil
 }
 
-// byAllocation orders requests by their numbers in the host.
+// byAllocation orders requests by the host's numbers of them.
 func byAllocation(x, y *request) int { return cmp.Compare(x.allocID, y.allocID) }
 
 // onMessage processes one message.
@@ -113,11 +113,11 @@
 		c.onSetUp(now, task, msg)
 	case codec.KindTest:
 		c.active = true
-		s.clients.promote(now, c) // if there is no room now, its first request tries again
+		s.clients.promote(now, c) // if that fails, the first request on the connection tries again
 		c.send(func(b []byte) []byte { return codec.AppendTested(b, task, true) })
 	case codec.KindEnd:
 		r := s.requests.task(task)
-		if r != nil && (r.running || r.client == c) { // else it is over, or belongs to another connection
+		if r != nil && (r.running || r.client == c) { // else the task has ended, or its open request belongs to another connection
 			s.requests.withdraw(r)
 		}
 	case codec.KindProgress, codec.KindEndAck, codec.KindNote, codec.KindTested:
@@ -126,12 +126,12 @@
 	}
 }
 
-// reject queues the answer to a request that is not accepted.
+// reject queues the answer to a rejected request.
 func (c *clientConn) reject(task uint64, cause byte) {
 	c.rejections = codec.AppendEnd(c.rejections, task, cause)
 }
 
-// sendRejections sends queued rejections in one write, as most of the work under overload is to reject. It returns whether there were any.
+// sendRejections sends the queued rejections in one write, as rejecting is most of the work under overload. It reports whether there were any.
 func (c *clientConn) sendRejections() bool {
 	if len(c.rejections) == 0 {
 		return false
@@ -147,8 +147,8 @@
 	return !c.closed && c.sendCounted(message) > 0
 }
 
-// sendCounted sends a message and returns how many bytes were sent on the connection since its start, this message included; 0 if the
-// connection can no longer carry one.
+// sendCounted sends a message. It returns the number of bytes queued on the connection since its start, this message included, or 0 if the
+// connection can no longer carry a message.
 func (c *clientConn) sendCounted(message func(b []byte) []byte) uint64 {
 	sent, queued, ok := c.conn.Send(message)
 	switch {
@@ -161,7 +161,7 @@
 	return sent
 }
 
-// sendAnswer answers a request whose task runs. It returns false if the client can no longer be served.
+// sendAnswer answers a request whose task runs. It returns false if the connection can no longer carry the answer.
 func (c *clientConn) sendAnswer(r *request, description []byte) bool {
 	sent := c.sendCounted(func(b []byte) []byte { return codec.AppendAnswer(b, r.task, description) })
 	if sent == 0 {
@@ -173,36 +173,37 @@
 	return true
 }
 
-// addRequest adds a request that was accepted.
+// addRequest adds an accepted request.
 func (c *clientConn) addRequest(r *request) { c.openRequests[r.task] = r }
 
-// onAnswered notes that a request needs no answer any more.
+// onAnswered removes a request that needs no answer any more.
 func (c *clientConn) onAnswered(r *request) { delete(c.openRequests, r.task) }
 
-// addTask adds a running task whose end is sent on this connection.
+// addTask adds a running task whose end is to be sent on this connection.
 func (c *clientConn) addTask(r *request) { c.running[r] = true }
 
-// removeTask drops a task that has ended.
+// removeTask removes a task that has ended.
 func (c *clientConn) removeTask(r *request) { delete(c.running, r) }
 
-// evict closes the connection because of what its peer does, or to make room. Open requests on it are withdrawn without an answer.
-func (c *clientConn) evict(why string) {
+// evict closes the connection because its client violates the protocol or a limit, or to make room for another. Its open requests are withdrawn
+// without an answer.
+func (c *clientConn) evict(reason string) {
 	if c.closed {
 		return
 	}
 	c.server.telemetry.count(countEvicted)
-	c.server.telemetry.trace("expel", 0, func(e *zerolog.Event) { e.Str("why", why).Int("open", len(c.openRequests)) })
+	c.server.telemetry.trace("expel", 0, func(e *zerolog.Event) { e.Str("why", reason).Int("open", len(c.openRequests)) })
 	c.close()
 }
 
-// close closes the connection from this side: queued bytes are still sent, and what the client still sends is read and dropped, so that no
-// reset discards the last answers.
+// close closes the connection from this side: queued bytes are still sent, and bytes that the client still sends are read and discarded, so that
+// no TCP reset destroys the last answers.
 func (c *clientConn) close() {
 	c.remove()
 	c.conn.Close(true, nil)
 }
 
-// remove drops the connection. Open requests on it are withdrawn; running tasks do not depend on it.
+// remove takes the connection off the listener and withdraws its open requests. Running tasks do not depend on the connection.
 func (c *clientConn) remove() {
 	if c.closed {
 		return
--- a/internal/platform/client_listener.go
+++ b/internal/platform/client_listener.go
@@ -9,23 +9,23 @@
 	"ravenpond/internal/env"
 )
 
-// clientListener holds the connections that clients opened. Server.mu guards it.
+// clientListener accepts clients and holds their connections. Server.mu guards it.
 //
-// At the limit of connections a new one is provisional until something useful is received on it: then an idle connection is evicted for it, or
-// what was received is rejected.
+// At the limit of connections a new one is provisional until a valid request or a test message is received on it. Then an idle connection is
+// evicted for it; if there is none, its requests are rejected.
 type clientListener struct {
 	server      *Server
 	listener    env.Listener
 	conns       map[*clientConn]bool
-	accepted    uint64 // connections since the start
-	provisional int    // of conns
+	accepted    uint64 // connections accepted since the start
+	provisional int    // the number of provisional connections in conns
 }
 
 func newClientListener(s *Server) clientListener {
 	return clientListener{server: s, conns: map[*clientConn]bool{}}
 }
 
-// listen begins to accept connections.
+// listen starts to accept connections.
 func (l *clientListener) listen(address string) error {
 	listener, err := l.server.env.Listen(address, l.accept)
 	l.listener = listener
@@ -35,15 +35,15 @@
 // address returns the address that clients connect to.
 func (l *clientListener) address() string { return l.listener.Address() }
 
-// count returns how many connections there are, provisional ones included.
+// count returns the number of connections, provisional ones included.
 func (l *clientListener) count() int { return len(l.conns) }
 
-// isFull returns whether no connection can be added that is not provisional.
+// isFull reports whether the number of regular connections is at its limit.
 func (l *clientListener) isFull() bool {
 	return len(l.conns)-l.provisional >= l.server.limits.ClientConns
 }
 
-// accept takes a new connection. When there are too many provisional ones, the oldest is evicted.
+// accept adds a new connection. When there are too many provisional ones, the oldest is evicted.
 func (l *clientListener) accept(conn env.Conn) {
 	s := l.server
 	s.mu.Lock()
@@ -75,14 +75,14 @@
 	}
 }
 
-// promote makes a provisional connection on which something useful was received a regular one, in place of an idle one if need be. It returns
-// whether the connection is regular now.
+// promote makes a provisional connection a regular one, after a valid request or a test message was received on it. At the limit it evicts an
+// idle connection. It reports whether the connection is regular now.
 func (l *clientListener) promote(now float64, c *clientConn) bool {
 	if !c.provisional {
 		return true
 	}
 	if l.isFull() {
-		idle := l.idlest(now)
+		idle := l.evictionCandidate(now)
 		if idle == nil {
 			return false
 		}
@@ -93,16 +93,16 @@
 	return true
 }
 
-// idlest returns the connection to evict for another: an inactive one, else the one that has been idle for longest. It returns nil if none
-// has been idle for long enough.
-func (l *clientListener) idlest(now float64) *clientConn {
-	var idlest *clientConn
+// evictionCandidate returns the connection to evict for another: an inactive one, else the one that has been idle for longest. It returns
+// nil if none has been idle for longer than connlimits.MinIdleTime.
+func (l *clientListener) evictionCandidate(now float64) *clientConn {
+	var candidate *clientConn
 	for _, c := range l.sorted() {
-		if !c.provisional && c.isIdle() && now-c.lastUsed > connlimits.MinIdleTime && (idlest == nil || c.evictedBefore(idlest)) {
-			idlest = c
+		if !c.provisional && c.isIdle() && now-c.lastUsed > connlimits.MinIdleTime && (candidate == nil || c.evictedBefore(candidate)) {
+			candidate = c
 		}
 	}
-	return idlest
+	return candidate
 }
 
 // sorted returns all connections in the order of their acceptance.
@@ -110,7 +110,7 @@
 	return slices.SortedFunc(maps.Keys(l.conns), func(x, y *clientConn) int { return cmp.Compare(x.number, y.number) })
 }
 
-// remove drops a connection.
+// remove removes a connection that was closed.
 func (l *clientListener) remove(c *clientConn) {
 	delete(l.conns, c)
 	if c.provisional {
@@ -118,7 +118,7 @@
 	}
 }
 
-// tick evicts connections that stay silent or leave a message incomplete, and sends pending notifications.
+// tick evicts connections that sent no message or only part of one in time, and sends pending notifications.
 func (l *clientListener) tick(now float64) {
 	s := l.server
 	for _, c := range l.sorted() {
@@ -133,12 +133,12 @@
 	}
 }
 
-// disconnectAll stops listening and closes all connections. Connections that wait to be accepted are still accepted, and get their answers.
+// disconnectAll stops listening and closes all connections. Connections that already wait to be accepted are still accepted and answered.
 func (l *clientListener) disconnectAll() {
 	l.listener.Close()
 	for _, c := range l.sorted() {
 		if open := len(c.openRequests); open > 0 {
-			l.server.log.Error().Str("mode", "stop").Int("open", open).Msg("a connection is ended on which answers are owed")
+			l.server.log.Error().Str("mode", "stop").Int("open", open).Msg("closing a client connection with unanswered requests")
 		}
 		c.close()
 	}
--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -9,29 +9,29 @@
 	"ravenpond/logic"
 )
 
-// Lengths of fields in hex digits.
+// Lengths of hexadecimal fields, in digits.
 const (
 	nameDigits = 16
 	keyDigits  = 32
 )
 
-// rejection says why a request is not accepted, with the cause that the client is sent.
+// rejection says why a request is not accepted, and which cause the client is sent.
 type rejection struct {
 	cause  byte
 	reason string
 }
 
-// invalid rejects a request that can't be served as it is.
+// invalid returns the rejection of a request that is malformed or can never be served.
 func invalid(reason string) *rejection { return &rejection{codec.CauseErrored, reason} }
 
-// busy rejects a request that may be repeated.
+// busy returns the rejection of a request that the client may repeat.
 func busy(reason string) *rejection { return &rejection{codec.CauseBusy, reason} }
 
-// requestFields are the fields that every request has, checked against the deployment's settings.
+// requestFields are the fields that every request has, validated against the deployment's settings.
 type requestFields struct {
 	jobClass, tenant        int
 	demand                  codec.Demand
-	jobClassName, name, key []byte // parts of the message
+	jobClassName, name, key []byte // subslices of the message
 }
 
 // onSetUp accepts a request, or rejects it at once.
@@ -40,31 +40,31 @@
 	s.telemetry.traceRequest(task, msg)
 	old := s.requests.task(task)
 	if old != nil && !old.answered && old.client == c {
-		c.evict("a number that is open already") // one answer could not be told from the other
+		c.evict("a number that is open already") // the client could not tell the answers of the two requests apart
 		return
 	}
-	f, why := s.readRequest(task, msg)
+	f, rejected := s.readRequest(task, msg)
 	switch {
-	case why != nil:
+	case rejected != nil:
 	case old != nil:
 		if f.demand.RunsAt == "" || !old.running {
-			why = invalid("a number that is taken")
+			rejected = invalid("a number that is taken")
 		}
 	case !s.fitsSomeNode(f):
-		why = invalid("larger than any machine")
+		rejected = invalid("larger than any machine")
 	case f.demand.RunsAt != "":
-		why = c.recoverTask(now, task, f)
+		rejected = c.recoverTask(now, task, f)
 	default:
-		why = c.acceptRequest(now, task, f, msg)
+		rejected = c.acceptRequest(now, task, f, msg)
 	}
-	if why != nil {
+	if rejected != nil {
 		s.telemetry.count(countRejected)
-		s.telemetry.trace("turned away", task, func(e *zerolog.Event) { e.Str("why", why.reason) })
-		c.reject(task, why.cause)
+		s.telemetry.trace("turned away", task, func(e *zerolog.Event) { e.Str("why", rejected.reason) })
+		c.reject(task, rejected.cause)
 	}
 }
 
-// readRequest reads the fields that every request has, whether its task runs already or not.
+// readRequest reads and validates the fields that every request has, whether its task already runs or not.
 func (s *Server) readRequest(task uint64, msg []byte) (requestFields, *rejection) {
 	text, _ := codec.Param(msg, codec.ParamDemand)
 	demand, err := codec.ParseDemand(text)
@@ -87,7 +87,7 @@
 	return f, nil
 }
 
-// fitsSomeNode returns whether an empty node of some kind could hold a task.
+// fitsSomeNode reports whether an empty node of some kind has room for the task.
 func (s *Server) fitsSomeNode(f requestFields) bool {
 	cluster := s.settings.Cluster
 	wanted := cluster.JobClasses[f.jobClass].NodeKind
@@ -100,7 +100,7 @@
 	return false
 }
 
-// acceptRequest puts a request into the inbox, if there is room for it and time to serve it.
+// acceptRequest adds a request to the inbox, if the limits allow it and there is time to serve it.
 func (c *clientConn) acceptRequest(now float64, task uint64, f requestFields, msg []byte) *rejection {
 	s := c.server
 	left, okLeft := codec.Number(msg, codec.ParamTimeLeft)
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// checkLimits checks the limits for a new request, those of its connection first. Passing them counts the request as open.
+// checkLimits checks the limits for a new request, those of its connection first. A request that passes them counts as open.
 func (c *clientConn) checkLimits(now float64, tenant int, left float64) *rejection {
 	s := c.server
 	switch {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// recoverTask takes over a task that a node runs already. It needs no answer, only the notification of its end.
+// recoverTask takes over a task that already runs at a node. The client needs no answer, only the notification of the task's end.
 func (c *clientConn) recoverTask(now float64, task uint64, f requestFields) *rejection {
 	s := c.server
 	n := s.nodes.named(f.demand.RunsAt)
--- a/internal/platform/configuration.go
+++ b/internal/platform/configuration.go
@@ -10,29 +10,29 @@
 	"ravenpond/internal/settings"
 )
 
-// Configuration is what the platform tells a scheduler at its start.
+// Configuration is the configuration that the platform passes to a scheduler when it starts it.
 type Configuration struct {
 	Name              string
 	Listen            string // address for clients
 	Journal           string // address of the journal service
-	Seed              uint64 // of the module's random draws
+	Seed              uint64 // of the module's random number generator
 	Cores             float64
 	MemoryMB, Sockets int // limits of the process
 	Deployment        *settings.Deployment
-	InitialEvents     []byte // the journal's events up to the start, as JSON
+	InitialEvents     []byte // the journal's events before the start, as JSON
 }
 
-// configurationSource says where a configuration is read from.
+// configurationSource says where a configuration is read from, and what overrides it.
 type configurationSource struct {
 	File   string
-	Name   string // replaces the file's, if not empty
-	Listen string // replaces the file's, if not empty
+	Name   string // it replaces the file's name if not empty
+	Listen string // it replaces the file's address if not empty
 }
 
 // load reads the configuration.
 func (s configurationSource) load() (*Configuration, error) { return Load(s.File, s.Name, s.Listen) }
 
-// Load reads a configuration from a file. A name and an address that are not empty replace those of the file.
+// Load reads a configuration from a file. A name and a listen address that are not empty replace those of the file.
 func Load(file, name, listen string) (*Configuration, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return c, nil
 }
 
-// Bounds of the limits that a scheduler can keep: below them there is no room for a client, a node and the journal service.
+// Bounds of the limits in a configuration. Below the lower ones there is no room for a client, a node and the journal service.
 const (
 	minMemoryMB, maxMemoryMB = 8, 1 << 20
 	minSockets, maxSockets   = 32, 1 << 24
@@ -64,7 +64,7 @@
 	Sockets  int
 }
 
-// check checks the limits against their bounds.
+// check returns an error if a limit is out of bounds.
 func (l limits) check() error {
 	if l.MemoryMB < minMemoryMB || l.MemoryMB > maxMemoryMB || l.Sockets < minSockets || l.Sockets > maxSockets {
 		return fmt.Errorf("limits: %d MB of memory (memory_mb, from %d to %d), %d sockets (from %d to %d)", l.MemoryMB, minMemoryMB, maxMemoryMB,
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	if len(f.Known) == 0 || len(f.Settings) == 0 {
-		return nil, fmt.Errorf("known: %d bytes, settings: %d bytes: both are needed", len(f.Known), len(f.Settings))
+		return nil, fmt.Errorf("known has %d bytes, settings %d bytes: both fields are required", len(f.Known), len(f.Settings))
 	}
 	deployment, err := settings.Read(f.Settings)
 	if err != nil {
--- a/internal/platform/endpoint_watch.go
+++ b/internal/platform/endpoint_watch.go
@@ -8,27 +8,27 @@
 	"ravenpond/logic"
 )
 
-// errEventGap reports that the journal service left out events. The watch is begun anew from the last event that was applied.
-var errEventGap = errors.New("events are missing")
+// errEventGap reports that the journal service skipped events. The watch then reconnects and resumes after the last event that was applied.
+var errEventGap = errors.New("gap in the journal: events are missing")
 
-// endpointWatch keeps the node list up to date by the events of the journal service. Server.mu guards it, with its connection.
+// endpointWatch keeps the node list up to date from the events of the journal service. Server.mu guards it and its connection.
 type endpointWatch struct {
 	server        *Server
-	address       string // of the journal service
+	address       string // the address of the journal service
 	retrier       watchretry.Retrier
-	current       *watchConn // the last connection that was made or begun
-	position      uint64     // of the last event that was applied
-	pollRequested bool       // the module waits for changes, or for word that there are none
+	current       *watchConn // the newest connection, which may be closed or still being made
+	position      uint64     // the position of the last event that was applied
+	pollRequested bool       // the module waits to be told the changes, or that there are none
 }
 
 func newEndpointWatch(s *Server, address string) endpointWatch {
 	return endpointWatch{server: s, address: address}
 }
 
-// poll has the module told of changes, or that there are none, or that the list can't be read.
+// poll requests that the module be told the changes, or that there are none, or that the list can't be read.
 func (w *endpointWatch) poll() { w.pollRequested = true }
 
-// loadInitial applies the events that the scheduler is configured with. The error wraps codec.ErrUnreadable.
+// loadInitial applies the events in the scheduler's configuration. The error wraps codec.ErrUnreadable.
 func (w *endpointWatch) loadInitial(now float64, events []byte) error {
 	s := w.server
 	s.host.ListBegin(now, logic.ListCached)
@@ -42,23 +42,23 @@
 	return nil
 }
 
-// initialEvents applies the initial events, as one message of the list. It implements codec.EventReader.
+// initialEvents applies the events in the configuration as a single list for the module. It implements codec.EventReader.
 type initialEvents struct{ watch *endpointWatch }
 
-// BeginEvent takes every event.
+// BeginEvent accepts every event.
 func (e *initialEvents) BeginEvent(position uint64, _ bool) bool {
 	e.watch.position = max(e.watch.position, position)
 	return true
 }
 
-// AddEndpoint applies one endpoint.
+// AddEndpoint applies the state of one endpoint.
 func (e *initialEvents) AddEndpoint(endpoint codec.Endpoint) { e.watch.apply(endpoint) }
 
-// tick connects to the journal service when that is due, and answers the module's poll.
+// tick reconnects to the journal service when that is due, and answers the module's poll.
 func (w *endpointWatch) tick(now float64) {
 	s := w.server
 	if w.retrier.IsSilent(now) {
-		s.log.Info().Str("mode", "journal").Uint64("pos", w.position).Msg("silent, asked anew")
+		s.log.Info().Str("mode", "journal").Uint64("pos", w.position).Msg("journal service is silent; reconnecting")
 		w.current.close(now)
 	}
 	if w.retrier.BeginConnect(now) {
@@ -80,14 +80,14 @@
 	w.server.host.ListEnd()
 }
 
-// setAddress has the journal service watched at another address.
+// setAddress changes the address at which the journal service is watched.
 func (w *endpointWatch) setAddress(address string) {
 	s := w.server
 	now := s.env.Now()
 	if address == w.address {
 		return
 	}
-	s.log.Info().Str("mode", "journal").Str("address", address).Uint64("pos", w.position).Msg("moved")
+	s.log.Info().Str("mode", "journal").Str("address", address).Uint64("pos", w.position).Msg("address of the journal service changed; reconnecting")
 	if w.current != nil {
 		w.current.discard()
 	}
@@ -96,7 +96,7 @@
 	w.tick(now)
 }
 
-// applyLine applies a line of the journal: each event once, in order, and none left out. The error is errEventGap, or wraps
+// applyLine applies the events in a line of the journal, each of them once, in order and without gaps. The error is errEventGap, or wraps
 // codec.ErrUnreadable.
 func (w *endpointWatch) applyLine(now float64, line []byte) error {
 	update := listUpdate{watch: w, now: now, listed: map[*node]bool{}}
@@ -114,20 +114,20 @@
 	return nil
 }
 
-// listUpdate applies one event. It implements codec.EventReader.
+// listUpdate applies an event to the node list. It implements codec.EventReader.
 type listUpdate struct {
 	watch    *endpointWatch
 	now      float64
-	gap      bool // events before this one are missing
-	begun    bool // the event is applied
-	snapshot bool // it names all nodes
-	listed   map[*node]bool
+	gap      bool           // events between the last applied one and this one are missing
+	begun    bool           // an event is being applied
+	snapshot bool           // the event names all nodes
+	listed   map[*node]bool // nodes that the event names
 }
 
-// BeginEvent takes the event that follows the last one.
+// BeginEvent accepts the event that follows the last applied one.
 func (u *listUpdate) BeginEvent(position uint64, snapshot bool) bool {
 	w := u.watch
-	if position <= w.position { // a repeated event
+	if position <= w.position { // the event was applied before
 		return false
 	}
 	if position > w.position+1 {
@@ -150,7 +150,7 @@
 	}
 }
 
-// end ends the event. Nodes that a snapshot does not name are unavailable.
+// end completes the event. Nodes that a snapshot does not name become unavailable.
 func (u *listUpdate) end() {
 	s := u.watch.server
 	if u.snapshot {
@@ -163,7 +163,7 @@
 	s.host.ListEnd()
 }
 
-// apply takes the state of a node. It returns the node, nil for one that is unavailable and was never known.
+// apply applies the state of a node. It returns the node, or nil if the node is unavailable and was not known before.
 func (w *endpointWatch) apply(endpoint codec.Endpoint) *node {
 	s := w.server
 	n := s.nodes.named(endpoint.Name)
@@ -181,7 +181,8 @@
 	zone, okZone := s.names.zones[endpoint.Zone]
 	kind, okKind := s.names.kinds[endpoint.Kind]
 	if !okZone || !okKind {
-		s.log.Warn().Str("mode", "list").Str("node", n.name).Str("zone", endpoint.Zone).Str("kind", endpoint.Kind).Msg("unknown zone or kind")
+		s.log.Warn().Str("mode", "list").Str("node", n.name).Str("zone", endpoint.Zone).Str("kind", endpoint.Kind).
+			Msg("node list entry names an unknown zone or kind")
 	}
 	s.host.ListNode(logic.ListEntry{
 		Node: n.id, Availability: endpoint.Availability, StartedAt: startedAt, FreeCores: endpoint.FreeCores, FreeMemory: endpoint.FreeMemory,
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -2,8 +2,9 @@
 
 import codec "ravenpond/internal/proto/platform"
 
-// splitMessages passes on the messages in received bytes, of which partial is the part that was received before. It returns the part of the
-// next message in memory of its own, so that an idle connection keeps none. The error is that of onMessage, or wraps codec.ErrUnreadable.
+// splitMessages calls onMessage for each complete message in partial, the incomplete message received before, followed by b. It returns a copy
+// of the incomplete message that is left, so that an idle connection keeps no buffer. The error is that of onMessage, or wraps
+// codec.ErrUnreadable.
 func splitMessages(partial, b []byte, onMessage func(msg []byte) error) (rest []byte, err error) {
 	if len(partial) > 0 {
 		b = append(partial, b...)
--- a/internal/platform/host_effects.go
+++ b/internal/platform/host_effects.go
@@ -7,7 +7,7 @@
 	"ravenpond/logic"
 )
 
-// hostEffects carries out the host's effects. It implements host.Effects; Server.mu is held.
+// hostEffects carries out the host's effects. It implements host.Effects. Its methods are called with Server.mu held.
 type hostEffects struct{ server *Server }
 
 // RequestPlacement sends an attempt to a node. If the client has closed its connection meanwhile, the request is withdrawn instead.
@@ -37,14 +37,14 @@
 	}
 }
 
-// StopTask ends a running task at its node.
+// StopTask stops a running task at its node.
 func (e hostEffects) StopTask(alloc, _ uint32) {
 	if r := e.server.requests.allocation(alloc); r != nil && r.node != nil {
 		r.node.stopTask(r.task)
 	}
 }
 
-// AnswerRequest sends a client that its request was shed or failed.
+// AnswerRequest answers a client that its request was shed or has failed.
 func (e hostEffects) AnswerRequest(alloc uint32, shed bool) {
 	s := e.server
 	r := s.requests.allocation(alloc)
@@ -65,7 +65,7 @@
 	}
 }
 
-// NotifyMove notifies a client that its task is to be requested anew.
+// NotifyMove notifies a client that it has to request its task again.
 func (e hostEffects) NotifyMove(alloc uint32) {
 	s := e.server
 	r := s.requests.allocation(alloc)
@@ -89,7 +89,7 @@
 	s.notifier.notifyEnd(r, verdict)
 }
 
-// Forget drops a request.
+// Forget drops a request that the host no longer tracks.
 func (e hostEffects) Forget(alloc uint32) {
 	if r := e.server.requests.allocation(alloc); r != nil {
 		e.server.requests.forget(r)
@@ -102,7 +102,7 @@
 	e.server.nodes.byNumber(node).sendProbe(seq)
 }
 
-// PollEndpoints asks for the changes of the node list.
+// PollEndpoints requests the changes of the node list.
 func (e hostEffects) PollEndpoints() { e.server.endpoints.poll() }
 
 // LogLine writes a line of the host to the log.
--- a/internal/platform/load_monitor.go
+++ b/internal/platform/load_monitor.go
@@ -7,15 +7,15 @@
 	"ravenpond/internal/decide/overload"
 )
 
-// loadMonitor measures how far the process is behind its events, and what a request costs. Server.mu guards it.
+// loadMonitor measures how far the process lags behind its events, and how long it takes to place a request. Server.mu guards it.
 type loadMonitor struct {
 	server     *Server
 	delay      overload.Monitor
 	gate       admission.Gate
-	inboxSince float64 // since when requests have been waiting in the inbox, 0: it was empty after the last turn
+	inboxSince float64 // the end of the last turn if it left requests in the inbox, else 0
 }
 
-// newLoadMonitor bounds the wait of requests by the least latency objective of the job classes.
+// newLoadMonitor returns a monitor that bounds the wait of requests by the lowest latency objective of the job classes.
 func newLoadMonitor(s *Server) loadMonitor {
 	minObjective := math.Inf(1)
 	for i := range s.settings.Cluster.JobClasses {
@@ -24,10 +24,10 @@
 	return loadMonitor{server: s, gate: admission.NewGate(minObjective)}
 }
 
-// timeoutGrace returns how long time-outs are put off, in ms, as answers may lie unread.
+// timeoutGrace returns by how much time-outs are postponed, in ms, as answers may have been received and not yet read.
 func (m *loadMonitor) timeoutGrace(now float64) float64 { return m.delay.TimeoutGrace(now) }
 
-// remainingTime returns how much of a client's time is left, in ms, after what its request has waited to be read.
+// remainingTime returns how much of a client's time is left, in ms, less the time that its request has waited to be read.
 func (m *loadMonitor) remainingTime(now, left float64) float64 {
 	return m.delay.RemainingTime(now, left)
 }
@@ -35,15 +35,15 @@
 // batchSize returns how many requests a turn may start.
 func (m *loadMonitor) batchSize() int { return overload.BatchSize(m.gate.CostPerRequest()) }
 
-// admit returns whether a new request can be answered in time.
+// admit reports whether a new request can be answered in time.
 func (m *loadMonitor) admit(now float64) bool {
 	return m.gate.Admit(now, m.delay.Delay(now), m.server.requests.waiting())
 }
 
-// turnTimes says when a turn was due, and when it began and ended.
+// turnTimes holds the times at which a turn was due, started and ended.
 type turnTimes struct{ due, started, ended float64 }
 
-// onTurn measures a turn that started so many requests.
+// onTurn records the times of a turn and the number of requests that it started.
 func (m *loadMonitor) onTurn(t turnTimes, requests int) {
 	s := m.server
 	wasOverloaded := m.gate.IsOverloaded()
@@ -64,6 +64,6 @@
 	}
 	if !wasOverloaded && m.gate.IsOverloaded() {
 		s.log.Info().Str("mode", "behind").Float64("ms", math.Round(delay)).Int("inbox", waiting).Int("open", s.host.OpenRequests()).
-			Float64("ask_ms", math.Round(m.gate.CostPerRequest()*100)/100).Msg("takes only what it can do in time")
+			Float64("ask_ms", math.Round(m.gate.CostPerRequest()*100)/100).Msg("overloaded; rejecting requests that can't be answered in time")
 	}
 }
--- a/internal/platform/name_index.go
+++ b/internal/platform/name_index.go
@@ -2,7 +2,7 @@
 
 import "ravenpond/internal/settings"
 
-// nameIndex maps the names of a deployment to their indexes in its settings. It does not change.
+// nameIndex maps the names in a deployment's settings to their indexes there. It is immutable.
 type nameIndex struct{ jobClasses, tenants, zones, kinds map[string]int }
 
 func newNameIndex(d *settings.Deployment) nameIndex {
@@ -11,7 +11,7 @@
 	}
 }
 
-// tenant returns the index of a tenant that a request names. Without tenants in the settings a request names none.
+// tenant returns the index of the tenant that a request names. If the settings have no tenants, a request must name none, and the index is 0.
 func (x *nameIndex) tenant(name []byte, named bool) (int, bool) {
 	if len(x.tenants) == 0 && !named {
 		return 0, true
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -10,7 +10,7 @@
 	"ravenpond/logic"
 )
 
-// node is a node of the list. A node that comes up at the address of another is another one: it has its own name.
+// node is a node of the node list. Its name identifies it: a new node that reuses the address of another is a different node.
 type node struct {
 	server          *Server
 	id              uint32
@@ -22,22 +22,22 @@
 	failureDetector nodefailure.Detector
 }
 
-// pendingStop is a task that is to be stopped, and that no connection to its node could carry yet.
+// pendingStop is a task that is to be stopped once there is a connection to its node.
 type pendingStop struct {
 	task    uint64
-	expires float64 // when it is dropped
+	expires float64 // the time after which the stop is no longer sent
 }
 
-// isUnavailable returns whether the list no longer has the node.
+// isUnavailable reports whether the node list says that the node is unavailable.
 func (n *node) isUnavailable() bool { return n.availability == logic.Unavailable }
 
-// addTask adds a task that runs at the node.
+// addTask adds a task that runs on the node.
 func (n *node) addTask(r *request) { n.running[r] = true }
 
-// removeTask drops a task that has ended.
+// removeTask removes a task that has ended.
 func (n *node) removeTask(r *request) { delete(n.running, r) }
 
-// setState takes the state of the node from the list. An empty address leaves the address as it is.
+// setState sets the address and the availability that the node list gives. An empty address leaves the address unchanged.
 func (n *node) setState(address string, availability logic.Availability) {
 	if address != "" {
 		n.address = address
@@ -48,7 +48,7 @@
 	}
 }
 
-// stopTask stops a task at the node, on any connection, at once or when there is one.
+// stopTask stops a task on the node: it sends the stop on any open connection, or queues it until there is one.
 func (n *node) stopTask(task uint64) {
 	for _, c := range n.conns {
 		if c.sendStop(task) {
@@ -62,20 +62,21 @@
 	}
 }
 
-// queueStop keeps a stop until it can be sent.
+// queueStop keeps a stop until it can be sent or expires. The oldest is dropped when there are too many.
 func (n *node) queueStop(now float64, task uint64) {
 	kept := n.pendingStops[max(0, len(n.pendingStops)-connlimits.MaxPendingNodeEnds+1):]
 	n.pendingStops = append(kept, pendingStop{task, now + connlimits.NodeEndRetention})
 }
 
-// takeStops returns the pending stops that have not expired, and keeps none.
+// takeStops removes all pending stops and returns those that have not expired.
 func (n *node) takeStops(now float64) []pendingStop {
 	stops := n.pendingStops
 	n.pendingStops = nil
 	return slices.DeleteFunc(stops, func(stop pendingStop) bool { return now >= stop.expires })
 }
 
-// keepConnected keeps a connection to a node where a task runs or is to be stopped, as any connection may bring word of it.
+// keepConnected makes a connection, if there is none, to a node where a task runs or is to be stopped, as the node may send the end of a task on
+// any connection.
 func (n *node) keepConnected(now float64) {
 	if n.isUnavailable() || len(n.running) == 0 && len(n.pendingStops) == 0 || len(n.conns) > 0 {
 		return
@@ -83,7 +84,7 @@
 	n.check(now, false)
 }
 
-// check makes a new connection to the node when the failure detector wants one. connected says that there is one that can be used.
+// check dials the node when the failure detector's probe is due. connected says whether the node already has a usable connection.
 func (n *node) check(now float64, connected bool) {
 	if n.failureDetector.IsProbeDue(now, connected) && n.server.nodes.reserve(now, budget.ForHealthCheck, n) {
 		n.failureDetector.OnProbe(now)
@@ -92,7 +93,7 @@
 	}
 }
 
-// tick closes connections that are of no further use, checks the node if tasks run there, and drops it if nothing is left of it.
+// tick closes stale connections, checks the node if tasks run there, and removes it once it is unavailable and has no connection and no task.
 func (n *node) tick(now float64) {
 	connected := n.closeStaleConns(now)
 	if len(n.running) > 0 {
@@ -110,7 +111,7 @@
 	}
 }
 
-// closeStaleConns closes connections that are of no further use and returns whether others are left.
+// closeStaleConns closes stale connections and reports whether other established ones are left.
 func (n *node) closeStaleConns(now float64) (connected bool) {
 	for _, c := range slices.Clone(n.conns) {
 		switch {
@@ -124,14 +125,14 @@
 	return connected
 }
 
-// closeIdleConns closes idle connections to a node that is unavailable, unless a task runs there. Connections with open requests stay.
+// closeIdleConns closes idle connections to a node that is unavailable, unless a task runs there. Connections with open requests stay open.
 func (n *node) closeIdleConns() {
 	if len(n.running) == 0 {
 		n.closeIdleConnsBut(nil)
 	}
 }
 
-// closeIdleConnsBut closes the idle connections to the node but one.
+// closeIdleConnsBut closes the idle connections to the node except kept.
 func (n *node) closeIdleConnsBut(kept *nodeConn) {
 	for _, c := range slices.Clone(n.conns) {
 		if c != kept && c.conn != nil && c.isIdle() {
@@ -140,10 +141,10 @@
 	}
 }
 
-// loseTasks ends the running tasks of a node that has failed. Should it only be cut off and come back, they are stopped there.
+// loseTasks ends the running tasks of a node that has failed. It also queues their stops, in case the node is only partitioned and comes back.
 func (n *node) loseTasks(now float64) {
 	s := n.server
-	s.log.Info().Str("mode", "lost").Str("node", n.name).Int("stood", len(n.running)).Msg("node lost with the running task there")
+	s.log.Info().Str("mode", "lost").Str("node", n.name).Int("stood", len(n.running)).Msg("node failed; ending its running tasks")
 	for _, r := range slices.SortedFunc(maps.Keys(n.running), byAllocation) {
 		task := r.task
 		s.telemetry.countOutcome(logic.ConnectionLost)
@@ -155,7 +156,7 @@
 	s.loop.wake()
 }
 
-// sendAttempt sends the attempt of a request on a connection, or reports later that there is none.
+// sendAttempt sends the attempt of a request on a connection to the node. If there can be none, the attempt ends as not sent.
 func (n *node) sendAttempt(r *request) {
 	c := n.connFor(n.server.env.Now())
 	if c == nil {
@@ -165,8 +166,8 @@
 	c.addRequest(r)
 }
 
-// connFor returns the connection for a new attempt: one that is idle, else the least busy if there may be no more, else a new one. It returns nil
-// if none can be made.
+// connFor returns the connection for a new attempt: an idle one, else the one with the fewest requests if the limit of connections is reached, else
+// a new one. It returns nil if none can be made.
 func (n *node) connFor(now float64) *nodeConn {
 	var shared *nodeConn
 	for _, c := range n.conns {
@@ -189,8 +190,8 @@
 	return n.dial()
 }
 
-// sendProbe sends a health check to the node. It may share a connection, as its answer can be told from others. If no connection can be made, its
-// time-out follows.
+// sendProbe sends a health check to the node. The check may share a connection with requests, as its answer is distinct from theirs. If no
+// connection can be made, the check times out.
 func (n *node) sendProbe(seq uint32) {
 	s := n.server
 	for _, c := range n.conns {
@@ -204,7 +205,7 @@
 	}
 }
 
-// dial begins a connection to the node.
+// dial starts to make a connection to the node.
 func (n *node) dial() *nodeConn {
 	s := n.server
 	c := &nodeConn{server: s, node: n, idleSince: s.env.Now()}
@@ -215,7 +216,7 @@
 	return c
 }
 
-// removeConn drops a connection that was closed.
+// removeConn removes a connection that was closed.
 func (n *node) removeConn(c *nodeConn) {
 	n.server.nodes.dropConn()
 	n.conns = removeUnordered(n.conns, c)
--- a/internal/platform/node_conn.go
+++ b/internal/platform/node_conn.go
@@ -15,30 +15,30 @@
 
 // nodeConn is a connection to a node, or one that is being made. It implements env.ConnHandler. Server.mu guards it.
 //
-// While descriptors allow, one request at a time is open on a connection, so that an answer that can't be read costs no other request.
+// As long as the limit of connections allows, one request at a time is open on a connection, so that a malformed answer fails no other request.
 type nodeConn struct {
 	server      *Server
 	node        *node
-	conn        env.Conn   // nil while it is being made
-	partial     []byte     // the received part of an incomplete message
-	requests    []*request // whose attempts are in flight on this connection
-	abandoned   map[uint64]bool
-	probeSeq    uint32 // the health check that is open, 0: none
+	conn        env.Conn        // nil while the connection is being made
+	partial     []byte          // the received part of an incomplete message
+	requests    []*request      // requests whose attempts are in flight on this connection
+	abandoned   map[uint64]bool // tasks that are to be stopped if their late answers are received
+	probeSeq    uint32          // the number of the open health check, 0 if there is none
 	probeSentAt float64
-	idleSince   float64 // since when no request or health check is open
-	draining    bool    // nothing new is sent
-	closeAt     float64 // when a draining connection is closed
+	idleSince   float64 // the time since which no request or health check is open
+	draining    bool    // no new request or health check is sent
+	closeAt     float64 // the time at which a draining connection is closed
 	closed      bool
 }
 
-// neverSent marks a message that could not be sent: no connection ever hands over so many bytes.
+// neverSent is the position in the stream of a message that could not be sent: no connection ever hands over so many bytes.
 const neverSent = 1 << 63
 
-// isOpen returns whether the connection is being made, or its node has not closed it. What is sent on one that the node has closed may be
-// lost with it, or may not.
+// isOpen reports whether the connection is being made, or its node has not closed it. Whether a message that is sent on a connection that the node
+// has closed still reaches the node is uncertain.
 func (c *nodeConn) isOpen() bool { return c.conn == nil || !c.conn.PeerClosed() }
 
-// isIdle returns whether nothing is open on the connection and it can still be used.
+// isIdle reports whether no request or health check is open on the connection and it can still be used.
 func (c *nodeConn) isIdle() bool { return !c.draining && len(c.requests) == 0 && c.probeSeq == 0 }
 
 // idleBefore orders connections by how long they have been idle, and then by their nodes.
@@ -46,13 +46,13 @@
 	return c.idleSince < x.idleSince || c.idleSince == x.idleSince && c.node.id < x.node.id
 }
 
-// isFresh returns whether the connection was used so recently that its node does not close it yet.
+// isFresh reports whether the connection was used so recently that its node does not close it as idle yet.
 func (c *nodeConn) isFresh(now float64) bool {
 	return connlimits.IsReusable(now-c.idleSince, c.server.settings.IdleTimeout)
 }
 
-// isStale returns whether a connection without open requests is to be closed: it has drained, was idle for too long, or does not answer a health
-// check, so that a new one has to tell whether its node does.
+// isStale reports whether a connection is to be closed: no request is open on it, and it has drained, was idle for too long, or carries a health
+// check without an answer, so that a new connection has to show whether the node answers.
 func (c *nodeConn) isStale(now float64) bool {
 	switch {
 	case len(c.requests) > 0:
@@ -65,12 +65,12 @@
 	return c.probeSeq != 0 && connlimits.IsUnresponsive(now-c.probeSentAt)
 }
 
-// canProbe returns whether a health check can be sent.
+// canProbe reports whether a health check can be sent on the connection.
 func (c *nodeConn) canProbe(now float64) bool {
 	return !c.draining && c.probeSeq == 0 && c.conn != nil && c.isFresh(now) && c.isOpen()
 }
 
-// onDialed takes the result of a dial.
+// onDialed processes the result of a dial.
 func (c *nodeConn) onDialed(conn env.Conn, err error) {
 	s := c.server
 	s.mu.Lock()
@@ -79,14 +79,15 @@
 	switch now := s.env.Now(); {
 	case err != nil:
 		c.onDialFailed(now, err)
-	case c.closed: // its node became unavailable meanwhile
+	case c.closed: // the connection was closed while it was being made
 		conn.Close(false, nil)
 	default:
 		c.onConnected(now, conn)
 	}
 }
 
-// onDialFailed completes what waited for the connection. A failure for want of descriptors or ports says nothing of the node.
+// onDialFailed completes the attempts and the health check that waited for the connection. A dial that failed because this machine has no
+// descriptors or ports left says nothing about the node.
 func (c *nodeConn) onDialFailed(now float64, err error) {
 	s := c.server
 	s.telemetry.trace("dial failed", 0, func(e *zerolog.Event) { e.Str("node", c.node.name).Err(err) })
@@ -103,7 +104,7 @@
 	c.completeAll(func(*request) logic.Outcome { return verdict }, logic.Unreachable)
 }
 
-// onConnected sends what waited for the connection. Requests whose clients have gone meanwhile, and attempts that have timed out, are not sent.
+// onConnected sends what waited for the connection, except requests whose clients have gone meanwhile and attempts that have timed out.
 func (c *nodeConn) onConnected(now float64, conn env.Conn) {
 	s := c.server
 	for _, r := range slices.Clone(c.requests) {
@@ -129,12 +130,12 @@
 	for _, stop := range c.node.takeStops(now) {
 		c.conn.Send(func(b []byte) []byte { return codec.AppendEnd(b, stop.task, codec.CauseElsewhere) })
 	}
-	if c.isIdle() { // it was made to check the node: what the node sends comes on this one as well
+	if c.isIdle() { // the connection was made to check the node, and replaces idle ones: the node can send its messages on this one too
 		c.node.closeIdleConnsBut(c)
 	}
 }
 
-// addRequest puts the attempt of a request on the connection, which is sent at once or when it is made.
+// addRequest adds the attempt of a request, which is sent at once or when the connection is made.
 func (c *nodeConn) addRequest(r *request) {
 	c.requests = append(c.requests, r)
 	r.conn = c
@@ -143,7 +144,7 @@
 	}
 }
 
-// removeRequest takes a request off the connection.
+// removeRequest removes a request from the connection.
 func (c *nodeConn) removeRequest(r *request) {
 	c.requests = removeUnordered(c.requests, r)
 	r.conn = nil
@@ -164,12 +165,12 @@
 	})
 	r.sentThrough = sent
 	if !ok {
-		r.sentThrough = neverSent // the end of the connection follows
+		r.sentThrough = neverSent // OnClose follows
 	}
 }
 
-// cancelAttempt takes back an attempt that is no longer waited for. If it has left this machine, the node is told, and the connection is of no
-// further use, as a late answer may still be received on it.
+// cancelAttempt cancels an attempt whose answer is no longer wanted. If the attempt can't be taken out of the send queue, the node is told to end
+// it, and the connection drains, as a late answer may still be received on it.
 func (c *nodeConn) cancelAttempt(r *request) {
 	c.removeRequest(r)
 	if c.conn == nil || c.conn.Unsend(r.sentThrough, r.attemptBytes) {
@@ -180,7 +181,8 @@
 	c.drain()
 }
 
-// expectLateAnswer remembers a task that is no longer waited for, but whose answer may still be received: it is to be stopped then.
+// expectLateAnswer records a task whose answer is no longer wanted but may still be received. The task is stopped then. Too many of them make
+// the connection drain.
 func (c *nodeConn) expectLateAnswer(task uint64) {
 	if c.abandoned == nil {
 		c.abandoned = map[uint64]bool{}
@@ -191,7 +193,8 @@
 	}
 }
 
-// drain has nothing new sent on the connection. It is closed when nothing is open on it, but late answers are waited for.
+// drain stops sending new requests and health checks on the connection. It is closed once no request is open on it and late answers have had time
+// to arrive.
 func (c *nodeConn) drain() {
 	c.draining = true
 	c.closeAt = c.server.env.Now() + outcome.Linger()
@@ -219,7 +222,7 @@
 	c.conn.Send(func(b []byte) []byte { return codec.AppendTest(b, uint64(c.probeSeq), true) })
 }
 
-// onBroken closes a connection that ended under what is open on it.
+// onBroken processes the end of a connection that this side did not close.
 func (c *nodeConn) onBroken(cause string) {
 	handedOver := c.conn.HandedOver()
 	c.server.telemetry.trace("link broke", 0, func(e *zerolog.Event) {
@@ -228,14 +231,14 @@
 	c.fail(func(r *request) logic.Outcome { return outcome.VerdictAfterDisconnect(r.sentThrough <= handedOver) })
 }
 
-// onMalformed closes a connection on which something was received that can't be read.
+// onMalformed closes a connection on which a malformed message was received.
 func (c *nodeConn) onMalformed(err error) {
 	c.server.telemetry.count(countMalformed)
 	c.server.telemetry.trace("spoilt", 0, func(e *zerolog.Event) { e.Str("node", c.node.name).Err(err) })
 	c.fail(func(*request) logic.Outcome { return outcome.VerdictAfterMalformed() })
 }
 
-// fail closes the connection and completes what is open on it.
+// fail closes the connection and completes the attempts and the health check that are open on it.
 func (c *nodeConn) fail(verdict func(*request) logic.Outcome) {
 	s := c.server
 	c.remove()
@@ -258,7 +261,7 @@
 	}
 }
 
-// close closes a connection on which nothing is open.
+// close closes a connection on which no request is open.
 func (c *nodeConn) close(graceful bool) {
 	c.remove()
 	if c.conn != nil {
@@ -266,7 +269,7 @@
 	}
 }
 
-// remove drops the connection.
+// remove removes the connection from its node.
 func (c *nodeConn) remove() {
 	if c.closed {
 		return
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// onMessage processes one message. The error wraps codec.ErrUnreadable; the connection can't be read any more then.
+// onMessage processes one message. An error wraps codec.ErrUnreadable and means that the connection can't be read any further.
 func (c *nodeConn) onMessage(now float64, msg []byte) error {
 	s, task := c.server, codec.Task(msg)
 	s.telemetry.traceNodeMessage(c, msg)
@@ -71,7 +71,7 @@
 	return codec.ErrUnreadable
 }
 
-// onAnswer processes a node's answer: the task runs. It goes to the client only if it is for the attempt in flight on this connection.
+// onAnswer processes a node's answer, which says that the task runs. The client is answered only if the attempt is in flight on this connection.
 func (c *nodeConn) onAnswer(now float64, task uint64, msg []byte) error {
 	s := c.server
 	description, ok := codec.Param(msg, codec.ParamDescription)
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// onStrayAnswer processes the answer to an attempt that is not in flight here. One that was abandoned here is stopped, as it must not run beside
-// another attempt; any other is a repeated answer.
+// onStrayAnswer processes the answer to an attempt that is not in flight on this connection. If the attempt was abandoned here, its task is stopped,
+// as it must not run beside that of another attempt. Any other such answer is a duplicate.
 func (c *nodeConn) onStrayAnswer(task uint64, r *request) {
 	if c.abandoned[task] && (r == nil || r.node != c.node || !r.running) {
 		c.node.stopTask(task)
@@ -129,7 +129,7 @@
 			c.onEarlyEnd(now, r, cause, attemptOutcome{reason: reason, report: report})
 			return nil
 		}
-		if err := c.onAnswer(now, task, msg); err != nil { // the task started and completed in one message
+		if err := c.onAnswer(now, task, msg); err != nil { // the task's start and end came in one message
 			return err
 		}
 	}
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// onEarlyEnd processes the end of an attempt that its node has not answered. If the task had been running, its answer may still follow; the node
-// is then told to stop the task, as the client has its final answer.
+// onEarlyEnd processes the end of an attempt that its node has not answered. If the task was running, its answer may still follow; the node is then
+// told to stop the task, as the client has its final answer.
 func (c *nodeConn) onEarlyEnd(now float64, r *request, cause byte, o attemptOutcome) {
 	s := c.server
 	c.removeRequest(r)
--- a/internal/platform/node_table.go
+++ b/internal/platform/node_table.go
@@ -11,32 +11,32 @@
 	"ravenpond/logic"
 )
 
-// nodeTable holds the nodes of the list, and counts the connections to them. Server.mu guards it, its nodes and their connections.
+// nodeTable holds the nodes of the node list, and counts the connections to them. Server.mu guards it, its nodes and their connections.
 type nodeTable struct {
 	server *Server
 	byName map[string]*node
 	byID   map[uint32]*node
-	conns  int       // connections to nodes, made or being made
-	report []float64 // memory of the last load report
+	conns  int       // the number of connections to nodes, established or being made
+	report []float64 // the last load report, whose memory is reused
 }
 
 func newNodeTable(s *Server) nodeTable {
 	return nodeTable{server: s, byName: map[string]*node{}, byID: map[uint32]*node{}}
 }
 
-// named returns the node with a name, nil if there is none.
+// named returns the node with a name, or nil.
 func (t *nodeTable) named(name string) *node { return t.byName[name] }
 
-// byNumber returns the node with a number, nil if there is none.
+// byNumber returns the node with the module's number id, or nil.
 func (t *nodeTable) byNumber(id uint32) *node { return t.byID[id] }
 
-// count returns how many nodes there are.
+// count returns the number of nodes.
 func (t *nodeTable) count() int { return len(t.byID) }
 
-// connections returns how many connections to nodes there are, those being made included.
+// connections returns the number of connections to nodes, those being made included.
 func (t *nodeTable) connections() int { return t.conns }
 
-// all returns the nodes in no order.
+// all returns the nodes by their numbers.
 func (t *nodeTable) all() map[uint32]*node { return t.byID }
 
 // sorted returns the nodes in the order of their numbers.
@@ -51,8 +51,8 @@
 	return n
 }
 
-// number returns the module's number of a node. It depends on the name, so that all schedulers number a node alike: they take turns at a
-// node in slow start by it.
+// number returns the module's number for a node: a hash of the name, so that all schedulers give a node the same number. By that number they take
+// turns at a node in slow start. A number that is already in use is incremented.
 func (t *nodeTable) number(name string) uint32 {
 	f := fnv.New32a()
 	f.Write([]byte(name))
@@ -63,13 +63,13 @@
 	return id
 }
 
-// remove drops a node.
+// remove removes a node.
 func (t *nodeTable) remove(n *node) {
 	delete(t.byID, n.id)
 	delete(t.byName, n.name)
 }
 
-// removeUnavailable drops all nodes that are unavailable.
+// removeUnavailable removes all nodes that are unavailable.
 func (t *nodeTable) removeUnavailable() {
 	for _, n := range t.byID {
 		if n.availability == logic.Unavailable {
@@ -78,22 +78,22 @@
 	}
 }
 
-// addConn counts a connection that is made or being made.
+// addConn counts a connection that is being made.
 func (t *nodeTable) addConn() { t.conns++ }
 
-// dropConn counts a connection that was closed.
+// dropConn stops counting a connection that was closed.
 func (t *nodeTable) dropConn() { t.conns-- }
 
-// isFull returns whether no connection to a node can be added.
+// isFull reports whether the number of connections to nodes is at its limit.
 func (t *nodeTable) isFull() bool { return t.conns >= t.server.limits.NodeConns }
 
-// parseReport returns the load report of a message, valid until the next.
+// parseReport returns the load report in a message. It is valid until the next call.
 func (t *nodeTable) parseReport(msg []byte) []float64 {
 	t.report = codec.ParseReport(msg, t.server.settings.Cluster.ReportFields, t.report[:0])
 	return t.report
 }
 
-// reserve returns whether a connection to a node may be made. An idle connection is closed for it if need be.
+// reserve reports whether a connection to a node may be made for a purpose. It closes an idle connection to make room if necessary.
 func (t *nodeTable) reserve(now float64, purpose budget.Purpose, n *node) bool {
 	wanted := budget.NodeConnRequest{Purpose: purpose, Held: t.conns, SinceCheck: n.failureDetector.SinceContact(now)}
 	var idle idleConns
@@ -110,25 +110,25 @@
 	return true
 }
 
-// idleConns are the idle connections to nodes.
+// idleConns counts the idle connections to nodes, and names the one to close for another.
 type idleConns struct {
 	count     int
-	spare     int       // of them, those that are not the only one to a node with running tasks
-	candidate *nodeConn // the one to close first, nil if there is none
-	rank      evictionRank
+	spare     int          // idle connections that are not the only one to a node with running tasks
+	candidate *nodeConn    // the connection to close first, nil if there is none
+	rank      evictionRank // of candidate
 }
 
-// evictionRank orders idle connections: the higher, the sooner a connection is closed for another.
+// evictionRank orders idle connections: those of a higher rank are closed first to make room.
 type evictionRank uint8
 
 const (
-	rankOnly  evictionRank = iota + 1 // the only one to a node with running tasks
-	rankSpare                         // its node has another, or no running task
-	rankSame                          // it leads to the node that the new one is for, which takes its place
+	rankOnly  evictionRank = iota + 1 // it is the only connection to a node with running tasks
+	rankSpare                         // its node has another connection, or no running task
+	rankSame                          // it leads to the same node as the new connection, which replaces it
 )
 
-// idleConns finds the idle connections, and the one to close for a connection to requester: of the highest rank the one that has been idle for
-// longest.
+// idleConns counts the idle connections, and finds the one to close for a connection to requester: among those of the highest rank the one that
+// has been idle for longest.
 func (t *nodeTable) idleConns(requester *node) idleConns {
 	var found idleConns
 	for _, n := range t.byID {
@@ -148,7 +148,7 @@
 	return found
 }
 
-// add counts a connection.
+// add counts an idle connection, and makes it the candidate if it is to be closed before the present one.
 func (f *idleConns) add(c *nodeConn, rank evictionRank) {
 	f.count++
 	if rank > rankOnly {
--- a/internal/platform/notifier.go
+++ b/internal/platform/notifier.go
@@ -6,14 +6,14 @@
 	"ravenpond/logic"
 )
 
-// notification tells a client what became of its running task: the end, with a cause, or that the task is to be requested anew.
+// notification tells a client that its running task has ended, with a cause, or that the client has to request the task again.
 type notification struct {
 	task  uint64
-	cause byte    // 0: the task is to be requested anew
-	since float64 // when the notification became pending
+	cause byte    // 0: the client has to request the task again
+	since float64 // the time at which the notification became pending
 }
 
-// appendTo appends the message of a notification.
+// appendTo appends the notification's message to b.
 func (n notification) appendTo(b []byte) []byte {
 	if n.cause == 0 {
 		return codec.AppendMove(b, n.task)
@@ -21,13 +21,13 @@
 	return codec.AppendEnd(b, n.task, n.cause)
 }
 
-// notifier sends notifications, and keeps those that no client could be sent yet. Server.mu guards it.
+// notifier sends notifications to clients, and keeps those that could not be sent yet. Server.mu guards it.
 type notifier struct {
 	server  *Server
 	pending []notification // oldest first
 }
 
-// notifyMove notifies a client that its running task is to be requested anew.
+// notifyMove notifies a client that it has to request its running task again.
 func (n *notifier) notifyMove(r *request) { n.notify(r, notification{task: r.task}) }
 
 // notifyEnd notifies a client that its running task has ended.
@@ -42,8 +42,8 @@
 	n.notify(r, notification{task: r.task, cause: cause})
 }
 
-// notify sends a notification on the connection of the request, else on any other verified one. Without an open connection of that kind it
-// stays pending; the oldest is dropped when there are too many.
+// notify sends a notification on the connection of the request, else on any other verified one. If none of these is open, the notification
+// becomes pending; the oldest pending one is dropped when there are too many.
 func (n *notifier) notify(r *request, message notification) {
 	if r.client != nil && r.client.isOpen() && r.client.send(message.appendTo) {
 		return
@@ -57,10 +57,11 @@
 	n.pending = append(n.pending[max(0, len(n.pending)-connlimits.MaxPendingEnds+1):], message)
 }
 
-// hasPending returns whether notifications wait for a connection.
+// hasPending reports whether notifications wait for a connection.
 func (n *notifier) hasPending() bool { return len(n.pending) > 0 }
 
-// sendPending sends pending notifications on a connection: all if it is verified, else those that have waited long enough for a verified one.
+// sendPending sends pending notifications on a connection: all of them if it is verified, else those that have waited for a verified one for at
+// least connlimits.VerifiedConnWait.
 func (n *notifier) sendPending(now float64, c *clientConn) {
 	for len(n.pending) > 0 && (c.verified || now-n.pending[0].since >= connlimits.VerifiedConnWait) && c.send(n.pending[0].appendTo) {
 		n.pending = n.pending[1:]
--- a/internal/platform/requests.go
+++ b/internal/platform/requests.go
@@ -9,30 +9,30 @@
 	"ravenpond/logic"
 )
 
-// request is what a client requests, until its final answer, and its running task after that. Server.mu guards it.
+// request is a client's request and, once it is served, the running task. Server.mu guards it.
 type request struct {
-	allocID         uint32 // the host's number, 0 while the request waits in the inbox
-	task            uint64 // the client's number
+	allocID         uint32 // the host's number of the request, 0 while it waits in the inbox
+	task            uint64 // the client's number of the task
 	tenant          int
 	jobClass        int
-	deadline        float64 // when the client stops waiting
+	deadline        float64 // the time at which the client stops waiting
 	demand          codec.Demand
-	fields          taskFields // what nodes are sent; empty once the task runs
+	fields          taskFields // the fields that are sent to nodes, empty once the task runs
 	client          *clientConn
-	node            *node     // of the last attempt
-	conn            *nodeConn // on which the attempt in flight was sent
-	attempt         uint8     // number of the last attempt
+	node            *node     // the node of the last attempt
+	conn            *nodeConn // the connection of the attempt in flight, nil if there is none
+	attempt         uint8     // the number of the last attempt
 	attemptDeadline float64
-	attemptBytes    int    // size of the last attempt's message
-	sentThrough     uint64 // bytes sent on conn, the attempt's message included; once the task runs, on the client's connection, the answer included
-	answered        bool   // the client has its final answer, or needs none
+	attemptBytes    int    // the size of the last attempt's message
+	sentThrough     uint64 // bytes queued on conn through the attempt's message; once the task runs, on the client's connection through the answer
+	answered        bool   // the request has its final answer, or needs none
 	running         bool   // the task runs
 }
 
-// taskFields are the parts of a request that go on to nodes.
+// taskFields are the fields of a request that are forwarded to nodes.
 type taskFields struct{ jobClass, name, key, description []byte }
 
-// newTaskFields copies the fields out of a message, into one piece of memory.
+// newTaskFields copies the fields out of a message, in one allocation of memory.
 func newTaskFields(f requestFields, description []byte) taskFields {
 	kept := make([]byte, 0, len(f.jobClassName)+len(f.name)+len(f.key)+len(description))
 	keep := func(v []byte) []byte {
@@ -48,11 +48,11 @@
 	return t
 }
 
-// clientGone returns whether the client of a request has closed its connection. Nothing new begins for it then and nothing is sent to it,
-// though what it sent before may not be read yet.
+// clientGone reports whether the client of a request has closed its connection. No attempt is made and nothing is sent for it then, even though
+// bytes that the client sent before may still be unread.
 func (r *request) clientGone() bool { return r.client == nil || !r.client.isOpen() }
 
-// placement returns a request as the host takes it.
+// placement returns the request in the form that the host takes.
 func (r *request) placement() logic.Request {
 	return logic.Request{
 		Class: r.jobClass, Tenant: r.tenant, Deadline: r.deadline, Service: r.demand.Service, Cores: r.demand.Cores, Memory: r.demand.Memory,
@@ -63,9 +63,9 @@
 type requestTable struct {
 	server    *Server
 	admission *admission.Limiter  // counts requests without a final answer, by tenant
-	inbox     []*request          // accepted, and not yet the host's
-	byAlloc   map[uint32]*request // by the host's number
-	byTask    map[uint64]*request // by the client's number
+	inbox     []*request          // accepted requests that were not yet passed to the host
+	byAlloc   map[uint32]*request // requests and tasks by the host's number
+	byTask    map[uint64]*request // requests and tasks by the client's number
 }
 
 func newRequestTable(s *Server) requestTable {
@@ -79,38 +79,38 @@
 	}
 }
 
-// task returns the request with a client's number, nil if there is none.
+// task returns the request with the client's number task, or nil.
 func (t *requestTable) task(task uint64) *request { return t.byTask[task] }
 
-// allocation returns the request with a number of the host, nil if there is none.
+// allocation returns the request with the host's number id, or nil.
 func (t *requestTable) allocation(id uint32) *request { return t.byAlloc[id] }
 
-// waiting returns how many requests wait in the inbox.
+// waiting returns the number of requests in the inbox.
 func (t *requestTable) waiting() int { return len(t.inbox) }
 
-// held returns how many requests and running tasks the host has.
+// held returns the number of requests and running tasks that the host has.
 func (t *requestTable) held() int { return len(t.byAlloc) }
 
-// admit counts one more open request of a tenant, unless that is beyond a limit. left is the client's time in ms.
+// admit counts one more open request of a tenant, unless that would exceed a limit. left is the time in ms until the client's deadline.
 func (t *requestTable) admit(tenant int, left float64) admission.Verdict {
 	return t.admission.Admit(tenant, left, connlimits.MinTimeLeft, true)
 }
 
-// add puts an admitted request into the inbox.
+// add adds an admitted request to the inbox.
 func (t *requestTable) add(r *request) {
 	t.byTask[r.task] = r
 	t.inbox = append(t.inbox, r)
 }
 
-// addRunning adds a task that runs at its node already. The host takes it over.
+// addRunning adds a task that already runs at its node, and passes it to the host.
 func (t *requestTable) addRunning(now float64, r *request) {
 	t.byTask[r.task] = r
 	r.allocID = t.server.host.RecoverTask(now, logic.Recovered{Request: r.placement(), Node: r.node.id})
 	t.byAlloc[r.allocID] = r
 }
 
-// start hands at most limit requests of the inbox to the host and returns how many. Events of tasks under way need no turn: they are handled as
-// they are read.
+// start passes at most limit requests of the inbox to the host and returns how many it passed. Only new requests wait for a turn of the loop: events
+// of attempts and tasks are handled as they are read.
 func (t *requestTable) start(now float64, limit int) (started int) {
 	n := 0
 	for ; n < len(t.inbox) && started < limit; n++ {
@@ -124,12 +124,12 @@
 		t.byAlloc[r.allocID] = r
 	}
 	if t.inbox = t.inbox[n:]; len(t.inbox) == 0 {
-		t.inbox = nil // frees the memory of a burst
+		t.inbox = nil // the memory of a burst is freed
 	}
 	return started
 }
 
-// markAnswered counts a request out of those that are open.
+// markAnswered records that a request needs no answer any more, so that it no longer counts as open.
 func (t *requestTable) markAnswered(r *request) {
 	r.answered = true
 	t.admission.Release(r.tenant)
@@ -138,7 +138,7 @@
 	}
 }
 
-// withdraw drops a request, or stops a task, that its client no longer wants.
+// withdraw drops a request or stops a task because its client no longer wants it or can't be served.
 func (t *requestTable) withdraw(r *request) {
 	s := t.server
 	s.telemetry.count(countWithdrawn)
@@ -146,7 +146,7 @@
 	if !r.answered {
 		t.markAnswered(r)
 	}
-	if r.allocID == 0 { // still in the inbox
+	if r.allocID == 0 { // the request is still in the inbox, and start skips it
 		delete(t.byTask, r.task)
 		return
 	}
@@ -154,7 +154,7 @@
 	s.loop.wake()
 }
 
-// withdrawLater withdraws a request outside the present call, as the host must not be called from its effects.
+// withdrawLater withdraws a request after the present call has returned, as the host must not be called from its effects.
 func (t *requestTable) withdrawLater(r *request) {
 	s := t.server
 	s.env.After(0, func() {
@@ -166,7 +166,7 @@
 	})
 }
 
-// completeUnsentLater reports, outside the present call, that the last attempt of a request never left this machine.
+// completeUnsentLater tells the host, after the present call has returned, that the last attempt of a request was never sent.
 func (t *requestTable) completeUnsentLater(r *request) {
 	s, attempt := t.server, r.attempt
 	s.env.After(0, func() {
@@ -178,14 +178,14 @@
 	})
 }
 
-// attemptOutcome is how an attempt, or a running task, has ended.
+// attemptOutcome is the outcome of an attempt or of a running task.
 type attemptOutcome struct {
 	verdict logic.Outcome
 	reason  logic.Reason
 	report  []float64 // the node's load report, valid during the call
 }
 
-// complete tells the host the outcome of the last attempt of a request, or of its running task.
+// complete tells the host the outcome of a request's last attempt or of its running task.
 func (t *requestTable) complete(r *request, o attemptOutcome) {
 	s := t.server
 	s.telemetry.countOutcome(o.verdict)
@@ -208,5 +208,5 @@
 	}
 }
 
-// isCurrent returns whether the host still has a request.
+// isCurrent reports whether the host still has the request.
 func (t *requestTable) isCurrent(r *request) bool { return t.byAlloc[r.allocID] == r }
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = p.cmd.Process.Kill(); _ = p.cmd.Wait() })
-	p.until("the door is open", func() bool { return p.err.has(`"message":"open"`) })
+	p.until("the door is open", func() bool { return p.err.has(`"message":"listening for clients"`) })
 	return p
 }
 
@@ -141,14 +141,14 @@
 		t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP)
-	p.until("a bad file is told", func() bool { return p.err.has("not taken") })
+	p.until("a bad file is told", func() bool { return p.err.has("configuration rejected; keeping the previous one") })
 	p.write(second)
 	p.signal(syscall.SIGHUP)
 	p.until("the last address is asked", func() bool { return askedSecond() > 0 })
 	p.signal(syscall.SIGHUP)
 	p.signal(syscall.SIGTERM)
 	p.signal(syscall.SIGHUP)
-	p.until("it is told to end", func() bool { return p.err.has("told to end") })
+	p.until("it is told to end", func() bool { return p.err.has("shutdown requested") })
 	p.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 	x.expect("7 served at a", "closed")
 	if err := p.cmd.Wait(); err != nil {
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -1,29 +1,30 @@
-// Package platform is a scheduler on the platform: it accepts requests of clients, places their tasks at nodes through a placement module, and
-// keeps both sides told of what becomes of them. The protocol is described in docs/protocols/platform.md, its codec is proto/platform.
+// Package platform implements a scheduler on the operators' platform: it accepts requests of clients, places their tasks at nodes through a
+// placement module, and notifies clients and nodes of the outcomes. The protocol is described in docs/protocols/platform.md, its codec is
+// proto/platform.
 //
 // A Server consists of parts, each with its own state that only its methods touch:
 //
-//	turnLoop          the loop that fires timers and has the module decide
-//	loadMonitor       how far the process is behind, and which requests it can still take
-//	requestTable      requests and running tasks, by both of their numbers
+//	turnLoop          the event loop, which fires timers and lets the module decide
+//	loadMonitor       how far the process lags behind its events, and which requests it can still answer in time
+//	requestTable      requests and running tasks, by the host's and by the client's numbers
 //	clientListener    connections of clients (clientConn)
 //	nodeTable         nodes (node) and the connections to them (nodeConn)
-//	endpointWatch     the watch of the node list at the journal service (watchConn)
-//	notifier          notifications that no client could be sent yet
+//	endpointWatch     the node list, as watched at the journal service (watchConn)
+//	notifier          notifications of clients, and those that could not be sent yet
 //	shutdownSequence  the steps of a planned shutdown
 //	telemetry         counters, traces and the statistics line of the log
 //	host.Host         the placement module with its attempts and timers
 //
 // # Concurrency
 //
-// Server.mu guards all parts: what one event does in several of them has to be seen as a whole. Callbacks of the environment (OnData, OnClose,
-// dials, timers, turns of the loop) and the exported methods lock it; everything else is called with it held. Nothing waits under it, as
-// connections queue what is sent. The fields of Server itself are set before the first callback and not changed afterwards.
+// Server.mu guards all parts, because the effects of one event on several of them have to be atomic. Callbacks of the environment (OnData,
+// OnClose, dials, timers, turns of the loop) and the exported methods lock it; everything else is called with it held. Nothing blocks while
+// holding it, as connections queue what is sent. The fields of Server itself are set before the first callback and not changed afterwards.
 //
 // # Errors
 //
-// Start fails if the initial node list can't be read or the address can't be listened on. After that nothing is fatal: a connection that
-// violates the protocol is closed, a module that panics is replaced, and diagnostics that panic are switched off.
+// Start fails if the initial node list can't be read or the scheduler can't listen on its address. After that nothing is fatal: a connection
+// that violates the protocol is closed, a module that panics is replaced, and diagnostics that panic are switched off.
 package platform
 
 import (
@@ -38,7 +39,7 @@
 	"ravenpond/internal/settings"
 )
 
-// Server is one scheduler.
+// Server is a scheduler on the platform.
 type Server struct {
 	env      env.Environment
 	log      zerolog.Logger
@@ -59,7 +60,7 @@
 	telemetry telemetry
 }
 
-// New returns a scheduler with a configuration. Nothing is connected yet.
+// New returns a scheduler with a configuration. It has no connections until Start.
 func New(environment env.Environment, log zerolog.Logger, configuration *Configuration) *Server {
 	s := &Server{
 		env: environment, log: log, settings: configuration.Deployment, names: newNameIndex(configuration.Deployment),
@@ -77,8 +78,8 @@
 	return s
 }
 
-// Start begins to listen. From then on the scheduler runs until Stop has had its effect. The error says why the node list can't be read or the
-// address not be listened on.
+// Start loads the initial node list, listens for clients and starts the event loop. The scheduler then runs until a shutdown that Stop begins
+// is complete. The error says why the node list can't be read or the scheduler can't listen on its address.
 func (s *Server) Start(configuration *Configuration) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,14 +94,14 @@
 	}
 	s.loop.start()
 	s.log.Info().Str("mode", "start").Str("owners", s.clients.address()).Int("nodes", s.nodes.count()).
-		Int("owner_conns", s.limits.ClientConns).Int("node_conns", s.limits.NodeConns).Int("open_most", s.limits.Open).Msg("open")
+		Int("owner_conns", s.limits.ClientConns).Int("node_conns", s.limits.NodeConns).Int("open_most", s.limits.Open).Msg("listening for clients")
 	return nil
 }
 
 // Done returns a channel that is closed when the scheduler has shut down.
 func (s *Server) Done() <-chan struct{} { return s.shutdown.done }
 
-// Stop begins a planned shutdown: requests are accepted for a short while, all accepted ones are answered, running tasks go on.
+// Stop begins a planned shutdown: requests are accepted for a short while, all accepted ones are answered, and running tasks go on.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +109,7 @@
 	s.loop.wake()
 }
 
-// ApplyConfiguration applies what may change in a configuration while a scheduler runs: the address of the journal service.
+// ApplyConfiguration applies the part of a configuration that may change while a scheduler runs: the address of the journal service.
 func (s *Server) ApplyConfiguration(configuration *Configuration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -12,37 +12,37 @@
 	"ravenpond/logic"
 )
 
-// epochUnixMs is the zero of the scheduler's clock, in Unix ms.
+// epochUnixMs is the origin of the scheduler's clock, in Unix ms.
 var epochUnixMs = float64(env.Epoch.UnixMilli())
 
-// maxTracedBytes bounds what a trace shows of a description.
+// maxTracedBytes bounds how many bytes of a description a trace shows.
 const maxTracedBytes = 80
 
 // degradedAbove is the degradation from which a node counts as degraded in the statistics.
 const degradedAbove = 0.5
 
-// counter is a figure of the statistics line.
+// counter identifies a counter of the statistics line.
 type counter uint8
 
 const (
-	countAccepted       counter = iota // requests
+	countAccepted       counter = iota // requests that were accepted
 	countRejected                      // requests that were not accepted
-	countShedBehind                    // of them, those that could not have been answered in time
+	countShedBehind                    // rejected requests that could not have been answered in time
 	countServed                        // requests whose tasks were started
-	countShed                          // requests that were answered with a retry
+	countShed                          // requests that were answered with a cause that lets the client retry
 	countFailed                        // requests that were answered with a failure
-	countWithdrawn                     // requests and tasks that clients gave up
-	countEnded                         // tasks whose ends were notified
-	countMoved                         // tasks that were to be requested anew
+	countWithdrawn                     // requests and tasks that were withdrawn
+	countEnded                         // tasks whose clients were notified of the end
+	countMoved                         // tasks that clients were notified to request again
 	countRecovered                     // running tasks that were taken over
-	countAttempts                      // sent to nodes
-	countDials                         // to nodes
-	countNodeChecks                    // dials to see whether a node is there
-	countDialsFailed                   // for reasons of the node or the network
-	countDialsExhausted                // for want of descriptors or ports here
-	countMalformed                     // connections to nodes on which something could not be read
-	countEvicted                       // connections of clients
-	countProbes                        // health checks
+	countAttempts                      // attempts at nodes
+	countDials                         // dials to nodes
+	countNodeChecks                    // dials that check whether a node with running tasks is alive
+	countDialsFailed                   // dials that failed because of the node or the network
+	countDialsExhausted                // dials that failed because this machine had no descriptors or ports left
+	countMalformed                     // connections to nodes on which a malformed message was received
+	countEvicted                       // client connections that were evicted
+	countProbes                        // health checks that the host requested
 	numCounters
 )
 
@@ -53,10 +53,10 @@
 type telemetry struct {
 	server      *Server
 	diagnostics besteffort.Guard
-	counts      [numCounters]int // since the start
-	outcomes    [numOutcomes]int // of attempts and running tasks, since the start
-	maxDelay    float64          // ms that the process was behind at most, since the last statistics line
-	lastStats   float64
+	counts      [numCounters]int // values since the start
+	outcomes    [numOutcomes]int // outcomes of attempts and running tasks, since the start
+	maxDelay    float64          // the largest delay of the process since the last statistics line, in ms
+	lastStats   float64          // the time of the last statistics line
 }
 
 func newTelemetry(s *Server) telemetry {
@@ -65,16 +65,16 @@
 	}}}
 }
 
-// count counts one more of a figure.
+// count increments a counter.
 func (t *telemetry) count(c counter) { t.counts[c]++ }
 
-// countOutcome counts the outcome of an attempt or of a running task.
+// countOutcome counts an outcome of an attempt or of a running task.
 func (t *telemetry) countOutcome(verdict logic.Outcome) { t.outcomes[verdict]++ }
 
-// recordDelay takes note of how far the process is behind, in ms.
+// recordDelay records by how many ms the process lags behind its events.
 func (t *telemetry) recordDelay(ms float64) { t.maxDelay = max(t.maxDelay, ms) }
 
-// tick writes the statistics line when it is due.
+// tick logs the statistics line when it is due.
 func (t *telemetry) tick(now float64) {
 	if now-t.lastStats > statsInterval {
 		t.lastStats = now
@@ -82,11 +82,11 @@
 	}
 }
 
-// logStats writes the statistics line, whose fields docs/oncall.md explains.
+// logStats logs the statistics line, whose fields docs/oncall.md explains.
 func (t *telemetry) logStats() {
 	s := t.server
 	unhealthy, degraded := t.nodeHealth()
-	off := s.host.TakeBeliefError()
+	beliefError := s.host.TakeBeliefError()
 	line := s.log.Info().Str("mode", "counts").Int("open", s.host.OpenRequests()).Int("stands", s.host.RunningTasks()).
 		Int("owners", s.clients.count()).Int("links", s.nodes.connections()).Int("nodes", s.nodes.count())
 	t.addCounts(line, countField{"taken", countAccepted}, countField{"turned", countRejected}, countField{"behind", countShedBehind})
@@ -98,25 +98,25 @@
 	t.addCounts(line, countField{"dials", countDials}, countField{"looks", countNodeChecks}, countField{"refused", countDialsFailed},
 		countField{"spent", countDialsExhausted}, countField{"spoilt", countMalformed}, countField{"expelled", countEvicted},
 		countField{"probes", countProbes})
-	line.Int("ill", unhealthy).Int("strained", degraded).Int("reports", off.Reports).
-		Float64("off_cores", math.Round(off.Cores*10)/10).Float64("off_memory", math.Round(off.Memory*10)/10).Msg("")
+	line.Int("ill", unhealthy).Int("strained", degraded).Int("reports", beliefError.Reports).
+		Float64("off_cores", math.Round(beliefError.Cores*10)/10).Float64("off_memory", math.Round(beliefError.Memory*10)/10).Msg("")
 	t.maxDelay = 0
 }
 
-// countField is a counter with the name of its field in the log.
+// countField is a counter with the name of its field in the statistics line.
 type countField struct {
 	name    string
 	counter counter
 }
 
-// addCounts adds counters to a line.
+// addCounts adds counters to a log line.
 func (t *telemetry) addCounts(line *zerolog.Event, fields ...countField) {
 	for _, f := range fields {
 		line.Int(f.name, t.counts[f.counter])
 	}
 }
 
-// nodeHealth returns how many nodes the module believes unhealthy, and how many others degraded.
+// nodeHealth returns how many nodes the module believes to be unhealthy, and how many of the others to be degraded.
 func (t *telemetry) nodeHealth() (unhealthy, degraded int) {
 	s := t.server
 	for id := range s.nodes.all() {
@@ -129,7 +129,7 @@
 	return unhealthy, degraded
 }
 
-// trace writes one message or effect to the log, if the log's level wants it. The fields may be nil.
+// trace logs one message or effect if the debug level is enabled. fields adds further fields and may be nil.
 func (t *telemetry) trace(what string, task uint64, fields func(*zerolog.Event)) {
 	e := t.server.log.Debug()
 	if !e.Enabled() {
@@ -158,20 +158,20 @@
 	})
 }
 
-// traceNodeMessage traces a message of a node.
+// traceNodeMessage traces a message from a node.
 func (t *telemetry) traceNodeMessage(c *nodeConn, msg []byte) {
 	t.trace("from node", codec.Task(msg), func(e *zerolog.Event) {
 		cause, _ := codec.CauseOf(msg)
-		word, _ := codec.Param(msg, codec.ParamReason)
-		figure, _ := codec.Param(msg, codec.ParamValue)
+		reason, _ := codec.Param(msg, codec.ParamReason)
+		value, _ := codec.Param(msg, codec.ParamValue)
 		report, _ := codec.Param(msg, codec.ParamReport)
-		d, _ := codec.Param(msg, codec.ParamDescription)
-		e.Str("node", c.node.name).Uint8("kind", codec.Kind(msg)).Uint8("cause", cause).Bytes("word", word).
-			Bytes("figure", figure).Bytes("report", report).Bytes("d", d[:min(len(d), maxTracedBytes)])
+		description, _ := codec.Param(msg, codec.ParamDescription)
+		e.Str("node", c.node.name).Uint8("kind", codec.Kind(msg)).Uint8("cause", cause).Bytes("word", reason).
+			Bytes("figure", value).Bytes("report", report).Bytes("d", description[:min(len(description), maxTracedBytes)])
 	})
 }
 
-// traceOutcome traces the outcome of an attempt or of a running task, with what the module believes of the node.
+// traceOutcome traces the outcome of an attempt or of a running task, and the module's belief about the node.
 func (t *telemetry) traceOutcome(r *request, o attemptOutcome) {
 	t.trace("settled", r.task, func(e *zerolog.Event) {
 		e.Uint8("verdict", uint8(o.verdict)).Uint8("why", uint8(o.reason)).Floats64("report", o.report).Bool("stood", r.running)
--- a/internal/platform/turn_loop.go
+++ b/internal/platform/turn_loop.go
@@ -8,12 +8,12 @@
 
 // Times in milliseconds.
 const (
-	tickInterval  = 100  // between two ticks of the parts
+	tickInterval  = 100  // between two ticks
 	statsInterval = 5000 // between two statistics lines
 	minTurnWait   = 0.2  // between two turns
 )
 
-// turnLoop runs the scheduler's turns. Server.mu guards it.
+// turnLoop is the scheduler's event loop. Each iteration is a turn. Server.mu guards it.
 type turnLoop struct {
 	server   *Server
 	loop     env.Loop
@@ -27,14 +27,14 @@
 	l.loop = l.server.env.StartLoop(l.turn)
 }
 
-// wake has the loop take a turn at once.
+// wake makes the next turn due at once.
 func (l *turnLoop) wake() {
 	l.nextTurn = min(l.nextTurn, l.server.env.Now())
 	l.loop.Wake()
 }
 
-// turn starts waiting requests, fires what is due in the host, and has the parts look after their connections. It returns the time until the
-// next turn in ms.
+// turn starts requests that wait in the inbox, runs a round of the host, ticks the parts when a tick is due, and takes the next steps of a
+// shutdown. It returns the time until the next turn in ms.
 func (l *turnLoop) turn() (wait float64) {
 	s := l.server
 	s.mu.Lock()
@@ -44,7 +44,7 @@
 	l.nextTurn = math.Inf(1)
 	s.host.SetTimeoutGrace(s.load.timeoutGrace(now))
 	started := 0
-	if now >= s.host.EarliestRound() { // else requests would wait in the host instead of the inbox
+	if now >= s.host.EarliestRound() { // before that, requests would only wait in the host instead of the inbox
 		started = s.requests.start(now, s.load.batchSize())
 	}
 	s.host.Round(now)
@@ -64,7 +64,7 @@
 	return wait
 }
 
-// tick does the regular work of the parts.
+// tick does the periodic work of the parts, such as closing stale connections.
 func (l *turnLoop) tick(now float64) {
 	s := l.server
 	s.endpoints.tick(now)
--- a/internal/platform/watch_conn.go
+++ b/internal/platform/watch_conn.go
@@ -8,18 +8,18 @@
 	"ravenpond/internal/env"
 )
 
-// maxLineBytes bounds a line of the journal: no list of nodes is longer.
+// maxLineBytes bounds an incomplete line of the journal. No valid list of nodes is longer.
 const maxLineBytes = 4 << 20
 
 // watchConn is one connection to the journal service, or one that is being made. It implements env.ConnHandler. Server.mu guards it.
 type watchConn struct {
 	watch   *endpointWatch
-	conn    env.Conn // nil while it is being made
+	conn    env.Conn // nil while the connection is being made
 	partial []byte   // the received part of an incomplete line
 	closed  bool
 }
 
-// onDialed takes the result of a dial and asks for the events after the last one.
+// onDialed processes the result of a dial, and requests the events after the last one that was applied.
 func (c *watchConn) onDialed(conn env.Conn, err error) {
 	w := c.watch
 	w.server.mu.Lock()
@@ -58,7 +58,7 @@
 	w.retrier.OnBytes(now)
 	c.partial = append(c.partial, b...)
 	if err := c.applyLines(now); err != nil {
-		w.server.log.Warn().Str("mode", "journal").Uint64("pos", w.position).Err(err).Msg("asked anew")
+		w.server.log.Warn().Str("mode", "journal").Uint64("pos", w.position).Err(err).Msg("can't apply an event of the journal service; reconnecting")
 		c.close(now)
 		return
 	}
@@ -69,7 +69,7 @@
 	w.server.loop.wake()
 }
 
-// applyLines applies the complete lines that were received.
+// applyLines applies the complete lines in the received bytes.
 func (c *watchConn) applyLines(now float64) error {
 	consumed := false
 	for {
@@ -83,7 +83,7 @@
 		c.watch.retrier.OnEvent(now)
 		c.partial, consumed = rest, true
 	}
-	if consumed { // the rest gets memory of its own, but a line that trickles in is not copied for each byte
+	if consumed { // the rest is copied to free the buffer, but not for each byte of a line that trickles in
 		c.partial = append([]byte(nil), c.partial...)
 	}
 	return nil
@@ -97,7 +97,7 @@
 	c.close(w.server.env.Now())
 }
 
-// close closes the connection; another is made when the retrier says so.
+// close closes the connection. The retrier decides when another one is made.
 func (c *watchConn) close(now float64) {
 	if c.closed {
 		return
@@ -107,7 +107,7 @@
 	c.watch.retrier.OnDisconnected(now)
 }
 
-// discard closes the connection, which may still be being made, without telling the retrier.
+// discard closes the connection, or abandons the dial, without informing the retrier.
 func (c *watchConn) discard() {
 	c.closed = true
 	if c.conn != nil {
