--- a/internal/platform/configuration_test.go
+++ b/internal/platform/configuration_test.go
@@ -10,12 +10,12 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestUnusualStarts starts schedulers in conditions that no list of faults names.
+// TestUnusualStarts starts, or reconfigures, schedulers in unusual conditions of the journal service and the node list.
 func TestUnusualStarts(t *testing.T) {
 	t.Run("the journal service is silent", startWithSilentJournal)
-	t.Run("known holds gone and draining nodes alone", startWithoutReadyNodes)
-	t.Run("a node is named twice", startWithNodeNamedTwice)
-	t.Run("the configuration changes while it ends", configureWhileStopping)
+	t.Run("all nodes of the initial list are gone or draining", startWithoutReadyNodes)
+	t.Run("an event names a node twice", startWithNodeNamedTwice)
+	t.Run("the configuration changes during the shutdown", configureWhileStopping)
 }
 
 func startWithSilentJournal(t *testing.T) {
@@ -29,7 +29,7 @@
 	x.request(7, "single")
 	r.pass(3000)
 	if len(x.received) != 1 || !strings.HasPrefix(x.received[0], "7 served") {
-		t.Errorf("%q", x.received)
+		t.Errorf("with a silent journal service the client received %q, want one message, which says that task 7 is served", x.received)
 	}
 	r.journal.silent = false
 	r.journal.publish(entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
@@ -37,7 +37,7 @@
 	x.received = nil
 	x.request(8, "single")
 	r.pass(3000)
-	x.want("all drain, as it hears once it is not silent any more", "8 end 42")
+	x.want("all nodes drain once the journal service is heard again", "8 end 42")
 }
 
 func startWithoutReadyNodes(t *testing.T) {
@@ -52,16 +52,17 @@
 	x := r.dial()
 	x.send(setUp(6, "batch", codec.ParamDemand, demandText+";at:a"))
 	r.pass(200)
-	r.nodes["a"].conns[len(r.nodes["a"].conns)-1].send(message(codec.KindEnd, 6, codec.ParamCause, string(byte(codec.CauseNormal)), codec.ParamReport, "x0:3;x1:9"))
+	r.nodes["a"].conns[len(r.nodes["a"].conns)-1].send(message(codec.KindEnd, 6, codec.ParamCause, string(byte(codec.CauseNormal)),
+		codec.ParamReport, "x0:3;x1:9"))
 	x.request(7, "single")
 	r.pass(6000)
-	x.want("the end of the running task where it drains, and none served", "6 end 16", "7 end 42")
+	x.want("the end of the task that runs on the draining node, and a rejection of the new one", "6 end 16", "7 end 42")
 	r.journal.publish(entryOf("b", "b", "ready"))
 	r.pass(3000)
 	x.received = nil
 	x.request(8, "single")
 	r.pass(1000)
-	x.want("one is back", "8 served "+r.nodes["b"].description(8))
+	x.want("after node b is ready again", "8 served "+r.nodes["b"].description(8))
 }
 
 func startWithNodeNamedTwice(t *testing.T) {
@@ -75,7 +76,7 @@
 	}
 	r.pass(500)
 	if n := len(r.nodes["a"].starts); n != 0 || len(x.received) != 6 {
-		t.Errorf("%d offered to the one that drains, as its last entry says; %q", n, x.received)
+		t.Errorf("%d tasks were sent to the node that drains by its last entry, want 0; the client received %q, want 6 messages", n, x.received)
 	}
 }
 
@@ -91,29 +92,29 @@
 	moved.Journal = "journal:2"
 	r.server.ApplyConfiguration(&moved)
 	r.pass(6000)
-	x.want("one answer", "7 end 41")
+	x.want("the answer at the shutdown", "7 end 41")
 	select {
 	case <-r.server.Done():
 	default:
-		t.Error("it does not end")
+		t.Error("the scheduler has not shut down after 6 s")
 	}
 }
 
-// TestRun checks that the error of a file that can't be read names it.
+// TestRun checks that Run names a configuration file that can't be read in its error.
 func TestRun(t *testing.T) {
 	t.Setenv("GW_CONFIG", filepath.Join(t.TempDir(), "none.json"))
 	if err := Run(zerolog.Nop()); err == nil || !strings.Contains(err.Error(), "none.json") {
-		t.Errorf("%v", err)
+		t.Errorf("Run without a configuration file: error %v, want one that names none.json", err)
 	}
 }
 
-// TestRead checks that an error names what a configuration lacks.
+// TestRead checks that the error of an invalid configuration names the field at fault.
 func TestRead(t *testing.T) {
 	good := `{"name":"n3","listen":"10.0.0.4:5060","seed":"8c1f30d27a5be964","limits":{"cores":0.5,"memory_mb":64,"sockets":256},` +
 		`"journal":"10.2.0.1:4222","known":{"pos":0,"entries":[]},"settings":` + settingsText + `}`
 	c, err := Read([]byte(good))
 	if err != nil || c.Seed != 0x8c1f30d27a5be964 || c.Journal != "10.2.0.1:4222" || c.MemoryMB != 64 || c.Sockets != 256 {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("Read of a valid configuration: %+v, error %v", c, err)
 	}
 	for _, x := range []struct{ old, new, want string }{
 		{`"journal":"10.2.0.1:4222"`, `"journal":"10.2.0.1"`, "journal"},
@@ -129,7 +130,7 @@
 		{`{"name"`, `{`, "invalid"},
 	} {
 		if _, err := Read([]byte(strings.Replace(good, x.old, x.new, 1))); err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%s: %v, want %q", x.new, err, x.want)
+			t.Errorf("with %s: error %v, want one that contains %q", x.new, err, x.want)
 		}
 	}
 }
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -9,7 +9,7 @@
 	"ravenpond/logic"
 )
 
-// open returns a node's connections that have not ended.
+// open returns the node's connections that have not been closed.
 func open(n *fakeNode) (all []*testConn) {
 	for _, e := range n.conns {
 		if !e.ended {
@@ -22,13 +22,13 @@
 // descriptorRun is a run of TestDescriptors.
 type descriptorRun struct {
 	*simRig
-	names   []string           // of the nodes
-	held    []*testClient      // which fill the client listener
-	maxHeld int                // connections at once
-	endedAt map[uint64]float64 // when the first client was sent the end of a task
+	names   []string           // the names of the nodes
+	held    []*testClient      // clients that use up the limit of client connections
+	maxHeld int                // the largest number of connections at a time
+	endedAt map[uint64]float64 // the times at which the first client received the ends of tasks, by task
 }
 
-// connectClients opens as many connections of clients as the scheduler accepts.
+// connectClients opens as many client connections as the scheduler's limit allows.
 func (d *descriptorRun) connectClients() {
 	for range d.server.limits.ClientConns {
 		x := &testClient{testConn: &testConn{}, rig: d.simRig}
@@ -44,7 +44,7 @@
 	}
 }
 
-// step lets 60 ms go by and counts the connections.
+// step advances the clock by 60 ms and counts the connections.
 func (d *descriptorRun) step() {
 	d.pass(60)
 	held := 0
@@ -59,7 +59,7 @@
 	d.maxHeld = max(d.maxHeld, held)
 }
 
-// endTasks has every node send the end of its task, on each connection that is open, and on each that comes.
+// endTasks makes every node send the end of its task, on each open connection and on each new one.
 func (d *descriptorRun) endTasks() {
 	for i, name := range d.names {
 		n, task := d.nodes[name], uint64(1000+i)
@@ -71,7 +71,7 @@
 	}
 }
 
-// countEnds counts the ends that were sent to the client after a time, and those that were not sent.
+// countEnds returns how many ends the client received after a deadline, and how many it did not receive.
 func (d *descriptorRun) countEnds(deadline float64) (late, missing int) {
 	for i := range d.names {
 		at, ok := d.endedAt[uint64(1000+i)]
@@ -84,29 +84,29 @@
 	return late, missing
 }
 
-// check checks what the scheduler held, how it judged the nodes, and how often it dialed them.
+// check checks how many connections the scheduler held, that it believes no node lost or unhealthy, and how often it dialed the nodes.
 func (d *descriptorRun) check() {
 	t, s := d.t, d.server
 	t.Helper()
 	if d.maxHeld > s.limits.ClientConns+s.limits.NodeConns || d.maxHeld > d.configuration.Sockets*98/100-8 {
-		t.Errorf("%d connections at once, %d and %d are allowed of %d descriptors", d.maxHeld, s.limits.ClientConns, s.limits.NodeConns,
+		t.Errorf("%d connections at a time; limits: %d to clients, %d to nodes, %d descriptors", d.maxHeld, s.limits.ClientConns, s.limits.NodeConns,
 			d.configuration.Sockets)
 	}
 	if s.telemetry.outcomes[logic.ConnectionLost] > 0 || s.telemetry.counts[countDialsExhausted] > 0 {
-		t.Errorf("verdicts %v, %d dials found nothing left", s.telemetry.outcomes, s.telemetry.counts[countDialsExhausted])
+		t.Errorf("outcomes %v, want no lost connection; %d dials failed for lack of descriptors, want 0", s.telemetry.outcomes, s.telemetry.counts[countDialsExhausted])
 	}
 	for _, n := range s.nodes.byID {
 		if b, _ := s.host.Belief(n.id); b.Unhealthy {
-			t.Errorf("%s is taken for unhealthy", n.name)
+			t.Errorf("node %s is believed unhealthy", n.name)
 		}
 	}
 	if dials := float64(s.telemetry.counts[countDials]) / (float64(len(d.names)) * 18 / 2); dials > 1.3 {
-		t.Errorf("%d dials: %.1f a node in two seconds", s.telemetry.counts[countDials], dials)
+		t.Errorf("%d dials: %.1f per node in two seconds, want at most 1.3", s.telemetry.counts[countDials], dials)
 	}
 }
 
-// TestDescriptors fills the client listener and has a task run at every node, of which there are more than the scheduler may have connections
-// to: it never holds more connections than it may, takes no node for lost or unhealthy, and learns of every end in time.
+// TestDescriptors uses up the client connections and has a task run at every node, in some cases of more nodes than the scheduler may have
+// connections to. The limits of connections always hold, no node is taken for lost or unhealthy, and every end is notified in time.
 func TestDescriptors(t *testing.T) {
 	for _, nodes := range []int{40, 120, 200} {
 		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
@@ -118,7 +118,7 @@
 			d.connectClients()
 			d.pass(100)
 			if len(d.server.clients.conns) != d.server.limits.ClientConns {
-				t.Fatalf("%d client connections", len(d.server.clients.conns))
+				t.Fatalf("%d client connections, want as many as the limit", len(d.server.clients.conns))
 			}
 			x := d.held[0]
 			x.onMessage = func(msg []byte) {
@@ -140,15 +140,15 @@
 				d.step()
 			}
 			if late, missing := d.countEnds(ends + 5500); late+missing > 0 {
-				t.Errorf("of %d ends %d came late, %d never", nodes, late, missing)
+				t.Errorf("of %d ends %d were notified late and %d never", nodes, late, missing)
 			}
 			d.check()
 		})
 	}
 }
 
-// TestDialsExhausted has dials fail for want of descriptors: no node is taken for unhealthy, no running task for lost, and what provably never left is
-// attempted again.
+// TestDialsExhausted makes dials fail because no descriptors are left. No node is believed unhealthy, no running task is lost, and the client may
+// retry a request whose attempts were never sent.
 func TestDialsExhausted(t *testing.T) {
 	r := startRig(t, "a", "b")
 	x := r.dial()
@@ -163,23 +163,23 @@
 	x.request(8, "single")
 	r.pass(9000)
 	if r.server.telemetry.counts[countDialsExhausted] < 5 || r.server.host.RunningTasks() != 1 || len(x.received) != 2 || x.received[1] != "8 end 42" {
-		t.Errorf("%d spent, %d stand, %q", r.server.telemetry.counts[countDialsExhausted], r.server.host.RunningTasks(), x.received)
+		t.Errorf("%d dials failed for lack of descriptors, want 5 or more; %d running tasks, want 1; received %q, want 2 messages and the last 8 end 42", r.server.telemetry.counts[countDialsExhausted], r.server.host.RunningTasks(), x.received)
 	}
 	for _, p := range r.server.nodes.byID {
 		if b, _ := r.server.host.Belief(p.id); b.Unhealthy || b.FailureRate > 0 {
-			t.Errorf("%s is blamed: %+v", p.name, b)
+			t.Errorf("belief about node %s: %+v, want it healthy with a failure rate of 0", p.name, b)
 		}
 	}
 }
 
-// spent is an environment without a descriptor left for a dial.
+// spent is an environment in which every dial fails because no descriptors are left.
 type spent struct{ env.Environment }
 
 func (w spent) Dial(_ string, _ float64, done func(env.Conn, error)) {
 	w.After(0.1, func() { done(nil, fmt.Errorf("socket: %w", env.ErrExhausted)) })
 }
 
-// TestHeldLimit has a client name more running tasks than may be held.
+// TestHeldLimit requests more tasks that already run than the scheduler may hold. Those beyond the limit are rejected.
 func TestHeldLimit(t *testing.T) {
 	r := startRig(t, "a")
 	r.server.limits.Held = 20
@@ -190,11 +190,11 @@
 	x.request(100, "batch")
 	r.pass(500)
 	if len(r.server.requests.byAlloc) != 20 || len(x.received) != 41 || x.received[40] != "100 end 42" {
-		t.Errorf("%d are held, %d turned away", len(r.server.requests.byAlloc), len(x.received))
+		t.Errorf("%d requests are held, want 20; %d messages, want 41 rejections, the last of them of task 100", len(r.server.requests.byAlloc), len(x.received))
 	}
 }
 
-// TestNothingIsKept replaces nodes, tasks and connections for a long time: nothing that is over is kept.
+// TestNothingIsKept replaces nodes, tasks and connections 60 times, and checks that the scheduler keeps no state of those that have ended.
 func TestNothingIsKept(t *testing.T) {
 	r := startRig(t, "n0")
 	task := uint64(0)
@@ -220,11 +220,13 @@
 		r.pass(100)
 	}
 	r.pass(3000)
-	if len(r.server.requests.byAlloc)+len(r.server.requests.byTask)+len(r.server.clients.conns) > 0 || len(r.server.nodes.byID) > 1 || len(r.server.nodes.byName) > 1 || r.server.nodes.conns > 5 {
-		t.Errorf("%d asks, %d tasks, %d clients, %d nodes, %d links are kept", len(r.server.requests.byAlloc), len(r.server.requests.byTask), len(r.server.clients.conns), len(r.server.nodes.byID),
+	if len(r.server.requests.byAlloc)+len(r.server.requests.byTask)+len(r.server.clients.conns) > 0 ||
+		len(r.server.nodes.byID) > 1 || len(r.server.nodes.byName) > 1 || r.server.nodes.conns > 5 {
+		t.Errorf("left: %d requests by allocation, %d by task, %d client connections, %d nodes, %d connections to nodes",
+			len(r.server.requests.byAlloc), len(r.server.requests.byTask), len(r.server.clients.conns), len(r.server.nodes.byID),
 			r.server.nodes.conns)
 	}
 	if r.server.telemetry.counts[countServed] != int(task) {
-		t.Errorf("%d of %d served", r.server.telemetry.counts[countServed], task)
+		t.Errorf("%d of %d requests were served, want all", r.server.telemetry.counts[countServed], task)
 	}
 }
--- a/internal/platform/early_end_test.go
+++ b/internal/platform/early_end_test.go
@@ -8,23 +8,23 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// earlyEnd is a way in which a node ends a task before its answer.
+// earlyEnd is an end that a node sends for a task before its answer.
 type earlyEnd struct {
 	name  string
 	cause byte
 	word  string
-	notes bool // before it
-	ran   bool // it is the end of a run
+	notes bool // notes precede the end
+	ran   bool // it means that the task was running
 }
 
-// earlyEnds are ends that a node sends for a task before its answer.
+// earlyEnds are the cases of TestEndBeforeAnswer.
 var earlyEnds = []earlyEnd{
-	{"cut, sent away, after notes", codec.CauseReset, "sent_away", true, true},
-	{"cut, sent away", codec.CauseReset, "sent_away", false, true},
-	{"cut, evicted", codec.CauseReset, "evicted", false, true},
-	{"cut, pushed out", codec.CauseReset, "pushed_out", false, true},
-	{"cut, after notes", codec.CauseReset, "", true, true},
-	{"reset on its way", codec.CauseReset, "", false, false},
+	{"reset, sent away, after notes", codec.CauseReset, "sent_away", true, true},
+	{"reset, sent away", codec.CauseReset, "sent_away", false, true},
+	{"reset, evicted", codec.CauseReset, "evicted", false, true},
+	{"reset, pushed out", codec.CauseReset, "pushed_out", false, true},
+	{"reset, after notes", codec.CauseReset, "", true, true},
+	{"reset, without a reason", codec.CauseReset, "", false, false},
 	{"normal, after notes", codec.CauseNormal, "", true, true},
 	{"normal", codec.CauseNormal, "", false, true},
 	{"cancelled", codec.CauseElsewhere, "", false, true},
@@ -34,11 +34,11 @@
 	{"full, sent away", codec.CauseFull, "sent_away", false, false},
 }
 
-// afterRun is the answer to a client whose task ran and ended without an answer, by job class. A retry of marked work is dropped wherever it is
-// sent, so it is as harmless as one of restartable work.
+// afterRun is the answer to a client whose task ran and ended without an answer, by job class. Nodes drop a retry of idempotent work (marked), so
+// it is as harmless as a retry of restartable work.
 var afterRun = map[string]string{"batch": "end 42", "marked": "end 42", "single": "end 41"}
 
-// early returns what a node sends before its answer: notes if the task ran for a while, and its end.
+// early returns the messages that a node sends before its answer: a note if notes is set, and the end.
 func early(task uint64, cause byte, word string, notes bool) (b []byte) {
 	if notes {
 		b = append(b, message(codec.KindNote, task, codec.ParamReason, "cores", codec.ParamValue, "0.6")...)
@@ -49,15 +49,15 @@
 	return append(b, message(codec.KindEnd, task, codec.ParamCause, string(rune(cause)), codec.ParamReason, word)...)
 }
 
-// earlyEndRun is what happened to the request of TestEndBeforeAnswer.
+// earlyEndRun records what happened to the request of TestEndBeforeAnswer.
 type earlyEndRun struct {
 	attempts int
-	first    *fakeNode // that was tried first
-	endedAt  float64   // when it sends the end
+	first    *fakeNode // the node of the first attempt
+	endedAt  float64   // the time at which it sends the end
 }
 
-// arrange has the first node that is tried end the task after 500 ms, and answer it so many ms later: never if late is negative. Any other node
-// answers as usual.
+// arrange makes the node of the first attempt end the task after 500 ms, and answer it late ms after that, or never if late is negative. Further
+// attempts are answered at once.
 func (run *earlyEndRun) arrange(r *simRig, c earlyEnd, late float64) {
 	for _, n := range r.nodes {
 		n.onSetUp = func(e *testConn, task uint64) {
@@ -69,7 +69,7 @@
 			answer := codec.AppendAnswer(nil, task, []byte(n.description(task)))
 			n.process.After(500, func() {
 				b := early(task, c.cause, c.word, c.notes)
-				if late == 0 { // in one piece
+				if late == 0 { // both are sent in one write
 					b = append(b, answer...)
 				}
 				e.send(b)
@@ -81,7 +81,7 @@
 	}
 }
 
-// checkEarlyEnd plays one case of TestEndBeforeAnswer.
+// checkEarlyEnd runs one case of TestEndBeforeAnswer.
 func checkEarlyEnd(t *testing.T, c earlyEnd, job string, late float64) {
 	t.Helper()
 	r := startRig(t, "a", "b")
@@ -93,33 +93,34 @@
 	if !c.ran {
 		mayRetry := job != "single" || c.cause == codec.CauseFull
 		if (run.attempts > 1) != mayRetry || len(x.received) == 0 {
-			t.Errorf("%d attempts, heard %q", run.attempts, x.received)
+			t.Errorf("%d attempts, received %q; want more than one attempt only if a retry is allowed, and an answer", run.attempts, x.received)
 		}
 		return
 	}
 	x.want("the final answer", "7 "+afterRun[job])
 	if run.attempts != 1 {
-		t.Errorf("%d attempts after a run", run.attempts)
+		t.Errorf("%d attempts for a task that ran, want 1", run.attempts)
 	}
 	if len(x.receivedAt) > 0 && x.receivedAt[0] > run.endedAt+50 {
-		t.Errorf("told %.0f ms after the end", x.receivedAt[0]-run.endedAt)
+		t.Errorf("answered %.0f ms after the end, want at most 50", x.receivedAt[0]-run.endedAt)
 	}
 	if told := slices.Contains(run.first.ended, 7); told != (late >= 0) {
-		t.Errorf("the node of the late answer is told to end the task: %t", told)
+		t.Errorf("the node was told to end the task: %t, want true only if it sent a late answer", told)
 	}
 	if len(r.server.requests.byAlloc)+len(r.server.requests.byTask) > 0 || r.server.requests.admission.Open() != 0 {
-		t.Errorf("%d requests, %d tasks, %d open are kept", len(r.server.requests.byAlloc), len(r.server.requests.byTask), r.server.requests.admission.Open())
+		t.Errorf("%d requests by allocation, %d by task and %d open are left, want none", len(r.server.requests.byAlloc),
+			len(r.server.requests.byTask), r.server.requests.admission.Open())
 	}
 }
 
-// TestEndBeforeAnswer has a node end a task before its answer, which follows late, never, or in the same moment. The end of a run gives the
-// client its final answer at once, and no second attempt is made; the late answer reaches nobody, and the node is told to stop the task. An
-// attempt that was not a run is followed by another, but for at-most-once work that may have run.
+// TestEndBeforeAnswer makes a node end a task before its answer, which follows in the same write, later, or never. If the end means that the task
+// was running, the client has its final answer at once and no second attempt is made; a late answer is not forwarded, and the node is told to stop
+// the task. Else another attempt follows, except for at-most-once work that may have run.
 func TestEndBeforeAnswer(t *testing.T) {
 	for _, c := range earlyEnds {
 		for _, job := range []string{"batch", "marked", "single"} {
 			for _, late := range []float64{0, 1, 1700, -1} {
-				t.Run(fmt.Sprintf("%s, %s, answer after %g", c.name, job, late), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, %s, answer after %g ms", c.name, job, late), func(t *testing.T) {
 					checkEarlyEnd(t, c, job, late)
 				})
 			}
@@ -127,8 +128,8 @@
 	}
 }
 
-// TestNotesOfAnEarlierAttempt checks that notes count for the attempt in flight alone: a rejection of the second is no end of a run, though the first ran
-// before it was cancelled.
+// TestNotesOfAnEarlierAttempt checks that notes count for their own attempt only. A rejection of the second attempt does not mean that its task was
+// running, although the first attempt's task ran before it was cancelled.
 func TestNotesOfAnEarlierAttempt(t *testing.T) {
 	r := startRig(t, "a", "b")
 	x := r.dial()
@@ -136,7 +137,7 @@
 	for _, n := range r.nodes {
 		n.onSetUp = func(e *testConn, task uint64) {
 			switch attempts++; attempts {
-			case 1: // it runs, and says so, but is never answered: it times out
+			case 1: // the task runs and sends a note, but no answer, so that the attempt times out
 				e.send(message(codec.KindNote, task, codec.ParamReason, "cores", codec.ParamValue, "0.6"))
 			case 2:
 				e.send(codec.AppendEnd(nil, task, codec.CauseFull))
@@ -148,22 +149,23 @@
 	x.request(7, "batch")
 	r.pass(5000)
 	if attempts < 3 || len(x.received) != 1 || x.received[0] == "7 end 42" {
-		t.Errorf("%d attempts, heard %q", attempts, x.received)
+		t.Errorf("%d attempts, want 3 or more; received %q, want one message other than \"7 end 42\"", attempts, x.received)
 	}
 }
 
-// TestEndBeforeAnswerOnLoopback is the same on sockets: notes, the end and the answer come in this order, each read before the next is sent.
+// TestEndBeforeAnswerOnLoopback makes a node end a task before its answer, on sockets: the end follows a note, and the answer is sent once the end was
+// processed.
 func TestEndBeforeAnswerOnLoopback(t *testing.T) {
 	for _, job := range []string{"batch", "marked", "single"} {
 		t.Run(job, func(t *testing.T) {
 			r := startLoopback(t, nil)
 			x := r.dial()
 			x.request(7, job)
-			r.until("it is offered", func() bool { return slices.Contains(r.node.received(), 7) })
+			r.until("the node receives the set-up", func() bool { return slices.Contains(r.node.received(), 7) })
 			r.node.send(7, early(7, codec.CauseReset, "sent_away", true))
 			x.expect("7 " + afterRun[job])
 			r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
-			r.until("the node is told to end it", func() bool { return r.node.ended(7) })
+			r.until("the node receives the end", func() bool { return r.node.ended(7) })
 			r.waitIdle()
 			attempts := 0
 			for _, task := range r.node.received() {
@@ -172,10 +174,10 @@
 				}
 			}
 			if attempts != 1 {
-				t.Errorf("%d attempts", attempts)
+				t.Errorf("%d attempts, want 1", attempts)
 			}
 			x.send(codec.AppendTest(nil, 9, false))
-			x.expect("9 tested 1") // and nothing before it
+			x.expect("9 tested 1") // no other message comes before it
 		})
 	}
 }
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -7,60 +7,60 @@
 	"testing"
 )
 
-// Events of TestJournal.
+// Node list entries of TestJournal.
 var (
 	goneA  = entryOf("a", "a", "gone")
 	readyB = entryOf("b", "b", "ready")
 )
 
-// journalFaults are ways in which the journal service tells that node a is gone and node b is ready.
+// journalFaults are the cases of TestJournal: ways in which the journal service sends that node a is gone and node b is ready.
 var journalFaults = []struct {
 	name string
 	do   func(r *simRig)
-	in   float64 // ms until the scheduler has to know
+	in   float64 // ms after which the scheduler has to have applied both
 }{
-	{"as it should", func(r *simRig) { r.journal.publish(goneA); r.journal.publish(readyB) }, 100},
-	{"twice", func(r *simRig) {
+	{"without faults", func(r *simRig) { r.journal.publish(goneA); r.journal.publish(readyB) }, 100},
+	{"repeated events", func(r *simRig) {
 		r.journal.publish(readyB)
 		r.journal.broadcast(r.journal.events[1] + "\n" + r.journal.events[0] + "\n")
 		r.journal.publish(goneA)
 	}, 100},
-	{"torn, and breaks off", func(r *simRig) {
+	{"incomplete line, then the connection closes", func(r *simRig) {
 		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
 		r.journal.broadcast(r.journal.events[1][:40])
 		for _, x := range r.journal.conns {
 			x.conn.Close(true, nil)
 		}
 	}, 300},
-	{"noise", func(r *simRig) {
+	{"malformed line", func(r *simRig) {
 		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
 		r.journal.broadcast("{\"pos\":2,\"hosts\":{\"endpo\n")
 	}, 300},
-	{"one left out", func(r *simRig) {
+	{"an event left out", func(r *simRig) {
 		r.journal.events = append(r.journal.events, event(2, false, goneA))
 		r.journal.publish(readyB)
 	}, 300},
-	{"silent but open", func(r *simRig) {
+	{"silent on an open connection", func(r *simRig) {
 		r.journal.silent = true
 		r.journal.publish(goneA, readyB)
 		r.pass(1000)
 		r.journal.silent = false
-		r.journal.conns[0].closed = true // nothing more comes on the old connection
+		r.journal.conns[0].closed = true // broadcast no longer sends on the old connection
 	}, 3000},
-	{"silent in the midst of a line", func(r *simRig) {
+	{"silent within a line", func(r *simRig) {
 		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
 		r.journal.broadcast(r.journal.events[1][:60])
 		r.journal.conns[0].closed = true
 	}, 3000},
-	{"in a trickle", func(r *simRig) {
+	{"one byte every 8 ms", func(r *simRig) {
 		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
 		x, line := r.journal.conns[0], r.journal.events[1]+"\n"
-		x.closed = true // no count comes between
+		x.closed = true // no heartbeat is sent within the line
 		for i := range line {
 			r.clock.At(r.clock.TrueTime()+8*float64(i), func() { x.send(line[i : i+1]) })
 		}
 	}, 8*400 + 200},
-	{"in a trickle without end", func(r *simRig) {
+	{"a line that does not end, one byte every 100 ms", func(r *simRig) {
 		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
 		x := r.journal.conns[0]
 		x.closed = true
@@ -68,7 +68,7 @@
 			r.clock.At(r.clock.TrueTime()+100*float64(i), func() { x.send("{") })
 		}
 	}, 5000},
-	{"silent, at another address, where it is silent too, and at a third", func(r *simRig) {
+	{"silent at two addresses in turn, then at a third", func(r *simRig) {
 		old := r.journal
 		old.silent = true
 		for i := range 2 {
@@ -83,7 +83,7 @@
 		r.pass(50)
 		r.journal.publish(goneA, readyB)
 	}, 100},
-	{"moved and moved back before a connection is made", func(r *simRig) {
+	{"address changed and changed back before a connection is made", func(r *simRig) {
 		other := newFakeJournal(r, "journal:2")
 		other.silent = true
 		r.server.mu.Lock()
@@ -106,13 +106,14 @@
 		r.pass(50)
 		r.journal.publish(goneA, readyB)
 	}, 100},
-	{"a whole list", func(r *simRig) {
+	{"a snapshot", func(r *simRig) {
 		r.journal.events = append(r.journal.events, event(2, true, readyB))
 		r.journal.broadcast(r.journal.events[1] + "\n")
 	}, 100},
 }
 
-// TestJournal has the journal service do what it does on bad days. In the end node b is known, once, and a is gone.
+// TestJournal checks that the scheduler follows the node list through faults of the journal service: in the end it knows node b and not node a, the
+// watch is live, and it has sent few requests for events.
 func TestJournal(t *testing.T) {
 	for _, c := range journalFaults {
 		t.Run(c.name, func(t *testing.T) {
@@ -126,16 +127,16 @@
 			x.want("served by b", "7 served "+r.nodes["b"].description(7))
 			r.pass(2500)
 			if r.server.nodes.byName["a"] != nil || r.server.nodes.byName["b"] == nil {
-				t.Errorf("nodes known: %d", len(r.server.nodes.byName))
+				t.Errorf("%d nodes are known, want node b alone", len(r.server.nodes.byName))
 			}
 			if live := r.server.endpoints.retrier.IsLive(r.process.Now()); !live || len(r.journal.requests) > 3 {
-				t.Errorf("live %v after %q", live, r.journal.requests)
+				t.Errorf("watch is live: %v, want true; requests to the journal service: %q, want at most 3", live, r.journal.requests)
 			}
 		})
 	}
 }
 
-// TestReload checks that a changed configuration is followed, and that one that can't be read changes nothing.
+// TestReload checks that a changed address of the journal service is applied, and that a configuration that can't be read changes nothing.
 func TestReload(t *testing.T) {
 	r := startRig(t, "a")
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -148,7 +149,7 @@
 		`"known":{"pos":0,"entries":[]},"settings":` + settingsText + `}`)
 	r.server.reload(configurationSource{File: file})
 	if r.server.endpoints.address != "journal:2" {
-		t.Errorf("the journal is at %s", r.server.endpoints.address)
+		t.Errorf("address of the journal service: %s, want journal:2", r.server.endpoints.address)
 	}
 	write(`{"name":`)
 	r.server.reload(configurationSource{File: file})
@@ -156,8 +157,8 @@
 	x := r.dial()
 	x.request(7, "batch")
 	r.pass(200)
-	x.want("served all the same", "7 served "+r.nodes["a"].description(7))
+	x.want("after configurations that can't be read", "7 served "+r.nodes["a"].description(7))
 	if r.server.endpoints.address != "journal:2" {
-		t.Errorf("after a bad file the journal is at %s", r.server.endpoints.address)
+		t.Errorf("address of the journal service after configurations that can't be read: %s, want journal:2", r.server.endpoints.address)
 	}
 }
--- a/internal/platform/leak_test.go
+++ b/internal/platform/leak_test.go
@@ -9,10 +9,10 @@
 	"go.uber.org/goleak"
 )
 
-// runs, in the environment, has the tests' binary be a scheduler.
+// runs is the environment variable that makes the test binary run a scheduler instead of the tests.
 const runs = "RAVENPOND_TEST_RUNS"
 
-// TestMain checks that every goroutine has ended when the tests have.
+// TestMain runs a scheduler if the variable runs is set. Else it runs the tests and checks that they leak no goroutines.
 func TestMain(m *testing.M) {
 	if os.Getenv(runs) != "" {
 		if err := Run(zerolog.New(os.Stderr)); err != nil {
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -19,7 +19,7 @@
 	"ravenpond/internal/settings"
 )
 
-// callGate blocks calls while it is closed.
+// callGate blocks the goroutines that call pass while it is closed.
 type callGate struct {
 	mu      sync.Mutex
 	cond    *sync.Cond
@@ -56,12 +56,12 @@
 	return g.waiting
 }
 
-// gatedEnv is the real environment on loopback, whose calls into the scheduler can be blocked, so that a test decides which of two events that
-// cross is processed first.
+// gatedEnv is the real environment on loopback. Its calls into the scheduler can be blocked, so that a test decides which of two concurrent events
+// is processed first.
 type gatedEnv struct {
 	*env.Real
-	turns, reads, ends, dials, accepts *callGate // reads and ends are those of client connections
-	nodes                              *callGate // what comes from nodes, and the ends of their connections
+	turns, reads, ends, dials, accepts *callGate // reads and ends gate the events of client connections
+	nodes                              *callGate // gates the data from nodes and the ends of their connections
 
 	mu          sync.Mutex
 	clockOffset float64
@@ -121,7 +121,7 @@
 
 func (p heldPeer) OnClose(err error) { p.ends.pass(); p.ConnHandler.OnClose(err) }
 
-// loopbackRig is a scheduler on loopback with one node and a journal service.
+// loopbackRig runs a scheduler on loopback with one node and a journal service.
 type loopbackRig struct {
 	t             *testing.T
 	env           *gatedEnv
@@ -131,7 +131,7 @@
 	configuration *Configuration
 }
 
-// tcpNode receives set-ups; the test sends its answers.
+// tcpNode is a node that records set-ups and ends. The test sends its answers.
 type tcpNode struct {
 	listener net.Listener
 
@@ -141,10 +141,10 @@
 	connOf map[uint64]net.Conn
 }
 
-// closeQuietly closes what may be closed already.
+// closeQuietly closes c, which may already be closed.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// serveTCP runs a function for each connection to a listener on loopback, until the end of the test.
+// serveTCP listens on loopback until the end of the test, and calls each for every connection.
 func serveTCP(t *testing.T, each func(net.Conn)) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -236,10 +236,10 @@
 func (n *tcpNode) send(task uint64, b []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_, _ = n.connOf[task].Write(b) // one that is closed shows at the scheduler
+	_, _ = n.connOf[task].Write(b) // the scheduler notices a closed connection
 }
 
-// startLoopback starts a scheduler that has served one request, so that it may use its node at once.
+// startLoopback starts a scheduler and has it serve one request, so that it uses its node without delay afterwards.
 func startLoopback(t *testing.T, change func(*Configuration)) *loopbackRig {
 	t.Helper()
 	r := &loopbackRig{t: t, env: &gatedEnv{
@@ -271,10 +271,10 @@
 		}
 		r.env.Close(5 * time.Second)
 	})
-	r.advanceClock(5000) // a scheduler that has just begun leaves new nodes alone
+	r.advanceClock(5000) // a scheduler that has just started does not use new nodes yet
 	x := r.dial()
 	x.request(1, "batch")
-	r.until("the first is offered", func() bool { return len(r.node.received()) == 1 })
+	r.until("the node receives the set-up of task 1", func() bool { return len(r.node.received()) == 1 })
 	r.node.send(1, codec.AppendAnswer(nil, 1, []byte("at a")))
 	x.expect("1 served at a")
 	closeQuietly(x.conn)
@@ -282,36 +282,36 @@
 	return r
 }
 
-// advanceClock advances the scheduler's clock, and has the scheduler forget that it did not turn meanwhile.
+// advanceClock advances the scheduler's clock, and resets the scheduler's measure of its delay, which the jump would raise.
 func (r *loopbackRig) advanceClock(ms float64) {
 	r.env.mu.Lock()
 	r.env.clockOffset += ms
 	r.env.mu.Unlock()
 	now := r.env.Now()
-	r.until("a turn has met it", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.loop.lastTick >= now })
+	r.until("a tick at the advanced time", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.loop.lastTick >= now })
 	r.server.mu.Lock()
 	r.server.load.delay = overload.Monitor{}
 	r.server.mu.Unlock()
 }
 
-// until waits for a condition, however long the machine takes.
+// until waits until a condition holds, and fails the test after 20 s.
 func (r *loopbackRig) until(what string, is func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("never: %s", what)
+			r.t.Fatalf("timed out after 20 s waiting for: %s", what)
 		}
 	}
 }
 
-// counted reads a figure of the scheduler under its lock.
+// counted returns f(server), which is called with the scheduler's lock held.
 func (r *loopbackRig) counted(f func(s *Server) int) int {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	return f(r.server)
 }
 
-// drainNodeConns leaves no connection to a node that could be used.
+// drainNodeConns makes all connections to nodes drain, so that no attempt uses them.
 func (r *loopbackRig) drainNodeConns() {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
@@ -325,23 +325,23 @@
 // waitIdle waits until the scheduler has no open request.
 func (r *loopbackRig) waitIdle() {
 	r.t.Helper()
-	r.until("nothing is open", func() bool {
+	r.until("the scheduler has no open request", func() bool {
 		return r.counted(func(s *Server) int {
 			return len(s.requests.inbox) + s.host.OpenRequests() + s.requests.admission.Open()
 		}) == 0
 	})
 }
 
-// serve has a client's request served by the node.
+// serve sends a client's request, and has the node answer it.
 func (r *loopbackRig) serve(x *tcpClient, task uint64, job string) {
 	r.t.Helper()
 	x.request(task, job)
-	r.until("it is offered", func() bool { return slices.Contains(r.node.received(), task) })
+	r.until("the node receives the set-up", func() bool { return slices.Contains(r.node.received(), task) })
 	r.node.send(task, codec.AppendAnswer(nil, task, []byte("at a")))
 	x.expect(fmt.Sprintf("%d served at a", task))
 }
 
-// tcpClient is a client on a connection.
+// tcpClient is a client with one connection.
 type tcpClient struct {
 	rig     *loopbackRig
 	conn    *net.TCPConn
@@ -389,11 +389,11 @@
 		x.partial = append(x.partial, b[:n]...)
 		switch {
 		case errors.Is(err, io.EOF) && len(x.partial) > 0:
-			return "half a message"
+			return "closed within a message"
 		case errors.Is(err, io.EOF):
 			return "closed"
 		case err != nil:
-			return "broken: " + err.Error()
+			return "connection failed: " + err.Error()
 		}
 	}
 }
@@ -402,14 +402,14 @@
 	x.rig.t.Helper()
 	for _, w := range want {
 		if got := x.next(); got != w {
-			x.rig.t.Fatalf("heard %q, want %q", got, w)
+			x.rig.t.Fatalf("received %q, want %q", got, w)
 		}
 	}
 }
 
-// departures are the ways in which a client leaves.
+// departures are the ways in which a client closes its connection.
 var departures = map[string]func(x *tcpClient){
-	"closes": func(x *tcpClient) { closeQuietly(x.conn) },
-	"resets": func(x *tcpClient) { _ = x.conn.SetLinger(0); closeQuietly(x.conn) },
-	"half":   func(x *tcpClient) { _ = x.conn.CloseWrite() },
+	"close":      func(x *tcpClient) { closeQuietly(x.conn) },
+	"reset":      func(x *tcpClient) { _ = x.conn.SetLinger(0); closeQuietly(x.conn) },
+	"half close": func(x *tcpClient) { _ = x.conn.CloseWrite() },
 }
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -8,38 +8,38 @@
 	"ravenpond/logic"
 )
 
-// badAnswer is a way in which a node answers an attempt.
+// badAnswer is a case of TestBadAnswers: what a node does with an attempt, and the outcome for each job class.
 type badAnswer struct {
 	name   string
 	does   func(n *fakeNode, e *testConn, task uint64)
-	batch  string // "again": served by the other node, "served": by this one
+	batch  string // "again": served after another attempt, "served": by this one, else the end that the client receives
 	single string
 }
 
 // badAnswers are the cases of TestBadAnswers.
 var badAnswers = []badAnswer{
 	{"full", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseFull)) }, "again", "again"},
-	{"moot", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseNotStarted)) }, "again", "again"},
+	{"not started", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseNotStarted)) }, "again", "again"},
 	{"error", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseErrored)) }, "again", "end 41"},
-	{"broken on its way", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseReset)) }, "again", "end 41"},
-	{"a normal end", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseNormal)) }, "end 42", "end 41"},
-	{"closed under it", func(_ *fakeNode, e *testConn, _ uint64) { e.conn.Close(true, nil) }, "again", "end 41"},
-	{"noise", func(_ *fakeNode, e *testConn, _ uint64) { e.send([]byte("\x00\x40\xf3 noise, noise and more noise")) }, "again", "end 41"},
-	{"an answer said to be huge", func(_ *fakeNode, e *testConn, _ uint64) { e.send([]byte("\xff\xff\x09")) }, "again", "end 41"},
-	{"without a description", func(_ *fakeNode, e *testConn, task uint64) { e.send(message(codec.KindAnswer, task)) }, "again", "end 41"},
-	{"cut short", func(n *fakeNode, e *testConn, task uint64) {
+	{"reset", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseReset)) }, "again", "end 41"},
+	{"normal end", func(_ *fakeNode, e *testConn, task uint64) { e.send(codec.AppendEnd(nil, task, codec.CauseNormal)) }, "end 42", "end 41"},
+	{"connection closed", func(_ *fakeNode, e *testConn, _ uint64) { e.conn.Close(true, nil) }, "again", "end 41"},
+	{"unreadable bytes", func(_ *fakeNode, e *testConn, _ uint64) { e.send([]byte("\x00\x40\xf3 noise, noise and more noise")) }, "again", "end 41"},
+	{"answer with a length above the limit", func(_ *fakeNode, e *testConn, _ uint64) { e.send([]byte("\xff\xff\x09")) }, "again", "end 41"},
+	{"answer without a description", func(_ *fakeNode, e *testConn, task uint64) { e.send(message(codec.KindAnswer, task)) }, "again", "end 41"},
+	{"incomplete answer", func(n *fakeNode, e *testConn, task uint64) {
 		b := codec.AppendAnswer(nil, task, []byte(n.description(task)))
 		e.send(b[:len(b)-3])
 		e.conn.Close(true, nil)
 	}, "again", "end 41"},
-	{"never", func(*fakeNode, *testConn, uint64) {}, "again", "end 41"},
-	{"doubled", func(n *fakeNode, e *testConn, task uint64) { n.answer(e, task); n.answer(e, task) }, "served", "served"},
-	{"behind one for nobody", func(n *fakeNode, e *testConn, task uint64) { n.answer(e, 99); n.answer(e, task) }, "served", "served"},
-	{"good", func(n *fakeNode, e *testConn, task uint64) { n.answer(e, task) }, "served", "served"},
+	{"no answer", func(*fakeNode, *testConn, uint64) {}, "again", "end 41"},
+	{"repeated answer", func(n *fakeNode, e *testConn, task uint64) { n.answer(e, task); n.answer(e, task) }, "served", "served"},
+	{"after the answer to an unknown task", func(n *fakeNode, e *testConn, task uint64) { n.answer(e, 99); n.answer(e, task) }, "served", "served"},
+	{"normal answer", func(n *fakeNode, e *testConn, task uint64) { n.answer(e, task) }, "served", "served"},
 }
 
-// TestBadAnswers has the node that is tried first answer badly. Restartable work is served by the other node; at-most-once work fails, as it may have
-// run, unless it provably did not. Nothing is ever started twice at one time.
+// TestBadAnswers makes the node of the first attempt fail in some way. Restartable work is served by another attempt. At-most-once work fails, as it
+// may have run, unless it provably did not, and is never given to a node twice otherwise.
 func TestBadAnswers(t *testing.T) {
 	for _, c := range badAnswers {
 		for _, job := range []string{"batch", "single"} {
@@ -50,7 +50,7 @@
 	}
 }
 
-// checkBadAnswer plays one case of TestBadAnswers.
+// checkBadAnswer runs one case of TestBadAnswers.
 func checkBadAnswer(t *testing.T, c badAnswer, job string) {
 	t.Helper()
 	r := startRig(t, "a", "b")
@@ -74,7 +74,7 @@
 		other = r.nodes["b"]
 	}
 	switch want {
-	case "again": // by the other, or once more by the same where it had turned it away
+	case "again": // it was served by the other node, or by the first node in a further attempt
 		want = "served " + other.description(7)
 		if first.starts[7] > 1 {
 			want = "served " + first.description(7)
@@ -84,20 +84,20 @@
 	}
 	x.want("answer", "7 "+want)
 	if (job == "single" && c.single != "again" || c.batch == "end 42") && first.starts[7]+other.starts[7] != 1 {
-		t.Errorf("given to nodes %d times", first.starts[7]+other.starts[7])
+		t.Errorf("nodes received %d set-ups, want 1", first.starts[7]+other.starts[7])
 	}
 	if strings.HasPrefix(want, "served") && len(x.receivedAt) > 0 && x.receivedAt[0] > r.clock.TrueTime()-4000+2500 {
-		t.Error("after its expiry")
+		t.Error("the request was served after its deadline")
 	}
 }
 
-// TestResets has connections to nodes reset when they are new and when they are idle. At-most-once work has one final answer, and is served only
-// once, whatever was under way.
+// TestResets resets connections to nodes when they are new and when they are idle. At-most-once work has one final answer, and is given to nodes at
+// most once.
 func TestResets(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		resets func(r *simRig)
-		served bool // it must be: no connection was reset under it
+		served bool // the request must be served, as no connection in use was reset
 	}{
 		{"new", func(r *simRig) {
 			for _, n := range r.nodes {
@@ -112,7 +112,7 @@
 			}
 			r.pass(50)
 		}, true},
-		{"idle, and it finds out by its set-up alone", func(r *simRig) {
+		{"idle, noticed only when the set-up is sent", func(r *simRig) {
 			for _, n := range r.nodes {
 				for _, e := range n.conns {
 					e.conn.(interface{ Reset(bool) }).Reset(false)
@@ -133,15 +133,15 @@
 			r.pass(3000)
 			given := r.nodes["a"].starts[7] + r.nodes["b"].starts[7]
 			if len(x.received) != 1 || c.served && !strings.HasPrefix(x.received[0], "7 served") {
-				t.Errorf("%q", x.received)
+				t.Errorf("received %q, want one message, and to be served if no connection in use was reset", x.received)
 			} else if given > 1 || given > 0 && x.received[0] == "7 end 42" {
-				t.Errorf("given to nodes %d times, then %q", given, x.received)
+				t.Errorf("nodes received %d set-ups, want at most one; then the client received %q, want no retry of work that may have run", given, x.received)
 			}
 		})
 	}
 }
 
-// TestConnectionRefused sends at-most-once work to a node that refuses connections: it provably never ran, and goes elsewhere.
+// TestConnectionRefused sends at-most-once work to a node that refuses connections. The work provably never ran, and is served by the other node.
 func TestConnectionRefused(t *testing.T) {
 	r := startRig(t, "a", "b")
 	r.nodes["a"].listener.Close()
@@ -151,14 +151,14 @@
 	}
 	r.pass(1000)
 	if len(x.received) != 8 || strings.Contains(strings.Join(x.received, " "), "end") {
-		t.Errorf("%q, want eight served", x.received)
+		t.Errorf("received %q, want 8 requests served", x.received)
 	}
 	if r.server.telemetry.outcomes[logic.Unreachable] == 0 {
-		t.Error("the node that refuses was never tried")
+		t.Error("no attempt was made at the node that refuses connections")
 	}
 }
 
-// TestLateAnswer has a node answer after the attempt has timed out: the task that started late is stopped, and one runs.
+// TestLateAnswer makes a node answer after the attempt has timed out. The task that started late is stopped, and that of the next attempt runs.
 func TestLateAnswer(t *testing.T) {
 	r := startRig(t, "a", "b")
 	x := r.dial()
@@ -176,14 +176,14 @@
 	x.request(7, "batch")
 	r.pass(2400)
 	if len(x.received) != 1 || !strings.HasPrefix(x.received[0], "7 served") {
-		t.Fatalf("%q", x.received)
+		t.Fatalf("received %q, want one message, which says that task 7 is served", x.received)
 	}
 	if first.running[7] || !r.nodes["a"].running[7] && !r.nodes["b"].running[7] {
-		t.Errorf("a: %v, b: %v stand; the first was %s", r.nodes["a"].running, r.nodes["b"].running, first.name)
+		t.Errorf("tasks running at a: %v, at b: %v; want task 7 at one node other than the first, %s", r.nodes["a"].running, r.nodes["b"].running, first.name)
 	}
 }
 
-// TestStartAndEndInOne checks that the start and the end of a task that come in one message are both passed on.
+// TestStartAndEndInOne checks that the client gets both the answer and the end when a node sends them in one message.
 func TestStartAndEndInOne(t *testing.T) {
 	r := startRig(t, "a", "b")
 	for _, n := range r.nodes {
@@ -197,27 +197,27 @@
 	x.want("answer and end", "7 served short", "7 end 16")
 }
 
-// TestNodeLost checks that the end of a running task is notified within 8 s if its node has died or is cut off, and not if only a connection broke.
+// TestNodeLost checks that the end of a running task is notified within 8 s if its node has failed, and not if only a connection broke.
 func TestNodeLost(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(r *simRig, n *fakeNode)
 		lost bool
 	}{
-		{"killed", func(r *simRig, n *fakeNode) { n.process.Kill(false) }, true},
-		{"without power", func(r *simRig, n *fakeNode) { n.process.Kill(true) }, true},
-		{"a connection reset", func(r *simRig, n *fakeNode) {
+		{"process killed", func(r *simRig, n *fakeNode) { n.process.Kill(false) }, true},
+		{"power failure", func(r *simRig, n *fakeNode) { n.process.Kill(true) }, true},
+		{"connections closed", func(r *simRig, n *fakeNode) {
 			for _, e := range n.conns {
 				e.conn.Close(false, nil)
 			}
 		}, false},
-		{"quiet", func(*simRig, *fakeNode) {}, false},
-		{"gone from the list, and closes", func(r *simRig, n *fakeNode) {
+		{"idle", func(*simRig, *fakeNode) {}, false},
+		{"gone from the node list, process killed", func(r *simRig, n *fakeNode) {
 			r.journal.publish(entryOf("a", "a", "gone"))
 			r.pass(100)
 			n.process.Kill(false)
 		}, true},
-		{"gone from the list, and still at work", func(r *simRig, n *fakeNode) { r.journal.publish(entryOf("a", "a", "gone")) }, false},
+		{"gone from the node list, still running", func(r *simRig, n *fakeNode) { r.journal.publish(entryOf("a", "a", "gone")) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startRig(t, "a")
@@ -230,37 +230,38 @@
 			c.do(r, n)
 			r.pass(7800)
 			if c.lost {
-				x.want("lost", served, "7 end 41")
+				x.want("after the loss of the node", served, "7 end 41")
 			} else {
-				x.want("stands", served)
+				x.want("while the task runs", served)
 			}
 		})
 	}
 }
 
-// TestAddressReused has a new node come up at the address of one that is gone: nothing of the old one passes to it.
+// TestAddressReused starts a new node at the address of one that is gone. The new node takes over neither the connections nor the tasks of the old
+// one.
 func TestAddressReused(t *testing.T) {
 	r := startRig(t, "a")
 	old := r.nodes["a"]
 	x := r.dial()
 	x.request(7, "batch")
 	r.pass(100)
-	old.listener.Close() // its process lives on for a while, at a connection that stands
+	old.listener.Close() // the process keeps running, with an open connection
 	newFakeNode(r, "b", "a")
 	r.journal.publish(entryOf("a", "a", "gone"), entryOf("b", "a", "ready"))
 	r.pass(100)
 	x.request(8, "single")
 	r.pass(300)
-	x.want("served by the new one", "7 served "+old.description(7), "8 served "+r.nodes["b"].description(8))
+	x.want("served by the new node", "7 served "+old.description(7), "8 served "+r.nodes["b"].description(8))
 	if old.starts[8] > 0 {
-		t.Error("the set-up went to the old one")
+		t.Error("the old node received the set-up of task 8")
 	}
 	r.nodes["b"].conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 	r.pass(100)
-	x.want("the new one can't end the old one's", "7 served "+old.description(7), "8 served "+r.nodes["b"].description(8))
+	x.want("after the new node sent the end of a task of the old one", "7 served "+old.description(7), "8 served "+r.nodes["b"].description(8))
 	old.process.Kill(false)
 	r.pass(500)
 	if r.server.nodes.byName["a"] != nil {
-		t.Error("the old one is kept")
+		t.Error("the old node is still in the table")
 	}
 }
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -18,7 +18,7 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// process is a scheduler as a program of its own, on loopback.
+// process is a scheduler that runs as a separate process, on loopback.
 type process struct {
 	*loopbackRig
 	cmd  *exec.Cmd
@@ -26,7 +26,7 @@
 	err  *lines
 }
 
-// lines keeps what a process prints.
+// lines records the standard error output of a process.
 type lines struct {
 	mu  sync.Mutex
 	all bytes.Buffer
@@ -44,7 +44,7 @@
 	return strings.Contains(l.all.String(), text)
 }
 
-// tailed starts a journal service that counts how often it is asked.
+// tailed starts a journal service. asked returns how many requests for events it has received.
 func tailed(t *testing.T) (address string, asked func() int) {
 	t.Helper()
 	var mu sync.Mutex
@@ -72,7 +72,8 @@
 
 func (p *process) write(journal string) {
 	p.t.Helper()
-	text := fmt.Sprintf(`{"name":"n0","listen":%q,"journal":%q,"seed":"3","limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"pos":1,"entries":[%s]},"settings":%s}`,
+	text := fmt.Sprintf(`{"name":"n0","listen":%q,"journal":%q,"seed":"3","limits":{"cores":1,"memory_mb":64,"sockets":256},`+
+		`"known":{"pos":1,"entries":[%s]},"settings":%s}`,
 		p.address, journal, event(1, true, entryOf("a", p.node.listener.Addr().String(), "ready")), settingsText)
 	if err := os.WriteFile(p.file+".new", []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
@@ -105,7 +106,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = p.cmd.Process.Kill(); _ = p.cmd.Wait() })
-	p.until("the door is open", func() bool { return p.err.has(`"message":"listening for clients"`) })
+	p.until("the scheduler listens for clients", func() bool { return p.err.has(`"message":"listening for clients"`) })
 	return p
 }
 
@@ -116,17 +117,17 @@
 	}
 }
 
-// TestSignals sends a program SIGHUP in quick succession, with files that can't be read among them, and SIGTERM right after one, while work is in hand:
-// the last address is followed, what is in hand is answered, and the program exits with status 0.
+// TestSignals sends a scheduler's process SIGHUP in quick succession, in part with files that can't be read, and SIGTERM right after one, while a
+// request is open. The last valid configuration is applied, the open request is answered, and the process exits with status 0.
 func TestSignals(t *testing.T) {
 	first, askedFirst := tailed(t)
 	second, askedSecond := tailed(t)
 	third, _ := tailed(t)
 	p := startProcess(t, first)
-	p.until("the first journal service is asked", func() bool { return askedFirst() > 0 })
+	p.until("the first journal service receives a request", func() bool { return askedFirst() > 0 })
 	x := p.dial()
 	x.request(7, "single")
-	p.until("work is in hand", func() bool { return slices.Contains(p.node.received(), 7) })
+	p.until("the node receives the set-up", func() bool { return slices.Contains(p.node.received(), 7) })
 	for i := range 20 {
 		if i%3 == 0 {
 			if err := os.WriteFile(p.file, []byte(`{"name":`), 0o600); err != nil {
@@ -141,17 +142,17 @@
 		t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP)
-	p.until("a bad file is told", func() bool { return p.err.has("configuration rejected; keeping the previous one") })
+	p.until("the rejected configuration is logged", func() bool { return p.err.has("configuration rejected; keeping the previous one") })
 	p.write(second)
 	p.signal(syscall.SIGHUP)
-	p.until("the last address is asked", func() bool { return askedSecond() > 0 })
+	p.until("the last journal service receives a request", func() bool { return askedSecond() > 0 })
 	p.signal(syscall.SIGHUP)
 	p.signal(syscall.SIGTERM)
 	p.signal(syscall.SIGHUP)
-	p.until("it is told to end", func() bool { return p.err.has("shutdown requested") })
+	p.until("the shutdown request is logged", func() bool { return p.err.has("shutdown requested") })
 	p.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 	x.expect("7 served at a", "closed")
 	if err := p.cmd.Wait(); err != nil {
-		t.Errorf("%v", err)
+		t.Errorf("the process ended with %v, want exit status 0", err)
 	}
 }
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -8,7 +8,8 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestServed follows a request all the way: a set-up, its answer with the node's description byte for byte, its end.
+// TestServed follows a request from the set-up to the end of its task. The answer carries the node's description byte for byte, and a repeated end
+// is not notified again.
 func TestServed(t *testing.T) {
 	for _, job := range []string{"batch", "marked", "single"} {
 		t.Run(job, func(t *testing.T) {
@@ -20,19 +21,20 @@
 			x.want("served", "9 tested 1", "7 served "+n.description(7))
 			n.conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 			r.pass(50)
-			x.want("its end", "9 tested 1", "7 served "+n.description(7), "7 end 16")
+			x.want("after the end", "9 tested 1", "7 served "+n.description(7), "7 end 16")
 			n.conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 			r.pass(3000)
-			x.want("told twice", "9 tested 1", "7 served "+n.description(7), "7 end 16")
+			x.want("after a repeated end", "9 tested 1", "7 served "+n.description(7), "7 end 16")
 			if len(r.server.requests.byAlloc)+len(r.server.requests.byTask) > 0 || r.server.requests.admission.Open() != 0 {
-				t.Errorf("%d asks, %d tasks, %d open are kept", len(r.server.requests.byAlloc), len(r.server.requests.byTask), r.server.requests.admission.Open())
+				t.Errorf("%d requests by allocation, %d by task and %d open are left, want none", len(r.server.requests.byAlloc),
+					len(r.server.requests.byTask), r.server.requests.admission.Open())
 			}
 		})
 	}
 }
 
-// TestTaskOutlivesConnection has a running task outlive the client's connection: its end, or that it is to be requested anew, is notified on another connection, or on
-// the next one.
+// TestTaskOutlivesConnection ends a running task, or has it requested again, after the client's connection has closed. The client is notified on
+// another connection, or on the next one that it opens.
 func TestTaskOutlivesConnection(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -40,10 +42,10 @@
 		ends    func(r *simRig)
 		want    string
 	}{
-		{"ends, another", true, ends, "7 end 16"},
-		{"ends, none", false, ends, "7 end 16"},
-		{"moved, another", true, moves, "7 move"},
-		{"moved, none", false, moves, "7 move"},
+		{"end, with another connection", true, ends, "7 end 16"},
+		{"end, without another connection", false, ends, "7 end 16"},
+		{"move, with another connection", true, moves, "7 move"},
+		{"move, without another connection", false, moves, "7 move"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startRig(t, "a")
@@ -66,10 +68,10 @@
 				r.pass(300)
 			}
 			if !slices.Contains(y.received, c.want) {
-				t.Errorf("%q, want %s", y.received, c.want)
+				t.Errorf("received %q, want %q among them", y.received, c.want)
 			}
 			if n := len(r.nodes["a"].ended); n > 0 {
-				t.Errorf("the node was told %d times beside it", n)
+				t.Errorf("the node received %d ends, want none", n)
 			}
 		})
 	}
@@ -83,7 +85,8 @@
 	hostEffects{r.server}.NotifyMove(r.server.requests.byTask[7].allocID)
 }
 
-// TestRecoverTask takes over tasks that run at nodes after a start: no answer is sent for them, their ends are notified.
+// TestRecoverTask requests tasks that already run at nodes, as clients do after a scheduler has started. No answers are sent for them, and their ends
+// are notified. A task at an unknown node fails.
 func TestRecoverTask(t *testing.T) {
 	r := startRig(t, "a")
 	x := r.dial()
@@ -91,20 +94,20 @@
 	x.send(setUp(7, "single", codec.ParamDemand, demandText+";at:a"))
 	x.send(setUp(8, "single", codec.ParamDemand, demandText+";at:nowhere"))
 	r.pass(4000)
-	x.want("nothing but for the one nowhere", "8 end 41")
+	x.want("the failure of the task at an unknown node alone", "8 end 41")
 	if len(r.nodes["a"].conns) == 0 {
-		t.Fatal("no connection on which the node could tell its end")
+		t.Fatal("no connection to node a, which could carry the end of its task")
 	}
 	if open := open(r.nodes["a"]); len(open) != 1 {
-		t.Fatalf("%d connections are open: each look takes the place of the one before", len(open))
+		t.Fatalf("%d connections are open, want 1: each check of the node replaces the connection of the one before", len(open))
 	} else {
 		open[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 	}
 	r.pass(100)
-	x.want("its end", "8 end 41", "7 end 16")
+	x.want("after the end", "8 end 41", "7 end 16")
 }
 
-// TestStop stops a scheduler under load: all that it accepts is answered, and running tasks run on.
+// TestStop shuts a scheduler down under load. All accepted requests are answered, and running tasks go on.
 func TestStop(t *testing.T) {
 	r := startRig(t, "a")
 	n := r.nodes["a"]
@@ -118,7 +121,7 @@
 	slow := n.onSetUp
 	n.onSetUp = func(e *testConn, task uint64) {
 		if slow == nil && task%5 == 0 {
-			return // never answered
+			return // the node never answers these
 		}
 		n.process.After(30, func() { n.answer(e, task) })
 	}
@@ -131,15 +134,15 @@
 	select {
 	case <-r.server.Done():
 	default:
-		t.Fatal("not ended")
+		t.Fatal("the scheduler has not shut down")
 	}
 	if len(x.received) != 30 || len(y.received) != 1 {
-		t.Errorf("%d of 30 answered, %d of 1: %q", len(x.received), len(y.received), x.received)
+		t.Errorf("%d answers before the shutdown, want 30; %d after its start, want 1; the former are %q", len(x.received), len(y.received), x.received)
 	}
 	if len(n.running) != 25 {
-		t.Errorf("%d stand, want 25", len(n.running))
+		t.Errorf("%d tasks are running, want 25", len(n.running))
 	}
 	if z := r.dial(); !z.ended {
-		t.Error("the door is open still")
+		t.Error("a connection was accepted after the shutdown")
 	}
 }
--- a/internal/platform/sim_rig_test.go
+++ b/internal/platform/sim_rig_test.go
@@ -28,7 +28,7 @@
   {"name": "marked", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "guarded", "worth": 1, "group": "all", "window-ns": 8000000000},
   {"name": "single", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "single_shot", "worth": 1, "group": "all"}]}`
 
-// simRig is a scheduler among stand-ins for nodes, clients and the journal service, on a virtual clock and network.
+// simRig runs a scheduler with fake nodes, clients and a fake journal service, on a virtual clock and network.
 type simRig struct {
 	t             *testing.T
 	clock         *sim.Clock
@@ -42,16 +42,16 @@
 
 const (
 	clientAddress = "scheduler:1"
-	unixBase      = 1767225600000 // ms, of the world's zero
+	unixBase      = 1767225600000 // Unix ms, the origin of the virtual clock
 )
 
-// startRig starts a scheduler that knows the nodes with these names, at addresses of the same names.
+// startRig starts a scheduler whose node list has nodes with these names, at addresses of the same names.
 func startRig(t *testing.T, names ...string) *simRig {
 	t.Helper()
 	return startRigWith(t, settingsText, entryOf, names...)
 }
 
-// startRigWith starts a scheduler with other settings, whose node list has entries to match.
+// startRigWith starts a scheduler with other settings. entryOf returns the entries of its node list.
 func startRigWith(t *testing.T, settingsText string, entryOf func(name, address, status string) string, names ...string) *simRig {
 	t.Helper()
 	r := &simRig{t: t, clock: sim.NewClock(7), nodes: map[string]*fakeNode{}}
@@ -71,7 +71,7 @@
 	}
 	r.configuration = c
 	r.start()
-	r.pass(3000) // a scheduler that has just begun leaves new nodes alone
+	r.pass(3000) // a scheduler that has just started does not use new nodes yet
 	return r
 }
 
@@ -93,7 +93,7 @@
 	return fmt.Sprintf(`{"pos":%d,"hosts":{"index":%d,"snapshot":%v,"endpoints":[%s]}}`, pos, pos, whole, strings.Join(entries, ","))
 }
 
-// testConn is a connection of a stand-in.
+// testConn is a connection of a fake node or of a test client.
 type testConn struct {
 	conn      env.Conn
 	in        []byte
@@ -118,20 +118,20 @@
 
 func (e *testConn) send(b []byte) { e.conn.Send(func(x []byte) []byte { return append(x, b...) }) }
 
-// fakeNode is a stand-in for a node. Unless a test says otherwise it starts a task 30 ms after the set-up.
+// fakeNode is a simulated node. By default it starts a task 30 ms after the set-up.
 type fakeNode struct {
 	rig       *simRig
 	name      string
 	process   *sim.Process
 	listener  env.Listener
 	conns     []*testConn
-	starts    map[uint64]int // set-ups that were taken, by task
-	open      map[uint64]*testConn
+	starts    map[uint64]int       // the number of set-ups received, by task
+	open      map[uint64]*testConn // the connection of the last set-up, by task
 	running   map[uint64]bool
-	ended     []uint64 // given up or cut by the scheduler
-	tests     int
-	onSetUp   func(e *testConn, task uint64) // in place of starting it
-	onConnect func(e *testConn)              // a connection that is new
+	ended     []uint64                       // tasks that the scheduler ended
+	tests     int                            // the number of test messages received
+	onSetUp   func(e *testConn, task uint64) // called instead of starting the task, if set
+	onConnect func(e *testConn)              // called for each new connection, if set
 }
 
 func newFakeNode(r *simRig, name, address string) *fakeNode {
@@ -183,7 +183,7 @@
 	}
 }
 
-// description returns a node's description of a task, with bytes that are no text.
+// description returns the node's description of a task, with bytes that are not valid text.
 func (n *fakeNode) description(task uint64) string {
 	return fmt.Sprintf("%s\x00\xff\r\n%x", n.name, task)
 }
@@ -193,11 +193,11 @@
 	e.send(codec.AppendAnswer(nil, task, []byte(n.description(task))))
 }
 
-// testClient is a client on a connection.
+// testClient is a client with one connection.
 type testClient struct {
 	*testConn
 	rig        *simRig
-	received   []string // what came, in words
+	received   []string // the received messages as text
 	receivedAt []float64
 }
 
@@ -229,7 +229,7 @@
 	}
 }
 
-// message builds a message from codes and values.
+// message returns a message with the given pairs of a parameter code and a value.
 func message(kind byte, task uint64, params ...any) []byte {
 	b := binary.BigEndian.AppendUint64([]byte{0, 0, kind}, task)
 	for i := 0; i < len(params); i += 2 {
@@ -242,7 +242,7 @@
 
 const demandText = "cores:1;memory:2;service:00000000b4d65521"
 
-// setUp returns a client's set-up; further parameters replace those with the same code.
+// setUp returns a client's set-up message. Further parameters replace the default ones with the same code.
 func setUp(task uint64, job string, more ...any) []byte {
 	params := []any{
 		codec.ParamJobClass, job, codec.ParamTimeLeft, "2500", codec.ParamTenant, "acme", codec.ParamName, fmt.Sprintf("%016x", task), codec.ParamKey,
@@ -260,14 +260,14 @@
 
 func (x *testClient) request(task uint64, job string) { x.send(setUp(task, job)) }
 
-// fakeJournal is a stand-in for the journal service.
+// fakeJournal is a simulated journal service.
 type fakeJournal struct {
 	rig      *simRig
 	process  *sim.Process
 	events   []string
 	conns    []*journalConn
 	listener env.Listener
-	silent   bool // says nothing at all
+	silent   bool // it sends nothing at all
 	requests []string
 }
 
@@ -300,7 +300,7 @@
 		return 0
 	}
 	var e struct{ Pos int }
-	_ = json.Unmarshal([]byte(j.events[len(j.events)-1]), &e) // the rig writes them
+	_ = json.Unmarshal([]byte(j.events[len(j.events)-1]), &e) // event wrote the text, which is valid
 	return e.Pos
 }
 
@@ -316,7 +316,7 @@
 		return
 	}
 	var from int
-	_, _ = fmt.Sscanf(line, "tail %d", &from) // anything else asks for all events
+	_, _ = fmt.Sscanf(line, "tail %d", &from) // any other request asks for all events
 	for _, e := range x.journal.events {
 		var p struct{ Pos int }
 		_ = json.Unmarshal([]byte(e), &p)
@@ -330,7 +330,7 @@
 	x.conn.Send(func(b []byte) []byte { return append(b, text...) })
 }
 
-// broadcast sends text on all connections.
+// broadcast sends text on all open connections.
 func (j *fakeJournal) broadcast(text string) {
 	if j.silent {
 		return
@@ -342,7 +342,7 @@
 	}
 }
 
-// publish adds an event and sends it.
+// publish appends an event to the journal and sends it on all open connections.
 func (j *fakeJournal) publish(entries ...string) {
 	e := event(j.last()+1, false, entries...)
 	j.events = append(j.events, e)
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -14,12 +14,12 @@
 	"ravenpond/logic"
 )
 
-// TestCustomers plays a siteDay with the settings of each site in deploy/sites: its names, deadlines, tenants and zones. Each client that stays is
-// answered once and in time, nothing takes effect twice, and draining nodes get no new work.
+// TestCustomers simulates a siteDay with the settings of each site in deploy/sites: its names, deadlines, tenants and zones. Each client that stays
+// connected is answered once and in time, no at-most-once work is attempted again after it may have run, and draining nodes get no new work.
 func TestCustomers(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*/settings.json")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("%d sites, %v", len(files), err)
+		t.Fatalf("%d sites, want 2 or more; error %v", len(files), err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(filepath.Dir(file)), func(t *testing.T) {
@@ -32,41 +32,41 @@
 	}
 }
 
-// siteRequest is a request of siteDay.
+// siteRequest is a request in a siteDay.
 type siteRequest struct {
 	client     *testClient
 	job        int
 	deadline   float64
-	departed   bool // the client left before it was answered
+	departed   bool // the client closed its connection before it was answered
 	answered   bool
 	starts     int
 	mayHaveRun bool
 }
 
-// siteDay plays a site's settings for 15 s and a shutdown, with clients that leave, nodes that reject, drain, fail and join, and a journal
-// service that falls silent.
+// siteDay simulates a scheduler with a site's settings for 15 s and through a shutdown, with clients that leave, nodes that reject, drain, fail and
+// join, and a journal service that is silent for a while.
 type siteDay struct {
 	*simRig
 	known     *settings.Deployment
 	rng       *rand.Rand
-	startedAt map[string]float64 // Unix ms, of nodes that join
-	drainedAt map[string]float64
+	startedAt map[string]float64 // the start times of nodes that join, in Unix ms
+	drainedAt map[string]float64 // the times at which nodes start to drain, by name
 	requests  map[uint64]*siteRequest
-	client    *testClient // which requests
+	client    *testClient // the client that makes the next request
 	lastTask  uint64
 }
 
-// entry is a node's entry in the list.
+// entry returns a node's entry in the node list.
 func (d *siteDay) entry(name, address, status string) string {
 	i := int(name[1] - '0')
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":%d,"status":%q,"since_ms":%.0f,"room":[24,48]}`, name, address,
 		d.known.Zones[i%len(d.known.Zones)], d.known.Kinds[i%len(d.known.Kinds)], i, status, d.startedAt[name])
 }
 
-// publish has the journal service tell a node's state.
+// publish sends a node's state from the journal service.
 func (d *siteDay) publish(name, status string) { d.journal.publish(d.entry(name, name, status)) }
 
-// serve has a node reject one attempt in eight, and start and then complete the others.
+// serve makes a node reject one attempt in eight, and start and then complete the others.
 func (d *siteDay) serve(n *fakeNode) {
 	n.onSetUp = func(e *testConn, task uint64) {
 		d.onSetUp(n, task)
@@ -87,19 +87,20 @@
 	}
 }
 
-// onSetUp checks that an attempt may be made at a node.
+// onSetUp checks that an attempt may be made at a node, and counts it.
 func (d *siteDay) onSetUp(n *fakeNode, task uint64) {
 	r := d.requests[task]
 	r.starts++
 	if at, ok := d.drainedAt[n.name]; ok && d.clock.TrueTime() > at+500+50 {
-		d.t.Errorf("%s was sent %d %g ms after it was told to drain", n.name, task, d.clock.TrueTime()-at)
+		d.t.Errorf("node %s received task %d %g ms after it started to drain", n.name, task, d.clock.TrueTime()-at)
 	}
 	if d.known.Cluster.JobClasses[r.job].Semantics == logic.AtMostOnce && r.mayHaveRun {
-		d.t.Errorf("%d, which may have run, is tried again", task)
+		d.t.Errorf("at-most-once task %d, which may have run, is attempted again", task)
 	}
 }
 
-// request has the client make a request. One time in fifteen it leaves soon after, with all that it has open, and another takes its place.
+// request sends a request from the client. One time in fifteen the client closes its connection soon after, with all its open requests, and a new
+// client replaces it.
 func (d *siteDay) request() {
 	d.lastTask++
 	job := d.rng.IntN(len(d.known.JobClasses))
@@ -107,7 +108,7 @@
 	var b []byte
 	if len(d.known.Tenants) > 0 {
 		b = setUp(d.lastTask, d.known.JobClasses[job], codec.ParamTimeLeft, left, codec.ParamTenant, d.known.Tenants[d.rng.IntN(len(d.known.Tenants))])
-	} else { // a site without tenants names none
+	} else { // requests of a site without tenants name none
 		b = message(codec.KindSetUp, d.lastTask, codec.ParamJobClass, d.known.JobClasses[job], codec.ParamTimeLeft, left, codec.ParamName,
 			fmt.Sprintf("%016x", d.lastTask), codec.ParamKey, strings.Repeat("5c", 16), codec.ParamDemand, demandText, codec.ParamDescription, "owner's")
 	}
@@ -120,7 +121,7 @@
 	}
 }
 
-// leave closes a client's connection.
+// leave closes a client's connection and marks its unanswered requests as departed.
 func (d *siteDay) leave(client *testClient) {
 	for _, r := range d.requests {
 		r.departed = r.departed || r.client == client && !r.answered
@@ -128,7 +129,7 @@
 	client.conn.Close(true, nil)
 }
 
-// schedule plans what happens to the nodes and the journal service, after a time.
+// schedule schedules the faults and changes of the nodes and the journal service, relative to began.
 func (d *siteDay) schedule(began float64) {
 	at := func(ms float64, f func()) { d.clock.At(began+ms, f) }
 	at(4000, func() { d.publish("s0", "draining"); d.drainedAt["s0"] = d.clock.TrueTime() })
@@ -143,7 +144,7 @@
 	at(12000, func() { d.journal.silent = false })
 }
 
-// stop shuts the scheduler down, with requests that come for a while yet, and checks that it ends in time.
+// stop shuts the scheduler down, while requests are still sent for a while, and checks that the shutdown completes in time.
 func (d *siteDay) stop() {
 	stopped := d.clock.TrueTime()
 	d.server.Stop()
@@ -159,25 +160,25 @@
 			return
 		default:
 			if d.clock.TrueTime() > stopped+min(longest, 3000)+700 {
-				d.t.Fatal("it would have been killed")
+				d.t.Fatal("the shutdown has taken so long that the platform would have killed the scheduler")
 			}
 		}
 		d.pass(10)
 	}
 }
 
-// notice is a message that a client received: what became of a task.
+// notice is a message that a client received about a task.
 type notice struct {
 	task uint64
 	word string
 }
 
 func readNotice(text string) (n notice) {
-	_, _ = fmt.Sscanf(text, "%d %s", &n.task, &n.word) // a text of another form names task 0, which nobody requests
+	_, _ = fmt.Sscanf(text, "%d %s", &n.task, &n.word) // a text of another form yields task 0, which is never requested
 	return n
 }
 
-// checkDeadlines checks that first messages were received in time.
+// checkDeadlines checks that the first message about each request was received in time, and marks the request as answered.
 func (d *siteDay) checkDeadlines() {
 	for _, r := range d.requests {
 		for i, text := range r.client.received {
@@ -187,13 +188,13 @@
 				continue
 			}
 			if about.answered = true; r.client.receivedAt[i] > about.deadline+50 {
-				d.t.Errorf("%d heard %g ms late", n.task, r.client.receivedAt[i]-about.deadline)
+				d.t.Errorf("task %d was answered %g ms after its deadline", n.task, r.client.receivedAt[i]-about.deadline)
 			}
 		}
 	}
 }
 
-// checkAnswers checks that each request was answered once, and at most one notification followed, and that enough were served.
+// checkAnswers checks that each request was answered once, that at most one notification followed, and that enough requests were served.
 func (d *siteDay) checkAnswers() {
 	served, answered := 0, 0
 	for task, r := range d.requests {
@@ -205,18 +206,18 @@
 			}
 		}
 		if len(words) > 2 || len(words) == 2 && words[1] != "end" && words[1] != "move" {
-			d.t.Errorf("%d heard %q", task, r.client.received)
+			d.t.Errorf("messages about task %d among %q: want one answer and at most one notification", task, r.client.received)
 		}
 		if len(words) == 0 && !r.departed {
-			d.t.Errorf("%d (%s) of a client that stayed was never answered", task, d.known.JobClasses[r.job])
+			d.t.Errorf("task %d (%s), whose client stayed connected, was never answered", task, d.known.JobClasses[r.job])
 		}
 	}
 	if float64(served) < 0.85*float64(answered) || answered < 200 {
-		d.t.Errorf("%d of %d served", served, answered)
+		d.t.Errorf("%d of %d answered requests were served, want 85 percent of 200 or more", served, answered)
 	}
 }
 
-// wordsFor returns what a client received about a task.
+// wordsFor returns the first words of the messages that a client received about a task.
 func (d *siteDay) wordsFor(task uint64, r *siteRequest) (words []string) {
 	for _, text := range r.client.received {
 		if n := readNotice(text); n.task == task {
@@ -226,7 +227,7 @@
 	return words
 }
 
-// playSiteDay plays a siteDay with a site's settings.
+// playSiteDay simulates a siteDay with a site's settings.
 func playSiteDay(t *testing.T, text string) {
 	t.Helper()
 	known, err := settings.Read([]byte(text))
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -37,7 +37,7 @@
 	countRecovered                     // running tasks that were taken over
 	countAttempts                      // attempts at nodes
 	countDials                         // dials to nodes
-	countNodeChecks                    // dials that check whether a node with running tasks is alive
+	countNodeChecks                    // dials that check whether a node is reachable
 	countDialsFailed                   // dials that failed because of the node or the network
 	countDialsExhausted                // dials that failed because this machine had no descriptors or ports left
 	countMalformed                     // connections to nodes on which a malformed message was received
