--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -8,21 +8,21 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestClientEnds makes clients end their requests: while the attempt is in flight, while the task runs, and by closing the connection. The node is
-// told to end the task. A client can't end the open request of another connection.
-func TestClientEnds(t *testing.T) {
+// TestClientEndsRequest makes clients end their requests: while the attempt is in flight, while the task runs, and by closing the connection. The
+// node is told to end the task. A client can't end the open request of another connection.
+func TestClientEndsRequest(t *testing.T) {
 	t.Run("attempt in flight", func(t *testing.T) {
 		r := startRig(t, "a")
 		n := r.nodes["a"]
 		n.onSetUp = func(*testConn, uint64) {}
 		x := r.dial()
 		x.request(7, "single")
-		r.pass(100)
+		r.advance(100)
 		x.send(codec.AppendEnd(nil, 7, codec.CauseNormal))
-		r.pass(3000)
+		r.advance(3000)
 		x.want("messages after the client ended its request")
-		if len(n.ended) != 1 || r.server.host.OpenRequests() != 0 {
-			t.Errorf("the node received %d ends, want 1; %d requests are open, want 0", len(n.ended), r.server.host.OpenRequests())
+		if len(n.endsReceived) != 1 || r.server.host.OpenRequests() != 0 {
+			t.Errorf("the node received %d ends, want 1; %d requests are open, want 0", len(n.endsReceived), r.server.host.OpenRequests())
 		}
 	})
 	t.Run("connection closed", func(t *testing.T) {
@@ -31,11 +31,11 @@
 		n.onSetUp = func(*testConn, uint64) {}
 		x := r.dial()
 		x.request(7, "single")
-		r.pass(100)
+		r.advance(100)
 		x.conn.Close(true, nil)
-		r.pass(300)
-		if len(n.ended) != 1 || r.server.host.OpenRequests() != 0 {
-			t.Errorf("the node received %d ends, want 1; %d requests are open, want 0", len(n.ended), r.server.host.OpenRequests())
+		r.advance(300)
+		if len(n.endsReceived) != 1 || r.server.host.OpenRequests() != 0 {
+			t.Errorf("the node received %d ends, want 1; %d requests are open, want 0", len(n.endsReceived), r.server.host.OpenRequests())
 		}
 	})
 	t.Run("running task, on another connection", func(t *testing.T) {
@@ -43,10 +43,10 @@
 		n := r.nodes["a"]
 		x := r.dial()
 		x.request(7, "single")
-		r.pass(100)
+		r.advance(100)
 		y := r.dial()
 		y.send(codec.AppendEnd(nil, 7, codec.CauseNormal))
-		r.pass(3000)
+		r.advance(3000)
 		x.want("the client that requested the task, which gets no end", "7 served "+n.description(7))
 		y.want("the client that ended the task")
 		if n.running[7] {
@@ -58,14 +58,15 @@
 		x, y := r.dial(), r.dial()
 		x.request(7, "single")
 		y.send(codec.AppendEnd(nil, 7, codec.CauseNormal))
-		r.pass(200)
+		r.advance(200)
 		x.want("the answer in spite of the other's end", "7 served "+r.nodes["a"].description(7))
 	})
 }
 
-// TestBadClients makes clients send invalid messages. Each is rejected or disconnected within 3 s and never served, while another client is served.
-func TestBadClients(t *testing.T) {
-	ask := func(more ...any) []byte { return setUp(66, "batch", more...) }
+// TestInvalidClients makes clients send invalid messages. Each is rejected or disconnected within 3 s and never served, while another
+// client is served.
+func TestInvalidClients(t *testing.T) {
+	request := func(replacements ...any) []byte { return setUp(66, "batch", replacements...) }
 	for _, c := range []struct {
 		name string
 		sent []byte
@@ -75,25 +76,25 @@
 		{"a message that stays incomplete", append([]byte{0x3f, 0xff, codec.KindSetUp}, make([]byte, 9000)...)},
 		{"a length above the limit", append([]byte{0xff, 0xff, codec.KindSetUp}, make([]byte, 100)...)},
 		{"lengths of zero", make([]byte, 64)},
-		{"half a set-up", ask()[:40]},
-		{"an unknown job class", ask(codec.ParamJobClass, "none")},
-		{"an unknown tenant", ask(codec.ParamTenant, "nobody")},
+		{"half a set-up", request()[:40]},
+		{"an unknown job class", request(codec.ParamJobClass, "none")},
+		{"an unknown tenant", request(codec.ParamTenant, "nobody")},
 		{"task number zero", setUp(0, "batch")},
-		{"an invalid name", ask(codec.ParamName, "x")},
+		{"an invalid name", request(codec.ParamName, "x")},
 		{"an invalid key", setUp(66, "marked", codec.ParamKey, "zz")},
-		{"no time left", ask(codec.ParamTimeLeft, "0")},
-		{"negative time left", ask(codec.ParamTimeLeft, "-5")},
-		{"implausibly long time left", ask(codec.ParamTimeLeft, "1e30")},
-		{"time left that is not a number", ask(codec.ParamTimeLeft, "soon")},
-		{"more cores than any node has", ask(codec.ParamDemand, "cores:1e9;memory:2;service:00000000b4d65521")},
-		{"negative cores", ask(codec.ParamDemand, "cores:-1;memory:2;service:00000000b4d65521")},
-		{"memory that is not a number", ask(codec.ParamDemand, "cores:1;memory:NaN;service:00000000b4d65521")},
-		{"no description", ask(codec.ParamDescription, "")},
+		{"no time left", request(codec.ParamTimeLeft, "0")},
+		{"negative time left", request(codec.ParamTimeLeft, "-5")},
+		{"implausibly long time left", request(codec.ParamTimeLeft, "1e30")},
+		{"time left that is not a number", request(codec.ParamTimeLeft, "soon")},
+		{"more cores than any node has", request(codec.ParamDemand, "cores:1e9;memory:2;service:00000000b4d65521")},
+		{"negative cores", request(codec.ParamDemand, "cores:-1;memory:2;service:00000000b4d65521")},
+		{"memory that is not a number", request(codec.ParamDemand, "cores:1;memory:NaN;service:00000000b4d65521")},
+		{"no description", request(codec.ParamDescription, "")},
 		{"a node's answer", codec.AppendAnswer(nil, 66, []byte("x"))},
-		{"the same task number twice", append(ask(), ask(codec.ParamDescription, "other")...)},
+		{"the same task number twice", append(request(), request(codec.ParamDescription, "other")...)},
 		{"the task number of another client", setUp(7, "batch", codec.ParamDescription, "other")},
 		{"the end of an unknown task", codec.AppendEnd(nil, 66, codec.CauseNormal)},
-		{"a running task at an unknown node", ask(codec.ParamDemand, demandText+";at:nowhere")},
+		{"a running task at an unknown node", request(codec.ParamDemand, demandText+";at:nowhere")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startRig(t, "a")
@@ -102,13 +103,13 @@
 			}
 			x, bad := r.dial(), r.dial()
 			x.request(7, "single")
-			r.pass(30)
+			r.advance(30)
 			if len(c.sent) > 0 {
 				bad.send(c.sent)
 			}
-			r.pass(2900)
-			if got := strings.Join(bad.received, ", "); strings.Contains(got, "served") || !strings.Contains(got, "end") && !bad.ended {
-				t.Errorf("received %q, closed %v; want an end or a close, and not to be served", got, bad.ended)
+			r.advance(2900)
+			if got := strings.Join(bad.received, ", "); strings.Contains(got, "served") || !strings.Contains(got, "end") && !bad.closed {
+				t.Errorf("received %q, closed %v; want an end or a close, and not to be served", got, bad.closed)
 			}
 			x.want("the valid client", "7 served "+r.nodes["a"].description(7))
 		})
@@ -121,35 +122,37 @@
 	var silent []*testClient
 	x := r.dial()
 	x.request(7, "batch")
-	r.pass(300)
+	r.advance(300)
 	for range 20 {
 		for range 20 {
 			c := &testClient{testConn: &testConn{}, rig: r}
 			c.onMessage = func([]byte) {}
 			r.clients.Dial(clientAddress, 1000, func(conn env.Conn, err error) {
-				if c.ended = err != nil; err == nil {
+				if c.closed = err != nil; err == nil {
 					c.conn = conn
 					conn.Start(c, 5000)
 				}
 			})
 			silent = append(silent, c)
 		}
-		r.pass(60)
+		r.advance(60)
 	}
-	if n, g := len(r.server.clients.conns), r.server.clients.provisional; n-g > r.server.limits.ClientConns || g > r.server.limits.ProvisionalConns {
-		t.Errorf("%d connections, %d of them provisional; limits: %d regular, %d provisional", n, g, r.server.limits.ClientConns, r.server.limits.ProvisionalConns)
+	if n, provisional := len(r.server.clients.conns), r.server.clients.provisional; n-provisional > r.server.limits.ClientConns ||
+		provisional > r.server.limits.ProvisionalConns {
+		t.Errorf("%d connections, %d of them provisional; limits: %d regular, %d provisional", n, provisional,
+			r.server.limits.ClientConns, r.server.limits.ProvisionalConns)
 	}
 	y := r.dial()
 	y.request(8, "batch")
-	r.pass(300)
+	r.advance(300)
 	y.want("a client that connects after the silent ones", "8 served "+r.nodes["a"].description(8))
-	r.pass(3000)
+	r.advance(3000)
 	for i, c := range silent {
-		if !c.ended {
+		if !c.closed {
 			t.Fatalf("silent client %d is still connected", i)
 		}
 	}
-	if x.ended {
+	if x.closed {
 		t.Error("an idle client that was served before was disconnected")
 	}
 }
@@ -159,7 +162,7 @@
 	r := startRig(t, "a")
 	x, slow := r.dial(), r.dial()
 	slow.request(6, "batch")
-	r.pass(200)
+	r.advance(200)
 	slow.conn.(interface{ Stall(float64) }).Stall(60000)
 	for range 30 {
 		var b []byte
@@ -167,23 +170,23 @@
 			b = codec.AppendTest(b, uint64(i+1), false)
 		}
 		slow.send(b)
-		r.pass(20)
+		r.advance(20)
 	}
 	x.request(7, "batch")
-	r.pass(3000)
+	r.advance(3000)
 	x.want("the other client", "7 served "+r.nodes["a"].description(7))
 	if len(r.server.clients.conns) != 1 {
 		t.Errorf("%d connections, want 1, the other client's", len(r.server.clients.conns))
 	}
 }
 
-// TestAnswerBreaksOff makes a client read nothing while its task starts. Its answer is not handed over to the network before the connection is
+// TestAnswerNotHandedOver makes a client read nothing while its task starts. Its answer is not handed over to the network before the connection is
 // closed, so that the client knows that it was not served, and the task is stopped at its node. A task whose answer was handed over goes on.
-func TestAnswerBreaksOff(t *testing.T) {
+func TestAnswerNotHandedOver(t *testing.T) {
 	r := startRig(t, "a")
 	n, slow := r.nodes["a"], r.dial()
 	slow.request(6, "single")
-	r.pass(200)
+	r.advance(200)
 	slow.want("before it stops reading", "6 served "+n.description(6))
 	slow.conn.(interface{ Stall(float64) }).Stall(60000)
 	var b []byte
@@ -191,15 +194,16 @@
 		b = codec.AppendTest(b, uint64(i+1000), false)
 	}
 	slow.send(b)
-	r.pass(50)
+	r.advance(50)
 	slow.request(7, "single")
-	r.pass(200)
+	r.advance(200)
 	if !n.running[7] {
 		t.Fatal("task 7 is not running, so that the test shows nothing")
 	}
-	r.pass(4000)
+	r.advance(4000)
 	if len(r.server.clients.conns) != 0 || n.running[7] || !n.running[6] {
-		t.Errorf("%d client connections, want 0; running: %v for the task whose answer was not handed over, want false; %v for the other, want true", len(r.server.clients.conns), n.running[7], n.running[6])
+		t.Errorf("%d client connections, want 0; running: %v for the task whose answer was not handed over, want false; %v for the other, want true",
+			len(r.server.clients.conns), n.running[7], n.running[6])
 	}
 }
 
@@ -209,16 +213,16 @@
 	r := startRig(t, "a")
 	n, x := r.nodes["a"], r.dial()
 	x.request(7, "single")
-	r.pass(200)
+	r.advance(200)
 	x.conn.Close(true, nil)
-	r.pass(50)
+	r.advance(50)
 	idle, y := r.dial(), r.dial()
 	idle.send(codec.AppendTest(nil, 9, false))
 	n.onSetUp = func(*testConn, uint64) {} // the node answers no more set-ups
 	y.request(8, "single")
-	r.pass(50)
+	r.advance(50)
 	n.conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
-	r.pass(900)
+	r.advance(900)
 	y.want("a client with a request", "7 end 16")
 	idle.want("a client without one", "9 tested 1")
 }
@@ -231,7 +235,7 @@
 	for task := range uint64(10) {
 		x.request(task+1, "batch")
 	}
-	r.pass(1000)
+	r.advance(1000)
 	if len(x.received) != 10 || strings.Contains(strings.Join(x.received, " "), "end") || r.server.telemetry.counts[countDials] > 4 {
 		t.Errorf("received %q, want 10 times served; %d dials, want at most 4", x.received, r.server.telemetry.counts[countDials])
 	}
--- a/internal/platform/configuration_test.go
+++ b/internal/platform/configuration_test.go
@@ -27,16 +27,16 @@
 	r.start()
 	x := r.dial()
 	x.request(7, "single")
-	r.pass(3000)
+	r.advance(3000)
 	if len(x.received) != 1 || !strings.HasPrefix(x.received[0], "7 served") {
 		t.Errorf("with a silent journal service the client received %q, want one message, which says that task 7 is served", x.received)
 	}
 	r.journal.silent = false
-	r.journal.publish(entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
-	r.pass(6000)
+	r.journal.publish(entryJSON("a", "a", "draining"), entryJSON("b", "b", "gone"))
+	r.advance(6000)
 	x.received = nil
 	x.request(8, "single")
-	r.pass(3000)
+	r.advance(3000)
 	x.want("all nodes drain once the journal service is heard again", "8 end 42")
 }
 
@@ -45,37 +45,37 @@
 	r := startRig(t, "a", "b")
 	r.process.Kill(false)
 	r.process.Start()
-	first := event(1, true, entryOf("a", "a", "draining"), entryOf("b", "b", "gone"))
+	first := eventJSON(1, true, entryJSON("a", "a", "draining"), entryJSON("b", "b", "gone"))
 	r.journal.events = []string{first}
 	r.configuration.InitialEvents = []byte(`{"pos":1,"entries":[` + first + `]}`)
 	r.start()
 	x := r.dial()
 	x.send(setUp(6, "batch", codec.ParamDemand, demandText+";at:a"))
-	r.pass(200)
+	r.advance(200)
 	r.nodes["a"].conns[len(r.nodes["a"].conns)-1].send(message(codec.KindEnd, 6, codec.ParamCause, string(byte(codec.CauseNormal)),
 		codec.ParamReport, "x0:3;x1:9"))
 	x.request(7, "single")
-	r.pass(6000)
+	r.advance(6000)
 	x.want("the end of the task that runs on the draining node, and a rejection of the new one", "6 end 16", "7 end 42")
-	r.journal.publish(entryOf("b", "b", "ready"))
-	r.pass(3000)
+	r.journal.publish(entryJSON("b", "b", "ready"))
+	r.advance(3000)
 	x.received = nil
 	x.request(8, "single")
-	r.pass(1000)
+	r.advance(1000)
 	x.want("after node b is ready again", "8 served "+r.nodes["b"].description(8))
 }
 
 func startWithNodeNamedTwice(t *testing.T) {
 	t.Helper()
 	r := startRig(t, "a", "b")
-	r.journal.publish(entryOf("a", "a", "ready"), entryOf("a", "a", "draining"), entryOf("a", "a", "draining"))
-	r.pass(2000)
+	r.journal.publish(entryJSON("a", "a", "ready"), entryJSON("a", "a", "draining"), entryJSON("a", "a", "draining"))
+	r.advance(2000)
 	x := r.dial()
 	for task := range uint64(6) {
 		x.request(task+1, "batch")
 	}
-	r.pass(500)
-	if n := len(r.nodes["a"].starts); n != 0 || len(x.received) != 6 {
+	r.advance(500)
+	if n := len(r.nodes["a"].setUps); n != 0 || len(x.received) != 6 {
 		t.Errorf("%d tasks were sent to the node that drains by its last entry, want 0; the client received %q, want 6 messages", n, x.received)
 	}
 }
@@ -86,12 +86,12 @@
 	x := r.dial()
 	r.nodes["a"].onSetUp = func(*testConn, uint64) {}
 	x.request(7, "single")
-	r.pass(20)
+	r.advance(20)
 	r.server.Stop()
 	moved := *r.configuration
 	moved.Journal = "journal:2"
 	r.server.ApplyConfiguration(&moved)
-	r.pass(6000)
+	r.advance(6000)
 	x.want("the answer at the shutdown", "7 end 41")
 	select {
 	case <-r.server.Done():
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -9,23 +9,23 @@
 	"ravenpond/logic"
 )
 
-// open returns the node's connections that have not been closed.
-func open(n *fakeNode) (all []*testConn) {
+// openConns returns the node's connections that have not been closed.
+func openConns(n *fakeNode) (conns []*testConn) {
 	for _, e := range n.conns {
-		if !e.ended {
-			all = append(all, e)
+		if !e.closed {
+			conns = append(conns, e)
 		}
 	}
-	return all
+	return conns
 }
 
 // descriptorRun is a run of TestDescriptors.
 type descriptorRun struct {
 	*simRig
-	names   []string           // the names of the nodes
-	held    []*testClient      // clients that use up the limit of client connections
-	maxHeld int                // the largest number of connections at a time
-	endedAt map[uint64]float64 // the times at which the first client received the ends of tasks, by task
+	names       []string           // the names of the nodes
+	clientConns []*testClient      // clients that use up the limit of client connections
+	maxConns    int                // the largest number of connections at a time
+	endedAt     map[uint64]float64 // the times at which the first client received the ends of tasks, by task
 }
 
 // connectClients opens as many client connections as the scheduler's limit allows.
@@ -40,23 +40,23 @@
 				x.send(codec.AppendTest(nil, 9, false))
 			}
 		})
-		d.held = append(d.held, x)
+		d.clientConns = append(d.clientConns, x)
 	}
 }
 
 // step advances the clock by 60 ms and counts the connections.
 func (d *descriptorRun) step() {
-	d.pass(60)
-	held := 0
+	d.advance(60)
+	conns := 0
 	for _, n := range d.nodes {
-		held += len(open(n))
+		conns += len(openConns(n))
 	}
-	for _, x := range d.held {
-		if !x.ended {
-			held++
+	for _, x := range d.clientConns {
+		if !x.closed {
+			conns++
 		}
 	}
-	d.maxHeld = max(d.maxHeld, held)
+	d.maxConns = max(d.maxConns, conns)
 }
 
 // endTasks makes every node send the end of its task, on each open connection and on each new one.
@@ -64,7 +64,7 @@
 	for i, name := range d.names {
 		n, task := d.nodes[name], uint64(1000+i)
 		end := codec.AppendEnd(nil, task, codec.CauseNormal)
-		for _, e := range open(n) {
+		for _, e := range openConns(n) {
 			e.send(end)
 		}
 		n.onConnect = func(e *testConn) { e.send(end) }
@@ -88,12 +88,13 @@
 func (d *descriptorRun) check() {
 	t, s := d.t, d.server
 	t.Helper()
-	if d.maxHeld > s.limits.ClientConns+s.limits.NodeConns || d.maxHeld > d.configuration.Sockets*98/100-8 {
-		t.Errorf("%d connections at a time; limits: %d to clients, %d to nodes, %d descriptors", d.maxHeld, s.limits.ClientConns, s.limits.NodeConns,
+	if d.maxConns > s.limits.ClientConns+s.limits.NodeConns || d.maxConns > d.configuration.Sockets*98/100-8 {
+		t.Errorf("%d connections at a time; limits: %d to clients, %d to nodes, %d descriptors", d.maxConns, s.limits.ClientConns, s.limits.NodeConns,
 			d.configuration.Sockets)
 	}
 	if s.telemetry.outcomes[logic.ConnectionLost] > 0 || s.telemetry.counts[countDialsExhausted] > 0 {
-		t.Errorf("outcomes %v, want no lost connection; %d dials failed for lack of descriptors, want 0", s.telemetry.outcomes, s.telemetry.counts[countDialsExhausted])
+		t.Errorf("outcomes %v, want no lost connection; %d dials failed for lack of descriptors, want 0",
+			s.telemetry.outcomes, s.telemetry.counts[countDialsExhausted])
 	}
 	for _, n := range s.nodes.byID {
 		if b, _ := s.host.Belief(n.id); b.Unhealthy {
@@ -108,19 +109,19 @@
 // TestDescriptors uses up the client connections and has a task run at every node, in some cases of more nodes than the scheduler may have
 // connections to. The limits of connections always hold, no node is taken for lost or unhealthy, and every end is notified in time.
 func TestDescriptors(t *testing.T) {
-	for _, nodes := range []int{40, 120, 200} {
-		t.Run(fmt.Sprint(nodes, " nodes"), func(t *testing.T) {
+	for _, count := range []int{40, 120, 200} {
+		t.Run(fmt.Sprint(count, " nodes"), func(t *testing.T) {
 			var names []string
-			for i := range nodes {
+			for i := range count {
 				names = append(names, fmt.Sprint("n", i))
 			}
 			d := &descriptorRun{simRig: startRig(t, names...), names: names, endedAt: map[uint64]float64{}}
 			d.connectClients()
-			d.pass(100)
+			d.advance(100)
 			if len(d.server.clients.conns) != d.server.limits.ClientConns {
 				t.Fatalf("%d client connections, want as many as the limit", len(d.server.clients.conns))
 			}
-			x := d.held[0]
+			x := d.clientConns[0]
 			x.onMessage = func(msg []byte) {
 				if codec.Kind(msg) == codec.KindEnd {
 					d.endedAt[codec.Task(msg)] = d.clock.TrueTime()
@@ -134,13 +135,13 @@
 				x.request(uint64(1+i), "batch")
 				d.step()
 			}
-			ends := d.clock.TrueTime()
+			endedAt := d.clock.TrueTime()
 			d.endTasks()
 			for range 100 {
 				d.step()
 			}
-			if late, missing := d.countEnds(ends + 5500); late+missing > 0 {
-				t.Errorf("of %d ends %d were notified late and %d never", nodes, late, missing)
+			if late, missing := d.countEnds(endedAt + 5500); late+missing > 0 {
+				t.Errorf("of %d ends %d were notified late and %d never", count, late, missing)
 			}
 			d.check()
 		})
@@ -153,29 +154,30 @@
 	r := startRig(t, "a", "b")
 	x := r.dial()
 	x.request(7, "single")
-	r.pass(200)
-	r.server.env = spent{r.server.env}
+	r.advance(200)
+	r.server.env = exhaustedEnv{r.server.env}
 	for _, n := range r.nodes {
 		for _, e := range n.conns {
 			e.conn.(interface{ Reset(bool) }).Reset(true)
 		}
 	}
 	x.request(8, "single")
-	r.pass(9000)
+	r.advance(9000)
 	if r.server.telemetry.counts[countDialsExhausted] < 5 || r.server.host.RunningTasks() != 1 || len(x.received) != 2 || x.received[1] != "8 end 42" {
-		t.Errorf("%d dials failed for lack of descriptors, want 5 or more; %d running tasks, want 1; received %q, want 2 messages and the last 8 end 42", r.server.telemetry.counts[countDialsExhausted], r.server.host.RunningTasks(), x.received)
+		t.Errorf("%d dials failed for lack of descriptors, want 5 or more; %d running tasks, want 1; received %q, want 2 messages and the last 8 end 42",
+			r.server.telemetry.counts[countDialsExhausted], r.server.host.RunningTasks(), x.received)
 	}
-	for _, p := range r.server.nodes.byID {
-		if b, _ := r.server.host.Belief(p.id); b.Unhealthy || b.FailureRate > 0 {
-			t.Errorf("belief about node %s: %+v, want it healthy with a failure rate of 0", p.name, b)
+	for _, n := range r.server.nodes.byID {
+		if b, _ := r.server.host.Belief(n.id); b.Unhealthy || b.FailureRate > 0 {
+			t.Errorf("belief about node %s: %+v, want it healthy with a failure rate of 0", n.name, b)
 		}
 	}
 }
 
-// spent is an environment in which every dial fails because no descriptors are left.
-type spent struct{ env.Environment }
+// exhaustedEnv is an environment in which every dial fails because no descriptors are left.
+type exhaustedEnv struct{ env.Environment }
 
-func (w spent) Dial(_ string, _ float64, done func(env.Conn, error)) {
+func (w exhaustedEnv) Dial(_ string, _ float64, done func(env.Conn, error)) {
 	w.After(0.1, func() { done(nil, fmt.Errorf("socket: %w", env.ErrExhausted)) })
 }
 
@@ -188,38 +190,39 @@
 		x.send(setUp(task+1, "batch", codec.ParamDemand, demandText+";at:a"))
 	}
 	x.request(100, "batch")
-	r.pass(500)
+	r.advance(500)
 	if len(r.server.requests.byAlloc) != 20 || len(x.received) != 41 || x.received[40] != "100 end 42" {
-		t.Errorf("%d requests are held, want 20; %d messages, want 41 rejections, the last of them of task 100", len(r.server.requests.byAlloc), len(x.received))
+		t.Errorf("%d requests are held, want 20; %d messages, want 41 rejections, the last of them of task 100",
+			len(r.server.requests.byAlloc), len(x.received))
 	}
 }
 
-// TestNothingIsKept replaces nodes, tasks and connections 60 times, and checks that the scheduler keeps no state of those that have ended.
-func TestNothingIsKept(t *testing.T) {
+// TestNoStateLeft replaces nodes, tasks and connections 60 times, and checks that the scheduler keeps no state of those that have ended.
+func TestNoStateLeft(t *testing.T) {
 	r := startRig(t, "n0")
 	task := uint64(0)
 	for i := range 60 {
 		name, last := fmt.Sprint("n", i+1), fmt.Sprint("n", i)
 		newFakeNode(r, name, name)
-		r.journal.publish(entryOf(name, name, "ready"), entryOf(last, last, "gone"))
-		r.pass(300)
+		r.journal.publish(entryJSON(name, name, "ready"), entryJSON(last, last, "gone"))
+		r.advance(300)
 		x := r.dial()
 		for range 5 {
 			task++
 			x.request(task, "batch")
 		}
-		r.pass(200)
+		r.advance(200)
 		for _, n := range r.nodes {
 			for done := range n.running {
 				delete(n.running, done)
-				n.open[done].send(codec.AppendEnd(nil, done, codec.CauseNormal))
+				n.setUpConn[done].send(codec.AppendEnd(nil, done, codec.CauseNormal))
 			}
 		}
-		r.pass(200)
+		r.advance(200)
 		x.conn.Close(true, nil)
-		r.pass(100)
+		r.advance(100)
 	}
-	r.pass(3000)
+	r.advance(3000)
 	if len(r.server.requests.byAlloc)+len(r.server.requests.byTask)+len(r.server.clients.conns) > 0 ||
 		len(r.server.nodes.byID) > 1 || len(r.server.nodes.byName) > 1 || r.server.nodes.conns > 5 {
 		t.Errorf("left: %d requests by allocation, %d by task, %d client connections, %d nodes, %d connections to nodes",
--- a/internal/platform/early_end_test.go
+++ b/internal/platform/early_end_test.go
@@ -10,11 +10,11 @@
 
 // earlyEnd is an end that a node sends for a task before its answer.
 type earlyEnd struct {
-	name  string
-	cause byte
-	word  string
-	notes bool // notes precede the end
-	ran   bool // it means that the task was running
+	name   string
+	cause  byte
+	reason string
+	notes  bool // notes precede the end
+	ran    bool // it means that the task was running
 }
 
 // earlyEnds are the cases of TestEndBeforeAnswer.
@@ -34,19 +34,19 @@
 	{"full, sent away", codec.CauseFull, "sent_away", false, false},
 }
 
-// afterRun is the answer to a client whose task ran and ended without an answer, by job class. Nodes drop a retry of idempotent work (marked), so
-// it is as harmless as a retry of restartable work.
-var afterRun = map[string]string{"batch": "end 42", "marked": "end 42", "single": "end 41"}
+// answerAfterRun is the answer to a client whose task ran and ended without an answer, by job class. Nodes drop a retry of
+// idempotent work (marked), so it is as harmless as a retry of restartable work.
+var answerAfterRun = map[string]string{"batch": "end 42", "marked": "end 42", "single": "end 41"}
 
-// early returns the messages that a node sends before its answer: a note if notes is set, and the end.
-func early(task uint64, cause byte, word string, notes bool) (b []byte) {
+// earlyEndMessages returns the messages that a node sends before its answer: a note if notes is set, and the end.
+func earlyEndMessages(task uint64, cause byte, reason string, notes bool) (b []byte) {
 	if notes {
 		b = append(b, message(codec.KindNote, task, codec.ParamReason, "cores", codec.ParamValue, "0.6")...)
 	}
-	if word == "" {
+	if reason == "" {
 		return append(b, codec.AppendEnd(nil, task, cause)...)
 	}
-	return append(b, message(codec.KindEnd, task, codec.ParamCause, string(rune(cause)), codec.ParamReason, word)...)
+	return append(b, message(codec.KindEnd, task, codec.ParamCause, string(rune(cause)), codec.ParamReason, reason)...)
 }
 
 // earlyEndRun records what happened to the request of TestEndBeforeAnswer.
@@ -68,7 +68,7 @@
 			run.first, run.endedAt = n, r.clock.TrueTime()+500
 			answer := codec.AppendAnswer(nil, task, []byte(n.description(task)))
 			n.process.After(500, func() {
-				b := early(task, c.cause, c.word, c.notes)
+				b := earlyEndMessages(task, c.cause, c.reason, c.notes)
 				if late == 0 { // both are sent in one write
 					b = append(b, answer...)
 				}
@@ -82,29 +82,29 @@
 }
 
 // checkEarlyEnd runs one case of TestEndBeforeAnswer.
-func checkEarlyEnd(t *testing.T, c earlyEnd, job string, late float64) {
+func checkEarlyEnd(t *testing.T, c earlyEnd, jobClass string, late float64) {
 	t.Helper()
 	r := startRig(t, "a", "b")
 	x := r.dial()
 	var run earlyEndRun
 	run.arrange(r, c, late)
-	x.request(7, job)
-	r.pass(5000)
+	x.request(7, jobClass)
+	r.advance(5000)
 	if !c.ran {
-		mayRetry := job != "single" || c.cause == codec.CauseFull
+		mayRetry := jobClass != "single" || c.cause == codec.CauseFull
 		if (run.attempts > 1) != mayRetry || len(x.received) == 0 {
 			t.Errorf("%d attempts, received %q; want more than one attempt only if a retry is allowed, and an answer", run.attempts, x.received)
 		}
 		return
 	}
-	x.want("the final answer", "7 "+afterRun[job])
+	x.want("the final answer", "7 "+answerAfterRun[jobClass])
 	if run.attempts != 1 {
 		t.Errorf("%d attempts for a task that ran, want 1", run.attempts)
 	}
 	if len(x.receivedAt) > 0 && x.receivedAt[0] > run.endedAt+50 {
 		t.Errorf("answered %.0f ms after the end, want at most 50", x.receivedAt[0]-run.endedAt)
 	}
-	if told := slices.Contains(run.first.ended, 7); told != (late >= 0) {
+	if told := slices.Contains(run.first.endsReceived, 7); told != (late >= 0) {
 		t.Errorf("the node was told to end the task: %t, want true only if it sent a late answer", told)
 	}
 	if len(r.server.requests.byAlloc)+len(r.server.requests.byTask) > 0 || r.server.requests.admission.Open() != 0 {
@@ -147,7 +147,7 @@
 		}
 	}
 	x.request(7, "batch")
-	r.pass(5000)
+	r.advance(5000)
 	if attempts < 3 || len(x.received) != 1 || x.received[0] == "7 end 42" {
 		t.Errorf("%d attempts, want 3 or more; received %q, want one message other than \"7 end 42\"", attempts, x.received)
 	}
@@ -161,14 +161,14 @@
 			r := startLoopback(t, nil)
 			x := r.dial()
 			x.request(7, job)
-			r.until("the node receives the set-up", func() bool { return slices.Contains(r.node.received(), 7) })
-			r.node.send(7, early(7, codec.CauseReset, "sent_away", true))
-			x.expect("7 " + afterRun[job])
+			r.waitFor("the node receives the set-up", func() bool { return slices.Contains(r.node.receivedSetUps(), 7) })
+			r.node.send(7, earlyEndMessages(7, codec.CauseReset, "sent_away", true))
+			x.expect("7 " + answerAfterRun[job])
 			r.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
-			r.until("the node receives the end", func() bool { return r.node.ended(7) })
+			r.waitFor("the node receives the end", func() bool { return r.node.receivedEnd(7) })
 			r.waitIdle()
 			attempts := 0
-			for _, task := range r.node.received() {
+			for _, task := range r.node.receivedSetUps() {
 				if task == 7 {
 					attempts++
 				}
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// Node list entries of TestJournal.
+// Node list entries of TestJournalFaults.
 var (
-	goneA  = entryOf("a", "a", "gone")
-	readyB = entryOf("b", "b", "ready")
+	goneA  = entryJSON("a", "a", "gone")
+	readyB = entryJSON("b", "b", "ready")
 )
 
-// journalFaults are the cases of TestJournal: ways in which the journal service sends that node a is gone and node b is ready.
+// journalFaults are the cases of TestJournalFaults: ways in which the journal service sends that node a is gone and node b is ready.
 var journalFaults = []struct {
 	name string
 	do   func(r *simRig)
@@ -26,34 +26,34 @@
 		r.journal.publish(goneA)
 	}, 100},
 	{"incomplete line, then the connection closes", func(r *simRig) {
-		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
+		r.journal.events = append(r.journal.events, eventJSON(2, false, goneA, readyB))
 		r.journal.broadcast(r.journal.events[1][:40])
 		for _, x := range r.journal.conns {
 			x.conn.Close(true, nil)
 		}
 	}, 300},
 	{"malformed line", func(r *simRig) {
-		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
+		r.journal.events = append(r.journal.events, eventJSON(2, false, goneA, readyB))
 		r.journal.broadcast("{\"pos\":2,\"hosts\":{\"endpo\n")
 	}, 300},
 	{"an event left out", func(r *simRig) {
-		r.journal.events = append(r.journal.events, event(2, false, goneA))
+		r.journal.events = append(r.journal.events, eventJSON(2, false, goneA))
 		r.journal.publish(readyB)
 	}, 300},
 	{"silent on an open connection", func(r *simRig) {
 		r.journal.silent = true
 		r.journal.publish(goneA, readyB)
-		r.pass(1000)
+		r.advance(1000)
 		r.journal.silent = false
 		r.journal.conns[0].closed = true // broadcast no longer sends on the old connection
 	}, 3000},
 	{"silent within a line", func(r *simRig) {
-		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
+		r.journal.events = append(r.journal.events, eventJSON(2, false, goneA, readyB))
 		r.journal.broadcast(r.journal.events[1][:60])
 		r.journal.conns[0].closed = true
 	}, 3000},
 	{"one byte every 8 ms", func(r *simRig) {
-		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
+		r.journal.events = append(r.journal.events, eventJSON(2, false, goneA, readyB))
 		x, line := r.journal.conns[0], r.journal.events[1]+"\n"
 		x.closed = true // no heartbeat is sent within the line
 		for i := range line {
@@ -61,7 +61,7 @@
 		}
 	}, 8*400 + 200},
 	{"a line that does not end, one byte every 100 ms", func(r *simRig) {
-		r.journal.events = append(r.journal.events, event(2, false, goneA, readyB))
+		r.journal.events = append(r.journal.events, eventJSON(2, false, goneA, readyB))
 		x := r.journal.conns[0]
 		x.closed = true
 		for i := range 100 {
@@ -75,12 +75,12 @@
 			r.journal = newFakeJournal(r, fmt.Sprint("journal:", 2+i))
 			r.journal.events = append([]string(nil), old.events...)
 			r.journal.silent = i == 0
-			r.pass(500)
+			r.advance(500)
 			r.server.mu.Lock()
 			r.server.endpoints.setAddress(fmt.Sprint("journal:", 2+i))
 			r.server.mu.Unlock()
 		}
-		r.pass(50)
+		r.advance(50)
 		r.journal.publish(goneA, readyB)
 	}, 100},
 	{"address changed and changed back before a connection is made", func(r *simRig) {
@@ -92,7 +92,7 @@
 			r.server.endpoints.setAddress("journal:1")
 		}
 		r.server.mu.Unlock()
-		r.pass(50)
+		r.advance(50)
 		r.journal.publish(goneA, readyB)
 	}, 100},
 	{"at another address", func(r *simRig) {
@@ -103,29 +103,29 @@
 		r.server.mu.Lock()
 		r.server.endpoints.setAddress("journal:2")
 		r.server.mu.Unlock()
-		r.pass(50)
+		r.advance(50)
 		r.journal.publish(goneA, readyB)
 	}, 100},
 	{"a snapshot", func(r *simRig) {
-		r.journal.events = append(r.journal.events, event(2, true, readyB))
+		r.journal.events = append(r.journal.events, eventJSON(2, true, readyB))
 		r.journal.broadcast(r.journal.events[1] + "\n")
 	}, 100},
 }
 
-// TestJournal checks that the scheduler follows the node list through faults of the journal service: in the end it knows node b and not node a, the
-// watch is live, and it has sent few requests for events.
-func TestJournal(t *testing.T) {
+// TestJournalFaults checks that the scheduler follows the node list through faults of the journal service: in the end it knows node b and not
+// node a, the watch is live, and it has sent few requests for events.
+func TestJournalFaults(t *testing.T) {
 	for _, c := range journalFaults {
 		t.Run(c.name, func(t *testing.T) {
 			r := startRig(t, "a")
 			newFakeNode(r, "b", "b")
 			c.do(r)
-			r.pass(c.in)
+			r.advance(c.in)
 			x := r.dial()
 			x.request(7, "single")
-			r.pass(300)
+			r.advance(300)
 			x.want("served by b", "7 served "+r.nodes["b"].description(7))
-			r.pass(2500)
+			r.advance(2500)
 			if r.server.nodes.byName["a"] != nil || r.server.nodes.byName["b"] == nil {
 				t.Errorf("%d nodes are known, want node b alone", len(r.server.nodes.byName))
 			}
@@ -156,7 +156,7 @@
 	r.server.reload(configurationSource{File: file + "x"})
 	x := r.dial()
 	x.request(7, "batch")
-	r.pass(200)
+	r.advance(200)
 	x.want("after configurations that can't be read", "7 served "+r.nodes["a"].description(7))
 	if r.server.endpoints.address != "journal:2" {
 		t.Errorf("address of the journal service after configurations that can't be read: %s, want journal:2", r.server.endpoints.address)
--- a/internal/platform/leak_test.go
+++ b/internal/platform/leak_test.go
@@ -9,12 +9,12 @@
 	"go.uber.org/goleak"
 )
 
-// runs is the environment variable that makes the test binary run a scheduler instead of the tests.
-const runs = "RAVENPOND_TEST_RUNS"
+// runVariable is the environment variable that makes the test binary run a scheduler instead of the tests.
+const runVariable = "RAVENPOND_TEST_RUNS"
 
-// TestMain runs a scheduler if the variable runs is set. Else it runs the tests and checks that they leak no goroutines.
+// TestMain runs a scheduler if runVariable is set. Else it runs the tests and checks that they leak no goroutines.
 func TestMain(m *testing.M) {
-	if os.Getenv(runs) != "" {
+	if os.Getenv(runVariable) != "" {
 		if err := Run(zerolog.New(os.Stderr)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -19,28 +19,28 @@
 	"ravenpond/internal/settings"
 )
 
-// callGate blocks the goroutines that call pass while it is closed.
+// callGate blocks the goroutines that call wait while it is closed.
 type callGate struct {
 	mu      sync.Mutex
 	cond    *sync.Cond
 	closed  bool
-	waiting int
+	waiting int // the number of calls in wait
 }
 
-func newGate() *callGate {
+func newCallGate() *callGate {
 	g := &callGate{}
 	g.cond = sync.NewCond(&g.mu)
 	return g
 }
 
-func (g *callGate) set(shut bool) {
+func (g *callGate) setClosed(closed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.closed = shut
+	g.closed = closed
 	g.cond.Broadcast()
 }
 
-func (g *callGate) pass() {
+func (g *callGate) wait() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.waiting++
@@ -60,8 +60,8 @@
 // is processed first.
 type gatedEnv struct {
 	*env.Real
-	turns, reads, ends, dials, accepts *callGate // reads and ends gate the events of client connections
-	nodes                              *callGate // gates the data from nodes and the ends of their connections
+	turns, reads, closes, dials, accepts *callGate // reads and closes gate the events of client connections
+	nodes                                *callGate // gates the data from nodes and the ends of their connections
 
 	mu          sync.Mutex
 	clockOffset float64
@@ -74,52 +74,53 @@
 }
 
 func (w *gatedEnv) gates() []*callGate {
-	return []*callGate{w.turns, w.reads, w.ends, w.dials, w.accepts, w.nodes}
+	return []*callGate{w.turns, w.reads, w.closes, w.dials, w.accepts, w.nodes}
 }
 
 func (w *gatedEnv) StartLoop(turn func() float64) env.Loop {
-	return w.Real.StartLoop(func() float64 { w.turns.pass(); return turn() })
+	return w.Real.StartLoop(func() float64 { w.turns.wait(); return turn() })
 }
 
-func (w *gatedEnv) Listen(address string, came func(env.Conn)) (env.Listener, error) {
-	return w.Real.Listen(address, func(c env.Conn) { w.accepts.pass(); came(heldConn{c, w.reads, w.ends}) })
+func (w *gatedEnv) Listen(address string, onAccept func(env.Conn)) (env.Listener, error) {
+	return w.Real.Listen(address, func(c env.Conn) { w.accepts.wait(); onAccept(gatedConn{c, w.reads, w.closes}) })
 }
 
-func (w *gatedEnv) Dial(address string, within float64, done func(env.Conn, error)) {
-	w.Real.Dial(address, within, func(c env.Conn, err error) {
-		w.dials.pass()
+func (w *gatedEnv) Dial(address string, timeout float64, onDialed func(env.Conn, error)) {
+	w.Real.Dial(address, timeout, func(c env.Conn, err error) {
+		w.dials.wait()
 		if err == nil {
-			c = heldConn{c, w.nodes, w.nodes}
+			c = gatedConn{c, w.nodes, w.nodes}
 		}
-		done(c, err)
+		onDialed(c, err)
 	})
 }
 
-// heldConn is a connection whose events can be blocked.
-type heldConn struct {
+// gatedConn is a connection whose events can be blocked.
+type gatedConn struct {
 	env.Conn
-	reads, ends *callGate
+	reads, closes *callGate
 }
 
-func (c heldConn) Start(p env.ConnHandler, stuck float64) {
-	c.Conn.Start(heldPeer{p, c.reads, c.ends}, stuck)
+func (c gatedConn) Start(handler env.ConnHandler, stallTimeout float64) {
+	c.Conn.Start(gatedHandler{handler, c.reads, c.closes}, stallTimeout)
 }
 
-type heldPeer struct {
+// gatedHandler passes events on to a handler when its gates are open.
+type gatedHandler struct {
 	env.ConnHandler
-	reads, ends *callGate
+	reads, closes *callGate
 }
 
-func (p heldPeer) OnData(b []byte) {
+func (p gatedHandler) OnData(b []byte) {
 	if b == nil {
-		p.ends.pass()
+		p.closes.wait()
 	} else {
-		p.reads.pass()
+		p.reads.wait()
 	}
 	p.ConnHandler.OnData(b)
 }
 
-func (p heldPeer) OnClose(err error) { p.ends.pass(); p.ConnHandler.OnClose(err) }
+func (p gatedHandler) OnClose(err error) { p.closes.wait(); p.ConnHandler.OnClose(err) }
 
 // loopbackRig runs a scheduler on loopback with one node and a journal service.
 type loopbackRig struct {
@@ -144,36 +145,36 @@
 // closeQuietly closes c, which may already be closed.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// serveTCP listens on loopback until the end of the test, and calls each for every connection.
-func serveTCP(t *testing.T, each func(net.Conn)) net.Listener {
+// serveTCP listens on loopback until the end of the test, and calls handle for every connection.
+func serveTCP(t *testing.T, handle func(net.Conn)) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var work sync.WaitGroup
+	var running sync.WaitGroup
 	var mu sync.Mutex
-	var all []net.Conn
-	work.Go(func() {
+	var conns []net.Conn
+	running.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			all = append(all, c)
+			conns = append(conns, c)
 			mu.Unlock()
-			work.Go(func() { defer closeQuietly(c); each(c) })
+			running.Go(func() { defer closeQuietly(c); handle(c) })
 		}
 	})
 	t.Cleanup(func() {
 		closeQuietly(l)
 		mu.Lock()
-		for _, c := range all {
+		for _, c := range conns {
 			closeQuietly(c)
 		}
 		mu.Unlock()
-		work.Wait()
+		running.Wait()
 	})
 	return l
 }
@@ -190,8 +191,8 @@
 				return
 			}
 			for {
-				msg, took, err := codec.Next(in)
-				if err != nil || took == 0 {
+				msg, size, err := codec.Next(in)
+				if err != nil || size == 0 {
 					break
 				}
 				n.mu.Lock()
@@ -203,20 +204,20 @@
 					n.ends = append(n.ends, codec.Task(msg))
 				}
 				n.mu.Unlock()
-				in = in[took:]
+				in = in[size:]
 			}
 		}
 	})
 	return n
 }
 
-func (n *tcpNode) received() []uint64 {
+func (n *tcpNode) receivedSetUps() []uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.setUps)
 }
 
-func (n *tcpNode) ended(task uint64) bool {
+func (n *tcpNode) receivedEnd(task uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Contains(n.ends, task)
@@ -243,19 +244,19 @@
 func startLoopback(t *testing.T, change func(*Configuration)) *loopbackRig {
 	t.Helper()
 	r := &loopbackRig{t: t, env: &gatedEnv{
-		Real: env.NewReal(), turns: newGate(), reads: newGate(), ends: newGate(), dials: newGate(), accepts: newGate(),
-		nodes: newGate(),
+		Real: env.NewReal(), turns: newCallGate(), reads: newCallGate(), closes: newCallGate(), dials: newCallGate(), accepts: newCallGate(),
+		nodes: newCallGate(),
 	}}
 	r.env.WriteThrough = true
-	journal, _ := tailed(t)
+	journal, _ := startJournal(t)
 	r.node = newTCPNode(t)
-	known, err := settings.Read([]byte(settingsText))
+	deployment, err := settings.Read([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.configuration = &Configuration{
-		Name: "n0", Listen: "127.0.0.1:0", Journal: journal, Seed: 3, MemoryMB: 64, Sockets: 256, Deployment: known,
-		InitialEvents: []byte(`{"pos":1,"entries":[` + event(1, true, entryOf("a", r.node.listener.Addr().String(), "ready")) + `]}`),
+		Name: "n0", Listen: "127.0.0.1:0", Journal: journal, Seed: 3, MemoryMB: 64, Sockets: 256, Deployment: deployment,
+		InitialEvents: []byte(`{"pos":1,"entries":[` + eventJSON(1, true, entryJSON("a", r.node.listener.Addr().String(), "ready")) + `]}`),
 	}
 	if change != nil {
 		change(r.configuration)
@@ -267,18 +268,18 @@
 	r.address = r.server.clients.address()
 	t.Cleanup(func() {
 		for _, g := range r.env.gates() {
-			g.set(false)
+			g.setClosed(false)
 		}
 		r.env.Close(5 * time.Second)
 	})
 	r.advanceClock(5000) // a scheduler that has just started does not use new nodes yet
 	x := r.dial()
 	x.request(1, "batch")
-	r.until("the node receives the set-up of task 1", func() bool { return len(r.node.received()) == 1 })
+	r.waitFor("the node receives the set-up of task 1", func() bool { return len(r.node.receivedSetUps()) == 1 })
 	r.node.send(1, codec.AppendAnswer(nil, 1, []byte("at a")))
 	x.expect("1 served at a")
 	closeQuietly(x.conn)
-	r.untilNoClients()
+	r.waitForNoClients()
 	return r
 }
 
@@ -288,24 +289,24 @@
 	r.env.clockOffset += ms
 	r.env.mu.Unlock()
 	now := r.env.Now()
-	r.until("a tick at the advanced time", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.loop.lastTick >= now })
+	r.waitFor("a tick at the advanced time", func() bool { r.server.mu.Lock(); defer r.server.mu.Unlock(); return r.server.loop.lastTick >= now })
 	r.server.mu.Lock()
 	r.server.load.delay = overload.Monitor{}
 	r.server.mu.Unlock()
 }
 
-// until waits until a condition holds, and fails the test after 20 s.
-func (r *loopbackRig) until(what string, is func() bool) {
+// waitFor waits until a condition holds, and fails the test after 20 s.
+func (r *loopbackRig) waitFor(what string, holds func() bool) {
 	r.t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			r.t.Fatalf("timed out after 20 s waiting for: %s", what)
 		}
 	}
 }
 
-// counted returns f(server), which is called with the scheduler's lock held.
-func (r *loopbackRig) counted(f func(s *Server) int) int {
+// inspect returns f(server), which is called with the scheduler's lock held.
+func (r *loopbackRig) inspect(f func(s *Server) int) int {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	return f(r.server)
@@ -315,9 +316,9 @@
 func (r *loopbackRig) drainNodeConns() {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
-	for _, p := range r.server.nodes.byID {
-		for _, l := range p.conns {
-			l.draining = true
+	for _, n := range r.server.nodes.byID {
+		for _, c := range n.conns {
+			c.draining = true
 		}
 	}
 }
@@ -325,18 +326,18 @@
 // waitIdle waits until the scheduler has no open request.
 func (r *loopbackRig) waitIdle() {
 	r.t.Helper()
-	r.until("the scheduler has no open request", func() bool {
-		return r.counted(func(s *Server) int {
+	r.waitFor("the scheduler has no open request", func() bool {
+		return r.inspect(func(s *Server) int {
 			return len(s.requests.inbox) + s.host.OpenRequests() + s.requests.admission.Open()
 		}) == 0
 	})
 }
 
 // serve sends a client's request, and has the node answer it.
-func (r *loopbackRig) serve(x *tcpClient, task uint64, job string) {
+func (r *loopbackRig) serve(x *tcpClient, task uint64, jobClass string) {
 	r.t.Helper()
-	x.request(task, job)
-	r.until("the node receives the set-up", func() bool { return slices.Contains(r.node.received(), task) })
+	x.request(task, jobClass)
+	r.waitFor("the node receives the set-up", func() bool { return slices.Contains(r.node.receivedSetUps(), task) })
 	r.node.send(task, codec.AppendAnswer(nil, task, []byte("at a")))
 	x.expect(fmt.Sprintf("%d served at a", task))
 }
@@ -365,25 +366,25 @@
 	}
 }
 
-func (x *tcpClient) request(task uint64, job string) { x.send(setUp(task, job)) }
+func (x *tcpClient) request(task uint64, jobClass string) { x.send(setUp(task, jobClass)) }
 
 // next returns the next message as text, or how the connection ended.
 func (x *tcpClient) next() string {
 	_ = x.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	b := make([]byte, 4096)
 	for {
-		msg, took, err := codec.Next(x.partial)
+		msg, size, err := codec.Next(x.partial)
 		if err != nil {
 			return err.Error()
 		}
-		if took > 0 {
+		if size > 0 {
 			cause, _ := codec.CauseOf(msg)
 			d, _ := codec.Param(msg, codec.ParamDescription)
-			word := map[byte]string{codec.KindAnswer: "served " + string(d), codec.KindEnd: fmt.Sprint("end ", cause), codec.KindTested: fmt.Sprint("tested ",
+			text := map[byte]string{codec.KindAnswer: "served " + string(d), codec.KindEnd: fmt.Sprint("end ", cause), codec.KindTested: fmt.Sprint("tested ",
 				cause)}[codec.Kind(msg)]
-			word = fmt.Sprintf("%d %s", codec.Task(msg), word)
-			x.partial = bytes.Clone(x.partial[took:])
-			return word
+			text = fmt.Sprintf("%d %s", codec.Task(msg), text)
+			x.partial = bytes.Clone(x.partial[size:])
+			return text
 		}
 		n, err := x.conn.Read(b)
 		x.partial = append(x.partial, b[:n]...)
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -10,10 +10,10 @@
 
 // badAnswer is a case of TestBadAnswers: what a node does with an attempt, and the outcome for each job class.
 type badAnswer struct {
-	name   string
-	does   func(n *fakeNode, e *testConn, task uint64)
-	batch  string // "again": served after another attempt, "served": by this one, else the end that the client receives
-	single string
+	name    string
+	respond func(n *fakeNode, e *testConn, task uint64)
+	batch   string // "again": served after another attempt, "served": by this one, else the end that the client receives
+	single  string
 }
 
 // badAnswers are the cases of TestBadAnswers.
@@ -39,7 +39,7 @@
 }
 
 // TestBadAnswers makes the node of the first attempt fail in some way. Restartable work is served by another attempt. At-most-once work fails, as it
-// may have run, unless it provably did not, and is never given to a node twice otherwise.
+// may have run, unless it provably did not. It is then given to nodes only once, and so is restartable work that has ended normally.
 func TestBadAnswers(t *testing.T) {
 	for _, c := range badAnswers {
 		for _, job := range []string{"batch", "single"} {
@@ -51,7 +51,7 @@
 }
 
 // checkBadAnswer runs one case of TestBadAnswers.
-func checkBadAnswer(t *testing.T, c badAnswer, job string) {
+func checkBadAnswer(t *testing.T, c badAnswer, jobClass string) {
 	t.Helper()
 	r := startRig(t, "a", "b")
 	x := r.dial()
@@ -60,15 +60,15 @@
 		n.onSetUp = func(e *testConn, task uint64) {
 			if first == nil {
 				first = n
-				c.does(n, e, task)
+				c.respond(n, e, task)
 			} else {
 				n.answer(e, task)
 			}
 		}
 	}
-	x.request(7, job)
-	r.pass(4000)
-	want := map[string]string{"batch": c.batch, "single": c.single}[job]
+	x.request(7, jobClass)
+	r.advance(4000)
+	want := map[string]string{"batch": c.batch, "single": c.single}[jobClass]
 	other := r.nodes["a"]
 	if first == other {
 		other = r.nodes["b"]
@@ -76,15 +76,15 @@
 	switch want {
 	case "again": // it was served by the other node, or by the first node in a further attempt
 		want = "served " + other.description(7)
-		if first.starts[7] > 1 {
+		if first.setUps[7] > 1 {
 			want = "served " + first.description(7)
 		}
 	case "served":
 		want = "served " + first.description(7)
 	}
 	x.want("answer", "7 "+want)
-	if (job == "single" && c.single != "again" || c.batch == "end 42") && first.starts[7]+other.starts[7] != 1 {
-		t.Errorf("nodes received %d set-ups, want 1", first.starts[7]+other.starts[7])
+	if (jobClass == "single" && c.single != "again" || c.batch == "end 42") && first.setUps[7]+other.setUps[7] != 1 {
+		t.Errorf("nodes received %d set-ups, want 1", first.setUps[7]+other.setUps[7])
 	}
 	if strings.HasPrefix(want, "served") && len(x.receivedAt) > 0 && x.receivedAt[0] > r.clock.TrueTime()-4000+2500 {
 		t.Error("the request was served after its deadline")
@@ -110,7 +110,7 @@
 					e.conn.(interface{ Reset(bool) }).Reset(true)
 				}
 			}
-			r.pass(50)
+			r.advance(50)
 		}, true},
 		{"idle, noticed only when the set-up is sent", func(r *simRig) {
 			for _, n := range r.nodes {
@@ -126,12 +126,12 @@
 			for task := range uint64(6) {
 				x.request(task+1, "batch")
 			}
-			r.pass(300)
+			r.advance(300)
 			c.resets(r)
 			x.received = nil
 			x.request(7, "single")
-			r.pass(3000)
-			given := r.nodes["a"].starts[7] + r.nodes["b"].starts[7]
+			r.advance(3000)
+			given := r.nodes["a"].setUps[7] + r.nodes["b"].setUps[7]
 			if len(x.received) != 1 || c.served && !strings.HasPrefix(x.received[0], "7 served") {
 				t.Errorf("received %q, want one message, and to be served if no connection in use was reset", x.received)
 			} else if given > 1 || given > 0 && x.received[0] == "7 end 42" {
@@ -149,7 +149,7 @@
 	for task := range uint64(8) {
 		x.request(task+1, "single")
 	}
-	r.pass(1000)
+	r.advance(1000)
 	if len(x.received) != 8 || strings.Contains(strings.Join(x.received, " "), "end") {
 		t.Errorf("received %q, want 8 requests served", x.received)
 	}
@@ -174,26 +174,27 @@
 		}
 	}
 	x.request(7, "batch")
-	r.pass(2400)
+	r.advance(2400)
 	if len(x.received) != 1 || !strings.HasPrefix(x.received[0], "7 served") {
 		t.Fatalf("received %q, want one message, which says that task 7 is served", x.received)
 	}
 	if first.running[7] || !r.nodes["a"].running[7] && !r.nodes["b"].running[7] {
-		t.Errorf("tasks running at a: %v, at b: %v; want task 7 at one node other than the first, %s", r.nodes["a"].running, r.nodes["b"].running, first.name)
+		t.Errorf("tasks running at a: %v, at b: %v; want task 7 at one node other than the first, %s",
+			r.nodes["a"].running, r.nodes["b"].running, first.name)
 	}
 }
 
-// TestStartAndEndInOne checks that the client gets both the answer and the end when a node sends them in one message.
-func TestStartAndEndInOne(t *testing.T) {
+// TestStartAndEndInOneMessage checks that the client gets both the answer and the end when a node sends them in one message.
+func TestStartAndEndInOneMessage(t *testing.T) {
 	r := startRig(t, "a", "b")
-	for _, n := range r.nodes {
-		n.onSetUp = func(e *testConn, task uint64) {
+	for _, node := range r.nodes {
+		node.onSetUp = func(e *testConn, task uint64) {
 			e.send(message(codec.KindEnd, task, codec.ParamCause, "\x10", codec.ParamDescription, "short"))
 		}
 	}
 	x := r.dial()
 	x.request(7, "single")
-	r.pass(3000)
+	r.advance(3000)
 	x.want("answer and end", "7 served short", "7 end 16")
 }
 
@@ -213,22 +214,22 @@
 		}, false},
 		{"idle", func(*simRig, *fakeNode) {}, false},
 		{"gone from the node list, process killed", func(r *simRig, n *fakeNode) {
-			r.journal.publish(entryOf("a", "a", "gone"))
-			r.pass(100)
+			r.journal.publish(entryJSON("a", "a", "gone"))
+			r.advance(100)
 			n.process.Kill(false)
 		}, true},
-		{"gone from the node list, still running", func(r *simRig, n *fakeNode) { r.journal.publish(entryOf("a", "a", "gone")) }, false},
+		{"gone from the node list, still running", func(r *simRig, n *fakeNode) { r.journal.publish(entryJSON("a", "a", "gone")) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startRig(t, "a")
 			n := r.nodes["a"]
 			x := r.dial()
 			x.request(7, "single")
-			r.pass(300)
+			r.advance(300)
 			served := "7 served " + n.description(7)
 			x.want("served", served)
 			c.do(r, n)
-			r.pass(7800)
+			r.advance(7800)
 			if c.lost {
 				x.want("after the loss of the node", served, "7 end 41")
 			} else {
@@ -245,22 +246,22 @@
 	old := r.nodes["a"]
 	x := r.dial()
 	x.request(7, "batch")
-	r.pass(100)
+	r.advance(100)
 	old.listener.Close() // the process keeps running, with an open connection
 	newFakeNode(r, "b", "a")
-	r.journal.publish(entryOf("a", "a", "gone"), entryOf("b", "a", "ready"))
-	r.pass(100)
+	r.journal.publish(entryJSON("a", "a", "gone"), entryJSON("b", "a", "ready"))
+	r.advance(100)
 	x.request(8, "single")
-	r.pass(300)
+	r.advance(300)
 	x.want("served by the new node", "7 served "+old.description(7), "8 served "+r.nodes["b"].description(8))
-	if old.starts[8] > 0 {
+	if old.setUps[8] > 0 {
 		t.Error("the old node received the set-up of task 8")
 	}
 	r.nodes["b"].conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
-	r.pass(100)
+	r.advance(100)
 	x.want("after the new node sent the end of a task of the old one", "7 served "+old.description(7), "8 served "+r.nodes["b"].description(8))
 	old.process.Kill(false)
-	r.pass(500)
+	r.advance(500)
 	if r.server.nodes.byName["a"] != nil {
 		t.Error("the old node is still in the table")
 	}
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -18,34 +18,34 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// process is a scheduler that runs as a separate process, on loopback.
-type process struct {
+// schedulerProcess is a scheduler that runs as a separate process, on loopback.
+type schedulerProcess struct {
 	*loopbackRig
-	cmd  *exec.Cmd
-	file string
-	err  *lines
+	cmd    *exec.Cmd
+	file   string
+	stderr *logBuffer
 }
 
-// lines records the standard error output of a process.
-type lines struct {
-	mu  sync.Mutex
-	all bytes.Buffer
+// logBuffer records the standard error output of a process.
+type logBuffer struct {
+	mu   sync.Mutex
+	text bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all.Write(b)
+	return l.text.Write(b)
 }
 
-func (l *lines) has(text string) bool {
+func (l *logBuffer) has(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Contains(l.all.String(), text)
+	return strings.Contains(l.text.String(), text)
 }
 
-// tailed starts a journal service. asked returns how many requests for events it has received.
-func tailed(t *testing.T) (address string, asked func() int) {
+// startJournal starts a journal service. requests returns how many requests for events it has received.
+func startJournal(t *testing.T) (address string, requests func() int) {
 	t.Helper()
 	var mu sync.Mutex
 	n := 0
@@ -70,11 +70,11 @@
 	return l.Addr().String(), func() int { mu.Lock(); defer mu.Unlock(); return n }
 }
 
-func (p *process) write(journal string) {
+func (p *schedulerProcess) writeConfiguration(journal string) {
 	p.t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"journal":%q,"seed":"3","limits":{"cores":1,"memory_mb":64,"sockets":256},`+
 		`"known":{"pos":1,"entries":[%s]},"settings":%s}`,
-		p.address, journal, event(1, true, entryOf("a", p.node.listener.Addr().String(), "ready")), settingsText)
+		p.address, journal, eventJSON(1, true, entryJSON("a", p.node.listener.Addr().String(), "ready")), settingsText)
 	if err := os.WriteFile(p.file+".new", []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
@@ -83,34 +83,34 @@
 	}
 }
 
-func startProcess(t *testing.T, journal string) *process {
+func startProcess(t *testing.T, journal string) *schedulerProcess {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{
+	p := &schedulerProcess{
 		loopbackRig: &loopbackRig{t: t, node: newTCPNode(t), address: free.Addr().String()},
-		file:        filepath.Join(t.TempDir(), "config.json"), err: &lines{},
+		file:        filepath.Join(t.TempDir(), "config.json"), stderr: &logBuffer{},
 	}
 	closeQuietly(free)
-	p.write(journal)
+	p.writeConfiguration(journal)
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.cmd = exec.Command(exe)
-	p.cmd.Env = append(os.Environ(), runs+"=1", "GW_CONFIG="+p.file)
-	p.cmd.Stderr = p.err
+	p.cmd.Env = append(os.Environ(), runVariable+"=1", "GW_CONFIG="+p.file)
+	p.cmd.Stderr = p.stderr
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = p.cmd.Process.Kill(); _ = p.cmd.Wait() })
-	p.until("the scheduler listens for clients", func() bool { return p.err.has(`"message":"listening for clients"`) })
+	p.waitFor("the scheduler listens for clients", func() bool { return p.stderr.has(`"message":"listening for clients"`) })
 	return p
 }
 
-func (p *process) signal(s syscall.Signal) {
+func (p *schedulerProcess) signal(s syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
 		p.t.Fatal(err)
@@ -120,21 +120,21 @@
 // TestSignals sends a scheduler's process SIGHUP in quick succession, in part with files that can't be read, and SIGTERM right after one, while a
 // request is open. The last valid configuration is applied, the open request is answered, and the process exits with status 0.
 func TestSignals(t *testing.T) {
-	first, askedFirst := tailed(t)
-	second, askedSecond := tailed(t)
-	third, _ := tailed(t)
+	first, firstRequests := startJournal(t)
+	second, secondRequests := startJournal(t)
+	third, _ := startJournal(t)
 	p := startProcess(t, first)
-	p.until("the first journal service receives a request", func() bool { return askedFirst() > 0 })
+	p.waitFor("the first journal service receives a request", func() bool { return firstRequests() > 0 })
 	x := p.dial()
 	x.request(7, "single")
-	p.until("the node receives the set-up", func() bool { return slices.Contains(p.node.received(), 7) })
+	p.waitFor("the node receives the set-up", func() bool { return slices.Contains(p.node.receivedSetUps(), 7) })
 	for i := range 20 {
 		if i%3 == 0 {
 			if err := os.WriteFile(p.file, []byte(`{"name":`), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		} else {
-			p.write([]string{first, third}[i%2])
+			p.writeConfiguration([]string{first, third}[i%2])
 		}
 		p.signal(syscall.SIGHUP)
 	}
@@ -142,14 +142,14 @@
 		t.Fatal(err)
 	}
 	p.signal(syscall.SIGHUP)
-	p.until("the rejected configuration is logged", func() bool { return p.err.has("configuration rejected; keeping the previous one") })
-	p.write(second)
+	p.waitFor("the rejected configuration is logged", func() bool { return p.stderr.has("configuration rejected; keeping the previous one") })
+	p.writeConfiguration(second)
 	p.signal(syscall.SIGHUP)
-	p.until("the last journal service receives a request", func() bool { return askedSecond() > 0 })
+	p.waitFor("the last journal service receives a request", func() bool { return secondRequests() > 0 })
 	p.signal(syscall.SIGHUP)
 	p.signal(syscall.SIGTERM)
 	p.signal(syscall.SIGHUP)
-	p.until("the shutdown request is logged", func() bool { return p.err.has("shutdown requested") })
+	p.waitFor("the shutdown request is logged", func() bool { return p.stderr.has("shutdown requested") })
 	p.node.send(7, codec.AppendAnswer(nil, 7, []byte("at a")))
 	x.expect("7 served at a", "closed")
 	if err := p.cmd.Wait(); err != nil {
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -11,19 +11,19 @@
 // TestServed follows a request from the set-up to the end of its task. The answer carries the node's description byte for byte, and a repeated end
 // is not notified again.
 func TestServed(t *testing.T) {
-	for _, job := range []string{"batch", "marked", "single"} {
-		t.Run(job, func(t *testing.T) {
+	for _, jobClass := range []string{"batch", "marked", "single"} {
+		t.Run(jobClass, func(t *testing.T) {
 			r := startRig(t, "a")
 			x, n := r.dial(), r.nodes["a"]
 			x.send(codec.AppendTest(nil, 9, false))
-			x.request(7, job)
-			r.pass(200)
+			x.request(7, jobClass)
+			r.advance(200)
 			x.want("served", "9 tested 1", "7 served "+n.description(7))
 			n.conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
-			r.pass(50)
+			r.advance(50)
 			x.want("after the end", "9 tested 1", "7 served "+n.description(7), "7 end 16")
 			n.conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
-			r.pass(3000)
+			r.advance(3000)
 			x.want("after a repeated end", "9 tested 1", "7 served "+n.description(7), "7 end 16")
 			if len(r.server.requests.byAlloc)+len(r.server.requests.byTask) > 0 || r.server.requests.admission.Open() != 0 {
 				t.Errorf("%d requests by allocation, %d by task and %d open are left, want none", len(r.server.requests.byAlloc),
@@ -42,44 +42,44 @@
 		ends    func(r *simRig)
 		want    string
 	}{
-		{"end, with another connection", true, ends, "7 end 16"},
-		{"end, without another connection", false, ends, "7 end 16"},
-		{"move, with another connection", true, moves, "7 move"},
-		{"move, without another connection", false, moves, "7 move"},
+		{"end, with another connection", true, sendEnd, "7 end 16"},
+		{"end, without another connection", false, sendEnd, "7 end 16"},
+		{"move, with another connection", true, sendMove, "7 move"},
+		{"move, without another connection", false, sendMove, "7 move"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startRig(t, "a")
 			x := r.dial()
 			x.request(7, "batch")
-			r.pass(100)
+			r.advance(100)
 			var y *testClient
 			if c.another {
 				y = r.dial()
 				y.request(8, "batch")
-				r.pass(100)
+				r.advance(100)
 			}
 			x.conn.Close(true, nil)
-			r.pass(100)
+			r.advance(100)
 			c.ends(r)
-			r.pass(100)
+			r.advance(100)
 			if !c.another {
 				y = r.dial()
 				y.request(8, "batch")
-				r.pass(300)
+				r.advance(300)
 			}
 			if !slices.Contains(y.received, c.want) {
 				t.Errorf("received %q, want %q among them", y.received, c.want)
 			}
-			if n := len(r.nodes["a"].ended); n > 0 {
+			if n := len(r.nodes["a"].endsReceived); n > 0 {
 				t.Errorf("the node received %d ends, want none", n)
 			}
 		})
 	}
 }
 
-func ends(r *simRig) { r.nodes["a"].conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal)) }
+func sendEnd(r *simRig) { r.nodes["a"].conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal)) }
 
-func moves(r *simRig) {
+func sendMove(r *simRig) {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	hostEffects{r.server}.NotifyMove(r.server.requests.byTask[7].allocID)
@@ -93,17 +93,17 @@
 	x.send(setUp(7, "single", codec.ParamDemand, demandText+";at:a"))
 	x.send(setUp(7, "single", codec.ParamDemand, demandText+";at:a"))
 	x.send(setUp(8, "single", codec.ParamDemand, demandText+";at:nowhere"))
-	r.pass(4000)
+	r.advance(4000)
 	x.want("the failure of the task at an unknown node alone", "8 end 41")
 	if len(r.nodes["a"].conns) == 0 {
 		t.Fatal("no connection to node a, which could carry the end of its task")
 	}
-	if open := open(r.nodes["a"]); len(open) != 1 {
+	if open := openConns(r.nodes["a"]); len(open) != 1 {
 		t.Fatalf("%d connections are open, want 1: each check of the node replaces the connection of the one before", len(open))
 	} else {
 		open[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 	}
-	r.pass(100)
+	r.advance(100)
 	x.want("after the end", "8 end 41", "7 end 16")
 }
 
@@ -118,31 +118,31 @@
 		x.request(task, "single")
 		return task < 30
 	})
-	slow := n.onSetUp
+	previous := n.onSetUp
 	n.onSetUp = func(e *testConn, task uint64) {
-		if slow == nil && task%5 == 0 {
+		if previous == nil && task%5 == 0 {
 			return // the node never answers these
 		}
 		n.process.After(30, func() { n.answer(e, task) })
 	}
-	r.pass(600)
+	r.advance(600)
 	r.server.Stop()
-	r.pass(300)
+	r.advance(300)
 	y := r.dial()
 	y.request(1001, "batch")
-	r.pass(3400)
+	r.advance(3400)
 	select {
 	case <-r.server.Done():
 	default:
 		t.Fatal("the scheduler has not shut down")
 	}
 	if len(x.received) != 30 || len(y.received) != 1 {
-		t.Errorf("%d answers before the shutdown, want 30; %d after its start, want 1; the former are %q", len(x.received), len(y.received), x.received)
+		t.Errorf("%d answers to the first client, want 30; %d to the second, want 1; the first received %q", len(x.received), len(y.received), x.received)
 	}
 	if len(n.running) != 25 {
 		t.Errorf("%d tasks are running, want 25", len(n.running))
 	}
-	if z := r.dial(); !z.ended {
+	if z := r.dial(); !z.closed {
 		t.Error("a connection was accepted after the shutdown")
 	}
 }
--- a/internal/platform/sim_rig_test.go
+++ b/internal/platform/sim_rig_test.go
@@ -48,30 +48,30 @@
 // startRig starts a scheduler whose node list has nodes with these names, at addresses of the same names.
 func startRig(t *testing.T, names ...string) *simRig {
 	t.Helper()
-	return startRigWith(t, settingsText, entryOf, names...)
+	return startRigWith(t, settingsText, entryJSON, names...)
 }
 
-// startRigWith starts a scheduler with other settings. entryOf returns the entries of its node list.
-func startRigWith(t *testing.T, settingsText string, entryOf func(name, address, status string) string, names ...string) *simRig {
+// startRigWith starts a scheduler with other settings. nodeEntry returns the entries of its node list.
+func startRigWith(t *testing.T, settingsText string, nodeEntry func(name, address, status string) string, names ...string) *simRig {
 	t.Helper()
 	r := &simRig{t: t, clock: sim.NewClock(7), nodes: map[string]*fakeNode{}}
 	r.process, r.clients = r.clock.NewProcess("scheduler"), r.clock.NewProcess("clients")
 	r.journal = newFakeJournal(r, "journal:1")
-	var all []string
+	var entries []string
 	for _, n := range names {
 		newFakeNode(r, n, n)
-		all = append(all, entryOf(n, n, "ready"))
+		entries = append(entries, nodeEntry(n, n, "ready"))
 	}
-	first := event(1, true, all...)
-	r.journal.events = []string{first}
+	initial := eventJSON(1, true, entries...)
+	r.journal.events = []string{initial}
 	c, err := Read([]byte(`{"name":"n0","listen":"scheduler:1","journal":"journal:1","seed":"3","limits":{"cores":1,"memory_mb":64,"sockets":256},` +
-		`"known":{"pos":1,"entries":[` + first + `]},"settings":` + settingsText + `}`))
+		`"known":{"pos":1,"entries":[` + initial + `]},"settings":` + settingsText + `}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.configuration = c
 	r.start()
-	r.pass(3000) // a scheduler that has just started does not use new nodes yet
+	r.advance(3000) // a scheduler that has just started does not use new nodes yet
 	return r
 }
 
@@ -82,61 +82,61 @@
 	}
 }
 
-func (r *simRig) pass(ms float64) { r.clock.RunUntil(r.clock.TrueTime() + ms) }
+func (r *simRig) advance(ms float64) { r.clock.RunUntil(r.clock.TrueTime() + ms) }
 
-func entryOf(name, address, status string) string {
+func entryJSON(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"east","type":"std","group":0,"status":%q,"since_ms":0,"room":[32,64]}`, name,
 		address, status)
 }
 
-func event(pos int, whole bool, entries ...string) string {
-	return fmt.Sprintf(`{"pos":%d,"hosts":{"index":%d,"snapshot":%v,"endpoints":[%s]}}`, pos, pos, whole, strings.Join(entries, ","))
+func eventJSON(pos int, snapshot bool, entries ...string) string {
+	return fmt.Sprintf(`{"pos":%d,"hosts":{"index":%d,"snapshot":%v,"endpoints":[%s]}}`, pos, pos, snapshot, strings.Join(entries, ","))
 }
 
 // testConn is a connection of a fake node or of a test client.
 type testConn struct {
 	conn      env.Conn
-	in        []byte
+	partial   []byte
 	onMessage func(msg []byte)
-	ended     bool
+	closed    bool
 }
 
 func (e *testConn) OnData(b []byte) {
-	e.in = append(e.in, b...)
+	e.partial = append(e.partial, b...)
 	for {
-		msg, took, err := codec.Next(e.in)
-		if err != nil || took == 0 {
+		msg, size, err := codec.Next(e.partial)
+		if err != nil || size == 0 {
 			return
 		}
 		m := slices.Clone(msg)
-		e.in = e.in[took:]
+		e.partial = e.partial[size:]
 		e.onMessage(m)
 	}
 }
 
-func (e *testConn) OnClose(error) { e.ended = true }
+func (e *testConn) OnClose(error) { e.closed = true }
 
 func (e *testConn) send(b []byte) { e.conn.Send(func(x []byte) []byte { return append(x, b...) }) }
 
 // fakeNode is a simulated node. By default it starts a task 30 ms after the set-up.
 type fakeNode struct {
-	rig       *simRig
-	name      string
-	process   *sim.Process
-	listener  env.Listener
-	conns     []*testConn
-	starts    map[uint64]int       // the number of set-ups received, by task
-	open      map[uint64]*testConn // the connection of the last set-up, by task
-	running   map[uint64]bool
-	ended     []uint64                       // tasks that the scheduler ended
-	tests     int                            // the number of test messages received
-	onSetUp   func(e *testConn, task uint64) // called instead of starting the task, if set
-	onConnect func(e *testConn)              // called for each new connection, if set
+	rig           *simRig
+	name          string
+	process       *sim.Process
+	listener      env.Listener
+	conns         []*testConn
+	setUps        map[uint64]int       // the number of set-ups received, by task
+	setUpConn     map[uint64]*testConn // the connection of the last set-up, by task
+	running       map[uint64]bool
+	endsReceived  []uint64                       // tasks that the scheduler ended
+	testsReceived int                            // the number of test messages received
+	onSetUp       func(e *testConn, task uint64) // called instead of starting the task, if set
+	onConnect     func(e *testConn)              // called for each new connection, if set
 }
 
 func newFakeNode(r *simRig, name, address string) *fakeNode {
 	n := &fakeNode{
-		rig: r, name: name, process: r.clock.NewProcess("node-" + name), starts: map[uint64]int{}, open: map[uint64]*testConn{},
+		rig: r, name: name, process: r.clock.NewProcess("node-" + name), setUps: map[uint64]int{}, setUpConn: map[uint64]*testConn{},
 		running: map[uint64]bool{},
 	}
 	r.nodes[name] = n
@@ -145,9 +145,9 @@
 }
 
 func (n *fakeNode) listen(address string) {
-	d, err := n.process.Listen(address, func(c env.Conn) {
+	listener, err := n.process.Listen(address, func(c env.Conn) {
 		e := &testConn{conn: c}
-		e.onMessage = func(msg []byte) { n.message(e, msg) }
+		e.onMessage = func(msg []byte) { n.onMessage(e, msg) }
 		n.conns = append(n.conns, e)
 		c.Start(e, 5000)
 		if n.onConnect != nil {
@@ -157,28 +157,28 @@
 	if err != nil {
 		n.rig.t.Fatal(err)
 	}
-	n.listener = d
+	n.listener = listener
 }
 
-func (n *fakeNode) message(e *testConn, msg []byte) {
+func (n *fakeNode) onMessage(e *testConn, msg []byte) {
 	task := codec.Task(msg)
 	switch codec.Kind(msg) {
 	case codec.KindSetUp:
-		n.starts[task]++
-		n.open[task] = e
+		n.setUps[task]++
+		n.setUpConn[task] = e
 		if n.onSetUp != nil {
 			n.onSetUp(e, task)
 			return
 		}
 		n.process.After(30, func() { n.answer(e, task) })
 	case codec.KindEnd:
-		n.ended = append(n.ended, task)
+		n.endsReceived = append(n.endsReceived, task)
 		if n.running[task] {
 			delete(n.running, task)
 			e.send(codec.AppendEnd(nil, task, codec.CauseElsewhere))
 		}
 	case codec.KindTest:
-		n.tests++
+		n.testsReceived++
 		e.send(codec.AppendTested(nil, task, true))
 	}
 }
@@ -212,13 +212,13 @@
 	}
 	r.clients.Dial(clientAddress, 1000, func(c env.Conn, err error) {
 		if err != nil {
-			x.ended = true
+			x.closed = true
 			return
 		}
 		x.conn = c
 		c.Start(x, 5000)
 	})
-	r.pass(50)
+	r.advance(50)
 	return x
 }
 
@@ -243,22 +243,22 @@
 const demandText = "cores:1;memory:2;service:00000000b4d65521"
 
 // setUp returns a client's set-up message. Further parameters replace the default ones with the same code.
-func setUp(task uint64, job string, more ...any) []byte {
+func setUp(task uint64, jobClass string, replacements ...any) []byte {
 	params := []any{
-		codec.ParamJobClass, job, codec.ParamTimeLeft, "2500", codec.ParamTenant, "acme", codec.ParamName, fmt.Sprintf("%016x", task), codec.ParamKey,
+		codec.ParamJobClass, jobClass, codec.ParamTimeLeft, "2500", codec.ParamTenant, "acme", codec.ParamName, fmt.Sprintf("%016x", task), codec.ParamKey,
 		strings.Repeat("5c", 16), codec.ParamDemand, demandText, codec.ParamDescription, "owner's",
 	}
-	for i := 0; i < len(more); i += 2 {
+	for i := 0; i < len(replacements); i += 2 {
 		for j := 0; j < len(params); j += 2 {
-			if params[j] == more[i] {
-				params[j+1] = more[i+1]
+			if params[j] == replacements[i] {
+				params[j+1] = replacements[i+1]
 			}
 		}
 	}
 	return message(codec.KindSetUp, task, params...)
 }
 
-func (x *testClient) request(task uint64, job string) { x.send(setUp(task, job)) }
+func (x *testClient) request(task uint64, jobClass string) { x.send(setUp(task, jobClass)) }
 
 // fakeJournal is a simulated journal service.
 type fakeJournal struct {
@@ -279,7 +279,7 @@
 
 func newFakeJournal(r *simRig, address string) *fakeJournal {
 	j := &fakeJournal{rig: r, process: r.clock.NewProcess(address)}
-	d, err := j.process.Listen(address, func(c env.Conn) {
+	listener, err := j.process.Listen(address, func(c env.Conn) {
 		x := &journalConn{journal: j, conn: c}
 		j.conns = append(j.conns, x)
 		c.Start(x, 5000)
@@ -287,7 +287,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	j.listener = d
+	j.listener = listener
 	env.Every(j.process, 1000, func() bool {
 		j.broadcast(fmt.Sprintf(`{"pos":%d}`+"\n", j.last()))
 		return true
@@ -300,7 +300,7 @@
 		return 0
 	}
 	var e struct{ Pos int }
-	_ = json.Unmarshal([]byte(j.events[len(j.events)-1]), &e) // event wrote the text, which is valid
+	_ = json.Unmarshal([]byte(j.events[len(j.events)-1]), &e) // eventJSON wrote the text, which is valid
 	return e.Pos
 }
 
@@ -344,7 +344,7 @@
 
 // publish appends an event to the journal and sends it on all open connections.
 func (j *fakeJournal) publish(entries ...string) {
-	e := event(j.last()+1, false, entries...)
+	e := eventJSON(j.last()+1, false, entries...)
 	j.events = append(j.events, e)
 	j.broadcast(e + "\n")
 }
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -14,9 +14,9 @@
 	"ravenpond/logic"
 )
 
-// TestCustomers simulates a siteDay with the settings of each site in deploy/sites: its names, deadlines, tenants and zones. Each client that stays
+// TestSites simulates a siteDay with the settings of each site in deploy/sites: its names, deadlines, tenants and zones. Each client that stays
 // connected is answered once and in time, no at-most-once work is attempted again after it may have run, and draining nodes get no new work.
-func TestCustomers(t *testing.T) {
+func TestSites(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/sites/*/settings.json")
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%d sites, want 2 or more; error %v", len(files), err)
@@ -35,7 +35,7 @@
 // siteRequest is a request in a siteDay.
 type siteRequest struct {
 	client     *testClient
-	job        int
+	jobClass   int
 	deadline   float64
 	departed   bool // the client closed its connection before it was answered
 	answered   bool
@@ -47,20 +47,20 @@
 // join, and a journal service that is silent for a while.
 type siteDay struct {
 	*simRig
-	known     *settings.Deployment
-	rng       *rand.Rand
-	startedAt map[string]float64 // the start times of nodes that join, in Unix ms
-	drainedAt map[string]float64 // the times at which nodes start to drain, by name
-	requests  map[uint64]*siteRequest
-	client    *testClient // the client that makes the next request
-	lastTask  uint64
+	deployment *settings.Deployment
+	rng        *rand.Rand
+	startedAt  map[string]float64 // the start times of nodes that join, in Unix ms
+	drainedAt  map[string]float64 // the times at which nodes start to drain, by name
+	requests   map[uint64]*siteRequest
+	client     *testClient // the client that makes the next request
+	lastTask   uint64
 }
 
 // entry returns a node's entry in the node list.
 func (d *siteDay) entry(name, address, status string) string {
 	i := int(name[1] - '0')
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":%d,"status":%q,"since_ms":%.0f,"room":[24,48]}`, name, address,
-		d.known.Zones[i%len(d.known.Zones)], d.known.Kinds[i%len(d.known.Kinds)], i, status, d.startedAt[name])
+		d.deployment.Zones[i%len(d.deployment.Zones)], d.deployment.Kinds[i%len(d.deployment.Kinds)], i, status, d.startedAt[name])
 }
 
 // publish sends a node's state from the journal service.
@@ -94,7 +94,7 @@
 	if at, ok := d.drainedAt[n.name]; ok && d.clock.TrueTime() > at+500+50 {
 		d.t.Errorf("node %s received task %d %g ms after it started to drain", n.name, task, d.clock.TrueTime()-at)
 	}
-	if d.known.Cluster.JobClasses[r.job].Semantics == logic.AtMostOnce && r.mayHaveRun {
+	if d.deployment.Cluster.JobClasses[r.jobClass].Semantics == logic.AtMostOnce && r.mayHaveRun {
 		d.t.Errorf("at-most-once task %d, which may have run, is attempted again", task)
 	}
 }
@@ -103,16 +103,17 @@
 // client replaces it.
 func (d *siteDay) request() {
 	d.lastTask++
-	job := d.rng.IntN(len(d.known.JobClasses))
-	left := fmt.Sprint(int(d.known.Deadlines[job]))
+	jobClass := d.rng.IntN(len(d.deployment.JobClasses))
+	left := fmt.Sprint(int(d.deployment.Deadlines[jobClass]))
 	var b []byte
-	if len(d.known.Tenants) > 0 {
-		b = setUp(d.lastTask, d.known.JobClasses[job], codec.ParamTimeLeft, left, codec.ParamTenant, d.known.Tenants[d.rng.IntN(len(d.known.Tenants))])
+	if len(d.deployment.Tenants) > 0 {
+		b = setUp(d.lastTask, d.deployment.JobClasses[jobClass], codec.ParamTimeLeft, left,
+			codec.ParamTenant, d.deployment.Tenants[d.rng.IntN(len(d.deployment.Tenants))])
 	} else { // requests of a site without tenants name none
-		b = message(codec.KindSetUp, d.lastTask, codec.ParamJobClass, d.known.JobClasses[job], codec.ParamTimeLeft, left, codec.ParamName,
+		b = message(codec.KindSetUp, d.lastTask, codec.ParamJobClass, d.deployment.JobClasses[jobClass], codec.ParamTimeLeft, left, codec.ParamName,
 			fmt.Sprintf("%016x", d.lastTask), codec.ParamKey, strings.Repeat("5c", 16), codec.ParamDemand, demandText, codec.ParamDescription, "owner's")
 	}
-	d.requests[d.lastTask] = &siteRequest{client: d.client, job: job, deadline: d.clock.TrueTime() + d.known.Deadlines[job]}
+	d.requests[d.lastTask] = &siteRequest{client: d.client, jobClass: jobClass, deadline: d.clock.TrueTime() + d.deployment.Deadlines[jobClass]}
 	d.client.send(b)
 	if d.rng.IntN(15) == 0 {
 		leaving := d.client
@@ -129,9 +130,9 @@
 	client.conn.Close(true, nil)
 }
 
-// schedule schedules the faults and changes of the nodes and the journal service, relative to began.
-func (d *siteDay) schedule(began float64) {
-	at := func(ms float64, f func()) { d.clock.At(began+ms, f) }
+// schedule schedules the faults and changes of the nodes and the journal service, relative to start.
+func (d *siteDay) schedule(start float64) {
+	at := func(ms float64, f func()) { d.clock.At(start+ms, f) }
 	at(4000, func() { d.publish("s0", "draining"); d.drainedAt["s0"] = d.clock.TrueTime() })
 	at(6000, func() { d.publish("s0", "gone") })
 	at(5000, func() {
@@ -150,20 +151,20 @@
 	d.server.Stop()
 	for range 10 {
 		d.request()
-		d.pass(50)
+		d.advance(50)
 	}
-	longest := slices.Max(d.known.Deadlines)
+	longest := slices.Max(d.deployment.Deadlines)
 	for {
 		select {
 		case <-d.server.Done():
-			d.pass(10)
+			d.advance(10)
 			return
 		default:
 			if d.clock.TrueTime() > stopped+min(longest, 3000)+700 {
 				d.t.Fatal("the shutdown has taken so long that the platform would have killed the scheduler")
 			}
 		}
-		d.pass(10)
+		d.advance(10)
 	}
 }
 
@@ -198,7 +199,7 @@
 func (d *siteDay) checkAnswers() {
 	served, answered := 0, 0
 	for task, r := range d.requests {
-		words := d.wordsFor(task, r)
+		words := d.messagesAbout(task, r)
 		if len(words) > 0 {
 			answered++
 			if words[0] == "served" {
@@ -209,7 +210,7 @@
 			d.t.Errorf("messages about task %d among %q: want one answer and at most one notification", task, r.client.received)
 		}
 		if len(words) == 0 && !r.departed {
-			d.t.Errorf("task %d (%s), whose client stayed connected, was never answered", task, d.known.JobClasses[r.job])
+			d.t.Errorf("task %d (%s), whose client stayed connected, was never answered", task, d.deployment.JobClasses[r.jobClass])
 		}
 	}
 	if float64(served) < 0.85*float64(answered) || answered < 200 {
@@ -217,8 +218,8 @@
 	}
 }
 
-// wordsFor returns the first words of the messages that a client received about a task.
-func (d *siteDay) wordsFor(task uint64, r *siteRequest) (words []string) {
+// messagesAbout returns the first words of the messages that a client received about a task.
+func (d *siteDay) messagesAbout(task uint64, r *siteRequest) (words []string) {
 	for _, text := range r.client.received {
 		if n := readNotice(text); n.task == task {
 			words = append(words, n.word)
@@ -230,27 +231,27 @@
 // playSiteDay simulates a siteDay with a site's settings.
 func playSiteDay(t *testing.T, text string) {
 	t.Helper()
-	known, err := settings.Read([]byte(text))
+	deployment, err := settings.Read([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := &siteDay{
-		known: known, rng: rand.New(rand.NewPCG(5, 6)), startedAt: map[string]float64{}, drainedAt: map[string]float64{},
+		deployment: deployment, rng: rand.New(rand.NewPCG(5, 6)), startedAt: map[string]float64{}, drainedAt: map[string]float64{},
 		requests: map[uint64]*siteRequest{},
 	}
 	d.simRig = startRigWith(t, text, d.entry, "s0", "s1", "s2", "s3", "s4", "s5")
-	began := d.clock.TrueTime()
+	start := d.clock.TrueTime()
 	for _, n := range d.nodes {
 		d.serve(n)
 	}
 	d.client = d.dial()
-	d.schedule(began)
-	for d.clock.TrueTime() < began+15000 {
+	d.schedule(start)
+	for d.clock.TrueTime() < start+15000 {
 		d.request()
-		d.pass(40)
+		d.advance(40)
 	}
 	d.stop()
-	d.pass(100)
+	d.advance(100)
 	d.checkDeadlines()
 	d.checkAnswers()
 }
