--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -102,7 +102,7 @@
 	c.unconfirmed = nil
 }
 
-// byAllocation orders requests by the host's numbers of them.
+// byAllocation orders requests by the host's numbers for them.
 func byAllocation(x, y *request) int { return cmp.Compare(x.allocID, y.allocID) }
 
 // onMessage processes one message.
--- a/internal/platform/client_requests.go
+++ b/internal/platform/client_requests.go
@@ -87,7 +87,7 @@
 	return f, nil
 }
 
-// fitsSomeNode reports whether an empty node of some kind has room for the task.
+// fitsSomeNode reports whether an empty node of some kind has room for the task, with overcommitment.
 func (s *Server) fitsSomeNode(f requestFields) bool {
 	cluster := s.settings.Cluster
 	wanted := cluster.JobClasses[f.jobClass].NodeKind
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -177,8 +177,8 @@
 // exhaustedEnv is an environment in which every dial fails because no descriptors are left.
 type exhaustedEnv struct{ env.Environment }
 
-func (w exhaustedEnv) Dial(_ string, _ float64, done func(env.Conn, error)) {
-	w.After(0.1, func() { done(nil, fmt.Errorf("socket: %w", env.ErrExhausted)) })
+func (w exhaustedEnv) Dial(_ string, _ float64, onDialed func(env.Conn, error)) {
+	w.After(0.1, func() { onDialed(nil, fmt.Errorf("socket: %w", env.ErrExhausted)) })
 }
 
 // TestHeldLimit requests more tasks that already run than the scheduler may hold. Those beyond the limit are rejected.
@@ -202,9 +202,9 @@
 	r := startRig(t, "n0")
 	task := uint64(0)
 	for i := range 60 {
-		name, last := fmt.Sprint("n", i+1), fmt.Sprint("n", i)
+		name, previous := fmt.Sprint("n", i+1), fmt.Sprint("n", i)
 		newFakeNode(r, name, name)
-		r.journal.publish(entryJSON(name, name, "ready"), entryJSON(last, last, "gone"))
+		r.journal.publish(entryJSON(name, name, "ready"), entryJSON(previous, previous, "gone"))
 		r.advance(300)
 		x := r.dial()
 		for range 5 {
--- a/internal/platform/endpoint_watch.go
+++ b/internal/platform/endpoint_watch.go
@@ -107,7 +107,7 @@
 	case update.gap || last > w.position:
 		return errEventGap
 	}
-	if update.begun {
+	if update.accepted {
 		update.end()
 		w.pollRequested = false
 	}
@@ -119,7 +119,7 @@
 	watch    *endpointWatch
 	now      float64
 	gap      bool           // events between the last applied one and this one are missing
-	begun    bool           // an event is being applied
+	accepted bool           // an event is being applied
 	snapshot bool           // the event names all nodes
 	listed   map[*node]bool // nodes that the event names
 }
@@ -134,7 +134,7 @@
 		u.gap = true
 		return false
 	}
-	w.position, u.begun, u.snapshot = position, true, snapshot
+	w.position, u.accepted, u.snapshot = position, true, snapshot
 	kind := logic.ListChanges
 	if snapshot {
 		kind = logic.ListFull
--- a/internal/platform/endpoint_watch_test.go
+++ b/internal/platform/endpoint_watch_test.go
@@ -15,9 +15,9 @@
 
 // journalFaults are the cases of TestJournalFaults: ways in which the journal service sends that node a is gone and node b is ready.
 var journalFaults = []struct {
-	name string
-	do   func(r *simRig)
-	in   float64 // ms after which the scheduler has to have applied both
+	name   string
+	inject func(r *simRig)
+	within float64 // ms after which the scheduler has to have applied both
 }{
 	{"without faults", func(r *simRig) { r.journal.publish(goneA); r.journal.publish(readyB) }, 100},
 	{"repeated events", func(r *simRig) {
@@ -119,8 +119,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := startRig(t, "a")
 			newFakeNode(r, "b", "b")
-			c.do(r)
-			r.advance(c.in)
+			c.inject(r)
+			r.advance(c.within)
 			x := r.dial()
 			x.request(7, "single")
 			r.advance(300)
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -12,12 +12,12 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// disconnectClient closes a client's connection. If readFirst is set it waits until the scheduler has processed the close, else it blocks the event.
-func (r *loopbackRig) disconnectClient(x *tcpClient, disconnect func(*tcpClient), readFirst bool) {
+// disconnectClient closes a client's connection. If closeFirst is set it waits until the scheduler has processed the close, else it blocks the event.
+func (r *loopbackRig) disconnectClient(x *tcpClient, disconnect func(*tcpClient), closeFirst bool) {
 	r.t.Helper()
-	r.env.closes.setClosed(!readFirst)
+	r.env.closes.setClosed(!closeFirst)
 	disconnect(x)
-	if readFirst {
+	if closeFirst {
 		r.waitForNoClients()
 	} else {
 		r.waitFor("the close is received and blocked", func() bool { return r.env.closes.blocked() > 0 })
@@ -34,9 +34,9 @@
 // scheduler processes the close before or after the next step.
 func TestClientGone(t *testing.T) {
 	for how, leave := range departures {
-		for _, readFirst := range []bool{false, true} {
-			name := fmt.Sprintf("%s, close processed first %v", how, readFirst)
-			disconnect := func(r *loopbackRig, x *tcpClient) { r.disconnectClient(x, leave, readFirst) }
+		for _, closeFirst := range []bool{false, true} {
+			name := fmt.Sprintf("%s, close processed first %v", how, closeFirst)
+			disconnect := func(r *loopbackRig, x *tcpClient) { r.disconnectClient(x, leave, closeFirst) }
 			t.Run("in the inbox, "+name, func(t *testing.T) {
 				r := startLoopback(t, nil)
 				r.env.turns.setClosed(true)
@@ -363,13 +363,13 @@
 // is read, and with half of it read. No attempt is made for them. A task whose client closes the connection once it runs goes on.
 func TestClientGoneEarly(t *testing.T) {
 	for how, leave := range departures {
-		for step, play := range earlyDepartures {
+		for step, depart := range earlyDepartures {
 			t.Run(step+", "+how, func(t *testing.T) {
 				r := startLoopback(t, nil)
 				if step != "before accept" {
 					r.env.turns.setClosed(true)
 				}
-				play(r, leave)
+				depart(r, leave)
 				r.env.turns.setClosed(false)
 				y := r.dial()
 				y.request(8, "batch") // once this later request is served, the earlier one has been processed
--- a/internal/platform/node_failures_test.go
+++ b/internal/platform/node_failures_test.go
@@ -96,7 +96,7 @@
 func TestResets(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		resets func(r *simRig)
+		reset  func(r *simRig)
 		served bool // the request must be served, as no connection in use was reset
 	}{
 		{"new", func(r *simRig) {
@@ -127,7 +127,7 @@
 				x.request(task+1, "batch")
 			}
 			r.advance(300)
-			c.resets(r)
+			c.reset(r)
 			x.received = nil
 			x.request(7, "single")
 			r.advance(3000)
@@ -212,7 +212,7 @@
 				e.conn.Close(false, nil)
 			}
 		}, false},
-		{"idle", func(*simRig, *fakeNode) {}, false},
+		{"no fault", func(*simRig, *fakeNode) {}, false},
 		{"gone from the node list, process killed", func(r *simRig, n *fakeNode) {
 			r.journal.publish(entryJSON("a", "a", "gone"))
 			r.advance(100)
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -39,7 +39,7 @@
 	for _, c := range []struct {
 		name    string
 		another bool
-		ends    func(r *simRig)
+		event   func(r *simRig)
 		want    string
 	}{
 		{"end, with another connection", true, sendEnd, "7 end 16"},
@@ -60,7 +60,7 @@
 			}
 			x.conn.Close(true, nil)
 			r.advance(100)
-			c.ends(r)
+			c.event(r)
 			r.advance(100)
 			if !c.another {
 				y = r.dial()
--- a/internal/platform/sites_test.go
+++ b/internal/platform/sites_test.go
@@ -37,9 +37,9 @@
 	client     *testClient
 	jobClass   int
 	deadline   float64
-	departed   bool // the client closed its connection before it was answered
+	departed   bool // the client closed its connection before the request was answered
 	answered   bool
-	starts     int
+	attempts   int
 	mayHaveRun bool
 }
 
@@ -90,7 +90,7 @@
 // onSetUp checks that an attempt may be made at a node, and counts it.
 func (d *siteDay) onSetUp(n *fakeNode, task uint64) {
 	r := d.requests[task]
-	r.starts++
+	r.attempts++
 	if at, ok := d.drainedAt[n.name]; ok && d.clock.TrueTime() > at+500+50 {
 		d.t.Errorf("node %s received task %d %g ms after it started to drain", n.name, task, d.clock.TrueTime()-at)
 	}
