--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -8,103 +8,106 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// TestServed follows a request all the way: a set-up, its answer with the node's description byte for byte, its end.
+// TestServed follows a request from the set-up to the end of its task. The answer carries the node's description byte for byte, and a repeated end
+// is not notified again.
 func TestServed(t *testing.T) {
-	for _, job := range []string{"batch", "marked", "single"} {
-		t.Run(job, func(t *testing.T) {
+	for _, jobClass := range []string{"batch", "marked", "single"} {
+		t.Run(jobClass, func(t *testing.T) {
 			r := startRig(t, "a")
 			x, n := r.dial(), r.nodes["a"]
 			x.send(codec.AppendTest(nil, 9, false))
-			x.request(7, job)
-			r.pass(200)
+			x.request(7, jobClass)
+			r.advance(200)
 			x.want("served", "9 tested 1", "7 served "+n.description(7))
 			n.conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
-			r.pass(50)
-			x.want("its end", "9 tested 1", "7 served "+n.description(7), "7 end 16")
+			r.advance(50)
+			x.want("after the end", "9 tested 1", "7 served "+n.description(7), "7 end 16")
 			n.conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
-			r.pass(3000)
-			x.want("told twice", "9 tested 1", "7 served "+n.description(7), "7 end 16")
+			r.advance(3000)
+			x.want("after a repeated end", "9 tested 1", "7 served "+n.description(7), "7 end 16")
 			if len(r.server.requests.byAlloc)+len(r.server.requests.byTask) > 0 || r.server.requests.admission.Open() != 0 {
-				t.Errorf("%d asks, %d tasks, %d open are kept", len(r.server.requests.byAlloc), len(r.server.requests.byTask), r.server.requests.admission.Open())
+				t.Errorf("%d requests by allocation, %d by task and %d open are left, want none", len(r.server.requests.byAlloc),
+					len(r.server.requests.byTask), r.server.requests.admission.Open())
 			}
 		})
 	}
 }
 
-// TestTaskOutlivesConnection has a running task outlive the client's connection: its end, or that it is to be requested anew, is notified on another connection, or on
-// the next one.
+// TestTaskOutlivesConnection ends a running task, or has it requested again, after the client's connection has closed. The client is notified on
+// another connection, or on the next one that it opens.
 func TestTaskOutlivesConnection(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		another bool
-		ends    func(r *simRig)
+		event   func(r *simRig)
 		want    string
 	}{
-		{"ends, another", true, ends, "7 end 16"},
-		{"ends, none", false, ends, "7 end 16"},
-		{"moved, another", true, moves, "7 move"},
-		{"moved, none", false, moves, "7 move"},
+		{"end, with another connection", true, sendEnd, "7 end 16"},
+		{"end, without another connection", false, sendEnd, "7 end 16"},
+		{"move, with another connection", true, sendMove, "7 move"},
+		{"move, without another connection", false, sendMove, "7 move"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startRig(t, "a")
 			x := r.dial()
 			x.request(7, "batch")
-			r.pass(100)
+			r.advance(100)
 			var y *testClient
 			if c.another {
 				y = r.dial()
 				y.request(8, "batch")
-				r.pass(100)
+				r.advance(100)
 			}
 			x.conn.Close(true, nil)
-			r.pass(100)
-			c.ends(r)
-			r.pass(100)
+			r.advance(100)
+			c.event(r)
+			r.advance(100)
 			if !c.another {
 				y = r.dial()
 				y.request(8, "batch")
-				r.pass(300)
+				r.advance(300)
 			}
 			if !slices.Contains(y.received, c.want) {
-				t.Errorf("%q, want %s", y.received, c.want)
+				t.Errorf("received %q, want %q among them", y.received, c.want)
 			}
-			if n := len(r.nodes["a"].ended); n > 0 {
-				t.Errorf("the node was told %d times beside it", n)
+			if n := len(r.nodes["a"].endsReceived); n > 0 {
+				t.Errorf("the node received %d ends, want none", n)
 			}
 		})
 	}
 }
 
-func ends(r *simRig) { r.nodes["a"].conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal)) }
+func sendEnd(r *simRig) { r.nodes["a"].conns[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal)) }
 
-func moves(r *simRig) {
+func sendMove(r *simRig) {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	hostEffects{r.server}.NotifyMove(r.server.requests.byTask[7].allocID)
 }
 
-// TestRecoverTask takes over tasks that run at nodes after a start: no answer is sent for them, their ends are notified.
+// TestRecoverTask requests tasks that already run at nodes, as clients do after a scheduler has started. No answers are sent for them, and their ends
+// are notified. A task at an unknown node fails.
 func TestRecoverTask(t *testing.T) {
 	r := startRig(t, "a")
 	x := r.dial()
 	x.send(setUp(7, "single", codec.ParamDemand, demandText+";at:a"))
 	x.send(setUp(7, "single", codec.ParamDemand, demandText+";at:a"))
 	x.send(setUp(8, "single", codec.ParamDemand, demandText+";at:nowhere"))
-	r.pass(4000)
-	x.want("nothing but for the one nowhere", "8 end 41")
+	r.advance(4000)
+	x.want("the failure of the task at an unknown node alone", "8 end 41")
 	if len(r.nodes["a"].conns) == 0 {
-		t.Fatal("no connection on which the node could tell its end")
+		t.Fatal("no connection to node a, which could carry the end of its task")
 	}
-	if open := open(r.nodes["a"]); len(open) != 1 {
-		t.Fatalf("%d connections are open: each look takes the place of the one before", len(open))
+	if open := openConns(r.nodes["a"]); len(open) != 1 {
+		t.Fatalf("%d connections are open, want 1: each check of the node replaces the connection of the one before", len(open))
 	} else {
 		open[0].send(codec.AppendEnd(nil, 7, codec.CauseNormal))
 	}
-	r.pass(100)
-	x.want("its end", "8 end 41", "7 end 16")
+	r.advance(100)
+	x.want("after the end", "8 end 41", "7 end 16")
 }
 
-// TestStop stops a scheduler under load: all that it accepts is answered, and running tasks run on.
+// TestStop shuts a scheduler down under load. All accepted requests are answered, and running tasks go on.
 func TestStop(t *testing.T) {
 	r := startRig(t, "a")
 	n := r.nodes["a"]
@@ -115,31 +118,31 @@
 		x.request(task, "single")
 		return task < 30
 	})
-	slow := n.onSetUp
+	previous := n.onSetUp
 	n.onSetUp = func(e *testConn, task uint64) {
-		if slow == nil && task%5 == 0 {
-			return // never answered
+		if previous == nil && task%5 == 0 {
+			return // the node never answers these
 		}
 		n.process.After(30, func() { n.answer(e, task) })
 	}
-	r.pass(600)
+	r.advance(600)
 	r.server.Stop()
-	r.pass(300)
+	r.advance(300)
 	y := r.dial()
 	y.request(1001, "batch")
-	r.pass(3400)
+	r.advance(3400)
 	select {
 	case <-r.server.Done():
 	default:
-		t.Fatal("not ended")
+		t.Fatal("the scheduler has not shut down")
 	}
 	if len(x.received) != 30 || len(y.received) != 1 {
-		t.Errorf("%d of 30 answered, %d of 1: %q", len(x.received), len(y.received), x.received)
+		t.Errorf("%d answers to the first client, want 30; %d to the second, want 1; the first received %q", len(x.received), len(y.received), x.received)
 	}
 	if len(n.running) != 25 {
-		t.Errorf("%d stand, want 25", len(n.running))
+		t.Errorf("%d tasks are running, want 25", len(n.running))
 	}
-	if z := r.dial(); !z.ended {
-		t.Error("the door is open still")
+	if z := r.dial(); !z.closed {
+		t.Error("a connection was accepted after the shutdown")
 	}
 }
--- a/internal/platform/sim_rig_test.go
+++ b/internal/platform/sim_rig_test.go
@@ -28,7 +28,7 @@
   {"name": "marked", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "guarded", "worth": 1, "group": "all", "window-ns": 8000000000},
   {"name": "single", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "single_shot", "worth": 1, "group": "all"}]}`
 
-// simRig is a scheduler among stand-ins for nodes, clients and the journal service, on a virtual clock and network.
+// simRig runs a scheduler with fake nodes, clients and a fake journal service, on a virtual clock and network.
 type simRig struct {
 	t             *testing.T
 	clock         *sim.Clock
@@ -42,36 +42,36 @@
 
 const (
 	clientAddress = "scheduler:1"
-	unixBase      = 1767225600000 // ms, of the world's zero
+	unixBase      = 1767225600000 // Unix ms, the origin of the virtual clock
 )
 
-// startRig starts a scheduler that knows the nodes with these names, at addresses of the same names.
+// startRig starts a scheduler whose node list has nodes with these names, at addresses of the same names.
 func startRig(t *testing.T, names ...string) *simRig {
 	t.Helper()
-	return startRigWith(t, settingsText, entryOf, names...)
+	return startRigWith(t, settingsText, entryJSON, names...)
 }
 
-// startRigWith starts a scheduler with other settings, whose node list has entries to match.
-func startRigWith(t *testing.T, settingsText string, entryOf func(name, address, status string) string, names ...string) *simRig {
+// startRigWith starts a scheduler with other settings. nodeEntry returns the entries of its node list.
+func startRigWith(t *testing.T, settingsText string, nodeEntry func(name, address, status string) string, names ...string) *simRig {
 	t.Helper()
 	r := &simRig{t: t, clock: sim.NewClock(7), nodes: map[string]*fakeNode{}}
 	r.process, r.clients = r.clock.NewProcess("scheduler"), r.clock.NewProcess("clients")
 	r.journal = newFakeJournal(r, "journal:1")
-	var all []string
+	var entries []string
 	for _, n := range names {
 		newFakeNode(r, n, n)
-		all = append(all, entryOf(n, n, "ready"))
+		entries = append(entries, nodeEntry(n, n, "ready"))
 	}
-	first := event(1, true, all...)
-	r.journal.events = []string{first}
+	initial := eventJSON(1, true, entries...)
+	r.journal.events = []string{initial}
 	c, err := Read([]byte(`{"name":"n0","listen":"scheduler:1","journal":"journal:1","seed":"3","limits":{"cores":1,"memory_mb":64,"sockets":256},` +
-		`"known":{"pos":1,"entries":[` + first + `]},"settings":` + settingsText + `}`))
+		`"known":{"pos":1,"entries":[` + initial + `]},"settings":` + settingsText + `}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.configuration = c
 	r.start()
-	r.pass(3000) // a scheduler that has just begun leaves new nodes alone
+	r.advance(3000) // a scheduler that has just started does not use new nodes yet
 	return r
 }
 
@@ -82,61 +82,61 @@
 	}
 }
 
-func (r *simRig) pass(ms float64) { r.clock.RunUntil(r.clock.TrueTime() + ms) }
+func (r *simRig) advance(ms float64) { r.clock.RunUntil(r.clock.TrueTime() + ms) }
 
-func entryOf(name, address, status string) string {
+func entryJSON(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"east","type":"std","group":0,"status":%q,"since_ms":0,"room":[32,64]}`, name,
 		address, status)
 }
 
-func event(pos int, whole bool, entries ...string) string {
-	return fmt.Sprintf(`{"pos":%d,"hosts":{"index":%d,"snapshot":%v,"endpoints":[%s]}}`, pos, pos, whole, strings.Join(entries, ","))
+func eventJSON(pos int, snapshot bool, entries ...string) string {
+	return fmt.Sprintf(`{"pos":%d,"hosts":{"index":%d,"snapshot":%v,"endpoints":[%s]}}`, pos, pos, snapshot, strings.Join(entries, ","))
 }
 
-// testConn is a connection of a stand-in.
+// testConn is a connection of a fake node or of a test client.
 type testConn struct {
 	conn      env.Conn
-	in        []byte
+	partial   []byte
 	onMessage func(msg []byte)
-	ended     bool
+	closed    bool
 }
 
 func (e *testConn) OnData(b []byte) {
-	e.in = append(e.in, b...)
+	e.partial = append(e.partial, b...)
 	for {
-		msg, took, err := codec.Next(e.in)
-		if err != nil || took == 0 {
+		msg, size, err := codec.Next(e.partial)
+		if err != nil || size == 0 {
 			return
 		}
 		m := slices.Clone(msg)
-		e.in = e.in[took:]
+		e.partial = e.partial[size:]
 		e.onMessage(m)
 	}
 }
 
-func (e *testConn) OnClose(error) { e.ended = true }
+func (e *testConn) OnClose(error) { e.closed = true }
 
 func (e *testConn) send(b []byte) { e.conn.Send(func(x []byte) []byte { return append(x, b...) }) }
 
-// fakeNode is a stand-in for a node. Unless a test says otherwise it starts a task 30 ms after the set-up.
+// fakeNode is a simulated node. By default it starts a task 30 ms after the set-up.
 type fakeNode struct {
-	rig       *simRig
-	name      string
-	process   *sim.Process
-	listener  env.Listener
-	conns     []*testConn
-	starts    map[uint64]int // set-ups that were taken, by task
-	open      map[uint64]*testConn
-	running   map[uint64]bool
-	ended     []uint64 // given up or cut by the scheduler
-	tests     int
-	onSetUp   func(e *testConn, task uint64) // in place of starting it
-	onConnect func(e *testConn)              // a connection that is new
+	rig           *simRig
+	name          string
+	process       *sim.Process
+	listener      env.Listener
+	conns         []*testConn
+	setUps        map[uint64]int       // the number of set-ups received, by task
+	setUpConn     map[uint64]*testConn // the connection of the last set-up, by task
+	running       map[uint64]bool
+	endsReceived  []uint64                       // tasks that the scheduler ended
+	testsReceived int                            // the number of test messages received
+	onSetUp       func(e *testConn, task uint64) // called instead of starting the task, if set
+	onConnect     func(e *testConn)              // called for each new connection, if set
 }
 
 func newFakeNode(r *simRig, name, address string) *fakeNode {
 	n := &fakeNode{
-		rig: r, name: name, process: r.clock.NewProcess("node-" + name), starts: map[uint64]int{}, open: map[uint64]*testConn{},
+		rig: r, name: name, process: r.clock.NewProcess("node-" + name), setUps: map[uint64]int{}, setUpConn: map[uint64]*testConn{},
 		running: map[uint64]bool{},
 	}
 	r.nodes[name] = n
@@ -145,9 +145,9 @@
 }
 
 func (n *fakeNode) listen(address string) {
-	d, err := n.process.Listen(address, func(c env.Conn) {
+	listener, err := n.process.Listen(address, func(c env.Conn) {
 		e := &testConn{conn: c}
-		e.onMessage = func(msg []byte) { n.message(e, msg) }
+		e.onMessage = func(msg []byte) { n.onMessage(e, msg) }
 		n.conns = append(n.conns, e)
 		c.Start(e, 5000)
 		if n.onConnect != nil {
@@ -157,33 +157,33 @@
 	if err != nil {
 		n.rig.t.Fatal(err)
 	}
-	n.listener = d
+	n.listener = listener
 }
 
-func (n *fakeNode) message(e *testConn, msg []byte) {
+func (n *fakeNode) onMessage(e *testConn, msg []byte) {
 	task := codec.Task(msg)
 	switch codec.Kind(msg) {
 	case codec.KindSetUp:
-		n.starts[task]++
-		n.open[task] = e
+		n.setUps[task]++
+		n.setUpConn[task] = e
 		if n.onSetUp != nil {
 			n.onSetUp(e, task)
 			return
 		}
 		n.process.After(30, func() { n.answer(e, task) })
 	case codec.KindEnd:
-		n.ended = append(n.ended, task)
+		n.endsReceived = append(n.endsReceived, task)
 		if n.running[task] {
 			delete(n.running, task)
 			e.send(codec.AppendEnd(nil, task, codec.CauseElsewhere))
 		}
 	case codec.KindTest:
-		n.tests++
+		n.testsReceived++
 		e.send(codec.AppendTested(nil, task, true))
 	}
 }
 
-// description returns a node's description of a task, with bytes that are no text.
+// description returns the node's description of a task, with bytes that are not valid text.
 func (n *fakeNode) description(task uint64) string {
 	return fmt.Sprintf("%s\x00\xff\r\n%x", n.name, task)
 }
@@ -193,11 +193,11 @@
 	e.send(codec.AppendAnswer(nil, task, []byte(n.description(task))))
 }
 
-// testClient is a client on a connection.
+// testClient is a client with one connection.
 type testClient struct {
 	*testConn
 	rig        *simRig
-	received   []string // what came, in words
+	received   []string // the received messages as text
 	receivedAt []float64
 }
 
@@ -212,13 +212,13 @@
 	}
 	r.clients.Dial(clientAddress, 1000, func(c env.Conn, err error) {
 		if err != nil {
-			x.ended = true
+			x.closed = true
 			return
 		}
 		x.conn = c
 		c.Start(x, 5000)
 	})
-	r.pass(50)
+	r.advance(50)
 	return x
 }
 
@@ -229,7 +229,7 @@
 	}
 }
 
-// message builds a message from codes and values.
+// message returns a message with the given pairs of a parameter code and a value.
 func message(kind byte, task uint64, params ...any) []byte {
 	b := binary.BigEndian.AppendUint64([]byte{0, 0, kind}, task)
 	for i := 0; i < len(params); i += 2 {
@@ -242,32 +242,32 @@
 
 const demandText = "cores:1;memory:2;service:00000000b4d65521"
 
-// setUp returns a client's set-up; further parameters replace those with the same code.
-func setUp(task uint64, job string, more ...any) []byte {
+// setUp returns a client's set-up message. Further parameters replace the default ones with the same code.
+func setUp(task uint64, jobClass string, replacements ...any) []byte {
 	params := []any{
-		codec.ParamJobClass, job, codec.ParamTimeLeft, "2500", codec.ParamTenant, "acme", codec.ParamName, fmt.Sprintf("%016x", task), codec.ParamKey,
+		codec.ParamJobClass, jobClass, codec.ParamTimeLeft, "2500", codec.ParamTenant, "acme", codec.ParamName, fmt.Sprintf("%016x", task), codec.ParamKey,
 		strings.Repeat("5c", 16), codec.ParamDemand, demandText, codec.ParamDescription, "owner's",
 	}
-	for i := 0; i < len(more); i += 2 {
+	for i := 0; i < len(replacements); i += 2 {
 		for j := 0; j < len(params); j += 2 {
-			if params[j] == more[i] {
-				params[j+1] = more[i+1]
+			if params[j] == replacements[i] {
+				params[j+1] = replacements[i+1]
 			}
 		}
 	}
 	return message(codec.KindSetUp, task, params...)
 }
 
-func (x *testClient) request(task uint64, job string) { x.send(setUp(task, job)) }
+func (x *testClient) request(task uint64, jobClass string) { x.send(setUp(task, jobClass)) }
 
-// fakeJournal is a stand-in for the journal service.
+// fakeJournal is a simulated journal service.
 type fakeJournal struct {
 	rig      *simRig
 	process  *sim.Process
 	events   []string
 	conns    []*journalConn
 	listener env.Listener
-	silent   bool // says nothing at all
+	silent   bool // it sends nothing at all
 	requests []string
 }
 
@@ -279,7 +279,7 @@
 
 func newFakeJournal(r *simRig, address string) *fakeJournal {
 	j := &fakeJournal{rig: r, process: r.clock.NewProcess(address)}
-	d, err := j.process.Listen(address, func(c env.Conn) {
+	listener, err := j.process.Listen(address, func(c env.Conn) {
 		x := &journalConn{journal: j, conn: c}
 		j.conns = append(j.conns, x)
 		c.Start(x, 5000)
@@ -287,7 +287,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	j.listener = d
+	j.listener = listener
 	env.Every(j.process, 1000, func() bool {
 		j.broadcast(fmt.Sprintf(`{"pos":%d}`+"\n", j.last()))
 		return true
@@ -300,7 +300,7 @@
 		return 0
 	}
 	var e struct{ Pos int }
-	_ = json.Unmarshal([]byte(j.events[len(j.events)-1]), &e) // the rig writes them
+	_ = json.Unmarshal([]byte(j.events[len(j.events)-1]), &e) // eventJSON wrote the text, which is valid
 	return e.Pos
 }
 
@@ -316,7 +316,7 @@
 		return
 	}
 	var from int
-	_, _ = fmt.Sscanf(line, "tail %d", &from) // anything else asks for all events
+	_, _ = fmt.Sscanf(line, "tail %d", &from) // any other request asks for all events
 	for _, e := range x.journal.events {
 		var p struct{ Pos int }
 		_ = json.Unmarshal([]byte(e), &p)
@@ -330,7 +330,7 @@
 	x.conn.Send(func(b []byte) []byte { return append(b, text...) })
 }
 
-// broadcast sends text on all connections.
+// broadcast sends text on all open connections.
 func (j *fakeJournal) broadcast(text string) {
 	if j.silent {
 		return
@@ -342,9 +342,9 @@
 	}
 }
 
-// publish adds an event and sends it.
+// publish appends an event to the journal and sends it on all open connections.
 func (j *fakeJournal) publish(entries ...string) {
-	e := event(j.last()+1, false, entries...)
+	e := eventJSON(j.last()+1, false, entries...)
 	j.events = append(j.events, e)
 	j.broadcast(e + "\n")
 }
