--- a/internal/env/conn.go
+++ b/internal/env/conn.go
@@ -9,41 +9,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times of closing.
+// Time limits for closing a connection.
 const (
-	finalWriteTimeout = 50 * time.Millisecond // for the final bytes of a connection
-	lingerTimeout     = time.Second           // for the peer of a connection that was closed gracefully to close too
+	finalWriteTimeout = 50 * time.Millisecond // limits the write of the final bytes
+	lingerTimeout     = time.Second           // limits how long a gracefully closed connection waits for its peer to close
 )
 
-// defaultMaxLingering is Real.MaxLingering if that is 0.
+// defaultMaxLingering is used where Real.MaxLingering is 0.
 const defaultMaxLingering = 64
 
-// realConn is a connection on a socket. From Start on a reader goroutine delivers what is received, and a writer goroutine writes the queue; with
-// write-through the writer exists only while the network does not take all at once.
+// realConn is a connection on a socket. After Start, a reader goroutine delivers what is received and a writer goroutine writes the queue. With
+// write-through, the writer runs only while some of the queue could not be written immediately.
 type realConn struct {
 	env          *Real
 	netConn      net.Conn
 	traffic      *trafficCounters
-	raw          syscall.RawConn // with write-through, else nil
+	raw          syscall.RawConn // set with write-through, else nil
 	wake         chan struct{}   // holds one signal for the writer
-	writerDone   chan struct{}   // closed when all is written and the socket is closed, at least for writing
+	writerDone   chan struct{}   // closed once everything is written and the socket is closed, at least for writing
 	stallTimeout time.Duration   // set by Start
 
 	mu            sync.Mutex // guards the fields below; Real.mu may be taken under it
 	started       bool
 	writerRunning bool
-	queue         []byte // not yet handed over
-	sent          uint64 // bytes that were ever queued
-	handedOver    uint64 // bytes that the network took
-	inHandover    int    // bytes that the writer is writing, of which the network may have taken some
-	closing       bool   // the fields below are set
+	queue         []byte // bytes that are not passed to the network yet
+	sent          uint64 // total of bytes that were queued
+	handedOver    uint64 // bytes that the network accepted
+	inFlight      int    // bytes of the write in progress, of which the network may have accepted some
+	closing       bool   // whether the connection is being closed; the fields below are set then
 	graceful      bool
 	final         []byte // written last
 	cause         error  // why the connection ended
-	halfClosed    bool   // closed for writing alone: the reader waits for the peer to close
+	halfClosed    bool   // the socket is closed only for writing: the reader waits for the peer to close
 }
 
-// newConn wraps a socket. In a closed environment the connection is closed from the start.
+// newConn wraps a socket. If the environment is closed, the connection is closed too.
 func (r *Real) newConn(netConn net.Conn, traffic *trafficCounters) *realConn {
 	c := &realConn{env: r, netConn: netConn, traffic: traffic, wake: make(chan struct{}, 1), writerDone: make(chan struct{})}
 	if s, ok := netConn.(syscall.Conn); ok && r.WriteThrough {
@@ -65,7 +65,7 @@
 func (c *realConn) Start(handler ConnHandler, stallTimeoutMs float64) {
 	c.mu.Lock()
 	c.started, c.stallTimeout = true, time.Duration(stallTimeoutMs*msToNs)
-	c.writerRunning = c.raw == nil || len(c.queue) > 0 // what was sent before Start is left to a writer
+	c.writerRunning = c.raw == nil || len(c.queue) > 0 // a writer sends what was queued before Start
 	needsWriter := c.writerRunning
 	c.mu.Unlock()
 	ok := (!needsWriter || c.env.spawn(c.writeLoop)) && c.env.spawn(func() { c.run(handler) })
@@ -86,7 +86,7 @@
 	c.discard()
 }
 
-// discard closes the socket and drops the connection.
+// discard closes the socket and removes the connection from the environment.
 func (c *realConn) discard() {
 	closeQuietly(c.netConn)
 	c.env.mu.Lock()
@@ -98,10 +98,10 @@
 func (c *realConn) HandedOver() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.handedOver + uint64(c.inHandover)
+	return c.handedOver + uint64(c.inFlight)
 }
 
-// PeerClosed implements Conn. The kernel knows of the peer's end whatever lies unread before it. Without write-through it is not asked.
+// PeerClosed implements Conn. The kernel reports the peer's close even if there is unread data. Without write-through the kernel is not asked.
 func (c *realConn) PeerClosed() bool {
 	c.mu.Lock()
 	closed := c.closing
@@ -114,7 +114,7 @@
 		n, err := unix.Poll(p, 0)
 		closed = err == nil && n == 1 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return closed || err != nil // an error says that the socket is closed
+	return closed || err != nil // an error means that the socket is closed
 }
 
 // Close implements Conn.
@@ -122,7 +122,7 @@
 	c.shutDown(closeRequest{graceful, final, ErrClosed})
 }
 
-// closeRequest says how to close a connection, and why.
+// closeRequest says how and why to close a connection.
 type closeRequest struct {
 	graceful bool
 	final    []byte
@@ -135,7 +135,7 @@
 	first := !c.closing
 	if first {
 		c.closing, c.graceful, c.final, c.cause = true, request.graceful, request.final, request.cause
-		_ = c.netConn.SetReadDeadline(time.Unix(wakingDeadline, 0))
+		_ = c.netConn.SetReadDeadline(time.Unix(pastDeadline, 0))
 		if !request.graceful {
 			_ = c.netConn.SetWriteDeadline(time.Now().Add(finalWriteTimeout))
 		}
--- a/internal/env/conn_read.go
+++ b/internal/env/conn_read.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Sizes of reads in bytes. With write-through a connection holds memory for a read only while there is something to read, and reads more at once:
-// a message that cancels another is not to lie unread behind it.
+// Sizes of read buffers in bytes. With write-through, a connection holds a buffer only while there is something to read, and the buffer is larger,
+// so that a message and one that cancels it are read together where possible.
 const (
 	readBufferSize             = 4096
 	writeThroughReadBufferSize = 16 << 10
@@ -19,7 +19,7 @@
 
 var readBuffers = sync.Pool{New: func() any { b := make([]byte, writeThroughReadBufferSize); return &b }}
 
-// read delivers what is received until the connection ends, and returns why.
+// read delivers what is received until the connection ends, and returns the reason.
 func (c *realConn) read(handler ConnHandler) error {
 	if c.raw != nil {
 		return c.readPooled(handler)
@@ -33,7 +33,7 @@
 	}
 }
 
-// readPooled does the same with memory that is shared with other connections.
+// readPooled does the same as read with buffers from a pool that connections share.
 func (c *realConn) readPooled(handler ConnHandler) error {
 	for {
 		buffer, n, err := c.readAvailable()
@@ -45,7 +45,8 @@
 	}
 }
 
-// readAvailable waits for something to read and reads it into a buffer of the pool, which the caller gives back. Nothing is io.EOF.
+// readAvailable waits for something to read and reads it into a buffer of the pool, which the caller returns to it. The end of the stream is
+// io.EOF.
 func (c *realConn) readAvailable() (buffer *[]byte, n int, err error) {
 	waitErr := c.raw.Read(func(fd uintptr) bool {
 		buffer = takeReadBuffer()
@@ -56,7 +57,7 @@
 		}
 		return buffer != nil
 	})
-	if buffer == nil { // the wait was ended by a deadline, or the socket is closed
+	if buffer == nil { // the deadline has passed, or the socket is closed
 		buffer, n, err = takeReadBuffer(), 0, waitErr
 	}
 	n = max(n, 0)
@@ -67,11 +68,11 @@
 }
 
 func takeReadBuffer() *[]byte {
-	buffer, _ := readBuffers.Get().(*[]byte) // the pool holds nothing else
+	buffer, _ := readBuffers.Get().(*[]byte) // the pool holds no other type
 	return buffer
 }
 
-// readRetrying reads from a socket, again after an interruption.
+// readRetrying reads from a socket and retries after EINTR.
 func readRetrying(fd int, b []byte) (n int, err error) {
 	for {
 		if n, err = syscall.Read(fd, b); !errors.Is(err, syscall.EINTR) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// deliver hands received bytes to the handler. An error says why nothing more is read.
+// deliver passes received bytes to the handler. It returns an error if reading has to stop.
 func (c *realConn) deliver(handler ConnHandler, b []byte, err error) error {
 	c.mu.Lock()
 	closing := c.closing
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// drain reads on from a connection that was closed gracefully until its peer closes too: closed with bytes unread it would be reset, and what was
-// handed over last could be lost to the peer.
+// drain keeps reading from a connection that was closed gracefully until its peer closes too: closing a socket with unread bytes resets the
+// connection, and the peer could lose the last bytes that were sent.
 func (c *realConn) drain() {
 	c.mu.Lock()
 	halfClosed := c.halfClosed
@@ -122,8 +123,8 @@
 	c.env.removeLingering(c)
 }
 
-// addLingering adds a connection that waits for its peer to close. Beyond the limit the oldest is closed for good. It returns false if the
-// environment is closed.
+// addLingering adds a connection that waits for its peer to close. If there are too many, the oldest is closed completely. It returns false if
+// the environment is closed.
 func (r *Real) addLingering(c *realConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,7 +143,7 @@
 	return true
 }
 
-// removeLingering drops a connection that no longer waits.
+// removeLingering removes a connection that no longer waits for its peer.
 func (r *Real) removeLingering(c *realConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/env/conn_test.go
+++ b/internal/env/conn_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// dialedPair returns both ends of a write-through connection on loopback.
-func dialedPair(t *testing.T, r *Real, p ConnHandler, stuck float64) (Conn, *net.TCPConn) {
+// dialedPair returns both ends of a write-through connection on loopback: the accepted one, started with handler, and the one that dialed.
+func dialedPair(t *testing.T, r *Real, handler ConnHandler, stallTimeoutMs float64) (Conn, *net.TCPConn) {
 	t.Helper()
 	r.WriteThrough = true
-	made := make(chan Conn, 1)
-	d, err := r.Listen("127.0.0.1:0", func(c Conn) { c.Start(p, stuck); made <- c })
+	accepted := make(chan Conn, 1)
+	l, err := r.Listen("127.0.0.1:0", func(c Conn) { c.Start(handler, stallTimeoutMs); accepted <- c })
 	if err != nil {
 		t.Fatal(err)
 	}
-	remote, err := net.Dial("tcp", d.Address())
+	remote, err := net.Dial("tcp", l.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { closeQuietly(remote) })
-	return <-made, remote.(*net.TCPConn)
+	return <-accepted, remote.(*net.TCPConn)
 }
 
-// blockedHandler is a handler whose OnData blocks until release is closed.
+// blockedHandler is a ConnHandler whose OnData blocks until release is closed.
 type blockedHandler struct {
 	data    chan string
 	release chan struct{}
@@ -41,154 +41,154 @@
 
 func (h *blockedHandler) OnClose(err error) { h.closed <- err }
 
-// until waits for a condition, however long the machine takes.
-func until(t *testing.T, what string, is func() bool) {
+// waitUntil waits until a condition holds, and fails the test after 20 s, which is enough for a busy machine.
+func waitUntil(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("not within 20 s: %s", condition)
 		}
 	}
 }
 
-// TestPeerClosed checks that a peer is known to have closed while data that it sent before is unread, for each way to close.
+// TestPeerClosed checks that PeerClosed reports a peer's close while data that it sent before is still unread, for each way to close.
 func TestPeerClosed(t *testing.T) {
-	for name, go_ := range map[string]func(c *net.TCPConn){
-		"closes":      func(c *net.TCPConn) { closeQuietly(c) },
-		"closes half": func(c *net.TCPConn) { _ = c.CloseWrite() },
-		"resets":      func(c *net.TCPConn) { _ = c.SetLinger(0); closeQuietly(c) },
+	for name, closePeer := range map[string]func(c *net.TCPConn){
+		"closes":             func(c *net.TCPConn) { closeQuietly(c) },
+		"closes for writing": func(c *net.TCPConn) { _ = c.CloseWrite() },
+		"resets":             func(c *net.TCPConn) { _ = c.SetLinger(0); closeQuietly(c) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewReal()
 			defer r.Close(5 * time.Second)
 			h := newBlockedHandler()
-			c, there := dialedPair(t, r, h, 1000)
-			_, _ = there.Write([]byte("first"))
-			<-h.data // its reader is held from here on
-			_, _ = there.Write([]byte("unread"))
+			c, peer := dialedPair(t, r, h, 1000)
+			_, _ = peer.Write([]byte("first"))
+			<-h.data // the reader goroutine is blocked from here on
+			_, _ = peer.Write([]byte("unread"))
 			if c.PeerClosed() {
-				t.Error("left, and it is there")
+				t.Error("PeerClosed is true before the peer closes")
 			}
-			go_(there)
-			until(t, "left", c.PeerClosed)
+			closePeer(peer)
+			waitUntil(t, "PeerClosed reports the close", c.PeerClosed)
 			close(h.release)
 			if err := <-h.closed; err == nil {
-				t.Error("closed without a cause")
+				t.Error("OnClose got no error, want the cause")
 			}
 			if !c.PeerClosed() {
-				t.Error("it is back")
+				t.Error("PeerClosed is false after the connection ended")
 			}
 		})
 	}
 }
 
-// TestGracefulClose closes a connection with unread data: the peer reads all that was sent, then the end, and no reset. The peer may
-// send on, or never close: the connection does not last then.
+// TestGracefulClose closes a connection gracefully while it has unread data: the peer must read all that was sent and then EOF, without a reset.
+// It also does so with a peer that keeps sending after the close. Once the peer closes, the connection must be removed.
 func TestGracefulClose(t *testing.T) {
-	for _, how := range []struct{ sendsOn, readsLast bool }{{false, false}, {true, false}, {false, true}, {true, true}} {
+	for _, tc := range []struct{ sendsAfterClose, readsLate bool }{{false, false}, {true, false}, {false, true}, {true, true}} {
 		r := NewReal()
 		h := newBlockedHandler()
-		c, there := dialedPair(t, r, h, 1000)
-		_, _ = there.Write([]byte("first"))
+		c, peer := dialedPair(t, r, h, 1000)
+		_, _ = peer.Write([]byte("first"))
 		<-h.data
-		_, _ = there.Write([]byte("unread"))
+		_, _ = peer.Write([]byte("unread"))
 		c.Send(func(b []byte) []byte { return append(b, "answer"...) })
 		c.Close(true, []byte(", bye"))
-		if how.sendsOn {
-			_, _ = there.Write([]byte("after the end"))
+		if tc.sendsAfterClose {
+			_, _ = peer.Write([]byte("after the end"))
 		}
-		if how.readsLast {
+		if tc.readsLate {
 			close(h.release)
 			if err := <-h.closed; err != ErrClosed { //nolint:errorlint // it has to be this error itself
 				t.Error(err)
 			}
-			until(t, "it waits for its peer", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.lingering) == 1 })
+			waitUntil(t, "the connection waits for its peer to close", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.lingering) == 1 })
 		}
-		_ = there.SetReadDeadline(time.Now().Add(20 * time.Second))
-		if got, err := io.ReadAll(there); err != nil || string(got) != "answer, bye" {
-			t.Errorf("%+v: %q, %v", how, got, err)
+		_ = peer.SetReadDeadline(time.Now().Add(20 * time.Second))
+		if got, err := io.ReadAll(peer); err != nil || string(got) != "answer, bye" {
+			t.Errorf("%+v: peer read %q, %v, want \"answer, bye\" and EOF", tc, got, err)
 		}
-		if !how.readsLast {
+		if !tc.readsLate {
 			close(h.release)
 			if err := <-h.closed; err != ErrClosed { //nolint:errorlint // it has to be this error itself
 				t.Error(err)
 			}
 		}
-		closeQuietly(there)
-		until(t, "it is closed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.conns)+len(r.lingering) == 0 })
+		closeQuietly(peer)
+		waitUntil(t, "the connection is removed", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.conns)+len(r.lingering) == 0 })
 		r.Close(5 * time.Second)
 	}
 }
 
-// TestMaxLingering checks that the oldest of too many connections that wait for their peers is closed.
+// TestMaxLingering checks that the oldest connection is closed when too many wait for their peers to close.
 func TestMaxLingering(t *testing.T) {
 	r := NewReal()
 	defer r.Close(5 * time.Second)
 	r.MaxLingering = 2
 	var all []*net.TCPConn
 	for range 5 {
-		e := newRecorder()
-		c, there := dialedPair(t, r, e, 1000)
+		handler := newRecorder()
+		c, peer := dialedPair(t, r, handler, 1000)
 		c.Close(true, nil)
-		if err := <-e.closed; err == nil {
-			t.Error("closed without a cause")
+		if err := <-handler.closed; err == nil {
+			t.Error("OnClose got no error, want the cause")
 		}
-		all = append(all, there)
+		all = append(all, peer)
 	}
-	until(t, "two are left", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.conns) <= 2 && len(r.lingering) <= 2 })
-	for i, there := range all {
-		_ = there.SetReadDeadline(time.Now().Add(20 * time.Second))
-		if got, err := io.ReadAll(there); err != nil || len(got) > 0 {
-			t.Errorf("%d: %q, %v", i, got, err)
+	waitUntil(t, "at most two connections are left", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.conns) <= 2 && len(r.lingering) <= 2 })
+	for i, peer := range all {
+		_ = peer.SetReadDeadline(time.Now().Add(20 * time.Second))
+		if got, err := io.ReadAll(peer); err != nil || len(got) > 0 {
+			t.Errorf("connection %d: peer read %q, %v, want EOF only", i, got, err)
 		}
 	}
 }
 
-// TestListenerCloseTakesBacklog closes a listener with connections that the kernel has accepted: each is handed over, with what its peer sent,
-// before the address refuses connections.
-func TestListenerCloseTakesBacklog(t *testing.T) {
+// TestListenerCloseAcceptsBacklog closes a listener while connections wait in the kernel's backlog: each must be passed to onAccept, with what its
+// peer sent, before the address refuses connections.
+func TestListenerCloseAcceptsBacklog(t *testing.T) {
 	r := NewReal()
 	defer r.Close(5 * time.Second)
 	r.WriteThrough = true
-	hold, heard := make(chan struct{}), make(chan string, 1<<16) // those that only look are heard as well
-	came := make(chan bool, 100)
-	d, err := r.Listen("127.0.0.1:0", func(c Conn) {
+	release, received := make(chan struct{}), make(chan string, 1<<16) // connections that only check the address are received too
+	accepted := make(chan bool, 100)
+	l, err := r.Listen("127.0.0.1:0", func(c Conn) {
 		select {
-		case came <- true:
-		default: // those that only look whether it is closed
+		case accepted <- true:
+		default: // a connection that only checks whether the address is closed
 		}
-		<-hold
-		c.Start(&recorder{heard, make(chan error, 1)}, 1000)
+		<-release
+		c.Start(&recorder{received, make(chan error, 1)}, 1000)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	const n = 20
 	for i := range n {
-		c, err := net.Dial("tcp", d.Address())
+		c, err := net.Dial("tcp", l.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer closeQuietly(c)
 		_, _ = c.Write([]byte("ask"))
 		if i == 0 {
-			<-came // the others wait behind it
+			<-accepted // the others wait in the backlog behind it
 		}
 	}
-	d.Close()
-	close(hold)
+	l.Close()
+	close(release)
 	for i := range n {
 		select {
-		case got := <-heard:
+		case got := <-received:
 			if got != "ask" {
-				t.Errorf("%q", got)
+				t.Errorf("received %q, want \"ask\"", got)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%d of %d were let in", i, n)
+			t.Fatalf("%d connections were accepted, want %d", i, n)
 		}
 	}
-	until(t, "the door is closed", func() bool {
-		c, err := net.Dial("tcp", d.Address())
+	waitUntil(t, "the address refuses connections", func() bool {
+		c, err := net.Dial("tcp", l.Address())
 		if err == nil {
 			closeQuietly(c)
 		}
@@ -196,52 +196,52 @@
 	})
 }
 
-// TestSlowReader has a peer read a little at a time, for longer than the stall time-out: it gets all.
+// TestSlowReader has a peer read one byte at a time, for longer than the stall timeout in all: it must receive everything.
 func TestSlowReader(t *testing.T) {
 	r := NewReal()
 	defer r.Close(5 * time.Second)
-	here, there := net.Pipe() // it has no memory of its own: what is not read was not taken
-	defer closeQuietly(there)
-	r.Connect = func(context.Context, string) (net.Conn, error) { return here, nil }
-	made := make(chan Conn, 1)
-	r.Dial("", 1000, func(c Conn, _ error) { made <- c })
-	c := <-made
-	e := newRecorder()
-	const stuck = 200
-	c.Start(e, stuck)
+	local, peer := net.Pipe() // net.Pipe has no buffer: bytes that are not read were not accepted
+	defer closeQuietly(peer)
+	r.Connect = func(context.Context, string) (net.Conn, error) { return local, nil }
+	dialed := make(chan Conn, 1)
+	r.Dial("", 1000, func(c Conn, _ error) { dialed <- c })
+	c := <-dialed
+	handler := newRecorder()
+	const stallTimeoutMs = 200
+	c.Start(handler, stallTimeoutMs)
 	text := strings.Repeat("x", 30)
-	began := time.Now()
+	startedAt := time.Now()
 	c.Send(func(b []byte) []byte { return append(b, text...) })
 	got := 0
 	for one := make([]byte, 1); got < len(text); got++ {
-		if _, err := io.ReadFull(there, one); err != nil {
-			t.Fatalf("after %d bytes: %v", got, err)
+		if _, err := io.ReadFull(peer, one); err != nil {
+			t.Fatalf("read only %d bytes: %v", got, err)
 		}
-		for time.Since(began) < time.Duration(got+1)*20*time.Millisecond { // 600 ms in all
+		for time.Since(startedAt) < time.Duration(got+1)*20*time.Millisecond { // 600 ms in all
 			time.Sleep(time.Millisecond)
 		}
 	}
 	select {
-	case err := <-e.closed:
-		t.Errorf("ended: %v", err)
+	case err := <-handler.closed:
+		t.Errorf("connection ended with %v, want it open", err)
 	default:
 	}
 }
 
-// TestCloseWaitsForGracefulClose closes an environment while a connection that was closed gracefully has bytes to hand over: its peer, which
-// reads only then, gets them.
+// TestCloseWaitsForGracefulClose closes an environment while a connection that was closed gracefully still has bytes to send: its peer, which reads
+// only then, must receive them.
 func TestCloseWaitsForGracefulClose(t *testing.T) {
 	r := NewReal()
-	c, there := pipe(t, r)
+	c, peer := pipe(t, r)
 	c.Start(newRecorder(), 5000)
 	c.Send(func(b []byte) []byte { return append(b, "answer"...) })
 	c.Close(true, []byte(", bye"))
 	closed := make(chan struct{})
 	go func() { r.Close(10 * time.Second); close(closed) }()
 	<-r.ctx.Done()
-	time.Sleep(20 * time.Millisecond) // what would cut it off does so at once
-	if got, err := io.ReadAll(there); err != nil || string(got) != "answer, bye" {
-		t.Errorf("%q, %v", got, err)
+	time.Sleep(20 * time.Millisecond) // an environment that dropped the bytes would do so at once
+	if got, err := io.ReadAll(peer); err != nil || string(got) != "answer, bye" {
+		t.Errorf("peer read %q, %v, want \"answer, bye\" and EOF", got, err)
 	}
 	<-closed
 }
--- a/internal/env/conn_write.go
+++ b/internal/env/conn_write.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// maxKeptQueue bounds the memory of a queue that is kept for the next one, in bytes: that of a burst is freed.
+// maxKeptQueue is the largest queue buffer in bytes that is kept for reuse. A larger one, left by a burst, is freed.
 const maxKeptQueue = 1 << 16
 
 // Send implements Conn.
@@ -47,17 +47,17 @@
 	return true
 }
 
-// wakeWriter has the writer look at the queue.
+// wakeWriter signals the writer to check the queue.
 func (c *realConn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
-	default: // it is woken already
+	default: // a signal is pending already
 	}
 }
 
-// writeLoop is the writer goroutine. It writes the queue until the connection is closed, with write-through only until the queue is empty.
+// writeLoop is the writer goroutine. It writes the queue until the connection is closed or, with write-through, until the queue is empty.
 func (c *realConn) writeLoop() {
-	var spare []byte // memory for the next queue: one is written while the other fills
+	var spare []byte // buffer for the next queue: one is written while the other is filled
 	for {
 		b, state := c.takeQueue(spare)
 		spare = nil
@@ -81,17 +81,17 @@
 	}
 }
 
-// queueState is what a writer finds.
+// queueState is the state in which the writer finds the queue.
 type queueState uint8
 
 const (
-	queueFilled  queueState = iota // something to write
-	queueEmpty                     // nothing to write for now
-	queueClosing                   // the last to write
-	queueDone                      // nothing to write, and no writer is needed
+	queueFilled  queueState = iota // there are bytes to write
+	queueEmpty                     // there is nothing to write for now
+	queueClosing                   // the connection is being closed: this is the last write
+	queueDone                      // there is nothing to write, and the writer ends
 )
 
-// takeQueue takes the queue, which goes on in the memory of spare.
+// takeQueue returns the queue and its state, and starts a new queue in the buffer spare.
 func (c *realConn) takeQueue(spare []byte) ([]byte, queueState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 	c.queue = spare[:0]
 	if !c.closing || c.graceful {
-		c.inHandover = len(b)
+		c.inFlight = len(b)
 	}
 	switch {
 	case c.closing:
@@ -125,8 +125,8 @@
 	c.finishWriting(graceful, final)
 }
 
-// writeAll writes to the network and counts the bytes that it took. A peer that takes some is waited for, however slow it is; once the connection
-// is being closed, no longer than one that takes nothing.
+// writeAll writes to the network and counts the bytes that were accepted. It keeps writing to a slow peer as long as the peer accepts some bytes
+// within each stall timeout. Once the connection is being closed, it stops at the first timeout.
 func (c *realConn) writeAll(b []byte) error {
 	for {
 		_ = c.netConn.SetWriteDeadline(time.Now().Add(c.stallTimeout))
@@ -136,10 +136,10 @@
 		slow := n > 0 && errors.Is(err, os.ErrDeadlineExceeded)
 		c.mu.Lock()
 		c.handedOver += uint64(n)
-		c.inHandover = 0
+		c.inFlight = 0
 		slow = slow && !c.closing
 		if slow {
-			c.inHandover = len(b)
+			c.inFlight = len(b)
 		}
 		c.mu.Unlock()
 		if slow {
@@ -152,8 +152,8 @@
 	}
 }
 
-// writeAvailable writes what the network takes at once. The rest of the queue, and any error, is left to a writer. realConn.mu is held, and there
-// is no writer.
+// writeAvailable writes what the socket accepts without blocking. The rest of the queue, and any error, is left to a writer. The caller holds
+// realConn.mu, and no writer runs.
 func (c *realConn) writeAvailable() {
 	for again := true; again; {
 		again = false
@@ -173,13 +173,13 @@
 	}
 }
 
-// finishWriting writes the final bytes, as far as the peer still receives, and closes the socket: after a graceful close for writing alone, where
-// the network can do that.
+// finishWriting writes the final bytes, as far as the peer still receives, and closes the socket. After a graceful close it closes only the
+// writing side, if the connection supports that.
 func (c *realConn) finishWriting(graceful bool, final []byte) {
 	defer close(c.writerDone)
 	if len(final) > 0 {
 		_ = c.netConn.SetWriteDeadline(time.Now().Add(finalWriteTimeout))
-		n, _ := c.netConn.Write(final) // an error says that the peer has gone
+		n, _ := c.netConn.Write(final) // an error means that the peer no longer receives
 		c.traffic.addSent(n)
 	}
 	half, ok := c.netConn.(interface{ CloseWrite() error })
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -1,13 +1,13 @@
-// Package env is the interface to everything that the program uses beside its memory and its disk: time, connections and datagrams. Code that
-// decides or serves gets an Environment and uses nothing else, so that the same code runs on sockets (Real) and, in tests and simulations, on a
-// virtual clock and network (lab/sim).
+// Package env abstracts everything that the program uses besides its memory and its disk: time, connections and datagrams. Code that decides
+// or serves takes an Environment and uses no other source of time or network I/O, so that the same code runs on sockets (Real) and, in tests
+// and simulations, on a virtual clock and network (lab/sim).
 //
-// No call waits: connections queue what is sent, and results come by callbacks. Callbacks run on goroutines of the environment's choosing, never
-// inside the call that registered them; those of one connection, loop or listener come one at a time, those of different ones may come at the
-// same time. All implementations are safe for concurrent use.
+// No call blocks: connections queue what is sent, and results are delivered by callbacks. Callbacks run on goroutines chosen by the
+// environment, never inside the call that registered them. Callbacks of one connection, loop or listener run one at a time; those of different
+// ones may run concurrently. All implementations are safe for concurrent use.
 //
-// Times are milliseconds as float64, on a clock that starts at Epoch and never goes back. Errors are wrapped; ErrClosed, ErrStalled,
-// ErrRefused and ErrExhausted say what happened.
+// Times are milliseconds as float64, on a clock that starts at Epoch and never goes backwards. Errors are wrapped; errors.Is tells ErrClosed,
+// ErrStalled, ErrRefused and ErrExhausted apart.
 package env
 
 import (
@@ -15,50 +15,50 @@
 	"time"
 )
 
-// Epoch is the zero of Environment.Now. All schedulers share it, as they take turns at nodes in slow start by the clock.
+// Epoch is the zero of Environment.Now. All schedulers share it, because they take turns at nodes in slow start by this clock.
 var Epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Environment is where a process runs.
+// Environment gives a process its clock and its network.
 type Environment interface {
-	// Now returns the time since Epoch in ms. It never goes back, whatever the machine's clock does.
+	// Now returns the time since Epoch in ms. It never goes backwards, whatever the machine's clock does.
 	Now() float64
 	// WallClock returns the time of the machine's clock, which may jump.
 	WallClock() time.Time
-	// After calls f once, after so many ms.
+	// After calls f once, after the given number of ms.
 	After(ms float64, f func()) Timer
-	// StartLoop calls turn repeatedly: after as many ms as it returned last, or sooner if woken. A negative number ends the loop.
-	StartLoop(turn func() (wait float64)) Loop
-	// Dial connects to an address and calls onDone with the connection, which has to be started or closed, or with the error. It gives up after
+	// StartLoop calls step repeatedly: after the number of ms that the last call returned, or sooner if woken. A negative number ends the loop.
+	StartLoop(step func() (wait float64)) Loop
+	// Dial connects to an address and calls onDone with the connection, which has to be started or closed, or with the error. It times out after
 	// timeoutMs.
 	Dial(address string, timeoutMs float64, onDone func(Conn, error))
-	// Listen accepts connections, each of which has to be started or closed.
+	// Listen accepts connections and passes them to onAccept, which has to start or close each.
 	Listen(address string, onAccept func(Conn)) (Listener, error)
-	// ListenPacket receives datagrams, which are valid during the call.
+	// ListenPacket receives datagrams. The bytes passed to onDatagram are valid only during the call.
 	ListenPacket(address string, onDatagram func(b []byte)) (PacketConn, error)
 }
 
-// MaxDatagram is the most bytes of a datagram. Longer ones are not sent.
+// MaxDatagram is the maximum length of a datagram in bytes. Longer ones are not sent.
 const MaxDatagram = 1400
 
 // PacketConn sends and receives datagrams. They may be lost, duplicated, delayed and reordered.
 type PacketConn interface {
 	// Address returns the local address.
 	Address() string
-	// Send hands a datagram to the network. It does not wait, and does not report whether the datagram arrives.
+	// Send passes a datagram to the network. It does not wait for delivery, and does not report whether the datagram arrives.
 	Send(to string, b []byte)
 	// Close stops receiving.
 	Close()
 }
 
-// Timer is a call in the future.
+// Timer is a scheduled call.
 type Timer interface {
-	// Stop cancels the call unless it has begun.
+	// Stop cancels the call unless it has already begun.
 	Stop()
 }
 
 // Loop is a running loop.
 type Loop interface {
-	// Wake has the next turn come at once.
+	// Wake makes the next call of step happen immediately.
 	Wake()
 	// HasEnded returns whether the loop has ended.
 	HasEnded() bool
@@ -68,53 +68,54 @@
 type Listener interface {
 	// Address returns the local address.
 	Address() string
-	// Close stops listening. Connections that the network has accepted already are still handed over: dropped, they would be reset with what
-	// their peers have sent.
+	// Close stops listening. Connections that the network has already accepted are still passed to onAccept: dropping them would reset them
+	// and lose what their peers have sent.
 	Close()
 }
 
 // ConnHandler receives the events of a connection.
 type ConnHandler interface {
-	// OnData takes received bytes, which are valid during the call; nil means that the peer has closed its side, though it may still receive. It
-	// is not called after Conn.Close.
+	// OnData takes received bytes, which are valid only during the call. Nil means that the peer has closed its side for sending; it may still
+	// receive. OnData is not called after Conn.Close.
 	OnData(b []byte)
-	// OnClose is the last call: nothing more is handed over, and Conn.HandedOver is final. The error says why the connection ended.
+	// OnClose is the last call: nothing more is passed to the network, and Conn.HandedOver is final. The error says why the connection ended.
 	OnClose(err error)
 }
 
-// Conn is a connection that queues what is sent.
+// Conn is a connection with an outgoing queue.
 type Conn interface {
-	// Start begins to receive, and to send what was queued. A peer that takes nothing for stallTimeoutMs ends the connection.
+	// Start begins to receive, and to send what was queued. The connection ends if the peer accepts no bytes for stallTimeoutMs.
 	Start(handler ConnHandler, stallTimeoutMs float64)
-	// Send has a message appended to the queue. It returns how many bytes were queued since the start, how many of them are still in the queue,
-	// and false if the connection is closed.
+	// Send appends a message to the queue by calling appendTo. It returns the total number of bytes that were ever queued, the number of them
+	// that are still in the queue, and false if the connection is closed.
 	Send(appendTo func(b []byte) []byte) (sent uint64, queued int, ok bool)
-	// HandedOver returns how many bytes were handed over to the network, or may have been by now.
+	// HandedOver returns how many bytes were passed to the network, including those of a write in progress, which may have been.
 	HandedOver() uint64
-	// Unsend takes back the last message, of n bytes ending at the byte numbered sent. It returns false if a part of it may have been handed over.
+	// Unsend removes the last message from the queue; it has n bytes, and sent is the total that its Send returned. It returns false if a part of
+	// the message may have been passed to the network.
 	Unsend(sent uint64, n int) bool
 	// PeerClosed returns whether the peer has closed its side or reset the connection, even if data that it sent before is still unread. It
-	// returns false where that can't be known.
+	// returns false where that cannot be determined.
 	PeerClosed() bool
-	// Close ends the connection. A graceful close first hands over the queue, then the final bytes, as far as the peer still receives, and then
-	// reads on for a while until the peer closes too, as closing with unread data would reset the connection and discard what was sent. Any
-	// other close drops the queue and sends the final bytes alone.
+	// Close ends the connection. A graceful close first sends the queue, then the final bytes, as far as the peer still receives, and then keeps
+	// reading for a limited time until the peer closes too, because closing with unread data would reset the connection and discard what was
+	// sent. Any other close drops the queue and sends only the final bytes.
 	Close(graceful bool, final []byte)
 }
 
 // Errors of connections.
 var (
-	// ErrClosed says that this side closed the connection.
-	ErrClosed = errors.New("ended here")
-	// ErrStalled says that the peer took nothing for too long. On sockets that is the error of the write that timed out.
-	ErrStalled = errors.New("peer takes nothing")
-	// ErrRefused says that nobody listens at the address that was dialed.
+	// ErrClosed says that the local side closed the connection.
+	ErrClosed = errors.New("connection closed locally")
+	// ErrStalled says that the peer accepted no bytes within the stall timeout. On sockets the error of the write that timed out is reported instead.
+	ErrStalled = errors.New("connection stalled: peer accepted no bytes within the stall timeout")
+	// ErrRefused says that no process listens at the address that was dialed.
 	ErrRefused = errors.New("refused")
 	// ErrExhausted says that this machine lacked a resource for a dial, such as descriptors or ports.
-	ErrExhausted = errors.New("nothing left here to connect with")
+	ErrExhausted = errors.New("out of local resources for a connection, such as descriptors or ports")
 )
 
-// Every calls f after every interval of so many ms, until it returns false.
+// Every calls f repeatedly, ms milliseconds after the previous call returned, until f returns false.
 func Every(e Environment, ms float64, f func() bool) {
 	e.After(ms, func() {
 		if f() {
--- a/internal/env/handshake.go
+++ b/internal/env/handshake.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Bounds of TLS handshakes. A peer that begins one and does not complete it costs no more than a place for a moment.
+// Limits for TLS handshakes. A peer that begins one and does not complete it occupies one of maxHandshakes places, for handshakeTimeout at most.
 const (
 	maxHandshakes    = 64
 	handshakeTimeout = 3 * time.Second
 )
 
-// handshakes are the handshakes of one listener that are under way.
+// handshakes are the TLS handshakes of one listener that are in progress.
 type handshakes struct {
 	mu    sync.Mutex
-	conns []net.Conn // in the order of their acceptance
+	conns []net.Conn // in the order in which they were accepted
 }
 
-// add adds a connection. While too many handshakes are under way the oldest is closed, as it had the longest time: peers that complete theirs
-// quickly are accepted whatever the number of those that don't.
+// add adds a connection. If too many handshakes are in progress, the oldest is closed, as it had the longest time: peers that complete theirs
+// quickly are accepted however many others do not.
 func (h *handshakes) add(c net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -33,7 +33,7 @@
 	h.conns = append(h.conns, c)
 }
 
-// remove drops a connection whose handshake is over.
+// remove removes a connection whose handshake has ended.
 func (h *handshakes) remove(c net.Conn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// handshake hands a connection over when its handshake is complete. It closes one whose handshake fails.
+// handshake passes a connection to onAccept once its TLS handshake is complete, and closes it if the handshake fails.
 func (r *Real) handshake(netConn net.Conn, pending *handshakes, onAccept func(Conn)) {
 	pending.add(netConn)
 	ok := r.spawn(func() {
--- a/internal/env/leak_test.go
+++ b/internal/env/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain holds that every goroutine has come to its end when the tests have.
+// TestMain checks that no goroutine is left running after the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/env/listener.go
+++ b/internal/env/listener.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Times of accepting.
+// Times for accepting connections.
 const (
-	backlogIdle    = 2 * time.Millisecond   // without a connection for so long the backlog is empty
-	backlogMax     = 100 * time.Millisecond // that a closing listener takes for its backlog at most
-	acceptRetry    = 20 * time.Millisecond  // after a failure to accept, as for want of descriptors
-	wakingDeadline = 1                      // Unix time in the past: a deadline that ends a blocked call
+	backlogIdle  = 2 * time.Millisecond   // if no connection comes for this long, the backlog counts as empty
+	backlogMax   = 100 * time.Millisecond // limits how long a closing listener accepts its backlog
+	acceptRetry  = 20 * time.Millisecond  // delays the next try after a failure to accept, as for lack of descriptors
+	pastDeadline = 1                      // Unix time in seconds, in the past: as a deadline it ends a blocked call
 )
 
-// realListener accepts connections on a goroutine of its own.
+// realListener is a TCP listener with a goroutine that accepts connections.
 type realListener struct {
 	env     *Real
 	tcp     *net.TCPListener
@@ -55,10 +55,10 @@
 // Address implements Listener.
 func (l *realListener) Address() string { return l.tcp.Addr().String() }
 
-// Close implements Listener. The listener's goroutine accepts the backlog, then closes the socket.
+// Close implements Listener. The listener's goroutine accepts the backlog and then closes the socket.
 func (l *realListener) Close() {
 	l.closing.Store(true)
-	_ = l.tcp.SetDeadline(time.Unix(wakingDeadline, 0))
+	_ = l.tcp.SetDeadline(time.Unix(pastDeadline, 0))
 }
 
 // acceptLoop accepts connections until the listener or the environment is closed.
@@ -79,7 +79,7 @@
 	}
 }
 
-// acceptBacklog accepts the connections that the kernel has accepted already, then closes the socket.
+// acceptBacklog accepts the connections that wait in the kernel's backlog and then closes the socket.
 func (l *realListener) acceptBacklog(accept func(net.Conn)) {
 	for end := time.Now().Add(backlogMax); time.Now().Before(end); {
 		_ = l.tcp.SetDeadline(time.Now().Add(backlogIdle))
--- a/internal/env/packetconn.go
+++ b/internal/env/packetconn.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Times of datagrams.
+// Times for datagrams.
 const (
-	datagramSendTimeout = 5 * time.Millisecond // for a place in the kernel's queue
-	datagramRetry       = time.Millisecond     // after a failure to receive
+	datagramSendTimeout = 5 * time.Millisecond // limits the wait for space in the kernel's send buffer
+	datagramRetry       = time.Millisecond     // delays the next read after a failure to receive
 )
 
-// realPacketConn receives datagrams on a goroutine of its own.
+// realPacketConn is a UDP socket with a goroutine that receives datagrams.
 type realPacketConn struct {
 	env *Real
 	udp *net.UDPConn
@@ -24,11 +24,11 @@
 func (r *Real) ListenPacket(address string, onDatagram func(b []byte)) (PacketConn, error) {
 	local, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return nil, fmt.Errorf("datagrams: %w", err)
+		return nil, fmt.Errorf("resolve UDP address: %w", err)
 	}
 	udp, err := net.ListenUDP("udp", local)
 	if err != nil {
-		return nil, fmt.Errorf("datagrams: %w", err)
+		return nil, fmt.Errorf("listen for datagrams: %w", err)
 	}
 	p := &realPacketConn{r, udp}
 	r.mu.Lock()
@@ -40,9 +40,9 @@
 	return p, nil
 }
 
-// receiveLoop hands over datagrams until the socket or the environment is closed. Datagrams beyond MaxDatagram are dropped.
+// receiveLoop passes datagrams to onDatagram until the socket or the environment is closed. It drops datagrams longer than MaxDatagram.
 func (p *realPacketConn) receiveLoop(onDatagram func(b []byte)) {
-	b := make([]byte, MaxDatagram+1) // a datagram that is too long fills it
+	b := make([]byte, MaxDatagram+1) // one byte more, so that a datagram that is too long is recognized
 	for {
 		n, _, err := p.udp.ReadFromUDPAddrPort(b)
 		switch {
@@ -51,7 +51,7 @@
 			onDatagram(b[:n])
 		case errors.Is(err, net.ErrClosed) || p.env.ctx.Err() != nil:
 			return
-		case err != nil: // as when nobody listens at an address that was sent to
+		case err != nil: // such as when no process listens at an address to which a datagram was sent
 			time.Sleep(datagramRetry)
 		}
 	}
@@ -60,7 +60,7 @@
 // Address implements PacketConn.
 func (p *realPacketConn) Address() string { return p.udp.LocalAddr().String() }
 
-// Send implements PacketConn. A datagram that is too long, or for an address that is none, counts as lost: addresses are checked when the site
+// Send implements PacketConn. It silently drops a datagram that is too long or has an invalid address: addresses are validated when the site
 // file is read.
 func (p *realPacketConn) Send(to string, b []byte) {
 	target, err := netip.ParseAddrPort(to)
--- a/internal/env/real.go
+++ b/internal/env/real.go
@@ -15,25 +15,25 @@
 // msToNs is the number of nanoseconds in a millisecond.
 const msToNs = 1e6
 
-// TCP keep-alive of dialed connections.
+// TCP keep-alive settings of dialed connections.
 const (
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = 2 * time.Second
 	keepAliveCount    = 3
 )
 
-// Real is the environment of sockets and of the machine's clock. Its exported fields are set before it is used.
+// Real is the environment with sockets and the machine's clock. Its exported fields have to be set before it is used.
 type Real struct {
-	// Connect makes connections, over TCP if it is nil.
+	// Connect opens connections; nil means over TCP.
 	Connect func(ctx context.Context, address string) (net.Conn, error)
-	// TLS is the configuration of accepted connections, which speak plain TCP if it is nil.
+	// TLS is the configuration for accepted connections; nil means plain TCP.
 	TLS *tls.Config
-	// WriteThrough has Send write as much as the network takes at once, so that nothing is sent later than it was decided; a writer goroutine
-	// exists only while something is left. Without it a writer goroutine gathers what is sent in a moment, which costs less where many messages
-	// share a connection. It does not apply to TLS.
+	// WriteThrough makes Send write immediately what the socket accepts, so that a message leaves as soon as it is decided; a writer goroutine
+	// runs only while something is left. Without it, a writer goroutine batches messages that are sent close together, which costs less where
+	// many messages share a connection. It does not apply to TLS.
 	WriteThrough bool
-	// MaxLingering bounds the connections that were closed gracefully and wait for their peers to close too; 64 if it is 0. Beyond it the oldest
-	// is closed for good.
+	// MaxLingering limits the number of connections that were closed gracefully and wait for their peers to close too; 0 means 64. Beyond it, the
+	// oldest is closed completely.
 	MaxLingering int
 	// EndpointListAddress is the address of the endpoint list, whose connection is counted apart from those to nodes.
 	EndpointListAddress string
@@ -42,9 +42,9 @@
 
 	startTime  time.Time
 	startMs    float64
-	ctx        context.Context //nolint:containedctx // it is the environment's own lifetime, which Close ends
+	ctx        context.Context //nolint:containedctx // it is the lifetime of the environment itself, which Close ends
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup // and timers that have not fired
+	goroutines sync.WaitGroup // counts timers that have not fired, too
 
 	mu          sync.Mutex // guards the fields below; realConn.mu is never taken under it
 	closed      bool
@@ -52,10 +52,10 @@
 	listeners   map[*realListener]bool
 	packetConns map[*realPacketConn]bool
 	conns       map[*realConn]bool
-	lingering   []*realConn // closed gracefully, with peers that have not closed, in the order of their closing
+	lingering   []*realConn // connections that were closed gracefully and whose peers have not closed, in order of closing
 }
 
-// NewReal returns an environment. Its clock is set by the machine's clock once, and is monotonic from then on.
+// NewReal returns an environment. Its clock is set from the machine's clock once, and is monotonic from then on.
 func NewReal() *Real {
 	now := time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -65,8 +65,8 @@
 	}
 }
 
-// Close stops all timers, closes all listeners and connections, and waits for the goroutines of the environment, but no longer than the time
-// given: a callback may hang.
+// Close stops all timers, closes all listeners and connections, and waits for the goroutines of the environment, but no longer than wait, as a
+// callback may hang.
 func (r *Real) Close(wait time.Duration) {
 	r.mu.Lock()
 	r.closed = true
@@ -86,7 +86,7 @@
 	for c := range conns {
 		c.Close(false, nil)
 	}
-	for _, c := range lingering { // all was handed over on these; others that are being closed gracefully still hand over their queues
+	for _, c := range lingering { // these have sent all; others that are being closed gracefully still send their queues
 		closeQuietly(c.netConn)
 	}
 	for p := range packetConns {
@@ -95,7 +95,7 @@
 	r.waitForGoroutines(wait)
 }
 
-// waitForGoroutines waits for all goroutines, but no longer than the time given.
+// waitForGoroutines waits for all goroutines, but no longer than wait.
 func (r *Real) waitForGoroutines(wait time.Duration) {
 	done := make(chan struct{})
 	go func() { r.goroutines.Wait(); close(done) }()
@@ -105,7 +105,8 @@
 	}
 }
 
-// closeQuietly closes a socket. An error says that it was closed already, or that its peer has gone: either way it is closed.
+// closeQuietly closes a socket and ignores the error: it means that the socket was closed already or that its peer has gone, and in either case
+// the socket is closed.
 func closeQuietly(c interface{ Close() error }) { _ = c.Close() }
 
 // spawn runs a goroutine that Close waits for. It returns false if the environment is closed.
@@ -125,7 +126,7 @@
 // WallClock implements Environment.
 func (r *Real) WallClock() time.Time { return time.Now() }
 
-// Dial implements Environment, on a goroutine for each dial.
+// Dial implements Environment. Each dial runs on its own goroutine.
 func (r *Real) Dial(address string, timeoutMs float64, onDone func(Conn, error)) {
 	connect := r.Connect
 	if connect == nil {
@@ -150,10 +151,10 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// exhaustionErrors are the errors of a dial that say that this machine lacks a resource.
+// exhaustionErrors are the errors of a dial that mean that this machine lacks a resource.
 var exhaustionErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
 
-// classifyDialError wraps the error of a dial in ErrRefused or ErrExhausted where it is one of them.
+// classifyDialError wraps the error of a dial in ErrRefused or ErrExhausted if it has that cause.
 func classifyDialError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return fmt.Errorf("%w: %w", ErrRefused, err)
--- a/internal/env/real_test.go
+++ b/internal/env/real_test.go
@@ -20,25 +20,25 @@
 
 func newRecorder() *recorder { return &recorder{make(chan string, 100), make(chan error, 2)} }
 
-func (e *recorder) OnData(b []byte)   { e.data <- string(b) }
-func (e *recorder) OnClose(err error) { e.closed <- err }
+func (h *recorder) OnData(b []byte)   { h.data <- string(b) }
+func (h *recorder) OnClose(err error) { h.closed <- err }
 
-// pipe returns a connection over net.Pipe, and its other end.
+// pipe returns a connection over net.Pipe, and the peer's end.
 func pipe(t *testing.T, r *Real) (Conn, net.Conn) {
 	t.Helper()
-	here, there := net.Pipe()
-	t.Cleanup(func() { closeQuietly(there) })
-	r.Connect = func(context.Context, string) (net.Conn, error) { return here, nil }
-	made := make(chan Conn, 1)
-	r.Dial("", 1000, func(c Conn, _ error) { made <- c })
-	return <-made, there
+	local, peer := net.Pipe()
+	t.Cleanup(func() { closeQuietly(peer) })
+	r.Connect = func(context.Context, string) (net.Conn, error) { return local, nil }
+	dialed := make(chan Conn, 1)
+	r.Dial("", 1000, func(c Conn, _ error) { dialed <- c })
+	return <-dialed, peer
 }
 
-// TestQueue guards against a queue that fills the memory that is being written: each line arrives once, whole.
+// TestQueue guards against a queue that is filled in the same buffer that is being written: each line must arrive once and complete.
 func TestQueue(t *testing.T) {
 	r := NewReal()
 	defer r.Close(time.Second)
-	c, there := pipe(t, r)
+	c, peer := pipe(t, r)
 	c.Start(newRecorder(), 1000)
 	const lines = 3000
 	go func() {
@@ -50,136 +50,137 @@
 		}
 		c.Close(true, []byte("bye\n"))
 	}()
-	in := bufio.NewReader(there)
+	in := bufio.NewReader(peer)
 	for i := range lines {
 		if got, err := in.ReadString('\n'); err != nil || got != fmt.Sprintf("line %d\n", i) {
-			t.Fatalf("line %d: %q, %v", i, got, err)
+			t.Fatalf("line %d: got %q, %v", i, got, err)
 		}
 	}
 	if got, err := in.ReadString('\n'); err != nil || got != "bye\n" {
-		t.Errorf("last words %q, %v", got, err)
+		t.Errorf("final bytes %q, %v, want \"bye\\n\"", got, err)
 	}
 }
 
-// TestHandedOver tells what never left: of a message half of which was read, and of one that only waited.
+// TestHandedOver checks that HandedOver does not count unsent bytes: the rest of a message that the peer read in part, and a message that was
+// only queued.
 func TestHandedOver(t *testing.T) {
 	r := NewReal()
 	defer r.Close(time.Second)
-	c, there := pipe(t, r)
-	e := newRecorder()
-	c.Start(e, 1000)
+	c, peer := pipe(t, r)
+	handler := newRecorder()
+	c.Start(handler, 1000)
 	first, _, ok := c.Send(func(b []byte) []byte { return append(b, "0123456789"...) })
 	if !ok || first != 10 {
-		t.Fatalf("sent %d, %v", first, ok)
+		t.Fatalf("Send returned %d, %v, want 10, true", first, ok)
 	}
-	if _, err := io.ReadFull(there, make([]byte, 4)); err != nil {
+	if _, err := io.ReadFull(peer, make([]byte, 4)); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(10 * time.Millisecond)
-	second, waits, ok := c.Send(func(b []byte) []byte { return append(b, "x"...) })
-	if !ok || second != 11 || waits != 1 {
-		t.Fatalf("sent %d, %d wait, %v", second, waits, ok)
+	second, queued, ok := c.Send(func(b []byte) []byte { return append(b, "x"...) })
+	if !ok || second != 11 || queued != 1 {
+		t.Fatalf("Send returned %d, %d queued, %v, want 11, 1, true", second, queued, ok)
 	}
 	c.Close(false, nil)
-	if err := <-e.closed; err != ErrClosed { //nolint:errorlint // it has to be this error itself
+	if err := <-handler.closed; err != ErrClosed { //nolint:errorlint // it has to be this error itself
 		t.Error(err)
 	}
 	if h := c.HandedOver(); h != 4 {
-		t.Errorf("%d bytes handed over, want 4", h)
+		t.Errorf("HandedOver returned %d, want 4", h)
 	}
 	if _, _, ok := c.Send(func(b []byte) []byte { return append(b, "y"...) }); ok {
-		t.Error("sent after the end")
+		t.Error("Send succeeded after the connection was closed")
 	}
 }
 
 func TestConnectionEnds(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		end  func(c Conn, there net.Conn)
-		why  string
+		end  func(c Conn, peer net.Conn)
+		want string // part of the error
 	}{
-		{"peer closes", func(_ Conn, there net.Conn) { closeQuietly(there) }, "EOF"},
-		{"peer takes nothing", func(c Conn, _ net.Conn) {
+		{"peer closes", func(_ Conn, peer net.Conn) { closeQuietly(peer) }, "EOF"},
+		{"peer reads nothing", func(c Conn, _ net.Conn) {
 			c.Send(func(b []byte) []byte { return append(b, make([]byte, 100000)...) })
 		}, "write"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := NewReal()
 			defer r.Close(time.Second)
-			conn, there := pipe(t, r)
-			e := newRecorder()
-			conn.Start(e, 50)
-			go func() { _, _ = there.Write([]byte("hello")) }()
-			if got := <-e.data; got != "hello" {
-				t.Errorf("heard %q", got)
+			conn, peer := pipe(t, r)
+			handler := newRecorder()
+			conn.Start(handler, 50)
+			go func() { _, _ = peer.Write([]byte("hello")) }()
+			if got := <-handler.data; got != "hello" {
+				t.Errorf("received %q, want \"hello\"", got)
 			}
-			c.end(conn, there)
-			if err := <-e.closed; !strings.Contains(err.Error(), c.why) {
-				t.Errorf("%v, want %s", err, c.why)
+			c.end(conn, peer)
+			if err := <-handler.closed; !strings.Contains(err.Error(), c.want) {
+				t.Errorf("OnClose got %v, want an error that contains %q", err, c.want)
 			}
 		})
 	}
 }
 
-// TestClose ends what runs: nothing is called after it.
+// TestClose checks that Close ends timers, loops and connections, and that no callback runs after it.
 func TestClose(t *testing.T) {
 	r := NewReal()
-	var calls, turns atomic.Int32
+	var calls, steps atomic.Int32
 	r.After(60000, func() { calls.Add(1) })
 	stopped := r.After(20, func() { calls.Add(1) })
 	stopped.Stop()
-	Every(r, 1, func() bool { turns.Add(1); return true })
-	l := r.StartLoop(func() float64 { turns.Add(1); return 1 })
-	d, err := r.Listen("127.0.0.1:0", func(c Conn) { c.Start(newRecorder(), 100) })
+	Every(r, 1, func() bool { steps.Add(1); return true })
+	l := r.StartLoop(func() float64 { steps.Add(1); return 1 })
+	listener, err := r.Listen("127.0.0.1:0", func(c Conn) { c.Start(newRecorder(), 100) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := newRecorder()
-	r.Dial(d.Address(), 1000, func(c Conn, err error) {
+	handler := newRecorder()
+	r.Dial(listener.Address(), 1000, func(c Conn, err error) {
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		c.Start(e, 100)
+		c.Start(handler, 100)
 	})
 	time.Sleep(50 * time.Millisecond)
 	r.Close(5 * time.Second)
-	after := turns.Load()
+	after := steps.Load()
 	if !l.HasEnded() || after < 5 || calls.Load() > 0 {
-		t.Errorf("loop ended %v, %d turns, %d calls", l.HasEnded(), after, calls.Load())
+		t.Errorf("loop ended: %v, %d steps, %d timer calls, want true, at least 5 and 0", l.HasEnded(), after, calls.Load())
 	}
 	select {
-	case err := <-e.closed:
+	case err := <-handler.closed:
 		if err == nil {
-			t.Error("closed without a cause")
+			t.Error("OnClose got no error, want the cause")
 		}
 	default:
-		t.Error("a connection outlives its environment")
+		t.Error("the connection is still open after its environment was closed")
 	}
 	time.Sleep(10 * time.Millisecond)
-	if turns.Load() != after {
-		t.Error("turned after the end")
+	if steps.Load() != after {
+		t.Error("a step ran after Close")
 	}
 	if l := r.StartLoop(func() float64 { return 0 }); !l.HasEnded() {
-		t.Error("a loop began after the end")
+		t.Error("a loop started after Close")
 	}
 }
 
-// TestClock guards against a machine's clock that jumps: what counts time must be the monotonic clock.
+// TestClock guards against jumps of the machine's clock: Now has to be measured with the monotonic clock.
 func TestClock(t *testing.T) {
 	r := NewReal()
 	defer r.Close(time.Second)
 	if !strings.Contains(r.startTime.String(), " m=") {
-		t.Error("the start has no monotonic reading: the clock would follow the wall")
+		t.Error("the start time has no monotonic reading: Now would follow the wall clock")
 	}
 	first := r.Now()
-	jumped := &Real{startTime: r.startTime.Round(0).Add(-time.Hour), startMs: r.startMs} // as it would be after a jump of an hour
+	jumped := &Real{startTime: r.startTime.Round(0).Add(-time.Hour), startMs: r.startMs} // the state after the wall clock has jumped by an hour
 	if d := r.Now() - first; d < 0 || d > 60e3 || jumped.Now()-first < 3600e3 {
-		t.Errorf("%g ms since the start", d)
+		t.Errorf("Now advanced by %g ms, want 0 to 60000, and at least 3600000 with a start time an hour earlier", d)
 	}
 }
 
-// dialLoopback dials a listener on loopback and returns both ends of the connection.
+// dialLoopback dials a listener on loopback and returns both ends of the connection, the dialed one first.
 func dialLoopback(t *testing.T, r *Real) (Conn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -187,121 +188,121 @@
 		t.Fatal(err)
 	}
 	defer closeQuietly(l)
-	made := make(chan Conn, 1)
-	r.Dial(l.Addr().String(), 1000, func(c Conn, _ error) { made <- c })
-	there, err := l.Accept()
+	dialed := make(chan Conn, 1)
+	r.Dial(l.Addr().String(), 1000, func(c Conn, _ error) { dialed <- c })
+	peer, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { closeQuietly(there) })
-	return <-made, there
+	t.Cleanup(func() { closeQuietly(peer) })
+	return <-dialed, peer
 }
 
-// TestWriteThrough holds that what is sent leaves with the call that sends it, that what the network does not take at once follows
-// in order, and that what has not left can be taken back.
+// TestWriteThrough checks that with write-through Send writes immediately, that what the socket does not accept then follows in order, and that
+// Unsend removes a message that was not passed to the network.
 func TestWriteThrough(t *testing.T) {
 	r := NewReal()
 	r.WriteThrough = true
 	defer r.Close(time.Second)
-	c, there := dialLoopback(t, r)
-	e := newRecorder()
-	c.Start(e, 5000)
+	c, peer := dialLoopback(t, r)
+	handler := newRecorder()
+	c.Start(handler, 5000)
 	line := func(n int) func([]byte) []byte {
 		return func(b []byte) []byte { return append(b, strings.Repeat("x", n)...) }
 	}
-	sent, waits, ok := c.Send(line(10))
-	if !ok || waits != 0 || c.HandedOver() != sent {
-		t.Fatalf("sent %d, %d wait, %d handed over, %v", sent, waits, c.HandedOver(), ok)
+	sent, queued, ok := c.Send(line(10))
+	if !ok || queued != 0 || c.HandedOver() != sent {
+		t.Fatalf("Send returned %d, %d queued, HandedOver %d, ok %v, want none queued and all handed over", sent, queued, c.HandedOver(), ok)
 	}
 	if c.Unsend(sent, 10) {
-		t.Error("took back what had left")
+		t.Error("Unsend removed a message that was sent")
 	}
-	const big = 32 << 20 // more than the kernel takes
-	all, waits, _ := c.Send(line(big))
-	if waits == 0 {
-		t.Fatal("all was taken at once: nothing is shown")
+	const big = 32 << 20 // more bytes than the kernel buffers
+	all, queued, _ := c.Send(line(big))
+	if queued == 0 {
+		t.Fatal("the socket accepted the whole message at once: the test needs a larger one")
 	}
-	until(t, "a writer has it in hand", func() bool { return c.HandedOver() == all }) // else it takes what follows with it
+	waitUntil(t, "the writer writes the large message", func() bool { return c.HandedOver() == all }) // else it would take the next message along
 	after, _, _ := c.Send(line(7))
 	if c.Unsend(all, big) {
-		t.Error("took back what others follow")
+		t.Error("Unsend removed a message that is not the last")
 	}
 	if !c.Unsend(after, 7) || c.Unsend(after, 7) {
-		t.Error("the last that has not left is taken back, once")
+		t.Error("Unsend of the last message that was not sent: want true, then false")
 	}
 	got := make(chan int64, 1)
 	go func() {
-		n, _ := io.Copy(io.Discard, there)
+		n, _ := io.Copy(io.Discard, peer)
 		got <- n
 	}()
 	for c.HandedOver() < all {
 		time.Sleep(time.Millisecond)
 	}
-	for i := range 100 { // its writer may have ended or not
+	for i := range 100 { // the writer may or may not have ended by now
 		c.Send(line(1))
 		if i%10 == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	c.Close(true, []byte("bye"))
-	if err := <-e.closed; err != ErrClosed { //nolint:errorlint // it has to be this error itself
+	if err := <-handler.closed; err != ErrClosed { //nolint:errorlint // it has to be this error itself
 		t.Error(err)
 	}
 	if n := <-got; n != int64(all)+100+3 {
-		t.Errorf("%d bytes came, want %d", n, all+103)
+		t.Errorf("peer received %d bytes, want %d", n, all+103)
 	}
 }
 
-// TestWriteThroughCloses ends prompt connections from both sides and by their peers, many at once: each is over, once.
+// TestWriteThroughCloses closes many write-through connections at once, gracefully or not, from one side: each end must get OnClose exactly once.
 func TestWriteThroughCloses(t *testing.T) {
 	r := NewReal()
 	r.WriteThrough = true
-	overs := make(chan error, 400)
-	d, err := r.Listen("127.0.0.1:0", func(c Conn) {
-		c.Start(&recorder{make(chan string, 100), overs}, 1000)
+	closed := make(chan error, 400)
+	listener, err := r.Listen("127.0.0.1:0", func(c Conn) {
+		c.Start(&recorder{make(chan string, 100), closed}, 1000)
 		c.Send(func(b []byte) []byte { return append(b, "hello"...) })
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 100 {
-		r.Dial(d.Address(), 1000, func(c Conn, err error) {
+		r.Dial(listener.Address(), 1000, func(c Conn, err error) {
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			c.Start(&recorder{make(chan string, 100), overs}, 1000)
+			c.Start(&recorder{make(chan string, 100), closed}, 1000)
 			c.Send(func(b []byte) []byte { return append(b, "x"...) })
 			c.Close(i%2 == 0, nil)
 		})
 	}
 	for range 200 {
 		select {
-		case err := <-overs:
+		case err := <-closed:
 			if err == nil {
-				t.Error("closed without a cause")
+				t.Error("OnClose got no error, want the cause")
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("a connection is not over")
+			t.Fatal("no OnClose within 5 s, want one for each end of each connection")
 		}
 	}
 	r.Close(time.Second)
-	if len(overs) != 0 {
-		t.Errorf("%d were over twice", len(overs))
+	if len(closed) != 0 {
+		t.Errorf("%d surplus calls of OnClose, want none", len(closed))
 	}
 }
 
-// TestSendBeforeStart holds that what is sent on a prompt connection before it has begun leaves with its beginning.
+// TestSendBeforeStart checks that what is sent on a write-through connection before Start is sent by Start.
 func TestSendBeforeStart(t *testing.T) {
 	r := NewReal()
 	r.WriteThrough = true
 	defer r.Close(time.Second)
-	c, there := dialLoopback(t, r)
+	c, peer := dialLoopback(t, r)
 	c.Send(func(b []byte) []byte { return append(b, "early"...) })
 	c.Start(newRecorder(), 1000)
-	_ = there.SetReadDeadline(time.Now().Add(5 * time.Second))
+	_ = peer.SetReadDeadline(time.Now().Add(5 * time.Second))
 	got := make([]byte, 5)
-	if _, err := io.ReadFull(there, got); err != nil || string(got) != "early" {
-		t.Errorf("%q, %v", got, err)
+	if _, err := io.ReadFull(peer, got); err != nil || string(got) != "early" {
+		t.Errorf("peer read %q, %v, want \"early\"", got, err)
 	}
 }
--- a/internal/env/timers.go
+++ b/internal/env/timers.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// realTimer is a call in the future. Real.mu guards it.
+// realTimer is a scheduled call. Real.mu guards it.
 type realTimer struct {
 	env   *Real
 	timer *time.Timer
 }
 
-// After implements Environment. The call comes on a goroutine of its own.
+// After implements Environment. The call runs on its own goroutine.
 func (r *Real) After(ms float64, f func()) Timer {
 	t := &realTimer{env: r}
 	r.mu.Lock()
@@ -44,23 +44,23 @@
 	}
 }
 
-// realLoop is a loop on a goroutine of its own.
+// realLoop is a loop that runs on its own goroutine.
 type realLoop struct {
 	wake  chan struct{} // holds one signal
 	ended atomic.Bool
 }
 
 // StartLoop implements Environment.
-func (r *Real) StartLoop(turn func() (wait float64)) Loop {
+func (r *Real) StartLoop(step func() (wait float64)) Loop {
 	l := &realLoop{wake: make(chan struct{}, 1)}
-	if !r.spawn(func() { l.run(r, turn) }) {
+	if !r.spawn(func() { l.run(r, step) }) {
 		l.ended.Store(true)
 	}
 	return l
 }
 
-// run takes turns until one ends the loop, or the environment is closed.
-func (l *realLoop) run(r *Real, turn func() (wait float64)) {
+// run calls step until it returns a negative number or the environment is closed.
+func (l *realLoop) run(r *Real, step func() (wait float64)) {
 	defer l.ended.Store(true)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -71,7 +71,7 @@
 		case <-l.wake:
 		case <-timer.C:
 		}
-		wait := turn()
+		wait := step()
 		if wait < 0 {
 			return
 		}
@@ -83,7 +83,7 @@
 func (l *realLoop) Wake() {
 	select {
 	case l.wake <- struct{}{}:
-	default: // it is woken already
+	default: // a signal is pending already
 	}
 }
 
