--- a/internal/audit/handlers.go
+++ b/internal/audit/handlers.go
@@ -1,7 +1,7 @@
 package audit
 
-// handlers hold what is done about each kind of record; kinds without a handler carry no news for the rules.
-var handlers = [kinds]func(*Auditor, *scheduler, *Record){
+// handlers holds the handler for each kind of record. Kinds without a handler do not matter to the rules.
+var handlers = [numKinds]func(*Auditor, *scheduler, *Record){
 	SchedulerStarted:   (*Auditor).onSchedulerStarted,
 	SchedulerKilled:    func(_ *Auditor, s *scheduler, _ *Record) { s.dead = true },
 	SchedulerPaused:    func(_ *Auditor, s *scheduler, r *Record) { s.pausedAt, s.lastPausedAt = r.At, r.At },
@@ -28,7 +28,7 @@
 	s.reset()
 }
 
-// onSchedulerResumed dates what was delivered during the pause: the scheduler reads it only now.
+// onSchedulerResumed changes the time of what was delivered during the pause to now, as the scheduler reads it only after it resumes.
 func (a *Auditor) onSchedulerResumed(s *scheduler, r *Record) {
 	s.pausedAt, s.resumedAt = 0, r.At
 	for id, since := range s.unreadySince {
@@ -71,7 +71,7 @@
 	setSince(a.maintenanceSince, r, r.Detail == MaintenanceOver)
 }
 
-// setSince notes since when a node is out of service, or that it is back in service.
+// setSince records since when a node is out of service, or that it is back in service.
 func setSince(since map[uint32]float64, r *Record, inService bool) {
 	if inService {
 		delete(since, r.Node)
@@ -80,7 +80,7 @@
 	}
 }
 
-// onNodeStarted also ends what the node's earlier incarnation ran.
+// onNodeStarted records a new incarnation of a node, and concludes what its earlier incarnation ran.
 func (a *Auditor) onNodeStarted(_ *scheduler, r *Record) {
 	a.nodes[r.Node] = &node{startedAt: r.At, cold: r.Detail == StartedCold}
 	for _, s := range a.schedulers {
@@ -93,7 +93,7 @@
 }
 
 func (a *Auditor) onNodeOverloaded(_ *scheduler, r *Record) {
-	a.report(RuleOverload, r.At, "node %d was pushed over", r.Node)
+	a.report(RuleOverload, r.At, "node %d was overloaded and broke down", r.Node)
 }
 
 func (a *Auditor) onLinkClosed(s *scheduler, r *Record) {
@@ -126,6 +126,6 @@
 	att.concludedAt = r.At
 	att.neverRan = (r.Detail == OutcomeRefused || r.Detail == OutcomeBarred) && !att.hasRun
 	if att.hasRun && r.Detail == OutcomeRefused {
-		a.report(RuleAttempts, r.At, "node %d took back try %x.%d that had run", r.Node, r.Ticket, r.Attempt)
+		a.report(RuleAttempts, r.At, "node %d refused attempt %x.%d, which had already run", r.Node, r.Ticket, r.Attempt)
 	}
 }
