--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -12,25 +12,24 @@
 	"ravenpond/internal/proto/client"
 )
 
-// Demand is a task that a client wants until some time, requested as often as need be. Times and durations are ms.
+// Demand is a task that a client wants until GiveUpAt. It is requested as often as necessary. Times and durations are in ms.
 type Demand struct {
 	Key, Tenant, JobType, Service string
 	Job                           int
 	Semantics                     audit.Semantics
-	Token, ServiceKey             uint64 // as the scheduler derives them from key and service
+	Token, ServiceKey             uint64 // as the scheduler derives them from Key and Service
 	Cores, Memory                 float64
-	Timeout                       float64 // of each request
+	Timeout                       float64 // timeout of each request
 	LatencyObjective              float64
-	GiveUpAt                      float64 // when it is not wanted any more
+	GiveUpAt                      float64 // time from which the task is no longer wanted
 
 	requests int
-	sentAt   float64 // of the last request
+	sentAt   float64 // when the last request was sent
 }
 
-// Result is what became of a request: the answer's word, or why there was none.
+// Result is how a request ended: the answer, or the reason why there was none.
 type Result string
 
-// Results of requests.
 const (
 	Served       Result = audit.AnswerServed
 	Declined     Result = audit.AnswerDeclined
@@ -39,67 +38,66 @@
 	Unanswered   Result = "none"    // no answer came in time
 )
 
-// Outcome is what became of one request. Times are ms.
+// Outcome describes how one request ended. Times are in ms.
 type Outcome struct {
 	SentAt, Latency float64
 	Job             int
 	Tenant          string
 	Result          Result
-	First           bool // it was the first request of its demand
-	InTime          bool // and was served within the latency objective
+	First           bool // whether it was the first request of its demand
+	InTime          bool // whether it was also served within the latency objective
 }
 
-// Client requests tasks of one scheduler over one connection, which it makes anew whenever it ends. Its methods may be called from
-// several goroutines.
+// Client requests tasks from one scheduler over one connection, and reconnects whenever the connection ends. It is safe for concurrent use.
 type Client struct {
 	ID               int
-	Scheduler        string        // its name
-	SchedulerAddress func() string // where it listens now, empty while it does not
-	SettleTime       float64       // ms to wait before a request that may start a task for the second time
-	AuthToken        string        // shown first, where tenants come and go
+	Scheduler        string        // name of the scheduler
+	SchedulerAddress func() string // returns the scheduler's current address, empty while it does not listen
+	SettleTime       float64       // ms to wait before a request that may start a task a second time
+	AuthToken        string        // sent first on each connection where set, for schedulers whose tenants change at run time
 
 	testbed *Testbed
 
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards the fields below
 	rng       *rand.Rand
-	conn      env.Conn // nil while there is none
+	conn      env.Conn // nil while not connected
 	lastRef   uint64
-	pending   map[uint64]*Demand // by reference: requested and not answered
-	running   map[uint64]*Demand // by reference
+	pending   map[uint64]*Demand // by reference: requested and not answered yet
+	running   map[uint64]*Demand // by reference: served and not ended yet
 	outcomes  []Outcome
-	unsent    []*Demand // requested while there was no connection
+	unsent    []*Demand // requested while not connected
 	lostTasks int
 }
 
-// Times of clients in ms.
+// Times of a client in ms.
 const (
 	reconnectDelay     = 50
 	dialTimeout        = 1000
 	clientWriteTimeout = 5000
-	answerGrace        = 1500 // beyond a request's time-out in which an answer is still taken
+	answerGrace        = 1500 // time after a request's timeout during which an answer is still accepted
 
-	retryAfterEnd      = 150 // of a task that is still wanted
+	retryAfterEnd      = 150 // delay after a task ended that is still wanted
 	retryAfterNoAnswer = 200
 	retryAfterRefusal  = 1000
 )
 
-// Delays of retries vary by this much, so that clients do not retry together.
+// Retry delays are multiplied by a random factor from this range, so that clients do not retry at the same time.
 const minRetryFactor, retryFactorRange = 0.75, 0.5
 
-// endedNormally is how a task ended that did its work; lostTask that its end is not known.
+// Ways in which a task ended: endedNormally means that it completed its work, lostTask that its end is unknown.
 const (
 	endedNormally = "ended"
 	lostTask      = "lost"
 )
 
-// StartClient connects a client and keeps it connected.
+// StartClient connects a client, which reconnects whenever its connection ends.
 func (tb *Testbed) StartClient(c *Client, seed uint64) {
 	c.testbed, c.rng = tb, rand.New(rand.NewPCG(seed, 11))
 	c.pending, c.running = map[uint64]*Demand{}, map[uint64]*Demand{}
 	c.connect()
 }
 
-// connect dials until there is a connection, then sends what waited for it.
+// connect dials until there is a connection, then sends the requests that waited for one.
 func (c *Client) connect() {
 	address := c.SchedulerAddress()
 	if address == "" {
@@ -133,7 +131,7 @@
 	return c.conn != nil
 }
 
-// Request requests a task, unless it is not wanted any more. Without a connection the request is sent once there is one.
+// Request requests a task unless it is no longer wanted. Without a connection, the request is sent once there is one.
 func (c *Client) Request(demand *Demand) {
 	now := c.testbed.Now()
 	if now > demand.GiveUpAt {
@@ -150,7 +148,7 @@
 	c.pending[ref] = demand
 	demand.requests++
 	demand.sentAt = now
-	// Recorded before it is sent: no answer can precede it in the trace, and its time counts from here.
+	// The request is recorded before it is sent, so that no answer can precede it in the trace. Its timeout starts here.
 	c.testbed.Trace.Add(audit.Record{
 		At: now, Kind: audit.RequestSent, Scheduler: c.Scheduler, Client: c.ID, RequestRef: ref, Job: demand.Job,
 		Token: demand.Token, Service: demand.ServiceKey, Deadline: now + demand.Timeout,
@@ -164,7 +162,8 @@
 	c.testbed.After(demand.Timeout+answerGrace, func() { c.onTimeout(ref) })
 }
 
-// Withdraw gives up a random fraction of all that is requested or runs; what is still wanted is requested again when its end is notified.
+// Withdraw withdraws a random fraction of all requests and running tasks. Those still wanted are requested again once the scheduler reports
+// their end.
 func (c *Client) Withdraw(fraction float64) {
 	c.mu.Lock()
 	var refs []uint64
@@ -184,14 +183,14 @@
 	}
 }
 
-// LostTasks is of how many tasks the client was notified that they are lost.
+// LostTasks returns the number of tasks that the scheduler reported as lost.
 func (c *Client) LostTasks() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lostTasks
 }
 
-// Outcomes returns a copy of what became of all requests so far.
+// Outcomes returns a copy of the outcomes of all requests so far.
 func (c *Client) Outcomes() []Outcome {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,13 +201,13 @@
 func (c *Client) notify(conn env.Conn, method string, params map[string]any) {
 	body, err := json.Marshal(map[string]any{"jsonrpc": "2.0", "method": method, "params": params})
 	if err != nil {
-		return // not of numbers and strings
+		return // cannot happen: parameters are numbers and strings
 	}
 	conn.Send(func(b []byte) []byte { return client.AppendMessage(b, body) })
 }
 
-// retryLater requests a task again after a varied delay in ms, if it is still wanted by then. Where an earlier attempt may still run and
-// a second start would do harm, the settle time is added.
+// retryLater requests a task again after a delay in ms, which it randomizes, if the task is still wanted by then. If an earlier attempt may
+// still run and a second start would do harm, it adds the settle time.
 func (c *Client) retryLater(demand *Demand, delay float64, mayRun bool) {
 	c.mu.Lock()
 	delay *= minRetryFactor + retryFactorRange*c.rng.Float64()
--- a/internal/standin/client_conn.go
+++ b/internal/standin/client_conn.go
@@ -17,42 +17,42 @@
 	splitter client.Splitter
 }
 
-// OnData takes what the scheduler sends.
+// OnData parses data from the scheduler.
 func (cc *clientConn) OnData(b []byte) {
 	if err := cc.splitter.Feed(b, cc.client.onNotification); err != nil {
 		cc.conn.Close(false, nil)
 	}
 }
 
-// OnClose has the client connect again.
+// OnClose makes the client reconnect.
 func (cc *clientConn) OnClose(error) {
 	cc.client.onDisconnect()
 	cc.client.testbed.After(reconnectDelay, cc.client.connect)
 }
 
-// onDisconnect requests all again that was pending or running: what runs goes on, and is found by its key or started anew.
+// onDisconnect repeats all requests that were pending or whose tasks run. A task that still runs is found by its key; any other is started again.
 func (c *Client) onDisconnect() {
 	c.mu.Lock()
 	c.conn = nil
 	now := c.testbed.Now()
-	var again []*Demand
+	var retries []*Demand
 	for _, ref := range slices.Sorted(maps.Keys(c.pending)) {
 		demand := c.pending[ref]
 		c.testbed.Trace.Add(audit.Record{At: now, Kind: audit.RequestAbandoned, Scheduler: c.Scheduler, Client: c.ID, RequestRef: ref})
 		c.outcomes = append(c.outcomes, Outcome{SentAt: demand.sentAt, Job: demand.Job, Tenant: demand.Tenant, Result: Disconnected})
-		again = append(again, demand)
+		retries = append(retries, demand)
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.running)) {
-		again = append(again, c.running[ref])
+		retries = append(retries, c.running[ref])
 	}
 	c.pending, c.running = map[uint64]*Demand{}, map[uint64]*Demand{}
 	c.mu.Unlock()
-	for _, demand := range again {
+	for _, demand := range retries {
 		c.retryLater(demand, retryAfterNoAnswer, true)
 	}
 }
 
-// onTimeout gives up a request that was not answered.
+// onTimeout ends a request that was not answered and retries it.
 func (c *Client) onTimeout(ref uint64) {
 	c.mu.Lock()
 	demand := c.pending[ref]
@@ -66,18 +66,18 @@
 	}
 }
 
-// notification is what a scheduler sends: the answer to a request, or the end of a task.
+// notification is a message from a scheduler: the answer to a request, or the end of a task.
 type notification struct {
 	Method string
 	Params struct {
 		Ref    uint64
-		Answer string // of an answer
-		How    string // of an end
+		Answer string // set in an answer
+		How    string // set in the end of a task
 		Why    string
 	}
 }
 
-// onNotification takes a JSON-RPC notification; a body that is none ends the connection.
+// onNotification handles a JSON-RPC notification. An invalid body ends the connection.
 func (c *Client) onNotification(body []byte) error {
 	var n notification
 	if err := json.Unmarshal(body, &n); err != nil {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// onEnd takes the end of a task. A task that was lost without a reason may still run.
+// onEnd handles the end of a task. A task that was lost without a reason may still run.
 func (c *Client) onEnd(ref uint64, how, why string) {
 	c.mu.Lock()
 	demand := c.running[ref]
@@ -105,7 +105,7 @@
 	}
 }
 
-// onAnswer takes the final answer to a request.
+// onAnswer handles the final answer to a request.
 func (c *Client) onAnswer(ref uint64, answer string) {
 	now := c.testbed.Now()
 	c.testbed.Trace.Add(audit.Record{At: now, Kind: audit.ResponseReceived, Scheduler: c.Scheduler, Client: c.ID, RequestRef: ref, Detail: answer})
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -11,7 +11,7 @@
 	"ravenpond/internal/proto/list"
 )
 
-// Places in list.AvailabilityNames.
+// Indices into list.AvailabilityNames.
 const (
 	availabilityGone = iota
 	availabilityReady
@@ -19,55 +19,54 @@
 )
 
 const (
-	pollInterval     = 100  // ms between two health checks of all nodes
-	reportInterval   = 1000 // ms for which a change of free cores alone is not listed
-	minCoresChange   = 0.5  // cores by which an entry has to change to be listed anew
-	maxSnapshots     = 600  // that are kept: a minute
+	pollInterval     = 100  // ms between health checks of all nodes
+	reportInterval   = 1000 // minimum ms between updates of an entry for a change of free cores alone
+	minCoresChange   = 0.5  // minimum change in free cores that updates an entry
+	maxSnapshots     = 600  // number of snapshots that are kept, for one minute of polls
 	listWriteTimeout = 2000 // ms
 )
 
-// List is the node list: it checks its nodes ten times a second and serves what it saw some time ago.
+// List is the node list. It checks its nodes ten times a second and serves its observations with a delay.
 type List struct {
 	testbed  *Testbed
 	listener env.Listener
 
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards the fields below
 	nodes       []*Node
-	unreachable map[uint32]entry              // listed addresses that nobody listens at
+	unreachable map[uint32]entry              // listed addresses at which no process listens
 	history     []snapshot                    // in order of time
-	maintenance map[uint32]map[string]float64 // by node and scheduler: ms until which the scheduler has the node out
+	maintenance map[uint32]map[string]float64 // by node and scheduler: time in ms until which the scheduler holds the node in maintenance
 	version     uint64
-	newest      snapshot // of those that were served: versions only grow
+	newest      snapshot // the newest snapshot that was served: served versions never decrease
 
 	ListFaults
 }
 
-// ListFaults are injected into a node list; the zero value injects none. Change them by List.Update.
+// ListFaults are the faults injected into a node list. The zero value injects none. List.Update changes them.
 type ListFaults struct {
-	Delay       float64 // ms by which all that it serves is late
-	ExtraDelay  float64 // ms more
-	Unavailable bool    // calls fail and watches break
+	Delay       float64 // ms by which everything that the list serves is delayed
+	ExtraDelay  float64 // additional delay in ms
+	Unavailable bool    // calls fail and watches end
 }
 
-// entry is a node as the list has it.
+// entry is the list's entry of a node.
 type entry struct {
 	address          string
 	availability     int
 	startedAt        float64 // ms of the wall clock
-	cores, memory    float64 // free, memory in GiB
+	cores, memory    float64 // free capacity, memory in GiB
 	zone, cell, kind string
-	observedAt       float64 // ms
+	observedAt       float64 // when the list observed the node, ms
 }
 
-// snapshot is what the list saw at a time; each change of an entry makes a version.
+// snapshot is what the list observed at a time. Each snapshot in which an entry changed has a new version.
 type snapshot struct {
 	at      float64 // ms
 	version uint64
 	entries map[uint32]entry
 }
 
-// StartList puts a list on the network, at an address of its own or, if that is empty, on a free loopback port. What it serves is late by
-// a delay in ms.
+// StartList starts a list at an address or, if that is empty, on a free loopback port. The list serves its observations with a delay in ms.
 func (tb *Testbed) StartList(delay float64, nodes []*Node, address string) (*List, error) {
 	if address == "" {
 		address = anyLoopbackPort
@@ -77,7 +76,7 @@
 		maintenance: map[uint32]map[string]float64{},
 	}
 	l.poll()
-	l.history[0].at = math.Inf(-1) // what it saw first counts as known for long
+	l.history[0].at = math.Inf(-1) // the first snapshot is served without a delay
 	var err error
 	if l.listener, err = tb.Listen(address, l.accept); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
@@ -86,17 +85,17 @@
 	return l, nil
 }
 
-// Address is where the list listens.
+// Address returns the list's address.
 func (l *List) Address() string { return l.listener.Address() }
 
-// Add lists a node.
+// Add adds a node to the list.
 func (l *List) Add(n *Node) {
 	l.mu.Lock()
 	l.nodes = append(l.nodes, n)
 	l.mu.Unlock()
 }
 
-// AddUnreachable lists a node whose address nobody listens at.
+// AddUnreachable adds a node at whose address no process listens.
 func (l *List) AddUnreachable(id uint32, address, zone, cell, kind string) {
 	l.mu.Lock()
 	l.unreachable[id] = entry{address: address, availability: availabilityReady, zone: zone, cell: cell, kind: kind}
@@ -104,14 +103,14 @@
 	l.poll()
 }
 
-// Update calls f under the list's lock, to change its faults.
+// Update calls f under the list's lock, so that f may change the list's faults.
 func (l *List) Update(f func(l *List)) {
 	l.mu.Lock()
 	f(l)
 	l.mu.Unlock()
 }
 
-// poll checks all nodes and keeps a snapshot if anything has changed.
+// poll checks all nodes and adds a snapshot if an entry has changed.
 func (l *List) poll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,7 +148,7 @@
 	}
 }
 
-// observe returns a node's entry now. The caller holds the locks of list and testbed.
+// observe returns the current entry of a node. The caller holds the locks of the list and of the testbed.
 func (l *List) observe(n *Node, now float64) entry {
 	en := entry{
 		address: cmp.Or(n.ListedAddress, n.address), availability: availabilityReady, startedAt: n.StartedAt, zone: n.Zone, cell: n.Cell,
@@ -164,13 +163,13 @@
 	return en
 }
 
-// differs reports whether an entry has to be listed in place of an old one.
+// differs reports whether an entry has changed enough to replace an old one.
 func (e *entry) differs(old *entry, now float64) bool {
 	return old.availability != e.availability || old.startedAt != e.startedAt ||
 		now-old.observedAt >= reportInterval && math.Abs(e.cores-old.cores) >= minCoresChange
 }
 
-// inMaintenance reports whether some scheduler has a node out. The caller holds the list's lock.
+// inMaintenance reports whether any scheduler holds a node in maintenance. The caller holds the list's lock.
 func (l *List) inMaintenance(id uint32, now float64) bool {
 	for _, until := range l.maintenance[id] {
 		if now < until {
@@ -180,7 +179,7 @@
 	return false
 }
 
-// visible returns the snapshot that the list serves now. The caller holds the list's lock.
+// visible returns the snapshot that the list serves at present. The caller holds the list's lock.
 func (l *List) visible() snapshot {
 	at := l.testbed.Now() - l.Delay - l.ExtraDelay
 	visible := l.history[0]
--- a/internal/standin/list_conn.go
+++ b/internal/standin/list_conn.go
@@ -12,23 +12,23 @@
 	"ravenpond/internal/proto/list"
 )
 
-// listConn is a scheduler's connection to the list. It implements env.ConnHandler and list.SchedulerHandler; the connection calls it
-// from one goroutine, and the environment's timer from another.
+// listConn is a scheduler's connection to the list. It implements env.ConnHandler and list.SchedulerHandler. The connection calls it from one
+// goroutine, and the environment's timer from another.
 type listConn struct {
 	list      *List
-	scheduler string // empty until the greeting is complete
+	scheduler string // name of the scheduler, empty until the greeting is complete
 	conn      env.Conn
 	splitter  line.Splitter
 
 	mu       sync.Mutex
 	closed   bool      // guarded by mu
-	sent     *snapshot // guarded by mu; nil: nothing was sent
+	sent     *snapshot // guarded by mu; nil if nothing was sent
 	watching bool      // guarded by mu
 }
 
 func (l *List) accept(conn env.Conn) { conn.Start(&listConn{list: l, conn: conn}, listWriteTimeout) }
 
-// OnData takes what a scheduler sends.
+// OnData parses data from the scheduler.
 func (c *listConn) OnData(b []byte) {
 	if c.scheduler == "" {
 		header, rest, err := c.splitter.Greeting(b, list.GreetingLine)
@@ -48,14 +48,14 @@
 	}
 }
 
-// OnClose ends the watch.
+// OnClose ends the watch of the scheduler.
 func (c *listConn) OnClose(error) {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
 }
 
-// push sends changes to a scheduler that watches. It reports whether to go on.
+// push sends changes to a scheduler that watches the list. It returns false once the connection has ended.
 func (c *listConn) push() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,8 +66,8 @@
 	return !c.closed
 }
 
-// sendChanges sends what changed since the last answer; the answer to a call is sent even if nothing did. While the list is unavailable
-// a call fails, and a watch has to be broken: then it returns false. The caller holds the lock.
+// sendChanges sends the changes since the last answer. It answers a call even if nothing has changed. While the list is unavailable, it
+// answers a call with a failure; for a watch it returns false, and the caller has to end the connection. The caller holds c.mu.
 func (c *listConn) sendChanges(called bool) bool {
 	l := c.list
 	l.mu.Lock()
@@ -102,7 +102,7 @@
 	return true
 }
 
-// appendAnswer returns an answer with the entries that differ from the old ones, and records of each.
+// appendAnswer returns an answer with the entries that differ from the old ones, and a record of each.
 func (c *listConn) appendAnswer(kind int, current *snapshot, old map[uint32]entry) ([]byte, []audit.Record) {
 	b, records := list.AppendBegin(nil, kind, current.version), []audit.Record(nil)
 	for _, id := range slices.Sorted(maps.Keys(current.entries)) {
@@ -115,18 +115,18 @@
 			Detail: list.AvailabilityNames[en.availability],
 		})
 		if en.availability == availabilityGone && kind == list.KindFull {
-			continue // a full list says so by its absence
+			continue // a full list omits nodes that are gone
 		}
 		b = list.AppendEntry(b, list.Entry{ID: id, Address: en.address, Availability: en.availability, StartedAt: en.startedAt, FreeCores: en.cores, FreeMemory: en.memory, Zone: en.zone, Cell: en.cell, Kind: en.kind})
 	}
 	return list.AppendEnd(b), records
 }
 
-// answer answers a call, with all entries if fresh is set.
-func (c *listConn) answer(watch, fresh bool) error {
+// answer answers a call, with all entries if full is set.
+func (c *listConn) answer(watch, full bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if fresh {
+	if full {
 		c.sent = nil
 	}
 	if c.sendChanges(true) {
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// OnWatch implements list.SchedulerHandler. It answers with all changes since a version, with all entries if this connection was not
-// sent that version.
+// OnWatch implements list.SchedulerHandler. It answers with all changes since a version, or with all entries if the last version sent on this
+// connection is another.
 func (c *listConn) OnWatch(since uint64) error {
 	return c.answer(true, c.sent == nil || c.sent.version != since)
 }
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// OnMaintenance implements list.SchedulerHandler: the scheduler has a node out for a duration in ms.
+// OnMaintenance implements list.SchedulerHandler: the scheduler puts a node into maintenance for a duration in ms.
 func (c *listConn) OnMaintenance(id uint32, duration float64) error {
 	c.list.Update(func(l *List) {
 		if l.maintenance[id] == nil {
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// OnMaintenanceEnd implements list.SchedulerHandler.
+// OnMaintenanceEnd implements list.SchedulerHandler: the scheduler's maintenance of a node is over.
 func (c *listConn) OnMaintenanceEnd(id uint32) error {
 	c.list.Update(func(l *List) { delete(l.maintenance[id], c.scheduler) })
 	return nil
--- a/internal/standin/loopback_test.go
+++ b/internal/standin/loopback_test.go
@@ -9,13 +9,13 @@
 	"ravenpond/internal/env"
 )
 
-// TestNodeFindsItsPortFree has a node crash, and an outgoing connection of this process leave by the number of the port that the node had:
-// the node comes back at its address.
+// TestRestartRebindsPort crashes a node and opens an outgoing connection from 127.0.0.1 and the node's port number: the node must still be able
+// to restart at its address.
 //
-// A drill failed with "node ...: listen tcp 127.0.0.1:39493: bind: address already in use", when a node came back after a fault. While a node
-// is down nobody listens on its port, which is in the range from which the system gives ports to outgoing connections of all processes. Once
-// one has it, the node can't listen until that connection ends.
-func TestNodeFindsItsPortFree(t *testing.T) {
+// The test guards against the failure "node ...: listen tcp 127.0.0.1:39493: bind: address already in use" when a node restarts after a fault.
+// While a node is down, its port is in the range from which the system assigns ports to outgoing connections of all processes. Once such a
+// connection has the port, the node cannot listen on it until that connection ends.
+func TestRestartRebindsPort(t *testing.T) {
 	environment := env.NewReal()
 	defer environment.Close(time.Second)
 	testbed := NewTestbed(environment)
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	var outgoing net.Conn
-	eventually(t, func() error { // the node's listener closes in a moment
+	eventually(t, func() error { // the node's listener may close with a delay
 		outgoing, err = (&net.Dialer{LocalAddr: local}).Dial("tcp", peer.Addr().String())
 		return err
 	})
@@ -43,7 +43,7 @@
 	eventually(t, n.Restart)
 }
 
-// eventually calls f until it succeeds, for up to 2 s.
+// eventually calls f until it succeeds, and fails the test after 2 s.
 func eventually(t *testing.T, f func() error) {
 	t.Helper()
 	end := time.Now().Add(2 * time.Second)
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -10,17 +10,17 @@
 	"ravenpond/internal/proto/node"
 )
 
-// Node is a machine on the network. Its fields, and those methods that say so, are guarded by the testbed's lock.
+// Node is a machine on the network. The testbed's lock guards its fields and those methods that say so.
 type Node struct {
 	ID            uint32
 	Zone, Cell    string
 	Kind          string
-	Jobs, Tenants int    // how many job classes and tenants are known
-	ListedAddress string // what the list tells, where a relay stands before the node; empty: its own
+	Jobs, Tenants int    // numbers of known job classes and tenants
+	ListedAddress string // address in the node list if a proxy relays to the node, empty for the node's own
 	Machine       *Machine
-	StartedAt     float64 // ms of the wall clock, 0: long ago
+	StartedAt     float64 // ms of the wall clock, 0 for long ago
 	Draining      bool
-	Lost          bool // it is not there
+	Lost          bool // whether the node is gone: it crashed or broke down
 
 	testbed     *Testbed
 	incarnation uint64
@@ -31,19 +31,19 @@
 	pending     []func(now float64) // messages that arrived while the machine hung
 }
 
-// NodeStart says how a node starts.
+// NodeStart holds the options for the start of a node.
 type NodeStart struct {
 	Machine MachineConfig
 	Group   *Group
-	Seed    uint64 // of the machine
-	Cold    bool   // it warms up
-	Address string // empty: a free loopback port
+	Seed    uint64 // seed of the machine's random numbers
+	Cold    bool   // whether the node starts cold and has to warm up
+	Address string // listen address, empty for a free loopback port
 }
 
-// minTurn is the least time between two turns of a node's loop, ms.
-const minTurn = 0.5
+// minLoopWait is the minimum wait between two iterations of a node's loop, in ms.
+const minLoopWait = 0.5
 
-// StartNode puts a node on the network.
+// StartNode starts a node and its listener.
 func (tb *Testbed) StartNode(n *Node, start NodeStart) error {
 	address := start.Address
 	if address == "" {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// Address is where the node listens.
+// Address returns the node's address.
 func (n *Node) Address() string { return n.address }
 
 func (n *Node) recordStart(now float64, cold bool) {
@@ -86,19 +86,19 @@
 	})
 }
 
-// advance moves the machine's time and returns in how many ms it has to be called again.
+// advance moves the machine's time forward and returns the number of ms after which it has to be called again.
 func (n *Node) advance() (wait float64) {
 	n.testbed.WithLock(func(now float64) {
 		if !n.Machine.Hung {
 			n.processPending(now)
 		}
 		n.Machine.Advance(now)
-		wait = max(minTurn, n.Machine.NextEvent()-now)
+		wait = max(minLoopWait, n.Machine.NextEvent()-now)
 	})
 	return wait
 }
 
-// processPending hands over what arrived while the machine hung.
+// processPending delivers the messages that arrived while the machine hung.
 func (n *Node) processPending(now float64) {
 	pending := n.pending
 	n.pending = nil
@@ -107,7 +107,7 @@
 	}
 }
 
-// Crash takes the node away; what it held is lost. The caller holds the testbed's lock.
+// Crash stops the node, which loses everything that it held. The caller holds the testbed's lock.
 func (n *Node) Crash(now float64) {
 	n.Lost, n.pending = true, nil
 	n.Machine.Restart(now, true)
@@ -117,8 +117,8 @@
 	}
 }
 
-// Restart brings a node that crashed back cold in its next incarnation, at the same address. It fails while the system still holds the
-// address; it may be called again then.
+// Restart starts a crashed node cold, in its next incarnation and at the same address. It fails while the system still holds the address, and
+// may then be called again.
 func (n *Node) Restart() error {
 	listener, err := n.testbed.Listen(n.address, n.accept)
 	if err != nil {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// sortedConns returns the connections in order of their schedulers' names. The caller holds the testbed's lock.
+// sortedConns returns the connections sorted by the names of their schedulers. The caller holds the testbed's lock.
 func (n *Node) sortedConns() (conns []*nodeConn) {
 	for _, scheduler := range slices.Sorted(maps.Keys(n.conns)) {
 		conns = append(conns, n.conns[scheduler])
@@ -142,13 +142,13 @@
 	return conns
 }
 
-// IsConnected reports whether a scheduler is connected under a name. The caller holds the testbed's lock.
+// IsConnected reports whether a scheduler with a name is connected. The caller holds the testbed's lock.
 func (n *Node) IsConnected(scheduler string) bool { return n.conns[scheduler] != nil }
 
-// Connections is the number of schedulers that are connected. The caller holds the testbed's lock.
+// Connections returns the number of connected schedulers. The caller holds the testbed's lock.
 func (n *Node) Connections() int { return len(n.conns) }
 
-// send sends a message to a scheduler. It reports whether the scheduler is connected and the message was not lost by a fault.
+// send sends a message to a scheduler. It returns false if the scheduler is not connected or an injected fault dropped the message.
 func (n *Node) send(scheduler string, mayLose bool, appendTo func([]byte) []byte) bool {
 	if mayLose && n.Machine.AnswerLoss > 0 && n.Machine.rng.Float64() < n.Machine.AnswerLoss {
 		return false
@@ -189,7 +189,7 @@
 	n.send(scheduler, false, func(b []byte) []byte { return node.AppendReport(b, seq, report) })
 }
 
-// OnClaimed implements EventHandler. An answer that proves that an attempt never ran concludes it.
+// OnClaimed implements EventHandler. An answer with an outcome concludes the attempt in the trace.
 func (n *Node) OnClaimed(id AttemptID, claim, reason int) {
 	if claim == node.ClaimRunning {
 		n.recordAttempt(audit.StartConfirmed, id, "")
@@ -204,7 +204,7 @@
 // OnRun implements EventHandler.
 func (n *Node) OnRun(id AttemptID) { n.recordAttempt(audit.TaskStarted, id, "") }
 
-// OnOverload implements EventHandler: the node is lost for good.
+// OnOverload implements EventHandler: the node is gone and does not restart by itself.
 func (n *Node) OnOverload() {
 	n.recordLink(audit.NodeOverloaded, "", "")
 	n.Lost = true
--- a/internal/standin/node_conn.go
+++ b/internal/standin/node_conn.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	maxQueuedBytes = 1 << 20 // that wait for a scheduler; more end its connection
-	maxPending     = 1 << 14 // messages kept while the machine hangs
+	maxQueuedBytes = 1 << 20 // limit on the bytes queued for a scheduler; beyond it the connection is closed
+	maxPending     = 1 << 14 // maximum number of messages kept while the machine hangs
 )
 
-// errUnavailable ends a greeting while the node answers nobody.
+// errUnavailable ends a handshake while the node answers no scheduler.
 var errUnavailable = errors.New("away")
 
-// nodeConn is a scheduler's connection to a node. It implements env.ConnHandler and node.SchedulerHandler; the connection calls it from
-// one goroutine.
+// nodeConn is a scheduler's connection to a node. It implements env.ConnHandler and node.SchedulerHandler, which the connection calls from one
+// goroutine.
 type nodeConn struct {
 	node     *Node
 	conn     env.Conn
 	splitter line.Splitter
-	lag      admission.DelayEstimator // of messages from the scheduler
+	delays   admission.DelayEstimator // estimates the delay of messages from the scheduler
 
 	mu           sync.Mutex
-	scheduler    string  // guarded by mu; empty until the greeting is complete
-	lastReceived float64 // guarded by mu; ms
+	scheduler    string  // guarded by mu; name of the scheduler, empty until the greeting is complete
+	lastReceived float64 // guarded by mu; time of the last received data, ms
 	closed       bool    // guarded by mu
 }
 
-// accept takes a connection, and watches that its scheduler is not silent for too long.
+// accept serves a connection, and closes it if its scheduler sends nothing for too long.
 func (n *Node) accept(conn env.Conn) {
 	c := &nodeConn{node: n, conn: conn, lastReceived: n.testbed.Now()}
 	conn.Start(c, node.WriteTimeout)
@@ -55,7 +55,7 @@
 	})
 }
 
-// OnData takes what a scheduler sends.
+// OnData parses data from the scheduler.
 func (c *nodeConn) OnData(b []byte) {
 	c.mu.Lock()
 	c.lastReceived = c.node.testbed.Now()
@@ -79,7 +79,7 @@
 	}
 }
 
-// OnClose releases the scheduler's name.
+// OnClose removes the connection from the node unless a later one of the same scheduler has replaced it.
 func (c *nodeConn) OnClose(err error) {
 	c.close(err.Error())
 	n := c.node
@@ -91,7 +91,7 @@
 	})
 }
 
-// handshake begins to serve a scheduler; a later connection of the same name ends the earlier one.
+// handshake checks a scheduler's greeting and answers it. A later connection with the same scheduler name replaces the earlier one.
 func (c *nodeConn) handshake(header textproto.MIMEHeader) (err error) {
 	n, scheduler := c.node, header.Get("Scheduler")
 	if scheduler == "" || header.Get("Node") != strconv.FormatUint(uint64(n.ID), 10) {
@@ -102,14 +102,14 @@
 		if err != nil || math.IsNaN(sent) || math.IsInf(sent, 0) {
 			return fmt.Errorf("greeting: bad time sent %.20q", text)
 		}
-		c.lag.OnRequest(n.testbed.Now(), sent, 0, 0)
+		c.delays.OnRequest(n.testbed.Now(), sent, 0, 0)
 	}
 	n.testbed.WithLock(func(now float64) {
 		if n.Lost || n.Machine.IsDown() || n.Machine.Hung {
 			err = errUnavailable
 			return
 		}
-		n.Machine.Advance(now) // what was due before is sent to the old connection
+		n.Machine.Advance(now) // messages that were due before are sent to the old connection
 		if old := n.conns[scheduler]; old != nil {
 			old.close("replaced by a later connection")
 			n.recordLink(audit.LinkClosed, scheduler, "")
@@ -128,7 +128,7 @@
 	return err
 }
 
-// sendHeld sends all that the node holds for the scheduler. The caller holds the testbed's lock.
+// sendHeld sends all tasks that the node holds for the scheduler. The caller holds the testbed's lock.
 func (c *nodeConn) sendHeld(now float64) {
 	var b []byte
 	for _, held := range c.node.Machine.Held(now, c.scheduler) {
@@ -140,7 +140,7 @@
 	c.send(func(queue []byte) []byte { return node.AppendHeldAll(append(queue, b...)) })
 }
 
-// Append appends the message that tells a scheduler of a held task.
+// Append appends the message that informs a scheduler of a held task.
 func (h *HeldTask) Append(b []byte) []byte {
 	state := node.ClaimWaiting
 	if h.Running {
@@ -162,14 +162,15 @@
 	}
 }
 
-// send queues a message; a scheduler that reads too slowly is disconnected.
+// send queues a message, and disconnects a scheduler that reads too slowly.
 func (c *nodeConn) send(appendTo func([]byte) []byte) {
 	if _, waiting, _ := c.conn.Send(appendTo); waiting > maxQueuedBytes {
 		c.close("slow reader")
 	}
 }
 
-// deliver has the machine handle a message, now or once it hangs no more; it wakes the node's loop.
+// deliver handles a message now, or once the machine no longer hangs, and wakes the node's loop. It drops the message if the connection was
+// replaced or too many messages wait.
 func (c *nodeConn) deliver(handle func(now float64)) error {
 	n := c.node
 	n.testbed.WithLock(func(now float64) {
@@ -194,7 +195,7 @@
 	return AttemptID{Scheduler: c.scheduler, Ticket: attempt.Ticket, Attempt: attempt.Number}
 }
 
-// OnOffer implements node.SchedulerHandler. The time that the message was on its way counts against its time-out: a late one is
+// OnOffer implements node.SchedulerHandler. The transit time of the message counts against its timeout: an offer that arrives too late is
 // rejected.
 func (c *nodeConn) OnOffer(o node.Offer) error {
 	n, t := c.node, &o.Task
@@ -202,11 +203,11 @@
 		return fmt.Errorf("unknown job type %d or tenant %d", t.JobClass, t.Tenant)
 	}
 	received := n.testbed.Now()
-	late := c.lag.OnRequest(received, o.SentAt, 0, 0)
-	timeout := o.Timeout - late
+	delay := c.delays.OnRequest(received, o.SentAt, 0, 0)
+	timeout := o.Timeout - delay
 	n.testbed.Trace.Add(audit.Record{
 		At: received, Kind: audit.PlacementReceived, Scheduler: c.scheduler, Node: n.ID, Ticket: o.Attempt.Ticket,
-		Attempt: o.Attempt.Number, Job: t.JobClass, Token: t.Token, Service: t.Service, Deadline: received + timeout, SentAt: received - late,
+		Attempt: o.Attempt.Number, Job: t.JobClass, Token: t.Token, Service: t.Service, Deadline: received + timeout, SentAt: received - delay,
 	})
 	return c.deliver(func(now float64) {
 		n.Machine.Place(now, Placement{
@@ -242,7 +243,7 @@
 
 // OnPing implements node.SchedulerHandler.
 func (c *nodeConn) OnPing(sent float64) error {
-	c.lag.OnRequest(c.node.testbed.Now(), sent, 0, 0)
+	c.delays.OnRequest(c.node.testbed.Now(), sent, 0, 0)
 	return c.deliver(func(float64) { c.send(node.AppendPong) })
 }
 
--- a/internal/standin/outcomes.go
+++ b/internal/standin/outcomes.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// pastOutcome is what a machine remembers of an attempt that is over.
+// pastOutcome is the outcome of an attempt that has ended, as a machine remembers it.
 type pastOutcome struct {
-	at              float64 // ms
+	at              float64 // time of the outcome, ms
 	outcome, reason int
 }
 
 const (
-	outcomeRetention = 60_000  // ms for which outcomes are remembered
-	maxOutcomes      = 1 << 16 // that are remembered
-	noteDuration     = 12_000  // ms after its start in which a task's use is noted: later notes would say the same
+	outcomeRetention = 60_000  // ms for which outcomes are kept
+	maxOutcomes      = 1 << 16 // size limit for the maps of outcomes, barred attempts and epochs, in entries
+	noteDuration     = 12_000  // ms after its start during which a task's use is reported; it is constant, so later notes would repeat it
 )
 
-// Places in node.NoteNames.
+// Indices into node.NoteNames.
 const (
 	noteCores  = 2
 	noteMemory = 3
 )
 
-// remove takes a task out of the queue or out of the accepted ones.
+// remove removes a task from the queue or from the accepted tasks.
 func (m *Machine) remove(t *task) {
 	m.releaseToken(t)
 	delete(m.tasks, t.ID)
@@ -41,7 +41,7 @@
 	}
 }
 
-// report is the load report: cores and memory that are not reserved, or not in use.
+// report returns the load report: cores and memory that are not reserved or, with ReportsUse, not in use.
 func (m *Machine) report() []float64 {
 	if m.StaleReports && m.lastReport != nil {
 		return m.lastReport
@@ -54,17 +54,17 @@
 	return m.lastReport
 }
 
-// ReservedFraction is the reserved fraction of what may be reserved, the larger of cores and memory.
+// ReservedFraction returns the reserved fraction of the capacity that may be reserved, for cores or memory, whichever is larger.
 func (m *Machine) ReservedFraction() float64 {
 	return max(m.reserved[0]/(m.Cores*m.CoresLimit), m.reserved[1]/(m.Memory*m.MemoryLimit))
 }
 
-// FreeCapacity is what is not reserved; below zero where the machine is overcommitted.
+// FreeCapacity returns the capacity that is not reserved, which is negative where the machine is overcommitted.
 func (m *Machine) FreeCapacity() (cores, memory float64) {
 	return m.Cores - m.reserved[0], m.Memory - m.reserved[1]
 }
 
-// maintain evicts tasks while memory runs out, notes use, and forgets old outcomes.
+// maintain evicts tasks while more memory is in use than the machine has, reports the use of tasks, and deletes old outcomes.
 func (m *Machine) maintain() {
 	for {
 		_, memory := m.inUse()
--- a/internal/standin/placement.go
+++ b/internal/standin/placement.go
@@ -6,19 +6,19 @@
 	"ravenpond/internal/proto/node"
 )
 
-// Reasons of outcomes, by their places in node.ReasonNames.
+// Reasons of outcomes, as indices into node.ReasonNames.
 const (
 	reasonNone = iota
 	reasonNoCores
 	reasonNoMemory
 	reasonQueueFull
-	reasonNotHere
+	reasonNotAccepting
 	reasonOutOfMemory
 	reasonPreempted
-	reasonSentAway
+	reasonDrained
 )
 
-// Place takes a placement request into the queue, or rejects it.
+// Place queues a placement request, or rejects it.
 func (m *Machine) Place(now float64, p Placement) {
 	m.Advance(now)
 	if m.down {
@@ -31,10 +31,10 @@
 	}
 	m.tasks[p.ID] = t
 	switch {
-	case m.barred[p.ID], p.Epoch < m.epochs[p.epochKey()]: // withdrawn before it arrived, or of a former owner
-		m.conclude(t, node.OutcomeRefused, reasonNotHere)
+	case m.barred[p.ID], p.Epoch < m.epochs[p.epochKey()]: // recalled or claimed before it arrived, or sent by a former owner of the allocation
+		m.conclude(t, node.OutcomeRefused, reasonNotAccepting)
 	case m.draining:
-		m.conclude(t, node.OutcomeRefused, reasonNotHere)
+		m.conclude(t, node.OutcomeRefused, reasonNotAccepting)
 	case len(m.queue) >= m.QueueLimit:
 		m.conclude(t, node.OutcomeRefused, reasonQueueFull)
 	default:
@@ -50,7 +50,7 @@
 	m.queue = append(m.queue, t)
 }
 
-// checkOverload breaks a cold machine down that is sent far more than it can start.
+// checkOverload makes a cold machine break down if it is sent far more placements than it can start.
 func (m *Machine) checkOverload() {
 	if !m.cold || m.now >= m.startedAt+m.WarmupDuration {
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-// Recall hands back an attempt that does not run yet, and bars one that has not arrived.
+// Recall refuses an attempt that does not run yet, and bars one that has not arrived.
 func (m *Machine) Recall(now float64, id AttemptID) {
 	m.Advance(now)
 	if t := m.tasks[id]; t != nil && t.stage != running {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Stop ends an attempt, whether it runs or not.
+// Stop stops an attempt that runs, and refuses one that does not run yet.
 func (m *Machine) Stop(now float64, id AttemptID) {
 	m.Advance(now)
 	switch t := m.tasks[id]; {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Claim answers what became of an attempt, and bars one that has not arrived.
+// Claim reports the state or the outcome of an attempt, and bars an attempt that has not arrived.
 func (m *Machine) Claim(now float64, id AttemptID) {
 	m.Advance(now)
 	if t := m.tasks[id]; t != nil {
@@ -113,13 +113,13 @@
 	m.events.OnClaimed(id, node.ClaimOutcome+past.outcome, past.reason)
 }
 
-// Probe queues a probe among the placement requests; its answer tells how long the queue takes.
+// Probe queues a probe among the placement requests, so that the time until its answer shows the delay of the queue.
 func (m *Machine) Probe(now float64, scheduler string, seq uint64) {
 	m.Advance(now)
 	m.enqueue(&task{Placement: Placement{ID: AttemptID{Scheduler: scheduler}}, machine: m, isProbe: true, probeSeq: seq})
 }
 
-// Held returns all that the machine holds for a scheduler: what was accepted, then what is queued, each in order of arrival.
+// Held returns all tasks that the machine holds for a scheduler: those accepted, in order of acceptance, then those queued, in order of arrival.
 func (m *Machine) Held(now float64, scheduler string) (held []HeldTask) {
 	m.Advance(now)
 	for _, tasks := range [][]*task{m.accepted, m.queue} {
--- a/internal/standin/progress.go
+++ b/internal/standin/progress.go
@@ -7,20 +7,20 @@
 	"ravenpond/internal/proto/node"
 )
 
-// Intervals of a machine in ms.
+// Intervals in ms.
 const (
-	evictionInterval    = 150  // between two evictions of a drain
-	maintenanceInterval = 1000 // between two notes of use
+	evictionInterval    = 150  // between two evictions during a drain
+	maintenanceInterval = 1000 // between two calls of maintain, which reports use
 )
 
 // Random factors of a task.
 const (
 	minRuntimeFactor, runtimeFactorRange = 0.25, 1.5
 	minUseFactor, useFactorRange         = 0.8, 0.4
-	memoryUseFactor                      = 1.3 // tasks use more of their memory than of their cores
+	memoryUseFactor                      = 1.3 // tasks use a larger fraction of their memory than of their cores
 )
 
-// Advance moves the machine's time to now, and has happen what was due until then.
+// Advance moves the machine's time to now and processes the events that were due by then.
 func (m *Machine) Advance(now float64) {
 	for {
 		at, t := m.nextCompletion()
@@ -36,7 +36,7 @@
 	}
 	if m.evicting && len(m.accepted) > 0 && now >= m.nextEviction {
 		m.nextEviction = now + evictionInterval
-		m.evict(m.accepted[0], reasonSentAway)
+		m.evict(m.accepted[0], reasonDrained)
 	}
 	if now-m.lastMaintenance >= maintenanceInterval {
 		m.lastMaintenance = now
@@ -44,7 +44,7 @@
 	}
 }
 
-// NextEvent is when Advance has something to do, in ms.
+// NextEvent returns the time in ms at which Advance has something to do.
 func (m *Machine) NextEvent() float64 {
 	at, t := m.nextCompletion()
 	if t == nil || m.Hung {
@@ -57,7 +57,8 @@
 	return at
 }
 
-// nextCompletion returns the task whose stage ends first, and when: the inspection of the first in the queue, a start, or an end.
+// nextCompletion returns the task whose stage ends first and the time at which it ends: the inspection of the first in the queue, a start, or a
+// run.
 func (m *Machine) nextCompletion() (float64, *task) {
 	at, next := math.Inf(1), (*task)(nil)
 	if len(m.queue) > 0 {
@@ -73,7 +74,7 @@
 	return at, next
 }
 
-// complete ends a task's stage.
+// complete ends the current stage of a task.
 func (m *Machine) complete(t *task) {
 	switch t.stage {
 	case queued:
@@ -95,7 +96,7 @@
 
 func (m *Machine) completeStart(t *task) {
 	if m.now > t.deadline {
-		m.conclude(t, node.OutcomeRefused, reasonNotHere)
+		m.conclude(t, node.OutcomeRefused, reasonNotAccepting)
 		return
 	}
 	if m.FailingJob == t.Job && m.rng.Float64() < m.FailingFraction {
@@ -110,7 +111,7 @@
 	m.beginStarts()
 }
 
-// failStart has an attempt of the failing job class fail after it had its effect.
+// failStart makes an attempt of the failing job class fail after it had its effect.
 func (m *Machine) failStart(t *task) {
 	m.events.OnRun(t.ID)
 	if m.FailSilently {
@@ -122,11 +123,11 @@
 	m.beginStarts()
 }
 
-// inspect accepts a placement request or rejects it.
+// inspect accepts or rejects a placement request, and may preempt tasks of lower priority for it.
 func (m *Machine) inspect(t *task) {
 	profile := m.JobProfiles[t.Job]
 	if m.now > t.deadline || profile.Deduplicated && m.isDuplicate(t) {
-		m.conclude(t, node.OutcomeRefused, reasonNotHere)
+		m.conclude(t, node.OutcomeRefused, reasonNotAccepting)
 		return
 	}
 	for m.Preempts && m.shortage(t) != reasonNone {
@@ -151,8 +152,8 @@
 	m.beginStarts()
 }
 
-// isDuplicate reports whether the group holds another attempt of the same key. One on this machine that does not run yet gives way: its
-// scheduler has given it up.
+// isDuplicate reports whether the group holds another attempt with the same idempotency key. An attempt on this machine that does not run yet is
+// refused in favor of the new one, as its scheduler has abandoned it.
 func (m *Machine) isDuplicate(t *task) bool {
 	holder := m.group.holders[t.Token]
 	if holder == nil || holder.ID == t.ID {
@@ -165,7 +166,7 @@
 	return true
 }
 
-// shortage returns why the machine has no capacity for a task, reasonNone if it has.
+// shortage returns the reason why the machine lacks capacity for a task, or reasonNone if it has enough.
 func (m *Machine) shortage(t *task) int {
 	switch {
 	case m.reserved[0]+t.Cores > m.Cores*m.CoresLimit:
@@ -176,7 +177,7 @@
 	return reasonNone
 }
 
-// beginStarts begins starts while there are slots for them.
+// beginStarts begins the start of accepted tasks while fewer than ConcurrentStarts are starting.
 func (m *Machine) beginStarts() {
 	startCount := 0
 	for _, t := range m.accepted {
@@ -192,7 +193,7 @@
 	}
 }
 
-// startWork is how long a start takes at full pace, in ms.
+// startWork returns the time in ms that a start takes at full pace.
 func (m *Machine) startWork(t *task) float64 {
 	work := m.JobProfiles[t.Job].StartWork
 	if !m.hasProgram(t) {
@@ -210,12 +211,12 @@
 	})
 }
 
-// EvictPrograms drops a random fraction of the cached programs.
+// EvictPrograms removes a random fraction of the cached programs.
 func (m *Machine) EvictPrograms(fraction float64) {
 	m.programs = slices.DeleteFunc(m.programs, func(uint64) bool { return m.rng.Float64() < fraction })
 }
 
-// inUse is what tasks and other programs use.
+// inUse returns the cores and memory that tasks and other programs use.
 func (m *Machine) inUse() (cores, memory float64) {
 	cores, memory = m.ForeignUse*m.Cores, m.ForeignUse*m.Memory
 	for _, t := range m.accepted {
@@ -225,12 +226,12 @@
 	return cores, memory
 }
 
-// evict ends an accepted task: one that does not run yet is handed back.
+// evict ends an accepted task. One that does not run yet is refused.
 func (m *Machine) evict(t *task, reason int) {
 	if t.stage == running {
 		m.conclude(t, node.OutcomeLost, reason)
 	} else {
-		m.conclude(t, node.OutcomeRefused, reasonNotHere)
+		m.conclude(t, node.OutcomeRefused, reasonNotAccepting)
 	}
 }
 
--- a/internal/standin/task.go
+++ b/internal/standin/task.go
@@ -2,47 +2,48 @@
 
 import "strings"
 
-// JobProfile is how tasks of a job class behave on a machine. Times are ms.
+// JobProfile describes how tasks of a job class behave on a machine. Times are in ms.
 type JobProfile struct {
-	StartWork    float64 // work to start one where its program is cached
+	StartWork    float64 // time to start a task at full pace if its program is cached
 	MeanRuntime  float64
-	MeanUse      float64 // mean fraction of its reservation that one uses
-	Priority     int     // of two, the higher may displace the lower
-	Deduplicated bool    // its idempotency keys are recognized by the machine's group
+	MeanUse      float64 // mean fraction of its reservation that a task uses
+	Priority     int     // a task may preempt one with a lower value
+	Deduplicated bool    // the machine's group recognizes repeated idempotency keys of the class
 }
 
-// Group recognizes repeated idempotency keys among its machines. One goroutine at a time may use the machines of a group.
+// Group is a set of machines that recognize repeated idempotency keys of one another. One goroutine at a time may use the machines of a group.
 type Group struct{ holders map[uint64]*task }
 
-// NewGroup returns a group that holds no key.
+// NewGroup returns a group without keys.
 func NewGroup() *Group { return &Group{map[uint64]*task{}} }
 
-// AttemptID identifies an attempt: tickets are unique to a scheduler connection's name.
+// AttemptID identifies an attempt. Tickets are unique only to the name under which a scheduler connects.
 type AttemptID struct {
 	Scheduler string
 	Ticket    uint64
 	Attempt   uint8 // number of the attempt, from 0
 }
 
-// Placement is a placement request as a machine takes it.
+// Placement is a placement request to a machine.
 type Placement struct {
 	ID             AttemptID
-	Epoch          uint32  // of the allocation's owner; a lower one than was seen is rejected
-	Timeout        float64 // ms from now in which the task has to start
+	Epoch          uint32  // epoch of the allocation's owner; a request with a lower epoch than one seen before is rejected
+	Timeout        float64 // ms from now within which the task has to start
 	Job, Tenant    int
 	Service, Token uint64
 	Cores, Memory  float64 // reserved, memory in GiB
 }
 
-// HeldTask is what a machine holds for a scheduler.
+// HeldTask is a task that a machine holds for a scheduler.
 type HeldTask struct {
 	ID             AttemptID
-	Running        bool // else it is queued or starts
+	Running        bool // false if it is queued or starting
 	Job, Tenant    int
 	Service, Token uint64
 	Cores, Memory  float64
 }
 
+// stage is the progress of a task on a machine.
 type stage uint8
 
 const (
@@ -60,11 +61,11 @@
 	probeSeq   uint64
 	use        [2]float64 // cores and memory
 	receivedAt float64
-	deadline   float64 // of the start, then the end of its run
-	readyAt    float64 // when its start is done, 0: it waits for a start slot
+	deadline   float64 // latest time of its start; once it runs, the end of its run
+	readyAt    float64 // when its start is complete, 0 while it waits to start
 }
 
-// epochKey identifies an allocation at a scheduler process, whichever of its shards acts: shards are named scheduler.shard.
+// epochKey identifies an allocation of a scheduler process, whichever of its shards sends the attempt: shards are named scheduler.shard.
 type epochKey struct {
 	scheduler string
 	token     uint64
