--- a/internal/env/conn.go
+++ b/internal/env/conn.go
@@ -34,7 +34,7 @@
 	writerRunning bool
 	queue         []byte // bytes that are not passed to the network yet
 	sent          uint64 // total of bytes that were queued
-	handedOver    uint64 // bytes that the network accepted
+	written       uint64 // bytes that the network accepted
 	inFlight      int    // bytes of the write in progress, of which the network may have accepted some
 	closing       bool   // whether the connection is being closed; the fields below are set then
 	graceful      bool
@@ -98,7 +98,7 @@
 func (c *realConn) HandedOver() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.handedOver + uint64(c.inFlight)
+	return c.written + uint64(c.inFlight)
 }
 
 // PeerClosed implements Conn. The kernel reports the peer's close even if there is unread data. Without write-through the kernel is not asked.
--- a/internal/env/conn_test.go
+++ b/internal/env/conn_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// dialedPair returns both ends of a write-through connection on loopback: the accepted one, started with handler, and the one that dialed.
-func dialedPair(t *testing.T, r *Real, handler ConnHandler, stallTimeoutMs float64) (Conn, *net.TCPConn) {
+// connectedPair returns both ends of a write-through connection on loopback: the accepted one, started with handler, and the one that dialed.
+func connectedPair(t *testing.T, r *Real, handler ConnHandler, stallTimeoutMs float64) (Conn, *net.TCPConn) {
 	t.Helper()
 	r.WriteThrough = true
 	accepted := make(chan Conn, 1)
@@ -62,7 +62,7 @@
 			r := NewReal()
 			defer r.Close(5 * time.Second)
 			h := newBlockedHandler()
-			c, peer := dialedPair(t, r, h, 1000)
+			c, peer := connectedPair(t, r, h, 1000)
 			_, _ = peer.Write([]byte("first"))
 			<-h.data // the reader goroutine is blocked from here on
 			_, _ = peer.Write([]byte("unread"))
@@ -82,13 +82,13 @@
 	}
 }
 
-// TestGracefulClose closes a connection gracefully while it has unread data: the peer must read all that was sent and then EOF, without a reset.
-// It also does so with a peer that keeps sending after the close. Once the peer closes, the connection must be removed.
+// TestGracefulClose closes a connection gracefully while it has unread data, which must not reset it: the peer must read all that was sent and
+// then EOF, even if it sends after the close or reads late. Once the peer closes, the connection must be removed.
 func TestGracefulClose(t *testing.T) {
 	for _, tc := range []struct{ sendsAfterClose, readsLate bool }{{false, false}, {true, false}, {false, true}, {true, true}} {
 		r := NewReal()
 		h := newBlockedHandler()
-		c, peer := dialedPair(t, r, h, 1000)
+		c, peer := connectedPair(t, r, h, 1000)
 		_, _ = peer.Write([]byte("first"))
 		<-h.data
 		_, _ = peer.Write([]byte("unread"))
@@ -128,7 +128,7 @@
 	var all []*net.TCPConn
 	for range 5 {
 		handler := newRecorder()
-		c, peer := dialedPair(t, r, handler, 1000)
+		c, peer := connectedPair(t, r, handler, 1000)
 		c.Close(true, nil)
 		if err := <-handler.closed; err == nil {
 			t.Error("OnClose got no error, want the cause")
--- a/internal/env/conn_write.go
+++ b/internal/env/conn_write.go
@@ -135,7 +135,7 @@
 		b = b[n:]
 		slow := n > 0 && errors.Is(err, os.ErrDeadlineExceeded)
 		c.mu.Lock()
-		c.handedOver += uint64(n)
+		c.written += uint64(n)
 		c.inFlight = 0
 		slow = slow && !c.closing
 		if slow {
@@ -162,7 +162,7 @@
 			c.traffic.addSent(n)
 			again = errors.Is(err, syscall.EINTR)
 			if n > 0 {
-				c.handedOver += uint64(n)
+				c.written += uint64(n)
 				c.queue = c.queue[:copy(c.queue, c.queue[n:])]
 			}
 			return true
--- a/internal/env/handshake.go
+++ b/internal/env/handshake.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Limits for TLS handshakes. A peer that begins one and does not complete it occupies one of maxHandshakes places, for handshakeTimeout at most.
+// Limits for TLS handshakes. A peer that begins one and does not complete it holds one of maxHandshakes places for handshakeTimeout at most.
 const (
 	maxHandshakes    = 64
 	handshakeTimeout = 3 * time.Second
