--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -88,6 +88,7 @@
 	records []Record // guarded by mu
 }
 
+// Add appends a record to the trace, or passes it to OnRecord if that is set.
 func (t *Trace) Add(r Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -30,6 +30,7 @@
 // Result is how a request ended: the answer, or the reason why there was none.
 type Result string
 
+// Results: the answers of a scheduler, and those without an answer.
 const (
 	Served       Result = audit.AnswerServed
 	Declined     Result = audit.AnswerDeclined
