--- a/internal/state/bolt/bolt.go
+++ b/internal/state/bolt/bolt.go
@@ -59,7 +59,7 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	verify := !verified.contains(path, info)
+	verify := !verifiedFiles.contains(path, info)
 	if verify {
 		if err := checkFile(path); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
@@ -70,17 +70,17 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if verify {
-		if err := schema.prepare(db); err != nil {
+		if err := schema.verifyOrCreate(db); err != nil {
 			return nil, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
 		}
-		verified.add(path, info)
+		verifiedFiles.add(path, info)
 	}
 	return db, nil
 }
 
 // openFile opens a file whose pages have been verified.
 func openFile(path string) (db *bbolt.DB, err error) {
-	err = recoverFaults(func() error {
+	err = recoverPanics(func() error {
 		db, err = bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockTimeout})
 		switch {
 		case errors.Is(err, bolterrors.ErrTimeout):
@@ -146,9 +146,9 @@
 	}
 }
 
-// recoverFaults calls f, which reads a file that may be damaged after all, and turns its panics into ErrDamaged: the library panics on
+// recoverPanics calls f, which reads a file that may be damaged after all, and turns its panics into ErrDamaged: the library panics on
 // malformed pages, and reading a page beyond the end of the mapped file faults.
-func recoverFaults(f func() error) (err error) {
+func recoverPanics(f func() error) (err error) {
 	before := debug.SetPanicOnFault(true)
 	defer func() {
 		debug.SetPanicOnFault(before)
@@ -159,10 +159,10 @@
 	return f()
 }
 
-// prepare verifies an open store, and creates its buckets if it is new.
-func (s *Schema) prepare(db *bbolt.DB) error {
+// verifyOrCreate verifies an open store, and creates its buckets if it is new.
+func (s *Schema) verifyOrCreate(db *bbolt.DB) error {
 	isNew := false
-	err := recoverFaults(func() error {
+	err := recoverPanics(func() error {
 		return db.View(func(tx *bbolt.Tx) (err error) {
 			isNew, err = s.verify(tx)
 			return err
@@ -176,8 +176,8 @@
 
 // verify reads the whole store. A store without a format is new.
 func (s *Schema) verify(tx *bbolt.Tx) (isNew bool, err error) {
-	for fault := range tx.Check() {
-		return false, fmt.Errorf("%w: %w", ErrDamaged, fault)
+	for checkErr := range tx.Check() {
+		return false, fmt.Errorf("%w: %w", ErrDamaged, checkErr)
 	}
 	meta := tx.Bucket(metaBucket)
 	if meta == nil {
--- a/internal/state/bolt/bolt_test.go
+++ b/internal/state/bolt/bolt_test.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/bbolt"
 )
 
-var schema = Schema{Format: 2, Buckets: [][]byte{[]byte("things")}, Check: func(tx *bbolt.Tx) error {
+var testSchema = Schema{Format: 2, Buckets: [][]byte{[]byte("things")}, Check: func(tx *bbolt.Tx) error {
 	return tx.Bucket([]byte("things")).ForEach(func(k, v []byte) error {
 		if len(v) == 0 || v[0] != 'v' {
 			return fmt.Errorf("%q: bad record", k)
@@ -20,11 +20,11 @@
 	})
 }}
 
-// stored creates a store with records and returns its bytes.
-func stored(tb testing.TB, format byte) []byte {
+// newStoreContent creates a store with records and returns its bytes.
+func newStoreContent(tb testing.TB, format byte) []byte {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), "a.db")
-	s := schema
+	s := testSchema
 	s.Format = format
 	db, err := Open(path, s)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return b
 }
 
-// damaged returns a copy of a store's bytes with damaged records and valid pages.
-func damaged(store []byte) []byte {
+// withDamagedRecords returns a copy of a store's bytes with damaged records and valid pages.
+func withDamagedRecords(store []byte) []byte {
 	b := append([]byte(nil), store...)
 	for i := range len(b) - 1 {
 		if b[i] == 'v' && b[i+1] == '0' {
@@ -55,32 +55,32 @@
 }
 
 func TestOpen(t *testing.T) {
-	good := stored(t, 2)
+	good := newStoreContent(t, 2)
 	for _, c := range []struct {
 		name string
 		file func() []byte
 		want error
 	}{
 		{"undamaged", func() []byte { return good }, nil},
-		{"of an earlier version", func() []byte { return stored(t, 1) }, nil},
-		{"of a later version", func() []byte { return stored(t, 3) }, ErrNewer},
+		{"of an earlier version", func() []byte { return newStoreContent(t, 1) }, nil},
+		{"of a later version", func() []byte { return newStoreContent(t, 3) }, ErrNewer},
 		{"empty", func() []byte { return nil }, nil},
 		{"another file", func() []byte { return make([]byte, 8192) }, ErrDamaged},
 		{"both headers torn", func() []byte { b := append([]byte(nil), good...); b[30] ^= 1; b[4096+30] ^= 1; return b }, ErrDamaged},
 		{"cut", func() []byte { return good[:10000] }, ErrDamaged},
-		{"a record damaged", func() []byte { return damaged(good) }, ErrDamaged},
+		{"a record damaged", func() []byte { return withDamagedRecords(good) }, ErrDamaged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "a.db")
 			noError(t, os.WriteFile(path, c.file(), 0o600))
-			db, err := Open(path, schema)
+			db, err := Open(path, testSchema)
 			if !errors.Is(err, c.want) {
 				t.Fatalf("%v, want %v", err, c.want)
 			}
 			if err != nil {
 				return
 			}
-			if _, err := Open(path, schema); !errors.Is(err, ErrLocked) {
+			if _, err := Open(path, testSchema); !errors.Is(err, ErrLocked) {
 				t.Errorf("opened twice: %v", err)
 			}
 			if err := db.Close(); err != nil {
@@ -92,7 +92,7 @@
 
 // TestVerifiedOnce checks that a store is verified again if it was written to, or so lately that its modification time does not tell.
 func TestVerifiedOnce(t *testing.T) {
-	good := stored(t, 2)
+	good := newStoreContent(t, 2)
 	now := time.Now()
 	for _, c := range []struct {
 		name          string
@@ -114,12 +114,12 @@
 				noError(t, errors.Join(os.WriteFile(path, b, 0o600), os.Chtimes(path, at, at)))
 			}
 			put(good, c.was)
-			db, err := Open(path, schema)
+			db, err := Open(path, testSchema)
 			if err != nil {
 				t.Fatal(err)
 			}
 			noError(t, db.Close())
-			bad := damaged(good)
+			bad := withDamagedRecords(good)
 			if c.longer {
 				bad = append(bad, make([]byte, 4096)...)
 			}
@@ -127,7 +127,7 @@
 				noError(t, os.Rename(path, path+".old"))
 			}
 			put(bad, c.is)
-			if db, err = Open(path, schema); errors.Is(err, ErrDamaged) != c.verifiedAgain {
+			if db, err = Open(path, testSchema); errors.Is(err, ErrDamaged) != c.verifiedAgain {
 				t.Error(err)
 			}
 			if err == nil {
@@ -139,7 +139,7 @@
 
 // FuzzOpen overwrites a part of a store: it is refused, or opens and can be read and written.
 func FuzzOpen(f *testing.F) {
-	good := stored(f, 2)
+	good := newStoreContent(f, 2)
 	f.Add(uint16(0), []byte{1, 2, 3})
 	f.Add(uint16(4096), []byte{0xff})
 	f.Add(uint16(2*4096+8), []byte{0xff, 0xff, 0xff, 0xff})
@@ -149,7 +149,7 @@
 		copy(file[int(at)%len(file):], b)
 		path := filepath.Join(t.TempDir(), "a.db")
 		noError(t, os.WriteFile(path, file, 0o600))
-		db, err := Open(path, schema)
+		db, err := Open(path, testSchema)
 		if err != nil {
 			if !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) {
 				t.Fatal(err)
--- a/internal/state/bolt/pages.go
+++ b/internal/state/bolt/pages.go
@@ -12,30 +12,30 @@
 // check runs on a goroutine whose panics nobody can recover: a length that points beyond the mapped file ends the process there, and pages
 // that refer to each other in a circle overflow its stack. So the library gets no page that was not verified here.
 const (
-	magic   = 0xED0CDAED
-	version = 2
+	bboltMagic   = 0xED0CDAED
+	bboltVersion = 2
 
 	headerSize  = 16 // of a page, and of an element of one
 	metaSize    = 64
 	minPageSize = 512
 	maxPageSize = 1 << 24
 
-	isBranch   = 0x01
-	isLeaf     = 0x02
-	isFreelist = 0x10
-	isBucket   = 0x01 // flag of a leaf's element
+	branchPageFlag    = 0x01
+	leafPageFlag      = 0x02
+	freelistPageFlag  = 0x10
+	bucketElementFlag = 0x01 // flag of a leaf's element
 
-	firstPage      = 2 // after the two meta pages
-	freelistAbsent = ^uint64(0)
-	countOverflow  = 0xFFFF // the count is in the first number of the list
-	maxDepth       = 64     // of buckets within buckets, and of levels of a tree
+	firstDataPage = 2 // after the two meta pages
+	noFreelist    = ^uint64(0)
+	countOverflow = 0xFFFF // the count is in the first number of the list
+	maxDepth      = 64     // of buckets within buckets, and of levels of a tree
 )
 
 var littleEndian = binary.LittleEndian
 
 // metaPage is the content of a valid meta page.
 type metaPage struct {
-	pageSize, root, freelist, highWater, transaction uint64
+	pageSize, root, freelist, highWaterMark, txID uint64
 }
 
 func parseMeta(b []byte) (page metaPage, ok bool) {
@@ -45,15 +45,15 @@
 	m := b[headerSize:]
 	sum := fnv.New64a()
 	_, _ = sum.Write(m[:56]) // never fails
-	if littleEndian.Uint32(m) != magic || littleEndian.Uint32(m[4:]) != version || littleEndian.Uint64(m[56:]) != sum.Sum64() {
+	if littleEndian.Uint32(m) != bboltMagic || littleEndian.Uint32(m[4:]) != bboltVersion || littleEndian.Uint64(m[56:]) != sum.Sum64() {
 		return page, false
 	}
 	return metaPage{
-		pageSize:    uint64(littleEndian.Uint32(m[8:])),
-		root:        littleEndian.Uint64(m[16:]),
-		freelist:    littleEndian.Uint64(m[32:]),
-		highWater:   littleEndian.Uint64(m[40:]),
-		transaction: littleEndian.Uint64(m[48:]),
+		pageSize:      uint64(littleEndian.Uint32(m[8:])),
+		root:          littleEndian.Uint64(m[16:]),
+		freelist:      littleEndian.Uint64(m[32:]),
+		highWaterMark: littleEndian.Uint64(m[40:]),
+		txID:          littleEndian.Uint64(m[48:]),
 	}, true
 }
 
@@ -66,7 +66,7 @@
 		}
 		m, ok := parseMeta(file[offset:])
 		isPageSize := m.pageSize >= minPageSize && m.pageSize <= maxPageSize && m.pageSize&(m.pageSize-1) == 0
-		if ok && isPageSize && (!found || m.transaction > newest.transaction) {
+		if ok && isPageSize && (!found || m.txID > newest.txID) {
 			newest, found = m, true
 		}
 		return ok
@@ -87,10 +87,10 @@
 	switch {
 	case !found:
 		return errors.New("neither of the two heads is valid")
-	case newest.highWater < firstPage || newest.highWater > uint64(len(file))/newest.pageSize:
-		return fmt.Errorf("%d pages of %d bytes do not lie in %d", newest.highWater, newest.pageSize, len(file))
+	case newest.highWaterMark < firstDataPage || newest.highWaterMark > uint64(len(file))/newest.pageSize:
+		return fmt.Errorf("%d pages of %d bytes do not lie in %d", newest.highWaterMark, newest.pageSize, len(file))
 	}
-	walker := &pageWalker{metaPage: newest, file: file, seen: map[uint64]bool{}}
+	walker := &pageWalker{metaPage: newest, file: file, visited: map[uint64]bool{}}
 	var last []byte
 	if err := walker.checkTree(newest.root, maxDepth, &last); err != nil {
 		return err
@@ -101,32 +101,32 @@
 // pageWalker walks the pages of a file.
 type pageWalker struct {
 	metaPage
-	file []byte
-	seen map[uint64]bool // pages that were reached
+	file    []byte
+	visited map[uint64]bool // pages that were reached
 }
 
-// pages returns the content of a page and of the pages that follow it as its overflow. Each page may be reached once.
-func (w *pageWalker) pages(id uint64) ([]byte, error) {
-	if id < firstPage || id >= w.highWater {
-		return nil, fmt.Errorf("page %d of %d", id, w.highWater)
+// readPages returns the content of a page and of the pages that follow it as its overflow. Each page may be reached once.
+func (w *pageWalker) readPages(id uint64) ([]byte, error) {
+	if id < firstDataPage || id >= w.highWaterMark {
+		return nil, fmt.Errorf("page %d of %d", id, w.highWaterMark)
 	}
 	page := w.file[id*w.pageSize:]
 	overflow := uint64(littleEndian.Uint32(page[12:]))
-	if littleEndian.Uint64(page) != id || overflow >= w.highWater-id {
+	if littleEndian.Uint64(page) != id || overflow >= w.highWaterMark-id {
 		return nil, fmt.Errorf("page %d says that it is %d with %d more", id, littleEndian.Uint64(page), overflow)
 	}
 	for i := id; i <= id+overflow; i++ {
-		if w.seen[i] {
+		if w.visited[i] {
 			return nil, fmt.Errorf("page %d is reached twice", i)
 		}
-		w.seen[i] = true
+		w.visited[i] = true
 	}
 	return page[:(1+overflow)*w.pageSize], nil
 }
 
 // checkTree verifies the pages of a bucket from a page on. last is the bucket's greatest key so far.
 func (w *pageWalker) checkTree(id uint64, depth int, last *[]byte) error {
-	content, err := w.pages(id)
+	content, err := w.readPages(id)
 	if err != nil {
 		return err
 	}
@@ -156,12 +156,12 @@
 	if depth == 0 {
 		return fmt.Errorf("%s: too deep", p.name)
 	}
-	if flags != isBranch && flags != isLeaf || flags == isBranch && count == 0 || headerSize*(1+count) > len(p.content) {
+	if flags != branchPageFlag && flags != leafPageFlag || flags == branchPageFlag && count == 0 || headerSize*(1+count) > len(p.content) {
 		return fmt.Errorf("%s: flags %x, %d elements", p.name, flags, count)
 	}
 	for i := range count {
 		var err error
-		if flags == isBranch {
+		if flags == branchPageFlag {
 			err = w.checkBranch(p, i, depth, last)
 		} else {
 			err = w.checkLeaf(p, i, depth, last)
@@ -202,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	if littleEndian.Uint32(e)&isBucket == 0 {
+	if littleEndian.Uint32(e)&bucketElementFlag == 0 {
 		return nil
 	}
 	return w.checkBucket(value, p.name, depth-1)
@@ -221,7 +221,7 @@
 		return fmt.Errorf("%s: a bucket of %d bytes", name, len(value))
 	}
 	content := value[headerSize:]
-	if littleEndian.Uint16(content[8:]) != isLeaf {
+	if littleEndian.Uint16(content[8:]) != leafPageFlag {
 		return fmt.Errorf("%s: a small bucket that is no leaf", name)
 	}
 	return w.checkPage(page{content, name}, depth, &last)
@@ -229,10 +229,10 @@
 
 // checkFreelist verifies the list of free pages.
 func (w *pageWalker) checkFreelist() error {
-	if w.freelist == freelistAbsent {
+	if w.freelist == noFreelist {
 		return nil
 	}
-	content, err := w.pages(w.freelist)
+	content, err := w.readPages(w.freelist)
 	if err != nil {
 		return fmt.Errorf("list of free pages: %w", err)
 	}
@@ -240,15 +240,15 @@
 	if count == countOverflow {
 		count, ids = littleEndian.Uint64(ids), ids[8:]
 	}
-	if littleEndian.Uint16(content[8:]) != isFreelist || count > uint64(len(ids))/8 {
+	if littleEndian.Uint16(content[8:]) != freelistPageFlag || count > uint64(len(ids))/8 {
 		return fmt.Errorf("list of free pages: flags %x, %d pages", littleEndian.Uint16(content[8:]), count)
 	}
 	for i := range count {
 		id := littleEndian.Uint64(ids[8*i:])
-		if id < firstPage || id >= w.highWater || w.seen[id] {
+		if id < firstDataPage || id >= w.highWaterMark || w.visited[id] {
 			return fmt.Errorf("page %d is free and in use", id)
 		}
-		w.seen[id] = true
+		w.visited[id] = true
 	}
 	return nil
 }
--- a/internal/state/bolt/verified.go
+++ b/internal/state/bolt/verified.go
@@ -9,9 +9,9 @@
 // minFileAge is the age at which a file's modification time tells it from what may be written next: the file system's clock ticks in steps.
 const minFileAge = time.Second
 
-// verified are the files that this process has verified. Stores are opened twice a second for a short look, so a file that has not changed
+// verifiedFiles are the files that this process has verified. Stores are opened twice a second for a short look, so a file that has not changed
 // since is not verified again.
-var verified fileSet
+var verifiedFiles fileSet
 
 // fileSet remembers files as they were. It is safe for concurrent use.
 type fileSet struct {
--- a/internal/state/maintenancestore/format_test.go
+++ b/internal/state/maintenancestore/format_test.go
@@ -13,8 +13,8 @@
 	"ravenpond/internal/decide/calendar"
 )
 
-// format1 opens a copy of a store that commit 9c27d6c wrote.
-func format1(t *testing.T) *Store {
+// openFormat1Store opens a copy of a store that commit 9c27d6c wrote.
+func openFormat1Store(t *testing.T) *Store {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/format1")); err != nil {
@@ -24,10 +24,10 @@
 }
 
 // expectSame compares what two values hold, with times in their zones.
-func expectSame(t *testing.T, what string, got, want any) {
+func expectSame(t *testing.T, name string, got, want any) {
 	t.Helper()
 	if g, w := fmt.Sprintf("%+v", got), fmt.Sprintf("%+v", want); g != w {
-		t.Errorf("%s: %s, want %s", what, g, w)
+		t.Errorf("%s: %s, want %s", name, g, w)
 	}
 }
 
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := format1(t).Calendar()
+	got, err := openFormat1Store(t).Calendar()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 }
 
 func TestFormat1Drains(t *testing.T) {
-	s := format1(t)
+	s := openFormat1Store(t)
 	var want []Drain
 	for i, stage := range []Stage{Opened, Announced, Emptied, Closed} {
 		at := start.AddDate(0, 0, i)
@@ -109,7 +109,7 @@
 	}
 	wantPublished := wantMeasured.Table()
 	wantPublished[5] = [2]float64{0.25, 0.125}
-	measured, published, err := format1(t).Loads()
+	measured, published, err := openFormat1Store(t).Loads()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/maintenancestore/store_test.go
+++ b/internal/state/maintenancestore/store_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Date(2026, 3, 2, 10, 0, 0, 0, time.UTC)
 
-func window(id string) calendar.Window {
+func newWindow(id string) calendar.Window {
 	return calendar.Window{ID: id, Target: "7", Start: start, Duration: time.Hour, Rule: "FREQ=DAILY"}
 }
 
@@ -63,12 +63,12 @@
 
 func TestCalendar(t *testing.T) {
 	s := open(t, t.TempDir())
-	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("a"), window("b")}}, start); err != nil {
+	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{newWindow("a"), newWindow("b")}}, start); err != nil {
 		t.Fatal(err)
 	}
-	bad := window("c")
+	bad := newWindow("c")
 	bad.Duration = 0
-	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("d"), bad}}, start); err == nil {
+	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{newWindow("d"), bad}}, start); err == nil {
 		t.Error("a malformed window is accepted")
 	}
 	noError(t, s.CancelWindow("a", time.Time{}, start))
@@ -98,30 +98,30 @@
 		}, ErrLocked},
 		{"not a store", func(t *testing.T, path string) {
 			t.Helper()
-			write(t, path, []byte(strings.Repeat("no store ", 9000)))
+			writeFile(t, path, []byte(strings.Repeat("no store ", 9000)))
 		}, ErrDamaged},
 		{"cut off", func(t *testing.T, path string) {
 			t.Helper()
 			text, _ := os.ReadFile(path)
-			write(t, path, text[:5000])
+			writeFile(t, path, text[:5000])
 		}, ErrDamaged},
 		{"later version", func(t *testing.T, path string) {
 			t.Helper()
-			put(t, path, []byte("meta"), []byte("format"), []byte{Format + 1})
+			putRecord(t, path, []byte("meta"), []byte("format"), []byte{Format + 1})
 		}, ErrNewer},
 		{"a malformed drain", func(t *testing.T, path string) {
 			t.Helper()
-			put(t, path, drainBucket, []byte("x"), []byte(`{"Stage":9}`))
+			putRecord(t, path, drainBucket, []byte("x"), []byte(`{"Stage":9}`))
 		}, ErrDamaged},
 		{"a malformed event", func(t *testing.T, path string) {
 			t.Helper()
-			put(t, path, eventBucket, []byte("x"), []byte("y"))
+			putRecord(t, path, eventBucket, []byte("x"), []byte("y"))
 		}, ErrDamaged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			s := open(t, dir)
-			if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("a")}}, start); err != nil {
+			if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{newWindow("a")}}, start); err != nil {
 				t.Fatal(err)
 			}
 			noError(t, s.Close())
@@ -136,13 +136,13 @@
 	}
 }
 
-func write(t *testing.T, path string, text []byte) {
+func writeFile(t *testing.T, path string, text []byte) {
 	t.Helper()
 	noError(t, os.WriteFile(path, text, 0o600))
 }
 
-// put writes a record past the store.
-func put(t *testing.T, path string, bucket, key, value []byte) {
+// putRecord writes a record past the store.
+func putRecord(t *testing.T, path string, bucket, key, value []byte) {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
@@ -154,7 +154,7 @@
 
 func TestCopyTo(t *testing.T) {
 	s := open(t, t.TempDir())
-	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{window("a")}}, start); err != nil {
+	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{newWindow("a")}}, start); err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
@@ -183,7 +183,7 @@
 		t.Errorf("still published: %v", err)
 	}
 	noError(t, s.Close())
-	put(t, filepath.Join(dir, "drains.db"), loadBucket, measuredKey, []byte("short"))
+	putRecord(t, filepath.Join(dir, "drains.db"), loadBucket, measuredKey, []byte("short"))
 	if _, err := Open(dir); !errors.Is(err, ErrDamaged) {
 		t.Errorf("%v, want damaged", err)
 	}
--- a/internal/state/raftstore/format_test.go
+++ b/internal/state/raftstore/format_test.go
@@ -11,14 +11,14 @@
 	"ravenpond/internal/decide/consensus"
 )
 
-// discard executes nothing that a replica decides.
-type discard struct{}
+// discardEffects executes nothing that a replica decides.
+type discardEffects struct{}
 
-func (discard) Send(string, []byte) {}
+func (discardEffects) Send(string, []byte) {}
 
-func (discard) Save([]byte, uint64, [][]byte, []byte, uint64) error { return nil }
+func (discardEffects) Save([]byte, uint64, [][]byte, []byte, uint64) error { return nil }
 
-func (discard) Log(string) {}
+func (discardEffects) Log(string) {}
 
 // TestFormat1 opens a voter's store that commit 9c27d6c wrote, and starts a replica on it.
 func TestFormat1(t *testing.T) {
@@ -51,7 +51,7 @@
 		t.Errorf("%d entries, want 20", len(saved.Entries))
 	}
 	config := consensus.Config{Name: "s1", Zone: "zs1", Region: "eu", Incarnation: 13, Voters: []string{"s1", "s2", "s3"}}
-	replica, err := consensus.New(discard{}, 2e6, config, saved)
+	replica, err := consensus.New(discardEffects{}, 2e6, config, saved)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/raftstore/raftstore.go
+++ b/internal/state/raftstore/raftstore.go
@@ -80,7 +80,7 @@
 
 // Save writes all of it or nothing, and returns when it is on the disk. The entries replace all that are stored from index from on (0: none);
 // those up to index held, which the snapshot covers, are deleted. A nil hard state or snapshot leaves the stored one unchanged.
-func (s *Store) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error {
+func (s *Store) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, snapshotIndex uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if err := putUnlessNil(tx, hardKey, hard); err != nil {
 			return err
@@ -93,7 +93,7 @@
 				return err
 			}
 		}
-		return deleteEntries(tx.Bucket(logBucket), held)
+		return deleteEntries(tx.Bucket(logBucket), snapshotIndex)
 	})
 }
 
--- a/internal/state/raftstore/raftstore_test.go
+++ b/internal/state/raftstore/raftstore_test.go
@@ -21,15 +21,15 @@
 	log            []string // entry first+i
 }
 
-// save is the arguments of one call of Save.
-type save struct {
-	hard, snapshot []byte
-	from, held     uint64
-	entries        [][]byte
+// saveArguments is the arguments of one call of Save.
+type saveArguments struct {
+	hard, snapshot      []byte
+	from, snapshotIndex uint64
+	entries             [][]byte
 }
 
-// draw draws the n-th save and applies it to the model.
-func (m *model) draw(t *rapid.T, n int) (w save) {
+// drawSave draws the n-th save and applies it to the model.
+func (m *model) drawSave(t *rapid.T, n int) (w saveArguments) {
 	if rapid.Bool().Draw(t, "entries") {
 		w.from = m.first + rapid.Uint64Range(0, uint64(len(m.log))).Draw(t, "from")
 		m.log = m.log[:w.from-m.first]
@@ -46,15 +46,15 @@
 	if rapid.Bool().Draw(t, "snapshot") {
 		m.snapshot = fmt.Sprint("snapshot ", n)
 		w.snapshot = []byte(m.snapshot)
-		w.held = m.first - 1 + rapid.Uint64Range(0, uint64(len(m.log))).Draw(t, "held")
-		m.log = slices.Clone(m.log[w.held+1-m.first:])
-		m.first = w.held + 1
+		w.snapshotIndex = m.first - 1 + rapid.Uint64Range(0, uint64(len(m.log))).Draw(t, "held")
+		m.log = slices.Clone(m.log[w.snapshotIndex+1-m.first:])
+		m.first = w.snapshotIndex + 1
 	}
 	return w
 }
 
-// expect compares a store with the model.
-func (m *model) expect(t *rapid.T, s *Store) {
+// expectStored compares a store with the model.
+func (m *model) expectStored(t *rapid.T, s *Store) {
 	got, err := s.Load()
 	var texts []string
 	for _, e := range got.Entries {
@@ -76,14 +76,14 @@
 		defer func() { noError(t, s.Close()) }()
 		m := &model{first: 2}
 		for n := range rapid.IntRange(1, 12).Draw(t, "saves") {
-			w := m.draw(t, n)
-			noError(t, s.Save(w.hard, w.from, w.entries, w.snapshot, w.held))
+			w := m.drawSave(t, n)
+			noError(t, s.Save(w.hard, w.from, w.entries, w.snapshot, w.snapshotIndex))
 			if rapid.Bool().Draw(t, "again") {
 				noError(t, s.Close())
 				s, err = Open(dir, "lab")
 				noError(t, err)
 			}
-			m.expect(t, s)
+			m.expectStored(t, s)
 		}
 	})
 }
--- a/internal/state/tenants/copy_test.go
+++ b/internal/state/tenants/copy_test.go
@@ -15,7 +15,7 @@
 func TestCopy(t *testing.T) {
 	from, to := t.TempDir(), filepath.Join(t.TempDir(), "new")
 	s := open(t, from)
-	_, _, _ = s.Apply(now, "me", "", add("a"))
+	_, _, _ = s.Apply(now, "me", "", addChange("a"))
 	shown, err := s.IssueToken(now, "me", "a", time.Hour)
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 			t.Error(ok, err)
 		}
 	})
-	_, _, _ = s.Apply(now, "me", "", add("b"))
+	_, _, _ = s.Apply(now, "me", "", addChange("b"))
 	var before uint64
 	in(func(c *Store) { before, _ = c.Fingerprint() })
 	noError(t, s.CopyTo(to))
--- a/internal/state/tenants/format_test.go
+++ b/internal/state/tenants/format_test.go
@@ -17,8 +17,8 @@
 // format1Token is a token of tenant alpha that the store under testdata issued. It is good for 24 hours.
 const format1Token = "0Db1MvxqCXXo.e8N-hyRYU9FOOLmdpYdZv4WZ5aL21o6T"
 
-// format1 opens a copy of a store that commit 9c27d6c wrote.
-func format1(t *testing.T) *Store {
+// openFormat1Store opens a copy of a store that commit 9c27d6c wrote.
+func openFormat1Store(t *testing.T) *Store {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/format1")); err != nil {
@@ -28,7 +28,7 @@
 }
 
 func TestFormat1Tenants(t *testing.T) {
-	s := format1(t)
+	s := openFormat1Store(t)
 	st, err := s.Read()
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 }
 
 func TestFormat1Tokens(t *testing.T) {
-	s := format1(t)
+	s := openFormat1Store(t)
 	st, err := s.Read()
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 
 func TestFormat1Records(t *testing.T) {
 	var got []string
-	err := format1(t).Records(0, func(n uint64, r Record) error {
+	err := openFormat1Store(t).Records(0, func(n uint64, r Record) error {
 		got = append(got, fmt.Sprintln(n, r.Actor, r.Action, r.Tenant))
 		return nil
 	})
@@ -86,7 +86,7 @@
 
 // TestFormat1Requests repeats the requests that the old store has answered: they get the same answers and change nothing.
 func TestFormat1Requests(t *testing.T) {
-	s := format1(t)
+	s := openFormat1Store(t)
 	limits := tenancy.Limits{Limits: fairqueue.Limits{Share: 2, MaxWaiting: 9}}
 	add := tenancy.Change{Kind: tenancy.Add, Name: "alpha", Limits: limits}
 	if tenant, fault, err := s.Apply(now, "operator", "request-1", add); tenant.Name != "alpha" || tenant.Version != 1 || fault != nil || err != nil {
@@ -102,7 +102,7 @@
 
 // TestFormat1JSON writes every record of the old store again: the bytes are the same.
 func TestFormat1JSON(t *testing.T) {
-	s := format1(t)
+	s := openFormat1Store(t)
 	for _, c := range []struct {
 		bucket []byte
 		record func() any
--- a/internal/state/tenants/open_bench_test.go
+++ b/internal/state/tenants/open_bench_test.go
@@ -16,7 +16,7 @@
 	for _, n := range []int{20, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
-			fill(b, dir, n)
+			fillStore(b, dir, n)
 			for b.Loop() {
 				s, err := Open(dir, n)
 				noError(b, err)
@@ -28,8 +28,8 @@
 	}
 }
 
-// fill makes a store of n tenants that was last written a minute ago.
-func fill(b *testing.B, dir string, n int) {
+// fillStore makes a store of n tenants that was last written a minute ago.
+func fillStore(b *testing.B, dir string, n int) {
 	b.Helper()
 	s, err := Open(dir, n)
 	noError(b, err)
--- a/internal/state/tenants/registry.go
+++ b/internal/state/tenants/registry.go
@@ -15,8 +15,8 @@
 const (
 	// responseRetention is how long the response to a request is kept for repetitions of it.
 	responseRetention = 24 * time.Hour
-	// maxExpired is how many responses one change deletes at most.
-	maxExpired = 16
+	// maxExpiredPerChange is how many responses one change deletes at most.
+	maxExpiredPerChange = 16
 )
 
 func readTenants(tx *bbolt.Tx, maxTenants int) (*tenancy.Registry, error) {
@@ -74,13 +74,13 @@
 	At         time.Time            `json:"At"`
 	RequestMAC []byte               `json:"Content"`
 	Tenant     tenancy.Tenant       `json:"Tenant"`
-	Fault      *tenancy.ChangeError `json:"Fault"`
+	Rejected   *tenancy.ChangeError `json:"Fault"`
 }
 
 // Apply carries out a change that an actor requests, and returns the tenant as it is then, or the fault for which the change is refused. A
 // request that was made before, by its ID, changes nothing and gets the same response; with another change it gets ErrRequestReused.
 // Without an ID each request is a new one.
-func (s *Store) Apply(now time.Time, actor, request string, c tenancy.Change) (t tenancy.Tenant, fault *tenancy.ChangeError, err error) {
+func (s *Store) Apply(now time.Time, actor, request string, c tenancy.Change) (t tenancy.Tenant, rejected *tenancy.ChangeError, err error) {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return t, nil, err
@@ -95,27 +95,27 @@
 			if !hmac.Equal(earlier.RequestMAC, requestMAC) {
 				return fmt.Errorf("%.60q: %w", request, ErrRequestReused)
 			}
-			t, fault = earlier.Tenant, earlier.Fault
+			t, rejected = earlier.Tenant, earlier.Rejected
 			return nil
 		}
-		if t, fault, err = s.change(tx, now, actor, c); err != nil {
+		if t, rejected, err = s.applyChange(tx, now, actor, c); err != nil {
 			return err
 		}
-		return saveResponse(tx, request, response{now, requestMAC, t, fault})
+		return saveResponse(tx, request, response{now, requestMAC, t, rejected})
 	})
-	return t, fault, err
+	return t, rejected, err
 }
 
-// change applies a change to the registry, and records it unless it is refused or changes nothing.
-func (s *Store) change(tx *bbolt.Tx, now time.Time, actor string, c tenancy.Change) (tenancy.Tenant, *tenancy.ChangeError, error) {
+// applyChange applies a change to the registry, and records it unless it is refused or changes nothing.
+func (s *Store) applyChange(tx *bbolt.Tx, now time.Time, actor string, c tenancy.Change) (tenancy.Tenant, *tenancy.ChangeError, error) {
 	registry, err := readTenants(tx, s.maxTenants)
 	if err != nil {
 		return tenancy.Tenant{}, nil, err
 	}
 	before, _ := registry.Get(c.Name)
-	t, fault := registry.Apply(milliseconds(now), c)
-	if fault != nil || t == before {
-		return t, fault, nil
+	t, rejected := registry.Apply(milliseconds(now), c)
+	if rejected != nil || t == before {
+		return t, rejected, nil
 	}
 	if err := saveTenants(tx, registry); err != nil {
 		return t, nil, err
@@ -150,7 +150,7 @@
 }
 
 func expireResponses(requests *bbolt.Bucket, now time.Time) error {
-	return deleteMatching(requests, maxExpired, func(_, text []byte) (bool, error) { return isExpired(text, now), nil })
+	return deleteMatching(requests, maxExpiredPerChange, func(_, text []byte) (bool, error) { return isExpired(text, now), nil })
 }
 
 // isExpired reports whether a stored response is old enough to be deleted, or malformed.
--- a/internal/state/tenants/store_test.go
+++ b/internal/state/tenants/store_test.go
@@ -27,32 +27,32 @@
 	return s
 }
 
-func add(name string) tenancy.Change {
+func addChange(name string) tenancy.Change {
 	return tenancy.Change{Kind: tenancy.Add, Name: name, Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 9}}}
 }
 
 func TestRequests(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	first, fault, err := s.Apply(now, "me", "r1", add("a"))
+	first, fault, err := s.Apply(now, "me", "r1", addChange("a"))
 	if fault != nil || err != nil {
 		t.Fatal(fault, err)
 	}
 	_, _, _ = s.Apply(now, "me", "", tenancy.Change{Kind: tenancy.Pause, Name: "a"})
 	noError(t, s.Close())
 	s = open(t, dir) // as after a kill: Close writes nothing
-	if again, fault, err := s.Apply(now, "me", "r1", add("a")); again != first || fault != nil || err != nil {
+	if again, fault, err := s.Apply(now, "me", "r1", addChange("a")); again != first || fault != nil || err != nil {
 		t.Errorf("requested again: %+v, %v, %v", again, fault, err)
 	}
 	for name, call := range map[string]func() error{
-		"another content": func() error { _, _, err := s.Apply(now, "me", "r1", add("b")); return err },
-		"another person":  func() error { _, _, err := s.Apply(now, "you", "r1", add("a")); return err },
+		"another content": func() error { _, _, err := s.Apply(now, "me", "r1", addChange("b")); return err },
+		"another person":  func() error { _, _, err := s.Apply(now, "you", "r1", addChange("a")); return err },
 	} {
 		if err := call(); !errors.Is(err, ErrRequestReused) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, fault, _ := s.Apply(now, "me", "r2", add("a")); fault == nil || fault.Kind != tenancy.Exists {
+	if _, fault, _ := s.Apply(now, "me", "r2", addChange("a")); fault == nil || fault.Kind != tenancy.Exists {
 		t.Error(fault)
 	}
 	if n, _ := s.ChangeCount(); n != 2 {
@@ -68,8 +68,8 @@
 	if _, err := s.IssueToken(now, "me", "a", time.Hour); err == nil {
 		t.Error("a token for an unknown tenant")
 	}
-	_, _, _ = s.Apply(now, "me", "", add("a"))
-	_, _, _ = s.Apply(now, "me", "", add("b"))
+	_, _, _ = s.Apply(now, "me", "", addChange("a"))
+	_, _, _ = s.Apply(now, "me", "", addChange("b"))
 	shown, err := s.IssueToken(now, "me", "a", time.Hour)
 	if err != nil {
 		t.Fatal(err)
@@ -139,7 +139,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := open(t, t.TempDir())
 			for i := range 3 {
-				if _, fault, err := s.Apply(now, "me", "", add(fmt.Sprint("a", i))); fault != nil || err != nil {
+				if _, fault, err := s.Apply(now, "me", "", addChange(fmt.Sprint("a", i))); fault != nil || err != nil {
 					t.Fatal(fault, err)
 				}
 			}
--- a/internal/state/tenants/tokens.go
+++ b/internal/state/tenants/tokens.go
@@ -53,15 +53,15 @@
 		if !ok || t.State >= tenancy.Removing {
 			return &tenancy.ChangeError{Field: "name", Kind: tenancy.NotFound, Text: fmt.Sprintf("no tenant %q that may have tokens", tenant)}
 		}
-		kept := Token{Tenant: tenant, MAC: s.tokenMAC(id, secret), Expires: now.Add(lifetime)}
-		text, err := json.Marshal(kept)
+		stored := Token{Tenant: tenant, MAC: s.tokenMAC(id, secret), Expires: now.Add(lifetime)}
+		text, err := json.Marshal(stored)
 		if err != nil {
 			return err
 		}
 		if err := tx.Bucket(tokenBucket).Put([]byte(id), text); err != nil {
 			return err
 		}
-		return s.appendRecord(tx, Record{At: now, Actor: actor, Action: "issue", Tenant: tenant}, map[string]any{"id": id, "expires": kept.Expires})
+		return s.appendRecord(tx, Record{At: now, Actor: actor, Action: "issue", Tenant: tenant}, map[string]any{"id": id, "expires": stored.Expires})
 	})
 	return id + "." + secret, err
 }
@@ -97,21 +97,21 @@
 // TokenVerifier returns a function that verifies tokens against those that Read returned, and tells whose they are. It takes the same time
 // for an unknown ID as for a wrong secret. The function remains valid after the store is closed.
 func (s *Store) TokenVerifier(known map[string]Token) func(now time.Time, token string) (tenant string, ok bool) {
-	keyed := &Store{key: append([]byte(nil), s.key...)}
+	verifier := &Store{key: append([]byte(nil), s.key...)}
 	return func(now time.Time, token string) (string, bool) {
 		id, secret, ok := splitToken(token)
 		if !ok {
 			return "", false
 		}
-		kept, exists := known[id]
-		mac := keyed.tokenMAC(id, secret)
+		stored, exists := known[id]
+		mac := verifier.tokenMAC(id, secret)
 		if !exists {
-			kept.MAC = make([]byte, sha256.Size)
+			stored.MAC = make([]byte, sha256.Size)
 		}
-		if same := hmac.Equal(mac, kept.MAC); !same || !exists || !now.Before(kept.Expires) {
+		if same := hmac.Equal(mac, stored.MAC); !same || !exists || !now.Before(stored.Expires) {
 			return "", false
 		}
-		return kept.Tenant, true
+		return stored.Tenant, true
 	}
 }
 
