--- a/internal/state/directory.go
+++ b/internal/state/directory.go
@@ -16,22 +16,23 @@
 	fileMode      = 0o640
 )
 
-// directory is a Disk on a directory of the machine.
+// directory is a Disk that keeps its files in a directory of the file system.
 type directory struct {
 	path string
-	lock *os.File // nil: read only, without the lock
+	lock *os.File // the locked lock file, or nil if the directory was opened for reading without the lock
 }
 
+// lockDirectory creates the directory if it does not exist, and locks it. The error wraps ErrLocked if another process holds the lock.
 func lockDirectory(path string) (*directory, error) {
 	if err := os.MkdirAll(path, directoryMode); err != nil {
-		return nil, fmt.Errorf("state folder: %w", err)
+		return nil, fmt.Errorf("open state folder: %w", err)
 	}
 	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
-		return nil, fmt.Errorf("state folder: %w", err)
+		return nil, fmt.Errorf("open state folder: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return nil, errors.Join(fmt.Errorf("state folder %s: %w", path, ErrLocked), lock.Close())
+		return nil, errors.Join(fmt.Errorf("lock state folder %s: %w", path, ErrLocked), lock.Close())
 	}
 	return &directory{path, lock}, nil
 }
@@ -41,38 +42,38 @@
 
 // Read implements Disk.
 func (d *directory) Read(name string) ([]byte, error) {
-	text, err := os.ReadFile(filepath.Join(d.path, name))
+	content, err := os.ReadFile(filepath.Join(d.path, name))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
-	return text, err
+	return content, err
 }
 
 // WriteUnsynced implements Disk.
-func (d *directory) WriteUnsynced(name string, text []byte) error {
+func (d *directory) WriteUnsynced(name string, content []byte) error {
 	path := filepath.Join(d.path, name)
-	if err := os.WriteFile(path+".new", text, fileMode); err != nil {
-		return fmt.Errorf("showing %s: %w", path, err)
+	if err := os.WriteFile(path+".new", content, fileMode); err != nil {
+		return fmt.Errorf("write %s without sync: %w", path, err)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
-		return fmt.Errorf("showing %s: %w", path, err)
+		return fmt.Errorf("write %s without sync: %w", path, err)
 	}
 	return nil
 }
 
 // Write implements Disk.
-func (d *directory) Write(name string, text []byte) error {
+func (d *directory) Write(name string, content []byte) error {
 	path := filepath.Join(d.path, name)
-	if err := renameio.WriteFile(path, text, fileMode); err != nil {
-		return fmt.Errorf("writing %s: %w", path, err)
+	if err := renameio.WriteFile(path, content, fileMode); err != nil {
+		return fmt.Errorf("write %s: %w", path, err)
 	}
-	if err := d.sync(); err != nil { // the new name must be on the disk, too
-		return fmt.Errorf("writing %s: %w", path, err)
+	if err := d.sync(); err != nil { // the renamed directory entry must be durable, too
+		return fmt.Errorf("write %s: %w", path, err)
 	}
 	return nil
 }
 
-// sync waits until the directory's entries are on the disk.
+// sync flushes the directory's entries to the disk.
 func (d *directory) sync() error {
 	f, err := os.Open(d.path)
 	if err != nil {
--- a/internal/state/folder_test.go
+++ b/internal/state/folder_test.go
@@ -26,18 +26,18 @@
 	f := open(t)
 	for want := uint32(1); want < 4; want++ {
 		if got, err := f.NextIncarnation(); got != want || err != nil {
-			t.Fatalf("%d, %v, want %d", got, err, want)
+			t.Fatalf("got incarnation %d, error %v, want %d", got, err, want)
 		}
 	}
 	if _, err := Open(f.disk.(*directory).path); !errors.Is(err, ErrLocked) {
-		t.Errorf("opened by a second holder: %v", err)
+		t.Errorf("second Open of a locked folder returned %v, want ErrLocked", err)
 	}
 }
 
 func TestList(t *testing.T) {
 	f := open(t)
 	if l, err := f.LoadList(); l != nil || err != nil {
-		t.Fatalf("no list saved: %v, %v", l, err)
+		t.Fatalf("got list %v, error %v before a list was saved, want none", l, err)
 	}
 	l := NewNodeList()
 	put := func(kind int, version uint64, entries ...Entry) error {
@@ -52,15 +52,15 @@
 	}
 	a, b := Entry{ID: 1, Address: "x:1", Avail: 1, Zone: "z", Cell: "c", Kind: "k"}, Entry{ID: 2, Address: "x:2", Avail: 2, Zone: "z", Cell: "c", Kind: "k"}
 	if put(list.KindFull, 5, a, b) != nil || put(list.KindChanges, 6, Entry{ID: 1}) != nil {
-		t.Fatal("an answer is refused")
+		t.Fatal("Begin rejected a response with a newer version")
 	}
 	if err := put(list.KindChanges, 4, a); err == nil {
-		t.Error("an older answer is accepted: it would bring back nodes that are gone")
+		t.Error("Begin accepted an older response, which would restore removed nodes")
 	}
 	noError(t, f.SaveList(l.Encode()))
 	back, err := f.LoadList()
 	if err != nil || len(back.Entries()) != 1 || back.Entries()[0] != b || back.Version != 6 {
-		t.Errorf("%+v, %v", back, err)
+		t.Errorf("got list %+v, error %v, want version 6 with %+v only", back, err, b)
 	}
 	path := filepath.Join(f.disk.(*directory).path, "nodes")
 	good, _ := os.ReadFile(path)
@@ -68,31 +68,35 @@
 		name, text string
 		want       error
 	}{
-		{"cut off", string(good[:len(good)-3]), ErrDamaged},
+		{"truncated", string(good[:len(good)-3]), ErrDamaged},
 		{"empty", "", ErrDamaged},
-		{"a bit flipped", strings.Replace(string(good), "x:2", "x:3", 1), ErrDamaged},
-		{"later version", strings.Replace(string(good), "NODES 1", "NODES 2", 1), ErrNewer},
-		{"another file", "RAVENPOND-LIFE 1 0 0\n", ErrDamaged},
+		{"changed byte", strings.Replace(string(good), "x:2", "x:3", 1), ErrDamaged},
+		{"later format version", strings.Replace(string(good), "NODES 1", "NODES 2", 1), ErrNewer},
+		{"header of another file", "RAVENPOND-LIFE 1 0 0\n", ErrDamaged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			noError(t, os.WriteFile(path, []byte(c.text), 0o600))
 			if l, err := f.LoadList(); l != nil || !errors.Is(err, c.want) {
-				t.Errorf("%v, %v, want %v", l, err, c.want)
+				t.Errorf("got list %v, error %v, want error %v", l, err, c.want)
 			}
 		})
 	}
 }
 
-// memoryDisk is a Disk in memory, by file name.
+// memoryDisk is a Disk in memory: file contents by name.
 type memoryDisk map[string][]byte
 
-func (m memoryDisk) Read(name string) ([]byte, error)             { return m[name], nil }
-func (m memoryDisk) WriteUnsynced(name string, text []byte) error { m[name] = text; return nil }
+func (m memoryDisk) Read(name string) ([]byte, error)                { return m[name], nil }
+func (m memoryDisk) WriteUnsynced(name string, content []byte) error { m[name] = content; return nil }
 
-func (m memoryDisk) Write(name string, text []byte) error { m[name] = slices.Clone(text); return nil }
-func (m memoryDisk) Close() error                         { return nil }
+func (m memoryDisk) Write(name string, content []byte) error {
+	m[name] = slices.Clone(content)
+	return nil
+}
+func (m memoryDisk) Close() error { return nil }
 
-// FuzzFolder reads any bytes as the files of a folder: they lead to an error, or to content that can be written and read again.
+// FuzzFolder reads arbitrary bytes as the files of a folder. Reading has to return an error, or content that reads back the same after it is
+// written.
 func FuzzFolder(f *testing.F) {
 	m := memoryDisk{}
 	folder := NewFolder(m)
@@ -109,22 +113,22 @@
 		folder := NewFolder(m)
 		if first, err := folder.NextIncarnation(); err == nil {
 			if second, err := folder.NextIncarnation(); err != nil || second != first+1 {
-				t.Errorf("incarnation %d after %d, %v", second, first, err)
+				t.Errorf("got incarnation %d, error %v after incarnation %d", second, err, first)
 			}
 		} else if !bytes.Equal(m["life"], incarnation) {
-			t.Error("a damaged file was overwritten")
+			t.Error("NextIncarnation overwrote a damaged file")
 		}
 		if l, err := folder.LoadList(); err == nil && l != nil {
 			noError(t, folder.SaveList(l.Encode()))
 			again, err := folder.LoadList()
 			if err != nil || !slices.Equal(again.Entries(), l.Entries()) {
-				t.Errorf("not the same: %v", err)
+				t.Errorf("saved list differs when it is read again, error %v", err)
 			}
 		}
 	})
 }
 
-// TestWriteUnsynced replaces a view and leaves no other file behind.
+// TestWriteUnsynced checks that WriteUnsynced replaces a file and leaves no temporary file.
 func TestWriteUnsynced(t *testing.T) {
 	path := t.TempDir()
 	f, err := Open(path)
@@ -135,18 +139,18 @@
 	for _, text := range []string{"a long first one", "short"} {
 		noError(t, f.WriteUnsynced("view.json", []byte(text)))
 		if b, err := os.ReadFile(filepath.Join(path, "view.json")); err != nil || string(b) != text {
-			t.Errorf("%q, %v", b, err)
+			t.Errorf("got content %q, error %v, want %q", b, err, text)
 		}
 	}
 	if _, err := os.Stat(filepath.Join(path, "view.json.new")); !os.IsNotExist(err) {
-		t.Errorf("a temporary file is left: %v", err)
+		t.Errorf("temporary file still exists: %v", err)
 	}
 	if err := f.WriteUnsynced("none/view.json", nil); err == nil {
-		t.Error("written where there is no folder")
+		t.Error("WriteUnsynced into a missing folder returned no error")
 	}
 }
 
-// TestEntries checks that the entries are sorted and current after each answer, and shared as long as nothing changes.
+// TestEntries checks that Entries returns the current entries in order after each response, and the same slice until an entry changes.
 func TestEntries(t *testing.T) {
 	l := NewNodeList()
 	ids := func() (all []uint32) {
@@ -165,27 +169,27 @@
 	}
 	put(list.KindFull, 1, Entry{ID: 7, Avail: 1}, Entry{ID: 3, Avail: 1}, Entry{ID: 5, Avail: 1})
 	if got := ids(); !slices.Equal(got, []uint32{3, 5, 7}) {
-		t.Fatalf("entries %v", got)
+		t.Fatalf("got entries %v, want 3, 5, 7", got)
 	}
 	before, revision := l.Entries(), l.Revision()
-	put(list.KindChanges, 2, Entry{ID: 5, Avail: 1}) // changes nothing
+	put(list.KindChanges, 2, Entry{ID: 5, Avail: 1}) // the entry is the same as before
 	if l.Revision() != revision || &before[0] != &l.Entries()[0] {
-		t.Error("sorted again without a change")
+		t.Error("Entries made a new slice, or the revision changed, without a change of an entry")
 	}
 	put(list.KindChanges, 3, Entry{ID: 5, Avail: 0}, Entry{ID: 4, Avail: 1, FreeCores: 2})
 	if got := ids(); !slices.Equal(got, []uint32{3, 4, 7}) || l.Revision() == revision {
-		t.Errorf("entries %v after a change, revision %d", got, l.Revision())
+		t.Errorf("got entries %v, revision %d after a change, want 3, 4, 7 and a new revision", got, l.Revision())
 	}
 	if before[1].ID != 5 {
-		t.Error("a returned slice has changed")
+		t.Error("a slice that Entries returned earlier was modified")
 	}
 	put(list.KindFull, 4, Entry{ID: 9, Avail: 1})
 	if got := ids(); !slices.Equal(got, []uint32{9}) {
-		t.Errorf("entries %v after a full answer", got)
+		t.Errorf("got entries %v after a full response, want 9", got)
 	}
 }
 
-// noError ends the test if an error has occurred.
+// noError ends the test if err is not nil.
 func noError(tb testing.TB, err error) {
 	tb.Helper()
 	if err != nil {
--- a/internal/state/format_test.go
+++ b/internal/state/format_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestFormat1 reads a folder that commit 9c27d6c wrote, and writes the same bytes again.
+// TestFormat1 reads a folder in format 1 that commit 9c27d6c wrote, and checks that saving its list writes the same bytes.
 func TestFormat1(t *testing.T) {
 	path := t.TempDir()
 	noError(t, os.CopyFS(path, os.DirFS("testdata/format1")))
@@ -26,7 +26,7 @@
 		{ID: 8, Address: "10.0.0.8:7000", Avail: 2, StartedAt: 1771000001, FreeCores: 0, FreeMemory: 3.75, Zone: "z2", Cell: "c9", Kind: "gpu"},
 	}
 	if nodes.Version != 42 || !slices.Equal(nodes.Entries(), want) {
-		t.Errorf("version %d with %+v, want 42 with %+v", nodes.Version, nodes.Entries(), want)
+		t.Errorf("got version %d with entries %+v, want 42 with %+v", nodes.Version, nodes.Entries(), want)
 	}
 	noError(t, folder.SaveList(nodes.Encode()))
 	before, err := os.ReadFile("testdata/format1/nodes")
@@ -34,9 +34,9 @@
 		t.Fatal(err)
 	}
 	if after, err := os.ReadFile(filepath.Join(path, "nodes")); err != nil || !bytes.Equal(before, after) {
-		t.Errorf("written again: %q, %v, want %q", after, err, before)
+		t.Errorf("saved list is %q, error %v, want %q", after, err, before)
 	}
 	if incarnation, err := folder.NextIncarnation(); incarnation != 4 || err != nil {
-		t.Errorf("incarnation %d, %v, want 4", incarnation, err)
+		t.Errorf("got incarnation %d, error %v, want 4", incarnation, err)
 	}
 }
--- a/internal/state/nodelist.go
+++ b/internal/state/nodelist.go
@@ -13,34 +13,35 @@
 	"ravenpond/internal/proto/list"
 )
 
-// Entry is a node of the list.
+// Entry describes one node of the node list.
 type Entry struct {
 	ID                               uint32
 	Address                          string
-	Avail                            int // index into list.AvailabilityNames; 0: the node is gone
+	Avail                            int // index into list.AvailabilityNames; 0 removes the node from the list
 	StartedAt, FreeCores, FreeMemory float64
 	Zone, Cell, Kind                 string
 }
 
-// NodeList is a scheduler's copy of the node list. An answer of the list service is applied by Begin, a Put for each of its entries, and
+// NodeList is a scheduler's copy of the node list. A response of the list service is applied by Begin, one Put for each of its entries, and
 // End.
 type NodeList struct {
 	Version uint64
 	entries map[uint32]Entry
-	dirty   bool            // there is something to save
-	present map[uint32]bool // nodes named so far by an answer that holds the full list, nil in other answers
+	dirty   bool            // whether the list has changed since the last call of TakeChanged
+	present map[uint32]bool // IDs that the current full response has named so far, nil outside of full responses
 
-	revision uint64  // counts changes of entries
-	sorted   []Entry // by ID, nil after a change
+	revision uint64  // number of changes of entries
+	sorted   []Entry // cache of Entries, nil after a change
 }
 
 // NewNodeList returns an empty list.
 func NewNodeList() *NodeList { return &NodeList{entries: map[uint32]Entry{}} }
 
-// Begin starts an answer of a kind of package list. One that is older than the list is refused: it would bring back nodes that are gone.
+// Begin starts a response of the given kind, one of the kinds of package list. A response that is older than the list is rejected, as it would
+// restore nodes that were removed since.
 func (l *NodeList) Begin(kind int, version uint64) error {
 	if version < l.Version {
-		return fmt.Errorf("list version %d after %d", version, l.Version)
+		return fmt.Errorf("response has list version %d, older than the current version %d", version, l.Version)
 	}
 	l.Version, l.present = version, nil
 	if kind == list.KindFull {
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// Put applies an entry of an answer.
+// Put applies one entry of a response.
 func (l *NodeList) Put(entry Entry) {
 	if l.present != nil {
 		l.present[entry.ID] = true
@@ -65,7 +66,7 @@
 	l.entries[entry.ID] = entry
 }
 
-// End ends an answer. Nodes that a full list does not name are removed.
+// End ends a response. After a full response, the nodes that it did not name are removed.
 func (l *NodeList) End() {
 	if l.present != nil {
 		for id := range l.entries {
@@ -78,6 +79,7 @@
 	l.present = nil
 }
 
+// markChanged records a change of the entries.
 func (l *NodeList) markChanged() {
 	l.dirty = true
 	l.revision++
@@ -87,16 +89,16 @@
 // Len returns the number of nodes.
 func (l *NodeList) Len() int { return len(l.entries) }
 
-// Entry returns the entry of a node, and false if the node is not on the list.
+// Entry returns the entry of a node, and false if the node is not in the list.
 func (l *NodeList) Entry(id uint32) (Entry, bool) {
 	entry, ok := l.entries[id]
 	return entry, ok
 }
 
-// Revision returns a number that differs from an earlier one if an entry has changed since.
+// Revision returns a number that increases with each change of an entry.
 func (l *NodeList) Revision() uint64 { return l.revision }
 
-// Entries returns all entries, sorted by ID. The slice is shared by all calls until the next change and must not be modified.
+// Entries returns all entries, sorted by ID. Calls share the slice until the next change, so callers must not modify it.
 func (l *NodeList) Entries() []Entry {
 	if l.sorted == nil {
 		l.sorted = slices.SortedFunc(maps.Values(l.entries), func(x, y Entry) int { return cmp.Compare(x.ID, y.ID) })
@@ -111,7 +113,7 @@
 	return changed
 }
 
-// Encode returns the list as SaveList takes it: an answer with the full list.
+// Encode encodes the list for SaveList, as a full response of the list service.
 func (l *NodeList) Encode() []byte {
 	b := list.AppendBegin(nil, list.KindFull, l.Version)
 	for _, entry := range l.Entries() {
@@ -123,15 +125,16 @@
 	return list.AppendEnd(b)
 }
 
-// SaveList writes an encoded list for the next start of the process.
-func (f *Folder) SaveList(text []byte) error { return f.write(nodesFile, text) }
+// SaveList stores an encoded list, which LoadList reads after a restart of the process.
+func (f *Folder) SaveList(encoded []byte) error { return f.write(nodesFile, encoded) }
 
-// ReadList reads the last list of a folder, which another process may hold. It returns nil if no list was saved.
+// ReadList reads the last saved list of a folder without locking the folder, so another process may hold the lock. It returns nil if no list
+// was saved.
 func ReadList(folder string) (*NodeList, error) {
 	return NewFolder(&directory{path: folder}).LoadList()
 }
 
-// LoadList reads the last list. It returns nil if no list was saved.
+// LoadList reads the last saved list. It returns nil if no list was saved.
 func (f *Folder) LoadList() (*NodeList, error) {
 	body, err := f.read(nodesFile)
 	if err != nil || body == nil {
@@ -139,20 +142,20 @@
 	}
 	l := NewNodeList()
 	in := line.NewReader(bufio.NewReader(bytes.NewReader(body)))
-	for l.present != nil || l.Version == 0 && len(l.entries) == 0 { // until the answer has begun and ended
+	for l.present != nil || l.Version == 0 && len(l.entries) == 0 { // until a response has begun and ended
 		fields, err := in.Next()
 		if err == nil {
 			err = list.DecodeList(fields, listDecoder{l})
 		}
 		if err != nil {
-			return nil, fmt.Errorf("nodes: %w: %w", ErrDamaged, err)
+			return nil, fmt.Errorf("node list file nodes: %w: %w", ErrDamaged, err)
 		}
 	}
 	l.dirty = false
 	return l, nil
 }
 
-// listDecoder applies the lines of a saved list.
+// listDecoder applies the lines of a saved list to a NodeList.
 type listDecoder struct{ list *NodeList }
 
 // OnBegin implements list.Handler.
@@ -165,10 +168,10 @@
 }
 
 // OnFailed implements list.Handler.
-func (d listDecoder) OnFailed(string) error { return errors.New("a failure in a saved list") }
+func (d listDecoder) OnFailed(string) error { return errors.New("saved list has a failure line") }
 
 // OnBye implements list.Handler.
-func (d listDecoder) OnBye(string) error { return errors.New("a farewell in a saved list") }
+func (d listDecoder) OnBye(string) error { return errors.New("saved list has a BYE line") }
 
 // OnEntry implements list.Handler.
 func (d listDecoder) OnEntry(e list.Entry) error {
