--- a/internal/state/bolt/bolt.go
+++ b/internal/state/bolt/bolt.go
@@ -1,9 +1,9 @@
-// Package bolt opens bbolt files as this program's stores: with a version of their format, and refused when they are damaged, were written by
-// a later version, or are held by another process.
+// Package bolt opens the bbolt files that this program uses as stores. Each file has a format version. Opening fails if a file is damaged, was
+// written by a later version, or is locked by another process.
 //
-// The bbolt library may end the process on a damaged file. Open therefore verifies every page itself before the library reads the file, and
-// every record after that. A file that has not changed since it was last verified is not verified again. The functions may be called
-// concurrently.
+// The bbolt library may crash the process on a damaged file. Open therefore verifies every page itself before the library reads the file, and
+// every record after that. A file that has not changed since it was last verified is not verified again. The functions are safe for concurrent
+// use.
 package bolt
 
 import (
@@ -25,13 +25,13 @@
 var (
 	ErrDamaged = errors.New("store is damaged")
 	ErrNewer   = errors.New("store was written by a later version")
-	ErrLocked  = errors.New("store is held by another process")
+	ErrLocked  = errors.New("store is locked by another process")
 )
 
 const (
-	// lockTimeout is how long Open waits for another process that holds the store.
+	// lockTimeout is how long Open waits for the lock if another process holds it.
 	lockTimeout = 200 * time.Millisecond
-	// lockRetryInterval is the time between two attempts to lock the file for its verification.
+	// lockRetryInterval is the time between two attempts to lock a file for verification.
 	lockRetryInterval = 5 * time.Millisecond
 
 	folderMode = 0o750
@@ -45,12 +45,13 @@
 
 // Schema describes a kind of store.
 type Schema struct {
-	Format  byte                     // version of the format; later ones are refused
-	Buckets [][]byte                 // that the store must have
+	Format  byte                     // version of the format; Open rejects later versions
+	Buckets [][]byte                 // names of the buckets that a store must have
 	Check   func(tx *bbolt.Tx) error // reads every record, and returns an error if one is malformed
 }
 
-// Open opens a store, or creates it. The error wraps ErrDamaged, ErrNewer or ErrLocked if that is the cause.
+// Open opens a store, or creates it if the file does not exist or is empty. The error wraps ErrDamaged, ErrNewer or ErrLocked if that is the
+// cause.
 func Open(path string, schema Schema) (*bbolt.DB, error) {
 	if err := os.MkdirAll(filepath.Dir(path), folderMode); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -95,8 +96,8 @@
 	return db, err
 }
 
-// RetryWhileLocked calls open, again while it returns ErrLocked, at most so many times and not after ctx is done. It returns open's last
-// error. There is no pause between the calls, as Open itself waits for the lock.
+// RetryWhileLocked calls open until it returns no ErrLocked, at most attempts times, and not again after ctx is done. It returns the last error
+// of open. It does not pause between the calls, as Open itself waits for the lock.
 func RetryWhileLocked(ctx context.Context, attempts int, open func() error) (err error) {
 	for range attempts {
 		if err = open(); !errors.Is(err, ErrLocked) || ctx.Err() != nil {
@@ -106,8 +107,8 @@
 	return err
 }
 
-// checkFile verifies the pages of a file, if it exists, while no process writes to it. A process that writes before it is opened again
-// writes valid pages.
+// checkFile verifies the pages of a file, if it exists, under the lock of the file, so that no process writes to it meanwhile. A process that
+// writes between this check and the opening of the file leaves valid pages.
 func checkFile(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -115,7 +116,7 @@
 	} else if err != nil {
 		return err
 	}
-	defer f.Close() //nolint:errcheck // it was opened for reading only; closing it releases the lock
+	defer f.Close() //nolint:errcheck // the file was opened for reading only; closing it releases the lock
 	if err := lockFile(f); err != nil {
 		return err
 	}
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// lockFile locks a file as bbolt does, and returns ErrLocked if another process holds it for longer than lockTimeout.
+// lockFile takes the same lock as bbolt, and returns ErrLocked if another process holds it for longer than lockTimeout.
 func lockFile(f *os.File) error {
 	deadline := time.Now().Add(lockTimeout)
 	for {
@@ -146,8 +147,8 @@
 	}
 }
 
-// recoverPanics calls f, which reads a file that may be damaged after all, and turns its panics into ErrDamaged: the library panics on
-// malformed pages, and reading a page beyond the end of the mapped file faults.
+// recoverPanics calls f and turns its panics into ErrDamaged. It protects against damage that the verification of the pages missed: the library
+// panics on malformed pages, and reading a page beyond the end of the mapped file causes a memory fault.
 func recoverPanics(f func() error) (err error) {
 	before := debug.SetPanicOnFault(true)
 	defer func() {
@@ -159,7 +160,7 @@
 	return f()
 }
 
-// verifyOrCreate verifies an open store, and creates its buckets if it is new.
+// verifyOrCreate verifies the records of an open store, or creates the buckets if the store is new.
 func (s *Schema) verifyOrCreate(db *bbolt.DB) error {
 	isNew := false
 	err := recoverPanics(func() error {
@@ -174,7 +175,7 @@
 	return err
 }
 
-// verify reads the whole store. A store without a format is new.
+// verify reads the whole store and reports whether it is new. A store without a meta bucket is new.
 func (s *Schema) verify(tx *bbolt.Tx) (isNew bool, err error) {
 	for checkErr := range tx.Check() {
 		return false, fmt.Errorf("%w: %w", ErrDamaged, checkErr)
@@ -185,13 +186,13 @@
 	}
 	switch v := meta.Get(formatKey); {
 	case len(v) != 1:
-		return false, fmt.Errorf("%w: no format", ErrDamaged)
+		return false, fmt.Errorf("%w: format version is missing or malformed", ErrDamaged)
 	case v[0] > s.Format:
-		return false, fmt.Errorf("format %d, this program reads up to %d: %w", v[0], s.Format, ErrNewer)
+		return false, fmt.Errorf("format version %d, want at most %d: %w", v[0], s.Format, ErrNewer)
 	}
 	for _, name := range s.Buckets {
 		if tx.Bucket(name) == nil {
-			return false, fmt.Errorf("%w: no %s", ErrDamaged, name)
+			return false, fmt.Errorf("%w: bucket %s is missing", ErrDamaged, name)
 		}
 	}
 	if err := s.Check(tx); err != nil {
@@ -200,7 +201,7 @@
 	return false, nil
 }
 
-// create creates all buckets or none.
+// create creates the buckets of a new store and writes its format version. If that fails, the transaction of the caller is rolled back.
 func (s *Schema) create(tx *bbolt.Tx) error {
 	for _, name := range append([][]byte{metaBucket}, s.Buckets...) {
 		if _, err := tx.CreateBucket(name); err != nil {
--- a/internal/state/bolt/bolt_test.go
+++ b/internal/state/bolt/bolt_test.go
@@ -14,13 +14,13 @@
 var testSchema = Schema{Format: 2, Buckets: [][]byte{[]byte("things")}, Check: func(tx *bbolt.Tx) error {
 	return tx.Bucket([]byte("things")).ForEach(func(k, v []byte) error {
 		if len(v) == 0 || v[0] != 'v' {
-			return fmt.Errorf("%q: bad record", k)
+			return fmt.Errorf("record %q is malformed", k)
 		}
 		return nil
 	})
 }}
 
-// newStoreContent creates a store with records and returns its bytes.
+// newStoreContent creates a store of the given format version with records and returns the content of its file.
 func newStoreContent(tb testing.TB, format byte) []byte {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), "a.db")
@@ -43,7 +43,7 @@
 	return b
 }
 
-// withDamagedRecords returns a copy of a store's bytes with damaged records and valid pages.
+// withDamagedRecords returns a copy of a store's content whose pages are valid but whose records are malformed.
 func withDamagedRecords(store []byte) []byte {
 	b := append([]byte(nil), store...)
 	for i := range len(b) - 1 {
@@ -61,27 +61,27 @@
 		file func() []byte
 		want error
 	}{
-		{"undamaged", func() []byte { return good }, nil},
-		{"of an earlier version", func() []byte { return newStoreContent(t, 1) }, nil},
-		{"of a later version", func() []byte { return newStoreContent(t, 3) }, ErrNewer},
-		{"empty", func() []byte { return nil }, nil},
-		{"another file", func() []byte { return make([]byte, 8192) }, ErrDamaged},
-		{"both headers torn", func() []byte { b := append([]byte(nil), good...); b[30] ^= 1; b[4096+30] ^= 1; return b }, ErrDamaged},
-		{"cut", func() []byte { return good[:10000] }, ErrDamaged},
-		{"a record damaged", func() []byte { return withDamagedRecords(good) }, ErrDamaged},
+		{"valid", func() []byte { return good }, nil},
+		{"earlier format version", func() []byte { return newStoreContent(t, 1) }, nil},
+		{"later format version", func() []byte { return newStoreContent(t, 3) }, ErrNewer},
+		{"empty file", func() []byte { return nil }, nil},
+		{"zeroes instead of a store", func() []byte { return make([]byte, 8192) }, ErrDamaged},
+		{"both meta pages damaged", func() []byte { b := append([]byte(nil), good...); b[30] ^= 1; b[4096+30] ^= 1; return b }, ErrDamaged},
+		{"truncated", func() []byte { return good[:10000] }, ErrDamaged},
+		{"malformed records", func() []byte { return withDamagedRecords(good) }, ErrDamaged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "a.db")
 			noError(t, os.WriteFile(path, c.file(), 0o600))
 			db, err := Open(path, testSchema)
 			if !errors.Is(err, c.want) {
-				t.Fatalf("%v, want %v", err, c.want)
+				t.Fatalf("Open returned error %v, want %v", err, c.want)
 			}
 			if err != nil {
 				return
 			}
 			if _, err := Open(path, testSchema); !errors.Is(err, ErrLocked) {
-				t.Errorf("opened twice: %v", err)
+				t.Errorf("second Open of an open store returned %v, want ErrLocked", err)
 			}
 			if err := db.Close(); err != nil {
 				t.Error(err)
@@ -90,23 +90,24 @@
 	}
 }
 
-// TestVerifiedOnce checks that a store is verified again if it was written to, or so lately that its modification time does not tell.
+// TestVerifiedOnce checks that Open verifies a store again only if the file may have changed since the last verification: its time, length or
+// identity differ, or it was modified so recently that a later write may have the same modification time.
 func TestVerifiedOnce(t *testing.T) {
 	good := newStoreContent(t, 2)
 	now := time.Now()
 	for _, c := range []struct {
 		name          string
-		was, is       time.Time // the file's time when it was valid, and when it is damaged
-		longer        bool
-		another       bool // the damaged one is another file of that name
+		was, is       time.Time // modification times of the valid and of the damaged content
+		longer        bool      // whether the damaged content is longer
+		another       bool      // whether the damaged content is in a new file of the same name
 		verifiedAgain bool
 	}{
-		{"untouched", now.Add(-time.Minute), now.Add(-time.Minute), false, false, false},
-		{"written since", now.Add(-time.Minute), now.Add(-time.Second), false, false, true},
-		{"put back to an earlier time", now.Add(-time.Minute), now.Add(-time.Hour), false, false, true},
-		{"written within a step of the clock", now.Add(time.Hour), now.Add(time.Hour), false, false, true},
-		{"longer", now.Add(-time.Minute), now.Add(-time.Minute), true, false, true},
-		{"another file", now.Add(-time.Minute), now.Add(-time.Minute), false, true, true},
+		{"same modification time", now.Add(-time.Minute), now.Add(-time.Minute), false, false, false},
+		{"later modification time", now.Add(-time.Minute), now.Add(-time.Second), false, false, true},
+		{"earlier modification time", now.Add(-time.Minute), now.Add(-time.Hour), false, false, true},
+		{"modified too recently", now.Add(time.Hour), now.Add(time.Hour), false, false, true},
+		{"longer file", now.Add(-time.Minute), now.Add(-time.Minute), true, false, true},
+		{"new file of the same name", now.Add(-time.Minute), now.Add(-time.Minute), false, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "a.db")
@@ -128,7 +129,7 @@
 			}
 			put(bad, c.is)
 			if db, err = Open(path, testSchema); errors.Is(err, ErrDamaged) != c.verifiedAgain {
-				t.Error(err)
+				t.Errorf("Open returned error %v, want damage to be detected: %t", err, c.verifiedAgain)
 			}
 			if err == nil {
 				noError(t, db.Close())
@@ -137,7 +138,7 @@
 	}
 }
 
-// FuzzOpen overwrites a part of a store: it is refused, or opens and can be read and written.
+// FuzzOpen overwrites a part of a store. Open has to reject the store, or the store can be read and written.
 func FuzzOpen(f *testing.F) {
 	good := newStoreContent(f, 2)
 	f.Add(uint16(0), []byte{1, 2, 3})
@@ -152,7 +153,7 @@
 		db, err := Open(path, testSchema)
 		if err != nil {
 			if !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) {
-				t.Fatal(err)
+				t.Fatalf("Open returned error %v, want ErrDamaged or ErrNewer", err)
 			}
 			return
 		}
@@ -161,7 +162,7 @@
 	})
 }
 
-// noError ends the test if an error has occurred.
+// noError ends the test if err is not nil.
 func noError(tb testing.TB, err error) {
 	tb.Helper()
 	if err != nil {
--- a/internal/state/bolt/pages.go
+++ b/internal/state/bolt/pages.go
@@ -8,14 +8,15 @@
 	"hash/fnv"
 )
 
-// The pages of a bbolt file, as go.etcd.io/bbolt/internal/common defines them (version 2 of its format, little endian). The library's own
-// check runs on a goroutine whose panics nobody can recover: a length that points beyond the mapped file ends the process there, and pages
-// that refer to each other in a circle overflow its stack. So the library gets no page that was not verified here.
+// The layout of the pages of a bbolt file, as go.etcd.io/bbolt/internal/common defines it (version 2 of its format, little endian). The
+// library's own check runs in a goroutine whose panics its caller can't recover: a length that points beyond the mapped file crashes the
+// process there, and pages that refer to each other in a cycle overflow the stack. Every page is therefore verified here before the library
+// reads the file.
 const (
 	bboltMagic   = 0xED0CDAED
 	bboltVersion = 2
 
-	headerSize  = 16 // of a page, and of an element of one
+	headerSize  = 16 // bytes, of the header of a page and of an element
 	metaSize    = 64
 	minPageSize = 512
 	maxPageSize = 1 << 24
@@ -23,12 +24,12 @@
 	branchPageFlag    = 0x01
 	leafPageFlag      = 0x02
 	freelistPageFlag  = 0x10
-	bucketElementFlag = 0x01 // flag of a leaf's element
+	bucketElementFlag = 0x01 // flag of an element of a leaf page whose value is a bucket
 
-	firstDataPage = 2 // after the two meta pages
+	firstDataPage = 2 // number of the first page after the two meta pages
 	noFreelist    = ^uint64(0)
-	countOverflow = 0xFFFF // the count is in the first number of the list
-	maxDepth      = 64     // of buckets within buckets, and of levels of a tree
+	countOverflow = 0xFFFF // the number of free pages is the first number of the list instead
+	maxDepth      = 64     // limit on nested buckets and on levels of their trees together
 )
 
 var littleEndian = binary.LittleEndian
@@ -38,6 +39,7 @@
 	pageSize, root, freelist, highWaterMark, txID uint64
 }
 
+// parseMeta decodes a meta page. ok is false if the page is truncated, its checksum is wrong, or its magic number or version is another one.
 func parseMeta(b []byte) (page metaPage, ok bool) {
 	if len(b) < headerSize+metaSize {
 		return page, false
@@ -57,8 +59,8 @@
 	}, true
 }
 
-// newestMeta returns the valid meta page with the latest transaction. The second one lies a page after the first one; if that is damaged, it
-// is searched at each possible page size.
+// newestMeta returns the valid meta page with the latest transaction. The second meta page follows the first one, whose length is the page size.
+// If the first one is damaged, the page size is unknown, and the second one is searched for at each possible page size.
 func newestMeta(file []byte) (newest metaPage, found bool) {
 	read := func(offset uint64) (ok bool) {
 		if offset >= uint64(len(file)) {
@@ -80,15 +82,15 @@
 	return newest, found
 }
 
-// CheckPages verifies the content of a bbolt file. It returns nil if every page that can be reached lies in the file, refers to what lies in
-// it, and has its keys in order.
+// CheckPages verifies the content of a bbolt file. It returns nil if every reachable page lies within the file, refers only to content within
+// the file, and has its keys in ascending order.
 func CheckPages(file []byte) error {
 	newest, found := newestMeta(file)
 	switch {
 	case !found:
-		return errors.New("neither of the two heads is valid")
+		return errors.New("neither of the two meta pages is valid")
 	case newest.highWaterMark < firstDataPage || newest.highWaterMark > uint64(len(file))/newest.pageSize:
-		return fmt.Errorf("%d pages of %d bytes do not lie in %d", newest.highWaterMark, newest.pageSize, len(file))
+		return fmt.Errorf("%d pages of %d bytes do not fit the file of %d bytes", newest.highWaterMark, newest.pageSize, len(file))
 	}
 	walker := &pageWalker{metaPage: newest, file: file, visited: map[uint64]bool{}}
 	var last []byte
@@ -98,33 +100,33 @@
 	return walker.checkFreelist()
 }
 
-// pageWalker walks the pages of a file.
+// pageWalker verifies the pages of a file, following their references.
 type pageWalker struct {
 	metaPage
 	file    []byte
-	visited map[uint64]bool // pages that were reached
+	visited map[uint64]bool // numbers of the pages that were reached
 }
 
-// readPages returns the content of a page and of the pages that follow it as its overflow. Each page may be reached once.
+// readPages returns the content of a page and of its overflow pages, which follow it. It returns an error if one of them was reached before.
 func (w *pageWalker) readPages(id uint64) ([]byte, error) {
 	if id < firstDataPage || id >= w.highWaterMark {
-		return nil, fmt.Errorf("page %d of %d", id, w.highWaterMark)
+		return nil, fmt.Errorf("reference to page %d, which is not a data page among the %d pages in use", id, w.highWaterMark)
 	}
 	page := w.file[id*w.pageSize:]
 	overflow := uint64(littleEndian.Uint32(page[12:]))
 	if littleEndian.Uint64(page) != id || overflow >= w.highWaterMark-id {
-		return nil, fmt.Errorf("page %d says that it is %d with %d more", id, littleEndian.Uint64(page), overflow)
+		return nil, fmt.Errorf("page %d has number %d in its header, with %d overflow pages", id, littleEndian.Uint64(page), overflow)
 	}
 	for i := id; i <= id+overflow; i++ {
 		if w.visited[i] {
-			return nil, fmt.Errorf("page %d is reached twice", i)
+			return nil, fmt.Errorf("page %d is referenced twice", i)
 		}
 		w.visited[i] = true
 	}
 	return page[:(1+overflow)*w.pageSize], nil
 }
 
-// checkTree verifies the pages of a bucket from a page on. last is the bucket's greatest key so far.
+// checkTree verifies a page of a bucket and the pages below it. last is the greatest key of the bucket so far.
 func (w *pageWalker) checkTree(id uint64, depth int, last *[]byte) error {
 	content, err := w.readPages(id)
 	if err != nil {
@@ -133,31 +135,32 @@
 	return w.checkPage(page{content, fmt.Sprint("page ", id)}, depth, last)
 }
 
-// page is the content of a page, or of a bucket that is stored in its element, with its name in errors.
+// page is the content of a page, or of a small bucket that is stored inline in an element. Error messages use the name.
 type page struct {
 	content []byte
 	name    string
 }
 
-// element returns the bytes of the page from an element on.
+// element returns the content of the page from the start of element i to the end.
 func (p page) element(i int) []byte { return p.content[headerSize*(1+i):] }
 
-// slice returns size bytes at an offset from an element.
+// slice returns size bytes at an offset from the start of element i.
 func (p page) slice(i int, offset, size uint64) ([]byte, error) {
 	e := p.element(i)
 	if offset < headerSize || offset > uint64(len(e)) || size > uint64(len(e))-offset {
-		return nil, fmt.Errorf("%s: element %d lies at %d with %d bytes", p.name, i, uint64(headerSize*(1+i))+offset, size)
+		return nil, fmt.Errorf("%s: element %d refers to offset %d with %d bytes, outside of the page", p.name, i, uint64(headerSize*(1+i))+offset, size)
 	}
 	return e[offset : offset+size], nil
 }
 
+// checkPage verifies a branch or leaf page and what its elements refer to. depth is how many more levels are allowed.
 func (w *pageWalker) checkPage(p page, depth int, last *[]byte) error {
 	flags, count := littleEndian.Uint16(p.content[8:]), int(littleEndian.Uint16(p.content[10:]))
 	if depth == 0 {
-		return fmt.Errorf("%s: too deep", p.name)
+		return fmt.Errorf("%s: nested too deeply", p.name)
 	}
 	if flags != branchPageFlag && flags != leafPageFlag || flags == branchPageFlag && count == 0 || headerSize*(1+count) > len(p.content) {
-		return fmt.Errorf("%s: flags %x, %d elements", p.name, flags, count)
+		return fmt.Errorf("%s: invalid flags %x or number of elements %d", p.name, flags, count)
 	}
 	for i := range count {
 		var err error
@@ -173,7 +176,7 @@
 	return nil
 }
 
-// checkBranch verifies an element of a branch page and the pages below it.
+// checkBranch verifies an element of a branch page and the page that it refers to.
 func (w *pageWalker) checkBranch(p page, i, depth int, last *[]byte) error {
 	e := p.element(i)
 	key, err := p.slice(i, uint64(littleEndian.Uint32(e)), uint64(littleEndian.Uint32(e[4:])))
@@ -186,7 +189,7 @@
 	return w.checkTree(littleEndian.Uint64(e[8:]), depth-1, last)
 }
 
-// checkLeaf verifies an element of a leaf page: a record, or a bucket.
+// checkLeaf verifies an element of a leaf page, which is a record or a bucket.
 func (w *pageWalker) checkLeaf(p page, i, depth int, last *[]byte) error {
 	e := p.element(i)
 	offset, keySize := uint64(littleEndian.Uint32(e[4:])), uint64(littleEndian.Uint32(e[8:]))
@@ -208,45 +211,45 @@
 	return w.checkBucket(value, p.name, depth-1)
 }
 
-// checkBucket verifies a bucket by its element's value: the number of its root page, or the whole of a small one.
+// checkBucket verifies a bucket. value is the value of its element: the number of the root page, or the inline content of a small bucket.
 func (w *pageWalker) checkBucket(value []byte, name string, depth int) error {
 	if len(value) < headerSize {
-		return fmt.Errorf("%s: a bucket of %d bytes", name, len(value))
+		return fmt.Errorf("%s: bucket of %d bytes is truncated", name, len(value))
 	}
 	var last []byte
 	if root := littleEndian.Uint64(value); root != 0 {
 		return w.checkTree(root, depth, &last)
 	}
 	if len(value) < 2*headerSize {
-		return fmt.Errorf("%s: a bucket of %d bytes", name, len(value))
+		return fmt.Errorf("%s: bucket of %d bytes is truncated", name, len(value))
 	}
 	content := value[headerSize:]
 	if littleEndian.Uint16(content[8:]) != leafPageFlag {
-		return fmt.Errorf("%s: a small bucket that is no leaf", name)
+		return fmt.Errorf("%s: inline bucket is not a leaf page", name)
 	}
 	return w.checkPage(page{content, name}, depth, &last)
 }
 
-// checkFreelist verifies the list of free pages.
+// checkFreelist verifies the list of free pages. A page that is in use may not be in it, nor a page twice.
 func (w *pageWalker) checkFreelist() error {
 	if w.freelist == noFreelist {
 		return nil
 	}
 	content, err := w.readPages(w.freelist)
 	if err != nil {
-		return fmt.Errorf("list of free pages: %w", err)
+		return fmt.Errorf("freelist: %w", err)
 	}
 	count, ids := uint64(littleEndian.Uint16(content[10:])), content[headerSize:]
 	if count == countOverflow {
 		count, ids = littleEndian.Uint64(ids), ids[8:]
 	}
 	if littleEndian.Uint16(content[8:]) != freelistPageFlag || count > uint64(len(ids))/8 {
-		return fmt.Errorf("list of free pages: flags %x, %d pages", littleEndian.Uint16(content[8:]), count)
+		return fmt.Errorf("freelist: invalid flags %x or number of pages %d", littleEndian.Uint16(content[8:]), count)
 	}
 	for i := range count {
 		id := littleEndian.Uint64(ids[8*i:])
 		if id < firstDataPage || id >= w.highWaterMark || w.visited[id] {
-			return fmt.Errorf("page %d is free and in use", id)
+			return fmt.Errorf("freelist: page %d is out of range, in use, or listed twice", id)
 		}
 		w.visited[id] = true
 	}
--- a/internal/state/bolt/verified.go
+++ b/internal/state/bolt/verified.go
@@ -6,20 +6,22 @@
 	"time"
 )
 
-// minFileAge is the age at which a file's modification time tells it from what may be written next: the file system's clock ticks in steps.
+// minFileAge is the age from which a file is remembered as verified. The file system's clock advances in steps, so a write soon after the last
+// one may leave the modification time unchanged.
 const minFileAge = time.Second
 
-// verifiedFiles are the files that this process has verified. Stores are opened twice a second for a short look, so a file that has not changed
-// since is not verified again.
+// verifiedFiles has the files that this process has verified. A scheduler opens its stores twice a second to look for changes, so a file that
+// has not changed since its verification is not verified again.
 var verifiedFiles fileSet
 
-// fileSet remembers files as they were. It is safe for concurrent use.
+// fileSet remembers the metadata of files. It is safe for concurrent use.
 type fileSet struct {
 	mu    sync.Mutex
 	files map[string]os.FileInfo // by path; guarded by mu
 }
 
-// contains reports whether a file is as it was when it was added. current is nil if there is no such file.
+// contains reports whether a file has the same identity, size and modification time as when it was added. current is nil if the file does not
+// exist.
 func (s *fileSet) contains(path string, current os.FileInfo) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,7 +30,7 @@
 		previous.Size() == current.Size() && previous.ModTime().Equal(current.ModTime())
 }
 
-// add replaces what is remembered of a file. One that was modified lately, or is nil, is not remembered.
+// add replaces the metadata of a file. A file that is younger than minFileAge, or whose info is nil, is not remembered.
 func (s *fileSet) add(path string, info os.FileInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/state/raftstore/raftstore.go
+++ b/internal/state/raftstore/raftstore.go
@@ -1,8 +1,9 @@
-// Package raftstore keeps the Raft state of a voter in a bbolt file that survives crashes: nothing that the voter has answered for is lost,
-// wherever its process is killed. A file that is damaged, of a later version or of another site is refused.
+// Package raftstore keeps the Raft state of a voter in a bbolt file that survives crashes. No state that the voter has
+// acknowledged to others is lost, whenever its process is killed. Open rejects a file that is damaged, has a later format version or belongs to
+// another site.
 //
-// Save and Load are one transaction each; Save returns when it is on the disk. A Store is safe for concurrent use. One process at a time
-// holds the file.
+// Save and Load are one transaction each; Save returns when the transaction is durable. A Store is safe for concurrent use. One process at a
+// time holds the lock of the file.
 package raftstore
 
 import (
@@ -33,7 +34,7 @@
 type Store struct{ db *bbolt.DB }
 
 // Open opens the store in a folder, or creates it for a site. The error wraps bolt.ErrDamaged, bolt.ErrNewer or bolt.ErrLocked if that is the
-// cause. A store of another site counts as damaged.
+// cause. A store that belongs to another site counts as damaged.
 func Open(folder, site string) (*Store, error) {
 	schema := bolt.Schema{
 		Format:  Format,
@@ -42,30 +43,30 @@
 	}
 	db, err := bolt.Open(filepath.Join(folder, "council.db"), schema)
 	if err != nil {
-		return nil, fmt.Errorf("council: %w", err)
+		return nil, fmt.Errorf("raft store: %w", err)
 	}
 	if err := db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(stateBucket).Put(siteKey, []byte(site)) }); err != nil {
-		return nil, fmt.Errorf("council: %w", err)
+		return nil, fmt.Errorf("raft store: %w", err)
 	}
 	return &Store{db}, nil
 }
 
-// checkRecords verifies that the store is of a site and that its log has no gaps.
+// checkRecords verifies that the store belongs to the site and that its log has no gaps.
 func checkRecords(tx *bbolt.Tx, site string) error {
 	if stored := tx.Bucket(stateBucket).Get(siteKey); stored != nil && string(stored) != site {
-		return fmt.Errorf("it is of site %q, not %q", stored, site)
+		return fmt.Errorf("store belongs to site %q, want site %q", stored, site)
 	}
 	last := uint64(0)
 	return tx.Bucket(logBucket).ForEach(func(k, _ []byte) error {
 		if len(k) != 8 || last > 0 && binary.BigEndian.Uint64(k) != last+1 {
-			return fmt.Errorf("entry %x after %d", k, last)
+			return fmt.Errorf("log entry with key %x follows entry %d", k, last)
 		}
 		last = binary.BigEndian.Uint64(k)
 		return nil
 	})
 }
 
-// Load returns all that was saved.
+// Load returns the saved hard state, snapshot and log entries.
 func (s *Store) Load() (saved consensus.PersistedState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		saved.Hard = append([]byte(nil), tx.Bucket(stateBucket).Get(hardKey)...)
@@ -78,8 +79,9 @@
 	return saved, err
 }
 
-// Save writes all of it or nothing, and returns when it is on the disk. The entries replace all that are stored from index from on (0: none);
-// those up to index held, which the snapshot covers, are deleted. A nil hard state or snapshot leaves the stored one unchanged.
+// Save writes its arguments in one transaction and returns when they are durable. The entries replace all stored entries from index from on; a
+// from of 0 replaces none. Entries up to snapshotIndex, which the snapshot covers, are deleted. A nil hard state or snapshot leaves the stored
+// one unchanged.
 func (s *Store) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, snapshotIndex uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if err := putUnlessNil(tx, hardKey, hard); err != nil {
@@ -97,6 +99,7 @@
 	})
 }
 
+// putUnlessNil writes a value of stateBucket, or leaves the stored one if value is nil.
 func putUnlessNil(tx *bbolt.Tx, key, value []byte) error {
 	if value == nil {
 		return nil
@@ -104,7 +107,7 @@
 	return tx.Bucket(stateBucket).Put(key, value)
 }
 
-// replaceEntries deletes the entries from an index on and writes others in their place.
+// replaceEntries deletes the entries from an index on and writes the new entries there.
 func replaceEntries(log *bbolt.Bucket, from uint64, entries [][]byte) error {
 	c := log.Cursor()
 	for k, _ := c.Seek(entryKey(from)); k != nil; k, _ = c.Seek(entryKey(from)) {
--- a/internal/state/raftstore/raftstore_test.go
+++ b/internal/state/raftstore/raftstore_test.go
@@ -14,21 +14,21 @@
 	"ravenpond/internal/state/bolt"
 )
 
-// model is what a store should hold.
+// model is the expected content of a store.
 type model struct {
 	hard, snapshot string
 	first          uint64   // index of the first log entry
 	log            []string // entry first+i
 }
 
-// saveArguments is the arguments of one call of Save.
+// saveArguments has the arguments of one call of Save.
 type saveArguments struct {
 	hard, snapshot      []byte
 	from, snapshotIndex uint64
 	entries             [][]byte
 }
 
-// drawSave draws the n-th save and applies it to the model.
+// drawSave draws the arguments of the n-th call of Save and applies them to the model.
 func (m *model) drawSave(t *rapid.T, n int) (w saveArguments) {
 	if rapid.Bool().Draw(t, "entries") {
 		w.from = m.first + rapid.Uint64Range(0, uint64(len(m.log))).Draw(t, "from")
@@ -46,14 +46,14 @@
 	if rapid.Bool().Draw(t, "snapshot") {
 		m.snapshot = fmt.Sprint("snapshot ", n)
 		w.snapshot = []byte(m.snapshot)
-		w.snapshotIndex = m.first - 1 + rapid.Uint64Range(0, uint64(len(m.log))).Draw(t, "held")
+		w.snapshotIndex = m.first - 1 + rapid.Uint64Range(0, uint64(len(m.log))).Draw(t, "snapshotIndex")
 		m.log = slices.Clone(m.log[w.snapshotIndex+1-m.first:])
 		m.first = w.snapshotIndex + 1
 	}
 	return w
 }
 
-// expectStored compares a store with the model.
+// expectStored checks that a store has the content of the model.
 func (m *model) expectStored(t *rapid.T, s *Store) {
 	got, err := s.Load()
 	var texts []string
@@ -61,11 +61,11 @@
 		texts = append(texts, string(e))
 	}
 	if err != nil || string(got.Hard) != m.hard || string(got.Snapshot) != m.snapshot || !slices.Equal(texts, m.log) {
-		t.Fatalf("%q %q %q, want %q %q %q, %v", got.Hard, got.Snapshot, texts, m.hard, m.snapshot, m.log, err)
+		t.Fatalf("got hard state %q, snapshot %q, entries %q, want %q, %q, %q, error %v", got.Hard, got.Snapshot, texts, m.hard, m.snapshot, m.log, err)
 	}
 }
 
-// TestSave saves at random, with the store closed and opened in between, and compares it with a model.
+// TestSave compares a store with a model after each of a random sequence of saves, some followed by closing and reopening the store.
 func TestSave(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "council")
@@ -78,7 +78,7 @@
 		for n := range rapid.IntRange(1, 12).Draw(t, "saves") {
 			w := m.drawSave(t, n)
 			noError(t, s.Save(w.hard, w.from, w.entries, w.snapshot, w.snapshotIndex))
-			if rapid.Bool().Draw(t, "again") {
+			if rapid.Bool().Draw(t, "reopen") {
 				noError(t, s.Close())
 				s, err = Open(dir, "lab")
 				noError(t, err)
@@ -97,7 +97,7 @@
 	noError(t, s.Save(nil, 2, [][]byte{[]byte("x")}, nil, 0))
 	noError(t, s.Close())
 	if _, err := Open(dir, "another"); err == nil || !strings.Contains(err.Error(), `site "lab"`) {
-		t.Errorf("another site's: %v", err)
+		t.Errorf("Open for another site returned %v, want an error that names site lab", err)
 	}
 	path := filepath.Join(dir, "council.db")
 	text, err := os.ReadFile(path)
@@ -109,11 +109,11 @@
 	}
 	noError(t, os.WriteFile(path, text, 0o600))
 	if _, err := Open(dir, "lab"); !errors.Is(err, bolt.ErrDamaged) {
-		t.Errorf("damaged: %v", err)
+		t.Errorf("Open of a damaged store returned %v, want ErrDamaged", err)
 	}
 }
 
-// noError ends the test if an error has occurred.
+// noError ends the test if err is not nil.
 func noError(t interface {
 	Helper()
 	Fatal(args ...any)
