--- a/internal/state/bolt/bolt_test.go
+++ b/internal/state/bolt/bolt_test.go
@@ -129,7 +129,7 @@
 			}
 			put(bad, c.is)
 			if db, err = Open(path, testSchema); errors.Is(err, ErrDamaged) != c.verifiedAgain {
-				t.Errorf("Open returned error %v, want damage to be detected: %t", err, c.verifiedAgain)
+				t.Error(err)
 			}
 			if err == nil {
 				noError(t, db.Close())
@@ -153,7 +153,7 @@
 		db, err := Open(path, testSchema)
 		if err != nil {
 			if !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) {
-				t.Fatalf("Open returned error %v, want ErrDamaged or ErrNewer", err)
+				t.Fatal(err)
 			}
 			return
 		}
--- a/internal/state/folder_test.go
+++ b/internal/state/folder_test.go
@@ -60,7 +60,7 @@
 	noError(t, f.SaveList(l.Encode()))
 	back, err := f.LoadList()
 	if err != nil || len(back.Entries()) != 1 || back.Entries()[0] != b || back.Version != 6 {
-		t.Errorf("got list %+v, error %v, want version 6 with %+v only", back, err, b)
+		t.Errorf("got list %+v, error %v, want version 6 with node 2 only", back, err)
 	}
 	path := filepath.Join(f.disk.(*directory).path, "nodes")
 	good, _ := os.ReadFile(path)
@@ -113,7 +113,7 @@
 		folder := NewFolder(m)
 		if first, err := folder.NextIncarnation(); err == nil {
 			if second, err := folder.NextIncarnation(); err != nil || second != first+1 {
-				t.Errorf("got incarnation %d, error %v after incarnation %d", second, err, first)
+				t.Errorf("got incarnation %d after %d, error %v, want the next number", second, first, err)
 			}
 		} else if !bytes.Equal(m["life"], incarnation) {
 			t.Error("NextIncarnation overwrote a damaged file")
@@ -139,7 +139,7 @@
 	for _, text := range []string{"a long first one", "short"} {
 		noError(t, f.WriteUnsynced("view.json", []byte(text)))
 		if b, err := os.ReadFile(filepath.Join(path, "view.json")); err != nil || string(b) != text {
-			t.Errorf("got content %q, error %v, want %q", b, err, text)
+			t.Errorf("got content %q, error %v, want the content written last", b, err)
 		}
 	}
 	if _, err := os.Stat(filepath.Join(path, "view.json.new")); !os.IsNotExist(err) {
--- a/internal/state/maintenancestore/calendar.go
+++ b/internal/state/maintenancestore/calendar.go
@@ -20,6 +20,7 @@
 	return c, err
 }
 
+// readCalendar decodes all events into one calendar.
 func readCalendar(tx *bbolt.Tx) (*calendar.Calendar, error) {
 	all := &calendar.Calendar{}
 	err := tx.Bucket(eventBucket).ForEach(func(_, text []byte) error {
@@ -34,7 +35,8 @@
 	return all, err
 }
 
-// AddEvents adds windows and protected times, all or none. One replaces an event of its name. The calendar is checked before and after.
+// AddEvents adds all windows and protected times of c, or none if there is an error. An event replaces the stored event with the same ID. Both c
+// and the resulting calendar are checked.
 func (s *Store) AddEvents(c *calendar.Calendar, now time.Time) error {
 	if err := c.Check(); err != nil {
 		return err
@@ -58,22 +60,23 @@
 	})
 }
 
-// putEvent writes a calendar of one event under its name.
+// putEvent writes a calendar with a single event under the ID of the event.
 func putEvent(tx *bbolt.Tx, id string, event *calendar.Calendar, now time.Time) error {
 	var b bytes.Buffer
 	if err := ics.Encode(&b, event, now); err != nil {
-		return fmt.Errorf("%s: %w", id, err)
+		return fmt.Errorf("encode event %s: %w", id, err)
 	}
 	return tx.Bucket(eventBucket).Put([]byte(id), b.Bytes())
 }
 
-// CancelWindow removes a window from the calendar, or one of its starts if that is given. A drain that was begun goes on until it is closed.
+// CancelWindow removes a window from the calendar, or only one occurrence of it if start is not zero. A drain that was already begun continues
+// until it is closed.
 func (s *Store) CancelWindow(id string, start, now time.Time) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		events := tx.Bucket(eventBucket)
 		text := events.Get([]byte(id))
 		if text == nil {
-			return fmt.Errorf("%q: %w", id, ErrNotFound)
+			return fmt.Errorf("event %q: %w", id, ErrNotFound)
 		}
 		if start.IsZero() {
 			return events.Delete([]byte(id))
@@ -83,7 +86,7 @@
 			return err
 		}
 		if len(c.Windows) != 1 {
-			return fmt.Errorf("%q is a protected time, which has no starts to cancel", id)
+			return fmt.Errorf("event %q is a protected time, of which no single occurrence can be cancelled", id)
 		}
 		c.Windows[0].Exceptions = append(c.Windows[0].Exceptions, start)
 		return putEvent(tx, id, c, now)
--- a/internal/state/maintenancestore/format_test.go
+++ b/internal/state/maintenancestore/format_test.go
@@ -13,7 +13,7 @@
 	"ravenpond/internal/decide/calendar"
 )
 
-// openFormat1Store opens a copy of a store that commit 9c27d6c wrote.
+// openFormat1Store opens a copy of a store in format 1 that commit 9c27d6c wrote.
 func openFormat1Store(t *testing.T) *Store {
 	t.Helper()
 	dir := t.TempDir()
@@ -23,11 +23,11 @@
 	return open(t, dir)
 }
 
-// expectSame compares what two values hold, with times in their zones.
+// expectSame compares the printed forms of two values, which include the time zones of times.
 func expectSame(t *testing.T, name string, got, want any) {
 	t.Helper()
 	if g, w := fmt.Sprintf("%+v", got), fmt.Sprintf("%+v", want); g != w {
-		t.Errorf("%s: %s, want %s", name, g, w)
+		t.Errorf("%s: got %s, want %s", name, g, w)
 	}
 }
 
@@ -73,10 +73,10 @@
 	}
 	expectSame(t, "drains", got, want)
 	if unfinished, err := s.UnfinishedDrains(); err != nil || len(unfinished) != 3 {
-		t.Errorf("%d unfinished drains, %v, want 3", len(unfinished), err)
+		t.Errorf("got %d unfinished drains, error %v, want 3", len(unfinished), err)
 	}
 	if _, isNew, err := s.BeginDrain(want[3].Verdict, start); isNew || err != nil {
-		t.Errorf("a drain of the old store begins again: %t, %v", isNew, err)
+		t.Errorf("beginning a drain that the store has: got isNew %t, error %v, want false", isNew, err)
 	}
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(drainBucket).ForEach(func(k, text []byte) error {
@@ -89,10 +89,10 @@
 				return err
 			}
 			if !bytes.Equal(again, text) {
-				t.Errorf("written again as %s, want %s", again, text)
+				t.Errorf("drain is encoded as %s, want %s", again, text)
 			}
 			if at := drainKey(drain.Verdict.Window, drain.Verdict.ScheduledStart); !bytes.Equal(at, k) {
-				t.Errorf("key %x, want %x", at, k)
+				t.Errorf("got key %x, want %x", at, k)
 			}
 			return nil
 		})
@@ -114,9 +114,9 @@
 		t.Fatal(err)
 	}
 	if *measured != *wantMeasured {
-		t.Errorf("measured %v, want %v", measured.Table(), wantMeasured.Table())
+		t.Errorf("got measured load %v, want %v", measured.Table(), wantMeasured.Table())
 	}
 	if published == nil || *published != *wantPublished {
-		t.Errorf("published %v, want %v", published, wantPublished)
+		t.Errorf("got published load %v, want %v", published, wantPublished)
 	}
 }
--- a/internal/state/maintenancestore/load.go
+++ b/internal/state/maintenancestore/load.go
@@ -8,7 +8,7 @@
 	"ravenpond/internal/decide/calendar"
 )
 
-// Loads returns the load that this process measured, and the one that was published for all schedulers, nil if none was.
+// Loads returns the load that this process measured, and the load that was published for all schedulers, or nil if none was published.
 func (s *Store) Loads() (measured *calendar.Load, published *calendar.Table, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		measured, published, err = readLoads(tx)
@@ -17,6 +17,7 @@
 	return measured, published, err
 }
 
+// readLoads reads both loads. The measured load is empty, not nil, if the store has none.
 func readLoads(tx *bbolt.Tx) (measured *calendar.Load, published *calendar.Table, err error) {
 	measured = &calendar.Load{}
 	bucket := tx.Bucket(loadBucket)
@@ -36,7 +37,7 @@
 	return measured, published, nil
 }
 
-// SaveMeasuredLoad replaces the load that this process measured.
+// SaveMeasuredLoad replaces the stored load that this process measured.
 func (s *Store) SaveMeasuredLoad(l *calendar.Load) error {
 	b, err := l.MarshalBinary()
 	if err != nil {
@@ -45,7 +46,8 @@
 	return s.putLoad(measuredKey, b)
 }
 
-// PublishLoad replaces the load that verdicts rest on. It must be the same at every process, as the calendar is. nil withdraws it.
+// PublishLoad replaces the published load, from which decisions on maintenance windows are made. Like the calendar, it must be the same at
+// every process. A nil table deletes it.
 func (s *Store) PublishLoad(l *calendar.Table) error {
 	if l == nil {
 		return s.putLoad(publishedKey, nil)
--- a/internal/state/maintenancestore/store.go
+++ b/internal/state/maintenancestore/store.go
@@ -1,8 +1,9 @@
-// Package maintenancestore keeps the maintenance calendar, the drains that were begun for its windows, and the load that verdicts rest on, in
-// a bbolt file that survives crashes. A drain that was begun is neither forgotten nor begun twice, wherever the process is killed.
+// Package maintenancestore stores the maintenance calendar, the drains that were begun for its windows, and the load from which decisions on
+// windows are made, in a bbolt file that survives crashes. A drain that was begun is neither lost nor begun twice, whenever the process is
+// killed.
 //
-// Every method is one transaction and returns when it is on the disk. A Store is safe for concurrent use. One process at a time holds the
-// file.
+// Every method is one transaction and returns when it is durable. A Store is safe for concurrent use. One process at a time holds the lock of
+// the file.
 package maintenancestore
 
 import (
@@ -21,22 +22,22 @@
 
 // Errors of the store.
 var (
-	// ErrDamaged means that the file can't be read back.
+	// ErrDamaged means that the file is damaged and can't be read.
 	ErrDamaged = bolt.ErrDamaged
 	// ErrNewer means that a later version of the program wrote the file.
 	ErrNewer = bolt.ErrNewer
-	// ErrLocked means that another process holds the file.
+	// ErrLocked means that another process holds the lock of the file.
 	ErrLocked = bolt.ErrLocked
-	// ErrNotFound means that there is no window, or no drain, of that name.
-	ErrNotFound = errors.New("no such window")
+	// ErrNotFound means that no window or drain has the given name.
+	ErrNotFound = errors.New("maintenance window not found")
 )
 
 const fileMode = 0o640
 
 var (
-	eventBucket = []byte("events") // iCalendar texts by the name of the window or protected time
-	drainBucket = []byte("begun")  // JSON texts by drainKey
-	loadBucket  = []byte("load")   // created when it is needed: stores of earlier versions lack it
+	eventBucket = []byte("events") // iCalendar texts by the ID of the window or protected time
+	drainBucket = []byte("begun")  // drains in JSON by drainKey
+	loadBucket  = []byte("load")   // created at the first write, as stores of earlier versions do not have it
 
 	measuredKey  = []byte("measured")
 	publishedKey = []byte("usual")
@@ -58,12 +59,12 @@
 	schema := bolt.Schema{Format: Format, Buckets: [][]byte{eventBucket, drainBucket}, Check: checkRecords}
 	db, err := bolt.Open(storePath(folder), schema)
 	if err != nil {
-		return nil, fmt.Errorf("drains: %w", err)
+		return nil, fmt.Errorf("maintenance store: %w", err)
 	}
 	return &Store{db}, nil
 }
 
-// checkRecords reads every record.
+// checkRecords reads every record, and returns an error if one is malformed.
 func checkRecords(tx *bbolt.Tx) error {
 	if _, err := readCalendar(tx); err != nil {
 		return err
@@ -78,7 +79,7 @@
 // Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
 
-// CopyTo writes the whole store, as it is at one instant, to a file that Open can read.
+// CopyTo writes a consistent copy of the whole store to a file that Open can read.
 func (s *Store) CopyTo(path string) error {
 	return s.db.View(func(tx *bbolt.Tx) error { return tx.CopyFile(path, fileMode) })
 }
--- a/internal/state/maintenancestore/store_test.go
+++ b/internal/state/maintenancestore/store_test.go
@@ -33,31 +33,31 @@
 	dir := t.TempDir()
 	s := open(t, dir)
 	v := calendar.Verdict{Window: "a", ScheduledStart: start, Nodes: []string{"7"}}
-	if _, fresh, err := s.BeginDrain(v, start); !fresh || err != nil {
-		t.Fatal(fresh, err)
+	if _, isNew, err := s.BeginDrain(v, start); !isNew || err != nil {
+		t.Fatal(isNew, err)
 	}
 	noError(t, s.AdvanceDrain("a", start, Announced, start.Add(time.Second)))
 	noError(t, s.Close())
-	s = open(t, dir) // as after a kill: Close writes nothing
+	s = open(t, dir) // The state is the same as after a killed process, as Close writes nothing.
 	v.Nodes = []string{"7", "8"}
-	b, fresh, err := s.BeginDrain(v, start.Add(time.Minute))
-	if fresh || err != nil || b.Stage != Announced || len(b.Verdict.Nodes) != 1 {
-		t.Errorf("the drain begins twice or has changed: %+v, %t, %v", b, fresh, err)
+	drain, isNew, err := s.BeginDrain(v, start.Add(time.Minute))
+	if isNew || err != nil || drain.Stage != Announced || len(drain.Verdict.Nodes) != 1 {
+		t.Errorf("second BeginDrain: got drain %+v, isNew %t, error %v, want the announced drain of node 7, not new", drain, isNew, err)
 	}
 	noError(t, s.AdvanceDrain("a", start, Opened, start))
 	if all, err := s.UnfinishedDrains(); err != nil || len(all) != 1 || all[0].Stage != Announced {
-		t.Errorf("%+v, %v", all, err)
+		t.Errorf("got unfinished drains %+v, error %v, want one in stage announced", all, err)
 	}
 	if err := s.AdvanceDrain("b", start, Closed, start); !errors.Is(err, ErrNotFound) {
-		t.Errorf("a drain that was never begun: %v", err)
+		t.Errorf("advancing a drain that was never begun: got error %v, want ErrNotFound", err)
 	}
 	noError(t, s.AdvanceDrain("a", start, Closed, start.Add(time.Hour)))
 	if all, _ := s.UnfinishedDrains(); len(all) != 0 {
-		t.Errorf("closed, but unfinished: %+v", all)
+		t.Errorf("got unfinished drains %+v after the drain was closed, want none", all)
 	}
 	noError(t, s.DeleteClosed(start.Add(2*time.Hour)))
 	if all, _ := s.Drains(); len(all) != 0 {
-		t.Errorf("not deleted: %+v", all)
+		t.Errorf("got drains %+v after DeleteClosed, want none", all)
 	}
 }
 
@@ -69,16 +69,16 @@
 	bad := newWindow("c")
 	bad.Duration = 0
 	if err := s.AddEvents(&calendar.Calendar{Windows: []calendar.Window{newWindow("d"), bad}}, start); err == nil {
-		t.Error("a malformed window is accepted")
+		t.Error("AddEvents accepted a window without a duration")
 	}
 	noError(t, s.CancelWindow("a", time.Time{}, start))
 	noError(t, s.CancelWindow("b", start.AddDate(0, 0, 1), start))
 	if err := s.CancelWindow("z", time.Time{}, start); !errors.Is(err, ErrNotFound) {
-		t.Errorf("a window that does not exist: %v", err)
+		t.Errorf("cancelling an unknown window: got error %v, want ErrNotFound", err)
 	}
 	c, err := s.Calendar()
 	if err != nil || len(c.Windows) != 1 || c.Windows[0].ID != "b" || len(c.Windows[0].Exceptions) != 1 {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("got calendar %+v, error %v, want window b only, with one exception", c, err)
 	}
 }
 
@@ -88,7 +88,7 @@
 		damage func(t *testing.T, path string)
 		want   error
 	}{
-		{"held", func(t *testing.T, path string) {
+		{"locked", func(t *testing.T, path string) {
 			t.Helper()
 			db, err := bbolt.Open(path, 0o600, nil)
 			if err != nil {
@@ -100,20 +100,20 @@
 			t.Helper()
 			writeFile(t, path, []byte(strings.Repeat("no store ", 9000)))
 		}, ErrDamaged},
-		{"cut off", func(t *testing.T, path string) {
+		{"truncated", func(t *testing.T, path string) {
 			t.Helper()
 			text, _ := os.ReadFile(path)
 			writeFile(t, path, text[:5000])
 		}, ErrDamaged},
-		{"later version", func(t *testing.T, path string) {
+		{"later format version", func(t *testing.T, path string) {
 			t.Helper()
 			putRecord(t, path, []byte("meta"), []byte("format"), []byte{Format + 1})
 		}, ErrNewer},
-		{"a malformed drain", func(t *testing.T, path string) {
+		{"malformed drain", func(t *testing.T, path string) {
 			t.Helper()
 			putRecord(t, path, drainBucket, []byte("x"), []byte(`{"Stage":9}`))
 		}, ErrDamaged},
-		{"a malformed event", func(t *testing.T, path string) {
+		{"malformed event", func(t *testing.T, path string) {
 			t.Helper()
 			putRecord(t, path, eventBucket, []byte("x"), []byte("y"))
 		}, ErrDamaged},
@@ -127,7 +127,7 @@
 			noError(t, s.Close())
 			c.damage(t, filepath.Join(dir, "drains.db"))
 			if s, err := Open(dir); !errors.Is(err, c.want) {
-				t.Errorf("%v, want %v", err, c.want)
+				t.Errorf("Open returned error %v, want %v", err, c.want)
 				if err == nil {
 					noError(t, s.Close())
 				}
@@ -141,7 +141,7 @@
 	noError(t, os.WriteFile(path, text, 0o600))
 }
 
-// putRecord writes a record past the store.
+// putRecord writes a record directly into the bbolt file.
 func putRecord(t *testing.T, path string, bucket, key, value []byte) {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, nil)
@@ -160,7 +160,7 @@
 	dir := t.TempDir()
 	noError(t, s.CopyTo(filepath.Join(dir, "drains.db")))
 	if c, err := open(t, dir).Calendar(); err != nil || len(c.Windows) != 1 {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("got calendar %+v, error %v from the copy, want one window", c, err)
 	}
 }
 
@@ -169,27 +169,27 @@
 	s := open(t, dir)
 	measured, published, err := s.Loads()
 	if err != nil || published != nil {
-		t.Fatalf("%v, %v in a store that has none", published, err)
+		t.Fatalf("new store: got published load %v, error %v, want none", published, err)
 	}
 	measured.Add(start, 0.5, 0.5)
 	noError(t, errors.Join(s.SaveMeasuredLoad(measured), s.PublishLoad(measured.Table()), s.Close()))
 	s = open(t, dir)
 	again, published, err := s.Loads()
 	if err != nil || *again != *measured || *published != *measured.Table() {
-		t.Errorf("not the same, %v", err)
+		t.Errorf("reopened store has different loads, error %v", err)
 	}
 	noError(t, s.PublishLoad(nil))
 	if _, published, err = s.Loads(); err != nil || published != nil {
-		t.Errorf("still published: %v", err)
+		t.Errorf("got a published load or an error after it was deleted: %v", err)
 	}
 	noError(t, s.Close())
 	putRecord(t, filepath.Join(dir, "drains.db"), loadBucket, measuredKey, []byte("short"))
 	if _, err := Open(dir); !errors.Is(err, ErrDamaged) {
-		t.Errorf("%v, want damaged", err)
+		t.Errorf("Open with a malformed load returned error %v, want ErrDamaged", err)
 	}
 }
 
-// noError ends the test if an error has occurred.
+// noError ends the test if err is not nil.
 func noError(tb testing.TB, err error) {
 	tb.Helper()
 	if err != nil {
--- a/internal/state/tenants/copy_test.go
+++ b/internal/state/tenants/copy_test.go
@@ -11,82 +11,84 @@
 	"ravenpond/internal/state/bolt"
 )
 
-// TestCopy copies a store: the copy has the same tenants, tokens and records, and a removal that was finished there is under way again.
+// TestCopy checks that a copy has the same tenants, tokens and audit records, that the fingerprint changes with each copy, and that a removal
+// which was finished only in the earlier copy is unfinished again.
 func TestCopy(t *testing.T) {
 	from, to := t.TempDir(), filepath.Join(t.TempDir(), "new")
 	s := open(t, from)
 	_, _, _ = s.Apply(now, "me", "", addChange("a"))
-	shown, err := s.IssueToken(now, "me", "a", time.Hour)
+	token, err := s.IssueToken(now, "me", "a", time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := func(do func(c *Store)) {
+	withCopy := func(use func(c *Store)) {
 		c, err := Open(to, 4)
 		if err != nil {
 			t.Fatal(err)
 		}
-		do(c)
+		use(c)
 		noError(t, c.Close())
 	}
-	same := func(c *Store) {
+	expectSame := func(c *Store) {
 		t.Helper()
 		st, err := c.Read()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if who, ok := c.TokenVerifier(st.Tokens)(now, shown); !ok || who != "a" {
-			t.Error("the copy does not have the token")
+		if who, ok := c.TokenVerifier(st.Tokens)(now, token); !ok || who != "a" {
+			t.Error("the copy does not accept the token")
 		}
 		mine, _ := s.Fingerprint()
 		if theirs, _ := c.Fingerprint(); theirs != mine {
-			t.Errorf("fingerprints %x and %x", theirs, mine)
+			t.Errorf("got fingerprint %x for the store and %x for the copy, want equal ones", theirs, mine)
 		}
 		if err := c.Records(0, func(uint64, Record) error { return nil }); err != nil {
 			t.Error(err)
 		}
 	}
 	noError(t, s.CopyTo(to))
-	in(same)
+	withCopy(expectSame)
 	_, _, _ = s.Apply(now, "me", "", tenancy.Change{Kind: tenancy.Remove, Name: "a"})
 	noError(t, s.CopyTo(to))
-	in(func(c *Store) { // its process finishes the removal, then a copy with another change replaces it: as many changes, another state
+	// The process of the copy finishes the removal. Then a copy with the same number of changes but a different state replaces it.
+	withCopy(func(c *Store) {
 		if ok, err := c.FinishRemoval(now, "a"); !ok || err != nil {
 			t.Error(ok, err)
 		}
 	})
 	_, _, _ = s.Apply(now, "me", "", addChange("b"))
 	var before uint64
-	in(func(c *Store) { before, _ = c.Fingerprint() })
+	withCopy(func(c *Store) { before, _ = c.Fingerprint() })
 	noError(t, s.CopyTo(to))
-	in(func(c *Store) {
+	withCopy(func(c *Store) {
 		if after, _ := c.Fingerprint(); after == before {
-			t.Error("the process of the copy would not see the change")
+			t.Error("fingerprint is unchanged after a new copy, so its process would not see the change")
 		}
 		st, _ := c.Read()
 		if a, _ := st.Tenants.Get("a"); a.State != tenancy.Removing {
-			t.Errorf("%v", a.State)
+			t.Errorf("got tenant a in state %v, want removing", a.State)
 		}
 		if _, ok := st.Tenants.Get("b"); !ok {
-			t.Error("the copy does not have b")
+			t.Error("the copy does not have tenant b")
 		}
 	})
 }
 
-// TestCopyRefused checks that only a copy that nobody holds is replaced.
+// TestCopyRefused checks that CopyTo replaces neither a different store, nor a locked copy, nor a store without a key, nor the store itself.
 func TestCopyRefused(t *testing.T) {
 	from := t.TempDir()
 	s := open(t, from)
-	foreign, held, keyless := t.TempDir(), t.TempDir(), t.TempDir()
+	foreign, locked, keyless := t.TempDir(), t.TempDir(), t.TempDir()
 	noError(t, open(t, foreign).Close())
-	noError(t, s.CopyTo(held))
-	open(t, held)
+	noError(t, s.CopyTo(locked))
+	open(t, locked)
 	noError(t, os.WriteFile(storePath(keyless), []byte("something"), 0o600))
 	for _, c := range []struct {
 		name, folder string
 		want         error
-	}{{"another store", foreign, ErrForeign}, {"held", held, bolt.ErrLocked}, {"no key", keyless, ErrForeign}, {"its own", from, nil}} {
+	}{{"different store", foreign, ErrForeign}, {"locked copy", locked, bolt.ErrLocked}, {"store without a key", keyless, ErrForeign}, {"own folder", from, nil}} {
 		if err := s.CopyTo(c.folder); err == nil || c.want != nil && !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: got error %v, want the error of the case, or any if it names none", c.name, err)
 		}
 	}
 }
--- a/internal/state/tenants/open_bench_test.go
+++ b/internal/state/tenants/open_bench_test.go
@@ -11,7 +11,7 @@
 	"ravenpond/internal/decide/tenancy"
 )
 
-// BenchmarkOpen opens a store that has not changed, as a scheduler does twice a second.
+// BenchmarkOpen opens an unchanged store and reads its number of changes, as a scheduler does twice a second.
 func BenchmarkOpen(b *testing.B) {
 	for _, n := range []int{20, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -28,17 +28,17 @@
 	}
 }
 
-// fillStore makes a store of n tenants that was last written a minute ago.
+// fillStore creates a store with n tenants whose file was last modified a minute ago.
 func fillStore(b *testing.B, dir string, n int) {
 	b.Helper()
 	s, err := Open(dir, n)
 	noError(b, err)
 	for i := range n {
-		if _, fault, err := s.Apply(time.Now(), "b", "", tenancy.Change{
+		if _, rejected, err := s.Apply(time.Now(), "b", "", tenancy.Change{
 			Kind: tenancy.Add, Name: fmt.Sprint("t", i),
 			Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1}},
-		}); fault != nil || err != nil {
-			b.Fatal(fault, err)
+		}); rejected != nil || err != nil {
+			b.Fatal(rejected, err)
 		}
 	}
 	noError(b, s.Close())
--- a/internal/state/tenants/records.go
+++ b/internal/state/tenants/records.go
@@ -11,23 +11,24 @@
 	"go.etcd.io/bbolt"
 )
 
-// ChainHead describes the last record.
+// ChainHead describes the end of the chain of audit records.
 type ChainHead struct {
-	Count   uint64 `json:"Count"` // of all records
-	LastMAC []byte `json:"Mac"`   // of the last record
-	MAC     []byte `json:"Sum"`   // of the two fields above, so that records can't be cut off unnoticed
+	Count   uint64 `json:"Count"` // number of records in the chain
+	LastMAC []byte `json:"Mac"`   // MAC of the last record
+	MAC     []byte `json:"Sum"`   // MAC of Count and LastMAC, which detects truncation of the chain
 }
 
-// Record is the record of one change.
+// Record is the audit record of one change.
 type Record struct {
 	At          time.Time       `json:"At"`
 	Actor       string          `json:"By"`
 	Action      string          `json:"What"` // add, limit, pause, resume, remove, finish, issue, revoke
 	Tenant      string          `json:"Whom"`
-	After       json.RawMessage `json:"Now"`    // what the change led to
-	PreviousMAC []byte          `json:"Before"` // of the record before it
+	After       json.RawMessage `json:"Now"`    // the result of the change
+	PreviousMAC []byte          `json:"Before"` // MAC of the previous record
 }
 
+// readHead reads the head of the chain. The head of an empty chain is the zero value.
 func readHead(tx *bbolt.Tx) (head ChainHead, err error) {
 	text := tx.Bucket(headBucket).Get(headKey)
 	if text == nil {
@@ -37,7 +38,7 @@
 	return head, err
 }
 
-// recordKey returns the key of a record by its number, from 1.
+// recordKey returns the key of a record. Numbers of records begin at 1.
 func recordKey(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
 
 func (s *Store) recordMAC(text []byte) []byte { return s.mac(macRecord, text) }
@@ -46,7 +47,7 @@
 	return s.mac(macHead, recordKey(head.Count), head.LastMAC)
 }
 
-// appendRecord adds a record with what the change led to, in the transaction of the change.
+// appendRecord appends a record with the result of a change to the chain, in the transaction of the change.
 func (s *Store) appendRecord(tx *bbolt.Tx, r Record, after any) error {
 	head, err := readHead(tx)
 	if err != nil {
@@ -73,9 +74,9 @@
 	return tx.Bucket(headBucket).Put(headKey, encoded)
 }
 
-// Records calls handle with the records from a number on, in order, and verifies the whole chain. The error wraps ErrTampered if records
-// were edited, removed or cut off. It does not find that the whole store was put back to an earlier state: for this the head must be kept
-// elsewhere.
+// Records calls handle for each record from a number on, in order, and verifies the whole chain. The error wraps ErrTampered if records were
+// edited, removed or truncated. Records does not detect that the whole store was restored to an earlier state; for that, the head would have
+// to be stored elsewhere, too.
 func (s *Store) Records(from uint64, handle func(n uint64, r Record) error) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
 		head, err := readHead(tx)
@@ -106,7 +107,7 @@
 	})
 }
 
-// readRecord decodes a stored record: its MAC and its text. It reports whether they belong together.
+// readRecord decodes a stored record, which is a MAC followed by JSON. ok is false if the MAC does not match or the JSON is malformed.
 func (s *Store) readRecord(value []byte) (r Record, mac []byte, ok bool) {
 	if len(value) < sha256.Size {
 		return r, nil, false
--- a/internal/state/tenants/registry.go
+++ b/internal/state/tenants/registry.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	// responseRetention is how long the response to a request is kept for repetitions of it.
+	// responseRetention is how long the response to a request is kept, so that a repeated request gets the same response.
 	responseRetention = 24 * time.Hour
-	// maxExpiredPerChange is how many responses one change deletes at most.
+	// maxExpiredPerChange is the maximum number of expired responses that one change deletes.
 	maxExpiredPerChange = 16
 )
 
+// readTenants reads all tenants into a registry for at most maxTenants.
 func readTenants(tx *bbolt.Tx, maxTenants int) (*tenancy.Registry, error) {
 	registry := tenancy.New(maxTenants)
 	err := tx.Bucket(tenantBucket).ForEach(func(k, text []byte) error {
@@ -31,7 +32,7 @@
 	return registry, err
 }
 
-// saveTenants writes what has changed in the registry. Tenants whose slots were given to others are no longer in it.
+// saveTenants writes the tenants that have changed, and deletes those that are no longer in the registry because their slots were reused.
 func saveTenants(tx *bbolt.Tx, registry *tenancy.Registry) error {
 	bucket := tx.Bucket(tenantBucket)
 	kept := map[string]bool{}
@@ -50,7 +51,7 @@
 	return deleteMatching(bucket, math.MaxInt, func(k, _ []byte) (bool, error) { return !kept[string(k)], nil })
 }
 
-// deleteMatching deletes the entries of a bucket that match, at most limit of them.
+// deleteMatching deletes at most limit entries of a bucket for which matches returns true.
 func deleteMatching(bucket *bbolt.Bucket, limit int, matches func(k, v []byte) (bool, error)) error {
 	var keys [][]byte
 	c := bucket.Cursor()
@@ -77,9 +78,9 @@
 	Rejected   *tenancy.ChangeError `json:"Fault"`
 }
 
-// Apply carries out a change that an actor requests, and returns the tenant as it is then, or the fault for which the change is refused. A
-// request that was made before, by its ID, changes nothing and gets the same response; with another change it gets ErrRequestReused.
-// Without an ID each request is a new one.
+// Apply applies a change that an actor requests. It returns the resulting tenant, or in rejected the reason why the change was rejected. A
+// request whose ID was used before changes nothing and gets the same response, or ErrRequestReused if its change or its actor differs. A
+// request without an ID is always a new one.
 func (s *Store) Apply(now time.Time, actor, request string, c tenancy.Change) (t tenancy.Tenant, rejected *tenancy.ChangeError, err error) {
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return t, rejected, err
 }
 
-// applyChange applies a change to the registry, and records it unless it is refused or changes nothing.
+// applyChange applies a change to the registry, and appends an audit record unless the change was rejected or had no effect.
 func (s *Store) applyChange(tx *bbolt.Tx, now time.Time, actor string, c tenancy.Change) (tenancy.Tenant, *tenancy.ChangeError, error) {
 	registry, err := readTenants(tx, s.maxTenants)
 	if err != nil {
@@ -123,7 +124,7 @@
 	return t, nil, s.appendRecord(tx, Record{At: now, Actor: actor, Action: c.Kind.String(), Tenant: c.Name}, t)
 }
 
-// findResponse returns the response to a request, nil if there is none.
+// findResponse returns the stored response to a request, or nil if there is none.
 func findResponse(tx *bbolt.Tx, request string) (*response, error) {
 	text := tx.Bucket(requestBucket).Get([]byte(request))
 	if request == "" || text == nil {
@@ -133,7 +134,7 @@
 	return r, json.Unmarshal(text, r)
 }
 
-// saveResponse keeps the response to a request that has an ID, and deletes some that are old enough.
+// saveResponse stores the response to a request unless the request has no ID, and deletes some expired responses.
 func saveResponse(tx *bbolt.Tx, request string, r response) error {
 	if request == "" {
 		return nil
@@ -149,18 +150,19 @@
 	return requests.Put([]byte(request), text)
 }
 
+// expireResponses deletes at most maxExpiredPerChange expired or malformed responses.
 func expireResponses(requests *bbolt.Bucket, now time.Time) error {
 	return deleteMatching(requests, maxExpiredPerChange, func(_, text []byte) (bool, error) { return isExpired(text, now), nil })
 }
 
-// isExpired reports whether a stored response is old enough to be deleted, or malformed.
+// isExpired reports whether a stored response is older than responseRetention or malformed.
 func isExpired(text []byte, now time.Time) bool {
 	var r response
 	return json.Unmarshal(text, &r) != nil || now.Sub(r.At) > responseRetention
 }
 
-// FinishRemoval ends the removal of a tenant of which nothing is left at any process, and deletes its tokens. It returns false if no removal
-// of the tenant is under way.
+// FinishRemoval completes the removal of a tenant that has no work left at any process, and deletes its tokens. It returns false if the tenant
+// is not being removed.
 func (s *Store) FinishRemoval(now time.Time, name string) (ok bool, err error) {
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		registry, err := readTenants(tx, s.maxTenants)
--- a/internal/state/tenants/store.go
+++ b/internal/state/tenants/store.go
@@ -1,11 +1,11 @@
-// Package tenants keeps the tenants of a hosted service, their tokens, the answers to requests, and a record of each change in a bbolt file
-// that survives crashes. A change, its record and the answer to the request that asked for it are on the disk together or not at all.
+// Package tenants stores the tenants of a hosted service, their tokens, the responses to requests, and an audit record of each change in a
+// bbolt file that survives crashes. A change, its record and the response to its request are written in one transaction.
 //
-// Records form a chain: each holds the MAC of the one before it, and the head holds the MAC of the last one, so that edits, gaps and a cut
-// at the end are found. The key of the MACs lies in a file beside the store; tokens are kept as MACs only.
+// Records form a chain: each has the MAC of the previous one, and the head has the MAC of the last one, so that edited, missing and
+// truncated records are detected. The key of the MACs is in a file beside the store. Of tokens only MACs are stored.
 //
-// Every method is one transaction and returns when it is on the disk. A Store is safe for concurrent use. One process at a time holds the
-// file; the processes of a folder open it one after the other.
+// Every method is one transaction and returns when it is durable. A Store is safe for concurrent use. One process at a time holds the lock of
+// the file; processes that use the same folder open it one after the other.
 package tenants
 
 import (
@@ -31,14 +31,14 @@
 // Format is the version of the store's format.
 const Format = 1
 
-// Errors of the store, beside those of package bolt.
+// Errors of the store, in addition to those of package bolt.
 var (
-	// ErrTampered means that records were edited or cut off.
+	// ErrTampered means that audit records were edited, removed or truncated.
 	ErrTampered = errors.New("record of changes was cut or edited")
-	// ErrRequestReused means that a request's ID was used before for another change.
-	ErrRequestReused = errors.New("request was made before with another content")
-	// ErrUnknownToken means that there is no token of that ID.
-	ErrUnknownToken = errors.New("no such token")
+	// ErrRequestReused means that the ID of a request was used before for a different change.
+	ErrRequestReused = errors.New("request ID was used before for a different change")
+	// ErrUnknownToken means that no token has the given ID.
+	ErrUnknownToken = errors.New("token not found")
 )
 
 // Permissions of the folder and its files.
@@ -75,10 +75,10 @@
 	return err == nil
 }
 
-// Open opens the store in a folder, or creates it, for at most maxTenants at once.
+// Open opens the store in a folder, or creates it. maxTenants limits how many tenants may exist at the same time.
 func Open(folder string, maxTenants int) (*Store, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return nil, fmt.Errorf("tenants: %w", err)
+		return nil, fmt.Errorf("tenant store: %w", err)
 	}
 	db, err := bolt.Open(storePath(folder), bolt.Schema{
 		Format:  Format,
@@ -89,16 +89,16 @@
 		},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("tenants: %w", err)
+		return nil, fmt.Errorf("tenant store: %w", err)
 	}
 	key, err := loadKey(keyPath(folder))
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("tenants: %w", err), db.Close())
+		return nil, errors.Join(fmt.Errorf("tenant store: %w", err), db.Close())
 	}
 	return &Store{db, key, maxTenants}, nil
 }
 
-// loadKey reads the key of the MACs, or creates it. The caller holds the store.
+// loadKey reads the key of the MACs, or creates it. The caller holds the lock of the store.
 func loadKey(path string) ([]byte, error) {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -109,7 +109,7 @@
 		return b, renameio.WriteFile(path, b, keyMode)
 	}
 	if err == nil && len(b) != sha256.Size {
-		err = fmt.Errorf("%s: %d bytes, expected %d", path, len(b), sha256.Size)
+		err = fmt.Errorf("key file %s has %d bytes, want %d", path, len(b), sha256.Size)
 	}
 	return b, err
 }
@@ -117,7 +117,7 @@
 // Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
 
-// What a MAC is of: its first part.
+// The first part of the input of a MAC names the kind of the content that it covers.
 var (
 	macRecord  = []byte("record")
 	macHead    = []byte("head")
@@ -125,7 +125,7 @@
 	macToken   = []byte("token")
 )
 
-// mac returns the MAC of parts, each with its length.
+// mac returns the MAC of the parts. The length of each part is included, so that different parts can't have the same input.
 func (s *Store) mac(parts ...[]byte) []byte {
 	m := hmac.New(sha256.New, s.key)
 	for _, p := range parts {
@@ -137,14 +137,14 @@
 	return m.Sum(nil)
 }
 
-// State is what a process needs to know of the store.
+// State is the content of the store that a process uses.
 type State struct {
 	Tenants *tenancy.Registry
 	Tokens  map[string]Token // by ID
-	Changes uint64           // number of records
+	Changes uint64           // number of audit records
 }
 
-// Read returns the whole state.
+// Read returns the tenants, the tokens and the number of changes.
 func (s *Store) Read() (st State, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		if st.Tenants, err = readTenants(tx, s.maxTenants); err != nil {
@@ -167,8 +167,8 @@
 	return st, err
 }
 
-// Fingerprint returns a number that differs from an earlier one if the store has changed since, even if another store with as many changes
-// was put in its place.
+// Fingerprint returns a number that changes whenever the store changes, even if the file is replaced by another store with the same number of
+// changes.
 func (s *Store) Fingerprint() (fingerprint uint64, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		head, err := readHead(tx)
@@ -180,7 +180,7 @@
 	return fingerprint, err
 }
 
-// ChangeCount returns the number of changes so far. It is cheaper than Read.
+// ChangeCount returns the number of audit records. It is cheaper than Read.
 func (s *Store) ChangeCount() (n uint64, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		head, err := readHead(tx)
@@ -190,5 +190,5 @@
 	return n, err
 }
 
-// milliseconds returns a time in ms since 1970, as package tenancy takes it.
+// milliseconds converts a time to milliseconds since 1970, the unit of package tenancy.
 func milliseconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e6 }
--- a/internal/state/tenants/store_test.go
+++ b/internal/state/tenants/store_test.go
@@ -34,43 +34,43 @@
 func TestRequests(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir)
-	first, fault, err := s.Apply(now, "me", "r1", addChange("a"))
-	if fault != nil || err != nil {
-		t.Fatal(fault, err)
+	first, rejected, err := s.Apply(now, "me", "r1", addChange("a"))
+	if rejected != nil || err != nil {
+		t.Fatal(rejected, err)
 	}
 	_, _, _ = s.Apply(now, "me", "", tenancy.Change{Kind: tenancy.Pause, Name: "a"})
 	noError(t, s.Close())
-	s = open(t, dir) // as after a kill: Close writes nothing
-	if again, fault, err := s.Apply(now, "me", "r1", addChange("a")); again != first || fault != nil || err != nil {
-		t.Errorf("requested again: %+v, %v, %v", again, fault, err)
+	s = open(t, dir) // The state is the same as after a killed process, as Close writes nothing.
+	if again, rejected, err := s.Apply(now, "me", "r1", addChange("a")); again != first || rejected != nil || err != nil {
+		t.Errorf("repeated request: got tenant %+v, rejection %v, error %v, want the first response", again, rejected, err)
 	}
 	for name, call := range map[string]func() error{
-		"another content": func() error { _, _, err := s.Apply(now, "me", "r1", addChange("b")); return err },
-		"another person":  func() error { _, _, err := s.Apply(now, "you", "r1", addChange("a")); return err },
+		"different change": func() error { _, _, err := s.Apply(now, "me", "r1", addChange("b")); return err },
+		"different actor":  func() error { _, _, err := s.Apply(now, "you", "r1", addChange("a")); return err },
 	} {
 		if err := call(); !errors.Is(err, ErrRequestReused) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want ErrRequestReused", name, err)
 		}
 	}
-	if _, fault, _ := s.Apply(now, "me", "r2", addChange("a")); fault == nil || fault.Kind != tenancy.Exists {
-		t.Error(fault)
+	if _, rejected, _ := s.Apply(now, "me", "r2", addChange("a")); rejected == nil || rejected.Kind != tenancy.Exists {
+		t.Error(rejected)
 	}
 	if n, _ := s.ChangeCount(); n != 2 {
-		t.Errorf("%d changes, want 2", n)
+		t.Errorf("got %d changes, want 2", n)
 	}
 	if st, err := s.Read(); err != nil || len(st.Tenants.All()) != 1 || st.Tenants.All()[0].State != tenancy.Paused {
-		t.Errorf("%+v, %v", st, err)
+		t.Errorf("got state %+v, error %v, want one paused tenant", st, err)
 	}
 }
 
 func TestTokens(t *testing.T) {
 	s := open(t, t.TempDir())
 	if _, err := s.IssueToken(now, "me", "a", time.Hour); err == nil {
-		t.Error("a token for an unknown tenant")
+		t.Error("IssueToken for an unknown tenant returned no error")
 	}
 	_, _, _ = s.Apply(now, "me", "", addChange("a"))
 	_, _, _ = s.Apply(now, "me", "", addChange("b"))
-	shown, err := s.IssueToken(now, "me", "a", time.Hour)
+	token, err := s.IssueToken(now, "me", "a", time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,31 +78,31 @@
 	st, _ := s.Read()
 	verify := s.TokenVerifier(st.Tokens)
 	for _, c := range []struct {
-		name, shown string
+		name, token string
 		at          time.Time
 		want        string
 	}{
-		{"good", shown, now, "a"},
-		{"expired", shown, now.Add(time.Hour), ""},
-		{"another's secret", shown[:13] + other[13:], now, ""},
-		{"one letter off", shown[:len(shown)-1] + string('A'+(shown[len(shown)-1]-'A'+1)%26), now, ""},
-		{"unknown id", strings.Repeat("A", 12) + shown[12:], now, ""},
-		{"short", shown[:20], now, ""},
+		{"valid", token, now, "a"},
+		{"expired", token, now.Add(time.Hour), ""},
+		{"secret of another token", token[:13] + other[13:], now, ""},
+		{"one wrong character", token[:len(token)-1] + string('A'+(token[len(token)-1]-'A'+1)%26), now, ""},
+		{"unknown ID", strings.Repeat("A", 12) + token[12:], now, ""},
+		{"truncated", token[:20], now, ""},
 		{"empty", "", now, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got, ok := verify(c.at, c.shown); got != c.want || ok != (c.want != "") {
-				t.Errorf("%q, %t", got, ok)
+			if got, ok := verify(c.at, c.token); got != c.want || ok != (c.want != "") {
+				t.Errorf("got tenant %q, valid %t, want the tenant of the case", got, ok)
 			}
 		})
 	}
 	for id := range st.Tokens {
-		if strings.Contains(fmt.Sprintf("%s %+v", id, st.Tokens[id]), shown[13:]) {
-			t.Error("the secret is stored")
+		if strings.Contains(fmt.Sprintf("%s %+v", id, st.Tokens[id]), token[13:]) {
+			t.Error("the store has the secret of the token")
 		}
 	}
-	noError(t, s.RevokeToken(now, "me", shown[:12]))
-	if err := s.RevokeToken(now, "me", shown[:12]); !errors.Is(err, ErrUnknownToken) {
+	noError(t, s.RevokeToken(now, "me", token[:12]))
+	if err := s.RevokeToken(now, "me", token[:12]); !errors.Is(err, ErrUnknownToken) {
 		t.Error(err)
 	}
 	_, _, _ = s.Apply(now, "me", "", tenancy.Change{Kind: tenancy.Remove, Name: "b"})
@@ -110,16 +110,16 @@
 		t.Fatal(ok, err)
 	}
 	if st, _ := s.Read(); len(st.Tokens) != 0 {
-		t.Errorf("%d tokens are left", len(st.Tokens))
+		t.Errorf("got %d tokens after the removal of their tenant, want 0", len(st.Tokens))
 	}
 }
 
-// TestRecords checks that records which were edited, removed or cut off are found.
+// TestRecords checks that edited, removed and truncated audit records are detected.
 func TestRecords(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		damage func(tx *bbolt.Tx) error
-		bad    bool
+		want   bool // whether the damage is detected
 	}{
 		{"unchanged", func(*bbolt.Tx) error { return nil }, false},
 		{"edited", func(tx *bbolt.Tx) error {
@@ -130,24 +130,24 @@
 			k, _ := tx.Bucket(recordBucket).Cursor().First()
 			return tx.Bucket(recordBucket).Delete(k)
 		}, true},
-		{"last cut off", func(tx *bbolt.Tx) error {
+		{"last removed", func(tx *bbolt.Tx) error {
 			k, _ := tx.Bucket(recordBucket).Cursor().Last()
 			return tx.Bucket(recordBucket).Delete(k)
 		}, true},
-		{"head cut off", func(tx *bbolt.Tx) error { return tx.Bucket(headBucket).Delete(headKey) }, true},
+		{"head removed", func(tx *bbolt.Tx) error { return tx.Bucket(headBucket).Delete(headKey) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := open(t, t.TempDir())
 			for i := range 3 {
-				if _, fault, err := s.Apply(now, "me", "", addChange(fmt.Sprint("a", i))); fault != nil || err != nil {
-					t.Fatal(fault, err)
+				if _, rejected, err := s.Apply(now, "me", "", addChange(fmt.Sprint("a", i))); rejected != nil || err != nil {
+					t.Fatal(rejected, err)
 				}
 			}
 			noError(t, s.db.Update(c.damage))
 			n := 0
 			err := s.Records(2, func(uint64, Record) error { n++; return nil })
-			if errors.Is(err, ErrTampered) != c.bad || !c.bad && (err != nil || n != 2) {
-				t.Errorf("%v, %d records", err, n)
+			if errors.Is(err, ErrTampered) != c.want || !c.want && (err != nil || n != 2) {
+				t.Errorf("got error %v, %d records, want 2 records or ErrTampered", err, n)
 			}
 		})
 	}
@@ -158,8 +158,8 @@
 		name   string
 		damage func(dir string) error
 	}{
-		{"a key of another length", func(dir string) error { return os.WriteFile(filepath.Join(dir, "tenants.key"), []byte("x"), 0o600) }},
-		{"a malformed tenant", func(dir string) error {
+		{"key of wrong length", func(dir string) error { return os.WriteFile(filepath.Join(dir, "tenants.key"), []byte("x"), 0o600) }},
+		{"malformed tenant", func(dir string) error {
 			db, err := bbolt.Open(storePath(dir), 0o600, nil)
 			if err != nil {
 				return err
@@ -177,13 +177,13 @@
 			noError(t, c.damage(dir))
 			if s, err := Open(dir, 4); err == nil {
 				noError(t, s.Close())
-				t.Error("opened")
+				t.Error("Open of a damaged store returned no error")
 			}
 		})
 	}
 }
 
-// noError ends the test if an error has occurred.
+// noError ends the test if err is not nil.
 func noError(tb testing.TB, err error) {
 	tb.Helper()
 	if err != nil {
--- a/internal/state/tenants/tokens.go
+++ b/internal/state/tenants/tokens.go
@@ -15,7 +15,7 @@
 	"ravenpond/internal/decide/tenancy"
 )
 
-// Sizes of a token's parts, in bytes and in characters of base64. A token is its ID, a dot and its secret.
+// Sizes of the parts of a token, in bytes and in base64 characters. A token consists of its ID, a dot and its secret.
 const (
 	tokenIDBytes     = 9
 	tokenSecretBytes = 24
@@ -24,7 +24,8 @@
 	tokenSecretChars = tokenSecretBytes * 4 / 3
 )
 
-// Token is what is kept of a token that a tenant's programs show to the client listener. Of its secret only a MAC is kept.
+// Token is the stored form of a token, with which the programs of a tenant authenticate at the client listener. The secret is stored only as a
+// MAC.
 type Token struct {
 	Tenant  string    `json:"Tenant"`
 	MAC     []byte    `json:"Code"`
@@ -35,8 +36,8 @@
 	return s.mac(macToken, []byte(id), []byte(secret))
 }
 
-// IssueToken creates a token for a tenant and returns it. It can't be read again. The error is a tenancy.ChangeError if there is no such
-// tenant, or it is being removed.
+// IssueToken creates a token for a tenant and returns it. The token can't be read from the store later, as its secret is not stored. The error
+// is a *tenancy.ChangeError if the tenant does not exist, is being removed or was removed.
 func (s *Store) IssueToken(now time.Time, actor, tenant string, lifetime time.Duration) (token string, err error) {
 	b := make([]byte, tokenIDBytes+tokenSecretBytes)
 	if _, err := rand.Read(b); err != nil {
@@ -66,13 +67,13 @@
 	return id + "." + secret, err
 }
 
-// RevokeToken deletes a token by its ID. The error wraps ErrUnknownToken if there is none.
+// RevokeToken deletes the token with an ID. The error wraps ErrUnknownToken if there is none.
 func (s *Store) RevokeToken(now time.Time, actor, id string) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(tokenBucket)
 		text := bucket.Get([]byte(id))
 		if text == nil {
-			return fmt.Errorf("%.40q: %w", id, ErrUnknownToken)
+			return fmt.Errorf("token ID %.40q: %w", id, ErrUnknownToken)
 		}
 		var token Token
 		if err := json.Unmarshal(text, &token); err != nil {
@@ -94,8 +95,8 @@
 	})
 }
 
-// TokenVerifier returns a function that verifies tokens against those that Read returned, and tells whose they are. It takes the same time
-// for an unknown ID as for a wrong secret. The function remains valid after the store is closed.
+// TokenVerifier returns a function that verifies a token against the tokens that Read returned, and returns the tenant of a valid one. It takes
+// the same time for an unknown ID as for a wrong secret. The function remains valid after the store is closed.
 func (s *Store) TokenVerifier(known map[string]Token) func(now time.Time, token string) (tenant string, ok bool) {
 	verifier := &Store{key: append([]byte(nil), s.key...)}
 	return func(now time.Time, token string) (string, bool) {
@@ -115,6 +116,7 @@
 	}
 }
 
+// splitToken splits a token into its ID and its secret. ok is false if its length or its separator is wrong.
 func splitToken(token string) (id, secret string, ok bool) {
 	if len(token) != tokenIDChars+1+tokenSecretChars || token[tokenIDChars] != '.' {
 		return "", "", false
