--- a/internal/state/bolt/bolt_test.go
+++ b/internal/state/bolt/bolt_test.go
@@ -99,7 +99,7 @@
 		name          string
 		was, is       time.Time // modification times of the valid and of the damaged content
 		longer        bool      // whether the damaged content is longer
-		another       bool      // whether the damaged content is in a new file of the same name
+		newFile       bool      // whether the damaged content is in a new file of the same name
 		verifiedAgain bool
 	}{
 		{"same modification time", now.Add(-time.Minute), now.Add(-time.Minute), false, false, false},
@@ -124,7 +124,7 @@
 			if c.longer {
 				bad = append(bad, make([]byte, 4096)...)
 			}
-			if c.another {
+			if c.newFile {
 				noError(t, os.Rename(path, path+".old"))
 			}
 			put(bad, c.is)
--- a/internal/state/bolt/pages.go
+++ b/internal/state/bolt/pages.go
@@ -16,20 +16,20 @@
 	bboltMagic   = 0xED0CDAED
 	bboltVersion = 2
 
-	headerSize  = 16 // bytes, of the header of a page and of an element
-	metaSize    = 64
-	minPageSize = 512
-	maxPageSize = 1 << 24
+	headerSize  = 16      // bytes, of the header of a page and of an element
+	metaSize    = 64      // bytes
+	minPageSize = 512     // bytes
+	maxPageSize = 1 << 24 // bytes
 
 	branchPageFlag    = 0x01
 	leafPageFlag      = 0x02
 	freelistPageFlag  = 0x10
 	bucketElementFlag = 0x01 // flag of an element of a leaf page whose value is a bucket
 
-	firstDataPage = 2 // number of the first page after the two meta pages
-	noFreelist    = ^uint64(0)
-	countOverflow = 0xFFFF // the number of free pages is the first number of the list instead
-	maxDepth      = 64     // limit on nested buckets and on levels of their trees together
+	firstDataPage = 2          // number of the first page after the two meta pages
+	noFreelist    = ^uint64(0) // page number of the freelist in a meta page if the file has no freelist
+	countOverflow = 0xFFFF     // the number of free pages is the first number of the list instead
+	maxDepth      = 64         // limit on nested buckets and on levels of their trees together
 )
 
 var littleEndian = binary.LittleEndian
@@ -39,7 +39,7 @@
 	pageSize, root, freelist, highWaterMark, txID uint64
 }
 
-// parseMeta decodes a meta page. ok is false if the page is truncated, its checksum is wrong, or its magic number or version is another one.
+// parseMeta decodes a meta page. ok is false if the page is truncated, its checksum is wrong, or its magic number or format version is not that of bbolt.
 func parseMeta(b []byte) (page metaPage, ok bool) {
 	if len(b) < headerSize+metaSize {
 		return page, false
--- a/internal/state/maintenancestore/store.go
+++ b/internal/state/maintenancestore/store.go
@@ -29,7 +29,7 @@
 	// ErrLocked means that another process holds the lock of the file.
 	ErrLocked = bolt.ErrLocked
 	// ErrNotFound means that no window or drain has the given name.
-	ErrNotFound = errors.New("maintenance window not found")
+	ErrNotFound = errors.New("maintenance window or drain not found")
 )
 
 const fileMode = 0o640
--- a/internal/state/raftstore/raftstore_test.go
+++ b/internal/state/raftstore/raftstore_test.go
@@ -100,14 +100,14 @@
 		t.Errorf("Open for another site returned %v, want an error that names site lab", err)
 	}
 	path := filepath.Join(dir, "council.db")
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := 4096; i < len(text); i += 7 {
-		text[i] ^= 0x55
+	for i := 4096; i < len(content); i += 7 {
+		content[i] ^= 0x55
 	}
-	noError(t, os.WriteFile(path, text, 0o600))
+	noError(t, os.WriteFile(path, content, 0o600))
 	if _, err := Open(dir, "lab"); !errors.Is(err, bolt.ErrDamaged) {
 		t.Errorf("Open of a damaged store returned %v, want ErrDamaged", err)
 	}
--- a/internal/state/tenants/copy_test.go
+++ b/internal/state/tenants/copy_test.go
@@ -35,12 +35,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if who, ok := c.TokenVerifier(st.Tokens)(now, token); !ok || who != "a" {
+		if tenant, ok := c.TokenVerifier(st.Tokens)(now, token); !ok || tenant != "a" {
 			t.Error("the copy does not accept the token")
 		}
-		mine, _ := s.Fingerprint()
-		if theirs, _ := c.Fingerprint(); theirs != mine {
-			t.Errorf("got fingerprint %x for the store and %x for the copy, want equal ones", theirs, mine)
+		want, _ := s.Fingerprint()
+		if got, _ := c.Fingerprint(); got != want {
+			t.Errorf("got fingerprint %x of the copy, want %x as in the store", got, want)
 		}
 		if err := c.Records(0, func(uint64, Record) error { return nil }); err != nil {
 			t.Error(err)
@@ -78,15 +78,15 @@
 func TestCopyRefused(t *testing.T) {
 	from := t.TempDir()
 	s := open(t, from)
-	foreign, locked, keyless := t.TempDir(), t.TempDir(), t.TempDir()
+	foreign, locked, withoutKey := t.TempDir(), t.TempDir(), t.TempDir()
 	noError(t, open(t, foreign).Close())
 	noError(t, s.CopyTo(locked))
 	open(t, locked)
-	noError(t, os.WriteFile(storePath(keyless), []byte("something"), 0o600))
+	noError(t, os.WriteFile(storePath(withoutKey), []byte("something"), 0o600))
 	for _, c := range []struct {
 		name, folder string
 		want         error
-	}{{"different store", foreign, ErrForeign}, {"locked copy", locked, bolt.ErrLocked}, {"store without a key", keyless, ErrForeign}, {"own folder", from, nil}} {
+	}{{"different store", foreign, ErrForeign}, {"locked copy", locked, bolt.ErrLocked}, {"store without a key", withoutKey, ErrForeign}, {"own folder", from, nil}} {
 		if err := s.CopyTo(c.folder); err == nil || c.want != nil && !errors.Is(err, c.want) {
 			t.Errorf("%s: got error %v, want the error of the case, or any if it names none", c.name, err)
 		}
