--- a/internal/state/maintenancestore/format_test.go
+++ b/internal/state/maintenancestore/format_test.go
@@ -13,8 +13,8 @@
 	"ravenpond/internal/decide/calendar"
 )
 
-// format1 opens a copy of a store that commit 9c27d6c wrote.
-func format1(t *testing.T) *Store {
+// openFormat1Store opens a copy of a store in format 1 that commit 9c27d6c wrote.
+func openFormat1Store(t *testing.T) *Store {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/format1")); err != nil {
@@ -23,11 +23,11 @@
 	return open(t, dir)
 }
 
-// expectSame compares what two values hold, with times in their zones.
-func expectSame(t *testing.T, what string, got, want any) {
+// expectSame compares the printed forms of two values, which include the time zones of times.
+func expectSame(t *testing.T, name string, got, want any) {
 	t.Helper()
 	if g, w := fmt.Sprintf("%+v", got), fmt.Sprintf("%+v", want); g != w {
-		t.Errorf("%s: %s, want %s", what, g, w)
+		t.Errorf("%s: got %s, want %s", name, g, w)
 	}
 }
 
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := format1(t).Calendar()
+	got, err := openFormat1Store(t).Calendar()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 }
 
 func TestFormat1Drains(t *testing.T) {
-	s := format1(t)
+	s := openFormat1Store(t)
 	var want []Drain
 	for i, stage := range []Stage{Opened, Announced, Emptied, Closed} {
 		at := start.AddDate(0, 0, i)
@@ -73,10 +73,10 @@
 	}
 	expectSame(t, "drains", got, want)
 	if unfinished, err := s.UnfinishedDrains(); err != nil || len(unfinished) != 3 {
-		t.Errorf("%d unfinished drains, %v, want 3", len(unfinished), err)
+		t.Errorf("got %d unfinished drains, error %v, want 3", len(unfinished), err)
 	}
 	if _, isNew, err := s.BeginDrain(want[3].Verdict, start); isNew || err != nil {
-		t.Errorf("a drain of the old store begins again: %t, %v", isNew, err)
+		t.Errorf("beginning a drain that the store has: got isNew %t, error %v, want false", isNew, err)
 	}
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(drainBucket).ForEach(func(k, text []byte) error {
@@ -89,10 +89,10 @@
 				return err
 			}
 			if !bytes.Equal(again, text) {
-				t.Errorf("written again as %s, want %s", again, text)
+				t.Errorf("drain is encoded as %s, want %s", again, text)
 			}
 			if at := drainKey(drain.Verdict.Window, drain.Verdict.ScheduledStart); !bytes.Equal(at, k) {
-				t.Errorf("key %x, want %x", at, k)
+				t.Errorf("got key %x, want %x", at, k)
 			}
 			return nil
 		})
@@ -109,14 +109,14 @@
 	}
 	wantPublished := wantMeasured.Table()
 	wantPublished[5] = [2]float64{0.25, 0.125}
-	measured, published, err := format1(t).Loads()
+	measured, published, err := openFormat1Store(t).Loads()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if *measured != *wantMeasured {
-		t.Errorf("measured %v, want %v", measured.Table(), wantMeasured.Table())
+		t.Errorf("got measured load %v, want %v", measured.Table(), wantMeasured.Table())
 	}
 	if published == nil || *published != *wantPublished {
-		t.Errorf("published %v, want %v", published, wantPublished)
+		t.Errorf("got published load %v, want %v", published, wantPublished)
 	}
 }
