--- a/internal/lab/agenda/agenda.go
+++ b/internal/lab/agenda/agenda.go
@@ -1,4 +1,5 @@
-// Package agenda keeps what is to happen on a virtual clock, in order of time and, at one time, of having been added.
+// Package agenda is the event queue of a virtual clock. Events come out in order of time; events of the same time come out in the order in
+// which they were added.
 package agenda
 
 import "container/heap"
@@ -25,19 +26,19 @@
 	return x
 }
 
-// Queue is what is to happen; its zero value is empty.
+// Queue is a priority queue of future events. Its zero value is an empty queue.
 type Queue[T any] struct {
 	entries entries[T]
 	added   uint64
 }
 
-// Add adds something at a time.
+// Add schedules an item for a time.
 func (a *Queue[T]) Add(at float64, what T) {
 	a.added++
 	heap.Push(&a.entries, entry[T]{at, a.added, what})
 }
 
-// Next takes out what happens first, if it does by a time.
+// Next removes and returns the earliest item if it is due at the given time or before it.
 func (a *Queue[T]) Next(by float64) (at float64, what T, ok bool) {
 	if len(a.entries) == 0 || a.entries[0].at > by {
 		return 0, what, false
--- a/internal/lab/seeds/seeds.go
+++ b/internal/lab/seeds/seeds.go
@@ -1,4 +1,4 @@
-// Package seeds plays seeds on several cores.
+// Package seeds runs a simulation for a range of seeds on several cores.
 package seeds
 
 import (
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// Run plays the seeds from a to b, the latter left out, so many at a time, until the context ends. What came of them is in
-// their order; of those that were not played it is the zero value.
+// Run calls play for each seed from a to b, b excluded, on the given number of workers until the context ends. The results are in the order
+// of the seeds; a seed that was not run has the zero value.
 func Run[T any](ctx context.Context, a, b uint64, workers int, play func(seed uint64) T) []T {
 	all := make([]T, b-a)
 	var next atomic.Uint64
--- a/internal/lab/sim/checks.go
+++ b/internal/lab/sim/checks.go
@@ -10,10 +10,10 @@
 	"ravenpond/internal/standin"
 )
 
-// resumeTime is how long after a pause a scheduler reads what arrived during it, ms.
+// resumeTime is the time in ms after a pause in which a scheduler reads the messages that arrived during it.
 const resumeTime = 1000
 
-// checkInvariants checks the program's own invariants, and tenants' limits.
+// checkInvariants checks the invariants of the program's own state and the limits of tenants.
 func (e *environment) checkInvariants() {
 	if e.simulation.CountViolations {
 		return
@@ -29,8 +29,8 @@
 	}
 }
 
-// checkFinalState checks, when all has settled, that each request was answered, and that nodes hold no attempt that its scheduler does not
-// know.
+// checkFinalState runs after the settle time. It checks that each request was answered and that no node holds an attempt that its scheduler
+// does not know.
 func (e *environment) checkFinalState() {
 	if violations := e.auditor.Finish(); len(violations) > 0 {
 		e.fail(int(violations[0].Rule), violations[0].String())
@@ -49,16 +49,16 @@
 	}
 }
 
-// checkHeld checks that a scheduler knows what a node holds for one of its names.
+// checkHeld checks that a scheduler knows each attempt that a node holds under one of the scheduler's names.
 func (e *environment) checkHeld(n *standin.Node, s *scheduler, name string) {
 	for _, held := range n.Machine.Held(e.clock.now, name) {
 		if !s.process.dead && !s.server.KnowsAttempt(engine.AttemptID{Ticket: held.ID.Ticket, Number: held.ID.Attempt}) {
-			e.fail(0, fmt.Sprintf("node %d holds try %x.%d of %x for %s, which does not know it", n.ID, held.ID.Ticket, held.ID.Attempt, held.Token, name))
+			e.fail(0, fmt.Sprintf("node %d holds attempt %x.%d of task %x for scheduler %s, which does not know it", n.ID, held.ID.Ticket, held.ID.Attempt, held.Token, name))
 		}
 	}
 }
 
-// connections returns the connections between two hosts, as the first has them.
+// connections returns the first host's ends of its connections to the second.
 func (e *environment) connections(a, b string) (conns []*conn) {
 	if p := e.hosts[a]; p != nil {
 		for _, c := range p.conns {
@@ -70,7 +70,7 @@
 	return conns
 }
 
-// node returns the node of a name in a script, nil if it is no node's.
+// node returns the node that a script calls by this name, or nil if the name is not that of a node.
 func (e *environment) node(name string) *standin.Node {
 	i, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
 	if err != nil || i < 1 || i > len(e.nodes) {
--- a/internal/lab/sim/clock.go
+++ b/internal/lab/sim/clock.go
@@ -1,15 +1,15 @@
-// Package sim runs the program's own code, from connections to the engine, on one goroutine with a virtual clock, network and disks, and
-// injects faults that are drawn from a seed.
+// Package sim is a deterministic simulator. It runs the program's own code, from connections to the engine, on one goroutine with a virtual
+// clock, network and disks, and injects faults that are drawn from a seed.
 //
-// Input is a Script: a cluster, its load, and faults with their times. Simulation.Run plays it and returns a Result: the first rule or
-// invariant that broke, counts, and a hash over all that passed. The same script gives the same trace, whatever the machine.
+// Its input is a Script: a cluster, its load, and faults with their times. Simulation.Run runs it and returns a Result: the first rule or
+// invariant that was violated, counts, and a hash over the trace of all events. The same script gives the same trace on every machine.
 //
-// Clock holds the true time and all events to come. Processes run on it as if each had a machine of its own: Process implements
-// env.Environment. Other packages of the laboratory build their own clusters from Clock and Process.
+// Clock holds the true time and all future events. Processes run on it as if each had a machine of its own: Process implements
+// env.Environment. Other packages in internal/lab build their own clusters from Clock and Process.
 //
-// Concurrency: one clock, with all its processes, belongs to one goroutine; nothing is locked. RunSeeds plays many scripts at once, each on
-// a clock of its own. Errors of scripts are returned by Parse and Script.Check; what breaks in a run is Result.Failure, and a panic of the
-// program is such a failure.
+// Concurrency: a clock and all its processes belong to one goroutine, and nothing is locked. Batch.Run runs many scripts at once, each on
+// a clock of its own. Parse and Script.Check return the errors of scripts; Result.Failure describes a failure during a run, and a panic of
+// the program is such a failure.
 package sim
 
 import (
@@ -22,24 +22,24 @@
 	"ravenpond/internal/lab/agenda"
 )
 
-// event is something that happens to an incarnation of a process, or to the network.
+// event is a callback that runs in an incarnation of a process, or in the network.
 type event struct {
-	process     *Process // nil: no process
+	process     *Process // nil for an event of the network or the simulation
 	incarnation int
 	run         func()
 }
 
-// Clock is the true time, in ms, and all events to come, with the network that links processes.
+// Clock holds the true time in ms, all future events, and the network between processes.
 type Clock struct {
 	rng           *rand.Rand
 	now           float64 // ms
 	events        agenda.Queue[event]
-	steps         uint64 // events that ran code of a process
+	steps         uint64 // number of events that ran code of a process
 	trace         xxhash.Digest
-	traceOut      io.Writer // gets the trace as text, unless it is nil
+	traceOut      io.Writer // receives the trace as text, unless it is nil
 	processes     []*Process
 	listeners     map[string]*listener
-	links         map[[2]string]*link // by the names of both hosts, in order
+	links         map[[2]string]*link // by the names of both hosts, in alphabetical order
 	packetConns   map[string]*packetConn
 	datagramLinks map[[2]string]*DatagramLink
 }
@@ -54,10 +54,10 @@
 	return c
 }
 
-// TrueTime is the true time, in ms.
+// TrueTime returns the true time in ms.
 func (c *Clock) TrueTime() float64 { return c.now }
 
-// At calls f at a true time in ms, whatever becomes of any process.
+// At calls f at a true time in ms. The call does not depend on any process being alive.
 func (c *Clock) At(ms float64, f func()) { c.schedule(nil, ms, f) }
 
 // RunUntil runs all events before a true time in ms.
@@ -66,8 +66,8 @@
 	}
 }
 
-// schedule has an event happen at a time in ms, or now if that is past. It is dropped if the process is not in its present incarnation by
-// then.
+// schedule adds an event at a time in ms, or now if that time has passed. The event is dropped if the process is no longer in its present
+// incarnation by then.
 func (c *Clock) schedule(p *Process, when float64, run func()) {
 	e := event{process: p, run: run}
 	if p != nil {
@@ -76,7 +76,7 @@
 	c.events.Add(max(when, c.now), e)
 }
 
-// step runs the next event, if there is one before a time. It reports whether there was.
+// step runs the next event if it is due by the given time. It reports whether there was one.
 func (c *Clock) step(until float64) bool {
 	at, e, ok := c.events.Next(until)
 	if !ok {
@@ -99,7 +99,7 @@
 	return true
 }
 
-// tracef adds a line to the trace. What can't be written as text is lost; the hash holds it all the same.
+// tracef adds a line to the trace. Errors of the text output are ignored, as the hash includes the line in any case.
 func (c *Clock) tracef(format string, args ...any) {
 	_, _ = fmt.Fprintf(&c.trace, "%.6f ", c.now)
 	_, _ = fmt.Fprintf(&c.trace, format, args...)
--- a/internal/lab/sim/conn.go
+++ b/internal/lab/sim/conn.go
@@ -8,20 +8,20 @@
 
 // Sizes in bytes.
 const (
-	sendWindow           = 16 << 10 // that may be on their way
+	sendWindow           = 16 << 10 // most bytes in flight on a connection
 	maxSegment           = 1460
-	readChunk            = 4096     // that a reader takes at a time
-	synchronousReadChunk = 16 << 10 // where writes are synchronous
+	readChunk            = 4096     // most bytes of one read
+	synchronousReadChunk = 16 << 10 // most bytes of one read where writes are synchronous
 )
 
 // Times in ms.
 const (
-	maxWriterDelay  = 0.05 // until a writer hands over what was queued
-	retryInterval   = 200  // between two tries on a link that is cut
-	farewellTimeout = 50   // for the last message of a connection that was closed
+	maxWriterDelay  = 0.05 // until a writer hands queued bytes to the network
+	retryInterval   = 200  // between two attempts to pass data on a link that is cut
+	farewellTimeout = 50   // within which a closed connection may still send its last message
 )
 
-// fullSegments is of how many segments one is shorter than it could be.
+// fullSegments is N where one segment in N has a random size; the others are as long as they can be.
 const fullSegments = 4
 
 // conn is one end of a connection. It implements env.Conn.
@@ -31,32 +31,32 @@
 	link    *link
 	handler env.ConnHandler // nil until Start
 
-	outgoing        []byte // not handed over yet
-	farewell        []byte // sent last, and not counted in sent
-	sent            uint64 // bytes ever queued
+	outgoing        []byte // queued and not handed to the network yet
+	farewell        []byte // last message of a closed connection, not counted in sent
+	sent            uint64 // bytes queued since the connection was opened
 	handedOver      uint64 // bytes handed to the network
-	handedOverKnown uint64 // of those, what the process knows of
+	handedOverKnown uint64 // the part of handedOver that the process has been told of
 	inFlight        int    // bytes handed over that the other end has not read
 	lastArrival     float64
 	pumping         bool
 	writeTimeout    float64
-	lastProgress    float64 // when something was last handed over, ms
+	lastProgress    float64 // time in ms when bytes were last handed to the network
 
-	ended        bool // closed by its own process, or by the network
+	ended        bool // closed by its own process or by the network
 	endReason    error
-	closed       bool // nothing passes any more
-	remoteClosed bool // the other end's close has arrived, though what it sent before may be unread
-	halfOpen     bool // the other end is gone and this one was not told
+	closed       bool // no data passes any more
+	remoteClosed bool // the other end's close has arrived; data that it sent before may be unread
+	halfOpen     bool // the other end no longer exists, and this one was not notified
 	stalledUntil float64
-	beforeStart  []func() // what arrived before Start
+	beforeStart  []func() // events that arrived before Start
 
-	// Where code takes time: what arrived and was not read, and whether a read is scheduled.
+	// Used where code takes time: the bytes that arrived and were not read, and whether a read is scheduled.
 	unread        []byte
 	reading       bool
 	deliveryWaits []deliveryWait
 }
 
-// deliveryWait is a call for when the other end has read so many bytes.
+// deliveryWait is a callback that runs once the other end has read a number of bytes.
 type deliveryWait struct {
 	upTo uint64
 	call func()
@@ -100,7 +100,7 @@
 	return c.sent, len(c.outgoing), true
 }
 
-// Delivered returns how many of the bytes that were sent the other end has read.
+// Delivered returns how many of the sent bytes the other end has read.
 func (c *conn) Delivered() uint64 { return c.handedOver - uint64(c.inFlight) }
 
 // HandedOver implements env.Conn.
@@ -135,7 +135,8 @@
 	clock.schedule(c.process, clock.now+farewellTimeout, c.finish)
 }
 
-// updateHandedOver lets the process know what was handed over: a writer of its own tells it in its turn.
+// updateHandedOver tells the process how many bytes were handed to the network. If the process has a separate writer, the writer does so in
+// an event of its own.
 func (c *conn) updateHandedOver() {
 	if c.process.cpu == nil || c.process.SynchronousWrites {
 		c.handedOverKnown = c.handedOver
@@ -145,7 +146,7 @@
 	clock.schedule(c.process, clock.now, func() { c.handedOverKnown = c.handedOver })
 }
 
-// pump has a writer hand over what is queued in a moment.
+// pump schedules the writer, which hands queued bytes to the network after a short random delay.
 func (c *conn) pump() {
 	if c.pumping || c.closed {
 		return
@@ -154,7 +155,7 @@
 	clock := c.process.clock
 	writer := c.process
 	if writer.cpu == nil || writer.SynchronousWrites {
-		writer = nil // the network's own work
+		writer = nil // the network does the work
 	}
 	clock.schedule(writer, clock.now+maxWriterDelay*clock.rng.Float64(), func() {
 		c.pumping = false
@@ -167,14 +168,14 @@
 	})
 }
 
-// transmit hands over what is queued, then the last message of a connection that was closed. What is left is tried again, until the write
-// time-out.
+// transmit hands queued bytes to the network, then the last message of a connection that was closed. It retries the remaining bytes until
+// the write time-out.
 func (c *conn) transmit() {
 	clock := c.process.clock
 	if c.closed {
 		return
 	}
-	if c.halfOpen && len(c.outgoing)+len(c.farewell) > 0 { // the other host knows of no such connection, and says so
+	if c.halfOpen && len(c.outgoing)+len(c.farewell) > 0 { // the other host does not know the connection and answers with a reset
 		clock.schedule(c.process, clock.now+clock.delay(c.link), func() { c.close(errReset) })
 		return
 	}
@@ -194,7 +195,7 @@
 	}
 }
 
-// sendSegments hands queued bytes to the network in segments of any size, as far as the window allows.
+// sendSegments hands queued bytes to the network in segments of varying size, as far as the send window allows.
 func (c *conn) sendSegments() {
 	clock := c.process.clock
 	for len(c.outgoing) > 0 && c.inFlight < sendWindow && !c.link.cut {
@@ -211,7 +212,7 @@
 	}
 }
 
-// carry brings a segment to the other end, after all that was sent before it.
+// carry schedules the arrival of a segment at the other end, after all segments that were sent before it.
 func (c *conn) carry(segment []byte) {
 	clock, remote := c.process.clock, c.remote
 	c.inFlight += len(segment)
@@ -219,7 +220,7 @@
 	clock.schedule(nil, c.lastArrival, func() { remote.arrive(segment) })
 }
 
-// arrive takes a segment at this end; on a link that is cut, or where nothing is read, it waits.
+// arrive accepts a segment at this end. While the link is cut or this end is stalled, the segment waits.
 func (c *conn) arrive(segment []byte) {
 	clock := c.process.clock
 	if c.closed {
@@ -229,7 +230,7 @@
 		clock.schedule(nil, max(clock.now+retryInterval, c.stalledUntil), func() { c.arrive(segment) })
 		return
 	}
-	if c.process.cpu != nil { // what waits to be read is read together
+	if c.process.cpu != nil { // one read takes all segments that wait
 		if c.unread = append(c.unread, segment...); !c.reading {
 			c.reading = true
 			c.dispatch(c.read)
@@ -239,7 +240,7 @@
 	c.dispatch(func() { c.deliver(segment) })
 }
 
-// read takes all that arrived, a chunk at a time.
+// read reads all bytes that have arrived, a chunk at a time.
 func (c *conn) read() {
 	unread := c.unread
 	c.unread, c.reading = nil, false
@@ -264,7 +265,7 @@
 	}
 }
 
-// dispatch calls f as an event of this end's process, once the connection was started.
+// dispatch calls f as an event of this end's process once the connection is started.
 func (c *conn) dispatch(f func()) {
 	clock := c.process.clock
 	clock.schedule(c.process, clock.now, func() {
@@ -278,7 +279,7 @@
 	})
 }
 
-// finish closes this end after its last message, and tells the other.
+// finish closes this end after its last message and notifies the other end.
 func (c *conn) finish() {
 	if c.closed {
 		return
@@ -287,14 +288,14 @@
 	c.close(c.endReason)
 }
 
-// sendClose tells the other end, after all that was sent, that this one is closed.
+// sendClose notifies the other end, after all data that was sent, that this end is closed.
 func (c *conn) sendClose() {
 	clock := c.process.clock
 	c.lastArrival = max(c.lastArrival, clock.now+clock.delay(c.link))
 	clock.schedule(nil, c.lastArrival, c.remote.arriveClose)
 }
 
-// arriveClose takes the other end's close.
+// arriveClose handles the arrival of the other end's close.
 func (c *conn) arriveClose() {
 	clock := c.process.clock
 	if c.closed {
@@ -313,7 +314,7 @@
 	})
 }
 
-// close ends this end. Its handler is told once, with the reason of its own Close if there was one.
+// close closes this end and notifies its handler once, with the reason of the process's own Close if it was called.
 func (c *conn) close(reason error) {
 	if c.closed {
 		return
@@ -340,7 +341,7 @@
 	}
 }
 
-// dropWithProcess ends this end with its process. After a power loss the other end finds out by itself.
+// dropWithProcess closes this end when its process dies. After a power loss the other end is not notified and detects the loss itself.
 func (c *conn) dropWithProcess(powerLoss bool) {
 	if c.closed {
 		return
@@ -353,7 +354,7 @@
 	c.closed = true
 }
 
-// Reset breaks a connection; what is on its way is lost. If only this end is told, the other finds out when it sends.
+// Reset resets the connection; data in flight is lost. If only this end is notified, the other end detects the reset when it sends.
 func (c *conn) Reset(both bool) {
 	if c.closed {
 		return
@@ -366,15 +367,15 @@
 	}
 }
 
-// Stall has nothing read at this end for so many ms.
+// Stall stops all reads at this end for the given time in ms.
 func (c *conn) Stall(ms float64) { c.stalledUntil = max(c.stalledUntil, c.process.clock.now+ms) }
 
-// notifyDelivered calls f when the other end has read all that was sent so far; never if it does not.
+// notifyDelivered calls f once the other end has read all bytes that were sent so far. If it never reads them, f is not called.
 func (c *conn) notifyDelivered(f func()) {
 	c.deliveryWaits = append(c.deliveryWaits, deliveryWait{c.sent, f})
 }
 
-// onDelivered notes that the other end has read n bytes.
+// onDelivered records that the other end has read n bytes, and runs the callbacks that waited for them.
 func (c *conn) onDelivered(n int) {
 	c.inFlight -= n
 	c.pump()
--- a/internal/lab/sim/cpu.go
+++ b/internal/lab/sim/cpu.go
@@ -1,7 +1,7 @@
 package sim
 
-// CPUCost is what a process's code costs, in ms of a core, by what it does. On the virtual clock code takes no time unless the process
-// has a CPU limit: then its events run one after the other, and what it sends leaves once the work before it is done.
+// CPUCost is the processor time of a process's operations, in ms of a core. On the virtual clock code takes no time unless the process has
+// a CPU limit: then its events run one after the other, and a message leaves once the work before it is done.
 type CPUCost struct {
 	Turn  float64 // a turn of a loop
 	Read  float64 // a read from a connection
@@ -11,8 +11,8 @@
 	Timer float64 // each event
 }
 
-// MeasuredCost is what a scheduler on the platform was measured to cost: processor time over quarters of a second under overload, against
-// counts of turns, connections, writes and reads.
+// MeasuredCost is the cost of a scheduler on the platform. It was derived from the processor time in intervals of 250 ms under overload and
+// the numbers of turns, connections, writes and reads in them.
 var MeasuredCost = CPUCost{Turn: 0.03, Read: 0.012, Byte: 0.00002, Dial: 0.05, Write: 0.01, Timer: 0.005}
 
 // cpu is a process's share of a core.
@@ -21,18 +21,18 @@
 	share     float64
 	cost      CPUCost
 	busyUntil float64 // ms
-	spent     float64 // ms of a core by the present event so far
-	running   bool    // an event runs now
-	queue     []event // that wait until the CPU is free
+	spent     float64 // ms of a core that the present event has used so far
+	running   bool    // an event is running
+	queue     []event // events that wait until the CPU is free
 	planned   bool    // the next run of the queue is scheduled
 }
 
-// LimitCPU gives the process's code a share of a core from now on.
+// LimitCPU limits the process's code to a share of a core from now on.
 func (p *Process) LimitCPU(share float64, cost CPUCost) {
 	p.cpu = &cpu{clock: p.clock, share: share, cost: cost, busyUntil: p.clock.now}
 }
 
-// Backlog is how long an event would wait for the CPU now, in ms.
+// Backlog returns how long a new event would wait for the CPU, in ms.
 func (p *Process) Backlog() float64 {
 	if p.cpu == nil {
 		return 0
@@ -40,14 +40,14 @@
 	return max(0, p.cpu.busyUntil-p.clock.now)
 }
 
-// charge adds work to the present event.
+// charge adds processor time to the present event.
 func (p *Process) charge(work func(cost *CPUCost) float64) {
 	if p.cpu != nil {
 		p.cpu.spent += work(&p.cpu.cost)
 	}
 }
 
-// afterWork calls f when the work so far of the present event is done: at once where code costs no time.
+// afterWork calls f when the present event's work so far is done, which is at once where code takes no time.
 func (p *Process) afterWork(f func()) {
 	if k := p.cpu; k != nil && k.running {
 		k.clock.schedule(nil, k.clock.now+k.spent/k.share, f)
@@ -56,7 +56,7 @@
 	f()
 }
 
-// submit runs an event after all that were submitted before it.
+// submit runs an event after all events that were submitted before it.
 func (k *cpu) submit(e event) {
 	if k.clock.now < k.busyUntil || len(k.queue) > 0 {
 		k.queue = append(k.queue, e)
@@ -66,7 +66,7 @@
 	k.run(e)
 }
 
-// scheduleNext runs the queue once the CPU is free.
+// scheduleNext schedules a run of the queue for when the CPU is free.
 func (k *cpu) scheduleNext() {
 	if k.planned || len(k.queue) == 0 {
 		return
--- a/internal/lab/sim/datagrams.go
+++ b/internal/lab/sim/datagrams.go
@@ -2,15 +2,15 @@
 
 import "ravenpond/internal/env"
 
-// DatagramLink is the network for datagrams from one host to another.
+// DatagramLink holds the faults of the network for datagrams from one host to another.
 type DatagramLink struct {
-	Cut         bool    // nothing passes
-	Loss        float64 // fraction that is lost
-	Duplication float64 // fraction that arrives twice
-	MaxDelay    float64 // ms by which each is later
+	Cut         bool    // no datagram passes
+	Loss        float64 // fraction of datagrams that are lost
+	Duplication float64 // fraction of datagrams that arrive twice
+	MaxDelay    float64 // delay in ms that is added to each datagram
 }
 
-// DatagramLink returns the link from one host to another; the way back is another link.
+// DatagramLink returns the link from one host to another. The opposite direction is a separate link.
 func (c *Clock) DatagramLink(from, to string) *DatagramLink {
 	l := c.datagramLinks[[2]string{from, to}]
 	if l == nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// Send implements env.PacketConn. Datagrams are lost, duplicated, late and out of order as the link has it.
+// Send implements env.PacketConn. Datagrams are lost, duplicated, delayed and reordered according to the faults of the link.
 func (pc *packetConn) Send(to string, b []byte) {
 	c := pc.process.clock
 	target := c.packetConns[to]
--- a/internal/lab/sim/disk.go
+++ b/internal/lab/sim/disk.go
@@ -5,19 +5,19 @@
 	"maps"
 )
 
-// syncDelay is when a disk with DelayedSync has written a file, ms.
+// syncDelay is the time in ms after which a disk with DelayedSync has written a file durably.
 const syncDelay = 1000
 
-var errKilled = errors.New("killed while writing")
+var errKilled = errors.New("process killed during a write")
 
-// Disk is the state folder of a process. It keeps what was written when the process ends, and when the machine loses power.
+// Disk is the state folder of a process. Its files survive the end of the process, and those that were synced survive a power loss.
 type Disk struct {
-	// DelayedSync is a program fault: a write returns a second before the file would survive a power loss.
+	// DelayedSync is a program fault: a write returns one second before the file would survive a power loss.
 	DelayedSync bool
 
 	process *Process
 	files   map[string][]byte
-	durable map[string][]byte // what survives a power loss
+	durable map[string][]byte // files that survive a power loss
 }
 
 // NewDisk returns an empty disk.
@@ -25,10 +25,10 @@
 	return &Disk{process: p, files: map[string][]byte{}, durable: map[string][]byte{}}
 }
 
-// Read returns a file, nil if there is none.
+// Read returns a file's content, or nil if the file does not exist.
 func (d *Disk) Read(name string) ([]byte, error) { return d.files[name], nil }
 
-// Write replaces a file. If the process is killed within the call, the file is either the old or the new one.
+// Write replaces a file. If the process is killed during the call, the file has either the old or the new content.
 func (d *Disk) Write(name string, content []byte) error {
 	kept := append([]byte(nil), content...)
 	clock := d.process.clock
@@ -56,5 +56,5 @@
 // Close does nothing.
 func (d *Disk) Close() error { return nil }
 
-// PowerLost drops what would not survive a power loss.
+// PowerLost discards all writes that do not survive a power loss.
 func (d *Disk) PowerLost() { d.files = maps.Clone(d.durable) }
--- a/internal/lab/sim/inject.go
+++ b/internal/lab/sim/inject.go
@@ -17,23 +17,23 @@
 
 // Times of faults in ms.
 const (
-	killedRestartDelay = 100  // of a process that was killed within what it did
-	stallGrace         = 100  // in which a client that was stalled reads what arrived
-	maxWindowJump      = 80   // by which a wall clock may jump where maintenance windows go by it: less than the guard
-	windowNotice       = 1500 // before the lead of a maintenance window
-	calendarInterval   = 1000 // in which a scheduler notices that a window begins
+	killedRestartDelay = 100  // until a process that was killed after a number of effects restarts
+	stallGrace         = 100  // within which a stalled client reads the messages that arrived
+	maxWindowJump      = 80   // largest jump of a wall clock that maintenance windows depend on; less than the guard of the site's drains
+	windowNotice       = 1500 // between the announcement of a maintenance window and the start of its lead
+	calendarInterval   = 1000 // within which a scheduler notices that a window begins
 )
 
-// injection is a fault that happens, with what it hits.
+// injection is a fault that is being injected, with the scheduler and the node that it affects.
 type injection struct {
 	env       *environment
 	clock     *Clock
 	fault     Fault
-	scheduler *scheduler    // nil if it hits none
-	node      *standin.Node // nil if it hits none
+	scheduler *scheduler    // nil if the fault affects no scheduler
+	node      *standin.Node // nil if the fault affects no node
 }
 
-// injectors hold how each kind of fault is injected.
+// injectors maps each kind of fault to the function that injects it.
 var injectors = map[string]func(*injection){
 	"kill":          (*injection).kill,
 	"kill-in":       (*injection).killAfterEffects,
@@ -69,7 +69,7 @@
 	"tenant-remove": func(in *injection) { in.env.removeTenant(in.fault) },
 }
 
-// inject has a fault happen now.
+// inject injects a fault now.
 func (e *environment) inject(f Fault) {
 	e.clock.tracef("fault %s %s %s\n", f.Kind, f.Target, f.Peer)
 	in := &injection{env: e, clock: e.clock, fault: f, node: e.node(f.Target)}
@@ -94,7 +94,7 @@
 	in.scheduler.restartAfter(in.fault.Duration)
 }
 
-// killAfterEffects kills a scheduler within what it does, at the latest when the fault ends.
+// killAfterEffects kills a scheduler after a number of its effects, or when the fault ends if that comes first.
 func (in *injection) killAfterEffects() {
 	s := in.scheduler
 	s.process.KillAfterEffects(max(1, int(in.fault.Size)))
@@ -143,7 +143,7 @@
 		return
 	}
 	shards := max(1, min(maxShards, int(in.fault.Size+0.5)))
-	in.clock.schedule(s.process, in.clock.now, func() { _ = s.server.Resize(shards) }) // refused while another change is under way
+	in.clock.schedule(s.process, in.clock.now, func() { _ = s.server.Resize(shards) }) // Resize fails while another change is under way
 }
 
 func (in *injection) resetConnections(both bool) {
@@ -171,20 +171,20 @@
 	in.after(func() { l.maxExtraDelay = 0 })
 }
 
-// stallPeer has the peer read nothing.
+// stallPeer stops the peer's reads from the target.
 func (in *injection) stallPeer() {
 	for _, c := range in.env.connections(in.fault.Target, in.fault.Peer) {
 		c.remote.Stall(in.fault.Duration)
 	}
 }
 
-// stallReader has the scheduler read nothing from its peer, or a client nothing from the scheduler. Answers that a stalled client reads
-// late are not the scheduler's fault.
+// stallReader stops the scheduler's reads from its peer, or a client's reads from the scheduler. Answers that a stalled client reads late
+// are not the scheduler's fault.
 func (in *injection) stallReader() {
 	e, target, peer := in.env, in.fault.Target, in.fault.Peer
 	reader := target
 	if peer[0] == 'o' {
-		i, _ := strconv.Atoi(peer[1:]) // Script.Check has read it
+		i, _ := strconv.Atoi(peer[1:]) // Script.Check has validated the name
 		e.stalledClients[i] = max(e.stalledClients[i], in.clock.now+in.fault.Duration+stallGrace)
 		reader = peer
 	}
@@ -228,14 +228,14 @@
 	in.after(func() { *l = DatagramLink{} })
 }
 
-// failJob has a fraction of the attempts of a random job class fail, silently or with an error.
+// failJob makes a fraction of the attempts of a random job class fail, silently or with an error.
 func (in *injection) failJob(silently bool) {
 	m := in.node.Machine
 	m.FailingJob, m.FailingFraction, m.FailSilently = in.env.rng.IntN(len(jobRules)), in.fault.Size, silently
 	in.after(func() { m.FailingJob = -1 })
 }
 
-// crashNodes takes nodes away, and brings them back cold when the fault ends.
+// crashNodes crashes nodes and restarts them with cold caches when the fault ends.
 func (in *injection) crashNodes(nodes []*standin.Node) {
 	for _, n := range nodes {
 		if n.Lost {
@@ -283,7 +283,7 @@
 }
 
 // addMaintenance adds a maintenance window of a node to the calendar of every scheduler, with a lead of the fault's size in ms. The auditor
-// is told of the part of the window that all schedulers notice, whatever their clocks.
+// gets the part of the window that all schedulers notice despite the errors of their clocks.
 func (in *injection) addMaintenance() {
 	e, f, node := in.env, in.fault, in.node
 	start := env.Epoch.Add(time.Duration((clockOrigin + in.clock.now + f.Size + windowNotice) * 1e6)).Truncate(time.Second)
@@ -310,10 +310,10 @@
 	}
 }
 
-// plannedPanic is the panic of a shard that a script plans.
-const plannedPanic = "of the script"
+// plannedPanic is the value of a panic that a script injects into a shard. The log line of such a panic contains it.
+const plannedPanic = "injected by the script"
 
-// panicInjector has a shard panic within its effects: before or after one that the engine asks of its router.
+// panicInjector makes a shard panic before or after an effect that the engine requests from its router.
 type panicInjector struct {
 	engine.Effects
 	scheduler *scheduler
