--- a/internal/lab/sim/agree_test.go
+++ b/internal/lab/sim/agree_test.go
@@ -14,7 +14,7 @@
 	"ravenpond/internal/standin"
 )
 
-// transcript is a scheduler's side of a connection to a node; it keeps the messages that it receives, without their times.
+// transcript is a scheduler's end of a connection to a node. It records the messages that it receives, without their times.
 type transcript struct {
 	mu       sync.Mutex
 	in       line.Splitter
@@ -37,7 +37,7 @@
 	}
 	_ = t.in.Feed(b, func(fields [][]byte) error {
 		keep := len(fields)
-		if string(fields[0]) == "STARTED" { // the last is a time
+		if string(fields[0]) == "STARTED" { // the last field is a time
 			keep--
 		}
 		var words []string
@@ -49,8 +49,8 @@
 	})
 }
 
-// converse sends a node requests that fit and that do not, a recall, a claim, a stop, a probe, a request of an older epoch and one that was
-// on its way for too long.
+// converse sends a node offers that fit and that do not, a recall, claims, a stop, a probe, an offer of an older epoch and one that was in
+// transit for too long.
 func converse(w env.Environment, address string) (*transcript, error) {
 	testbed := standin.NewTestbed(w)
 	n := &standin.Node{ID: 7, Zone: "z", Cell: "c", Kind: "k", Jobs: 2, Tenants: 1}
@@ -78,15 +78,15 @@
 		for i, step := range []func(){
 			func() { send(node.AppendPing(nil, w.Now()-zero)) },
 			func() { offer(1, 5, 0, 1000, 0, 11, 2) },
-			func() { offer(2, 5, 0, 1000, 0, 12, 7) },                          // no room
-			func() { offer(3, 5, 0, 1000, 1, 13, 1) },                          // starts slowly
-			func() { send(node.AppendRecall(nil, node.AttemptID{Ticket: 3})) }, // in time
+			func() { offer(2, 5, 0, 1000, 0, 12, 7) },                          // more cores than are free
+			func() { offer(3, 5, 0, 1000, 1, 13, 1) },                          // takes long enough to start that the recall is in time
+			func() { send(node.AppendRecall(nil, node.AttemptID{Ticket: 3})) }, // before the task has started
 			func() { send(node.AppendClaim(nil, node.AttemptID{Ticket: 3})) },
 			func() { send(node.AppendClaim(nil, node.AttemptID{Ticket: 4})) },
-			func() { offer(4, 5, 0, 1000, 0, 14, 1) },   // barred by now
-			func() { offer(5, 4, 0, 1000, 0, 11, 1) },   // of an older epoch
-			func() { offer(6, 5, 700, 600, 0, 16, 1) },  // it lay on the way for 700 ms
-			func() { offer(7, 5, 300, 5000, 0, 17, 1) }, // this one less than its time
+			func() { offer(4, 5, 0, 1000, 0, 14, 1) },   // attempt was barred by the claim
+			func() { offer(5, 4, 0, 1000, 0, 11, 1) },   // older epoch
+			func() { offer(6, 5, 700, 600, 0, 16, 1) },  // in transit for 700 ms, longer than its time-out
+			func() { offer(7, 5, 300, 5000, 0, 17, 1) }, // in transit for less than its time-out
 			func() { send(node.AppendStop(nil, node.AttemptID{Ticket: 7})) },
 			func() { send(node.AppendProbe(nil, 1)) },
 		} {
@@ -96,8 +96,9 @@
 	return t, nil
 }
 
-// TestFirstIsLate has the first request of a connection arrive late: the node knows by the greeting, which was answered at once.
-func TestFirstIsLate(t *testing.T) {
+// TestLateFirstOffer sends the first offer of a connection 4 s late. The node can only refuse it if the greeting, which arrived at once, has
+// told it the scheduler's time.
+func TestLateFirstOffer(t *testing.T) {
 	for _, tellsTime := range []bool{true, false} {
 		c := NewClock(1)
 		w := env.Environment(c.NewProcess("n"))
@@ -130,13 +131,14 @@
 		for c.step(6000) {
 		}
 		if all := strings.Join(x.messages, "\n"); strings.Contains(all, "SETTLED 1 0 refused") != tellsTime || strings.Contains(all, "STARTED 1 0") == tellsTime {
-			t.Errorf("greeting tellsTime when it was sent: %t\n%s", tellsTime, all)
+			t.Errorf("greeting with time of sending: %t; want the late offer refused only then, messages:\n%s", tellsTime, all)
 		}
 	}
 }
 
-// TestAgree has the same conversation on sockets and on the virtual network: the node sends the same messages.
-func TestAgree(t *testing.T) {
+// TestVirtualNetworkMatchesSockets has the same exchange of messages on sockets and on the virtual network. The node has to send the same
+// messages.
+func TestVirtualNetworkMatchesSockets(t *testing.T) {
 	realEnv := env.NewReal()
 	defer realEnv.Close(time.Second)
 	sockets, err := converse(realEnv, "")
@@ -164,10 +166,10 @@
 	defer sockets.mu.Unlock()
 	a, b := slices.Clone(sockets.messages), virtual.messages
 	if fmt.Sprint(a) != fmt.Sprint(b) || len(b) < 12 {
-		t.Errorf("on sockets\n%s\nvirtual\n%s", strings.Join(a, "\n"), strings.Join(b, "\n"))
+		t.Errorf("messages differ or are fewer than 12, on sockets\n%s\non the virtual network\n%s", strings.Join(a, "\n"), strings.Join(b, "\n"))
 	}
 	if all := strings.Join(b, "\n"); !strings.Contains(all, "SETTLED 6 0 refused") || !strings.Contains(all, "STARTED 7 0") ||
 		!strings.Contains(all, "SETTLED 5 0 refused") || !strings.Contains(all, "SETTLED 4 0 refused") {
-		t.Errorf("late, barred or older ones were not turned away:\n%s", all)
+		t.Errorf("want attempts 4, 5 and 6 (barred, older epoch, late) refused and 7 started, messages:\n%s", all)
 	}
 }
--- a/internal/lab/sim/draw.go
+++ b/internal/lab/sim/draw.go
@@ -41,10 +41,10 @@
 	{"mute", "n", 300, 4000, 0.2, 1, 4},           // a fraction of a node's answers is lost
 	{"errors", "n", 300, 4000, 0.2, 1, 2},         // a fraction of a job class's attempts fails with an error
 	{"silence", "n", 300, 4000, 0.2, 1, 2},        // a fraction of a job class's attempts fails without an answer
-	{"restart", "n", 10, 1500, 0, 0, 4},           // a node crashes and comes back with cold caches
+	{"restart", "n", 10, 1500, 0, 0, 4},           // a node crashes and comes back cold, so that it has to warm up
 	{"lost", "n", 3000, 8000, 0, 0, 1},            // the same for a longer time
 	{"drain", "n", 500, 4000, 0, 0, 3},            // a node drains, one task at a time
-	{"hall", "", 200, 3000, 0, 0, 1},              // all nodes of a zone crash and come back with cold caches
+	{"hall", "", 200, 3000, 0, 0, 1},              // all nodes of a zone crash and come back cold
 	{"flood", "", 300, 1500, 2, 8, 2},             // the request rate is multiplied by the size
 	{"withdraw", "o", 0, 0, 0.2, 1, 2},            // a client withdraws a fraction of its requests and tasks
 	{"window", "n", 3000, 5000, 500, 2000, 2},     // a maintenance window with a lead of the size in ms
--- a/internal/lab/sim/inject.go
+++ b/internal/lab/sim/inject.go
@@ -235,7 +235,7 @@
 	in.after(func() { m.FailingJob = -1 })
 }
 
-// crashNodes crashes nodes and restarts them with cold caches when the fault ends.
+// crashNodes crashes nodes and restarts them cold when the fault ends.
 func (in *injection) crashNodes(nodes []*standin.Node) {
 	for _, n := range nodes {
 		if n.Lost {
--- a/internal/lab/sim/lease_test.go
+++ b/internal/lab/sim/lease_test.go
@@ -7,10 +7,11 @@
 	"ravenpond/internal/site"
 )
 
-// leaseLimit is how many allocations of the tenant may be open: 2 of each scheduler that it never leases, and 6 that are leased among all.
+// leaseLimit is the limit on the tenant's open allocations. Each of three schedulers has 2 that it never leases; 6 are leased among them.
 const leaseLimit = 12
 
-// openCounts are the most open allocations of the tenant in four phases of TestLeasedQuota.
+// openCounts holds the largest numbers of the tenant's open allocations in four phases of TestLeasedQuota: all schedulers share, one is
+// dead, it is back, and no scheduler reaches another.
 type openCounts struct{ all, dead, back, apart int }
 
 func (c *openCounts) onUsage(now float64, tenant string, open []int) {
@@ -28,7 +29,8 @@
 	}
 }
 
-// leaseScript has three schedulers under more load than a tenant's limit allows. All links between schedulers are cut from 26 s on.
+// leaseScript returns a script of three schedulers under more load than a tenant's limit allows. All links between schedulers are cut from
+// 26 s on.
 func leaseScript(fault Fault) Script {
 	s := Script{
 		Seed: 3, Nodes: 4, Schedulers: 3, Shards: 1, ConnectionSharing: "shared", Rate: 90, Duration: 40000, Members: true, DynamicTenants: true,
@@ -50,9 +52,9 @@
 	return s
 }
 
-// TestLeasedQuota has three schedulers lease parts of a tenant's limit to each other. When one dies the others use what it may use no more,
-// once its leases have expired; when it is back all three share again; when no scheduler reaches another, each has only what it never
-// leases. At no time more is open than the limit allows.
+// TestLeasedQuota has three schedulers lease parts of a tenant's limit to each other. When one dies, the others use its leased part once the
+// leases have expired. When it is back, all three share again. When no scheduler reaches another, each has only the part that it never
+// leases. The open allocations never exceed the limit.
 func TestLeasedQuota(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -60,8 +62,8 @@
 		plant *ProgramFault
 		want  openCounts
 	}{
-		{name: "killed", fault: Fault{At: 8000, Kind: "kill", Target: "s2", Duration: 9000}, want: openCounts{all: 12, dead: 10, back: 12, apart: 6}},
-		{name: "paused", fault: Fault{At: 8000, Kind: "pause", Target: "s2", Duration: 9000}, want: openCounts{all: 12, dead: 10, back: 12, apart: 6}},
+		{name: "scheduler killed", fault: Fault{At: 8000, Kind: "kill", Target: "s2", Duration: 9000}, want: openCounts{all: 12, dead: 10, back: 12, apart: 6}},
+		{name: "scheduler paused", fault: Fault{At: 8000, Kind: "pause", Target: "s2", Duration: 9000}, want: openCounts{all: 12, dead: 10, back: 12, apart: 6}},
 		{
 			name: "nothing is leased", fault: Fault{At: 8000, Kind: "kill", Target: "s2", Duration: 9000},
 			plant: &ProgramFault{Site: func(config *site.Config) { config.Members.LeasedPart = 0 }},
@@ -75,7 +77,7 @@
 				t.Error(result.Failure)
 			}
 			if got != c.want {
-				t.Errorf("open of %d, with all, with one dead, when it was back, with none that reaches another: %+v, want %+v", leaseLimit, got, c.want)
+				t.Errorf("most open allocations of %d in each phase: got %+v, want %+v", leaseLimit, got, c.want)
 			}
 		})
 	}
--- a/internal/lab/sim/maintenance.go
+++ b/internal/lab/sim/maintenance.go
@@ -11,14 +11,14 @@
 
 var _ serve.MaintenanceStore = (*maintenanceStore)(nil)
 
-// maintenanceStore keeps a scheduler's maintenance windows and drains, as the store on disk does, while the process ends and starts again.
+// maintenanceStore stores a scheduler's maintenance windows and drains. As with the store on disk, they survive restarts of the process.
 type maintenanceStore struct {
 	process  *Process
 	calendar calendar.Calendar
 	drains   []maintenancestore.Drain
 }
 
-// open returns the store, nil while there is no window: a scheduler opens it then.
+// open returns the store, or nil while there is no window. The scheduler opens the store once there is one.
 func (s *maintenanceStore) open() serve.MaintenanceStore {
 	if len(s.calendar.Windows) == 0 {
 		return nil
@@ -32,15 +32,15 @@
 // Calendar returns all windows.
 func (s *maintenanceStore) Calendar() (*calendar.Calendar, error) { return &s.calendar, nil }
 
-// Loads returns no load: none is measured.
+// Loads returns an empty load, as the simulation measures none.
 func (s *maintenanceStore) Loads() (*calendar.Load, *calendar.Table, error) {
 	return &calendar.Load{}, nil, nil
 }
 
-// SaveMeasuredLoad drops the load.
+// SaveMeasuredLoad discards the load.
 func (s *maintenanceStore) SaveMeasuredLoad(*calendar.Load) error { return nil }
 
-// find returns the drain of a window that was scheduled for a time, nil if it has not begun.
+// find returns the drain of a window that was scheduled for a time, or nil if the drain has not begun.
 func (s *maintenanceStore) find(window string, scheduled time.Time) *maintenancestore.Drain {
 	for i := range s.drains {
 		if v := &s.drains[i].Verdict; v.Window == window && v.ScheduledStart.Equal(scheduled) {
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// BeginDrain notes once that a drain begins, and reports whether it is new. If the process is killed within the call, the drain is noted or
-// not.
+// BeginDrain records that a drain begins and reports whether it is new. If the process is killed during the call, the drain may or may not
+// be recorded.
 func (s *maintenanceStore) BeginDrain(v calendar.Verdict, now time.Time) (maintenancestore.Drain, bool, error) {
 	if drain := s.find(v.Window, v.ScheduledStart); drain != nil {
 		return *drain, false, nil
@@ -67,12 +67,12 @@
 	return drain, true, nil
 }
 
-// AdvanceDrain notes that a drain has reached a stage.
+// AdvanceDrain records that a drain has reached a stage.
 func (s *maintenanceStore) AdvanceDrain(window string, scheduled time.Time, stage maintenancestore.Stage, now time.Time) error {
 	drain := s.find(window, scheduled)
 	switch {
 	case drain == nil:
-		return fmt.Errorf("%q was not begun", window)
+		return fmt.Errorf("drain of maintenance window %q has not begun", window)
 	case !s.process.effect():
 		return errKilled
 	case stage > drain.Stage:
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// UnfinishedDrains returns the drains that have begun and are not closed.
+// UnfinishedDrains returns the drains that have begun and have not reached their last stage.
 func (s *maintenanceStore) UnfinishedDrains() (open []maintenancestore.Drain, err error) {
 	for _, drain := range s.drains {
 		if drain.Stage < maintenancestore.Closed {
@@ -91,5 +91,5 @@
 	return open, nil
 }
 
-// DeleteClosed deletes nothing: a script is short.
+// DeleteClosed deletes nothing, as scripts are short.
 func (s *maintenanceStore) DeleteClosed(time.Time) error { return nil }
--- a/internal/lab/sim/members_test.go
+++ b/internal/lab/sim/members_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestDrainByGossip cuts a scheduler off from the node list while a node drains. Where schedulers know each other, it learns of the drain
-// from the others within two seconds and places nothing more there; where they don't, it goes on placing.
+// from the others within two seconds and places no more tasks there. Where they do not, it continues to place tasks on the node.
 func TestDrainByGossip(t *testing.T) {
 	for _, members := range []bool{true, false} {
 		s := Script{Seed: 4, Nodes: 5, Schedulers: 3, Shards: 2, ConnectionSharing: "shared", Rate: 60, Duration: 12000, Members: members, Faults: []Fault{
@@ -29,7 +29,7 @@
 			t.Errorf("members %t: %s", members, v.Failure)
 		}
 		if before < 5 || members && late > 0 || !members && late == 0 {
-			t.Errorf("members %t: %d offers before the drain, %d from two seconds after it", members, before, late)
+			t.Errorf("members %t: got %d offers before the drain, want at least 5; got %d from two seconds after it, want some only without members", members, before, late)
 		}
 	}
 }
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -7,14 +7,14 @@
 	"ravenpond/internal/env"
 )
 
-// Latency of the network in ms: a base and two random parts, up to maxJitter and up to the link's maxExtraDelay.
+// Latency of the network in ms: a fixed part and two random parts of up to maxJitter and up to the link's maxExtraDelay.
 const (
 	baseLatency = 0.1
 	maxJitter   = 0.9
 )
 
 var (
-	errAddressInUse = errors.New("address is taken")
+	errAddressInUse = errors.New("address already in use")
 	errRefused      = fmt.Errorf("connection %w", env.ErrRefused)
 	errTimeout      = errors.New("connection timed out")
 	errReset        = errors.New("connection reset")
@@ -22,8 +22,8 @@
 
 // link is the network between two hosts.
 type link struct {
-	cut           bool    // nothing passes, and no end is told
-	refuse        bool    // connections are refused
+	cut           bool    // no data passes, and neither end is notified
+	refuse        bool    // new connections are refused
 	maxExtraDelay float64 // ms
 }
 
@@ -40,16 +40,16 @@
 	return l
 }
 
-// Cut has nothing pass between two hosts, or lets it pass again; no end is told.
+// Cut cuts the link between two hosts, or restores it. Neither end is notified.
 func (c *Clock) Cut(a, b string, cut bool) { c.link(a, b).cut = cut }
 
-// IsCut returns whether nothing passes between two hosts.
+// IsCut reports whether the link between two hosts is cut.
 func (c *Clock) IsCut(a, b string) bool { return c.link(a, b).cut }
 
-// Slow delays all between two hosts by up to so many ms more.
+// Slow adds a random delay of up to ms to everything that passes between two hosts.
 func (c *Clock) Slow(a, b string, ms float64) { c.link(a, b).maxExtraDelay = ms }
 
-// delay draws how long a piece takes on a link, in ms.
+// delay draws the random latency of a segment or datagram on a link, in ms.
 func (c *Clock) delay(l *link) float64 {
 	return baseLatency + maxJitter*c.rng.Float64() + l.maxExtraDelay*c.rng.Float64()
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-// Listen implements env.Environment; an address is any name.
+// Listen implements env.Environment. The address can be any string.
 func (p *Process) Listen(address string, accept func(env.Conn)) (env.Listener, error) {
 	if p.clock.listeners[address] != nil {
 		return nil, errAddressInUse
@@ -86,7 +86,7 @@
 	if !p.effect() {
 		return
 	}
-	if p.cpu != nil { // dialing is an event of its own
+	if p.cpu != nil { // dialing is a separate event
 		p.clock.schedule(p, p.clock.now, func() {
 			p.charge(func(cost *CPUCost) float64 { return cost.Dial })
 			p.afterWork(func() { p.dial(address, within, done) })
@@ -123,7 +123,7 @@
 	}
 }
 
-// newConnPair connects two processes and returns the end of each.
+// newConnPair connects two processes and returns both ends of the connection.
 func newConnPair(p, q *Process, between *link) (near, far *conn) {
 	near, far = &conn{process: p, link: between}, &conn{process: q, link: between}
 	near.remote, far.remote = far, near
--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -8,21 +8,21 @@
 	"ravenpond/internal/env"
 )
 
-// clockOrigin is where the processes' clocks begin, in ms: code takes times near zero for long ago.
+// clockOrigin is the time in ms at which the processes' clocks start. It is not zero because code takes times near zero as long past.
 const clockOrigin = 24 * 3600e3
 
 // Delays of timers and loops in ms.
 const (
-	maxTimerDelay = 0.02 // by which timers fire late
-	minWakeDelay  = 0.002
-	minTurnWait   = 0.01
+	maxTimerDelay = 0.02  // most by which a timer fires late
+	minWakeDelay  = 0.002 // between Wake and the turn of the loop
+	minTurnWait   = 0.01  // between two turns of a loop
 )
 
-// Process is a process of an operating system on a machine of its own. It implements env.Environment. When it is killed its connections
-// and timers are gone; it may be started again.
+// Process simulates an operating-system process on a machine of its own. It implements env.Environment. A kill removes its connections and
+// timers; afterwards it can be started again.
 type Process struct {
 	Name string
-	// SynchronousWrites hands what the process sends to the network in the call that sends it. Otherwise a writer does so a moment later.
+	// SynchronousWrites makes Send hand data to the network within the call. Otherwise a writer does so after a short delay.
 	SynchronousWrites bool
 
 	clock       *Clock
@@ -32,20 +32,20 @@
 
 	paused    bool
 	resumedAt float64 // true time in ms
-	deferred  []event // that were due while it was paused
+	deferred  []event // events that were due while the process was paused
 
-	clockError float64 // ms by which the machine's clock is wrong
-	drift      float64 // fraction by which it runs fast
+	clockError float64 // error of the machine's wall clock, ms
+	drift      float64 // fraction by which the machine's clock runs fast
 	startedAt  float64 // true time at the start of this incarnation, ms
-	clockBase  float64 // the process's clock at that time, ms
+	clockBase  float64 // the process's clock at the start of this incarnation, ms
 
 	conns            []*conn
-	cpu              *cpu // nil: its code takes no time
+	cpu              *cpu // nil: code takes no time
 	effectsUntilKill int  // 0: no kill is planned
 	onDeath          func()
 }
 
-// NewProcess starts a process.
+// NewProcess returns a new process that has been started.
 func (c *Clock) NewProcess(name string) *Process {
 	p := &Process{clock: c, Name: name, rng: rand.New(rand.NewPCG(c.rng.Uint64(), uint64(len(c.processes))))}
 	c.processes = append(c.processes, p)
@@ -60,8 +60,8 @@
 	p.startedAt, p.clockBase = p.clock.now, clockOrigin+p.clock.now+p.clockError
 }
 
-// Kill ends the process at once, as kill -9 does: what it handed to the network still arrives, and its connections are closed. With a
-// power loss its peers are not told.
+// Kill ends the process at once, as kill -9 does: data that it has handed to the network still arrives, and its connections are closed.
+// After a power loss its peers are not notified.
 func (p *Process) Kill(powerLoss bool) {
 	if p.dead {
 		return
@@ -85,10 +85,11 @@
 	}
 }
 
-// KillAfterEffects kills the process within what it does, after so many effects: messages, dials and writes to its disk.
+// KillAfterEffects kills the process in place of its n-th effect from now, n being the argument. Effects are messages, dials and writes to
+// its disk.
 func (p *Process) KillAfterEffects(effects int) { p.effectsUntilKill = effects }
 
-// effect counts an effect. It reports whether the process lives to carry it out.
+// effect counts an effect. It reports whether the process is alive to carry it out.
 func (p *Process) effect() bool {
 	if p.dead {
 		return false
@@ -102,13 +103,13 @@
 	return true
 }
 
-// Pause stops the process as SIGSTOP does; its events wait for Resume.
+// Pause suspends the process as SIGSTOP does. Its events are deferred until Resume.
 func (p *Process) Pause() { p.paused = true }
 
 // Paused reports whether the process is paused.
 func (p *Process) Paused() bool { return p.paused }
 
-// Resume runs a paused process again, with the events that waited.
+// Resume continues a paused process and runs the events that were deferred.
 func (p *Process) Resume() {
 	if !p.paused || p.dead {
 		return
@@ -121,10 +122,10 @@
 	}
 }
 
-// JumpClock moves the machine's clock by ms. The wall clock shows it; Now does not.
+// JumpClock moves the machine's wall clock by ms. WallClock changes, Now does not.
 func (p *Process) JumpClock(ms float64) { p.clockError += ms }
 
-// SetDrift makes the machine's clock fast by a fraction, slow if it is negative.
+// SetDrift makes the machine's clock run fast by a fraction, or slow if the fraction is negative.
 func (p *Process) SetDrift(fraction float64) { p.drift = fraction }
 
 // Now implements env.Environment.
@@ -141,7 +142,7 @@
 // Stop implements env.Timer.
 func (t *timer) Stop() { t.stopped = true }
 
-// After implements env.Environment. Timers fire a little late.
+// After implements env.Environment. Timers fire up to maxTimerDelay late.
 func (p *Process) After(ms float64, f func()) env.Timer {
 	t := &timer{}
 	if !p.dead {
@@ -160,7 +161,7 @@
 	turn       func() float64
 	woken      bool
 	ended      bool
-	generation int // of the planned turn: an earlier plan is void
+	generation int // of the planned turn; plans of earlier generations are void
 }
 
 // StartLoop implements env.Environment.
--- a/internal/lab/sim/programfaults.go
+++ b/internal/lab/sim/programfaults.go
@@ -9,21 +9,21 @@
 	"ravenpond/logic"
 )
 
-// ProgramFault is a fault that is put into the program, to show that the checks find it. The zero value puts none.
+// ProgramFault is a fault that is injected into the program to show that the checks detect it. The zero value injects none.
 type ProgramFault struct {
-	Name        string                // lab run --plant names it
-	Site        func(*site.Config)    // changes the site as the scheduler reads it
-	Server      serve.Faults          // in the scheduler itself
-	DelayedSync bool                  // of its disk: see Disk
-	Tenant      func(*tenancy.Tenant) // changes a tenant as the scheduler reads it
+	Name        string                // value of lab run --plant
+	Site        func(*site.Config)    // changes the site configuration that the scheduler reads
+	Server      serve.Faults          // faults in the scheduler itself
+	DelayedSync bool                  // fault of the scheduler's disk, see Disk
+	Tenant      func(*tenancy.Tenant) // changes each tenant that the scheduler reads
 }
 
-// withEffects wraps the effects of a shard.
+// withEffects returns faults that wrap the effects of a shard.
 func withEffects(f func(e engine.Effects) engine.Effects) serve.Faults {
 	return serve.Faults{WrapEffects: f}
 }
 
-// adoptsUnknown has a shard keep tasks of which the router knows nothing.
+// adoptsUnknown makes a shard keep recovered tasks that the router does not know.
 type adoptsUnknown struct{ engine.Effects }
 
 func (e adoptsUnknown) RecoverTask(running engine.RunningTask) (engine.RecoveredTask, bool) {
@@ -34,21 +34,21 @@
 	return recovered, ok
 }
 
-// rejectsRecovered has a shard keep no task that a node recovers.
+// rejectsRecovered makes a shard reject every running task that a node reports.
 type rejectsRecovered struct{ engine.Effects }
 
 func (e rejectsRecovered) RecoverTask(engine.RunningTask) (engine.RecoveredTask, bool) {
 	return engine.RecoveredTask{}, false
 }
 
-// reportsNeverRan has a shard report of each outcome that the attempt never ran.
+// reportsNeverRan makes a shard report with each outcome that the attempt never ran.
 type reportsNeverRan struct{ engine.Effects }
 
 func (e reportsNeverRan) RecordOutcome(task engine.OwnedTask, _ bool) {
 	e.Effects.RecordOutcome(task, true)
 }
 
-// leaksOwnership has a shard release only 15 of 16 tasks.
+// leaksOwnership makes a shard release only 15 of 16 tasks.
 type leaksOwnership struct{ engine.Effects }
 
 func (e leaksOwnership) ReleaseTask(task engine.OwnedTask, service uint64) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// declinesFailed has a shard answer "declined" in place of "failed".
+// declinesFailed makes a shard answer "declined" in place of "failed".
 type declinesFailed struct{ engine.Effects }
 
 func (e declinesFailed) Answer(request engine.RequestID, answer engine.Answer) {
@@ -67,7 +67,7 @@
 	e.Effects.Answer(request, answer)
 }
 
-// dropsFailures has a shard never answer "failed".
+// dropsFailures makes a shard drop every answer "failed".
 type dropsFailures struct{ engine.Effects }
 
 func (e dropsFailures) Answer(request engine.RequestID, answer engine.Answer) {
@@ -76,14 +76,15 @@
 	}
 }
 
-// MissedFaults are faults that random scripts did not find within 600 seeds. The first shows only when a shard runs on in the moment after it
-// was fenced, which lab/shards and lab/modelcheck bring about; the second hardly at all, as the module answers at once what may have run.
+// MissedFaults are faults that random scripts of 600 seeds did not detect. The first one shows only when a shard continues to run just after
+// it was fenced, a case that lab/shards and lab/modelcheck produce. The second one hardly ever shows, as the scheduling module answers at
+// once for attempts that may have run.
 var MissedFaults = []ProgramFault{
 	{Name: "no epoch is checked", Server: serve.Faults{PermitAnyEpoch: true}},
 	{Name: "every outcome counts as never ran", Server: withEffects(func(e engine.Effects) engine.Effects { return reportsNeverRan{e} })},
 }
 
-// ProgramFaults are faults that scripts find. Their names are those of lab run --plant.
+// ProgramFaults are faults that scripts detect. Their names are the values of lab run --plant.
 var ProgramFaults = []ProgramFault{
 	{Name: "run-once ones are tried again", Site: func(p *site.Config) { p.Cluster.JobClasses[2].Semantics = logic.Restartable }},
 	{Name: "tokens are taken for harmless", Site: func(p *site.Config) { p.Cluster.JobClasses[1].Semantics = logic.Restartable }},
--- a/internal/lab/sim/scheduler.go
+++ b/internal/lab/sim/scheduler.go
@@ -15,13 +15,13 @@
 	"ravenpond/internal/standin"
 )
 
-// Factors of a scheduler's seed.
+// Factors that make the random seed differ between schedulers and between their incarnations.
 const (
 	seedPerIndex       = 977
 	seedPerIncarnation = 7919
 )
 
-// leasedPart is the part of limits that schedulers lease to each other where they know each other.
+// leasedPart is the fraction of limits that schedulers that know each other lease to each other.
 const leasedPart = 0.5
 
 var memberKey = []byte("the laboratory's member key")
@@ -35,9 +35,9 @@
 	disk              *Disk
 	maintenance       *maintenanceStore
 	tenants           *tenantStore
-	server            *serve.Server // nil until it has started once
+	server            *serve.Server // nil until the scheduler has started once
 	incarnations      int
-	effectsUntilPanic int // of a shard, 0: no panic is planned
+	effectsUntilPanic int // effects of the shards until one panics, 0: no panic is planned
 }
 
 // start starts the next incarnation of a scheduler.
@@ -62,11 +62,11 @@
 		Log: s.logger(), Faults: faults, Policy: e.simulation.Policy,
 	})
 	if err != nil && !s.process.dead {
-		e.fail(0, fmt.Sprintf("scheduler %s does not begin: %v", s.name, err))
+		e.fail(0, fmt.Sprintf("scheduler %s failed to start: %v", s.name, err))
 	}
 }
 
-// siteConfig is the site as the scheduler reads it, with the program fault if there is one.
+// siteConfig returns the site configuration that the scheduler reads, changed by the program fault if there is one.
 func (s *scheduler) siteConfig() *site.Config {
 	e := s.env
 	config := *e.site
@@ -84,7 +84,7 @@
 	return &config
 }
 
-// shardNames are the names under which nodes may know a scheduler: its own, and those of its shards.
+// shardNames returns the names under which nodes may know a scheduler: its own and those of its shards.
 func (s *scheduler) shardNames() []string {
 	names := []string{s.name}
 	for shard := range maxShards {
@@ -93,7 +93,7 @@
 	return names
 }
 
-// restartAfter starts a scheduler again after so many ms, unless it runs by then.
+// restartAfter restarts a scheduler after a time in ms, unless it is running by then.
 func (s *scheduler) restartAfter(ms float64) {
 	clock := s.env.clock
 	clock.schedule(nil, clock.now+ms, func() {
@@ -104,7 +104,7 @@
 	})
 }
 
-// logger is a scheduler's log; a trace as text holds all of it.
+// logger returns the scheduler's logger. The text trace, if there is one, contains the log at debug level.
 func (s *scheduler) logger() zerolog.Logger {
 	level := zerolog.WarnLevel
 	if s.env.clock.traceOut != nil {
@@ -113,10 +113,10 @@
 	return zerolog.New(panicDetector{s}).Level(level)
 }
 
-// panicDetector fails the simulation when a log tells of a panic that the script did not plan.
+// panicDetector fails the simulation when a log line reports a panic that was not injected by the script.
 type panicDetector struct{ scheduler *scheduler }
 
-// Write takes a line of the log; it never fails.
+// Write checks a log line and never fails.
 func (d panicDetector) Write(line []byte) (int, error) {
 	s, e := d.scheduler, d.scheduler.env
 	if bytes.Contains(line, []byte("fenced: panic")) && !bytes.Contains(line, []byte(plannedPanic)) {
@@ -128,10 +128,10 @@
 	return len(line), nil
 }
 
-// jobMix is drawn from for the job class of a request.
+// jobMix lists job classes; the class of a request is drawn from it, so that a class that occurs more often is requested more often.
 var jobMix = []int{0, 0, 0, 1, 1, 2, 2, 3}
 
-// sendNext has a client request the next task, and schedules the one after it.
+// sendNext makes a client request the next task, and schedules the request after it.
 func (e *environment) sendNext() {
 	if e.clock.now > e.Duration {
 		return
--- a/internal/lab/sim/script.go
+++ b/internal/lab/sim/script.go
@@ -9,29 +9,29 @@
 	"strings"
 )
 
-// Fault is something that goes wrong at a time.
+// Fault is a fault that is injected at a time of a script.
 type Fault struct {
 	At           float64 // ms
 	Kind         string  // one of faultKinds
-	Target, Peer string  // what it hits: s0 is a scheduler, n1 a node, o0 a client, list the node list, a or b a tenant; empty: nothing
+	Target, Peer string  // what it affects: s0 is a scheduler, n1 a node, o0 a client, list the node list, a or b a tenant; empty: nothing
 	Duration     float64 // ms
 	Size         float64 // its meaning depends on the kind
 }
 
-// Script is a cluster, its load and the faults that happen to it.
+// Script describes a cluster, its load and the faults that are injected into it.
 type Script struct {
 	Seed              uint64
 	Nodes             int
 	Schedulers        int
 	Shards            int
-	ConnectionSharing string  // of a scheduler's shards: shared, own or informed
-	ListPolled        bool    // the node list answers polls and does not push
+	ConnectionSharing string  // how a scheduler's shards use connections: shared, own or informed
+	ListPolled        bool    // the node list answers polls and does not push changes
 	ColdStart         bool    // all nodes start cold, and no scheduler knows the list
-	Rate              float64 // requests a second
-	Duration          float64 // ms of requests
+	Rate              float64 // requests per second
+	Duration          float64 // time in ms during which requests are sent
 	DynamicTenants    bool    // tenants are added, paused, limited and removed
 	Members           bool    // schedulers know each other
-	WorkingSetSize    int     // least nodes of a scheduler's working set, 0: it works with all
+	WorkingSetSize    int     // minimum number of nodes in a scheduler's working set, 0: schedulers work with all nodes
 	Faults            []Fault // in order of time
 }
 
@@ -72,8 +72,7 @@
 	return b.String()
 }
 
-// ParseFault reads a fault as it is in a script, without the keyword. The error says which kind is unknown, or what fmt.Sscan could not
-// read.
+// ParseFault parses a fault in the form that scripts have, without the keyword. The error names an unknown kind or is that of fmt.Sscan.
 func ParseFault(text string) (f Fault, err error) {
 	if _, err = fmt.Sscan(text, &f.At, &f.Kind, &f.Target, &f.Peer, &f.Duration, &f.Size); err != nil {
 		return f, err
@@ -85,7 +84,7 @@
 	return f, err
 }
 
-// Parse reads a script. Lines that begin with # are comments. The error names the line.
+// Parse parses and checks a script. Lines that begin with # are comments. The error of a line has its number.
 func Parse(in io.Reader) (s Script, err error) {
 	lines := bufio.NewScanner(in)
 	seen := map[string]bool{} // keywords, and the header
@@ -96,13 +95,13 @@
 		}
 		if !seen[header] {
 			if seen[header] = true; text != header {
-				return s, fmt.Errorf("script: %.40q, expected %q", text, header)
+				return s, fmt.Errorf("script: first line is %.40q, expected %q", text, header)
 			}
 			continue
 		}
 		keyword, rest, _ := strings.Cut(text, " ")
 		if keyword != "fault" && seen[keyword] {
-			return s, fmt.Errorf("script, line %d: %s stands twice", n, keyword)
+			return s, fmt.Errorf("script, line %d: duplicate keyword %s", n, keyword)
 		}
 		seen[keyword] = true
 		if err := s.parseLine(keyword, rest); err != nil {
@@ -115,7 +114,7 @@
 	return s, s.Check()
 }
 
-// parseLine takes a line of a script.
+// parseLine parses a line of a script.
 func (s *Script) parseLine(keyword, rest string) error {
 	if keyword == "fault" {
 		f, err := ParseFault(rest)
@@ -128,25 +127,25 @@
 		"members": {&s.Members}, "set": {&s.WorkingSetSize},
 	}[keyword]
 	if !ok {
-		return fmt.Errorf("unknown word %q", keyword)
+		return fmt.Errorf("unknown keyword %q", keyword)
 	}
 	_, err := fmt.Sscan(rest, fields...)
 	return err
 }
 
-// Check returns what is wrong with a script, nil if it can be run.
+// Check returns an error that says why a script can't be run, or nil if it can.
 func (s *Script) Check() error {
 	within := func(n, most int) bool { return n >= 1 && n <= most }
-	above0 := func(x, most float64) bool { return x > 0 && x <= most } // not NaN either
+	above0 := func(x, most float64) bool { return x > 0 && x <= most } // false for NaN
 	switch {
 	case !within(s.Nodes, maxNodes) || !within(s.Schedulers, maxSchedulers) || !within(s.Shards, maxShards):
-		return fmt.Errorf("script: 1 to %d nodes, 1 to %d schedulers and 1 to %d shards are expected", maxNodes, maxSchedulers, maxShards)
+		return fmt.Errorf("script: expected 1 to %d nodes, 1 to %d schedulers and 1 to %d shards", maxNodes, maxSchedulers, maxShards)
 	case !above0(s.Rate, maxRate) || !above0(s.Duration, maxDuration):
-		return errors.New("script: rate and lasts above 0 are expected")
+		return errors.New("script: rate or duration (keyword lasts) is not above 0 or is too large")
 	case s.WorkingSetSize < 0 || s.WorkingSetSize > 0 && s.ConnectionSharing == "own":
-		return errors.New("script: a set of 0 nodes or more is expected, of shards that share connections")
+		return errors.New("script: working set (keyword set) has a negative size, or its shards have connections of their own")
 	case !slices.Contains([]string{"shared", "own", "informed"}, s.ConnectionSharing):
-		return fmt.Errorf("script: shards share %q: shared, own or informed is expected", s.ConnectionSharing)
+		return fmt.Errorf("script: unknown connection sharing %q of shards, expected shared, own or informed", s.ConnectionSharing)
 	}
 	for i := range s.Faults {
 		if err := s.checkFault(&s.Faults[i]); err != nil {
@@ -157,18 +156,18 @@
 }
 
 func (s *Script) checkFault(f *Fault) error {
-	if !(f.At >= 0) || !(f.Duration >= 0) { // NaN neither
-		return fmt.Errorf("script: fault %s: times from 0 on are expected", f.Kind)
+	if !(f.At >= 0) || !(f.Duration >= 0) { // NaN is an error too
+		return fmt.Errorf("script: fault %s: time or duration is negative or NaN", f.Kind)
 	}
 	for _, name := range []string{f.Target, f.Peer} {
 		if !s.hasName(name) {
-			return fmt.Errorf("script: fault %s: nobody is called %q here", f.Kind, name)
+			return fmt.Errorf("script: fault %s: unknown target or peer %q", f.Kind, name)
 		}
 	}
 	return nil
 }
 
-// hasName reports whether a fault may hit a name.
+// hasName reports whether the script has a scheduler, node, client, node list or tenant of this name. The empty name is allowed.
 func (s *Script) hasName(name string) bool {
 	var i int
 	if _, err := fmt.Sscanf(name, "s%d", &i); err == nil {
--- a/internal/lab/sim/seeds.go
+++ b/internal/lab/sim/seeds.go
@@ -11,51 +11,52 @@
 )
 
 const (
-	progressInterval = 100 // seeds between two lines of progress
-	maxPrinted       = 20  // failures that Summary.Print tells of
+	progressInterval = 100 // seeds between two updates of the progress line
+	maxPrinted       = 20  // most failures that Summary.Print prints
 	traceFactor      = 0x9e3779b97f4a7c15
 	msPerHour        = 3600e3
 )
 
 // Batch is a range of seeds whose scripts are run.
 type Batch struct {
-	From, To    uint64              // To is left out
-	Workers     int                 // at a time; no more than there are cores
-	Fault       *ProgramFault       // nil: none
-	MaxFailures int                 // stop after so many, 0: run all
-	Progress    io.Writer           // nil: none
-	Change      func(Script) Script // changes each script, nil: none
+	From, To    uint64              // To is excluded
+	Workers     int                 // number of runs at a time, limited to the number of cores
+	Fault       *ProgramFault       // fault in the program, nil: none
+	MaxFailures int                 // the batch stops after this number of failures, 0: it runs all seeds
+	Progress    io.Writer           // receives a progress line, unless it is nil
+	Change      func(Script) Script // changes each script, unless it is nil
 }
 
-// Summary is what came of a batch.
+// Summary is the result of a batch.
 type Summary struct {
 	Seeds, Requests, Served int
 	Steps                   uint64
 	VirtualHours            float64
 	Elapsed                 time.Duration
-	Trace                   uint64   // hash over the traces of all, in order of the seeds
+	Trace                   uint64   // hash over the traces of all runs, in order of the seeds
 	Failures                []Result // in order of the seeds
 }
 
-// batchRun is a batch while it runs.
+// batchRun is the state of a running batch.
 type batchRun struct {
 	Batch
 	startedAt time.Time
 
-	mu       sync.Mutex // guards all below, and writes to Progress
+	mu       sync.Mutex // guards the fields below and writes to Progress
 	next     uint64
 	results  map[uint64]Result
 	failures int
 }
 
-// Run runs a batch until all of it is done, so many have failed, or the context ends. Seeds that were not run are not in the summary.
+// Run runs a batch until all seeds are done, MaxFailures runs have failed, or the context ends. Seeds that were not run are not in the
+// summary.
 func (b Batch) Run(ctx context.Context) Summary {
 	r := &batchRun{Batch: b, startedAt: time.Now(), next: b.From, results: map[uint64]Result{}}
 	var workers sync.WaitGroup
 	for range max(1, min(b.Workers, runtime.NumCPU())) {
 		workers.Go(func() {
 			for seed, ok := r.take(ctx); ok; seed, ok = r.take(ctx) {
-				r.done(seed, Run(r.script(seed), b.Fault, nil)) //nolint:contextcheck // a run on the virtual clock is not broken off
+				r.done(seed, Run(r.script(seed), b.Fault, nil)) //nolint:contextcheck // a run on the virtual clock is not interrupted
 			}
 		})
 	}
@@ -74,7 +75,7 @@
 	return s
 }
 
-// take returns the next seed to run, false if there is none.
+// take returns the next seed to run, or false if there is none.
 func (r *batchRun) take(ctx context.Context) (seed uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,7 +138,7 @@
 	return err
 }
 
-// failureKind says what a failure broke: an invariant of the program, or a rule.
+// failureKind returns what a failure violates: an invariant of the program, or a rule with its number.
 func (r Result) failureKind() string {
 	if r.FailedRule == 0 {
 		return "invariant"
--- a/internal/lab/sim/setup.go
+++ b/internal/lab/sim/setup.go
@@ -15,11 +15,11 @@
 	clientsPerScheduler = 2
 	maxShards           = 3
 	defaultServices     = 5
-	defaultRuntime      = 1500 // mean ms that a task runs
-	latencyObjective    = 800  // ms, of all job classes
-	listDelay           = 50   // ms by which the list is late
-	maxStartError       = 20   // ms by which a scheduler's clock is wrong at its start
-	driftRange          = 1e-4 // by which clocks may run fast or slow, in all
+	defaultRuntime      = 1500 // mean run time of a task, ms
+	latencyObjective    = 800  // of all job classes, ms
+	listDelay           = 50   // delay of the node list's changes, ms
+	maxStartError       = 20   // largest error of a scheduler's clock at its start, ms
+	driftRange          = 1e-4 // width of the range of clock drifts; half of it is fast, half slow
 )
 
 const siteText = `<site name="lab">
@@ -48,7 +48,7 @@
 	{Semantics: audit.Idempotent, Window: 1500},
 }
 
-// build starts all of the cluster: nodes, the list, and schedulers with their clients.
+// build starts the cluster: nodes, the node list, and schedulers with their clients.
 func (e *environment) build() error {
 	if err := e.readSite(); err != nil {
 		return err
@@ -115,7 +115,7 @@
 	return config
 }
 
-// startNodes starts the nodes, half of them in each zone, and notes where they are.
+// startNodes starts the nodes, half of them in each zone, and records their locations.
 func (e *environment) startNodes(locations map[uint32]audit.Location) error {
 	config, groups := e.machineConfig(), []*standin.Group{standin.NewGroup(), standin.NewGroup()}
 	for i := range e.Nodes {
@@ -174,21 +174,21 @@
 	e.clients = append(e.clients, c)
 }
 
-// newHost starts a process on a machine of its own.
+// newHost starts a process on a new machine.
 func (e *environment) newHost(name string) *Process {
 	p := e.clock.NewProcess(name)
 	e.hosts[name] = p
 	return p
 }
 
-// testbedOn returns a testbed on a host of its own, with the simulation's trace.
+// testbedOn returns a testbed on a new host. Its records go into the simulation's trace.
 func (e *environment) testbedOn(host string) *standin.Testbed {
 	tb := standin.NewTestbed(e.newHost(host))
 	tb.Trace.OnRecord = e.onRecord
 	return tb
 }
 
-// initialList is the node list as schedulers know it from the start, in the form of their state folder.
+// initialList returns the node list that schedulers know from the start, encoded as in their state folder.
 func (e *environment) initialList() []byte {
 	l := state.NewNodeList()
 	if l.Begin(list.KindFull, 0) != nil {
--- a/internal/lab/sim/shrink.go
+++ b/internal/lab/sim/shrink.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// How often Shrink makes a script smaller in one respect, and halves the duration of a fault.
+// Limits of the steps of Shrink.
 const (
-	maxReductions = 6
-	maxHalvings   = 4
+	maxReductions = 6 // applications of each reduction
+	maxHalvings   = 4 // of the duration of each fault
 )
 
-// reductions make a script smaller in one respect each.
+// reductions lists functions that make a script smaller in one respect.
 var reductions = []func(s *Script){
 	func(s *Script) { s.Schedulers-- },
 	func(s *Script) { s.Shards-- },
@@ -28,13 +28,13 @@
 
 // shrinker looks for a smaller script that still fails.
 type shrinker struct {
-	script   Script // the smallest so far
+	script   Script // smallest failing script so far
 	fails    func(Script) bool
 	progress func(Script)
 }
 
-// Shrink takes out of a script what is not needed for it to fail: faults first, then time and nodes. It calls progress with each smaller
-// script.
+// Shrink removes from a script what is not needed for it to fail: first faults, then parts of the cluster, load and time. It calls progress
+// with each smaller script that still fails.
 func Shrink(s Script, fails func(Script) bool, progress func(Script)) Script {
 	sh := &shrinker{script: s, fails: fails, progress: progress}
 	sh.dropFaults()
@@ -47,7 +47,7 @@
 	return sh.script
 }
 
-// try takes a script if it can be run and still fails. It reports whether it did.
+// try makes a candidate the current script if it can be run and still fails. It reports whether it did.
 func (sh *shrinker) try(candidate Script) bool {
 	if candidate.Check() != nil || !sh.fails(candidate) {
 		return false
@@ -57,7 +57,7 @@
 	return true
 }
 
-// dropFaults leaves out faults: half of them at once, then fewer, then one by one.
+// dropFaults removes faults: half of them at once, then fewer, then one by one.
 func (sh *shrinker) dropFaults() {
 	for size := max(1, len(sh.script.Faults)/2); ; size /= 2 {
 		for at := 0; at+size <= len(sh.script.Faults); {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -10,18 +10,18 @@
 	"testing"
 )
 
-// TestSeeds plays scripts drawn from seeds: nothing may break.
+// TestSeeds runs random scripts of 40 seeds. None may fail.
 func TestSeeds(t *testing.T) {
 	sum := Batch{To: 40, Workers: runtime.NumCPU()}.Run(t.Context())
 	for _, v := range sum.Failures {
 		t.Errorf("seed %d: %s\n%s", v.Script.Seed, v.Failure, v.Script)
 	}
 	if sum.Seeds != 40 || sum.Served < sum.Requests*3/4 {
-		t.Errorf("%d seeds, %d of %d asks served", sum.Seeds, sum.Served, sum.Requests)
+		t.Errorf("got %d seeds and %d of %d requests served, want 40 seeds and at least 3 of 4 requests served", sum.Seeds, sum.Served, sum.Requests)
 	}
 }
 
-// TestSameTrace plays seeds twice, with other numbers of processors and another pace of the garbage collector.
+// TestSameTrace runs seeds twice, with different numbers of processors and settings of the garbage collector. The traces must be the same.
 func TestSameTrace(t *testing.T) {
 	const seeds = 8
 	first := Batch{From: 500, To: 500 + seeds, Workers: runtime.NumCPU()}.Run(t.Context())
@@ -29,14 +29,14 @@
 	defer debug.SetGCPercent(debug.SetGCPercent(5))
 	again := Batch{From: 500, To: 500 + seeds, Workers: 1}.Run(t.Context())
 	if first.Trace != again.Trace || first.Steps != again.Steps || first.Trace == 0 {
-		t.Errorf("traces %x and %x, %d and %d steps", first.Trace, again.Trace, first.Steps, again.Steps)
+		t.Errorf("two runs of the same seeds differ: traces %x and %x, %d and %d steps", first.Trace, again.Trace, first.Steps, again.Steps)
 	}
 	if other := (Batch{From: 501, To: 501 + seeds, Workers: 1}.Run(t.Context())); other.Trace == first.Trace {
-		t.Error("other seeds give the same trace")
+		t.Error("different seeds give the same trace")
 	}
 }
 
-// TestScripts plays every script that ever broke something, and the named cases.
+// TestScripts runs every script that has ever failed, and the scripts of named cases.
 func TestScripts(t *testing.T) {
 	paths, err := filepath.Glob("scripts/*.txt")
 	if err != nil || len(paths) == 0 {
@@ -55,15 +55,15 @@
 				t.Fatal(err)
 			}
 			if v := Run(s, nil, nil); v.Failure != "" || v.Requests == 0 {
-				t.Errorf("%d asks, %s", v.Requests, v.Failure)
+				t.Errorf("got %d requests, want more than 0 and no failure: %s", v.Requests, v.Failure)
 			}
 		})
 	}
 }
 
-// TestPlants plants faults in the program: each must be found within some seeds. Those that take many begin near one that
-// finds them; lab run --plant tells after how many that is from the first.
-func TestPlants(t *testing.T) {
+// TestProgramFaults injects faults into the program. Each must be detected within 40 seeds. Faults that take more seeds start near a seed
+// that detects them; lab run --plant prints how many seeds a fault takes from the first.
+func TestProgramFaults(t *testing.T) {
 	from := map[string]uint64{
 		"found ones are adopted unasked": 250, "word of drains is lost": 66, "tokens are taken for harmless": 18,
 		"the life is used before it is on the disk": 2570, "the window of tokened tries is too long": 12, "answers come at the expiry": 74,
@@ -75,34 +75,35 @@
 			t.Parallel()
 			sum := Batch{From: from[p.Name], To: from[p.Name] + 40, Workers: 1, Fault: p, MaxFailures: 1}.Run(t.Context())
 			if len(sum.Failures) == 0 {
-				t.Errorf("not found by %d seeds", sum.Seeds)
+				t.Errorf("fault not detected by %d seeds", sum.Seeds)
 			} else {
-				t.Logf("found after %d seeds: %.150s", sum.Seeds, sum.Failures[0].Failure)
+				t.Logf("fault detected after %d seeds: %.150s", sum.Seeds, sum.Failures[0].Failure)
 			}
 		})
 	}
 }
 
+// TestScriptText parses scripts that were formatted, and checks the errors of faulty ones.
 func TestScriptText(t *testing.T) {
 	for seed := range uint64(200) {
 		s := Draw(seed)
 		back, err := Parse(strings.NewReader("# why\n\n" + s.String()))
 		if err != nil || back.String() != s.String() {
-			t.Fatalf("seed %d: %v\n%s\n%s", seed, err, s, back)
+			t.Fatalf("seed %d: parsed script differs: %v\n%s\n%s", seed, err, s, back)
 		}
 	}
 	text := Draw(3).String()
 	for _, c := range []struct{ name, old, new, want string }{
-		{"another opening", header, "script 9", "expected"},
-		{"unknown word", "rate", "rhyme", "unknown word"},
-		{"twice", "seed 3\n", "seed 3\nseed 4\n", "stands twice"},
-		{"no number", "seed 3", "seed x", "line 2"},
-		{"too few", "seed 3\n", "seed 3\nfault 1 kill s0\n", "line 3"},
-		{"unknown fault", "seed 3\n", "seed 3\nfault 1 sneeze s0 - 1 1\n", "unknown fault"},
-		{"nobody", "seed 3\n", "seed 3\nfault 1 kill s9 - 1 1\n", "nobody is called"},
+		{"wrong header", header, "script 9", "expected"},
+		{"unknown keyword", "rate", "rhyme", "unknown keyword"},
+		{"duplicate keyword", "seed 3\n", "seed 3\nseed 4\n", "duplicate keyword"},
+		{"value is not a number", "seed 3", "seed x", "line 2"},
+		{"too few fields of a fault", "seed 3\n", "seed 3\nfault 1 kill s0\n", "line 3"},
+		{"unknown kind of fault", "seed 3\n", "seed 3\nfault 1 sneeze s0 - 1 1\n", "unknown fault"},
+		{"unknown target", "seed 3\n", "seed 3\nfault 1 kill s9 - 1 1\n", "unknown target"},
 		{"no nodes", "nodes", "nodes 0\n#", "nodes"},
-		{"before its time", "seed 3\n", "seed 3\nfault -1 kill s0 - 1 1\n", "times from 0"},
-		{"unknown share", " shared\n", " all\n", "shared, own or informed"},
+		{"negative time", "seed 3\n", "seed 3\nfault -1 kill s0 - 1 1\n", "time or duration is negative"},
+		{"unknown connection sharing", " shared\n", " all\n", "shared, own or informed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			changed := strings.Replace(text, c.old, c.new, 1)
@@ -112,13 +113,13 @@
 				}
 			}
 			if _, err := Parse(strings.NewReader(changed)); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("got error %v, want one with %q", err, c.want)
 			}
 		})
 	}
 }
 
-// TestShrink takes out what is not needed: of many faults the one that a made-up failure needs.
+// TestShrink shrinks a script whose made-up failure needs one of many faults and two nodes.
 func TestShrink(t *testing.T) {
 	s := Draw(7)
 	s.Faults = append(s.Faults, Fault{At: 4000, Kind: "kill", Target: "s0", Duration: 800})
@@ -133,19 +134,19 @@
 	small := Shrink(s, fails, func(Script) {})
 	if len(small.Faults) != 1 || small.Nodes != 2 || small.Schedulers != 1 || small.Shards != 1 || small.Faults[0].Duration >= 200 ||
 		!fails(small) {
-		t.Errorf("%s", small)
+		t.Errorf("want one short fault, 2 nodes, 1 scheduler and 1 shard, got\n%s", small)
 	}
 }
 
-// TestKillAtEachStep kills a scheduler after each of its first effects in turn.
-func TestKillAtEachStep(t *testing.T) {
+// TestKillAfterEffects kills a scheduler after 1, 11, 21 and so on up to 111 effects.
+func TestKillAfterEffects(t *testing.T) {
 	for n := 1; n < 120; n += 10 {
 		s := Script{
 			Seed: uint64(n), Nodes: 3, Schedulers: 1, Shards: 2, ConnectionSharing: "shared", Rate: 60, Duration: 2500,
 			Faults: []Fault{{At: 900, Kind: "kill-in", Target: "s0", Duration: 400, Size: float64(n)}},
 		}
 		if v := Run(s, nil, nil); v.Failure != "" {
-			t.Errorf("after %d effects: %s", n, v.Failure)
+			t.Errorf("scheduler killed after %d effects: %s", n, v.Failure)
 		}
 	}
 }
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -16,46 +16,46 @@
 const (
 	firstRequestAt = 200
 	sampleInterval = 50
-	settleTime     = 9000 // after the last request, by when all is answered, recovered and ended
-	orderSlack     = 400  // by which the order of events on two links may be wrong
+	settleTime     = 9000 // time after the last request in which all requests are answered and all tasks are recovered and end
+	orderSlack     = 400  // time by which the order of events on two links may be wrong
 )
 
-// Simulation is a script and how it is run.
+// Simulation is a script with the options of its run.
 type Simulation struct {
 	Script
-	ProgramFault    *ProgramFault                                // nil: none
-	TraceOut        io.Writer                                    // gets the trace as text, unless it is nil
-	Policy          engine.PolicyFactory                         // nil: the module
-	OnRecord        func(*audit.Record)                          // gets each record, unless it is nil
-	OnSample        func(now float64, nodes []*standin.Node)     // gets the nodes every 50 ms, unless it is nil
-	OnUsage         func(now float64, tenant string, open []int) // gets open allocations of a limited tenant by scheduler, unless it is nil
-	Services        int                                          // of each job class, 0: 5
-	TaskRuntime     float64                                      // mean ms that a task runs, 0: 1,500
-	SettleTime      float64                                      // ms after the last request, 0: 9,000
-	WorkingSet      *site.WorkingSet                             // nil: the script's
-	CountViolations bool                                         // a broken rule is counted and does not end the run: for policies that keep few
+	ProgramFault    *ProgramFault                                // fault in the program, nil: none
+	TraceOut        io.Writer                                    // receives the trace as text, unless it is nil
+	Policy          engine.PolicyFactory                         // scheduling policy, nil: the scheduling module
+	OnRecord        func(*audit.Record)                          // is called with each record, unless it is nil
+	OnSample        func(now float64, nodes []*standin.Node)     // is called with the nodes every 50 ms, unless it is nil
+	OnUsage         func(now float64, tenant string, open []int) // is called with a limited tenant's open allocations by scheduler, unless it is nil
+	Services        int                                          // number of services of each job class, 0: 5
+	TaskRuntime     float64                                      // mean run time of a task in ms, 0: 1,500
+	SettleTime      float64                                      // time that the run goes on after the last request in ms, 0: 9,000
+	WorkingSet      *site.WorkingSet                             // working set of the schedulers, nil: the script's
+	CountViolations bool                                         // rule violations are counted and do not end the run, for policies that violate many
 }
 
-// Result is what came of a script.
+// Result is the result of a script's run.
 type Result struct {
 	Script     Script
-	Failure    string // the first thing that broke, empty if nothing did
-	FailedRule int    // the rule that broke, 0: an invariant of the program
-	Trace      uint64 // hash over all that passed
+	Failure    string // first failure, empty if there was none
+	FailedRule int    // rule that the failure violates, 0: an invariant of the program
+	Trace      uint64 // hash over the trace
 	Steps      uint64 // events that ran code of the program
 	Requests   int
 	Served     int
-	LostTasks  int // of which clients were notified that they are lost
-	Violations int // of rules, with CountViolations
+	LostTasks  int // tasks that clients were notified were lost
+	Violations int // rule violations, counted with CountViolations
 	VirtualMs  float64
 }
 
-// Run runs a script, with a fault in the program unless that is nil. The trace is written as text unless out is nil.
+// Run runs a script, with a fault in the program unless fault is nil. It writes the trace as text to out unless out is nil.
 func Run(s Script, fault *ProgramFault, out io.Writer) Result {
 	return Simulation{Script: s, ProgramFault: fault, TraceOut: out}.Run()
 }
 
-// Run runs the simulation to its end, or until something breaks. A panic is something that breaks.
+// Run runs the simulation to its end or to the first failure. A panic is a failure.
 func (sim Simulation) Run() (result Result) {
 	e := newEnvironment(sim)
 	defer func() {
@@ -92,14 +92,14 @@
 	return e.result
 }
 
-// environment is the cluster of a simulation, and what is known of it.
+// environment is the state of a running simulation: the simulated cluster and the data of the checks.
 type environment struct {
 	Script
 	simulation     Simulation
 	fault          *ProgramFault
 	clock          *Clock
 	rng            *rand.Rand
-	testbed        *standin.Testbed // whose trace faults are recorded in
+	testbed        *standin.Testbed // its trace records the faults
 	auditor        *audit.Auditor
 	site           *site.Config
 	hosts          map[string]*Process // by name
@@ -108,7 +108,7 @@
 	schedulers     []*scheduler
 	clients        []*standin.Client
 	loadFactor     float64
-	stalledClients map[int]float64 // until when clients don't read, ms
+	stalledClients map[int]float64 // time in ms until which a client does not read, by client ID
 	lastKey        int
 	tenants        tenantChecks
 	result         Result
@@ -126,7 +126,7 @@
 	return e
 }
 
-// fail notes the first thing that breaks.
+// fail records a failure, if it is the first one.
 func (e *environment) fail(rule int, what string) {
 	if e.result.Failure == "" {
 		e.result.FailedRule, e.result.Failure = rule, fmt.Sprintf("at %.0f ms: %s", e.clock.now, what)
@@ -142,7 +142,7 @@
 	return r
 }
 
-// onRecord takes a record of a stand-in. What the list delivers counts when the scheduler has read it.
+// onRecord receives the records of testbeds. What the node list delivers is observed only when the scheduler has read it.
 func (e *environment) onRecord(r *audit.Record) {
 	r.At = e.clock.now
 	switch {
@@ -166,7 +166,7 @@
 	e.clock.tracef("%s %s node %d owner %d ref %d try %x.%d job %d token %x service %x %s\n", r.Kind, r.Scheduler, r.Node, r.Client, r.RequestRef,
 		r.Ticket, r.Attempt, r.Job, r.Token, r.Service, r.Detail)
 	if r.Kind == audit.ResponseReceived && e.clock.now < e.stalledClients[r.Client] {
-		r.At = 0 // it may have arrived long ago
+		r.At = 0 // the answer may have arrived long ago
 	}
 	if e.simulation.OnRecord != nil {
 		e.simulation.OnRecord(r)
--- a/internal/lab/sim/tenants.go
+++ b/internal/lab/sim/tenants.go
@@ -13,19 +13,19 @@
 
 // Times of changes of tenants in ms.
 const (
-	changeStagger = 150  // between two schedulers that get a change
-	changeDelay   = 1500 // in which a running scheduler has applied a change
-	stopDelay     = 1200 // in which the tasks of a removed tenant are stopped
+	changeStagger = 150  // between the times at which two schedulers receive a change
+	changeDelay   = 1500 // within which a running scheduler applies a change
+	stopDelay     = 1200 // within which the tasks of a removed tenant are stopped
 )
 
 // stopSize is the size of a removal fault from which the tenant's tasks are stopped.
 const stopSize = 0.5
 
-// tenantChecks is what is known of tenants, to check what schedulers do for them. Times are ms.
+// tenantChecks is the data that the checks of schedulers need about tenants. Times are in ms.
 type tenantChecks struct {
-	wanted       map[uint64]tenantRequest // by token
+	wanted       map[uint64]tenantRequest // request of each task, by token
 	requested    map[requestKey]tenantRequest
-	closedSince  map[string]float64 // paused and removed tenants, since all schedulers could know
+	closedSince  map[string]float64 // paused and removed tenants: when the last scheduler received the change
 	removedSince map[string]float64
 	limits       map[string]limit
 }
@@ -39,10 +39,10 @@
 // tenantRequest is a request of a tenant.
 type tenantRequest struct {
 	tenant      string
-	firstSentAt float64 // ms
+	firstSentAt float64 // when a client first requested the task, ms
 }
 
-// limit is how many of a tenant's allocations may be open, and from when on no more are.
+// limit is a limit on a tenant's open allocations, and the time from which it has to be kept.
 type limit struct {
 	open int
 	from float64 // ms
@@ -55,7 +55,7 @@
 	}
 }
 
-// applyEverywhere has a change reach all schedulers, one after the other. It returns when the last has it.
+// applyEverywhere sends a change to all schedulers, one after the other. It returns the time at which the last one receives it.
 func (e *environment) applyEverywhere(change tenancy.Change) (last float64) {
 	for i, s := range e.schedulers {
 		last = e.clock.now + float64(i)*changeStagger
@@ -64,12 +64,12 @@
 	return last
 }
 
-// tenantMayChange reports whether a fault of a tenant can be injected: tenants change, and it was not removed.
+// tenantMayChange reports whether a fault of a tenant can be injected: the script has dynamic tenants, and the tenant was not removed.
 func (e *environment) tenantMayChange(f Fault) bool {
 	return e.DynamicTenants && !(e.tenants.removedSince[f.Target] > 0)
 }
 
-// pauseTenant pauses a tenant, and resumes it later unless it was paused again or removed meanwhile.
+// pauseTenant pauses a tenant and resumes it when the fault ends, unless the tenant was paused again or removed meanwhile.
 func (e *environment) pauseTenant(f Fault) {
 	if !e.tenantMayChange(f) {
 		return
@@ -84,7 +84,7 @@
 	})
 }
 
-// limitTenant limits the open allocations of a tenant.
+// limitTenant limits the open allocations of a tenant to the fault's size.
 func (e *environment) limitTenant(f Fault) {
 	if !e.tenantMayChange(f) {
 		return
@@ -95,14 +95,14 @@
 		Limits: tenancy.Limits{Limits: fairqueue.Limits{Share: 1, MaxOpen: l.open, MaxWaiting: limitedMaxWaiting}},
 	})
 	for _, s := range e.schedulers {
-		if s.process.paused { // checkTenantLimits dates the limit by its resumption
+		if s.process.paused { // checkTenantLimits sets the time when the scheduler resumes
 			l.from = math.Inf(1)
 		}
 	}
 	e.tenants.limits[f.Target] = l
 }
 
-// removeTenant removes a tenant; its tasks are stopped, or end by themselves.
+// removeTenant removes a tenant. Depending on the fault's size its tasks are stopped or run to their end.
 func (e *environment) removeTenant(f Fault) {
 	if !e.tenantMayChange(f) {
 		return
@@ -118,11 +118,11 @@
 	}
 }
 
-// maxExpiry is the longest time-out of a request, ms.
+// maxExpiry returns the longest time-out of a request in ms.
 func (e *environment) maxExpiry() float64 { return slices.Max(e.site.Deadlines) }
 
-// checkTenantLimits checks what all schedulers together have open of a tenant against its limit. A scheduler that was paused applies the
-// limit late.
+// checkTenantLimits checks the number of a tenant's open allocations in all schedulers together against its limit. A scheduler that was
+// paused applies the limit late.
 func (e *environment) checkTenantLimits() {
 	for slot, name := range tenantNames {
 		l, ok := e.tenants.limits[name]
@@ -143,18 +143,18 @@
 			e.simulation.OnUsage(e.clock.now, name, open)
 		}
 		if e.clock.now >= l.from && sum > l.open {
-			e.fail(0, fmt.Sprintf("%v of tenant %s are open, %d may be", open, name, l.open))
+			e.fail(0, fmt.Sprintf("schedulers have %v allocations of tenant %s open, limit is %d in all", open, name, l.open))
 		}
 	}
 }
 
-// harmlessFaults don't keep a scheduler from stopping tasks.
+// harmlessFaults are kinds of faults that do not prevent a scheduler from stopping tasks.
 var harmlessFaults = []string{
 	"jump", "list-away", "list-behind", "errors", "flood", "withdraw", "window", "drain", "tenant-limit", "tenant-pause",
 	"tenant-remove",
 }
 
-// isUndisturbed reports whether no fault between schedulers and nodes falls in a time.
+// isUndisturbed reports whether a period is free of faults that may prevent schedulers from stopping tasks at nodes.
 func (e *environment) isUndisturbed(from, to float64) bool {
 	return !slices.ContainsFunc(e.Faults, func(f Fault) bool {
 		return f.At <= to && f.At+f.Duration+changeDelay/2 >= from && f.Peer != "list" && !strings.HasPrefix(f.Peer, "o") &&
@@ -162,14 +162,14 @@
 	})
 }
 
-// checkStopped checks that nodes hold nothing of a removed tenant.
+// checkStopped checks that nodes hold no task of a removed tenant.
 func (e *environment) checkStopped(tenant string) {
 	for _, n := range e.nodes {
 		for _, s := range e.schedulers {
 			for _, name := range s.shardNames() {
 				for _, held := range n.Machine.Held(e.clock.now, name) {
 					if e.tenants.wanted[held.Token].tenant == tenant {
-						e.fail(0, fmt.Sprintf("node %d holds %x of tenant %s, which was removed with all that runs", n.ID, held.Token, tenant))
+						e.fail(0, fmt.Sprintf("node %d holds task %x of tenant %s, which was removed with its running tasks", n.ID, held.Token, tenant))
 					}
 				}
 			}
@@ -177,7 +177,7 @@
 	}
 }
 
-// checkClosedTenant checks that nothing is placed for a tenant that was paused or removed before the request.
+// checkClosedTenant checks that no request is served that was sent after its tenant was paused or removed.
 func (e *environment) checkClosedTenant(r *audit.Record) {
 	key := requestKey{r.Client, r.RequestRef}
 	if r.Kind == audit.RequestSent {
@@ -193,7 +193,7 @@
 	}
 	for _, s := range e.schedulers {
 		if s.name == r.Scheduler && !s.process.paused && req.firstSentAt > s.process.resumedAt+changeDelay {
-			e.fail(0, fmt.Sprintf("ask %d of tenant %s was served, which takes nothing since %.0f ms; it was asked for at %.0f", r.RequestRef, req.tenant,
+			e.fail(0, fmt.Sprintf("request %d of tenant %s was served, but the tenant is paused or removed since %.0f ms; its task was first requested at %.0f ms", r.RequestRef, req.tenant,
 				since, req.firstSentAt))
 		}
 	}
--- a/internal/lab/sim/tenantstore.go
+++ b/internal/lab/sim/tenantstore.go
@@ -13,26 +13,26 @@
 
 // Limits of the simulation's tenants.
 const (
-	initialMaxWaiting = 200
-	limitedMaxWaiting = 20
+	initialMaxWaiting = 200 // requests of a tenant that may wait in the queue
+	limitedMaxWaiting = 20  // the same for a tenant that a fault has limited
 )
 
-// tokenIDLength is how many letters of a token are its id.
+// tokenIDLength is the length of the token ID, which is the beginning of a token, in bytes.
 const tokenIDLength = 12
 
 var tenantNames = []string{"a", "b"}
 
-// tokenExpiry is after every simulation.
+// tokenExpiry is the expiry of all tokens, which is later than the end of any simulation.
 var tokenExpiry = time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// tenantOf returns the tenant of a client: each requests for one alone.
+// tenantOf returns the tenant of a client. Each client sends requests for one tenant only.
 func tenantOf(client int) string { return tenantNames[client%len(tenantNames)] }
 
-// authTokenOf is the token that a tenant's clients show.
+// authTokenOf returns the token with which a tenant's clients authenticate.
 func authTokenOf(tenant string) string { return "token-" + tenant + "-0000.secret" }
 
-// tenantStore keeps a scheduler's tenants, as the store on disk does, while the process ends and starts again. Changes are made by the
-// simulation and are never torn.
+// tenantStore stores a scheduler's tenants. As with the store on disk, they survive restarts of the process. The simulation makes all
+// changes, and each change is atomic.
 type tenantStore struct {
 	env      *environment
 	registry *tenancy.Registry
@@ -47,7 +47,7 @@
 	return s
 }
 
-// apply makes a change, unless the tenant's state forbids it.
+// apply applies a change, unless the tenant's state forbids it.
 func (s *tenantStore) apply(change tenancy.Change) {
 	if _, refusal := s.registry.Apply(s.env.clock.now, change); refusal == nil {
 		s.version++
@@ -60,7 +60,7 @@
 // Fingerprint implements serve.TenantStore.
 func (s *tenantStore) Fingerprint() (uint64, error) { return s.version, nil }
 
-// Read implements serve.TenantStore, with the program fault if there is one.
+// Read implements serve.TenantStore. The program fault, if there is one, changes the tenants that it returns.
 func (s *tenantStore) Read() (tenants.State, error) {
 	st := tenants.State{Tenants: tenancy.New(s.registry.Slots()), Tokens: map[string]tenants.Token{}, Changes: s.version}
 	for _, t := range s.registry.All() {
--- a/internal/lab/sim/witness_test.go
+++ b/internal/lab/sim/witness_test.go
@@ -6,15 +6,15 @@
 	"ravenpond/internal/audit"
 )
 
-// repeatWatch counts requests for tasks that ran on node 1 when the link of s0 to it was cut: their clients were notified that they are
-// over, and request them again.
+// repeatWatch counts repeated requests for tasks that ran on node 1 when the link of s0 to it was cut. The clients of these tasks were
+// notified that the tasks have ended, and request them again.
 type repeatWatch struct {
 	requested map[requestKey]uint64 // token by request
-	servedAt  map[uint64]float64    // ms, by token
-	node      map[uint64]uint32     // of the last attempt, by token
+	servedAt  map[uint64]float64    // when a request was last served, ms, by token
+	node      map[uint64]uint32     // node of the last attempt, by token
 
 	repeats     int
-	first, last float64 // ms
+	first, last float64 // times of the first and last repeat, ms
 }
 
 func (w *repeatWatch) onRecord(r *audit.Record) {
@@ -41,23 +41,23 @@
 	return ok && at < 9000 && w.node[r.Token] == 1 && r.Scheduler == "s0" && r.At > 10000 && r.At < 26000
 }
 
-// TestWitness cuts the link of one scheduler to a node that runs its tasks. Where other schedulers still reach the node, no client is
-// notified, as the tasks run on; where they reach it in its next incarnation, clients are notified soon. A scheduler without peers waits as
-// long as for any silent node and then gives the tasks up.
-func TestWitness(t *testing.T) {
+// TestPeersObserveNode cuts the link of one scheduler to a node that runs its tasks. Where other schedulers still reach the node, no client
+// is notified, as the tasks continue to run. Where they reach the node in its next incarnation, clients are notified soon. A scheduler
+// without peers waits as long as for any silent node and then gives the tasks up.
+func TestPeersObserveNode(t *testing.T) {
 	cut := Fault{At: 10000, Kind: "cut", Target: "s0", Peer: "n1", Duration: 16000}
 	for _, c := range []struct {
 		name     string
 		members  bool
 		faults   []Fault
-		lost     bool    // clients are notified of ends while the link is cut
-		from, to float64 // and when, ms
+		lost     bool    // clients are notified of ended tasks while the link is cut
+		from, to float64 // period of the repeated requests, ms
 	}{
 		{"link cut, others reach the node", true, []Fault{cut}, false, 0, 0},
 		{"link cut, no peers", false, []Fault{cut}, true, 19000, 23000},
 		{"node restarted, others reach it", true, []Fault{cut, {At: 10100, Kind: "restart", Target: "n1", Duration: 500}}, true, 13000, 17000},
 		{"node restarted, no peers", false, []Fault{cut, {At: 10100, Kind: "restart", Target: "n1", Duration: 500}}, true, 19000, 23000},
-		{"node dead, the list has it as gone", true, []Fault{cut, {At: 10100, Kind: "lost", Target: "n1", Duration: 30000}}, true, 13000, 23000},
+		{"node dead, node list reports it as gone", true, []Fault{cut, {At: 10100, Kind: "lost", Target: "n1", Duration: 30000}}, true, 13000, 23000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := Script{
@@ -70,7 +70,7 @@
 				t.Error(result.Failure)
 			}
 			if c.lost != (w.repeats > 0) || c.lost && (w.first < c.from || w.last > c.to) {
-				t.Errorf("%d notified that their work is over, from %.0f to %.0f ms", w.repeats, w.first, w.last)
+				t.Errorf("got %d repeated requests for ended tasks, from %.0f to %.0f ms", w.repeats, w.first, w.last)
 			}
 		})
 	}
--- a/internal/lab/sim/workingset_test.go
+++ b/internal/lab/sim/workingset_test.go
@@ -10,19 +10,19 @@
 	"ravenpond/internal/standin"
 )
 
-// TestSeedsWithWorkingSet runs drawn scripts with working sets: nothing may break.
+// TestSeedsWithWorkingSet runs random scripts with working sets. None may fail.
 func TestSeedsWithWorkingSet(t *testing.T) {
 	sum := Batch{To: 40, Workers: runtime.NumCPU(), Change: func(s Script) Script { return s.WithWorkingSet(2) }}.Run(t.Context())
 	for _, r := range sum.Failures {
 		t.Errorf("seed %d: %s\n%s", r.Script.Seed, r.Failure, r.Script)
 	}
 	if sum.Seeds != 40 || sum.Served < sum.Requests*7/10 {
-		t.Errorf("%d seeds, %d of %d asks served", sum.Seeds, sum.Served, sum.Requests)
+		t.Errorf("got %d seeds and %d of %d requests served, want 40 seeds and at least 7 of 10 requests served", sum.Seeds, sum.Served, sum.Requests)
 	}
 }
 
-// longTasks is a script of tasks that run longer than a scheduler waits for a node that is gone, with working sets that follow the load:
-// they grow and shrink with bursts, and start small again when a scheduler restarts.
+// longTasks returns a simulation of tasks that run longer than a scheduler waits for a node that is gone. Its working sets follow the load:
+// they grow and shrink with bursts, and are small again when a scheduler restarts.
 func longTasks(seed uint64) Simulation {
 	working := site.WorkingSet{MinNodes: 2, SpareFactor: 3, NodesPerStart: 0.2, MinPerStratum: 1, NarrowAfter: 400}
 	faults := []Fault{
@@ -37,8 +37,8 @@
 	}}
 }
 
-// harm is what a scheduler does that can't reach its tasks: it notifies that running tasks are lost, and starts tasks twice. Some second
-// starts follow from the kills: clients request again before all nodes were heard.
+// harm counts the effects of a scheduler that can't reach its tasks: clients are notified that running tasks are lost, and tasks are started
+// twice. Some second starts follow from the kills, as clients repeat requests before the scheduler has heard from all nodes.
 type harm struct{ lost, twice int }
 
 // startCount counts second starts of running tasks.
@@ -62,7 +62,7 @@
 	}
 }
 
-// runLongTasks runs long tasks of six seeds and sums up the harm. No node fails, so no task may be lost.
+// runLongTasks runs longTasks with six seeds and returns the total harm. No node fails, so no task may be lost.
 func runLongTasks(t *testing.T, minNodes int, fault *ProgramFault) (total harm) {
 	t.Helper()
 	for seed := range uint64(6) {
@@ -71,7 +71,7 @@
 		sim.WorkingSet.MinNodes, sim.ProgramFault, sim.OnRecord = minNodes, fault, starts.onRecord
 		r := sim.Run()
 		if r.Failure != "" && fault == nil || r.Served < 50 {
-			t.Errorf("seed %d: %d served, %s", seed, r.Served, r.Failure)
+			t.Errorf("seed %d: got %d requests served, want at least 50; failure: %s", seed, r.Served, r.Failure)
 		}
 		total.lost += r.LostTasks
 		total.twice += starts.twice
@@ -79,32 +79,32 @@
 	return total
 }
 
-// TestWorkingSetFaults puts faults into what lets a scheduler reach its tasks: each must be found. Without them tasks fare as where
-// schedulers work with all nodes.
+// TestWorkingSetFaults injects faults into the code that lets a scheduler reach its tasks. Each must be detected. Without them there is
+// no more harm than where schedulers work with all nodes, apart from second starts, which may double.
 func TestWorkingSetFaults(t *testing.T) {
 	full, set := runLongTasks(t, 0, nil), runLongTasks(t, 2, nil)
 	isWrong := func(h harm) bool { return h.lost > full.lost || h.twice > 2*full.twice }
 	if full.lost > 0 || isWrong(set) {
-		t.Errorf("all nodes: %+v, working sets: %+v", full, set)
+		t.Errorf("harm with all nodes %+v, want no lost task; with working sets %+v, want no more lost tasks and at most twice the second starts", full, set)
 	}
 	for i := range WorkingSetFaults {
 		h := runLongTasks(t, 2, &WorkingSetFaults[i])
-		t.Logf("%q: %+v, without it %+v, with all nodes %+v", WorkingSetFaults[i].Name, h, set, full)
+		t.Logf("fault %q: harm %+v, without the fault %+v, with all nodes %+v", WorkingSetFaults[i].Name, h, set, full)
 		if !isWrong(h) {
-			t.Errorf("%q is not found", WorkingSetFaults[i].Name)
+			t.Errorf("fault %q is not detected", WorkingSetFaults[i].Name)
 		}
 	}
 }
 
-// TestWorkingSetText writes and reads a script with a working set.
+// TestWorkingSetText formats and parses a script with a working set.
 func TestWorkingSetText(t *testing.T) {
 	s := Draw(3).WithWorkingSet(7)
 	back, err := Parse(strings.NewReader(s.String()))
 	if err != nil || back.WorkingSetSize != 7 || back.String() != s.String() {
-		t.Errorf("%v\n%s\n%s", err, s, back)
+		t.Errorf("parsed script differs or has no working set of 7 nodes: %v\n%s\n%s", err, s, back)
 	}
 	s.ConnectionSharing = "own"
 	if s.Check() == nil {
-		t.Error("a set of shards with connections of their own passes")
+		t.Error("a script with a working set and shards with connections of their own passes Check")
 	}
 }
