--- a/internal/lab/agenda/agenda.go
+++ b/internal/lab/agenda/agenda.go
@@ -33,16 +33,16 @@
 }
 
 // Add schedules an item for a time.
-func (a *Queue[T]) Add(at float64, what T) {
-	a.added++
-	heap.Push(&a.entries, entry[T]{at, a.added, what})
+func (q *Queue[T]) Add(at float64, item T) {
+	q.added++
+	heap.Push(&q.entries, entry[T]{at, q.added, item})
 }
 
 // Next removes and returns the earliest item if it is due at the given time or before it.
-func (a *Queue[T]) Next(by float64) (at float64, what T, ok bool) {
-	if len(a.entries) == 0 || a.entries[0].at > by {
-		return 0, what, false
+func (q *Queue[T]) Next(until float64) (at float64, item T, ok bool) {
+	if len(q.entries) == 0 || q.entries[0].at > until {
+		return 0, item, false
 	}
-	e := heap.Pop(&a.entries).(entry[T])
+	e := heap.Pop(&q.entries).(entry[T])
 	return e.at, e.item, true
 }
--- a/internal/lab/seeds/seeds.go
+++ b/internal/lab/seeds/seeds.go
@@ -7,19 +7,19 @@
 	"sync/atomic"
 )
 
-// Run calls play for each seed from a to b, b excluded, on the given number of workers until the context ends. The results are in the order
-// of the seeds; a seed that was not run has the zero value.
-func Run[T any](ctx context.Context, a, b uint64, workers int, play func(seed uint64) T) []T {
-	all := make([]T, b-a)
+// Run calls run for each seed in [from, to) on the given number of workers until the context ends. The results are in the order of the
+// seeds; a seed that was not run has the zero value.
+func Run[T any](ctx context.Context, from, to uint64, workers int, run func(seed uint64) T) []T {
+	results := make([]T, to-from)
 	var next atomic.Uint64
-	var work sync.WaitGroup
+	var running sync.WaitGroup
 	for range max(1, workers) {
-		work.Go(func() {
-			for i := next.Add(1) - 1; i < b-a && ctx.Err() == nil; i = next.Add(1) - 1 {
-				all[i] = play(a + i)
+		running.Go(func() {
+			for i := next.Add(1) - 1; i < to-from && ctx.Err() == nil; i = next.Add(1) - 1 {
+				results[i] = run(from + i)
 			}
 		})
 	}
-	work.Wait()
-	return all
+	running.Wait()
+	return results
 }
--- a/internal/lab/sim/agree_test.go
+++ b/internal/lab/sim/agree_test.go
@@ -19,7 +19,7 @@
 	mu       sync.Mutex
 	in       line.Splitter
 	messages []string
-	head     bool
+	greeted  bool
 }
 
 func (t *transcript) OnClose(error) {}
@@ -27,12 +27,12 @@
 func (t *transcript) OnData(b []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.head {
+	if !t.greeted {
 		head, after, err := t.in.Greeting(b, node.GreetingLine)
 		if err != nil || head == nil {
 			return
 		}
-		t.head, b = true, after
+		t.greeted, b = true, after
 		t.messages = append(t.messages, "node "+head.Get("Node")+" life "+head.Get("Life"))
 	}
 	_ = t.in.Feed(b, func(fields [][]byte) error {
@@ -49,10 +49,10 @@
 	})
 }
 
-// converse sends a node offers that fit and that do not, a recall, claims, a stop, a probe, an offer of an older epoch and one that was in
-// transit for too long.
-func converse(w env.Environment, address string) (*transcript, error) {
-	testbed := standin.NewTestbed(w)
+// exchangeMessages sends a node offers that fit and that do not, a recall, claims, a stop, a probe, an offer of an older epoch and one that
+// was in transit for too long.
+func exchangeMessages(environ env.Environment, address string) (*transcript, error) {
+	testbed := standin.NewTestbed(environ)
 	n := &standin.Node{ID: 7, Zone: "z", Cell: "c", Kind: "k", Jobs: 2, Tenants: 1}
 	config := standin.MachineConfig{
 		Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, InspectTime: 2, QueueLimit: 4, ConcurrentStarts: 2, ProgramMissFactor: 2, ProgramCacheSize: 3,
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	t := &transcript{}
-	w.Dial(n.Address(), 1000, func(c env.Conn, err error) {
+	environ.Dial(n.Address(), 1000, func(c env.Conn, err error) {
 		if err != nil {
 			t.messages = append(t.messages, err.Error())
 			return
@@ -71,12 +71,12 @@
 		c.Start(t, 1000)
 		send := func(b []byte) { c.Send(func(q []byte) []byte { return append(q, b...) }) }
 		send(line.AppendGreeting(nil, node.GreetingLine, "Scheduler", "s", "Life", "1", "Node", "7"))
-		zero := w.Now()
+		zero := environ.Now()
 		offer := func(ticket uint64, epoch uint32, late, timeout float64, job int, token uint64, cores float64) {
-			send(node.AppendOffer(nil, node.Offer{Attempt: node.AttemptID{Ticket: ticket}, Epoch: epoch, SentAt: w.Now() - zero - late, Timeout: timeout, Task: node.Task{JobClass: job, Service: 9, Token: token, Cores: cores, Memory: 1}}))
+			send(node.AppendOffer(nil, node.Offer{Attempt: node.AttemptID{Ticket: ticket}, Epoch: epoch, SentAt: environ.Now() - zero - late, Timeout: timeout, Task: node.Task{JobClass: job, Service: 9, Token: token, Cores: cores, Memory: 1}}))
 		}
 		for i, step := range []func(){
-			func() { send(node.AppendPing(nil, w.Now()-zero)) },
+			func() { send(node.AppendPing(nil, environ.Now()-zero)) },
 			func() { offer(1, 5, 0, 1000, 0, 11, 2) },
 			func() { offer(2, 5, 0, 1000, 0, 12, 7) },                          // more cores than are free
 			func() { offer(3, 5, 0, 1000, 1, 13, 1) },                          // takes long enough to start that the recall is in time
@@ -90,7 +90,7 @@
 			func() { send(node.AppendStop(nil, node.AttemptID{Ticket: 7})) },
 			func() { send(node.AppendProbe(nil, 1)) },
 		} {
-			w.After(40+60*float64(i), step)
+			environ.After(40+60*float64(i), step)
 		}
 	})
 	return t, nil
@@ -99,39 +99,39 @@
 // TestLateFirstOffer sends the first offer of a connection 4 s late. The node can only refuse it if the greeting, which arrived at once, has
 // told it the scheduler's time.
 func TestLateFirstOffer(t *testing.T) {
-	for _, tellsTime := range []bool{true, false} {
+	for _, sendsTime := range []bool{true, false} {
 		c := NewClock(1)
-		w := env.Environment(c.NewProcess("n"))
+		process := env.Environment(c.NewProcess("n"))
 		n := &standin.Node{ID: 7, Zone: "z", Cell: "c", Kind: "k", Jobs: 1, Tenants: 1}
 		config := standin.MachineConfig{
 			Cores: 8, Memory: 16, CoresLimit: 1, MemoryLimit: 1, InspectTime: 2, QueueLimit: 4, ConcurrentStarts: 2, OverloadFactor: 1e9, OverloadWindow: 1, SlowStartLimit: 1 << 20,
 			JobProfiles: []standin.JobProfile{{StartWork: 5, MeanRuntime: 400, MeanUse: 0.5}},
 		}
-		if err := standin.NewTestbed(w).StartNode(n, standin.NodeStart{Machine: config, Group: standin.NewGroup(), Seed: 3, Address: "n:1"}); err != nil {
+		if err := standin.NewTestbed(process).StartNode(n, standin.NodeStart{Machine: config, Group: standin.NewGroup(), Seed: 3, Address: "n:1"}); err != nil {
 			t.Fatal(err)
 		}
-		x := &transcript{}
-		w.Dial("n:1", 1000, func(conn env.Conn, err error) {
+		received := &transcript{}
+		process.Dial("n:1", 1000, func(conn env.Conn, err error) {
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			conn.Start(x, 1000)
+			conn.Start(received, 1000)
 			send := func(b []byte) { conn.Send(func(q []byte) []byte { return append(q, b...) }) }
 			head := []string{"Scheduler", "s", "Life", "1", "Node", "7"}
-			if tellsTime {
-				head = append(head, "Sent", fmt.Sprintf("%.3f", 5000+w.Now()))
+			if sendsTime {
+				head = append(head, "Sent", fmt.Sprintf("%.3f", 5000+process.Now()))
 			}
 			send(line.AppendGreeting(nil, node.GreetingLine, head...))
-			sent := 5000 + w.Now() + 30
-			w.After(4000, func() {
+			sent := 5000 + process.Now() + 30
+			process.After(4000, func() {
 				send(node.AppendOffer(nil, node.Offer{Attempt: node.AttemptID{Ticket: 1}, Epoch: 5, SentAt: sent, Timeout: 1500, Task: node.Task{Service: 9, Token: 11, Cores: 1, Memory: 1}}))
 			})
 		})
 		for c.step(6000) {
 		}
-		if all := strings.Join(x.messages, "\n"); strings.Contains(all, "SETTLED 1 0 refused") != tellsTime || strings.Contains(all, "STARTED 1 0") == tellsTime {
-			t.Errorf("greeting with time of sending: %t; want the late offer refused only then, messages:\n%s", tellsTime, all)
+		if all := strings.Join(received.messages, "\n"); strings.Contains(all, "SETTLED 1 0 refused") != sendsTime || strings.Contains(all, "STARTED 1 0") == sendsTime {
+			t.Errorf("greeting with time of sending: %t; want the late offer refused only then, messages:\n%s", sendsTime, all)
 		}
 	}
 }
@@ -141,12 +141,12 @@
 func TestVirtualNetworkMatchesSockets(t *testing.T) {
 	realEnv := env.NewReal()
 	defer realEnv.Close(time.Second)
-	sockets, err := converse(realEnv, "")
+	sockets, err := exchangeMessages(realEnv, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := NewClock(1)
-	virtual, err := converse(c.NewProcess("n"), "n:1")
+	virtual, err := exchangeMessages(c.NewProcess("n"), "n:1")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/sim/checks.go
+++ b/internal/lab/sim/checks.go
@@ -10,8 +10,8 @@
 	"ravenpond/internal/standin"
 )
 
-// resumeTime is the time in ms after a pause in which a scheduler reads the messages that arrived during it.
-const resumeTime = 1000
+// resumeGrace is the time in ms after a pause in which a scheduler reads the messages that arrived during it.
+const resumeGrace = 1000
 
 // checkInvariants checks the invariants of the program's own state and the limits of tenants.
 func (e *environment) checkInvariants() {
@@ -20,7 +20,7 @@
 	}
 	e.checkTenantLimits()
 	for _, s := range e.schedulers {
-		if s.server == nil || s.process.dead || s.process.paused || e.clock.now < s.process.resumedAt+resumeTime {
+		if s.server == nil || s.process.dead || s.process.paused || e.clock.now < s.process.resumedAt+resumeGrace {
 			continue
 		}
 		if err := s.server.CheckInvariants(); err != nil && e.clock.now > s.process.startedAt+1 {
@@ -42,15 +42,15 @@
 		for _, s := range e.schedulers {
 			for _, name := range s.shardNames() {
 				if n.IsConnected(name) {
-					e.checkHeld(n, s, name)
+					e.checkHeldAttempts(n, s, name)
 				}
 			}
 		}
 	}
 }
 
-// checkHeld checks that a scheduler knows each attempt that a node holds under one of the scheduler's names.
-func (e *environment) checkHeld(n *standin.Node, s *scheduler, name string) {
+// checkHeldAttempts checks that a scheduler knows each attempt that a node holds under one of the scheduler's names.
+func (e *environment) checkHeldAttempts(n *standin.Node, s *scheduler, name string) {
 	for _, held := range n.Machine.Held(e.clock.now, name) {
 		if !s.process.dead && !s.server.KnowsAttempt(engine.AttemptID{Ticket: held.ID.Ticket, Number: held.ID.Attempt}) {
 			e.fail(0, fmt.Sprintf("node %d holds attempt %x.%d of task %x for scheduler %s, which does not know it", n.ID, held.ID.Ticket, held.ID.Attempt, held.Token, name))
--- a/internal/lab/sim/conn.go
+++ b/internal/lab/sim/conn.go
@@ -31,16 +31,16 @@
 	link    *link
 	handler env.ConnHandler // nil until Start
 
-	outgoing        []byte // queued and not handed to the network yet
-	farewell        []byte // last message of a closed connection, not counted in sent
-	sent            uint64 // bytes queued since the connection was opened
-	handedOver      uint64 // bytes handed to the network
-	handedOverKnown uint64 // the part of handedOver that the process has been told of
-	inFlight        int    // bytes handed over that the other end has not read
-	lastArrival     float64
-	pumping         bool
-	writeTimeout    float64
-	lastProgress    float64 // time in ms when bytes were last handed to the network
+	outgoing          []byte // queued and not handed to the network yet
+	farewell          []byte // last message of a closed connection, not counted in sent
+	sent              uint64 // bytes queued since the connection was opened
+	handedOver        uint64 // bytes handed to the network
+	handedOverKnown   uint64 // the part of handedOver that the process has been told of
+	inFlight          int    // bytes handed over that the other end has not read
+	lastArrival       float64
+	transmitScheduled bool
+	writeTimeout      float64
+	lastProgress      float64 // time in ms when bytes were last handed to the network
 
 	ended        bool // closed by its own process or by the network
 	endReason    error
@@ -95,7 +95,7 @@
 		c.process.charge(func(cost *CPUCost) float64 { return cost.Write })
 		c.process.afterWork(c.transmit)
 	} else {
-		c.pump()
+		c.scheduleTransmit()
 	}
 	return c.sent, len(c.outgoing), true
 }
@@ -130,7 +130,7 @@
 		c.outgoing = nil
 	}
 	c.farewell = append([]byte(nil), last...)
-	c.pump()
+	c.scheduleTransmit()
 	clock := c.process.clock
 	clock.schedule(c.process, clock.now+farewellTimeout, c.finish)
 }
@@ -146,19 +146,19 @@
 	clock.schedule(c.process, clock.now, func() { c.handedOverKnown = c.handedOver })
 }
 
-// pump schedules the writer, which hands queued bytes to the network after a short random delay.
-func (c *conn) pump() {
-	if c.pumping || c.closed {
+// scheduleTransmit schedules the writer, which hands queued bytes to the network after a short random delay.
+func (c *conn) scheduleTransmit() {
+	if c.transmitScheduled || c.closed {
 		return
 	}
-	c.pumping = true
+	c.transmitScheduled = true
 	clock := c.process.clock
 	writer := c.process
 	if writer.cpu == nil || writer.SynchronousWrites {
 		writer = nil // the network does the work
 	}
 	clock.schedule(writer, clock.now+maxWriterDelay*clock.rng.Float64(), func() {
-		c.pumping = false
+		c.transmitScheduled = false
 		if writer != nil {
 			writer.charge(func(cost *CPUCost) float64 { return cost.Write })
 			writer.afterWork(c.transmit)
@@ -183,7 +183,7 @@
 	if c.ended && len(c.outgoing) == 0 && len(c.farewell) > 0 && !c.link.cut {
 		farewell := c.farewell
 		c.farewell = nil
-		c.carry(farewell)
+		c.scheduleArrival(farewell)
 	}
 	switch {
 	case c.ended && len(c.outgoing) == 0 && c.inFlight == 0:
@@ -208,26 +208,26 @@
 		c.handedOver += uint64(n)
 		c.updateHandedOver()
 		c.lastProgress = clock.now
-		c.carry(segment)
+		c.scheduleArrival(segment)
 	}
 }
 
-// carry schedules the arrival of a segment at the other end, after all segments that were sent before it.
-func (c *conn) carry(segment []byte) {
+// scheduleArrival schedules the arrival of a segment at the other end, after all segments that were sent before it.
+func (c *conn) scheduleArrival(segment []byte) {
 	clock, remote := c.process.clock, c.remote
 	c.inFlight += len(segment)
 	c.lastArrival = max(c.lastArrival, clock.now+clock.delay(c.link))
-	clock.schedule(nil, c.lastArrival, func() { remote.arrive(segment) })
+	clock.schedule(nil, c.lastArrival, func() { remote.arriveSegment(segment) })
 }
 
-// arrive accepts a segment at this end. While the link is cut or this end is stalled, the segment waits.
-func (c *conn) arrive(segment []byte) {
+// arriveSegment accepts a segment at this end. While the link is cut or this end is stalled, the segment waits.
+func (c *conn) arriveSegment(segment []byte) {
 	clock := c.process.clock
 	if c.closed {
 		return
 	}
 	if c.link.cut || clock.now < c.stalledUntil {
-		clock.schedule(nil, max(clock.now+retryInterval, c.stalledUntil), func() { c.arrive(segment) })
+		clock.schedule(nil, max(clock.now+retryInterval, c.stalledUntil), func() { c.arriveSegment(segment) })
 		return
 	}
 	if c.process.cpu != nil { // one read takes all segments that wait
@@ -378,7 +378,7 @@
 // onDelivered records that the other end has read n bytes, and runs the callbacks that waited for them.
 func (c *conn) onDelivered(n int) {
 	c.inFlight -= n
-	c.pump()
+	c.scheduleTransmit()
 	for len(c.deliveryWaits) > 0 && int64(c.handedOver)-int64(c.inFlight) >= int64(c.deliveryWaits[0].upTo) {
 		call := c.deliveryWaits[0].call
 		c.deliveryWaits = c.deliveryWaits[1:]
--- a/internal/lab/sim/draw.go
+++ b/internal/lab/sim/draw.go
@@ -114,7 +114,7 @@
 	return float64(int(100*(k.minSize+(k.maxSize-k.minSize)*rng.Float64()))) / 100
 }
 
-// drawName draws the random name of a scheduler, node or client that a fault affects.
+// drawName returns the name that a fault affects: a random scheduler, node or client, or the node list.
 func (s *Script) drawName(letter byte, rng *rand.Rand) string {
 	switch letter {
 	case 's':
--- a/internal/lab/sim/inject.go
+++ b/internal/lab/sim/inject.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// after calls f when the fault ends.
-func (in *injection) after(f func()) { in.clock.schedule(nil, in.clock.now+in.fault.Duration, f) }
+// onEnd calls f when the fault ends.
+func (in *injection) onEnd(f func()) { in.clock.schedule(nil, in.clock.now+in.fault.Duration, f) }
 
 func (in *injection) kill() {
 	in.scheduler.process.Kill(false)
@@ -99,7 +99,7 @@
 	s := in.scheduler
 	s.process.KillAfterEffects(max(1, int(in.fault.Size)))
 	incarnation := s.process.incarnation
-	in.after(func() {
+	in.onEnd(func() {
 		if s.process.incarnation == incarnation {
 			s.process.Kill(false)
 		}
@@ -121,7 +121,7 @@
 	incarnation := s.process.incarnation
 	s.process.Pause()
 	trace.Add(audit.Record{At: in.clock.now, Kind: audit.SchedulerPaused, Scheduler: s.name})
-	in.after(func() {
+	in.onEnd(func() {
 		if s.process.incarnation == incarnation {
 			trace.Add(audit.Record{At: in.clock.now, Kind: audit.SchedulerResumed, Scheduler: s.name})
 			s.process.Resume()
@@ -155,20 +155,20 @@
 func (in *injection) cutLink() {
 	l := in.clock.link(in.fault.Target, in.fault.Peer)
 	l.cut = true
-	in.after(func() { l.cut = false })
+	in.onEnd(func() { l.cut = false })
 }
 
 func (in *injection) refuseConnections() {
 	l := in.clock.link(in.fault.Target, in.fault.Peer)
 	l.refuse = true
 	in.resetConnections(true)
-	in.after(func() { l.refuse = false })
+	in.onEnd(func() { l.refuse = false })
 }
 
 func (in *injection) slowLink() {
 	l := in.clock.link(in.fault.Target, in.fault.Peer)
 	l.maxExtraDelay = in.fault.Size
-	in.after(func() { l.maxExtraDelay = 0 })
+	in.onEnd(func() { l.maxExtraDelay = 0 })
 }
 
 // stallPeer stops the peer's reads from the target.
@@ -198,23 +198,23 @@
 func (in *injection) failList() {
 	list := in.env.list
 	list.Update(func(l *standin.List) { l.Unavailable = true })
-	in.after(func() { list.Update(func(l *standin.List) { l.Unavailable = false }) })
+	in.onEnd(func() { list.Update(func(l *standin.List) { l.Unavailable = false }) })
 }
 
 func (in *injection) delayList() {
 	list := in.env.list
 	list.Update(func(l *standin.List) { l.ExtraDelay = in.fault.Size })
-	in.after(func() { list.Update(func(l *standin.List) { l.ExtraDelay = 0 }) })
+	in.onEnd(func() { list.Update(func(l *standin.List) { l.ExtraDelay = 0 }) })
 }
 
 func (in *injection) hang() {
 	in.node.Machine.Hung = true
-	in.after(func() { in.node.Machine.Hung = false })
+	in.onEnd(func() { in.node.Machine.Hung = false })
 }
 
 func (in *injection) loseAnswers() {
 	in.node.Machine.AnswerLoss = in.fault.Size
-	in.after(func() { in.node.Machine.AnswerLoss = 0 })
+	in.onEnd(func() { in.node.Machine.AnswerLoss = 0 })
 }
 
 // disturbDatagrams disturbs datagrams from the peer to the target.
@@ -225,14 +225,14 @@
 	} else {
 		l.Loss = disturbed.Loss
 	}
-	in.after(func() { *l = DatagramLink{} })
+	in.onEnd(func() { *l = DatagramLink{} })
 }
 
 // failJob makes a fraction of the attempts of a random job class fail, silently or with an error.
 func (in *injection) failJob(silently bool) {
 	m := in.node.Machine
 	m.FailingJob, m.FailingFraction, m.FailSilently = in.env.rng.IntN(len(jobRules)), in.fault.Size, silently
-	in.after(func() { m.FailingJob = -1 })
+	in.onEnd(func() { m.FailingJob = -1 })
 }
 
 // crashNodes crashes nodes and restarts them cold when the fault ends.
@@ -242,7 +242,7 @@
 			continue
 		}
 		n.Crash(in.clock.now)
-		in.after(func() {
+		in.onEnd(func() {
 			if err := n.Restart(); err != nil {
 				in.env.fail(0, err.Error())
 			}
@@ -268,12 +268,12 @@
 	}
 	n.Draining = true
 	n.Machine.Drain(in.clock.now, true, false)
-	in.after(func() { n.Draining = false; n.Machine.Undrain() })
+	in.onEnd(func() { n.Draining = false; n.Machine.Undrain() })
 }
 
 func (in *injection) flood() {
 	in.env.loadFactor = max(1, in.fault.Size)
-	in.after(func() { in.env.loadFactor = 1 })
+	in.onEnd(func() { in.env.loadFactor = 1 })
 }
 
 func (in *injection) withdraw() {
@@ -302,11 +302,11 @@
 			e.testbed.Trace.Add(audit.Record{At: in.clock.now, Kind: audit.MaintenanceChanged, Node: node.ID, Detail: detail})
 		})
 	}
-	out := trueTime(start.Add(-w.Lead)) + calendarInterval + maxClockError
-	back := trueTime(start.Add(w.Duration)) - calendarInterval - maxClockError
-	if out < back {
-		record(out, "out")
-		record(back, audit.MaintenanceOver)
+	noticedFrom := trueTime(start.Add(-w.Lead)) + calendarInterval + maxClockError
+	noticedUntil := trueTime(start.Add(w.Duration)) - calendarInterval - maxClockError
+	if noticedFrom < noticedUntil {
+		record(noticedFrom, "out")
+		record(noticedUntil, audit.MaintenanceOver)
 	}
 }
 
@@ -319,7 +319,7 @@
 	scheduler *scheduler
 }
 
-func (e panicInjector) step() {
+func (e panicInjector) countEffect() {
 	if e.scheduler.effectsUntilPanic > 0 {
 		if e.scheduler.effectsUntilPanic--; e.scheduler.effectsUntilPanic == 0 {
 			panic(plannedPanic)
@@ -328,19 +328,19 @@
 }
 
 func (e panicInjector) PermitAttempt(task engine.OwnedTask, node uint32, attempt engine.AttemptID) bool {
-	e.step()
+	e.countEffect()
 	ok := e.Effects.PermitAttempt(task, node, attempt)
-	e.step()
+	e.countEffect()
 	return ok
 }
 
 func (e panicInjector) RecordOutcome(task engine.OwnedTask, neverRan bool) {
-	e.step()
+	e.countEffect()
 	e.Effects.RecordOutcome(task, neverRan)
-	e.step()
+	e.countEffect()
 }
 
 func (e panicInjector) PermitAnswer(task engine.OwnedTask, served bool) bool {
-	e.step()
+	e.countEffect()
 	return e.Effects.PermitAnswer(task, served)
 }
--- a/internal/lab/sim/members_test.go
+++ b/internal/lab/sim/members_test.go
@@ -15,7 +15,7 @@
 			{At: 4000, Kind: "drain", Target: "n1", Duration: 6000},
 		}}
 		late, before := 0, 0
-		v := Simulation{Script: s, CountViolations: true, OnRecord: func(r *audit.Record) {
+		result := Simulation{Script: s, CountViolations: true, OnRecord: func(r *audit.Record) {
 			if r.Kind == audit.PlacementReceived && r.Scheduler[:2] == "s0" && r.Node == 1 {
 				switch {
 				case r.At > 6000 && r.At < 9900:
@@ -25,8 +25,8 @@
 				}
 			}
 		}}.Run()
-		if v.Failure != "" {
-			t.Errorf("members %t: %s", members, v.Failure)
+		if result.Failure != "" {
+			t.Errorf("members %t: %s", members, result.Failure)
 		}
 		if before < 5 || members && late > 0 || !members && late == 0 {
 			t.Errorf("members %t: got %d offers before the drain, want at least 5; got %d from two seconds after it, want some only without members", members, before, late)
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -82,21 +82,21 @@
 }
 
 // Dial implements env.Environment.
-func (p *Process) Dial(address string, within float64, done func(env.Conn, error)) {
+func (p *Process) Dial(address string, timeout float64, done func(env.Conn, error)) {
 	if !p.effect() {
 		return
 	}
 	if p.cpu != nil { // dialing is a separate event
 		p.clock.schedule(p, p.clock.now, func() {
 			p.charge(func(cost *CPUCost) float64 { return cost.Dial })
-			p.afterWork(func() { p.dial(address, within, done) })
+			p.afterWork(func() { p.dial(address, timeout, done) })
 		})
 		return
 	}
-	p.dial(address, within, done)
+	p.dial(address, timeout, done)
 }
 
-func (p *Process) dial(address string, within float64, done func(env.Conn, error)) {
+func (p *Process) dial(address string, timeout float64, done func(env.Conn, error)) {
 	c := p.clock
 	fail := func(after float64, err error) { c.schedule(p, c.now+after, func() { done(nil, err) }) }
 	target := c.listeners[address]
@@ -105,20 +105,20 @@
 		return
 	}
 	between := c.link(p.Name, target.process.Name)
-	switch there, back := c.delay(between), c.delay(between); {
-	case between.cut || there+back > within:
-		fail(within, errTimeout)
+	switch requestDelay, replyDelay := c.delay(between), c.delay(between); {
+	case between.cut || requestDelay+replyDelay > timeout:
+		fail(timeout, errTimeout)
 	case between.refuse:
-		fail(there+back, errRefused)
+		fail(requestDelay+replyDelay, errRefused)
 	default:
-		c.schedule(nil, c.now+there, func() {
+		c.schedule(nil, c.now+requestDelay, func() {
 			if c.listeners[address] != target || target.process.dead || p.dead {
-				fail(back, errRefused)
+				fail(replyDelay, errRefused)
 				return
 			}
 			near, far := newConnPair(p, target.process, between)
 			c.schedule(target.process, c.now, func() { target.accept(far) })
-			c.schedule(p, c.now+back, func() { done(near, nil) })
+			c.schedule(p, c.now+replyDelay, func() { done(near, nil) })
 		})
 	}
 }
--- a/internal/lab/sim/process.go
+++ b/internal/lab/sim/process.go
@@ -85,8 +85,7 @@
 	}
 }
 
-// KillAfterEffects kills the process in place of its n-th effect from now, n being the argument. Effects are messages, dials and writes to
-// its disk.
+// KillAfterEffects kills the process at its n-th effect from now, n being the argument. Effects are messages, dials and writes to its disk.
 func (p *Process) KillAfterEffects(effects int) { p.effectsUntilKill = effects }
 
 // effect counts an effect. It reports whether the process is alive to carry it out.
--- a/internal/lab/sim/scheduler.go
+++ b/internal/lab/sim/scheduler.go
@@ -131,8 +131,8 @@
 // jobMix lists job classes; the class of a request is drawn from it, so that a class that occurs more often is requested more often.
 var jobMix = []int{0, 0, 0, 1, 1, 2, 2, 3}
 
-// sendNext makes a client request the next task, and schedules the request after it.
-func (e *environment) sendNext() {
+// sendNextRequest makes a client request the next task, and schedules the request after it.
+func (e *environment) sendNextRequest() {
 	if e.clock.now > e.Duration {
 		return
 	}
@@ -155,5 +155,5 @@
 			Cores: 0.5 + e.rng.Float64(), Memory: 1, Timeout: e.site.Deadlines[job], LatencyObjective: latencyObjective, GiveUpAt: e.Duration,
 		})
 	}
-	e.clock.schedule(nil, e.clock.now+e.rng.ExpFloat64()*1000/(e.Rate*e.loadFactor), e.sendNext)
+	e.clock.schedule(nil, e.clock.now+e.rng.ExpFloat64()*1000/(e.Rate*e.loadFactor), e.sendNextRequest)
 }
--- a/internal/lab/sim/script.go
+++ b/internal/lab/sim/script.go
@@ -135,10 +135,10 @@
 
 // Check returns an error that says why a script can't be run, or nil if it can.
 func (s *Script) Check() error {
-	within := func(n, most int) bool { return n >= 1 && n <= most }
+	inRange := func(n, most int) bool { return n >= 1 && n <= most }
 	above0 := func(x, most float64) bool { return x > 0 && x <= most } // false for NaN
 	switch {
-	case !within(s.Nodes, maxNodes) || !within(s.Schedulers, maxSchedulers) || !within(s.Shards, maxShards):
+	case !inRange(s.Nodes, maxNodes) || !inRange(s.Schedulers, maxSchedulers) || !inRange(s.Shards, maxShards):
 		return fmt.Errorf("script: expected 1 to %d nodes, 1 to %d schedulers and 1 to %d shards", maxNodes, maxSchedulers, maxShards)
 	case !above0(s.Rate, maxRate) || !above0(s.Duration, maxDuration):
 		return errors.New("script: rate or duration (keyword lasts) is not above 0 or is too large")
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -87,9 +87,9 @@
 func TestScriptText(t *testing.T) {
 	for seed := range uint64(200) {
 		s := Draw(seed)
-		back, err := Parse(strings.NewReader("# why\n\n" + s.String()))
-		if err != nil || back.String() != s.String() {
-			t.Fatalf("seed %d: parsed script differs: %v\n%s\n%s", seed, err, s, back)
+		parsed, err := Parse(strings.NewReader("# why\n\n" + s.String()))
+		if err != nil || parsed.String() != s.String() {
+			t.Fatalf("seed %d: parsed script differs: %v\n%s\n%s", seed, err, s, parsed)
 		}
 	}
 	text := Draw(3).String()
--- a/internal/lab/sim/simulation.go
+++ b/internal/lab/sim/simulation.go
@@ -71,7 +71,7 @@
 	for _, f := range e.Faults {
 		e.clock.schedule(nil, f.At, func() { e.inject(f) })
 	}
-	e.clock.schedule(nil, firstRequestAt, e.sendNext)
+	e.clock.schedule(nil, firstRequestAt, e.sendNextRequest)
 	end := e.Duration + settleTime
 	if sim.SettleTime > 0 {
 		end = e.Duration + sim.SettleTime
--- a/internal/lab/sim/witness_test.go
+++ b/internal/lab/sim/witness_test.go
@@ -6,9 +6,9 @@
 	"ravenpond/internal/audit"
 )
 
-// repeatWatch counts repeated requests for tasks that ran on node 1 when the link of s0 to it was cut. The clients of these tasks were
+// repeatCounter counts repeated requests for tasks that ran on node 1 when the link of s0 to it was cut. The clients of these tasks were
 // notified that the tasks have ended, and request them again.
-type repeatWatch struct {
+type repeatCounter struct {
 	requested map[requestKey]uint64 // token by request
 	servedAt  map[uint64]float64    // when a request was last served, ms, by token
 	node      map[uint64]uint32     // node of the last attempt, by token
@@ -17,7 +17,7 @@
 	first, last float64 // times of the first and last repeat, ms
 }
 
-func (w *repeatWatch) onRecord(r *audit.Record) {
+func (w *repeatCounter) onRecord(r *audit.Record) {
 	key := requestKey{r.Client, r.RequestRef}
 	switch {
 	case r.Kind == audit.PlacementReceived:
@@ -36,7 +36,7 @@
 	}
 }
 
-func (w *repeatWatch) isRepeat(r *audit.Record) bool {
+func (w *repeatCounter) isRepeat(r *audit.Record) bool {
 	at, ok := w.servedAt[r.Token]
 	return ok && at < 9000 && w.node[r.Token] == 1 && r.Scheduler == "s0" && r.At > 10000 && r.At < 26000
 }
@@ -64,7 +64,7 @@
 				Seed: 8, Nodes: 4, Schedulers: 3, Shards: 2, ConnectionSharing: "shared", Rate: 12, Duration: 30000, Members: c.members,
 				Faults: c.faults,
 			}
-			w := &repeatWatch{requested: map[requestKey]uint64{}, servedAt: map[uint64]float64{}, node: map[uint64]uint32{}}
+			w := &repeatCounter{requested: map[requestKey]uint64{}, servedAt: map[uint64]float64{}, node: map[uint64]uint32{}}
 			result := Simulation{Script: s, TaskRuntime: 60000, SettleTime: 62000, OnRecord: w.onRecord}.Run()
 			if result.Failure != "" {
 				t.Error(result.Failure)
--- a/internal/lab/sim/workingset_test.go
+++ b/internal/lab/sim/workingset_test.go
@@ -37,25 +37,25 @@
 	}}
 }
 
-// harm counts the effects of a scheduler that can't reach its tasks: clients are notified that running tasks are lost, and tasks are started
+// taskHarm counts the effects of a scheduler that can't reach its tasks: clients are notified that running tasks are lost, and tasks are started
 // twice. Some second starts follow from the kills, as clients repeat requests before the scheduler has heard from all nodes.
-type harm struct{ lost, twice int }
+type taskHarm struct{ lost, startedTwice int }
 
-// startCount counts second starts of running tasks.
-type startCount struct {
-	tokens  map[standin.AttemptID]uint64
-	running map[uint64]int // by token
-	twice   int
+// startCounter counts second starts of running tasks.
+type startCounter struct {
+	tokens       map[standin.AttemptID]uint64
+	running      map[uint64]int // by token
+	startedTwice int
 }
 
-func (c *startCount) onRecord(r *audit.Record) {
+func (c *startCounter) onRecord(r *audit.Record) {
 	id := standin.AttemptID{Ticket: r.Ticket, Attempt: r.Attempt}
 	switch r.Kind {
 	case audit.PlacementReceived:
 		c.tokens[id] = r.Token
 	case audit.TaskStarted:
 		if c.running[c.tokens[id]]++; c.running[c.tokens[id]] > 1 {
-			c.twice++
+			c.startedTwice++
 		}
 	case audit.AttemptConcluded:
 		c.running[c.tokens[id]] = max(0, c.running[c.tokens[id]]-1)
@@ -63,10 +63,10 @@
 }
 
 // runLongTasks runs longTasks with six seeds and returns the total harm. No node fails, so no task may be lost.
-func runLongTasks(t *testing.T, minNodes int, fault *ProgramFault) (total harm) {
+func runLongTasks(t *testing.T, minNodes int, fault *ProgramFault) (total taskHarm) {
 	t.Helper()
 	for seed := range uint64(6) {
-		starts := &startCount{tokens: map[standin.AttemptID]uint64{}, running: map[uint64]int{}}
+		starts := &startCounter{tokens: map[standin.AttemptID]uint64{}, running: map[uint64]int{}}
 		sim := longTasks(seed)
 		sim.WorkingSet.MinNodes, sim.ProgramFault, sim.OnRecord = minNodes, fault, starts.onRecord
 		r := sim.Run()
@@ -74,7 +74,7 @@
 			t.Errorf("seed %d: got %d requests served, want at least 50; failure: %s", seed, r.Served, r.Failure)
 		}
 		total.lost += r.LostTasks
-		total.twice += starts.twice
+		total.startedTwice += starts.startedTwice
 	}
 	return total
 }
@@ -83,14 +83,14 @@
 // no more harm than where schedulers work with all nodes, apart from second starts, which may double.
 func TestWorkingSetFaults(t *testing.T) {
 	full, set := runLongTasks(t, 0, nil), runLongTasks(t, 2, nil)
-	isWrong := func(h harm) bool { return h.lost > full.lost || h.twice > 2*full.twice }
-	if full.lost > 0 || isWrong(set) {
+	isWorse := func(h taskHarm) bool { return h.lost > full.lost || h.startedTwice > 2*full.startedTwice }
+	if full.lost > 0 || isWorse(set) {
 		t.Errorf("harm with all nodes %+v, want no lost task; with working sets %+v, want no more lost tasks and at most twice the second starts", full, set)
 	}
 	for i := range WorkingSetFaults {
 		h := runLongTasks(t, 2, &WorkingSetFaults[i])
 		t.Logf("fault %q: harm %+v, without the fault %+v, with all nodes %+v", WorkingSetFaults[i].Name, h, set, full)
-		if !isWrong(h) {
+		if !isWorse(h) {
 			t.Errorf("fault %q is not detected", WorkingSetFaults[i].Name)
 		}
 	}
@@ -99,9 +99,9 @@
 // TestWorkingSetText formats and parses a script with a working set.
 func TestWorkingSetText(t *testing.T) {
 	s := Draw(3).WithWorkingSet(7)
-	back, err := Parse(strings.NewReader(s.String()))
-	if err != nil || back.WorkingSetSize != 7 || back.String() != s.String() {
-		t.Errorf("parsed script differs or has no working set of 7 nodes: %v\n%s\n%s", err, s, back)
+	parsed, err := Parse(strings.NewReader(s.String()))
+	if err != nil || parsed.WorkingSetSize != 7 || parsed.String() != s.String() {
+		t.Errorf("parsed script differs or has no working set of 7 nodes: %v\n%s\n%s", err, s, parsed)
 	}
 	s.ConnectionSharing = "own"
 	if s.Check() == nil {
