--- a/internal/lab/sim/inject.go
+++ b/internal/lab/sim/inject.go
@@ -17,23 +17,23 @@
 
 // Times of faults in ms.
 const (
-	killedRestartDelay = 100  // of a process that was killed within what it did
-	stallGrace         = 100  // in which a client that was stalled reads what arrived
-	maxWindowJump      = 80   // by which a wall clock may jump where maintenance windows go by it: less than the guard
-	windowNotice       = 1500 // before the lead of a maintenance window
-	calendarInterval   = 1000 // in which a scheduler notices that a window begins
+	killedRestartDelay = 100  // until a process that was killed after a number of effects restarts
+	stallGrace         = 100  // within which a stalled client reads the messages that arrived
+	maxWindowJump      = 80   // largest jump of a wall clock that maintenance windows depend on; less than the guard of the site's drains
+	windowNotice       = 1500 // between the announcement of a maintenance window and the start of its lead
+	calendarInterval   = 1000 // within which a scheduler notices that a window begins
 )
 
-// injection is a fault that happens, with what it hits.
+// injection is a fault that is being injected, with the scheduler and the node that it affects.
 type injection struct {
 	env       *environment
 	clock     *Clock
 	fault     Fault
-	scheduler *scheduler    // nil if it hits none
-	node      *standin.Node // nil if it hits none
+	scheduler *scheduler    // nil if the fault affects no scheduler
+	node      *standin.Node // nil if the fault affects no node
 }
 
-// injectors hold how each kind of fault is injected.
+// injectors maps each kind of fault to the function that injects it.
 var injectors = map[string]func(*injection){
 	"kill":          (*injection).kill,
 	"kill-in":       (*injection).killAfterEffects,
@@ -69,7 +69,7 @@
 	"tenant-remove": func(in *injection) { in.env.removeTenant(in.fault) },
 }
 
-// inject has a fault happen now.
+// inject injects a fault now.
 func (e *environment) inject(f Fault) {
 	e.clock.tracef("fault %s %s %s\n", f.Kind, f.Target, f.Peer)
 	in := &injection{env: e, clock: e.clock, fault: f, node: e.node(f.Target)}
@@ -86,20 +86,20 @@
 	}
 }
 
-// after calls f when the fault ends.
-func (in *injection) after(f func()) { in.clock.schedule(nil, in.clock.now+in.fault.Duration, f) }
+// onEnd calls f when the fault ends.
+func (in *injection) onEnd(f func()) { in.clock.schedule(nil, in.clock.now+in.fault.Duration, f) }
 
 func (in *injection) kill() {
 	in.scheduler.process.Kill(false)
 	in.scheduler.restartAfter(in.fault.Duration)
 }
 
-// killAfterEffects kills a scheduler within what it does, at the latest when the fault ends.
+// killAfterEffects kills a scheduler after a number of its effects, or when the fault ends if that comes first.
 func (in *injection) killAfterEffects() {
 	s := in.scheduler
 	s.process.KillAfterEffects(max(1, int(in.fault.Size)))
 	incarnation := s.process.incarnation
-	in.after(func() {
+	in.onEnd(func() {
 		if s.process.incarnation == incarnation {
 			s.process.Kill(false)
 		}
@@ -121,7 +121,7 @@
 	incarnation := s.process.incarnation
 	s.process.Pause()
 	trace.Add(audit.Record{At: in.clock.now, Kind: audit.SchedulerPaused, Scheduler: s.name})
-	in.after(func() {
+	in.onEnd(func() {
 		if s.process.incarnation == incarnation {
 			trace.Add(audit.Record{At: in.clock.now, Kind: audit.SchedulerResumed, Scheduler: s.name})
 			s.process.Resume()
@@ -143,7 +143,7 @@
 		return
 	}
 	shards := max(1, min(maxShards, int(in.fault.Size+0.5)))
-	in.clock.schedule(s.process, in.clock.now, func() { _ = s.server.Resize(shards) }) // refused while another change is under way
+	in.clock.schedule(s.process, in.clock.now, func() { _ = s.server.Resize(shards) }) // Resize fails while another change is under way
 }
 
 func (in *injection) resetConnections(both bool) {
@@ -155,36 +155,36 @@
 func (in *injection) cutLink() {
 	l := in.clock.link(in.fault.Target, in.fault.Peer)
 	l.cut = true
-	in.after(func() { l.cut = false })
+	in.onEnd(func() { l.cut = false })
 }
 
 func (in *injection) refuseConnections() {
 	l := in.clock.link(in.fault.Target, in.fault.Peer)
 	l.refuse = true
 	in.resetConnections(true)
-	in.after(func() { l.refuse = false })
+	in.onEnd(func() { l.refuse = false })
 }
 
 func (in *injection) slowLink() {
 	l := in.clock.link(in.fault.Target, in.fault.Peer)
 	l.maxExtraDelay = in.fault.Size
-	in.after(func() { l.maxExtraDelay = 0 })
+	in.onEnd(func() { l.maxExtraDelay = 0 })
 }
 
-// stallPeer has the peer read nothing.
+// stallPeer stops the peer's reads from the target.
 func (in *injection) stallPeer() {
 	for _, c := range in.env.connections(in.fault.Target, in.fault.Peer) {
 		c.remote.Stall(in.fault.Duration)
 	}
 }
 
-// stallReader has the scheduler read nothing from its peer, or a client nothing from the scheduler. Answers that a stalled client reads
-// late are not the scheduler's fault.
+// stallReader stops the scheduler's reads from its peer, or a client's reads from the scheduler. Answers that a stalled client reads late
+// are not the scheduler's fault.
 func (in *injection) stallReader() {
 	e, target, peer := in.env, in.fault.Target, in.fault.Peer
 	reader := target
 	if peer[0] == 'o' {
-		i, _ := strconv.Atoi(peer[1:]) // Script.Check has read it
+		i, _ := strconv.Atoi(peer[1:]) // Script.Check has validated the name
 		e.stalledClients[i] = max(e.stalledClients[i], in.clock.now+in.fault.Duration+stallGrace)
 		reader = peer
 	}
@@ -198,23 +198,23 @@
 func (in *injection) failList() {
 	list := in.env.list
 	list.Update(func(l *standin.List) { l.Unavailable = true })
-	in.after(func() { list.Update(func(l *standin.List) { l.Unavailable = false }) })
+	in.onEnd(func() { list.Update(func(l *standin.List) { l.Unavailable = false }) })
 }
 
 func (in *injection) delayList() {
 	list := in.env.list
 	list.Update(func(l *standin.List) { l.ExtraDelay = in.fault.Size })
-	in.after(func() { list.Update(func(l *standin.List) { l.ExtraDelay = 0 }) })
+	in.onEnd(func() { list.Update(func(l *standin.List) { l.ExtraDelay = 0 }) })
 }
 
 func (in *injection) hang() {
 	in.node.Machine.Hung = true
-	in.after(func() { in.node.Machine.Hung = false })
+	in.onEnd(func() { in.node.Machine.Hung = false })
 }
 
 func (in *injection) loseAnswers() {
 	in.node.Machine.AnswerLoss = in.fault.Size
-	in.after(func() { in.node.Machine.AnswerLoss = 0 })
+	in.onEnd(func() { in.node.Machine.AnswerLoss = 0 })
 }
 
 // disturbDatagrams disturbs datagrams from the peer to the target.
@@ -225,24 +225,24 @@
 	} else {
 		l.Loss = disturbed.Loss
 	}
-	in.after(func() { *l = DatagramLink{} })
+	in.onEnd(func() { *l = DatagramLink{} })
 }
 
-// failJob has a fraction of the attempts of a random job class fail, silently or with an error.
+// failJob makes a fraction of the attempts of a random job class fail, silently or with an error.
 func (in *injection) failJob(silently bool) {
 	m := in.node.Machine
 	m.FailingJob, m.FailingFraction, m.FailSilently = in.env.rng.IntN(len(jobRules)), in.fault.Size, silently
-	in.after(func() { m.FailingJob = -1 })
+	in.onEnd(func() { m.FailingJob = -1 })
 }
 
-// crashNodes takes nodes away, and brings them back cold when the fault ends.
+// crashNodes crashes nodes and restarts them cold when the fault ends.
 func (in *injection) crashNodes(nodes []*standin.Node) {
 	for _, n := range nodes {
 		if n.Lost {
 			continue
 		}
 		n.Crash(in.clock.now)
-		in.after(func() {
+		in.onEnd(func() {
 			if err := n.Restart(); err != nil {
 				in.env.fail(0, err.Error())
 			}
@@ -268,12 +268,12 @@
 	}
 	n.Draining = true
 	n.Machine.Drain(in.clock.now, true, false)
-	in.after(func() { n.Draining = false; n.Machine.Undrain() })
+	in.onEnd(func() { n.Draining = false; n.Machine.Undrain() })
 }
 
 func (in *injection) flood() {
 	in.env.loadFactor = max(1, in.fault.Size)
-	in.after(func() { in.env.loadFactor = 1 })
+	in.onEnd(func() { in.env.loadFactor = 1 })
 }
 
 func (in *injection) withdraw() {
@@ -283,7 +283,7 @@
 }
 
 // addMaintenance adds a maintenance window of a node to the calendar of every scheduler, with a lead of the fault's size in ms. The auditor
-// is told of the part of the window that all schedulers notice, whatever their clocks.
+// gets the part of the window that all schedulers notice despite the errors of their clocks.
 func (in *injection) addMaintenance() {
 	e, f, node := in.env, in.fault, in.node
 	start := env.Epoch.Add(time.Duration((clockOrigin + in.clock.now + f.Size + windowNotice) * 1e6)).Truncate(time.Second)
@@ -302,24 +302,24 @@
 			e.testbed.Trace.Add(audit.Record{At: in.clock.now, Kind: audit.MaintenanceChanged, Node: node.ID, Detail: detail})
 		})
 	}
-	out := trueTime(start.Add(-w.Lead)) + calendarInterval + maxClockError
-	back := trueTime(start.Add(w.Duration)) - calendarInterval - maxClockError
-	if out < back {
-		record(out, "out")
-		record(back, audit.MaintenanceOver)
+	noticedFrom := trueTime(start.Add(-w.Lead)) + calendarInterval + maxClockError
+	noticedUntil := trueTime(start.Add(w.Duration)) - calendarInterval - maxClockError
+	if noticedFrom < noticedUntil {
+		record(noticedFrom, "out")
+		record(noticedUntil, audit.MaintenanceOver)
 	}
 }
 
-// plannedPanic is the panic of a shard that a script plans.
-const plannedPanic = "of the script"
+// plannedPanic is the value of a panic that a script injects into a shard. The log line of such a panic contains it.
+const plannedPanic = "injected by the script"
 
-// panicInjector has a shard panic within its effects: before or after one that the engine asks of its router.
+// panicInjector makes a shard panic before or after an effect that the engine requests from its router.
 type panicInjector struct {
 	engine.Effects
 	scheduler *scheduler
 }
 
-func (e panicInjector) step() {
+func (e panicInjector) countEffect() {
 	if e.scheduler.effectsUntilPanic > 0 {
 		if e.scheduler.effectsUntilPanic--; e.scheduler.effectsUntilPanic == 0 {
 			panic(plannedPanic)
@@ -328,19 +328,19 @@
 }
 
 func (e panicInjector) PermitAttempt(task engine.OwnedTask, node uint32, attempt engine.AttemptID) bool {
-	e.step()
+	e.countEffect()
 	ok := e.Effects.PermitAttempt(task, node, attempt)
-	e.step()
+	e.countEffect()
 	return ok
 }
 
 func (e panicInjector) RecordOutcome(task engine.OwnedTask, neverRan bool) {
-	e.step()
+	e.countEffect()
 	e.Effects.RecordOutcome(task, neverRan)
-	e.step()
+	e.countEffect()
 }
 
 func (e panicInjector) PermitAnswer(task engine.OwnedTask, served bool) bool {
-	e.step()
+	e.countEffect()
 	return e.Effects.PermitAnswer(task, served)
 }
