--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -102,7 +102,7 @@
 		},
 		{
 			"settings without job classes", batch("{}", record(wire.InstanceCreated, uint16(0), uint64(5), uint32(0), uint32(2))), nil,
-			"0 job types",
+			"got 0 services and 0 instances, want at least one of each",
 		},
 		{"unknown keyword in the settings", batch(strings.Replace(tail, `"free", "worth`, `"tree", "worth`, 1), create), nil, "unknown word"},
 		{"list beyond the tail of the batch", batch("", listEntries), nil, "tail reference out of range"},
