--- a/cmd/ravenpond/commandline_test.go
+++ b/cmd/ravenpond/commandline_test.go
@@ -23,13 +23,13 @@
 	var b strings.Builder
 	for _, command := range parser.Model.Leaves(false) {
 		path := command.FullPath()
-		fmt.Fprintf(&b, "%s%s\n", path, hidden(hiddenNode(command)))
+		fmt.Fprintf(&b, "%s%s\n", path, hiddenSuffix(isHidden(command)))
 		for _, argument := range command.Positional {
-			fmt.Fprintf(&b, "%s argument %s\n", path, value(argument))
+			fmt.Fprintf(&b, "%s argument %s\n", path, describeValue(argument))
 		}
 		for _, group := range command.AllFlags(false) {
 			for _, f := range group {
-				fmt.Fprintf(&b, "%s --%s%s %s\n", path, f.Name, hidden(f.Hidden), value(f.Value))
+				fmt.Fprintf(&b, "%s --%s%s %s\n", path, f.Name, hiddenSuffix(f.Hidden), describeValue(f.Value))
 			}
 		}
 	}
@@ -56,21 +56,21 @@
 	}
 }
 
-// value describes what kong makes of an argument or flag.
-func value(v *kong.Value) string {
+// describeValue describes what kong makes of an argument or flag.
+func describeValue(v *kong.Value) string {
 	return fmt.Sprintf("%s %s default=%q enum=%q required=%v negatable=%q", v.Name, v.Target.Type(), v.Default, v.Enum, v.Required, v.Tag.Negatable)
 }
 
-func hidden(is bool) string {
+func hiddenSuffix(is bool) string {
 	if is {
 		return " hidden"
 	}
 	return ""
 }
 
-// hiddenNode reports whether the command or one above it is hidden.
-func hiddenNode(n *kong.Node) bool {
-	return n != nil && (n.Hidden || hiddenNode(n.Parent))
+// isHidden reports whether the command or one above it is hidden.
+func isHidden(n *kong.Node) bool {
+	return n != nil && (n.Hidden || isHidden(n.Parent))
 }
 
 func lineSet(text string) map[string]bool {
--- a/cmd/ravenpond/drain.go
+++ b/cmd/ravenpond/drain.go
@@ -114,14 +114,14 @@
 		Priority: c.Priority, CreatedAt: time.Now().UTC().Truncate(time.Second),
 	}
 	window.Ending = calendar.Ending(slices.Index([]string{"release", "sweep", "hold"}, c.Ending))
-	places := 0
-	for reach, place := range []string{c.Node, c.Cell, c.Zone} {
-		if place != "" {
-			window.Scope, window.Target = calendar.Scope(reach), place
-			places++
+	targets := 0
+	for scope, target := range []string{c.Node, c.Cell, c.Zone} {
+		if target != "" {
+			window.Scope, window.Target = calendar.Scope(scope), target
+			targets++
 		}
 	}
-	if places != 1 {
+	if targets != 1 {
 		return nil, errors.New("one of --node, --cell and --zone is needed")
 	}
 	if window.ID == "" {
@@ -171,8 +171,8 @@
 	if err != nil {
 		return err
 	}
-	var begun []maintenancestore.Drain
-	if err := c.withStore(func(s *maintenancestore.Store) error { begun, err = s.Drains(); return err }); err != nil {
+	var drains []maintenancestore.Drain
+	if err := c.withStore(func(s *maintenancestore.Store) error { drains, err = s.Drains(); return err }); err != nil {
 		return err
 	}
 	known := false
@@ -183,7 +183,7 @@
 				w.Start.Format(windowTime), w.Duration, w.Lead, w.Slack, w.Rule, w.Ending)
 		}
 	}
-	for _, b := range begun {
+	for _, b := range drains {
 		if b.Verdict.Window == c.ID {
 			known = true
 			fmt.Printf("  %s: %s, %d nodes, %s to %s\n", b.Verdict.ScheduledStart.Format(windowTime), b.Stage,
@@ -257,7 +257,7 @@
 
 // Run prints a table of the occurrences with their verdicts.
 func (c *drainSimulate) Run() error {
-	place, err := site.Load(c.Site)
+	config, err := site.Load(c.Site)
 	if err != nil {
 		return err
 	}
@@ -267,7 +267,7 @@
 			return fmt.Errorf("--from: %w", err)
 		}
 	}
-	fleet, err := lastFleet(c.State, place)
+	fleet, err := lastFleet(c.State, config)
 	if err != nil {
 		return err
 	}
@@ -279,14 +279,14 @@
 	var source string
 	if err := c.withStore(func(s *maintenancestore.Store) error {
 		measured, published, err := s.Loads()
-		load, source = calendar.ChooseEstimate(measured, published, place.Cluster.Schedulers)
+		load, source = calendar.ChooseEstimate(measured, published, config.Cluster.Schedulers)
 		return err
 	}); err != nil {
 		return err
 	}
 	fmt.Printf("%d nodes on the last list; usual load: %s\n", len(fleet), source)
 	out := newTable(os.Stdout, "WINDOW\tCALENDAR\tVERDICT\tDRAINS FROM\tOUT\tBACK\tNODES\tMOST OUT\tWHY")
-	for _, v := range calendar.Plan(cal, fleet, place.Maintenance, load, from, from.AddDate(0, 0, c.Days)) {
+	for _, v := range calendar.Plan(cal, fleet, config.Maintenance, load, from, from.AddDate(0, 0, c.Days)) {
 		const at = "2 Jan 15:04"
 		if v.Outcome == calendar.Refused {
 			out.row("%s\t%s\trefused\t\t\t\t%d\t\t%s", v.Window, v.ScheduledStart.Format(at), len(v.Nodes), v.Reason)
@@ -299,16 +299,16 @@
 }
 
 // lastFleet returns the nodes of a scheduler's last node list. The scheduler may be running.
-func lastFleet(folder string, place *site.Config) (fleet []calendar.Node, err error) {
+func lastFleet(folder string, config *site.Config) (fleet []calendar.Node, err error) {
 	list, err := state.ReadList(folder)
 	if err != nil || list == nil {
 		return nil, err
 	}
 	for _, entry := range list.Entries() {
-		if kind := slices.Index(place.MachineKinds, entry.Kind); kind >= 0 {
+		if kind := slices.Index(config.MachineKinds, entry.Kind); kind >= 0 {
 			fleet = append(fleet, calendar.Node{
 				ID: strconv.FormatUint(uint64(entry.ID), 10), Zone: entry.Zone, Cell: entry.Cell, Kind: entry.Kind,
-				Cores: place.Cluster.KindCores[kind], Memory: place.Cluster.KindMemory[kind],
+				Cores: config.Cluster.KindCores[kind], Memory: config.Cluster.KindMemory[kind],
 			})
 		}
 	}
--- a/cmd/ravenpond/drill.go
+++ b/cmd/ravenpond/drill.go
@@ -23,8 +23,8 @@
 	ShowDay     bool   `help:"Print the day in the program and exit."`
 }
 
-// breaksStatus is the exit status if rules were broken.
-const breaksStatus = 2
+// violationExitStatus is the exit status if rules were broken.
+const violationExitStatus = 2
 
 // Run plays the day on loopback, audits it and prints the result. It exits with breaksStatus if a rule was broken.
 func (c *drillCommand) Run(ctx context.Context) error {
@@ -57,7 +57,7 @@
 		return err
 	}
 	if len(result.Violations) > 0 {
-		os.Exit(breaksStatus)
+		os.Exit(violationExitStatus)
 	}
 	return nil
 }
--- a/cmd/ravenpond/lab.go
+++ b/cmd/ravenpond/lab.go
@@ -5,8 +5,8 @@
 	"runtime"
 )
 
-// errBroken reports that a simulation or check broke a rule. What broke was printed before.
-var errBroken = errors.New("something broke")
+// errRuleBroken reports that a simulation or check broke a rule. What broke was printed before.
+var errRuleBroken = errors.New("something broke")
 
 // workersOrCPUs returns the number of workers that a flag gives, or one for each core if it gives none.
 func workersOrCPUs(workers int) int {
--- a/cmd/ravenpond/lab_balance.go
+++ b/cmd/ravenpond/lab_balance.go
@@ -33,20 +33,20 @@
 	if len(c.Policies) == 0 {
 		c.Policies = balance.Names
 	}
-	scene := balance.Scenario{
+	scenario := balance.Scenario{
 		Schedulers: c.Schedulers, Nodes: c.Nodes, Load: c.Utilization, TaskRuntime: c.RunTimeSeconds * 1000, Duration: c.DurationSeconds * 1000, Services: c.Services,
 		Members: c.Membership,
 	}
 	if c.MinWorkingSet > 0 {
-		scene.WorkingSet = &site.WorkingSet{MinNodes: c.MinWorkingSet, Coverage: 1, SpareFactor: c.Spare, NodesPerStart: 1, MinPerStratum: 3, NarrowAfter: 30_000}
+		scenario.WorkingSet = &site.WorkingSet{MinNodes: c.MinWorkingSet, Coverage: 1, SpareFactor: c.Spare, NodesPerStart: 1, MinPerStratum: 3, NarrowAfter: 30_000}
 	}
 	for _, text := range c.Faults {
 		fault, err := sim.ParseFault(text)
 		if err != nil {
 			return fmt.Errorf("fault %q: MS KIND WHO OTHER FOR-MS SIZE is expected: %w", text, err)
 		}
-		scene.Faults = append(scene.Faults, fault)
+		scenario.Faults = append(scenario.Faults, fault)
 	}
-	_, err := balance.CompareTable(ctx, os.Stdout, scene, c.Policies, c.Seeds, c.Workers)
+	_, err := balance.CompareTable(ctx, os.Stdout, scenario, c.Policies, c.Seeds, c.Workers)
 	return err
 }
--- a/cmd/ravenpond/lab_cluster.go
+++ b/cmd/ravenpond/lab_cluster.go
@@ -27,8 +27,8 @@
 	Out               string  `type:"path" help:"Folder for logs; default: a new temporary folder."`
 }
 
-// maxPrintedBreaks is how many broken rules are printed.
-const maxPrintedBreaks = 10
+// maxPrintedViolations is how many broken rules are printed.
+const maxPrintedViolations = 10
 
 // detectionTimeout is how long a death may take to be noticed by a scheduler, to be counted as detected.
 const detectionTimeout = 10 * time.Second
@@ -111,7 +111,7 @@
 	}
 	fmt.Printf("CPU of all schedulers %.2f s: %.2f%% of a core each\n", result.CPU.Seconds(),
 		100*result.CPU.Seconds()/elapsed.Seconds()/float64(c.Schedulers))
-	for _, b := range result.Violations[:min(len(result.Violations), maxPrintedBreaks)] {
+	for _, b := range result.Violations[:min(len(result.Violations), maxPrintedViolations)] {
 		fmt.Println(b)
 	}
 }
--- a/cmd/ravenpond/lab_membership.go
+++ b/cmd/ravenpond/lab_membership.go
@@ -64,7 +64,7 @@
 		return err
 	}
 	if membershiplab.Print(os.Stdout, membershiplab.Seeds(ctx, first, end, c.Workers, faults)) > 0 && c.Fault == "" {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
--- a/cmd/ravenpond/lab_model_check.go
+++ b/cmd/ravenpond/lab_model_check.go
@@ -31,7 +31,7 @@
 	}
 	fmt.Printf("broken: %d\n", broken)
 	if broken > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
--- a/cmd/ravenpond/lab_run.go
+++ b/cmd/ravenpond/lab_run.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	if len(summary.Failures) > 0 && fault == nil {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
@@ -72,7 +72,7 @@
 		return err
 	}
 	if platformsim.CountFailures(all) > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
--- a/cmd/ravenpond/lab_scale.go
+++ b/cmd/ravenpond/lab_scale.go
@@ -81,7 +81,7 @@
 // selects reports whether a point is to be measured.
 func (c *scaleCommand) selects(sizes result.Sizes) bool {
 	for _, size := range c.Sizes {
-		if of := map[string]int{scale.Nodes: sizes.Nodes, scale.Schedulers: sizes.Schedulers, scale.Tasks: sizes.RunningTasks, scale.OffAxis: sizes.Nodes}; of[c.Dimension] == size {
+		if sizeIn := map[string]int{scale.Nodes: sizes.Nodes, scale.Schedulers: sizes.Schedulers, scale.Tasks: sizes.RunningTasks, scale.OffAxis: sizes.Nodes}; sizeIn[c.Dimension] == size {
 			return true
 		}
 	}
--- a/cmd/ravenpond/lab_scale_regions.go
+++ b/cmd/ravenpond/lab_scale_regions.go
@@ -57,8 +57,8 @@
 			return err
 		}
 	}
-	if broken := len(report.Check()); broken > 0 {
-		return fmt.Errorf("%d bounds broken", broken)
+	if exceeded := len(report.Check()); exceeded > 0 {
+		return fmt.Errorf("%d bounds broken", exceeded)
 	}
 	return nil
 }
--- a/cmd/ravenpond/lab_script.go
+++ b/cmd/ravenpond/lab_script.go
@@ -72,8 +72,8 @@
 	return result, f.Close()
 }
 
-// errBreaksNothing reports that a script breaks no rule.
-var errBreaksNothing = errors.New("it breaks nothing")
+// errNoRuleBroken reports that a script breaks no rule.
+var errNoRuleBroken = errors.New("it breaks nothing")
 
 // shrinkCommand makes a script that breaks a rule smaller.
 type shrinkCommand struct {
@@ -96,15 +96,15 @@
 	play := func(script sim.Script) sim.Result { return sim.Run(script, fault, nil) }
 	first := play(script)
 	if first.Failure == "" {
-		return errBreaksNothing
+		return errNoRuleBroken
 	}
-	small := sim.Shrink(script, func(smaller sim.Script) bool {
+	shrunk := sim.Shrink(script, func(smaller sim.Script) bool {
 		result := play(smaller)
 		return ctx.Err() == nil && result.Failure != "" && result.FailedRule == first.FailedRule
 	}, func(smaller sim.Script) {
 		fmt.Fprintf(os.Stderr, "%d faults, %d nodes, %d schedulers, %d shards, %.0f ms\n", len(smaller.Faults), smaller.Nodes, smaller.Schedulers,
 			smaller.Shards, smaller.Duration)
 	})
-	fmt.Printf("%s# %s\n", small, play(small).Failure)
+	fmt.Printf("%s# %s\n", shrunk, play(shrunk).Failure)
 	return nil
 }
--- a/cmd/ravenpond/lab_shards.go
+++ b/cmd/ravenpond/lab_shards.go
@@ -34,20 +34,20 @@
 	if err != nil {
 		return err
 	}
-	tables := shards.Measurements{
+	measurements := shards.Measurements{
 		Command: []string{self}, ShardCounts: c.ShardCounts, Nodes: c.Nodes, Rate: c.Rate, OverloadRate: c.OverloadRate, Duration: c.Duration,
 		Requests: c.Requests, Cores: runtime.NumCPU(), Out: out,
 	}
 	if c.Tables {
-		if err := tables.Sockets(ctx, os.Stdout); err != nil {
+		if err := measurements.Sockets(ctx, os.Stdout); err != nil {
 			return err
 		}
-		if err := tables.Memory(ctx, os.Stdout); err != nil {
+		if err := measurements.Memory(ctx, os.Stdout); err != nil {
 			return err
 		}
 	}
 	if c.Overload {
-		if err := tables.Overload(ctx, os.Stdout); err != nil {
+		if err := measurements.Overload(ctx, os.Stdout); err != nil {
 			return err
 		}
 	}
--- a/cmd/ravenpond/lab_soak.go
+++ b/cmd/ravenpond/lab_soak.go
@@ -63,7 +63,7 @@
 	}
 	fmt.Printf("broken: %d of %d\n", broken, len(results))
 	if broken > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
--- a/cmd/ravenpond/lab_tenants.go
+++ b/cmd/ravenpond/lab_tenants.go
@@ -26,13 +26,13 @@
 	if c.Tenants < 2 || c.Nodes < 1 || c.Shards < 1 || !(c.FloodFactor > 0) || c.Duration <= 0 {
 		return errors.New("two tenants or more, nodes, shards, a flood and a length above 0 are expected")
 	}
-	day := tenants.Trial{Tenants: c.Tenants, Nodes: c.Nodes, Shards: c.Shards, Flood: c.FloodFactor, ReconnectFlood: c.Reconnects, Duration: c.Duration, Seed: c.Seed}
+	trial := tenants.Trial{Tenants: c.Tenants, Nodes: c.Nodes, Shards: c.Shards, Flood: c.FloodFactor, ReconnectFlood: c.Reconnects, Duration: c.Duration, Seed: c.Seed}
 	if c.HalfOpen > 0 {
-		day.ReconnectFlood = false
-		_, _, _, err := tenants.Handshakes(ctx, os.Stdout, day, c.HalfOpen)
+		trial.ReconnectFlood = false
+		_, _, _, err := tenants.Handshakes(ctx, os.Stdout, trial, c.HalfOpen)
 		return err
 	}
-	_, err := tenants.Table(ctx, os.Stdout, day)
+	_, err := tenants.Table(ctx, os.Stdout, trial)
 	return err
 }
 
--- a/cmd/ravenpond/profile.go
+++ b/cmd/ravenpond/profile.go
@@ -67,13 +67,13 @@
 // writeHeapProfile writes what is in use after a garbage collection. The file appears at once with its whole content.
 func writeHeapProfile(path string) error {
 	runtime.GC()
-	part := path + ".part"
-	f, err := os.Create(part)
+	partial := path + ".part"
+	f, err := os.Create(partial)
 	if err != nil {
 		return err
 	}
 	if err := errors.Join(pprof.Lookup("heap").WriteTo(f, 0), f.Close()); err != nil {
 		return err
 	}
-	return os.Rename(part, path)
+	return os.Rename(partial, path)
 }
--- a/cmd/ravenpond/tenant.go
+++ b/cmd/ravenpond/tenant.go
@@ -37,14 +37,14 @@
 
 // withStore opens the store, uses it and closes it; it waits while a scheduler reads the store.
 func (f tenantFlags) withStore(do func(s *tenants.Store) error) error {
-	place, err := site.Load(f.Site)
+	config, err := site.Load(f.Site)
 	if err != nil {
 		return err
 	}
-	if place.MaxHostedTenants == 0 {
+	if config.MaxHostedTenants == 0 {
 		return fmt.Errorf("site file %s: no <hosting>: its tenants are named there, and do not come and go", f.Site)
 	}
-	return useStore(func() (*tenants.Store, error) { return tenants.Open(f.State, place.MaxHostedTenants) }, do)
+	return useStore(func() (*tenants.Store, error) { return tenants.Open(f.State, config.MaxHostedTenants) }, do)
 }
 
 // currentUser returns the name of the operating system's user, for the audit log.
@@ -71,12 +71,12 @@
 			return err
 		}
 		c.Name, c.Version = f.Name, f.Version
-		t, fault, err := s.Apply(time.Now(), currentUser(), f.Request, c)
+		t, rejected, err := s.Apply(time.Now(), currentUser(), f.Request, c)
 		if err != nil {
 			return err
 		}
-		if fault != nil {
-			return fault
+		if rejected != nil {
+			return rejected
 		}
 		fmt.Printf("%s: %s, version %d\n", t.Name, t.State, t.Version)
 		return nil
@@ -169,12 +169,12 @@
 
 // Run begins the removal; running schedulers complete it.
 func (c *tenantRemove) Run() error {
-	ending, fault := tenancy.ParseRemovalMode(c.Ending)
-	if fault != nil {
-		return fault
+	mode, invalid := tenancy.ParseRemovalMode(c.Ending)
+	if invalid != nil {
+		return invalid
 	}
 	return c.apply(func(*tenants.Store) (tenancy.Change, error) {
-		return tenancy.Change{Kind: tenancy.Remove, Removal: ending}, nil
+		return tenancy.Change{Kind: tenancy.Remove, Removal: mode}, nil
 	})
 }
 
@@ -223,9 +223,9 @@
 		return errors.New("--last: a time above 0 is expected")
 	}
 	return c.withStore(func(s *tenants.Store) error {
-		shown, err := s.IssueToken(time.Now(), currentUser(), c.Name, c.Lifetime)
+		token, err := s.IssueToken(time.Now(), currentUser(), c.Name, c.Lifetime)
 		if err == nil {
-			fmt.Println(shown)
+			fmt.Println(token)
 		}
 		return err
 	})
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -67,9 +67,9 @@
 	go func() {
 		defer close(done)
 		s.Guard.Watch(ctx, s.Now, s.logKeys)
-		limit := time.AfterFunc(stopTimeout, grpcServer.Stop)
+		forceStop := time.AfterFunc(stopTimeout, grpcServer.Stop)
 		grpcServer.GracefulStop()
-		limit.Stop()
+		forceStop.Stop()
 	}()
 	s.Log.Info().Str("mode", "admin").Str("address", listener.Addr().String()).Msg("administration begins")
 	if ready != nil {
@@ -136,7 +136,7 @@
 }
 
 // withStore opens the store for one use. It waits for another process that has it open.
-func (s *Server) withStore(ctx context.Context, use func(store *tenants.Store) error) error {
+func (s *Server) withStore(ctx context.Context, do func(store *tenants.Store) error) error {
 	var store *tenants.Store
 	err := bolt.RetryWhileLocked(ctx, openAttempts, func() (err error) { store, err = s.Open(); return err })
 	switch {
@@ -151,5 +151,5 @@
 		s.Log.Error().Str("mode", "admin").Err(err).Send()
 		return status.Error(codes.Internal, "the store can't be opened")
 	}
-	return errors.Join(use(store), store.Close())
+	return errors.Join(do(store), store.Close())
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -33,7 +33,7 @@
 	addr  string
 }
 
-var people = []keys.Subject{
+var identities = []keys.Subject{
 	{Name: "op", Role: access.Operator},
 	{Name: "eye", Role: access.Reader},
 	{Name: "boss", Role: access.TenantAdmin, Tenant: "a"},
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	o.issue(keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}})
-	for _, person := range people {
+	for _, person := range identities {
 		o.issue(person)
 	}
 	if o.guard, err = keys.NewGuard(filepath.Join(o.dir, "keys"), "server"); err != nil {
@@ -159,11 +159,11 @@
 		}, "+---"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for i := len(people) - 1; i >= 0; i-- { // who may most comes last
-				err := c.call(o.clientOf(people[i].Name), shortContext(t))
+			for i := len(identities) - 1; i >= 0; i-- { // who may most comes last
+				err := c.call(o.clientOf(identities[i].Name), shortContext(t))
 				if want := c.may[i] == '+'; (err == nil) != want || !want && (status.Code(err) != codes.PermissionDenied ||
 					status.Convert(err).Message() != "not allowed") {
-					t.Errorf("%s: %v", people[i].Name, err)
+					t.Errorf("%s: %v", identities[i].Name, err)
 				}
 			}
 		})
@@ -342,8 +342,8 @@
 // TestRevoked revokes the certificate of an open connection, and rotates the authority's key under another.
 func TestRevoked(t *testing.T) {
 	o := startServer(t)
-	op, eye := o.clientOf("op"), o.clientOf("eye")
-	for _, c := range []pb.TenantsClient{op, eye} {
+	op, reader := o.clientOf("op"), o.clientOf("eye")
+	for _, c := range []pb.TenantsClient{op, reader} {
 		if _, err := c.List(shortContext(t), &pb.ListRequest{}); err != nil {
 			t.Fatal(err)
 		}
@@ -361,7 +361,7 @@
 		if _, err := op.List(shortContext(t), &pb.ListRequest{}); err != nil {
 			t.Fatalf("a rotation cut off a standing connection: %v", err)
 		}
-		_, err := eye.List(shortContext(t), &pb.ListRequest{})
+		_, err := reader.List(shortContext(t), &pb.ListRequest{})
 		refused = err != nil
 	}
 	if !refused {
