--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,12 +1,12 @@
-// Package admin serves the administration API over gRPC: tenants are added, limited, paused and removed, their tokens are issued and
-// revoked, and the record of changes is read.
+// Package admin serves the administration API over gRPC. The API adds, limits, pauses and removes tenants, issues and revokes their
+// tokens, and returns the audit log of changes.
 //
-// The caller is whom the client certificate names (package keys), package decide/access decides what the caller may do, and
-// package decide/tenancy what becomes of a change. State is in the store of package state/tenants, which is opened for one
-// call at a time, so that several processes may use it in turn.
+// The client certificate names the caller (package keys). Package decide/access decides what the caller may do, and package
+// decide/tenancy how a change affects a tenant. The state is in the store of package state/tenants, which is opened for one call at a
+// time, so that several processes can use it in turn.
 //
-// A Server has no mutable state of its own; gRPC calls it from many goroutines. Errors are gRPC statuses: a change that is not
-// valid names the field at fault, and an internal error is written to the log and not shown to the caller.
+// A Server has no mutable state of its own; gRPC calls it from many goroutines. Errors are gRPC statuses: the status of an invalid change
+// names the invalid field; an internal error is logged and not shown to the caller.
 package admin
 
 import (
@@ -31,7 +31,7 @@
 	"ravenpond/internal/state/tenants"
 )
 
-// Server is the API. Its fields are set before Serve and not changed afterwards.
+// Server implements the API. Its fields are set before Serve and not changed afterwards.
 type Server struct {
 	pb.UnimplementedTenantsServer
 	Open  func() (*tenants.Store, error) // opens the store; the server closes it after each call
@@ -42,18 +42,18 @@
 
 const (
 	maxMessageBytes  = 64 << 10
-	maxStreams       = 64 // calls at once on a connection
+	maxStreams       = 64 // concurrent calls on a connection
 	maxConnections   = 256
 	handshakeTimeout = 3 * time.Second
-	stopTimeout      = time.Second // for calls under way when the server ends
-	openAttempts     = 10          // of a store that another process has open, 0.2 s each
+	stopTimeout      = time.Second // calls in progress have this time to complete when the server stops
+	openAttempts     = 10          // attempts to open a store that another process has locked, 0.2 s apart
 )
 
-// Serve serves on an address until the context ends. ready is called with the address when clients can connect; it may be nil.
+// Serve serves the API on an address until the context ends. It calls ready with the address once clients can connect; ready may be nil.
 func (s *Server) Serve(ctx context.Context, address string, ready func(address string)) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("administration: %w", err)
+		return fmt.Errorf("administration API: %w", err)
 	}
 	grpcServer := grpc.NewServer(
 		grpc.Creds(s.Guard.Credentials()),
@@ -71,19 +71,19 @@
 		grpcServer.GracefulStop()
 		forceStop.Stop()
 	}()
-	s.Log.Info().Str("mode", "admin").Str("address", listener.Addr().String()).Msg("administration begins")
+	s.Log.Info().Str("mode", "admin").Str("address", listener.Addr().String()).Msg("administration API listening")
 	if ready != nil {
 		ready(listener.Addr().String())
 	}
 	err = grpcServer.Serve(newBoundedListener(listener, maxConnections))
 	<-done
 	if ctx.Err() != nil {
-		return nil //nolint:nilerr // the end of the context is the ordinary end of the server
+		return nil //nolint:nilerr // the server stops normally when the context ends
 	}
 	return err
 }
 
-// logKeys writes a line about the certificates.
+// logKeys logs a message about the certificates: at level error if it is a fault, else at level info.
 func (s *Server) logKeys(fault bool, line string) {
 	level := zerolog.InfoLevel
 	if fault {
@@ -92,11 +92,11 @@
 	s.Log.WithLevel(level).Str("mode", "keys").Msg(line)
 }
 
-// logCall writes who called what. A rejected call is a warning; its reason is in the log alone.
+// logCall is an interceptor that logs the caller, the method and the status of each call. A call without permission is logged as a warning.
 func (s *Server) logCall(ctx context.Context, request any, info *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (any, error) {
 	began := time.Now()
 	response, err := handle(ctx, request)
-	caller, _ := callerOf(ctx) // an unknown caller has no name
+	caller, _ := callerOf(ctx) // an unknown caller is logged without a name
 	line := s.Log.Debug()
 	if status.Code(err) == codes.PermissionDenied {
 		line = s.Log.Warn()
@@ -107,13 +107,13 @@
 	return response, err
 }
 
-// Errors of connections without a certificate that names a caller.
+// Errors of calls whose connection does not identify the caller.
 var (
-	errNoPeer        = errors.New("no peer")
-	errNoCertificate = errors.New("no certificate")
+	errNoPeer        = errors.New("the call has no peer information")
+	errNoCertificate = errors.New("the client sent no certificate")
 )
 
-// callerOf is the caller that the client certificate of a call names.
+// callerOf returns the caller that the client certificate of a call names.
 func callerOf(ctx context.Context) (access.Caller, error) {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
@@ -126,7 +126,7 @@
 	return keys.CallerOf(info.State.PeerCertificates[0])
 }
 
-// authorize returns the caller if the caller may do something to a tenant.
+// authorize returns the caller of a call, and errNotAllowed unless the caller may perform the action on the tenant.
 func authorize(ctx context.Context, action access.Action, tenant string) (access.Caller, error) {
 	caller, err := callerOf(ctx)
 	if err != nil || !caller.Can(action, tenant) {
@@ -135,7 +135,7 @@
 	return caller, nil
 }
 
-// withStore opens the store for one use. It waits for another process that has it open.
+// withStore opens the store, calls do and closes the store. It retries while another process has the store locked.
 func (s *Server) withStore(ctx context.Context, do func(store *tenants.Store) error) error {
 	var store *tenants.Store
 	err := bolt.RetryWhileLocked(ctx, openAttempts, func() (err error) { store, err = s.Open(); return err })
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -24,7 +24,7 @@
 	"ravenpond/internal/state/tenants"
 )
 
-// testServer is a server with a certificate authority and people.
+// testServer is a server with a certificate authority that has issued a certificate for each of identities.
 type testServer struct {
 	t     *testing.T
 	dir   string
@@ -34,10 +34,10 @@
 }
 
 var identities = []keys.Subject{
-	{Name: "op", Role: access.Operator},
-	{Name: "eye", Role: access.Reader},
-	{Name: "boss", Role: access.TenantAdmin, Tenant: "a"},
-	{Name: "clerk", Role: access.TenantReader, Tenant: "a"},
+	{Name: "operator", Role: access.Operator},
+	{Name: "reader", Role: access.Reader},
+	{Name: "tenant-admin", Role: access.TenantAdmin, Tenant: "a"},
+	{Name: "tenant-reader", Role: access.TenantReader, Tenant: "a"},
 }
 
 func startServer(t *testing.T) *testServer {
@@ -110,7 +110,7 @@
 
 func TestRoles(t *testing.T) {
 	o := startServer(t)
-	op := o.clientOf("op")
+	op := o.clientOf("operator")
 	for _, name := range []string{"a", "b"} {
 		if _, err := op.Add(shortContext(t), &pb.AddRequest{Name: name}); err != nil {
 			t.Fatal(err)
@@ -119,51 +119,51 @@
 	for _, c := range []struct {
 		name string
 		call func(c pb.TenantsClient, ctx context.Context) error
-		may  string // of op, eye, boss of a, clerk of a
+		want string // for each of identities, in order: + the call succeeds, - it is not allowed
 	}{
-		{"see a", func(c pb.TenantsClient, ctx context.Context) error {
+		{"get tenant a", func(c pb.TenantsClient, ctx context.Context) error {
 			_, err := c.Get(ctx, &pb.GetRequest{Name: "a"})
 			return err
 		}, "++++"},
-		{"see b", func(c pb.TenantsClient, ctx context.Context) error {
+		{"get tenant b", func(c pb.TenantsClient, ctx context.Context) error {
 			_, err := c.Get(ctx, &pb.GetRequest{Name: "b"})
 			return err
 		}, "++--"},
-		{"pause a", func(c pb.TenantsClient, ctx context.Context) error {
+		{"pause tenant a", func(c pb.TenantsClient, ctx context.Context) error {
 			_, err := c.Pause(ctx, &pb.ChangeRequest{Name: "a"})
 			return err
 		}, "+-+-"},
-		{"pause b", func(c pb.TenantsClient, ctx context.Context) error {
+		{"pause tenant b", func(c pb.TenantsClient, ctx context.Context) error {
 			_, err := c.Pause(ctx, &pb.ChangeRequest{Name: "b"})
 			return err
 		}, "+---"},
-		{"limit a", func(c pb.TenantsClient, ctx context.Context) error {
+		{"limit tenant a", func(c pb.TenantsClient, ctx context.Context) error {
 			_, err := c.Limit(ctx, &pb.LimitRequest{Name: "a"})
 			return err
 		}, "+---"},
-		{"a token for a", func(c pb.TenantsClient, ctx context.Context) error {
+		{"issue a token for tenant a", func(c pb.TenantsClient, ctx context.Context) error {
 			_, err := c.IssueToken(ctx, &pb.IssueTokenRequest{Name: "a", LastsS: 60})
 			return err
 		}, "+-+-"},
-		{"a token for b", func(c pb.TenantsClient, ctx context.Context) error {
+		{"issue a token for tenant b", func(c pb.TenantsClient, ctx context.Context) error {
 			_, err := c.IssueToken(ctx, &pb.IssueTokenRequest{Name: "b", LastsS: 60})
 			return err
 		}, "+---"},
-		{"the record", func(c pb.TenantsClient, ctx context.Context) error {
+		{"read the audit log", func(c pb.TenantsClient, ctx context.Context) error {
 			_, err := c.Records(ctx, &pb.RecordsRequest{})
 			return err
 		}, "++--"},
-		{"remove b", func(c pb.TenantsClient, ctx context.Context) error {
+		{"remove tenant b", func(c pb.TenantsClient, ctx context.Context) error {
 			_, err := c.Remove(ctx, &pb.RemoveRequest{Name: "b"})
 			return err
 		}, "+---"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for i := len(identities) - 1; i >= 0; i-- { // who may most comes last
+			for i := len(identities) - 1; i >= 0; i-- { // the identity with the most permissions is last, as it removes the tenant
 				err := c.call(o.clientOf(identities[i].Name), shortContext(t))
-				if want := c.may[i] == '+'; (err == nil) != want || !want && (status.Code(err) != codes.PermissionDenied ||
+				if want := c.want[i] == '+'; (err == nil) != want || !want && (status.Code(err) != codes.PermissionDenied ||
 					status.Convert(err).Message() != "not allowed") {
-					t.Errorf("%s: %v", identities[i].Name, err)
+					t.Errorf("call as %s: got error %v, want success or \"not allowed\" as the case says", identities[i].Name, err)
 				}
 			}
 		})
@@ -171,19 +171,19 @@
 	checkVisible(t, o)
 }
 
-// checkVisible checks how many of the tenants a and b each person sees.
+// checkVisible checks how many of the tenants a and b are listed to each of identities.
 func checkVisible(t *testing.T, o *testServer) {
 	t.Helper()
-	for name, want := range map[string]int{"op": 2, "eye": 2, "boss": 1, "clerk": 1} {
+	for name, want := range map[string]int{"operator": 2, "reader": 2, "tenant-admin": 1, "tenant-reader": 1} {
 		if got, err := o.clientOf(name).List(shortContext(t), &pb.ListRequest{}); err != nil || len(got.Tenants) != want {
-			t.Errorf("%s sees %d tenants, want %d, %v", name, len(got.GetTenants()), want, err)
+			t.Errorf("list as %s: got %d tenants, want %d; error %v", name, len(got.GetTenants()), want, err)
 		}
 	}
 }
 
 func TestChanges(t *testing.T) {
 	o := startServer(t)
-	op, share := o.clientOf("op"), 3.0
+	op, share := o.clientOf("operator"), 3.0
 	first, err := op.Add(shortContext(t), &pb.AddRequest{Name: "a", Limits: &pb.Limits{Share: &share}, RequestId: "r1"})
 	if err != nil || first.Limits.GetShare() != 3 || first.Limits.GetWait() != int64(defaultLimits.MaxWaiting) || first.State != pb.State_ACTIVE {
 		t.Fatal(first, err)
@@ -202,34 +202,34 @@
 		code  codes.Code
 		field string
 	}{
-		{"the same id for another change", func() error {
+		{"request ID reused for another change", func() error {
 			_, err := op.Add(shortContext(t), &pb.AddRequest{Name: "b", RequestId: "r1"})
 			return err
 		}, codes.InvalidArgument, "request_id"},
-		{"a bad share", func() error {
+		{"negative share", func() error {
 			_, err := op.Add(shortContext(t), &pb.AddRequest{Name: "b", Limits: &pb.Limits{Share: &bad}})
 			return err
 		}, codes.InvalidArgument, "share"},
-		{"a name twice", func() error { _, err := op.Add(shortContext(t), &pb.AddRequest{Name: "a"}); return err }, codes.AlreadyExists, "name"},
-		{"an older version", func() error {
+		{"name already exists", func() error { _, err := op.Add(shortContext(t), &pb.AddRequest{Name: "a"}); return err }, codes.AlreadyExists, "name"},
+		{"outdated version", func() error {
 			_, err := op.Pause(shortContext(t), &pb.ChangeRequest{Name: "a", Version: 1})
 			return err
 		}, codes.Aborted, "version"},
-		{"nobody", func() error { _, err := op.Pause(shortContext(t), &pb.ChangeRequest{Name: "z"}); return err }, codes.NotFound, "name"},
-		{"no such ending", func() error {
+		{"unknown tenant", func() error { _, err := op.Pause(shortContext(t), &pb.ChangeRequest{Name: "z"}); return err }, codes.NotFound, "name"},
+		{"unknown ending", func() error {
 			_, err := op.Remove(shortContext(t), &pb.RemoveRequest{Name: "a", Ending: 9})
 			return err
 		}, codes.InvalidArgument, "ending"},
-		{"a token for ever", func() error {
+		{"token lifetime above the maximum", func() error {
 			_, err := op.IssueToken(shortContext(t), &pb.IssueTokenRequest{Name: "a", LastsS: 1 << 60})
 			return err
 		}, codes.InvalidArgument, "lasts_s"},
-		{"a page of a million", func() error { _, err := op.List(shortContext(t), &pb.ListRequest{PageSize: 1e6}); return err }, codes.InvalidArgument, "page_size"},
-		{"a message too large", func() error {
+		{"page size above the maximum", func() error { _, err := op.List(shortContext(t), &pb.ListRequest{PageSize: 1e6}); return err }, codes.InvalidArgument, "page_size"},
+		{"message too large", func() error {
 			_, err := op.Get(shortContext(t), &pb.GetRequest{Name: strings.Repeat("x", maxMessageBytes)})
 			return err
 		}, codes.ResourceExhausted, ""},
-		{"no time left", func() error {
+		{"deadline in the past", func() error {
 			ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 			defer stop()
 			_, err := op.Get(ctx, &pb.GetRequest{Name: "a"})
@@ -244,7 +244,7 @@
 	checkRecord(t, op)
 }
 
-// checkRecord issues and revokes a token, and reads a page of the record of changes.
+// checkRecord issues and revokes a token, and reads a page of the audit log.
 func checkRecord(t *testing.T, op pb.TenantsClient) {
 	t.Helper()
 	token, err := op.IssueToken(shortContext(t), &pb.IssueTokenRequest{Name: "a", LastsS: 60})
@@ -255,11 +255,11 @@
 		t.Error(err)
 	}
 	if got, err := op.Records(shortContext(t), &pb.RecordsRequest{From: 2, PageSize: 3}); err != nil || len(got.Records) != 3 || got.Next != 5 || got.Records[0].What != "limit" {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("records from 2 on: got %+v, error %v; want 3 records, the first a limit, and 5 as the next", got, err)
 	}
 }
 
-// checkStatus checks a call's status: its code, and the field that its details and its message name.
+// checkStatus checks the code of a call's status, and the field that its details and its message name.
 func checkStatus(t *testing.T, err error, code codes.Code, wantField string) {
 	t.Helper()
 	field := ""
@@ -269,11 +269,11 @@
 		}
 	}
 	if status.Code(err) != code || field != wantField || field != "" && !strings.HasPrefix(status.Convert(err).Message(), field+": ") {
-		t.Errorf("%v, field %q", err, field)
+		t.Errorf("got error %v with field %q, want the code and the field of the case, and a message that begins with the field", err, field)
 	}
 }
 
-// checkPages adds six tenants to the one that there is and lists them in pages of three.
+// checkPages adds six tenants to the existing one and lists all in pages of three.
 func checkPages(t *testing.T, op pb.TenantsClient) {
 	t.Helper()
 	for i := range 6 {
@@ -293,20 +293,20 @@
 		token = got.NextPageToken
 	}
 	if fmt.Sprint(names) != "[a t0 t1 t2 t3 t4 t5]" {
-		t.Errorf("%v", names)
+		t.Errorf("listed by pages: got %v, want [a t0 t1 t2 t3 t4 t5]", names)
 	}
 }
 
-// TestCertificates connects with certificates that are not valid.
+// TestCertificates connects with a valid certificate, and with certificates and TLS versions that must be rejected.
 func TestCertificates(t *testing.T) {
 	o := startServer(t)
 	folder := filepath.Join(o.dir, "keys")
-	o.issue(keys.Subject{Name: "late", Role: access.Operator, Lifetime: time.Millisecond})
+	o.issue(keys.Subject{Name: "expired", Role: access.Operator, Lifetime: time.Millisecond})
 	foreign, err := keys.Init(filepath.Join(o.dir, "foreign"), time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := foreign.Issue(time.Now(), keys.Subject{Name: "op", Role: access.Operator, Lifetime: time.Hour}); err != nil {
+	if _, err := foreign.Issue(time.Now(), keys.Subject{Name: "operator", Role: access.Operator, Lifetime: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	pair := func(dir, name string) tls.Certificate {
@@ -322,15 +322,15 @@
 		conf *tls.Config
 		ok   bool
 	}{
-		{"an operator", &tls.Config{Certificates: []tls.Certificate{pair(folder, "op")}}, true},
-		{"no certificate", &tls.Config{}, false},
-		{"an expired one", &tls.Config{Certificates: []tls.Certificate{pair(folder, "late")}}, false},
-		{"a foreign authority's", &tls.Config{Certificates: []tls.Certificate{pair(filepath.Join(o.dir, "foreign"), "op")}}, false},
-		{"the server's own", &tls.Config{Certificates: []tls.Certificate{pair(folder, "server")}}, false},
-		{"an older TLS", &tls.Config{Certificates: []tls.Certificate{pair(folder, "op")}, MaxVersion: tls.VersionTLS12}, false},
+		{"operator", &tls.Config{Certificates: []tls.Certificate{pair(folder, "operator")}}, true},
+		{"no client certificate", &tls.Config{}, false},
+		{"expired certificate", &tls.Config{Certificates: []tls.Certificate{pair(folder, "expired")}}, false},
+		{"certificate of another authority", &tls.Config{Certificates: []tls.Certificate{pair(filepath.Join(o.dir, "foreign"), "operator")}}, false},
+		{"the server's certificate", &tls.Config{Certificates: []tls.Certificate{pair(folder, "server")}}, false},
+		{"TLS 1.2", &tls.Config{Certificates: []tls.Certificate{pair(folder, "operator")}, MaxVersion: tls.VersionTLS12}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.conf.InsecureSkipVerify = true // the server is not what is tested
+			c.conf.InsecureSkipVerify = true // the client's check of the server is not under test
 			_, err := o.clientWith(credentials.NewTLS(c.conf)).List(shortContext(t), &pb.ListRequest{})
 			if (err == nil) != c.ok {
 				t.Error(err)
@@ -339,10 +339,11 @@
 	}
 }
 
-// TestRevoked revokes the certificate of an open connection, and rotates the authority's key under another.
+// TestRevoked revokes the certificate of an open connection and rotates the authority's key while another connection is open. The first has
+// to be rejected and the second to stay open. A list of revocations that cannot be read must not readmit the revoked certificate.
 func TestRevoked(t *testing.T) {
 	o := startServer(t)
-	op, reader := o.clientOf("op"), o.clientOf("eye")
+	op, reader := o.clientOf("operator"), o.clientOf("reader")
 	for _, c := range []pb.TenantsClient{op, reader} {
 		if _, err := c.List(shortContext(t), &pb.ListRequest{}); err != nil {
 			t.Fatal(err)
@@ -351,42 +352,43 @@
 	if err := o.ca.Rotate(time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if err := o.ca.Revoke(time.Now(), "eye"); err != nil {
+	if err := o.ca.Revoke(time.Now(), "reader"); err != nil {
 		t.Fatal(err)
 	}
-	o.issue(keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}}) // by the new key
+	o.issue(keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}}) // signed by the new key
 	o.issue(keys.Subject{Name: "new", Role: access.Operator})
 	refused := false
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end) && !refused; time.Sleep(20 * time.Millisecond) {
 		if _, err := op.List(shortContext(t), &pb.ListRequest{}); err != nil {
-			t.Fatalf("a rotation cut off a standing connection: %v", err)
+			t.Fatalf("the rotation of the key closed an open connection: %v", err)
 		}
 		_, err := reader.List(shortContext(t), &pb.ListRequest{})
 		refused = err != nil
 	}
 	if !refused {
-		t.Error("a revoked certificate's connection goes on")
+		t.Error("the connection of a revoked certificate is still accepted after 4 s")
 	}
-	for _, name := range []string{"op", "new"} { // signed by the old key and by the new one
+	for _, name := range []string{"operator", "new"} { // signed by the old key and by the new one
 		if _, err := o.clientOf(name).List(shortContext(t), &pb.ListRequest{}); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("list as %s after the rotation: %v", name, err)
 		}
 	}
 	if err := os.WriteFile(filepath.Join(o.dir, "keys", "crl.pem"), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if o.guard.Load() == nil {
-		t.Error("a broken list of revocations was read")
+		t.Error("got no error for a malformed list of revocations")
 	}
-	if _, err := o.clientOf("eye").List(shortContext(t), &pb.ListRequest{}); err == nil {
-		t.Error("what was revoked is let in again as the list is broken")
+	if _, err := o.clientOf("reader").List(shortContext(t), &pb.ListRequest{}); err == nil {
+		t.Error("a revoked certificate is accepted while the list of revocations is malformed")
 	}
 }
 
-// TestHalfOpen opens connections over which nothing is sent: calls get through meanwhile.
+// TestHalfOpen opens 200 connections that send nothing: they must not block calls on an open connection, nor a new connection once the
+// server has closed them.
 func TestHalfOpen(t *testing.T) {
 	o := startServer(t)
-	op := o.clientOf("op")
+	op := o.clientOf("operator")
 	if _, err := op.List(shortContext(t), &pb.ListRequest{}); err != nil {
 		t.Fatal(err)
 	}
@@ -395,14 +397,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close() //nolint:errcheck // nothing was sent over it
+		defer c.Close() //nolint:errcheck // nothing was written to it
 	}
 	if _, err := op.List(shortContext(t), &pb.ListRequest{}); err != nil {
-		t.Errorf("a standing connection: %v", err)
+		t.Errorf("list on an open connection: %v", err)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 4*handshakeTimeout)
 	defer stop()
-	if _, err := o.clientOf("eye").List(ctx, &pb.ListRequest{}, grpc.WaitForReady(true)); err != nil {
-		t.Errorf("a new one, when the silent have been given up: %v", err)
+	if _, err := o.clientOf("reader").List(ctx, &pb.ListRequest{}, grpc.WaitForReady(true)); err != nil {
+		t.Errorf("list on a new connection after the handshake time-out of the silent ones: %v", err)
 	}
 }
--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -10,10 +10,10 @@
 	"ravenpond/internal/decide/tenancy"
 )
 
-// errNotAllowed does not tell why, so that nobody learns which tenants there are.
+// errNotAllowed gives no reason, so that callers without permission cannot find out which tenants exist.
 var errNotAllowed = status.Error(codes.PermissionDenied, "not allowed")
 
-// statusCodes are the gRPC codes of changes that are not made.
+// statusCodes are the gRPC codes of rejected changes, by kind of error.
 var statusCodes = [...]codes.Code{
 	tenancy.Invalid:    codes.InvalidArgument,
 	tenancy.NotFound:   codes.NotFound,
@@ -23,7 +23,7 @@
 	tenancy.NoCapacity: codes.ResourceExhausted,
 }
 
-// statusError is the status of a change that is not made. Its details name the field at fault.
+// statusError returns the status of a rejected change. Its details name the invalid field.
 func statusError(e *tenancy.ChangeError) error {
 	code := statusCodes[e.Kind]
 	st, err := status.New(code, e.Error()).WithDetails(&errdetails.BadRequest{
@@ -35,19 +35,19 @@
 	return st.Err()
 }
 
-// invalidArgument is the status of a request whose field is not valid.
+// invalidArgument returns the status of a request with an invalid field.
 func invalidArgument(field, text string) error {
 	return statusError(&tenancy.ChangeError{Field: field, Kind: tenancy.Invalid, Text: text})
 }
 
-// publicError is what the caller is told of an error: a status as it is, an internal error without its text, which is logged.
+// publicError returns the error that the caller gets: a status unchanged; for any other error, which it logs, a status without its text.
 func (s *Server) publicError(err error) error {
 	var withStatus interface{ GRPCStatus() *status.Status }
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &withStatus):
-		return withStatus.GRPCStatus().Err() // without the errors that were joined to it
+		return withStatus.GRPCStatus().Err() // without the errors joined to it
 	}
 	s.Log.Error().Str("mode", "admin").Err(err).Send()
 	return status.Error(codes.Internal, "failed inside; its log says why")
--- a/internal/admin/records.go
+++ b/internal/admin/records.go
@@ -12,7 +12,7 @@
 	"ravenpond/internal/state/tenants"
 )
 
-// Records returns a page of the record of changes. The whole record is read, so that tampering anywhere in it is reported.
+// Records returns a page of the audit log. It reads the whole log, so that tampering anywhere in it is reported.
 func (s *Server) Records(ctx context.Context, r *pb.RecordsRequest) (*pb.RecordsResponse, error) {
 	if _, err := authorize(ctx, access.ViewAudit, ""); err != nil {
 		return nil, err
@@ -44,7 +44,7 @@
 	return page, nil
 }
 
-// recordMessage is a change as the API shows it.
+// recordMessage converts a record of the audit log to its API message.
 func recordMessage(number uint64, r *tenants.Record) *pb.Record {
 	return &pb.Record{
 		Number: number, AtMs: float64(r.At.UnixMilli()), By: r.Actor, What: r.Action,
--- a/internal/admin/tenants.go
+++ b/internal/admin/tenants.go
@@ -18,10 +18,10 @@
 	defaultPageSize   = 100
 )
 
-// defaultLimits are those of a new tenant where the request sets no others.
+// defaultLimits are the limits of a new tenant that the request does not set.
 var defaultLimits = tenancy.Limits{Limits: fairqueue.Limits{Share: 1, Burst: 10, MaxWaiting: 1000}}
 
-// tenantMessage is a tenant as the API shows it.
+// tenantMessage converts a tenant to its API message.
 func tenantMessage(t *tenancy.Tenant) *pb.Tenant {
 	l := t.Limits
 	open, wait, conns := int64(l.MaxOpen), int64(l.MaxWaiting), int64(l.MaxConns)
@@ -62,8 +62,8 @@
 	}
 }
 
-// change makes a change, once for each request ID. limits changes the limits that the tenant has or, if it is added, the default ones; it
-// may be nil.
+// change applies a change, once for each request ID. limits modifies the current limits of the tenant, or the default limits of a new one;
+// it may be nil.
 func (s *Server) change(ctx context.Context, action access.Action, requestID string, c tenancy.Change,
 	limits func(*tenancy.Limits),
 ) (changed *pb.Tenant, err error) {
@@ -113,19 +113,19 @@
 	return s.change(ctx, access.Manage, r.RequestId, c, applyLimits(r.Limits))
 }
 
-// Pause has a tenant's requests be rejected.
+// Pause pauses a tenant: its new requests are rejected.
 func (s *Server) Pause(ctx context.Context, r *pb.ChangeRequest) (*pb.Tenant, error) {
 	c := tenancy.Change{Kind: tenancy.Pause, Name: r.Name, Version: r.Version}
 	return s.change(ctx, access.PauseResume, r.RequestId, c, nil)
 }
 
-// Resume has a paused tenant's requests be taken again.
+// Resume resumes a paused tenant: its requests are accepted again.
 func (s *Server) Resume(ctx context.Context, r *pb.ChangeRequest) (*pb.Tenant, error) {
 	c := tenancy.Change{Kind: tenancy.Resume, Name: r.Name, Version: r.Version}
 	return s.change(ctx, access.PauseResume, r.RequestId, c, nil)
 }
 
-// Remove removes a tenant.
+// Remove starts the removal of a tenant.
 func (s *Server) Remove(ctx context.Context, r *pb.RemoveRequest) (*pb.Tenant, error) {
 	if r.Ending < 0 || r.Ending > pb.Ending_STOP {
 		return nil, invalidArgument("ending", "RUN_OUT or STOP is expected")
@@ -154,7 +154,7 @@
 	return found, s.publicError(err)
 }
 
-// pageSize is the number of items on a page: the default if none is requested.
+// pageSize returns the number of items on a page: the requested one, or the default if none is requested.
 func pageSize(requested int32) (int, error) {
 	switch {
 	case requested == 0:
@@ -165,8 +165,8 @@
 	return int(requested), nil
 }
 
-// List returns a page of the tenants that the caller may see, in the order of their names. A page begins after the name that the last one
-// ended with, so that a tenant that is added or removed meanwhile shifts nothing.
+// List returns a page of the tenants that the caller may see, in the order of their names. A page begins after the last name of the page
+// before, so that adding or removing a tenant between two calls neither repeats nor skips others.
 func (s *Server) List(ctx context.Context, r *pb.ListRequest) (*pb.ListResponse, error) {
 	caller, err := callerOf(ctx)
 	if err != nil {
--- a/internal/admin/tokens.go
+++ b/internal/admin/tokens.go
@@ -12,10 +12,10 @@
 	"ravenpond/internal/state/tenants"
 )
 
-// maxTokenSeconds is the longest lifetime of a token: ten years.
+// maxTokenSeconds is the maximum lifetime of a token: ten years.
 const maxTokenSeconds = 10 * 365 * 24 * 3600
 
-// IssueToken makes a token for a tenant's clients. The token is shown this once.
+// IssueToken issues a token for a tenant's clients. The token is returned only by this call.
 func (s *Server) IssueToken(ctx context.Context, r *pb.IssueTokenRequest) (issued *pb.IssueTokenResponse, err error) {
 	caller, err := authorize(ctx, access.ManageTokens, r.Name)
 	if err != nil {
@@ -36,8 +36,8 @@
 	return issued, s.publicError(err)
 }
 
-// RevokeToken ends a token. Whether the caller may do so depends on whose it is: the token of another tenant looks like one that does not
-// exist.
+// RevokeToken revokes a token. The caller needs permission for the tenant of the token; without it, the answer is the same for the token
+// of another tenant as for one that does not exist.
 func (s *Server) RevokeToken(ctx context.Context, r *pb.RevokeTokenRequest) (*pb.RevokeTokenResponse, error) {
 	caller, err := callerOf(ctx)
 	if err != nil {
