--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -117,9 +117,9 @@
 		}
 	}
 	for _, c := range []struct {
-		name string
-		call func(c pb.TenantsClient, ctx context.Context) error
-		want string // for each of identities, in order: + the call succeeds, - it is not allowed
+		name      string
+		call      func(c pb.TenantsClient, ctx context.Context) error
+		permitted string // for each of identities, in order: + the call succeeds, - it is not allowed
 	}{
 		{"get tenant a", func(c pb.TenantsClient, ctx context.Context) error {
 			_, err := c.Get(ctx, &pb.GetRequest{Name: "a"})
@@ -161,7 +161,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			for i := len(identities) - 1; i >= 0; i-- { // the identity with the most permissions is last, as it removes the tenant
 				err := c.call(o.clientOf(identities[i].Name), shortContext(t))
-				if want := c.want[i] == '+'; (err == nil) != want || !want && (status.Code(err) != codes.PermissionDenied ||
+				if want := c.permitted[i] == '+'; (err == nil) != want || !want && (status.Code(err) != codes.PermissionDenied ||
 					status.Convert(err).Message() != "not allowed") {
 					t.Errorf("call as %s: got error %v, want success or \"not allowed\" as the case says", identities[i].Name, err)
 				}
