--- a/cmd/ravenpond/admin.go
+++ b/cmd/ravenpond/admin.go
@@ -20,23 +20,23 @@
 	Add    adminAdd    `cmd:"" help:"Add a tenant."`
 	Limit  adminLimit  `cmd:"" help:"Change a tenant's limits; those that are not given stay."`
 	Pause  adminPause  `cmd:"" help:"Accept no new requests of a tenant."`
-	Resume adminResume `cmd:"" help:"Accept its requests again."`
+	Resume adminResume `cmd:"" help:"Accept requests of a paused tenant again."`
 	Remove adminRemove `cmd:"" help:"Remove a tenant."`
-	List   adminList   `cmd:"" help:"List the tenants that you may see."`
+	List   adminList   `cmd:"" help:"List the tenants that the caller may see."`
 	Token  adminToken  `cmd:"" help:"Issue a token for a tenant's clients. It is printed once and not stored."`
-	Revoke adminRevoke `cmd:"" help:"Revoke a token by its id."`
+	Revoke adminRevoke `cmd:"" help:"Revoke a token by its ID."`
 	Log    adminLog    `cmd:"" help:"Print the audit log of changes."`
 }
 
-// adminFlags say where the API is and who calls.
+// adminFlags are the address of the API and the identity of the caller.
 type adminFlags struct {
 	Address  string        `name:"at" required:"" help:"Address of the administration API."`
-	Keys     string        `required:"" type:"path" help:"Folder with the authority's ca.pem and your NAME.pem and NAME.key."`
-	Identity string        `name:"as" required:"" help:"Your NAME in that folder."`
+	Keys     string        `required:"" type:"path" help:"Folder with the ca.pem of the certificate authority and the caller's NAME.pem and NAME.key."`
+	Identity string        `name:"as" required:"" help:"NAME of the caller's files in the folder of --keys."`
 	Timeout  time.Duration `name:"wait" default:"5s" help:"Time-out of the call."`
 }
 
-// call connects to the API and makes calls on it. An error of the API is returned as its code and message.
+// call connects to the API and runs calls with it. It returns an error of the API as the code and message of its status.
 func (f adminFlags) call(ctx context.Context, calls func(ctx context.Context, api pb.TenantsClient) error) (err error) {
 	creds, err := keys.ClientCredentials(f.Keys, f.Identity)
 	if err != nil {
@@ -64,7 +64,7 @@
 	Request string `help:"Idempotency key: a repeated request with the same key changes nothing and has the same answer."`
 }
 
-// change makes a call that changes the tenant, and prints its new state.
+// change makes the call do, which changes the tenant, and prints the new state of the tenant.
 func (f adminChange) change(ctx context.Context, do func(ctx context.Context, api pb.TenantsClient) (*pb.Tenant, error)) error {
 	return f.call(ctx, func(ctx context.Context, api pb.TenantsClient) error {
 		t, err := do(ctx, api)
@@ -75,18 +75,18 @@
 	})
 }
 
-// adminLimits are the limits of a tenant; those that are not given are nil.
+// adminLimits are the limits of a tenant. A limit that was not given is nil.
 type adminLimits struct {
-	Share          *float64 `help:"Share of the machines, relative to other tenants."`
-	Rate           *float64 `help:"Requests a second; 0: no limit beside the share."`
-	Burst          *float64 `help:"Requests that may pass at once after an idle time."`
-	MaxOpen        *int64   `name:"open" help:"Open requests; 0: no limit beside the capacity."`
-	QueueLength    *int64   `name:"line" help:"Length of its queue, in requests."`
-	MaxConnections *int64   `name:"conns" help:"Client connections; 0: by its share."`
-	Bytes          *float64 `help:"Bytes a second from its clients; 0: the default."`
+	Share          *float64 `help:"Share of the machines, relative to the shares of other tenants."`
+	Rate           *float64 `help:"Maximum rate, in requests per second; 0: limited only by the share."`
+	Burst          *float64 `help:"Maximum burst after an idle time, in requests."`
+	MaxOpen        *int64   `name:"open" help:"Maximum number of open requests; 0: limited only by the capacity."`
+	QueueLength    *int64   `name:"line" help:"Maximum length of the tenant's queue, in requests."`
+	MaxConnections *int64   `name:"conns" help:"Maximum number of client connections; 0: derived from the share."`
+	Bytes          *float64 `help:"Maximum bytes per second from the tenant's clients; 0: the default."`
 }
 
-// message returns the limits in the form of the API.
+// message converts the limits to their API message.
 func (l adminLimits) message() *pb.Limits {
 	return &pb.Limits{Share: l.Share, Rate: l.Rate, Burst: l.Burst, Open: l.MaxOpen, Wait: l.QueueLength, Conns: l.MaxConnections, Bytes: l.Bytes}
 }
@@ -117,7 +117,7 @@
 	})
 }
 
-// request returns a change without further arguments.
+// request returns the API message of a change that has no further arguments.
 func (f adminChange) request() *pb.ChangeRequest {
 	return &pb.ChangeRequest{Name: f.Name, Version: f.Version, RequestId: f.Request}
 }
@@ -145,10 +145,10 @@
 // adminRemove removes a tenant.
 type adminRemove struct {
 	adminChange
-	Ending string `enum:"run-out,stop" default:"run-out" help:"Running tasks run out, or are stopped: run-out or stop."`
+	Ending string `enum:"run-out,stop" default:"run-out" help:"What becomes of running tasks: run-out lets them end by themselves, stop stops them."`
 }
 
-// Run begins the removal and prints the state of the tenant.
+// Run starts the removal and prints the state of the tenant.
 func (c *adminRemove) Run(ctx context.Context) error {
 	ending := pb.Ending_RUN_OUT
 	if c.Ending == "stop" {
@@ -162,7 +162,7 @@
 // adminList lists tenants.
 type adminList struct {
 	adminFlags
-	All bool `help:"Removed ones too."`
+	All bool `help:"List removed tenants too."`
 }
 
 // Run prints a table of the tenants, page by page.
@@ -190,7 +190,7 @@
 type adminToken struct {
 	adminFlags
 	Name     string        `arg:"" help:"The tenant's name."`
-	Lifetime time.Duration `name:"last" default:"2160h" help:"Validity."`
+	Lifetime time.Duration `name:"last" default:"2160h" help:"Time for which the token is valid."`
 }
 
 // Run issues the token and prints it.
@@ -207,7 +207,7 @@
 // adminRevoke revokes a token.
 type adminRevoke struct {
 	adminFlags
-	ID string `arg:"" help:"Id of the token: the part before the dot."`
+	ID string `arg:"" help:"ID of the token: the part before the dot."`
 }
 
 // Run revokes the token.
@@ -224,7 +224,7 @@
 	From uint64 `default:"1" help:"Number of the first record."`
 }
 
-// Run prints the records from the given one on, page by page.
+// Run prints the records, beginning with the number From, page by page.
 func (c *adminLog) Run(ctx context.Context) error {
 	return c.call(ctx, func(ctx context.Context, api pb.TenantsClient) error {
 		out := newTable(os.Stdout, "no\tat\tby\twhat\ttenant\tafter it")
--- a/cmd/ravenpond/ci_test.go
+++ b/cmd/ravenpond/ci_test.go
@@ -9,35 +9,35 @@
 	"testing"
 )
 
-// TestKnownRed checks what CI accepts as the list of tests that are known to fail: each line names a test that exists, the command and seed
-// that show the failure, what was seen, and an issue.
+// TestKnownRed checks which lists of known failing tests CI accepts. Each line has to name an existing test, the command and seed that
+// reproduce the failure, what was observed, and an issue.
 func TestKnownRed(t *testing.T) {
 	const one = "./cmd/ravenpond TestKnownRed; go test ./cmd/ravenpond, seed 7; 1 of 10 runs fails; issue 1\n"
 	const pattern = "ravenpond/cmd/ravenpond ^TestKnownRed$"
 	for _, c := range []struct{ name, text, want string }{
-		{"none", "", ""},
-		{"one", one, pattern},
-		{"one without a newline", strings.TrimSpace(one), pattern},
-		{"two of one package", one + one, pattern + "|^TestKnownRed$"},
-		{"a subtest", strings.Replace(one, "KnownRed;", "KnownRed/a_subtest;", 1), pattern + "/^a_subtest$"},
+		{"empty list", "", ""},
+		{"one test", one, pattern},
+		{"one test without a newline", strings.TrimSpace(one), pattern},
+		{"two tests of one package", one + one, pattern + "|^TestKnownRed$"},
+		{"subtest", strings.Replace(one, "KnownRed;", "KnownRed/a_subtest;", 1), pattern + "/^a_subtest$"},
 		{"no command", "./cmd/ravenpond TestKnownRed; 1 of 10 runs fails; issue 1\n", "error: not"},
-		{"nothing seen", "./cmd/ravenpond TestKnownRed; seed 7; ; issue 1\n", "error: not"},
+		{"no observation", "./cmd/ravenpond TestKnownRed; seed 7; ; issue 1\n", "error: not"},
 		{"no issue", strings.Replace(one, "; issue 1", "", 1), "error: not"},
-		{"too long", strings.Replace(one, "1 of 10", strings.Repeat("1", 500), 1), "error: over 500 characters"},
-		{"no such test", strings.Replace(one, "KnownRed;", "Nowhere;", 1), "error: no test TestNowhere"},
-		{"no such package", strings.Replace(one, "cmd/ravenpond TestKnownRed;", "cmd/nowhere TestKnownRed;", 1), "error: no test"},
-		{"an empty line", one + "\n", "error: not"},
+		{"line too long", strings.Replace(one, "1 of 10", strings.Repeat("1", 500), 1), "error: over 500 characters"},
+		{"unknown test", strings.Replace(one, "KnownRed;", "Nowhere;", 1), "error: no test TestNowhere"},
+		{"unknown package", strings.Replace(one, "cmd/ravenpond TestKnownRed;", "cmd/nowhere TestKnownRed;", 1), "error: no test"},
+		{"empty line", one + "\n", "error: not"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := runKnownRed(t, c.text)
 			if !strings.HasPrefix(got, c.want) || c.want == "" && got != "" {
-				t.Errorf("%q, want %q", got, c.want)
+				t.Errorf("got %q, want the prefix %q, or no output if that is empty", got, c.want)
 			}
 		})
 	}
 }
 
-// runKnownRed runs CI's reader of a list with the given text and returns what it prints, or "error" and its message.
+// runKnownRed runs the script .ci/known-red on a list with the given text. It returns the output, or "error" and the error message.
 func runKnownRed(t *testing.T, text string) string {
 	t.Helper()
 	list := filepath.Join(t.TempDir(), "red")
@@ -52,8 +52,8 @@
 	return strings.TrimSpace(stdout.String())
 }
 
-// TestLint runs the linter of CI on a module of its own into which a finding was planted, and checks what it makes of the counts in its
-// baseline.
+// TestLint runs the linter of CI on small temporary modules, some with a deliberate finding, and checks that it reports findings above the
+// counts in its baseline, and counts in the baseline that are too high.
 func TestLint(t *testing.T) {
 	const (
 		clean    = "// Package planted has nothing to find.\npackage planted\n\n// Used is exported.\nfunc Used() {}\n"
@@ -64,23 +64,23 @@
 	)
 	for _, c := range []struct {
 		name, source, baseline, packages string
-		fails                            string // what is printed; empty: the linter passes
+		fails                            string // part of the output of a run that fails; empty: the linter passes
 	}{
 		{name: "clean", source: clean},
-		{name: "a finding", source: faulty, fails: finding},
-		{name: "a listed count", source: faulty, baseline: "# a comment\nplanted unused 1\n"},
-		{name: "a listed count that grew", source: faulty + "\nfunc another() {}\n", baseline: "planted unused 1\n", fails: finding},
-		{name: "a listed count that fell", source: faulty, baseline: "planted unused 2\n", fails: "unused has 1 findings, 2 known"},
-		{name: "a listed finding that is gone", source: clean, baseline: "planted unused 1\n", fails: "unused has 0 findings, 1 known"},
-		{name: "a listed package that is gone", source: clean, baseline: "gone unused 1\n", fails: "unused has 0 findings, 1 known"},
-		{name: "a listed count of another linter", source: faulty, baseline: "planted errcheck 1\n", fails: finding},
-		{name: "a listed count of a package that is not looked at", source: clean, baseline: "other unused 1\n", packages: "./planted"},
-		{name: "a package that is not there", source: clean, packages: "./nowhere", fails: "nowhere"},
+		{name: "finding that is not listed", source: faulty, fails: finding},
+		{name: "listed count", source: faulty, baseline: "# a comment\nplanted unused 1\n"},
+		{name: "more findings than listed", source: faulty + "\nfunc another() {}\n", baseline: "planted unused 1\n", fails: finding},
+		{name: "fewer findings than listed", source: faulty, baseline: "planted unused 2\n", fails: "unused has 1 findings, 2 known"},
+		{name: "listed finding is gone", source: clean, baseline: "planted unused 1\n", fails: "unused has 0 findings, 1 known"},
+		{name: "listed package is gone", source: clean, baseline: "gone unused 1\n", fails: "unused has 0 findings, 1 known"},
+		{name: "listed count of another linter", source: faulty, baseline: "planted errcheck 1\n", fails: finding},
+		{name: "listed count of a package that is not checked", source: clean, baseline: "other unused 1\n", packages: "./planted"},
+		{name: "unknown package", source: clean, packages: "./nowhere", fails: "nowhere"},
 		{name: "not formatted", source: unformed, fails: "not formatted"},
-		{name: "not formatted, and listed", source: unformed, baseline: "planted gofumpt 1\n", fails: "a count above 0"},
+		{name: "not formatted, but listed", source: unformed, baseline: "planted gofumpt 1\n", fails: "a count above 0"},
 		{name: "does not compile", source: broken, fails: "nowhere"},
-		{name: "a count of none", source: clean, baseline: "planted unused 0\n", fails: "a count above 0"},
-		{name: "a line of another form", source: clean, baseline: "planted unused\n", fails: "PACKAGE LINTER COUNT"},
+		{name: "listed count of 0", source: clean, baseline: "planted unused 0\n", fails: "a count above 0"},
+		{name: "malformed line", source: clean, baseline: "planted unused\n", fails: "PACKAGE LINTER COUNT"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			module, baseline := plantedModule(t, c.source), filepath.Join(t.TempDir(), "baseline.txt")
@@ -90,19 +90,19 @@
 			}
 			out, err := runLint(t.Context(), module, baseline, c.packages)
 			if passed := err == nil; passed != (c.fails == "") {
-				t.Errorf("passed %v: %s", passed, out)
+				t.Errorf("got passed = %v, want the opposite; output: %s", passed, out)
 			}
 			if !strings.Contains(out, c.fails) {
-				t.Errorf("%q is not printed: %s", c.fails, out)
+				t.Errorf("want %q in the output, got: %s", c.fails, out)
 			}
 		})
 	}
-	t.Run("no baseline", func(t *testing.T) {
+	t.Run("no baseline file", func(t *testing.T) {
 		if out, err := runLint(t.Context(), plantedModule(t, clean), filepath.Join(t.TempDir(), "nowhere.txt"), "./..."); err == nil {
-			t.Errorf("passed: %s", out)
+			t.Errorf("the linter passes without a baseline file, want a failure; output: %s", out)
 		}
 	})
-	t.Run("update", func(t *testing.T) {
+	t.Run("update of the baseline", func(t *testing.T) {
 		module, baseline := plantedModule(t, faulty), filepath.Join(t.TempDir(), "baseline.txt")
 		writeFile(t, baseline, "other errcheck 3\nplanted unused 5\n")
 		if out, err := runLint(t.Context(), module, baseline, "-update", "./planted"); err != nil {
@@ -110,10 +110,10 @@
 		}
 		got, err := os.ReadFile(baseline)
 		if err != nil || !strings.HasSuffix(string(got), "\nother errcheck 3\nplanted unused 1\n") {
-			t.Errorf("written: %s, %v", got, err)
+			t.Errorf("got the updated baseline %s, error %v; want it to end with \"other errcheck 3\" and \"planted unused 1\"", got, err)
 		}
 		if out, err := runLint(t.Context(), module, baseline, "./planted"); err != nil {
-			t.Errorf("after the update: %v: %s", err, out)
+			t.Errorf("the linter fails after the update: %v: %s", err, out)
 		}
 	})
 }
@@ -137,7 +137,7 @@
 	}
 }
 
-// runLint runs CI's linter on a module and returns all that it prints.
+// runLint runs the linter of CI on a module and returns its output, standard error included.
 func runLint(ctx context.Context, module, baseline string, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, ".ci/lint", append([]string{"-dir", module, "-baseline", baseline}, args...)...)
 	cmd.Dir = "../.."
--- a/cmd/ravenpond/commandline_test.go
+++ b/cmd/ravenpond/commandline_test.go
@@ -11,10 +11,10 @@
 	"github.com/alecthomas/kong"
 )
 
-var update = flag.Bool("update", false, "write testdata/commandline.txt anew")
+var update = flag.Bool("update", false, "rewrite testdata/commandline.txt")
 
-// TestCommandLine compares all commands, arguments and flags, hidden ones included, with testdata/commandline.txt. Kong derives them from
-// the names of struct fields, so that a renamed field without a name tag would rename a flag.
+// TestCommandLine compares all commands, arguments and flags, including hidden ones, with testdata/commandline.txt. Kong derives the names of
+// flags from those of struct fields, so renaming a field that has no name tag would rename its flag.
 func TestCommandLine(t *testing.T) {
 	parser, err := kong.New(&commands{}, kong.Name("ravenpond"))
 	if err != nil {
@@ -46,17 +46,17 @@
 	wantLines, gotLines := lineSet(string(want)), lineSet(b.String())
 	for line := range wantLines {
 		if !gotLines[line] {
-			t.Errorf("gone: %s", line)
+			t.Errorf("missing from the command line: %s", line)
 		}
 	}
 	for line := range gotLines {
 		if !wantLines[line] {
-			t.Errorf("new: %s", line)
+			t.Errorf("not in testdata/commandline.txt: %s", line)
 		}
 	}
 }
 
-// describeValue describes what kong makes of an argument or flag.
+// describeValue returns the name, type and tags that kong has for an argument or flag.
 func describeValue(v *kong.Value) string {
 	return fmt.Sprintf("%s %s default=%q enum=%q required=%v negatable=%q", v.Name, v.Target.Type(), v.Default, v.Enum, v.Required, v.Tag.Negatable)
 }
@@ -68,7 +68,7 @@
 	return ""
 }
 
-// isHidden reports whether the command or one above it is hidden.
+// isHidden reports whether a command or one of its parents is hidden.
 func isHidden(n *kong.Node) bool {
 	return n != nil && (n.Hidden || isHidden(n.Parent))
 }
--- a/cmd/ravenpond/deploy_test.go
+++ b/cmd/ravenpond/deploy_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestDeploy builds with the deploy file's own command, in a folder of its own, and checks what the platform requires of the program: it is
-// linked dynamically against the C library and started with exec, as one process.
+// TestDeploy builds the program with the command in the deploy file, into a temporary folder, and checks what the platform requires: the
+// program is dynamically linked against the C library and started with exec, as one process.
 func TestDeploy(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -25,13 +25,13 @@
 	value := func(key string) string {
 		m := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(text)
 		if m == nil {
-			t.Fatalf("no %s in the deploy file", key)
+			t.Fatalf("the deploy file has no key %s", key)
 		}
 		return string(m[1])
 	}
 	for _, key := range []string{"run", "sim"} {
 		if !strings.HasPrefix(value(key), "exec bin/") {
-			t.Errorf("%s = %q: exec of a program that build leaves is expected", key, value(key))
+			t.Errorf("deploy file: got %s = %q, want exec of a program in bin/", key, value(key))
 		}
 	}
 	bin := filepath.Join(t.TempDir(), "bin")
@@ -51,14 +51,15 @@
 	}()
 	libraries, err := f.ImportedLibraries()
 	if err != nil || !slices.Contains(libraries, "libc.so.6") {
-		t.Errorf("linked against %q, %v", libraries, err)
+		t.Errorf("got linked libraries %q, error %v; want libc.so.6 among them", libraries, err)
 	}
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("no loader is asked for")
+		t.Error("the program has no PT_INTERP segment: it does not request a dynamic loader")
 	}
 }
 
-// TestRunPath checks that no code of ravenpond platform starts programs, uses Unix sockets, or copies between descriptors in the kernel.
+// TestRunPath checks that the code of ravenpond platform does not start programs, use Unix sockets, or copy between file descriptors in the
+// kernel.
 func TestRunPath(t *testing.T) {
 	for _, dir := range []string{
 		"internal/platform", "internal/platform/host", "internal/proto/platform", "internal/settings", "internal/env",
@@ -66,7 +67,7 @@
 	} {
 		files, err := filepath.Glob(filepath.Join("../..", dir, "*.go"))
 		if err != nil || len(files) == 0 {
-			t.Fatalf("%s: %d files, %v", dir, len(files), err)
+			t.Fatalf("%s: got %d Go files, error %v; want at least one file", dir, len(files), err)
 		}
 		for _, file := range files {
 			if strings.HasSuffix(file, "_test.go") {
@@ -77,7 +78,7 @@
 				t.Fatal(err)
 			}
 			if bad := regexp.MustCompile(`"os/exec"|io\.Copy|\.ReadFrom\(|\.WriteTo\(|"unix(gram|packet)?"|syscall\.Fork`).FindString(string(b)); bad != "" {
-				t.Errorf("%s: %s", file, bad)
+				t.Errorf("%s: forbidden in the code of ravenpond platform: %s", file, bad)
 			}
 		}
 	}
--- a/cmd/ravenpond/docs_test.go
+++ b/cmd/ravenpond/docs_test.go
@@ -10,15 +10,15 @@
 	"testing"
 )
 
-// TestDocumentedPaths checks that the folders, files and pages that the documentation names are there. Pages that record earlier results may
-// name what is gone.
+// TestDocumentedPaths checks that the folders, files and pages named in the documentation exist. Pages that record earlier results may name
+// paths that no longer exist.
 func TestDocumentedPaths(t *testing.T) {
 	const root = "../.."
 	var pages []string
 	for _, pattern := range []string{"*.md", "docs/*.md", "docs/design/*.md", "docs/protocols/*.md"} {
 		found, err := filepath.Glob(filepath.Join(root, pattern))
 		if err != nil || len(found) == 0 {
-			t.Fatalf("%s: %d pages, %v", pattern, len(found), err)
+			t.Fatalf("%s: got %d pages, error %v; want at least one page", pattern, len(found), err)
 		}
 		pages = append(pages, found...)
 	}
@@ -34,17 +34,17 @@
 		}
 		for _, path := range documentedPaths(string(text)) {
 			if !anyExists(filepath.Join(root, path), filepath.Join(root, "internal", path)) {
-				t.Errorf("%s names %s, which is not there", page, path)
+				t.Errorf("%s names %s, which does not exist", page, path)
 			}
 		}
 		for _, name := range documentedSources(string(text)) {
 			if !sources[name] {
-				t.Errorf("%s names %s, which is in no folder", page, name)
+				t.Errorf("%s names the Go file %s, which does not exist in any folder", page, name)
 			}
 		}
 		for _, link := range documentedLinks(string(text)) {
 			if !anyExists(filepath.Join(filepath.Dir(page), link)) {
-				t.Errorf("%s links to %s, which is not there", page, link)
+				t.Errorf("%s links to %s, which does not exist", page, link)
 			}
 		}
 	}
@@ -56,7 +56,7 @@
 	pageLink = regexp.MustCompile(`\]\(([^):#]+)(?:#[^)]*)?\)`)
 )
 
-// documentedPaths returns the paths in code spans of a page.
+// documentedPaths returns the paths that a page has in code spans.
 func documentedPaths(text string) (paths []string) {
 	for _, match := range codePath.FindAllStringSubmatch(text, -1) {
 		paths = append(paths, strings.TrimSuffix(match[1], "/"))
@@ -64,7 +64,7 @@
 	return paths
 }
 
-// documentedSources returns the names of Go files without a folder in code spans of a page.
+// documentedSources returns the names of Go files that a page has in code spans without a folder.
 func documentedSources(text string) (names []string) {
 	for _, match := range goFile.FindAllStringSubmatch(text, -1) {
 		names = append(names, match[1])
@@ -72,7 +72,7 @@
 	return names
 }
 
-// sourceNames returns the names of all Go files below a folder.
+// sourceNames returns the set of names of all Go files in a folder and its subfolders.
 func sourceNames(t *testing.T, root string) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
--- a/cmd/ravenpond/drain.go
+++ b/cmd/ravenpond/drain.go
@@ -19,31 +19,31 @@
 	"ravenpond/internal/state/maintenancestore"
 )
 
-// drainCommands change and show the calendar of maintenance windows in a scheduler's state folder. All schedulers of a site need the same
-// calendar.
+// drainCommands change and show the calendar of maintenance windows in a scheduler's state folder. All schedulers of a site must have the
+// same calendar.
 type drainCommands struct {
 	Add      drainAdd      `cmd:"" help:"Add windows and protected times from an iCalendar file, or one window by flags."`
 	List     drainList     `cmd:"" help:"List windows and protected times, or write them as iCalendar."`
 	Show     drainShow     `cmd:"" help:"Show a window and its drains."`
-	Usual    drainUsual    `cmd:"" help:"Print the measured load by hour of the week, or publish a table of it."`
+	Usual    drainUsual    `cmd:"" help:"Print the measured load by hour of the week, or publish a table to use instead."`
 	Cancel   drainCancel   `cmd:"" help:"Cancel a window, or one occurrence of it."`
-	Simulate drainSimulate `cmd:"" help:"Print which windows of a month are kept, postponed or refused."`
+	Simulate drainSimulate `cmd:"" help:"Print which windows of a month would be kept, postponed or refused."`
 }
 
 // stateFlag names a state folder.
 type stateFlag struct {
-	State string `required:"" type:"path" help:"The scheduler's state folder."`
+	State string `required:"" type:"path" help:"State folder of the scheduler."`
 }
 
-// withStore opens the store of windows, uses it and closes it; it waits while a scheduler reads the store.
+// withStore opens the store of windows, calls do and closes the store. It retries while a scheduler has the store locked.
 func (f stateFlag) withStore(do func(s *maintenancestore.Store) error) error {
 	return useStore(func() (*maintenancestore.Store, error) { return maintenancestore.Open(f.State) }, do)
 }
 
-// maxOpenAttempts is how often a locked store is tried, 0.2 s apart.
+// maxOpenAttempts is the number of attempts to open a locked store, 0.2 s apart.
 const maxOpenAttempts = 10
 
-// useStore opens a store, retrying while another process has locked it, uses it and closes it.
+// useStore opens a store, retrying while another process has it locked, calls use and closes the store.
 func useStore[S io.Closer](open func() (S, error), use func(S) error) (err error) {
 	var s S
 	if err = bolt.RetryWhileLocked(context.Background(), maxOpenAttempts, func() error { s, err = open(); return err }); err != nil {
@@ -52,7 +52,7 @@
 	return errors.Join(use(s), s.Close())
 }
 
-// calendar returns the store's windows and protected times.
+// calendar returns the windows and protected times in the store.
 func (f stateFlag) calendar() (cal *calendar.Calendar, err error) {
 	err = f.withStore(func(s *maintenancestore.Store) error {
 		cal, err = s.Calendar()
@@ -64,22 +64,22 @@
 // drainAdd adds windows and protected times.
 type drainAdd struct {
 	stateFlag
-	File     string        `arg:"" optional:"" help:"iCalendar file, - for standard input."`
-	ID       string        `help:"Name of the window."`
-	Node     string        `help:"Node to drain, by its number."`
+	File     string        `arg:"" optional:"" help:"iCalendar file; - reads standard input."`
+	ID       string        `help:"Name of the window; default: made of the kind of target, the target and the start."`
+	Node     string        `help:"Number of the node to drain."`
 	Cell     string        `help:"Cell to drain."`
 	Zone     string        `help:"Zone to drain."`
-	Start    string        `help:"First start, as 2026-03-02T10:00 in the time zone of --tz."`
-	TZ       string        `default:"UTC" help:"Time zone of the starts."`
+	Start    string        `help:"First start, such as 2026-03-02T10:00, in the time zone of --tz."`
+	TZ       string        `default:"UTC" help:"Time zone of --start."`
 	Duration time.Duration `name:"last" help:"Length of the maintenance."`
-	Rule     string        `help:"Recurrence, RFC 5545, such as FREQ=WEEKLY."`
-	Lead     time.Duration `default:"10m" help:"Time by which the drain begins before the start."`
-	Slack    time.Duration `help:"Time by which the start may be postponed."`
-	Priority int           `help:"Priority among windows; higher ones are planned first."`
-	Ending   string        `enum:"release,sweep,hold" default:"release" help:"If tasks are left at the end: release the nodes, sweep the tasks, or hold the nodes."`
+	Rule     string        `help:"Recurrence rule in RFC 5545 syntax, such as FREQ=WEEKLY."`
+	Lead     time.Duration `default:"10m" help:"Time from the beginning of the drain to the start of the window."`
+	Slack    time.Duration `help:"Maximum time by which the start may be postponed."`
+	Priority int           `help:"Priority; windows with a higher one are planned first."`
+	Ending   string        `enum:"release,sweep,hold" default:"release" help:"Action if tasks still run on the nodes at the end: release the nodes as they are, sweep (stop tasks that may be stopped, then release), or hold the nodes until they are empty or the length has passed once more."`
 }
 
-// Run adds them and prints how many.
+// Run adds the windows and protected times and prints their numbers.
 func (c *drainAdd) Run() error {
 	cal, err := c.requestedCalendar()
 	if err != nil {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// requestedCalendar returns what is to be added: the content of the file, or the window that flags describe.
+// requestedCalendar returns the calendar to add: the content of the file, or the one window that the flags describe.
 func (c *drainAdd) requestedCalendar() (*calendar.Calendar, error) {
 	if c.File != "" {
 		in, err := openInput(c.File)
@@ -122,7 +122,7 @@
 		}
 	}
 	if targets != 1 {
-		return nil, errors.New("one of --node, --cell and --zone is needed")
+		return nil, errors.New("exactly one of --node, --cell and --zone is required")
 	}
 	if window.ID == "" {
 		window.ID = strings.ToLower(fmt.Sprintf("%s-%s-%s", window.Scope, window.Target, start.Format("20060102-1504")))
@@ -130,16 +130,16 @@
 	return &calendar.Calendar{Windows: []calendar.Window{window}}, nil
 }
 
-// windowTime is how starts and ends of windows are printed.
+// windowTime is the format in which starts and ends of windows are printed.
 const windowTime = "2006-01-02 15:04 MST"
 
 // drainList lists windows and protected times.
 type drainList struct {
 	stateFlag
-	ICal bool `name:"ical" help:"Write an iCalendar file."`
+	ICal bool `name:"ical" help:"Print iCalendar instead of a table."`
 }
 
-// Run prints them as a table or as iCalendar.
+// Run prints the windows and protected times as a table or as iCalendar.
 func (c *drainList) Run() error {
 	cal, err := c.calendar()
 	if err != nil {
@@ -179,15 +179,15 @@
 	for _, w := range cal.Windows {
 		if w.ID == c.ID {
 			known = true
-			fmt.Printf("%s: %s %s, first %s, %s long, lead %s, slack %s, rule %q, at its end: %s\n", w.ID, w.Scope, w.Target,
+			fmt.Printf("%s: %s %s, first start %s, length %s, lead %s, slack %s, rule %q, at the end: %s\n", w.ID, w.Scope, w.Target,
 				w.Start.Format(windowTime), w.Duration, w.Lead, w.Slack, w.Rule, w.Ending)
 		}
 	}
-	for _, b := range drains {
-		if b.Verdict.Window == c.ID {
+	for _, drain := range drains {
+		if drain.Verdict.Window == c.ID {
 			known = true
-			fmt.Printf("  %s: %s, %d nodes, %s to %s\n", b.Verdict.ScheduledStart.Format(windowTime), b.Stage,
-				len(b.Verdict.Nodes), b.Verdict.DrainStart.Format("15:04"), b.Verdict.End.Format(windowTime))
+			fmt.Printf("  %s: %s, %d nodes, %s to %s\n", drain.Verdict.ScheduledStart.Format(windowTime), drain.Stage,
+				len(drain.Verdict.Nodes), drain.Verdict.DrainStart.Format("15:04"), drain.Verdict.End.Format(windowTime))
 		}
 	}
 	if !known {
@@ -203,7 +203,7 @@
 	Start string `help:"Only the occurrence that starts at this time, RFC 3339."`
 }
 
-// Run cancels it.
+// Run cancels the window, or the occurrence that starts at the given time.
 func (c *drainCancel) Run() error {
 	var start time.Time
 	if c.Start != "" {
@@ -215,10 +215,10 @@
 	return c.withStore(func(s *maintenancestore.Store) error { return s.CancelWindow(c.ID, start, time.Now()) })
 }
 
-// drainUsual prints or publishes the usual load by hour of the week.
+// drainUsual prints the measured load by hour of the week, or publishes a table of the usual load.
 type drainUsual struct {
 	stateFlag
-	File  string `arg:"" optional:"" help:"Publish this table, - for standard input, instead of printing the measured load."`
+	File  string `arg:"" optional:"" help:"Publish the table in this file instead of printing the measured load; - reads standard input."`
 	Clear bool   `help:"Withdraw the published table."`
 }
 
@@ -247,15 +247,15 @@
 	return c.withStore(func(s *maintenancestore.Store) error { return s.PublishLoad(table) })
 }
 
-// drainSimulate prints what becomes of windows.
+// drainSimulate prints how the windows of a number of days would be planned.
 type drainSimulate struct {
 	stateFlag
-	Site string `required:"" type:"existingfile" help:"The site file, for its limits."`
-	From string `help:"First day, as 2026-03-02; default: today."`
+	Site string `required:"" type:"existingfile" help:"Site file; its limits apply."`
+	From string `help:"First day, such as 2026-03-02; default: today."`
 	Days int    `default:"31" help:"Number of days."`
 }
 
-// Run prints a table of the occurrences with their verdicts.
+// Run prints a table of the occurrences of all windows and the decision on each.
 func (c *drainSimulate) Run() error {
 	config, err := site.Load(c.Site)
 	if err != nil {
@@ -284,7 +284,7 @@
 	}); err != nil {
 		return err
 	}
-	fmt.Printf("%d nodes on the last list; usual load: %s\n", len(fleet), source)
+	fmt.Printf("%d nodes in the last node list; usual load: %s\n", len(fleet), source)
 	out := newTable(os.Stdout, "WINDOW\tCALENDAR\tVERDICT\tDRAINS FROM\tOUT\tBACK\tNODES\tMOST OUT\tWHY")
 	for _, v := range calendar.Plan(cal, fleet, config.Maintenance, load, from, from.AddDate(0, 0, c.Days)) {
 		const at = "2 Jan 15:04"
@@ -298,7 +298,7 @@
 	return out.flush()
 }
 
-// lastFleet returns the nodes of a scheduler's last node list. The scheduler may be running.
+// lastFleet returns the nodes in the last node list that a scheduler stored. The scheduler may be running.
 func lastFleet(folder string, config *site.Config) (fleet []calendar.Node, err error) {
 	list, err := state.ReadList(folder)
 	if err != nil || list == nil {
--- a/cmd/ravenpond/folders.go
+++ b/cmd/ravenpond/folders.go
@@ -14,7 +14,7 @@
 	return os.MkdirTemp("", pattern)
 }
 
-// outputFolder is folderOrTemporary that also creates the named folder.
+// outputFolder does the same as folderOrTemporary, and creates the named folder if it does not exist.
 func outputFolder(path, pattern string) (string, error) {
 	folder, err := folderOrTemporary(path, pattern)
 	if err != nil {
@@ -23,16 +23,16 @@
 	return folder, os.MkdirAll(folder, 0o750)
 }
 
-// readOrDefault returns the text of a file and its path, or the given text and "the day in the program" without a path.
+// readOrDefault returns the text and the path of a file. Without a path it returns the given text and "built-in day".
 func readOrDefault(path, text string) (content, source string, err error) {
 	if path == "" {
-		return text, "the day in the program", nil
+		return text, "built-in day", nil
 	}
 	b, err := os.ReadFile(path)
 	return string(b), path, err
 }
 
-// openInput returns the content of a file to be read, or the standard input for "-".
+// openInput returns a reader of the content of a file, or standard input for the path "-".
 func openInput(path string) (io.Reader, error) {
 	if path == "-" {
 		return os.Stdin, nil
--- a/cmd/ravenpond/lab.go
+++ b/cmd/ravenpond/lab.go
@@ -5,10 +5,10 @@
 	"runtime"
 )
 
-// errRuleBroken reports that a simulation or check broke a rule. What broke was printed before.
-var errRuleBroken = errors.New("something broke")
+// errRuleBroken reports that a rule was broken in a simulation or check. The command has printed which one.
+var errRuleBroken = errors.New("at least one rule was broken")
 
-// workersOrCPUs returns the number of workers that a flag gives, or one for each core if it gives none.
+// workersOrCPUs returns the given number of workers if it is above 0, else the number of CPU cores.
 func workersOrCPUs(workers int) int {
 	if workers > 0 {
 		return workers
@@ -16,34 +16,34 @@
 	return runtime.NumCPU()
 }
 
-// labCommands are the measurements and simulations.
+// labCommands are the commands for measurements and simulations.
 type labCommands struct {
 	Load        loadCommand         `cmd:"" help:"Load a scheduler on loopback and print its latency and CPU time."`
-	Shards      shardsCommand       `cmd:"" help:"Measure several shards, and check that no two ever act for one allocation."`
+	Shards      shardsCommand       `cmd:"" help:"Measure schedulers with several shards, and check that no two shards act for the same allocation."`
 	Maintenance maintenanceCommand  `cmd:"" help:"Simulate a month of maintenance windows."`
-	Run         runCommand          `cmd:"" help:"Simulate schedulers under faults drawn from seeds, and check the rules."`
-	Soak        soakCommand         `cmd:"" help:"Play scenarios with real processes of ravenpond platform, signals and sockets, and check the rules."`
-	Members     membershipCommand   `cmd:"" help:"Simulate or measure membership: which schedulers know of each other, and how soon."`
-	Cluster     clusterCommand      `cmd:"" help:"Run many scheduler processes on loopback under a script of faults."`
+	Run         runCommand          `cmd:"" help:"Simulate schedulers under random faults drawn from seeds, and check the rules."`
+	Soak        soakCommand         `cmd:"" help:"Run random scenarios with real processes of ravenpond platform, signals and sockets, and check the rules."`
+	Members     membershipCommand   `cmd:"" help:"Simulate membership (which schedulers know of each other), or measure how fast it detects failures."`
+	Cluster     clusterCommand      `cmd:"" help:"Run many scheduler processes on loopback under a script of faults, and check the rules."`
 	Balance     balanceCommand      `cmd:"" help:"Simulate how evenly many schedulers load nodes, compared with baseline policies."`
-	Draw        drawCommand         `cmd:"" help:"Print the script of a seed."`
-	Replay      replayCommand       `cmd:"" help:"Simulate a script."`
+	Draw        drawCommand         `cmd:"" help:"Print the script that lab run draws from a seed."`
+	Replay      replayCommand       `cmd:"" help:"Simulate a script and check the rules."`
 	Compare     compareCommand      `cmd:"" help:"Compare two placement policies on the same simulated days."`
-	Order       orderCommand        `cmd:"" help:"Rank the placement policies on simulated days of one kind of fault each."`
-	Tenants     tenantLoadCommand   `cmd:"" help:"Measure tenants beside one that floods, with and without fair queueing."`
-	Removals    removalsCommand     `cmd:"" help:"Remove tenants under load while the scheduler is killed."`
-	Grow        growCommand         `cmd:"" help:"Simulate days without faults at growing sizes and print what they cost."`
+	Order       orderCommand        `cmd:"" help:"Rank the placement policies for each kind of fault, on simulated days."`
+	Tenants     tenantLoadCommand   `cmd:"" help:"Measure how a tenant that floods the scheduler affects the others."`
+	Removals    removalsCommand     `cmd:"" help:"Remove tenants under load while the scheduler is killed and restarted, and check the removals."`
+	Grow        growCommand         `cmd:"" help:"Simulate days without faults at growing cluster sizes and print their cost."`
 	ScaleFit    scaleFitCommand     `cmd:"" help:"Fit lines and models to the results of scale runs."`
 	Regions     scaleRegionsCommand `cmd:"" name:"scale-regions" help:"Simulate regions that are partitioned from each other for an hour."`
-	ModelCheck  modelCheckCommand   `cmd:"" help:"Explore exhaustively what can happen to one allocation in a small model."`
-	Scale       scaleCommand        `cmd:"" help:"Measure real schedulers beside thousands of hollow nodes and hundreds of hollow schedulers on loopback."`
-	Shrink      shrinkCommand       `cmd:"" help:"Remove from a script that breaks a rule what is not needed for that."`
+	ModelCheck  modelCheckCommand   `cmd:"" help:"Check the rules for one allocation by exhaustive exploration of a small model."`
+	Scale       scaleCommand        `cmd:"" help:"Measure real schedulers together with thousands of hollow nodes and hundreds of hollow schedulers on loopback."`
+	Shrink      shrinkCommand       `cmd:"" help:"Minimize a script that breaks a rule."`
 
-	// Processes that a scale run starts.
-	ScaleNodes      scaleNodesCommand      `cmd:"" hidden:"" help:"Hollow nodes of a scale run; orders come on standard input."`
-	ScaleSchedulers scaleSchedulersCommand `cmd:"" hidden:"" help:"Hollow schedulers of a scale run; orders come on standard input."`
+	// Commands of the processes that lab scale starts.
+	ScaleNodes      scaleNodesCommand      `cmd:"" hidden:"" help:"Run hollow nodes for lab scale, controlled by orders on standard input."`
+	ScaleSchedulers scaleSchedulersCommand `cmd:"" hidden:"" help:"Run hollow schedulers for lab scale, controlled by orders on standard input."`
 
-	// Former names, kept until the next release.
+	// Former names of commands, kept until the next release.
 	FormerShards      shardsCommand      `cmd:"" name:"cores" hidden:"" help:"Former name of lab shards."`
 	FormerMaintenance maintenanceCommand `cmd:"" name:"month" hidden:"" help:"Former name of lab maintenance."`
 	FormerCluster     clusterCommand     `cmd:"" name:"procs" hidden:"" help:"Former name of lab cluster."`
--- a/cmd/ravenpond/lab_cluster.go
+++ b/cmd/ravenpond/lab_cluster.go
@@ -13,27 +13,27 @@
 
 // clusterCommand runs many scheduler processes under a script of faults.
 type clusterCommand struct {
-	Script            string  `arg:"" optional:"" type:"existingfile" help:"The script of faults; default: none."`
-	Schedulers        int     `default:"9" help:"Number."`
-	Nodes             int     `default:"20" help:"Stand-in nodes."`
-	Rate              float64 `default:"100" help:"Requests a second of all clients."`
-	Seconds           float64 `default:"10" help:"Time before the script, and after it."`
+	Script            string  `arg:"" optional:"" type:"existingfile" help:"Script of faults; default: none."`
+	Schedulers        int     `default:"9" help:"Number of schedulers."`
+	Nodes             int     `default:"20" help:"Number of stand-in nodes."`
+	Rate              float64 `default:"100" help:"Requests per second of all clients together."`
+	Seconds           float64 `default:"10" help:"Time before the script, in seconds; also the time-out for membership to converge after it."`
 	Seed              uint64  `default:"1" help:"Seed of the random numbers."`
-	WithoutMembership bool    `name:"apart" help:"Schedulers do not know each other (no membership)."`
-	Zones             int     `default:"2" help:"Zones, two in each region; 2 to 6."`
-	CoresPerNode      int     `name:"cores" default:"64" help:"Cores of a node."`
-	ZoneLatency       bool    `name:"near" help:"The site file gives the latency between zones."`
-	Voters            int     `name:"stewards" default:"0" help:"Voters of the cluster state: 0, 3 or 5."`
+	WithoutMembership bool    `name:"apart" help:"Disable membership, so that schedulers do not know each other."`
+	Zones             int     `default:"2" help:"Number of zones, 2 to 6, two in each region."`
+	CoresPerNode      int     `name:"cores" default:"64" help:"Number of cores of a node."`
+	ZoneLatency       bool    `name:"near" help:"State the latency between zones in the site file."`
+	Voters            int     `name:"stewards" default:"0" help:"Number of voters of the cluster state: 0, 3 or 5."`
 	Out               string  `type:"path" help:"Folder for logs; default: a new temporary folder."`
 }
 
-// maxPrintedViolations is how many broken rules are printed.
+// maxPrintedViolations is the maximum number of broken rules that are printed.
 const maxPrintedViolations = 10
 
-// detectionTimeout is how long a death may take to be noticed by a scheduler, to be counted as detected.
+// detectionTimeout is the time within which a scheduler has to notice a death for the death to count as detected.
 const detectionTimeout = 10 * time.Second
 
-// Run starts the processes, plays the script and prints what was measured. A broken rule is an error.
+// Run starts the processes, runs the script and prints the measurements. It returns an error if a rule was broken.
 func (c *clusterCommand) Run(ctx context.Context) error {
 	steps, err := c.steps()
 	if err != nil {
@@ -56,13 +56,13 @@
 	began := time.Now()
 	pause := time.Duration(c.Seconds * float64(time.Second))
 	convergence := waitForAgreement(rig, pause)
-	fmt.Printf("%d schedulers, logs in %s; all know all after %s\n", c.Schedulers, c.Out, convergence)
+	fmt.Printf("%d schedulers, logs in %s; all membership views agree after %s\n", c.Schedulers, c.Out, convergence)
 	time.Sleep(max(0, pause-time.Since(began)))
 	report := func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 	if err := rig.Play(ctx, steps, report); err != nil {
 		return err
 	}
-	fmt.Printf("one view again after %s\n", waitForAgreement(rig, pause))
+	fmt.Printf("all membership views agree again after %s\n", waitForAgreement(rig, pause))
 	detections, undetected, falsePositives, err := rig.DetectionTimes(detectionTimeout)
 	result := rig.Finish()
 	if err != nil {
@@ -71,12 +71,12 @@
 	printDetections(detections, undetected, falsePositives)
 	c.printResult(result, time.Since(began))
 	if len(result.Violations) > 0 {
-		return errors.New("rules were broken")
+		return errors.New("at least one rule was broken")
 	}
 	return nil
 }
 
-// steps reads the script; without one there are none.
+// steps reads the script. Without a script it returns no steps.
 func (c *clusterCommand) steps() ([]cluster.Step, error) {
 	if c.Script == "" {
 		return nil, nil
@@ -88,23 +88,23 @@
 	return cluster.Parse(bytes.NewReader(text), c.Schedulers)
 }
 
-// printDetections prints how long deaths took to be detected, sorted; how many were not detected; and how many living schedulers were
-// reported dead.
+// printDetections prints the quantiles of the detection times of deaths, which come sorted, the number of undetected deaths, and the number
+// of reported deaths of schedulers that were alive.
 func printDetections(detections []time.Duration, undetected, falsePositives int) {
 	n := len(detections)
 	if n == 0 {
-		fmt.Printf("deaths of those who lived: %d\n", falsePositives)
+		fmt.Printf("no deaths detected; false detections: %d\n", falsePositives)
 		return
 	}
-	fmt.Printf("deaths known: %d, p50 %.2f s, p99 %.2f s, most %.2f s; not known to %d, of those who lived %d\n", n,
+	fmt.Printf("deaths detected: %d, p50 %.2f s, p99 %.2f s, maximum %.2f s; undetected: %d, false detections: %d\n", n,
 		detections[n/2].Seconds(), detections[n*99/100].Seconds(), detections[n-1].Seconds(), undetected, falsePositives)
 }
 
-// printResult prints what clients saw, what the schedulers used, and the first broken rules.
+// printResult prints the results of the clients' requests, the CPU time of the schedulers, and the first broken rules.
 func (c *clusterCommand) printResult(result cluster.Result, elapsed time.Duration) {
-	fmt.Printf("answers %v, broken rules %d, ran in the own zone %.3f\n", result.Answers, len(result.Violations), result.LocalFraction)
+	fmt.Printf("answers %v, broken rules %d, fraction run in the scheduler's zone %.3f\n", result.Answers, len(result.Violations), result.LocalFraction)
 	if n := len(result.ScriptLatencies); n > 0 {
-		fmt.Printf("while the script was played: %.3f of the value served in time, start p50 %.1f ms, p99 %.1f ms\n", result.Value, result.ScriptLatencies[n/2], result.ScriptLatencies[n*99/100])
+		fmt.Printf("during the script: fraction of the value served in time %.3f, start p50 %.1f ms, p99 %.1f ms\n", result.Value, result.ScriptLatencies[n/2], result.ScriptLatencies[n*99/100])
 	}
 	if n := len(result.StartLatencies); n > 0 {
 		fmt.Printf("start p50 %.1f ms, p99 %.1f ms\n", result.StartLatencies[n/2], result.StartLatencies[n*99/100])
@@ -116,11 +116,11 @@
 	}
 }
 
-// pollInterval is the time between two looks at the views of all schedulers.
+// pollInterval is the time between two comparisons of the views of all schedulers.
 const pollInterval = 50 * time.Millisecond
 
-// waitForAgreement waits until all schedulers hold the same view of who is alive, and returns how long that took, or, after the time-out, how
-// they differ.
+// waitForAgreement waits until the views of all schedulers agree on which schedulers are alive. It returns the time that this took or, after
+// the time-out, how the views differ.
 func waitForAgreement(rig *cluster.Rig, timeout time.Duration) string {
 	began := time.Now()
 	for {
--- a/cmd/ravenpond/lab_load.go
+++ b/cmd/ravenpond/lab_load.go
@@ -13,32 +13,32 @@
 
 // loadCommand loads one scheduler process.
 type loadCommand struct {
-	Rates         []float64     `default:"500,1000,2000,4000" help:"Requests a second, one trial for each."`
-	Nodes         int           `default:"130" help:"Stand-in nodes."`
-	Clients       int           `name:"owners" default:"4" help:"Client connections."`
-	Services      int           `default:"50" help:"Services of the requests."`
-	WarmUp        time.Duration `name:"warm" default:"2s" help:"Load before the measurement begins."`
+	Rates         []float64     `default:"500,1000,2000,4000" help:"Requests per second; each rate is measured in a trial of its own."`
+	Nodes         int           `default:"130" help:"Number of stand-in nodes."`
+	Clients       int           `name:"owners" default:"4" help:"Number of client connections."`
+	Services      int           `default:"50" help:"Number of services to which the requests belong."`
+	WarmUp        time.Duration `name:"warm" default:"2s" help:"Time under load before the measurement begins."`
 	Duration      time.Duration `name:"last" default:"6s" help:"Length of the measurement."`
 	RunTime       time.Duration `name:"life" default:"300ms" help:"Mean run time of a task."`
 	Profile       string        `type:"path" help:"Write a CPU profile of the scheduler process to this file."`
 	Seed          uint64        `default:"1" help:"Seed of the arrivals."`
-	BurstInterval time.Duration `name:"every" help:"Time between the beginnings of bursts; 0: no bursts."`
+	BurstInterval time.Duration `name:"every" help:"Time from the beginning of one burst to that of the next; 0: no bursts."`
 	BurstDuration time.Duration `name:"burst" default:"200ms" help:"Length of a burst."`
-	BurstFactor   float64       `name:"times" default:"3" help:"Rate in a burst, as a multiple of the usual rate."`
-	Ramp          bool          `help:"Search the highest load that keeps the service level, beginning with the first rate."`
-	MaxP99        time.Duration `name:"p-99" default:"50ms" help:"Service level: maximum of the start p99."`
-	MinServed     float64       `name:"served" default:"0.99" help:"Service level: minimum part of the requests that are served."`
-	Shards        int           `default:"1" help:"Shards of the scheduler."`
-	MinWorkingSet int           `name:"set" help:"Minimum size of the scheduler's working set, in nodes; 0: all nodes."`
-	Schedulers    int           `name:"known" default:"30" help:"Schedulers that share the nodes, where they have working sets."`
-	Unresponsive  bool          `name:"mute" help:"Nodes never answer, so that requests stay open until their deadline."`
+	BurstFactor   float64       `name:"times" default:"3" help:"Rate during a burst, as a multiple of the rate outside bursts."`
+	Ramp          bool          `help:"Search for the highest rate that meets the service level, beginning with the first rate."`
+	MaxP99        time.Duration `name:"p-99" default:"50ms" help:"Service level: maximum p99 of the time from request to start."`
+	MinServed     float64       `name:"served" default:"0.99" help:"Service level: minimum fraction of requests that are served."`
+	Shards        int           `default:"1" help:"Number of shards of the scheduler."`
+	MinWorkingSet int           `name:"set" help:"Minimum size of the scheduler's working set, in nodes; 0: no working set, the scheduler uses all nodes."`
+	Schedulers    int           `name:"known" default:"30" help:"Number of schedulers that share the nodes, for the size of the working set."`
+	Unresponsive  bool          `name:"mute" help:"Let nodes never answer, so that requests stay open until their deadline."`
 	Out           string        `type:"path" help:"Folder for logs; default: a new temporary folder."`
 }
 
-// rampPrecision is how exactly the highest load is searched, as a part of it.
+// rampPrecision is the precision of the search for the highest rate, as a fraction of that rate.
 const rampPrecision = 0.05
 
-// Run measures at each rate, or searches the highest rate that keeps the service level.
+// Run measures at each rate, or searches for the highest rate that meets the service level.
 func (c *loadCommand) Run(ctx context.Context) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -47,7 +47,7 @@
 	if c.Out, err = folderOrTemporary(c.Out, "ravenpond-load-"); err != nil {
 		return err
 	}
-	fmt.Printf("%d cores, %d nodes, %d owners; load and stand-ins share the machine; times in ms\n", runtime.NumCPU(),
+	fmt.Printf("%d cores, %d nodes, %d clients; the load generator and the stand-in nodes share the machine; times in ms\n", runtime.NumCPU(),
 		c.Nodes, c.Clients)
 	siteText := load.Site
 	if c.Shards > 1 {
@@ -69,7 +69,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("highest load with %g%% served and a start p99 of %s: %.0f a second\n", 100*c.MinServed, c.MaxP99, highest)
+		fmt.Printf("highest rate with at least %g%% served and a start p99 of at most %s: %.0f requests per second\n", 100*c.MinServed, c.MaxP99, highest)
 		return nil
 	}
 	for _, rate := range c.Rates {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// withShardsElement returns the text of a site file that has no <shards> element, with one.
+// withShardsElement adds a <shards> element to the text of a site file that has none.
 func withShardsElement(text string, count int, connections, placement string) string {
 	return strings.Replace(text, "<node-list", fmt.Sprintf("<shards count=\"%d\" connections=%q place=%q/>\n  <node-list",
 		count, connections, placement), 1)
--- a/cmd/ravenpond/lab_maintenance.go
+++ b/cmd/ravenpond/lab_maintenance.go
@@ -11,11 +11,11 @@
 type maintenanceCommand struct {
 	Seed      uint64 `default:"1" help:"First seed."`
 	Seeds     uint64 `default:"1" help:"Number of seeds."`
-	Days      int    `default:"30" help:"Days of each run."`
-	Processes int    `default:"8" help:"Scheduler processes."`
+	Days      int    `default:"30" help:"Length of each run, in days."`
+	Processes int    `default:"8" help:"Number of scheduler processes."`
 }
 
-// Run simulates each seed and prints a row for it. Late placements and forbidden overlaps are an error.
+// Run simulates each seed and prints a row for it. It returns an error if there were late placements or forbidden overlaps.
 func (c *maintenanceCommand) Run() error {
 	fmt.Printf("%6s %8s %6s %10s %8s %9s %7s %9s %6s  %-16s\n", "seed", "windows", "kept", "postponed", "refused", "offers", "moved",
 		"restarts", "halls", "trace")
@@ -38,7 +38,7 @@
 	}
 	fmt.Printf("late placements: %d\nforbidden overlaps: %d\n", late, overlaps)
 	if late+overlaps > 0 {
-		return fmt.Errorf("%d breaks", late+overlaps)
+		return fmt.Errorf("rules broken %d times", late+overlaps)
 	}
 	return nil
 }
--- a/cmd/ravenpond/lab_membership.go
+++ b/cmd/ravenpond/lab_membership.go
@@ -14,16 +14,16 @@
 
 // membershipCommand simulates or measures the failure detectors of many schedulers.
 type membershipCommand struct {
-	Seeds   string    `default:"0:1000" help:"Seeds A:B, without B."`
-	Workers int       `default:"0" help:"Seeds played at a time; 0: one for each core."`
-	Fault   string    `name:"plant" help:"Inject a fault that must be found; list prints the faults."`
-	Sizes   []int     `help:"Measure groups of these sizes without faults instead: detection, cost, growth."`
-	Losses  []float64 `default:"0,0.05,0.2" help:"Parts of datagrams that are lost in these measurements."`
-	Runs    int       `default:"5" help:"Runs of each size."`
-	Plots   string    `type:"path" help:"Plot detection times by size into this file, and by loss into NAME-by-loss (SVG)."`
+	Seeds   string    `default:"0:1000" help:"Range of seeds, A:B: from A on, below B."`
+	Workers int       `default:"0" help:"Number of seeds simulated in parallel; 0: one for each core."`
+	Fault   string    `name:"plant" help:"Fault to inject into the program, to check that it is found; list prints the names of all faults."`
+	Sizes   []int     `help:"Measure detection times and cost in groups of these sizes instead, without injected faults."`
+	Losses  []float64 `default:"0,0.05,0.2" help:"Fractions of datagrams that are lost in the measurements of --sizes."`
+	Runs    int       `default:"5" help:"Number of runs for each size."`
+	Plots   string    `type:"path" help:"Write a plot of detection times by size to this SVG file, and one by loss to a file with -by-loss added to its name."`
 }
 
-// drawPlots writes the plot by size, and beside it the plot by loss.
+// drawPlots writes the plot by size, and the plot by loss to a second file next to it.
 func (c *membershipCommand) drawPlots(rows []membershiplab.Row) error {
 	for _, byLoss := range []bool{false, true} {
 		name := c.Plots
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// Run plays the seeds, or measures groups of the given sizes. A seed that breaks a rule is an error, unless a fault was injected.
+// Run simulates the seeds, or measures groups of the given sizes. It returns an error if a seed broke a rule, unless a fault was injected.
 func (c *membershipCommand) Run(ctx context.Context) error {
 	c.Workers = workersOrCPUs(c.Workers)
 	switch {
@@ -78,7 +78,7 @@
 	return c.drawPlots(rows)
 }
 
-// faults returns the fault that is to be injected; without a name, none.
+// faults returns the fault to inject. Without a name it returns none.
 func (c *membershipCommand) faults() (membership.Faults, error) {
 	if c.Fault == "" {
 		return membership.Faults{}, nil
@@ -88,5 +88,5 @@
 			return fault.Plant, nil
 		}
 	}
-	return membership.Faults{}, fmt.Errorf("no fault %q to plant; --plant list prints them", c.Fault)
+	return membership.Faults{}, fmt.Errorf("unknown fault %q; --plant list prints the names of all faults", c.Fault)
 }
--- a/cmd/ravenpond/lab_model_check.go
+++ b/cmd/ravenpond/lab_model_check.go
@@ -8,15 +8,15 @@
 	"ravenpond/internal/lab/modelcheck"
 )
 
-// modelCheckCommand explores a small model exhaustively.
+// modelCheckCommand checks rules by exhaustive exploration of a small model.
 type modelCheckCommand struct {
-	MaxStates  int    `name:"most" default:"50000" help:"Maximum number of states for each effect."`
+	MaxStates  int    `name:"most" default:"50000" help:"Maximum number of states for each kind of effect."`
 	MaxDepth   int    `name:"depth" default:"20" help:"Maximum number of steps on one path."`
 	MaxFaults  int    `name:"faults" default:"2" help:"Maximum number of faults on one path."`
-	FaultKinds string `name:"kinds" help:"Kinds of faults: b connections break, f shards are fenced, h shards hand over, n nodes restart, w clients withdraw; default: all."`
+	FaultKinds string `name:"kinds" help:"Kinds of faults, a letter each: b connections break, f shards are fenced, h shards hand over, n nodes restart, w clients withdraw requests; default: all."`
 }
 
-// Run explores each kind of effect and prints how far. A broken rule is an error.
+// Run explores the model for each kind of effect and prints the extent of the exploration. It returns an error if a rule was broken.
 func (c *modelCheckCommand) Run() error {
 	fmt.Printf("%-14s %9s %9s %9s %6s %8s\n", "effect", "states", "paths", "steps", "depth", "seconds")
 	broken := 0
--- a/cmd/ravenpond/lab_run.go
+++ b/cmd/ravenpond/lab_run.go
@@ -14,21 +14,21 @@
 	"ravenpond/internal/lab/sim"
 )
 
-// errPlatformFaults reports that a fault was to be injected where none can be.
-var errPlatformFaults = errors.New("--platform: faults are planted there by its tests alone")
+// errPlatformFaults reports that --plant was given with --platform.
+var errPlatformFaults = errors.New("--plant cannot be used with --platform: only the tests of the platform simulation inject faults")
 
 // runCommand simulates schedulers under faults drawn from seeds.
 type runCommand struct {
-	Seeds         string `default:"0:1000" help:"Seeds A:B, without B."`
-	Workers       int    `default:"0" help:"Seeds played at a time; 0: one for each core."`
-	Fault         string `name:"plant" help:"Inject a fault that must be found; list prints the faults."`
-	MaxBroken     int    `name:"most" default:"0" help:"Stop after this many seeds that broke a rule; 0: play all."`
-	Quiet         bool   `help:"Print no progress."`
-	MinWorkingSet int    `name:"set" help:"Minimum size of a scheduler's working set, in nodes; 0: all nodes."`
+	Seeds         string `default:"0:1000" help:"Range of seeds, A:B: from A on, below B."`
+	Workers       int    `default:"0" help:"Number of seeds simulated in parallel; 0: one for each core."`
+	Fault         string `name:"plant" help:"Fault to inject into the program, to check that it is found; list prints the names of all faults."`
+	MaxBroken     int    `name:"most" default:"0" help:"Stop after this many seeds that broke a rule; 0: simulate all."`
+	Quiet         bool   `help:"Do not print progress."`
+	MinWorkingSet int    `name:"set" help:"Minimum size of a scheduler's working set, in nodes; 0: leave the scripts as they are drawn."`
 	Platform      bool   `help:"Simulate ravenpond platform instead of ravenpond serve."`
 }
 
-// Run plays the seeds and prints a summary. A seed that breaks a rule is an error, unless a fault was injected.
+// Run simulates the seeds and prints a summary. It returns an error if a seed broke a rule, unless a fault was injected.
 func (c *runCommand) Run(ctx context.Context) error {
 	if c.Fault == "list" {
 		for _, fault := range allFaults() {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// runPlatform simulates ravenpond platform.
+// runPlatform simulates ravenpond platform with the seeds and returns an error if one broke a rule.
 func (c *runCommand) runPlatform(ctx context.Context, first, end uint64) error {
 	all := platformsim.Seeds(ctx, first, end, c.Workers)
 	if err := platformsim.Print(os.Stdout, all); err != nil {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// progress returns where progress is printed: a terminal at standard error, or nil.
+// progress returns the writer for progress: standard error if it is a terminal and --quiet was not given, else nil.
 func (c *runCommand) progress() io.Writer {
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 && !c.Quiet {
 		return os.Stderr
@@ -90,7 +90,7 @@
 	return slices.Concat(sim.ProgramFaults, sim.MissedFaults, sim.WorkingSetFaults)
 }
 
-// faultNamed returns the fault of a name, nil without a name.
+// faultNamed returns the fault with the given name, or nil for an empty name.
 func faultNamed(name string) (*sim.ProgramFault, error) {
 	if name == "" {
 		return nil, nil
@@ -101,16 +101,16 @@
 			return &all[i], nil
 		}
 	}
-	return nil, fmt.Errorf("no fault %q to plant; --plant list prints them", name)
+	return nil, fmt.Errorf("unknown fault %q; lab run --plant list prints the names of all faults", name)
 }
 
-// parseSeedRange reads seeds A:B, which are those from A on and below B.
+// parseSeedRange parses a range of seeds, A:B: from A on, below B.
 func parseSeedRange(seeds string) (first, end uint64, err error) {
 	from, to, ok := strings.Cut(seeds, ":")
 	first, err1 := strconv.ParseUint(from, 10, 64)
 	end, err2 := strconv.ParseUint(to, 10, 64)
 	if !ok || err1 != nil || err2 != nil || first >= end {
-		return 0, 0, fmt.Errorf("--seeds %q: A:B with A below B is expected", seeds)
+		return 0, 0, fmt.Errorf("--seeds %q: want A:B with A below B", seeds)
 	}
 	return first, end, nil
 }
--- a/cmd/ravenpond/lab_scale.go
+++ b/cmd/ravenpond/lab_scale.go
@@ -14,30 +14,30 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// scaleCommand measures real processes at the points of a plan.
+// scaleCommand measures real processes at the points (sizes) of a measurement plan.
 type scaleCommand struct {
 	Dimension     string        `arg:"" enum:"nodes,schedulers,tasks,off-axis" help:"Dimension that varies: nodes, schedulers, tasks, or off-axis for points off the axes."`
-	Phases        []string      `default:"rest,starts" help:"Phases at each point, in order: rest, starts, churn, rack, zone, restart, propagation."`
-	Sizes         []int         `help:"Only the points with these sizes of the dimension; default: all."`
-	Nodes         int           `help:"Nodes at each point, instead of those of the plan."`
-	Schedulers    int           `help:"Schedulers at each point, instead of those of the plan."`
-	Tasks         int           `help:"Running tasks of a real process at each point, instead of those of the plan."`
-	Runs          int           `default:"3" help:"Repetitions of each point."`
+	Phases        []string      `default:"rest,starts" help:"Phases to measure at each point, in this order: rest, starts, churn, rack, zone, restart, propagation."`
+	Sizes         []int         `help:"Measure only the points at which the dimension has one of these sizes; default: all."`
+	Nodes         int           `help:"Number of nodes at each point, instead of that of the plan."`
+	Schedulers    int           `help:"Number of schedulers at each point, instead of that of the plan."`
+	Tasks         int           `help:"Number of running tasks of a real process at each point, instead of that of the plan."`
+	Runs          int           `default:"3" help:"Number of repetitions of each point."`
 	FirstRun      int           `default:"1" help:"Number of the first repetition."`
-	RealProcesses int           `name:"real" default:"1" help:"Real scheduler processes."`
+	RealProcesses int           `name:"real" default:"1" help:"Number of real scheduler processes."`
 	WarmUp        time.Duration `name:"warm" default:"4s" help:"Time before each measurement."`
 	MinDuration   time.Duration `name:"last" default:"8s" help:"Minimum length of each measurement."`
-	Seed          uint64        `default:"1" help:"Seed of the first run; each run has the next."`
-	Variant       string        `help:"Name of the variant that --elements makes; it is appended to the scenario."`
-	Elements      string        `help:"Additional elements of the site file."`
-	Connected     int           `help:"Nodes that a real process is connected to before it is measured; 0: all."`
-	Commit        string        `help:"Commit that is measured, for the result files."`
+	Seed          uint64        `default:"1" help:"Seed of repetition 1; each further repetition uses the next seed."`
+	Variant       string        `help:"Name of the variant that --elements configures; it is appended to the name of the scenario."`
+	Elements      string        `help:"XML elements to add to the site file."`
+	Connected     int           `help:"Number of nodes to which a real process must be connected before it is measured; 0: all."`
+	Commit        string        `help:"Commit of the measured program, recorded in the result files."`
 	Out           string        `type:"path" default:"docs/scale" help:"Folder of the result files."`
 	Logs          string        `type:"path" help:"Folder for logs; default: a new temporary folder."`
 }
 
-// Run measures each selected point as often as asked for and writes a result file for each. A run that failed is printed and does not end the
-// others.
+// Run measures each selected point with the requested repetitions and writes the result files. It prints the error of a failed run and
+// continues with the next run.
 func (c *scaleCommand) Run(ctx context.Context) error {
 	points, err := scale.Points(c.Dimension)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return len(c.Sizes) == 0
 }
 
-// withOverrides returns a point with the sizes that flags give in place of its own.
+// withOverrides returns the sizes of a point, replaced where a flag gives another size.
 func (c *scaleCommand) withOverrides(sizes result.Sizes) result.Sizes {
 	for _, override := range []struct {
 		value int
@@ -101,25 +101,25 @@
 	return sizes
 }
 
-// hollowGC is the garbage collection target of hollow processes, in percent: they have memory to spare and share their cores with what is
-// measured.
+// hollowGC is the garbage collection target of hollow processes, in percent. It is high because they have memory to spare and share their
+// cores with the measured processes.
 const hollowGC = 400
 
-// scaleNodesCommand is the process of hollow nodes.
+// scaleNodesCommand runs a process of hollow nodes.
 type scaleNodesCommand struct{}
 
-// Run serves orders on standard input until it ends.
+// Run executes orders from standard input until the end of the input.
 func (scaleNodesCommand) Run(ctx context.Context) error {
 	debug.SetGCPercent(hollowGC)
 	return hollow.RunNodes(ctx, os.Stdin, os.Stdout)
 }
 
-// scaleSchedulersCommand is the process of hollow schedulers.
+// scaleSchedulersCommand runs a process of hollow schedulers.
 type scaleSchedulersCommand struct {
 	Profile string `type:"path" help:"Write a CPU profile of the whole run to this file."`
 }
 
-// Run serves orders on standard input until it ends.
+// Run executes orders from standard input until the end of the input.
 func (c *scaleSchedulersCommand) Run(ctx context.Context) (err error) {
 	if c.Profile != "" {
 		stopProfile, err := startCPUProfile(c.Profile)
--- a/cmd/ravenpond/lab_scale_fit.go
+++ b/cmd/ravenpond/lab_scale_fit.go
@@ -11,14 +11,14 @@
 // scaleFitCommand fits lines and models to the results of scale runs.
 type scaleFitCommand struct {
 	Folder string             `arg:"" type:"existingdir" help:"Folder of result files."`
-	At     map[string]float64 `help:"Sizes to predict, as nodes=20000;schedulers=100."`
-	Plots  string             `type:"path" help:"Folder for plots, one for each scenario, dimension and unit; default: none are drawn."`
+	At     map[string]float64 `help:"Sizes to predict, such as nodes=20000;schedulers=100."`
+	Plots  string             `type:"path" help:"Write plots to this folder, one for each scenario, dimension and unit; default: no plots."`
 }
 
-// errNoResults reports a folder without result files.
+// errNoResults reports that a folder has no result files.
 var errNoResults = errors.New("no result files")
 
-// Run prints the fits as Markdown tables.
+// Run prints the fits as Markdown tables and writes the plots if a folder was given.
 func (c *scaleFitCommand) Run() error {
 	for name := range c.At {
 		if _, err := fit.DimensionNamed(name); err != nil {
--- a/cmd/ravenpond/lab_scale_fit_test.go
+++ b/cmd/ravenpond/lab_scale_fit_test.go
@@ -10,15 +10,15 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// TestScaleFit refuses an empty folder and a dimension that there is not, and draws plots of results.
+// TestScaleFit checks that lab scale-fit rejects an empty folder and an unknown dimension, and draws one plot of the results of a scenario.
 func TestScaleFit(t *testing.T) {
 	folder := t.TempDir()
 	if err := (&scaleFitCommand{Folder: folder}).Run(); !errors.Is(err, errNoResults) {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("empty folder: got error %v, want errNoResults", err)
 	}
 	var unknown *fit.UnknownDimensionError
 	if err := (&scaleFitCommand{Folder: folder, At: map[string]float64{"nods": 1}}).Run(); !errors.As(err, &unknown) {
-		t.Errorf("an unknown dimension: %v", err)
+		t.Errorf("unknown dimension: got error %v, want an UnknownDimensionError", err)
 	}
 	for run, nodes := range []int{500, 2000, 6000, 14000} {
 		r := &result.Result{
@@ -34,6 +34,6 @@
 		t.Fatal(err)
 	}
 	if drawn, err := os.ReadDir(plots); err != nil || len(drawn) != 1 {
-		t.Errorf("%v, %v", drawn, err)
+		t.Errorf("got plots %v, error %v; want one plot", drawn, err)
 	}
 }
--- a/cmd/ravenpond/lab_scale_regions.go
+++ b/cmd/ravenpond/lab_scale_regions.go
@@ -15,23 +15,24 @@
 // scaleRegionsCommand simulates regions that are partitioned from each other for a long time.
 type scaleRegionsCommand struct {
 	Seed             uint64        `default:"1" help:"Seed of the run."`
-	Processes        int           `default:"60" help:"Schedulers, spread over the zones in turn."`
-	Regions          int           `default:"6" help:"Regions."`
-	Zones            int           `default:"14" help:"Zones, spread over the regions in turn."`
-	Voters           int           `default:"5" help:"Voters of the cluster state: the first schedulers."`
-	CutRegions       int           `default:"3" help:"Regions that are partitioned from the others: the last ones."`
+	Processes        int           `default:"60" help:"Number of schedulers, assigned to the zones in turn."`
+	Regions          int           `default:"6" help:"Number of regions."`
+	Zones            int           `default:"14" help:"Number of zones, assigned to the regions in turn."`
+	Voters           int           `default:"5" help:"Number of voters of the cluster state; the first schedulers are voters."`
+	CutRegions       int           `default:"3" help:"Number of regions, counted from the last, that are partitioned from the others."`
 	WarmUp           time.Duration `name:"warm" default:"5m" help:"Virtual time before the partition."`
 	CutDuration      time.Duration `name:"cut" default:"1h" help:"Virtual length of the partition."`
-	Recovery         time.Duration `name:"settle" default:"10m" help:"Virtual time after the partition has healed."`
-	CommandsPerDay   float64       `default:"7400" help:"Commands a day that schedulers propose in turn."`
-	AbsentSchedulers int           `name:"absent" default:"0" help:"Schedulers that the cluster state lists and that are not simulated."`
-	AbsentName       int           `default:"0" help:"Minimum length of their names, in bytes."`
+	Recovery         time.Duration `name:"settle" default:"10m" help:"Virtual time after the end of the partition."`
+	CommandsPerDay   float64       `default:"7400" help:"Number of commands per day that the schedulers propose in turn."`
+	AbsentSchedulers int           `name:"absent" default:"0" help:"Number of schedulers that the cluster state lists but that are not simulated."`
+	AbsentName       int           `default:"0" help:"Minimum length of the names of the schedulers of --absent, in bytes."`
 	Restart          bool          `default:"true" negatable:"" help:"Restart one scheduler of the partitioned regions during the partition."`
-	Out              string        `type:"path" help:"Write the result to this file, in the format of scale runs."`
-	Minutes          string        `type:"path" help:"Write each reading of each process to this file, as JSON."`
+	Out              string        `type:"path" help:"Write the result to this file, in the format of lab scale."`
+	Minutes          string        `type:"path" help:"Write all readings of all processes to this file, as JSON."`
 }
 
-// Run prints the table and writes the results; all figures are simulated. A bound that was exceeded is an error.
+// Run simulates the partition, prints the table and writes the results. All figures are simulated. It returns an error if a bound was
+// exceeded.
 func (c *scaleRegionsCommand) Run(ctx context.Context) error {
 	began := time.Now()
 	report, err := regions.Run(ctx, regions.Config{
@@ -41,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d schedulers, %d zones in %d regions, %d of them cut off for %s; simulated, seed %d, played in %.0f s\n\n", c.Processes, c.Zones, c.Regions,
+	fmt.Printf("%d schedulers, %d zones in %d regions, %d of them partitioned for %s; simulated with seed %d in %.0f s\n\n", c.Processes, c.Zones, c.Regions,
 		c.CutRegions, c.CutDuration, c.Seed, time.Since(began).Seconds())
 	if err := report.WriteMarkdown(os.Stdout); err != nil {
 		return err
@@ -58,12 +59,12 @@
 		}
 	}
 	if exceeded := len(report.Check()); exceeded > 0 {
-		return fmt.Errorf("%d bounds broken", exceeded)
+		return fmt.Errorf("%d bounds exceeded", exceeded)
 	}
 	return nil
 }
 
-// revision returns the commit that the program was built from, or "" if the build does not say.
+// revision returns the commit from which the program was built, or "" if the build information does not have it.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/ravenpond/lab_script.go
+++ b/cmd/ravenpond/lab_script.go
@@ -12,10 +12,10 @@
 
 // drawCommand prints the script of a seed.
 type drawCommand struct {
-	Seed uint64 `arg:"" help:"The seed."`
+	Seed uint64 `arg:"" help:"Seed of the script."`
 }
 
-// Run prints it.
+// Run prints the script.
 func (c *drawCommand) Run() error {
 	_, err := fmt.Print(sim.Draw(c.Seed))
 	return err
@@ -23,9 +23,9 @@
 
 // replayCommand simulates a script.
 type replayCommand struct {
-	File  string `arg:"" type:"existingfile" help:"The script."`
-	Fault string `name:"plant" help:"Inject a fault."`
-	Trace string `type:"path" help:"Write all events to this file."`
+	File  string `arg:"" type:"existingfile" help:"File with the script."`
+	Fault string `name:"plant" help:"Fault to inject into the program; lab run --plant list prints the names of all faults."`
+	Trace string `type:"path" help:"Write a trace of all events to this file."`
 }
 
 // readScript reads a script from a file.
@@ -37,7 +37,7 @@
 	return sim.Parse(bytes.NewReader(text))
 }
 
-// Run plays the script, prints what came of it and writes the trace. A broken rule is an error.
+// Run simulates the script, prints the result and writes the trace. It returns an error if a rule was broken.
 func (c *replayCommand) Run() error {
 	script, err := readScript(c.File)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// play plays the script and writes its trace where a file for it was named.
+// play simulates the script, and writes its trace if a file was named.
 func (c *replayCommand) play(script sim.Script, fault *sim.ProgramFault) (result sim.Result, err error) {
 	if c.Trace == "" {
 		return sim.Run(script, fault, nil), nil
@@ -73,16 +73,16 @@
 }
 
 // errNoRuleBroken reports that a script breaks no rule.
-var errNoRuleBroken = errors.New("it breaks nothing")
+var errNoRuleBroken = errors.New("the script breaks no rule")
 
-// shrinkCommand makes a script that breaks a rule smaller.
+// shrinkCommand minimizes a script that breaks a rule.
 type shrinkCommand struct {
-	File  string `arg:"" type:"existingfile" help:"A script that breaks a rule."`
-	Fault string `name:"plant" help:"Inject a fault."`
+	File  string `arg:"" type:"existingfile" help:"File with a script that breaks a rule."`
+	Fault string `name:"plant" help:"Fault to inject into the program; lab run --plant list prints the names of all faults."`
 }
 
-// Run removes faults, nodes, schedulers, shards and time from the script while it still breaks the same rule, and prints the rest. It stops
-// early when the context ends.
+// Run removes faults, nodes, schedulers, shards and time from the script as long as the script still breaks the same rule, and prints the
+// remaining script. It stops early when the context ends.
 func (c *shrinkCommand) Run(ctx context.Context) error {
 	script, err := readScript(c.File)
 	if err != nil {
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	//nolint:contextcheck // a simulation runs in one call on the virtual clock; the context is looked at between simulations
+	//nolint:contextcheck // a simulation runs in one call on the virtual clock; the context is checked between simulations
 	play := func(script sim.Script) sim.Result { return sim.Run(script, fault, nil) }
 	first := play(script)
 	if first.Failure == "" {
--- a/cmd/ravenpond/lab_shards.go
+++ b/cmd/ravenpond/lab_shards.go
@@ -10,21 +10,21 @@
 	"ravenpond/internal/lab/shards"
 )
 
-// shardsCommand measures and checks several shards.
+// shardsCommand measures schedulers with several shards, and checks that no two shards act for the same allocation.
 type shardsCommand struct {
-	ShardCounts   []int         `name:"counts" default:"1,2,4,8" help:"Numbers of shards."`
-	Nodes         int           `default:"130" help:"Stand-in nodes."`
-	Rate          float64       `default:"1500" help:"Requests a second for the measurement of latency and CPU time."`
-	OverloadRate  float64       `name:"flood" default:"9000" help:"Requests a second for the measurement of throughput: more than can be served."`
+	ShardCounts   []int         `name:"counts" default:"1,2,4,8" help:"Numbers of shards to measure."`
+	Nodes         int           `default:"130" help:"Number of stand-in nodes."`
+	Rate          float64       `default:"1500" help:"Requests per second for the measurement of latency and CPU time."`
+	OverloadRate  float64       `name:"flood" default:"9000" help:"Requests per second for the measurement of throughput; has to be more than can be served."`
 	Duration      time.Duration `name:"last" default:"4s" help:"Length of each trial over sockets."`
-	Requests      int           `name:"asks" default:"60000" help:"Requests of each trial in memory."`
-	CheckRequests int           `name:"check" default:"500000" help:"Requests of the check, at 4 and at 8 shards each; 0: no check."`
-	Tables        bool          `default:"true" negatable:"" help:"Print the tables."`
-	Overload      bool          `default:"true" negatable:"" name:"overload" help:"Print the table of overload."`
+	Requests      int           `name:"asks" default:"60000" help:"Number of requests in each trial in memory."`
+	CheckRequests int           `name:"check" default:"500000" help:"Number of requests in the check, which runs once with 4 and once with 8 shards; 0: no check."`
+	Tables        bool          `default:"true" negatable:"" help:"Measure over sockets and in memory, and print the tables."`
+	Overload      bool          `default:"true" negatable:"" name:"overload" help:"Measure under overload, and print the table."`
 	Seed          uint64        `default:"1" help:"Seed of the check."`
 }
 
-// Run prints the tables of the measurements and the result of the check.
+// Run prints the tables of the measurements and the result of the check. It returns an error if the check found a broken rule.
 func (c *shardsCommand) Run(ctx context.Context) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 	broken, err := shards.CheckMany(ctx, os.Stdout, c.CheckRequests, []int{4, 8}, c.Seed)
 	if err == nil && broken > 0 {
-		err = fmt.Errorf("%d breaks", broken)
+		err = fmt.Errorf("rules broken %d times", broken)
 	}
 	return err
 }
--- a/cmd/ravenpond/lab_soak.go
+++ b/cmd/ravenpond/lab_soak.go
@@ -11,21 +11,21 @@
 	"ravenpond/internal/lab/seeds"
 )
 
-// soakCommand plays scenarios with real processes of ravenpond platform, real signals and sockets.
+// soakCommand runs random scenarios with real processes of ravenpond platform, real signals and real sockets.
 type soakCommand struct {
-	Seeds   string `default:"1:51" help:"Seeds A:B, without B; each takes 23 s."`
-	Workers int    `default:"3" help:"Seeds played at a time."`
+	Seeds   string `default:"1:51" help:"Range of seeds, A:B: from A on, below B. Each seed takes 23 s."`
+	Workers int    `default:"3" help:"Number of seeds run in parallel."`
 	Dir     string `default:"soak" help:"Folder for the configurations and logs of seeds that break a rule."`
 }
 
-// soakResult is what came of a seed.
+// soakResult is the result of one seed.
 type soakResult struct {
 	platformsim.Result
 	err  error
 	took time.Duration
 }
 
-// Run plays the seeds and prints a line for each.
+// Run runs the scenarios of the seeds and prints a line for each. It returns an error if a seed broke a rule or could not be run.
 func (c *soakCommand) Run(ctx context.Context) error {
 	first, end, err := parseSeedRange(c.Seeds)
 	if err != nil {
@@ -54,7 +54,7 @@
 		case r.Failure != "":
 			broken++
 			fmt.Printf("seed %d, %.1f s: %.1500s\n", seed, r.took.Seconds(), r.Failure)
-		case r.Requests == 0: // the context ended before it
+		case r.Requests == 0: // the context ended before this seed was started
 			fmt.Printf("seed %d: not played\n", seed)
 		default:
 			fmt.Printf("seed %d, %.1f s: kept, %d asks, %d served, %d found again, %d sent once more\n", seed, r.took.Seconds(), r.Requests, r.Served,
--- a/cmd/ravenpond/lab_tenants.go
+++ b/cmd/ravenpond/lab_tenants.go
@@ -9,22 +9,22 @@
 	"ravenpond/internal/lab/tenants"
 )
 
-// tenantLoadCommand measures tenants beside one that floods.
+// tenantLoadCommand measures how a tenant that floods the scheduler affects the others.
 type tenantLoadCommand struct {
-	Tenants     int           `default:"20" help:"Tenants."`
-	Nodes       int           `default:"20" help:"Stand-in nodes of 32 cores."`
-	Shards      int           `default:"2" help:"Shards of the scheduler."`
+	Tenants     int           `default:"20" help:"Number of tenants."`
+	Nodes       int           `default:"20" help:"Number of stand-in nodes, of 32 cores each."`
+	Shards      int           `default:"2" help:"Number of shards of the scheduler."`
 	FloodFactor float64       `name:"flood" default:"10" help:"Load of the first tenant, as a multiple of its share."`
-	Reconnects  bool          `name:"returns" default:"true" negatable:"" help:"A client without a token reconnects all the time."`
-	Duration    time.Duration `name:"last" default:"10s" help:"Length of each day."`
+	Reconnects  bool          `name:"returns" default:"true" negatable:"" help:"Let a client without a token reconnect all the time during the flood."`
+	Duration    time.Duration `name:"last" default:"10s" help:"Length of each measurement."`
 	Seed        uint64        `default:"1" help:"Seed of the arrivals."`
-	HalfOpen    int           `name:"half-open" help:"Instead of the flood: TLS handshakes that are begun and never completed."`
+	HalfOpen    int           `name:"half-open" help:"Number of TLS handshakes that are begun and never completed; measures these instead of the flood."`
 }
 
-// Run prints a table of a day without and one with the flood, or measures incomplete handshakes.
+// Run measures once without and once with the flood and prints a table of both, or measures the effect of incomplete handshakes.
 func (c *tenantLoadCommand) Run(ctx context.Context) error {
 	if c.Tenants < 2 || c.Nodes < 1 || c.Shards < 1 || !(c.FloodFactor > 0) || c.Duration <= 0 {
-		return errors.New("two tenants or more, nodes, shards, a flood and a length above 0 are expected")
+		return errors.New("--tenants must be at least 2; --nodes, --shards, --flood and --last must be above 0")
 	}
 	trial := tenants.Trial{Tenants: c.Tenants, Nodes: c.Nodes, Shards: c.Shards, Flood: c.FloodFactor, ReconnectFlood: c.Reconnects, Duration: c.Duration, Seed: c.Seed}
 	if c.HalfOpen > 0 {
@@ -38,17 +38,18 @@
 
 // removalsCommand removes tenants while the scheduler is killed.
 type removalsCommand struct {
-	Rounds            int    `default:"20" help:"Rounds, each with a kill; one takes about 25 s."`
-	TenantsPerRound   int    `name:"each" default:"50" help:"Tenants that are removed in each round."`
-	RequestsPerTenant int    `name:"asks" default:"20" help:"Requests of each tenant."`
-	Nodes             int    `default:"20" help:"Stand-in nodes of 32 cores."`
-	Seed              uint64 `default:"1" help:"Seed of arrivals and kills."`
+	Rounds            int    `default:"20" help:"Number of rounds, each with one kill of the scheduler. A round takes about 25 s."`
+	TenantsPerRound   int    `name:"each" default:"50" help:"Number of tenants that are removed in each round."`
+	RequestsPerTenant int    `name:"asks" default:"20" help:"Number of requests of each tenant."`
+	Nodes             int    `default:"20" help:"Number of stand-in nodes, of 32 cores each."`
+	Seed              uint64 `default:"1" help:"Seed of the arrivals and of the times of the kills."`
 }
 
-// Run plays the rounds. A removal that was not completed is an error.
+// Run runs the rounds and prints the result. It returns an error if a removal was not completed, attempts are still held at nodes, a
+// request got no answer though the scheduler lived, or a task was started a second time.
 func (c *removalsCommand) Run(ctx context.Context) error {
 	if c.Rounds < 1 || c.TenantsPerRound < 1 || c.RequestsPerTenant < 1 || c.Nodes < 1 {
-		return errors.New("rounds, tenants, asks and nodes above 0 are expected")
+		return errors.New("--rounds, --each, --asks and --nodes must be above 0")
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -60,7 +61,7 @@
 	}
 	result.Print(os.Stdout)
 	if result.NotRemoved+result.HeldAtNodes+result.Unanswered+result.SecondStarts > 0 {
-		return errors.New("removals do not hold")
+		return errors.New("removals not completed, attempts still held at nodes, requests without an answer, or second starts: see the result above")
 	}
 	return nil
 }
--- a/cmd/ravenpond/main.go
+++ b/cmd/ravenpond/main.go
@@ -1,7 +1,7 @@
-// Ravenpond places long-running work on a cluster's machines. Run it with --help for its commands.
+// Ravenpond is a scheduler that places long-running work on a cluster's machines. Run it with --help for its commands.
 //
-// Each command is a struct whose fields are its flags (github.com/alecthomas/kong) and whose Run method parses and checks them and calls the
-// package that does the work. Run gets a context that ends with SIGINT or SIGTERM. An error is printed as one line, and the exit status is 1.
+// Each command is a struct whose fields are its flags (github.com/alecthomas/kong). Its Run method checks the flags and calls the package
+// that does the work. Run gets a context that ends on SIGINT or SIGTERM. An error is printed as one line, and the exit status is 1.
 package main
 
 import (
@@ -14,18 +14,18 @@
 	"ravenpond/internal/lab/drill"
 )
 
-// commands are the program's commands, in the form in which kong reads them.
+// commands are the commands of the program, as kong parses them.
 type commands struct {
 	Serve    serveCommand    `cmd:"" help:"Run a scheduler."`
-	Platform platformCommand `cmd:"" help:"Run a scheduler on the platform, as GW_CONFIG, GW_NAME and GW_LISTEN say."`
-	Site     siteCommands    `cmd:"" help:"Site files."`
-	Drain    drainCommands   `cmd:"" help:"Maintenance windows."`
-	Tenant   tenantCommands  `cmd:"" help:"Tenants of a hosted service, in a state folder."`
-	Admin    adminCommands   `cmd:"" help:"Tenants of a hosted service, through the administration API of a running scheduler."`
-	Keys     keysCommands    `cmd:"" help:"Certificate authority and certificates of the administration API."`
-	Drill    drillCommand    `cmd:"" help:"Play a script of faults on loopback and check the rules."`
+	Platform platformCommand `cmd:"" help:"Run a scheduler on the platform, configured by the environment variables GW_CONFIG, GW_NAME and GW_LISTEN."`
+	Site     siteCommands    `cmd:"" help:"Check and print site files."`
+	Drain    drainCommands   `cmd:"" help:"Manage maintenance windows."`
+	Tenant   tenantCommands  `cmd:"" help:"Manage the tenants of a hosted service in a state folder."`
+	Admin    adminCommands   `cmd:"" help:"Manage the tenants of a hosted service through the administration API of a running scheduler."`
+	Keys     keysCommands    `cmd:"" help:"Manage the certificate authority and the certificates of the administration API."`
+	Drill    drillCommand    `cmd:"" help:"Run a script of faults with real processes on loopback and check the rules."`
 	Members  membersCommand  `cmd:"" help:"Print which other schedulers a scheduler knows, and their states."`
-	Lab      labCommands     `cmd:"" help:"Measurements and simulations."`
+	Lab      labCommands     `cmd:"" help:"Run measurements and simulations."`
 }
 
 func main() {
--- a/cmd/ravenpond/platform.go
+++ b/cmd/ravenpond/platform.go
@@ -6,10 +6,10 @@
 	"ravenpond/internal/platform"
 )
 
-// platformCommand runs a scheduler on the platform; its configuration comes from the environment.
+// platformCommand runs a scheduler on the platform. Its configuration comes from environment variables.
 type platformCommand struct {
 	Log   string `enum:"json,plain" default:"json" help:"Format of the log: json or plain."`
-	Level string `enum:"debug,info,warn" default:"info" help:"Level of the log; debug traces each message and attempt."`
+	Level string `enum:"debug,info,warn" default:"info" help:"Minimum level of the log; debug logs each message and attempt."`
 }
 
 // Run runs the scheduler until SIGTERM.
--- a/cmd/ravenpond/profile.go
+++ b/cmd/ravenpond/profile.go
@@ -11,10 +11,10 @@
 	"syscall"
 )
 
-// heapSuffix is appended to the path of a CPU profile to name the heap profile beside it.
+// heapSuffix is appended to the path of a CPU profile for the path of its heap profile.
 const heapSuffix = ".heap"
 
-// startCPUProfile starts writing a CPU profile. stop ends it and closes the file.
+// startCPUProfile starts a CPU profile that is written to the file. stop ends the profile and closes the file.
 func startCPUProfile(path string) (stop func() error, err error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -29,8 +29,8 @@
 	}, nil
 }
 
-// profileOnSignals writes a CPU profile of the time between two signals SIGUSR1, and a heap profile at the second one, until the context ends.
-// A later pair of signals overwrites both. Errors go to onError.
+// profileOnSignals writes a CPU profile of the time between two SIGUSR1 signals, and a heap profile at the second one. It does so for each
+// pair of signals until the context ends; a later pair overwrites both files. Errors are passed to onError.
 func profileOnSignals(ctx context.Context, path string, onError func(error)) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1)
@@ -64,7 +64,8 @@
 	}
 }
 
-// writeHeapProfile writes what is in use after a garbage collection. The file appears at once with its whole content.
+// writeHeapProfile writes a heap profile after a garbage collection. It writes a temporary file and renames it, so that the file never has
+// partial content.
 func writeHeapProfile(path string) error {
 	runtime.GC()
 	partial := path + ".part"
--- a/cmd/ravenpond/serve.go
+++ b/cmd/ravenpond/serve.go
@@ -23,28 +23,28 @@
 	"ravenpond/internal/state/tenants"
 )
 
-// serveCommand runs a scheduler of a site.
+// serveCommand runs one of the schedulers of a site.
 type serveCommand struct {
-	Site          string `required:"" type:"existingfile" help:"The site file."`
-	State         string `required:"" type:"path" help:"State folder: what outlives the process."`
-	Name          string `default:"s0" help:"Name of the scheduler, the same at each start."`
-	Index         int    `default:"0" help:"Number of the scheduler among all of the site, from 0."`
-	Seed          uint64 `default:"0" help:"Seed of its random numbers; 0: a random one."`
-	ClientListen  string `name:"owners" help:"Listen for clients at this address instead of the site file's."`
-	AddressFile   string `type:"path" help:"Write the address for clients to this file once they may connect."`
+	Site          string `required:"" type:"existingfile" help:"Site file."`
+	State         string `required:"" type:"path" help:"State folder, which holds the state that is kept across restarts."`
+	Name          string `default:"s0" help:"Name of the scheduler, which must be the same at each start."`
+	Index         int    `default:"0" help:"Number of the scheduler among those of the site, from 0."`
+	Seed          uint64 `default:"0" help:"Seed of the random numbers; 0: a random seed."`
+	ClientListen  string `name:"owners" help:"Listen for clients at this address instead of the one in the site file."`
+	AddressFile   string `type:"path" help:"Write the address for clients to this file once clients can connect."`
 	Log           string `enum:"json,plain" default:"json" help:"Format of the log: json or plain."`
-	Keys          string `type:"path" help:"Folder of keys, where the site file asks for TLS."`
-	KeyName       string `default:"server" help:"Name of the server's certificate in that folder."`
+	Keys          string `type:"path" help:"Folder of certificates and keys; required if the site file requires TLS."`
+	KeyName       string `default:"server" help:"Name of the server's certificate in the folder of --keys."`
 	Profile       string `type:"path" xor:"profile" help:"Write a CPU profile of the whole run to this file."`
-	Level         string `enum:"debug,info,warn" default:"info" help:"Level of the log; debug adds a line for each attempt."`
-	ProfileWindow string `type:"path" xor:"profile" help:"Write a CPU profile of the time between two signals SIGUSR1 to this file, and a heap profile beside it."`
-	Zone          string `help:"Zone of the site file in which the scheduler runs."`
+	Level         string `enum:"debug,info,warn" default:"info" help:"Minimum level of the log; debug logs each attempt."`
+	ProfileWindow string `type:"path" xor:"profile" help:"Write a CPU profile of the time between two SIGUSR1 signals to this file, and a heap profile to the same name with .heap appended."`
+	Zone          string `help:"Zone in which the scheduler runs, as named in the site file."`
 }
 
-// errKeysExpected reports that the site file asks for TLS and no folder of keys was given.
-var errKeysExpected = errors.New("the site file wants TLS, for owners or for the administration: --keys is expected")
+// errKeysExpected reports that the site file requires TLS but --keys was not given.
+var errKeysExpected = errors.New("--keys is required: the site file requires TLS for clients or for the administration API")
 
-// newLogger returns a logger that prints lines of JSON, or of plain text if form is "plain", from the given level on.
+// newLogger returns a logger that writes messages of at least the given level, as plain text if form is "plain", else as JSON.
 func newLogger(form, level string, out io.Writer) (zerolog.Logger, error) {
 	minLevel, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -63,9 +63,9 @@
 		return err
 	}
 	if c.Index < 0 || c.Index >= config.Cluster.Schedulers {
-		return fmt.Errorf("index %d: the site file has schedulers 0 to %d", c.Index, config.Cluster.Schedulers-1)
+		return fmt.Errorf("--index %d: the schedulers of the site file are numbered 0 to %d", c.Index, config.Cluster.Schedulers-1)
 	}
-	fromFile := *config // without what flags change: later versions of the file are compared with it
+	fromFile := *config // without changes by flags, to compare later versions of the file with it
 	if c.ClientListen != "" {
 		config.ClientsListen = c.ClientListen
 	}
@@ -102,7 +102,7 @@
 	return errors.Join(serve.Run(ctx, scheduler), addressErr)
 }
 
-// writeAddress writes the address at which clients may connect, where a file for it was named.
+// writeAddress writes the address for clients to the file of --address-file, if that was given.
 func (c *serveCommand) writeAddress(address string) error {
 	if c.AddressFile == "" {
 		return nil
@@ -110,7 +110,7 @@
 	return renameio.WriteFile(c.AddressFile, []byte(address+"\n"), 0o640)
 }
 
-// startProfile starts the profile that flags ask for. stop ends it and waits until it is written.
+// startProfile starts the profile that the flags request. stop ends it and waits until it is written.
 func (c *serveCommand) startProfile(ctx context.Context, log zerolog.Logger) (stop func() error, err error) {
 	switch {
 	case c.Profile != "":
@@ -119,15 +119,15 @@
 		ctx, cancel := context.WithCancel(ctx)
 		var running sync.WaitGroup
 		running.Go(func() {
-			profileOnSignals(ctx, c.ProfileWindow, func(err error) { log.Error().Str("mode", "profile").Err(err).Msg("not written") })
+			profileOnSignals(ctx, c.ProfileWindow, func(err error) { log.Error().Str("mode", "profile").Err(err).Msg("could not write the profile") })
 		})
 		return func() error { cancel(); running.Wait(); return nil }, nil
 	}
 	return func() error { return nil }, nil
 }
 
-// startAdmin loads the keys where the site file asks for TLS, and starts serving the administration API where the file has an address for it.
-// clientTLS is the configuration of the client listener, nil without TLS. stop ends the API and waits for it.
+// startAdmin loads the keys if the site file requires TLS, and starts the administration API if the site file has an address for it.
+// clientTLS is the TLS configuration of the client listener, nil without TLS. stop stops the API and waits until it has ended.
 func (c *serveCommand) startAdmin(ctx context.Context, config *site.Config, log zerolog.Logger) (clientTLS *tls.Config, stop func(), err error) {
 	if config.AdminListen == "" && !config.ClientsTLS {
 		return nil, func() {}, nil
@@ -146,8 +146,8 @@
 	return clientTLS, stop, err
 }
 
-// serveAdmin rereads the keys while the scheduler runs, and serves the administration API where it has an address. It returns once the API
-// takes calls. stop ends it and waits.
+// serveAdmin reloads the keys when they change, and serves the administration API if it has an address. It returns once the API accepts
+// calls. stop stops both and waits until they have ended.
 func (c *serveCommand) serveAdmin(ctx context.Context, config *site.Config, guard *keys.Guard, log zerolog.Logger) (stop func(), err error) {
 	openStore := func() (*tenants.Store, error) { return tenants.Open(c.State, config.MaxHostedTenants) }
 	api := &admin.Server{Open: openStore, Guard: guard, Log: log, Now: time.Now}
@@ -171,13 +171,13 @@
 	return func() {
 		cancel()
 		if err := <-done; err != nil {
-			log.Error().Str("mode", "admin").Err(err).Msg("administration ended")
+			log.Error().Str("mode", "admin").Err(err).Msg("administration API failed")
 		}
 	}, nil
 }
 
-// watchSiteFile rereads the site file at each SIGHUP and sends the number of shards in it; a file with a fault, or with other differences to
-// the one at the start, is logged and ignored. stop ends it and waits.
+// watchSiteFile rereads the site file at each SIGHUP and sends its number of shards. A file with an error, or one that differs in anything
+// else from the file at the start, is logged and ignored. stop ends the watch and waits until it has ended.
 func (c *serveCommand) watchSiteFile(ctx context.Context, atStart *site.Config, log zerolog.Logger) (shards <-chan int, stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	resize := make(chan int)
@@ -194,7 +194,7 @@
 			}
 			count, err := c.shardsInSiteFile(atStart)
 			if err != nil {
-				log.Error().Str("mode", "shards").Err(err).Msg("site file not taken, going on as before")
+				log.Error().Str("mode", "shards").Err(err).Msg("site file rejected; continuing with the previous number of shards")
 				continue
 			}
 			select {
@@ -206,7 +206,7 @@
 	return resize, func() { cancel(); running.Wait() }
 }
 
-// shardsInSiteFile reads the number of shards in the site file, which may differ from the one at the start in nothing else.
+// shardsInSiteFile reads the number of shards from the site file. The file may differ from the one at the start only in this number.
 func (c *serveCommand) shardsInSiteFile(atStart *site.Config) (int, error) {
 	config, err := site.Load(c.Site)
 	if err != nil {
--- a/cmd/ravenpond/site.go
+++ b/cmd/ravenpond/site.go
@@ -8,23 +8,23 @@
 
 // siteCommands check and print site files.
 type siteCommands struct {
-	Check   checkCommand   `cmd:"" help:"Print every fault of a site file, with its line."`
+	Check   checkCommand   `cmd:"" help:"Check a site file and print all errors with their lines."`
 	Schema  schemaCommand  `cmd:"" help:"Print the XML schema of site files."`
-	Example exampleCommand `cmd:"" help:"Print a site file to start from."`
+	Example exampleCommand `cmd:"" help:"Print an example of a site file."`
 }
 
 // checkCommand checks a site file.
 type checkCommand struct {
-	File string `arg:"" type:"existingfile" help:"The site file."`
+	File string `arg:"" type:"existingfile" help:"Site file."`
 }
 
-// Run prints what the file describes; its faults are the error.
+// Run prints a summary of the file, or returns its errors.
 func (c *checkCommand) Run() error {
 	config, err := site.Load(c.File)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Printf("%s: site %s, %d job types, %d tenants, %d machine kinds: no faults\n", c.File, config.Name,
+	_, err = fmt.Printf("%s: site %s, %d job classes, %d tenants, %d machine kinds: no errors\n", c.File, config.Name,
 		len(config.JobClasses), len(config.Tenants), len(config.MachineKinds))
 	return err
 }
@@ -32,16 +32,16 @@
 // schemaCommand prints the XML schema of site files.
 type schemaCommand struct{}
 
-// Run prints it.
+// Run prints the schema.
 func (schemaCommand) Run() error {
 	_, err := fmt.Print(site.Schema)
 	return err
 }
 
-// exampleCommand prints a site file to start from.
+// exampleCommand prints an example of a site file.
 type exampleCommand struct{}
 
-// Run prints it.
+// Run prints the example.
 func (exampleCommand) Run() error {
 	_, err := fmt.Print(site.Example)
 	return err
--- a/cmd/ravenpond/table.go
+++ b/cmd/ravenpond/table.go
@@ -7,13 +7,13 @@
 	"text/tabwriter"
 )
 
-// table prints rows in aligned columns. Cells are separated by tabs. It keeps the first error until flush.
+// table prints rows in aligned columns. The cells of a row are separated by tabs. The first error is kept and returned by flush.
 type table struct {
 	out *tabwriter.Writer
 	err error
 }
 
-// newTable starts a table with a row of column titles.
+// newTable returns a table whose first row has the column titles.
 func newTable(out io.Writer, titles string) *table {
 	const padding = 2 // spaces between columns
 	t := &table{out: tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)}
@@ -28,5 +28,5 @@
 	}
 }
 
-// flush prints all rows.
+// flush prints all rows and returns the first error.
 func (t *table) flush() error { return errors.Join(t.err, t.out.Flush()) }
--- a/cmd/ravenpond/tenant.go
+++ b/cmd/ravenpond/tenant.go
@@ -15,39 +15,39 @@
 	"ravenpond/internal/state/tenants"
 )
 
-// tenantCommands change and show the tenants in a scheduler's state folder, also while it runs: it looks twice a second.
+// tenantCommands change and show the tenants in a scheduler's state folder. The scheduler may be running: it checks for changes twice a second.
 type tenantCommands struct {
 	Add    tenantAdd    `cmd:"" help:"Add a tenant."`
 	Limit  tenantLimit  `cmd:"" help:"Change a tenant's limits; those that are not given stay."`
-	Pause  tenantPause  `cmd:"" help:"Accept no new requests of a tenant; open requests and running tasks go on."`
-	Resume tenantResume `cmd:"" help:"Accept its requests again."`
-	Remove tenantRemove `cmd:"" help:"Remove a tenant: open requests are answered, running tasks run out or are stopped."`
+	Pause  tenantPause  `cmd:"" help:"Accept no new requests of a tenant; open requests and running tasks continue."`
+	Resume tenantResume `cmd:"" help:"Accept requests of a paused tenant again."`
+	Remove tenantRemove `cmd:"" help:"Remove a tenant; its open requests are still answered, its running tasks end by themselves or are stopped."`
 	List   tenantList   `cmd:"" help:"List tenants."`
 	Token  tenantToken  `cmd:"" help:"Issue a token for a tenant's clients. It is printed once and not stored."`
-	Revoke tenantRevoke `cmd:"" help:"Revoke a token by its id and close the connections that use it."`
-	Copy   tenantCopy   `cmd:"" help:"Copy the store into the state folders of a site's other processes."`
-	Log    tenantLog    `cmd:"" help:"Print the audit log of changes and verify its chain of codes."`
+	Revoke tenantRevoke `cmd:"" help:"Revoke a token by its ID and close the connections that use it."`
+	Copy   tenantCopy   `cmd:"" help:"Copy the store into the state folders of other scheduler processes of the site."`
+	Log    tenantLog    `cmd:"" help:"Verify the chain of authentication codes of the audit log, and print the log."`
 }
 
-// tenantFlags name the store of tenants.
+// tenantFlags locate the store of tenants.
 type tenantFlags struct {
-	Site  string `required:"" type:"existingfile" help:"The site file."`
-	State string `required:"" type:"path" help:"The scheduler's state folder."`
+	Site  string `required:"" type:"existingfile" help:"Site file."`
+	State string `required:"" type:"path" help:"State folder of the scheduler."`
 }
 
-// withStore opens the store, uses it and closes it; it waits while a scheduler reads the store.
+// withStore opens the store, calls do and closes the store. It retries while a scheduler has the store locked.
 func (f tenantFlags) withStore(do func(s *tenants.Store) error) error {
 	config, err := site.Load(f.Site)
 	if err != nil {
 		return err
 	}
 	if config.MaxHostedTenants == 0 {
-		return fmt.Errorf("site file %s: no <hosting>: its tenants are named there, and do not come and go", f.Site)
+		return fmt.Errorf("site file %s has no <hosting> element: its tenants are fixed in the file and cannot be changed by commands", f.Site)
 	}
 	return useStore(func() (*tenants.Store, error) { return tenants.Open(f.State, config.MaxHostedTenants) }, do)
 }
 
-// currentUser returns the name of the operating system's user, for the audit log.
+// currentUser returns the name of the operating system user, for the audit log.
 func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -63,7 +63,7 @@
 	Request string `help:"Idempotency key: a repeated request with the same key changes nothing and has the same answer."`
 }
 
-// apply makes a change and prints the state of the tenant after it.
+// apply applies a change and prints the resulting state of the tenant.
 func (f changeFlags) apply(change func(s *tenants.Store) (tenancy.Change, error)) error {
 	return f.withStore(func(s *tenants.Store) error {
 		c, err := change(s)
@@ -83,7 +83,7 @@
 	})
 }
 
-// changeOfKind returns a change without further arguments.
+// changeOfKind returns a function for apply that returns a change without further arguments.
 func changeOfKind(k tenancy.Kind) func(*tenants.Store) (tenancy.Change, error) {
 	return func(*tenants.Store) (tenancy.Change, error) { return tenancy.Change{Kind: k}, nil }
 }
@@ -91,13 +91,13 @@
 // tenantAdd adds a tenant.
 type tenantAdd struct {
 	changeFlags
-	Share          float64 `default:"1" help:"Share of the machines, relative to other tenants."`
-	Rate           float64 `help:"Requests a second; 0: no limit beside the share."`
-	Burst          float64 `default:"10" help:"Requests that may pass at once after an idle time, where there is a rate."`
-	MaxOpen        int     `name:"open" help:"Open requests; 0: no limit beside the capacity."`
-	QueueLength    int     `name:"wait" default:"1000" help:"Length of its queue, in requests; more are declined at once."`
-	MaxConnections int     `name:"conns" help:"Client connections; 0: by its share."`
-	Bytes          float64 `help:"Bytes a second from its clients; 0: the default."`
+	Share          float64 `default:"1" help:"Share of the machines, relative to the shares of other tenants."`
+	Rate           float64 `help:"Maximum rate, in requests per second; 0: limited only by the share."`
+	Burst          float64 `default:"10" help:"Maximum burst after an idle time, in requests; applies only with --rate."`
+	MaxOpen        int     `name:"open" help:"Maximum number of open requests; 0: limited only by the capacity."`
+	QueueLength    int     `name:"wait" default:"1000" help:"Maximum length of the tenant's queue, in requests; further requests are declined immediately."`
+	MaxConnections int     `name:"conns" help:"Maximum number of client connections; 0: derived from the share."`
+	Bytes          float64 `help:"Maximum bytes per second from the tenant's clients; 0: the default."`
 }
 
 // Run adds the tenant.
@@ -110,26 +110,26 @@
 	})
 }
 
-// tenantLimit changes limits of a tenant; those that are not given are nil.
+// tenantLimit changes limits of a tenant. A limit that was not given is nil.
 type tenantLimit struct {
 	changeFlags
-	Share          *float64 `help:"Share of the machines, relative to other tenants."`
-	Rate           *float64 `help:"Requests a second; 0: no limit beside the share."`
-	Burst          *float64 `help:"Requests that may pass at once after an idle time."`
-	MaxOpen        *int     `name:"open" help:"Open requests; 0: no limit beside the capacity."`
-	QueueLength    *int     `name:"wait" help:"Length of its queue, in requests."`
-	MaxConnections *int     `name:"conns" help:"Client connections; 0: by its share."`
-	Bytes          *float64 `help:"Bytes a second from its clients; 0: the default."`
+	Share          *float64 `help:"Share of the machines, relative to the shares of other tenants."`
+	Rate           *float64 `help:"Maximum rate, in requests per second; 0: limited only by the share."`
+	Burst          *float64 `help:"Maximum burst after an idle time, in requests."`
+	MaxOpen        *int     `name:"open" help:"Maximum number of open requests; 0: limited only by the capacity."`
+	QueueLength    *int     `name:"wait" help:"Maximum length of the tenant's queue, in requests."`
+	MaxConnections *int     `name:"conns" help:"Maximum number of client connections; 0: derived from the share."`
+	Bytes          *float64 `help:"Maximum bytes per second from the tenant's clients; 0: the default."`
 }
 
-// Run reads the limits, replaces the given ones and writes all.
+// Run reads the limits of the tenant, replaces the given ones and writes all of them.
 func (c *tenantLimit) Run() error {
 	return c.apply(func(s *tenants.Store) (tenancy.Change, error) {
 		all, err := s.Read()
 		if err != nil {
 			return tenancy.Change{}, err
 		}
-		t, _ := all.Tenants.Get(c.Name) // none: the change itself says so
+		t, _ := all.Tenants.Get(c.Name) // if there is none, applying the change returns the error
 		l := t.Limits
 		setIfGiven(&l.Share, c.Share)
 		setIfGiven(&l.Rate, c.Rate)
@@ -142,7 +142,7 @@
 	})
 }
 
-// setIfGiven copies a value that is not nil.
+// setIfGiven copies a value unless it is nil.
 func setIfGiven[T any](to *T, from *T) {
 	if from != nil {
 		*to = *from
@@ -164,10 +164,10 @@
 // tenantRemove removes a tenant.
 type tenantRemove struct {
 	changeFlags
-	Ending string `enum:"run-out,stop" default:"run-out" help:"Running tasks run out, or are stopped: run-out or stop."`
+	Ending string `enum:"run-out,stop" default:"run-out" help:"What becomes of running tasks: run-out lets them end by themselves, stop stops them."`
 }
 
-// Run begins the removal; running schedulers complete it.
+// Run starts the removal; the running schedulers complete it.
 func (c *tenantRemove) Run() error {
 	mode, invalid := tenancy.ParseRemovalMode(c.Ending)
 	if invalid != nil {
@@ -181,7 +181,7 @@
 // tenantList lists tenants.
 type tenantList struct {
 	tenantFlags
-	All bool `help:"Removed ones too."`
+	All bool `help:"List removed tenants too."`
 }
 
 // Run prints a table of the tenants.
@@ -214,13 +214,13 @@
 type tenantToken struct {
 	tenantFlags
 	Name     string        `arg:"" help:"The tenant's name."`
-	Lifetime time.Duration `name:"last" default:"2160h" help:"Validity."`
+	Lifetime time.Duration `name:"last" default:"2160h" help:"Time for which the token is valid."`
 }
 
 // Run issues the token and prints it.
 func (c *tenantToken) Run() error {
 	if c.Lifetime <= 0 {
-		return errors.New("--last: a time above 0 is expected")
+		return errors.New("--last must be above 0")
 	}
 	return c.withStore(func(s *tenants.Store) error {
 		token, err := s.IssueToken(time.Now(), currentUser(), c.Name, c.Lifetime)
@@ -234,10 +234,10 @@
 // tenantCopy copies the store.
 type tenantCopy struct {
 	tenantFlags
-	To []string `required:"" type:"path" help:"State folder of another process; may be given more than once."`
+	To []string `required:"" type:"path" help:"State folder of another scheduler process; may be given more than once."`
 }
 
-// Run copies the store into each folder; one that fails does not keep the others from it.
+// Run copies the store into each folder. A failure for one folder does not prevent the copies to the others.
 func (c *tenantCopy) Run() error {
 	return c.withStore(func(s *tenants.Store) (err error) {
 		for _, folder := range c.To {
@@ -250,7 +250,7 @@
 // tenantRevoke revokes a token.
 type tenantRevoke struct {
 	tenantFlags
-	ID string `arg:"" help:"Id of the token: the part before the dot."`
+	ID string `arg:"" help:"ID of the token: the part before the dot."`
 }
 
 // Run revokes the token.
@@ -261,10 +261,10 @@
 // tenantLog prints the audit log.
 type tenantLog struct {
 	tenantFlags
-	From uint64 `default:"1" help:"Number of the first record that is printed; all are verified."`
+	From uint64 `default:"1" help:"Number of the first record to print; all records are verified."`
 }
 
-// Run verifies all records and prints those from the given one on.
+// Run verifies all records and prints them, beginning with the number From.
 func (c *tenantLog) Run() error {
 	return c.withStore(func(s *tenants.Store) error {
 		out := newTable(os.Stdout, "no\tat\tby\twhat\ttenant\tafter it")
