--- a/cmd/ravenpond/ci_test.go
+++ b/cmd/ravenpond/ci_test.go
@@ -56,11 +56,11 @@
 // counts in its baseline, and counts in the baseline that are too high.
 func TestLint(t *testing.T) {
 	const (
-		clean    = "// Package planted has nothing to find.\npackage planted\n\n// Used is exported.\nfunc Used() {}\n"
-		faulty   = "// Package planted has an unused function.\npackage planted\n\nfunc unused() {}\n"
-		finding  = "planted/planted.go:4:6: func unused is unused (unused)"
-		unformed = "// Package planted is not formatted.\npackage planted\n\n// Used is exported.\nfunc  Used() {}\n"
-		broken   = "// Package planted does not compile.\npackage planted\n\n// Used is exported.\nfunc Used() { nowhere() }\n"
+		clean       = "// Package sample has nothing to find.\npackage sample\n\n// Used is exported.\nfunc Used() {}\n"
+		faulty      = "// Package sample has an unused function.\npackage sample\n\nfunc unused() {}\n"
+		finding     = "sample/sample.go:4:6: func unused is unused (unused)"
+		unformatted = "// Package sample is not formatted.\npackage sample\n\n// Used is exported.\nfunc  Used() {}\n"
+		broken      = "// Package sample does not compile.\npackage sample\n\n// Used is exported.\nfunc Used() { nowhere() }\n"
 	)
 	for _, c := range []struct {
 		name, source, baseline, packages string
@@ -69,21 +69,21 @@
 		{name: "clean", source: clean},
 		{name: "finding that is not listed", source: faulty, fails: finding},
 		{name: "listed count", source: faulty, baseline: "# a comment\nplanted unused 1\n"},
-		{name: "more findings than listed", source: faulty + "\nfunc another() {}\n", baseline: "planted unused 1\n", fails: finding},
-		{name: "fewer findings than listed", source: faulty, baseline: "planted unused 2\n", fails: "unused has 1 findings, 2 known"},
-		{name: "listed finding is gone", source: clean, baseline: "planted unused 1\n", fails: "unused has 0 findings, 1 known"},
+		{name: "more findings than listed", source: faulty + "\nfunc another() {}\n", baseline: "sample unused 1\n", fails: finding},
+		{name: "fewer findings than listed", source: faulty, baseline: "sample unused 2\n", fails: "unused has 1 findings, 2 known"},
+		{name: "listed finding is gone", source: clean, baseline: "sample unused 1\n", fails: "unused has 0 findings, 1 known"},
 		{name: "listed package is gone", source: clean, baseline: "gone unused 1\n", fails: "unused has 0 findings, 1 known"},
-		{name: "listed count of another linter", source: faulty, baseline: "planted errcheck 1\n", fails: finding},
-		{name: "listed count of a package that is not checked", source: clean, baseline: "other unused 1\n", packages: "./planted"},
+		{name: "listed count of another linter", source: faulty, baseline: "sample errcheck 1\n", fails: finding},
+		{name: "listed count of a package that is not checked", source: clean, baseline: "other unused 1\n", packages: "./sample"},
 		{name: "unknown package", source: clean, packages: "./nowhere", fails: "nowhere"},
-		{name: "not formatted", source: unformed, fails: "not formatted"},
-		{name: "not formatted, but listed", source: unformed, baseline: "planted gofumpt 1\n", fails: "a count above 0"},
+		{name: "not formatted", source: unformatted, fails: "not formatted"},
+		{name: "not formatted, but listed", source: unformatted, baseline: "sample gofumpt 1\n", fails: "a count above 0"},
 		{name: "does not compile", source: broken, fails: "nowhere"},
-		{name: "listed count of 0", source: clean, baseline: "planted unused 0\n", fails: "a count above 0"},
-		{name: "malformed line", source: clean, baseline: "planted unused\n", fails: "PACKAGE LINTER COUNT"},
+		{name: "listed count of 0", source: clean, baseline: "sample unused 0\n", fails: "a count above 0"},
+		{name: "malformed line", source: clean, baseline: "sample unused\n", fails: "PACKAGE LINTER COUNT"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			module, baseline := plantedModule(t, c.source), filepath.Join(t.TempDir(), "baseline.txt")
+			module, baseline := sampleModule(t, c.source), filepath.Join(t.TempDir(), "baseline.txt")
 			writeFile(t, baseline, c.baseline)
 			if c.packages == "" {
 				c.packages = "./..."
@@ -98,35 +98,35 @@
 		})
 	}
 	t.Run("no baseline file", func(t *testing.T) {
-		if out, err := runLint(t.Context(), plantedModule(t, clean), filepath.Join(t.TempDir(), "nowhere.txt"), "./..."); err == nil {
+		if out, err := runLint(t.Context(), sampleModule(t, clean), filepath.Join(t.TempDir(), "nowhere.txt"), "./..."); err == nil {
 			t.Errorf("the linter passes without a baseline file, want a failure; output: %s", out)
 		}
 	})
 	t.Run("update of the baseline", func(t *testing.T) {
-		module, baseline := plantedModule(t, faulty), filepath.Join(t.TempDir(), "baseline.txt")
+		module, baseline := sampleModule(t, faulty), filepath.Join(t.TempDir(), "baseline.txt")
 		writeFile(t, baseline, "other errcheck 3\nplanted unused 5\n")
-		if out, err := runLint(t.Context(), module, baseline, "-update", "./planted"); err != nil {
+		if out, err := runLint(t.Context(), module, baseline, "-update", "./sample"); err != nil {
 			t.Fatalf("%v: %s", err, out)
 		}
 		got, err := os.ReadFile(baseline)
 		if err != nil || !strings.HasSuffix(string(got), "\nother errcheck 3\nplanted unused 1\n") {
-			t.Errorf("got the updated baseline %s, error %v; want it to end with \"other errcheck 3\" and \"planted unused 1\"", got, err)
+			t.Errorf("got the updated baseline %s, error %v; want it to end with \"other errcheck 3\" and \"sample unused 1\"", got, err)
 		}
-		if out, err := runLint(t.Context(), module, baseline, "./planted"); err != nil {
+		if out, err := runLint(t.Context(), module, baseline, "./sample"); err != nil {
 			t.Errorf("the linter fails after the update: %v: %s", err, out)
 		}
 	})
 }
 
-// plantedModule creates a module with one package, planted, and returns its folder.
-func plantedModule(t *testing.T, source string) string {
+// sampleModule creates a module with one package, sample, and returns its folder.
+func sampleModule(t *testing.T, source string) string {
 	t.Helper()
 	module := t.TempDir()
 	writeFile(t, filepath.Join(module, "go.mod"), "module example.org/module\n\ngo 1.26.0\n")
-	if err := os.Mkdir(filepath.Join(module, "planted"), 0o750); err != nil {
+	if err := os.Mkdir(filepath.Join(module, "sample"), 0o750); err != nil {
 		t.Fatal(err)
 	}
-	writeFile(t, filepath.Join(module, "planted", "planted.go"), source)
+	writeFile(t, filepath.Join(module, "sample", "sample.go"), source)
 	return module
 }
 
--- a/cmd/ravenpond/commandline_test.go
+++ b/cmd/ravenpond/commandline_test.go
@@ -61,6 +61,7 @@
 	return fmt.Sprintf("%s %s default=%q enum=%q required=%v negatable=%q", v.Name, v.Target.Type(), v.Default, v.Enum, v.Required, v.Tag.Negatable)
 }
 
+// hiddenSuffix returns the mark that lines of hidden commands and flags have.
 func hiddenSuffix(is bool) string {
 	if is {
 		return " hidden"
@@ -73,6 +74,7 @@
 	return n != nil && (n.Hidden || isHidden(n.Parent))
 }
 
+// lineSet returns the set of lines of a text, without leading and trailing space.
 func lineSet(text string) map[string]bool {
 	lines := map[string]bool{}
 	for line := range strings.Lines(text) {
--- a/cmd/ravenpond/drain.go
+++ b/cmd/ravenpond/drain.go
@@ -61,7 +61,7 @@
 	return cal, err
 }
 
-// drainAdd adds windows and protected times.
+// drainAdd adds windows and protected times to the calendar.
 type drainAdd struct {
 	stateFlag
 	File     string        `arg:"" optional:"" help:"iCalendar file; - reads standard input."`
--- a/cmd/ravenpond/lab_script.go
+++ b/cmd/ravenpond/lab_script.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d asks, %d served, %d steps, %.1f s of virtual time\ntrace %016x\n", result.Requests, result.Served, result.Steps, result.VirtualMs/1000, result.Trace)
+	fmt.Printf("%d requests, %d served, %d steps, %.1f s of virtual time\ntrace %016x\n", result.Requests, result.Served, result.Steps, result.VirtualMs/1000, result.Trace)
 	if result.Failure != "" {
 		return errors.New(result.Failure)
 	}
--- a/cmd/ravenpond/lab_soak.go
+++ b/cmd/ravenpond/lab_soak.go
@@ -50,14 +50,14 @@
 		switch {
 		case r.err != nil:
 			broken++
-			fmt.Printf("seed %d, %.1f s: not played: %v\n", seed, r.took.Seconds(), r.err)
+			fmt.Printf("seed %d, %.1f s: could not be run: %v\n", seed, r.took.Seconds(), r.err)
 		case r.Failure != "":
 			broken++
 			fmt.Printf("seed %d, %.1f s: %.1500s\n", seed, r.took.Seconds(), r.Failure)
 		case r.Requests == 0: // the context ended before this seed was started
-			fmt.Printf("seed %d: not played\n", seed)
+			fmt.Printf("seed %d: not run\n", seed)
 		default:
-			fmt.Printf("seed %d, %.1f s: kept, %d asks, %d served, %d found again, %d sent once more\n", seed, r.took.Seconds(), r.Requests, r.Served,
+			fmt.Printf("seed %d, %.1f s: passed, %d requests, %d served, %d restored, %d resent\n", seed, r.took.Seconds(), r.Requests, r.Served,
 				r.Restored, r.Resent)
 		}
 	}
--- a/cmd/ravenpond/serve.go
+++ b/cmd/ravenpond/serve.go
@@ -146,7 +146,7 @@
 	return clientTLS, stop, err
 }
 
-// serveAdmin reloads the keys when they change, and serves the administration API if it has an address. It returns once the API accepts
+// serveAdmin rereads the keys at intervals, and serves the administration API if it has an address. It returns once the API accepts
 // calls. stop stops both and waits until they have ended.
 func (c *serveCommand) serveAdmin(ctx context.Context, config *site.Config, guard *keys.Guard, log zerolog.Logger) (stop func(), err error) {
 	openStore := func() (*tenants.Store, error) { return tenants.Open(c.State, config.MaxHostedTenants) }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -42,20 +42,20 @@
 
 func startServer(t *testing.T) *testServer {
 	t.Helper()
-	o := &testServer{t: t, dir: t.TempDir()}
+	ts := &testServer{t: t, dir: t.TempDir()}
 	var err error
-	if o.ca, err = keys.Init(filepath.Join(o.dir, "keys"), time.Now()); err != nil {
+	if ts.ca, err = keys.Init(filepath.Join(ts.dir, "keys"), time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	o.issue(keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}})
+	ts.issue(keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}})
 	for _, person := range identities {
-		o.issue(person)
+		ts.issue(person)
 	}
-	if o.guard, err = keys.NewGuard(filepath.Join(o.dir, "keys"), "server"); err != nil {
+	if ts.guard, err = keys.NewGuard(filepath.Join(ts.dir, "keys"), "server"); err != nil {
 		t.Fatal(err)
 	}
 	s := &Server{
-		Open: func() (*tenants.Store, error) { return tenants.Open(filepath.Join(o.dir, "state"), 8) }, Guard: o.guard,
+		Open: func() (*tenants.Store, error) { return tenants.Open(filepath.Join(ts.dir, "state"), 8) }, Guard: ts.guard,
 		Log: zerolog.Nop(), Now: time.Now,
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -67,36 +67,36 @@
 			t.Error(err)
 		}
 	})
-	o.addr = <-ready
-	return o
+	ts.addr = <-ready
+	return ts
 }
 
-func (o *testServer) issue(subject keys.Subject) {
-	o.t.Helper()
+func (ts *testServer) issue(subject keys.Subject) {
+	ts.t.Helper()
 	if subject.Lifetime == 0 {
 		subject.Lifetime = time.Hour
 	}
-	if _, err := o.ca.Issue(time.Now(), subject); err != nil {
-		o.t.Fatal(err)
+	if _, err := ts.ca.Issue(time.Now(), subject); err != nil {
+		ts.t.Fatal(err)
 	}
 }
 
-func (o *testServer) clientOf(name string) pb.TenantsClient {
-	o.t.Helper()
-	creds, err := keys.ClientCredentials(filepath.Join(o.dir, "keys"), name)
+func (ts *testServer) clientOf(name string) pb.TenantsClient {
+	ts.t.Helper()
+	creds, err := keys.ClientCredentials(filepath.Join(ts.dir, "keys"), name)
 	if err != nil {
-		o.t.Fatal(err)
+		ts.t.Fatal(err)
 	}
-	return o.clientWith(creds)
+	return ts.clientWith(creds)
 }
 
-func (o *testServer) clientWith(creds credentials.TransportCredentials) pb.TenantsClient {
-	o.t.Helper()
-	conn, err := grpc.NewClient(o.addr, grpc.WithTransportCredentials(creds))
+func (ts *testServer) clientWith(creds credentials.TransportCredentials) pb.TenantsClient {
+	ts.t.Helper()
+	conn, err := grpc.NewClient(ts.addr, grpc.WithTransportCredentials(creds))
 	if err != nil {
-		o.t.Fatal(err)
+		ts.t.Fatal(err)
 	}
-	o.t.Cleanup(func() { _ = conn.Close() })
+	ts.t.Cleanup(func() { _ = conn.Close() })
 	return pb.NewTenantsClient(conn)
 }
 
@@ -109,10 +109,10 @@
 }
 
 func TestRoles(t *testing.T) {
-	o := startServer(t)
-	op := o.clientOf("operator")
+	ts := startServer(t)
+	operator := ts.clientOf("operator")
 	for _, name := range []string{"a", "b"} {
-		if _, err := op.Add(shortContext(t), &pb.AddRequest{Name: name}); err != nil {
+		if _, err := operator.Add(shortContext(t), &pb.AddRequest{Name: name}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -160,7 +160,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for i := len(identities) - 1; i >= 0; i-- { // the identity with the most permissions is last, as it removes the tenant
-				err := c.call(o.clientOf(identities[i].Name), shortContext(t))
+				err := c.call(ts.clientOf(identities[i].Name), shortContext(t))
 				if want := c.permitted[i] == '+'; (err == nil) != want || !want && (status.Code(err) != codes.PermissionDenied ||
 					status.Convert(err).Message() != "not allowed") {
 					t.Errorf("call as %s: got error %v, want success or \"not allowed\" as the case says", identities[i].Name, err)
@@ -168,31 +168,31 @@
 			}
 		})
 	}
-	checkVisible(t, o)
+	checkVisible(t, ts)
 }
 
 // checkVisible checks how many of the tenants a and b are listed to each of identities.
-func checkVisible(t *testing.T, o *testServer) {
+func checkVisible(t *testing.T, ts *testServer) {
 	t.Helper()
 	for name, want := range map[string]int{"operator": 2, "reader": 2, "tenant-admin": 1, "tenant-reader": 1} {
-		if got, err := o.clientOf(name).List(shortContext(t), &pb.ListRequest{}); err != nil || len(got.Tenants) != want {
+		if got, err := ts.clientOf(name).List(shortContext(t), &pb.ListRequest{}); err != nil || len(got.Tenants) != want {
 			t.Errorf("list as %s: got %d tenants, want %d; error %v", name, len(got.GetTenants()), want, err)
 		}
 	}
 }
 
 func TestChanges(t *testing.T) {
-	o := startServer(t)
-	op, share := o.clientOf("operator"), 3.0
-	first, err := op.Add(shortContext(t), &pb.AddRequest{Name: "a", Limits: &pb.Limits{Share: &share}, RequestId: "r1"})
+	ts := startServer(t)
+	operator, share := ts.clientOf("operator"), 3.0
+	first, err := operator.Add(shortContext(t), &pb.AddRequest{Name: "a", Limits: &pb.Limits{Share: &share}, RequestId: "r1"})
 	if err != nil || first.Limits.GetShare() != 3 || first.Limits.GetWait() != int64(defaultLimits.MaxWaiting) || first.State != pb.State_ACTIVE {
 		t.Fatal(first, err)
 	}
-	if again, err := op.Add(shortContext(t), &pb.AddRequest{Name: "a", Limits: &pb.Limits{Share: &share}, RequestId: "r1"}); err != nil || again.Version != first.Version {
+	if again, err := operator.Add(shortContext(t), &pb.AddRequest{Name: "a", Limits: &pb.Limits{Share: &share}, RequestId: "r1"}); err != nil || again.Version != first.Version {
 		t.Error(again, err)
 	}
 	open, bad := int64(7), -1.0
-	if got, err := op.Limit(shortContext(t), &pb.LimitRequest{Name: "a", Limits: &pb.Limits{Open: &open, Conns: &open, Bytes: &share}, Version: 1}); err != nil ||
+	if got, err := operator.Limit(shortContext(t), &pb.LimitRequest{Name: "a", Limits: &pb.Limits{Open: &open, Conns: &open, Bytes: &share}, Version: 1}); err != nil ||
 		got.Limits.GetShare() != 3 || got.Limits.GetOpen() != 7 || got.Limits.GetConns() != 7 || got.Limits.GetBytes() != 3 {
 		t.Error(got, err)
 	}
@@ -203,36 +203,36 @@
 		field string
 	}{
 		{"request ID reused for another change", func() error {
-			_, err := op.Add(shortContext(t), &pb.AddRequest{Name: "b", RequestId: "r1"})
+			_, err := operator.Add(shortContext(t), &pb.AddRequest{Name: "b", RequestId: "r1"})
 			return err
 		}, codes.InvalidArgument, "request_id"},
 		{"negative share", func() error {
-			_, err := op.Add(shortContext(t), &pb.AddRequest{Name: "b", Limits: &pb.Limits{Share: &bad}})
+			_, err := operator.Add(shortContext(t), &pb.AddRequest{Name: "b", Limits: &pb.Limits{Share: &bad}})
 			return err
 		}, codes.InvalidArgument, "share"},
-		{"name already exists", func() error { _, err := op.Add(shortContext(t), &pb.AddRequest{Name: "a"}); return err }, codes.AlreadyExists, "name"},
+		{"name already exists", func() error { _, err := operator.Add(shortContext(t), &pb.AddRequest{Name: "a"}); return err }, codes.AlreadyExists, "name"},
 		{"outdated version", func() error {
-			_, err := op.Pause(shortContext(t), &pb.ChangeRequest{Name: "a", Version: 1})
+			_, err := operator.Pause(shortContext(t), &pb.ChangeRequest{Name: "a", Version: 1})
 			return err
 		}, codes.Aborted, "version"},
-		{"unknown tenant", func() error { _, err := op.Pause(shortContext(t), &pb.ChangeRequest{Name: "z"}); return err }, codes.NotFound, "name"},
+		{"unknown tenant", func() error { _, err := operator.Pause(shortContext(t), &pb.ChangeRequest{Name: "z"}); return err }, codes.NotFound, "name"},
 		{"unknown ending", func() error {
-			_, err := op.Remove(shortContext(t), &pb.RemoveRequest{Name: "a", Ending: 9})
+			_, err := operator.Remove(shortContext(t), &pb.RemoveRequest{Name: "a", Ending: 9})
 			return err
 		}, codes.InvalidArgument, "ending"},
 		{"token lifetime above the maximum", func() error {
-			_, err := op.IssueToken(shortContext(t), &pb.IssueTokenRequest{Name: "a", LastsS: 1 << 60})
+			_, err := operator.IssueToken(shortContext(t), &pb.IssueTokenRequest{Name: "a", LastsS: 1 << 60})
 			return err
 		}, codes.InvalidArgument, "lasts_s"},
-		{"page size above the maximum", func() error { _, err := op.List(shortContext(t), &pb.ListRequest{PageSize: 1e6}); return err }, codes.InvalidArgument, "page_size"},
+		{"page size above the maximum", func() error { _, err := operator.List(shortContext(t), &pb.ListRequest{PageSize: 1e6}); return err }, codes.InvalidArgument, "page_size"},
 		{"message too large", func() error {
-			_, err := op.Get(shortContext(t), &pb.GetRequest{Name: strings.Repeat("x", maxMessageBytes)})
+			_, err := operator.Get(shortContext(t), &pb.GetRequest{Name: strings.Repeat("x", maxMessageBytes)})
 			return err
 		}, codes.ResourceExhausted, ""},
 		{"deadline in the past", func() error {
 			ctx, stop := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 			defer stop()
-			_, err := op.Get(ctx, &pb.GetRequest{Name: "a"})
+			_, err := operator.Get(ctx, &pb.GetRequest{Name: "a"})
 			return err
 		}, codes.DeadlineExceeded, ""},
 	} {
@@ -240,21 +240,21 @@
 			checkStatus(t, c.call(), c.code, c.field)
 		})
 	}
-	checkPages(t, op)
-	checkRecord(t, op)
+	checkPages(t, operator)
+	checkRecord(t, operator)
 }
 
 // checkRecord issues and revokes a token, and reads a page of the audit log.
-func checkRecord(t *testing.T, op pb.TenantsClient) {
+func checkRecord(t *testing.T, operator pb.TenantsClient) {
 	t.Helper()
-	token, err := op.IssueToken(shortContext(t), &pb.IssueTokenRequest{Name: "a", LastsS: 60})
+	token, err := operator.IssueToken(shortContext(t), &pb.IssueTokenRequest{Name: "a", LastsS: 60})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := op.RevokeToken(shortContext(t), &pb.RevokeTokenRequest{Id: token.Token[:12]}); err != nil {
+	if _, err := operator.RevokeToken(shortContext(t), &pb.RevokeTokenRequest{Id: token.Token[:12]}); err != nil {
 		t.Error(err)
 	}
-	if got, err := op.Records(shortContext(t), &pb.RecordsRequest{From: 2, PageSize: 3}); err != nil || len(got.Records) != 3 || got.Next != 5 || got.Records[0].What != "limit" {
+	if got, err := operator.Records(shortContext(t), &pb.RecordsRequest{From: 2, PageSize: 3}); err != nil || len(got.Records) != 3 || got.Next != 5 || got.Records[0].What != "limit" {
 		t.Errorf("records from 2 on: got %+v, error %v; want 3 records, the first a limit, and 5 as the next", got, err)
 	}
 }
@@ -274,16 +274,16 @@
 }
 
 // checkPages adds six tenants to the existing one and lists all in pages of three.
-func checkPages(t *testing.T, op pb.TenantsClient) {
+func checkPages(t *testing.T, operator pb.TenantsClient) {
 	t.Helper()
 	for i := range 6 {
-		if _, err := op.Add(shortContext(t), &pb.AddRequest{Name: fmt.Sprint("t", i)}); err != nil {
+		if _, err := operator.Add(shortContext(t), &pb.AddRequest{Name: fmt.Sprint("t", i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	var names []string
 	for token, pages := "", 0; pages == 0 || token != ""; pages++ {
-		got, err := op.List(shortContext(t), &pb.ListRequest{PageSize: 3, PageToken: token})
+		got, err := operator.List(shortContext(t), &pb.ListRequest{PageSize: 3, PageToken: token})
 		if err != nil || pages > 5 {
 			t.Fatal(err)
 		}
@@ -299,10 +299,10 @@
 
 // TestCertificates connects with a valid certificate, and with certificates and TLS versions that must be rejected.
 func TestCertificates(t *testing.T) {
-	o := startServer(t)
-	folder := filepath.Join(o.dir, "keys")
-	o.issue(keys.Subject{Name: "expired", Role: access.Operator, Lifetime: time.Millisecond})
-	foreign, err := keys.Init(filepath.Join(o.dir, "foreign"), time.Now())
+	ts := startServer(t)
+	folder := filepath.Join(ts.dir, "keys")
+	ts.issue(keys.Subject{Name: "expired", Role: access.Operator, Lifetime: time.Millisecond})
+	foreign, err := keys.Init(filepath.Join(ts.dir, "foreign"), time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -325,13 +325,13 @@
 		{"operator", &tls.Config{Certificates: []tls.Certificate{pair(folder, "operator")}}, true},
 		{"no client certificate", &tls.Config{}, false},
 		{"expired certificate", &tls.Config{Certificates: []tls.Certificate{pair(folder, "expired")}}, false},
-		{"certificate of another authority", &tls.Config{Certificates: []tls.Certificate{pair(filepath.Join(o.dir, "foreign"), "operator")}}, false},
+		{"certificate of another authority", &tls.Config{Certificates: []tls.Certificate{pair(filepath.Join(ts.dir, "foreign"), "operator")}}, false},
 		{"the server's certificate", &tls.Config{Certificates: []tls.Certificate{pair(folder, "server")}}, false},
 		{"TLS 1.2", &tls.Config{Certificates: []tls.Certificate{pair(folder, "operator")}, MaxVersion: tls.VersionTLS12}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.conf.InsecureSkipVerify = true // the client's check of the server is not under test
-			_, err := o.clientWith(credentials.NewTLS(c.conf)).List(shortContext(t), &pb.ListRequest{})
+			_, err := ts.clientWith(credentials.NewTLS(c.conf)).List(shortContext(t), &pb.ListRequest{})
 			if (err == nil) != c.ok {
 				t.Error(err)
 			}
@@ -342,24 +342,24 @@
 // TestRevoked revokes the certificate of an open connection and rotates the authority's key while another connection is open. The first has
 // to be rejected and the second to stay open. A list of revocations that cannot be read must not readmit the revoked certificate.
 func TestRevoked(t *testing.T) {
-	o := startServer(t)
-	op, reader := o.clientOf("operator"), o.clientOf("reader")
-	for _, c := range []pb.TenantsClient{op, reader} {
+	ts := startServer(t)
+	operator, reader := ts.clientOf("operator"), ts.clientOf("reader")
+	for _, c := range []pb.TenantsClient{operator, reader} {
 		if _, err := c.List(shortContext(t), &pb.ListRequest{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := o.ca.Rotate(time.Now()); err != nil {
+	if err := ts.ca.Rotate(time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if err := o.ca.Revoke(time.Now(), "reader"); err != nil {
+	if err := ts.ca.Revoke(time.Now(), "reader"); err != nil {
 		t.Fatal(err)
 	}
-	o.issue(keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}}) // signed by the new key
-	o.issue(keys.Subject{Name: "new", Role: access.Operator})
+	ts.issue(keys.Subject{Name: "server", Hosts: []string{"127.0.0.1"}}) // signed by the new key
+	ts.issue(keys.Subject{Name: "new", Role: access.Operator})
 	refused := false
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end) && !refused; time.Sleep(20 * time.Millisecond) {
-		if _, err := op.List(shortContext(t), &pb.ListRequest{}); err != nil {
+		if _, err := operator.List(shortContext(t), &pb.ListRequest{}); err != nil {
 			t.Fatalf("the rotation of the key closed an open connection: %v", err)
 		}
 		_, err := reader.List(shortContext(t), &pb.ListRequest{})
@@ -369,17 +369,17 @@
 		t.Error("the connection of a revoked certificate is still accepted after 4 s")
 	}
 	for _, name := range []string{"operator", "new"} { // signed by the old key and by the new one
-		if _, err := o.clientOf(name).List(shortContext(t), &pb.ListRequest{}); err != nil {
+		if _, err := ts.clientOf(name).List(shortContext(t), &pb.ListRequest{}); err != nil {
 			t.Errorf("list as %s after the rotation: %v", name, err)
 		}
 	}
-	if err := os.WriteFile(filepath.Join(o.dir, "keys", "crl.pem"), []byte("x"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(ts.dir, "keys", "crl.pem"), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if o.guard.Load() == nil {
+	if ts.guard.Load() == nil {
 		t.Error("got no error for a malformed list of revocations")
 	}
-	if _, err := o.clientOf("reader").List(shortContext(t), &pb.ListRequest{}); err == nil {
+	if _, err := ts.clientOf("reader").List(shortContext(t), &pb.ListRequest{}); err == nil {
 		t.Error("a revoked certificate is accepted while the list of revocations is malformed")
 	}
 }
@@ -387,24 +387,24 @@
 // TestHalfOpen opens 200 connections that send nothing: they must not block calls on an open connection, nor a new connection once the
 // server has closed them.
 func TestHalfOpen(t *testing.T) {
-	o := startServer(t)
-	op := o.clientOf("operator")
-	if _, err := op.List(shortContext(t), &pb.ListRequest{}); err != nil {
+	ts := startServer(t)
+	operator := ts.clientOf("operator")
+	if _, err := operator.List(shortContext(t), &pb.ListRequest{}); err != nil {
 		t.Fatal(err)
 	}
 	for range 200 {
-		c, err := net.Dial("tcp", o.addr)
+		c, err := net.Dial("tcp", ts.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close() //nolint:errcheck // nothing was written to it
 	}
-	if _, err := op.List(shortContext(t), &pb.ListRequest{}); err != nil {
+	if _, err := operator.List(shortContext(t), &pb.ListRequest{}); err != nil {
 		t.Errorf("list on an open connection: %v", err)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 4*handshakeTimeout)
 	defer stop()
-	if _, err := o.clientOf("reader").List(ctx, &pb.ListRequest{}, grpc.WaitForReady(true)); err != nil {
+	if _, err := ts.clientOf("reader").List(ctx, &pb.ListRequest{}, grpc.WaitForReady(true)); err != nil {
 		t.Errorf("list on a new connection after the handshake time-out of the silent ones: %v", err)
 	}
 }
