--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -33,6 +33,7 @@
 	addr  string
 }
 
+// identities are the callers of the tests, one for each role.
 var identities = []keys.Subject{
 	{Name: "operator", Role: access.Operator},
 	{Name: "reader", Role: access.Reader},
@@ -40,6 +41,7 @@
 	{Name: "tenant-reader", Role: access.TenantReader, Tenant: "a"},
 }
 
+// startServer starts a server that serves until the test ends.
 func startServer(t *testing.T) *testServer {
 	t.Helper()
 	ts := &testServer{t: t, dir: t.TempDir()}
@@ -71,6 +73,7 @@
 	return ts
 }
 
+// issue issues a certificate, valid for an hour unless the subject has a lifetime.
 func (ts *testServer) issue(subject keys.Subject) {
 	ts.t.Helper()
 	if subject.Lifetime == 0 {
@@ -81,6 +84,7 @@
 	}
 }
 
+// clientOf returns a client that uses the certificate of the given name.
 func (ts *testServer) clientOf(name string) pb.TenantsClient {
 	ts.t.Helper()
 	creds, err := keys.ClientCredentials(filepath.Join(ts.dir, "keys"), name)
@@ -90,6 +94,7 @@
 	return ts.clientWith(creds)
 }
 
+// clientWith returns a client that uses the given credentials.
 func (ts *testServer) clientWith(creds credentials.TransportCredentials) pb.TenantsClient {
 	ts.t.Helper()
 	conn, err := grpc.NewClient(ts.addr, grpc.WithTransportCredentials(creds))
@@ -100,7 +105,7 @@
 	return pb.NewTenantsClient(conn)
 }
 
-// shortContext is a context that ends after four seconds.
+// shortContext returns a context that ends after four seconds.
 func shortContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), 4*time.Second)
