--- a/cmd/ravenpond/ci_test.go
+++ b/cmd/ravenpond/ci_test.go
@@ -68,7 +68,7 @@
 	}{
 		{name: "clean", source: clean},
 		{name: "finding that is not listed", source: faulty, fails: finding},
-		{name: "listed count", source: faulty, baseline: "# a comment\nplanted unused 1\n"},
+		{name: "listed count", source: faulty, baseline: "# a comment\nsample unused 1\n"},
 		{name: "more findings than listed", source: faulty + "\nfunc another() {}\n", baseline: "sample unused 1\n", fails: finding},
 		{name: "fewer findings than listed", source: faulty, baseline: "sample unused 2\n", fails: "unused has 1 findings, 2 known"},
 		{name: "listed finding is gone", source: clean, baseline: "sample unused 1\n", fails: "unused has 0 findings, 1 known"},
@@ -104,12 +104,12 @@
 	})
 	t.Run("update of the baseline", func(t *testing.T) {
 		module, baseline := sampleModule(t, faulty), filepath.Join(t.TempDir(), "baseline.txt")
-		writeFile(t, baseline, "other errcheck 3\nplanted unused 5\n")
+		writeFile(t, baseline, "other errcheck 3\nsample unused 5\n")
 		if out, err := runLint(t.Context(), module, baseline, "-update", "./sample"); err != nil {
 			t.Fatalf("%v: %s", err, out)
 		}
 		got, err := os.ReadFile(baseline)
-		if err != nil || !strings.HasSuffix(string(got), "\nother errcheck 3\nplanted unused 1\n") {
+		if err != nil || !strings.HasSuffix(string(got), "\nother errcheck 3\nsample unused 1\n") {
 			t.Errorf("got the updated baseline %s, error %v; want it to end with \"other errcheck 3\" and \"sample unused 1\"", got, err)
 		}
 		if out, err := runLint(t.Context(), module, baseline, "./sample"); err != nil {
--- a/cmd/ravenpond/lab_tenants.go
+++ b/cmd/ravenpond/lab_tenants.go
@@ -46,7 +46,7 @@
 }
 
 // Run runs the rounds and prints the result. It returns an error if a removal was not completed, attempts are still held at nodes, a
-// request got no answer though the scheduler lived, or a task of the service scoring was started twice.
+// request got no answer though the scheduler lived, or a task of the job class scoring was started twice.
 func (c *removalsCommand) Run(ctx context.Context) error {
 	if c.Rounds < 1 || c.TenantsPerRound < 1 || c.RequestsPerTenant < 1 || c.Nodes < 1 {
 		return errors.New("--rounds, --each, --asks and --nodes must be above 0")
