--- a/cmd/ravenpond/lab.go
+++ b/cmd/ravenpond/lab.go
@@ -30,7 +30,7 @@
 	Replay      replayCommand       `cmd:"" help:"Simulate a script and check the rules."`
 	Compare     compareCommand      `cmd:"" help:"Compare two placement policies on the same simulated days."`
 	Order       orderCommand        `cmd:"" help:"Rank the placement policies for each kind of fault, on simulated days."`
-	Tenants     tenantLoadCommand   `cmd:"" help:"Measure how a tenant that floods the scheduler affects the others."`
+	Tenants     tenantLoadCommand   `cmd:"" help:"Measure how a tenant that floods the scheduler affects the others, with and without fair queueing."`
 	Removals    removalsCommand     `cmd:"" help:"Remove tenants under load while the scheduler is killed and restarted, and check the removals."`
 	Grow        growCommand         `cmd:"" help:"Simulate days without faults at growing cluster sizes and print their cost."`
 	ScaleFit    scaleFitCommand     `cmd:"" help:"Fit lines and models to the results of scale runs."`
--- a/cmd/ravenpond/lab_tenants.go
+++ b/cmd/ravenpond/lab_tenants.go
@@ -9,19 +9,20 @@
 	"ravenpond/internal/lab/tenants"
 )
 
-// tenantLoadCommand measures how a tenant that floods the scheduler affects the others.
+// tenantLoadCommand measures how a tenant that floods the scheduler affects the other tenants.
 type tenantLoadCommand struct {
 	Tenants     int           `default:"20" help:"Number of tenants."`
 	Nodes       int           `default:"20" help:"Number of stand-in nodes, of 32 cores each."`
 	Shards      int           `default:"2" help:"Number of shards of the scheduler."`
 	FloodFactor float64       `name:"flood" default:"10" help:"Load of the first tenant, as a multiple of its share."`
-	Reconnects  bool          `name:"returns" default:"true" negatable:"" help:"Let a client without a token reconnect all the time during the flood."`
+	Reconnects  bool          `name:"returns" default:"true" negatable:"" help:"Let a client without a token reconnect all the time."`
 	Duration    time.Duration `name:"last" default:"10s" help:"Length of each measurement."`
 	Seed        uint64        `default:"1" help:"Seed of the arrivals."`
 	HalfOpen    int           `name:"half-open" help:"Number of TLS handshakes that are begun and never completed; measures these instead of the flood."`
 }
 
-// Run measures once without and once with the flood and prints a table of both, or measures the effect of incomplete handshakes.
+// Run prints a table of three measurements: without the flood, with the flood and fair queueing, and with the flood but without fair queueing.
+// With --half-open it measures the effect of incomplete handshakes instead.
 func (c *tenantLoadCommand) Run(ctx context.Context) error {
 	if c.Tenants < 2 || c.Nodes < 1 || c.Shards < 1 || !(c.FloodFactor > 0) || c.Duration <= 0 {
 		return errors.New("--tenants must be at least 2; --nodes, --shards, --flood and --last must be above 0")
