--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -58,7 +58,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.Contains(string(log), "window w: 4 nodes drain") {
+		if strings.Contains(string(log), "window w: draining 4 nodes until") {
 			opened++
 		}
 	}
