--- a/internal/lab/drill/calendar.go
+++ b/internal/lab/drill/calendar.go
@@ -13,7 +13,7 @@
 )
 
 // saveWindows puts the day's windows into a scheduler's calendar, before its first life begins.
-func (p *player) saveWindows(folder string) error {
+func (p *drillRun) saveWindows(folder string) error {
 	if len(p.Day.windows) == 0 || maintenancestore.Exists(folder) {
 		return nil
 	}
@@ -25,7 +25,7 @@
 }
 
 // calendar holds the day's windows.
-func (p *player) calendar() *calendar.Calendar {
+func (p *drillRun) calendar() *calendar.Calendar {
 	cal := &calendar.Calendar{}
 	for _, w := range p.Day.windows {
 		win := calendar.Window{
@@ -41,7 +41,7 @@
 }
 
 // checkWindows refuses a day whose windows the calendar would not keep: what is out is then known beforehand.
-func (p *player) checkWindows() error {
+func (p *drillRun) checkWindows() error {
 	if len(p.Day.windows) == 0 {
 		return nil
 	}
@@ -63,15 +63,15 @@
 }
 
 // wallTime is a time of the day on the wall clock, in whole seconds as a calendar has them.
-func (p *player) wallTime(ms float64) time.Time {
+func (p *drillRun) wallTime(ms float64) time.Time {
 	return p.startedAt.Add(time.Duration(ms * 1e6)).UTC().Truncate(time.Second)
 }
 
 // recordWindows records when the calendar takes nodes out and brings them back.
-func (p *player) recordWindows() {
+func (p *drillRun) recordWindows() {
 	for _, w := range p.Day.windows {
-		mark := func(at time.Time, word string) {
-			p.run(func() {
+		recordAt := func(at time.Time, word string) {
+			p.startBackground(func() {
 				if !p.sleep(float64(time.Until(at)) / 1e6) {
 					return
 				}
@@ -85,7 +85,7 @@
 				}
 			})
 		}
-		mark(p.wallTime(w.at-w.lead), "out") // from here on the grace runs
-		mark(p.wallTime(w.at+w.duration).Add(-time.Second), "back")
+		recordAt(p.wallTime(w.at-w.lead), "out") // from here on the grace runs
+		recordAt(p.wallTime(w.at+w.duration).Add(-time.Second), "back")
 	}
 }
--- a/internal/lab/drill/demand.go
+++ b/internal/lab/drill/demand.go
@@ -7,7 +7,7 @@
 	"ravenpond/internal/standin"
 )
 
-func (p *player) demandFactor(tenant string) float64 {
+func (p *drillRun) demandFactor(tenant string) float64 {
 	if f, ok := p.tenantFactors[tenant]; ok {
 		return f
 	}
@@ -15,7 +15,7 @@
 }
 
 // totalDemand is the sum of the tenants' shares, floods included; under the lock.
-func (p *player) totalDemand() (total float64) {
+func (p *drillRun) totalDemand() (total float64) {
 	for i, share := range p.Deployment.Shares {
 		total += share * p.demandFactor(p.Deployment.Tenants[i])
 	}
@@ -23,7 +23,7 @@
 }
 
 // requestTask makes one allocation wanted, by an owner at some scheduler.
-func (p *player) requestTask(begin float64) {
+func (p *drillRun) requestTask(begin float64) {
 	p.mu.Lock()
 	x, tenant := p.rng.Float64()*p.totalDemand(), 0
 	for i, share := range p.Deployment.Shares {
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -16,7 +16,7 @@
 // TestMain lets the test's own program be the scheduler process that a drill starts and kills.
 func TestMain(m *testing.M) { spawn.Main(m.Run) }
 
-const shortTroubles = `
+const shortFaults = `
   <window name="w" at="9s" lead="3s" for="5s" cell="quay-1"/>
   <trouble kind="list-away" at="2500ms" for="3s"/>
   <trouble kind="answers-lost" at="3s" for="2s" part="0.3" size="0.8"/>
@@ -35,7 +35,7 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	text := DefaultDay[:strings.Index(DefaultDay, "  <window")] + shortTroubles
+	text := DefaultDay[:strings.Index(DefaultDay, "  <window")] + shortFaults
 	text = strings.NewReplacer(`lasts="62s"`, `lasts="23s"`, `rate="34"`, `rate="60"`).Replace(text)
 	day, faults := ReadDay(strings.NewReader(text), place)
 	if len(faults) > 0 {
--- a/internal/lab/drill/faults.go
+++ b/internal/lab/drill/faults.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	raisedUse       = 1.2 // by which tasks use more under raised demand
+	raisedUseFactor = 1.2 // by which tasks use more under raised demand
 	restartAttempts = 20
 	restartPause    = 20  // ms between two attempts to restart a node
 	restartTime     = 300 // ms over which the nodes of a fault restart
@@ -17,7 +17,7 @@
 )
 
 // pickNodes draws a part of the nodes, of one zone if that is named.
-func (p *player) pickNodes(tr faultSpec, rng *rand.Rand) []*standin.Node {
+func (p *drillRun) pickNodes(tr faultSpec, rng *rand.Rand) []*standin.Node {
 	var all []*standin.Node
 	p.mu.Lock()
 	nodes := slices.Clone(p.nodes)
@@ -32,13 +32,13 @@
 }
 
 // withFault lets machines suffer for a while.
-func (p *player) withFault(nodes []*standin.Node, last float64, on, off func(n *standin.Node)) {
-	p.forEach(nodes, on)
-	p.sleep(last)
-	p.forEach(nodes, off)
+func (p *drillRun) withFault(nodes []*standin.Node, duration float64, begin, end func(n *standin.Node)) {
+	p.forEach(nodes, begin)
+	p.sleep(duration)
+	p.forEach(nodes, end)
 }
 
-func (p *player) forEach(nodes []*standin.Node, f func(n *standin.Node)) {
+func (p *drillRun) forEach(nodes []*standin.Node, f func(n *standin.Node)) {
 	p.testbed.WithLock(func(float64) {
 		for _, n := range nodes {
 			f(n)
@@ -48,7 +48,7 @@
 
 // injection is a fault of the day while it lasts.
 type injection struct {
-	*player
+	*drillRun
 	faultSpec
 	rng   *rand.Rand
 	nodes []*standin.Node // that it hits
@@ -97,10 +97,10 @@
 }
 
 // inject has a fault happen, and returns when it is over.
-func (p *player) inject(f faultSpec, rng *rand.Rand) {
+func (p *drillRun) inject(f faultSpec, rng *rand.Rand) {
 	kind := FaultKinds[f.kind]
 	p.Logf("%6.1f s  %s begins", p.testbed.Now()/1000, kind)
-	in := &injection{player: p, faultSpec: f, rng: rng, nodes: p.pickNodes(f, rng)}
+	in := &injection{drillRun: p, faultSpec: f, rng: rng, nodes: p.pickNodes(f, rng)}
 	injectors[kind](in)
 	if !in.aborted {
 		p.Logf("%6.1f s  %s is over", p.testbed.Now()/1000, kind)
@@ -122,15 +122,15 @@
 
 // raiseDemand multiplies the rate of requests by the size, and has tasks use more.
 func (in *injection) raiseDemand() {
-	p := in.player
+	p := in.drillRun
 	p.locked(func() { p.rateFactor = in.size })
-	p.withFault(p.nodes, in.duration, func(n *standin.Node) { n.Machine.UseFactor = raisedUse }, func(n *standin.Node) { n.Machine.UseFactor = 1 })
+	p.withFault(p.nodes, in.duration, func(n *standin.Node) { n.Machine.UseFactor = raisedUseFactor }, func(n *standin.Node) { n.Machine.UseFactor = 1 })
 	p.locked(func() { p.rateFactor = 1 })
 }
 
 // floodTenant multiplies the requests of a tenant by the size.
 func (in *injection) floodTenant() {
-	p, tenant := in.player, in.tenant
+	p, tenant := in.drillRun, in.tenant
 	if tenant == "" {
 		tenant = p.Deployment.Tenants[0]
 	}
@@ -187,7 +187,7 @@
 
 // grow adds nodes, as many as the size says of those that are there.
 func (in *injection) grow() {
-	p := in.player
+	p := in.drillRun
 	for range int(in.size * float64(len(p.nodes))) {
 		group := p.Day.nodeGroups[in.rng.IntN(len(p.Day.nodeGroups))]
 		p.mu.Lock()
@@ -204,7 +204,7 @@
 	}
 }
 
-func (p *player) locked(f func()) {
+func (p *drillRun) locked(f func()) {
 	p.mu.Lock()
 	f()
 	p.mu.Unlock()
--- a/internal/lab/drill/process.go
+++ b/internal/lab/drill/process.go
@@ -26,7 +26,7 @@
 }
 
 // startProcess starts a scheduler process and waits until owners may connect.
-func (p *player) startProcess(pr *process) error {
+func (p *drillRun) startProcess(pr *process) error {
 	state := filepath.Join(p.OutDir, pr.name)
 	file := filepath.Join(p.OutDir, pr.name+".address")
 	if pr.log == nil {
@@ -59,7 +59,7 @@
 }
 
 // kill ends the process by a signal and waits for its end.
-func (pr *process) kill(p *player, sig syscall.Signal) {
+func (pr *process) kill(p *drillRun, sig syscall.Signal) {
 	pr.mu.Lock()
 	cmd := pr.command
 	pr.command, pr.address = nil, ""
@@ -72,9 +72,9 @@
 		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: pr.name})
 	}
 	_ = cmd.Process.Signal(sig)
-	limit := time.AfterFunc(8*time.Second, func() { _ = cmd.Process.Kill() })
+	killTimer := time.AfterFunc(8*time.Second, func() { _ = cmd.Process.Kill() })
 	err := cmd.Wait()
-	limit.Stop()
+	killTimer.Stop()
 	if sig != syscall.SIGKILL {
 		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: pr.name})
 		if err != nil {
@@ -84,11 +84,11 @@
 }
 
 // injectProcessFault kills scheduler processes and starts them again, or makes them stand still.
-func (p *player) injectProcessFault(tr faultSpec, kills bool, rng *rand.Rand) {
-	hit := slices.Clone(p.processes)
-	rng.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
-	for _, pr := range hit[:min(len(hit), int(tr.fraction*float64(len(hit))+0.5))] {
-		if kills {
+func (p *drillRun) injectProcessFault(f faultSpec, kill bool, rng *rand.Rand) {
+	selected := slices.Clone(p.processes)
+	rng.Shuffle(len(selected), func(i, j int) { selected[i], selected[j] = selected[j], selected[i] })
+	for _, pr := range selected[:min(len(selected), int(f.fraction*float64(len(selected))+0.5))] {
+		if kill {
 			pr.kill(p, syscall.SIGKILL)
 			if !p.sleep(250) {
 				return
@@ -106,7 +106,7 @@
 		}
 		_ = cmd.Process.Signal(syscall.SIGSTOP)
 		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerPaused, Scheduler: pr.name})
-		p.sleep(tr.duration)
+		p.sleep(f.duration)
 		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerResumed, Scheduler: pr.name})
 		_ = cmd.Process.Signal(syscall.SIGCONT)
 	}
--- a/internal/lab/drill/report.go
+++ b/internal/lab/drill/report.go
@@ -18,7 +18,7 @@
 }
 
 // rules are the site's, as the auditor takes them.
-func (p *player) rules() audit.Rules {
+func (p *drillRun) rules() audit.Rules {
 	cl := &p.Deployment.Cluster
 	r := audit.Rules{
 		Nodes: map[uint32]audit.Location{}, DrainGrace: p.Deployment.DrainGrace, ListPolled: cl.PollsList,
@@ -42,7 +42,7 @@
 }
 
 // table counts asks by the trouble in which they were made.
-func (p *player) table() []outcomeRow {
+func (p *drillRun) table() []outcomeRow {
 	rows := []outcomeRow{{name: "whole day"}}
 	for _, w := range p.Day.windows {
 		rows = append(rows, outcomeRow{name: "window " + w.name})
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -30,7 +30,7 @@
 	Logf       func(format string, args ...any)
 }
 
-type player struct {
+type drillRun struct {
 	Drill
 	ctx           context.Context
 	env           *env.Real
@@ -60,7 +60,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	real := env.NewReal()
-	p := &player{
+	p := &drillRun{
 		Drill: d, ctx: ctx, env: real, testbed: standin.NewTestbed(real), rng: rand.New(rand.NewPCG(d.Seed, 3)),
 		groups: map[string]*standin.Group{}, startedAt: time.Now().Add(time.Second), rateFactor: 1, tenantFactors: map[string]float64{},
 	}
@@ -89,7 +89,7 @@
 	return res, audit.Write(f, records)
 }
 
-func (p *player) start() error {
+func (p *drillRun) start() error {
 	for _, f := range p.Day.nodeGroups {
 		for i := range f.nodes {
 			if err := p.addNode(f, i, false); err != nil {
@@ -126,7 +126,7 @@
 }
 
 // shutDown waits for all that runs in this process and ends what runs beside it.
-func (p *player) shutDown() {
+func (p *drillRun) shutDown() {
 	for _, pr := range p.processes {
 		pr.kill(p, syscall.SIGKILL)
 		if pr.log != nil {
@@ -137,7 +137,7 @@
 	p.env.Close(time.Second)
 }
 
-func (p *player) addNode(f nodeGroup, i int, cold bool) error {
+func (p *drillRun) addNode(f nodeGroup, i int, cold bool) error {
 	cl, d := &p.Deployment.Cluster, p.Day
 	mk := standin.MachineConfig{
 		Cores: cl.KindCores[f.kind], Memory: cl.KindMemory[f.kind], CoresLimit: cl.CoresOvercommit,
@@ -173,13 +173,13 @@
 	return nil
 }
 
-func (p *player) addError(err error) {
+func (p *drillRun) addError(err error) {
 	p.mu.Lock()
 	p.errs = append(p.errs, err)
 	p.mu.Unlock()
 }
 
-func (p *player) run(f func()) {
+func (p *drillRun) startBackground(f func()) {
 	p.background.Add(1)
 	go func() {
 		defer p.background.Done()
@@ -188,7 +188,7 @@
 }
 
 // sleep waits and tells whether the day goes on.
-func (p *player) sleep(ms float64) bool {
+func (p *drillRun) sleep(ms float64) bool {
 	select {
 	case <-p.ctx.Done():
 		return false
@@ -198,12 +198,12 @@
 }
 
 // play lets wants come, in an open loop, and troubles strike at their times.
-func (p *player) play() {
+func (p *drillRun) play() {
 	begin := p.testbed.Now()
 	p.recordWindows()
 	for _, tr := range p.Day.faults {
 		rng := rand.New(rand.NewPCG(p.Seed, uint64(tr.line)))
-		p.run(func() {
+		p.startBackground(func() {
 			if p.sleep(tr.at) {
 				p.inject(tr, rng)
 			}
@@ -226,7 +226,7 @@
 }
 
 // awaitResponses waits until every ask is answered or overdue.
-func (p *player) awaitResponses() { p.sleep(p.Day.settleTime) }
+func (p *drillRun) awaitResponses() { p.sleep(p.Day.settleTime) }
 
 // Interrupted is a context that ends when the process is told to.
 func Interrupted() (context.Context, context.CancelFunc) {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -91,12 +91,12 @@
 // run is a trial that is under way.
 type run struct {
 	Trial
-	testbed *standin.Testbed
-	nodes   []*standin.Node
-	clients []*standin.Client
-	rng     *rand.Rand
-	sent    int                // requests
-	meantAt map[uint64]float64 // when each request was meant to be sent, by its token, ms
+	testbed     *standin.Testbed
+	nodes       []*standin.Node
+	clients     []*standin.Client
+	rng         *rand.Rand
+	sent        int                // requests
+	scheduledAt map[uint64]float64 // when each request was meant to be sent, by its token, ms
 }
 
 // Run plays a trial: it starts nodes, the list, the scheduler process and clients, loads the scheduler and stops all.
@@ -109,7 +109,7 @@
 	}
 	environment := env.NewReal()
 	defer environment.Close(time.Second)
-	r := &run{Trial: tr, testbed: standin.NewTestbed(environment), rng: rand.New(rand.NewPCG(tr.Seed, 5)), meantAt: map[uint64]float64{}}
+	r := &run{Trial: tr, testbed: standin.NewTestbed(environment), rng: rand.New(rand.NewPCG(tr.Seed, 5)), scheduledAt: map[uint64]float64{}}
 	var err error
 	if r.nodes, err = startNodes(r.testbed, config, tr); err != nil {
 		return nil, err
@@ -184,7 +184,7 @@
 		time.Sleep(time.Until(since.Add(time.Duration(at * 1e9))))
 		key, service := fmt.Sprint("k", r.sent), fmt.Sprint("s", r.sent%r.Services)
 		token := serve.Token("t", key)
-		r.meantAt[token] = begin + at*1000
+		r.scheduledAt[token] = begin + at*1000
 		r.clients[r.sent%r.Clients].Request(&standin.Demand{
 			Key: key, Tenant: "t", JobType: "work", Service: service, Token: token, ServiceKey: serve.Service("t", service), Cores: 0.5, Memory: 1,
 			Timeout: requestTimeout, LatencyObjective: objectiveMs, GiveUpAt: r.testbed.Now() + giveUpAfter,
@@ -203,7 +203,7 @@
 		OfferLatency: hdrhistogram.New(1, 1e7, 3), StartLatency: hdrhistogram.New(1, 1e7, 3),
 	}
 	time.Sleep(answerTime)
-	f.addRecords(r.testbed.Trace.Records(), r.meantAt, from, to)
+	f.addRecords(r.testbed.Trace.Records(), r.scheduledAt, from, to)
 	return f
 }
 
@@ -258,22 +258,22 @@
 
 // addRecords takes the times of asks made between two times from the trace. They count from when an ask was meant to be made:
 // a load tool that is held up itself must not hide how long its asks waited.
-func (f *Figures) addRecords(records []audit.Record, meant map[uint64]float64, from, to float64) {
-	asked := map[uint64]float64{}
-	ref := map[[2]uint64]float64{}
+func (f *Figures) addRecords(records []audit.Record, scheduled map[uint64]float64, from, to float64) {
+	requestedAt := map[uint64]float64{}
+	requestedAtByRef := map[[2]uint64]float64{}
 	for _, r := range records {
 		switch r.Kind {
 		case audit.RequestSent:
 			if r.At >= from && r.At < to {
-				asked[r.Token] = meant[r.Token]
-				ref[[2]uint64{uint64(r.Client), r.RequestRef}] = meant[r.Token]
+				requestedAt[r.Token] = scheduled[r.Token]
+				requestedAtByRef[[2]uint64{uint64(r.Client), r.RequestRef}] = scheduled[r.Token]
 			}
 		case audit.PlacementReceived:
-			if at, ok := asked[r.Token]; ok && r.Attempt == 0 {
+			if at, ok := requestedAt[r.Token]; ok && r.Attempt == 0 {
 				_ = f.OfferLatency.RecordValue(int64((r.At - at) * 1000)) // beyond 10 s is not told apart
 			}
 		case audit.ResponseReceived:
-			at, ok := ref[[2]uint64{uint64(r.Client), r.RequestRef}]
+			at, ok := requestedAtByRef[[2]uint64{uint64(r.Client), r.RequestRef}]
 			if !ok {
 				continue
 			}
--- a/internal/lab/load/ramp.go
+++ b/internal/lab/load/ramp.go
@@ -23,8 +23,8 @@
 // FindCapacity looks for the highest load, asks a second, that keeps a service: doubled from a first one as long as it does, then
 // halved in until the next step is less than a part of it. One trial that fails is tried once more, as machines have
 // hiccups. try runs a trial.
-func FindCapacity(ctx context.Context, first, part float64, s Objective, try func(rate float64) (*Figures, error), out io.Writer) (float64, error) {
-	keeps := func(rate float64) (bool, error) {
+func FindCapacity(ctx context.Context, first, precision float64, s Objective, try func(rate float64) (*Figures, error), out io.Writer) (float64, error) {
+	meets := func(rate float64) (bool, error) {
 		for range 2 {
 			f, err := try(rate)
 			if err != nil {
@@ -39,7 +39,7 @@
 	}
 	low, high := 0.0, first
 	for {
-		ok, err := keeps(high)
+		ok, err := meets(high)
 		if err != nil {
 			return low, err
 		}
@@ -51,9 +51,9 @@
 	if low == 0 {
 		return 0, fmt.Errorf("%.0f asks a second are too many already", first)
 	}
-	for high-low > part*low && ctx.Err() == nil {
+	for high-low > precision*low && ctx.Err() == nil {
 		mid := (low + high) / 2
-		ok, err := keeps(mid)
+		ok, err := meets(mid)
 		if err != nil {
 			return low, err
 		}
--- a/internal/lab/load/ramp_test.go
+++ b/internal/lab/load/ramp_test.go
@@ -13,38 +13,38 @@
 	"ravenpond/internal/audit"
 )
 
-// TestRamp finds what a made-up scheduler carries, that has a hiccup now and then.
-func TestRamp(t *testing.T) {
-	service := Objective{StartP99: 50 * time.Millisecond, ServedFraction: 0.99}
-	for _, carries := range []float64{130, 999, 5000, 7777} {
+// TestFindCapacity finds what a made-up scheduler carries, that has a hiccup now and then.
+func TestFindCapacity(t *testing.T) {
+	objective := Objective{StartP99: 50 * time.Millisecond, ServedFraction: 0.99}
+	for _, capacity := range []float64{130, 999, 5000, 7777} {
 		trials := 0
-		got, err := FindCapacity(context.Background(), 100, 0.05, service, func(rate float64) (*Figures, error) {
+		got, err := FindCapacity(context.Background(), 100, 0.05, objective, func(rate float64) (*Figures, error) {
 			trials++
 			f := &Figures{Requests: 1000, Served: 1000, StartLatency: hdrhistogram.New(1, 1e7, 3), OfferLatency: hdrhistogram.New(1, 1e7, 3)}
-			late := int64(20000)
-			if rate > carries || trials%5 == 0 {
-				late = 80000
+			latency := int64(20000)
+			if rate > capacity || trials%5 == 0 {
+				latency = 80000
 			}
-			return f, f.StartLatency.RecordValue(late)
+			return f, f.StartLatency.RecordValue(latency)
 		}, io.Discard)
-		if err != nil || got > carries || got < carries*0.9 || trials > 40 {
-			t.Errorf("carries %g: found %g after %d trials, %v", carries, got, trials, err)
+		if err != nil || got > capacity || got < capacity*0.9 || trials > 40 {
+			t.Errorf("carries %g: found %g after %d trials, %v", capacity, got, trials, err)
 		}
 	}
-	if _, err := FindCapacity(context.Background(), 100, 0.05, service, func(float64) (*Figures, error) {
+	if _, err := FindCapacity(context.Background(), 100, 0.05, objective, func(float64) (*Figures, error) {
 		return &Figures{Requests: 10, Served: 5, Other: 5, StartLatency: hdrhistogram.New(1, 10, 1), OfferLatency: hdrhistogram.New(1, 10, 1)}, nil
 	}, io.Discard); err == nil {
 		t.Error("a load that was never carried was found")
 	}
 	broken := errors.New("broken")
-	if _, err := FindCapacity(context.Background(), 100, 0.05, service, func(float64) (*Figures, error) { return nil, broken }, io.Discard); !errors.Is(err, broken) {
+	if _, err := FindCapacity(context.Background(), 100, 0.05, objective, func(float64) (*Figures, error) { return nil, broken }, io.Discard); !errors.Is(err, broken) {
 		t.Error(err)
 	}
 }
 
-// TestMeant guards against a tool that is held up and counts from when it came to ask: the time that an ask waited in the
+// TestLatencyFromScheduledTime guards against a tool that is held up and counts from when it came to ask: the time that an ask waited in the
 // tool is time that somebody waited.
-func TestMeant(t *testing.T) {
+func TestLatencyFromScheduledTime(t *testing.T) {
 	f := &Figures{OfferLatency: hdrhistogram.New(1, 1e7, 3), StartLatency: hdrhistogram.New(1, 1e7, 3)}
 	f.addRecords([]audit.Record{
 		{At: 1500, Kind: audit.RequestSent, Token: 7, Client: 1, RequestRef: 1},
--- a/internal/lab/maintenance/effects.go
+++ b/internal/lab/maintenance/effects.go
@@ -102,8 +102,8 @@
 	for _, n := range nodes {
 		id, _ := strconv.Atoi(n)
 		ids = append(ids, uint32(id))
-		if delete(h.process.out, uint32(id)); out {
-			h.process.out[uint32(id)] = true
+		if delete(h.process.draining, uint32(id)); out {
+			h.process.draining[uint32(id)] = true
 		}
 	}
 	h.process.engine.SetMaintenance(h.process.clock(), ids, out)
@@ -125,6 +125,6 @@
 		id, _ := strconv.Atoi(name)
 		n += h.process.engine.MigrateFrom(h.process.clock(), uint32(id), may, most-n)
 	}
-	h.process.movedOff += n
+	h.process.evicted += n
 	return n
 }
--- a/internal/lab/maintenance/handlers.go
+++ b/internal/lab/maintenance/handlers.go
@@ -157,23 +157,23 @@
 // memoryStore is a store that outlives its process, as the one on disk does.
 type memoryStore struct {
 	calendar *calendar.Calendar
-	begun    []maintenancestore.Drain
+	drains   []maintenancestore.Drain
 }
 
 func (m *memoryStore) Calendar() (*calendar.Calendar, error) { return m.calendar, nil }
 
 func (m *memoryStore) find(window string, nominal time.Time) int {
-	return slices.IndexFunc(m.begun, func(b maintenancestore.Drain) bool {
+	return slices.IndexFunc(m.drains, func(b maintenancestore.Drain) bool {
 		return b.Verdict.Window == window && b.Verdict.ScheduledStart.Equal(nominal)
 	})
 }
 
 func (m *memoryStore) BeginDrain(v calendar.Verdict, now time.Time) (maintenancestore.Drain, bool, error) {
 	if i := m.find(v.Window, v.ScheduledStart); i >= 0 {
-		return m.begun[i], false, nil
+		return m.drains[i], false, nil
 	}
 	b := maintenancestore.Drain{Verdict: v, Stage: maintenancestore.Opened, ReachedAt: map[maintenancestore.Stage]time.Time{maintenancestore.Opened: now}}
-	m.begun = append(m.begun, b)
+	m.drains = append(m.drains, b)
 	return b, true, nil
 }
 
@@ -182,14 +182,14 @@
 	if i < 0 {
 		return errors.New("never begun")
 	}
-	if stage > m.begun[i].Stage {
-		m.begun[i].Stage, m.begun[i].ReachedAt[stage] = stage, now
+	if stage > m.drains[i].Stage {
+		m.drains[i].Stage, m.drains[i].ReachedAt[stage] = stage, now
 	}
 	return nil
 }
 
 func (m *memoryStore) UnfinishedDrains() (open []maintenancestore.Drain, err error) {
-	for _, b := range m.begun {
+	for _, b := range m.drains {
 		if b.Stage < maintenancestore.Closed {
 			open = append(open, b)
 		}
--- a/internal/lab/maintenance/process.go
+++ b/internal/lab/maintenance/process.go
@@ -20,15 +20,15 @@
 	index             int
 	skew              float64
 	engine            *engine.Engine
-	keeper            *maintenance.Controller
+	controller        *maintenance.Controller
 	store             *memoryStore
-	out               map[uint32]bool
+	draining          map[uint32]bool
 	down              bool
 	incarnation       uint32
 	nextRound         float64
-	nextKeep          float64
+	nextTick          float64
 	lastRef           uint64
-	movedOff          int
+	evicted           int
 	lostNodes         map[string]bool
 	pausedUntil       float64 // it stands still until then
 	unresponsiveUntil float64 // until then it could not act on its tries that were out: it was down or stood still
@@ -40,7 +40,7 @@
 func (p *process) start() {
 	p.down, p.unresponsiveUntil = false, p.sim.now+6000
 	p.incarnation++
-	p.out = map[uint32]bool{}
+	p.draining = map[uint32]bool{}
 	p.sim.report.Restarts += int(min(1, p.incarnation-1))
 	cl := &logic.Cluster{
 		Schedulers: p.sim.Processes, Index: p.index, ListMaxSilence: 1e12, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true,
@@ -59,14 +59,14 @@
 	if p.sim.Fault == NoGuard {
 		lim.ClockGuard = 0
 	}
-	p.keeper = &maintenance.Controller{Store: p.store, Executor: effects{p}, Limits: lim, Policies: []drainpace.Policy{drainpace.Late, drainpace.Early, drainpace.RunOut}}
+	p.controller = &maintenance.Controller{Store: p.store, Executor: effects{p}, Limits: lim, Policies: []drainpace.Policy{drainpace.Late, drainpace.Early, drainpace.RunOut}}
 	p.engine.BeginList(p.clock(), logic.ListCached)
 	for _, s := range p.sim.nodes {
 		p.engine.AddListEntry(engine.ListEntry{Node: s.id, Address: "x", Availability: logic.Ready, FreeCores: 32, FreeMemory: 64, Zone: s.zone, Cell: s.cell, Kind: s.kind})
 	}
 	p.engine.EndList()
-	p.keepWindows() // what an earlier life took out is known before anything is placed
-	p.nextRound, p.nextKeep = p.sim.now, p.sim.now+1000
+	p.tickController() // what an earlier life took out is known before anything is placed
+	p.nextRound, p.nextTick = p.sim.now, p.sim.now+1000
 }
 
 // stop kills the process; its connections break, what it ran runs on.
@@ -92,10 +92,10 @@
 	p.engine.EndList()
 }
 
-// keepWindows is the keeper's look, by the process's own clock.
-func (p *process) keepWindows() {
+// tickController is the keeper's look, by the process's own clock.
+func (p *process) tickController() {
 	now := epoch.Add(time.Duration((p.sim.now + p.skew) * 1e6))
-	if err := p.keeper.Tick(now, p.sim.fleet, p.lostNodes); err != nil {
+	if err := p.controller.Tick(now, p.sim.fleet, p.lostNodes); err != nil {
 		panic(err) // the store is in memory
 	}
 }
--- a/internal/lab/maintenance/simulation.go
+++ b/internal/lab/maintenance/simulation.go
@@ -113,7 +113,7 @@
 	}
 	w.report.Trace = w.trace.Sum64()
 	for _, p := range w.processes {
-		w.report.MovedOff += p.movedOff
+		w.report.MovedOff += p.evicted
 	}
 	return w.report
 }
@@ -276,7 +276,7 @@
 		s.machine.Advance(w.now)
 	}
 	for _, p := range w.processes {
-		p.nextRound, p.nextKeep = w.now, w.now
+		p.nextRound, p.nextTick = w.now, w.now
 	}
 }
 
@@ -298,9 +298,9 @@
 		if w.rng.Float64() < 0.12*stepLength/20 {
 			p.request()
 		}
-		if w.now >= p.nextKeep {
-			p.nextKeep = w.now + 1000
-			p.keepWindows()
+		if w.now >= p.nextTick {
+			p.nextTick = w.now + 1000
+			p.tickController()
 		}
 		if w.now >= p.nextRound {
 			p.engine.Round(p.clock())
@@ -317,7 +317,7 @@
 	out, zone, kind := 0, [zoneCount]int{}, [2]int{}
 	for _, s := range w.nodes {
 		for _, p := range w.processes {
-			if p.out[s.id] && !p.down {
+			if p.draining[s.id] && !p.down {
 				out++
 				zone[s.zone]++
 				kind[s.kind]++
--- a/internal/lab/maintenance/simulation_test.go
+++ b/internal/lab/maintenance/simulation_test.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// TestPlanted plants faults that a run must find; the seeds are ones whose windows and failures bring them about.
-func TestPlanted(t *testing.T) {
+// TestInjectedFaults plants faults that a run must find; the seeds are ones whose windows and failures bring them about.
+func TestInjectedFaults(t *testing.T) {
 	for _, c := range []struct {
 		plant Fault
 		seed  uint64
@@ -23,8 +23,8 @@
 	}{{NoGuard, 3, 1}, {PerProcess, 1, 1}, {NoRecall, 2, 4}} {
 		t.Run(string(c.plant), func(t *testing.T) {
 			t.Parallel()
-			run := Month{Seed: c.seed, Days: c.days, Processes: 8, Fault: c.plant}
-			if r := run.Play(); r.LatePlacements+r.Overlaps == 0 {
+			month := Month{Seed: c.seed, Days: c.days, Processes: 8, Fault: c.plant}
+			if r := month.Play(); r.LatePlacements+r.Overlaps == 0 {
 				t.Errorf("not found: %+v", r)
 			}
 		})
--- a/internal/lab/tenants/handshakes.go
+++ b/internal/lab/tenants/handshakes.go
@@ -42,8 +42,8 @@
 // handshakeRetryDelay is how long who is cut off in a handshake waits before the next.
 const handshakeRetryDelay = time.Second
 
-// halfOpen begins a handshake and says no more, again when it is cut off, until the end.
-func halfOpen(ctx context.Context, end time.Time, addr string) {
+// stallHandshakes begins a handshake and says no more, again when it is cut off, until the end.
+func stallHandshakes(ctx context.Context, end time.Time, addr string) {
 	ctx, stop := context.WithDeadline(ctx, end)
 	defer stop()
 	var d net.Dialer
@@ -63,7 +63,7 @@
 
 // Handshakes compares calm days at a door that speaks TLS, without and with handshakes that are begun and never ended, and
 // gives by how much the times from ask to start grew in the middle and at the 99th percentile.
-func Handshakes(ctx context.Context, out io.Writer, day Trial, open int) (mid, late float64, none int, err error) {
+func Handshakes(ctx context.Context, out io.Writer, day Trial, open int) (p50Ratio, p99Ratio float64, unanswered int, err error) {
 	day.TLS, day.Flood = true, 0
 	fmt.Fprintf(out, "%d tenants, %d nodes of %d cores, %d shards, %s a day, owners over TLS\n", day.Tenants, day.Nodes, cores, day.Shards, day.Duration)
 	fmt.Fprintf(out, "%10s %8s %8s %8s %8s %8s %10s\n", "half-open", "asked", "served", "p50 ms", "p99 ms", "max ms", "unanswered")
@@ -75,19 +75,19 @@
 			return 0, 0, 0, err
 		}
 		asked, without := 0, 0
-		var took []float64
+		var latencies []float64
 		for _, g := range all {
-			asked, without, took = asked+g.Requests, without+g.Unanswered, append(took, g.latencies...)
+			asked, without, latencies = asked+g.Requests, without+g.Unanswered, append(latencies, g.latencies...)
 		}
-		if len(took) == 0 {
+		if len(latencies) == 0 {
 			return 0, 0, 0, fmt.Errorf("nothing was served beside %d half-open handshakes", n)
 		}
-		slices.Sort(took)
-		at := func(q float64) float64 { return took[int(q*float64(len(took)-1))] }
-		p50[i], p99[i], none = at(0.5), at(0.99), none+without
-		fmt.Fprintf(out, "%10d %8d %8d %8.2f %8.2f %8.1f %10d\n", n, asked, len(took), p50[i], p99[i], at(1), without)
+		slices.Sort(latencies)
+		at := func(q float64) float64 { return latencies[int(q*float64(len(latencies)-1))] }
+		p50[i], p99[i], unanswered = at(0.5), at(0.99), unanswered+without
+		fmt.Fprintf(out, "%10d %8d %8d %8.2f %8.2f %8.1f %10d\n", n, asked, len(latencies), p50[i], p99[i], at(1), without)
 	}
-	mid, late = p50[1]/p50[0], p99[1]/p99[0]
-	fmt.Fprintf(out, "with half-open handshakes: p50 %.2f, p99 %.2f times as long\n", mid, late)
-	return mid, late, none, nil
+	p50Ratio, p99Ratio = p50[1]/p50[0], p99[1]/p99[0]
+	fmt.Fprintf(out, "with half-open handshakes: p50 %.2f, p99 %.2f times as long\n", p50Ratio, p99Ratio)
+	return p50Ratio, p99Ratio, unanswered, nil
 }
--- a/internal/lab/tenants/trial.go
+++ b/internal/lab/tenants/trial.go
@@ -158,7 +158,7 @@
 func (r *trialRun) load(ctx context.Context, address string) {
 	var senders sync.WaitGroup
 	for range r.HalfOpen {
-		senders.Go(func() { halfOpen(ctx, time.Now().Add(startupTime+r.Duration), address) })
+		senders.Go(func() { stallHandshakes(ctx, time.Now().Add(startupTime+r.Duration), address) })
 	}
 	time.Sleep(startupTime - clientStartTime)
 	for i := range r.Tenants {
@@ -171,7 +171,7 @@
 	time.Sleep(clientStartTime)
 	r.end = time.Now().Add(r.Duration)
 	if r.ReconnectFlood {
-		senders.Go(func() { reconnectForever(r.end, address) })
+		senders.Go(func() { reconnectRepeatedly(r.end, address) })
 	}
 	share := float64(r.Nodes*cores) / (taskRuntime / 1000) / float64(r.Tenants)
 	for i := range r.clients {
@@ -263,11 +263,11 @@
 }
 
 // tally sums up what each tenant got.
-func tally(records []audit.Record, owners []*standin.Client) []TenantResult {
-	all := make([]TenantResult, len(owners))
+func tally(records []audit.Record, clients []*standin.Client) []TenantResult {
+	all := make([]TenantResult, len(clients))
 	value := [...]float64{1, 3}
-	took := make([][]float64, len(owners))
-	for i, o := range owners {
+	latencies := make([][]float64, len(clients))
+	for i, o := range clients {
 		for _, t := range o.Outcomes() {
 			g := &all[i]
 			g.Requests++
@@ -275,7 +275,7 @@
 			switch t.Result {
 			case "served":
 				g.Served++
-				took[i] = append(took[i], t.Latency)
+				latencies[i] = append(latencies[i], t.Latency)
 				if t.InTime {
 					g.InTime++
 					g.Value += value[t.Job]
@@ -284,20 +284,20 @@
 				g.Unanswered++
 			}
 		}
-		slices.Sort(took[i])
-		if n := len(took[i]); n > 0 {
-			all[i].P99 = took[i][int(0.99*float64(n-1))]
+		slices.Sort(latencies[i])
+		if n := len(latencies[i]); n > 0 {
+			all[i].P99 = latencies[i][int(0.99*float64(n-1))]
 		}
-		all[i].latencies = took[i]
+		all[i].latencies = latencies[i]
 	}
-	of, starts := map[uint64]int{}, map[uint64]int{}
+	clientOf, starts := map[uint64]int{}, map[uint64]int{}
 	for _, r := range records {
 		if r.Kind == audit.RequestSent && r.Job == 1 {
-			of[r.Token] = r.Client
+			clientOf[r.Token] = r.Client
 		}
 	}
 	for _, r := range records {
-		if i, ok := of[r.Token]; ok && r.Kind == audit.TaskStarted {
+		if i, ok := clientOf[r.Token]; ok && r.Kind == audit.TaskStarted {
 			if starts[r.Token]++; starts[r.Token] > 1 {
 				all[i].SecondStarts++
 			}
@@ -322,17 +322,17 @@
 	fmt.Fprintf(out, "%-10s %8s %9s %9s %8s %9s %9s %9s %8s %9s %9s %9s\n", "tenant", "asked", "value", "p99 ms", "asked", "value",
 		"of calm", "p99 ms", "asked", "value", "of calm", "p99 ms")
 	worst = 1
-	part := func(g TenantResult) float64 { return g.Value / max(1, g.Offered) }
-	none, seconds := 0, 0
+	valueFraction := func(g TenantResult) float64 { return g.Value / max(1, g.Offered) }
+	unanswered, secondStarts := 0, 0
 	for i := range got[0] {
 		c, f, p := got[0][i], got[1][i], got[2][i]
-		of := func(g TenantResult) float64 { return part(g) / max(1e-9, part(c)) }
-		fmt.Fprintf(out, "%-10s %8d %9.3f %9.0f %8d %9.3f %9.3f %9.0f %8d %9.3f %9.3f %9.0f\n", tenantName(i), c.Requests, part(c), c.P99,
-			f.Requests, part(f), of(f), f.P99, p.Requests, part(p), of(p), p.P99)
+		of := func(g TenantResult) float64 { return valueFraction(g) / max(1e-9, valueFraction(c)) }
+		fmt.Fprintf(out, "%-10s %8d %9.3f %9.0f %8d %9.3f %9.3f %9.0f %8d %9.3f %9.3f %9.0f\n", tenantName(i), c.Requests, valueFraction(c), c.P99,
+			f.Requests, valueFraction(f), of(f), f.P99, p.Requests, valueFraction(p), of(p), p.P99)
 		if i > 0 {
 			worst = min(worst, of(f))
 		}
-		none, seconds = none+c.Unanswered+f.Unanswered, seconds+c.SecondStarts+f.SecondStarts
+		unanswered, secondStarts = unanswered+c.Unanswered+f.Unanswered, secondStarts+c.SecondStarts+f.SecondStarts
 	}
 	served := func(all []TenantResult) (n float64) {
 		for _, g := range all {
@@ -340,7 +340,7 @@
 		}
 		return n / day.Duration.Seconds()
 	}
-	late := func(all []TenantResult) float64 { // of the calm tenants together: each alone has too few for a 99th percentile
+	calmP99 := func(all []TenantResult) float64 { // of the calm tenants together: each alone has too few for a 99th percentile
 		var took []float64
 		for _, g := range all[1:] {
 			took = append(took, g.latencies...)
@@ -350,16 +350,16 @@
 		}
 		return took[int(0.99*float64(len(took)-1))]
 	}
-	c, f, p := late(got[0]), late(got[1]), late(got[2])
+	c, f, p := calmP99(got[0]), calmP99(got[1]), calmP99(got[2])
 	fmt.Fprintf(out, "p99 of the calm tenants together: calm day %.1f ms, flood with lines %.1f (%.2f times), without %.0f\n", c, f, f/max(c, 1e-9), p)
 	fmt.Fprintf(out, "served a second: calm day %.0f, flood with lines %.0f, without %.0f, of %.0f that the nodes carry\n", served(got[0]),
 		served(got[1]), served(got[2]), float64(day.Nodes*cores)/(taskRuntime/1000))
-	fmt.Fprintf(out, "worst calm tenant: %.3f of its calm day's value\nunanswered: %d\nsecond starts: %d\n", worst, none, seconds)
+	fmt.Fprintf(out, "worst calm tenant: %.3f of its calm day's value\nunanswered: %d\nsecond starts: %d\n", worst, unanswered, secondStarts)
 	return worst, nil
 }
 
-// reconnectForever connects anew without end and never shows a token.
-func reconnectForever(end time.Time, addr string) {
+// reconnectRepeatedly connects anew without end and never shows a token.
+func reconnectRepeatedly(end time.Time, addr string) {
 	for time.Now().Before(end) {
 		w := env.NewReal()
 		w.Dial(addr, 500, func(conn env.Conn, err error) {
--- a/internal/lab/tenants/trial_test.go
+++ b/internal/lab/tenants/trial_test.go
@@ -10,14 +10,14 @@
 // TestHandshakes plays a short day beside more half-open handshakes than may be under way: tenants come in and are served.
 func TestHandshakes(t *testing.T) {
 	var out strings.Builder
-	_, _, none, err := Handshakes(context.Background(), &out, Trial{Tenants: 4, Nodes: 4, Shards: 1, Duration: time.Second, Seed: 1}, 200)
-	if err != nil || none > 0 {
-		t.Error(none, err, out.String())
+	_, _, unanswered, err := Handshakes(context.Background(), &out, Trial{Tenants: 4, Nodes: 4, Shards: 1, Duration: time.Second, Seed: 1}, 200)
+	if err != nil || unanswered > 0 {
+		t.Error(unanswered, err, out.String())
 	}
 }
 
-// TestPlanted plays a flood whose tenant is taken to have a hundred shares: the calm ones must be seen to suffer.
-func TestPlanted(t *testing.T) {
+// TestInjectedShareFault plays a flood whose tenant is taken to have a hundred shares: the calm ones must be seen to suffer.
+func TestInjectedShareFault(t *testing.T) {
 	all, err := Play(context.Background(), Trial{Tenants: 6, Nodes: 4, Shards: 2, Flood: 8, FirstShare: 100, Duration: 4 * time.Second, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
