--- a/internal/lab/drill/calendar.go
+++ b/internal/lab/drill/calendar.go
@@ -12,7 +12,7 @@
 	"ravenpond/internal/state/maintenancestore"
 )
 
-// saveWindows puts the day's windows into a scheduler's calendar, before its first life begins.
+// saveWindows writes the day's maintenance windows to a scheduler's calendar before its first start.
 func (p *drillRun) saveWindows(folder string) error {
 	if len(p.Day.windows) == 0 || maintenancestore.Exists(folder) {
 		return nil
@@ -24,7 +24,7 @@
 	return errors.Join(store.AddEvents(p.calendar(), time.Now()), store.Close())
 }
 
-// calendar holds the day's windows.
+// calendar returns the day's maintenance windows as a calendar.
 func (p *drillRun) calendar() *calendar.Calendar {
 	cal := &calendar.Calendar{}
 	for _, w := range p.Day.windows {
@@ -40,7 +40,8 @@
 	return cal
 }
 
-// checkWindows refuses a day whose windows the calendar would not keep: what is out is then known beforehand.
+// checkWindows returns an error unless the calendar would keep every window of the day as scheduled. It is then known beforehand which nodes
+// drain and when.
 func (p *drillRun) checkWindows() error {
 	if len(p.Day.windows) == 0 {
 		return nil
@@ -56,18 +57,18 @@
 	cal := p.calendar()
 	for _, v := range calendar.Plan(cal, fleet, p.Deployment.Maintenance, nil, p.startedAt.Add(-time.Hour), p.startedAt.Add(24*time.Hour)) {
 		if v.Outcome != calendar.Kept || len(v.Nodes) == 0 {
-			return fmt.Errorf("window %s of the day: %s, %d nodes, %s", v.Window, v.Outcome, len(v.Nodes), v.Reason)
+			return fmt.Errorf("maintenance window %s: outcome %s with %d nodes, want kept with at least 1: %s", v.Window, v.Outcome, len(v.Nodes), v.Reason)
 		}
 	}
 	return nil
 }
 
-// wallTime is a time of the day on the wall clock, in whole seconds as a calendar has them.
+// wallTime converts a time of the day, in ms, to a time of the wall clock in whole seconds, which is the resolution of a calendar.
 func (p *drillRun) wallTime(ms float64) time.Time {
 	return p.startedAt.Add(time.Duration(ms * 1e6)).UTC().Truncate(time.Second)
 }
 
-// recordWindows records when the calendar takes nodes out and brings them back.
+// recordWindows adds to the trace when the calendar drains nodes and when it returns them to service.
 func (p *drillRun) recordWindows() {
 	for _, w := range p.Day.windows {
 		recordAt := func(at time.Time, word string) {
@@ -85,7 +86,7 @@
 				}
 			})
 		}
-		recordAt(p.wallTime(w.at-w.lead), "out") // from here on the grace runs
+		recordAt(p.wallTime(w.at-w.lead), "out") // the drain grace begins here
 		recordAt(p.wallTime(w.at+w.duration).Add(-time.Second), "back")
 	}
 }
--- a/internal/lab/drill/day.go
+++ b/internal/lab/drill/day.go
@@ -1,5 +1,5 @@
-// Package drill plays a scripted bad day on loopback: a node list, nodes and owners in this process, several
-// scheduler processes beside it, and troubles at their times. What passed on the sockets is then audited.
+// Package drill runs a scripted day of faults on loopback. The node list, the nodes and the clients run in this process, several schedulers run
+// as processes of their own, and faults are injected at their scheduled times. The messages on the sockets are then audited.
 package drill
 
 import (
@@ -13,30 +13,30 @@
 	"ravenpond/internal/strictxml"
 )
 
-// DefaultDay is the day that is played if no other is named.
+// DefaultDay is the text of the day file that is used if no other is given.
 //
 //go:embed day.xml
 var DefaultDay string
 
-// DefaultSite is the site of the default day; listeners and the list's address are filled in at the start.
+// DefaultSite is the text of the default day's site file. The address of the node list is filled in at the start.
 //
 //go:embed site.xml
 var DefaultSite string
 
-// FaultKinds in the order of their numbers.
+// FaultKinds lists the names of the fault kinds; a fault's kind is an index into it.
 var FaultKinds = []string{
 	"list-away", "list-behind", "demand", "flood", "hang", "answers-lost", "job-fails",
 	"reports-late", "neighbours", "hall-lost", "restart", "drain", "grow", "kill", "stand-still", "services-stop",
 	"programs-lost", "pressure",
 }
 
-// Grammar is a day file's.
+// Grammar is the grammar of a day file.
 var Grammar = &strictxml.Element{Name: "day", Attrs: []strictxml.Attr{
 	{Name: "name", Kind: strictxml.Name, Required: true},
 	{Name: "lasts", Kind: strictxml.Duration, Required: true, Min: 1000, Max: 3600e3},
-	{Name: "settles", Kind: strictxml.Duration, Default: "8s", Min: 1, Max: 60e3}, // asks end so long before the day
+	{Name: "settles", Kind: strictxml.Duration, Default: "8s", Min: 1, Max: 60e3}, // time without new requests at the end of the day
 	{Name: "schedulers", Kind: strictxml.Integer, Required: true, Min: 1, Max: 64},
-	{Name: "rate", Kind: strictxml.Number, Required: true, Min: 0.1, Max: 1e5}, // new wants a second
+	{Name: "rate", Kind: strictxml.Number, Required: true, Min: 0.1, Max: 1e5}, // new tasks per second
 	{Name: "services", Kind: strictxml.Integer, Default: "30", Min: 1, Max: 1e5},
 }, Children: []*strictxml.Element{
 	{Name: "fleet", MinOccurs: 1, Attrs: []strictxml.Attr{
@@ -65,9 +65,9 @@
 		{Name: "use", Kind: strictxml.Number, Required: true, Min: 0.01, Max: 2},
 		{Name: "priority", Kind: strictxml.Integer, Default: "0", Min: 0, Max: 9},
 	}},
-	{Name: "window", Key: "name", Attrs: []strictxml.Attr{ // a maintenance window in every scheduler's calendar
+	{Name: "window", Key: "name", Attrs: []strictxml.Attr{ // a maintenance window in the calendar of every scheduler
 		{Name: "name", Kind: strictxml.Name, Required: true},
-		{Name: "at", Kind: strictxml.Duration, Required: true, Min: 5000, Max: 3600e3}, // the nodes go out
+		{Name: "at", Kind: strictxml.Duration, Required: true, Min: 5000, Max: 3600e3}, // the window's start
 		{Name: "lead", Kind: strictxml.Duration, Default: "4s", Min: 0, Max: 3600e3},
 		{Name: "for", Kind: strictxml.Duration, Required: true, Min: 1000, Max: 3600e3},
 		{Name: "cell", Kind: strictxml.Name},
@@ -78,8 +78,8 @@
 		{Name: "kind", Kind: strictxml.Enum, Required: true, Values: FaultKinds},
 		{Name: "at", Kind: strictxml.Duration, Required: true, Min: 0, Max: 3600e3},
 		{Name: "for", Kind: strictxml.Duration, Default: "5s", Min: 1, Max: 3600e3},
-		{Name: "part", Kind: strictxml.Number, Default: "0.3", Min: 0, Max: 1},   // of nodes, schedulers or services
-		{Name: "size", Kind: strictxml.Number, Default: "0.8", Min: 0, Max: 100}, // factor, or part that fails
+		{Name: "part", Kind: strictxml.Number, Default: "0.3", Min: 0, Max: 1},   // fraction of the nodes, schedulers or services
+		{Name: "size", Kind: strictxml.Number, Default: "0.8", Min: 0, Max: 100}, // a factor, or the fraction that fails
 		{Name: "zone", Kind: strictxml.Name},
 		{Name: "job-type", Kind: strictxml.Name},
 		{Name: "tenant", Kind: strictxml.Name},
@@ -122,7 +122,7 @@
 	ending             int
 }
 
-// Day is a day that can be played at a site.
+// Day is a day file that was checked against a site.
 type Day struct {
 	Name                                       string
 	duration, settleTime, rate                 float64
@@ -137,14 +137,14 @@
 	overloadFactor, listDelay                  float64
 }
 
-// dayReader reads a day file for a site.
+// dayReader reads a day file and checks it against a site.
 type dayReader struct {
 	site   *site.Config
 	day    *Day
 	faults []strictxml.Fault
 }
 
-// ReadDay reads a day for a site. It returns what is wrong with it, each with its line; the day is nil then.
+// ReadDay reads a day file and checks it against a site. If the file has faults, it returns them with their lines, and a nil Day.
 func ReadDay(in io.Reader, config *site.Config) (*Day, []strictxml.Fault) {
 	top, faults := strictxml.Read(in, Grammar)
 	if top == nil {
@@ -175,7 +175,8 @@
 	r.faults = append(r.faults, strictxml.Fault{Line: line, Text: fmt.Sprintf(format, args...)})
 }
 
-// index is the place of an attribute's text among names of the site, -1 if it has none.
+// index returns the index of an attribute's text in names of the site. It returns -1 if names does not contain it, and adds a fault if the
+// attribute is set.
 func (r *dayReader) index(item *strictxml.Item, attr, what string, names []string) int {
 	i := slices.Index(names, item.Text(attr))
 	if i < 0 && item.Has(attr) {
@@ -194,7 +195,7 @@
 	}
 }
 
-// readJobs reads the job classes; each class of the site needs an entry, and the fractions have to sum to 1.
+// readJobs reads the load of each job class. Each class of the site needs an entry, and the fractions have to sum to 1.
 func (r *dayReader) readJobs(top *strictxml.Item) {
 	sum := 0.0
 	for _, w := range top.Children("work") {
@@ -213,17 +214,17 @@
 		sum += w.Number("part")
 	}
 	if len(r.faults) == 0 && len(r.day.jobs) != len(r.site.JobClasses) {
-		r.fault(top.Line, "each job type of the site needs its <work>")
+		r.fault(top.Line, "each job type of the site needs a <work> element")
 	}
 	if sum < 0.999 || sum > 1.001 {
-		r.fault(top.Line, "parts of the works sum to %.4g, not 1", sum)
+		r.fault(top.Line, "the part attributes of the <work> elements sum to %.4g, want 1", sum)
 	}
 }
 
 func (r *dayReader) readWindows(top *strictxml.Item) {
 	for _, w := range top.Children("window") {
 		if w.Has("cell") == w.Has("zone") {
-			r.fault(w.Line, "a window needs a cell or a zone")
+			r.fault(w.Line, "a window needs either a cell or a zone")
 		}
 		r.day.windows = append(r.day.windows, maintenanceWindow{
 			w.Text("name"), w.Text("cell"), w.Text("zone"), w.Number("at"), w.Number("lead"),
@@ -242,7 +243,7 @@
 			job: r.index(t, "job-type", "job type", r.site.JobClasses), mode: t.Text("how"), line: t.Line,
 		}
 		if f.at > r.day.duration {
-			r.fault(t.Line, "trouble after the end of the day")
+			r.fault(t.Line, "the trouble begins after the end of the day")
 		}
 		if FaultKinds[f.kind] == "job-fails" && f.job < 0 {
 			r.fault(t.Line, "job-fails needs a job-type")
--- a/internal/lab/drill/demand.go
+++ b/internal/lab/drill/demand.go
@@ -7,6 +7,7 @@
 	"ravenpond/internal/standin"
 )
 
+// demandFactor returns the factor by which a tenant's demand is raised by faults, 1 if by none.
 func (p *drillRun) demandFactor(tenant string) float64 {
 	if f, ok := p.tenantFactors[tenant]; ok {
 		return f
@@ -14,7 +15,7 @@
 	return 1
 }
 
-// totalDemand is the sum of the tenants' shares, floods included; under the lock.
+// totalDemand returns the sum of the tenants' shares times their demand factors. The caller holds p.mu.
 func (p *drillRun) totalDemand() (total float64) {
 	for i, share := range p.Deployment.Shares {
 		total += share * p.demandFactor(p.Deployment.Tenants[i])
@@ -22,7 +23,7 @@
 	return total
 }
 
-// requestTask makes one allocation wanted, by an owner at some scheduler.
+// requestTask has a client of a random tenant and scheduler request one task. begin is when the day began, in ms of the testbed's clock.
 func (p *drillRun) requestTask(begin float64) {
 	p.mu.Lock()
 	x, tenant := p.rng.Float64()*p.totalDemand(), 0
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -13,7 +13,7 @@
 	"ravenpond/internal/strictxml"
 )
 
-// TestMain lets the test's own program be the scheduler process that a drill starts and kills.
+// TestMain lets the test binary act as the scheduler process that a drill starts and kills.
 func TestMain(m *testing.M) { spawn.Main(m.Run) }
 
 const shortFaults = `
@@ -29,7 +29,8 @@
   <trouble kind="services-stop" at="11s" part="0.4"/>
 </day>`
 
-// TestShortDay plays a day of 24 s with processes that are killed and stand still among hundreds of tries.
+// TestShortDay runs a day of 24 s in which scheduler processes are killed and paused while hundreds of attempts are open. The audit must find no
+// violation.
 func TestShortDay(t *testing.T) {
 	place, faults := site.Read(strings.NewReader(DefaultSite))
 	if len(faults) > 0 {
@@ -63,10 +64,10 @@
 		}
 	}
 	if opened != day.schedulers {
-		t.Errorf("the window was opened by %d of %d schedulers", opened, day.schedulers)
+		t.Errorf("the maintenance window began at %d of %d schedulers, want all", opened, day.schedulers)
 	}
 	if row := res.rows[0]; row.served < 300 || row.requests != row.served+row.declined+row.failed+row.other {
-		t.Errorf("%+v", row)
+		t.Errorf("got %+v, want at least 300 served, and served, declined, failed and other to sum to the requests", row)
 	}
 }
 
@@ -80,10 +81,10 @@
 		{"unknown zone", `zone="mill" nodes="7"`, `zone="moor" nodes="7"`, `no zone "moor"`},
 		{"unknown machine", `machine="small" zone="fort"`, `machine="tiny" zone="fort"`, `no machine kind "tiny"`},
 		{"unknown tenant", `tenant="birch"`, `tenant="oak"`, `no tenant "oak"`},
-		{"parts", `part="0.68"`, `part="0.6"`, "sum to 0.92"},
-		{"a job type left out", `job-type="render" part="0.68"`, `job-type="import" part="0.68"`, "stands in line"},
-		{"after the end", `kind="grow" at="44s"`, `kind="grow" at="440s"`, "after the end of the day"},
-		{"without its job type", `size="0.8" job-type="import"`, `size="0.8"`, "needs a job-type"},
+		{"fractions that do not sum to 1", `part="0.68"`, `part="0.6"`, "sum to 0.92"},
+		{"job type without its work element", `job-type="render" part="0.68"`, `job-type="import" part="0.68"`, "stands in line"},
+		{"fault after the end of the day", `kind="grow" at="44s"`, `kind="grow" at="440s"`, "after the end of the day"},
+		{"job-fails without a job type", `size="0.8" job-type="import"`, `size="0.8"`, "needs a job-type"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, faults := ReadDay(strings.NewReader(strings.Replace(DefaultDay, c.old, c.new, 1)), place)
@@ -92,7 +93,7 @@
 				all = append(all, f.String())
 			}
 			if got := strings.Join(all, "\n"); !strings.Contains(got, c.fault) {
-				t.Errorf("faults %q, want %q", got, c.fault)
+				t.Errorf("got faults %q, want them to contain %q", got, c.fault)
 			}
 		})
 	}
--- a/internal/lab/drill/faults.go
+++ b/internal/lab/drill/faults.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	raisedUseFactor = 1.2 // by which tasks use more under raised demand
+	raisedUseFactor = 1.2 // factor of the tasks' use under raised demand
 	restartAttempts = 20
 	restartPause    = 20  // ms between two attempts to restart a node
-	restartTime     = 300 // ms over which the nodes of a fault restart
+	restartTime     = 300 // ms over which the restarts of a fault's nodes are spread
 	growthPause     = 60  // ms between two nodes that are added
 )
 
-// pickNodes draws a part of the nodes, of one zone if that is named.
+// pickNodes picks random nodes for a fault, from its zone if it names one. Their number is the fault's fraction of all nodes, or all nodes of the
+// zone if these are fewer.
 func (p *drillRun) pickNodes(tr faultSpec, rng *rand.Rand) []*standin.Node {
 	var all []*standin.Node
 	p.mu.Lock()
@@ -31,7 +32,7 @@
 	return all[:min(len(all), int(tr.fraction*float64(len(nodes))+0.5))]
 }
 
-// withFault lets machines suffer for a while.
+// withFault calls begin for each node, waits for the duration in ms, and calls end for each.
 func (p *drillRun) withFault(nodes []*standin.Node, duration float64, begin, end func(n *standin.Node)) {
 	p.forEach(nodes, begin)
 	p.sleep(duration)
@@ -46,17 +47,17 @@
 	})
 }
 
-// injection is a fault of the day while it lasts.
+// injection is a fault of the day that is being injected.
 type injection struct {
 	*drillRun
 	faultSpec
 	rng   *rand.Rand
-	nodes []*standin.Node // that it hits
+	nodes []*standin.Node // nodes that the fault affects
 
-	aborted bool // it did not come to its end
+	aborted bool // the fault ended early because of an error or the end of the drill
 }
 
-// injectors hold how each of FaultKinds is injected, from its beginning to its end.
+// injectors maps each of FaultKinds to the function that injects it and returns when the fault is over.
 var injectors = map[string]func(*injection){
 	"list-away":   (*injection).failList,
 	"list-behind": (*injection).delayList,
@@ -96,14 +97,14 @@
 	},
 }
 
-// inject has a fault happen, and returns when it is over.
+// inject injects a fault and returns when it is over.
 func (p *drillRun) inject(f faultSpec, rng *rand.Rand) {
 	kind := FaultKinds[f.kind]
 	p.Logf("%6.1f s  %s begins", p.testbed.Now()/1000, kind)
 	in := &injection{drillRun: p, faultSpec: f, rng: rng, nodes: p.pickNodes(f, rng)}
 	injectors[kind](in)
 	if !in.aborted {
-		p.Logf("%6.1f s  %s is over", p.testbed.Now()/1000, kind)
+		p.Logf("%6.1f s  %s ends", p.testbed.Now()/1000, kind)
 	}
 }
 
@@ -113,14 +114,14 @@
 	in.list.Update(func(l *standin.List) { l.Unavailable = false })
 }
 
-// delayList delays the list by the size, in seconds.
+// delayList delays the node list further by the fault's size, in seconds.
 func (in *injection) delayList() {
 	in.list.Update(func(l *standin.List) { l.ExtraDelay = in.size * 1000 })
 	in.sleep(in.duration)
 	in.list.Update(func(l *standin.List) { l.ExtraDelay = 0 })
 }
 
-// raiseDemand multiplies the rate of requests by the size, and has tasks use more.
+// raiseDemand multiplies the rate of requests by the fault's size, and the tasks' use by raisedUseFactor.
 func (in *injection) raiseDemand() {
 	p := in.drillRun
 	p.locked(func() { p.rateFactor = in.size })
@@ -128,7 +129,7 @@
 	p.locked(func() { p.rateFactor = 1 })
 }
 
-// floodTenant multiplies the requests of a tenant by the size.
+// floodTenant multiplies the requests of a tenant by the fault's size. Without a tenant, it takes the site's first.
 func (in *injection) floodTenant() {
 	p, tenant := in.drillRun, in.tenant
 	if tenant == "" {
@@ -139,14 +140,14 @@
 	p.locked(func() { delete(p.tenantFactors, tenant) })
 }
 
-// crashZone crashes all nodes that the fault may hit.
+// crashZone crashes all nodes of the fault's zone, or all nodes if it names none.
 func (in *injection) crashZone() {
 	all := in.faultSpec
 	all.fraction = 1
 	in.crash(in.pickNodes(all, in.rng))
 }
 
-// crash takes nodes away and brings them back cold, one after the other.
+// crash crashes nodes all at once. When the fault's duration has passed, it restarts them one after the other, with cold machines.
 func (in *injection) crash(nodes []*standin.Node) {
 	in.testbed.WithLock(func(now float64) {
 		for _, n := range nodes {
@@ -159,18 +160,18 @@
 	}
 	for _, n := range nodes {
 		err := n.Restart()
-		for i := 0; i < restartAttempts && err != nil; i++ { // its port may not be free at once
+		for i := 0; i < restartAttempts && err != nil; i++ { // its port may not be free immediately
 			in.sleep(restartPause)
 			err = n.Restart()
 		}
 		if err != nil {
-			in.addError(fmt.Errorf("does not come back: %w", err))
+			in.addError(fmt.Errorf("restarting a crashed node: %w", err))
 		}
 		in.sleep(restartTime / float64(len(nodes)))
 	}
 }
 
-// drain drains nodes in waves, and ends the drains.
+// drain drains nodes one after the other over the first quarter of the fault's duration, and ends all drains at its end.
 func (in *injection) drain() {
 	for _, n := range in.nodes {
 		in.testbed.WithLock(func(now float64) {
@@ -185,7 +186,7 @@
 	in.forEach(in.nodes, func(n *standin.Node) { n.Draining = false; n.Machine.Undrain() })
 }
 
-// grow adds nodes, as many as the size says of those that are there.
+// grow adds nodes one after the other, as many as the present nodes times the fault's size.
 func (in *injection) grow() {
 	p := in.drillRun
 	for range int(in.size * float64(len(p.nodes))) {
@@ -204,6 +205,7 @@
 	}
 }
 
+// locked calls f with p.mu held.
 func (p *drillRun) locked(f func()) {
 	p.mu.Lock()
 	f()
--- a/internal/lab/drill/process.go
+++ b/internal/lab/drill/process.go
@@ -16,6 +16,7 @@
 	"ravenpond/internal/lab/spawn"
 )
 
+// process is a scheduler process of the drill.
 type process struct {
 	mu      sync.Mutex
 	name    string
@@ -25,7 +26,7 @@
 	log     *os.File
 }
 
-// startProcess starts a scheduler process and waits until owners may connect.
+// startProcess starts a scheduler process and waits until clients can connect to it.
 func (p *drillRun) startProcess(pr *process) error {
 	state := filepath.Join(p.OutDir, pr.name)
 	file := filepath.Join(p.OutDir, pr.name+".address")
@@ -58,7 +59,7 @@
 	return pr.address
 }
 
-// kill ends the process by a signal and waits for its end.
+// kill sends a signal to the process and waits until it has exited.
 func (pr *process) kill(p *drillRun, sig syscall.Signal) {
 	pr.mu.Lock()
 	cmd := pr.command
@@ -67,7 +68,7 @@
 	if cmd == nil {
 		return
 	}
-	_ = cmd.Process.Signal(syscall.SIGCONT) // one that stands still can't end by itself
+	_ = cmd.Process.Signal(syscall.SIGCONT) // a stopped process does not handle other signals
 	if sig == syscall.SIGKILL {
 		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: pr.name})
 	}
@@ -78,12 +79,12 @@
 	if sig != syscall.SIGKILL {
 		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: pr.name})
 		if err != nil {
-			p.addError(fmt.Errorf("scheduler %s ended with %w, see its log", pr.name, err))
+			p.addError(fmt.Errorf("scheduler %s exited with %w; see its log", pr.name, err))
 		}
 	}
 }
 
-// injectProcessFault kills scheduler processes and starts them again, or makes them stand still.
+// injectProcessFault kills scheduler processes and starts them again, or pauses them with SIGSTOP for the fault's duration, one after the other.
 func (p *drillRun) injectProcessFault(f faultSpec, kill bool, rng *rand.Rand) {
 	selected := slices.Clone(p.processes)
 	rng.Shuffle(len(selected), func(i, j int) { selected[i], selected[j] = selected[j], selected[i] })
--- a/internal/lab/drill/report.go
+++ b/internal/lab/drill/report.go
@@ -10,14 +10,14 @@
 	"ravenpond/internal/standin"
 )
 
-// Result is what came of it.
+// Result is the outcome of a drill.
 type Result struct {
 	Violations []audit.Violation
 	Records    int
 	rows       []outcomeRow
 }
 
-// rules are the site's, as the auditor takes them.
+// rules returns the rules of the site that the audit checks.
 func (p *drillRun) rules() audit.Rules {
 	cl := &p.Deployment.Cluster
 	r := audit.Rules{
@@ -33,7 +33,7 @@
 	return r
 }
 
-// outcomeRow is a line of the table: the asks made within a time.
+// outcomeRow is a row of the table. It counts the requests that were sent within a time span.
 type outcomeRow struct {
 	name                                      string
 	requests, served, declined, failed, other int
@@ -41,7 +41,7 @@
 	latencies                                 []float64
 }
 
-// table counts asks by the trouble in which they were made.
+// table counts requests over the whole day, by maintenance window and by fault. A fault's row includes requests up to 2 s after its end.
 func (p *drillRun) table() []outcomeRow {
 	rows := []outcomeRow{{name: "whole day"}}
 	for _, w := range p.Day.windows {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Print writes the table and the verdict; its last line counts the broken rules.
+// Print writes the table and the violations. Its last line counts the violations.
 func (r *Result) Print(out io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-22s %6s %6s %8s %6s %7s %8s %8s %8s\n", "trouble", "asks", "served", "declined", "failed",
@@ -112,6 +112,7 @@
 	return err
 }
 
+// quantile formats a quantile of sorted values, or "-" if there are none.
 func quantile(sorted []float64, q float64) string {
 	if len(sorted) == 0 {
 		return "-"
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -19,17 +19,18 @@
 	"ravenpond/internal/standin"
 )
 
-// Drill is what is to be played.
+// Drill is the configuration of a drill.
 type Drill struct {
 	Day        *Day
 	Deployment *site.Config
-	SiteText   string   // text of the site file, without the listeners
-	Command    []string // that runs a scheduler; flags follow
+	SiteText   string   // text of the site file, without the address of the node list
+	Command    []string // runs a scheduler; its flags are appended
 	Seed       uint64
 	OutDir     string // folder for logs and the trace
 	Logf       func(format string, args ...any)
 }
 
+// drillRun is a drill that is running.
 type drillRun struct {
 	Drill
 	ctx           context.Context
@@ -41,10 +42,10 @@
 	groups        map[string]*standin.Group
 	processes     []*process
 	clients       []*standin.Client
-	sitePath      string // path
+	sitePath      string // path of the site file
 	startedAt     time.Time
 	rateFactor    float64
-	tenantFactors map[string]float64 // factor by tenant
+	tenantFactors map[string]float64 // demand factor by tenant
 	mu            sync.Mutex
 	lastDemand    uint64
 	lastNode      uint32
@@ -52,10 +53,10 @@
 	errs          []error
 }
 
-// slack is what the order of events on two sockets may be off by on a busy machine, in ms.
+// slack is by how many ms the order of events on two sockets may be wrong in the trace on a busy machine.
 const slack = 600
 
-// Play plays a day and audits it. An error means that it could not be played.
+// Play runs a day and audits its trace. An error means that the day could not be run; violations are in the result.
 func Play(ctx context.Context, d Drill) (*Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// shutDown waits for all that runs in this process and ends what runs beside it.
+// shutDown kills the scheduler processes that still run, and waits until the background goroutines have ended.
 func (p *drillRun) shutDown() {
 	for _, pr := range p.processes {
 		pr.kill(p, syscall.SIGKILL)
@@ -157,7 +158,7 @@
 		ID: p.lastNode*2654435761 | 1, Zone: f.zone, Cell: cell, Kind: p.Deployment.MachineKinds[f.kind],
 		Jobs: len(p.Deployment.JobClasses), Tenants: len(p.Deployment.Tenants),
 	}
-	group := f.zone // one for all job types: the narrowest that any names
+	group := f.zone // shared by all job classes: the narrowest idempotency scope of any of them
 	for _, w := range d.jobs {
 		if w.semantics == audit.Idempotent && w.scope == audit.ScopeCell {
 			group = cell
@@ -179,6 +180,7 @@
 	p.mu.Unlock()
 }
 
+// startBackground runs f in a goroutine that shutDown waits for.
 func (p *drillRun) startBackground(f func()) {
 	p.background.Add(1)
 	go func() {
@@ -187,7 +189,7 @@
 	}()
 }
 
-// sleep waits and tells whether the day goes on.
+// sleep waits for ms, and reports whether the drill goes on.
 func (p *drillRun) sleep(ms float64) bool {
 	select {
 	case <-p.ctx.Done():
@@ -197,7 +199,7 @@
 	}
 }
 
-// play lets wants come, in an open loop, and troubles strike at their times.
+// play sends requests in an open loop, and injects the faults at their times.
 func (p *drillRun) play() {
 	begin := p.testbed.Now()
 	p.recordWindows()
@@ -225,10 +227,10 @@
 	}
 }
 
-// awaitResponses waits until every ask is answered or overdue.
+// awaitResponses waits until every request is answered or overdue.
 func (p *drillRun) awaitResponses() { p.sleep(p.Day.settleTime) }
 
-// Interrupted is a context that ends when the process is told to.
+// Interrupted returns a context that is cancelled when the process receives an interrupt or SIGTERM.
 func Interrupted() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
