--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load measures a scheduler process under an open load: stand-in nodes and owners in this process, the
-// scheduler beside it, all on loopback. It tells how long an owner's request takes until the offer stands on a
-// node's socket, and what CPU time the scheduler process spends for it.
+// Package load measures a scheduler process under an open-loop load. Stand-in nodes and clients run in this process, and the scheduler in a
+// process of its own, all on loopback. The package measures the time from a client's request until the offer arrives at a node's socket, and the
+// CPU time that the scheduler process uses per request.
 package load
 
 import (
@@ -27,7 +27,7 @@
 	"ravenpond/internal/standin"
 )
 
-// Site is the site that is loaded, without the list's address.
+// Site is the text of the site file of a trial. The address of the node list is filled in at the start.
 const Site = `<site name="load">
   <cluster schedulers="1" list="told" step="1ms" cores-limit="4" memory-limit="4" mean-cores="1" mean-memory="2"/>
   <rules drain-grace="2s" cold-bears="1000" cold-for="100ms" cold-window="50ms" answer-margin="200ms"/>
@@ -40,37 +40,37 @@
   <owners listen="127.0.0.1:0"/>
 </site>`
 
-// Burst is a time of more asks, again and again.
+// Burst describes periods of a higher request rate that recur at an interval.
 type Burst struct {
-	Interval, Duration time.Duration // 0: none
-	Factor             float64       // as many asks as else
+	Interval, Duration time.Duration // an Interval of 0 means no bursts
+	Factor             float64       // factor of the request rate
 }
 
-// Trial is one load.
+// Trial is the configuration of one measurement.
 type Trial struct {
-	Seed        uint64 // of the arrivals
+	Seed        uint64 // seed of the arrival times
 	Burst       Burst
-	Command     []string // that runs the scheduler
+	Command     []string // runs the scheduler; its flags are appended
 	Site        string
 	Nodes       int
-	WorkingSet  int     // nodes of the scheduler's working set at least, if the site has one
-	Clients     int     // connections that ask
-	Rate        float64 // asks a second, all together
+	WorkingSet  int     // minimum size of the scheduler's working set, 0 if the site has none
+	Clients     int     // number of client connections
+	Rate        float64 // requests per second of all clients together
 	Warm        time.Duration
 	Duration    time.Duration
 	Services    int
-	TaskRuntime float64 // mean ms that one runs
-	DropAnswers bool    // nodes never answer, so that allocations stay open
+	TaskRuntime float64 // mean, in ms
+	DropAnswers bool    // the nodes never answer, so that requests stay open
 	OutDir      string
 	Profile     string
 }
 
-// Figures are what came of a trial. Times are ms.
+// Figures are the results of a trial. The values of the histograms are in microseconds.
 type Figures struct {
 	Requests, Served, Other      int
-	CPU                          time.Duration // of the scheduler process while it was loaded
+	CPU                          time.Duration // CPU time of the scheduler process under load
 	CPUPerRequest                time.Duration
-	PeakResidentKiB, ResidentKiB int64 // memory in KiB, the most ever and at the end
+	PeakResidentKiB, ResidentKiB int64 // the peak, and at the end of the load
 	OfferLatency                 *hdrhistogram.Histogram
 	StartLatency                 *hdrhistogram.Histogram
 }
@@ -80,32 +80,32 @@
 	connectPoll     = 20 * time.Millisecond
 	maxConnectPolls = 500
 	clientStartTime = 300 * time.Millisecond
-	answerTime      = 700 * time.Millisecond // after the last request
+	answerTime      = 700 * time.Millisecond // time after the last request for answers to arrive
 	stopTimeout     = 10 * time.Second
 	requestTimeout  = 5000 // ms
 	objectiveMs     = 1000
-	giveUpAfter     = 50 // ms: nothing is requested twice
+	giveUpAfter     = 50 // ms; so short that no request is sent twice
 	settleTime      = 3000
 )
 
-// run is a trial that is under way.
+// run is a trial that is running.
 type run struct {
 	Trial
 	testbed     *standin.Testbed
 	nodes       []*standin.Node
 	clients     []*standin.Client
 	rng         *rand.Rand
-	sent        int                // requests
-	scheduledAt map[uint64]float64 // when each request was meant to be sent, by its token, ms
+	sent        int                // number of requests sent
+	scheduledAt map[uint64]float64 // when each request was scheduled to be sent, in ms, by its token
 }
 
-// Run plays a trial: it starts nodes, the list, the scheduler process and clients, loads the scheduler and stops all.
+// Run runs a trial. It starts the nodes, the node list, the scheduler process and the clients, loads the scheduler, and stops everything.
 func Run(ctx context.Context, tr Trial) (*Figures, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	config, faults := site.Read(strings.NewReader(tr.Site))
 	if len(faults) > 0 {
-		return nil, fmt.Errorf("site of the load: %s", faults[0])
+		return nil, fmt.Errorf("site file of the trial: %s", faults[0])
 	}
 	environment := env.NewReal()
 	defer environment.Close(time.Second)
@@ -133,12 +133,13 @@
 	limit := time.AfterFunc(stopTimeout, func() { _ = cmd.Process.Kill() })
 	defer limit.Stop()
 	if err := cmd.Wait(); err != nil {
-		return nil, fmt.Errorf("scheduler ended with %w, see its log in %s", err, tr.OutDir)
+		return nil, fmt.Errorf("scheduler exited with %w; see its log in %s", err, tr.OutDir)
 	}
 	return figures, nil
 }
 
-// awaitNodes waits until the scheduler is connected to all nodes, or to half of its working set; the nodes outside it are visited then.
+// awaitNodes waits until the scheduler is connected to all nodes, or to half of its working set. With a working set, it also waits until the
+// scheduler has visited the nodes outside it.
 func (r *run) awaitNodes() error {
 	for i := 0; ; i++ {
 		connected := 0
@@ -151,7 +152,7 @@
 			break
 		}
 		if i > maxConnectPolls {
-			return fmt.Errorf("only %d of %d nodes connected", connected, len(r.nodes))
+			return fmt.Errorf("the scheduler connected to %d of %d nodes before the timeout", connected, len(r.nodes))
 		}
 		time.Sleep(connectPoll)
 	}
@@ -170,7 +171,7 @@
 	time.Sleep(clientStartTime)
 }
 
-// sendRequests sends requests for a time, open loop: arrivals do not wait for anything.
+// sendRequests sends requests for a duration in an open loop: arrivals do not wait for answers.
 func (r *run) sendRequests(duration time.Duration) {
 	begin, since := r.testbed.Now(), time.Now()
 	for at := 0.0; ; r.sent++ {
@@ -192,7 +193,7 @@
 	}
 }
 
-// measure loads the scheduler process for the trial's duration.
+// measure loads the scheduler process for the trial's duration and returns the figures of that load.
 func (r *run) measure(pid int) *Figures {
 	from, cpuBefore, sentBefore := r.testbed.Now(), cpuTime(pid), r.sent
 	r.sendRequests(r.Duration)
@@ -207,7 +208,7 @@
 	return f
 }
 
-// visitTime is ample time for visits to so many nodes on loopback.
+// visitTime returns a time in which a scheduler can visit that many nodes on loopback, with a wide margin.
 func visitTime(nodes int) time.Duration { return time.Duration(nodes) * time.Millisecond }
 
 func startNodes(w *standin.Testbed, place *site.Config, tr Trial) ([]*standin.Node, error) {
@@ -232,7 +233,7 @@
 	return nodes, nil
 }
 
-// startScheduler starts the scheduler process and waits until owners may connect.
+// startScheduler starts the scheduler process and waits until clients can connect to it.
 func startScheduler(ctx context.Context, tr Trial, list string) (*exec.Cmd, string, error) {
 	path := filepath.Join(tr.OutDir, "site.xml")
 	text := strings.Replace(tr.Site, `<node-list address="127.0.0.1:0"/>`, fmt.Sprintf("<node-list address=%q/>", list), 1)
@@ -256,8 +257,8 @@
 	return spawn.Scheduler(ctx, command, log, file)
 }
 
-// addRecords takes the times of asks made between two times from the trace. They count from when an ask was meant to be made:
-// a load tool that is held up itself must not hide how long its asks waited.
+// addRecords adds the latencies of the requests that were sent between two times. A latency counts from when the request was scheduled to be
+// sent: a delay of the load generator itself must not hide how long its requests waited.
 func (f *Figures) addRecords(records []audit.Record, scheduled map[uint64]float64, from, to float64) {
 	requestedAt := map[uint64]float64{}
 	requestedAtByRef := map[[2]uint64]float64{}
@@ -270,7 +271,7 @@
 			}
 		case audit.PlacementReceived:
 			if at, ok := requestedAt[r.Token]; ok && r.Attempt == 0 {
-				_ = f.OfferLatency.RecordValue(int64((r.At - at) * 1000)) // beyond 10 s is not told apart
+				_ = f.OfferLatency.RecordValue(int64((r.At - at) * 1000)) // latencies above 10 s are not recorded
 			}
 		case audit.ResponseReceived:
 			at, ok := requestedAtByRef[[2]uint64{uint64(r.Client), r.RequestRef}]
@@ -287,13 +288,13 @@
 	}
 }
 
-// PrintHeader and Row write a table of figures.
+// PrintHeader writes the header of a table of figures. Its rows are written by PrintRow.
 func PrintHeader(out io.Writer) {
 	fmt.Fprintf(out, "%10s %8s %8s %8s %10s %9s %9s %9s %9s %8s %8s\n", "asked a s", "asked", "served", "other",
 		"cpu us", "offer p50", "p99", "p99.9", "start p99", "MiB peak", "MiB now")
 }
 
-// PrintRow writes one line: times in ms, CPU in microseconds an allocation.
+// PrintRow writes one row: times in ms, CPU time in microseconds per request.
 func PrintRow(out io.Writer, rate float64, f *Figures) {
 	q := func(h *hdrhistogram.Histogram, p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
 	fmt.Fprintf(out, "%10.0f %8d %8d %8d %10.1f %9.2f %9.2f %9.2f %9.2f %8.1f %8.1f\n", rate, f.Requests, f.Served, f.Other,
--- a/internal/lab/load/proc.go
+++ b/internal/lab/load/proc.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// clockTick is the kernel's unit of CPU time in /proc, the same on all its common builds.
+// clockTick is the unit of CPU time in /proc. It is the same on all common builds of the kernel.
 const clockTick = 10 * time.Millisecond
 
-// cpuTime is the CPU time that a process has used, 0 if it can't be told.
+// cpuTime returns the CPU time that a process has used, 0 if it is not known.
 func cpuTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -27,11 +27,11 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// peakResident is the most resident memory that a process ever had, resident what it has now, in KiB.
+// peakResident returns the peak resident memory of a process, and resident the present one, in KiB.
 func peakResident(pid int) int64 { return statusKiB(pid, "VmHWM:") }
 func resident(pid int) int64     { return statusKiB(pid, "VmRSS:") }
 
-// statusKiB is a figure of the kernel's about a process, in KiB, 0 if it can't be told.
+// statusKiB returns a field of /proc/PID/status that is in KiB, 0 if it is not known.
 func statusKiB(pid int, name string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
