--- a/internal/lab/spawn/spawn.go
+++ b/internal/lab/spawn/spawn.go
@@ -1,4 +1,4 @@
-// Package spawn starts scheduler processes for the laboratory's measurements on sockets.
+// Package spawn starts scheduler processes for tests and measurements on real sockets.
 package spawn
 
 import (
@@ -24,15 +24,15 @@
 	startTimeout = 10 * time.Second
 )
 
-// Scheduler starts a command that writes its owners' address to a file, with its output in a log, and waits for the address.
-// The process does not outlive this one. Without an address in 10 s it is killed.
+// Scheduler starts a scheduler command and waits until it has written the address for its clients to a file. The output of the process goes to
+// log. The process is killed if it writes no address within 10 s, and when this process ends.
 func Scheduler(ctx context.Context, command []string, log *os.File, addressFile string) (*exec.Cmd, string, error) {
-	_ = os.Remove(addressFile) // of an earlier life, if there was one
+	_ = os.Remove(addressFile) // an earlier process may have written it
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
-		return nil, "", fmt.Errorf("scheduler: %w", err)
+		return nil, "", fmt.Errorf("starting the scheduler: %w", err)
 	}
 	for end := time.Now().Add(startTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(pollInterval) {
 		if b, err := os.ReadFile(addressFile); err == nil && len(b) > 0 {
@@ -44,10 +44,10 @@
 	if err := ctx.Err(); err != nil {
 		return nil, "", err
 	}
-	return nil, "", fmt.Errorf("scheduler did not begin within %s, see its log %s", startTimeout, log.Name())
+	return nil, "", fmt.Errorf("scheduler wrote no address within %s; see its log %s", startTimeout, log.Name())
 }
 
-// Main runs tests, or is the scheduler process that a test starts by its own program with `serve` and its flags.
+// Main runs tests and exits. If the first argument is `serve`, it runs a scheduler instead: tests start their own binary this way.
 func Main(tests func() int) {
 	if len(os.Args) < 2 || os.Args[1] != "serve" {
 		os.Exit(tests())
@@ -58,7 +58,7 @@
 	}
 }
 
-// runFromFlags runs a scheduler by the flags of `ravenpond serve` until it is told to end.
+// runFromFlags runs a scheduler with the flags of `ravenpond serve` until it receives SIGTERM or an interrupt.
 func runFromFlags(args []string) error {
 	flags := map[string]string{}
 	for i := 0; i+1 < len(args); i += 2 {
@@ -71,7 +71,7 @@
 	var index int
 	var seed uint64
 	if _, err := fmt.Sscan(flags["--index"]+" "+flags["--seed"], &index, &seed); err != nil {
-		return fmt.Errorf("index and seed: %w", err)
+		return fmt.Errorf("flags --index and --seed: %w", err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
