--- a/internal/lab/tenants/handshakes.go
+++ b/internal/lab/tenants/handshakes.go
@@ -14,7 +14,7 @@
 	"ravenpond/internal/keys"
 )
 
-// newAuthority makes keys for a trial: TLS for a server, and a way to connect to it.
+// newAuthority creates a certificate authority for a trial. It returns the TLS configuration of a server and a function that connects to it.
 func newAuthority(folder string) (server *tls.Config, connect func(context.Context, string) (net.Conn, error), err error) {
 	ca, err := keys.Init(folder, time.Now())
 	if err != nil {
@@ -39,10 +39,10 @@
 	return guard.ServerConfig(), func(ctx context.Context, address string) (net.Conn, error) { return d.DialContext(ctx, "tcp", address) }, nil
 }
 
-// handshakeRetryDelay is how long who is cut off in a handshake waits before the next.
+// handshakeRetryDelay is the time between the end of a stalled connection and the next one.
 const handshakeRetryDelay = time.Second
 
-// stallHandshakes begins a handshake and says no more, again when it is cut off, until the end.
+// stallHandshakes connects and begins a TLS handshake without completing it, and does so again whenever the server closes the connection.
 func stallHandshakes(ctx context.Context, end time.Time, addr string) {
 	ctx, stop := context.WithDeadline(ctx, end)
 	defer stop()
@@ -50,8 +50,8 @@
 	for ctx.Err() == nil {
 		if c, err := d.DialContext(ctx, "tcp", addr); err == nil {
 			_ = c.SetDeadline(end)
-			_, _ = c.Write([]byte{22, 3, 1}) // the beginning of a hello
-			_, _ = c.Read(make([]byte, 1))   // until it is cut off
+			_, _ = c.Write([]byte{22, 3, 1}) // the first bytes of a TLS record with a ClientHello
+			_, _ = c.Read(make([]byte, 1))   // returns when the server closes the connection
 			c.Close()
 		}
 		select {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Handshakes compares calm days at a door that speaks TLS, without and with handshakes that are begun and never ended, and
-// gives by how much the times from ask to start grew in the middle and at the 99th percentile.
+// Handshakes compares two trials with clients over TLS and without a flood: one without and one with a number of open handshakes that are never
+// completed. It returns by what factor the start latency grew at the median and at the 99th percentile, and the number of unanswered requests.
 func Handshakes(ctx context.Context, out io.Writer, day Trial, open int) (p50Ratio, p99Ratio float64, unanswered int, err error) {
 	day.TLS, day.Flood = true, 0
 	fmt.Fprintf(out, "%d tenants, %d nodes of %d cores, %d shards, %s a day, owners over TLS\n", day.Tenants, day.Nodes, cores, day.Shards, day.Duration)
@@ -80,7 +80,7 @@
 			asked, without, latencies = asked+g.Requests, without+g.Unanswered, append(latencies, g.latencies...)
 		}
 		if len(latencies) == 0 {
-			return 0, 0, 0, fmt.Errorf("nothing was served beside %d half-open handshakes", n)
+			return 0, 0, 0, fmt.Errorf("no request was served with %d half-open handshakes", n)
 		}
 		slices.Sort(latencies)
 		at := func(q float64) float64 { return latencies[int(q*float64(len(latencies)-1))] }
--- a/internal/lab/tenants/removals.go
+++ b/internal/lab/tenants/removals.go
@@ -25,25 +25,25 @@
 	"ravenpond/internal/state/tenants"
 )
 
-// RemovalTrial is a trial of removals under load, with a scheduler process that is killed in between.
+// RemovalTrial is the configuration of a trial in which tenants are removed while they send requests, and the scheduler process is killed meanwhile.
 type RemovalTrial struct {
-	Command           []string // that runs the program
+	Command           []string // runs the program; the subcommand and its flags are appended
 	Rounds            int
-	TenantsPerRound   int // tenants that are removed in a round
-	RequestsPerTenant int // of each
+	TenantsPerRound   int // tenants that are added and removed in each round
+	RequestsPerTenant int
 	Nodes             int
 	Seed              uint64
 }
 
-// RemovalResult is what came of it.
+// RemovalResult is the outcome of a RemovalTrial.
 type RemovalResult struct {
 	Tenants, Requests, Kills              int
 	Served, Declined, Failed              int
-	CutOff, Unanswered                    int // given up as the process was killed; without an answer though it lived
-	SecondStarts, HeldAtNodes, NotRemoved int // second starts of scoring; tries still held at nodes; tenants whose removal did not end
+	CutOff, Unanswered                    int // CutOff: disconnected without an answer, as the process was killed; Unanswered: without an answer for any other reason
+	SecondStarts, HeldAtNodes, NotRemoved int // second starts of at-most-once tasks; tasks still held at nodes; tenants whose removal did not complete
 }
 
-// removalRun is the world of the trial.
+// removalRun is a RemovalTrial that is running.
 type removalRun struct {
 	RemovalTrial
 	testbed *standin.Testbed
@@ -56,7 +56,7 @@
 	command *exec.Cmd
 }
 
-// Play plays the trial.
+// Play runs the trial.
 func (r RemovalTrial) Play(ctx context.Context) (out RemovalResult, err error) {
 	dir, err := os.MkdirTemp("", "ravenpond-removals-")
 	if err != nil {
@@ -112,7 +112,7 @@
 	return out, err
 }
 
-// prepare starts nodes and list, writes the site file and opens the log.
+// prepare starts the nodes and the node list, writes the site file, and creates the log file.
 func (p *removalRun) prepare() ([]*standin.Node, error) {
 	slots := p.Rounds * p.TenantsPerRound
 	nodes, err := startNodes(p.testbed, Trial{Tenants: slots, Nodes: p.Nodes, Seed: p.Seed})
@@ -128,7 +128,7 @@
 	text = strings.Replace(text, "127.0.0.1:1\"", list.Address()+"\"", 1)
 	config, faults := site.Read(strings.NewReader(text))
 	if len(faults) > 0 {
-		return nil, fmt.Errorf("site of the removals: %s", faults[0])
+		return nil, fmt.Errorf("site file of the removal trial: %s", faults[0])
 	}
 	p.site = config
 	if err := os.WriteFile(p.path, []byte(text), 0o640); err != nil {
@@ -138,6 +138,7 @@
 	return nodes, err
 }
 
+// add counts the outcome of a request.
 func (r *RemovalResult) add(o standin.Outcome) {
 	r.Requests++
 	switch o.Result {
@@ -154,7 +155,7 @@
 	}
 }
 
-// secondStarts counts second starts of scoring tasks.
+// secondStarts counts the starts of at-most-once tasks (job class "score") after each task's first.
 func secondStarts(records []audit.Record) (count int) {
 	scoring, starts := map[uint64]bool{}, map[uint64]int{}
 	for i := range records {
@@ -174,9 +175,9 @@
 
 // Times of a round.
 const (
-	readTime          = 1200 * time.Millisecond // in which the process has read new tenants
-	removalSpan       = 2500                    // ms over which tenants are removed
-	requestOverrun    = 400                     // ms after its removal until which a tenant's requests are sent
+	readTime          = 1200 * time.Millisecond // time in which the process reads new tenants from the store
+	removalSpan       = 2500                    // ms over which the removals of a round are spread
+	requestOverrun    = 400                     // ms for which a tenant's requests are still sent after its removal
 	maxKillDelay      = 3000                    // ms
 	restartDelay      = 200 * time.Millisecond
 	removalAnswerTime = 4 * time.Second
@@ -184,14 +185,14 @@
 	maxRemovalPolls   = 600
 )
 
-// roundTenant is a tenant of a round.
+// roundTenant is a tenant that is added and removed in a round.
 type roundTenant struct {
 	name, token string
 	removedAt   float64 // ms since the round began
 }
 
-// round adds tenants, has them send requests, removes them meanwhile, kills the process at some moment of that, and waits until the removals
-// are complete.
+// round adds tenants and removes them while they send requests. It kills and restarts the process at a random time meanwhile, and waits until the
+// removals are complete.
 func (p *removalRun) round(ctx context.Context, rng *rand.Rand, round int) (clients []*standin.Client, err error) {
 	added, err := p.addTenants(round)
 	if err != nil {
@@ -244,8 +245,8 @@
 	return added, err
 }
 
-// startClient starts a tenant's client, and schedules its requests up to a moment after the removal. None is sent again: after a removal the
-// token is gone, and requests without one are not taken.
+// startClient starts a tenant's client and schedules its requests until shortly after the removal. No request is sent again: the removal deletes
+// the tenant's token, and requests without a token are not accepted.
 func (p *removalRun) startClient(rng *rand.Rand, tenant *roundTenant, id, seed int) *standin.Client {
 	c := &standin.Client{ID: id, Scheduler: "s0", SettleTime: 600, AuthToken: tenant.token, SchedulerAddress: func() string {
 		p.mu.Lock()
@@ -280,7 +281,7 @@
 	return nil
 }
 
-// awaitRemovals waits until no tenant of a round is left, for a minute at most.
+// awaitRemovals waits until all tenants of a round are removed, but at most about a minute. RemovalResult.NotRemoved counts those that are not.
 func (p *removalRun) awaitRemovals(ctx context.Context, removed []roundTenant) error {
 	for range maxRemovalPolls {
 		left := 0
@@ -306,6 +307,7 @@
 	return nil
 }
 
+// change applies a change to the tenant store. A change that the store rejects is an error.
 func (p *removalRun) change(st *tenants.Store, c tenancy.Change) error {
 	_, fault, err := st.Apply(time.Now(), "lab", "", c)
 	if fault != nil {
@@ -316,6 +318,7 @@
 
 func (p *removalRun) stateDir() string { return filepath.Join(p.dir, "state") }
 
+// withStore opens the tenant store for a function, and waits while the scheduler process has it locked.
 func (p *removalRun) withStore(do func(st *tenants.Store) error) error {
 	var st *tenants.Store
 	err := bolt.RetryWhileLocked(context.Background(), 100, func() (err error) { st, err = tenants.Open(p.stateDir(), p.Rounds*p.TenantsPerRound); return err })
@@ -325,10 +328,10 @@
 	return errors.Join(do(st), st.Close())
 }
 
-// start starts the process.
+// start starts the scheduler process.
 func (p *removalRun) start(ctx context.Context) error {
 	file := filepath.Join(p.dir, "address")
-	_ = os.Remove(file) // there may be none
+	_ = os.Remove(file) // the file may not exist
 	command := append(append([]string(nil), p.Command...), "serve", "--site", p.path, "--state", p.stateDir(), "--seed", "3", "--address-file", file)
 	cmd, addr, err := spawn.Scheduler(ctx, command, p.log, file)
 	if err != nil {
@@ -340,7 +343,7 @@
 	return nil
 }
 
-// kill kills it, as kill -9 does.
+// kill kills the scheduler process with SIGKILL.
 func (p *removalRun) kill() {
 	p.mu.Lock()
 	cmd := p.command
@@ -352,7 +355,7 @@
 	}
 }
 
-// Print writes what came of it.
+// Print writes the result.
 func (r *RemovalResult) Print(out io.Writer) {
 	fmt.Fprintf(out, "tenants removed: %d, kills: %d\nasks: %d, served %d, declined %d, failed %d, cut off by a kill %d\n", r.Tenants-r.NotRemoved, r.Kills,
 		r.Requests, r.Served, r.Declined, r.Failed, r.CutOff)
--- a/internal/lab/tenants/trial.go
+++ b/internal/lab/tenants/trial.go
@@ -1,5 +1,5 @@
-// Package tenants plays a hosted service: many tenants on sockets, one of which floods, and tenants that are removed while they
-// ask. It tells what each tenant got beside what it gets on a calm day.
+// Package tenants measures a scheduler that serves many tenants over sockets. In one trial, a tenant floods the scheduler, and the service of each
+// tenant is compared with its service in a trial without the flood. In another, tenants are removed while they send requests.
 package tenants
 
 import (
@@ -41,55 +41,55 @@
 </site>`
 
 const (
-	cores         = 32     // of a node
-	taskRuntime   = 2000.0 // ms that an allocation runs
-	calmLoad      = 0.6    // of its share that a calm tenant asks for
-	scoreInterval = 4      // every so many asks of a tenant are for scoring
+	cores         = 32     // cores of a node
+	taskRuntime   = 2000.0 // mean run time of a task, in ms
+	calmLoad      = 0.6    // fraction of its share that a calm tenant requests
+	scoreInterval = 4      // a tenant's requests from one of the job class "score" to the next
 )
 
-// Trial is a trial.
+// Trial is the configuration of a trial.
 type Trial struct {
 	Tenants        int
 	Nodes          int
 	Shards         int
-	Flood          float64 // times its share that the first tenant asks for, 0: as calm as the others
-	Unqueued       bool    // the site file's tenants, without lines in front
-	ReconnectFlood bool    // somebody without a token connects anew without end
-	TLS            bool    // the owners' door speaks TLS
-	FirstShare     float64 // planted: times its share that the first tenant is taken to have, 0: once
-	HalfOpen       int     // handshakes that are begun there and never ended, all day
+	Flood          float64 // factor of its share that the first tenant requests; 0: the same as the others
+	Unqueued       bool    // the tenants are those of the site file, without fair queues
+	ReconnectFlood bool    // a client without a token reconnects continuously
+	TLS            bool    // clients connect over TLS
+	FirstShare     float64 // injected fault: share of the first tenant in the store, where the others have 1; 0: also 1
+	HalfOpen       int     // number of TLS handshakes that are held open during the whole trial
 	Duration       time.Duration
 	Seed           uint64
 }
 
-// TenantResult is what a tenant got.
+// TenantResult is the service that a tenant received.
 type TenantResult struct {
 	Requests, Served, InTime int
-	Value, Offered           float64 // of what was served in time, and of all it asked for
-	P99                      float64 // ms from ask to start of what was served
+	Value, Offered           float64 // value of the requests served in time, and of all requests
+	P99                      float64 // start latency of the served requests, in ms
 	latencies                []float64
-	Unanswered               int // asks without an answer
-	SecondStarts             int // second starts of scoring
+	Unanswered               int // requests without an answer
+	SecondStarts             int // second starts of at-most-once tasks
 }
 
 // Times of a trial.
 const (
 	startupTime     = 1800 * time.Millisecond // from the start of the scheduler until requests are sent
-	clientStartTime = 300 * time.Millisecond  // the last part of it, for clients to connect
-	answerTime      = 3500 * time.Millisecond // after the last request, by when all are answered or overdue
+	clientStartTime = 300 * time.Millisecond  // the last part of startupTime, in which clients connect
+	answerTime      = 3500 * time.Millisecond // time after the last request until all are answered or overdue
 )
 
-// trialRun is a trial that is under way.
+// trialRun is a trial that is running.
 type trialRun struct {
 	Trial
 	testbed *standin.Testbed
 	site    *site.Config
-	tokens  []string // of tenants
+	tokens  []string // of the tenants, by index
 	clients []*standin.Client
-	end     time.Time // of requests
+	end     time.Time // when the last requests are sent
 }
 
-// Play plays a trial and returns what each tenant got, the flooding one first.
+// Play runs a trial and returns the result of each tenant. The first tenant is the one that floods.
 func Play(ctx context.Context, trial Trial) (results []TenantResult, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -123,7 +123,7 @@
 	return results, <-ended
 }
 
-// prepare reads the site, fills the tenant store, and starts nodes and list.
+// prepare reads the site, adds the tenants to the store, and starts the nodes and the node list.
 func (r *trialRun) prepare(dir string) error {
 	elements := fmt.Sprintf("<hosting tenants=\"%d\"/>", r.Tenants)
 	if r.Unqueued {
@@ -135,7 +135,7 @@
 	}
 	config, faults := site.Read(strings.NewReader(fmt.Sprintf(siteText, elements, r.Shards, r.Shards)))
 	if len(faults) > 0 {
-		return fmt.Errorf("site of the clubs: %s", faults[0])
+		return fmt.Errorf("site file of the trial: %s", faults[0])
 	}
 	r.site = config
 	var err error
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// load sends the requests of all tenants to a scheduler, and waits until they are answered or overdue.
+// load sends the requests of all tenants to the scheduler, and waits until they are answered or overdue.
 func (r *trialRun) load(ctx context.Context, address string) {
 	var senders sync.WaitGroup
 	for range r.HalfOpen {
@@ -187,7 +187,7 @@
 
 func tenantName(i int) string { return fmt.Sprintf("club-%02d", i) }
 
-// addTenants puts the tenants into the store.
+// addTenants adds the tenants to the store and returns their tokens.
 func addTenants(dir string, day Trial) (tokens []string, err error) {
 	tokens = make([]string, day.Tenants)
 	if day.Unqueued {
@@ -238,7 +238,7 @@
 	return nodes, nil
 }
 
-// sendRequests sends a tenant's requests at a rate, open loop; nothing is requested twice.
+// sendRequests sends a tenant's requests in an open loop, at a rate per second. No request is sent twice.
 func (r *trialRun) sendRequests(tenantIndex int, rate float64) {
 	rng := rand.New(rand.NewPCG(r.Seed, uint64(tenantIndex)+40))
 	at := time.Now()
@@ -262,7 +262,7 @@
 	}
 }
 
-// tally sums up what each tenant got.
+// tally computes the result of each tenant.
 func tally(records []audit.Record, clients []*standin.Client) []TenantResult {
 	all := make([]TenantResult, len(clients))
 	value := [...]float64{1, 3}
@@ -306,7 +306,8 @@
 	return all
 }
 
-// Table compares days: a calm one, one with a flood behind the lines, and one with the same flood without them.
+// Table runs and compares three trials: one without a flood, one with a flood and fair queues, and one with the same flood without fair queues. It
+// returns the lowest ratio, over the calm tenants, of the value fraction with flood and fair queues to that without a flood, at most 1.
 func Table(ctx context.Context, out io.Writer, day Trial) (worst float64, err error) {
 	calm, flood, plain := day, day, day
 	calm.Flood, plain.Unqueued, plain.ReconnectFlood = 0, true, false
@@ -340,7 +341,7 @@
 		}
 		return n / day.Duration.Seconds()
 	}
-	calmP99 := func(all []TenantResult) float64 { // of the calm tenants together: each alone has too few for a 99th percentile
+	calmP99 := func(all []TenantResult) float64 { // of all calm tenants together: a single one has too few requests for a 99th percentile
 		var took []float64
 		for _, g := range all[1:] {
 			took = append(took, g.latencies...)
@@ -358,7 +359,7 @@
 	return worst, nil
 }
 
-// reconnectRepeatedly connects anew without end and never shows a token.
+// reconnectRepeatedly opens and closes connections until the end, and never sends a token.
 func reconnectRepeatedly(end time.Time, addr string) {
 	for time.Now().Before(end) {
 		w := env.NewReal()
@@ -373,6 +374,7 @@
 	}
 }
 
+// discardHandler ignores what a connection receives.
 type discardHandler struct{}
 
 func (discardHandler) OnData([]byte) {}
