--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -32,19 +32,19 @@
 // TestShortDay runs a day of 24 s in which scheduler processes are killed and paused while hundreds of attempts are open. The audit must find no
 // violation.
 func TestShortDay(t *testing.T) {
-	place, faults := site.Read(strings.NewReader(DefaultSite))
+	config, faults := site.Read(strings.NewReader(DefaultSite))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	text := DefaultDay[:strings.Index(DefaultDay, "  <window")] + shortFaults
 	text = strings.NewReplacer(`lasts="62s"`, `lasts="23s"`, `rate="34"`, `rate="60"`).Replace(text)
-	day, faults := ReadDay(strings.NewReader(text), place)
+	day, faults := ReadDay(strings.NewReader(text), config)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	dir := t.TempDir()
 	res, err := Play(context.Background(), Drill{
-		Day: day, Deployment: place, SiteText: DefaultSite, Command: []string{os.Args[0]},
+		Day: day, Deployment: config, SiteText: DefaultSite, Command: []string{os.Args[0]},
 		Seed: 2, OutDir: dir, Logf: func(string, ...any) {},
 	})
 	if err != nil {
@@ -72,8 +72,8 @@
 }
 
 func TestDayFaults(t *testing.T) {
-	place, _ := site.Read(strings.NewReader(DefaultSite))
-	if _, faults := ReadDay(strings.NewReader(DefaultDay), place); len(faults) > 0 {
+	config, _ := site.Read(strings.NewReader(DefaultSite))
+	if _, faults := ReadDay(strings.NewReader(DefaultDay), config); len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	for _, c := range []struct{ name, old, new, fault string }{
@@ -87,7 +87,7 @@
 		{"job-fails without a job type", `size="0.8" job-type="import"`, `size="0.8"`, "needs a job-type"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, faults := ReadDay(strings.NewReader(strings.Replace(DefaultDay, c.old, c.new, 1)), place)
+			_, faults := ReadDay(strings.NewReader(strings.Replace(DefaultDay, c.old, c.new, 1)), config)
 			var all []string
 			for _, f := range append(faults, strictxml.Fault{}) {
 				all = append(all, f.String())
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -140,14 +140,14 @@
 
 func (p *drillRun) addNode(f nodeGroup, i int, cold bool) error {
 	cl, d := &p.Deployment.Cluster, p.Day
-	mk := standin.MachineConfig{
+	machine := standin.MachineConfig{
 		Cores: cl.KindCores[f.kind], Memory: cl.KindMemory[f.kind], CoresLimit: cl.CoresOvercommit,
 		MemoryLimit: cl.MemoryOvercommit, InspectTime: d.inspectTime, QueueLimit: d.queueLimit, ConcurrentStarts: d.concurrentStarts, ProgramMissFactor: d.programMissFactor,
 		ProgramCacheSize: d.programCache, WarmupPace: d.warmupPace, WarmupDuration: cl.SlowStartDuration, OverloadFactor: d.overloadFactor, OverloadWindow: cl.SlowStartWindow,
 		SlowStartLimit: int(cl.SlowStartLimit), ReportsUse: cl.ReportsMeasureUse, Preempts: cl.Preempts,
 	}
 	for _, w := range d.jobs {
-		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{
+		machine.JobProfiles = append(machine.JobProfiles, standin.JobProfile{
 			StartWork: w.start, MeanRuntime: w.runtime, MeanUse: w.use, Priority: w.priority,
 			Deduplicated: w.semantics == audit.Idempotent,
 		})
@@ -167,7 +167,7 @@
 	if p.groups[group] == nil {
 		p.groups[group] = standin.NewGroup()
 	}
-	if err := p.testbed.StartNode(n, standin.NodeStart{Machine: mk, Group: p.groups[group], Seed: p.rng.Uint64(), Cold: cold}); err != nil {
+	if err := p.testbed.StartNode(n, standin.NodeStart{Machine: machine, Group: p.groups[group], Seed: p.rng.Uint64(), Cold: cold}); err != nil {
 		return err
 	}
 	p.nodes = append(p.nodes, n)
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -211,8 +211,8 @@
 // visitTime returns a time in which a scheduler can visit that many nodes on loopback, with a wide margin.
 func visitTime(nodes int) time.Duration { return time.Duration(nodes) * time.Millisecond }
 
-func startNodes(w *standin.Testbed, place *site.Config, tr Trial) ([]*standin.Node, error) {
-	mk := standin.MachineConfig{
+func startNodes(testbed *standin.Testbed, config *site.Config, tr Trial) ([]*standin.Node, error) {
+	machine := standin.MachineConfig{
 		Cores: 64, Memory: 128, CoresLimit: 4, MemoryLimit: 4, InspectTime: 0.02, QueueLimit: 4000, ConcurrentStarts: 64,
 		ProgramMissFactor: 1, ProgramCacheSize: 4, WarmupPace: 1, WarmupDuration: 1, OverloadFactor: 1e12, OverloadWindow: 1, SlowStartLimit: 1 << 30,
 		JobProfiles: []standin.JobProfile{{StartWork: 0.5, MeanRuntime: tr.TaskRuntime, MeanUse: 0.5}},
@@ -220,9 +220,9 @@
 	group := standin.NewGroup()
 	var nodes []*standin.Node
 	for i := range tr.Nodes {
-		zone := place.Zones[i%len(place.Zones)]
+		zone := config.Zones[i%len(config.Zones)]
 		n := &standin.Node{ID: uint32(i + 1), Zone: zone, Cell: zone, Kind: "plain", Jobs: 1, Tenants: 1}
-		if err := w.StartNode(n, standin.NodeStart{Machine: mk, Group: group, Seed: uint64(i)}); err != nil {
+		if err := testbed.StartNode(n, standin.NodeStart{Machine: machine, Group: group, Seed: uint64(i)}); err != nil {
 			return nil, err
 		}
 		if tr.DropAnswers {
--- a/internal/lab/maintenance/effects.go
+++ b/internal/lab/maintenance/effects.go
@@ -13,18 +13,18 @@
 
 // send carries a line to a node.
 func (h effects) send(nd uint32, b []byte) {
-	s, life := h.process.sim.nodes[nd-1], h.process.incarnation
+	s, incarnation := h.process.sim.nodes[nd-1], h.process.incarnation
 	h.process.sim.sendDelayed(func() {
-		if !s.lost && h.process.incarnation == life {
+		if !s.lost && h.process.incarnation == incarnation {
 			s.receive(h.process, b)
 		}
 	})
 }
 
 func (h effects) Dial(nd uint32, _ string) {
-	p, s, life := h.process, h.process.sim.nodes[nd-1], h.process.incarnation
+	p, s, incarnation := h.process, h.process.sim.nodes[nd-1], h.process.incarnation
 	p.sim.sendDelayed(func() {
-		if p.down || p.incarnation != life {
+		if p.down || p.incarnation != incarnation {
 			return
 		}
 		if s.lost {
@@ -97,33 +97,33 @@
 func (h effects) Log(l string) { h.process.sim.tracef("%d %s", h.process.index, l) }
 
 // SetDraining and the others are the keeper's hands.
-func (h effects) SetDraining(nodes []string, out bool) {
+func (h effects) SetDraining(nodes []string, draining bool) {
 	var ids []uint32
 	for _, n := range nodes {
 		id, _ := strconv.Atoi(n)
 		ids = append(ids, uint32(id))
-		if delete(h.process.draining, uint32(id)); out {
+		if delete(h.process.draining, uint32(id)); draining {
 			h.process.draining[uint32(id)] = true
 		}
 	}
-	h.process.engine.SetMaintenance(h.process.clock(), ids, out)
+	h.process.engine.SetMaintenance(h.process.clock(), ids, draining)
 }
 
-func (h effects) CountRunning(nodes []string) (there []int, all int) {
-	there = make([]int, jobClasses)
+func (h effects) CountRunning(nodes []string) (byJob []int, fleet int) {
+	byJob = make([]int, jobClasses)
 	for _, n := range nodes {
 		id, _ := strconv.Atoi(n)
-		h.process.engine.CountRunning(uint32(id), there)
+		h.process.engine.CountRunning(uint32(id), byJob)
 	}
-	return there, h.process.engine.Stats().Held
+	return byJob, h.process.engine.Stats().Held
 }
 
-func (h effects) Evict(nodes []string, job, most int) (n int) {
-	may := make([]bool, jobClasses)
-	may[job] = true
+func (h effects) Evict(nodes []string, job, limit int) (n int) {
+	selected := make([]bool, jobClasses)
+	selected[job] = true
 	for _, name := range nodes {
 		id, _ := strconv.Atoi(name)
-		n += h.process.engine.MigrateFrom(h.process.clock(), uint32(id), may, most-n)
+		n += h.process.engine.MigrateFrom(h.process.clock(), uint32(id), selected, limit-n)
 	}
 	h.process.evicted += n
 	return n
--- a/internal/lab/maintenance/handlers.go
+++ b/internal/lab/maintenance/handlers.go
@@ -61,9 +61,9 @@
 func (s *simNode) send(sched string, b []byte) {
 	i, _ := strconv.Atoi(sched)
 	p := s.sim.processes[i]
-	life, own := s.incarnation, p.incarnation
+	nodeIncarnation, processIncarnation := s.incarnation, p.incarnation
 	s.sim.sendDelayed(func() {
-		if !p.down && s.incarnation == life && p.incarnation == own && !s.lost {
+		if !p.down && s.incarnation == nodeIncarnation && p.incarnation == processIncarnation && !s.lost {
 			p.receive(s, b)
 			p.nextRound = s.sim.now
 		}
@@ -162,9 +162,9 @@
 
 func (m *memoryStore) Calendar() (*calendar.Calendar, error) { return m.calendar, nil }
 
-func (m *memoryStore) find(window string, nominal time.Time) int {
+func (m *memoryStore) find(window string, scheduledStart time.Time) int {
 	return slices.IndexFunc(m.drains, func(b maintenancestore.Drain) bool {
-		return b.Verdict.Window == window && b.Verdict.ScheduledStart.Equal(nominal)
+		return b.Verdict.Window == window && b.Verdict.ScheduledStart.Equal(scheduledStart)
 	})
 }
 
@@ -177,8 +177,8 @@
 	return b, true, nil
 }
 
-func (m *memoryStore) AdvanceDrain(window string, nominal time.Time, stage maintenancestore.Stage, now time.Time) error {
-	i := m.find(window, nominal)
+func (m *memoryStore) AdvanceDrain(window string, scheduledStart time.Time, stage maintenancestore.Stage, now time.Time) error {
+	i := m.find(window, scheduledStart)
 	if i < 0 {
 		return errors.New("never begun")
 	}
--- a/internal/lab/maintenance/simulation.go
+++ b/internal/lab/maintenance/simulation.go
@@ -230,9 +230,9 @@
 		}
 		switch w.rng.IntN(6) {
 		case 0:
-			p, back := w.processes[w.rng.IntN(w.Processes)], 500+w.rng.Float64()*5000
+			p, downTime := w.processes[w.rng.IntN(w.Processes)], 500+w.rng.Float64()*5000
 			w.schedule(at, func() { p.stop() })
-			w.schedule(at+back, func() { p.start() })
+			w.schedule(at+downTime, func() { p.start() })
 		case 1:
 			zone := w.rng.IntN(zoneCount)
 			w.schedule(at, func() { w.loseZone(zone) })
@@ -314,11 +314,11 @@
 
 // checkOverlaps holds what any process has out against the limits.
 func (w *simulation) checkOverlaps() {
-	out, zone, kind := 0, [zoneCount]int{}, [2]int{}
+	draining, zone, kind := 0, [zoneCount]int{}, [2]int{}
 	for _, s := range w.nodes {
 		for _, p := range w.processes {
 			if p.draining[s.id] && !p.down {
-				out++
+				draining++
 				zone[s.zone]++
 				kind[s.kind]++
 				break
@@ -327,16 +327,16 @@
 	}
 	n := len(w.nodes)
 	switch {
-	case float64(out) > limits.Fleet*float64(n):
-		w.fail(&w.report.Overlaps, "%d of %d nodes out", out, n)
+	case float64(draining) > limits.Fleet*float64(n):
+		w.fail(&w.report.Overlaps, "%d of %d nodes out", draining, n)
 	case slices.Max(zone[:]) > int(limits.Zone*cellsPerZone*nodesPerCell):
 		w.fail(&w.report.Overlaps, "%d of a zone out", slices.Max(zone[:]))
 	case slices.Max(kind[:]) > int(limits.Kind*float64(n)/2):
 		w.fail(&w.report.Overlaps, "%d of a kind out", slices.Max(kind[:]))
 	}
 	t := epoch.Add(time.Duration(w.now * 1e6))
-	if h := t.Sub(epoch.Add((6*24 + 17) * time.Hour)); out > 0 && h >= 0 && h%(7*24*time.Hour) < 6*time.Hour {
-		w.fail(&w.report.Overlaps, "%d nodes out at a protected time", out)
+	if h := t.Sub(epoch.Add((6*24 + 17) * time.Hour)); draining > 0 && h >= 0 && h%(7*24*time.Hour) < 6*time.Hour {
+		w.fail(&w.report.Overlaps, "%d nodes out at a protected time", draining)
 	}
 }
 
@@ -356,12 +356,12 @@
 			}
 		}
 	}
-	tell := func(avail logic.Availability) {
+	updateLists := func(avail logic.Availability) {
 		for _, p := range w.processes {
 			w.schedule(500+w.rng.Float64()*3000, func() { p.updateList(zone, avail) })
 		}
 	}
-	tell(logic.Unavailable)
+	updateLists(logic.Unavailable)
 	w.schedule(6000, func() {
 		for _, s := range w.nodes {
 			if s.zone == zone {
@@ -369,6 +369,6 @@
 				s.incarnation++
 			}
 		}
-		tell(logic.Ready)
+		updateLists(logic.Ready)
 	})
 }
--- a/internal/lab/spawn/spawn.go
+++ b/internal/lab/spawn/spawn.go
@@ -64,7 +64,7 @@
 	for i := 0; i+1 < len(args); i += 2 {
 		flags[args[i]] = args[i+1]
 	}
-	place, err := site.Load(flags["--site"])
+	config, err := site.Load(flags["--site"])
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 	defer stop()
 	var failed error
 	err = serve.Run(ctx, serve.Config{
-		Site: place, Name: flags["--name"], Index: index, Folder: flags["--state"], Seed: seed, Zone: flags["--zone"],
+		Site: config, Name: flags["--name"], Index: index, Folder: flags["--state"], Seed: seed, Zone: flags["--zone"],
 		Log: zerolog.New(os.Stderr), Ready: func(a string) {
 			failed = renameio.WriteFile(flags["--address-file"], []byte(a+"\n"), 0o600)
 		},
--- a/internal/lab/tenants/trial.go
+++ b/internal/lab/tenants/trial.go
@@ -188,20 +188,20 @@
 func tenantName(i int) string { return fmt.Sprintf("club-%02d", i) }
 
 // addTenants adds the tenants to the store and returns their tokens.
-func addTenants(dir string, day Trial) (tokens []string, err error) {
-	tokens = make([]string, day.Tenants)
-	if day.Unqueued {
+func addTenants(dir string, trial Trial) (tokens []string, err error) {
+	tokens = make([]string, trial.Tenants)
+	if trial.Unqueued {
 		return tokens, nil
 	}
-	store, err := tenants.Open(dir, day.Tenants)
+	store, err := tenants.Open(dir, trial.Tenants)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = store.Close() }()
-	for i := range day.Tenants {
+	for i := range trial.Tenants {
 		share := 1.0
-		if i == 0 && day.FirstShare > 0 {
-			share = day.FirstShare
+		if i == 0 && trial.FirstShare > 0 {
+			share = trial.FirstShare
 		}
 		_, fault, err := store.Apply(time.Now(), "lab", "", tenancy.Change{
 			Kind: tenancy.Add, Name: tenantName(i),
@@ -219,18 +219,18 @@
 	return tokens, nil
 }
 
-func startNodes(w *standin.Testbed, day Trial) (nodes []*standin.Node, err error) {
-	mk := standin.MachineConfig{
+func startNodes(testbed *standin.Testbed, trial Trial) (nodes []*standin.Node, err error) {
+	machine := standin.MachineConfig{
 		Cores: cores, Memory: 2 * cores, CoresLimit: 1, MemoryLimit: 1, InspectTime: 1, QueueLimit: 4000, ConcurrentStarts: 64, ProgramMissFactor: 1,
 		ProgramCacheSize: 64, WarmupPace: 1, WarmupDuration: 1, OverloadFactor: 1e12, OverloadWindow: 1, SlowStartLimit: 1 << 30,
 	}
 	for job := range 2 {
-		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 2, MeanRuntime: taskRuntime, MeanUse: 0.5, Priority: job})
+		machine.JobProfiles = append(machine.JobProfiles, standin.JobProfile{StartWork: 2, MeanRuntime: taskRuntime, MeanUse: 0.5, Priority: job})
 	}
 	group := standin.NewGroup()
-	for i := range day.Nodes {
-		n := &standin.Node{ID: uint32(i + 1), Zone: "one", Cell: "one", Kind: "plain", Jobs: 2, Tenants: day.Tenants}
-		if err := w.StartNode(n, standin.NodeStart{Machine: mk, Group: group, Seed: day.Seed + uint64(i)}); err != nil {
+	for i := range trial.Nodes {
+		n := &standin.Node{ID: uint32(i + 1), Zone: "one", Cell: "one", Kind: "plain", Jobs: 2, Tenants: trial.Tenants}
+		if err := testbed.StartNode(n, standin.NodeStart{Machine: machine, Group: group, Seed: trial.Seed + uint64(i)}); err != nil {
 			return nil, err
 		}
 		nodes = append(nodes, n)
