--- a/internal/lab/maintenance/effects.go
+++ b/internal/lab/maintenance/effects.go
@@ -8,10 +8,11 @@
 	"ravenpond/logic"
 )
 
-// effects is a process's edge and its keeper's hands. What it sends is encoded, travels, and is decoded at the node.
+// effects carries out the decisions of a process's engine and of its maintenance controller. Messages to nodes are encoded, delayed as on a
+// network, and decoded at the node.
 type effects struct{ process *process }
 
-// send carries a line to a node.
+// send sends an encoded message to a node. The message is lost if the node is lost or the process restarted before it arrives.
 func (h effects) send(nd uint32, b []byte) {
 	s, incarnation := h.process.sim.nodes[nd-1], h.process.incarnation
 	h.process.sim.sendDelayed(func() {
@@ -96,7 +97,7 @@
 
 func (h effects) Log(l string) { h.process.sim.tracef("%d %s", h.process.index, l) }
 
-// SetDraining and the others are the keeper's hands.
+// SetDraining implements maintenance.Executor, as do CountRunning, Evict and Log.
 func (h effects) SetDraining(nodes []string, draining bool) {
 	var ids []uint32
 	for _, n := range nodes {
--- a/internal/lab/maintenance/handlers.go
+++ b/internal/lab/maintenance/handlers.go
@@ -14,13 +14,13 @@
 	"ravenpond/logic"
 )
 
-// nodeHandler hands a process's word to a node's machine.
+// nodeHandler passes the messages of a process to a node's machine.
 type nodeHandler struct {
 	node    *simNode
 	process *process
 }
 
-// id names an attempt of the process as the machine does.
+// id converts the ID of an attempt of the process to that of the machine.
 func (a nodeHandler) id(attempt node.AttemptID) standin.AttemptID {
 	return standin.AttemptID{Scheduler: a.process.name(), Ticket: attempt.Ticket, Attempt: attempt.Number}
 }
@@ -57,7 +57,8 @@
 func (a nodeHandler) OnResync() error      { return nil }
 func (a nodeHandler) OnBye(string) error   { return nil }
 
-// send carries a node's word to a process, encoded.
+// send sends an encoded message to a process. The message is lost if the process is down or the node is lost when it arrives, or if either restarted
+// meanwhile.
 func (s *simNode) send(sched string, b []byte) {
 	i, _ := strconv.Atoi(sched)
 	p := s.sim.processes[i]
@@ -70,7 +71,7 @@
 	})
 }
 
-// attemptOf names an attempt as the protocol does.
+// attemptOf converts the machine's ID of an attempt to that of the protocol.
 func attemptOf(id standin.AttemptID) node.AttemptID {
 	return node.AttemptID{Ticket: id.Ticket, Number: id.Attempt}
 }
@@ -85,7 +86,7 @@
 	s.send(id.Scheduler, node.AppendOutcome(nil, node.Outcome{Attempt: attemptOf(id), Result: c.Outcome, Reason: c.Reason, Report: c.Report}))
 }
 
-// OnNote implements standin.EventHandler: schedulers here don't learn from notes.
+// OnNote implements standin.EventHandler. Notes are not sent to the schedulers of this simulation.
 func (s *simNode) OnNote(standin.AttemptID, int, float64) {}
 
 // OnReport implements standin.EventHandler.
@@ -98,7 +99,7 @@
 	s.send(id.Scheduler, node.AppendClaimAnswer(nil, node.ClaimAnswer{Attempt: attemptOf(id), Claim: claim, Reason: reason}))
 }
 
-// OnRun implements standin.EventHandler. A start at a node that is out counts unless its process could not have recalled the attempt.
+// OnRun implements standin.EventHandler. A start at a node in maintenance counts as late, unless its process could not have recalled the attempt.
 func (s *simNode) OnRun(id standin.AttemptID) {
 	s.sim.report.Starts++
 	s.sim.tracef("ran %s %x.%d at %d", id.Scheduler, id.Ticket, id.Attempt, s.id)
@@ -107,10 +108,10 @@
 	}
 }
 
-// OnOverload implements standin.EventHandler: nodes here are never overloaded.
+// OnOverload implements standin.EventHandler. Nodes are never overloaded in this simulation.
 func (s *simNode) OnOverload() {}
 
-// processHandler hands a node's word to a process's engine.
+// processHandler passes the messages of a node to a process's engine.
 type processHandler struct {
 	process *process
 	node    *simNode
@@ -154,7 +155,7 @@
 func (r processHandler) OnPong() error      { return nil }
 func (r processHandler) OnBye(string) error { return nil }
 
-// memoryStore is a store that outlives its process, as the one on disk does.
+// memoryStore is a maintenance.Store in memory. Like the store on disk, it survives restarts of its process.
 type memoryStore struct {
 	calendar *calendar.Calendar
 	drains   []maintenancestore.Drain
@@ -162,6 +163,7 @@
 
 func (m *memoryStore) Calendar() (*calendar.Calendar, error) { return m.calendar, nil }
 
+// find returns the index of a window's drain, -1 if there is none.
 func (m *memoryStore) find(window string, scheduledStart time.Time) int {
 	return slices.IndexFunc(m.drains, func(b maintenancestore.Drain) bool {
 		return b.Verdict.Window == window && b.Verdict.ScheduledStart.Equal(scheduledStart)
@@ -180,7 +182,7 @@
 func (m *memoryStore) AdvanceDrain(window string, scheduledStart time.Time, stage maintenancestore.Stage, now time.Time) error {
 	i := m.find(window, scheduledStart)
 	if i < 0 {
-		return errors.New("never begun")
+		return errors.New("advancing a drain that was never begun")
 	}
 	if stage > m.drains[i].Stage {
 		m.drains[i].Stage, m.drains[i].ReachedAt[stage] = stage, now
--- a/internal/lab/maintenance/node.go
+++ b/internal/lab/maintenance/node.go
@@ -8,12 +8,12 @@
 	"ravenpond/internal/standin"
 )
 
-// simNode is a node.
+// simNode is a simulated node.
 type simNode struct {
 	sim         *simulation
 	id          uint32
 	machine     *standin.Machine
-	maintenance [][2]float64 // true times at which it is out, from drain to end
+	maintenance [][2]float64 // true times at which the node is in maintenance, each from the drain's start to the window's end, in ms
 	lost        bool
 	incarnation uint64
 	zone        int
@@ -21,17 +21,18 @@
 	kind        int
 }
 
-// checkPlacement notes what comes to a node that is out.
+// checkPlacement counts an offer or a start that comes to a node in maintenance after the drain grace. The guard band is left out at both ends, as the
+// clocks of the processes may be off by it.
 func (s *simNode) checkPlacement(what string, ticket uint64) {
 	for _, o := range s.maintenance {
 		if s.sim.now > o[0]+drainGrace+float64(guardBand)/1e6 && s.sim.now < o[1]-float64(guardBand)/1e6 {
-			s.sim.fail(&s.sim.report.LatePlacements, "%s of %x at node %d, out for %.1f s", what, ticket, s.id, (s.sim.now-o[0])/1000)
+			s.sim.fail(&s.sim.report.LatePlacements, "%s of ticket %x at node %d, whose drain began %.1f s before", what, ticket, s.id, (s.sim.now-o[0])/1000)
 			return
 		}
 	}
 }
 
-// receive decodes what came to a node.
+// receive decodes and handles messages from a process.
 func (s *simNode) receive(p *process, b []byte) {
 	in := line.NewReader(bytes.NewReader(b))
 	for {
@@ -40,7 +41,7 @@
 			return
 		}
 		if err := node.DecodeScheduler(fields, nodeHandler{s, p}); err != nil {
-			panic(err) // our own codec
+			panic(err) // the message was encoded by the same codec
 		}
 	}
 }
--- a/internal/lab/maintenance/process.go
+++ b/internal/lab/maintenance/process.go
@@ -14,7 +14,7 @@
 	"ravenpond/logic"
 )
 
-// process is a scheduler process.
+// process is a simulated scheduler process.
 type process struct {
 	sim               *simulation
 	index             int
@@ -30,13 +30,14 @@
 	lastRef           uint64
 	evicted           int
 	lostNodes         map[string]bool
-	pausedUntil       float64 // it stands still until then
-	unresponsiveUntil float64 // until then it could not act on its tries that were out: it was down or stood still
+	pausedUntil       float64 // the process is paused until then
+	unresponsiveUntil float64 // until then the process may be unable to recall its open attempts: it was down or paused
 }
 
-func (p *process) clock() float64 { return p.sim.now + p.skew + 1e6 } // engines begin well above 0
+// clock returns the time of the process's own clock, in ms.
+func (p *process) clock() float64 { return p.sim.now + p.skew + 1e6 } // an engine's clock starts well above 0
 
-// start begins a life of the process: its store is what outlived the last.
+// start starts an incarnation of the process. Only its store survives from the last one.
 func (p *process) start() {
 	p.down, p.unresponsiveUntil = false, p.sim.now+6000
 	p.incarnation++
@@ -65,16 +66,17 @@
 		p.engine.AddListEntry(engine.ListEntry{Node: s.id, Address: "x", Availability: logic.Ready, FreeCores: 32, FreeMemory: 64, Zone: s.zone, Cell: s.cell, Kind: s.kind})
 	}
 	p.engine.EndList()
-	p.tickController() // what an earlier life took out is known before anything is placed
+	p.tickController() // before any placement, so that the drains of an earlier incarnation are known
 	p.nextRound, p.nextTick = p.sim.now, p.sim.now+1000
 }
 
-// stop kills the process; its connections break, what it ran runs on.
+// stop kills the process. Its connections break, and its tasks continue to run.
 func (p *process) stop() {
 	p.down, p.unresponsiveUntil = true, math.Inf(1)
 	p.sim.tracef("process %d down", p.index)
 }
 
+// updateList gives the process a change of the node list: the nodes of a zone have a new availability.
 func (p *process) updateList(zone int, avail logic.Availability) {
 	if p.down {
 		return
@@ -92,7 +94,7 @@
 	p.engine.EndList()
 }
 
-// tickController is the keeper's look, by the process's own clock.
+// tickController calls the maintenance controller with the time of the process's own clock.
 func (p *process) tickController() {
 	now := epoch.Add(time.Duration((p.sim.now + p.skew) * 1e6))
 	if err := p.controller.Tick(now, p.sim.fleet, p.lostNodes); err != nil {
@@ -100,17 +102,18 @@
 	}
 }
 
+// request requests a task of a random job class.
 func (p *process) request() {
 	p.lastRef++
 	p.sim.nextID++
 	job := p.sim.rng.IntN(jobClasses)
-	_ = p.engine.Allocate(p.clock(), engine.Request{ID: engine.RequestID{Client: 1, Number: p.lastRef}, Task: engine.Task{JobClass: job, Tenant: 0, Service: uint64(p.sim.rng.IntN(12)), Token: p.sim.nextID, Cores: 1, Memory: 2}, TimeLeft: 8000, Epoch: 1}) // refs are never reused
+	_ = p.engine.Allocate(p.clock(), engine.Request{ID: engine.RequestID{Client: 1, Number: p.lastRef}, Task: engine.Task{JobClass: job, Tenant: 0, Service: uint64(p.sim.rng.IntN(12)), Token: p.sim.nextID, Cores: 1, Memory: 2}, TimeLeft: 8000, Epoch: 1}) // request numbers are never reused
 	p.nextRound = p.sim.now
 }
 
 func (p *process) name() string { return strconv.Itoa(p.index) }
 
-// receive decodes what came to a process.
+// receive decodes and handles messages from a node.
 func (p *process) receive(s *simNode, b []byte) {
 	in := line.NewReader(bytes.NewReader(b))
 	var buf [node.MaxReportValues]float64
@@ -120,7 +123,7 @@
 			return
 		}
 		if err := node.DecodeNode(fields, processHandler{p, s}, buf[:]); err != nil {
-			p.sim.tracef("%d faults node %d: %v", p.index, s.id, err)
+			p.sim.tracef("process %d: invalid message from node %d: %v", p.index, s.id, err)
 		}
 	}
 }
--- a/internal/lab/maintenance/simulation.go
+++ b/internal/lab/maintenance/simulation.go
@@ -1,6 +1,6 @@
-// Package maintenance simulates maintenance windows of a month on a virtual clock: several scheduler processes with skewed clocks,
-// their real engines, keepers and codecs, and the stand-in nodes' model, with failures drawn from a seed. Time between
-// windows is passed over in jumps, as nothing happens there that windows touch.
+// Package maintenance simulates the maintenance windows of a month on a virtual clock. Several scheduler processes with skewed clocks run the real
+// engine, maintenance controller and codecs against the stand-in nodes' model, with failures drawn from a seed. The time between windows is skipped,
+// as nothing happens there that affects windows.
 package maintenance
 
 import (
@@ -20,18 +20,18 @@
 	"ravenpond/logic"
 )
 
-// Fault names a fault that the run must find.
+// Fault names a fault that is injected into a run. The checks must find it.
 type Fault string
 
-// Faults that can be planted.
+// Faults that can be injected.
 const (
 	None       Fault = ""
-	NoGuard    Fault = "guard band left out"
+	NoGuard    Fault = "no clock guard"
 	PerProcess Fault = "overlap checked per process"
-	NoRecall   Fault = "try not recalled"
+	NoRecall   Fault = "attempts not recalled"
 )
 
-// Month is one month.
+// Month is the configuration of a simulation.
 type Month struct {
 	Seed      uint64
 	Days      int
@@ -39,25 +39,25 @@
 	Fault     Fault
 }
 
-// Report is what came of it.
+// Report is the outcome of a simulation.
 type Report struct {
 	Windows, Kept, Postponed, Refused int
 	Offers, Starts, MovedOff          int
 	Restarts, Lost                    int
-	LatePlacements                    int // offers or starts at a node that is out for longer than the grace
-	Overlaps                          int // instants at which more was out than may be
+	LatePlacements                    int // offers or starts at a node after its drain grace
+	Overlaps                          int // checks at which more nodes were draining than the limits allow
 	Trace                             uint64
-	FirstFailure                      string // the first break
+	FirstFailure                      string // the first violation of any kind
 }
 
 const (
 	guardBand    = 4 * time.Second
-	maxSkew      = 3500.0 // ms that a clock is off at most, within the guard
-	drainGrace   = 2000.0
-	stepLength   = 20.0
+	maxSkew      = 3500.0 // ms by which a process's clock may be off, below guardBand
+	drainGrace   = 2000.0 // ms
+	stepLength   = 20.0   // ms
 	zoneCount    = 3
-	cellsPerZone = 8 // a zone
-	nodesPerCell = 5 // nodes a cell
+	cellsPerZone = 8
+	nodesPerCell = 5
 	jobClasses   = 3
 )
 
@@ -65,15 +65,15 @@
 
 var limits = calendar.Limits{Fleet: 0.15, Zone: 0.25, Kind: 0.2, MaxWarmingUp: 20, WarmUp: 30 * time.Second, LoadMargin: 1, ClockGuard: guardBand}
 
-// simulation is the true state.
+// simulation is a simulation that is running, with the true state of the cluster.
 type simulation struct {
 	Month
 	rng       *rand.Rand
-	now       float64 // ms from begin
+	now       float64 // ms since epoch
 	nodes     []*simNode
 	processes []*process
 	fleet     []calendar.Node
-	plan      []calendar.Verdict // of the whole calendar, by the true fleet
+	plan      []calendar.Verdict // of the whole calendar and the true fleet
 	calendar  *calendar.Calendar
 	events    agenda.Queue[func()]
 	report    Report
@@ -81,17 +81,21 @@
 	nextID    uint64
 }
 
+// schedule schedules a function to run after ms.
 func (w *simulation) schedule(ms float64, run func()) {
 	w.events.Add(w.now+ms, run)
 }
 
+// sendDelayed schedules the delivery of a message after a random network delay.
 func (w *simulation) sendDelayed(run func()) { w.schedule(0.3+w.rng.Float64()*20, run) }
 
+// tracef adds a line to the trace, of which only the hash is kept.
 func (w *simulation) tracef(format string, args ...any) {
 	fmt.Fprintf(&w.trace, "%.3f ", w.now)
 	fmt.Fprintf(&w.trace, format+"\n", args...)
 }
 
+// fail counts a violation, and keeps the description of the first one.
 func (w *simulation) fail(count *int, format string, args ...any) {
 	*count++
 	if w.report.FirstFailure == "" {
@@ -99,7 +103,7 @@
 	}
 }
 
-// Play runs the month.
+// Play runs the simulation.
 func (r Month) Play() Report {
 	w := &simulation{Month: r, rng: rand.New(rand.NewPCG(r.Seed, 41))}
 	w.trace.Reset()
@@ -118,7 +122,7 @@
 	return w.report
 }
 
-// build makes nodes, the calendar and its plan, and starts the processes.
+// build creates the nodes, the calendar and its plan, and starts the processes.
 func (w *simulation) build() {
 	w.addNodes()
 	w.drawWindows()
@@ -142,7 +146,7 @@
 					Cores: 32, Memory: 64, CoresLimit: 2, MemoryLimit: 2, InspectTime: 150, QueueLimit: 30, ConcurrentStarts: 3, ProgramMissFactor: 4,
 					ProgramCacheSize: 6, WarmupPace: 0.2, WarmupDuration: 8000, OverloadFactor: 1e9, OverloadWindow: 1000, SlowStartLimit: 1 << 30,
 				}
-				for job := range jobClasses { // run-once ones start so slowly that a try waits for seconds
+				for job := range jobClasses { // at-most-once tasks start so slowly that attempts wait for seconds
 					mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 150 + 1650*float64(job/2), MeanRuntime: 30000, MeanUse: 0.5})
 				}
 				s.machine = standin.NewMachine(mk, s, standin.NewGroup(), w.rng.Uint64(), 0, false)
@@ -156,7 +160,7 @@
 	}
 }
 
-// drawWindows draws the month's windows. Most are near others, so that many overlap, some of them back to back.
+// drawWindows draws the maintenance windows. Most are close to others, so that many overlap and some are back to back.
 func (w *simulation) drawWindows() {
 	w.calendar = &calendar.Calendar{Protected: []calendar.ProtectedTime{{
 		ID: "deadline", Start: epoch.Add((6*24 + 18) * time.Hour),
@@ -179,7 +183,7 @@
 	}
 }
 
-// applyPlan plans the windows over the true fleet, and notes when each node is out.
+// applyPlan plans the windows for the true fleet, and stores at each node when it is in maintenance.
 func (w *simulation) applyPlan() {
 	w.plan = calendar.Plan(w.calendar, w.fleet, limits, nil, epoch, epoch.AddDate(0, 0, w.Days))
 	for _, v := range w.plan {
@@ -201,7 +205,8 @@
 	}
 }
 
-// calendarFor is the whole calendar, unless overlaps are to be looked for by each process in its part alone.
+// calendarFor returns the calendar of a process: the whole one, or with the fault PerProcess a part of its own, so that each process checks for
+// overlaps within its part only.
 func (w *simulation) calendarFor(process int) *calendar.Calendar {
 	if w.Fault != PerProcess {
 		return w.calendar
@@ -215,10 +220,11 @@
 	return part
 }
 
+// ms converts a time to ms since epoch.
 func ms(t time.Time) float64 { return float64(t.Sub(epoch)) / 1e6 }
 
-// drawFaults lays the month's failures at the windows' most delicate moments: a process is down when one opens, nodes of a
-// hall are lost, another process stands still.
+// drawFaults schedules failures within 2 s of the start of the windows' drains, where they are most likely to cause violations: a process is down, the
+// nodes of a zone are lost, or a process is paused.
 func (w *simulation) drawFaults() {
 	for _, v := range w.plan {
 		if v.Outcome == calendar.Refused {
@@ -243,7 +249,7 @@
 	}
 }
 
-// activeSpans gives the spans of true time in which windows open or close, merged.
+// activeSpans returns the merged spans of true time, in ms, around the drain start, the start and the end of each window.
 func (w *simulation) activeSpans() (all [][2]float64) {
 	for _, v := range w.plan {
 		if v.Outcome != calendar.Refused {
@@ -263,7 +269,7 @@
 	return merged
 }
 
-// skipTo passes time in which no window opens or closes; what was due meanwhile happens in its order.
+// skipTo skips time in which no window begins or ends. Events that are due meanwhile run in their order.
 func (w *simulation) skipTo(to float64) {
 	for at, run, ok := w.events.Next(to); ok; at, run, ok = w.events.Next(to) {
 		w.now = max(w.now, at)
@@ -280,7 +286,7 @@
 	}
 }
 
-// advance is a step of true time.
+// advance advances true time by one step.
 func (w *simulation) advance() {
 	w.now += stepLength
 	for _, run, ok := w.events.Next(w.now); ok; _, run, ok = w.events.Next(w.now) {
@@ -312,7 +318,7 @@
 	}
 }
 
-// checkOverlaps holds what any process has out against the limits.
+// checkOverlaps checks the nodes that any process is draining against the limits and the protected times.
 func (w *simulation) checkOverlaps() {
 	draining, zone, kind := 0, [zoneCount]int{}, [2]int{}
 	for _, s := range w.nodes {
@@ -328,22 +334,22 @@
 	n := len(w.nodes)
 	switch {
 	case float64(draining) > limits.Fleet*float64(n):
-		w.fail(&w.report.Overlaps, "%d of %d nodes out", draining, n)
+		w.fail(&w.report.Overlaps, "%d of %d nodes draining at once, more than the limit of the fleet", draining, n)
 	case slices.Max(zone[:]) > int(limits.Zone*cellsPerZone*nodesPerCell):
-		w.fail(&w.report.Overlaps, "%d of a zone out", slices.Max(zone[:]))
+		w.fail(&w.report.Overlaps, "%d nodes of one zone draining at once, more than the limit of a zone", slices.Max(zone[:]))
 	case slices.Max(kind[:]) > int(limits.Kind*float64(n)/2):
-		w.fail(&w.report.Overlaps, "%d of a kind out", slices.Max(kind[:]))
+		w.fail(&w.report.Overlaps, "%d nodes of one machine kind draining at once, more than the limit of a kind", slices.Max(kind[:]))
 	}
 	t := epoch.Add(time.Duration(w.now * 1e6))
 	if h := t.Sub(epoch.Add((6*24 + 17) * time.Hour)); draining > 0 && h >= 0 && h%(7*24*time.Hour) < 6*time.Hour {
-		w.fail(&w.report.Overlaps, "%d nodes out at a protected time", draining)
+		w.fail(&w.report.Overlaps, "%d nodes draining in a protected time", draining)
 	}
 }
 
-// loseZone takes a hall away for a while; the lists hear of it seconds later.
+// loseZone makes the nodes of a zone unreachable for 6 s. The processes' node lists show the change after 0.5 s to 3.5 s.
 func (w *simulation) loseZone(zone int) {
 	w.report.Lost++
-	w.tracef("hall %d lost", zone)
+	w.tracef("zone %d lost", zone)
 	for _, s := range w.nodes {
 		if s.zone != zone {
 			continue
