--- a/internal/lab/drill/calendar.go
+++ b/internal/lab/drill/calendar.go
@@ -71,17 +71,17 @@
 // recordWindows adds to the trace when the calendar drains nodes and when it returns them to service.
 func (p *drillRun) recordWindows() {
 	for _, w := range p.Day.windows {
-		recordAt := func(at time.Time, word string) {
+		recordAt := func(at time.Time, detail string) {
 			p.startBackground(func() {
 				if !p.sleep(float64(time.Until(at)) / 1e6) {
 					return
 				}
-				p.Logf("%6.1f s  window %s: %s", p.testbed.Now()/1000, w.name, word)
+				p.Logf("%6.1f s  window %s: %s", p.testbed.Now()/1000, w.name, detail)
 				p.mu.Lock()
 				defer p.mu.Unlock()
 				for _, n := range p.nodes {
 					if w.cell != "" && n.Cell == w.cell || w.zone != "" && n.Zone == w.zone {
-						p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.MaintenanceChanged, Node: n.ID, Detail: word})
+						p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.MaintenanceChanged, Node: n.ID, Detail: detail})
 					}
 				}
 			})
--- a/internal/lab/tenants/handshakes.go
+++ b/internal/lab/tenants/handshakes.go
@@ -74,18 +74,18 @@
 		if err != nil {
 			return 0, 0, 0, err
 		}
-		asked, without := 0, 0
+		requests, withoutAnswer := 0, 0
 		var latencies []float64
 		for _, g := range all {
-			asked, without, latencies = asked+g.Requests, without+g.Unanswered, append(latencies, g.latencies...)
+			requests, withoutAnswer, latencies = requests+g.Requests, withoutAnswer+g.Unanswered, append(latencies, g.latencies...)
 		}
 		if len(latencies) == 0 {
 			return 0, 0, 0, fmt.Errorf("no request was served with %d half-open handshakes", n)
 		}
 		slices.Sort(latencies)
 		at := func(q float64) float64 { return latencies[int(q*float64(len(latencies)-1))] }
-		p50[i], p99[i], unanswered = at(0.5), at(0.99), unanswered+without
-		fmt.Fprintf(out, "%10d %8d %8d %8.2f %8.2f %8.1f %10d\n", n, asked, len(latencies), p50[i], p99[i], at(1), without)
+		p50[i], p99[i], unanswered = at(0.5), at(0.99), unanswered+withoutAnswer
+		fmt.Fprintf(out, "%10d %8d %8d %8.2f %8.2f %8.1f %10d\n", n, requests, len(latencies), p50[i], p99[i], at(1), withoutAnswer)
 	}
 	p50Ratio, p99Ratio = p50[1]/p50[0], p99[1]/p99[0]
 	fmt.Fprintf(out, "with half-open handshakes: p50 %.2f, p99 %.2f times as long\n", p50Ratio, p99Ratio)
--- a/internal/lab/tenants/removals.go
+++ b/internal/lab/tenants/removals.go
@@ -39,7 +39,7 @@
 type RemovalResult struct {
 	Tenants, Requests, Kills              int
 	Served, Declined, Failed              int
-	CutOff, Unanswered                    int // CutOff: disconnected without an answer, as the process was killed; Unanswered: without an answer for any other reason
+	CutOff, Unanswered                    int // without an answer because the process was killed, and for any other reason
 	SecondStarts, HeldAtNodes, NotRemoved int // second starts of at-most-once tasks; tasks still held at nodes; tenants whose removal did not complete
 }
 
