--- a/internal/lab/drill/calendar.go
+++ b/internal/lab/drill/calendar.go
@@ -12,8 +12,8 @@
 	"ravenpond/internal/state/maintenancestore"
 )
 
-// saveWindows puts the day's windows into a scheduler's calendar, before its first life begins.
-func (p *player) saveWindows(folder string) error {
+// saveWindows writes the day's maintenance windows to a scheduler's calendar before its first start.
+func (p *drillRun) saveWindows(folder string) error {
 	if len(p.Day.windows) == 0 || maintenancestore.Exists(folder) {
 		return nil
 	}
@@ -24,8 +24,8 @@
 	return errors.Join(store.AddEvents(p.calendar(), time.Now()), store.Close())
 }
 
-// calendar holds the day's windows.
-func (p *player) calendar() *calendar.Calendar {
+// calendar returns the day's maintenance windows as a calendar.
+func (p *drillRun) calendar() *calendar.Calendar {
 	cal := &calendar.Calendar{}
 	for _, w := range p.Day.windows {
 		win := calendar.Window{
@@ -40,8 +40,9 @@
 	return cal
 }
 
-// checkWindows refuses a day whose windows the calendar would not keep: what is out is then known beforehand.
-func (p *player) checkWindows() error {
+// checkWindows returns an error unless the calendar would keep every window of the day as scheduled. It is then known beforehand which nodes
+// drain and when.
+func (p *drillRun) checkWindows() error {
 	if len(p.Day.windows) == 0 {
 		return nil
 	}
@@ -56,36 +57,36 @@
 	cal := p.calendar()
 	for _, v := range calendar.Plan(cal, fleet, p.Deployment.Maintenance, nil, p.startedAt.Add(-time.Hour), p.startedAt.Add(24*time.Hour)) {
 		if v.Outcome != calendar.Kept || len(v.Nodes) == 0 {
-			return fmt.Errorf("window %s of the day: %s, %d nodes, %s", v.Window, v.Outcome, len(v.Nodes), v.Reason)
+			return fmt.Errorf("maintenance window %s: outcome %s with %d nodes, want kept with at least 1: %s", v.Window, v.Outcome, len(v.Nodes), v.Reason)
 		}
 	}
 	return nil
 }
 
-// wallTime is a time of the day on the wall clock, in whole seconds as a calendar has them.
-func (p *player) wallTime(ms float64) time.Time {
+// wallTime converts a time of the day, in ms, to a time of the wall clock in whole seconds, which is the resolution of a calendar.
+func (p *drillRun) wallTime(ms float64) time.Time {
 	return p.startedAt.Add(time.Duration(ms * 1e6)).UTC().Truncate(time.Second)
 }
 
-// recordWindows records when the calendar takes nodes out and brings them back.
-func (p *player) recordWindows() {
+// recordWindows adds to the trace when the calendar drains nodes and when it returns them to service.
+func (p *drillRun) recordWindows() {
 	for _, w := range p.Day.windows {
-		mark := func(at time.Time, word string) {
-			p.run(func() {
+		recordAt := func(at time.Time, detail string) {
+			p.startBackground(func() {
 				if !p.sleep(float64(time.Until(at)) / 1e6) {
 					return
 				}
-				p.Logf("%6.1f s  window %s: %s", p.testbed.Now()/1000, w.name, word)
+				p.Logf("%6.1f s  window %s: %s", p.testbed.Now()/1000, w.name, detail)
 				p.mu.Lock()
 				defer p.mu.Unlock()
 				for _, n := range p.nodes {
 					if w.cell != "" && n.Cell == w.cell || w.zone != "" && n.Zone == w.zone {
-						p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.MaintenanceChanged, Node: n.ID, Detail: word})
+						p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.MaintenanceChanged, Node: n.ID, Detail: detail})
 					}
 				}
 			})
 		}
-		mark(p.wallTime(w.at-w.lead), "out") // from here on the grace runs
-		mark(p.wallTime(w.at+w.duration).Add(-time.Second), "back")
+		recordAt(p.wallTime(w.at-w.lead), "out") // the drain grace begins here
+		recordAt(p.wallTime(w.at+w.duration).Add(-time.Second), "back")
 	}
 }
--- a/internal/lab/drill/drill_test.go
+++ b/internal/lab/drill/drill_test.go
@@ -13,10 +13,10 @@
 	"ravenpond/internal/strictxml"
 )
 
-// TestMain lets the test's own program be the scheduler process that a drill starts and kills.
+// TestMain lets the test binary act as the scheduler process that a drill starts and kills.
 func TestMain(m *testing.M) { spawn.Main(m.Run) }
 
-const shortTroubles = `
+const shortFaults = `
   <window name="w" at="9s" lead="3s" for="5s" cell="quay-1"/>
   <trouble kind="list-away" at="2500ms" for="3s"/>
   <trouble kind="answers-lost" at="3s" for="2s" part="0.3" size="0.8"/>
@@ -29,21 +29,22 @@
   <trouble kind="services-stop" at="11s" part="0.4"/>
 </day>`
 
-// TestShortDay plays a day of 24 s with processes that are killed and stand still among hundreds of tries.
+// TestShortDay runs a day of 24 s in which scheduler processes are killed and paused while hundreds of attempts are open. The audit must find no
+// violation.
 func TestShortDay(t *testing.T) {
-	place, faults := site.Read(strings.NewReader(DefaultSite))
+	config, faults := site.Read(strings.NewReader(DefaultSite))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	text := DefaultDay[:strings.Index(DefaultDay, "  <window")] + shortTroubles
+	text := DefaultDay[:strings.Index(DefaultDay, "  <window")] + shortFaults
 	text = strings.NewReplacer(`lasts="62s"`, `lasts="23s"`, `rate="34"`, `rate="60"`).Replace(text)
-	day, faults := ReadDay(strings.NewReader(text), place)
+	day, faults := ReadDay(strings.NewReader(text), config)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	dir := t.TempDir()
 	res, err := Play(context.Background(), Drill{
-		Day: day, Deployment: place, SiteText: DefaultSite, Command: []string{os.Args[0]},
+		Day: day, Deployment: config, SiteText: DefaultSite, Command: []string{os.Args[0]},
 		Seed: 2, OutDir: dir, Logf: func(string, ...any) {},
 	})
 	if err != nil {
@@ -58,21 +59,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.Contains(string(log), "window w: 4 nodes drain") {
+		if strings.Contains(string(log), "window w: draining 4 nodes until") {
 			opened++
 		}
 	}
 	if opened != day.schedulers {
-		t.Errorf("the window was opened by %d of %d schedulers", opened, day.schedulers)
+		t.Errorf("the maintenance window began at %d of %d schedulers, want all", opened, day.schedulers)
 	}
 	if row := res.rows[0]; row.served < 300 || row.requests != row.served+row.declined+row.failed+row.other {
-		t.Errorf("%+v", row)
+		t.Errorf("got %+v, want at least 300 served, and served, declined, failed and other to sum to the requests", row)
 	}
 }
 
 func TestDayFaults(t *testing.T) {
-	place, _ := site.Read(strings.NewReader(DefaultSite))
-	if _, faults := ReadDay(strings.NewReader(DefaultDay), place); len(faults) > 0 {
+	config, _ := site.Read(strings.NewReader(DefaultSite))
+	if _, faults := ReadDay(strings.NewReader(DefaultDay), config); len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	for _, c := range []struct{ name, old, new, fault string }{
@@ -80,19 +81,19 @@
 		{"unknown zone", `zone="mill" nodes="7"`, `zone="moor" nodes="7"`, `no zone "moor"`},
 		{"unknown machine", `machine="small" zone="fort"`, `machine="tiny" zone="fort"`, `no machine kind "tiny"`},
 		{"unknown tenant", `tenant="birch"`, `tenant="oak"`, `no tenant "oak"`},
-		{"parts", `part="0.68"`, `part="0.6"`, "sum to 0.92"},
-		{"a job type left out", `job-type="render" part="0.68"`, `job-type="import" part="0.68"`, "stands in line"},
-		{"after the end", `kind="grow" at="44s"`, `kind="grow" at="440s"`, "after the end of the day"},
-		{"without its job type", `size="0.8" job-type="import"`, `size="0.8"`, "needs a job-type"},
+		{"fractions that do not sum to 1", `part="0.68"`, `part="0.6"`, "sum to 0.92"},
+		{"job type without its work element", `job-type="render" part="0.68"`, `job-type="import" part="0.68"`, "stands in line"},
+		{"fault after the end of the day", `kind="grow" at="44s"`, `kind="grow" at="440s"`, "after the end of the day"},
+		{"job-fails without a job type", `size="0.8" job-type="import"`, `size="0.8"`, "needs a job-type"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, faults := ReadDay(strings.NewReader(strings.Replace(DefaultDay, c.old, c.new, 1)), place)
+			_, faults := ReadDay(strings.NewReader(strings.Replace(DefaultDay, c.old, c.new, 1)), config)
 			var all []string
 			for _, f := range append(faults, strictxml.Fault{}) {
 				all = append(all, f.String())
 			}
 			if got := strings.Join(all, "\n"); !strings.Contains(got, c.fault) {
-				t.Errorf("faults %q, want %q", got, c.fault)
+				t.Errorf("got faults %q, want them to contain %q", got, c.fault)
 			}
 		})
 	}
--- a/internal/lab/drill/process.go
+++ b/internal/lab/drill/process.go
@@ -16,6 +16,7 @@
 	"ravenpond/internal/lab/spawn"
 )
 
+// process is a scheduler process of the drill.
 type process struct {
 	mu      sync.Mutex
 	name    string
@@ -25,8 +26,8 @@
 	log     *os.File
 }
 
-// startProcess starts a scheduler process and waits until owners may connect.
-func (p *player) startProcess(pr *process) error {
+// startProcess starts a scheduler process and waits until clients can connect to it.
+func (p *drillRun) startProcess(pr *process) error {
 	state := filepath.Join(p.OutDir, pr.name)
 	file := filepath.Join(p.OutDir, pr.name+".address")
 	if pr.log == nil {
@@ -58,8 +59,8 @@
 	return pr.address
 }
 
-// kill ends the process by a signal and waits for its end.
-func (pr *process) kill(p *player, sig syscall.Signal) {
+// kill sends a signal to the process and waits until it has exited.
+func (pr *process) kill(p *drillRun, sig syscall.Signal) {
 	pr.mu.Lock()
 	cmd := pr.command
 	pr.command, pr.address = nil, ""
@@ -67,28 +68,28 @@
 	if cmd == nil {
 		return
 	}
-	_ = cmd.Process.Signal(syscall.SIGCONT) // one that stands still can't end by itself
+	_ = cmd.Process.Signal(syscall.SIGCONT) // a stopped process does not handle other signals
 	if sig == syscall.SIGKILL {
 		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: pr.name})
 	}
 	_ = cmd.Process.Signal(sig)
-	limit := time.AfterFunc(8*time.Second, func() { _ = cmd.Process.Kill() })
+	killTimer := time.AfterFunc(8*time.Second, func() { _ = cmd.Process.Kill() })
 	err := cmd.Wait()
-	limit.Stop()
+	killTimer.Stop()
 	if sig != syscall.SIGKILL {
 		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: pr.name})
 		if err != nil {
-			p.addError(fmt.Errorf("scheduler %s ended with %w, see its log", pr.name, err))
+			p.addError(fmt.Errorf("scheduler %s exited with %w; see its log", pr.name, err))
 		}
 	}
 }
 
-// injectProcessFault kills scheduler processes and starts them again, or makes them stand still.
-func (p *player) injectProcessFault(tr faultSpec, kills bool, rng *rand.Rand) {
-	hit := slices.Clone(p.processes)
-	rng.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
-	for _, pr := range hit[:min(len(hit), int(tr.fraction*float64(len(hit))+0.5))] {
-		if kills {
+// injectProcessFault kills scheduler processes and starts them again, or pauses them with SIGSTOP for the fault's duration, one after the other.
+func (p *drillRun) injectProcessFault(f faultSpec, kill bool, rng *rand.Rand) {
+	selected := slices.Clone(p.processes)
+	rng.Shuffle(len(selected), func(i, j int) { selected[i], selected[j] = selected[j], selected[i] })
+	for _, pr := range selected[:min(len(selected), int(f.fraction*float64(len(selected))+0.5))] {
+		if kill {
 			pr.kill(p, syscall.SIGKILL)
 			if !p.sleep(250) {
 				return
@@ -106,7 +107,7 @@
 		}
 		_ = cmd.Process.Signal(syscall.SIGSTOP)
 		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerPaused, Scheduler: pr.name})
-		p.sleep(tr.duration)
+		p.sleep(f.duration)
 		p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerResumed, Scheduler: pr.name})
 		_ = cmd.Process.Signal(syscall.SIGCONT)
 	}
--- a/internal/lab/drill/run.go
+++ b/internal/lab/drill/run.go
@@ -19,18 +19,19 @@
 	"ravenpond/internal/standin"
 )
 
-// Drill is what is to be played.
+// Drill is the configuration of a drill.
 type Drill struct {
 	Day        *Day
 	Deployment *site.Config
-	SiteText   string   // text of the site file, without the listeners
-	Command    []string // that runs a scheduler; flags follow
+	SiteText   string   // text of the site file, without the address of the node list
+	Command    []string // runs a scheduler; its flags are appended
 	Seed       uint64
 	OutDir     string // folder for logs and the trace
 	Logf       func(format string, args ...any)
 }
 
-type player struct {
+// drillRun is a drill that is running.
+type drillRun struct {
 	Drill
 	ctx           context.Context
 	env           *env.Real
@@ -41,10 +42,10 @@
 	groups        map[string]*standin.Group
 	processes     []*process
 	clients       []*standin.Client
-	sitePath      string // path
+	sitePath      string // path of the site file
 	startedAt     time.Time
 	rateFactor    float64
-	tenantFactors map[string]float64 // factor by tenant
+	tenantFactors map[string]float64 // demand factor by tenant
 	mu            sync.Mutex
 	lastDemand    uint64
 	lastNode      uint32
@@ -52,15 +53,15 @@
 	errs          []error
 }
 
-// slack is what the order of events on two sockets may be off by on a busy machine, in ms.
+// slack is by how many ms the order of events on two sockets may be wrong in the trace on a busy machine.
 const slack = 600
 
-// Play plays a day and audits it. An error means that it could not be played.
+// Play runs a day and audits its trace. An error means that the day could not be run; violations are in the result.
 func Play(ctx context.Context, d Drill) (*Result, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	real := env.NewReal()
-	p := &player{
+	p := &drillRun{
 		Drill: d, ctx: ctx, env: real, testbed: standin.NewTestbed(real), rng: rand.New(rand.NewPCG(d.Seed, 3)),
 		groups: map[string]*standin.Group{}, startedAt: time.Now().Add(time.Second), rateFactor: 1, tenantFactors: map[string]float64{},
 	}
@@ -89,7 +90,7 @@
 	return res, audit.Write(f, records)
 }
 
-func (p *player) start() error {
+func (p *drillRun) start() error {
 	for _, f := range p.Day.nodeGroups {
 		for i := range f.nodes {
 			if err := p.addNode(f, i, false); err != nil {
@@ -125,8 +126,8 @@
 	return nil
 }
 
-// shutDown waits for all that runs in this process and ends what runs beside it.
-func (p *player) shutDown() {
+// shutDown kills the scheduler processes that still run, and waits until the background goroutines have ended.
+func (p *drillRun) shutDown() {
 	for _, pr := range p.processes {
 		pr.kill(p, syscall.SIGKILL)
 		if pr.log != nil {
@@ -137,16 +138,16 @@
 	p.env.Close(time.Second)
 }
 
-func (p *player) addNode(f nodeGroup, i int, cold bool) error {
+func (p *drillRun) addNode(f nodeGroup, i int, cold bool) error {
 	cl, d := &p.Deployment.Cluster, p.Day
-	mk := standin.MachineConfig{
+	machine := standin.MachineConfig{
 		Cores: cl.KindCores[f.kind], Memory: cl.KindMemory[f.kind], CoresLimit: cl.CoresOvercommit,
 		MemoryLimit: cl.MemoryOvercommit, InspectTime: d.inspectTime, QueueLimit: d.queueLimit, ConcurrentStarts: d.concurrentStarts, ProgramMissFactor: d.programMissFactor,
 		ProgramCacheSize: d.programCache, WarmupPace: d.warmupPace, WarmupDuration: cl.SlowStartDuration, OverloadFactor: d.overloadFactor, OverloadWindow: cl.SlowStartWindow,
 		SlowStartLimit: int(cl.SlowStartLimit), ReportsUse: cl.ReportsMeasureUse, Preempts: cl.Preempts,
 	}
 	for _, w := range d.jobs {
-		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{
+		machine.JobProfiles = append(machine.JobProfiles, standin.JobProfile{
 			StartWork: w.start, MeanRuntime: w.runtime, MeanUse: w.use, Priority: w.priority,
 			Deduplicated: w.semantics == audit.Idempotent,
 		})
@@ -157,7 +158,7 @@
 		ID: p.lastNode*2654435761 | 1, Zone: f.zone, Cell: cell, Kind: p.Deployment.MachineKinds[f.kind],
 		Jobs: len(p.Deployment.JobClasses), Tenants: len(p.Deployment.Tenants),
 	}
-	group := f.zone // one for all job types: the narrowest that any names
+	group := f.zone // shared by all job classes: the narrowest idempotency scope of any of them
 	for _, w := range d.jobs {
 		if w.semantics == audit.Idempotent && w.scope == audit.ScopeCell {
 			group = cell
@@ -166,20 +167,21 @@
 	if p.groups[group] == nil {
 		p.groups[group] = standin.NewGroup()
 	}
-	if err := p.testbed.StartNode(n, standin.NodeStart{Machine: mk, Group: p.groups[group], Seed: p.rng.Uint64(), Cold: cold}); err != nil {
+	if err := p.testbed.StartNode(n, standin.NodeStart{Machine: machine, Group: p.groups[group], Seed: p.rng.Uint64(), Cold: cold}); err != nil {
 		return err
 	}
 	p.nodes = append(p.nodes, n)
 	return nil
 }
 
-func (p *player) addError(err error) {
+func (p *drillRun) addError(err error) {
 	p.mu.Lock()
 	p.errs = append(p.errs, err)
 	p.mu.Unlock()
 }
 
-func (p *player) run(f func()) {
+// startBackground runs f in a goroutine that shutDown waits for.
+func (p *drillRun) startBackground(f func()) {
 	p.background.Add(1)
 	go func() {
 		defer p.background.Done()
@@ -187,8 +189,8 @@
 	}()
 }
 
-// sleep waits and tells whether the day goes on.
-func (p *player) sleep(ms float64) bool {
+// sleep waits for ms, and reports whether the drill goes on.
+func (p *drillRun) sleep(ms float64) bool {
 	select {
 	case <-p.ctx.Done():
 		return false
@@ -197,13 +199,13 @@
 	}
 }
 
-// play lets wants come, in an open loop, and troubles strike at their times.
-func (p *player) play() {
+// play sends requests in an open loop, and injects the faults at their times.
+func (p *drillRun) play() {
 	begin := p.testbed.Now()
 	p.recordWindows()
 	for _, tr := range p.Day.faults {
 		rng := rand.New(rand.NewPCG(p.Seed, uint64(tr.line)))
-		p.run(func() {
+		p.startBackground(func() {
 			if p.sleep(tr.at) {
 				p.inject(tr, rng)
 			}
@@ -225,10 +227,10 @@
 	}
 }
 
-// awaitResponses waits until every ask is answered or overdue.
-func (p *player) awaitResponses() { p.sleep(p.Day.settleTime) }
+// awaitResponses waits until every request is answered or overdue.
+func (p *drillRun) awaitResponses() { p.sleep(p.Day.settleTime) }
 
-// Interrupted is a context that ends when the process is told to.
+// Interrupted returns a context that is cancelled when the process receives an interrupt or SIGTERM.
 func Interrupted() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
--- a/internal/lab/maintenance/process.go
+++ b/internal/lab/maintenance/process.go
@@ -14,33 +14,34 @@
 	"ravenpond/logic"
 )
 
-// process is a scheduler process.
+// process is a simulated scheduler process.
 type process struct {
 	sim               *simulation
 	index             int
 	skew              float64
 	engine            *engine.Engine
-	keeper            *maintenance.Controller
+	controller        *maintenance.Controller
 	store             *memoryStore
-	out               map[uint32]bool
+	draining          map[uint32]bool
 	down              bool
 	incarnation       uint32
 	nextRound         float64
-	nextKeep          float64
+	nextTick          float64
 	lastRef           uint64
-	movedOff          int
+	evicted           int
 	lostNodes         map[string]bool
-	pausedUntil       float64 // it stands still until then
-	unresponsiveUntil float64 // until then it could not act on its tries that were out: it was down or stood still
+	pausedUntil       float64 // the process is paused until then
+	unresponsiveUntil float64 // until then the process may be unable to recall its open attempts: it was down or paused
 }
 
-func (p *process) clock() float64 { return p.sim.now + p.skew + 1e6 } // engines begin well above 0
+// clock returns the time of the process's own clock, in ms.
+func (p *process) clock() float64 { return p.sim.now + p.skew + 1e6 } // an engine's clock starts well above 0
 
-// start begins a life of the process: its store is what outlived the last.
+// start starts an incarnation of the process. Only its store survives from the last one.
 func (p *process) start() {
 	p.down, p.unresponsiveUntil = false, p.sim.now+6000
 	p.incarnation++
-	p.out = map[uint32]bool{}
+	p.draining = map[uint32]bool{}
 	p.sim.report.Restarts += int(min(1, p.incarnation-1))
 	cl := &logic.Cluster{
 		Schedulers: p.sim.Processes, Index: p.index, ListMaxSilence: 1e12, MinRoundInterval: 2, MaxAttempts: 4, CanCancel: true, CanProbe: true,
@@ -59,22 +60,23 @@
 	if p.sim.Fault == NoGuard {
 		lim.ClockGuard = 0
 	}
-	p.keeper = &maintenance.Controller{Store: p.store, Executor: effects{p}, Limits: lim, Policies: []drainpace.Policy{drainpace.Late, drainpace.Early, drainpace.RunOut}}
+	p.controller = &maintenance.Controller{Store: p.store, Executor: effects{p}, Limits: lim, Policies: []drainpace.Policy{drainpace.Late, drainpace.Early, drainpace.RunOut}}
 	p.engine.BeginList(p.clock(), logic.ListCached)
 	for _, s := range p.sim.nodes {
 		p.engine.AddListEntry(engine.ListEntry{Node: s.id, Address: "x", Availability: logic.Ready, FreeCores: 32, FreeMemory: 64, Zone: s.zone, Cell: s.cell, Kind: s.kind})
 	}
 	p.engine.EndList()
-	p.keepWindows() // what an earlier life took out is known before anything is placed
-	p.nextRound, p.nextKeep = p.sim.now, p.sim.now+1000
+	p.tickController() // before any placement, so that the drains of an earlier incarnation are known
+	p.nextRound, p.nextTick = p.sim.now, p.sim.now+1000
 }
 
-// stop kills the process; its connections break, what it ran runs on.
+// stop kills the process. Its connections break, and its tasks continue to run.
 func (p *process) stop() {
 	p.down, p.unresponsiveUntil = true, math.Inf(1)
 	p.sim.tracef("process %d down", p.index)
 }
 
+// updateList gives the process a change of the node list: the nodes of a zone have a new availability.
 func (p *process) updateList(zone int, avail logic.Availability) {
 	if p.down {
 		return
@@ -92,25 +94,26 @@
 	p.engine.EndList()
 }
 
-// keepWindows is the keeper's look, by the process's own clock.
-func (p *process) keepWindows() {
+// tickController calls the maintenance controller with the time of the process's own clock.
+func (p *process) tickController() {
 	now := epoch.Add(time.Duration((p.sim.now + p.skew) * 1e6))
-	if err := p.keeper.Tick(now, p.sim.fleet, p.lostNodes); err != nil {
+	if err := p.controller.Tick(now, p.sim.fleet, p.lostNodes); err != nil {
 		panic(err) // the store is in memory
 	}
 }
 
+// request requests a task of a random job class.
 func (p *process) request() {
 	p.lastRef++
 	p.sim.nextID++
 	job := p.sim.rng.IntN(jobClasses)
-	_ = p.engine.Allocate(p.clock(), engine.Request{ID: engine.RequestID{Client: 1, Number: p.lastRef}, Task: engine.Task{JobClass: job, Tenant: 0, Service: uint64(p.sim.rng.IntN(12)), Token: p.sim.nextID, Cores: 1, Memory: 2}, TimeLeft: 8000, Epoch: 1}) // refs are never reused
+	_ = p.engine.Allocate(p.clock(), engine.Request{ID: engine.RequestID{Client: 1, Number: p.lastRef}, Task: engine.Task{JobClass: job, Tenant: 0, Service: uint64(p.sim.rng.IntN(12)), Token: p.sim.nextID, Cores: 1, Memory: 2}, TimeLeft: 8000, Epoch: 1}) // request numbers are never reused
 	p.nextRound = p.sim.now
 }
 
 func (p *process) name() string { return strconv.Itoa(p.index) }
 
-// receive decodes what came to a process.
+// receive decodes and handles messages from a node.
 func (p *process) receive(s *simNode, b []byte) {
 	in := line.NewReader(bytes.NewReader(b))
 	var buf [node.MaxReportValues]float64
@@ -120,7 +123,7 @@
 			return
 		}
 		if err := node.DecodeNode(fields, processHandler{p, s}, buf[:]); err != nil {
-			p.sim.tracef("%d faults node %d: %v", p.index, s.id, err)
+			p.sim.tracef("process %d: invalid message from node %d: %v", p.index, s.id, err)
 		}
 	}
 }
--- a/internal/lab/tenants/trial.go
+++ b/internal/lab/tenants/trial.go
@@ -1,5 +1,5 @@
-// Package tenants plays a hosted service: many tenants on sockets, one of which floods, and tenants that are removed while they
-// ask. It tells what each tenant got beside what it gets on a calm day.
+// Package tenants measures a scheduler that serves many tenants over sockets. In one trial, a tenant floods the scheduler, and the service of each
+// tenant is compared with its service in a trial without the flood. In another, tenants are removed while they send requests.
 package tenants
 
 import (
@@ -41,55 +41,55 @@
 </site>`
 
 const (
-	cores         = 32     // of a node
-	taskRuntime   = 2000.0 // ms that an allocation runs
-	calmLoad      = 0.6    // of its share that a calm tenant asks for
-	scoreInterval = 4      // every so many asks of a tenant are for scoring
+	cores         = 32     // cores of a node
+	taskRuntime   = 2000.0 // mean run time of a task, in ms
+	calmLoad      = 0.6    // fraction of its share that a calm tenant requests
+	scoreInterval = 4      // a tenant's requests from one of the job class "score" to the next
 )
 
-// Trial is a trial.
+// Trial is the configuration of a trial.
 type Trial struct {
 	Tenants        int
 	Nodes          int
 	Shards         int
-	Flood          float64 // times its share that the first tenant asks for, 0: as calm as the others
-	Unqueued       bool    // the site file's tenants, without lines in front
-	ReconnectFlood bool    // somebody without a token connects anew without end
-	TLS            bool    // the owners' door speaks TLS
-	FirstShare     float64 // planted: times its share that the first tenant is taken to have, 0: once
-	HalfOpen       int     // handshakes that are begun there and never ended, all day
+	Flood          float64 // factor of its share that the first tenant requests; 0: the same as the others
+	Unqueued       bool    // the tenants are those of the site file, without fair queues
+	ReconnectFlood bool    // a client without a token reconnects continuously
+	TLS            bool    // clients connect over TLS
+	FirstShare     float64 // injected fault: share of the first tenant in the store, where the others have 1; 0: also 1
+	HalfOpen       int     // number of TLS handshakes that are held open during the whole trial
 	Duration       time.Duration
 	Seed           uint64
 }
 
-// TenantResult is what a tenant got.
+// TenantResult is the service that a tenant received.
 type TenantResult struct {
 	Requests, Served, InTime int
-	Value, Offered           float64 // of what was served in time, and of all it asked for
-	P99                      float64 // ms from ask to start of what was served
+	Value, Offered           float64 // value of the requests served in time, and of all requests
+	P99                      float64 // start latency of the served requests, in ms
 	latencies                []float64
-	Unanswered               int // asks without an answer
-	SecondStarts             int // second starts of scoring
+	Unanswered               int // requests without an answer
+	SecondStarts             int // second starts of at-most-once tasks
 }
 
 // Times of a trial.
 const (
 	startupTime     = 1800 * time.Millisecond // from the start of the scheduler until requests are sent
-	clientStartTime = 300 * time.Millisecond  // the last part of it, for clients to connect
-	answerTime      = 3500 * time.Millisecond // after the last request, by when all are answered or overdue
+	clientStartTime = 300 * time.Millisecond  // the last part of startupTime, in which clients connect
+	answerTime      = 3500 * time.Millisecond // time after the last request until all are answered or overdue
 )
 
-// trialRun is a trial that is under way.
+// trialRun is a trial that is running.
 type trialRun struct {
 	Trial
 	testbed *standin.Testbed
 	site    *site.Config
-	tokens  []string // of tenants
+	tokens  []string // of the tenants, by index
 	clients []*standin.Client
-	end     time.Time // of requests
+	end     time.Time // when the last requests are sent
 }
 
-// Play plays a trial and returns what each tenant got, the flooding one first.
+// Play runs a trial and returns the result of each tenant. The first tenant is the one that floods.
 func Play(ctx context.Context, trial Trial) (results []TenantResult, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -123,7 +123,7 @@
 	return results, <-ended
 }
 
-// prepare reads the site, fills the tenant store, and starts nodes and list.
+// prepare reads the site, adds the tenants to the store, and starts the nodes and the node list.
 func (r *trialRun) prepare(dir string) error {
 	elements := fmt.Sprintf("<hosting tenants=\"%d\"/>", r.Tenants)
 	if r.Unqueued {
@@ -135,7 +135,7 @@
 	}
 	config, faults := site.Read(strings.NewReader(fmt.Sprintf(siteText, elements, r.Shards, r.Shards)))
 	if len(faults) > 0 {
-		return fmt.Errorf("site of the clubs: %s", faults[0])
+		return fmt.Errorf("site file of the trial: %s", faults[0])
 	}
 	r.site = config
 	var err error
@@ -154,11 +154,11 @@
 	return nil
 }
 
-// load sends the requests of all tenants to a scheduler, and waits until they are answered or overdue.
+// load sends the requests of all tenants to the scheduler, and waits until they are answered or overdue.
 func (r *trialRun) load(ctx context.Context, address string) {
 	var senders sync.WaitGroup
 	for range r.HalfOpen {
-		senders.Go(func() { halfOpen(ctx, time.Now().Add(startupTime+r.Duration), address) })
+		senders.Go(func() { stallHandshakes(ctx, time.Now().Add(startupTime+r.Duration), address) })
 	}
 	time.Sleep(startupTime - clientStartTime)
 	for i := range r.Tenants {
@@ -171,7 +171,7 @@
 	time.Sleep(clientStartTime)
 	r.end = time.Now().Add(r.Duration)
 	if r.ReconnectFlood {
-		senders.Go(func() { reconnectForever(r.end, address) })
+		senders.Go(func() { reconnectRepeatedly(r.end, address) })
 	}
 	share := float64(r.Nodes*cores) / (taskRuntime / 1000) / float64(r.Tenants)
 	for i := range r.clients {
@@ -187,21 +187,21 @@
 
 func tenantName(i int) string { return fmt.Sprintf("club-%02d", i) }
 
-// addTenants puts the tenants into the store.
-func addTenants(dir string, day Trial) (tokens []string, err error) {
-	tokens = make([]string, day.Tenants)
-	if day.Unqueued {
+// addTenants adds the tenants to the store and returns their tokens.
+func addTenants(dir string, trial Trial) (tokens []string, err error) {
+	tokens = make([]string, trial.Tenants)
+	if trial.Unqueued {
 		return tokens, nil
 	}
-	store, err := tenants.Open(dir, day.Tenants)
+	store, err := tenants.Open(dir, trial.Tenants)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = store.Close() }()
-	for i := range day.Tenants {
+	for i := range trial.Tenants {
 		share := 1.0
-		if i == 0 && day.FirstShare > 0 {
-			share = day.FirstShare
+		if i == 0 && trial.FirstShare > 0 {
+			share = trial.FirstShare
 		}
 		_, fault, err := store.Apply(time.Now(), "lab", "", tenancy.Change{
 			Kind: tenancy.Add, Name: tenantName(i),
@@ -219,18 +219,18 @@
 	return tokens, nil
 }
 
-func startNodes(w *standin.Testbed, day Trial) (nodes []*standin.Node, err error) {
-	mk := standin.MachineConfig{
+func startNodes(testbed *standin.Testbed, trial Trial) (nodes []*standin.Node, err error) {
+	machine := standin.MachineConfig{
 		Cores: cores, Memory: 2 * cores, CoresLimit: 1, MemoryLimit: 1, InspectTime: 1, QueueLimit: 4000, ConcurrentStarts: 64, ProgramMissFactor: 1,
 		ProgramCacheSize: 64, WarmupPace: 1, WarmupDuration: 1, OverloadFactor: 1e12, OverloadWindow: 1, SlowStartLimit: 1 << 30,
 	}
 	for job := range 2 {
-		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 2, MeanRuntime: taskRuntime, MeanUse: 0.5, Priority: job})
+		machine.JobProfiles = append(machine.JobProfiles, standin.JobProfile{StartWork: 2, MeanRuntime: taskRuntime, MeanUse: 0.5, Priority: job})
 	}
 	group := standin.NewGroup()
-	for i := range day.Nodes {
-		n := &standin.Node{ID: uint32(i + 1), Zone: "one", Cell: "one", Kind: "plain", Jobs: 2, Tenants: day.Tenants}
-		if err := w.StartNode(n, standin.NodeStart{Machine: mk, Group: group, Seed: day.Seed + uint64(i)}); err != nil {
+	for i := range trial.Nodes {
+		n := &standin.Node{ID: uint32(i + 1), Zone: "one", Cell: "one", Kind: "plain", Jobs: 2, Tenants: trial.Tenants}
+		if err := testbed.StartNode(n, standin.NodeStart{Machine: machine, Group: group, Seed: trial.Seed + uint64(i)}); err != nil {
 			return nil, err
 		}
 		nodes = append(nodes, n)
@@ -238,7 +238,7 @@
 	return nodes, nil
 }
 
-// sendRequests sends a tenant's requests at a rate, open loop; nothing is requested twice.
+// sendRequests sends a tenant's requests in an open loop, at a rate per second. No request is sent twice.
 func (r *trialRun) sendRequests(tenantIndex int, rate float64) {
 	rng := rand.New(rand.NewPCG(r.Seed, uint64(tenantIndex)+40))
 	at := time.Now()
@@ -262,12 +262,12 @@
 	}
 }
 
-// tally sums up what each tenant got.
-func tally(records []audit.Record, owners []*standin.Client) []TenantResult {
-	all := make([]TenantResult, len(owners))
+// tally computes the result of each tenant.
+func tally(records []audit.Record, clients []*standin.Client) []TenantResult {
+	all := make([]TenantResult, len(clients))
 	value := [...]float64{1, 3}
-	took := make([][]float64, len(owners))
-	for i, o := range owners {
+	latencies := make([][]float64, len(clients))
+	for i, o := range clients {
 		for _, t := range o.Outcomes() {
 			g := &all[i]
 			g.Requests++
@@ -275,7 +275,7 @@
 			switch t.Result {
 			case "served":
 				g.Served++
-				took[i] = append(took[i], t.Latency)
+				latencies[i] = append(latencies[i], t.Latency)
 				if t.InTime {
 					g.InTime++
 					g.Value += value[t.Job]
@@ -284,20 +284,20 @@
 				g.Unanswered++
 			}
 		}
-		slices.Sort(took[i])
-		if n := len(took[i]); n > 0 {
-			all[i].P99 = took[i][int(0.99*float64(n-1))]
+		slices.Sort(latencies[i])
+		if n := len(latencies[i]); n > 0 {
+			all[i].P99 = latencies[i][int(0.99*float64(n-1))]
 		}
-		all[i].latencies = took[i]
+		all[i].latencies = latencies[i]
 	}
-	of, starts := map[uint64]int{}, map[uint64]int{}
+	clientOf, starts := map[uint64]int{}, map[uint64]int{}
 	for _, r := range records {
 		if r.Kind == audit.RequestSent && r.Job == 1 {
-			of[r.Token] = r.Client
+			clientOf[r.Token] = r.Client
 		}
 	}
 	for _, r := range records {
-		if i, ok := of[r.Token]; ok && r.Kind == audit.TaskStarted {
+		if i, ok := clientOf[r.Token]; ok && r.Kind == audit.TaskStarted {
 			if starts[r.Token]++; starts[r.Token] > 1 {
 				all[i].SecondStarts++
 			}
@@ -306,7 +306,8 @@
 	return all
 }
 
-// Table compares days: a calm one, one with a flood behind the lines, and one with the same flood without them.
+// Table runs and compares three trials: one without a flood, one with a flood and fair queues, and one with the same flood without fair queues. It
+// returns the lowest ratio, over the calm tenants, of the value fraction with flood and fair queues to that without a flood, at most 1.
 func Table(ctx context.Context, out io.Writer, day Trial) (worst float64, err error) {
 	calm, flood, plain := day, day, day
 	calm.Flood, plain.Unqueued, plain.ReconnectFlood = 0, true, false
@@ -322,17 +323,17 @@
 	fmt.Fprintf(out, "%-10s %8s %9s %9s %8s %9s %9s %9s %8s %9s %9s %9s\n", "tenant", "asked", "value", "p99 ms", "asked", "value",
 		"of calm", "p99 ms", "asked", "value", "of calm", "p99 ms")
 	worst = 1
-	part := func(g TenantResult) float64 { return g.Value / max(1, g.Offered) }
-	none, seconds := 0, 0
+	valueFraction := func(g TenantResult) float64 { return g.Value / max(1, g.Offered) }
+	unanswered, secondStarts := 0, 0
 	for i := range got[0] {
 		c, f, p := got[0][i], got[1][i], got[2][i]
-		of := func(g TenantResult) float64 { return part(g) / max(1e-9, part(c)) }
-		fmt.Fprintf(out, "%-10s %8d %9.3f %9.0f %8d %9.3f %9.3f %9.0f %8d %9.3f %9.3f %9.0f\n", tenantName(i), c.Requests, part(c), c.P99,
-			f.Requests, part(f), of(f), f.P99, p.Requests, part(p), of(p), p.P99)
+		of := func(g TenantResult) float64 { return valueFraction(g) / max(1e-9, valueFraction(c)) }
+		fmt.Fprintf(out, "%-10s %8d %9.3f %9.0f %8d %9.3f %9.3f %9.0f %8d %9.3f %9.3f %9.0f\n", tenantName(i), c.Requests, valueFraction(c), c.P99,
+			f.Requests, valueFraction(f), of(f), f.P99, p.Requests, valueFraction(p), of(p), p.P99)
 		if i > 0 {
 			worst = min(worst, of(f))
 		}
-		none, seconds = none+c.Unanswered+f.Unanswered, seconds+c.SecondStarts+f.SecondStarts
+		unanswered, secondStarts = unanswered+c.Unanswered+f.Unanswered, secondStarts+c.SecondStarts+f.SecondStarts
 	}
 	served := func(all []TenantResult) (n float64) {
 		for _, g := range all {
@@ -340,7 +341,7 @@
 		}
 		return n / day.Duration.Seconds()
 	}
-	late := func(all []TenantResult) float64 { // of the calm tenants together: each alone has too few for a 99th percentile
+	calmP99 := func(all []TenantResult) float64 { // of all calm tenants together: a single one has too few requests for a 99th percentile
 		var took []float64
 		for _, g := range all[1:] {
 			took = append(took, g.latencies...)
@@ -350,16 +351,16 @@
 		}
 		return took[int(0.99*float64(len(took)-1))]
 	}
-	c, f, p := late(got[0]), late(got[1]), late(got[2])
+	c, f, p := calmP99(got[0]), calmP99(got[1]), calmP99(got[2])
 	fmt.Fprintf(out, "p99 of the calm tenants together: calm day %.1f ms, flood with lines %.1f (%.2f times), without %.0f\n", c, f, f/max(c, 1e-9), p)
 	fmt.Fprintf(out, "served a second: calm day %.0f, flood with lines %.0f, without %.0f, of %.0f that the nodes carry\n", served(got[0]),
 		served(got[1]), served(got[2]), float64(day.Nodes*cores)/(taskRuntime/1000))
-	fmt.Fprintf(out, "worst calm tenant: %.3f of its calm day's value\nunanswered: %d\nsecond starts: %d\n", worst, none, seconds)
+	fmt.Fprintf(out, "worst calm tenant: %.3f of its calm day's value\nunanswered: %d\nsecond starts: %d\n", worst, unanswered, secondStarts)
 	return worst, nil
 }
 
-// reconnectForever connects anew without end and never shows a token.
-func reconnectForever(end time.Time, addr string) {
+// reconnectRepeatedly opens and closes connections until the end, and never sends a token.
+func reconnectRepeatedly(end time.Time, addr string) {
 	for time.Now().Before(end) {
 		w := env.NewReal()
 		w.Dial(addr, 500, func(conn env.Conn, err error) {
@@ -373,6 +374,7 @@
 	}
 }
 
+// discardHandler ignores what a connection receives.
 type discardHandler struct{}
 
 func (discardHandler) OnData([]byte) {}
