--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -97,7 +97,7 @@
 			s.telemetry.outcomes, s.telemetry.counts[countDialsExhausted])
 	}
 	for _, n := range s.nodes.byID {
-		if b, _ := s.host.Belief(n.id); b.Unhealthy {
+		if b, _ := s.host.NodeEstimate(n.id); b.Unhealthy {
 			t.Errorf("node %s is believed unhealthy", n.name)
 		}
 	}
@@ -168,7 +168,7 @@
 			r.server.telemetry.counts[countDialsExhausted], r.server.host.RunningTasks(), x.received)
 	}
 	for _, n := range r.server.nodes.byID {
-		if b, _ := r.server.host.Belief(n.id); b.Unhealthy || b.FailureRate > 0 {
+		if b, _ := r.server.host.NodeEstimate(n.id); b.Unhealthy || b.FailureRate > 0 {
 			t.Errorf("belief about node %s: %+v, want it healthy with a failure rate of 0", n.name, b)
 		}
 	}
--- a/internal/platform/host/attempts.go
+++ b/internal/platform/host/attempts.go
@@ -134,7 +134,7 @@
 		}
 	}
 	a.inFlight, a.running, a.outcomePending = false, false, false
-	h.recordBeliefError(a.node, report)
+	h.recordEstimateError(a.node, report)
 	h.callModule(func(m *logic.Scheduler) {
 		m.OnOutcome(h.now, logic.AttemptResult{
 			Allocation: a.id(), Node: a.node, Attempt: a.moduleAttempt(), Duration: h.now - a.sentAt, Answered: a.answered, Reason: reason,
--- a/internal/platform/host/belief_error.go
+++ b/internal/platform/host/belief_error.go
@@ -6,9 +6,9 @@
 	"ravenpond/logic"
 )
 
-// BeliefError is the mean absolute difference between the free capacity of nodes that the module assumed and the capacity in their load
+// EstimateError is the mean absolute difference between the free capacity of nodes that the module assumed and the capacity in their load
 // reports.
-type BeliefError struct {
+type EstimateError struct {
 	Reports       int
 	Cores, Memory float64
 }
@@ -19,25 +19,25 @@
 	cores, memory float64
 }
 
-// Belief returns the module's estimate of a node, for the log. ok is false if the module does not know the node, or if reading its estimates
+// NodeEstimate returns the module's estimate of a node, for the log. ok is false if the module does not know the node, or if reading its estimates
 // has panicked.
-func (h *Host) Belief(node uint32) (belief logic.Belief, ok bool) {
-	h.diagnostics.Do("beliefs", func() { belief, ok = h.module.NodeBelief(node) })
+func (h *Host) NodeEstimate(node uint32) (belief logic.NodeEstimate, ok bool) {
+	h.diagnostics.Do("beliefs", func() { belief, ok = h.module.NodeEstimate(node) })
 	return belief, ok
 }
 
-// TakeBeliefError returns the error of the module's estimates since the last call and starts a new measurement.
-func (h *Host) TakeBeliefError() BeliefError {
+// TakeEstimateError returns the error of the module's estimates since the last call and starts a new measurement.
+func (h *Host) TakeEstimateError() EstimateError {
 	sum := h.beliefErrors
 	h.beliefErrors = beliefErrorSum{}
 	n := float64(max(1, sum.reports))
-	return BeliefError{Reports: sum.reports, Cores: sum.cores / n, Memory: sum.memory / n}
+	return EstimateError{Reports: sum.reports, Cores: sum.cores / n, Memory: sum.memory / n}
 }
 
-// recordBeliefError compares the module's estimate of a node with a load report that the module has not received yet.
-func (h *Host) recordBeliefError(node uint32, report []float64) {
+// recordEstimateError compares the module's estimate of a node with a load report that the module has not received yet.
+func (h *Host) recordEstimateError(node uint32, report []float64) {
 	h.diagnostics.Do("mistakes", func() {
-		if cores, memory, ok := h.module.BeliefError(h.now, node, report); ok {
+		if cores, memory, ok := h.module.EstimateError(h.now, node, report); ok {
 			sum := &h.beliefErrors
 			sum.reports, sum.cores, sum.memory = sum.reports+1, sum.cores+math.Abs(cores), sum.memory+math.Abs(memory)
 		}
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -372,13 +372,13 @@
 		s.host.OnOutcome(s.now, id, 0, logic.Completed, logic.ReasonUnknown, []float64{free, 50})
 		s.advance(1000)
 	}
-	if got, want := s.host.TakeBeliefError(), (BeliefError{Reports: 2, Cores: 5}); got != want {
+	if got, want := s.host.TakeEstimateError(), (EstimateError{Reports: 2, Cores: 5}); got != want {
 		t.Errorf("error %+v, want %+v", got, want)
 	}
-	if got, want := s.host.TakeBeliefError(), (BeliefError{}); got != want {
+	if got, want := s.host.TakeEstimateError(), (EstimateError{}); got != want {
 		t.Errorf("second read: error %+v, want %+v", got, want)
 	}
-	if b, ok := s.host.Belief(100); !ok || b.Cores != 25 { // the last report was taken before the end of the task that it came with
+	if b, ok := s.host.NodeEstimate(100); !ok || b.Cores != 25 { // the last report was taken before the end of the task that it came with
 		t.Errorf("estimate %+v, want a known node with 25 free cores", b)
 	}
 }
--- a/internal/platform/host/probes.go
+++ b/internal/platform/host/probes.go
@@ -25,7 +25,7 @@
 	}
 	h.recordEvent(now)
 	delete(h.probes, node)
-	h.recordBeliefError(node, report)
+	h.recordEstimateError(node, report)
 	h.callModule(func(m *logic.Scheduler) {
 		m.OnProbeResult(h.now, logic.ProbeResult{Node: node, Outcome: verdict, Duration: h.now - p.sentAt, Report: report})
 	})
--- a/internal/platform/host/supervisor_test.go
+++ b/internal/platform/host/supervisor_test.go
@@ -177,11 +177,11 @@
 	id := m.request(restartable)
 	m.advance(10)
 	m.host.module = nil // any read of it panics
-	m.host.Belief(100)
-	m.host.Belief(100)
-	m.host.recordBeliefError(100, []float64{1, 1})
+	m.host.NodeEstimate(100)
+	m.host.NodeEstimate(100)
+	m.host.recordEstimateError(100, []float64{1, 1})
 	m.host.module = module
-	if _, ok := m.host.Belief(100); ok || m.countLog("words: beliefs switched off: panic") != 1 || m.countLog("words: mistakes") != 1 {
+	if _, ok := m.host.NodeEstimate(100); ok || m.countLog("words: beliefs switched off: panic") != 1 || m.countLog("words: mistakes") != 1 {
 		t.Errorf("want each diagnostic switched off with one line, got %q", m.logLines)
 	}
 	if !m.host.OnStarted(m.now, id, 0) || m.countLog("module") != 0 {
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -86,7 +86,7 @@
 func (t *telemetry) logStats() {
 	s := t.server
 	unhealthy, degraded := t.nodeHealth()
-	beliefError := s.host.TakeBeliefError()
+	beliefError := s.host.TakeEstimateError()
 	line := s.log.Info().Str("mode", "counts").Int("open", s.host.OpenRequests()).Int("stands", s.host.RunningTasks()).
 		Int("owners", s.clients.count()).Int("links", s.nodes.connections()).Int("nodes", s.nodes.count())
 	t.addCounts(line, countField{"taken", countAccepted}, countField{"turned", countRejected}, countField{"behind", countShedBehind})
@@ -120,7 +120,7 @@
 func (t *telemetry) nodeHealth() (unhealthy, degraded int) {
 	s := t.server
 	for id := range s.nodes.all() {
-		if belief, ok := s.host.Belief(id); ok && belief.Unhealthy {
+		if belief, ok := s.host.NodeEstimate(id); ok && belief.Unhealthy {
 			unhealthy++
 		} else if ok && belief.Degradation > degradedAbove {
 			degraded++
@@ -179,7 +179,7 @@
 			return
 		}
 		e.Str("node", r.node.name)
-		if b, ok := t.server.host.Belief(r.node.id); ok {
+		if b, ok := t.server.host.NodeEstimate(r.node.id); ok {
 			e.Floats64("believed", []float64{b.Cores, b.Memory}).Float64("strain", b.Degradation).Float64("risk", b.FailureRate).
 				Bool("ill", b.Unhealthy)
 		}
--- a/logic/belief_test.go
+++ b/logic/belief_test.go
@@ -22,11 +22,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newHarness(t, testCluster(), 1)
-			if _, _, ok := x.scheduler.BeliefError(x.now, 11, []float64{1, 1}); ok {
+			if _, _, ok := x.scheduler.EstimateError(x.now, 11, []float64{1, 1}); ok {
 				t.Error("got an estimate error for an unknown node, want none")
 			}
 			x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1, Report: []float64{30, 60}})
-			if _, _, ok := x.scheduler.BeliefError(x.now, 10, []float64{1, 1}); ok {
+			if _, _, ok := x.scheduler.EstimateError(x.now, 10, []float64{1, 1}); ok {
 				t.Error("got an estimate error for a report that is no newer than the last, want none")
 			}
 			x.now += reportDelay
@@ -34,7 +34,7 @@
 			x.expect("attempt 1 10", 1)
 			x.now += c.delay
 			report := []float64{c.cores, c.memory}
-			cores, memory, ok := x.scheduler.BeliefError(x.now, 10, report)
+			cores, memory, ok := x.scheduler.EstimateError(x.now, 10, report)
 			if !ok || cores != c.coresError || memory != c.memoryError {
 				t.Errorf("estimate error: got %g cores, %g memory, ok %t; want %g cores, %g memory, ok true", cores, memory, ok, c.coresError, c.memoryError)
 			}
@@ -43,10 +43,10 @@
 			if c.delay < reportDelay {
 				unreported = 1
 			}
-			if b, ok := x.scheduler.NodeBelief(10); !ok || b.Cores != c.cores-unreported || b.Unhealthy || b.Degradation != 0 {
+			if b, ok := x.scheduler.NodeEstimate(10); !ok || b.Cores != c.cores-unreported || b.Unhealthy || b.Degradation != 0 {
 				t.Errorf("after the report: got estimate %+v; want the free cores of the report less unreported attempts, a healthy node and no degradation", b)
 			}
-			if _, _, ok := x.scheduler.BeliefError(x.now, 10, nil); ok {
+			if _, _, ok := x.scheduler.EstimateError(x.now, 10, nil); ok {
 				t.Error("got an estimate error without a report, want none")
 			}
 		})
@@ -56,7 +56,7 @@
 // TestNodeEstimate checks the failure rate and degradation in the estimate of a node.
 func TestNodeEstimate(t *testing.T) {
 	x := newHarness(t, testCluster(), 1)
-	if _, ok := x.scheduler.NodeBelief(11); ok {
+	if _, ok := x.scheduler.NodeEstimate(11); ok {
 		t.Error("got an estimate of an unknown node, want none")
 	}
 	x.scheduler.OnProbeResult(x.now, ProbeResult{Node: 10, Outcome: Completed, Duration: 1, Report: []float64{30, 60}})
@@ -65,7 +65,7 @@
 	x.request(2, 0, 5)
 	x.scheduler.OnStarted(x.now, 2, 0, 10)
 	x.scheduler.OnTaskMetric(x.now, TaskSample{Allocation: 2, Node: 10, Metric: ServedShare, Value: 0})
-	if b, ok := x.scheduler.NodeBelief(10); !ok || b.FailureRate != 0.25 || b.Degradation != 0.5 {
+	if b, ok := x.scheduler.NodeEstimate(10); !ok || b.FailureRate != 0.25 || b.Degradation != 0.5 {
 		t.Errorf("got estimate %+v, want failure rate 0.25 and degradation 0.5", b)
 	}
 }
@@ -81,10 +81,10 @@
 			Allocation: 5, Node: 11, Duration: 100, Answered: true,
 			Outcome: Completed, Report: []float64{30, 60},
 		})
-		if b, ok := x.scheduler.NodeBelief(11); !ok || b.Cores != 31 || b.FailureRate != 0 { // one core was released after the measurement
+		if b, ok := x.scheduler.NodeEstimate(11); !ok || b.Cores != 31 || b.FailureRate != 0 { // one core was released after the measurement
 			t.Errorf("node with availability %d: got estimate %+v, ok %t; want 31 free cores, failure rate 0, ok true", availability, b, ok)
 		}
-		x.scheduler.BeliefError(x.now+2*reportDelay, 11, []float64{30, 60})
+		x.scheduler.EstimateError(x.now+2*reportDelay, 11, []float64{30, 60})
 	}
 }
 
@@ -166,9 +166,9 @@
 // readAll reads the estimates of all nodes and of two ids that are never in the list.
 func (h *estimateHistory) readAll(*rapid.T) {
 	for id := uint32(9); id < 18; id++ {
-		h.scheduler.NodeBelief(id)
-		h.scheduler.BeliefError(h.now, id, []float64{1, 1})
-		h.scheduler.BeliefError(h.now, id, nil)
+		h.scheduler.NodeEstimate(id)
+		h.scheduler.EstimateError(h.now, id, []float64{1, 1})
+		h.scheduler.EstimateError(h.now, id, nil)
 	}
 }
 
