--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -76,7 +76,7 @@
 	LateStarts               uint64 // starts of attempts that had been abandoned
 	Expired                  uint64 // requests whose deadline passed before they were answered
 	Open                     int    // allocations without a final answer
-	Held                     int    // allocations
+	Allocations              int    // allocations
 	Abandoned                int    // abandoned attempts that may still start
 }
 
@@ -112,7 +112,7 @@
 // Stats returns the current statistics.
 func (e *Engine) Stats() Stats {
 	s := e.stats
-	s.Open, s.Held, s.Abandoned = e.admission.Open(), len(e.byID), len(e.abandoned)
+	s.Open, s.Allocations, s.Abandoned = e.admission.Open(), len(e.byID), len(e.abandoned)
 	return s
 }
 
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -352,10 +352,10 @@
 // checkTransferred checks that the sending engine h has only the attempt in flight, and the receiver the other two allocations.
 func checkTransferred(t *testing.T, h, receiver *harness, running, inFlight sentOffer) {
 	t.Helper()
-	if got := h.engine.Stats(); got.Open != 1 || got.Held != 1 || h.engine.IsIdle() {
+	if got := h.engine.Stats(); got.Open != 1 || got.Allocations != 1 || h.engine.IsIdle() {
 		t.Errorf("the sending engine has %+v, want one open allocation", got)
 	}
-	if got := receiver.engine.Stats(); got.Open != 1 || got.Held != 2 {
+	if got := receiver.engine.Stats(); got.Open != 1 || got.Allocations != 2 {
 		t.Errorf("the receiving engine has %+v, want one open and two in total", got)
 	}
 	if err := h.engine.OnOutcome(h.now, inFlight.node, Outcome{Attempt: inFlight.attempt, Result: logic.Rejected, Reason: logic.ReasonUnknown}); err != nil {
--- a/internal/engine/exclusions.go
+++ b/internal/engine/exclusions.go
@@ -19,9 +19,9 @@
 	e.setExcluded(now, nodes, excludedMaintenance, excluded)
 }
 
-// SetWarned excludes nodes that other schedulers report as draining or gone before this scheduler's list does, or ends that
+// SetExcludedByPeers excludes nodes that other schedulers report as draining or gone before this scheduler's list does, or ends that
 // exclusion. Attempts in flight to these nodes continue.
-func (e *Engine) SetWarned(now float64, nodes []uint32, excluded bool) {
+func (e *Engine) SetExcludedByPeers(now float64, nodes []uint32, excluded bool) {
 	e.setExcluded(now, nodes, excludedByPeers, excluded)
 }
 
--- a/internal/engine/messages.go
+++ b/internal/engine/messages.go
@@ -132,14 +132,14 @@
 
 // Reasons given by the engine. The verdicts of package admission are used as reasons too.
 const (
-	ReasonNone           AnswerReason = ""
-	ReasonLateStart      AnswerReason = "late"            // served by an attempt that had been abandoned
-	ReasonRunning        AnswerReason = "runs"            // served: the task was already running
-	ReasonWithdrawn      AnswerReason = "withdrawn"       // the client withdrew the request
-	ReasonJustEnded      AnswerReason = "just-ended"      // declined: an earlier task with the same key has just ended
-	ReasonAlreadyOpen    AnswerReason = "open-already"    // declined: a request with the same key is open
-	ReasonEnding         AnswerReason = "ends"            // declined: the process is shutting down
-	ReasonEarlierInDoubt AnswerReason = "earlier-try-out" // declined: an attempt for an earlier request may still start
+	ReasonNone                  AnswerReason = ""
+	ReasonLateStart             AnswerReason = "late"            // served by an attempt that had been abandoned
+	ReasonRunning               AnswerReason = "runs"            // served: the task was already running
+	ReasonWithdrawn             AnswerReason = "withdrawn"       // the client withdrew the request
+	ReasonJustEnded             AnswerReason = "just-ended"      // declined: an earlier task with the same key has just ended
+	ReasonAlreadyOpen           AnswerReason = "open-already"    // declined: a request with the same key is open
+	ReasonShuttingDown          AnswerReason = "ends"            // declined: the process is shutting down
+	ReasonEarlierAttemptPending AnswerReason = "earlier-try-out" // declined: an attempt for an earlier request may still start
 )
 
 // Answer is the final answer to a request.
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -19,7 +19,7 @@
 		return nil
 	}
 	if e.closed && r.Epoch > 0 {
-		e.declineAdmitted(&r, ReasonEnding)
+		e.declineAdmitted(&r, ReasonShuttingDown)
 		return nil
 	}
 	if r.Epoch == 0 {
@@ -83,7 +83,7 @@
 		e.effects.Answer(request, Answer{Kind: Declined, Reason: ReasonAlreadyOpen})
 	default: // an earlier attempt is still in progress, and its outcome decides whether a retry may start the task
 		e.stats.Rejected++
-		e.effects.Answer(request, Answer{Kind: Declined, Reason: ReasonEarlierInDoubt})
+		e.effects.Answer(request, Answer{Kind: Declined, Reason: ReasonEarlierAttemptPending})
 	}
 }
 
--- a/internal/engine/workingset.go
+++ b/internal/engine/workingset.go
@@ -85,13 +85,13 @@
 type Demand struct {
 	Cores, Memory float64 // total of all tasks that run or have an attempt
 	Offers        uint64  // number of attempts since the start
-	Short         []bool  // by machine kind, the last element for tasks that run on any kind; set if a task has waited longer than minWait
+	Shortage      []bool  // by machine kind, the last element for tasks that run on any kind; set if a task has waited longer than minWait
 }
 
 // Demand returns the current demand. A machine kind is short if a task that needs it has waited for longer than minWait since the task was
 // requested or since its last attempt ended.
 func (e *Engine) Demand(now, minWait float64) Demand {
-	d := Demand{Offers: e.stats.Offers, Short: make([]bool, len(e.config.Cluster.KindCores)+1)}
+	d := Demand{Offers: e.stats.Offers, Shortage: make([]bool, len(e.config.Cluster.KindCores)+1)}
 	for slot := range e.allocations {
 		a := &e.allocations[slot]
 		switch {
@@ -100,9 +100,9 @@
 		case !a.answered && now-a.waitingSince > minWait && e.isInUse(slot):
 			kind := e.config.Cluster.JobClasses[a.task.JobClass].NodeKind
 			if kind < 0 {
-				kind = len(d.Short) - 1
+				kind = len(d.Shortage) - 1
 			}
-			d.Short[kind] = true
+			d.Shortage[kind] = true
 		}
 	}
 	return d
--- a/internal/engine/workingset_test.go
+++ b/internal/engine/workingset_test.go
@@ -93,7 +93,7 @@
 	if len(h.offers) > 0 {
 		t.Fatalf("got offers %v to nodes outside the working set, want none", h.offers)
 	}
-	if d := h.engine.Demand(h.now+150, 100); !d.Short[len(d.Short)-1] || d.Cores != 0 {
+	if d := h.engine.Demand(h.now+150, 100); !d.Shortage[len(d.Shortage)-1] || d.Cores != 0 {
 		t.Errorf("got demand %+v while nothing can be placed, want a shortage and no cores", d)
 	}
 	h.engine.SetOutsideWorkingSet(h.now, []uint32{2}, false)
--- a/internal/lab/maintenance/effects.go
+++ b/internal/lab/maintenance/effects.go
@@ -116,7 +116,7 @@
 		id, _ := strconv.Atoi(n)
 		h.process.engine.CountRunning(uint32(id), byJob)
 	}
-	return byJob, h.process.engine.Stats().Held
+	return byJob, h.process.engine.Stats().Allocations
 }
 
 func (h effects) Evict(nodes []string, job, limit int) (n int) {
--- a/internal/serve/maintenance.go
+++ b/internal/serve/maintenance.go
@@ -240,7 +240,7 @@
 	}
 	for _, sh := range m.shards.liveShards() {
 		sh.post(func(float64) {
-			counts := taskCount{sh.incarnation, map[uint32][]int{}, sh.engine.Stats().Held}
+			counts := taskCount{sh.incarnation, map[uint32][]int{}, sh.engine.Stats().Allocations}
 			for _, id := range ids {
 				counts.byNode[id] = make([]int, len(m.config.Site.JobClasses))
 				sh.engine.CountRunning(id, counts.byNode[id])
--- a/internal/serve/membership.go
+++ b/internal/serve/membership.go
@@ -293,8 +293,8 @@
 	readmitted := slices.DeleteFunc(slices.Clone(previous), func(id uint32) bool { return slices.Contains(nodes, id) })
 	m.log.Info().Str("mode", "members").Int("held", len(nodes)).Int("freed", len(readmitted)).Msg("nodes that other schedulers report as not ready changed")
 	m.shards.postAll(func(sh *shard, now float64) {
-		sh.engine.SetWarned(now, readmitted, false)
-		sh.engine.SetWarned(now, nodes, true)
+		sh.engine.SetExcludedByPeers(now, readmitted, false)
+		sh.engine.SetExcludedByPeers(now, nodes, true)
 	})
 }
 
@@ -304,6 +304,6 @@
 	nodes := m.unready
 	m.mu.Unlock()
 	if len(nodes) > 0 {
-		sh.post(func(now float64) { sh.engine.SetWarned(now, nodes, true) })
+		sh.post(func(now float64) { sh.engine.SetExcludedByPeers(now, nodes, true) })
 	}
 }
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -92,7 +92,7 @@
 	}
 	counter(out, c.attempts, totals.Offers)
 	gauge(out, c.open, float64(totals.Open))
-	gauge(out, c.running, float64(totals.Held))
+	gauge(out, c.running, float64(totals.Allocations))
 	gauge(out, c.shards, float64(shards))
 }
 
@@ -188,5 +188,5 @@
 	sum.Expired += stats.Expired
 	sum.Offers += stats.Offers
 	sum.Open += stats.Open
-	sum.Held += stats.Held
+	sum.Allocations += stats.Allocations
 }
--- a/internal/serve/working_set_reports.go
+++ b/internal/serve/working_set_reports.go
@@ -63,7 +63,7 @@
 	for _, index := range slices.Sorted(maps.Keys(demands)) {
 		demand := demands[index]
 		sum.Cores, sum.Memory, sum.Offers = sum.Cores+demand.Cores, sum.Memory+demand.Memory, sum.Offers+demand.Offers
-		w.reportShortages(demand.Short)
+		w.reportShortages(demand.Shortage)
 	}
 	if len(demands) > 0 {
 		w.measure(now, sum)
