--- a/internal/decide/connlimits/connlimits.go
+++ b/internal/decide/connlimits/connlimits.go
@@ -22,12 +22,12 @@
 
 // Limits of pending notifications and of connections to nodes.
 const (
-	MaxPendingNodeEnds = 256   // stops of tasks that are pending for one node, and late answers that are expected on one connection
-	NodeEndRetention   = 20000 // ms for which a pending stop is kept
-	MaxPendingEnds     = 4096  // ends of tasks of which no client could be notified yet
-	VerifiedConnWait   = 400   // ms that a notification of an end, which may take 1 s, waits for a verified connection
-	healthCheckTimeout = 1000  // ms without an answer to a health check
-	idleFraction       = 0.6   // fraction of the time after which a node closes an idle connection
+	MaxPendingNodeStops     = 256   // stops of tasks that are pending for one node, and late answers that are expected on one connection
+	NodeStopRetention       = 20000 // ms for which a pending stop is kept
+	MaxPendingNotifications = 4096  // ends of tasks of which no client could be notified yet
+	VerifiedConnWait        = 400   // ms that a notification of an end, which may take 1 s, waits for a verified connection
+	healthCheckTimeout      = 1000  // ms without an answer to a health check
+	idleFraction            = 0.6   // fraction of the time after which a node closes an idle connection
 )
 
 // IsReusable reports whether a connection that was idle for some ms may still be used, given that nodes close idle connections after closeAfter
--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -95,9 +95,9 @@
 	q.cores, q.memory, q.maxOpen = max(cores, minCapacity), max(memory, minCapacity), maxOpen
 }
 
-// SetFree sets the fraction of the capacity that may still be allocated (free), the fraction that is not allocated (available), and the
+// SetFreeCapacity sets the fraction of the capacity that may still be allocated (free), the fraction that is not allocated (available), and the
 // number of requests that may be open even if both are 0. Until the next call, the cost of each admitted request is subtracted from both.
-func (q *Queue) SetFree(free, available float64, minOpen int) {
+func (q *Queue) SetFreeCapacity(free, available float64, minOpen int) {
 	q.free, q.available, q.minOpen = free, available, minOpen
 }
 
--- a/internal/decide/fairqueue/fill_test.go
+++ b/internal/decide/fairqueue/fill_test.go
@@ -38,7 +38,7 @@
 		q.SetLimits(0, i, Limits{Share: 1, MaxWaiting: 100})
 	}
 	q.AddHeld(0, 90, 90, 1) // tenant 0 holds 90% of the capacity
-	q.SetFree(0.05, 0.1, 0)
+	q.SetFreeCapacity(0.05, 0.1, 0)
 	submit := func(now float64, tenant int, id uint64) Verdict {
 		verdict, _ := q.Submit(now, Request{Tenant: tenant, ID: id, Cores: 1, Memory: 1, Deadline: now + 60000})
 		return verdict
@@ -61,7 +61,7 @@
 	if id, ok := q.Next(4+reserveDuration+1, nil); !ok || id != 3 {
 		t.Error("waiting request not admitted after the reserve has lapsed, want request 3 admitted")
 	}
-	q.SetFree(0, 0, 2)
+	q.SetFreeCapacity(0, 0, 2)
 	q.AddHeld(0, 90, 90, -1)
 	for range 4 {
 		q.Release(0)
@@ -77,7 +77,7 @@
 	q := New(100, 100, 1000)
 	q.SetLimits(0, 0, Limits{Share: 1, MaxWaiting: 1000})
 	q.AddHeld(0, 90, 90, 1)
-	q.SetFree(-0.1, 0, 4)
+	q.SetFreeCapacity(-0.1, 0, 4)
 	admitted := 0
 	for now := 0.0; now < 1000; now++ {
 		if verdict, _ := q.Submit(now, Request{ID: uint64(now) + 1, Cores: 0.001, Memory: 0.001, Deadline: now + 60000}); verdict == Admitted {
@@ -100,7 +100,7 @@
 		q.SetLimits(0, i, Limits{Share: 1, MaxWaiting: 100})
 	}
 	q.AddHeld(0, 90, 90, 1)
-	q.SetFree(-0.2, 0.015, 0)
+	q.SetFreeCapacity(-0.2, 0.015, 0)
 	want := []Verdict{Queued, Admitted, Admitted, Queued} // the last request waits because no capacity is available any more
 	for i, tenant := range []int{0, 1, 1, 1} {
 		if verdict, _ := q.Submit(1000+float64(i), Request{Tenant: tenant, ID: uint64(i + 1), Cores: 1, Memory: 1, Deadline: 60000}); verdict != want[i] {
@@ -116,7 +116,7 @@
 	q.Submit(0, Request{ID: 1, Cores: 1, Memory: 1, Deadline: 9000})
 	q.Submit(0, Request{ID: 2, Cores: 1, Memory: 1, Deadline: 9000})
 	clock, tokens := q.tenants[0].clock, q.tenants[0].tokens
-	q.Return(0, Request{ID: 1, Cores: 1, Memory: 1, Deadline: 9000})
+	q.Requeue(0, Request{ID: 1, Cores: 1, Memory: 1, Deadline: 9000})
 	if q.Open(0) != 0 || q.tenants[0].clock >= clock || q.tenants[0].tokens != tokens+1 {
 		t.Errorf("got %+v after the return, want no open request and the cost and the token refunded", q.tenants[0])
 	}
--- a/internal/decide/fairqueue/submit.go
+++ b/internal/decide/fairqueue/submit.go
@@ -42,9 +42,9 @@
 	return Queued, 0
 }
 
-// Return puts an admitted request that could not be placed back into its tenant's queue, as the first of its urgency. The request is no
+// Requeue puts an admitted request that could not be placed back into its tenant's queue, as the first of its urgency. The request is no
 // longer open, and its cost and its token are refunded.
-func (q *Queue) Return(now float64, r Request) {
+func (q *Queue) Requeue(now float64, r Request) {
 	t := &q.tenants[r.Tenant]
 	cost := q.cost(r.Cores, r.Memory)
 	q.free, q.available = q.free+cost, q.available+cost
--- a/internal/decide/outcome/early.go
+++ b/internal/decide/outcome/early.go
@@ -4,17 +4,17 @@
 
 // EarlyEnd is the end of an attempt that a node sent before its answer to that attempt arrived. The answer may be late or lost.
 type EarlyEnd struct {
-	Unstarted logic.Outcome // what the cause of the end means for an attempt that never started
-	Started   logic.Outcome // what it means for a task that was running
-	Reason    logic.Reason
-	Noted     bool // the node sent notes about the task, which it does only while the task runs
+	Unstarted    logic.Outcome // what the cause of the end means for an attempt that never started
+	Started      logic.Outcome // what it means for a task that was running
+	Reason       logic.Reason
+	NoteReceived bool // the node sent notes about the task, which it does only while the task runs
 }
 
 // Ran reports whether the task ran at its node, so that this is the end of a run and not the failure of an attempt. A note proves that it
 // ran. Without one, a rejection or an offer that was never sent proves that it did not. Completion, cancellation and the reasons for which a
 // node removes tasks are given for running tasks only.
 func (e EarlyEnd) Ran() bool {
-	if e.Noted {
+	if e.NoteReceived {
 		return true
 	}
 	switch e.Unstarted {
--- a/internal/decide/outcome/early_test.go
+++ b/internal/decide/outcome/early_test.go
@@ -24,7 +24,7 @@
 	} {
 		for reason := logic.ReasonUnknown; reason <= logic.Displaced; reason++ {
 			for _, noted := range []bool{false, true} {
-				end := EarlyEnd{Unstarted: cause.unstarted, Started: cause.started, Reason: reason, Noted: noted}
+				end := EarlyEnd{Unstarted: cause.unstarted, Started: cause.started, Reason: reason, NoteReceived: noted}
 				want := noted || cause.ran || !cause.neverRan && removed[reason]
 				if got := end.Ran(); got != want {
 					t.Errorf("%s, reason %d, notes before %t: got ran %t, want %t", cause.name, reason, noted, got, want)
--- a/internal/decide/overload/overload.go
+++ b/internal/decide/overload/overload.go
@@ -24,9 +24,9 @@
 	updatedAt float64
 }
 
-// OnTurn records when a round was due, when it started and when it ended. A message that arrived before the start has lain unread for the time
+// OnRound records when a round was due, when it started and when it ended. A message that arrived before the start has lain unread for the time
 // by which the start was late, and one that arrived during the round lies unread until its end.
-func (m *Monitor) OnTurn(due, started, ended float64) {
+func (m *Monitor) OnRound(due, started, ended float64) {
 	m.delay = max(m.Delay(ended), started-due, ended-started)
 	m.updatedAt = ended
 }
--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -19,15 +19,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var monitor Monitor
-			monitor.OnTurn(c.due, c.started, c.ended)
+			monitor.OnRound(c.due, c.started, c.ended)
 			if got := monitor.Delay(c.ended + c.after); math.Abs(got-c.want) > 1e-9 {
 				t.Errorf("got delay %g ms, want %g", got, c.want)
 			}
 		})
 	}
 	var monitor Monitor
-	monitor.OnTurn(0, 80, 80)
-	monitor.OnTurn(80, 81, 81)
+	monitor.OnRound(0, 80, 80)
+	monitor.OnRound(80, 81, 81)
 	if got := monitor.Delay(81); got < 79 {
 		t.Errorf("got delay %g ms after a quick round, want at least 79", got)
 	}
@@ -47,7 +47,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var monitor Monitor
 			if c.delay > 0 {
-				monitor.OnTurn(0, c.delay, c.delay)
+				monitor.OnRound(0, c.delay, c.delay)
 			}
 			if got := monitor.TimeoutGrace(c.delay); got != c.grace {
 				t.Errorf("got grace %g ms, want %g", got, c.grace)
--- a/internal/decide/shardrouter/capacity.go
+++ b/internal/decide/shardrouter/capacity.go
@@ -10,9 +10,9 @@
 
 // Capacity is the node list's answer, summed over all nodes that accept work.
 type Capacity struct {
-	Total     Resources
-	Free      Resources // not held by any process
-	KnowsFree bool      // the node list reports load, so that Free is valid
+	Total       Resources
+	Free        Resources // not held by any process
+	ReportsFree bool      // the node list reports load, so that Free is valid
 }
 
 // OnCapacity updates the capacity and the estimate of what other processes hold, which is the used part of the capacity less what this process
@@ -33,7 +33,7 @@
 		maxHeld = Resources{max(maxHeld.Cores, held.Cores), max(maxHeld.Memory, held.Memory)}
 	}
 	used := Resources{c.Total.Cores - c.Free.Cores, c.Total.Memory - c.Free.Memory}
-	if !c.KnowsFree { // assume that other processes hold nothing
+	if !c.ReportsFree { // assume that other processes hold nothing
 		used, minHeld, maxHeld = Resources{}, Resources{}, Resources{}
 	}
 	isFirst := q.capacity.Cores == 0
@@ -60,7 +60,7 @@
 		return
 	}
 	held := max(0, (q.held.Cores+q.heldByOthers.Cores)/q.capacity.Cores, (q.held.Memory+q.heldByOthers.Memory)/q.capacity.Memory)
-	q.fair.SetFree(q.fill.Level()-held, 1-held, minOpenPerShard*r.config.MaxShards)
+	q.fair.SetFreeCapacity(q.fill.Level()-held, 1-held, minOpenPerShard*r.config.MaxShards)
 }
 
 // FillLevel returns the fraction of the capacity that may be taken now, and the fraction that this process holds.
--- a/internal/decide/shardrouter/fence_test.go
+++ b/internal/decide/shardrouter/fence_test.go
@@ -75,7 +75,7 @@
 		t.Errorf("request before the recovery: got epoch %d, reason %q, want epoch 0, reason shard-fenced", d.Epoch, d.Reason)
 	}
 	sender := (fenced + 2) % 3 // a shard that sent the attempt and has handed the allocation over
-	if shard, knows := r.ShardOf(Placed{ID: idOf(1), Ticket: 9, Service: 7, Shard: sender}); shard != sender || knows {
+	if shard, knows := r.ShardOf(ReportedAttempt{ID: idOf(1), Ticket: 9, Service: 7, Shard: sender}); shard != sender || knows {
 		t.Errorf("before the recovery: got shard %d, knows %t, want the sender of the attempt, knows false", shard, knows)
 	}
 	to := (fenced + 1) % 3
@@ -84,7 +84,7 @@
 	if !ok || recovery.Client != 1 || recovery.Ref != 1 {
 		t.Errorf("recovery: got client %d, ref %d, ok %t, want client 1, ref 1, ok true", recovery.Client, recovery.Ref, ok)
 	}
-	if shard, knows := r.ShardOf(Placed{ID: idOf(1), Ticket: 9, Service: 7, Shard: -1}); shard != to || !knows {
+	if shard, knows := r.ShardOf(ReportedAttempt{ID: idOf(1), Ticket: 9, Service: 7, Shard: -1}); shard != to || !knows {
 		t.Error("after the recovery: want the shard that recovered the allocation, and that it knows of the attempt")
 	}
 }
@@ -96,10 +96,10 @@
 		claim := r.mustRoute(t, 0, 1, atMostOnce, 7)
 		r.markRunning(claim, shardownership.Attempt{Node: 3, Ticket: 9, Number: 1})
 		r.Fence(100, claim.Shard)
-		if _, ok := r.OnLostEnded(shardownership.Attempt{Node: 3, Ticket: 9}); ok {
+		if _, ok := r.OnUnrecoveredEnded(shardownership.Attempt{Node: 3, Ticket: 9}); ok {
 			t.Error("the end of another attempt removed the allocation")
 		}
-		if request, ok := r.OnLostEnded(shardownership.Attempt{Node: 3, Ticket: 9, Number: 1}); !ok || request.Ref != 1 {
+		if request, ok := r.OnUnrecoveredEnded(shardownership.Attempt{Node: 3, Ticket: 9, Number: 1}); !ok || request.Ref != 1 {
 			t.Errorf("got request %+v, %t, want ref 1, true", request, ok)
 		}
 		if lost := r.CheckHealth(101+recoveryTimeout, heartbeats, delays).Lost; len(lost) > 0 {
--- a/internal/decide/shardrouter/health.go
+++ b/internal/decide/shardrouter/health.go
@@ -120,8 +120,8 @@
 // checks, because the next check may come as late as the last one.
 func (r *Router) OverdueMargin() float64 { return r.config.AnswerMargin*overdueFraction + r.lateness }
 
-// SetLateness sets how late, in ms, the calls of CheckHealth come.
-func (r *Router) SetLateness(lateness float64) { r.lateness = lateness }
+// SetCheckLateness sets how late, in ms, the calls of CheckHealth come.
+func (r *Router) SetCheckLateness(lateness float64) { r.lateness = lateness }
 
 // OnShardStarted records that the next incarnation of a shard runs. Its epochs begin at epoch. A shard that was draining keeps draining.
 func (r *Router) OnShardStarted(now float64, shard int, epoch uint32) {
--- a/internal/decide/shardrouter/lost.go
+++ b/internal/decide/shardrouter/lost.go
@@ -53,9 +53,9 @@
 	return Recovery{epoch, previous.Client, previous.Ref}, true
 }
 
-// OnLostEnded records the end of an attempt whose allocation awaits recovery. It returns the request, so that the client is notified of the
+// OnUnrecoveredEnded records the end of an attempt whose allocation awaits recovery. It returns the request, so that the client is notified of the
 // end, and false if no such allocation awaits recovery.
-func (r *Router) OnLostEnded(attempt shardownership.Attempt) (request shardownership.Request, ok bool) {
+func (r *Router) OnUnrecoveredEnded(attempt shardownership.Attempt) (request shardownership.Request, ok bool) {
 	id, ok := r.unrecoveredByAttempt[attempt]
 	if ok {
 		request = r.unrecovered[id].Request
--- a/internal/decide/shardrouter/queue.go
+++ b/internal/decide/shardrouter/queue.go
@@ -47,7 +47,7 @@
 		waiting:  map[uint64]queuedRequest{},
 		byClient: map[shardownership.RequestKey]uint64{},
 	}
-	q.fair.SetFree(0, 0, minOpenPerShard*r.config.MaxShards)
+	q.fair.SetFreeCapacity(0, 0, minOpenPerShard*r.config.MaxShards)
 	r.ownership.OnOpenChange = q.fair.AddOpen
 	r.ownership.OnHeldChange = func(tenant int, request *shardownership.Request, by float64) {
 		q.fair.AddHeld(tenant, request.Cores, request.Memory, by)
@@ -109,8 +109,8 @@
 // queue.
 func (r *Router) routeAdmitted(now float64, id uint64, request queuedRequest, load ShardLoad) Decision {
 	d := r.Route(now, request.Arrival, load)
-	if fair := r.fairRequest(id, request.Arrival); d.Reason == Behind && fair.Deadline > now+retryInterval {
-		r.queue.fair.Return(now, fair)
+	if fair := r.fairRequest(id, request.Arrival); d.Reason == ShardOverloaded && fair.Deadline > now+retryInterval {
+		r.queue.fair.Requeue(now, fair)
 		r.queue.add(id, request)
 		r.queue.retryAt = now + retryInterval
 		return Decision{ID: request.ID, Request: request.Request, Queued: true}
@@ -142,7 +142,7 @@
 			return decisions
 		}
 		request := q.remove(id)
-		request.Unread = 0 // it was read long ago, so this delay no longer shows how long requests wait at the socket
+		request.ReadDelay = 0 // it was read long ago, so this delay no longer shows how long requests wait at the socket
 		d := r.routeAdmitted(now, id, request, load)
 		if d.Queued {
 			return decisions
@@ -208,7 +208,7 @@
 		request := r.queue.waiting[id]
 		r.queue.fair.Remove(id)
 		r.queue.remove(id)
-		rejected = append(rejected, Decision{ID: request.ID, Request: request.Request, Reason: NotTaken})
+		rejected = append(rejected, Decision{ID: request.ID, Request: request.Request, Reason: NotAccepted})
 	}
 	return rejected
 }
@@ -223,7 +223,7 @@
 	var rejected []Decision
 	r.queue.fair.RemoveAll(slot, func(id uint64) {
 		request := r.queue.remove(id)
-		rejected = append(rejected, Decision{ID: request.ID, Request: request.Request, Reason: NotTaken})
+		rejected = append(rejected, Decision{ID: request.ID, Request: request.Request, Reason: NotAccepted})
 	})
 	return rejected
 }
--- a/internal/decide/shardrouter/queue_test.go
+++ b/internal/decide/shardrouter/queue_test.go
@@ -14,7 +14,7 @@
 	for slot := range 3 {
 		r.SetTenant(0, slot, tenancy.Policy{Limits: fairqueue.Limits{Share: 1, MaxWaiting: 6}, AcceptsNew: true})
 	}
-	r.OnCapacity(Capacity{Total: Resources{10, 10}, Free: Resources{10, 10}, KnowsFree: true})
+	r.OnCapacity(Capacity{Total: Resources{10, 10}, Free: Resources{10, 10}, ReportsFree: true})
 	return r
 }
 
@@ -75,7 +75,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newFullRouter(t)
 			for range 60 { // half a minute of the node list's answers
-				r.OnCapacity(Capacity{Total: Resources{c.total, c.total}, Free: Resources{c.free, c.free}, KnowsFree: c.knowsFree})
+				r.OnCapacity(Capacity{Total: Resources{c.total, c.total}, Free: Resources{c.free, c.free}, ReportsFree: c.knowsFree})
 			}
 			for key := range 2 { // minOpenPerShard may be open in any case
 				r.PermitAttempt(claimOf(key, 0, 1), shardownership.Attempt{Node: 1})
@@ -87,11 +87,11 @@
 	}
 	t.Run("node list lags while the load grows", func(t *testing.T) {
 		r := newMultiTenant(1, 100)
-		r.OnCapacity(Capacity{Total: Resources{20, 20}, Free: Resources{20, 20}, KnowsFree: true})
+		r.OnCapacity(Capacity{Total: Resources{20, 20}, Free: Resources{20, 20}, ReportsFree: true})
 		for i := range uint64(18) { // the node list lags by three answers
 			r.mustSubmit(t, tenantArrival(int(i%3), i, i))
 			free := 20 - max(0, float64(i)-2)
-			r.OnCapacity(Capacity{Total: Resources{20, 20}, Free: Resources{free, free}, KnowsFree: true})
+			r.OnCapacity(Capacity{Total: Resources{20, 20}, Free: Resources{free, free}, ReportsFree: true})
 		}
 		if r.queue.heldByOthers.Cores != 0 || r.queue.heldByOthers.Memory != 0 {
 			t.Errorf("got %+v held by other processes, want none", r.queue.heldByOthers)
@@ -145,7 +145,7 @@
 	r := newFullRouter(t)
 	r.Submit(0, tenantArrival(1, 50, 50), idle)
 	decisions := r.SetTenant(1, 1, tenancy.Policy{Limits: fairqueue.Limits{Share: 1, Blocked: true}})
-	if len(decisions) != 1 || decisions[0].Reason != NotTaken {
+	if len(decisions) != 1 || decisions[0].Reason != NotAccepted {
 		t.Errorf("got decisions %+v, want one with reason not-taken", decisions)
 	}
 	if d := r.Submit(2, tenantArrival(1, 51, 51), idle); d.Reason != OverShare {
@@ -170,7 +170,7 @@
 		}
 	}
 	rejected := r.RejectWaiting()
-	if len(rejected) != 3 || rejected[0].Request.Ref != 50 || rejected[2].Request.Ref != 52 || rejected[0].Reason != NotTaken {
+	if len(rejected) != 3 || rejected[0].Request.Ref != 50 || rejected[2].Request.Ref != 52 || rejected[0].Reason != NotAccepted {
 		t.Errorf("got decisions %+v, want requests 50 to 52 with reason not-taken", rejected)
 	}
 	if again := r.RejectWaiting(); len(again) > 0 || len(newRouter(1).RejectWaiting()) > 0 {
--- a/internal/decide/shardrouter/resize_test.go
+++ b/internal/decide/shardrouter/resize_test.go
@@ -103,7 +103,7 @@
 			if _, ok := r.Recover(idOf(1), claim.Shard, request, attempt); !ok {
 				t.Error("the owner could not recover the allocation")
 			}
-			if _, ok := r.OnLostEnded(attempt); ok {
+			if _, ok := r.OnUnrecoveredEnded(attempt); ok {
 				t.Error("the allocation was recovered but still awaits recovery")
 			}
 		})
--- a/internal/decide/shardrouter/route.go
+++ b/internal/decide/shardrouter/route.go
@@ -7,15 +7,15 @@
 
 // Reasons of a rejection.
 const (
-	NoReason    Reason = iota // the request was accepted or queued
-	AttemptOpen               // a fenced shard had an attempt open, so that the allocation may have been started
-	Full                      // the limit of open allocations is reached
-	ShardFenced               // after a fence or during a handover it is not known yet what runs of the allocation or its service
-	NoShard                   // no shard accepts new allocations
-	Behind                    // its shard is overloaded
-	OverShare                 // the fair queue shed it: its tenant is blocked, its tenant's queue is full, or its turn would come too late
-	TooLate                   // its tenant's turn did not come in time for its deadline
-	NotTaken                  // its tenant accepts no new requests, or the process is shutting down
+	NoReason        Reason = iota // the request was accepted or queued
+	AttemptOpen                   // a fenced shard had an attempt open, so that the allocation may have been started
+	Full                          // the limit of open allocations is reached
+	ShardFenced                   // after a fence or during a handover it is not known yet what runs of the allocation or its service
+	NoShard                       // no shard accepts new allocations
+	ShardOverloaded               // its shard is overloaded
+	OverShare                     // the fair queue shed it: its tenant is blocked, its tenant's queue is full, or its turn would come too late
+	TooLate                       // its tenant's turn did not come in time for its deadline
+	NotAccepted                   // its tenant accepts no new requests, or the process is shutting down
 )
 
 func (r Reason) String() string {
@@ -24,9 +24,9 @@
 
 // Arrival is a request that the process has read from a client.
 type Arrival struct {
-	ID      shardownership.ID
-	Request shardownership.Request
-	Unread  float64 // ms that it waited to be read, beyond the usual delay of its client
+	ID        shardownership.ID
+	Request   shardownership.Request
+	ReadDelay float64 // ms that it waited to be read, beyond the usual delay of its client
 }
 
 // ShardLoad returns for how many ms beyond the usual a shard has been processing its current event, and how many requests wait at it.
@@ -63,8 +63,8 @@
 		d.Reason = NoShard
 		return d
 	}
-	if stalled, waiting := load(shard); !r.gates[shard].Admit(now, max(a.Unread, stalled), waiting) {
-		d.Reason = Behind
+	if stalled, waiting := load(shard); !r.gates[shard].Admit(now, max(a.ReadDelay, stalled), waiting) {
+		d.Reason = ShardOverloaded
 		return d
 	}
 	r.placement.Add(shard, a.Request.Service)
@@ -139,8 +139,8 @@
 	}
 }
 
-// Placed identifies an attempt that a node reports.
-type Placed struct {
+// ReportedAttempt identifies an attempt that a node reports.
+type ReportedAttempt struct {
 	ID      shardownership.ID
 	Ticket  uint64
 	Number  uint8
@@ -151,7 +151,7 @@
 // ShardOf returns the shard that a reported attempt belongs to, -1 if there is none: the owner of the allocation if this is its last attempt,
 // else the shard that sent the attempt, else the shard to which the service belongs. knows is true if the shard certainly knows of the
 // attempt; a shard that only sent it may have handed the allocation over since.
-func (r *Router) ShardOf(p Placed) (shard int, knows bool) {
+func (r *Router) ShardOf(p ReportedAttempt) (shard int, knows bool) {
 	if shard, ok := r.ownership.HolderOf(p.ID, p.Ticket, p.Number); ok && r.placement.IsUp(shard) {
 		return shard, true
 	}
--- a/internal/decide/shardrouter/shardrouter_test.go
+++ b/internal/decide/shardrouter/shardrouter_test.go
@@ -65,7 +65,7 @@
 	}
 	r.OnRound(0, 10, 10)
 	busy := func(int) (float64, int) { return 0, 1000 }
-	if d := r.Route(0, arrival(2, restartable, 0, 5000), busy); d.Reason != Behind {
+	if d := r.Route(0, arrival(2, restartable, 0, 5000), busy); d.Reason != ShardOverloaded {
 		t.Error(d.Reason)
 	}
 	r.mustRoute(t, 300, 3, restartable, 7)
@@ -77,7 +77,7 @@
 func TestReasonString(t *testing.T) {
 	for reason, want := range map[Reason]string{
 		NoReason: "", AttemptOpen: "earlier-try-out", Full: "full", ShardFenced: "shard-fenced", NoShard: "no-shard",
-		Behind: "behind", OverShare: "over-share", TooLate: "too-late", NotTaken: "not-taken",
+		ShardOverloaded: "behind", OverShare: "over-share", TooLate: "too-late", NotAccepted: "not-taken",
 	} {
 		if got := reason.String(); got != want { // clients and logs get these texts
 			t.Errorf("reason %d: got %q, want %q", reason, got, want)
@@ -160,7 +160,7 @@
 		claim := claimOf(1, r.Route(2400, a, idle).Shard, 1)
 		answeredAt := 0.0
 		for now := 2400.0; now < deadline && answeredAt == 0; now += checkInterval {
-			r.SetLateness(checkInterval)
+			r.SetCheckLateness(checkInterval)
 			heartbeats := []float64{now, now}
 			heartbeats[claim.Shard] = min(now, stoppedAt)
 			if overdue := r.CheckHealth(now, heartbeats, []float64{0, 0}).Overdue; len(overdue) > 0 {
--- a/internal/platform/host/attempts.go
+++ b/internal/platform/host/attempts.go
@@ -87,7 +87,7 @@
 		return false
 	}
 	h.recordEvent(now)
-	end.Noted = a.metricReceived
+	end.NoteReceived = a.metricReceived
 	ran = end.Ran()
 	if ran && !a.answered {
 		class := h.supervisor.cluster.JobClasses[a.request.Class]
--- a/internal/platform/load_monitor.go
+++ b/internal/platform/load_monitor.go
@@ -47,7 +47,7 @@
 func (m *loadMonitor) onTurn(t turnTimes, requests int) {
 	s := m.server
 	wasOverloaded := m.gate.IsOverloaded()
-	m.delay.OnTurn(t.due, t.started, t.ended)
+	m.delay.OnRound(t.due, t.started, t.ended)
 	delay := m.delay.Delay(t.ended)
 	s.telemetry.recordDelay(delay)
 	if requests > 0 {
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -64,8 +64,8 @@
 
 // queueStop keeps a stop until it can be sent or expires. The oldest is dropped when there are too many.
 func (n *node) queueStop(now float64, task uint64) {
-	kept := n.pendingStops[max(0, len(n.pendingStops)-connlimits.MaxPendingNodeEnds+1):]
-	n.pendingStops = append(kept, pendingStop{task, now + connlimits.NodeEndRetention})
+	kept := n.pendingStops[max(0, len(n.pendingStops)-connlimits.MaxPendingNodeStops+1):]
+	n.pendingStops = append(kept, pendingStop{task, now + connlimits.NodeStopRetention})
 }
 
 // takeStops removes all pending stops and returns those that have not expired.
--- a/internal/platform/node_conn.go
+++ b/internal/platform/node_conn.go
@@ -188,7 +188,7 @@
 		c.abandoned = map[uint64]bool{}
 	}
 	c.abandoned[task] = true
-	if len(c.abandoned) > connlimits.MaxPendingNodeEnds {
+	if len(c.abandoned) > connlimits.MaxPendingNodeStops {
 		c.drain()
 	}
 }
--- a/internal/platform/notifier.go
+++ b/internal/platform/notifier.go
@@ -54,7 +54,7 @@
 		}
 	}
 	message.since = n.server.env.Now()
-	n.pending = append(n.pending[max(0, len(n.pending)-connlimits.MaxPendingEnds+1):], message)
+	n.pending = append(n.pending[max(0, len(n.pending)-connlimits.MaxPendingNotifications+1):], message)
 }
 
 // hasPending reports whether notifications wait for a connection.
--- a/internal/serve/cluster_state_test.go
+++ b/internal/serve/cluster_state_test.go
@@ -26,7 +26,7 @@
 	stalled, resume := make(chan bool), make(chan bool)
 	server.clusterControl.runner.Enqueue(func(*consensus.Replica) { close(stalled); <-resume })
 	<-stalled
-	stalledAt := s.world.Now()
+	stalledAt := s.testbed.Now()
 	s.load(2500, 60, "0001112")
 	time.Sleep(500 * time.Millisecond)
 	view := server.clusterControl.runner.View()
--- a/internal/serve/dispatch.go
+++ b/internal/serve/dispatch.go
@@ -24,7 +24,7 @@
 	now := s.env.Now()
 	s.routerMu.Lock()
 	rejected := s.checkQuotaLease(now)
-	decision := s.router.Submit(now, shardrouter.Arrival{ID: r.id, Request: r.request, Unread: r.unread}, s.shardLoad(now))
+	decision := s.router.Submit(now, shardrouter.Arrival{ID: r.id, Request: r.request, ReadDelay: r.unread}, s.shardLoad(now))
 	sh := s.recordRoute(c, decision)
 	s.dispatchIfFree()
 	s.routerMu.Unlock()
--- a/internal/serve/endpoint_list.go
+++ b/internal/serve/endpoint_list.go
@@ -248,7 +248,7 @@
 		}
 		free.Cores, free.Memory = free.Cores+max(0, cores), free.Memory+max(0, memory)
 	}
-	return shardrouter.Capacity{Total: total, Free: free, KnowsFree: cluster.ListsReportLoad}
+	return shardrouter.Capacity{Total: total, Free: free, ReportsFree: cluster.ListsReportLoad}
 }
 
 // readyNode is a node that accepts new tasks.
--- a/internal/serve/held_test.go
+++ b/internal/serve/held_test.go
@@ -32,7 +32,7 @@
 		t.Fatal("no running task was handed over, want at least 1")
 	}
 	time.Sleep(time.Second)
-	for _, r := range s.world.Trace.Records() {
+	for _, r := range s.testbed.Trace.Records() {
 		if r.Kind == audit.AttemptConcluded && r.Detail == node.OutcomeNames[node.OutcomeStopped] {
 			t.Errorf("node %d was told to stop the attempt with ticket %x, want it to run on", r.Node, r.Ticket)
 		}
--- a/internal/serve/link_answers.go
+++ b/internal/serve/link_answers.go
@@ -99,7 +99,7 @@
 	defer s.routerMu.Unlock()
 	sh, err := l.shardOf(ticket, true)
 	if sh == nil {
-		if request, ok := s.router.OnLostEnded(routerAttempt(l.node, outcome.Attempt)); ok {
+		if request, ok := s.router.OnUnrecoveredEnded(routerAttempt(l.node, outcome.Attempt)); ok {
 			if c := s.clients.byID(request.Client); c != nil {
 				c.sendEnd(request.Ref, outcome.Result, outcome.Reason)
 			}
@@ -253,7 +253,7 @@
 	if sh != nil && !sh.fenced.Load() {
 		makerIndex = sh.index
 	}
-	index, known := s.router.ShardOf(shardrouter.Placed{
+	index, known := s.router.ShardOf(shardrouter.ReportedAttempt{
 		ID: shardownership.ID{Tenant: t.Tenant, Token: t.Token}, Ticket: h.Attempt.Ticket, Number: h.Attempt.Number,
 		Service: t.Service, Shard: makerIndex,
 	})
--- a/internal/serve/maintenance_test.go
+++ b/internal/serve/maintenance_test.go
@@ -102,17 +102,17 @@
 	p.awaitAddress()
 	client := &standin.Client{Scheduler: "s0", SchedulerAddress: p.address, SettleTime: s.siteConfig.SettleTime}
 	s.clients = append(s.clients, client)
-	s.world.StartClient(client, 0)
+	s.testbed.StartClient(client, 0)
 	p.loadUntilKilled(t, first)
-	s.world.Trace.Add(audit.Record{At: s.world.Now(), Kind: audit.SchedulerKilled, Scheduler: "s0"})
+	s.testbed.Trace.Add(audit.Record{At: s.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: "s0"})
 	_ = os.Remove(filepath.Join(p.folder, "address"))
 	second := p.run(t, "")
 	defer func() { _ = second.Process.Kill(); _ = second.Wait() }()
 	p.awaitAddress()
-	now := s.world.Now()
+	now := s.testbed.Now()
 	for _, n := range s.nodes {
 		if n.ID == 2 {
-			s.world.Trace.Add(audit.Record{At: now - s.rules.DrainGrace, Kind: audit.MaintenanceChanged, Node: n.ID, Detail: "out"}) // grace has passed
+			s.testbed.Trace.Add(audit.Record{At: now - s.rules.DrainGrace, Kind: audit.MaintenanceChanged, Node: n.ID, Detail: "out"}) // grace has passed
 		}
 	}
 	s.load(2500, 60, "0")
@@ -150,7 +150,7 @@
 	cmd := exec.Command(self)
 	cmd.Env = append(os.Environ(), "RAVENPOND_TEST_SERVE="+p.folder, "RAVENPOND_TEST_LIST="+p.list.Address(), "RAVENPOND_TEST_KILL="+kill)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	p.world.Trace.Add(audit.Record{At: p.world.Now(), Kind: audit.SchedulerStarted, Scheduler: "s0"})
+	p.testbed.Trace.Add(audit.Record{At: p.testbed.Now(), Kind: audit.SchedulerStarted, Scheduler: "s0"})
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -205,8 +205,8 @@
 		{"draining", func(out []uint32) bool { return slices.Equal(out, []uint32{2}) }},
 		{"ready", func(back []uint32) bool { return len(back) == 8 }},
 	} {
-		for end := s.world.Now() + 20000; !until.matches(s.nodesInState("s1", until.state)); s.load(100, 50, "0012") {
-			if s.world.Now() > end {
+		for end := s.testbed.Now() + 20000; !until.matches(s.nodesInState("s1", until.state)); s.load(100, 50, "0012") {
+			if s.testbed.Now() > end {
 				t.Fatalf("the scheduler without a calendar did not get the expected nodes with state %q within 20 s; got %v", until.state, s.nodesInState("s1", until.state))
 			}
 		}
@@ -220,7 +220,7 @@
 // nodesInState returns the nodes whose state, as last sent to a scheduler by the list server, is the given one.
 func (s *testCluster) nodesInState(scheduler, state string) (nodes []uint32) {
 	last := map[uint32]string{}
-	for _, r := range s.world.Trace.Records() {
+	for _, r := range s.testbed.Trace.Records() {
 		if r.Kind == audit.EndpointDelivered && r.Scheduler == scheduler {
 			last[r.Node] = r.Detail
 		}
--- a/internal/serve/node_visits.go
+++ b/internal/serve/node_visits.go
@@ -140,7 +140,7 @@
 	if len(w.endpoints.entriesOf([]uint32{id})) == 0 {
 		return false
 	}
-	w.nodeStates[id] = nodeAside
-	w.introduce([]uint32{id}, false, true)
+	w.nodeStates[id] = nodeOutside
+	w.addNodes([]uint32{id}, false, true)
 	return true
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -41,7 +41,7 @@
 	t          *testing.T
 	dir        string // created before the cleanup of the cluster is registered, so it is removed after that
 	env        *env.Real
-	world      *standin.Testbed
+	testbed    *standin.Testbed
 	ctx        context.Context //nolint:containedctx // ends with the test, and ends the schedulers
 	stop       context.CancelFunc
 	siteConfig *site.Config
@@ -63,7 +63,7 @@
 	}
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	environment := env.NewReal()
-	s := &testCluster{t: t, dir: t.TempDir(), env: environment, world: standin.NewTestbed(environment), ctx: ctx, stop: stop, siteConfig: siteConfig}
+	s := &testCluster{t: t, dir: t.TempDir(), env: environment, testbed: standin.NewTestbed(environment), ctx: ctx, stop: stop, siteConfig: siteConfig}
 	s.rules = audit.Rules{
 		Nodes: map[uint32]audit.Location{}, DrainGrace: siteConfig.DrainGrace, SlowStartLimit: 12, SlowStartDuration: 6000,
 		SlowStartWindow: 1000, Slack: 400, Jobs: []audit.JobRules{
@@ -82,14 +82,14 @@
 	groups := []*standin.Group{standin.NewGroup(), standin.NewGroup()}
 	for i := range nodes {
 		n := &standin.Node{ID: uint32(i + 1), Zone: siteConfig.Zones[i%2], Cell: siteConfig.Zones[i%2], Kind: "plain", Jobs: 3, Tenants: 1}
-		if err := s.world.StartNode(n, standin.NodeStart{Machine: machine, Group: groups[i%2], Seed: uint64(i), Cold: cold}); err != nil {
+		if err := s.testbed.StartNode(n, standin.NodeStart{Machine: machine, Group: groups[i%2], Seed: uint64(i), Cold: cold}); err != nil {
 			t.Fatal(err)
 		}
 		s.nodes = append(s.nodes, n)
 		s.rules.Nodes[n.ID] = audit.Location{Zone: n.Zone, Cell: n.Cell}
 	}
 	var err error
-	if s.list, err = s.world.StartList(50, s.nodes, ""); err != nil {
+	if s.list, err = s.testbed.StartList(50, s.nodes, ""); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.end)
@@ -106,7 +106,7 @@
 func (s *testCluster) start(i int, siteConfig site.Config, faults Faults) {
 	siteConfig.ListAddress = s.list.Address()
 	name, ready := fmt.Sprintf("s%d", i), make(chan string, 1)
-	s.world.Trace.Add(audit.Record{At: s.world.Now(), Kind: audit.SchedulerStarted, Scheduler: name})
+	s.testbed.Trace.Add(audit.Record{At: s.testbed.Now(), Kind: audit.SchedulerStarted, Scheduler: name})
 	folder := filepath.Join(s.dir, name)
 	s.running.Add(1)
 	go func() {
@@ -125,7 +125,7 @@
 	addr := <-ready
 	client := &standin.Client{ID: i, Scheduler: name, SchedulerAddress: func() string { return addr }, SettleTime: siteConfig.SettleTime}
 	s.clients = append(s.clients, client)
-	s.world.StartClient(client, uint64(i))
+	s.testbed.StartClient(client, uint64(i))
 }
 
 // startServer starts a scheduler with one or two shards, with a limit of two, and returns it.
@@ -141,7 +141,7 @@
 // load makes requests at a rate per second for a duration in ms. jobs is the mix of job classes, one digit for each.
 func (s *testCluster) load(duration, rate float64, jobs string) {
 	s.planned += duration * rate / 1000
-	for end := s.world.Now() + duration; s.world.Now() < end; {
+	for end := s.testbed.Now() + duration; s.testbed.Now() < end; {
 		s.lastKey++
 		job := int(jobs[s.lastKey%len(jobs)] - '0')
 		key, service := fmt.Sprint("k", s.lastKey), fmt.Sprint("v", job, s.lastKey%5)
@@ -164,7 +164,7 @@
 // violations waits until every request is answered or overdue, and returns the violations of the audit rules and the number of served requests.
 func (s *testCluster) violations() ([]audit.Violation, int) {
 	time.Sleep(3600 * time.Millisecond) // longer than any deadline
-	records, served := s.world.Trace.Records(), 0
+	records, served := s.testbed.Trace.Records(), 0
 	for _, c := range s.clients {
 		for _, outcome := range c.Outcomes() {
 			if outcome.Result == "served" {
@@ -249,7 +249,7 @@
 // without a fault.
 func TestInjectedFaults(t *testing.T) { //nolint:funlen // a single table of cases
 	loseAnswers := func(s *testCluster) {
-		s.world.WithLock(func(float64) {
+		s.testbed.WithLock(func(float64) {
 			for _, n := range s.nodes {
 				n.Machine.AnswerLoss = 0.8
 			}
@@ -257,7 +257,7 @@
 	}
 	var lastLateOffer time.Time // only one case uses it, and that case runs one scheduler
 	drain := func(s *testCluster) {
-		s.world.WithLock(func(now float64) {
+		s.testbed.WithLock(func(now float64) {
 			s.nodes[0].Draining = true
 			s.nodes[0].Machine.Drain(now, false, false)
 		})
@@ -417,7 +417,7 @@
 	s.start(0, *s.siteConfig, Faults{})
 	for range 1200 {
 		connected := 0
-		s.world.WithLock(func(float64) {
+		s.testbed.WithLock(func(float64) {
 			for _, n := range s.nodes {
 				connected += n.Connections()
 			}
--- a/internal/serve/shard_failover.go
+++ b/internal/serve/shard_failover.go
@@ -79,7 +79,7 @@
 		heartbeats = append(heartbeats, math.Float64frombits(sh.heartbeat.Load()))
 		oldest = append(oldest, sh.inbox.oldestAge(now))
 	}
-	s.router.SetLateness(s.stalls.recent(now))
+	s.router.SetCheckLateness(s.stalls.recent(now))
 	health := s.router.CheckHealth(now, heartbeats, oldest)
 	s.applyOrphanDecisions(health.Overdue, reasonShardSilent)
 	for _, index := range health.Silent {
--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -137,7 +137,7 @@
 		t.Error(violations)
 	}
 	starts := map[uint64]int{}
-	for _, r := range s.world.Trace.Records() {
+	for _, r := range s.testbed.Trace.Records() {
 		if r.Kind.String() == "ran" {
 			if starts[r.Ticket]++; starts[r.Ticket] > 1 {
 				t.Errorf("ticket %x started twice, want once", r.Ticket)
--- a/internal/serve/tenants_test.go
+++ b/internal/serve/tenants_test.go
@@ -46,7 +46,7 @@
 			}
 		})
 	}
-	h.world.WithLock(func(float64) {
+	h.testbed.WithLock(func(float64) {
 		for _, n := range h.nodes {
 			n.Tenants = 4
 		}
@@ -247,7 +247,7 @@
 
 // runningTasks returns the number of tasks on all nodes.
 func (r *removalTest) runningTasks() (tasks int) {
-	r.world.WithLock(func(float64) {
+	r.testbed.WithLock(func(float64) {
 		for _, n := range r.nodes {
 			tasks += n.Machine.TaskCount()
 		}
--- a/internal/serve/working_set.go
+++ b/internal/serve/working_set.go
@@ -23,7 +23,7 @@
 
 const (
 	nodeInside   nodeState = iota // the node is in the set
-	nodeAside                     // the node is not in the set; tasks of this scheduler may run there
+	nodeOutside                   // the node is not in the set; tasks of this scheduler may run there
 	nodeReleased                  // the node is not in the set and runs no task of this scheduler; it is disconnected
 )
 
@@ -123,7 +123,7 @@
 	var known []uint32
 	for _, id := range removed {
 		if _, ok := w.nodeStates[id]; ok {
-			w.nodeStates[id] = nodeAside
+			w.nodeStates[id] = nodeOutside
 			known = append(known, id)
 		}
 	}
@@ -181,7 +181,7 @@
 	var outside []uint32
 	for _, id := range ids {
 		if w.nodeStates[id] != nodeInside {
-			w.nodeStates[id] = nodeAside // the starting shard does not know yet what runs there
+			w.nodeStates[id] = nodeOutside // the starting shard does not know yet what runs there
 			outside = append(outside, id)
 		}
 	}
@@ -217,7 +217,7 @@
 func (w *workingSet) apply(now float64, change workingset.Change) {
 	var leaving, returning, slowStarting, warm []uint32
 	for _, departure := range change.Removed {
-		w.nodeStates[departure.ID] = nodeAside
+		w.nodeStates[departure.ID] = nodeOutside
 		leaving = append(leaving, departure.ID)
 	}
 	for _, id := range change.Added {
@@ -232,8 +232,8 @@
 	}
 	w.setOutside(leaving, true)
 	w.setOutside(returning, false)
-	w.introduce(slowStarting, true, false)
-	w.introduce(warm, false, false)
+	w.addNodes(slowStarting, true, false)
+	w.addNodes(warm, false, false)
 	maps.DeleteFunc(w.newNodes, func(_ uint32, since float64) bool { return now-since >= w.config.Site.Cluster.SlowStartDuration })
 	if len(change.Added)+len(change.Removed) > 0 {
 		w.log.Info().Str("mode", "working-set").Int("nodes", w.set.Size()).Int("entered", len(change.Added)).
@@ -248,8 +248,8 @@
 	}
 }
 
-// introduce tells all shards about nodes that they do not know yet, inside or outside the set.
-func (w *workingSet) introduce(ids []uint32, isNew, outside bool) {
+// addNodes tells all shards about nodes that they do not know yet, inside or outside the set.
+func (w *workingSet) addNodes(ids []uint32, isNew, outside bool) {
 	if len(ids) == 0 {
 		return
 	}
--- a/internal/serve/working_set_release.go
+++ b/internal/serve/working_set_release.go
@@ -17,7 +17,7 @@
 	w.mu.Lock()
 	var ids []uint32
 	for id, state := range w.nodeStates {
-		if state == nodeAside {
+		if state == nodeOutside {
 			ids = append(ids, id)
 		}
 	}
@@ -59,7 +59,7 @@
 	var idle []uint32
 	w.mu.Lock()
 	for _, id := range ids {
-		if state, known := w.nodeStates[id]; known && state == nodeAside && released[id] == shards {
+		if state, known := w.nodeStates[id]; known && state == nodeOutside && released[id] == shards {
 			w.nodeStates[id] = nodeReleased
 			if !w.set.IsListed(id) {
 				delete(w.nodeStates, id)
--- a/internal/serve/working_set_test.go
+++ b/internal/serve/working_set_test.go
@@ -52,7 +52,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, state := range w.nodeStates {
-		if state == nodeAside {
+		if state == nodeOutside {
 			return false
 		}
 	}
@@ -74,7 +74,7 @@
 
 // connectedNodes returns the number of nodes that are connected to a scheduler.
 func (s *testCluster) connectedNodes(scheduler string) (n int) {
-	s.world.WithLock(func(float64) {
+	s.testbed.WithLock(func(float64) {
 		for _, node := range s.nodes {
 			if node.IsConnected(scheduler) {
 				n++
@@ -96,7 +96,7 @@
 		t.Errorf("got %d nodes in the set, want half to three times the configured minimum", size)
 	}
 	connected := map[uint32]bool{}
-	for _, r := range s.world.Trace.Records() {
+	for _, r := range s.testbed.Trace.Records() {
 		if r.Kind == audit.LinkOpened {
 			connected[r.Node] = true
 		}
@@ -171,7 +171,7 @@
 	set.setMembers("x", "y", "z", "w")
 	time.Sleep(300 * time.Millisecond)
 	crashedTasks := 0
-	s.world.WithLock(func(now float64) {
+	s.testbed.WithLock(func(now float64) {
 		for _, n := range s.nodes {
 			if inSet[n.ID] && !set.contains(n.ID) && n.Machine.TaskCount() > 0 {
 				crashedTasks += n.Machine.TaskCount()
@@ -233,7 +233,7 @@
 	time.Sleep(time.Duration(s.siteConfig.SettleTime) * time.Millisecond) // clients wait this long before they request a task that may start a second time
 	requestAll(address)
 	stopScheduler()
-	for _, r := range s.world.Trace.Records() {
+	for _, r := range s.testbed.Trace.Records() {
 		if r.Kind == audit.TaskStarted {
 			starts++
 		}
@@ -283,7 +283,7 @@
 	s := newWorkingSetCluster(t, Faults{})
 	set, address := s.set, s.address
 	c := connect(t, address)
-	s.world.WithLock(func(now float64) {
+	s.testbed.WithLock(func(now float64) {
 		for _, n := range s.nodes {
 			if set.contains(n.ID) {
 				n.Crash(now)
