--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -89,7 +89,7 @@
 	replica.SetReportHandler(r.onZoneReport)
 	r.view.Store(&View{State: replica.State(), LeaseExpiry: math.Inf(-1)})
 	r.loop = environment.StartLoop(r.step)
-	members.WithDetector(func(d *membership.Detector) { d.SetCarrier(messageHandler{r}) })
+	members.WithDetector(func(d *membership.Detector) { d.SetMessageHandler(messageHandler{r}) })
 	return r, nil
 }
 
@@ -108,7 +108,7 @@
 	if r.stopped.Swap(true) {
 		return
 	}
-	r.members.WithDetector(func(d *membership.Detector) { d.SetCarrier(nil) })
+	r.members.WithDetector(func(d *membership.Detector) { d.SetMessageHandler(nil) })
 	r.loop.Wake()
 }
 
@@ -131,13 +131,13 @@
 // messageHandler receives the replica's messages from the membership protocol. It is called with the members' lock held, so it only queues them.
 type messageHandler struct{ *Runner }
 
-// Carried implements membership.Carrier.
-func (h messageHandler) Carried(from string, body []byte) {
+// OnMessage implements membership.Carrier.
+func (h messageHandler) OnMessage(from string, body []byte) {
 	h.enqueue(message{from: from, body: body})
 }
 
-// Ahead implements membership.Carrier.
-func (h messageHandler) Ahead(from string, version uint64) {
+// OnNewerStateVersion implements membership.Carrier.
+func (h messageHandler) OnNewerStateVersion(from string, version uint64) {
 	h.enqueue(message{from: from, version: version})
 }
 
--- a/internal/decide/clusterstate/clusterstate_test.go
+++ b/internal/decide/clusterstate/clusterstate_test.go
@@ -187,22 +187,22 @@
 	h.setZoneState("p-a", "b", Suspect)
 	h.apply("p-a", 1, SetPlan{[]Share{{"a", "b", 7}}})
 	snapshot := h.state.Snapshot()
-	decoded, err := Read(snapshot)
+	decoded, err := ReadSnapshot(snapshot)
 	if err != nil || !bytes.Equal(decoded.Snapshot(), snapshot) {
 		t.Errorf("decoded and encoded again: error %v, or other bytes", err)
 	}
 	for i := range snapshot { // a truncated snapshot is either rejected or a valid state
-		if state, err := Read(snapshot[:i]); err == nil && state.Check() != nil {
+		if state, err := ReadSnapshot(snapshot[:i]); err == nil && state.Check() != nil {
 			t.Errorf("truncated to %d bytes: got an invalid state and no error", i)
 		}
 	}
 	duplicateEpoch := codec.AppendSnapshot(nil, &codec.Snapshot{Version: 3, LastEpoch: 2, Processes: []codec.Process{
 		{Name: "x", Incarnation: 1, Epoch: 1, Zone: "a"}, {Name: "y", Incarnation: 1, Epoch: 1, Zone: "a"},
 	}})
-	if _, err := Read(duplicateEpoch); !errors.Is(err, ErrInvalid) {
+	if _, err := ReadSnapshot(duplicateEpoch); !errors.Is(err, ErrInvalid) {
 		t.Errorf("two processes with the same epoch: got error %v, want ErrInvalid", err)
 	}
-	if _, err := Read([]byte{8, 99}); !errors.Is(err, codec.ErrNewer) {
+	if _, err := ReadSnapshot([]byte{8, 99}); !errors.Is(err, codec.ErrNewer) {
 		t.Errorf("a later format: got error %v, want ErrNewer", err)
 	}
 }
@@ -253,7 +253,7 @@
 				t.Fatal(err)
 			}
 			if rapid.IntRange(0, 4).Draw(t, "snapshot") == 0 {
-				if state2, err = Read(state2.Snapshot()); err != nil {
+				if state2, err = ReadSnapshot(state2.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/decide/clusterstate/format_test.go
+++ b/internal/decide/clusterstate/format_test.go
@@ -62,7 +62,7 @@
 	if got := state.Snapshot(); !bytes.Equal(got, snapshot) || len(r.remaining) != 0 {
 		t.Errorf("got snapshot %x, want %x; %d bytes of the recording are left, want 0", got, snapshot, len(r.remaining))
 	}
-	if decoded, err := Read(snapshot); err != nil || !bytes.Equal(decoded.Snapshot(), snapshot) {
+	if decoded, err := ReadSnapshot(snapshot); err != nil || !bytes.Equal(decoded.Snapshot(), snapshot) {
 		t.Errorf("snapshot, decoded and encoded again: got other bytes or error %v", err)
 	}
 	for _, refusal := range []Refusal{Accepted, UnknownProcess, StaleZoneVersion, InvalidTransition, HoldDown, LastOpenZone, InvalidShare, Malformed} {
--- a/internal/decide/clusterstate/snapshot.go
+++ b/internal/decide/clusterstate/snapshot.go
@@ -65,9 +65,9 @@
 	return codec.AppendSnapshot(nil, &snapshot)
 }
 
-// Read decodes a snapshot. It returns an error if the snapshot is malformed, has a format of a later version of the program, or violates an
+// ReadSnapshot decodes a snapshot. It returns an error if the snapshot is malformed, has a format of a later version of the program, or violates an
 // invariant.
-func Read(snapshot []byte) (*State, error) {
+func ReadSnapshot(snapshot []byte) (*State, error) {
 	decoded, err := codec.ReadSnapshot(snapshot)
 	if err != nil {
 		return nil, fmt.Errorf("decode cluster state: %w", err)
--- a/internal/decide/consensus/consensus.go
+++ b/internal/decide/consensus/consensus.go
@@ -57,8 +57,8 @@
 
 // PersistedState is what a voter reads from its disk when it starts: Raft's hard state, snapshot and log entries, each encoded.
 type PersistedState struct {
-	Hard, Snapshot []byte
-	Entries        [][]byte
+	HardState, Snapshot []byte
+	Entries             [][]byte
 }
 
 // Config identifies a replica and the voters of its site.
@@ -195,7 +195,7 @@
 
 // sendProbeReply answers a probe. Number 0 means that there was none: the receiver learns of a new version without having probed.
 func (r *Replica) sendProbeReply(to string, number, version uint64) {
-	r.sendMessage(to, codec.Message{Kind: codec.MessageProbeReply, Number: number, Version: version, Written: r.lastWritten()})
+	r.sendMessage(to, codec.Message{Kind: codec.MessageProbeReply, Number: number, Version: version, LastLogIndex: r.lastWritten()})
 }
 
 func (r *Replica) send(to string, body []byte) {
--- a/internal/decide/consensus/consensus_test.go
+++ b/internal/decide/consensus/consensus_test.go
@@ -46,7 +46,7 @@
 		return errors.New("no space left on device")
 	}
 	if hardState != nil {
-		n.saved.Hard = hardState
+		n.saved.HardState = hardState
 	}
 	if snapshot != nil {
 		n.saved.Snapshot = snapshot
@@ -126,7 +126,7 @@
 		}
 	}
 	c.partitioned[first] = true
-	c.advance(1.1 * Lease)
+	c.advance(1.1 * LeaseDuration)
 	if node := c.nodes[first]; node.replica.LeaseExpiry() > c.now || node.replica.IsLeader() {
 		t.Errorf("partitioned leader %s: lease valid for %g ms, leader %v; want no valid lease and not leader",
 			first, node.replica.LeaseExpiry()-c.now, node.replica.IsLeader())
@@ -270,8 +270,8 @@
 	c.advance(5000)
 	saved := c.nodes["a"].saved
 	for message, invalid := range map[string]PersistedState{
-		"got no error for a log entry that can't be decoded":    {Hard: saved.Hard, Entries: [][]byte{{0xff}}},
-		"got no error for a hard state without its log entries": {Hard: saved.Hard},
+		"got no error for a log entry that can't be decoded":    {HardState: saved.HardState, Entries: [][]byte{{0xff}}},
+		"got no error for a hard state without its log entries": {HardState: saved.HardState},
 	} {
 		if _, err := New(c.nodes["a"], c.now, Config{Name: "a", Incarnation: 2, Voters: []string{"a", "b", "c"}}, invalid); err == nil {
 			t.Error(message)
--- a/internal/decide/consensus/lease.go
+++ b/internal/decide/consensus/lease.go
@@ -7,8 +7,8 @@
 	codec "ravenpond/internal/proto/clusterstate"
 )
 
-// Lease is the duration of a read lease in ms, counted from when its probes were sent. Clock drift is deducted from it.
-const Lease = 2500
+// LeaseDuration is the duration of a read lease in ms, counted from when its probes were sent. Clock drift is deducted from it.
+const LeaseDuration = 2500
 
 // probeRounds is the number of rounds of probes, the latest ones, to which replies are accepted.
 const probeRounds = 8
@@ -62,7 +62,7 @@
 	if len(probedAt) < quorum {
 		return
 	}
-	expiry := probedAt[quorum-1] + Lease*(1-clockDrift)
+	expiry := probedAt[quorum-1] + LeaseDuration*(1-clockDrift)
 	if r.config.Faults.EndlessLease {
 		expiry += 1e9
 	}
@@ -81,7 +81,7 @@
 	r.voter.answered[from] = true
 	if r.voter.diskWasEmpty && r.voter.haltReason == "" && !r.config.Faults.VoteAfterLoss {
 		switch {
-		case m.Written > 1:
+		case m.LastLogIndex > 1:
 			r.halt("its disk was empty, but other voters hold commands: it may have voted before it lost its disk")
 		case len(r.voter.answered) == len(r.config.Voters)-1:
 			r.voter.diskWasEmpty = false
@@ -89,7 +89,7 @@
 		}
 	}
 	if probedAt := r.lease.probeTimes[m.Number%uint64(len(r.lease.probeTimes))]; probedAt >= r.lease.replies[from].probedAt {
-		r.lease.replies[from] = probeReply{probedAt, m.Written}
+		r.lease.replies[from] = probeReply{probedAt, m.LastLogIndex}
 		r.renewLease()
 	}
 }
--- a/internal/decide/consensus/transfer.go
+++ b/internal/decide/consensus/transfer.go
@@ -94,7 +94,7 @@
 	}
 	data := t.received
 	t.from, t.received = "", nil
-	state, err := clusterstate.Read(data)
+	state, err := clusterstate.ReadSnapshot(data)
 	if err != nil {
 		r.effects.Log(fmt.Sprintf("rejected the state fetched from %s: %v", from, err))
 		return
--- a/internal/decide/consensus/voter.go
+++ b/internal/decide/consensus/voter.go
@@ -33,11 +33,11 @@
 		r.voter.confState.Voters = append(r.voter.confState.Voters, uint64(i+1))
 	}
 	r.voter.storage = raft.NewMemoryStorage()
-	r.voter.diskWasEmpty = len(saved.Hard) == 0 && len(saved.Snapshot) == 0 && len(saved.Entries) == 0
+	r.voter.diskWasEmpty = len(saved.HardState) == 0 && len(saved.Snapshot) == 0 && len(saved.Entries) == 0
 	if err := r.loadSnapshot(saved.Snapshot); err != nil {
 		return err
 	}
-	if err := r.loadHardState(saved.Hard); err != nil {
+	if err := r.loadHardState(saved.HardState); err != nil {
 		return err
 	}
 	if err := r.loadEntries(saved.Entries); err != nil {
@@ -62,7 +62,7 @@
 		return fmt.Errorf("consensus: load snapshot: %w", err)
 	}
 	if data := snapshot.GetData(); len(data) > 0 {
-		state, err := clusterstate.Read(data)
+		state, err := clusterstate.ReadSnapshot(data)
 		if err != nil {
 			return fmt.Errorf("consensus: load state from snapshot: %w", err)
 		}
@@ -204,7 +204,7 @@
 			r.sendRaftMessages(rd.Messages)
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			state, err := clusterstate.Read(rd.Snapshot.GetData())
+			state, err := clusterstate.ReadSnapshot(rd.Snapshot.GetData())
 			if err != nil {
 				r.halt("can't load the leader's snapshot: " + err.Error())
 				return
--- a/internal/decide/membership/membership.go
+++ b/internal/decide/membership/membership.go
@@ -141,9 +141,9 @@
 	header      header          // parts of the datagram that is being decoded
 	syncedNames map[string]bool // by name in the page that is being decoded: whether the page is at least as recent as this process; nil: no page
 
-	carrier      Carrier // nil: messages are dropped
-	stateVersion uint64  // version of the cluster state that this process holds
-	reassembler  fragment.Reassembler
+	messageHandler MessageHandler // nil: messages are dropped
+	stateVersion   uint64         // version of the cluster state that this process holds
+	reassembler    fragment.Reassembler
 
 	nodeGossip       gossip.Store
 	nodeReachability reachability.Tracker
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -120,12 +120,12 @@
 			a.setState(m, Alive, "a")
 		}
 	}
-	minDuration, maxDuration := a.Bounds()
+	minDuration, maxDuration := a.SuspicionBounds()
 	if minDuration < 800 || maxDuration != maxSuspicionFactor*minDuration {
 		t.Fatalf("got time-outs from %g to %g ms, want at least 800 ms and maxSuspicionFactor times the shortest", minDuration, maxDuration)
 	}
 	for reporters := 1; reporters <= maxConfirmations+1; reporters++ {
-		minDuration, maxDuration = a.Bounds() // depend on the number of remaining members
+		minDuration, maxDuration = a.SuspicionBounds() // depend on the number of remaining members
 		x := a.members[fmt.Sprint("x", reporters)]
 		a.now = 5000
 		a.suspect(x, "a")
--- a/internal/decide/membership/receive.go
+++ b/internal/decide/membership/receive.go
@@ -151,20 +151,20 @@
 
 // OnStateVersion handles the sender's version of the cluster state.
 func (d datagramHandler) OnStateVersion(version uint64) {
-	if version > d.stateVersion && d.carrier != nil {
-		d.carrier.Ahead(d.header.sender.Name, version)
+	if version > d.stateVersion && d.messageHandler != nil {
+		d.messageHandler.OnNewerStateVersion(d.header.sender.Name, version)
 	}
 }
 
 // OnFragment handles a fragment of a message and delivers the message when it is complete.
 func (d datagramHandler) OnFragment(index, total int, body []byte) {
 	h := &d.header
-	if h.kind != codec.Fragment || d.carrier == nil {
+	if h.kind != codec.Fragment || d.messageHandler == nil {
 		return
 	}
 	part := fragment.Fragment{From: h.sender.Name, Incarnation: h.sender.Incarnation, Number: h.number, Index: index, Total: total, Body: body}
 	if message, ok := d.reassembler.Add(part); ok {
-		d.carrier.Carried(h.sender.Name, message)
+		d.messageHandler.OnMessage(h.sender.Name, message)
 	}
 }
 
--- a/internal/decide/membership/send.go
+++ b/internal/decide/membership/send.go
@@ -10,16 +10,16 @@
 	codec "ravenpond/internal/proto/members"
 )
 
-// Carrier receives the messages of other components that are sent as fragments in the members' datagrams.
-type Carrier interface {
-	// Carried delivers a message. The callee owns the body.
-	Carried(from string, body []byte)
-	// Ahead reports that a member has a later version of the cluster state than this process.
-	Ahead(from string, version uint64)
+// MessageHandler receives the messages of other components that are sent as fragments in the members' datagrams.
+type MessageHandler interface {
+	// OnMessage delivers a message. The callee owns the body.
+	OnMessage(from string, body []byte)
+	// OnNewerStateVersion reports that a member has a later version of the cluster state than this process.
+	OnNewerStateVersion(from string, version uint64)
 }
 
-// SetCarrier sets the receiver of messages; nil drops them.
-func (d *Detector) SetCarrier(c Carrier) { d.carrier = c }
+// SetMessageHandler sets the receiver of messages; nil drops them.
+func (d *Detector) SetMessageHandler(handler MessageHandler) { d.messageHandler = handler }
 
 // SetStateVersion sets this process's version of the cluster state, which its probes and acks contain.
 func (d *Detector) SetStateVersion(version uint64) { d.stateVersion = version }
--- a/internal/decide/membership/suspicion.go
+++ b/internal/decide/membership/suspicion.go
@@ -49,7 +49,7 @@
 
 // suspicionDuration returns the time-out in ms of a suspicion with the given number of reporters.
 func (d *Detector) suspicionDuration(reporters int) float64 {
-	minDuration, maxDuration := d.Bounds()
+	minDuration, maxDuration := d.SuspicionBounds()
 	confirmations := min(maxConfirmations, d.presentCount()-1)
 	if confirmations < 1 {
 		return minDuration
@@ -57,9 +57,9 @@
 	return max(minDuration, maxDuration-(maxDuration-minDuration)*math.Log(float64(reporters))/math.Log(float64(confirmations+1)))
 }
 
-// Bounds returns the shortest and the longest time-out of a suspicion in ms: with maxConfirmations further reporters, and with only one
+// SuspicionBounds returns the shortest and the longest time-out of a suspicion in ms: with maxConfirmations further reporters, and with only one
 // reporter.
-func (d *Detector) Bounds() (minDuration, maxDuration float64) {
+func (d *Detector) SuspicionBounds() (minDuration, maxDuration float64) {
 	minDuration = suspicionPeriods * period * max(minLogFactor, math.Log10(float64(d.presentCount()+1)))
 	return minDuration, minDuration * maxSuspicionFactor
 }
--- a/internal/decide/quotalease/quotalease.go
+++ b/internal/decide/quotalease/quotalease.go
@@ -14,7 +14,7 @@
 
 // Share is a process's share of all limits at one moment. The zero value is the share of a process that is alone.
 type Share struct {
-	Places         int     // number of processes in the site file
+	Processes      int     // number of processes in the site file
 	Index          int     // index of this process among them, from 0
 	LeasedFraction float64 // fraction of each limit that is leased, from 0 to 1
 	Sharers        int     // number of processes that share the leased fraction; 0: this process has no lease on it
@@ -24,10 +24,10 @@
 // so that no remainder is left unused when all processes hold a lease.
 func (s Share) Count(limit int) int {
 	leased := 0
-	if s.Places > 0 && limit > 0 {
-		leased = int(float64(limit)*s.LeasedFraction/float64(s.Places)) * s.Places
+	if s.Processes > 0 && limit > 0 {
+		leased = int(float64(limit)*s.LeasedFraction/float64(s.Processes)) * s.Processes
 	}
-	part := fairqueue.DivideLimit(limit-leased, s.Places, s.Index)
+	part := fairqueue.DivideLimit(limit-leased, s.Processes, s.Index)
 	if s.Sharers > 0 {
 		part += leased / s.Sharers
 	}
@@ -36,7 +36,7 @@
 
 // Rate returns the process's part of a limit that need not be an integer, such as a rate.
 func (s Share) Rate(limit float64) float64 {
-	part := limit * (1 - s.LeasedFraction) / float64(max(1, s.Places))
+	part := limit * (1 - s.LeasedFraction) / float64(max(1, s.Processes))
 	if s.Sharers > 0 {
 		part += limit * s.LeasedFraction / float64(s.Sharers)
 	}
--- a/internal/decide/quotalease/quotalease_test.go
+++ b/internal/decide/quotalease/quotalease_test.go
@@ -17,7 +17,7 @@
 		holders := rapid.IntRange(0, processes).Draw(t, "holders")
 		count, rate := 0, 0.0
 		for i := range processes {
-			share := Share{Places: processes, Index: i, LeasedFraction: leasedFraction}
+			share := Share{Processes: processes, Index: i, LeasedFraction: leasedFraction}
 			if i < holders {
 				share.Sharers = rapid.IntRange(holders, processes).Draw(t, "sharers")
 			}
@@ -28,7 +28,7 @@
 		}
 		fullCount, fullRate := 0, 0.0
 		for i := range processes {
-			share := Share{Places: processes, Index: i, LeasedFraction: leasedFraction, Sharers: processes}
+			share := Share{Processes: processes, Index: i, LeasedFraction: leasedFraction, Sharers: processes}
 			fullCount, fullRate = fullCount+share.Count(limit), fullRate+share.Rate(float64(limit))
 		}
 		if fullCount != limit || math.Abs(fullRate-float64(limit)) > 1e-6 {
@@ -45,13 +45,13 @@
 		wantCount int
 		wantRate  float64
 	}{
-		{"a site of one process", Share{Places: 1, LeasedFraction: 0.5, Sharers: 1}, 10, 10, 10},
-		{"all processes share", Share{Places: 4, LeasedFraction: 0.5, Sharers: 4}, 16, 4, 4},
-		{"all processes but one share", Share{Places: 4, LeasedFraction: 0.5, Sharers: 3}, 24, 7, 7},
-		{"no lease", Share{Places: 4, LeasedFraction: 0.5}, 24, 3, 3},
-		{"no leased fraction", Share{Places: 4, Sharers: 2}, 24, 6, 6},
-		{"everything is leased, no lease", Share{Places: 4, LeasedFraction: 1}, 24, 0, 0},
-		{"a limit too small to be leased", Share{Places: 4, Index: 3, LeasedFraction: 0.5, Sharers: 1}, 3, 0, 1.875},
+		{"a site of one process", Share{Processes: 1, LeasedFraction: 0.5, Sharers: 1}, 10, 10, 10},
+		{"all processes share", Share{Processes: 4, LeasedFraction: 0.5, Sharers: 4}, 16, 4, 4},
+		{"all processes but one share", Share{Processes: 4, LeasedFraction: 0.5, Sharers: 3}, 24, 7, 7},
+		{"no lease", Share{Processes: 4, LeasedFraction: 0.5}, 24, 3, 3},
+		{"no leased fraction", Share{Processes: 4, Sharers: 2}, 24, 6, 6},
+		{"everything is leased, no lease", Share{Processes: 4, LeasedFraction: 1}, 24, 0, 0},
+		{"a limit too small to be leased", Share{Processes: 4, Index: 3, LeasedFraction: 0.5, Sharers: 1}, 3, 0, 1.875},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.p.Count(c.limit); got != c.wantCount {
--- a/internal/decide/tenancy/policy.go
+++ b/internal/decide/tenancy/policy.go
@@ -38,9 +38,9 @@
 // connLimits returns a process's part of the limits of connections. It allows at least one connection, because a client that cannot connect
 // cannot be told the reason.
 func (t *Tenant) connLimits(share quotalease.Share) connadmission.Limits {
-	limits := connadmission.Limits{Share: t.Limits.Share, BytesPerSecond: t.Limits.BytesPerSecond / float64(max(1, share.Places))}
+	limits := connadmission.Limits{Share: t.Limits.Share, BytesPerSecond: t.Limits.BytesPerSecond / float64(max(1, share.Processes))}
 	if t.Limits.MaxConns > 0 {
-		limits.MaxConns = max(1, fairqueue.DivideLimit(t.Limits.MaxConns, share.Places, share.Index))
+		limits.MaxConns = max(1, fairqueue.DivideLimit(t.Limits.MaxConns, share.Processes, share.Index))
 	}
 	return limits
 }
--- a/internal/decide/tenancy/tenancy_test.go
+++ b/internal/decide/tenancy/tenancy_test.go
@@ -138,7 +138,7 @@
 			tenant := withLimits(t, limits, c.changes...)
 			open, rate := 0, 0.0
 			for i := range 3 {
-				p := tenant.PolicyFor(quotalease.Share{Places: 3, Index: i})
+				p := tenant.PolicyFor(quotalease.Share{Processes: 3, Index: i})
 				if p.AcceptsNew != c.acceptsNew || p.AbortOpen != c.abortOpen || p.StopRunning != c.stopTasks || p.Limits.Blocked == c.acceptsNew {
 					t.Errorf("got policy %+v, want that of the case", p)
 				}
@@ -155,7 +155,7 @@
 	tenant := withLimits(t, Limits{Limits: fairqueue.Limits{Share: 2}, MaxConns: 7, BytesPerSecond: 900})
 	conns, bytes := 0, 0.0
 	for i := range 3 {
-		limits := tenant.PolicyFor(quotalease.Share{Places: 3, Index: i}).Connections
+		limits := tenant.PolicyFor(quotalease.Share{Processes: 3, Index: i}).Connections
 		conns, bytes = conns+limits.MaxConns, bytes+limits.BytesPerSecond
 		if limits.Share != 2 {
 			t.Errorf("got share %g of connections, want 2", limits.Share)
@@ -164,14 +164,14 @@
 	if conns != 7 || bytes != 900 {
 		t.Errorf("got %d connections and %g bytes per second for all processes together, want 7 and 900", conns, bytes)
 	}
-	if limits := tenant.PolicyFor(quotalease.Share{Places: 9, Index: 8}).Connections; limits.MaxConns != 1 {
+	if limits := tenant.PolicyFor(quotalease.Share{Processes: 9, Index: 8}).Connections; limits.MaxConns != 1 {
 		t.Errorf("got %d connections for a process if there are more processes than connections, want 1", limits.MaxConns)
 	}
 }
 
 func TestPolicyWithMaxOpenBelowProcesses(t *testing.T) {
 	tenant := withLimits(t, Limits{Limits: fairqueue.Limits{Share: 1, MaxOpen: 1}})
-	first, second := tenant.PolicyFor(quotalease.Share{Places: 2, Index: 0}), tenant.PolicyFor(quotalease.Share{Places: 2, Index: 1})
+	first, second := tenant.PolicyFor(quotalease.Share{Processes: 2, Index: 0}), tenant.PolicyFor(quotalease.Share{Processes: 2, Index: 1})
 	if !first.AcceptsNew || second.AcceptsNew {
 		t.Error("limit of one open request: got new requests accepted by none, both or the second of two processes, want the first")
 	}
--- a/internal/decide/zones/footprint.go
+++ b/internal/decide/zones/footprint.go
@@ -7,14 +7,14 @@
 type Footprint struct {
 	Reports     int // reports of processes
 	ReportBytes int
-	Verdicts    int // observations, proposals and recorded numbers of used cores, all by zone
+	ZoneRecords int // observations, proposals and recorded numbers of used cores, all by zone
 }
 
 // Footprint returns the present sizes.
 func (c *Controller) Footprint() Footprint {
 	f := Footprint{
-		Reports:  len(c.reports),
-		Verdicts: len(c.observations) + len(c.proposals) + len(c.lastUsed),
+		Reports:     len(c.reports),
+		ZoneRecords: len(c.observations) + len(c.proposals) + len(c.lastUsed),
 	}
 	for process, report := range c.reports {
 		f.ReportBytes += len(process) + int(unsafe.Sizeof(report))
--- a/internal/lab/consensus/consensus.go
+++ b/internal/lab/consensus/consensus.go
@@ -25,7 +25,7 @@
 	activeTime    = 20000 // of faults and commands
 	settleTime    = 12000 // after them, by when all hold one state
 	commandsFrom  = 2500
-	maxStaleness  = consensus.Lease * 1.03
+	maxStaleness  = consensus.LeaseDuration * 1.03
 	checkInterval = 25
 )
 
--- a/internal/lab/membership/cluster.go
+++ b/internal/lab/membership/cluster.go
@@ -126,7 +126,7 @@
 
 type eventHandler struct{ process *Process }
 
-func (t eventHandler) OnChange(_ float64, m membership.Member, was membership.State) {
+func (t eventHandler) OnMemberChanged(_ float64, m membership.Member, was membership.State) {
 	c := t.process.cluster
 	if m.State != membership.Dead {
 		return
@@ -138,9 +138,11 @@
 	}
 }
 
-func (t eventHandler) LastHeard(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
+func (t eventHandler) LastNodeContact(uint32) (life uint64, heard float64, ok bool) {
+	return 0, 0, false
+}
 
-func (t eventHandler) OnNameTaken(_ float64, address string) { t.process.NameTakenBy = address }
+func (t eventHandler) OnNameConflict(_ float64, address string) { t.process.NameTakenBy = address }
 
 // Process is the process of a name.
 func (c *Cluster) Process(name string) *Process {
--- a/internal/lab/membership/cluster_test.go
+++ b/internal/lab/membership/cluster_test.go
@@ -83,7 +83,7 @@
 				c := begun(t, 3, n)
 				p := c.Processes[n-1]
 				var least float64
-				p.Runner.WithDetector(func(d *membership.Detector) { least, _ = d.Bounds() })
+				p.Runner.WithDetector(func(d *membership.Detector) { least, _ = d.SuspicionBounds() })
 				p.Pause()
 				from := c.Clock.TrueTime()
 				c.Advance(ms)
--- a/internal/lab/membership/simulation.go
+++ b/internal/lab/membership/simulation.go
@@ -234,7 +234,7 @@
 
 // suspicionBounds are those of a suspicion now.
 func (c *Cluster) suspicionBounds() (least, most float64) {
-	c.Running()[0].Runner.WithDetector(func(d *membership.Detector) { least, most = d.Bounds() })
+	c.Running()[0].Runner.WithDetector(func(d *membership.Detector) { least, most = d.SuspicionBounds() })
 	return
 }
 
--- a/internal/lab/scale/hollow/disk.go
+++ b/internal/lab/scale/hollow/disk.go
@@ -43,13 +43,13 @@
 
 // Load gives what was saved.
 func (d *memoryDisk) Load() (consensus.PersistedState, error) {
-	return consensus.PersistedState{Hard: d.saved.Hard, Snapshot: d.saved.Snapshot, Entries: slices.Clone(d.saved.Entries)}, nil
+	return consensus.PersistedState{HardState: d.saved.HardState, Snapshot: d.saved.Snapshot, Entries: slices.Clone(d.saved.Entries)}, nil
 }
 
 // Save keeps it, and drops the entries that a snapshot holds.
 func (d *memoryDisk) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error {
 	if hard != nil {
-		d.saved.Hard = slices.Clone(hard)
+		d.saved.HardState = slices.Clone(hard)
 	}
 	if snapshot != nil {
 		d.saved.Snapshot = slices.Clone(snapshot)
--- a/internal/lab/scale/hollow/schedulers.go
+++ b/internal/lab/scale/hollow/schedulers.go
@@ -183,9 +183,9 @@
 // ignoreEvents is told of changes by the detector; orders ask it instead.
 type ignoreEvents struct{}
 
-func (ignoreEvents) OnChange(float64, membership.Member, membership.State) {}
-func (ignoreEvents) OnNameTaken(float64, string)                           {}
-func (ignoreEvents) LastHeard(uint32) (uint64, float64, bool)              { return 0, 0, false }
+func (ignoreEvents) OnMemberChanged(float64, membership.Member, membership.State) {}
+func (ignoreEvents) OnNameConflict(float64, string)                               {}
+func (ignoreEvents) LastNodeContact(uint32) (uint64, float64, bool)               { return 0, 0, false }
 
 func (h *schedulerHost) do(order Order) (Reply, error) {
 	h.mu.Lock()
--- a/internal/lab/scale/regions/disk.go
+++ b/internal/lab/scale/regions/disk.go
@@ -18,7 +18,7 @@
 
 // Load gives what was saved.
 func (d *disk) Load() (consensus.PersistedState, error) {
-	return consensus.PersistedState{Hard: d.hard, Snapshot: d.snapshot, Entries: slices.Clone(d.entries)}, nil
+	return consensus.PersistedState{HardState: d.hard, Snapshot: d.snapshot, Entries: slices.Clone(d.entries)}, nil
 }
 
 // Save keeps it.
--- a/internal/lab/scale/regions/process.go
+++ b/internal/lab/scale/regions/process.go
@@ -105,7 +105,7 @@
 // stickLoop plants a fault: a carrier that puts messages down and never takes them up.
 func (p *process) stickLoop() {
 	p.backlog = &messageBacklog{}
-	p.members.WithDetector(func(d *membership.Detector) { d.SetCarrier(p.backlog) })
+	p.members.WithDetector(func(d *membership.Detector) { d.SetMessageHandler(p.backlog) })
 }
 
 // scheduleReport looks at the zones again and again until the process is killed.
@@ -171,14 +171,14 @@
 // listener hears what members tell.
 type listener struct{ *process }
 
-// OnChange hears nothing: views are read when they are compared.
-func (listener) OnChange(float64, membership.Member, membership.State) {}
+// OnMemberChanged hears nothing: views are read when they are compared.
+func (listener) OnMemberChanged(float64, membership.Member, membership.State) {}
 
-// OnNameTaken hears nothing: no name is taken twice.
-func (listener) OnNameTaken(float64, string) {}
+// OnNameConflict hears nothing: no name is taken twice.
+func (listener) OnNameConflict(float64, string) {}
 
-// LastHeard is what this process hears of a node.
-func (l listener) LastHeard(node uint32) (life uint64, heard float64, ok bool) {
+// LastNodeContact is what this process hears of a node.
+func (l listener) LastNodeContact(node uint32) (life uint64, heard float64, ok bool) {
 	at := int(node) / probedNodes
 	if at >= len(l.cluster.zones) {
 		return 0, 0, false
@@ -226,8 +226,8 @@
 // messageBacklog is the planted fault of a loop that stands still: its messages pile up.
 type messageBacklog struct{ messages [][]byte }
 
-// Carried keeps a message.
-func (h *messageBacklog) Carried(_ string, body []byte) { h.messages = append(h.messages, body) }
+// OnMessage keeps a message.
+func (h *messageBacklog) OnMessage(_ string, body []byte) { h.messages = append(h.messages, body) }
 
-// Ahead keeps nothing.
-func (h *messageBacklog) Ahead(string, uint64) {}
+// OnNewerStateVersion keeps nothing.
+func (h *messageBacklog) OnNewerStateVersion(string, uint64) {}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -22,12 +22,12 @@
 // EventHandler handles the detector's events and tells it when this process last heard from a node. Its methods are called one at a time, with
 // the runner's lock held, and must not block or call the runner.
 type EventHandler interface {
-	// OnChange handles a change of a member's state or incarnation. previous is its state before the change.
-	OnChange(now float64, m membership.Member, previous membership.State)
-	// OnNameTaken handles a name conflict: another process, at an address, uses the name of this one.
-	OnNameTaken(now float64, address string)
-	// LastHeard returns a node's incarnation and the time in ms when this process last heard from it, and false if it does not hear from the node.
-	LastHeard(node uint32) (incarnation uint64, at float64, ok bool)
+	// OnMemberChanged handles a change of a member's state or incarnation. previous is its state before the change.
+	OnMemberChanged(now float64, m membership.Member, previous membership.State)
+	// OnNameConflict handles a name conflict: another process, at an address, uses the name of this one.
+	OnNameConflict(now float64, address string)
+	// LastNodeContact returns a node's incarnation and the time in ms when this process last heard from it, and false if it does not hear from the node.
+	LastNodeContact(node uint32) (incarnation uint64, at float64, ok bool)
 }
 
 // Runner runs a detector. Its methods may be called concurrently.
@@ -117,13 +117,15 @@
 
 // OnMemberChanged implements membership.Effects.
 func (e effects) OnMemberChanged(m membership.Member, previous membership.State) {
-	e.handler.OnChange(e.environment.Now(), m, previous)
+	e.handler.OnMemberChanged(e.environment.Now(), m, previous)
 }
 
 // OnNameConflict implements membership.Effects.
-func (e effects) OnNameConflict(address string) { e.handler.OnNameTaken(e.environment.Now(), address) }
+func (e effects) OnNameConflict(address string) {
+	e.handler.OnNameConflict(e.environment.Now(), address)
+}
 
 // LastNodeContact implements membership.Effects.
 func (e effects) LastNodeContact(node uint32) (incarnation uint64, at float64, ok bool) {
-	return e.handler.LastHeard(node)
+	return e.handler.LastNodeContact(node)
 }
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -16,15 +16,17 @@
 	states map[string]membership.State
 }
 
-func (r *recorder) OnChange(_ float64, m membership.Member, _ membership.State) {
+func (r *recorder) OnMemberChanged(_ float64, m membership.Member, _ membership.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.states[m.Name] = m.State
 }
 
-func (r *recorder) OnNameTaken(float64, string) {}
+func (r *recorder) OnNameConflict(float64, string) {}
 
-func (r *recorder) LastHeard(uint32) (incarnation uint64, at float64, ok bool) { return 0, 0, false }
+func (r *recorder) LastNodeContact(uint32) (incarnation uint64, at float64, ok bool) {
+	return 0, 0, false
+}
 
 // TestRunnersOverSockets checks that three runners discover each other over sockets from one seed, that they learn that one of them leaves, and
 // that a process with another key neither learns of them nor is accepted.
--- a/internal/proto/clusterstate/format_test.go
+++ b/internal/proto/clusterstate/format_test.go
@@ -14,7 +14,7 @@
 
 // TestMessageFormat checks that a message with all fields is encoded to the same bytes as by earlier versions, and is decoded as it was.
 func TestMessageFormat(t *testing.T) {
-	m := Message{Kind: MessageProbeReply, Body: []byte("body"), Number: 1, Version: 2, Written: 3, Offset: 4, Total: 5, FromLeader: true}
+	m := Message{Kind: MessageProbeReply, Body: []byte("body"), Number: 1, Version: 2, LastLogIndex: 3, Offset: 4, Total: 5, FromLeader: true}
 	b := AppendMessage(nil, &m)
 	if got := hex.EncodeToString(b); got != encodedReply {
 		t.Errorf("encoded message %s, want %s", got, encodedReply)
@@ -24,7 +24,7 @@
 		t.Fatalf("decoded %+v with error %v, want the encoded body", got, err)
 	}
 	got.Body, m.Body = nil, nil
-	if got.Kind != m.Kind || got.Number != m.Number || got.Version != m.Version || got.Written != m.Written || got.Offset != m.Offset ||
+	if got.Kind != m.Kind || got.Number != m.Number || got.Version != m.Version || got.LastLogIndex != m.LastLogIndex || got.Offset != m.Offset ||
 		got.Total != m.Total || got.FromLeader != m.FromLeader {
 		t.Errorf("decoded %+v, want %+v", got, m)
 	}
--- a/internal/proto/clusterstate/message.go
+++ b/internal/proto/clusterstate/message.go
@@ -39,14 +39,14 @@
 
 // Message is a message from one replica to another. Fields that a kind does not use are zero.
 type Message struct {
-	Kind       MessageKind
-	Body       []byte
-	Number     uint64 // number of a probe and of its reply; in a MessageFetchChunk, version of the partly fetched snapshot, or 0
-	Version    uint64 // version of the state that the sender holds, or of the snapshot that a chunk belongs to
-	Written    uint64 // last log index on the sender's disk, committed or not
-	Offset     uint64 // offset of a chunk in its snapshot, bytes
-	Total      uint64 // size of that snapshot, bytes
-	FromLeader bool   // whether the sender of a probe reply is the leader
+	Kind         MessageKind
+	Body         []byte
+	Number       uint64 // number of a probe and of its reply; in a MessageFetchChunk, version of the partly fetched snapshot, or 0
+	Version      uint64 // version of the state that the sender holds, or of the snapshot that a chunk belongs to
+	LastLogIndex uint64 // last log index on the sender's disk, committed or not
+	Offset       uint64 // offset of a chunk in its snapshot, bytes
+	Total        uint64 // size of that snapshot, bytes
+	FromLeader   bool   // whether the sender of a probe reply is the leader
 }
 
 // AppendMessage appends an encoded message to b.
@@ -57,7 +57,7 @@
 	}
 	b = field.AppendUint(b, messageNumber, m.Number)
 	b = field.AppendUint(b, messageVersion, m.Version)
-	b = field.AppendUint(b, messageWritten, m.Written)
+	b = field.AppendUint(b, messageWritten, m.LastLogIndex)
 	b = field.AppendUint(b, messageOffset, m.Offset)
 	b = field.AppendUint(b, messageTotal, m.Total)
 	if m.FromLeader {
@@ -84,14 +84,14 @@
 		return Message{}, ErrMalformed
 	}
 	return Message{
-		Kind:       MessageKind(kind),
-		Body:       body,
-		Number:     numbers[messageNumber],
-		Version:    numbers[messageVersion],
-		Written:    numbers[messageWritten],
-		Offset:     numbers[messageOffset],
-		Total:      numbers[messageTotal],
-		FromLeader: numbers[messageFromLeader] != 0,
+		Kind:         MessageKind(kind),
+		Body:         body,
+		Number:       numbers[messageNumber],
+		Version:      numbers[messageVersion],
+		LastLogIndex: numbers[messageWritten],
+		Offset:       numbers[messageOffset],
+		Total:        numbers[messageTotal],
+		FromLeader:   numbers[messageFromLeader] != 0,
 	}, nil
 }
 
--- a/internal/serve/membership.go
+++ b/internal/serve/membership.go
@@ -124,20 +124,20 @@
 // membershipEvents logs changes of the membership, and tells the detector when nodes were last heard from.
 type membershipEvents struct{ m *clusterMembership }
 
-// OnChange logs the new state of a member.
-func (e membershipEvents) OnChange(now float64, member membership.Member, previous membership.State) {
+// OnMemberChanged logs the new state of a member.
+func (e membershipEvents) OnMemberChanged(now float64, member membership.Member, previous membership.State) {
 	e.m.log.Info().Str("mode", "members").Str("member", member.Name).Str("address", member.Address).Uint64("life", member.Incarnation).
 		Uint64("version", member.Version).Stringer("was", previous).Stringer("is", member.State).Str("by", member.By).
 		Float64("unix_ms", now+float64(env.Epoch.UnixMilli())).Msg("member state changed")
 }
 
-// OnNameTaken logs that another scheduler uses this scheduler's name.
-func (e membershipEvents) OnNameTaken(_ float64, address string) {
+// OnNameConflict logs that another scheduler uses this scheduler's name.
+func (e membershipEvents) OnNameConflict(_ float64, address string) {
 	e.m.log.Error().Str("mode", "members").Str("at", address).Msg("another scheduler uses this scheduler's name; this one takes no part in the slow start of nodes")
 }
 
-// LastHeard returns when this process last received something from a node, and the incarnation of the node.
-func (e membershipEvents) LastHeard(node uint32) (incarnation uint64, lastReceived float64, ok bool) {
+// LastNodeContact returns when this process last received something from a node, and the incarnation of the node.
+func (e membershipEvents) LastNodeContact(node uint32) (incarnation uint64, lastReceived float64, ok bool) {
 	link := e.m.link(node)
 	if link == nil {
 		return 0, 0, false
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -185,7 +185,7 @@
 
 // quotaShare returns the share of all limits that this process may use if sharers schedulers share the leased part.
 func (h *tenantHosting) quotaShare(sharers int) quotalease.Share {
-	share := quotalease.Share{Places: h.config.Site.Cluster.Schedulers, Index: h.config.Index, Sharers: sharers}
+	share := quotalease.Share{Processes: h.config.Site.Cluster.Schedulers, Index: h.config.Index, Sharers: sharers}
 	if h.config.Site.Members.Listen != "" {
 		share.LeasedFraction = h.config.Site.Members.LeasedPart
 	}
--- a/internal/state/raftstore/format_test.go
+++ b/internal/state/raftstore/format_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	var hard raft.HardState
-	if err := proto.Unmarshal(saved.Hard, &hard); err != nil || hard.GetTerm() != 1 || hard.GetVote() != 1 || hard.GetCommit() != 277 {
+	if err := proto.Unmarshal(saved.HardState, &hard); err != nil || hard.GetTerm() != 1 || hard.GetVote() != 1 || hard.GetCommit() != 277 {
 		t.Errorf("got hard state %v, error %v, want term 1, vote 1, commit 277", &hard, err)
 	}
 	var snapshot raft.Snapshot
--- a/internal/state/raftstore/raftstore.go
+++ b/internal/state/raftstore/raftstore.go
@@ -69,7 +69,7 @@
 // Load returns the saved hard state, snapshot and log entries.
 func (s *Store) Load() (saved consensus.PersistedState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		saved.Hard = append([]byte(nil), tx.Bucket(stateBucket).Get(hardKey)...)
+		saved.HardState = append([]byte(nil), tx.Bucket(stateBucket).Get(hardKey)...)
 		saved.Snapshot = append([]byte(nil), tx.Bucket(stateBucket).Get(snapshotKey)...)
 		return tx.Bucket(logBucket).ForEach(func(_, v []byte) error {
 			saved.Entries = append(saved.Entries, append([]byte(nil), v...))
--- a/internal/state/raftstore/raftstore_test.go
+++ b/internal/state/raftstore/raftstore_test.go
@@ -60,8 +60,8 @@
 	for _, e := range got.Entries {
 		texts = append(texts, string(e))
 	}
-	if err != nil || string(got.Hard) != m.hard || string(got.Snapshot) != m.snapshot || !slices.Equal(texts, m.log) {
-		t.Fatalf("got hard state %q, snapshot %q, entries %q, want %q, %q, %q, error %v", got.Hard, got.Snapshot, texts, m.hard, m.snapshot, m.log, err)
+	if err != nil || string(got.HardState) != m.hard || string(got.Snapshot) != m.snapshot || !slices.Equal(texts, m.log) {
+		t.Fatalf("got hard state %q, snapshot %q, entries %q, want %q, %q, %q, error %v", got.HardState, got.Snapshot, texts, m.hard, m.snapshot, m.log, err)
 	}
 }
 
