--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -111,16 +111,16 @@
 	switch codec.Kind(msg) {
 	case codec.KindSetUp:
 		c.onSetUp(now, task, msg)
-	case codec.KindTest:
+	case codec.KindHealthCheck:
 		c.active = true
 		s.clients.promote(now, c) // if that fails, the first request on the connection tries again
-		c.send(func(b []byte) []byte { return codec.AppendTested(b, task, true) })
+		c.send(func(b []byte) []byte { return codec.AppendHealthCheckResult(b, task, true) })
 	case codec.KindEnd:
 		r := s.requests.task(task)
 		if r != nil && (r.running || r.client == c) { // else the task has ended, or its open request belongs to another connection
 			s.requests.withdraw(r)
 		}
-	case codec.KindProgress, codec.KindEndAck, codec.KindNote, codec.KindTested:
+	case codec.KindProgress, codec.KindEndAck, codec.KindNote, codec.KindHealthCheckResult:
 	default:
 		c.evict("unexpected message type")
 	}
--- a/internal/platform/clients_test.go
+++ b/internal/platform/clients_test.go
@@ -167,7 +167,7 @@
 	for range 30 {
 		var b []byte
 		for i := range 1000 {
-			b = codec.AppendTest(b, uint64(i+1), false)
+			b = codec.AppendHealthCheck(b, uint64(i+1), false)
 		}
 		slow.send(b)
 		r.advance(20)
@@ -191,7 +191,7 @@
 	slow.conn.(interface{ Stall(float64) }).Stall(60000)
 	var b []byte
 	for i := range 1200 { // more answers than the network buffers
-		b = codec.AppendTest(b, uint64(i+1000), false)
+		b = codec.AppendHealthCheck(b, uint64(i+1000), false)
 	}
 	slow.send(b)
 	r.advance(50)
@@ -217,7 +217,7 @@
 	x.conn.Close(true, nil)
 	r.advance(50)
 	idle, y := r.dial(), r.dial()
-	idle.send(codec.AppendTest(nil, 9, false))
+	idle.send(codec.AppendHealthCheck(nil, 9, false))
 	n.onSetUp = func(*testConn, uint64) {} // the node answers no more set-ups
 	y.request(8, "single")
 	r.advance(50)
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -37,7 +37,7 @@
 			if err == nil {
 				x.conn = c
 				c.Start(x, 5000)
-				x.send(codec.AppendTest(nil, 9, false))
+				x.send(codec.AppendHealthCheck(nil, 9, false))
 			}
 		})
 		d.clientConns = append(d.clientConns, x)
--- a/internal/platform/early_end_test.go
+++ b/internal/platform/early_end_test.go
@@ -176,7 +176,7 @@
 			if attempts != 1 {
 				t.Errorf("%d attempts, want 1", attempts)
 			}
-			x.send(codec.AppendTest(nil, 9, false))
+			x.send(codec.AppendHealthCheck(nil, 9, false))
 			x.expect("9 tested 1") // no other message comes before it
 		})
 	}
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -31,16 +31,16 @@
 	StopTask(alloc, node uint32)
 	// AnswerRequest sends the final answer to a request whose task does not run: shed if a retry is safe, else failed.
 	AnswerRequest(alloc uint32, shed bool)
-	// NotifyMove tells the client to request its running task again, so that it is placed on another node.
-	NotifyMove(alloc uint32)
+	// NotifyMigration tells the client to request its running task again, so that it is placed on another node.
+	NotifyMigration(alloc uint32)
 	// NotifyEnd notifies the client that its running task has ended.
 	NotifyEnd(alloc uint32, verdict logic.Outcome)
 	// Forget is the last call for an allocation.
 	Forget(alloc uint32)
 	// Probe sends a health check to a node. The caller passes its result to OnProbeResult with the same sequence number.
 	Probe(node, seq uint32)
-	// PollEndpoints requests the changes of the node list. The response may also be that the list cannot be read.
-	PollEndpoints()
+	// PollNodeList requests the changes of the node list. The response may also be that the list cannot be read.
+	PollNodeList()
 	// LogLine writes a line about the module or the host to the log.
 	LogLine(line string)
 }
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -35,11 +35,11 @@
 	s.record("cancel %d.%d", id, attempt)
 }
 func (s *harness) StopTask(id, _ uint32)                { s.record("stop %d", id) }
-func (s *harness) NotifyMove(id uint32)                 { s.record("migrate %d", id) }
+func (s *harness) NotifyMigration(id uint32)            { s.record("migrate %d", id) }
 func (s *harness) NotifyEnd(id uint32, v logic.Outcome) { s.record("end %d %d", id, v) }
 func (s *harness) Forget(id uint32)                     { s.record("forget %d", id) }
 func (s *harness) Probe(_, seq uint32)                  { s.probe = seq }
-func (s *harness) PollEndpoints()                       {}
+func (s *harness) PollNodeList()                        {}
 func (s *harness) LogLine(string)                       {}
 func (s *harness) AnswerRequest(id uint32, shed bool) {
 	s.record("answer %d %s", id, map[bool]string{true: "shed", false: "failed"}[shed])
--- a/internal/platform/host/module_effects.go
+++ b/internal/platform/host/module_effects.go
@@ -41,7 +41,7 @@
 	h := e.host
 	if a := h.allocations[id]; a != nil && a.running && !a.suppressEndNotification {
 		a.suppressEndNotification, a.migrating = true, true
-		h.effects.NotifyMove(id)
+		h.effects.NotifyMigration(id)
 		h.timers.Set(h.now+outcome.EndTimeout(), timerStopUnconfirmed, attemptKey(id, a.lastAttempt()))
 	}
 }
@@ -52,12 +52,12 @@
 // WatchList polls the node list when a watch begins. The list is watched permanently, so nothing has to be done when a watch ends.
 func (e moduleEffects) WatchList(active bool) {
 	if active {
-		e.host.effects.PollEndpoints()
+		e.host.effects.PollNodeList()
 	}
 }
 
 // ReloadList polls the node list, as WatchList does.
-func (e moduleEffects) ReloadList() { e.host.effects.PollEndpoints() }
+func (e moduleEffects) ReloadList() { e.host.effects.PollNodeList() }
 
 // SetTimer sets a timer of the module.
 func (e moduleEffects) SetTimer(delay float64, key uint64) {
--- a/internal/platform/host_effects.go
+++ b/internal/platform/host_effects.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// NotifyMove notifies a client that it has to request its task again.
-func (e hostEffects) NotifyMove(alloc uint32) {
+// NotifyMigration notifies a client that it has to request its task again.
+func (e hostEffects) NotifyMigration(alloc uint32) {
 	s := e.server
 	r := s.requests.allocation(alloc)
 	if r == nil {
@@ -102,8 +102,8 @@
 	e.server.nodes.byNumber(node).sendProbe(seq)
 }
 
-// PollEndpoints requests the changes of the node list.
-func (e hostEffects) PollEndpoints() { e.server.endpoints.poll() }
+// PollNodeList requests the changes of the node list.
+func (e hostEffects) PollNodeList() { e.server.endpoints.poll() }
 
 // LogLine writes a line of the host to the log.
 func (e hostEffects) LogLine(line string) { e.server.log.Info().Str("mode", "module").Msg(line) }
--- a/internal/platform/loopback_rig_test.go
+++ b/internal/platform/loopback_rig_test.go
@@ -380,7 +380,7 @@
 		if size > 0 {
 			cause, _ := codec.CauseOf(msg)
 			d, _ := codec.Param(msg, codec.ParamDescription)
-			text := map[byte]string{codec.KindAnswer: "served " + string(d), codec.KindEnd: fmt.Sprint("end ", cause), codec.KindTested: fmt.Sprint("tested ",
+			text := map[byte]string{codec.KindAnswer: "served " + string(d), codec.KindEnd: fmt.Sprint("end ", cause), codec.KindHealthCheckResult: fmt.Sprint("tested ",
 				cause)}[codec.Kind(msg)]
 			text = fmt.Sprintf("%d %s", codec.Task(msg), text)
 			x.partial = bytes.Clone(x.partial[size:])
--- a/internal/platform/loopback_shutdown_test.go
+++ b/internal/platform/loopback_shutdown_test.go
@@ -22,9 +22,9 @@
 			r.waitFor("a turn of the loop is blocked", func() bool { return r.env.turns.blocked() > 0 })
 			if keepsSending { // this stays unread until the connection is closed
 				r.env.reads.setClosed(true)
-				x.send(codec.AppendTest(nil, 99, false))
+				x.send(codec.AppendHealthCheck(nil, 99, false))
 				r.waitFor("the read is blocked", func() bool { return r.env.reads.blocked() > 0 })
-				x.send(codec.AppendTest(nil, 100, false))
+				x.send(codec.AppendHealthCheck(nil, 100, false))
 			}
 			r.server.mu.Lock()
 			closeAt := r.server.shutdown.plan.CloseAt
--- a/internal/platform/node_conn.go
+++ b/internal/platform/node_conn.go
@@ -219,7 +219,7 @@
 
 func (c *nodeConn) sendTest() {
 	c.probeSentAt = c.server.env.Now()
-	c.conn.Send(func(b []byte) []byte { return codec.AppendTest(b, uint64(c.probeSeq), true) })
+	c.conn.Send(func(b []byte) []byte { return codec.AppendHealthCheck(b, uint64(c.probeSeq), true) })
 }
 
 // onBroken processes the end of a connection that this side did not close.
--- a/internal/platform/node_messages.go
+++ b/internal/platform/node_messages.go
@@ -63,7 +63,7 @@
 			s.host.OnNote(now, r.allocID, metric, value)
 		}
 		return nil
-	case codec.KindTested:
+	case codec.KindHealthCheckResult:
 		return c.onTested(now, task, msg)
 	case codec.KindProgress, codec.KindEndAck:
 		return nil
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -15,7 +15,7 @@
 		t.Run(jobClass, func(t *testing.T) {
 			r := startRig(t, "a")
 			x, n := r.dial(), r.nodes["a"]
-			x.send(codec.AppendTest(nil, 9, false))
+			x.send(codec.AppendHealthCheck(nil, 9, false))
 			x.request(7, jobClass)
 			r.advance(200)
 			x.want("served", "9 tested 1", "7 served "+n.description(7))
@@ -82,7 +82,7 @@
 func sendMove(r *simRig) {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
-	hostEffects{r.server}.NotifyMove(r.server.requests.byTask[7].allocID)
+	hostEffects{r.server}.NotifyMigration(r.server.requests.byTask[7].allocID)
 }
 
 // TestRecoverTask requests tasks that already run at nodes, as clients do after a scheduler has started. No answers are sent for them, and their ends
--- a/internal/platform/sim_rig_test.go
+++ b/internal/platform/sim_rig_test.go
@@ -177,9 +177,9 @@
 			delete(n.running, task)
 			e.send(codec.AppendEnd(nil, task, codec.CauseElsewhere))
 		}
-	case codec.KindTest:
+	case codec.KindHealthCheck:
 		n.testsReceived++
-		e.send(codec.AppendTested(nil, task, true))
+		e.send(codec.AppendHealthCheckResult(nil, task, true))
 	}
 }
 
@@ -206,7 +206,7 @@
 	x.onMessage = func(msg []byte) {
 		cause, _ := codec.CauseOf(msg)
 		d, _ := codec.Param(msg, codec.ParamDescription)
-		word := map[byte]string{codec.KindAnswer: "served " + string(d), codec.KindEnd: fmt.Sprint("end ", cause), codec.KindTested: fmt.Sprint("tested ",
+		word := map[byte]string{codec.KindAnswer: "served " + string(d), codec.KindEnd: fmt.Sprint("end ", cause), codec.KindHealthCheckResult: fmt.Sprint("tested ",
 			cause), codec.KindMove: "move"}[codec.Kind(msg)]
 		x.received, x.receivedAt = append(x.received, fmt.Sprintf("%d %s", codec.Task(msg), word)), append(x.receivedAt, r.clock.TrueTime())
 	}
--- a/internal/proto/platform/append.go
+++ b/internal/proto/platform/append.go
@@ -56,14 +56,14 @@
 	return setLength(appendParam(appendHeader(b, KindEnd, task), ParamCause, []byte{cause}), len(b))
 }
 
-// AppendTest appends a health check, which may ask for a load report.
-func AppendTest(b []byte, task uint64, wantReport bool) []byte {
-	return appendFlag(b, KindTest, task, wantReport)
+// AppendHealthCheck appends a health check, which may ask for a load report.
+func AppendHealthCheck(b []byte, task uint64, wantReport bool) []byte {
+	return appendFlag(b, KindHealthCheck, task, wantReport)
 }
 
-// AppendTested appends the result of a health check.
-func AppendTested(b []byte, task uint64, passed bool) []byte {
-	return appendFlag(b, KindTested, task, passed)
+// AppendHealthCheckResult appends the result of a health check.
+func AppendHealthCheckResult(b []byte, task uint64, passed bool) []byte {
+	return appendFlag(b, KindHealthCheckResult, task, passed)
 }
 
 func appendFlag(b []byte, kind byte, task uint64, set bool) []byte {
--- a/internal/proto/platform/messages.go
+++ b/internal/proto/platform/messages.go
@@ -27,15 +27,15 @@
 
 // Kinds of messages.
 const (
-	KindSetUp    = 1  // a client requests a task, or a scheduler sends an attempt to a node
-	KindProgress = 6  // ignored
-	KindAnswer   = 9  // the task runs
-	KindEnd      = 12 // a rejection, a failure, a cancellation or the end of a task, depending on its cause
-	KindEndAck   = 16 // ignored
-	KindNote     = 44 // a measurement of a task
-	KindMove     = 51 // the client has to request the task again
-	KindTest     = 52 // a health check
-	KindTested   = 53 // the result of a health check
+	KindSetUp             = 1  // a client requests a task, or a scheduler sends an attempt to a node
+	KindProgress          = 6  // ignored
+	KindAnswer            = 9  // the task runs
+	KindEnd               = 12 // a rejection, a failure, a cancellation or the end of a task, depending on its cause
+	KindEndAck            = 16 // ignored
+	KindNote              = 44 // a measurement of a task
+	KindMove              = 51 // the client has to request the task again
+	KindHealthCheck       = 52 // a health check
+	KindHealthCheckResult = 53 // the result of a health check
 )
 
 // Codes of parameters.
@@ -111,7 +111,7 @@
 
 func isKnownKind(kind byte) bool {
 	switch kind {
-	case KindSetUp, KindProgress, KindAnswer, KindEnd, KindEndAck, KindNote, KindMove, KindTest, KindTested:
+	case KindSetUp, KindProgress, KindAnswer, KindEnd, KindEndAck, KindNote, KindMove, KindHealthCheck, KindHealthCheckResult:
 		return true
 	}
 	return false
--- a/internal/proto/platform/messages_test.go
+++ b/internal/proto/platform/messages_test.go
@@ -74,8 +74,8 @@
 		},
 		{"answer", func(b []byte) []byte { return AppendAnswer(b, 7, text("d")) }, KindAnswer, map[byte]string{ParamDescription: "d"}},
 		{"end", func(b []byte) []byte { return AppendEnd(b, 7, CauseNotStarted) }, KindEnd, map[byte]string{ParamCause: "\x66"}},
-		{"health check with a load report", func(b []byte) []byte { return AppendTest(b, 7, true) }, KindTest, map[byte]string{ParamCause: "\x01"}},
-		{"failed health check", func(b []byte) []byte { return AppendTested(b, 7, false) }, KindTested, map[byte]string{ParamCause: "\x00"}},
+		{"health check with a load report", func(b []byte) []byte { return AppendHealthCheck(b, 7, true) }, KindHealthCheck, map[byte]string{ParamCause: "\x01"}},
+		{"failed health check", func(b []byte) []byte { return AppendHealthCheckResult(b, 7, false) }, KindHealthCheckResult, map[byte]string{ParamCause: "\x00"}},
 		{"move", func(b []byte) []byte { return AppendMove(b, 7) }, KindMove, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
