--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -55,11 +55,11 @@
 
 // JobRules are the rules of one job class.
 type JobRules struct {
-	Semantics   Semantics
-	Scope       IdempotencyScope
-	Window      float64 // ms after the first attempt during which an idempotency key is recognized
-	Spread      Spread
-	MaxTogether int // maximum number of tasks of a service in one domain of Spread
+	Semantics    Semantics
+	Scope        IdempotencyScope
+	Window       float64 // ms after the first attempt during which an idempotency key is recognized
+	Spread       Spread
+	MaxPerDomain int // maximum number of tasks of a service in one domain of Spread
 }
 
 // Location is the zone and the cell of a node.
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -6,7 +6,7 @@
 )
 
 var rules = Rules{
-	Jobs:  []JobRules{{}, {Semantics: Idempotent, Scope: ScopeZone, Window: 5000, Spread: SpreadZone, MaxTogether: 2}, {Semantics: AtMostOnce}},
+	Jobs:  []JobRules{{}, {Semantics: Idempotent, Scope: ScopeZone, Window: 5000, Spread: SpreadZone, MaxPerDomain: 2}, {Semantics: AtMostOnce}},
 	Nodes: map[uint32]Location{1: {"a", "a1"}, 2: {"a", "a2"}, 3: {"b", "b1"}}, DrainGrace: 2000, ListPolled: true, PollInterval: 8000, SlowStartLimit: 2,
 	SlowStartDuration: 10000, SlowStartWindow: 1000, Slack: 100,
 }
--- a/internal/audit/placement.go
+++ b/internal/audit/placement.go
@@ -125,8 +125,8 @@
 			together++
 		}
 	}
-	if together >= job.MaxTogether {
-		a.report(RuleSpread, att.sentAt, "%d tasks of service %x in the spread domain of node %d, limit %d", together+1, att.service, att.node, job.MaxTogether)
+	if together >= job.MaxPerDomain {
+		a.report(RuleSpread, att.sentAt, "%d tasks of service %x in the spread domain of node %d, limit %d", together+1, att.service, att.node, job.MaxPerDomain)
 	}
 	s.running = append(s.running, att)
 }
--- a/internal/env/conn.go
+++ b/internal/env/conn.go
@@ -94,8 +94,8 @@
 	c.env.removeConn(c)
 }
 
-// HandedOver implements Conn.
-func (c *realConn) HandedOver() uint64 {
+// BytesWritten implements Conn.
+func (c *realConn) BytesWritten() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written + uint64(c.inFlight)
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -89,8 +89,8 @@
 	// Send appends a message to the queue by calling appendTo. It returns the total number of bytes that were ever queued, the number of them
 	// that are still in the queue, and false if the connection is closed.
 	Send(appendTo func(b []byte) []byte) (sent uint64, queued int, ok bool)
-	// HandedOver returns how many bytes were passed to the network, including those of a write in progress, which may have been.
-	HandedOver() uint64
+	// BytesWritten returns how many bytes were passed to the network, including those of a write in progress, which may have been.
+	BytesWritten() uint64
 	// Unsend removes the last message from the queue; it has n bytes, and sent is the total that its Send returned. It returns false if a part of
 	// the message may have been passed to the network.
 	Unsend(sent uint64, n int) bool
--- a/internal/env/real_test.go
+++ b/internal/env/real_test.go
@@ -85,7 +85,7 @@
 	if err := <-handler.closed; err != ErrClosed { //nolint:errorlint // it has to be this error itself
 		t.Error(err)
 	}
-	if h := c.HandedOver(); h != 4 {
+	if h := c.BytesWritten(); h != 4 {
 		t.Errorf("HandedOver returned %d, want 4", h)
 	}
 	if _, _, ok := c.Send(func(b []byte) []byte { return append(b, "y"...) }); ok {
@@ -211,8 +211,8 @@
 		return func(b []byte) []byte { return append(b, strings.Repeat("x", n)...) }
 	}
 	sent, queued, ok := c.Send(line(10))
-	if !ok || queued != 0 || c.HandedOver() != sent {
-		t.Fatalf("Send returned %d, %d queued, HandedOver %d, ok %v, want none queued and all handed over", sent, queued, c.HandedOver(), ok)
+	if !ok || queued != 0 || c.BytesWritten() != sent {
+		t.Fatalf("Send returned %d, %d queued, HandedOver %d, ok %v, want none queued and all handed over", sent, queued, c.BytesWritten(), ok)
 	}
 	if c.Unsend(sent, 10) {
 		t.Error("Unsend removed a message that was sent")
@@ -222,7 +222,7 @@
 	if queued == 0 {
 		t.Fatal("the socket accepted the whole message at once: the test needs a larger one")
 	}
-	waitUntil(t, "the writer writes the large message", func() bool { return c.HandedOver() == all }) // else it would take the next message along
+	waitUntil(t, "the writer writes the large message", func() bool { return c.BytesWritten() == all }) // else it would take the next message along
 	after, _, _ := c.Send(line(7))
 	if c.Unsend(all, big) {
 		t.Error("Unsend removed a message that is not the last")
@@ -235,7 +235,7 @@
 		n, _ := io.Copy(io.Discard, peer)
 		got <- n
 	}()
-	for c.HandedOver() < all {
+	for c.BytesWritten() < all {
 		time.Sleep(time.Millisecond)
 	}
 	for i := range 100 { // the writer may or may not have ended by now
--- a/internal/lab/drill/faults.go
+++ b/internal/lab/drill/faults.go
@@ -78,7 +78,7 @@
 		in.withFault(in.nodes, in.duration, func(n *standin.Node) { n.Machine.StaleReports = true }, func(n *standin.Node) { n.Machine.StaleReports = false })
 	},
 	"neighbours": func(in *injection) {
-		in.withFault(in.nodes, in.duration, func(n *standin.Node) { n.Machine.ForeignUse = in.size }, func(n *standin.Node) { n.Machine.ForeignUse = 0 })
+		in.withFault(in.nodes, in.duration, func(n *standin.Node) { n.Machine.ExternalUse = in.size }, func(n *standin.Node) { n.Machine.ExternalUse = 0 })
 	},
 	"pressure": func(in *injection) {
 		in.withFault(in.nodes, in.duration, func(n *standin.Node) { n.Machine.UseFactor = in.size }, func(n *standin.Node) { n.Machine.UseFactor = 1 })
@@ -175,7 +175,7 @@
 func (in *injection) drain() {
 	for _, n := range in.nodes {
 		in.testbed.WithLock(func(now float64) {
-			if !n.Lost {
+			if !n.Gone {
 				n.Draining = true
 				n.Machine.Drain(now, in.mode == "bit-by-bit", in.mode == "at-once")
 			}
--- a/internal/lab/sim/checks.go
+++ b/internal/lab/sim/checks.go
@@ -36,7 +36,7 @@
 		e.fail(int(violations[0].Rule), violations[0].String())
 	}
 	for _, n := range e.nodes {
-		if n.Lost || n.Machine.Hung {
+		if n.Gone || n.Machine.Hung {
 			continue
 		}
 		for _, s := range e.schedulers {
--- a/internal/lab/sim/conn.go
+++ b/internal/lab/sim/conn.go
@@ -103,8 +103,8 @@
 // Delivered returns how many of the sent bytes the other end has read.
 func (c *conn) Delivered() uint64 { return c.handedOver - uint64(c.inFlight) }
 
-// HandedOver implements env.Conn.
-func (c *conn) HandedOver() uint64 { return c.handedOverKnown }
+// BytesWritten implements env.Conn.
+func (c *conn) BytesWritten() uint64 { return c.handedOverKnown }
 
 // Unsend implements env.Conn.
 func (c *conn) Unsend(sent uint64, n int) bool {
--- a/internal/lab/sim/inject.go
+++ b/internal/lab/sim/inject.go
@@ -238,7 +238,7 @@
 // crashNodes crashes nodes and restarts them cold when the fault ends.
 func (in *injection) crashNodes(nodes []*standin.Node) {
 	for _, n := range nodes {
-		if n.Lost {
+		if n.Gone {
 			continue
 		}
 		n.Crash(in.clock.now)
@@ -263,7 +263,7 @@
 
 func (in *injection) drain() {
 	n := in.node
-	if n.Lost {
+	if n.Gone {
 		return
 	}
 	n.Draining = true
--- a/internal/lab/sim/lease_test.go
+++ b/internal/lab/sim/lease_test.go
@@ -66,7 +66,7 @@
 		{name: "scheduler paused", fault: Fault{At: 8000, Kind: "pause", Target: "s2", Duration: 9000}, want: openCounts{all: 12, dead: 10, back: 12, apart: 6}},
 		{
 			name: "nothing is leased", fault: Fault{At: 8000, Kind: "kill", Target: "s2", Duration: 9000},
-			plant: &ProgramFault{Site: func(config *site.Config) { config.Members.LeasedPart = 0 }},
+			plant: &ProgramFault{Site: func(config *site.Config) { config.Members.LeasedFraction = 0 }},
 			want:  openCounts{all: 12, dead: 8, back: 12, apart: 12},
 		},
 	} {
--- a/internal/lab/sim/programfaults.go
+++ b/internal/lab/sim/programfaults.go
@@ -96,8 +96,8 @@
 		p.Cluster.SlowStartLimit, p.Cluster.KindCores = 500, []float64{160}
 	}},
 	{Name: "word of drains is lost", Server: serve.Faults{ListEntry: func(en *state.Entry) {
-		if en.Avail == 2 {
-			en.Avail = 1
+		if en.Availability == 2 {
+			en.Availability = 1
 		}
 	}}},
 	{Name: "answers come at the expiry", Site: func(p *site.Config) { p.AnswerMargin = 0.4 }},
--- a/internal/lab/sim/scheduler.go
+++ b/internal/lab/sim/scheduler.go
@@ -73,7 +73,7 @@
 	config.ClientsListen = s.name + ":1"
 	if e.Members {
 		config.Members = site.Members{
-			Listen: fmt.Sprint("10.0.0.", 1+s.index, ":1"), Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, LeasedPart: leasedPart,
+			Listen: fmt.Sprint("10.0.0.", 1+s.index, ":1"), Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, LeasedFraction: leasedPart,
 		}
 	}
 	config.WorkingSet = e.workingSet()
--- a/internal/lab/sim/setup.go
+++ b/internal/lab/sim/setup.go
@@ -43,7 +43,7 @@
 // jobRules are the rules of the site's job classes.
 var jobRules = []audit.JobRules{
 	{},
-	{Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxTogether: 3},
+	{Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxPerDomain: 3},
 	{Semantics: audit.AtMostOnce},
 	{Semantics: audit.Idempotent, Window: 1500},
 }
@@ -196,7 +196,7 @@
 	}
 	for _, n := range e.nodes {
 		l.Put(state.Entry{
-			ID: n.ID, Address: n.Address(), Avail: 1, FreeCores: 32, FreeMemory: 48, Zone: n.Zone, Cell: n.Cell,
+			ID: n.ID, Address: n.Address(), Availability: 1, FreeCores: 32, FreeMemory: 48, Zone: n.Zone, Cell: n.Cell,
 			Kind: n.Kind,
 		})
 	}
--- a/internal/platform/client_conn.go
+++ b/internal/platform/client_conn.go
@@ -92,7 +92,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.remove()
-	handedOver := c.conn.HandedOver()
+	handedOver := c.conn.BytesWritten()
 	slices.SortFunc(c.unconfirmed, byAllocation)
 	for _, r := range c.unconfirmed {
 		if r.running && r.sentThrough > handedOver && s.requests.isCurrent(r) {
@@ -214,7 +214,7 @@
 	for _, task := range slices.Sorted(maps.Keys(c.openRequests)) {
 		s.requests.withdraw(c.openRequests[task])
 	}
-	handedOver := c.conn.HandedOver()
+	handedOver := c.conn.BytesWritten()
 	for r := range c.running {
 		r.client = nil
 		if r.sentThrough > handedOver {
--- a/internal/platform/node_conn.go
+++ b/internal/platform/node_conn.go
@@ -224,7 +224,7 @@
 
 // onBroken processes the end of a connection that this side did not close.
 func (c *nodeConn) onBroken(cause string) {
-	handedOver := c.conn.HandedOver()
+	handedOver := c.conn.BytesWritten()
 	c.server.telemetry.trace("link broke", 0, func(e *zerolog.Event) {
 		e.Str("node", c.node.name).Str("why", cause).Int("open", len(c.requests)).Bool("spent", c.draining)
 	})
--- a/internal/serve/endpoint_list.go
+++ b/internal/serve/endpoint_list.go
@@ -116,7 +116,7 @@
 			l.config.Faults.ListEntry(&entry)
 		}
 		zone, kind := slices.Index(l.config.Site.Zones, entry.Zone), slices.Index(l.config.Site.MachineKinds, entry.Kind)
-		if entry.Avail != 0 && (zone < 0 || kind < 0) {
+		if entry.Availability != 0 && (zone < 0 || kind < 0) {
 			skipped++
 			continue
 		}
@@ -174,7 +174,7 @@
 	siteConfig := l.config.Site
 	for _, entry := range entries {
 		kind := slices.Index(siteConfig.MachineKinds, entry.Kind)
-		if kind < 0 || entry.Avail == 0 {
+		if kind < 0 || entry.Availability == 0 {
 			continue
 		}
 		id := formatNodeID(entry.ID)
@@ -238,7 +238,7 @@
 	defer l.mu.Unlock()
 	for _, entry := range l.list.Entries() {
 		kind := slices.Index(l.config.Site.MachineKinds, entry.Kind)
-		if kind < 0 || logic.Availability(entry.Avail) != logic.Ready {
+		if kind < 0 || logic.Availability(entry.Availability) != logic.Ready {
 			continue
 		}
 		cores, memory := cluster.KindCores[kind]*cluster.CoresOvercommit, cluster.KindMemory[kind]*cluster.MemoryOvercommit
@@ -270,7 +270,7 @@
 	}
 	siteConfig, nodes := l.config.Site, make([]readyNode, 0, l.list.Len())
 	for _, entry := range l.list.Entries() {
-		if logic.Availability(entry.Avail) != logic.Ready {
+		if logic.Availability(entry.Availability) != logic.Ready {
 			continue
 		}
 		node := readyNode{id: entry.ID, zone: entry.Zone, free: entry.FreeCores, hash: nodeHash("", entry.ID)}
--- a/internal/serve/link.go
+++ b/internal/serve/link.go
@@ -170,7 +170,7 @@
 		l.closed, l.reason = true, "peer closed: "+err.Error()
 	}
 	reason, incarnation, visit := l.reason, l.incarnation, l.visit
-	handed := l.conn.HandedOver()
+	handed := l.conn.BytesWritten()
 	unsent := slices.DeleteFunc(l.marks, func(mark sendMark) bool { return mark.offset <= handed })
 	l.mu.Unlock()
 	if incarnation == 0 || visit == visiting {
@@ -245,7 +245,7 @@
 			mark.offset = math.MaxUint64
 		}
 		if len(l.marks) >= maxMarks { // attempts that have been sent need no mark
-			handed := l.conn.HandedOver()
+			handed := l.conn.BytesWritten()
 			l.marks = slices.DeleteFunc(l.marks, func(mark sendMark) bool { return mark.offset <= handed })
 		}
 		l.marks = append(l.marks, mark)
--- a/internal/serve/list_answer.go
+++ b/internal/serve/list_answer.go
@@ -53,7 +53,7 @@
 		return errListOrder
 	}
 	r.answer.entries = append(r.answer.entries, state.Entry{
-		ID: e.ID, Address: e.Address, Avail: e.Availability, StartedAt: e.StartedAt,
+		ID: e.ID, Address: e.Address, Availability: e.Availability, StartedAt: e.StartedAt,
 		FreeCores: e.FreeCores, FreeMemory: e.FreeMemory, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind,
 	})
 	return nil
--- a/internal/serve/membership.go
+++ b/internal/serve/membership.go
@@ -206,7 +206,7 @@
 	m.withDetector(func(detector *membership.Detector) {
 		detector.OnNodeList(now, version, func(yield func(node uint32, ready, removed bool)) {
 			for _, entry := range entries {
-				availability := logic.Availability(entry.Avail)
+				availability := logic.Availability(entry.Availability)
 				yield(entry.ID, availability == logic.Ready, availability == logic.Unavailable)
 			}
 		})
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -68,7 +68,7 @@
 		Nodes: map[uint32]audit.Location{}, DrainGrace: siteConfig.DrainGrace, SlowStartLimit: 12, SlowStartDuration: 6000,
 		SlowStartWindow: 1000, Slack: 400, Jobs: []audit.JobRules{
 			{},
-			{Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxTogether: 3},
+			{Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxPerDomain: 3},
 			{Semantics: audit.AtMostOnce},
 		},
 	}
@@ -302,8 +302,8 @@
 			})},
 		// The node rejects every offer, so the policy module sends it none for up to 2 s at a time.
 		{name: "draining state of a node lost", rule: 3, jobs: "0", disturb: drain, extraTime: 6500, faults: Faults{ListEntry: func(en *state.Entry) {
-			if en.Avail == 2 {
-				en.Avail = 1
+			if en.Availability == 2 {
+				en.Availability = 1
 			}
 		}}},
 		{name: "too many offers to a cold node", rule: 4, jobs: "0", cold: true, faults: withOffer(
--- a/internal/serve/shard.go
+++ b/internal/serve/shard.go
@@ -199,7 +199,7 @@
 	for i := range entries {
 		e := &entries[i]
 		sh.engine.AddListEntry(engine.ListEntry{
-			Node: e.ID, Address: e.Address, Availability: logic.Availability(e.Avail), StartedAt: e.StartedAt,
+			Node: e.ID, Address: e.Address, Availability: logic.Availability(e.Availability), StartedAt: e.StartedAt,
 			FreeCores: e.FreeCores, FreeMemory: e.FreeMemory, Zone: e.zone, Cell: e.cell, Kind: e.kind,
 		})
 	}
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -187,7 +187,7 @@
 func (h *tenantHosting) quotaShare(sharers int) quotalease.Share {
 	share := quotalease.Share{Processes: h.config.Site.Cluster.Schedulers, Index: h.config.Index, Sharers: sharers}
 	if h.config.Site.Members.Listen != "" {
-		share.LeasedFraction = h.config.Site.Members.LeasedPart
+		share.LeasedFraction = h.config.Site.Members.LeasedFraction
 	}
 	return share
 }
--- a/internal/serve/working_set.go
+++ b/internal/serve/working_set.go
@@ -103,7 +103,7 @@
 	var known []listEntry
 	for _, entry := range entries {
 		w.putEntry(now, kind, entry)
-		if logic.Availability(entry.Avail) == logic.Unavailable {
+		if logic.Availability(entry.Availability) == logic.Unavailable {
 			removed = append(removed, entry.ID)
 		}
 		if _, ok := w.nodeStates[entry.ID]; ok {
@@ -132,7 +132,7 @@
 
 // putEntry adds or updates the node of a list entry in the set, or removes an unavailable node. The caller holds mu.
 func (w *workingSet) putEntry(now float64, kind logic.ListKind, entry listEntry) {
-	avail := logic.Availability(entry.Avail)
+	avail := logic.Availability(entry.Availability)
 	if avail == logic.Unavailable {
 		w.set.RemoveNode(entry.ID)
 		w.visits.Remove(entry.ID)
--- a/internal/site/read.go
+++ b/internal/site/read.go
@@ -257,12 +257,12 @@
 		return
 	}
 	m := Members{
-		Listen:     item.Text("listen"),
-		Seeds:      strings.Fields(item.Text("seeds")),
-		Key:        item.Text("key"),
-		Advertise:  item.Text("advertise"),
-		Voters:     strings.Fields(item.Text("stewards")),
-		LeasedPart: item.Number("lends"),
+		Listen:         item.Text("listen"),
+		Seeds:          strings.Fields(item.Text("seeds")),
+		Key:            item.Text("key"),
+		Advertise:      item.Text("advertise"),
+		Voters:         strings.Fields(item.Text("stewards")),
+		LeasedFraction: item.Number("lends"),
 	}
 	if !isAddrPort(m.Listen) {
 		r.fault(item, "<members>: listen %q: want an IP address and a port", m.Listen)
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -95,12 +95,12 @@
 
 // Members configures the membership protocol of the schedulers. If Listen is empty, it is not used.
 type Members struct {
-	Listen     string   // IP address and port for datagrams
-	Advertise  string   // the address at which other schedulers reach this one, if it differs from Listen
-	Seeds      []string // addresses that are contacted first
-	Key        string   // path of the file with the site's member key
-	Voters     []string // sorted names of the schedulers that vote on the replicated cluster state; empty if there is no such state
-	LeasedPart float64  // fraction of the tenants' quotas that is leased to the schedulers present, from 0 to 1
+	Listen         string   // IP address and port for datagrams
+	Advertise      string   // the address at which other schedulers reach this one, if it differs from Listen
+	Seeds          []string // addresses that are contacted first
+	Key            string   // path of the file with the site's member key
+	Voters         []string // sorted names of the schedulers that vote on the replicated cluster state; empty if there is no such state
+	LeasedFraction float64  // fraction of the tenants' quotas that is leased to the schedulers present, from 0 to 1
 }
 
 // FaultsError reports the faults of a site file.
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -154,7 +154,7 @@
 		address: cmp.Or(n.ListedAddress, n.address), availability: availabilityReady, startedAt: n.StartedAt, zone: n.Zone, cell: n.Cell,
 		kind: n.Kind, observedAt: now,
 	}
-	if n.Lost {
+	if n.Gone {
 		en.availability = availabilityGone
 	} else if n.Draining || l.inMaintenance(n.ID, now) {
 		en.availability = availabilityDraining
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -58,7 +58,7 @@
 	FailingFraction float64 // fraction of the attempts of FailingJob that fail
 	FailSilently    bool    // attempts fail without an answer instead of with an error
 	StaleReports    bool    // load reports no longer change
-	ForeignUse      float64 // fraction of the machine that other programs use
+	ExternalUse     float64 // fraction of the machine that other programs use
 	UseFactor       float64 // factor by which tasks use more than usual
 }
 
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -20,7 +20,7 @@
 	Machine       *Machine
 	StartedAt     float64 // ms of the wall clock, 0 for long ago
 	Draining      bool
-	Lost          bool // whether the node is gone: it crashed or broke down
+	Gone          bool // whether the node is gone: it crashed or broke down
 
 	testbed     *Testbed
 	incarnation uint64
@@ -109,7 +109,7 @@
 
 // Crash stops the node, which loses everything that it held. The caller holds the testbed's lock.
 func (n *Node) Crash(now float64) {
-	n.Lost, n.pending = true, nil
+	n.Gone, n.pending = true, nil
 	n.Machine.Restart(now, true)
 	n.listener.Close()
 	for _, c := range n.sortedConns() {
@@ -125,7 +125,7 @@
 		return fmt.Errorf("node %d: %w", n.ID, err)
 	}
 	n.testbed.WithLock(func(now float64) {
-		n.listener, n.Lost, n.Draining = listener, false, false
+		n.listener, n.Gone, n.Draining = listener, false, false
 		n.incarnation++
 		n.Machine.Restart(now, true)
 		n.recordStart(now, true)
@@ -207,7 +207,7 @@
 // OnOverload implements EventHandler: the node is gone and does not restart by itself.
 func (n *Node) OnOverload() {
 	n.recordLink(audit.NodeOverloaded, "", "")
-	n.Lost = true
+	n.Gone = true
 	for _, c := range n.sortedConns() {
 		c.close("fell over")
 	}
--- a/internal/standin/node_conn.go
+++ b/internal/standin/node_conn.go
@@ -105,7 +105,7 @@
 		c.delays.OnRequest(n.testbed.Now(), sent, 0, 0)
 	}
 	n.testbed.WithLock(func(now float64) {
-		if n.Lost || n.Machine.IsDown() || n.Machine.Hung {
+		if n.Gone || n.Machine.IsDown() || n.Machine.Hung {
 			err = errUnavailable
 			return
 		}
--- a/internal/standin/progress.go
+++ b/internal/standin/progress.go
@@ -218,7 +218,7 @@
 
 // inUse returns the cores and memory that tasks and other programs use.
 func (m *Machine) inUse() (cores, memory float64) {
-	cores, memory = m.ForeignUse*m.Cores, m.ForeignUse*m.Memory
+	cores, memory = m.ExternalUse*m.Cores, m.ExternalUse*m.Memory
 	for _, t := range m.accepted {
 		cores += t.use[0] * m.UseFactor
 		memory += t.use[1] * m.UseFactor
--- a/internal/state/folder_test.go
+++ b/internal/state/folder_test.go
@@ -50,7 +50,7 @@
 		l.End()
 		return nil
 	}
-	a, b := Entry{ID: 1, Address: "x:1", Avail: 1, Zone: "z", Cell: "c", Kind: "k"}, Entry{ID: 2, Address: "x:2", Avail: 2, Zone: "z", Cell: "c", Kind: "k"}
+	a, b := Entry{ID: 1, Address: "x:1", Availability: 1, Zone: "z", Cell: "c", Kind: "k"}, Entry{ID: 2, Address: "x:2", Availability: 2, Zone: "z", Cell: "c", Kind: "k"}
 	if put(list.KindFull, 5, a, b) != nil || put(list.KindChanges, 6, Entry{ID: 1}) != nil {
 		t.Fatal("Begin rejected a response with a newer version")
 	}
@@ -103,7 +103,7 @@
 	_, _ = folder.NextIncarnation()
 	l := NewNodeList()
 	_ = l.Begin(list.KindFull, 3)
-	l.Put(Entry{ID: 7, Address: "a:1", Avail: 1, Zone: "z", Cell: "c", Kind: "k"})
+	l.Put(Entry{ID: 7, Address: "a:1", Availability: 1, Zone: "z", Cell: "c", Kind: "k"})
 	l.End()
 	_ = folder.SaveList(l.Encode())
 	f.Add(m["life"], m["nodes"])
@@ -167,23 +167,23 @@
 		}
 		l.End()
 	}
-	put(list.KindFull, 1, Entry{ID: 7, Avail: 1}, Entry{ID: 3, Avail: 1}, Entry{ID: 5, Avail: 1})
+	put(list.KindFull, 1, Entry{ID: 7, Availability: 1}, Entry{ID: 3, Availability: 1}, Entry{ID: 5, Availability: 1})
 	if got := ids(); !slices.Equal(got, []uint32{3, 5, 7}) {
 		t.Fatalf("got entries %v, want 3, 5, 7", got)
 	}
 	before, revision := l.Entries(), l.Revision()
-	put(list.KindChanges, 2, Entry{ID: 5, Avail: 1}) // the entry is the same as before
+	put(list.KindChanges, 2, Entry{ID: 5, Availability: 1}) // the entry is the same as before
 	if l.Revision() != revision || &before[0] != &l.Entries()[0] {
 		t.Error("Entries made a new slice, or the revision changed, without a change of an entry")
 	}
-	put(list.KindChanges, 3, Entry{ID: 5, Avail: 0}, Entry{ID: 4, Avail: 1, FreeCores: 2})
+	put(list.KindChanges, 3, Entry{ID: 5, Availability: 0}, Entry{ID: 4, Availability: 1, FreeCores: 2})
 	if got := ids(); !slices.Equal(got, []uint32{3, 4, 7}) || l.Revision() == revision {
 		t.Errorf("got entries %v, revision %d after a change, want 3, 4, 7 and a new revision", got, l.Revision())
 	}
 	if before[1].ID != 5 {
 		t.Error("a slice that Entries returned earlier was modified")
 	}
-	put(list.KindFull, 4, Entry{ID: 9, Avail: 1})
+	put(list.KindFull, 4, Entry{ID: 9, Availability: 1})
 	if got := ids(); !slices.Equal(got, []uint32{9}) {
 		t.Errorf("got entries %v after a full response, want 9", got)
 	}
--- a/internal/state/format_test.go
+++ b/internal/state/format_test.go
@@ -22,8 +22,8 @@
 		t.Fatal(err)
 	}
 	want := []Entry{
-		{ID: 7, Address: "10.0.0.7:7000", Avail: 1, StartedAt: 1771000000.25, FreeCores: 12.5, FreeMemory: 64, Zone: "z1", Cell: "c1", Kind: "k"},
-		{ID: 8, Address: "10.0.0.8:7000", Avail: 2, StartedAt: 1771000001, FreeCores: 0, FreeMemory: 3.75, Zone: "z2", Cell: "c9", Kind: "gpu"},
+		{ID: 7, Address: "10.0.0.7:7000", Availability: 1, StartedAt: 1771000000.25, FreeCores: 12.5, FreeMemory: 64, Zone: "z1", Cell: "c1", Kind: "k"},
+		{ID: 8, Address: "10.0.0.8:7000", Availability: 2, StartedAt: 1771000001, FreeCores: 0, FreeMemory: 3.75, Zone: "z2", Cell: "c9", Kind: "gpu"},
 	}
 	if nodes.Version != 42 || !slices.Equal(nodes.Entries(), want) {
 		t.Errorf("got version %d with entries %+v, want 42 with %+v", nodes.Version, nodes.Entries(), want)
--- a/internal/state/nodelist.go
+++ b/internal/state/nodelist.go
@@ -17,7 +17,7 @@
 type Entry struct {
 	ID                               uint32
 	Address                          string
-	Avail                            int // index into list.AvailabilityNames; 0 removes the node from the list
+	Availability                     int // index into list.AvailabilityNames; 0 removes the node from the list
 	StartedAt, FreeCores, FreeMemory float64
 	Zone, Cell, Kind                 string
 }
@@ -59,7 +59,7 @@
 		return
 	}
 	l.markChanged()
-	if entry.Avail == 0 {
+	if entry.Availability == 0 {
 		delete(l.entries, entry.ID)
 		return
 	}
@@ -118,7 +118,7 @@
 	b := list.AppendBegin(nil, list.KindFull, l.Version)
 	for _, entry := range l.Entries() {
 		b = list.AppendEntry(b, list.Entry{
-			ID: entry.ID, Address: entry.Address, Availability: entry.Avail, StartedAt: entry.StartedAt,
+			ID: entry.ID, Address: entry.Address, Availability: entry.Availability, StartedAt: entry.StartedAt,
 			FreeCores: entry.FreeCores, FreeMemory: entry.FreeMemory, Zone: entry.Zone, Cell: entry.Cell, Kind: entry.Kind,
 		})
 	}
