--- a/cmd/ravenpond/lab_tenants.go
+++ b/cmd/ravenpond/lab_tenants.go
@@ -33,7 +33,7 @@
 		_, _, _, err := tenants.Handshakes(ctx, os.Stdout, trial, c.HalfOpen)
 		return err
 	}
-	_, err := tenants.Table(ctx, os.Stdout, trial)
+	_, err := tenants.CompareFlood(ctx, os.Stdout, trial)
 	return err
 }
 
--- a/internal/lab/maintenance/process.go
+++ b/internal/lab/maintenance/process.go
@@ -57,7 +57,7 @@
 		Incarnation: p.incarnation, Seed: p.sim.rng.Uint64(),
 	})
 	lim := limits
-	if p.sim.Fault == NoGuard {
+	if p.sim.Fault == NoClockGuard {
 		lim.ClockGuard = 0
 	}
 	p.controller = &maintenance.Controller{Store: p.store, Executor: effects{p}, Limits: lim, Policies: []drainpace.Policy{drainpace.Late, drainpace.Early, drainpace.RunOut}}
--- a/internal/lab/maintenance/simulation.go
+++ b/internal/lab/maintenance/simulation.go
@@ -25,10 +25,10 @@
 
 // Faults that can be injected.
 const (
-	None       Fault = ""
-	NoGuard    Fault = "no clock guard"
-	PerProcess Fault = "overlap checked per process"
-	NoRecall   Fault = "attempts not recalled"
+	None               Fault = ""
+	NoClockGuard       Fault = "no clock guard"
+	OverlapsPerProcess Fault = "overlap checked per process"
+	NoRecall           Fault = "attempts not recalled"
 )
 
 // Month is the configuration of a simulation.
@@ -208,7 +208,7 @@
 // calendarFor returns the calendar of a process: the whole one, or with the fault PerProcess a part of its own, so that each process checks for
 // overlaps within its part only.
 func (w *simulation) calendarFor(process int) *calendar.Calendar {
-	if w.Fault != PerProcess {
+	if w.Fault != OverlapsPerProcess {
 		return w.calendar
 	}
 	part := &calendar.Calendar{Protected: w.calendar.Protected}
--- a/internal/lab/maintenance/simulation_test.go
+++ b/internal/lab/maintenance/simulation_test.go
@@ -21,7 +21,7 @@
 		fault Fault
 		seed  uint64
 		days  int
-	}{{NoGuard, 3, 1}, {PerProcess, 1, 1}, {NoRecall, 2, 4}} {
+	}{{NoClockGuard, 3, 1}, {OverlapsPerProcess, 1, 1}, {NoRecall, 2, 4}} {
 		t.Run(string(c.fault), func(t *testing.T) {
 			t.Parallel()
 			month := Month{Seed: c.seed, Days: c.days, Processes: 8, Fault: c.fault}
--- a/internal/lab/platformsim/sockets.go
+++ b/internal/lab/platformsim/sockets.go
@@ -157,8 +157,8 @@
 	return w.addresses[name]
 }
 
-// Cut implements world. On loopback no link is cut.
-func (w *socketWorld) Cut(string, string, bool) {}
+// SetCut implements world. On loopback no link is cut.
+func (w *socketWorld) SetCut(string, string, bool) {}
 
 // IsCut implements world.
 func (w *socketWorld) IsCut(string, string) bool { return false }
--- a/internal/lab/platformsim/world.go
+++ b/internal/lab/platformsim/world.go
@@ -20,8 +20,8 @@
 	NewHost(name string) host
 	// Address returns where a host listens.
 	Address(name string) string
-	// Cut has nothing pass between two hosts, or lets it pass again.
-	Cut(a, b string, cut bool)
+	// SetCut has nothing pass between two hosts, or lets it pass again.
+	SetCut(a, b string, cut bool)
 	// IsCut returns whether nothing passes between two hosts.
 	IsCut(a, b string) bool
 	// Launch starts a scheduler process and calls ready once clients can connect to it.
--- a/internal/lab/sim/network.go
+++ b/internal/lab/sim/network.go
@@ -40,14 +40,14 @@
 	return l
 }
 
-// Cut cuts the link between two hosts, or restores it. Neither end is notified.
-func (c *Clock) Cut(a, b string, cut bool) { c.link(a, b).cut = cut }
+// SetCut cuts the link between two hosts, or restores it. Neither end is notified.
+func (c *Clock) SetCut(a, b string, cut bool) { c.link(a, b).cut = cut }
 
 // IsCut reports whether the link between two hosts is cut.
 func (c *Clock) IsCut(a, b string) bool { return c.link(a, b).cut }
 
-// Slow adds a random delay of up to ms to everything that passes between two hosts.
-func (c *Clock) Slow(a, b string, ms float64) { c.link(a, b).maxExtraDelay = ms }
+// SetMaxExtraDelay adds a random delay of up to ms to everything that passes between two hosts.
+func (c *Clock) SetMaxExtraDelay(a, b string, ms float64) { c.link(a, b).maxExtraDelay = ms }
 
 // delay draws the random latency of a segment or datagram on a link, in ms.
 func (c *Clock) delay(l *link) float64 {
--- a/internal/lab/tenants/removals.go
+++ b/internal/lab/tenants/removals.go
@@ -39,7 +39,7 @@
 type RemovalResult struct {
 	Tenants, Requests, Kills              int
 	Served, Declined, Failed              int
-	CutOff, Unanswered                    int // without an answer because the process was killed, and for any other reason
+	Disconnected, Unanswered              int // without an answer because the process was killed, and for any other reason
 	SecondStarts, HeldAtNodes, NotRemoved int // second starts of at-most-once tasks; tasks still held at nodes; tenants whose removal did not complete
 }
 
@@ -149,7 +149,7 @@
 	case standin.Failed:
 		r.Failed++
 	case standin.Disconnected:
-		r.CutOff++
+		r.Disconnected++
 	default:
 		r.Unanswered++
 	}
@@ -358,6 +358,6 @@
 // Print writes the result.
 func (r *RemovalResult) Print(out io.Writer) {
 	fmt.Fprintf(out, "tenants removed: %d, kills: %d\nasks: %d, served %d, declined %d, failed %d, cut off by a kill %d\n", r.Tenants-r.NotRemoved, r.Kills,
-		r.Requests, r.Served, r.Declined, r.Failed, r.CutOff)
+		r.Requests, r.Served, r.Declined, r.Failed, r.Disconnected)
 	fmt.Fprintf(out, "removals that did not end: %d\nheld at nodes: %d\nunanswered: %d\nsecond starts: %d\n", r.NotRemoved, r.HeldAtNodes, r.Unanswered, r.SecondStarts)
 }
--- a/internal/lab/tenants/trial.go
+++ b/internal/lab/tenants/trial.go
@@ -306,9 +306,9 @@
 	return all
 }
 
-// Table runs and compares three trials: one without a flood, one with a flood and fair queues, and one with the same flood without fair queues. It
+// CompareFlood runs and compares three trials: one without a flood, one with a flood and fair queues, and one with the same flood without fair queues. It
 // returns the lowest ratio, over the calm tenants, of the value fraction with flood and fair queues to that without a flood, at most 1.
-func Table(ctx context.Context, out io.Writer, day Trial) (worst float64, err error) {
+func CompareFlood(ctx context.Context, out io.Writer, day Trial) (worst float64, err error) {
 	calm, flood, plain := day, day, day
 	calm.Flood, plain.Unqueued, plain.ReconnectFlood = 0, true, false
 	var got [3][]TenantResult
--- a/internal/lab/tenants/trial_test.go
+++ b/internal/lab/tenants/trial_test.go
@@ -35,7 +35,7 @@
 // calm tenants must keep at least 70% of their value, even on a slow machine.
 func TestFlood(t *testing.T) {
 	var out strings.Builder
-	worst, err := Table(context.Background(), &out, Trial{Tenants: 6, Nodes: 4, Shards: 2, Flood: 8, ReconnectFlood: true, Duration: 4 * time.Second, Seed: 1})
+	worst, err := CompareFlood(context.Background(), &out, Trial{Tenants: 6, Nodes: 4, Shards: 2, Flood: 8, ReconnectFlood: true, Duration: 4 * time.Second, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
