--- a/internal/lab/modelcheck/explore.go
+++ b/internal/lab/modelcheck/explore.go
@@ -11,13 +11,13 @@
 	"ravenpond/logic"
 )
 
-// step is one thing that may happen.
+// step is an event that may happen next.
 type step struct {
 	name string
 	do   func()
 }
 
-// nextSteps are all that may happen next, in a fixed order.
+// nextSteps returns all events that may happen next, in a fixed order.
 func (p *path) nextSteps() (all []step) {
 	add := func(do func(), format string, args ...any) {
 		all = append(all, step{fmt.Sprintf(format, args...), do})
@@ -62,8 +62,8 @@
 			add(func() { e.Round(p.now) }, "fenced shard %d goes on", i)
 		}
 	}
-	if next := p.nextDeadline(); next > p.now && next < start+4000 && !p.pendingRound[0] && !p.pendingRound[1] {
-		add(func() { p.advance(next) }, "time passes to %.0f", next-start)
+	if next := p.nextDeadline(); next > p.now && next < startTime+4000 && !p.pendingRound[0] && !p.pendingRound[1] {
+		add(func() { p.advance(next) }, "time passes to %.0f", next-startTime)
 	}
 	if p.faults < p.model.Faults {
 		for s := range shards {
@@ -91,16 +91,16 @@
 	return all
 }
 
-// faultEnabled tells whether a kind of fault is explored.
+// faultEnabled reports whether a kind of fault is explored.
 func (p *path) faultEnabled(kind rune) bool {
 	return p.model.Kinds == "" || strings.ContainsRune(p.model.Kinds, kind)
 }
 
-// request asks for the allocation, at the shard that acts for it if one does.
+// request sends a request for the allocation to the shard that the router chooses: its owner, if it has one.
 func (p *path) request() {
 	p.requests++
 	ref := uint64(p.requests)
-	p.expiries[ref] = p.now + expiry
+	p.deadlines[ref] = p.now + expiry
 	d := p.router.Route(p.now, shardrouter.Arrival{ID: allocation, Request: shardownership.Request{
 		Client: clientID, Ref: ref, JobClass: p.model.Job, Service: service, Cores: 1, Memory: 1,
 		Deadline: p.now + expiry,
@@ -110,19 +110,21 @@
 		return
 	}
 	if err := p.engines[d.Shard].Allocate(p.now, p.engineRequest(ref, expiry, d.Epoch)); err != nil {
-		p.fail("ask %d: %v", ref, err)
+		p.fail("request %d: %v", ref, err)
 	}
 	p.pendingRound[d.Shard] = true
 }
 
+// withdraw withdraws the last request.
 func (p *path) withdraw() {
 	for s := range shards {
-		_ = p.engines[s].Withdraw(p.now, engine.RequestID{Client: clientID, Number: uint64(p.requests)}) // the one that does not know it says so
+		// A shard that does not know the request returns an error.
+		_ = p.engines[s].Withdraw(p.now, engine.RequestID{Client: clientID, Number: uint64(p.requests)})
 		p.pendingRound[s] = true
 	}
 }
 
-// deliverToNode lets a node hear the next line of a shard.
+// deliverToNode delivers a shard's next message to a node.
 func (p *path) deliverToNode(s, n int) {
 	m := p.toNode[s][n][0]
 	p.toNode[s][n] = p.toNode[s][n][1:]
@@ -147,29 +149,30 @@
 			p.conclude(n, i, boolInt(p.held[n][i].running))
 		}
 	case 'c':
-		out := 3
+		outcome := 3
 		if i < 0 {
 			o, past := p.outcomes[n][id]
 			if !past {
 				p.barred[n][id], p.outcomes[n][id] = true, 0
 			}
-			out = o
+			outcome = o
 		} else if p.held[n][i].running {
-			out = 4
+			outcome = 4
 		}
-		p.sendToShard(s, n, message{kind: 'C', ticket: m.ticket, attempt: m.attempt, outcome: out})
+		p.sendToShard(s, n, message{kind: 'C', ticket: m.ticket, attempt: m.attempt, outcome: outcome})
 	}
 }
 
 func boolInt(v bool) int { return int(boolByte(v)) }
 
-// sendToShard sends a word of a node to a shard, if they are connected.
+// sendToShard sends a message from a node to a shard, if they are connected.
 func (p *path) sendToShard(s, n int, m message) {
 	if p.connected[s][n] {
 		p.toShard[s][n] = append(p.toShard[s][n], m)
 	}
 }
 
+// startTask starts a task at a node, or rejects it if its deadline has passed.
 func (p *path) startTask(n, i int) {
 	t := &p.held[n][i]
 	if p.now > t.deadline {
@@ -179,21 +182,23 @@
 	t.running = true
 	p.starts++
 	if p.starts > 1 && Jobs[p.model.Job].Semantics == logic.AtMostOnce && p.ended == 0 {
-		p.fail("run-once allocation started %d times", p.starts)
+		p.fail("at-most-once allocation was started %d times", p.starts)
 	}
 	p.sendToShard(t.shard, n, message{kind: 'S', ticket: t.ticket, attempt: t.number})
 }
 
-func (p *path) conclude(n, i, out int) {
+// conclude ends an attempt at a node with an outcome, which the node remembers and reports to the shard.
+func (p *path) conclude(n, i, outcome int) {
 	t := p.held[n][i]
 	p.held[n] = slices.Delete(p.held[n], i, i+1)
-	p.outcomes[n][attemptID{t.ticket, t.number}] = out
-	p.sendToShard(t.shard, n, message{kind: 'E', ticket: t.ticket, attempt: t.number, outcome: out})
+	p.outcomes[n][attemptID{t.ticket, t.number}] = outcome
+	p.sendToShard(t.shard, n, message{kind: 'E', ticket: t.ticket, attempt: t.number, outcome: outcome})
 }
 
+// verdicts are the engine's results for the outcomes 0 to 2 of messages.
 var verdicts = [...]logic.Outcome{logic.Rejected, logic.Completed, logic.ConnectionLost}
 
-// deliverToShard lets a shard hear the next word of a node. A word for a life that is over goes nowhere.
+// deliverToShard delivers a node's next message to a shard. Messages to a fenced incarnation were dropped when the shard was fenced.
 func (p *path) deliverToShard(s, n int) {
 	m := p.toShard[s][n][0]
 	p.toShard[s][n] = p.toShard[s][n][1:]
@@ -212,19 +217,19 @@
 		}
 	}
 	p.pendingRound[s] = true
-	if err != nil { // the connection would end
+	if err != nil { // the node violated the protocol, so the scheduler would close the connection
 		p.disconnect(s, n)
 	}
 }
 
-// disconnect breaks a connection. What was not handed to the network has left by then: all of it may have arrived or not.
+// disconnect breaks a connection and drops all messages in transit. Paths on which some of them arrive first are explored too.
 func (p *path) disconnect(s, n int) {
 	p.connected[s][n], p.toNode[s][n], p.toShard[s][n] = false, nil, nil
 	p.engines[s].OnDisconnected(p.now, uint32(n+1))
 	p.pendingRound[s] = true
 }
 
-// restartNode loses what a node held.
+// restartNode starts a node's next incarnation, without the attempts and outcomes of the last one.
 func (p *path) restartNode(n int) {
 	p.held[n], p.outcomes[n], p.barred[n], p.epochs[n] = nil, map[attemptID]int{}, map[attemptID]bool{}, 0
 	p.nodeIncarnation[n]++
@@ -235,9 +240,9 @@
 	}
 }
 
-// nextDeadline is when something is due at a shard.
+// nextDeadline returns the earliest time after now at which a shard has a round to run.
 func (p *path) nextDeadline() float64 {
-	next := start + 1e6
+	next := startTime + 1e6
 	for s := range shards {
 		if at := p.engines[s].NextRound(); at > p.now {
 			next = min(next, at)
@@ -246,29 +251,30 @@
 	return next
 }
 
+// advance moves the time forward, runs a round of each shard, and checks that no request is unanswered at its deadline.
 func (p *path) advance(to float64) {
 	p.now = to
 	for s := range shards {
 		p.runRound(s)
 	}
 	for ref := 1; ref <= p.requests; ref++ {
-		if p.answerCount[ref] == 0 && p.now >= p.expiries[ref] {
-			p.fail("ask %d got no answer by its expiry", ref)
+		if p.answerCount[ref] == 0 && p.now >= p.deadlines[ref] {
+			p.fail("request %d was not answered by its deadline", ref)
 		}
 	}
 }
 
-// Result is what the exploration came to.
+// Result is the result of an exploration.
 type Result struct {
 	States, Steps, Paths int
 	Deepest              int
-	Truncated            int // paths that went on beyond the depth
-	Failure              string
-	Path                 []string // to it
+	Truncated            int      // paths with further steps beyond the maximum depth
+	Failure              string   // the first violation, empty if there was none
+	Path                 []string // steps that lead to the failure
 }
 
-// Explore goes through all paths, the shorter first, until so many states were seen or something broke.
-func (w Model) Explore(most int) (r Result) {
+// Explore explores all paths, shorter ones first, until maxStates states were seen or a path fails.
+func (w Model) Explore(maxStates int) (r Result) {
 	seen := map[uint64]bool{}
 	level := [][]int{nil}
 	for depth := 0; len(level) > 0 && depth <= w.Depth; depth++ {
@@ -281,13 +287,13 @@
 				r.Failure, r.Path = p.failure, names
 				return r
 			}
-			mark := p.fingerprint()
-			if seen[mark] {
+			hash := p.fingerprint()
+			if seen[hash] {
 				continue
 			}
-			seen[mark] = true
+			seen[hash] = true
 			r.States, r.Deepest = len(seen), depth
-			if len(seen) >= most {
+			if len(seen) >= maxStates {
 				return r
 			}
 			n := len(p.nextSteps())
@@ -304,7 +310,7 @@
 	return r
 }
 
-// replay plays a path from the beginning.
+// replay plays a path, given by the indices of its steps, from the initial state, and returns the names of the steps.
 func (w Model) replay(path []int) (p *path, names []string) {
 	p = w.start()
 	for _, i := range path {
--- a/internal/lab/modelcheck/explore_test.go
+++ b/internal/lab/modelcheck/explore_test.go
@@ -6,33 +6,33 @@
 	"testing"
 )
 
-// TestExplore goes through all that can become of an allocation of each effect, as far as the size of the test allows.
+// TestExplore explores an allocation of each job class, up to 3000 states, without a violation.
 func TestExplore(t *testing.T) {
-	for job, name := range []string{"restartable", "tokened, zone", "tokened, all", "run-once"} {
+	for job, name := range []string{"restartable", "idempotent, zone", "idempotent, all", "at most once"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := Model{Job: job, Faults: 2, Depth: 14}.Explore(3000)
 			if r.Failure != "" {
-				t.Errorf("%s\n%s", r.Failure, strings.Join(r.Path, "\n"))
+				t.Errorf("got failure %q, want none; path:\n%s", r.Failure, strings.Join(r.Path, "\n"))
 			}
 			if r.States < 3000 {
-				t.Errorf("%+v", r)
+				t.Errorf("got %+v, want at least 3000 states", r)
 			}
 			t.Logf("%d states, %d paths, depth %d", r.States, r.Paths, r.Deepest)
 		})
 	}
 }
 
-// TestPlanted plants faults, each of which must be found.
-func TestPlanted(t *testing.T) {
+// TestInjectedFaults injects faults, each of which has to be found.
+func TestInjectedFaults(t *testing.T) {
 	for plant, job := range map[Fault]int{StaleEpochs: 3, MovesSentAttempts: 0, DeclinesUnknown: 3} {
 		t.Run(fmt.Sprint(plant), func(t *testing.T) {
 			t.Parallel()
 			r := Model{Job: job, Faults: 2, Depth: 14, Fault: plant}.Explore(20000)
 			if r.Failure == "" {
-				t.Errorf("not found in %d states, %d deep", r.States, r.Deepest)
+				t.Errorf("got no failure in %d states up to depth %d, want one", r.States, r.Deepest)
 			}
-			t.Logf("after %d states, %d steps deep: %s", r.States, len(r.Path), r.Failure)
+			t.Logf("found after %d states, on a path of %d steps: %s", r.States, len(r.Path), r.Failure)
 		})
 	}
 }
--- a/internal/lab/modelcheck/model.go
+++ b/internal/lab/modelcheck/model.go
@@ -1,6 +1,6 @@
-// Package modelcheck explores exhaustively what can become of one allocation: two shards on the engine's own code and the
-// ledger, two nodes, and every order of what may happen to them, a few faults included. It plays each path anew from
-// the beginning; states that look alike are gone on from once.
+// Package modelcheck explores exhaustively what can happen to one allocation, with two shards that run the real engine and the real router with
+// its ownership table, two nodes, and every order of events, including a few faults. It replays each path from the initial state, and continues
+// only once from states with the same fingerprint.
 package modelcheck
 
 import (
@@ -18,19 +18,19 @@
 	"ravenpond/logic"
 )
 
-// Model is what is explored.
+// Model is the configuration of an exploration.
 type Model struct {
-	Job    int    // the allocation's job type, a place in Jobs
-	Faults int    // on one path at most
-	Kinds  string // of faults: b connections break, f shards are fenced, h they give, n nodes restart, w owners withdraw; "": all
-	Depth  int    // steps on one path at most
-	Fault  Fault
+	Job    int    // the allocation's job class, an index into Jobs
+	Faults int    // maximum number on one path
+	Kinds  string // of faults: b connections break, f shards are fenced, h shards hand over, n nodes restart, w clients withdraw; "": all
+	Depth  int    // maximum number of steps on one path
+	Fault  Fault  // that is injected
 }
 
-// Fault is a fault that must be found.
+// Fault is an injected fault, which the exploration has to find.
 type Fault string
 
-// Faults that can be planted.
+// Faults that can be injected.
 const (
 	None              Fault = ""
 	StaleEpochs       Fault = "the ledger gives leave to any epoch"
@@ -38,7 +38,7 @@
 	DeclinesUnknown   Fault = "a fence declines what may have run"
 )
 
-// Jobs are the job types by their effect.
+// Jobs are the job classes that can be explored, one for each semantics and scope.
 var Jobs = []logic.JobClass{
 	{Semantics: logic.Restartable, LatencyObjective: 300, PriorityWeight: 1, NodeKind: -1},
 	{Semantics: logic.Idempotent, IdempotencyScope: logic.ScopeZone, IdempotencyWindow: 900, LatencyObjective: 300, PriorityWeight: 1, NodeKind: -1},
@@ -47,16 +47,16 @@
 }
 
 const (
-	shards   = 2
-	nodes    = 2
-	expiry   = 900.0
-	margin   = 100.0
-	start    = 1000.0
-	clientID = 1
-	token    = 77
+	shards       = 2
+	nodes        = 2
+	expiry       = 900.0  // time from a request to its deadline, in ms
+	answerMargin = 100.0  // ms before the deadline at which an answer is sent
+	startTime    = 1000.0 // ms
+	clientID     = 1
+	token        = 77
 )
 
-// service is one that belongs to shard 1, which can leave.
+// service is a service that belongs to shard 1, because only shard 1 can hand over.
 var service = func() uint64 {
 	for s := uint64(1); ; s++ {
 		if shardplacement.New(shardplacement.ByService, []float64{1, 1}).TargetOf(s, 0) == 1 {
@@ -67,18 +67,18 @@
 
 var allocation = shardownership.ID{Tenant: 0, Token: token}
 
-// message is a line on its way between a shard and a node.
+// message is a message in transit between a shard and a node.
 type message struct {
-	kind     byte // o offer, r recall, s stop, c claim; S started, E settled, C claimed
+	kind     byte // to a node: o offer, r recall, s stop, c claim; to a shard: S started, E outcome, C answer to a claim
 	ticket   uint64
 	attempt  uint8
 	epoch    uint32
 	deadline float64
 	request  int
-	outcome  int // outcome: 0 refused, 1 ended, 2 unknown; of a claim: 3 waits, 4 runs
+	outcome  int // 0 rejected, 1 ended, 2 unknown; in the answer to a claim also 3 held but not started, 4 running
 }
 
-// attempt is a try at a node.
+// attempt is an attempt that a node holds.
 type attempt struct {
 	ticket   uint64
 	number   uint8
@@ -93,7 +93,7 @@
 	try    uint8
 }
 
-// path is one path through the world.
+// path is the state at the end of one path through the model.
 type path struct {
 	model           Model
 	now             float64
@@ -105,34 +105,34 @@
 	toNode          [shards][nodes][]message
 	toShard         [shards][nodes][]message
 	held            [nodes][]attempt
-	outcomes        [nodes]map[attemptID]int // outcomes that a node remembers
-	barred          [nodes]map[attemptID]bool
-	epochs          [nodes]uint32
+	outcomes        [nodes]map[attemptID]int  // outcomes that a node remembers, as in messages
+	barred          [nodes]map[attemptID]bool // attempts that a node rejects when their offer arrives
+	epochs          [nodes]uint32             // highest epoch of the offers that a node accepted
 	nodeIncarnation [nodes]uint64
-	pendingRound    [shards]bool     // it was told something and has not gone on since
-	fencedEngines   []*engine.Engine // fenced ones that stood still and go on later
-	faults          int
+	pendingRound    [shards]bool     // the shard received an event and has not run a round since
+	fencedEngines   []*engine.Engine // fenced engines, which may run rounds later as if they had stalled
+	faults          int              // so far
 
 	requests    int
-	answers     [8]string // by ref
+	answers     [8]string // by number of the request
 	answerCount [8]int
-	expiries    [8]float64
-	ended       int
-	starts      int
+	deadlines   [8]float64
+	ended       int // ends of tasks that clients were notified of
+	starts      int // of tasks at nodes
 	failure     string
 }
 
 func (p *path) fail(format string, args ...any) {
 	if p.failure == "" {
-		p.failure = fmt.Sprintf("at %.0f ms: ", p.now-start) + fmt.Sprintf(format, args...)
+		p.failure = fmt.Sprintf("at %.0f ms: ", p.now-startTime) + fmt.Sprintf(format, args...)
 	}
 }
 
-// start makes the world: both shards connected to both nodes, nothing asked yet.
+// start returns the initial state: both shards are connected to both nodes, and nothing has been requested.
 func (w Model) start() *path {
-	p := &path{model: w, now: start}
-	p.router = shardrouter.New(start, shardrouter.Config{
-		JobClasses: Jobs, Shards: shards, MaxShards: shards, MaxOpen: 10, AnswerMargin: margin, RoundInterval: 1, FirstEpoch: 1,
+	p := &path{model: w, now: startTime}
+	p.router = shardrouter.New(startTime, shardrouter.Config{
+		JobClasses: Jobs, Shards: shards, MaxShards: shards, MaxOpen: 10, AnswerMargin: answerMargin, RoundInterval: 1, FirstEpoch: 1,
 		FaultAnyEpoch: w.Fault == StaleEpochs,
 	})
 	for n := range nodes {
@@ -144,7 +144,7 @@
 	return p
 }
 
-// startShard begins a life of a shard.
+// startShard starts the next incarnation of a shard.
 func (p *path) startShard(s int) {
 	p.lastIncarnation++
 	p.incarnation[s] = p.lastIncarnation
@@ -154,7 +154,7 @@
 		SlowStartDuration: 10, SlowStartWindow: 10, MeanCores: 1, MeanMemory: 1, JobClasses: Jobs,
 	}
 	p.engines[s] = engine.New(effects{p, s, p.incarnation[s]}, p.now, engine.Config{
-		Cluster: cl, Shares: []float64{1}, MaxOpen: 10, AnswerMargin: margin,
+		Cluster: cl, Shares: []float64{1}, MaxOpen: 10, AnswerMargin: answerMargin,
 		SettleTime: 300, Incarnation: p.lastIncarnation, Seed: uint64(p.lastIncarnation),
 	})
 	e := p.engines[s]
@@ -169,13 +169,13 @@
 	p.runRound(s)
 }
 
-// connect makes a connection: the node tells what it holds for the shard's scheduler.
+// connect connects a shard to a node. The node reports the attempts that it holds for the shard.
 func (p *path) connect(s, n int) {
 	p.connected[s][n], p.toNode[s][n], p.toShard[s][n] = true, nil, nil
 	e := p.engines[s]
 	e.OnConnected(p.now, uint32(n+1), p.nodeIncarnation[n], 0)
 	for _, t := range p.held[n] {
-		if t.shard != s { // the other shard's connection carries it, unless that shard's life is over
+		if t.shard != s { // the other shard handles it, unless the incarnation that sent it has ended
 			if uint32(t.ticket>>32) == p.incarnation[t.shard] {
 				continue
 			}
@@ -188,12 +188,13 @@
 	e.OnHeldAll(p.now, uint32(n+1))
 }
 
+// runRound runs a round of a shard's engine.
 func (p *path) runRound(s int) {
 	p.pendingRound[s] = false
 	p.engines[s].Round(p.now)
 }
 
-// effects carries a shard's effects out.
+// effects carries out the effects of one incarnation of a shard. It implements engine.Effects.
 type effects struct {
 	path        *path
 	shard       int
@@ -202,7 +203,8 @@
 
 func (d effects) isFenced() bool { return d.path.incarnation[d.shard] != d.incarnation }
 
-// send sends a line. A fenced shard's tries are held back by the ledger alone, as in the program.
+// send sends a message to a node. As in the real scheduler, only the router's permits stop the offers of a fenced shard; its other messages
+// are dropped.
 func (d effects) send(nd uint32, m message) {
 	if n := int(nd) - 1; d.path.connected[d.shard][n] && (!d.isFenced() || m.kind == 'o') {
 		d.path.toNode[d.shard][n] = append(d.path.toNode[d.shard][n], m)
@@ -213,16 +215,16 @@
 func (d effects) Disconnect(uint32, string) {}
 func (d effects) Offer(nd uint32, o engine.Offer) {
 	p, id := d.path, o.Attempt
-	for n := range nodes { // never two tries out: one that is held, on its way, or told of by a word on its way
+	for n := range nodes { // no other attempt may be open: neither held by a node nor on its way to one
 		for _, t := range p.held[n] {
 			if t.request == p.requests && p.now < t.deadline {
-				p.fail("try %x.%d sent while %x.%d is held by node %d", id.Ticket, id.Number, t.ticket, t.number, n+1)
+				p.fail("attempt %x.%d was sent while %x.%d was held by node %d", id.Ticket, id.Number, t.ticket, t.number, n+1)
 			}
 		}
 		for s := range shards {
 			for _, m := range p.toNode[s][n] {
 				if m.kind == 'o' && m.request == p.requests && p.now < m.deadline {
-					p.fail("try %x.%d sent while %x.%d is on its way", id.Ticket, id.Number, m.ticket, m.attempt)
+					p.fail("attempt %x.%d was sent while %x.%d was on its way", id.Ticket, id.Number, m.ticket, m.attempt)
 				}
 			}
 		}
@@ -246,7 +248,7 @@
 func (d effects) ReloadList()          {}
 func (d effects) Log(string)           {}
 
-// engineRequest is the request for the allocation as an engine takes it.
+// engineRequest returns the request for the allocation in the form that an engine accepts.
 func (p *path) engineRequest(number uint64, timeLeft float64, epoch uint32) engine.Request {
 	return engine.Request{
 		ID:       engine.RequestID{Client: clientID, Number: number},
@@ -256,7 +258,7 @@
 	}
 }
 
-// claim is the shard's claim to act for the allocation.
+// claim returns the shard's claim to own the allocation.
 func (d effects) claim(task engine.OwnedTask) shardownership.Claim {
 	return shardownership.Claim{ID: allocation, Shard: d.shard, Epoch: task.Epoch}
 }
@@ -295,7 +297,7 @@
 
 func (d effects) ExpireRequest(engine.RequestID) {
 	if !d.isFenced() {
-		d.path.fail("an ask lapsed though nothing stood still")
+		d.path.fail("a request expired unanswered although its shard had not stalled")
 	}
 }
 
@@ -311,29 +313,29 @@
 	}
 }
 
-// onAnswer takes the final answer to an ask.
+// onAnswer handles the final answer to a request.
 func (p *path) onAnswer(ref uint64, a engine.AnswerKind) {
 	p.answerCount[ref]++
 	p.answers[ref] = a.String()
 	switch {
 	case p.answerCount[ref] > 1:
-		p.fail("ask %d answered twice", ref)
-	case p.now > p.expiries[ref]:
-		p.fail("ask %d answered after its expiry", ref)
+		p.fail("request %d was answered twice", ref)
+	case p.now > p.deadlines[ref]:
+		p.fail("request %d was answered after its deadline", ref)
 	case a == engine.Declined && p.starts > 0 && Jobs[p.model.Job].Semantics == logic.AtMostOnce && ref == 1 && p.ended == 0:
-		p.fail("run-once ask declined though it ran")
+		p.fail("at-most-once request was declined although its task had started")
 	}
 }
 
-// fence ends a shard's life as the server does, and begins the next.
+// fence fences a shard as the server does, and starts its next incarnation.
 func (p *path) fence(s int) {
-	fates := p.router.Fence(p.now, s)
+	decisions := p.router.Fence(p.now, s)
 	p.fencedEngines = append(p.fencedEngines, p.engines[s])
 	p.incarnation[s], p.pendingRound[s] = 0, false
-	for n := range nodes { // shared connections: they stand, what is on its way to nodes still arrives
+	for n := range nodes { // connections are shared and stay open: messages in transit to nodes still arrive
 		p.toShard[s][n] = nil
 	}
-	for _, f := range fates {
+	for _, f := range decisions {
 		a := f.Entry.Request
 		if p.model.Fault == MovesSentAttempts && f.Disposition != shardownership.Reassign && f.Disposition != shardownership.Continue {
 			if d := p.router.Route(p.now, shardrouter.Arrival{ID: allocation, Request: a}, neverBehind); !d.IsRejected() {
@@ -361,7 +363,7 @@
 	}
 }
 
-// handOver gives the allocation from one shard to the other, as when it leaves.
+// handOver hands the allocation over from one shard to the other, as when the shard is removed.
 func (p *path) handOver(s int) {
 	to, e := 1-s, p.engines[s]
 	parts := e.CountByService(nil, true, func(uint64, int) bool { return true })
@@ -371,7 +373,7 @@
 	}
 	var all []engine.Transfer
 	e.TransferOut(p.now, service, true, func(g engine.Transfer) { all = append(all, g) })
-	_, _ = p.router.Resize(p.now, 1) // it is to leave, and called back after
+	_, _ = p.router.Resize(p.now, 1) // removes shard 1, which is added again at the end
 	defer func() { _, _ = p.router.Resize(p.now, shards) }()
 	var items []shardrouter.HandoverItem
 	for _, g := range all {
@@ -383,7 +385,7 @@
 	for i, f := range p.router.HandOver(p.now, s, items) {
 		g := all[i]
 		if f.Disposition != shardownership.Reassign {
-			p.fail("the desk does not let go what the engine gave: %+v", f)
+			p.fail("the router did not reassign an allocation that the engine handed over: %+v", f)
 			return
 		}
 		to, g.Epoch = f.Shard, f.Epoch
@@ -392,31 +394,31 @@
 			continue
 		}
 		if !p.engines[to].TransferIn(p.now, g) {
-			p.fail("what runs was not taken over")
+			p.fail("the new shard did not accept the running task")
 		}
 		n := int(g.Node) - 1
-		for i := range p.held[n] { // its words go to the other shard from now on
+		for i := range p.held[n] { // the node's messages about it go to the new shard from now on
 			if t := &p.held[n][i]; t.ticket == g.Attempt.Ticket && t.number == g.Attempt.Number {
 				t.shard = to
 			}
 		}
-		rest := p.toShard[s][n][:0]
+		remaining := p.toShard[s][n][:0]
 		for _, m := range p.toShard[s][n] {
 			if m.ticket == g.Attempt.Ticket && m.attempt == g.Attempt.Number {
 				p.toShard[to][n] = append(p.toShard[to][n], m)
 			} else {
-				rest = append(rest, m)
+				remaining = append(remaining, m)
 			}
 		}
-		p.toShard[s][n] = rest
+		p.toShard[s][n] = remaining
 	}
 	p.pendingRound[to] = true
 }
 
-// neverBehind tells of a shard that it is not behind.
+// neverBehind reports that no shard is behind with its work.
 func neverBehind(int) (stuck float64, ahead int) { return 0, 0 }
 
-// fingerprint is what the state looks like.
+// fingerprint returns a hash of the state.
 func (p *path) fingerprint() uint64 {
 	b := make([]byte, 0, 512)
 	for s := range shards {
