--- a/internal/lab/platformsim/abandoned.go
+++ b/internal/lab/platformsim/abandoned.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	abandonGrace    = 100 // ms after a request was abandoned in which attempts may still begin
-	maxLateAttempts = 2   // that may begin later under overload: a scheduler that is overloaded reads late
+	abandonGrace    = 100 // ms after a request is abandoned during which attempts may still begin
+	maxLateAttempts = 2   // attempts that may begin later under overload, because an overloaded scheduler reads late
 )
 
-// observedEnvironment is a scheduler's environment in which each attempt is observed as it is sent.
+// observedEnvironment wraps a scheduler's environment and observes each attempt when it is sent.
 type observedEnvironment struct {
 	env.Environment
 	sim *simulation
@@ -28,6 +28,7 @@
 	})
 }
 
+// observedConn is a connection on which each attempt is observed when it is sent.
 type observedConn struct {
 	env.Conn
 	sim     *simulation
@@ -46,8 +47,9 @@
 	})
 }
 
-// onAttempt checks that an attempt does not begin long after its request was abandoned. It notes when the attempt was sent: where links are cut,
-// the rules on drains and on slow starts count from then. Under overload no link is cut, and sending takes time, so that the arrival counts.
+// onAttempt checks that an attempt does not begin long after its request was abandoned. Where links may be cut it also records when the attempt
+// was sent, because the rules on drains and slow starts then refer to that time. Under overload no link is cut and sending takes time, so these
+// rules refer to the arrival.
 func (sm *simulation) onAttempt(id uint64, address string) {
 	t := sm.tasks[id]
 	if t == nil {
@@ -67,5 +69,5 @@
 	if sm.lateAttempts++; sm.overload != nil && sm.lateAttempts <= maxLateAttempts {
 		return
 	}
-	sm.fail(fmt.Sprintf("gone: an attempt for ask %d began %.0f ms after its owner had left it", id, now-t.abandonedAt))
+	sm.fail(fmt.Sprintf("gone: an attempt for request %d began %.0f ms after its client had abandoned it", id, now-t.abandonedAt))
 }
--- a/internal/lab/platformsim/client.go
+++ b/internal/lab/platformsim/client.go
@@ -12,55 +12,55 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// Times of clients in ms.
+// Times of clients, in ms.
 const (
 	clientDialTimeout = 500
-	restoreDelay      = 50 // after a connection to a restarted scheduler
-	answerAllowance   = 50 // beyond the time-out of a request, for its way
-	crossingTime      = 50 // before the end of a connection without open requests: what is sent then is sent once more
-	resendDelay       = 5  // until it is
-	connPollInterval  = 5  // between two looks whether a connection is open
+	restoreDelay      = 50 // after the connection to a restarted scheduler is made
+	answerAllowance   = 50 // beyond the time-out of a request, for its transfer
+	crossingTime      = 50 // before a connection without open requests is closed: a request sent within it may cross the close and is resent
+	resendDelay       = 5  // until such a request is resent
+	connPollInterval  = 5  // between two checks whether a connection is open
 	minPause          = 20 // between two requests
 	pauseRange        = 60
-	maxDisconnectWait = 60  // after a request until its client disconnects
-	maxWithdrawWait   = 200 // after a request until it is withdrawn
+	maxDisconnectWait = 60  // after a request, until its client disconnects
+	maxWithdrawWait   = 200 // after a request, until it is withdrawn
 )
 
-// One in how many requests makes the client disconnect, or is withdrawn.
+// On average, one in this many requests makes the client disconnect or is withdrawn.
 const (
 	disconnectingRequests = 60
 	withdrawnRequests     = 20
 )
 
-// task is an allocation as its client knows it.
+// task is an allocation as its client sees it.
 type task struct {
 	id, key     uint64
 	job         int
 	service     uint64
 	scheduler   *scheduler
-	conn        *peerConn // on which it was requested
-	node        *node     // where it runs, as far as the client was notified
+	conn        *peerConn // the connection on which it was requested
+	node        *node     // where it runs, according to the last notification to the client
 	running     bool
 	deadline    float64            // true time in ms
 	requestedAt float64            // true time in ms
-	attempts    uint8              // that reached nodes
-	late        bool               // its scheduler was told to end a while before, and rejects what comes
+	attempts    uint8              // attempts that reached nodes
+	late        bool               // it was requested so long after its scheduler was stopped that the scheduler may reject it
 	attempted   bool               // its scheduler has sent an attempt
-	sentAt      map[string]float64 // when its scheduler last sent an attempt, by the node's address; true time in ms
-	abandonedAt float64            // when its client disconnected or withdrew, 0: it has not; true time in ms
+	sentAt      map[string]float64 // when its scheduler last sent an attempt, by node address; true time in ms
+	abandonedAt float64            // when its client disconnected or withdrew it, 0 if it did not; true time in ms
 }
 
-// client requests tasks of one scheduler.
+// client requests tasks from one scheduler.
 type client struct {
 	sim       *simulation
 	scheduler *scheduler
 	process   host
-	conn      *peerConn        // the newest
-	older     []*peerConn      // other connections that clients still use
-	pending   map[uint64]*task // that were not answered
+	conn      *peerConn        // the newest connection
+	older     []*peerConn      // other connections that are still used
+	pending   map[uint64]*task // requests that were not answered, by id
 }
 
-// start connects to an incarnation of the scheduler, and then requests the tasks that run.
+// start connects to the scheduler's current incarnation and then requests the running tasks again.
 func (c *client) start() {
 	c.pending, c.older = map[uint64]*task{}, nil
 	incarnation := c.scheduler.incarnation
@@ -73,7 +73,7 @@
 	})
 }
 
-// dial makes a connection, which later requests use, and calls then once it is made.
+// dial opens a connection for later requests, and calls then once it is open.
 func (c *client) dial(then func()) {
 	pc := &peerConn{onMessage: c.onMessage}
 	c.watchConn(pc)
@@ -92,8 +92,8 @@
 	})
 }
 
-// watchConn notes until when a connection was open. A rig on a busy machine reads the end of a connection late; a request is late by what is
-// known of the end, not by when it was read.
+// watchConn records until when a connection was open. On a busy machine the simulation reads the close of a connection late; how long a request
+// went unanswered is measured to the time at which the connection was last known to be open, not to the time at which the close was read.
 func (c *client) watchConn(pc *peerConn) {
 	if pc.closed {
 		return
@@ -104,8 +104,8 @@
 	c.process.After(connPollInterval, func() { c.watchConn(pc) })
 }
 
-// onClose abandons what was requested on a connection, and makes another. A scheduler must not close one with open requests. A request that
-// crosses such a close has not been read, and is sent once more.
+// onClose abandons the requests that are open on a connection, and opens another connection. A scheduler must not close a connection with open
+// requests. A request that crosses the close was not read by the scheduler, and is resent.
 func (c *client) onClose(pc *peerConn, incarnation int, err error) {
 	s := c.scheduler
 	c.older = slices.DeleteFunc(c.older, func(other *peerConn) bool { return other == pc })
@@ -120,7 +120,7 @@
 			continue
 		}
 		if unanswered := pc.openUntil - t.requestedAt; t.attempted || unanswered > crossingTime {
-			c.sim.fail(fmt.Sprintf("rule 1: %s ended a connection on which ask %d had no answer for %.0f ms", s.name, id, unanswered))
+			c.sim.fail(fmt.Sprintf("rule 1: %s closed a connection on which request %d had not been answered for %.0f ms", s.name, id, unanswered))
 		} else {
 			c.sim.resend(t)
 		}
@@ -130,11 +130,12 @@
 	}
 }
 
-// markDisconnected notes that the scheduler was killed.
+// markDisconnected marks the connections closed because the scheduler was killed.
 func (c *client) markDisconnected() { c.conn, c.older = &peerConn{closed: true}, nil }
 
-// disconnect closes the connection with all that is open on it; another is made. Not under overload: an end of this network reads nothing
-// once it is closed, while the scheduler reads the close late, so what it sends until then would be lost without its fault.
+// disconnect closes the newest connection with all requests that are open on it; the client then opens another. It is not used under overload:
+// on the simulated network a closed end reads nothing more, and an overloaded scheduler reads the close late, so messages that it sends until then
+// would be lost through no fault of its own.
 func (c *client) disconnect() {
 	pc := c.conn
 	if pc == nil || pc.conn == nil || pc.closed || c.scheduler.stoppedAt != 0 {
@@ -148,7 +149,7 @@
 	pc.conn.Close(true, nil)
 }
 
-// restoreTasks requests the tasks again that the scheduler's last incarnation started and that run.
+// restoreTasks requests the tasks again that the scheduler's last incarnation started and that still run.
 func (c *client) restoreTasks() {
 	for _, id := range sortedIDs(c.sim.tasks) {
 		t := c.sim.tasks[id]
@@ -160,7 +161,7 @@
 	}
 }
 
-// setUp is the request for a task, with the time that its client waits in ms; suffix is added to its demand.
+// setUp encodes the request for a task. timeLeft is how long its client waits, in ms; suffix is appended to the demand.
 func (t *task) setUp(timeLeft float64, suffix string) []byte {
 	return message(codec.KindSetUp, t.id,
 		param{codec.ParamJobClass, jobNames[t.job]}, param{codec.ParamTimeLeft, int(timeLeft)}, param{codec.ParamTenant, "acme"},
@@ -168,7 +169,7 @@
 		param{codec.ParamDemand, fmt.Sprintf("cores:1;memory:2;service:%016x%s", t.service, suffix)}, param{codec.ParamDescription, "owner's"})
 }
 
-// sortedIDs returns the ids of tasks in order.
+// sortedIDs returns the ids of tasks in ascending order.
 func sortedIDs(tasks map[uint64]*task) []uint64 {
 	var ids []uint64
 	for id := range tasks {
@@ -178,7 +179,7 @@
 	return ids
 }
 
-// sendNext has a client request a task, and schedules the next.
+// sendNext makes a client request a task, and schedules the next request.
 func (sm *simulation) sendNext() {
 	if sm.clock.TrueTime() > activeTime {
 		return
@@ -196,10 +197,10 @@
 	}
 }
 
-// mayRequest reports whether the client has a connection. Clients use those that are open until their scheduler closes them or is killed.
+// mayRequest reports whether the client has an open connection. Clients use a connection until the scheduler closes it or is killed.
 func (c *client) mayRequest() bool { return c.scheduler.server != nil && c.openConn() != nil }
 
-// openConn returns a connection for the next request, nil if none is open.
+// openConn returns a connection for the next request, or nil if none is open.
 func (c *client) openConn() *peerConn {
 	open := slices.DeleteFunc(append(slices.Clone(c.older), c.conn), func(pc *peerConn) bool {
 		return pc == nil || !pc.isOpen() || pc.conn.PeerClosed()
@@ -213,7 +214,7 @@
 	return open[c.sim.rng.IntN(len(open))]
 }
 
-// request requests a task. Now and then the client disconnects or withdraws it soon after.
+// request requests a task. For some requests the client disconnects or withdraws the request soon after.
 func (c *client) request() {
 	sm := c.sim
 	sm.lastTask++
@@ -230,7 +231,7 @@
 	}
 }
 
-// send sends a request on an open connection.
+// send sends the request for a task on an open connection.
 func (c *client) send(t *task) {
 	sm := c.sim
 	t.scheduler, t.conn, t.requestedAt = c.scheduler, c.openConn(), sm.clock.TrueTime()
@@ -248,8 +249,8 @@
 	t.conn.send(t.setUp(t.deadline-t.requestedAt, ""))
 }
 
-// resend sends a request once more that crossed the end of its connection, on another connection and where new ones are accepted. Its first
-// number is used up.
+// resend sends a request again that crossed the close of its connection, on another connection, to a scheduler that accepts new requests. It gets
+// a new id, because the first one is used up.
 func (sm *simulation) resend(t *task) {
 	sm.after(resendDelay, func() {
 		for _, s := range sm.schedulers {
@@ -263,7 +264,7 @@
 	})
 }
 
-// withdraw withdraws a request that was not answered.
+// withdraw withdraws a request that has not been answered.
 func (c *client) withdraw(t *task) {
 	if c.pending[t.id] != t {
 		return
@@ -271,10 +272,10 @@
 	delete(c.pending, t.id)
 	t.abandonedAt = c.sim.clock.TrueTime()
 	c.sim.record(audit.Record{Kind: audit.RequestAbandoned, Scheduler: c.scheduler.name, RequestRef: t.id})
-	t.conn.send(codec.AppendEnd(nil, t.id, codec.CauseNormal)) // an open request belongs to its connection
+	t.conn.send(codec.AppendEnd(nil, t.id, codec.CauseNormal)) // a request is withdrawn on the connection on which it was sent
 }
 
-// onMessage takes a message of the scheduler.
+// onMessage handles a message from the scheduler.
 func (c *client) onMessage(msg []byte) {
 	t := c.sim.tasks[codec.Task(msg)]
 	if t == nil {
@@ -292,7 +293,7 @@
 	}
 }
 
-// onAnswer takes the answer that a task runs; its description says where, in the node's own words.
+// onAnswer handles the answer that a task runs. The task's description, which the node wrote, says where.
 func (c *client) onAnswer(t *task, msg []byte) {
 	sm := c.sim
 	description, _ := codec.Param(msg, codec.ParamDescription)
@@ -303,7 +304,7 @@
 		}
 	}
 	if t.node == nil || string(description) != t.node.describe(t.id) {
-		sm.fail(fmt.Sprintf("task %x: description %q is no node's", t.id, description))
+		sm.fail(fmt.Sprintf("task %x: description %q is not the one that its node sent", t.id, description))
 	}
 	if !t.late {
 		sm.result.Served++
@@ -312,7 +313,7 @@
 	c.recordAnswer(t, audit.AnswerServed)
 }
 
-// onEnd takes the end of a running task, or the answer to a request that was not served.
+// onEnd handles the end of a running task, or the answer to a request that was not served.
 func (c *client) onEnd(t *task, msg []byte) {
 	cause, _ := codec.CauseOf(msg)
 	switch {
--- a/internal/lab/platformsim/earlyend.go
+++ b/internal/lab/platformsim/earlyend.go
@@ -6,18 +6,18 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// Times of tasks that end before they are answered, in ms.
+// Times of tasks that end before their answer is sent, in ms.
 const (
-	lateAnswerLimit = 3000 // after the end in which the answer follows
-	unsentEndLimit  = 8000 // in which a client is notified of an end that its node could not send
+	lateAnswerLimit = 3000 // after the end, within which the answer follows
+	unsentEndLimit  = 8000 // within which a client is notified of an end that the node could not send
 	noteInterval    = 200
 	firstNoteAt     = 50
 	minEarlyRuntime = 100
 	earlyRange      = 600
 )
 
-// answerAfterEnd has a task run for a short while, with notes but no answer, and end; its answer follows late. The client has to be
-// notified of the end in time.
+// answerAfterEnd lets a task run for a short time, during which its node sends notes but no answer, and then ends it; the answer follows late. The
+// client has to be notified of the end in time.
 func (n *node) answerAfterEnd(t *task, att *attempt) {
 	sm, pc := n.sim, att.conn
 	endsIn := minEarlyRuntime + earlyRange*sm.rng.Float64()
@@ -45,12 +45,12 @@
 	})
 }
 
-// expectUnansweredEnd checks that a client is notified in time of a task that ran and ended before it was answered: a second after its node
-// sent the end, or unsentEndLimit after the end if the link was cut. The answer of a second attempt that runs does not count.
+// expectUnansweredEnd checks that a client is notified in time that a task ran and ended before its answer: within a second after the node sent
+// the end, or within unsentEndLimit if the link was cut. The answer of a second attempt that runs is not a violation.
 func (sm *simulation) expectUnansweredEnd(t *task, n *node, pc *peerConn) {
 	s, incarnation := t.scheduler, t.scheduler.incarnation
 	if s.client.pending[t.id] != t || pc.closed || s.server == nil {
-		return // it was withdrawn, or answered for another attempt
+		return // the request was withdrawn, or answered for another attempt
 	}
 	limit := float64(endNoticeLimit + overloadSlack)
 	if sm.clock.IsCut(s.name, n.hostName()) {
@@ -60,7 +60,7 @@
 		connected := s.incarnation == incarnation && s.server != nil && !pc.closed && t.conn == s.client.conn && !t.conn.closed
 		unaware := s.client.pending[t.id] == t || t.running && t.node != n
 		if connected && unaware {
-			sm.fail(fmt.Sprintf("rule 1: task %x was over at %s before its answer, and %s did not tell its owner within %.0f ms", t.id, n.name, s.name, limit))
+			sm.fail(fmt.Sprintf("rule 1: task %x ended at %s before its answer, and %s did not notify its client within %.0f ms", t.id, n.name, s.name, limit))
 		}
 	})
 }
--- a/internal/lab/platformsim/faults.go
+++ b/internal/lab/platformsim/faults.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Times of faults in ms.
+// Times of faults, in ms.
 const (
 	faultsFrom      = 500
 	faultSpan       = activeTime - 2500 // from faultsFrom on
@@ -16,23 +16,23 @@
 	drainTimeRange  = 2000
 	minGoneTime     = 300
 	goneTimeRange   = 1000
-	maxCrashNotice  = 300  // after a crash until the list has it
-	silenceRecovery = 1500 // after a journal service's silence until its scheduler has read all
+	maxCrashNotice  = 300  // after a crash, until the node list shows it
+	silenceRecovery = 1500 // after a journal service was silent, until its scheduler has read all events
 	restoreRetry    = 300
 )
 
-// minReadyNodes is how many nodes are ready before one may be drained or crash.
+// minReadyNodes is how many nodes have to be ready for one of them to be drained or to crash.
 const minReadyNodes = 3
 
-// faultTarget is what a drawn fault hits, and for how many ms.
+// faultTarget is where and for how long a fault is injected.
 type faultTarget struct {
 	sim       *simulation
 	scheduler *scheduler
 	node      *node
-	duration  float64
+	duration  float64 // ms
 }
 
-// faultKinds are drawn from.
+// faultKinds are the faults that drawFaults chooses from.
 var faultKinds = []func(faultTarget){
 	func(t faultTarget) { t.scheduler.kill(t.duration) },
 	func(t faultTarget) { t.scheduler.stop() },
@@ -59,7 +59,7 @@
 	func(t faultTarget) { t.fault(nodeFaults{lateAnswerRate: 5}) },
 }
 
-// fault adds faults to the node, until the fault's time is over.
+// fault injects faults into the node, and clears all faults of the node once the target's duration is over.
 func (t faultTarget) fault(f nodeFaults) {
 	n := t.node
 	n.errorRate, n.answerLossRate = max(n.errorRate, f.errorRate), max(n.answerLossRate, f.answerLossRate)
@@ -67,8 +67,8 @@
 	t.sim.after(t.duration, n.clearFaults)
 }
 
-// drawFaults draws what goes wrong and when. In every other seed schedulers are restarted one after the other while the list changes; in
-// some a crowd comes.
+// drawFaults draws the faults and their times. In half of the seeds the schedulers are restarted one after the other while the node list changes;
+// some seeds have a flash crowd.
 func (sm *simulation) drawFaults() {
 	if _, simulated := sm.clock.(*simWorld); !simulated || sm.rng.IntN(crowdSeeds) == 0 {
 		sm.drawCrowd()
@@ -84,6 +84,7 @@
 	}
 }
 
+// drawRollingRestart schedules a stop of each scheduler in turn, with drained nodes and a configuration reload in the meantime.
 func (sm *simulation) drawRollingRestart() {
 	from := 1000 + 3000*sm.rng.Float64()
 	for i, s := range sm.schedulers {
@@ -101,11 +102,11 @@
 	return sm.schedulers[sm.rng.IntN(len(sm.schedulers))]
 }
 
-// clearFaults ends all faults of the node.
+// clearFaults clears all injected faults of the node.
 func (n *node) clearFaults() { n.nodeFaults = nodeFaults{} }
 
-// drain takes a node out of service: it drains, ends with what it holds, and is gone. Then it comes back cold, or another node does at its
-// address.
+// drain takes a node out of service: it drains, and then its process ends with all tasks that it still has. Later it starts again cold, or another
+// node starts at its address.
 func (sm *simulation) drain(n *node) {
 	if n.status != statusReady || sm.readyNodes() < minReadyNodes {
 		return
@@ -123,7 +124,7 @@
 	})
 }
 
-// crash ends a node at once; the list has it a little later. It comes back after a while.
+// crash ends a node at once; the node list shows it up to maxCrashNotice later. The node starts again after downtime, in ms.
 func (sm *simulation) crash(n *node, downtime float64) {
 	if n.status != statusReady || sm.readyNodes() < minReadyNodes {
 		return
@@ -134,7 +135,7 @@
 	sm.after(maxCrashNotice+downtime, func() { sm.restoreNode(n) })
 }
 
-// restoreNode starts a node again once every scheduler can have been notified that it was gone: one that was not may go on sending to it.
+// restoreNode starts a node again once every scheduler can have been notified that it was gone: a scheduler that was not may still send to it.
 func (sm *simulation) restoreNode(n *node) {
 	for _, s := range sm.schedulers {
 		if sm.clock.TrueTime() < s.journal.silentUntil+silenceRecovery && s.journal.silentUntil > 0 {
--- a/internal/lab/platformsim/faulty_env_test.go
+++ b/internal/lab/platformsim/faulty_env_test.go
@@ -7,7 +7,7 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// lateCloseEnv has clients' closes read 1.5 s late, and answers whether they have closed, or does not.
+// lateCloseEnv reports the closes of clients' connections 1.5 s late. PeerClosed reports them at once if answersPeerClosed is set, else never.
 type lateCloseEnv struct {
 	env.Environment
 	answersPeerClosed bool
@@ -43,31 +43,31 @@
 	l.env.After(1500, func() { l.ConnHandler.OnClose(err) })
 }
 
-// forgetfulEnv drops notes of nodes, and has every end of a task that was not answered look like a reset without a reason.
-type forgetfulEnv struct{ env.Environment }
+// noteDroppingEnv drops the notes of nodes, and turns each end of a task that was not answered into a reset without a reason.
+type noteDroppingEnv struct{ env.Environment }
 
-func (f forgetfulEnv) Dial(address string, within float64, done func(env.Conn, error)) {
+func (f noteDroppingEnv) Dial(address string, within float64, done func(env.Conn, error)) {
 	f.Environment.Dial(address, within, func(c env.Conn, err error) {
-		if err == nil && !strings.HasPrefix(address, "journal") { // which speaks another protocol
-			c = &forgetfulConn{Conn: c}
+		if err == nil && !strings.HasPrefix(address, "journal") { // the journal service uses another protocol
+			c = &noteDroppingConn{Conn: c}
 		}
 		done(c, err)
 	})
 }
 
-type forgetfulConn struct{ env.Conn }
+type noteDroppingConn struct{ env.Conn }
 
-func (c *forgetfulConn) Start(p env.ConnHandler, stuck float64) {
-	c.Conn.Start(&forgetfulHandler{ConnHandler: p, answered: map[uint64]bool{}}, stuck)
+func (c *noteDroppingConn) Start(p env.ConnHandler, stuck float64) {
+	c.Conn.Start(&noteDroppingHandler{ConnHandler: p, answered: map[uint64]bool{}}, stuck)
 }
 
-type forgetfulHandler struct {
+type noteDroppingHandler struct {
 	env.ConnHandler
 	in       []byte
 	answered map[uint64]bool
 }
 
-func (p *forgetfulHandler) OnData(b []byte) {
+func (p *noteDroppingHandler) OnData(b []byte) {
 	if b == nil {
 		p.ConnHandler.OnData(nil)
 		return
@@ -75,19 +75,19 @@
 	p.in = append(p.in, b...)
 	var out []byte
 	for {
-		msg, took, err := codec.Next(p.in)
-		if err != nil || took == 0 {
+		msg, size, err := codec.Next(p.in)
+		if err != nil || size == 0 {
 			break
 		}
-		out = append(out, p.filter(msg, p.in[:took])...)
-		p.in = p.in[took:]
+		out = append(out, p.filter(msg, p.in[:size])...)
+		p.in = p.in[size:]
 	}
 	if len(out) > 0 {
 		p.ConnHandler.OnData(out)
 	}
 }
 
-func (p *forgetfulHandler) filter(msg, whole []byte) []byte {
+func (p *noteDroppingHandler) filter(msg, whole []byte) []byte {
 	task := codec.Task(msg)
 	switch cause, _ := codec.CauseOf(msg); codec.Kind(msg) {
 	case codec.KindAnswer:
@@ -102,7 +102,7 @@
 	return whole
 }
 
-// firstJournalEnv dials the first address of the journal service whatever address is asked for.
+// firstJournalEnv dials the first address of the journal service whenever any address of it is dialed.
 type firstJournalEnv struct {
 	env.Environment
 	journal string
@@ -118,7 +118,7 @@
 	o.Environment.Dial(address, within, done)
 }
 
-// slowWriterEnv has connections hand over what is sent 200 ms later.
+// slowWriterEnv delays each message on dialed connections by 200 ms.
 type slowWriterEnv struct{ env.Environment }
 
 func (s slowWriterEnv) Dial(address string, within float64, done func(env.Conn, error)) {
@@ -145,7 +145,7 @@
 
 func (b *slowWriterConn) Unsend(uint64, int) bool { return false }
 
-// closingEnv closes a client's connection at every thirtieth message, whatever is open on it.
+// closingEnv closes a client's connection at every thirtieth message, even with requests open on it.
 type closingEnv struct{ env.Environment }
 
 func (c closingEnv) Listen(address string, accept func(env.Conn)) (env.Listener, error) {
@@ -164,7 +164,7 @@
 	return s.Conn.Send(f)
 }
 
-// lossyEnv loses every hundredth message to clients.
+// lossyEnv drops every hundredth message to clients.
 type lossyEnv struct{ env.Environment }
 
 func (l lossyEnv) Listen(address string, accept func(env.Conn)) (env.Listener, error) {
--- a/internal/lab/platformsim/journal.go
+++ b/internal/lab/platformsim/journal.go
@@ -8,24 +8,24 @@
 	"ravenpond/internal/env"
 )
 
-// Times of the journal service in ms.
+// Times of the journal service, in ms.
 const (
-	positionInterval    = 1000 // between two messages of the position
+	positionInterval    = 1000 // between two position messages
 	journalWriteTimeout = 5000
-	noticeLimit         = 4000 // after its silence began by which a scheduler counts as notified
+	noticeLimit         = 4000 // after the service fell silent, by which its scheduler counts as notified
 )
 
-// repeatedEvents is one in how many events names its node twice.
+// repeatedEvents is the number of events of which, on average, one names its node twice.
 const repeatedEvents = 8
 
-// listChange is a change of the node list.
+// listChange is a change to one node in the node list.
 type listChange struct {
 	name, address, zone, status string
 	cell                        int
-	since                       float64 // Unix ms at which the node started, 0: long ago
+	since                       float64 // Unix ms at which the node started, 0 if long ago
 }
 
-// journal is the journal service of one scheduler. Its events count from the start of the scheduler's incarnation.
+// journal is the journal service of one scheduler. Its events are numbered from the start of the scheduler's incarnation.
 type journal struct {
 	sim         *simulation
 	process     host
@@ -37,7 +37,7 @@
 	closed      bool
 }
 
-// newJournal starts a journal service with one event: the list as it is, nodes that drain or are gone included.
+// newJournal starts a journal service with one event: the current node list, with the nodes that are draining or gone.
 func newJournal(sm *simulation, address string) *journal {
 	j := &journal{sim: sm, address: address}
 	var current []listChange
@@ -55,6 +55,7 @@
 	return j
 }
 
+// open starts the service at its address, with position messages at regular intervals.
 func (j *journal) open() {
 	j.process = j.sim.clock.NewHost(j.address)
 	if _, err := j.process.Listen(j.address, func(c env.Conn) {
@@ -67,14 +68,14 @@
 	env.Every(j.process, positionInterval, func() bool { j.send(fmt.Sprintf(`{"pos":%d}`, len(j.events))); return !j.closed })
 }
 
-// moveTo starts the same journal at another address.
+// moveTo starts a service with the same events at another address.
 func (j *journal) moveTo(address string) *journal {
 	moved := &journal{sim: j.sim, address: address, events: j.events}
 	moved.open()
 	return moved
 }
 
-// silence has the service send nothing for so many ms.
+// silence makes the service send nothing for ms milliseconds.
 func (j *journal) silence(ms float64) {
 	j.silentSince = j.sim.clock.TrueTime()
 	j.silentUntil = max(j.silentUntil, j.silentSince+ms)
@@ -82,12 +83,12 @@
 
 func (j *journal) close() { j.closed = true; j.process.Kill(false) }
 
-// snapshot is all events in the form of a scheduler's initial events.
+// snapshot encodes all events as a scheduler's initial events.
 func (j *journal) snapshot() []byte {
 	return fmt.Appendf(nil, `{"pos":%d,"entries":[%s]}`, len(j.events), strings.Join(j.events, ","))
 }
 
-// add adds an event with changes, or with the full list, and sends it.
+// add appends an event to the journal and sends it. The changes are the whole node list if full is set.
 func (j *journal) add(full bool, changes ...listChange) {
 	var entries []string
 	for _, c := range changes {
@@ -101,6 +102,7 @@
 	j.send(event)
 }
 
+// send sends a line to all subscribers, unless the service is silent.
 func (j *journal) send(line string) {
 	for _, sub := range j.subscribers {
 		if !sub.closed && j.sim.clock.TrueTime() >= j.silentUntil {
@@ -120,7 +122,7 @@
 	s.conn.Send(func(b []byte) []byte { return append(append(b, line...), '\n') })
 }
 
-// OnData takes the subscription, and sends all events from a position on.
+// OnData handles the request for a subscription, and sends all events from the requested position on.
 func (s *subscriber) OnData(b []byte) {
 	var from int
 	if n, _ := fmt.Sscanf(string(b), "tail %d", &from); n != 1 || s.journal.sim.clock.TrueTime() < s.journal.silentUntil {
@@ -134,7 +136,7 @@
 // OnClose ends the subscription.
 func (s *subscriber) OnClose(error) { s.closed = true }
 
-// announce has all journal services send a node's status. A scheduler counts as notified at once, but for one whose service is silent.
+// announce makes all journal services send a node's status. A scheduler counts as notified at once unless its journal service is silent.
 func (sm *simulation) announce(n *node) {
 	change := listChange{n.name, n.address, n.zone, n.status, n.cell, n.startedAt}
 	sm.listChanges = append(sm.listChanges, change)
@@ -149,9 +151,9 @@
 	}
 }
 
-// recordNotice records when a scheduler counts as notified of a node's status, unless there is a later one by then.
+// recordNotice records when a scheduler counts as notified of a node's status, unless a later status is announced by then.
 func (sm *simulation) recordNotice(s *scheduler, n *node) {
-	if n.status == statusReady { // it may be ready for a scheduler at once
+	if n.status == statusReady { // a scheduler may use a node that is ready at once
 		sm.record(audit.Record{Kind: audit.EndpointDelivered, Scheduler: s.name, Node: n.id, Detail: n.status})
 		return
 	}
--- a/internal/lab/platformsim/node.go
+++ b/internal/lab/platformsim/node.go
@@ -18,20 +18,20 @@
 	statusGone     = "gone"
 )
 
-// Sizes of nodes.
+// Sizes and limits of nodes.
 const (
 	nodeCores     = 32
 	nodeMemory    = 48
-	taskMemory    = 2 // a task takes 1 core
+	taskMemory    = 2 // per task, which also takes 1 core
 	maxTasks      = 28
 	cellCount     = 3
-	maxUnsentEnds = 64 // that are sent on the next connection
-	rateBase      = 10 // of which the rates of faults are parts
+	maxUnsentEnds = 64 // ends that are sent on the next connection
+	rateBase      = 10 // fault rates are per this many attempts
 )
 
-// Times of nodes in ms.
+// Times of nodes, in ms.
 const (
-	arrivalDelay   = 1 // in which a withdrawal overtakes a request that waited on its way
+	arrivalDelay   = 1 // from a request's arrival until the node takes it; a withdrawal that arrives with the request comes first
 	minStartTime   = 5
 	startTimeRange = 40
 	minTaskRuntime = 200
@@ -40,7 +40,7 @@
 
 var zoneNames = []string{"east", "west"}
 
-// node is a node of the platform.
+// node is a simulated node.
 type node struct {
 	sim           *simulation
 	id            uint32
@@ -48,25 +48,25 @@
 	zone          string
 	cell          int
 	status        string
-	startedAt     float64 // Unix ms, 0: long ago
+	startedAt     float64 // Unix ms, 0 if long ago
 	process       host
 	conns         []*peerConn
 	tasks         map[uint64]*attempt
-	arriving      map[uint64]*peerConn // requests that were read a moment ago
+	arriving      map[uint64]*peerConn // requests that were read less than arrivalDelay ago, by task
 	unsentEnds    []uint64
-	announcements int       // of its status
-	coldSince     float64   // true time in ms at which it started cold, 0: it did not
-	arrivals      []float64 // of attempts in the last slow-start window
+	announcements int       // announcements of its status so far
+	coldSince     float64   // true time in ms at which it started cold, 0 if it did not
+	arrivals      []float64 // true times in ms of the attempts in the last slow-start window
 	nodeFaults
 }
 
-// nodeFaults are injected into a node; the rates are parts of rateBase.
+// nodeFaults are the faults injected into a node. The rates are per rateBase attempts.
 type nodeFaults struct {
-	errorRate      int // of attempts that fail with an error
-	answerLossRate int // of attempts whose answer is lost
-	rejectRate     int // of attempts that are rejected
-	lateAnswerRate int // of attempts whose end is sent before their answer
-	hung           bool
+	errorRate      int  // attempts that fail with an error
+	answerLossRate int  // attempts whose answer is lost
+	rejectRate     int  // attempts that are rejected
+	lateAnswerRate int  // attempts whose end is sent before their answer
+	hung           bool // the node starts no tasks and answers no tests
 }
 
 // attempt is a placement attempt at a node.
@@ -75,25 +75,25 @@
 	conn       *peerConn
 	receivedAt float64 // true time in ms
 	running    bool
-	answered   bool   // that it runs
-	sentUpTo   uint64 // bytes sent on the connection, the answer included
+	answered   bool   // the node has answered that it runs
+	sentUpTo   uint64 // bytes sent on the connection up to the end of the answer
 	number     uint8
 }
 
-// describe is what the node says of a task that it runs; schedulers have to hand it on as it is.
+// describe returns the node's description of a task that it runs. Schedulers have to pass it on unchanged.
 func (n *node) describe(id uint64) string { return fmt.Sprintf("%s holds %x\x00\xff", n.name, id) }
 
-// hostName is the name of the node's host.
+// hostName returns the name of the node's host.
 func (n *node) hostName() string { return "p-" + n.name }
 
-// addNode starts a node. One that is not cold belongs to the initial list.
+// addNode adds and starts a node. A node that is not cold is in the initial list; a cold one is announced.
 func (sm *simulation) addNode(name, address string, cold bool) {
 	n := &node{
 		sim: sm, id: uint32(len(sm.nodes) + 1), name: name, address: address, cell: len(sm.nodes) % cellCount,
 		zone: zoneNames[len(sm.nodes)%len(zoneNames)], status: statusReady,
 	}
 	if cold {
-		n.startedAt = math.Ceil(sm.unixTime()) // the list has whole ms, and a node is no warmer than it says
+		n.startedAt = math.Ceil(sm.unixTime()) // rounded up: the list has whole ms, and a node must not be announced as warmer than it is
 	}
 	n.process = sm.clock.NewHost(n.hostName())
 	sm.nodes = append(sm.nodes, n)
@@ -106,12 +106,12 @@
 	}
 }
 
-// unixTime is the true time in Unix ms.
+// unixTime returns the true time in Unix ms.
 func (sm *simulation) unixTime() float64 {
 	return sm.clock.UnixTime()
 }
 
-// start starts an incarnation of the node, without tasks and faults.
+// start starts an incarnation of the node, without tasks and without injected faults.
 func (n *node) start(cold bool) {
 	n.tasks, n.arriving, n.conns, n.unsentEnds = map[uint64]*attempt{}, map[uint64]*peerConn{}, nil, nil
 	n.clearFaults()
@@ -126,7 +126,7 @@
 	}
 }
 
-// crash ends the node with all that it holds.
+// crash ends the node and all its tasks.
 func (n *node) crash(powerLoss bool) {
 	n.process.Kill(powerLoss)
 	for id, att := range n.tasks {
@@ -135,6 +135,7 @@
 	n.tasks = map[uint64]*attempt{}
 }
 
+// accept starts a scheduler's connection and sends the unsent ends of tasks on it.
 func (n *node) accept(c env.Conn) {
 	pc := &peerConn{conn: c}
 	pc.onMessage = func(msg []byte) { n.onMessage(pc, msg) }
@@ -148,8 +149,8 @@
 	}
 }
 
-// onClose gives up the attempts of a connection whose answers have not reached the scheduler, those that were read a moment ago included; one
-// that runs goes on all the same.
+// onClose drops the connection's requests that the node has not taken yet, and concludes the attempts whose answers have not reached the
+// scheduler. Attempts that run are concluded too, but keep running.
 func (n *node) onClose(pc *peerConn) {
 	n.conns = slices.DeleteFunc(n.conns, func(other *peerConn) bool { return other == pc })
 	maps.DeleteFunc(n.arriving, func(_ uint64, from *peerConn) bool { return from == pc })
@@ -164,15 +165,16 @@
 	}
 }
 
+// conclude records the outcome of an attempt.
 func (n *node) conclude(id uint64, att *attempt, outcome string) {
 	n.sim.record(audit.Record{Kind: audit.AttemptConcluded, Scheduler: att.scheduler, Node: n.id, Ticket: id, Attempt: att.number, Detail: outcome})
 }
 
-// onMessage takes a message of a scheduler.
+// onMessage handles a message from a scheduler.
 func (n *node) onMessage(pc *peerConn, msg []byte) {
 	id := codec.Task(msg)
 	switch codec.Kind(msg) {
-	case codec.KindSetUp: // one that was withdrawn on its way, as behind a cut, arrives with its end
+	case codec.KindSetUp: // a request that a cut link delayed may arrive together with its withdrawal
 		n.arriving[id] = pc
 		n.process.After(arrivalDelay, func() {
 			if n.arriving[id] == pc {
@@ -189,7 +191,7 @@
 	}
 }
 
-// onEnd ends a task for its scheduler.
+// onEnd ends a task at its scheduler's request.
 func (n *node) onEnd(pc *peerConn, id uint64) {
 	delete(n.arriving, id)
 	att := n.tasks[id]
@@ -203,17 +205,17 @@
 	}
 }
 
-// report is the load report: free cores and memory.
+// report returns the load report: free cores and free memory.
 func (n *node) report() string {
 	return fmt.Sprintf("x0:%d;x1:%d", nodeCores-len(n.tasks), nodeMemory-taskMemory*len(n.tasks))
 }
 
-// onPlacement takes an attempt, or rejects it.
+// onPlacement accepts or rejects an attempt.
 func (n *node) onPlacement(pc *peerConn, id uint64, msg []byte) {
 	sm := n.sim
 	t := sm.tasks[id]
 	if t == nil {
-		sm.fail(fmt.Sprintf("a set-up %x that no owner sent", id))
+		sm.fail(fmt.Sprintf("a request for task %x arrived that no client sent", id))
 		return
 	}
 	timeLeft, _ := codec.Number(msg, codec.ParamTimeLeft)
@@ -250,8 +252,8 @@
 	})
 }
 
-// countArrival checks what arrives at a node that warms up, also what waited on a link that was cut: not more than its limit and what may come
-// together by chance.
+// countArrival checks that a node in slow start gets no more attempts per window than its limit and an allowance for random clustering. Attempts
+// that a cut link delayed count too.
 func (n *node) countArrival(now float64) {
 	if n.coldSince == 0 || now > n.coldSince+slowStartDuration {
 		return
@@ -263,7 +265,7 @@
 	}
 }
 
-// runTask starts a task and answers, but for the node's faults.
+// runTask starts a task and sends the answer, unless an injected fault prevents it.
 func (n *node) runTask(t *task, att *attempt) {
 	sm := n.sim
 	sm.record(audit.Record{Kind: audit.TaskStarted, Scheduler: att.scheduler, Node: n.id, Ticket: t.id, Attempt: att.number})
@@ -286,7 +288,7 @@
 	att.sentUpTo = att.conn.send(codec.AppendAnswer(nil, t.id, []byte(n.describe(t.id))))
 }
 
-// sendEnd sends the end of a task on all connections, and on the next that is made: other schedulers know of no such task.
+// sendEnd sends the end of a task on all connections and on the next new one. Schedulers that do not know the task ignore it.
 func (n *node) sendEnd(id uint64, cause byte, reason string) {
 	params := []param{{codec.ParamCause, string(cause)}, {codec.ParamReport, n.report()}}
 	if reason != "" {
--- a/internal/lab/platformsim/overload.go
+++ b/internal/lab/platformsim/overload.go
@@ -2,25 +2,26 @@
 
 import "fmt"
 
-// taskCost is what a scheduler spends on an allocation, in ms of a core.
+// taskCost is the time of a core that a scheduler spends on an allocation, in ms.
 const taskCost = 0.3
 
-// endNoticeLimit is the time in which a client has to be notified that its task has ended, ms.
+// endNoticeLimit is the time within which a client has to be notified that its task has ended, in ms.
 const endNoticeLimit = 1000
 
-// nodeFaultTime is how long faults of nodes last under overload, ms.
+// nodeFaultTime is how long faults of nodes last under overload, in ms.
 const nodeFaultTime = 2000
 
-// overload gives one scheduler far more than it can do: all others are killed, their clients' requests go to it, and there are more of
-// them. Its code takes time, and no link is cut, so what it does late is its own fault.
+// overload gives one scheduler far more requests than it can handle: all others are killed, and all requests go to it, at a higher rate
+// than usual. Its code takes simulated time and no link is cut, so whatever is late is late because of the scheduler.
 type overload struct {
 	sim      *simulation
-	share    float64 // of a core that each scheduler has
+	share    float64 // the share of a core that each scheduler has
 	from, to float64 // true time in ms
-	factor   float64 // how many times what it can do is requested
+	factor   float64 // request rate as a multiple of the rate that it can handle
 	survivor *scheduler
 }
 
+// drawOverload draws the strength and the time of an overload.
 func (sm *simulation) drawOverload() *overload {
 	o := &overload{sim: sm, share: 0.015 + 0.015*sm.rng.Float64(), factor: 5 + 5*sm.rng.Float64()}
 	o.from = 3000 + 1000*sm.rng.Float64()
@@ -28,7 +29,7 @@
 	return o
 }
 
-// plan schedules that all schedulers but one are killed as the overload begins, and that nodes fail, drain and end meanwhile.
+// plan schedules that all schedulers but one are killed when the overload begins, and that nodes fail, drain or crash during it.
 func (o *overload) plan() {
 	sm := o.sim
 	o.survivor = sm.anyScheduler()
@@ -50,7 +51,7 @@
 	}
 }
 
-// nextRequest returns in how many ms the next request is sent, and to whom.
+// nextRequest returns the pause until the next request, in ms, and the scheduler that gets it.
 func (o *overload) nextRequest() (float64, *scheduler) {
 	sm, now := o.sim, o.sim.clock.TrueTime()
 	if now < o.from || now > o.to {
@@ -59,7 +60,7 @@
 	return 2 * sm.rng.Float64() * taskCost / o.share / o.factor, o.survivor
 }
 
-// expectEnd checks, under overload, that a client is notified in time of an end that a node has sent to its scheduler on a connection.
+// expectEnd checks, under overload, that a client is notified in time of the end of a task that the node has sent to its scheduler.
 func (sm *simulation) expectEnd(t *task, n *node, pc *peerConn) {
 	if sm.overload == nil || pc.closed || !t.running {
 		return
@@ -67,7 +68,7 @@
 	s, incarnation := t.scheduler, t.scheduler.incarnation
 	sm.after(endNoticeLimit+overloadSlack, func() {
 		if t.running && t.node == n && s.incarnation == incarnation && s.server != nil && !s.client.conn.closed && !pc.closed {
-			sm.fail(fmt.Sprintf("rule 1: task %x was over at %s, and %s did not tell its owner within a second, %.0f ms behind", t.id, n.name, s.name,
+			sm.fail(fmt.Sprintf("rule 1: task %x ended at %s, and %s did not notify its client within a second, being %.0f ms behind", t.id, n.name, s.name,
 				s.server.Backlog()))
 		}
 	})
--- a/internal/lab/platformsim/peerconn.go
+++ b/internal/lab/platformsim/peerconn.go
@@ -9,20 +9,20 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// peerWriteTimeout ends a connection to a scheduler that reads nothing for so long, ms.
+// peerWriteTimeout is the time without reads by the scheduler after which a connection is closed, in ms.
 const peerWriteTimeout = 3000
 
 // peerConn is a client's or a node's end of a connection to a scheduler. It implements env.ConnHandler.
 type peerConn struct {
 	conn      env.Conn // nil until the connection is made
-	buffered  []byte
+	buffered  []byte   // received, without a complete message
 	onMessage func(msg []byte)
-	onClose   func(err error) // nil: nothing
+	onClose   func(err error) // may be nil
 	closed    bool
-	openUntil float64 // true time in ms until which the scheduler had not closed it, as far as that is known
+	openUntil float64 // true time in ms at which the scheduler was last known not to have closed it
 }
 
-// OnData hands on each complete message.
+// OnData passes each complete message to onMessage.
 func (pc *peerConn) OnData(b []byte) {
 	pc.buffered = append(pc.buffered, b...)
 	for !pc.closed {
@@ -44,7 +44,7 @@
 	}
 }
 
-// onDialed returns what takes the result of a dial: it starts the connection and sends first messages.
+// onDialed returns the callback of a dial, which starts the connection and sends first on it.
 func (pc *peerConn) onDialed(first []byte) func(env.Conn, error) {
 	return func(conn env.Conn, err error) {
 		if err != nil {
@@ -57,10 +57,10 @@
 	}
 }
 
-// isOpen returns whether the connection is made and was not closed.
+// isOpen returns whether the connection is established and has not been closed.
 func (pc *peerConn) isOpen() bool { return pc.conn != nil && !pc.closed }
 
-// send sends a message, if there is a connection, and returns how many bytes were sent on it so far.
+// send sends a message if the connection is open, and returns how many bytes have been sent on it so far.
 func (pc *peerConn) send(msg []byte) (sent uint64) {
 	if pc.isOpen() {
 		sent, _, _ = pc.conn.Send(func(b []byte) []byte { return append(b, msg...) })
@@ -68,7 +68,7 @@
 	return sent
 }
 
-// delivered returns how many bytes the scheduler has read.
+// delivered returns how many bytes the scheduler has read, or 0 if that is unknown.
 func (pc *peerConn) delivered() uint64 {
 	if c, ok := pc.conn.(interface{ Delivered() uint64 }); ok {
 		return c.Delivered()
@@ -76,7 +76,7 @@
 	return 0
 }
 
-// reset breaks the connection; see sim for what both means.
+// reset breaks the connection. On the simulated network the scheduler notices at once if both is set, else when it sends.
 func (pc *peerConn) reset(both bool) {
 	if c, ok := pc.conn.(interface{ Reset(bool) }); ok && !pc.closed {
 		c.Reset(both)
--- a/internal/lab/platformsim/restarts.go
+++ b/internal/lab/platformsim/restarts.go
@@ -7,26 +7,26 @@
 	codec "ravenpond/internal/proto/platform"
 )
 
-// Times of signals and crowds in ms.
+// Times of signals and flash crowds, in ms.
 const (
-	minUptime        = 1000 // of a scheduler before it is told to read its configuration
+	minUptime        = 1000 // of a scheduler before it may be signalled to reload its configuration
 	maxSignalPause   = 400  // between two signals of a series
-	maxTimeoutDelay  = 1200 // after a node hangs, in which attempts at it time out
+	maxTimeoutDelay  = 1200 // after a node hangs, within which attempts at it time out
 	minCrowdTime     = 1000
 	crowdTimeRange   = 2000
-	crowdRestartTime = 300 // of the nodes that start as a crowd comes
+	crowdRestartTime = 300 // downtime of the nodes that restart when a crowd arrives
 )
 
-// Sizes of crowds.
+// Sizes of flash crowds and evictions.
 const (
-	crowdSeeds      = 4 // one in how many seeds has a crowd
-	minCrowdClients = 2 // more connections to each scheduler
+	crowdSeeds      = 4 // on average, one in this many seeds has a crowd
+	minCrowdClients = 2 // additional connections to each scheduler
 	maxCrowdClients = 5
-	crowdColdNodes  = 3 // one in how many nodes starts cold as a crowd comes
-	evictedTasks    = 2 // one in how many tasks is evicted from a node that evicts
+	crowdColdNodes  = 3 // on average, one in this many nodes restarts cold when a crowd arrives
+	evictedTasks    = 2 // on average, one in this many tasks is evicted from a node that evicts tasks
 )
 
-// processSignal is what a process is sent.
+// processSignal is a signal to a scheduler process.
 type processSignal uint8
 
 const (
@@ -34,7 +34,7 @@
 	stopSignal                        // SIGTERM
 )
 
-// signalSeries are signals that follow each other, at once or after a pause.
+// signalSeries are the series of signals that sendSignals chooses from.
 var signalSeries = [][]processSignal{
 	{reloadSignal, stopSignal},
 	{stopSignal, reloadSignal},
@@ -43,16 +43,16 @@
 	{reloadSignal, stopSignal, reloadSignal, stopSignal},
 }
 
-// signalOccasions are what happens in the instant of the first signal of a series.
+// signalOccasions are the events that may coincide with the first signal of a series.
 var signalOccasions = []func(faultTarget){
 	func(faultTarget) {},
 	func(t faultTarget) { t.sim.drain(t.node) },
 	func(t faultTarget) { t.scheduler.journal.silence(t.duration) },
 	func(t faultTarget) { t.node.evictTasks() },
-	func(t faultTarget) { t.scheduler.client.evictConn() },
+	func(t faultTarget) { t.scheduler.client.sendMalformedMessage() },
 }
 
-// sendSignals sends the scheduler a series of signals, in the instant of another event.
+// sendSignals sends the scheduler a series of signals, either at once or with pauses, together with another event.
 func (t faultTarget) sendSignals() {
 	rng := t.sim.rng
 	series := signalSeries[rng.IntN(len(signalSeries))]
@@ -66,13 +66,13 @@
 	}
 }
 
-// sendSignalsAtTimeout sends the scheduler a series of signals about when its attempts at a node time out.
+// sendSignalsAtTimeout sends the scheduler a series of signals around the time at which its attempts at a hung node time out.
 func (t faultTarget) sendSignalsAtTimeout() {
 	t.fault(nodeFaults{hung: true})
 	t.sim.after(maxTimeoutDelay*t.sim.rng.Float64(), t.sendSignals)
 }
 
-// signal sends the process a signal.
+// signal sends a signal to the process. A reload within minUptime after the start is skipped.
 func (s *scheduler) signal(kind processSignal) {
 	switch {
 	case kind == stopSignal:
@@ -82,7 +82,7 @@
 	}
 }
 
-// evictTasks has a node end some of the tasks that it runs, for want of memory.
+// evictTasks makes a node evict some of the tasks that it runs, as for lack of memory.
 func (n *node) evictTasks() {
 	for _, id := range slices.Sorted(maps.Keys(n.tasks)) {
 		att := n.tasks[id]
@@ -95,14 +95,14 @@
 	}
 }
 
-// evictConn opens a connection and sends what the scheduler can't read, so that it closes the connection.
-func (c *client) evictConn() {
-	stranger := &peerConn{onMessage: func([]byte) {}}
-	c.process.Dial(c.scheduler.address(), clientDialTimeout, stranger.onDialed([]byte{0, 9, 0xff, 0, 0, 0, 0, 0, 0, 0, 0}))
+// sendMalformedMessage opens a connection and sends a message that the scheduler can't parse, so that it closes the connection.
+func (c *client) sendMalformedMessage() {
+	pc := &peerConn{onMessage: func([]byte) {}}
+	c.process.Dial(c.scheduler.address(), clientDialTimeout, pc.onDialed([]byte{0, 9, 0xff, 0, 0, 0, 0, 0, 0, 0, 0}))
 }
 
-// drawCrowd has a crowd of clients come: they connect to each scheduler, send several times as many requests, and some nodes are started anew
-// and cold at that moment.
+// drawCrowd schedules a flash crowd: clients open several more connections to each scheduler, requests come at several times the usual rate for a
+// while, and some nodes are restarted cold when it begins.
 func (sm *simulation) drawCrowd() {
 	sm.result.Crowded = true
 	sm.crowdFactor = minCrowdClients + sm.rng.IntN(maxCrowdClients-minCrowdClients+1)
@@ -126,7 +126,7 @@
 	sm.clock.At(sm.crowdFrom+minCrowdTime*sm.rng.Float64(), target.sendSignals)
 }
 
-// isCrowded returns whether a crowd sends requests now.
+// isCrowded returns whether a flash crowd sends requests now.
 func (sm *simulation) isCrowded() bool {
 	now := sm.clock.TrueTime()
 	return now >= sm.crowdFrom && now < sm.crowdTo
--- a/internal/lab/platformsim/scheduler.go
+++ b/internal/lab/platformsim/scheduler.go
@@ -9,17 +9,18 @@
 	"ravenpond/internal/settings"
 )
 
-// Times of schedulers in ms.
+// Times of schedulers, in ms.
 const (
 	endPollInterval   = 20  // between two checks whether a process has ended
-	endRestartDelay   = 200 // until a process that ended is started again
-	reconnectWindow   = 400 // after a scheduler is stopped in which clients still make connections
-	earlyRequestTime  = 600 // after a scheduler is stopped in which it still takes requests, by the platform's page
+	endRestartDelay   = 200 // after a process ended, until it is started again
+	reconnectWindow   = 400 // after a scheduler is stopped, during which clients still open connections
+	earlyRequestTime  = 600 // after a scheduler is stopped, during which it still accepts requests, as the platform documents
 	killAfterStop     = requestTimeout + 700
-	lateRequestTime   = 700 // after a scheduler is stopped: a later request that has no answer at the kill is lost
-	maxInitialSilence = 2000
+	lateRequestTime   = 700  // after a scheduler is stopped; a request sent later that is unanswered at the kill counts as lost
+	maxInitialSilence = 2000 // of the journal service after a restart of its scheduler
 )
 
+// settingsText is the format of a scheduler's settings; its arguments are the number of schedulers, the scheduler's index and the report mode.
 const settingsText = `{"instances": %d, "self-index": %d, "discovery": "push", "step-ns": 2000000, "kinds": ["std"], "zones": ["east", "west"],
  "projects": [{"name": "acme", "portion": 1}],
  "policy-limits": {"cancel": true, "max-attempts": 4, "probes": true, "conn-idle-ns": 4000000000, "connect-timeout-ns": 500000000, "open-cap": 500},
@@ -33,7 +34,7 @@
   {"name": "marked", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "guarded", "worth": 2, "group": "zone", "window-ns": 1500000000},
   {"name": "single", "aim-ns": 700000000, "deadline-ns": 2500000000, "effect": "single_shot", "worth": 3, "group": "all"}]}`
 
-// forbiddenLogs are in log lines of what must never happen.
+// forbiddenLogs are parts of log lines that report what must never happen.
 var forbiddenLogs = [][]byte{[]byte("switched off"), []byte("module: fenced"), []byte("refused to offer")}
 
 // scheduler is a scheduler process, with its journal service and its client.
@@ -41,14 +42,15 @@
 	sim         *simulation
 	name        string
 	settings    string
-	server      program // nil while the process is dead
+	server      program // nil while the process is not running
 	journal     *journal
 	client      *client
 	incarnation int
 	startedAt   float64 // true time in ms
-	stoppedAt   float64 // when it was told to stop, 0: it was not; true time in ms
+	stoppedAt   float64 // when it was told to stop, 0 if it was not; true time in ms
 }
 
+// addScheduler adds and starts scheduler index of count, with its client.
 func (sm *simulation) addScheduler(index, count int) {
 	s := &scheduler{sim: sm, name: fmt.Sprint("s", index), settings: fmt.Sprintf(settingsText, count, index, sm.reportMode)}
 	if w, ok := sm.clock.(*simWorld); ok {
@@ -59,17 +61,17 @@
 	s.start()
 }
 
-// Write takes the scheduler's log; it never fails.
+// Write checks a line of the scheduler's log. It never returns an error.
 func (s *scheduler) Write(line []byte) (int, error) {
 	for _, forbidden := range forbiddenLogs {
 		if bytes.Contains(line, forbidden) {
-			s.sim.fail(s.name + " says: " + string(line))
+			s.sim.fail(s.name + " logged: " + string(line))
 		}
 	}
 	return len(line), nil
 }
 
-// start starts the next incarnation, with all events of its journal service.
+// start starts the next incarnation, with a new journal service whose events are its initial events.
 func (s *scheduler) start() {
 	sm := s.sim
 	s.incarnation++
@@ -97,10 +99,10 @@
 	})
 }
 
-// address is where clients connect.
+// address returns the address at which clients connect.
 func (s *scheduler) address() string { return s.sim.clock.Address(s.name) }
 
-// watchEnd waits until the server ends by itself, checks that it has answered all, and starts it again.
+// watchEnd polls until the process ends by itself, and then calls onEnded once all that it sent has arrived.
 func (s *scheduler) watchEnd() {
 	incarnation, done := s.incarnation, s.server.Done()
 	var poll func()
@@ -118,17 +120,18 @@
 	s.sim.after(endPollInterval, poll)
 }
 
-// onEnded checks that a server that ended by itself has answered all.
+// onEnded checks that a process that ended by itself has answered all requests, and schedules its restart.
 func (s *scheduler) onEnded(incarnation int) {
 	if s.incarnation != incarnation {
 		return
 	}
 	if open := sortedIDs(s.client.pending); len(open) > 0 {
-		s.sim.fail(fmt.Sprintf("rule 1: %s ended, and ask %d had no answer", s.name, open[0]))
+		s.sim.fail(fmt.Sprintf("rule 1: %s ended before it answered request %d", s.name, open[0]))
 	}
 	s.kill(endRestartDelay)
 }
 
+// configuration returns the configuration for the process, with the journal's events as initial events; nil if the settings are invalid.
 func (s *scheduler) configuration() *platform.Configuration {
 	deployment, err := settings.Read([]byte(s.settings))
 	if err != nil {
@@ -145,7 +148,7 @@
 	}
 }
 
-// kill ends the process at once, and starts it again in so many ms.
+// kill ends the process at once, and starts it again after restartDelay, in ms.
 func (s *scheduler) kill(restartDelay float64) {
 	if s.server == nil {
 		return
@@ -157,8 +160,8 @@
 	s.sim.after(restartDelay, s.start)
 }
 
-// stop tells the process to end, as for a planned restart. Clients go on requesting on the connections that they have, and make new ones for
-// a while. A process that has not ended by itself is killed at the earliest time at which the platform may do so.
+// stop tells the process to end, as for a planned restart. Clients keep sending requests on their open connections, and open new ones for a
+// while. A process that has not ended by itself is killed at the earliest time at which the platform may kill it.
 func (s *scheduler) stop() {
 	if s.server == nil {
 		return
@@ -182,17 +185,17 @@
 	s.sim.clock.At(s.stoppedAt+killAfterStop, ifRunning(s.killStopped))
 }
 
-// killStopped kills a process that was told to end. What was requested early enough had to be answered.
+// killStopped kills a process that was told to end. It is a failure if a request sent more than lateRequestTime after the stop is unanswered then.
 func (s *scheduler) killStopped() {
 	for _, id := range sortedIDs(s.client.pending) {
 		if t := s.client.pending[id]; t.requestedAt > s.stoppedAt+lateRequestTime {
-			s.sim.fail(fmt.Sprintf("rule 1: %s was killed, and ask %d had no answer", s.name, id))
+			s.sim.fail(fmt.Sprintf("rule 1: %s was killed before it answered request %d", s.name, id))
 		}
 	}
 	s.kill(endRestartDelay)
 }
 
-// reload moves the journal service, and has the scheduler read its configuration again.
+// reload moves the journal service to another address, and makes the scheduler reload its configuration.
 func (s *scheduler) reload() {
 	if s.server == nil {
 		return
--- a/internal/lab/platformsim/seeds.go
+++ b/internal/lab/platformsim/seeds.go
@@ -10,17 +10,17 @@
 	"ravenpond/internal/lab/seeds"
 )
 
-// maxPrinted is how many failures Print tells of.
+// maxPrinted is the maximum number of failures that Print writes.
 const maxPrinted = 20
 
-// Seeds plays the seeds from first to end, the latter left out, so many at a time. The results are in order of the seeds; those that were
-// not played when the context ended are left out.
+// Seeds plays the seeds from first up to, but without, end, with the given number of workers. The results are in the order of the seeds; seeds
+// that were not played before the context ended are left out.
 func Seeds(ctx context.Context, first, end uint64, workers int) []Result {
 	results := seeds.Run(ctx, first, end, workers, func(seed uint64) Result { return Play(seed, Faults{}) })
 	return slices.DeleteFunc(results, func(r Result) bool { return r.Requests == 0 && r.Failure == "" })
 }
 
-// CountFailures is how many seeds failed.
+// CountFailures returns how many seeds failed.
 func CountFailures(results []Result) (n int) {
 	for i := range results {
 		if results[i].Failure != "" {
@@ -30,7 +30,7 @@
 	return n
 }
 
-// Print writes what came of seeds; the last line counts those that failed. It returns the writer's error.
+// Print writes a summary of results; its last line counts the failed seeds. It returns the writer's error.
 func Print(w io.Writer, results []Result) error {
 	var b strings.Builder
 	printed, requests, served, starts, restored := 0, 0, 0, 0, 0
--- a/internal/lab/platformsim/simulation.go
+++ b/internal/lab/platformsim/simulation.go
@@ -1,11 +1,11 @@
-// Package platformsim simulates `ravenpond platform` on the laboratory's clock and network: several schedulers between clients that request
-// again what was lost, nodes that start, drain and end, and a journal service that moves and falls silent.
+// Package platformsim simulates `ravenpond platform` on the simulated clock and network of package sim: several schedulers, clients that request
+// running tasks again after a restart, nodes that start, drain and end, and journal services that move and fall silent.
 //
-// Input is a seed, from which the cluster and its faults are drawn; in every fourth a scheduler is overloaded. Output is a Result: the first
-// thing that broke, and counts. The rules are audited from what passes outside the schedulers. A panic, a module that was fenced, events
-// that were switched off, an end that a client was not notified of in time and a task that is left over are failures too.
+// The input is a seed, from which the cluster and its faults are drawn; in every fourth seed a scheduler is overloaded. The output is a Result
+// with the first failure and counts. The rules are audited from the events outside the schedulers. Other failures are a panic, a fenced module,
+// events that were switched off, an end of which a client was not notified in time, and a task that is left over at a node.
 //
-// Play belongs to one goroutine; Seeds plays many seeds at once.
+// Play plays a seed on the goroutine that calls it; Seeds plays several seeds concurrently.
 package platformsim
 
 import (
@@ -19,18 +19,18 @@
 	"ravenpond/internal/lab/sim"
 )
 
-// Times of a simulation in ms.
+// Times of a simulation, in ms.
 const (
 	firstRequestAt = 300
-	activeTime     = 14000 // of requests and faults
-	settleTime     = 9000  // after them
-	runStep        = 50    // after which a failure ends the simulation
-	orderSlack     = 400   // by which the order of events on two links may be wrong
-	overloadSlack  = 60    // the same under overload, where no link is cut
-	leftOverAge    = 8000 + 2*maxTaskRuntime
+	activeTime     = 14000                   // during which requests are sent and faults are injected
+	settleTime     = 9000                    // after activeTime, until the final state is checked
+	runStep        = 50                      // between two checks whether a failure ends the simulation
+	orderSlack     = 400                     // tolerance of the audit: events on two links may be observed in the wrong order within it
+	overloadSlack  = 60                      // the same under overload, where no link is cut
+	leftOverAge    = 8000 + 2*maxTaskRuntime // of an attempt, beyond which its node must not hold the task any more
 )
 
-// Rules and limits of the simulated platform, as settingsText has them; times in ms.
+// Rules and limits of the simulated platform, which match settingsText; times in ms.
 const (
 	drainGrace        = 400
 	slowStartDuration = 4000
@@ -39,7 +39,7 @@
 	requestTimeout    = 2500
 )
 
-// overloadedSeeds is one in how many seeds overloads a scheduler.
+// overloadedSeeds is the number of seeds of which one overloads a scheduler.
 const overloadedSeeds = 4
 
 var jobRules = []audit.JobRules{
@@ -50,33 +50,33 @@
 
 var jobNames = []string{"batch", "marked", "single"}
 
-// Faults are put into the program to show that the simulation finds them, or change how it is run. The zero value changes nothing.
+// Faults are injected into the scheduler to show that the simulation finds them, or change how a seed is played. The zero value changes nothing.
 type Faults struct {
-	World              func(env.Environment) env.Environment // wraps what a scheduler runs in
-	AlwaysOverload     bool                                  // each seed overloads a scheduler
-	AsynchronousWrites bool                                  // schedulers send by writers, not in the call that sends
-	InitialEvents      func(events []byte) []byte            // changes the events that a scheduler starts with
-	Trace              io.Writer                             // gets all records as text, unless it is nil
+	WrapEnvironment    func(env.Environment) env.Environment // wraps the environment of each scheduler, unless it is nil
+	AlwaysOverload     bool                                  // a scheduler is overloaded in each seed
+	AsynchronousWrites bool                                  // schedulers write to connections asynchronously, not in the call that sends
+	InitialEvents      func(events []byte) []byte            // changes the initial events of each scheduler, unless it is nil
+	Trace              io.Writer                             // receives all audit records as text, unless it is nil
 }
 
-// JobCounts are the requests of a job class.
+// JobCounts counts the requests of a job class.
 type JobCounts struct{ Requests, Served int }
 
-// Result is what came of a seed.
+// Result is the result of a seed.
 type Result struct {
 	Seed             uint64
-	Failure          string       // the first thing that broke, empty if nothing did
+	Failure          string       // the first failure, empty if there was none
 	Overloaded       bool         // a scheduler was overloaded
-	Crowded          bool         // a crowd came
-	Requests, Served int          // but for late ones
-	Late             int          // requests to schedulers that had been told to end a while before
+	Crowded          bool         // there was a flash crowd
+	Requests, Served int          // without late ones
+	Late             int          // requests sent more than earlyRequestTime after their scheduler was stopped
 	Starts           int          // attempts that reached nodes
-	Restored         int          // tasks that clients told a restarted scheduler of
-	Resent           int          // requests that crossed the end of their connection
+	Restored         int          // running tasks that clients requested again from a restarted scheduler
+	Resent           int          // requests sent again because they crossed the close of their connection
 	Jobs             [3]JobCounts // by job class
 }
 
-// add adds the counts of another seed.
+// add adds the counts of another result.
 func (r *Result) add(other *Result) {
 	r.Requests += other.Requests
 	r.Late += other.Late
@@ -86,7 +86,7 @@
 	r.Resent += other.Resent
 }
 
-// simulation is a seed that is played.
+// simulation is the state of a seed that is being played.
 type simulation struct {
 	Faults
 	result       Result
@@ -96,18 +96,18 @@
 	rules        audit.Rules
 	schedulers   []*scheduler
 	nodes        []*node
-	listChanges  []listChange // all so far, in order
+	listChanges  []listChange // all changes so far, in order
 	tasks        map[uint64]*task
 	lastTask     uint64
-	reportMode   string    // how nodes send load reports: with other messages, or in answer to probes
-	overload     *overload // nil: code takes no time
-	crowdFactor  int       // how many times the usual requests a crowd sends
+	reportMode   string    // how nodes send load reports: with other messages ("piggyback") or in answer to probes ("probe")
+	overload     *overload // nil without overload; code then takes no simulated time
+	crowdFactor  int       // request rate of a flash crowd as a multiple of the usual rate
 	crowdFrom    float64   // true time in ms
-	crowdTo      float64
-	lateAttempts int // attempts that began long after their request was abandoned
+	crowdTo      float64   // true time in ms
+	lateAttempts int       // attempts that began long after their request was abandoned
 }
 
-// Play plays a seed, with faults in the program.
+// Play plays a seed with injected faults.
 func Play(seed uint64, faults Faults) (result Result) {
 	clock := &simWorld{Clock: sim.NewClock(seed), processes: map[string]*sim.Process{}}
 	sm := newSimulation(seed, faults, clock)
@@ -127,7 +127,7 @@
 	return sm.result
 }
 
-// newSimulation returns a seed that is to be played in a world.
+// newSimulation returns the simulation of a seed in a world, before anything is started.
 func newSimulation(seed uint64, faults Faults, clock world) *simulation {
 	return &simulation{
 		Faults: faults, result: Result{Seed: seed}, clock: clock, rng: rand.New(rand.NewPCG(seed, 0x70a7e)), tasks: map[uint64]*task{},
@@ -135,7 +135,7 @@
 	}
 }
 
-// build draws the cluster and its faults, and starts all.
+// build draws the cluster and its faults, and starts the nodes and schedulers.
 func (sm *simulation) build() {
 	if sm.rng.IntN(2) == 0 {
 		sm.reportMode = "probe"
@@ -170,17 +170,17 @@
 	}
 }
 
-// after calls f in so many ms.
+// after calls f in ms milliseconds.
 func (sm *simulation) after(ms float64, f func()) { sm.clock.At(sm.clock.TrueTime()+ms, f) }
 
-// fail notes the first thing that breaks.
-func (sm *simulation) fail(what string) {
+// fail ends the simulation with a failure, unless there was one before.
+func (sm *simulation) fail(reason string) {
 	if sm.result.Failure == "" {
-		sm.result.Failure = fmt.Sprintf("at %.0f ms: %s", sm.clock.TrueTime(), what)
+		sm.result.Failure = fmt.Sprintf("at %.0f ms: %s", sm.clock.TrueTime(), reason)
 	}
 }
 
-// record audits a record, now.
+// record passes a record to the auditor with the present time, and fails if it violates a rule.
 func (sm *simulation) record(r audit.Record) {
 	r.At = sm.clock.TrueTime()
 	if sm.Trace != nil {
@@ -192,7 +192,7 @@
 	}
 }
 
-// checkFinalState checks that each request was answered, and that no node holds a task that ought to have ended long ago.
+// checkFinalState checks that each request was answered, and that no node holds a task that should have ended long ago.
 func (sm *simulation) checkFinalState() {
 	if sm.result.Failure != "" {
 		return
@@ -203,7 +203,7 @@
 	for _, n := range sm.nodes {
 		for id, att := range n.tasks {
 			if att.receivedAt < activeTime-1000 && sm.clock.TrueTime()-att.receivedAt > leftOverAge {
-				sm.fail(fmt.Sprintf("task %x still stands at %s", id, n.name))
+				sm.fail(fmt.Sprintf("task %x is still held by %s long after it should have ended", id, n.name))
 			}
 		}
 	}
--- a/internal/lab/platformsim/simulation_test.go
+++ b/internal/lab/platformsim/simulation_test.go
@@ -8,14 +8,14 @@
 	"ravenpond/internal/env"
 )
 
-// loadCounts are the requests of some seeds.
+// loadCounts counts the requests of seeds with the same kind of load.
 type loadCounts struct{ requests, served, seeds int }
 
-// countByLoad sums up requests of a job class, or of all for a negative one: of seeds without overload and crowds, with a crowd, and with
-// overload.
-func countByLoad(results []Result, job int) (calm, crowded, overloaded loadCounts) {
+// countByLoad sums up the requests of a job class, or of all job classes if job is negative: of seeds without overload and flash crowd, with a flash
+// crowd, and with overload.
+func countByLoad(results []Result, job int) (normal, crowded, overloaded loadCounts) {
 	for i := range results {
-		r, sum := &results[i], &calm
+		r, sum := &results[i], &normal
 		switch {
 		case r.Overloaded:
 			sum = &overloaded
@@ -29,10 +29,10 @@
 			sum.requests, sum.served = sum.requests+r.Jobs[job].Requests, sum.served+r.Jobs[job].Served
 		}
 	}
-	return calm, crowded, overloaded
+	return normal, crowded, overloaded
 }
 
-// TestSeeds plays seeds: no rule breaks, nothing panics, what can be served is, and a seed played twice gives the same.
+// TestSeeds plays seeds. No rule may be violated, nothing may panic, enough requests have to be served, and a seed has to give the same result twice.
 func TestSeeds(t *testing.T) {
 	results := Seeds(t.Context(), 1, 241, runtime.NumCPU())
 	restored := 0
@@ -45,7 +45,7 @@
 			continue
 		}
 		if again := Play(r.Seed, Faults{}); again != r {
-			t.Errorf("played twice: %+v and %+v", r, again)
+			t.Errorf("seed played twice: got %+v first and %+v then, want the same", r, again)
 		}
 	}
 	var summary strings.Builder
@@ -53,20 +53,21 @@
 		t.Error(err)
 	}
 	t.Log(summary.String())
-	for job, name := range jobNames { // each class has its floor: none is served at the cost of another
-		calm, crowded, overloaded := countByLoad(results, job)
-		if calm.served < calm.requests*17/20 || crowded.served < crowded.requests/2 || overloaded.served < overloaded.requests/4 {
-			t.Errorf("%s, calm, crowded and overloaded: %+v, %+v, %+v", name, calm, crowded, overloaded)
+	for job, name := range jobNames { // each class has its own minimum, so that none is served at the expense of another
+		normal, crowded, overloaded := countByLoad(results, job)
+		if normal.served < normal.requests*17/20 || crowded.served < crowded.requests/2 || overloaded.served < overloaded.requests/4 {
+			t.Errorf("job class %s: got normal %+v, crowded %+v, overloaded %+v; want 17/20, 1/2 and 1/4 served", name, normal, crowded, overloaded)
 		}
 	}
-	calm, crowded, overloaded := countByLoad(results, -1)
-	t.Logf("calm, crowded and overloaded: %+v, %+v, %+v", calm, crowded, overloaded)
-	if calm.served < calm.requests*9/10 || overloaded.served < overloaded.requests/3 || restored < 100 || overloaded.seeds < 10 || crowded.seeds < 5 {
-		t.Errorf("calm, crowded and overloaded: %+v, %+v, %+v, %d restored: the seeds show too little", calm, crowded, overloaded, restored)
+	normal, crowded, overloaded := countByLoad(results, -1)
+	t.Logf("normal %+v, crowded %+v, overloaded %+v", normal, crowded, overloaded)
+	if normal.served < normal.requests*9/10 || overloaded.served < overloaded.requests/3 || restored < 100 || overloaded.seeds < 10 || crowded.seeds < 5 {
+		t.Errorf("got normal %+v, crowded %+v, overloaded %+v, %d restored; want 9/10 of normal and 1/3 of overloaded requests served, "+
+			"100 tasks restored, 10 overloaded and 5 crowded seeds", normal, crowded, overloaded, restored)
 	}
 }
 
-// TestOverload plays seeds with overload: a scheduler is given five to ten times what it can do.
+// TestOverload plays seeds with overload: a scheduler gets five to ten times the requests that it can handle.
 func TestOverload(t *testing.T) {
 	for seed := range uint64(8) {
 		if v := Play(1000+seed, Faults{AlwaysOverload: true}); v.Failure != "" {
@@ -75,50 +76,50 @@
 	}
 }
 
-// TestInjectedFaults puts faults into the program: the seeds have to find each.
+// TestInjectedFaults injects faults into the scheduler. The seeds have to find each of them.
 func TestInjectedFaults(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		plant Faults
 		want  string
 	}{
-		{"gone and draining nodes are left out of what is known", Faults{InitialEvents: func(b []byte) []byte {
+		{"initial events list gone and draining nodes as ready", Faults{InitialEvents: func(b []byte) []byte {
 			return []byte(strings.NewReplacer(`"draining"`, `"ready"`, `"gone"`, `"ready"`).Replace(string(b)))
 		}}, "rule 3"},
-		{"the journal can't be reached at a second address", Faults{World: func(w env.Environment) env.Environment { return &firstJournalEnv{Environment: w} }}, "rule"},
-		{"what is sent in a flood leaves when its writer has its turn, after others", Faults{AlwaysOverload: true, World: func(w env.Environment) env.Environment {
+		{"the journal service is dialed only at its first address", Faults{WrapEnvironment: func(w env.Environment) env.Environment { return &firstJournalEnv{Environment: w} }}, "rule"},
+		{"messages are written late under overload", Faults{AlwaysOverload: true, WrapEnvironment: func(w env.Environment) env.Environment {
 			return slowWriterEnv{w}
 		}}, "rule"},
-		{"owners' connections are ended while asks are open on them", Faults{World: func(w env.Environment) env.Environment {
+		{"clients' connections are closed while requests are open on them", Faults{WrapEnvironment: func(w env.Environment) env.Environment {
 			return closingEnv{w}
 		}}, "rule 1"},
-		{"an owner's close is read late, and nobody asks whether it has left", Faults{World: func(w env.Environment) env.Environment {
+		{"a client's close is read late, and PeerClosed does not report it", Faults{WrapEnvironment: func(w env.Environment) env.Environment {
 			return lateCloseEnv{w, false}
 		}}, "gone"},
-		{"notes are not read, and an end before its answer counts as a reset on its way", Faults{World: func(w env.Environment) env.Environment {
-			return forgetfulEnv{w}
+		{"notes are dropped, and an end before its answer looks like a reset without a reason", Faults{WrapEnvironment: func(w env.Environment) env.Environment {
+			return noteDroppingEnv{w}
 		}}, "rule 1"},
-		{"words to owners are lost", Faults{World: func(w env.Environment) env.Environment { return lossyEnv{w} }}, "rule 1"},
+		{"messages to clients are lost", Faults{WrapEnvironment: func(w env.Environment) env.Environment { return lossyEnv{w} }}, "rule 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(40) {
 				if v := Play(seed+1, c.plant); v.Failure != "" {
 					if !strings.Contains(v.Failure, c.want) {
-						t.Errorf("found as %s, want %s", v.Failure, c.want)
+						t.Errorf("got failure %q, want one that contains %q", v.Failure, c.want)
 					}
 					t.Logf("found by seed %d: %.120s", v.Seed, v.Failure)
 					return
 				}
 			}
-			t.Error("not found in 40 seeds")
+			t.Error("got no failure in 40 seeds, want one")
 		})
 	}
 }
 
-// TestLateClose has clients' closes read 1.5 s late: nothing begins for them later, as the scheduler asks whether they have closed.
+// TestLateClose lets the scheduler read clients' closes 1.5 s late. No attempt may begin for them later, because it checks PeerClosed.
 func TestLateClose(t *testing.T) {
 	for seed := range uint64(20) {
-		if v := Play(seed+1, Faults{World: func(w env.Environment) env.Environment { return lateCloseEnv{w, true} }}); strings.Contains(v.Failure, "gone") {
+		if v := Play(seed+1, Faults{WrapEnvironment: func(w env.Environment) env.Environment { return lateCloseEnv{w, true} }}); strings.Contains(v.Failure, "gone") {
 			t.Errorf("seed %d: %s", v.Seed, v.Failure)
 		}
 	}
--- a/internal/lab/platformsim/sockets.go
+++ b/internal/lab/platformsim/sockets.go
@@ -21,40 +21,41 @@
 	"ravenpond/internal/standin"
 )
 
-// Times of scenarios on sockets.
+// Times of simulations on sockets.
 const (
 	startTimeout     = 10 * time.Second
 	startPoll        = 10 * time.Millisecond
-	endDelay         = 300 // ms after a process ended in which stand-ins read what it sent
-	listenRetry      = 20  // ms until a host tries again to listen, as its last incarnation may still hold the address
+	endDelay         = 300 // ms after a process ended, within which its peers read what it sent
+	listenRetry      = 20  // ms until a host tries again to listen: its last incarnation may still hold the address
 	listenTries      = 100
 	closeTimeout     = time.Second
 	socketResultPoll = 50 * time.Millisecond
 )
 
-// Ports of addresses. They are below the range from which the system gives ports to outgoing connections.
+// Ports of listeners. They are below the range from which the kernel assigns ports to outgoing connections.
 const (
 	firstSocketPort = 20000
 	socketPorts     = 10000
 )
 
-// socketAddresses counts the addresses of this process's worlds.
+// socketAddresses counts the addresses that were given out to all worlds of this process.
 var socketAddresses atomic.Int64
 
 // Limits of the scheduler processes.
 const (
 	socketMemoryMB = 192
-	socketLimit    = 300
+	socketLimit    = 300 // sockets
 )
 
-// SocketOptions say how a seed is played on sockets.
+// SocketOptions are the options for playing a seed on sockets.
 type SocketOptions struct {
-	Command []string // that runs `ravenpond platform`
-	Dir     string   // for configurations and logs
+	Command []string // the program and arguments before "platform" that run `ravenpond platform`
+	Dir     string   // the directory for configurations and logs
 }
 
-// PlayOnSockets plays a seed in real time, with processes of `ravenpond platform` between stand-ins on loopback. No link is cut and no scheduler
-// is overloaded, as on the virtual network; a crowd comes in each seed. The error says why the seed could not be played.
+// PlayOnSockets plays a seed in real time, with processes of `ravenpond platform` and simulated nodes, clients and journal services on loopback.
+// Unlike on the simulated network, no link is cut and no scheduler is overloaded; each seed has a flash crowd. The error says why the seed could
+// not be played.
 func PlayOnSockets(ctx context.Context, seed uint64, options SocketOptions) (Result, error) {
 	if err := os.MkdirAll(options.Dir, 0o750); err != nil {
 		return Result{}, err
@@ -85,25 +86,26 @@
 	return sm.result, w.failed
 }
 
-// socketWorld is a world of real time and of sockets on loopback. It implements world. mu is held during all callbacks.
+// socketWorld is a world in real time with sockets on loopback. It implements world. mu is held during all callbacks.
 type socketWorld struct {
-	options SocketOptions
-	clock   *env.Real // for the time alone
-	began   float64   // on that clock, ms
+	options   SocketOptions
+	clock     *env.Real // for the time, timers and the check whether a process is ready
+	startedAt float64   // by that clock, in ms
 
 	mu        sync.Mutex
 	sim       *simulation
 	closed    bool
-	failed    error // why it can't go on
+	failed    error // why the seed can't be played any further
 	addresses map[string]string
 	hosts     []*socketHost
-	programs  map[*socketProgram]bool // that have not ended
+	programs  map[*socketProgram]bool // processes that have not ended
 }
 
+// newSocketWorld returns a world whose time starts now.
 func newSocketWorld(options SocketOptions) *socketWorld {
 	clock := env.NewReal()
 	return &socketWorld{
-		options: options, clock: clock, began: clock.Now(), addresses: map[string]string{}, programs: map[*socketProgram]bool{},
+		options: options, clock: clock, startedAt: clock.Now(), addresses: map[string]string{}, programs: map[*socketProgram]bool{},
 	}
 }
 
@@ -123,7 +125,7 @@
 	hosts, programs := w.hosts, slices.Collect(maps.Keys(w.programs))
 	w.mu.Unlock()
 	for _, p := range programs {
-		_ = p.command.Process.Kill() // one that has ended needs no signal
+		_ = p.command.Process.Kill() // the error says that the process has already ended
 		<-p.done
 	}
 	for _, h := range hosts {
@@ -133,7 +135,7 @@
 }
 
 // TrueTime implements world.
-func (w *socketWorld) TrueTime() float64 { return w.clock.Now() - w.began }
+func (w *socketWorld) TrueTime() float64 { return w.clock.Now() - w.startedAt }
 
 // UnixTime implements world.
 func (w *socketWorld) UnixTime() float64 {
@@ -148,7 +150,7 @@
 // EndDelay implements world.
 func (w *socketWorld) EndDelay() float64 { return endDelay }
 
-// Address implements world: an address of this process's own, at which nothing else can listen meanwhile.
+// Address implements world. The address belongs to this process: nothing else listens at it.
 func (w *socketWorld) Address(name string) string {
 	if w.addresses[name] == "" {
 		number := int(socketAddresses.Add(1))
@@ -157,7 +159,7 @@
 	return w.addresses[name]
 }
 
-// Cut implements world. On loopback no link is cut.
+// Cut implements world. Links on loopback can't be cut.
 func (w *socketWorld) Cut(string, string, bool) {}
 
 // IsCut implements world.
@@ -171,7 +173,7 @@
 	return h
 }
 
-// socketHost is a host with sockets of its own. Each incarnation has an environment, which is closed when the host is killed.
+// socketHost is a host with its own sockets. Each incarnation has an environment, which is closed when the host is killed.
 type socketHost struct {
 	world *socketWorld
 	env   *env.Real
@@ -183,10 +185,10 @@
 	h.env.WriteThrough = true
 }
 
-// Kill implements host. Peers see their connections end.
+// Kill implements host. The peers see that their connections are closed.
 func (h *socketHost) Kill(bool) { h.env.Close(0) }
 
-// callback returns f as a callback of the present incarnation.
+// callback returns a function that calls f with the lock held, unless the host's incarnation has ended by then.
 func (h *socketHost) callback(f func()) func() {
 	incarnation := h.env
 	return func() {
@@ -207,7 +209,7 @@
 // After implements env.Environment.
 func (h *socketHost) After(ms float64, f func()) env.Timer { return h.env.After(ms, h.callback(f)) }
 
-// StartLoop implements env.Environment. Stand-ins of the platform have no loops.
+// StartLoop implements env.Environment. Simulated nodes, clients and journal services start no loops.
 func (h *socketHost) StartLoop(turn func() float64) env.Loop { return h.env.StartLoop(turn) }
 
 // ListenPacket implements env.Environment.
@@ -222,13 +224,14 @@
 	})
 }
 
-// Listen implements env.Environment. Where the address is still held it is tried again for a while.
+// Listen implements env.Environment. It retries for a while if the address is still in use.
 func (h *socketHost) Listen(address string, onAccept func(env.Conn)) (env.Listener, error) {
 	l := &socketListener{address: address}
 	h.listen(l, onAccept, listenTries)
 	return l, nil
 }
 
+// listen listens at the address of l, and retries up to the given number of times.
 func (h *socketHost) listen(l *socketListener, onAccept func(env.Conn), tries int) {
 	listener, err := h.env.Listen(l.address, func(c env.Conn) { h.callback(func() { onAccept(h.wrap(c)) })() })
 	switch {
@@ -244,7 +247,7 @@
 // socketListener implements env.Listener.
 type socketListener struct {
 	address  string
-	listener env.Listener // nil until the address is free
+	listener env.Listener // nil until listening succeeds
 }
 
 // Address implements env.Listener.
@@ -257,7 +260,7 @@
 	}
 }
 
-// wrap returns a connection whose events are callbacks of the host; nil for nil.
+// wrap returns a connection whose events are callbacks of the host. It returns nil for nil.
 func (h *socketHost) wrap(c env.Conn) env.Conn {
 	if c == nil {
 		return nil
@@ -276,19 +279,19 @@
 	c.Conn.Start(&socketHandler{handler: handler, host: c.host}, stallTimeoutMs)
 }
 
-// Reset breaks the connection: what it still had to send is dropped.
+// Reset breaks the connection. Unsent data is dropped.
 func (c *socketConn) Reset(bool) { c.Close(false, nil) }
 
-// Delivered returns how many bytes the scheduler has read, or may have: the kernel does not tell.
+// Delivered returns 0: the kernel does not report how many bytes the scheduler has read.
 func (c *socketConn) Delivered() uint64 { return 0 }
 
-// socketHandler passes the events of a connection on as callbacks of its host.
+// socketHandler passes on the events of a connection as callbacks of its host.
 type socketHandler struct {
 	handler env.ConnHandler
 	host    *socketHost
 }
 
-// OnData implements env.ConnHandler. The end of the peer's data is told by OnClose, which follows once this side closes too.
+// OnData implements env.ConnHandler. It ignores the end of the peer's data: OnClose reports it, once this side has closed too.
 func (s *socketHandler) OnData(b []byte) {
 	if b != nil {
 		s.host.callback(func() { s.handler.OnData(b) })()
@@ -303,7 +306,7 @@
 	world   *socketWorld
 	sched   *scheduler
 	command *exec.Cmd
-	file    string // its configuration
+	file    string // path of its configuration
 	done    chan struct{}
 }
 
@@ -334,21 +337,21 @@
 	p.awaitReady(time.Now().Add(startTimeout), ready)
 }
 
-// wait waits for the end of the process.
+// wait waits until the process ends. An end with an error that no signal caused is a failure of the seed.
 func (p *socketProgram) wait(log *os.File) {
 	err := p.command.Wait()
 	p.world.mu.Lock()
 	delete(p.world.programs, p)
 	var exit *exec.ExitError
 	if killed := errors.As(err, &exit) && !exit.Exited(); err != nil && !killed && !p.world.closed {
-		p.world.sim.fail(fmt.Sprintf("%s ended: %v, see %s", p.sched.name, err, log.Name()))
+		p.world.sim.fail(fmt.Sprintf("scheduler process %s ended: %v; its log is %s", p.sched.name, err, log.Name()))
 	}
 	p.world.mu.Unlock()
 	_ = log.Close()
 	close(p.done)
 }
 
-// awaitReady calls ready once clients can connect.
+// awaitReady calls ready once clients can connect. The world fails if they can't until end.
 func (p *socketProgram) awaitReady(end time.Time, ready func(program)) {
 	w := p.world
 	w.clock.Dial(p.sched.address(), float64(startTimeout/time.Millisecond), func(c env.Conn, err error) {
@@ -360,7 +363,7 @@
 			case err == nil:
 				ready(p)
 			case time.Now().After(end):
-				w.failed = fmt.Errorf("%s did not start: %w", p.sched.name, err)
+				w.failed = fmt.Errorf("scheduler process %s did not accept connections in time: %w", p.sched.name, err)
 			default:
 				w.At(w.TrueTime()+float64(startPoll/time.Millisecond), func() { p.awaitReady(end, ready) })
 			}
@@ -368,7 +371,7 @@
 	})
 }
 
-// writeConfiguration writes the configuration to the process's file.
+// writeConfiguration writes the configuration to the file that the process reads.
 func (p *socketProgram) writeConfiguration(config *platform.Configuration) error {
 	text, err := json.Marshal(map[string]any{
 		"name": config.Name, "listen": config.Listen, "journal": config.Journal, "seed": strconv.FormatUint(config.Seed, 16),
@@ -400,10 +403,10 @@
 // Done implements program.
 func (p *socketProgram) Done() <-chan struct{} { return p.done }
 
-// Backlog implements program. It is not known from outside.
+// Backlog implements program. It is unknown for a separate process.
 func (p *socketProgram) Backlog() float64 { return 0 }
 
-// socketLog keeps a process's log and looks for what must not be in it.
+// socketLog writes a process's log to a file and checks it for lines that must not occur.
 type socketLog struct {
 	world *socketWorld
 	sched *scheduler
--- a/internal/lab/platformsim/sockets_test.go
+++ b/internal/lab/platformsim/sockets_test.go
@@ -15,10 +15,10 @@
 	"ravenpond/internal/platform"
 )
 
-// abruptProgram is the argument with which the test's own program is a scheduler that ends at once on SIGTERM.
+// abruptProgram is the argument with which the test binary runs as a scheduler that exits at once on SIGTERM.
 const abruptProgram = "abrupt"
 
-// TestMain lets the test's own program be the scheduler process that a soak starts.
+// TestMain lets the test binary run as the scheduler process that a soak test starts.
 func TestMain(m *testing.M) {
 	if os.Args[len(os.Args)-1] != "platform" {
 		os.Exit(m.Run())
@@ -38,10 +38,10 @@
 	os.Exit(0)
 }
 
-// soakTestSeeds is how many seeds TestSoak plays, all at a time; each takes 23 s.
+// soakTestSeeds is how many seeds TestSoak plays, all of them concurrently; each takes 23 s.
 const soakTestSeeds = 4
 
-// TestSoak plays a few fixed seeds with real processes, signals and sockets: no rule breaks, and the seeds show what they are meant to.
+// TestSoak plays a few fixed seeds with real processes, signals and sockets. No rule may be violated, and the seeds must cover enough requests.
 func TestSoak(t *testing.T) {
 	var mu sync.Mutex
 	var total Result
@@ -63,11 +63,11 @@
 		}
 	})
 	if total.Requests < 200*soakTestSeeds || total.Served < total.Requests/2 || total.Restored == 0 {
-		t.Errorf("%+v: the seeds show too little", total)
+		t.Errorf("got counts %+v, want at least 200 requests a seed, half of them served and a task restored", total)
 	}
 }
 
-// TestSoakFindsAbruptEnd plays seeds with schedulers that end at once when they are told to: what they had taken is lost, and that is found.
+// TestSoakFindsAbruptEnd plays seeds with schedulers that exit at once on SIGTERM and lose the requests that they accepted. This has to be found.
 func TestSoakFindsAbruptEnd(t *testing.T) {
 	for seed := range uint64(6) {
 		r, err := PlayOnSockets(t.Context(), seed+1, SocketOptions{Command: []string{os.Args[0], abruptProgram}, Dir: filepath.Join(t.TempDir(), "run")})
@@ -79,5 +79,5 @@
 			return
 		}
 	}
-	t.Error("not found in 6 seeds")
+	t.Error("got no violation of rule 1 in 6 seeds, want one")
 }
--- a/internal/lab/platformsim/world.go
+++ b/internal/lab/platformsim/world.go
@@ -8,29 +8,29 @@
 	"ravenpond/internal/platform"
 )
 
-// world is the clock, hosts and network that a scenario is played on. Its callbacks come one at a time.
+// world is the clock, the hosts and the network of a simulation. Its callbacks run one at a time.
 type world interface {
-	// TrueTime returns the time since the beginning in ms.
+	// TrueTime returns the time since the start of the simulation in ms.
 	TrueTime() float64
 	// UnixTime returns the time in Unix ms.
 	UnixTime() float64
-	// At calls f at a true time.
+	// At calls f at a true time, in ms.
 	At(ms float64, f func())
 	// NewHost starts a host.
 	NewHost(name string) host
-	// Address returns where a host listens.
+	// Address returns the address at which a host listens.
 	Address(name string) string
-	// Cut has nothing pass between two hosts, or lets it pass again.
+	// Cut cuts the link between two hosts, or restores it.
 	Cut(a, b string, cut bool)
-	// IsCut returns whether nothing passes between two hosts.
+	// IsCut returns whether the link between two hosts is cut.
 	IsCut(a, b string) bool
 	// Launch starts a scheduler process and calls ready once clients can connect to it.
 	Launch(s *scheduler, config *platform.Configuration, ready func(program))
-	// EndDelay returns in how many ms after a process ended all has arrived that it sent.
+	// EndDelay returns the time after the end of a process by which everything that it sent has arrived, in ms.
 	EndDelay() float64
 }
 
-// host is where a stand-in runs: an environment that can be killed, with its connections and timers, and started again.
+// host is the environment of a simulated node, client or journal service. It can be killed with its connections and timers, and started again.
 type host interface {
 	env.Environment
 	Kill(powerLoss bool)
@@ -43,17 +43,17 @@
 	Reload(config *platform.Configuration) // SIGHUP, with a new configuration
 	Kill()                                 // SIGKILL
 	Done() <-chan struct{}                 // closed when it has ended by itself
-	Backlog() float64                      // ms by which it is behind, as far as that is known
+	Backlog() float64                      // ms by which the process is behind, 0 if unknown
 }
 
-// simWorld is the laboratory's clock and network. Schedulers run in this process.
+// simWorld is a world on the simulated clock and network of package sim. Schedulers run in this process.
 type simWorld struct {
 	*sim.Clock
 	sim       *simulation
 	processes map[string]*sim.Process // of schedulers, by name
 }
 
-// addProcess adds the process of a scheduler.
+// addProcess adds the simulated process of a scheduler.
 func (w *simWorld) addProcess(name string) {
 	process := w.NewProcess(name)
 	process.SynchronousWrites = !w.sim.AsynchronousWrites
@@ -85,8 +85,8 @@
 		process.Start()
 	}
 	environment := env.Environment(process)
-	if sm.World != nil {
-		environment = sm.World(environment)
+	if sm.WrapEnvironment != nil {
+		environment = sm.WrapEnvironment(environment)
 	}
 	environment = observedEnvironment{environment, sm}
 	server := platform.New(environment, zerolog.New(s), config)
@@ -97,7 +97,7 @@
 	ready(&simProgram{process, server})
 }
 
-// simProgram is a scheduler in this process. It implements program.
+// simProgram is a scheduler that runs in this process. It implements program.
 type simProgram struct {
 	process *sim.Process
 	server  *platform.Server
@@ -115,7 +115,7 @@
 // Backlog implements program.
 func (p *simProgram) Backlog() float64 { return p.process.Backlog() }
 
-// Kill implements program. The process can be used for the next incarnation at once.
+// Kill implements program. The simulated process can be started for the next incarnation at once.
 func (p *simProgram) Kill() {
 	p.process.Kill(false)
 }
