--- a/internal/lab/platformsim/node.go
+++ b/internal/lab/platformsim/node.go
@@ -66,7 +66,7 @@
 	answerLossRate int  // attempts whose answer is lost
 	rejectRate     int  // attempts that are rejected
 	lateAnswerRate int  // attempts whose end is sent before their answer
-	hung           bool // the node starts no tasks and answers no tests
+	hung           bool // the node does not start the attempts that it accepts, and answers no tests
 }
 
 // attempt is a placement attempt at a node.
