--- a/internal/lab/modelcheck/model.go
+++ b/internal/lab/modelcheck/model.go
@@ -180,7 +180,7 @@
 				continue
 			}
 		}
-		if at, _ := p.router.ShardOf(shardrouter.Placed{ID: allocation, Ticket: t.ticket, Number: t.number, Service: service, Shard: -1}); at != s {
+		if at, _ := p.router.ShardOf(shardrouter.ReportedAttempt{ID: allocation, Ticket: t.ticket, Number: t.number, Service: service, Shard: -1}); at != s {
 			continue
 		}
 		_ = e.OnHeld(p.now, uint32(n+1), engine.HeldTask{Attempt: engine.AttemptID{Ticket: t.ticket, Number: t.number}, Running: t.running, Task: engine.Task{JobClass: p.model.Job, Tenant: 0, Service: service, Token: token, Cores: 1, Memory: 1}})
@@ -446,7 +446,7 @@
 	for _, e := range p.fencedEngines {
 		b = e.AppendState(b)
 	}
-	home, _ := p.router.ShardOf(shardrouter.Placed{ID: allocation, Ticket: 0, Number: 255, Service: service, Shard: -1})
+	home, _ := p.router.ShardOf(shardrouter.ReportedAttempt{ID: allocation, Ticket: 0, Number: 255, Service: service, Shard: -1})
 	b = append(b, byte(home), byte(p.router.Open()), byte(p.router.Epoch()))
 	b = append(b, byte(p.faults), byte(p.requests), byte(p.starts), byte(p.ended))
 	for i := range p.answerCount {
--- a/internal/lab/platformsim/client.go
+++ b/internal/lab/platformsim/client.go
@@ -83,7 +83,7 @@
 	c.conn = pc
 	incarnation := c.scheduler.incarnation
 	pc.onClose = func(err error) { c.onClose(pc, incarnation, err) }
-	onDialed := pc.onDialed(codec.AppendTest(nil, 1, false))
+	onDialed := pc.onDialed(codec.AppendHealthCheck(nil, 1, false))
 	c.process.Dial(c.scheduler.address(), clientDialTimeout, func(conn env.Conn, err error) {
 		onDialed(conn, err)
 		if err == nil && then != nil {
--- a/internal/lab/platformsim/faults.go
+++ b/internal/lab/platformsim/faults.go
@@ -53,8 +53,8 @@
 	},
 	func(t faultTarget) {
 		a, b := t.scheduler.name, t.node.hostName()
-		t.sim.clock.Cut(a, b, true)
-		t.sim.after(t.duration/2, func() { t.sim.clock.Cut(a, b, false) })
+		t.sim.clock.SetCut(a, b, true)
+		t.sim.after(t.duration/2, func() { t.sim.clock.SetCut(a, b, false) })
 	},
 	func(t faultTarget) { t.fault(nodeFaults{lateAnswerRate: 5}) },
 }
--- a/internal/lab/platformsim/node.go
+++ b/internal/lab/platformsim/node.go
@@ -184,9 +184,9 @@
 		})
 	case codec.KindEnd:
 		n.onEnd(pc, id)
-	case codec.KindTest:
+	case codec.KindHealthCheck:
 		if !n.hung {
-			pc.send(message(codec.KindTested, id, param{codec.ParamCause, "\x01"}, param{codec.ParamReport, n.report()}))
+			pc.send(message(codec.KindHealthCheckResult, id, param{codec.ParamCause, "\x01"}, param{codec.ParamReport, n.report()}))
 		}
 	}
 }
--- a/internal/lab/platformsim/simulation.go
+++ b/internal/lab/platformsim/simulation.go
@@ -44,7 +44,7 @@
 
 var jobRules = []audit.JobRules{
 	{},
-	{Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxTogether: 3},
+	{Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxPerDomain: 3},
 	{Semantics: audit.AtMostOnce},
 }
 
--- a/internal/lab/platformsim/sockets.go
+++ b/internal/lab/platformsim/sockets.go
@@ -159,8 +159,8 @@
 	return w.addresses[name]
 }
 
-// Cut implements world. Links on loopback can't be cut.
-func (w *socketWorld) Cut(string, string, bool) {}
+// SetCut implements world. Links on loopback can't be cut.
+func (w *socketWorld) SetCut(string, string, bool) {}
 
 // IsCut implements world.
 func (w *socketWorld) IsCut(string, string) bool { return false }
--- a/internal/lab/platformsim/world.go
+++ b/internal/lab/platformsim/world.go
@@ -20,8 +20,8 @@
 	NewHost(name string) host
 	// Address returns the address at which a host listens.
 	Address(name string) string
-	// Cut cuts the link between two hosts, or restores it.
-	Cut(a, b string, cut bool)
+	// SetCut cuts the link between two hosts, or restores it.
+	SetCut(a, b string, cut bool)
 	// IsCut returns whether the link between two hosts is cut.
 	IsCut(a, b string) bool
 	// Launch starts a scheduler process and calls ready once clients can connect to it.
