--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,5 +1,5 @@
-// Package compare plays the same scripts with two policies and tells how they differ: paired seeds, confidence
-// intervals, and a report with plots of how it came about.
+// Package compare simulates the same scripts under two placement policies and measures the differences over paired seeds, with
+// confidence intervals and an HTML report with plots. It also ranks all policies by class of fault and measures the cost of growing clusters.
 package compare
 
 import (
@@ -23,7 +23,7 @@
 	"ravenpond/internal/lab/sim"
 )
 
-// Policies are the names of what can be compared: the module's design and the baselines.
+// Policies lists the names of the policies that can be compared: "design", which is the placement module, and the baselines.
 var Policies = append([]string{"design"}, baseline.PolicyNames...)
 
 func newPolicy(name string) (engine.PolicyFactory, error) {
@@ -33,21 +33,22 @@
 	case slices.Contains(baseline.PolicyNames, name):
 		return baseline.Factory(name), nil
 	}
-	return nil, fmt.Errorf("no policy %q: %v are there", name, Policies)
+	return nil, fmt.Errorf("unknown policy %q, want one of %v", name, Policies)
 }
 
-// Scenario draws a day on which placement matters: a fleet that is filled to a part, with faults.
+// Scenario draws the script of a simulated day on which placement matters: a cluster at a given load, a fraction of its capacity, with faults if
+// requested.
 func Scenario(seed uint64, nodes int, load float64, faults bool) sim.Script {
 	s := sim.Draw(seed)
 	s.Nodes, s.Schedulers, s.Shards, s.ConnectionSharing, s.ColdStart = nodes, 2, 1, "shared", false
-	s.Rate = load * float64(nodes) * 32 / 1.5 // each takes 1 core for 1.5 s, of 32 that a node lets be asked for
+	s.Rate = load * float64(nodes) * 32 / 1.5 // each request takes 1 core for 1.5 s, and a node allocates up to 32 cores
 	s.Duration = 8000
 	if !faults {
 		s.Faults = nil
 	}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	kept := s.Faults[:0]
-	for _, f := range s.Faults { // drawn for another size: to anyone there is
+	for _, f := range s.Faults { // drawn for another cluster size: their targets are drawn again
 		if f.Target != "" && f.Target[0] == 's' {
 			f.Target = fmt.Sprint("s", rng.IntN(2))
 		}
@@ -65,16 +66,16 @@
 	return s
 }
 
-const bucketMs = 250.0 // ms of a point in the plots over time
+const bucketMs = 250.0 // time that a point in the plots over time covers, in ms
 
-// Figures are of one policy on one day.
+// Figures are the measurements of one policy on one simulated day.
 type Figures struct {
-	Requests, Served, InTime int
-	Placements, Rejected     int
-	Violations               int
-	Latencies                []float64 // ms from ask to served, sorted
-	refusedAt, servedAt      []float64 // by bucket of time
-	askedAt                  []float64
+	Requests, Served, InTime         int
+	Placements, Rejected             int
+	Violations                       int
+	Latencies                        []float64 // ms from request to the response that it was served, sorted
+	rejectedByBucket, servedByBucket []float64 // by time bucket
+	requestsByBucket                 []float64
 }
 
 type requestKey struct {
@@ -82,37 +83,37 @@
 	ref    uint64
 }
 
-const latencyObjective = 800 // ms, of all job types of the laboratory's site
+const latencyObjective = 800 // ms, for all job types of the simulated site
 
-// run plays a day.
+// run simulates a day under a policy.
 func run(s sim.Script, p engine.PolicyFactory) (*Figures, error) {
 	n := int((s.Duration+10000)/bucketMs) + 1
-	f := &Figures{refusedAt: make([]float64, n), servedAt: make([]float64, n), askedAt: make([]float64, n)}
-	asked := map[requestKey]float64{}
-	at := func(of []float64, ms float64) { of[max(0, min(n-1, int(ms/bucketMs)))]++ }
+	f := &Figures{rejectedByBucket: make([]float64, n), servedByBucket: make([]float64, n), requestsByBucket: make([]float64, n)}
+	sentAt := map[requestKey]float64{}
+	count := func(buckets []float64, ms float64) { buckets[max(0, min(n-1, int(ms/bucketMs)))]++ }
 	v := sim.Simulation{Script: s, Policy: p, CountViolations: true, OnRecord: func(r *audit.Record) {
 		switch r.Kind {
 		case audit.RequestSent:
 			f.Requests++
-			asked[requestKey{r.Client, r.RequestRef}] = r.At
-			at(f.askedAt, r.At)
+			sentAt[requestKey{r.Client, r.RequestRef}] = r.At
+			count(f.requestsByBucket, r.At)
 		case audit.ResponseReceived:
-			since, ok := asked[requestKey{r.Client, r.RequestRef}]
+			requestedAt, ok := sentAt[requestKey{r.Client, r.RequestRef}]
 			if !ok || r.Detail != "served" {
 				return
 			}
 			f.Served++
-			f.Latencies = append(f.Latencies, r.At-since)
-			if r.At-since <= latencyObjective {
+			f.Latencies = append(f.Latencies, r.At-requestedAt)
+			if r.At-requestedAt <= latencyObjective {
 				f.InTime++
 			}
-			at(f.servedAt, since)
+			count(f.servedByBucket, requestedAt)
 		case audit.PlacementReceived:
 			f.Placements++
 		case audit.AttemptConcluded:
 			if r.Detail == "refused" {
 				f.Rejected++
-				at(f.refusedAt, r.At)
+				count(f.rejectedByBucket, r.At)
 			}
 		}
 	}}.Run()
@@ -131,34 +132,34 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// metric is what is compared of a day.
+// metric is a figure of a day that is compared.
 type metric struct {
-	Name string
-	Good int // above 0 if more is better, below if less is
-	of   func(f *Figures) float64
+	Name      string
+	Direction int // 1 if a higher value is better, -1 if a lower one is
+	value     func(f *Figures) float64
 }
 
 var metrics = []metric{
-	{"served, part of asks", 1, func(f *Figures) float64 { return float64(f.Served) / float64(max(1, f.Requests)) }},
-	{"in time, part of asks", 1, func(f *Figures) float64 { return float64(f.InTime) / float64(max(1, f.Requests)) }},
+	{"served / requests", 1, func(f *Figures) float64 { return float64(f.Served) / float64(max(1, f.Requests)) }},
+	{"in time / requests", 1, func(f *Figures) float64 { return float64(f.InTime) / float64(max(1, f.Requests)) }},
 	{"start p50, ms", -1, func(f *Figures) float64 { return quantile(f.Latencies, 0.5) }},
 	{"start p95, ms", -1, func(f *Figures) float64 { return quantile(f.Latencies, 0.95) }},
 	{"start p99, ms", -1, func(f *Figures) float64 { return quantile(f.Latencies, 0.99) }},
-	{"offers an ask", -1, func(f *Figures) float64 { return float64(f.Placements) / float64(max(1, f.Requests)) }},
-	{"refused, part of offers", -1, func(f *Figures) float64 { return float64(f.Rejected) / float64(max(1, f.Placements)) }},
-	{"rules broken", -1, func(f *Figures) float64 { return float64(f.Violations) }},
+	{"offers per request", -1, func(f *Figures) float64 { return float64(f.Placements) / float64(max(1, f.Requests)) }},
+	{"rejected / offers", -1, func(f *Figures) float64 { return float64(f.Rejected) / float64(max(1, f.Placements)) }},
+	{"rule violations", -1, func(f *Figures) float64 { return float64(f.Violations) }},
 }
 
-// Row is one measure compared.
+// Row is the comparison of one metric.
 type Row struct {
 	Name      string
-	A, B      float64 // means
-	Diff      float64 // B less A
-	Low, High float64 // 95% confidence interval of it
+	A, B      float64 // means over the days
+	Diff      float64 // mean of B minus A
+	Low, High float64 // 95% confidence interval of Diff
 	Verdict   string
 }
 
-// Comparison is what came of two policies.
+// Comparison is the result of comparing two policies.
 type Comparison struct {
 	A, B      string
 	Days      int
@@ -169,17 +170,17 @@
 	scenarios []sim.Script
 }
 
-// Config says what is compared, and on which days.
+// Config selects the policies to compare and the days to simulate.
 type Config struct {
-	A, B   string // policies
+	A, B   string // names of the policies
 	Seeds  []uint64
 	Nodes  int
-	Load   float64 // fraction of the fleet that is filled
-	Faults bool    // drawn from the seeds
+	Load   float64 // fraction of the cluster's capacity that is used
+	Faults bool    // whether faults are drawn from the seeds
 }
 
-// Run plays all days with both policies, on all cores. It returns an error for a policy that there is not, and of the first day that could
-// not be played.
+// Run simulates all days under both policies, on all cores. It returns an error for an unknown policy, and the first error of a day whose
+// simulation failed.
 func Run(ctx context.Context, config Config) (*Comparison, error) {
 	policyA, err := newPolicy(config.A)
 	if err != nil {
@@ -201,8 +202,8 @@
 		workers.Go(func() {
 			for i := int(next.Add(1)) - 1; i < n && failed.get() == nil && ctx.Err() == nil; i = int(next.Add(1)) - 1 {
 				day := Scenario(config.Seeds[i], config.Nodes, config.Load, config.Faults)
-				figuresA, errA := run(day, policyA) //nolint:contextcheck // a day on the virtual clock is not broken off
-				figuresB, errB := run(day, policyB) //nolint:contextcheck // a day on the virtual clock is not broken off
+				figuresA, errA := run(day, policyA) //nolint:contextcheck // a simulated day is not cancelled half-way
+				figuresB, errB := run(day, policyB) //nolint:contextcheck // a simulated day is not cancelled half-way
 				c.scenarios[i], c.a[i], c.b[i] = day, figuresA, figuresB
 				failed.set(config.A, errA)
 				failed.set(config.B, errB)
@@ -219,7 +220,7 @@
 	return c, nil
 }
 
-// firstError keeps the first error that several goroutines meet.
+// firstError keeps the first error that any of several goroutines reports.
 type firstError struct {
 	mu  sync.Mutex
 	err error // guarded by mu
@@ -239,36 +240,36 @@
 	return f.err
 }
 
-// row compares a metric over all days.
+// row compares the two policies by a metric over all days.
 func (c *Comparison) row(m metric) Row {
 	var a, b, differences []float64
 	for i := range c.a {
-		a, b = append(a, m.of(c.a[i])), append(b, m.of(c.b[i]))
+		a, b = append(a, m.value(c.a[i])), append(b, m.value(c.b[i]))
 		differences = append(differences, b[i]-a[i])
 	}
-	row := Row{Name: m.Name, A: stat.Mean(a, nil), B: stat.Mean(b, nil), Verdict: "no difference told"}
+	row := Row{Name: m.Name, A: stat.Mean(a, nil), B: stat.Mean(b, nil), Verdict: "no significant difference"}
 	row.Diff, row.Low, row.High = interval(differences)
-	if better := float64(m.Good); row.Low*better > 0 && row.High*better > 0 {
+	if direction := float64(m.Direction); row.Low*direction > 0 && row.High*direction > 0 {
 		row.Verdict = c.B + " is better"
-	} else if row.Low*better < 0 && row.High*better < 0 {
+	} else if row.Low*direction < 0 && row.High*direction < 0 {
 		row.Verdict = c.A + " is better"
 	}
 	return row
 }
 
-// interval gives the mean of paired differences and its 95% confidence interval by Student's distribution.
+// interval returns the mean of paired differences and its 95% confidence interval by Student's t-distribution.
 func interval(d []float64) (mean, low, high float64) {
 	mean, sd := stat.MeanStdDev(d, nil)
 	if len(d) < 2 {
 		return mean, math.Inf(-1), math.Inf(1)
 	}
-	half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(d) - 1)}.Quantile(0.975) * sd / math.Sqrt(float64(len(d)))
-	return mean, mean - half, mean + half
+	halfWidth := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(d) - 1)}.Quantile(0.975) * sd / math.Sqrt(float64(len(d)))
+	return mean, mean - halfWidth, mean + halfWidth
 }
 
-// Print writes the table.
+// Print writes the comparison as a table.
 func (c *Comparison) Print(out io.Writer) {
-	fmt.Fprintf(out, "%d days, %d nodes filled to %.0f%%, %s against %s on the same seeds\n", c.Days, c.Nodes, 100*c.Load, c.A, c.B)
+	fmt.Fprintf(out, "%d simulated days, %d nodes, load %.0f%%, %s versus %s on the same seeds\n", c.Days, c.Nodes, 100*c.Load, c.A, c.B)
 	fmt.Fprintf(out, "%-24s %12s %12s %12s  %-25s %s\n", "", c.A, c.B, "difference", "95% interval", "")
 	for _, r := range c.Rows {
 		fmt.Fprintf(out, "%-24s %12.4f %12.4f %+12.4f  %-25s %s\n", r.Name, r.A, r.B, r.Diff, fmt.Sprintf("%+.4f to %+.4f", r.Low, r.High), r.Verdict)
--- a/internal/lab/compare/order.go
+++ b/internal/lab/compare/order.go
@@ -13,10 +13,10 @@
 	"ravenpond/internal/lab/sim"
 )
 
-// FaultClasses are the kinds of days that policies are put in order on: all faults of one sort, and no other.
+// FaultClasses lists the classes of faults by which policies are ranked. A simulated day of a class has faults of its kinds alone.
 var FaultClasses = []struct {
 	Name  string
-	Kinds []string // of faults; none: a calm day
+	Kinds []string // of faults; none: days without faults
 }{
 	{"calm", nil},
 	{"more asks", []string{"flood"}},
@@ -30,20 +30,21 @@
 	{"schedulers stop", []string{"kill", "pause"}},
 }
 
-// Ranking is how policies came out on the days of one trouble.
+// Ranking is the order of the policies on the simulated days of one class of faults.
 type Ranking struct {
 	Fault      string
-	Score      []float64 // by policy: part of the asks served in time; a day on which a rule was broken counts nothing
-	InTime     []float64 // and the same without a look at the rules
-	Compliance []float64 // part of the days on which every rule was kept
-	Names      []string  // of the policies, the best first, as far as the days tell them apart
-	Distinct   []bool    // that a policy is worse than the one before it, by paired days
+	Score      []float64 // by policy: mean fraction of the requests served in time; a day with a rule violation counts as 0
+	InTime     []float64 // by policy: mean fraction of the requests served in time, whether or not rules were violated
+	Compliance []float64 // by policy: fraction of the days without a rule violation
+	Names      []string  // of the policies by score, the best first
+	Distinct   []bool    // by place: whether the policy is worse than the one before it, by the 95% interval of paired days
 }
 
-// scenarioWithFaults draws a day of one trouble alone: faults of other kinds are left out, and seeds tried until some are left.
+// scenarioWithFaults draws a simulated day with faults of the given kinds alone: faults of other kinds are left out, and further seeds are
+// drawn until at least one fault is left.
 func scenarioWithFaults(seed uint64, kinds []string, nodes int, load float64) sim.Script {
-	for try := uint64(0); ; try++ {
-		day := Scenario(seed+try*1e6, nodes, load, true)
+	for attempt := uint64(0); ; attempt++ {
+		day := Scenario(seed+attempt*1e6, nodes, load, true)
 		day.Faults = slices.DeleteFunc(day.Faults, func(f sim.Fault) bool { return !slices.Contains(kinds, f.Kind) })
 		if len(kinds) == 0 || len(day.Faults) > 0 {
 			return day
@@ -51,39 +52,40 @@
 	}
 }
 
-// Rank plays so many days of each trouble with every policy and puts them in order.
+// Rank simulates the given number of days of each class of faults under every policy and ranks the policies. Up to the given number of
+// workers run at a time.
 func Rank(ctx context.Context, days, nodes int, load float64, workers int) (all []Ranking, err error) {
-	var made []engine.PolicyFactory
+	var factories []engine.PolicyFactory
 	for _, name := range Policies {
 		p, err := newPolicy(name)
 		if err != nil {
 			return nil, err
 		}
-		made = append(made, p)
+		factories = append(factories, p)
 	}
-	for _, tr := range FaultClasses {
-		got := make([][]*Figures, len(Policies))
-		for i := range got {
-			got[i] = make([]*Figures, days)
+	for _, class := range FaultClasses {
+		figures := make([][]*Figures, len(Policies))
+		for i := range figures {
+			figures[i] = make([]*Figures, days)
 		}
 		var mu sync.Mutex
 		var work sync.WaitGroup
-		room := make(chan struct{}, max(1, workers))
+		slots := make(chan struct{}, max(1, workers))
 		for d := range days {
-			for i, p := range made {
+			for i, p := range factories {
 				if ctx.Err() != nil {
 					break
 				}
-				room <- struct{}{}
+				slots <- struct{}{}
 				work.Go(func() {
-					defer func() { <-room }()
-					f, failed := run(scenarioWithFaults(uint64(d+1), tr.Kinds, nodes, load), p)
+					defer func() { <-slots }()
+					f, runErr := run(scenarioWithFaults(uint64(d+1), class.Kinds, nodes, load), p)
 					mu.Lock()
 					defer mu.Unlock()
-					if failed != nil && err == nil {
-						err = fmt.Errorf("%s, %s: %w", tr.Name, Policies[i], failed)
+					if runErr != nil && err == nil {
+						err = fmt.Errorf("%s, %s: %w", class.Name, Policies[i], runErr)
 					}
-					got[i][d] = f
+					figures[i][d] = f
 				})
 			}
 		}
@@ -91,56 +93,56 @@
 		if err = cmp.Or(err, ctx.Err()); err != nil {
 			return nil, err
 		}
-		all = append(all, rank(tr.Name, got))
+		all = append(all, rank(class.Name, figures))
 	}
 	return all, nil
 }
 
-// rank puts the policies in order by what they served in time, and tells by paired days which places are certain.
-func rank(trouble string, got [][]*Figures) Ranking {
-	o := Ranking{Fault: trouble, Score: make([]float64, len(got)), InTime: make([]float64, len(got)), Compliance: make([]float64, len(got))}
-	worth := make([][]float64, len(got))
-	for i, days := range got {
+// rank orders the policies by score and determines by paired days which neighbours in the order differ significantly.
+func rank(fault string, figures [][]*Figures) Ranking {
+	o := Ranking{Fault: fault, Score: make([]float64, len(figures)), InTime: make([]float64, len(figures)), Compliance: make([]float64, len(figures))}
+	scores := make([][]float64, len(figures))
+	for i, days := range figures {
 		for _, f := range days {
-			g := float64(f.InTime) / float64(max(1, f.Requests))
-			o.InTime[i] += g / float64(len(days))
+			score := float64(f.InTime) / float64(max(1, f.Requests))
+			o.InTime[i] += score / float64(len(days))
 			if f.Violations == 0 {
 				o.Compliance[i] += 1 / float64(len(days))
 			} else {
-				g = 0
+				score = 0
 			}
-			worth[i] = append(worth[i], g)
-			o.Score[i] += g / float64(len(days))
+			scores[i] = append(scores[i], score)
+			o.Score[i] += score / float64(len(days))
 		}
 	}
-	places := make([]int, len(got))
+	places := make([]int, len(figures))
 	for i := range places {
 		places[i] = i
 	}
 	slices.SortStableFunc(places, func(x, y int) int { return cmp.Compare(o.Score[y], o.Score[x]) })
 	for n, i := range places {
 		o.Names = append(o.Names, Policies[i])
-		told := false
+		distinct := false
 		if n > 0 {
-			var d []float64
-			for day := range worth[i] {
-				d = append(d, worth[i][day]-worth[places[n-1]][day])
+			var differences []float64
+			for day := range scores[i] {
+				differences = append(differences, scores[i][day]-scores[places[n-1]][day])
 			}
-			_, _, high := interval(d)
-			told = high < 0
+			_, _, high := interval(differences)
+			distinct = high < 0
 		}
-		o.Distinct = append(o.Distinct, told)
+		o.Distinct = append(o.Distinct, distinct)
 	}
 	return o
 }
 
-// PrintRankings writes the orders: > where the days tell two policies apart, = where they do not.
+// PrintRankings writes a table of the rankings. In the order, > stands where two policies differ significantly, = where they do not.
 func PrintRankings(out io.Writer, all []Ranking) {
 	fmt.Fprintf(out, "%-16s", "in time, rules kept")
 	for _, name := range Policies {
 		fmt.Fprintf(out, " %20s", name)
 	}
-	fmt.Fprintln(out, "  order by worth: in time, a day with a broken rule counts nothing")
+	fmt.Fprintln(out, "  order by score: fraction in time, a day with a rule violation counts as 0")
 	for _, o := range all {
 		fmt.Fprintf(out, "%-19s", o.Fault)
 		for i := range Policies {
