--- a/internal/lab/compare/grow.go
+++ b/internal/lab/compare/grow.go
@@ -17,7 +17,7 @@
 // the cost of the whole simulation included, and the heap at the end, which grows with the number of connections.
 func MeasureGrowth(ctx context.Context, out io.Writer, sizes []ClusterSize, rate, duration float64) error {
 	fmt.Fprintf(out, "days without faults of %.0f s, %.0f requests per second, one core; the cost of the whole simulation is included\n", duration/1000, rate)
-	fmt.Fprintf(out, "%6s %10s %12s %8s %9s %10s %12s %10s\n", "nodes", "schedulers", "connections", "requests", "served", "us/request",
+	fmt.Fprintf(out, "%6s %10s %12s %8s %9s %10s %12s %10s\n", "nodes", "schedulers", "connections", "asks", "served", "us an ask",
 		"MiB at end", "seconds")
 	for _, z := range sizes {
 		if ctx.Err() != nil {
--- a/internal/lab/compare/report.go
+++ b/internal/lab/compare/report.go
@@ -24,7 +24,7 @@
 <h2>Start latency</h2><p>All days together: the fraction of the served requests that started within a given time.</p>{{.Latency}}
 <h2>Each day</h2><p>Fraction of the requests served in time: {{.C.B}} minus {{.C.A}}, days sorted by the difference.</p>{{.Paired}}
 <h2>One day: seed {{.Seed}}</h2><p>Rejections and requests not served, over time; dashed lines mark the faults.</p>{{.Rejections}}{{.Unserved}}
-<table>{{range .Faults}}<tr><td>{{printf "%.1f" .At}} s</td><td>{{.Description}}</td></tr>{{end}}</table>
+<table>{{range .FaultRows}}<tr><td>{{printf "%.1f" .At}} s</td><td>{{.Description}}</td></tr>{{end}}</table>
 </body></html>
 `))
 
@@ -47,10 +47,10 @@
 		LoadPercent                           float64
 		Seed                                  uint64
 		Latency, Paired, Rejections, Unserved template.HTML
-		Faults                                []faultRow
+		FaultRows                             []faultRow
 	}{C: c, LoadPercent: 100 * c.Load, Seed: c.scenarios[worst].Seed}
 	for _, f := range c.scenarios[worst].Faults {
-		data.Faults = append(data.Faults, faultRow{f.At / 1000, fmt.Sprintf("%s %s %s %.0f ms", f.Kind, f.Target, f.Peer, f.Duration)})
+		data.FaultRows = append(data.FaultRows, faultRow{f.At / 1000, fmt.Sprintf("%s %s %s %.0f ms", f.Kind, f.Target, f.Peer, f.Duration)})
 	}
 	var err error
 	steps := []struct {
@@ -60,7 +60,7 @@
 		{&data.Latency, c.plotLatency},
 		{&data.Paired, c.plotPaired},
 		{&data.Rejections, func(p *plot.Plot) error {
-			p.Title.Text, p.Y.Label.Text = "rejections", "per second"
+			p.Title.Text, p.Y.Label.Text = "refusals", "per second"
 			return c.plotOverTime(p, worst, func(f *Figures) []float64 { return f.rejectedByBucket })
 		}},
 		{&data.Unserved, func(p *plot.Plot) error {
@@ -108,7 +108,7 @@
 
 // plotLatency draws the distribution of start latencies under both policies.
 func (c *Comparison) plotLatency(p *plot.Plot) error {
-	p.X.Label.Text, p.Y.Label.Text = "ms", "fraction"
+	p.X.Label.Text, p.Y.Label.Text = "ms", "part"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	var lines []any
 	for i, all := range [][]*Figures{c.a, c.b} {
