--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,11 +1,11 @@
-// Package baseline has simple placement policies to compare the placement module with: random, least-loaded, best-of-two (the less loaded of
-// two nodes drawn at random), and careful.
+// Package baseline provides simple placement policies to compare the placement module with: random, least-loaded, best-of-two (the less loaded
+// of two nodes drawn at random), and careful.
 //
 // All keep the rules of retry semantics: no second attempt of an at-most-once allocation that may have run, and repeats of an idempotent one
-// only within its scope and window. Only careful also keeps the spread constraint and slow start, in the plainest way: it counts its own
-// allocations of a service, and leaves nodes alone until they are warm.
+// only within its scope and window. Only careful also respects the spread constraint and slow start, in the simplest way: it counts its own
+// allocations of a service, and selects no node until its slow start is over.
 //
-// A Policy implements logic.EventHandler and acts through logic.Effects. Like the placement module it keeps no clock, is deterministic for a
+// A Policy implements logic.EventHandler and acts through logic.Effects. Like the placement module it reads no clock, is deterministic for a
 // seed, and is not safe for concurrent use.
 package baseline
 
@@ -29,12 +29,12 @@
 
 // Times in milliseconds.
 const (
-	pollRetry      = 500  // until the list is polled again after a failure
-	retryAfter     = 200  // that clients are told when an allocation is shed
-	fullBackoff    = 200  // a node that rejected for lack of room is left alone for so long
-	rescanDelay    = 50   // until the queue is scanned again
-	windowMargin   = 50   // before the end of an idempotency window in which nothing is repeated
-	attemptTimeout = 1200 // of all attempts but the last
+	pollRetry      = 500  // delay before the list is polled again after a failure
+	retryAfter     = 200  // retry delay that is sent to the client of a shed allocation
+	fullBackoff    = 200  // time for which a node is not selected after a rejection for lack of capacity
+	rescanDelay    = 50   // delay before the queue is scanned again
+	windowMargin   = 50   // time before the end of an idempotency window in which no attempt is repeated
+	attemptTimeout = 1200 // timeout of all attempts but the last
 )
 
 // Keys of timers.
@@ -43,7 +43,7 @@
 	timerScan
 )
 
-// node is what the list says of a node, and what this policy has allocated on it since.
+// node is the state of a node by the list, and what this policy has allocated on it since.
 type node struct {
 	id        uint32
 	ready     bool
@@ -52,11 +52,11 @@
 	kind      int
 	startedAt float64
 	free      [2]float64 // cores and memory, by the list
-	reserved  [2]float64 // cores and memory of own allocations since then, in flight or running
-	fullUntil float64
+	reserved  [2]float64 // cores and memory of this policy's allocations since the list entry, in flight or running
+	fullUntil float64    // the node is not selected before this time
 }
 
-// allocation is one that waits, is in flight, or runs.
+// allocation is an allocation that waits, is in flight, or runs.
 type allocation struct {
 	id              uint32
 	class           int
@@ -67,7 +67,7 @@
 	attempts        uint8
 	attemptedNodes  []int
 	sentAt          float64
-	mayHaveRunSince float64 // when the first attempt was sent that may have run, -1: none
+	mayHaveRunSince float64 // time at which the first attempt that may have run was sent, -1: none
 	mayHaveRunNode  int     // index of that attempt's node
 	answered        bool
 }
@@ -83,14 +83,14 @@
 	nodeIndex   map[uint32]int // by id
 	allocations map[uint32]*allocation
 	waiting     []uint32
-	listed      map[uint32]bool // nodes named in the present list message
+	listed      map[uint32]bool // nodes in the list message that is being received
 	listKind    logic.ListKind
-	trueLoad    func(node uint32) float64 // the actual load of a node; nil: load is estimated from the list and own allocations
+	trueLoad    func(node uint32) float64 // returns the actual load of a node; nil: load is estimated from the list and this policy's allocations
 }
 
 var _ logic.EventHandler = (*Policy)(nil)
 
-// New starts the policy of a name, which has to be one of PolicyNames.
+// New returns the policy with the given name, which has to be one of PolicyNames, and subscribes it to the list.
 func New(name string, effects logic.Effects, now float64, seed uint64, cluster *logic.Cluster) *Policy {
 	p := &Policy{
 		effects: effects, cluster: cluster, random: rand.New(rand.NewPCG(seed, 77)), name: name, now: now,
@@ -100,18 +100,18 @@
 	return p
 }
 
-// Constructor starts a policy, as logic.New does.
+// Constructor creates a policy, as logic.New does.
 type Constructor = func(effects logic.Effects, now float64, seed uint64, cluster *logic.Cluster) logic.EventHandler
 
-// Factory is the constructor of the policy of a name.
+// Factory returns the constructor of the policy with the given name.
 func Factory(name string) Constructor {
 	return func(effects logic.Effects, now float64, seed uint64, cluster *logic.Cluster) logic.EventHandler {
 		return New(name, effects, now, seed, cluster)
 	}
 }
 
-// LeastLoadedByTrueLoad is the constructor of a policy that takes the node of the least actual load, which no real scheduler knows: the best
-// that knowledge alone could bring.
+// LeastLoadedByTrueLoad returns the constructor of a policy that selects the node with the lowest actual load, which no real scheduler knows.
+// It is the best result that perfect knowledge of the load alone could give.
 func LeastLoadedByTrueLoad(load func(node uint32) float64) Constructor {
 	return func(effects logic.Effects, now float64, seed uint64, cluster *logic.Cluster) logic.EventHandler {
 		p := New(leastLoaded, effects, now, seed, cluster)
@@ -196,7 +196,7 @@
 	}
 }
 
-// OnOutcome implements logic.EventHandler: an allocation without its final answer joins the queue again.
+// OnOutcome implements logic.EventHandler: an allocation without a final answer returns to the queue.
 func (p *Policy) OnOutcome(now float64, result logic.AttemptResult) {
 	p.now = now
 	a := p.allocations[result.Allocation]
@@ -239,7 +239,7 @@
 	}
 }
 
-// Decide implements logic.EventHandler: it attempts or answers what waits, in order of arrival.
+// Decide implements logic.EventHandler: it attempts or answers the waiting allocations in order of arrival.
 func (p *Policy) Decide(now float64) {
 	p.now = now
 	waiting := p.waiting
@@ -262,7 +262,8 @@
 	}
 }
 
-// answer gives an allocation its final answer if it may not be attempted any more, and reports whether it did.
+// answer gives an allocation its final answer if it may not be attempted any more, and reports whether it did. An allocation whose repetition
+// may do harm is failed, any other is shed.
 func (p *Policy) answer(a *allocation) bool {
 	class, mayHaveRun := &p.cluster.JobClasses[a.class], a.mayHaveRunSince >= 0
 	expired := class.Semantics == logic.Idempotent && p.now+windowMargin > a.mayHaveRunSince+class.IdempotencyWindow
@@ -281,7 +282,7 @@
 	return true
 }
 
-// attempt sends an allocation to the node of an index.
+// attempt sends an allocation to the node with the given index.
 func (p *Policy) attempt(a *allocation, i int) {
 	n := &p.nodes[i]
 	n.reserved[0], n.reserved[1] = n.reserved[0]+a.size[0], n.reserved[1]+a.size[1]
--- a/internal/lab/baseline/choose.go
+++ b/internal/lab/baseline/choose.go
@@ -6,7 +6,7 @@
 	"ravenpond/logic"
 )
 
-// choose draws the index of a node for an allocation by the policy's rule, -1 if none passes the filters.
+// choose selects a node for an allocation by the policy's rule and returns its index, -1 if no node passes the filters.
 func (p *Policy) choose(a *allocation) int {
 	var passed []int
 	for i := range p.nodes {
@@ -33,7 +33,8 @@
 	return best
 }
 
-// load is the larger part of cores or memory allocated on a node, less one, or the actual load where the policy knows it.
+// load returns the actual load of a node where the policy knows it, else the larger of the allocated fractions of cores and memory, minus
+// one.
 func (p *Policy) load(i int) float64 {
 	n := &p.nodes[i]
 	if p.trueLoad != nil {
@@ -42,7 +43,7 @@
 	return max((n.reserved[0]-n.free[0])/p.cluster.KindCores[n.kind], (n.reserved[1]-n.free[1])/p.cluster.KindMemory[n.kind])
 }
 
-// passes applies the filters to a node.
+// passes reports whether a node passes the filters for an allocation.
 func (p *Policy) passes(a *allocation, i int) bool {
 	n, class := &p.nodes[i], &p.cluster.JobClasses[a.class]
 	if !n.ready || p.now < n.fullUntil || class.NodeKind >= 0 && n.kind != class.NodeKind || slices.Contains(a.attemptedNodes, i) {
@@ -76,15 +77,15 @@
 	if class.Spread == logic.Anywhere {
 		return true
 	}
-	n, together := &p.nodes[i], 0
-	for _, other := range p.allocations { // a count, which does not depend on the order
+	n, placed := &p.nodes[i], 0
+	for _, other := range p.allocations { // the result does not depend on the iteration order
 		if other.service != a.service || other.node < 0 || other.id == a.id {
 			continue
 		}
 		m := &p.nodes[other.node]
 		if other.node == i || class.Spread == logic.PerCell && m.cell == n.cell || class.Spread == logic.PerZone && m.zone == n.zone {
-			together++
+			placed++
 		}
 	}
-	return together < class.MaxPerScope
+	return placed < class.MaxPerScope
 }
