--- a/internal/lab/balance/figures.go
+++ b/internal/lab/balance/figures.go
@@ -1,5 +1,5 @@
-// Package balance measures how evenly the load of many schedulers spreads over nodes: how full the fullest is beside the mean, who
-// stands idle and for how long, how many offers meet at one node, and how soon all is even again after something has happened.
+// Package balance measures how evenly many schedulers distribute load over nodes: the load of the fullest node relative to the mean, how long
+// nodes are under-used, how many offers reach one node at a time, and how soon the load is balanced again after a fault.
 package balance
 
 import (
@@ -7,148 +7,148 @@
 	"slices"
 )
 
-// Sample is how nodes are loaded at a time: the part of its room that is asked for at each ready node, warm ones alone.
+// Sample is the load of the nodes at one time: the allocated fraction of its capacity for each node that is ready and warm.
 type Sample struct {
-	At   float64 // ms
-	Load map[uint32]float64
+	At   float64            // ms
+	Load map[uint32]float64 // by node id
 }
 
-// placement is one that a node received.
+// placement is an offer that a node received.
 type placement struct {
-	at   float64
+	at   float64 // ms
 	node uint32
 }
 
-// Recorder gathers what is seen.
+// Recorder collects load samples, offers, requests and responses of a simulation.
 type Recorder struct {
 	samples        []Sample
 	placements     []placement
-	refused        int
+	rejections     int
 	attempts       int
-	startLatencies []float64 // ms from ask to answer, of those served
+	startLatencies []float64 // ms from request to response, of served requests
 	requests       int
 	served         int
 }
 
-// AddSample takes a moment; they come in their order.
-func (w *Recorder) AddSample(m Sample) { w.samples = append(w.samples, m) }
+// AddSample adds a sample. Samples are added in order of time.
+func (r *Recorder) AddSample(s Sample) { r.samples = append(r.samples, s) }
 
-// AddPlacement takes an offer that a node received, Refuse that one was turned away for lack of room.
-func (w *Recorder) AddPlacement(at float64, node uint32) {
-	w.attempts++
-	w.placements = append(w.placements, placement{at, node})
+// AddPlacement adds an offer that a node received.
+func (r *Recorder) AddPlacement(at float64, node uint32) {
+	r.attempts++
+	r.placements = append(r.placements, placement{at, node})
 }
 
-// AddRejection counts a try that was turned away.
-func (w *Recorder) AddRejection() { w.refused++ }
+// AddRejection counts an attempt that a node rejected for lack of capacity.
+func (r *Recorder) AddRejection() { r.rejections++ }
 
-// AddRequest counts an ask, Answer its answer after so many ms.
-func (w *Recorder) AddRequest() { w.requests++ }
+// AddRequest counts a request.
+func (r *Recorder) AddRequest() { r.requests++ }
 
-// AddResponse takes an answer.
-func (w *Recorder) AddResponse(served bool, took float64) {
+// AddResponse adds the response to a request and its latency in ms, which is recorded if the request was served.
+func (r *Recorder) AddResponse(served bool, latency float64) {
 	if served {
-		w.served++
-		w.startLatencies = append(w.startLatencies, took)
+		r.served++
+		r.startLatencies = append(r.startLatencies, latency)
 	}
 }
 
-// Figures are what a watch comes to over a span of time.
+// Figures summarize what a Recorder has collected over a span of time.
 type Figures struct {
-	FullestP50, FullestP99, FullestMax float64 // the fullest node, times the mean, over time
+	FullestP50, FullestP99, FullestMax float64 // load of the fullest node as a multiple of the mean, quantiles over time
 	Variation                          float64 // coefficient of variation, mean over time
 	Jain                               float64 // Jain's index, mean over time
-	LongestIdle                        float64 // ms that a node was under half of the mean at a stretch, the longest
-	MaxConcurrent                      int     // offers to one node within a report's lag, the most
-	Rejected                           float64 // part of all tries
-	StartP99                           float64 // ms
-	Served                             float64 // part of all asks
-	MeanLoad                           float64 // load
+	LongestIdle                        float64 // longest time that a node stayed below half of the mean, in ms
+	MaxConcurrent                      int     // most offers to one node within reportLag
+	Rejected                           float64 // fraction of all attempts
+	StartP99                           float64 // 99th percentile of the start latency, in ms
+	Served                             float64 // fraction of all requests
+	MeanLoad                           float64 // mean load of the nodes, mean over time
 }
 
-// reportLag is what a report or a list lags, ms: offers within it are made without knowledge of each other.
+// reportLag is the delay of load reports and of the list, in ms: offers within it are made without knowledge of each other.
 const reportLag = 500
 
-// Summarize sums up what was seen from a time to another.
-func (w *Recorder) Summarize(from, to float64) (f Figures) {
+// Summarize computes the figures for the time from one moment up to another, in ms. Rejected, StartP99 and Served cover the whole recording.
+func (r *Recorder) Summarize(from, to float64) (f Figures) {
 	var fullest []float64
-	under := map[uint32]float64{} // since when a node is under half of the mean
-	n := 0.0
-	for _, m := range w.samples {
+	underusedSince := map[uint32]float64{} // when a node fell below half of the mean, by node id
+	count := 0.0
+	for _, m := range r.samples {
 		if m.At < from || m.At >= to || len(m.Load) == 0 {
 			continue
 		}
-		mean, vary, jain, most := distribution(m.Load)
+		mean, variation, jain, largest := distribution(m.Load)
 		if mean <= 0 {
 			continue
 		}
-		n++
-		f.MeanLoad, f.Variation, f.Jain = f.MeanLoad+mean, f.Variation+vary, f.Jain+jain
-		fullest = append(fullest, most/mean)
-		for node, l := range m.Load { // each node by itself: the order has no effect
-			switch since, is := under[node]; {
+		count++
+		f.MeanLoad, f.Variation, f.Jain = f.MeanLoad+mean, f.Variation+variation, f.Jain+jain
+		fullest = append(fullest, largest/mean)
+		for node, l := range m.Load { // nodes are independent: the iteration order has no effect
+			switch since, underused := underusedSince[node]; {
 			case l >= mean/2:
-				delete(under, node)
-			case !is:
-				under[node] = m.At
+				delete(underusedSince, node)
+			case !underused:
+				underusedSince[node] = m.At
 			default:
 				f.LongestIdle = max(f.LongestIdle, m.At-since)
 			}
 		}
-		for node := range under { // one that is not ready any more
+		for node := range underusedSince { // forget nodes that are no longer ready
 			if _, ok := m.Load[node]; !ok {
-				delete(under, node)
+				delete(underusedSince, node)
 			}
 		}
 	}
-	if n > 0 {
-		f.MeanLoad, f.Variation, f.Jain = f.MeanLoad/n, f.Variation/n, f.Jain/n
+	if count > 0 {
+		f.MeanLoad, f.Variation, f.Jain = f.MeanLoad/count, f.Variation/count, f.Jain/count
 	}
 	f.FullestP50, f.FullestP99, f.FullestMax = quantile(fullest, 0.5), quantile(fullest, 0.99), quantile(fullest, 1)
-	f.MaxConcurrent = w.maxConcurrent(from, to)
-	f.Rejected = float64(w.refused) / float64(max(1, w.attempts))
-	f.StartP99 = quantile(slices.Clone(w.startLatencies), 0.99)
-	f.Served = float64(w.served) / float64(max(1, w.requests))
+	f.MaxConcurrent = r.maxConcurrent(from, to)
+	f.Rejected = float64(r.rejections) / float64(max(1, r.attempts))
+	f.StartP99 = quantile(slices.Clone(r.startLatencies), 0.99)
+	f.Served = float64(r.served) / float64(max(1, r.requests))
 	return f
 }
 
-// distribution gives the mean of loads, their coefficient of variation, Jain's index and the largest.
-func distribution(load map[uint32]float64) (mean, vary, jain, most float64) {
+// distribution returns the mean of loads, their coefficient of variation, Jain's index and the largest load.
+func distribution(load map[uint32]float64) (mean, variation, jain, largest float64) {
 	var all []float64
 	for _, l := range load {
 		all = append(all, l)
 	}
-	slices.Sort(all) // so that sums come out the same whatever the order
+	slices.Sort(all) // makes the sums independent of the iteration order
 	var sum, squares float64
 	for _, l := range all {
-		sum, squares, most = sum+l, squares+l*l, max(most, l)
+		sum, squares, largest = sum+l, squares+l*l, max(largest, l)
 	}
 	n := float64(len(all))
 	mean = sum / n
 	if squares == 0 {
 		return 0, 0, 1, 0
 	}
-	return mean, math.Sqrt(max(0, squares/n-mean*mean)) / mean, sum * sum / (n * squares), most
+	return mean, math.Sqrt(max(0, squares/n-mean*mean)) / mean, sum * sum / (n * squares), largest
 }
 
-// maxConcurrent is the most offers that one node received within a report's lag.
-func (w *Recorder) maxConcurrent(from, to float64) (most int) {
-	by := map[uint32][]float64{}
-	for _, o := range w.placements {
+// maxConcurrent returns the largest number of offers that one node received within reportLag.
+func (r *Recorder) maxConcurrent(from, to float64) (most int) {
+	recent := map[uint32][]float64{}
+	for _, o := range r.placements {
 		if o.at < from || o.at >= to {
 			continue
 		}
-		late := append(by[o.node], o.at)
-		for late[0] <= o.at-reportLag {
-			late = late[1:]
+		times := append(recent[o.node], o.at)
+		for times[0] <= o.at-reportLag {
+			times = times[1:]
 		}
-		by[o.node] = late
-		most = max(most, len(late))
+		recent[o.node] = times
+		most = max(most, len(times))
 	}
 	return most
 }
 
-// quantile gives a quantile, NaN of nothing.
+// quantile returns a quantile of the values, which it sorts, or NaN if there are none.
 func quantile(all []float64, q float64) float64 {
 	if len(all) == 0 {
 		return math.NaN()
@@ -157,17 +157,17 @@
 	return all[min(len(all)-1, int(q*float64(len(all))))]
 }
 
-// TimeToBalance is how long after a time the fullest node was under so many times the mean again, and stayed there for a second at least; infinite
-// if it never was.
-func (w *Recorder) TimeToBalance(from, bound float64) float64 {
+// TimeToBalance returns how long after a moment the load of the fullest node fell to the given multiple of the mean or below and stayed there
+// for 1 s at least, in ms. It is infinite if that never happened.
+func (r *Recorder) TimeToBalance(from, bound float64) float64 {
 	since := math.Inf(1)
-	for _, m := range w.samples {
+	for _, m := range r.samples {
 		if m.At < from || len(m.Load) == 0 {
 			continue
 		}
-		mean, _, _, most := distribution(m.Load)
+		mean, _, _, largest := distribution(m.Load)
 		switch {
-		case most > bound*mean:
+		case largest > bound*mean:
 			since = math.Inf(1)
 		case math.IsInf(since, 1):
 			since = m.At
--- a/internal/lab/balance/simulate.go
+++ b/internal/lab/balance/simulate.go
@@ -17,73 +17,74 @@
 	"ravenpond/internal/standin"
 )
 
-// Names of what decides: the module, the baselines, and one that sees the true state.
+// Names lists the policies that can be simulated: "design", which is the placement module, the baselines, and "true-state", a least-loaded
+// policy that knows the actual load of the nodes.
 var Names = append(append([]string{"design"}, baseline.PolicyNames...), "true-state")
 
-// Scenario is what is played.
+// Scenario describes a simulated cluster and its work.
 type Scenario struct {
 	Schedulers, Nodes int
-	Load              float64 // part of the room that work fills
-	TaskRuntime       float64 // ms that work runs
+	Load              float64 // fraction of the capacity that tasks fill
+	TaskRuntime       float64 // mean run time of a task, in ms
 	Duration          float64 // ms
 	Services          int     // of each job type
-	Members           bool
+	Members           bool    // whether the schedulers know each other by membership
 	Faults            []sim.Fault
 	WorkingSet        *site.WorkingSet // of each scheduler; nil: all nodes
 }
 
-// Of the laboratory's nodes and work: room for so many allocations of mean size.
+// tasksPerNode is the number of tasks of mean size for which a simulated node has capacity.
 const tasksPerNode = 32
 
-// warmAfter is how long after its start a node is taken for warm, ms.
+// warmAfter is the time after its start from which a node counts as warm, in ms.
 const warmAfter = 3000
 
-// rate is asks a second that fill so much.
+// rate returns the requests per second that give the load.
 func (s Scenario) rate() float64 {
 	return s.Load * tasksPerNode * float64(s.Nodes) / (s.TaskRuntime / 1000)
 }
 
-// Simulate plays a scene on the laboratory's clock under a policy; what it sees is simulated.
+// Simulate runs a scenario under a policy on the virtual clock and returns what it recorded.
 func Simulate(s Scenario, policy string, seed uint64) (*Recorder, error) {
-	w := &Recorder{}
+	recorder := &Recorder{}
 	var nodes []*standin.Node
-	g := sim.Simulation{
+	simulation := sim.Simulation{
 		CountViolations: true, SettleTime: 500, TaskRuntime: s.TaskRuntime, Services: s.Services, WorkingSet: s.WorkingSet,
 		Script: sim.Script{
 			Seed: seed, Nodes: s.Nodes, Schedulers: s.Schedulers, Shards: 1, ConnectionSharing: "shared", Rate: s.rate(), Duration: s.Duration,
 			Members: s.Members, Faults: s.Faults,
 		},
 	}
-	if err := g.Script.Check(); err != nil {
+	if err := simulation.Script.Check(); err != nil {
 		return nil, err
 	}
 	switch {
 	case policy == "design":
 	case policy == "true-state":
-		g.Policy = baseline.LeastLoadedByTrueLoad(func(node uint32) float64 {
+		simulation.Policy = baseline.LeastLoadedByTrueLoad(func(node uint32) float64 {
 			if i := int(node) - 1; i >= 0 && i < len(nodes) {
 				return nodes[i].Machine.ReservedFraction()
 			}
 			return 0
 		})
 	case slices.Contains(baseline.PolicyNames, policy):
-		g.Policy = engine.PolicyFactory(baseline.Factory(policy))
+		simulation.Policy = engine.PolicyFactory(baseline.Factory(policy))
 	default:
-		return nil, fmt.Errorf("no policy %q; there are %v", policy, Names)
+		return nil, fmt.Errorf("unknown policy %q, want one of %v", policy, Names)
 	}
-	g.OnSample = func(now float64, all []*standin.Node) {
+	simulation.OnSample = func(now float64, all []*standin.Node) {
 		nodes = all
-		w.AddSample(sampleNodes(now, all))
+		recorder.AddSample(sampleNodes(now, all))
 	}
-	asked := map[[2]uint64]float64{}
-	g.OnRecord = func(r *audit.Record) { w.onRecord(r, asked) }
-	if v := g.Run(); v.Failure != "" {
+	sentAt := map[[2]uint64]float64{}
+	simulation.OnRecord = func(record *audit.Record) { recorder.onRecord(record, sentAt) }
+	if v := simulation.Run(); v.Failure != "" {
 		return nil, fmt.Errorf("seed %d: %s", seed, v.Failure)
 	}
-	return w, nil
+	return recorder, nil
 }
 
-// sampleNodes is a moment of nodes: those that are there, take work and are warm.
+// sampleNodes returns a sample of the nodes that are up, not draining and warm.
 func sampleNodes(now float64, all []*standin.Node) Sample {
 	m := Sample{At: now, Load: map[uint32]float64{}}
 	for _, n := range all {
@@ -94,58 +95,59 @@
 	return m
 }
 
-// onRecord takes what passes.
-func (w *Recorder) onRecord(r *audit.Record, asked map[[2]uint64]float64) {
-	key := [2]uint64{uint64(r.Client), r.RequestRef}
-	switch r.Kind {
+// onRecord adds an audit record.
+func (r *Recorder) onRecord(record *audit.Record, sentAt map[[2]uint64]float64) {
+	key := [2]uint64{uint64(record.Client), record.RequestRef}
+	switch record.Kind {
 	case audit.PlacementReceived:
-		w.AddPlacement(r.At, r.Node)
+		r.AddPlacement(record.At, record.Node)
 	case audit.AttemptConcluded:
-		if r.Detail == "refused" {
-			w.AddRejection()
+		if record.Detail == "refused" {
+			r.AddRejection()
 		}
 	case audit.RequestSent:
-		asked[key] = r.At
-		w.AddRequest()
+		sentAt[key] = record.At
+		r.AddRequest()
 	case audit.ResponseReceived:
-		if at, ok := asked[key]; ok {
-			w.AddResponse(r.Detail == "served", r.At-at)
-			delete(asked, key)
+		if at, ok := sentAt[key]; ok {
+			r.AddResponse(record.Detail == "served", record.At-at)
+			delete(sentAt, key)
 		}
 	}
 }
 
-// Row is what came of a policy over some seeds.
+// Row is the result of a policy over several seeds.
 type Row struct {
 	Policy         string
 	Runs           []Figures // by seed
-	TimesToBalance []float64 // ms until even again after the last change, by seed; NaN where nothing changed
+	TimesToBalance []float64 // ms from the end of the last fault until the load is balanced again, by seed; NaN without faults
 }
 
-// balancedBound is when all counts as even again: the fullest node at so many times the mean.
+// balancedBound is the load of the fullest node, as a multiple of the mean, up to which the load counts as balanced.
 const balancedBound = 1.25
 
-// CompareTable plays a scene under policies, for some seeds each, so many at a time.
+// CompareTable simulates a scenario under each policy with the given number of seeds, up to the given number of workers at a time, and prints
+// a table of the results. Loads are measured from one and a half task run times on.
 func CompareTable(ctx context.Context, out io.Writer, s Scenario, policies []string, seeds, workers int) (rows []Row, err error) {
-	changed := math.NaN()
+	faultsEnd := math.NaN()
 	for _, f := range s.Faults {
-		if end := f.At + f.Duration; math.IsNaN(changed) || end > changed {
-			changed = end
+		if end := f.At + f.Duration; math.IsNaN(faultsEnd) || end > faultsEnd {
+			faultsEnd = end
 		}
 	}
-	type played struct {
-		f    Figures
-		even float64
-		err  error
+	type result struct {
+		figures       Figures
+		timeToBalance float64
+		err           error
 	}
-	all := runs.Run(ctx, 0, uint64(len(policies)*seeds), workers, func(i uint64) (p played) {
-		w, err := Simulate(s, policies[int(i)/seeds], i%uint64(seeds)+1)
+	all := runs.Run(ctx, 0, uint64(len(policies)*seeds), workers, func(i uint64) (p result) {
+		recorder, err := Simulate(s, policies[int(i)/seeds], i%uint64(seeds)+1)
 		if err != nil {
-			return played{err: err}
+			return result{err: err}
 		}
-		p = played{f: w.Summarize(s.TaskRuntime*1.5, s.Duration), even: math.NaN()}
-		if !math.IsNaN(changed) {
-			p.even = w.TimeToBalance(changed, balancedBound)
+		p = result{figures: recorder.Summarize(s.TaskRuntime*1.5, s.Duration), timeToBalance: math.NaN()}
+		if !math.IsNaN(faultsEnd) {
+			p.timeToBalance = recorder.TimeToBalance(faultsEnd, balancedBound)
 		}
 		return p
 	})
@@ -160,17 +162,18 @@
 			rows = append(rows, Row{Policy: policies[i/seeds]})
 		}
 		r := &rows[len(rows)-1]
-		r.Runs, r.TimesToBalance = append(r.Runs, p.f), append(r.TimesToBalance, p.even)
+		r.Runs, r.TimesToBalance = append(r.Runs, p.figures), append(r.TimesToBalance, p.timeToBalance)
 	}
 	return rows, Print(out, rows)
 }
 
-// Print writes rows: the mean over seeds, and the least and most where they tell.
+// Print writes rows as a table: the mean over the seeds, for the 99th percentile of the fullest node and the time to balance also the least
+// and the most of any seed, and for the idle time and the concurrent offers the most alone.
 func Print(out io.Writer, rows []Row) error {
 	tw := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "policy\tload\tfullest p50\tp99\t(seeds)\tCV\tJain\tidle ms\ttogether\trefused\tstart p99 ms\tserved\teven again ms\t")
 	for _, r := range rows {
-		of := func(f func(*Figures) float64) (mean, least, most float64) {
+		statistics := func(f func(*Figures) float64) (mean, least, most float64) {
 			least, most = math.Inf(1), math.Inf(-1)
 			for i := range r.Runs {
 				x := f(&r.Runs[i])
@@ -178,18 +181,18 @@
 			}
 			return
 		}
-		mean := func(f func(*Figures) float64) float64 { m, _, _ := of(f); return m }
-		p99, least, most := of(func(f *Figures) float64 { return f.FullestP99 })
-		_, _, idle := of(func(f *Figures) float64 { return f.LongestIdle })
-		_, _, together := of(func(f *Figures) float64 { return float64(f.MaxConcurrent) })
-		even := "-"
+		mean := func(f func(*Figures) float64) float64 { m, _, _ := statistics(f); return m }
+		p99, least, most := statistics(func(f *Figures) float64 { return f.FullestP99 })
+		_, _, idle := statistics(func(f *Figures) float64 { return f.LongestIdle })
+		_, _, concurrent := statistics(func(f *Figures) float64 { return float64(f.MaxConcurrent) })
+		timeToBalance := "-"
 		if len(r.TimesToBalance) > 0 && !math.IsNaN(r.TimesToBalance[0]) {
-			even = fmt.Sprintf("%.0f to %.0f", slices.Min(r.TimesToBalance), slices.Max(r.TimesToBalance))
+			timeToBalance = fmt.Sprintf("%.0f to %.0f", slices.Min(r.TimesToBalance), slices.Max(r.TimesToBalance))
 		}
 		fmt.Fprintf(tw, "%s\t%.2f\t%.2f\t%.2f\t%.2f to %.2f\t%.3f\t%.3f\t%.0f\t%.0f\t%.2f%%\t%.0f\t%.1f%%\t%s\t\n", r.Policy, mean(func(f *Figures) float64 { return f.MeanLoad }),
 			mean(func(f *Figures) float64 { return f.FullestP50 }), p99, least, most, mean(func(f *Figures) float64 { return f.Variation }),
-			mean(func(f *Figures) float64 { return f.Jain }), idle, together, 100*mean(func(f *Figures) float64 { return f.Rejected }),
-			mean(func(f *Figures) float64 { return f.StartP99 }), 100*mean(func(f *Figures) float64 { return f.Served }), even)
+			mean(func(f *Figures) float64 { return f.Jain }), idle, concurrent, 100*mean(func(f *Figures) float64 { return f.Rejected }),
+			mean(func(f *Figures) float64 { return f.StartP99 }), 100*mean(func(f *Figures) float64 { return f.Served }), timeToBalance)
 	}
 	return tw.Flush()
 }
