--- a/internal/lab/scale/hollow/list.go
+++ b/internal/lab/scale/hollow/list.go
@@ -10,102 +10,102 @@
 	"ravenpond/internal/proto/list"
 )
 
-// Entry is a node as the list tells it.
+// Entry is a node in the list.
 type Entry struct {
 	ID            uint32
 	Address, Zone string
-	Availability  int // a place in list.Availabilities
+	Availability  int // index in list.Availabilities
 	StartedAt     float64
-	Cores, Memory float64 // that are free
+	Cores, Memory float64 // free on the node, memory in GiB
 }
 
-// Places in list.Availabilities.
+// Indices in list.Availabilities.
 const (
 	Gone = iota
 	Ready
 )
 
-// List is the node list of a run: it tells all entries to who watches it, and each change at once.
+// List serves the node list of a run: it sends all entries to its subscribers, and then each change at once.
 type List struct {
 	listener env.Listener
 
 	mu          sync.Mutex
 	entries     []Entry
 	version     uint64
-	changed     map[uint64][]int // places of the entries that a version changed
+	changed     map[uint64][]int // indices of the entries that changed, by version
 	subscribers map[*subscriber]bool
 }
 
-// listWriteTimeoutMs ends a connection that takes nothing for so long.
+// listWriteTimeoutMs is the time after which a connection that accepts no data is closed.
 const listWriteTimeoutMs = 10_000
 
-// StartList tells entries on loopback.
-func StartList(w env.Environment, entries []Entry) (*List, error) {
+// StartList starts a list with the given entries on a loopback address.
+func StartList(environment env.Environment, entries []Entry) (*List, error) {
 	l := &List{entries: entries, version: 1, changed: map[uint64][]int{}, subscribers: map[*subscriber]bool{}}
 	var err error
-	l.listener, err = w.Listen("127.0.0.1:0", func(conn env.Conn) { conn.Start(&subscriber{list: l, conn: conn}, listWriteTimeoutMs) })
+	l.listener, err = environment.Listen("127.0.0.1:0", func(conn env.Conn) { conn.Start(&subscriber{list: l, conn: conn}, listWriteTimeoutMs) })
 	if err != nil {
-		return nil, fmt.Errorf("list: %w", err)
+		return nil, fmt.Errorf("start node list: %w", err)
 	}
 	return l, nil
 }
 
-// Address is where the list listens.
+// Address returns the address at which the list listens.
 func (l *List) Address() string { return l.listener.Address() }
 
-// Change alters the entries from one place to another and tells all watchers.
-func (l *List) Change(first, last int, alter func(*Entry)) {
+// Change applies a function to the entries with the indices first to last-1 and sends them to all subscribers.
+func (l *List) Change(first, last int, update func(*Entry)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version++
 	for i := first; i < last; i++ {
-		alter(&l.entries[i])
+		update(&l.entries[i])
 		l.changed[l.version] = append(l.changed[l.version], i)
 	}
-	for w := range l.subscribers {
-		w.sendChanges(w.sentVersion)
+	for s := range l.subscribers {
+		s.sendChanges(s.sentVersion)
 	}
 }
 
-// subscriber is a scheduler's connection. Its fields beside the splitter are under the list's lock.
+// subscriber is the connection of a scheduler. sentVersion is guarded by the list's lock; in and greeted are used by OnData alone.
 type subscriber struct {
 	list        *List
 	conn        env.Conn
 	in          line.Splitter
-	greeted     bool
-	sentVersion uint64 // the version that was told last
+	greeted     bool   // whether the scheduler's greeting has arrived
+	sentVersion uint64 // version of the list that was sent last
 }
 
-// OnData takes what a scheduler sends.
-func (w *subscriber) OnData(b []byte) {
-	if !w.greeted {
-		head, after, err := w.in.Greeting(b, list.GreetingLine)
+// OnData handles data from the scheduler.
+func (s *subscriber) OnData(b []byte) {
+	if !s.greeted {
+		greeting, rest, err := s.in.Greeting(b, list.GreetingLine)
 		if err != nil {
-			w.conn.Close(false, list.AppendBye(nil, err.Error()))
+			s.conn.Close(false, list.AppendBye(nil, err.Error()))
 		}
-		if err != nil || head == nil {
+		if err != nil || greeting == nil {
 			return
 		}
-		w.greeted, b = true, after
-		w.conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.GreetingLine) })
+		s.greeted, b = true, rest
+		s.conn.Send(func(b []byte) []byte { return line.AppendGreeting(b, list.GreetingLine) })
 	}
-	if err := w.in.Feed(b, func(fields [][]byte) error { return list.DecodeScheduler(fields, w) }); err != nil {
-		w.conn.Close(true, list.AppendBye(nil, err.Error()))
+	if err := s.in.Feed(b, func(fields [][]byte) error { return list.DecodeScheduler(fields, s) }); err != nil {
+		s.conn.Close(true, list.AppendBye(nil, err.Error()))
 	}
 }
 
-// OnClose meets the end of the connection.
-func (w *subscriber) OnClose(error) {
-	w.list.mu.Lock()
-	delete(w.list.subscribers, w)
-	w.list.mu.Unlock()
+// OnClose removes the subscriber when its connection ends.
+func (s *subscriber) OnClose(error) {
+	s.list.mu.Lock()
+	delete(s.list.subscribers, s)
+	s.list.mu.Unlock()
 }
 
-// sendAll tells all entries that are not gone; under the list's lock.
-func (w *subscriber) sendAll() {
-	l := w.list
-	w.sentVersion = l.version
-	w.conn.Send(func(b []byte) []byte {
+// sendAll sends all entries except those of nodes that are gone. The caller holds the list's lock.
+func (s *subscriber) sendAll() {
+	l := s.list
+	s.sentVersion = l.version
+	s.conn.Send(func(b []byte) []byte {
 		b = list.AppendBegin(b, list.KindFull, l.version)
 		for i := range l.entries {
 			if l.entries[i].Availability != Gone {
@@ -116,11 +116,11 @@
 	})
 }
 
-// sendChanges tells what changed since a version; under the list's lock.
-func (w *subscriber) sendChanges(since uint64) {
-	l := w.list
-	w.sentVersion = l.version
-	w.conn.Send(func(b []byte) []byte {
+// sendChanges sends the entries that changed since a version. The caller holds the list's lock.
+func (s *subscriber) sendChanges(since uint64) {
+	l := s.list
+	s.sentVersion = l.version
+	s.conn.Send(func(b []byte) []byte {
 		b = list.AppendBegin(b, list.KindChanges, l.version)
 		for version := since + 1; version <= l.version; version++ {
 			for _, i := range l.changed[version] {
@@ -131,47 +131,49 @@
 	})
 }
 
+// append appends the entry to a message.
 func (e *Entry) append(b []byte) []byte {
 	return list.AppendEntry(b, list.Entry{ID: e.ID, Address: e.Address, Availability: e.Availability, StartedAt: e.StartedAt, FreeCores: e.Cores, FreeMemory: e.Memory, Zone: e.Zone, Cell: e.Zone, Kind: "plain"})
 }
 
-// OnFullRequest tells all.
-func (w *subscriber) OnFullRequest() error {
-	w.list.mu.Lock()
-	defer w.list.mu.Unlock()
-	w.sendAll()
+// OnFullRequest sends all entries.
+func (s *subscriber) OnFullRequest() error {
+	s.list.mu.Lock()
+	defer s.list.mu.Unlock()
+	s.sendAll()
 	return nil
 }
 
-// OnWatch tells what changed since a version, or all where that is not known, and from then on each change.
-func (w *subscriber) OnWatch(since uint64) error {
-	l := w.list
+// OnWatch subscribes the scheduler to changes. It sends what changed since a version, or all entries if the version is 0 or unknown.
+func (s *subscriber) OnWatch(since uint64) error {
+	l := s.list
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.subscribers[w] = true
+	l.subscribers[s] = true
 	if since == 0 || since > l.version {
-		w.sendAll()
+		s.sendAll()
 	} else {
-		w.sendChanges(since)
+		s.sendChanges(since)
 	}
 	return nil
 }
 
-// OnUnwatch ends the watch.
-func (w *subscriber) OnUnwatch() error {
-	w.list.mu.Lock()
-	defer w.list.mu.Unlock()
-	delete(w.list.subscribers, w)
+// OnUnwatch ends the subscription.
+func (s *subscriber) OnUnwatch() error {
+	s.list.mu.Lock()
+	defer s.list.mu.Unlock()
+	delete(s.list.subscribers, s)
 	return nil
 }
 
-// OnMaintenance tells of a maintenance window, of which a run has none.
-func (w *subscriber) OnMaintenance(uint32, float64) error { return nil }
+// OnMaintenance ignores a maintenance window; a scale run has none.
+func (s *subscriber) OnMaintenance(uint32, float64) error { return nil }
 
-// OnMaintenanceEnd tells of the end of one.
-func (w *subscriber) OnMaintenanceEnd(uint32) error { return nil }
+// OnMaintenanceEnd ignores the end of a maintenance window.
+func (s *subscriber) OnMaintenanceEnd(uint32) error { return nil }
 
-var errFarewell = errors.New("farewell")
+// errBye is the error with which a connection ends after the scheduler's farewell message. Peers get its text.
+var errBye = errors.New("farewell")
 
-// OnBye ends the connection.
-func (w *subscriber) OnBye(why string) error { return fmt.Errorf("%w: %s", errFarewell, why) }
+// OnBye ends the connection after a farewell message.
+func (s *subscriber) OnBye(reason string) error { return fmt.Errorf("%w: %s", errBye, reason) }
--- a/internal/lab/scale/hollow/schedulers.go
+++ b/internal/lab/scale/hollow/schedulers.go
@@ -18,36 +18,36 @@
 	"ravenpond/internal/members"
 )
 
-// SchedulersPlan says which hollow schedulers a process holds: all of them, by the names h0000 and on.
+// SchedulersPlan describes the hollow schedulers of a run, which one process runs all together, with the names h0000, h0001, ...
 type SchedulersPlan struct {
-	Site, Key    string
+	Site, Key    string // name of the site and key of the membership protocol
 	Count        int
-	First        int // place of the first among all schedulers, after the real ones
-	Places       int // of all schedulers
+	First        int // place of the first hollow scheduler among all schedulers, after those of the real ones
+	Places       int // number of places of all schedulers
 	Zones        int
 	Regions      int
 	Seed         uint64
-	NodesPerZone int // that reports on zones tell of
+	NodesPerZone int // number of nodes per zone in reports on zones
 }
 
-// Times and sizes of hollow schedulers.
+// Intervals, sizes and numbers of hollow schedulers.
 const (
-	Seeds            = 3 // hollow schedulers that all others ask first, and that keep the replicated state
+	Seeds            = 3 // hollow schedulers that the others contact first and that are the voters of the replicated state
 	reportIntervalMs = 250
-	coldWindowMs     = 550 // a node's window of the rig's site file, with what a lease adds
-	probedNodes      = 6   // nodes of a zone that a report is about, as a real scheduler's
-	nodeCapacity     = 256 // cores that a node may be asked for
-	startTogether    = 50  // hollow schedulers that are started before a pause
+	coldWindowMs     = 550 // slow-start window of nodes in the rig's site file, plus what a lease adds
+	probedNodes      = 6   // nodes of a zone that a report covers, as for a real scheduler
+	nodeCapacity     = 256 // cores that can be allocated on a node
+	startBatch       = 50  // hollow schedulers that are started between two pauses
 	startPause       = 20 * time.Millisecond
 )
 
-// SchedulerName is the name of a hollow scheduler by its number.
+// SchedulerName returns the name of a hollow scheduler by its number.
 func SchedulerName(number int) string { return fmt.Sprintf("h%04d", number) }
 
-// RegionName is the region of a zone by its number.
+// RegionName returns the name of the region of a zone by the zone's number.
 func RegionName(zone, regions int) string { return fmt.Sprintf("r%d", zone%regions) }
 
-// scheduler is a hollow one: it knows the others and the replicated state, and reports on zones, but places nothing.
+// scheduler is a hollow scheduler: it takes part in membership, follows the replicated state and reports on zones, but places no tasks.
 type scheduler struct {
 	host        *schedulerHost
 	name        string
@@ -55,36 +55,36 @@
 	env         *silenceableEnv
 	members     *members.Runner
 	control     *control.Runner
-	ended       chan struct{}
+	stopped     chan struct{}
 }
 
-// schedulerHost is all hollow schedulers of the process.
+// schedulerHost runs all hollow schedulers of the process.
 type schedulerHost struct {
 	SchedulersPlan
 	env   *env.Real
 	seeds []string
-	disks [Seeds]memoryDisk // of the voters
+	disks [Seeds]memoryDisk // storage of the voters
 
 	mu         sync.Mutex
 	schedulers []*scheduler
-	lost       map[string]bool // zones that none is heard of
+	lostZones  map[string]bool // zones whose nodes are reported as unreachable
 }
 
-// RunSchedulers runs hollow schedulers until the orders end.
+// RunSchedulers runs hollow schedulers until its input ends.
 func RunSchedulers(ctx context.Context, in io.Reader, out io.Writer) error {
 	orders := newInput(in)
-	h := &schedulerHost{env: env.NewReal(), lost: map[string]bool{}}
+	h := &schedulerHost{env: env.NewReal(), lostZones: map[string]bool{}}
 	defer h.env.Close(time.Second)
-	if err := orders.plan(&h.SchedulersPlan); err != nil {
+	if err := orders.readPlan(&h.SchedulersPlan); err != nil {
 		return err
 	}
 	if err := h.startAll(1); err != nil {
 		return err
 	}
-	return orders.follow(ctx, out, h.do)
+	return orders.serve(ctx, out, h.handle)
 }
 
-// startAll starts all in an incarnation. The addresses of the first are kept, as they are the seeds.
+// startAll starts all schedulers in an incarnation. It keeps the addresses of the first ones, which are the seeds.
 func (h *schedulerHost) startAll(incarnation uint64) error {
 	all := make([]*scheduler, 0, h.Count)
 	for i := range h.Count {
@@ -100,7 +100,7 @@
 			h.seeds = append(h.seeds, s.members.Address())
 		}
 		all = append(all, s)
-		if i%startTogether == startTogether-1 {
+		if i%startBatch == startBatch-1 {
 			time.Sleep(startPause)
 		}
 	}
@@ -110,38 +110,39 @@
 	return nil
 }
 
+// startOne starts a scheduler with its membership and its replica of the replicated state.
 func (h *schedulerHost) startOne(number int, incarnation uint64, listen string) (*scheduler, error) {
-	s := &scheduler{host: h, name: SchedulerName(number), incarnation: incarnation, env: &silenceableEnv{Environment: h.env}, ended: make(chan struct{})}
+	s := &scheduler{host: h, name: SchedulerName(number), incarnation: incarnation, env: &silenceableEnv{Environment: h.env}, stopped: make(chan struct{})}
 	seeds := h.seeds
-	if len(seeds) == 0 { // the first of all asks nobody but itself
+	if len(seeds) == 0 { // the first scheduler of all has no seed to contact
 		seeds = []string{"127.0.0.1:1"}
 	}
-	run, err := members.Start(s.env, listen, membership.Config{
+	runner, err := members.Start(s.env, listen, membership.Config{
 		Site: h.Site, Name: s.name, Incarnation: incarnation, Key: []byte(h.Key), Seeds: seeds,
 		Seed: h.Seed*10_007 + uint64(number), Place: h.First + number, Places: h.Places, SlowStartWindow: coldWindowMs,
 	}, ignoreEvents{})
 	if err != nil {
 		return nil, err
 	}
-	s.members = run
+	s.members = runner
 	zone := number % h.Zones
-	who := consensus.Config{Name: s.name, Zone: ZoneName(zone), Region: RegionName(zone, h.Regions), Incarnation: incarnation, Voters: VoterNames(), Seed: h.Seed + uint64(number)}
+	replicaConfig := consensus.Config{Name: s.name, Zone: ZoneName(zone), Region: RegionName(zone, h.Regions), Incarnation: incarnation, Voters: VoterNames(), Seed: h.Seed + uint64(number)}
 	var disk control.Storage
 	if number < Seeds {
 		disk = &h.disks[number]
 	}
-	site := control.ZoneConfig{}
+	zoneConfig := control.ZoneConfig{}
 	for zone := range h.Zones {
-		site.Zones = append(site.Zones, ZoneName(zone))
+		zoneConfig.Zones = append(zoneConfig.Zones, ZoneName(zone))
 	}
-	if s.control, err = control.Start(s.env, zerolog.Nop(), run, who, disk, site); err != nil {
+	if s.control, err = control.Start(s.env, zerolog.Nop(), runner, replicaConfig, disk, zoneConfig); err != nil {
 		return nil, err
 	}
 	env.Every(h.env, reportIntervalMs, s.report)
 	return s, nil
 }
 
-// VoterNames are the hollow schedulers that keep the replicated state.
+// VoterNames returns the names of the hollow schedulers that are voters of the replicated state.
 func VoterNames() (names []string) {
 	for i := range Seeds {
 		names = append(names, SchedulerName(i))
@@ -149,67 +150,68 @@
 	return names
 }
 
-// report tells the leader of the replicated state what the scheduler would hear of zones, until it ends.
+// report sends the leader of the replicated state a report on zones as a real scheduler would. It returns false once the scheduler has stopped.
 func (s *scheduler) report() bool {
 	select {
-	case <-s.ended:
+	case <-s.stopped:
 		return false
 	default:
 	}
 	h := s.host
-	sums := map[string]zones.Summary{}
+	summaries := map[string]zones.Summary{}
 	h.mu.Lock()
 	for zone := range h.Zones {
 		name := ZoneName(zone)
-		sum := zones.Summary{Nodes: min(probedNodes, h.NodesPerZone), Capacity: float64(h.NodesPerZone) * nodeCapacity}
-		if !h.lost[name] {
-			sum.Reachable = sum.Nodes
+		summary := zones.Summary{Nodes: min(probedNodes, h.NodesPerZone), Capacity: float64(h.NodesPerZone) * nodeCapacity}
+		if !h.lostZones[name] {
+			summary.Reachable = summary.Nodes
 		}
-		sums[name] = sum
+		summaries[name] = summary
 	}
 	h.mu.Unlock()
-	s.control.Report(sums)
+	s.control.Report(summaries)
 	return true
 }
 
-// end takes a scheduler away without a word to the others.
-func (s *scheduler) end() {
+// stop stops a scheduler without notifying the others.
+func (s *scheduler) stop() {
 	s.env.muted.Store(true)
-	close(s.ended)
+	close(s.stopped)
 	s.control.Stop()
 	s.members.Stop()
 }
 
-// ignoreEvents is told of changes by the detector; orders ask it instead.
+// ignoreEvents ignores the events of the detector: orders query the detector instead.
 type ignoreEvents struct{}
 
 func (ignoreEvents) OnChange(float64, membership.Member, membership.State) {}
 func (ignoreEvents) OnNameTaken(float64, string)                           {}
 func (ignoreEvents) LastHeard(uint32) (uint64, float64, bool)              { return 0, 0, false }
 
-func (h *schedulerHost) do(order Order) (Reply, error) {
+// handle carries out one order.
+func (h *schedulerHost) handle(order Order) (Reply, error) {
 	h.mu.Lock()
 	all := h.schedulers
 	h.mu.Unlock()
 	switch order.Do {
 	case Addresses:
 		return Reply{Addresses: h.seeds}, nil
-	case Known:
-		return Reply{Count: known(all[0])}, nil
+	case CountAlive:
+		return Reply{Count: aliveMembers(all[0])}, nil
 	case LoseZone, FindZone:
 		h.mu.Lock()
-		h.lost[order.Name] = order.Do == LoseZone
+		h.lostZones[order.Name] = order.Do == LoseZone
 		h.mu.Unlock()
 		return Reply{At: unixMs()}, nil
 	case StopMember:
 		last := all[len(all)-1]
-		last.end()
+		last.stop()
 		h.mu.Lock()
 		h.schedulers = all[:len(all)-1]
 		h.mu.Unlock()
 		return Reply{At: unixMs()}, nil
 	case AwaitMember:
-		return await(all, order.Within, func(s *scheduler) bool { return s.holds(order.Name, order.State) })
+		return await(all, order.Within, func(s *scheduler) bool { return s.holdsMember(order.Name, order.State) })
 	case AwaitZone:
 		return await(all, order.Within, func(s *scheduler) bool { return s.zoneIs(order.Name, order.State) })
 	case Restart:
@@ -218,9 +220,10 @@
 	return Reply{}, fmt.Errorf("%w %q", errUnknownAction, order.Do)
 }
 
+// restart stops all schedulers and starts them in the next incarnation. The reply has the time at which all had stopped.
 func (h *schedulerHost) restart(all []*scheduler) (Reply, error) {
 	for _, s := range all {
-		s.end()
+		s.stop()
 	}
 	at := unixMs()
 	if err := h.startAll(all[0].incarnation + 1); err != nil {
@@ -229,23 +232,26 @@
 	return Reply{At: at}, nil
 }
 
-func known(s *scheduler) (alive int) {
+// aliveMembers returns the number of members that a scheduler holds as alive.
+func aliveMembers(s *scheduler) (alive int) {
 	s.members.WithDetector(func(d *membership.Detector) { alive = d.Count().Alive })
 	return alive
 }
 
-func (s *scheduler) holds(name, state string) (is bool) {
+// holdsMember reports whether the scheduler holds a member in a state.
+func (s *scheduler) holdsMember(name, state string) (matches bool) {
 	s.members.WithDetector(func(d *membership.Detector) {
 		for _, m := range d.All() {
 			if m.Name == name {
-				is = m.State.String() == state
+				matches = m.State.String() == state
 			}
 		}
 	})
-	return is
+	return matches
 }
 
+// zoneIs reports whether a zone is in a state by the scheduler's copy of the replicated state.
 func (s *scheduler) zoneIs(name, state string) bool {
-	var is clusterstate.ZoneState = s.control.View().State.Zone(name).State
-	return is.String() == state
+	var current clusterstate.ZoneState = s.control.View().State.Zone(name).State
+	return current.String() == state
 }
