--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -262,8 +262,8 @@
 	}
 }
 
-// answer gives an allocation its final answer if it may not be attempted any more, and reports whether it did. An allocation whose repetition
-// may do harm is failed, any other is shed.
+// answer gives an allocation its final answer if it may not be attempted any more, and reports whether it did. An allocation
+// that may have run is failed if it would be unsafe for the client to repeat it; any other is shed.
 func (p *Policy) answer(a *allocation) bool {
 	class, mayHaveRun := &p.cluster.JobClasses[a.class], a.mayHaveRunSince >= 0
 	expired := class.Semantics == logic.Idempotent && p.now+windowMargin > a.mayHaveRunSince+class.IdempotencyWindow
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -74,7 +74,7 @@
 	Placements, Rejected             int
 	Violations                       int
 	Latencies                        []float64 // ms from request to the response that it was served, sorted
-	rejectedByBucket, servedByBucket []float64 // by time bucket
+	rejectedByBucket, servedByBucket []float64 // by time bucket: of the rejection, and of the request that was served
 	requestsByBucket                 []float64
 }
 
--- a/internal/lab/scale/hollow/list.go
+++ b/internal/lab/scale/hollow/list.go
@@ -16,7 +16,7 @@
 	Address, Zone string
 	Availability  int // index in list.Availabilities
 	StartedAt     float64
-	Cores, Memory float64 // free on the node, memory in GiB
+	Cores, Memory float64 // free on the node
 }
 
 // Indices in list.Availabilities.
--- a/internal/lab/scale/hollow/order.go
+++ b/internal/lab/scale/hollow/order.go
@@ -24,7 +24,7 @@
 	ReturnNodes      Action = "return-nodes"      // restart crashed nodes, which are cold
 	HangNodes        Action = "hang-nodes"        // nodes keep their connections and answer nothing
 	ResumeNodes      Action = "resume-nodes"      // hung nodes answer again
-	AwaitConnections Action = "await-connections" // wait until Count schedulers are connected to each node
+	AwaitConnections Action = "await-connections" // wait until at least Count schedulers are connected to each node
 	Connections      Action = "connections"       // count the schedulers' connections to nodes
 	Tasks            Action = "tasks"             // count the tasks on nodes
 	AwaitMember      Action = "await-member"      // wait until all schedulers hold a member in State; At is when the last did
