--- a/internal/lab/balance/simulate.go
+++ b/internal/lab/balance/simulate.go
@@ -88,7 +88,7 @@
 func sampleNodes(now float64, all []*standin.Node) Sample {
 	m := Sample{At: now, Load: map[uint32]float64{}}
 	for _, n := range all {
-		if !n.Lost && !n.Draining && !n.Machine.IsDown() && n.Machine.Uptime(now) >= warmAfter {
+		if !n.Gone && !n.Draining && !n.Machine.IsDown() && n.Machine.Uptime(now) >= warmAfter {
 			m.Load[n.ID] = n.Machine.ReservedFraction()
 		}
 	}
--- a/internal/lab/scale/hollow/disk.go
+++ b/internal/lab/scale/hollow/disk.go
@@ -45,14 +45,14 @@
 
 // Load returns the saved state.
 func (d *memoryDisk) Load() (consensus.PersistedState, error) {
-	return consensus.PersistedState{Hard: d.saved.Hard, Snapshot: d.saved.Snapshot, Entries: slices.Clone(d.saved.Entries)}, nil
+	return consensus.PersistedState{HardState: d.saved.HardState, Snapshot: d.saved.Snapshot, Entries: slices.Clone(d.saved.Entries)}, nil
 }
 
 // Save stores the hard state, the entries from firstIndex on and the snapshot, as far as they are given, and drops the entries up to
 // snapshotIndex, which the snapshot covers.
 func (d *memoryDisk) Save(hardState []byte, firstIndex uint64, entries [][]byte, snapshot []byte, snapshotIndex uint64) error {
 	if hardState != nil {
-		d.saved.Hard = slices.Clone(hardState)
+		d.saved.HardState = slices.Clone(hardState)
 	}
 	if snapshot != nil {
 		d.saved.Snapshot = slices.Clone(snapshot)
--- a/internal/lab/scale/hollow/schedulers.go
+++ b/internal/lab/scale/hollow/schedulers.go
@@ -184,9 +184,9 @@
 // ignoreEvents ignores the events of the detector: orders query the detector instead.
 type ignoreEvents struct{}
 
-func (ignoreEvents) OnChange(float64, membership.Member, membership.State) {}
-func (ignoreEvents) OnNameTaken(float64, string)                           {}
-func (ignoreEvents) LastHeard(uint32) (uint64, float64, bool)              { return 0, 0, false }
+func (ignoreEvents) OnMemberChanged(float64, membership.Member, membership.State) {}
+func (ignoreEvents) OnNameConflict(float64, string)                               {}
+func (ignoreEvents) LastNodeContact(uint32) (uint64, float64, bool)               { return 0, 0, false }
 
 // handle carries out one order.
 func (h *schedulerHost) handle(order Order) (Reply, error) {
