--- a/logic/doc.go
+++ b/logic/doc.go
@@ -5,7 +5,7 @@
 // not safe for concurrent use: the caller makes one call at a time, and none from inside an effect. No call returns an error: events about
 // unknown nodes or allocations are ignored.
 //
-// An allocation that needs a node passes through a pipeline of stages (chain.go), which check that enough time is left to start it
+// An allocation that needs a node passes through a pipeline of stages (pipeline.go), which check that enough time is left to start it
 // (queue.go), check that it may be attempted again (attempts.go), choose a node (placement.go) and send the attempt (attempts.go). The
 // outcome of the attempt passes through the same stages in reverse order.
 //
@@ -13,10 +13,10 @@
 //
 //   - list.go, nodes.go: the node list and its polling; the table of nodes
 //   - capacity.go, usage.go: estimates of what is allocated and in use on each node, from load reports and this scheduler's own changes
-//   - belief.go: access to these estimates, to compare them with load reports
+//   - estimate.go: access to these estimates, to compare them with load reports
 //   - filters.go: the conditions that exclude a node for an allocation
 //   - scoring.go: the net benefit of a node (docs/design.md) and each service's ranking of the nodes
-//   - survey.go: the load of the whole fleet, surplus nodes, nodes reserved for large allocations
+//   - fleet.go: the load of the whole fleet, surplus nodes, nodes reserved for large allocations
 //   - placement.go: the random choice among the best candidates
 //   - attempts.go: retry rules, time-outs, final answers
 //   - queue.go: allocations that wait for a node, highest priority weight first
