--- a/internal/lab/scale/regions/check.go
+++ b/internal/lab/scale/regions/check.go
@@ -8,31 +8,32 @@
 	"ravenpond/internal/decide/consensus"
 )
 
-// Bounds of what a process may hold. Those of the program are named there; the others follow from the number of processes.
+// Upper bounds on the structures of a process. Limits that the program itself enforces are taken from its packages; the others
+// are multiples of the number of processes.
 const (
-	accusersPerMember = 4                      // the program counts one more than the three that end a suspicion soonest
-	timersPerMember   = 8                      // a suspicion's timers, the reminder to forget a dead one, a probe's
-	timersOfItself    = 64                     // probes, calls and pings for others
-	maxHellos         = 8                      // beside one for each member: the seeds
-	fragmentsPerPeer  = 8                      // messages of which parts are missing
-	logSlack          = consensus.MaxProposals // entries that are not agreed on yet
-	maxEntryBytes     = 4096                   // of a log's entry on the mean: a plan for half of the zones is the largest
+	accusersPerMember = 4                      // membership counts one more than the three accusers that shorten a suspicion the most
+	timersPerMember   = 8                      // timers of a suspicion, of the removal of a dead member and of a probe
+	timersOfItself    = 64                     // probes, calls and indirect probes
+	maxHellos         = 8                      // hellos to seeds, in addition to one for each member
+	fragmentsPerPeer  = 8                      // incomplete messages
+	logSlack          = consensus.MaxProposals // entries that are not committed yet
+	maxEntryBytes     = 4096                   // mean size of a log entry; the largest entry is a plan for half of the zones
 	updatesPerMember  = 2
 
-	// growth by which the last quarter of the cut may exceed the first, as a part and in items or bytes.
+	// Growth by which the last quarter of the cut may exceed the first: a fraction, plus a number of items or bytes.
 	growthFactor     = 0.5
 	growthSlackItems = 16
 	growthSlackBytes = 4096
 )
 
-// Violation is a reading that breaks a bound.
+// Violation is a reading that exceeds a bound.
 type Violation struct {
 	Process   string    `json:"process"`
 	Structure Structure `json:"structure"`
-	Seconds   float64   `json:"seconds"` // from the cut on
+	Seconds   float64   `json:"seconds"` // since the cut
 	Value     int       `json:"value"`
 	Bound     int       `json:"bound"`
-	Growth    bool      `json:"growth"` // the bound follows from the first quarter of the cut
+	Growth    bool      `json:"growth"` // the bound is derived from the first quarter of the cut
 }
 
 func (v Violation) String() string {
@@ -43,8 +44,8 @@
 	return fmt.Sprintf("%s at %.0f s: %s %d, %s %d", v.Process, v.Seconds, v.Structure, v.Value, kind, v.Bound)
 }
 
-// Check holds all readings against the bounds, and the last quarter of the cut against the first. The first violation of each
-// process and structure is given. Verdicts are by counts alone, never by time that the machine took.
+// Check compares all readings with the bounds, and the last quarter of the cut with the first. It returns the first violation of
+// each process and structure. It judges counts only, never the time that the machine took.
 func (r *Report) Check() (violations []Violation) {
 	bounds := r.Config.bounds()
 	seen := map[string]bool{}
@@ -69,7 +70,7 @@
 	return violations
 }
 
-// bounds are the most of each structure at a process, 0: no bound but that of growth.
+// bounds returns the upper bound of each structure at a process; 0 means that only its growth is checked.
 func (c Config) bounds() (bounds [structures]int) {
 	others := c.Processes - 1
 	bounds[Members] = others
@@ -87,17 +88,18 @@
 	bounds[DiskEntries] = bounds[LogEntries]
 	bounds[DiskBytes] = bounds[LogBytes] + consensus.MaxSnapshotBytes
 	bounds[SnapshotBytes] = consensus.MaxSnapshotBytes
-	bounds[TransferBytes] = 3 * consensus.MaxSnapshotBytes // two shown, one half fetched
+	bounds[TransferBytes] = 3 * consensus.MaxSnapshotBytes // two snapshots that are served and one that is partly received
 	bounds[Reports] = c.Processes
 	bounds[Verdicts] = 3 * c.Zones
 	return bounds
 }
 
-// sawtooth are structures that fill up to a bound by design: the log is cut when it is full, the queue of commands refuses.
+// sawtooth lists structures that fill up to a bound by design: the log is truncated when it is full, and the queue of proposals
+// rejects commands.
 var sawtooth = []Structure{LogEntries, LogBytes, DiskEntries, DiskBytes, Proposals, ProposalBytes}
 
-// growth holds the last quarter of the cut against the first: what still grows there grows for as long as the cut lasts. A
-// process that started again, or came to lead, in between is held against the largest of all processes.
+// growth compares the last quarter of the cut with the first: a structure that still grows there grows for as long as the cut
+// lasts. The reference is the largest value of all processes, because a process may have restarted or become the leader in between.
 func (r *Report) growth() (violations []Violation) {
 	var cut []Minute
 	for _, m := range r.Minutes {
@@ -130,7 +132,7 @@
 	return violations
 }
 
-// largest is the largest reading of a structure at any process.
+// largest returns the largest reading of a structure at any process.
 func largest(minutes []Minute, s Structure) (value int) {
 	for _, m := range minutes {
 		for i := range m.Readings {
--- a/internal/lab/scale/regions/disk.go
+++ b/internal/lab/scale/regions/disk.go
@@ -6,22 +6,23 @@
 	"ravenpond/internal/decide/consensus"
 )
 
-// disk keeps what a voter saves, as the program's store does: entries that a snapshot holds are dropped. It outlives the
-// process.
+// disk is an in-memory control.Storage of a voter. As the program's store does, it drops entries that a snapshot covers. It
+// outlives the process.
 type disk struct {
-	keepsAll bool // planted: nothing is dropped
+	keepsAll bool // injected fault: no entry is dropped
 
 	hard, snapshot []byte
-	first          uint64 // index of the first entry, 0: there is none
+	first          uint64 // index of the first entry; 0 if there is none
 	entries        [][]byte
 }
 
-// Load gives what was saved.
+// Load returns the saved state.
 func (d *disk) Load() (consensus.PersistedState, error) {
 	return consensus.PersistedState{Hard: d.hard, Snapshot: d.snapshot, Entries: slices.Clone(d.entries)}, nil
 }
 
-// Save keeps it.
+// Save stores the hard state and the snapshot unless they are nil, replaces the entries from an index on, and drops the entries
+// up to held.
 func (d *disk) Save(hard []byte, from uint64, entries [][]byte, snapshot []byte, held uint64) error {
 	if hard != nil {
 		d.hard = hard
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// drop lets the entries up to an index go.
+// drop removes the entries up to and including an index.
 func (d *disk) drop(held uint64) {
 	if d.keepsAll || len(d.entries) == 0 || held < d.first {
 		return
@@ -49,10 +50,10 @@
 	d.first += uint64(gone)
 }
 
-// Close lets the disk go.
+// Close does nothing.
 func (d *disk) Close() error { return nil }
 
-// size is how many entries the disk holds, and the bytes of all that it holds.
+// size returns the number of entries on the disk, and the size of all its contents in bytes.
 func (d *disk) size() (entries, bytes int) {
 	bytes = len(d.hard) + len(d.snapshot)
 	for _, e := range d.entries {
--- a/internal/lab/scale/regions/heal.go
+++ b/internal/lab/scale/regions/heal.go
@@ -5,33 +5,33 @@
 	"ravenpond/internal/decide/membership"
 )
 
-// Moment is when something was reached after the heal.
+// Moment tells whether and when a condition was met after the heal.
 type Moment struct {
 	Reached bool    `json:"reached"`
-	Seconds float64 `json:"seconds"` // from the heal on; void if it was not reached
+	Seconds float64 `json:"seconds"` // since the heal; meaningless if the condition was not met
 }
 
-// Heal is how long it took until all held one view again.
+// Heal tells how long it took after the heal until all processes agreed again.
 type Heal struct {
-	Members   Moment `json:"members"`   // each holds all others for alive, and the same of them
-	State     Moment `json:"state"`     // all hold the same version, and their leases are valid
-	Zones     Moment `json:"zones"`     // that state has all zones open
-	Restarted Moment `json:"restarted"` // that state has the process that started again in the cut, in its new incarnation
+	Members   Moment `json:"members"`   // each process considers all others alive, and all member lists are equal
+	State     Moment `json:"state"`     // all processes have the same version of the cluster state and valid leases
+	Zones     Moment `json:"zones"`     // all zones are open in the cluster state
+	Restarted Moment `json:"restarted"` // the process that restarted during the cut is active in the cluster state, in its new incarnation
 }
 
-// settle lets time go by after the heal, with a reading each minute, and notes when views are one. It goes on for a few minutes
-// after that, so that readings show what stays.
+// settle advances the clock after the heal, takes a reading each minute, and records when each condition of Heal is first met.
+// It goes on for the whole Settle time, so that the readings show what remains.
 func (s *cluster) settle() {
 	heal := &s.report.Heal
 	moments := []struct {
 		moment *Moment
-		is     func() bool
-	}{{&heal.Members, s.membersAgree}, {&heal.State, s.stateAgrees}, {&heal.Zones, s.zonesOpen}, {&heal.Restarted, s.restartActs}}
+		met    func() bool
+	}{{&heal.Members, s.membersAgree}, {&heal.State, s.stateAgrees}, {&heal.Zones, s.zonesOpen}, {&heal.Restarted, s.restartedActive}}
 	next := s.clock.TrueTime() + readInterval
 	for end := s.healedAt + float64(s.config.Settle.Milliseconds()); s.clock.TrueTime() < end && s.ctx.Err() == nil; {
 		s.clock.RunUntil(s.clock.TrueTime() + pollInterval)
 		for _, m := range moments {
-			if !m.moment.Reached && m.is() {
+			if !m.moment.Reached && m.met() {
 				*m.moment = Moment{Reached: true, Seconds: (s.clock.TrueTime() - s.healedAt) / 1000}
 			}
 		}
@@ -86,7 +86,7 @@
 	return true
 }
 
-func (s *cluster) restartActs() bool {
+func (s *cluster) restartedActive() bool {
 	if s.restarted == nil {
 		return false
 	}
--- a/internal/lab/scale/regions/process.go
+++ b/internal/lab/scale/regions/process.go
@@ -15,38 +15,38 @@
 	"ravenpond/internal/members"
 )
 
-// What a zone and the members' leases are played with.
+// Parameters of the simulated zones and of membership.
 const (
-	probedNodes     = 10    // of each zone, by each process
-	zoneCores       = 640.0 // of each zone
-	meanUse         = 0.4   // of a zone's cores
-	useSwing        = 0.2   // of a zone's cores, up and down
+	probedNodes     = 10    // nodes of each zone that each process probes
+	zoneCores       = 640.0 // cores of each zone
+	meanUse         = 0.4   // fraction of a zone's cores in use, on average
+	useSwing        = 0.2   // amplitude, as a fraction of a zone's cores
 	nodeIncarnation = 1
-	slowStartWindow = 2500.0 // ms in which a node bears what it bears
-	leaseWindow     = 6000.0 // ms for which what is lent of limits stays in use
+	slowStartWindow = 2500.0 // ms, window of the nodes' slow start
+	leaseWindow     = 6000.0 // ms, longest time for which a quota lease stays in use
 	memberPort      = ":7"
 )
 
 var memberKey = []byte("the laboratory's member key")
 
-// process is a scheduler without placing.
+// process is a simulated scheduler that places no tasks.
 type process struct {
 	cluster *cluster
 	index   int
 	name    string
 	zone    *zone
 	env     *sim.Process
-	disk    *disk // nil: no voter
+	disk    *disk // nil if the process is not a voter
 
 	incarnation uint64
 	members     *members.Runner
 	control     *control.Runner
 	reach       *zones.Selector
-	nodesLost   bool // the nodes of the zones beyond the cut count as lost here
-	refused     int  // commands for which there was no room
+	nodesLost   bool // this process has reported the nodes of the zones beyond the cut as unreachable
+	refused     int  // proposals that were rejected because the queue was full
 	backlog     *messageBacklog
 
-	lastSent, lastSentBytes uint64 // at the last reading
+	lastSent, lastSentBytes uint64 // counters at the last reading
 	readAt                  float64
 }
 
@@ -59,7 +59,7 @@
 	return p
 }
 
-// start begins an incarnation.
+// start starts the process in a new incarnation.
 func (p *process) start() error {
 	p.incarnation++
 	var seeds []string
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// restart kills the process, and starts it again.
+// restart kills the process and starts it again.
 func (p *process) restart() {
 	p.env.Kill(false)
 	p.env.Start()
@@ -102,13 +102,13 @@
 	}
 }
 
-// stickLoop plants a fault: a carrier that puts messages down and never takes them up.
+// stickLoop injects a fault: a carrier that queues messages and never processes them.
 func (p *process) stickLoop() {
 	p.backlog = &messageBacklog{}
 	p.members.WithDetector(func(d *membership.Detector) { d.SetCarrier(p.backlog) })
 }
 
-// scheduleReport looks at the zones again and again until the process is killed.
+// scheduleReport reports on the zones after a delay in ms and then periodically until the process is killed.
 func (p *process) scheduleReport(after float64) {
 	p.env.After(after, func() {
 		p.report()
@@ -116,7 +116,7 @@
 	})
 }
 
-// report sums up what is heard of the zones, tells the leader, and reckons where to send.
+// report summarizes the state of the zones, sends the summaries to the leader and updates the zone selector.
 func (p *process) report() {
 	sums := map[string]zones.Summary{}
 	silent := false
@@ -134,7 +134,7 @@
 	p.reach.Update(zones.Input{Now: now, State: view.State, LeaseValid: now < view.LeaseExpiry, Summaries: sums, Processes: view.State.ActiveProcesses(p.zone.name)})
 }
 
-// updateNodes tells the detector which nodes are lost, or back, when that has changed.
+// updateNodes tells the failure detector which nodes became unreachable or reachable when that has changed.
 func (p *process) updateNodes(silent bool) {
 	if silent == p.nodesLost {
 		return
@@ -156,7 +156,7 @@
 	})
 }
 
-// propose brings in a command that changes nothing but the state's version: that this process acts as it does.
+// propose proposes a command that changes only the version of the cluster state: it activates this process as it already is.
 func (p *process) propose() {
 	p.control.Enqueue(func(c *consensus.Replica) {
 		number := c.Propose(func() (float64, clusterstate.Change) {
@@ -168,16 +168,16 @@
 	})
 }
 
-// listener hears what members tell.
+// listener receives the events of the members runner.
 type listener struct{ *process }
 
-// OnChange hears nothing: views are read when they are compared.
+// OnChange does nothing: member lists are read when they are compared.
 func (listener) OnChange(float64, membership.Member, membership.State) {}
 
-// OnNameTaken hears nothing: no name is taken twice.
+// OnNameTaken does nothing: no two processes have the same name.
 func (listener) OnNameTaken(float64, string) {}
 
-// LastHeard is what this process hears of a node.
+// LastHeard returns the incarnation of a node and when this process last heard from it.
 func (l listener) LastHeard(node uint32) (life uint64, heard float64, ok bool) {
 	at := int(node) / probedNodes
 	if at >= len(l.cluster.zones) {
@@ -190,8 +190,8 @@
 	return nodeIncarnation, now, true
 }
 
-// used is how many cores of a zone are in use now: that goes up and down, in each zone at its own time, so that plans for
-// closed zones are made anew again and again.
+// used returns how many cores of a zone are in use now. It oscillates with a different phase in each zone, so that plans for
+// closed zones have to be remade again and again.
 func (s *cluster) used(zone int) float64 {
 	phase := 2 * math.Pi * (s.clock.TrueTime()/useSwingPeriod + float64(zone)/float64(len(s.zones)))
 	return zoneCores * (meanUse + useSwing*math.Sin(phase))
@@ -204,7 +204,7 @@
 	return places
 }
 
-// verdicts is what the verdicts on zones rest on: zones of one region are near.
+// verdicts returns the configuration of the verdicts on zones: zones of one region are near each other.
 func (s *cluster) verdicts() control.ZoneConfig {
 	regions := map[string]int{}
 	var names []string
@@ -223,11 +223,11 @@
 
 func regionName(region int) string { return fmt.Sprintf("region-%d", region+1) }
 
-// messageBacklog is the planted fault of a loop that stands still: its messages pile up.
+// messageBacklog is the injected fault of a loop that is stuck: its messages pile up.
 type messageBacklog struct{ messages [][]byte }
 
-// Carried keeps a message.
-func (h *messageBacklog) Carried(_ string, body []byte) { h.messages = append(h.messages, body) }
+// Carried queues a message.
+func (b *messageBacklog) Carried(_ string, body []byte) { b.messages = append(b.messages, body) }
 
-// Ahead keeps nothing.
-func (h *messageBacklog) Ahead(string, uint64) {}
+// Ahead does nothing.
+func (b *messageBacklog) Ahead(string, uint64) {}
--- a/internal/lab/scale/regions/reading.go
+++ b/internal/lab/scale/regions/reading.go
@@ -5,30 +5,30 @@
 	"ravenpond/internal/decide/membership"
 )
 
-// Phase is a part of a run.
+// Phase is a phase of a run.
 type Phase string
 
-// Phases, in their order.
+// The phases of a run, in their order.
 const (
 	Before Phase = "before"
 	During Phase = "cut"
 	Healed Phase = "healed"
 )
 
-// Structure is something in a process that may grow.
+// Structure is a data structure of a process that may grow.
 type Structure int
 
-// Structures. Bytes are those of records and texts, without what maps and the allocator add.
+// Structures that are read. Sizes in bytes cover records and texts, without the overhead of maps and of the allocator.
 const (
 	Members Structure = iota
 	MemberBytes
 	Accusers
 	Timers
-	Probes  // pings for others and probes that were not answered
-	Hellos  // addresses whose answer to a hello is awaited
-	Updates // of members and nodes, that are still told
+	Probes  // indirect probes and late probes
+	Hellos  // addresses that have not answered a hello yet
+	Updates // updates on members and nodes that are still disseminated
 	UnreachableNodes
-	Fragments // messages of which parts are missing
+	Fragments // incomplete messages
 	FragmentBytes
 	PendingMessages
 	PendingMessageBytes
@@ -41,7 +41,7 @@
 	DiskBytes
 	SnapshotBytes
 	TransferBytes
-	Reports // of processes, at the leader
+	Reports // reports of processes, at the leader
 	ReportBytes
 	Verdicts // records on zones, at the leader
 	structures
@@ -55,7 +55,7 @@
 
 func (s Structure) String() string { return structureNames[s] }
 
-// IsBytes tells whether a structure is counted in bytes.
+// IsBytes reports whether a structure is measured in bytes.
 func (s Structure) IsBytes() bool {
 	switch s {
 	case MemberBytes, FragmentBytes, PendingMessageBytes, ProposalBytes, LogBytes, DiskBytes, SnapshotBytes, TransferBytes, ReportBytes:
@@ -64,18 +64,18 @@
 	return false
 }
 
-// Reading is what was read of one process.
+// Reading holds the sizes and rates of one process at one time.
 type Reading struct {
 	Process            string          `json:"process"`
 	Sizes              [structures]int `json:"sizes"` // by Structure
 	DatagramsPerSecond float64         `json:"datagramsPerSecond"`
 	BytesPerSecond     float64         `json:"bytesPerSecond"` // of datagrams
-	Alive              int             `json:"alive"`          // others that are held for alive
+	Alive              int             `json:"alive"`          // other processes that it considers alive
 	Version            uint64          `json:"version"`        // of the cluster state
-	LeaseValid         bool            `json:"leaseValid"`     // it may act on the cluster state as it stands
+	LeaseValid         bool            `json:"leaseValid"`     // the process may act on the cluster state that it has
 }
 
-// Total is the sum of a reading's structures that are counted in bytes, in bytes.
+// Total returns the sum of all structures that are measured in bytes.
 func (r *Reading) Total() (bytes int) {
 	for s := range structures {
 		if s.IsBytes() {
@@ -85,14 +85,14 @@
 	return bytes
 }
 
-// Minute is one reading of all processes.
+// Minute holds one reading of each process.
 type Minute struct {
 	Phase    Phase     `json:"phase"`
-	Seconds  float64   `json:"seconds"` // from the cut on
+	Seconds  float64   `json:"seconds"` // since the cut; before the cut, since the end of the warm-up
 	Readings []Reading `json:"readings"`
 }
 
-// read reads all processes.
+// read takes a reading of all processes.
 func (s *cluster) read(phase Phase) {
 	m := Minute{Phase: phase, Seconds: (s.clock.TrueTime() - s.cutAt) / 1000, Readings: make([]Reading, len(s.processes))}
 	if phase == Before {
@@ -105,7 +105,7 @@
 	s.report.Minutes = append(s.report.Minutes, m)
 }
 
-// read fills in a reading; control's part comes with the next turn of its loop.
+// read fills in a reading; the sizes of control are filled in asynchronously by its loop.
 func (p *process) read(r *Reading) {
 	r.Process = p.name
 	view := p.control.View()
@@ -114,7 +114,7 @@
 	if p.disk != nil {
 		r.Sizes[DiskEntries], r.Sizes[DiskBytes] = p.disk.size()
 	}
-	p.control.Measure(func(f control.Footprint) { r.takeControl(f, p.backlog) })
+	p.control.Measure(func(f control.Footprint) { r.addControl(f, p.backlog) })
 }
 
 func (p *process) readMembers(r *Reading) {
@@ -136,10 +136,10 @@
 	})
 }
 
-func (r *Reading) takeControl(f control.Footprint, hoard *messageBacklog) {
+func (r *Reading) addControl(f control.Footprint, backlog *messageBacklog) {
 	r.Sizes[PendingMessages], r.Sizes[PendingMessageBytes], r.Sizes[PendingCalls] = f.PendingMessages, f.PendingMessageBytes, f.PendingCalls
-	if hoard != nil {
-		r.Sizes[PendingMessages] += len(hoard.messages)
+	if backlog != nil {
+		r.Sizes[PendingMessages] += len(backlog.messages)
 	}
 	c := f.Replica
 	r.Sizes[Proposals], r.Sizes[ProposalBytes] = c.Proposals, c.ProposalBytes
--- a/internal/lab/scale/regions/regions.go
+++ b/internal/lab/scale/regions/regions.go
@@ -1,7 +1,7 @@
-// Package regions plays a site whose regions are cut from each other for long, on the laboratory's clock and network: each
-// scheduler runs the program's own members, control with its consensus and cluster state, and zones code. It reads, each virtual minute
-// and for each process, the size of every structure that may grow and what the process sends, and after the heal how long it
-// takes until all hold one view again. All of its figures are simulated.
+// Package regions simulates a long network partition between the regions of a site, on the simulated clock and network: each
+// scheduler runs the program's own code of membership, of control with its consensus and cluster state, and of zones. For each
+// simulated minute and process it records the size of every structure that may grow and the traffic that the process sends, and
+// after the heal how long it takes until all processes agree again. All of its figures are simulated.
 package regions
 
 import (
@@ -19,53 +19,53 @@
 	codec "ravenpond/internal/proto/clusterstate"
 )
 
-// Times of the program's parts and of the reading, in ms.
+// Intervals of the simulated processes and of the readings, in ms.
 const (
-	reportInterval = 250.0 // between two looks of a process at the zones, as `serve` has it
-	silenceTimeout = 1000.0
-	readInterval   = 60e3 // between two readings
-	readDuration   = 20.0 // until all loops have answered a reading
-	pollInterval   = 50.0 // between two looks whether views are one
+	reportInterval = 250.0  // between two reports of a process on the zones, as in `serve`
+	silenceTimeout = 1000.0 // after which the nodes beyond the cut count as unreachable
+	readInterval   = 60e3   // between two readings
+	readDuration   = 20.0   // time in which all loops answer a reading
+	pollInterval   = 50.0   // between two checks whether the processes agree
 	dayInMs        = 24 * 3600e3
-	cancelInterval = 1000.0 // between two looks whether the run is broken off
-	useSwingPeriod = 600e3  // in which the use of zones goes up and down
-	regionLatency  = 20.0   // up to which a datagram between regions takes longer
-	fillInterval   = 100.0  // between two groups of processes that are not played and join the state
-	fillGroup      = 20     // of a group
+	cancelInterval = 1000.0 // between two checks whether the run is cancelled
+	useSwingPeriod = 600e3  // of the oscillation of the zones' use
+	regionLatency  = 20.0   // maximum additional latency of a datagram between regions
+	fillInterval   = 100.0  // between two groups of absent processes that join the cluster state
+	fillGroup      = 20     // processes of a group
 )
 
-// Config is what is played.
+// Config is the configuration of a run.
 type Config struct {
 	Seed      uint64 `json:"Seed"`
 	Processes int    `json:"Processes"`
 	Regions   int    `json:"Regions"`
 	Zones     int    `json:"Zones"`
 	Voters    int    `json:"Voters"`
-	// CutRegions are cut from all others: the last ones by number.
+	// CutRegions is how many regions are cut from all others: the last ones by number.
 	CutRegions int           `json:"CutRegions"`
-	Warm       time.Duration `json:"Warm"` // before the cut
+	Warm       time.Duration `json:"Warm"` // time before the cut
 	Cut        time.Duration `json:"Cut"`
-	Settle     time.Duration `json:"Settle"` // at most, from the heal on, until all hold one view
-	// CommandsPerDay is at which rate processes, in turn, put a command into the cluster state that changes nothing in it.
+	Settle     time.Duration `json:"Settle"` // time that is simulated after the heal, in which all processes have to agree
+	// CommandsPerDay is the rate at which processes, in turn, propose a command that changes only the version of the cluster state.
 	CommandsPerDay float64 `json:"CommandsPerDay"`
-	// Absent is how many processes stand in the cluster state that are not played, to grow it without their cost.
+	// Absent is how many processes are in the cluster state without being simulated, to enlarge it at no further cost.
 	Absent int `json:"Absent"`
-	// AbsentNameBytes is how long their names are at least.
+	// AbsentNameBytes is the minimum length of their names.
 	AbsentNameBytes int `json:"AbsentNameBytes"`
-	// Restart has one process of the cut-off regions, which is no voter, start again in the midst of the cut.
+	// Restart restarts one process of the cut-off regions, which is not a voter, half-way through the cut.
 	Restart bool `json:"Restart"`
 
 	Plant Faults `json:"Plant"`
 }
 
-// Faults puts a fault into the run, for tests that must find it; the zero value puts none.
+// Faults selects faults to inject into a run, for tests of the check; the zero value selects none.
 type Faults struct {
-	KeptLog   bool `json:"KeptLog"`   // voters' disks keep the entries that a snapshot holds
-	StuckLoop bool `json:"StuckLoop"` // one process's control takes none of its messages
-	Unhealed  bool `json:"Unhealed"`  // the ways stay cut at the heal
+	KeptLog   bool `json:"KeptLog"`   // voters' disks keep the entries that a snapshot covers
+	StuckLoop bool `json:"StuckLoop"` // the control loop of one process processes none of its messages
+	Unhealed  bool `json:"Unhealed"`  // connections stay cut at the heal
 }
 
-// Default is the hour that docs/performance.md tells of.
+// Default returns the configuration of the one-hour run described in docs/performance.md.
 func Default() Config {
 	return Config{
 		Seed: 1, Processes: 60, Regions: 6, Zones: 14, Voters: 5, CutRegions: 3, Warm: 5 * time.Minute, Cut: time.Hour,
@@ -73,28 +73,28 @@
 	}
 }
 
-// ErrConfig is returned, wrapped, for a configuration that can't be played.
-var ErrConfig = errors.New("configuration of cut regions")
+// ErrConfig is returned, wrapped, for an invalid configuration.
+var ErrConfig = errors.New("invalid configuration of a regions-cut run")
 
 func (c Config) check() error {
 	switch {
 	case c.Voters < 1 || c.Processes < c.Voters:
-		return fmt.Errorf("%w: %d processes, %d of them voters", ErrConfig, c.Processes, c.Voters)
+		return fmt.Errorf("%w: %d processes and %d voters; there has to be a voter, and no more voters than processes", ErrConfig, c.Processes, c.Voters)
 	case c.Regions < 2 || c.Zones < c.Regions:
-		return fmt.Errorf("%w: %d zones in %d regions", ErrConfig, c.Zones, c.Regions)
+		return fmt.Errorf("%w: %d zones in %d regions; two regions and a zone in each are the minimum", ErrConfig, c.Zones, c.Regions)
 	case c.CutRegions < 1 || c.CutRegions >= c.Regions:
-		return fmt.Errorf("%w: %d of %d regions are cut off", ErrConfig, c.CutRegions, c.Regions)
+		return fmt.Errorf("%w: %d of %d regions cut off; at least one has to be, but not all", ErrConfig, c.CutRegions, c.Regions)
 	case c.Processes <= c.Zones && c.Restart:
-		return fmt.Errorf("%w: %d processes in %d zones leave none to start again", ErrConfig, c.Processes, c.Zones)
+		return fmt.Errorf("%w: %d processes in %d zones leave none to restart", ErrConfig, c.Processes, c.Zones)
 	case c.Cut < time.Minute || c.Warm < time.Minute:
-		return fmt.Errorf("%w: a minute before the cut and of it are needed", ErrConfig)
+		return fmt.Errorf("%w: warm-up and cut have to last a minute each", ErrConfig)
 	}
 	return nil
 }
 
-// cluster is a run.
+// cluster is the state of a run.
 type cluster struct {
-	ctx          context.Context // of the run, which is one call
+	ctx          context.Context // context of the run, which is one call
 	config       Config
 	clock        *sim.Clock
 	rng          *rand.Rand
@@ -103,20 +103,20 @@
 	voters       []string
 	cutAt        float64 // true time of the cut, infinite before it
 	healedAt     float64 // true time of the heal, infinite before it
-	nextProposer int     // of the process that proposes next
+	nextProposer int     // number of the process that proposes next
 	restarted    *process
 	report       Report
 }
 
-// zone is one of the site's.
+// zone is a zone of the site.
 type zone struct {
 	name   string
 	region int
 	cut    bool // its region is among those cut off
 }
 
-// Run plays a configuration. It returns an error that wraps ErrConfig if it can't be played, and the context's if that ends
-// before the run does.
+// Run simulates a configuration. It returns an error that wraps ErrConfig if the configuration is invalid, and the context's
+// error if that ends before the run does.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -136,7 +136,7 @@
 	return &s.report, ctx.Err()
 }
 
-// build lays out zones and processes: zones go round the regions, processes round the zones.
+// build creates zones and processes: it assigns zones to regions and processes to zones round-robin.
 func (s *cluster) build() {
 	for i := range s.config.Zones {
 		region := i % s.config.Regions
@@ -157,7 +157,7 @@
 	}
 }
 
-// fillState has processes that are not played join the state, a few at a time, from one on.
+// fillState makes absent processes join the cluster state in groups, beginning with the one numbered from.
 func (s *cluster) fillState(from int) {
 	if from >= s.config.Absent {
 		return
@@ -183,7 +183,7 @@
 	})
 }
 
-// absentJoins is the message by which a process that is not played joins.
+// absentJoins returns the message by which an absent process joins the cluster state.
 func (s *cluster) absentJoins(index int, now float64) []byte {
 	name, zone := fmt.Sprintf("absent-%04d", index), s.zones[index%len(s.zones)]
 	name += strings.Repeat("x", max(0, s.config.AbsentNameBytes-len(name)))
@@ -194,7 +194,7 @@
 	return codec.AppendMessage(nil, &codec.Message{Kind: codec.MessageProposal, Body: command.Append(nil)})
 }
 
-// play runs the three phases, with a reading each minute.
+// play runs the three phases and takes a reading each minute.
 func (s *cluster) play() {
 	s.scheduleCommands()
 	s.advance(Before, float64(s.config.Warm.Milliseconds()))
@@ -208,7 +208,7 @@
 	s.settle()
 }
 
-// advance lets time go by with a reading at the end of each minute.
+// advance advances the clock by a duration in ms and takes a reading at the end of each minute.
 func (s *cluster) advance(phase Phase, ms float64) {
 	for end := s.clock.TrueTime() + ms; s.clock.TrueTime() < end && s.ctx.Err() == nil; {
 		s.advanceTo(min(end, s.clock.TrueTime()+readInterval))
@@ -216,14 +216,14 @@
 	}
 }
 
-// advanceTo lets time go by, in steps after which it may be broken off.
+// advanceTo advances the clock to a time, in steps between which the run may be cancelled.
 func (s *cluster) advanceTo(at float64) {
 	for s.clock.TrueTime() < at && s.ctx.Err() == nil {
 		s.clock.RunUntil(min(at, s.clock.TrueTime()+cancelInterval))
 	}
 }
 
-// cut cuts all ways between the two groups of regions, or heals them.
+// cut cuts all connections between the two groups of regions, or heals them.
 func (s *cluster) cut(is bool) {
 	for _, p := range s.processes {
 		for _, q := range s.processes {
@@ -239,13 +239,13 @@
 	s.healedAt = s.clock.TrueTime()
 }
 
-// isCut tells whether two zones are cut from each other now, and since when.
+// isCut reports whether two zones are cut from each other now, and since when.
 func (s *cluster) isCut(a, b *zone) (since float64, is bool) {
 	now := s.clock.TrueTime()
 	return s.cutAt, a.cut != b.cut && now >= s.cutAt && now < s.healedAt
 }
 
-// restart has one process of the cut-off regions start again.
+// restart restarts one process of the cut-off regions that is not a voter.
 func (s *cluster) restart() {
 	for _, p := range s.processes[s.config.Voters:] {
 		if p.zone.cut {
@@ -256,7 +256,7 @@
 	}
 }
 
-// scheduleCommands has the next process propose a command, and so on at the configured rate.
+// scheduleCommands makes the processes propose commands in turn at the configured rate.
 func (s *cluster) scheduleCommands() {
 	if s.config.CommandsPerDay <= 0 {
 		return
--- a/internal/lab/scale/regions/regions_test.go
+++ b/internal/lab/scale/regions/regions_test.go
@@ -12,7 +12,7 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// small is a run that fits CI: fewer processes, a cut of minutes, and so many commands that the log is cut within it.
+// small returns a configuration for CI: fewer processes, a cut of minutes, and enough commands for the log to be truncated.
 func small() Config {
 	c := Default()
 	c.Processes, c.Zones = 7, 6 // three of them in the regions that are cut off
@@ -30,7 +30,7 @@
 	return r
 }
 
-// TestRegions cuts half of the regions off: no structure passes its bound, and views are one again after the heal.
+// TestRegions cuts half of the regions off: no structure exceeds its bound, and all processes agree again after the heal.
 func TestRegions(t *testing.T) {
 	t.Parallel()
 	r := run(t, small())
@@ -39,31 +39,31 @@
 	}
 	for _, m := range r.moments() {
 		if !m.Reached {
-			t.Errorf("%s: not after the heal", m.name)
+			t.Errorf("%s: not reached after the heal", m.name)
 		}
 	}
 	during := r.phase(During)
 	if len(r.phase(Before)) != 1 || len(during) != 4 || len(r.phase(Healed)) != 1 {
-		t.Fatalf("%d minutes", len(r.Minutes))
+		t.Fatalf("got %d readings, want 1 before, 4 during and 1 after the cut", len(r.Minutes))
 	}
-	for i, reading := range during[len(during)-1].Readings { // each holds those on its own side for alive, and no others
+	for i, reading := range during[len(during)-1].Readings { // each process considers those on its own side alive, and no others
 		want := 3
 		if region := i % r.Config.Zones % r.Config.Regions; region >= r.Config.Regions-r.Config.CutRegions {
 			want = 2
 		}
 		if reading.Alive != want {
-			t.Errorf("%s holds %d for alive in the cut, want %d", reading.Process, reading.Alive, want)
+			t.Errorf("%s considers %d processes alive during the cut, want %d", reading.Process, reading.Alive, want)
 		}
 	}
 	if entries := largest(during, LogEntries); entries < 250 {
-		t.Errorf("the log was never full: %d entries", entries)
+		t.Errorf("the log was never full: got %d entries, want at least 250", entries)
 	}
 	if bytes := largest(during, DiskBytes); bytes == 0 {
-		t.Error("nothing is on a disk")
+		t.Error("got 0 bytes on all disks, want some")
 	}
 	var text strings.Builder
 	if err := r.WriteMarkdown(&text); err != nil || !strings.Contains(text.String(), "| log entries |") {
-		t.Errorf("%v\n%s", err, text.String())
+		t.Errorf("got error %v, want a table with log entries:\n%s", err, text.String())
 	}
 	path := filepath.Join(t.TempDir(), "result.json")
 	if err := r.Result(result.Machine{}, "").Write(path); err != nil {
@@ -74,14 +74,14 @@
 		t.Fatal(err)
 	}
 	if v, ok := read.Value("cut", "log entries, most"); !ok || v != float64(largest(during, LogEntries)) {
-		t.Errorf("log entries in the result: %v", v)
+		t.Errorf("got %v log entries in the result, want the largest reading during the cut", v)
 	}
 	if err := r.WriteMinutes(filepath.Join(t.TempDir(), "minutes.json")); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestPlanted plants leaks, and looks that the check names each.
+// TestPlanted injects leaks and expects the check to name each, and injects a cut that is not healed.
 func TestPlanted(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -89,8 +89,8 @@
 		plant Faults
 		found Structure
 	}{
-		{"disks keep what a snapshot holds", Faults{KeptLog: true}, DiskEntries},
-		{"a loop takes none of its messages", Faults{StuckLoop: true}, PendingMessages},
+		{"disks keep entries that a snapshot covers", Faults{KeptLog: true}, DiskEntries},
+		{"a loop processes none of its messages", Faults{StuckLoop: true}, PendingMessages},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -98,24 +98,25 @@
 			config.Plant = c.plant
 			violations := run(t, config).Check()
 			if !slices.ContainsFunc(violations, func(v Violation) bool { return v.Structure == c.found }) {
-				t.Errorf("%s is not named by %v", c.found, violations)
+				t.Errorf("got violations %[2]v, want one of %[1]s", c.found, violations)
 			}
 			for _, v := range violations {
-				t.Log("found:", v)
+				t.Log("violation:", v)
 			}
 		})
 	}
-	t.Run("ways stay cut", func(t *testing.T) {
+	t.Run("connections stay cut", func(t *testing.T) {
 		t.Parallel()
 		config := small()
 		config.Cut, config.Plant = time.Minute, Faults{Unhealed: true}
 		if heal := run(t, config).Heal; heal.Members.Reached || heal.State.Reached {
-			t.Errorf("views are one though the ways are cut: %+v", heal)
+			t.Errorf("processes agree though the connections are still cut: %+v", heal)
 		}
 	})
 }
 
-// TestGrowth finds a structure without a bound of its own that grows all through the cut, and takes one that does not for sound.
+// TestGrowth checks that a structure without a bound of its own is a violation if it grows throughout the cut, and none if it is
+// steady.
 func TestGrowth(t *testing.T) {
 	config := small()
 	steady, growing := &Report{Config: config}, &Report{Config: config}
@@ -130,23 +131,23 @@
 		}
 	}
 	if v := steady.Check(); len(v) > 0 {
-		t.Errorf("steady: %v", v)
+		t.Errorf("steady structure: got violations %v, want none", v)
 	}
 	if v := growing.Check(); len(v) != 1 || v[0].Structure != Probes || !v[0].Growth {
-		t.Errorf("growing: %v", v)
+		t.Errorf("growing structure: got violations %v, want one of growth of probes", v)
 	}
 }
 
-// TestBrokenOff ends a run whose context is over.
+// TestBrokenOff expects the context's error of a run whose context is cancelled.
 func TestBrokenOff(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := Run(ctx, Default()); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want context.Canceled", err)
 	}
 }
 
-// TestConfig refuses what can't be played.
+// TestConfig expects an error for each invalid configuration.
 func TestConfig(t *testing.T) {
 	for _, change := range []func(*Config){
 		func(c *Config) { c.Processes = 3 },
@@ -159,7 +160,7 @@
 		config := small()
 		change(&config)
 		if _, err := Run(t.Context(), config); !errors.Is(err, ErrConfig) {
-			t.Errorf("%+v: %v", config, err)
+			t.Errorf("%+v: got error %v, want ErrConfig", config, err)
 		}
 	}
 }
--- a/internal/lab/scale/regions/report.go
+++ b/internal/lab/scale/regions/report.go
@@ -13,24 +13,25 @@
 // Scenario is the name of these runs in result files.
 const Scenario = "regions-cut"
 
-// Report is what came of a run.
+// Report is the outcome of a run.
 type Report struct {
 	Config  Config   `json:"config"`
 	Minutes []Minute `json:"minutes"`
 	Heal    Heal     `json:"heal"`
 }
 
-// WriteMinutes writes the whole report, with each reading of each process, as JSON to a file.
+// WriteMinutes writes the whole report, with every reading of every process, to a file as JSON.
 func (r *Report) WriteMinutes(path string) error {
 	text, err := json.Marshal(r)
 	if err != nil {
-		return fmt.Errorf("report of cut regions: %w", err)
+		return fmt.Errorf("encode the report of cut regions: %w", err)
 	}
 	return renameio.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Result is the run in the form of the scale runs' results: by phase the mean over processes of each size at the phase's last
-// reading, the most that any process held in the phase, and the traffic; and the times of the heal that were reached.
+// Result converts the report to the format of the scale runs' results. For each phase it has the mean of each size over all
+// processes at the last reading, the largest size at any process, and the traffic; and it has the times of the heal that were
+// reached.
 func (r *Report) Result(machine result.Machine, commit string) *result.Result {
 	out := &result.Result{
 		Schema: result.Schema, Machine: machine, Commit: commit, Seed: r.Config.Seed, Scenario: Scenario, Dimension: "schedulers",
@@ -64,7 +65,7 @@
 	return out
 }
 
-// namedMoment is a moment with what was reached.
+// namedMoment is a moment with the name of its condition.
 type namedMoment struct {
 	name string
 	Moment
@@ -78,7 +79,7 @@
 	return moments
 }
 
-// phase gives the readings of a phase.
+// phase returns the readings of a phase.
 func (r *Report) phase(phase Phase) (minutes []Minute) {
 	for _, m := range r.Minutes {
 		if m.Phase == phase {
@@ -88,7 +89,7 @@
 	return minutes
 }
 
-// mean is the mean over all processes.
+// mean returns the mean of a value over all processes.
 func (m *Minute) mean(of func(*Reading) float64) (mean float64) {
 	for i := range m.Readings {
 		mean += of(&m.Readings[i]) / float64(len(m.Readings))
@@ -103,7 +104,8 @@
 	return mean
 }
 
-// WriteMarkdown writes a table of the sizes over the run, the times of the heal and the violations. All of it is simulated.
+// WriteMarkdown writes a table of the sizes in the course of the run, the times of the heal and the violations. All figures are
+// simulated.
 func (r *Report) WriteMarkdown(w io.Writer) error {
 	out := &lineWriter{w: w}
 	columns := r.columns()
@@ -145,15 +147,15 @@
 	return out.err
 }
 
-const maxPrinted = 20
+const maxPrinted = 20 // violations
 
-// column is a stretch of a run.
+// column is a time range of a run.
 type column struct {
 	name    string
 	minutes []Minute
 }
 
-// columns are the last reading before the cut, four quarters of the cut, and the last reading after the heal.
+// columns returns the last reading before the cut, the four quarters of the cut, and the last reading after the heal.
 func (r *Report) columns() (columns []column) {
 	last := func(minutes []Minute) []Minute { return minutes[max(0, len(minutes)-1):] }
 	columns = append(columns, column{"before", last(r.phase(Before))})
@@ -168,7 +170,7 @@
 	return append(columns, column{"healed, last", last(r.phase(Healed))})
 }
 
-// lineWriter writes lines until one fails.
+// lineWriter writes lines until a write fails.
 type lineWriter struct {
 	w   io.Writer
 	err error
