--- a/internal/lab/scale/fit/additive.go
+++ b/internal/lab/scale/fit/additive.go
@@ -8,42 +8,42 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// ErrUndetermined is returned where the runs don't tell the effects of the dimensions apart.
-var ErrUndetermined = errors.New("the runs don't tell the dimensions apart")
+// ErrUndetermined is returned if the effects of the dimensions can't be separated, as when two of them grow together in all runs.
+var ErrUndetermined = errors.New("the effects of the dimensions can't be separated")
 
 // maxCondition is the condition number of the scaled design matrix above which a model counts as undetermined.
 const maxCondition = 1e8
 
-// Sample is one reading at one size along each of several dimensions.
+// Sample is one reading, with the size of its run along each of several dimensions.
 type Sample struct {
 	Sizes []float64 // one for each dimension
 	Value float64
 }
 
-// Additive is a model in which each dimension adds its own slope and none depends on another:
+// Additive is a linear model without interactions: each dimension contributes its own slope, and none depends on another:
 // value = Baseline + sum of Slopes[d] * (size[d] - Origin[d]).
 type Additive struct {
 	Origin   []float64 // the smallest size along each dimension
-	Baseline float64   // the value there
+	Baseline float64   // the value at Origin
 	Slopes   []float64
-	Largest  []float64
-	Residual float64 // residual standard error, in the reading's unit
+	Largest  []float64 // the largest size along each dimension
+	Residual float64   // residual standard error, in the reading's unit
 }
 
-// FitAdditive fits an additive model to runs along the axes by ordinary least squares, as a QR decomposition solves it (Golub
-// and Van Loan, Matrix Computations, chapter 5). It returns ErrTooFewSizes, ErrNotFinite or ErrUndetermined, wrapped.
+// FitAdditive fits an additive model to runs along the axes by ordinary least squares, solved with a QR decomposition (Golub
+// and Van Loan, Matrix Computations, chapter 5). Its errors wrap ErrTooFewSizes, ErrNotFinite or ErrUndetermined.
 func FitAdditive(samples []Sample) (Additive, error) {
 	if err := checkSamples(samples); err != nil {
 		return Additive{}, err
 	}
-	m := span(samples)
+	m := sizeRange(samples)
 	dimensions := len(m.Origin)
 	design := mat.NewDense(len(samples), 1+dimensions, nil)
 	values := mat.NewVecDense(len(samples), nil)
 	for row, s := range samples {
 		design.Set(row, 0, 1)
 		for d, size := range s.Sizes {
-			design.Set(row, 1+d, (size-m.Origin[d])/(m.Largest[d]-m.Origin[d])) // from 0 to 1, so that the matrix is well scaled
+			design.Set(row, 1+d, (size-m.Origin[d])/(m.Largest[d]-m.Origin[d])) // sizes are scaled to 0 to 1, so that the matrix is well conditioned
 		}
 		values.SetVec(row, s.Value)
 	}
@@ -69,7 +69,7 @@
 	return m, nil
 }
 
-// At is the model's value at a size along each dimension.
+// At returns the model's value at a size along each dimension.
 func (m Additive) At(sizes []float64) float64 {
 	value := m.Baseline
 	for d, size := range sizes {
@@ -78,8 +78,8 @@
 	return value
 }
 
-// Factor is how far a point lies beyond what was measured: the largest quotient, over the dimensions, of its size and the
-// largest measured one.
+// Factor returns how far a point lies beyond the measured sizes: the maximum, over the dimensions, of the quotient of its size
+// and the largest measured size.
 func (m Additive) Factor(sizes []float64) (factor float64) {
 	for d, size := range sizes {
 		factor = max(factor, size/m.Largest[d])
@@ -87,17 +87,17 @@
 	return factor
 }
 
-// Foretold is a run off the axes beside what the model foretold of it.
-type Foretold struct {
+// Comparison compares the measured value of a run off the axes with the model's prediction.
+type Comparison struct {
 	Measured, Predicted float64
-	RelativeError       float64 // (Predicted - Measured) / Measured; infinite where nothing was measured but something foretold
-	Factor              float64
-	Extrapolated        bool
+	RelativeError       float64 // (Predicted - Measured) / |Measured|; infinite if Measured is 0 and Predicted is not
+	Factor              float64 // as given by Additive.Factor
+	Extrapolated        bool    // Factor is above MaxFactor
 }
 
-// Foretell holds a measured value off the axes against the model.
-func (m Additive) Foretell(s Sample) Foretold {
-	f := Foretold{Measured: s.Value, Predicted: m.At(s.Sizes), Factor: m.Factor(s.Sizes)}
+// Compare compares a value that was measured off the axes with the model's prediction.
+func (m Additive) Compare(s Sample) Comparison {
+	f := Comparison{Measured: s.Value, Predicted: m.At(s.Sizes), Factor: m.Factor(s.Sizes)}
 	f.Extrapolated = f.Factor > MaxFactor
 	if f.Predicted != f.Measured {
 		f.RelativeError = (f.Predicted - f.Measured) / math.Abs(f.Measured)
@@ -105,7 +105,7 @@
 	return f
 }
 
-// checkSamples returns an error if the samples can't be fitted.
+// checkSamples returns an error if an additive model can't be fitted to the samples.
 func checkSamples(samples []Sample) error {
 	if len(samples) == 0 || len(samples[0].Sizes) == 0 {
 		return fmt.Errorf("%w: no runs", ErrTooFewSizes)
@@ -114,19 +114,19 @@
 		points := make([]Point, 0, len(samples))
 		for _, s := range samples {
 			if len(s.Sizes) != len(samples[0].Sizes) {
-				return fmt.Errorf("%w: runs of %d and of %d dimensions", ErrUndetermined, len(samples[0].Sizes), len(s.Sizes))
+				return fmt.Errorf("%w: runs have %d and %d dimensions", ErrUndetermined, len(samples[0].Sizes), len(s.Sizes))
 			}
 			points = append(points, Point{Size: s.Sizes[d], Value: s.Value})
 		}
-		if err := check(points); err != nil {
+		if err := checkPoints(points); err != nil {
 			return fmt.Errorf("dimension %d: %w", d, err)
 		}
 	}
 	return nil
 }
 
-// span is a model without values over the sizes of samples.
-func span(samples []Sample) (m Additive) {
+// sizeRange returns a model that has the range of the samples' sizes, but no baseline and zero slopes.
+func sizeRange(samples []Sample) (m Additive) {
 	m.Origin = append(m.Origin, samples[0].Sizes...)
 	m.Largest = append(m.Largest, samples[0].Sizes...)
 	m.Slopes = make([]float64, len(m.Origin))
--- a/internal/lab/scale/fit/additive_test.go
+++ b/internal/lab/scale/fit/additive_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// axes gives samples along two axes from a common corner, by a formula.
-func axes(formula func(nodes, schedulers float64) float64) (samples []Sample) {
+// axisSamples returns samples along two axes that meet in a corner; their values follow a formula.
+func axisSamples(formula func(nodes, schedulers float64) float64) (samples []Sample) {
 	const cornerNodes, cornerSchedulers = 2000, 30
 	add := func(nodes, schedulers float64) {
 		samples = append(samples, Sample{Sizes: []float64{nodes, schedulers}, Value: formula(nodes, schedulers)})
@@ -24,42 +24,43 @@
 
 func plane(nodes, schedulers float64) float64 { return 5 + 0.02*nodes + 0.7*schedulers }
 
-// TestAdditive recovers a plane, and foretells points off the axes of it.
+// TestAdditive fits a plane and predicts points of it off the axes.
 func TestAdditive(t *testing.T) {
-	model, err := FitAdditive(axes(plane))
+	model, err := FitAdditive(axisSamples(plane))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !near(model.Slopes[0], 0.02, 1e-9) || !near(model.Slopes[1], 0.7, 1e-9) || !near(model.Baseline, plane(500, 30), 1e-9) || model.Residual > 1e-9 {
-		t.Errorf("%+v", model)
+	if !approxEqual(model.Slopes[0], 0.02, 1e-9) || !approxEqual(model.Slopes[1], 0.7, 1e-9) || !approxEqual(model.Baseline, plane(500, 30), 1e-9) || model.Residual > 1e-9 {
+		t.Errorf("got model %+v, want slopes 0.02 and 0.7, baseline %v and no residual", model, plane(500, 30))
 	}
-	off := model.Foretell(Sample{Sizes: []float64{10000, 200}, Value: plane(10000, 200)})
-	if !near(off.RelativeError, 0, 1e-9) || off.Extrapolated {
-		t.Errorf("%+v", off)
+	off := model.Compare(Sample{Sizes: []float64{10000, 200}, Value: plane(10000, 200)})
+	if !approxEqual(off.RelativeError, 0, 1e-9) || off.Extrapolated {
+		t.Errorf("got %+v, want no relative error and no extrapolation", off)
 	}
-	if far := model.Foretell(Sample{Sizes: []float64{10000, 3100}, Value: plane(10000, 3100)}); !far.Extrapolated || !near(far.Factor, 3.1, 1e-9) {
-		t.Errorf("%+v", far)
+	if far := model.Compare(Sample{Sizes: []float64{10000, 3100}, Value: plane(10000, 3100)}); !far.Extrapolated || !approxEqual(far.Factor, 3.1, 1e-9) {
+		t.Errorf("got %+v, want an extrapolation by a factor of 3.1", far)
 	}
 }
 
-// TestInteraction reports the error off the axes where dimensions multiply: nothing along the axes shows it.
+// TestInteraction expects the relative error off the axes to show an interaction of two dimensions: the residuals along the axes
+// do not show it.
 func TestInteraction(t *testing.T) {
 	truth := func(nodes, schedulers float64) float64 {
 		return plane(nodes, schedulers) + 1e-4*(nodes-2000)*(schedulers-30)
 	}
-	model, err := FitAdditive(axes(truth))
+	model, err := FitAdditive(axisSamples(truth))
 	if err != nil || model.Residual > 1e-9 {
-		t.Fatalf("%+v, %v", model, err)
+		t.Fatalf("got model %+v, error %v, want no residual and no error", model, err)
 	}
 	measured := truth(10000, 200)
-	off := model.Foretell(Sample{Sizes: []float64{10000, 200}, Value: measured})
+	off := model.Compare(Sample{Sizes: []float64{10000, 200}, Value: measured})
 	want := (plane(10000, 200) - measured) / measured
-	if !near(off.RelativeError, want, 1e-6) || off.RelativeError > -0.2 {
-		t.Errorf("%+v, want an error of %.3f", off, want)
+	if !approxEqual(off.RelativeError, want, 1e-6) || off.RelativeError > -0.2 {
+		t.Errorf("got %+v, want a relative error of %.3f", off, want)
 	}
 }
 
-// TestUndetermined refuses dimensions that only grew together.
+// TestUndetermined expects an error if two dimensions only grew together.
 func TestUndetermined(t *testing.T) {
 	var samples []Sample
 	for _, nodes := range measuredSizes {
@@ -68,6 +69,6 @@
 		}
 	}
 	if _, err := FitAdditive(samples); !errors.Is(err, ErrUndetermined) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrUndetermined", err)
 	}
 }
--- a/internal/lab/scale/fit/dimension.go
+++ b/internal/lab/scale/fit/dimension.go
@@ -7,36 +7,36 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// Dimension is a size of a run that can be varied while the others are held.
+// Dimension is a size of a run that can be varied while the other sizes are held constant.
 type Dimension struct {
-	Name string // as runs name it, and as it is named in a prediction
+	Name string // name in results and in predictions
 	size func(*result.Sizes) float64
-	// clear sets the size to zero, so that the sizes that are held can be compared.
+	// clear sets the size to zero, so that the other sizes can be compared.
 	clear func(*result.Sizes)
 }
 
-// Size is a run's size along the dimension.
+// Size returns a run's size along the dimension.
 func (d Dimension) Size(sizes result.Sizes) float64 { return d.size(&sizes) }
 
-// Held are a run's other sizes.
+// Held returns a run's sizes along all other dimensions.
 func (d Dimension) Held(sizes result.Sizes) result.Sizes {
 	d.clear(&sizes)
 	return sizes
 }
 
-// Dimensions are all that a run has, in the order of the result file.
+// Dimensions lists all dimensions of a run, in the order of the result file.
 var Dimensions = []Dimension{
-	counted("nodes", func(s *result.Sizes) *int { return &s.Nodes }),
-	counted("schedulers", func(s *result.Sizes) *int { return &s.Schedulers }),
-	counted("tasks", func(s *result.Sizes) *int { return &s.RunningTasks }),
-	counted("teams", func(s *result.Sizes) *int { return &s.Teams }),
-	counted("zones", func(s *result.Sizes) *int { return &s.Zones }),
-	counted("regions", func(s *result.Sizes) *int { return &s.Regions }),
-	rated("config-changes", func(s *result.Sizes) *float64 { return &s.ConfigChangesPerDay }),
-	rated("starts", func(s *result.Sizes) *float64 { return &s.StartsPerSecond }),
+	countDimension("nodes", func(s *result.Sizes) *int { return &s.Nodes }),
+	countDimension("schedulers", func(s *result.Sizes) *int { return &s.Schedulers }),
+	countDimension("tasks", func(s *result.Sizes) *int { return &s.RunningTasks }),
+	countDimension("teams", func(s *result.Sizes) *int { return &s.Teams }),
+	countDimension("zones", func(s *result.Sizes) *int { return &s.Zones }),
+	countDimension("regions", func(s *result.Sizes) *int { return &s.Regions }),
+	rateDimension("config-changes", func(s *result.Sizes) *float64 { return &s.ConfigChangesPerDay }),
+	rateDimension("starts", func(s *result.Sizes) *float64 { return &s.StartsPerSecond }),
 }
 
-func counted(name string, field func(*result.Sizes) *int) Dimension {
+func countDimension(name string, field func(*result.Sizes) *int) Dimension {
 	return Dimension{
 		Name:  name,
 		size:  func(s *result.Sizes) float64 { return float64(*field(s)) },
@@ -44,7 +44,7 @@
 	}
 }
 
-func rated(name string, field func(*result.Sizes) *float64) Dimension {
+func rateDimension(name string, field func(*result.Sizes) *float64) Dimension {
 	return Dimension{
 		Name:  name,
 		size:  func(s *result.Sizes) float64 { return *field(s) },
@@ -52,7 +52,7 @@
 	}
 }
 
-// UnknownDimensionError is of a name that no dimension has.
+// UnknownDimensionError is the error for a name that no dimension has.
 type UnknownDimensionError struct{ Name string }
 
 func (e *UnknownDimensionError) Error() string {
@@ -60,10 +60,10 @@
 	for _, d := range Dimensions {
 		names = append(names, d.Name)
 	}
-	return fmt.Sprintf("dimension %q: one of %s is expected", e.Name, strings.Join(names, ", "))
+	return fmt.Sprintf("unknown dimension %q, expected one of %s", e.Name, strings.Join(names, ", "))
 }
 
-// DimensionNamed is the dimension of a name. It returns an *UnknownDimensionError if there is none.
+// DimensionNamed returns the dimension with a name, or an *UnknownDimensionError if there is none.
 func DimensionNamed(name string) (Dimension, error) {
 	for _, d := range Dimensions {
 		if d.Name == name {
--- a/internal/lab/scale/fit/line.go
+++ b/internal/lab/scale/fit/line.go
@@ -1,6 +1,6 @@
-// Package fit fits models to the readings of scale runs: for each scenario, dimension and reading a straight line by ordinary
-// least squares with the confidence of its slope, the exponent of a power law beside it, and over all dimensions an additive
-// model whose error is measured at runs off the axes. It writes the fits as a Markdown table and as plots.
+// Package fit fits models to the readings of scale runs. For each scenario, dimension and reading it fits a straight line by
+// ordinary least squares, with the confidence interval of its slope, and a power law. Over all dimensions it fits an additive
+// model, whose error is measured with runs off the axes. It writes the fits as Markdown tables and as plots.
 package fit
 
 import (
@@ -14,24 +14,24 @@
 )
 
 const (
-	// MinSizes is how many distinct sizes a fit needs at least.
+	// MinSizes is the minimum number of distinct sizes for a fit.
 	MinSizes = 4
-	// MaxFactor is the quotient of a size and the largest measured one above which a prediction counts as extrapolated.
+	// MaxFactor is the quotient of a size and the largest measured size above which a prediction counts as extrapolated.
 	MaxFactor = 3
-	// confidence is the level of all intervals, two-sided.
+	// confidence is the level of all confidence intervals, which are two-sided.
 	confidence = 0.95
 )
 
 var (
-	// ErrTooFewSizes is returned where fewer than MinSizes distinct sizes were measured.
+	// ErrTooFewSizes is returned if fewer than MinSizes distinct sizes were measured.
 	ErrTooFewSizes = errors.New("too few sizes")
-	// ErrNotFinite is returned where a size or a value is not a finite number.
+	// ErrNotFinite is returned if a size or a value is not a finite number.
 	ErrNotFinite = errors.New("not a finite number")
-	// ErrNotPositive is returned by FitPower where a size or a value is not above zero, so that it has no logarithm.
+	// ErrNotPositive is returned by FitPower if a size or a value is not above zero and thus has no logarithm.
 	ErrNotPositive = errors.New("not a positive number")
 )
 
-// Point is one reading at one size. A size that was run several times has several points.
+// Point is one reading at one size. A size that was measured in several runs has several points.
 type Point struct {
 	Size, Value float64
 }
@@ -41,33 +41,33 @@
 	Low, High float64
 }
 
-// Contains tells whether a value lies within the interval.
+// Contains reports whether a value lies within the interval.
 func (i Interval) Contains(value float64) bool { return value >= i.Low && value <= i.High }
 
-// Line is a straight line through points, by ordinary least squares (Draper and Smith, Applied Regression Analysis, chapter 1).
+// Line is a straight line fitted to points by ordinary least squares (Draper and Smith, Applied Regression Analysis, chapter 1).
 type Line struct {
 	Intercept     float64
-	Slope         float64 // in the reading's unit for each unit of size
+	Slope         float64 // in the reading's unit per unit of size
 	SlopeError    float64 // standard error of the slope
 	SlopeInterval Interval
 	Residual      float64 // residual standard error, in the reading's unit
-	Repetition    float64 // pooled standard deviation between runs of the same size; 0 where no size was repeated
-	RSquared      float64 // part of the variance that the line explains; 1 where all values are the same
+	RunDeviation  float64 // pooled standard deviation between runs of the same size; 0 if no size was repeated
+	RSquared      float64 // fraction of the variance that the line explains; 1 if all values are the same
 	Worst         Point   // the point furthest from the line
-	WorstResidual float64 // its value less the line's, in the reading's unit
+	WorstResidual float64 // its value minus the line's, in the reading's unit
 
-	Sizes             int // distinct
-	MinRuns           int // the fewest points at any size
-	Points            int
+	Sizes             int     // number of distinct sizes
+	MinRuns           int     // smallest number of points at any size
+	Points            int     // number of points
 	Smallest, Largest float64 // sizes
 
 	meanSize float64
-	sumXX    float64 // sum of the squared distances of the sizes from their mean
+	sumXX    float64 // sum of the squared deviations of the sizes from their mean
 }
 
-// FitLine fits a straight line. It returns ErrTooFewSizes or ErrNotFinite, wrapped.
+// FitLine fits a straight line. Its errors wrap ErrTooFewSizes or ErrNotFinite.
 func FitLine(points []Point) (Line, error) {
-	if err := check(points); err != nil {
+	if err := checkPoints(points); err != nil {
 		return Line{}, err
 	}
 	xs, ys := columns(points)
@@ -91,29 +91,29 @@
 	if total > 0 {
 		l.RSquared = 1 - squares/total
 	}
-	l.Residual = math.Sqrt(squares / l.freedom())
+	l.Residual = math.Sqrt(squares / l.degreesOfFreedom())
 	l.SlopeError = l.Residual / math.Sqrt(l.sumXX)
-	l.SlopeInterval = interval(l.Slope, l.SlopeError, l.freedom())
-	l.Sizes, l.MinRuns, l.Repetition = repetitions(points)
+	l.SlopeInterval = interval(l.Slope, l.SlopeError, l.degreesOfFreedom())
+	l.Sizes, l.MinRuns, l.RunDeviation = repetitions(points)
 	return l, nil
 }
 
-// At is the line's value at a size.
+// At returns the line's value at a size.
 func (l Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// freedom is the number of degrees of freedom of the residuals.
-func (l Line) freedom() float64 { return float64(l.Points - 2) }
+// degreesOfFreedom returns the number of degrees of freedom of the residuals.
+func (l Line) degreesOfFreedom() float64 { return float64(l.Points - 2) }
 
-// Prediction is what a model foretells at a size.
+// Prediction is a model's prediction at a size.
 type Prediction struct {
 	Size         float64
 	Value        float64
-	Interval     Interval // of the mean value at the size, if the model holds there
-	Factor       float64  // the size by the largest measured one
+	Interval     Interval // of the mean value at the size, provided that the model holds there
+	Factor       float64  // the size divided by the largest measured size
 	Extrapolated bool     // Factor is above MaxFactor
 }
 
-// Predict foretells the mean reading at a size.
+// Predict predicts the mean reading at a size.
 func (l Line) Predict(size float64) Prediction {
 	distance := size - l.meanSize
 	meanError := l.Residual * math.Sqrt(1/float64(l.Points)+distance*distance/l.sumXX)
@@ -121,20 +121,20 @@
 	return Prediction{
 		Size:         size,
 		Value:        l.At(size),
-		Interval:     interval(l.At(size), meanError, l.freedom()),
+		Interval:     interval(l.At(size), meanError, l.degreesOfFreedom()),
 		Factor:       factor,
 		Extrapolated: factor > MaxFactor,
 	}
 }
 
-// interval is the confidence interval of an estimate by Student's distribution.
+// interval returns the confidence interval of an estimate by Student's t-distribution.
 func interval(estimate, standardError, freedom float64) Interval {
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile((1 + confidence) / 2)
 	return Interval{Low: estimate - t*standardError, High: estimate + t*standardError}
 }
 
-// check returns an error if a line can't be fitted to the points.
-func check(points []Point) error {
+// checkPoints returns an error if a line can't be fitted to the points.
+func checkPoints(points []Point) error {
 	sizes := map[float64]bool{}
 	for _, p := range points {
 		if !finite(p.Size) || !finite(p.Value) {
@@ -150,7 +150,7 @@
 
 func finite(value float64) bool { return !math.IsNaN(value) && !math.IsInf(value, 0) }
 
-// columns gives the sizes and the values of points.
+// columns returns the sizes and the values of points.
 func columns(points []Point) (sizes, values []float64) {
 	for _, p := range points {
 		sizes = append(sizes, p.Size)
@@ -159,8 +159,8 @@
 	return sizes, values
 }
 
-// repetitions counts the distinct sizes and the fewest runs of any, and gives the pooled standard deviation between runs of
-// the same size.
+// repetitions returns the number of distinct sizes, the smallest number of runs at any size, and the pooled standard deviation
+// between runs of the same size.
 func repetitions(points []Point) (sizes, minRuns int, deviation float64) {
 	bySize := map[float64][]float64{}
 	for _, p := range points {
--- a/internal/lab/scale/fit/plot.go
+++ b/internal/lab/scale/fit/plot.go
@@ -13,29 +13,29 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes of a plot.
+// Dimensions of a plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
 )
 
-// unsafe are runs of characters that don't go into a file's name.
-var unsafe = regexp.MustCompile(`[^A-Za-z0-9]+`)
+// unsafeInFileName matches runs of characters that are replaced in file names.
+var unsafeInFileName = regexp.MustCompile(`[^A-Za-z0-9]+`)
 
-// Plot is one drawing: all readings of one unit along one dimension of a scenario.
+// Plot identifies one plot: all readings of one unit along one dimension of a scenario.
 type Plot struct {
 	Scenario, Dimension, Unit string
 }
 
-// FileName is the name of the plot's file.
+// FileName returns the name of the plot's file.
 func (p Plot) FileName() string {
-	return unsafe.ReplaceAllString(p.Scenario+"-"+p.Dimension+"-"+p.Unit, "_") + ".svg"
+	return unsafeInFileName.ReplaceAllString(p.Scenario+"-"+p.Dimension+"-"+p.Unit, "_") + ".svg"
 }
 
-// WritePlots draws the points and lines of all readings as SVG files in a folder, and gives their paths.
+// WritePlots plots the points and lines of all readings to SVG files in a folder and returns their paths.
 func WritePlots(folder string, all []Series) (paths []string, err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return nil, fmt.Errorf("plots: %w", err)
+		return nil, fmt.Errorf("create the folder of plots: %w", err)
 	}
 	var plots []Plot
 	for _, s := range all {
@@ -53,14 +53,14 @@
 		}
 		path := filepath.Join(folder, p.FileName())
 		if err := drawing.Save(plotWidth, plotHeight, path); err != nil {
-			return paths, fmt.Errorf("plot %s: %w", path, err)
+			return paths, fmt.Errorf("write plot %s: %w", path, err)
 		}
 		paths = append(paths, path)
 	}
 	return paths, nil
 }
 
-// draw draws all readings that belong to the plot.
+// draw draws the readings that belong to the plot.
 func (p Plot) draw(all []Series) (*plot.Plot, error) {
 	drawing := plot.New()
 	drawing.Title.Text = p.Scenario
@@ -77,7 +77,7 @@
 				continue
 			}
 			if err := addAxis(drawing, s.Part+" "+s.Name, axis, color); err != nil {
-				return nil, fmt.Errorf("plot of %s: %w", p.FileName(), err)
+				return nil, fmt.Errorf("draw plot %s: %w", p.FileName(), err)
 			}
 			color++
 		}
@@ -85,7 +85,7 @@
 	return drawing, nil
 }
 
-// addAxis draws the points of an axis, and its line if there is one.
+// addAxis draws the points of an axis, and its line if one was fitted.
 func addAxis(drawing *plot.Plot, label string, axis Axis, color int) error {
 	points := make(plotter.XYs, 0, len(axis.Points))
 	for _, p := range axis.Points {
--- a/internal/lab/scale/fit/power.go
+++ b/internal/lab/scale/fit/power.go
@@ -5,11 +5,11 @@
 	"math"
 )
 
-// steeper is the exponent that a power law's interval must lie above for the growth to count as steeper than a line.
-const steeper = 1.1
+// superlinearExponent is the exponent above which the whole confidence interval has to lie for growth to count as superlinear.
+const superlinearExponent = 1.1
 
-// Power is a power law, value = Factor * size^Exponent, fitted as a straight line through the logarithms. A line that does not
-// pass through zero has an exponent below one here: the exponent stands beside the line, not in its place.
+// Power is a power law, value = Factor * size^Exponent, fitted as a straight line to the logarithms. A straight line with a
+// positive intercept has an exponent below one here: the exponent complements the line and does not replace it.
 type Power struct {
 	Factor           float64
 	Exponent         float64
@@ -17,7 +17,7 @@
 	Residual         float64 // residual standard error of the natural logarithms
 }
 
-// FitPower fits a power law. It returns ErrNotPositive, ErrTooFewSizes or ErrNotFinite, wrapped.
+// FitPower fits a power law. Its errors wrap ErrNotPositive, ErrTooFewSizes or ErrNotFinite.
 func FitPower(points []Point) (Power, error) {
 	logs := make([]Point, 0, len(points))
 	for _, p := range points {
@@ -38,8 +38,8 @@
 	}, nil
 }
 
-// At is the power law's value at a size.
+// At returns the power law's value at a size.
 func (p Power) At(size float64) float64 { return p.Factor * math.Pow(size, p.Exponent) }
 
-// Superlinear tells whether the reading grows faster than a line: a straight line must not be extrapolated then.
-func (p Power) Superlinear() bool { return p.ExponentInterval.Low > steeper }
+// Superlinear reports whether the reading grows faster than a straight line, so that a line must not be extrapolated.
+func (p Power) Superlinear() bool { return p.ExponentInterval.Low > superlinearExponent }
--- a/internal/lab/scale/fit/report.go
+++ b/internal/lab/scale/fit/report.go
@@ -11,11 +11,11 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// significant is how many digits of a figure are written.
-const significant = 4
+// significantDigits is the number of significant digits of printed figures.
+const significantDigits = 4
 
-// WriteMarkdown writes the fits of all readings, what the model foretold off the axes, and predictions at named sizes by
-// dimension, if there are any, as Markdown tables.
+// WriteMarkdown writes Markdown tables of the fits of all readings, of the additive model's predictions off the axes, and of
+// predictions at the given sizes by name of dimension, if there are any.
 func WriteMarkdown(w io.Writer, all []Series, at map[string]float64) error {
 	out := &markdown{w: w}
 	scenarios := []string{}
@@ -39,7 +39,7 @@
 	return out.err
 }
 
-// markdown writes lines until one fails.
+// markdown writes lines until a write fails.
 type markdown struct {
 	w   io.Writer
 	err error
@@ -59,7 +59,7 @@
 	m.line("| %s |", strings.Join(cells, " | "))
 }
 
-// head writes the head of a table: so many columns of text, the others of figures.
+// head writes the head of a table: the first columns, as many as texts says, hold text and the others figures.
 func (m *markdown) head(texts int, names ...string) {
 	m.line("")
 	m.row(names...)
@@ -74,7 +74,7 @@
 	m.row(rule...)
 }
 
-// lines writes the straight lines, one for each dimension and reading.
+// lines writes the table of the straight lines, one for each dimension and reading.
 func (m *markdown) lines(some []Series) {
 	m.head(3, "dimension", "reading", "unit", "sizes", "runs", "intercept", "slope", "slope's 95% interval", "residual", "R²",
 		"furthest point (residual)", "exponent", "note")
@@ -111,7 +111,7 @@
 		exponent, strings.Join(notes(axis), "; "))
 }
 
-// notes are what a reader must know before using a line.
+// notes returns what a reader has to know before using a line.
 func notes(axis Axis) (notes []string) {
 	if axis.PowerErr == nil && axis.Power.Superlinear() {
 		notes = append(notes, "grows faster than a line")
@@ -128,21 +128,21 @@
 	return notes
 }
 
-// offAxis writes what the additive model foretold beside what was measured.
+// offAxis writes the table that compares the additive model's predictions with the measured values.
 func (m *markdown) offAxis(some []Series) {
-	if !slices.ContainsFunc(some, func(s Series) bool { return len(s.OffPoints) > 0 }) {
+	if !slices.ContainsFunc(some, func(s Series) bool { return len(s.OffAxisPoints) > 0 }) {
 		return
 	}
 	m.line("Foretold off the axes by the additive model:")
 	m.head(3, "sizes", "reading", "unit", "runs", "measured", "foretold", "relative error", "factor", "note")
 	for _, s := range some {
-		for _, p := range s.OffPoints {
+		for _, p := range s.OffAxisPoints {
 			var notes []string
 			if p.Extrapolated {
 				notes = append(notes, "extrapolated")
 			}
-			if len(p.Beyond) > 0 {
-				notes = append(notes, "not in the model: "+strings.Join(p.Beyond, ", "))
+			if len(p.NotModeled) > 0 {
+				notes = append(notes, "not in the model: "+strings.Join(p.NotModeled, ", "))
 			}
 			m.row(sizesText(s.Dimensions, p.Sizes), s.Part+" "+s.Name, s.Unit, strconv.Itoa(p.Runs), figure(p.Measured), figure(p.Predicted),
 				fmt.Sprintf("%+.1f%%", 100*p.RelativeError), fmt.Sprintf("%.2f", p.Factor), strings.Join(notes, "; "))
@@ -151,7 +151,8 @@
 	m.line("")
 }
 
-// predictions writes what lines foretell at each named size, and the additive model at all together if there are several.
+// predictions writes the lines' predictions at each given size and, if there are several sizes, the additive model's prediction
+// at all of them together.
 func (m *markdown) predictions(some []Series, at map[string]float64) {
 	if len(at) == 0 {
 		return
@@ -160,30 +161,30 @@
 	m.head(3, "at", "reading", "unit", "value", "95% interval", "factor", "note")
 	for _, name := range slices.Sorted(maps.Keys(at)) {
 		for _, s := range some {
-			if p, ok := s.At(name, at[name]); ok {
+			if p, ok := s.Predict(name, at[name]); ok {
 				m.row(name+" "+figure(at[name]), s.Part+" "+s.Name, s.Unit, figure(p.Value),
-					fmt.Sprintf("%s to %s", figure(p.Interval.Low), figure(p.Interval.High)), fmt.Sprintf("%.2f", p.Factor), mark(p))
+					fmt.Sprintf("%s to %s", figure(p.Interval.Low), figure(p.Interval.High)), fmt.Sprintf("%.2f", p.Factor), extrapolationNote(p))
 			}
 		}
 	}
 	if len(at) > 1 {
 		for _, s := range some {
-			if p, err := s.AtAll(at); err == nil {
-				m.row("all together", s.Part+" "+s.Name, s.Unit, figure(p.Value), "-", fmt.Sprintf("%.2f", p.Factor), mark(p))
+			if p, err := s.PredictAll(at); err == nil {
+				m.row("all together", s.Part+" "+s.Name, s.Unit, figure(p.Value), "-", fmt.Sprintf("%.2f", p.Factor), extrapolationNote(p))
 			}
 		}
 	}
 	m.line("")
 }
 
-func mark(p Prediction) string {
+func extrapolationNote(p Prediction) string {
 	if p.Extrapolated {
 		return "extrapolated"
 	}
 	return ""
 }
 
-// sizesText names sizes along dimensions.
+// sizesText formats sizes with the names of their dimensions.
 func sizesText(dimensions []Dimension, sizes result.Sizes) string {
 	var texts []string
 	for _, d := range dimensions {
@@ -192,11 +193,11 @@
 	return strings.Join(texts, ", ")
 }
 
-// figure writes a number in a few significant digits.
+// figure formats a number with a few significant digits.
 func figure(value float64) string {
-	short, err := strconv.ParseFloat(strconv.FormatFloat(value, 'g', significant, 64), 64)
+	short, err := strconv.ParseFloat(strconv.FormatFloat(value, 'g', significantDigits, 64), 64)
 	if err != nil {
-		return strconv.FormatFloat(value, 'g', significant, 64)
+		return strconv.FormatFloat(value, 'g', significantDigits, 64)
 	}
 	if size := max(short, -short); size == 0 || size >= 1e-4 && size < 1e9 {
 		return strconv.FormatFloat(short, 'f', -1, 64)
--- a/internal/lab/scale/fit/series.go
+++ b/internal/lab/scale/fit/series.go
@@ -10,10 +10,10 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// OffAxis is the name that runs with several sizes varied at once give in place of a dimension.
+// OffAxis stands in place of a dimension's name in results of runs that vary several sizes at once.
 const OffAxis = "off-axis"
 
-// ReadDir reads all results, the files *.json, in a folder and those below it.
+// ReadDir reads all results, the files *.json, in a folder and its subfolders.
 func ReadDir(folder string) (results []*result.Result, err error) {
 	err = filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".json" {
@@ -29,7 +29,7 @@
 	return results, err
 }
 
-// Key names what is fitted: one reading of one scenario.
+// Key identifies what is fitted: one reading of one scenario.
 type Key struct {
 	Scenario, Part, Name, Unit string
 }
@@ -39,37 +39,37 @@
 		cmp.Compare(k.Unit, other.Unit))
 }
 
-// Axis is a reading along one dimension, with what was fitted to it.
+// Axis holds the points of a reading along one dimension and the fits to them.
 type Axis struct {
 	Dimension Dimension
 	Points    []Point
 	Held      result.Sizes // the other sizes, of the first run
-	Varied    []string     // other dimensions that were not held: the slope is of all of them together
+	Varied    []string     // other dimensions that were not held constant: the slope is the effect of all of them together
 	Line      Line
-	LineErr   error // Line is void
+	LineErr   error // if not nil, Line is not set
 	Power     Power
-	PowerErr  error // Power is void
+	PowerErr  error // if not nil, Power is not set
 }
 
-// OffPoint is what runs off the axes, of the same sizes, read on the mean, beside what the additive model foretells there.
-type OffPoint struct {
-	Sizes  result.Sizes
-	Runs   int
-	Beyond []string // dimensions that differ from what was held and that the model does not cover
-	Foretold
+// OffAxisPoint compares the mean reading of the runs of the same sizes off the axes with the additive model's prediction there.
+type OffAxisPoint struct {
+	Sizes      result.Sizes
+	Runs       int
+	NotModeled []string // dimensions that the model does not cover and whose sizes differ from those held on the axes
+	Comparison
 }
 
 // Series is one reading of one scenario over all runs.
 type Series struct {
 	Key
-	Axes       []Axis
-	Dimensions []Dimension // of the model
-	Model      Additive
-	ModelErr   error // Model is void, and there are no OffPoints
-	OffPoints  []OffPoint
+	Axes          []Axis
+	Dimensions    []Dimension // that the model covers
+	Model         Additive
+	ModelErr      error // if not nil, Model is not set and OffAxisPoints is empty
+	OffAxisPoints []OffAxisPoint
 }
 
-// observation is a reading of one run, the mean of its processes.
+// observation is a reading of one run: the mean over its processes.
 type observation struct {
 	dimension string
 	sizes     result.Sizes
@@ -79,17 +79,17 @@
 	processes int
 }
 
-// All fits all readings of results, in the order of their keys.
+// All fits all readings of results and returns them sorted by key.
 func All(results []*result.Result) (all []Series) {
-	for key, observations := range gather(results) {
-		all = append(all, analyse(key, observations))
+	for key, observations := range groupByKey(results) {
+		all = append(all, fitSeries(key, observations))
 	}
 	slices.SortFunc(all, func(a, b Series) int { return a.compare(b.Key) })
 	return all
 }
 
-// gather sorts readings by key, and takes the mean over the processes of one run: they are no repetitions of each other.
-func gather(results []*result.Result) map[Key][]*observation {
+// groupByKey groups readings by key and takes the mean over the processes of one run, because they are not independent repetitions.
+func groupByKey(results []*result.Result) map[Key][]*observation {
 	all := map[Key][]*observation{}
 	for _, r := range results {
 		for _, reading := range r.Readings {
@@ -110,23 +110,23 @@
 	return all
 }
 
-func analyse(key Key, observations []*observation) Series {
+func fitSeries(key Key, observations []*observation) Series {
 	s := Series{Key: key}
 	for _, d := range Dimensions {
-		if axis, ok := along(d, observations); ok {
+		if axis, ok := axisAlong(d, observations); ok {
 			s.Axes = append(s.Axes, axis)
 		}
 	}
 	s.fitModel(observations)
 	if s.ModelErr == nil {
-		s.foretell(observations)
+		s.compareOffAxis(observations)
 	}
 	return s
 }
 
-// along gives the axis of a dimension: the runs that name it, and those of other axes that differ from them in it alone, as
-// the corner where axes meet.
-func along(d Dimension, observations []*observation) (axis Axis, ok bool) {
+// axisAlong returns the axis of a dimension: the runs that vary it, and runs of other axes that differ from them in this dimension
+// alone, such as the corner where the axes meet.
+func axisAlong(d Dimension, observations []*observation) (axis Axis, ok bool) {
 	first := slices.IndexFunc(observations, func(o *observation) bool { return o.dimension == d.Name })
 	if first < 0 {
 		return Axis{}, false
@@ -150,7 +150,7 @@
 	return axis, true
 }
 
-// fitModel fits the additive model over all dimensions that a line could be fitted to.
+// fitModel fits the additive model over all dimensions for which a line could be fitted.
 func (s *Series) fitModel(observations []*observation) {
 	var names []string
 	for _, axis := range s.Axes {
@@ -168,7 +168,7 @@
 	s.Model, s.ModelErr = FitAdditive(samples)
 }
 
-// sizesOf gives a run's sizes along the dimensions of the model.
+// sizesOf returns a run's sizes along the dimensions of the model.
 func (s *Series) sizesOf(sizes result.Sizes) (along []float64) {
 	for _, d := range s.Dimensions {
 		along = append(along, d.Size(sizes))
@@ -176,8 +176,8 @@
 	return along
 }
 
-// foretell holds the mean of the runs at each point off the axes against the model.
-func (s *Series) foretell(observations []*observation) {
+// compareOffAxis compares the mean of the runs at each point off the axes with the model's prediction.
+func (s *Series) compareOffAxis(observations []*observation) {
 	bySizes := map[result.Sizes][]*observation{}
 	var order []result.Sizes
 	for _, o := range observations {
@@ -195,14 +195,14 @@
 		for _, o := range runs {
 			sum += o.value
 		}
-		point := OffPoint{Sizes: sizes, Runs: len(runs), Beyond: s.beyond(sizes)}
-		point.Foretold = s.Model.Foretell(Sample{Sizes: s.sizesOf(sizes), Value: sum / float64(len(runs))})
-		s.OffPoints = append(s.OffPoints, point)
+		point := OffAxisPoint{Sizes: sizes, Runs: len(runs), NotModeled: s.notModeled(sizes)}
+		point.Comparison = s.Model.Compare(Sample{Sizes: s.sizesOf(sizes), Value: sum / float64(len(runs))})
+		s.OffAxisPoints = append(s.OffAxisPoints, point)
 	}
 }
 
-// beyond names the dimensions that differ from all that the axes held, though the model has no slope for them.
-func (s *Series) beyond(sizes result.Sizes) (names []string) {
+// notModeled returns the names of dimensions for which the model has no slope and whose size differs from that held on every axis.
+func (s *Series) notModeled(sizes result.Sizes) (names []string) {
 	for _, d := range Dimensions {
 		if slices.ContainsFunc(s.Dimensions, func(covered Dimension) bool { return covered.Name == d.Name }) {
 			continue
@@ -215,8 +215,8 @@
 	return names
 }
 
-// At is the prediction along the axis of a dimension, with the other sizes as they were held; false if there is no line.
-func (s *Series) At(dimension string, size float64) (Prediction, bool) {
+// Predict returns the prediction along the axis of a dimension, with the other sizes as they were held, or false if there is no line.
+func (s *Series) Predict(dimension string, size float64) (Prediction, bool) {
 	for _, axis := range s.Axes {
 		if axis.Dimension.Name == dimension && axis.LineErr == nil {
 			return axis.Line.Predict(size), true
@@ -225,11 +225,11 @@
 	return Prediction{}, false
 }
 
-// AtAll is the additive model's prediction at named sizes, with the other sizes as they were held; it has no interval. It
-// returns an *UnknownDimensionError for a name that the model does not cover.
-func (s *Series) AtAll(named map[string]float64) (Prediction, error) {
+// PredictAll returns the additive model's prediction at the given sizes, with the other sizes as they were held; it has no interval.
+// It returns an *UnknownDimensionError for a dimension that the model does not cover.
+func (s *Series) PredictAll(named map[string]float64) (Prediction, error) {
 	if s.ModelErr != nil {
-		return Prediction{}, fmt.Errorf("no model: %w", s.ModelErr)
+		return Prediction{}, fmt.Errorf("no additive model: %w", s.ModelErr)
 	}
 	sizes := s.corner()
 	for d, dimension := range s.Dimensions {
@@ -247,7 +247,7 @@
 	return p, nil
 }
 
-// corner is where the axes meet: along each dimension the size that the others held.
+// corner returns the point where the axes meet: along each dimension the size that is held on the other axes.
 func (s *Series) corner() []float64 {
 	sizes := slices.Clone(s.Model.Origin)
 	for d, dimension := range s.Dimensions {
--- a/internal/lab/scale/fit/series_test.go
+++ b/internal/lab/scale/fit/series_test.go
@@ -13,16 +13,16 @@
 
 var corner = result.Sizes{Nodes: 2000, Schedulers: 30, Teams: 72, Zones: 14, Regions: 6}
 
-// rig makes the results of runs along nodes and schedulers, and of two points off the axes, of two processes each, as a
-// formula of one reading has it.
-func rig(formula func(nodes, schedulers float64) float64) (results []*result.Result) {
+// syntheticResults returns results of runs along nodes and schedulers and at two points off the axes, with two processes each; the reading
+// "memory" follows a formula.
+func syntheticResults(formula func(nodes, schedulers float64) float64) (results []*result.Result) {
 	add := func(dimension string, nodes, schedulers int) {
 		for run := range runs {
 			for process := range 2 {
 				r := &result.Result{Schema: result.Schema, Scenario: "rest", Dimension: dimension, Run: run + 1, Process: fmt.Sprint("s", process)}
 				r.Sizes = corner
 				r.Sizes.Nodes, r.Sizes.Schedulers = nodes, schedulers
-				apart := 1 - 2*float64(process) // the mean of the processes is the formula's
+				apart := 1 - 2*float64(process) // the mean over the processes is the formula's value
 				r.Readings = []result.Reading{
 					{Part: "control", Name: "memory", Unit: result.Bytes, Value: formula(float64(nodes), float64(schedulers)) + apart},
 					{Part: "control", Name: "idle", Unit: result.Cores},
@@ -34,7 +34,7 @@
 	for _, nodes := range measuredSizes {
 		add("nodes", int(nodes), corner.Schedulers)
 	}
-	for _, schedulers := range []int{100, 300, 1000} { // the corner is on the axis of nodes already
+	for _, schedulers := range []int{100, 300, 1000} { // the corner is already on the axis of nodes
 		add("schedulers", corner.Nodes, schedulers)
 	}
 	add(OffAxis, 4000, 200)
@@ -42,55 +42,56 @@
 	return results
 }
 
-func find(t *testing.T, all []Series, name string) Series {
+func findSeries(t *testing.T, all []Series, name string) Series {
 	t.Helper()
 	for _, s := range all {
 		if s.Name == name {
 			return s
 		}
 	}
-	t.Fatalf("no reading %s", name)
+	t.Fatalf("got no reading %q, want one", name)
 	return Series{}
 }
 
-// TestSeries fits results of a rig: both axes, the corner that they share, processes taken together, points off the axes.
+// TestSeries fits synthetic results: both axes with their common corner, the mean over processes, and the points off the axes.
 func TestSeries(t *testing.T) {
-	s := find(t, All(rig(plane)), "memory")
-	if len(s.Axes) != 2 || s.ModelErr != nil || len(s.OffPoints) != 2 {
-		t.Fatalf("%+v", s)
+	s := findSeries(t, All(syntheticResults(plane)), "memory")
+	if len(s.Axes) != 2 || s.ModelErr != nil || len(s.OffAxisPoints) != 2 {
+		t.Fatalf("got %+v, want 2 axes, a model and 2 points off the axes", s)
 	}
 	for i, slope := range []float64{0.02, 0.7} {
 		axis := s.Axes[i]
-		if axis.LineErr != nil || !near(axis.Line.Slope, slope, 1e-9) || axis.Line.Sizes != 4 || axis.Line.MinRuns != runs || len(axis.Varied) > 0 {
-			t.Errorf("%+v", axis)
+		if axis.LineErr != nil || !approxEqual(axis.Line.Slope, slope, 1e-9) || axis.Line.Sizes != 4 || axis.Line.MinRuns != runs || len(axis.Varied) > 0 {
+			t.Errorf("got %+v, want slope %v, 4 sizes and %d runs of each", axis, slope, runs)
 		}
 	}
-	for _, p := range s.OffPoints {
-		if !near(p.RelativeError, 0, 1e-9) || p.Runs != runs || len(p.Beyond) > 0 {
-			t.Errorf("%+v", p)
+	for _, p := range s.OffAxisPoints {
+		if !approxEqual(p.RelativeError, 0, 1e-9) || p.Runs != runs || len(p.NotModeled) > 0 {
+			t.Errorf("got %+v, want no relative error, %d runs and no dimension beyond the model", p, runs)
 		}
 	}
-	all, err := s.AtAll(map[string]float64{"nodes": 60000, "schedulers": 100})
-	if err != nil || !near(all.Value, plane(60000, 100), 1e-9) || !all.Extrapolated {
-		t.Errorf("%+v, %v", all, err)
+	all, err := s.PredictAll(map[string]float64{"nodes": 60000, "schedulers": 100})
+	if err != nil || !approxEqual(all.Value, plane(60000, 100), 1e-9) || !all.Extrapolated {
+		t.Errorf("got %+v, error %v, want value %v, extrapolated", all, err, plane(60000, 100))
 	}
-	one, err := s.AtAll(map[string]float64{"nodes": 6000})
-	if err != nil || !near(one.Value, plane(6000, 30), 1e-9) {
-		t.Errorf("%+v, %v", one, err)
+	one, err := s.PredictAll(map[string]float64{"nodes": 6000})
+	if err != nil || !approxEqual(one.Value, plane(6000, 30), 1e-9) {
+		t.Errorf("got %+v, error %v, want value %v", one, err, plane(6000, 30))
 	}
 	var unknown *UnknownDimensionError
-	if _, err := s.AtAll(map[string]float64{"teams": 80}); !errors.As(err, &unknown) {
-		t.Errorf("a dimension that was not varied: %v", err)
+	if _, err := s.PredictAll(map[string]float64{"teams": 80}); !errors.As(err, &unknown) {
+		t.Errorf("a dimension that was not varied: got error %v, want an UnknownDimensionError", err)
 	}
-	idle := find(t, All(rig(plane)), "idle")
+	idle := findSeries(t, All(syntheticResults(plane)), "idle")
 	if !errors.Is(idle.Axes[0].PowerErr, ErrNotPositive) || idle.Axes[0].Line.Slope != 0 {
-		t.Errorf("%+v", idle.Axes[0])
+		t.Errorf("got %+v, want slope 0 and ErrNotPositive for the power law", idle.Axes[0])
 	}
 }
 
-// TestVaried names a size that was not held along an axis, and one off the axes that the model does not cover.
+// TestVaried expects the names of a dimension that was not held constant along an axis, and of one that differs off the axes and
+// that the model does not cover.
 func TestVaried(t *testing.T) {
-	results := rig(plane)
+	results := syntheticResults(plane)
 	for _, r := range results {
 		if r.Dimension == "nodes" {
 			r.Sizes.RunningTasks = r.Sizes.Nodes * 10
@@ -99,46 +100,48 @@
 			r.Sizes.Teams = 500
 		}
 	}
-	s := find(t, All(results), "memory")
+	s := findSeries(t, All(results), "memory")
 	if got := s.Axes[0].Varied; len(got) != 1 || got[0] != "tasks" {
-		t.Errorf("varied with nodes: %v", got)
+		t.Errorf("varied with nodes: got %q, want only tasks", got)
 	}
-	results = rig(plane)
+	results = syntheticResults(plane)
 	for _, r := range results {
 		if r.Dimension == OffAxis {
 			r.Sizes.Teams = 500
 		}
 	}
-	s = find(t, All(results), "memory")
-	if got := s.OffPoints[0].Beyond; len(got) != 1 || got[0] != "teams" {
-		t.Errorf("not covered: %v", got)
+	s = findSeries(t, All(results), "memory")
+	if got := s.OffAxisPoints[0].NotModeled; len(got) != 1 || got[0] != "teams" {
+		t.Errorf("not covered by the model: got %q, want only teams", got)
 	}
 }
 
-// TestSeriesInteraction reports the error off the axes where nodes and schedulers multiply: no axis shows it.
+// TestSeriesInteraction expects the relative error off the axes to show an interaction of nodes and schedulers: the residuals
+// along the axes do not show it.
 func TestSeriesInteraction(t *testing.T) {
 	truth := func(nodes, schedulers float64) float64 {
 		return plane(nodes, schedulers) + 1e-3*(nodes-2000)*(schedulers-30)
 	}
-	s := find(t, All(rig(truth)), "memory")
+	s := findSeries(t, All(syntheticResults(truth)), "memory")
 	for _, axis := range s.Axes {
 		if axis.Line.Residual > 1e-9 {
-			t.Errorf("an axis shows it: %+v", axis.Line)
+			t.Errorf("got %+v along an axis, want no residual", axis.Line)
 		}
 	}
 	for i, sizes := range [][2]float64{{4000, 200}, {10000, 60}} {
 		measured := truth(sizes[0], sizes[1])
 		want := (plane(sizes[0], sizes[1]) - measured) / measured
-		if p := s.OffPoints[i]; !near(p.RelativeError, want, 1e-9) || p.RelativeError > -0.4 {
-			t.Errorf("%+v, want an error of %.3f", p, want)
+		if p := s.OffAxisPoints[i]; !approxEqual(p.RelativeError, want, 1e-9) || p.RelativeError > -0.4 {
+			t.Errorf("got %+v, want a relative error of %.3f", p, want)
 		}
 	}
 }
 
-// TestReport reads a folder of results and writes the tables and plots; a planted wrong run is in them.
+// TestReport reads a folder of results and writes the tables and plots, which show one run with a wrong value; a truncated file
+// is an error.
 func TestReport(t *testing.T) {
 	folder := t.TempDir()
-	results := rig(plane)
+	results := syntheticResults(plane)
 	for i, r := range results {
 		if r.Dimension == "nodes" && r.Sizes.Nodes == 6000 && r.Run == 2 {
 			r.Readings[0].Value = 7777
@@ -149,7 +152,7 @@
 	}
 	read, err := ReadDir(folder)
 	if err != nil || len(read) != len(results) {
-		t.Fatalf("%d of %d results, %v", len(read), len(results), err)
+		t.Fatalf("got %d results, error %v, want %d results", len(read), err, len(results))
 	}
 	all := All(read)
 	var text strings.Builder
@@ -161,22 +164,22 @@
 		"no slope told from zero",
 	} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("%q is not in\n%s", want, text.String())
+			t.Errorf("got no %q, want it in\n%s", want, text.String())
 		}
 	}
 	paths, err := WritePlots(filepath.Join(folder, "plots"), all)
 	if err != nil || len(paths) != 4 { // two dimensions of two units
-		t.Fatalf("%v, %v", paths, err)
+		t.Fatalf("got paths %q, error %v, want 4 paths", paths, err)
 	}
 	for _, path := range paths {
 		if drawn, err := os.ReadFile(path); err != nil || !strings.Contains(string(drawn), "<svg") {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("%s: got error %v or no <svg element, want a plot", path, err)
 		}
 	}
 	if err := os.WriteFile(filepath.Join(folder, "broken.json"), []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadDir(folder); err == nil {
-		t.Error("half a file was read")
+		t.Error("a truncated file: got no error, want one")
 	}
 }
--- a/internal/lab/scale/regions/regions_test.go
+++ b/internal/lab/scale/regions/regions_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestPlanted injects leaks and expects the check to name each, and injects a cut that is not healed.
-func TestPlanted(t *testing.T) {
+// TestInjectedFaults injects leaks and expects the check to name each, and injects a cut that is not healed.
+func TestInjectedFaults(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestBrokenOff expects the context's error of a run whose context is cancelled.
-func TestBrokenOff(t *testing.T) {
+// TestCancelled expects the context's error of a run whose context is cancelled.
+func TestCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := Run(ctx, Default()); !errors.Is(err, context.Canceled) {
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestConfig expects an error for each invalid configuration.
-func TestConfig(t *testing.T) {
+// TestInvalidConfig expects an error for each invalid configuration.
+func TestInvalidConfig(t *testing.T) {
 	for _, change := range []func(*Config){
 		func(c *Config) { c.Processes = 3 },
 		func(c *Config) { c.Voters = 0 },
