--- a/internal/lab/scale/child.go
+++ b/internal/lab/scale/child.go
@@ -16,27 +16,27 @@
 	"ravenpond/internal/lab/scale/hollow"
 )
 
-// Commands of hollow processes, beside that of the rig.
+// Subcommands of `lab` that run hollow processes.
 const (
 	NodesCommand      = "scale-nodes"
 	SchedulersCommand = "scale-schedulers"
 )
 
 const (
-	longestAnswer = 4 << 20
-	endWithin     = 5 * time.Second
+	maxReplyBytes = 4 << 20 // bytes, of a reply or a log line
+	stopTimeout   = 5 * time.Second
 )
 
-// child is a hollow process.
+// child is a hollow process that the rig has started.
 type child struct {
 	cmd *exec.Cmd
 
-	mu      sync.Mutex // of one order and its answer
+	mu      sync.Mutex // serializes orders: it is held from an order to its reply
 	in      io.WriteCloser
 	answers *bufio.Scanner
 }
 
-// startChild starts a hollow process with its plan. It does not outlive this one.
+// startChild starts a hollow process with its plan. The kernel kills it when this process ends.
 func startChild(program []string, command string, plan any, log *os.File) (*child, error) {
 	args := append(slices.Clone(program[1:]), "lab", command)
 	cmd := exec.Command(program[0], args...)
@@ -54,14 +54,14 @@
 		return nil, fmt.Errorf("%s: %w", command, err)
 	}
 	c := &child{cmd: cmd, in: in, answers: bufio.NewScanner(out)}
-	c.answers.Buffer(nil, longestAnswer)
+	c.answers.Buffer(nil, maxReplyBytes)
 	if err := json.NewEncoder(in).Encode(plan); err != nil {
-		return nil, errors.Join(err, c.end())
+		return nil, errors.Join(err, c.stop())
 	}
 	return c, nil
 }
 
-// order has the process do something, and waits for its answer.
+// order sends an order to the process and waits for the reply.
 func (c *child) order(o hollow.Order) (reply hollow.Reply, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +69,7 @@
 		return reply, fmt.Errorf("%s: %w", o.Do, err)
 	}
 	if !c.answers.Scan() {
-		return reply, errors.Join(fmt.Errorf("%s: no answer", o.Do), c.answers.Err())
+		return reply, errors.Join(fmt.Errorf("%s: hollow process ended without a reply", o.Do), c.answers.Err())
 	}
 	if err := json.Unmarshal(c.answers.Bytes(), &reply); err != nil {
 		return reply, fmt.Errorf("%s: %w", o.Do, err)
@@ -80,10 +80,10 @@
 	return reply, nil
 }
 
-// end closes the process's input, by which it ends, and waits; one that stays is killed.
-func (c *child) end() error {
+// stop closes the process's input, which makes it exit, and waits for it. It kills the process if that takes longer than stopTimeout.
+func (c *child) stop() error {
 	c.in.Close()
-	limit := time.AfterFunc(endWithin, func() { _ = c.cmd.Process.Kill() })
+	limit := time.AfterFunc(stopTimeout, func() { _ = c.cmd.Process.Kill() })
 	defer limit.Stop()
 	return c.cmd.Wait()
 }
--- a/internal/lab/scale/clients.go
+++ b/internal/lab/scale/clients.go
@@ -13,21 +13,21 @@
 	"ravenpond/internal/proto/client"
 )
 
-// Times of clients in ms, and sizes.
+// Parameters of clients; times are in ms.
 const (
 	dialTimeoutMs      = 2000
 	clientWriteTimeout = 5000
-	clientsPerProcess  = 4 // connections to each real process
+	clientsPerProcess  = 4 // number of connections to each real process
 	services           = 50
-	taskCores          = 0.1
-	taskMemory         = 0.1
+	taskCores          = 0.1 // cores
+	taskMemory         = 0.1 // GiB
 	maxLatencyUs       = 60_000_000
 	histogramDigits    = 3 // digits
 )
 
-// loadClient is a connection that asks for tasks.
+// loadClient is a client connection that requests tasks.
 type loadClient struct {
-	process int // process that it asks
+	process int // index of the process that it is connected to
 	env     env.Environment
 	conn    env.Conn
 	in      client.Splitter
@@ -35,41 +35,41 @@
 
 	mu      sync.Mutex
 	refs    uint64
-	pending map[uint64]time.Time // when what is not answered yet was meant to be asked for
+	pending map[uint64]time.Time // scheduled times of the requests that are not answered yet, by their ref
 }
 
-// tally is what became of asks, each counted at its answer.
+// tally counts requests and their outcomes. An outcome is counted when the answer arrives.
 type tally struct {
-	mu             sync.Mutex
-	requests       int
-	served, others int
-	starts         *hdrhistogram.Histogram // us from when an ask was meant to be made until it is served
+	mu                sync.Mutex
+	requests          int
+	served, notServed int
+	startLatency      *hdrhistogram.Histogram // us from a request's scheduled time until it is served
 }
 
 func newTally() *tally {
-	return &tally{starts: hdrhistogram.New(1, maxLatencyUs, histogramDigits)}
+	return &tally{startLatency: hdrhistogram.New(1, maxLatencyUs, histogramDigits)}
 }
 
-// reset begins to count anew.
+// reset sets all counts to zero.
 func (t *tally) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.requests, t.served, t.others = 0, 0, 0
-	t.starts.Reset()
+	t.requests, t.served, t.notServed = 0, 0, 0
+	t.startLatency.Reset()
 }
 
-// counts gives asks and answers so far.
+// counts returns the numbers of requests, of those that were served, and of those that got another answer.
 func (t *tally) counts() (asked, served, others int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.requests, t.served, t.others
+	return t.requests, t.served, t.notServed
 }
 
-// quantileMs is a quantile of the starts' time.
+// quantileMs returns a percentile of the start latency in ms.
 func (t *tally) quantileMs(percent float64) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return float64(t.starts.ValueAtQuantile(percent)) / 1e3
+	return float64(t.startLatency.ValueAtQuantile(percent)) / 1e3
 }
 
 // dial connects a client to a real process.
@@ -84,17 +84,17 @@
 		done <- err
 	})
 	if err := <-done; err != nil {
-		return nil, fmt.Errorf("client: %w", err)
+		return nil, fmt.Errorf("connect a client: %w", err)
 	}
 	return c, nil
 }
 
-// request asks for a task, which was meant to be done at a time.
-func (c *loadClient) request(meant time.Time, job string, number, teams int) {
+// request requests a task. Latency is measured from the request's scheduled time.
+func (c *loadClient) request(scheduled time.Time, job string, number, teams int) {
 	c.mu.Lock()
 	c.refs++
 	ref := c.refs
-	c.pending[ref] = meant
+	c.pending[ref] = scheduled
 	c.mu.Unlock()
 	c.tally.mu.Lock()
 	c.tally.requests++
@@ -104,14 +104,14 @@
 	c.conn.Send(func(b []byte) []byte { return client.AppendMessage(b, body) })
 }
 
-// OnData takes answers.
+// OnData processes answers.
 func (c *loadClient) OnData(b []byte) {
 	if c.in.Feed(b, c.onMessage) != nil {
 		c.conn.Close(false, nil)
 	}
 }
 
-// OnClose meets the end of the connection.
+// OnClose does nothing.
 func (c *loadClient) OnClose(error) {}
 
 func (c *loadClient) onMessage(body []byte) error {
@@ -129,7 +129,7 @@
 		return nil
 	}
 	c.mu.Lock()
-	meant, ok := c.pending[message.Params.Ref]
+	scheduled, ok := c.pending[message.Params.Ref]
 	delete(c.pending, message.Params.Ref)
 	c.mu.Unlock()
 	if !ok {
@@ -138,15 +138,16 @@
 	c.tally.mu.Lock()
 	defer c.tally.mu.Unlock()
 	if message.Params.Answer != "served" {
-		c.tally.others++
+		c.tally.notServed++
 		return nil
 	}
 	c.tally.served++
-	return c.tally.starts.RecordValue(min(maxLatencyUs, max(1, time.Since(meant).Microseconds())))
+	return c.tally.startLatency.RecordValue(min(maxLatencyUs, max(1, time.Since(scheduled).Microseconds())))
 }
 
-// arrivals asks the clients in turn at a rate, open loop, until it is told to stop or so many are asked (0: no bound).
-func arrivals(stop <-chan struct{}, clients []*loadClient, job string, perSecond float64, first, limit, teams int, random *rand.Rand) (next int) {
+// sendRequests sends requests through the clients in turn, as an open loop with exponentially distributed intervals, until stop is
+// closed or limit requests are sent (0: no limit). It returns the number of the next request.
+func sendRequests(stop <-chan struct{}, clients []*loadClient, job string, perSecond float64, first, limit, teams int, random *rand.Rand) (next int) {
 	at := time.Now()
 	number := first
 	for ; limit == 0 || number < first+limit; number++ {
--- a/internal/lab/scale/counts.go
+++ b/internal/lab/scale/counts.go
@@ -15,33 +15,33 @@
 
 const scrapeTimeout = 10 * time.Second
 
-// scrape is a page of counts of a process: values by their names and labels, as in connections{kind="dialed"}.
+// scrape is a metrics page of a process: values by name and labels, such as ravenpond_connections{kind="dialed"}.
 type scrape map[string]float64
 
-// schedulerLabel is on all counts of a process, the same.
+// schedulerLabel matches the label that is the same on all metrics of a process.
 var schedulerLabel = regexp.MustCompile(`scheduler="[^"]*",?`)
 
-// fetch reads a page of counts.
-func fetch(ctx context.Context, address string) (scrape, error) {
+// fetchMetrics fetches the metrics page at an address.
+func fetchMetrics(ctx context.Context, address string) (scrape, error) {
 	ctx, stop := context.WithTimeout(ctx, scrapeTimeout)
 	defer stop()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("counts: %w", err)
+		return nil, fmt.Errorf("fetch metrics: %w", err)
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("counts: %s", answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return nil, fmt.Errorf("fetch metrics: status %s", response.Status)
 	}
-	return parse(answer.Body)
+	return parseMetrics(response.Body)
 }
 
-// parse reads the text form of counts.
-func parse(in io.Reader) (scrape, error) {
+// parseMetrics parses metrics in the Prometheus text format.
+func parseMetrics(in io.Reader) (scrape, error) {
 	page := scrape{}
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
@@ -51,11 +51,11 @@
 		}
 		at := strings.LastIndexByte(text, ' ')
 		if at < 0 {
-			return nil, fmt.Errorf("counts: line %.80q", text)
+			return nil, fmt.Errorf("metrics: no value in line %.80q", text)
 		}
 		value, err := strconv.ParseFloat(text[at+1:], 64)
 		if err != nil {
-			return nil, fmt.Errorf("counts: line %.80q: %w", text, err)
+			return nil, fmt.Errorf("metrics: bad value in line %.80q: %w", text, err)
 		}
 		name := strings.Replace(schedulerLabel.ReplaceAllString(text[:at], ""), ",}", "}", 1)
 		page[strings.TrimSuffix(name, "{}")] = value
@@ -63,8 +63,9 @@
 	return page, lines.Err()
 }
 
-// of is a count of the program by its name and labels, name and value in turn, in the order of their names.
-func (s scrape) of(name string, labels ...string) float64 {
+// value returns a metric of the program by its name without the prefix. Labels are pairs of name and value, sorted by name. It
+// returns 0 if there is no such metric.
+func (s scrape) value(name string, labels ...string) float64 {
 	key := "ravenpond_" + name
 	var pairs []string
 	for pair := range slices.Chunk(labels, 2) {
--- a/internal/lab/scale/faults.go
+++ b/internal/lab/scale/faults.go
@@ -11,25 +11,25 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// Faults of nodes in a day of the whole cluster, and how much faster it is played.
+// Node faults per day in the whole cluster, and the factor by which they are sped up.
 const (
 	restartsPerDay = 2400
-	failuresPerDay = 75 // half of them hang, half vanish for the rest of the phase
+	failuresPerDay = 75 // half of the nodes hang, half are gone for the rest of the phase
 	churnSpeedup   = 100
 	secondsPerDay  = 86_400
 	downtime       = time.Second
 	hangDuration   = 5 * time.Second
 )
 
-// nodeFault is a fault of one node.
+// nodeFault is a fault of one node, or the end of one.
 type nodeFault struct {
-	at     time.Duration // since the begin of the phase
-	place  int
+	at     time.Duration // since the start of the phase
+	node   int
 	action hollow.Action
 }
 
-// drawFaults writes the script of a phase from a seed: restarts, hangs and failures at times drawn evenly, nodes drawn
-// evenly, no node twice.
+// drawFaults generates the script of a phase from a seed: restarts, hangs and failures at uniformly distributed times, of
+// uniformly drawn nodes, no node twice.
 func drawFaults(seed uint64, nodes int, last time.Duration) (script []nodeFault) {
 	random := rand.New(rand.NewPCG(seed, 0xc4))
 	places := random.Perm(nodes)
@@ -38,7 +38,7 @@
 		for range min(n, len(places)) {
 			at := time.Duration(random.Float64() * float64(last))
 			for _, act := range acts {
-				script = append(script, nodeFault{at: at + act.at, place: places[0], action: act.action})
+				script = append(script, nodeFault{at: at + act.at, node: places[0], action: act.action})
 			}
 			places = places[1:]
 		}
@@ -50,28 +50,28 @@
 	return script
 }
 
-// churn injects the faults of a script, and restarts at its end the nodes that vanished.
-func churn(ctx context.Context, r *Rig) ([]result.Reading, error) {
+// injectChurn injects the faults of a script and at its end brings back the nodes that are gone.
+func injectChurn(ctx context.Context, r *Rig) ([]result.Reading, error) {
 	began := time.Now()
 	gone := map[int]bool{}
 	restarts := 0
-	for _, m := range drawFaults(r.Seed+uint64(r.Run), r.Sizes.Nodes, r.MeasureFor) {
-		if err := pause(ctx, time.Until(began.Add(m.at))); err != nil {
+	for _, fault := range drawFaults(r.Seed+uint64(r.Run), r.Sizes.Nodes, r.MeasureFor) {
+		if err := pause(ctx, time.Until(began.Add(fault.at))); err != nil {
 			return nil, err
 		}
-		if err := r.inject(m); err != nil {
+		if err := r.inject(fault); err != nil {
 			return nil, err
 		}
-		switch m.action {
+		switch fault.action {
 		case hollow.StopNodes:
-			gone[m.place] = true
+			gone[fault.node] = true
 		case hollow.ReturnNodes:
-			delete(gone, m.place)
+			delete(gone, fault.node)
 			restarts++
 		}
 	}
-	for place := range gone {
-		if err := r.inject(nodeFault{place: place, action: hollow.ReturnNodes}); err != nil {
+	for node := range gone {
+		if err := r.inject(nodeFault{node: node, action: hollow.ReturnNodes}); err != nil {
 			return nil, err
 		}
 	}
@@ -81,14 +81,14 @@
 	}, nil
 }
 
-// inject carries out one fault. The list tells of nodes that are away.
-func (r *Rig) inject(m nodeFault) error {
-	_, err := r.orderNodes(hollow.Order{Do: m.action, First: m.place, Last: m.place + 1})
-	switch m.action {
+// inject injects one fault. The node list shows whether a node is gone or ready; it does not show hangs.
+func (r *Rig) inject(fault nodeFault) error {
+	_, err := r.orderNodes(hollow.Order{Do: fault.action, First: fault.node, Last: fault.node + 1})
+	switch fault.action {
 	case hollow.StopNodes:
-		r.updateList(m.place, m.place+1, hollow.Gone)
+		r.updateList(fault.node, fault.node+1, hollow.Gone)
 	case hollow.ReturnNodes:
-		r.updateList(m.place, m.place+1, hollow.Ready)
+		r.updateList(fault.node, fault.node+1, hollow.Ready)
 	}
 	return err
 }
--- a/internal/lab/scale/fit/additive_test.go
+++ b/internal/lab/scale/fit/additive_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	if !approxEqual(model.Slopes[0], 0.02, 1e-9) || !approxEqual(model.Slopes[1], 0.7, 1e-9) || !approxEqual(model.Baseline, plane(500, 30), 1e-9) || model.Residual > 1e-9 {
-		t.Errorf("got model %+v, want slopes 0.02 and 0.7, baseline %v and no residual", model, plane(500, 30))
+		t.Errorf("got model %+v, want slopes 0.02 and 0.7, baseline 36 and no residual", model)
 	}
 	off := model.Compare(Sample{Sizes: []float64{10000, 200}, Value: plane(10000, 200)})
 	if !approxEqual(off.RelativeError, 0, 1e-9) || off.Extrapolated {
--- a/internal/lab/scale/fit/line_test.go
+++ b/internal/lab/scale/fit/line_test.go
@@ -44,11 +44,11 @@
 		t.Errorf("got %+v, want intercept 40, slope 0.25, no residual and an R squared of 1", line)
 	}
 	if line.Sizes != 4 || line.MinRuns != runs || line.Points != 12 || line.Smallest != 500 || line.Largest != 14000 {
-		t.Errorf("got %+v, want 12 points, %d runs at each of 4 sizes from 500 to 14000", line, runs)
+		t.Errorf("got %+v, want 12 points, 3 runs at each of 4 sizes from 500 to 14000", line)
 	}
 	far := line.Predict(50000)
 	if !approxEqual(far.Value, linear(50000), 1e-9) || !far.Extrapolated || !approxEqual(far.Factor, 50000.0/14000, 1e-12) {
-		t.Errorf("got %+v, want value %v, extrapolated by a factor of 3.57", far, linear(50000))
+		t.Errorf("got %+v, want value 12540, extrapolated by a factor of 3.57", far)
 	}
 	if within := line.Predict(3 * 14000); within.Extrapolated {
 		t.Errorf("got %+v, want no extrapolation at three times the largest size", within)
--- a/internal/lab/scale/fit/series_test.go
+++ b/internal/lab/scale/fit/series_test.go
@@ -62,21 +62,21 @@
 	for i, slope := range []float64{0.02, 0.7} {
 		axis := s.Axes[i]
 		if axis.LineErr != nil || !approxEqual(axis.Line.Slope, slope, 1e-9) || axis.Line.Sizes != 4 || axis.Line.MinRuns != runs || len(axis.Varied) > 0 {
-			t.Errorf("got %+v, want slope %v, 4 sizes and %d runs of each", axis, slope, runs)
+			t.Errorf("got %+v, want slopes 0.02 and 0.7 in turn, 4 sizes and 3 runs of each", axis)
 		}
 	}
 	for _, p := range s.OffAxisPoints {
 		if !approxEqual(p.RelativeError, 0, 1e-9) || p.Runs != runs || len(p.NotModeled) > 0 {
-			t.Errorf("got %+v, want no relative error, %d runs and no dimension beyond the model", p, runs)
+			t.Errorf("got %+v, want no relative error, 3 runs and no dimension beyond the model", p)
 		}
 	}
 	all, err := s.PredictAll(map[string]float64{"nodes": 60000, "schedulers": 100})
 	if err != nil || !approxEqual(all.Value, plane(60000, 100), 1e-9) || !all.Extrapolated {
-		t.Errorf("got %+v, error %v, want value %v, extrapolated", all, err, plane(60000, 100))
+		t.Errorf("got %+v, error %v, want value 1275, extrapolated", all, err)
 	}
 	one, err := s.PredictAll(map[string]float64{"nodes": 6000})
 	if err != nil || !approxEqual(one.Value, plane(6000, 30), 1e-9) {
-		t.Errorf("got %+v, error %v, want value %v", one, err, plane(6000, 30))
+		t.Errorf("got %+v, error %v, want value 146", one, err)
 	}
 	var unknown *UnknownDimensionError
 	if _, err := s.PredictAll(map[string]float64{"teams": 80}); !errors.As(err, &unknown) {
@@ -152,7 +152,7 @@
 	}
 	read, err := ReadDir(folder)
 	if err != nil || len(read) != len(results) {
-		t.Fatalf("got %d results, error %v, want %d results", len(read), err, len(results))
+		t.Fatalf("got %d results, want %d; error %v", len(read), len(results), err)
 	}
 	all := All(read)
 	var text strings.Builder
--- a/internal/lab/scale/limits.go
+++ b/internal/lab/scale/limits.go
@@ -11,63 +11,65 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// What a run may take of the machine, by rough measurement.
+// Rough measurements of what parts of a run need, and limits on what a run may use. Memory is in bytes.
 const (
-	spareDescriptors    = 300
-	memoryPerNode       = 60 << 10 // of the hollow process, with a connection
-	memoryPerLink       = 30 << 10 // of a real process
-	memoryPerMember     = 2 << 10  // of what each scheduler holds of each other
-	memoryPerHollow     = 100 << 10
-	memoryPerProcess    = 60 << 20
-	memoryFraction      = 0.5 // of the machine's that a run may take
+	spareDescriptors    = 300       // of a process, besides those of listeners and connections
+	memoryPerNode       = 60 << 10  // in the hollow process, with a connection
+	memoryPerLink       = 30 << 10  // in a real process, for each connection to a node
+	memoryPerMember     = 2 << 10   // in each scheduler, for each other scheduler
+	memoryPerScheduler  = 100 << 10 // for each scheduler
+	memoryPerProcess    = 60 << 20  // for each operating system process
+	memoryFraction      = 0.5       // of the machine's memory that a run may use
 	maxNodesPerChild    = 5000
-	maxChildDescriptors = 12_000 // descriptors that a process of hollow nodes takes for listeners and connections
+	maxChildDescriptors = 12_000 // descriptors for listeners and connections of one process of hollow nodes
 )
 
-// needs is what a run takes of the machine.
-type needs struct {
-	Descriptors uint64 // of the process that takes most
-	Memory      uint64 // of all together
+// resourceNeeds holds the resources that a run needs.
+type resourceNeeds struct {
+	Descriptors uint64 // file descriptors of the process that needs the most
+	Memory      uint64 // bytes, of all processes together
 }
 
-// need counts what a run takes.
-func (t Trial) need() needs {
+// estimateNeeds estimates the resources that a run needs.
+func (t Trial) estimateNeeds() resourceNeeds {
 	links := t.Sizes.Nodes * t.Real
 	perNode := 1 + t.Real // a listener, and a connection from each real process
 	nodesChild := min(t.Sizes.Nodes+1, t.nodesPerChild()) * perNode
 	most := max(nodesChild, t.Sizes.Nodes, t.Sizes.Schedulers) + spareDescriptors
-	memory := t.Sizes.Nodes*memoryPerNode + links*memoryPerLink + t.Sizes.Schedulers*(memoryPerHollow+t.Sizes.Schedulers*memoryPerMember) +
+	memory := t.Sizes.Nodes*memoryPerNode + links*memoryPerLink + t.Sizes.Schedulers*(memoryPerScheduler+t.Sizes.Schedulers*memoryPerMember) +
 		(t.Real+t.nodeChildren()+2)*memoryPerProcess
-	return needs{Descriptors: uint64(most), Memory: uint64(memory)}
+	return resourceNeeds{Descriptors: uint64(most), Memory: uint64(memory)}
 }
 
-// nodesPerChild is how many nodes a hollow process holds at most: each takes a listener and a connection a real process.
+// nodesPerChild returns the maximum number of nodes in a hollow process: each node needs descriptors for a listener and for a
+// connection from each real process.
 func (t Trial) nodesPerChild() int { return min(maxNodesPerChild, maxChildDescriptors/(1+t.Real)) }
 
 func (t Trial) nodeChildren() int { return (t.Sizes.Nodes + t.nodesPerChild()) / t.nodesPerChild() }
 
-// refuse tells why a run does not fit on a machine with a bound of descriptors a process and so much memory; nil if it does.
-func (n needs) refuse(descriptors, memory uint64) error {
+// checkLimits returns an error if a run does not fit on a machine with a limit of descriptors per process and an amount of memory in
+// bytes.
+func (n resourceNeeds) checkLimits(descriptors, memory uint64) error {
 	if n.Descriptors > descriptors {
 		return fmt.Errorf("scale run: a process needs %d descriptors, the limit (ulimit -n) is %d", n.Descriptors, descriptors)
 	}
 	if most := uint64(memoryFraction * float64(memory)); n.Memory > most {
-		return fmt.Errorf("scale run: %d MiB of memory are needed, a run may take %d", n.Memory>>20, most>>20)
+		return fmt.Errorf("scale run: %d MiB of memory needed, a run may use %d MiB", n.Memory>>20, most>>20)
 	}
 	return nil
 }
 
-// checkMachine refuses a run that does not fit on this machine.
+// checkMachine returns an error if a run does not fit on this machine.
 func (t Trial) checkMachine() error {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return fmt.Errorf("limit of descriptors: %w", err)
+		return fmt.Errorf("read the limit of file descriptors: %w", err)
 	}
-	return t.need().refuse(limit.Cur, memoryOfMachine())
+	return t.estimateNeeds().checkLimits(limit.Cur, machineMemory())
 }
 
-// memoryOfMachine is in bytes, 0 if it can't be told.
-func memoryOfMachine() uint64 {
+// machineMemory returns the machine's memory in bytes, or 0 if it is unknown.
+func machineMemory() uint64 {
 	var info unix.Sysinfo_t
 	if unix.Sysinfo(&info) != nil {
 		return 0
@@ -75,9 +77,9 @@
 	return uint64(info.Totalram) * uint64(info.Unit)
 }
 
-// machine is what a result says of this one.
-func machine() result.Machine {
-	m := result.Machine{CPUs: runtime.NumCPU(), MemoryBytes: memoryOfMachine(), GoVersion: runtime.Version()}
+// describeMachine returns the description of this machine for results.
+func describeMachine() result.Machine {
+	m := result.Machine{CPUs: runtime.NumCPU(), MemoryBytes: machineMemory(), GoVersion: runtime.Version()}
 	var name unix.Utsname
 	if unix.Uname(&name) == nil {
 		m.Kernel = string(bytes.TrimRight(name.Release[:], "\x00"))
--- a/internal/lab/scale/phases.go
+++ b/internal/lab/scale/phases.go
@@ -9,21 +9,21 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// Scenarios.
+// Names of scenarios.
 const (
-	Rest        = "rest"        // nothing is asked
-	Starts      = "starts"      // starts are asked at a rate
-	Churn       = "churn"       // and nodes restart and fail by a script
-	Rack        = "rack"        // a rack of nodes is lost and comes back
-	Zone        = "zone"        // a zone is lost and comes back
+	Rest        = "rest"        // no requests
+	Starts      = "starts"      // clients request starts at a rate
+	Churn       = "churn"       // as Starts, while nodes restart and fail by a script
+	Rack        = "rack"        // as Starts, while a rack of nodes is lost and comes back
+	Zone        = "zone"        // as Starts, while a zone is lost and comes back
 	Restart     = "restart"     // all schedulers are restarted at once
-	Propagation = "propagation" // the list, the members and a verdict change
+	Propagation = "propagation" // the node list, the members and the verdict on a zone change
 )
 
-// StartsPerSecond is what a real process is asked for under load: its share of 30 of 2,200.
+// StartsPerSecond is the rate of starts requested of a real process under load: its share of 2,200 per second over 30 schedulers.
 const StartsPerSecond = 73
 
-// Times of phases.
+// Durations in phases.
 const (
 	changeTimeout   = 20 * time.Second
 	verdictTimeout  = 30 * time.Second
@@ -31,32 +31,33 @@
 	resettleTimeout = 60 * time.Second
 )
 
-// Phases gives the phases of a scenario by name.
+// Phases returns the phases of scenarios by their names.
 func Phases(names []string) (phases []Phase, err error) {
 	all := map[string]Phase{
 		Rest:        {Scenario: Rest},
 		Starts:      {Scenario: Starts, Starts: StartsPerSecond},
-		Churn:       {Scenario: Churn, Starts: StartsPerSecond, During: churn},
-		Rack:        {Scenario: Rack, Starts: StartsPerSecond, During: rackLost},
-		Zone:        {Scenario: Zone, Starts: StartsPerSecond, During: zoneLost},
-		Restart:     {Scenario: Restart, During: restartAll},
-		Propagation: {Scenario: Propagation, During: propagation},
+		Churn:       {Scenario: Churn, Starts: StartsPerSecond, During: injectChurn},
+		Rack:        {Scenario: Rack, Starts: StartsPerSecond, During: loseRack},
+		Zone:        {Scenario: Zone, Starts: StartsPerSecond, During: loseNodesOfZone},
+		Restart:     {Scenario: Restart, During: restartSchedulers},
+		Propagation: {Scenario: Propagation, During: measurePropagation},
 	}
 	for _, name := range names {
 		phase, ok := all[name]
 		if !ok {
-			return nil, fmt.Errorf("scenario %q: one of %v is expected", name, sorted(all))
+			return nil, fmt.Errorf("unknown scenario %q, expected one of %v", name, sortedKeys(all))
 		}
 		phases = append(phases, phase)
 	}
 	return phases, nil
 }
 
-func since(name string, from, to float64) result.Reading {
+func elapsed(name string, from, to float64) result.Reading {
 	return result.Reading{Part: PartPropagation, Name: name, Unit: result.Milliseconds, Value: to - from}
 }
 
-// orderNodes gives an order to the nodes at places among all, or of a zone, and tells when the last process had done it.
+// orderNodes sends an order to the nodes in a range of places, or to those of a zone, and returns when the last hollow process had
+// carried it out, in unix ms.
 func (r *Rig) orderNodes(order hollow.Order) (at float64, err error) {
 	for i, c := range r.nodes {
 		local := order
@@ -76,15 +77,15 @@
 	return at, nil
 }
 
-// updateList has the list tell the nodes at places as gone, or as ready again.
+// updateList sets the availability of a range of nodes in the node list.
 func (r *Rig) updateList(first, last, availability int) {
 	r.list.Change(first, last, func(e *hollow.Entry) { e.Availability = availability })
 }
 
-// propagation changes the list, the members and the verdict on a zone, and reads how long each takes to the last process. That
-// the configuration changes while a process runs is not there: a process reads it at its start, but for the count of
+// measurePropagation changes the node list, the members and the verdict on a zone, and measures how long each change takes to reach the
+// last process. It does not change the configuration, because a process reads that only at its start, except for the number of
 // shards.
-func propagation(ctx context.Context, r *Rig) ([]result.Reading, error) {
+func measurePropagation(ctx context.Context, r *Rig) ([]result.Reading, error) {
 	var readings []result.Reading
 	for _, step := range []func(*Rig) ([]result.Reading, error){listChange, memberFailure, zoneVerdict} {
 		some, err := step(r)
@@ -96,19 +97,19 @@
 	return readings, ctx.Err()
 }
 
-// listChange has the list tell a node more, and waits until each real process is connected to it.
+// listChange makes one more node of the node list ready and waits until each real process is connected to it.
 func listChange(r *Rig) ([]result.Reading, error) {
 	last := r.entries - 1
-	told := float64(time.Now().UnixMicro()) / 1e3
+	changedAt := float64(time.Now().UnixMicro()) / 1e3
 	r.updateList(last, last+1, hollow.Ready)
 	at, err := r.orderNodes(hollow.Order{Do: hollow.AwaitConnections, First: last, Last: last + 1, Count: r.Real, Within: ms(changeTimeout)})
 	if err != nil {
 		return nil, err
 	}
-	return []result.Reading{since("list", told, at)}, nil
+	return []result.Reading{elapsed("list", changedAt, at)}, nil
 }
 
-// memberFailure takes a hollow scheduler away, and waits until all hold it for dead.
+// memberFailure stops a hollow scheduler and waits until all others consider it dead.
 func memberFailure(r *Rig) ([]result.Reading, error) {
 	gone := hollow.SchedulerName(r.Sizes.Schedulers - r.Real - 1)
 	stopped, err := r.schedulers.order(hollow.Order{Do: hollow.StopMember})
@@ -127,17 +128,17 @@
 		}
 		last = max(last, at)
 	}
-	return []result.Reading{since("members", stopped.At, last)}, nil
+	return []result.Reading{elapsed("members", stopped.At, last)}, nil
 }
 
-// zoneVerdict has a zone hang and come back, and waits for both verdicts.
+// zoneVerdict makes a zone hang and come back, and waits for both verdicts.
 func zoneVerdict(r *Rig) ([]result.Reading, error) {
 	return r.loseZone(hollow.HangNodes, hollow.ResumeNodes)
 }
 
-// loseZone loses a zone that no real process stands in, waits until all hold it for closed, brings it back and waits until
-// they hold it for open.
-func (r *Rig) loseZone(lose, find hollow.Action) ([]result.Reading, error) {
+// loseZone takes away the zone with the highest number, waits until all schedulers consider it closed, brings it back and waits
+// until they consider it open.
+func (r *Rig) loseZone(lose, restore hollow.Action) ([]result.Reading, error) {
 	zone := hollow.ZoneName(r.Sizes.Zones - 1)
 	lost, err := r.setZone(zone, hollow.LoseZone, lose)
 	if err != nil {
@@ -148,7 +149,7 @@
 		return nil, err
 	}
 	time.Sleep(outage)
-	found, err := r.setZone(zone, hollow.FindZone, find)
+	found, err := r.setZone(zone, hollow.FindZone, restore)
 	if err != nil {
 		return nil, err
 	}
@@ -160,18 +161,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return []result.Reading{since("zone closed", lost, closed), since("zone connected", found, connected), since("zone open", found, open)}, nil
+	return []result.Reading{elapsed("zone closed", lost, closed), elapsed("zone connected", found, connected), elapsed("zone open", found, open)}, nil
 }
 
-// setZone has nodes and hollow schedulers lose or find a zone, and tells when.
-func (r *Rig) setZone(zone string, hears, nodes hollow.Action) (at float64, err error) {
-	if _, err := r.schedulers.order(hollow.Order{Do: hears, Name: zone}); err != nil {
+// setZone makes the hollow schedulers and the nodes lose or regain a zone, and returns when that was done, in unix ms.
+func (r *Rig) setZone(zone string, schedulersAction, nodesAction hollow.Action) (at float64, err error) {
+	if _, err := r.schedulers.order(hollow.Order{Do: schedulersAction, Name: zone}); err != nil {
 		return 0, err
 	}
-	return r.orderNodes(hollow.Order{Do: nodes, Name: zone})
+	return r.orderNodes(hollow.Order{Do: nodesAction, Name: zone})
 }
 
-// awaitVerdict waits until all schedulers hold a zone in a state, and the real ones send to such a part of it.
+// awaitVerdict waits until all hollow schedulers consider a zone to be in a state, and until the share of requests that each real
+// one sends to it, according to its log, satisfies a condition. It returns when the last did, in unix ms.
 func (r *Rig) awaitVerdict(zone, state string, from float64, part func(float64) bool) (last float64, err error) {
 	reply, err := r.schedulers.order(hollow.Order{Do: hollow.AwaitZone, Name: zone, State: state, Within: ms(verdictTimeout)})
 	if err != nil {
@@ -191,8 +193,8 @@
 	return last, nil
 }
 
-// rackLost takes a rack of nodes away at once and brings it back cold.
-func rackLost(ctx context.Context, r *Rig) ([]result.Reading, error) {
+// loseRack stops a rack of nodes at once and brings it back cold.
+func loseRack(ctx context.Context, r *Rig) ([]result.Reading, error) {
 	rack := hollow.RackSize(r.Sizes.Nodes, r.Sizes.Zones)
 	if _, err := r.orderNodes(hollow.Order{Do: hollow.StopNodes, Last: rack}); err != nil {
 		return nil, err
@@ -210,20 +212,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return []result.Reading{since("rack connected again", back, at)}, nil
+	return []result.Reading{elapsed("rack connected again", back, at)}, nil
 }
 
-// zoneLost takes all nodes of a zone away and brings them back cold.
-func zoneLost(_ context.Context, r *Rig) ([]result.Reading, error) {
+// loseNodesOfZone stops all nodes of a zone and brings them back cold.
+func loseNodesOfZone(_ context.Context, r *Rig) ([]result.Reading, error) {
 	return r.loseZone(hollow.StopNodes, hollow.ReturnNodes)
 }
 
-// restartAll kills all schedulers, hollow ones too, starts them again and reads how long it takes until each real process
-// knows all its tasks, is connected to all nodes and knows all schedulers.
-func restartAll(ctx context.Context, r *Rig) ([]result.Reading, error) {
+// restartSchedulers kills all schedulers, including the hollow ones, starts them again and measures how long it takes until each real
+// process knows all its tasks, is connected to all nodes and knows all schedulers.
+func restartSchedulers(ctx context.Context, r *Rig) ([]result.Reading, error) {
 	var tasks []float64
 	for _, page := range r.scrapeAll(ctx) {
-		tasks = append(tasks, min(float64(r.Sizes.RunningTasks), page.of("tries_held"))) // short tasks end meanwhile
+		tasks = append(tasks, min(float64(r.Sizes.RunningTasks), page.value("tries_held"))) // tasks of short jobs end meanwhile, so only long-running tasks are expected
 	}
 	for _, p := range r.real {
 		p.kill()
@@ -239,43 +241,43 @@
 	}
 	goals := []struct {
 		name string
-		is   func(place int, page scrape) bool
+		met  func(index int, page scrape) bool
 	}{
-		{"all tasks known", func(place int, page scrape) bool { return page.of("tries_held") >= tasks[place] }},
+		{"all tasks known", func(index int, page scrape) bool { return page.value("tries_held") >= tasks[index] }},
 		{"all nodes connected", func(_ int, page scrape) bool {
-			return page.of("connections", "kind", heldKind) >= r.connected()
+			return page.value("connections", "kind", nodeConnectionKind) >= r.connected()
 		}},
 		{"all schedulers known", func(_ int, page scrape) bool {
-			return page.of("members", "state", "alive") >= float64(r.Sizes.Schedulers-1)
+			return page.value("members", "state", "alive") >= float64(r.Sizes.Schedulers-1)
 		}},
 	}
 	var readings []result.Reading
 	for _, goal := range goals {
-		at, err := r.awaitCounts(ctx, goal.is)
+		at, err := r.awaitMetrics(ctx, goal.met)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", goal.name, err)
 		}
-		readings = append(readings, since(goal.name, reply.At, at))
+		readings = append(readings, elapsed(goal.name, reply.At, at))
 	}
-	r.clients = nil // their connections ended with the processes
+	r.clients = nil // the connections ended with the processes
 	return readings, r.connectClients(ctx)
 }
 
-// awaitCounts waits until the counts of all real processes fit, and tells when the last did.
-func (r *Rig) awaitCounts(ctx context.Context, fits func(place int, page scrape) bool) (at float64, err error) {
+// awaitMetrics waits until the metrics of all real processes satisfy a condition, and returns when the last did, in unix ms.
+func (r *Rig) awaitMetrics(ctx context.Context, fits func(index int, page scrape) bool) (at float64, err error) {
 	end := time.Now().Add(resettleTimeout)
 	for _, p := range r.real {
 		for {
-			page, err := fetch(ctx, p.metricsAddress)
+			page, err := fetchMetrics(ctx, p.metricsAddress)
 			if err != nil {
 				return 0, err
 			}
-			if fits(p.place, page) {
+			if fits(p.index, page) {
 				break
 			}
 			if time.Now().After(end) {
-				return 0, fmt.Errorf("%s: %.0f tasks, %.0f nodes, %.0f schedulers: %w", p.name, page.of("tries_held"), page.of("connections", "kind", heldKind),
-					page.of("members", "state", "alive"), errNotWithin)
+				return 0, fmt.Errorf("%s: %.0f tasks held, %.0f nodes connected, %.0f other schedulers alive: %w", p.name, page.value("tries_held"), page.value("connections", "kind", nodeConnectionKind),
+					page.value("members", "state", "alive"), errTimeout)
 			}
 			time.Sleep(scrapeInterval)
 		}
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -6,19 +6,19 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// Sizes that stay as they are while another is varied.
+// Base sizes, which are held constant while another size is varied.
 const (
-	baseNodes      = 500
-	baseSchedulers = 30
-	baseTasks      = 67 // of a real process: its share of 30 of 2,000
-	teams          = 72
-	zones          = 14
-	regions        = 6
-	configChanges  = 0 // a day: a process reads its configuration at the start
-	taskShare      = 30
+	baseNodes         = 500
+	baseSchedulers    = 30
+	baseTasks         = 67 // of a real process: its share of 2,000 tasks over 30 schedulers
+	teams             = 72
+	zones             = 14
+	regions           = 6
+	configChanges     = 0  // per day; a process reads its configuration only at its start
+	sharingSchedulers = 30 // schedulers that share the running tasks of totalTasks
 )
 
-// Dimensions.
+// Names of dimensions; OffAxis stands for runs that vary several sizes at once.
 const (
 	Nodes      = "nodes"
 	Schedulers = "schedulers"
@@ -26,7 +26,7 @@
 	OffAxis    = "off-axis"
 )
 
-// Base is the point at which the dimensions meet.
+// Base returns the base sizes, at which the dimensions meet.
 func Base() result.Sizes {
 	return result.Sizes{
 		Nodes: baseNodes, Schedulers: baseSchedulers, RunningTasks: baseTasks, Teams: teams, Zones: zones, Regions: regions,
@@ -34,11 +34,11 @@
 	}
 }
 
-// totalTasks are the running tasks over all 30 schedulers.
+// totalTasks lists the numbers of running tasks over all 30 schedulers.
 var totalTasks = []int{2_000, 10_000, 50_000, 190_000}
 
-// Points gives the sizes of a dimension, one at a time from the base; off the axes the two that the fitted model has to
-// foretell.
+// Points returns the points of a dimension, which vary one of the base sizes; for OffAxis it returns the two points at which the
+// fitted model's predictions are checked.
 func Points(dimension string) (points []result.Sizes, err error) {
 	add := func(alter func(*result.Sizes)) {
 		point := Base()
@@ -56,13 +56,13 @@
 		}
 	case Tasks:
 		for _, n := range totalTasks {
-			add(func(s *result.Sizes) { s.RunningTasks = n / taskShare })
+			add(func(s *result.Sizes) { s.RunningTasks = n / sharingSchedulers })
 		}
 	case OffAxis:
 		add(func(s *result.Sizes) { s.Nodes, s.Schedulers = 4_000, 200 })
 		add(func(s *result.Sizes) { s.Nodes, s.Schedulers = 10_000, 60 })
 	default:
-		return nil, fmt.Errorf("dimension %q: one of %s, %s, %s, %s is expected", dimension, Nodes, Schedulers, Tasks, OffAxis)
+		return nil, fmt.Errorf("unknown dimension %q, expected one of %s, %s, %s, %s", dimension, Nodes, Schedulers, Tasks, OffAxis)
 	}
 	return points, nil
 }
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -20,24 +20,24 @@
 // process is a real scheduler process.
 type process struct {
 	name           string
-	place          int // among all schedulers
+	index          int // index among all schedulers
 	rig            *Rig
 	log            *os.File
 	cmd            *exec.Cmd
-	clientAddress  string // address of the owners' door
-	metricsAddress string // address of the page of counts
-	logOffset      int64  // where the log of the present incarnation begins
-	profile        string
-	profiling      bool // profiles of a window of this incarnation have begun
+	clientAddress  string // address of the client listener
+	metricsAddress string // address of the metrics page
+	logOffset      int64  // where the log of the current incarnation begins
+	profile        string // path of the CPU profile
+	profiling      bool   // this incarnation is recording profiles of a measurement
 	incarnation    int
 }
 
-// realName is the name of a real scheduler by its number.
-func realName(number int) string { return fmt.Sprintf("s%d", number) }
+// realSchedulerName returns the name of a real scheduler by its number.
+func realSchedulerName(number int) string { return fmt.Sprintf("s%d", number) }
 
-// newProcess is one that has never run: what an earlier trial in the folder left of it is dropped.
-func newProcess(r *Rig, place int) (*process, error) {
-	p := &process{name: realName(place), place: place, rig: r}
+// newProcess returns a process that has not been started. It removes state that an earlier trial left in the folder.
+func newProcess(r *Rig, index int) (*process, error) {
+	p := &process{name: realSchedulerName(index), index: index, rig: r}
 	if err := os.RemoveAll(p.state()); err != nil {
 		return nil, err
 	}
@@ -47,10 +47,10 @@
 	return p, err
 }
 
-// state is the folder for what outlives an incarnation of the process.
+// state returns the folder of the state that outlives an incarnation of the process.
 func (p *process) state() string { return filepath.Join(p.rig.Dir, p.name) }
 
-// start starts the process, for the first time or again, and waits until owners may connect.
+// start starts or restarts the process and waits until clients can connect.
 func (p *process) start(ctx context.Context) error {
 	r := p.rig
 	site := filepath.Join(r.Dir, p.name+".xml")
@@ -66,9 +66,9 @@
 	}
 	p.logOffset = end
 	file := filepath.Join(r.Dir, p.name+".address")
-	zone := hollow.ZoneName(p.place % r.Sizes.Zones)
-	command := append(slices.Clone(r.Command), "serve", "--site", site, "--state", p.state(), "--name", p.name, "--index", fmt.Sprint(p.place), "--zone", zone,
-		"--seed", fmt.Sprint(r.Seed*1000+uint64(p.place)+1), "--address-file", file)
+	zone := hollow.ZoneName(p.index % r.Sizes.Zones)
+	command := append(slices.Clone(r.Command), "serve", "--site", site, "--state", p.state(), "--name", p.name, "--index", fmt.Sprint(p.index), "--zone", zone,
+		"--seed", fmt.Sprint(r.Seed*1000+uint64(p.index)+1), "--address-file", file)
 	if r.Profile {
 		command = append(command, "--profile-window", p.profile)
 	}
@@ -77,17 +77,17 @@
 	}
 	p.profiling = false
 	p.incarnation++
-	return p.findCounts()
+	return p.findMetricsAddress()
 }
 
-// logLine is what the rig reads of a line in a log.
+// logLine holds the fields of a log line that the rig reads.
 type logLine struct {
 	Mode, Address, Member, Is string
 	Parts                     map[string]float64
 	At                        float64 `json:"unix_ms"`
 }
 
-// eachLine calls for each line of the log in the present incarnation until it is told to stop.
+// eachLine calls line for each line in the log of the current incarnation until line returns false.
 func (p *process) eachLine(line func(logLine) (more bool)) error {
 	f, err := os.Open(p.log.Name())
 	if err != nil {
@@ -98,7 +98,7 @@
 		return err
 	}
 	lines := bufio.NewScanner(f)
-	lines.Buffer(nil, longestAnswer)
+	lines.Buffer(nil, maxReplyBytes)
 	for lines.Scan() {
 		var l logLine
 		if json.Unmarshal(lines.Bytes(), &l) == nil && !line(l) {
@@ -108,10 +108,10 @@
 	return lines.Err()
 }
 
-var errNoCounts = errors.New("no page of counts in the log")
+var errNoMetricsAddress = errors.New("no address of the metrics page in the log")
 
-// findCounts reads the address of the page of counts from the log.
-func (p *process) findCounts() error {
+// findMetricsAddress reads the address of the metrics page from the log.
+func (p *process) findMetricsAddress() error {
 	p.metricsAddress = ""
 	err := p.eachLine(func(l logLine) bool {
 		if l.Mode == "counts" && l.Address != "" {
@@ -120,12 +120,13 @@
 		return p.metricsAddress == ""
 	})
 	if err == nil && p.metricsAddress == "" {
-		err = fmt.Errorf("%s: %w", p.name, errNoCounts)
+		err = fmt.Errorf("%s: %w", p.name, errNoMetricsAddress)
 	}
 	return err
 }
 
-// awaitLog waits until a line of the log fits, and gives when that was, in unix ms.
+// awaitLog waits for a log line, written at or after a time, that satisfies a condition, and returns the line's time. Times are in
+// unix ms.
 func (p *process) awaitLog(within time.Duration, since float64, fits func(logLine) bool) (at float64, err error) {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(pollInterval) {
 		err := p.eachLine(func(l logLine) bool {
@@ -138,16 +139,16 @@
 			return at, err
 		}
 	}
-	return 0, fmt.Errorf("%s: %w", p.name, errNotWithin)
+	return 0, fmt.Errorf("%s: %w", p.name, errTimeout)
 }
 
-// window begins or ends the profiles of a window, if there are any: not of a process that was started meanwhile. After the
-// end it waits for them.
-func (p *process) window(begins bool) error {
-	if !p.rig.Profile || !begins && !p.profiling {
+// toggleProfile starts or stops the profiles of a measurement if profiles are enabled. After stopping them it waits until they are
+// written. It does not stop those of a process that was restarted meanwhile, because the new incarnation records none.
+func (p *process) toggleProfile(start bool) error {
+	if !p.rig.Profile || !start && !p.profiling {
 		return nil
 	}
-	if p.profiling = begins; begins {
+	if p.profiling = start; start {
 		_ = os.Remove(p.profile + heapSuffix)
 		return p.cmd.Process.Signal(syscall.SIGUSR1)
 	}
@@ -159,10 +160,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: profile %w", p.name, errNotWithin)
+	return fmt.Errorf("%s: write the profiles: %w", p.name, errTimeout)
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for it.
 func (p *process) kill() {
 	if p.cmd == nil {
 		return
@@ -172,14 +173,14 @@
 	p.cmd = nil
 }
 
-// end has the process end by itself, and kills one that stays.
-func (p *process) end() error {
+// stop asks the process to terminate and waits for it. It kills the process if that takes longer than stopTimeout.
+func (p *process) stop() error {
 	defer p.log.Close()
 	if p.cmd == nil {
 		return nil
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	limit := time.AfterFunc(endWithin, func() { _ = p.cmd.Process.Kill() })
+	limit := time.AfterFunc(stopTimeout, func() { _ = p.cmd.Process.Kill() })
 	defer limit.Stop()
 	return p.cmd.Wait()
 }
--- a/internal/lab/scale/profile.go
+++ b/internal/lab/scale/profile.go
@@ -10,7 +10,7 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// Parts of the program in profiles.
+// Names of the parts of the program in readings of profiles, and the prefix of this module's packages.
 const (
 	partMembers  = "members"
 	partControl  = "control"
@@ -21,18 +21,18 @@
 	partEngine   = "engine"
 	partLogic    = "logic"
 	partRouter   = "shard router"
-	partCounts   = "counts"
+	partMetrics  = "counts"
 	partSockets  = "sockets"
 	partRuntime  = "runtime"
-	partElse     = "else"
+	partOther    = "else" // code of this module that no rule matches
 	moduleMarker = "ravenpond/"
 )
 
-// rule gives the frames of a function whose name or file has a text to a part.
+// rule assigns stack frames to a part if the name or the file of their function contains a text.
 type rule struct{ text, part string }
 
-// rules are tried in their order on each frame, from the innermost out; the first that fits a frame has the sample. What is
-// below them (sockets, the runtime) belongs to who called it.
+// rules are tried in their order on each frame of a sample, from the innermost frame outwards; the first match determines the part
+// of the sample. Frames that no rule matches, such as those of sockets and the runtime, thus count for their caller's part.
 var rules = []rule{
 	{"ravenpond/internal/decide/membership", partMembers},
 	{"ravenpond/internal/proto/members", partMembers},
@@ -65,14 +65,14 @@
 	{"ravenpond/internal/decide/shardplacement", partRouter},
 	{"internal/serve/client", partClients},
 	{"ravenpond/internal/proto/client", partClients},
-	{"internal/serve/metrics", partCounts},
-	{"prometheus", partCounts},
+	{"internal/serve/metrics", partMetrics},
+	{"prometheus", partMetrics},
 }
 
-// fallbackRules are the parts of samples that no rule has.
-var fallbackRules = []rule{{"ravenpond/internal/env", partSockets}, {moduleMarker, partElse}}
+// fallbackRules assign the samples that no rule matches.
+var fallbackRules = []rule{{"ravenpond/internal/env", partSockets}, {moduleMarker, partOther}}
 
-// componentOf is the part of the program that a sample belongs to.
+// componentOf returns the part of the program that a sample belongs to.
 func componentOf(s *profile.Sample) string {
 	if part := match(s, rules); part != "" {
 		return part
@@ -99,8 +99,8 @@
 	return ""
 }
 
-// byComponent sums up a value of a profile's samples by part of the program.
-func byComponent(path, value string) (map[string]float64, error) {
+// sumByComponent sums a value of a profile's samples by part of the program.
+func sumByComponent(path, value string) (map[string]float64, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 		}
 	}
 	if at < 0 {
-		return nil, fmt.Errorf("%s: no %s in it", path, value)
+		return nil, fmt.Errorf("%s: profile has no sample type %s", path, value)
 	}
 	sum := map[string]float64{}
 	for _, s := range p.Sample {
@@ -126,25 +126,25 @@
 	return sum, nil
 }
 
-// profiled are the readings of a window's profiles: CPU by part, and the heap in use by who allocated it.
-func profiled(path string, seconds float64) ([]result.Reading, error) {
-	cpu, err := byComponent(path, "cpu")
+// profileReadings returns the readings of a measurement's profiles: CPU by part, and the heap in use by the part that allocated it.
+func profileReadings(path string, seconds float64) ([]result.Reading, error) {
+	cpu, err := sumByComponent(path, "cpu")
 	if err != nil {
 		return nil, err
 	}
-	heap, err := byComponent(path+heapSuffix, "inuse_space")
+	heap, err := sumByComponent(path+heapSuffix, "inuse_space")
 	if err != nil {
 		return nil, err
 	}
 	var readings []result.Reading
-	for _, part := range sorted(cpu) {
+	for _, part := range sortedKeys(cpu) {
 		readings = append(readings, result.Reading{Part: part, Name: "cpu", Unit: result.Cores, Value: cpu[part] / 1e9 / seconds})
 	}
-	for _, part := range sorted(heap) {
+	for _, part := range sortedKeys(heap) {
 		readings = append(readings, result.Reading{Part: part, Name: "heap", Unit: result.Bytes, Value: heap[part]})
 	}
 	return readings, nil
 }
 
-// heapSuffix is what serve adds to the path of a CPU profile for the heap's.
+// heapSuffix is appended by `serve` to the path of the CPU profile to form that of the heap profile.
 const heapSuffix = ".heap"
--- a/internal/lab/scale/profile_test.go
+++ b/internal/lab/scale/profile_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestRulesNameSources checks that each rule on this module's code fits a package or a file that exists: one that does not would give its
-// samples to another part without notice.
+// TestRulesNameSources checks that each rule on this module's code matches a package or a file that exists: samples of a renamed
+// package would otherwise silently count for another part.
 func TestRulesNameSources(t *testing.T) {
 	var sources []string // as function names and as file names in a profile
 	err := filepath.WalkDir("../../..", func(path string, entry fs.DirEntry, err error) error {
@@ -28,7 +28,7 @@
 			continue
 		}
 		if !slices.ContainsFunc(sources, func(source string) bool { return strings.Contains(source, rule.text) }) {
-			t.Errorf("%q fits no source of this module", rule.text)
+			t.Errorf("rule %q matches no source of this module", rule.text)
 		}
 	}
 }
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -1,8 +1,8 @@
-// Package scale measures real scheduler processes beside hollow nodes and hollow schedulers on loopback: what a process
-// costs at rest and under starts as the cluster grows, in CPU, memory, messages and connections, and how long news take to
-// the last process. Real processes are the program's `serve`; hollow nodes and schedulers (package hollow) are processes of
-// the same program. This process holds the node list and the clients. A real process and its hollow neighbours share the
-// machine, so that times are only comparable on a machine that does nothing else; counts are comparable anywhere.
+// Package scale measures real scheduler processes in a cluster of hollow nodes and hollow schedulers on the loopback interface: how
+// much CPU, memory, messages and connections a process needs, at rest and under load, as the cluster grows, and how long changes
+// take to reach the last process. Real processes run the program's `serve`; hollow nodes and schedulers (package hollow) are
+// processes of the same program. The measuring process itself serves the node list and runs the clients. All processes share the
+// machine, so times are only comparable on a machine that is otherwise idle; counts are comparable on any machine.
 package scale
 
 import (
@@ -19,80 +19,81 @@
 	"ravenpond/internal/lab/scale/result"
 )
 
-// Trial is one run of a rig, of one or several phases.
+// Trial is the configuration of one run, which has one or several phases.
 type Trial struct {
-	Command    []string // that runs the program
+	Command    []string // command line that runs the program
 	Sizes      result.Sizes
-	Dimension  string // the size that is varied
-	Run        int    // repetition
+	Dimension  string // name of the size that is varied
+	Run        int    // number of the repetition
 	Seed       uint64
-	Real       int // real processes
-	WarmUp     time.Duration
+	Real       int           // number of real processes
+	WarmUp     time.Duration // before each measurement
 	MeasureFor time.Duration // of each measurement
-	Commit     string
-	Profile    bool // CPU and heap by part of the program
+	Commit     string        // of the program, for the results
+	Profile    bool          // whether to measure CPU and heap by part of the program
 	Plant      Faults
 
-	// Variant names what is set apart from the plan by Elements, more elements of the site file; it is added to the scenario.
+	// Variant names a variation of the plan, which Elements makes with additional elements of the site file. It is appended to the
+	// scenario's name.
 	Variant  string
 	Elements string
-	// Connected is how many nodes a real process has to be connected to before it is measured; 0: all.
+	// Connected is how many nodes a real process has to be connected to before it is measured; 0 means all.
 	Connected int
-	Dir       string // for logs and state
+	Dir       string // folder of logs and state
 }
 
-// Faults puts faults into a run, for tests whose check must find them; the zero value puts none.
+// Faults selects faults to inject into a run, for tests of the checks; the zero value selects none.
 type Faults struct {
-	OwnConnections bool // a real process connects to each node once more than it has to
+	OwnConnections bool // each of two shards of a real process has its own connection to each node
 }
 
 const (
-	nodeCores      = 64
-	shortLifeMs    = 2000
-	pollInterval   = 10 * time.Millisecond
-	profileTimeout = 20 * time.Second
-	settleTimeout  = 90 * time.Second
-	fillRounds     = 10
-	fillPause      = time.Second
-	fillPerSecond  = 500 // tasks a second of each real process
-	memberKey      = "the scale rig's member key\n"
-	heldKind       = "dialed"
-	scrapeInterval = 100 * time.Millisecond
-	noScheduleSeed = 0x5ca1e
+	nodeCores          = 64
+	shortRuntimeMs     = 2000 // duration of a task of a short job
+	pollInterval       = 10 * time.Millisecond
+	profileTimeout     = 20 * time.Second
+	settleTimeout      = 90 * time.Second
+	fillRounds         = 10 // maximum number of times that missing tasks are requested
+	fillPause          = time.Second
+	fillPerSecond      = 500 // tasks requested per second of each real process
+	memberKey          = "the scale rig's member key\n"
+	nodeConnectionKind = "dialed" // kind of the connections to nodes in metrics
+	scrapeInterval     = 100 * time.Millisecond
+	arrivalSeed        = 0x5ca1e
 )
 
-var errNotWithin = errors.New("not within the time that was given")
+var errTimeout = errors.New("timed out")
 
-// Rig is all processes of a run.
+// Rig holds all processes of a run.
 type Rig struct {
 	Trial
 	env        *env.Real
 	list       *hollow.List
-	entries    int // on the list
+	entries    int // number of nodes on the list
 	seeds      []string
 	nodes      []*child
 	schedulers *child
 	real       []*process
 	clients    []*loadClient
 	tally      *tally
-	requested  int // tasks so far, over all phases
+	requested  int // number of tasks so far, over all phases
 	random     *rand.Rand
 	logs       []*os.File
 }
 
-// Begin starts all and waits until each real process is connected to all nodes, knows all schedulers and holds its tasks.
-// A run that does not fit on the machine is refused.
-func Begin(ctx context.Context, t Trial) (r *Rig, err error) {
+// Start starts all processes and waits until each real process is connected to its nodes, knows all schedulers and runs its tasks.
+// It returns an error if the run does not fit on the machine.
+func Start(ctx context.Context, t Trial) (r *Rig, err error) {
 	if t.Sizes.Schedulers < t.Real+hollow.Seeds {
-		return nil, fmt.Errorf("%d schedulers: at least %d beside the real are expected", t.Sizes.Schedulers, hollow.Seeds)
+		return nil, fmt.Errorf("%d schedulers: at least %d besides the real ones are needed", t.Sizes.Schedulers, hollow.Seeds)
 	}
 	if err := t.checkMachine(); err != nil {
 		return nil, err
 	}
-	r = &Rig{Trial: t, env: env.NewReal(), tally: newTally(), random: rand.New(rand.NewPCG(t.Seed, noScheduleSeed))}
+	r = &Rig{Trial: t, env: env.NewReal(), tally: newTally(), random: rand.New(rand.NewPCG(t.Seed, arrivalSeed))}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, r.End())
+			err = errors.Join(err, r.Stop())
 			r = nil
 		}
 	}()
@@ -109,7 +110,8 @@
 
 func (r *Rig) keyFile() string { return filepath.Join(r.Dir, "key") }
 
-// startNodes starts the hollow nodes, one more than the list tells: the last is told later.
+// startNodes starts the hollow nodes and the node list. There is one node more than the plan has: the list shows it as gone at first,
+// and listChange makes it ready.
 func (r *Rig) startNodes(context.Context) error {
 	total := r.Sizes.Nodes + 1
 	for first := 0; first < total; first += r.nodesPerChild() {
@@ -119,7 +121,7 @@
 		}
 		plan := hollow.NodesPlan{
 			First: first, Count: min(r.nodesPerChild(), total-first), Nodes: r.Sizes.Nodes, Zones: r.Sizes.Zones, Teams: r.Sizes.Teams,
-			Seed: r.Seed + uint64(first), Cores: nodeCores, ShortRuntime: shortLifeMs,
+			Seed: r.Seed + uint64(first), Cores: nodeCores, ShortRuntime: shortRuntimeMs,
 		}
 		c, err := startChild(r.Command, NodesCommand, plan, log)
 		if err != nil {
@@ -134,15 +136,15 @@
 			return err
 		}
 		for _, address := range reply.Addresses {
-			place := len(entries)
+			index := len(entries)
 			entries = append(entries, hollow.Entry{
-				ID: hollow.NodeID(place), Address: address, Availability: hollow.Ready, Cores: nodeCores, Memory: 2 * nodeCores,
-				Zone: hollow.ZoneName(hollow.NodeZone(place, r.Sizes.Nodes, r.Sizes.Zones)),
+				ID: hollow.NodeID(index), Address: address, Availability: hollow.Ready, Cores: nodeCores, Memory: 2 * nodeCores,
+				Zone: hollow.ZoneName(hollow.NodeZone(index, r.Sizes.Nodes, r.Sizes.Zones)),
 			})
 		}
 	}
 	if len(entries) != total {
-		return fmt.Errorf("%d nodes started, not %d", len(entries), total)
+		return fmt.Errorf("%d nodes started, expected %d", len(entries), total)
 	}
 	entries[total-1].Availability = hollow.Gone
 	r.entries = total
@@ -177,8 +179,8 @@
 }
 
 func (r *Rig) startReal(ctx context.Context) error {
-	for place := range r.Real {
-		p, err := newProcess(r, place)
+	for index := range r.Real {
+		p, err := newProcess(r, index)
 		if err != nil {
 			return err
 		}
@@ -193,7 +195,7 @@
 func (r *Rig) connectClients(context.Context) error {
 	for _, p := range r.real {
 		for range clientsPerProcess {
-			c, err := dial(r.env, p.place, p.clientAddress, r.tally)
+			c, err := dial(r.env, p.index, p.clientAddress, r.tally)
 			if err != nil {
 				return err
 			}
@@ -203,25 +205,25 @@
 	return nil
 }
 
-// settle waits until each real process is connected to all nodes and knows all schedulers. Where the latter does not come
-// about in time, as on a machine that many hollow schedulers fill, the run goes on: how many are known is in its results.
+// settle waits until each real process is connected to its nodes and knows all schedulers. If only the latter is not reached in
+// time, as on a machine that is loaded by many hollow schedulers, the run goes on; its results tell how many are known.
 func (r *Rig) settle(ctx context.Context) error {
 	for _, p := range r.real {
 		var page scrape
 		var err error
 		for end := time.Now().Add(settleTimeout); ; {
-			if page, err = fetch(ctx, p.metricsAddress); err != nil {
+			if page, err = fetchMetrics(ctx, p.metricsAddress); err != nil {
 				return err
 			}
 			if r.settled(page) {
 				break
 			}
-			if time.Now().After(end) && page.of("connections", "kind", heldKind) >= r.connected() {
+			if time.Now().After(end) && page.value("connections", "kind", nodeConnectionKind) >= r.connected() {
 				break
 			}
 			if time.Now().After(end) {
-				return fmt.Errorf("%s: %.0f of %.0f nodes connected, %.0f of %d other schedulers alive: %w", p.name, page.of("connections", "kind", heldKind),
-					r.connected(), page.of("members", "state", "alive"), r.Sizes.Schedulers-1, errNotWithin)
+				return fmt.Errorf("%s: %.0f of %.0f nodes connected, %.0f of %d other schedulers alive: %w", p.name, page.value("connections", "kind", nodeConnectionKind),
+					r.connected(), page.value("members", "state", "alive"), r.Sizes.Schedulers-1, errTimeout)
 			}
 			time.Sleep(scrapeInterval)
 		}
@@ -229,7 +231,7 @@
 	return ctx.Err()
 }
 
-// connected is how many nodes a real process has to be connected to.
+// connected returns how many nodes a real process has to be connected to.
 func (r *Rig) connected() float64 {
 	if r.Connected > 0 {
 		return float64(r.Connected)
@@ -238,11 +240,11 @@
 }
 
 func (r *Rig) settled(page scrape) bool {
-	return page.of("connections", "kind", heldKind) >= r.connected() && page.of("members", "state", "alive") >= float64(r.Sizes.Schedulers-1)
+	return page.value("connections", "kind", nodeConnectionKind) >= r.connected() && page.value("members", "state", "alive") >= float64(r.Sizes.Schedulers-1)
 }
 
-// fill starts the tasks that run until the end, and waits for them. A process that has just connected to thousands of nodes
-// may turn some away: those are asked for again.
+// fill starts the tasks that run until the end and waits for them. A process that has just connected to thousands of nodes may
+// reject some requests; they are repeated.
 func (r *Rig) fill(ctx context.Context) error {
 	want := r.Sizes.RunningTasks * r.Real
 	for round := 0; ; round++ {
@@ -251,7 +253,7 @@
 			return nil
 		}
 		if round == fillRounds {
-			return fmt.Errorf("%d of %d tasks run: %w", before, want, errNotWithin)
+			return fmt.Errorf("%d of %d tasks running: %w", before, want, errTimeout)
 		}
 		if round > 0 {
 			if err := pause(ctx, fillPause); err != nil {
@@ -264,33 +266,33 @@
 	}
 }
 
-// fillOnce asks for so many tasks and waits until all are answered.
+// fillOnce requests a number of tasks and waits until all requests are answered.
 func (r *Rig) fillOnce(ctx context.Context, want int) error {
 	asked, _, _ := r.tally.counts()
-	arrivals(ctx.Done(), r.clients, stayJob, fillPerSecond*float64(r.Real), r.requested, want, r.Sizes.Teams, r.random)
+	sendRequests(ctx.Done(), r.clients, longRunningJob, fillPerSecond*float64(r.Real), r.requested, want, r.Sizes.Teams, r.random)
 	r.requested += want
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(pollInterval) {
 		if _, served, others := r.tally.counts(); served+others >= asked+want {
 			return nil
 		}
 	}
-	return fmt.Errorf("tasks: %w", errors.Join(errNotWithin, ctx.Err()))
+	return fmt.Errorf("wait for answers to task requests: %w", errors.Join(errTimeout, ctx.Err()))
 }
 
-// End ends all processes and waits for them.
-func (r *Rig) End() error {
+// Stop stops all processes and waits for them.
+func (r *Rig) Stop() error {
 	var errs []error
 	for _, c := range r.clients {
 		c.conn.Close(false, nil)
 	}
 	for _, p := range r.real {
-		if err := p.end(); err != nil {
+		if err := p.stop(); err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", p.name, err))
 		}
 	}
 	for _, c := range append(r.nodes, r.schedulers) {
 		if c != nil {
-			errs = append(errs, c.end())
+			errs = append(errs, c.stop())
 		}
 	}
 	r.env.Close(time.Second)
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -17,7 +17,7 @@
 	"ravenpond/internal/lab/spawn"
 )
 
-// TestMain is also the hollow and the real processes that the rig starts by this program.
+// TestMain also runs as the hollow and the real processes, which the rig starts with the test binary.
 func TestMain(m *testing.M) {
 	spawn.Main(func() int {
 		if len(os.Args) < 3 || os.Args[1] != "lab" {
@@ -36,14 +36,14 @@
 	})
 }
 
-// smallTrial is the form of a run that every change is tested by.
+// smallTrial returns a trial that is short enough for CI.
 func smallTrial(t *testing.T, nodes int) Trial {
 	sizes := Base()
 	sizes.Nodes, sizes.Schedulers, sizes.RunningTasks = nodes, 1+hollow.Seeds, 20
 	return Trial{Command: []string{os.Args[0]}, Sizes: sizes, Dimension: Nodes, Run: 1, Seed: 7, Real: 1, WarmUp: time.Second, MeasureFor: 3 * time.Second, Dir: t.TempDir()}
 }
 
-// play runs phases and gives their results by scenario.
+// play runs phases and returns their results by scenario.
 func play(t *testing.T, trial Trial, names ...string) map[string]*result.Result {
 	t.Helper()
 	phases, err := Phases(names)
@@ -51,7 +51,7 @@
 		t.Error(err)
 		return nil
 	}
-	r, err := Begin(context.Background(), trial)
+	r, err := Start(context.Background(), trial)
 	if err != nil {
 		t.Error(err)
 		return nil
@@ -66,14 +66,14 @@
 		}
 		results[phase.Scenario] = all[0]
 	}
-	if err := r.End(); err != nil {
+	if err := r.Stop(); err != nil {
 		t.Error(err)
 	}
 	return results
 }
 
-// TestCounts runs two sizes and checks what a real process needs, by counts; a run with a fault planted must not pass.
-func TestCounts(t *testing.T) {
+// TestResourceBounds runs two sizes and checks by counts what a real process needs. A run with an injected fault has to fail the checks.
+func TestResourceBounds(t *testing.T) {
 	var small, large, planted map[string]*result.Result
 	var runs sync.WaitGroup
 	runs.Go(func() { small = play(t, smallTrial(t, 40), Rest, Starts) })
@@ -96,7 +96,7 @@
 	found := slices.Concat(b.CheckRest(planted[Rest]), b.CheckGrowth(small[Rest], planted[Rest]))
 	for _, want := range []string{"connections to nodes", "goroutines:", "descriptors more", "goroutines more"} {
 		if !slices.ContainsFunc(found, func(breach string) bool { return strings.Contains(breach, want) }) {
-			t.Errorf("a second connection to each node is not found by %q: %q", want, found)
+			t.Errorf("a second connection to each node: got no breach with %q in %q, want one", want, found)
 		}
 	}
 }
--- a/internal/lab/scale/site.go
+++ b/internal/lab/scale/site.go
@@ -7,11 +7,11 @@
 	"ravenpond/internal/lab/scale/hollow"
 )
 
-// Names in the site file of a run.
+// Names in the site file of a run. The names of the jobs are also in siteText.
 const (
-	siteName = "scale"
-	shortJob = "short" // what is started again and again
-	stayJob  = "stay"  // what runs until the end
+	siteName       = "scale"
+	shortJob       = "short" // job type of the tasks that phases start, which end soon
+	longRunningJob = "stay"  // job type of the tasks that run until the end
 )
 
 const siteText = `<site name="%s">
@@ -30,10 +30,10 @@
   <owners listen="127.0.0.1:0"/>
 </site>`
 
-// teamName is the tenant of a team by its number.
+// teamName returns the name of a team's tenant by its number.
 func teamName(team int) string { return fmt.Sprintf("t%02d", team) }
 
-// site is the site file of a run.
+// site returns the site file of a run.
 func (r *Rig) site() string {
 	var zones, teams strings.Builder
 	for zone := range r.Sizes.Zones {
@@ -46,7 +46,7 @@
 		strings.Join(r.seeds, " "), r.keyFile(), strings.Join(hollow.VoterNames(), " "), r.list.Address())
 }
 
-// shards is the element of the site file that a planted fault needs.
+// shards returns the element of the site file that injects OwnConnections, or nothing.
 func (r *Rig) shards() string {
 	if !r.Plant.OwnConnections {
 		return ""
