--- a/internal/lab/scale/regions/disk.go
+++ b/internal/lab/scale/regions/disk.go
@@ -18,7 +18,7 @@
 
 // Load returns the saved state.
 func (d *disk) Load() (consensus.PersistedState, error) {
-	return consensus.PersistedState{Hard: d.hard, Snapshot: d.snapshot, Entries: slices.Clone(d.entries)}, nil
+	return consensus.PersistedState{HardState: d.hard, Snapshot: d.snapshot, Entries: slices.Clone(d.entries)}, nil
 }
 
 // Save stores the hard state and the snapshot unless they are nil, replaces the entries from an index on, and drops the entries
--- a/internal/lab/scale/regions/process.go
+++ b/internal/lab/scale/regions/process.go
@@ -105,7 +105,7 @@
 // stickLoop injects a fault: a carrier that queues messages and never processes them.
 func (p *process) stickLoop() {
 	p.backlog = &messageBacklog{}
-	p.members.WithDetector(func(d *membership.Detector) { d.SetCarrier(p.backlog) })
+	p.members.WithDetector(func(d *membership.Detector) { d.SetMessageHandler(p.backlog) })
 }
 
 // scheduleReport reports on the zones after a delay in ms and then periodically until the process is killed.
@@ -171,14 +171,14 @@
 // listener receives the events of the members runner.
 type listener struct{ *process }
 
-// OnChange does nothing: member lists are read when they are compared.
-func (listener) OnChange(float64, membership.Member, membership.State) {}
+// OnMemberChanged does nothing: member lists are read when they are compared.
+func (listener) OnMemberChanged(float64, membership.Member, membership.State) {}
 
-// OnNameTaken does nothing: no two processes have the same name.
-func (listener) OnNameTaken(float64, string) {}
+// OnNameConflict does nothing: no two processes have the same name.
+func (listener) OnNameConflict(float64, string) {}
 
-// LastHeard returns the incarnation of a node and when this process last heard from it.
-func (l listener) LastHeard(node uint32) (life uint64, heard float64, ok bool) {
+// LastNodeContact returns the incarnation of a node and when this process last heard from it.
+func (l listener) LastNodeContact(node uint32) (life uint64, heard float64, ok bool) {
 	at := int(node) / probedNodes
 	if at >= len(l.cluster.zones) {
 		return 0, 0, false
@@ -226,8 +226,8 @@
 // messageBacklog is the injected fault of a loop that is stuck: its messages pile up.
 type messageBacklog struct{ messages [][]byte }
 
-// Carried queues a message.
-func (b *messageBacklog) Carried(_ string, body []byte) { b.messages = append(b.messages, body) }
+// OnMessage queues a message.
+func (b *messageBacklog) OnMessage(_ string, body []byte) { b.messages = append(b.messages, body) }
 
-// Ahead does nothing.
-func (b *messageBacklog) Ahead(string, uint64) {}
+// OnNewerStateVersion does nothing.
+func (b *messageBacklog) OnNewerStateVersion(string, uint64) {}
--- a/internal/lab/scale/regions/reading.go
+++ b/internal/lab/scale/regions/reading.go
@@ -120,7 +120,7 @@
 func (p *process) readMembers(r *Reading) {
 	p.members.WithDetector(func(d *membership.Detector) {
 		f := d.Footprint()
-		r.Sizes[Members], r.Sizes[MemberBytes], r.Sizes[Accusers] = f.Members, f.MemberBytes, f.Accusers
+		r.Sizes[Members], r.Sizes[MemberBytes], r.Sizes[Accusers] = f.Members, f.MemberBytes, f.SuspicionReporters
 		r.Sizes[Timers] = f.Timers
 		r.Sizes[Probes] = f.IndirectProbes + f.LateProbes
 		r.Sizes[Hellos] = f.Hellos
@@ -145,5 +145,5 @@
 	r.Sizes[Proposals], r.Sizes[ProposalBytes] = c.Proposals, c.ProposalBytes
 	r.Sizes[LogEntries], r.Sizes[LogBytes] = c.LogEntries, c.LogBytes
 	r.Sizes[SnapshotBytes], r.Sizes[TransferBytes] = c.SnapshotBytes, c.TransferBytes
-	r.Sizes[Reports], r.Sizes[ReportBytes], r.Sizes[Verdicts] = f.Zones.Reports, f.Zones.ReportBytes, f.Zones.Verdicts
+	r.Sizes[Reports], r.Sizes[ReportBytes], r.Sizes[Verdicts] = f.Zones.Reports, f.Zones.ReportBytes, f.Zones.ZoneRecords
 }
--- a/internal/lab/scale/regions/regions.go
+++ b/internal/lab/scale/regions/regions.go
@@ -151,7 +151,7 @@
 	for _, p := range s.processes {
 		for _, q := range s.processes {
 			if p.index < q.index && p.zone.region != q.zone.region {
-				s.clock.Slow(p.name, q.name, regionLatency)
+				s.clock.SetMaxExtraDelay(p.name, q.name, regionLatency)
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 	for _, p := range s.processes {
 		for _, q := range s.processes {
 			if p.index < q.index && p.zone.cut != q.zone.cut {
-				s.clock.Cut(p.name, q.name, is || s.config.Plant.Unhealed)
+				s.clock.SetCut(p.name, q.name, is || s.config.Plant.Unhealed)
 			}
 		}
 	}
