--- a/internal/lab/cluster/lifecycle.go
+++ b/internal/lab/cluster/lifecycle.go
@@ -17,7 +17,7 @@
 	"ravenpond/internal/standin"
 )
 
-// killRecord is one that was killed, and when.
+// killRecord is a kill of a scheduler process.
 type killRecord struct {
 	scheduler int
 	at        time.Time
@@ -25,29 +25,29 @@
 
 type process struct {
 	name         string
-	listen       string       // where it takes datagrams
-	reservedConn *net.UDPConn // holds that address for it until it begins
+	listen       string       // address for membership datagrams
+	reservedConn *net.UDPConn // holds that address until the process starts
 	relay        *net.UDPConn
-	listRelay    *relay // its ways to the list and from its owners, where they pass relays
+	listRelay    *relay // to the node list, as clientRelay is from clients; nil without Config.Relays
 	clientRelay  *relay
-	folder       string
-	log          *os.File
+	stateDir     string
+	logFile      *os.File
 	client       *standin.Client
 	mu           sync.Mutex
 	command      *exec.Cmd
 	address      string
-	stopped      bool
+	paused       bool
 }
 
-// StartScheduler starts a scheduler, anew or for the first time.
+// StartScheduler starts a scheduler for the first time or again after a kill.
 func (r *Rig) StartScheduler(i int) error {
 	x := r.processes[i]
-	if err := os.MkdirAll(x.folder, 0o750); err != nil {
+	if err := os.MkdirAll(x.stateDir, 0o750); err != nil {
 		return err
 	}
 	var err error
-	if x.log == nil {
-		if x.log, err = os.Create(filepath.Join(r.Dir, x.name+".log")); err != nil {
+	if x.logFile == nil {
+		if x.logFile, err = os.Create(filepath.Join(r.Dir, x.name+".log")); err != nil {
 			return err
 		}
 	}
@@ -70,19 +70,19 @@
 	}
 	x.reservedConn.Close()
 	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: audit.SchedulerStarted, Scheduler: x.name})
-	cmd, address, err := spawn.Scheduler(r.ctx, append(slices.Clone(r.Command), "serve", "--site", file, "--state", x.folder, "--name", x.name,
-		"--index", fmt.Sprint(i), "--zone", r.zoneOf(i), "--seed", fmt.Sprint(r.Seed*1000+uint64(i)+1), "--address-file", filepath.Join(r.Dir, x.name+".addr")), x.log,
+	cmd, address, err := spawn.Scheduler(r.ctx, append(slices.Clone(r.Command), "serve", "--site", file, "--state", x.stateDir, "--name", x.name,
+		"--index", fmt.Sprint(i), "--zone", r.zoneOf(i), "--seed", fmt.Sprint(r.Seed*1000+uint64(i)+1), "--address-file", filepath.Join(r.Dir, x.name+".addr")), x.logFile,
 		filepath.Join(r.Dir, x.name+".addr"))
 	if err != nil {
 		return err
 	}
 	x.mu.Lock()
-	x.command, x.address, x.stopped = cmd, address, false
+	x.command, x.address, x.paused = cmd, address, false
 	x.mu.Unlock()
 	return nil
 }
 
-// KillScheduler ends a scheduler at once.
+// KillScheduler kills a scheduler process without warning and waits for its end.
 func (r *Rig) KillScheduler(i int) {
 	x := r.processes[i]
 	x.mu.Lock()
@@ -102,41 +102,41 @@
 	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: x.name})
 }
 
-// PauseScheduler has a scheduler stand still, or run on.
-func (r *Rig) PauseScheduler(i int, still bool) {
+// PauseScheduler stops a scheduler process by SIGSTOP, or has it continue by SIGCONT.
+func (r *Rig) PauseScheduler(i int, paused bool) {
 	x := r.processes[i]
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.command == nil || x.stopped == still {
+	if x.command == nil || x.paused == paused {
 		return
 	}
-	x.stopped = still
+	x.paused = paused
 	kind, signal := audit.SchedulerPaused, syscall.SIGSTOP
-	if !still {
+	if !paused {
 		kind, signal = audit.SchedulerResumed, syscall.SIGCONT
 	}
 	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: kind, Scheduler: x.name})
 	_ = x.command.Process.Signal(signal)
 }
 
-// CrashNodes has nodes fall and come back cold.
-func (r *Rig) CrashNodes(part float64, away time.Duration) {
+// CrashNodes crashes a fraction of the nodes and restarts them cold after the downtime.
+func (r *Rig) CrashNodes(fraction float64, downtime time.Duration) {
 	for i, n := range r.nodes {
-		if float64(i) < part*float64(len(r.nodes)) {
+		if float64(i) < fraction*float64(len(r.nodes)) {
 			r.testbed.WithLock(func(now float64) { n.Crash(now) })
-			r.runAfter(away, func() { r.restartNode(n) })
+			r.runAfter(downtime, func() { r.restartNode(n) })
 		}
 	}
 }
 
-// restartNode brings a node back; its address may be taken for a moment yet.
+// restartNode restarts a node. It retries after 100 ms, as the node's address may still be in use.
 func (r *Rig) restartNode(n *standin.Node) {
 	if err := n.Restart(); err != nil {
 		r.runAfter(100*time.Millisecond, func() { r.restartNode(n) })
 	}
 }
 
-// runAfter does something after a while, unless the rig has ended by then.
+// runAfter calls f after a delay, unless the rig has ended by then.
 func (r *Rig) runAfter(d time.Duration, f func()) {
 	r.background.Go(func() {
 		t := time.NewTimer(d)
--- a/internal/lab/cluster/observe.go
+++ b/internal/lab/cluster/observe.go
@@ -15,35 +15,35 @@
 	"ravenpond/internal/serve"
 )
 
-// record keeps what passes. A word of the list counts when it is heard, not when it is said.
+// record adds a record to the trace. A message of the node list counts from when the scheduler receives it, not from when it is sent.
 func (r *Rig) record(x *audit.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if x.Kind == audit.EndpointDelivered || x.Kind == audit.ListDelivered {
-		switch back := r.routes[routeKey{x.Scheduler, "list"}][1]; {
-		case back.Cut:
+		switch route := r.routes[routeKey{x.Scheduler, "list"}][1]; {
+		case route.Cut:
 			r.delayed = append(r.delayed, *x)
 			return
 		default:
-			x.At += float64(back.Delay) / 1e6
+			x.At += float64(route.Delay) / 1e6
 		}
 	}
 	r.trace = append(r.trace, *x)
 }
 
-// IsolateZone cuts a zone's nodes off from all schedulers, or lets them be heard again.
-func (r *Rig) IsolateZone(zone string, is bool) {
+// IsolateZone cuts the routes between a zone's nodes and all schedulers, or restores them.
+func (r *Rig) IsolateZone(zone string, isolated bool) {
 	for _, n := range r.nodes {
 		if n.Zone == zone {
 			for i := range r.processes {
-				r.SetRoute(i, fmt.Sprint(n.ID), Route{Cut: is}, Route{Cut: is})
+				r.SetRoute(i, fmt.Sprint(n.ID), Route{Cut: isolated}, Route{Cut: isolated})
 			}
 		}
 	}
 }
 
-// ZoneShares tells when each scheduler last changed which part of a zone it sends to, by its log, and to which; unix ms.
-func (r *Rig) ZoneShares(zone string) (at, part []float64, err error) {
+// ZoneShares returns, from the log of each scheduler, when its share of a zone last changed, in Unix ms, and the share.
+func (r *Rig) ZoneShares(zone string) (at, share []float64, err error) {
 	for _, x := range r.processes {
 		b, err := os.ReadFile(filepath.Join(r.Dir, x.name+".log"))
 		if err != nil {
@@ -60,13 +60,13 @@
 				since, last = l.At, l.Parts[zone]
 			}
 		}
-		at, part = append(at, since), append(part, last)
+		at, share = append(at, since), append(share, last)
 	}
-	return at, part, nil
+	return at, share, nil
 }
 
-// StateConverged tells whether all that run hold the same book, are sure of it, and act in it under epochs of their own; else who
-// does not.
+// StateConverged reports whether all running schedulers hold the same cluster state under a valid lease, each with its own epoch. If not,
+// the string says which scheduler does not.
 func (r *Rig) StateConverged() (bool, string) {
 	epochs := map[uint64]string{}
 	first := ""
@@ -76,35 +76,35 @@
 		case err != nil:
 			return false, err.Error()
 		case v.ClusterState == nil || v.ClusterState.Version == 0 || v.ClusterState.Epoch == 0:
-			return false, name + " holds no book"
+			return false, name + " holds no cluster state"
 		case v.ClusterState.LeaseSeconds < 0:
-			return false, fmt.Sprintf("%s is not sure: %.1f s", name, v.ClusterState.LeaseSeconds)
+			return false, fmt.Sprintf("%s has no valid lease: %.1f s", name, v.ClusterState.LeaseSeconds)
 		case epochs[v.ClusterState.Epoch] != "":
-			return false, fmt.Sprintf("%s and %s act under epoch %d", name, epochs[v.ClusterState.Epoch], v.ClusterState.Epoch)
+			return false, fmt.Sprintf("%s and %s both act under epoch %d", name, epochs[v.ClusterState.Epoch], v.ClusterState.Epoch)
 		case first == "":
 			first = v.ClusterState.Digest
 		case v.ClusterState.Digest != first:
-			return false, fmt.Sprintf("%s holds version %d, %s, others %s", name, v.ClusterState.Version, v.ClusterState.Digest, first)
+			return false, fmt.Sprintf("%s holds version %d with digest %s, others hold digest %s", name, v.ClusterState.Version, v.ClusterState.Digest, first)
 		}
 		epochs[v.ClusterState.Epoch] = r.processes[i].name
 	}
 	return true, ""
 }
 
-// SchedulerView reads what a scheduler holds of the others.
+// SchedulerView reads the view of membership and cluster state that a scheduler writes to its state folder.
 func (r *Rig) SchedulerView(i int) (v serve.MembershipView, err error) {
-	b, err := os.ReadFile(filepath.Join(r.processes[i].folder, serve.MembersFile))
+	b, err := os.ReadFile(filepath.Join(r.processes[i].stateDir, serve.MembersFile))
 	if err != nil {
 		return v, err
 	}
 	return v, json.Unmarshal(b, &v)
 }
 
-// Running are the schedulers that run.
+// Running returns the numbers of the schedulers that run and are not paused.
 func (r *Rig) Running() (all []int) {
 	for i, x := range r.processes {
 		x.mu.Lock()
-		if x.command != nil && !x.stopped {
+		if x.command != nil && !x.paused {
 			all = append(all, i)
 		}
 		x.mu.Unlock()
@@ -112,10 +112,11 @@
 	return all
 }
 
-// MembersConverged tells whether each scheduler that runs holds all others that run for alive and no other, else who does not.
+// MembersConverged reports whether each running scheduler considers all other running ones alive, and no others. If not, the string says
+// which scheduler does not.
 func (r *Rig) MembersConverged() (bool, string) {
-	living := r.Running()
-	for _, i := range living {
+	running := r.Running()
+	for _, i := range running {
 		v, err := r.SchedulerView(i)
 		if err != nil {
 			return false, err.Error()
@@ -126,25 +127,25 @@
 				got = append(got, m.Name)
 			}
 		}
-		for _, j := range living {
+		for _, j := range running {
 			if j != i {
 				want = append(want, r.processes[j].name)
 			}
 		}
 		if !slices.Equal(got, want) {
-			return false, fmt.Sprintf("%s holds %v for alive, want %v", r.processes[i].name, got, want)
+			return false, fmt.Sprintf("%s considers %v alive, want %v", r.processes[i].name, got, want)
 		}
 	}
 	return true, ""
 }
 
-// DeathReport is word in a log that one holds another for dead.
+// DeathReport is a log entry by which one scheduler declares another dead.
 type DeathReport struct {
 	By, Member string
 	At         time.Time
 }
 
-// Deaths are all that stand in the logs, by time.
+// Deaths returns all death reports in the logs, sorted by time.
 func (r *Rig) Deaths() (all []DeathReport, err error) {
 	for _, x := range r.processes {
 		b, err := os.ReadFile(filepath.Join(r.Dir, x.name+".log"))
@@ -158,7 +159,7 @@
 				Mode, Member, Is, Was string
 				Ms                    float64 `json:"unix_ms"`
 			}
-			if json.Unmarshal(lines.Bytes(), &l) == nil && l.Mode == "members" && l.Is == "dead" && l.Was != "unknown" { // who comes hears of the dead, and held nobody for that
+			if json.Unmarshal(lines.Bytes(), &l) == nil && l.Mode == "members" && l.Is == "dead" && l.Was != "unknown" { // A scheduler that joins learns of dead members that it never considered alive.
 				all = append(all, DeathReport{x.name, l.Member, time.UnixMicro(int64(l.Ms * 1000))})
 			}
 		}
@@ -167,8 +168,8 @@
 	return all, nil
 }
 
-// DetectionTimes is how long it took until those who ran on knew of each kill, sorted, and how many never did before the killed one
-// was back for so long. Deaths of schedulers that were not killed within a while before count as wrong.
+// DetectionTimes returns how long the schedulers that were never killed took to declare each killed one dead, sorted, and how many
+// detections did not come in time. A death report without a kill of that scheduler in the time before it counts as wrong.
 func (r *Rig) DetectionTimes(within time.Duration) (took []time.Duration, never, wrong int, err error) {
 	deaths, err := r.Deaths()
 	if err != nil {
@@ -177,9 +178,9 @@
 	r.mu.Lock()
 	kills := slices.Clone(r.kills)
 	r.mu.Unlock()
-	down := map[int]bool{}
+	killed := map[int]bool{}
 	for _, k := range kills {
-		down[k.scheduler] = true
+		killed[k.scheduler] = true
 	}
 	for _, k := range kills {
 		first := map[string]time.Duration{}
@@ -191,7 +192,7 @@
 		for i, x := range r.processes {
 			if t, ok := first[x.name]; ok {
 				took = append(took, t)
-			} else if !down[i] {
+			} else if !killed[i] {
 				never++
 			}
 		}
--- a/internal/lab/cluster/relay.go
+++ b/internal/lab/cluster/relay.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Route is how bytes fare from one end of a connection to the other. A cut one holds them, as a network does that will bring them again
-// later; so a connection that is made through it stands, and nothing comes.
+// Route is how bytes pass in one direction of a connection. A cut route holds them, as a network does that retransmits them later: a
+// connection that is made through it stays open, and nothing arrives.
 type Route struct {
 	Cut            bool
 	Delay          time.Duration
-	BytesPerSecond int // bytes a second, 0: as many as there are
+	BytesPerSecond int // 0: no limit
 }
 
-// relay passes connections on to one address. Whose they are is known by where they come in, or by what they say first.
+// relay forwards connections to one address. It identifies the caller by the listener or by the first bytes of the connection.
 type relay struct {
 	listener net.Listener
-	target   func() string                             // where it leads now, empty: nowhere
-	callerOf func(first []byte) (name string, ok bool) // of the caller, by its first bytes; false as long as more are needed
+	target   func() string                             // current address to forward to, empty: none
+	callerOf func(first []byte) (name string, ok bool) // name of the caller, by its first bytes; false while more bytes are needed
 	routes   func(who string) (there, back Route)
 	tasks    sync.WaitGroup
 
@@ -30,7 +30,7 @@
 	closed      bool
 }
 
-// relayedConn is one connection.
+// relayedConn is a connection that passes a relay.
 type relayedConn struct {
 	caller, callee net.Conn
 	callerName     string
@@ -38,26 +38,26 @@
 
 const (
 	chunkBytes        = 8 << 10
-	maxInFlight       = 256 // chunks that are under way in one direction; more wait at the sender
+	maxInFlight       = 256 // chunks in flight in one direction; the rest waits at the sender
 	routePollInterval = 5 * time.Millisecond
-	maxGreeting       = 4 << 10 // bytes by which a caller must have said who it is
+	maxGreeting       = 4 << 10 // bytes within which a caller must have been identified
 	dialTimeout       = 2 * time.Second
 )
 
-// newRelay opens one on loopback.
-func newRelay(to func() string, who func([]byte) (string, bool), ways func(string) (there, back Route)) (*relay, error) {
-	door, err := net.Listen("tcp4", "127.0.0.1:0")
+// newRelay opens a relay on a loopback address.
+func newRelay(target func() string, callerOf func([]byte) (string, bool), routes func(string) (there, back Route)) (*relay, error) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r := &relay{listener: door, target: to, callerOf: who, routes: ways, connections: map[*relayedConn]bool{}}
+	r := &relay{listener: listener, target: target, callerOf: callerOf, routes: routes, connections: map[*relayedConn]bool{}}
 	r.tasks.Go(func() {
 		for {
-			near, err := door.Accept()
+			caller, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			r.tasks.Go(func() { r.serve(near) })
+			r.tasks.Go(func() { r.serve(caller) })
 		}
 	})
 	return r, nil
@@ -65,42 +65,42 @@
 
 func (r *relay) address() string { return r.listener.Addr().String() }
 
-// serve joins a connection to the far end until either ends.
-func (r *relay) serve(near net.Conn) {
-	c := &relayedConn{caller: near}
+// serve connects a caller to the target and forwards in both directions until either side ends.
+func (r *relay) serve(caller net.Conn) {
+	c := &relayedConn{caller: caller}
 	if !r.register(c) {
-		near.Close()
+		caller.Close()
 		return
 	}
 	defer r.closeConn(c, false)
 	var first []byte
 	for known := false; !known; {
 		b := make([]byte, chunkBytes)
-		n, err := near.Read(b)
+		n, err := caller.Read(b)
 		if first = append(first, b[:n]...); err != nil || len(first) > maxGreeting {
 			return
 		}
 		c.callerName, known = r.callerOf(first)
 	}
-	far, err := net.DialTimeout("tcp4", r.target(), dialTimeout)
+	callee, err := net.DialTimeout("tcp4", r.target(), dialTimeout)
 	if err != nil {
 		return
 	}
 	r.mu.Lock()
-	c.callee = far
-	over := r.closed || !r.connections[c]
+	c.callee = callee
+	closed := r.closed || !r.connections[c]
 	r.mu.Unlock()
-	if over {
-		far.Close()
+	if closed {
+		callee.Close()
 		return
 	}
 	both := make(chan bool, 2)
 	go func() {
-		forward(far, io.MultiReader(bytes.NewReader(first), near), func() Route { there, _ := r.routes(c.callerName); return there })
+		forward(callee, io.MultiReader(bytes.NewReader(first), caller), func() Route { there, _ := r.routes(c.callerName); return there })
 		both <- true
 	}()
 	go func() {
-		forward(near, far, func() Route { _, back := r.routes(c.callerName); return back })
+		forward(caller, callee, func() Route { _, back := r.routes(c.callerName); return back })
 		both <- true
 	}()
 	<-both
@@ -118,7 +118,7 @@
 	return true
 }
 
-// closeConn closes both ends of a connection, by a reset if that is asked for.
+// closeConn closes both ends of a connection, on request with a TCP reset.
 func (r *relay) closeConn(c *relayedConn, reset bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,12 +137,12 @@
 	}
 }
 
-// reset breaks all connections of a caller.
-func (r *relay) reset(who string) {
+// reset closes all connections of a caller with a TCP reset.
+func (r *relay) reset(caller string) {
 	r.mu.Lock()
 	var all []*relayedConn
 	for c := range r.connections {
-		if c.callerName == who {
+		if c.callerName == caller {
 			all = append(all, c)
 		}
 	}
@@ -167,22 +167,23 @@
 	r.tasks.Wait()
 }
 
-// forward copies until the source ends, each chunk as late as the way has it when it comes, and held while that is cut.
-func forward(to net.Conn, from io.Reader, way func() Route) {
+// forward copies until the source ends. Each chunk is delayed by the route's delay at the time that it is read, and held while the route
+// is cut.
+func forward(to net.Conn, from io.Reader, route func() Route) {
 	type late struct {
 		b  []byte
 		at time.Time
 	}
-	under := make(chan late, maxInFlight)
+	inFlight := make(chan late, maxInFlight)
 	stop := make(chan bool)
 	go func() {
-		defer close(under)
+		defer close(inFlight)
 		for {
 			b := make([]byte, chunkBytes)
 			n, err := from.Read(b)
 			if n > 0 {
 				select {
-				case under <- late{b[:n], time.Now().Add(way().Delay)}:
+				case inFlight <- late{b[:n], time.Now().Add(route().Delay)}:
 				case <-stop:
 					return
 				}
@@ -193,25 +194,25 @@
 		}
 	}()
 	defer close(stop)
-	for x := range under {
-		time.Sleep(time.Until(x.at))
-		for len(x.b) > 0 {
-			w := way()
-			for ; w.Cut; w = way() {
+	for chunk := range inFlight {
+		time.Sleep(time.Until(chunk.at))
+		for len(chunk.b) > 0 {
+			w := route()
+			for ; w.Cut; w = route() {
 				time.Sleep(routePollInterval)
 				if _, err := to.Write(nil); err != nil {
 					return
 				}
 			}
-			n := len(x.b)
+			n := len(chunk.b)
 			if w.BytesPerSecond > 0 {
 				n = min(n, max(1, w.BytesPerSecond/20))
 				time.Sleep(50 * time.Millisecond)
 			}
-			if _, err := to.Write(x.b[:n]); err != nil {
+			if _, err := to.Write(chunk.b[:n]); err != nil {
 				return
 			}
-			x.b = x.b[n:]
+			chunk.b = chunk.b[n:]
 		}
 	}
 }
--- a/internal/lab/cluster/relay_test.go
+++ b/internal/lab/cluster/relay_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestRelay has an echo behind a relay: what passes is whole and in order, waits while a way is cut, comes late or little by little, and ends
-// with a reset.
+// TestRelay puts an echo server behind a relay: lines arrive whole and in order, wait while a route is cut, are delayed or throttled, and
+// the connection ends with a reset of its caller only.
 func TestRelay(t *testing.T) {
 	echo, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -71,35 +71,35 @@
 		least       time.Duration
 	}{
 		{"plain", Route{}, Route{}, 0},
-		{"slow there", Route{Delay: 80 * time.Millisecond}, Route{}, 80 * time.Millisecond},
-		{"slow both ways", Route{Delay: 40 * time.Millisecond}, Route{Delay: 40 * time.Millisecond}, 80 * time.Millisecond},
-		{"little by little", Route{BytesPerSecond: 40}, Route{}, 150 * time.Millisecond},
-		{"plain again", Route{}, Route{}, 0},
+		{"request delayed", Route{Delay: 80 * time.Millisecond}, Route{}, 80 * time.Millisecond},
+		{"both directions delayed", Route{Delay: 40 * time.Millisecond}, Route{Delay: 40 * time.Millisecond}, 80 * time.Millisecond},
+		{"request throttled", Route{BytesPerSecond: 40}, Route{}, 150 * time.Millisecond},
+		{"no delay after faults", Route{}, Route{}, 0},
 	} {
 		set(s.there, s.back)
 		began := time.Now()
 		got, err := ask("one two\n", long)
 		if took := time.Since(began); err != nil || got != "one two\n" || took < s.least {
-			t.Errorf("%s: %q after %s, %v", s.name, got, took, err)
+			t.Errorf("%s: got %q after %s, error %v", s.name, got, took, err)
 		}
 	}
 	for _, cut := range [][2]Route{{{Cut: true}, {}}, {{}, {Cut: true}}} {
 		set(cut[0], cut[1])
 		if got, err := ask("held\n", 100*time.Millisecond); err == nil {
-			t.Errorf("%q came over a way that is cut", got)
+			t.Errorf("got %q over a route that is cut", got)
 		}
 		set(Route{}, Route{})
 		_ = c.SetReadDeadline(time.Now().Add(long))
 		if got, err := answers.ReadString('\n'); got != "held\n" {
-			t.Errorf("%q, %v when it is mended", got, err)
+			t.Errorf("got %q, %v after the route was restored, want the held line", got, err)
 		}
 	}
 	r.reset("b")
 	if _, err := ask("still\n", long); err != nil {
-		t.Errorf("another's reset: %v", err)
+		t.Errorf("the reset of another caller broke the connection: %v", err)
 	}
 	r.reset("a")
 	if _, err := ask("gone\n", long); err == nil {
-		t.Error("it stands after a reset")
+		t.Error("the connection still works after a reset")
 	}
 }
--- a/internal/lab/cluster/result.go
+++ b/internal/lab/cluster/result.go
@@ -8,18 +8,18 @@
 	"ravenpond/internal/audit"
 )
 
-// Result is what came of a rig.
+// Result is the outcome of a run: rule violations, answers and figures.
 type Result struct {
 	Violations      []audit.Violation
 	Answers         map[string]int
-	StartLatencies  []float64     // ms from ask to answer of those served at their first ask, sorted
-	CPU             time.Duration // of all schedulers together, of all their lives
-	LocalFraction   float64       // part of the tries that ran in the zone of their scheduler
-	Value           float64       // part of the value served in time that was first asked for while a script was played
-	ScriptLatencies []float64     // start times of those, sorted
+	StartLatencies  []float64     // ms from request to answer of the requests that were served at their first try, sorted
+	CPU             time.Duration // of all schedulers together, over all their incarnations
+	LocalFraction   float64       // fraction of the attempts that ran in the zone of their scheduler
+	Value           float64       // fraction, by priority weight, that was served in time of the requests first sent while a script was played
+	ScriptLatencies []float64     // ms from request to answer of those that were served, sorted
 }
 
-// Finish waits until all asks are answered or overdue, ends all and audits.
+// Finish waits until all requests are answered or past their deadline, ends all processes and audits the trace.
 func (r *Rig) Finish() Result {
 	r.stop()
 	time.Sleep(3600 * time.Millisecond)
@@ -81,8 +81,8 @@
 				y.close()
 			}
 		}
-		if x.log != nil {
-			x.log.Close()
+		if x.logFile != nil {
+			x.logFile.Close()
 		}
 	}
 	for _, x := range r.relays {
--- a/internal/lab/cluster/rig.go
+++ b/internal/lab/cluster/rig.go
@@ -1,6 +1,6 @@
-// Package cluster is the rig of processes: many schedulers of one site on loopback, each a process of its own, with stand-ins
-// for nodes, list and owners in this one. What schedulers say to each other passes relays that drop and cut by a script
-// with a seed; processes are killed, stopped and started again. The auditor watches all that reaches the stand-ins.
+// Package cluster is a test rig of processes: many schedulers of one site on loopback, each in its own process, with stand-ins for nodes,
+// node list and clients in this one. Messages between schedulers pass relays that drop, delay and cut by a script and a seed; processes are
+// killed, paused and restarted. The auditor checks all that reaches the stand-ins.
 package cluster
 
 import (
@@ -17,23 +17,23 @@
 	"ravenpond/internal/standin"
 )
 
-// Config says what is to be started.
+// Config is what the rig starts.
 type Config struct {
-	Command    []string // that runs the program
+	Command    []string // that runs a scheduler, without its arguments
 	Schedulers int
 	Nodes      int
-	Rate       float64 // asks a second, of all owners together; 0: none
+	Rate       float64 // requests per second of all clients together, 0: none
 	Seed       uint64
 	Dir        string
-	Isolated   bool // schedulers do not know each other
-	Zones      int  // 0: two; in regions of two
-	Cores      int  // of a node, 0: 64
-	Localities bool // the site file says how far zones are from each other
-	Voters     int  // of the book that they agree on, the first of all; 0: there is none
-	Relays     bool // connections to nodes, list and owners pass relays too
+	Isolated   bool // schedulers run without membership
+	Zones      int  // 0: two; two zones make a region
+	Cores      int  // of each node, 0: 64
+	Localities bool // the site file gives latencies between zones: 1 ms in a region, else 10 ms
+	Voters     int  // how many of the first schedulers vote on the cluster state, 0: there is no cluster state
+	Relays     bool // connections to nodes, node list and clients pass relays too
 }
 
-// Rig is the whole.
+// Rig runs the processes and stand-ins of one site.
 type Rig struct {
 	Config
 	ctx        context.Context
@@ -47,20 +47,20 @@
 	background sync.WaitGroup
 	stop       context.CancelFunc
 
-	relays                  []*relay // to nodes, by their place
-	scriptFrom, scriptUntil float64  // of the last script
+	relays                  []*relay // to nodes, in their order
+	scriptFrom, scriptUntil float64  // start and end of the last script, in ms of the testbed
 
 	mu            sync.Mutex
 	rng           *rand.Rand
 	routes        map[routeKey][2]Route
 	trace         []audit.Record
-	delayed       []audit.Record // words of the list that lie on a way that is cut
+	delayed       []audit.Record // messages of the node list that a cut route holds
 	datagramLinks map[[2]int]DatagramLink
 	kills         []killRecord
 	usedCPU       time.Duration // of schedulers that have ended
 }
 
-// Start starts all and waits until owners may connect everywhere.
+// Start starts all processes and waits until clients can connect to each scheduler.
 func Start(ctx context.Context, p Config) (r *Rig, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	real := env.NewReal()
@@ -106,7 +106,7 @@
 	clientSeedFactor = 7919
 )
 
-// startSchedulers starts all schedulers, some at a time, and returns an error of those that did not start.
+// startSchedulers starts all schedulers, concurrentStarts at a time, and returns an error of one that did not start, if any.
 func (r *Rig) startSchedulers() (err error) {
 	slots := make(chan bool, concurrentStarts)
 	errs := make(chan error, len(r.processes))
@@ -125,7 +125,7 @@
 	return err
 }
 
-// clientAddress is where the scheduler's client connects, empty while the scheduler does not run.
+// clientAddress is the address that the scheduler's client connects to, empty while the scheduler does not run.
 func (x *process) clientAddress() string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/lab/cluster/rig_test.go
+++ b/internal/lab/cluster/rig_test.go
@@ -11,11 +11,11 @@
 	"ravenpond/internal/lab/spawn"
 )
 
-// TestMain lets the test's own program be the scheduler processes that the rig starts.
+// TestMain lets the test binary act as the scheduler processes that the rig starts.
 func TestMain(m *testing.M) { spawn.Main(m.Run) }
 
-// soon waits until all agree on who is there, and on one book where there is one.
-func soon(t *testing.T, r *Rig, within time.Duration) {
+// awaitAgreement waits until all running schedulers agree on the members and, where there are voters, on the cluster state.
+func awaitAgreement(t *testing.T, r *Rig, within time.Duration) {
 	t.Helper()
 	why := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -27,11 +27,11 @@
 			return
 		}
 	}
-	t.Errorf("after %s: %s", within, why)
+	t.Errorf("no convergence within %s: %s", within, why)
 }
 
-// begin starts the rig by the test's own program, and waits until all agree.
-func begin(t *testing.T, p Config) *Rig {
+// startRig starts the rig with the test binary as schedulers, and waits until all agree.
+func startRig(t *testing.T, p Config) *Rig {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
@@ -42,12 +42,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	soon(t, r, 20*time.Second)
+	awaitAgreement(t, r, 20*time.Second)
 	return r
 }
 
-// play plays a script, after which all agree again.
-func play(t *testing.T, r *Rig, script string) {
+// playScript plays a script, after which all schedulers have to agree again within 20 s.
+func playScript(t *testing.T, r *Rig, script string) {
 	t.Helper()
 	steps, err := Parse(strings.NewReader(script), r.Schedulers)
 	if err != nil {
@@ -56,11 +56,11 @@
 	if err := r.Play(t.Context(), steps, t.Logf); err != nil {
 		t.Error(err)
 	}
-	soon(t, r, 20*time.Second)
+	awaitAgreement(t, r, 20*time.Second)
 }
 
-// end ends all: no rule is broken, and something was served.
-func end(t *testing.T, r *Rig) Result {
+// finishRig ends the rig: no rule of the auditor may be violated, and at least 100 requests are served.
+func finishRig(t *testing.T, r *Rig) Result {
 	t.Helper()
 	res := r.Finish()
 	for i, b := range res.Violations {
@@ -69,12 +69,12 @@
 		}
 	}
 	if res.Answers["served"] < 100 {
-		t.Errorf("%v", res.Answers)
+		t.Errorf("got answers %v, want at least 100 served", res.Answers)
 	}
 	return res
 }
 
-const bad = `# one killed, one stopped, one deaf, a part cut off, all nodes of a zone back cold
+const processFaults = `# one killed, one paused, one deaf, a part cut off, nodes that restart cold
 0     lossy 12000 0.05
 200   kill  4500  0    4
 500   cold  500   0.3
@@ -84,11 +84,11 @@
 9000  cold  500   0.5
 `
 
-// TestProcesses plays a bad time for five processes under load: no rule breaks, who is killed or stopped is known to all, and
-// one view comes of it in the end.
+// TestProcesses plays process and network faults on five schedulers under load: no rule is violated, the other four detect the killed one,
+// and all converge on one view in the end.
 func TestProcesses(t *testing.T) {
-	r := begin(t, Config{Schedulers: 5, Nodes: 8, Rate: 60, Seed: 1})
-	play(t, r, bad)
+	r := startRig(t, Config{Schedulers: 5, Nodes: 8, Rate: 60, Seed: 1})
+	playScript(t, r, processFaults)
 	deaths, err := r.Deaths()
 	if err != nil {
 		t.Error(err)
@@ -100,27 +100,27 @@
 		}
 	}
 	if len(heard) < 4 {
-		t.Errorf("s004 was killed, and %d of four knew", len(heard))
+		t.Errorf("s004 was killed and %d schedulers declared it dead, want 4", len(heard))
 	}
-	res := end(t, r)
+	res := finishRig(t, r)
 	t.Logf("%v, %d deaths", res.Answers, len(deaths))
 }
 
-// TestParse names what is wrong with a script.
+// TestParse checks that an error says which line of a script is wrong.
 func TestParse(t *testing.T) {
 	for text, want := range map[string]string{
 		"100 kill 200 0 1 3-4": "", "# no\n\n1 cold 2 0.5": "", "0 stop 1 0 40%": "",
-		"100 kill": "line 1", "100 burn 1 0 1": "line 1", "\n100 kill 1 0 9": "line 2", "1 deaf 1 0 1": "deaf names two", "x kill 1 0 1": "line 1",
+		"100 kill": "line 1", "100 burn 1 0 1": "line 1", "\n100 kill 1 0 9": "line 2", "1 deaf 1 0 1": "deaf needs two scheduler numbers", "x kill 1 0 1": "line 1",
 		"1 kill 1 0 4-3": "numbers",
 	} {
 		_, err := Parse(strings.NewReader(text), 5)
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: got error %v, want one with %q", text, err, want)
 		}
 	}
 }
 
-const far = `# list, nodes and owners behind ways that fail, one upon the other; nodes come back cold meanwhile
+const routeFaults = `# overlapping faults of routes to list, nodes and clients; nodes restart cold meanwhile
 0     list-cut  6000 0    0
 300   list-slow 5000 400  1
 600   node-slow 5000 1000 2
@@ -133,15 +133,16 @@
 6500  cold      500  0.2
 `
 
-// TestWays plays failing ways to list, nodes and owners for four processes under load: no rule breaks, and all are answered.
-func TestWays(t *testing.T) {
-	r := begin(t, Config{Schedulers: 4, Nodes: 10, Rate: 60, Seed: 2, Relays: true})
-	play(t, r, far)
-	res := end(t, r)
+// TestRouteFaults plays faults of the routes to node list, nodes and clients on four schedulers under load: no rule is violated, and all
+// schedulers agree on the members in the end.
+func TestRouteFaults(t *testing.T) {
+	r := startRig(t, Config{Schedulers: 4, Nodes: 10, Rate: 60, Seed: 2, Relays: true})
+	playScript(t, r, routeFaults)
+	res := finishRig(t, r)
 	t.Logf("%v", res.Answers)
 }
 
-const council = `# the stewards: one killed, two of three stopped, one cut off; then most of all killed
+const voterFaults = `# voters: one killed, two of three paused, one cut off; then most of all schedulers killed
 0     lossy 9000 0.05
 200   kill  3000 0    0
 4000  stop  3000 0    1 2
@@ -150,31 +151,31 @@
 11500 kill  1000 0    0 2 3 4
 `
 
-// TestBook has six processes under load, three of them stewards, agree on one book among kills, stops and cuts: no rule
-// breaks, and all hold the same in the end.
-func TestBook(t *testing.T) {
-	r := begin(t, Config{Schedulers: 6, Nodes: 8, Rate: 60, Seed: 3, Voters: 3})
+// TestVoterFaults has six schedulers under load, three of them voters, agree on one cluster state through kills, pauses and cuts: no rule is
+// violated, version and epoch grow, and all hold the same state in the end.
+func TestVoterFaults(t *testing.T) {
+	r := startRig(t, Config{Schedulers: 6, Nodes: 8, Rate: 60, Seed: 3, Voters: 3})
 	before, err := r.SchedulerView(5)
 	if err != nil {
 		t.Fatal(err)
 	}
-	play(t, r, council)
+	playScript(t, r, voterFaults)
 	after, err := r.SchedulerView(5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if after.ClusterState.Version <= before.ClusterState.Version || after.ClusterState.Epoch <= before.ClusterState.Epoch {
-		t.Errorf("version %d, epoch %d; before %d, %d", after.ClusterState.Version, after.ClusterState.Epoch, before.ClusterState.Version, before.ClusterState.Epoch)
+		t.Errorf("got version %d, epoch %d, want above version %d, epoch %d", after.ClusterState.Version, after.ClusterState.Epoch, before.ClusterState.Version, before.ClusterState.Epoch)
 	}
-	res := end(t, r)
+	res := finishRig(t, r)
 	t.Logf("%v, %+v", res.Answers, *after.ClusterState)
 }
 
-// TestZone has eight processes in four zones lose one zone's nodes and have them back, under load, while the leader of the
-// stewards may be any: all leave it, nothing is started there meanwhile, no rule breaks, and all send there again.
-func TestZone(t *testing.T) {
-	r := begin(t, Config{Schedulers: 8, Nodes: 12, Rate: 80, Seed: 4, Voters: 3, Zones: 4, Relays: true})
-	all := func(what float64, within time.Duration) (last float64) {
+// TestZoneLoss cuts one zone's nodes off from eight schedulers in four zones under load, and restores them; any of the voters may lead. All
+// schedulers stop sending to the zone, no rule is violated, and all send there again afterwards.
+func TestZoneLoss(t *testing.T) {
+	r := startRig(t, Config{Schedulers: 8, Nodes: 12, Rate: 80, Seed: 4, Voters: 3, Zones: 4, Relays: true})
+	awaitShares := func(what float64, within time.Duration) (last float64) {
 		t.Helper()
 		var parts []float64
 		for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -186,22 +187,22 @@
 				return slices.Max(at)
 			}
 		}
-		t.Fatalf("parts of the zone that are sent to: %v, want %g", parts, what)
+		t.Fatalf("got shares of the zone %v, want %g from all schedulers", parts, what)
 		return 0
 	}
 	lost := float64(time.Now().UnixMilli())
 	r.IsolateZone("south", true)
-	left := all(0, 20*time.Second) - lost
+	left := awaitShares(0, 20*time.Second) - lost
 	time.Sleep(3 * time.Second)
 	r.IsolateZone("south", false)
 	back := float64(time.Now().UnixMilli())
-	again := all(1, 40*time.Second) - back
+	again := awaitShares(1, 40*time.Second) - back
 	time.Sleep(time.Second)
-	res := end(t, r)
-	t.Logf("left by all after %.0f ms, all send there again %.0f ms after its return; %v", left, again, res.Answers)
+	res := finishRig(t, r)
+	t.Logf("evacuated after %.0f ms, all send there again %.0f ms after its return; %v", left, again, res.Answers)
 }
 
-const zones = `# zones lost while stewards die, stand still, are cut off with their own, and most of all are killed
+const zoneFaults = `# zones lost while voters are killed, paused or cut off with their zone, and most schedulers are killed
 0     zone 6000 3
 1500  kill 1500 0    0
 14000 stop 4000 0    0 1
@@ -211,32 +212,32 @@
 33500 kill 1500 0    2-7
 `
 
-// TestZoneFaults loses zones one after the other for eight processes that keep near, while other things fail: no rule breaks, all
-// hold one book in the end and send everywhere again.
+// TestZoneFaults loses one zone after the other for eight locality-aware schedulers, while schedulers fail: no rule is violated, all hold one
+// cluster state in the end and send to their own zones without a limit again.
 func TestZoneFaults(t *testing.T) {
-	r := begin(t, Config{Schedulers: 8, Nodes: 12, Rate: 80, Seed: 5, Voters: 3, Zones: 4, Localities: true, Relays: true})
-	play(t, r, zones)
-	own := func() (at string) { // all send to their own zones wholly
+	r := startRig(t, Config{Schedulers: 8, Nodes: 12, Rate: 80, Seed: 5, Voters: 3, Zones: 4, Localities: true, Relays: true})
+	playScript(t, r, zoneFaults)
+	missingShares := func() (at string) { // The result names the schedulers that do not send all to their own zone.
 		for i := range r.processes {
 			_, part, err := r.ZoneShares(r.zoneOf(i))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if part[i] < 1 {
-				at += fmt.Sprintf(" %s sends to %g of %s", r.processes[i].name, part[i], r.zoneOf(i))
+				at += fmt.Sprintf(" %s sends a share of %g to %s", r.processes[i].name, part[i], r.zoneOf(i))
 			}
 		}
 		return at
 	}
-	for end := time.Now().Add(40 * time.Second); own() != "" && time.Now().Before(end); {
+	for end := time.Now().Add(40 * time.Second); missingShares() != "" && time.Now().Before(end); {
 		time.Sleep(200 * time.Millisecond)
 	}
-	if left := own(); left != "" {
+	if left := missingShares(); left != "" {
 		t.Error(left)
 	}
-	res := end(t, r)
+	res := finishRig(t, r)
 	if res.Value < 0.3 {
-		t.Errorf("%.3f of the value was served", res.Value)
+		t.Errorf("got a fraction of %.3f of the value served in time, want at least 0.3", res.Value)
 	}
-	t.Logf("%v, %.3f of the value served in time, %.3f ran in the own zone", res.Answers, res.Value, res.LocalFraction)
+	t.Logf("%v, %.3f of the value served in time, %.3f of the attempts in the scheduler's own zone", res.Answers, res.Value, res.LocalFraction)
 }
--- a/internal/lab/cluster/routes.go
+++ b/internal/lab/cluster/routes.go
@@ -12,17 +12,17 @@
 	"ravenpond/internal/standin"
 )
 
-// routeKey names the way between a scheduler and another party: "list", "owner", or a node by its number.
+// routeKey identifies the route between a scheduler and another party: "list", "client", or a node by its number.
 type routeKey struct{ scheduler, party string }
 
-// DatagramLink is the way of datagrams from one scheduler to another.
+// DatagramLink is how datagrams pass from one scheduler to another.
 type DatagramLink struct {
 	Cut   bool
 	Loss  float64
 	Delay time.Duration
 }
 
-// addNodeRelay has schedulers reach a node by a relay, which learns from their greeting who they are.
+// addNodeRelay has schedulers reach a node through a relay, which identifies them by their greeting.
 func (r *Rig) addNodeRelay(n *standin.Node) error {
 	x, err := newRelay(n.Address, schedulerOf, r.routesTo(fmt.Sprint(n.ID)))
 	if err != nil {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// schedulerOf reads the name of a scheduler from its greeting to a node.
+// schedulerOf parses the name of a scheduler from its greeting to a node.
 func schedulerOf(first []byte) (name string, ok bool) {
 	_, after, ok := bytes.Cut(first, []byte("\r\nScheduler: "))
 	if !ok {
@@ -44,7 +44,7 @@
 	return name, ok
 }
 
-// routesTo gives the ways between schedulers and a party, as they are.
+// routesTo returns a function that looks up the current routes between a scheduler and a party.
 func (r *Rig) routesTo(party string) func(sched string) (there, back Route) {
 	return func(sched string) (there, back Route) {
 		r.mu.Lock()
@@ -54,18 +54,18 @@
 	}
 }
 
-// SetRoute sets the way from a scheduler to a party, and back.
+// SetRoute sets the routes from a scheduler to a party and back.
 func (r *Rig) SetRoute(i int, party string, there, back Route) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	of := routeKey{r.processes[i].name, party}
-	r.routes[of] = [2]Route{there, back}
+	key := routeKey{r.processes[i].name, party}
+	r.routes[key] = [2]Route{there, back}
 	if party != "list" || back.Cut {
 		return
 	}
 	kept := r.delayed[:0]
-	for _, x := range r.delayed { // what the list said meanwhile is heard now
-		if x.Scheduler == of.scheduler {
+	for _, x := range r.delayed { // The scheduler receives now what the node list sent while the route was cut.
+		if x.Scheduler == key.scheduler {
 			x.At = r.testbed.Now()
 			r.trace = append(r.trace, x)
 		} else {
@@ -75,7 +75,7 @@
 	r.delayed = kept
 }
 
-// ResetConnections breaks all connections of a scheduler.
+// ResetConnections resets all relayed connections of a scheduler.
 func (r *Rig) ResetConnections(i int) {
 	x := r.processes[i]
 	for _, y := range append([]*relay{x.listRelay, x.clientRelay}, r.relays...) {
@@ -85,26 +85,26 @@
 	}
 }
 
-// addScheduler opens the relay to a scheduler and finds it a port for datagrams.
+// addScheduler opens the datagram relay of a scheduler and reserves a port for its datagrams.
 func (r *Rig) addScheduler(i int) error {
 	name := fmt.Sprintf("s%03d", i)
-	x := &process{name: name, folder: filepath.Join(r.Dir, name)}
-	free, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(standin.LoopbackHost(i))})
+	x := &process{name: name, stateDir: filepath.Join(r.Dir, name)}
+	reserved, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(standin.LoopbackHost(i))})
 	if err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
-	x.listen = free.LocalAddr().String()
+	x.listen = reserved.LocalAddr().String()
 	if x.relay, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
-	x.reservedConn = free
+	x.reservedConn = reserved
 	r.processes = append(r.processes, x)
 	return nil
 }
 
-// forwardDatagrams passes datagrams on to a scheduler, as the lanes have it, until the relay is closed.
+// forwardDatagrams forwards datagrams to a scheduler, by the links from their senders, until the relay is closed.
 func (r *Rig) forwardDatagrams(to int, x *process) {
-	at, _ := net.ResolveUDPAddr("udp4", x.listen) // its own words, read back
+	at, _ := net.ResolveUDPAddr("udp4", x.listen) // The address was formatted by addScheduler, so it parses.
 	b := make([]byte, 2048)
 	for {
 		n, from, err := x.relay.ReadFromUDPAddrPort(b)
@@ -112,7 +112,7 @@
 			if r.ctx.Err() != nil {
 				return
 			}
-			continue // nobody listens there just now
+			continue // The scheduler does not listen while it is dead.
 		}
 		sender := -1
 		for j, y := range r.processes {
@@ -127,15 +127,15 @@
 		switch {
 		case drop:
 		case l.Delay > 0:
-			late := slices.Clone(b[:n])
-			time.AfterFunc(l.Delay, func() { _, _ = x.relay.WriteToUDP(late, at) })
+			delayed := slices.Clone(b[:n])
+			time.AfterFunc(l.Delay, func() { _, _ = x.relay.WriteToUDP(delayed, at) })
 		default:
 			_, _ = x.relay.WriteToUDP(b[:n], at)
 		}
 	}
 }
 
-// SetDatagramLink sets the way from one scheduler to another.
+// SetDatagramLink sets the link from one scheduler to another.
 func (r *Rig) SetDatagramLink(from, to int, l DatagramLink) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/cluster/script.go
+++ b/internal/lab/cluster/script.go
@@ -11,41 +11,41 @@
 	"time"
 )
 
-// Step is a line of a script: at a time something goes wrong with some schedulers, for a while.
+// Step is a line of a script: a fault that hits some schedulers at a time, for a while.
 type Step struct {
 	At, Duration time.Duration
 	Kind         string
-	Schedulers   []int // empty: all
+	Schedulers   []int // that it hits, empty: all
 	Size         float64
 }
 
-// stepKinds of steps, and what their size means.
+// stepKinds are the kinds of steps, and what their size means.
 var stepKinds = map[string]string{
-	"kill":      "killed, and started again at the end of its time",
-	"stop":      "stands still",
-	"part":      "cut off from all others that are not named",
-	"deaf":      "the first named hears nothing of the second",
-	"lossy":     "a part, the size, of what goes to and from it is lost",
-	"slow":      "what it says takes so many ms longer, the size",
-	"list-cut":  "nothing passes between them and the node list; what was said is heard afterwards",
-	"list-slow": "words between them and the node list take so many ms longer, the size",
-	"node-cut":  "nothing passes between them and a part of the nodes, the size",
-	"node-slow": "words of a tenth of the nodes to them take so many ms longer, the size",
-	"trickle":   "a tenth of the nodes hear and say so many bytes a second, the size, with them",
-	"reset":     "all their connections break, and again every 250 ms of its time",
-	"zone":      "nobody hears the nodes of a zone, by its number, the size; it names no scheduler",
-	"cold":      "a part, the size, of all nodes is lost and comes back cold; it names no scheduler",
-}
-
-// NeedsRelays tells whether steps need connections to pass relays.
+	"kill":      "they are killed, and started again after the duration",
+	"stop":      "their processes are paused",
+	"part":      "they are cut off from all schedulers that are not named",
+	"deaf":      "the first named receives nothing from the second",
+	"lossy":     "the size is the fraction of datagrams to and from them that is lost",
+	"slow":      "the size is the added delay in ms of datagrams from them",
+	"list-cut":  "nothing passes between them and the node list; what was sent arrives afterwards",
+	"list-slow": "the size is the added delay in ms between them and the node list",
+	"node-cut":  "nothing passes between them and a fraction of the nodes, the size",
+	"node-slow": "the size is the added delay in ms from a tenth of the nodes to them",
+	"trickle":   "the size is the bytes per second that pass in each direction between them and a tenth of the nodes",
+	"reset":     "all their connections are reset, and again every 250 ms for the duration",
+	"zone":      "no scheduler reaches the nodes of a zone, the size is its number; it names no scheduler",
+	"cold":      "a fraction of all nodes, the size, crashes and restarts cold; it names no scheduler",
+}
+
+// NeedsRelays reports whether steps need Config.Relays.
 func NeedsRelays(steps []Step) bool {
 	return slices.ContainsFunc(steps, func(s Step) bool {
 		return strings.HasPrefix(s.Kind, "list-") || strings.HasPrefix(s.Kind, "node-") || s.Kind == "trickle" || s.Kind == "reset" || s.Kind == "zone"
 	})
 }
 
-// Parse reads a script: lines `MS KIND FOR-MS SIZE [NUMBERS ...]`; those that begin with # say why. Numbers are those of
-// schedulers, from 0; a range is 3-7, and % after a number means so many hundredths of all, from the last.
+// Parse reads a script of lines `MS KIND FOR-MS SIZE [NUMBERS ...]`; those that begin with # are comments. Schedulers are numbered from 0;
+// 3-7 is a range, and 40% is that percentage of all schedulers, counted from the last.
 func Parse(in io.Reader, schedulers int) (steps []Step, err error) {
 	lines := bufio.NewScanner(in)
 	for n := 1; lines.Scan(); n++ {
@@ -54,26 +54,26 @@
 			continue
 		}
 		s := Step{}
-		var at, lasts float64
+		var at, duration float64
 		if len(f) >= 4 {
 			s.Kind = f[1]
-			_, err = fmt.Sscan(f[0]+" "+f[2]+" "+f[3], &at, &lasts, &s.Size)
+			_, err = fmt.Sscan(f[0]+" "+f[2]+" "+f[3], &at, &duration, &s.Size)
 		}
-		if len(f) < 4 || err != nil || stepKinds[s.Kind] == "" || at < 0 || lasts < 0 {
-			return nil, fmt.Errorf("script, line %d: MS KIND FOR-MS SIZE [NUMBERS ...] is expected", n)
+		if len(f) < 4 || err != nil || stepKinds[s.Kind] == "" || at < 0 || duration < 0 {
+			return nil, fmt.Errorf("script, line %d: want MS KIND FOR-MS SIZE [NUMBERS ...]", n)
 		}
-		s.At, s.Duration = time.Duration(at*1e6), time.Duration(lasts*1e6)
-		for _, word := range f[4:] {
-			from, to, err := numbers(word, schedulers)
+		s.At, s.Duration = time.Duration(at*1e6), time.Duration(duration*1e6)
+		for _, field := range f[4:] {
+			from, to, err := schedulerRange(field, schedulers)
 			if err != nil || from < 0 || to >= schedulers || from > to {
-				return nil, fmt.Errorf("script, line %d: %q: numbers from 0 to %d are expected", n, word, schedulers-1)
+				return nil, fmt.Errorf("script, line %d: %q: want numbers from 0 to %d", n, field, schedulers-1)
 			}
 			for i := from; i <= to; i++ {
 				s.Schedulers = append(s.Schedulers, i)
 			}
 		}
 		if s.Kind == "deaf" && len(s.Schedulers) != 2 {
-			return nil, fmt.Errorf("script, line %d: deaf names two", n)
+			return nil, fmt.Errorf("script, line %d: deaf needs two scheduler numbers", n)
 		}
 		steps = append(steps, s)
 	}
@@ -81,7 +81,7 @@
 	return steps, lines.Err()
 }
 
-func numbers(word string, schedulers int) (from, to int, err error) {
+func schedulerRange(word string, schedulers int) (from, to int, err error) {
 	if part, ok := strings.CutSuffix(word, "%"); ok {
 		n, err := strconv.Atoi(part)
 		return schedulers - max(1, n*schedulers/100), schedulers - 1, err
@@ -95,7 +95,7 @@
 }
 
 // Play plays a script on the rig, and returns when its last step is over.
-func (r *Rig) Play(ctx context.Context, steps []Step, say func(format string, args ...any)) error {
+func (r *Rig) Play(ctx context.Context, steps []Step, logf func(format string, args ...any)) error {
 	began := time.Now()
 	r.scriptFrom = r.testbed.Now()
 	defer func() { r.scriptUntil = r.testbed.Now() }()
@@ -104,7 +104,7 @@
 		if err := wait(ctx, began.Add(s.At)); err != nil {
 			return err
 		}
-		say("%6.1f s %s %v for %s", time.Since(began).Seconds(), s.Kind, s.Schedulers, s.Duration)
+		logf("%6.1f s %s %v for %s", time.Since(began).Seconds(), s.Kind, s.Schedulers, s.Duration)
 		r.inject(s)
 		ends = max(ends, s.At+s.Duration)
 	}
@@ -128,14 +128,14 @@
 // resetInterval is the time between two resets of a step.
 const resetInterval = 250 * time.Millisecond
 
-// injection is a step that happens.
+// injection is a step that is injected.
 type injection struct {
 	*Rig
 	Step
 	hit []int // schedulers
 }
 
-// injectors hold how each kind of step is injected, and ended after its time.
+// injectors inject each kind of step, and schedule its end.
 var injectors = map[string]func(*injection){
 	"kill": (*injection).kill,
 	"stop": (*injection).pause,
@@ -166,27 +166,27 @@
 	"cold":  func(in *injection) { in.CrashNodes(in.Size, in.Duration) },
 }
 
-// inject has a step happen, and schedules its end.
+// inject injects a step, and schedules its end.
 func (r *Rig) inject(s Step) {
-	in := &injection{Rig: r, Step: s, hit: s.Schedulers}
-	if len(in.hit) == 0 {
+	injected := &injection{Rig: r, Step: s, hit: s.Schedulers}
+	if len(injected.hit) == 0 {
 		for i := range r.processes {
-			in.hit = append(in.hit, i)
+			injected.hit = append(injected.hit, i)
 		}
 	}
-	injectors[s.Kind](in)
+	injectors[s.Kind](injected)
 }
 
 // hits reports whether the step hits a scheduler.
 func (in *injection) hits(i int) bool { return slices.Contains(in.hit, i) }
 
-// delay is the step's size as a time; it is in ms.
+// delay is the step's size, in ms, as a duration.
 func (in *injection) delay() time.Duration { return time.Duration(in.Size * 1e6) }
 
 func (in *injection) kill() {
 	for _, i := range in.hit {
 		in.KillScheduler(i)
-		in.runAfter(in.Duration, func() { _ = in.StartScheduler(i) }) // whoever polls finds that it is missing
+		in.runAfter(in.Duration, func() { _ = in.StartScheduler(i) }) // A scheduler that does not start is found missing by those who wait for convergence.
 	}
 }
 
@@ -213,7 +213,7 @@
 	in.runAfter(in.Duration, func() { in.IsolateZone(zone, false) })
 }
 
-// linkFault sets datagram links between schedulers for the step's time.
+// linkFault sets datagram links between schedulers for the step's duration.
 func (in *injection) linkFault(hits func(from, to int) bool, faulty DatagramLink) {
 	set := func(l DatagramLink) {
 		for i := range in.processes {
@@ -228,7 +228,7 @@
 	in.runAfter(in.Duration, func() { set(DatagramLink{}) })
 }
 
-// routeFault sets routes between the schedulers that the step hits and other parties for its time.
+// routeFault sets routes between the schedulers that the step hits and other parties for its duration.
 func (in *injection) routeFault(parties []string, there, back Route) {
 	set := func(there, back Route) {
 		for _, i := range in.hit {
@@ -241,7 +241,7 @@
 	in.runAfter(in.Duration, func() { set(Route{}, Route{}) })
 }
 
-// firstNodes are the names of the first nodes, a fraction of all.
+// firstNodes returns the names of the first nodes, a fraction of all.
 func (r *Rig) firstNodes(fraction float64) (names []string) {
 	for i := range r.nodes {
 		if float64(i) < fraction*float64(len(r.nodes)) {
--- a/internal/lab/cluster/site.go
+++ b/internal/lab/cluster/site.go
@@ -27,23 +27,23 @@
   <owners listen="127.0.0.1:0"/>
 </site>`
 
-// startNodes starts the stand-ins of nodes and list.
+// startNodes starts the stand-ins of nodes and node list, and with Config.Relays their relays.
 func (r *Rig) startNodes() error {
-	bears := max(12, r.Schedulers)
-	text := fmt.Sprintf(siteText, r.Schedulers, bears, r.zoneElements(), r.cores(), 2*r.cores(), "", "127.0.0.1:1")
+	slowStartLimit := max(12, r.Schedulers)
+	text := fmt.Sprintf(siteText, r.Schedulers, slowStartLimit, r.zoneElements(), r.cores(), 2*r.cores(), "", "127.0.0.1:1")
 	place, faults := site.Read(strings.NewReader(text))
 	if len(faults) > 0 {
-		return fmt.Errorf("site of the rig: %s", faults[0])
+		return fmt.Errorf("site file of the rig: %s", faults[0])
 	}
 	r.site = place
 	r.rules = audit.Rules{
-		Nodes: map[uint32]audit.Location{}, DrainGrace: place.DrainGrace, SlowStartLimit: bears, SlowStartDuration: place.Cluster.SlowStartDuration,
+		Nodes: map[uint32]audit.Location{}, DrainGrace: place.DrainGrace, SlowStartLimit: slowStartLimit, SlowStartDuration: place.Cluster.SlowStartDuration,
 		SlowStartWindow: place.Cluster.SlowStartWindow, Slack: 500,
 		Jobs: []audit.JobRules{{}, {Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxTogether: 3}, {Semantics: audit.AtMostOnce}},
 	}
 	mk := standin.MachineConfig{
 		Cores: float64(r.cores()), Memory: 2 * float64(r.cores()), CoresLimit: 2, MemoryLimit: 1.5, InspectTime: 4, QueueLimit: 200, ConcurrentStarts: 16, ProgramMissFactor: 3, ProgramCacheSize: 8,
-		WarmupPace: 0.5, WarmupDuration: place.Cluster.SlowStartDuration, OverloadFactor: 1e9, OverloadWindow: 1000, SlowStartLimit: bears,
+		WarmupPace: 0.5, WarmupDuration: place.Cluster.SlowStartDuration, OverloadFactor: 1e9, OverloadWindow: 1000, SlowStartLimit: slowStartLimit,
 	}
 	for job := range 3 {
 		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 10, MeanRuntime: 2500, MeanUse: 0.5, Priority: job, Deduplicated: job == 1})
@@ -71,22 +71,22 @@
 		return err
 	}
 	for _, x := range r.processes {
-		is := func([]byte) (string, bool) { return x.name, true }
-		if x.listRelay, err = newRelay(r.list.Address, is, r.routesTo("list")); err != nil {
+		callerOf := func([]byte) (string, bool) { return x.name, true }
+		if x.listRelay, err = newRelay(r.list.Address, callerOf, r.routesTo("list")); err != nil {
 			return err
 		}
 		if x.clientRelay, err = newRelay(func() string {
 			x.mu.Lock()
 			defer x.mu.Unlock()
 			return x.address
-		}, is, r.routesTo("owner")); err != nil {
+		}, callerOf, r.routesTo("client")); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// zoneElements are what the site file says of them.
+// zoneElements returns the elements of the site file for the zones and the latencies between them.
 func (r *Rig) zoneElements() string {
 	var b strings.Builder
 	names := []string{"east", "west", "north", "south", "inner", "outer"}[:max(2, r.Zones)]
@@ -110,7 +110,7 @@
 
 func (r *Rig) zoneOf(i int) string { return r.site.Zones[i%len(r.site.Zones)] }
 
-// voterAttribute names them, as the site file does.
+// voterAttribute returns the attribute of the site file that names the voters, empty if there are none.
 func (r *Rig) voterAttribute() string {
 	if r.Voters == 0 {
 		return ""
@@ -122,7 +122,7 @@
 	return fmt.Sprintf(` stewards="%s"`, strings.Join(names, " "))
 }
 
-// generateLoad asks at the plan's rate, each owner in turn, until the rig ends.
+// generateLoad sends requests at the configured rate, from each client in turn, until the rig ends.
 func (r *Rig) generateLoad() {
 	tick := time.NewTicker(time.Duration(1e9 / r.Rate))
 	defer tick.Stop()
