--- a/internal/lab/cluster/relay_test.go
+++ b/internal/lab/cluster/relay_test.go
@@ -57,14 +57,14 @@
 	}
 	defer c.Close()
 	answers := bufio.NewReader(c)
-	ask := func(word string, within time.Duration) (string, error) {
-		if _, err := c.Write([]byte(word)); err != nil {
+	echoLine := func(line string, within time.Duration) (string, error) {
+		if _, err := c.Write([]byte(line)); err != nil {
 			return "", err
 		}
 		_ = c.SetReadDeadline(time.Now().Add(within))
 		return answers.ReadString('\n')
 	}
-	const long = 10 * time.Second
+	const timeout = 10 * time.Second
 	for _, s := range []struct {
 		name        string
 		there, back Route
@@ -78,28 +78,28 @@
 	} {
 		set(s.there, s.back)
 		began := time.Now()
-		got, err := ask("one two\n", long)
+		got, err := echoLine("one two\n", timeout)
 		if took := time.Since(began); err != nil || got != "one two\n" || took < s.least {
 			t.Errorf("%s: got %q after %s, error %v", s.name, got, took, err)
 		}
 	}
 	for _, cut := range [][2]Route{{{Cut: true}, {}}, {{}, {Cut: true}}} {
 		set(cut[0], cut[1])
-		if got, err := ask("held\n", 100*time.Millisecond); err == nil {
+		if got, err := echoLine("held\n", 100*time.Millisecond); err == nil {
 			t.Errorf("got %q over a route that is cut", got)
 		}
 		set(Route{}, Route{})
-		_ = c.SetReadDeadline(time.Now().Add(long))
+		_ = c.SetReadDeadline(time.Now().Add(timeout))
 		if got, err := answers.ReadString('\n'); got != "held\n" {
 			t.Errorf("got %q, %v after the route was restored, want the held line", got, err)
 		}
 	}
 	r.reset("b")
-	if _, err := ask("still\n", long); err != nil {
+	if _, err := echoLine("still\n", timeout); err != nil {
 		t.Errorf("the reset of another caller broke the connection: %v", err)
 	}
 	r.reset("a")
-	if _, err := ask("gone\n", long); err == nil {
+	if _, err := echoLine("gone\n", timeout); err == nil {
 		t.Error("the connection still works after a reset")
 	}
 }
--- a/internal/lab/cluster/routes.go
+++ b/internal/lab/cluster/routes.go
@@ -12,7 +12,7 @@
 	"ravenpond/internal/standin"
 )
 
-// routeKey identifies the route between a scheduler and another party: "list", "client", or a node by its number.
+// routeKey identifies the route between a scheduler and another party: "list" for the node list, "owner" for clients, or a node by its number.
 type routeKey struct{ scheduler, party string }
 
 // DatagramLink is how datagrams pass from one scheduler to another.
--- a/internal/lab/cluster/site.go
+++ b/internal/lab/cluster/site.go
@@ -79,7 +79,7 @@
 			x.mu.Lock()
 			defer x.mu.Unlock()
 			return x.address
-		}, callerOf, r.routesTo("client")); err != nil {
+		}, callerOf, r.routesTo("owner")); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/shards/check.go
+++ b/internal/lab/shards/check.go
@@ -1,6 +1,5 @@
-// Package shards measures what several shards gain and cost, and checks by a great many allocations under races,
-// shard kills and stand-stills that no allocation ever has two tries out, no run-once one starts twice, and none
-// stays without an answer.
+// Package shards measures the gain and cost of several shards. It also checks with many allocations, under races and shards that panic and
+// pause, that no allocation ever has two attempts out, that no at-most-once one starts twice, and that each request is answered.
 package shards
 
 import (
@@ -43,41 +42,41 @@
   <owners listen="127.0.0.1:0"/>
 </site>`
 
-// Trial is one run in this process, over an in-memory transport.
+// Trial is one run of the scheduler in this process, over an in-memory transport.
 type Trial struct {
 	Shards            int
 	Connections       string // own, shared or informed
 	Requests          int
-	Concurrency       int     // asks open at once
-	Rate              float64 // asks a second, whatever becomes of them; 0: as the window has room
+	Concurrency       int     // open requests
+	Rate              float64 // requests per second in an open loop; 0: a closed loop, bounded by Concurrency
 	Nodes             int
-	DuplicateFraction float64       // part of the keys that are asked for on two connections at once
-	FaultInterval     time.Duration // mean time between a panic or stand-still of a shard; 0: none
+	DuplicateFraction float64       // fraction of the keys that are requested on two connections at once
+	FaultInterval     time.Duration // mean time between faults, a panic or a pause of a shard; 0: none
 	ResizeInterval    time.Duration // mean time between changes of the number of shards, from 1 to Shards; 0: none
-	SkipEpochCheck    bool          // the epoch check is left out, which must be found
+	SkipEpochCheck    bool          // an injected fault, which the trial must find: permits for attempts ignore epochs
 	Seed              uint64
 }
 
-// Result is what came of a trial.
+// Result is the outcome of a trial.
 type Result struct {
 	Requests, Served, Declined, Failed   int
-	Duplicates, SecondStarts, Unanswered int // tries while one is out; starts of a run-once one after the first; asks
+	Duplicates, SecondStarts, Unanswered int // attempts while another is out; starts of an at-most-once task after the first; requests
 	RepeatedAnswers                      int // answers after the first
 	Faults, Incarnations, Resizes        int
 	StaleEpochs                          int // offers of an epoch lower than some node has seen
 	Elapsed, CPU                         time.Duration
-	Start                                *hdrhistogram.Histogram // us from ask to served
+	Start                                *hdrhistogram.Histogram // us from request to served
 }
 
-// testbench is the world of a trial.
+// testbench holds the nodes' and clients' side of a trial.
 type testbench struct {
 	Trial
 	mu           sync.Mutex
-	running      map[uint64]runningTask // by token: the try that is out or runs
-	jobs         []byte                 // by key
-	started      map[uint64]int         // starts of run-once ones
-	epochs       []map[uint64]uint32
-	newest       map[uint64]uint32
+	running      map[uint64]runningTask // by token: the attempt that is out or runs
+	jobs         []byte                 // job classes by key
+	started      map[uint64]int         // starts of at-most-once tasks, by token
+	epochs       []map[uint64]uint32    // highest epoch that each node accepted, by token
+	newest       map[uint64]uint32      // highest epoch that any node was offered, by token
 	result       Result
 	faults       atomic.Int32
 	incarnations atomic.Int32
@@ -91,9 +90,9 @@
 
 // Check runs a trial.
 func Check(ctx context.Context, tr Trial) (*Result, error) {
-	place, faults := site.Read(strings.NewReader(fmt.Sprintf(siteText, tr.Shards, tr.Shards, tr.Connections)))
+	siteConfig, faults := site.Read(strings.NewReader(fmt.Sprintf(siteText, tr.Shards, tr.Shards, tr.Connections)))
 	if len(faults) > 0 {
-		return nil, fmt.Errorf("site of the trial: %s", faults[0])
+		return nil, fmt.Errorf("site file of the trial: %s", faults[0])
 	}
 	dir, err := os.MkdirTemp("", "ravenpond-cores-")
 	if err != nil {
@@ -103,10 +102,10 @@
 	if err := saveNodeList(dir, tr.Nodes); err != nil {
 		return nil, err
 	}
-	b := &testbench{Trial: tr, jobs: make([]byte, tr.Requests), running: map[uint64]runningTask{}, started: map[uint64]int{}, newest: map[uint64]uint32{}}
-	b.result.Start = hdrhistogram.New(1, 1e7, 3)
+	bench := &testbench{Trial: tr, jobs: make([]byte, tr.Requests), running: map[uint64]runningTask{}, started: map[uint64]int{}, newest: map[uint64]uint32{}}
+	bench.result.Start = hdrhistogram.New(1, 1e7, 3)
 	for range tr.Nodes {
-		b.epochs = append(b.epochs, map[uint64]uint32{})
+		bench.epochs = append(bench.epochs, map[uint64]uint32{})
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -115,46 +114,46 @@
 	var nodes sync.WaitGroup
 	go func() {
 		ended <- serve.Run(ctx, serve.Config{
-			Site: place, Name: "s", Folder: dir, Seed: tr.Seed, Log: zerolog.Nop(),
-			Faults: serve.Faults{WrapEffects: b.injectFaults, PermitAnyEpoch: tr.SkipEpochCheck}, OnLocalListener: func(l *serve.LocalListener) { local <- l }, Resize: resize,
+			Site: siteConfig, Name: "s", Folder: dir, Seed: tr.Seed, Log: zerolog.Nop(),
+			Faults: serve.Faults{WrapEffects: bench.injectFaults, PermitAnyEpoch: tr.SkipEpochCheck}, OnLocalListener: func(listener *serve.LocalListener) { local <- listener }, Resize: resize,
 			Connect: func(_ context.Context, address string) (net.Conn, error) {
-				nd, err := strconv.Atoi(address)
+				nodeIndex, err := strconv.Atoi(address)
 				if err != nil {
 					return nil, err
 				}
-				here, there := net.Pipe()
-				nodes.Go(func() { b.node(uint32(nd), there) })
-				return here, nil
+				schedulerEnd, nodeEnd := net.Pipe()
+				nodes.Go(func() { bench.serveNode(uint32(nodeIndex), nodeEnd) })
+				return schedulerEnd, nil
 			},
 		})
 	}()
-	var l *serve.LocalListener
+	var listener *serve.LocalListener
 	select {
-	case l = <-local:
+	case listener = <-local:
 	case err := <-ended:
 		return nil, err
 	}
-	time.Sleep(400 * time.Millisecond) // connections
-	asking, asked := context.WithCancel(ctx)
-	defer asked()
+	time.Sleep(400 * time.Millisecond) // The scheduler connects to the nodes meanwhile.
+	requesting, stopResizing := context.WithCancel(ctx)
+	defer stopResizing()
 	if tr.ResizeInterval > 0 {
-		nodes.Go(func() { b.resize(asking, resize) })
+		nodes.Go(func() { bench.resizeRandomly(requesting, resize) })
 	}
-	used, began := processCPU(), time.Now()
-	b.requestAll(l)
-	asked()
-	b.result.Elapsed, b.result.CPU = time.Since(began), processCPU()-used
+	cpuBefore, began := processCPU(), time.Now()
+	bench.requestAll(listener)
+	stopResizing()
+	bench.result.Elapsed, bench.result.CPU = time.Since(began), processCPU()-cpuBefore
 	stop()
 	if err := <-ended; err != nil {
 		return nil, err
 	}
 	nodes.Wait()
-	b.result.Faults, b.result.Incarnations = int(b.faults.Load()), int(b.incarnations.Load())
-	return &b.result, nil
+	bench.result.Faults, bench.result.Incarnations = int(bench.faults.Load()), int(bench.incarnations.Load())
+	return &bench.result, nil
 }
 
-// resize changes the number of shards now and then.
-func (b *testbench) resize(ctx context.Context, to chan<- int) {
+// resizeRandomly changes the number of shards at random intervals.
+func (b *testbench) resizeRandomly(ctx context.Context, to chan<- int) {
 	rng := rand.New(rand.NewPCG(b.Seed, 99))
 	for {
 		select {
@@ -202,10 +201,10 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// duplicateRefs is where the refs of second asks for a key begin.
+// duplicateRefs is added to the refs of second requests for a key.
 const duplicateRefs = 1 << 40
 
-// clientRecorder is an owner: it counts answers.
+// clientRecorder is a client that counts the answers to its requests.
 type clientRecorder struct {
 	bench   *testbench
 	mu      sync.Mutex
@@ -218,7 +217,7 @@
 
 func (s *clientRecorder) OnAnswer(ref uint64, answer engine.AnswerKind) {
 	s.mu.Lock()
-	_, twice := s.answers[ref]
+	_, repeated := s.answers[ref]
 	s.answers[ref] = answer
 	at := s.sentAt[ref]
 	delete(s.sentAt, ref)
@@ -228,47 +227,47 @@
 	if ref >= duplicateRefs {
 		key = ref - duplicateRefs
 	}
-	if answer == engine.Declined && s.bench.jobs[key] == 0 { // a restartable one asked for again is another allocation
+	if answer == engine.Declined && s.bench.jobs[key] == 0 { // A repeated request for a restartable task is another allocation.
 		delete(s.bench.running, serve.Hash("key", strconv.FormatUint(key, 10)))
 	}
 	switch {
-	case twice:
+	case repeated:
 		s.bench.result.RepeatedAnswers++
 	case answer == engine.Served:
 		s.bench.result.Served++
-		_ = s.bench.result.Start.RecordValue(time.Since(at).Microseconds()) // beyond 10 s is not told apart
+		_ = s.bench.result.Start.RecordValue(time.Since(at).Microseconds()) // Latencies beyond the histogram's 10 s are left out.
 	case answer == engine.Declined:
 		s.bench.result.Declined++
 	default:
 		s.bench.result.Failed++
 	}
 	s.bench.mu.Unlock()
-	if twice {
+	if repeated {
 		return
 	}
 	switch {
 	case s.bench.Rate > 0:
 	case answer == engine.Served:
 		<-s.slots
-	default: // owners ask less while they are turned away
+	default: // clients back off while they are declined
 		time.AfterFunc(10*time.Millisecond, func() { <-s.slots })
 	}
 }
 
-// requestAll asks for all keys by four owners, some of them by two at once, and waits for the answers.
+// requestAll requests all keys from four clients, some keys from two clients at once, and waits for the answers.
 func (b *testbench) requestAll(l *serve.LocalListener) {
-	const owners = 4
-	var all [owners]*clientRecorder
-	var conns [owners]*serve.LocalClient
-	for i := range all {
-		all[i] = &clientRecorder{
+	const clients = 4
+	var recorders [clients]*clientRecorder
+	var conns [clients]*serve.LocalClient
+	for i := range recorders {
+		recorders[i] = &clientRecorder{
 			bench: b, sentAt: map[uint64]time.Time{}, answers: map[uint64]engine.AnswerKind{},
-			slots: make(chan struct{}, max(1, b.Concurrency/owners)),
+			slots: make(chan struct{}, max(1, b.Concurrency/clients)),
 		}
-		conns[i] = l.Connect(all[i])
+		conns[i] = l.Connect(recorders[i])
 	}
-	one := func(i int, ref uint64, key uint64, job int) {
-		s := all[i]
+	send := func(i int, ref uint64, key uint64, job int) {
+		s := recorders[i]
 		s.mu.Lock()
 		s.sentAt[ref] = time.Now()
 		s.mu.Unlock()
@@ -277,26 +276,26 @@
 	}
 	var work sync.WaitGroup
 	began := time.Now()
-	for i := range owners {
+	for i := range clients {
 		work.Go(func() {
 			rng := rand.New(rand.NewPCG(b.Seed, uint64(i)))
-			for n := i; n < b.Requests; n += owners {
+			for n := i; n < b.Requests; n += clients {
 				key, job := uint64(n), [...]int{0, 1, 2, 2}[rng.IntN(4)]
 				b.jobs[n] = byte(job)
 				if b.Rate > 0 {
 					time.Sleep(time.Until(began.Add(time.Duration(float64(n) / b.Rate * 1e9))))
 				} else {
-					all[i].slots <- struct{}{}
+					recorders[i].slots <- struct{}{}
 				}
 				var both sync.WaitGroup
-				if other := (i + 1) % owners; rng.Float64() < b.DuplicateFraction {
-					select { // at the same moment, or not at all: later, it would be another allocation
-					case all[other].slots <- struct{}{}:
-						both.Go(func() { one(other, uint64(n)+duplicateRefs, key, job) })
+				if other := (i + 1) % clients; rng.Float64() < b.DuplicateFraction {
+					select { // The second request is sent at the same moment or not at all: later, it would be another allocation.
+					case recorders[other].slots <- struct{}{}:
+						both.Go(func() { send(other, uint64(n)+duplicateRefs, key, job) })
 					default:
 					}
 				}
-				one(i, uint64(n)+1, key, job)
+				send(i, uint64(n)+1, key, job)
 				both.Wait()
 			}
 		})
@@ -304,7 +303,7 @@
 	work.Wait()
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		left := 0
-		for _, s := range all {
+		for _, s := range recorders {
 			s.mu.Lock()
 			left += len(s.sentAt)
 			s.mu.Unlock()
@@ -313,7 +312,7 @@
 			break
 		}
 	}
-	for _, s := range all {
+	for _, s := range recorders {
 		s.mu.Lock()
 		b.result.Unanswered += len(s.sentAt)
 		b.result.Requests += len(s.sentAt) + len(s.answers)
--- a/internal/lab/shards/faults.go
+++ b/internal/lab/shards/faults.go
@@ -7,7 +7,7 @@
 	"ravenpond/internal/engine"
 )
 
-// faultyEffects lets a shard panic or stand still now and then, in the middle of what it does.
+// faultyEffects has a shard panic or pause at random intervals, while it is at work.
 type faultyEffects struct {
 	engine.Effects
 	bench     *testbench
@@ -16,16 +16,16 @@
 }
 
 func (b *testbench) injectFaults(e engine.Effects) engine.Effects {
-	life := b.incarnations.Add(1)
+	incarnation := b.incarnations.Add(1)
 	if b.FaultInterval == 0 {
 		return e
 	}
-	h := &faultyEffects{Effects: e, bench: b, rng: rand.New(rand.NewPCG(b.Seed, uint64(life)+100))}
-	h.nextFault = time.Now().Add(time.Duration(h.rng.ExpFloat64() * float64(b.FaultInterval) * float64(b.Shards)))
-	return h
+	faulty := &faultyEffects{Effects: e, bench: b, rng: rand.New(rand.NewPCG(b.Seed, uint64(incarnation)+100))}
+	faulty.nextFault = time.Now().Add(time.Duration(faulty.rng.ExpFloat64() * float64(b.FaultInterval) * float64(b.Shards)))
+	return faulty
 }
 
-// faultDue tells whether a harm is.
+// faultDue reports whether the next fault is due, and draws the time of the one after it.
 func (h *faultyEffects) faultDue() bool {
 	if time.Now().Before(h.nextFault) {
 		return false
@@ -35,29 +35,29 @@
 	return true
 }
 
-// PermitAttempt is where a shard stands still: longer than the watchdog allows, so that it is fenced and wakes up later with
-// a try in hand. Sometimes it has leave for it already, and sometimes it panics with that.
+// PermitAttempt pauses the shard for longer than the watchdog allows, so that it is fenced and resumes later with an attempt to send.
+// Sometimes it pauses with the permit already taken, and sometimes it panics with the permit.
 func (h *faultyEffects) PermitAttempt(task engine.OwnedTask, node uint32, attempt engine.AttemptID) bool {
-	harm, kind := h.faultDue(), h.rng.IntN(8)
-	if h.bench.SkipEpochCheck { // what is left out guards against that alone
+	due, kind := h.faultDue(), h.rng.IntN(8)
+	if h.bench.SkipEpochCheck { // The epoch check guards against a pause before the permit only.
 		kind = 0
 	}
-	if harm && kind < 2 {
+	if due && kind < 2 {
 		time.Sleep(2400 * time.Millisecond)
 	}
-	ok := h.Effects.PermitAttempt(task, node, attempt)
-	if harm && kind == 2 {
+	permitted := h.Effects.PermitAttempt(task, node, attempt)
+	if due && kind == 2 {
 		time.Sleep(2400 * time.Millisecond)
-	} else if harm && kind > 2 {
-		panic("planted, with leave for a try")
+	} else if due && kind > 2 {
+		panic("injected fault: a shard panics with a permit for an attempt")
 	}
-	return ok
+	return permitted
 }
 
-// RecordOutcome is where it panics with an outcome in hand.
+// RecordOutcome sometimes panics with an outcome that is not recorded yet.
 func (h *faultyEffects) RecordOutcome(task engine.OwnedTask, neverRan bool) {
 	if h.rng.IntN(4) == 0 && h.faultDue() {
-		panic("planted, with an outcome")
+		panic("injected fault: a shard panics with an outcome to record")
 	}
 	h.Effects.RecordOutcome(task, neverRan)
 }
--- a/internal/lab/shards/peer.go
+++ b/internal/lab/shards/peer.go
@@ -12,8 +12,8 @@
 	"ravenpond/internal/proto/node"
 )
 
-// nodePeer is a scheduler's connection to a node of the bench. It refuses some offers, starts others at once, ends them
-// soon, and keeps what it holds for its scheduler's next connection.
+// nodePeer is a node's end of a scheduler's connection. It refuses one in twenty offers and those of an older epoch, starts the others at
+// once, and ends their tasks after 60 to 100 ms.
 type nodePeer struct {
 	bench     *testbench
 	node      uint32
@@ -32,7 +32,7 @@
 	endsAt time.Time
 }
 
-func (b *testbench) node(nd uint32, conn net.Conn) {
+func (b *testbench) serveNode(nodeIndex uint32, conn net.Conn) {
 	defer conn.Close()
 	in := line.NewReader(conn)
 	head, err := in.Greeting(node.GreetingLine)
@@ -40,10 +40,10 @@
 		return
 	}
 	p := &nodePeer{
-		bench: b, node: nd, scheduler: head.Get("Scheduler"), conn: conn, wake: make(chan struct{}, 1),
-		rng: rand.New(rand.NewPCG(b.Seed, uint64(nd))),
+		bench: b, node: nodeIndex, scheduler: head.Get("Scheduler"), conn: conn, wake: make(chan struct{}, 1),
+		rng: rand.New(rand.NewPCG(b.Seed, uint64(nodeIndex))),
 	}
-	p.queue = line.AppendGreeting(nil, node.GreetingLine, "Node", strconv.Itoa(int(nd)+1), "Life", "1")
+	p.queue = line.AppendGreeting(nil, node.GreetingLine, "Node", strconv.Itoa(int(nodeIndex)+1), "Life", "1")
 	p.queue = node.AppendHeldAll(p.queue)
 	done := make(chan struct{})
 	go func() { defer close(done); p.write() }()
@@ -66,7 +66,7 @@
 	}
 }
 
-// write sends what is queued, and ends what has run long enough.
+// write sends queued messages, and ends tasks that have run long enough.
 func (p *nodePeer) write() {
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
@@ -96,16 +96,16 @@
 	}
 }
 
-func (p *nodePeer) send(b func([]byte) []byte) {
+func (p *nodePeer) send(appendMessage func([]byte) []byte) {
 	p.mu.Lock()
-	p.queue = b(p.queue)
+	p.queue = appendMessage(p.queue)
 	p.mu.Unlock()
 	p.wakeWriter()
 }
 
-func (b *testbench) onEnd(token uint64, nd uint32, attempt node.AttemptID) {
+func (b *testbench) onEnd(token uint64, nodeIndex uint32, attempt node.AttemptID) {
 	b.mu.Lock()
-	if h, ok := b.running[token]; ok && h.node == nd && h.attempt == attempt {
+	if h, ok := b.running[token]; ok && h.node == nodeIndex && h.attempt == attempt {
 		delete(b.running, token)
 	}
 	b.mu.Unlock()
@@ -114,13 +114,13 @@
 func (p *nodePeer) OnOffer(o node.Offer) error {
 	b, now, token := p.bench, time.Now(), o.Task.Token
 	b.mu.Lock()
-	seen := b.epochs[p.node][token]
-	turned := o.Epoch < seen || p.rng.IntN(20) == 0
+	epochSeen := b.epochs[p.node][token]
+	refused := o.Epoch < epochSeen || p.rng.IntN(20) == 0
 	if o.Epoch < b.newest[token] {
 		b.result.StaleEpochs++
 	}
 	b.newest[token] = max(b.newest[token], o.Epoch)
-	if !turned {
+	if !refused {
 		b.epochs[p.node][token] = o.Epoch
 		if h, ok := b.running[token]; ok && now.Before(h.deadline) {
 			b.result.Duplicates++
@@ -134,7 +134,7 @@
 	}
 	b.mu.Unlock()
 	p.send(func(q []byte) []byte {
-		if turned {
+		if refused {
 			return node.AppendOutcome(q, node.Outcome{Attempt: o.Attempt, Result: node.OutcomeRefused, Reason: 1 + p.rng.IntN(2), Report: []float64{900, 1800}})
 		}
 		p.tasks = append(p.tasks, task{o.Attempt, o.Task, now.Add(time.Duration(60+p.rng.IntN(40)) * time.Millisecond)})
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func (p *nodePeer) OnRecall(node.AttemptID) error { return nil } // all starts at once: there is nothing to hand back
+func (p *nodePeer) OnRecall(node.AttemptID) error { return nil } // All tasks start at once, so there is none to return.
 
 func (p *nodePeer) OnStop(attempt node.AttemptID) error {
 	p.mu.Lock()
@@ -191,4 +191,6 @@
 	return nil
 }
 
-func (p *nodePeer) OnBye(why string) error { return fmt.Errorf("farewell: %s", why) }
+func (p *nodePeer) OnBye(reason string) error {
+	return fmt.Errorf("scheduler ended the connection: %s", reason)
+}
