--- a/internal/lab/consensus/checks.go
+++ b/internal/lab/consensus/checks.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// checkVersion checks that a process does not go back, and that its state has the same bytes as any other of its version.
+// checkVersion checks that the version that a process holds never decreases, and that all states of a version have the same bytes.
 func (sm *simulation) checkVersion(p *process, view *control.View) {
 	version := view.State.Version()
 	if version < p.lastVersion {
@@ -46,7 +46,7 @@
 	}
 	snapshot := view.State.Snapshot()
 	if earlier, ok := sm.snapshots[version]; ok && !bytes.Equal(earlier, snapshot) {
-		sm.fail(fmt.Sprintf("%s holds another book of version %d than was held before", p.name, version))
+		sm.fail(fmt.Sprintf("%s holds a cluster state of version %d that differs from one held before", p.name, version))
 	}
 	sm.snapshots[version] = snapshot
 	if len(sm.firstHeld) == 0 || version > sm.firstHeld[len(sm.firstHeld)-1].version {
@@ -55,7 +55,7 @@
 	}
 }
 
-// checkStaleness checks that a process whose lease is valid holds all that any process held before the lease began.
+// checkStaleness checks that a process whose lease is valid holds every version that any process held before the lease began.
 func (sm *simulation) checkStaleness(p *process, version uint64) {
 	now := sm.clock.TrueTime()
 	for i := len(sm.firstHeld) - 1; i >= 0; i-- {
@@ -64,7 +64,7 @@
 			continue
 		}
 		if mark.version > version {
-			sm.fail(fmt.Sprintf("%s is sure of version %d, %d was held %.0f ms ago", p.name, version, mark.version, now-mark.at))
+			sm.fail(fmt.Sprintf("%s has a valid lease at version %d, but version %d was held %.0f ms ago", p.name, version, mark.version, now-mark.at))
 		}
 		return
 	}
@@ -73,7 +73,7 @@
 // checkFinalState checks that all have converged, and that the state has each process in its present incarnation.
 func (sm *simulation) checkFinalState() {
 	if sm.result.Failure == "" && sm.result.Convergence == 0 {
-		sm.fail("no one book at the end: " + sm.describe())
+		sm.fail("the processes hold different cluster states at the end: " + sm.describe())
 	}
 	if sm.result.Failure != "" {
 		return
@@ -85,7 +85,7 @@
 		}
 		for _, other := range sm.processes {
 			if entry, ok := state.Process(other.name); !ok || entry.Incarnation != other.incarnation {
-				sm.fail(fmt.Sprintf("%s holds %s in life %d, it acts in %d", p.name, other.name, entry.Incarnation, other.incarnation))
+				sm.fail(fmt.Sprintf("%s holds incarnation %[3]d of %[2]s, want %[4]d", p.name, other.name, entry.Incarnation, other.incarnation))
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 	for _, p := range sm.processes {
 		if p.runner != nil {
 			view := p.runner.View()
-			text += fmt.Sprintf(" %s version %d sure %.0f", p.name, view.State.Version(), view.LeaseExpiry-p.host.Now())
+			text += fmt.Sprintf(" %s version %d, lease valid for %.0f ms;", p.name, view.State.Version(), view.LeaseExpiry-p.host.Now())
 		}
 	}
 	return text
--- a/internal/lab/consensus/consensus.go
+++ b/internal/lab/consensus/consensus.go
@@ -1,11 +1,11 @@
-// Package consensus simulates schedulers that agree on the cluster state, on the laboratory's clock and network: the program's own members,
-// consensus and control, with voters' disks that outlive their processes, and faults drawn from a seed.
+// Package consensus simulates schedulers that agree on the cluster state, on the simulated clock and network of package sim. It runs the
+// program's own packages members, consensus and control, with voters' disks that outlive their processes, and faults drawn from a seed.
 //
-// Input is a seed; output a Result: the first thing that broke, and counts. Checked all along: two processes with the same version of the
-// cluster state hold the same bytes; no process goes back; a process whose lease is valid holds all that was agreed on longer ago than the
-// lease lasts. In the end all hold one state, in which each process acts in its present incarnation.
+// Input is a seed; output is a Result with the first violation, and counts. Checked throughout: two processes with the same version of the
+// cluster state hold the same bytes; the version that a process holds never decreases; a process whose lease is valid holds all that was
+// agreed on longer ago than the lease lasts. In the end all hold one state, which has the present incarnation of each process.
 //
-// Play belongs to one goroutine; Seeds plays many seeds at once. Other simulations start schedulers by StartScheduler.
+// Play runs in one goroutine; Seeds plays many seeds at once. Other simulations start schedulers by StartScheduler.
 package consensus
 
 import (
@@ -22,28 +22,28 @@
 
 // Times in ms.
 const (
-	activeTime    = 20000 // of faults and commands
-	settleTime    = 12000 // after them, by when all hold one state
+	activeTime    = 20000 // during which faults and commands come
+	settleTime    = 12000 // after the faults, within which all have to hold one state
 	commandsFrom  = 2500
 	maxStaleness  = consensus.Lease * 1.03
 	checkInterval = 25
 )
 
-// Result is what came of a seed.
+// Result is the outcome of a seed.
 type Result struct {
 	Seed               uint64
-	Failure            string // the first thing that broke, empty if nothing did
+	Failure            string // the first violation, empty if there was none
 	Commands, Answered int
 	Versions           uint64  // of the cluster state
 	Convergence        float64 // ms after the last fault until all held one state with valid leases
 }
 
-// simulation is a seed that is played.
+// simulation is the run of one seed.
 type simulation struct {
 	result    Result
 	clock     *sim.Clock
 	rng       *rand.Rand
-	faulty    consensus.Faults // in the program
+	faulty    consensus.Faults // injected into the program
 	processes []*process
 	voters    []string          // their names
 	snapshots map[uint64][]byte // by version, as it was first held
@@ -63,7 +63,7 @@
 	}
 }
 
-// Play plays a seed, with faults in the program.
+// Play simulates a seed, with faults injected into the program.
 func Play(seed uint64, faulty consensus.Faults) (result Result) {
 	sm := newSimulation(seed, faulty)
 	defer func() {
@@ -108,18 +108,18 @@
 
 func processName(i int) string { return fmt.Sprint("s", i) }
 
-// after calls f in so many ms.
+// after calls f after a delay in ms.
 func (sm *simulation) after(ms float64, f func()) { sm.clock.At(sm.clock.TrueTime()+ms, f) }
 
-// fail notes the first thing that breaks.
-func (sm *simulation) fail(what string) {
+// fail records the first violation.
+func (sm *simulation) fail(failure string) {
 	if sm.result.Failure == "" {
-		sm.result.Failure = fmt.Sprintf("at %.0f ms: %s", sm.clock.TrueTime(), what)
+		sm.result.Failure = fmt.Sprintf("at %.0f ms: %s", sm.clock.TrueTime(), failure)
 	}
 }
 
-// Seeds plays the seeds from first to end, the latter left out, so many at a time. Seeds that were not played when the context ended are
-// left out.
+// Seeds plays the seeds from first up to but not including end, as many at a time as there are workers. It leaves out seeds that were not
+// played when the context ended.
 func Seeds(ctx context.Context, first, end uint64, workers int, faulty consensus.Faults) []Result {
 	results := seeds.Run(ctx, first, end, workers, func(seed uint64) Result { return Play(seed, faulty) })
 	return slices.DeleteFunc(results, func(r Result) bool { return r.Commands == 0 && r.Failure == "" })
--- a/internal/lab/consensus/cost.go
+++ b/internal/lab/consensus/cost.go
@@ -10,13 +10,14 @@
 	measureUntil = 28000
 )
 
-// restVoters is how many processes are voters at rest.
+// restVoters is the number of voters in MeasureAtRest.
 const restVoters = 3
 
-// Cost is what consensus costs at rest: messages and bytes a second that a voter and a follower send, and writes a second to a voter's disk.
+// Cost is the cost of consensus at rest: messages and bytes per second that a voter and a follower send, and writes per second to a voter's
+// disk.
 type Cost struct{ Voter, Follower, VoterBytes, FollowerBytes, Writes float64 }
 
-// MeasureAtRest simulates so many processes, three of them voters, to which nothing happens.
+// MeasureAtRest simulates count processes, three of them voters, without faults and commands.
 func MeasureAtRest(seed uint64, count int) Cost {
 	sm := newSimulation(seed, consensus.Faults{})
 	for i := range restVoters {
--- a/internal/lab/consensus/disk.go
+++ b/internal/lab/consensus/disk.go
@@ -11,10 +11,10 @@
 
 // Disk is a voter's storage. It outlives its process, and keeps all entries: none is dropped for a snapshot.
 type Disk struct {
-	Full bool // a fault: Save fails
+	Full bool // an injected fault: Save fails
 
 	saved consensus.PersistedState
-	first uint64 // index of the first entry, 0: there is none
+	first uint64 // index of the first entry, 0: no entries
 }
 
 // Load implements control.Storage.
--- a/internal/lab/consensus/faults.go
+++ b/internal/lab/consensus/faults.go
@@ -10,7 +10,7 @@
 const (
 	maxLoss     = 0.2
 	duplication = 0.05
-	driftRange  = 0.01 // by which clocks run fast or slow, in all
+	driftRange  = 0.01 // width of the range of clock drifts, half of it fast and half slow
 )
 
 // Times of faults in ms.
@@ -19,21 +19,21 @@
 	faultSpan       = activeTime - 6000
 	minFaultTime    = 300
 	faultTimeRange  = 3500
-	killDeadline    = 400 // for a kill within what a process does
-	fullDiskRestart = 300 // after which a process with a full disk is started again
+	killDeadline    = 400 // after which a process is killed even if it had fewer effects than drawn
+	fullDiskRestart = 300 // after which a process killed with a full disk is started again
 )
 
-// maxEffects is after how many effects a process is killed at most.
+// maxEffects is the highest number of effects after which a process is killed.
 const maxEffects = 12
 
-// faultTarget is what a drawn fault hits, and for how many ms.
+// faultTarget is what a drawn fault hits, and its duration in ms.
 type faultTarget struct {
 	sim      *simulation
 	p, other *process
 	duration float64
 }
 
-// faultKinds are drawn from.
+// faultKinds are the faults that a seed draws from.
 var faultKinds = []func(faultTarget){
 	func(t faultTarget) { t.p.kill(t.duration) },
 	faultTarget.killAfterEffects,
@@ -47,7 +47,7 @@
 	faultTarget.loseDisk,
 }
 
-// scheduleFaults draws what goes wrong and when.
+// scheduleFaults draws the faults and their times.
 func (sm *simulation) scheduleFaults() {
 	anyProcess := func() *process { return sm.processes[sm.rng.IntN(len(sm.processes))] }
 	for range 3 + sm.rng.IntN(8) {
@@ -86,7 +86,7 @@
 	t.sim.after(t.duration, func() { t.sim.eachDatagramLink(func(l *sim.DatagramLink) { *l = sim.DatagramLink{} }) })
 }
 
-// fillDisk has a voter's disk take nothing for the rest of its incarnation, while a majority of disks works.
+// fillDisk has writes to a voter's disk fail for the rest of its incarnation, if a majority of disks still works then.
 func (t faultTarget) fillDisk() {
 	sm, p := t.sim, t.p
 	if p.disk == nil || p.runner == nil || sm.diskLost || sm.workingDisks() <= len(sm.voters)/2+1 {
@@ -99,7 +99,7 @@
 	})
 }
 
-// loseDisk restarts a voter without its disk. It may have voted, so it must not vote again.
+// loseDisk restarts a voter with an empty disk. It may have voted before, so it must not vote again.
 func (t faultTarget) loseDisk() {
 	sm, p := t.sim, t.p
 	if p.disk == nil || p.runner == nil || sm.diskLost || sm.workingDisks() != len(sm.voters) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// workingDisks is how many voters' disks are not full.
+// workingDisks counts the voters' disks that are not full.
 func (sm *simulation) workingDisks() (count int) {
 	for _, p := range sm.processes {
 		if p.disk != nil && !p.disk.Full {
@@ -139,7 +139,7 @@
 	return count
 }
 
-// isolate cuts some processes off from all others for so many ms.
+// isolate cuts some processes off from all others, for a time in ms.
 func (sm *simulation) isolate(ms float64, isolated ...*process) {
 	cut := func(cut bool) {
 		for _, p := range isolated {
--- a/internal/lab/consensus/process.go
+++ b/internal/lab/consensus/process.go
@@ -13,7 +13,7 @@
 	"ravenpond/internal/members"
 )
 
-// memberPort is added to a process's name for its address.
+// memberPort is appended to a process's name to form its address.
 const memberPort = ":7"
 
 // SilentMembers is a handler of membership events that ignores them, for schedulers without nodes.
@@ -25,20 +25,20 @@
 // OnNameTaken does nothing.
 func (SilentMembers) OnNameTaken(float64, string) {}
 
-// LastHeard knows of no node.
+// LastHeard reports that no node is known.
 func (SilentMembers) LastHeard(uint32) (incarnation uint64, heard float64, ok bool) {
 	return 0, 0, false
 }
 
-// SchedulerConfig says what StartScheduler starts. Name and seed of Replica are filled in.
+// SchedulerConfig says what StartScheduler starts. StartScheduler fills in the name and seed of Replica.
 type SchedulerConfig struct {
 	Seed    uint64
 	Replica consensus.Config
-	Disk    *Disk // nil: no voter
+	Disk    *Disk // nil unless the scheduler is a voter
 	Zones   control.ZoneConfig
 }
 
-// StartScheduler starts membership and control of a scheduler in a process of its name.
+// StartScheduler starts membership and control of a scheduler in a simulated process, under the process's name.
 func StartScheduler(p *sim.Process, config SchedulerConfig) (*control.Runner, error) {
 	var seeds []string
 	for _, voter := range config.Replica.Voters {
@@ -66,8 +66,8 @@
 	host        *sim.Process
 	incarnation uint64
 	runner      *control.Runner // nil while the process is dead
-	disk        *Disk           // nil: no voter
-	lastVersion uint64          // that this incarnation held
+	disk        *Disk           // nil unless the process is a voter
+	lastVersion uint64          // last version that this incarnation held
 }
 
 // start starts the next incarnation.
@@ -83,7 +83,7 @@
 	}
 }
 
-// kill kills the process, with a power loss or without, and starts it again in so many ms.
+// kill kills the process, with a power loss or without, and starts it again after a delay in ms.
 func (p *process) kill(restartDelay float64) {
 	if p.runner == nil {
 		return
@@ -96,7 +96,7 @@
 	})
 }
 
-// proposeCommand has a process propose a state of a zone.
+// proposeCommand has a random process propose a state for a zone.
 func (sm *simulation) proposeCommand() {
 	p := sm.processes[sm.rng.IntN(len(sm.processes))]
 	if p.runner == nil {
--- a/internal/lab/zones/checks.go
+++ b/internal/lab/zones/checks.go
@@ -9,13 +9,13 @@
 
 // Bounds of the checks.
 const (
-	maxFill         = 0.95 // of a zone's capacity, at loads below calmLoad
-	calmLoad        = 0.55
-	shareTolerance  = 1e-9
-	restingClosings = 3 // from which a zone that comes and goes stays closed for long
+	maxFill          = 0.95 // fraction of a zone's capacity, at loads below calmLoad
+	calmLoad         = 0.55
+	shareTolerance   = 1e-9
+	longClosureCount = 3 // closings after which a flapping zone may stay closed beyond the end of the simulation
 )
 
-// checkShares checks what a process decided to send.
+// checkShares checks the shares that a process decided on.
 func (sm *simulation) checkShares(p *process, view *control.View) {
 	for _, z := range zoneList {
 		if p.shares[z.Name] > 0 {
@@ -26,16 +26,16 @@
 	}
 }
 
-// checkClosed checks that a process does not send to a zone that was closed long enough ago, unless it can't know.
+// checkClosed checks that a process does not send to a zone that was closed longer than maxStaleness ago, unless it cannot know that.
 func (sm *simulation) checkClosed(p *process, zone string) {
 	since, closed := sm.closedSince[zone]
 	mustKnow := p.leaseValid || zone != p.zone && p.lastValidShares[zone] == 0
 	if age := sm.clock.TrueTime() - since; closed && age > maxStaleness && mustKnow {
-		sm.fail(fmt.Sprintf("%s of %s sends to %s, closed for %.0f ms; sure %v", p.name, p.zone, zone, age, p.leaseValid))
+		sm.fail(fmt.Sprintf("%s of %s sends to %s, closed for %.0f ms; lease valid: %v", p.name, p.zone, zone, age, p.leaseValid))
 	}
 }
 
-// checkPlanShare checks that a process of a closed zone keeps to its share of other zones by the plan.
+// checkPlanShare checks that a process of a closed zone stays within its share of other zones by the plan.
 func (sm *simulation) checkPlanShare(p *process, view *control.View, zone string) {
 	plan, _ := view.State.Plan()
 	home := view.State.Zone(p.zone)
@@ -43,15 +43,15 @@
 		return
 	}
 	if limit := float64(view.State.Share(p.zone, zone)) / float64(view.State.ActiveProcesses(p.zone)); p.placed[zone] > limit {
-		sm.fail(fmt.Sprintf("%s of %s uses %.0f cores of %s, its share is %.0f, and sends more", p.name, p.zone, p.placed[zone], zone, limit))
+		sm.fail(fmt.Sprintf("%s of %s uses %.0f cores of %s, above its share of %.0f, and still sends tasks there", p.name, p.zone, p.placed[zone], zone, limit))
 	}
 }
 
-// checkOpening checks that a process without a valid lease does not begin to send to a zone.
+// checkOpening checks that a process without a valid lease does not start to send to a zone to which it sent nothing before.
 func (sm *simulation) checkOpening(p *process, zone string) {
 	last := p.lastValidShares
 	if !p.leaseValid && last != nil && p.shares[zone] > last[zone]+shareTolerance && zone != p.zone && last[zone] == 0 {
-		sm.fail(fmt.Sprintf("%s is not sure and opens %s", p.name, zone))
+		sm.fail(fmt.Sprintf("%s has no valid lease and starts to send to %s", p.name, zone))
 	}
 }
 
@@ -65,7 +65,7 @@
 	return newest
 }
 
-// checkVerdicts checks which zones are closed against the faults, and notes when a zone is evacuated and recovered.
+// checkVerdicts checks the closed zones against the injected faults, and records when a zone is evacuated and when it has recovered.
 func (sm *simulation) checkVerdicts() {
 	state := sm.newestState()
 	if state == nil {
@@ -78,7 +78,7 @@
 		}
 	}
 	if closed > len(zoneList)/2 {
-		sm.fail(fmt.Sprintf("%d of %d zones are closed", closed, len(zoneList)))
+		sm.fail(fmt.Sprintf("%d of %d zones are closed, want at most half", closed, len(zoneList)))
 	}
 	now := sm.clock.TrueTime()
 	if at, ok := sm.lostAt[sm.targetZone]; ok && sm.result.Evacuation == 0 && sm.isEvacuated(sm.targetZone) {
@@ -101,16 +101,16 @@
 		sm.closedSince[zone] = sm.clock.TrueTime()
 		sm.result.Closings++
 		if !sm.mayClose(zone) {
-			sm.fail(fmt.Sprintf("zone %s was closed (%s), use %.0f", zone, entry.Cause, sm.usedCores[zone]))
+			sm.fail(fmt.Sprintf("zone %s was closed without a fault that allows it (%s), used cores %.0f", zone, entry.Cause, sm.usedCores[zone]))
 		}
 	}
 	if sm.usedCores[zone] > maxFill*zoneCapacity && sm.load < calmLoad {
-		sm.fail(fmt.Sprintf("zone %s is filled to %.2f at a load of %.2f", zone, sm.usedCores[zone]/zoneCapacity, sm.load))
+		sm.fail(fmt.Sprintf("zone %s is filled to a fraction of %.2f at a load of %.2f", zone, sm.usedCores[zone]/zoneCapacity, sm.load))
 	}
 	return closed
 }
 
-// isEvacuated reports whether a zone is closed, and all processes that run and can know send nothing there.
+// isEvacuated reports whether a zone is closed, and no process that runs and can know of it sends there.
 func (sm *simulation) isEvacuated(zone string) bool {
 	for _, p := range sm.processes {
 		canKnow := p.runner != nil && !p.host.Paused() && p.runner.View().State.Version() > 0
@@ -133,12 +133,12 @@
 	return len(sm.closedSince) == 0
 }
 
-// checkFinalState checks that all has recovered, and that a lost zone was evacuated.
+// checkFinalState checks that all zones have recovered, and that a lost zone was evacuated.
 func (sm *simulation) checkFinalState() {
 	switch {
-	case !sm.hasRecovered() && sm.result.Closings < restingClosings:
-		sm.fail(fmt.Sprintf("not as before: closed %v", sm.closedSince))
+	case !sm.hasRecovered() && sm.result.Closings < longClosureCount:
+		sm.fail(fmt.Sprintf("zones have not recovered at the end: closed since %v", sm.closedSince))
 	case sm.targetZone != "" && sm.result.Evacuation == 0:
-		sm.fail("the lost zone was not left by all")
+		sm.fail("some process did not stop sending to the lost zone")
 	}
 }
--- a/internal/lab/zones/faults.go
+++ b/internal/lab/zones/faults.go
@@ -6,7 +6,7 @@
 	"ravenpond/internal/decide/consensus"
 )
 
-// zoneFault is what goes wrong with zones: from a true time on, for a while, both in ms.
+// zoneFault is a fault of zones. It starts at a true time and has a duration, both in ms.
 type zoneFault struct {
 	sim          *simulation
 	zone         string
@@ -14,7 +14,7 @@
 	at, duration float64
 }
 
-// zoneFaults are what goes wrong with zones, by the seed.
+// zoneFaults are the faults of zones; the seed modulo their number selects one.
 var zoneFaults = []func(zoneFault){
 	zoneFault.lost,
 	zoneFault.lost,
@@ -26,8 +26,8 @@
 	zoneFault.regionsCut,
 }
 
-// scheduleFaults schedules what goes wrong: one thing with zones, by the seed, and by chance kills and pauses of processes. Every eighth seed
-// is undisturbed, to measure times.
+// scheduleFaults schedules one fault of zones, by the seed, and at random kills and pauses of processes. Every eighth seed has only the loss
+// of a zone, to measure times.
 func (sm *simulation) scheduleFaults() {
 	f := zoneFault{sim: sm, zone: zoneList[sm.rng.IntN(len(zoneList))].Name}
 	for _, z := range zoneList {
@@ -49,7 +49,7 @@
 	}
 }
 
-// expect notes what the fault is called, and that its zone may be closed for it.
+// expect records the name of the fault, and that its zone may be closed.
 func (f zoneFault) expect(name string) {
 	f.sim.result.Fault = name
 	f.sim.mayClose = func(zone string) bool { return zone == f.zone }
@@ -78,7 +78,8 @@
 	f.sim.lostAt = map[string]float64{}
 }
 
-// partial breaks links of one process and between two zones, and silences a fifth of a zone: no zone may be closed for that.
+// partial breaks the links from one process to a zone and between two zones, and silences a fifth of a zone's nodes: no zone may be closed
+// for that.
 func (f zoneFault) partial() {
 	sm := f.sim
 	sm.result.Fault = "ways from one process and one zone are broken, a fifth of a zone is silent"
@@ -136,7 +137,7 @@
 	})
 }
 
-// killLeader kills the leader of the consensus in a moment, if there is one.
+// killLeader kills the leader of the consensus after 1 ms, if there is one.
 func (sm *simulation) killLeader() {
 	for _, p := range sm.processes {
 		if p.runner == nil || p.disk == nil {
@@ -150,7 +151,7 @@
 	}
 }
 
-// loseZone has a zone's nodes answer nobody for a while.
+// loseZone has a zone's nodes answer no process for a while.
 func (sm *simulation) loseZone(at float64, zone string, duration float64) {
 	sm.clock.At(at, func() { sm.lostZones[zone], sm.lostAt[zone] = true, at })
 	sm.clock.At(at+duration, func() { sm.lostZones[zone] = false })
@@ -158,7 +159,7 @@
 	sm.faultsUntil = max(sm.faultsUntil, at+duration)
 }
 
-// partition cuts a zone off from others for a while: its nodes and its processes.
+// partition cuts a zone's nodes and processes off from other zones for a while.
 func (sm *simulation) partition(at float64, zone string, others []string, duration float64) {
 	set := func(cut bool) {
 		for _, other := range others {
--- a/internal/lab/zones/process.go
+++ b/internal/lab/zones/process.go
@@ -19,9 +19,9 @@
 
 // Fractions of running tasks that stay from one check to the next.
 const (
-	keptFraction     = 0.98 // 2% end
-	keptWhereLost    = 0.9  // of those in a zone that the process does not reach
-	maxStartFraction = 0.1  // of its demand that a process starts between two checks
+	keptFraction         = 0.98 // 2% of the tasks end
+	keptWhereUnreachable = 0.9  // of tasks in a zone that the process does not reach
+	maxStartFraction     = 0.1  // of its demand that a process starts between two checks
 )
 
 // process is a scheduler process.
@@ -32,13 +32,13 @@
 	host        *sim.Process
 	incarnation uint64
 	runner      *control.Runner    // nil while the process is dead
-	disk        *consensuslab.Disk // nil: no voter
+	disk        *consensuslab.Disk // nil unless the process is a voter
 	selector    *zones.Selector
 	shares      map[string]float64 // fraction of its requests that it may send to a zone
-	placed      map[string]float64 // cores that its tasks use, by zone
+	placed      map[string]float64 // cores that its tasks use by zone
 
 	leaseValid      bool
-	lastValidShares map[string]float64 // when its lease was valid last
+	lastValidShares map[string]float64 // shares when its lease was last valid
 }
 
 // startProcesses starts eight to twelve processes; the voters are in three zones.
@@ -100,7 +100,7 @@
 	}, Controller: zones.Controller{FaultSingleZone: sm.faulty.SingleWitness}}
 }
 
-// kill kills the process, and starts it again in so many ms.
+// kill kills the process, and starts it again after a delay in ms.
 func (p *process) kill(restartDelay float64) {
 	if p.runner == nil {
 		return
@@ -114,13 +114,13 @@
 	})
 }
 
-// reaches reports whether nodes of a zone answer a process now.
+// reaches reports whether nodes of a zone currently answer the process.
 func (p *process) reaches(zone string) bool {
 	sm := p.sim
 	return !sm.lostZones[zone] && !sm.zoneCuts[[2]string{p.zone, zone}] && !sm.brokenLinks[[2]string{p.name, zone}]
 }
 
-// zoneReport is what a process knows of the zones: it notices silence after a while.
+// zoneReport returns what a process knows of the zones. A zone that does not answer counts as unreachable after silenceTimeout.
 func (p *process) zoneReport() map[string]zones.Summary {
 	sm, summaries := p.sim, map[string]zones.Summary{}
 	for _, z := range zoneList {
@@ -133,7 +133,7 @@
 	return summaries
 }
 
-// placeLoad has each process place its part of the load where it may, and sums up what all use.
+// placeLoad has each process place its part of the load where it may, and sums up the cores used in each zone.
 func (sm *simulation) placeLoad() {
 	now, used := sm.clock.TrueTime(), map[string]float64{}
 	for _, p := range sm.processes {
@@ -156,7 +156,7 @@
 	sm.usedCores = used
 }
 
-// updateShares has the process decide where it may send, and checks the decision.
+// updateShares has the process decide on its shares of zones, and checks the decision.
 func (p *process) updateShares() {
 	sm, view := p.sim, p.runner.View()
 	leaseValid := p.host.Now() < view.LeaseExpiry
@@ -178,7 +178,7 @@
 	sm.checkShares(p, view)
 }
 
-// startTasks ends some of the process's tasks, and starts as many and those that it lacks: by shares, and where there is capacity.
+// startTasks ends a fraction of the process's tasks and starts new ones up to its demand, distributed by shares and free capacity.
 func (p *process) startTasks() {
 	sm := p.sim
 	demand := sm.load * zoneCapacity * float64(len(zoneList)) / float64(len(sm.processes))
@@ -195,7 +195,7 @@
 	for _, z := range zoneList {
 		cores := p.placed[z.Name] * keptFraction
 		if !p.reaches(z.Name) {
-			cores = p.placed[z.Name] * keptWhereLost
+			cores = p.placed[z.Name] * keptWhereUnreachable
 		}
 		if share := p.shares[z.Name]; share > 0 && p.reaches(z.Name) && weight > 0 {
 			cores += min(maxStartFraction*demand, max(0, demand-keptFraction*total)) * share * max(0, zoneCapacity-sm.usedCores[z.Name]) / weight
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -1,11 +1,11 @@
-// Package zones simulates the loss of zones, on the laboratory's clock and network: processes in four zones of two regions, with the program's
-// own members, consensus, control and decisions on zones. Of nodes it only keeps which of them answer whom.
+// Package zones simulates the loss of zones, on the simulated clock and network of package sim: processes in four zones of two regions run
+// the program's own packages members, consensus, control and decide/zones. Nodes are modelled only by which of them answer which process.
 //
-// Input is a seed; output a Result: the first thing that broke, and times. Checked all along: no zone is closed that most others reach; never
+// Input is a seed; output is a Result with the first violation, and times. Checked throughout: no zone is closed that most others reach; never
 // more than half of the zones are closed; a process whose lease is valid sends nothing to a zone that was closed long enough ago; no process
-// exceeds its share; a lost zone is evacuated by all, and recovers by steps.
+// exceeds its share; a lost zone is evacuated by all, and recovers in steps.
 //
-// Play belongs to one goroutine; Seeds plays many seeds at once.
+// Play runs in one goroutine; Seeds plays many seeds at once.
 package zones
 
 import (
@@ -24,7 +24,7 @@
 
 // Times in ms.
 const (
-	faultsFrom     = 6000 // by when there is a cluster state
+	faultsFrom     = 6000 // when the first fault may start; there is a cluster state by then
 	settleTime     = 40000
 	checkInterval  = 50
 	reportInterval = 250  // between two reports of a process on zones
@@ -40,34 +40,34 @@
 
 var zoneList = []zones.Location{{Name: "a", Region: "one"}, {Name: "b", Region: "one"}, {Name: "c", Region: "two"}, {Name: "d", Region: "two"}}
 
-// Faults are put into the program to show that the simulation finds them.
+// Faults are injected into the program to show that the simulation finds them.
 type Faults struct {
 	SingleWitness  bool // the report of one other zone closes a zone
 	StaleVerdicts  bool // a verdict holds without a valid lease
-	UncappedShares bool // shares of the plan are not kept to
+	UncappedShares bool // shares of the plan are exceeded
 }
 
-// Result is what came of a seed.
+// Result is the outcome of a seed.
 type Result struct {
 	Seed       uint64
-	Failure    string // the first thing that broke, empty if nothing did
-	Fault      string // what went wrong with zones
+	Failure    string // the first violation, empty if there was none
+	Fault      string // name of the zone fault
 	Closings   int
 	Evacuation float64 // ms from the loss of a zone until all processes that could know sent nothing there, 0: never
-	Recovery   float64 // ms from its return until all sent there as before, 0: never
+	Recovery   float64 // ms from its return until all sent to their own zones as before, 0: never
 }
 
-// simulation is a seed that is played. Times are true times in ms.
+// simulation is the run of one seed. Times are true times in ms.
 type simulation struct {
 	result    Result
-	faulty    Faults
+	faulty    Faults // injected into the program
 	clock     *sim.Clock
 	rng       *rand.Rand
 	processes []*process
 	voters    []string // their names
 
-	lostZones   map[string]bool       // zones whose nodes answer nobody
-	silentNodes map[string]int        // how many nodes of a zone answer nobody
+	lostZones   map[string]bool       // zones whose nodes answer no process
+	silentNodes map[string]int        // how many nodes of a zone answer no process
 	zoneCuts    map[[2]string]bool    // between zones
 	brokenLinks map[[2]string]bool    // from a process to a zone
 	lastHeard   map[[2]string]float64 // when a process last reached a zone
@@ -78,11 +78,11 @@
 	lostAt      map[string]float64
 	restoredAt  float64
 	faultsUntil float64
-	targetZone  string                 // that has to be evacuated
-	mayClose    func(zone string) bool // whether the faults let a zone be closed
+	targetZone  string                 // zone that has to be evacuated
+	mayClose    func(zone string) bool // whether the faults allow a zone to be closed
 }
 
-// Play plays a seed, with faults in the program.
+// Play simulates a seed, with faults injected into the program.
 func Play(seed uint64, faulty Faults) (result Result) {
 	sm := &simulation{
 		result: Result{Seed: seed}, faulty: faulty, clock: sim.NewClock(seed), rng: rand.New(rand.NewPCG(seed, 0x20e5)),
@@ -110,15 +110,15 @@
 	return sm.result
 }
 
-// fail notes the first thing that breaks.
-func (sm *simulation) fail(what string) {
+// fail records the first violation.
+func (sm *simulation) fail(failure string) {
 	if sm.result.Failure == "" {
-		sm.result.Failure = fmt.Sprintf("at %.0f ms, %s: %s", sm.clock.TrueTime(), sm.result.Fault, what)
+		sm.result.Failure = fmt.Sprintf("at %.0f ms, %s: %s", sm.clock.TrueTime(), sm.result.Fault, failure)
 	}
 }
 
-// Seeds plays the seeds from first to end, the latter left out, so many at a time. Seeds that were not played when the context ended are
-// left out.
+// Seeds plays the seeds from first up to but not including end, as many at a time as there are workers. It leaves out seeds that were not
+// played when the context ended.
 func Seeds(ctx context.Context, first, end uint64, workers int, faulty Faults) []Result {
 	results := seeds.Run(ctx, first, end, workers, func(seed uint64) Result { return Play(seed, faulty) })
 	return slices.DeleteFunc(results, func(r Result) bool { return r.Fault == "" && r.Failure == "" })
@@ -139,7 +139,7 @@
 	return evacuations, recoveries
 }
 
-// Quantile returns a quantile of sorted figures, NaN of none.
+// Quantile returns a quantile of sorted values, NaN if there are none.
 func Quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
