--- a/internal/lab/membership/cluster.go
+++ b/internal/lab/membership/cluster.go
@@ -1,5 +1,6 @@
-// Package membership simulates detectors of many schedulers on the laboratory's clock and network: who knows of whom, how soon, and
-// what goes wrong when processes are killed or stand still, when datagrams are lost, late, doubled, or go one way only.
+// Package membership simulates the failure detectors of many schedulers on the simulated clock and network of package sim. It checks and
+// measures which process knows of which others and how soon, when processes are killed or paused and when datagrams are lost, delayed,
+// duplicated, or pass in one direction only.
 package membership
 
 import (
@@ -14,67 +15,67 @@
 	"ravenpond/internal/members"
 )
 
-// Cluster is a site's processes.
+// Cluster is the simulated processes of a site.
 type Cluster struct {
 	Clock     *sim.Clock
 	Random    *rand.Rand
 	Processes []*Process
-	// Wrap changes the world that detectors run in, to plant faults; nil changes nothing.
+	// Wrap wraps the environment that a detector runs in, to observe it or to inject faults; nil: not wrapped.
 	Wrap func(env.Environment) env.Environment
 
-	Faults membership.Faults
+	Faults membership.Faults // injected into the detectors
 
-	FalseDeaths  []string // deaths of those who lived, in words
-	excusedUntil float64  // until then a death of one who lives is to be expected
-	deaths       []deathReport
-	used         [2][][][2]float64 // of cold nodes and of what is lent, by process: the parts that it took within the window, with their times
-	MaxUse       [2]float64        // the most that all took within a window, as a part of the whole
+	FalseDeaths        []string // descriptions of the deaths that were declared of live processes
+	deathExpectedUntil float64  // until this time a live process may be declared dead
+	deaths             []deathReport
+	shareUse           [2][][][2]float64 // of the slow-start limit and the leased quota, by process: times and shares within the window
+	MaxShareSum        [2]float64        // largest sum over all processes of their largest share within the window
 }
 
-// useWindows are those of what cold nodes bear and of what is lent, ms.
-var useWindows = [2]float64{2500, 6000}
+// shareWindows are the windows in ms of the slow-start limit and of the leased quota.
+var shareWindows = [2]float64{2500, 6000}
 
-// sharers are how many share each at a process.
-func sharers(d *membership.Detector, now float64) (all [2]int) {
+// shareCounts returns among how many processes a detector shares the slow-start limit and the leased quota; 0: the process has no share.
+func shareCounts(d *membership.Detector, now float64) (all [2]int) {
 	all[0], _ = d.SlowStartSharers(now)
 	all[1], _ = d.QuotaSharers(now)
 	return all
 }
 
-// deathReport is that one process holds another for dead.
+// deathReport says that one process has declared another dead.
 type deathReport struct {
 	member, reporter string
 	at               float64
 }
 
-// Process is one of them.
+// Process is a simulated scheduler process.
 type Process struct {
-	cluster      *Cluster
-	Name         string
-	Host         *sim.Process
-	Runner       *members.Runner
-	Incarnation  uint64
-	Key          []byte
-	Address      string
-	index        int
-	excusedUntil float64 // until then it may be held for dead
-	DeadSince    float64 // since when it is, 0: it lives
-	Paused       bool
-	NameTakenBy  string
+	cluster            *Cluster
+	Name               string
+	Host               *sim.Process
+	Runner             *members.Runner
+	Incarnation        uint64
+	Key                []byte
+	Address            string
+	index              int
+	deathExpectedUntil float64 // until this time it may be declared dead while it lives
+	DeadSince          float64 // true time in ms of its death, 0: it lives
+	Paused             bool
+	NameTakenBy        string
 }
 
 var key = []byte("the laboratory's member key")
 
-// New begins so many processes, the first three of which are the seeds of all.
+// New starts n processes; all have the first three as their seeds.
 func New(seed uint64, n int) *Cluster { return NewWithEnvironment(seed, n, nil) }
 
-// NewWithEnvironment begins so many processes in worlds that are wrapped.
+// NewWithEnvironment starts n processes in wrapped environments.
 func NewWithEnvironment(seed uint64, n int, wrap func(env.Environment) env.Environment) *Cluster {
 	return newCluster(seed, n, wrap, membership.Faults{})
 }
 
-func newCluster(seed uint64, n int, wrap func(env.Environment) env.Environment, plant membership.Faults) *Cluster {
-	c := &Cluster{Faults: plant, used: [2][][][2]float64{make([][][2]float64, n), make([][][2]float64, n)}, Clock: sim.NewClock(seed), Random: rand.New(rand.NewPCG(seed, 0xc1)), Wrap: wrap}
+func newCluster(seed uint64, n int, wrap func(env.Environment) env.Environment, faults membership.Faults) *Cluster {
+	c := &Cluster{Faults: faults, shareUse: [2][][][2]float64{make([][][2]float64, n), make([][][2]float64, n)}, Clock: sim.NewClock(seed), Random: rand.New(rand.NewPCG(seed, 0xc1)), Wrap: wrap}
 	for i := range n {
 		name := fmt.Sprintf("m%03d", i)
 		p := &Process{cluster: c, index: i, Name: name, Host: c.Clock.NewProcess(name), Key: key, Address: name + ":1"}
@@ -84,7 +85,7 @@
 	return c
 }
 
-// Start begins a life of a process.
+// Start starts the next incarnation of a process.
 func (p *Process) Start() {
 	if p.DeadSince > 0 {
 		p.Host.Start()
@@ -95,54 +96,58 @@
 	for i := range min(3, len(p.cluster.Processes)) {
 		seeds = append(seeds, p.cluster.Processes[i].Address)
 	}
-	w := env.Environment(p.Host)
+	environment := env.Environment(p.Host)
 	if p.cluster.Wrap != nil {
-		w = p.cluster.Wrap(w)
+		environment = p.cluster.Wrap(environment)
 	}
-	run, err := members.Start(w, p.Address, membership.Config{
+	runner, err := members.Start(environment, p.Address, membership.Config{
 		Site: "lab", Name: p.Name, Address: p.Address, Incarnation: p.Incarnation, Key: p.Key, Seeds: seeds,
-		Seed: p.cluster.Random.Uint64(), Place: p.index, Places: len(p.cluster.used[0]), SlowStartWindow: useWindows[0], MaxOpenTime: useWindows[1], Faults: p.cluster.Faults,
+		Seed: p.cluster.Random.Uint64(), Place: p.index, Places: len(p.cluster.shareUse[0]), SlowStartWindow: shareWindows[0], MaxOpenTime: shareWindows[1], Faults: p.cluster.Faults,
 	}, eventHandler{p})
 	if err != nil {
 		panic(err)
 	}
-	p.Runner = run
+	p.Runner = runner
 }
 
-// Kill ends a process at once.
+// Kill kills a process.
 func (p *Process) Kill() {
 	p.Host.Kill(false)
 	p.DeadSince = p.cluster.Clock.TrueTime()
 }
 
-// Pause has it stand still.
+// Pause pauses a process.
 func (p *Process) Pause() { p.Host.Pause(); p.Paused = true }
 
-// Resume lets it run on.
+// Resume has a paused process continue.
 func (p *Process) Resume() { p.Host.Resume(); p.Paused = false }
 
-// Excuse takes it that processes which live may be held for dead up to a time from now.
-func (c *Cluster) Excuse(ms float64) { c.excusedUntil = max(c.excusedUntil, c.Clock.TrueTime()+ms) }
+// ExpectDeaths allows live processes to be declared dead for the next ms.
+func (c *Cluster) ExpectDeaths(ms float64) {
+	c.deathExpectedUntil = max(c.deathExpectedUntil, c.Clock.TrueTime()+ms)
+}
 
 type eventHandler struct{ process *Process }
 
-func (t eventHandler) OnChange(_ float64, m membership.Member, was membership.State) {
-	c := t.process.cluster
+func (h eventHandler) OnChange(_ float64, m membership.Member, previous membership.State) {
+	c := h.process.cluster
 	if m.State != membership.Dead {
 		return
 	}
 	now := c.Clock.TrueTime()
-	c.deaths = append(c.deaths, deathReport{m.Name, t.process.Name, now})
-	if q := c.Process(m.Name); q.DeadSince == 0 && !q.Paused && now > max(c.excusedUntil, q.excusedUntil) && m.Incarnation >= q.Incarnation { // not word of an earlier life
-		c.FalseDeaths = append(c.FalseDeaths, fmt.Sprintf("%.0f ms: %s holds %s for dead, on the word of %s", now, t.process.Name, m.Name, m.By))
+	c.deaths = append(c.deaths, deathReport{m.Name, h.process.Name, now})
+	if q := c.Process(m.Name); q.DeadSince == 0 && !q.Paused && now > max(c.deathExpectedUntil, q.deathExpectedUntil) && m.Incarnation >= q.Incarnation { // A report about an earlier incarnation is not false.
+		c.FalseDeaths = append(c.FalseDeaths, fmt.Sprintf("%.0f ms: %s declares %s dead, as reported by %s", now, h.process.Name, m.Name, m.By))
 	}
 }
 
-func (t eventHandler) LastHeard(uint32) (life uint64, heard float64, ok bool) { return 0, 0, false }
+func (h eventHandler) LastHeard(uint32) (incarnation uint64, heard float64, ok bool) {
+	return 0, 0, false
+}
 
-func (t eventHandler) OnNameTaken(_ float64, address string) { t.process.NameTakenBy = address }
+func (h eventHandler) OnNameTaken(_ float64, address string) { h.process.NameTakenBy = address }
 
-// Process is the process of a name.
+// Process returns the process of a name, nil if there is none.
 func (c *Cluster) Process(name string) *Process {
 	for _, p := range c.Processes {
 		if p.Name == name {
@@ -152,46 +157,46 @@
 	return nil
 }
 
-// Advance lets time go by, and sums up what all may send to a cold node meanwhile.
+// Advance runs the simulation for a time in ms, and records the shares that processes hold meanwhile.
 func (c *Cluster) Advance(ms float64) {
 	for end := c.Clock.TrueTime() + ms; c.Clock.TrueTime() < end; {
 		c.Clock.RunUntil(min(end, c.Clock.TrueTime()+50))
-		c.recordUse()
+		c.recordShares()
 	}
 }
 
-func (c *Cluster) recordUse() {
+func (c *Cluster) recordShares() {
 	now, sum := c.Clock.TrueTime(), [2]float64{}
 	for i, p := range c.Processes {
 		var all [2]int
 		if p.DeadSince == 0 && !p.Paused {
-			p.Runner.WithDetector(func(d *membership.Detector) { all = sharers(d, p.Host.Now()) })
+			p.Runner.WithDetector(func(d *membership.Detector) { all = shareCounts(d, p.Host.Now()) })
 		}
-		for what, n := range all {
-			took := &c.used[what][i]
+		for resource, n := range all {
+			used := &c.shareUse[resource][i]
 			if n > 0 {
-				*took = append(*took, [2]float64{now, 1 / float64(n)})
+				*used = append(*used, [2]float64{now, 1 / float64(n)})
 			}
-			most := 0.0
-			*took = slices.DeleteFunc(*took, func(x [2]float64) bool { return x[0] <= now-useWindows[what] })
-			for _, x := range *took {
-				most = max(most, x[1])
+			largest := 0.0
+			*used = slices.DeleteFunc(*used, func(x [2]float64) bool { return x[0] <= now-shareWindows[resource] })
+			for _, x := range *used {
+				largest = max(largest, x[1])
 			}
-			sum[what] += most
+			sum[resource] += largest
 		}
 	}
-	for what := range sum {
-		c.MaxUse[what] = max(c.MaxUse[what], sum[what])
+	for resource := range sum {
+		c.MaxShareSum[resource] = max(c.MaxShareSum[resource], sum[resource])
 	}
 }
 
-// CurrentUse is the part of what a cold node bears, and of what is lent, that all together may use now.
-func (c *Cluster) CurrentUse() (used [2]float64) {
+// CurrentShareSum returns the fractions of the slow-start limit and of the leased quota that all running processes may use now together.
+func (c *Cluster) CurrentShareSum() (used [2]float64) {
 	for _, p := range c.Running() {
 		p.Runner.WithDetector(func(d *membership.Detector) {
-			for what, n := range sharers(d, p.Host.Now()) {
+			for resource, n := range shareCounts(d, p.Host.Now()) {
 				if n > 0 {
-					used[what] += 1 / float64(n)
+					used[resource] += 1 / float64(n)
 				}
 			}
 		})
@@ -199,7 +204,7 @@
 	return used
 }
 
-// Running are the processes that live and run.
+// Running returns the processes that are neither dead nor paused.
 func (c *Cluster) Running() (all []*Process) {
 	for _, p := range c.Processes {
 		if p.DeadSince == 0 && !p.Paused {
@@ -209,12 +214,12 @@
 	return all
 }
 
-// Converged tells whether each process that lives knows each other that lives for alive, no dead one for that, and all hold
-// the same; else it says who does not.
-func (c *Cluster) Converged() (ok bool, why string) {
-	living := c.Running()
-	var view uint64
-	for i, p := range living {
+// Converged reports whether each running process considers exactly the other running ones alive, and all hold the same view. If not, the
+// reason names a process that does not.
+func (c *Cluster) Converged() (ok bool, reason string) {
+	running := c.Running()
+	var digest uint64
+	for i, p := range running {
 		var got []string
 		var v uint64
 		p.Runner.WithDetector(func(d *membership.Detector) {
@@ -226,40 +231,40 @@
 			}
 		})
 		var want []string
-		for _, q := range living {
+		for _, q := range running {
 			if q != p {
 				want = append(want, q.Name)
 			}
 		}
 		if !slices.Equal(got, want) {
-			return false, fmt.Sprintf("%s holds %v for alive, want %v", p.Name, got, want)
+			return false, fmt.Sprintf("%s considers %v alive, want %v", p.Name, got, want)
 		}
 		if i == 0 {
-			view = v
-		} else if v != view {
-			return false, fmt.Sprintf("%s and %s hold other views", p.Name, living[0].Name)
+			digest = v
+		} else if v != digest {
+			return false, fmt.Sprintf("%s and %s hold different views", p.Name, running[0].Name)
 		}
 	}
 	return true, ""
 }
 
-// AwaitConvergence lets time go by until all agree, for so long at most; it returns how long it took, infinite if they do not.
-func (c *Cluster) AwaitConvergence(most float64) float64 {
-	from := c.Clock.TrueTime()
-	for c.Clock.TrueTime() < from+most {
+// AwaitConvergence advances time until all processes agree, up to a limit in ms. It returns how long that took, infinity if they do not agree.
+func (c *Cluster) AwaitConvergence(limit float64) float64 {
+	began := c.Clock.TrueTime()
+	for c.Clock.TrueTime() < began+limit {
 		if ok, _ := c.Converged(); ok {
-			return c.Clock.TrueTime() - from
+			return c.Clock.TrueTime() - began
 		}
 		c.Advance(50)
 	}
 	if ok, _ := c.Converged(); ok {
-		return most
+		return limit
 	}
 	return math.Inf(1)
 }
 
-// DetectionTimes is how long it took each other process that lives to hold one for dead, from its death on, sorted.
-func (c *Cluster) DetectionTimes(p *Process) (took []float64, all bool) {
+// DetectionTimes returns, sorted, how many ms after its death each other running process declared a process dead, and whether all have.
+func (c *Cluster) DetectionTimes(p *Process) (times []float64, all bool) {
 	first := map[string]float64{}
 	for _, d := range c.deaths {
 		if d.member == p.Name && d.at >= p.DeadSince {
@@ -270,16 +275,16 @@
 	}
 	for _, q := range c.Running() {
 		if t, ok := first[q.Name]; ok {
-			took = append(took, t)
+			times = append(times, t)
 		} else if q != p {
-			return took, false
+			return times, false
 		}
 	}
-	slices.Sort(took)
-	return took, true
+	slices.Sort(times)
+	return times, true
 }
 
-// Sent is what all processes that live have sent, datagrams and bytes.
+// Sent returns the datagrams and bytes that all running processes have sent.
 func (c *Cluster) Sent() (datagrams, bytes uint64) {
 	for _, p := range c.Running() {
 		p.Runner.WithDetector(func(d *membership.Detector) {
--- a/internal/lab/membership/measure.go
+++ b/internal/lab/membership/measure.go
@@ -19,30 +19,30 @@
 )
 
 const (
-	restTime        = 60000 // ms over which cost is measured
-	killsPerCluster = 5     // of each circle, one after another
+	measureTime     = 60000 // ms over which the cost at rest is measured
+	killsPerCluster = 5     // of each simulated cluster, one after another
 )
 
-// measurement is what came of one circle.
+// measurement is the result of one simulated cluster.
 type measurement struct {
-	convergence float64   // ms until all knew all
-	bound       float64   // of knowing a death, ms
-	detection   []float64 // ms from a kill until each other knew
-	undetected  int       // kills that somebody did not hear of within their time
-	datagrams   float64   // a second and process
-	bytes       float64
+	convergence float64   // ms until all processes knew all others
+	bound       float64   // expected detection time, ms
+	detection   []float64 // ms from a kill until each other process declared it
+	undetected  int       // kills that some process did not detect in time
+	datagrams   float64   // per second and process
+	bytes       float64   // per second and process
 	falseDeaths int
 }
 
-// Row is what came of circles of one size and loss.
+// Row is the result of clusters of one size and loss.
 type Row struct {
 	Processes       int
-	Loss            float64 // part of all datagrams
-	P50, P99, Bound float64 // ms from a kill until another knew; the published expectation
+	Loss            float64 // fraction of all datagrams
+	P50, P99, Bound float64 // ms from a kill until another process declared it; Bound is the published expectation
 }
 
-// Measure writes a table of circles of some sizes: how soon they meet and learn of deaths, at some parts lost, and what
-// they send in the calm. The figures are simulated; latency is up to a millisecond.
+// Measure writes a table of clusters by size and loss: how soon processes find each other and detect deaths, and what they send at rest. The
+// figures are simulated; latency is up to a millisecond.
 func Measure(ctx context.Context, w io.Writer, sizes []int, losses []float64, runs, workers int) (rows []Row, err error) {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "processes\tloss\tmet ms\tknown p50\tp99\tmost\tbound\tnever\twrong\tdatagrams/s\tbytes/s\t")
@@ -76,7 +76,7 @@
 	return rows, tw.Flush()
 }
 
-// Plot draws how soon a death is known, by size for each loss or by loss for each size, as SVG.
+// Plot draws detection times as SVG, by size for each loss or by loss for each size.
 func Plot(w io.Writer, rows []Row, byLoss bool) error {
 	p := plot.New()
 	p.Title.Text = "a death known to others, simulated"
@@ -119,11 +119,11 @@
 	return err
 }
 
-// expectedDetection is SWIM's expectation, ms: the first probe of the dead one by anybody, e/(e-1) periods, its time, and a suspicion
-// that enough others share. It is a mean; the tail is the round in which all probe all once.
+// expectedDetection returns SWIM's expected detection time in ms: e/(e-1) periods until any process probes the dead one, a period for the
+// probe, and a suspicion that enough others confirm. It is a mean; the tail is bounded by the round in which all processes probe all once.
 func (c *Cluster) expectedDetection() float64 {
-	least, _ := c.suspicionBounds()
-	return math.E/(math.E-1)*membership.Period + membership.Period + least
+	minSuspicion, _ := c.suspicionBounds()
+	return math.E/(math.E-1)*membership.Period + membership.Period + minSuspicion
 }
 
 func measure(seed uint64, n int, loss float64) (m measurement) {
@@ -132,14 +132,14 @@
 	c.setLinks(func(_, _ *Process) bool { return true }, sim.DatagramLink{Loss: loss})
 	c.Advance(5000)
 	d0, b0 := c.Sent()
-	c.Advance(restTime)
+	c.Advance(measureTime)
 	d1, b1 := c.Sent()
-	m.datagrams, m.bytes = float64(d1-d0)/restTime*1000/float64(n), float64(b1-b0)/restTime*1000/float64(n)
+	m.datagrams, m.bytes = float64(d1-d0)/measureTime*1000/float64(n), float64(b1-b0)/measureTime*1000/float64(n)
 	for i := range min(killsPerCluster, n-2) {
 		p := c.Processes[n-1-i]
 		p.Kill()
-		_, most := c.suspicionBounds()
-		c.Advance(most + 8000)
+		_, maxSuspicion := c.suspicionBounds()
+		c.Advance(maxSuspicion + 8000)
 		took, all := c.DetectionTimes(p)
 		if !all {
 			m.undetected++
--- a/internal/lab/membership/simulation.go
+++ b/internal/lab/membership/simulation.go
@@ -14,98 +14,100 @@
 
 // Times of a seed in ms.
 const (
-	faultTime     = 25000 // in which things go wrong
-	healLimit     = 12000 // by then all hold the same again
-	recoveryLimit = 40000 // and by then all that a cold node bears is in use again
-	excuseTime    = 6000  // after its last fault a process may yet be held for dead
+	faultTime     = 25000 // in which faults start
+	healLimit     = 12000 // within which all hold the same view after the last fault
+	recoveryLimit = 40000 // within which the slow-start limit and the leased quota are in full use again
+	deathGrace    = 6000  // for which a process may still be declared dead after its last fault
 )
 
-// Result is what came of a seed.
+// Result is the outcome of a seed.
 type Result struct {
 	Seed        uint64
 	Processes   int
-	Failure     string  // empty, if nothing is
-	Convergence float64 // ms from the last fault until all held the same
+	Failure     string  // the first violation, empty if there was none
+	Convergence float64 // ms from the last fault until all held the same view
 }
 
-// Play plays a seed: three to sixty processes, and faults of many kinds one upon another.
-func Play(seed uint64, plant membership.Faults) (v Result) {
-	v.Seed = seed
+// Play simulates a seed: three to sixty processes, with overlapping faults of many kinds.
+func Play(seed uint64, faults membership.Faults) (result Result) {
+	result.Seed = seed
 	defer func() {
 		if p := recover(); p != nil {
-			v.Failure = fmt.Sprintf("panic: %v\n%s", p, debug.Stack())
+			result.Failure = fmt.Sprintf("panic: %v\n%s", p, debug.Stack())
 		}
 	}()
-	var old *recording
+	var recorded *recording
 	sizes := []int{3, 3, 4, 5, 5, 7, 9, 9, 12, 20, 35, 60}
 	n := sizes[int(seed)%len(sizes)]
-	v.Processes = n
+	result.Processes = n
 	c := newCluster(seed, n, func(w env.Environment) env.Environment {
-		if old == nil {
-			old = &recording{}
+		if recorded == nil {
+			recorded = &recording{}
 		}
-		return recordingEnvironment{w, old}
-	}, plant)
+		return recordingEnvironment{w, recorded}
+	}, faults)
 	fail := func(format string, args ...any) {
-		if v.Failure == "" {
-			v.Failure = fmt.Sprintf("at %.0f ms: ", c.Clock.TrueTime()) + fmt.Sprintf(format, args...)
+		if result.Failure == "" {
+			result.Failure = fmt.Sprintf("at %.0f ms: ", c.Clock.TrueTime()) + fmt.Sprintf(format, args...)
 		}
 	}
 	c.Advance(2000 + 8000*c.Random.Float64())
-	excuse := func(p *Process, ms float64) { p.excusedUntil = max(p.excusedUntil, c.Clock.TrueTime()+ms+excuseTime) }
+	expectDeath := func(p *Process, ms float64) {
+		p.deathExpectedUntil = max(p.deathExpectedUntil, c.Clock.TrueTime()+ms+deathGrace)
+	}
 	for end := c.Clock.TrueTime() + faultTime; c.Clock.TrueTime() < end; {
-		c.injectFault(excuse, old)
+		c.injectFault(expectDeath, recorded)
 		c.Advance(200 + 3000*c.Random.Float64())
 	}
-	for _, p := range c.Processes { // all is well from here on
+	for _, p := range c.Processes { // All faults end here.
 		if p.DeadSince > 0 {
 			p.Start()
 		}
 		if p.Paused {
 			p.Resume()
 		}
-		excuse(p, 0)
+		expectDeath(p, 0)
 	}
 	c.setLinks(func(_, _ *Process) bool { return true }, sim.DatagramLink{})
 	c.Advance(100)
-	if v.Convergence = c.AwaitConvergence(healLimit); v.Convergence > healLimit {
-		_, why := c.Converged()
-		fail("%s", why)
+	if result.Convergence = c.AwaitConvergence(healLimit); result.Convergence > healLimit {
+		_, reason := c.Converged()
+		fail("%s", reason)
 	}
 	for range int(recoveryLimit / 1000) {
-		if used := c.CurrentUse(); min(used[0], used[1]) > 0.999 {
+		if used := c.CurrentShareSum(); min(used[0], used[1]) > 0.999 {
 			break
 		}
 		c.Advance(1000)
 	}
-	if used := c.CurrentUse(); min(used[0], used[1]) < 0.999 {
-		fail("%.3f of what a cold node bears is in use when all is well, and %.3f of what is lent", used[0], used[1])
+	if used := c.CurrentShareSum(); min(used[0], used[1]) < 0.999 {
+		fail("a fraction of %.3f of the slow-start limit and of %.3f of the leased quota is in use after the faults, want 0.999", used[0], used[1])
 	}
-	if c.AwaitConvergence(2000) > 2000 { // a suspicion of before may yet be refuted
-		_, why := c.Converged()
-		fail("in the calm: %s", why)
+	if c.AwaitConvergence(2000) > 2000 { // A suspicion from before may still be refuted.
+		_, reason := c.Converged()
+		fail("after convergence, without faults: %s", reason)
 	}
-	p := c.Processes[c.Random.IntN(n)] // one dies for good, and all that was ever heard of it comes again
+	p := c.Processes[c.Random.IntN(n)] // One process dies for good, and all that was recorded is replayed.
 	p.Kill()
-	_, most := c.suspicionBounds()
-	c.Advance(most + excuseTime)
-	c.replay(c.Running()[0], old, len(old.datagrams))
+	_, maxSuspicion := c.suspicionBounds()
+	c.Advance(maxSuspicion + deathGrace)
+	c.replay(c.Running()[0], recorded, len(recorded.datagrams))
 	for range 6 {
 		c.Advance(100)
-		if ok, why := c.Converged(); !ok {
-			fail("after a death and a replay: %s", why)
+		if ok, reason := c.Converged(); !ok {
+			fail("after a death and a replay: %s", reason)
 		}
 	}
-	if max(c.MaxUse[0], c.MaxUse[1]) > 1+1e-9 {
-		fail("%.3f of what a cold node bears within a window, %.3f of what is lent", c.MaxUse[0], c.MaxUse[1])
+	if max(c.MaxShareSum[0], c.MaxShareSum[1]) > 1+1e-9 {
+		fail("the shares within a window sum up to %.3f of the slow-start limit and %.3f of the leased quota, want at most 1", c.MaxShareSum[0], c.MaxShareSum[1])
 	}
 	if len(c.FalseDeaths) > 0 {
 		fail("%s", c.FalseDeaths[0])
 	}
-	return v
+	return result
 }
 
-// recording keeps some of what was heard, for a replay.
+// recording keeps the first received datagrams, for a replay.
 type recording struct{ datagrams []datagram }
 
 type datagram struct {
@@ -127,143 +129,143 @@
 	})
 }
 
-// setLinks sets the ways between some.
-func (c *Cluster) setLinks(hits func(from, to *Process) bool, to sim.DatagramLink) {
+// setLinks sets the datagram links that hits selects.
+func (c *Cluster) setLinks(hits func(from, link *Process) bool, link sim.DatagramLink) {
 	for _, p := range c.Processes {
 		for _, q := range c.Processes {
 			if p != q && hits(p, q) {
-				*c.Clock.DatagramLink(p.Name, q.Name) = to
+				*c.Clock.DatagramLink(p.Name, q.Name) = link
 			}
 		}
 	}
 }
 
-// injectFault draws something that goes wrong for a while.
-func (c *Cluster) injectFault(excuse func(*Process, float64), old *recording) {
+// injectFault draws a fault that lasts for a while.
+func (c *Cluster) injectFault(expectDeath func(*Process, float64), recorded *recording) {
 	p, q := c.Processes[c.Random.IntN(len(c.Processes))], c.Processes[c.Random.IntN(len(c.Processes))]
 	ms := 300 + 6000*c.Random.Float64()*c.Random.Float64()
-	later := func(f func()) { c.Clock.At(c.Clock.TrueTime()+ms, f) }
+	afterwards := func(f func()) { c.Clock.At(c.Clock.TrueTime()+ms, f) }
 	switch c.Random.IntN(11) {
 	case 0, 1:
 		if p.DeadSince == 0 && !p.Paused {
 			p.Kill()
-			later(func() {
+			afterwards(func() {
 				if p.DeadSince > 0 {
 					p.Start()
-					excuse(p, 0)
+					expectDeath(p, 0)
 				}
 			})
 		}
 	case 2, 3:
 		if p.DeadSince == 0 && !p.Paused {
 			p.Pause()
-			later(func() {
+			afterwards(func() {
 				if p.Paused {
 					p.Resume()
-					excuse(p, 0)
+					expectDeath(p, 0)
 				}
 			})
 		}
-	case 4: // one way alone
-		one := func(a, b *Process) bool { return a == p && b == q }
-		if len(c.Processes) < 5 { // if the third is gone too, nobody is left who could help
-			excuse(p, ms)
-			excuse(q, ms)
+	case 4: // A link is cut in one direction.
+		link := func(a, b *Process) bool { return a == p && b == q }
+		if len(c.Processes) < 5 { // If the third process is dead too, no process is left for indirect probes.
+			expectDeath(p, ms)
+			expectDeath(q, ms)
 		}
-		c.setLinks(one, sim.DatagramLink{Cut: true})
-		later(func() { c.setLinks(one, sim.DatagramLink{}) })
-	case 5: // parts that know nothing of each other
+		c.setLinks(link, sim.DatagramLink{Cut: true})
+		afterwards(func() { c.setLinks(link, sim.DatagramLink{}) })
+	case 5: // The processes are partitioned.
 		side := c.Random.Uint64()
 		cross := func(a, b *Process) bool { return side>>(a.index%64)&1 != side>>(b.index%64)&1 }
 		c.setLinks(cross, sim.DatagramLink{Cut: true})
 		for _, x := range c.Processes {
-			excuse(x, ms)
+			expectDeath(x, ms)
 		}
-		later(func() { c.setLinks(cross, sim.DatagramLink{}) })
+		afterwards(func() { c.setLinks(cross, sim.DatagramLink{}) })
 	case 6:
 		c.setLinks(func(_, _ *Process) bool { return true }, sim.DatagramLink{Loss: 0.05, Duplication: 0.05})
-		later(func() { c.setLinks(func(_, _ *Process) bool { return true }, sim.DatagramLink{}) })
-	case 7: // slow answers
-		from := func(a, _ *Process) bool { return a == p }
-		c.setLinks(from, sim.DatagramLink{MaxDelay: 800})
-		excuse(p, ms)
-		later(func() { c.setLinks(from, sim.DatagramLink{}) })
-	case 8: // one leaves on purpose
+		afterwards(func() { c.setLinks(func(_, _ *Process) bool { return true }, sim.DatagramLink{}) })
+	case 7: // A process answers slowly.
+		answers := func(a, _ *Process) bool { return a == p }
+		c.setLinks(answers, sim.DatagramLink{MaxDelay: 800})
+		expectDeath(p, ms)
+		afterwards(func() { c.setLinks(answers, sim.DatagramLink{}) })
+	case 8: // A process leaves deliberately.
 		if p.DeadSince == 0 && !p.Paused {
 			p.Runner.Stop()
 			p.Kill()
-			later(func() {
+			afterwards(func() {
 				if p.DeadSince > 0 {
 					p.Start()
-					excuse(p, 0)
+					expectDeath(p, 0)
 				}
 			})
 		}
-	case 9: // many at once
+	case 9: // Many processes are killed at once.
 		for _, x := range c.Processes {
 			if x.DeadSince == 0 && !x.Paused && c.Random.IntN(10) < 7 {
 				x.Kill()
 			}
-			excuse(x, ms)
+			expectDeath(x, ms)
 		}
-		later(func() {
+		afterwards(func() {
 			for _, x := range c.Processes {
 				if x.DeadSince > 0 {
 					x.Start()
 				}
 			}
 		})
-	case 10: // what was heard before comes again
+	case 10: // Recorded datagrams are replayed.
 		if p.DeadSince == 0 {
-			c.replay(p, old, 400)
+			c.replay(p, recorded, 400)
 		}
 	}
 }
 
-// replay brings again some of what was heard before.
-func (c *Cluster) replay(p *Process, old *recording, most int) {
+// replay sends random recorded datagrams again, up to a limit.
+func (c *Cluster) replay(p *Process, recorded *recording, limit int) {
 	port, err := p.Host.ListenPacket(fmt.Sprint("again-", c.Random.Uint64(), ":1"), func([]byte) {})
 	if err != nil {
 		return
 	}
-	for range min(most, len(old.datagrams)) {
-		h := old.datagrams[c.Random.IntN(len(old.datagrams))]
-		port.Send(h.address, h.data)
+	for range min(limit, len(recorded.datagrams)) {
+		d := recorded.datagrams[c.Random.IntN(len(recorded.datagrams))]
+		port.Send(d.address, d.data)
 	}
 }
 
-// suspicionBounds are those of a suspicion now.
+// suspicionBounds returns the present bounds in ms of a suspicion's duration.
 func (c *Cluster) suspicionBounds() (least, most float64) {
 	c.Running()[0].Runner.WithDetector(func(d *membership.Detector) { least, most = d.Bounds() })
 	return
 }
 
-// Seeds plays the seeds from a to b, the latter left out, so many at a time, in their order.
-func Seeds(ctx context.Context, a, b uint64, workers int, plant membership.Faults) []Result {
-	return seeds.Run(ctx, a, b, workers, func(seed uint64) Result { return Play(seed, plant) })
+// Seeds plays the seeds from a up to but not including b, as many at a time as there are workers, and returns the results in their order.
+func Seeds(ctx context.Context, a, b uint64, workers int, faults membership.Faults) []Result {
+	return seeds.Run(ctx, a, b, workers, func(seed uint64) Result { return Play(seed, faults) })
 }
 
-// Print writes what came of seeds; the last line counts those that broke.
-func Print(w io.Writer, all []Result) (broken int) {
+// Print writes the outcome of seeds; the last line counts those with a violation.
+func Print(w io.Writer, all []Result) (failed int) {
 	played, longest := 0, 0.0
 	for _, v := range all {
 		if v.Processes == 0 {
-			continue // broken off before it came up
+			continue // The context ended before the seed was played.
 		}
 		played++
 		if v.Failure != "" {
-			if broken++; broken <= 20 {
+			if failed++; failed <= 20 {
 				fmt.Fprintf(w, "seed %d, %d processes: %.1500s\n", v.Seed, v.Processes, v.Failure)
 			}
 			continue
 		}
 		longest = max(longest, v.Convergence)
 	}
-	fmt.Fprintf(w, "%d seeds of members; all held the same at most %.0f ms after the last fault\nbroken: %d\n", played, longest, broken)
-	return broken
+	fmt.Fprintf(w, "%d seeds of members; all held the same at most %.0f ms after the last fault\nbroken: %d\n", played, longest, failed)
+	return failed
 }
 
-// Faults are faults that the seeds must find.
+// Faults are the faults that the seeds have to find when they are injected.
 var Faults = []struct {
 	Name  string
 	Plant membership.Faults
