--- a/internal/lab/cluster/lifecycle.go
+++ b/internal/lab/cluster/lifecycle.go
@@ -23,6 +23,7 @@
 	at        time.Time
 }
 
+// process is a scheduler process of the rig.
 type process struct {
 	name         string
 	listen       string       // address for membership datagrams
@@ -41,13 +42,13 @@
 
 // StartScheduler starts a scheduler for the first time or again after a kill.
 func (r *Rig) StartScheduler(i int) error {
-	x := r.processes[i]
-	if err := os.MkdirAll(x.stateDir, 0o750); err != nil {
+	p := r.processes[i]
+	if err := os.MkdirAll(p.stateDir, 0o750); err != nil {
 		return err
 	}
 	var err error
-	if x.logFile == nil {
-		if x.logFile, err = os.Create(filepath.Join(r.Dir, x.name+".log")); err != nil {
+	if p.logFile == nil {
+		if p.logFile, err = os.Create(filepath.Join(r.Dir, p.name+".log")); err != nil {
 			return err
 		}
 	}
@@ -57,66 +58,66 @@
 	}
 	members := ""
 	if !r.Isolated {
-		members = fmt.Sprintf(`<members listen="%s" advertise="%s" seeds="%s" key="%s"%s/>`, x.listen, x.relay.LocalAddr(), strings.Join(seeds, " "),
+		members = fmt.Sprintf(`<members listen="%s" advertise="%s" seeds="%s" key="%s"%s/>`, p.listen, p.relay.LocalAddr(), strings.Join(seeds, " "),
 			filepath.Join(r.Dir, "key"), r.voterAttribute())
 	}
 	list := r.list.Address()
-	if x.listRelay != nil {
-		list = x.listRelay.address()
+	if p.listRelay != nil {
+		list = p.listRelay.address()
 	}
-	file := filepath.Join(r.Dir, x.name+".xml")
+	file := filepath.Join(r.Dir, p.name+".xml")
 	if err := os.WriteFile(file, fmt.Appendf(nil, siteText, r.Schedulers, max(12, r.Schedulers), r.zoneElements(), r.cores(), 2*r.cores(), members, list), 0o640); err != nil {
 		return err
 	}
-	x.reservedConn.Close()
-	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: audit.SchedulerStarted, Scheduler: x.name})
-	cmd, address, err := spawn.Scheduler(r.ctx, append(slices.Clone(r.Command), "serve", "--site", file, "--state", x.stateDir, "--name", x.name,
-		"--index", fmt.Sprint(i), "--zone", r.zoneOf(i), "--seed", fmt.Sprint(r.Seed*1000+uint64(i)+1), "--address-file", filepath.Join(r.Dir, x.name+".addr")), x.logFile,
-		filepath.Join(r.Dir, x.name+".addr"))
+	p.reservedConn.Close()
+	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: audit.SchedulerStarted, Scheduler: p.name})
+	cmd, address, err := spawn.Scheduler(r.ctx, append(slices.Clone(r.Command), "serve", "--site", file, "--state", p.stateDir, "--name", p.name,
+		"--index", fmt.Sprint(i), "--zone", r.zoneOf(i), "--seed", fmt.Sprint(r.Seed*1000+uint64(i)+1), "--address-file", filepath.Join(r.Dir, p.name+".addr")), p.logFile,
+		filepath.Join(r.Dir, p.name+".addr"))
 	if err != nil {
 		return err
 	}
-	x.mu.Lock()
-	x.command, x.address, x.paused = cmd, address, false
-	x.mu.Unlock()
+	p.mu.Lock()
+	p.command, p.address, p.paused = cmd, address, false
+	p.mu.Unlock()
 	return nil
 }
 
 // KillScheduler kills a scheduler process without warning and waits for its end.
 func (r *Rig) KillScheduler(i int) {
-	x := r.processes[i]
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.command == nil {
+	p := r.processes[i]
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.command == nil {
 		return
 	}
 	at := time.Now()
-	_ = x.command.Process.Kill()
-	_ = x.command.Wait()
-	used := x.command.ProcessState.UserTime() + x.command.ProcessState.SystemTime()
-	x.command = nil
+	_ = p.command.Process.Kill()
+	_ = p.command.Wait()
+	used := p.command.ProcessState.UserTime() + p.command.ProcessState.SystemTime()
+	p.command = nil
 	r.mu.Lock()
 	r.usedCPU += used
 	r.kills = append(r.kills, killRecord{scheduler: i, at: at})
 	r.mu.Unlock()
-	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: x.name})
+	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: p.name})
 }
 
 // PauseScheduler stops a scheduler process by SIGSTOP, or has it continue by SIGCONT.
 func (r *Rig) PauseScheduler(i int, paused bool) {
-	x := r.processes[i]
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.command == nil || x.paused == paused {
+	p := r.processes[i]
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.command == nil || p.paused == paused {
 		return
 	}
-	x.paused = paused
+	p.paused = paused
 	kind, signal := audit.SchedulerPaused, syscall.SIGSTOP
 	if !paused {
 		kind, signal = audit.SchedulerResumed, syscall.SIGCONT
 	}
-	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: kind, Scheduler: x.name})
-	_ = x.command.Process.Signal(signal)
+	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: kind, Scheduler: p.name})
+	_ = p.command.Process.Signal(signal)
 }
 
 // CrashNodes crashes a fraction of the nodes and restarts them cold after the downtime.
--- a/internal/lab/cluster/observe.go
+++ b/internal/lab/cluster/observe.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// ZoneShares returns, from the log of each scheduler, when its share of a zone last changed, in Unix ms, and the share.
+// ZoneShares returns, from the log of each scheduler, when its share of a zone last changed, in Unix ms (0: never), and the share.
 func (r *Rig) ZoneShares(zone string) (at, share []float64, err error) {
 	for _, x := range r.processes {
 		b, err := os.ReadFile(filepath.Join(r.Dir, x.name+".log"))
@@ -159,7 +159,7 @@
 				Mode, Member, Is, Was string
 				Ms                    float64 `json:"unix_ms"`
 			}
-			if json.Unmarshal(lines.Bytes(), &l) == nil && l.Mode == "members" && l.Is == "dead" && l.Was != "unknown" { // A scheduler that joins learns of dead members that it never considered alive.
+			if json.Unmarshal(lines.Bytes(), &l) == nil && l.Mode == "members" && l.Is == "dead" && l.Was != "unknown" { // A joining scheduler learns of earlier deaths.
 				all = append(all, DeathReport{x.name, l.Member, time.UnixMicro(int64(l.Ms * 1000))})
 			}
 		}
--- a/internal/lab/cluster/result.go
+++ b/internal/lab/cluster/result.go
@@ -53,15 +53,15 @@
 	for i, x := range r.processes {
 		zones[x.name] = r.zoneOf(i)
 	}
-	ran, near := 0, 0
+	attempts, local := 0, 0
 	for _, x := range records {
 		if x.Kind == audit.TaskStarted {
-			if ran++; r.rules.Nodes[x.Node].Zone == zones[x.Scheduler] {
-				near++
+			if attempts++; r.rules.Nodes[x.Node].Zone == zones[x.Scheduler] {
+				local++
 			}
 		}
 	}
-	res.LocalFraction = float64(near) / float64(max(1, ran))
+	res.LocalFraction = float64(local) / float64(max(1, attempts))
 	r.close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/cluster/rig.go
+++ b/internal/lab/cluster/rig.go
@@ -61,11 +61,11 @@
 }
 
 // Start starts all processes and waits until clients can connect to each scheduler.
-func Start(ctx context.Context, p Config) (r *Rig, err error) {
+func Start(ctx context.Context, config Config) (r *Rig, err error) {
 	ctx, stop := context.WithCancel(ctx)
-	real := env.NewReal()
+	environment := env.NewReal()
 	r = &Rig{
-		Config: p, ctx: ctx, stop: stop, env: real, testbed: standin.NewTestbed(real), rng: rand.New(rand.NewPCG(p.Seed, 0x916)), datagramLinks: map[[2]int]DatagramLink{},
+		Config: config, ctx: ctx, stop: stop, env: environment, testbed: standin.NewTestbed(environment), rng: rand.New(rand.NewPCG(config.Seed, 0x916)), datagramLinks: map[[2]int]DatagramLink{},
 		routes: map[routeKey][2]Route{},
 	}
 	r.testbed.Trace.OnRecord = r.record
@@ -74,7 +74,7 @@
 			r.close()
 		}
 	}()
-	for i := range p.Schedulers {
+	for i := range config.Schedulers {
 		if err := r.addScheduler(i); err != nil {
 			return r, err
 		}
@@ -93,9 +93,9 @@
 	}
 	for i, x := range r.processes {
 		x.client = &standin.Client{ID: i, Scheduler: x.name, SettleTime: r.site.SettleTime, SchedulerAddress: x.clientAddress}
-		r.testbed.StartClient(x.client, p.Seed*clientSeedFactor+uint64(i))
+		r.testbed.StartClient(x.client, config.Seed*clientSeedFactor+uint64(i))
 	}
-	if p.Rate > 0 {
+	if config.Rate > 0 {
 		r.background.Go(r.generateLoad)
 	}
 	return r, nil
@@ -126,14 +126,14 @@
 }
 
 // clientAddress is the address that the scheduler's client connects to, empty while the scheduler does not run.
-func (x *process) clientAddress() string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (p *process) clientAddress() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	switch {
-	case x.command == nil:
+	case p.command == nil:
 		return ""
-	case x.clientRelay != nil:
-		return x.clientRelay.address()
+	case p.clientRelay != nil:
+		return p.clientRelay.address()
 	}
-	return x.address
+	return p.address
 }
--- a/internal/lab/cluster/rig_test.go
+++ b/internal/lab/cluster/rig_test.go
@@ -17,28 +17,28 @@
 // awaitAgreement waits until all running schedulers agree on the members and, where there are voters, on the cluster state.
 func awaitAgreement(t *testing.T, r *Rig, within time.Duration) {
 	t.Helper()
-	why := ""
+	reason := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		var ok bool
-		if ok, why = r.MembersConverged(); ok && r.Voters > 0 {
-			ok, why = r.StateConverged()
+		if ok, reason = r.MembersConverged(); ok && r.Voters > 0 {
+			ok, reason = r.StateConverged()
 		}
 		if ok {
 			return
 		}
 	}
-	t.Errorf("no convergence within %s: %s", within, why)
+	t.Errorf("no convergence within %s: %s", within, reason)
 }
 
 // startRig starts the rig with the test binary as schedulers, and waits until all agree.
-func startRig(t *testing.T, p Config) *Rig {
+func startRig(t *testing.T, config Config) *Rig {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Command, p.Dir = []string{self}, t.TempDir()
-	r, err := Start(t.Context(), p)
+	config.Command, config.Dir = []string{self}, t.TempDir()
+	r, err := Start(t.Context(), config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,14 +93,14 @@
 	if err != nil {
 		t.Error(err)
 	}
-	heard := map[string]bool{}
+	reporters := map[string]bool{}
 	for _, d := range deaths {
 		if d.Member == "s004" {
-			heard[d.By] = true
+			reporters[d.By] = true
 		}
 	}
-	if len(heard) < 4 {
-		t.Errorf("s004 was killed and %d schedulers declared it dead, want 4", len(heard))
+	if len(reporters) < 4 {
+		t.Errorf("s004 was killed and %d schedulers declared it dead, want 4", len(reporters))
 	}
 	res := finishRig(t, r)
 	t.Logf("%v, %d deaths", res.Answers, len(deaths))
@@ -175,31 +175,31 @@
 // schedulers stop sending to the zone, no rule is violated, and all send there again afterwards.
 func TestZoneLoss(t *testing.T) {
 	r := startRig(t, Config{Schedulers: 8, Nodes: 12, Rate: 80, Seed: 4, Voters: 3, Zones: 4, Relays: true})
-	awaitShares := func(what float64, within time.Duration) (last float64) {
+	awaitShares := func(share float64, within time.Duration) (last float64) {
 		t.Helper()
-		var parts []float64
+		var shares []float64
 		for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			at, part, err := r.ZoneShares("south")
 			if err != nil {
 				t.Fatal(err)
 			}
-			if parts = part; slices.Min(part) == what && slices.Max(part) == what {
+			if shares = part; slices.Min(part) == share && slices.Max(part) == share {
 				return slices.Max(at)
 			}
 		}
-		t.Fatalf("got shares of the zone %v, want %g from all schedulers", parts, what)
+		t.Fatalf("got shares of the zone %v, want %g from all schedulers", shares, share)
 		return 0
 	}
 	lost := float64(time.Now().UnixMilli())
 	r.IsolateZone("south", true)
-	left := awaitShares(0, 20*time.Second) - lost
+	evacuated := awaitShares(0, 20*time.Second) - lost
 	time.Sleep(3 * time.Second)
 	r.IsolateZone("south", false)
-	back := float64(time.Now().UnixMilli())
-	again := awaitShares(1, 40*time.Second) - back
+	restored := float64(time.Now().UnixMilli())
+	resumed := awaitShares(1, 40*time.Second) - restored
 	time.Sleep(time.Second)
 	res := finishRig(t, r)
-	t.Logf("evacuated after %.0f ms, all send there again %.0f ms after its return; %v", left, again, res.Answers)
+	t.Logf("evacuated after %.0f ms, all send there again %.0f ms after its return; %v", evacuated, resumed, res.Answers)
 }
 
 const zoneFaults = `# zones lost while voters are killed, paused or cut off with their zone, and most schedulers are killed
@@ -217,23 +217,23 @@
 func TestZoneFaults(t *testing.T) {
 	r := startRig(t, Config{Schedulers: 8, Nodes: 12, Rate: 80, Seed: 5, Voters: 3, Zones: 4, Localities: true, Relays: true})
 	playScript(t, r, zoneFaults)
-	missingShares := func() (at string) { // The result names the schedulers that do not send all to their own zone.
+	missingShares := func() (text string) { // The result names the schedulers that do not send all to their own zone.
 		for i := range r.processes {
 			_, part, err := r.ZoneShares(r.zoneOf(i))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if part[i] < 1 {
-				at += fmt.Sprintf(" %s sends a share of %g to %s", r.processes[i].name, part[i], r.zoneOf(i))
+				text += fmt.Sprintf(" %s sends a share of %g to %s", r.processes[i].name, part[i], r.zoneOf(i))
 			}
 		}
-		return at
+		return text
 	}
 	for end := time.Now().Add(40 * time.Second); missingShares() != "" && time.Now().Before(end); {
 		time.Sleep(200 * time.Millisecond)
 	}
-	if left := missingShares(); left != "" {
-		t.Error(left)
+	if missing := missingShares(); missing != "" {
+		t.Error(missing)
 	}
 	res := finishRig(t, r)
 	if res.Value < 0.3 {
--- a/internal/lab/cluster/routes.go
+++ b/internal/lab/cluster/routes.go
@@ -88,17 +88,17 @@
 // addScheduler opens the datagram relay of a scheduler and reserves a port for its datagrams.
 func (r *Rig) addScheduler(i int) error {
 	name := fmt.Sprintf("s%03d", i)
-	x := &process{name: name, stateDir: filepath.Join(r.Dir, name)}
+	p := &process{name: name, stateDir: filepath.Join(r.Dir, name)}
 	reserved, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(standin.LoopbackHost(i))})
 	if err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
-	x.listen = reserved.LocalAddr().String()
-	if x.relay, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
+	p.listen = reserved.LocalAddr().String()
+	if p.relay, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
-	x.reservedConn = reserved
-	r.processes = append(r.processes, x)
+	p.reservedConn = reserved
+	r.processes = append(r.processes, p)
 	return nil
 }
 
--- a/internal/lab/cluster/script.go
+++ b/internal/lab/cluster/script.go
@@ -81,13 +81,13 @@
 	return steps, lines.Err()
 }
 
-func schedulerRange(word string, schedulers int) (from, to int, err error) {
-	if part, ok := strings.CutSuffix(word, "%"); ok {
-		n, err := strconv.Atoi(part)
+func schedulerRange(field string, schedulers int) (from, to int, err error) {
+	if percent, ok := strings.CutSuffix(field, "%"); ok {
+		n, err := strconv.Atoi(percent)
 		return schedulers - max(1, n*schedulers/100), schedulers - 1, err
 	}
-	a, b, ranged := strings.Cut(word, "-")
-	if from, err = strconv.Atoi(a); err != nil || !ranged {
+	a, b, isRange := strings.Cut(field, "-")
+	if from, err = strconv.Atoi(a); err != nil || !isRange {
 		return from, from, err
 	}
 	to, err = strconv.Atoi(b)
--- a/internal/lab/cluster/site.go
+++ b/internal/lab/cluster/site.go
@@ -31,31 +31,31 @@
 func (r *Rig) startNodes() error {
 	slowStartLimit := max(12, r.Schedulers)
 	text := fmt.Sprintf(siteText, r.Schedulers, slowStartLimit, r.zoneElements(), r.cores(), 2*r.cores(), "", "127.0.0.1:1")
-	place, faults := site.Read(strings.NewReader(text))
+	siteConfig, faults := site.Read(strings.NewReader(text))
 	if len(faults) > 0 {
 		return fmt.Errorf("site file of the rig: %s", faults[0])
 	}
-	r.site = place
+	r.site = siteConfig
 	r.rules = audit.Rules{
-		Nodes: map[uint32]audit.Location{}, DrainGrace: place.DrainGrace, SlowStartLimit: slowStartLimit, SlowStartDuration: place.Cluster.SlowStartDuration,
-		SlowStartWindow: place.Cluster.SlowStartWindow, Slack: 500,
+		Nodes: map[uint32]audit.Location{}, DrainGrace: siteConfig.DrainGrace, SlowStartLimit: slowStartLimit, SlowStartDuration: siteConfig.Cluster.SlowStartDuration,
+		SlowStartWindow: siteConfig.Cluster.SlowStartWindow, Slack: 500,
 		Jobs: []audit.JobRules{{}, {Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxTogether: 3}, {Semantics: audit.AtMostOnce}},
 	}
-	mk := standin.MachineConfig{
+	machine := standin.MachineConfig{
 		Cores: float64(r.cores()), Memory: 2 * float64(r.cores()), CoresLimit: 2, MemoryLimit: 1.5, InspectTime: 4, QueueLimit: 200, ConcurrentStarts: 16, ProgramMissFactor: 3, ProgramCacheSize: 8,
-		WarmupPace: 0.5, WarmupDuration: place.Cluster.SlowStartDuration, OverloadFactor: 1e9, OverloadWindow: 1000, SlowStartLimit: slowStartLimit,
+		WarmupPace: 0.5, WarmupDuration: siteConfig.Cluster.SlowStartDuration, OverloadFactor: 1e9, OverloadWindow: 1000, SlowStartLimit: slowStartLimit,
 	}
 	for job := range 3 {
-		mk.JobProfiles = append(mk.JobProfiles, standin.JobProfile{StartWork: 10, MeanRuntime: 2500, MeanUse: 0.5, Priority: job, Deduplicated: job == 1})
+		machine.JobProfiles = append(machine.JobProfiles, standin.JobProfile{StartWork: 10, MeanRuntime: 2500, MeanUse: 0.5, Priority: job, Deduplicated: job == 1})
 	}
 	var groups []*standin.Group
-	for range place.Zones {
+	for range siteConfig.Zones {
 		groups = append(groups, standin.NewGroup())
 	}
 	for i := range r.Nodes {
-		zone := i % len(place.Zones)
-		n := &standin.Node{ID: uint32(i + 1), Zone: place.Zones[zone], Cell: place.Zones[zone], Kind: "plain", Jobs: 3, Tenants: 1}
-		if err := r.testbed.StartNode(n, standin.NodeStart{Machine: mk, Group: groups[zone], Seed: r.Seed + uint64(i)}); err != nil {
+		zone := i % len(siteConfig.Zones)
+		n := &standin.Node{ID: uint32(i + 1), Zone: siteConfig.Zones[zone], Cell: siteConfig.Zones[zone], Kind: "plain", Jobs: 3, Tenants: 1}
+		if err := r.testbed.StartNode(n, standin.NodeStart{Machine: machine, Group: groups[zone], Seed: r.Seed + uint64(i)}); err != nil {
 			return err
 		}
 		if r.Relays {
--- a/internal/lab/consensus/consensus.go
+++ b/internal/lab/consensus/consensus.go
@@ -112,9 +112,9 @@
 func (sm *simulation) after(ms float64, f func()) { sm.clock.At(sm.clock.TrueTime()+ms, f) }
 
 // fail records the first violation.
-func (sm *simulation) fail(failure string) {
+func (sm *simulation) fail(violation string) {
 	if sm.result.Failure == "" {
-		sm.result.Failure = fmt.Sprintf("at %.0f ms: %s", sm.clock.TrueTime(), failure)
+		sm.result.Failure = fmt.Sprintf("at %.0f ms: %s", sm.clock.TrueTime(), violation)
 	}
 }
 
--- a/internal/lab/membership/cluster.go
+++ b/internal/lab/membership/cluster.go
@@ -36,10 +36,10 @@
 var shareWindows = [2]float64{2500, 6000}
 
 // shareCounts returns among how many processes a detector shares the slow-start limit and the leased quota; 0: the process has no share.
-func shareCounts(d *membership.Detector, now float64) (all [2]int) {
-	all[0], _ = d.SlowStartSharers(now)
-	all[1], _ = d.QuotaSharers(now)
-	return all
+func shareCounts(d *membership.Detector, now float64) (counts [2]int) {
+	counts[0], _ = d.SlowStartSharers(now)
+	counts[1], _ = d.QuotaSharers(now)
+	return counts
 }
 
 // deathReport says that one process has declared another dead.
@@ -136,7 +136,7 @@
 	}
 	now := c.Clock.TrueTime()
 	c.deaths = append(c.deaths, deathReport{m.Name, h.process.Name, now})
-	if q := c.Process(m.Name); q.DeadSince == 0 && !q.Paused && now > max(c.deathExpectedUntil, q.deathExpectedUntil) && m.Incarnation >= q.Incarnation { // A report about an earlier incarnation is not false.
+	if q := c.Process(m.Name); q.DeadSince == 0 && !q.Paused && now > max(c.deathExpectedUntil, q.deathExpectedUntil) && m.Incarnation >= q.Incarnation { // Reports of an earlier incarnation are not false.
 		c.FalseDeaths = append(c.FalseDeaths, fmt.Sprintf("%.0f ms: %s declares %s dead, as reported by %s", now, h.process.Name, m.Name, m.By))
 	}
 }
@@ -168,11 +168,11 @@
 func (c *Cluster) recordShares() {
 	now, sum := c.Clock.TrueTime(), [2]float64{}
 	for i, p := range c.Processes {
-		var all [2]int
+		var counts [2]int
 		if p.DeadSince == 0 && !p.Paused {
-			p.Runner.WithDetector(func(d *membership.Detector) { all = shareCounts(d, p.Host.Now()) })
+			p.Runner.WithDetector(func(d *membership.Detector) { counts = shareCounts(d, p.Host.Now()) })
 		}
-		for resource, n := range all {
+		for resource, n := range counts {
 			used := &c.shareUse[resource][i]
 			if n > 0 {
 				*used = append(*used, [2]float64{now, 1 / float64(n)})
--- a/internal/lab/membership/cluster_test.go
+++ b/internal/lab/membership/cluster_test.go
@@ -13,11 +13,11 @@
 func TestJoin(t *testing.T) {
 	for _, n := range []int{2, 3, 9, 60} {
 		c := New(1, n)
-		took := c.AwaitConvergence(10000)
-		_, why := c.Converged()
-		t.Logf("%d processes converged in %.0f ms", n, took)
-		if took > 5000 || len(c.FalseDeaths) > 0 {
-			t.Errorf("%d processes: converged in %g ms (%s), false deaths %q; want at most 5000 ms and none", n, took, why, c.FalseDeaths)
+		elapsed := c.AwaitConvergence(10000)
+		_, reason := c.Converged()
+		t.Logf("%d processes converged in %.0f ms", n, elapsed)
+		if elapsed > 5000 || len(c.FalseDeaths) > 0 {
+			t.Errorf("%d processes: converged in %g ms (%s), false deaths %q; want at most 5000 ms and none", n, elapsed, reason, c.FalseDeaths)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 				}
 			}
 			if len(c.FalseDeaths) > 0 {
-				t.Errorf("got false deaths %q, want none", c.FalseDeaths)
+				t.Error(c.FalseDeaths)
 			}
 		})
 	}
@@ -53,8 +53,8 @@
 func newConverged(t *testing.T, seed uint64, n int) *Cluster {
 	c := New(seed, n)
 	if ms := c.AwaitConvergence(10000); ms > 10000 {
-		_, why := c.Converged()
-		t.Fatalf("%d processes do not converge within 10000 ms: %s", n, why)
+		_, reason := c.Converged()
+		t.Fatalf("%d processes do not converge within 10000 ms: %s", n, reason)
 	}
 	return c
 }
@@ -63,8 +63,8 @@
 func checkConvergence(t *testing.T, c *Cluster, within float64) {
 	t.Helper()
 	if ms := c.AwaitConvergence(within); ms > within {
-		_, why := c.Converged()
-		t.Errorf("no convergence within %.0f ms: %s", within, why)
+		_, reason := c.Converged()
+		t.Errorf("no convergence within %.0f ms: %s", within, reason)
 	}
 	if len(c.FalseDeaths) > 0 {
 		t.Errorf("got %d false deaths, want none; the first: %s", len(c.FalseDeaths), c.FalseDeaths[0])
@@ -275,11 +275,11 @@
 // TestNameTaken starts a second process under a name that is in use: the first one detects that and gives up the name.
 func TestNameTaken(t *testing.T) {
 	c := newConverged(t, 11, 5)
-	duplicate := &Process{cluster: c, Name: "m002", Host: c.Clock.NewProcess("twin"), Key: key, Address: "twin:1", Incarnation: 6}
-	duplicate.Start()
+	second := &Process{cluster: c, Name: "m002", Host: c.Clock.NewProcess("twin"), Key: key, Address: "twin:1", Incarnation: 6}
+	second.Start()
 	c.Advance(5000)
-	if c.Processes[2].NameTakenBy != "twin:1" || duplicate.NameTakenBy != "" {
-		t.Errorf("name taken by: got %q at the first process and %q at the second, want twin:1 and none", c.Processes[2].NameTakenBy, duplicate.NameTakenBy)
+	if c.Processes[2].NameTakenBy != "twin:1" || second.NameTakenBy != "" {
+		t.Errorf("name taken by: got %q at the first process and %q at the second, want twin:1 and none", c.Processes[2].NameTakenBy, second.NameTakenBy)
 	}
 	c.Processes[2].Runner.WithDetector(func(d *membership.Detector) {
 		if !d.HasNameConflict() {
@@ -367,12 +367,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := map[string][][]byte{}
+	recorded := map[string][][]byte{}
 	for to, list := range kept {
-		all[to] = list[:len(list):len(list)]
+		recorded[to] = list[:len(list):len(list)]
 	}
 	for _, p := range c.Processes {
-		for i, b := range all[p.Address] {
+		for i, b := range recorded[p.Address] {
 			sender.Send(p.Address, b)
 			if i%50 == 0 {
 				c.Advance(20)
@@ -430,10 +430,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		old := kept[c.Processes[0].Address]
-		old = old[:len(old):len(old)]
+		recorded := kept[c.Processes[0].Address]
+		recorded = recorded[:len(recorded):len(recorded)]
 		for range 20 {
-			for _, b := range old {
+			for _, b := range recorded {
 				sender.Send(c.Processes[0].Address, b)
 			}
 			c.Advance(1000)
--- a/internal/lab/shards/check.go
+++ b/internal/lab/shards/check.go
@@ -153,7 +153,7 @@
 }
 
 // resizeRandomly changes the number of shards at random intervals.
-func (b *testbench) resizeRandomly(ctx context.Context, to chan<- int) {
+func (b *testbench) resizeRandomly(ctx context.Context, counts chan<- int) {
 	rng := rand.New(rand.NewPCG(b.Seed, 99))
 	for {
 		select {
@@ -164,7 +164,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case to <- 1 + rng.IntN(b.Shards):
+		case counts <- 1 + rng.IntN(b.Shards):
 			b.result.Resizes++
 		}
 	}
--- a/internal/lab/shards/faults.go
+++ b/internal/lab/shards/faults.go
@@ -38,17 +38,17 @@
 // PermitAttempt pauses the shard for longer than the watchdog allows, so that it is fenced and resumes later with an attempt to send.
 // Sometimes it pauses with the permit already taken, and sometimes it panics with the permit.
 func (h *faultyEffects) PermitAttempt(task engine.OwnedTask, node uint32, attempt engine.AttemptID) bool {
-	due, kind := h.faultDue(), h.rng.IntN(8)
+	faultNow, kind := h.faultDue(), h.rng.IntN(8)
 	if h.bench.SkipEpochCheck { // The epoch check guards against a pause before the permit only.
 		kind = 0
 	}
-	if due && kind < 2 {
+	if faultNow && kind < 2 {
 		time.Sleep(2400 * time.Millisecond)
 	}
 	permitted := h.Effects.PermitAttempt(task, node, attempt)
-	if due && kind == 2 {
+	if faultNow && kind == 2 {
 		time.Sleep(2400 * time.Millisecond)
-	} else if due && kind > 2 {
+	} else if faultNow && kind > 2 {
 		panic("injected fault: a shard panics with a permit for an attempt")
 	}
 	return permitted
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -111,9 +111,9 @@
 }
 
 // fail records the first violation.
-func (sm *simulation) fail(failure string) {
+func (sm *simulation) fail(violation string) {
 	if sm.result.Failure == "" {
-		sm.result.Failure = fmt.Sprintf("at %.0f ms, %s: %s", sm.clock.TrueTime(), sm.result.Fault, failure)
+		sm.result.Failure = fmt.Sprintf("at %.0f ms, %s: %s", sm.clock.TrueTime(), sm.result.Fault, violation)
 	}
 }
 
