--- a/internal/lab/cluster/rig.go
+++ b/internal/lab/cluster/rig.go
@@ -63,9 +63,9 @@
 // Start starts all processes and waits until clients can connect to each scheduler.
 func Start(ctx context.Context, config Config) (r *Rig, err error) {
 	ctx, stop := context.WithCancel(ctx)
-	environment := env.NewReal()
+	real := env.NewReal()
 	r = &Rig{
-		Config: config, ctx: ctx, stop: stop, env: environment, testbed: standin.NewTestbed(environment), rng: rand.New(rand.NewPCG(config.Seed, 0x916)), datagramLinks: map[[2]int]DatagramLink{},
+		Config: config, ctx: ctx, stop: stop, env: real, testbed: standin.NewTestbed(real), rng: rand.New(rand.NewPCG(config.Seed, 0x916)), datagramLinks: map[[2]int]DatagramLink{},
 		routes: map[routeKey][2]Route{},
 	}
 	r.testbed.Trace.OnRecord = r.record
--- a/internal/lab/consensus/faults.go
+++ b/internal/lab/consensus/faults.go
@@ -20,7 +20,7 @@
 	minFaultTime    = 300
 	faultTimeRange  = 3500
 	killDeadline    = 400 // after which a process is killed even if it had fewer effects than drawn
-	fullDiskRestart = 300 // after which a process killed with a full disk is started again
+	fullDiskRestart = 300 // after which a process that was killed with a full disk starts again
 )
 
 // maxEffects is the highest number of effects after which a process is killed.
--- a/internal/lab/membership/cluster.go
+++ b/internal/lab/membership/cluster.go
@@ -122,7 +122,7 @@
 // Resume has a paused process continue.
 func (p *Process) Resume() { p.Host.Resume(); p.Paused = false }
 
-// ExpectDeaths allows live processes to be declared dead for the next ms.
+// ExpectDeaths allows live processes to be declared dead for a time in ms from now.
 func (c *Cluster) ExpectDeaths(ms float64) {
 	c.deathExpectedUntil = max(c.deathExpectedUntil, c.Clock.TrueTime()+ms)
 }
