--- a/internal/lab/membership/simulation.go
+++ b/internal/lab/membership/simulation.go
@@ -87,7 +87,7 @@
 		_, reason := c.Converged()
 		fail("after convergence, without faults: %s", reason)
 	}
-	p := c.Processes[c.Random.IntN(n)] // One process dies for good, and all that was recorded is replayed.
+	p := c.Processes[c.Random.IntN(n)] // One process dies for good, and recorded datagrams are replayed.
 	p.Kill()
 	_, maxSuspicion := c.suspicionBounds()
 	c.Advance(maxSuspicion + deathGrace)
