--- a/internal/lab/cluster/site.go
+++ b/internal/lab/cluster/site.go
@@ -39,7 +39,7 @@
 	r.rules = audit.Rules{
 		Nodes: map[uint32]audit.Location{}, DrainGrace: siteConfig.DrainGrace, SlowStartLimit: slowStartLimit, SlowStartDuration: siteConfig.Cluster.SlowStartDuration,
 		SlowStartWindow: siteConfig.Cluster.SlowStartWindow, Slack: 500,
-		Jobs: []audit.JobRules{{}, {Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxTogether: 3}, {Semantics: audit.AtMostOnce}},
+		Jobs: []audit.JobRules{{}, {Semantics: audit.Idempotent, Scope: audit.ScopeZone, Window: 1500, Spread: audit.SpreadNode, MaxPerDomain: 3}, {Semantics: audit.AtMostOnce}},
 	}
 	machine := standin.MachineConfig{
 		Cores: float64(r.cores()), Memory: 2 * float64(r.cores()), CoresLimit: 2, MemoryLimit: 1.5, InspectTime: 4, QueueLimit: 200, ConcurrentStarts: 16, ProgramMissFactor: 3, ProgramCacheSize: 8,
--- a/internal/lab/consensus/consensus.go
+++ b/internal/lab/consensus/consensus.go
@@ -25,7 +25,7 @@
 	activeTime    = 20000 // during which faults and commands come
 	settleTime    = 12000 // after the faults, within which all have to hold one state
 	commandsFrom  = 2500
-	maxStaleness  = consensus.Lease * 1.03
+	maxStaleness  = consensus.LeaseDuration * 1.03
 	checkInterval = 25
 )
 
--- a/internal/lab/consensus/disk.go
+++ b/internal/lab/consensus/disk.go
@@ -19,7 +19,7 @@
 
 // Load implements control.Storage.
 func (d *Disk) Load() (consensus.PersistedState, error) {
-	return consensus.PersistedState{Hard: d.saved.Hard, Snapshot: d.saved.Snapshot, Entries: slices.Clone(d.saved.Entries)}, nil
+	return consensus.PersistedState{HardState: d.saved.HardState, Snapshot: d.saved.Snapshot, Entries: slices.Clone(d.saved.Entries)}, nil
 }
 
 // Save implements control.Storage.
@@ -28,7 +28,7 @@
 		return errFull
 	}
 	if hard != nil {
-		d.saved.Hard = hard
+		d.saved.HardState = hard
 	}
 	if snapshot != nil {
 		d.saved.Snapshot = snapshot
--- a/internal/lab/consensus/faults.go
+++ b/internal/lab/consensus/faults.go
@@ -77,8 +77,8 @@
 }
 
 func (t faultTarget) cutLink() {
-	t.sim.clock.Cut(t.p.name, t.other.name, true)
-	t.sim.after(t.duration, func() { t.sim.clock.Cut(t.p.name, t.other.name, false) })
+	t.sim.clock.SetCut(t.p.name, t.other.name, true)
+	t.sim.after(t.duration, func() { t.sim.clock.SetCut(t.p.name, t.other.name, false) })
 }
 
 func (t faultTarget) loseDatagrams() {
@@ -145,7 +145,7 @@
 		for _, p := range isolated {
 			for _, other := range sm.processes {
 				if !slices.Contains(isolated, other) {
-					sm.clock.Cut(p.name, other.name, cut)
+					sm.clock.SetCut(p.name, other.name, cut)
 				}
 			}
 		}
--- a/internal/lab/consensus/process.go
+++ b/internal/lab/consensus/process.go
@@ -19,14 +19,14 @@
 // SilentMembers is a handler of membership events that ignores them, for schedulers without nodes.
 type SilentMembers struct{}
 
-// OnChange does nothing.
-func (SilentMembers) OnChange(float64, membership.Member, membership.State) {}
+// OnMemberChanged does nothing.
+func (SilentMembers) OnMemberChanged(float64, membership.Member, membership.State) {}
 
-// OnNameTaken does nothing.
-func (SilentMembers) OnNameTaken(float64, string) {}
+// OnNameConflict does nothing.
+func (SilentMembers) OnNameConflict(float64, string) {}
 
-// LastHeard reports that no node is known.
-func (SilentMembers) LastHeard(uint32) (incarnation uint64, heard float64, ok bool) {
+// LastNodeContact reports that no node is known.
+func (SilentMembers) LastNodeContact(uint32) (incarnation uint64, heard float64, ok bool) {
 	return 0, 0, false
 }
 
--- a/internal/lab/membership/cluster.go
+++ b/internal/lab/membership/cluster.go
@@ -129,7 +129,7 @@
 
 type eventHandler struct{ process *Process }
 
-func (h eventHandler) OnChange(_ float64, m membership.Member, previous membership.State) {
+func (h eventHandler) OnMemberChanged(_ float64, m membership.Member, previous membership.State) {
 	c := h.process.cluster
 	if m.State != membership.Dead {
 		return
@@ -141,11 +141,11 @@
 	}
 }
 
-func (h eventHandler) LastHeard(uint32) (incarnation uint64, heard float64, ok bool) {
+func (h eventHandler) LastNodeContact(uint32) (incarnation uint64, heard float64, ok bool) {
 	return 0, 0, false
 }
 
-func (h eventHandler) OnNameTaken(_ float64, address string) { h.process.NameTakenBy = address }
+func (h eventHandler) OnNameConflict(_ float64, address string) { h.process.NameTakenBy = address }
 
 // Process returns the process of a name, nil if there is none.
 func (c *Cluster) Process(name string) *Process {
--- a/internal/lab/membership/cluster_test.go
+++ b/internal/lab/membership/cluster_test.go
@@ -83,7 +83,7 @@
 				c := newConverged(t, 3, n)
 				p := c.Processes[n-1]
 				var minSuspicion float64
-				p.Runner.WithDetector(func(d *membership.Detector) { minSuspicion, _ = d.Bounds() })
+				p.Runner.WithDetector(func(d *membership.Detector) { minSuspicion, _ = d.SuspicionBounds() })
 				p.Pause()
 				from := c.Clock.TrueTime()
 				c.Advance(ms)
--- a/internal/lab/membership/simulation.go
+++ b/internal/lab/membership/simulation.go
@@ -236,7 +236,7 @@
 
 // suspicionBounds returns the present bounds in ms of a suspicion's duration.
 func (c *Cluster) suspicionBounds() (least, most float64) {
-	c.Running()[0].Runner.WithDetector(func(d *membership.Detector) { least, most = d.Bounds() })
+	c.Running()[0].Runner.WithDetector(func(d *membership.Detector) { least, most = d.SuspicionBounds() })
 	return
 }
 
--- a/internal/lab/shards/check.go
+++ b/internal/lab/shards/check.go
@@ -182,7 +182,7 @@
 	for i := range n {
 		zone := []string{"one", "two"}[i%2]
 		l.Put(state.Entry{
-			ID: uint32(i + 1), Address: strconv.Itoa(i), Avail: 1, FreeCores: 1000, FreeMemory: 2000,
+			ID: uint32(i + 1), Address: strconv.Itoa(i), Availability: 1, FreeCores: 1000, FreeMemory: 2000,
 			Zone: zone, Cell: zone, Kind: "plain",
 		})
 	}
--- a/internal/lab/zones/faults.go
+++ b/internal/lab/zones/faults.go
@@ -168,7 +168,7 @@
 		for _, p := range sm.processes {
 			for _, q := range sm.processes {
 				if p.zone == zone && slices.Contains(others, q.zone) {
-					sm.clock.Cut(p.name, q.name, cut)
+					sm.clock.SetCut(p.name, q.name, cut)
 				}
 			}
 		}
--- a/internal/lab/zones/zones.go
+++ b/internal/lab/zones/zones.go
@@ -29,7 +29,7 @@
 	checkInterval  = 50
 	reportInterval = 250  // between two reports of a process on zones
 	silenceTimeout = 1000 // after which a node that does not answer counts as unreachable
-	maxStaleness   = consensus.Lease*1.03 + 200
+	maxStaleness   = consensus.LeaseDuration*1.03 + 200
 )
 
 // Sizes of each zone.
