--- a/internal/lab/cluster/lifecycle.go
+++ b/internal/lab/cluster/lifecycle.go
@@ -17,37 +17,38 @@
 	"ravenpond/internal/standin"
 )
 
-// killRecord is one that was killed, and when.
+// killRecord is a kill of a scheduler process.
 type killRecord struct {
 	scheduler int
 	at        time.Time
 }
 
+// process is a scheduler process of the rig.
 type process struct {
 	name         string
-	listen       string       // where it takes datagrams
-	reservedConn *net.UDPConn // holds that address for it until it begins
+	listen       string       // address for membership datagrams
+	reservedConn *net.UDPConn // holds that address until the process starts
 	relay        *net.UDPConn
-	listRelay    *relay // its ways to the list and from its owners, where they pass relays
+	listRelay    *relay // to the node list, as clientRelay is from clients; nil without Config.Relays
 	clientRelay  *relay
-	folder       string
-	log          *os.File
+	stateDir     string
+	logFile      *os.File
 	client       *standin.Client
 	mu           sync.Mutex
 	command      *exec.Cmd
 	address      string
-	stopped      bool
+	paused       bool
 }
 
-// StartScheduler starts a scheduler, anew or for the first time.
+// StartScheduler starts a scheduler for the first time or again after a kill.
 func (r *Rig) StartScheduler(i int) error {
-	x := r.processes[i]
-	if err := os.MkdirAll(x.folder, 0o750); err != nil {
+	p := r.processes[i]
+	if err := os.MkdirAll(p.stateDir, 0o750); err != nil {
 		return err
 	}
 	var err error
-	if x.log == nil {
-		if x.log, err = os.Create(filepath.Join(r.Dir, x.name+".log")); err != nil {
+	if p.logFile == nil {
+		if p.logFile, err = os.Create(filepath.Join(r.Dir, p.name+".log")); err != nil {
 			return err
 		}
 	}
@@ -57,86 +58,86 @@
 	}
 	members := ""
 	if !r.Isolated {
-		members = fmt.Sprintf(`<members listen="%s" advertise="%s" seeds="%s" key="%s"%s/>`, x.listen, x.relay.LocalAddr(), strings.Join(seeds, " "),
+		members = fmt.Sprintf(`<members listen="%s" advertise="%s" seeds="%s" key="%s"%s/>`, p.listen, p.relay.LocalAddr(), strings.Join(seeds, " "),
 			filepath.Join(r.Dir, "key"), r.voterAttribute())
 	}
 	list := r.list.Address()
-	if x.listRelay != nil {
-		list = x.listRelay.address()
+	if p.listRelay != nil {
+		list = p.listRelay.address()
 	}
-	file := filepath.Join(r.Dir, x.name+".xml")
+	file := filepath.Join(r.Dir, p.name+".xml")
 	if err := os.WriteFile(file, fmt.Appendf(nil, siteText, r.Schedulers, max(12, r.Schedulers), r.zoneElements(), r.cores(), 2*r.cores(), members, list), 0o640); err != nil {
 		return err
 	}
-	x.reservedConn.Close()
-	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: audit.SchedulerStarted, Scheduler: x.name})
-	cmd, address, err := spawn.Scheduler(r.ctx, append(slices.Clone(r.Command), "serve", "--site", file, "--state", x.folder, "--name", x.name,
-		"--index", fmt.Sprint(i), "--zone", r.zoneOf(i), "--seed", fmt.Sprint(r.Seed*1000+uint64(i)+1), "--address-file", filepath.Join(r.Dir, x.name+".addr")), x.log,
-		filepath.Join(r.Dir, x.name+".addr"))
+	p.reservedConn.Close()
+	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: audit.SchedulerStarted, Scheduler: p.name})
+	cmd, address, err := spawn.Scheduler(r.ctx, append(slices.Clone(r.Command), "serve", "--site", file, "--state", p.stateDir, "--name", p.name,
+		"--index", fmt.Sprint(i), "--zone", r.zoneOf(i), "--seed", fmt.Sprint(r.Seed*1000+uint64(i)+1), "--address-file", filepath.Join(r.Dir, p.name+".addr")), p.logFile,
+		filepath.Join(r.Dir, p.name+".addr"))
 	if err != nil {
 		return err
 	}
-	x.mu.Lock()
-	x.command, x.address, x.stopped = cmd, address, false
-	x.mu.Unlock()
+	p.mu.Lock()
+	p.command, p.address, p.paused = cmd, address, false
+	p.mu.Unlock()
 	return nil
 }
 
-// KillScheduler ends a scheduler at once.
+// KillScheduler kills a scheduler process without warning and waits for its end.
 func (r *Rig) KillScheduler(i int) {
-	x := r.processes[i]
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.command == nil {
+	p := r.processes[i]
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.command == nil {
 		return
 	}
 	at := time.Now()
-	_ = x.command.Process.Kill()
-	_ = x.command.Wait()
-	used := x.command.ProcessState.UserTime() + x.command.ProcessState.SystemTime()
-	x.command = nil
+	_ = p.command.Process.Kill()
+	_ = p.command.Wait()
+	used := p.command.ProcessState.UserTime() + p.command.ProcessState.SystemTime()
+	p.command = nil
 	r.mu.Lock()
 	r.usedCPU += used
 	r.kills = append(r.kills, killRecord{scheduler: i, at: at})
 	r.mu.Unlock()
-	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: x.name})
+	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: audit.SchedulerKilled, Scheduler: p.name})
 }
 
-// PauseScheduler has a scheduler stand still, or run on.
-func (r *Rig) PauseScheduler(i int, still bool) {
-	x := r.processes[i]
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.command == nil || x.stopped == still {
+// PauseScheduler stops a scheduler process by SIGSTOP, or has it continue by SIGCONT.
+func (r *Rig) PauseScheduler(i int, paused bool) {
+	p := r.processes[i]
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.command == nil || p.paused == paused {
 		return
 	}
-	x.stopped = still
+	p.paused = paused
 	kind, signal := audit.SchedulerPaused, syscall.SIGSTOP
-	if !still {
+	if !paused {
 		kind, signal = audit.SchedulerResumed, syscall.SIGCONT
 	}
-	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: kind, Scheduler: x.name})
-	_ = x.command.Process.Signal(signal)
+	r.testbed.Trace.Add(audit.Record{At: r.testbed.Now(), Kind: kind, Scheduler: p.name})
+	_ = p.command.Process.Signal(signal)
 }
 
-// CrashNodes has nodes fall and come back cold.
-func (r *Rig) CrashNodes(part float64, away time.Duration) {
+// CrashNodes crashes a fraction of the nodes and restarts them cold after the downtime.
+func (r *Rig) CrashNodes(fraction float64, downtime time.Duration) {
 	for i, n := range r.nodes {
-		if float64(i) < part*float64(len(r.nodes)) {
+		if float64(i) < fraction*float64(len(r.nodes)) {
 			r.testbed.WithLock(func(now float64) { n.Crash(now) })
-			r.runAfter(away, func() { r.restartNode(n) })
+			r.runAfter(downtime, func() { r.restartNode(n) })
 		}
 	}
 }
 
-// restartNode brings a node back; its address may be taken for a moment yet.
+// restartNode restarts a node. It retries after 100 ms, as the node's address may still be in use.
 func (r *Rig) restartNode(n *standin.Node) {
 	if err := n.Restart(); err != nil {
 		r.runAfter(100*time.Millisecond, func() { r.restartNode(n) })
 	}
 }
 
-// runAfter does something after a while, unless the rig has ended by then.
+// runAfter calls f after a delay, unless the rig has ended by then.
 func (r *Rig) runAfter(d time.Duration, f func()) {
 	r.background.Go(func() {
 		t := time.NewTimer(d)
