--- a/internal/serve/cluster_state.go
+++ b/internal/serve/cluster_state.go
@@ -56,7 +56,7 @@
 	}
 	c := &clusterControl{process: s.process, runner: runner, zones: newZoneRouting(s, runner)}
 	c.zones.start()
-	s.log.Info().Str("mode", "council").Bool("steward", c.isVoter()).Strs("stewards", config.Voters).Str("zone", config.Zone).Str("region", config.Region).Msg("agrees")
+	s.log.Info().Str("mode", "council").Bool("steward", c.isVoter()).Strs("stewards", config.Voters).Str("zone", config.Zone).Str("region", config.Region).Msg("cluster state replica started")
 	return c, nil
 }
 
