--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -61,7 +61,7 @@
 
 func newTelemetry(s *Server) telemetry {
 	return telemetry{server: s, diagnostics: besteffort.Guard{Report: func(what, why string) {
-		s.log.Error().Str("mode", "words").Str("what", what).Str("why", why).Msg("switched off")
+		s.log.Error().Str("mode", "words").Str("what", what).Str("why", why).Msg("diagnostic switched off")
 	}}}
 }
 
