--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -145,4 +145,4 @@
 	return i >= 0 && !slices.ContainsFunc(cal.Windows[i].Exceptions, v.ScheduledStart.Equal)
 }
 
-func storeError(err error) error { return fmt.Errorf("drains: %w", err) }
+func storeError(err error) error { return fmt.Errorf("maintenance windows: %w", err) }
