--- a/internal/strictxml/reader.go
+++ b/internal/strictxml/reader.go
@@ -180,7 +180,7 @@
 		return
 	}
 	if first := lineOf[key]; first > 0 {
-		r.addFault(item.Line, "<%s %s=%q> stands in line %d already", element.Name, element.Key, key, first)
+		r.addFault(item.Line, "duplicate <%s %s=%q>, first in line %d", element.Name, element.Key, key, first)
 	} else {
 		lineOf[key] = item.Line
 	}
