--- a/internal/decide/calendar/calendar.go
+++ b/internal/decide/calendar/calendar.go
@@ -119,7 +119,7 @@
 		faults = append(faults, w.fault("no place to drain"))
 	}
 	if w.Duration <= 0 || w.Lead < 0 || w.Slack < 0 {
-		faults = append(faults, w.fault("impossible length %s, lead %s or slack %s", w.Duration, w.Lead, w.Slack))
+		faults = append(faults, w.fault("invalid length %s, lead %s or slack %s", w.Duration, w.Lead, w.Slack))
 	}
 	if span := w.Lead + w.Duration + w.Slack; span > maxSpan {
 		faults = append(faults, w.fault("lead, length and slack are %s together, want at most %s", span, maxSpan))
--- a/internal/decide/calendar/calendar_test.go
+++ b/internal/decide/calendar/calendar_test.go
@@ -220,7 +220,7 @@
 		invalidate  func(w *Window)
 	}{
 		{"no name", "name missing", func(w *Window) { w.ID = "" }},
-		{"no length", "impossible length", func(w *Window) { w.Duration = 0 }},
+		{"no length", "invalid length 0s, lead ", func(w *Window) { w.Duration = 0 }},
 		{"too long", "together", func(w *Window) { w.Slack = 200 * time.Hour }},
 		{"malformed rule", "rule", func(w *Window) { w.Rule = "FREQ=SOMETIMES" }},
 		{"hourly rule", "more often than daily", func(w *Window) { w.Rule = "FREQ=HOURLY" }},
--- a/internal/proto/ics/ics_test.go
+++ b/internal/proto/ics/ics_test.go
@@ -70,7 +70,7 @@
 	}
 	for _, c := range []struct{ name, old, new, fault string }{
 		{"not a calendar", "BEGIN:VCALENDAR", "HELLO", "calendar is not valid"},
-		{"no duration", "DURATION:PT1H\r\n", "", "impossible length"},
+		{"no duration", "DURATION:PT1H\r\n", "", "invalid length 0s, lead "},
 		{"invalid duration", "PT1H", "an hour", "DURATION"},
 		{"unknown time zone", "DTSTART:20260301T100000Z", "DTSTART;TZID=Nowhere/Here:20260301T100000", "Nowhere/Here"},
 		{"unknown scope", "X-RAVENPOND-PLACE:7", "X-RAVENPOND-PLACE:7\r\nX-RAVENPOND-REACH:town", "one of node, cell, zone"},
