--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -98,13 +98,13 @@
 		{"unknown event code", batch(tail, record(13, uint16(0))), nil, "unknown event code 13"},
 		{
 			"settings that do not parse", batch("{", record(wire.InstanceCreated, uint16(0), uint64(5), uint32(0), uint32(1))), nil,
-			"facts do not parse",
+			"cannot decode JSON: ",
 		},
 		{
 			"settings without job classes", batch("{}", record(wire.InstanceCreated, uint16(0), uint64(5), uint32(0), uint32(2))), nil,
 			"got 0 services and 0 instances, want at least one of each",
 		},
-		{"unknown keyword in the settings", batch(strings.Replace(tail, `"free", "worth`, `"tree", "worth`, 1), create), nil, "unknown word"},
+		{"unknown enum value in the settings", batch(strings.Replace(tail, `"free", "worth`, `"tree", "worth`, 1), create), nil, `unknown value "tree", expected one of `},
 		{"list beyond the tail of the batch", batch("", listEntries), nil, "tail reference out of range"},
 		{"list number out of range", batch(tail, record(wire.ListEntries, uint32(16), settingsSize, uint32(1))), nil, "list number 16 out of range"},
 		{
--- a/internal/platform/configuration_test.go
+++ b/internal/platform/configuration_test.go
@@ -126,7 +126,7 @@
 		{`"conn-idle-ns": 30000000000`, `"conn-idle-ns": 0`, "conn-idle-ns"},
 		{`"name": "marked"`, `"name": "batch"`, "services 1 name"},
 		{`"known":{"pos":0,"entries":[]},`, ``, "known"},
-		{`"effect": "free"`, `"effect": "odd"`, `settings: services 0 (batch) effect: unknown word "odd"`},
+		{`"effect": "free"`, `"effect": "odd"`, `settings: services 0 (batch) effect: unknown value "odd"`},
 		{`{"name"`, `{`, "invalid"},
 	} {
 		if _, err := Read([]byte(strings.Replace(good, x.old, x.new, 1))); err == nil || !strings.Contains(err.Error(), x.want) {
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -95,7 +95,7 @@
 		return nil, fieldErrorf(strings.ToLower(typeError.Field), "unexpected JSON %s", typeError.Value)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("facts do not parse: %w", err)
+		return nil, fmt.Errorf("cannot decode JSON: %w", err)
 	}
 	return &f, nil
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -68,7 +68,7 @@
 func enumIndex(field, value string, values []string) (int, error) {
 	i := slices.Index(values, value)
 	if i < 0 {
-		return 0, fieldErrorf(field, "unknown word %q, expected one of %q", value, values)
+		return 0, fieldErrorf(field, "unknown value %q, expected one of %q", value, values)
 	}
 	return i, nil
 }
