--- a/internal/serve/shard_test.go
+++ b/internal/serve/shard_test.go
@@ -361,7 +361,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("waited 6 s in vain for: %s", what)
+	t.Fatalf("condition not met within 6 s: %s", what)
 }
 
 // TestResizeRefused requests numbers of shards that are out of range, and then one that is allowed.
--- a/internal/serve/tenants_test.go
+++ b/internal/serve/tenants_test.go
@@ -293,7 +293,7 @@
 // serveOther sends a request of tenant b, and waits until it is served.
 func (l *limitsTest) serveOther(t *testing.T) {
 	t.Helper()
-	const what = "serving a request of the other tenant"
+	const what = "a request of the other tenant is served"
 	l.lastRef++
 	before := l.b.count(`"answer":"served"`)
 	if err := l.b.allocateFor("b", l.lastRef, "free"); err != nil {
