--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -131,12 +131,12 @@
 // messageHandler receives the replica's messages from the membership protocol. It is called with the members' lock held, so it only queues them.
 type messageHandler struct{ *Runner }
 
-// OnMessage implements membership.Carrier.
+// OnMessage implements membership.MessageHandler.
 func (h messageHandler) OnMessage(from string, body []byte) {
 	h.enqueue(message{from: from, body: body})
 }
 
-// OnNewerStateVersion implements membership.Carrier.
+// OnNewerStateVersion implements membership.MessageHandler.
 func (h messageHandler) OnNewerStateVersion(from string, version uint64) {
 	h.enqueue(message{from: from, version: version})
 }
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -78,7 +78,7 @@
 	// OnData takes received bytes, which are valid only during the call. Nil means that the peer has closed its side for sending; it may still
 	// receive. OnData is not called after Conn.Close.
 	OnData(b []byte)
-	// OnClose is the last call: nothing more is passed to the network, and Conn.HandedOver is final. The error says why the connection ended.
+	// OnClose is the last call: nothing more is passed to the network, and Conn.BytesWritten is final. The error says why the connection ended.
 	OnClose(err error)
 }
 
--- a/internal/env/real_test.go
+++ b/internal/env/real_test.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestHandedOver checks that HandedOver does not count unsent bytes: the rest of a message that the peer read in part, and a message that was
+// TestBytesWritten checks that BytesWritten does not count unsent bytes: the rest of a message that the peer read in part, and a message that was
 // only queued.
-func TestHandedOver(t *testing.T) {
+func TestBytesWritten(t *testing.T) {
 	r := NewReal()
 	defer r.Close(time.Second)
 	c, peer := pipe(t, r)
@@ -86,7 +86,7 @@
 		t.Error(err)
 	}
 	if h := c.BytesWritten(); h != 4 {
-		t.Errorf("HandedOver returned %d, want 4", h)
+		t.Errorf("BytesWritten returned %d, want 4", h)
 	}
 	if _, _, ok := c.Send(func(b []byte) []byte { return append(b, "y"...) }); ok {
 		t.Error("Send succeeded after the connection was closed")
@@ -212,7 +212,7 @@
 	}
 	sent, queued, ok := c.Send(line(10))
 	if !ok || queued != 0 || c.BytesWritten() != sent {
-		t.Fatalf("Send returned %d, %d queued, HandedOver %d, ok %v, want none queued and all handed over", sent, queued, c.BytesWritten(), ok)
+		t.Fatalf("Send returned %d, %d queued, BytesWritten %d, ok %v, want none queued and all written", sent, queued, c.BytesWritten(), ok)
 	}
 	if c.Unsend(sent, 10) {
 		t.Error("Unsend removed a message that was sent")
--- a/internal/lab/maintenance/simulation.go
+++ b/internal/lab/maintenance/simulation.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// calendarFor returns the calendar of a process: the whole one, or with the fault PerProcess a part of its own, so that each process checks for
+// calendarFor returns the calendar of a process: the whole one, or with the fault OverlapsPerProcess a part of its own, so that each process checks for
 // overlaps within its part only.
 func (w *simulation) calendarFor(process int) *calendar.Calendar {
 	if w.Fault != OverlapsPerProcess {
--- a/internal/platform/descriptors_test.go
+++ b/internal/platform/descriptors_test.go
@@ -169,7 +169,7 @@
 	}
 	for _, n := range r.server.nodes.byID {
 		if b, _ := r.server.host.NodeEstimate(n.id); b.Unhealthy || b.FailureRate > 0 {
-			t.Errorf("belief about node %s: %+v, want it healthy with a failure rate of 0", n.name, b)
+			t.Errorf("estimate of node %s: %+v, want it healthy with a failure rate of 0", n.name, b)
 		}
 	}
 }
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -50,25 +50,25 @@
 
 // Host runs one placement module and holds its allocations, timers and probes.
 type Host struct {
-	effects       Effects
-	module        *logic.Scheduler
-	supervisor    moduleSupervisor
-	diagnostics   besteffort.Guard // guards reads of the module that are needed only for the log
-	beliefErrors  beliefErrorSum
-	roundInterval float64 // minimum time between rounds
-	maxAttempts   int     // per allocation
-	now           float64 // time of the last event or round
-	lastRound     float64
-	hasEvents     bool // an event was reported since the last round
-	timers        timers.Heap[timerKind]
-	allocations   map[uint32]*allocation
-	lastID        uint32 // last ID of an allocation or probe; they share one sequence, so a late probe answer never matches an allocation
-	probes        map[uint32]pendingProbe
-	pauseDetector pausedetect.Detector
-	openCount     int // number of allocations without a final answer
-	runningCount  int // number of allocations whose tasks run on nodes
-	timeoutGrace  float64
-	probeTimeout  float64
+	effects        Effects
+	module         *logic.Scheduler
+	supervisor     moduleSupervisor
+	diagnostics    besteffort.Guard // guards reads of the module that are needed only for the log
+	estimateErrors estimateErrorSum
+	roundInterval  float64 // minimum time between rounds
+	maxAttempts    int     // per allocation
+	now            float64 // time of the last event or round
+	lastRound      float64
+	hasEvents      bool // an event was reported since the last round
+	timers         timers.Heap[timerKind]
+	allocations    map[uint32]*allocation
+	lastID         uint32 // last ID of an allocation or probe; they share one sequence, so a late probe answer never matches an allocation
+	probes         map[uint32]pendingProbe
+	pauseDetector  pausedetect.Detector
+	openCount      int // number of allocations without a final answer
+	runningCount   int // number of allocations whose tasks run on nodes
+	timeoutGrace   float64
+	probeTimeout   float64
 }
 
 // New returns a Host with a new module. The seed initializes the module's random numbers.
--- a/internal/platform/host/host_test.go
+++ b/internal/platform/host/host_test.go
@@ -360,9 +360,9 @@
 	s.expectEffects("four attempts", "offer 1.0, offer 1.1, offer 1.2, offer 1.3, answer 1 shed, forget 1")
 }
 
-// TestBeliefError checks the mean absolute error of the module's estimates against the load reports, for errors in either direction, and that
+// TestEstimateError checks the mean absolute error of the module's estimates against the load reports, for errors in either direction, and that
 // each report counts once.
-func TestBeliefError(t *testing.T) {
+func TestEstimateError(t *testing.T) {
 	s := newHarness(t, 1)
 	for _, free := range []float64{20, 17, 24} {
 		id := s.request(restartable)
--- a/internal/platform/telemetry.go
+++ b/internal/platform/telemetry.go
@@ -86,7 +86,7 @@
 func (t *telemetry) logStats() {
 	s := t.server
 	unhealthy, degraded := t.nodeHealth()
-	beliefError := s.host.TakeEstimateError()
+	estimateError := s.host.TakeEstimateError()
 	line := s.log.Info().Str("mode", "counts").Int("open", s.host.OpenRequests()).Int("stands", s.host.RunningTasks()).
 		Int("owners", s.clients.count()).Int("links", s.nodes.connections()).Int("nodes", s.nodes.count())
 	t.addCounts(line, countField{"taken", countAccepted}, countField{"turned", countRejected}, countField{"behind", countShedBehind})
@@ -98,8 +98,8 @@
 	t.addCounts(line, countField{"dials", countDials}, countField{"looks", countNodeChecks}, countField{"refused", countDialsFailed},
 		countField{"spent", countDialsExhausted}, countField{"spoilt", countMalformed}, countField{"expelled", countEvicted},
 		countField{"probes", countProbes})
-	line.Int("ill", unhealthy).Int("strained", degraded).Int("reports", beliefError.Reports).
-		Float64("off_cores", math.Round(beliefError.Cores*10)/10).Float64("off_memory", math.Round(beliefError.Memory*10)/10).Msg("")
+	line.Int("ill", unhealthy).Int("strained", degraded).Int("reports", estimateError.Reports).
+		Float64("off_cores", math.Round(estimateError.Cores*10)/10).Float64("off_memory", math.Round(estimateError.Memory*10)/10).Msg("")
 	t.maxDelay = 0
 }
 
@@ -120,9 +120,9 @@
 func (t *telemetry) nodeHealth() (unhealthy, degraded int) {
 	s := t.server
 	for id := range s.nodes.all() {
-		if belief, ok := s.host.NodeEstimate(id); ok && belief.Unhealthy {
+		if estimate, ok := s.host.NodeEstimate(id); ok && estimate.Unhealthy {
 			unhealthy++
-		} else if ok && belief.Degradation > degradedAbove {
+		} else if ok && estimate.Degradation > degradedAbove {
 			degraded++
 		}
 	}
@@ -171,7 +171,7 @@
 	})
 }
 
-// traceOutcome traces the outcome of an attempt or of a running task, and the module's belief about the node.
+// traceOutcome traces the outcome of an attempt or of a running task, and the module's estimate of the node.
 func (t *telemetry) traceOutcome(r *request, o attemptOutcome) {
 	t.trace("settled", r.task, func(e *zerolog.Event) {
 		e.Uint8("verdict", uint8(o.verdict)).Uint8("why", uint8(o.reason)).Floats64("report", o.report).Bool("stood", r.running)
--- a/internal/serve/list_answer.go
+++ b/internal/serve/list_answer.go
@@ -29,7 +29,7 @@
 	return logic.ListFull
 }
 
-// listAnswerReader collects the lines of an answer until the answer is complete. It implements list.ListHandler.
+// listAnswerReader collects the lines of an answer until the answer is complete. It implements list.Handler.
 type listAnswerReader struct {
 	complete func(listAnswer) error
 	failed   func()
