--- a/internal/decide/gossip/gossip.go
+++ b/internal/decide/gossip/gossip.go
@@ -1,5 +1,5 @@
 // Package gossip decides which changes of the node list schedulers gossip: that a node is draining or removed as of a version of the list. A
-// scheduler that cannot reach the node list service learns of these changes from other schedulers. Gossip can only stop placements: the
+// scheduler that cannot reach the list server learns of these changes from other schedulers. Gossip can only stop placements: the
 // scheduler places no new work on such a node until its own list has reached that version. Ready nodes are not gossiped.
 //
 // The caller passes the time in ms. A Store is not safe for concurrent use.
@@ -35,7 +35,7 @@
 // Len returns the number of stored updates.
 func (s *Store) Len() int { return len(s.updates) }
 
-// OnList handles a node list from the node list service: its version, and the state of each node in it.
+// OnList handles a node list from the list server: its version, and the state of each node in it.
 func (s *Store) OnList(now float64, version uint64, nodes func(yield func(node uint32, ready, removed bool))) {
 	s.listVersion = max(s.listVersion, version)
 	nodes(func(node uint32, ready, removed bool) {
--- a/internal/platform/host/host.go
+++ b/internal/platform/host/host.go
@@ -39,7 +39,7 @@
 	Forget(alloc uint32)
 	// Probe sends a health check to a node. The caller passes its result to OnProbeResult with the same sequence number.
 	Probe(node, seq uint32)
-	// PollNodeList requests the changes of the node list. The response may also be that the list cannot be read.
+	// PollNodeList requests the changes of the node list. The answer may also be that the list cannot be read.
 	PollNodeList()
 	// LogLine writes a line about the module or the host to the log.
 	LogLine(line string)
--- a/internal/state/folder_test.go
+++ b/internal/state/folder_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// TestEntries checks that Entries returns the current entries in order after each response, and the same slice until an entry changes.
+// TestEntries checks that Entries returns the current entries in order after each answer, and the same slice until an entry changes.
 func TestEntries(t *testing.T) {
 	l := NewNodeList()
 	ids := func() (all []uint32) {
--- a/internal/state/nodelist.go
+++ b/internal/state/nodelist.go
@@ -22,13 +22,13 @@
 	Zone, Cell, Kind                 string
 }
 
-// NodeList is a scheduler's copy of the node list. A response of the list service is applied by Begin, one Put for each of its entries, and
+// NodeList is a scheduler's copy of the node list. An answer of the list server is applied by Begin, one Put for each of its entries, and
 // End.
 type NodeList struct {
 	Version uint64
 	entries map[uint32]Entry
 	dirty   bool            // whether the list has changed since the last call of TakeChanged
-	present map[uint32]bool // IDs that the current full response has named so far, nil outside of full responses
+	present map[uint32]bool // IDs that the current full answer has named so far, nil outside of full answers
 
 	revision uint64  // number of changes of entries
 	sorted   []Entry // cache of Entries, nil after a change
@@ -37,7 +37,7 @@
 // NewNodeList returns an empty list.
 func NewNodeList() *NodeList { return &NodeList{entries: map[uint32]Entry{}} }
 
-// Begin starts a response of the given kind, one of the kinds of package list. A response that is older than the list is rejected, as it would
+// Begin starts an answer of the given kind, one of the kinds of package list. An answer that is older than the list is rejected, as it would
 // restore nodes that were removed since.
 func (l *NodeList) Begin(kind int, version uint64) error {
 	if version < l.Version {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// Put applies one entry of a response.
+// Put applies one entry of an answer.
 func (l *NodeList) Put(entry Entry) {
 	if l.present != nil {
 		l.present[entry.ID] = true
@@ -66,7 +66,7 @@
 	l.entries[entry.ID] = entry
 }
 
-// End ends a response. After a full response, the nodes that it did not name are removed.
+// End ends an answer. After a full answer, the nodes that it did not name are removed.
 func (l *NodeList) End() {
 	if l.present != nil {
 		for id := range l.entries {
@@ -113,7 +113,7 @@
 	return changed
 }
 
-// Encode encodes the list for SaveList, as a full response of the list service.
+// Encode encodes the list for SaveList, as a full answer of the list server.
 func (l *NodeList) Encode() []byte {
 	b := list.AppendBegin(nil, list.KindFull, l.Version)
 	for _, entry := range l.Entries() {
@@ -142,7 +142,7 @@
 	}
 	l := NewNodeList()
 	in := line.NewReader(bufio.NewReader(bytes.NewReader(body)))
-	for l.present != nil || l.Version == 0 && len(l.entries) == 0 { // until a response has begun and ended
+	for l.present != nil || l.Version == 0 && len(l.entries) == 0 { // until an answer has begun and ended
 		fields, err := in.Next()
 		if err == nil {
 			err = list.DecodeList(fields, listDecoder{l})
