--- a/internal/proto/admin/gen/main.go
+++ b/internal/proto/admin/gen/main.go
@@ -1,4 +1,5 @@
-// Command gen generates the Go code of the .proto files in a folder. It runs the plugins that go.mod pins and needs no protoc:
+// Command gen generates the Go code of the .proto files in a folder. It runs the plugins protoc-gen-go and protoc-gen-go-grpc in the versions
+// that go.mod pins, and does not need protoc:
 //
 //	go run ./internal/proto/admin/gen internal/proto/admin
 package main
@@ -29,6 +30,7 @@
 	}
 }
 
+// generate compiles the .proto files of a folder and writes the plugins' output into the same folder.
 func generate(folder string) error {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.proto"))
 	if err != nil {
