--- a/internal/decide/nodefailure/nodefailure.go
+++ b/internal/decide/nodefailure/nodefailure.go
@@ -1,6 +1,6 @@
 // Package nodefailure decides when the tasks at a node count as lost because it failed. A node that is alive reports the end of a task
 // itself; a node that died or is partitioned cannot. The client has to be notified of a loss in time, but a task that is declared lost while
-// it runs is wasted work. So the tasks count as lost only if the node refuses connections, or has been unreachable for long.
+// it runs is wasted work. So the tasks count as lost only if the node refuses connections, or has been unreachable for a long time.
 //
 // The inputs are contacts with the node, outcomes of probes and the time; the outputs are probes to make and losses. A probe tries to make a
 // new connection to the node. The package does no I/O and returns no errors. A Detector is not safe for concurrent use.
--- a/internal/decide/slowstart/placeset.go
+++ b/internal/decide/slowstart/placeset.go
@@ -9,7 +9,7 @@
 // wordBits is the number of places that one word of a PlaceSet holds.
 const wordBits = 64
 
-// PlaceSet is a set of places, stored as a bit mask.
+// PlaceSet is a set of places, which are the indexes of schedulers in the site file, stored as a bit mask.
 type PlaceSet []uint64
 
 // ParsePlaceSet decodes a set. The lowest bit of the first byte is place 0.
--- a/internal/engine/allocation.go
+++ b/internal/engine/allocation.go
@@ -32,7 +32,7 @@
 	sentAt       float64   // when the attempt was made, or when its task was recovered
 	dueAt        float64   // time-out of the attempt, or the end of the retention of a late start
 	waitingSince float64   // since when there has been no attempt
-	confirmBy    float64   // when an attempt whose connection broke is given up; 0: the attempt is not in doubt
+	confirmBy    float64   // when an attempt whose connection broke is given up; 0: no confirmation is awaited
 	nodeIndex    int       // index of the attempt's node
 	nodeSlot     int       // index into the node's list of allocations
 	lateStart    AttemptID // an earlier attempt that started after it had been abandoned
--- a/internal/platform/endpoint_watch.go
+++ b/internal/platform/endpoint_watch.go
@@ -18,14 +18,14 @@
 	retrier       watchretry.Retrier
 	current       *watchConn // the newest connection, which may be closed or still being made
 	position      uint64     // the position of the last event that was applied
-	pollRequested bool       // the module waits to be told the changes, or that there are none
+	pollRequested bool       // the module has polled the list and has had no answer yet
 }
 
 func newEndpointWatch(s *Server, address string) endpointWatch {
 	return endpointWatch{server: s, address: address}
 }
 
-// poll requests that the module be told the changes, or that there are none, or that the list can't be read.
+// poll records a poll of the module. The next event answers it; otherwise tick answers that there are no changes or that the list can't be read.
 func (w *endpointWatch) poll() { w.pollRequested = true }
 
 // loadInitial applies the events in the scheduler's configuration. The error wraps codec.ErrUnreadable.
@@ -96,8 +96,8 @@
 	w.tick(now)
 }
 
-// applyLine applies the events in a line of the journal, each of them once, in order and without gaps. The error is errEventGap, or wraps
-// codec.ErrUnreadable.
+// applyLine applies the events in a line of the journal in order. It skips those that were applied before and rejects a gap. The error is
+// errEventGap, or wraps codec.ErrUnreadable.
 func (w *endpointWatch) applyLine(now float64, line []byte) error {
 	update := listUpdate{watch: w, now: now, listed: map[*node]bool{}}
 	last, err := codec.ReadLine(line, &update)
--- a/internal/platform/turn_loop.go
+++ b/internal/platform/turn_loop.go
@@ -13,7 +13,8 @@
 	minTurnWait   = 0.2  // between two turns
 )
 
-// turnLoop is the scheduler's event loop. Each iteration is a turn. Server.mu guards it.
+// turnLoop is the scheduler's event loop. Each iteration is a turn, which calls Host.Round once; the host's rounds may be further apart than
+// turns. Packages overload and admission call an iteration of an event loop a round. Server.mu guards it.
 type turnLoop struct {
 	server   *Server
 	loop     env.Loop
@@ -21,13 +22,13 @@
 	lastTick float64
 }
 
-// start starts the loop. The first turn is due at once.
+// start starts the loop. The first turn is due immediately.
 func (l *turnLoop) start() {
 	l.nextTurn = l.server.env.Now()
 	l.loop = l.server.env.StartLoop(l.turn)
 }
 
-// wake makes the next turn due at once.
+// wake makes the next turn due immediately.
 func (l *turnLoop) wake() {
 	l.nextTurn = min(l.nextTurn, l.server.env.Now())
 	l.loop.Wake()
--- a/internal/platform/watch_conn.go
+++ b/internal/platform/watch_conn.go
@@ -11,10 +11,10 @@
 // maxLineBytes bounds an incomplete line of the journal. No valid list of nodes is longer.
 const maxLineBytes = 4 << 20
 
-// watchConn is one connection to the journal service, or one that is being made. It implements env.ConnHandler. Server.mu guards it.
+// watchConn is a connection to the journal service that is open, closed or being established. It implements env.ConnHandler. Server.mu guards it.
 type watchConn struct {
 	watch   *endpointWatch
-	conn    env.Conn // nil while the connection is being made
+	conn    env.Conn // nil while the connection is being established
 	partial []byte   // the received part of an incomplete line
 	closed  bool
 }
@@ -83,7 +83,7 @@
 		c.watch.retrier.OnEvent(now)
 		c.partial, consumed = rest, true
 	}
-	if consumed { // the rest is copied to free the buffer, but not for each byte of a line that trickles in
+	if consumed { // the rest is copied to free the buffer, but not while a line arrives in small parts
 		c.partial = append([]byte(nil), c.partial...)
 	}
 	return nil
--- a/internal/serve/working_set_reports.go
+++ b/internal/serve/working_set_reports.go
@@ -70,12 +70,12 @@
 	}
 }
 
-// reportShortages tells the set which machine kinds a shard is short of. The last element of short stands for tasks that run on any kind.
-func (w *workingSet) reportShortages(short []bool) {
-	for i, isShort := range short {
+// reportShortages tells the set which machine kinds a shard is short of. The last element of shortage stands for tasks that run on any kind.
+func (w *workingSet) reportShortages(shortage []bool) {
+	for i, isShort := range shortage {
 		switch {
 		case !isShort:
-		case i == len(short)-1:
+		case i == len(shortage)-1:
 			w.set.OnShortage(workingset.AnyKind)
 		default:
 			w.set.OnShortage(i)
