--- a/internal/decide/shardrouter/queue_test.go
+++ b/internal/decide/shardrouter/queue_test.go
@@ -62,7 +62,7 @@
 	for _, c := range []struct {
 		name        string
 		total, free float64
-		knowsFree   bool
+		reportsFree bool
 		queued      bool
 	}{
 		{"other processes hold more than the rest", 30, -1, true, true},
@@ -75,7 +75,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newFullRouter(t)
 			for range 60 { // half a minute of the node list's answers
-				r.OnCapacity(Capacity{Total: Resources{c.total, c.total}, Free: Resources{c.free, c.free}, ReportsFree: c.knowsFree})
+				r.OnCapacity(Capacity{Total: Resources{c.total, c.total}, Free: Resources{c.free, c.free}, ReportsFree: c.reportsFree})
 			}
 			for key := range 2 { // minOpenPerShard may be open in any case
 				r.PermitAttempt(claimOf(key, 0, 1), shardownership.Attempt{Node: 1})
--- a/internal/lab/drill/day.go
+++ b/internal/lab/drill/day.go
@@ -101,7 +101,7 @@
 	timeout, latencyObjective float64
 	semantics                 audit.Semantics
 	spread                    audit.Spread
-	maxTogether               int
+	maxPerDomain              int
 	scope                     audit.IdempotencyScope
 	window                    float64
 }
@@ -208,7 +208,7 @@
 			job: job, fraction: w.Number("part"), cores: w.Number("cores"), memory: w.Number("memory"), start: w.Number("start"),
 			runtime: w.Number("life"), use: w.Number("use"), priority: w.Int("priority"), name: w.Text("job-type"),
 			timeout: r.site.Deadlines[job], latencyObjective: class.LatencyObjective, semantics: audit.Semantics(class.Semantics),
-			spread: audit.Spread(class.Spread), maxTogether: class.MaxPerScope, scope: audit.IdempotencyScope(class.IdempotencyScope),
+			spread: audit.Spread(class.Spread), maxPerDomain: class.MaxPerScope, scope: audit.IdempotencyScope(class.IdempotencyScope),
 			window: class.IdempotencyWindow,
 		})
 		sum += w.Number("part")
--- a/internal/lab/drill/report.go
+++ b/internal/lab/drill/report.go
@@ -25,7 +25,7 @@
 		PollInterval: cl.ListMaxSilence, SlowStartLimit: int(cl.SlowStartLimit), SlowStartDuration: cl.SlowStartDuration, SlowStartWindow: cl.SlowStartWindow, Slack: slack,
 	}
 	for _, w := range p.Day.jobs {
-		r.Jobs = append(r.Jobs, audit.JobRules{Semantics: w.semantics, Scope: w.scope, Window: w.window, Spread: w.spread, MaxPerDomain: w.maxTogether})
+		r.Jobs = append(r.Jobs, audit.JobRules{Semantics: w.semantics, Scope: w.scope, Window: w.window, Spread: w.spread, MaxPerDomain: w.maxPerDomain})
 	}
 	for _, n := range p.nodes {
 		r.Nodes[n.ID] = audit.Location{Zone: n.Zone, Cell: n.Cell}
--- a/internal/lab/sim/scheduler.go
+++ b/internal/lab/sim/scheduler.go
@@ -21,8 +21,8 @@
 	seedPerIncarnation = 7919
 )
 
-// leasedPart is the fraction of limits that schedulers that know each other lease to each other.
-const leasedPart = 0.5
+// leasedFraction is the fraction of limits that schedulers that know each other lease to each other.
+const leasedFraction = 0.5
 
 var memberKey = []byte("the laboratory's member key")
 
@@ -73,7 +73,7 @@
 	config.ClientsListen = s.name + ":1"
 	if e.Members {
 		config.Members = site.Members{
-			Listen: fmt.Sprint("10.0.0.", 1+s.index, ":1"), Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, LeasedFraction: leasedPart,
+			Listen: fmt.Sprint("10.0.0.", 1+s.index, ":1"), Seeds: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, LeasedFraction: leasedFraction,
 		}
 	}
 	config.WorkingSet = e.workingSet()
