--- a/internal/serve/metrics_server.go
+++ b/internal/serve/metrics_server.go
@@ -61,7 +61,7 @@
 			log.Error().Str("mode", "counts").Err(err).Msg("metrics server ended unexpectedly")
 		}
 	}()
-	log.Info().Str("mode", "counts").Str("address", m.address).Msg("page")
+	log.Info().Str("mode", "counts").Str("address", m.address).Msg("metrics server listening")
 	return m, nil
 }
 
--- a/internal/serve/tenants.go
+++ b/internal/serve/tenants.go
@@ -172,7 +172,7 @@
 	if !changed {
 		return nil, false
 	}
-	h.log.Info().Str("mode", "tenants").Int("share", sharers).Float64("lends", h.quotaShare(0).LeasedFraction).Msg("limits")
+	h.log.Info().Str("mode", "tenants").Int("share", sharers).Float64("lends", h.quotaShare(0).LeasedFraction).Msg("shares of tenant limits changed")
 	return h.policies(sharers), true
 }
 
